--- a/balancer/knowledge.go
+++ b/balancer/knowledge.go
@@ -8,28 +8,29 @@
 
 // Knowledge is what a Balancer has learnt, as its process passes it on to a successor. Times are ages at that moment.
 type Knowledge struct {
-	Upstreams map[string]Learnt
-	Mean      float64            // latency, seconds
-	Fleet     float64            // normalised, seconds
-	Mid, Late float64            // its quantiles
-	HintMean  float64            // seconds
-	Classes   map[string]float64 // mean seconds an answer takes
-	Kinds     map[string]float64 // mean normalised latency by kind of machine
-	Limit     float64
-	Served    float64 // answers a second
-	Offered   float64 // work a second, in mean requests
+	Upstreams map[string]Learnt  `json:"Upstreams"`
+	Mean      float64            `json:"Mean"`  // latency, seconds
+	Fleet     float64            `json:"Fleet"` // normalised, seconds
+	Mid       float64            `json:"Mid"`   // quantiles of it
+	Late      float64            `json:"Late"`
+	HintMean  float64            `json:"HintMean"` // seconds
+	Classes   map[string]float64 `json:"Classes"`  // mean seconds an answer takes
+	Kinds     map[string]float64 `json:"Kinds"`    // mean normalised latency by kind of machine
+	Limit     float64            `json:"Limit"`
+	Served    float64            `json:"Served"`  // answers a second
+	Offered   float64            `json:"Offered"` // work a second, in mean requests
 }
 
 // Learnt is what is known of one upstream.
 type Learnt struct {
-	CameUp    time.Duration // before the moment; 0: long ago
-	Estimate  float64       // seconds, normalised
-	Age       time.Duration // of Estimate
-	Wrong     float64
-	Errors    int
-	Fails     int
-	Ejections int
-	Out       time.Duration // how much longer it is left out
+	CameUp    time.Duration `json:"CameUp"`   // before the moment; 0: long ago
+	Estimate  float64       `json:"Estimate"` // seconds, normalised
+	Age       time.Duration `json:"Age"`      // of Estimate
+	Wrong     float64       `json:"Wrong"`
+	Errors    int           `json:"Errors"`
+	Fails     int           `json:"Fails"`
+	Ejections int           `json:"Ejections"`
+	Out       time.Duration `json:"Out"` // how much longer it is left out
 }
 
 // Check says what can't be used.
--- /dev/null
+++ b/internal/handover/golden_test.go
@@ -0,0 +1,68 @@
+package handover
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"orchiddrift/balancer"
+	"orchiddrift/internal/directory"
+	"orchiddrift/internal/testkit/golden"
+)
+
+// A Welcome's payload is read and written byte for byte as the release before did: old and new processes replace each other.
+func TestStateGolden(t *testing.T) {
+	index := int64(41)
+	who := Who{Name: "n3", Listen: "127.0.0.1:9000"}
+	want := State{Who: who, Draining: true, Held: 7, Services: map[string]Service{
+		"platform": {
+			Discovery: "127.0.0.1:8500",
+			List: &directory.Listing{Index: &index, Snapshot: true, Endpoints: []directory.Endpoint{
+				{Name: "u1", Address: "127.0.0.1:81", Zone: "dc1", Type: "large", Group: 2, Status: directory.StatusReady, SinceMs: 1500, Identity: "u1.example"},
+				{Name: "u2", Status: directory.StatusTerminating},
+				{Name: "u3", Status: directory.StatusGone},
+			}},
+			Learnt: &balancer.Knowledge{Mean: 0.5, Upstreams: map[string]balancer.Learnt{"u1": {Estimate: 0.25, Ejections: 1, Out: time.Second}}},
+		},
+		"web": {},
+	}}
+	text, err := want.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Match(t, "state.json", text)
+	got, err := Decode(golden.Read(t, "state.json", text), who)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+	hello, err := json.Marshal(who)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Match(t, "hello.json", hello)
+}
+
+// The frames, their kinds' numbers and the path of the socket are those of the release before.
+func TestFramesGolden(t *testing.T) {
+	var out strings.Builder
+	for _, message := range []struct {
+		name string
+		kind Kind
+	}{{"hello", Hello}, {"welcome", Welcome}, {"ready", Ready}, {"drain", Drain}, {"undrain", Undrain}, {"room", Room}} {
+		frame := Append(nil, message.kind, []byte("payload"))
+		fmt.Fprintf(&out, "%s %s\n", message.name, hex.EncodeToString(frame))
+		kind, payload, err := Read(strings.NewReader(string(frame)))
+		if err != nil || kind != message.kind || string(payload) != "payload" {
+			t.Errorf("%s: read %v %q, %v", message.name, kind, payload, err)
+		}
+	}
+	fmt.Fprintf(&out, "socket %s\n", Path("folder", Who{Name: "n3", Listen: "127.0.0.1:9000"}))
+	golden.Match(t, "frames.txt", []byte(out.String()))
+}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -33,16 +33,16 @@
 
 // Ask is what the record is told. Acquire, Renew and Release may come late, twice or never.
 type Ask struct {
-	Kind   Kind
-	Name   string
-	Client string        // one life of one process: never used again
-	Seq    uint64        // of the client's wish: it rises with each time that it begins to want the lease
-	Nr     uint64        // of the send
-	Token  Token         // which grant is meant
-	Term   time.Duration // Acquire: how long a term is to be
-	Wait   bool          // Acquire: in the queue if it is held
-	To     string        // HandOn: a client
-	Value  string        // Note: at most NoteBytes; "": nothing is kept any more
+	Kind   Kind          `json:"Kind"`
+	Name   string        `json:"Name"`
+	Client string        `json:"Client"` // one life of one process: never used again
+	Seq    uint64        `json:"Seq"`    // of the client's wish: it rises with each time that it begins to want the lease
+	Nr     uint64        `json:"Nr"`     // of the send
+	Token  Token         `json:"Token"`  // which grant is meant
+	Term   time.Duration `json:"Term"`   // Acquire: how long a term is to be
+	Wait   bool          `json:"Wait"`   // Acquire: in the queue if it is held
+	To     string        `json:"To"`     // HandOn: a client
+	Value  string        `json:"Value"`  // Note: at most NoteBytes; "": nothing is kept any more
 }
 
 // Verdict is how an Ask ended.
@@ -59,15 +59,16 @@
 
 // Reply is what an Ask comes to. Client, Name, Seq and Nr are the ask's.
 type Reply struct {
-	Verdict Verdict
-	Client  string
-	Name    string
-	Seq, Nr uint64
-	Token   Token
-	Term    time.Duration
-	Place   int
-	Holder  string
-	Value   string // of Note and Look: what is kept with the name
+	Verdict Verdict       `json:"Verdict"`
+	Client  string        `json:"Client"`
+	Name    string        `json:"Name"`
+	Seq     uint64        `json:"Seq"`
+	Nr      uint64        `json:"Nr"`
+	Token   Token         `json:"Token"`
+	Term    time.Duration `json:"Term"`
+	Place   int           `json:"Place"`
+	Holder  string        `json:"Holder"`
+	Value   string        `json:"Value"` // of Note and Look: what is kept with the name
 }
 
 func (a *Ask) reply(v Verdict) Reply {
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -18,21 +18,21 @@
 
 // Entry is a name that is held.
 type Entry struct {
-	Name    string
-	Holder  string
-	Seq     uint64 // the holder's
-	Token   Token
-	Term    time.Duration
-	Revoked bool // it gets no other term
-	Heir    bool // it was handed on, and the holder has not asked for it yet
-	Waiters []Waiter
+	Name    string        `json:"Name"`
+	Holder  string        `json:"Holder"`
+	Seq     uint64        `json:"Seq"` // the holder's
+	Token   Token         `json:"Token"`
+	Term    time.Duration `json:"Term"`
+	Revoked bool          `json:"Revoked"` // it gets no other term
+	Heir    bool          `json:"Heir"`    // it was handed on, and the holder has not asked for it yet
+	Waiters []Waiter      `json:"Waiters"`
 }
 
 // Waiter stands in a name's queue, in the order of asking.
 type Waiter struct {
-	Client string
-	Seq    uint64
-	Term   time.Duration
+	Client string        `json:"Client"`
+	Seq    uint64        `json:"Seq"`
+	Term   time.Duration `json:"Term"`
 }
 
 // Table is the record. The same asks in the same order make the same Table. It is for one goroutine.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -42,30 +42,49 @@
 
 // object is the part of the object that is used.
 type object struct {
-	Balancers int
+	Balancers int `json:"Balancers"`
 	Classes   []struct {
-		Name, Semantics, KeyScope                 string
-		AimMs, AimStretch, DeadlineMs, Importance float64
-		LateShare, DedupWindowMs                  float64
-		Stream                                    bool
-	}
-	Discovery string
+		Name          string  `json:"Name"`
+		Semantics     string  `json:"Semantics"`
+		KeyScope      string  `json:"KeyScope"`
+		AimMs         float64 `json:"AimMs"`
+		AimStretch    float64 `json:"AimStretch"`
+		DeadlineMs    float64 `json:"DeadlineMs"`
+		Importance    float64 `json:"Importance"`
+		LateShare     float64 `json:"LateShare"`
+		DedupWindowMs float64 `json:"DedupWindowMs"`
+		Stream        bool    `json:"Stream"`
+	} `json:"Classes"`
+	Discovery string `json:"Discovery"`
 	Limits    struct {
-		Cancelling, Probes, RetryAfter, SecondCopies bool
-		ConnectTimeoutMs, MaxRetryAfterMs            float64
-		ConnIdleMs                                   float64
-		SendCap                                      int
-	}
-	OverShareWorth float64
-	Prices         struct{ CrossZone float64 }
-	Rules          struct{ ColdFrom, WarmUpMs, FallMs, FallMultiple, MustAskInMs, DrainGraceMs float64 }
-	Tenants        []struct {
-		Name     string
-		Fraction float64
-	}
-	TickMs  float64
-	WorthBy string
-	Zone    string
+		Cancelling       bool    `json:"Cancelling"`
+		Probes           bool    `json:"Probes"`
+		RetryAfter       bool    `json:"RetryAfter"`
+		SecondCopies     bool    `json:"SecondCopies"`
+		ConnectTimeoutMs float64 `json:"ConnectTimeoutMs"`
+		MaxRetryAfterMs  float64 `json:"MaxRetryAfterMs"`
+		ConnIdleMs       float64 `json:"ConnIdleMs"`
+		SendCap          int     `json:"SendCap"`
+	} `json:"Limits"`
+	OverShareWorth float64 `json:"OverShareWorth"`
+	Prices         struct {
+		CrossZone float64 `json:"CrossZone"`
+	} `json:"Prices"`
+	Rules struct {
+		ColdFrom     float64 `json:"ColdFrom"`
+		WarmUpMs     float64 `json:"WarmUpMs"`
+		FallMs       float64 `json:"FallMs"`
+		FallMultiple float64 `json:"FallMultiple"`
+		MustAskInMs  float64 `json:"MustAskInMs"`
+		DrainGraceMs float64 `json:"DrainGraceMs"`
+	} `json:"Rules"`
+	Tenants []struct {
+		Name     string  `json:"Name"`
+		Fraction float64 `json:"Fraction"`
+	} `json:"Tenants"`
+	TickMs  float64 `json:"TickMs"`
+	WorthBy string  `json:"WorthBy"`
+	Zone    string  `json:"Zone"`
 }
 
 // unknownWord is an effect or group that the module will turn down, naming the field.
--- /dev/null
+++ b/internal/task/golden_test.go
@@ -0,0 +1,32 @@
+package task
+
+import (
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"orchiddrift/internal/testkit/golden"
+)
+
+// What is noted of a task's runs is read and written byte for byte as the release before did.
+func TestRecordGolden(t *testing.T) {
+	due := time.Date(2026, 12, 3, 4, 30, 0, 0, time.UTC)
+	var want []Record
+	for _, phase := range []Phase{Begun, Ended, Lost, Skipped} {
+		want = append(want, Record{Due: due, Phase: phase, Token: 12, By: "a", Tries: 2, Code: 3})
+	}
+	want = append(want, Record{Due: due, Phase: Begun})
+	var out strings.Builder
+	for _, r := range want {
+		out.WriteString(r.Note() + "\n")
+	}
+	golden.Match(t, "records.jsonl", []byte(out.String()))
+	lines := strings.Split(strings.TrimSpace(string(golden.Read(t, "records.jsonl", []byte(out.String())))), "\n")
+	for i, line := range lines {
+		got, err := Read(line)
+		if err != nil || !reflect.DeepEqual(*got, want[i]) {
+			t.Errorf("%s is read as %+v, %v; want %+v", line, got, err, want[i])
+		}
+	}
+}
--- /dev/null
+++ b/internal/testkit/golden/golden.go
@@ -0,0 +1,50 @@
+// Package golden compares bytes with files that an earlier build wrote, so that a stored or exchanged form does not change unnoticed.
+//
+// A missing file is written by a run with ORCHIDDRIFT_CREATE_GOLDEN=1, for example
+//
+//	ORCHIDDRIFT_CREATE_GOLDEN=1 go test -run Golden ./internal/handover
+//
+// A file that exists is never written again: a later build has to read it, and to write the same bytes.
+package golden
+
+import (
+	"bytes"
+	"errors"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// CreateVariable is the environment variable that lets Match write missing files.
+const CreateVariable = "ORCHIDDRIFT_CREATE_GOLDEN"
+
+// Match fails the test unless got is the content of testdata/golden/name.
+func Match(t testing.TB, name string, got []byte) {
+	t.Helper()
+	want := Read(t, name, got)
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: this build writes other bytes\n--- the file\n%s\n--- this build\n%s", name, want, got)
+	}
+}
+
+// Read returns the content of testdata/golden/name, which the decoder under test is to read. Where the file is missing and may be
+// created, it is created from initial.
+func Read(t testing.TB, name string, initial []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", "golden", name)
+	text, err := os.ReadFile(path)
+	if errors.Is(err, fs.ErrNotExist) && os.Getenv(CreateVariable) == "1" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, initial, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return initial
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
