--- a/cmd/orchiddrift/check.go
+++ b/cmd/orchiddrift/check.go
@@ -7,9 +7,9 @@
 	"os"
 	"strings"
 
+	"orchiddrift/grpcbalancer"
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/staleness"
-	"orchiddrift/orchidgrpc"
+	"orchiddrift/internal/discovery/staleness"
 )
 
 // checkCmd says whether a configuration can be used.
@@ -31,7 +31,7 @@
 	}
 	look := config.Parse
 	if config.ForPlugin(text) {
-		look = orchidgrpc.CheckConfig
+		look = grpcbalancer.CheckConfig
 	}
 	conf, err := look(text)
 	if err != nil {
--- a/cmd/orchiddrift/golden_test.go
+++ b/cmd/orchiddrift/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/testkit/golden"
+	"orchiddrift/internal/testing/golden"
 )
 
 // Operators' files keep their keys: the example names each with its default and what it means.
--- a/cmd/orchiddrift/lab.go
+++ b/cmd/orchiddrift/lab.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"orchiddrift/internal/lab"
+	"orchiddrift/internal/simulation/experiment"
 )
 
 type labCmd struct {
@@ -30,7 +30,7 @@
 
 // Run is kong's.
 func (c *labRunCmd) Run() error {
-	e, err := lab.LoadFile(c.File)
+	e, err := experiment.LoadFile(c.File)
 	if err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	n := lab.Runner{Cores: cores, Limit: c.Limit, Version: version, Told: func(done, all int, l lab.Line) {
+	n := experiment.Runner{Cores: cores, Limit: c.Limit, Version: version, Told: func(done, all int, l experiment.Line) {
 		word := l.Error
 		if l.Result != nil {
 			word = fmt.Sprintf("%d of %d served, p99 %v", l.Result.Done, l.Result.Operations, l.Result.P99.Round(100*time.Microsecond))
@@ -62,14 +62,14 @@
 
 // report prints a file's table; what no run may have is an error.
 func report(path string) error {
-	head, lines, err := lab.Read(path)
+	head, lines, err := experiment.Read(path)
 	if err != nil {
 		return err
 	}
-	if err := lab.Report(os.Stdout, head, lines); err != nil {
+	if err := experiment.Report(os.Stdout, head, lines); err != nil {
 		return err
 	}
-	if t := lab.Troubles(lines); len(t) > 0 {
+	if t := experiment.Troubles(lines); len(t) > 0 {
 		return fmt.Errorf("%d runs failed or broke a rule", len(t))
 	}
 	return nil
@@ -96,11 +96,11 @@
 
 // Run is kong's.
 func (c *labCompareCmd) Run() error {
-	a, before, err := lab.Read(c.Before)
+	a, before, err := experiment.Read(c.Before)
 	if err != nil {
 		return err
 	}
-	b, after, err := lab.Read(c.After)
+	b, after, err := experiment.Read(c.After)
 	if err != nil {
 		return err
 	}
@@ -108,13 +108,13 @@
 		return fmt.Errorf("%s and %s are of different experiments", c.Before, c.After)
 	}
 	bad := 0
-	all := lab.Compare(before, after, a.Policies)
+	all := experiment.Compare(before, after, a.Policies)
 	for _, d := range all {
 		word := "better"
 		if d.Worse > 0 {
 			word = "worse"
 		}
-		if d.Policy == lab.Ours && d.Worse > c.Worse {
+		if d.Policy == experiment.Ours && d.Worse > c.Worse {
 			bad, word = bad+1, "TOO MUCH WORSE"
 		}
 		fmt.Printf("%s, %s: %.4g, %.4g before (by %.4g to %.4g): %s\n", d.Policy, d.Figure, d.After, d.Before, d.Low, d.High, word)
@@ -123,7 +123,7 @@
 		fmt.Println("nothing differs beyond chance")
 	}
 	if bad > 0 {
-		return fmt.Errorf("%d figures of %s are worse by more than %g", bad, lab.Ours, c.Worse)
+		return fmt.Errorf("%d figures of %s are worse by more than %g", bad, experiment.Ours, c.Worse)
 	}
 	return nil
 }
--- a/cmd/orchiddrift/lease.go
+++ b/cmd/orchiddrift/lease.go
@@ -16,9 +16,9 @@
 
 	"orchiddrift/internal/config"
 	"orchiddrift/internal/lease"
-	"orchiddrift/internal/leasegroup"
+	"orchiddrift/internal/lease/raftgroup"
 	tasks "orchiddrift/internal/task"
-	"orchiddrift/internal/taskrun"
+	"orchiddrift/internal/task/runner"
 )
 
 // Exit codes of the lease commands, beside 1 for what is wrong with the call.
@@ -47,12 +47,12 @@
 func (e exit) Error() string { return e.err.Error() }
 
 // group is the client of the group that the file names.
-func (c *leaseCmd) group() (*leasegroup.Client, error) {
+func (c *leaseCmd) group() (*raftgroup.Client, error) {
 	d, err := config.LoadFleet(c.File)
 	if err != nil {
 		return nil, err
 	}
-	return leasegroup.NewClient(d.Name, leasegroup.PeersOf(d))
+	return raftgroup.NewClient(d.Name, raftgroup.PeersOf(d))
 }
 
 type leaseRunCmd struct {
@@ -91,12 +91,12 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	r := &leaseRun{again: c.Again, stop: stop}
-	r.Command = leasegroup.Command{Guard: []string{self, "lease", "--file", l.File, "guard"}, Name: c.Name, Argv: c.Argv, Margin: c.Margin,
+	r.Command = raftgroup.Command{Guard: []string{self, "lease", "--file", l.File, "guard"}, Name: c.Name, Argv: c.Argv, Margin: c.Margin,
 		Over: r.over, Told: func(text string) { fmt.Fprintln(os.Stderr, "orchiddrift: lease:", text) }}
 	if !c.Wait && !c.Again {
 		r.tries = 3
 	}
-	leasegroup.Keep(ctx, at, lease.HolderOptions{Name: c.Name, Client: leasegroup.NewClientID(), Term: c.Term, Wait: c.Wait || c.Again,
+	raftgroup.Keep(ctx, at, lease.HolderOptions{Name: c.Name, Client: raftgroup.NewClientID(), Term: c.Term, Wait: c.Wait || c.Again,
 		Drift: d.Drift, Margin: c.Margin, Retry: c.Term / 5}, r)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +108,7 @@
 
 // leaseRun is a command with the word that its end comes to.
 type leaseRun struct {
-	leasegroup.Command
+	raftgroup.Command
 	again bool
 	tries int // of reaching the group before it is given up; 0: for ever
 	stop  func()
@@ -167,7 +167,7 @@
 	// They are for who holds the lease, and it says what is to be. Not by Ignore: the command would be started with them ignored.
 	signal.Notify(make(chan os.Signal, 1), os.Interrupt, syscall.SIGTERM)
 	syscall.CloseOnExec(3)
-	code, err := leasegroup.Guard(os.Stdin, os.NewFile(3, "pid"), time.Duration(c.Until), c.Margin, c.Argv)
+	code, err := raftgroup.Guard(os.Stdin, os.NewFile(3, "pid"), time.Duration(c.Until), c.Margin, c.Argv)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "orchiddrift: lease:", err)
 	}
@@ -179,7 +179,7 @@
 }
 
 // leader is what the one who leads says; nil: nobody does.
-func (c *leaseCmd) leader(wait time.Duration) (*leasegroup.Info, []*leasegroup.Info, error) {
+func (c *leaseCmd) leader(wait time.Duration) (*raftgroup.Info, []*raftgroup.Info, error) {
 	at, err := c.group()
 	if err != nil {
 		return nil, nil, err
@@ -210,7 +210,7 @@
 	return printLeases(i, func(lease.Entry) bool { return true })
 }
 
-func printLeases(i *leasegroup.Info, want func(lease.Entry) bool) error {
+func printLeases(i *raftgroup.Info, want func(lease.Entry) bool) error {
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tTOKEN\tLEFT\tTERM\tWAITING\tHOLDER")
 	for n, e := range i.Leases {
@@ -271,7 +271,7 @@
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "TASK\tDUE\tPHASE\tCODE\tTRIES\tTOKEN\tBY")
 	for _, name := range slices.Sorted(maps.Keys(i.Notes)) {
-		task, is := strings.CutPrefix(name, taskrun.LeasePrefix)
+		task, is := strings.CutPrefix(name, runner.LeasePrefix)
 		if !is {
 			continue
 		}
@@ -296,7 +296,7 @@
 		return err
 	}
 	defer at.Close()
-	r, err := leasegroup.Revoke(context.Background(), at, c.Name, infoPatience)
+	r, err := raftgroup.Revoke(context.Background(), at, c.Name, infoPatience)
 	switch {
 	case err != nil:
 		return exit{exitUnreached, err}
--- a/cmd/orchiddrift/load.go
+++ b/cmd/orchiddrift/load.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"orchiddrift/internal/load"
+	"orchiddrift/internal/loadgen"
 )
 
 type loadCmd struct {
@@ -41,22 +41,22 @@
     --class "search=3:GET /search?q={n}" --class "record=1:POST /payments/{n}" --header "Idempotency-Key: k{n}" --body '{"amount":5}' --retries 2`
 }
 
-func (c *loadCmd) options() (load.Options, error) {
-	o := load.Options{Target: c.Target, Connections: c.Connections, Timeout: c.Timeout, Steady: c.Steady, Seed: c.Seed, Retries: c.Retries, RetryWait: c.RetryWait}
+func (c *loadCmd) options() (loadgen.Options, error) {
+	o := loadgen.Options{Target: c.Target, Connections: c.Connections, Timeout: c.Timeout, Steady: c.Steady, Seed: c.Seed, Retries: c.Retries, RetryWait: c.RetryWait}
 	var err error
-	if o.Phases, err = load.ParsePhases(c.Rate, c.Duration); err != nil {
+	if o.Phases, err = loadgen.ParsePhases(c.Rate, c.Duration); err != nil {
 		return o, fmt.Errorf("--rate: %w", err)
 	}
-	var headers []load.Header
+	var headers []loadgen.Header
 	for _, text := range c.Header {
-		h, err := load.ParseHeader(text)
+		h, err := loadgen.ParseHeader(text)
 		if err != nil {
 			return o, fmt.Errorf("--header: %w", err)
 		}
 		headers = append(headers, h)
 	}
 	for _, text := range c.Class {
-		class, err := load.ParseClass(text)
+		class, err := loadgen.ParseClass(text)
 		if err != nil {
 			return o, fmt.Errorf("--class: %w", err)
 		}
@@ -71,7 +71,7 @@
 	return o, o.Check()
 }
 
-func setBody(classes []load.Class, text string) error {
+func setBody(classes []loadgen.Class, text string) error {
 	name, of, named := strings.Cut(text, "=")
 	only := -1
 	for i := range classes {
@@ -102,9 +102,9 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	var w load.Watch
+	var w loadgen.Watch
 	if !c.Quiet {
-		w.Progress = func(p load.Progress) { fmt.Fprintln(os.Stderr, p) }
+		w.Progress = func(p loadgen.Progress) { fmt.Fprintln(os.Stderr, p) }
 	}
 	var file *os.File
 	if c.Log != "" {
@@ -113,7 +113,7 @@
 		}
 		w.Log = file
 	}
-	r, err := load.Run(ctx, o, w)
+	r, err := loadgen.Run(ctx, o, w)
 	if file != nil {
 		err = errors.Join(err, file.Close())
 	}
--- a/cmd/orchiddrift/main_test.go
+++ b/cmd/orchiddrift/main_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // TestMain runs the program itself where a test asks for it.
--- a/cmd/orchiddrift/newcomer_test.go
+++ b/cmd/orchiddrift/newcomer_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // Guards against a README that does not work: its operator's file, but for the ports, which are free ones here, balances
--- a/orchidgrpc/attempt.go
+++ b/grpcbalancer/attempt.go
@@ -1,4 +1,4 @@
-package orchidgrpc
+package grpcbalancer
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 )
 
 // attempt is the record of one send that the module decided on. It is the context of the RPC, and found by its Value: the picker
@@ -19,7 +19,7 @@
 
 	plugin   *Plugin
 	upstream string
-	place    directory.Place
+	place    endpoints.Place
 	by       time.Time               // its pick is to come before; zero: at any time
 	caller   context.Context         // and before this ends
 	cancel   context.CancelCauseFunc // ends the RPC
--- a/orchidgrpc/door.go
+++ b/grpcbalancer/door.go
@@ -1,4 +1,4 @@
-package orchidgrpc
+package grpcbalancer
 
 import (
 	"context"
@@ -6,8 +6,8 @@
 
 	"google.golang.org/grpc/metadata"
 
-	"orchiddrift/internal/door"
-	"orchiddrift/internal/doorkeeper"
+	"orchiddrift/internal/admission"
+	"orchiddrift/internal/admission/controller"
 	"orchiddrift/internal/engine"
 )
 
@@ -24,16 +24,16 @@
 		defer context.AfterFunc(c.Wanted, end)()
 	}
 	marked := first(md, strings.ToLower(k.RepeatHeader()))
-	pass, verdict, in := k.Enter(waits, door.Who{Tenant: c.Tenant, Header: func(name string) string { return first(md, strings.ToLower(name)) }},
-		door.Arrival{Class: c.Class, Hint: c.Hint, Came: c.p.engine.Clock().Now(), Expires: c.Expires,
+	pass, verdict, in := k.Enter(waits, admission.Who{Tenant: c.Tenant, Header: func(name string) string { return first(md, strings.ToLower(name)) }},
+		admission.Arrival{Class: c.Class, Hint: c.Hint, Came: c.p.engine.Clock().Now(), Expires: c.Expires,
 			Repeat: marked != "" && marked != "0", Print: c.print})
 	switch verdict {
-	case doorkeeper.Refused:
+	case controller.Refused:
 		return engine.Answer{Kind: engine.Refused, RetryIn: in}
-	case doorkeeper.Left:
+	case controller.Left:
 		return engine.Answer{Kind: engine.Abandoned}
 	}
 	a := c.p.engine.Do(ctx, c.Call, carrier)
-	pass.Done(doorkeeper.Ended(a))
+	pass.Done(controller.Ended(a))
 	return a
 }
--- a/orchidgrpc/door_test.go
+++ b/grpcbalancer/door_test.go
@@ -1,4 +1,4 @@
-package orchidgrpc_test
+package grpcbalancer_test
 
 import (
 	"context"
@@ -18,18 +18,18 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit/base"
-	"orchiddrift/orchidgrpc"
+	"orchiddrift/grpcbalancer"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // Calls wait in an order that is fair between those on whose behalf they are made, the newest of a flood is refused with a
 // time to come back, and one whose caller leaves is never sent.
 func TestDoor(t *testing.T) {
 	came, answer := make(chan string, 100), make(chan bool, 100)
-	f := newFleet(t, standin.NodeOptions{Answer: func(j standin.Job) []byte { came <- j.ID; <-answer; return nil }})
+	f := newFleet(t, fakes.NodeOptions{Answer: func(j fakes.Job) []byte { came <- j.ID; <-answer; return nil }})
 	file := base.File(t, "o.toml", []byte("[[door]]\nservice = \"service\"\nby = [\"tenant\", \"header:x-shop\"]\nlimit_least = 1\nlimit_most = 1\nwaiting = 3\n"))
-	conn, _ := f.dial(t, func(o *orchidgrpc.Options) {
+	conn, _ := f.dial(t, func(o *grpcbalancer.Options) {
 		o.File = file
 		o.Settings.SecondCopies, o.Settings.MaxAttempts = false, 1
 		for i := range o.Settings.Classes {
@@ -43,7 +43,7 @@
 	defer wg.Wait()
 	call := func(ctx context.Context, tenant, id string) {
 		wg.Go(func() {
-			ctx := metadata.AppendToOutgoingContext(ctx, orchidgrpc.TenantKey, tenant, orchidgrpc.RequestIDKey, id)
+			ctx := metadata.AppendToOutgoingContext(ctx, grpcbalancer.TenantKey, tenant, grpcbalancer.RequestIDKey, id)
 			_, err := ask(ctx, conn, search)
 			mu.Lock()
 			defer mu.Unlock()
@@ -76,7 +76,7 @@
 	})
 	mu.Lock()
 	for id, err := range ends {
-		if s := status.Convert(err); s.Code() == codes.Unavailable && !orchidgrpc.MayHaveRun(err) {
+		if s := status.Convert(err); s.Code() == codes.Unavailable && !grpcbalancer.MayHaveRun(err) {
 			for _, d := range s.Details() {
 				if in, ok := d.(*errdetails.RetryInfo); ok && in.RetryDelay.AsDuration() > 0 {
 					refused++
@@ -128,9 +128,9 @@
 		"by the peer":          "[[door]]\nservice = \"service\"\nby = [\"address\"]\n",
 		"no such source":       "[[door]]\nservice = \"service\"\nby = [\"shop\"]\n",
 	} {
-		o := orchidgrpc.Options{Settings: settings(), Seed: 7, Endpoints: []orchidgrpc.Endpoint{{Name: "a", Address: "127.0.0.1:1"}},
+		o := grpcbalancer.Options{Settings: settings(), Seed: 7, Endpoints: []grpcbalancer.Endpoint{{Name: "a", Address: "127.0.0.1:1"}},
 			Files: files(t), File: base.File(t, "o.toml", []byte(text))}
-		if p, err := orchidgrpc.New(o); err == nil {
+		if p, err := grpcbalancer.New(o); err == nil {
 			p.Close()
 			t.Errorf("%s: it is taken", name)
 		}
@@ -139,10 +139,10 @@
 
 // Of many endpoints a plug-in asks those alone that are its own by [service.subset], also after another list was set.
 func TestSubset(t *testing.T) {
-	options := make([]standin.NodeOptions, 24)
+	options := make([]fakes.NodeOptions, 24)
 	f := newFleet(t, options...)
 	file := base.File(t, "o.toml", []byte("[[service]]\nname = \"service\"\n[service.subset]\non = true\nleast = 4\nmost = 4\nsidecars = 3\nindex = 1\naway = 0.0\n"))
-	conn, p := f.dial(t, func(o *orchidgrpc.Options) { o.File = file })
+	conn, p := f.dial(t, func(o *grpcbalancer.Options) { o.File = file })
 	asked := func() map[string]bool {
 		names := map[string]bool{}
 		for range 200 {
@@ -180,14 +180,14 @@
 
 // With [service.warm] the upstreams that no call has gone to are connected to as well, and one that starts anew again.
 func TestWarm(t *testing.T) {
-	f := newFleet(t, make([]standin.NodeOptions, 6)...)
+	f := newFleet(t, make([]fakes.NodeOptions, 6)...)
 	counted := make([]*counter, len(f.endpoints))
 	for i, e := range f.endpoints {
 		counted[i] = count(t, e.Address)
 		f.endpoints[i].Address = counted[i].address
 	}
 	file := base.File(t, "o.toml", []byte("[[service]]\nname = \"service\"\n[service.warm]\non = true\nspread = \"100ms\"\n"))
-	conn, p := f.dial(t, func(o *orchidgrpc.Options) { o.File = file })
+	conn, p := f.dial(t, func(o *grpcbalancer.Options) { o.File = file })
 	if _, err := ask(t.Context(), conn, search); err != nil {
 		t.Fatal(err)
 	}
@@ -247,19 +247,19 @@
 func TestRepeats(t *testing.T) {
 	t.Run("one", func(t *testing.T) { testRepeats(t, 1, "") })
 	t.Run("two", func(t *testing.T) {
-		_, at := base.Etcd(t, standin.EtcdOptions{})
+		_, at := base.Etcd(t, fakes.EtcdOptions{})
 		testRepeats(t, 2, fmt.Sprintf("[repeats.shared]\nservers = [%q]\n", at))
 	})
 }
 
 func testRepeats(t *testing.T, plugins int, more string) {
 	came, answer := make(chan string, 100), make(chan bool, 100)
-	f := newFleet(t, standin.NodeOptions{Answer: func(j standin.Job) []byte { came <- j.ID; <-answer; return nil }}, standin.NodeOptions{
-		Answer: func(j standin.Job) []byte { came <- j.ID; <-answer; return nil }})
+	f := newFleet(t, fakes.NodeOptions{Answer: func(j fakes.Job) []byte { came <- j.ID; <-answer; return nil }}, fakes.NodeOptions{
+		Answer: func(j fakes.Job) []byte { came <- j.ID; <-answer; return nil }})
 	file := base.File(t, "o.toml", []byte("[[repeats]]\nservice = \"service\"\ntenant_part = 1.0\n"+more))
 	var conns []*grpc.ClientConn
 	for range plugins {
-		conn, _ := f.dial(t, func(o *orchidgrpc.Options) {
+		conn, _ := f.dial(t, func(o *grpcbalancer.Options) {
 			o.File = file
 			o.Settings.SecondCopies = false
 			for i := range o.Settings.Classes {
@@ -287,7 +287,7 @@
 		conn := conns[calls%plugins]
 		go func() {
 			if key != "" {
-				ctx = metadata.AppendToOutgoingContext(ctx, orchidgrpc.IdempotencyKey, key)
+				ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.IdempotencyKey, key)
 			}
 			name, err := ask(ctx, conn, record)
 			ends <- end{name, err}
@@ -310,7 +310,7 @@
 			t.Errorf("%v, and then %v", first, e)
 		}
 	}
-	other := metadata.AppendToOutgoingContext(t.Context(), orchidgrpc.IdempotencyKey, "k")
+	other := metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.IdempotencyKey, "k")
 	if err := conns[0].Invoke(other, record, wrapperspb.String("another seat"), &wrapperspb.StringValue{}); status.Code(err) != codes.InvalidArgument {
 		t.Errorf("another call: %v", err)
 	}
--- a/orchidgrpc/eureka_test.go
+++ b/grpcbalancer/eureka_test.go
@@ -1,4 +1,4 @@
-package orchidgrpc_test
+package grpcbalancer_test
 
 import (
 	"context"
@@ -16,30 +16,30 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
+	"orchiddrift/grpcbalancer"
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit/base"
-	"orchiddrift/orchidgrpc"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // Guards against calls that reach a node later than 250 ms after the plug-in was told that it is out of service, and
 // against a list of its own that does not count beside the registry.
 func TestRegistries(t *testing.T) {
-	e := base.Eureka(t, standin.EurekaOptions{})
-	var f *standin.Flipper
+	e := base.Eureka(t, fakes.EurekaOptions{})
+	var f *fakes.Flipper
 	names := []string{"n0", "n1", "n2", "n3", "n4"}
-	options := make([]standin.NodeOptions, len(names))
+	options := make([]fakes.NodeOptions, len(names))
 	for i, name := range names {
-		options[i] = standin.NodeOptions{Name: name, Answer: func(standin.Job) []byte { f.Came(name); return nil }}
+		options[i] = fakes.NodeOptions{Name: name, Answer: func(fakes.Job) []byte { f.Came(name); return nil }}
 	}
 	nodes := newFleet(t, options...)
 	for _, n := range nodes.endpoints {
 		host, port, _ := net.SplitHostPort(n.Address)
 		number, _ := strconv.Atoi(port)
-		e.Put(standin.EurekaInstance{App: "SEATS", ID: n.Name, Host: host, IP: host, Port: number, Status: "UP"})
+		e.Put(fakes.EurekaInstance{App: "SEATS", ID: n.Name, Host: host, IP: host, Port: number, Status: "UP"})
 	}
-	f = standin.NewFlipper(e, "SEATS", directory.DrainWithin, names...)
+	f = fakes.NewFlipper(e, "SEATS", endpoints.DrainWithin, names...)
 	file := base.File(t, "o.toml", fmt.Appendf(nil, `
 [membership]
 flaps = 0
@@ -49,7 +49,7 @@
 applications = ["SEATS"]
 poll = "100ms"
 `, e.Base))
-	conn, p := nodes.dial(t, func(o *orchidgrpc.Options) { o.File, o.Endpoints = file, nodes.endpoints[:1] })
+	conn, p := nodes.dial(t, func(o *grpcbalancer.Options) { o.File, o.Endpoints = file, nodes.endpoints[:1] })
 	serving := func(n int) func() bool {
 		return func() (ok bool) {
 			answered := map[string]bool{}
@@ -105,7 +105,7 @@
 		t.Error("the list's up outweighs the registry's out of service")
 	}
 	var bad config.Problems
-	_, err := orchidgrpc.CheckConfig([]byte(`{"grpc": {"file": "/nowhere"}}`))
+	_, err := grpcbalancer.CheckConfig([]byte(`{"grpc": {"file": "/nowhere"}}`))
 	if !errors.As(err, &bad) || !slices.ContainsFunc(bad, func(p config.Problem) bool { return p.Key == "grpc.file" }) {
 		t.Errorf("%v", err)
 	}
--- a/orchidgrpc/example_test.go
+++ b/grpcbalancer/example_test.go
@@ -1,4 +1,4 @@
-package orchidgrpc_test
+package grpcbalancer_test
 
 import (
 	"context"
@@ -11,14 +11,14 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/standin"
-	"orchiddrift/orchidgrpc"
+	"orchiddrift/grpcbalancer"
+	"orchiddrift/internal/fakes"
 )
 
 // A client whose calls the plug-in balances over a list that is given in Go. LoadOptions reads the same from a file.
 func Example() {
 	// A stand-in for a booking node; in service the list comes from discovery.
-	node := standin.NewNode(standin.NodeOptions{Name: "s-1", Answer: func(standin.Job) []byte {
+	node := fakes.NewNode(fakes.NodeOptions{Name: "s-1", Answer: func(fakes.Job) []byte {
 		seat, _ := proto.Marshal(wrapperspb.String("coach 4, seat 17"))
 		return seat
 	}})
@@ -29,7 +29,7 @@
 		return
 	}
 
-	plugin, err := orchidgrpc.New(orchidgrpc.Options{
+	plugin, err := grpcbalancer.New(grpcbalancer.Options{
 		Settings: balancer.Settings{
 			Classes: []balancer.Class{
 				{Name: "search", Effect: balancer.Safe, Aim: 800 * time.Millisecond, Deadline: 1500 * time.Millisecond},
@@ -37,7 +37,7 @@
 			},
 			MaxAttempts: 5, Cancelling: true, SecondCopies: true,
 		},
-		Endpoints: []orchidgrpc.Endpoint{{Name: "s-1", Address: address}},
+		Endpoints: []grpcbalancer.Endpoint{{Name: "s-1", Address: address}},
 		Methods:   map[string]string{"/booking.Seats/Search": "search"},
 	})
 	if err != nil {
--- a/orchidgrpc/gone_test.go
+++ b/grpcbalancer/gone_test.go
@@ -1,4 +1,4 @@
-package orchidgrpc_test
+package grpcbalancer_test
 
 import (
 	"context"
@@ -10,10 +10,10 @@
 
 	"google.golang.org/grpc/metadata"
 
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
-	"orchiddrift/orchidgrpc"
+	"orchiddrift/grpcbalancer"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // lateNode takes connections, and lets nothing through before it is released: no connection to the node behind it is ready before.
@@ -64,10 +64,10 @@
 // run apart from the callers since others may wait for the key's end.
 func TestCallersGoneWhileAConnectionComesUp(t *testing.T) {
 	for _, method := range []string{search, confirm, record} {
-		f := newFleet(t, standin.NodeOptions{})
+		f := newFleet(t, fakes.NodeOptions{})
 		address, release := lateNode(t, f.endpoints[0].Address)
 		f.endpoints[0].Address = address
-		conn, plugin := f.dial(t, func(o *orchidgrpc.Options) {
+		conn, plugin := f.dial(t, func(o *grpcbalancer.Options) {
 			o.File = base.File(t, "o.toml", []byte("[[repeats]]\nservice = \"service\"\ntenant_part = 1.0\n"))
 			o.Settings.ConnectTimeout = base.Patience
 			for i := range o.Settings.Classes {
@@ -75,7 +75,7 @@
 			}
 		})
 		const callers = 8
-		ctx, leave := context.WithCancel(metadata.AppendToOutgoingContext(t.Context(), orchidgrpc.IdempotencyKey, "k"))
+		ctx, leave := context.WithCancel(metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.IdempotencyKey, "k"))
 		if method != record {
 			ctx, leave = context.WithCancel(t.Context())
 		}
@@ -87,7 +87,7 @@
 				}
 			})
 		}
-		testkit.Eventually(t, "they are in hand", func() bool { return plugin.InHand() == callers || method == record && plugin.InHand() == 1 })
+		testutil.Eventually(t, "they are in hand", func() bool { return plugin.InHand() == callers || method == record && plugin.InHand() == 1 })
 		leave()
 		calls.Wait()
 		for end := time.Now().Add(500 * time.Millisecond); plugin.InHand() > 0 && time.Now().Before(end); { // or long enough for the fault to show
--- a/orchidgrpc/keys.go
+++ b/grpcbalancer/keys.go
@@ -1,4 +1,4 @@
-package orchidgrpc
+package grpcbalancer
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 
 	"google.golang.org/grpc/credentials"
 
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 	"orchiddrift/internal/filewatch"
-	"orchiddrift/internal/keys"
+	"orchiddrift/internal/tlscredentials"
 )
 
 // TLS says how connections to upstreams are encrypted, by TLS 1.3 and from files that are watched: what replaces them is
@@ -34,8 +34,8 @@
 // guard is a plug-in's encryption: grpc-go's transport credentials, and the connections made with them. It holds an entry
 // for each that is open, and is safe for concurrent use.
 type guard struct {
-	store  *keys.Store
-	client *keys.Client
+	store  *tlscredentials.Store
+	client *tlscredentials.Client
 
 	mu   sync.Mutex
 	open map[*guarded]bool
@@ -45,7 +45,7 @@
 type guarded struct {
 	*tls.Conn
 	g  *guard
-	at directory.Place
+	at endpoints.Place
 }
 
 func newGuard(t TLS, log *slog.Logger) (*guard, error) {
@@ -55,17 +55,17 @@
 	if (t.Certificate == "") != (t.Key == "") {
 		return nil, errors.New("TLS: Certificate and Key belong together")
 	}
-	store, err := keys.Open(keys.Files{Certificate: t.Certificate, Key: t.Key, CA: t.CA}, warnKeys, log)
+	store, err := tlscredentials.Open(tlscredentials.Files{Certificate: t.Certificate, Key: t.Key, CA: t.CA}, warnKeys, log)
 	if err != nil {
 		return nil, fmt.Errorf("TLS: %w", err)
 	}
 	return &guard{store: store, open: map[*guarded]bool{},
-		client: keys.NewClient(store, keys.Upstream{CA: t.CA, Name: t.Name, Certificate: t.Certificate, Key: t.Key})}, nil
+		client: tlscredentials.NewClient(store, tlscredentials.Upstream{CA: t.CA, Name: t.Name, Certificate: t.Certificate, Key: t.Key})}, nil
 }
 
 // follow looks at the files until ctx ends, and names the places of connections that would not come up any more once
 // other authorities count.
-func (g *guard) follow(ctx context.Context, withdrawn func(map[directory.Place]bool)) {
+func (g *guard) follow(ctx context.Context, withdrawn func(map[endpoints.Place]bool)) {
 	generation := g.store.Now().Generation
 	filewatch.Watch(ctx, keysEvery, func() {
 		g.store.Look()
@@ -74,7 +74,7 @@
 			return
 		}
 		generation = now
-		places := map[directory.Place]bool{}
+		places := map[endpoints.Place]bool{}
 		g.mu.Lock()
 		for c := range g.open {
 			if !g.client.Trusts(c.Conn, c.at) {
@@ -97,9 +97,9 @@
 
 // ClientHandshake is credentials.TransportCredentials'. A handshake that fails is a connection that never came up.
 func (g *guard) ClientHandshake(ctx context.Context, _ string, raw net.Conn) (net.Conn, credentials.AuthInfo, error) {
-	at := directory.Place{Address: raw.RemoteAddr().String()}
+	at := endpoints.Place{Address: raw.RemoteAddr().String()}
 	if a := credentials.ClientHandshakeInfoFromContext(ctx).Attributes; a != nil {
-		if place, ok := a.Value(placeKey{}).(directory.Place); ok {
+		if place, ok := a.Value(placeKey{}).(endpoints.Place); ok {
 			at = place
 		}
 	}
@@ -139,7 +139,7 @@
 func (g *guard) OverrideServerName(string) error { return nil }
 
 // renew replaces the sub-connections to these places: streams that are open finish, new ones go by a new handshake.
-func (p *policy) renew(places map[directory.Place]bool) {
+func (p *policy) renew(places map[endpoints.Place]bool) {
 	p.mu.RLock()
 	type stale struct {
 		name string
@@ -161,7 +161,7 @@
 }
 
 // withdrawn has every policy renew its sub-connections to places whose connections are no longer trusted.
-func (p *Plugin) withdrawn(places map[directory.Place]bool) {
+func (p *Plugin) withdrawn(places map[endpoints.Place]bool) {
 	for _, q := range p.allPolicies() {
 		q.renew(places)
 	}
--- a/orchidgrpc/keys_test.go
+++ b/grpcbalancer/keys_test.go
@@ -1,4 +1,4 @@
-package orchidgrpc_test
+package grpcbalancer_test
 
 import (
 	"path/filepath"
@@ -11,20 +11,20 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
-	"orchiddrift/orchidgrpc"
+	"orchiddrift/grpcbalancer"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // encrypted starts nodes that show a certificate of an authority, and a plug-in that trusts a file.
-func encrypted(t *testing.T, ca *standin.CA, identity string, log func(string), names ...string) (*fleet, *grpc.ClientConn, string) {
+func encrypted(t *testing.T, ca *fakes.CA, identity string, log func(string), names ...string) (*fleet, *grpc.ClientConn, string) {
 	t.Helper()
-	var options []standin.NodeOptions
+	var options []fakes.NodeOptions
 	for _, name := range names {
 		config := base.ServerTLS(t, base.Issue(t, ca, "127.0.0.1", name))
 		config.NextProtos = []string{"h2"}
-		options = append(options, standin.NodeOptions{Name: name, TLS: config})
+		options = append(options, fakes.NodeOptions{Name: name, TLS: config})
 	}
 	f := newFleet(t, options...)
 	for i := range f.endpoints {
@@ -32,8 +32,8 @@
 	}
 	trusted := filepath.Join(t.TempDir(), "ca.crt")
 	base.Replace(t, trusted, ca.PEM)
-	p, err := orchidgrpc.New(orchidgrpc.Options{Settings: settings(), Seed: 7, Endpoints: f.endpoints, Files: files(t),
-		TLS: &orchidgrpc.TLS{CA: trusted}, Log: log})
+	p, err := grpcbalancer.New(grpcbalancer.Options{Settings: settings(), Seed: 7, Endpoints: f.endpoints, Files: files(t),
+		TLS: &grpcbalancer.TLS{CA: trusted}, Log: log})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,15 +52,15 @@
 	for identity, want := range map[string]codes.Code{"": codes.OK, "node.example": codes.OK, "other.example": codes.Unavailable} {
 		f, conn, _ := encrypted(t, ca, identity, nil, "node.example")
 		_, err := ask(t.Context(), conn, confirm)
-		if status.Code(err) != want || err != nil && orchidgrpc.MayHaveRun(err) {
+		if status.Code(err) != want || err != nil && grpcbalancer.MayHaveRun(err) {
 			t.Errorf("%q: %v", identity, err)
 		}
 		if n := f.ledger.Nodes()["node.example"].Ran; (n > 0) != (want == codes.OK) {
 			t.Errorf("%q: %d ran", identity, n)
 		}
 	}
-	for _, bad := range []orchidgrpc.TLS{{}, {CA: "/nonexistent"}, {CA: "/nonexistent", Certificate: "/c"}} {
-		if _, err := orchidgrpc.New(orchidgrpc.Options{Settings: settings(), Endpoints: []orchidgrpc.Endpoint{{Name: "a",
+	for _, bad := range []grpcbalancer.TLS{{}, {CA: "/nonexistent"}, {CA: "/nonexistent", Certificate: "/c"}} {
+		if _, err := grpcbalancer.New(grpcbalancer.Options{Settings: settings(), Endpoints: []grpcbalancer.Endpoint{{Name: "a",
 			Address: "127.0.0.1:1"}}, TLS: &bad}); err == nil {
 			t.Errorf("%+v is taken", bad)
 		}
@@ -84,16 +84,16 @@
 		t.Fatal(err)
 	}
 	base.Replace(t, trusted, next.PEM)
-	testkit.Eventually(t, "the new authority", func() bool { return taken.Load() > 0 })
-	testkit.Eventually(t, "no call goes by the old connection", func() bool {
+	testutil.Eventually(t, "the new authority", func() bool { return taken.Load() > 0 })
+	testutil.Eventually(t, "no call goes by the old connection", func() bool {
 		_, err := ask(t.Context(), conn, confirm)
-		return status.Code(err) == codes.Unavailable && !orchidgrpc.MayHaveRun(err)
+		return status.Code(err) == codes.Unavailable && !grpcbalancer.MayHaveRun(err)
 	})
 	if got, err := drainStream(running); err != nil || len(got) != 99 {
 		t.Errorf("%d messages of the stream that ran, %v", len(got), err)
 	}
 	base.Replace(t, trusted, append(append([]byte{}, next.PEM...), ca.PEM...))
-	testkit.Eventually(t, "served again by overlap", func() bool {
+	testutil.Eventually(t, "served again by overlap", func() bool {
 		_, err := ask(t.Context(), conn, search)
 		return err == nil
 	})
--- a/orchidgrpc/load.go
+++ b/grpcbalancer/load.go
@@ -1,4 +1,4 @@
-package orchidgrpc
+package grpcbalancer
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 	"google.golang.org/grpc/codes"
 
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 )
 
 // LoadOptions reads Options from a file of the daemon's form: "settings", "seed", "known" and "discovery" mean the
@@ -91,7 +91,7 @@
 	if c.Known != nil {
 		o.Version = *c.Known.Index
 		for _, e := range c.Known.Endpoints {
-			if e.Status != directory.StatusReady {
+			if e.Status != endpoints.StatusReady {
 				continue
 			}
 			since := time.Time{}
--- a/orchidgrpc/load_test.go
+++ b/grpcbalancer/load_test.go
@@ -1,4 +1,4 @@
-package orchidgrpc_test
+package grpcbalancer_test
 
 import (
 	"errors"
@@ -7,15 +7,15 @@
 	"strings"
 	"testing"
 
+	"orchiddrift/grpcbalancer"
 	"orchiddrift/internal/config"
-	"orchiddrift/orchidgrpc"
 )
 
 const example = "../deploy/grpc.example.json"
 
 // Guards against an example that can't be used, and a file that means something else than the same Go options.
 func TestLoadOptions(t *testing.T) {
-	o, err := orchidgrpc.LoadOptions(example)
+	o, err := grpcbalancer.LoadOptions(example)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 		o.Seed != 0x8c1f30d27a5be964 || len(o.Settings.Classes) != 3 || len(o.Methods) != 3 || len(o.Answers) != 9 {
 		t.Errorf("%+v", o)
 	}
-	p, err := orchidgrpc.New(o)
+	p, err := grpcbalancer.New(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 		if text == string(good) {
 			t.Fatalf("%s: nothing changed", name)
 		}
-		_, err := orchidgrpc.CheckConfig([]byte(text))
+		_, err := grpcbalancer.CheckConfig([]byte(text))
 		var bad config.Problems
 		if !errors.As(err, &bad) || !strings.Contains(bad[0].Error(), c[2]) {
 			t.Errorf("%s: %v", name, err)
@@ -59,11 +59,11 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := orchidgrpc.LoadOptions(path); err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), path) {
+		if _, err := grpcbalancer.LoadOptions(path); err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), path) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := orchidgrpc.LoadOptions(filepath.Join(t.TempDir(), "missing")); err == nil {
+	if _, err := grpcbalancer.LoadOptions(filepath.Join(t.TempDir(), "missing")); err == nil {
 		t.Error("a missing file is taken")
 	}
 }
--- a/orchidgrpc/methods.go
+++ b/grpcbalancer/methods.go
@@ -1,4 +1,4 @@
-package orchidgrpc
+package grpcbalancer
 
 import (
 	"cmp"
--- a/orchidgrpc/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -1,8 +1,8 @@
-// Package orchidgrpc balances the calls of a google.golang.org/grpc client inside the calling process, with the same
+// Package grpcbalancer balances the calls of a google.golang.org/grpc client inside the calling process, with the same
 // decision module as the orchiddrift daemon (package balancer): peak-EWMA latency x (pending+1), the lower of two
 // random choices, and the same rules on what may be sent again, where to, and what is turned away.
 //
-//	p, err := orchidgrpc.New(options)
+//	p, err := grpcbalancer.New(options)
 //	conn, err := grpc.NewClient(p.Target(), append(p.DialOptions(), grpc.WithTransportCredentials(creds))...)
 //
 // One Plugin serves a process and a service, and any number of ClientConns. The module decides every send: an
@@ -12,7 +12,7 @@
 //
 // A refusal reaches the caller as UNAVAILABLE with RetryInfo: trying again is harmless. A failure that may have run never
 // has that code; MayHaveRun tells. docs/operate/grpc.md has the whole of it.
-package orchidgrpc
+package grpcbalancer
 
 import (
 	"cmp"
@@ -36,19 +36,19 @@
 	"google.golang.org/protobuf/reflect/protoregistry"
 
 	"orchiddrift/balancer"
+	"orchiddrift/internal/admission"
+	"orchiddrift/internal/admission/controller"
 	"orchiddrift/internal/clock"
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/directory"
 	"orchiddrift/internal/discovery"
-	"orchiddrift/internal/door"
-	"orchiddrift/internal/doorkeeper"
+	"orchiddrift/internal/discovery/eureka"
+	"orchiddrift/internal/discovery/staleness"
+	"orchiddrift/internal/discovery/subset"
+	"orchiddrift/internal/endpoints"
 	"orchiddrift/internal/engine"
-	"orchiddrift/internal/eureka"
-	"orchiddrift/internal/logs"
-	"orchiddrift/internal/repeatkeeper"
-	"orchiddrift/internal/staleness"
-	"orchiddrift/internal/subset"
-	"orchiddrift/internal/warm"
+	"orchiddrift/internal/idempotency/executor"
+	"orchiddrift/internal/logging"
+	"orchiddrift/internal/upstream/prewarm"
 )
 
 // Options are a Plugin's parameters. One of Discovery, Endpoints and a File with registries is needed.
@@ -111,20 +111,20 @@
 type Plugin struct {
 	service        string
 	engine         *engine.Engine
-	directory      *directory.Directory
+	directory      *endpoints.Directory
 	feed           *discovery.Feed
 	merged         *discovery.Merged   // nil: there is one list
 	narrow         *discovery.Narrowed // before the feed; nil: every upstream is its own
-	sink           directory.Sink      // where lists go
+	sink           endpoints.Sink      // where lists go
 	asked          atomic.Int64        // calls so far
 	methods        *methods
 	answers        map[codes.Code]bool
 	connectTimeout time.Duration
 	tick           time.Duration
-	guard          *guard               // nil: connections are not encrypted by the plug-in
-	door           *doorkeeper.Keeper   // nil: there is none
-	repeats        *repeatkeeper.Keeper // nil: repeats of keyed calls are not looked for
-	warming        *warming             // nil: connections are made as calls need them
+	guard          *guard             // nil: connections are not encrypted by the plug-in
+	door           *controller.Keeper // nil: there is none
+	repeats        *executor.Keeper   // nil: repeats of keyed calls are not looked for
+	warming        *warming           // nil: connections are made as calls need them
 	stop           context.CancelFunc
 	watching       sync.WaitGroup
 
@@ -154,7 +154,7 @@
 		return nil, errors.New("orchidgrpc: none of Discovery, Endpoints and a File with registries is given")
 	}
 	if o.Discovery != "" {
-		if err := directory.CheckAddress(o.Discovery); err != nil {
+		if err := endpoints.CheckAddress(o.Discovery); err != nil {
 			return nil, fmt.Errorf("orchidgrpc: Discovery: %w", err)
 		}
 	}
@@ -174,9 +174,9 @@
 		p.answers[code] = true
 	}
 	clk := clock.New()
-	p.directory = directory.New(clk, p.dropped)
+	p.directory = endpoints.New(clk, p.dropped)
 	p.feed = discovery.NewFeed(p.directory, p.update)
-	log := logs.To(o.Log)
+	log := logging.To(o.Log)
 	if o.TLS != nil {
 		if p.guard, err = newGuard(*o.TLS, log); err != nil {
 			return nil, fmt.Errorf("orchidgrpc: %w", err)
@@ -188,12 +188,12 @@
 		}
 	}
 	if file.Repeats != nil {
-		if p.repeats, err = repeatkeeper.Open(context.Background(), *file.Repeats, p.service, &set, repeatkeeper.StartPatience, repeatkeeper.Options{Clock: clk, Log: log, Apart: true}); err != nil {
+		if p.repeats, err = executor.Open(context.Background(), *file.Repeats, p.service, &set, executor.StartPatience, executor.Options{Clock: clk, Log: log, Apart: true}); err != nil {
 			return nil, fmt.Errorf("orchidgrpc: repeats: %w", err)
 		}
 	}
 	if file.Warm.On {
-		p.warming = &warming{used: map[string]bool{}, w: warm.New(file.Warm, maxSubs,
+		p.warming = &warming{used: map[string]bool{}, w: prewarm.New(file.Warm, maxSubs,
 			rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String("warm"))))}
 	}
 	source, known, err := p.openSource(o, file, known, staleness.Options{Pushed: !set.MustSubscribe, Sidecars: set.Balancers}, log)
@@ -242,9 +242,9 @@
 }
 
 // openSource makes the source of the list, and the list to begin with; nil: the list is SetEndpoints' alone.
-func (p *Plugin) openSource(o Options, file config.PluginFile, known *directory.Listing, follow staleness.Options, log *slog.Logger) (directory.Source,
-	*directory.Listing, error) {
-	var own directory.Source
+func (p *Plugin) openSource(o Options, file config.PluginFile, known *endpoints.Listing, follow staleness.Options, log *slog.Logger) (endpoints.Source,
+	*endpoints.Listing, error) {
+	var own endpoints.Source
 	if o.Discovery != "" {
 		own = discovery.New(discovery.Options{Address: o.Discovery, Index: o.Version, ConnectTimeout: p.connectTimeout,
 			Staleness: follow, Seed: o.Seed, Log: log})
@@ -287,9 +287,9 @@
 }
 
 // openDoor makes the door that the operator's file tells of.
-func openDoor(o Options, of door.Options, clk clock.Clock, log *slog.Logger) (*doorkeeper.Keeper, error) {
+func openDoor(o Options, of admission.Options, clk clock.Clock, log *slog.Logger) (*controller.Keeper, error) {
 	of.Longest = o.Settings.MaxRetryAfter
-	return doorkeeper.New(doorkeeper.Options{Door: of, Classes: o.Settings.Classes, Clock: clk, Log: log,
+	return controller.New(controller.Options{Door: of, Classes: o.Settings.Classes, Clock: clk, Log: log,
 		Seed: o.Seed ^ xxhash.Sum64String("door"), Tells: o.Settings.RetryAfter})
 }
 
@@ -354,23 +354,23 @@
 // Upstreams is what the module makes of the upstreams now, for those who look on.
 func (p *Plugin) Upstreams() []balancer.UpstreamView { return p.engine.View() }
 
-func listing(list []Endpoint, version int64) (*directory.Listing, error) {
-	l := &directory.Listing{Index: &version, Snapshot: true}
+func listing(list []Endpoint, version int64) (*endpoints.Listing, error) {
+	l := &endpoints.Listing{Index: &version, Snapshot: true}
 	names := map[string]bool{}
 	for _, e := range list {
 		if e.Name == "" || names[e.Name] {
 			return nil, fmt.Errorf("name %q is empty or repeated", e.Name)
 		}
 		names[e.Name] = true
-		if err := directory.CheckAddress(e.Address); err != nil {
+		if err := endpoints.CheckAddress(e.Address); err != nil {
 			return nil, fmt.Errorf("%s: %w", e.Name, err)
 		}
 		since := 0.0
 		if !e.Since.IsZero() {
 			since = float64(e.Since.UnixMilli())
 		}
-		l.Endpoints = append(l.Endpoints, directory.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type,
-			Group: e.Group, Status: directory.StatusReady, SinceMs: since, Identity: e.Identity})
+		l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type,
+			Group: e.Group, Status: endpoints.StatusReady, SinceMs: since, Identity: e.Identity})
 	}
 	return l, nil
 }
--- a/orchidgrpc/repeats.go
+++ b/grpcbalancer/repeats.go
@@ -1,4 +1,4 @@
-package orchidgrpc
+package grpcbalancer
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 
 	"orchiddrift/balancer"
 	"orchiddrift/internal/engine"
-	"orchiddrift/internal/repeatkeeper"
-	"orchiddrift/internal/repeats"
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/idempotency/executor"
 )
 
 // repeatKey is the key by which a call's repeats are looked for: the caller's own, of a keyed class. One that is made here is
@@ -42,8 +42,8 @@
 	h.Write(body)
 	own := *u.call // the call that is sent has no word of this caller's end
 	sent := &unaryCall{call: &own, req: proto.Clone(req), reply: u.like.fresh(), like: u.like, cc: u.cc, invoker: u.invoker, plain: u.plain}
-	r := u.p.repeats.Do(ctx, repeats.ID{Tenant: u.Tenant, Class: u.Class, Key: key}, repeats.Print(h.Sum(nil)[:16]),
-		func(wanted context.Context, prior []repeats.Send, sends repeatkeeper.Sends) repeatkeeper.Ended {
+	r := u.p.repeats.Do(ctx, idempotency.ID{Tenant: u.Tenant, Class: u.Class, Key: key}, idempotency.Print(h.Sum(nil)[:16]),
+		func(wanted context.Context, prior []idempotency.Send, sends executor.Sends) executor.Ended {
 			sent.Wanted = wanted
 			for _, x := range prior {
 				sent.Prior = append(sent.Prior, balancer.Prior{Zone: x.Zone, Cell: x.Cell, Sent: x.Sent})
@@ -53,9 +53,9 @@
 			case engine.Served:
 				return kept(a.Value.(*unaryResult))
 			case engine.Refused, engine.Duplicate, engine.Closed:
-				return repeatkeeper.Ended{Verdict: repeats.Refuse, RetryIn: a.RetryIn}
+				return executor.Ended{Verdict: idempotency.Refuse, RetryIn: a.RetryIn}
 			}
-			return repeatkeeper.Ended{Verdict: repeats.Fail}
+			return executor.Ended{Verdict: idempotency.Fail}
 		})
 	err = u.told(ctx, r, reply)
 	(&outputs{}).handOver(u.writing, err) // headers and trailers are the first call's alone, and not kept
@@ -63,11 +63,11 @@
 }
 
 // told words what a caller is told.
-func (u *unaryCall) told(ctx context.Context, r repeatkeeper.Result, reply proto.Message) error {
+func (u *unaryCall) told(ctx context.Context, r executor.Result, reply proto.Message) error {
 	switch {
 	case r.Left:
 		return status.FromContextError(ctx.Err()).Err()
-	case r.Verdict == repeats.Replay:
+	case r.Verdict == idempotency.Replay:
 		if code := codes.Code(r.Answer.Status); code != codes.OK {
 			return status.Error(code, string(r.Answer.Body))
 		}
@@ -75,41 +75,41 @@
 			return status.Error(codes.Internal, "orchidgrpc: "+err.Error())
 		}
 		return nil
-	case r.Verdict == repeats.Conflict:
+	case r.Verdict == idempotency.Conflict:
 		return status.Error(codes.InvalidArgument, "orchidgrpc: the key was used for another call")
-	case r.Verdict == repeats.Answered:
+	case r.Verdict == idempotency.Answered:
 		return status.Error(codes.AlreadyExists, "orchidgrpc: a call of this key was answered, and its answer was too large to be kept")
-	case r.Verdict == repeats.Refuse:
+	case r.Verdict == idempotency.Refuse:
 		return u.fail(ctx, engine.Answer{Kind: engine.Refused, RetryIn: r.RetryIn})
 	}
 	return u.fail(ctx, engine.Answer{Kind: engine.Failed})
 }
 
 // kept is an answer as it is kept: a message's bytes, or the application's status. What can't be written has run all the same.
-func kept(r *unaryResult) repeatkeeper.Ended {
-	a := &repeats.Answer{Status: int(codes.OK)}
+func kept(r *unaryResult) executor.Ended {
+	a := &idempotency.Answer{Status: int(codes.OK)}
 	if r.err != nil {
 		s := status.Convert(r.err)
 		a.Status, a.Body = int(s.Code()), []byte(s.Message())
 	} else {
 		body, err := proto.Marshal(r.reply.(proto.Message))
 		if err != nil {
-			return repeatkeeper.Ended{Verdict: repeats.Fail}
+			return executor.Ended{Verdict: idempotency.Fail}
 		}
 		a.Body = body
 	}
-	return repeatkeeper.Ended{Verdict: repeats.Replay, Answer: a}
+	return executor.Ended{Verdict: idempotency.Replay, Answer: a}
 }
 
 // noted are attempts whose sends are told of before they may run.
 type noted struct {
 	*unaryCall
-	sends repeatkeeper.Sends
+	sends executor.Sends
 }
 
 // Carry is engine.Carrier's.
 func (c noted) Carry(ctx context.Context, a engine.Attempt) engine.Reply {
-	x := repeats.Send{Zone: a.Zone, Cell: a.Cell, Sent: c.p.engine.Clock().Now()}
+	x := idempotency.Send{Zone: a.Zone, Cell: a.Cell, Sent: c.p.engine.Clock().Now()}
 	c.sends.Sent(x)
 	r := c.unaryCall.Carry(ctx, a)
 	switch r.Result {
--- a/orchidgrpc/resolver.go
+++ b/grpcbalancer/resolver.go
@@ -1,4 +1,4 @@
-package orchidgrpc
+package grpcbalancer
 
 import (
 	"google.golang.org/grpc/resolver"
--- a/orchidgrpc/rig_test.go
+++ b/grpcbalancer/rig_test.go
@@ -1,4 +1,4 @@
-package orchidgrpc_test
+package grpcbalancer_test
 
 import (
 	"context"
@@ -17,8 +17,8 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/standin"
-	"orchiddrift/orchidgrpc"
+	"orchiddrift/grpcbalancer"
+	"orchiddrift/internal/fakes"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -64,22 +64,22 @@
 
 // fleet is nodes that speak gRPC, and their one ledger.
 type fleet struct {
-	ledger    *standin.Ledger
-	nodes     []*standin.Node
-	endpoints []orchidgrpc.Endpoint
+	ledger    *fakes.Ledger
+	nodes     []*fakes.Node
+	endpoints []grpcbalancer.Endpoint
 }
 
 // newFleet starts one node for each of options, which are completed.
-func newFleet(t testing.TB, options ...standin.NodeOptions) *fleet {
+func newFleet(t testing.TB, options ...fakes.NodeOptions) *fleet {
 	t.Helper()
-	f := &fleet{ledger: standin.NewLedger()}
+	f := &fleet{ledger: fakes.NewLedger()}
 	for i, o := range options {
 		if o.Name == "" {
 			o.Name = fmt.Sprint("n", i)
 		}
 		o.Ledger, o.Zone, o.Cores, o.Seed = f.ledger, "a", max(o.Cores, 64), uint64(i)
 		came := o.Answer
-		o.Answer = func(j standin.Job) []byte {
+		o.Answer = func(j fakes.Job) []byte {
 			if came != nil {
 				came(j)
 			}
@@ -89,26 +89,26 @@
 			}
 			return body
 		}
-		n := standin.NewNode(o)
+		n := fakes.NewNode(o)
 		address, err := n.ListenGRPC("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(n.Close)
 		f.nodes = append(f.nodes, n)
-		f.endpoints = append(f.endpoints, orchidgrpc.Endpoint{Name: o.Name, Address: address, Zone: "a"})
+		f.endpoints = append(f.endpoints, grpcbalancer.Endpoint{Name: o.Name, Address: address, Zone: "a"})
 	}
 	return f
 }
 
 // dial starts a plug-in for the fleet and a ClientConn on it.
-func (f *fleet) dial(t testing.TB, change func(*orchidgrpc.Options)) (*grpc.ClientConn, *orchidgrpc.Plugin) {
+func (f *fleet) dial(t testing.TB, change func(*grpcbalancer.Options)) (*grpc.ClientConn, *grpcbalancer.Plugin) {
 	t.Helper()
-	o := orchidgrpc.Options{Settings: settings(), Seed: 7, Endpoints: f.endpoints, Files: files(t)}
+	o := grpcbalancer.Options{Settings: settings(), Seed: 7, Endpoints: f.endpoints, Files: files(t)}
 	if change != nil {
 		change(&o)
 	}
-	p, err := orchidgrpc.New(o)
+	p, err := grpcbalancer.New(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,7 +116,7 @@
 	return connect(t, p), p
 }
 
-func connect(t testing.TB, p *orchidgrpc.Plugin) *grpc.ClientConn {
+func connect(t testing.TB, p *grpcbalancer.Plugin) *grpc.ClientConn {
 	t.Helper()
 	conn, err := grpc.NewClient(p.Target(), append(p.DialOptions(), grpc.WithTransportCredentials(insecure.NewCredentials()))...)
 	if err != nil {
--- a/orchidgrpc/stream_test.go
+++ b/grpcbalancer/stream_test.go
@@ -1,4 +1,4 @@
-package orchidgrpc_test
+package grpcbalancer_test
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/orchidgrpc"
+	"orchiddrift/grpcbalancer"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
 )
 
 var serverStream = &grpc.StreamDesc{StreamName: "Search", ServerStreams: true}
@@ -26,7 +26,7 @@
 // open starts a server stream of so many messages.
 func open(t *testing.T, ctx context.Context, conn *grpc.ClientConn, method string, messages int, gap time.Duration) grpc.ClientStream {
 	t.Helper()
-	ctx = metadata.AppendToOutgoingContext(ctx, standin.MessagesKey, fmt.Sprint(messages), standin.GapKey, fmt.Sprint(gap.Microseconds()))
+	ctx = metadata.AppendToOutgoingContext(ctx, fakes.MessagesKey, fmt.Sprint(messages), fakes.GapKey, fmt.Sprint(gap.Microseconds()))
 	s, err := conn.NewStream(ctx, serverStream, method)
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 
 // Guards against messages lost, doubled or mixed from two attempts.
 func TestServerStream(t *testing.T) {
-	f := newFleet(t, standin.NodeOptions{}, standin.NodeOptions{})
+	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, nil)
 	for _, messages := range []int{0, 1, 200} {
 		s := open(t, t.Context(), conn, search, messages, 0)
@@ -85,8 +85,8 @@
 // Guards against a stream that is not sent again while that is harmless: up to its first message it is like a unary
 // call; and against one that is sent again after it.
 func TestServerStreamIsRepeatedUpToItsFirstMessage(t *testing.T) {
-	bad := standin.NodeOptions{Name: "bad", Faults: []standin.Fault{{Kind: standin.ResetBefore}}}
-	f := newFleet(t, bad, standin.NodeOptions{Name: "good"})
+	bad := fakes.NodeOptions{Name: "bad", Faults: []fakes.Fault{{Kind: fakes.ResetBefore}}}
+	f := newFleet(t, bad, fakes.NodeOptions{Name: "good"})
 	conn, _ := f.dial(t, nil)
 	for range 20 {
 		got, err := drainStream(open(t, t.Context(), conn, search, 3, 0))
@@ -98,25 +98,25 @@
 		t.Error("the bad one was never tried")
 	}
 
-	broken := standin.NodeOptions{Faults: []standin.Fault{{Kind: standin.ResetAfter, Class: search[1:] + "/message"}}}
+	broken := fakes.NodeOptions{Faults: []fakes.Fault{{Kind: fakes.ResetAfter, Class: search[1:] + "/message"}}}
 	f = newFleet(t, broken, broken)
 	conn, plugin := f.dial(t, nil)
 	got, err := drainStream(open(t, t.Context(), conn, search, 10, time.Millisecond))
-	if err == nil || len(got) == 0 || len(got) >= 10 || !orchidgrpc.MayHaveRun(err) || status.Code(err) == codes.Unavailable {
+	if err == nil || len(got) == 0 || len(got) >= 10 || !grpcbalancer.MayHaveRun(err) || status.Code(err) == codes.Unavailable {
 		t.Errorf("%v, %v", got, err)
 	}
 	if n := f.ledger.Nodes(); n["n0"].Arrived+n["n1"].Arrived != 1 {
 		t.Errorf("sent %+v", n)
 	}
-	testkit.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
 }
 
 // Guards against an unsafe stream that is sent twice before its first message.
 func TestUnsafeServerStream(t *testing.T) {
-	f := newFleet(t, always(standin.ResetAfter), always(standin.ResetAfter))
+	f := newFleet(t, always(fakes.ResetAfter), always(fakes.ResetAfter))
 	conn, _ := f.dial(t, nil)
 	_, err := drainStream(open(t, t.Context(), conn, confirm, 3, 0))
-	if err == nil || !orchidgrpc.MayHaveRun(err) {
+	if err == nil || !grpcbalancer.MayHaveRun(err) {
 		t.Errorf("%v", err)
 	}
 	if n := f.ledger.Nodes(); n["n0"].Arrived+n["n1"].Arrived != 1 {
@@ -126,8 +126,8 @@
 
 // Guards against a stream cut off at its class's deadline once it has begun, and one that outlives its caller.
 func TestStreamLastsAsLongAsItsCaller(t *testing.T) {
-	f := newFleet(t, standin.NodeOptions{})
-	conn, plugin := f.dial(t, func(o *orchidgrpc.Options) {
+	f := newFleet(t, fakes.NodeOptions{})
+	conn, plugin := f.dial(t, func(o *grpcbalancer.Options) {
 		o.Settings.Classes[0].Aim, o.Settings.Classes[0].Deadline = 300*time.Millisecond, 300*time.Millisecond
 	})
 	got, err := drainStream(open(t, t.Context(), conn, search, 8, 100*time.Millisecond))
@@ -143,22 +143,22 @@
 	if _, err := drainStream(s); status.Code(err) != codes.Canceled {
 		t.Errorf("after its caller left: %v", err)
 	}
-	testkit.Eventually(t, "the node sees it end", func() bool { return f.nodes[0].InHand() == 0 })
-	testkit.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "the node sees it end", func() bool { return f.nodes[0].InHand() == 0 })
+	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
 
 	ctx, cancel = context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	if _, err := drainStream(open(t, ctx, conn, search, 1000, 20*time.Millisecond)); status.Code(err) != codes.DeadlineExceeded {
 		t.Errorf("after its caller's deadline: %v", err)
 	}
-	testkit.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
 }
 
 // Guards against a stream of the client's that is repeated, or that goes wrong where nothing does.
 func TestClientAndBidiStreams(t *testing.T) {
-	f := newFleet(t, standin.NodeOptions{}, standin.NodeOptions{})
+	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, nil)
-	ctx := metadata.AppendToOutgoingContext(t.Context(), standin.EchoKey, "1")
+	ctx := metadata.AppendToOutgoingContext(t.Context(), fakes.EchoKey, "1")
 	s, err := conn.NewStream(ctx, bidiStream, confirm)
 	if err != nil {
 		t.Fatal(err)
@@ -192,15 +192,15 @@
 	if err := s.RecvMsg(m); err != nil || m.GetValue() != "one" {
 		t.Errorf("answer %q, %v", m.GetValue(), err)
 	}
-	testkit.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
 }
 
 // Guards against a client stream that is opened on a second node after its first broke, even of a safe class: messages
 // were written on it.
 func TestClientStreamIsNeverRepeated(t *testing.T) {
-	f := newFleet(t, always(standin.ResetAfter), always(standin.ResetAfter))
+	f := newFleet(t, always(fakes.ResetAfter), always(fakes.ResetAfter))
 	conn, plugin := f.dial(t, nil)
-	ctx := metadata.AppendToOutgoingContext(t.Context(), standin.EchoKey, "1")
+	ctx := metadata.AppendToOutgoingContext(t.Context(), fakes.EchoKey, "1")
 	s, err := conn.NewStream(ctx, bidiStream, search)
 	if err != nil {
 		t.Fatal(err)
@@ -210,23 +210,23 @@
 			break
 		}
 	}
-	if _, err := drainStream(s); err == nil || !orchidgrpc.MayHaveRun(err) {
+	if _, err := drainStream(s); err == nil || !grpcbalancer.MayHaveRun(err) {
 		t.Errorf("%v", err)
 	}
 	if n := f.ledger.Nodes(); n["n0"].Ran+n["n1"].Ran != 1 {
 		t.Errorf("ran %+v", n)
 	}
-	testkit.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
 }
 
 // Guards against a client stream given up on though its opening can be tried elsewhere: a connection that is refused
 // took nothing.
 func TestClientStreamOpensElsewhere(t *testing.T) {
-	f := newFleet(t, standin.NodeOptions{Name: "dead"}, standin.NodeOptions{Name: "alive"})
+	f := newFleet(t, fakes.NodeOptions{Name: "dead"}, fakes.NodeOptions{Name: "alive"})
 	f.nodes[0].Kill()
 	conn, _ := f.dial(t, nil)
 	for range 10 {
-		ctx := metadata.AppendToOutgoingContext(t.Context(), standin.EchoKey, "1")
+		ctx := metadata.AppendToOutgoingContext(t.Context(), fakes.EchoKey, "1")
 		s, err := conn.NewStream(ctx, bidiStream, confirm)
 		if err != nil {
 			t.Fatal(err)
--- a/orchidgrpc/trace_test.go
+++ b/grpcbalancer/trace_test.go
@@ -1,4 +1,4 @@
-package orchidgrpc_test
+package grpcbalancer_test
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"orchiddrift/internal/standin"
-	"orchiddrift/orchidgrpc"
+	"orchiddrift/grpcbalancer"
+	"orchiddrift/internal/fakes"
 )
 
 // trace plays 150 calls, one after another, in virtual time: the whole plug-in with grpc-go and nodes, over connections in
@@ -26,27 +26,27 @@
 	var out strings.Builder
 	synctest.Test(t, func(t *testing.T) {
 		listeners := map[string]*bufconn.Listener{}
-		o := orchidgrpc.Options{Settings: settings(), Seed: seed, Files: files(t)}
-		for i, faults := range [][]standin.Fault{
+		o := grpcbalancer.Options{Settings: settings(), Seed: seed, Files: files(t)}
+		for i, faults := range [][]fakes.Fault{
 			nil,
-			{{Kind: standin.Slow, Factor: 10, From: 2 * time.Second, To: 6 * time.Second}},
-			{{Kind: standin.RefuseAtWire, From: 3 * time.Second, To: 4 * time.Second}},
-			{{Kind: standin.Freeze, From: time.Second, Every: 1500 * time.Millisecond, For: 300 * time.Millisecond}},
+			{{Kind: fakes.Slow, Factor: 10, From: 2 * time.Second, To: 6 * time.Second}},
+			{{Kind: fakes.RefuseAtWire, From: 3 * time.Second, To: 4 * time.Second}},
+			{{Kind: fakes.Freeze, From: time.Second, Every: 1500 * time.Millisecond, For: 300 * time.Millisecond}},
 		} {
 			name := fmt.Sprint("n", i)
 			body, err := proto.Marshal(wrapperspb.String(name))
 			if err != nil {
 				t.Fatal(err)
 			}
-			node := standin.NewNode(standin.NodeOptions{Name: name, Work: time.Duration(10+5*i) * time.Millisecond,
-				Faults: faults, Seed: uint64(i), Answer: func(standin.Job) []byte { return body }})
+			node := fakes.NewNode(fakes.NodeOptions{Name: name, Work: time.Duration(10+5*i) * time.Millisecond,
+				Faults: faults, Seed: uint64(i), Answer: func(fakes.Job) []byte { return body }})
 			address := fmt.Sprintf("127.0.0.1:%d", i+1) // never dialled
 			listeners[address] = bufconn.Listen(1 << 16)
 			node.ServeGRPC(listeners[address])
 			defer node.Close()
-			o.Endpoints = append(o.Endpoints, orchidgrpc.Endpoint{Name: name, Address: address, Zone: "a"})
+			o.Endpoints = append(o.Endpoints, grpcbalancer.Endpoint{Name: name, Address: address, Zone: "a"})
 		}
-		p, err := orchidgrpc.New(o)
+		p, err := grpcbalancer.New(o)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/orchidgrpc/unary_test.go
+++ b/grpcbalancer/unary_test.go
@@ -1,4 +1,4 @@
-package orchidgrpc_test
+package grpcbalancer_test
 
 import (
 	"context"
@@ -16,14 +16,14 @@
 	"google.golang.org/grpc/status"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
-	"orchiddrift/orchidgrpc"
+	"orchiddrift/grpcbalancer"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
-func always(kind standin.FaultKind) standin.NodeOptions {
-	return standin.NodeOptions{Faults: []standin.Fault{{Kind: kind, Factor: 1}}}
+func always(kind fakes.FaultKind) fakes.NodeOptions {
+	return fakes.NodeOptions{Faults: []fakes.Fault{{Kind: kind, Factor: 1}}}
 }
 
 // Guards against claims of "never ran" that the wire does not bear out, and against repeats of what may have run: each
@@ -32,30 +32,30 @@
 	const refused, failed = codes.Unavailable, codes.Unknown
 	for _, c := range []struct {
 		name                   string
-		kind                   standin.FaultKind
+		kind                   fakes.FaultKind
 		unsafe                 codes.Code // of a call that must not run twice
 		unsafeSends, unsafeRun int
 		safeSends              int // at least
 	}{
-		{"turned away with the mark", standin.TurnAway, refused, 5, 0, 5},
-		{"REFUSED_STREAM", standin.RefuseAtWire, refused, 5, 0, 5},
-		{"GOAWAY below the stream", standin.GoAway, refused, 5, 0, 5},
-		{"an error without the mark", standin.FailUnrun, codes.Internal, 1, 0, 2},
-		{"an error after it ran", standin.Fail, codes.Internal, 1, 1, 2},
-		{"broken before it ran", standin.ResetBefore, failed, 1, 0, 2},
-		{"broken after it ran", standin.ResetAfter, failed, 1, 1, 2},
-		{"an answer that can't be read", standin.Garble, codes.Internal, 1, 1, 2},
-		{"an answer cut short", standin.Cut, failed, 1, 1, 2},
+		{"turned away with the mark", fakes.TurnAway, refused, 5, 0, 5},
+		{"REFUSED_STREAM", fakes.RefuseAtWire, refused, 5, 0, 5},
+		{"GOAWAY below the stream", fakes.GoAway, refused, 5, 0, 5},
+		{"an error without the mark", fakes.FailUnrun, codes.Internal, 1, 0, 2},
+		{"an error after it ran", fakes.Fail, codes.Internal, 1, 1, 2},
+		{"broken before it ran", fakes.ResetBefore, failed, 1, 0, 2},
+		{"broken after it ran", fakes.ResetAfter, failed, 1, 1, 2},
+		{"an answer that can't be read", fakes.Garble, codes.Internal, 1, 1, 2},
+		{"an answer cut short", fakes.Cut, failed, 1, 1, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, always(c.kind), always(c.kind))
 			conn, plugin := f.dial(t, nil)
-			ctx := metadata.AppendToOutgoingContext(t.Context(), orchidgrpc.RequestIDKey, "op-unsafe")
+			ctx := metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.RequestIDKey, "op-unsafe")
 			_, err := ask(ctx, conn, confirm)
 			if got := status.Code(err); got != c.unsafe {
 				t.Errorf("unsafe: %v, want %v", err, c.unsafe)
 			}
-			if may := orchidgrpc.MayHaveRun(err); may != (c.unsafe != refused) {
+			if may := grpcbalancer.MayHaveRun(err); may != (c.unsafe != refused) {
 				t.Errorf("unsafe: may have run is %v: %v", may, err)
 			}
 			arrived := 0
@@ -75,14 +75,14 @@
 			if after-arrived < c.safeSends {
 				t.Errorf("safe: sent %d times, %v", after-arrived, err)
 			}
-			testkit.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+			testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
 		})
 	}
 }
 
 // Guards against a refusal without the advice when to come back, and without the proof that it did not run.
 func TestRefusalCarriesRetryInfo(t *testing.T) {
-	conn, _ := newFleet(t, always(standin.TurnAway)).dial(t, nil)
+	conn, _ := newFleet(t, always(fakes.TurnAway)).dial(t, nil)
 	_, err := ask(t.Context(), conn, confirm)
 	var retry time.Duration
 	var reason, sends string
@@ -94,15 +94,15 @@
 			reason, sends = d.Reason, d.Metadata["sends"]
 		}
 	}
-	if status.Code(err) != codes.Unavailable || retry <= 0 || reason != orchidgrpc.ReasonRefused || sends != "5" {
+	if status.Code(err) != codes.Unavailable || retry <= 0 || reason != grpcbalancer.ReasonRefused || sends != "5" {
 		t.Errorf("%v: retry in %v, reason %q, sends %q", err, retry, reason, sends)
 	}
 }
 
 // Guards against a connection that can't be made counted as a request that may have run: nothing was sent.
 func TestRefusedConnections(t *testing.T) {
-	f := newFleet(t, standin.NodeOptions{})
-	f.endpoints = append(f.endpoints, orchidgrpc.Endpoint{Name: "dead", Address: base.FreeAddress(t), Zone: "a"})
+	f := newFleet(t, fakes.NodeOptions{})
+	f.endpoints = append(f.endpoints, grpcbalancer.Endpoint{Name: "dead", Address: base.FreeAddress(t), Zone: "a"})
 	conn, _ := f.dial(t, nil)
 	for range 20 {
 		if name, err := ask(t.Context(), conn, confirm); err != nil || name != "n0" {
@@ -122,9 +122,9 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	f := newFleet(t, standin.NodeOptions{})
-	f.endpoints = append(f.endpoints, orchidgrpc.Endpoint{Name: "silent", Address: l.Addr().String(), Zone: "a"})
-	conn, _ := f.dial(t, func(o *orchidgrpc.Options) { o.Settings.ConnectTimeout = 200 * time.Millisecond })
+	f := newFleet(t, fakes.NodeOptions{})
+	f.endpoints = append(f.endpoints, grpcbalancer.Endpoint{Name: "silent", Address: l.Addr().String(), Zone: "a"})
+	conn, _ := f.dial(t, func(o *grpcbalancer.Options) { o.Settings.ConnectTimeout = 200 * time.Millisecond })
 	for range 10 {
 		begun := time.Now()
 		if name, err := ask(t.Context(), conn, confirm); err != nil || name != "n0" || time.Since(begun) > 3*time.Second {
@@ -136,8 +136,8 @@
 // Guards against the patience for a connection that goes on once there is one: a first call whose answer takes longer than
 // a connection may is not cut off.
 func TestConnectTimeoutDoesNotBoundAnswers(t *testing.T) {
-	f := newFleet(t, standin.NodeOptions{Work: 600 * time.Millisecond})
-	conn, _ := f.dial(t, func(o *orchidgrpc.Options) { o.Settings.ConnectTimeout = 200 * time.Millisecond })
+	f := newFleet(t, fakes.NodeOptions{Work: 600 * time.Millisecond})
+	conn, _ := f.dial(t, func(o *grpcbalancer.Options) { o.Settings.ConnectTimeout = 200 * time.Millisecond })
 	if name, err := ask(t.Context(), conn, confirm); err != nil || name != "n0" {
 		t.Errorf("%q, %v", name, err)
 	}
@@ -145,9 +145,9 @@
 
 // Guards against the application's answers taken for failures of a node: they are the caller's, the first time.
 func TestApplicationStatusIsTheAnswer(t *testing.T) {
-	f := newFleet(t, standin.NodeOptions{}, standin.NodeOptions{})
+	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, _ := f.dial(t, nil)
-	ctx := metadata.AppendToOutgoingContext(t.Context(), standin.StatusKey, fmt.Sprint(uint32(codes.NotFound)))
+	ctx := metadata.AppendToOutgoingContext(t.Context(), fakes.StatusKey, fmt.Sprint(uint32(codes.NotFound)))
 	for _, method := range []string{search, record, confirm} {
 		_, err := ask(ctx, conn, method)
 		if status.Code(err) != codes.NotFound || status.Convert(err).Message() != "said by the application" {
@@ -175,7 +175,7 @@
 		}, codes.DeadlineExceeded},
 	} {
 		for _, method := range []string{search, confirm} {
-			f := newFleet(t, always(standin.Hang), always(standin.Hang))
+			f := newFleet(t, always(fakes.Hang), always(fakes.Hang))
 			conn, plugin := f.dial(t, nil)
 			ctx, cancel := c.end(t.Context())
 			begun := time.Now()
@@ -186,27 +186,27 @@
 				t.Errorf("%s %s: took %v", name, method, took)
 			}
 			cancel()
-			testkit.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
-			testkit.Eventually(t, "the nodes see it end", func() bool { return f.nodes[0].InHand()+f.nodes[1].InHand() == 0 })
+			testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+			testutil.Eventually(t, "the nodes see it end", func() bool { return f.nodes[0].InHand()+f.nodes[1].InHand() == 0 })
 		}
 	}
 }
 
 // Guards against a call without a deadline that waits for ever: it has its class's.
 func TestNoDeadlineIsTheClasss(t *testing.T) {
-	conn, _ := newFleet(t, always(standin.Hang)).dial(t, func(o *orchidgrpc.Options) {
+	conn, _ := newFleet(t, always(fakes.Hang)).dial(t, func(o *grpcbalancer.Options) {
 		o.Settings.Classes[2].Aim, o.Settings.Classes[2].Deadline = 300*time.Millisecond, 300*time.Millisecond
 	})
 	begun := time.Now()
 	_, err := ask(context.Background(), conn, confirm)
-	if took := time.Since(begun); err == nil || !orchidgrpc.MayHaveRun(err) || took > 3*time.Second {
+	if took := time.Since(begun); err == nil || !grpcbalancer.MayHaveRun(err) || took > 3*time.Second {
 		t.Errorf("%v after %v", err, took)
 	}
 }
 
 // Guards against call options that two copies write to at once, or that nobody writes to.
 func TestCallOptions(t *testing.T) {
-	f := newFleet(t, standin.NodeOptions{})
+	f := newFleet(t, fakes.NodeOptions{})
 	conn, _ := f.dial(t, nil)
 	var header, trailer metadata.MD
 	var from peer.Peer
@@ -222,15 +222,15 @@
 
 // Guards against a call that the module never heard of.
 func TestDuplicateRequestID(t *testing.T) {
-	f := newFleet(t, standin.NodeOptions{Work: 200 * time.Millisecond})
+	f := newFleet(t, fakes.NodeOptions{Work: 200 * time.Millisecond})
 	conn, _ := f.dial(t, nil)
-	ctx := metadata.AppendToOutgoingContext(t.Context(), orchidgrpc.RequestIDKey, "7")
+	ctx := metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.RequestIDKey, "7")
 	ended := make(chan error, 1)
 	go func() {
 		_, err := ask(ctx, conn, confirm)
 		ended <- err
 	}()
-	testkit.Eventually(t, "the first is at its node", func() bool { return f.nodes[0].InHand() == 1 })
+	testutil.Eventually(t, "the first is at its node", func() bool { return f.nodes[0].InHand() == 1 })
 	if _, err := ask(ctx, conn, confirm); status.Code(err) != codes.AlreadyExists {
 		t.Errorf("the second: %v", err)
 	}
@@ -241,8 +241,8 @@
 
 // Guards against a key that differs between the attempts of one call, or is the same for two calls.
 func TestKeysTravel(t *testing.T) {
-	f := newFleet(t, always(standin.LoseAnswer), standin.NodeOptions{}, standin.NodeOptions{})
-	conn, _ := f.dial(t, func(o *orchidgrpc.Options) {
+	f := newFleet(t, always(fakes.LoseAnswer), fakes.NodeOptions{}, fakes.NodeOptions{})
+	conn, _ := f.dial(t, func(o *grpcbalancer.Options) {
 		for i := range o.Settings.Classes {
 			o.Settings.Classes[i].Aim, o.Settings.Classes[i].Deadline = time.Second, time.Second
 		}
@@ -250,7 +250,7 @@
 	var wg sync.WaitGroup
 	for i := range 20 {
 		wg.Go(func() {
-			ctx := metadata.AppendToOutgoingContext(context.Background(), orchidgrpc.RequestIDKey, fmt.Sprint("r", i))
+			ctx := metadata.AppendToOutgoingContext(context.Background(), grpcbalancer.RequestIDKey, fmt.Sprint("r", i))
 			_, _ = ask(ctx, conn, record) // some fail: their answers are lost
 		})
 	}
@@ -274,7 +274,7 @@
 // Guards against estimates kept for each connection: one engine serves any number of ClientConns, and what one call
 // learns of a node the others know. Of two nodes one is slow.
 func TestOneEngineForManyConns(t *testing.T) {
-	f := newFleet(t, standin.NodeOptions{Work: 150 * time.Millisecond}, standin.NodeOptions{Work: time.Millisecond})
+	f := newFleet(t, fakes.NodeOptions{Work: 150 * time.Millisecond}, fakes.NodeOptions{Work: time.Millisecond})
 	_, plugin := f.dial(t, nil)
 	var wg sync.WaitGroup
 	for range 8 {
@@ -295,7 +295,7 @@
 
 // Guards against sends to a node that has left the list: streams that stand finish, nothing new goes there.
 func TestDrainDuringCalls(t *testing.T) {
-	f := newFleet(t, standin.NodeOptions{Work: 300 * time.Millisecond}, standin.NodeOptions{Work: 300 * time.Millisecond})
+	f := newFleet(t, fakes.NodeOptions{Work: 300 * time.Millisecond}, fakes.NodeOptions{Work: 300 * time.Millisecond})
 	conn, plugin := f.dial(t, nil)
 	var wg sync.WaitGroup
 	for range 8 {
@@ -305,7 +305,7 @@
 			}
 		})
 	}
-	testkit.Eventually(t, "both are at work", func() bool { return f.nodes[0].InHand() > 0 && f.nodes[0].InHand()+f.nodes[1].InHand() == 8 })
+	testutil.Eventually(t, "both are at work", func() bool { return f.nodes[0].InHand() > 0 && f.nodes[0].InHand()+f.nodes[1].InHand() == 8 })
 	if err := plugin.SetEndpoints(f.endpoints[1:]); err != nil {
 		t.Fatal(err)
 	}
@@ -326,8 +326,8 @@
 // Guards against a send between the pick and the write: a call whose stream waits for the node's permission is sent
 // elsewhere once the node drains, and never there.
 func TestDrainWhileAStreamWaits(t *testing.T) {
-	f := newFleet(t, standin.NodeOptions{Work: 500 * time.Millisecond, Streams: 1}, standin.NodeOptions{})
-	conn, plugin := f.dial(t, func(o *orchidgrpc.Options) { o.Endpoints = f.endpoints[:1] })
+	f := newFleet(t, fakes.NodeOptions{Work: 500 * time.Millisecond, Streams: 1}, fakes.NodeOptions{})
+	conn, plugin := f.dial(t, func(o *grpcbalancer.Options) { o.Endpoints = f.endpoints[:1] })
 	ended := make(chan string, 4)
 	for range 4 { // one is at work, the others wait in grpc-go
 		go func() {
@@ -335,7 +335,7 @@
 			ended <- fmt.Sprint(name, err)
 		}()
 	}
-	testkit.Eventually(t, "one is at work, all are decided", func() bool { return f.nodes[0].InHand() == 1 && plugin.InHand() == 4 })
+	testutil.Eventually(t, "one is at work, all are decided", func() bool { return f.nodes[0].InHand() == 1 && plugin.InHand() == 4 })
 	time.Sleep(20 * time.Millisecond) // where the others get a moment more to wait in, it is the same test
 	if err := plugin.SetEndpoints(f.endpoints[1:]); err != nil {
 		t.Fatal(err)
@@ -356,11 +356,11 @@
 // Guards against UNAVAILABLE taken for a proof, whoever says it: an unsafe call that gets it is not sent again, and its
 // caller is not told what clients try again on.
 func TestUnavailableAloneProvesNothing(t *testing.T) {
-	f := newFleet(t, standin.NodeOptions{}, standin.NodeOptions{})
+	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, _ := f.dial(t, nil)
-	ctx := metadata.AppendToOutgoingContext(t.Context(), standin.StatusKey, fmt.Sprint(uint32(codes.Unavailable)))
+	ctx := metadata.AppendToOutgoingContext(t.Context(), fakes.StatusKey, fmt.Sprint(uint32(codes.Unavailable)))
 	_, err := ask(ctx, conn, confirm)
-	if status.Code(err) != codes.Unknown || !orchidgrpc.MayHaveRun(err) {
+	if status.Code(err) != codes.Unknown || !grpcbalancer.MayHaveRun(err) {
 		t.Errorf("%v", err)
 	}
 	if n := f.ledger.Nodes(); n["n0"].Ran+n["n1"].Ran != 1 {
@@ -370,20 +370,20 @@
 
 // Guards against options that are found out under traffic.
 func TestOptions(t *testing.T) {
-	good := orchidgrpc.Options{Settings: settings(), Endpoints: []orchidgrpc.Endpoint{{Name: "a", Address: "127.0.0.1:1"}}}
-	for want, change := range map[string]func(*orchidgrpc.Options){
-		"Discovery":     func(o *orchidgrpc.Options) { o.Discovery = "nowhere" },
-		"none of":       func(o *orchidgrpc.Options) { o.Endpoints = nil },
-		"File":          func(o *orchidgrpc.Options) { o.File = "/nowhere" },
-		"Endpoints":     func(o *orchidgrpc.Options) { o.Endpoints = []orchidgrpc.Endpoint{{Name: "a", Address: "b"}} },
-		"unknown class": func(o *orchidgrpc.Options) { o.Methods = map[string]string{search: "none"} },
-		"neither /pack": func(o *orchidgrpc.Options) { o.Methods = map[string]string{"Search": "search"} },
-		"Settings":      func(o *orchidgrpc.Options) { o.Settings.MaxAttempts = -1 },
-		"Classes":       func(o *orchidgrpc.Options) { o.Settings.Classes = nil },
+	good := grpcbalancer.Options{Settings: settings(), Endpoints: []grpcbalancer.Endpoint{{Name: "a", Address: "127.0.0.1:1"}}}
+	for want, change := range map[string]func(*grpcbalancer.Options){
+		"Discovery":     func(o *grpcbalancer.Options) { o.Discovery = "nowhere" },
+		"none of":       func(o *grpcbalancer.Options) { o.Endpoints = nil },
+		"File":          func(o *grpcbalancer.Options) { o.File = "/nowhere" },
+		"Endpoints":     func(o *grpcbalancer.Options) { o.Endpoints = []grpcbalancer.Endpoint{{Name: "a", Address: "b"}} },
+		"unknown class": func(o *grpcbalancer.Options) { o.Methods = map[string]string{search: "none"} },
+		"neither /pack": func(o *grpcbalancer.Options) { o.Methods = map[string]string{"Search": "search"} },
+		"Settings":      func(o *grpcbalancer.Options) { o.Settings.MaxAttempts = -1 },
+		"Classes":       func(o *grpcbalancer.Options) { o.Settings.Classes = nil },
 	} {
 		o := good
 		change(&o)
-		if p, err := orchidgrpc.New(o); err == nil {
+		if p, err := grpcbalancer.New(o); err == nil {
 			t.Errorf("%s: taken", want)
 			p.Close()
 		} else if !contains(err.Error(), want) {
@@ -392,7 +392,7 @@
 	}
 	watching := good
 	watching.Discovery = "127.0.0.1:1"
-	w, err := orchidgrpc.New(watching)
+	w, err := grpcbalancer.New(watching)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -400,12 +400,12 @@
 	if err := w.SetEndpoints(good.Endpoints); err == nil {
 		t.Error("a list is taken beside discovery's")
 	}
-	p, err := orchidgrpc.New(good)
+	p, err := grpcbalancer.New(good)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
-	if err := p.SetEndpoints([]orchidgrpc.Endpoint{{Name: "a", Address: "127.0.0.1:1"}, {Name: "a", Address: "127.0.0.1:2"}}); err == nil {
+	if err := p.SetEndpoints([]grpcbalancer.Endpoint{{Name: "a", Address: "127.0.0.1:1"}, {Name: "a", Address: "127.0.0.1:2"}}); err == nil {
 		t.Error("a list with two of a name is taken")
 	}
 }
@@ -427,8 +427,8 @@
 		{search, map[string]string{search: "confirm"}, nil, false},
 		{confirm, nil, settings().Classes[:1], false}, // there is no unsafe class, so one is made
 	} {
-		f := newFleet(t, always(standin.Fail), always(standin.Fail))
-		conn, _ := f.dial(t, func(o *orchidgrpc.Options) {
+		f := newFleet(t, always(fakes.Fail), always(fakes.Fail))
+		conn, _ := f.dial(t, func(o *grpcbalancer.Options) {
 			o.Methods = c.mapping
 			if c.classes != nil {
 				o.Settings.Classes = c.classes
--- a/orchidgrpc/warm.go
+++ b/grpcbalancer/warm.go
@@ -1,4 +1,4 @@
-package orchidgrpc
+package grpcbalancer
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"google.golang.org/grpc/connectivity"
 
 	"orchiddrift/internal/clock"
-	"orchiddrift/internal/warm"
+	"orchiddrift/internal/upstream/prewarm"
 )
 
 // warmEvery is how often the list and the sub-connections are looked at.
@@ -17,7 +17,7 @@
 // warming has sub-connections connect before a call needs them, as package warm decides. Each ClientConn of the plug-in has a
 // sub-connection of its own to an upstream; the warmer sees one, which is open when all of them are.
 type warming struct {
-	w *warm.Warmer // keepWarm's alone
+	w *prewarm.Warmer // keepWarm's alone
 
 	mu   sync.Mutex
 	used map[string]bool // since it looked last
--- a/internal/door/budget.go
+++ b/internal/admission/budget.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 // budget bounds the repeats of clients as a part of their first requests: a token bucket that first requests fill. It is
 // the retry budget of Finagle and of the SRE book (chapter 22), kept at the receiving end. Each group has one, so that its
--- a/internal/doorkeeper/doorkeeper.go
+++ b/internal/admission/controller/doorkeeper.go
@@ -1,6 +1,6 @@
 // Package doorkeeper drives a door.Door: it has requests wait, wakes them, and leaves with their clients. It is safe for
 // concurrent use. Who waits costs a channel and an entry here, both within the door's bound on waiting requests.
-package doorkeeper
+package controller
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"time"
 
 	"orchiddrift/balancer"
+	"orchiddrift/internal/admission"
 	"orchiddrift/internal/clock"
-	"orchiddrift/internal/door"
 	"orchiddrift/internal/engine"
 )
 
@@ -31,12 +31,12 @@
 	tells bool
 
 	mu       sync.Mutex
-	door     *door.Door
-	by       door.By
+	door     *admission.Door
+	by       admission.By
 	marked   string
 	open     bool // everybody goes on
-	waiting  map[door.Ticket]chan door.Action
-	acts     []door.Action
+	waiting  map[admission.Ticket]chan admission.Action
+	acts     []admission.Action
 	timer    *time.Timer
 	due      time.Duration // what the timer is set to; 0: nothing
 	refusals int           // since the log spoke of them
@@ -54,7 +54,7 @@
 
 // Options are a Keeper's parameters.
 type Options struct {
-	Door    door.Options // checked
+	Door    admission.Options // checked
 	Classes []balancer.Class
 	Seed    uint64
 	Clock   clock.Clock
@@ -64,15 +64,15 @@
 
 // New returns a Keeper, or says which principals can't be told apart. Close ends it.
 func New(o Options) (*Keeper, error) {
-	by, err := door.ParseBy(o.Door.By)
+	by, err := admission.ParseBy(o.Door.By)
 	if err != nil {
 		return nil, err
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	k := &Keeper{clock: o.Clock, log: o.Log, tells: o.Tells, by: by, marked: o.Door.Marked, door: door.New(o.Door, o.Classes, o.Seed),
-		waiting: map[door.Ticket]chan door.Action{}}
+	k := &Keeper{clock: o.Clock, log: o.Log, tells: o.Tells, by: by, marked: o.Door.Marked, door: admission.New(o.Door, o.Classes, o.Seed),
+		waiting: map[admission.Ticket]chan admission.Action{}}
 	k.timer = time.AfterFunc(time.Hour, k.wake)
 	k.timer.Stop()
 	return k, nil
@@ -81,11 +81,11 @@
 // Pass is a request that went on. Its zero value is one that no door counts.
 type Pass struct {
 	k *Keeper
-	t door.Ticket
+	t admission.Ticket
 }
 
 // Done ends it. Only the first call counts.
-func (p Pass) Done(how door.Result) {
+func (p Pass) Done(how admission.Result) {
 	if p.k == nil {
 		return
 	}
@@ -97,19 +97,19 @@
 }
 
 // Ended is what a final answer means to the door.
-func Ended(a engine.Answer) door.Result {
+func Ended(a engine.Answer) admission.Result {
 	switch a.Kind {
 	case engine.Refused:
-		return door.Turned
+		return admission.Turned
 	case engine.Abandoned, engine.Duplicate, engine.Closed:
-		return door.Gone
+		return admission.Gone
 	}
-	return door.Answered
+	return admission.Answered
 }
 
 // Enter brings a request to the door, and returns once it goes on, is refused, or ctx has ended. Group and Flow of a are
 // filled in from who. RetryIn is a refused client's; 0: nothing is to be said.
-func (k *Keeper) Enter(ctx context.Context, who door.Who, a door.Arrival) (p Pass, v Verdict, retryIn time.Duration) {
+func (k *Keeper) Enter(ctx context.Context, who admission.Who, a admission.Arrival) (p Pass, v Verdict, retryIn time.Duration) {
 	k.mu.Lock()
 	if k.open {
 		k.unlock()
@@ -121,13 +121,13 @@
 		if x.Ticket == t { // its own fate is known at once
 			k.do(acts)
 			k.unlock()
-			if x.Kind == door.Pass {
+			if x.Kind == admission.Pass {
 				return Pass{k, t}, Passed, 0
 			}
 			return Pass{}, Refused, k.told(x)
 		}
 	}
-	mine := make(chan door.Action, 1)
+	mine := make(chan admission.Action, 1)
 	k.waiting[t] = mine
 	k.do(acts)
 	k.unlock()
@@ -147,9 +147,9 @@
 	return k.called(<-mine) // it was called in the same moment: its caller finds its client gone
 }
 
-func (k *Keeper) called(x door.Action) (Pass, Verdict, time.Duration) {
+func (k *Keeper) called(x admission.Action) (Pass, Verdict, time.Duration) {
 	switch {
-	case x.Kind == door.Refuse:
+	case x.Kind == admission.Refuse:
 		return Pass{}, Refused, k.told(x)
 	case x.Ticket == 0:
 		return Pass{}, Passed, 0
@@ -157,7 +157,7 @@
 	return Pass{k, x.Ticket}, Passed, 0
 }
 
-func (k *Keeper) told(x door.Action) time.Duration {
+func (k *Keeper) told(x admission.Action) time.Duration {
 	if !k.tells {
 		return 0
 	}
@@ -165,10 +165,10 @@
 }
 
 // do carries out what the door said; the lock is held.
-func (k *Keeper) do(acts []door.Action) {
+func (k *Keeper) do(acts []admission.Action) {
 	now := k.clock.Now()
 	for _, x := range acts {
-		if x.Kind == door.Refuse {
+		if x.Kind == admission.Refuse {
 			k.refused(now, x)
 		}
 		if c := k.waiting[x.Ticket]; c != nil {
@@ -188,7 +188,7 @@
 }
 
 // refused notes a refusal for the log: the first of a time of refusals is written, and their end with how many there were.
-func (k *Keeper) refused(now time.Duration, x door.Action) {
+func (k *Keeper) refused(now time.Duration, x admission.Action) {
 	k.refusals++
 	k.last = now
 	if k.refusals == 1 {
@@ -225,8 +225,8 @@
 }
 
 // Configure takes over other options, as door.Door.Configure tells.
-func (k *Keeper) Configure(o door.Options) error {
-	by, err := door.ParseBy(o.By)
+func (k *Keeper) Configure(o admission.Options) error {
+	by, err := admission.ParseBy(o.By)
 	if err != nil {
 		return err
 	}
@@ -242,13 +242,13 @@
 }
 
 // Open lets on everybody who waits and whoever comes from now on: there is no door any more.
-func (k *Keeper) Open() { k.end(door.Action{Kind: door.Pass}) }
+func (k *Keeper) Open() { k.end(admission.Action{Kind: admission.Pass}) }
 
 // Close refuses everybody who waits, once: the process is about to be killed. Whoever comes from now on goes on, and has
 // its answer there.
-func (k *Keeper) Close() { k.end(door.Action{Kind: door.Refuse}) }
+func (k *Keeper) Close() { k.end(admission.Action{Kind: admission.Refuse}) }
 
-func (k *Keeper) end(x door.Action) {
+func (k *Keeper) end(x admission.Action) {
 	k.mu.Lock()
 	defer k.unlock()
 	k.open = true
@@ -260,7 +260,7 @@
 }
 
 // View is what the door holds now.
-func (k *Keeper) View() door.View {
+func (k *Keeper) View() admission.View {
 	k.mu.Lock()
 	defer k.unlock()
 	return k.door.View()
--- a/internal/doorkeeper/doorkeeper_test.go
+++ b/internal/admission/controller/doorkeeper_test.go
@@ -1,4 +1,4 @@
-package doorkeeper
+package controller
 
 import (
 	"context"
@@ -15,15 +15,15 @@
 	"go.uber.org/goleak"
 
 	"orchiddrift/balancer"
+	"orchiddrift/internal/admission"
 	"orchiddrift/internal/clock"
-	"orchiddrift/internal/door"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func keeper(t *testing.T, change func(*Options)) *Keeper {
 	t.Helper()
-	o := Options{Door: door.Default(), Classes: []balancer.Class{{Name: "search", Aim: 400 * time.Millisecond, Deadline: time.Second, LateShare: 0.3}},
+	o := Options{Door: admission.Default(), Classes: []balancer.Class{{Name: "search", Aim: 400 * time.Millisecond, Deadline: time.Second, LateShare: 0.3}},
 		Clock: clock.New(), Tells: true, Seed: 1}
 	o.Door.Least, o.Door.Most, o.Door.Waiting = 2, 2, 8
 	if change != nil {
@@ -37,9 +37,9 @@
 	return k
 }
 
-func (k *Keeper) search(d time.Duration) door.Arrival {
+func (k *Keeper) search(d time.Duration) admission.Arrival {
 	now := k.clock.Now()
-	return door.Arrival{Class: "search", Came: now, Expires: now + d}
+	return admission.Arrival{Class: "search", Came: now, Expires: now + d}
 }
 
 // In virtual time: who waits is refused at the very moment at which it can't be answered any more, who leaves is gone at
@@ -50,7 +50,7 @@
 		k := keeper(t, func(o *Options) { o.Log = slog.New(slog.NewTextHandler(&log, nil)) })
 		var held []Pass
 		for range 2 {
-			p, v, _ := k.Enter(t.Context(), door.Who{Tenant: "a"}, k.search(time.Second))
+			p, v, _ := k.Enter(t.Context(), admission.Who{Tenant: "a"}, k.search(time.Second))
 			if v != Passed {
 				t.Fatal(v)
 			}
@@ -67,7 +67,7 @@
 		begun := k.clock.Now()
 		enter := func(ctx context.Context, who string, d time.Duration) {
 			go func() {
-				p, v, in := k.Enter(ctx, door.Who{Tenant: who}, k.search(d))
+				p, v, in := k.Enter(ctx, admission.Who{Tenant: who}, k.search(d))
 				ends <- end{v, in, p, k.clock.Now() - begun, who}
 			}()
 			synctest.Wait()
@@ -84,8 +84,8 @@
 		if e := <-ends; e.who != "short" || e.v != Refused || e.in <= 0 || e.at < 250*time.Millisecond || e.at > 300*time.Millisecond {
 			t.Errorf("%+v", e)
 		}
-		held[0].Done(door.Answered)
-		held[0].Done(door.Answered) // counts once
+		held[0].Done(admission.Answered)
+		held[0].Done(admission.Answered) // counts once
 		e := <-ends
 		if e.who != "waits" || e.v != Passed {
 			t.Errorf("%+v", e)
@@ -94,8 +94,8 @@
 			t.Errorf("%+v", v)
 		}
 		time.Sleep(2 * time.Second)
-		held[1].Done(door.Answered)
-		e.p.Done(door.Answered)
+		held[1].Done(admission.Answered)
+		e.p.Done(admission.Answered)
 		if text := log.String(); !strings.Contains(text, "refusals begin") || !strings.Contains(text, "refusals have ended") {
 			t.Error(text)
 		}
@@ -118,14 +118,14 @@
 						if rng.IntN(4) == 0 {
 							time.AfterFunc(time.Duration(rng.IntN(2000))*time.Microsecond, cancel)
 						}
-						p, v, _ := k.Enter(ctx, door.Who{Tenant: fmt.Sprint(i % 7)}, k.search(time.Second))
+						p, v, _ := k.Enter(ctx, admission.Who{Tenant: fmt.Sprint(i % 7)}, k.search(time.Second))
 						switch v {
 						case Passed:
 							passed.Add(1)
 							if rng.IntN(8) == 0 {
 								time.Sleep(100 * time.Microsecond) // the work
 							}
-							p.Done(door.Result(rng.IntN(3)))
+							p.Done(admission.Result(rng.IntN(3)))
 						case Refused:
 							refused.Add(1)
 						case Left:
@@ -133,9 +133,9 @@
 						}
 						cancel()
 						if i == 0 && n%10 == 0 {
-							o := door.Default()
+							o := admission.Default()
 							o.Least, o.Most, o.Waiting = 2, 2+n/10, 8+n
-							o.Weights = []door.Weight{{Name: "1", Weight: float64(n)}}
+							o.Weights = []admission.Weight{{Name: "1", Weight: float64(n)}}
 							if err := k.Configure(o); err != nil {
 								t.Error(err)
 							}
--- a/internal/door/door.go
+++ b/internal/admission/door.go
@@ -18,7 +18,7 @@
 // so 12 MB at 16,384 (TestMemory). A principal is forgotten
 // when nothing of it waits or is in hand, it owes nothing (its finish is no later than virtual time) and no promise to it
 // stands. None of that depends on how many others there are, so that a flood of names neither keeps nor ousts anybody.
-package door
+package admission
 
 import (
 	"math/rand/v2"
@@ -27,7 +27,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/priority"
+	"orchiddrift/internal/priorityqueue"
 )
 
 // Ticket is one request at the door. It is never used again.
@@ -110,13 +110,13 @@
 	free    []uint32
 	waiting int
 	bytes   int64
-	dues    priority.Queue[*entry]
+	dues    priorityqueue.Queue[*entry]
 	lane    entry // of those who came when told: a ring by next and prev, lane itself its root
 	byLane  bool  // the last one went by the lane
 
 	calendar    calendar
 	promises    int
-	lapses      priority.Queue[*flow]
+	lapses      priorityqueue.Queue[*flow]
 	spareGroups []*group
 	spareFlows  []*flow
 }
@@ -207,8 +207,8 @@
 		d.classes[c.Name] = k
 	}
 	d.root = newLevel()
-	d.dues = priority.New(func(e *entry) *int { return &e.at })
-	d.lapses = priority.New(func(f *flow) *int { return &f.lapsing })
+	d.dues = priorityqueue.New(func(e *entry) *int { return &e.at })
+	d.lapses = priorityqueue.New(func(f *flow) *int { return &f.lapsing })
 	d.lane.before, d.lane.after = &d.lane, &d.lane
 	d.calendar = newCalendar(o.longest(), d.rng)
 	return d
--- a/internal/door/model_test.go
+++ b/internal/admission/model_test.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import (
 	"encoding/binary"
--- a/internal/door/sfq.go
+++ b/internal/admission/sfq.go
@@ -1,6 +1,6 @@
-package door
+package admission
 
-import "orchiddrift/internal/priority"
+import "orchiddrift/internal/priorityqueue"
 
 // member is one of those between whom a level is fair: a group among groups, or a flow among those of its group. Times
 // are virtual: cost (seconds of a place) divided by weight.
@@ -36,14 +36,14 @@
 // was charged moves the member's tags then, so that over time shares are of what was really taken.
 type sfq struct {
 	v, last float64 // virtual time, and the largest finish so far
-	ready   priority.Queue[*member]
-	resting priority.Queue[*member] // have nothing waiting and a finish above v: they are not forgotten before v gets there
+	ready   priorityqueue.Queue[*member]
+	resting priorityqueue.Queue[*member] // have nothing waiting and a finish above v: they are not forgotten before v gets there
 	order   uint64
 }
 
 func newSFQ() sfq {
-	return sfq{ready: priority.New(func(m *member) *int { return &m.ready }),
-		resting: priority.New(func(m *member) *int { return &m.rest })}
+	return sfq{ready: priorityqueue.New(func(m *member) *int { return &m.ready }),
+		resting: priorityqueue.New(func(m *member) *int { return &m.rest })}
 }
 
 // wake has a member wait: it had nothing waiting before.
@@ -102,11 +102,11 @@
 	free    *sfq    // of those of weight 0, that get what is left; nil: there was none yet
 	weights float64 // of active members; those of weight 0 count nothing
 	actives int
-	most    priority.Queue[*member] // by load, the largest first
+	most    priorityqueue.Queue[*member] // by load, the largest first
 }
 
 func newLevel() level {
-	return level{fair: newSFQ(), most: priority.New(func(m *member) *int { return &m.most })}
+	return level{fair: newSFQ(), most: priorityqueue.New(func(m *member) *int { return &m.most })}
 }
 
 func (l *level) of(m *member) *sfq {
--- a/internal/heldfile/heldfile_test.go
+++ b/internal/boltfile/heldfile_test.go
@@ -1,4 +1,4 @@
-package heldfile
+package boltfile
 
 import (
 	"context"
--- a/internal/bulkhead/bulkhead_test.go
+++ b/internal/bulkhead/bulkhead_test.go
@@ -9,7 +9,7 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 	"orchiddrift/internal/settings"
 )
 
@@ -23,7 +23,7 @@
 	Discovery string
 	Seed      uint64
 	Limits    Limits
-	Known     *directory.Listing // the list of upstreams as last held; nil: none
+	Known     *endpoints.Listing // the list of upstreams as last held; nil: none
 	Settings  settings.Settings
 	GRPC      *GRPC // of the plug-in; nil: the file has no such part
 }
@@ -136,14 +136,14 @@
 	}
 	c := &Config{Name: file.Name, Listen: file.Listen, Control: file.Control, Discovery: file.Discovery}
 	if !plugin {
-		add("listen", directory.CheckAddress(c.Listen))
+		add("listen", endpoints.CheckAddress(c.Listen))
 		if c.Control != "" {
 			add("control", checkControl(c.Control, c.Listen))
 		}
 		bad = append(bad, c.readLimits(file.Limits)...)
 	}
 	if !plugin || c.Discovery != "" {
-		add("discovery", directory.CheckAddress(c.Discovery))
+		add("discovery", endpoints.CheckAddress(c.Discovery))
 	}
 	if len(file.GRPC) > 0 && string(file.GRPC) != "null" {
 		c.GRPC = &GRPC{}
@@ -158,7 +158,7 @@
 		add("seed", fmt.Errorf("%q is not a 64-bit hexadecimal number", seed))
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		c.Known, err = directory.ParseListing(file.Known)
+		c.Known, err = endpoints.ParseListing(file.Known)
 		add("known", err)
 	}
 	if len(file.Settings) == 0 {
@@ -196,7 +196,7 @@
 	if control == listen && !AnyPort(listen) {
 		return errors.New("clients connect there")
 	}
-	return directory.CheckAddress(control)
+	return endpoints.CheckAddress(control)
 }
 
 func (c *Config) readLimits(text json.RawMessage) (bad Problems) {
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -6,44 +6,44 @@
 	"runtime"
 	"strconv"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/door"
-	"orchiddrift/internal/eureka"
+	"orchiddrift/internal/admission"
+	"orchiddrift/internal/discovery/eureka"
+	"orchiddrift/internal/discovery/listfile"
+	"orchiddrift/internal/discovery/membership"
+	"orchiddrift/internal/discovery/subset"
+	"orchiddrift/internal/endpoints"
 	"orchiddrift/internal/graphql"
-	"orchiddrift/internal/httphead"
-	"orchiddrift/internal/keys"
+	"orchiddrift/internal/httpheader"
+	"orchiddrift/internal/idempotency/executor"
 	"orchiddrift/internal/lease"
-	"orchiddrift/internal/listfile"
-	"orchiddrift/internal/logs"
-	"orchiddrift/internal/membership"
-	"orchiddrift/internal/probe"
-	"orchiddrift/internal/repeatkeeper"
+	"orchiddrift/internal/logging"
 	"orchiddrift/internal/routes"
 	"orchiddrift/internal/settings"
-	"orchiddrift/internal/subset"
 	"orchiddrift/internal/task"
+	"orchiddrift/internal/tlscredentials"
 	"orchiddrift/internal/tomlfile"
 	"orchiddrift/internal/units"
-	"orchiddrift/internal/warm"
+	"orchiddrift/internal/upstream/loadprobe"
+	"orchiddrift/internal/upstream/prewarm"
 )
 
 // File is the operator's file. Each subsystem's part is declared next to it; this is where they come together.
 type File struct {
-	Daemon   Daemon                     `toml:"daemon" doc:"The process. Beside the platform's file, that one's name, listen and seed win."`
-	Limits   FileLimits                 `toml:"limits" doc:"What the process may use. Beside the platform's file, that one's win."`
-	Shares   Shares                     `toml:"shares" doc:"How services share the limits."`
-	TLS      keys.Listener              `toml:"tls" doc:"Encryption towards clients."`
-	Log      logs.Declaration           `toml:"log" doc:"The log."`
-	Members  membership.Options         `toml:"membership" doc:"How several lists of one service are merged."`
-	Eureka   []eureka.Declaration       `toml:"eureka" doc:"An Eureka registry that lists upstreams of a service, beside that one's own list or alone."`
-	Platform PlatformPart               `toml:"platform" doc:"Added to the platform's service, beside its file."`
-	Fleet    lease.Declaration          `toml:"fleet" doc:"The fleet of processes that this one belongs to, and the group of them that keeps its leases."`
-	Tasks    []task.Declaration         `toml:"task" reload:"start" doc:"Background work of the fleet: each due run is done by one of its processes."`
-	Doors    []door.Options             `toml:"door" doc:"A queue before a service, fair between those who ask."`
-	Services []Service                  `toml:"service" doc:"A service: upstreams that answer the same requests. There are as many as there are such tables."`
-	Repeats  []repeatkeeper.Declaration `toml:"repeats" doc:"A store of idempotency keys: a client's repeat of a keyed request gets the first one's end."`
-	GraphQL  []graphql.Options          `toml:"graphql" doc:"A GraphQL endpoint: its operations are told apart, classed and costed by what stands in them."`
-	Routes   []routes.Declaration       `toml:"route" doc:"A route: which requests go to which service, and as what. Absent, with one service and no [[graphql]]: all go there."`
+	Daemon   Daemon                  `toml:"daemon" doc:"The process. Beside the platform's file, that one's name, listen and seed win."`
+	Limits   FileLimits              `toml:"limits" doc:"What the process may use. Beside the platform's file, that one's win."`
+	Shares   Shares                  `toml:"shares" doc:"How services share the limits."`
+	TLS      tlscredentials.Listener `toml:"tls" doc:"Encryption towards clients."`
+	Log      logging.Declaration     `toml:"log" doc:"The log."`
+	Members  membership.Options      `toml:"membership" doc:"How several lists of one service are merged."`
+	Eureka   []eureka.Declaration    `toml:"eureka" doc:"An Eureka registry that lists upstreams of a service, beside that one's own list or alone."`
+	Platform PlatformPart            `toml:"platform" doc:"Added to the platform's service, beside its file."`
+	Fleet    lease.Declaration       `toml:"fleet" doc:"The fleet of processes that this one belongs to, and the group of them that keeps its leases."`
+	Tasks    []task.Declaration      `toml:"task" reload:"start" doc:"Background work of the fleet: each due run is done by one of its processes."`
+	Doors    []admission.Options     `toml:"door" doc:"A queue before a service, fair between those who ask."`
+	Services []Service               `toml:"service" doc:"A service: upstreams that answer the same requests. There are as many as there are such tables."`
+	Repeats  []executor.Declaration  `toml:"repeats" doc:"A store of idempotency keys: a client's repeat of a keyed request gets the first one's end."`
+	GraphQL  []graphql.Options       `toml:"graphql" doc:"A GraphQL endpoint: its operations are told apart, classed and costed by what stands in them."`
+	Routes   []routes.Declaration    `toml:"route" doc:"A route: which requests go to which service, and as what. Absent, with one service and no [[graphql]]: all go there."`
 }
 
 // Daemon is about the process.
@@ -71,31 +71,31 @@
 
 // Service is one service. Its upstreams come from exactly one of addresses, endpoint, list_file and discovery.
 type Service struct {
-	Name      string           `toml:"name" sample:"\"seats\"" doc:"The service's name, which routes give."`
-	Addresses []string         `toml:"addresses" sample:"[\"127.0.0.1:9001\", \"127.0.0.1:9002\"]" doc:"The upstreams, where there is no more to say of them than IP address and port."`
-	Endpoints []listfile.Entry `toml:"endpoint" doc:"An upstream, with all that can be said of it."`
-	ListFile  string           `toml:"list_file" sample:"\"/etc/orchiddrift/seats.json\"" doc:"A watched file of upstreams, JSON or TOML by its ending. A file that can't be used keeps the last good list."`
-	Discovery string           `toml:"discovery" sample:"\"127.0.0.1:8500\"" doc:"The platform's discovery: IP address and port."`
-	Push      bool             `toml:"discovery_pushes" doc:"Lists are pushed to an agent at that address, so that asking costs nothing."`
-	Answers   []string         `toml:"answers" default:"2xx, 3xx, 4xx" doc:"Statuses that are an upstream's answer, and passed on as they are. Any other is a failure. 429 and 503 never count."`
-	Share     float64          `toml:"share" default:"1" doc:"Its weight in what is set aside for services."`
-	TLS       keys.Upstream    `toml:"tls" doc:"Encryption towards its upstreams."`
-	Warm      warm.Options     `toml:"warm" doc:"Connections that are open before requests need them."`
-	Probe     probe.Options    `toml:"probe" doc:"Asking upstreams for their load, where a process sends little."`
-	Subset    subset.Options   `toml:"subset" doc:"For many upstreams: a part of them is this process's own."`
+	Name      string                  `toml:"name" sample:"\"seats\"" doc:"The service's name, which routes give."`
+	Addresses []string                `toml:"addresses" sample:"[\"127.0.0.1:9001\", \"127.0.0.1:9002\"]" doc:"The upstreams, where there is no more to say of them than IP address and port."`
+	Endpoints []listfile.Entry        `toml:"endpoint" doc:"An upstream, with all that can be said of it."`
+	ListFile  string                  `toml:"list_file" sample:"\"/etc/orchiddrift/seats.json\"" doc:"A watched file of upstreams, JSON or TOML by its ending. A file that can't be used keeps the last good list."`
+	Discovery string                  `toml:"discovery" sample:"\"127.0.0.1:8500\"" doc:"The platform's discovery: IP address and port."`
+	Push      bool                    `toml:"discovery_pushes" doc:"Lists are pushed to an agent at that address, so that asking costs nothing."`
+	Answers   []string                `toml:"answers" default:"2xx, 3xx, 4xx" doc:"Statuses that are an upstream's answer, and passed on as they are. Any other is a failure. 429 and 503 never count."`
+	Share     float64                 `toml:"share" default:"1" doc:"Its weight in what is set aside for services."`
+	TLS       tlscredentials.Upstream `toml:"tls" doc:"Encryption towards its upstreams."`
+	Warm      prewarm.Options         `toml:"warm" doc:"Connections that are open before requests need them."`
+	Probe     loadprobe.Options       `toml:"probe" doc:"Asking upstreams for their load, where a process sends little."`
+	Subset    subset.Options          `toml:"subset" doc:"For many upstreams: a part of them is this process's own."`
 	settings.Declaration
 }
 
 // PlatformPart is what the operator's file says of the platform's service.
 type PlatformPart struct {
-	Warm   warm.Options   `toml:"warm" doc:"Connections that are open before requests need them."`
-	Probe  probe.Options  `toml:"probe" doc:"Asking upstreams for their load, where its settings allow probes."`
-	Subset subset.Options `toml:"subset" doc:"For many upstreams: a part of them is this process's own."`
+	Warm   prewarm.Options   `toml:"warm" doc:"Connections that are open before requests need them."`
+	Probe  loadprobe.Options `toml:"probe" doc:"Asking upstreams for their load, where its settings allow probes."`
+	Subset subset.Options    `toml:"subset" doc:"For many upstreams: a part of them is this process's own."`
 }
 
 // Check is tomlfile.Checker's.
 func (d *Daemon) Check(report func(key, format string, args ...any)) {
-	if err := directory.CheckAddress(d.Listen); err != nil {
+	if err := endpoints.CheckAddress(d.Listen); err != nil {
 		report("listen", "%v", err)
 	}
 	if d.Control != "" {
@@ -157,7 +157,7 @@
 		report("", fromOne, from)
 	}
 	for i, a := range s.Addresses {
-		if err := directory.CheckAddress(a); err != nil {
+		if err := endpoints.CheckAddress(a); err != nil {
 			report("addresses", "item %d: %v", i+1, err)
 		}
 	}
@@ -167,11 +167,11 @@
 		}
 	}
 	if s.Discovery != "" {
-		if err := directory.CheckAddress(s.Discovery); err != nil {
+		if err := endpoints.CheckAddress(s.Discovery); err != nil {
 			report("discovery", "%v", err)
 		}
 	}
-	if _, err := httphead.ParseStatuses(s.Answers); err != nil {
+	if _, err := httpheader.ParseStatuses(s.Answers); err != nil {
 		report("answers", "%v", err)
 	}
 	if !(s.Share > 0) || s.Share > 1e6 {
@@ -186,7 +186,7 @@
 	}
 	out := make([]listfile.Entry, len(s.Addresses))
 	for i, a := range s.Addresses {
-		out[i] = listfile.Entry{Name: a, Address: a, Status: directory.StatusReady}
+		out[i] = listfile.Entry{Name: a, Address: a, Status: endpoints.StatusReady}
 	}
 	return out
 }
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/httphead"
+	"orchiddrift/internal/httpheader"
 	"orchiddrift/internal/tomlfile"
 	"orchiddrift/internal/units"
 )
@@ -212,7 +212,7 @@
 		}
 	}
 	for _, words := range [][]string{{"1xx"}, {"6xx"}, {"abc"}, {"100"}, {"429"}, {"503"}, {"-1"}} {
-		if _, err := httphead.ParseStatuses(words); err == nil {
+		if _, err := httpheader.ParseStatuses(words); err == nil {
 			t.Errorf("%q is taken", words)
 		}
 	}
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -14,26 +14,26 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/door"
-	"orchiddrift/internal/eureka"
+	"orchiddrift/internal/admission"
+	"orchiddrift/internal/discovery/eureka"
+	"orchiddrift/internal/discovery/listfile"
+	"orchiddrift/internal/discovery/membership"
+	"orchiddrift/internal/discovery/staleness"
+	"orchiddrift/internal/discovery/subset"
+	"orchiddrift/internal/endpoints"
 	"orchiddrift/internal/graphql"
-	"orchiddrift/internal/httphead"
-	"orchiddrift/internal/keys"
+	"orchiddrift/internal/httpheader"
+	"orchiddrift/internal/idempotency/executor"
 	"orchiddrift/internal/lease"
-	"orchiddrift/internal/listfile"
-	"orchiddrift/internal/logs"
-	"orchiddrift/internal/membership"
-	"orchiddrift/internal/probe"
-	"orchiddrift/internal/repeatkeeper"
+	"orchiddrift/internal/logging"
 	"orchiddrift/internal/routes"
 	"orchiddrift/internal/settings"
-	"orchiddrift/internal/staleness"
-	"orchiddrift/internal/subset"
 	"orchiddrift/internal/task"
+	"orchiddrift/internal/tlscredentials"
 	"orchiddrift/internal/tomlfile"
 	"orchiddrift/internal/units"
-	"orchiddrift/internal/warm"
+	"orchiddrift/internal/upstream/loadprobe"
+	"orchiddrift/internal/upstream/prewarm"
 )
 
 // Plan is what a daemon runs, from whichever files: the platform's, the operator's, or both.
@@ -50,8 +50,8 @@
 	Services     []ServicePlan
 	Table        *routes.Table
 	Endpoints    map[string]*graphql.Endpoint // of routes, by their Endpoint
-	TLS          keys.Listener
-	Log          logs.Declaration
+	TLS          tlscredentials.Listener
+	Log          logging.Declaration
 	Registers    []eureka.Declaration // where the process registers itself
 	File         *File                // the operator's; nil: there is none
 }
@@ -60,21 +60,21 @@
 type ServicePlan struct {
 	Name     string
 	Settings settings.Settings
-	Answers  *httphead.Statuses
+	Answers  *httpheader.Statuses
 	Share    float64
-	TLS      keys.Upstream
+	TLS      tlscredentials.Upstream
 	Subset   subset.Options
-	Warm     warm.Options
-	Probe    probe.Options
+	Warm     prewarm.Options
+	Probe    loadprobe.Options
 
 	// Where its upstreams come from: Discovery, ListFile or else Known alone.
 	Discovery string
 	ListFile  string
-	Known     *directory.Listing // as last held, or the whole of it; nil: none
+	Known     *endpoints.Listing // as last held, or the whole of it; nil: none
 
-	Door *door.Options // before it; nil: there is none
+	Door *admission.Options // before it; nil: there is none
 
-	Repeats *repeatkeeper.Declaration // the store of its keys; nil: there is none
+	Repeats *executor.Declaration // the store of its keys; nil: there is none
 
 	Registries []eureka.Declaration // beside that list, or without one
 	Members    membership.Options
@@ -180,7 +180,7 @@
 }
 
 func (c *Config) service() ServicePlan {
-	return ServicePlan{Name: Platform, Settings: c.Settings, Answers: httphead.Only200(), Share: 1, Discovery: c.Discovery,
+	return ServicePlan{Name: Platform, Settings: c.Settings, Answers: httpheader.Only200(), Share: 1, Discovery: c.Discovery,
 		Known: c.Known}
 }
 
@@ -301,7 +301,7 @@
 	}
 	declared := f.Routes
 	if len(declared) == 0 && len(p.Services) == 1 && beside == nil && len(f.GraphQL) == 0 { // the platform's service has its own
-		declared = []routes.Declaration{{Match: "/", Key: routes.Header(httphead.Key), MaxBody: routes.MaxMaxBody}}
+		declared = []routes.Declaration{{Match: "/", Key: routes.Header(httpheader.Key), MaxBody: routes.MaxMaxBody}}
 	}
 	led := map[string]bool{}
 	for i := range declared {
@@ -442,9 +442,9 @@
 type PluginFile struct {
 	Registries []eureka.Declaration
 	Members    membership.Options
-	Door       *door.Options             // nil: there is none
-	Repeats    *repeatkeeper.Declaration // nil: there is no store
-	Warm       warm.Options
+	Door       *admission.Options    // nil: there is none
+	Repeats    *executor.Declaration // nil: there is no store
+	Warm       prewarm.Options
 	Subset     subset.Options // of the [[service]] of that name, which needs no upstreams there
 }
 
@@ -545,9 +545,9 @@
 }
 
 func (s *Service) plan() ServicePlan {
-	answers, err := httphead.ParseStatuses(s.Answers)
+	answers, err := httpheader.ParseStatuses(s.Answers)
 	if err != nil { // reported by Check
-		answers = httphead.Only200()
+		answers = httpheader.Only200()
 	}
 	p := ServicePlan{Name: s.Name, Settings: s.Settings(), Answers: answers, Share: s.Share, TLS: s.TLS, Subset: s.Subset, Warm: s.Warm, Probe: s.Probe,
 		Discovery: s.Discovery, ListFile: s.ListFile}
--- a/internal/daemon/accept_test.go
+++ b/internal/daemon/accept_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
 )
 
 // failingListener fails each accept with one error while it is to.
@@ -53,14 +53,14 @@
 // Guards against a process that ends, or waits for longer than a deadline, because the system could not hand it one connection: net/http ends
 // a server whose accept fails with ENOBUFS, ENOMEM, EPROTO, ENETUNREACH or EHOSTUNREACH ("serving: ..."), and rests for up to 1 s behind EMFILE.
 func TestAcceptFails(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("ok")))
-	d := testkit.Quiet(t)
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("ok")))
+	d := testutil.Quiet(t)
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := &failingListener{TCPListener: tcp.(*net.TCPListener)}
-	r := startOn(t, testkit.Config(t, d.Address, testkit.Entry("s", s.Address, "Ready")), l, nil)
+	r := startOn(t, testutil.Config(t, d.Address, testutil.Entry("s", s.Address, "Ready")), l, nil)
 	for _, errno := range acceptErrors {
 		l.fail(errno, time.Now().Add(time.Hour))
 		for range 8 { // a series; each connection is lost to its client
@@ -68,10 +68,10 @@
 				c.Close()
 			}
 		}
-		testkit.Eventually(t, "the accepts fail", func() bool { return l.tried() >= 8 })
+		testutil.Eventually(t, "the accepts fail", func() bool { return l.tried() >= 8 })
 		l.fail(nil, time.Time{})
 		begun := time.Now()
-		if resp, body := r.do(t, testkit.Request(t, r.address, "search", "")); resp.StatusCode != 200 || body != "ok" {
+		if resp, body := r.do(t, testutil.Request(t, r.address, "search", "")); resp.StatusCode != 200 || body != "ok" {
 			t.Fatalf("behind %v: %s %q", errno, resp.Status, body)
 		}
 		if took := time.Since(begun); took > 150*time.Millisecond {
--- a/internal/daemon/body.go
+++ b/internal/daemon/body.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"orchiddrift/internal/engine"
-	"orchiddrift/internal/intake"
+	"orchiddrift/internal/server/downstream"
 	"orchiddrift/internal/upstream"
 )
 
@@ -75,18 +75,18 @@
 func (p *paced) interrupt() { p.hurry(time.Unix(1, 0)) }
 
 // rejected says how a client is told that its body could not be taken.
-func rejected(err error) *intake.Rejection {
+func rejected(err error) *downstream.Rejection {
 	switch {
 	case errors.Is(err, errBodyLarge):
-		return &intake.Rejection{Status: http.StatusRequestEntityTooLarge, Text: err.Error()}
+		return &downstream.Rejection{Status: http.StatusRequestEntityTooLarge, Text: err.Error()}
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return &intake.Rejection{Status: http.StatusRequestTimeout, Text: "the body did not come in time"}
+		return &downstream.Rejection{Status: http.StatusRequestTimeout, Text: "the body did not come in time"}
 	}
-	return &intake.Rejection{Status: http.StatusBadRequest, Text: fmt.Sprintf("reading the body: %v", err)}
+	return &downstream.Rejection{Status: http.StatusBadRequest, Text: fmt.Sprintf("reading the body: %v", err)}
 }
 
 // takeBody takes in the request's body: whole, or where that takes too much memory and hold does not ask for it, its beginning.
-func (v *visit) takeBody(req *intake.Request, patience time.Duration, hold bool) *intake.Rejection {
+func (v *visit) takeBody(req *downstream.Request, patience time.Duration, hold bool) *downstream.Rejection {
 	length := v.r.ContentLength
 	if length == 0 {
 		return nil
@@ -104,7 +104,7 @@
 			have := int64(len(v.body))
 			if !hold && have >= keptAlways && (have >= most || length > most) || !v.grow(length) {
 				if hold {
-					return &intake.Rejection{Status: http.StatusInternalServerError, Text: "not done: too much is in hand to keep the body"}
+					return &downstream.Rejection{Status: http.StatusInternalServerError, Text: "not done: too much is in hand to keep the body"}
 				}
 				v.rest = true
 				return nil
@@ -151,7 +151,7 @@
 }
 
 // upload makes the request that passes on the rest of the body as it comes, and its call.
-func (v *visit) upload(req *intake.Request, call *engine.Call) *upstream.Request {
+func (v *visit) upload(req *downstream.Request, call *engine.Call) *upstream.Request {
 	length := v.r.ContentLength
 	most := length
 	if length < 0 {
--- a/internal/daemon/body_test.go
+++ b/internal/daemon/body_test.go
@@ -17,18 +17,18 @@
 	"orchiddrift/balancer"
 	"orchiddrift/internal/clock"
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 	"orchiddrift/internal/engine"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 	"orchiddrift/internal/upstream"
 )
 
 // small is a configuration whose memory holds few bodies.
 func small(t *testing.T, entries ...string) *config.Config {
 	t.Helper()
-	c := testkit.Config(t, testkit.Quiet(t).Address, entries...)
+	c := testutil.Config(t, testutil.Quiet(t).Address, entries...)
 	c.Limits.MemoryMB = 32
 	return c
 }
@@ -51,16 +51,16 @@
 // Bodies of every size and framing reach the upstream as they were, and are answered. Guards against bodies that are cut, joined or
 // turned down, those that are kept whole and those that go on as they come.
 func TestBodiesOfAnySize(t *testing.T) {
-	var got atomic.Pointer[standin.Got]
-	s := testkit.Raw(t, func(c net.Conn, g standin.Got) bool {
+	var got atomic.Pointer[fakes.Got]
+	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		got.Store(&g)
-		return standin.Says(standin.OK200("a"))(c, g)
+		return fakes.Says(fakes.OK200("a"))(c, g)
 	})
-	r := start(t, small(t, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	r := start(t, small(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	for _, size := range []int{0, 1, 4095, 4096, 4097, keptAlways - 1, keptAlways, keptAlways + 1, 300 << 10, 1 << 20, 1<<20 + 1, 5 << 20} {
 		for _, framing := range []string{"length", "chunks"} {
 			body := pattern(size)
-			req := testkit.Request(t, r.address, "confirm", "")
+			req := testutil.Request(t, r.address, "confirm", "")
 			req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(size)
 			if framing == "chunks" {
 				req.ContentLength = -1
@@ -80,8 +80,8 @@
 // Guards against slow clients that are cut, and against ones that say nothing and are not: half of 64 kB a second is enough, in
 // whatever pieces, and less is not.
 func TestSlowBodies(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("a")))
-	r := start(t, small(t, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("a")))
+	r := start(t, small(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	const size = 160 << 10
 	var clients sync.WaitGroup
 	defer clients.Wait()
@@ -139,7 +139,7 @@
 	})}
 	go echo.Serve(l)
 	defer echo.Close()
-	r := start(t, small(t, testkit.Entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
+	r := start(t, small(t, testutil.Entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
 	var most atomic.Uint64 // bytes of live and not yet collected heap, the clients' and the upstream's included
 	stop := make(chan struct{})
 	var looking sync.WaitGroup
@@ -164,7 +164,7 @@
 	}()
 	var all sync.WaitGroup
 	for range clients {
-		req := testkit.Request(t, r.address, "confirm", "")
+		req := testutil.Request(t, r.address, "confirm", "")
 		req.Body, req.ContentLength = io.NopCloser(io.LimitReader(zeros{}, size)), size
 		all.Go(func() {
 			resp, err := r.client.Do(req)
@@ -224,8 +224,8 @@
 					conn.Close()
 				}
 			}()
-			r := start(t, small(t, testkit.Entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
-			req := testkit.Request(t, r.address, "confirm", "")
+			r := start(t, small(t, testutil.Entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
+			req := testutil.Request(t, r.address, "confirm", "")
 			req.Body, req.ContentLength = io.NopCloser(io.LimitReader(zeros{}, 8<<20)), 8<<20
 			resp, err := r.client.Do(req)
 			if err != nil {
@@ -273,7 +273,7 @@
 			})}
 			go up.Serve(l)
 			defer up.Close()
-			r := start(t, small(t, testkit.Entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
+			r := start(t, small(t, testutil.Entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
 			conn, in := dialRaw(t, r.address)
 			defer conn.Close()
 			framed := fmt.Sprintf("Content-Length: %d", first+rest)
@@ -286,7 +286,7 @@
 			piece(pattern(first))
 			select {
 			case <-again:
-			case <-time.After(testkit.Patience):
+			case <-time.After(testutil.Patience):
 				t.Fatalf("sent %d times", n.Load())
 			}
 			piece(pattern(rest))
@@ -304,25 +304,25 @@
 func TestAKeptBodyIsSentAgain(t *testing.T) {
 	body := string(pattern(200 << 10))
 	var n atomic.Int32
-	s := testkit.Raw(t, func(c net.Conn, g standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		if g.Body != body {
 			t.Errorf("the upstream got %d bytes", len(g.Body))
 		}
 		if n.Add(1) == 1 {
-			return standin.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")(c, g)
+			return fakes.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")(c, g)
 		}
-		return standin.Says(standin.OK200("a"))(c, g)
+		return fakes.Says(fakes.OK200("a"))(c, g)
 	})
-	r := start(t, small(t, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
-	if resp, _ := r.do(t, testkit.Request(t, r.address, "confirm", body)); resp.StatusCode != 200 || n.Load() != 2 {
+	r := start(t, small(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	if resp, _ := r.do(t, testutil.Request(t, r.address, "confirm", body)); resp.StatusCode != 200 || n.Load() != 2 {
 		t.Errorf("%s after %d sends", resp.Status, n.Load())
 	}
 }
 
 // Guards against a request that hides in the body of one that is framed twice: neither is passed on.
 func TestFramedTwiceIsRefused(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("a")))
-	r := start(t, small(t, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("a")))
+	r := start(t, small(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	hidden := "POST /confirm/2 HTTP/1.1\r\nHost: s\r\nX-Request-ID: hidden\r\nContent-Length: 0\r\n\r\n"
 	conn, in := dialRaw(t, r.address)
 	fmt.Fprintf(conn, "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: shown\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s",
@@ -342,12 +342,12 @@
 
 // A long answer that breaks off is cut before its client's eyes, and counts as failed.
 func TestALongAnswerThatBreaksIsCut(t *testing.T) {
-	s := testkit.Raw(t, func(c net.Conn, _ standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, _ fakes.Got) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, pattern(400<<10))
 		return false
 	})
-	r, call := operated(t, small(t, testkit.Entry("s", s.Address, "Ready")))
-	resp, err := r.client.Do(testkit.Request(t, r.address, "confirm", ""))
+	r, call := operated(t, small(t, testutil.Entry("s", s.Address, "Ready")))
+	resp, err := r.client.Do(testutil.Request(t, r.address, "confirm", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -355,13 +355,13 @@
 	if body, err := io.ReadAll(resp.Body); err == nil || !bytes.HasPrefix(pattern(400<<10), body) {
 		t.Errorf("%d bytes, %v", len(body), err)
 	}
-	testkit.Eventually(t, "it has failed", func() bool { return figuresOf(t, call)["downstream_requests.confirm.failed"] == 1 })
+	testutil.Eventually(t, "it has failed", func() bool { return figuresOf(t, call)["downstream_requests.confirm.failed"] == 1 })
 }
 
 // Guards against clients that wait for leave to send their body, for ever.
 func TestExpectContinue(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("a")))
-	r := start(t, small(t, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("a")))
+	r := start(t, small(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	conn, in := dialRaw(t, r.address)
 	_, _ = io.WriteString(conn, "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: e\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusContinue {
@@ -380,19 +380,19 @@
 // counts from before its first byte until it is proved not to have run, and not only once it has ended.
 func TestAttemptsCountFromBeforeTheyBegin(t *testing.T) {
 	release := make(chan struct{})
-	s := testkit.Raw(t, func(c net.Conn, g standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		<-release
-		return standin.Says(standin.OK200("a"))(c, g)
+		return fakes.Says(fakes.OK200("a"))(c, g)
 	})
-	pool := upstream.New(upstream.Options{ConnectTimeout: testkit.Patience, Idle: time.Minute, Connections: 2, MaxAnswer: 1 << 20})
-	dir := directory.New(clock.New(), pool.Drop)
+	pool := upstream.New(upstream.Options{ConnectTimeout: testutil.Patience, Idle: time.Minute, Connections: 2, MaxAnswer: 1 << 20})
+	dir := endpoints.New(clock.New(), pool.Drop)
 	pool.SetDirectory(dir)
-	dir.Apply(testkit.Listing(t, 1, true, testkit.Entry("s", s.Address, "Ready"), testkit.Entry("nobody", base.FreeAddress(t), "Ready")))
+	dir.Apply(testutil.Listing(t, 1, true, testutil.Entry("s", s.Address, "Ready"), testutil.Entry("nobody", base.FreeAddress(t), "Ready")))
 	defer pool.Drop("s")
 	x := &exchange{pool: pool, request: upstream.NewRequest("POST", "/confirm/1", "s", nil, []byte("a"))}
 	over := make(chan balancer.Result, 1)
 	go func() { over <- x.attempt(t.Context(), engine.Attempt{Upstream: "s"}).Result }()
-	testkit.Eventually(t, "the upstream has it", func() bool { return len(s.Requests()) == 1 })
+	testutil.Eventually(t, "the upstream has it", func() bool { return len(s.Requests()) == 1 })
 	if n := x.begun.Load(); n != 1 {
 		t.Errorf("%d attempts count while one is out", n)
 	}
--- a/internal/daemon/closing_test.go
+++ b/internal/daemon/closing_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
 )
 
 // heldListener gives connections whose server is held where a test says: between the read of a socket and what the server makes of
@@ -100,13 +100,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testkit.Patience))
+	_ = c.SetDeadline(time.Now().Add(testutil.Patience))
 	return &dialed{c, bufio.NewReader(c)}
 }
 
 func (c *dialed) send(t *testing.T, class, body string) {
 	t.Helper()
-	if err := testkit.Request(t, c.RemoteAddr().String(), class, body).Write(c); err != nil {
+	if err := testutil.Request(t, c.RemoteAddr().String(), class, body).Write(c); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -124,9 +124,9 @@
 // Guards against a request that is lost: it is read in the moment in which its idle connection is closed at a shutdown. It could
 // have no answer, so it is not sent on; its client finds the end of the connection alone, and sends it again elsewhere.
 func TestReadAsItsConnectionIsShut(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("")))
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	l := holding(t)
-	r := startOn(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")), l, nil)
+	r := startOn(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), l, nil)
 	r.ready(t)
 	r.client.CloseIdleConnections()
 	l.next.Store(true)
@@ -153,9 +153,9 @@
 
 // Guards against a request that is cut off at a shutdown: its first bytes came before its idle connection would have been closed.
 func TestBegunBeforeItsConnectionIsShut(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("whole")))
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("whole")))
 	l := holding(t)
-	r := startOn(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")), l, nil)
+	r := startOn(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), l, nil)
 	r.ready(t)
 	r.client.CloseIdleConnections()
 	c, other := dial(t, r.address, nil), dial(t, r.address, nil)
@@ -166,7 +166,7 @@
 		}
 	}
 	var text strings.Builder
-	_ = testkit.Request(t, r.address, "confirm", "").Write(&text)
+	_ = testutil.Request(t, r.address, "confirm", "").Write(&text)
 	l.holds.Store(true)
 	if _, err := io.WriteString(c, text.String()[:20]); err != nil {
 		t.Fatal(err)
@@ -192,14 +192,14 @@
 func TestLastAnswerOverUnreadBytes(t *testing.T) {
 	release := make(chan struct{})
 	body := strings.Repeat("answer ", 40<<10)
-	s := testkit.Raw(t, func(c net.Conn, g standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		if strings.HasPrefix(g.Target, "/confirm") {
 			<-release
 		}
-		return standin.Says(standin.OK200(body))(c, g)
+		return fakes.Says(fakes.OK200(body))(c, g)
 	})
 	l := holding(t)
-	r := startOn(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")), l, nil)
+	r := startOn(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), l, nil)
 	r.ready(t)
 	r.client.CloseIdleConnections()
 	l.next.Store(true)
@@ -207,11 +207,11 @@
 		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10)
 	})
 	c.send(t, "confirm", "")
-	testkit.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
+	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
 	c.send(t, "confirm", strings.Repeat("behind ", 10<<10))
 	r.stop()
-	testkit.Eventually(t, "answers end their connections", func() bool {
-		resp, err := r.client.Do(testkit.Request(t, r.address, "nothing", ""))
+	testutil.Eventually(t, "answers end their connections", func() bool {
+		resp, err := r.client.Do(testutil.Request(t, r.address, "nothing", ""))
 		if err != nil {
 			return false
 		}
--- a/internal/daemon/course.go
+++ b/internal/daemon/course.go
@@ -6,15 +6,15 @@
 	"time"
 
 	"orchiddrift/internal/clock"
-	"orchiddrift/internal/intake"
-	"orchiddrift/internal/life"
+	"orchiddrift/internal/lifecycle"
+	"orchiddrift/internal/server/downstream"
 )
 
 // course drives package life: it closes the connections that are to be closed, and ends once the process has nothing left to do.
 // It is safe for concurrent use.
 type course struct {
 	clock clock.Clock
-	conns *intake.Conns
+	conns *downstream.Conns
 
 	wanted   atomic.Bool // clients are to be sent here
 	last     atomic.Bool // answers are the last of their connections
@@ -22,19 +22,19 @@
 	over     atomic.Bool // what was unanswered has been failed, and nothing more is sent
 
 	mu        sync.Mutex
-	life      *life.Life
+	life      *lifecycle.Life
 	abandoned bool
 	turned    chan struct{} // holds one: the state is another
 }
 
-func newCourse(c clock.Clock, grace time.Duration, conns *intake.Conns) *course {
-	n := &course{clock: c, conns: conns, life: life.New(grace), turned: make(chan struct{}, 1)}
+func newCourse(c clock.Clock, grace time.Duration, conns *downstream.Conns) *course {
+	n := &course{clock: c, conns: conns, life: lifecycle.New(grace), turned: make(chan struct{}, 1)}
 	n.wanted.Store(true)
 	return n
 }
 
 // turn changes the state.
-func (c *course) turn(by func(*life.Life, time.Duration) bool) bool {
+func (c *course) turn(by func(*lifecycle.Life, time.Duration) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ok := by(c.life, c.clock.Now())
@@ -48,11 +48,11 @@
 	return ok
 }
 
-func (c *course) drain() bool   { return c.turn((*life.Life).Drain) }
-func (c *course) undrain() bool { return c.turn((*life.Life).Undrain) }
+func (c *course) drain() bool   { return c.turn((*lifecycle.Life).Drain) }
+func (c *course) undrain() bool { return c.turn((*lifecycle.Life).Undrain) }
 
 func (c *course) stop(successor bool) {
-	c.turn(func(l *life.Life, now time.Duration) bool {
+	c.turn(func(l *lifecycle.Life, now time.Duration) bool {
 		l.Stop(now, successor)
 		return true
 	})
@@ -60,13 +60,13 @@
 
 // abandon ends run at once.
 func (c *course) abandon() {
-	c.turn(func(*life.Life, time.Duration) bool {
+	c.turn(func(*lifecycle.Life, time.Duration) bool {
 		c.abandoned = true
 		return true
 	})
 }
 
-func (c *course) state() life.State {
+func (c *course) state() lifecycle.State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.life.State()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -23,20 +23,20 @@
 
 	"golang.org/x/sync/semaphore"
 
-	"orchiddrift/internal/acceptor"
 	"orchiddrift/internal/bulkhead"
 	"orchiddrift/internal/clock"
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/control"
+	"orchiddrift/internal/discovery/eureka"
 	"orchiddrift/internal/engine"
-	"orchiddrift/internal/eureka"
-	"orchiddrift/internal/figures"
 	"orchiddrift/internal/handover"
-	"orchiddrift/internal/httphead"
-	"orchiddrift/internal/intake"
-	"orchiddrift/internal/keys"
-	"orchiddrift/internal/logs"
-	"orchiddrift/internal/repeatkeeper"
+	"orchiddrift/internal/httpheader"
+	"orchiddrift/internal/idempotency/executor"
+	"orchiddrift/internal/logging"
+	"orchiddrift/internal/metrics"
+	"orchiddrift/internal/server/acceptor"
+	"orchiddrift/internal/server/control"
+	"orchiddrift/internal/server/downstream"
+	"orchiddrift/internal/tlscredentials"
 )
 
 const (
@@ -96,11 +96,11 @@
 type daemon struct {
 	plan    *config.Plan // as it runs; what counts from the next start is as it was
 	shared  *shared
-	logger  *logs.Logger // nil: the program's default
+	logger  *logging.Logger // nil: the program's default
 	log     *slog.Logger
 	routing atomic.Pointer[routing]
 
-	keys      atomic.Pointer[keys.Store] // of the clients' listener; nil: not encrypted
+	keys      atomic.Pointer[tlscredentials.Store] // of the clients' listener; nil: not encrypted
 	tls       atomic.Pointer[tls.Config]
 	stopKeys  context.CancelFunc
 	retiring  sync.WaitGroup // services that only finish what they hold
@@ -111,7 +111,7 @@
 	rest      context.Context // of what runs besides; ends with the daemon
 	listening net.Listener
 	limits    config.Limits
-	figures   *figures.Counts
+	figures   *metrics.Counts
 	course    *course
 
 	succession *succession
@@ -136,7 +136,7 @@
 	defer d.besides.Wait()
 	defer stop()
 	if p.File != nil {
-		d.logger = logs.New(os.Stderr, p.Log)
+		d.logger = logging.New(os.Stderr, p.Log)
 		d.log = d.logger.Logger
 		d.besides.Go(func() { d.logger.Run(rest) })
 	}
@@ -150,7 +150,7 @@
 	}
 	defer d.end()
 	if from == nil { // else the one before this process holds its files for as long as it lives
-		d.shared.filesCtx, d.shared.filesPatience = ctx, repeatkeeper.StartPatience
+		d.shared.filesCtx, d.shared.filesPatience = ctx, executor.StartPatience
 	}
 	err := d.apply(p)
 	if err != nil && ctx.Err() != nil {
@@ -161,16 +161,16 @@
 	}
 	d.shared.filesCtx, d.shared.filesPatience = rest, heldPatience
 	look(d)
-	var secure *intake.Secure
+	var secure *downstream.Secure
 	if p.TLS.On() {
-		secure = &intake.Secure{Handshake: p.HeadTimeout, Config: &tls.Config{MinVersion: tls.VersionTLS12,
+		secure = &downstream.Secure{Handshake: p.HeadTimeout, Config: &tls.Config{MinVersion: tls.VersionTLS12,
 			GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return d.tls.Load(), nil }}}
 	}
-	conns := intake.NewConns(acceptor.New(listener, d.log), connections, secure)
+	conns := downstream.NewConns(acceptor.New(listener, d.log), connections, secure)
 	d.course = newCourse(d.shared.clock, p.Grace, conns)
 	s := &server{d: d, ids: newIDs(p.Seed), course: d.course}
 	srv := &http.Server{Handler: s, ReadHeaderTimeout: p.HeadTimeout, IdleTimeout: clientIdle,
-		MaxHeaderBytes: httphead.MaxBytes, DisableGeneralOptionsHandler: true, ConnState: conns.State, ConnContext: conns.Context,
+		MaxHeaderBytes: httpheader.MaxBytes, DisableGeneralOptionsHandler: true, ConnState: conns.State, ConnContext: conns.Context,
 		ErrorLog: slog.NewLogLogger(d.log.Handler(), slog.LevelDebug)}
 	operators := "" // where they call
 	if p.Control != "" {
@@ -265,7 +265,7 @@
 // share makes what services share.
 func (d *daemon) share(connections int) error {
 	p := d.plan
-	d.figures = figures.New()
+	d.figures = metrics.New()
 	d.shared = &shared{clock: clock.New(), log: d.log, seed: p.Seed, name: p.Name, connections: connections, filesCtx: d.rest, filesPatience: heldPatience,
 		spoolSize: int64(p.Limits.MemoryMB * (1 << 20) / spoolPart), maxAnswer: int(p.Limits.MemoryMB * (1 << 20) / answerPart)}
 	d.shared.spool = semaphore.NewWeighted(d.shared.spoolSize)
--- a/internal/daemon/door.go
+++ b/internal/daemon/door.go
@@ -7,33 +7,33 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"orchiddrift/internal/door"
-	"orchiddrift/internal/doorkeeper"
+	"orchiddrift/internal/admission"
+	"orchiddrift/internal/admission/controller"
 	"orchiddrift/internal/engine"
-	"orchiddrift/internal/intake"
+	"orchiddrift/internal/server/downstream"
 )
 
 // door has a request wait until its turn has come, where its service has a door. The answer is not nil where it goes no
 // further: nothing of it was sent.
-func (s *server) door(r *http.Request, svc *service, req *intake.Request, begun time.Duration, body int) (doorkeeper.Pass, *engine.Answer) {
+func (s *server) door(r *http.Request, svc *service, req *downstream.Request, begun time.Duration, body int) (controller.Pass, *engine.Answer) {
 	k := svc.door.Load()
 	if k == nil {
-		return doorkeeper.Pass{}, nil
+		return controller.Pass{}, nil
 	}
 	marked := r.Header.Get(k.RepeatHeader())
-	pass, verdict, in := k.Enter(r.Context(), whoOf(r, req.Tenant), door.Arrival{Class: req.Class.Name, Hint: req.Hint, Came: begun,
+	pass, verdict, in := k.Enter(r.Context(), whoOf(r, req.Tenant), admission.Arrival{Class: req.Class.Name, Hint: req.Hint, Came: begun,
 		Expires: begun + req.Timeout, Bytes: int64(body), Repeat: marked != "" && marked != "0", Print: printOf(req)})
 	switch verdict {
-	case doorkeeper.Refused:
+	case controller.Refused:
 		return pass, &engine.Answer{Kind: engine.Refused, RetryIn: in}
-	case doorkeeper.Left:
+	case controller.Left:
 		return pass, &engine.Answer{Kind: engine.Abandoned}
 	}
 	return pass, nil
 }
 
 // printOf tells requests apart: method, target and key, which a client's repeat has again.
-func printOf(req *intake.Request) uint64 {
+func printOf(req *downstream.Request) uint64 {
 	var h xxhash.Digest
 	h.Reset()
 	for _, part := range [3]string{req.Method, req.Target, req.Key} {
@@ -44,8 +44,8 @@
 }
 
 // whoOf is what is known of a request's sender.
-func whoOf(r *http.Request, tenant string) door.Who {
-	return door.Who{Tenant: tenant, Header: r.Header.Get,
+func whoOf(r *http.Request, tenant string) admission.Who {
+	return admission.Who{Tenant: tenant, Header: r.Header.Get,
 		Peer: func() netip.Addr {
 			a, err := netip.ParseAddrPort(r.RemoteAddr)
 			if err != nil { // the library writes it
--- a/internal/daemon/door_test.go
+++ b/internal/daemon/door_test.go
@@ -16,9 +16,9 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/door"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/admission"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // doorRig is a daemon with a door before one upstream, which answers a request when the test lets it.
@@ -103,10 +103,10 @@
 	return slices.Clone(r.ends[path])
 }
 
-func (r *doorRig) view() door.View {
+func (r *doorRig) view() admission.View {
 	k := r.d.routing.Load().services["seats"].door.Load()
 	if k == nil {
-		return door.View{}
+		return admission.View{}
 	}
 	return k.View()
 }
@@ -114,7 +114,7 @@
 // holding waits until so many wait at the door.
 func (r *doorRig) holding(t *testing.T, n int) {
 	t.Helper()
-	testkit.Eventually(t, fmt.Sprint(n, " wait"), func() bool { return r.view().Waiting == n })
+	testutil.Eventually(t, fmt.Sprint(n, " wait"), func() bool { return r.view().Waiting == n })
 }
 
 func (r *doorRig) next(t *testing.T) string {
@@ -122,7 +122,7 @@
 	select {
 	case path := <-r.came:
 		return path
-	case <-time.After(testkit.Patience):
+	case <-time.After(testutil.Patience):
 		t.Fatal("nothing reaches the upstream")
 		return ""
 	}
@@ -143,9 +143,9 @@
 		r.holding(t, i+1)
 	}
 	r.ask(t.Context(), "flood", "/flood/7")
-	testkit.Eventually(t, "the flood's newest is refused", func() bool { return slices.Equal(r.ended("/flood/7"), []string{"503 after"}) })
+	testutil.Eventually(t, "the flood's newest is refused", func() bool { return slices.Equal(r.ended("/flood/7"), []string{"503 after"}) })
 	r.ask(t.Context(), "quiet", "/quiet")
-	testkit.Eventually(t, "the flood's last gives way", func() bool { return slices.Equal(r.ended("/flood/6"), []string{"503 after"}) })
+	testutil.Eventually(t, "the flood's last gives way", func() bool { return slices.Equal(r.ended("/flood/6"), []string{"503 after"}) })
 	r.holding(t, 6)
 	r.answer <- true
 	if at := r.next(t); at != "/quiet" {
@@ -189,7 +189,7 @@
 	}
 	for i := range 6 {
 		path := fmt.Sprint("/flood/", i)
-		testkit.Eventually(t, path, func() bool { return slices.Equal(r.ended(path), []string{"200"}) })
+		testutil.Eventually(t, path, func() bool { return slices.Equal(r.ended(path), []string{"200"}) })
 	}
 	select {
 	case at := <-r.came:
@@ -247,7 +247,7 @@
 	<-r.fileRig.ended
 	for i, want := range []string{"200", "502", "503", "503"} {
 		path := fmt.Sprint("/", i)
-		testkit.Eventually(t, path, func() bool { return slices.Equal(r.ended(path), []string{want}) })
+		testutil.Eventually(t, path, func() bool { return slices.Equal(r.ended(path), []string{want}) })
 	}
 }
 
--- a/internal/daemon/eureka_test.go
+++ b/internal/daemon/eureka_test.go
@@ -15,10 +15,10 @@
 	"time"
 
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // nodes are upstreams that answer with their name, by name.
@@ -38,18 +38,18 @@
 }
 
 // instance is a node as it registers.
-func (n nodes) instance(t testing.TB, id, name, status string) standin.EurekaInstance {
+func (n nodes) instance(t testing.TB, id, name, status string) fakes.EurekaInstance {
 	t.Helper()
 	host, port, err := net.SplitHostPort(n[name])
 	if err != nil {
 		t.Fatal(err)
 	}
 	number, _ := strconv.Atoi(port)
-	return standin.EurekaInstance{App: "SEATS", ID: id, Host: host, IP: host, Port: number, Status: status}
+	return fakes.EurekaInstance{App: "SEATS", ID: id, Host: host, IP: host, Port: number, Status: status}
 }
 
 // eurekaFile is a service with a list of its own in the file, and registries by name.
-func eurekaFile(own []string, registries map[string]*standin.Eureka, more string) string {
+func eurekaFile(own []string, registries map[string]*fakes.Eureka, more string) string {
 	var b strings.Builder
 	b.WriteString("[log]\nlevel = \"error\"\n" + more + "[[service]]\nname = \"seats\"\n")
 	for _, entry := range own {
@@ -67,7 +67,7 @@
 // them the module picks is its own matter.
 func (r *fileRig) answers(t *testing.T, n nodes, names ...string) {
 	t.Helper()
-	testkit.Eventually(t, "requests go to "+strings.Join(names, " "), func() bool {
+	testutil.Eventually(t, "requests go to "+strings.Join(names, " "), func() bool {
 		places := r.d.routing.Load().services["seats"].dir.Places()
 		there := map[string]bool{}
 		for _, at := range places {
@@ -91,12 +91,12 @@
 // troubles take away, and against sources that can't be changed under load.
 func TestTwoStories(t *testing.T) {
 	n := startNodes(t, nil, "a", "b", "c")
-	e, other := base.Eureka(t, standin.EurekaOptions{}), base.Eureka(t, standin.EurekaOptions{})
-	for _, x := range []*standin.Eureka{e, other} {
+	e, other := base.Eureka(t, fakes.EurekaOptions{}), base.Eureka(t, fakes.EurekaOptions{})
+	for _, x := range []*fakes.Eureka{e, other} {
 		x.Put(n.instance(t, "host:a", "a", "UP"))
 		x.Put(n.instance(t, "host:c", "c", "UP"))
 	}
-	both := map[string]*standin.Eureka{"eureka": e}
+	both := map[string]*fakes.Eureka{"eureka": e}
 	at := func(name, status string) string { return name + "@" + n[name] + " " + status }
 	r := startFile(t, eurekaFile([]string{at("a", "Ready"), at("b", "Ready")}, both, ""))
 	r.answers(t, n, "a", "b", "c")
@@ -131,11 +131,11 @@
 	// It starts anew, empty, and then cannot be had at all: nothing is lost.
 	e.Restart()
 	calls := e.Calls("GET /apps/SEATS")
-	testkit.Eventually(t, "it is seen", func() bool { return e.Calls("GET /apps/SEATS") > calls+2 })
+	testutil.Eventually(t, "it is seen", func() bool { return e.Calls("GET /apps/SEATS") > calls+2 })
 	r.answers(t, n, "a", "b", "c")
-	e.Fault(func(string) standin.EurekaFault { return standin.EurekaDown })
+	e.Fault(func(string) fakes.EurekaFault { return fakes.EurekaDown })
 	calls = e.Calls("GET /apps/SEATS")
-	testkit.Eventually(t, "it is asked", func() bool { return e.Calls("GET /apps/SEATS") > calls+2 })
+	testutil.Eventually(t, "it is asked", func() bool { return e.Calls("GET /apps/SEATS") > calls+2 })
 	r.answers(t, n, "a", "b", "c")
 	e.Fault(nil)
 
@@ -165,12 +165,12 @@
 // module, and the registry's own nodes serve beside it.
 func TestRegistryBesideThePlatform(t *testing.T) {
 	n := startNodes(t, nil, "a", "b", "c")
-	e := base.Eureka(t, standin.EurekaOptions{})
+	e := base.Eureka(t, fakes.EurekaOptions{})
 	e.Put(n.instance(t, "host:a", "a", "UP"))
 	e.Put(n.instance(t, "host:c", "c", "UP"))
 	drain := make(chan struct{})
 	var told, again atomic.Bool
-	d := testkit.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
+	d := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send("")
 		if told.Load() { // it was lost
 			again.Store(true)
@@ -180,7 +180,7 @@
 		for { // a watch that a slow machine took for lost comes here anew
 			select {
 			case <-drain:
-				send(testkit.List(2, false, testkit.Entry("a", n["a"], "Terminating")))
+				send(testutil.List(2, false, testutil.Entry("a", n["a"], "Terminating")))
 				told.Store(true)
 				return
 			case <-done:
@@ -190,7 +190,7 @@
 			}
 		}
 	})
-	c := testkit.Config(t, d.Address, testkit.Entry("a", n["a"], "Ready"), testkit.Entry("b", n["b"], "Ready"))
+	c := testutil.Config(t, d.Address, testutil.Entry("a", n["a"], "Ready"), testutil.Entry("b", n["b"], "Ready"))
 	p, err := config.ParseBeside(c, fmt.Appendf(nil, "[[eureka]]\nservice = \"platform\"\nservers = [%q]\napplications = [\"SEATS\"]\npoll = \"100ms\"\n", e.Base))
 	if err != nil {
 		t.Fatal(err)
@@ -211,10 +211,10 @@
 			return slices.Equal(got, want)
 		}
 	}
-	testkit.Eventually(t, "all three", takes("a", "b", "c"))
+	testutil.Eventually(t, "all three", takes("a", "b", "c"))
 	close(drain)
-	testkit.Eventually(t, "a drains", takes("b", "c"))
-	testkit.Eventually(t, "the lost list is asked for again", again.Load)
+	testutil.Eventually(t, "a drains", takes("b", "c"))
+	testutil.Eventually(t, "the lost list is asked for again", again.Load)
 	if !takes("b", "c")() {
 		t.Errorf("the loss changed the list: %v", s.dir.Places())
 	}
@@ -223,8 +223,8 @@
 // Guards against sources that come, go and move under load at the cost of what is served.
 func TestSourcesChangeUnderLoad(t *testing.T) {
 	n := startNodes(t, nil, "a", "b")
-	e, other := base.Eureka(t, standin.EurekaOptions{}), base.Eureka(t, standin.EurekaOptions{})
-	for _, x := range []*standin.Eureka{e, other} {
+	e, other := base.Eureka(t, fakes.EurekaOptions{}), base.Eureka(t, fakes.EurekaOptions{})
+	for _, x := range []*fakes.Eureka{e, other} {
 		x.Put(n.instance(t, "host:a", "a", "UP"))
 	}
 	own := []string{"a@" + n["a"] + " Ready", "b@" + n["b"] + " Ready"}
@@ -243,12 +243,12 @@
 		})
 	}
 	for i := range 60 {
-		registries := []map[string]*standin.Eureka{nil, {"eureka": e}, {"eureka": other}, {"eureka": e, "other": other}}[i%4]
+		registries := []map[string]*fakes.Eureka{nil, {"eureka": e}, {"eureka": other}, {"eureka": e, "other": other}}[i%4]
 		before := asked.Load()
 		if err := r.reload(t, eurekaFile(own[:1+i/4%2], registries, "")); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Eventually(t, "requests beside it", func() bool { return asked.Load() >= before+12 })
+		testutil.Eventually(t, "requests beside it", func() bool { return asked.Load() >= before+12 })
 	}
 	stop()
 	clients.Wait()
@@ -258,14 +258,14 @@
 // many flips at random under load. The node counts what comes; the registry knows when it told.
 func TestNothingNewAfterAFlip(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
-	var f *standin.Flipper
+	var f *fakes.Flipper
 	n := startNodes(t, func(name string) { f.Came(name) }, names...)
-	e := base.Eureka(t, standin.EurekaOptions{})
+	e := base.Eureka(t, fakes.EurekaOptions{})
 	for _, name := range names {
 		e.Put(n.instance(t, name, name, "UP"))
 	}
-	f = standin.NewFlipper(e, "SEATS", directory.DrainWithin, names...)
-	r := startFile(t, eurekaFile(nil, map[string]*standin.Eureka{"eureka": e}, "[membership]\nflaps = 0\n"))
+	f = fakes.NewFlipper(e, "SEATS", endpoints.DrainWithin, names...)
+	r := startFile(t, eurekaFile(nil, map[string]*fakes.Eureka{"eureka": e}, "[membership]\nflaps = 0\n"))
 	r.answers(t, n, names...)
 	ctx, stop := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
@@ -303,16 +303,16 @@
 type askedSource struct{ asks atomic.Int64 }
 
 func (a *askedSource) Ask()                                      { a.asks.Add(1) }
-func (a *askedSource) Run(ctx context.Context, _ directory.Sink) { <-ctx.Done() }
+func (a *askedSource) Run(ctx context.Context, _ endpoints.Sink) { <-ctx.Done() }
 
 // Guards against a module whose wish for the list is lost, for good, because it came before there was a source to ask.
 func TestListIsAskedForEarly(t *testing.T) {
 	s, source := &service{}, &askedSource{}
 	s.ask()
-	testkit.Eventually(t, "the wish is noted", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.wanted })
+	testutil.Eventually(t, "the wish is noted", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.wanted })
 	s.follow(source)
 	defer s.follow(nil)
-	testkit.Eventually(t, "it is asked", func() bool { return source.asks.Load() == 1 })
+	testutil.Eventually(t, "it is asked", func() bool { return source.asks.Load() == 1 })
 	s.ask()
-	testkit.Eventually(t, "and again", func() bool { return source.asks.Load() == 2 })
+	testutil.Eventually(t, "and again", func() bool { return source.asks.Load() == 2 })
 }
--- a/internal/daemon/file_test.go
+++ b/internal/daemon/file_test.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/logs"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/logging"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // fileRig is a daemon by an operator's file that a test rewrites.
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	r := &fileRig{path: base.File(t, "o.toml", []byte(text)), running: &running{address: l.Addr().String(),
-		ended: make(chan struct{}), client: &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}}
+		ended: make(chan struct{}), client: &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
 	p, up := plan(t, text), make(chan *daemon, 1)
@@ -233,7 +233,7 @@
 		t.Errorf("only %d requests beside the reloads", asked.Load())
 	}
 	for _, s := range r.d.routing.Load().services {
-		testkit.Eventually(t, "nothing is left in hand", func() bool {
+		testutil.Eventually(t, "nothing is left in hand", func() bool {
 			return r.d.shared.inHand.Used(s.name) == 0 && s.engine.InHand() == 0
 		})
 	}
@@ -267,14 +267,14 @@
 	for n := range 150 {
 		// Two attempts may be stopped by two reloads: then a request has had all that it may have.
 		before := asked.Load()
-		testkit.Eventually(t, "each client has asked", func() bool { return asked.Load() >= before+24 })
+		testutil.Eventually(t, "each client has asked", func() bool { return asked.Load() >= before+24 })
 		if err := r.reload(t, at(n+1)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	stop()
 	clients.Wait()
-	testkit.Eventually(t, "nothing is left in hand", func() bool { return r.d.shared.inHand.Used("a") == 0 })
+	testutil.Eventually(t, "nothing is left in hand", func() bool { return r.d.shared.inHand.Used("a") == 0 })
 }
 
 // Guards against a key that a reload passes over in silence: what counts from the next start is named and stays, and tls
@@ -282,7 +282,7 @@
 func TestReloadNamesWhatCountsFromTheNextStart(t *testing.T) {
 	text := services(map[string]string{"a": base.HTTP(t, nil, says("a"))})
 	said := ""
-	d := &daemon{plan: plan(t, text), rest: t.Context(), log: logs.To(func(line string) { said += line + "\n" })}
+	d := &daemon{plan: plan(t, text), rest: t.Context(), log: logging.To(func(line string) { said += line + "\n" })}
 	if err := errors.Join(d.share(64), d.apply(d.plan)); err != nil {
 		t.Fatal(err)
 	}
@@ -336,7 +336,7 @@
 			answers <- answer{status, body}
 		}()
 	}
-	testkit.Eventually(t, "both are out", func() bool { return seen.Load() == 2 })
+	testutil.Eventually(t, "both are out", func() bool { return seen.Load() == 2 })
 	if err := r.reload(t, services(addresses, "/ -> b")); err != nil {
 		t.Fatal(err)
 	}
@@ -395,7 +395,7 @@
 			}
 		})
 	}
-	testkit.Eventually(t, "the hung one has all that it may", func() bool { return crowded.Load() > 50 })
+	testutil.Eventually(t, "the hung one has all that it may", func() bool { return crowded.Load() > 50 })
 	for n := range 300 {
 		if status, body := r.get("GET", "/b/x", ""); status != 200 || body != "b" {
 			t.Fatalf("request %d beside the hung service: %d %q", n, status, body)
@@ -445,7 +445,7 @@
 		t.Fatal(err)
 	}
 	base.Replace(t, list, []byte(`{"endpoints":[`+entry(1)+`,{"name":"n0","status":"Terminating"}]}`))
-	testkit.Eventually(t, "the new list", func() bool { _, on := dir.Place("n1"); return on && dir.Len() == 1 })
+	testutil.Eventually(t, "the new list", func() bool { _, on := dir.Place("n1"); return on && dir.Len() == 1 })
 	if got := served(); got != "two" {
 		t.Errorf("served by %q", got)
 	}
@@ -456,5 +456,5 @@
 	t.Helper()
 	s := r.d.routing.Load().services["a"]
 	from := s.source.(interface{ Looks() int64 }).Looks()
-	testkit.Eventually(t, "the file is looked at", func() bool { return s.source.(interface{ Looks() int64 }).Looks() > from+1 })
+	testutil.Eventually(t, "the file is looked at", func() bool { return s.source.(interface{ Looks() int64 }).Looks() > from+1 })
 }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -10,11 +10,11 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"orchiddrift/internal/acceptor"
 	"orchiddrift/internal/config"
 	leases "orchiddrift/internal/lease"
-	"orchiddrift/internal/leasegroup"
-	"orchiddrift/internal/taskrun"
+	"orchiddrift/internal/lease/raftgroup"
+	"orchiddrift/internal/server/acceptor"
+	"orchiddrift/internal/task/runner"
 )
 
 // runTasks has the process take its part in the fleet's tasks. Requests never wait for any of it.
@@ -27,13 +27,13 @@
 	if err != nil {
 		return fmt.Errorf("tasks: %w", err)
 	}
-	at, err := leasegroup.NewClient(f.Name, leasegroup.PeersOf(f))
+	at, err := raftgroup.NewClient(f.Name, raftgroup.PeersOf(f))
 	if err != nil {
 		return fmt.Errorf("tasks: %w", err)
 	}
 	d.besides.Go(func() {
 		defer at.Close()
-		err := taskrun.Run(ctx, taskrun.Options{Name: p.Name, Tasks: p.File.Tasks, At: at, Drift: f.Drift, Guard: []string{self, "lease", "--file", file, "guard"},
+		err := runner.Run(ctx, runner.Options{Name: p.Name, Tasks: p.File.Tasks, At: at, Drift: f.Drift, Guard: []string{self, "lease", "--file", file, "guard"},
 			Listen: func() string { return d.listening.Addr().String() }, Room: f.Tasks, Seed: p.Seed ^ xxhash.Sum64String("tasks"),
 			Drains: func() bool { return d.course.stopping.Load() || !d.course.wanted.Load() }, Now: time.Now, Log: d.log})
 		if err != nil {
@@ -70,7 +70,7 @@
 }
 
 func (d *daemon) member(ctx context.Context, f *leases.Declaration, l net.Listener) error {
-	m, err := leasegroup.New(ctx, leasegroup.Options{Fleet: f.Name, Name: f.Member, Peers: leasegroup.PeersOf(f), File: f.File, Limits: f.Limits(),
+	m, err := raftgroup.New(ctx, raftgroup.Options{Fleet: f.Name, Name: f.Member, Peers: raftgroup.PeersOf(f), File: f.File, Limits: f.Limits(),
 		Drift: f.Drift, Tick: f.Tick.D(), Log: d.log})
 	if err != nil {
 		l.Close()
--- a/internal/daemon/gone_test.go
+++ b/internal/daemon/gone_test.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"orchiddrift/internal/engine"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // startLooking starts a daemon that need not be ready, and gives its engine.
@@ -25,19 +25,19 @@
 		t.Fatal(err)
 	}
 	up := make(chan *engine.Engine, 1)
-	r := startOn(t, testkit.Config(t, discovery, known...), l, func(e *engine.Engine) { up <- e })
+	r := startOn(t, testutil.Config(t, discovery, known...), l, func(e *engine.Engine) { up <- e })
 	return r, <-up
 }
 
 // withheld is a discovery that is well and has no list before tell is closed: then it lists upstream s at an address.
-func withheld(t *testing.T, address string) (d *standin.ScriptedDiscovery, tell chan struct{}) {
+func withheld(t *testing.T, address string) (d *fakes.ScriptedDiscovery, tell chan struct{}) {
 	t.Helper()
 	tell = make(chan struct{})
-	return testkit.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
+	return testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send("")
 		select {
 		case <-tell:
-			send(testkit.List(1, true, testkit.Entry("s", address, "Ready")))
+			send(testutil.List(1, true, testutil.Entry("s", address, "Ready")))
 		case <-done:
 		}
 		<-done
@@ -57,12 +57,12 @@
 func TestClientGoneBehindItsNextRequest(t *testing.T) {
 	for _, behind := range []int{1, 100} { // within one read of the library, and far more
 		t.Run(fmt.Sprint(behind), func(t *testing.T) {
-			s := testkit.Raw(t, standin.Says(standin.OK200("")))
+			s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 			d, tell := withheld(t, s.Address)
 			r, e := startLooking(t, d.Address)
 			c := dial(t, r.address, nil)
 			c.send(t, "confirm", "")
-			testkit.Eventually(t, "the request waits for the list", func() bool { return e.InHand() == 1 })
+			testutil.Eventually(t, "the request waits for the list", func() bool { return e.InHand() == 1 })
 			for range behind {
 				c.send(t, "confirm", "")
 			}
@@ -96,10 +96,10 @@
 // Guards against the same while the connection to the upstream comes up late.
 func TestClientGoneWhileAConnectionComesUp(t *testing.T) {
 	late := base.NewLate(t)
-	r, e := startLooking(t, testkit.Quiet(t).Address, testkit.Entry("s", late.Address, "Ready"))
+	r, e := startLooking(t, testutil.Quiet(t).Address, testutil.Entry("s", late.Address, "Ready"))
 	c := dial(t, r.address, nil)
 	c.send(t, "confirm", "")
-	testkit.Eventually(t, "the attempt waits for its connection", func() bool { return pending(e) == 1 })
+	testutil.Eventually(t, "the attempt waits for its connection", func() bool { return pending(e) == 1 })
 	c.Close()
 	seen(e)
 	late.ComeUp()
@@ -131,9 +131,9 @@
 			status, _, _ := pay(ctx, r, "/record/1", "k", "")
 			ended <- status
 		}()
-		testkit.Eventually(t, "the attempt waits for its connection", func() bool { return pending(e) == 1 })
+		testutil.Eventually(t, "the attempt waits for its connection", func() bool { return pending(e) == 1 })
 	}
-	testkit.Eventually(t, "the second one waits too", func() bool { return r.d.course.conns.Open() == 2 })
+	testutil.Eventually(t, "the second one waits too", func() bool { return r.d.course.conns.Open() == 2 })
 	leave[0]()
 	<-ended
 	if pending(e) != 1 {
@@ -156,7 +156,7 @@
 
 // Guards against the same in a burst: many clients wait for the first list, and all have gone when it comes.
 func TestManyClientsGoneAtOnce(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("")))
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	d, tell := withheld(t, s.Address)
 	r, e := startLooking(t, d.Address)
 	var all []*dialed
@@ -165,14 +165,14 @@
 		c.send(t, []string{"search", "confirm", "record"}[n%3], strings.Repeat("x", n%3*100))
 		all = append(all, c)
 	}
-	testkit.Eventually(t, "all wait for the list", func() bool { return e.InHand() == len(all) })
+	testutil.Eventually(t, "all wait for the list", func() bool { return e.InHand() == len(all) })
 	for n, c := range all {
 		if n%2 == 0 { // closed, or reset
 			_ = c.Conn.(*net.TCPConn).SetLinger(0)
 		}
 		c.Close()
 	}
-	testkit.Eventually(t, "their ends have come", func() bool { return e.InHand() == 0 })
+	testutil.Eventually(t, "their ends have come", func() bool { return e.InHand() == 0 })
 	close(tell)
 	other := dial(t, r.address, nil)
 	other.send(t, "search", "")
@@ -198,7 +198,7 @@
 	for _, body := range []string{op(`mutation{confirm(id:"a")}`), op("{seats}"), "[" + op("{seats}") + "," + op(`{coach}`) + "]"} {
 		clients.Go(func() { rig.post(ctx, body) })
 	}
-	testkit.Eventually(t, "all wait for their connections", func() bool { return e.InHand() >= 3 })
+	testutil.Eventually(t, "all wait for their connections", func() bool { return e.InHand() >= 3 })
 	leave()
 	clients.Wait()
 	seen(e)
@@ -217,13 +217,13 @@
 // Guards against clients that send and go, again and again, to an upstream that hangs: their connections and their attempts give way to
 // those who wait, on both sides.
 func TestGoneClientsGiveWay(t *testing.T) {
-	s := testkit.Raw(t, func(c net.Conn, g standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		if strings.HasPrefix(g.Target, "/confirm") {
-			return standin.Silent(c, g)
+			return fakes.Silent(c, g)
 		}
-		return standin.Says(standin.OK200("whole"))(c, g)
+		return fakes.Says(fakes.OK200("whole"))(c, g)
 	})
-	c := testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready"))
+	c := testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"))
 	c.Limits.Sockets = ownSockets + 2*4
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -240,7 +240,7 @@
 			c.send(t, "confirm", "")
 			all = append(all, c)
 		}
-		testkit.Eventually(t, "they are at the upstream", func() bool {
+		testutil.Eventually(t, "they are at the upstream", func() bool {
 			n := 0
 			for _, g := range s.Requests() {
 				if strings.HasPrefix(g.Target, "/confirm") {
--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -12,12 +12,12 @@
 	"github.com/cespare/xxhash/v2"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/doorkeeper"
+	"orchiddrift/internal/admission/controller"
 	"orchiddrift/internal/engine"
-	"orchiddrift/internal/figures"
 	"orchiddrift/internal/graphql"
-	"orchiddrift/internal/httphead"
-	"orchiddrift/internal/intake"
+	"orchiddrift/internal/httpheader"
+	"orchiddrift/internal/metrics"
+	"orchiddrift/internal/server/downstream"
 	"orchiddrift/internal/upstream"
 )
 
@@ -28,7 +28,7 @@
 	w        http.ResponseWriter
 	r        *http.Request
 	svc      *service
-	req      intake.Request
+	req      downstream.Request
 	id       string
 	endpoint *graphql.Endpoint
 	lease    *lease
@@ -36,7 +36,7 @@
 	begun    time.Duration
 	media    string // of the answer
 	entries  int
-	taken    *[]figures.Taken // of the entries, kept where the request is decided anew
+	taken    *[]metrics.Taken // of the entries, kept where the request is decided anew
 }
 
 // serve answers the request, or tells that it is to be decided anew: its route ended before anything was sent.
@@ -52,7 +52,7 @@
 		header = nil
 	}
 	if len(*c.taken) != c.entries {
-		*c.taken = make([]figures.Taken, c.entries)
+		*c.taken = make([]metrics.Taken, c.entries)
 	}
 	entries := make([]*operation, c.entries)
 	problems := asked.Problems
@@ -143,7 +143,7 @@
 	answer   engine.Answer
 	conflict int  // the status of its key's conflict; 0: there is none
 	unsent   bool // its route ended, and nothing was sent
-	taken    *figures.Taken
+	taken    *metrics.Taken
 
 	failedMu sync.Mutex
 	failed   *upstream.Reply // the latest attempt's, where that was a node's word of its failure
@@ -169,8 +169,8 @@
 	}
 	req.Header["Accept"] = []string{c.media}
 	req.Header["Content-Type"] = []string{graphql.MediaJSON}
-	if given := req.Header[httphead.ID]; len(given) == 0 || given[0] == c.id {
-		req.Header[httphead.ID] = []string{o.id}
+	if given := req.Header[httpheader.ID]; len(given) == 0 || given[0] == c.id {
+		req.Header[httpheader.ID] = []string{o.id}
 	}
 	if c.r.Method == http.MethodGet {
 		req.Target, _, _ = strings.Cut(req.Target, "?")
@@ -193,12 +193,12 @@
 				x := &operation{exchange: exchange{pool: o.pool, request: o.request}, call: c, decision: *d}
 				return x, x.end
 			}))
-			pass.Done(doorkeeper.Ended(o.answer))
+			pass.Done(controller.Ended(o.answer))
 			return
 		}
 		c.svc.probes.before(c.r.Context())
 		o.answer = c.svc.engine.Do(c.r.Context(), call, o)
-		pass.Done(doorkeeper.Ended(o.answer))
+		pass.Done(controller.Ended(o.answer))
 	}
 	switch o.answer.Kind {
 	case engine.Refused, engine.Failed, engine.Closed:
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 const graphqlFile = `
@@ -57,19 +57,19 @@
 // graphqlRig is a daemon with an endpoint before stand-in nodes.
 type graphqlRig struct {
 	*fileRig
-	nodes  []*standin.Node
-	ledger *standin.Ledger
+	nodes  []*fakes.Node
+	ledger *fakes.Ledger
 	file   string
 }
 
-func startGraphQL(t *testing.T, deadline string, nodes ...standin.NodeOptions) *graphqlRig {
+func startGraphQL(t *testing.T, deadline string, nodes ...fakes.NodeOptions) *graphqlRig {
 	t.Helper()
-	r := &graphqlRig{ledger: standin.NewLedger()}
+	r := &graphqlRig{ledger: fakes.NewLedger()}
 	var addresses []string
-	keys := standin.NewKeyMemory(6 * time.Second)
+	keys := fakes.NewKeyMemory(6 * time.Second)
 	for i, o := range nodes {
 		o.Name, o.Ledger, o.Keys, o.Seed = fmt.Sprint("n", i), r.ledger, keys, uint64(i+1)
-		n := standin.NewNode(o)
+		n := fakes.NewNode(o)
 		t.Cleanup(n.Close)
 		at, err := n.ListenGraphQL("127.0.0.1:0")
 		if err != nil {
@@ -135,7 +135,7 @@
 
 // The published protocol: methods, media types, statuses by them, persisted queries, and what is turned down.
 func TestGraphQLOverHTTP(t *testing.T) {
-	r := startGraphQL(t, "10s", standin.NodeOptions{})
+	r := startGraphQL(t, "10s", fakes.NodeOptions{})
 	hash := strings.Repeat("0", 64)
 	get := func(query string) string { return "/graphql?query=" + url.QueryEscape(query) }
 	for _, c := range []struct {
@@ -194,21 +194,21 @@
 // One that is proved not to have run goes to another node, by whatever word, and a query goes to another after any failure.
 func TestGraphQLOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
-		fault standin.FaultKind
+		fault fakes.FaultKind
 		want  string // what a client of a mutation gets, where every node is struck
 		moves bool   // else it is answered by another
 	}{
-		"says nothing":    {standin.LoseAnswer, "502 UPSTREAM_FAILED", false},
-		"no JSON":         {standin.Garble, "502 UPSTREAM_FAILED", false},
-		"500":             {standin.Fail, "502 UPSTREAM_FAILED", false},
-		"errors, failing": {standin.ErrorRan, "502 SERVICE_UNAVAILABLE", false},
-		"errors, not run": {standin.ErrorUnrun, "503 REFUSED", true},
-		"turned away":     {standin.TurnAway, "503 REFUSED", true},
+		"says nothing":    {fakes.LoseAnswer, "502 UPSTREAM_FAILED", false},
+		"no JSON":         {fakes.Garble, "502 UPSTREAM_FAILED", false},
+		"500":             {fakes.Fail, "502 UPSTREAM_FAILED", false},
+		"errors, failing": {fakes.ErrorRan, "502 SERVICE_UNAVAILABLE", false},
+		"errors, not run": {fakes.ErrorUnrun, "503 REFUSED", true},
+		"turned away":     {fakes.TurnAway, "503 REFUSED", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			of := func(class string) standin.NodeOptions {
-				return standin.NodeOptions{Faults: []standin.Fault{{Kind: c.fault, Class: class}}}
+			of := func(class string) fakes.NodeOptions {
+				return fakes.NodeOptions{Faults: []fakes.Fault{{Kind: c.fault, Class: class}}}
 			}
 			alone := startGraphQL(t, "700ms", of("mutation"))
 			begun := time.Now()
@@ -225,7 +225,7 @@
 			if says := strings.Contains(body, `"mayHaveRun":true`); says != (c.want == "502 UPSTREAM_FAILED") {
 				t.Errorf("it says %s", body)
 			}
-			two := startGraphQL(t, "700ms", of(""), standin.NodeOptions{})
+			two := startGraphQL(t, "700ms", of(""), fakes.NodeOptions{})
 			missed := 0
 			for i := range 20 {
 				id := fmt.Sprint("m", i)
@@ -316,7 +316,7 @@
 		{"q0 q1 m0", map[string]string{"q0": "large", "q1": "large", "m0": "large"}, "ok ok ANSWER_TOO_LARGE", 200, "m0"},
 	} {
 		// A mutation that was given up on ends at its upstream a moment after its batch is answered, and is none of the next one's.
-		testkit.Eventually(t, "the last batch's mutations have ended at the upstream", func() bool {
+		testutil.Eventually(t, "the last batch's mutations have ended at the upstream", func() bool {
 			mu.Lock()
 			defer mu.Unlock()
 			return out == 0
@@ -387,7 +387,7 @@
 
 // A query whose client leaves while its second copy runs leaves nothing behind.
 func TestGraphQLClientLeaves(t *testing.T) {
-	lost := standin.NodeOptions{Cores: 4, Work: time.Millisecond, Faults: []standin.Fault{{Kind: standin.LoseAnswer, Class: "query", From: 300 * time.Millisecond}}}
+	lost := fakes.NodeOptions{Cores: 4, Work: time.Millisecond, Faults: []fakes.Fault{{Kind: fakes.LoseAnswer, Class: "query", From: 300 * time.Millisecond}}}
 	r := startGraphQL(t, "20s", lost, lost, lost)
 	leaves, leave := context.WithCancel(t.Context())
 	defer leave()
@@ -400,7 +400,7 @@
 			}
 		})
 	}
-	testkit.Eventually(t, "copies run beside hanging queries", func() bool { return copies(r) > clients })
+	testutil.Eventually(t, "copies run beside hanging queries", func() bool { return copies(r) > clients })
 	leave()
 	wg.Wait()
 	if status, _, body := r.post(t.Context(), op(`mutation{confirm(id:"a")}`)); status != 200 {
@@ -419,7 +419,7 @@
 // A reload that changes an endpoint's classes counts for what comes then, and a file that can't be used changes nothing; what
 // has been learnt stays where the endpoint does.
 func TestGraphQLReload(t *testing.T) {
-	r := startGraphQL(t, "10s", standin.NodeOptions{})
+	r := startGraphQL(t, "10s", fakes.NodeOptions{})
 	ask := func() int {
 		status, _, _ := r.post(t.Context(), op(`{seats}`))
 		return status
@@ -449,17 +449,17 @@
 // query after any failure, a mutation only where the answer says that it has not run. No mutation runs twice, and every
 // request has one answer.
 func TestGraphQLNothingRunsTwice(t *testing.T) {
-	var nodes []standin.NodeOptions
+	var nodes []fakes.NodeOptions
 	for n := range 6 {
-		o := standin.NodeOptions{Cores: 16}
-		for k := standin.TurnAway; k <= standin.GoAway; k++ {
+		o := fakes.NodeOptions{Cores: 16}
+		for k := fakes.TurnAway; k <= fakes.GoAway; k++ {
 			share := 0.04
-			if k == standin.LoseAnswer || k == standin.Hang {
+			if k == fakes.LoseAnswer || k == fakes.Hang {
 				share = 0.01 // each costs its caller the whole deadline
 			}
-			o.Faults = append(o.Faults, standin.Fault{Kind: k, Share: share})
+			o.Faults = append(o.Faults, fakes.Fault{Kind: k, Share: share})
 		}
-		o.Faults = append(o.Faults, standin.Fault{Kind: standin.Freeze, From: time.Duration(n) * 70 * time.Millisecond, Every: time.Second, For: 60 * time.Millisecond})
+		o.Faults = append(o.Faults, fakes.Fault{Kind: fakes.Freeze, From: time.Duration(n) * 70 * time.Millisecond, Every: time.Second, For: 60 * time.Millisecond})
 		nodes = append(nodes, o)
 	}
 	r := startGraphQL(t, "300ms", nodes...)
@@ -536,14 +536,14 @@
 	}
 	t.Logf("%d faults; %d mutations ran; %d served, %d refused, %d failed; queries %d, lost %d", failures(), r.ledger.Operations("mutation"),
 		served.Load(), refused.Load(), failed.Load(), queries.Load(), lost.Load())
-	testkit.Eventually(t, "nothing is left in hand", func() bool { return r.d.routing.Load().services["seats"].engine.InHand() == 0 })
+	testutil.Eventually(t, "nothing is left in hand", func() bool { return r.d.routing.Load().services["seats"].engine.InHand() == 0 })
 }
 
 // Guards against a keyed operation that runs and is taken for one that was never sent: its attempts are made on behalf of its key, apart
 // from the request, and count as well. A reload takes its endpoint and the store away while a node has it, then that node dies: the
 // operation is not decided anew by the new file, which knows nothing of its key.
 func TestGraphQLKeyedIsNotDecidedAnew(t *testing.T) {
-	busy := standin.NodeOptions{Work: time.Hour}
+	busy := fakes.NodeOptions{Work: time.Hour}
 	r := startGraphQL(t, "10s", busy, busy)
 	if err := r.reload(t, r.file+"[[repeats]]\nservice = \"seats\"\n"); err != nil {
 		t.Fatal(err)
@@ -562,7 +562,7 @@
 		status, _, body := r.post(context.Background(), op(`mutation{record(requestId:"k")}`))
 		got <- fmt.Sprint(status, " ", body)
 	}()
-	testkit.Eventually(t, "a node has it", func() bool { return len(arrived()) == 1 })
+	testutil.Eventually(t, "a node has it", func() bool { return len(arrived()) == 1 })
 	if err := r.reload(t, strings.Replace(r.file, `["SERVICE_UNAVAILABLE"]`, `["GONE"]`, 1)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/operate.go
+++ b/internal/daemon/operate.go
@@ -3,8 +3,8 @@
 import (
 	"net/http"
 
-	"orchiddrift/internal/control"
 	"orchiddrift/internal/handover"
+	"orchiddrift/internal/server/control"
 )
 
 // operate answers the operators' calls. Nothing in it waits for traffic: the figures are counters, and the module's lock is held
--- a/internal/daemon/operate_test.go
+++ b/internal/daemon/operate_test.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // operated starts a sidecar that operators can call.
@@ -22,7 +22,7 @@
 	t.Helper()
 	c.Control = base.FreeAddress(t)
 	r := start(t, c, "127.0.0.1:0")
-	client := &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
 	return r, func(method, path string) (int, string) {
 		t.Helper()
 		req, err := http.NewRequest(method, "http://"+c.Control+path, nil)
@@ -63,8 +63,8 @@
 
 // Guards against calls that are taken on the clients' address, and against a wrong path or method that does something.
 func TestOperatorsCalls(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("a")))
-	r, call := operated(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")))
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("a")))
+	r, call := operated(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")))
 	for _, c := range []struct {
 		method, path string
 		want         int
@@ -94,19 +94,19 @@
 // whole and those that never were, and requests that are not taken at all.
 func TestFiguresAreWhatHappened(t *testing.T) {
 	hold := make(chan struct{})
-	s := testkit.Raw(t, func(c net.Conn, got standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, got fakes.Got) bool {
 		switch {
 		case strings.Contains(got.Target, "full"):
-			return standin.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")(c, got)
+			return fakes.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")(c, got)
 		case strings.Contains(got.Target, "break"):
 			return false
 		case strings.Contains(got.Target, "hold"):
 			<-hold
 		}
-		return standin.Says(standin.OK200("a"))(c, got)
+		return fakes.Says(fakes.OK200("a"))(c, got)
 	})
-	r, call := operated(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready"),
-		testkit.Entry("t", "127.0.0.1:1", "Terminating")))
+	r, call := operated(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"),
+		testutil.Entry("t", "127.0.0.1:1", "Terminating")))
 	f := figuresOf(t, call)
 	for _, class := range []string{"search", "record", "confirm"} {
 		for _, end := range []string{"completed", "rejected", "failed"} {
@@ -119,7 +119,7 @@
 		t.Errorf("members %d, unavailable %d", f["members"], f["members_unavailable"])
 	}
 	ask := func(class, path string) int {
-		req := testkit.Request(t, r.address, class, "")
+		req := testutil.Request(t, r.address, class, "")
 		req.URL.Path = "/" + class + path
 		resp, _ := r.do(t, req)
 		return resp.StatusCode
@@ -138,15 +138,15 @@
 	if got := ask("nothing", "/1"); got != 404 { // not taken
 		t.Fatalf("answered %d", got)
 	}
-	req := testkit.Request(t, r.address, "record", "")
+	req := testutil.Request(t, r.address, "record", "")
 	req.URL.Path = "/record/hold"
 	later := r.later(req)
-	testkit.Eventually(t, "one is pending", func() bool { return figuresOf(t, call)["pending"] == 1 })
+	testutil.Eventually(t, "one is pending", func() bool { return figuresOf(t, call)["pending"] == 1 })
 	close(hold)
 	if got := <-later; !strings.HasPrefix(got, "200") {
 		t.Fatalf("answered %s", got)
 	}
-	testkit.Eventually(t, "none is pending", func() bool { return figuresOf(t, call)["pending"] == 0 })
+	testutil.Eventually(t, "none is pending", func() bool { return figuresOf(t, call)["pending"] == 0 })
 	f = figuresOf(t, call)
 	for name, want := range map[string]int{"downstream_requests.search.completed": 3, "downstream_requests.search.failed": 0,
 		"downstream_requests.confirm.rejected": 1, "downstream_requests.confirm.failed": 1, "downstream_requests.confirm.completed": 0,
@@ -165,13 +165,13 @@
 // the process serves again as soon as it is told to.
 func TestDrainAndUndrain(t *testing.T) {
 	hold := make(chan struct{})
-	s := testkit.Raw(t, func(c net.Conn, got standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, got fakes.Got) bool {
 		if strings.Contains(got.Target, "hold") {
 			<-hold
 		}
-		return standin.Says(standin.OK200("a"))(c, got)
+		return fakes.Says(fakes.OK200("a"))(c, got)
 	})
-	r, call := operated(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")))
+	r, call := operated(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")))
 	ready := func() int {
 		resp, err := http.Get("http://" + r.address + "/-/ready")
 		if err != nil {
@@ -209,7 +209,7 @@
 		}
 	}
 	ask(held, "hold")
-	testkit.Eventually(t, "it is held", func() bool { return figuresOf(t, call)["pending"] == 1 })
+	testutil.Eventually(t, "it is held", func() bool { return figuresOf(t, call)["pending"] == 1 })
 	begun := time.Now()
 	if status, _ := call("POST", "/drain"); status != 200 {
 		t.Fatalf("drain: %d", status)
@@ -257,16 +257,16 @@
 // A stop within a drain goes on to its end, and no undrain takes it back.
 func TestStopWithinADrain(t *testing.T) {
 	hold := make(chan struct{})
-	s := testkit.Raw(t, func(c net.Conn, got standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, got fakes.Got) bool {
 		<-hold
-		return standin.Says(standin.OK200("a"))(c, got)
+		return fakes.Says(fakes.OK200("a"))(c, got)
 	})
-	r, call := operated(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")))
-	later := r.later(testkit.Request(t, r.address, "search", ""))
-	testkit.Eventually(t, "it is held", func() bool { return figuresOf(t, call)["pending"] == 1 })
+	r, call := operated(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")))
+	later := r.later(testutil.Request(t, r.address, "search", ""))
+	testutil.Eventually(t, "it is held", func() bool { return figuresOf(t, call)["pending"] == 1 })
 	call("POST", "/drain")
 	r.stop()
-	testkit.Eventually(t, "it stops", func() bool { status, _ := call("GET", "/ready"); return status == 503 })
+	testutil.Eventually(t, "it stops", func() bool { status, _ := call("GET", "/ready"); return status == 503 })
 	if status, text := call("POST", "/undrain"); status != 503 || !strings.Contains(text, "stopping") {
 		t.Errorf("undrain: %d %q", status, text)
 	}
--- a/internal/daemon/pipeline_test.go
+++ b/internal/daemon/pipeline_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // Guards against bytes that are lost, doubled or mixed up where requests come behind the one in hand, which is read ahead of the server:
@@ -24,13 +24,13 @@
 func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	var mu sync.Mutex
 	got := map[string]string{}
-	s := testkit.Raw(t, func(c net.Conn, g standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		mu.Lock()
 		got[g.Header.Get("X-Request-Id")] = g.Body
 		mu.Unlock()
-		return standin.Says(standin.OK200(g.Header.Get("X-Request-Id")))(c, g)
+		return fakes.Says(fakes.OK200(g.Header.Get("X-Request-Id")))(c, g)
 	})
-	r := start(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	for seed := range uint64(6) {
 		g := rand.New(rand.NewPCG(seed, 5))
 		c := dial(t, r.address, nil)
@@ -42,7 +42,7 @@
 			if class != "search" {
 				body = strings.Repeat(fmt.Sprintf("%x;", g.Uint64()), g.IntN(80))
 			}
-			req := testkit.Request(t, r.address, class, body)
+			req := testutil.Request(t, r.address, class, body)
 			if err := req.Write(&text); err != nil {
 				t.Fatal(err)
 			}
@@ -105,7 +105,7 @@
 	for range 40 {
 		_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: s\r\n\r\n")
 	}
-	testkit.Eventually(t, "the first is at the upstream", func() bool { return e.asked.Load() > asked })
+	testutil.Eventually(t, "the first is at the upstream", func() bool { return e.asked.Load() > asked })
 	c.Close()
 	e.client.CloseIdleConnections()
 	e.stop()
--- a/internal/daemon/probing.go
+++ b/internal/daemon/probing.go
@@ -8,17 +8,17 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/probe"
+	"orchiddrift/internal/upstream/loadprobe"
 )
 
 // probing asks upstreams of a service for their load, as package probe decides, and tells the module. It is safe for concurrent
 // use.
 type probing struct {
 	s *service
-	o probe.Options
+	o loadprobe.Options
 
 	mu     sync.Mutex
-	p      *probe.Prober
+	p      *loadprobe.Prober
 	listed map[string]bool
 	looked time.Duration
 	closed bool
@@ -29,8 +29,8 @@
 // at each write.
 const probeLook = 250 * time.Millisecond
 
-func newProbing(s *service, o probe.Options, rng *rand.Rand) *probing {
-	return &probing{s: s, o: o, p: probe.New(o, rng), listed: map[string]bool{}, looked: -probeLook}
+func newProbing(s *service, o loadprobe.Options, rng *rand.Rand) *probing {
+	return &probing{s: s, o: o, p: loadprobe.New(o, rng), listed: map[string]bool{}, looked: -probeLook}
 }
 
 // before asks what is to be asked before a request, and returns once all but one have answered, or patience has ended: one upstream
--- a/internal/daemon/probing_test.go
+++ b/internal/daemon/probing_test.go
@@ -7,21 +7,21 @@
 	"time"
 
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
 )
 
 // A sidecar that sends little asks before each request, goes to who is idle and not to who is busy with others' requests, waits
 // for no one who says nothing, and asks nobody where nothing is set or much is sent.
 func TestProbes(t *testing.T) {
-	ledger := standin.NewLedger()
+	ledger := fakes.NewLedger()
 	var addresses []string
 	for i := range 6 {
-		o := standin.NodeOptions{Name: fmt.Sprint("n", i), Ledger: ledger, Cores: 64, Work: time.Millisecond}
+		o := fakes.NodeOptions{Name: fmt.Sprint("n", i), Ledger: ledger, Cores: 64, Work: time.Millisecond}
 		if i == 5 {
-			o.Faults = []standin.Fault{{Kind: standin.Freeze}}
+			o.Faults = []fakes.Fault{{Kind: fakes.Freeze}}
 		}
-		n := standin.NewNode(o)
+		n := fakes.NewNode(o)
 		t.Cleanup(n.Close)
 		at, err := n.ListenHTTP("127.0.0.1:0")
 		if err != nil {
@@ -42,7 +42,7 @@
 	ask := func(r *fileRig, n int, want int) {
 		t.Helper()
 		for i := range n {
-			q := testkit.Request(t, r.address, "search", "")
+			q := testutil.Request(t, r.address, "search", "")
 			q.Header.Del("X-Priority-Class")
 			if resp, body := r.do(t, q); resp.StatusCode != want {
 				t.Fatalf("%d: %s %s", i, resp.Status, body)
@@ -70,7 +70,7 @@
 			t.Errorf("%q is taken", bad)
 		}
 	}
-	if _, err := config.ParseBeside(testkit.Config(t, "127.0.0.1:1"), []byte("[platform.probe]\non = true\n")); err == nil ||
+	if _, err := config.ParseBeside(testutil.Config(t, "127.0.0.1:1"), []byte("[platform.probe]\non = true\n")); err == nil ||
 		!strings.Contains(err.Error(), "allow no probes") {
 		t.Errorf("probes that the platform does not allow: %v", err)
 	}
--- a/internal/daemon/reading.go
+++ b/internal/daemon/reading.go
@@ -2,12 +2,12 @@
 
 import (
 	"orchiddrift/internal/engine"
-	"orchiddrift/internal/figures"
+	"orchiddrift/internal/metrics"
 )
 
 // read reads the figures. The upstreams are those of all services, and which of them are avoided is the module's own word; those
 // that drain are avoided too.
-func (d *daemon) read() figures.Figures {
+func (d *daemon) read() metrics.Figures {
 	f := d.figures.Read()
 	for _, s := range d.routing.Load().services {
 		ready, leaving := 0, s.dir.Leaving()
@@ -33,12 +33,12 @@
 }
 
 // endOf is a final answer as the figures count it.
-func endOf(k engine.Kind) figures.End {
+func endOf(k engine.Kind) metrics.End {
 	switch k {
 	case engine.Served:
-		return figures.Completed
+		return metrics.Completed
 	case engine.Refused:
-		return figures.Rejected
+		return metrics.Rejected
 	}
-	return figures.Failed
+	return metrics.Failed
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/keys"
+	"orchiddrift/internal/tlscredentials"
 	"orchiddrift/internal/tomlfile"
 )
 
@@ -206,7 +206,7 @@
 	if !p.TLS.On() || d.keys.Load() != nil && reflect.DeepEqual(p.TLS, d.plan.TLS) {
 		return func() {}, nil
 	}
-	store, err := keys.Open(keys.Files{Certificate: p.TLS.Certificate, Key: p.TLS.Key, CA: p.TLS.ClientCA},
+	store, err := tlscredentials.Open(tlscredentials.Files{Certificate: p.TLS.Certificate, Key: p.TLS.Key, CA: p.TLS.ClientCA},
 		p.TLS.WarnBefore.D(), d.log)
 	if err != nil {
 		return nil, fmt.Errorf("tls: %w", err)
@@ -219,6 +219,6 @@
 		d.stopKeys = stop
 		d.besides.Go(func() { store.Run(ctx) })
 		d.keys.Store(store)
-		d.tls.Store(keys.Server(store, p.TLS))
+		d.tls.Store(tlscredentials.Server(store, p.TLS))
 	}, nil
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -12,30 +12,30 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
 )
 
 // Guards against a reload that loses the list or follows two: a new address is asked for the whole list at once,
 // since its versions are its own, and the old watch ends. A malformed file and a repeated signal change nothing.
 func TestReload(t *testing.T) {
-	said := testkit.Logged(t)
+	said := testutil.Logged(t)
 	ended := make(chan struct{})
-	first := testkit.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
-		send(testkit.List(40, false))
+	first := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
+		send(testutil.List(40, false))
 		<-done
 		close(ended)
 	})
-	s, moved := testkit.Raw(t, standin.Says(standin.OK200("old"))), testkit.Raw(t, standin.Says(standin.OK200("new")))
-	second := testkit.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
+	s, moved := testutil.Raw(t, fakes.Says(fakes.OK200("old"))), testutil.Raw(t, fakes.Says(fakes.OK200("new")))
+	second := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
 		if n == 1 {
-			send(testkit.List(3, true, testkit.Entry("m", moved.Address, "Ready")))
+			send(testutil.List(3, true, testutil.Entry("m", moved.Address, "Ready")))
 			return
 		}
 		send("")
 		<-done
 	})
-	c := testkit.Config(t, first.Address, testkit.Entry("s", s.Address, "Ready"))
+	c := testutil.Config(t, first.Address, testutil.Entry("s", s.Address, "Ready"))
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -50,25 +50,25 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	over := make(chan error, 1)
 	go func() { over <- Serve(ctx, c, l, path, hup, nil) }()
-	r := &running{address: l.Addr().String(), client: &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{DisableKeepAlives: true}}}
-	testkit.Eventually(t, "the first watch", func() bool { return slices.Equal(first.Calls(), []string{"1"}) })
+	r := &running{address: l.Addr().String(), client: &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: true}}}
+	testutil.Eventually(t, "the first watch", func() bool { return slices.Equal(first.Calls(), []string{"1"}) })
 
 	write(`{"name":`)
 	hup <- syscall.SIGHUP
-	testkit.Eventually(t, "the malformed file is reported", func() bool {
+	testutil.Eventually(t, "the malformed file is reported", func() bool {
 		return strings.Contains(said(), "the old configuration stays")
 	})
-	write(testkit.ConfigText(second.Address))
+	write(testutil.ConfigText(second.Address))
 	hup <- syscall.SIGHUP
 	select {
 	case <-ended:
-	case <-time.After(testkit.Patience):
+	case <-time.After(testutil.Patience):
 		t.Fatal("the old watch goes on")
 	}
-	testkit.Eventually(t, "the whole list, then a watch from its version", func() bool {
+	testutil.Eventually(t, "the whole list, then a watch from its version", func() bool {
 		return slices.Equal(second.Calls(), []string{"", "3"})
 	})
-	if resp, body := r.do(t, testkit.Request(t, r.address, "search", "")); resp.StatusCode != 200 || body != "new" {
+	if resp, body := r.do(t, testutil.Request(t, r.address, "search", "")); resp.StatusCode != 200 || body != "new" {
 		t.Errorf("after the reload: %s %q", resp.Status, body)
 	}
 	for range 3 {
--- a/internal/daemon/repeats.go
+++ b/internal/daemon/repeats.go
@@ -11,8 +11,8 @@
 	"orchiddrift/balancer"
 	"orchiddrift/internal/config"
 	"orchiddrift/internal/engine"
-	"orchiddrift/internal/repeatkeeper"
-	"orchiddrift/internal/repeats"
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/idempotency/executor"
 	"orchiddrift/internal/upstream"
 )
 
@@ -21,23 +21,23 @@
 
 // openRepeats finds or makes the keeper of a service's keys. It outlives the service: one that a reload starts anew, or takes
 // away for a while, knows its keys again.
-func (sh *shared) openRepeats(plan config.ServicePlan) (*repeatkeeper.Keeper, error) {
+func (sh *shared) openRepeats(plan config.ServicePlan) (*executor.Keeper, error) {
 	if plan.Repeats == nil {
 		return nil, nil
 	}
 	sh.repeatsMu.Lock()
 	defer sh.repeatsMu.Unlock()
 	if k := sh.repeats[plan.Name]; k != nil {
-		k.Configure(plan.Repeats.Options, repeatkeeper.Windows(&plan.Settings.Settings))
+		k.Configure(plan.Repeats.Options, executor.Windows(&plan.Settings.Settings))
 		return k, nil
 	}
-	k, err := repeatkeeper.Open(sh.filesCtx, *plan.Repeats, plan.Name, &plan.Settings.Settings, sh.filesPatience, repeatkeeper.Options{Clock: sh.clock,
+	k, err := executor.Open(sh.filesCtx, *plan.Repeats, plan.Name, &plan.Settings.Settings, sh.filesPatience, executor.Options{Clock: sh.clock,
 		Log: sh.log.With("service", plan.Name), Step: repeatStep})
 	if err != nil {
 		return nil, fmt.Errorf("repeats: %w", err)
 	}
 	if sh.repeats == nil {
-		sh.repeats = map[string]*repeatkeeper.Keeper{}
+		sh.repeats = map[string]*executor.Keeper{}
 	}
 	sh.repeats[plan.Name] = k
 	return k, nil
@@ -72,7 +72,7 @@
 }
 
 // keyed tells whether a request's repeats are looked for.
-func (s *service) keyed(class *balancer.Class, key string) *repeatkeeper.Keeper {
+func (s *service) keyed(class *balancer.Class, key string) *executor.Keeper {
 	if class.Effect != balancer.Keyed || key == "" {
 		return nil
 	}
@@ -83,13 +83,13 @@
 type attempts struct {
 	engine.Carrier
 	s      *service
-	sends  repeatkeeper.Sends
+	sends  executor.Sends
 	mayRun *atomic.Int64 // of them, so many
 }
 
 // Carry is engine.Carrier's.
 func (c attempts) Carry(ctx context.Context, a engine.Attempt) engine.Reply {
-	x := repeats.Send{Zone: a.Zone, Cell: a.Cell, Sent: c.s.shared.clock.Now()}
+	x := idempotency.Send{Zone: a.Zone, Cell: a.Cell, Sent: c.s.shared.clock.Now()}
 	c.sends.Sent(x)
 	c.mayRun.Add(1)
 	r := c.Carrier.Carry(ctx, a)
@@ -103,15 +103,15 @@
 
 // once gives a keyed request the end of the first one of its key. It runs apart from its clients where it is the first: carrier makes
 // what carries out its attempts, and end gives back what those held.
-func (s *service) once(ctx context.Context, k *repeatkeeper.Keeper, call engine.Call, key, method, target string, body []byte,
-	carrier func() (c engine.Carrier, end func())) repeatkeeper.Result {
+func (s *service) once(ctx context.Context, k *executor.Keeper, call engine.Call, key, method, target string, body []byte,
+	carrier func() (c engine.Carrier, end func())) executor.Result {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s\x00%s\x00", method, target) // a hash takes everything
 	h.Write(body)
 	ctx, cancel := context.WithTimeout(ctx, call.Expires-s.shared.clock.Now())
 	defer cancel()
-	return k.Do(ctx, repeats.ID{Tenant: call.Tenant, Class: call.Class, Key: key}, repeats.Print(h.Sum(nil)[:16]),
-		func(wanted context.Context, prior []repeats.Send, sends repeatkeeper.Sends) repeatkeeper.Ended {
+	return k.Do(ctx, idempotency.ID{Tenant: call.Tenant, Class: call.Class, Key: key}, idempotency.Print(h.Sum(nil)[:16]),
+		func(wanted context.Context, prior []idempotency.Send, sends executor.Sends) executor.Ended {
 			c, end := carrier()
 			defer end()
 			for _, x := range prior {
@@ -123,15 +123,15 @@
 			switch a.Kind {
 			case engine.Served:
 				rep := a.Value.(*upstream.Reply)
-				return repeatkeeper.Ended{Verdict: repeats.Replay, Answer: &repeats.Answer{Status: rep.Status, Header: rep.Header, Body: rep.Body}}
+				return executor.Ended{Verdict: idempotency.Replay, Answer: &idempotency.Answer{Status: rep.Status, Header: rep.Header, Body: rep.Body}}
 			case engine.Refused, engine.Duplicate, engine.Closed:
-				return repeatkeeper.Ended{Verdict: repeats.Refuse, RetryIn: a.RetryIn}
+				return executor.Ended{Verdict: idempotency.Refuse, RetryIn: a.RetryIn}
 			case engine.Abandoned: // all have left
 				if mayRun.Load() == 0 && len(prior) == 0 {
-					return repeatkeeper.Ended{Verdict: repeats.Refuse}
+					return executor.Ended{Verdict: idempotency.Refuse}
 				}
 			}
-			return repeatkeeper.Ended{Verdict: repeats.Fail}
+			return executor.Ended{Verdict: idempotency.Fail}
 		})
 }
 
@@ -139,11 +139,11 @@
 const replayed = "Idempotent-Replayed"
 
 // answerOf is a Result as the engine would have told it; conflict is not 0 where it has no word for it.
-func answerOf(r repeatkeeper.Result) (a engine.Answer, conflict int) {
+func answerOf(r executor.Result) (a engine.Answer, conflict int) {
 	switch {
 	case r.Left:
 		return engine.Answer{Kind: engine.Abandoned}, 0
-	case r.Verdict == repeats.Replay:
+	case r.Verdict == idempotency.Replay:
 		rep := &upstream.Reply{Status: r.Answer.Status, Header: r.Answer.Header, Body: r.Answer.Body}
 		if !r.First {
 			rep.Header = maps.Clone(http.Header(r.Answer.Header))
@@ -153,11 +153,11 @@
 			rep.Header.Set(replayed, "true")
 		}
 		return engine.Answer{Kind: engine.Served, Value: rep}, 0
-	case r.Verdict == repeats.Refuse:
+	case r.Verdict == idempotency.Refuse:
 		return engine.Answer{Kind: engine.Refused, RetryIn: r.RetryIn}, 0
-	case r.Verdict == repeats.Conflict:
+	case r.Verdict == idempotency.Conflict:
 		return engine.Answer{Kind: engine.Duplicate}, http.StatusUnprocessableEntity
-	case r.Verdict == repeats.Answered:
+	case r.Verdict == idempotency.Answered:
 		return engine.Answer{Kind: engine.Duplicate}, http.StatusConflict
 	}
 	return engine.Answer{Kind: engine.Failed}, 0
