--- a/internal/daemon/repeats_shared_test.go
+++ b/internal/daemon/repeats_shared_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 const sharedPart = "\n[repeats.shared]\nservers = [%q]\nsession = \"3s\"\ntimeout = \"300ms\"\n"
@@ -24,7 +24,7 @@
 // conflict there too; while the store is away new keys are refused, or go on, and what is known here is still replayed.
 func TestRepeatsShared(t *testing.T) {
 	p := newSlowPay(t)
-	e, at := base.Etcd(t, standin.EtcdOptions{})
+	e, at := base.Etcd(t, fakes.EtcdOptions{})
 	file := p.file("6s", "20s", fmt.Sprintf(sharedPart, at))
 	a, b := startFile(t, file), startFile(t, strings.Replace(file, "timeout =", "error = \"go on\"\ntimeout =", 1))
 	ends := make(chan string, 10)
@@ -34,7 +34,7 @@
 			ends <- fmt.Sprint(status, body, head.Get(replayed))
 		}()
 		if i == 0 {
-			testkit.Eventually(t, "it runs", func() bool { return p.came.Load() == 1 })
+			testutil.Eventually(t, "it runs", func() bool { return p.came.Load() == 1 })
 		}
 	}
 	if status, _, _ := pay(t.Context(), b, "/record/1", "k1", "6"); status != 422 {
@@ -77,7 +77,7 @@
 	if _, err := e.Start(); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "new keys run again", func() bool {
+	testutil.Eventually(t, "new keys run again", func() bool {
 		p.let <- "back"
 		status, _, _ := pay(t.Context(), a, "/record/1", "k4", "5")
 		return status == 200
@@ -89,7 +89,7 @@
 	for _, where := range []string{"here", "elsewhere"} {
 		t.Run(where, func(t *testing.T) {
 			p := newSlowPay(t)
-			_, at := base.Etcd(t, standin.EtcdOptions{})
+			_, at := base.Etcd(t, fakes.EtcdOptions{})
 			file := p.file("6s", "20s", fmt.Sprintf(sharedPart, at))
 			a := startFile(t, file)
 			b := a
@@ -102,11 +102,11 @@
 				ends <- fmt.Sprint(status, body)
 			}
 			go try(a)
-			testkit.Eventually(t, "it runs", func() bool { return p.came.Load() == 1 })
+			testutil.Eventually(t, "it runs", func() bool { return p.came.Load() == 1 })
 			for range 5 {
 				go try(b)
 			}
-			testkit.Eventually(t, "its repeats are in hand", func() bool { return b.d.routing.Load().services["pay"].held.Load() >= 5 })
+			testutil.Eventually(t, "its repeats are in hand", func() bool { return b.d.routing.Load().services["pay"].held.Load() >= 5 })
 			b.stop()
 			time.AfterFunc(100*time.Millisecond, func() { p.let <- "paid" })
 			for range 6 {
@@ -116,7 +116,7 @@
 			}
 			select {
 			case <-b.ended:
-			case <-time.After(testkit.Patience):
+			case <-time.After(testutil.Patience):
 				t.Fatal("it does not end")
 			}
 			if b.err != nil || p.came.Load() != 1 {
@@ -136,10 +136,10 @@
 			ledger, list := payNodes(t, window)
 			rng := rand.New(rand.NewPCG(7, uint64(n)))
 			var mu sync.Mutex
-			e, at := base.Etcd(t, standin.EtcdOptions{Late: 20 * time.Millisecond, Fault: func() standin.EtcdFault {
+			e, at := base.Etcd(t, fakes.EtcdOptions{Late: 20 * time.Millisecond, Fault: func() fakes.EtcdFault {
 				mu.Lock()
 				defer mu.Unlock()
-				return []standin.EtcdFault{standin.EtcdFine, standin.EtcdRefuse, standin.EtcdLose, standin.EtcdLate}[max(0, rng.IntN(60)-56)]
+				return []fakes.EtcdFault{fakes.EtcdFine, fakes.EtcdRefuse, fakes.EtcdLose, fakes.EtcdLate}[max(0, rng.IntN(60)-56)]
 			}})
 			more := fmt.Sprintf("file = %q\n", filepath.Join(t.TempDir(), "keys.db"))
 			if n > 1 {
@@ -150,7 +150,7 @@
 				address := base.FreeAddress(t)
 				files[i] = base.File(t, "o.toml", fmt.Appendf(nil, "[daemon]\nlisten = %q\n"+strings.TrimPrefix(repeatsFile, "\n")+"running = 1024\n%s",
 					address, list, window, "250ms", more))
-				rigs[i] = &fileRig{running: &running{address: address, client: &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}}
+				rigs[i] = &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}}
 				t.Cleanup(rigs[i].client.CloseIdleConnections)
 				children[i] = startChild(t, rigs[i], files[i], "")
 			}
@@ -181,7 +181,7 @@
 			for ; tries.Load() < wanted; kills++ {
 				i := kills % n
 				from := tries.Load()
-				testkit.Eventually(t, "some are tried", func() bool { return tries.Load() > from+wanted/12 || tries.Load() >= wanted })
+				testutil.Eventually(t, "some are tried", func() bool { return tries.Load() > from+wanted/12 || tries.Load() >= wanted })
 				_ = children[i].Process.Kill()
 				_ = children[i].Wait() // killed
 				children[i] = startChild(t, rigs[i], files[i], "")
@@ -213,7 +213,7 @@
 			address := base.FreeAddress(t)
 			file := base.File(t, "o.toml", fmt.Appendf(nil, "[daemon]\nlisten = %q\n"+strings.TrimPrefix(repeatsFile, "\n")+"file = %q\ndisk_error = %q\n", address,
 				fmt.Sprintf("addresses = [%q]", upstream), "6s", "5s", filepath.Join(t.TempDir(), "keys.db"), how))
-			r := &fileRig{running: &running{address: address, client: &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{DisableKeepAlives: true}}}}
+			r := &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: true}}}}
 			c := startChild(t, r, file, "", childSize+"=1048576")
 			taken, refused := 0, 0
 			for n := range 300 {
--- a/internal/daemon/repeats_test.go
+++ b/internal/daemon/repeats_test.go
@@ -20,10 +20,10 @@
 	"time"
 
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/repeatkeeper"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/idempotency/executor"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 const repeatsFile = `
@@ -63,7 +63,7 @@
 		return 0, err.Error(), nil
 	}
 	q.Header.Set("Idempotency-Key", key)
-	q.Header.Set(standin.OperationHeader, key) // whose runs the ledger counts, over all tries
+	q.Header.Set(fakes.OperationHeader, key) // whose runs the ledger counts, over all tries
 	resp, err := r.client.Do(q)
 	if err != nil {
 		return 0, err.Error(), nil
@@ -127,7 +127,7 @@
 		status, body, _ := pay(leaves, r, "/record/1", "k1", "5")
 		ends <- end{status, body}
 	}()
-	testkit.Eventually(t, "it runs", func() bool { return p.came.Load() == 1 })
+	testutil.Eventually(t, "it runs", func() bool { return p.came.Load() == 1 })
 	for range 3 {
 		go func() {
 			status, body, _ := pay(t.Context(), r, "/record/1", "k1", "5")
@@ -261,7 +261,7 @@
 // startError is what ends a daemon's start.
 func startError(t *testing.T, text string) error {
 	t.Helper()
-	ctx, stop := context.WithTimeout(t.Context(), testkit.Patience)
+	ctx, stop := context.WithTimeout(t.Context(), testutil.Patience)
 	defer stop()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -272,22 +272,22 @@
 
 // payNodes are six in two zones, whose memories are short and which fail in every way. It returns their part of the file. They remember
 // for twice the window that they promise: from the write on, what a node takes to come to a request is not the sidecar's.
-func payNodes(t *testing.T, window time.Duration) (*standin.Ledger, string) {
-	ledger := standin.NewLedger()
-	memories := map[string]*standin.KeyMemory{"a": standin.NewKeyMemory(2 * window), "b": standin.NewKeyMemory(2 * window)}
+func payNodes(t *testing.T, window time.Duration) (*fakes.Ledger, string) {
+	ledger := fakes.NewLedger()
+	memories := map[string]*fakes.KeyMemory{"a": fakes.NewKeyMemory(2 * window), "b": fakes.NewKeyMemory(2 * window)}
 	list := ""
 	for i := range 6 {
 		zone := []string{"a", "b"}[i%2]
-		o := standin.NodeOptions{Name: fmt.Sprint("n", i), Zone: zone, Keys: memories[zone], Ledger: ledger, Cores: 16, Seed: uint64(i + 1)}
-		for _, k := range []standin.FaultKind{standin.TurnAway, standin.Fail, standin.FailUnrun, standin.ResetBefore, standin.ResetAfter, standin.LoseAnswer,
-			standin.Hang, standin.Garble, standin.Cut} {
+		o := fakes.NodeOptions{Name: fmt.Sprint("n", i), Zone: zone, Keys: memories[zone], Ledger: ledger, Cores: 16, Seed: uint64(i + 1)}
+		for _, k := range []fakes.FaultKind{fakes.TurnAway, fakes.Fail, fakes.FailUnrun, fakes.ResetBefore, fakes.ResetAfter, fakes.LoseAnswer,
+			fakes.Hang, fakes.Garble, fakes.Cut} {
 			share := 0.05
-			if k == standin.LoseAnswer || k == standin.Hang {
+			if k == fakes.LoseAnswer || k == fakes.Hang {
 				share = 0.02
 			}
-			o.Faults = append(o.Faults, standin.Fault{Kind: k, Share: share})
+			o.Faults = append(o.Faults, fakes.Fault{Kind: k, Share: share})
 		}
-		n := standin.NewNode(o)
+		n := fakes.NewNode(o)
 		t.Cleanup(n.Close)
 		at, err := n.ListenHTTP("127.0.0.1:0")
 		if err != nil {
@@ -349,7 +349,7 @@
 		t.Errorf("%d answers of another kind", odd.Load())
 	}
 	k := r.d.routing.Load().services["pay"].repeats.Load()
-	testkit.Eventually(t, "nothing runs", func() bool { _, _, running := k.Held(); return running == 0 })
+	testutil.Eventually(t, "nothing runs", func() bool { _, _, running := k.Held(); return running == 0 })
 	keys, bytes, _ := k.Held()
 	t.Logf("%d tries, %d payments recorded, %d served; %d keys of %d bytes", tries.Load(), ledger.Operations("record"), served.Load(), keys, bytes)
 }
@@ -398,7 +398,7 @@
 			t.Logf("process %d said: %s", c.Process.Pid, said.Bytes())
 		}
 	})
-	testkit.Eventually(t, "ready", func() bool {
+	testutil.Eventually(t, "ready", func() bool {
 		resp, err := r.client.Get("http://" + r.address + "/-/ready")
 		if err != nil {
 			return false
@@ -412,7 +412,7 @@
 // A process that is killed at any point of a payment's way, and one that takes its place: the payment is recorded once at most, and
 // who comes again gets an end that is true: the one answer, or that it may have run.
 func TestRepeatsKilled(t *testing.T) {
-	for _, step := range repeatkeeper.Steps {
+	for _, step := range executor.Steps {
 		t.Run(step, func(t *testing.T) {
 			t.Parallel()
 			var runs atomic.Int64
@@ -423,7 +423,7 @@
 			address := base.FreeAddress(t)
 			file := base.File(t, "o.toml", fmt.Appendf(nil, "[daemon]\nlisten = %q\n"+strings.TrimPrefix(repeatsFile, "\n")+"file = %q\n", address,
 				fmt.Sprintf("addresses = [%q]", upstream), "6s", "5s", filepath.Join(t.TempDir(), "keys.db")))
-			r := &fileRig{running: &running{address: address, client: &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{DisableKeepAlives: true}}}}
+			r := &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: true}}}}
 			first := startChild(t, r, file, step)
 			status, told, _ := pay(t.Context(), r, "/record/1", "k", "5")
 			if err := first.Wait(); err == nil || first.ProcessState.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
--- a/internal/daemon/rig_test.go
+++ b/internal/daemon/rig_test.go
@@ -10,7 +10,7 @@
 
 	"orchiddrift/internal/config"
 	"orchiddrift/internal/engine"
-	"orchiddrift/internal/testkit"
+	"orchiddrift/internal/testing/testutil"
 )
 
 // running is a whole sidecar in this process.
@@ -38,7 +38,7 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &running{address: l.Addr().String(), stop: cancel, ended: make(chan struct{}),
-		client: &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{}}}
+		client: &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{}}}
 	go func() {
 		r.err = Serve(ctx, c, l, "", nil, look)
 		close(r.ended)
@@ -54,7 +54,7 @@
 // ready waits until clients are wanted.
 func (r *running) ready(t *testing.T) {
 	t.Helper()
-	testkit.Eventually(t, "ready", func() bool {
+	testutil.Eventually(t, "ready", func() bool {
 		resp, err := r.client.Get("http://" + r.address + "/-/ready")
 		if err != nil {
 			return false
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -13,14 +13,14 @@
 	"orchiddrift/balancer"
 	"orchiddrift/internal/engine"
 	"orchiddrift/internal/graphql"
-	"orchiddrift/internal/intake"
 	"orchiddrift/internal/routes"
+	"orchiddrift/internal/server/downstream"
 	"orchiddrift/internal/upstream"
 )
 
 // routing is what requests are decided by at one time. It is immutable.
 type routing struct {
-	checker  *intake.Checker
+	checker  *downstream.Checker
 	table    *routes.Table
 	services map[string]*service
 	leases   map[*routes.Route]*lease
@@ -59,7 +59,7 @@
 // Enter is upstream.Gate's. The connection is looked at here because its reader does not see the end behind a request that waits on
 // it. Where others wait for the same answer it is only told once, and attempts go on for them.
 func (p *presence) Enter() bool {
-	if !p.left.Load() && intake.Left(p.ctx) {
+	if !p.left.Load() && downstream.Left(p.ctx) {
 		p.left.Store(true)
 		p.leave()
 		return false
@@ -88,7 +88,7 @@
 // lease; ended are the leases of the others.
 func (r *routing) next(table *routes.Table, services map[string]*service, endpoints map[string]*graphql.Endpoint,
 	body time.Duration) (n *routing, ended []*lease) {
-	n = &routing{checker: intake.NewChecker(table), table: table, services: services,
+	n = &routing{checker: downstream.NewChecker(table), table: table, services: services,
 		leases: make(map[*routes.Route]*lease, len(table.Routes())), graphql: maps.Clone(endpoints), body: body}
 	for print := range n.graphql { // those that stay keep what they hold
 		if r != nil && r.graphql[print] != nil {
--- a/internal/daemon/scale_test.go
+++ b/internal/daemon/scale_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/logs"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/logging"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // manyServices is a file of so many, with a route each and one upstream that nobody asks.
@@ -37,7 +37,7 @@
 	}
 	for b.Loop() {
 		p := plan(b, manyServices(200))
-		d := &daemon{plan: p, log: logs.Discard(), rest: b.Context()}
+		d := &daemon{plan: p, log: logging.Discard(), rest: b.Context()}
 		before, goroutines := heap(), runtime.NumGoroutine()
 		if err := d.share(2032); err != nil {
 			b.Fatal(err)
@@ -77,7 +77,7 @@
 	for name, text := range map[string]func(int) string{"5000-endpoints": endpoints, "10000-routes": routes} {
 		b.Run(name, func(b *testing.B) {
 			p := plan(b, text(0))
-			d := &daemon{plan: p, log: logs.Discard(), rest: b.Context()}
+			d := &daemon{plan: p, log: logging.Discard(), rest: b.Context()}
 			if err := d.share(496); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/doorkeeper"
+	"orchiddrift/internal/admission/controller"
 	"orchiddrift/internal/engine"
-	"orchiddrift/internal/figures"
-	"orchiddrift/internal/httphead"
-	"orchiddrift/internal/intake"
+	"orchiddrift/internal/httpheader"
+	"orchiddrift/internal/metrics"
+	"orchiddrift/internal/server/downstream"
 	"orchiddrift/internal/upstream"
 )
 
@@ -56,16 +56,16 @@
 	rest  bool // it goes on
 	paced *paced
 	leave context.CancelFunc // ends r's context: its client is known to have gone
-	taken figures.Taken
+	taken metrics.Taken
 	cut   bool // its answer can't be had whole, and its client is to see that
 
 	spooled int64 // of what bodies share
 
-	entries []figures.Taken // of a GraphQL request's operations
+	entries []metrics.Taken // of a GraphQL request's operations
 }
 
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !intake.Take(r.Context()) { // it came as its connection was shut: its client sends it again
+	if !downstream.Take(r.Context()) { // it came as its connection was shut: its client sends it again
 		panic(http.ErrAbortHandler)
 	}
 	if s.over.Load() {
@@ -84,7 +84,7 @@
 	defer v.letGo()
 	for {
 		routing := s.d.routing.Load()
-		req, bad := routing.checker.Check(r, intake.FramedOnce(r.Context()))
+		req, bad := routing.checker.Check(r, downstream.FramedOnce(r.Context()))
 		if bad != nil {
 			s.turnDown(w, bad)
 			break
@@ -99,9 +99,9 @@
 			break
 		}
 	}
-	v.taken.End(figures.Failed) // where it had no end yet
+	v.taken.End(metrics.Failed) // where it had no end yet
 	for i := range v.entries {
-		v.entries[i].End(figures.Failed)
+		v.entries[i].End(metrics.Failed)
 	}
 	if v.cut {
 		panic(http.ErrAbortHandler) // has the library reset the connection
@@ -110,7 +110,7 @@
 
 // serve answers a request by its service, or tells that it is to be decided anew: its route ended before anything was
 // sent.
-func (v *visit) serve(routing *routing, svc *service, req intake.Request) (again bool) {
+func (v *visit) serve(routing *routing, svc *service, req downstream.Request) (again bool) {
 	w, r, sh := v.w, v.r, v.d.shared
 	if sh.inHand != nil {
 		if !sh.inHand.TryAcquire(svc.name, 1) {
@@ -143,15 +143,15 @@
 		}
 		v.read = true
 		if !v.rest {
-			intake.InHand(r.Context(), v.leave)
+			downstream.InHand(r.Context(), v.leave)
 		}
 		v.begun = sh.clock.Now()
 	}
 	id := req.ID
 	if id == "" {
 		id = v.ids.next()
-		if len(req.Header[httphead.ID]) == 0 {
-			req.Header[httphead.ID] = []string{id}
+		if len(req.Header[httpheader.ID]) == 0 {
+			req.Header[httpheader.ID] = []string{id}
 		}
 	}
 	lease := routing.leases[req.Route]
@@ -189,7 +189,7 @@
 			x := &exchange{pool: svc.pool, request: out}
 			return x, x.end
 		}))
-		pass.Done(doorkeeper.Ended(a))
+		pass.Done(controller.Ended(a))
 		switch {
 		case conflict != 0:
 			v.say(w, conflict, conflictText(conflict))
@@ -202,7 +202,7 @@
 	}
 	svc.probes.before(r.Context())
 	a := svc.engine.Do(ctx, call, x)
-	pass.Done(doorkeeper.Ended(a))
+	pass.Done(controller.Ended(a))
 	if v.rest && a.Kind != engine.Served {
 		v.endEarly(a, out.Upload)
 		return false
@@ -294,16 +294,16 @@
 	}
 	a.End(rep.Rest.Result())
 	if err != io.EOF {
-		v.d.log.Info("a long answer is cut", "id", v.r.Header.Get(httphead.ID), "path", v.r.URL.Path, "reason", err)
+		v.d.log.Info("a long answer is cut", "id", v.r.Header.Get(httpheader.ID), "path", v.r.URL.Path, "reason", err)
 		v.cut = true
-		v.taken.End(figures.Failed)
+		v.taken.End(metrics.Failed)
 		return
 	}
-	v.taken.End(figures.Completed)
+	v.taken.End(metrics.Completed)
 }
 
 // turnDown answers a request that is not taken.
-func (s *server) turnDown(w http.ResponseWriter, bad *intake.Rejection) {
+func (s *server) turnDown(w http.ResponseWriter, bad *downstream.Rejection) {
 	w.Header().Set("Connection", "close")
 	if bad.Allow != "" {
 		w.Header().Set("Allow", bad.Allow)
@@ -318,7 +318,7 @@
 
 // crowded answers a request whose service holds as much as the bulkhead lets it. The module has not seen it, so that this
 // is no refusal of its.
-func (v *visit) crowded(svc *service, req *intake.Request, what string) {
+func (v *visit) crowded(svc *service, req *downstream.Request, what string) {
 	if !v.taken.Counts() {
 		v.taken = v.d.figures.Take(req.Class.Name)
 	}
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -13,20 +13,20 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/httphead"
-	"orchiddrift/internal/logs"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/httpheader"
+	"orchiddrift/internal/logging"
+	"orchiddrift/internal/testing/testutil"
 )
 
 // Guards against answers that no upstream made, and refusals without the advice when to come back.
 func TestServedUnchanged(t *testing.T) {
 	body := "\x00\xff answer\r\n"
-	s := testkit.Raw(t, standin.Says("HTTP/1.1 200 OK\r\nContent-Type: application/x-seat\r\n"+
+	s := testutil.Raw(t, fakes.Says("HTTP/1.1 200 OK\r\nContent-Type: application/x-seat\r\n"+
 		"Content-Encoding: x-seat\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Length: 11\r\n\r\n"+body))
-	r := start(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	for _, class := range []string{"search", "record", "confirm"} {
-		resp, text := r.do(t, testkit.Request(t, r.address, class, ""))
+		resp, text := r.do(t, testutil.Request(t, r.address, class, ""))
 		if resp.StatusCode != 200 || text != body || resp.Header.Get("Content-Type") != "application/x-seat" {
 			t.Errorf("%s: %s %q", class, resp.Status, text)
 		}
@@ -40,10 +40,10 @@
 // Guards against an unsafe request that runs twice, and against a refusal for one that may have run: it is
 // sent once, and its failure is told at once.
 func TestUnsafeThatMayHaveRunFailsAtOnce(t *testing.T) {
-	s := testkit.Raw(t, func(net.Conn, standin.Got) bool { return false })
-	r := start(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	s := testutil.Raw(t, func(net.Conn, fakes.Got) bool { return false })
+	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	begun := time.Now()
-	resp, _ := r.do(t, testkit.Request(t, r.address, "confirm", "seat 4"))
+	resp, _ := r.do(t, testutil.Request(t, r.address, "confirm", "seat 4"))
 	if resp.StatusCode != http.StatusBadGateway || resp.Header.Get("Retry-After") != "" {
 		t.Errorf("%s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
 	}
@@ -58,9 +58,9 @@
 // Guards against failures where a refusal is safe: what was turned away never ran. The module's advice goes
 // to the client with its decimals.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
-	s := testkit.Raw(t, standin.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"))
-	r := start(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
-	resp, _ := r.do(t, testkit.Request(t, r.address, "confirm", "seat 4"))
+	s := testutil.Raw(t, fakes.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"))
+	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	resp, _ := r.do(t, testutil.Request(t, r.address, "confirm", "seat 4"))
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") != "1.5" {
 		t.Errorf("%s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
 	}
@@ -72,8 +72,8 @@
 // Guards against the library's answers and panics for what clients may send wrongly. None may be taken for a
 // refusal, and none reaches an upstream.
 func TestMalformedRequests(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("")))
-	r := start(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
+	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	const id = "X-Request-ID: 9b1f03aa5c7e2d41\r\n"
 	for name, c := range map[string]struct{ head, want string }{
 		"no id":             {"GET /search/1 HTTP/1.1\r\nHost: s\r\n", "400"},
@@ -109,13 +109,13 @@
 		"body not sent":     {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Timeout: 50m\r\nContent-Length: 9\r\n" + id, "408"},
 		"length":            {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nContent-Length: many\r\n" + id, "400"},
 		"no HTTP":           {"\x00\x01\x02\r\n", "400"},
-		"header too large":  {"GET /search/1 HTTP/1.1\r\nHost: s\r\n" + id + "X: " + strings.Repeat("x", 2*httphead.MaxBytes) + "\r\n", "431"},
+		"header too large":  {"GET /search/1 HTTP/1.1\r\nHost: s\r\n" + id + "X: " + strings.Repeat("x", 2*httpheader.MaxBytes) + "\r\n", "431"},
 	} {
 		conn, err := net.Dial("tcp", r.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = conn.SetDeadline(time.Now().Add(testkit.Patience))
+		_ = conn.SetDeadline(time.Now().Add(testutil.Patience))
 		_, _ = io.WriteString(conn, c.head+"\r\n")
 		line, err := bufio.NewReader(conn).ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, "HTTP/1.") || !strings.HasPrefix(line[len("HTTP/1.1"):], " "+c.want) {
@@ -126,16 +126,16 @@
 	if n := len(s.Requests()); n != 0 {
 		t.Errorf("%d of them reached the upstream", n)
 	}
-	if resp, _ := r.do(t, testkit.Request(t, r.address, "search", "")); resp.StatusCode != 200 {
+	if resp, _ := r.do(t, testutil.Request(t, r.address, "search", "")); resp.StatusCode != 200 {
 		t.Errorf("afterwards: %s", resp.Status)
 	}
 }
 
 // Guards against a connection that just ends where an answer is owed: also one whose time is up on arrival.
 func TestExpiredOnArrivalIsAnswered(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("")))
-	r := start(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
-	req := testkit.Request(t, r.address, "search", "")
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
+	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	req := testutil.Request(t, r.address, "search", "")
 	req.Header.Set("X-Timeout", "0m")
 	if resp, _ := r.do(t, req); resp.StatusCode != http.StatusServiceUnavailable {
 		t.Errorf("answered %s", resp.Status)
@@ -149,16 +149,16 @@
 // the module ignores it.
 func TestDuplicateID(t *testing.T) {
 	release := make(chan struct{})
-	s := testkit.Raw(t, func(c net.Conn, _ standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, _ fakes.Got) bool {
 		<-release
-		_, err := io.WriteString(c, standin.OK200("once"))
+		_, err := io.WriteString(c, fakes.OK200("once"))
 		return err == nil
 	})
-	r := start(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
-	first := testkit.Request(t, r.address, "confirm", "")
+	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	first := testutil.Request(t, r.address, "confirm", "")
 	end := r.later(first)
-	testkit.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
-	again := testkit.Request(t, r.address, "confirm", "")
+	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
+	again := testutil.Request(t, r.address, "confirm", "")
 	again.Header.Set("X-Request-ID", first.Header.Get("X-Request-ID"))
 	if resp, _ := r.do(t, again); resp.StatusCode != http.StatusConflict {
 		t.Errorf("the second: %s", resp.Status)
@@ -175,20 +175,20 @@
 // Guards against work for clients that have left: what fails then is not sent again.
 func TestClientGone(t *testing.T) {
 	left := make(chan struct{})
-	s := testkit.Raw(t, func(c net.Conn, _ standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, _ fakes.Got) bool {
 		<-left
 		return false
 	})
-	r := start(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	ctx, leave := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		if resp, err := r.client.Do(testkit.Request(t, r.address, "search", "").WithContext(ctx)); err == nil {
+		if resp, err := r.client.Do(testutil.Request(t, r.address, "search", "").WithContext(ctx)); err == nil {
 			resp.Body.Close()
 		}
 	}()
-	testkit.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
+	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
 	leave()
 	<-ended
 	// The sidecar has seen the close once its own end of that connection is through with it: a later request on a new
@@ -205,7 +205,7 @@
 // Guards against clients that hold connections with nothing or half a request on them: the limits are the sidecar's,
 // however long they say that they would wait.
 func TestSlowClientsAreEnded(t *testing.T) {
-	r := start(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", "127.0.0.1:1", "Ready")), "127.0.0.1:0")
+	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", "127.0.0.1:1", "Ready")), "127.0.0.1:0")
 	ends := make(chan string, 3)
 	for _, text := range []string{"", "GET /search/1 HTTP/1.1\r\nHost:",
 		"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: 1\r\nX-Timeout: 3600000m\r\nContent-Length: 9\r\n\r\nhalf"} {
@@ -217,11 +217,11 @@
 			}
 			defer conn.Close()
 			begun := time.Now()
-			_ = conn.SetDeadline(begun.Add(testkit.Patience))
+			_ = conn.SetDeadline(begun.Add(testutil.Patience))
 			_, _ = io.WriteString(conn, text)
 			if _, err := io.ReadAll(conn); err != nil {
 				ends <- err.Error()
-			} else if took := time.Since(begun); took > testkit.Patience/2 {
+			} else if took := time.Since(begun); took > testutil.Patience/2 {
 				ends <- fmt.Sprintf("%q: ended after %v", text, took)
 			} else {
 				ends <- ""
@@ -233,15 +233,15 @@
 			t.Error(end)
 		}
 	}
-	if p := testkit.Config(t, "127.0.0.1:1").Plan(); p.HeadTimeout+p.BodyTimeout >= 3*time.Second {
+	if p := testutil.Config(t, "127.0.0.1:1").Plan(); p.HeadTimeout+p.BodyTimeout >= 3*time.Second {
 		t.Error("an end is owed within 3 s")
 	}
 }
 
 // Guards against clients that say nothing at the cost of those that ask: silent connections give way first.
 func TestSilentConnectionsGiveWayFirst(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("")))
-	c := testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready"))
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
+	c := testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"))
 	c.Limits.Sockets = ownSockets + 2*4
 	r := start(t, c, "127.0.0.1:0")
 	conn, err := net.Dial("tcp", r.address)
@@ -249,11 +249,11 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(testkit.Patience))
+	_ = conn.SetDeadline(time.Now().Add(testutil.Patience))
 	in := bufio.NewReader(conn)
 	ask := func() {
 		t.Helper()
-		if err := testkit.Request(t, r.address, "search", "").Write(conn); err != nil {
+		if err := testutil.Request(t, r.address, "search", "").Write(conn); err != nil {
 			t.Fatal(err)
 		}
 		resp, err := http.ReadResponse(in, nil)
@@ -279,7 +279,7 @@
 	for range 4 {
 		select {
 		case <-ended:
-		case <-time.After(testkit.Patience):
+		case <-time.After(testutil.Patience):
 			t.Fatal("no silent connection gave way")
 		}
 	}
@@ -289,8 +289,8 @@
 // Guards against a connection that ends with no answer: a context that ends is no proof that the client left, a read
 // deadline that fires as the body ends does the same.
 func TestEndedContextIsAnswered(t *testing.T) {
-	c := testkit.Config(t, "127.0.0.1:1")
-	d := &daemon{plan: c.Plan(), log: logs.Discard(), rest: t.Context()}
+	c := testutil.Config(t, "127.0.0.1:1")
+	d := &daemon{plan: c.Plan(), log: logging.Discard(), rest: t.Context()}
 	if err := errors.Join(d.share(8), d.apply(d.plan)); err != nil {
 		t.Fatal(err)
 	}
@@ -309,15 +309,15 @@
 
 // Guards against too many descriptors: at the limit a connection between requests gives way to a new one.
 func TestClientConnectionLimit(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("")))
-	c := testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready"))
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
+	c := testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"))
 	c.Limits.Sockets = ownSockets + 2*3
 	r := start(t, c, "127.0.0.1:0")
 	var clients []*http.Client
 	for range 8 {
-		client := &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{}}
+		client := &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{}}
 		defer client.CloseIdleConnections()
-		resp, err := client.Do(testkit.Request(t, r.address, "search", ""))
+		resp, err := client.Do(testutil.Request(t, r.address, "search", ""))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -334,21 +334,21 @@
 // use old ones, and what was taken is finished. Then the address is free for the next process.
 func TestStopFinishesWhatWasTaken(t *testing.T) {
 	release := make(chan struct{})
-	s := testkit.Raw(t, func(c net.Conn, g standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		if strings.HasPrefix(g.Target, "/confirm") {
 			<-release
 		}
-		_, err := io.WriteString(c, standin.OK200("done"))
+		_, err := io.WriteString(c, fakes.OK200("done"))
 		return err == nil
 	})
-	d := testkit.Quiet(t)
-	r := start(t, testkit.Config(t, d.Address, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
-	taken := r.later(testkit.Request(t, r.address, "confirm", ""))
-	testkit.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
+	d := testutil.Quiet(t)
+	r := start(t, testutil.Config(t, d.Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	taken := r.later(testutil.Request(t, r.address, "confirm", ""))
+	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
 	r.stop()
-	fresh := &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{}}
-	testkit.Eventually(t, "answers end their connections", func() bool {
-		resp, err := fresh.Do(testkit.Request(t, r.address, "search", ""))
+	fresh := &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{}}
+	testutil.Eventually(t, "answers end their connections", func() bool {
+		resp, err := fresh.Do(testutil.Request(t, r.address, "search", ""))
 		if err != nil {
 			t.Fatalf("a new connection after SIGTERM: %v", err)
 		}
@@ -366,18 +366,18 @@
 	if r.err != nil {
 		t.Errorf("ended with %v", r.err)
 	}
-	again := start(t, testkit.Config(t, d.Address, testkit.Entry("s", s.Address, "Ready")), r.address)
-	if resp, _ := again.do(t, testkit.Request(t, r.address, "search", "")); resp.StatusCode != 200 {
+	again := start(t, testutil.Config(t, d.Address, testutil.Entry("s", s.Address, "Ready")), r.address)
+	if resp, _ := again.do(t, testutil.Request(t, r.address, "search", "")); resp.StatusCode != 200 {
 		t.Errorf("after the restart: %s", resp.Status)
 	}
 }
 
 // Guards against requests that SIGKILL finds unanswered: what can't be finished by then is failed before.
 func TestStopFailsWhatCannotBeFinished(t *testing.T) {
-	s := testkit.Raw(t, standin.Silent)
-	r := start(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
-	taken := r.later(testkit.Request(t, r.address, "confirm", ""))
-	testkit.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
+	s := testutil.Raw(t, fakes.Silent)
+	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	taken := r.later(testutil.Request(t, r.address, "confirm", ""))
+	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
 	r.stop()
 	if got := <-taken; !strings.HasPrefix(got, "502 ") {
 		t.Errorf("answered %s", got)
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -16,21 +16,21 @@
 	"golang.org/x/sync/semaphore"
 
 	"orchiddrift/balancer"
+	"orchiddrift/internal/admission/controller"
 	"orchiddrift/internal/bulkhead"
 	"orchiddrift/internal/clock"
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/directory"
 	"orchiddrift/internal/discovery"
-	"orchiddrift/internal/doorkeeper"
+	"orchiddrift/internal/discovery/eureka"
+	"orchiddrift/internal/discovery/subset"
+	"orchiddrift/internal/endpoints"
 	"orchiddrift/internal/engine"
-	"orchiddrift/internal/eureka"
 	"orchiddrift/internal/filewatch"
-	"orchiddrift/internal/interlude"
-	"orchiddrift/internal/keys"
-	"orchiddrift/internal/repeatkeeper"
-	"orchiddrift/internal/subset"
+	"orchiddrift/internal/idempotency/executor"
+	"orchiddrift/internal/server/yielding"
+	"orchiddrift/internal/tlscredentials"
 	"orchiddrift/internal/upstream"
-	"orchiddrift/internal/warm"
+	"orchiddrift/internal/upstream/prewarm"
 )
 
 // shared is what the services of a daemon have in common.
@@ -47,10 +47,10 @@
 	name        string // the process's
 	connections int    // to upstreams, at most
 
-	interlude interlude.Interlude // of long bodies and answers
+	interlude yielding.Interlude // of long bodies and answers
 
 	repeatsMu sync.Mutex
-	repeats   map[string]*repeatkeeper.Keeper // by service
+	repeats   map[string]*executor.Keeper // by service
 
 	// For how long files that another process holds are waited for. They change before the first reload, and not after.
 	filesCtx      context.Context
@@ -72,14 +72,14 @@
 	name    string // of it in the semaphores, and of the one that it replaced
 	engine  *engine.Engine
 	pool    *upstream.Pool
-	dir     *directory.Directory
+	dir     *endpoints.Directory
 	feed    *discovery.Feed
-	narrow  *discovery.Narrowed                 // before the feed; nil: every upstream is its own
-	asked   atomic.Int64                        // requests so far
-	repeats atomic.Pointer[repeatkeeper.Keeper] // nil: repeats are not looked for
-	probes  *probing                            // nil: nobody is probed
-	keys    *keys.Store                         // nil: connections are not encrypted
-	door    atomic.Pointer[doorkeeper.Keeper]   // nil: there is none
+	narrow  *discovery.Narrowed               // before the feed; nil: every upstream is its own
+	asked   atomic.Int64                      // requests so far
+	repeats atomic.Pointer[executor.Keeper]   // nil: repeats are not looked for
+	probes  *probing                          // nil: nobody is probed
+	keys    *tlscredentials.Store             // nil: connections are not encrypted
+	door    atomic.Pointer[controller.Keeper] // nil: there is none
 
 	stop    context.CancelFunc // of what runs beside requests
 	running sync.WaitGroup
@@ -96,7 +96,7 @@
 }
 
 // startService starts one whose shares have been set. known is a list held by an earlier one.
-func startService(plan config.ServicePlan, sh *shared, known *directory.Listing) (*service, error) {
+func startService(plan config.ServicePlan, sh *shared, known *endpoints.Listing) (*service, error) {
 	s := &service{plan: plan, shared: sh, name: plan.Name, idle: make(chan struct{}, 1)}
 	log := sh.log
 	if plan.Name != config.Platform {
@@ -106,22 +106,22 @@
 		Service: plan.Name, Bytes: sh.bytes, MaxAnswer: sh.maxAnswer, Answers: plan.Answers}
 	if plan.TLS.On() {
 		var err error
-		s.keys, err = keys.Open(keys.Files{Certificate: plan.TLS.Certificate, Key: plan.TLS.Key, CA: plan.TLS.CA},
+		s.keys, err = tlscredentials.Open(tlscredentials.Files{Certificate: plan.TLS.Certificate, Key: plan.TLS.Key, CA: plan.TLS.CA},
 			plan.TLS.WarnBefore.D(), log)
 		if err != nil {
 			return nil, fmt.Errorf("service %s: %w", plan.Name, err)
 		}
-		o.Secure = keys.NewClient(s.keys, plan.TLS)
+		o.Secure = tlscredentials.NewClient(s.keys, plan.TLS)
 	}
 	if plan.Warm.On {
-		o.Warm = warm.New(plan.Warm, sh.connections, rand.New(rand.NewPCG(sh.seed, xxhash.Sum64String("warm/"+plan.Name))))
+		o.Warm = prewarm.New(plan.Warm, sh.connections, rand.New(rand.NewPCG(sh.seed, xxhash.Sum64String("warm/"+plan.Name))))
 	}
 	list, source, err := s.openSource(plan, known, log)
 	if err != nil {
 		return nil, fmt.Errorf("service %s: %w", plan.Name, err)
 	}
 	s.pool = upstream.New(o)
-	s.dir = directory.New(sh.clock, s.pool.Drop)
+	s.dir = endpoints.New(sh.clock, s.pool.Drop)
 	s.pool.SetDirectory(s.dir)
 	s.feed = discovery.NewFeed(s.dir, func(m balancer.Members) { s.engine.Update(m) })
 	if plan.Subset.On {
@@ -183,7 +183,7 @@
 	case plan.Door != nil && now != nil:
 		return now.Configure(*plan.Door)
 	case plan.Door != nil:
-		k, err := doorkeeper.New(doorkeeper.Options{Door: *plan.Door, Classes: plan.Settings.Classes, Clock: s.shared.clock,
+		k, err := controller.New(controller.Options{Door: *plan.Door, Classes: plan.Settings.Classes, Clock: s.shared.clock,
 			Seed: s.shared.seed ^ xxhash.Sum64String("door/"+plan.Name), Log: s.shared.log.With("service", plan.Name),
 			Tells: plan.Settings.RetryAfter})
 		if err != nil {
@@ -204,7 +204,7 @@
 
 // openSource makes the source of a plan's list, and the list to begin with; nil, nil: the plan has all of it. Where
 // registries list upstreams too, it is the source of the merged list.
-func (s *service) openSource(plan config.ServicePlan, known *directory.Listing, log *slog.Logger) (*directory.Listing,
+func (s *service) openSource(plan config.ServicePlan, known *endpoints.Listing, log *slog.Logger) (*endpoints.Listing,
 	discovery.Source, error) {
 	list, own, err := openOwn(plan, known, s.shared.seed^xxhash.Sum64String("list/"+plan.Name), log)
 	if err != nil || len(plan.Registries) == 0 {
@@ -236,7 +236,7 @@
 }
 
 // openOwn is openSource for the list that is no registry's.
-func openOwn(plan config.ServicePlan, known *directory.Listing, seed uint64, log *slog.Logger) (*directory.Listing, discovery.Source, error) {
+func openOwn(plan config.ServicePlan, known *endpoints.Listing, seed uint64, log *slog.Logger) (*endpoints.Listing, discovery.Source, error) {
 	switch {
 	case plan.Discovery != "":
 		list := plan.Known
@@ -283,7 +283,7 @@
 }
 
 // sink is where lists go.
-func (s *service) sink() directory.Sink {
+func (s *service) sink() endpoints.Sink {
 	if s.narrow != nil {
 		return s.narrow
 	}
@@ -337,7 +337,7 @@
 	if plan.Discovery != "" && was.Discovery != plan.Discovery {
 		return nil, errors.New("a change between kinds of lists needs a new service")
 	}
-	var known *directory.Listing
+	var known *endpoints.Listing
 	if plan.Discovery != "" { // registries come beside it
 		known = s.feed.Last()
 		if s.narrow != nil {
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/logs"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/logging"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // acceptingListener holds a connection between the system's accept and what the server makes of it.
@@ -38,13 +38,13 @@
 // Guards against a connection that is lost between its accept and its first read: nothing else is open at the shutdown, which then
 // would be over; and against one that waits in the queue as the listener closes.
 func TestAcceptedAsTheListenerCloses(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("whole")))
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("whole")))
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := &acceptingListener{TCPListener: tcp.(*net.TCPListener), accepted: make(chan struct{}), goOn: make(chan struct{})}
-	r := startOn(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")), l, nil)
+	r := startOn(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), l, nil)
 	r.ready(t)
 	other := dial(t, r.address, nil)
 	other.send(t, "search", "")
@@ -95,9 +95,9 @@
 
 // Guards against a request that is sent on when what is unanswered has been failed: SIGKILL comes next.
 func TestNothingIsSentAfterTheEnd(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("")))
-	c := testkit.Config(t, "127.0.0.1:1", testkit.Entry("s", s.Address, "Ready"))
-	d := &daemon{plan: c.Plan(), log: logs.Discard(), rest: t.Context()}
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
+	c := testutil.Config(t, "127.0.0.1:1", testutil.Entry("s", s.Address, "Ready"))
+	d := &daemon{plan: c.Plan(), log: logging.Discard(), rest: t.Context()}
 	if err := errors.Join(d.share(8), d.apply(d.plan)); err != nil {
 		t.Fatal(err)
 	}
@@ -125,13 +125,13 @@
 // Guards against requests that are lost as a process is ended before it has had a list: the list that comes is used, and where none
 // comes they are answered before SIGKILL.
 func TestStopBeforeTheFirstList(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("whole")))
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("whole")))
 	for _, comes := range []bool{true, false} {
 		d, tell := withheld(t, s.Address)
 		r, e := startLooking(t, d.Address)
 		c := dial(t, r.address, nil)
 		c.send(t, "search", "")
-		testkit.Eventually(t, "the request waits for the list", func() bool { return e.InHand() == 1 })
+		testutil.Eventually(t, "the request waits for the list", func() bool { return e.InHand() == 1 })
 		r.stop()
 		if comes {
 			close(tell)
@@ -155,11 +155,11 @@
 // client's last one is answered, or was never sent on.
 func TestClientsThatSendUntilTheirConnectionEnds(t *testing.T) {
 	var ran sync.Map
-	s := testkit.Raw(t, func(c net.Conn, g standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		ran.Store(g.Header.Get("X-Request-Id"), true)
-		return standin.Says(standin.OK200(g.Header.Get("X-Request-Id")))(c, g)
+		return fakes.Says(fakes.OK200(g.Header.Get("X-Request-Id")))(c, g)
 	})
-	r := start(t, testkit.Config(t, testkit.Quiet(t).Address, testkit.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	r.client.CloseIdleConnections()
 	var clients sync.WaitGroup
 	var served atomic.Int64
@@ -168,7 +168,7 @@
 		clients.Go(func() {
 			defer c.Close()
 			for {
-				req := testkit.Request(t, r.address, "confirm", "")
+				req := testutil.Request(t, r.address, "confirm", "")
 				id := req.Header.Get("X-Request-ID")
 				err := req.Write(c)
 				resp, body, failed := (*http.Response)(nil), "", err
@@ -193,7 +193,7 @@
 			}
 		})
 	}
-	testkit.Eventually(t, "all have been served", func() bool { return served.Load() > 100 })
+	testutil.Eventually(t, "all have been served", func() bool { return served.Load() > 100 })
 	r.stop()
 	clients.Wait()
 	<-r.ended
@@ -202,15 +202,15 @@
 // Guards against idle clients that fill the descriptors while discovery is down: the next list, the upstreams and the operators'
 // address are still reached, those that have rested for longest give way, and no more than one for each that comes.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("whole")))
-	d := standin.NewDiscovery()
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("whole")))
+	d := fakes.NewDiscovery()
 	d.Down(true)
 	address, err := d.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(d.Close)
-	c := testkit.Config(t, address)
+	c := testutil.Config(t, address)
 	const most, clients = 20, 90
 	c.Limits.Sockets, c.Control = ownSockets+2*most, base.FreeAddress(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -226,15 +226,15 @@
 			ended.Add(1)
 		}()
 	}
-	testkit.Eventually(t, "no more are open than there may be", func() bool { return ended.Load() >= clients-most })
-	d.Set(testkit.Listing(t, 2, true, testkit.Entry("s", s.Address, "Ready")).Endpoints...)
+	testutil.Eventually(t, "no more are open than there may be", func() bool { return ended.Load() >= clients-most })
+	d.Set(testutil.Listing(t, 2, true, testutil.Entry("s", s.Address, "Ready")).Endpoints...)
 	d.Down(false)
 	asks := dial(t, r.address, nil)
 	asks.send(t, "search", "")
 	if resp, body, err := asks.answer(); err != nil || resp.StatusCode != 200 || body != "whole" {
 		t.Errorf("%v %q, %v", resp, body, err)
 	}
-	testkit.Eventually(t, "the operators' address says that it can serve", func() bool {
+	testutil.Eventually(t, "the operators' address says that it can serve", func() bool {
 		resp, err := r.client.Get("http://" + c.Control + "/ready")
 		if err != nil {
 			return false
--- a/internal/daemon/sites_test.go
+++ b/internal/daemon/sites_test.go
@@ -14,8 +14,8 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
 )
 
 // site is a deployment as deploy/sites describes it: the part that the settings of its sidecars tell.
@@ -121,7 +121,7 @@
 func (s *site) config(t *testing.T, settings map[string]any, discovery string, sockets int, known ...string) []byte {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:9000", "discovery": discovery, "seed": "1f",
-		"limits": map[string]any{"cores": 0.5, "memory_mb": 32, "sockets": sockets}, "known": json.RawMessage(testkit.List(1, true, known...)), "settings": settings})
+		"limits": map[string]any{"cores": 0.5, "memory_mb": 32, "sockets": sockets}, "known": json.RawMessage(testutil.List(1, true, known...)), "settings": settings})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,17 +133,17 @@
 func TestEachDeploymentsSettingsCount(t *testing.T) {
 	for file, s := range sites(t) {
 		t.Run(file, func(t *testing.T) {
-			u := testkit.Raw(t, func(c net.Conn, g standin.Got) bool {
+			u := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 				switch g.Header.Get("X-What") {
 				case "breaks":
 					return false
 				case "away":
-					return standin.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")(c, g)
+					return fakes.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")(c, g)
 				}
-				return standin.Says(standin.OK200(g.Target))(c, g)
+				return fakes.Says(fakes.OK200(g.Target))(c, g)
 			})
-			zone := strings.Replace(testkit.Entry("s", u.Address, "Ready"), `"zone":"a"`, fmt.Sprintf(`"zone":%q`, s.Net.Zones[0]), 1)
-			c, err := config.Parse(s.config(t, s.settings(1), testkit.Quiet(t).Address, 96, zone))
+			zone := strings.Replace(testutil.Entry("s", u.Address, "Ready"), `"zone":"a"`, fmt.Sprintf(`"zone":%q`, s.Net.Zones[0]), 1)
+			c, err := config.Parse(s.config(t, s.settings(1), testutil.Quiet(t).Address, 96, zone))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -151,7 +151,7 @@
 			ask := func(class, effect, what string) (*http.Response, int) {
 				t.Helper()
 				before := len(u.Requests())
-				req := testkit.Request(t, r.address, class, "")
+				req := testutil.Request(t, r.address, class, "")
 				req.Method = http.MethodPost
 				if effect == "safe" {
 					req.Method = http.MethodGet
@@ -255,7 +255,7 @@
 		}
 		if d.IsDir() {
 			switch d.Name() {
-			case ".git", "bin", "journal", "demo", "standin", "lab", "measure", "testkit": // what stands in for a deployment
+			case ".git", "bin", "journal", "demo", "measure": // what stands in for a deployment
 				return filepath.SkipDir
 			}
 			return nil
--- a/internal/daemon/subset_test.go
+++ b/internal/daemon/subset_test.go
@@ -13,8 +13,8 @@
 	"testing"
 
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // Guards against upstreams that no sidecar knows, connections to upstreams that are not a sidecar's own, and a list whose
@@ -88,7 +88,7 @@
 		return map[bool]string{true: "Terminating", false: "Ready"}[fmt.Sprint("n", i) == before[0]]
 	}))
 	for _, r := range rigs {
-		testkit.Eventually(t, "the drain of one", func() bool {
+		testutil.Eventually(t, "the drain of one", func() bool {
 			_, listed := r.d.routing.Load().services["seats"].narrow.Size()
 			return listed == nodes && !slices.Contains(places(r), before[0])
 		})
@@ -109,9 +109,9 @@
 	var known []string
 	for i := range 30 {
 		name := fmt.Sprint("n", i)
-		known = append(known, testkit.Entry(name, base.HTTP(t, nil, says(name)), "Ready"))
+		known = append(known, testutil.Entry(name, base.HTTP(t, nil, says(name)), "Ready"))
 	}
-	c := testkit.Config(t, testkit.Quiet(t).Address, known...)
+	c := testutil.Config(t, testutil.Quiet(t).Address, known...)
 	if _, err := config.ParseFile([]byte("[[service]]\nname = \"a\"\naddresses = [\"127.0.0.1:1\"]\n[platform.subset]\non = true\n")); err == nil {
 		t.Error("taken without a platform")
 	}
@@ -125,7 +125,7 @@
 		t.Fatalf("its own are %v", own)
 	}
 	for range 50 {
-		resp, err := http.DefaultClient.Do(testkit.Request(t, address, "search", ""))
+		resp, err := http.DefaultClient.Do(testutil.Request(t, address, "search", ""))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -159,7 +159,7 @@
 			}
 		}()
 		addresses = append(addresses, l.Addr().String())
-		known = append(known, testkit.Entry(fmt.Sprint("n", i), l.Addr().String(), "Ready"))
+		known = append(known, testutil.Entry(fmt.Sprint("n", i), l.Addr().String(), "Ready"))
 	}
 	all := func(n int64) func() bool {
 		return func() bool {
@@ -173,13 +173,13 @@
 	}
 	startFile(t, fmt.Sprintf("[log]\nlevel = \"error\"\n[[service]]\nname = \"a\"\naddresses = [%q, %q, %q, %q]\n[service.warm]\non = true\nspread = \"10ms\"\n",
 		addresses[0], addresses[1], addresses[2], addresses[3]))
-	testkit.Eventually(t, "one connection each", all(1))
-	p, err := config.ParseBeside(testkit.Config(t, testkit.Quiet(t).Address, known...), []byte("[log]\nlevel = \"error\"\n[platform.warm]\non = true\nspread = \"10ms\"\n"))
+	testutil.Eventually(t, "one connection each", all(1))
+	p, err := config.ParseBeside(testutil.Config(t, testutil.Quiet(t).Address, known...), []byte("[log]\nlevel = \"error\"\n[platform.warm]\non = true\nspread = \"10ms\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	startPlan(t, p)
-	testkit.Eventually(t, "and of the platform's", all(2))
+	testutil.Eventually(t, "and of the platform's", all(2))
 	for _, bad := range []string{"rate = 0", "each = 0", "part = 2.0"} {
 		if _, err := config.ParseFile([]byte("[[service]]\nname = \"a\"\naddresses = [\"127.0.0.1:1\"]\n[service.warm]\n" + bad + "\n")); err == nil {
 			t.Errorf("%q is taken", bad)
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 	"orchiddrift/internal/handover"
-	"orchiddrift/internal/life"
+	"orchiddrift/internal/lifecycle"
 )
 
 // succession is a process's place between the one before it and the one after it. Both exist for a while only: then the two share
@@ -64,7 +64,7 @@
 	return listener, &inherited{state, link}, nil
 }
 
-func newer(a, b *directory.Listing) bool {
+func newer(a, b *endpoints.Listing) bool {
 	return b == nil || b.Index == nil || *a.Index >= *b.Index
 }
 
@@ -82,7 +82,7 @@
 
 // state is what a successor gets.
 func (d *daemon) state() handover.State {
-	s := handover.State{Who: d.succession.who, Draining: d.course.state() == life.Draining, Held: d.held(), Services: map[string]handover.Service{}}
+	s := handover.State{Who: d.succession.who, Draining: d.course.state() == lifecycle.Draining, Held: d.held(), Services: map[string]handover.Service{}}
 	for name, one := range d.routing.Load().services {
 		of := handover.Service{Learnt: one.engine.Know()}
 		if d, list := one.followed(); d != "" {
@@ -94,7 +94,7 @@
 }
 
 // followed is the discovery that a service follows alone, and its list as last told; empty: it has other sources.
-func (s *service) followed() (string, *directory.Listing) {
+func (s *service) followed() (string, *endpoints.Listing) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.plan.Discovery == "" || len(s.plan.Registries) > 0 {
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -16,16 +16,16 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 	"orchiddrift/internal/upstream"
 )
 
 // encrypted is a daemon with TLS on both sides, one upstream, and the files that a test replaces.
 type encrypted struct {
 	*fileRig
-	ca       *standin.CA
+	ca       *fakes.CA
 	dir      string
 	upstream atomic.Pointer[tls.Config]
 	seen     atomic.Int64 // handshakes that the upstream has begun
@@ -38,7 +38,7 @@
 }
 
 // pair replaces a certificate and its key, one after the other.
-func (e *encrypted) pair(t testing.TB, name string, of standin.Issued) {
+func (e *encrypted) pair(t testing.TB, name string, of fakes.Issued) {
 	e.write(t, name+".crt", of.Certificate)
 	e.write(t, name+".key", of.Key)
 }
@@ -173,14 +173,14 @@
 	next := base.CA(t, "two")
 	e.write(t, "ca.crt", append(append([]byte{}, e.ca.PEM...), next.PEM...))
 	before := s.keys.Now().Generation
-	testkit.Eventually(t, "both authorities", func() bool { return s.keys.Now().Generation > before })
+	testutil.Eventually(t, "both authorities", func() bool { return s.keys.Now().Generation > before })
 	if got := ask(); got != "200 encrypted" {
 		t.Errorf("by overlap: %s", got)
 	}
 	seen := e.seen.Load()
 	e.write(t, "ca.crt", next.PEM)
-	testkit.Eventually(t, "the new authority", func() bool { return s.keys.Now().Generation > before+1 })
-	testkit.Eventually(t, "the old connection is closed", func() bool { return e.d.shared.slots.Used(s.name) == 0 })
+	testutil.Eventually(t, "the new authority", func() bool { return s.keys.Now().Generation > before+1 })
+	testutil.Eventually(t, "the old connection is closed", func() bool { return e.d.shared.slots.Used(s.name) == 0 })
 	if got := ask(); got != "503 refused: not done, trying again is harmless" && got != "503 refused: not done, trying again is harmless\n" {
 		t.Errorf("under a withdrawn authority: %s", got)
 	}
@@ -189,7 +189,7 @@
 	}
 	moved := base.ServerTLS(t, base.Issue(t, next, "127.0.0.1"))
 	e.upstream.Store(moved)
-	testkit.Eventually(t, "served under the new authority", func() bool { return ask() == "200 encrypted" })
+	testutil.Eventually(t, "served under the new authority", func() bool { return ask() == "200 encrypted" })
 }
 
 // Guards against a handshake for each attempt that is called off: an encrypted connection whose answer comes in a moment
@@ -210,15 +210,15 @@
 		go func() {
 			done <- s.pool.Attempt(ctx, name, upstream.NewRequest("GET", "/", "a", http.Header{}, nil), time.Time{})
 		}()
-		testkit.Eventually(t, "it is out", func() bool { return e.asked.Load() > before })
+		testutil.Eventually(t, "it is out", func() bool { return e.asked.Load() > before })
 		cancel()
 		begun := time.Now()
 		if rep := <-done; rep.Result != balancer.Cancelled && rep.Result != balancer.OK || time.Since(begun) > c.slow/2+200*time.Millisecond {
 			t.Errorf("%v: result %d after %v", c.slow, rep.Result, time.Since(begun))
 		}
-		testkit.Eventually(t, "it is kept, or closed", func() bool { return e.d.shared.slots.Used(s.name) == c.kept })
+		testutil.Eventually(t, "it is kept, or closed", func() bool { return e.d.shared.slots.Used(s.name) == c.kept })
 		if c.kept == 1 {
-			testkit.Eventually(t, "it carries the next", func() bool {
+			testutil.Eventually(t, "it carries the next", func() bool {
 				rep := s.pool.Attempt(t.Context(), name, upstream.NewRequest("GET", "/", "a", http.Header{}, nil), time.Time{})
 				s.pool.Free(rep)
 				return rep.Result == balancer.OK && string(rep.Body) == "encrypted"
@@ -235,11 +235,11 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(testkit.Patience))
+	_ = conn.SetDeadline(time.Now().Add(testutil.Patience))
 	_, _ = conn.Write([]byte{0x16, 0x03, 0x01, 0x02, 0x00}) // a record's head, and no more
 	begun := time.Now()
 	_, err = conn.Read(make([]byte, 1))
-	if took := time.Since(begun); err == nil || took > testkit.Patience/2 {
+	if took := time.Since(begun); err == nil || took > testutil.Patience/2 {
 		t.Errorf("%v after %v", err, took)
 	}
 	if status, body := e.ask("/"); status != 200 || body != "encrypted" {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/standin"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
 )
 
 const (
@@ -56,17 +56,17 @@
 type fleet struct {
 	o         Options
 	grpc      bool
-	ledger    *standin.Ledger
-	keys      *standin.KeyMemory
-	discovery *standin.Discovery
+	ledger    *fakes.Ledger
+	keys      *fakes.KeyMemory
+	discovery *fakes.Discovery
 
 	mu    sync.Mutex
-	nodes []*standin.Node // in the order of their start, those that have gone too
+	nodes []*fakes.Node // in the order of their start, those that have gone too
 }
 
 func newFleet(o Options) (*fleet, error) {
-	f := &fleet{o: o, grpc: o.Front == "grpc", ledger: standin.NewLedger(), keys: standin.NewKeyMemory(6 * time.Second),
-		discovery: standin.NewDiscovery()}
+	f := &fleet{o: o, grpc: o.Front == "grpc", ledger: fakes.NewLedger(), keys: fakes.NewKeyMemory(6 * time.Second),
+		discovery: fakes.NewDiscovery()}
 	f.ledger.CountOnly = true
 	if _, err := f.discovery.Listen("127.0.0.1:0"); err != nil {
 		return nil, err
@@ -83,16 +83,16 @@
 // start starts the node at a place of the fleet, and lists it.
 func (f *fleet) start(place int, name string, since time.Time) error {
 	kind := kinds[place%len(kinds)]
-	n := standin.NodeOptions{Name: name, Zone: "home", Type: kind.name, Cores: cores, Speed: kind.speed, Queue: 40,
+	n := fakes.NodeOptions{Name: name, Zone: "home", Type: kind.name, Cores: cores, Speed: kind.speed, Queue: 40,
 		Started: since, ColdFrom: coldFrom, WarmUp: warmUp, FallMultiple: fallMultiple, FallTime: fallTime,
 		Keys: f.keys, Seed: f.o.Seed + uint64(place), Ledger: f.ledger}
 	if since.IsZero() { // the fleet of the beginning meets the script
 		at := func(share float64) time.Duration { return time.Duration(share * float64(f.o.For)) }
 		switch place {
 		case 0:
-			n.Faults = []standin.Fault{{Kind: standin.Slow, Factor: slowFactor, From: at(slowFrom), To: at(slowTo)}}
+			n.Faults = []fakes.Fault{{Kind: fakes.Slow, Factor: slowFactor, From: at(slowFrom), To: at(slowTo)}}
 		case 1, 2:
-			n.Faults = []standin.Fault{{Kind: standin.Freeze, From: at(freezeFrom), To: at(freezeTo), Every: freezeEvery, For: freezeFor}}
+			n.Faults = []fakes.Fault{{Kind: fakes.Freeze, From: at(freezeFrom), To: at(freezeTo), Every: freezeEvery, For: freezeFor}}
 		}
 	}
 	body := []byte(name)
@@ -103,8 +103,8 @@
 		}
 		body = encoded
 	}
-	n.Answer = func(standin.Job) []byte { return body }
-	node := standin.NewNode(n)
+	n.Answer = func(fakes.Job) []byte { return body }
+	node := fakes.NewNode(n)
 	listen := node.ListenHTTP
 	if f.grpc {
 		listen = node.ListenGRPC
@@ -116,7 +116,7 @@
 	f.mu.Lock()
 	f.nodes = append(f.nodes, node)
 	f.mu.Unlock()
-	e := directory.Endpoint{Name: name, Address: address, Zone: "home", Type: kind.name, Status: directory.StatusReady}
+	e := endpoints.Endpoint{Name: name, Address: address, Zone: "home", Type: kind.name, Status: endpoints.StatusReady}
 	if !since.IsZero() {
 		e.SinceMs = float64(since.UnixMilli())
 	}
@@ -163,7 +163,7 @@
 func (f *fleet) listed() map[string]string {
 	places := map[string]string{}
 	for _, e := range f.discovery.Listing().Endpoints {
-		if e.Status == directory.StatusReady {
+		if e.Status == endpoints.StatusReady {
 			places[e.Name] = e.Address
 		}
 	}
@@ -171,12 +171,12 @@
 }
 
 // outcome is what the nodes saw.
-func (f *fleet) outcome() map[string]standin.NodeCount { return f.ledger.Nodes() }
+func (f *fleet) outcome() map[string]fakes.NodeCount { return f.ledger.Nodes() }
 
-func (f *fleet) all() []*standin.Node {
+func (f *fleet) all() []*fakes.Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]*standin.Node(nil), f.nodes...)
+	return append([]*fakes.Node(nil), f.nodes...)
 }
 
 func (f *fleet) close() {
--- a/internal/demo/fronts.go
+++ b/internal/demo/fronts.go
@@ -18,11 +18,11 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"orchiddrift/balancer"
+	"orchiddrift/grpcbalancer"
 	"orchiddrift/internal/config"
 	"orchiddrift/internal/daemon"
 	"orchiddrift/internal/engine"
 	"orchiddrift/internal/settings"
-	"orchiddrift/orchidgrpc"
 )
 
 // front is a way to get a request answered: inTime stands for served, in whatever time.
@@ -124,7 +124,7 @@
 
 // pluginFront is the plug-in in this process.
 type pluginFront struct {
-	plugin *orchidgrpc.Plugin
+	plugin *grpcbalancer.Plugin
 	conn   *grpc.ClientConn
 }
 
@@ -132,15 +132,15 @@
 
 func newPlugin(f *fleet, seed uint64) (*pluginFront, error) {
 	l := f.discovery.Listing()
-	o := orchidgrpc.Options{Settings: moduleSettings(), Seed: seed, Discovery: f.discovery.Address(), Version: *l.Index,
+	o := grpcbalancer.Options{Settings: moduleSettings(), Seed: seed, Discovery: f.discovery.Address(), Version: *l.Index,
 		Methods: map[string]string{}}
 	for _, c := range classes {
 		o.Methods[methodPrefix+c.name] = c.name
 	}
 	for _, e := range l.Endpoints {
-		o.Endpoints = append(o.Endpoints, orchidgrpc.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type})
+		o.Endpoints = append(o.Endpoints, grpcbalancer.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type})
 	}
-	p, err := orchidgrpc.New(o)
+	p, err := grpcbalancer.New(o)
 	if err != nil {
 		return nil, err
 	}
@@ -157,7 +157,7 @@
 	switch {
 	case err == nil:
 		return inTime
-	case !orchidgrpc.MayHaveRun(err):
+	case !grpcbalancer.MayHaveRun(err):
 		return refused
 	}
 	return failed
@@ -172,10 +172,10 @@
 }
 
 func askGRPC(ctx context.Context, conn *grpc.ClientConn, r request) error {
-	ctx = metadata.AppendToOutgoingContext(ctx, orchidgrpc.RequestIDKey, r.id, orchidgrpc.CostKey,
+	ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.RequestIDKey, r.id, grpcbalancer.CostKey,
 		strconv.FormatInt(r.work.Microseconds(), 10))
 	if r.class.effect == balancer.Keyed {
-		ctx = metadata.AppendToOutgoingContext(ctx, orchidgrpc.IdempotencyKey, r.key)
+		ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.IdempotencyKey, r.key)
 	}
 	return conn.Invoke(ctx, methodPrefix+r.class.name, wrapperspb.String(r.id), &wrapperspb.StringValue{})
 }
@@ -259,7 +259,7 @@
 	}
 	g.connMu.Unlock()
 	var trailer metadata.MD
-	ctx = metadata.AppendToOutgoingContext(ctx, orchidgrpc.RequestIDKey, r.id, orchidgrpc.CostKey,
+	ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.RequestIDKey, r.id, grpcbalancer.CostKey,
 		strconv.FormatInt(r.work.Microseconds(), 10))
 	err := conn.Invoke(ctx, methodPrefix+r.class.name, wrapperspb.String(r.id), &wrapperspb.StringValue{}, grpc.Trailer(&trailer))
 	switch {
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -10,8 +10,8 @@
 
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 
-	lab "orchiddrift/internal/load"
-	"orchiddrift/internal/standin"
+	"orchiddrift/internal/fakes"
+	lab "orchiddrift/internal/loadgen"
 )
 
 const (
@@ -44,7 +44,7 @@
 	Asked         int
 	By            [results]int
 	P50, P95, P99 time.Duration // of what was served
-	Nodes         map[string]standin.NodeCount
+	Nodes         map[string]fakes.NodeCount
 }
 
 // InTime is the share that was served in time.
--- a/internal/discovery/budget_test.go
+++ b/internal/discovery/budget_test.go
@@ -13,10 +13,10 @@
 
 	"orchiddrift/balancer"
 	"orchiddrift/internal/clock"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/logs"
-	"orchiddrift/internal/staleness"
-	"orchiddrift/internal/testkit"
+	"orchiddrift/internal/discovery/staleness"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/logging"
+	"orchiddrift/internal/testing/testutil"
 )
 
 // pipes is a network without sockets, so that a test's time is its own.
@@ -44,7 +44,7 @@
 type says func(n int, after time.Duration, r *http.Request, send func(string))
 
 // played runs a watcher that knows upstream a before a discovery in virtual time, for as long as play does.
-func played(t *testing.T, o staleness.Options, do says, play func(w *Watcher, dir *directory.Directory, start time.Time, log func() string)) {
+func played(t *testing.T, o staleness.Options, do says, play func(w *Watcher, dir *endpoints.Directory, start time.Time, log func() string)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		conns := make(chan net.Conn, 16)
@@ -66,15 +66,15 @@
 		})}
 		served.Go(func() { _ = srv.Serve(net) }) // ends with Close
 		var lines strings.Builder
-		w := New(Options{Address: "127.0.0.1:1", Index: 1, Staleness: o, Log: logs.To(func(line string) {
+		w := New(Options{Address: "127.0.0.1:1", Index: 1, Staleness: o, Log: logging.To(func(line string) {
 			mu.Lock()
 			defer mu.Unlock()
 			lines.WriteString(line + "\n")
 		})})
 		w.client.Transport.(*http.Transport).DialContext = net.dial
-		dir := directory.New(clock.New(), nil)
+		dir := endpoints.New(clock.New(), nil)
 		feed := NewFeed(dir, func(balancer.Members) {})
-		feed.Take(testkit.Listing(t, 1, true, testkit.Entry("a", "127.0.0.2:1", "Ready")))
+		feed.Take(testutil.Listing(t, 1, true, testutil.Entry("a", "127.0.0.2:1", "Ready")))
 		ctx, cancel := context.WithCancel(t.Context())
 		var runs sync.WaitGroup
 		runs.Go(func() { w.Run(ctx, feed) })
@@ -90,13 +90,13 @@
 	})
 }
 
-func has(dir *directory.Directory, name string) bool {
+func has(dir *endpoints.Directory, name string) bool {
 	_, ok := dir.Place(name)
 	return ok
 }
 
 // forgets waits until a drains, and returns how long that took.
-func forgets(t *testing.T, dir *directory.Directory, start time.Time) time.Duration {
+func forgets(t *testing.T, dir *endpoints.Directory, start time.Time) time.Duration {
 	t.Helper()
 	for has(dir, "a") {
 		if time.Since(start) > time.Minute {
@@ -108,8 +108,8 @@
 }
 
 var (
-	drained = testkit.List(7, false, testkit.Entry("a", "127.0.0.2:1", "Terminating")) + "\n"
-	none    = testkit.List(6, false) + "\n"
+	drained = testutil.List(7, false, testutil.Entry("a", "127.0.0.2:1", "Terminating")) + "\n"
+	none    = testutil.List(6, false) + "\n"
 )
 
 // Guards against requests to upstreams announced as leaving: what a silent call misses counts as told 6 s after it fell silent, and
@@ -176,7 +176,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			played(t, c.o, c.do, func(_ *Watcher, dir *directory.Directory, start time.Time, _ func() string) {
+			played(t, c.o, c.do, func(_ *Watcher, dir *endpoints.Directory, start time.Time, _ func() string) {
 				if took := forgets(t, dir, start); took > c.silent+6*time.Second+200*time.Millisecond {
 					t.Errorf("the drain is heard of %v after the silence", took-c.silent)
 				}
@@ -195,12 +195,12 @@
 			send(drained)
 		case 2:
 			time.Sleep(500 * time.Millisecond)
-			send(testkit.List(6, true, testkit.Entry("a", "127.0.0.2:1", "Ready")) + "\n")
+			send(testutil.List(6, true, testutil.Entry("a", "127.0.0.2:1", "Ready")) + "\n")
 			time.Sleep(time.Second)
-			send(testkit.List(8, false, testkit.Entry("b", "127.0.0.2:2", "Ready")) + "\n")
+			send(testutil.List(8, false, testutil.Entry("b", "127.0.0.2:2", "Ready")) + "\n")
 		}
 		<-r.Context().Done()
-	}, func(w *Watcher, dir *directory.Directory, start time.Time, _ func() string) {
+	}, func(w *Watcher, dir *endpoints.Directory, start time.Time, _ func() string) {
 		forgets(t, dir, start)
 		for !has(dir, "b") {
 			if has(dir, "a") {
@@ -222,10 +222,10 @@
 		case n == 1:
 			send(none)
 		case after > 30*time.Second:
-			send(testkit.List(2, true, testkit.Entry("c", "127.0.0.2:3", "Ready")) + "\n")
+			send(testutil.List(2, true, testutil.Entry("c", "127.0.0.2:3", "Ready")) + "\n")
 		}
 		<-r.Context().Done()
-	}, func(w *Watcher, dir *directory.Directory, start time.Time, log func() string) {
+	}, func(w *Watcher, dir *endpoints.Directory, start time.Time, log func() string) {
 		time.Sleep(5 * time.Second)
 		if age, overdue := w.Age(); age < 4*time.Second || overdue {
 			t.Errorf("after 5 s: age %v, overdue %v", age, overdue)
--- a/internal/discovery/calls.go
+++ b/internal/discovery/calls.go
@@ -14,8 +14,8 @@
 	"slices"
 	"time"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/staleness"
+	"orchiddrift/internal/discovery/staleness"
+	"orchiddrift/internal/endpoints"
 )
 
 // location is an address that tells the list, with what is known of its versions: those of another one mean nothing there.
@@ -136,10 +136,10 @@
 
 // take applies what a call brought, unless that has been ended meanwhile; empty text is a sign of life.
 func (w *Watcher) take(ctx context.Context, c *openCall, text []byte) error {
-	var l *directory.Listing
+	var l *endpoints.Listing
 	if len(text) > 0 {
 		var err error
-		if l, err = directory.ParseListing(text); err != nil { // the last good list stays, and is asked for again from its version on
+		if l, err = endpoints.ParseListing(text); err != nil { // the last good list stays, and is asked for again from its version on
 			return fmt.Errorf("malformed list: %w", err)
 		}
 	}
@@ -179,17 +179,17 @@
 
 // applyWithdrawals takes of what an address before tells what drains or is gone: the present address's list may have been written
 // ahead of it. What that list says comes back when it is asked for again. The caller holds mu.
-func (w *Watcher) applyWithdrawals(l *directory.Listing) bool {
-	withdrawn := slices.DeleteFunc(slices.Clone(l.Endpoints), func(e directory.Endpoint) bool { return e.Status == directory.StatusReady })
+func (w *Watcher) applyWithdrawals(l *endpoints.Listing) bool {
+	withdrawn := slices.DeleteFunc(slices.Clone(l.Endpoints), func(e endpoints.Endpoint) bool { return e.Status == endpoints.StatusReady })
 	if len(withdrawn) > 0 {
 		index := w.at.index
-		w.sink.Update(&directory.Listing{Index: &index, Endpoints: withdrawn})
+		w.sink.Update(&endpoints.Listing{Index: &index, Endpoints: withdrawn})
 	}
 	return len(withdrawn) > 0 || l.Snapshot // what a whole list leaves out is gone there
 }
 
 // apply hands a list or a change to the sink, unless it is older than what is known; the caller holds mu.
-func (w *Watcher) apply(c *openCall, l *directory.Listing) error {
+func (w *Watcher) apply(c *openCall, l *endpoints.Listing) error {
 	index, at := *l.Index, c.at
 	beganAnew := l.Snapshot && c.version == at.index // on the call that brought the newest
 	switch {
--- a/internal/eureka/eureka_test.go
+++ b/internal/discovery/eureka/eureka_test.go
@@ -16,10 +16,10 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/logs"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/logging"
+	"orchiddrift/internal/testing/testutil/base"
 	"orchiddrift/internal/units"
 )
 
@@ -28,20 +28,20 @@
 // heard is a Sink that keeps the list, and what else it is told.
 type heard struct {
 	mu    sync.Mutex
-	list  map[string]directory.Endpoint
+	list  map[string]endpoints.Endpoint
 	lost  int
 	heard int
 	said  []string
 }
 
-func (h *heard) Update(l *directory.Listing) {
+func (h *heard) Update(l *endpoints.Listing) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if l.Snapshot {
 		clear(h.list)
 	}
 	for _, e := range l.Endpoints {
-		if h.list[e.Name] = e; e.Status == directory.StatusGone {
+		if h.list[e.Name] = e; e.Status == endpoints.StatusGone {
 			delete(h.list, e.Name)
 		}
 	}
@@ -72,7 +72,7 @@
 	return n
 }
 
-func declaration(servers ...*standin.Eureka) Declaration {
+func declaration(servers ...*fakes.Eureka) Declaration {
 	d := Declaration{Service: "s", Name: "eureka", Poll: units.Duration(5 * time.Millisecond), Timeout: units.Duration(300 * time.Millisecond),
 		Backoff: units.Duration(20 * time.Millisecond), MaxAnswer: 16 * units.MiB, ZoneKey: "zone", TypeKey: "type", GroupKey: "group"}
 	for _, s := range servers {
@@ -84,8 +84,8 @@
 // follow runs a Source until the test ends.
 func follow(t *testing.T, d Declaration) (*heard, *Source) {
 	t.Helper()
-	h := &heard{list: map[string]directory.Endpoint{}}
-	s, err := New(d, time.Second, 1, logs.To(func(line string) {
+	h := &heard{list: map[string]endpoints.Endpoint{}}
+	s, err := New(d, time.Second, 1, logging.To(func(line string) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.said = append(h.said, line)
@@ -100,33 +100,33 @@
 	return h, s
 }
 
-func node(app, id string, port int, status string) standin.EurekaInstance {
-	return standin.EurekaInstance{App: app, ID: id, Host: "node.example", IP: "127.0.0.2", VIP: strings.ToLower(app), Port: port,
+func node(app, id string, port int, status string) fakes.EurekaInstance {
+	return fakes.EurekaInstance{App: app, ID: id, Host: "node.example", IP: "127.0.0.2", VIP: strings.ToLower(app), Port: port,
 		SecurePort: port + 1000, SecureOn: true, Status: status, Up: time.UnixMilli(1_700_000_000_000),
 		Metadata: map[string]string{"zone": "upper-hill", "type": "large", "group": "3"}}
 }
 
 // Guards against a status, an override, an end or a start that is not followed: by each format, oddity and way of asking.
 func TestFollowsTheRegistry(t *testing.T) {
-	for name, change := range map[string]func(*Declaration, *standin.EurekaOptions){
-		"one application":  func(d *Declaration, _ *standin.EurekaOptions) { d.Applications = []string{"seats"} },
-		"xml":              func(d *Declaration, _ *standin.EurekaOptions) { d.Applications, d.Format = []string{"SEATS"}, "xml" },
-		"numbers as texts": func(d *Declaration, o *standin.EurekaOptions) { d.Applications, o.Texts = []string{"SEATS"}, true },
-		"vip":              func(d *Declaration, _ *standin.EurekaOptions) { d.VIP = "seats" },
-		"changes":          func(d *Declaration, _ *standin.EurekaOptions) { d.Applications, d.Delta = []string{"SEATS"}, true },
-		"changes in xml, v2": func(d *Declaration, _ *standin.EurekaOptions) {
+	for name, change := range map[string]func(*Declaration, *fakes.EurekaOptions){
+		"one application":  func(d *Declaration, _ *fakes.EurekaOptions) { d.Applications = []string{"seats"} },
+		"xml":              func(d *Declaration, _ *fakes.EurekaOptions) { d.Applications, d.Format = []string{"SEATS"}, "xml" },
+		"numbers as texts": func(d *Declaration, o *fakes.EurekaOptions) { d.Applications, o.Texts = []string{"SEATS"}, true },
+		"vip":              func(d *Declaration, _ *fakes.EurekaOptions) { d.VIP = "seats" },
+		"changes":          func(d *Declaration, _ *fakes.EurekaOptions) { d.Applications, d.Delta = []string{"SEATS"}, true },
+		"changes in xml, v2": func(d *Declaration, _ *fakes.EurekaOptions) {
 			d.Applications, d.Delta, d.Format, d.Servers[0] = []string{"SEATS"}, true, "xml", d.Servers[0]+"/v2/"
 		},
-		"with a password": func(d *Declaration, o *standin.EurekaOptions) {
+		"with a password": func(d *Declaration, o *fakes.EurekaOptions) {
 			d.Applications, d.User, o.User, o.Password = []string{"SEATS"}, "u", "u", "p w"
 		},
-		"secure ports": func(d *Declaration, _ *standin.EurekaOptions) { d.Applications, d.Secure = []string{"SEATS"}, true },
-		"answers out of a cache": func(d *Declaration, o *standin.EurekaOptions) {
+		"secure ports": func(d *Declaration, _ *fakes.EurekaOptions) { d.Applications, d.Secure = []string{"SEATS"}, true },
+		"answers out of a cache": func(d *Declaration, o *fakes.EurekaOptions) {
 			d.Applications, o.CacheFor = []string{"SEATS"}, 30*time.Millisecond
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, o := declaration(), standin.EurekaOptions{}
+			d, o := declaration(), fakes.EurekaOptions{}
 			d.Servers = []string{""}
 			change(&d, &o)
 			e := base.Eureka(t, o)
@@ -147,8 +147,8 @@
 			}
 			want("a Ready")
 			h.mu.Lock()
-			if got, want := h.list["a"], (directory.Endpoint{Name: "a", Address: fmt.Sprint("127.0.0.2:", port), Zone: "upper-hill", Type: "large",
-				Group: 3, Status: directory.StatusReady, SinceMs: 1_700_000_000_000}); got != want {
+			if got, want := h.list["a"], (endpoints.Endpoint{Name: "a", Address: fmt.Sprint("127.0.0.2:", port), Zone: "upper-hill", Type: "large",
+				Group: 3, Status: endpoints.StatusReady, SinceMs: 1_700_000_000_000}); got != want {
 				t.Errorf("%+v, want %+v", got, want)
 			}
 			h.mu.Unlock()
@@ -180,10 +180,10 @@
 // Guards against a bad answer that costs the list, is logged with every poll, or ends the following.
 func TestBadAnswersLeaveTheLastGoodList(t *testing.T) {
 	for _, delta := range []bool{false, true} {
-		for name, fault := range map[string]standin.EurekaFault{"down": standin.EurekaDown, "cut": standin.EurekaCut, "html": standin.EurekaHTML,
-			"hangs": standin.EurekaHangs, "huge": standin.EurekaHuge} {
+		for name, fault := range map[string]fakes.EurekaFault{"down": fakes.EurekaDown, "cut": fakes.EurekaCut, "html": fakes.EurekaHTML,
+			"hangs": fakes.EurekaHangs, "huge": fakes.EurekaHuge} {
 			t.Run(fmt.Sprint(name, " ", delta), func(t *testing.T) {
-				e := base.Eureka(t, standin.EurekaOptions{})
+				e := base.Eureka(t, fakes.EurekaOptions{})
 				d := declaration(e)
 				if d.Applications, d.Delta, d.MaxAnswer = []string{"SEATS"}, delta, units.MiB; name != "hangs" {
 					d.Timeout = units.Duration(30 * time.Second) // 20 MB take a slow machine their time
@@ -192,7 +192,7 @@
 				e.Put(node("SEATS", "b", 82, "UP"))
 				h, _ := follow(t, d)
 				base.Eventually(t, "the list", func() bool { return h.says() == "a Ready, b Ready" })
-				e.Fault(func(string) standin.EurekaFault { return fault })
+				e.Fault(func(string) fakes.EurekaFault { return fault })
 				base.Eventually(t, "it is lost", func() bool { h.mu.Lock(); defer h.mu.Unlock(); return h.lost >= 4 })
 				e.Cancel("SEATS", "b")
 				if got := h.says(); got != "a Ready, b Ready" {
@@ -212,7 +212,7 @@
 // Guards against failures that take turns and are logged with every poll.
 func TestFailuresInTurn(t *testing.T) {
 	h := &heard{}
-	s := &Source{log: logs.To(func(line string) { h.said = append(h.said, line) })}
+	s := &Source{log: logging.To(func(line string) { h.said = append(h.said, line) })}
 	for outage := 1; outage <= 2; outage++ {
 		for n := range 100 {
 			s.say(fmt.Errorf("reason %d", n%(2*maxReasons)))
@@ -226,8 +226,8 @@
 
 // Guards against changes that were lost, sums that never fit, servers that tell no changes, and replicas that are away.
 func TestDeltas(t *testing.T) {
-	start := func(t *testing.T, others ...*standin.Eureka) (*standin.Eureka, *heard) {
-		e := base.Eureka(t, standin.EurekaOptions{})
+	start := func(t *testing.T, others ...*fakes.Eureka) (*fakes.Eureka, *heard) {
+		e := base.Eureka(t, fakes.EurekaOptions{})
 		d := declaration(append(others, e)...)
 		d.Applications, d.Delta = []string{"SEATS"}, true
 		for _, x := range append(others, e) {
@@ -239,7 +239,7 @@
 	}
 	t.Run("lost changes", func(t *testing.T) {
 		e, h := start(t)
-		e.Fault(func(string) standin.EurekaFault { return standin.EurekaLostDelta })
+		e.Fault(func(string) fakes.EurekaFault { return fakes.EurekaLostDelta })
 		e.Put(node("SEATS", "b", 82, "UP"))
 		base.Eventually(t, "by everything", func() bool { return h.says() == "a Ready, b Ready" })
 	})
@@ -247,7 +247,7 @@
 		e, h := start(t)
 		e.Put(node("SEATS", "b", 82, "UP"))
 		base.Eventually(t, "two", func() bool { return h.says() == "a Ready, b Ready" })
-		e.Fault(func(string) standin.EurekaFault { return standin.EurekaWrongSum })
+		e.Fault(func(string) fakes.EurekaFault { return fakes.EurekaWrongSum })
 		e.Override("SEATS", "a", "OUT_OF_SERVICE")
 		e.Cancel("SEATS", "b")
 		base.Eventually(t, "believed in what it says, not in what it lacks", func() bool { return h.says() == "a OutOfService, b Ready" })
@@ -265,12 +265,12 @@
 	})
 	t.Run("no changes are told", func(t *testing.T) {
 		e, h := start(t)
-		e.Fault(func(string) standin.EurekaFault { return standin.EurekaNoDelta })
+		e.Fault(func(string) fakes.EurekaFault { return fakes.EurekaNoDelta })
 		e.Put(node("SEATS", "b", 82, "UP"))
 		base.Eventually(t, "by everything", func() bool { return h.says() == "a Ready, b Ready" })
 	})
 	t.Run("the first replica goes away", func(t *testing.T) {
-		first, err := standin.NewEureka(standin.EurekaOptions{})
+		first, err := fakes.NewEureka(fakes.EurekaOptions{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -348,7 +348,7 @@
 
 // Guards against a sidecar that cannot be found, is still found when it drains, or stays registered after its end.
 func TestRegistration(t *testing.T) {
-	e := base.Eureka(t, standin.EurekaOptions{})
+	e := base.Eureka(t, fakes.EurekaOptions{})
 	d := declaration(e)
 	d.Register = Register{Application: "drift", Renew: units.Duration(time.Second), Metadata: map[string]string{"zone": "z"}}
 	if _, err := NewRegistration(d, "n", "0.0.0.0:80", 0, 1, nil); err == nil {
@@ -398,7 +398,7 @@
 			return
 		}
 		for _, e := range r.news(true, false).Endpoints {
-			if err := directory.CheckAddress(e.Address); err != nil || e.Name == "" {
+			if err := endpoints.CheckAddress(e.Address); err != nil || e.Name == "" {
 				t.Errorf("%+v: %v", e, err)
 			}
 		}
@@ -412,9 +412,9 @@
 
 // BenchmarkDecode reads a document of 5,000 instances into a copy.
 //
-//	go test -run '^$' -bench Decode -benchmem ./internal/eureka
+//	go test -run '^$' -bench Decode -benchmem ./internal/discovery/eureka
 func BenchmarkDecode(b *testing.B) {
-	e := base.Eureka(b, standin.EurekaOptions{})
+	e := base.Eureka(b, fakes.EurekaOptions{})
 	for i := range 5000 {
 		e.Put(node("SEATS", fmt.Sprint("host:seats:", i), 1000+i, "UP"))
 	}
@@ -509,8 +509,8 @@
 	for _, preserves := range []bool{false, true} {
 		var ahead atomic.Int64
 		now := func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
-		e := base.Eureka(t, standin.EurekaOptions{Preserves: preserves, Now: now})
-		peer := base.Eureka(t, standin.EurekaOptions{Now: now})
+		e := base.Eureka(t, fakes.EurekaOptions{Preserves: preserves, Now: now})
+		peer := base.Eureka(t, fakes.EurekaOptions{Now: now})
 		e.Replicate(peer)
 		for _, id := range []string{"a", "b"} {
 			e.Put(node("SEATS", id, 81, "UP"))
--- a/internal/eureka/instance.go
+++ b/internal/discovery/eureka/instance.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"strings"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/membership"
+	"orchiddrift/internal/discovery/membership"
+	"orchiddrift/internal/endpoints"
 )
 
 // The statuses of an instance, as the registry's documents have them.
@@ -19,7 +19,7 @@
 )
 
 // words are the statuses as membership has them; what is none of these is not known.
-var words = map[string]string{statusUp: directory.StatusReady, statusDown: membership.StatusDown,
+var words = map[string]string{statusUp: endpoints.StatusReady, statusDown: membership.StatusDown,
 	statusStarting: membership.StatusStarting, statusOutOfService: membership.StatusOutOfService,
 	statusUnknown: membership.StatusUnknown}
 
@@ -75,7 +75,7 @@
 }
 
 // endpoint is an instance as an upstream; false: it has no address that can be used.
-func (m Mapping) endpoint(i *instance) (directory.Endpoint, bool) {
+func (m Mapping) endpoint(i *instance) (endpoints.Endpoint, bool) {
 	word, known := words[i.effective()]
 	if !known {
 		word = membership.StatusUnknown
@@ -88,7 +88,7 @@
 	if net.ParseIP(host) == nil {
 		host = i.host // some put it there; there are no look-ups
 	}
-	e := directory.Endpoint{Name: i.key(), Address: net.JoinHostPort(host, strconv.Itoa(p.number)), Status: word,
+	e := endpoints.Endpoint{Name: i.key(), Address: net.JoinHostPort(host, strconv.Itoa(p.number)), Status: word,
 		Zone: i.metadata[m.ZoneKey], Type: i.metadata[m.TypeKey], Identity: i.metadata[m.IdentityKey]}
 	if e.Zone == "" {
 		e.Zone = i.dcZone
@@ -100,7 +100,7 @@
 	if e.SinceMs = float64(i.up); e.SinceMs <= 0 {
 		e.SinceMs = float64(max(i.registered, 0))
 	}
-	ok := p.on && p.number > 0 && directory.CheckAddress(e.Address) == nil && i.key() != ""
+	ok := p.on && p.number > 0 && endpoints.CheckAddress(e.Address) == nil && i.key() != ""
 	return e, ok
 }
 
--- a/internal/eureka/register.go
+++ b/internal/discovery/eureka/register.go
@@ -14,14 +14,14 @@
 	"strings"
 	"time"
 
-	"orchiddrift/internal/keys"
+	"orchiddrift/internal/tlscredentials"
 )
 
 // Registration makes this process known in a registry as long as it runs.
 type Registration struct {
 	d      Declaration
 	client *client
-	keys   *keys.Store
+	keys   *tlscredentials.Store
 	log    *slog.Logger
 	rng    *rand.Rand
 	app    string
--- a/internal/eureka/registry.go
+++ b/internal/discovery/eureka/registry.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 )
 
 // registry is the client's copy of the registry's instances. It is a state machine: documents in, changes of the
@@ -16,7 +16,7 @@
 	apps    map[string]bool // those that are wanted, in capitals; empty: all
 	now     map[string]entry
 	counts  map[string]int // instances by the status that the registry counts
-	told    map[string]directory.Endpoint
+	told    map[string]endpoints.Endpoint
 	unusual int // wanted instances without a usable address
 }
 
@@ -24,11 +24,11 @@
 type entry struct {
 	status string
 	wanted bool
-	e      directory.Endpoint
+	e      endpoints.Endpoint
 }
 
 func newRegistry(m Mapping, apps []string) *registry {
-	r := &registry{mapping: m, apps: map[string]bool{}, told: map[string]directory.Endpoint{}}
+	r := &registry{mapping: m, apps: map[string]bool{}, told: map[string]endpoints.Endpoint{}}
 	for _, a := range apps {
 		r.apps[strings.ToUpper(a)] = true
 	}
@@ -57,7 +57,7 @@
 	if n.wanted {
 		var ok bool
 		if n.e, ok = r.mapping.endpoint(i); !ok {
-			n.e = directory.Endpoint{}
+			n.e = endpoints.Endpoint{}
 			r.unusual++
 		}
 	}
@@ -77,8 +77,8 @@
 
 // news is what changed since news was last asked for; whole: all of it. Where the copy can't be trusted to be whole,
 // partial has what is missing from it stay.
-func (r *registry) news(whole, partial bool) *directory.Listing {
-	l := &directory.Listing{Snapshot: whole}
+func (r *registry) news(whole, partial bool) *endpoints.Listing {
+	l := &endpoints.Listing{Snapshot: whole}
 	seen := make(map[string]bool, len(r.told))
 	for _, n := range r.now {
 		if n.e.Name == "" {
@@ -94,12 +94,12 @@
 		if seen[name] || partial {
 			continue
 		}
-		e.Status = directory.StatusGone
+		e.Status = endpoints.StatusGone
 		if !whole {
 			l.Endpoints = append(l.Endpoints, e)
 		}
 		delete(r.told, name)
 	}
-	slices.SortFunc(l.Endpoints, func(a, b directory.Endpoint) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(l.Endpoints, func(a, b endpoints.Endpoint) int { return strings.Compare(a.Name, b.Name) })
 	return l
 }
--- a/internal/eureka/source.go
+++ b/internal/discovery/eureka/source.go
@@ -18,15 +18,15 @@
 	"sync/atomic"
 	"time"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/keys"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/tlscredentials"
 )
 
 // Source follows a registry. It is a directory.Source; its Status words are those of package membership.
 type Source struct {
 	d       Declaration
 	client  *client
-	keys    *keys.Store // nil: no server of https
+	keys    *tlscredentials.Store // nil: no server of https
 	log     *slog.Logger
 	rng     *rand.Rand
 	copy    *registry
@@ -37,7 +37,7 @@
 	asked   atomic.Int64
 }
 
-var _ directory.Source = (*Source)(nil)
+var _ endpoints.Source = (*Source)(nil)
 
 // poller decides what is asked for next. It is a state machine.
 type poller struct {
@@ -88,24 +88,24 @@
 	return s, nil
 }
 
-func newClient(d Declaration, connect time.Duration, log *slog.Logger) (*client, *keys.Store, error) {
+func newClient(d Declaration, connect time.Duration, log *slog.Logger) (*client, *tlscredentials.Store, error) {
 	transport := &http.Transport{DialContext: (&net.Dialer{Timeout: cmp.Or(connect, time.Second)}).DialContext,
 		MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2, DisableCompression: true, MaxResponseHeaderBytes: 16 << 10, IdleConnTimeout: 90 * time.Second}
-	var store *keys.Store
+	var store *tlscredentials.Store
 	if d.TLS.CA != "" {
 		var err error
-		store, err = keys.Open(keys.Files{Certificate: d.TLS.Certificate, Key: d.TLS.Key, CA: d.TLS.CA}, d.TLS.WarnBefore.D(), log)
+		store, err = tlscredentials.Open(tlscredentials.Files{Certificate: d.TLS.Certificate, Key: d.TLS.Key, CA: d.TLS.CA}, d.TLS.WarnBefore.D(), log)
 		if err != nil {
 			return nil, nil, fmt.Errorf("eureka %s: %w", d.Name, err)
 		}
-		secure := keys.NewClient(store, d.TLS)
+		secure := tlscredentials.NewClient(store, d.TLS)
 		plain := transport.DialContext
 		transport.DialTLSContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := plain(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			c, err := secure.Client(ctx, conn, directory.Place{Address: address})
+			c, err := secure.Client(ctx, conn, endpoints.Place{Address: address})
 			if err != nil {
 				conn.Close()
 				return nil, err
@@ -142,7 +142,7 @@
 }
 
 // Run is directory.Source's.
-func (s *Source) Run(ctx context.Context, sink directory.Sink) {
+func (s *Source) Run(ctx context.Context, sink endpoints.Sink) {
 	if s.keys != nil {
 		stop := make(chan struct{})
 		go func() { defer close(stop); s.keys.Run(ctx) }()
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/discovery/listfile"
+	"orchiddrift/internal/endpoints"
 	"orchiddrift/internal/filewatch"
-	"orchiddrift/internal/listfile"
 )
 
 // File is a Source that follows a file of upstreams, as package listfile reads it. The file is replaced by renaming a new
@@ -29,7 +29,7 @@
 }
 
 // Load reads the file now.
-func (s *File) Load() (*directory.Listing, error) {
+func (s *File) Load() (*endpoints.Listing, error) {
 	c, changed := s.reader.Look()
 	if !changed {
 		return nil, errors.New("unchanged")
--- a/internal/listfile/listfile.go
+++ b/internal/discovery/listfile/listfile.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 	"orchiddrift/internal/tomlfile"
 )
 
@@ -42,10 +42,10 @@
 		report("", "neither name nor address is given")
 		return
 	}
-	if e.Address == "" && e.Status == directory.StatusReady {
+	if e.Address == "" && e.Status == endpoints.StatusReady {
 		report("address", "missing")
 	} else if e.Address != "" {
-		if err := directory.CheckAddress(e.Address); err != nil {
+		if err := endpoints.CheckAddress(e.Address); err != nil {
 			report("address", "%v", err)
 		}
 	}
@@ -57,8 +57,8 @@
 }
 
 // endpoint is the entry as lists have it.
-func (e *Entry) endpoint() directory.Endpoint {
-	p := directory.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Group: e.Group, Status: e.Status,
+func (e *Entry) endpoint() endpoints.Endpoint {
+	p := endpoints.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Group: e.Group, Status: e.Status,
 		Identity: e.Identity}
 	if at, err := time.Parse(time.RFC3339, e.Since); err == nil {
 		p.SinceMs = float64(at.UnixMilli())
@@ -67,8 +67,8 @@
 }
 
 // Listing is a whole list of these entries.
-func Listing(version int64, entries []Entry) *directory.Listing {
-	l := &directory.Listing{Index: &version, Snapshot: true, Endpoints: make([]directory.Endpoint, len(entries))}
+func Listing(version int64, entries []Entry) *endpoints.Listing {
+	l := &endpoints.Listing{Index: &version, Snapshot: true, Endpoints: make([]endpoints.Endpoint, len(entries))}
 	for i := range entries {
 		l.Endpoints[i] = entries[i].endpoint()
 	}
@@ -108,7 +108,7 @@
 		for i := range f.Endpoints {
 			e := &f.Endpoints[i]
 			if e.Status == "" {
-				e.Status = directory.StatusReady
+				e.Status = endpoints.StatusReady
 			}
 			e.Check(func(key, format string, args ...any) {
 				bad = append(bad, fmt.Sprintf("endpoints[%d].%s: %s", i, key, fmt.Sprintf(format, args...)))
--- a/internal/membership/membership.go
+++ b/internal/discovery/membership/membership.go
@@ -14,7 +14,7 @@
 	"slices"
 	"time"
 
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 )
 
 // What a source may say of an upstream besides the directory's words.
@@ -34,7 +34,7 @@
 
 // Change is a change of the merged list: Status is one of the directory's three words.
 type Change struct {
-	directory.Endpoint
+	endpoints.Endpoint
 	Reason string
 }
 
@@ -85,7 +85,7 @@
 // record is what one source says of one upstream.
 type record struct {
 	src     *source
-	e       directory.Endpoint
+	e       endpoints.Endpoint
 	state   State
 	told    time.Time // when the source first said this state
 	seq     uint64    // of the last change in what it says
@@ -101,7 +101,7 @@
 // node is an upstream of the merged list.
 type node struct {
 	name    string
-	e       directory.Endpoint
+	e       endpoints.Endpoint
 	reason  string
 	records map[*record]bool
 	told    bool // it is in the merged list, ready or not
@@ -166,7 +166,7 @@
 }
 
 // Told takes a source's list, whole or what changed in it.
-func (m *Merge) Told(now time.Time, name string, l *directory.Listing) Output {
+func (m *Merge) Told(now time.Time, name string, l *endpoints.Listing) Output {
 	s := m.begin(now, name)
 	if s == nil {
 		return Output{}
@@ -239,14 +239,14 @@
 }
 
 // List is the whole merged list, in order of the names.
-func (m *Merge) List() []directory.Endpoint {
-	list := make([]directory.Endpoint, 0, len(m.nodes))
+func (m *Merge) List() []endpoints.Endpoint {
+	list := make([]endpoints.Endpoint, 0, len(m.nodes))
 	for _, n := range m.nodes {
 		if n.told {
 			list = append(list, n.e)
 		}
 	}
-	slices.SortFunc(list, func(a, b directory.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b endpoints.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
 
@@ -296,7 +296,7 @@
 func (m *Merge) agedOut(s *source) bool { return !s.lost.IsZero() && m.now.Sub(s.lost) >= m.o.Hold.D() }
 
 // put takes what a source says of an upstream.
-func (m *Merge) put(s *source, r *record, e *directory.Endpoint, state State) {
+func (m *Merge) put(s *source, r *record, e *endpoints.Endpoint, state State) {
 	if r != nil && !r.doubted && !r.aged && r.state == state && r.e == *e {
 		return
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/discovery/membership/membership_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 )
 
 // rig feeds a Merge and keeps the merged list from its changes alone.
@@ -43,7 +43,7 @@
 		if c.Reason == "" {
 			r.t.Errorf("%s is %s for no reason", c.Name, c.Status)
 		}
-		if c.Status == directory.StatusGone {
+		if c.Status == endpoints.StatusGone {
 			delete(r.list, c.Name)
 		} else {
 			r.list[c.Name] = c
@@ -61,14 +61,14 @@
 	}
 }
 
-func (r *rig) whole(source string, entries ...directory.Endpoint) {
+func (r *rig) whole(source string, entries ...endpoints.Endpoint) {
 	r.t.Helper()
-	r.take(r.Told(r.now, source, &directory.Listing{Snapshot: true, Endpoints: entries}))
+	r.take(r.Told(r.now, source, &endpoints.Listing{Snapshot: true, Endpoints: entries}))
 }
 
-func (r *rig) change(source string, entries ...directory.Endpoint) {
+func (r *rig) change(source string, entries ...endpoints.Endpoint) {
 	r.t.Helper()
-	r.take(r.Told(r.now, source, &directory.Listing{Endpoints: entries}))
+	r.take(r.Told(r.now, source, &endpoints.Listing{Endpoints: entries}))
 }
 
 // pass lets time pass, with each timer at its time.
@@ -102,8 +102,8 @@
 }
 
 // at is an entry: name, address's end, status, start in minutes.
-func at(name string, port int, status string, minutes ...int) directory.Endpoint {
-	e := directory.Endpoint{Name: name, Address: fmt.Sprintf("10.0.0.%d", port), Status: status}
+func at(name string, port int, status string, minutes ...int) endpoints.Endpoint {
+	e := endpoints.Endpoint{Name: name, Address: fmt.Sprintf("10.0.0.%d", port), Status: status}
 	if len(minutes) > 0 {
 		e.SinceMs = 1e12 + float64(minutes[0])*60_000
 	}
@@ -111,9 +111,9 @@
 }
 
 const (
-	ready = directory.StatusReady
-	ends  = directory.StatusTerminating
-	gone  = directory.StatusGone
+	ready = endpoints.StatusReady
+	ends  = endpoints.StatusTerminating
+	gone  = endpoints.StatusGone
 )
 
 var statuses = map[string]string{"up": ready, "starting": StatusStarting, "unknown": StatusUnknown, "draining": ends,
@@ -122,7 +122,7 @@
 // Guards against a pair of states that is decided otherwise than the design note's table says, in either order of the
 // sources, whether it was ready before or not.
 func TestEveryPairOfStates(t *testing.T) {
-	text, err := os.ReadFile("../../docs/design/membership.md")
+	text, err := os.ReadFile("../../../docs/design/membership.md")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -250,7 +250,7 @@
 // Guards against a list that is emptied by a source's loss, by a registry that restarts empty, by nodes that flap; and
 // against drains that such doubts hold up.
 func TestTime(t *testing.T) {
-	fleet := func(n int, status string) (all []directory.Endpoint) {
+	fleet := func(n int, status string) (all []endpoints.Endpoint) {
 		for i := range n {
 			all = append(all, at(fmt.Sprintf("n%02d", i), i, status, 1))
 		}
@@ -384,7 +384,7 @@
 		for _, s := range sources {
 			_ = r.AddSource(s, false)
 		}
-		entry := rapid.Custom(func(t *rapid.T) directory.Endpoint {
+		entry := rapid.Custom(func(t *rapid.T) endpoints.Endpoint {
 			return at(fmt.Sprint("n", rapid.IntRange(0, 4).Draw(t, "name")), rapid.IntRange(0, 4).Draw(t, "address"),
 				rapid.SampledFrom(words).Draw(t, "word"), rapid.IntRange(0, 3).Draw(t, "start"))
 		})
@@ -401,7 +401,7 @@
 				r.take(r.RemoveSource(r.now, s))
 				_ = r.AddSource(s, false)
 			case 4, 5:
-				r.whole(s, rapid.SliceOfNDistinct(entry, 0, 5, func(e directory.Endpoint) string { return e.Name }).Draw(t, "list")...)
+				r.whole(s, rapid.SliceOfNDistinct(entry, 0, 5, func(e endpoints.Endpoint) string { return e.Name }).Draw(t, "list")...)
 			default:
 				r.change(s, entry.Draw(t, "change"))
 			}
@@ -441,21 +441,21 @@
 
 // BenchmarkMerge is 5,000 nodes in 2 sources: a whole list told again, one changed entry, and the first two lists.
 //
-//	go test -run '^$' -bench Merge -benchmem ./internal/membership
+//	go test -run '^$' -bench Merge -benchmem ./internal/discovery/membership
 func BenchmarkMerge(b *testing.B) {
-	list := func(prefix string) (all []directory.Endpoint) {
+	list := func(prefix string) (all []endpoints.Endpoint) {
 		for i := range 5000 {
-			all = append(all, directory.Endpoint{Name: fmt.Sprint(prefix, i), Address: fmt.Sprintf("10.1.%d.%d:80", i/256, i%256), Status: ready, SinceMs: 1e12})
+			all = append(all, endpoints.Endpoint{Name: fmt.Sprint(prefix, i), Address: fmt.Sprintf("10.1.%d.%d:80", i/256, i%256), Status: ready, SinceMs: 1e12})
 		}
 		return all
 	}
 	now := time.UnixMilli(1e12)
-	whole := [][]directory.Endpoint{list("n"), list("i")}
+	whole := [][]endpoints.Endpoint{list("n"), list("i")}
 	make2 := func() *Merge {
 		m := New(Default())
 		for k, s := range []string{"list", "eureka"} {
 			_ = m.AddSource(s, false)
-			m.Told(now, s, &directory.Listing{Snapshot: true, Endpoints: whole[k]})
+			m.Told(now, s, &endpoints.Listing{Snapshot: true, Endpoints: whole[k]})
 		}
 		return m
 	}
@@ -469,7 +469,7 @@
 	b.Run("again", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			m.Told(now, "eureka", &directory.Listing{Snapshot: true, Endpoints: whole[1]})
+			m.Told(now, "eureka", &endpoints.Listing{Snapshot: true, Endpoints: whole[1]})
 		}
 	})
 	b.Run("change", func(b *testing.B) {
@@ -478,7 +478,7 @@
 			now = now.Add(time.Second)
 			e := whole[1][n%5000]
 			e.Status = []string{ready, ends}[n/5000%2]
-			m.Told(now, "eureka", &directory.Listing{Endpoints: []directory.Endpoint{e}})
+			m.Told(now, "eureka", &endpoints.Listing{Endpoints: []endpoints.Endpoint{e}})
 		}
 	})
 }
--- a/internal/membership/settle.go
+++ b/internal/discovery/membership/settle.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 )
 
 // settle merges anew what is dirty, and tells what changed.
@@ -143,7 +143,7 @@
 	e := m.describe(speaks)
 	n := m.nodeFor(group, speaks, &e)
 	if n == nil {
-		if state != Up && status(state, false) == directory.StatusGone {
+		if state != Up && status(state, false) == endpoints.StatusGone {
 			return nil, nil // never told of
 		}
 		n = m.newNode(m.nameFor(speaks))
@@ -158,7 +158,7 @@
 		reason = m.damp(n, reason)
 	}
 	if n.isHeld = n.hold.After(m.now) && state == Up; n.isHeld {
-		e.Status = directory.StatusTerminating
+		e.Status = endpoints.StatusTerminating
 	} else {
 		e.Status = status(state, n.told)
 	}
@@ -178,7 +178,7 @@
 }
 
 // describe is where and what an upstream is: the first source's word counts, but for a later start.
-func (m *Merge) describe(speaks []*record) directory.Endpoint {
+func (m *Merge) describe(speaks []*record) endpoints.Endpoint {
 	listed := slices.DeleteFunc(slices.Clone(speaks), func(r *record) bool { return r.state == Gone })
 	if len(listed) == 0 {
 		listed = speaks
@@ -225,7 +225,7 @@
 
 // nodeFor is the node that the group was told as, if its process is still that one. What the name comes from may have gone
 // meanwhile: the process keeps it as long as nobody else claims it, so that no estimate and no connection is lost.
-func (m *Merge) nodeFor(group, speaks []*record, e *directory.Endpoint) *node {
+func (m *Merge) nodeFor(group, speaks []*record, e *endpoints.Endpoint) *node {
 	want := m.nameFor(speaks)
 	if n := m.nodes[want]; n != nil {
 		return n
@@ -274,9 +274,9 @@
 }
 
 // tell notes what the merged list says of a node now; nil: as before.
-func (m *Merge) tell(n *node, e directory.Endpoint, reason string) *Change {
+func (m *Merge) tell(n *node, e endpoints.Endpoint, reason string) *Change {
 	wasReady := n.counted
-	ready := e.Status == directory.StatusReady
+	ready := e.Status == endpoints.StatusReady
 	if n.told && m.sameStart(n.e.SinceMs, e.SinceMs) && n.e.SinceMs != 0 && n.e.Address == e.Address {
 		e.SinceMs = n.e.SinceMs // sources differ a little; connections are tied to it
 	}
@@ -294,7 +294,7 @@
 		}
 		n.counted = ready
 	}
-	if e.Status == directory.StatusGone {
+	if e.Status == endpoints.StatusGone {
 		if !n.told {
 			n.e = e
 			m.forget(n)
@@ -334,7 +334,7 @@
 	n.isHeld = false
 	m.held = m.countHeld(n)
 	n.told, n.reason = false, reason
-	n.e.Status = directory.StatusGone
+	n.e.Status = endpoints.StatusGone
 	m.forget(n)
 	return Change{n.e, reason}
 }
--- a/internal/membership/verdict.go
+++ b/internal/discovery/membership/verdict.go
@@ -1,6 +1,6 @@
 package membership
 
-import "orchiddrift/internal/directory"
+import "orchiddrift/internal/endpoints"
 
 // State is what a source says of an upstream.
 type State int
@@ -24,9 +24,9 @@
 // stateOf reads a Status; what is not known counts as gone, as it does in the directory.
 func stateOf(status string) State {
 	switch status {
-	case directory.StatusReady:
+	case endpoints.StatusReady:
 		return Up
-	case directory.StatusTerminating:
+	case endpoints.StatusTerminating:
 		return Draining
 	case StatusStarting:
 		return Starting
@@ -71,13 +71,13 @@
 func status(s State, told bool) string {
 	switch s {
 	case Up:
-		return directory.StatusReady
+		return endpoints.StatusReady
 	case Draining, OutOfService, Down:
-		return directory.StatusTerminating
+		return endpoints.StatusTerminating
 	case Starting, Unknown:
 		if told {
-			return directory.StatusTerminating
+			return endpoints.StatusTerminating
 		}
 	}
-	return directory.StatusGone
+	return endpoints.StatusGone
 }
--- a/internal/discovery/merged.go
+++ b/internal/discovery/merged.go
@@ -7,15 +7,15 @@
 	"sync"
 	"time"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/membership"
+	"orchiddrift/internal/discovery/membership"
+	"orchiddrift/internal/endpoints"
 )
 
 // Named is a Source of a Merged, by the name that the log calls it.
 type Named struct {
 	Name   string
 	Source Source
-	Known  *directory.Listing // what it is known to list to begin with; nil: nothing
+	Known  *endpoints.Listing // what it is known to list to begin with; nil: nothing
 	Leads  bool               // it is first in rank, and its silence and its signs of life are the module's to know, as with a list alone
 }
 
@@ -27,7 +27,7 @@
 
 	mu      sync.Mutex // of the merge, and of what is told: one input after another
 	sink    Sink       // nil: Run has not begun
-	pending *directory.Listing
+	pending *endpoints.Listing
 	running map[string]*followed
 	timer   *time.Timer
 	version int64
@@ -58,12 +58,12 @@
 }
 
 // Load is the merged list of what is known to begin with; it is not told again.
-func (m *Merged) Load() *directory.Listing {
+func (m *Merged) Load() *endpoints.Listing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.pending = nil
 	version := m.version
-	return &directory.Listing{Index: &version, Snapshot: true, Endpoints: m.merge.List()}
+	return &endpoints.Listing{Index: &version, Snapshot: true, Endpoints: m.merge.List()}
 }
 
 // Add follows one source more.
@@ -134,7 +134,7 @@
 }
 
 // Update takes a list for a source that has no life of its own, such as entries of a file.
-func (m *Merged) Update(name string, l *directory.Listing) { (&input{m, name, false}).Update(l) }
+func (m *Merged) Update(name string, l *endpoints.Listing) { (&input{m, name, false}).Update(l) }
 
 // Configure changes the windows of the merge.
 func (m *Merged) Configure(o membership.Options) {
@@ -210,21 +210,21 @@
 			m.log.Info("membership: more changes", "upstreams", len(o.Changes)-maxTold)
 			break
 		}
-		if c.Status != directory.StatusReady {
+		if c.Status != endpoints.StatusReady {
 			m.log.Info("membership", "upstream", c.Name, "status", c.Status, "reason", c.Reason)
 		}
 	}
 	if len(o.Changes) > 0 {
 		m.version++
 		version := m.version
-		l := &directory.Listing{Index: &version, Endpoints: make([]directory.Endpoint, len(o.Changes))}
+		l := &endpoints.Listing{Index: &version, Endpoints: make([]endpoints.Endpoint, len(o.Changes))}
 		for i, c := range o.Changes {
 			l.Endpoints[i] = c.Endpoint
 		}
 		if m.sink != nil {
 			m.sink.Update(l)
 		} else {
-			m.pending = &directory.Listing{Index: &version, Snapshot: true, Endpoints: m.merge.List()}
+			m.pending = &endpoints.Listing{Index: &version, Snapshot: true, Endpoints: m.merge.List()}
 		}
 	}
 	m.arm()
@@ -257,7 +257,7 @@
 	leads bool
 }
 
-func (i *input) Update(l *directory.Listing) {
+func (i *input) Update(l *endpoints.Listing) {
 	i.m.mu.Lock()
 	defer i.m.mu.Unlock()
 	if i.m.over {
--- a/internal/discovery/merged_test.go
+++ b/internal/discovery/merged_test.go
@@ -12,8 +12,8 @@
 
 	"orchiddrift/balancer"
 	"orchiddrift/internal/clock"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/membership"
+	"orchiddrift/internal/discovery/membership"
+	"orchiddrift/internal/endpoints"
 )
 
 // scripted is a Source that a test speaks for.
@@ -35,11 +35,11 @@
 // time passes, and against a list that a change of sources loses. The time is virtual.
 func TestMergedThroughAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list := func(entries ...string) *directory.Listing {
-			l := &directory.Listing{Index: new(int64), Snapshot: true}
+		list := func(entries ...string) *endpoints.Listing {
+			l := &endpoints.Listing{Index: new(int64), Snapshot: true}
 			for _, e := range entries {
 				name, status, _ := strings.Cut(e, " ")
-				l.Endpoints = append(l.Endpoints, directory.Endpoint{Name: name, Address: "127.0.0.2:" + name[1:], Status: status})
+				l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: name, Address: "127.0.0.2:" + name[1:], Status: status})
 			}
 			return l
 		}
@@ -51,7 +51,7 @@
 		}
 		var mu sync.Mutex
 		failed := 0
-		dir := directory.New(clock.New(), nil)
+		dir := endpoints.New(clock.New(), nil)
 		feed := NewFeed(dir, func(m balancer.Members) {
 			mu.Lock()
 			defer mu.Unlock()
--- a/internal/discovery/messages_test.go
+++ b/internal/discovery/messages_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"testing/iotest"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/testkit"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/testing/testutil"
 )
 
 func split(from io.Reader) (all []string, err error) {
@@ -75,17 +75,17 @@
 func TestLongLists(t *testing.T) {
 	var entries []string
 	for i := range 1024 {
-		entries = append(entries, testkit.Entry(fmt.Sprintf("s-%04d-%s", i, strings.Repeat("x", 200)), "127.100.100.100:65535", "Ready"))
+		entries = append(entries, testutil.Entry(fmt.Sprintf("s-%04d-%s", i, strings.Repeat("x", 200)), "127.100.100.100:65535", "Ready"))
 	}
 	var text bytes.Buffer
-	if err := json.Indent(&text, []byte(testkit.List(1, true, entries...)), "", "        "); err != nil {
+	if err := json.Indent(&text, []byte(testutil.List(1, true, entries...)), "", "        "); err != nil {
 		t.Fatal(err)
 	}
 	all, err := split(iotest.OneByteReader(&text))
 	if err != nil || len(all) != 1 {
 		t.Fatalf("%d messages, %v", len(all), err)
 	}
-	if l, err := directory.ParseListing([]byte(all[0])); err != nil || len(l.Endpoints) != 1024 {
+	if l, err := endpoints.ParseListing([]byte(all[0])); err != nil || len(l.Endpoints) != 1024 {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/discovery/narrowed.go
+++ b/internal/discovery/narrowed.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/subset"
+	"orchiddrift/internal/discovery/subset"
+	"orchiddrift/internal/endpoints"
 )
 
 // Narrowed is the Sink before a Feed that passes on only what subset takes for this process's own. It keeps the whole list.
@@ -33,12 +33,12 @@
 }
 
 // Load takes a first list, and returns what of it is this process's own; it is not passed on.
-func (n *Narrowed) Load(l *directory.Listing) *directory.Listing {
+func (n *Narrowed) Load(l *endpoints.Listing) *endpoints.Listing {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.whole.take(l)
 	index := n.whole.index
-	own := &directory.Listing{Index: &index, Snapshot: true}
+	own := &endpoints.Listing{Index: &index, Snapshot: true}
 	if out := n.s.Update(time.Now(), l); out != nil {
 		own.Endpoints = out.Endpoints
 	}
@@ -46,7 +46,7 @@
 }
 
 // Last is the whole list as last held.
-func (n *Narrowed) Last() *directory.Listing {
+func (n *Narrowed) Last() *endpoints.Listing {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.whole.last()
@@ -60,7 +60,7 @@
 }
 
 // Update is Sink's.
-func (n *Narrowed) Update(l *directory.Listing) {
+func (n *Narrowed) Update(l *endpoints.Listing) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.whole.take(l)
@@ -74,7 +74,7 @@
 // Lost is Sink's.
 func (n *Narrowed) Lost(err error, again bool) { n.feed.Lost(err, again) }
 
-func (n *Narrowed) pass(out *directory.Listing) {
+func (n *Narrowed) pass(out *endpoints.Listing) {
 	if out != nil {
 		index := n.whole.index
 		out.Index = &index
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -4,19 +4,19 @@
 	"sync"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 )
 
 // Source and Sink are the directory's.
 type (
-	Source = directory.Source
-	Sink   = directory.Sink
+	Source = endpoints.Source
+	Sink   = endpoints.Sink
 )
 
 // Feed is the Sink of a service with one list: what is heard goes to its directory, then to the module. It keeps the
 // list as last held, one entry for each upstream listed.
 type Feed struct {
-	dir    *directory.Directory
+	dir    *endpoints.Directory
 	report func(balancer.Members)
 
 	telling sync.Mutex // from when the directory has news until the module has them
@@ -28,18 +28,18 @@
 // held is a list as last held, one entry for each upstream that is there, from a Listing and the changes after it.
 type held struct {
 	index   int64
-	entries map[string]directory.Endpoint
+	entries map[string]endpoints.Endpoint
 }
 
-func (h *held) take(l *directory.Listing) {
+func (h *held) take(l *endpoints.Listing) {
 	if l.Snapshot || h.entries == nil {
-		h.entries = make(map[string]directory.Endpoint, len(l.Endpoints))
+		h.entries = make(map[string]endpoints.Endpoint, len(l.Endpoints))
 	}
 	if l.Index != nil {
 		h.index = *l.Index
 	}
 	for _, e := range l.Endpoints {
-		if e.Status == directory.StatusReady || e.Status == directory.StatusTerminating {
+		if e.Status == endpoints.StatusReady || e.Status == endpoints.StatusTerminating {
 			h.entries[e.Name] = e
 		} else {
 			delete(h.entries, e.Name)
@@ -48,9 +48,9 @@
 }
 
 // last is all of it.
-func (h *held) last() *directory.Listing {
+func (h *held) last() *endpoints.Listing {
 	index := h.index
-	l := &directory.Listing{Index: &index, Snapshot: true, Endpoints: make([]directory.Endpoint, 0, len(h.entries))}
+	l := &endpoints.Listing{Index: &index, Snapshot: true, Endpoints: make([]endpoints.Endpoint, 0, len(h.entries))}
 	for _, e := range h.entries {
 		l.Endpoints = append(l.Endpoints, e)
 	}
@@ -58,12 +58,12 @@
 }
 
 // NewFeed returns one for a directory; report hands news to the module.
-func NewFeed(dir *directory.Directory, report func(balancer.Members)) *Feed {
+func NewFeed(dir *endpoints.Directory, report func(balancer.Members)) *Feed {
 	return &Feed{dir: dir, report: report}
 }
 
 // Update is Sink's.
-func (f *Feed) Update(l *directory.Listing) {
+func (f *Feed) Update(l *endpoints.Listing) {
 	f.telling.Lock()
 	defer f.telling.Unlock()
 	f.report(f.Take(l))
@@ -77,7 +77,7 @@
 }
 
 // Take is Update for a list that the module is to get by other means: it returns the news.
-func (f *Feed) Take(l *directory.Listing) balancer.Members {
+func (f *Feed) Take(l *endpoints.Listing) balancer.Members {
 	f.mu.Lock()
 	defer f.mu.Unlock() // one list after another, in the directory too
 	f.held.take(l)
@@ -95,7 +95,7 @@
 }
 
 // Last is the list as last held, whole.
-func (f *Feed) Last() *directory.Listing {
+func (f *Feed) Last() *endpoints.Listing {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.held.last()
--- a/internal/subset/subset.go
+++ b/internal/discovery/subset/subset.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 )
 
 // Subset is the state machine. It is not safe for concurrent use.
@@ -19,10 +19,10 @@
 	o      Options
 	zone   string
 	most   int
-	all    map[string]directory.Endpoint // as listed, those that drain included
+	all    map[string]endpoints.Endpoint // as listed, those that drain included
 	home   *ring                         // of the own zone: upstreams that are ready
 	away   *ring
-	chosen map[string]directory.Endpoint // as told
+	chosen map[string]endpoints.Endpoint // as told
 	ending map[string]time.Time          // told as ending since they are no longer its own: when they go
 
 	size  int       // upstreams that its traffic calls for now
@@ -39,8 +39,8 @@
 // connections to upstreams there may be.
 func New(o Options, self, zone string, descriptors int) *Subset {
 	id := xxhash.Sum64String(self)
-	s := &Subset{o: o, zone: zone, most: max(1, min(o.Most, descriptors/descriptorPart)), all: map[string]directory.Endpoint{},
-		home: newRing(id), away: newRing(id), chosen: map[string]directory.Endpoint{}, ending: map[string]time.Time{}}
+	s := &Subset{o: o, zone: zone, most: max(1, min(o.Most, descriptors/descriptorPart)), all: map[string]endpoints.Endpoint{},
+		home: newRing(id), away: newRing(id), chosen: map[string]endpoints.Endpoint{}, ending: map[string]time.Time{}}
 	s.want = min(o.Least, s.most)
 	s.size = s.want
 	return s
@@ -53,7 +53,7 @@
 const descriptorPart = 5
 
 // Update takes a list, whole or what changed in it, and returns what changes in the smaller one; nil: nothing.
-func (s *Subset) Update(now time.Time, l *directory.Listing) *directory.Listing {
+func (s *Subset) Update(now time.Time, l *endpoints.Listing) *endpoints.Listing {
 	if s.born.IsZero() {
 		s.born = now
 	}
@@ -64,7 +64,7 @@
 		}
 		for name := range s.all {
 			if !listed[name] {
-				s.put(directory.Endpoint{Name: name, Status: directory.StatusGone})
+				s.put(endpoints.Endpoint{Name: name, Status: endpoints.StatusGone})
 			}
 		}
 	}
@@ -74,27 +74,27 @@
 	return s.choose(now)
 }
 
-func (s *Subset) put(e directory.Endpoint) {
+func (s *Subset) put(e endpoints.Endpoint) {
 	was, there := s.all[e.Name]
-	if there && was.Status == directory.StatusReady {
-		if e.Status == directory.StatusReady && s.ring(was) == s.ring(e) {
+	if there && was.Status == endpoints.StatusReady {
+		if e.Status == endpoints.StatusReady && s.ring(was) == s.ring(e) {
 			s.all[e.Name] = e
 			return
 		}
 		s.ring(was).remove(e.Name)
 	}
 	switch e.Status {
-	case directory.StatusReady:
+	case endpoints.StatusReady:
 		s.ring(e).add(e.Name)
 		s.all[e.Name] = e
-	case directory.StatusTerminating:
+	case endpoints.StatusTerminating:
 		s.all[e.Name] = e
 	default:
 		delete(s.all, e.Name)
 	}
 }
 
-func (s *Subset) ring(e directory.Endpoint) *ring {
+func (s *Subset) ring(e endpoints.Endpoint) *ring {
 	if s.zone == "" || e.Zone == s.zone {
 		return s.home
 	}
@@ -104,7 +104,7 @@
 // Rate tells how many requests a second the sidecar has sent of late. A larger size is taken soon, since until then few
 // upstreams carry all of it; a smaller one once it has been called for long enough. Sizes go by steps of two, so that sidecars
 // with a little more traffic than others have the same.
-func (s *Subset) Rate(now time.Time, perSecond float64) *directory.Listing {
+func (s *Subset) Rate(now time.Time, perSecond float64) *endpoints.Listing {
 	size := s.o.Least
 	for float64(size) < perSecond*s.o.Heard.D().Seconds() && size < s.most {
 		size *= 2
@@ -132,9 +132,9 @@
 }
 
 // Tick lets time pass.
-func (s *Subset) Tick(now time.Time) *directory.Listing { return s.tick(now) }
+func (s *Subset) Tick(now time.Time) *endpoints.Listing { return s.tick(now) }
 
-func (s *Subset) tick(now time.Time) *directory.Listing {
+func (s *Subset) tick(now time.Time) *endpoints.Listing {
 	if s.next.IsZero() || now.Before(s.next) {
 		return nil
 	}
@@ -148,7 +148,7 @@
 func (s *Subset) Size() (own, listed int) { return len(s.chosen), len(s.all) }
 
 // choose picks its own anew, and tells what differs.
-func (s *Subset) choose(now time.Time) *directory.Listing {
+func (s *Subset) choose(now time.Time) *endpoints.Listing {
 	s.next = time.Time{}
 	away := int(math.Ceil(float64(s.want) * s.o.Away))
 	home := s.want - away
@@ -162,7 +162,7 @@
 	s.pick(now, s.home, home, picked)
 	s.pick(now, s.away, away, picked)
 	s.keep(now, picked)
-	out := &directory.Listing{}
+	out := &endpoints.Listing{}
 	for name := range picked {
 		e := s.all[name]
 		if was, ok := s.chosen[name]; !ok || was != e {
@@ -177,7 +177,7 @@
 		}
 		e, listed := s.all[name]
 		if !listed { // gone
-			was.Status = directory.StatusGone
+			was.Status = endpoints.StatusGone
 			delete(s.chosen, name)
 			delete(s.ending, name)
 			out.Endpoints = append(out.Endpoints, was)
@@ -185,7 +185,7 @@
 		}
 		until, ends := s.ending[name]
 		switch {
-		case e.Status == directory.StatusTerminating: // as it is listed, to its end
+		case e.Status == endpoints.StatusTerminating: // as it is listed, to its end
 			if delete(s.ending, name); was != e {
 				s.chosen[name] = e
 				out.Endpoints = append(out.Endpoints, e)
@@ -193,11 +193,11 @@
 		case !ends:
 			s.ending[name] = now.Add(EndFor)
 			s.soon(now.Add(EndFor))
-			e.Status = directory.StatusTerminating
+			e.Status = endpoints.StatusTerminating
 			s.chosen[name] = e
 			out.Endpoints = append(out.Endpoints, e)
 		case !until.After(now):
-			was.Status = directory.StatusGone
+			was.Status = endpoints.StatusGone
 			delete(s.chosen, name)
 			delete(s.ending, name)
 			out.Endpoints = append(out.Endpoints, was)
@@ -208,7 +208,7 @@
 	if len(out.Endpoints) == 0 {
 		return nil
 	}
-	slices.SortFunc(out.Endpoints, func(a, b directory.Endpoint) int {
+	slices.SortFunc(out.Endpoints, func(a, b endpoints.Endpoint) int {
 		return compare(place{name: a.Name}, place{name: b.Name})
 	})
 	return out
@@ -263,8 +263,8 @@
 		if 2*warm >= len(picked) || len(picked) >= s.most {
 			return
 		}
-		if _, cold := s.cold(now, name); cold || picked[name] || s.chosen[name].Status != directory.StatusReady ||
-			s.all[name].Status != directory.StatusReady {
+		if _, cold := s.cold(now, name); cold || picked[name] || s.chosen[name].Status != endpoints.StatusReady ||
+			s.all[name].Status != endpoints.StatusReady {
 			continue
 		}
 		picked[name] = true
--- a/internal/subset/subset_test.go
+++ b/internal/discovery/subset/subset_test.go
@@ -9,17 +9,17 @@
 
 	"pgregory.net/rapid"
 
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 )
 
 var start = time.UnixMilli(1e12)
 
-func node(i int, zone string) directory.Endpoint {
-	return directory.Endpoint{Name: fmt.Sprint("n", i), Address: fmt.Sprint("127.0.0.1:", 1+i%65535), Zone: zone, Status: directory.StatusReady}
+func node(i int, zone string) endpoints.Endpoint {
+	return endpoints.Endpoint{Name: fmt.Sprint("n", i), Address: fmt.Sprint("127.0.0.1:", 1+i%65535), Zone: zone, Status: endpoints.StatusReady}
 }
 
-func whole(n int) *directory.Listing {
-	l := &directory.Listing{Snapshot: true}
+func whole(n int) *endpoints.Listing {
+	l := &endpoints.Listing{Snapshot: true}
 	for i := range n {
 		l.Endpoints = append(l.Endpoints, node(i, ""))
 	}
@@ -46,7 +46,7 @@
 func own(s *Subset) map[string]bool {
 	names := map[string]bool{}
 	for name, e := range s.chosen {
-		if e.Status == directory.StatusReady {
+		if e.Status == endpoints.StatusReady {
 			names[name] = true
 		}
 	}
@@ -95,7 +95,7 @@
 		most := 0
 		for _, s := range all {
 			before := own(s)
-			s.Update(start, &directory.Listing{Endpoints: []directory.Endpoint{{Name: "n77", Status: directory.StatusGone}, node(5000, "")}})
+			s.Update(start, &endpoints.Listing{Endpoints: []endpoints.Endpoint{{Name: "n77", Status: endpoints.StatusGone}, node(5000, "")}})
 			moved := 0
 			for name := range own(s) {
 				if !before[name] {
@@ -116,8 +116,8 @@
 	o := Default()
 	o.Sidecars, o.Index = 10, 3
 	fresh := func() *Subset { return New(o, "x", "a", 1000) }
-	zoned := func(a, b int, since float64) *directory.Listing {
-		l := &directory.Listing{Snapshot: true}
+	zoned := func(a, b int, since float64) *endpoints.Listing {
+		l := &endpoints.Listing{Snapshot: true}
 		for i := range a + b {
 			e := node(i, "a")
 			if i >= a {
@@ -179,7 +179,7 @@
 		s := fresh()
 		s.Update(start, zoned(400, 0, 0))
 		before := own(s)
-		change := &directory.Listing{}
+		change := &endpoints.Listing{}
 		for name := range before { // all of its own, while others are warm
 			e := s.all[name]
 			e.SinceMs = float64(start.UnixMilli())
@@ -203,7 +203,7 @@
 		before := own(s)
 		change := zoned(400, 0, 0)
 		change.Snapshot = false
-		change.Endpoints = slices.DeleteFunc(change.Endpoints, func(e directory.Endpoint) bool { return s.all[e.Name].Name != "" })
+		change.Endpoints = slices.DeleteFunc(change.Endpoints, func(e endpoints.Endpoint) bool { return s.all[e.Name].Name != "" })
 		for i := range change.Endpoints {
 			change.Endpoints[i].SinceMs = float64(start.UnixMilli())
 		}
@@ -238,9 +238,9 @@
 			o.Index = rapid.IntRange(-1, o.Sidecars-1).Draw(t, "index")
 		}
 		s, now := New(o, "me", "a", 1000), start
-		list, told := map[string]directory.Endpoint{}, map[string]directory.Endpoint{}
+		list, told := map[string]endpoints.Endpoint{}, map[string]endpoints.Endpoint{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			var out *directory.Listing
+			var out *endpoints.Listing
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
 				now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "seconds")) * time.Second)
@@ -248,7 +248,7 @@
 			case 1:
 				out = s.Rate(now, rapid.Float64Range(0, 100).Draw(t, "rate"))
 			case 2:
-				l := &directory.Listing{Snapshot: true}
+				l := &endpoints.Listing{Snapshot: true}
 				clear(list)
 				for i := range rapid.IntRange(0, 50).Draw(t, "nodes") {
 					e := node(i, []string{"a", "b"}[i%2])
@@ -258,28 +258,28 @@
 				out = s.Update(now, l)
 			default:
 				e := node(rapid.IntRange(0, 50).Draw(t, "node"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"))
-				e.Status = rapid.SampledFrom([]string{directory.StatusReady, directory.StatusReady, directory.StatusTerminating, directory.StatusGone}).Draw(t, "status")
+				e.Status = rapid.SampledFrom([]string{endpoints.StatusReady, endpoints.StatusReady, endpoints.StatusTerminating, endpoints.StatusGone}).Draw(t, "status")
 				e.SinceMs = float64(now.UnixMilli() * rapid.Int64Range(0, 1).Draw(t, "started"))
-				if list[e.Name] = e; e.Status == directory.StatusGone {
+				if list[e.Name] = e; e.Status == endpoints.StatusGone {
 					delete(list, e.Name)
 				}
-				out = s.Update(now, &directory.Listing{Endpoints: []directory.Endpoint{e}})
+				out = s.Update(now, &endpoints.Listing{Endpoints: []endpoints.Endpoint{e}})
 			}
 			if out != nil {
 				for _, e := range out.Endpoints {
-					if told[e.Name] = e; e.Status == directory.StatusGone {
+					if told[e.Name] = e; e.Status == endpoints.StatusGone {
 						delete(told, e.Name)
 					}
 				}
 			}
 			ready, taking := 0, 0
 			for _, e := range list {
-				if e.Status == directory.StatusReady {
+				if e.Status == endpoints.StatusReady {
 					ready++
 				}
 			}
 			for name, e := range told {
-				if e.Status != directory.StatusReady {
+				if e.Status != endpoints.StatusReady {
 					continue
 				}
 				if taking++; list[name] != e {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"orchiddrift/internal/staleness"
+	"orchiddrift/internal/discovery/staleness"
 )
 
 const (
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -11,25 +11,25 @@
 
 	"orchiddrift/balancer"
 	"orchiddrift/internal/clock"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/logs"
-	"orchiddrift/internal/staleness"
-	"orchiddrift/internal/testkit"
+	"orchiddrift/internal/discovery/staleness"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/logging"
+	"orchiddrift/internal/testing/testutil"
 )
 
 func testWatcher(t *testing.T, address string, pushed bool) *Watcher {
 	return New(Options{Address: address, Index: 1, ConnectTimeout: 2 * time.Second, Staleness: staleness.Options{Pushed: pushed},
-		Log: logs.To(func(line string) { t.Log(line) })})
+		Log: logging.To(func(line string) { t.Log(line) })})
 }
 
 // watch runs a watcher until the test ends.
-func watch(t *testing.T, address string, pushed bool, known ...string) (*directory.Directory, *Watcher, chan balancer.Members) {
+func watch(t *testing.T, address string, pushed bool, known ...string) (*endpoints.Directory, *Watcher, chan balancer.Members) {
 	t.Helper()
 	told := make(chan balancer.Members, 64)
-	dir := directory.New(clock.New(), nil)
+	dir := endpoints.New(clock.New(), nil)
 	w := testWatcher(t, address, pushed)
 	feed := NewFeed(dir, func(m balancer.Members) { told <- m })
-	feed.Take(testkit.Listing(t, 1, true, known...))
+	feed.Take(testutil.Listing(t, 1, true, known...))
 	done := make(chan struct{})
 	go func() {
 		w.Run(t.Context(), feed) // ends before the cleanups
@@ -44,7 +44,7 @@
 	select {
 	case m := <-told:
 		return m
-	case <-time.After(testkit.Patience):
+	case <-time.After(testutil.Patience):
 		t.Fatal("nothing was reported")
 		panic("unreachable")
 	}
@@ -52,13 +52,13 @@
 
 // Guards against a list that differs from discovery's: changes apply to what is known, a snapshot replaces it.
 func TestWatchFollowsTheList(t *testing.T) {
-	d := testkit.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
-		send(testkit.List(5, false, testkit.Entry("b", "127.0.0.2:2", "Ready"), testkit.Entry("a", "127.0.0.2:1", "Terminating")))
+	d := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
+		send(testutil.List(5, false, testutil.Entry("b", "127.0.0.2:2", "Ready"), testutil.Entry("a", "127.0.0.2:1", "Terminating")))
 		send("")
-		send(`{"index":6,"snapshot":true,"new_field":[1],"endpoints":[` + testkit.Entry("c", "127.0.0.2:3", "Ready") + `]}`)
+		send(`{"index":6,"snapshot":true,"new_field":[1],"endpoints":[` + testutil.Entry("c", "127.0.0.2:3", "Ready") + `]}`)
 		<-done
 	})
-	dir, _, told := watch(t, d.Address, false, testkit.Entry("a", "127.0.0.2:1", "Ready"))
+	dir, _, told := watch(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
 	m := next(t, told)
 	if m.Kind != balancer.Change || len(m.Entries) != 2 || m.Entries[0].State != balancer.Active ||
 		m.Entries[1].State != balancer.Leaving || m.Entries[0].Machine != "m" || m.Entries[0].Zone != "a" {
@@ -84,24 +84,24 @@
 		"cut":        `{"index":8,` + "\n",
 		"no object":  `[8]`,
 		"no index":   `{"snapshot":true,"endpoints":[]}`,
-		"no name":    testkit.List(8, true, testkit.Entry("", "127.0.0.2:2", "Ready")),
-		"no address": testkit.List(8, true, testkit.Entry("b", "", "Ready")),
-		"a host":     testkit.List(8, true, testkit.Entry("b", "elsewhere.example:80", "Ready")),
-		"too long":   testkit.List(8, true, testkit.Entry(strings.Repeat("b", maxMessage), "127.0.0.2:2", "Ready")),
+		"no name":    testutil.List(8, true, testutil.Entry("", "127.0.0.2:2", "Ready")),
+		"no address": testutil.List(8, true, testutil.Entry("b", "", "Ready")),
+		"a host":     testutil.List(8, true, testutil.Entry("b", "elsewhere.example:80", "Ready")),
+		"too long":   testutil.List(8, true, testutil.Entry(strings.Repeat("b", maxMessage), "127.0.0.2:2", "Ready")),
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := testkit.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
+			d := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
 				if n == 1 {
-					send(testkit.List(7, false))
+					send(testutil.List(7, false))
 					send(bad)
 				}
 				<-done
 			})
-			dir, _, told := watch(t, d.Address, false, testkit.Entry("a", "127.0.0.2:1", "Ready"))
+			dir, _, told := watch(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
 			if m := next(t, told); m.Kind != balancer.Change {
 				t.Errorf("told %+v", m)
 			}
-			testkit.Eventually(t, "asked again", func() bool { return len(d.Calls()) == 2 })
+			testutil.Eventually(t, "asked again", func() bool { return len(d.Calls()) == 2 })
 			if froms := d.Calls(); froms[1] != "7" {
 				t.Errorf("asked again from %s", froms[1])
 			}
@@ -114,13 +114,13 @@
 
 // Guards against a watch that is taken for not yet answered because there is no news: an empty line answers it.
 func TestWatchWithoutNewsIsAnswered(t *testing.T) {
-	d := testkit.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
+	d := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send("")
 		send("")
-		send(testkit.List(9, false))
+		send(testutil.List(9, false))
 		<-done
 	})
-	dir, _, told := watch(t, d.Address, false, testkit.Entry("a", "127.0.0.2:1", "Ready"))
+	dir, _, told := watch(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
 	for range 2 { // the answer and the news, nothing for the second empty line
 		if m := next(t, told); m.Kind != balancer.Change || len(m.Entries) != 0 {
 			t.Errorf("told %+v", m)
@@ -137,8 +137,8 @@
 // Guards against a list that stands still once its watch has ended: it is watched again by itself, from the version last told.
 func TestWatchIsOpenedAgain(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
-		d := testkit.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
-			send(testkit.List(6+n, false))
+		d := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
+			send(testutil.List(6+n, false))
 			if n > 1 {
 				<-done
 			}
@@ -158,9 +158,9 @@
 // Guards against a list that is told late: a new address is asked at once, for the whole list first, whatever the old one did,
 // and again soon where it fails at first. The module learns that the list is back.
 func TestNewAddressIsAskedAgainSoon(t *testing.T) {
-	d := testkit.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
+	d := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
 		if n == 3 {
-			send(testkit.List(3, true))
+			send(testutil.List(3, true))
 		}
 		for n > 3 {
 			send("")
@@ -176,7 +176,7 @@
 	if m := next(t, told); m.Kind != balancer.Full {
 		t.Errorf("told %+v", m)
 	}
-	testkit.Eventually(t, "a watch after the list", func() bool { return len(d.Calls()) == 4 })
+	testutil.Eventually(t, "a watch after the list", func() bool { return len(d.Calls()) == 4 })
 	w.Ask()
 	if m := next(t, told); m.Kind != balancer.Change || len(m.Entries) != 0 {
 		t.Errorf("told %+v", m)
@@ -187,17 +187,17 @@
 // nothing of it afterwards.
 func TestTheWatchBeforeAReloadIsFollowed(t *testing.T) {
 	moved := make(chan struct{})
-	before := testkit.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
-		send(testkit.List(5, true, testkit.Entry("a", "127.0.0.2:1", "Ready"), testkit.Entry("b", "127.0.0.2:2", "Ready")))
+	before := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
+		send(testutil.List(5, true, testutil.Entry("a", "127.0.0.2:1", "Ready"), testutil.Entry("b", "127.0.0.2:2", "Ready")))
 		<-moved
-		send(testkit.List(6, false, testkit.Entry("a", "127.0.0.2:1", "Terminating")))
+		send(testutil.List(6, false, testutil.Entry("a", "127.0.0.2:1", "Terminating")))
 		<-done
 	})
 	answer := make(chan struct{})
-	after := testkit.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
+	after := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
 		<-answer
 		if n == 1 {
-			send(testkit.List(2, true, testkit.Entry("c", "127.0.0.2:3", "Ready")))
+			send(testutil.List(2, true, testutil.Entry("c", "127.0.0.2:3", "Ready")))
 			return
 		}
 		send("")
@@ -214,36 +214,36 @@
 	if m := next(t, told); m.Kind != balancer.Full || has(dir, "b") || !has(dir, "c") {
 		t.Errorf("the new address's list was told as %+v", m)
 	}
-	testkit.Eventually(t, "the watch before ends", func() bool { made, failed := w.Calls(); return made == 3 && failed == 0 && w.openCalls() == 1 })
+	testutil.Eventually(t, "the watch before ends", func() bool { made, failed := w.Calls(); return made == 3 && failed == 0 && w.openCalls() == 1 })
 }
 
 // Guards against a drain that is told by the watch at the address before, in the moment in which an older list of the new address is read:
 // that watch is followed until the new one's watch has spoken. Only withdrawals are believed then, and the new list is asked for again.
 func TestADrainToldBehindTheNewList(t *testing.T) {
 	const before, after = "127.0.0.1:1", "127.0.0.1:2"
-	a, b := testkit.Entry("a", "127.0.0.2:1", "Ready"), testkit.Entry("b", "127.0.0.2:2", "Ready")
+	a, b := testutil.Entry("a", "127.0.0.2:1", "Ready"), testutil.Entry("b", "127.0.0.2:2", "Ready")
 	var lists atomic.Int32
 	played(t, staleness.Options{}, func(_ int, _ time.Duration, r *http.Request, send func(string)) {
 		switch {
 		case r.Host == before:
-			send(testkit.List(5, true, a, b) + "\n")
+			send(testutil.List(5, true, a, b) + "\n")
 			time.Sleep(2 * time.Second)
 			send("\n")
 			time.Sleep(2 * time.Second)
-			send(testkit.List(6, false, testkit.Entry("a", "127.0.0.2:1", "Terminating"), testkit.Entry("c", "127.0.0.2:3", "Ready")) + "\n")
+			send(testutil.List(6, false, testutil.Entry("a", "127.0.0.2:1", "Terminating"), testutil.Entry("c", "127.0.0.2:3", "Ready")) + "\n")
 		case !r.URL.Query().Has("watch"):
 			time.Sleep(time.Second) // so that its watch is not asked for at once
 			if lists.Add(1) == 1 {
-				send(testkit.List(5, true, a, b))
+				send(testutil.List(5, true, a, b))
 			} else {
-				send(testkit.List(6, true, b))
+				send(testutil.List(6, true, b))
 			}
 			return
 		default:
 			send("\n")
 		}
 		<-r.Context().Done()
-	}, func(w *Watcher, dir *directory.Directory, start time.Time, _ func() string) {
+	}, func(w *Watcher, dir *endpoints.Directory, start time.Time, _ func() string) {
 		time.Sleep(2900 * time.Millisecond)
 		w.Redirect(after)
 		if took := forgets(t, dir, start); took > 4010*time.Millisecond {
--- a/internal/directory/source.go
+++ b/internal/endpoints/source.go
@@ -1,4 +1,4 @@
-package directory
+package endpoints
 
 import (
 	"context"
--- a/internal/standin/ca.go
+++ b/internal/fakes/ca.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"crypto/ecdsa"
--- a/internal/standin/discovery.go
+++ b/internal/fakes/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 )
 
 // Discovery is a stand-in for the platform's discovery: it keeps a list and serves it, whole and as watches. Entries
@@ -51,12 +51,12 @@
 }
 
 type versioned struct {
-	e  directory.Endpoint
+	e  endpoints.Endpoint
 	at int64
 }
 
 // NewDiscovery returns one with these entries, at version 1; see Listen.
-func NewDiscovery(entries ...directory.Endpoint) *Discovery {
+func NewDiscovery(entries ...endpoints.Endpoint) *Discovery {
 	d := &Discovery{index: 1, entries: map[string]versioned{}, joined: map[string]*http.Server{}, Beat: 200 * time.Millisecond, told: map[string]time.Time{}}
 	d.changed = sync.NewCond(&d.mu)
 	for _, e := range entries {
@@ -149,7 +149,7 @@
 }
 
 // Set adds or changes entries, all at one moment.
-func (d *Discovery) Set(entries ...directory.Endpoint) {
+func (d *Discovery) Set(entries ...endpoints.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.index++
@@ -160,14 +160,14 @@
 }
 
 // Drain says that upstreams want nothing new.
-func (d *Discovery) Drain(names ...string) { d.status(directory.StatusTerminating, names...) }
+func (d *Discovery) Drain(names ...string) { d.status(endpoints.StatusTerminating, names...) }
 
 // Remove says that it is gone.
-func (d *Discovery) Remove(name string) { d.status(directory.StatusGone, name) }
+func (d *Discovery) Remove(name string) { d.status(endpoints.StatusGone, name) }
 
 func (d *Discovery) status(status string, names ...string) {
 	d.mu.Lock()
-	entries := make([]directory.Endpoint, len(names))
+	entries := make([]endpoints.Endpoint, len(names))
 	for i, name := range names {
 		entries[i] = d.entries[name].e
 		entries[i].Name, entries[i].Status = name, status
@@ -249,18 +249,18 @@
 }
 
 // Listing is the whole list, as a configuration's known list.
-func (d *Discovery) Listing() *directory.Listing {
+func (d *Discovery) Listing() *endpoints.Listing {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.since(-1)
 }
 
 // since is what changed after a version; below 0 the whole list. The caller holds mu.
-func (d *Discovery) since(from int64) *directory.Listing {
+func (d *Discovery) since(from int64) *endpoints.Listing {
 	index := d.index
-	l := &directory.Listing{Index: &index, Snapshot: from < 0, Endpoints: []directory.Endpoint{}}
+	l := &endpoints.Listing{Index: &index, Snapshot: from < 0, Endpoints: []endpoints.Endpoint{}}
 	for _, v := range d.entries {
-		if v.at > from && (!l.Snapshot || v.e.Status != directory.StatusGone) {
+		if v.at > from && (!l.Snapshot || v.e.Status != endpoints.StatusGone) {
 			l.Endpoints = append(l.Endpoints, v.e)
 		}
 	}
@@ -370,7 +370,7 @@
 }
 
 // write sends a message; the caller holds mu, so that Told is never earlier than the write.
-func (d *Discovery) write(w http.ResponseWriter, address string, l *directory.Listing) error {
+func (d *Discovery) write(w http.ResponseWriter, address string, l *endpoints.Listing) error {
 	out := json.NewEncoder(w)
 	if d.Indent {
 		out.SetIndent("", "  ")
--- a/internal/standin/doc.go
+++ b/internal/fakes/doc.go
@@ -5,4 +5,4 @@
 // platform's HTTP/1.1 (http1.go) and gRPC (grpc.go) over the same core (node.go), and writes to one Ledger what came,
 // what ran and what came after a drain. A Discovery keeps a list and serves watches on it. Raw and ScriptedDiscovery
 // send whatever bytes a test wants. All listen on loopback.
-package standin
+package fakes
--- a/internal/standin/orca.go
+++ b/internal/fakes/orca.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/base64"
--- a/internal/graphql/options.go
+++ b/internal/graphql/options.go
@@ -8,7 +8,7 @@
 	"golang.org/x/net/http/httpguts"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/httphead"
+	"orchiddrift/internal/httpheader"
 	"orchiddrift/internal/routes"
 	"orchiddrift/internal/units"
 )
@@ -77,8 +77,8 @@
 func Default() Options {
 	return Options{Query: "read", Mutation: "write", Persist: "off", Stored: units.MiB, Cache: 2 * units.MiB, Limits: DefaultLimits(),
 		Sizes: []string{"first", "last", "limit"}, Assumed: 10, Parallel: 4, MaxBody: 64 * units.KiB,
-		Tenant: routes.Header(httphead.Tenant), Cost: routes.Header(httphead.Cost), ID: routes.Header(httphead.ID),
-		Deadline: routes.Header(httphead.Timeout)}
+		Tenant: routes.Header(httpheader.Tenant), Cost: routes.Header(httpheader.Cost), ID: routes.Header(httpheader.ID),
+		Deadline: routes.Header(httpheader.Timeout)}
 }
 
 // Route is the endpoint's: who takes its requests asks the Endpoint for their class, until which they count as unsafe. longest
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/testkit/golden"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/testing/golden"
 )
 
 // A Welcome's payload is read and written byte for byte as the release before did: old and new processes replace each other.
@@ -21,10 +21,10 @@
 	want := State{Who: who, Draining: true, Held: 7, Services: map[string]Service{
 		"platform": {
 			Discovery: "127.0.0.1:8500",
-			List: &directory.Listing{Index: &index, Snapshot: true, Endpoints: []directory.Endpoint{
-				{Name: "u1", Address: "127.0.0.1:81", Zone: "dc1", Type: "large", Group: 2, Status: directory.StatusReady, SinceMs: 1500, Identity: "u1.example"},
-				{Name: "u2", Status: directory.StatusTerminating},
-				{Name: "u3", Status: directory.StatusGone},
+			List: &endpoints.Listing{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{
+				{Name: "u1", Address: "127.0.0.1:81", Zone: "dc1", Type: "large", Group: 2, Status: endpoints.StatusReady, SinceMs: 1500, Identity: "u1.example"},
+				{Name: "u2", Status: endpoints.StatusTerminating},
+				{Name: "u3", Status: endpoints.StatusGone},
 			}},
 			Learnt: &balancer.Knowledge{Mean: 0.5, Upstreams: map[string]balancer.Learnt{"u1": {Estimate: 0.25, Ejections: 1, Out: time.Second}}},
 		},
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -18,7 +18,7 @@
 	"pgregory.net/rapid"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 )
 
 // Whatever is framed is read as it was, one after another; cut anywhere, it is not read at all; and no changed bit goes by.
@@ -68,7 +68,7 @@
 func testState() State {
 	index := int64(41)
 	return State{Who: Who{"n1", "127.0.0.1:9000"}, Draining: true, Services: map[string]Service{"platform": {Discovery: "127.0.0.1:8500",
-		List:   &directory.Listing{Index: &index, Snapshot: true, Endpoints: []directory.Endpoint{{Name: "s", Address: "127.0.0.1:9", Status: "Ready"}}},
+		List:   &endpoints.Listing{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{{Name: "s", Address: "127.0.0.1:9", Status: "Ready"}}},
 		Learnt: &balancer.Knowledge{Mean: 0.1, Upstreams: map[string]balancer.Learnt{"s": {Estimate: 0.2, Ejections: 1}}}}}}
 }
 
--- a/internal/httphead/golden_test.go
+++ b/internal/httpheader/golden_test.go
@@ -1,10 +1,10 @@
-package httphead
+package httpheader
 
 import (
 	"strings"
 	"testing"
 
-	"orchiddrift/internal/testkit/golden"
+	"orchiddrift/internal/testing/golden"
 )
 
 // The platform names these headers.
--- a/internal/httphead/httphead.go
+++ b/internal/httpheader/httphead.go
@@ -1,5 +1,5 @@
 // Package httphead names the platform's HTTP headers and tells which headers go from end to end.
-package httphead
+package httpheader
 
 import (
 	"net/http"
--- a/internal/httphead/statuses.go
+++ b/internal/httpheader/statuses.go
@@ -1,4 +1,4 @@
-package httphead
+package httpheader
 
 import (
 	"fmt"
--- a/internal/repeatlog/golden_test.go
+++ b/internal/idempotency/boltstore/golden_test.go
@@ -1,4 +1,4 @@
-package repeatlog
+package boltstore
 
 import (
 	"bytes"
@@ -12,19 +12,19 @@
 
 	"go.etcd.io/bbolt"
 
-	"orchiddrift/internal/heldfile"
-	"orchiddrift/internal/repeats"
-	"orchiddrift/internal/testkit/golden"
+	"orchiddrift/internal/boltfile"
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/testing/golden"
 )
 
 // A file of keys is read and written as the release before did: its buckets, keys and values.
 func TestFileGolden(t *testing.T) {
-	want := []repeats.Record{
-		{ID: repeats.ID{Tenant: "agents", Class: "payment", Key: "k-1"}, Print: repeats.Print{1}, Running: true, At: time.Second},
-		{ID: repeats.ID{Tenant: "agents", Class: "payment", Key: "k-2"}, Print: repeats.Print{2}, Kind: repeats.Uncertain,
-			Sends: []repeats.Send{{Zone: "dc1", Cell: 1, Sent: time.Second}}, At: 2 * time.Second},
+	want := []idempotency.Record{
+		{ID: idempotency.ID{Tenant: "agents", Class: "payment", Key: "k-1"}, Print: idempotency.Print{1}, Running: true, At: time.Second},
+		{ID: idempotency.ID{Tenant: "agents", Class: "payment", Key: "k-2"}, Print: idempotency.Print{2}, Kind: idempotency.Uncertain,
+			Sends: []idempotency.Send{{Zone: "dc1", Cell: 1, Sent: time.Second}}, At: 2 * time.Second},
 	}
-	l, err := Open(t.Context(), filepath.Join(t.TempDir(), "keys.db"), heldfile.Wait{})
+	l, err := Open(t.Context(), filepath.Join(t.TempDir(), "keys.db"), boltfile.Wait{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,12 +83,12 @@
 	if err := db.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if l, err = Open(t.Context(), old, heldfile.Wait{}); err != nil {
+	if l, err = Open(t.Context(), old, boltfile.Wait{}); err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	var got []repeats.Record
-	err = l.Load(func(at time.Duration, r repeats.Record) error {
+	var got []idempotency.Record
+	err = l.Load(func(at time.Duration, r idempotency.Record) error {
 		if at != 2*time.Second {
 			t.Errorf("the process's time is read as %v", at)
 		}
--- a/internal/repeatlog/repeatlog.go
+++ b/internal/idempotency/boltstore/repeatlog.go
@@ -1,6 +1,6 @@
 // Package repeatlog keeps the records of a repeats.Store on a disk that lasts, in a bbolt file: a record is there, synced, when
 // Put returns. Puts at the same time share a sync. docs/design/repeats.md weighs it against a log of the project's own.
-package repeatlog
+package boltstore
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 
 	"go.etcd.io/bbolt"
 
-	"orchiddrift/internal/heldfile"
-	"orchiddrift/internal/repeatcodec"
-	"orchiddrift/internal/repeats"
+	"orchiddrift/internal/boltfile"
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/idempotency/recordcodec"
 )
 
 // Log is an open file. It is safe for concurrent use.
@@ -31,12 +31,12 @@
 
 // Open opens a file, or makes it; wait is for where another process has it. One that is cut, broken or another program's is an error:
 // keys that may matter stand in it, and who takes it away says that they do not.
-func Open(ctx context.Context, path string, wait heldfile.Wait) (l *Log, err error) {
+func Open(ctx context.Context, path string, wait boltfile.Wait) (l *Log, err error) {
 	defer guard(path, &err)()
 	if err := whole(path); err != nil {
 		return nil, err
 	}
-	db, err := heldfile.Open(ctx, path, wait)
+	db, err := boltfile.Open(ctx, path, wait)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -100,16 +100,16 @@
 }
 
 // Load calls do for each record, with the time up to which the last process's went on.
-func (l *Log) Load(do func(at time.Duration, r repeats.Record) error) (err error) {
+func (l *Log) Load(do func(at time.Duration, r idempotency.Record) error) (err error) {
 	defer guard(l.db.Path(), &err)()
 	err = l.db.View(func(tx *bbolt.Tx) error {
 		var at time.Duration
 		if b := tx.Bucket(meta).Get(now); len(b) == 8 {
 			at = time.Duration(binary.BigEndian.Uint64(b))
 		}
-		var r repeats.Record
+		var r idempotency.Record
 		return tx.Bucket(keys).ForEach(func(_, v []byte) error {
-			if r, err = repeatcodec.Decode(v, &r); err != nil {
+			if r, err = recordcodec.Decode(v, &r); err != nil {
 				return err
 			}
 			return do(at, r)
@@ -122,10 +122,10 @@
 }
 
 // Put writes a record, and takes out others; it returns when that is on the disk.
-func (l *Log) Put(r *repeats.Record, gone []repeats.ID, at time.Duration) error {
+func (l *Log) Put(r *idempotency.Record, gone []idempotency.ID, at time.Duration) error {
 	var value []byte
 	if r != nil {
-		value = repeatcodec.Encode(r)
+		value = recordcodec.Encode(r)
 	}
 	return l.db.Batch(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(keys)
@@ -148,7 +148,7 @@
 }
 
 // PutAll writes many records in order, with few syncs.
-func (l *Log) PutAll(records []repeats.Record, at time.Duration) error {
+func (l *Log) PutAll(records []idempotency.Record, at time.Duration) error {
 	const each = 50_000
 	for len(records) > 0 {
 		some := records[:min(each, len(records))]
@@ -156,7 +156,7 @@
 		err := l.db.Update(func(tx *bbolt.Tx) error {
 			b := tx.Bucket(keys)
 			for i := range some {
-				if err := b.Put(key(some[i].ID), repeatcodec.Encode(&some[i])); err != nil {
+				if err := b.Put(key(some[i].ID), recordcodec.Encode(&some[i])); err != nil {
 					return err
 				}
 			}
@@ -169,7 +169,7 @@
 	return nil
 }
 
-func key(id repeats.ID) []byte { return []byte(id.Tenant + "\x00" + id.Class + "\x00" + id.Key) }
+func key(id idempotency.ID) []byte { return []byte(id.Tenant + "\x00" + id.Class + "\x00" + id.Key) }
 
 // Close closes the file.
 func (l *Log) Close() error { return l.db.Close() }
--- a/internal/repeatlog/repeatlog_test.go
+++ b/internal/idempotency/boltstore/repeatlog_test.go
@@ -1,4 +1,4 @@
-package repeatlog
+package boltstore
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 
 	"pgregory.net/rapid"
 
-	"orchiddrift/internal/heldfile"
-	"orchiddrift/internal/repeatcodec"
-	"orchiddrift/internal/repeats"
+	"orchiddrift/internal/boltfile"
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/idempotency/recordcodec"
 )
 
 // What is put is what is loaded, at whatever open it is; what is taken out is gone; and no bytes in a record's place are believed or
@@ -22,31 +22,31 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n++
 		path := filepath.Join(dir, fmt.Sprint(n))
-		want := map[repeats.ID]repeats.Record{}
+		want := map[idempotency.ID]idempotency.Record{}
 		var last time.Duration
 		for range rapid.IntRange(1, 3).Draw(t, "opens") {
-			l, err := Open(t.Context(), path, heldfile.Wait{For: time.Second})
+			l, err := Open(t.Context(), path, boltfile.Wait{For: time.Second})
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := map[repeats.ID]repeats.Record{}
+			got := map[idempotency.ID]idempotency.Record{}
 			at := last
-			err = l.Load(func(of time.Duration, r repeats.Record) error { at, got[r.ID] = of, r; return nil })
+			err = l.Load(func(of time.Duration, r idempotency.Record) error { at, got[r.ID] = of, r; return nil })
 			if err != nil || at != last || !reflect.DeepEqual(got, want) {
 				t.Fatalf("%v, %v (%v):\n%+v\nwant\n%+v", err, at, last, got, want)
 			}
 			for range rapid.IntRange(0, 4).Draw(t, "puts") {
-				r := repeats.Record{ID: repeats.ID{Tenant: rapid.String().Draw(t, "tenant"), Class: "c", Key: rapid.StringN(1, 10, -1).Draw(t, "key")},
-					Running: rapid.Bool().Draw(t, "running"), Kind: repeats.Kind(rapid.IntRange(0, 2).Draw(t, "kind")), Lost: rapid.Bool().Draw(t, "lost"), At: time.Duration(rapid.Int64().Draw(t, "at"))}
+				r := idempotency.Record{ID: idempotency.ID{Tenant: rapid.String().Draw(t, "tenant"), Class: "c", Key: rapid.StringN(1, 10, -1).Draw(t, "key")},
+					Running: rapid.Bool().Draw(t, "running"), Kind: idempotency.Kind(rapid.IntRange(0, 2).Draw(t, "kind")), Lost: rapid.Bool().Draw(t, "lost"), At: time.Duration(rapid.Int64().Draw(t, "at"))}
 				copy(r.Print[:], rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "print"))
 				if rapid.Bool().Draw(t, "answer") {
-					r.Answer = &repeats.Answer{Status: rapid.IntRange(100, 999).Draw(t, "status"), Body: rapid.SliceOfN(rapid.Byte(), 1, 20).Draw(t, "body"),
+					r.Answer = &idempotency.Answer{Status: rapid.IntRange(100, 999).Draw(t, "status"), Body: rapid.SliceOfN(rapid.Byte(), 1, 20).Draw(t, "body"),
 						Header: map[string][]string{"A": {"1", "2"}, "B": {""}}}
 				}
 				for range rapid.IntRange(0, 2).Draw(t, "sends") {
-					r.Sends = append(r.Sends, repeats.Send{Zone: rapid.String().Draw(t, "zone"), Cell: rapid.Int().Draw(t, "cell"), Sent: time.Duration(rapid.Int64().Draw(t, "sent"))})
+					r.Sends = append(r.Sends, idempotency.Send{Zone: rapid.String().Draw(t, "zone"), Cell: rapid.Int().Draw(t, "cell"), Sent: time.Duration(rapid.Int64().Draw(t, "sent"))})
 				}
-				var gone []repeats.ID
+				var gone []idempotency.ID
 				for id := range want {
 					if rapid.Bool().Draw(t, "gone") && id != r.ID {
 						gone = append(gone, id)
@@ -65,6 +65,6 @@
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		_, _ = repeatcodec.DecodeShared(rapid.SliceOf(rapid.Byte()).Draw(t, "noise")) // whatever it says, it says it
+		_, _ = recordcodec.DecodeShared(rapid.SliceOf(rapid.Byte()).Draw(t, "noise")) // whatever it says, it says it
 	})
 }
--- /dev/null
+++ b/internal/idempotency/etcdstore/declaration.go
@@ -0,0 +1,70 @@
+package etcdstore
+
+import (
+	"os"
+	"strings"
+	"time"
+
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/tlscredentials"
+	"orchiddrift/internal/units"
+)
+
+// Declaration is a shared store's part of the operator's file.
+type Declaration struct {
+	Servers      []string                `toml:"servers" sample:"[\"127.0.0.1:2379\"]" doc:"Client addresses of the etcd (v3 API) that all sidecars of the service share. Absent: there is none."`
+	Prefix       string                  `toml:"prefix" default:"orchiddrift/repeats/" doc:"What its keys begin with; sidecars that share it share their keys."`
+	Timeout      units.Duration          `toml:"timeout" default:"500ms" doc:"For one of its answers."`
+	Session      units.Duration          `toml:"session" default:"10s" doc:"So long after this process was last heard of there, what it ran counts as perhaps run, and is not sent again."`
+	Skew         units.Duration          `toml:"clock_skew" default:"0s" doc:"How far the sidecars' wall clocks may be apart. Given, what may have run at one sidecar is sent again by another within the nodes' window, less this. 0: it is not."`
+	Error        string                  `toml:"error" default:"refuse" oneof:"refuse|go on" doc:"What becomes of new keys while it can't be asked: refused, or sent under this sidecar's own knowledge alone."`
+	User         string                  `toml:"user" doc:"For its authentication."`
+	PasswordFile string                  `toml:"password_file" sample:"\"/etc/orchiddrift/etcd-password\"" doc:"A file that holds the password, read when it is connected to."`
+	TLS          tlscredentials.Upstream `toml:"tls" doc:"Encryption towards it."`
+}
+
+// On tells whether there is a shared store.
+func (d *Declaration) On() bool { return len(d.Servers) > 0 }
+
+const maxServers = 16
+
+// Check is tomlfile.Checker's.
+func (d *Declaration) Check(report func(key, format string, args ...any)) {
+	if !d.On() {
+		if d.User != "" || d.PasswordFile != "" || d.TLS.On() {
+			report("servers", "none is given")
+		}
+		return
+	}
+	if len(d.Servers) > maxServers {
+		report("servers", "%d are given, %d at most", len(d.Servers), maxServers)
+	}
+	for _, s := range d.Servers {
+		if err := endpoints.CheckAddress(s); err != nil {
+			report("servers", "%v", err)
+		}
+	}
+	if d.Prefix == "" {
+		report("prefix", "keys need one")
+	}
+	if d.Timeout.D() < time.Millisecond || d.Timeout.D() > time.Minute {
+		report("timeout", "%v is not from 1ms to 1m", d.Timeout)
+	}
+	if d.Session.D() < 2*time.Second || d.Session.D() > 10*time.Minute {
+		report("session", "%v is not from 2s to 10m", d.Session)
+	}
+	if d.Skew < 0 {
+		report("clock_skew", "%v is under 0", d.Skew)
+	}
+	if (d.User == "") != (d.PasswordFile == "") {
+		report("user", "user and password_file stand together")
+	}
+}
+
+func (d *Declaration) password() (string, error) {
+	if d.PasswordFile == "" {
+		return "", nil
+	}
+	text, err := os.ReadFile(d.PasswordFile)
+	return strings.TrimSpace(string(text)), err
+}
--- a/internal/repeatshare/golden_test.go
+++ b/internal/idempotency/etcdstore/golden_test.go
@@ -1,22 +1,22 @@
-package repeatshare
+package etcdstore
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"orchiddrift/internal/repeats"
-	"orchiddrift/internal/testkit/golden"
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/testing/golden"
 )
 
 // Processes of different releases find each other's records: keys and claims are named as in the release before.
 func TestNamesGolden(t *testing.T) {
 	s := &Store{prefix: "orchiddrift/payments/"}
 	var out strings.Builder
-	for _, id := range []repeats.ID{{Tenant: "agents", Class: "payment", Key: "k-1"}, {Class: "payment", Key: "k-1"}, {Tenant: "a", Class: "bc", Key: "d"}, {Tenant: "ab", Class: "c", Key: "d"}} {
+	for _, id := range []idempotency.ID{{Tenant: "agents", Class: "payment", Key: "k-1"}, {Class: "payment", Key: "k-1"}, {Tenant: "a", Class: "bc", Key: "d"}, {Tenant: "ab", Class: "c", Key: "d"}} {
 		fmt.Fprintf(&out, "%+v %s\n", id, s.key(id))
 	}
 	fmt.Fprintf(&out, "owner %s\n", s.ownerKey(name(0x694d)))
-	fmt.Fprintf(&out, "claim %s\n", repeats.ClaimOf(name(0x694d), "1z"))
+	fmt.Fprintf(&out, "claim %s\n", idempotency.ClaimOf(name(0x694d), "1z"))
 	golden.Match(t, "names.txt", []byte(out.String()))
 }
--- a/internal/repeatshare/repeatshare.go
+++ b/internal/idempotency/etcdstore/repeatshare.go
@@ -4,7 +4,7 @@
 //
 // A claim is a transaction that creates the key's record, or replaces the very one that was met, if the claimant's session lives. A
 // record that says running is never taken over, whatever became of its owner, so that a process that stood still needs no fence.
-package repeatshare
+package etcdstore
 
 import (
 	"context"
@@ -25,10 +25,10 @@
 	"golang.org/x/sync/singleflight"
 	"google.golang.org/grpc"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/keys"
-	"orchiddrift/internal/repeatcodec"
-	"orchiddrift/internal/repeats"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/idempotency/recordcodec"
+	"orchiddrift/internal/tlscredentials"
 )
 
 // Options are a Store's parameters.
@@ -42,7 +42,7 @@
 
 // Claim is what became of a request: Run, with the claim that Settle ends; or another verdict, and there is none.
 type Claim struct {
-	repeats.Decision
+	idempotency.Decision
 	name     string
 	revision int64 // of its record; 0: not known
 }
@@ -51,7 +51,7 @@
 type Store struct {
 	o       Options
 	prefix  string
-	keys    *keys.Store // nil: no TLS
+	keys    *tlscredentials.Store // nil: no TLS
 	ctx     context.Context
 	cancel  context.CancelFunc
 	flight  singleflight.Group
@@ -65,7 +65,7 @@
 	slot    clientv3.LeaseID
 	slotAt  time.Time
 	serial  uint64
-	pending map[repeats.ID]*unsettled
+	pending map[idempotency.ID]*unsettled
 	down    bool
 }
 
@@ -73,12 +73,12 @@
 type unsettled struct {
 	busy     chan struct{} // held by who tells it
 	done     bool
-	id       repeats.ID
+	id       idempotency.ID
 	claim    string
 	revision int64
-	record   *repeats.Record // nil: there is to be none. Sends' times are the wall's
-	given    bool            // it is a claim that was given up and may stand: what stood before, record, is put back
-	until    time.Time       // it may come to stand till then
+	record   *idempotency.Record // nil: there is to be none. Sends' times are the wall's
+	given    bool                // it is a claim that was given up and may stand: what stood before, record, is put back
+	until    time.Time           // it may come to stand till then
 }
 
 const (
@@ -92,9 +92,9 @@
 
 // New returns a Store. It connects by and by: while it can't, Claim fails.
 func New(o Options) (*Store, error) {
-	s := &Store{o: o, prefix: o.Prefix + o.Service + "/", pending: map[repeats.ID]*unsettled{}, writing: make(chan struct{}, together)}
+	s := &Store{o: o, prefix: o.Prefix + o.Service + "/", pending: map[idempotency.ID]*unsettled{}, writing: make(chan struct{}, together)}
 	if o.TLS.On() {
-		store, err := keys.Open(keys.Files{Certificate: o.TLS.Certificate, Key: o.TLS.Key, CA: o.TLS.CA}, o.TLS.WarnBefore.D(), o.Log)
+		store, err := tlscredentials.Open(tlscredentials.Files{Certificate: o.TLS.Certificate, Key: o.TLS.Key, CA: o.TLS.CA}, o.TLS.WarnBefore.D(), o.Log)
 		if err != nil {
 			return nil, err
 		}
@@ -116,13 +116,13 @@
 	dialer := &net.Dialer{Timeout: s.o.Timeout.D()}
 	dial := dialer.DialContext
 	if s.keys != nil {
-		secure := keys.NewClient(s.keys, s.o.TLS)
+		secure := tlscredentials.NewClient(s.keys, s.o.TLS)
 		dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
-			t, err := secure.Speak(ctx, conn, directory.Place{Address: address}, "h2")
+			t, err := secure.Speak(ctx, conn, endpoints.Place{Address: address}, "h2")
 			if err != nil {
 				conn.Close()
 				return nil, err
@@ -269,7 +269,7 @@
 
 func (s *Store) ownerKey(session string) string { return s.prefix + "owner/" + session }
 
-func (s *Store) key(id repeats.ID) string {
+func (s *Store) key(id idempotency.ID) string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%d\x00%s%d\x00%s%s", len(id.Tenant), id.Tenant, len(id.Class), id.Class, id.Key) // a hash takes everything
 	return s.prefix + "key/" + hex.EncodeToString(h.Sum(nil))
@@ -304,7 +304,7 @@
 // m's process and skew are the Store's to fill in. same is called once the key is known to be this very request's, and no other's:
 // what waits may wait for long. An error says that the store could not be asked, and that nothing may be
 // sent on its word.
-func (s *Store) Claim(ctx context.Context, m repeats.Meeting, same func()) (Claim, error) {
+func (s *Store) Claim(ctx context.Context, m idempotency.Meeting, same func()) (Claim, error) {
 	if err := s.flush(ctx, m.ID); err != nil {
 		return Claim{}, err
 	}
@@ -314,7 +314,7 @@
 	prior := own
 	var c Claim
 	over := int64(0) // the revision of the record that is to be replaced; 0: there is none
-	var was *repeats.Record
+	var was *idempotency.Record
 	for range mostTries {
 		at, err := s.ready(ctx)
 		if err != nil {
@@ -323,11 +323,11 @@
 		m.Process = at.process
 		s.mu.Lock()
 		s.serial++
-		c.name = repeats.ClaimOf(at.process, strconv.FormatUint(s.serial, 36))
+		c.name = idempotency.ClaimOf(at.process, strconv.FormatUint(s.serial, 36))
 		s.mu.Unlock()
 		owner := s.ownerKey(name(at.session))
-		value := repeatcodec.EncodeShared(&repeats.Shared{Owner: name(at.session), Claim: c.name,
-			Record: repeats.Record{ID: m.ID, Print: m.Print, Running: true, Sends: prior.wall()}})
+		value := recordcodec.EncodeShared(&idempotency.Shared{Owner: name(at.session), Claim: c.name,
+			Record: idempotency.Record{ID: m.ID, Print: m.Print, Running: true, Sends: prior.wall()}})
 		r, err := s.commit(ctx, at, []clientv3.Cmp{clientv3.Compare(clientv3.ModRevision(key), "=", over),
 			clientv3.Compare(clientv3.CreateRevision(owner), ">", 0)}, clientv3.OpPut(key, string(value), clientv3.WithLease(at.slot)), clientv3.OpGet(key))
 		switch {
@@ -348,7 +348,7 @@
 			prior, over, was = own, 0, nil
 			continue
 		}
-		rec, err := repeatcodec.DecodeShared(kvs[0].Value)
+		rec, err := recordcodec.DecodeShared(kvs[0].Value)
 		if err != nil {
 			return c, s.heard(err)
 		}
@@ -368,12 +368,12 @@
 		met := time.Now()
 		d := m.Meet(&rec, lives, sinceEpoch(met))
 		switch d.Verdict {
-		case repeats.Run:
+		case idempotency.Run:
 			prior, over, was = ages{d.Prior, met}, kvs[0].ModRevision, &rec.Record
-		case repeats.Wait:
+		case idempotency.Wait:
 			same()
 			if !s.wait(ctx, at, key, s.ownerKey(rec.Owner), r.Header.Revision+1) {
-				return Claim{Decision: repeats.Decision{Verdict: repeats.Fail}}, nil
+				return Claim{Decision: idempotency.Decision{Verdict: idempotency.Fail}}, nil
 			}
 			prior, over, was = own, 0, nil
 		default:
@@ -384,8 +384,8 @@
 }
 
 // Look tells of a kept answer, or Fail: for what this process would not send in any case.
-func (s *Store) Look(ctx context.Context, m repeats.Meeting) (repeats.Decision, error) {
-	fail := repeats.Decision{Verdict: repeats.Fail}
+func (s *Store) Look(ctx context.Context, m idempotency.Meeting) (idempotency.Decision, error) {
+	fail := idempotency.Decision{Verdict: idempotency.Fail}
 	at, err := s.ready(ctx)
 	if err != nil {
 		return fail, err
@@ -394,8 +394,8 @@
 	if err != nil || len(r.Kvs) == 0 {
 		return fail, err
 	}
-	rec, err := repeatcodec.DecodeShared(r.Kvs[0].Value)
-	if err != nil || rec.Running || rec.Kind != repeats.WasAnswered {
+	rec, err := recordcodec.DecodeShared(r.Kvs[0].Value)
+	if err != nil || rec.Running || rec.Kind != idempotency.WasAnswered {
 		return fail, err
 	}
 	return m.Meet(&rec, false, 0), nil
@@ -432,12 +432,12 @@
 
 // ages are sends whose Sent is how long ago each was at a moment.
 type ages struct {
-	sends []repeats.Send
+	sends []idempotency.Send
 	at    time.Time
 }
 
 // now is them now, and wall with a wall clock's times.
-func (a ages) now() []repeats.Send {
+func (a ages) now() []idempotency.Send {
 	of := slices.Clone(a.sends)
 	for i := range of {
 		of[i].Sent += time.Since(a.at)
@@ -445,7 +445,7 @@
 	return of
 }
 
-func (a ages) wall() []repeats.Send {
+func (a ages) wall() []idempotency.Send {
 	of := a.now()
 	wall := sinceEpoch(time.Now())
 	for i := range of {
@@ -456,7 +456,7 @@
 
 // Settle tells the end of a claim: a record, whose sends' times are ages, or nil if its request never ran. It returns at once; a store
 // that can't be told is told again, and the next Claim of the key waits for that.
-func (s *Store) Settle(c Claim, id repeats.ID, r *repeats.Record) {
+func (s *Store) Settle(c Claim, id idempotency.ID, r *idempotency.Record) {
 	if c.name == "" {
 		return
 	}
@@ -502,7 +502,7 @@
 }
 
 // flush tells what there is of a key to be told, before it is claimed anew.
-func (s *Store) flush(ctx context.Context, id repeats.ID) error {
+func (s *Store) flush(ctx context.Context, id idempotency.ID) error {
 	s.mu.Lock()
 	u := s.pending[id]
 	s.mu.Unlock()
@@ -554,7 +554,7 @@
 				return time.Now().After(u.until), nil
 			}
 			if len(r.Kvs) > 0 {
-				rec, err := repeatcodec.DecodeShared(r.Kvs[0].Value)
+				rec, err := recordcodec.DecodeShared(r.Kvs[0].Value)
 				if err != nil {
 					return true, s.heard(err)
 				}
@@ -566,7 +566,7 @@
 		}
 		do := clientv3.OpDelete(key)
 		if u.record != nil {
-			do = clientv3.OpPut(key, string(repeatcodec.EncodeShared(&repeats.Shared{Record: *u.record, Owner: name(at.session), Claim: u.claim})),
+			do = clientv3.OpPut(key, string(recordcodec.EncodeShared(&idempotency.Shared{Record: *u.record, Owner: name(at.session), Claim: u.claim})),
 				clientv3.WithLease(at.slot))
 		}
 		r, err := s.commit(ctx, at, []clientv3.Cmp{clientv3.Compare(clientv3.ModRevision(key), "=", u.revision)}, do, clientv3.OpGet(key))
--- a/internal/repeatshare/repeatshare_test.go
+++ b/internal/idempotency/etcdstore/repeatshare_test.go
@@ -1,4 +1,4 @@
-package repeatshare
+package etcdstore
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 
 	"go.uber.org/goleak"
 
-	"orchiddrift/internal/repeats"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/testing/testutil/base"
 	"orchiddrift/internal/units"
 )
 
@@ -36,13 +36,13 @@
 	return s
 }
 
-func id(n any) repeats.ID { return repeats.ID{Tenant: "t", Class: "c", Key: fmt.Sprint(n)} }
+func id(n any) idempotency.ID { return idempotency.ID{Tenant: "t", Class: "c", Key: fmt.Sprint(n)} }
 
-func meeting(n any) repeats.Meeting {
-	return repeats.Meeting{ID: id(n), Print: repeats.Print{1}, Window: 6 * time.Second}
+func meeting(n any) idempotency.Meeting {
+	return idempotency.Meeting{ID: id(n), Print: idempotency.Print{1}, Window: 6 * time.Second}
 }
 
-func claim(t *testing.T, s *Store, m repeats.Meeting, want repeats.Verdict) Claim {
+func claim(t *testing.T, s *Store, m idempotency.Meeting, want idempotency.Verdict) Claim {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
@@ -53,44 +53,44 @@
 	return c
 }
 
-func answered(m repeats.Meeting, body string) *repeats.Record {
-	return &repeats.Record{ID: m.ID, Print: m.Print, Kind: repeats.WasAnswered, Answer: &repeats.Answer{Status: 200, Body: []byte(body)}}
+func answered(m idempotency.Meeting, body string) *idempotency.Record {
+	return &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.WasAnswered, Answer: &idempotency.Answer{Status: 200, Body: []byte(body)}}
 }
 
 // What one process runs another waits for, and has the end of: an answer, that it never ran, that it may have run, or that the
 // process has gone. Another request under the key is a conflict, also at another process.
 func TestAnotherProcess(t *testing.T) {
-	e, at := base.Etcd(t, standin.EtcdOptions{})
+	e, at := base.Etcd(t, fakes.EtcdOptions{})
 	a, b := open(t, at, nil), open(t, at, func(o *Options) { o.Skew = units.Duration(time.Second) })
-	send := repeats.Send{Zone: "z", Cell: 2, Sent: 2 * time.Second}
+	send := idempotency.Send{Zone: "z", Cell: 2, Sent: 2 * time.Second}
 	for _, c := range []struct {
 		name  string
-		end   func(c Claim, m repeats.Meeting)
-		want  repeats.Verdict
-		again repeats.Verdict // at the first process
+		end   func(c Claim, m idempotency.Meeting)
+		want  idempotency.Verdict
+		again idempotency.Verdict // at the first process
 	}{
-		{"answered", func(c Claim, m repeats.Meeting) { a.Settle(c, m.ID, answered(m, "paid")) }, repeats.Replay, repeats.Replay},
-		{"never ran", func(c Claim, m repeats.Meeting) { a.Settle(c, m.ID, nil) }, repeats.Run, repeats.Wait},
-		{"too large", func(c Claim, m repeats.Meeting) {
-			a.Settle(c, m.ID, &repeats.Record{ID: m.ID, Print: m.Print, Kind: repeats.WasAnswered})
-		}, repeats.Answered, repeats.Answered},
-		{"may have run", func(c Claim, m repeats.Meeting) {
-			a.Settle(c, m.ID, &repeats.Record{ID: m.ID, Print: m.Print, Kind: repeats.Uncertain, Sends: []repeats.Send{send}})
-		}, repeats.Run, repeats.Wait},
-		{"may have run anywhere", func(c Claim, m repeats.Meeting) {
-			a.Settle(c, m.ID, &repeats.Record{ID: m.ID, Print: m.Print, Kind: repeats.Uncertain, Lost: true, Sends: []repeats.Send{send}})
-		}, repeats.Fail, repeats.Fail},
-		{"long ago", func(c Claim, m repeats.Meeting) {
-			a.Settle(c, m.ID, &repeats.Record{ID: m.ID, Print: m.Print, Kind: repeats.Uncertain, Sends: []repeats.Send{send, {Sent: 5100 * time.Millisecond}}})
-		}, repeats.Fail, repeats.Fail},
-		{"gone", func(Claim, repeats.Meeting) { e.Expire(3 * time.Second) }, repeats.Fail, repeats.Fail},
+		{"answered", func(c Claim, m idempotency.Meeting) { a.Settle(c, m.ID, answered(m, "paid")) }, idempotency.Replay, idempotency.Replay},
+		{"never ran", func(c Claim, m idempotency.Meeting) { a.Settle(c, m.ID, nil) }, idempotency.Run, idempotency.Wait},
+		{"too large", func(c Claim, m idempotency.Meeting) {
+			a.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.WasAnswered})
+		}, idempotency.Answered, idempotency.Answered},
+		{"may have run", func(c Claim, m idempotency.Meeting) {
+			a.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.Uncertain, Sends: []idempotency.Send{send}})
+		}, idempotency.Run, idempotency.Wait},
+		{"may have run anywhere", func(c Claim, m idempotency.Meeting) {
+			a.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.Uncertain, Lost: true, Sends: []idempotency.Send{send}})
+		}, idempotency.Fail, idempotency.Fail},
+		{"long ago", func(c Claim, m idempotency.Meeting) {
+			a.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.Uncertain, Sends: []idempotency.Send{send, {Sent: 5100 * time.Millisecond}}})
+		}, idempotency.Fail, idempotency.Fail},
+		{"gone", func(Claim, idempotency.Meeting) { e.Expire(3 * time.Second) }, idempotency.Fail, idempotency.Fail},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := meeting(c.name)
-			first := claim(t, a, m, repeats.Run)
+			first := claim(t, a, m, idempotency.Run)
 			other := m
-			other.Print = repeats.Print{2}
-			claim(t, b, other, repeats.Conflict)
+			other.Print = idempotency.Print{2}
+			claim(t, b, other, idempotency.Conflict)
 			ends := make(chan Claim, 1)
 			go func() { ends <- claim(t, b, m, c.want) }()
 			select {
@@ -105,12 +105,12 @@
 					t.Errorf("prior sends, with the skew: %+v", got.Prior)
 				}
 			}
-			if c.want == repeats.Replay && string(got.Answer.Body) != "paid" {
+			if c.want == idempotency.Replay && string(got.Answer.Body) != "paid" {
 				t.Errorf("%+v", got.Answer)
 			}
-			if c.again == repeats.Wait { // b runs it now
+			if c.again == idempotency.Wait { // b runs it now
 				b.Settle(got, m.ID, answered(m, "late"))
-				c.again = repeats.Replay
+				c.again = idempotency.Replay
 			}
 			claim(t, a, m, c.again)
 		})
@@ -119,19 +119,19 @@
 
 // Without a bound on the clocks what may have run is sent again by the process that sent it, which knows when, and by no other.
 func TestClocksAreNotTrusted(t *testing.T) {
-	_, at := base.Etcd(t, standin.EtcdOptions{})
+	_, at := base.Etcd(t, fakes.EtcdOptions{})
 	a, b := open(t, at, nil), open(t, at, nil)
 	m := meeting(1)
-	a.Settle(claim(t, a, m, repeats.Run), m.ID, &repeats.Record{ID: m.ID, Print: m.Print, Kind: repeats.Uncertain, Sends: []repeats.Send{{Zone: "z"}}})
-	claim(t, b, m, repeats.Fail)
-	m.Prior = []repeats.Send{{Zone: "z", Sent: time.Second}}
-	c := claim(t, a, m, repeats.Run)
+	a.Settle(claim(t, a, m, idempotency.Run), m.ID, &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.Uncertain, Sends: []idempotency.Send{{Zone: "z"}}})
+	claim(t, b, m, idempotency.Fail)
+	m.Prior = []idempotency.Send{{Zone: "z", Sent: time.Second}}
+	c := claim(t, a, m, idempotency.Run)
 	if len(c.Prior) != 1 || c.Prior[0].Sent < time.Second {
 		t.Errorf("%+v", c.Prior)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
-	if c, err := b.Claim(ctx, m, func() {}); err != nil || c.Verdict != repeats.Fail {
+	if c, err := b.Claim(ctx, m, func() {}); err != nil || c.Verdict != idempotency.Fail {
 		t.Errorf("waiting till its deadline: %+v, %v", c, err)
 	}
 }
@@ -140,13 +140,13 @@
 // does not keep its key for good, even where it comes to stand late.
 func TestStoreGoesAway(t *testing.T) {
 	var fault atomic.Int32
-	e, at := base.Etcd(t, standin.EtcdOptions{Fault: func() standin.EtcdFault { return standin.EtcdFault(fault.Load()) }, Late: 200 * time.Millisecond})
+	e, at := base.Etcd(t, fakes.EtcdOptions{Fault: func() fakes.EtcdFault { return fakes.EtcdFault(fault.Load()) }, Late: 200 * time.Millisecond})
 	a, b := open(t, at, nil), open(t, at, nil)
 	m := meeting("in hand")
-	held := claim(t, a, m, repeats.Run)
-	claim(t, b, meeting("warm"), repeats.Run) // it has its session
-	away := claim(t, a, meeting("away"), repeats.Run)
-	for i, f := range []standin.EtcdFault{standin.EtcdRefuse, standin.EtcdLose, standin.EtcdLate, standin.EtcdHang} {
+	held := claim(t, a, m, idempotency.Run)
+	claim(t, b, meeting("warm"), idempotency.Run) // it has its session
+	away := claim(t, a, meeting("away"), idempotency.Run)
+	for i, f := range []fakes.EtcdFault{fakes.EtcdRefuse, fakes.EtcdLose, fakes.EtcdLate, fakes.EtcdHang} {
 		fault.Store(int32(f))
 		if c, err := a.Claim(t.Context(), meeting(i), func() {}); err == nil {
 			t.Errorf("fault %d: %+v", f, c)
@@ -164,21 +164,21 @@
 	}
 	base.Eventually(t, "what never ran can be run", func() bool {
 		c, err := a.Claim(t.Context(), meeting("away"), func() {})
-		if err == nil && c.Verdict != repeats.Run {
+		if err == nil && c.Verdict != idempotency.Run {
 			t.Fatalf("its end here counts before it is told there: %+v", c)
 		}
 		return err == nil
 	})
 	base.Eventually(t, "the end is told", func() bool {
 		c, err := b.Claim(t.Context(), m, func() {})
-		return err == nil && c.Verdict == repeats.Replay && string(c.Answer.Body) == "paid"
+		return err == nil && c.Verdict == idempotency.Replay && string(c.Answer.Body) == "paid"
 	})
 	for i := range 4 {
 		base.Eventually(t, "the key is free again", func() bool {
 			ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 			defer cancel()
 			c, err := b.Claim(ctx, meeting(i), func() {})
-			return err == nil && c.Verdict == repeats.Run
+			return err == nil && c.Verdict == idempotency.Run
 		})
 	}
 }
@@ -187,15 +187,15 @@
 // lost is made anew, with its leases.
 func TestConnections(t *testing.T) {
 	ca, strange := base.CA(t, "etcd"), base.CA(t, "strange")
-	e, at := base.Etcd(t, standin.EtcdOptions{User: "pay", Password: "secret", TLS: base.ServerTLS(t, base.Issue(t, ca, "127.0.0.1"))})
-	with := func(ca *standin.CA, password string) *Store {
+	e, at := base.Etcd(t, fakes.EtcdOptions{User: "pay", Password: "secret", TLS: base.ServerTLS(t, base.Issue(t, ca, "127.0.0.1"))})
+	with := func(ca *fakes.CA, password string) *Store {
 		return open(t, at, func(o *Options) {
 			o.User, o.PasswordFile = "pay", base.File(t, "password", []byte(password+"\n"))
 			o.TLS.CA = base.File(t, "ca.pem", ca.PEM)
 		})
 	}
 	s := with(ca, "secret")
-	claim(t, s, meeting(0), repeats.Run)
+	claim(t, s, meeting(0), idempotency.Run)
 	for name, s := range map[string]*Store{"another authority": with(strange, "secret"), "another password": with(ca, "guess")} {
 		if c, err := s.Claim(t.Context(), meeting(name), func() {}); err == nil {
 			t.Errorf("%s: %+v", name, c)
@@ -203,7 +203,7 @@
 	}
 	for i := range 3 {
 		e.Expire(time.Hour) // all of them, records too
-		claim(t, s, meeting(i), repeats.Run)
+		claim(t, s, meeting(i), idempotency.Run)
 	}
 }
 
@@ -236,14 +236,14 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	var mu sync.Mutex
 	chance := func(p float64) bool { mu.Lock(); defer mu.Unlock(); return rng.Float64() < p }
-	faults := []standin.EtcdFault{standin.EtcdRefuse, standin.EtcdLose, standin.EtcdLose, standin.EtcdLate}
-	e, at := base.Etcd(t, standin.EtcdOptions{Late: 20 * time.Millisecond, Fault: func() standin.EtcdFault {
+	faults := []fakes.EtcdFault{fakes.EtcdRefuse, fakes.EtcdLose, fakes.EtcdLose, fakes.EtcdLate}
+	e, at := base.Etcd(t, fakes.EtcdOptions{Late: 20 * time.Millisecond, Fault: func() fakes.EtcdFault {
 		mu.Lock()
 		defer mu.Unlock()
 		if rng.Float64() < 0.08 {
 			return faults[rng.IntN(len(faults))]
 		}
-		return standin.EtcdFine
+		return fakes.EtcdFine
 	}})
 	node := &model{window: window, first: map[string]time.Time{}, ran: map[string]int{}}
 	answers := map[string]string{}
@@ -271,10 +271,10 @@
 					c, err := s.Claim(ctx, m, func() {})
 					cancel()
 					switch {
-					case err != nil || c.Verdict == repeats.Fail:
+					case err != nil || c.Verdict == idempotency.Fail:
 						uncertain.Add(1)
 						continue
-					case c.Verdict == repeats.Replay:
+					case c.Verdict == idempotency.Replay:
 						mu.Lock()
 						if was, ok := answers[key]; ok && was != string(c.Answer.Body) {
 							t.Errorf("%s: %s, then %s", key, was, c.Answer.Body)
@@ -282,24 +282,24 @@
 						mu.Unlock()
 						told.Add(1)
 						continue
-					case c.Verdict != repeats.Run:
+					case c.Verdict != idempotency.Run:
 						t.Errorf("%s: %+v", key, c)
 						continue
 					}
 					begun := time.Now()
 					late := func() bool {
-						return slices.ContainsFunc(c.Prior, func(x repeats.Send) bool { return x.Sent+time.Since(begun) >= window })
+						return slices.ContainsFunc(c.Prior, func(x idempotency.Send) bool { return x.Sent+time.Since(begun) >= window })
 					}
-					unsure := func(sends ...repeats.Send) *repeats.Record { // Sent since begun
+					unsure := func(sends ...idempotency.Send) *idempotency.Record { // Sent since begun
 						sends = append(sends, c.Prior...)
 						for i := range sends {
 							sends[i].Sent += time.Since(begun)
 						}
-						return &repeats.Record{ID: m.ID, Print: m.Print, Kind: repeats.Uncertain, Sends: sends}
+						return &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.Uncertain, Sends: sends}
 					}
 					switch {
 					case late():
-						s.Settle(c, m.ID, &repeats.Record{ID: m.ID, Print: m.Print, Kind: repeats.Uncertain, Lost: true})
+						s.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.Uncertain, Lost: true})
 					case chance(0.1): // turned away by the node
 						if of := unsure(); len(of.Sends) > 0 { // an earlier one may have run all the same
 							s.Settle(c, m.ID, of)
@@ -308,14 +308,14 @@
 						}
 					case chance(0.15): // it runs, and no answer comes
 						node.pay(key, late)
-						s.Settle(c, m.ID, unsure(repeats.Send{}))
+						s.Settle(c, m.ID, unsure(idempotency.Send{}))
 					case chance(0.05): // the process ends without a word
 						node.pay(key, late)
 						s.Abort()
 						start((worker + try) % len(processes))
 					default:
 						if node.pay(key, late); late() { // it may not have been sent
-							s.Settle(c, m.ID, &repeats.Record{ID: m.ID, Print: m.Print, Kind: repeats.Uncertain, Lost: true})
+							s.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.Uncertain, Lost: true})
 							continue
 						}
 						body := fmt.Sprint(worker, try)
--- a/internal/repeatkeeper/declaration.go
+++ b/internal/idempotency/executor/declaration.go
@@ -1,21 +1,21 @@
-package repeatkeeper
+package executor
 
 import (
 	"context"
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/heldfile"
-	"orchiddrift/internal/repeatlog"
-	"orchiddrift/internal/repeats"
-	"orchiddrift/internal/repeatshare"
+	"orchiddrift/internal/boltfile"
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/idempotency/boltstore"
+	"orchiddrift/internal/idempotency/etcdstore"
 	"orchiddrift/internal/units"
 )
 
 // Declaration is a store of keys in the operator's file.
 type Declaration struct {
-	repeats.Options
-	Shared repeatshare.Declaration `toml:"shared" reload:"start" doc:"Keys that all sidecars of the service share, in an etcd."`
+	idempotency.Options
+	Shared etcdstore.Declaration `toml:"shared" reload:"start" doc:"Keys that all sidecars of the service share, in an etcd."`
 }
 
 // mostShared bounds an answer in an etcd, whose requests are 1.5 MiB at most.
@@ -51,7 +51,7 @@
 	o.Repeats, o.Window = d.Options, Windows(set)
 	switch {
 	case d.File != "":
-		l, err := repeatlog.Open(ctx, d.File, heldfile.Wait{For: patience, Held: func(since time.Duration) {
+		l, err := boltstore.Open(ctx, d.File, boltfile.Wait{For: patience, Held: func(since time.Duration) {
 			if o.Log != nil {
 				o.Log.Warn("repeats: another process holds the file: waiting for it", "file", d.File, "since", since.Round(time.Millisecond).String())
 			}
@@ -61,7 +61,7 @@
 		}
 		o.Journal = l
 	case d.Shared.On():
-		s, err := repeatshare.New(repeatshare.Options{Declaration: d.Shared, Service: service, Keep: d.Keep.D(), Pending: d.Entries, Log: o.Log})
+		s, err := etcdstore.New(etcdstore.Options{Declaration: d.Shared, Service: service, Keep: d.Keep.D(), Pending: d.Entries, Log: o.Log})
 		if err != nil {
 			return nil, err
 		}
