--- a/internal/repeatkeeper/keeper.go
+++ b/internal/idempotency/executor/keeper.go
@@ -1,7 +1,7 @@
 // Package repeatkeeper drives a repeats.Store: it runs what is to be sent, has repeats wait for it, and hands out ends. It is safe
 // for concurrent use. A request runs on the goroutine of the client that came first, and goes on when that one leaves: others may
 // wait for its end, and what it brought is kept for those who come again. Once all have left nothing more of it is begun.
-package repeatkeeper
+package executor
 
 import (
 	"context"
@@ -11,21 +11,21 @@
 	"time"
 
 	"orchiddrift/internal/clock"
-	"orchiddrift/internal/repeats"
-	"orchiddrift/internal/repeatshare"
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/idempotency/etcdstore"
 )
 
 // Sends is where a running request tells of its sends.
 type Sends interface {
-	Sent(x repeats.Send)   // before its first byte goes out
-	Unsent(x repeats.Send) // it is proved not to have run
+	Sent(x idempotency.Send)   // before its first byte goes out
+	Unsent(x idempotency.Send) // it is proved not to have run
 }
 
 // Ended is how a request that ran ended, as its clients are to be told.
 type Ended struct {
-	Verdict repeats.Verdict // Replay, Refuse or Fail
-	Answer  *repeats.Answer // of Replay
-	RetryIn time.Duration   // of Refuse
+	Verdict idempotency.Verdict // Replay, Refuse or Fail
+	Answer  *idempotency.Answer // of Replay
+	RetryIn time.Duration       // of Refuse
 }
 
 // Result is what a client is told. Left: it has gone meanwhile.
@@ -37,7 +37,7 @@
 
 // Options are a Keeper's parameters.
 type Options struct {
-	Repeats repeats.Options // checked
+	Repeats idempotency.Options // checked
 	Window  func(class string) time.Duration
 	Clock   clock.Clock
 	Log     *slog.Logger
@@ -55,16 +55,16 @@
 // Journal is where records last. Put returns when they are on the disk.
 type Journal interface {
 	// Load calls do for each record, with the time up to which the last process's went on.
-	Load(do func(at time.Duration, r repeats.Record) error) error
-	Put(r *repeats.Record, gone []repeats.ID, at time.Duration) error
+	Load(do func(at time.Duration, r idempotency.Record) error) error
+	Put(r *idempotency.Record, gone []idempotency.ID, at time.Duration) error
 	Close() error
 }
 
-// Shared is a store of keys that other processes have too: internal/repeatshare's. Times of sends are ages.
+// Shared is a store of keys that other processes have too: internal/idempotency/etcdstore's. Times of sends are ages.
 type Shared interface {
-	Claim(ctx context.Context, m repeats.Meeting, same func()) (repeatshare.Claim, error)
-	Look(ctx context.Context, m repeats.Meeting) (repeats.Decision, error)
-	Settle(c repeatshare.Claim, id repeats.ID, r *repeats.Record)
+	Claim(ctx context.Context, m idempotency.Meeting, same func()) (etcdstore.Claim, error)
+	Look(ctx context.Context, m idempotency.Meeting) (idempotency.Decision, error)
+	Settle(c etcdstore.Claim, id idempotency.ID, r *idempotency.Record)
 	Abort()
 	Close()
 }
@@ -74,14 +74,14 @@
 	o Options
 
 	mu      sync.Mutex
-	store   *repeats.Store
+	store   *idempotency.Store
 	window  func(class string) time.Duration
-	flights map[repeats.ID]*flight
+	flights map[idempotency.ID]*flight
 	closed  bool
 	refused int
 	said    time.Duration
-	offset  time.Duration // what this process's time began at, beyond the clock's: an earlier process's went on up to there
-	gone    []repeats.ID  // forgotten, and still in the journal
+	offset  time.Duration    // what this process's time began at, beyond the clock's: an earlier process's went on up to there
+	gone    []idempotency.ID // forgotten, and still in the journal
 	running sync.WaitGroup
 }
 
@@ -98,12 +98,12 @@
 
 // New returns a Keeper, with what its journal holds. Close ends it, and the journal.
 func New(o Options) (*Keeper, error) {
-	k := &Keeper{o: o, store: repeats.New(o.Repeats, o.Window), flights: map[repeats.ID]*flight{}, window: o.Window}
+	k := &Keeper{o: o, store: idempotency.New(o.Repeats, o.Window), flights: map[idempotency.ID]*flight{}, window: o.Window}
 	if o.Journal == nil {
 		return k, nil
 	}
 	begun := o.Clock.Now()
-	err := o.Journal.Load(func(at time.Duration, r repeats.Record) error {
+	err := o.Journal.Load(func(at time.Duration, r idempotency.Record) error {
 		k.offset = at - begun
 		return k.store.Load(at, r)
 	})
@@ -118,7 +118,7 @@
 func (k *Keeper) now() time.Duration { return k.offset + k.o.Clock.Now() }
 
 // Configure takes other bounds over. What is held stays, also where it is more than they allow.
-func (k *Keeper) Configure(o repeats.Options, window func(class string) time.Duration) {
+func (k *Keeper) Configure(o idempotency.Options, window func(class string) time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.store.Configure(o, window)
@@ -130,7 +130,7 @@
 
 // Do gives a client of a key its end. Where the request is to be sent, run is called, which must end by itself and not with this
 // client: others may wait for it, and wanted ends once none does. One that waits is told Fail at ctx's deadline, and else has left when ctx ends.
-func (k *Keeper) Do(ctx context.Context, id repeats.ID, print repeats.Print, run func(wanted context.Context, prior []repeats.Send, s Sends) Ended) Result {
+func (k *Keeper) Do(ctx context.Context, id idempotency.ID, print idempotency.Print, run func(wanted context.Context, prior []idempotency.Send, s Sends) Ended) Result {
 	for {
 		r, again := k.do(ctx, id, print, run)
 		if again == nil {
@@ -139,19 +139,19 @@
 		select { // another request has the key here, and perhaps not elsewhere
 		case <-again:
 		case <-ctx.Done():
-			return Result{Ended: Ended{Verdict: repeats.Conflict}}
+			return Result{Ended: Ended{Verdict: idempotency.Conflict}}
 		}
 	}
 }
 
 // do is Do; where it returns a channel the key is not decided on before that is closed.
-func (k *Keeper) do(ctx context.Context, id repeats.ID, print repeats.Print, run func(wanted context.Context, prior []repeats.Send, s Sends) Ended) (Result, <-chan struct{}) {
+func (k *Keeper) do(ctx context.Context, id idempotency.ID, print idempotency.Print, run func(wanted context.Context, prior []idempotency.Send, s Sends) Ended) (Result, <-chan struct{}) {
 	now := k.now()
 	k.mu.Lock()
 	window := k.window
 	if k.closed {
 		k.mu.Unlock()
-		return Result{Ended: Ended{Verdict: repeats.Refuse}}, nil
+		return Result{Ended: Ended{Verdict: idempotency.Refuse}}, nil
 	}
 	if gone := k.store.Expire(now); k.o.Journal != nil {
 		k.gone = append(k.gone, gone...) // with the next record
@@ -159,7 +159,7 @@
 	d := k.store.Arrive(now, id, print)
 	var f *flight
 	switch d.Verdict {
-	case repeats.Run:
+	case idempotency.Run:
 		f = &flight{done: make(chan struct{}), waiting: 1}
 		f.wanted, f.give = context.WithCancel(context.Background())
 		if k.o.Shared != nil {
@@ -167,12 +167,12 @@
 		}
 		k.flights[id] = f
 		k.running.Add(1)
-	case repeats.Wait:
+	case idempotency.Wait:
 		f = k.flights[id]
 		f.waiting++
-	case repeats.Refuse:
+	case idempotency.Refuse:
 		k.refusal(now)
-	case repeats.Conflict:
+	case idempotency.Conflict:
 		if of := k.flights[id]; of != nil && k.o.Shared != nil {
 			select {
 			case <-of.same:
@@ -183,21 +183,21 @@
 		}
 	}
 	k.mu.Unlock()
-	meeting := repeats.Meeting{ID: id, Print: print, Prior: d.Prior, Window: window(id.Class)}
+	meeting := idempotency.Meeting{ID: id, Print: print, Prior: d.Prior, Window: window(id.Class)}
 	switch {
-	case d.Verdict == repeats.Fail && k.o.Shared != nil: // another process may have had the answer since
+	case d.Verdict == idempotency.Fail && k.o.Shared != nil: // another process may have had the answer since
 		if of, err := k.o.Shared.Look(ctx, meeting); err == nil {
 			d = of
 		}
 		return Result{Ended: Ended{Verdict: d.Verdict, Answer: d.Answer}}, nil
 	case f == nil:
 		return Result{Ended: Ended{Verdict: d.Verdict, Answer: d.Answer, RetryIn: d.RetryIn}}, nil
-	case d.Verdict == repeats.Run && k.o.Apart:
+	case d.Verdict == idempotency.Run && k.o.Apart:
 		go func() {
 			defer k.running.Done()
 			k.run(ctx, meeting, f, run)
 		}()
-	case d.Verdict == repeats.Run:
+	case d.Verdict == idempotency.Run:
 		defer k.running.Done()
 		defer context.AfterFunc(ctx, func() { k.leave(f) })()
 		k.run(ctx, meeting, f, run)
@@ -205,11 +205,11 @@
 	}
 	select {
 	case <-f.done:
-		return Result{Ended: f.end, First: d.Verdict == repeats.Run && !f.theirs}, nil
+		return Result{Ended: f.end, First: d.Verdict == idempotency.Run && !f.theirs}, nil
 	case <-ctx.Done():
 	}
 	k.leave(f)
-	if d.Verdict == repeats.Wait {
+	if d.Verdict == idempotency.Wait {
 		k.mu.Lock()
 		if k.flights[id] == f { // it still runs
 			k.store.Leave(id)
@@ -217,7 +217,7 @@
 		k.mu.Unlock()
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return Result{Ended: Ended{Verdict: repeats.Fail}}, nil
+		return Result{Ended: Ended{Verdict: idempotency.Fail}}, nil
 	}
 	return Result{Left: true}, nil
 }
@@ -241,7 +241,7 @@
 }
 
 // write puts a key's record into the journal, as it is now.
-func (k *Keeper) write(id repeats.ID) error {
+func (k *Keeper) write(id idempotency.ID) error {
 	if k.o.Journal == nil {
 		return nil
 	}
@@ -254,7 +254,7 @@
 		gone = append(gone, id)
 	}
 	k.mu.Unlock()
-	var record *repeats.Record
+	var record *idempotency.Record
 	if ok {
 		record = &r
 	}
@@ -270,20 +270,20 @@
 
 // run sends a request, once it is on record, and claimed where processes share their keys. Its end is told before it is on record:
 // should the process end between the two, the record says that it ran, and a repeat is not sent.
-func (k *Keeper) run(ctx context.Context, m repeats.Meeting, f *flight, run func(context.Context, []repeats.Send, Sends) Ended) {
+func (k *Keeper) run(ctx context.Context, m idempotency.Meeting, f *flight, run func(context.Context, []idempotency.Send, Sends) Ended) {
 	id := m.ID
 	var end Ended
-	var claim repeatshare.Claim
+	var claim etcdstore.Claim
 	same := func() {}
 	if k.o.Shared != nil {
 		same = sync.OnceFunc(func() { close(f.same) })
 	}
 	k.step(0)
 	if err := k.write(id); err != nil && k.o.Repeats.DiskError != GoOn {
-		end = Ended{Verdict: repeats.Refuse, RetryIn: storeAgain}
+		end = Ended{Verdict: idempotency.Refuse, RetryIn: storeAgain}
 	} else if claim, err = k.claimed(ctx, m, same); err != nil && !k.o.GoOn {
-		end = Ended{Verdict: repeats.Refuse, RetryIn: storeAgain}
-	} else if claim.Verdict != repeats.Run {
+		end = Ended{Verdict: idempotency.Refuse, RetryIn: storeAgain}
+	} else if claim.Verdict != idempotency.Run {
 		f.theirs = true
 		end = Ended{Verdict: claim.Verdict, Answer: claim.Answer}
 	} else {
@@ -296,12 +296,12 @@
 		end = run(f.wanted, prior, sends{k, id})
 	}
 	k.step(3)
-	kind := repeats.Uncertain
+	kind := idempotency.Uncertain
 	switch {
-	case end.Verdict == repeats.Replay:
-		kind = repeats.WasAnswered
-	case end.Verdict == repeats.Refuse || f.theirs:
-		kind = repeats.NeverRan
+	case end.Verdict == idempotency.Replay:
+		kind = idempotency.WasAnswered
+	case end.Verdict == idempotency.Refuse || f.theirs:
+		kind = idempotency.NeverRan
 	}
 	now := k.now()
 	k.mu.Lock()
@@ -328,16 +328,16 @@
 }
 
 // claimed is claim where processes share their keys.
-func (k *Keeper) claimed(ctx context.Context, m repeats.Meeting, same func()) (repeatshare.Claim, error) {
+func (k *Keeper) claimed(ctx context.Context, m idempotency.Meeting, same func()) (etcdstore.Claim, error) {
 	if k.o.Shared == nil {
-		return repeatshare.Claim{Decision: repeats.Decision{Prior: m.Prior}}, nil
+		return etcdstore.Claim{Decision: idempotency.Decision{Prior: m.Prior}}, nil
 	}
 	return k.claim(ctx, m, same)
 }
 
 // claim claims a request where processes share their keys; it goes on when its client leaves. Prior times are the Store's again.
-func (k *Keeper) claim(ctx context.Context, m repeats.Meeting, same func()) (repeatshare.Claim, error) {
-	known := repeatshare.Claim{Decision: repeats.Decision{Prior: m.Prior}}
+func (k *Keeper) claim(ctx context.Context, m idempotency.Meeting, same func()) (etcdstore.Claim, error) {
+	known := etcdstore.Claim{Decision: idempotency.Decision{Prior: m.Prior}}
 	stays := context.WithoutCancel(ctx)
 	if at, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
@@ -359,7 +359,7 @@
 }
 
 // settle tells the processes that share the keys of an end.
-func (k *Keeper) settle(now time.Duration, c repeatshare.Claim, id repeats.ID) {
+func (k *Keeper) settle(now time.Duration, c etcdstore.Claim, id idempotency.ID) {
 	r, ok := k.store.Record(now, id)
 	if !ok {
 		k.o.Shared.Settle(c, id, nil)
@@ -370,8 +370,8 @@
 }
 
 // aged turns times into ages at now, and ages into times.
-func aged(now time.Duration, sends []repeats.Send) []repeats.Send {
-	of := append([]repeats.Send(nil), sends...)
+func aged(now time.Duration, sends []idempotency.Send) []idempotency.Send {
+	of := append([]idempotency.Send(nil), sends...)
 	for i := range of {
 		of[i].Sent = now - of[i].Sent
 	}
@@ -392,10 +392,10 @@
 
 type sends struct {
 	k  *Keeper
-	id repeats.ID
+	id idempotency.ID
 }
 
-func (s sends) Sent(x repeats.Send) {
+func (s sends) Sent(x idempotency.Send) {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
 	x.Sent += s.k.offset
@@ -403,7 +403,7 @@
 	s.k.step(2)
 }
 
-func (s sends) Unsent(x repeats.Send) {
+func (s sends) Unsent(x idempotency.Send) {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
 	x.Sent += s.k.offset
--- a/internal/repeatkeeper/keeper_test.go
+++ b/internal/idempotency/executor/keeper_test.go
@@ -1,4 +1,4 @@
-package repeatkeeper
+package executor
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"go.uber.org/goleak"
 
 	"orchiddrift/internal/clock"
-	"orchiddrift/internal/repeats"
+	"orchiddrift/internal/idempotency"
 	"orchiddrift/internal/units"
 )
 
@@ -23,10 +23,10 @@
 type disk struct {
 	mu   sync.Mutex
 	full bool
-	kept map[repeats.ID]repeats.Record
+	kept map[idempotency.ID]idempotency.Record
 }
 
-func (d *disk) Load(do func(time.Duration, repeats.Record) error) error {
+func (d *disk) Load(do func(time.Duration, idempotency.Record) error) error {
 	for _, r := range d.kept {
 		if err := do(time.Hour, r); err != nil {
 			return err
@@ -35,7 +35,7 @@
 	return nil
 }
 
-func (d *disk) Put(r *repeats.Record, gone []repeats.ID, _ time.Duration) error {
+func (d *disk) Put(r *idempotency.Record, gone []idempotency.ID, _ time.Duration) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.full {
@@ -52,9 +52,9 @@
 
 func (d *disk) Close() error { return nil }
 
-func keeper(t *testing.T, j Journal, change func(*repeats.Options)) *Keeper {
+func keeper(t *testing.T, j Journal, change func(*idempotency.Options)) *Keeper {
 	t.Helper()
-	o := repeats.Default()
+	o := idempotency.Default()
 	o.Part = 1
 	if change != nil {
 		change(&o)
@@ -66,33 +66,33 @@
 	return k
 }
 
-func paid(context.Context, []repeats.Send, Sends) Ended {
-	return Ended{Verdict: repeats.Replay, Answer: &repeats.Answer{Status: 200, Body: []byte("paid")}}
+func paid(context.Context, []idempotency.Send, Sends) Ended {
+	return Ended{Verdict: idempotency.Replay, Answer: &idempotency.Answer{Status: 200, Body: []byte("paid")}}
 }
 
-func id(n int) repeats.ID { return repeats.ID{Tenant: "t", Class: "c", Key: fmt.Sprint(n)} }
+func id(n int) idempotency.ID { return idempotency.ID{Tenant: "t", Class: "c", Key: fmt.Sprint(n)} }
 
 // While the disk is full keyed requests are refused and nothing is sent, or go on, as the file says; what was kept is known, and once
 // there is room again all is as before, with what was forgotten meanwhile taken off the disk.
 func TestFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, on := range []string{"refuse", GoOn} {
-			d := &disk{kept: map[repeats.ID]repeats.Record{}}
-			k := keeper(t, d, func(o *repeats.Options) { o.DiskError, o.Keep = on, units.Duration(time.Minute) })
-			do := func(n int) repeats.Verdict { return k.Do(t.Context(), id(n), repeats.Print{}, paid).Verdict }
+			d := &disk{kept: map[idempotency.ID]idempotency.Record{}}
+			k := keeper(t, d, func(o *idempotency.Options) { o.DiskError, o.Keep = on, units.Duration(time.Minute) })
+			do := func(n int) idempotency.Verdict { return k.Do(t.Context(), id(n), idempotency.Print{}, paid).Verdict }
 			do(1)
 			synctest.Wait()
 			d.full = true
-			want := repeats.Refuse
+			want := idempotency.Refuse
 			if on == GoOn {
-				want = repeats.Replay
+				want = idempotency.Replay
 			}
 			for range 3 {
 				if got := do(2); got != want {
 					t.Errorf("%s: %v", on, got)
 				}
 			}
-			if got := do(1); got != repeats.Replay {
+			if got := do(1); got != idempotency.Replay {
 				t.Errorf("%s: what was kept: %v", on, got)
 			}
 			time.Sleep(2 * time.Minute)
@@ -106,7 +106,7 @@
 			}
 			k.Close()
 			again := keeper(t, d, nil)
-			if r := again.Do(t.Context(), id(4), repeats.Print{}, nil); r.Verdict != repeats.Replay || string(r.Answer.Body) != "paid" {
+			if r := again.Do(t.Context(), id(4), idempotency.Print{}, nil); r.Verdict != idempotency.Replay || string(r.Answer.Body) != "paid" {
 				t.Errorf("%s: after a restart: %+v", on, r)
 			}
 			again.Close()
@@ -123,7 +123,7 @@
 		results := make(chan Result, 20)
 		ask := func(ctx context.Context) {
 			go func() {
-				results <- k.Do(ctx, id(1), repeats.Print{}, func(context.Context, []repeats.Send, Sends) Ended { return <-end })
+				results <- k.Do(ctx, id(1), idempotency.Print{}, func(context.Context, []idempotency.Send, Sends) Ended { return <-end })
 			}()
 			synctest.Wait()
 		}
@@ -140,12 +140,12 @@
 		if r := <-results; !r.Left {
 			t.Errorf("who left: %+v", r)
 		}
-		if r := <-results; r.Verdict != repeats.Fail || r.Left {
+		if r := <-results; r.Verdict != idempotency.Fail || r.Left {
 			t.Errorf("at its deadline: %+v", r)
 		}
-		end <- Ended{Verdict: repeats.Refuse, RetryIn: time.Second}
+		end <- Ended{Verdict: idempotency.Refuse, RetryIn: time.Second}
 		for range 4 {
-			if r := <-results; r.Verdict != repeats.Refuse || r.RetryIn != time.Second {
+			if r := <-results; r.Verdict != idempotency.Refuse || r.RetryIn != time.Second {
 				t.Errorf("%+v", r)
 			}
 		}
@@ -153,7 +153,7 @@
 			t.Errorf("%d keys of %d bytes are left, %d run", keys, bytes, running)
 		}
 		k.Close()
-		if r := k.Do(t.Context(), id(2), repeats.Print{}, nil); r.Verdict != repeats.Refuse {
+		if r := k.Do(t.Context(), id(2), idempotency.Print{}, nil); r.Verdict != idempotency.Refuse {
 			t.Errorf("after its end: %+v", r)
 		}
 	})
@@ -162,12 +162,12 @@
 // 100,000 distinct keys a minute: what is held follows keep, within the bounds, and none is refused while there is room.
 func TestManyKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := keeper(t, nil, func(o *repeats.Options) { o.Keep = units.Duration(5 * time.Second) })
+		k := keeper(t, nil, func(o *idempotency.Options) { o.Keep = units.Duration(5 * time.Second) })
 		defer k.Close()
 		most, refused := 0, 0
 		for n := range 200_000 {
 			time.Sleep(600 * time.Microsecond)
-			if k.Do(t.Context(), id(n), repeats.Print{}, paid).Verdict != repeats.Replay {
+			if k.Do(t.Context(), id(n), idempotency.Print{}, paid).Verdict != idempotency.Replay {
 				refused++
 			}
 			if n%1000 == 0 {
--- /dev/null
+++ b/internal/idempotency/recordcodec/golden_test.go
@@ -0,0 +1,56 @@
+package recordcodec
+
+import (
+	"encoding/hex"
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/testing/golden"
+)
+
+// Records on a disk and in a shared store are read and written byte for byte as the release before did.
+func TestRecordsGolden(t *testing.T) {
+	id := idempotency.ID{Tenant: "agents", Class: "payment", Key: "k-1"}
+	print := idempotency.Print{1, 2, 3, 15: 16}
+	sends := []idempotency.Send{{Zone: "dc1", Cell: 2, Sent: 3 * time.Second}, {}}
+	answer := &idempotency.Answer{Status: 201, Header: map[string][]string{"Content-Type": {"text/plain", "again"}}, Body: []byte("paid")}
+	records := []struct {
+		name   string
+		record idempotency.Record
+	}{
+		{"running", idempotency.Record{ID: id, Print: print, Running: true, Sends: sends, At: time.Minute}},
+		{"answered", idempotency.Record{ID: id, Print: print, Kind: idempotency.WasAnswered, Answer: answer, At: -time.Second}},
+		{"too-large", idempotency.Record{ID: id, Print: print, Kind: idempotency.WasAnswered}},
+		{"uncertain", idempotency.Record{ID: id, Print: print, Kind: idempotency.Uncertain, Sends: sends, Lost: true, At: 1}},
+	}
+	var out strings.Builder
+	for _, r := range records {
+		fmt.Fprintf(&out, "%s %s\n", r.name, hex.EncodeToString(Encode(&r.record)))
+		shared := idempotency.Shared{Record: r.record, Owner: "694d", Claim: "694d/1"}
+		fmt.Fprintf(&out, "%s-shared %s\n", r.name, hex.EncodeToString(EncodeShared(&shared)))
+	}
+	golden.Match(t, "records.txt", []byte(out.String()))
+	lines := strings.Fields(string(golden.Read(t, "records.txt", []byte(out.String()))))
+	for i, r := range records {
+		plain, err := hex.DecodeString(lines[4*i+1])
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := Decode(plain, &idempotency.Record{})
+		if err != nil || !reflect.DeepEqual(got, r.record) {
+			t.Errorf("%s is read as %+v, %v; want %+v", r.name, got, err, r.record)
+		}
+		encoded, err := hex.DecodeString(lines[4*i+3])
+		if err != nil {
+			t.Fatal(err)
+		}
+		shared, err := DecodeShared(encoded)
+		if want := (idempotency.Shared{Record: r.record, Owner: "694d", Claim: "694d/1"}); err != nil || !reflect.DeepEqual(shared, want) {
+			t.Errorf("%s, shared, is read as %+v, %v; want %+v", r.name, shared, err, want)
+		}
+	}
+}
--- a/internal/repeatcodec/repeatcodec.go
+++ b/internal/idempotency/recordcodec/repeatcodec.go
@@ -1,5 +1,5 @@
 // Package repeatcodec writes the records of a repeats.Store as bytes, for a disk or a store that processes share, and reads them.
-package repeatcodec
+package recordcodec
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"orchiddrift/internal/repeats"
+	"orchiddrift/internal/idempotency"
 )
 
 // A record is written as a protobuf message of these fields, so that later ones can be added. The key's texts are in it again: a
@@ -31,7 +31,7 @@
 }
 
 // Encode writes a record.
-func Encode(r *repeats.Record) []byte {
+func Encode(r *idempotency.Record) []byte {
 	b := make([]byte, 0, 256)
 	b = appendText(b, 1, []byte(r.ID.Tenant))
 	b = appendText(b, 2, []byte(r.ID.Class))
@@ -61,13 +61,13 @@
 }
 
 // EncodeShared writes a record that processes share.
-func EncodeShared(r *repeats.Shared) []byte {
+func EncodeShared(r *idempotency.Shared) []byte {
 	return appendText(appendText(Encode(&r.Record), 11, []byte(r.Owner)), 12, []byte(r.Claim))
 }
 
 // DecodeShared reads one; nothing of it shares b.
-func DecodeShared(b []byte) (r repeats.Shared, err error) {
-	if r.Record, err = Decode(b, &repeats.Record{}); err != nil {
+func DecodeShared(b []byte) (r idempotency.Shared, err error) {
+	if r.Record, err = Decode(b, &idempotency.Record{}); err != nil {
 		return r, err
 	}
 	err = fields(b, func(n protowire.Number, text []byte, _ int64) error {
@@ -122,7 +122,7 @@
 }
 
 // Decode reads a record; nothing of it shares b, and texts may be those of the record before.
-func Decode(b []byte, before *repeats.Record) (r repeats.Record, err error) {
+func Decode(b []byte, before *idempotency.Record) (r idempotency.Record, err error) {
 	err = fields(b, func(n protowire.Number, text []byte, number int64) error {
 		switch n {
 		case 1:
@@ -138,11 +138,11 @@
 		case 5:
 			r.Running = number != 0
 		case 6:
-			r.Kind = repeats.Kind(number)
+			r.Kind = idempotency.Kind(number)
 		case 7:
 			r.At = time.Duration(number)
 		case 8:
-			r.Answer = &repeats.Answer{}
+			r.Answer = &idempotency.Answer{}
 			return fields(text, func(n protowire.Number, text []byte, number int64) error {
 				switch n {
 				case 1:
@@ -169,7 +169,7 @@
 				return nil
 			})
 		case 9:
-			var x repeats.Send
+			var x idempotency.Send
 			err := fields(text, func(n protowire.Number, text []byte, number int64) error {
 				switch n {
 				case 1:
@@ -188,7 +188,7 @@
 		}
 		return nil
 	})
-	if err == nil && (r.ID.Key == "" || r.Kind < repeats.WasAnswered || r.Kind > repeats.Uncertain) {
+	if err == nil && (r.ID.Key == "" || r.Kind < idempotency.WasAnswered || r.Kind > idempotency.Uncertain) {
 		err = errRecord
 	}
 	return r, err
--- a/internal/repeats/repeats.go
+++ b/internal/idempotency/repeats.go
@@ -13,13 +13,13 @@
 //
 // Time is that of the process's own running: it need not be the wall's, and stands still while the process is down, so that no
 // jump of a clock makes a key old before its time.
-package repeats
+package idempotency
 
 import (
 	"errors"
 	"time"
 
-	"orchiddrift/internal/priority"
+	"orchiddrift/internal/priorityqueue"
 	"orchiddrift/internal/units"
 )
 
@@ -162,7 +162,7 @@
 	o       Options
 	window  func(class string) time.Duration
 	entries map[ID]*entry
-	due     priority.Queue[*entry]
+	due     priorityqueue.Queue[*entry]
 	seq     uint64
 	bytes   int
 	running int
@@ -178,7 +178,7 @@
 
 // New returns an empty Store. window tells for how long the nodes drop repeats of a class.
 func New(o Options, window func(class string) time.Duration) *Store {
-	return &Store{o: o, window: window, entries: map[ID]*entry{}, due: priority.New(func(e *entry) *int { return &e.at }),
+	return &Store{o: o, window: window, entries: map[ID]*entry{}, due: priorityqueue.New(func(e *entry) *int { return &e.at }),
 		tenants: map[string]*tenant{}}
 }
 
--- a/internal/repeats/shared_test.go
+++ b/internal/idempotency/shared_test.go
@@ -1,4 +1,4 @@
-package repeats
+package idempotency
 
 import (
 	"testing"
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/testkit/golden"
+	"orchiddrift/internal/testing/golden"
 )
 
 // jsonLines writes values as JSON, a line each.
--- a/internal/leasegroup/disk.go
+++ b/internal/lease/raftgroup/disk.go
@@ -1,4 +1,4 @@
-package leasegroup
+package raftgroup
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"orchiddrift/internal/heldfile"
+	"orchiddrift/internal/boltfile"
 )
 
 // disk is a member's log, votes and snapshot, in one file. What it says is written when save returns: a vote or an entry that was told of
@@ -39,8 +39,8 @@
 func at(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // openDisk opens a member's file, or makes it. A file that is torn is an error: what stands in it can't be trusted to hold all votes.
-func openDisk(ctx context.Context, path, fleet string, wait heldfile.Wait) (*disk, error) {
-	db, err := heldfile.Open(ctx, path, wait)
+func openDisk(ctx context.Context, path, fleet string, wait boltfile.Wait) (*disk, error) {
+	db, err := boltfile.Open(ctx, path, wait)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/leasegroup/doc.go
+++ b/internal/lease/raftgroup/doc.go
@@ -2,4 +2,4 @@
 //
 // disk.go is a member's disk (bbolt), member.go its one loop, wire.go what members and clients say to each other (gRPC), client.go the
 // clients' side. Nothing here decides who holds a lease, and no request of the data path waits for it.
-package leasegroup
+package raftgroup
--- a/internal/leasegroup/guard_test.go
+++ b/internal/lease/raftgroup/guard_test.go
@@ -1,4 +1,4 @@
-package leasegroup
+package raftgroup
 
 import (
 	"os"
--- a/internal/leasegroup/linear_test.go
+++ b/internal/lease/raftgroup/linear_test.go
@@ -1,4 +1,4 @@
-package leasegroup
+package raftgroup
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"github.com/anishathalye/porcupine"
 
 	"orchiddrift/internal/lease"
-	"orchiddrift/internal/procs"
-	"orchiddrift/internal/testkit"
+	"orchiddrift/internal/testing/processes"
+	"orchiddrift/internal/testing/testutil"
 )
 
 // asks and answers of one name, as porcupine is told them. The state is who holds it under which token.
@@ -72,17 +72,17 @@
 // group is members in this process, on links.
 type group struct {
 	t     *testing.T
-	rig   *procs.Rig
+	rig   *processes.Rig
 	names []string
 	mu    sync.Mutex
 	at    map[string]string // where each listens
 	stops map[string]func()
-	links []*procs.Link
+	links []*processes.Link
 	dir   string
 }
 
 func newGroup(t *testing.T, seed uint64) *group {
-	g := &group{t: t, rig: procs.New(t, seed), names: []string{"a", "b", "c"}, at: map[string]string{}, stops: map[string]func(){}, dir: t.TempDir()}
+	g := &group{t: t, rig: processes.New(t, seed), names: []string{"a", "b", "c"}, at: map[string]string{}, stops: map[string]func(){}, dir: t.TempDir()}
 	for _, n := range g.names {
 		g.start(n, g.peers(n))
 	}
@@ -197,9 +197,9 @@
 			l := g.links[rng.IntN(len(g.links))]
 			switch rng.IntN(4) {
 			case 0:
-				l.Set(procs.Fault{Drop: true}, procs.Fault{})
+				l.Set(processes.Fault{Drop: true}, processes.Fault{})
 			case 1:
-				l.Set(procs.Fault{Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond}, procs.Fault{Drop: rng.IntN(2) == 0})
+				l.Set(processes.Fault{Delay: 20 * time.Millisecond, Jitter: 50 * time.Millisecond}, processes.Fault{Drop: rng.IntN(2) == 0})
 			case 2:
 				l.Reset()
 			default:
@@ -224,7 +224,7 @@
 	if granted < 20 {
 		t.Error("too few are granted to tell anything")
 	}
-	if r := porcupine.CheckOperationsTimeout(oneName.ToModel(), history, procs.Patience); r == porcupine.Illegal {
+	if r := porcupine.CheckOperationsTimeout(oneName.ToModel(), history, processes.Patience); r == porcupine.Illegal {
 		t.Error("the history is not that of one record")
 	} else if r != porcupine.Ok {
 		t.Log("too many asks without an answer to tell in time")
@@ -254,7 +254,7 @@
 		for i := 0; i < len(c.ops); i += 2 {
 			history = append(history, porcupine.Operation{Input: c.ops[i], Output: c.ops[i+1], Call: int64(2 * i), Return: int64(2*i + 1)})
 		}
-		if got := porcupine.CheckOperationsTimeout(oneName.ToModel(), history, procs.Patience); got != c.want {
+		if got := porcupine.CheckOperationsTimeout(oneName.ToModel(), history, processes.Patience); got != c.want {
 			t.Errorf("%s: %s", what, got)
 		}
 	}
@@ -273,7 +273,7 @@
 		r, err := c.Ask(t.Context(), lease.Ask{Kind: lease.Acquire, Name: "x", Client: "c", Seq: n, Nr: n, Term: time.Minute}, 0, time.Second)
 		return err == nil && r.Verdict == lease.Granted
 	}
-	testkit.Eventually(t, "a grant", func() bool { return ask(1) })
+	testutil.Eventually(t, "a grant", func() bool { return ask(1) })
 	var lost string
 	var old uint64
 	for i, info := range c.Info(t.Context()) {
@@ -287,7 +287,7 @@
 	}
 	for _, l := range g.links { // what is said to it is lost; what it says gets through
 		if strings.HasSuffix(l.Name(), ">"+lost) {
-			l.Set(procs.Fault{Drop: true}, procs.Fault{})
+			l.Set(processes.Fault{Drop: true}, processes.Fault{})
 		}
 	}
 	g.start(lost, g.peers(lost))
@@ -302,7 +302,7 @@
 		return nil
 	}
 	id := uint64(0)
-	testkit.Eventually(t, "it is a member", func() bool {
+	testutil.Eventually(t, "it is a member", func() bool {
 		if l := leader(); l != nil {
 			for x, name := range l.Peers {
 				if name == lost && x != old {
@@ -324,5 +324,5 @@
 			defer g.start(n, g.peers(n)) // so that it can be stopped again
 		}
 	}
-	testkit.Eventually(t, "a grant with the newcomer's vote", func() bool { return ask(2) })
+	testutil.Eventually(t, "a grant with the newcomer's vote", func() bool { return ask(2) })
 }
--- a/internal/leasegroup/procs_test.go
+++ b/internal/lease/raftgroup/procs_test.go
@@ -1,4 +1,4 @@
-package leasegroup
+package raftgroup
 
 import (
 	"bufio"
@@ -16,17 +16,17 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/procs"
+	"orchiddrift/internal/testing/processes"
 )
 
-func TestMain(m *testing.M) { os.Exit(procs.Main(m)) }
+func TestMain(m *testing.M) { os.Exit(processes.Main(m)) }
 
 // fleet is a group of members and contenders for one lease, each a process, with a link for each way between two of them.
 type fleet struct {
 	t       *testing.T
-	rig     *procs.Rig
-	members []*procs.Process
-	clients []*procs.Process
+	rig     *processes.Rig
+	members []*processes.Process
+	clients []*processes.Process
 	links   []string
 	acts    string // the sink: a file to which each act adds a line with its token
 	checked string // another, which looks at the token first
@@ -34,7 +34,7 @@
 
 // newFleet makes one. Contenders run a command that acts every 10 ms or so for as long as it is let.
 func newFleet(t *testing.T, seed uint64, members, clients int, term, margin time.Duration) *fleet {
-	f := &fleet{t: t, rig: procs.New(t, seed), acts: filepath.Join(t.TempDir(), "acts")}
+	f := &fleet{t: t, rig: processes.New(t, seed), acts: filepath.Join(t.TempDir(), "acts")}
 	f.checked = f.acts + ".checked"
 	names := []string{"a", "b", "c", "d", "e"}[:members]
 	link := func(from, to string) string {
@@ -66,12 +66,12 @@
 		return text
 	}
 	for _, name := range names {
-		f.members = append(f.members, f.rig.Process(procs.Spec{Name: name, Args: []string{"--config", "fleet.toml"}, Ready: func(e procs.Event) bool { return e.What == "fleet: listening" },
+		f.members = append(f.members, f.rig.Process(processes.Spec{Name: name, Args: []string{"--config", "fleet.toml"}, Ready: func(e processes.Event) bool { return e.What == "fleet: listening" },
 			Files: map[string]string{"fleet.toml": file(name, name)}}))
 	}
 	for i := range clients {
 		name := fmt.Sprint("c", i)
-		f.clients = append(f.clients, f.rig.Process(procs.Spec{Name: name, Files: map[string]string{"fleet.toml": file(name, "")},
+		f.clients = append(f.clients, f.rig.Process(processes.Spec{Name: name, Files: map[string]string{"fleet.toml": file(name, "")},
 			Args: []string{"lease", "--file", "fleet.toml", "run", "task", "--again", "--term", term.String(), "--margin", margin.String(), "--",
 				"sh", "-c", strings.NewReplacer("ACTS", f.acts, "NAME", name).Replace(acting)}}))
 	}
@@ -87,7 +87,7 @@
 done`
 
 // told is where a member's present life listens for the group.
-func told(r *procs.Rig, p *procs.Process) string {
+func told(r *processes.Rig, p *processes.Process) string {
 	address := ""
 	for _, e := range r.History.Events(0) {
 		if e.Who == p.Name() && e.What == "fleet: listening" {
@@ -145,7 +145,7 @@
 // eventually waits until the sink has what is wanted.
 func (f *fleet) eventually(what string, ok func(all []act) bool) {
 	f.t.Helper()
-	for end := time.Now().Add(procs.Patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(processes.Patience); ; time.Sleep(5 * time.Millisecond) {
 		if ok(f.read()) {
 			return
 		}
@@ -165,7 +165,7 @@
 }
 
 func within(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(t.Context(), 4*procs.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), 4*processes.Patience)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -179,7 +179,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, seed, 3, 3, time.Second, 200*time.Millisecond)
-			all := append(append([]*procs.Process{}, f.members...), f.clients...)
+			all := append(append([]*processes.Process{}, f.members...), f.clients...)
 			if err := f.rig.StartAll(within(t), all...); err != nil {
 				t.Fatal(err)
 			}
@@ -188,9 +188,9 @@
 			for _, p := range all {
 				names = append(names, p.Name())
 			}
-			script := procs.Draw(seed, procs.Mix{Processes: names, Links: f.links, Length: *long, Every: 150 * time.Millisecond,
-				Shortest: 50 * time.Millisecond, Longest: 2500 * time.Millisecond, Down: 2, Weights: map[procs.Deed]float64{procs.Kill: 3, procs.Pause: 4,
-					procs.DropBoth: 1, procs.DropOut: 1, procs.DropBack: 1, procs.Slow: 1, procs.Hang: 1, procs.CutOut: 1, procs.Part: 1, procs.PartOne: 1}})
+			script := processes.Draw(seed, processes.Mix{Processes: names, Links: f.links, Length: *long, Every: 150 * time.Millisecond,
+				Shortest: 50 * time.Millisecond, Longest: 2500 * time.Millisecond, Down: 2, Weights: map[processes.Deed]float64{processes.Kill: 3, processes.Pause: 4,
+					processes.DropBoth: 1, processes.DropOut: 1, processes.DropBack: 1, processes.Slow: 1, processes.Hang: 1, processes.CutOut: 1, processes.Part: 1, processes.PartOne: 1}})
 			if err := f.rig.Play(within(t), script); err != nil {
 				t.Fatal(err)
 			}
@@ -213,7 +213,7 @@
 // without a file is taken in as a new member, and acts go on.
 func TestDisksAfterACrash(t *testing.T) {
 	f := newFleet(t, 3, 5, 1, time.Second, 200*time.Millisecond)
-	if err := f.rig.StartAll(within(t), append(append([]*procs.Process{}, f.members...), f.clients...)...); err != nil {
+	if err := f.rig.StartAll(within(t), append(append([]*processes.Process{}, f.members...), f.clients...)...); err != nil {
 		t.Fatal(err)
 	}
 	f.eventually("the first act", func(all []act) bool { return len(all) > 0 })
@@ -244,12 +244,12 @@
 	if bad := overlaps(f.read()); len(bad) > 0 {
 		t.Error(bad[0])
 	}
-	said := func(p *procs.Process, what string) func(e procs.Event) bool {
-		return func(e procs.Event) bool {
+	said := func(p *processes.Process, what string) func(e processes.Event) bool {
+		return func(e processes.Event) bool {
 			return e.Who == p.Name() && e.At >= from && strings.Contains(string(e.Data), what)
 		}
 	}
-	for _, w := range []func(e procs.Event) bool{said(torn, "takes no part in the group any more"), said(lost, "asks to be taken in")} {
+	for _, w := range []func(e processes.Event) bool{said(torn, "takes no part in the group any more"), said(lost, "asks to be taken in")} {
 		if _, _, err := f.rig.History.Wait(within(t), 0, w); err != nil {
 			t.Error(err)
 		}
@@ -278,7 +278,7 @@
 // next one acts too. A sink that looks at the token refuses it.
 func TestWhatIsLeft(t *testing.T) {
 	f := newFleet(t, 5, 3, 2, time.Second, 200*time.Millisecond)
-	if err := f.rig.StartAll(within(t), append(append([]*procs.Process{}, f.members...), f.clients...)...); err != nil {
+	if err := f.rig.StartAll(within(t), append(append([]*processes.Process{}, f.members...), f.clients...)...); err != nil {
 		t.Fatal(err)
 	}
 	f.eventually("the first act", func(all []act) bool { return len(all) > 0 })
@@ -306,7 +306,7 @@
 func TestNextHolder(t *testing.T) {
 	const term = time.Second
 	f := newFleet(t, 6, 3, 3, term, 200*time.Millisecond)
-	if err := f.rig.StartAll(within(t), append(append([]*procs.Process{}, f.members...), f.clients...)...); err != nil {
+	if err := f.rig.StartAll(within(t), append(append([]*processes.Process{}, f.members...), f.clients...)...); err != nil {
 		t.Fatal(err)
 	}
 	f.eventually("the first act", func(all []act) bool { return len(all) > 0 })
@@ -348,12 +348,12 @@
 // The leader is killed, three times: a holder that is well keeps its lease.
 func TestLeaderIsKilled(t *testing.T) {
 	f := newFleet(t, 7, 3, 2, 3*time.Second, 300*time.Millisecond)
-	if err := f.rig.StartAll(within(t), append(append([]*procs.Process{}, f.members...), f.clients...)...); err != nil {
+	if err := f.rig.StartAll(within(t), append(append([]*processes.Process{}, f.members...), f.clients...)...); err != nil {
 		t.Fatal(err)
 	}
 	f.eventually("the first act", func(all []act) bool { return len(all) > 0 })
 	first := f.read()[0]
-	leads := func(e procs.Event) bool { return e.What == "fleet: leads" }
+	leads := func(e processes.Event) bool { return e.What == "fleet: leads" }
 	at := 0
 	for range 3 {
 		e, next, err := f.rig.History.Wait(within(t), at, leads)
--- a/internal/life/life_test.go
+++ b/internal/lifecycle/life_test.go
@@ -1,4 +1,4 @@
-package life
+package lifecycle
 
 import (
 	"testing"
--- a/internal/load/grpc.go
+++ b/internal/loadgen/grpc.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"context"
--- a/internal/load/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -1,4 +1,4 @@
-package load
+package loadgen
 
 import (
 	"bytes"
@@ -18,8 +18,8 @@
 	"go.uber.org/goleak"
 	"pgregory.net/rapid"
 
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -281,14 +281,14 @@
 
 // Calls over gRPC end as they are.
 func TestGRPC(t *testing.T) {
-	n := standin.NewNode(standin.NodeOptions{Name: "n", Cores: 8, Ledger: standin.NewLedger(), Answer: func(standin.Job) []byte { return nil }})
+	n := fakes.NewNode(fakes.NodeOptions{Name: "n", Cores: 8, Ledger: fakes.NewLedger(), Answer: func(fakes.Job) []byte { return nil }})
 	t.Cleanup(n.Close)
 	at, err := n.ListenGRPC("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	o := options("grpc://"+at, "100", "ok=1:CALL /p.S/M", "bad=1:CALL /p.S/M")
-	o.Classes[1].Headers = []Header{{standin.StatusKey, "3"}}
+	o.Classes[1].Headers = []Header{{fakes.StatusKey, "3"}}
 	r := play(t, t.Context(), o, Watch{})
 	if a, b := r.Classes[0], r.Classes[1]; a.Ends[OK] != a.Asked || b.Ends[Rejected] != b.Asked || a.Asked == 0 {
 		t.Errorf("%+v\n%+v", a, b)
--- a/internal/logs/logs_test.go
+++ b/internal/logging/logs_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"bytes"
--- a/internal/measure/counters.go
+++ b/internal/measure/counters.go
@@ -18,8 +18,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"orchiddrift/internal/doorsim"
-	"orchiddrift/internal/standin"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/simulation/admissionsim"
 )
 
 // The load of Counters: nodes that do 400 requests a second, 20 counters that ask for 0.4 of it together, and a script that
@@ -78,7 +78,7 @@
 		if kind == "alone" {
 			alone = in
 		}
-		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.1f\t%.1f\t%.0f\t%.3f\t%.0f\t%.3f\t%s\t%.2f\t\n", kind, in, doorsim.RelativeTo(in, alone),
+		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.1f\t%.1f\t%.0f\t%.3f\t%.0f\t%.3f\t%s\t%.2f\t\n", kind, in, admissionsim.RelativeTo(in, alone),
 			pick(func(s countersSeen) float64 { return s.p50 }), pick(func(s countersSeen) float64 { return s.p99 }), pick(func(s countersSeen) float64 { return s.script }),
 			pick(func(s countersSeen) float64 { return s.jain }), pick(func(s countersSeen) float64 { return float64(s.told) }),
 			pick(func(s countersSeen) float64 { return float64(s.kept) / float64(max(1, s.told)) }), all[len(all)-1].resident,
@@ -153,7 +153,7 @@
 	sorted := slices.Sorted(slices.Values(counters.took))
 	ms := func(q float64) float64 { return quantile(sorted, q).Seconds() * 1e3 }
 	s = countersSeen{in: counters.share(), p50: ms(0.5), p99: ms(0.99), script: float64(script.in) / floorPeriod.Seconds(),
-		jain: doorsim.Jain(each), told: equal.told, kept: equal.kept, resident: peak,
+		jain: admissionsim.Jain(each), told: equal.told, kept: equal.kept, resident: peak,
 		cpu: (after.CPU - before.CPU).Seconds() / floorPeriod.Seconds()}
 	return s, nil
 }
@@ -224,10 +224,10 @@
 // serveFloorNodes are nodes that work on one request at a time.
 func (r role) serveFloorNodes() error {
 	var addresses []string
-	ledger := standin.NewLedger()
+	ledger := fakes.NewLedger()
 	ledger.CountOnly = true
 	for i := range r.Nodes {
-		n := standin.NewNode(standin.NodeOptions{Name: fmt.Sprint("n", i), Cores: 1, Work: r.Work, Ledger: ledger, Seed: uint64(i)})
+		n := fakes.NewNode(fakes.NodeOptions{Name: fmt.Sprint("n", i), Cores: 1, Work: r.Work, Ledger: ledger, Seed: uint64(i)})
 		defer n.Close()
 		address, err := n.ListenHTTP("127.0.0.1:0")
 		if err != nil {
--- a/internal/measure/daemon_bench_test.go
+++ b/internal/measure/daemon_bench_test.go
@@ -14,7 +14,7 @@
 
 	"orchiddrift/internal/config"
 	"orchiddrift/internal/daemon"
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 	"orchiddrift/internal/settings"
 )
 
@@ -77,10 +77,10 @@
 		run(b, l.Addr().String())
 	})
 	b.Run("daemon", func(b *testing.B) {
-		known := &directory.Listing{Index: new(int64), Snapshot: true}
+		known := &endpoints.Listing{Index: new(int64), Snapshot: true}
 		for i, address := range addresses {
-			known.Endpoints = append(known.Endpoints, directory.Endpoint{Name: fmt.Sprint("n", i), Address: address, Zone: "a",
-				Status: directory.StatusReady})
+			known.Endpoints = append(known.Endpoints, endpoints.Endpoint{Name: fmt.Sprint("n", i), Address: address, Zone: "a",
+				Status: endpoints.StatusReady})
 		}
 		l := listen()
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/measure/door.go
+++ b/internal/measure/door.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/door"
-	"orchiddrift/internal/doorsim"
+	"orchiddrift/internal/admission"
+	"orchiddrift/internal/simulation/admissionsim"
 )
 
 const (
@@ -32,17 +32,17 @@
 // namedGate is a kind of gate by name.
 type namedGate struct {
 	name string
-	make func(seed uint64) doorsim.Gate
+	make func(seed uint64) admissionsim.Gate
 }
 
-func ourDoor(change func(*door.Options)) func(uint64) doorsim.Gate {
-	return func(seed uint64) doorsim.Gate {
-		o := door.Default()
+func ourDoor(change func(*admission.Options)) func(uint64) admissionsim.Gate {
+	return func(seed uint64) admissionsim.Gate {
+		o := admission.Default()
 		o.By = []string{"tenant"}
 		if change != nil {
 			change(&o)
 		}
-		return door.New(o, doorClasses, seed)
+		return admission.New(o, doorClasses, seed)
 	}
 }
 
@@ -50,41 +50,57 @@
 
 // disciplines are ours and those beside it, all but the first two with one fixed limit, so that the order alone differs.
 var disciplines = []namedGate{
-	{"no door", func(uint64) doorsim.Gate { return doorsim.NewQueue(doorsim.NewFIFO(), doorsim.Fixed(1<<30), 1<<30) }},
-	{"FIFO", func(uint64) doorsim.Gate { return doorsim.NewQueue(doorsim.NewFIFO(), doorsim.Fixed(doorPlaces), 256) }},
-	{"CoDel with adaptive LIFO", func(uint64) doorsim.Gate { return doorsim.NewQueue(doorsim.NewCoDel(), doorsim.Fixed(doorPlaces), 256) }},
-	{"stochastic, 64 queues", func(uint64) doorsim.Gate {
-		return doorsim.NewQueue(doorsim.NewShuffled(64, 1), doorsim.Fixed(doorPlaces), 256)
+	{"no door", func(uint64) admissionsim.Gate {
+		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(1<<30), 1<<30)
 	}},
-	{"shuffle-sharded, hands of 6 of 64", func(uint64) doorsim.Gate {
-		return doorsim.NewQueue(doorsim.NewShuffled(64, 6), doorsim.Fixed(doorPlaces), 256)
+	{"FIFO", func(uint64) admissionsim.Gate {
+		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(doorPlaces), 256)
 	}},
-	{"deficit round robin", func(uint64) doorsim.Gate { return doorsim.NewQueue(doorsim.NewDRR(), doorsim.Fixed(doorPlaces), 256) }},
-	{"door, the same fixed limit", ourDoor(func(o *door.Options) { o.Least, o.Most = doorPlaces, doorPlaces })},
+	{"CoDel with adaptive LIFO", func(uint64) admissionsim.Gate {
+		return admissionsim.NewQueue(admissionsim.NewCoDel(), admissionsim.Fixed(doorPlaces), 256)
+	}},
+	{"stochastic, 64 queues", func(uint64) admissionsim.Gate {
+		return admissionsim.NewQueue(admissionsim.NewShuffled(64, 1), admissionsim.Fixed(doorPlaces), 256)
+	}},
+	{"shuffle-sharded, hands of 6 of 64", func(uint64) admissionsim.Gate {
+		return admissionsim.NewQueue(admissionsim.NewShuffled(64, 6), admissionsim.Fixed(doorPlaces), 256)
+	}},
+	{"deficit round robin", func(uint64) admissionsim.Gate {
+		return admissionsim.NewQueue(admissionsim.NewDRR(), admissionsim.Fixed(doorPlaces), 256)
+	}},
+	{"door, the same fixed limit", ourDoor(func(o *admission.Options) { o.Least, o.Most = doorPlaces, doorPlaces })},
 	{"door", ourDoor(nil)},
 }
 
 // limits are ours and those beside it, all with one principal.
 var limits = []namedGate{
-	{"fixed at 48", func(uint64) doorsim.Gate { return doorsim.NewQueue(doorsim.NewFIFO(), doorsim.Fixed(doorPlaces), 256) }},
-	{"AIMD by the aim", func(uint64) doorsim.Gate {
-		return doorsim.NewQueue(doorsim.NewFIFO(), &doorsim.AIMD{Late: 200 * time.Millisecond}, 256)
+	{"fixed at 48", func(uint64) admissionsim.Gate {
+		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(doorPlaces), 256)
+	}},
+	{"AIMD by the aim", func(uint64) admissionsim.Gate {
+		return admissionsim.NewQueue(admissionsim.NewFIFO(), &admissionsim.AIMD{Late: 200 * time.Millisecond}, 256)
+	}},
+	{"gradient", func(uint64) admissionsim.Gate {
+		return admissionsim.NewQueue(admissionsim.NewFIFO(), &admissionsim.Gradient{}, 256)
+	}},
+	{"rate x delay", func(uint64) admissionsim.Gate {
+		return admissionsim.NewQueue(admissionsim.NewFIFO(), &admissionsim.RateDelay{}, 256)
+	}},
+	{"Vegas", func(uint64) admissionsim.Gate {
+		return admissionsim.NewQueue(admissionsim.NewFIFO(), &admissionsim.Vegas{}, 256)
 	}},
-	{"gradient", func(uint64) doorsim.Gate { return doorsim.NewQueue(doorsim.NewFIFO(), &doorsim.Gradient{}, 256) }},
-	{"rate x delay", func(uint64) doorsim.Gate { return doorsim.NewQueue(doorsim.NewFIFO(), &doorsim.RateDelay{}, 256) }},
-	{"Vegas", func(uint64) doorsim.Gate { return doorsim.NewQueue(doorsim.NewFIFO(), &doorsim.Vegas{}, 256) }},
-	{"door", ourDoor(func(o *door.Options) { o.By = []string{"tenant"} })},
+	{"door", ourDoor(func(o *admission.Options) { o.By = []string{"tenant"} })},
 }
 
-func quiet(n int, rate float64) (c []doorsim.Client) {
+func quiet(n int, rate float64) (c []admissionsim.Client) {
 	for i := range n {
-		c = append(c, doorsim.Client{Group: fmt.Sprintf("counter-%02d", i), Class: "search", Work: doorWork, Rate: rate, Tries: 3, Obeys: true})
+		c = append(c, admissionsim.Client{Group: fmt.Sprintf("counter-%02d", i), Class: "search", Work: doorWork, Rate: rate, Tries: 3, Obeys: true})
 	}
 	return c
 }
 
-func doorRun(clients []doorsim.Client, slow func(time.Duration) float64, seed uint64) doorsim.Run {
-	return doorsim.Run{Nodes: doorNodes, Classes: doorClasses, Settings: doorSettings(), Clients: clients, Slow: slow,
+func doorRun(clients []admissionsim.Client, slow func(time.Duration) float64, seed uint64) admissionsim.Run {
+	return admissionsim.Run{Nodes: doorNodes, Classes: doorClasses, Settings: doorSettings(), Clients: clients, Slow: slow,
 		Length: doorSpan, Seed: seed}
 }
 
@@ -100,8 +116,8 @@
 }
 
 // eachSeed plays a gate with some seeds, on all cores, and returns what became of them in their order.
-func eachSeed(rounds int, play func(seed uint64) (*doorsim.Result, error)) ([]*doorsim.Result, error) {
-	out := make([]*doorsim.Result, rounds)
+func eachSeed(rounds int, play func(seed uint64) (*admissionsim.Result, error)) ([]*admissionsim.Result, error) {
+	out := make([]*admissionsim.Result, rounds)
 	var g errgroup.Group
 	g.SetLimit(runtime.NumCPU())
 	for i := range rounds {
@@ -113,7 +129,7 @@
 	return out, g.Wait()
 }
 
-func medianOf(results []*doorsim.Result, of func(*doorsim.Result) float64) float64 {
+func medianOf(results []*admissionsim.Result, of func(*admissionsim.Result) float64) float64 {
 	return medianBy(results, of)
 }
 
@@ -128,7 +144,7 @@
 }
 
 // counted is the mean share in time of the first n clients.
-func counted(r *doorsim.Result, n int) float64 {
+func counted(r *admissionsim.Result, n int) float64 {
 	in, first := 0, 0
 	for _, c := range r.Clients[:n] {
 		in, first = in+c.InAim, first+c.First
@@ -136,7 +152,7 @@
 	return float64(in) / float64(max(1, first))
 }
 
-func answersOf(r *doorsim.Result, n int) (x []float64) {
+func answersOf(r *admissionsim.Result, n int) (x []float64) {
 	for _, c := range r.Clients[:n] {
 		x = append(x, float64(c.InAim))
 	}
@@ -145,49 +161,49 @@
 
 // doorFair is the wish's own case, and equal demand above capacity.
 func doorFair(out io.Writer, rounds int) error {
-	flood := append(quiet(counters, 20), doorsim.Client{Group: "script", Class: "search", Work: doorWork, Loops: 400,
+	flood := append(quiet(counters, 20), admissionsim.Client{Group: "script", Class: "search", Work: doorWork, Loops: 400,
 		Rate: 1200.0 / (counters + 1) * 50, Tries: 3})
 	greedy := quiet(counters, 120)
 	shops := quiet(counters, 20)
 	for i := range 200 {
-		shops = append(shops, doorsim.Client{Group: "shop", Flow: fmt.Sprint(i), Class: "search", Work: doorWork, Rate: 30, Tries: 3})
+		shops = append(shops, admissionsim.Client{Group: "shop", Flow: fmt.Sprint(i), Class: "search", Work: doorWork, Rate: 30, Tries: 3})
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "discipline\tcounters in time\tof alone\tp99 ms\tscript's answers a second\tJain, 20 x 2 times capacity\tgoodput there\tkept of promised\twork wasted\t")
-	alone, err := eachSeed(rounds, func(seed uint64) (*doorsim.Result, error) {
-		return doorsim.Play(doorRun(quiet(counters, 20), nil, seed), disciplines[0].make(seed))
+	alone, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+		return admissionsim.Play(doorRun(quiet(counters, 20), nil, seed), disciplines[0].make(seed))
 	})
 	if err != nil {
 		return err
 	}
-	base := medianOf(alone, func(r *doorsim.Result) float64 { return counted(r, counters) })
+	base := medianOf(alone, func(r *admissionsim.Result) float64 { return counted(r, counters) })
 	for _, g := range disciplines {
-		a, err := eachSeed(rounds, func(seed uint64) (*doorsim.Result, error) {
-			return doorsim.Play(doorRun(flood, nil, seed), g.make(seed))
+		a, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+			return admissionsim.Play(doorRun(flood, nil, seed), g.make(seed))
 		})
 		if err != nil {
 			return err
 		}
-		b, err := eachSeed(rounds, func(seed uint64) (*doorsim.Result, error) {
-			return doorsim.Play(doorRun(greedy, nil, seed), g.make(seed))
+		b, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+			return admissionsim.Play(doorRun(greedy, nil, seed), g.make(seed))
 		})
 		if err != nil {
 			return err
 		}
-		in := medianOf(a, func(r *doorsim.Result) float64 { return counted(r, counters) })
-		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.0f\t%.0f\t%.3f\t%.0f\t%.3f\t%.3f\t\n", g.name, in, doorsim.RelativeTo(in, base),
-			medianOf(a, func(r *doorsim.Result) float64 { return float64(r.Clients[0].Quantile(0.99).Milliseconds()) }),
-			medianOf(a, func(r *doorsim.Result) float64 {
+		in := medianOf(a, func(r *admissionsim.Result) float64 { return counted(r, counters) })
+		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.0f\t%.0f\t%.3f\t%.0f\t%.3f\t%.3f\t\n", g.name, in, admissionsim.RelativeTo(in, base),
+			medianOf(a, func(r *admissionsim.Result) float64 { return float64(r.Clients[0].Quantile(0.99).Milliseconds()) }),
+			medianOf(a, func(r *admissionsim.Result) float64 {
 				return float64(r.Clients[counters].InAim+r.Clients[counters].Late) / doorSpan.Seconds()
 			}),
-			medianOf(b, func(r *doorsim.Result) float64 { return doorsim.Jain(answersOf(r, counters)) }),
-			medianOf(b, func(r *doorsim.Result) float64 { return goodput(r) }),
-			medianOf(b, keptOf), medianOf(b, func(r *doorsim.Result) float64 { return r.Wasted }))
+			medianOf(b, func(r *admissionsim.Result) float64 { return admissionsim.Jain(answersOf(r, counters)) }),
+			medianOf(b, func(r *admissionsim.Result) float64 { return goodput(r) }),
+			medianOf(b, keptOf), medianOf(b, func(r *admissionsim.Result) float64 { return r.Wasted }))
 	}
 	return w.Flush()
 }
 
-func goodput(r *doorsim.Result) float64 {
+func goodput(r *admissionsim.Result) float64 {
 	n := 0
 	for _, c := range r.Clients {
 		n += c.InAim
@@ -195,7 +211,7 @@
 	return float64(n) / doorSpan.Seconds()
 }
 
-func keptOf(r *doorsim.Result) float64 {
+func keptOf(r *admissionsim.Result) float64 {
 	told, kept := 0, 0
 	for _, c := range r.Clients {
 		told, kept = told+c.Told, kept+c.Kept
@@ -205,7 +221,7 @@
 
 // doorHints is whether a false hint pays: ten clients that say what it costs, one that says a tenth, one ten times that.
 func doorHints(out io.Writer, rounds int) error {
-	var clients []doorsim.Client
+	var clients []admissionsim.Client
 	for i := range 12 {
 		hint := 1.0
 		switch i {
@@ -214,16 +230,16 @@
 		case 1:
 			hint = 10
 		}
-		clients = append(clients, doorsim.Client{Group: fmt.Sprint(i), Class: "search", Work: doorWork, Rate: 200, Hint: hint, Tries: 1})
+		clients = append(clients, admissionsim.Client{Group: fmt.Sprint(i), Class: "search", Work: doorWork, Rate: 200, Hint: hint, Tries: 1})
 	}
-	all, err := eachSeed(rounds, func(seed uint64) (*doorsim.Result, error) {
-		return doorsim.Play(doorRun(clients, nil, seed), ourDoor(nil)(seed))
+	all, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+		return admissionsim.Play(doorRun(clients, nil, seed), ourDoor(nil)(seed))
 	})
 	if err != nil {
 		return err
 	}
 	share := func(i int) float64 {
-		return medianOf(all, func(r *doorsim.Result) float64 {
+		return medianOf(all, func(r *admissionsim.Result) float64 {
 			honest := 0.0
 			for _, c := range r.Clients[2:] {
 				honest += c.Work.Seconds() / 10
@@ -239,8 +255,8 @@
 func doorLimits(out io.Writer, rounds int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "limit\tgoodput at 0.7\tat 3 times\tmean in hand\tp50 ms\tslower by 8, of what can be\tin hand\tback, of 3 times\ts to 0.9 of it\t")
-	load := func(rate float64) []doorsim.Client {
-		return []doorsim.Client{{Group: "all", Class: "search", Work: doorWork, Rate: rate, Tries: 1}}
+	load := func(rate float64) []admissionsim.Client {
+		return []admissionsim.Client{{Group: "all", Class: "search", Work: doorWork, Rate: rate, Tries: 1}}
 	}
 	slow := func(t time.Duration) float64 {
 		if t >= 10*time.Second && t < 20*time.Second {
@@ -249,39 +265,39 @@
 		return 1
 	}
 	for _, g := range limits {
-		calm, err := eachSeed(rounds, func(seed uint64) (*doorsim.Result, error) {
-			return doorsim.Play(doorRun(load(840), nil, seed), g.make(seed))
+		calm, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+			return admissionsim.Play(doorRun(load(840), nil, seed), g.make(seed))
 		})
 		if err != nil {
 			return err
 		}
-		over, err := eachSeed(rounds, func(seed uint64) (*doorsim.Result, error) {
-			return doorsim.Play(doorRun(load(3600), nil, seed), g.make(seed))
+		over, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+			return admissionsim.Play(doorRun(load(3600), nil, seed), g.make(seed))
 		})
 		if err != nil {
 			return err
 		}
-		eight, err := eachSeed(rounds, func(seed uint64) (*doorsim.Result, error) {
-			return doorsim.Play(doorRun(load(3600), slow, seed), g.make(seed))
+		eight, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+			return admissionsim.Play(doorRun(load(3600), slow, seed), g.make(seed))
 		})
 		if err != nil {
 			return err
 		}
-		mean := func(r *doorsim.Result, from, to int, bins []float64) float64 {
+		mean := func(r *admissionsim.Result, from, to int, bins []float64) float64 {
 			sum := 0.0
 			for _, v := range bins[from:to] {
 				sum += v
 			}
 			return sum / float64(to-from)
 		}
-		steady := medianOf(over, func(r *doorsim.Result) float64 { return mean(r, 5, 30, r.Clients[0].Bins) })
+		steady := medianOf(over, func(r *admissionsim.Result) float64 { return mean(r, 5, 30, r.Clients[0].Bins) })
 		fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.0f\t%.2f\t%.0f\t\n", g.name, medianOf(calm, goodput), steady,
-			medianOf(over, func(r *doorsim.Result) float64 { return mean(r, 5, 30, r.InHand) }),
-			medianOf(over, func(r *doorsim.Result) float64 { return float64(r.Clients[0].Quantile(0.5).Milliseconds()) }),
-			medianOf(eight, func(r *doorsim.Result) float64 { return mean(r, 12, 20, r.Clients[0].Bins) / 150 }),
-			medianOf(eight, func(r *doorsim.Result) float64 { return mean(r, 15, 20, r.InHand) }),
-			medianOf(eight, func(r *doorsim.Result) float64 { return mean(r, 21, 30, r.Clients[0].Bins) / steady }),
-			medianOf(eight, func(r *doorsim.Result) float64 {
+			medianOf(over, func(r *admissionsim.Result) float64 { return mean(r, 5, 30, r.InHand) }),
+			medianOf(over, func(r *admissionsim.Result) float64 { return float64(r.Clients[0].Quantile(0.5).Milliseconds()) }),
+			medianOf(eight, func(r *admissionsim.Result) float64 { return mean(r, 12, 20, r.Clients[0].Bins) / 150 }),
+			medianOf(eight, func(r *admissionsim.Result) float64 { return mean(r, 15, 20, r.InHand) }),
+			medianOf(eight, func(r *admissionsim.Result) float64 { return mean(r, 21, 30, r.Clients[0].Bins) / steady }),
+			medianOf(eight, func(r *admissionsim.Result) float64 {
 				for i, v := range r.Clients[0].Bins[20:30] {
 					if v >= 0.9*steady {
 						return float64(i)
@@ -310,13 +326,13 @@
 			who = "come back when told"
 		}
 		for _, g := range []namedGate{disciplines[0], disciplines[1], disciplines[len(disciplines)-1]} {
-			all, err := eachSeed(rounds, func(seed uint64) (*doorsim.Result, error) {
-				return doorsim.Play(doorRun(clients, nil, seed), g.make(seed))
+			all, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+				return admissionsim.Play(doorRun(clients, nil, seed), g.make(seed))
 			})
 			if err != nil {
 				return err
 			}
-			at := func(r *doorsim.Result, from, to int) float64 {
+			at := func(r *admissionsim.Result, from, to int) float64 {
 				sum := 0.0
 				for _, c := range r.Clients {
 					for _, v := range c.Bins[from:to] {
@@ -325,11 +341,11 @@
 				}
 				return sum / float64(to-from)
 			}
-			before := medianOf(all, func(r *doorsim.Result) float64 { return at(r, 2, 10) })
+			before := medianOf(all, func(r *admissionsim.Result) float64 { return at(r, 2, 10) })
 			fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.3f\t\n", g.name, who, before,
-				medianOf(all, func(r *doorsim.Result) float64 { return at(r, 11, 20) }),
-				medianOf(all, func(r *doorsim.Result) float64 { return at(r, 22, 30) }),
-				medianOf(all, func(r *doorsim.Result) float64 {
+				medianOf(all, func(r *admissionsim.Result) float64 { return at(r, 11, 20) }),
+				medianOf(all, func(r *admissionsim.Result) float64 { return at(r, 22, 30) }),
+				medianOf(all, func(r *admissionsim.Result) float64 {
 					for i := 20; i < 30; i++ {
 						if at(r, i, i+1) >= 0.95*before {
 							return float64(i - 20)
@@ -337,7 +353,7 @@
 					}
 					return 10
 				}),
-				medianOf(all, func(r *doorsim.Result) float64 {
+				medianOf(all, func(r *admissionsim.Result) float64 {
 					asked, first := 0, 0
 					for _, c := range r.Clients[counters:] {
 						asked, first = asked+c.Asked, first+c.First
--- a/internal/measure/eureka.go
+++ b/internal/measure/eureka.go
@@ -18,8 +18,8 @@
 
 	"orchiddrift/internal/config"
 	"orchiddrift/internal/daemon"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/standin"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
 )
 
 // Eureka prints, by poll interval, the time from an instance's flip out of service to the last request that reached it,
@@ -39,7 +39,7 @@
 }
 
 // flipNodes are upstreams that tell when they are asked, registered by their names.
-func flipNodes(e *standin.Eureka, n int, came func(name string)) (names []string, stop func(), err error) {
+func flipNodes(e *fakes.Eureka, n int, came func(name string)) (names []string, stop func(), err error) {
 	var servers []*http.Server
 	stop = func() {
 		for _, s := range servers {
@@ -61,24 +61,24 @@
 		go func() { _ = srv.Serve(l) }() // ends with Close
 		names = append(names, name)
 		port := l.Addr().(*net.TCPAddr).Port
-		e.Put(standin.EurekaInstance{App: "SEATS", ID: name, Host: "127.0.0.1", IP: "127.0.0.1", Port: port, Status: "UP"})
+		e.Put(fakes.EurekaInstance{App: "SEATS", ID: name, Host: "127.0.0.1", IP: "127.0.0.1", Port: port, Status: "UP"})
 	}
 	return names, stop, nil
 }
 
 func flips(w io.Writer, poll time.Duration, times int) error {
-	e, err := standin.NewEureka(standin.EurekaOptions{})
+	e, err := fakes.NewEureka(fakes.EurekaOptions{})
 	if err != nil {
 		return err
 	}
 	defer e.Close()
-	var f *standin.Flipper
+	var f *fakes.Flipper
 	names, stopNodes, err := flipNodes(e, 12, func(name string) { f.Came(name) })
 	if err != nil {
 		return err
 	}
 	defer stopNodes()
-	f = standin.NewFlipper(e, "SEATS", directory.DrainWithin, names...)
+	f = fakes.NewFlipper(e, "SEATS", endpoints.DrainWithin, names...)
 	address, stop, err := eurekaDaemon(e, poll, "192MiB")
 	if err != nil {
 		return err
@@ -155,7 +155,7 @@
 }
 
 // eurekaDaemon starts one in this process whose upstreams are a registry's.
-func eurekaDaemon(e *standin.Eureka, poll time.Duration, memory string) (address string, stop func() error, err error) {
+func eurekaDaemon(e *fakes.Eureka, poll time.Duration, memory string) (address string, stop func() error, err error) {
 	p, err := config.ParseFile(eurekaFile(e.Base, poll, memory, false))
 	if err != nil {
 		return "", nil, err
@@ -190,13 +190,13 @@
 // eurekaMemory prints the memory and CPU of a daemon process that follows 5,000 instances, whose document changes with
 // every poll.
 func eurekaMemory(out io.Writer) error {
-	e, err := standin.NewEureka(standin.EurekaOptions{KeepDelta: time.Second})
+	e, err := fakes.NewEureka(fakes.EurekaOptions{KeepDelta: time.Second})
 	if err != nil {
 		return err
 	}
 	defer e.Close()
 	put := func(i int) {
-		e.Put(standin.EurekaInstance{App: "SEATS", ID: fmt.Sprintf("host-%d.example:seats:8080", i), Host: fmt.Sprintf("host-%d.example", i),
+		e.Put(fakes.EurekaInstance{App: "SEATS", ID: fmt.Sprintf("host-%d.example:seats:8080", i), Host: fmt.Sprintf("host-%d.example", i),
 			IP: fmt.Sprintf("127.%d.%d.%d", 1+i>>16, i>>8&255, i&255), Port: 8080, Status: "UP", Metadata: map[string]string{"zone": "z"}})
 	}
 	for i := range 5000 {
--- a/internal/measure/grpc.go
+++ b/internal/measure/grpc.go
@@ -18,10 +18,10 @@
 	"google.golang.org/grpc/resolver/manual"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"orchiddrift/orchidgrpc"
+	"orchiddrift/grpcbalancer"
 )
 
-const plugin = "orchidgrpc"
+const plugin = "grpcbalancer"
 
 // policies are grpc-go's balancers by their service config, and the plug-in.
 var policies = []struct{ name, config string }{
@@ -103,11 +103,11 @@
 func (r role) dial() (*grpc.ClientConn, func(), error) {
 	creds := grpc.WithTransportCredentials(insecure.NewCredentials())
 	if r.Policy == plugin {
-		o := orchidgrpc.Options{Settings: moduleSettings(), Seed: 1, Methods: map[string]string{"/booking.Seats/*": "search"}}
+		o := grpcbalancer.Options{Settings: moduleSettings(), Seed: 1, Methods: map[string]string{"/booking.Seats/*": "search"}}
 		for i, address := range r.Addresses {
-			o.Endpoints = append(o.Endpoints, orchidgrpc.Endpoint{Name: fmt.Sprint("n", i), Address: address, Zone: "a"})
+			o.Endpoints = append(o.Endpoints, grpcbalancer.Endpoint{Name: fmt.Sprint("n", i), Address: address, Zone: "a"})
 		}
-		p, err := orchidgrpc.New(o)
+		p, err := grpcbalancer.New(o)
 		if err != nil {
 			return nil, nil, err
 		}
--- a/internal/measure/load.go
+++ b/internal/measure/load.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"orchiddrift/internal/load"
+	"orchiddrift/internal/loadgen"
 )
 
 // Load prints what a request costs the load tool and a plain net/http client before an instant server, as fast as 64 connections go;
@@ -34,10 +34,10 @@
 		_, err = io.Copy(io.Discard, resp.Body)
 		return err
 	}
-	tool := func(rate float64, calls int) (*load.Result, error) {
-		r, err := load.Run(context.Background(), load.Options{Target: "http://" + address, Connections: connections, Timeout: 5 * time.Second, Seed: 1,
-			Phases: []load.Phase{{Rate: rate, For: time.Duration(float64(calls) / rate * float64(time.Second))}}, Classes: []load.Class{{Name: "get", Share: 1, Method: "GET", Path: "/"}}}, load.Watch{})
-		if err == nil && r.Total().Ends[load.OK] != r.Total().Asked {
+	tool := func(rate float64, calls int) (*loadgen.Result, error) {
+		r, err := loadgen.Run(context.Background(), loadgen.Options{Target: "http://" + address, Connections: connections, Timeout: 5 * time.Second, Seed: 1,
+			Phases: []loadgen.Phase{{Rate: rate, For: time.Duration(float64(calls) / rate * float64(time.Second))}}, Classes: []loadgen.Class{{Name: "get", Share: 1, Method: "GET", Path: "/"}}}, loadgen.Watch{})
+		if err == nil && r.Total().Ends[loadgen.OK] != r.Total().Asked {
 			err = fmt.Errorf("%v of %d", r.Total().Ends, r.Total().Asked)
 		}
 		return r, err
--- a/internal/measure/probes.go
+++ b/internal/measure/probes.go
@@ -8,8 +8,8 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"orchiddrift/internal/fleetsim"
-	"orchiddrift/internal/probe"
+	"orchiddrift/internal/simulation/fleetsim"
+	"orchiddrift/internal/upstream/loadprobe"
 )
 
 // Probe prints whether asking nodes before each request would help sidecars that send little: 200 sidecars before 1,000 nodes, a
@@ -42,7 +42,7 @@
 			run := fleetRun(sidecars)
 			run.Nodes, run.Rate, run.Probes = nodes, rate(r), r.probe
 			if r.ask > 0 {
-				run.Ask, run.Latent = probe.Default(), r.blind
+				run.Ask, run.Latent = loadprobe.Default(), r.blind
 				run.Ask.On, run.Ask.Each, run.Ask.Share = true, r.ask, float64(r.ask)
 			}
 			run.Speed = func(i int) float64 {
@@ -78,7 +78,7 @@
 	for i, m := range sizes {
 		g.Go(func() (err error) {
 			run := fleetRun(m)
-			run.Nodes, run.Rate, run.Ask = nodes, rate, probe.Default()
+			run.Nodes, run.Rate, run.Ask = nodes, rate, loadprobe.Default()
 			run.Ask.On = true
 			seen[i], err = fleetsim.Play(run)
 			return err
--- a/internal/measure/repeats.go
+++ b/internal/measure/repeats.go
@@ -15,12 +15,12 @@
 	"text/tabwriter"
 	"time"
 
+	"orchiddrift/internal/boltfile"
 	"orchiddrift/internal/clock"
-	"orchiddrift/internal/heldfile"
-	"orchiddrift/internal/repeatkeeper"
-	"orchiddrift/internal/repeatlog"
-	"orchiddrift/internal/repeats"
-	"orchiddrift/internal/standin"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/idempotency/boltstore"
+	"orchiddrift/internal/idempotency/executor"
 	"orchiddrift/internal/units"
 )
 
@@ -139,7 +139,7 @@
 
 // serveEtcd is the stand-in of a shared store.
 func serveEtcd() error {
-	e := standin.NewEtcd(standin.EtcdOptions{})
+	e := fakes.NewEtcd(fakes.EtcdOptions{})
 	at, err := e.Start()
 	if err != nil {
 		return err
@@ -151,14 +151,14 @@
 // repeatsFull fills a file with a million keys, and reads it back.
 func repeatsFull(out io.Writer, path string) error {
 	const n = 1_000_000
-	log, err := repeatlog.Open(context.Background(), path, heldfile.Wait{For: time.Second})
+	log, err := boltstore.Open(context.Background(), path, boltfile.Wait{For: time.Second})
 	if err != nil {
 		return err
 	}
-	answer := &repeats.Answer{Status: 200, Header: map[string][]string{"Content-Type": {"application/json"}}, Body: []byte(`{"data":"recorded"}`)}
-	records := make([]repeats.Record, 0, n)
+	answer := &idempotency.Answer{Status: 200, Header: map[string][]string{"Content-Type": {"application/json"}}, Body: []byte(`{"data":"recorded"}`)}
+	records := make([]idempotency.Record, 0, n)
 	for i := range n {
-		records = append(records, repeats.Record{ID: repeats.ID{Tenant: "shop", Class: "record", Key: fmt.Sprintf("%032x", i*7919)}, Answer: answer, At: time.Hour})
+		records = append(records, idempotency.Record{ID: idempotency.ID{Tenant: "shop", Class: "record", Key: fmt.Sprintf("%032x", i*7919)}, Answer: answer, At: time.Hour})
 	}
 	begun := time.Now()
 	err = errors.Join(log.PutAll(records, time.Hour), log.Close())
@@ -175,12 +175,12 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	begun = time.Now()
-	if log, err = repeatlog.Open(context.Background(), path, heldfile.Wait{For: time.Second}); err != nil {
+	if log, err = boltstore.Open(context.Background(), path, boltfile.Wait{For: time.Second}); err != nil {
 		return err
 	}
-	options := repeats.Default()
+	options := idempotency.Default()
 	options.Entries, options.Bytes, options.Part = 2*n, 2*units.GiB, 1
-	k, err := repeatkeeper.New(repeatkeeper.Options{Repeats: options, Window: func(string) time.Duration { return 6 * time.Second }, Clock: clock.New(), Journal: log})
+	k, err := executor.New(executor.Options{Repeats: options, Window: func(string) time.Duration { return 6 * time.Second }, Clock: clock.New(), Journal: log})
 	if err != nil {
 		return err
 	}
--- a/internal/measure/roles.go
+++ b/internal/measure/roles.go
@@ -29,9 +29,9 @@
 	"orchiddrift/balancer"
 	"orchiddrift/internal/config"
 	"orchiddrift/internal/daemon"
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
 	"orchiddrift/internal/settings"
-	"orchiddrift/internal/standin"
 )
 
 // roleVariable makes the program play one of its parts.
@@ -157,20 +157,20 @@
 
 func (r role) serveNodes() error {
 	var addresses []string
-	ledger := standin.NewLedger()
+	ledger := fakes.NewLedger()
 	ledger.CountOnly = true
 	for i := range r.Nodes {
-		o := standin.NodeOptions{Name: fmt.Sprint("n", i), Cores: 64, Work: r.Work, Ledger: ledger, Seed: uint64(i), Orca: r.GRPC}
+		o := fakes.NodeOptions{Name: fmt.Sprint("n", i), Cores: 64, Work: r.Work, Ledger: ledger, Seed: uint64(i), Orca: r.GRPC}
 		if r.Slow > 0 && i%10 == 0 {
-			o.Faults = []standin.Fault{{Kind: standin.Slow, Factor: r.Slow}}
+			o.Faults = []fakes.Fault{{Kind: fakes.Slow, Factor: r.Slow}}
 		}
 		if r.GRPC {
-			o.Answer = func(standin.Job) []byte { return []byte{10, 2, 'o', 'k'} } // a StringValue
+			o.Answer = func(fakes.Job) []byte { return []byte{10, 2, 'o', 'k'} } // a StringValue
 		}
 		if r.Answer != "" {
-			o.Answer = func(standin.Job) []byte { return []byte(r.Answer) }
+			o.Answer = func(fakes.Job) []byte { return []byte(r.Answer) }
 		}
-		n := standin.NewNode(o)
+		n := fakes.NewNode(o)
 		defer n.Close()
 		listen := n.ListenHTTP
 		if r.GRPC {
@@ -205,10 +205,10 @@
 		return r.serveTLSProxy(l)
 	}
 	if r.Part == "daemon" {
-		known := &directory.Listing{Index: new(int64), Snapshot: true}
+		known := &endpoints.Listing{Index: new(int64), Snapshot: true}
 		for i, address := range r.Addresses {
-			known.Endpoints = append(known.Endpoints, directory.Endpoint{Name: fmt.Sprint("n", i), Address: address, Zone: "a",
-				Status: directory.StatusReady})
+			known.Endpoints = append(known.Endpoints, endpoints.Endpoint{Name: fmt.Sprint("n", i), Address: address, Zone: "a",
+				Status: endpoints.StatusReady})
 		}
 		c := &config.Config{Listen: r.Listen, Discovery: "127.0.0.1:1", Seed: 1, Known: known,
 			Limits:   config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
--- a/internal/measure/subset.go
+++ b/internal/measure/subset.go
@@ -11,8 +11,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/subset"
+	"orchiddrift/internal/discovery/subset"
+	"orchiddrift/internal/endpoints"
 	"orchiddrift/internal/units"
 )
 
@@ -53,9 +53,9 @@
 		if known {
 			o.Sidecars, o.Index = sidecars, sidecar
 		}
-		l := &directory.Listing{Snapshot: true}
+		l := &endpoints.Listing{Snapshot: true}
 		for _, n := range nodes {
-			l.Endpoints = append(l.Endpoints, directory.Endpoint{Name: n, Address: "127.0.0.1:1", Status: directory.StatusReady})
+			l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: n, Address: "127.0.0.1:1", Status: endpoints.StatusReady})
 		}
 		names := map[string]bool{}
 		if out := subset.New(o, fmt.Sprint("sidecar", sidecar), "", 1<<20).Update(time.Time{}, l); out != nil {
--- a/internal/measure/tls.go
+++ b/internal/measure/tls.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/standin"
+	"orchiddrift/internal/fakes"
 )
 
 // TLS prints the daemon beside ReverseProxy with the same certificates on both sides, and the same nodes: kept
@@ -94,7 +94,7 @@
 
 // writeKeys puts an authority's certificates into a folder.
 func writeKeys(dir string) error {
-	ca, err := standin.NewCA("measure")
+	ca, err := fakes.NewCA("measure")
 	if err != nil {
 		return err
 	}
--- a/internal/figures/figures_test.go
+++ b/internal/metrics/figures_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"strings"
--- a/internal/figures/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -1,9 +1,9 @@
-package figures
+package metrics
 
 import (
 	"testing"
 
-	"orchiddrift/internal/testkit/golden"
+	"orchiddrift/internal/testing/golden"
 )
 
 // The operators' programs read the figures by name.
--- a/internal/priority/priority.go
+++ b/internal/priorityqueue/priority.go
@@ -1,6 +1,6 @@
 // Package priority is a priority queue for simulations and schedulers: container/heap's job with the keys beside the items, so
 // that comparing them touches no item, without an allocation a call, and with items that can move or leave from the middle.
-package priority
+package priorityqueue
 
 // Queue is a 4-ary heap. All calls take O(log n). It is not safe for concurrent use.
 type Queue[T any] struct {
--- a/internal/priority/priority_test.go
+++ b/internal/priorityqueue/priority_test.go
@@ -1,4 +1,4 @@
-package priority
+package priorityqueue
 
 import (
 	"slices"
--- a/internal/routes/headers.go
+++ b/internal/routes/headers.go
@@ -6,13 +6,13 @@
 	"slices"
 	"strings"
 
-	"orchiddrift/internal/httphead"
+	"orchiddrift/internal/httpheader"
 )
 
 // platformHeaders are those of the platform's protocol. A request may carry each once at most, spelled in one way only,
 // whether or not a route reads it: an upstream may.
-var platformHeaders = []string{httphead.ID, httphead.Class, httphead.Tenant, httphead.Timeout, httphead.Cost,
-	httphead.Attrs, httphead.Retried, httphead.Key}
+var platformHeaders = []string{httpheader.ID, httpheader.Class, httpheader.Tenant, httpheader.Timeout, httpheader.Cost,
+	httpheader.Attrs, httpheader.Retried, httpheader.Key}
 
 // rewriting headers make some servers take a request for another one than its request line says.
 var rewriting = []string{"X-Http-Method-Override", "X-Http-Method", "X-Method-Override", "X-Original-Url",
--- a/internal/routes/platform.go
+++ b/internal/routes/platform.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/httphead"
+	"orchiddrift/internal/httpheader"
 )
 
 // PlatformBody bounds a request's body by the platform's protocol, in bytes.
@@ -23,9 +23,9 @@
 		if class.Name == "" || strings.ContainsAny(class.Name, "/%?") || unambiguous("/"+class.Name) != nil {
 			continue
 		}
-		r := Route{Service: service, Class: class, Key: Header(httphead.Key), Tenant: Header(httphead.Tenant),
-			Cost: Header(httphead.Cost), ID: Header(httphead.ID), Deadline: Header(httphead.Timeout), MaxBody: PlatformBody,
-			ClassHeader: httphead.Class, NeedID: true, StrictKey: true, GetOnly: true, WholeOnly: true}
+		r := Route{Service: service, Class: class, Key: Header(httpheader.Key), Tenant: Header(httpheader.Tenant),
+			Cost: Header(httpheader.Cost), ID: Header(httpheader.ID), Deadline: Header(httpheader.Timeout), MaxBody: PlatformBody,
+			ClassHeader: httpheader.Class, NeedID: true, StrictKey: true, GetOnly: true, WholeOnly: true}
 		first := segment{text: class.Name}
 		for _, segments := range [][]segment{{first}, {first, {kind: rest}}} {
 			of := r
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/httphead"
+	"orchiddrift/internal/httpheader"
 )
 
 // maxTimeout bounds what a client may say that it waits, or that its request costs.
@@ -277,8 +277,8 @@
 
 // Forward is the headers that go on to an upstream.
 func (d *Decision) Forward(h http.Header) http.Header {
-	header := httphead.EndToEnd(h)
-	delete(header, httphead.Timeout)
+	header := httpheader.EndToEnd(h)
+	delete(header, httpheader.Timeout)
 	if d.Route.WholeOnly {
 		for _, name := range conditions {
 			delete(header, name)
@@ -293,7 +293,7 @@
 // missing words why no route was found.
 func (t *Table) missing(host, path string, q asked) *Rejection {
 	first, _ := cut(q.path)
-	name := q.header.Get(httphead.Class)
+	name := q.header.Get(httpheader.Class)
 	if t.plain && name != "" && name != first {
 		if !t.classes[name] {
 			return reject(http.StatusNotFound, "unknown class %q", name)
@@ -349,7 +349,7 @@
 
 // display is a header's name as people write it.
 func display(name string) string {
-	if name == httphead.ID {
+	if name == httpheader.ID {
 		return "X-Request-ID"
 	}
 	return name
--- a/internal/control/control_test.go
+++ b/internal/server/control/control_test.go
@@ -13,15 +13,15 @@
 
 	"go.uber.org/goleak"
 
-	"orchiddrift/internal/logs"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/logging"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func start(t *testing.T, answer Handler) (*Server, string) {
 	t.Helper()
-	s, err := Listen("127.0.0.1:0", answer, logs.Discard())
+	s, err := Listen("127.0.0.1:0", answer, logging.Discard())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/server.go
+++ b/internal/server/control/server.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"orchiddrift/internal/acceptor"
+	"orchiddrift/internal/server/acceptor"
 )
 
 const (
--- a/internal/intake/ahead.go
+++ b/internal/server/downstream/ahead.go
@@ -1,4 +1,4 @@
-package intake
+package downstream
 
 import (
 	"errors"
--- a/internal/intake/conn.go
+++ b/internal/server/downstream/conn.go
@@ -1,4 +1,4 @@
-package intake
+package downstream
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"orchiddrift/internal/framing"
+	"orchiddrift/internal/server/framing"
 )
 
 // The states of a client's connection. Whoever changes one does so by compare and swap, so that of two that cross one is the
--- a/internal/intake/intake_test.go
+++ b/internal/server/downstream/intake_test.go
@@ -1,4 +1,4 @@
-package intake
+package downstream
 
 import (
 	"bufio"
@@ -9,9 +9,9 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/httphead"
+	"orchiddrift/internal/httpheader"
 
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 func testChecker() *Checker {
@@ -136,8 +136,8 @@
 	}
 	if req.ID != "9b1f" || req.Class.Name != "payment-record" || req.Tenant != "acme" || req.Key != `"5c0f, 6e"` ||
 		req.Class.Effect != balancer.Keyed || req.Timeout != 4*time.Second || req.Hint != 1500500 || req.Method != "POST" ||
-		req.Host != "s" || req.Header.Get("X-Hop") != "" || req.Header.Get(httphead.Timeout) != "" ||
-		req.Header.Get(httphead.Key) == "" {
+		req.Host != "s" || req.Header.Get("X-Hop") != "" || req.Header.Get(httpheader.Timeout) != "" ||
+		req.Header.Get(httpheader.Key) == "" {
 		t.Errorf("%+v", req)
 	}
 }
--- a/internal/interlude/interlude.go
+++ b/internal/server/yielding/interlude.go
@@ -3,7 +3,7 @@
 // With one processor and transfers that never wait, Go's scheduler does not look at the network by itself: runnable goroutines, also
 // those that yield, come before that (runtime, findRunnable: own queue, global queue, then netpoll), and the monitor looks once in 10 ms,
 // behind them. A transfer that rests alone changes nothing while another one is runnable; where all rest at once the queues run empty.
-package interlude
+package yielding
 
 import (
 	"sync/atomic"
--- a/internal/interlude/interlude_test.go
+++ b/internal/server/yielding/interlude_test.go
@@ -1,4 +1,4 @@
-package interlude
+package yielding
 
 import (
 	"testing"
--- a/internal/doorsim/doorsim.go
+++ b/internal/simulation/admissionsim/doorsim.go
@@ -1,7 +1,7 @@
 // Package doorsim plays requests through a door, the real balancer and modelled nodes in virtual time: what a discipline
 // or a limit does to principals, to answers in time and to refusals that come back, at loads that sockets make noisy. The
 // same seed gives the same run.
-package doorsim
+package admissionsim
 
 import (
 	"fmt"
@@ -12,15 +12,15 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/door"
-	"orchiddrift/internal/virtual"
+	"orchiddrift/internal/admission"
+	"orchiddrift/internal/simulation/virtualtime"
 )
 
 // Gate is a door, or what is held beside one. *door.Door is one.
 type Gate interface {
-	Arrive(now time.Duration, a door.Arrival, acts []door.Action) (door.Ticket, []door.Action)
-	Done(now time.Duration, t door.Ticket, how door.Result, acts []door.Action) []door.Action
-	Wake(now time.Duration, acts []door.Action) []door.Action
+	Arrive(now time.Duration, a admission.Arrival, acts []admission.Action) (admission.Ticket, []admission.Action)
+	Done(now time.Duration, t admission.Ticket, how admission.Result, acts []admission.Action) []admission.Action
+	Wake(now time.Duration, acts []admission.Action) []admission.Action
 	Next() (time.Duration, bool)
 }
 
@@ -108,7 +108,7 @@
 	expires  time.Duration
 	tries    int
 	print    uint64
-	ticket   door.Ticket
+	ticket   admission.Ticket
 	passed   bool
 	ended    bool
 	attempts []*attempt
@@ -135,10 +135,10 @@
 	gate Gate
 	b    *balancer.Balancer
 	rng  *rand.Rand
-	*virtual.Time
+	*virtualtime.Time
 	nodes  map[string]*node
 	asked  map[string]*asked
-	doors  map[door.Ticket]*asked
+	doors  map[admission.Ticket]*asked
 	ids    int
 	prints uint64
 	out    Result
@@ -147,12 +147,12 @@
 	inHand int
 	busy   time.Duration
 	wasted time.Duration
-	doActs []door.Action
+	doActs []admission.Action
 }
 
 const (
 	wire   = 300 * time.Microsecond // one way and back
-	origin = virtual.Origin
+	origin = virtualtime.Origin
 )
 
 // Play plays a run through a gate.
@@ -168,8 +168,8 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &sim{r: r, gate: gate, b: b, rng: rand.New(rand.NewPCG(r.Seed, 7)), Time: virtual.New(), nodes: map[string]*node{},
-		asked: map[string]*asked{}, doors: map[door.Ticket]*asked{}}
+	s := &sim{r: r, gate: gate, b: b, rng: rand.New(rand.NewPCG(r.Seed, 7)), Time: virtualtime.New(), nodes: map[string]*node{},
+		asked: map[string]*asked{}, doors: map[admission.Ticket]*asked{}}
 	s.out.Clients = make([]Seen, len(r.Clients))
 	bins := int(r.Length/r.Bin) + 2
 	s.out.InHand = make([]float64, bins)
@@ -251,7 +251,7 @@
 	if c.Names {
 		flow = a.id
 	}
-	arrival := door.Arrival{Group: c.Group, Flow: flow, Class: c.Class, Hint: time.Duration(c.Hint * float64(a.work)),
+	arrival := admission.Arrival{Group: c.Group, Flow: flow, Class: c.Class, Hint: time.Duration(c.Hint * float64(a.work)),
 		Came: s.Now(), Expires: a.expires, Bytes: 512, Repeat: c.Marks && a.tries > 1, Print: a.print}
 	t, acts := s.gate.Arrive(s.Now(), arrival, s.doActs[:0])
 	s.doActs = nil
@@ -261,13 +261,13 @@
 }
 
 // act does what the gate said.
-func (s *sim) act(acts []door.Action) {
+func (s *sim) act(acts []admission.Action) {
 	for _, x := range acts {
 		a := s.doors[x.Ticket]
 		if a == nil {
 			continue
 		}
-		if x.Kind == door.Refuse {
+		if x.Kind == admission.Refuse {
 			delete(s.doors, x.Ticket)
 			s.refused(a, x.RetryIn, x.Kept)
 			continue
@@ -429,7 +429,7 @@
 	delete(s.doors, a.ticket)
 	s.inHand--
 	seen := &s.out.Clients[a.client]
-	how := door.Answered
+	how := admission.Answered
 	switch r {
 	case balancer.OK:
 		took := s.Now() - a.first
@@ -443,14 +443,14 @@
 		s.back(a, true)
 		s.again(a)
 	case balancer.Overloaded:
-		how = door.Turned
+		how = admission.Turned
 	default:
 		s.back(a, false)
 		seen.Failed++
 		s.again(a)
 	}
 	acts := s.gate.Done(s.Now(), a.ticket, how, nil)
-	if how == door.Turned {
+	if how == admission.Turned {
 		s.refused(a, in, false)
 	}
 	s.act(acts)
--- a/internal/doorsim/doorsim_test.go
+++ b/internal/simulation/admissionsim/doorsim_test.go
@@ -1,4 +1,4 @@
-package doorsim
+package admissionsim
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/door"
+	"orchiddrift/internal/admission"
 )
 
 var classes = []balancer.Class{{Name: "search", Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1, LateShare: 0.3}}
@@ -27,12 +27,12 @@
 	return r
 }
 
-func ours(change func(*door.Options)) *door.Door {
-	o := door.Default()
+func ours(change func(*admission.Options)) *admission.Door {
+	o := admission.Default()
 	if change != nil {
 		change(&o)
 	}
-	return door.New(o, classes, 5)
+	return admission.New(o, classes, 5)
 }
 
 func counters(n int, rate float64) (c []Client) {
@@ -123,15 +123,15 @@
 
 // reweighed doubles the first counter's weight at a time.
 type reweighed struct {
-	*door.Door
+	*admission.Door
 	at   time.Duration
 	done bool
 }
 
-func (g *reweighed) Arrive(now time.Duration, a door.Arrival, acts []door.Action) (door.Ticket, []door.Action) {
+func (g *reweighed) Arrive(now time.Duration, a admission.Arrival, acts []admission.Action) (admission.Ticket, []admission.Action) {
 	if now >= g.at && !g.done {
-		o := door.Default()
-		o.Weights = []door.Weight{{Name: "counter-0", Weight: 2}}
+		o := admission.Default()
+		o.Weights = []admission.Weight{{Name: "counter-0", Weight: 2}}
 		g.Configure(now, o)
 		g.done = true
 	}
@@ -177,7 +177,7 @@
 		clients = append(clients, more)
 	}
 	part := func(budget float64) float64 {
-		r := play(t, 18, clients, nil, ours(func(o *door.Options) { o.Repeats = budget }))
+		r := play(t, 18, clients, nil, ours(func(o *admission.Options) { o.Repeats = budget }))
 		rate := func(from, to int) (sum float64) {
 			for _, c := range r.Clients {
 				for _, v := range c.Bins[from:to] {
@@ -207,7 +207,7 @@
 		clients = append(clients, Client{Group: fmt.Sprint(i), Class: "search", Work: work, Rate: 1e6, From: 3 * time.Second,
 			To: 3*time.Second + 2*time.Microsecond, Tries: 3, Obeys: true})
 	}
-	r := play(t, 10, clients, nil, ours(func(o *door.Options) { o.Waiting, o.Longest = 100, 5*time.Second }))
+	r := play(t, 10, clients, nil, ours(func(o *admission.Options) { o.Waiting, o.Longest = 100, 5*time.Second }))
 	first, told, kept := 0, 0, 0
 	for _, c := range r.Clients[1:] {
 		first, told, kept = first+c.First, told+c.Told, kept+c.Kept
--- a/internal/doorsim/gates.go
+++ b/internal/simulation/admissionsim/gates.go
@@ -1,4 +1,4 @@
-package doorsim
+package admissionsim
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"orchiddrift/internal/door"
+	"orchiddrift/internal/admission"
 )
 
 // The disciplines that package door was weighed against. They are as small as their sources allow, share one frame, and
@@ -30,8 +30,8 @@
 }
 
 type held struct {
-	ticket  door.Ticket
-	a       door.Arrival
+	ticket  admission.Ticket
+	a       admission.Arrival
 	came    time.Duration
 	went    time.Duration
 	waits   bool
@@ -47,22 +47,22 @@
 	most  int
 	n     int
 	in    int
-	next  door.Ticket
-	all   map[door.Ticket]*held
+	next  admission.Ticket
+	all   map[admission.Ticket]*held
 }
 
 // NewQueue returns one in which at most so many wait.
 func NewQueue(of discipline, limit Limit, most int) *Queue {
-	return &Queue{of: of, limit: limit, most: most, all: map[door.Ticket]*held{}}
+	return &Queue{of: of, limit: limit, most: most, all: map[admission.Ticket]*held{}}
 }
 
 // Arrive is Gate's.
-func (q *Queue) Arrive(now time.Duration, a door.Arrival, acts []door.Action) (door.Ticket, []door.Action) {
+func (q *Queue) Arrive(now time.Duration, a admission.Arrival, acts []admission.Action) (admission.Ticket, []admission.Action) {
 	q.next++
 	t := q.next
 	e := &held{ticket: t, a: a, came: now, waits: true}
 	if out := q.of.full(e, q.n, q.most); out != nil {
-		acts = append(acts, door.Action{Kind: door.Refuse, Ticket: out.ticket, Reason: door.Full})
+		acts = append(acts, admission.Action{Kind: admission.Refuse, Ticket: out.ticket, Reason: admission.Full})
 		if out == e {
 			return t, acts
 		}
@@ -75,7 +75,7 @@
 	return t, q.serve(now, acts)
 }
 
-func (q *Queue) serve(now time.Duration, acts []door.Action) []door.Action {
+func (q *Queue) serve(now time.Duration, acts []admission.Action) []admission.Action {
 	for q.n > 0 && q.in < q.limit.Places() {
 		e := q.of.pop(now)
 		if e == nil {
@@ -85,31 +85,33 @@
 		e.waits = false
 		if now >= e.a.Expires {
 			delete(q.all, e.ticket)
-			acts = append(acts, door.Action{Kind: door.Refuse, Ticket: e.ticket, Reason: door.Expired})
+			acts = append(acts, admission.Action{Kind: admission.Refuse, Ticket: e.ticket, Reason: admission.Expired})
 			continue
 		}
 		e.went = now
 		q.in++
-		acts = append(acts, door.Action{Kind: door.Pass, Ticket: e.ticket})
+		acts = append(acts, admission.Action{Kind: admission.Pass, Ticket: e.ticket})
 	}
 	return acts
 }
 
 // Done is Gate's.
-func (q *Queue) Done(now time.Duration, t door.Ticket, how door.Result, acts []door.Action) []door.Action {
+func (q *Queue) Done(now time.Duration, t admission.Ticket, how admission.Result, acts []admission.Action) []admission.Action {
 	e := q.all[t]
 	if e == nil {
 		return acts
 	}
 	delete(q.all, t)
-	q.limit.Sample(now, now-e.went, q.in, how == door.Turned)
+	q.limit.Sample(now, now-e.went, q.in, how == admission.Turned)
 	q.in--
 	q.of.took(e, (now - e.went).Seconds())
 	return q.serve(now, acts)
 }
 
 // Wake is Gate's.
-func (q *Queue) Wake(now time.Duration, acts []door.Action) []door.Action { return q.serve(now, acts) }
+func (q *Queue) Wake(now time.Duration, acts []admission.Action) []admission.Action {
+	return q.serve(now, acts)
+}
 
 // Next is Gate's.
 func (q *Queue) Next() (time.Duration, bool) { return 0, false }
--- a/internal/lab/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -1,6 +1,6 @@
 // Package lab plays experiments: a fleet, a load, faults by time, and the policies to compare, from a file, in virtual time. The
-// module is the real one; internal/fleetsim is the fleet.
-package lab
+// module is the real one; internal/simulation/fleetsim is the fleet.
+package experiment
 
 import (
 	"errors"
@@ -12,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/fleetsim"
-	"orchiddrift/internal/subset"
+	"orchiddrift/internal/discovery/subset"
+	"orchiddrift/internal/simulation/fleetsim"
 	"orchiddrift/internal/tomlfile"
 	"orchiddrift/internal/units"
 )
--- a/internal/lab/lab_test.go
+++ b/internal/simulation/experiment/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 
 	"go.uber.org/goleak"
 
-	"orchiddrift/internal/fleetsim"
+	"orchiddrift/internal/simulation/fleetsim"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -180,7 +180,7 @@
 
 // The library's experiments can be played, and the module breaks no rule in them.
 func TestLibrary(t *testing.T) {
-	files, err := filepath.Glob("../../lab/*.toml")
+	files, err := filepath.Glob("../../../lab/*.toml")
 	if err != nil || len(files) < 10 {
 		t.Fatalf("%d files, %v", len(files), err)
 	}
--- a/internal/lab/report.go
+++ b/internal/simulation/experiment/report.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"orchiddrift/internal/fleetsim"
+	"orchiddrift/internal/simulation/fleetsim"
 )
 
 // Figure is one of a run's, for tables and comparisons.
--- a/internal/lab/run.go
+++ b/internal/simulation/experiment/run.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"orchiddrift/internal/fleetsim"
+	"orchiddrift/internal/simulation/fleetsim"
 )
 
 // Head is the first line of a file of results: what they are of.
--- a/internal/fleetsim/discovery.go
+++ b/internal/simulation/fleetsim/discovery.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 )
 
 // Discovery is a service of fixed capacity that sidecars ask for the list, in place of a list that reaches all. It works
@@ -102,11 +102,11 @@
 }
 
 // list is what is listed now.
-func (s *sim) list() *directory.Listing {
-	l := &directory.Listing{Snapshot: true}
+func (s *sim) list() *endpoints.Listing {
+	l := &endpoints.Listing{Snapshot: true}
 	for _, n := range s.nodes {
 		if n.listed {
-			l.Endpoints = append(l.Endpoints, s.endpoint(n, directory.StatusReady))
+			l.Endpoints = append(l.Endpoints, s.endpoint(n, endpoints.StatusReady))
 		}
 	}
 	return l
@@ -162,7 +162,7 @@
 	if s.r.Discovery != nil {
 		kind = balancer.Saved
 		if c.life > 0 {
-			l = &directory.Listing{Snapshot: true, Endpoints: slices.Clone(c.known)}
+			l = &endpoints.Listing{Snapshot: true, Endpoints: slices.Clone(c.known)}
 		}
 	}
 	s.tell(c, l, kind)
@@ -172,7 +172,7 @@
 }
 
 // knows keeps what a sidecar last had of the list.
-func (s *sim) knows(c *sidecar, l *directory.Listing) {
+func (s *sim) knows(c *sidecar, l *endpoints.Listing) {
 	if s.r.Discovery == nil {
 		return
 	}
@@ -180,8 +180,8 @@
 		c.known = c.known[:0]
 	}
 	for _, e := range l.Endpoints {
-		c.known = slices.DeleteFunc(c.known, func(x directory.Endpoint) bool { return x.Name == e.Name })
-		if e.Status == directory.StatusReady {
+		c.known = slices.DeleteFunc(c.known, func(x endpoints.Endpoint) bool { return x.Name == e.Name })
+		if e.Status == endpoints.StatusReady {
 			c.known = append(c.known, e)
 		}
 	}
--- a/internal/fleetsim/faults.go
+++ b/internal/simulation/fleetsim/faults.go
@@ -7,7 +7,7 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
 )
 
 // FaultKind is what befalls nodes.
@@ -138,7 +138,7 @@
 	s.stop(n)
 	s.After(crashTold, func() {
 		if !n.up {
-			s.announce(n, directory.StatusGone)
+			s.announce(n, endpoints.StatusGone)
 		}
 	})
 	s.After(max(away, crashTold+toldMost), func() { s.start(n) })
@@ -148,10 +148,10 @@
 	if !n.up {
 		return
 	}
-	s.announce(n, directory.StatusTerminating)
+	s.announce(n, endpoints.StatusTerminating)
 	s.After(toldMost+time.Second, func() {
 		s.stop(n)
-		s.announce(n, directory.StatusGone)
+		s.announce(n, endpoints.StatusGone)
 		s.After(s.r.Down, func() { s.start(n) })
 	})
 }
@@ -161,7 +161,7 @@
 		return
 	}
 	n.up, n.silent, n.started = true, false, s.Now()
-	s.announce(n, directory.StatusReady)
+	s.announce(n, endpoints.StatusReady)
 }
 
 // rate is the multiple of Run.Rate now.
--- a/internal/fleetsim/fleetsim.go
+++ b/internal/simulation/fleetsim/fleetsim.go
@@ -15,11 +15,11 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/probe"
-	"orchiddrift/internal/subset"
-	"orchiddrift/internal/virtual"
-	"orchiddrift/internal/warm"
+	"orchiddrift/internal/discovery/subset"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/simulation/virtualtime"
+	"orchiddrift/internal/upstream/loadprobe"
+	"orchiddrift/internal/upstream/prewarm"
 )
 
 // Run is a run's parameters.
@@ -34,14 +34,14 @@
 	Subset          subset.Options // Sidecars and Index are filled in, where Known; not On: all know all
 	Known           bool           // each sidecar is told its index and how many there are
 	Settings        balancer.Settings
-	Idle            time.Duration // connections are closed after so long; absent: 30 s
-	Connect         time.Duration // what a new connection adds
-	Warm            warm.Options  // not On: connections are made as requests need them
-	Descriptors     int           // connections that a sidecar may have, which bounds its subset; absent: 496
+	Idle            time.Duration   // connections are closed after so long; absent: 30 s
+	Connect         time.Duration   // what a new connection adds
+	Warm            prewarm.Options // not On: connections are made as requests need them
+	Descriptors     int             // connections that a sidecar may have, which bounds its subset; absent: 496
 
 	Blind  bool                // modules are not told what cold nodes can take, nor which are cold
 	Speed  func(i int) float64 // of a node; nil: 1
-	Ask    probe.Options       // probes beside the module, which decides
+	Ask    loadprobe.Options   // probes beside the module, which decides
 	Latent bool                // answers to those tell no latency
 	Probes *Probes             // in place of the module; nil: the module chooses
 
@@ -142,17 +142,17 @@
 	sent  int
 	rate  float64
 	rng   *rand.Rand
-	warm  *warm.Warmer         // nil: there is none
-	probe *probe.Prober        // nil: there is none
+	warm  *prewarm.Warmer      // nil: there is none
+	probe *loadprobe.Prober    // nil: there is none
 	ready map[string]uint64    // what the warmer is told of
 	own   []string             // active ones, where probes choose
 	seen  []int                // requests in hand, by the last probes
-	news  []directory.Endpoint // of the list, on its way
+	news  []endpoints.Endpoint // of the list, on its way
 
 	set     balancer.Settings
 	life    int // of its processes, the present one
 	watches bool
-	known   []directory.Endpoint
+	known   []endpoints.Endpoint
 }
 
 type pool struct {
@@ -185,7 +185,7 @@
 }
 
 type sim struct {
-	*virtual.Time
+	*virtualtime.Time
 	r        Run
 	rng      *rand.Rand
 	wall     time.Time // at Origin
@@ -224,7 +224,7 @@
 	if r.Descriptors == 0 {
 		r.Descriptors = 496
 	}
-	s := &sim{Time: virtual.New(), r: r, rng: rand.New(rand.NewPCG(r.Seed, 11)), wall: time.UnixMilli(1_800_000_000_000),
+	s := &sim{Time: virtualtime.New(), r: r, rng: rand.New(rand.NewPCG(r.Seed, 11)), wall: time.UnixMilli(1_800_000_000_000),
 		byName: map[string]*node{}}
 	for i := range r.Nodes {
 		n := &node{name: fmt.Sprintf("node-%05d", i), index: i, zone: fmt.Sprint("z", i%r.Zones), up: true, listed: true, speed: 1}
@@ -256,7 +256,7 @@
 	s.faults()
 	s.discovery()
 	for _, z := range r.Sizes {
-		s.At(virtual.Origin+z.At, func() { s.resize(z.Nodes) })
+		s.At(virtualtime.Origin+z.At, func() { s.resize(z.Nodes) })
 	}
 	s.sample()
 	s.Run(r.Length)
@@ -292,29 +292,29 @@
 		c.s = subset.New(o, fmt.Sprint("sidecar-", i), zone, s.r.Descriptors)
 	}
 	if s.r.Warm.On {
-		c.warm, c.ready = warm.New(s.r.Warm, s.r.Descriptors, rand.New(rand.NewPCG(s.r.Seed, uint64(i)+1<<32))), map[string]uint64{}
+		c.warm, c.ready = prewarm.New(s.r.Warm, s.r.Descriptors, rand.New(rand.NewPCG(s.r.Seed, uint64(i)+1<<32))), map[string]uint64{}
 		s.After(time.Duration(s.rng.Int64N(int64(warmEvery))), func() { s.keepWarm(c) })
 	}
 	if s.r.Ask.On {
-		c.probe = probe.New(s.r.Ask, rand.New(rand.NewPCG(s.r.Seed, uint64(i)+2<<32)))
+		c.probe = loadprobe.New(s.r.Ask, rand.New(rand.NewPCG(s.r.Seed, uint64(i)+2<<32)))
 	}
 	s.sidecars = append(s.sidecars, c)
 	s.begin(c)
 	return c, nil
 }
 
-func (s *sim) endpoint(n *node, status string) directory.Endpoint {
-	e := directory.Endpoint{Name: n.name, Address: "127.0.0.1:1", Zone: n.zone, Status: status}
+func (s *sim) endpoint(n *node, status string) endpoints.Endpoint {
+	e := endpoints.Endpoint{Name: n.name, Address: "127.0.0.1:1", Zone: n.zone, Status: status}
 	if n.started > 0 {
 		e.SinceMs = float64(s.at(n.started).UnixMilli())
 	}
 	return e
 }
 
-func (s *sim) at(t time.Duration) time.Time { return s.wall.Add(t - virtual.Origin) }
+func (s *sim) at(t time.Duration) time.Time { return s.wall.Add(t - virtualtime.Origin) }
 
 // tell brings a list, or a change, to a sidecar: through its subset, if it has one.
-func (s *sim) tell(c *sidecar, l *directory.Listing, kind balancer.MembersKind) {
+func (s *sim) tell(c *sidecar, l *endpoints.Listing, kind balancer.MembersKind) {
 	s.knows(c, l)
 	if c.s != nil {
 		if l = c.s.Update(s.at(s.Now()), l); l == nil {
@@ -327,7 +327,7 @@
 	s.members(c, l, kind)
 }
 
-func (s *sim) members(c *sidecar, l *directory.Listing, kind balancer.MembersKind) {
+func (s *sim) members(c *sidecar, l *endpoints.Listing, kind balancer.MembersKind) {
 	if l == nil {
 		return
 	}
@@ -335,13 +335,13 @@
 	for _, e := range l.Endpoints {
 		member := balancer.Member{Upstream: e.Name, Zone: e.Zone}
 		switch e.Status {
-		case directory.StatusTerminating:
+		case endpoints.StatusTerminating:
 			member.State = balancer.Leaving
-		case directory.StatusGone:
+		case endpoints.StatusGone:
 			member.State = balancer.Left
 		}
 		if e.SinceMs > 0 && !s.r.Blind {
-			member.CameUp = virtual.Origin + time.UnixMilli(int64(e.SinceMs)).Sub(s.wall)
+			member.CameUp = virtualtime.Origin + time.UnixMilli(int64(e.SinceMs)).Sub(s.wall)
 		}
 		m.Entries = append(m.Entries, member)
 		if c.warm != nil {
@@ -378,7 +378,7 @@
 // announce tells all sidecars of a node's state, each after a delay of its own.
 func (s *sim) announce(n *node, status string) {
 	e := s.endpoint(n, status)
-	n.listed = status == directory.StatusReady
+	n.listed = status == endpoints.StatusReady
 	for _, c := range s.sidecars {
 		if s.r.Discovery != nil {
 			if !c.watches {
@@ -395,7 +395,7 @@
 			if s.r.Discovery != nil && !c.watches {
 				return
 			}
-			s.tell(c, &directory.Listing{Endpoints: news}, balancer.Change)
+			s.tell(c, &endpoints.Listing{Endpoints: news}, balancer.Change)
 		})
 	}
 }
@@ -409,13 +409,13 @@
 		n := s.nodes[i]
 		s.After(s.r.RestartAt+time.Duration(s.rng.Int64N(int64(s.r.RestartOver)+1)), func() {
 			n.restarted = true
-			s.announce(n, directory.StatusTerminating)
+			s.announce(n, endpoints.StatusTerminating)
 			s.After(toldMost+time.Second, func() {
 				s.stop(n)
-				s.announce(n, directory.StatusGone)
+				s.announce(n, endpoints.StatusGone)
 				s.After(s.r.Down, func() {
 					n.up, n.started = true, s.Now()
-					s.announce(n, directory.StatusReady)
+					s.announce(n, endpoints.StatusReady)
 				})
 			})
 		})
@@ -451,11 +451,11 @@
 		switch {
 		case i >= size && n.up:
 			n.restarted = true
-			s.announce(n, directory.StatusTerminating)
-			s.After(toldMost+time.Second, func() { s.stop(n); s.announce(n, directory.StatusGone) })
+			s.announce(n, endpoints.StatusTerminating)
+			s.After(toldMost+time.Second, func() { s.stop(n); s.announce(n, endpoints.StatusGone) })
 		case i < size && !n.up && !n.fallen:
 			n.up, n.started = true, s.Now()
-			s.announce(n, directory.StatusReady)
+			s.announce(n, endpoints.StatusReady)
 		}
 	}
 }
@@ -719,7 +719,7 @@
 				return // it was reset
 			}
 			if f := n.has(Freeze); f != nil {
-				s.At(max(s.Now()+time.Millisecond, virtual.Origin+f.At+f.For), over)
+				s.At(max(s.Now()+time.Millisecond, virtualtime.Origin+f.At+f.For), over)
 				return
 			}
 			s.worked(n, took)
--- a/internal/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/subset"
+	"orchiddrift/internal/discovery/subset"
 	"orchiddrift/internal/units"
-	"orchiddrift/internal/warm"
+	"orchiddrift/internal/upstream/prewarm"
 )
 
 func run(sidecars, nodes int) Run {
@@ -102,7 +102,7 @@
 	r.Connect = 50 * time.Millisecond
 	r.RestartAt, r.RestartOver, r.RestartPart, r.Down = 8*time.Second, time.Second, 0.5, time.Second
 	cold := play(t, r)
-	r.Warm = warm.Default()
+	r.Warm = prewarm.Default()
 	r.Warm.On = true
 	got := play(t, r)
 	if 2*got.Waited > cold.Waited || got.OpenNode > 1.5*cold.OpenNode+1 || got.MostMade > cold.MostMade+2 {
--- a/internal/fleetsim/many_test.go
+++ b/internal/simulation/fleetsim/many_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/probe"
+	"orchiddrift/internal/upstream/loadprobe"
 )
 
 // thin is a fleet of 60 nodes in four zones before sidecars that send little each, all of them with the whole list.
@@ -70,7 +70,7 @@
 	for _, sidecars := range []int{8, 24, 48} {
 		r := thin(sidecars)
 		r.Nodes, r.Rate, r.Length, r.Down = 16, float64(5*sidecars), 60*time.Second, 500*time.Millisecond
-		r.Ask = probe.Default()
+		r.Ask = loadprobe.Default()
 		r.Ask.On = true
 		r.Discovery = &Discovery{CallLines: 30, Lines: float64(sidecars*(16+30)) / 8, Timeout: time.Second, DownAt: 25 * time.Second, DownFor: 5 * time.Second}
 		r.Faults = []Fault{{Kind: Deploy, Part: 0.3, At: 18 * time.Second, For: 7 * time.Second}, {Kind: Kill, Part: 0.9, At: 20 * time.Second}}
--- a/internal/virtual/virtual.go
+++ b/internal/simulation/virtualtime/virtual.go
@@ -1,11 +1,11 @@
 // Package virtual is time for simulations: events in the order of their times, those of one time in the order in which they
 // were set. It is not safe for concurrent use; runs on several goroutines have a Time each.
-package virtual
+package virtualtime
 
 import (
 	"time"
 
-	"orchiddrift/internal/priority"
+	"orchiddrift/internal/priorityqueue"
 )
 
 // Origin is when a Time begins. What lies before it was long ago.
@@ -14,12 +14,12 @@
 // Time is a clock and what is to happen. It counts whole nanoseconds exactly for 104 days.
 type Time struct {
 	now    time.Duration
-	events priority.Queue[func()]
+	events priorityqueue.Queue[func()]
 	seq    uint64
 }
 
 // New returns a Time at Origin.
-func New() *Time { return &Time{now: Origin, events: priority.New[func()](nil)} }
+func New() *Time { return &Time{now: Origin, events: priorityqueue.New[func()](nil)} }
 
 // Now is the time.
 func (t *Time) Now() time.Duration { return t.now }
--- a/internal/wire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,5 +1,5 @@
 // Package wire translates between the simulator's wire and package balancer. It makes no decisions.
-package wire
+package simwire
 
 import (
 	"bufio"
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
--- a/internal/task/golden_test.go
+++ b/internal/task/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/testkit/golden"
+	"orchiddrift/internal/testing/golden"
 )
 
 // What is noted of a task's runs is read and written byte for byte as the release before did.
--- a/internal/taskrun/acts.go
+++ b/internal/task/runner/acts.go
@@ -1,4 +1,4 @@
-package taskrun
+package runner
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"time"
 
 	"orchiddrift/internal/lease"
-	"orchiddrift/internal/leasegroup"
+	"orchiddrift/internal/lease/raftgroup"
 	"orchiddrift/internal/task"
 )
 
@@ -27,11 +27,11 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		return &call{t: t, to: j.r.o.Listen(), due: due, over: over, ctx: ctx, cancel: cancel, done: make(chan struct{})}
 	}
-	return &command{leasegroup.Command{Guard: j.r.o.Guard, Name: t.lease(), Argv: t.d.Command, Margin: t.d.Margin.D(), Env: []string{DueVariable + "=" + due},
+	return &command{raftgroup.Command{Guard: j.r.o.Guard, Name: t.lease(), Argv: t.d.Command, Margin: t.d.Margin.D(), Env: []string{DueVariable + "=" + due},
 		Over: over, Told: func(text string) { j.r.o.Log.Warn("task", "task", t.d.Name, "reason", text) }}}
 }
 
-type command struct{ leasegroup.Command }
+type command struct{ raftgroup.Command }
 
 func (c *command) begin(token lease.Token, until time.Duration) { c.Begin(token, until) }
 func (c *command) extend(until time.Duration)                   { c.Extend(until) }
--- a/internal/taskrun/job.go
+++ b/internal/task/runner/job.go
@@ -1,4 +1,4 @@
-package taskrun
+package runner
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"time"
 
 	"orchiddrift/internal/lease"
-	"orchiddrift/internal/leasegroup"
+	"orchiddrift/internal/lease/raftgroup"
 	"orchiddrift/internal/task"
 )
 
@@ -188,4 +188,4 @@
 	})
 }
 
-var _ leasegroup.Task = (*job)(nil)
+var _ raftgroup.Task = (*job)(nil)
--- a/internal/taskrun/procs_test.go
+++ b/internal/task/runner/procs_test.go
@@ -1,4 +1,4 @@
-package taskrun
+package runner
 
 import (
 	"bufio"
@@ -15,18 +15,18 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/procs"
+	"orchiddrift/internal/testing/processes"
 )
 
-func TestMain(m *testing.M) { os.Exit(procs.Main(m)) }
+func TestMain(m *testing.M) { os.Exit(processes.Main(m)) }
 
 var long = flag.Duration("for", 8*time.Second, "how long faults go on in TestRunsThroughFaults")
 
 // fleet is a group of daemons that share two tasks, due every second, one for each promise; each run writes its begin and its end into a sink.
 type fleet struct {
 	t       *testing.T
-	rig     *procs.Rig
-	members []*procs.Process
+	rig     *processes.Rig
+	members []*processes.Process
 	links   []string
 	sink    string
 }
@@ -38,7 +38,7 @@
 }
 
 func newFleet(t *testing.T, seed uint64) *fleet {
-	f := &fleet{t: t, rig: procs.New(t, seed), sink: filepath.Join(t.TempDir(), "sink")}
+	f := &fleet{t: t, rig: processes.New(t, seed), sink: filepath.Join(t.TempDir(), "sink")}
 	names := []string{"a", "b", "c"}
 	for _, name := range names {
 		text := fmt.Sprintf("[daemon]\nname = %q\nlisten = \"127.0.0.1:0\"\ncontrol = \"127.0.0.1:0\"\n[log]\nformat = \"json\"\n[[service]]\nname = \"web\"\n"+
@@ -56,8 +56,8 @@
 			text += fmt.Sprintf("[[task]]\nname = %q\nschedule = \"@every 1s\"\ncommand = [\"sh\", \"-c\", %q]\npromise = %q\ntries = 100\nlate = \"10s\"\nterm = \"1s\"\nmargin = \"200ms\"\n",
 				promise, run, promise)
 		}
-		f.members = append(f.members, f.rig.Process(procs.Spec{Name: name, Args: []string{"--config", "fleet.toml"},
-			Ready: func(e procs.Event) bool { return e.What == "fleet: listening" }, Files: map[string]string{"fleet.toml": text}}))
+		f.members = append(f.members, f.rig.Process(processes.Spec{Name: name, Args: []string{"--config", "fleet.toml"},
+			Ready: func(e processes.Event) bool { return e.What == "fleet: listening" }, Files: map[string]string{"fleet.toml": text}}))
 	}
 	if err := f.rig.StartAll(within(t), f.members...); err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 }
 
 func within(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(t.Context(), 4*procs.Patience)
+	ctx, cancel := context.WithTimeout(t.Context(), 4*processes.Patience)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -102,7 +102,7 @@
 
 func (f *fleet) eventually(what string, ok func(all []wrote) bool) {
 	f.t.Helper()
-	for end := time.Now().Add(2 * procs.Patience); !ok(f.read()); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(2 * processes.Patience); !ok(f.read()); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			f.t.Fatalf("waited in vain: %s", what)
 		}
@@ -152,9 +152,9 @@
 			t.Parallel()
 			f := newFleet(t, seed)
 			f.eventually("the first runs", func(all []wrote) bool { return len(all) >= 6 })
-			script := procs.Draw(seed, procs.Mix{Processes: []string{"a", "b", "c"}, Links: f.links, Length: *long, Every: 200 * time.Millisecond,
-				Shortest: 50 * time.Millisecond, Longest: 2500 * time.Millisecond, Down: 1, Weights: map[procs.Deed]float64{procs.Kill: 4, procs.Pause: 4,
-					procs.DropBoth: 1, procs.DropOut: 1, procs.DropBack: 1, procs.Slow: 1, procs.Hang: 1, procs.CutOut: 1}})
+			script := processes.Draw(seed, processes.Mix{Processes: []string{"a", "b", "c"}, Links: f.links, Length: *long, Every: 200 * time.Millisecond,
+				Shortest: 50 * time.Millisecond, Longest: 2500 * time.Millisecond, Down: 1, Weights: map[processes.Deed]float64{processes.Kill: 4, processes.Pause: 4,
+					processes.DropBoth: 1, processes.DropOut: 1, processes.DropBack: 1, processes.Slow: 1, processes.Hang: 1, processes.CutOut: 1}})
 			if err := f.rig.Play(within(t), script); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/taskrun/runner.go
+++ b/internal/task/runner/runner.go
@@ -1,6 +1,6 @@
 // Package taskrun carries out the fleet's tasks in one process: it asks for their leases when package task says so, notes runs before they
 // begin and after they end, and runs them: commands under a guard, calls through the daemon.
-package taskrun
+package runner
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"time"
 
 	"orchiddrift/internal/lease"
-	"orchiddrift/internal/leasegroup"
+	"orchiddrift/internal/lease/raftgroup"
 	"orchiddrift/internal/task"
 )
 
@@ -18,7 +18,7 @@
 type Options struct {
 	Name   string // the process's
 	Tasks  []task.Declaration
-	At     leasegroup.Asker
+	At     raftgroup.Asker
 	Drift  float64
 	Guard  []string      // the guard's command line
 	Listen func() string // where the daemon's clients connect
@@ -97,8 +97,8 @@
 func (r *runner) wish(ctx context.Context, t *known) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	j := &job{r: r, t: t, client: leasegroup.NewClientID(), ctx: ctx, cancel: cancel}
-	leasegroup.Keep(ctx, r.o.At, lease.HolderOptions{Name: t.lease(), Client: j.client, Term: t.d.Term.D(), Drift: r.o.Drift, Margin: t.d.Margin.D(),
+	j := &job{r: r, t: t, client: raftgroup.NewClientID(), ctx: ctx, cancel: cancel}
+	raftgroup.Keep(ctx, r.o.At, lease.HolderOptions{Name: t.lease(), Client: j.client, Term: t.d.Term.D(), Drift: r.o.Drift, Margin: t.d.Margin.D(),
 		Retry: t.d.Term.D() / 5}, j)
 	j.mu.Lock()
 	rest, err := j.rest, j.report
--- a/internal/suite/child_test.go
+++ b/internal/testing/conformance/child_test.go
@@ -1,4 +1,4 @@
-package suite
+package conformance
 
 import (
 	"context"
@@ -18,13 +18,13 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
+	"orchiddrift/grpcbalancer"
 	"orchiddrift/internal/config"
 	"orchiddrift/internal/daemon"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
-	"orchiddrift/orchidgrpc"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // child runs this binary as a front in a process of its own, where a test asks for it: a real process, to be killed.
@@ -52,11 +52,11 @@
 
 // callingProcess makes unsafe calls through the plug-in until it is killed, each operation once.
 func callingProcess(path, prefix string) error {
-	o, err := orchidgrpc.LoadOptions(path)
+	o, err := grpcbalancer.LoadOptions(path)
 	if err != nil {
 		return err
 	}
-	p, err := orchidgrpc.New(o)
+	p, err := grpcbalancer.New(o)
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 }
 
 // writeConfig is configFile at a path, with the list that the child is to know from before.
-func writeConfig(t *testing.T, path string, d *standin.Discovery, p protocol, listen string, list *directory.Listing) string {
+func writeConfig(t *testing.T, path string, d *fakes.Discovery, p protocol, listen string, list *endpoints.Listing) string {
 	t.Helper()
 	known, err := json.Marshal(list)
 	if err != nil {
@@ -94,7 +94,7 @@
 	}
 	file := map[string]any{"name": "child", "discovery": d.Address(), "seed": "1f",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": json.RawMessage(known),
-		"settings": json.RawMessage(testkit.Settings)}
+		"settings": json.RawMessage(testutil.Settings)}
 	if p == overHTTP {
 		file["listen"] = listen
 	} else {
@@ -128,7 +128,7 @@
 func TestKilledInTheMiddleOfCalls(t *testing.T) {
 	for _, p := range protocols {
 		t.Run(string(p), func(t *testing.T) {
-			node := standin.NodeOptions{Cores: 8, Work: 20 * time.Millisecond}
+			node := fakes.NodeOptions{Cores: 8, Work: 20 * time.Millisecond}
 			w := newWorld(t, node, node, node)
 			inHand := func() (n int) {
 				for _, n1 := range w.nodes {
@@ -149,7 +149,7 @@
 				var stopped atomic.Bool
 				client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
 				if p == overHTTP {
-					testkit.Eventually(t, "the daemon is ready", func() bool {
+					testutil.Eventually(t, "the daemon is ready", func() bool {
 						resp, err := client.Get("http://" + address + "/-/ready")
 						if err != nil {
 							return false
@@ -167,7 +167,7 @@
 						})
 					}
 				}
-				testkit.Eventually(t, "calls run, and some are in the middle", func() bool {
+				testutil.Eventually(t, "calls run, and some are in the middle", func() bool {
 					return w.ledger.Operations(class) > before+60 && inHand() >= 4
 				})
 				if err := cmd.Process.Kill(); err != nil {
@@ -177,7 +177,7 @@
 				stopped.Store(true)
 				clients.Wait()
 				client.CloseIdleConnections()
-				testkit.Eventually(t, "the nodes see its calls end", func() bool { return inHand() == 0 })
+				testutil.Eventually(t, "the nodes see its calls end", func() bool { return inHand() == 0 })
 			}
 			if twice := w.ledger.Doubled(class); len(twice) > 0 {
 				t.Errorf("ran twice: %v", twice)
--- a/internal/suite/fronts_test.go
+++ b/internal/testing/conformance/fronts_test.go
@@ -1,6 +1,6 @@
 // Package suite holds the fronts to one another: the same module behind the daemon's HTTP and inside a gRPC client, with the
 // same seed, list and script of faults, has to give the same answers and the same load on each node.
-package suite
+package conformance
 
 import (
 	"context"
@@ -24,13 +24,13 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
 	"orchiddrift/balancer"
+	"orchiddrift/grpcbalancer"
 	"orchiddrift/internal/config"
 	"orchiddrift/internal/daemon"
-	"orchiddrift/internal/directory"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
 	"orchiddrift/internal/settings"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/orchidgrpc"
+	"orchiddrift/internal/testing/testutil"
 )
 
 func TestMain(m *testing.M) {
@@ -87,18 +87,18 @@
 
 // world is nodes, their ledger and a discovery that lists them.
 type world struct {
-	ledger    *standin.Ledger
-	nodes     []*standin.Node
-	keys      [2]*standin.KeyMemory           // of the two zones
-	discovery map[protocol]*standin.Discovery // the same list, with addresses of that protocol
+	ledger    *fakes.Ledger
+	nodes     []*fakes.Node
+	keys      [2]*fakes.KeyMemory           // of the two zones
+	discovery map[protocol]*fakes.Discovery // the same list, with addresses of that protocol
 }
 
-func newWorld(t testing.TB, options ...standin.NodeOptions) *world {
+func newWorld(t testing.TB, options ...fakes.NodeOptions) *world {
 	t.Helper()
-	w := &world{ledger: standin.NewLedger(), keys: [2]*standin.KeyMemory{standin.NewKeyMemory(time.Minute),
-		standin.NewKeyMemory(time.Minute)}, discovery: map[protocol]*standin.Discovery{}}
+	w := &world{ledger: fakes.NewLedger(), keys: [2]*fakes.KeyMemory{fakes.NewKeyMemory(time.Minute),
+		fakes.NewKeyMemory(time.Minute)}, discovery: map[protocol]*fakes.Discovery{}}
 	for _, p := range protocols {
-		d := standin.NewDiscovery()
+		d := fakes.NewDiscovery()
 		d.Beat = 500 * time.Millisecond
 		if _, err := d.Listen("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
@@ -116,7 +116,7 @@
 }
 
 // add starts a node and lists it.
-func (w *world) add(t testing.TB, o standin.NodeOptions) *standin.Node {
+func (w *world) add(t testing.TB, o fakes.NodeOptions) *fakes.Node {
 	t.Helper()
 	zone := len(w.nodes) % len(w.keys)
 	o.Ledger, o.Zone, o.Seed, o.Keys = w.ledger, string(rune('a'+zone)), uint64(len(w.nodes)+1), w.keys[zone]
@@ -125,13 +125,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o.Answer = func(j standin.Job) []byte {
+	o.Answer = func(j fakes.Job) []byte {
 		if len(j.Class) > 0 && j.Class[0] == 'b' { // booking.Seats/...: gRPC's
 			return body
 		}
 		return name
 	}
-	n := standin.NewNode(o)
+	n := fakes.NewNode(o)
 	t.Cleanup(n.Close)
 	w.nodes = append(w.nodes, n)
 	since := 0.0
@@ -143,14 +143,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.discovery[p].Set(directory.Endpoint{Name: o.Name, Address: address, Zone: o.Zone, Type: o.Type,
-			Status: directory.StatusReady, SinceMs: since})
+		w.discovery[p].Set(endpoints.Endpoint{Name: o.Name, Address: address, Zone: o.Zone, Type: o.Type,
+			Status: endpoints.StatusReady, SinceMs: since})
 	}
 	return n
 }
 
 // drain tells both discoveries, and the node.
-func (w *world) drain(n *standin.Node) {
+func (w *world) drain(n *fakes.Node) {
 	for _, d := range w.discovery {
 		d.Drain(n.Options().Name)
 	}
@@ -172,7 +172,7 @@
 	ended   chan error
 }
 
-func startDaemon(t testing.TB, d *standin.Discovery, set balancer.Settings) *daemonFront {
+func startDaemon(t testing.TB, d *fakes.Discovery, set balancer.Settings) *daemonFront {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -186,7 +186,7 @@
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	go func() { f.ended <- daemon.Serve(ctx, c, l, "", nil, nil) }()
 	t.Cleanup(f.close)
-	testkit.Eventually(t, "the daemon is ready", func() bool {
+	testutil.Eventually(t, "the daemon is ready", func() bool {
 		resp, err := f.client.Get("http://" + f.address + "/-/ready")
 		if err != nil {
 			return false
@@ -223,7 +223,7 @@
 		return failed, err.Error()
 	}
 	req.Header.Set("X-Request-ID", c.id)
-	req.Header.Set(standin.OperationHeader, c.op)
+	req.Header.Set(fakes.OperationHeader, c.op)
 	if c.class == "record" {
 		req.Header.Set("Idempotency-Key", c.key)
 	}
@@ -248,7 +248,7 @@
 }
 
 type pluginFront struct {
-	plugin *orchidgrpc.Plugin
+	plugin *grpcbalancer.Plugin
 	conn   *grpc.ClientConn
 	once   sync.Once
 }
@@ -257,18 +257,18 @@
 var pluginMethods = map[string]string{"/booking.Seats/search": "search", "/booking.Seats/record": "record",
 	"/booking.Seats/confirm": "confirm"}
 
-func startPlugin(t testing.TB, d *standin.Discovery, set balancer.Settings) *pluginFront {
+func startPlugin(t testing.TB, d *fakes.Discovery, set balancer.Settings) *pluginFront {
 	t.Helper()
 	l := d.Listing()
-	o := orchidgrpc.Options{Settings: set, Seed: 7, Discovery: d.Address(), Version: *l.Index, Methods: pluginMethods}
+	o := grpcbalancer.Options{Settings: set, Seed: 7, Discovery: d.Address(), Version: *l.Index, Methods: pluginMethods}
 	for _, e := range l.Endpoints {
 		since := time.Time{}
 		if e.SinceMs > 0 {
 			since = time.UnixMilli(int64(e.SinceMs))
 		}
-		o.Endpoints = append(o.Endpoints, orchidgrpc.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Since: since})
+		o.Endpoints = append(o.Endpoints, grpcbalancer.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Since: since})
 	}
-	p, err := orchidgrpc.New(o)
+	p, err := grpcbalancer.New(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -291,19 +291,19 @@
 func (f *pluginFront) do(ctx context.Context, c spec) (kind, string) { return askGRPC(ctx, f.conn, c) }
 
 func askGRPC(ctx context.Context, conn *grpc.ClientConn, c spec) (kind, string) {
-	ctx = metadata.AppendToOutgoingContext(ctx, orchidgrpc.RequestIDKey, c.id, "x-operation", c.op)
+	ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.RequestIDKey, c.id, "x-operation", c.op)
 	if c.class == "record" {
-		ctx = metadata.AppendToOutgoingContext(ctx, orchidgrpc.IdempotencyKey, c.key)
+		ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.IdempotencyKey, c.key)
 	}
 	if c.cost > 0 {
-		ctx = metadata.AppendToOutgoingContext(ctx, orchidgrpc.CostKey, strconv.FormatInt(c.cost.Microseconds(), 10))
+		ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.CostKey, strconv.FormatInt(c.cost.Microseconds(), 10))
 	}
 	reply := &wrapperspb.StringValue{}
 	err := conn.Invoke(ctx, "/booking.Seats/"+c.class, wrapperspb.String("seat 4"), reply)
 	switch {
 	case err == nil:
 		return served, reply.GetValue()
-	case !orchidgrpc.MayHaveRun(err):
+	case !grpcbalancer.MayHaveRun(err):
 		return refused, ""
 	case status.Code(err) == codes.Unavailable:
 		return failed, "UNAVAILABLE for what may have run: " + err.Error()
--- a/internal/suite/knownred_test.go
+++ b/internal/testing/conformance/knownred_test.go
@@ -1,4 +1,4 @@
-package suite
+package conformance
 
 import (
 	"os"
@@ -11,7 +11,7 @@
 // The script that runs the tests goes on only over those that KNOWN-RED.txt lists, each with its cause and issue, and prints them; it
 // fails for any other, and for a list that is not one.
 func TestKnownRed(t *testing.T) {
-	script, err := filepath.Abs("../../.ci/tests.sh")
+	script, err := filepath.Abs("../../../.ci/tests.sh")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/suite/moments_test.go
+++ b/internal/testing/conformance/moments_test.go
@@ -1,4 +1,4 @@
-package suite
+package conformance
 
 import (
 	"io/fs"
@@ -12,7 +12,7 @@
 // Each crossing of docs/design/moments.md has a test, and each test that it names is there.
 func TestEveryCrossingHasItsTest(t *testing.T) {
 	there, declared := map[string]bool{}, regexp.MustCompile(`(?m)^func (Test\w+)\(`)
-	err := filepath.WalkDir("../..", func(path string, _ fs.DirEntry, err error) error {
+	err := filepath.WalkDir("../../..", func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, "_test.go") {
 			return err
 		}
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := os.ReadFile("../../docs/design/moments.md")
+	text, err := os.ReadFile("../../../docs/design/moments.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/suite/replace_test.go
+++ b/internal/testing/conformance/replace_test.go
@@ -1,4 +1,4 @@
-package suite
+package conformance
 
 import (
 	"context"
@@ -16,16 +16,16 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // replaced is one sidecar whose process is replaced: real processes that share an address and a folder.
 type replaced struct {
 	t              *testing.T
-	discovery      *standin.Discovery
+	discovery      *fakes.Discovery
 	config, folder string
 	listen         string
 	client         *http.Client
@@ -39,23 +39,23 @@
 }
 
 func newReplaced(t *testing.T) *replaced {
-	r, _ := newReplacedWorld(t, standin.NodeOptions{Cores: 8, Work: 5 * time.Millisecond})
+	r, _ := newReplacedWorld(t, fakes.NodeOptions{Cores: 8, Work: 5 * time.Millisecond})
 	return r
 }
 
 // newReplacedWorld is newReplaced before nodes of that kind.
-func newReplacedWorld(t *testing.T, node standin.NodeOptions) (*replaced, *world) {
+func newReplacedWorld(t *testing.T, node fakes.NodeOptions) (*replaced, *world) {
 	w := newWorld(t, node, node, node)
 	listen := base.FreeAddress(t)
 	return &replaced{t: t, discovery: w.discovery[overHTTP], config: configFile(t, w, overHTTP, listen), folder: t.TempDir(), listen: listen,
-		client: &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{DisableKeepAlives: true}}}, w
+		client: &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: true}}}, w
 }
 
 // start starts a process, and waits until it can serve.
 func (r *replaced) start() *process {
 	r.t.Helper()
 	p := r.begin()
-	testkit.Eventually(r.t, "it can serve, or has ended", func() bool {
+	testutil.Eventually(r.t, "it can serve, or has ended", func() bool {
 		select {
 		case <-p.over:
 			return true
@@ -73,7 +73,7 @@
 
 func (r *replaced) wait(p *process) {
 	r.t.Helper()
-	testkit.Eventually(r.t, "it can serve", func() bool { return r.call("GET", "http://"+p.control+"/ready") == 200 })
+	testutil.Eventually(r.t, "it can serve", func() bool { return r.call("GET", "http://"+p.control+"/ready") == 200 })
 }
 
 // figure is one of a process's figures; -1: it can't be had.
@@ -143,11 +143,11 @@
 	var clients sync.WaitGroup
 	var served, unheard atomic.Int64
 	for n := range 6 {
-		client := &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{DisableKeepAlives: n%2 == 0}}
+		client := &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: n%2 == 0}}
 		clients.Go(func() {
 			defer client.CloseIdleConnections()
 			for ctx.Err() == nil {
-				resp, err := client.Do(testkit.Request(r.t, r.listen, "search", ""))
+				resp, err := client.Do(testutil.Request(r.t, r.listen, "search", ""))
 				if err != nil {
 					unheard.Add(1)
 					r.t.Error(err)
@@ -202,7 +202,7 @@
 	if err != nil || len(paths) != 1 {
 		t.Fatalf("%v, %v", paths, err)
 	}
-	testkit.Eventually(t, "the old one can be asked again", func() bool {
+	testutil.Eventually(t, "the old one can be asked again", func() bool {
 		c, err := net.Dial("unix", paths[0])
 		if err != nil {
 			return false
@@ -269,7 +269,7 @@
 	if r.call("POST", "http://"+second.control+"/undrain") != 200 {
 		t.Error("it does not take clients again")
 	}
-	testkit.Eventually(t, "both serve", func() bool {
+	testutil.Eventually(t, "both serve", func() bool {
 		for range 20 {
 			if ready() != 200 {
 				return false
@@ -302,7 +302,7 @@
 	_ = second.Process.Signal(syscall.SIGHUP) // before it is ready it would end it, as it does any program
 	r.end(old)
 	r.discovery.Drain("n0")
-	testkit.Eventually(t, "the drain is heard", func() bool { return r.figure(second, "members_unavailable") == 1 })
+	testutil.Eventually(t, "the drain is heard", func() bool { return r.figure(second, "members_unavailable") == 1 })
 	stop()
 	if n := r.figure(second, "members"); n != 3 {
 		t.Errorf("%d members", n)
@@ -315,10 +315,10 @@
 	r := newReplaced(t)
 	old := r.start()
 	r.discovery.Drain("n0")
-	testkit.Eventually(t, "the drain is heard", func() bool { return r.figure(old, "members_unavailable") == 1 })
+	testutil.Eventually(t, "the drain is heard", func() bool { return r.figure(old, "members_unavailable") == 1 })
 	r.discovery.Down(true)
 	index := int64(0)
-	writeConfig(t, r.config, r.discovery, overHTTP, r.listen, &directory.Listing{Index: &index, Snapshot: true, Endpoints: []directory.Endpoint{}})
+	writeConfig(t, r.config, r.discovery, overHTTP, r.listen, &endpoints.Listing{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{}})
 	stop := r.load()
 	second := r.start()
 	r.end(old)
@@ -330,25 +330,25 @@
 	}
 	r.discovery.Down(false)
 	r.discovery.Drain("n1")
-	testkit.Eventually(t, "it is followed again", func() bool { return r.figure(second, "members_unavailable") == 2 })
+	testutil.Eventually(t, "it is followed again", func() bool { return r.figure(second, "members_unavailable") == 2 })
 }
 
 // Guards against a claim of "not run" that a replacement turns false: requests in hand stay with the old process, none of them is decided
 // by the new one, and what either says of them holds. Nodes break connections behind requests that they run, and turn others away.
 func TestNothingRunsTwiceThroughReplacements(t *testing.T) {
-	r, w := newReplacedWorld(t, standin.NodeOptions{Cores: 8, Work: 5 * time.Millisecond, Faults: []standin.Fault{
-		{Kind: standin.ResetAfter, Class: "confirm", Share: 0.1}, {Kind: standin.TurnAway, Class: "confirm", Share: 0.1}}})
+	r, w := newReplacedWorld(t, fakes.NodeOptions{Cores: 8, Work: 5 * time.Millisecond, Faults: []fakes.Fault{
+		{Kind: fakes.ResetAfter, Class: "confirm", Share: 0.1}, {Kind: fakes.TurnAway, Class: "confirm", Share: 0.1}}})
 	process := r.start()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var clients sync.WaitGroup
 	var asked atomic.Int64
 	for n := range 6 {
-		client := &http.Client{Timeout: testkit.Patience, Transport: &http.Transport{DisableKeepAlives: n%2 == 0}}
+		client := &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: n%2 == 0}}
 		clients.Go(func() {
 			defer client.CloseIdleConnections()
 			for ctx.Err() == nil {
-				req := testkit.Request(t, r.listen, "confirm", "")
+				req := testutil.Request(t, r.listen, "confirm", "")
 				resp, err := client.Do(req)
 				if err != nil {
 					t.Error(err)
@@ -366,7 +366,7 @@
 	}
 	for range 3 {
 		before := asked.Load()
-		testkit.Eventually(t, "requests are in hand", func() bool { return asked.Load() > before+50 })
+		testutil.Eventually(t, "requests are in hand", func() bool { return asked.Load() > before+50 })
 		next := r.start()
 		r.end(process)
 		process = next
--- a/internal/suite/suite_test.go
+++ b/internal/testing/conformance/suite_test.go
@@ -1,4 +1,4 @@
-package suite
+package conformance
 
 import (
 	"cmp"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
 )
 
 // load makes calls from so many workers, each pausing a moment between two, and counts answers by class and kind.
@@ -55,38 +55,38 @@
 // plays of three; answers of a script that leaves no chance are to be equal in each.
 // docs/design/fronts.md derives it.
 func TestSameAnswersSameLoad(t *testing.T) {
-	node := func(faults ...standin.Fault) standin.NodeOptions {
-		return standin.NodeOptions{Cores: 8, Work: 2 * time.Millisecond, Faults: faults}
+	node := func(faults ...fakes.Fault) fakes.NodeOptions {
+		return fakes.NodeOptions{Cores: 8, Work: 2 * time.Millisecond, Faults: faults}
 	}
-	fault := func(k standin.FaultKind) standin.Fault { return standin.Fault{Kind: k, Factor: 8} }
+	fault := func(k fakes.FaultKind) fakes.Fault { return fakes.Fault{Kind: k, Factor: 8} }
 	ok := node()
 	for _, c := range []struct {
 		name  string
-		nodes []standin.NodeOptions
+		nodes []fakes.NodeOptions
 		exact bool // no chance in the answers
 		calls int  // of each of 8 workers
 		// A broken connection ends one HTTP/1.1 request and every gRPC stream on it: where all nodes break them, what
 		// arrives differs, and only answers are compared.
 		answersOnly bool
 	}{
-		{"healthy", []standin.NodeOptions{ok, ok, ok, ok, ok}, true, 90, false},
-		{"one slow", []standin.NodeOptions{node(fault(standin.Slow)), ok, ok, ok, ok}, true, 90, false},
-		{"one freezes", []standin.NodeOptions{node(standin.Fault{Kind: standin.Freeze, Every: 400 * time.Millisecond,
+		{"healthy", []fakes.NodeOptions{ok, ok, ok, ok, ok}, true, 90, false},
+		{"one slow", []fakes.NodeOptions{node(fault(fakes.Slow)), ok, ok, ok, ok}, true, 90, false},
+		{"one freezes", []fakes.NodeOptions{node(fakes.Fault{Kind: fakes.Freeze, Every: 400 * time.Millisecond,
 			For: 100 * time.Millisecond}), ok, ok, ok}, true, 90, false},
-		{"one turns away", []standin.NodeOptions{node(fault(standin.TurnAway)), ok, ok, ok}, true, 60, false},
-		{"one refuses at the wire", []standin.NodeOptions{node(fault(standin.RefuseAtWire)), ok, ok, ok}, true, 60, false},
-		{"one sends GOAWAY", []standin.NodeOptions{node(fault(standin.GoAway)), ok, ok, ok}, true, 60, false},
-		{"all turn away", []standin.NodeOptions{node(fault(standin.TurnAway)), node(fault(standin.TurnAway))}, true, 4, false},
-		{"all break before it runs", []standin.NodeOptions{node(fault(standin.ResetBefore)), node(fault(standin.ResetBefore))}, false, 20, true},
-		{"one breaks after it ran", []standin.NodeOptions{node(fault(standin.ResetAfter)), ok, ok, ok}, false, 60, false},
-		{"one answers errors", []standin.NodeOptions{node(fault(standin.Fail)), ok, ok, ok}, false, 60, false},
-		{"one can't be read", []standin.NodeOptions{node(fault(standin.Garble)), ok, ok, ok}, false, 60, false},
-		{"one cuts its answers", []standin.NodeOptions{node(fault(standin.Cut)), ok, ok, ok}, false, 60, false},
+		{"one turns away", []fakes.NodeOptions{node(fault(fakes.TurnAway)), ok, ok, ok}, true, 60, false},
+		{"one refuses at the wire", []fakes.NodeOptions{node(fault(fakes.RefuseAtWire)), ok, ok, ok}, true, 60, false},
+		{"one sends GOAWAY", []fakes.NodeOptions{node(fault(fakes.GoAway)), ok, ok, ok}, true, 60, false},
+		{"all turn away", []fakes.NodeOptions{node(fault(fakes.TurnAway)), node(fault(fakes.TurnAway))}, true, 4, false},
+		{"all break before it runs", []fakes.NodeOptions{node(fault(fakes.ResetBefore)), node(fault(fakes.ResetBefore))}, false, 20, true},
+		{"one breaks after it ran", []fakes.NodeOptions{node(fault(fakes.ResetAfter)), ok, ok, ok}, false, 60, false},
+		{"one answers errors", []fakes.NodeOptions{node(fault(fakes.Fail)), ok, ok, ok}, false, 60, false},
+		{"one can't be read", []fakes.NodeOptions{node(fault(fakes.Garble)), ok, ok, ok}, false, 60, false},
+		{"one cuts its answers", []fakes.NodeOptions{node(fault(fakes.Cut)), ok, ok, ok}, false, 60, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			apart := map[string]*[3]int{} // by count: -1, 0 or 1 in each play
 			for play := range 3 {
-				answers, nodes := map[protocol]map[string]int{}, map[protocol]map[string]standin.NodeCount{}
+				answers, nodes := map[protocol]map[string]int{}, map[protocol]map[string]fakes.NodeCount{}
 				for _, p := range protocols {
 					w := newWorld(t, c.nodes...)
 					f := w.start(t, p, suiteSettings(2*time.Second))
@@ -150,7 +150,7 @@
 // the nodes when one of them starts anew. Each is told that there are two balancers. The node must not fall over, and
 // must be used.
 func TestColdNodeStandsBothFronts(t *testing.T) {
-	node := standin.NodeOptions{Cores: 4, ColdFrom: 0.3, WarmUp: 8800 * time.Millisecond, FallMultiple: 3, FallTime: 2 * time.Second}
+	node := fakes.NodeOptions{Cores: 4, ColdFrom: 0.3, WarmUp: 8800 * time.Millisecond, FallMultiple: 3, FallTime: 2 * time.Second}
 	w := newWorld(t, node, node, node)
 	set := suiteSettings(2 * time.Second)
 	set.Balancers = 2
@@ -203,7 +203,7 @@
 // Guards against sends to a node that drains: what it had is finished, and nothing comes later than 250 ms after the
 // front was told. Nodes drain and come back under load, in both fronts at once.
 func TestNothingNewAfterADrain(t *testing.T) {
-	node := standin.NodeOptions{Cores: 32, Work: 3 * time.Millisecond}
+	node := fakes.NodeOptions{Cores: 32, Work: 3 * time.Millisecond}
 	w := newWorld(t, node, node, node, node)
 	set := suiteSettings(2 * time.Second)
 	fronts := []front{w.start(t, overHTTP, set), w.start(t, overGRPC, set)}
@@ -232,7 +232,7 @@
 		time.Sleep(150 * time.Millisecond)
 		w.drain(w.nodes[round])
 		drains++
-		w.add(t, standin.NodeOptions{Name: fmt.Sprint("r", round), Cores: 32, Work: 3 * time.Millisecond})
+		w.add(t, fakes.NodeOptions{Name: fmt.Sprint("r", round), Cores: 32, Work: 3 * time.Millisecond})
 	}
 	time.Sleep(300 * time.Millisecond)
 	close(stop)
@@ -252,7 +252,7 @@
 	}
 	for p, d := range w.discovery {
 		for i := range drains {
-			if _, ok := d.Told(w.nodes[i].Options().Name, directory.StatusTerminating); !ok {
+			if _, ok := d.Told(w.nodes[i].Options().Name, endpoints.StatusTerminating); !ok {
 				t.Errorf("%s was never told of drain %d", p, i)
 			}
 		}
@@ -265,7 +265,7 @@
 	for _, p := range protocols {
 		t.Run(string(p), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, standin.NodeOptions{Cores: 8}, standin.NodeOptions{Cores: 8})
+			w := newWorld(t, fakes.NodeOptions{Cores: 8}, fakes.NodeOptions{Cores: 8})
 			f := w.start(t, p, suiteSettings(2*time.Second))
 			n := 0
 			ask := func() (kind, string) {
@@ -280,12 +280,12 @@
 					t.Errorf("while discovery is down: %s %s", k, text)
 				}
 			}
-			w.add(t, standin.NodeOptions{Name: "new", Cores: 8})
+			w.add(t, fakes.NodeOptions{Name: "new", Cores: 8})
 			for _, old := range w.nodes[:2] {
 				w.discovery[p].Remove(old.Options().Name)
 			}
 			w.discovery[p].Down(false)
-			testkit.Eventually(t, "the new node serves", func() bool { _, name := ask(); return name == "new" })
+			testutil.Eventually(t, "the new node serves", func() bool { _, name := ask(); return name == "new" })
 			for range 20 {
 				if k, name := ask(); k != served || name != "new" {
 					t.Errorf("afterwards: %s %s", k, name)
@@ -300,24 +300,24 @@
 // and those of a zone share their memory of keys. The ledger knows each execution by the client's operation. No unsafe
 // operation may run twice, no keyed one either, and every call has one answer.
 func TestNothingRunsTwice(t *testing.T) {
-	faults := func(n int) (f []standin.Fault) {
-		for _, k := range []standin.FaultKind{standin.TurnAway, standin.Fail, standin.FailUnrun, standin.ResetBefore,
-			standin.ResetAfter, standin.LoseAnswer, standin.Hang, standin.Garble, standin.Cut, standin.RefuseAtWire, standin.GoAway} {
+	faults := func(n int) (f []fakes.Fault) {
+		for _, k := range []fakes.FaultKind{fakes.TurnAway, fakes.Fail, fakes.FailUnrun, fakes.ResetBefore,
+			fakes.ResetAfter, fakes.LoseAnswer, fakes.Hang, fakes.Garble, fakes.Cut, fakes.RefuseAtWire, fakes.GoAway} {
 			share := 0.04
-			if k == standin.LoseAnswer || k == standin.Hang {
+			if k == fakes.LoseAnswer || k == fakes.Hang {
 				share = 0.01 // each costs its caller the whole deadline
 			}
-			f = append(f, standin.Fault{Kind: k, Share: share})
+			f = append(f, fakes.Fault{Kind: k, Share: share})
 		}
-		return append(f, standin.Fault{Kind: standin.Freeze, From: time.Duration(n) * 70 * time.Millisecond,
+		return append(f, fakes.Fault{Kind: fakes.Freeze, From: time.Duration(n) * 70 * time.Millisecond,
 			Every: time.Second, For: 60 * time.Millisecond})
 	}
 	for _, p := range protocols {
 		t.Run(string(p), func(t *testing.T) {
 			t.Parallel()
-			var nodes []standin.NodeOptions
+			var nodes []fakes.NodeOptions
 			for n := range 6 {
-				nodes = append(nodes, standin.NodeOptions{Cores: 16, Faults: faults(n)})
+				nodes = append(nodes, fakes.NodeOptions{Cores: 16, Faults: faults(n)})
 			}
 			w := newWorld(t, nodes...)
 			set := suiteSettings(300 * time.Millisecond)
--- a/internal/procs/crowded_test.go
+++ b/internal/testing/processes/crowded_test.go
@@ -1,4 +1,4 @@
-package procs
+package processes
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/standin"
+	"orchiddrift/internal/fakes"
 )
 
 // Symptom: requests went to a draining server 0.31 s and more after its drain counted as told, with six sidecars.
@@ -44,7 +44,7 @@
 	)
 	reloads := []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, 900 * time.Millisecond, 1800 * time.Millisecond}
 	r := New(t, 1)
-	disco := standin.NewDiscovery()
+	disco := fakes.NewDiscovery()
 	f := watch(t, r, sidecars, upstreams, false, disco, 20)
 	disco.Down(true)
 	settled(time.Now().Add(outage))
@@ -79,7 +79,7 @@
 }
 
 // redirect gives a daemon a file that names another address of the same discovery, and has it read.
-func redirect(p *Process, disco *standin.Discovery, i, sidecars int) error {
+func redirect(p *Process, disco *fakes.Discovery, i, sidecars int) error {
 	address, err := disco.Join()
 	if err != nil {
 		return err
--- a/internal/procs/doc.go
+++ b/internal/testing/processes/doc.go
@@ -5,4 +5,4 @@
 // a Link, which drops, delays, hangs, cuts and resets what it carries. A Script is what is done when, drawn from a seed (Draw, free of I/O)
 // and played by Rig.Play. All that is done, and each line that a process writes, is one History. Close ends every process by its pid; the
 // kernel ends them where the rig's own process dies.
-package procs
+package processes
--- a/internal/procs/leaving_test.go
+++ b/internal/testing/processes/leaving_test.go
@@ -1,4 +1,4 @@
-package procs
+package processes
 
 import (
 	"encoding/json"
@@ -14,13 +14,13 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/standin"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
 )
 
 // watched is a fleet of daemons that follow one discovery, before upstreams that note when requests come, all on one clock.
 type watched struct {
-	disco   *standin.Discovery
+	disco   *fakes.Discovery
 	daemons []*Process
 	names   []string // of the upstreams
 	mu      sync.Mutex
@@ -52,10 +52,10 @@
 }
 
 // watch starts daemons and upstreams, and a load of so many requests a second on each daemon.
-func watch(t *testing.T, r *Rig, sidecars, upstreams int, pushed bool, disco *standin.Discovery, rate float64) *watched {
+func watch(t *testing.T, r *Rig, sidecars, upstreams int, pushed bool, disco *fakes.Discovery, rate float64) *watched {
 	t.Helper()
 	f := &watched{disco: disco, came: map[string][]time.Time{}, stop: make(chan struct{})}
-	var entries []directory.Endpoint
+	var entries []endpoints.Endpoint
 	for i := range upstreams {
 		name := fmt.Sprintf("u%d", i)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,7 +72,7 @@
 		go s.Serve(l)
 		t.Cleanup(func() { s.Close() })
 		f.names = append(f.names, name)
-		entries = append(entries, directory.Endpoint{Name: name, Address: l.Addr().String(), Zone: "a", Type: "m", Status: directory.StatusReady})
+		entries = append(entries, endpoints.Endpoint{Name: name, Address: l.Addr().String(), Zone: "a", Type: "m", Status: endpoints.StatusReady})
 	}
 	disco.Beat = 2 * time.Second // the protocol's
 	address, err := disco.Listen("127.0.0.1:0")
@@ -182,7 +182,7 @@
 		t.Run(how, func(t *testing.T) {
 			pushed := how == "pushed"
 			r := New(t, 1)
-			disco := standin.NewDiscovery()
+			disco := fakes.NewDiscovery()
 			if *fleet && !pushed { // it takes all calls in 2 s, and none that would wait for more than 1 s
 				disco.Rate, disco.Timeout = float64(sidecars)/2, time.Second
 			}
@@ -249,7 +249,7 @@
 	for _, n := range []int{10, 100, 300, 1024} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			r := New(t, 1)
-			disco := standin.NewDiscovery()
+			disco := fakes.NewDiscovery()
 			disco.Indent = n == 1024
 			begun := time.Now()
 			f := watch(t, r, 1, n, false, disco, 200)
--- a/internal/procs/procs_test.go
+++ b/internal/testing/processes/procs_test.go
@@ -1,4 +1,4 @@
-package procs
+package processes
 
 import (
 	"context"
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) {
 	code := Main(m)
-	if err := goleak.Find(goleak.IgnoreAnyFunction("orchiddrift/internal/procs.init.func1.1")); err != nil && code == 0 {
+	if err := goleak.Find(goleak.IgnoreAnyFunction("orchiddrift/internal/testing/processes.init.func1.1")); err != nil && code == 0 {
 		fmt.Fprintln(os.Stderr, err)
 		code = 1
 	}
--- a/internal/procs/restart_test.go
+++ b/internal/testing/processes/restart_test.go
@@ -1,4 +1,4 @@
-package procs
+package processes
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/standin"
+	"orchiddrift/internal/fakes"
 )
 
 // Guards against a process that ends by a signal as it ends by itself, or loses what it has: SIGTERM and SIGHUP come on and on, with a
@@ -78,7 +78,7 @@
 	for _, how := range []string{"crowded", "refuses for 4 s", "slow"} {
 		t.Run(how, func(t *testing.T) {
 			r := New(t, 1)
-			disco := standin.NewDiscovery()
+			disco := fakes.NewDiscovery()
 			disco.Rate, disco.Timeout = float64(sidecars)/2, time.Second
 			f := watch(t, r, sidecars, upstreams, false, disco, 0.1)
 			var killing sync.WaitGroup
--- a/internal/procs/rig.go
+++ b/internal/testing/processes/rig.go
@@ -1,4 +1,4 @@
-package procs
+package processes
 
 import (
 	"context"
--- a/internal/soak/fleet.go
+++ b/internal/testing/soak/fleet.go
@@ -12,18 +12,18 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/procs"
-	"orchiddrift/internal/standin"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/processes"
 )
 
 // fleet is what a script is played to.
 type fleet struct {
 	t         testing.TB
 	script    Script
-	rig       *procs.Rig
+	rig       *processes.Rig
 	record    *recorder
-	discovery *standin.Discovery
+	discovery *fakes.Discovery
 	upstreams []*upstream
 	sidecars  []*sidecar
 	playing   sync.WaitGroup
@@ -35,14 +35,14 @@
 // sidecar is a place for one process after another, at one address.
 type sidecar struct {
 	number  int
-	process *procs.Process
+	process *processes.Process
 	address string
 
 	mu       sync.Mutex // held while it is started, ended, or reloaded
 	lists    string     // the address of discovery in its configuration
 	life     int        // its place in the record
 	started  time.Time
-	reserved *standin.Reservation
+	reserved *fakes.Reservation
 }
 
 const (
@@ -56,7 +56,7 @@
 // Play plays a script and returns what was seen. It fails the test only where the fleet cannot be set up.
 func Play(t testing.TB, script Script) *Record {
 	t.Helper()
-	f := &fleet{t: t, script: script, rig: procs.New(t, script.Seed), record: &recorder{begun: time.Now()}, addresses: map[string]int{}}
+	f := &fleet{t: t, script: script, rig: processes.New(t, script.Seed), record: &recorder{begun: time.Now()}, addresses: map[string]int{}}
 	f.record.Grace = script.Grace
 	f.setUp()
 	ctx, stop := context.WithCancel(context.Background())
@@ -77,7 +77,7 @@
 }
 
 func (f *fleet) setUp() {
-	var entries []directory.Endpoint
+	var entries []endpoints.Endpoint
 	for i := range f.script.Upstreams {
 		u, err := newUpstream(fmt.Sprintf("u%d", i), f.script.Seed, f.record)
 		if err != nil {
@@ -85,9 +85,9 @@
 		}
 		f.t.Cleanup(u.close)
 		f.upstreams = append(f.upstreams, u)
-		entries = append(entries, directory.Endpoint{Name: u.name, Address: u.address, Zone: "a", Type: "m", Status: directory.StatusReady})
+		entries = append(entries, endpoints.Endpoint{Name: u.name, Address: u.address, Zone: "a", Type: "m", Status: endpoints.StatusReady})
 	}
-	f.discovery = standin.NewDiscovery(entries...)
+	f.discovery = fakes.NewDiscovery(entries...)
 	f.discovery.Beat = 2 * time.Second
 	f.discovery.Rate, f.discovery.Timeout = f.script.CallRate, f.script.CallLimit
 	f.discovery.Wrote = f.wrote
@@ -130,13 +130,13 @@
 }
 
 func (f *fleet) newSidecar(number int) *sidecar {
-	reserved, err := standin.Reserve("127.0.0.1:0")
+	reserved, err := fakes.Reserve("127.0.0.1:0")
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	f.t.Cleanup(reserved.Release)
 	s := &sidecar{number: number, address: reserved.Address, lists: f.join(number), reserved: reserved}
-	s.process = f.rig.Process(procs.Spec{Name: fmt.Sprintf("n%d", number), Ready: procs.Listening,
+	s.process = f.rig.Process(processes.Spec{Name: fmt.Sprintf("n%d", number), Ready: processes.Listening,
 		Args: []string{"serve", "--config", "config.json", "--file", "operators.toml"}})
 	return s
 }
@@ -156,11 +156,11 @@
 }
 
 // known is the list as it was before anything changed.
-func (f *fleet) known() *directory.Listing {
+func (f *fleet) known() *endpoints.Listing {
 	version := int64(1)
-	l := &directory.Listing{Index: &version, Snapshot: true}
+	l := &endpoints.Listing{Index: &version, Snapshot: true}
 	for _, u := range f.upstreams {
-		l.Endpoints = append(l.Endpoints, directory.Endpoint{Name: u.name, Address: u.address, Zone: "a", Type: "m", Status: directory.StatusReady})
+		l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: u.name, Address: u.address, Zone: "a", Type: "m", Status: endpoints.StatusReady})
 	}
 	return l
 }
@@ -188,7 +188,7 @@
 		r.Lives = append(r.Lives, Life{Sidecar: s.number, Span: Span{From: f.record.now()}})
 	})
 	s.started = time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), procs.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), processes.Patience)
 	defer cancel()
 	if err := s.process.Start(ctx, f.files(s)); err != nil {
 		f.crashed(s, err.Error())
@@ -324,7 +324,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), f.script.Deadline+killSlack)
 	defer cancel()
 	if s.process.Await(ctx) != nil {
-		killed, stop := context.WithTimeout(context.Background(), procs.Patience)
+		killed, stop := context.WithTimeout(context.Background(), processes.Patience)
 		defer stop()
 		_ = s.process.Kill(killed)
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/procs"
+	"orchiddrift/internal/testing/processes"
 )
 
 var (
@@ -19,9 +19,9 @@
 	reportTo = flag.String("report", "", "a directory for the script, the record and the findings of each seed that breaks a rule")
 )
 
-func TestMain(m *testing.M) { os.Exit(procs.Main(m)) }
+func TestMain(m *testing.M) { os.Exit(processes.Main(m)) }
 
-// The soak: go test ./internal/soak -run Soak -v -timeout 2h -parallel 4 -seeds 50 -report DIR. The verdict on a seed is its findings.
+// The soak: go test ./internal/testing/soak -run Soak -v -timeout 2h -parallel 4 -seeds 50 -report DIR. The verdict on a seed is its findings.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes a minute")
--- a/internal/testkit/base/base.go
+++ b/internal/testing/testutil/base/base.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"orchiddrift/internal/standin"
+	"orchiddrift/internal/fakes"
 )
 
 // Patience bounds every wait of the tests; on a good run none comes near it.
@@ -32,7 +32,7 @@
 // FreeAddress is one that nobody listens at but who is given it, to the test's end.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
-	r, err := standin.Reserve("127.0.0.1:0")
+	r, err := fakes.Reserve("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,9 +53,9 @@
 }
 
 // CA makes an authority.
-func CA(t testing.TB, name string) *standin.CA {
+func CA(t testing.TB, name string) *fakes.CA {
 	t.Helper()
-	ca, err := standin.NewCA(name)
+	ca, err := fakes.NewCA(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 }
 
 // Issue makes a certificate that is good for an hour.
-func Issue(t testing.TB, ca *standin.CA, names ...string) standin.Issued {
+func Issue(t testing.TB, ca *fakes.CA, names ...string) fakes.Issued {
 	t.Helper()
 	i, err := ca.Issue(time.Hour, names...)
 	if err != nil {
@@ -122,7 +122,7 @@
 }
 
 // ServerTLS is a configuration that shows an issued certificate.
-func ServerTLS(t testing.TB, i standin.Issued) *tls.Config {
+func ServerTLS(t testing.TB, i fakes.Issued) *tls.Config {
 	t.Helper()
 	pair, err := i.Pair()
 	if err != nil {
@@ -132,9 +132,9 @@
 }
 
 // Eureka starts a stand-in registry.
-func Eureka(t testing.TB, o standin.EurekaOptions) *standin.Eureka {
+func Eureka(t testing.TB, o fakes.EurekaOptions) *fakes.Eureka {
 	t.Helper()
-	e, err := standin.NewEureka(o)
+	e, err := fakes.NewEureka(o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,9 +143,9 @@
 }
 
 // Etcd starts a store for the test's length, and returns where it listens.
-func Etcd(t testing.TB, o standin.EtcdOptions) (*standin.Etcd, string) {
+func Etcd(t testing.TB, o fakes.EtcdOptions) (*fakes.Etcd, string) {
 	t.Helper()
-	e := standin.NewEtcd(o)
+	e := fakes.NewEtcd(o)
 	at, err := e.Start()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testkit/testkit.go
+++ b/internal/testing/testutil/testkit.go
@@ -1,6 +1,6 @@
 // Package testkit is what the tests of several packages share: waiting on conditions, the stand-ins with their clean-up,
 // and well-formed configurations and requests. Only tests import it.
-package testkit
+package testutil
 
 import (
 	"bytes"
@@ -16,9 +16,9 @@
 	"time"
 
 	"orchiddrift/internal/config"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // Patience is base.Patience.
@@ -31,9 +31,9 @@
 }
 
 // Raw starts an upstream that answers as told.
-func Raw(t testing.TB, answer func(net.Conn, standin.Got) bool) *standin.Raw {
+func Raw(t testing.TB, answer func(net.Conn, fakes.Got) bool) *fakes.Raw {
 	t.Helper()
-	u, err := standin.NewRaw(answer)
+	u, err := fakes.NewRaw(answer)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,9 +42,9 @@
 }
 
 // Discovery starts one that sends what script says.
-func Discovery(t testing.TB, script func(n int, send func(string), done <-chan struct{})) *standin.ScriptedDiscovery {
+func Discovery(t testing.TB, script func(n int, send func(string), done <-chan struct{})) *fakes.ScriptedDiscovery {
 	t.Helper()
-	d, err := standin.NewScriptedDiscovery(script)
+	d, err := fakes.NewScriptedDiscovery(script)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 }
 
 // Quiet is a discovery without news.
-func Quiet(t testing.TB) *standin.ScriptedDiscovery {
+func Quiet(t testing.TB) *fakes.ScriptedDiscovery {
 	return Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send(`{"index":1,"snapshot":false,"endpoints":[]}`)
 		for {
@@ -79,9 +79,9 @@
 }
 
 // Listing is the same, parsed.
-func Listing(t testing.TB, index int, snapshot bool, entries ...string) *directory.Listing {
+func Listing(t testing.TB, index int, snapshot bool, entries ...string) *endpoints.Listing {
 	t.Helper()
-	l, err := directory.ParseListing([]byte(List(index, snapshot, entries...)))
+	l, err := endpoints.ParseListing([]byte(List(index, snapshot, entries...)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/keys/declaration.go
+++ b/internal/tlscredentials/declaration.go
@@ -1,4 +1,4 @@
-package keys
+package tlscredentials
 
 import (
 	"crypto/tls"
--- a/internal/keys/keys_test.go
+++ b/internal/tlscredentials/keys_test.go
@@ -1,4 +1,4 @@
-package keys
+package tlscredentials
 
 import (
 	"context"
@@ -14,10 +14,10 @@
 
 	"go.uber.org/goleak"
 
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/logs"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/logging"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -31,13 +31,13 @@
 	lines []string
 }
 
-func newRig(t *testing.T, pair standin.Issued, ca []byte) *rig {
+func newRig(t *testing.T, pair fakes.Issued, ca []byte) *rig {
 	t.Helper()
 	dir := t.TempDir()
 	r := &rig{t: t, files: Files{filepath.Join(dir, "crt"), filepath.Join(dir, "key"), filepath.Join(dir, "ca")}}
 	r.write(pair, ca)
 	var err error
-	if r.Store, err = Open(r.files, 30*time.Minute, logs.To(r.log)); err != nil {
+	if r.Store, err = Open(r.files, 30*time.Minute, logging.To(r.log)); err != nil {
 		t.Fatal(err)
 	}
 	return r
@@ -60,7 +60,7 @@
 	return n
 }
 
-func (r *rig) write(pair standin.Issued, ca []byte) {
+func (r *rig) write(pair fakes.Issued, ca []byte) {
 	base.Replace(r.t, r.files.Certificate, pair.Certificate)
 	base.Replace(r.t, r.files.Key, pair.Key)
 	base.Replace(r.t, r.files.CA, ca)
@@ -128,12 +128,12 @@
 	if r.said("has ended") == 0 || serial(r.Now()) != serialOf(t, second) {
 		t.Error("an end passed unsaid, or took the pair with it")
 	}
-	if _, err := Open(Files{r.files.CA, r.files.Key, ""}, 0, logs.To(r.log)); err == nil {
+	if _, err := Open(Files{r.files.CA, r.files.Key, ""}, 0, logging.To(r.log)); err == nil {
 		t.Error("a pair that does not fit is taken at the start")
 	}
 }
 
-func serialOf(t *testing.T, i standin.Issued) string {
+func serialOf(t *testing.T, i fakes.Issued) string {
 	t.Helper()
 	pair, err := i.Pair()
 	if err != nil {
@@ -183,7 +183,7 @@
 }
 
 // shake makes one connection, and reads the byte that comes once the other side is content.
-func shake(ctx context.Context, c *Client, at directory.Place) (*tls.Conn, error) {
+func shake(ctx context.Context, c *Client, at endpoints.Place) (*tls.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", at.Address)
 	if err != nil {
 		return nil, err
@@ -210,7 +210,7 @@
 	old := node.Clone()
 	old.MaxVersion = tls.VersionTLS12
 	mine := base.Issue(t, ca, "client.example")
-	wants := func(from *standin.CA) *tls.Config {
+	wants := func(from *fakes.CA) *tls.Config {
 		c := node.Clone()
 		c.ClientAuth, c.ClientCAs = tls.RequireAndVerifyClientCert, x509.NewCertPool()
 		c.ClientCAs.AppendCertsFromPEM(from.PEM)
@@ -239,7 +239,7 @@
 		r := newRig(t, mine, ca.PEM)
 		c.d.Name = c.name
 		client := NewClient(r.Store, c.d)
-		at := directory.Place{Address: listen(t, c.server), Identity: c.id}
+		at := endpoints.Place{Address: listen(t, c.server), Identity: c.id}
 		for range 2 { // the second resumes, where there is something to resume
 			conn, err := shake(t.Context(), client, at)
 			if (err == nil) != c.good {
@@ -258,7 +258,7 @@
 	r := newRig(t, base.Issue(t, ca, "a"), ca.PEM)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := shake(ctx, NewClient(r.Store, Upstream{}), directory.Place{Address: listen(t, nil)}); err == nil {
+	if _, err := shake(ctx, NewClient(r.Store, Upstream{}), endpoints.Place{Address: listen(t, nil)}); err == nil {
 		t.Error("a stalled handshake came up")
 	}
 }
@@ -268,9 +268,9 @@
 	old, new := base.CA(t, "old"), base.CA(t, "new")
 	r := newRig(t, base.Issue(t, old, "a"), old.PEM)
 	client := NewClient(r.Store, Upstream{})
-	before := directory.Place{Address: listen(t, base.ServerTLS(t, base.Issue(t, old, "127.0.0.1")))}
-	after := directory.Place{Address: listen(t, base.ServerTLS(t, base.Issue(t, new, "127.0.0.1")))}
-	open := func(at directory.Place) *tls.Conn {
+	before := endpoints.Place{Address: listen(t, base.ServerTLS(t, base.Issue(t, old, "127.0.0.1")))}
+	after := endpoints.Place{Address: listen(t, base.ServerTLS(t, base.Issue(t, new, "127.0.0.1")))}
+	open := func(at endpoints.Place) *tls.Conn {
 		t.Helper()
 		conn, err := shake(t.Context(), client, at)
 		if err != nil {
--- a/internal/upstream/by_test.go
+++ b/internal/upstream/by_test.go
@@ -8,25 +8,25 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // Guards against a repeat that reaches its group when that has forgotten it: one that waited for its connection, or whose upstream took
 // its body too slowly, is not sent, and says nothing of the upstream.
 func TestWrittenByThenOrNotAtAll(t *testing.T) {
 	release := make(chan struct{})
-	s := testkit.Raw(t, func(c net.Conn, g standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		if g.Body == "first" {
 			<-release
 		}
-		return standin.Says(standin.OK200("a"))(c, g)
+		return fakes.Says(fakes.OK200("a"))(c, g)
 	})
-	u := testPool(t, 1, testkit.Entry("s", s.Address, "Ready"))
+	u := testPool(t, 1, testutil.Entry("s", s.Address, "Ready"))
 	first := make(chan balancer.Result, 1)
 	go func() { first <- u.Attempt(t.Context(), "s", testRequest("POST", "first"), time.Time{}).Result }()
-	testkit.Eventually(t, "it has the one connection", func() bool { return len(s.Requests()) == 1 })
+	testutil.Eventually(t, "it has the one connection", func() bool { return len(s.Requests()) == 1 })
 	by := time.Now().Add(20 * time.Millisecond)
 	repeat := make(chan balancer.Result, 1)
 	go func() {
@@ -63,7 +63,7 @@
 		_, err = io.Copy(io.Discard, io.LimitReader(c, 64<<20))
 		whole <- err
 	}()
-	slow := testPool(t, 1, testkit.Entry("s", l.Addr().String(), "Ready"))
+	slow := testPool(t, 1, testutil.Entry("s", l.Addr().String(), "Ready"))
 	large := NewRequest(http.MethodPost, "/record/1", "s", nil, make([]byte, 32<<20))
 	if got := slow.AttemptWithin(t.Context(), "s", large, Terms{By: time.Now().Add(50 * time.Millisecond)}).Result; got != balancer.Moot {
 		t.Errorf("a body that is taken too slowly: %v", got)
@@ -71,13 +71,13 @@
 	close(repeat)
 	<-whole
 	late := base.NewLate(t)
-	comesUp := testPool(t, 1, testkit.Entry("s", late.Address, "Ready"))
+	comesUp := testPool(t, 1, testutil.Entry("s", late.Address, "Ready"))
 	slowly := make(chan balancer.Result, 1)
 	by = time.Now().Add(300 * time.Millisecond)
 	go func() {
 		slowly <- comesUp.AttemptWithin(t.Context(), "s", testRequest("GET", ""), Terms{By: by}).Result
 	}()
-	testkit.Eventually(t, "it waits for its connection", func() bool { return comesUp.slots.Held() == 1 })
+	testutil.Eventually(t, "it waits for its connection", func() bool { return comesUp.slots.Held() == 1 })
 	time.Sleep(time.Until(by)) // the moment itself: connections come up later, see base.Late
 	late.ComeUp()
 	if got := <-slowly; got != balancer.Moot {
--- a/internal/upstream/caller_test.go
+++ b/internal/upstream/caller_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // Guards against attempts that begin for nobody: their caller leaves while they wait for a connection to come up, or for one that
@@ -17,9 +17,9 @@
 func TestNothingBeginsForACallerThatLeft(t *testing.T) {
 	late := base.NewLate(t)
 	release := make(chan struct{})
-	s := testkit.Raw(t, func(c net.Conn, g standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		<-release
-		return standin.Says(standin.OK200(""))(c, g)
+		return fakes.Says(fakes.OK200(""))(c, g)
 	})
 	caller, leave := context.WithCancel(t.Context())
 	defer leave()
@@ -27,14 +27,14 @@
 	attempt := func(u *Pool) {
 		ended <- u.AttemptWithin(t.Context(), "s", testRequest("GET", ""), Terms{Caller: caller}).Result
 	}
-	comesUp := testPool(t, 4, testkit.Entry("s", late.Address, "Ready"))
+	comesUp := testPool(t, 4, testutil.Entry("s", late.Address, "Ready"))
 	go attempt(comesUp)
-	busy := testPool(t, 1, testkit.Entry("s", s.Address, "Ready"))
+	busy := testPool(t, 1, testutil.Entry("s", s.Address, "Ready"))
 	first := make(chan balancer.Result, 1)
 	go func() { first <- busy.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}).Result }()
-	testkit.Eventually(t, "another request has the connection", func() bool { return len(s.Requests()) == 1 })
+	testutil.Eventually(t, "another request has the connection", func() bool { return len(s.Requests()) == 1 })
 	go attempt(busy)
-	testkit.Eventually(t, "both wait", func() bool { return busy.slots.Waiting("") == 1 && comesUp.slots.Held() == 1 })
+	testutil.Eventually(t, "both wait", func() bool { return busy.slots.Waiting("") == 1 && comesUp.slots.Held() == 1 })
 	left := time.Now()
 	leave()
 	for range 2 {
@@ -42,7 +42,7 @@
 			t.Errorf("one that waited: %v", got)
 		}
 	}
-	if took := time.Since(left); took > testkit.Patience/2 {
+	if took := time.Since(left); took > testutil.Patience/2 {
 		t.Errorf("they waited on for %v", took)
 	}
 	late.ComeUp()
--- a/internal/upstream/connects_test.go
+++ b/internal/upstream/connects_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
 )
 
 // The patience for a connection follows what connections take, within the setting.
@@ -61,8 +61,8 @@
 			defer c.Close()
 		}
 	}
-	good := testkit.Raw(t, standin.Says(standin.OK200("body")))
-	u := testPool(t, 32, testkit.Entry("good", good.Address, "Ready"), testkit.Entry("lost", full.String(), "Ready"))
+	good := testutil.Raw(t, fakes.Says(fakes.OK200("body")))
+	u := testPool(t, 32, testutil.Entry("good", good.Address, "Ready"), testutil.Entry("lost", full.String(), "Ready"))
 	for range connectsFew {
 		if got := u.Attempt(t.Context(), "good", testRequest("GET", ""), time.Time{}); got.Result != balancer.OK {
 			t.Fatalf("%+v", got)
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/httphead"
+	"orchiddrift/internal/httpheader"
 )
 
 const (
@@ -43,7 +43,7 @@
 }
 
 // notCopied headers are written from what a Request is told elsewhere.
-var notCopied = []string{"Host", "Content-Length", "Transfer-Encoding", "Trailer", "Expect", httphead.Timeout}
+var notCopied = []string{"Host", "Content-Length", "Transfer-Encoding", "Trailer", "Expect", httpheader.Timeout}
 
 // NewRequest keeps method, target and body byte for byte, and of the header what belongs end to end: that is for the
 // caller to pick, see httphead.EndToEnd. All of them come from a request that a server has read, so that none holds a
@@ -93,7 +93,7 @@
 		if r.Upload != nil {
 			left = r.Upload.Timeout.Microseconds()
 		}
-		out = append(strconv.AppendInt(append(out, httphead.Timeout+": "...), left, 10), "u\r\n"...)
+		out = append(strconv.AppendInt(append(out, httpheader.Timeout+": "...), left, 10), "u\r\n"...)
 	}
 	out = append(out, '\r', '\n')
 	if r.long() {
@@ -271,7 +271,7 @@
 		}
 		switch {
 		case whole || turnedAway(resp, err):
-		case in.limited.left == httphead.MaxBytes: // its last byte never went out, and nothing came back
+		case in.limited.left == httpheader.MaxBytes: // its last byte never went out, and nothing came back
 			result := balancer.ConnectFailed
 			if ctx.Err() != nil || t.late() {
 				result = balancer.Moot
@@ -290,7 +290,7 @@
 		defer func() { rep.Spent = r.Upload != nil && r.Upload.Spent() }()
 	}
 	if err != nil {
-		if c.secure != nil && in.limited.left == httphead.MaxBytes && errors.Is(err, os.ErrDeadlineExceeded) {
+		if c.secure != nil && in.limited.left == httpheader.MaxBytes && errors.Is(err, os.ErrDeadlineExceeded) {
 			go u.linger(c, r)
 			return ended(balancer.Cancelled), false, true
 		}
@@ -314,8 +314,8 @@
 			u.Free(Reply{Held: held})
 			return ended(in.failure()), false, false
 		}
-		header := httphead.EndToEnd(resp.Header)
-		delete(header, httphead.Load)
+		header := httpheader.EndToEnd(resp.Header)
+		delete(header, httpheader.Load)
 		return Reply{balancer.OK, resp.StatusCode, header, first, held, rest, false}, rest == nil && !resp.Close && in.Buffered() == 0, rest != nil
 	case whole:
 		if held = u.hold(resp); held < 0 { // of ours, and says nothing of the upstream; it has run
@@ -339,8 +339,8 @@
 	case served && !whole: // of no end, or of too much: what came is not served in parts
 		return Reply{Result: balancer.Garbled}, false, false
 	case served:
-		header := httphead.EndToEnd(resp.Header)
-		delete(header, httphead.Load)
+		header := httpheader.EndToEnd(resp.Header)
+		delete(header, httpheader.Load)
 		return Reply{balancer.OK, status, header, body, held, nil, false}, reusable, false
 	}
 	return Reply{Result: balancer.ServerError}, reusable, false
@@ -349,7 +349,7 @@
 // turnedAway tells whether the upstream says that it has not begun the request.
 func turnedAway(resp *http.Response, err error) bool {
 	return err == nil && (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
-		resp.Header.Get(httphead.NotProcessed) == "1"
+		resp.Header.Get(httpheader.NotProcessed) == "1"
 }
 
 // lingerFor is how long an encrypted connection is kept for the answer of an attempt that was called off, and lingerMost
@@ -456,7 +456,7 @@
 
 func newAnswerReader(from io.Reader) *answerReader {
 	in := readers.Get().(*answerReader)
-	in.limited = limited{from: from, left: httphead.MaxBytes}
+	in.limited = limited{from: from, left: httpheader.MaxBytes}
 	in.Reader.Reset(&in.limited)
 	return in
 }
@@ -485,7 +485,7 @@
 
 // body reads the body to its end.
 func (in *answerReader) body(resp *http.Response, most int) ([]byte, error) {
-	in.limited.left = most + most/4 + httphead.MaxBytes // chunks have heads of their own
+	in.limited.left = most + most/4 + httpheader.MaxBytes // chunks have heads of their own
 	if resp.ContentLength >= 0 {
 		body := make([]byte, resp.ContentLength)
 		_, err := io.ReadFull(resp.Body, body)
--- a/internal/probe/probe.go
+++ b/internal/upstream/loadprobe/probe.go
@@ -8,7 +8,7 @@
 // probes a request over time, Options.Rate a second, and none at all while the sidecar's own requests reach each of its
 // upstreams more often than every Options.Heard. So what an upstream is asked is at most Share times the requests that it and
 // its like get in all, however many sidecars they come from.
-package probe
+package loadprobe
 
 import (
 	"math/rand/v2"
--- a/internal/probe/probe_test.go
+++ b/internal/upstream/loadprobe/probe_test.go
@@ -1,4 +1,4 @@
-package probe
+package loadprobe
 
 import (
 	"fmt"
--- a/internal/warm/warm.go
+++ b/internal/upstream/prewarm/warm.go
@@ -7,7 +7,7 @@
 // Options.Recent and has fewer than Options.Each open. Three bounds hold: Options.Rate a second, Options.Part of all connections
 // that there may be, and a wait between tries of one that can't be had that doubles up to backoffMost. So an upstream that M
 // sidecars have among their own gets at most M x Each connections ahead of use, spread over Spread when it starts.
-package warm
+package prewarm
 
 import (
 	"math"
@@ -15,7 +15,7 @@
 	"slices"
 	"time"
 
-	"orchiddrift/internal/priority"
+	"orchiddrift/internal/priorityqueue"
 	"orchiddrift/internal/units"
 )
 
@@ -60,7 +60,7 @@
 	most    int
 	rng     *rand.Rand
 	members map[string]*member
-	due     priority.Queue[*member]
+	due     priorityqueue.Queue[*member]
 	seq     uint64
 	tokens  float64
 	filled  time.Duration
@@ -80,7 +80,7 @@
 // New returns a Warmer for so many connections at most.
 func New(o Options, connections int, rng *rand.Rand) *Warmer {
 	return &Warmer{o: o, most: int(o.Part * float64(connections)), rng: rng, members: map[string]*member{},
-		due: priority.New(func(m *member) *int { return &m.at }), tokens: 1}
+		due: priorityqueue.New(func(m *member) *int { return &m.at }), tokens: 1}
 }
 
 // Members brings all that are its own and take requests, each with a number that another process of the name has another of.
--- a/internal/warm/warm_test.go
+++ b/internal/upstream/prewarm/warm_test.go
@@ -1,4 +1,4 @@
-package warm
+package prewarm
 
 import (
 	"fmt"
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/httphead"
+	"orchiddrift/internal/httpheader"
 )
 
 // Probe asks an upstream for its load at a path, on a connection like any request's, until ctx ends. It never waits for a slot
@@ -28,7 +28,7 @@
 	if rep.Result != balancer.OK {
 		return r
 	}
-	if rep.Status != http.StatusOK || len(rep.Body) > httphead.MaxBytes || !readLoad(&r, rep.Body) {
+	if rep.Status != http.StatusOK || len(rep.Body) > httpheader.MaxBytes || !readLoad(&r, rep.Body) {
 		r.Result = balancer.Garbled
 	}
 	return r
--- a/internal/upstream/proof_test.go
+++ b/internal/upstream/proof_test.go
@@ -20,8 +20,8 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // framings are the ways a request's bytes go out; rest is what of it comes as it is sent.
@@ -81,7 +81,7 @@
 func (k *cutter) serve(c net.Conn) {
 	defer c.Close()
 	for in := bufio.NewReader(c); ; {
-		_ = c.SetDeadline(time.Now().Add(10 * testkit.Patience)) // reads show it; a kept one may rest for as long as a busy machine takes
+		_ = c.SetDeadline(time.Now().Add(10 * testutil.Patience)) // reads show it; a kept one may rest for as long as a busy machine takes
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -183,7 +183,7 @@
 				}
 				t.Run(fmt.Sprintf("%s/%s/secure=%v", what, name, secure != nil), func(t *testing.T) {
 					k := newCutter(t, secure, func(string) (int64, bool) { return c.before, false })
-					u := testPool(t, 1, testkit.Entry("s", k.address, "Ready"))
+					u := testPool(t, 1, testutil.Entry("s", k.address, "Ready"))
 					if secure != nil {
 						// Whose certificate it is does not matter here; records of one size tell the last one.
 						u.secure = bare{&tls.Config{InsecureSkipVerify: true, DynamicRecordSizingDisabled: true}}
@@ -222,7 +222,7 @@
 						r.Upload.End()
 					}
 					if c.ran > 0 {
-						testkit.Eventually(t, "it ran", func() bool { return k.times("x") == c.ran })
+						testutil.Eventually(t, "it ran", func() bool { return k.times("x") == c.ran })
 					}
 					if may := rep.Result != balancer.ConnectFailed && rep.Result != balancer.Moot; may != c.may && c.before == 0 || rep.Result == balancer.OK || reusable {
 						t.Errorf("result %d, reusable %v; it ran %d times", rep.Result, reusable, k.times("x"))
@@ -262,7 +262,7 @@
 			_, _ = io.CopyN(io.Discard, c, most)
 			c.Close()
 		}()
-		u := testPool(t, 1, testkit.Entry("s", l.Addr().String(), "Ready"))
+		u := testPool(t, 1, testutil.Entry("s", l.Addr().String(), "Ready"))
 		rep := u.Attempt(t.Context(), "s", NewRequest("POST", "/confirm/1", "s", nil, make([]byte, 32<<20)), time.Time{})
 		if rep.Result != want {
 			t.Errorf("%q: result %d, want %d", answer, rep.Result, want)
@@ -309,7 +309,7 @@
 	var clients sync.WaitGroup
 	for i, secure := range []*tls.Config{nil, server} {
 		k := newCutter(t, secure, cut)
-		u := testPool(t, 8, testkit.Entry("s", k.address, "Ready"))
+		u := testPool(t, 8, testutil.Entry("s", k.address, "Ready"))
 		if secure != nil {
 			u.secure = bare{&tls.Config{InsecureSkipVerify: true, ClientSessionCache: tls.NewLRUClientSessionCache(8)}}
 		}
@@ -320,7 +320,7 @@
 					name := names[rng.IntN(len(names))]
 					id := fmt.Sprintf("%s-%d-%d", name, x, rng.IntN(10))
 					r := framed(name, id)
-					rep := u.Attempt(t.Context(), "s", r, time.Now().Add(testkit.Patience))
+					rep := u.Attempt(t.Context(), "s", r, time.Now().Add(testutil.Patience))
 					if r.Upload != nil {
 						r.Upload.End()
 					}
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
 )
 
 // long is n bytes that differ from place to place.
@@ -45,8 +45,8 @@
 		}
 		return b.String() + "0\r\nX-Trailer: 1\r\n\r\n"
 	}()
-	closes := func(text string) func(net.Conn, standin.Got) bool {
-		return func(c net.Conn, _ standin.Got) bool {
+	closes := func(text string) func(net.Conn, fakes.Got) bool {
+		return func(c net.Conn, _ fakes.Got) bool {
 			_, _ = io.WriteString(c, text)
 			c.Close()
 			return true
@@ -54,19 +54,19 @@
 	}
 	for _, c := range []struct {
 		name   string
-		answer func(net.Conn, standin.Got) bool
+		answer func(net.Conn, fakes.Got) bool
 		length int64
 		kept   int // connections afterwards
 	}{
-		{"a length", standin.Says(standin.OK200(body)), int64(len(body)), 1},
-		{"chunks", standin.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Trailer\r\n\r\n" + chunks), -1, 1},
+		{"a length", fakes.Says(fakes.OK200(body)), int64(len(body)), 1},
+		{"chunks", fakes.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Trailer\r\n\r\n" + chunks), -1, 1},
 		{"the end of the connection", closes("HTTP/1.1 200 OK\r\n\r\n" + body), -1, 0},
 		{"a length, and the last on its connection", closes("HTTP/1.1 200 OK\r\nConnection: close\r\n" +
-			strings.TrimPrefix(standin.OK200(body), "HTTP/1.1 200 OK\r\n")), int64(len(body)), 0},
+			strings.TrimPrefix(fakes.OK200(body), "HTTP/1.1 200 OK\r\n")), int64(len(body)), 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := testkit.Raw(t, c.answer)
-			u := testPool(t, 4, testkit.Entry("s", s.Address, "Ready"))
+			s := testutil.Raw(t, c.answer)
+			u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
 			rep := u.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{})
 			if rep.Result != balancer.OK || rep.Rest == nil || rep.Rest.Length != c.length {
 				t.Fatalf("%+v", rep)
@@ -99,7 +99,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			hold := make(chan struct{})
-			s := testkit.Raw(t, func(conn net.Conn, _ standin.Got) bool {
+			s := testutil.Raw(t, func(conn net.Conn, _ fakes.Got) bool {
 				_, _ = io.WriteString(conn, c.text)
 				if c.want == balancer.Garbled { // it stays open, and is of no further use
 					<-hold
@@ -107,7 +107,7 @@
 				return false
 			})
 			defer close(hold)
-			u := testPool(t, 4, testkit.Entry("s", s.Address, "Ready"))
+			u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
 			rep := u.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{})
 			if rep.Result != balancer.OK { // it broke before it was passed on
 				if rep.Result != c.want {
@@ -131,7 +131,7 @@
 func TestLongAnswerWaitsForItsClient(t *testing.T) {
 	const all = 48 << 20
 	written := make(chan int, 1)
-	s := testkit.Raw(t, func(c net.Conn, _ standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, _ fakes.Got) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", all)
 		n, part := 0, make([]byte, 64<<10)
 		for n < all {
@@ -143,7 +143,7 @@
 		written <- n
 		return false
 	})
-	u := testPool(t, 4, testkit.Entry("s", s.Address, "Ready"))
+	u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	rep := u.Attempt(ctx, "s", testRequest("GET", ""), time.Time{})
@@ -158,5 +158,5 @@
 		t.Errorf("%v, result %d", err, rep.Rest.Result())
 	}
 	rep.Rest.End()
-	testkit.Eventually(t, "its slot is free", func() bool { return u.slots.TryAcquire("", 4) })
+	testutil.Eventually(t, "its slot is free", func() bool { return u.slots.TryAcquire("", 4) })
 }
--- a/internal/upstream/secure_test.go
+++ b/internal/upstream/secure_test.go
@@ -10,20 +10,20 @@
 	"time"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 // bare encrypts and trusts whoever answers.
 type bare struct{ *tls.Config }
 
-func (b bare) Client(ctx context.Context, conn net.Conn, _ directory.Place) (*tls.Conn, error) {
+func (b bare) Client(ctx context.Context, conn net.Conn, _ endpoints.Place) (*tls.Conn, error) {
 	c := tls.Client(conn, b.Config)
 	return c, c.HandshakeContext(ctx)
 }
 
-func (bare) Trusts(*tls.Conn, directory.Place) bool { return true }
+func (bare) Trusts(*tls.Conn, endpoints.Place) bool { return true }
 
 // Guards against a handshake for every request that is called off: a connection that is being made, and one whose answer
 // has come by then, carry the next request. One that is made for too long gives its place back.
@@ -38,7 +38,7 @@
 		return nil, nil
 	}
 	address := base.HTTP(t, server, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) })
-	u := testPool(t, 4, testkit.Entry("s", address, "Ready"))
+	u := testPool(t, 4, testutil.Entry("s", address, "Ready"))
 	u.secure = bare{&tls.Config{InsecureSkipVerify: true}} // whose certificate it is does not matter here
 	at, _ := u.dir.Place("s")
 	calledOff := func() {
@@ -52,10 +52,10 @@
 		}
 	}
 	calledOff()
-	testkit.Eventually(t, "who stalls gives the place back", func() bool { return u.slots.Used("") == 0 })
+	testutil.Eventually(t, "who stalls gives the place back", func() bool { return u.slots.Used("") == 0 })
 	calledOff()
 	close(hold)
-	testkit.Eventually(t, "it is made beside the request", func() bool { return u.Idle() == 1 })
+	testutil.Eventually(t, "it is made beside the request", func() bool { return u.Idle() == 1 })
 	c := u.take("s", at)
 	if c == nil {
 		t.Fatal("the connection is not to be had")
