--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -13,20 +13,20 @@
 
 	"orchiddrift/balancer"
 	"orchiddrift/internal/clock"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/httphead"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/httpheader"
 	"orchiddrift/internal/routes"
-	"orchiddrift/internal/standin"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 )
 
 func testPool(t *testing.T, most int, entries ...string) *Pool {
 	t.Helper()
 	u := New(Options{ConnectTimeout: 2 * time.Second, Idle: 15 * time.Second, Connections: most, MaxAnswer: maxAnswer})
-	u.SetDirectory(directory.New(clock.New(), u.Drop))
+	u.SetDirectory(endpoints.New(clock.New(), u.Drop))
 	u.rest = 0
-	known := testkit.Listing(t, 1, true, entries...)
+	known := testutil.Listing(t, 1, true, entries...)
 	u.dir.Apply(known)
 	t.Cleanup(func() {
 		for _, e := range known.Endpoints {
@@ -49,52 +49,52 @@
 	refused := base.FreeAddress(t)
 	for _, c := range []struct {
 		name   string
-		answer func(net.Conn, standin.Got) bool
+		answer func(net.Conn, fakes.Got) bool
 		want   balancer.Result
 	}{
-		{"served", standin.Says(standin.OK200("body")), balancer.OK},
-		{"empty body", standin.Says(standin.OK200("")), balancer.OK},
-		{"chunked", standin.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"), balancer.OK},
-		{"error", standin.Says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
-		{"redirect", standin.Says("HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
-		{"turned away", standin.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Overloaded},
-		{"turned away late", standin.Says("HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Overloaded},
-		{"503 without the mark", standin.Says("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
-		{"500 with the mark", standin.Says("HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
-		{"reset", func(net.Conn, standin.Got) bool { return false }, balancer.Reset},
-		{"garbage", standin.Says("\x00\x01 no HTTP\r\n\r\n"), balancer.Garbled},
-		{"truncated", func(c net.Conn, _ standin.Got) bool {
+		{"served", fakes.Says(fakes.OK200("body")), balancer.OK},
+		{"empty body", fakes.Says(fakes.OK200("")), balancer.OK},
+		{"chunked", fakes.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"), balancer.OK},
+		{"error", fakes.Says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
+		{"redirect", fakes.Says("HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
+		{"turned away", fakes.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Overloaded},
+		{"turned away late", fakes.Says("HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Overloaded},
+		{"503 without the mark", fakes.Says("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
+		{"500 with the mark", fakes.Says("HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
+		{"reset", func(net.Conn, fakes.Got) bool { return false }, balancer.Reset},
+		{"garbage", fakes.Says("\x00\x01 no HTTP\r\n\r\n"), balancer.Garbled},
+		{"truncated", func(c net.Conn, _ fakes.Got) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 			return false
 		}, balancer.Reset},
-		{"delimited by the end", func(c net.Conn, _ standin.Got) bool {
+		{"delimited by the end", func(c net.Conn, _ fakes.Got) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nall of it")
 			c.Close()
 			return true
 		}, balancer.OK},
-		{"delimited by a reset", func(c net.Conn, _ standin.Got) bool {
+		{"delimited by a reset", func(c net.Conn, _ fakes.Got) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf")
 			return false
 		}, balancer.Reset},
-		{"too large", standin.Says(standin.OK200(strings.Repeat("x", maxAnswer+1))), balancer.Garbled},
-		{"more than a request may have", standin.Says(standin.OK200(strings.Repeat("x", 400<<10))), balancer.OK},
-		{"too large in chunks", standin.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n400000\r\n" +
+		{"too large", fakes.Says(fakes.OK200(strings.Repeat("x", maxAnswer+1))), balancer.Garbled},
+		{"more than a request may have", fakes.Says(fakes.OK200(strings.Repeat("x", 400<<10))), balancer.OK},
+		{"too large in chunks", fakes.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n400000\r\n" +
 			strings.Repeat("x", 4<<20) + "\r\n0\r\n\r\n"), balancer.Garbled},
-		{"another protocol", standin.Says("HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n"),
+		{"another protocol", fakes.Says("HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n"),
 			balancer.ServerError},
-		{"no number for a status", standin.Says("HTTP/1.1 OK\r\nContent-Length: 0\r\n\r\n"), balancer.Garbled},
-		{"two lengths", standin.Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nbody"), balancer.Garbled},
-		{"broken chunks", standin.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\nmany\r\n"), balancer.Garbled},
-		{"3 GB", standin.Says("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody"), balancer.Garbled},
-		{"interim answers", standin.Says("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + standin.OK200("body")), balancer.OK},
-		{"interim answers for ever", standin.Says(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 100)), balancer.Garbled},
-		{"unreadable load", standin.Says("HTTP/1.1 200 OK\r\nX-Server-Load: TEXT ,,=\xff\r\nContent-Length: 0\r\n\r\n"), balancer.OK},
-		{"headers too large", standin.Says("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*httphead.MaxBytes) + "\r\n\r\n"), balancer.Garbled},
+		{"no number for a status", fakes.Says("HTTP/1.1 OK\r\nContent-Length: 0\r\n\r\n"), balancer.Garbled},
+		{"two lengths", fakes.Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nbody"), balancer.Garbled},
+		{"broken chunks", fakes.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\nmany\r\n"), balancer.Garbled},
+		{"3 GB", fakes.Says("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody"), balancer.Garbled},
+		{"interim answers", fakes.Says("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + fakes.OK200("body")), balancer.OK},
+		{"interim answers for ever", fakes.Says(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 100)), balancer.Garbled},
+		{"unreadable load", fakes.Says("HTTP/1.1 200 OK\r\nX-Server-Load: TEXT ,,=\xff\r\nContent-Length: 0\r\n\r\n"), balancer.OK},
+		{"headers too large", fakes.Says("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*httpheader.MaxBytes) + "\r\n\r\n"), balancer.Garbled},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := testkit.Raw(t, c.answer)
-			u := testPool(t, 4, testkit.Entry("s", s.Address, "Ready"))
-			ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
+			s := testutil.Raw(t, c.answer)
+			u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
+			ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
 			defer cancel()
 			req := testRequest("POST", "b")
 			req.Whole = strings.Contains(c.name, "too large")
@@ -111,7 +111,7 @@
 		})
 	}
 	t.Run("connection refused", func(t *testing.T) {
-		u := testPool(t, 4, testkit.Entry("s", refused, "Ready"))
+		u := testPool(t, 4, testutil.Entry("s", refused, "Ready"))
 		if rep := u.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); rep.Result != balancer.ConnectFailed {
 			t.Errorf("result %d", rep.Result)
 		}
@@ -122,15 +122,15 @@
 // connection end.
 func TestTimeoutAndCancelCloseTheConnection(t *testing.T) {
 	for _, want := range []balancer.Result{balancer.Timeout, balancer.Cancelled} {
-		s := testkit.Raw(t, standin.Silent)
-		u := testPool(t, 4, testkit.Entry("s", s.Address, "Ready"))
+		s := testutil.Raw(t, fakes.Silent)
+		u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
 		ctx, cancel := context.WithCancel(context.Background())
 		if want == balancer.Timeout {
 			ctx, cancel = context.WithTimeout(context.Background(), 200*time.Millisecond)
 		}
 		end := make(chan Reply, 1)
 		go func() { end <- u.Attempt(ctx, "s", testRequest("GET", ""), time.Time{}) }()
-		testkit.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
+		testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
 		if want == balancer.Cancelled {
 			cancel()
 		}
@@ -138,7 +138,7 @@
 			t.Errorf("result %d, want %d", rep.Result, want)
 		}
 		cancel()
-		testkit.Eventually(t, "connection closed", func() bool { return s.Closed.Load() == 1 })
+		testutil.Eventually(t, "connection closed", func() bool { return s.Closed.Load() == 1 })
 		if n := u.slots.Used(""); n != 0 {
 			t.Errorf("%d connections counted", n)
 		}
@@ -153,8 +153,8 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	u := testPool(t, 4, testkit.Entry("s", l.Addr().String(), "Ready"))
-	c, _, err := u.connection(t.Context(), "s", directory.Place{Address: l.Addr().String()})
+	u := testPool(t, 4, testutil.Entry("s", l.Addr().String(), "Ready"))
+	c, _, err := u.connection(t.Context(), "s", endpoints.Place{Address: l.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,13 +171,13 @@
 // Guards against sends to an upstream that drains: the news came between the decision and the write.
 func TestDrainIsCheckedAtTheWrite(t *testing.T) {
 	for _, status := range []string{"Terminating", "Gone"} {
-		s := testkit.Raw(t, standin.Says(standin.OK200("")))
-		u := testPool(t, 4, testkit.Entry("s", s.Address, "Ready"))
-		c, _, err := u.connection(t.Context(), "s", directory.Place{Address: s.Address})
+		s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
+		u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
+		c, _, err := u.connection(t.Context(), "s", endpoints.Place{Address: s.Address})
 		if err != nil {
 			t.Fatal(err)
 		}
-		u.dir.Apply(testkit.Listing(t, 2, false, testkit.Entry("s", s.Address, status)))
+		u.dir.Apply(testutil.Listing(t, 2, false, testutil.Entry("s", s.Address, status)))
 		if rep, _, _ := u.exchange(t.Context(), c, testRequest("GET", ""), Terms{}); rep.Result != balancer.Moot {
 			t.Errorf("%s: result %d", status, rep.Result)
 		}
@@ -193,12 +193,12 @@
 
 // Guards against changed requests: upstreams drop repeats and count copies by what stands in them.
 func TestRequestGoesOnUnchanged(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("")))
-	u := testPool(t, 4, testkit.Entry("s", s.Address, "Ready"))
-	ctx, cancel := context.WithTimeout(context.Background(), testkit.Patience)
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
+	u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
 	defer cancel()
 	body := "\x00binary\r\n" + strings.Repeat("y", 60<<10)
-	u.Attempt(ctx, "s", testRequest("POST", body), time.Now().Add(testkit.Patience))
+	u.Attempt(ctx, "s", testRequest("POST", body), time.Now().Add(testutil.Patience))
 	g := s.Requests()[0]
 	if g.Method != "POST" || g.Target != "/search/a%2Fb?x=%20y&z" || g.Body != body {
 		t.Errorf("got %s %s and %d bytes", g.Method, g.Target, len(g.Body))
@@ -206,7 +206,7 @@
 	if g.Header.Get("X-Request-ID") != "9b1f03aa5c7e2d41" || g.Header.Get("Idempotency-Key") != "k" {
 		t.Errorf("headers %v", g.Header)
 	}
-	if d, err := routes.ParseTimeout(g.Header.Get("X-Timeout")); err != nil || d <= 0 || d > testkit.Patience {
+	if d, err := routes.ParseTimeout(g.Header.Get("X-Timeout")); err != nil || d <= 0 || d > testutil.Patience {
 		t.Errorf("X-Timeout %q: %v, %v", g.Header.Get("X-Timeout"), d, err)
 	}
 }
@@ -215,15 +215,15 @@
 // or is about to close.
 func TestPool(t *testing.T) {
 	n, pooled := atomic.Int32{}, make(chan struct{})
-	s := testkit.Raw(t, func(c net.Conn, _ standin.Got) bool {
-		_, _ = io.WriteString(c, standin.OK200(""))
+	s := testutil.Raw(t, func(c net.Conn, _ fakes.Got) bool {
+		_, _ = io.WriteString(c, fakes.OK200(""))
 		if n.Add(1) != 3 {
 			return true
 		}
 		<-pooled // the third answer's connection is reset when idle
 		return false
 	})
-	u := testPool(t, 4, testkit.Entry("s", s.Address, "Ready"))
+	u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
 	send := func(want balancer.Result) {
 		t.Helper()
 		if rep := u.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); rep.Result != want {
@@ -240,7 +240,7 @@
 	send(balancer.OK)
 	idle := u.idle["s"][0]
 	close(pooled)
-	testkit.Eventually(t, "the upstream's close is seen", func() bool { return !idle.quiet() })
+	testutil.Eventually(t, "the upstream's close is seen", func() bool { return !idle.quiet() })
 	send(balancer.OK)
 	if n := s.Opened.Load(); n != 2 {
 		t.Fatalf("%d connections", n)
@@ -255,7 +255,7 @@
 		u.Sweep(sweeping)
 		close(swept)
 	}()
-	testkit.Eventually(t, "idle connection retired", func() bool { return s.Closed.Load() == 2 })
+	testutil.Eventually(t, "idle connection retired", func() bool { return s.Closed.Load() == 2 })
 
 	stop()
 	<-swept
@@ -263,38 +263,38 @@
 	// Gone: the pool goes too.
 	u.maxIdle = time.Hour
 	send(balancer.OK)
-	u.dir.Apply(testkit.Listing(t, 2, false, testkit.Entry("s", s.Address, "Gone")))
-	testkit.Eventually(t, "pool dropped", func() bool { return s.Closed.Load() == 3 })
+	u.dir.Apply(testutil.Listing(t, 2, false, testutil.Entry("s", s.Address, "Gone")))
+	testutil.Eventually(t, "pool dropped", func() bool { return s.Closed.Load() == 3 })
 
 	// Back at another address: no connection to the old one is used.
-	u.dir.Apply(testkit.Listing(t, 3, false, testkit.Entry("s", s.Address, "Ready")))
+	u.dir.Apply(testutil.Listing(t, 3, false, testutil.Entry("s", s.Address, "Ready")))
 	send(balancer.OK)
-	moved := testkit.Raw(t, standin.Says(standin.OK200("")))
-	u.dir.Apply(testkit.Listing(t, 4, false, testkit.Entry("s", moved.Address, "Ready")))
-	testkit.Eventually(t, "old address dropped", func() bool { return s.Closed.Load() == 4 })
+	moved := testutil.Raw(t, fakes.Says(fakes.OK200("")))
+	u.dir.Apply(testutil.Listing(t, 4, false, testutil.Entry("s", moved.Address, "Ready")))
+	testutil.Eventually(t, "old address dropped", func() bool { return s.Closed.Load() == 4 })
 	send(balancer.OK)
 	if len(moved.Requests()) != 1 {
 		t.Error("the new address got nothing")
 	}
 
 	// A new process at the same address: connections to the old one are dead, if silently.
-	again := strings.Replace(testkit.Entry("s", moved.Address, "Ready"), `"since_ms":0`, `"since_ms":1000`, 1)
-	u.dir.Apply(testkit.Listing(t, 5, false, again))
-	testkit.Eventually(t, "old process dropped", func() bool { return moved.Closed.Load() == 1 })
+	again := strings.Replace(testutil.Entry("s", moved.Address, "Ready"), `"since_ms":0`, `"since_ms":1000`, 1)
+	u.dir.Apply(testutil.Listing(t, 5, false, again))
+	testutil.Eventually(t, "old process dropped", func() bool { return moved.Closed.Load() == 1 })
 }
 
 // Guards against hidden copies: a library that sends a request again by itself, as net/http's Transport does
 // on a connection that it reuses, makes an attempt that nobody decided on.
 func TestBrokenRequestIsNotSentAgain(t *testing.T) {
 	n := atomic.Int32{}
-	s := testkit.Raw(t, func(c net.Conn, _ standin.Got) bool {
+	s := testutil.Raw(t, func(c net.Conn, _ fakes.Got) bool {
 		if n.Add(1) > 1 {
 			return false
 		}
-		_, err := io.WriteString(c, standin.OK200(""))
+		_, err := io.WriteString(c, fakes.OK200(""))
 		return err == nil
 	})
-	u := testPool(t, 4, testkit.Entry("s", s.Address, "Ready"))
+	u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
 	for _, want := range []balancer.Result{balancer.OK, balancer.Reset} {
 		if rep := u.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); rep.Result != want {
 			t.Errorf("result %d, want %d", rep.Result, want)
@@ -308,15 +308,15 @@
 // Guards against answers that are not this request's: what comes behind an answer, with it or while the connection
 // is idle, must not be read as the answer to the next request.
 func TestWhatComesBehindAnAnswerIsNobodys(t *testing.T) {
-	for _, extra := range []string{standin.OK200("first"), "noise\r\n\r\n"} {
+	for _, extra := range []string{fakes.OK200("first"), "noise\r\n\r\n"} {
 		for _, late := range []bool{false, true} {
 			n, idle := atomic.Int32{}, make(chan struct{})
-			s := testkit.Raw(t, func(c net.Conn, _ standin.Got) bool {
+			s := testutil.Raw(t, func(c net.Conn, _ fakes.Got) bool {
 				if n.Add(1) > 1 {
-					_, err := io.WriteString(c, standin.OK200("second"))
+					_, err := io.WriteString(c, fakes.OK200("second"))
 					return err == nil
 				}
-				text := standin.OK200("first")
+				text := fakes.OK200("first")
 				if late {
 					_, _ = io.WriteString(c, text)
 					<-idle
@@ -325,13 +325,13 @@
 				_, err := io.WriteString(c, text+extra)
 				return err == nil
 			})
-			u := testPool(t, 4, testkit.Entry("s", s.Address, "Ready"))
+			u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
 			if rep := u.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); string(rep.Body) != "first" {
 				t.Fatalf("result %d, %q", rep.Result, rep.Body)
 			}
 			if pooled := u.idle["s"]; late {
 				close(idle)
-				testkit.Eventually(t, "something came", func() bool { return !pooled[0].quiet() })
+				testutil.Eventually(t, "something came", func() bool { return !pooled[0].quiet() })
 			}
 			if rep := u.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); string(rep.Body) != "second" {
 				t.Errorf("extra %q, late %v: result %d, %q", extra, late, rep.Result, rep.Body)
@@ -345,8 +345,8 @@
 
 // Guards against the same where it comes a moment late: a connection rests before its next request.
 func TestConnectionsRest(t *testing.T) {
-	s := testkit.Raw(t, standin.Says(standin.OK200("")))
-	u := testPool(t, 4, testkit.Entry("s", s.Address, "Ready"))
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
+	u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
 	u.rest = time.Hour
 	for range 2 {
 		if rep := u.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); rep.Result != balancer.OK {
@@ -361,22 +361,22 @@
 // Guards against too many descriptors: at the limit the connection idle for longest gives way. Where all are busy
 // an attempt waits for one, and ends as one that was never sent if none comes: that says nothing of its upstream.
 func TestConnectionLimit(t *testing.T) {
-	a, b := testkit.Raw(t, standin.Says(standin.OK200(""))), testkit.Raw(t, standin.Silent)
-	u := testPool(t, 1, testkit.Entry("a", a.Address, "Ready"), testkit.Entry("b", b.Address, "Ready"))
+	a, b := testutil.Raw(t, fakes.Says(fakes.OK200(""))), testutil.Raw(t, fakes.Silent)
+	u := testPool(t, 1, testutil.Entry("a", a.Address, "Ready"), testutil.Entry("b", b.Address, "Ready"))
 	if rep := u.Attempt(t.Context(), "a", testRequest("GET", ""), time.Time{}); rep.Result != balancer.OK {
 		t.Fatalf("result %d", rep.Result)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	busy, waits := make(chan Reply, 1), make(chan Reply, 1)
 	go func() { busy <- u.Attempt(ctx, "b", testRequest("GET", ""), time.Time{}) }()
-	testkit.Eventually(t, "the idle connection gave way", func() bool { return a.Closed.Load() == 1 && len(b.Requests()) == 1 })
+	testutil.Eventually(t, "the idle connection gave way", func() bool { return a.Closed.Load() == 1 && len(b.Requests()) == 1 })
 	short, end := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer end()
 	if rep := u.Attempt(short, "a", testRequest("GET", ""), time.Time{}); rep.Result != balancer.Moot {
 		t.Errorf("result %d over the limit", rep.Result)
 	}
 	go func() { waits <- u.Attempt(t.Context(), "a", testRequest("GET", ""), time.Time{}) }()
-	testkit.Eventually(t, "an attempt waits", func() bool { return u.slots.Waiting("") == 1 })
+	testutil.Eventually(t, "an attempt waits", func() bool { return u.slots.Waiting("") == 1 })
 	cancel()
 	<-busy
 	if rep := <-waits; rep.Result != balancer.OK {
--- a/internal/upstream/warming.go
+++ b/internal/upstream/warming.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"orchiddrift/internal/clock"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/warm"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/upstream/prewarm"
 )
 
 // warming is what is known of connections where some are opened ahead of use. A nil one counts nothing.
 type warming struct {
-	w *warm.Warmer // KeepWarm's alone
+	w *prewarm.Warmer // KeepWarm's alone
 
 	mu   sync.Mutex
 	open map[string]int  // by upstream
@@ -104,7 +104,7 @@
 }
 
 // openAhead opens one connection, if there is a free slot, and tells whether it did.
-func (u *Pool) openAhead(ctx context.Context, name string, at directory.Place) bool {
+func (u *Pool) openAhead(ctx context.Context, name string, at endpoints.Place) bool {
 	if u.slots.Waiting(u.service) > 0 || !u.slots.TryAcquire(u.service, 1) {
 		return false
 	}
--- a/internal/upstream/warming_test.go
+++ b/internal/upstream/warming_test.go
@@ -12,11 +12,11 @@
 
 	"orchiddrift/balancer"
 	"orchiddrift/internal/clock"
-	"orchiddrift/internal/directory"
-	"orchiddrift/internal/testkit"
-	"orchiddrift/internal/testkit/base"
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/testing/testutil"
+	"orchiddrift/internal/testing/testutil/base"
 	"orchiddrift/internal/units"
-	"orchiddrift/internal/warm"
+	"orchiddrift/internal/upstream/prewarm"
 )
 
 // doors are upstreams that count the connections made to them.
@@ -59,17 +59,17 @@
 	for i := range 6 {
 		name := fmt.Sprint("n", i)
 		names = append(names, name)
-		entries = append(entries, testkit.Entry(name, d.start(t, name), "Ready"))
+		entries = append(entries, testutil.Entry(name, d.start(t, name), "Ready"))
 	}
 	refused := base.FreeAddress(t)
-	o := warm.Default()
+	o := prewarm.Default()
 	o.Rate, o.Spread = 1000, units.Duration(50*time.Millisecond)
 	const most = 28 // a quarter of them may be opened ahead: 7
 	u := New(Options{ConnectTimeout: 2 * time.Second, Idle: 15 * time.Second, Connections: most, MaxAnswer: maxAnswer,
-		Warm: warm.New(o, most, rand.New(rand.NewPCG(1, 1)))})
+		Warm: prewarm.New(o, most, rand.New(rand.NewPCG(1, 1)))})
 	c := clock.New()
-	u.SetDirectory(directory.New(c, u.Drop))
-	u.dir.Apply(testkit.Listing(t, 1, true, append(entries, testkit.Entry("gone", refused, "Ready"))...))
+	u.SetDirectory(endpoints.New(c, u.Drop))
+	u.dir.Apply(testutil.Listing(t, 1, true, append(entries, testutil.Entry("gone", refused, "Ready"))...))
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -81,10 +81,10 @@
 		<-done
 		u.Close()
 	}()
-	testkit.Eventually(t, "one connection each", d.of(names...))
-	testkit.Eventually(t, "they are idle", func() bool { return u.Idle() == len(names) })
+	testutil.Eventually(t, "one connection each", d.of(names...))
+	testutil.Eventually(t, "they are idle", func() bool { return u.Idle() == len(names) })
 	for _, name := range names {
-		rep := u.Attempt(ctx, name, NewRequest(http.MethodGet, "/", "x", nil, nil), time.Now().Add(testkit.Patience))
+		rep := u.Attempt(ctx, name, NewRequest(http.MethodGet, "/", "x", nil, nil), time.Now().Add(testutil.Patience))
 		if rep.Result != balancer.OK || string(rep.Body) != name {
 			t.Errorf("%s: %v %q", name, rep.Result, rep.Body)
 		}
@@ -92,20 +92,20 @@
 	if !d.of(names...)() {
 		t.Errorf("connections made: %v", d.made)
 	}
-	u.dir.Apply(testkit.Listing(t, 2, false, testkit.Entry("late", d.start(t, "late"), "Ready"), testkit.Entry("later", d.start(t, "later"), "Ready")))
-	testkit.Eventually(t, "the seventh", func() bool { return u.Idle() == 7 })
-	testkit.Eventually(t, "no eighth", func() bool {
+	u.dir.Apply(testutil.Listing(t, 2, false, testutil.Entry("late", d.start(t, "late"), "Ready"), testutil.Entry("later", d.start(t, "later"), "Ready")))
+	testutil.Eventually(t, "the seventh", func() bool { return u.Idle() == 7 })
+	testutil.Eventually(t, "no eighth", func() bool {
 		open, total, _ := u.warm.look()
 		return total == 7 && open["late"]+open["later"] == 1
 	})
-	u.dir.Apply(testkit.Listing(t, 3, false, testkit.Entry("n0", "127.0.0.1:1", "Terminating")))
-	testkit.Eventually(t, "room for it", func() bool { return d.of("late", "later")() })
+	u.dir.Apply(testutil.Listing(t, 3, false, testutil.Entry("n0", "127.0.0.1:1", "Terminating")))
+	testutil.Eventually(t, "room for it", func() bool { return d.of("late", "later")() })
 }
 
 // At the limit a connection that was opened ahead and never used goes before one that was used, however long ago.
 func TestUnusedGoFirst(t *testing.T) {
 	d := &doors{made: map[string]int{}}
-	u := testPool(t, 2, testkit.Entry("a", d.start(t, "a"), "Ready"), testkit.Entry("b", d.start(t, "b"), "Ready"), testkit.Entry("c", d.start(t, "c"), "Ready"))
+	u := testPool(t, 2, testutil.Entry("a", d.start(t, "a"), "Ready"), testutil.Entry("b", d.start(t, "b"), "Ready"), testutil.Entry("c", d.start(t, "c"), "Ready"))
 	ask := func(name string) {
 		t.Helper()
 		if rep := u.Attempt(t.Context(), name, NewRequest(http.MethodGet, "/", "x", nil, nil), time.Time{}); rep.Result != balancer.OK {
--- a/test.sh
+++ b/test.sh
@@ -9,7 +9,7 @@
 "") ;;
 --race) race=-race ;;
 --fleet)
-	exec go test -count=1 -timeout 20m -v -run 'ComeUp|Leaving|Restart' ./internal/procs -fleet
+	exec go test -count=1 -timeout 20m -v -run 'ComeUp|Leaving|Restart' ./internal/testing/processes -fleet
 	;;
 *)
 	echo "usage: test.sh [--race|--fleet]" >&2
@@ -33,7 +33,7 @@
 go vet ./...
 go tool staticcheck ./...
 # What only tests use is in no program.
-if linked=$(go list -deps ./cmd/... | grep -xE 'testing|.*/internal/(testkit.*|procs|suite|soak)'); then
+if linked=$(go list -deps ./cmd/... | grep -xE 'testing|.*/internal/testing/.*'); then
 	echo "linked into bin/:" $linked >&2
 	exit 1
 fi
