--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -32,7 +32,7 @@
 	stretch  time.Duration // its aim is longer by this for its own work
 	cost     float64       // expected work, relative to the mean request
 	attempts []*attempt
-	prior    []Prior
+	prior    []EarlierAttempt
 	moot     int // of attempts: they were never sent
 	out      int
 	stale    bool // a repeat whose aim has passed
@@ -51,23 +51,23 @@
 		return
 	}
 	if c == nil { // no such class: nothing has run and nothing is known of it
-		b.act(Action{Kind: Refuse, ID: e.ID})
+		b.act(Action{Kind: Reject, ID: e.ID})
 		return
 	}
-	r := &request{id: e.ID, class: c, arrived: b.now, expires: e.Expires, cost: b.cost(c, e.Hint)}
-	r.prior, r.hinted, r.body = e.Prior, e.Hint > 0, e.Streamed
+	r := &request{id: e.ID, class: c, arrived: b.now, expires: e.Deadline, cost: b.cost(c, e.CostHint)}
+	r.prior, r.hinted, r.body = e.EarlierAttempts, e.CostHint > 0, e.StreamedBody
 	r.tenant = slices.IndexFunc(b.set.Tenants, func(t Tenant) bool { return t.Name == e.Tenant })
-	r.stretch = time.Duration(c.AimStretch * float64(e.Hint))
-	r.aim = b.now + min(c.Aim+r.stretch, c.Deadline)
+	r.stretch = time.Duration(c.ObjectiveStretch * float64(e.CostHint))
+	r.aim = b.now + min(c.LatencyObjective+r.stretch, c.Deadline)
 	worthUntil := r.aim
 	if !r.body { // its time has not begun
-		worthUntil += c.firstTry(b.now, e.Expires, b.set.Tick) - b.now
+		worthUntil += c.firstTry(b.now, e.Deadline, b.set.Tick) - b.now
 	}
 	r.stale = worthUntil <= b.now
 	// The last answer must land before the deadline, also when the next batch comes a tick late. Past its
 	// aim a request without late worth costs work and earns nothing.
 	r.end = r.expires - 2*b.set.Tick
-	if c.LateShare == 0 && !r.body {
+	if c.LateValueFraction == 0 && !r.body {
 		r.end = min(r.end, worthUntil-b.set.Tick)
 	}
 	b.reqs[r.id] = r
@@ -131,7 +131,7 @@
 		!u.listed {
 		return false
 	}
-	if r.out > 0 && (!b.set.SecondCopies || r.class.Effect == Unsafe || r.body) {
+	if r.out > 0 && (!b.set.HedgingAllowed || r.class.Idempotency == NonIdempotent || r.body) {
 		return false
 	}
 	if b.stuck(r) {
@@ -152,14 +152,14 @@
 
 // leavesGroup: what was sent to zone and cell is not known at u, where a repeat of it would run again.
 func (c *class) leavesGroup(zone string, cell int, u *upstream) bool {
-	return c.Effect == Keyed &&
-		(c.Group == GroupZone && zone != u.zone || c.Group == GroupCell && cell != u.cell)
+	return c.Idempotency == IdempotentWithKey &&
+		(c.DedupScope == ScopeZone && zone != u.zone || c.DedupScope == ScopeCell && cell != u.cell)
 }
 
 // stuck: an attempt may have run, and nothing may follow it any more.
 func (b *Balancer) stuck(r *request) bool {
 	since, ran := r.mayRunSince()
-	return ran && (r.class.Effect == Unsafe || r.class.Effect == Keyed && b.now > b.repeatBy(r, since))
+	return ran && (r.class.Idempotency == NonIdempotent || r.class.Idempotency == IdempotentWithKey && b.now > b.repeatBy(r, since))
 }
 
 // mayRunSince is when the first send that may have run was made; false: there is none.
@@ -170,7 +170,7 @@
 		}
 	}
 	for _, p := range r.prior {
-		note(p.Sent)
+		note(p.SentAt)
 	}
 	for _, a := range r.attempts {
 		if a.mayRun {
@@ -182,13 +182,13 @@
 
 // repeatBy is when a keyed request that may have run is to be with its group again at the latest.
 func (b *Balancer) repeatBy(r *request, since time.Duration) time.Duration {
-	return since + r.class.Window - 2*b.set.Tick
+	return since + r.class.DedupWindow - 2*b.set.Tick
 }
 
 // send starts the next attempt. Its caller asked mayTry, through pick.
 func (b *Balancer) send(r *request, u *upstream) {
 	by := time.Duration(0) // guards against repeats that wait for a connection until their group has forgotten
-	if since, ran := r.mayRunSince(); ran && r.class.Effect == Keyed {
+	if since, ran := r.mayRunSince(); ran && r.class.Idempotency == IdempotentWithKey {
 		by = b.repeatBy(r, since)
 	}
 	a := &attempt{r: r, n: len(r.attempts), u: u, zone: u.zone, cell: u.cell, sent: b.now}
@@ -207,8 +207,8 @@
 	u.tokens -= r.cost
 	u.in.sends(b.now + b.patience(r))
 	b.act(Action{Kind: Send, ID: r.id, Upstream: u.id, Zone: u.zone, Cell: u.cell,
-		Timeout: max(r.end-b.now, b.set.Tick), By: by})
-	if r.class.Effect != Unsafe && !r.body {
+		Timeout: max(r.end-b.now, b.set.Tick), SendBy: by})
+	if r.class.Idempotency != NonIdempotent && !r.body {
 		r.lateAt = b.now + b.patience(r)
 		b.after(r.lateAt, timerLate, r)
 	}
@@ -218,7 +218,7 @@
 // ending it costs its place in the queue: it then waits as long as leaves time for another attempt.
 func (b *Balancer) patience(r *request) time.Duration {
 	d := seconds(b.late.v * r.cost * float64(int(1)<<max(r.out-1, 0)))
-	if !b.set.SecondCopies {
+	if !b.set.HedgingAllowed {
 		d = max(d, r.end-b.now-seconds(b.mid.v*r.cost))
 	}
 	return d
@@ -234,7 +234,7 @@
 		return
 	}
 	last := r.attempts[len(r.attempts)-1]
-	if b.set.SecondCopies {
+	if b.set.HedgingAllowed {
 		hangs := last.u.heard <= last.sent && (len(last.u.out) > 1 || last.u.in.losses > 0)
 		if !hangs && (!r.hinted || b.copyWins < copyPays && b.rng.Float64() > copyTrial) {
 			return
@@ -244,14 +244,14 @@
 		}
 		return
 	}
-	if b.set.Cancelling && last.u.heard < last.sent && b.now+seconds(b.mid.v*r.cost) < r.end {
+	if b.set.CancellationAllowed && last.u.heard < last.sent && b.now+seconds(b.mid.v*r.cost) < r.end {
 		b.cancelRest(r, -1)
 	}
 }
 
 // uploaded begins the time of a request whose body went on as it came. Guards against requests in hand, and
 // upstreams, that seem slow for what their clients take to send.
-func (b *Balancer) uploaded(e Uploaded) {
+func (b *Balancer) uploaded(e UploadDone) {
 	r := b.reqs[e.ID]
 	if r == nil || r.done || !r.body || e.Attempt < 0 || e.Attempt >= len(r.attempts) ||
 		!r.attempts[e.Attempt].out {
@@ -259,9 +259,9 @@
 	}
 	a := r.attempts[e.Attempt]
 	a.begun, a.passed, a.sent, a.u.out = false, false, b.now, append(a.u.out, a)
-	r.body, r.single, r.arrived, r.expires = false, true, b.now, e.Expires
-	r.aim = b.now + min(r.class.Aim+r.stretch, r.class.Deadline)
-	if r.end = e.Expires - 2*b.set.Tick; r.class.LateShare == 0 {
+	r.body, r.single, r.arrived, r.expires = false, true, b.now, e.Deadline
+	r.aim = b.now + min(r.class.LatencyObjective+r.stretch, r.class.Deadline)
+	if r.end = e.Deadline - 2*b.set.Tick; r.class.LateValueFraction == 0 {
 		r.end = min(r.end, r.aim-b.set.Tick)
 	}
 	b.hold(r, 1)
@@ -279,7 +279,7 @@
 		return
 	}
 	a := r.attempts[e.Attempt]
-	r.stream, a.begun, a.passed = true, true, e.Passed
+	r.stream, a.begun, a.passed = true, true, e.PassThrough
 	a.u.out = slices.DeleteFunc(a.u.out, func(x *attempt) bool { return x == a })
 	if !a.passed { // else it is pending until its first data, as upstream in DESIGN: then its work is done
 		a.u.streams++
@@ -299,9 +299,9 @@
 	a := r.attempts[e.Attempt]
 	a.out = false
 	r.out--
-	a.mayRun = e.Result != Overloaded && e.Result != ConnectFailed && e.Result != Moot
-	r.single = r.single || e.Spent
-	if e.Result == Moot {
+	a.mayRun = e.Result != Rejected && e.Result != ConnectFailed && e.Result != NotSent
+	r.single = r.single || e.BodyConsumed
+	if e.Result == NotSent {
 		r.moot++
 	}
 	switch {
@@ -313,7 +313,7 @@
 		b.observe(a, e.Result, e.Elapsed)
 	}
 	b.health(a, e.Result, e.Elapsed)
-	if e.Finished && !r.done && (!r.stream || a.begun) { // a copy's end is not that of the stream
+	if e.Final && !r.done && (!r.stream || a.begun) { // a copy's end is not that of the stream
 		if won := 0.0; r.out > 0 { // two copies raced
 			if e.Attempt > 0 && b.now < r.aim {
 				won = 1
@@ -331,7 +331,7 @@
 	if r.out > 0 || r.stream {
 		return // another copy is still out, or the stream's end is the client's
 	}
-	if e.Result != ConnectFailed && e.Result != Moot && b.retries < 1 {
+	if e.Result != ConnectFailed && e.Result != NotSent && b.retries < 1 {
 		b.giveUp(r)
 		return
 	}
@@ -341,7 +341,7 @@
 // cancelRest stops the attempts still out, but for the one numbered keep.
 func (b *Balancer) cancelRest(r *request, keep int) {
 	for _, a := range r.attempts {
-		if a.out && a.n != keep && b.set.Cancelling {
+		if a.out && a.n != keep && b.set.CancellationAllowed {
 			b.act(Action{Kind: Cancel, ID: r.id, Attempt: a.n})
 		}
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -138,8 +138,8 @@
 		b.tenants[i].memory = rateMemory
 	}
 	for _, c := range s.Classes {
-		b.classes[c.Name] = &class{Class: c, mean: c.Aim.Seconds() / 4}
-		b.meanAim += c.Aim.Seconds() / float64(len(s.Classes))
+		b.classes[c.Name] = &class{Class: c, mean: c.LatencyObjective.Seconds() / 4}
+		b.meanAim += c.LatencyObjective.Seconds() / float64(len(s.Classes))
 	}
 	b.fleet, b.mean = b.meanAim/4, b.meanAim/4
 	b.decay = seconds(decayAims * b.meanAim)
@@ -151,23 +151,23 @@
 func (b *Balancer) Handle(now time.Duration, e Event, acts []Action) []Action {
 	b.now, b.acts = max(now, b.now), acts
 	switch e := e.(type) {
-	case Members:
+	case EndpointUpdate:
 		b.members(e)
 	case Request:
 		b.arrive(e)
-	case Uploaded:
+	case UploadDone:
 		b.uploaded(e)
 	case FirstByte:
 		b.firstByte(e)
 	case Outcome:
 		b.outcome(e)
-	case Gone:
+	case ClientDisconnected:
 		if r := b.reqs[e.ID]; r != nil {
 			b.close(r)
 		}
 	case ProbeResult:
 		b.probed(e)
-	case Wake:
+	case TimerFired:
 		b.wake()
 	}
 	b.arm()
--- a/balancer/cold.go
+++ b/balancer/cold.go
@@ -16,14 +16,14 @@
 
 // warmth is the least share of its capacity that a starting upstream has by now.
 func (b *Balancer) warmth(u *upstream) float64 {
-	if u.cold && b.now-u.coldFrom >= b.set.WarmUp {
+	if u.cold && b.now-u.coldFrom >= b.set.SlowStartWindow {
 		u.cold = false
 	}
 	if !u.cold {
 		return 1
 	}
-	age := float64(b.now-u.coldFrom) / float64(b.set.WarmUp)
-	return min(1, b.set.ColdFrom+(1-b.set.ColdFrom)*age)
+	age := float64(b.now-u.coldFrom) / float64(b.set.SlowStartWindow)
+	return min(1, b.set.SlowStartMinCapacity+(1-b.set.SlowStartMinCapacity)*age)
 }
 
 // coldAllows holds a cold upstream to a part of what would push it over. The rule counts all sidecars' work;
@@ -39,11 +39,11 @@
 	if !slices.Contains(b.list[:size], u) {
 		return false
 	}
-	if b.set.FallMultiple > 0 {
-		f *= coldPart * b.set.FallMultiple * min(max(b.fleet / *u.mean, 1/coldKind), coldKind)
+	if b.set.OverloadMultiple > 0 {
+		f *= coldPart * b.set.OverloadMultiple * min(max(b.fleet / *u.mean, 1/coldKind), coldKind)
 	}
 	perSec := f * b.offered.per(b.now) / float64(size)
-	depth := max(1, perSec*b.set.FallTime.Seconds()/10)
+	depth := max(1, perSec*b.set.OverloadWindow.Seconds()/10)
 	u.tokens = min(depth, u.tokens+perSec*(b.now-u.filled).Seconds())
 	u.filled = b.now
 	return u.tokens >= 1
--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -45,7 +45,7 @@
 	}{
 		{OK, 80 * ms, 0.080},
 		{ServerError, 10 * ms, 0.200}, // penalty: one mean aim
-		{Overloaded, 1 * ms, 0.200},
+		{Rejected, 1 * ms, 0.200},
 		{ServerError, 300 * ms, 0.300}, // longer than the penalty
 		{Timeout, 150 * ms, 0.150},
 		{Reset, 90 * ms, 0.090},
@@ -199,7 +199,7 @@
 // An upstream never heard of counts as its kind of machine does, not as the fleet: kinds differ in speed threefold.
 func TestUnheardUpstreamCountsAsItsKind(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.list(Full, Member{Upstream: "f0", Machine: "fast"}, Member{Upstream: "s0", Machine: "slow"})
+	r.list(FullUpdate, Endpoint{Name: "f0", MachineType: "fast"}, Endpoint{Name: "s0", MachineType: "slow"})
 	for i := range 200 {
 		id := fmt.Sprint(i)
 		elapsed := map[string]time.Duration{"f0": 20 * ms, "s0": 80 * ms}[r.wantSend(r.request(id, "c", time.Second))]
@@ -207,7 +207,7 @@
 		r.result(id, 0, OK, elapsed)
 		r.now += 10 * time.Second
 	}
-	r.list(Change, Member{Upstream: "f1", Machine: "fast"}, Member{Upstream: "s1", Machine: "slow"})
+	r.list(IncrementalUpdate, Endpoint{Name: "f1", MachineType: "fast"}, Endpoint{Name: "s1", MachineType: "slow"})
 	if f, s := r.b.load(r.b.ups["f1"]), r.b.load(r.b.ups["s1"]); s < 2*f {
 		t.Errorf("new and unheard: fast %.3f, slow %.3f", f, s)
 	}
@@ -216,11 +216,11 @@
 // A pick at a quiet sidecar costs the same however long the list. (At 400 upstreams it took 11 us of a budget of 10.)
 func TestPickDoesNotWalkALargeList(t *testing.T) {
 	r := newRig(t, testSettings())
-	var list []Member
+	var list []Endpoint
 	for i := range 1000 {
-		list = append(list, Member{Upstream: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
+		list = append(list, Endpoint{Name: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
 	}
-	r.list(Full, list...)
+	r.list(FullUpdate, list...)
 	clear(r.b.list[100:]) // a look at one of them panics
 	r.wantSend(r.request("1", "c", time.Second))
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -12,7 +12,7 @@
 	b, err := balancer.New(balancer.Settings{
 		Zone:        "east",
 		MaxAttempts: 3,
-		Classes:     []balancer.Class{{Name: "read", Aim: 100 * time.Millisecond, Deadline: time.Second}},
+		Classes:     []balancer.Class{{Name: "read", LatencyObjective: 100 * time.Millisecond, Deadline: time.Second}},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
@@ -25,16 +25,16 @@
 			switch a.Kind {
 			case balancer.Send:
 				fmt.Println("send", a.ID, "to", a.Upstream)
-			case balancer.Refuse, balancer.Fail:
+			case balancer.Reject, balancer.Fail:
 				fmt.Println("answer", a.ID)
 			case balancer.SetTimer:
-				// arrange for report(a.At, balancer.Wake{})
+				// arrange for report(a.At, balancer.TimerFired{})
 			}
 		}
 	}
-	report(time.Second, balancer.Members{Kind: balancer.Full, Entries: []balancer.Member{{Upstream: "s1", Zone: "east"}}})
-	report(2*time.Second, balancer.Request{ID: "r1", Class: "read", Expires: 3 * time.Second})
+	report(time.Second, balancer.EndpointUpdate{Kind: balancer.FullUpdate, Endpoints: []balancer.Endpoint{{Name: "s1", Zone: "east"}}})
+	report(2*time.Second, balancer.Request{ID: "r1", Class: "read", Deadline: 3 * time.Second})
 	report(2*time.Second+30*time.Millisecond, balancer.Outcome{ID: "r1", Result: balancer.OK,
-		Elapsed: 30 * time.Millisecond, Finished: true})
+		Elapsed: 30 * time.Millisecond, Final: true})
 	// Output: send r1 to s1
 }
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -13,10 +13,10 @@
 	const down, length = 10 * time.Second, 420 * time.Second
 	for _, sidecars := range []int{10, 80, 320} {
 		s := testSettings()
-		s.Balancers, s.MustSubscribe = sidecars, true
+		s.FleetSize, s.MustSubscribe = sidecars, true
 		now := time.Minute
 		begin := now
-		known := []Member{{Upstream: "u0", Zone: "a"}, {Upstream: "u1", Zone: "a"}}
+		known := []Endpoint{{Name: "u0", Zone: "a"}, {Name: "u1", Zone: "a"}}
 		type call struct{ of int }
 		var due []call
 		wakes := make([]time.Duration, sidecars)
@@ -27,7 +27,7 @@
 				case Subscribe:
 					due = append(due, call{i})
 				case SetTimer:
-					wakes[i] = a.At
+					wakes[i] = a.FireAt
 				}
 			}
 		}
@@ -37,7 +37,7 @@
 				t.Fatal(err)
 			}
 			all = append(all, b)
-			take(i, b.Handle(now, Members{Kind: Saved, Entries: known}, nil))
+			take(i, b.Handle(now, EndpointUpdate{Kind: CachedUpdate, Endpoints: known}, nil))
 		}
 		var perSecond [int(length / time.Second)]int
 		got, last := 0, time.Duration(-1)
@@ -50,15 +50,15 @@
 				if now-begin >= down && second != last {
 					last = second
 					got++
-					take(c.of, all[c.of].Handle(now, Members{Kind: Full, Entries: known}, nil))
+					take(c.of, all[c.of].Handle(now, EndpointUpdate{Kind: FullUpdate, Endpoints: known}, nil))
 					continue
 				}
-				take(c.of, all[c.of].Handle(now, Members{Kind: Failed}, nil))
+				take(c.of, all[c.of].Handle(now, EndpointUpdate{Kind: UpdateFailed}, nil))
 			}
 			for i, at := range wakes {
 				if at > 0 && at <= now {
 					wakes[i] = 0
-					take(i, all[i].Handle(now, Wake{}, nil))
+					take(i, all[i].Handle(now, TimerFired{}, nil))
 				}
 			}
 		}
--- a/balancer/input_test.go
+++ b/balancer/input_test.go
@@ -11,24 +11,24 @@
 	for want, change := range map[string]func(*Settings){
 		"Classes":        func(s *Settings) { s.Classes = nil },
 		"Name":           func(s *Settings) { s.Classes[0].Name = "" },
-		"Aim":            func(s *Settings) { s.Classes[0].Aim = -1 },
+		"Aim":            func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
 		"Deadline":       func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"Effect":         func(s *Settings) { s.Classes[0].Effect = 7 },
-		"Group":          func(s *Settings) { s.Classes[0].Group = -1 },
-		"Window":         func(s *Settings) { s.Classes[0].Window = -1 },
-		"Worth":          func(s *Settings) { s.Classes[0].Worth = -1 },
+		"Effect":         func(s *Settings) { s.Classes[0].Idempotency = 7 },
+		"Group":          func(s *Settings) { s.Classes[0].DedupScope = -1 },
+		"Window":         func(s *Settings) { s.Classes[0].DedupWindow = -1 },
+		"Worth":          func(s *Settings) { s.Classes[0].PriorityWeight = -1 },
 		"Tick":           func(s *Settings) { s.Tick = -1 },
-		"WarmUp":         func(s *Settings) { s.WarmUp = -1 },
-		"FallMultiple":   func(s *Settings) { s.FallMultiple = -1 },
+		"WarmUp":         func(s *Settings) { s.SlowStartWindow = -1 },
+		"FallMultiple":   func(s *Settings) { s.OverloadMultiple = -1 },
 		"MaxAttempts":    func(s *Settings) { s.MaxAttempts = -1 },
-		"PriceCrossZone": func(s *Settings) { s.PriceCrossZone = -1 },
-		"ColdFrom":       func(s *Settings) { s.ColdFrom = 1.5 },
-		"OverShareWorth": func(s *Settings) { s.OverShareWorth = math.NaN() },
-		"LateShare":      func(s *Settings) { s.Classes[0].LateShare = 1.2 },
-		"AimStretch":     func(s *Settings) { s.Classes[0].AimStretch = math.Inf(1) },
-		"Fraction":       func(s *Settings) { s.Tenants = []Tenant{{Name: "t", Fraction: -0.1}} },
-		"Balancers":      func(s *Settings) { s.Balancers = -2 },
-		"FallTime":       func(s *Settings) { s.FallTime = -1 },
+		"PriceCrossZone": func(s *Settings) { s.CrossZonePrice = -1 },
+		"ColdFrom":       func(s *Settings) { s.SlowStartMinCapacity = 1.5 },
+		"OverShareWorth": func(s *Settings) { s.OverQuotaWeight = math.NaN() },
+		"LateShare":      func(s *Settings) { s.Classes[0].LateValueFraction = 1.2 },
+		"AimStretch":     func(s *Settings) { s.Classes[0].ObjectiveStretch = math.Inf(1) },
+		"Fraction":       func(s *Settings) { s.Tenants = []Tenant{{Name: "t", Quota: -0.1}} },
+		"Balancers":      func(s *Settings) { s.FleetSize = -2 },
+		"FallTime":       func(s *Settings) { s.OverloadWindow = -1 },
 		"MaxRetryAfter":  func(s *Settings) { s.MaxRetryAfter = -1 },
 		"ConnectTimeout": func(s *Settings) { s.ConnectTimeout = -1 },
 	} {
@@ -54,8 +54,8 @@
 
 func TestOddInputIsHarmless(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.list(Full) // empty list
-	r.wantFinal(r.request("?", "no such class", time.Second), Refuse)
+	r.list(FullUpdate) // empty list
+	r.wantFinal(r.request("?", "no such class", time.Second), Reject)
 	r.fleet(1)
 	r.wantSend(r.request("1", "c", time.Second))
 	r.wantNothing(r.request("1", "c", time.Second)) // the same id again
@@ -63,10 +63,10 @@
 	r.wantNothing(r.result("1", -1, OK, 10*ms))
 	r.wantNothing(r.result("1", 0, OK, 10*ms))
 	r.wantNothing(r.result("1", 0, Reset, 10*ms)) // late repeat
-	r.wantNothing(r.do(Gone{ID: "1"}))
+	r.wantNothing(r.do(ClientDisconnected{ID: "1"}))
 	r.now -= time.Second // a clock that steps back counts as one that stands
-	r.wantSend(r.do(Request{ID: "2", Class: "c", Tenant: "stranger", Expires: r.now + 3*time.Second}))
-	r.wantNothing(r.do(Gone{ID: "2"}))
+	r.wantSend(r.do(Request{ID: "2", Class: "c", Tenant: "stranger", Deadline: r.now + 3*time.Second}))
+	r.wantNothing(r.do(ClientDisconnected{ID: "2"}))
 	r.wantNothing(r.result("2", 0, OK, 10*ms))
 	acts := r.request("3", "c", -time.Second) // its time is over already
 	acts = append(acts, r.pass(time.Second+20*ms)...)
@@ -85,7 +85,7 @@
 		r.result(id, 0, OK, 10*ms)
 		r.pass(5 * ms)
 	}
-	r.list(Full, Member{Upstream: "new"})
+	r.list(FullUpdate, Endpoint{Name: "new"})
 	r.pass(2 * time.Second)
 	if len(r.b.reqs) != 0 || len(r.b.ups) != 1 || len(r.b.list) != 1 || r.b.timers.Len() != 0 {
 		t.Errorf("kept: %d requests, %d upstreams, %d listed, %d timers", len(r.b.reqs), len(r.b.ups), len(r.b.list),
@@ -122,15 +122,15 @@
 // The list once more, or an event in a tick of its own, changes nothing that is known.
 func TestRepeatedListChangesNothing(t *testing.T) {
 	r := newRig(t, testSettings())
-	entries := []Member{{Upstream: "a", Machine: "m"}, {Upstream: "b", Machine: "m"}}
-	r.list(Full, entries...)
+	entries := []Endpoint{{Name: "a", MachineType: "m"}, {Name: "b", MachineType: "m"}}
+	r.list(FullUpdate, entries...)
 	r.wantSend(r.request("1", "c", time.Second))
 	r.now += 50 * ms
 	r.result("1", 0, OK, 50*ms)
 	before := []*upstream{r.b.list[0], r.b.list[1]}
 	known := []upstream{*before[0], *before[1]}
-	r.list(Full, entries...)
-	r.list(Saved, entries...)
+	r.list(FullUpdate, entries...)
+	r.list(CachedUpdate, entries...)
 	for i, u := range before {
 		if r.b.list[i] != u || u.est != known[i].est || u.cold || u.heard != known[i].heard {
 			t.Errorf("changed: %+v, was %+v", *r.b.list[i], known[i])
--- a/balancer/knowledge_test.go
+++ b/balancer/knowledge_test.go
@@ -10,8 +10,8 @@
 // busy is a Balancer that has seen a fast, a slow and a failing upstream.
 func busy(t *testing.T) *rig {
 	r := newRig(t, testSettings())
-	r.list(Full, Member{Upstream: "fast", Zone: "a", Machine: "new"}, Member{Upstream: "slow", Zone: "a", Machine: "old"},
-		Member{Upstream: "bad", Zone: "a", CameUp: r.now - time.Second})
+	r.list(FullUpdate, Endpoint{Name: "fast", Zone: "a", MachineType: "new"}, Endpoint{Name: "slow", Zone: "a", MachineType: "old"},
+		Endpoint{Name: "bad", Zone: "a", StartedAt: r.now - time.Second})
 	for i := range 200 {
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		r.now += 10 * ms
@@ -24,7 +24,7 @@
 				took, res = ms, ServerError
 			}
 			r.result(id, 0, res, took)
-			r.do(Gone{ID: id})
+			r.do(ClientDisconnected{ID: id})
 		}
 	}
 	return r
@@ -34,21 +34,21 @@
 // one, and shed because nothing has been served.
 func TestKnowledgeIsPassedOn(t *testing.T) {
 	old := busy(t)
-	text, err := json.Marshal(old.b.Know(old.now))
+	text, err := json.Marshal(old.b.Snapshot(old.now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var k Knowledge
-	if err := json.Unmarshal(text, &k); err != nil || k.Check() != nil {
-		t.Fatal(err, k.Check())
+	var k Snapshot
+	if err := json.Unmarshal(text, &k); err != nil || k.Validate() != nil {
+		t.Fatal(err, k.Validate())
 	}
 	// Its clock began an hour before, and one upstream has started anew meanwhile.
 	next := newRig(t, testSettings())
 	next.now = time.Hour
-	next.list(Saved, Member{Upstream: "fast", Zone: "a", Machine: "new"}, Member{Upstream: "slow", Zone: "a", Machine: "old"},
-		Member{Upstream: "bad", Zone: "a", CameUp: next.now - (old.now - old.b.ups["bad"].cameUp)}, Member{Upstream: "new", Zone: "a"})
+	next.list(CachedUpdate, Endpoint{Name: "fast", Zone: "a", MachineType: "new"}, Endpoint{Name: "slow", Zone: "a", MachineType: "old"},
+		Endpoint{Name: "bad", Zone: "a", StartedAt: next.now - (old.now - old.b.ups["bad"].cameUp)}, Endpoint{Name: "new", Zone: "a"})
 	fresh := next.b.ups["new"].est
-	next.b.Recall(next.now, &k)
+	next.b.Restore(next.now, &k)
 	for name, u := range old.b.ups {
 		v := next.b.ups[name]
 		if v.est.value != u.est.value || next.now-v.est.at != old.now-u.est.at || v.ejections != u.ejections ||
@@ -70,9 +70,9 @@
 	}
 	again := newRig(t, testSettings())
 	again.now = time.Hour
-	again.list(Saved, Member{Upstream: "bad", Zone: "a", CameUp: again.now - time.Millisecond})
+	again.list(CachedUpdate, Endpoint{Name: "bad", Zone: "a", StartedAt: again.now - time.Millisecond})
 	was := *again.b.ups["bad"]
-	again.b.Recall(again.now, &k)
+	again.b.Restore(again.now, &k)
 	if u := again.b.ups["bad"]; u.ejections != 0 || u.est != was.est {
 		t.Error("what was known of an upstream's earlier process counts for the one that started since")
 	}
@@ -80,19 +80,19 @@
 
 // Guards against numbers that would break the estimates, from whoever passed them on.
 func TestKnowledgeThatCannotBeUsed(t *testing.T) {
-	for name, spoil := range map[string]func(*Knowledge){
-		"negative":  func(k *Knowledge) { k.Mean = -1 },
-		"huge":      func(k *Knowledge) { k.Classes["c"] = 1e300 },
-		"no number": func(k *Knowledge) { k.Late = math.NaN() },
-		"an age":    func(k *Knowledge) { k.Upstreams["x"] = Learnt{Age: -1} },
-		"for ever":  func(k *Knowledge) { k.Upstreams["x"] = Learnt{Ejections: 1, Out: time.Hour} },
-		"a share":   func(k *Knowledge) { k.Upstreams["x"] = Learnt{Wrong: 2} },
+	for name, spoil := range map[string]func(*Snapshot){
+		"negative":  func(k *Snapshot) { k.MeanLatency = -1 },
+		"huge":      func(k *Snapshot) { k.Classes["c"] = 1e300 },
+		"no number": func(k *Snapshot) { k.LateLatency = math.NaN() },
+		"an age":    func(k *Snapshot) { k.Upstreams["x"] = UpstreamSnapshot{Age: -1} },
+		"for ever":  func(k *Snapshot) { k.Upstreams["x"] = UpstreamSnapshot{Ejections: 1, EjectedFor: time.Hour} },
+		"a share":   func(k *Snapshot) { k.Upstreams["x"] = UpstreamSnapshot{ErrorRatio: 2} },
 	} {
-		k := busy(t).b.Know(time.Hour)
-		if err := k.Check(); err != nil {
+		k := busy(t).b.Snapshot(time.Hour)
+		if err := k.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		if spoil(k); k.Check() == nil {
+		if spoil(k); k.Validate() == nil {
 			t.Errorf("%s: it is taken", name)
 		}
 	}
--- a/balancer/members.go
+++ b/balancer/members.go
@@ -36,8 +36,8 @@
 }
 
 // members follows the list, and asks again with a growing, jittered wait when it is lost.
-func (b *Balancer) members(e Members) {
-	if e.Kind == Failed {
+func (b *Balancer) members(e EndpointUpdate) {
+	if e.Kind == UpdateFailed {
 		if b.subscribed || b.askFails == 0 {
 			b.log("list lost: asking again")
 		}
@@ -53,12 +53,12 @@
 		}
 		b.subscribed, b.asking, b.askFails = true, false, 0
 	}
-	if e.Kind != Change {
+	if e.Kind != IncrementalUpdate {
 		for _, u := range b.list {
 			u.listed = false
 		}
 	}
-	for _, m := range e.Entries {
+	for _, m := range e.Endpoints {
 		b.member(m)
 	}
 	b.list = slices.DeleteFunc(b.list, func(u *upstream) bool {
@@ -67,28 +67,28 @@
 		}
 		return !u.listed
 	})
-	if e.Kind == Saved && b.set.MustSubscribe && !b.asking && !b.subscribed {
+	if e.Kind == CachedUpdate && b.set.MustSubscribe && !b.asking && !b.subscribed {
 		b.ask()
 	}
 }
 
-func (b *Balancer) member(m Member) {
-	u := b.ups[m.Upstream]
+func (b *Balancer) member(m Endpoint) {
+	u := b.ups[m.Name]
 	if m.State != Active {
 		if u != nil {
 			u.listed = false
 		}
 		return
 	}
-	if u == nil || u.cameUp != m.CameUp { // a new process: what was learnt of the old one is void
+	if u == nil || u.cameUp != m.StartedAt { // a new process: what was learnt of the old one is void
 		old := u
-		if b.means[m.Machine] == nil {
-			b.means[m.Machine] = new(b.fleet)
+		if b.means[m.MachineType] == nil {
+			b.means[m.MachineType] = new(b.fleet)
 		}
-		u = &upstream{id: m.Upstream, mean: b.means[m.Machine], cameUp: m.CameUp}
+		u = &upstream{id: m.Name, mean: b.means[m.MachineType], cameUp: m.StartedAt}
 		u.est = estimate{*u.mean, b.now}
-		if m.CameUp > 0 && b.now-m.CameUp < b.set.WarmUp {
-			b.chill(u, m.CameUp)
+		if m.StartedAt > 0 && b.now-m.StartedAt < b.set.SlowStartWindow {
+			b.chill(u, m.StartedAt)
 		}
 		b.ups[u.id] = u
 		if i := slices.Index(b.list, old); old != nil && i >= 0 {
@@ -98,7 +98,7 @@
 		}
 	}
 	u.listed, u.zone, u.cell, u.in = true, m.Zone, m.Cell, b.zoneOf(m.Zone)
-	if u.in.losses > 0 && m.CameUp > u.in.since { // it is back, or a part of it
+	if u.in.losses > 0 && m.StartedAt > u.in.since { // it is back, or a part of it
 		u.in.losses, u.in.until, u.in.misses = 0, 0, 0
 	}
 }
@@ -113,7 +113,7 @@
 	if b.now < u.until || b.now < u.in.until {
 		return false
 	}
-	return u.ejections == 0 && u.in.losses == 0 || len(u.out) == 0 && r.class.Effect != Unsafe
+	return u.ejections == 0 && u.in.losses == 0 || len(u.out) == 0 && r.class.Idempotency != NonIdempotent
 }
 
 // health ejects an upstream that refuses connections, breaks them, answers errors only or stays silent.
@@ -122,7 +122,7 @@
 func (b *Balancer) health(a *attempt, res Result, elapsed time.Duration) {
 	u := a.u
 	switch res {
-	case ServerError, Garbled: // alive, so what it answers is looked at
+	case ServerError, Malformed: // alive, so what it answers is looked at
 		b.hears(u)
 		u.fails = 0
 		if res == ServerError { // what can't be read may come so from any upstream, and be spoilt on its way
@@ -131,7 +131,7 @@
 		if u.errors++; (u.errors >= ejectErrors || u.wrong > wrongMost) && b.now >= u.until {
 			b.eject(u)
 		}
-	case OK, Overloaded:
+	case OK, Rejected:
 		b.hears(u)
 		if u.wrong -= wrongWeight * u.wrong; u.ejections > 0 {
 			if u.wrong /= 1 + wrongWeight; u.wrong > wrongReturn {
@@ -143,7 +143,7 @@
 	case Timeout, ConnectFailed, Reset, Cancelled:
 		// A copy's winner cuts the others short: late ones among them count. Without copies the one cut
 		// short was moved, perhaps off a long queue.
-		late := b.set.SecondCopies && elapsed.Seconds() >= b.late.v*a.r.cost
+		late := b.set.HedgingAllowed && elapsed.Seconds() >= b.late.v*a.r.cost
 		if res == Timeout && a.sent < u.heard || res == Cancelled && (a.sent < u.heard || !late) {
 			return // slow, not silent
 		}
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -58,10 +58,10 @@
 		return
 	}
 	b.told = slices.DeleteFunc(b.told, func(x *upstream) bool { return x == u })
-	if u.said = (said{}); e.Result != OK || e.InHand < 0 || e.Latency < 0 {
+	if u.said = (said{}); e.Result != OK || e.InFlight < 0 || e.Latency < 0 {
 		return
 	}
-	u.said = said{b.now, e.InHand, e.Latency}
+	u.said = said{b.now, e.InFlight, e.Latency}
 	if b.told = append(b.told, u); len(b.told) > toldMost {
 		b.told = slices.Delete(b.told, 0, 1)
 	}
@@ -74,7 +74,7 @@
 		return nil
 	}
 	n, least := 0, 0.0
-	cross := b.set.PriceCrossZone * crossAims * b.meanAim
+	cross := b.set.CrossZonePrice * crossAims * b.meanAim
 	for _, u := range b.told {
 		if !b.saidNow(u) || !b.ready(u, r) || !b.mayTry(r, u) {
 			continue
@@ -106,7 +106,7 @@
 // zonePick stays in the home zone while it serves about as well. Guards against paying for crossings; acts
 // where one costs, as latency, more than a quarter of what a request takes.
 func (b *Balancer) zonePick(r *request, home, away []*upstream) *upstream {
-	cross := b.set.PriceCrossZone * crossAims * b.meanAim
+	cross := b.set.CrossZonePrice * crossAims * b.meanAim
 	if len(home) == 0 || len(away) == 0 || cross < b.fleet/4 {
 		return b.twoChoices(append(home, away...))
 	}
@@ -201,10 +201,10 @@
 	norm := x / a.r.cost
 	// Guards against false shedding at quiet sidecars, and none in overload: see pressure.
 	took := min(x/(a.r.aim-a.r.arrived).Seconds(), crowdMost)
-	if res == Overloaded {
+	if res == Rejected {
 		took = crowdMost
 	}
-	if res != Moot && res != ConnectFailed && (res != Cancelled || took > b.crowd) {
+	if res != NotSent && res != ConnectFailed && (res != Cancelled || took > b.crowd) {
 		b.crowd += crowdWeight * (took - b.crowd)
 		b.crowdAt = b.now
 	}
@@ -218,9 +218,9 @@
 		*a.u.mean += fewWeight * (norm - *a.u.mean)
 		b.mid.add(norm)
 		b.late.add(norm)
-	case ServerError, Overloaded:
+	case ServerError, Rejected:
 		norm = max(norm, penaltyAims*b.meanAim)
-	case Moot:
+	case NotSent:
 		return
 	case Cancelled, Timeout: // took at least this long
 		if norm > b.late.v {
--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -10,7 +10,7 @@
 // or that take all requests to one upstream until the next probe.
 func TestProbedUpstreams(t *testing.T) {
 	said := func(name string, inHand int, latency time.Duration) ProbeResult {
-		return ProbeResult{Upstream: name, InHand: inHand, Latency: latency}
+		return ProbeResult{Upstream: name, InFlight: inHand, Latency: latency}
 	}
 	for _, c := range []struct {
 		name  string
@@ -28,9 +28,9 @@
 		{"one", []ProbeResult{said("u8", 0, 0)}, 0, nil, ""},
 		{"nonsense", []ProbeResult{said("u7", -1, 0), said("u8", 0, -1), said("nobody", 0, 0)}, 0, nil, ""},
 		{"drains", []ProbeResult{said("u7", 3, 0), said("u6", 2, 0), said("u8", 0, 0)}, 0,
-			func(r *rig) { r.list(Change, Member{Upstream: "u8", Zone: "a", State: Leaving}) }, "u6"},
+			func(r *rig) { r.list(IncrementalUpdate, Endpoint{Name: "u8", Zone: "a", State: Draining}) }, "u6"},
 		{"gone", []ProbeResult{said("u7", 3, 0), said("u6", 2, 0), said("u8", 0, 0)}, 0,
-			func(r *rig) { r.list(Change, Member{Upstream: "u8", Zone: "a", State: Left}) }, "u6"},
+			func(r *rig) { r.list(IncrementalUpdate, Endpoint{Name: "u8", Zone: "a", State: Removed}) }, "u6"},
 	} {
 		r, plain := newRig(t, testSettings()), newRig(t, testSettings())
 		r.fleet(40)
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -33,7 +33,7 @@
 	now    time.Duration
 	reqs   map[string]*owed
 	order  []string
-	active map[string]Member
+	active map[string]Endpoint
 	timers []time.Duration
 }
 
@@ -47,14 +47,14 @@
 	case Send:
 		f.send(a, q)
 	case Cancel:
-		if !f.s.Cancelling {
+		if !f.s.CancellationAllowed {
 			f.t.Fatal("cancel is not allowed")
 		}
 		if a.Attempt < 0 || a.Attempt >= len(q.attempts) {
 			f.t.Fatalf("cancel of attempt %d, never made", a.Attempt)
 		}
-	case Refuse, Fail:
-		if a.Kind == Refuse && !(q.class.Effect == Safe || q.class.Effect == Keyed && q.class.Group == GroupAll) &&
+	case Reject, Fail:
+		if a.Kind == Reject && !(q.class.Idempotency == Idempotent || q.class.Idempotency == IdempotentWithKey && q.class.DedupScope == ScopeAll) &&
 			slices.ContainsFunc(q.attempts, func(x *sent) bool { return x.mayRun }) {
 			f.t.Fatalf("refused %s, which may have run", a.ID)
 		}
@@ -63,7 +63,7 @@
 		}
 		q.answers, q.ended = q.answers+1, true
 	case SetTimer:
-		f.timers = append(f.timers, a.At)
+		f.timers = append(f.timers, a.FireAt)
 	}
 }
 
@@ -81,18 +81,18 @@
 		f.t.Fatalf("%s: attempt %d of %d, %d of them moot", a.ID, len(q.attempts)+1, f.s.MaxAttempts, q.moot)
 	}
 	for _, x := range q.attempts {
-		if x.out && !f.s.SecondCopies {
+		if x.out && !f.s.HedgingAllowed {
 			f.t.Fatalf("%s: two attempts out", a.ID)
 		}
 		if !x.mayRun {
 			continue
 		}
 		c := q.class
-		if c.Effect == Unsafe {
+		if c.Idempotency == NonIdempotent {
 			f.t.Fatalf("%s: unsafe, and sent again", a.ID)
 		}
-		if c.Effect == Keyed && (f.now-x.at > c.Window || c.Group == GroupZone && x.zone != m.Zone ||
-			c.Group == GroupCell && x.cell != m.Cell) {
+		if c.Idempotency == IdempotentWithKey && (f.now-x.at > c.DedupWindow || c.DedupScope == ScopeZone && x.zone != m.Zone ||
+			c.DedupScope == ScopeCell && x.cell != m.Cell) {
 			f.t.Fatalf("%s: keyed, and sent outside its group or window", a.ID)
 		}
 	}
@@ -105,19 +105,19 @@
 
 func randomSettings(g *rand.Rand) Settings {
 	s := testSettings()
-	s.SecondCopies, s.Cancelling, s.RetryAfter = g.IntN(2) == 0, g.IntN(2) == 0, g.IntN(2) == 0
+	s.HedgingAllowed, s.CancellationAllowed, s.RetryAfterAllowed = g.IntN(2) == 0, g.IntN(2) == 0, g.IntN(2) == 0
 	s.MustSubscribe = g.IntN(2) == 0
 	s.MaxAttempts = 1 + g.IntN(5)
-	s.PriceCrossZone = []float64{0, 0.01, 0.2}[g.IntN(3)]
-	s.FallMultiple = float64(g.IntN(4))
-	s.Tenants = []Tenant{{Name: "t", Fraction: 0.5}, {Name: "v", Fraction: 0.5}}[:g.IntN(3)]
+	s.CrossZonePrice = []float64{0, 0.01, 0.2}[g.IntN(3)]
+	s.OverloadMultiple = float64(g.IntN(4))
+	s.Tenants = []Tenant{{Name: "t", Quota: 0.5}, {Name: "v", Quota: 0.5}}[:g.IntN(3)]
 	s.Classes = nil
-	for e := Safe; e <= Unsafe; e++ {
-		for group := GroupAll; group <= GroupCell; group++ {
+	for e := Idempotent; e <= NonIdempotent; e++ {
+		for group := ScopeAll; group <= ScopeCell; group++ {
 			aim := time.Duration(50+g.IntN(400)) * ms
-			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, group), Aim: aim, Deadline: aim * 2, Effect: e,
-				Group: group, Window: time.Duration(20+g.IntN(800)) * ms, LateShare: float64(g.IntN(2)) / 2,
-				Worth: float64(1 + g.IntN(9)), AimStretch: float64(g.IntN(2)), Stream: g.IntN(4) == 0})
+			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, group), LatencyObjective: aim, Deadline: aim * 2, Idempotency: e,
+				DedupScope: group, DedupWindow: time.Duration(20+g.IntN(800)) * ms, LateValueFraction: float64(g.IntN(2)) / 2,
+				PriorityWeight: float64(1 + g.IntN(9)), ObjectiveStretch: float64(g.IntN(2)), Streaming: g.IntN(4) == 0})
 		}
 	}
 	return s
@@ -131,7 +131,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*owed{}, active: map[string]Member{}}
+		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*owed{}, active: map[string]Endpoint{}}
 		deal := func(e Event) {
 			for _, a := range b.Handle(f.now, e, nil) {
 				f.action(a)
@@ -146,7 +146,7 @@
 
 // run plays ticks with random events, then lets all that is open end.
 func run(f *referee, g *rand.Rand, deal func(Event), ticks int) {
-	deal(Members{Kind: Saved})
+	deal(EndpointUpdate{Kind: CachedUpdate})
 	for i := range ticks + 1000 {
 		f.now += f.s.Tick + time.Duration(g.IntN(2000))*time.Microsecond
 		if i < ticks {
@@ -171,31 +171,31 @@
 		return
 	}
 	if g.IntN(6) == 0 {
-		deal(Members{Kind: Failed})
+		deal(EndpointUpdate{Kind: UpdateFailed})
 		return
 	}
-	var entries []Member
-	kind := Change
+	var entries []Endpoint
+	kind := IncrementalUpdate
 	if g.IntN(5) == 0 {
-		kind = Full
+		kind = FullUpdate
 		clear(f.active)
 	}
 	for range g.IntN(8) {
 		n := g.IntN(10)
-		m := Member{Upstream: fmt.Sprint("u", n), Zone: []string{"a", "b"}[n%2], Cell: n % 4, State: State(g.IntN(3))}
+		m := Endpoint{Name: fmt.Sprint("u", n), Zone: []string{"a", "b"}[n%2], Cell: n % 4, State: EndpointState(g.IntN(3))}
 		if g.IntN(2) == 0 {
 			m.State = Active
 		}
 		if g.IntN(3) == 0 {
-			m.CameUp = f.now - time.Duration(g.IntN(12000))*ms
+			m.StartedAt = f.now - time.Duration(g.IntN(12000))*ms
 		}
-		delete(f.active, m.Upstream)
+		delete(f.active, m.Name)
 		if m.State == Active {
-			f.active[m.Upstream] = m
+			f.active[m.Name] = m
 		}
 		entries = append(entries, m)
 	}
-	deal(Members{Kind: kind, Entries: entries})
+	deal(EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
 func (f *referee) randomRequest(g *rand.Rand, deal func(Event), i int) {
@@ -203,11 +203,11 @@
 	id := fmt.Sprint(i, "-", g.Uint32())
 	q := &owed{class: c, expires: f.now + time.Duration(1+g.IntN(int(c.Deadline/ms)))*ms}
 	f.reqs[id], f.order = q, append(f.order, id)
-	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], Expires: q.expires,
-		Hint: time.Duration(g.IntN(3)*g.IntN(100)) * ms})
+	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], Deadline: q.expires,
+		CostHint: time.Duration(g.IntN(3)*g.IntN(100)) * ms})
 	if g.IntN(50) == 0 && !q.ended {
 		q.ended, q.gone = true, true
-		deal(Gone{ID: id})
+		deal(ClientDisconnected{ID: id})
 	}
 }
 
@@ -215,19 +215,19 @@
 func (f *referee) noise(g *rand.Rand, deal func(Event)) {
 	switch g.IntN(12) {
 	case 0:
-		deal(Outcome{ID: "nobody", Result: OK, Finished: true})
+		deal(Outcome{ID: "nobody", Result: OK, Final: true})
 	case 1:
 		if n := len(f.order); n > 0 {
 			id := f.order[g.IntN(n)]
-			deal(Outcome{ID: id, Attempt: len(f.reqs[id].attempts) + g.IntN(3) - 1 + 1, Result: OK, Finished: true})
+			deal(Outcome{ID: id, Attempt: len(f.reqs[id].attempts) + g.IntN(3) - 1 + 1, Result: OK, Final: true})
 		}
 	case 2:
-		deal(Wake{})
+		deal(TimerFired{})
 	case 3:
-		deal(Gone{ID: "nobody"})
+		deal(ClientDisconnected{ID: "nobody"})
 		deal(FirstByte{ID: "nobody"})
 		deal(ProbeResult{Upstream: "u0"})
-		deal(Peer{Message: "hi"})
+		deal(PeerMessage{Message: "hi"})
 	}
 }
 
@@ -240,7 +240,7 @@
 		return at <= f.now
 	})
 	for range due {
-		deal(Wake{})
+		deal(TimerFired{})
 	}
 }
 
@@ -252,19 +252,19 @@
 			if !x.out || f.now < x.limit && g.IntN(12) > 0 {
 				continue
 			}
-			res := Result(g.IntN(int(Moot) + 1))
+			res := Result(g.IntN(int(NotSent) + 1))
 			if f.now >= x.limit {
 				res = Timeout
 			}
 			x.out = false
-			x.mayRun = res != Overloaded && res != ConnectFailed && res != Moot
-			if res == Moot {
+			x.mayRun = res != Rejected && res != ConnectFailed && res != NotSent
+			if res == NotSent {
 				q.moot++
 			}
 			if res == OK {
 				q.ended = true
 			}
-			e := Outcome{ID: id, Attempt: n, Result: res, Elapsed: f.now - x.at, Finished: q.ended}
+			e := Outcome{ID: id, Attempt: n, Result: res, Elapsed: f.now - x.at, Final: q.ended}
 			deal(e)
 			if g.IntN(10) == 0 {
 				deal(e) // the same again
--- a/balancer/ramp_test.go
+++ b/balancer/ramp_test.go
@@ -54,14 +54,14 @@
 func (r ramp) play(t interface{ Fatal(...any) }, seed uint64) rampPlayed {
 	g := rand.New(rand.NewPCG(seed, 99))
 	s := testSettings()
-	s.Balancers = r.processes
-	s.Classes = []Class{{Name: "c", Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1}}
+	s.FleetSize = r.processes
+	s.Classes = []Class{{Name: "c", LatencyObjective: 2 * time.Second, Deadline: 10 * time.Second, PriorityWeight: 1}}
 	if r.multiple > 0 {
-		s.FallMultiple, s.FallTime, s.ColdFrom, s.WarmUp = r.multiple, r.window, r.coldFrom, r.warmUp
+		s.OverloadMultiple, s.OverloadWindow, s.SlowStartMinCapacity, s.SlowStartWindow = r.multiple, r.window, r.coldFrom, r.warmUp
 	}
-	var entries []Member
+	var entries []Endpoint
 	for i := range r.upstreams {
-		entries = append(entries, Member{Upstream: fmt.Sprint("u", i), Zone: "a", Machine: "m"})
+		entries = append(entries, Endpoint{Name: fmt.Sprint("u", i), Zone: "a", MachineType: "m"})
 	}
 	now := time.Minute
 	all := make([]*Balancer, r.processes)
@@ -80,19 +80,19 @@
 		for _, a := range all[i].Handle(now, e, nil) {
 			switch a.Kind {
 			case SetTimer:
-				wake[i] = a.At
+				wake[i] = a.FireAt
 			case Send:
 				var u int
 				_, _ = fmt.Sscanf(a.Upstream, "u%d", &u)
 				if u < r.cold && now >= coldFrom {
 					sent[u] = append(sent[u], now)
 				}
-				out := Outcome{ID: a.ID, Attempt: a.Attempt, Result: OK, Finished: true, Elapsed: time.Duration(20+g.IntN(20)) * ms}
+				out := Outcome{ID: a.ID, Attempt: a.Attempt, Result: OK, Final: true, Elapsed: time.Duration(20+g.IntN(20)) * ms}
 				if u >= r.cold { // the others are full: each request would be better off at a cold one
 					out.Elapsed += 300 * ms
 				}
 				if g.Float64() < r.fails {
-					out.Result, out.Finished = ServerError, false
+					out.Result, out.Final = ServerError, false
 				}
 				heap.Push(ends, rampEnd{now + out.Elapsed, i, out})
 			}
@@ -114,22 +114,22 @@
 	}
 	for i := range all {
 		fresh(i)
-		do(i, Members{Kind: Full, Entries: entries})
+		do(i, EndpointUpdate{Kind: FullUpdate, Endpoints: entries})
 	}
 	mean := r.load * r.perSec * float64(r.upstreams)
 	begin := now + 20*time.Second
 	n, owed, restarted := 0, 0.0, 0
-	for ; now < begin+s.WarmUp; now += ms {
+	for ; now < begin+s.SlowStartWindow; now += ms {
 		if now == begin {
 			coldFrom = now
 			for i := range r.cold {
-				entries[i].CameUp = now
+				entries[i].StartedAt = now
 			}
 			for i := range all {
-				do(i, Members{Kind: Full, Entries: entries})
+				do(i, EndpointUpdate{Kind: FullUpdate, Endpoints: entries})
 			}
 		}
-		if r.restarts && now > begin && restarted < r.processes/4 && now > begin+time.Duration(restarted+1)*s.WarmUp/time.Duration(r.processes/4+1) {
+		if r.restarts && now > begin && restarted < r.processes/4 && now > begin+time.Duration(restarted+1)*s.SlowStartWindow/time.Duration(r.processes/4+1) {
 			i := restarted * 4
 			restarted++
 			for j := len(*ends) - 1; j >= 0; j-- { // they are another process's
@@ -138,7 +138,7 @@
 				}
 			}
 			fresh(i)
-			do(i, Members{Kind: Full, Entries: entries})
+			do(i, EndpointUpdate{Kind: FullUpdate, Endpoints: entries})
 		}
 		for len(*ends) > 0 && (*ends)[0].at <= now {
 			e := heap.Pop(ends).(rampEnd)
@@ -151,16 +151,16 @@
 		for owed += mean * times / 1000; owed > 0; owed -= g.ExpFloat64() {
 			n++
 			i := pick()
-			q := Request{ID: fmt.Sprint(n), Class: "c", Expires: now + 8*time.Second}
+			q := Request{ID: fmt.Sprint(n), Class: "c", Deadline: now + 8*time.Second}
 			if r.cost {
-				q.Hint = time.Duration(float64(20*ms) * math.Exp(0.7*g.NormFloat64()))
+				q.CostHint = time.Duration(float64(20*ms) * math.Exp(0.7*g.NormFloat64()))
 			}
 			do(i, q)
 		}
 		for i, at := range wake {
 			if at > 0 && at <= now {
 				wake[i] = 0
-				do(i, Wake{})
+				do(i, TimerFired{})
 			}
 		}
 	}
@@ -168,11 +168,11 @@
 	for _, times := range sent {
 		over := false
 		for j, from := 0, 0; j < len(times); j++ {
-			for times[j]-times[from] >= s.FallTime {
+			for times[j]-times[from] >= s.OverloadWindow {
 				from++
 			}
-			warm := min(1, s.ColdFrom+(1-s.ColdFrom)*float64(times[j]-begin)/float64(s.WarmUp))
-			allowed := s.FallMultiple * warm * r.perSec * s.FallTime.Seconds()
+			warm := min(1, s.SlowStartMinCapacity+(1-s.SlowStartMinCapacity)*float64(times[j]-begin)/float64(s.SlowStartWindow))
+			allowed := s.OverloadMultiple * warm * r.perSec * s.OverloadWindow.Seconds()
 			x := float64(j-from+1) / (allowed + 2*math.Sqrt(allowed) + 2)
 			p.worst = max(p.worst, x)
 			over = over || x > 1
@@ -180,7 +180,7 @@
 		if over {
 			p.over++
 		}
-		p.work += float64(len(times)) / (r.perSec * s.WarmUp.Seconds() * (1 + s.ColdFrom) / 2) / float64(r.cold)
+		p.work += float64(len(times)) / (r.perSec * s.SlowStartWindow.Seconds() * (1 + s.SlowStartMinCapacity) / 2) / float64(r.cold)
 	}
 	return p
 }
--- a/balancer/refusals.go
+++ b/balancer/refusals.go
@@ -10,7 +10,7 @@
 
 // mayRefuse: a refusal tells the client that trying again is harmless.
 func mayRefuse(r *request) bool {
-	if r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Group == GroupAll {
+	if r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == ScopeAll {
 		return true
 	}
 	return len(r.prior) == 0 && !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayRun })
@@ -25,11 +25,11 @@
 	b.cancelRest(r, -1)
 	b.learnLimit(r)
 	if mayRefuse(r) {
-		a := Action{Kind: Refuse, ID: r.id}
-		if b.set.RetryAfter {
-			a.RetryIn = b.set.MaxRetryAfter
-			if wait := (r.aim - b.now) / 2; wait > 0 && r.class.LateShare > 0 && a.RetryIn < r.class.Deadline {
-				a.RetryIn = min(a.RetryIn, wait)
+		a := Action{Kind: Reject, ID: r.id}
+		if b.set.RetryAfterAllowed {
+			a.RetryAfter = b.set.MaxRetryAfter
+			if wait := (r.aim - b.now) / 2; wait > 0 && r.class.LateValueFraction > 0 && a.RetryAfter < r.class.Deadline {
+				a.RetryAfter = min(a.RetryAfter, wait)
 			}
 		}
 		b.act(a)
@@ -92,7 +92,7 @@
 // refused: it sheds in proportion, what is worth least first, and lets a fifth go on that tells of it.
 func (b *Balancer) pressure() float64 {
 	n := float64(b.waiting)
-	if n < float64(len(b.list))/float64(b.set.Balancers) { // less than one for each upstream of its share
+	if n < float64(len(b.list))/float64(b.set.FleetSize) { // less than one for each upstream of its share
 		return 0
 	}
 	if n < fewInHand {
@@ -120,12 +120,12 @@
 // value is a request's worth for each unit of work; part of what a tenant sends beyond its share counts as
 // little.
 func (b *Balancer) value(r *request) float64 {
-	v := r.class.Worth
-	if !b.set.WorthByWork {
+	v := r.class.PriorityWeight
+	if !b.set.WeightPerWork {
 		v /= r.cost
 	}
 	if r.stale {
-		v *= r.class.LateShare
+		v *= r.class.LateValueFraction
 	}
 	if r.tenant >= 0 {
 		t := &b.tenants[r.tenant]
@@ -134,9 +134,9 @@
 		for i := range b.tenants {
 			total += b.tenants[i].per(b.now)
 		}
-		share := b.set.Tenants[r.tenant].Fraction
+		share := b.set.Tenants[r.tenant].Quota
 		if use := t.per(b.now) / total; b.rng.Float64()*use > share {
-			v *= b.set.OverShareWorth
+			v *= b.set.OverQuotaWeight
 		}
 	}
 	return v
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -20,10 +20,10 @@
 // testSettings are a plain site: one safe class, copies and cancelling allowed, pushed list.
 func testSettings() Settings {
 	return Settings{
-		Balancers: 2, Zone: "a", Tick: 5 * ms, MaxAttempts: 4, SecondCopies: true, Cancelling: true,
-		RetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: 200 * ms,
-		ColdFrom: 0.2, WarmUp: 10 * time.Second, FallMultiple: 3, FallTime: 2 * time.Second,
-		Classes: []Class{{Name: "c", Aim: 200 * ms, Deadline: time.Second, Worth: 1}},
+		FleetSize: 2, Zone: "a", Tick: 5 * ms, MaxAttempts: 4, HedgingAllowed: true, CancellationAllowed: true,
+		RetryAfterAllowed: true, MaxRetryAfter: time.Second, ConnectTimeout: 200 * ms,
+		SlowStartMinCapacity: 0.2, SlowStartWindow: 10 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
+		Classes: []Class{{Name: "c", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1}},
 	}
 }
 
@@ -50,29 +50,29 @@
 func (r *rig) pass(d time.Duration) (all []Action) {
 	for end := r.now + d; r.now < end; {
 		r.now += r.b.set.Tick
-		all = append(all, r.do(Wake{})...)
+		all = append(all, r.do(TimerFired{})...)
 	}
 	return all
 }
 
-func (r *rig) list(kind MembersKind, m ...Member) []Action {
-	return r.do(Members{Kind: kind, Entries: m})
+func (r *rig) list(kind UpdateKind, m ...Endpoint) []Action {
+	return r.do(EndpointUpdate{Kind: kind, Endpoints: m})
 }
 
 func (r *rig) fleet(n int) {
-	var list []Member
+	var list []Endpoint
 	for i := range n {
-		list = append(list, Member{Upstream: fmt.Sprintf("u%d", i), Zone: "a"})
+		list = append(list, Endpoint{Name: fmt.Sprintf("u%d", i), Zone: "a"})
 	}
-	r.list(Full, list...)
+	r.list(FullUpdate, list...)
 }
 
 func (r *rig) request(id, class string, left time.Duration) []Action {
-	return r.do(Request{ID: id, Class: class, Expires: r.now + left})
+	return r.do(Request{ID: id, Class: class, Deadline: r.now + left})
 }
 
 func (r *rig) result(id string, n int, res Result, elapsed time.Duration) []Action {
-	return r.do(Outcome{ID: id, Attempt: n, Result: res, Elapsed: elapsed, Finished: res == OK})
+	return r.do(Outcome{ID: id, Attempt: n, Result: res, Elapsed: elapsed, Final: res == OK})
 }
 
 // kinds picks the actions of one kind.
@@ -86,7 +86,7 @@
 }
 
 // finals are the final answers among acts.
-func finals(acts []Action) []Action { return append(kinds(acts, Refuse), kinds(acts, Fail)...) }
+func finals(acts []Action) []Action { return append(kinds(acts, Reject), kinds(acts, Fail)...) }
 
 // wantSend fails the test unless acts hold exactly one attempt, and returns its upstream.
 func (r *rig) wantSend(acts []Action) string {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-func keyed(group Group) Settings {
+func keyed(group DedupScope) Settings {
 	s := testSettings()
-	s.SecondCopies = false
-	s.Classes = []Class{{Name: "k", Aim: 400 * ms, Deadline: 1500 * ms, Effect: Keyed, Group: group, Window: time.Second}}
+	s.HedgingAllowed = false
+	s.Classes = []Class{{Name: "k", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Idempotency: IdempotentWithKey, DedupScope: group, DedupWindow: time.Second}}
 	return s
 }
 
 func unsafeSettings() Settings {
 	s := testSettings()
-	s.Classes = []Class{{Name: "x", Aim: 400 * ms, Deadline: 1500 * ms, Effect: Unsafe, LateShare: 0.5}}
+	s.Classes = []Class{{Name: "x", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Idempotency: NonIdempotent, LateValueFraction: 0.5}}
 	return s
 }
 
 // The request's own end counts, often much sooner than its class's deadline.
 func TestAnswersBeforeItsOwnEnd(t *testing.T) {
 	s := testSettings()
-	s.Classes[0].LateShare = 0.5
+	s.Classes[0].LateValueFraction = 0.5
 	r := newRig(t, s)
 	r.fleet(2)
 	r.request("1", "c", 60*ms)
@@ -40,7 +40,7 @@
 func TestHeldRequestIsRefusedInTime(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.wantNothing(r.request("1", "c", 100*ms)) // no upstream at all: held
-	r.wantFinal(r.pass(95*ms), Refuse)
+	r.wantFinal(r.pass(95*ms), Reject)
 }
 
 func TestHeldRequestGoesOutWhenAnUpstreamComes(t *testing.T) {
@@ -61,7 +61,7 @@
 }
 
 func TestUnsafeGoesOnOnlyWhenProvedNotRun(t *testing.T) {
-	for res, again := range map[Result]bool{Overloaded: true, ConnectFailed: true, Moot: true,
+	for res, again := range map[Result]bool{Rejected: true, ConnectFailed: true, NotSent: true,
 		ServerError: false, Timeout: false, Reset: false, Cancelled: false} {
 		r := newRig(t, unsafeSettings())
 		r.fleet(3)
@@ -90,7 +90,7 @@
 	r := newRig(t, s)
 	r.fleet(3)
 	r.wantSend(r.request("1", "x", time.Second))
-	r.wantFinal(r.result("1", 0, ConnectFailed, ms), Refuse)
+	r.wantFinal(r.result("1", 0, ConnectFailed, ms), Reject)
 }
 
 // Guards against a refusal where the list changes under each attempt: one that was never sent uses up none, nor of what is kept for
@@ -105,11 +105,11 @@
 		acts := r.request("1", "x", time.Second)
 		for n := range moot {
 			r.wantSend(acts)
-			acts = r.result("1", n, Moot, ms)
+			acts = r.result("1", n, NotSent, ms)
 		}
 		r.wantSend(acts)
 		if acts = r.result("1", moot, ConnectFailed, ms); final {
-			r.wantFinal(acts, Refuse)
+			r.wantFinal(acts, Reject)
 		} else {
 			r.wantSend(acts)
 		}
@@ -118,17 +118,17 @@
 
 // Once it may have run, a keyed request stays in its group; before that it may go anywhere.
 func TestKeyedStaysInItsGroup(t *testing.T) {
-	for group, same := range map[Group]func(a, b Member) bool{
-		GroupAll:  func(a, b Member) bool { return true },
-		GroupZone: func(a, b Member) bool { return a.Zone == b.Zone },
-		GroupCell: func(a, b Member) bool { return a.Cell == b.Cell },
+	for group, same := range map[DedupScope]func(a, b Endpoint) bool{
+		ScopeAll:  func(a, b Endpoint) bool { return true },
+		ScopeZone: func(a, b Endpoint) bool { return a.Zone == b.Zone },
+		ScopeCell: func(a, b Endpoint) bool { return a.Cell == b.Cell },
 	} {
-		list := map[string]Member{}
-		var entries []Member
-		for i, m := range []Member{{Zone: "a", Cell: 0}, {Zone: "a", Cell: 1}, {Zone: "b", Cell: 2},
+		list := map[string]Endpoint{}
+		var entries []Endpoint
+		for i, m := range []Endpoint{{Zone: "a", Cell: 0}, {Zone: "a", Cell: 1}, {Zone: "b", Cell: 2},
 			{Zone: "b", Cell: 2}, {Zone: "a", Cell: 0}, {Zone: "b", Cell: 3}} {
-			m.Upstream = string(rune('p' + i))
-			list[m.Upstream] = m
+			m.Name = string(rune('p' + i))
+			list[m.Name] = m
 			entries = append(entries, m)
 		}
 		for n := range 40 {
@@ -137,7 +137,7 @@
 			for range n {
 				r.b.rng.Uint64()
 			}
-			r.list(Full, entries...)
+			r.list(FullUpdate, entries...)
 			first := list[r.wantSend(r.request("1", "k", time.Second))]
 			for _, a := range kinds(r.result("1", 0, ServerError, 10*ms), Send) {
 				if !same(first, list[a.Upstream]) {
@@ -150,18 +150,18 @@
 
 // The window counts from the sending of the attempt that may have run; afterwards no attempt.
 func TestKeyedWindow(t *testing.T) {
-	s := keyed(GroupAll)
-	s.Classes[0].Window = 100 * ms
-	s.Classes[0].Aim = time.Second
+	s := keyed(ScopeAll)
+	s.Classes[0].DedupWindow = 100 * ms
+	s.Classes[0].LatencyObjective = time.Second
 	r := newRig(t, s)
 	r.fleet(3)
 	r.wantSend(r.request("1", "k", time.Second))
 	r.now += 95 * ms
-	r.wantFinal(r.result("1", 0, Reset, 95*ms), Refuse)
+	r.wantFinal(r.result("1", 0, Reset, 95*ms), Reject)
 }
 
 func TestKeyedRefusal(t *testing.T) {
-	for group, want := range map[Group]ActionKind{GroupAll: Refuse, GroupZone: Fail, GroupCell: Fail} {
+	for group, want := range map[DedupScope]ActionKind{ScopeAll: Reject, ScopeZone: Fail, ScopeCell: Fail} {
 		s := keyed(group)
 		s.MaxAttempts = 1
 		r := newRig(t, s)
@@ -172,7 +172,7 @@
 }
 
 func TestNeverTwoOutWhereCopiesAreRuledOut(t *testing.T) {
-	r := newRig(t, keyed(GroupZone))
+	r := newRig(t, keyed(ScopeZone))
 	r.fleet(4)
 	r.wantSend(r.request("1", "k", time.Second))
 	var cancelled bool
@@ -191,7 +191,7 @@
 func TestDrainingAndGoneGetNothing(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(3)
-	r.list(Change, Member{Upstream: "u0", State: Leaving}, Member{Upstream: "u1", State: Left})
+	r.list(IncrementalUpdate, Endpoint{Name: "u0", State: Draining}, Endpoint{Name: "u1", State: Removed})
 	for i := range 30 {
 		if u := r.wantSend(r.request(string(rune('A'+i)), "c", time.Second)); u != "u2" {
 			t.Fatalf("sent to %s", u)
@@ -199,7 +199,7 @@
 		r.result(string(rune('A'+i)), 0, OK, 10*ms)
 		r.now += 10 * ms
 	}
-	r.list(Full) // nothing is left
+	r.list(FullUpdate) // nothing is left
 	r.wantNothing(r.request("z", "c", time.Second))
 }
 
@@ -208,13 +208,13 @@
 	s := testSettings()
 	s.MustSubscribe = true
 	r := newRig(t, s)
-	if n := len(kinds(r.list(Saved, Member{Upstream: "u0"}), Subscribe)); n != 1 {
+	if n := len(kinds(r.list(CachedUpdate, Endpoint{Name: "u0"}), Subscribe)); n != 1 {
 		t.Fatalf("%d calls at the start", n)
 	}
 	var waits []time.Duration
 	for range 4 {
 		asked := r.now
-		r.do(Members{Kind: Failed})
+		r.do(EndpointUpdate{Kind: UpdateFailed})
 		for len(kinds(r.pass(5*ms), Subscribe)) == 0 {
 			if r.now-asked > 20*time.Second {
 				t.Fatal("never asked again")
@@ -225,11 +225,11 @@
 	if waits[0] < askBase/2 || waits[3] < 2*waits[0] {
 		t.Errorf("waits %v do not grow", waits)
 	}
-	r.list(Change)
+	r.list(IncrementalUpdate)
 	if n := len(kinds(r.pass(20*time.Second), Subscribe)); n != 0 {
 		t.Errorf("%d calls while subscribed", n)
 	}
-	r.do(Members{Kind: Failed}) // the subscription broke
+	r.do(EndpointUpdate{Kind: UpdateFailed}) // the subscription broke
 	if n := len(kinds(r.pass(2*time.Second), Subscribe)); n != 1 {
 		t.Errorf("%d calls after the subscription broke", n)
 	}
@@ -241,7 +241,7 @@
 	r.fleet(2)
 	r.b.ups["u0"].est = estimate{5, r.now}
 	r.b.ups["u0"].until = r.now + time.Hour
-	r.list(Change, Member{Upstream: "u0", Zone: "a", CameUp: r.now - time.Second})
+	r.list(IncrementalUpdate, Endpoint{Name: "u0", Zone: "a", StartedAt: r.now - time.Second})
 	u := r.b.ups["u0"]
 	if u.est.value > 1 || u.until != 0 || !u.cold || len(r.b.list) != 2 {
 		t.Errorf("still known: %+v", u)
@@ -269,7 +269,7 @@
 		second()
 	}
 	for i := range 9 { // nearly the whole fleet starts anew
-		r.list(Change, Member{Upstream: "u" + string(rune('0'+i)), Zone: "a", CameUp: r.now})
+		r.list(IncrementalUpdate, Endpoint{Name: "u" + string(rune('0'+i)), Zone: "a", StartedAt: r.now})
 	}
 	clear(n)
 	second()
@@ -292,7 +292,7 @@
 // request. (Cold upstreams answered in 20 ms, a third of their budget used, beside old ones at 500 ms.)
 func TestColdBudgetIsUsed(t *testing.T) {
 	s := testSettings()
-	s.Balancers, s.Classes[0].Aim = 80, time.Second // aims long enough that nothing is shed
+	s.FleetSize, s.Classes[0].LatencyObjective = 80, time.Second // aims long enough that nothing is shed
 	w := newWorld(t, s, func(u string) (Result, time.Duration) {
 		if u < "u4" {
 			return OK, 200 * ms
@@ -302,7 +302,7 @@
 	w.fleet(4)
 	w.play(20*time.Second, 20)
 	for i := range 4 {
-		w.list(Change, Member{Upstream: fmt.Sprint("u", 4+i), Zone: "a", CameUp: w.now})
+		w.list(IncrementalUpdate, Endpoint{Name: fmt.Sprint("u", 4+i), Zone: "a", StartedAt: w.now})
 	}
 	clear(w.sends)
 	w.play(4*time.Second, 20)
@@ -316,11 +316,11 @@
 // With everything cold, work is held or refused: panic does not go round the limit.
 func TestAllCold(t *testing.T) {
 	r := newRig(t, testSettings())
-	var list []Member
+	var list []Endpoint
 	for i := range 4 {
-		list = append(list, Member{Upstream: "u" + string(rune('0'+i)), Zone: "a", CameUp: r.now})
+		list = append(list, Endpoint{Name: "u" + string(rune('0'+i)), Zone: "a", StartedAt: r.now})
 	}
-	r.list(Full, list...)
+	r.list(FullUpdate, list...)
 	sent, ended := 0, 0
 	for i := range 400 {
 		acts := r.request("r"+time.Duration(i).String(), "c", 150*ms)
@@ -348,7 +348,7 @@
 		r.result(id, 0, OK, 10*ms)
 		r.pass(10 * ms)
 	}
-	r.wantFinal(r.request("stale", "c", 550*ms), Refuse) // the first came 450 ms ago
+	r.wantFinal(r.request("stale", "c", 550*ms), Reject) // the first came 450 ms ago
 	r.wantSend(r.request("early", "c", 900*ms))          // the first came 100 ms ago
 	if f := finals(r.pass(105 * ms)); len(f) != 1 {      // and so it ends when its aim does
 		t.Errorf("still open after its aim: %+v", f)
@@ -386,21 +386,21 @@
 	const sidecars, fleet, cold = 400, 40, 36
 	for seed := range uint64(5) {
 		s := testSettings() // cold from 0.2, warm in 10 s; three times the capacity for 2 s pushes over
-		s.Balancers = sidecars
+		s.FleetSize = sidecars
 		g := rand.New(rand.NewPCG(seed, 3))
 		var all []*Balancer
 		now := time.Minute
 		deal := func(b *Balancer, e Event) []Action { return kinds(b.Handle(now, e, nil), Send) }
-		var entries []Member
+		var entries []Endpoint
 		for i := range fleet {
-			entries = append(entries, Member{Upstream: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
+			entries = append(entries, Endpoint{Name: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
 		}
 		for i := range sidecars {
 			b, err := New(s, seed<<32+uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			deal(b, Members{Kind: Full, Entries: entries})
+			deal(b, EndpointUpdate{Kind: FullUpdate, Endpoints: entries})
 			all = append(all, b)
 		}
 		n := 0
@@ -411,9 +411,9 @@
 					b := all[g.IntN(sidecars)]
 					n++
 					id := fmt.Sprint(n)
-					for _, a := range deal(b, Request{ID: id, Class: "c", Expires: now + time.Second}) {
+					for _, a := range deal(b, Request{ID: id, Class: "c", Deadline: now + time.Second}) {
 						sends[a.Upstream]++
-						deal(b, Outcome{ID: id, Result: OK, Elapsed: 20 * ms, Finished: true})
+						deal(b, Outcome{ID: id, Result: OK, Elapsed: 20 * ms, Final: true})
 					}
 				}
 				now += 10 * ms
@@ -424,10 +424,10 @@
 			second()
 		}
 		for i := range cold {
-			entries[i].CameUp = now
+			entries[i].StartedAt = now
 		}
 		for _, b := range all {
-			deal(b, Members{Kind: Full, Entries: entries})
+			deal(b, EndpointUpdate{Kind: FullUpdate, Endpoints: entries})
 		}
 		const mean = float64(sidecars) * 2 / fleet // a second, below the capacity of each
 		warmed := 0
@@ -450,24 +450,24 @@
 // Guards against a client's repeat that runs where its first try's memory is not: what was sent for that counts as sent for this.
 func TestPriorSends(t *testing.T) {
 	s := testSettings()
-	s.Classes = []Class{{Name: "c", Aim: 200 * ms, Deadline: 10 * time.Second, Worth: 1, Effect: Keyed, Group: GroupZone, Window: 6 * time.Second}}
+	s.Classes = []Class{{Name: "c", LatencyObjective: 200 * ms, Deadline: 10 * time.Second, PriorityWeight: 1, Idempotency: IdempotentWithKey, DedupScope: ScopeZone, DedupWindow: 6 * time.Second}}
 	for _, c := range []struct {
 		name  string
-		prior []Prior
+		prior []EarlierAttempt
 		want  string // zones that it may go to; "": none
 	}{
-		{"none", nil, "ab"}, {"in b", []Prior{{Zone: "b", Sent: 50 * time.Second}}, ""}, {"in b, within the window", []Prior{{Zone: "b", Sent: 58 * time.Second}}, "b"},
-		{"in both", []Prior{{Zone: "a", Sent: 59 * time.Second}, {Zone: "b", Sent: 59 * time.Second}}, ""}, {"elsewhere", []Prior{{Zone: "z", Sent: 59 * time.Second}}, ""},
+		{"none", nil, "ab"}, {"in b", []EarlierAttempt{{Zone: "b", SentAt: 50 * time.Second}}, ""}, {"in b, within the window", []EarlierAttempt{{Zone: "b", SentAt: 58 * time.Second}}, "b"},
+		{"in both", []EarlierAttempt{{Zone: "a", SentAt: 59 * time.Second}, {Zone: "b", SentAt: 59 * time.Second}}, ""}, {"elsewhere", []EarlierAttempt{{Zone: "z", SentAt: 59 * time.Second}}, ""},
 	} {
 		got := map[string]bool{}
 		for i := range 30 {
 			r := newRig(t, s)
 			r.b.rng = rand.New(rand.NewPCG(uint64(i), 1))
-			r.list(Full, Member{Upstream: "x", Zone: "a"}, Member{Upstream: "y", Zone: "b"})
-			acts := r.do(Request{ID: "1", Class: "c", Expires: r.now + 5*time.Second, Prior: c.prior})
+			r.list(FullUpdate, Endpoint{Name: "x", Zone: "a"}, Endpoint{Name: "y", Zone: "b"})
+			acts := r.do(Request{ID: "1", Class: "c", Deadline: r.now + 5*time.Second, EarlierAttempts: c.prior})
 			if sends := kinds(acts, Send); len(sends) == 1 {
 				got[sends[0].Zone] = true
-			} else if len(kinds(acts, Refuse)) > 0 || c.want == "" && c.name == "in b" && len(kinds(acts, Fail)) != 1 {
+			} else if len(kinds(acts, Reject)) > 0 || c.want == "" && c.name == "in b" && len(kinds(acts, Fail)) != 1 {
 				t.Errorf("%s: %+v", c.name, acts)
 			}
 		}
@@ -480,9 +480,9 @@
 // A repeat of a keyed request that may have run says by when it is to be with its group; what was never sent before, or may run at any
 // time, does not.
 func TestRepeatsSayByWhen(t *testing.T) {
-	for effect, bound := range map[Effect]bool{Keyed: true, Safe: false} {
+	for effect, bound := range map[Idempotency]bool{IdempotentWithKey: true, Idempotent: false} {
 		s := testSettings()
-		s.Classes[0].Effect, s.Classes[0].Group, s.Classes[0].Window, s.Classes[0].Deadline = effect, GroupAll, 5*time.Second, time.Minute
+		s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow, s.Classes[0].Deadline = effect, ScopeAll, 5*time.Second, time.Minute
 		r := newRig(t, s)
 		r.fleet(3)
 		sent := r.now
@@ -492,11 +492,11 @@
 		second := r.now
 		r.now += 10 * ms
 		repeat := kinds(r.result("1", 1, Reset, 10*ms), Send)
-		if len(first) != 1 || len(unrun) != 1 || len(repeat) != 1 || first[0].By != 0 || unrun[0].By != 0 {
+		if len(first) != 1 || len(unrun) != 1 || len(repeat) != 1 || first[0].SendBy != 0 || unrun[0].SendBy != 0 {
 			t.Fatalf("%+v, %+v, %+v", first, unrun, repeat)
 		}
-		if want := second + 5*time.Second - 2*s.Tick; bound != (repeat[0].By == want) || !bound && repeat[0].By != 0 {
-			t.Errorf("sent at %v and %v, the repeat by %v, want %v", sent, second, repeat[0].By, want)
+		if want := second + 5*time.Second - 2*s.Tick; bound != (repeat[0].SendBy == want) || !bound && repeat[0].SendBy != 0 {
+			t.Errorf("sent at %v and %v, the repeat by %v, want %v", sent, second, repeat[0].SendBy, want)
 		}
 	}
 }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -25,7 +25,7 @@
 		name string
 		d    time.Duration
 	}{{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
-		{"WarmUp", s.WarmUp}, {"FallTime", s.FallTime}} {
+		{"WarmUp", s.SlowStartWindow}, {"FallTime", s.OverloadWindow}} {
 		if t.d < 0 {
 			add(t.name, "negative")
 		}
@@ -33,35 +33,35 @@
 	for _, x := range []struct {
 		name string
 		v    float64
-	}{{"Balancers", float64(s.Balancers)}, {"MaxAttempts", float64(s.MaxAttempts)},
-		{"PriceCrossZone", s.PriceCrossZone}, {"FallMultiple", s.FallMultiple}} {
+	}{{"Balancers", float64(s.FleetSize)}, {"MaxAttempts", float64(s.MaxAttempts)},
+		{"PriceCrossZone", s.CrossZonePrice}, {"FallMultiple", s.OverloadMultiple}} {
 		if x.v < 0 || math.IsNaN(x.v) || math.IsInf(x.v, 0) {
 			add(x.name, "%v is not usable", x.v)
 		}
 	}
-	if !isShare(s.ColdFrom) {
-		add("ColdFrom", "%v is not a share", s.ColdFrom)
+	if !isShare(s.SlowStartMinCapacity) {
+		add("ColdFrom", "%v is not a share", s.SlowStartMinCapacity)
 	}
-	if !isShare(s.OverShareWorth) {
-		add("OverShareWorth", "%v is not a share", s.OverShareWorth)
+	if !isShare(s.OverQuotaWeight) {
+		add("OverShareWorth", "%v is not a share", s.OverQuotaWeight)
 	}
 	for _, t := range s.Tenants {
-		if !isShare(t.Fraction) {
-			add("Tenants", "%s: Fraction %v is not a share", t.Name, t.Fraction)
+		if !isShare(t.Quota) {
+			add("Tenants", "%s: Fraction %v is not a share", t.Name, t.Quota)
 		}
 	}
 	if len(s.Classes) == 0 {
 		add("Classes", "none given")
 	}
-	s.Balancers, s.MaxAttempts = max(s.Balancers, 1), max(s.MaxAttempts, 1)
+	s.FleetSize, s.MaxAttempts = max(s.FleetSize, 1), max(s.MaxAttempts, 1)
 	s.Tick = cmp.Or(s.Tick, time.Millisecond)
-	s.ColdFrom = cmp.Or(s.ColdFrom, 1)
+	s.SlowStartMinCapacity = cmp.Or(s.SlowStartMinCapacity, 1)
 	s.Classes = slices.Clone(s.Classes)
 	names := map[string]bool{}
 	for i := range s.Classes {
 		c := &s.Classes[i]
-		c.Aim = cmp.Or(c.Aim, c.Deadline)
-		c.Worth = cmp.Or(c.Worth, 1)
+		c.LatencyObjective = cmp.Or(c.LatencyObjective, c.Deadline)
+		c.PriorityWeight = cmp.Or(c.PriorityWeight, 1)
 		if c.Name == "" || names[c.Name] {
 			add("Classes", "Name %q empty or repeated", c.Name)
 		}
@@ -79,21 +79,21 @@
 // unusable names the first field that cannot be used, or none.
 func (c *Class) unusable() string {
 	switch {
-	case c.Aim <= 0:
+	case c.LatencyObjective <= 0:
 		return "Aim"
 	case c.Deadline <= 0:
 		return "Deadline"
-	case c.Effect < Safe || c.Effect > Unsafe:
+	case c.Idempotency < Idempotent || c.Idempotency > NonIdempotent:
 		return "Effect"
-	case c.Group < GroupAll || c.Group > GroupCell:
+	case c.DedupScope < ScopeAll || c.DedupScope > ScopeCell:
 		return "Group"
-	case !(c.Worth >= 0) || math.IsInf(c.Worth, 0):
+	case !(c.PriorityWeight >= 0) || math.IsInf(c.PriorityWeight, 0):
 		return "Worth"
-	case !isShare(c.LateShare):
+	case !isShare(c.LateValueFraction):
 		return "LateShare"
-	case !(c.AimStretch >= 0) || math.IsInf(c.AimStretch, 0):
+	case !(c.ObjectiveStretch >= 0) || math.IsInf(c.ObjectiveStretch, 0):
 		return "AimStretch"
-	case c.Window < 0:
+	case c.DedupWindow < 0:
 		return "Window"
 	}
 	return ""
--- a/balancer/stream_test.go
+++ b/balancer/stream_test.go
@@ -16,10 +16,10 @@
 	}
 	now := time.Hour
 	do := func(e Event) []Action { return b.Handle(now, e, nil) }
-	do(Members{Kind: Full, Entries: []Member{{Upstream: "a", Zone: s.Zone}, {Upstream: "b", Zone: s.Zone}}})
+	do(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{Name: "a", Zone: s.Zone}, {Name: "b", Zone: s.Zone}}})
 	class := s.Classes[0]
 	ask := func(id string) string {
-		for _, a := range do(Request{ID: id, Class: class.Name, Expires: now + class.Deadline}) {
+		for _, a := range do(Request{ID: id, Class: class.Name, Deadline: now + class.Deadline}) {
 			if a.Kind == Send {
 				return a.Upstream
 			}
@@ -41,7 +41,7 @@
 		id := string(rune('a'+i%26)) + string(rune('0'+i/26))
 		ask(id)
 		now += 5 * time.Millisecond
-		do(Outcome{ID: id, Attempt: 0, Result: OK, Elapsed: 5 * time.Millisecond, Finished: true})
+		do(Outcome{ID: id, Attempt: 0, Result: OK, Elapsed: 5 * time.Millisecond, Final: true})
 	}
 	for _, u := range b.list {
 		if l := b.load(u); l > 1 {
@@ -49,7 +49,7 @@
 		}
 	}
 	for i := range 8 {
-		do(Outcome{ID: string(rune('A' + i)), Attempt: 0, Result: OK, Elapsed: 10 * time.Minute, Finished: true})
+		do(Outcome{ID: string(rune('A' + i)), Attempt: 0, Result: OK, Elapsed: 10 * time.Minute, Final: true})
 	}
 	for _, u := range b.list {
 		if u.streams != 0 || len(u.out) != 0 {
@@ -77,12 +77,12 @@
 	if c := kinds(r.do(FirstByte{ID: "q", Attempt: 0}), Cancel); len(c) != 1 || c[0].Attempt != 1 {
 		t.Fatalf("the copy is not called off: %+v", c)
 	}
-	acts := r.do(Outcome{ID: "q", Attempt: 1, Result: Cancelled, Elapsed: 5 * ms, Finished: true})
+	acts := r.do(Outcome{ID: "q", Attempt: 1, Result: Cancelled, Elapsed: 5 * ms, Final: true})
 	if len(kinds(acts, Cancel))+len(finals(acts)) > 0 {
 		t.Errorf("the copy's end: %+v", acts)
 	}
 	r.now += time.Minute
-	if acts := r.do(Outcome{ID: "q", Attempt: 0, Result: OK, Elapsed: 5 * ms, Finished: true}); len(finals(acts)) > 0 {
+	if acts := r.do(Outcome{ID: "q", Attempt: 0, Result: OK, Elapsed: 5 * ms, Final: true}); len(finals(acts)) > 0 {
 		t.Errorf("the stream's end: %+v", acts)
 	}
 	if len(r.b.reqs) != 0 || q.attempts[0].u.streams != 0 {
@@ -91,12 +91,12 @@
 }
 
 // streamedRig has a request of each effect whose body goes on as it comes.
-func streamedRig(t *testing.T, effect Effect) *rig {
+func streamedRig(t *testing.T, effect Idempotency) *rig {
 	s := testSettings()
-	s.Classes[0].Effect, s.Classes[0].Window = effect, 5*time.Second
+	s.Classes[0].Idempotency, s.Classes[0].DedupWindow = effect, 5*time.Second
 	r := newRig(t, s)
 	r.fleet(4)
-	r.wantSend(r.do(Request{ID: "q", Class: "c", Expires: r.now + time.Minute, Streamed: true}))
+	r.wantSend(r.do(Request{ID: "q", Class: "c", Deadline: r.now + time.Minute, StreamedBody: true}))
 	return r
 }
 
@@ -112,7 +112,7 @@
 			id := fmt.Sprint(i)
 			r.wantSend(r.request(id, "c", time.Minute))
 			r.now += 10 * ms
-			r.do(FirstByte{ID: id, Passed: passed})
+			r.do(FirstByte{ID: id, PassThrough: passed})
 		}
 		u := r.b.list[0]
 		first := r.b.load(u)
@@ -127,7 +127,7 @@
 
 // A body that takes its time is no time of its request, of its upstream, nor a request in hand: all of that begins with its last byte.
 func TestTheTimeOfAStreamedRequestBeginsWithItsLastByte(t *testing.T) {
-	r := streamedRig(t, Safe)
+	r := streamedRig(t, Idempotent)
 	q := r.b.reqs["q"]
 	u := q.attempts[0].u
 	idle := r.b.load(u)
@@ -137,7 +137,7 @@
 	if r.b.waiting != 0 || r.b.load(u) > idle {
 		t.Errorf("%d in hand, load %v, was %v", r.b.waiting, r.b.load(u), idle)
 	}
-	r.do(Uploaded{ID: "q", Attempt: 0, Expires: r.now + time.Second})
+	r.do(UploadDone{ID: "q", Attempt: 0, Deadline: r.now + time.Second})
 	if r.b.waiting != 1 || u.streams != 0 || len(u.out) != 1 {
 		t.Errorf("%d in hand, %d streams, %d out", r.b.waiting, u.streams, len(u.out))
 	}
@@ -146,7 +146,7 @@
 		t.Errorf("it is copied, or ended before its aim: %+v", acts)
 	}
 	ends := finals(r.pass(time.Second))
-	if len(ends) != 1 || ends[0].Kind != Refuse { // safe to repeat
+	if len(ends) != 1 || ends[0].Kind != Reject { // safe to repeat
 		t.Errorf("after its time: %+v", ends)
 	}
 	r.result("q", 0, Cancelled, time.Second)
@@ -158,28 +158,28 @@
 // What becomes of a streamed request whose attempt fails, by its effect, whether its body can be had again, and whether it came whole.
 // Guards against a second send of a body that is no longer there, and a refusal of what may have run.
 func TestStreamedRequestsThatFail(t *testing.T) {
-	for _, effect := range []Effect{Safe, Keyed, Unsafe} {
-		for _, res := range []Result{ServerError, Overloaded, ConnectFailed, Reset, Moot, Garbled} {
+	for _, effect := range []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent} {
+		for _, res := range []Result{ServerError, Rejected, ConnectFailed, Reset, NotSent, Malformed} {
 			for _, spent := range []bool{false, true} {
 				for _, whole := range []bool{false, true} {
 					r := streamedRig(t, effect)
 					if whole {
-						r.do(Uploaded{ID: "q", Attempt: 0, Expires: r.now + time.Second})
+						r.do(UploadDone{ID: "q", Attempt: 0, Deadline: r.now + time.Second})
 					}
 					r.now += 5 * ms
-					acts := r.do(Outcome{ID: "q", Attempt: 0, Result: res, Elapsed: 5 * ms, Spent: spent})
-					unrun := res == Overloaded || res == ConnectFailed || res == Moot
+					acts := r.do(Outcome{ID: "q", Attempt: 0, Result: res, Elapsed: 5 * ms, BodyConsumed: spent})
+					unrun := res == Rejected || res == ConnectFailed || res == NotSent
 					sends, ends := len(kinds(acts, Send)), finals(acts)
 					switch {
 					case spent || whole: // nothing is left to send
 						want := Fail
-						if unrun || effect != Unsafe { // all zones are one group here
-							want = Refuse
+						if unrun || effect != NonIdempotent { // all zones are one group here
+							want = Reject
 						}
 						if sends > 0 || len(ends) != 1 || ends[0].Kind != want {
 							t.Errorf("effect %d, result %d, spent %v, whole %v: %+v", effect, res, spent, whole, acts)
 						}
-					case effect == Unsafe && !unrun:
+					case effect == NonIdempotent && !unrun:
 						if sends > 0 || len(ends) != 1 || ends[0].Kind != Fail {
 							t.Errorf("effect %d, result %d: %+v", effect, res, acts)
 						}
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -68,6 +68,6 @@
 	at := (b.timers.t[0].at + time.Microsecond - 1).Truncate(time.Microsecond)
 	if b.armed == 0 || at < b.armed {
 		b.armed = max(at, 1)
-		b.act(Action{Kind: SetTimer, At: b.armed})
+		b.act(Action{Kind: SetTimer, FireAt: b.armed})
 	}
 }
--- a/balancer/trouble_test.go
+++ b/balancer/trouble_test.go
@@ -49,7 +49,7 @@
 					w.out[i].at, w.out[i].res = w.now, Cancelled
 				}
 			}
-		case Refuse, Fail:
+		case Reject, Fail:
 			w.ended[a.Kind]++
 		}
 	}
@@ -62,11 +62,11 @@
 	due := 0.0
 	for end := w.now + d; w.now < end; {
 		w.now += tick
-		w.take(w.do(Wake{}), tries)
+		w.take(w.do(TimerFired{}), tries)
 		for due += float64(perSec) * tick.Seconds(); due >= 1; due-- {
 			w.n++
 			w.take(w.do(Request{ID: fmt.Sprint("r", w.n), Class: w.b.set.Classes[0].Name,
-				Expires: w.now + w.b.set.Classes[0].Deadline}), tries)
+				Deadline: w.now + w.b.set.Classes[0].Deadline}), tries)
 		}
 		for i := 0; i < len(w.out); i++ {
 			f := w.out[i]
@@ -79,7 +79,7 @@
 				w.ok++
 			}
 			w.take(w.do(Outcome{ID: f.a.ID, Attempt: f.n, Result: f.res, Elapsed: w.now - f.sent,
-				Finished: f.res == OK}), tries)
+				Final: f.res == OK}), tries)
 		}
 	}
 }
@@ -104,7 +104,7 @@
 	if w.sends["u0"] > 10 {
 		t.Errorf("%d attempts on the crashed upstream", w.sends["u0"])
 	}
-	if w.ended[Refuse]+w.ended[Fail] > 0 {
+	if w.ended[Reject]+w.ended[Fail] > 0 {
 		t.Errorf("requests lost with four upstreams fine: %v", w.ended)
 	}
 	down = false
@@ -116,7 +116,7 @@
 
 // A broken connection or an answer that can't be read happens now and then to upstreams that are fine: they stay.
 func TestChanceFailuresDoNotEject(t *testing.T) {
-	for _, res := range []Result{Reset, Garbled} {
+	for _, res := range []Result{Reset, Malformed} {
 		n := 0
 		w := newWorld(t, testSettings(), func(string) (Result, time.Duration) {
 			if n++; n%20 == 0 {
@@ -136,7 +136,7 @@
 func TestHungUpstreamIsLeft(t *testing.T) {
 	for _, copies := range []bool{true, false} {
 		s := testSettings()
-		s.SecondCopies = copies
+		s.HedgingAllowed = copies
 		w := newWorld(t, s, func(u string) (Result, time.Duration) {
 			if u == "u0" {
 				return OK, -1
@@ -188,12 +188,12 @@
 	r.fleet(1)
 	for i := range 200 { // a mean of 20 ms of work, all answered in 20 ms
 		id := fmt.Sprint(i)
-		r.do(Request{ID: id, Class: "c", Expires: r.now + time.Second, Hint: 20 * ms})
+		r.do(Request{ID: id, Class: "c", Deadline: r.now + time.Second, CostHint: 20 * ms})
 		r.result(id, 0, OK, 20*ms)
 		r.now += 10 * ms
 	}
 	before := r.b.list[0].est.value
-	r.do(Request{ID: "big", Class: "c", Expires: r.now + time.Second, Hint: 120 * ms})
+	r.do(Request{ID: "big", Class: "c", Deadline: r.now + time.Second, CostHint: 120 * ms})
 	r.now += 10 * ms
 	r.result("big", 0, OK, 120*ms)
 	if after := r.b.list[0].est.value; after > 1.5*before {
@@ -213,8 +213,8 @@
 	})
 	w.fleet(4)
 	w.play(5*time.Second, 200)
-	if w.ended[Refuse] > 10 {
-		t.Errorf("%d refused in calm", w.ended[Refuse])
+	if w.ended[Reject] > 10 {
+		t.Errorf("%d refused in calm", w.ended[Reject])
 	}
 	latency = 250 * ms
 	w.play(2*time.Second, 200)
@@ -254,7 +254,7 @@
 	w.reply, w.rig.logs = fine, nil
 	w.play(10*time.Second, 200)
 	for i := range 4 {
-		w.list(Change, Member{Upstream: fmt.Sprint("u", i+4), Zone: "a", CameUp: w.now})
+		w.list(IncrementalUpdate, Endpoint{Name: fmt.Sprint("u", i+4), Zone: "a", StartedAt: w.now})
 	}
 	w.reply = func(u string) (Result, time.Duration) {
 		if u == "u0" {
@@ -287,15 +287,15 @@
 		}
 		return OK, 20 * ms
 	})
-	var list []Member
+	var list []Endpoint
 	for i := range 8 {
-		list = append(list, Member{Upstream: fmt.Sprint("u", i), Zone: "ab"[i/4 : i/4+1]})
+		list = append(list, Endpoint{Name: fmt.Sprint("u", i), Zone: "ab"[i/4 : i/4+1]})
 	}
-	w.list(Saved, list...)
-	w.list(Change)
+	w.list(CachedUpdate, list...)
+	w.list(IncrementalUpdate)
 	w.play(5*time.Second, 100)
 	cut = true
-	w.do(Members{Kind: Failed})
+	w.do(EndpointUpdate{Kind: UpdateFailed})
 	w.play(3*time.Second, 100)
 	ok, n := w.ok, w.n
 	clear(w.sends)
@@ -318,7 +318,7 @@
 // A dear crossing keeps work at home while home serves, and lets it go when home cannot.
 func TestHomeFirst(t *testing.T) {
 	s := testSettings()
-	s.PriceCrossZone = 0.2
+	s.CrossZonePrice = 0.2
 	slow := false
 	w := newWorld(t, s, func(u string) (Result, time.Duration) {
 		if slow && u < "u2" {
@@ -326,8 +326,8 @@
 		}
 		return OK, 20 * ms
 	})
-	w.list(Full, Member{Upstream: "u0", Zone: "a"}, Member{Upstream: "u1", Zone: "a"}, Member{Upstream: "u2", Zone: "b"},
-		Member{Upstream: "u3", Zone: "b"})
+	w.list(FullUpdate, Endpoint{Name: "u0", Zone: "a"}, Endpoint{Name: "u1", Zone: "a"}, Endpoint{Name: "u2", Zone: "b"},
+		Endpoint{Name: "u3", Zone: "b"})
 	w.play(5*time.Second, 50)
 	if far := w.sends["u2"] + w.sends["u3"]; far > 25 {
 		t.Errorf("%d of %d crossed while home was fine", far, w.n)
@@ -343,8 +343,8 @@
 // Under pressure what is worth least goes first.
 func TestLeastWorthIsRefusedFirst(t *testing.T) {
 	s := testSettings()
-	s.Classes = []Class{{Name: "c", Aim: 200 * ms, Deadline: time.Second, Worth: 1},
-		{Name: "dear", Aim: 200 * ms, Deadline: time.Second, Worth: 9}}
+	s.Classes = []Class{{Name: "c", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1},
+		{Name: "dear", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 9}}
 	r := newRig(t, s)
 	r.fleet(4)
 	refused := map[string]int{}
@@ -371,8 +371,8 @@
 // Part of what a tenant sends beyond its share counts as little.
 func TestBeyondItsShareCountsLess(t *testing.T) {
 	s := testSettings()
-	s.Tenants = []Tenant{{Name: "big", Fraction: 0.5}, {Name: "small", Fraction: 0.5}}
-	s.OverShareWorth = 0.1
+	s.Tenants = []Tenant{{Name: "big", Quota: 0.5}, {Name: "small", Quota: 0.5}}
+	s.OverQuotaWeight = 0.1
 	r := newRig(t, s)
 	low := map[int]int{}
 	for i := range 1000 {
@@ -428,7 +428,7 @@
 func TestErrorsAtOnceDrawNoPicks(t *testing.T) {
 	broken := true
 	s := testSettings()
-	s.Classes[0].Aim = 400 * ms
+	s.Classes[0].LatencyObjective = 400 * ms
 	w := newWorld(t, s, func(u string) (Result, time.Duration) {
 		if u == "u0" && broken {
 			return ServerError, time.Millisecond
@@ -452,7 +452,7 @@
 func TestLimitNarrowsWhereUpstreamsAreCrowded(t *testing.T) {
 	n, crowded := 0, true
 	s := testSettings()
-	s.SecondCopies = false
+	s.HedgingAllowed = false
 	reply := func(string) (Result, time.Duration) {
 		if n++; crowded && n%2 == 0 {
 			return OK, 230 * ms
@@ -478,8 +478,8 @@
 	})
 	w.fleet(4)
 	w.play(2*time.Second, 400)
-	if w.ended[Refuse] == 0 || w.b.limit < limitMax*0.9 {
-		t.Errorf("%d refused; limit %.2f with upstreams hung, not crowded", w.ended[Refuse], w.b.limit)
+	if w.ended[Reject] == 0 || w.b.limit < limitMax*0.9 {
+		t.Errorf("%d refused; limit %.2f with upstreams hung, not crowded", w.ended[Reject], w.b.limit)
 	}
 }
 
@@ -504,12 +504,12 @@
 			r.b.served.add(1, r.now+2*time.Second*time.Duration(i)/time.Duration(c.answered))
 		}
 		r.now += 2 * time.Second
-		r.do(Wake{})
+		r.do(TimerFired{})
 		for range c.n {
 			r.b.hold(&request{arrived: r.now, aim: r.now + 200*ms}, 1)
 		}
 		r.now += c.age
-		r.do(Wake{})
+		r.do(TimerFired{})
 		if p := r.b.pressure(); p > 1 != c.over {
 			t.Errorf("%d in hand for %v, %d answered: pressure %.2f", c.n, c.age, c.answered, p)
 		}
@@ -529,7 +529,7 @@
 	}
 	r.now += 150 * ms // and no answer: all that comes now is refused
 	for i := range 100 {
-		r.wantFinal(r.request(fmt.Sprint("late", i), "c", time.Second), Refuse)
+		r.wantFinal(r.request(fmt.Sprint("late", i), "c", time.Second), Reject)
 	}
 	if r.b.retries != 20*retryRatio {
 		t.Errorf("budget %.2f after a hundred refusals", r.b.retries)
@@ -549,7 +549,7 @@
 			r.b.served.add(1, r.now)
 		}
 		r.b.late.v, r.b.copyWins = 0.08, 1
-		r.wantSend(r.do(Request{ID: "r", Class: "c", Expires: r.now + time.Second, Hint: 20 * ms}))
+		r.wantSend(r.do(Request{ID: "r", Class: "c", Deadline: r.now + time.Second, CostHint: 20 * ms}))
 		for range c.inHand {
 			r.b.hold(&request{arrived: r.now, aim: r.now + 200*ms}, 1)
 		}
@@ -590,14 +590,14 @@
 	w := newWorld(t, testSettings(), func(string) (Result, time.Duration) { return OK, latency })
 	w.fleet(10)
 	w.play(20*time.Second, 3)
-	if w.ended[Refuse] < 20 {
-		t.Errorf("%d of %d refused while all took longer than their aim", w.ended[Refuse], w.n)
+	if w.ended[Reject] < 20 {
+		t.Errorf("%d of %d refused while all took longer than their aim", w.ended[Reject], w.n)
 	}
 	latency = 20 * ms
 	w.play(10*time.Second, 3)
-	refused := w.ended[Refuse]
+	refused := w.ended[Reject]
 	w.play(10*time.Second, 3)
-	if w.ended[Refuse] != refused {
+	if w.ended[Reject] != refused {
 		t.Error("still shedding long after")
 	}
 }
@@ -622,11 +622,11 @@
 			r.b.copyWins = 0.5
 		}
 		r.now += time.Second
-		r.do(Request{ID: "late", Class: "c", Expires: r.now + time.Second, Hint: c.hint})
+		r.do(Request{ID: "late", Class: "c", Deadline: r.now + time.Second, CostHint: c.hint})
 		if c.second {
 			r.request("beside", "c", time.Second)
 		}
-		r.list(Change, Member{Upstream: "other", Zone: "a"})
+		r.list(IncrementalUpdate, Endpoint{Name: "other", Zone: "a"})
 		if got := len(kinds(r.pass(60*ms), Send)) > 0; got != c.copied {
 			t.Errorf("%+v: copied %v", c, got)
 		}
@@ -663,7 +663,7 @@
 		want      time.Duration
 	}{{time.Second, 0.5, time.Second}, {800 * ms, 0, 800 * ms}, {800 * ms, 0.5, 100 * ms}, {50 * ms, 0.5, 50 * ms}} {
 		s := testSettings() // aim 200 ms, deadline 1 s
-		s.MaxRetryAfter, s.Classes[0].LateShare = c.longest, c.lateShare
+		s.MaxRetryAfter, s.Classes[0].LateValueFraction = c.longest, c.lateShare
 		r := newRig(t, s)
 		r.fleet(4)
 		r.b.crowd, r.b.crowdAt = 10, r.now // half is refused
@@ -671,8 +671,8 @@
 		for i := 0; i < 40 && len(finals(acts)) == 0; i++ {
 			acts = r.request(fmt.Sprint(i), "c", time.Second)
 		}
-		r.wantFinal(acts, Refuse)
-		if got := finals(acts)[0].RetryIn; got != c.want {
+		r.wantFinal(acts, Reject)
+		if got := finals(acts)[0].RetryAfter; got != c.want {
 			t.Errorf("%+v: advised %v", c, got)
 		}
 	}
@@ -692,8 +692,8 @@
 	}{{"a burst", 0.3, 100, 0, 0, 0}, {"a few long ones", 0.95, 4, 0, 0.02, 0}, {"crowded a little", 0.4, 200, 0.2, 0.6, 0.02},
 		{"crowded", 1.5, 200, 0.98, 1, 0.7}} {
 		s := testSettings()
-		s.Balancers = 80
-		s.Classes = append(s.Classes, Class{Name: "better", Aim: 200 * ms, Deadline: time.Second, Worth: 3})
+		s.FleetSize = 80
+		s.Classes = append(s.Classes, Class{Name: "better", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 3})
 		r := newRig(t, s)
 		r.fleet(60)
 		r.b.crowd = 0.2
@@ -716,7 +716,7 @@
 			if len(finals(r.request(id, class, time.Second))) > 0 {
 				refused[class]++
 			} else {
-				r.do(Gone{ID: id})
+				r.do(ClientDisconnected{ID: id})
 			}
 			r.b.crowdAt = r.now
 		}
--- a/balancer/zones.go
+++ b/balancer/zones.go
@@ -80,7 +80,7 @@
 	b.logOf(u, "zone %s is silent: %d of its upstreams fail", u.zone, z.misses)
 	for _, x := range b.list {
 		for _, out := range x.out {
-			if x.in == z && out.r.class.Effect != Unsafe {
+			if x.in == z && out.r.class.Idempotency != NonIdempotent {
 				out.r.lateAt = b.now
 				b.after(b.now, timerLate, out.r)
 			}
--- a/balancer/zones_test.go
+++ b/balancer/zones_test.go
@@ -9,14 +9,14 @@
 // zoned is a world of one sidecar in zone a that sends little, before perZone upstreams in each of three zones.
 func zoned(t *testing.T, perZone int, reply func(u string) (Result, time.Duration)) *world {
 	s := testSettings()
-	s.Balancers = 80
+	s.FleetSize = 80
 	w := newWorld(t, s, reply)
-	var list []Member
+	var list []Endpoint
 	for i := range 3 * perZone {
 		zone := "abc"[i%3 : i%3+1]
-		list = append(list, Member{Upstream: fmt.Sprint(zone, i), Zone: zone})
+		list = append(list, Endpoint{Name: fmt.Sprint(zone, i), Zone: zone})
 	}
-	w.list(Full, list...)
+	w.list(FullUpdate, list...)
 	return w
 }
 
@@ -110,7 +110,7 @@
 	if z.losses == 0 {
 		t.Fatalf("log %q", w.logs)
 	}
-	w.list(Change, Member{Upstream: "c2", Zone: "c", CameUp: w.now})
+	w.list(IncrementalUpdate, Endpoint{Name: "c2", Zone: "c", StartedAt: w.now})
 	if z.losses != 0 || w.now < z.until {
 		t.Errorf("left out %d times, until %v, at %v", z.losses, z.until, w.now)
 	}
@@ -122,7 +122,7 @@
 	n := 0
 	w := zoned(t, 6, func(string) (Result, time.Duration) {
 		if n++; n%10 < 2 && n%20 < 10 {
-			return Garbled, 5 * ms
+			return Malformed, 5 * ms
 		}
 		return OK, 20 * ms
 	})
@@ -136,7 +136,7 @@
 func TestZonesAreForgotten(t *testing.T) {
 	r := newRig(t, testSettings())
 	for i := range 1000 {
-		r.list(Full, Member{Upstream: "u", Zone: fmt.Sprint("z", i)})
+		r.list(FullUpdate, Endpoint{Name: "u", Zone: fmt.Sprint("z", i)})
 	}
 	if n := len(r.b.zones); n > zonesKept+2 {
 		t.Errorf("%d zones kept of one", n)
--- a/cmd/orchiddrift/check.go
+++ b/cmd/orchiddrift/check.go
@@ -124,7 +124,7 @@
 		}
 		fmt.Fprint(w, "; classes")
 		for _, c := range s.Settings.Classes {
-			fmt.Fprintf(w, " %s (%s)", c.Name, []string{"safe", "keyed", "unsafe"}[c.Effect])
+			fmt.Fprintf(w, " %s (%s)", c.Name, []string{"safe", "keyed", "unsafe"}[c.Idempotency])
 		}
 		if s.Unrouted {
 			fmt.Fprint(w, "; no route leads to it")
--- a/grpcbalancer/call.go
+++ b/grpcbalancer/call.go
@@ -51,7 +51,7 @@
 		c.ID = p.newID(1)
 		ctx = metadata.AppendToOutgoingContext(ctx, RequestIDKey, c.ID)
 	}
-	if class.Effect == balancer.Keyed && first(md, IdempotencyKey) == "" {
+	if class.Idempotency == balancer.IdempotentWithKey && first(md, IdempotencyKey) == "" {
 		ctx = metadata.AppendToOutgoingContext(ctx, IdempotencyKey, p.newID(2))
 	}
 	if deadline, ok := ctx.Deadline(); ok {
--- a/grpcbalancer/door_test.go
+++ b/grpcbalancer/door_test.go
@@ -31,10 +31,10 @@
 	file := base.File(t, "o.toml", []byte("[[door]]\nservice = \"service\"\nby = [\"tenant\", \"header:x-shop\"]\nlimit_least = 1\nlimit_most = 1\nwaiting = 3\n"))
 	conn, _ := f.dial(t, func(o *grpcbalancer.Options) {
 		o.File = file
-		o.Settings.SecondCopies, o.Settings.MaxAttempts = false, 1
+		o.Settings.HedgingAllowed, o.Settings.MaxAttempts = false, 1
 		for i := range o.Settings.Classes {
 			o.Settings.Classes[i].Deadline = time.Minute
-			o.Settings.Classes[i].Aim = time.Minute
+			o.Settings.Classes[i].LatencyObjective = time.Minute
 		}
 	})
 	var mu sync.Mutex
@@ -261,9 +261,9 @@
 	for range plugins {
 		conn, _ := f.dial(t, func(o *grpcbalancer.Options) {
 			o.File = file
-			o.Settings.SecondCopies = false
+			o.Settings.HedgingAllowed = false
 			for i := range o.Settings.Classes {
-				o.Settings.Classes[i].Deadline, o.Settings.Classes[i].Aim = base.Patience, base.Patience
+				o.Settings.Classes[i].Deadline, o.Settings.Classes[i].LatencyObjective = base.Patience, base.Patience
 			}
 		})
 		conns = append(conns, conn)
--- a/grpcbalancer/example_test.go
+++ b/grpcbalancer/example_test.go
@@ -32,10 +32,10 @@
 	plugin, err := grpcbalancer.New(grpcbalancer.Options{
 		Settings: balancer.Settings{
 			Classes: []balancer.Class{
-				{Name: "search", Effect: balancer.Safe, Aim: 800 * time.Millisecond, Deadline: 1500 * time.Millisecond},
-				{Name: "confirm", Effect: balancer.Unsafe, Aim: 1200 * time.Millisecond, Deadline: 5 * time.Second},
+				{Name: "search", Idempotency: balancer.Idempotent, LatencyObjective: 800 * time.Millisecond, Deadline: 1500 * time.Millisecond},
+				{Name: "confirm", Idempotency: balancer.NonIdempotent, LatencyObjective: 1200 * time.Millisecond, Deadline: 5 * time.Second},
 			},
-			MaxAttempts: 5, Cancelling: true, SecondCopies: true,
+			MaxAttempts: 5, CancellationAllowed: true, HedgingAllowed: true,
 		},
 		Endpoints: []grpcbalancer.Endpoint{{Name: "s-1", Address: address}},
 		Methods:   map[string]string{"/booking.Seats/Search": "search"},
--- a/grpcbalancer/gone_test.go
+++ b/grpcbalancer/gone_test.go
@@ -71,7 +71,7 @@
 			o.File = base.File(t, "o.toml", []byte("[[repeats]]\nservice = \"service\"\ntenant_part = 1.0\n"))
 			o.Settings.ConnectTimeout = base.Patience
 			for i := range o.Settings.Classes {
-				o.Settings.Classes[i].Deadline, o.Settings.Classes[i].Aim = base.Patience, base.Patience
+				o.Settings.Classes[i].Deadline, o.Settings.Classes[i].LatencyObjective = base.Patience, base.Patience
 			}
 		})
 		const callers = 8
--- a/grpcbalancer/methods.go
+++ b/grpcbalancer/methods.go
@@ -24,7 +24,7 @@
 	classes  map[string]balancer.Class
 	exact    map[string]string // by full method name
 	services map[string]string // by service name, for "/package.Service/*"
-	defaults map[balancer.Effect]string
+	defaults map[balancer.Idempotency]string
 	files    *protoregistry.Files
 
 	mu    sync.RWMutex
@@ -37,18 +37,18 @@
 // newMethods checks the mapping against the classes. It may add UnsafeClass to settings.
 func newMethods(set *balancer.Settings, mapping map[string]string, files *protoregistry.Files) (*methods, error) {
 	m := &methods{classes: map[string]balancer.Class{}, exact: map[string]string{}, services: map[string]string{},
-		defaults: map[balancer.Effect]string{}, files: cmp.Or(files, protoregistry.GlobalFiles), known: map[string]balancer.Class{}}
+		defaults: map[balancer.Idempotency]string{}, files: cmp.Or(files, protoregistry.GlobalFiles), known: map[string]balancer.Class{}}
 	var longest time.Duration
 	for _, c := range set.Classes {
 		longest = max(longest, c.Deadline)
-		if m.defaults[c.Effect] == "" {
-			m.defaults[c.Effect] = c.Name
+		if m.defaults[c.Idempotency] == "" {
+			m.defaults[c.Idempotency] = c.Name
 		}
 	}
-	if m.defaults[balancer.Unsafe] == "" && longest > 0 {
+	if m.defaults[balancer.NonIdempotent] == "" && longest > 0 {
 		set.Classes = append(append([]balancer.Class(nil), set.Classes...),
-			balancer.Class{Name: UnsafeClass, Deadline: longest, Effect: balancer.Unsafe})
-		m.defaults[balancer.Unsafe] = UnsafeClass
+			balancer.Class{Name: UnsafeClass, Deadline: longest, Idempotency: balancer.NonIdempotent})
+		m.defaults[balancer.NonIdempotent] = UnsafeClass
 	}
 	for _, c := range set.Classes {
 		m.classes[c.Name] = c
@@ -81,7 +81,7 @@
 	}
 	service, name, _ := strings.Cut(strings.TrimPrefix(method, "/"), "/")
 	c = m.classes[cmp.Or(m.exact[method], m.services[service], m.defaults[m.level(service, name)],
-		m.defaults[balancer.Unsafe])]
+		m.defaults[balancer.NonIdempotent])]
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.known) < maxMethods {
@@ -91,28 +91,28 @@
 }
 
 // level is the effect that the proto's idempotency_level stands for; Unsafe where nothing is known.
-func (m *methods) level(service, method string) balancer.Effect {
+func (m *methods) level(service, method string) balancer.Idempotency {
 	d, err := m.files.FindDescriptorByName(protoreflect.FullName(service))
 	if err != nil {
-		return balancer.Unsafe
+		return balancer.NonIdempotent
 	}
 	s, ok := d.(protoreflect.ServiceDescriptor)
 	if !ok {
-		return balancer.Unsafe
+		return balancer.NonIdempotent
 	}
 	md := s.Methods().ByName(protoreflect.Name(method))
 	if md == nil {
-		return balancer.Unsafe
+		return balancer.NonIdempotent
 	}
 	options, ok := md.Options().(*descriptorpb.MethodOptions)
 	if !ok {
-		return balancer.Unsafe
+		return balancer.NonIdempotent
 	}
 	switch options.GetIdempotencyLevel() {
 	case descriptorpb.MethodOptions_NO_SIDE_EFFECTS:
-		return balancer.Safe
+		return balancer.Idempotent
 	case descriptorpb.MethodOptions_IDEMPOTENT:
-		return balancer.Keyed
+		return balancer.IdempotentWithKey
 	}
-	return balancer.Unsafe
+	return balancer.NonIdempotent
 }
--- a/grpcbalancer/outcome.go
+++ b/grpcbalancer/outcome.go
@@ -25,17 +25,17 @@
 func (e evidence) result(answers map[codes.Code]bool) balancer.Result {
 	switch {
 	case e.drained:
-		return balancer.Moot
+		return balancer.NotSent
 	case e.unprocessed:
-		return balancer.Overloaded
+		return balancer.Rejected
 	case !e.headers && e.noConnection:
 		return balancer.ConnectFailed
 	case !e.headers && e.cause != nil: // called off before anything was sent
-		return balancer.Moot
+		return balancer.NotSent
 	case !e.headers:
 		return balancer.ConnectFailed
 	case e.notProcessed:
-		return balancer.Overloaded
+		return balancer.Rejected
 	case e.code == codes.OK || answers[e.code]:
 		return balancer.OK
 	case errors.Is(e.cause, context.DeadlineExceeded), e.code == codes.DeadlineExceeded: // also as the upstream's word
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -196,7 +196,7 @@
 		p.warming = &warming{used: map[string]bool{}, w: prewarm.New(file.Warm, maxSubs,
 			rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String("warm"))))}
 	}
-	source, known, err := p.openSource(o, file, known, staleness.Options{Pushed: !set.MustSubscribe, Sidecars: set.Balancers}, log)
+	source, known, err := p.openSource(o, file, known, staleness.Options{Pushed: !set.MustSubscribe, Sidecars: set.FleetSize}, log)
 	if err != nil {
 		return nil, fmt.Errorf("orchidgrpc: %w", err)
 	}
@@ -208,7 +208,7 @@
 			known = p.narrow.Load(known)
 		}
 	}
-	var members balancer.Members
+	var members balancer.EndpointUpdate
 	if known != nil {
 		members = p.feed.Take(known)
 	}
@@ -216,7 +216,7 @@
 	if source != nil {
 		subscribe = source.Ask
 	}
-	p.engine, err = engine.New(engine.Options{Settings: set, Seed: o.Seed, Clock: clk, Known: members.Entries,
+	p.engine, err = engine.New(engine.Options{Settings: set, Seed: o.Seed, Clock: clk, Known: members.Endpoints,
 		Subscribe: subscribe, Settle: p.feed.Settle, Log: log, CancelWithCaller: true})
 	if err != nil {
 		return nil, fmt.Errorf("orchidgrpc: Settings: %w", err)
@@ -290,7 +290,7 @@
 func openDoor(o Options, of admission.Options, clk clock.Clock, log *slog.Logger) (*controller.Keeper, error) {
 	of.Longest = o.Settings.MaxRetryAfter
 	return controller.New(controller.Options{Door: of, Classes: o.Settings.Classes, Clock: clk, Log: log,
-		Seed: o.Seed ^ xxhash.Sum64String("door"), Tells: o.Settings.RetryAfter})
+		Seed: o.Seed ^ xxhash.Sum64String("door"), Tells: o.Settings.RetryAfterAllowed})
 }
 
 // Target is what to give to grpc.NewClient, with DialOptions.
@@ -376,9 +376,9 @@
 }
 
 // update brings news of the list, which the directory has already.
-func (p *Plugin) update(m balancer.Members) {
+func (p *Plugin) update(m balancer.EndpointUpdate) {
 	p.engine.Update(m)
-	if len(m.Entries) == 0 && m.Kind != balancer.Full {
+	if len(m.Endpoints) == 0 && m.Kind != balancer.FullUpdate {
 		return
 	}
 	p.mu.Lock()
--- a/grpcbalancer/repeats.go
+++ b/grpcbalancer/repeats.go
@@ -19,7 +19,7 @@
 // repeatKey is the key by which a call's repeats are looked for: the caller's own, of a keyed class. One that is made here is
 // each call's own.
 func (p *Plugin) repeatKey(ctx context.Context, method string) string {
-	if p.repeats == nil || p.methods.class(method).Effect != balancer.Keyed {
+	if p.repeats == nil || p.methods.class(method).Idempotency != balancer.IdempotentWithKey {
 		return ""
 	}
 	md, _ := metadata.FromOutgoingContext(ctx)
@@ -46,7 +46,7 @@
 		func(wanted context.Context, prior []idempotency.Send, sends executor.Sends) executor.Ended {
 			sent.Wanted = wanted
 			for _, x := range prior {
-				sent.Prior = append(sent.Prior, balancer.Prior{Zone: x.Zone, Cell: x.Cell, Sent: x.Sent})
+				sent.Prior = append(sent.Prior, balancer.EarlierAttempt{Zone: x.Zone, Cell: x.Cell, SentAt: x.Sent})
 			}
 			a := sent.do(context.WithoutCancel(ctx), noted{sent, sends})
 			switch a.Kind {
@@ -113,7 +113,7 @@
 	c.sends.Sent(x)
 	r := c.unaryCall.Carry(ctx, a)
 	switch r.Result {
-	case balancer.Overloaded, balancer.ConnectFailed, balancer.Moot:
+	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
 		c.sends.Unsent(x)
 	}
 	return r
--- a/grpcbalancer/rig_test.go
+++ b/grpcbalancer/rig_test.go
@@ -52,13 +52,13 @@
 }
 
 func settings() balancer.Settings {
-	class := func(name string, e balancer.Effect) balancer.Class {
-		return balancer.Class{Name: name, Aim: 2 * time.Second, Deadline: 4 * time.Second, LateShare: 0.5, Effect: e,
-			Group: balancer.GroupAll, Window: 6 * time.Second}
+	class := func(name string, e balancer.Idempotency) balancer.Class {
+		return balancer.Class{Name: name, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, LateValueFraction: 0.5, Idempotency: e,
+			DedupScope: balancer.ScopeAll, DedupWindow: 6 * time.Second}
 	}
-	return balancer.Settings{Zone: "a", Classes: []balancer.Class{class("search", balancer.Safe),
-		class("record", balancer.Keyed), class("confirm", balancer.Unsafe)}, Tick: 5 * time.Millisecond, MaxAttempts: 5,
-		SecondCopies: true, Cancelling: true, RetryAfter: true, MaxRetryAfter: 1500 * time.Millisecond,
+	return balancer.Settings{Zone: "a", Classes: []balancer.Class{class("search", balancer.Idempotent),
+		class("record", balancer.IdempotentWithKey), class("confirm", balancer.NonIdempotent)}, Tick: 5 * time.Millisecond, MaxAttempts: 5,
+		HedgingAllowed: true, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 1500 * time.Millisecond,
 		ConnectTimeout: time.Second}
 }
 
--- a/grpcbalancer/stream.go
+++ b/grpcbalancer/stream.go
@@ -71,7 +71,7 @@
 	s := t.s
 	rec := s.begin(streamContext{ctx, s.ctx}, a)
 	if rec == nil {
-		return engine.Reply{Result: balancer.Moot}
+		return engine.Reply{Result: balancer.NotSent}
 	}
 	r := &streamResult{rec: rec}
 	var err error
@@ -203,7 +203,7 @@
 	s.won.trailer = s.won.stream.Trailer()
 	r := s.ended(s.won.rec, err)
 	if err != nil && err != io.EOF && r != balancer.OK {
-		if r == balancer.Overloaded || r == balancer.ConnectFailed || r == balancer.Moot {
+		if r == balancer.Rejected || r == balancer.ConnectFailed || r == balancer.NotSent {
 			err = refusal("orchidgrpc: the stream was not processed: "+status.Convert(err).Message(), s.answer, codes.Unavailable)
 		} else {
 			err = answerError(s.ctx, engine.Answer{Kind: engine.Failed, Sends: s.answer.Sends}, status.Convert(err), false)
--- a/grpcbalancer/stream_test.go
+++ b/grpcbalancer/stream_test.go
@@ -128,7 +128,7 @@
 func TestStreamLastsAsLongAsItsCaller(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, func(o *grpcbalancer.Options) {
-		o.Settings.Classes[0].Aim, o.Settings.Classes[0].Deadline = 300*time.Millisecond, 300*time.Millisecond
+		o.Settings.Classes[0].LatencyObjective, o.Settings.Classes[0].Deadline = 300*time.Millisecond, 300*time.Millisecond
 	})
 	got, err := drainStream(open(t, t.Context(), conn, search, 8, 100*time.Millisecond))
 	if err != nil || len(got) != 8 {
--- a/grpcbalancer/unary.go
+++ b/grpcbalancer/unary.go
@@ -56,7 +56,7 @@
 func (u *unaryCall) Carry(ctx context.Context, a engine.Attempt) engine.Reply {
 	rec := u.begin(ctx, a)
 	if rec == nil {
-		return engine.Reply{Result: balancer.Moot}
+		return engine.Reply{Result: balancer.NotSent}
 	}
 	// What the caller's goroutine carries out may write to the caller's message: the call does not end before.
 	r := &unaryResult{reply: u.reply}
--- a/grpcbalancer/unary_test.go
+++ b/grpcbalancer/unary_test.go
@@ -195,7 +195,7 @@
 // Guards against a call without a deadline that waits for ever: it has its class's.
 func TestNoDeadlineIsTheClasss(t *testing.T) {
 	conn, _ := newFleet(t, always(fakes.Hang)).dial(t, func(o *grpcbalancer.Options) {
-		o.Settings.Classes[2].Aim, o.Settings.Classes[2].Deadline = 300*time.Millisecond, 300*time.Millisecond
+		o.Settings.Classes[2].LatencyObjective, o.Settings.Classes[2].Deadline = 300*time.Millisecond, 300*time.Millisecond
 	})
 	begun := time.Now()
 	_, err := ask(context.Background(), conn, confirm)
@@ -244,7 +244,7 @@
 	f := newFleet(t, always(fakes.LoseAnswer), fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, _ := f.dial(t, func(o *grpcbalancer.Options) {
 		for i := range o.Settings.Classes {
-			o.Settings.Classes[i].Aim, o.Settings.Classes[i].Deadline = time.Second, time.Second
+			o.Settings.Classes[i].LatencyObjective, o.Settings.Classes[i].Deadline = time.Second, time.Second
 		}
 	})
 	var wg sync.WaitGroup
--- a/internal/admission/controller/doorkeeper_test.go
+++ b/internal/admission/controller/doorkeeper_test.go
@@ -23,7 +23,7 @@
 
 func keeper(t *testing.T, change func(*Options)) *Keeper {
 	t.Helper()
-	o := Options{Door: admission.Default(), Classes: []balancer.Class{{Name: "search", Aim: 400 * time.Millisecond, Deadline: time.Second, LateShare: 0.3}},
+	o := Options{Door: admission.Default(), Classes: []balancer.Class{{Name: "search", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, LateValueFraction: 0.3}},
 		Clock: clock.New(), Tells: true, Seed: 1}
 	o.Door.Least, o.Door.Most, o.Door.Waiting = 2, 2, 8
 	if change != nil {
--- a/internal/admission/door.go
+++ b/internal/admission/door.go
@@ -198,11 +198,11 @@
 		budget: budget{tokens: budgetAll, most: budgetAll}, usual: costUsual, other: &class{usual: costUsual}}
 	for _, c := range classes {
 		k := &class{Class: c, usual: costUsual}
-		if k.Worth == 0 {
-			k.Worth = 1
+		if k.PriorityWeight == 0 {
+			k.PriorityWeight = 1
 		}
-		if k.Aim == 0 {
-			k.Aim = k.Deadline
+		if k.LatencyObjective == 0 {
+			k.LatencyObjective = k.Deadline
 		}
 		d.classes[c.Name] = k
 	}
@@ -273,15 +273,15 @@
 	e := d.entry()
 	e.flow, e.class, e.hinted, e.arrival, e.bytes = f, c, a.Hint, d.now, a.Bytes
 	e.print = a.Print
-	e.aim, e.expires = a.Came+c.Aim+time.Duration(c.AimStretch*float64(a.Hint)), a.Expires
-	if c.Aim <= 0 {
+	e.aim, e.expires = a.Came+c.LatencyObjective+time.Duration(c.ObjectiveStretch*float64(a.Hint)), a.Expires
+	if c.LatencyObjective <= 0 {
 		e.aim = a.Expires
 	}
 	e.cost = c.estimate(a.Hint, g.honesty)
-	e.worth = c.Worth
+	e.worth = c.PriorityWeight
 	e.late = d.now >= e.aim
 	if e.late {
-		e.worth *= c.LateShare
+		e.worth *= c.LateValueFraction
 	}
 
 	if d.redeem(f, a.Print) {
@@ -322,7 +322,7 @@
 	if repeat && !(g.budget.may() && d.budget.may()) {
 		return Budget, false
 	}
-	if e.class.LateShare <= 0 && e.late || d.now >= e.expires {
+	if e.class.LateValueFraction <= 0 && e.late || d.now >= e.expires {
 		return TooLate, false
 	}
 	// Of weight 0: it waits for what is left, as long as it may.
@@ -696,10 +696,10 @@
 	d.tell(now)
 	for d.dues.Len() > 0 && d.dues.First().due <= d.now {
 		e := d.dues.First()
-		if !e.late && e.class.LateShare > 0 && e.expires > e.aim {
+		if !e.late && e.class.LateValueFraction > 0 && e.expires > e.aim {
 			e.flow.pull(e)
 			e.late = true
-			e.worth *= e.class.LateShare
+			e.worth *= e.class.LateValueFraction
 			e.flow.push(e)
 			if e.due = e.lastStart(); e.due > d.now {
 				d.dues.Fix(e, float64(e.due), uint64(e.index))
--- a/internal/admission/door_test.go
+++ b/internal/admission/door_test.go
@@ -428,7 +428,7 @@
 	long := strings.Repeat("n", longestName+1)
 	o := one(1, 100)
 	o.Weights = []Weight{{long, 0}}
-	d := New(o, []balancer.Class{{Name: "search", Aim: 100 * time.Millisecond, AimStretch: 2, Deadline: 5 * time.Second}}, 1)
+	d := New(o, []balancer.Class{{Name: "search", LatencyObjective: 100 * time.Millisecond, ObjectiveStretch: 2, Deadline: 5 * time.Second}}, 1)
 	now := time.Hour
 	by, err := ParseBy([]string{"tenant"})
 	must(t, err)
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -13,8 +13,8 @@
 )
 
 var testClasses = []balancer.Class{
-	{Name: "search", Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1, LateShare: 0.3},
-	{Name: "pay", Aim: time.Second, Deadline: 2 * time.Second, Worth: 5},
+	{Name: "search", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, LateValueFraction: 0.3},
+	{Name: "pay", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 5},
 }
 
 // rig is a Door with everything that is known of its requests from outside.
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -84,7 +84,7 @@
 
 // Staleness is how its list at Discovery is followed.
 func (s *ServicePlan) Staleness() staleness.Options {
-	return staleness.Options{Pushed: !s.Settings.MustSubscribe, AskWithin: s.Settings.AskWithin, Sidecars: s.Settings.Balancers,
+	return staleness.Options{Pushed: !s.Settings.MustSubscribe, AskWithin: s.Settings.AskWithin, Sidecars: s.Settings.FleetSize,
 		Grace: s.Settings.Grace}
 }
 
@@ -249,7 +249,7 @@
 		p.HeadTimeout, p.BodyTimeout, p.Grace = of.HeadTimeout, of.BodyTimeout, of.Grace
 		p.Services = of.Services
 		p.Services[0].Subset, p.Services[0].Warm, p.Services[0].Probe = f.Platform.Subset, f.Platform.Warm, f.Platform.Probe
-		if f.Platform.Probe.On && !p.Services[0].Settings.Probes {
+		if f.Platform.Probe.On && !p.Services[0].Settings.ProbingAllowed {
 			doc.Report("platform.probe", "the platform's settings allow no probes")
 		}
 		names[Platform] = 0
@@ -369,7 +369,7 @@
 		if s.Repeats != nil {
 			doc.Report(at+".service", "%q has two stores of keys", o.Service)
 		}
-		if !slices.ContainsFunc(s.Settings.Classes, func(c balancer.Class) bool { return c.Effect == balancer.Keyed }) {
+		if !slices.ContainsFunc(s.Settings.Classes, func(c balancer.Class) bool { return c.Idempotency == balancer.IdempotentWithKey }) {
 			doc.Report(at+".service", "service %s has no keyed class", s.Name)
 		}
 		if o.File != "" && files[o.File] {
@@ -401,7 +401,7 @@
 		if slices.Contains(o.By, "certificate") && p.TLS.ClientCA == "" {
 			doc.Report(at+".by", "clients show no certificates: [tls] has no client_ca")
 		}
-		if s.Settings.RetryAfter {
+		if s.Settings.RetryAfterAllowed {
 			o.Longest = s.Settings.MaxRetryAfter
 		}
 		s.Door = &o
--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -225,7 +225,7 @@
 	case graphql.Unrun:
 		o.pool.Free(rep)
 		o.fail(nil)
-		return engine.Reply{Result: balancer.Overloaded}
+		return engine.Reply{Result: balancer.Rejected}
 	case graphql.Failing:
 		o.keep(rep)
 		o.fail(&rep)
@@ -233,7 +233,7 @@
 	}
 	o.pool.Free(rep)
 	o.fail(nil)
-	return engine.Reply{Result: balancer.Garbled}
+	return engine.Reply{Result: balancer.Malformed}
 }
 
 func (o *operation) fail(rep *upstream.Reply) {
@@ -259,7 +259,7 @@
 	}
 	switch o.answer.Kind {
 	case engine.Refused:
-		if o.decision.Class.Effect == balancer.Keyed && o.begun.Load() > 0 { // whoever asks again finds the group that drops repeats
+		if o.decision.Class.Idempotency == balancer.IdempotentWithKey && o.begun.Load() > 0 { // whoever asks again finds the group that drops repeats
 			return say(http.StatusServiceUnavailable, graphql.Uncertain, graphql.CodeRefused, "refused: it may have run; trying again with the same key is harmless")
 		}
 		return say(http.StatusServiceUnavailable, graphql.NotRun, graphql.CodeRefused, "refused: not done, trying again is harmless")
--- a/internal/daemon/reading.go
+++ b/internal/daemon/reading.go
@@ -13,7 +13,7 @@
 		ready, leaving := 0, s.dir.Leaving()
 		for _, u := range s.engine.View() {
 			ready++
-			if u.Avoided {
+			if u.TrialOnly {
 				f.Unavailable++
 			}
 		}
--- a/internal/daemon/repeats.go
+++ b/internal/daemon/repeats.go
@@ -73,7 +73,7 @@
 
 // keyed tells whether a request's repeats are looked for.
 func (s *service) keyed(class *balancer.Class, key string) *executor.Keeper {
-	if class.Effect != balancer.Keyed || key == "" {
+	if class.Idempotency != balancer.IdempotentWithKey || key == "" {
 		return nil
 	}
 	return s.repeats.Load()
@@ -94,7 +94,7 @@
 	c.mayRun.Add(1)
 	r := c.Carrier.Carry(ctx, a)
 	switch r.Result {
-	case balancer.Overloaded, balancer.ConnectFailed, balancer.Moot:
+	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
 		c.sends.Unsent(x)
 		c.mayRun.Add(-1)
 	}
@@ -115,7 +115,7 @@
 			c, end := carrier()
 			defer end()
 			for _, x := range prior {
-				call.Prior = append(call.Prior, balancer.Prior{Zone: x.Zone, Cell: x.Cell, Sent: x.Sent})
+				call.Prior = append(call.Prior, balancer.EarlierAttempt{Zone: x.Zone, Cell: x.Cell, SentAt: x.Sent})
 			}
 			call.Wanted = wanted
 			var mayRun atomic.Int64
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -148,7 +148,7 @@
 func (x *exchange) attempt(ctx context.Context, a engine.Attempt) upstream.Reply {
 	x.begun.Add(1)
 	rep := x.pool.AttemptWithin(ctx, a.Upstream, x.request, upstream.Terms{Deadline: a.Deadline, By: a.By, Caller: a.Caller, Cancel: a.Cancel})
-	if rep.Result == balancer.Moot || rep.Result == balancer.ConnectFailed {
+	if rep.Result == balancer.NotSent || rep.Result == balancer.ConnectFailed {
 		x.begun.Add(-1)
 	}
 	return rep
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -123,7 +123,7 @@
 	s.pool = upstream.New(o)
 	s.dir = endpoints.New(sh.clock, s.pool.Drop)
 	s.pool.SetDirectory(s.dir)
-	s.feed = discovery.NewFeed(s.dir, func(m balancer.Members) { s.engine.Update(m) })
+	s.feed = discovery.NewFeed(s.dir, func(m balancer.EndpointUpdate) { s.engine.Update(m) })
 	if plan.Subset.On {
 		self := fmt.Sprintf("%s/%016x", sh.name, sh.seed)
 		s.narrow = discovery.NewNarrowed(subset.New(plan.Subset, self, plan.Settings.Zone, sh.connections), s.feed, s.asked.Load)
@@ -131,7 +131,7 @@
 			list = s.narrow.Load(list)
 		}
 	}
-	var first balancer.Members
+	var first balancer.EndpointUpdate
 	if list != nil {
 		first = s.feed.Take(list)
 	}
@@ -140,7 +140,7 @@
 		seed ^= xxhash.Sum64String(plan.Name)
 	}
 	s.engine, err = engine.New(engine.Options{Settings: plan.Settings.Settings, Seed: seed, Clock: sh.clock,
-		Known: first.Entries, Subscribe: s.ask, Settle: s.feed.Settle, Log: log})
+		Known: first.Endpoints, Subscribe: s.ask, Settle: s.feed.Settle, Log: log})
 	if err != nil {
 		s.pool.Close()
 		return nil, fmt.Errorf("service %s: %w", plan.Name, err)
@@ -185,7 +185,7 @@
 	case plan.Door != nil:
 		k, err := controller.New(controller.Options{Door: *plan.Door, Classes: plan.Settings.Classes, Clock: s.shared.clock,
 			Seed: s.shared.seed ^ xxhash.Sum64String("door/"+plan.Name), Log: s.shared.log.With("service", plan.Name),
-			Tells: plan.Settings.RetryAfter})
+			Tells: plan.Settings.RetryAfterAllowed})
 		if err != nil {
 			return fmt.Errorf("door: %w", err)
 		}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -45,25 +45,25 @@
 // class is what the clients ask for.
 type class struct {
 	name   string
-	effect balancer.Effect
+	effect balancer.Idempotency
 	share  float64
 	aim    time.Duration
 	limit  time.Duration
 }
 
 var classes = []class{
-	{"seat-search", balancer.Safe, 0.7, 250 * time.Millisecond, time.Second},
-	{"payment-record", balancer.Keyed, 0.1, 400 * time.Millisecond, 2 * time.Second},
-	{"confirm-booking", balancer.Unsafe, 0.2, 400 * time.Millisecond, 2 * time.Second},
+	{"seat-search", balancer.Idempotent, 0.7, 250 * time.Millisecond, time.Second},
+	{"payment-record", balancer.IdempotentWithKey, 0.1, 400 * time.Millisecond, 2 * time.Second},
+	{"confirm-booking", balancer.NonIdempotent, 0.2, 400 * time.Millisecond, 2 * time.Second},
 }
 
 func moduleSettings() balancer.Settings {
-	s := balancer.Settings{Zone: "home", Balancers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 4, SecondCopies: true,
-		Cancelling: true, RetryAfter: true, MaxRetryAfter: 500 * time.Millisecond, ConnectTimeout: 500 * time.Millisecond,
-		ColdFrom: coldFrom, WarmUp: warmUp, FallMultiple: fallMultiple, FallTime: fallTime, WorthByWork: true}
+	s := balancer.Settings{Zone: "home", FleetSize: 1, Tick: 5 * time.Millisecond, MaxAttempts: 4, HedgingAllowed: true,
+		CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 500 * time.Millisecond, ConnectTimeout: 500 * time.Millisecond,
+		SlowStartMinCapacity: coldFrom, SlowStartWindow: warmUp, OverloadMultiple: fallMultiple, OverloadWindow: fallTime, WeightPerWork: true}
 	for _, c := range classes {
-		s.Classes = append(s.Classes, balancer.Class{Name: c.name, Effect: c.effect, Aim: c.aim, Deadline: c.limit, Worth: 1,
-			LateShare: 0.5, Group: balancer.GroupAll, Window: 6 * time.Second})
+		s.Classes = append(s.Classes, balancer.Class{Name: c.name, Idempotency: c.effect, LatencyObjective: c.aim, Deadline: c.limit, PriorityWeight: 1,
+			LateValueFraction: 0.5, DedupScope: balancer.ScopeAll, DedupWindow: 6 * time.Second})
 	}
 	return s
 }
--- a/internal/demo/fronts.go
+++ b/internal/demo/fronts.go
@@ -96,7 +96,7 @@
 // askHTTP makes one request, and gives the status; with the platform's mark on it, http.StatusTooManyRequests.
 func askHTTP(ctx context.Context, client *http.Client, address string, r request) (int, error) {
 	method := http.MethodPost
-	if r.class.effect == balancer.Safe {
+	if r.class.effect == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+"/"+r.class.name+"/"+r.id, http.NoBody)
@@ -105,7 +105,7 @@
 	}
 	req.Header.Set("X-Request-ID", r.id)
 	req.Header.Set("X-Cost", strconv.FormatInt(r.work.Microseconds(), 10))
-	if r.class.effect == balancer.Keyed {
+	if r.class.effect == balancer.IdempotentWithKey {
 		req.Header.Set("Idempotency-Key", r.key)
 	}
 	resp, err := client.Do(req)
@@ -174,7 +174,7 @@
 func askGRPC(ctx context.Context, conn *grpc.ClientConn, r request) error {
 	ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.RequestIDKey, r.id, grpcbalancer.CostKey,
 		strconv.FormatInt(r.work.Microseconds(), 10))
-	if r.class.effect == balancer.Keyed {
+	if r.class.effect == balancer.IdempotentWithKey {
 		ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.IdempotencyKey, r.key)
 	}
 	return conn.Invoke(ctx, methodPrefix+r.class.name, wrapperspb.String(r.id), &wrapperspb.StringValue{})
--- a/internal/demo/table.go
+++ b/internal/demo/table.go
@@ -76,10 +76,10 @@
 		v, listed := views[name]
 		state := "gone"
 		switch {
-		case listed && v.Ejected > 0:
+		case listed && v.EjectedFor > 0:
 			state = "ejected"
-		case listed && v.Warmth < 1:
-			state = fmt.Sprintf("cold %.0f%%", 100*v.Warmth)
+		case listed && v.SlowStartCapacity < 1:
+			state = fmt.Sprintf("cold %.0f%%", 100*v.SlowStartCapacity)
 		case listed:
 			state = "ready"
 		case !n.Down():
--- a/internal/discovery/budget_test.go
+++ b/internal/discovery/budget_test.go
@@ -73,7 +73,7 @@
 		})})
 		w.client.Transport.(*http.Transport).DialContext = net.dial
 		dir := endpoints.New(clock.New(), nil)
-		feed := NewFeed(dir, func(balancer.Members) {})
+		feed := NewFeed(dir, func(balancer.EndpointUpdate) {})
 		feed.Take(testutil.Listing(t, 1, true, testutil.Entry("a", "127.0.0.2:1", "Ready")))
 		ctx, cancel := context.WithCancel(t.Context())
 		var runs sync.WaitGroup
--- a/internal/discovery/merged_test.go
+++ b/internal/discovery/merged_test.go
@@ -52,10 +52,10 @@
 		var mu sync.Mutex
 		failed := 0
 		dir := endpoints.New(clock.New(), nil)
-		feed := NewFeed(dir, func(m balancer.Members) {
+		feed := NewFeed(dir, func(m balancer.EndpointUpdate) {
 			mu.Lock()
 			defer mu.Unlock()
-			if m.Kind == balancer.Failed {
+			if m.Kind == balancer.UpdateFailed {
 				failed++
 			}
 		})
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -17,7 +17,7 @@
 // list as last held, one entry for each upstream listed.
 type Feed struct {
 	dir    *endpoints.Directory
-	report func(balancer.Members)
+	report func(balancer.EndpointUpdate)
 
 	telling sync.Mutex // from when the directory has news until the module has them
 
@@ -58,7 +58,7 @@
 }
 
 // NewFeed returns one for a directory; report hands news to the module.
-func NewFeed(dir *endpoints.Directory, report func(balancer.Members)) *Feed {
+func NewFeed(dir *endpoints.Directory, report func(balancer.EndpointUpdate)) *Feed {
 	return &Feed{dir: dir, report: report}
 }
 
@@ -77,7 +77,7 @@
 }
 
 // Take is Update for a list that the module is to get by other means: it returns the news.
-func (f *Feed) Take(l *endpoints.Listing) balancer.Members {
+func (f *Feed) Take(l *endpoints.Listing) balancer.EndpointUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock() // one list after another, in the directory too
 	f.held.take(l)
@@ -85,12 +85,12 @@
 }
 
 // Heard is Sink's.
-func (f *Feed) Heard() { f.report(balancer.Members{Kind: balancer.Change}) }
+func (f *Feed) Heard() { f.report(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate}) }
 
 // Lost is Sink's. The module hears of it where it is for it to ask again.
 func (f *Feed) Lost(_ error, again bool) {
 	if !again {
-		f.report(balancer.Members{Kind: balancer.Failed})
+		f.report(balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
 	}
 }
 
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -23,12 +23,12 @@
 }
 
 // watch runs a watcher until the test ends.
-func watch(t *testing.T, address string, pushed bool, known ...string) (*endpoints.Directory, *Watcher, chan balancer.Members) {
+func watch(t *testing.T, address string, pushed bool, known ...string) (*endpoints.Directory, *Watcher, chan balancer.EndpointUpdate) {
 	t.Helper()
-	told := make(chan balancer.Members, 64)
+	told := make(chan balancer.EndpointUpdate, 64)
 	dir := endpoints.New(clock.New(), nil)
 	w := testWatcher(t, address, pushed)
-	feed := NewFeed(dir, func(m balancer.Members) { told <- m })
+	feed := NewFeed(dir, func(m balancer.EndpointUpdate) { told <- m })
 	feed.Take(testutil.Listing(t, 1, true, known...))
 	done := make(chan struct{})
 	go func() {
@@ -39,7 +39,7 @@
 	return dir, w, told
 }
 
-func next(t *testing.T, told chan balancer.Members) balancer.Members {
+func next(t *testing.T, told chan balancer.EndpointUpdate) balancer.EndpointUpdate {
 	t.Helper()
 	select {
 	case m := <-told:
@@ -60,11 +60,11 @@
 	})
 	dir, _, told := watch(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
 	m := next(t, told)
-	if m.Kind != balancer.Change || len(m.Entries) != 2 || m.Entries[0].State != balancer.Active ||
-		m.Entries[1].State != balancer.Leaving || m.Entries[0].Machine != "m" || m.Entries[0].Zone != "a" {
+	if m.Kind != balancer.IncrementalUpdate || len(m.Endpoints) != 2 || m.Endpoints[0].State != balancer.Active ||
+		m.Endpoints[1].State != balancer.Draining || m.Endpoints[0].MachineType != "m" || m.Endpoints[0].Zone != "a" {
 		t.Errorf("changes told as %+v", m)
 	}
-	if m = next(t, told); m.Kind != balancer.Full || len(m.Entries) != 1 {
+	if m = next(t, told); m.Kind != balancer.FullUpdate || len(m.Endpoints) != 1 {
 		t.Errorf("snapshot told as %+v", m)
 	}
 	for name, want := range map[string]bool{"a": false, "b": false, "c": true} {
@@ -98,7 +98,7 @@
 				<-done
 			})
 			dir, _, told := watch(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
-			if m := next(t, told); m.Kind != balancer.Change {
+			if m := next(t, told); m.Kind != balancer.IncrementalUpdate {
 				t.Errorf("told %+v", m)
 			}
 			testutil.Eventually(t, "asked again", func() bool { return len(d.Calls()) == 2 })
@@ -122,7 +122,7 @@
 	})
 	dir, _, told := watch(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
 	for range 2 { // the answer and the news, nothing for the second empty line
-		if m := next(t, told); m.Kind != balancer.Change || len(m.Entries) != 0 {
+		if m := next(t, told); m.Kind != balancer.IncrementalUpdate || len(m.Endpoints) != 0 {
 			t.Errorf("told %+v", m)
 		}
 	}
@@ -145,7 +145,7 @@
 		})
 		_, _, told := watch(t, d.Address, pushed)
 		for range 2 {
-			if m := next(t, told); m.Kind != balancer.Change {
+			if m := next(t, told); m.Kind != balancer.IncrementalUpdate {
 				t.Errorf("told %+v", m)
 			}
 		}
@@ -173,12 +173,12 @@
 	})
 	_, w, told := watch(t, "127.0.0.1:1", false)
 	w.Redirect(d.Address)
-	if m := next(t, told); m.Kind != balancer.Full {
+	if m := next(t, told); m.Kind != balancer.FullUpdate {
 		t.Errorf("told %+v", m)
 	}
 	testutil.Eventually(t, "a watch after the list", func() bool { return len(d.Calls()) == 4 })
 	w.Ask()
-	if m := next(t, told); m.Kind != balancer.Change || len(m.Entries) != 0 {
+	if m := next(t, told); m.Kind != balancer.IncrementalUpdate || len(m.Endpoints) != 0 {
 		t.Errorf("told %+v", m)
 	}
 }
@@ -211,7 +211,7 @@
 		t.Error("the drain at the address before is not heard")
 	}
 	close(answer)
-	if m := next(t, told); m.Kind != balancer.Full || has(dir, "b") || !has(dir, "c") {
+	if m := next(t, told); m.Kind != balancer.FullUpdate || has(dir, "b") || !has(dir, "c") {
 		t.Errorf("the new address's list was told as %+v", m)
 	}
 	testutil.Eventually(t, "the watch before ends", func() bool { made, failed := w.Calls(); return made == 3 && failed == 0 && w.openCalls() == 1 })
--- a/internal/endpoints/directory.go
+++ b/internal/endpoints/directory.go
@@ -41,13 +41,13 @@
 }
 
 // Apply takes in a message and translates it for the module.
-func (d *Directory) Apply(l *Listing) balancer.Members {
-	m := balancer.Members{Kind: balancer.Change, Entries: make([]balancer.Member, 0, len(l.Endpoints))}
+func (d *Directory) Apply(l *Listing) balancer.EndpointUpdate {
+	m := balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate, Endpoints: make([]balancer.Endpoint, 0, len(l.Endpoints))}
 	d.mu.Lock()
 	var dropped []string
 	before := map[string]Place{}
 	if l.Snapshot {
-		m.Kind = balancer.Full
+		m.Kind = balancer.FullUpdate
 		before, d.places = d.places, map[string]Place{}
 		clear(d.leaves)
 	}
@@ -57,21 +57,21 @@
 				before[e.Name] = d.places[e.Name]
 			}
 		}
-		state := balancer.Left
+		state := balancer.Removed
 		delete(d.leaves, e.Name)
 		switch e.Status {
 		case StatusReady:
 			state = balancer.Active
 			d.places[e.Name] = Place{e.Address, e.SinceMs, e.Identity}
 		case StatusTerminating:
-			state = balancer.Leaving
+			state = balancer.Draining
 			delete(d.places, e.Name)
 			d.leaves[e.Name] = true
 		default:
 			delete(d.places, e.Name)
 		}
-		m.Entries = append(m.Entries, balancer.Member{Upstream: e.Name, Zone: e.Zone, Machine: e.Type,
-			Cell: e.Group, State: state, CameUp: d.started(e)})
+		m.Endpoints = append(m.Endpoints, balancer.Endpoint{Name: e.Name, Zone: e.Zone, MachineType: e.Type,
+			Cell: e.Group, State: state, StartedAt: d.started(e)})
 	}
 	if l.Snapshot {
 		d.forgetStarts(l)
--- a/internal/endpoints/start_test.go
+++ b/internal/endpoints/start_test.go
@@ -18,7 +18,7 @@
 	start := float64(time.Now().Add(time.Hour).UnixMilli()) // ahead: by the wall clock alone it would move
 	list := func(snapshot bool, since float64, status string) time.Duration {
 		l := &Listing{Index: &index, Snapshot: snapshot, Endpoints: []Endpoint{{Name: "a", Address: "127.0.0.2:1", SinceMs: since, Status: status}}}
-		return d.Apply(l).Entries[0].CameUp
+		return d.Apply(l).Endpoints[0].StartedAt
 	}
 	first := list(true, start, StatusReady)
 	time.Sleep(2 * time.Millisecond) // of the test's own time
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -29,7 +29,7 @@
 	Tenant  string
 	Expires time.Duration // on the engine's clock: when the caller stops waiting
 	Hint    time.Duration // expected work; 0: unknown
-	Prior   []balancer.Prior
+	Prior   []balancer.EarlierAttempt
 	// Streamed says that the body is passed on as it comes: Expires bounds what that may take, and Uploaded brings the time from
 	// which the caller waits. Such a call is not copied, and not sent again once a Reply says Spent.
 	Streamed bool
@@ -108,10 +108,10 @@
 	Settings  balancer.Settings
 	Seed      uint64
 	Clock     clock.Clock
-	Known     []balancer.Member // the list as last held; may be stale
-	Subscribe func()            // the module asks for the list; must not block or call the engine; nil: nobody is asked
-	Settle    func()            // waits for news that is under way; asked where an attempt was not sent. nil: there is no such thing
-	Log       *slog.Logger      // nil: lines are dropped. Written to without the engine's lock
+	Known     []balancer.Endpoint // the list as last held; may be stale
+	Subscribe func()              // the module asks for the list; must not block or call the engine; nil: nobody is asked
+	Settle    func()              // waits for news that is under way; asked where an attempt was not sent. nil: there is no such thing
+	Log       *slog.Logger        // nil: lines are dropped. Written to without the engine's lock
 	// CancelWithCaller ends a call's attempts when its caller's context ends. Without it they run on to their time-out,
 	// so that what they tell of their upstreams is heard, and Do returns with them.
 	CancelWithCaller bool
@@ -136,8 +136,8 @@
 	running sync.WaitGroup // attempts on goroutines of their own
 
 	newsMu  sync.Mutex
-	news    []balancer.Members // told and not yet handled, oldest first
-	waiting atomic.Bool        // there is news
+	news    []balancer.EndpointUpdate // told and not yet handled, oldest first
+	waiting atomic.Bool               // there is news
 }
 
 // flight is a call that the module knows. It stays until it is done and has all its outcomes.
@@ -187,12 +187,12 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Engine{clock: o.Clock, subscribe: o.Subscribe, settle: o.Settle, log: o.Log, inline: o.Settings.Cancelling,
+	e := &Engine{clock: o.Clock, subscribe: o.Subscribe, settle: o.Settle, log: o.Log, inline: o.Settings.CancellationAllowed,
 		cancelAll: o.CancelWithCaller, b: b, flights: map[string]*flight{}}
 	e.timer = time.AfterFunc(time.Hour, e.tick)
 	e.timer.Stop()
 	e.lock()
-	e.handle(balancer.Members{Kind: balancer.Saved, Entries: o.Known})
+	e.handle(balancer.EndpointUpdate{Kind: balancer.CachedUpdate, Endpoints: o.Known})
 	e.unlock()
 	return e, nil
 }
@@ -201,7 +201,7 @@
 func (e *Engine) Clock() clock.Clock { return e.clock }
 
 // Update brings news of the list. When it returns no later decision goes against it.
-func (e *Engine) Update(m balancer.Members) {
+func (e *Engine) Update(m balancer.EndpointUpdate) {
 	e.newsMu.Lock()
 	e.news = append(e.news, m) // at most one for each caller of Update: it waits below
 	e.waiting.Store(true)
@@ -237,8 +237,8 @@
 		return Answer{Kind: Duplicate}
 	}
 	e.flights[c.ID] = f
-	e.handle(balancer.Request{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Expires: c.Expires, Hint: c.Hint,
-		Prior: c.Prior, Streamed: c.Streamed})
+	e.handle(balancer.Request{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Deadline: c.Expires, CostHint: c.Hint,
+		EarlierAttempts: c.Prior, StreamedBody: c.Streamed})
 	// Attempts that end with their caller bring the news themselves.
 	if !f.done && !e.cancelAll && ctx.Done() != nil {
 		defer context.AfterFunc(ctx, func() { e.leave(f) })()
@@ -250,7 +250,7 @@
 		switch {
 		case f.done: // first: what was decided before the end is not carried out after it
 			if f.next != nil {
-				e.ended(f, f.next, Reply{Result: balancer.Moot})
+				e.ended(f, f.next, Reply{Result: balancer.NotSent})
 			}
 			e.forget(f)
 			e.unlock()
@@ -301,7 +301,7 @@
 	a := f.attempts[at.Number]
 	f.call.Expires, a.sent = expires, e.clock.Now()
 	a.timer.Reset(expires - a.sent)
-	e.handle(balancer.Uploaded{ID: at.ID, Attempt: at.Number, Expires: expires})
+	e.handle(balancer.UploadDone{ID: at.ID, Attempt: at.Number, Deadline: expires})
 }
 
 // Abort fails every call in hand: the process is about to be killed.
@@ -311,7 +311,7 @@
 	for _, f := range e.flights {
 		if !f.done {
 			e.finish(f, Answer{Kind: Failed})
-			e.handle(balancer.Gone{ID: f.call.ID})
+			e.handle(balancer.ClientDisconnected{ID: f.call.ID})
 		}
 		for _, a := range f.attempts {
 			a.cancel(context.Canceled)
@@ -345,17 +345,17 @@
 }
 
 // Know is what the module has learnt, and Recall has it take over what a predecessor had, before the first call.
-func (e *Engine) Know() *balancer.Knowledge {
+func (e *Engine) Know() *balancer.Snapshot {
 	e.lock()
 	defer e.unlock()
-	return e.b.Know(e.clock.Now())
+	return e.b.Snapshot(e.clock.Now())
 }
 
 // Recall is Know's counterpart.
-func (e *Engine) Recall(k *balancer.Knowledge) {
+func (e *Engine) Recall(k *balancer.Snapshot) {
 	e.lock()
 	defer e.unlock()
-	e.b.Recall(e.clock.Now(), k)
+	e.b.Restore(e.clock.Now(), k)
 }
 
 // lock takes the Balancer, and first handles what is new of the list.
@@ -397,7 +397,7 @@
 	e.lock()
 	defer e.unlock()
 	if !e.closed {
-		e.handle(balancer.Wake{})
+		e.handle(balancer.TimerFired{})
 	}
 }
 
@@ -413,7 +413,7 @@
 		return
 	}
 	f.done = true
-	e.handle(balancer.Gone{ID: f.call.ID})
+	e.handle(balancer.ClientDisconnected{ID: f.call.ID})
 	e.forget(f)
 	f.signal()
 }
@@ -444,12 +444,12 @@
 		if f := e.flights[a.ID]; f != nil && a.Attempt < len(f.attempts) {
 			f.attempts[a.Attempt].cancel(context.Canceled)
 		}
-	case balancer.Refuse:
-		e.finish(e.flights[a.ID], Answer{Kind: Refused, RetryIn: a.RetryIn})
+	case balancer.Reject:
+		e.finish(e.flights[a.ID], Answer{Kind: Refused, RetryIn: a.RetryAfter})
 	case balancer.Fail:
 		e.finish(e.flights[a.ID], Answer{Kind: Failed})
 	case balancer.SetTimer:
-		e.timer.Reset(a.At - e.clock.Now())
+		e.timer.Reset(a.FireAt - e.clock.Now())
 	case balancer.Subscribe:
 		if e.subscribe != nil {
 			e.subscribe()
@@ -484,8 +484,8 @@
 	if f.call.Wanted != nil {
 		a.at.Caller = f.call.Wanted
 	}
-	if s.By > 0 {
-		a.at.By = time.Now().Add(s.By - now)
+	if s.SendBy > 0 {
+		a.at.By = time.Now().Add(s.SendBy - now)
 	}
 	a.sent = now
 	a.timer = time.AfterFunc(limit, a.expire)
@@ -517,7 +517,7 @@
 			}
 		}
 	}()
-	if r = f.carrier.Carry(a, a.at); r.Result == balancer.Moot && e.settle != nil {
+	if r = f.carrier.Carry(a, a.at); r.Result == balancer.NotSent && e.settle != nil {
 		e.settle()
 	}
 	return r
@@ -540,7 +540,7 @@
 			r = Reply{Result: balancer.Cancelled, Spent: r.Spent}
 		default:
 			a.begun = e.clock.Now()
-			e.handle(balancer.FirstByte{ID: f.call.ID, Attempt: a.at.Number, Passed: r.Passed})
+			e.handle(balancer.FirstByte{ID: f.call.ID, Attempt: a.at.Number, PassThrough: r.Passed})
 			e.finish(f, Answer{Kind: Served, Value: r.Value, stream: a, f: f, e: e})
 			return
 		}
@@ -556,7 +556,7 @@
 		e.finish(f, Answer{Kind: Served, Value: r.Value})
 	}
 	e.handle(balancer.Outcome{ID: f.call.ID, Attempt: a.at.Number, Result: r.Result,
-		Elapsed: at - a.sent, Finished: f.done, Spent: r.Spent})
+		Elapsed: at - a.sent, Final: f.done, BodyConsumed: r.Spent})
 	e.forget(f)
 }
 
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -26,17 +26,17 @@
 func (c carry) Carry(ctx context.Context, a Attempt) Reply { return c(ctx, a) }
 
 func testSettings() balancer.Settings {
-	class := func(name string, e balancer.Effect) balancer.Class {
-		return balancer.Class{Name: name, Aim: time.Second, Deadline: 4 * time.Second, LateShare: 0.5, Effect: e,
-			Group: balancer.GroupZone, Window: 6 * time.Second}
+	class := func(name string, e balancer.Idempotency) balancer.Class {
+		return balancer.Class{Name: name, LatencyObjective: time.Second, Deadline: 4 * time.Second, LateValueFraction: 0.5, Idempotency: e,
+			DedupScope: balancer.ScopeZone, DedupWindow: 6 * time.Second}
 	}
-	return balancer.Settings{Zone: "a", Classes: []balancer.Class{class("search", balancer.Safe),
-		class("record", balancer.Keyed), class("confirm", balancer.Unsafe)}, Tick: 5 * time.Millisecond, MaxAttempts: 5,
-		SecondCopies: true, Cancelling: true, RetryAfter: true, MaxRetryAfter: 1500 * time.Millisecond}
+	return balancer.Settings{Zone: "a", Classes: []balancer.Class{class("search", balancer.Idempotent),
+		class("record", balancer.IdempotentWithKey), class("confirm", balancer.NonIdempotent)}, Tick: 5 * time.Millisecond, MaxAttempts: 5,
+		HedgingAllowed: true, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 1500 * time.Millisecond}
 }
 
-func member(name string, state balancer.State) balancer.Member {
-	return balancer.Member{Upstream: name, Zone: "a", State: state}
+func member(name string, state balancer.EndpointState) balancer.Endpoint {
+	return balancer.Endpoint{Name: name, Zone: "a", State: state}
 }
 
 func testEngine(t testing.TB, change func(*Options), names ...string) *Engine {
@@ -87,7 +87,7 @@
 		})
 	}
 	wg.Go(func() {
-		e.Update(balancer.Members{Kind: balancer.Change, Entries: []balancer.Member{member("drains", balancer.Leaving)}})
+		e.Update(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate, Endpoints: []balancer.Endpoint{member("drains", balancer.Draining)}})
 	})
 	for arrived.Load() < 50 || !e.waiting.Load() {
 		time.Sleep(time.Millisecond)
@@ -160,7 +160,7 @@
 			case 0:
 				return Reply{Result: balancer.ConnectFailed}
 			case 1:
-				return Reply{Result: balancer.Overloaded}
+				return Reply{Result: balancer.Rejected}
 			}
 			return Reply{Result: balancer.OK, Value: a.Number}
 		}))
@@ -329,7 +329,7 @@
 	if a := e.Do(t.Context(), e.call("2", "search"), nil); a.Kind != Closed {
 		t.Errorf("answered %+v", a)
 	}
-	e.Update(balancer.Members{Kind: balancer.Full})
+	e.Update(balancer.EndpointUpdate{Kind: balancer.FullUpdate})
 }
 
 // Guards against a trace that depends on anything but the seed: the same script gives the same sends and answers.
@@ -381,7 +381,7 @@
 		})
 		if i%50 == 0 {
 			wg.Go(func() {
-				e.Update(balancer.Members{Kind: balancer.Change, Entries: []balancer.Member{member("v", balancer.State(i/50%3))}})
+				e.Update(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate, Endpoints: []balancer.Endpoint{member("v", balancer.EndpointState(i/50%3))}})
 			})
 		}
 	}
--- a/internal/engine/loop_test.go
+++ b/internal/engine/loop_test.go
@@ -69,7 +69,7 @@
 			switch ev := ev.(type) {
 			case *goroutineFlight:
 				l.flights[ev.call.ID] = ev
-				l.handle(balancer.Request{ID: ev.call.ID, Class: ev.call.Class, Expires: ev.call.Expires})
+				l.handle(balancer.Request{ID: ev.call.ID, Class: ev.call.Class, Deadline: ev.call.Expires})
 				l.forget(ev)
 			case goroutineEnded:
 				ev.f.out--
@@ -78,11 +78,11 @@
 					l.finish(ev.f, Answer{Kind: Served, Value: ev.reply.Value})
 				}
 				l.handle(balancer.Outcome{ID: ev.f.call.ID, Attempt: ev.n, Result: ev.reply.Result,
-					Elapsed: ev.at - ev.f.sent[ev.n], Finished: ev.f.done})
+					Elapsed: ev.at - ev.f.sent[ev.n], Final: ev.f.done})
 				l.forget(ev.f)
 			}
 		case <-l.timer.C:
-			l.handle(balancer.Wake{})
+			l.handle(balancer.TimerFired{})
 		case <-l.stop:
 			return
 		}
@@ -110,12 +110,12 @@
 			}()
 		case balancer.Cancel:
 			f.cancel[a.Attempt]()
-		case balancer.Refuse:
+		case balancer.Reject:
 			l.finish(f, Answer{Kind: Refused})
 		case balancer.Fail:
 			l.finish(f, Answer{Kind: Failed})
 		case balancer.SetTimer:
-			l.timer.Reset(a.At - l.clock.Now())
+			l.timer.Reset(a.FireAt - l.clock.Now())
 		}
 	}
 }
@@ -138,7 +138,7 @@
 //	go test -run '^$' -bench Owner -benchmem -count 6 -cpu 1,4 ./internal/engine
 func BenchmarkOwner(b *testing.B) {
 	served := carry(func(context.Context, Attempt) Reply { return Reply{Result: balancer.OK} })
-	var names []balancer.Member
+	var names []balancer.Endpoint
 	for i := range 12 {
 		names = append(names, member(fmt.Sprint(i), balancer.Active))
 	}
@@ -156,7 +156,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				bal.Handle(clk.Now(), balancer.Members{Kind: balancer.Saved, Entries: names}, nil)
+				bal.Handle(clk.Now(), balancer.EndpointUpdate{Kind: balancer.CachedUpdate, Endpoints: names}, nil)
 				l := newGoroutineEngine(bal, clk)
 				defer close(l.stop)
 				do = l.Do
--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -367,6 +367,6 @@
 // that a field more buys nothing, then the one with the later deadline.
 func strictest(all []*Class) *Class {
 	return slices.MinFunc(all, func(a, b *Class) int {
-		return cmp.Or(-cmp.Compare(a.Effect, b.Effect), cmp.Compare(a.Worth, b.Worth), -cmp.Compare(a.Deadline, b.Deadline))
+		return cmp.Or(-cmp.Compare(a.Idempotency, b.Idempotency), cmp.Compare(a.PriorityWeight, b.PriorityWeight), -cmp.Compare(a.Deadline, b.Deadline))
 	})
 }
--- a/internal/graphql/endpoint.go
+++ b/internal/graphql/endpoint.go
@@ -64,8 +64,8 @@
 	if e.classes[Mutation], err = find(o.Mutation, "mutation"); err != nil {
 		return nil, err
 	}
-	if e.classes[Mutation].Effect != balancer.Unsafe { // it is what holds for a mutation without a key
-		return nil, fmt.Errorf("mutation: class %q is %s: mutations in general must not run twice", o.Mutation, effect(e.classes[Mutation].Effect))
+	if e.classes[Mutation].Idempotency != balancer.NonIdempotent { // it is what holds for a mutation without a key
+		return nil, fmt.Errorf("mutation: class %q is %s: mutations in general must not run twice", o.Mutation, effect(e.classes[Mutation].Idempotency))
 	}
 	for _, f := range o.Fields {
 		if f.Weight >= 0 {
@@ -78,11 +78,11 @@
 		switch {
 		case err != nil:
 			return nil, err
-		case c.Effect == balancer.Keyed && f.Key == "":
+		case c.Idempotency == balancer.IdempotentWithKey && f.Key == "":
 			return nil, fmt.Errorf("%s: class %q is keyed, and no key is named", f.Name, f.Class)
-		case c.Effect != balancer.Keyed && f.Key != "":
+		case c.Idempotency != balancer.IdempotentWithKey && f.Key != "":
 			return nil, fmt.Errorf("%s: class %q is not keyed", f.Name, f.Class)
-		case c.Effect == balancer.Safe && strings.HasPrefix(f.Name, mutationType+"."):
+		case c.Idempotency == balancer.Idempotent && strings.HasPrefix(f.Name, mutationType+"."):
 			return nil, fmt.Errorf("%s: class %q may run any number of times, and a mutation must not", f.Name, f.Class)
 		}
 		e.fields[f.Name] = &fieldRule{c, f.Key}
@@ -92,7 +92,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if c.Effect == balancer.Keyed {
+		if c.Idempotency == balancer.IdempotentWithKey {
 			return nil, fmt.Errorf("operation %s: a keyed class needs a root field's key", n.Name)
 		}
 		e.named[n.Name] = c
@@ -150,7 +150,7 @@
 	return nil
 }
 
-func effect(e balancer.Effect) string {
+func effect(e balancer.Idempotency) string {
 	return [...]string{"safe", "keyed", "unsafe"}[e]
 }
 
@@ -231,8 +231,8 @@
 		return vars
 	}
 	d.Class, d.Key = e.class(op, d.Kind, lazily, header)
-	if named := e.named[op.name]; named != nil && op.name != "" && (trusted || named.Effect >= d.Class.Effect) &&
-		(d.Kind == Query || named.Effect == balancer.Unsafe) {
+	if named := e.named[op.name]; named != nil && op.name != "" && (trusted || named.Idempotency >= d.Class.Idempotency) &&
+		(d.Kind == Query || named.Idempotency == balancer.NonIdempotent) {
 		d.Class, d.Key = named, ""
 	}
 	if d.Cost = op.fixed; d.Cost < 0 {
@@ -288,7 +288,7 @@
 		return e.classes[kind], ""
 	}
 	c := strictest(all)
-	if c.Effect != balancer.Keyed {
+	if c.Idempotency != balancer.IdempotentWithKey {
 		key = ""
 	}
 	return c, key
--- a/internal/graphql/graphql_test.go
+++ b/internal/graphql/graphql_test.go
@@ -16,14 +16,14 @@
 )
 
 var classes = map[string]*Class{
-	"read":    {Name: "read", Deadline: 10e9, Worth: 1},
-	"search":  {Name: "search", Deadline: 2e9, Worth: 3},
-	"map":     {Name: "map", Deadline: 3e9, Worth: 2},
-	"write":   {Name: "write", Deadline: 10e9, Worth: 1, Effect: balancer.Unsafe},
-	"confirm": {Name: "confirm", Deadline: 5e9, Worth: 10, Effect: balancer.Unsafe},
-	"record":  {Name: "record", Deadline: 6e9, Worth: 8, Effect: balancer.Keyed, Window: 6e9},
-	"refund":  {Name: "refund", Deadline: 6e9, Worth: 8, Effect: balancer.Keyed, Window: 9e9},
-	"audit":   {Name: "audit", Deadline: 6e9, Worth: 1, Effect: balancer.Unsafe},
+	"read":    {Name: "read", Deadline: 10e9, PriorityWeight: 1},
+	"search":  {Name: "search", Deadline: 2e9, PriorityWeight: 3},
+	"map":     {Name: "map", Deadline: 3e9, PriorityWeight: 2},
+	"write":   {Name: "write", Deadline: 10e9, PriorityWeight: 1, Idempotency: balancer.NonIdempotent},
+	"confirm": {Name: "confirm", Deadline: 5e9, PriorityWeight: 10, Idempotency: balancer.NonIdempotent},
+	"record":  {Name: "record", Deadline: 6e9, PriorityWeight: 8, Idempotency: balancer.IdempotentWithKey, DedupWindow: 6e9},
+	"refund":  {Name: "refund", Deadline: 6e9, PriorityWeight: 8, Idempotency: balancer.IdempotentWithKey, DedupWindow: 9e9},
+	"audit":   {Name: "audit", Deadline: 6e9, PriorityWeight: 1, Idempotency: balancer.NonIdempotent},
 }
 
 const schemaText = `
@@ -150,7 +150,7 @@
 			if got != want {
 				t.Errorf("schema %v: %.200s is %s, want %s", i == 0, c.body, got, want)
 			}
-			if keyed := d.Class != nil && d.Class.Effect == balancer.Keyed; keyed != (d.Key != "") {
+			if keyed := d.Class != nil && d.Class.Idempotency == balancer.IdempotentWithKey; keyed != (d.Key != "") {
 				t.Errorf("%.200s: key %q", c.body, d.Key)
 			}
 		}
@@ -556,8 +556,8 @@
 				if err != nil {
 					t.Fatalf("%q goes on, which is no request: %v", d.Body, err)
 				}
-				if d.Class.Effect < effect || d.Class.Effect == balancer.Keyed && d.Key == "" {
-					t.Fatalf("%q is taken as %v, a node runs %v", d.Body, d.Class.Effect, effect)
+				if d.Class.Idempotency < effect || d.Class.Idempotency == balancer.IdempotentWithKey && d.Key == "" {
+					t.Fatalf("%q is taken as %v, a node runs %v", d.Body, d.Class.Idempotency, effect)
 				}
 			}
 		}
--- a/internal/graphql/options.go
+++ b/internal/graphql/options.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, err
 	}
-	class := &Class{Name: "graphql", Effect: balancer.Unsafe, Deadline: longest}
+	class := &Class{Name: "graphql", Idempotency: balancer.NonIdempotent, Deadline: longest}
 	return &routes.Route{Pattern: p, Service: service, Read: class, Write: class, Tenant: o.Tenant, Cost: o.Cost, ID: o.ID,
 		Deadline: o.Deadline, MaxBody: int64(o.MaxBody), Endpoint: fingerprint}, nil
 }
--- a/internal/graphql/reference_test.go
+++ b/internal/graphql/reference_test.go
@@ -12,7 +12,7 @@
 
 // reference is the least strict effect that a request may have by what a node reads with the standard library and executes as
 // the specification's GetOperation and CollectFields say.
-func reference(body []byte) (balancer.Effect, error) {
+func reference(body []byte) (balancer.Idempotency, error) {
 	var r struct{ Query, OperationName string }
 	if err := stdjson.Unmarshal(body, &r); err != nil {
 		return 0, err
@@ -28,22 +28,22 @@
 	if op.Operation == ast.Query {
 		for _, name := range rootNames(doc, op.SelectionSet, 0) {
 			if name == "audit" {
-				return balancer.Unsafe, nil
+				return balancer.NonIdempotent, nil
 			}
 		}
-		return balancer.Safe, nil
+		return balancer.Idempotent, nil
 	}
 	keyed := map[string]bool{}
 	for _, name := range rootNames(doc, op.SelectionSet, 0) {
 		if name != "record" && name != "refund" && name != "__typename" {
-			return balancer.Unsafe, nil
+			return balancer.NonIdempotent, nil
 		}
 		keyed[name] = true
 	}
 	if delete(keyed, "__typename"); len(keyed) != 1 {
-		return balancer.Unsafe, nil
+		return balancer.NonIdempotent, nil
 	}
-	return balancer.Keyed, nil
+	return balancer.IdempotentWithKey, nil
 }
 
 func rootNames(doc *ast.QueryDocument, set ast.SelectionSet, depth int) (names []string) {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -26,7 +26,7 @@
 				{Name: "u2", Status: endpoints.StatusTerminating},
 				{Name: "u3", Status: endpoints.StatusGone},
 			}},
-			Learnt: &balancer.Knowledge{Mean: 0.5, Upstreams: map[string]balancer.Learnt{"u1": {Estimate: 0.25, Ejections: 1, Out: time.Second}}},
+			Learnt: &balancer.Snapshot{MeanLatency: 0.5, Upstreams: map[string]balancer.UpstreamSnapshot{"u1": {Estimate: 0.25, Ejections: 1, EjectedFor: time.Second}}},
 		},
 		"web": {},
 	}}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -69,7 +69,7 @@
 	index := int64(41)
 	return State{Who: Who{"n1", "127.0.0.1:9000"}, Draining: true, Services: map[string]Service{"platform": {Discovery: "127.0.0.1:8500",
 		List:   &endpoints.Listing{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{{Name: "s", Address: "127.0.0.1:9", Status: "Ready"}}},
-		Learnt: &balancer.Knowledge{Mean: 0.1, Upstreams: map[string]balancer.Learnt{"s": {Estimate: 0.2, Ejections: 1}}}}}}
+		Learnt: &balancer.Snapshot{MeanLatency: 0.1, Upstreams: map[string]balancer.UpstreamSnapshot{"s": {Estimate: 0.2, Ejections: 1}}}}}}
 }
 
 // Guards against a state of another sidecar, and one that can't be used: it is turned down as a whole.
@@ -90,7 +90,7 @@
 	for name, spoil := range map[string]func(*Service){
 		"a list without version": func(s *Service) { s.List.Index = nil },
 		"an address":             func(s *Service) { s.List.Endpoints[0].Address = "nowhere" },
-		"knowledge":              func(s *Service) { s.Learnt.Mean = -1 },
+		"knowledge":              func(s *Service) { s.Learnt.MeanLatency = -1 },
 	} {
 		s := testState()
 		one := s.Services["platform"]
@@ -111,7 +111,7 @@
 	s := testState()
 	one := s.Services["platform"]
 	for i := range 20000 {
-		one.Learnt.Upstreams[fmt.Sprintf("upstream-%d", i)] = balancer.Learnt{Estimate: 0.123456789, Age: time.Duration(i)}
+		one.Learnt.Upstreams[fmt.Sprintf("upstream-%d", i)] = balancer.UpstreamSnapshot{Estimate: 0.123456789, Age: time.Duration(i)}
 	}
 	text, err := s.Encode()
 	if err != nil || len(text) > MaxPayload {
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -25,9 +25,9 @@
 
 // Service is a service's part of it. A list counts only where it is still followed at the same address: its index is that one's.
 type Service struct {
-	Discovery string              `json:"discovery,omitempty"`
-	List      *endpoints.Listing  `json:"list,omitempty"`
-	Learnt    *balancer.Knowledge `json:"learnt,omitempty"`
+	Discovery string             `json:"discovery,omitempty"`
+	List      *endpoints.Listing `json:"list,omitempty"`
+	Learnt    *balancer.Snapshot `json:"learnt,omitempty"`
 }
 
 // Encode is a State as a Welcome's payload. Where it is too large, what was learnt stays behind, and then the lists.
@@ -70,7 +70,7 @@
 			}
 		}
 		if one.Learnt != nil {
-			if err := one.Learnt.Check(); err != nil {
+			if err := one.Learnt.Validate(); err != nil {
 				return State{}, fmt.Errorf("service %s: what was learnt: %w", name, err)
 			}
 		}
--- a/internal/idempotency/executor/declaration.go
+++ b/internal/idempotency/executor/declaration.go
@@ -36,7 +36,7 @@
 func Windows(set *balancer.Settings) func(class string) time.Duration {
 	windows := map[string]time.Duration{}
 	for _, c := range set.Classes {
-		windows[c.Name] = c.Window - 2*set.Tick
+		windows[c.Name] = c.DedupWindow - 2*set.Tick
 	}
 	return func(class string) time.Duration { return windows[class] }
 }
--- a/internal/measure/door.go
+++ b/internal/measure/door.go
@@ -22,10 +22,10 @@
 	doorSpan  = 30 * time.Second
 )
 
-var doorClasses = []balancer.Class{{Name: "search", Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1, LateShare: 0.3}}
+var doorClasses = []balancer.Class{{Name: "search", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, LateValueFraction: 0.3}}
 
 func doorSettings() balancer.Settings {
-	return balancer.Settings{MaxAttempts: 3, Cancelling: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+	return balancer.Settings{MaxAttempts: 3, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second,
 		ConnectTimeout: time.Second, Tick: time.Millisecond}
 }
 
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -28,9 +28,9 @@
 	o.On, o.Most, o.Away, o.Settle = true, 4096, 0, units.Duration(5*time.Second)
 	return fleetsim.Run{Sidecars: sidecars, Nodes: fleetNodes, Rate: fleetRate, Work: fleetWork, Length: 60 * time.Second, Seed: 1,
 		Subset: o, Known: true, Connect: 2 * time.Millisecond, Descriptors: 1 << 20,
-		Settings: balancer.Settings{MaxAttempts: 3, Cancelling: true, RetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: time.Second,
-			Tick: 5 * time.Millisecond, ColdFrom: 0.2, WarmUp: 20 * time.Second, FallMultiple: 3, FallTime: 2 * time.Second,
-			Classes: []balancer.Class{{Name: "search", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, LateShare: 0.3}}}}
+		Settings: balancer.Settings{MaxAttempts: 3, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: time.Second, ConnectTimeout: time.Second,
+			Tick: 5 * time.Millisecond, SlowStartMinCapacity: 0.2, SlowStartWindow: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
+			Classes: []balancer.Class{{Name: "search", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, LateValueFraction: 0.3}}}}
 }
 
 // Fleet prints what fleets of 10 to 200 sidecars do to 5,000 nodes at constant traffic, in virtual time, and the hard cases.
@@ -55,7 +55,7 @@
 	add("200, by chance among all", 200, func(r *fleetsim.Run) { r.Subset.On, r.Probes = false, &fleetsim.Probes{Each: 1} })
 	restart := func(r *fleetsim.Run) {
 		r.RestartAt, r.RestartOver, r.RestartPart, r.Down = 20*time.Second, 10*time.Second, 0.5, 3*time.Second
-		r.Rate, r.Settings.ColdFrom, r.Settings.FallMultiple, r.Settings.FallTime = 25_000, 0.1, 2, time.Second
+		r.Rate, r.Settings.SlowStartMinCapacity, r.Settings.OverloadMultiple, r.Settings.OverloadWindow = 25_000, 0.1, 2, time.Second
 	}
 	add("200, half restart in 10 s at half busy", 200, restart)
 	add("the same, modules not told of cold ones", 200, func(r *fleetsim.Run) { restart(r); r.Blind = true })
--- a/internal/measure/graphql_documents.go
+++ b/internal/measure/graphql_documents.go
@@ -49,7 +49,7 @@
 		if !c.known {
 			o.Cache = 0
 		}
-		class := &balancer.Class{Deadline: 1e9, Effect: balancer.Unsafe}
+		class := &balancer.Class{Deadline: 1e9, Idempotency: balancer.NonIdempotent}
 		e, err := graphql.New(o, func(string) *balancer.Class { return class }, schema, "")
 		if err != nil {
 			return err
--- a/internal/measure/roles.go
+++ b/internal/measure/roles.go
@@ -187,9 +187,9 @@
 
 // moduleSettings are the same for both fronts.
 func moduleSettings() balancer.Settings {
-	return balancer.Settings{Zone: "a", Balancers: 1, Tick: 5 * time.Millisecond, MaxAttempts: 5, SecondCopies: true,
-		Cancelling: true, RetryAfter: true, MaxRetryAfter: time.Second, ConnectTimeout: time.Second,
-		Classes: []balancer.Class{{Name: "search", Effect: balancer.Safe, Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, LateShare: 0.5}}}
+	return balancer.Settings{Zone: "a", FleetSize: 1, Tick: 5 * time.Millisecond, MaxAttempts: 5, HedgingAllowed: true,
+		CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: time.Second, ConnectTimeout: time.Second,
+		Classes: []balancer.Class{{Name: "search", Idempotency: balancer.Idempotent, LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, LateValueFraction: 0.5}}}
 }
 
 func (r role) serveProxy() error {
--- a/internal/routes/platform.go
+++ b/internal/routes/platform.go
@@ -17,7 +17,7 @@
 	for i := range classes {
 		class := &classes[i]
 		method := http.MethodPost
-		if class.Effect == balancer.Safe {
+		if class.Idempotency == balancer.Idempotent {
 			method = http.MethodGet
 		}
 		if class.Name == "" || strings.ContainsAny(class.Name, "/%?") || unambiguous("/"+class.Name) != nil {
--- a/internal/routes/readings.go
+++ b/internal/routes/readings.go
@@ -81,12 +81,12 @@
 // it, allows.
 func loose(a, b *balancer.Class) bool {
 	switch {
-	case a == b || a.Effect == balancer.Unsafe:
+	case a == b || a.Idempotency == balancer.NonIdempotent:
 		return false
-	case a.Effect == balancer.Keyed && b.Effect == balancer.Keyed:
-		return a.Group != b.Group || a.Window != b.Window
-	case a.Effect == balancer.Keyed:
-		return b.Effect == balancer.Unsafe
+	case a.Idempotency == balancer.IdempotentWithKey && b.Idempotency == balancer.IdempotentWithKey:
+		return a.DedupScope != b.DedupScope || a.DedupWindow != b.DedupWindow
+	case a.Idempotency == balancer.IdempotentWithKey:
+		return b.Idempotency == balancer.NonIdempotent
 	}
-	return b.Effect != balancer.Safe
+	return b.Idempotency != balancer.Idempotent
 }
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -142,7 +142,7 @@
 		return r.Read
 	case r.Class == nil:
 		return r.Write
-	case r.Class.Effect == balancer.Safe && !reads && !slices.Contains(r.Repeats, method):
+	case r.Class.Idempotency == balancer.Idempotent && !reads && !slices.Contains(r.Repeats, method):
 		return nil // who only reads the route's pattern must not make a method repeatable
 	}
 	return r.Class
@@ -235,7 +235,7 @@
 		return reject(http.StatusBadRequest, "the header names class %q, the path %q", name, class.Name)
 	}
 	key, has := r.Key.value(r.Pattern, path, q.Header)
-	switch keyed := class.Effect == balancer.Keyed; {
+	switch keyed := class.Idempotency == balancer.IdempotentWithKey; {
 	case keyed && !has, r.StrictKey && keyed != has:
 		return reject(http.StatusBadRequest, "class %s: keyed is %v, and that is what a key says (%s)", class.Name, keyed,
 			display(r.Key.header()))
@@ -247,7 +247,7 @@
 	if q.ContentLength != 0 && (q.Method == http.MethodGet || q.Method == http.MethodHead) {
 		return reject(http.StatusBadRequest, "class %s has no body", class.Name)
 	}
-	if class.Effect != balancer.Safe {
+	if class.Idempotency != balancer.Idempotent {
 		for _, name := range conditions {
 			if _, has := q.Header[name]; has && r.WholeOnly {
 				return reject(http.StatusBadRequest, "%s is not taken: an answer that it leads to can't be told from a failure", name)
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -231,9 +231,9 @@
 }
 
 var (
-	safe   = balancer.Class{Name: "search", Effect: balancer.Safe, Deadline: 4 * time.Second}
-	keyed  = balancer.Class{Name: "record", Effect: balancer.Keyed, Deadline: 4 * time.Second, Window: 6 * time.Second}
-	unsafe = balancer.Class{Name: "confirm", Effect: balancer.Unsafe, Deadline: 4 * time.Second}
+	safe   = balancer.Class{Name: "search", Idempotency: balancer.Idempotent, Deadline: 4 * time.Second}
+	keyed  = balancer.Class{Name: "record", Idempotency: balancer.IdempotentWithKey, Deadline: 4 * time.Second, DedupWindow: 6 * time.Second}
+	unsafe = balancer.Class{Name: "confirm", Idempotency: balancer.NonIdempotent, Deadline: 4 * time.Second}
 )
 
 // generic is a table of an operator's file.
--- a/internal/server/downstream/intake_test.go
+++ b/internal/server/downstream/intake_test.go
@@ -15,11 +15,11 @@
 )
 
 func testChecker() *Checker {
-	class := func(name string, e balancer.Effect) balancer.Class {
-		return balancer.Class{Name: name, Effect: e, Deadline: 4 * time.Second}
+	class := func(name string, e balancer.Idempotency) balancer.Class {
+		return balancer.Class{Name: name, Idempotency: e, Deadline: 4 * time.Second}
 	}
-	return Platform([]balancer.Class{class("seat-search", balancer.Safe), class("payment-record", balancer.Keyed),
-		class("confirm-booking", balancer.Unsafe)})
+	return Platform([]balancer.Class{class("seat-search", balancer.Idempotent), class("payment-record", balancer.IdempotentWithKey),
+		class("confirm-booking", balancer.NonIdempotent)})
 }
 
 // read parses a request as the server does.
@@ -135,7 +135,7 @@
 		t.Fatalf("%+v", bad)
 	}
 	if req.ID != "9b1f" || req.Class.Name != "payment-record" || req.Tenant != "acme" || req.Key != `"5c0f, 6e"` ||
-		req.Class.Effect != balancer.Keyed || req.Timeout != 4*time.Second || req.Hint != 1500500 || req.Method != "POST" ||
+		req.Class.Idempotency != balancer.IdempotentWithKey || req.Timeout != 4*time.Second || req.Hint != 1500500 || req.Method != "POST" ||
 		req.Host != "s" || req.Header.Get("X-Hop") != "" || req.Header.Get(httpheader.Timeout) != "" ||
 		req.Header.Get(httpheader.Key) == "" {
 		t.Errorf("%+v", req)
--- a/internal/settings/declaration.go
+++ b/internal/settings/declaration.go
@@ -66,7 +66,7 @@
 // declaredTick is the grain of time of declared services.
 const declaredTick = 2e6
 
-var effects = map[string]balancer.Effect{"safe": balancer.Safe, "keyed": balancer.Keyed, "unsafe": balancer.Unsafe}
+var effects = map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentWithKey, "unsafe": balancer.NonIdempotent}
 
 // Check is tomlfile.Checker's.
 func (c *Class) Check(report func(key, format string, args ...any)) {
@@ -132,11 +132,11 @@
 
 // Settings converts it.
 func (d *Declaration) Settings() Settings {
-	s := Settings{ConnIdle: d.Idle.D(), Settings: balancer.Settings{Balancers: d.Sidecars, Zone: d.Zone, Tick: declaredTick,
-		MaxAttempts: d.Attempts, SecondCopies: d.SecondCopies, Cancelling: true, RetryAfter: d.RetryAfter > 0,
-		MaxRetryAfter: d.RetryAfter.D(), ConnectTimeout: d.ConnectTimeout.D(), PriceCrossZone: d.CrossZone,
-		OverShareWorth: d.OverShare, WorthByWork: d.WorthByWork, ColdFrom: d.Cold.From, WarmUp: d.Cold.WarmUp.D(),
-		FallMultiple: d.Cold.Multiple, FallTime: d.Cold.Over.D()}}
+	s := Settings{ConnIdle: d.Idle.D(), Settings: balancer.Settings{FleetSize: d.Sidecars, Zone: d.Zone, Tick: declaredTick,
+		MaxAttempts: d.Attempts, HedgingAllowed: d.SecondCopies, CancellationAllowed: true, RetryAfterAllowed: d.RetryAfter > 0,
+		MaxRetryAfter: d.RetryAfter.D(), ConnectTimeout: d.ConnectTimeout.D(), CrossZonePrice: d.CrossZone,
+		OverQuotaWeight: d.OverShare, WeightPerWork: d.WorthByWork, SlowStartMinCapacity: d.Cold.From, SlowStartWindow: d.Cold.WarmUp.D(),
+		OverloadMultiple: d.Cold.Multiple, OverloadWindow: d.Cold.Over.D()}}
 	classes := d.Classes
 	if len(classes) == 0 {
 		classes = plainClasses
@@ -146,12 +146,12 @@
 		if !ok {
 			effect = unknownWord
 		}
-		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, Aim: c.Aim.D(), AimStretch: c.AimStretch,
-			Deadline: c.Deadline.D(), Worth: c.Worth, LateShare: c.LateShare, Effect: effect, Group: group(c.Group),
-			Window: c.Window.D()})
+		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, LatencyObjective: c.Aim.D(), ObjectiveStretch: c.AimStretch,
+			Deadline: c.Deadline.D(), PriorityWeight: c.Worth, LateValueFraction: c.LateShare, Idempotency: effect, DedupScope: group(c.Group),
+			DedupWindow: c.Window.D()})
 	}
 	for _, t := range d.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Fraction: t.Share})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Share})
 	}
 	return s
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -92,56 +92,56 @@
 
 func (o *object) settings() balancer.Settings {
 	s := balancer.Settings{
-		Balancers:      o.Balancers,
-		Zone:           o.Zone,
-		MustSubscribe:  o.Discovery == "ask",
-		Tick:           Milliseconds(o.TickMs),
-		MaxAttempts:    o.Limits.SendCap,
-		SecondCopies:   o.Limits.SecondCopies,
-		Cancelling:     o.Limits.Cancelling,
-		Probes:         o.Limits.Probes,
-		RetryAfter:     o.Limits.RetryAfter,
-		MaxRetryAfter:  Milliseconds(o.Limits.MaxRetryAfterMs),
-		ConnectTimeout: Milliseconds(o.Limits.ConnectTimeoutMs),
-		PriceCrossZone: o.Prices.CrossZone,
-		OverShareWorth: o.OverShareWorth,
-		WorthByWork:    o.WorthBy == "work",
-		ColdFrom:       o.Rules.ColdFrom,
-		WarmUp:         Milliseconds(o.Rules.WarmUpMs),
-		FallMultiple:   o.Rules.FallMultiple,
-		FallTime:       Milliseconds(o.Rules.FallMs),
+		FleetSize:            o.Balancers,
+		Zone:                 o.Zone,
+		MustSubscribe:        o.Discovery == "ask",
+		Tick:                 Milliseconds(o.TickMs),
+		MaxAttempts:          o.Limits.SendCap,
+		HedgingAllowed:       o.Limits.SecondCopies,
+		CancellationAllowed:  o.Limits.Cancelling,
+		ProbingAllowed:       o.Limits.Probes,
+		RetryAfterAllowed:    o.Limits.RetryAfter,
+		MaxRetryAfter:        Milliseconds(o.Limits.MaxRetryAfterMs),
+		ConnectTimeout:       Milliseconds(o.Limits.ConnectTimeoutMs),
+		CrossZonePrice:       o.Prices.CrossZone,
+		OverQuotaWeight:      o.OverShareWorth,
+		WeightPerWork:        o.WorthBy == "work",
+		SlowStartMinCapacity: o.Rules.ColdFrom,
+		SlowStartWindow:      Milliseconds(o.Rules.WarmUpMs),
+		OverloadMultiple:     o.Rules.FallMultiple,
+		OverloadWindow:       Milliseconds(o.Rules.FallMs),
 	}
 	for _, c := range o.Classes {
-		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, Aim: Milliseconds(c.AimMs), AimStretch: c.AimStretch,
-			Deadline: Milliseconds(c.DeadlineMs), Worth: c.Importance, LateShare: c.LateShare,
-			Effect: effect(c.Semantics), Group: group(c.KeyScope), Window: Milliseconds(c.DedupWindowMs), Stream: c.Stream})
+		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, LatencyObjective: Milliseconds(c.AimMs), ObjectiveStretch: c.AimStretch,
+			Deadline: Milliseconds(c.DeadlineMs), PriorityWeight: c.Importance, LateValueFraction: c.LateShare,
+			Idempotency: effect(c.Semantics), DedupScope: group(c.KeyScope), DedupWindow: Milliseconds(c.DedupWindowMs), Streaming: c.Stream})
 	}
 	for _, t := range o.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Fraction: t.Fraction})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Fraction})
 	}
 	return s
 }
 
-func effect(word string) balancer.Effect {
+func effect(word string) balancer.Idempotency {
 	switch word {
 	case "retryable":
-		return balancer.Safe
+		return balancer.Idempotent
 	case "dedup":
-		return balancer.Keyed
+		return balancer.IdempotentWithKey
 	case "fragile":
-		return balancer.Unsafe
+		return balancer.NonIdempotent
 	}
 	return unknownWord
 }
 
-func group(word string) balancer.Group {
+func group(word string) balancer.DedupScope {
 	switch word {
 	case "", "all":
-		return balancer.GroupAll
+		return balancer.ScopeAll
 	case "zone":
-		return balancer.GroupZone
+		return balancer.ScopeZone
 	case "cell":
-		return balancer.GroupCell
+		return balancer.ScopeCell
 	}
 	return unknownWord
 }
--- a/internal/simulation/admissionsim/doorsim.go
+++ b/internal/simulation/admissionsim/doorsim.go
@@ -173,13 +173,13 @@
 	s.out.Clients = make([]Seen, len(r.Clients))
 	bins := int(r.Length/r.Bin) + 2
 	s.out.InHand = make([]float64, bins)
-	var list []balancer.Member
+	var list []balancer.Endpoint
 	for i := range r.Nodes {
 		n := &node{name: fmt.Sprintf("n%03d", i)}
 		s.nodes[n.name] = n
-		list = append(list, balancer.Member{Upstream: n.name})
+		list = append(list, balancer.Endpoint{Name: n.name})
 	}
-	s.module(balancer.Members{Kind: balancer.Full, Entries: list})
+	s.module(balancer.EndpointUpdate{Kind: balancer.FullUpdate, Endpoints: list})
 	for i := range r.Clients {
 		s.out.Clients[i].Bins = make([]float64, bins)
 		s.begin(i)
@@ -281,8 +281,8 @@
 		}
 		s.inHand++
 		s.asked[a.id] = a
-		s.module(balancer.Request{ID: a.id, Class: s.r.Clients[a.client].Class, Expires: a.expires,
-			Hint: time.Duration(s.r.Clients[a.client].Hint * float64(a.work))})
+		s.module(balancer.Request{ID: a.id, Class: s.r.Clients[a.client].Class, Deadline: a.expires,
+			CostHint: time.Duration(s.r.Clients[a.client].Hint * float64(a.work))})
 	}
 	s.doActs = acts[:0]
 	if at, ok := s.gate.Next(); ok && at != s.wakeAt {
@@ -342,16 +342,16 @@
 		switch x.Kind {
 		case balancer.Send:
 			s.send(x)
-		case balancer.Refuse:
-			s.finish(x.ID, balancer.Overloaded, x.RetryIn)
+		case balancer.Reject:
+			s.finish(x.ID, balancer.Rejected, x.RetryAfter)
 		case balancer.Fail:
 			s.finish(x.ID, balancer.Timeout, 0)
 		case balancer.SetTimer:
-			at := x.At
+			at := x.FireAt
 			s.timer = at
 			s.At(at, func() {
 				if s.timer == at {
-					s.module(balancer.Wake{})
+					s.module(balancer.TimerFired{})
 				}
 			})
 		}
@@ -372,7 +372,7 @@
 	}
 	s.At(s.Now()+limit, func() { s.outcome(at, balancer.Timeout) })
 	if len(n.queue) >= s.r.NodeQueue {
-		s.At(s.Now()+wire, func() { s.outcome(at, balancer.Overloaded) })
+		s.At(s.Now()+wire, func() { s.outcome(at, balancer.Rejected) })
 		return
 	}
 	n.queue = append(n.queue, at)
@@ -397,7 +397,7 @@
 			n.busy = false
 			s.busy += took
 			s.out.Clients[at.of.client].Work += took
-			if at.ended || s.Now()-at.of.begun > s.class(&s.r.Clients[at.of.client]).Aim {
+			if at.ended || s.Now()-at.of.begun > s.class(&s.r.Clients[at.of.client]).LatencyObjective {
 				s.wasted += took
 			}
 			s.At(s.Now()+wire, func() { s.outcome(at, balancer.OK) })
@@ -415,7 +415,7 @@
 	if r == balancer.OK {
 		s.finish(a.id, balancer.OK, 0)
 	}
-	s.module(balancer.Outcome{ID: a.id, Attempt: at.number, Result: r, Elapsed: s.Now() - at.sent, Finished: a.ended})
+	s.module(balancer.Outcome{ID: a.id, Attempt: at.number, Result: r, Elapsed: s.Now() - at.sent, Final: a.ended})
 }
 
 // finish gives a request its answer.
@@ -434,7 +434,7 @@
 	case balancer.OK:
 		took := s.Now() - a.first
 		seen.Took = append(seen.Took, took)
-		if s.Now()-a.begun <= s.class(&s.r.Clients[a.client]).Aim {
+		if s.Now()-a.begun <= s.class(&s.r.Clients[a.client]).LatencyObjective {
 			seen.InAim++
 			seen.Bins[s.bin()]++
 		} else {
@@ -442,7 +442,7 @@
 		}
 		s.back(a, true)
 		s.again(a)
-	case balancer.Overloaded:
+	case balancer.Rejected:
 		how = admission.Turned
 	default:
 		s.back(a, false)
--- a/internal/simulation/admissionsim/doorsim_test.go
+++ b/internal/simulation/admissionsim/doorsim_test.go
@@ -9,7 +9,7 @@
 	"orchiddrift/internal/admission"
 )
 
-var classes = []balancer.Class{{Name: "search", Aim: 400 * time.Millisecond, Deadline: time.Second, Worth: 1, LateShare: 0.3}}
+var classes = []balancer.Class{{Name: "search", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, LateValueFraction: 0.3}}
 
 const (
 	nodes = 24
@@ -19,7 +19,7 @@
 func play(t *testing.T, seconds int, clients []Client, slow func(time.Duration) float64, gate Gate) *Result {
 	t.Helper()
 	r, err := Play(Run{Nodes: nodes, Classes: classes, Clients: clients, Slow: slow, Length: time.Duration(seconds) * time.Second, Seed: 5,
-		Settings: balancer.Settings{MaxAttempts: 3, Cancelling: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second,
+		Settings: balancer.Settings{MaxAttempts: 3, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second,
 			ConnectTimeout: time.Second, Tick: time.Millisecond}}, gate)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -252,8 +252,8 @@
 	r := fleetsim.Run{Sidecars: f.Sidecars, Nodes: f.Nodes, Zones: f.Zones, Rate: base * e.capacity(), Work: f.Work.D(), Length: e.Length.D(), Seed: uint64(seed),
 		Connect: f.Connect.D(), Down: f.Down.D(), Series: e.Series.D(), Tries: tries, Hints: f.Hints, Clients: fleetsim.Clients{Tries: e.Clients.Tries, Wait: e.Clients.Wait.D(), Heed: e.Clients.Heed},
 		Steps: []fleetsim.Step{{At: 0, Rate: e.Load.Busy / base}},
-		Settings: balancer.Settings{MaxAttempts: tries, SecondCopies: true, Cancelling: true, RetryAfter: true, MaxRetryAfter: 5 * time.Second, ConnectTimeout: 500 * time.Millisecond, PriceCrossZone: f.Price,
-			Tick: 5 * time.Millisecond, ColdFrom: f.Cold, WarmUp: f.WarmUp.D(), FallMultiple: f.Fall, FallTime: 2 * time.Second}}
+		Settings: balancer.Settings{MaxAttempts: tries, HedgingAllowed: true, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 5 * time.Second, ConnectTimeout: 500 * time.Millisecond, CrossZonePrice: f.Price,
+			Tick: 5 * time.Millisecond, SlowStartMinCapacity: f.Cold, SlowStartWindow: f.WarmUp.D(), OverloadMultiple: f.Fall, OverloadWindow: 2 * time.Second}}
 	for _, s := range e.Load.Steps {
 		r.Steps = append(r.Steps, fleetsim.Step{At: s.At.D(), Rate: s.Busy / base})
 	}
@@ -266,9 +266,9 @@
 		sum += c.Share
 	}
 	for _, c := range classes {
-		of := balancer.Class{Name: c.Name, Aim: c.Aim.D(), Deadline: c.Deadline.D(), Worth: 1, LateShare: 0.5}
+		of := balancer.Class{Name: c.Name, LatencyObjective: c.Aim.D(), Deadline: c.Deadline.D(), PriorityWeight: 1, LateValueFraction: 0.5}
 		if c.Effect == "unsafe" {
-			of.Effect = balancer.Unsafe
+			of.Idempotency = balancer.NonIdempotent
 		}
 		r.Settings.Classes, r.Mix = append(r.Settings.Classes, of), append(r.Mix, c.Share/sum)
 	}
@@ -283,7 +283,7 @@
 		r.Subset, r.Known = subset.Default(), true
 		r.Subset.On = true
 	}
-	r.Settings.SecondCopies = policy != OursOneCopy
+	r.Settings.HedgingAllowed = policy != OursOneCopy
 	if !isOurs(policy) {
 		if r.Policy = fleetsim.Policies[policy]; r.Policy == nil {
 			return r, fmt.Errorf("there is no policy %q", policy)
--- a/internal/simulation/fleetsim/choose.go
+++ b/internal/simulation/fleetsim/choose.go
@@ -41,8 +41,8 @@
 	if q.done {
 		return
 	}
-	unrun := r == balancer.Overloaded || r == balancer.ConnectFailed
-	safe := s.r.Settings.Classes[q.op.class].Effect == balancer.Safe
+	unrun := r == balancer.Rejected || r == balancer.ConnectFailed
+	safe := s.r.Settings.Classes[q.op.class].Idempotency == balancer.Idempotent
 	switch {
 	case s.Now() < q.expires && len(q.attempts) < s.r.Tries && (unrun || safe):
 		s.choose(c, q)
@@ -64,7 +64,7 @@
 
 // ran counts that a request ran to its end.
 func (s *sim) ran(a *attempt) {
-	if a.of.ran++; a.of.ran == 2 && s.r.Settings.Classes[a.of.op.class].Effect == balancer.Unsafe {
+	if a.of.ran++; a.of.ran == 2 && s.r.Settings.Classes[a.of.op.class].Idempotency == balancer.NonIdempotent {
 		s.broken("an unsafe request ran twice")
 	}
 }
--- a/internal/simulation/fleetsim/discovery.go
+++ b/internal/simulation/fleetsim/discovery.go
@@ -73,7 +73,7 @@
 		default:
 			c.watches = true
 			s.out.Listed = s.Since()
-			s.tell(c, s.list(), balancer.Full)
+			s.tell(c, s.list(), balancer.FullUpdate)
 		}
 	})
 }
@@ -84,7 +84,7 @@
 // unheard tells a sidecar that its call was in vain, or its watch has ended.
 func (s *sim) unheard(c *sidecar) {
 	if c.p == nil {
-		s.module(c, balancer.Members{Kind: balancer.Failed})
+		s.module(c, balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
 		return
 	}
 	life := c.life
@@ -158,9 +158,9 @@
 
 // begin gives a sidecar's new process its first list.
 func (s *sim) begin(c *sidecar) {
-	kind, l := balancer.Full, s.list()
+	kind, l := balancer.FullUpdate, s.list()
 	if s.r.Discovery != nil {
-		kind = balancer.Saved
+		kind = balancer.CachedUpdate
 		if c.life > 0 {
 			l = &endpoints.Listing{Snapshot: true, Endpoints: slices.Clone(c.known)}
 		}
--- a/internal/simulation/fleetsim/faults.go
+++ b/internal/simulation/fleetsim/faults.go
@@ -234,7 +234,7 @@
 	default:
 		p.Failed++
 	}
-	safe := s.r.Settings.Classes[op.class].Effect == balancer.Safe
+	safe := s.r.Settings.Classes[op.class].Idempotency == balancer.Idempotent
 	if op.tries >= s.r.Clients.Tries || end != &s.out.Refused && !safe {
 		return
 	}
--- a/internal/simulation/fleetsim/fleetsim.go
+++ b/internal/simulation/fleetsim/fleetsim.go
@@ -268,9 +268,9 @@
 
 func (s *sim) sidecar(i int) (*sidecar, error) {
 	set := s.r.Settings
-	set.Balancers = s.r.Sidecars
+	set.FleetSize = s.r.Sidecars
 	if s.r.Blind {
-		set.ColdFrom, set.WarmUp, set.FallMultiple, set.FallTime = 0, 0, 0, 0
+		set.SlowStartMinCapacity, set.SlowStartWindow, set.OverloadMultiple, set.OverloadWindow = 0, 0, 0, 0
 	}
 	zone := fmt.Sprint("z", i%s.r.Zones)
 	set.Zone = zone
@@ -314,36 +314,36 @@
 func (s *sim) at(t time.Duration) time.Time { return s.wall.Add(t - virtualtime.Origin) }
 
 // tell brings a list, or a change, to a sidecar: through its subset, if it has one.
-func (s *sim) tell(c *sidecar, l *endpoints.Listing, kind balancer.MembersKind) {
+func (s *sim) tell(c *sidecar, l *endpoints.Listing, kind balancer.UpdateKind) {
 	s.knows(c, l)
 	if c.s != nil {
 		if l = c.s.Update(s.at(s.Now()), l); l == nil {
 			return
 		}
-		if kind == balancer.Full {
-			kind = balancer.Change
+		if kind == balancer.FullUpdate {
+			kind = balancer.IncrementalUpdate
 		}
 	}
 	s.members(c, l, kind)
 }
 
-func (s *sim) members(c *sidecar, l *endpoints.Listing, kind balancer.MembersKind) {
+func (s *sim) members(c *sidecar, l *endpoints.Listing, kind balancer.UpdateKind) {
 	if l == nil {
 		return
 	}
-	m := balancer.Members{Kind: kind}
+	m := balancer.EndpointUpdate{Kind: kind}
 	for _, e := range l.Endpoints {
-		member := balancer.Member{Upstream: e.Name, Zone: e.Zone}
+		member := balancer.Endpoint{Name: e.Name, Zone: e.Zone}
 		switch e.Status {
 		case endpoints.StatusTerminating:
-			member.State = balancer.Leaving
+			member.State = balancer.Draining
 		case endpoints.StatusGone:
-			member.State = balancer.Left
+			member.State = balancer.Removed
 		}
 		if e.SinceMs > 0 && !s.r.Blind {
-			member.CameUp = virtualtime.Origin + time.UnixMilli(int64(e.SinceMs)).Sub(s.wall)
+			member.StartedAt = virtualtime.Origin + time.UnixMilli(int64(e.SinceMs)).Sub(s.wall)
 		}
-		m.Entries = append(m.Entries, member)
+		m.Endpoints = append(m.Endpoints, member)
 		if c.warm != nil {
 			if delete(c.ready, e.Name); member.State == balancer.Active {
 				c.ready[e.Name] = uint64(e.SinceMs) + 1
@@ -395,7 +395,7 @@
 			if s.r.Discovery != nil && !c.watches {
 				return
 			}
-			s.tell(c, &endpoints.Listing{Endpoints: news}, balancer.Change)
+			s.tell(c, &endpoints.Listing{Endpoints: news}, balancer.IncrementalUpdate)
 		})
 	}
 }
@@ -505,7 +505,7 @@
 		return
 	}
 	decide := func() {
-		s.module(c, balancer.Request{ID: q.id, Class: class.Name, Expires: q.expires, Hint: s.hint(q)})
+		s.module(c, balancer.Request{ID: q.id, Class: class.Name, Deadline: q.expires, CostHint: s.hint(q)})
 	}
 	if c.probe != nil {
 		if names := c.probe.Ask(s.Now()); len(names) > 0 {
@@ -534,7 +534,7 @@
 			c.probe.Answered(s.Now(), name, n.up)
 			answer := balancer.ProbeResult{Upstream: name, Result: balancer.Timeout}
 			if n.up {
-				answer.Result, answer.InHand = balancer.OK, n.inHand()
+				answer.Result, answer.InFlight = balancer.OK, n.inHand()
 				if !s.r.Latent {
 					answer.Latency = time.Duration(n.took * float64(time.Second))
 				}
@@ -557,19 +557,19 @@
 				a := q.attempts[x.Attempt]
 				s.After(0, func() { s.outcome(a, balancer.Cancelled) })
 			}
-		case balancer.Refuse:
-			s.answer(c, x.ID, &s.out.Refused, x.RetryIn)
+		case balancer.Reject:
+			s.answer(c, x.ID, &s.out.Refused, x.RetryAfter)
 		case balancer.Fail:
 			s.answer(c, x.ID, &s.out.Failed, 0)
 		case balancer.Subscribe:
 			s.subscribe(c)
 		case balancer.SetTimer:
-			at := x.At
+			at := x.FireAt
 			c.timer = at
 			s.At(at, func() {
 				if c.timer == at {
 					c.timer = 0
-					s.module(c, balancer.Wake{})
+					s.module(c, balancer.TimerFired{})
 				}
 			})
 		}
@@ -636,10 +636,10 @@
 func (s *sim) capacity(n *node) float64 {
 	set := &s.r.Settings
 	age := s.Now() - n.started
-	if n.started == 0 || set.WarmUp == 0 || age >= set.WarmUp || set.ColdFrom == 0 {
+	if n.started == 0 || set.SlowStartWindow == 0 || age >= set.SlowStartWindow || set.SlowStartMinCapacity == 0 {
 		return 1
 	}
-	return set.ColdFrom + (1-set.ColdFrom)*float64(age)/float64(set.WarmUp)
+	return set.SlowStartMinCapacity + (1-set.SlowStartMinCapacity)*float64(age)/float64(set.SlowStartWindow)
 }
 
 func (s *sim) arrive(a *attempt) {
@@ -656,7 +656,7 @@
 	n.asked++
 	switch {
 	case n.has(TurnAway) != nil:
-		s.after(wire/2, a, balancer.Overloaded)
+		s.after(wire/2, a, balancer.Rejected)
 		return
 	case n.has(Errors) != nil:
 		s.ran(a)
@@ -665,7 +665,7 @@
 	}
 	s.pushed(n, a.of.work)
 	if len(n.queue) >= nodeQueue {
-		s.after(wire/2, a, balancer.Overloaded)
+		s.after(wire/2, a, balancer.Rejected)
 		return
 	}
 	a.found, a.in = n.inHand(), s.Now()
@@ -676,22 +676,22 @@
 // pushed counts what comes to a cold node: more than FallMultiple of what it can do, kept up for FallTime, and it falls over.
 func (s *sim) pushed(n *node, work time.Duration) {
 	set := &s.r.Settings
-	if set.FallMultiple == 0 || set.FallTime == 0 || s.capacity(n) >= 1 {
+	if set.OverloadMultiple == 0 || set.OverloadWindow == 0 || s.capacity(n) >= 1 {
 		n.recent, n.overSince = 0, 0
 		return
 	}
-	window := set.FallTime.Seconds()
+	window := set.OverloadWindow.Seconds()
 	if passed := (s.Now() - n.recentAt).Seconds(); passed > 0 {
 		n.recent *= max(0, 1-passed/window)
 	}
 	n.recentAt = s.Now()
 	n.recent += work.Seconds()
-	switch over := n.recent/window > set.FallMultiple*s.capacity(n); {
+	switch over := n.recent/window > set.OverloadMultiple*s.capacity(n); {
 	case !over:
 		n.overSince = 0
 	case n.overSince == 0:
 		n.overSince = s.Now()
-	case s.Now()-n.overSince >= set.FallTime && !n.fallen:
+	case s.Now()-n.overSince >= set.OverloadWindow && !n.fallen:
 		n.fallen = true
 		s.out.Fell++
 		s.stop(n)
@@ -746,7 +746,7 @@
 	if a.conn {
 		p := c.conns[a.node]
 		p.out--
-		if (r == balancer.OK || r == balancer.Overloaded) && a.node.up {
+		if (r == balancer.OK || r == balancer.Rejected) && a.node.up {
 			p.idle = append(p.idle, s.Now())
 		} else {
 			s.close(c, a.node, 1)
@@ -766,7 +766,7 @@
 		}
 		return
 	}
-	s.module(c, balancer.Outcome{ID: q.id, Attempt: a.number, Result: r, Elapsed: s.Now() - a.sent, Finished: q.done})
+	s.module(c, balancer.Outcome{ID: q.id, Attempt: a.number, Result: r, Elapsed: s.Now() - a.sent, Final: q.done})
 }
 
 func (c *sidecar) pool(n *node) *pool {
@@ -846,7 +846,7 @@
 	if c.s != nil {
 		c.rate += rateBlend * (float64(c.sent)/sweep.Seconds() - c.rate) // as discovery.Narrowed does
 		c.sent = 0
-		s.members(c, c.s.Rate(s.at(s.Now()), c.rate), balancer.Change)
+		s.members(c, c.s.Rate(s.at(s.Now()), c.rate), balancer.IncrementalUpdate)
 	}
 	s.After(sweep, func() { s.sweep(c) })
 }
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -15,9 +15,9 @@
 	o := subset.Default()
 	o.On, o.Least, o.Most, o.Away, o.Settle = true, 8, 4096, 0, units.Duration(2*time.Second)
 	return Run{Sidecars: sidecars, Nodes: nodes, Rate: float64(nodes), Work: 100 * time.Millisecond, Length: 30 * time.Second, Seed: 3, Subset: o, Known: true,
-		Connect: 2 * time.Millisecond, Settings: balancer.Settings{MaxAttempts: 3, Cancelling: true, RetryAfter: true, MaxRetryAfter: time.Second,
-			ConnectTimeout: time.Second, Tick: 5 * time.Millisecond, ColdFrom: 0.2, WarmUp: 20 * time.Second, FallMultiple: 3, FallTime: 2 * time.Second,
-			Classes: []balancer.Class{{Name: "search", Aim: time.Second, Deadline: 3 * time.Second, Worth: 1, LateShare: 0.3}}}}
+		Connect: 2 * time.Millisecond, Settings: balancer.Settings{MaxAttempts: 3, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: time.Second,
+			ConnectTimeout: time.Second, Tick: 5 * time.Millisecond, SlowStartMinCapacity: 0.2, SlowStartWindow: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
+			Classes: []balancer.Class{{Name: "search", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, LateValueFraction: 0.3}}}}
 }
 
 func play(t *testing.T, r Run) *Result {
@@ -62,7 +62,7 @@
 func TestHalfRestarts(t *testing.T) {
 	r := run(20, 200)
 	r.Rate *= 5
-	r.Settings.ColdFrom, r.Settings.FallMultiple, r.Settings.FallTime = 0.1, 2, time.Second
+	r.Settings.SlowStartMinCapacity, r.Settings.OverloadMultiple, r.Settings.OverloadWindow = 0.1, 2, time.Second
 	r.RestartAt, r.RestartOver, r.RestartPart, r.Down = 8*time.Second, 2*time.Second, 0.5, 2*time.Second
 	got, err := Play(r)
 	if err != nil || got.Fell > 0 {
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -74,14 +74,14 @@
 // host is the table of instances in this process, and the numbered lists they share as messages.
 type host struct {
 	instances map[int]*balancer.Balancer
-	tables    map[int][]balancer.Member
+	tables    map[int][]balancer.Endpoint
 	acts      []balancer.Action
 }
 
 // Serve answers batches from in on out until in ends. Its error names the line that could not be handled.
 func Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	h := &host{instances: map[int]*balancer.Balancer{}, tables: map[int][]balancer.Member{}}
+	h := &host{instances: map[int]*balancer.Balancer{}, tables: map[int][]balancer.Endpoint{}}
 	for line := 1; ; line++ {
 		text, err := readLine(r)
 		if err == io.EOF {
@@ -185,36 +185,36 @@
 func (h *host) translate(e *event) balancer.Event {
 	switch e.Verb {
 	case "Topology":
-		kinds := map[string]balancer.MembersKind{"INCREMENTAL": balancer.Change, "FULL": balancer.Full,
-			"SAVED": balancer.Saved, "FAILED": balancer.Failed}
+		kinds := map[string]balancer.UpdateKind{"INCREMENTAL": balancer.IncrementalUpdate, "FULL": balancer.FullUpdate,
+			"SAVED": balancer.CachedUpdate, "FAILED": balancer.UpdateFailed}
 		kind, known := kinds[e.Scope]
 		if !known {
 			return nil
 		}
-		if kind == balancer.Failed {
-			return balancer.Members{Kind: kind}
+		if kind == balancer.UpdateFailed {
+			return balancer.EndpointUpdate{Kind: kind}
 		}
-		return balancer.Members{Kind: kind, Entries: h.tables[e.Table]}
+		return balancer.EndpointUpdate{Kind: kind, Endpoints: h.tables[e.Table]}
 	case "Order":
-		r := balancer.Request{ID: e.ID, Class: e.Type, Expires: duration(e.ExpiresMs)}
+		r := balancer.Request{ID: e.ID, Class: e.Type, Deadline: duration(e.ExpiresMs)}
 		r.Tenant, _ = e.Billing.(string)
 		if e.Bits&hintValid != 0 {
-			r.Hint = duration(e.PredictedMs)
+			r.CostHint = duration(e.PredictedMs)
 		}
 		return r
 	case "FirstByte":
 		return balancer.FirstByte{ID: e.ID, Attempt: e.Hop}
 	case "Returned":
 		return balancer.Outcome{ID: e.ID, Attempt: e.Hop, Result: result(e.Result),
-			Elapsed: duration(e.ElapsedMs), Finished: e.Finished}
+			Elapsed: duration(e.ElapsedMs), Final: e.Finished}
 	case "Hangup":
-		return balancer.Gone{ID: e.ID}
+		return balancer.ClientDisconnected{ID: e.ID}
 	case "Wakeup":
-		return balancer.Wake{}
+		return balancer.TimerFired{}
 	case "ProbeDone":
 		return balancer.ProbeResult{Upstream: e.Upstream, Result: result(e.Result), Elapsed: duration(e.ElapsedMs)}
 	case "Heard":
-		return balancer.Peer{From: e.By, Message: e.Contents}
+		return balancer.PeerMessage{From: e.By, Message: e.Contents}
 	}
 	return nil
 }
@@ -226,12 +226,12 @@
 	case balancer.Cancel:
 		hop := a.Attempt
 		return action{Verb: "Retract", I: inst, ID: a.ID, Hop: &hop}
-	case balancer.Refuse:
-		return action{Verb: "Refuse", I: inst, ID: a.ID, RetryInMs: millis(a.RetryIn)}
+	case balancer.Reject:
+		return action{Verb: "Refuse", I: inst, ID: a.ID, RetryInMs: millis(a.RetryAfter)}
 	case balancer.Fail:
 		return action{Verb: "Error", I: inst, ID: a.ID}
 	case balancer.SetTimer:
-		return action{Verb: "Defer", I: inst, MomentMs: millis(a.At), Cookie: timerCookie}
+		return action{Verb: "Defer", I: inst, MomentMs: millis(a.FireAt), Cookie: timerCookie}
 	case balancer.Subscribe:
 		return action{Verb: "Watch", I: inst, Enable: true}
 	case balancer.Log:
@@ -246,7 +246,7 @@
 	case 200:
 		return balancer.OK
 	case 429:
-		return balancer.Overloaded
+		return balancer.Rejected
 	case 408:
 		return balancer.Timeout
 	case 521:
@@ -256,21 +256,21 @@
 	case 444:
 		return balancer.Cancelled
 	case 409:
-		return balancer.Moot
+		return balancer.NotSent
 	}
 	return balancer.ServerError
 }
 
-func members(entries []entry) []balancer.Member {
-	states := map[string]balancer.State{"active": balancer.Active, "leaving": balancer.Leaving}
-	list := make([]balancer.Member, len(entries))
+func members(entries []entry) []balancer.Endpoint {
+	states := map[string]balancer.EndpointState{"active": balancer.Active, "leaving": balancer.Draining}
+	list := make([]balancer.Endpoint, len(entries))
 	for i, e := range entries {
 		state, known := states[e.StageState]
 		if !known {
-			state = balancer.Left // gone, or in a state that promises nothing
+			state = balancer.Removed // gone, or in a state that promises nothing
 		}
-		list[i] = balancer.Member{Upstream: e.Upstream, Zone: e.RackZone, Cell: e.Cell, Machine: e.Machine,
-			State: state, CameUp: duration(e.CameUpMs)}
+		list[i] = balancer.Endpoint{Name: e.Upstream, Zone: e.RackZone, Cell: e.Cell, MachineType: e.Machine,
+			State: state, StartedAt: duration(e.CameUpMs)}
 	}
 	return list
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -68,14 +68,14 @@
 // A panic in a decision becomes a BailOut with its text, and keeps the actions before it.
 func TestPanicBecomesBailOut(t *testing.T) {
 	h := &host{}
-	got := h.decide(nil, 0, 3, balancer.Wake{}, []action{{Verb: "Emit"}})
+	got := h.decide(nil, 0, 3, balancer.TimerFired{}, []action{{Verb: "Emit"}})
 	if len(got) != 2 || got[1].Verb != "BailOut" || got[1].I != 3 || got[1].ReasonText == "" {
 		t.Errorf("got %+v", got)
 	}
 }
 
 func TestEveryActionHasAWireForm(t *testing.T) {
-	for k, want := range map[balancer.ActionKind]string{balancer.Send: "Try", balancer.Cancel: "Retract", balancer.Refuse: "Refuse",
+	for k, want := range map[balancer.ActionKind]string{balancer.Send: "Try", balancer.Cancel: "Retract", balancer.Reject: "Refuse",
 		balancer.Fail: "Error", balancer.SetTimer: "Defer", balancer.Subscribe: "Watch", balancer.Log: "Emit"} {
 		if got := encode(1, &balancer.Action{Kind: k}).Verb; got != want {
 			t.Errorf("kind %d: %s, want %s", k, got, want)
@@ -84,32 +84,32 @@
 }
 
 func TestTranslate(t *testing.T) {
-	h := &host{tables: map[int][]balancer.Member{3: {{Upstream: "s"}}}}
+	h := &host{tables: map[int][]balancer.Endpoint{3: {{Name: "s"}}}}
 	for _, c := range []struct {
 		e    event
 		want balancer.Event
 	}{
-		{event{Verb: "Hangup", ID: "x"}, balancer.Gone{ID: "x"}},
+		{event{Verb: "Hangup", ID: "x"}, balancer.ClientDisconnected{ID: "x"}},
 		{event{Verb: "FirstByte", ID: "x", Hop: 2}, balancer.FirstByte{ID: "x", Attempt: 2}},
 		{event{Verb: "Order", ID: "x", Type: "c", Billing: "t", ExpiresMs: 1.5, PredictedMs: 2, Bits: 1},
-			balancer.Request{ID: "x", Class: "c", Tenant: "t", Expires: 1500 * time.Microsecond, Hint: 2 * time.Millisecond}},
+			balancer.Request{ID: "x", Class: "c", Tenant: "t", Deadline: 1500 * time.Microsecond, CostHint: 2 * time.Millisecond}},
 		{event{Verb: "Order", ID: "x", Type: "c", Billing: 0.0, PredictedMs: 2}, balancer.Request{ID: "x", Class: "c"}},
 		{event{Verb: "Returned", ID: "x", Hop: 1, Result: 520, ElapsedMs: 3},
 			balancer.Outcome{ID: "x", Attempt: 1, Result: balancer.Reset, Elapsed: 3 * time.Millisecond}},
 		{event{Verb: "ProbeDone", Upstream: "s", Result: 200}, balancer.ProbeResult{Upstream: "s"}},
-		{event{Verb: "Heard", By: 2, Contents: "hi"}, balancer.Peer{From: 2, Message: "hi"}},
-		{event{Verb: "Wakeup"}, balancer.Wake{}},
+		{event{Verb: "Heard", By: 2, Contents: "hi"}, balancer.PeerMessage{From: 2, Message: "hi"}},
+		{event{Verb: "Wakeup"}, balancer.TimerFired{}},
 	} {
 		if got := h.translate(&c.e); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, want %+v", c.e.Verb, got, c.want)
 		}
 	}
-	m := h.translate(&event{Verb: "Topology", Scope: "FULL", Table: 3}).(balancer.Members)
-	if m.Kind != balancer.Full || len(m.Entries) != 1 {
+	m := h.translate(&event{Verb: "Topology", Scope: "FULL", Table: 3}).(balancer.EndpointUpdate)
+	if m.Kind != balancer.FullUpdate || len(m.Endpoints) != 1 {
 		t.Errorf("list: %+v", m)
 	}
-	for code, want := range map[int]balancer.Result{200: balancer.OK, 502: balancer.ServerError, 429: balancer.Overloaded,
-		408: balancer.Timeout, 521: balancer.ConnectFailed, 520: balancer.Reset, 444: balancer.Cancelled, 409: balancer.Moot,
+	for code, want := range map[int]balancer.Result{200: balancer.OK, 502: balancer.ServerError, 429: balancer.Rejected,
+		408: balancer.Timeout, 521: balancer.ConnectFailed, 520: balancer.Reset, 444: balancer.Cancelled, 409: balancer.NotSent,
 		599: balancer.ServerError} {
 		if got := result(code); got != want {
 			t.Errorf("code %d: %d, want %d", code, got, want)
@@ -147,8 +147,8 @@
 
 // A list entry in a state that is not known gets no work.
 func TestUnknownStateIsNotActive(t *testing.T) {
-	for word, want := range map[string]balancer.State{"active": balancer.Active, "leaving": balancer.Leaving,
-		"left": balancer.Left, "resting": balancer.Left} {
+	for word, want := range map[string]balancer.EndpointState{"active": balancer.Active, "leaving": balancer.Draining,
+		"left": balancer.Removed, "resting": balancer.Removed} {
 		if got := members([]entry{{StageState: word}})[0].State; got != want {
 			t.Errorf("%s: %d, want %d", word, got, want)
 		}
--- a/internal/testing/conformance/fronts_test.go
+++ b/internal/testing/conformance/fronts_test.go
@@ -64,15 +64,15 @@
 
 // classes of the suite: one of each effect.
 func suiteSettings(deadline time.Duration) balancer.Settings {
-	class := func(name string, e balancer.Effect) balancer.Class {
-		return balancer.Class{Name: name, Aim: deadline / 2, Deadline: deadline, LateShare: 0.5, Effect: e,
-			Group: balancer.GroupZone, Window: 6 * time.Second}
+	class := func(name string, e balancer.Idempotency) balancer.Class {
+		return balancer.Class{Name: name, LatencyObjective: deadline / 2, Deadline: deadline, LateValueFraction: 0.5, Idempotency: e,
+			DedupScope: balancer.ScopeZone, DedupWindow: 6 * time.Second}
 	}
-	return balancer.Settings{Zone: "a", Balancers: 1, Classes: []balancer.Class{class("search", balancer.Safe),
-		class("record", balancer.Keyed), class("confirm", balancer.Unsafe)}, Tick: 5 * time.Millisecond, MaxAttempts: 5,
-		SecondCopies: true, Cancelling: true, RetryAfter: true, MaxRetryAfter: 200 * time.Millisecond,
-		ConnectTimeout: 500 * time.Millisecond, ColdFrom: 0.3, WarmUp: 8800 * time.Millisecond, FallMultiple: 3,
-		FallTime: 2 * time.Second, WorthByWork: true}
+	return balancer.Settings{Zone: "a", FleetSize: 1, Classes: []balancer.Class{class("search", balancer.Idempotent),
+		class("record", balancer.IdempotentWithKey), class("confirm", balancer.NonIdempotent)}, Tick: 5 * time.Millisecond, MaxAttempts: 5,
+		HedgingAllowed: true, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 200 * time.Millisecond,
+		ConnectTimeout: 500 * time.Millisecond, SlowStartMinCapacity: 0.3, SlowStartWindow: 8800 * time.Millisecond, OverloadMultiple: 3,
+		OverloadWindow: 2 * time.Second, WeightPerWork: true}
 }
 
 // protocol is what the nodes speak.
--- a/internal/testing/conformance/suite_test.go
+++ b/internal/testing/conformance/suite_test.go
@@ -153,7 +153,7 @@
 	node := fakes.NodeOptions{Cores: 4, ColdFrom: 0.3, WarmUp: 8800 * time.Millisecond, FallMultiple: 3, FallTime: 2 * time.Second}
 	w := newWorld(t, node, node, node)
 	set := suiteSettings(2 * time.Second)
-	set.Balancers = 2
+	set.FleetSize = 2
 	fronts := []front{w.start(t, overHTTP, set), w.start(t, overGRPC, set)}
 	stop := make(chan struct{})
 	var calls, good atomic.Int64
--- a/internal/upstream/by_test.go
+++ b/internal/upstream/by_test.go
@@ -37,7 +37,7 @@
 	if got := <-first; got != balancer.OK {
 		t.Errorf("the first: %v", got)
 	}
-	if got := <-repeat; got != balancer.Moot {
+	if got := <-repeat; got != balancer.NotSent {
 		t.Errorf("the repeat: %v", got)
 	}
 	if got := u.AttemptWithin(t.Context(), "s", testRequest("POST", "in time"), Terms{By: time.Now().Add(time.Minute)}).Result; got != balancer.OK {
@@ -65,7 +65,7 @@
 	}()
 	slow := testPool(t, 1, testutil.Entry("s", l.Addr().String(), "Ready"))
 	large := NewRequest(http.MethodPost, "/record/1", "s", nil, make([]byte, 32<<20))
-	if got := slow.AttemptWithin(t.Context(), "s", large, Terms{By: time.Now().Add(50 * time.Millisecond)}).Result; got != balancer.Moot {
+	if got := slow.AttemptWithin(t.Context(), "s", large, Terms{By: time.Now().Add(50 * time.Millisecond)}).Result; got != balancer.NotSent {
 		t.Errorf("a body that is taken too slowly: %v", got)
 	}
 	close(repeat)
@@ -80,7 +80,7 @@
 	testutil.Eventually(t, "it waits for its connection", func() bool { return comesUp.slots.Held() == 1 })
 	time.Sleep(time.Until(by)) // the moment itself: connections come up later, see base.Late
 	late.ComeUp()
-	if got := <-slowly; got != balancer.Moot {
+	if got := <-slowly; got != balancer.NotSent {
 		t.Errorf("one whose connection came up too late: %v", got)
 	}
 	if got := comesUp.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}).Result; got != balancer.OK || late.Came() != 1 {
--- a/internal/upstream/caller_test.go
+++ b/internal/upstream/caller_test.go
@@ -38,7 +38,7 @@
 	left := time.Now()
 	leave()
 	for range 2 {
-		if got := <-ended; got != balancer.Moot {
+		if got := <-ended; got != balancer.NotSent {
 			t.Errorf("one that waited: %v", got)
 		}
 	}
@@ -52,10 +52,10 @@
 	}
 	off, end := context.WithCancel(t.Context())
 	end()
-	if got := busy.AttemptWithin(off, "s", testRequest("GET", ""), Terms{}).Result; got != balancer.Moot {
+	if got := busy.AttemptWithin(off, "s", testRequest("GET", ""), Terms{}).Result; got != balancer.NotSent {
 		t.Errorf("one that was called off: %v", got)
 	}
-	if got := busy.AttemptWithin(t.Context(), "s", testRequest("GET", ""), Terms{Caller: caller}).Result; got != balancer.Moot {
+	if got := busy.AttemptWithin(t.Context(), "s", testRequest("GET", ""), Terms{Caller: caller}).Result; got != balancer.NotSent {
 		t.Errorf("one whose caller had left: %v", got)
 	}
 	if got := comesUp.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}).Result; got != balancer.OK {
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -48,7 +48,7 @@
 		u = testPool(t, 8, testutil.Entry("s", s.Address, "Ready"))
 		tried = failDials(u, 1<<40, c.call, c.errno)
 		ctx, cancel = context.WithTimeout(t.Context(), 150*time.Millisecond)
-		if rep := u.Attempt(ctx, "s", testRequest("POST", "x"), time.Time{}); rep.Result != balancer.Moot || tried.Load() > 40 {
+		if rep := u.Attempt(ctx, "s", testRequest("POST", "x"), time.Time{}); rep.Result != balancer.NotSent || tried.Load() > 40 {
 			t.Errorf("%s, %v, throughout: %v after %d tries", c.call, c.errno, rep.Result, tried.Load())
 		}
 		cancel()
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -148,7 +148,7 @@
 func (u *Pool) AttemptWithin(ctx context.Context, name string, r *Request, t Terms) Reply {
 	at, ok := u.dir.Place(name)
 	if !ok {
-		return Reply{Result: balancer.Moot}
+		return Reply{Result: balancer.NotSent}
 	}
 	if t.Caller != nil && t.Caller.Done() != nil && t.Cancel != nil {
 		defer u.follow(&t)()
@@ -157,9 +157,9 @@
 		c, reused, err := u.connectionFor(ctx, t.Caller, name, at)
 		switch {
 		case err != nil && t.left():
-			return Reply{Result: balancer.Moot}
+			return Reply{Result: balancer.NotSent}
 		case errors.Is(err, errSaturated): // says nothing of the upstream
-			return Reply{Result: balancer.Moot}
+			return Reply{Result: balancer.NotSent}
 		case err != nil && ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 			return Reply{Result: balancer.Cancelled}
 		case err != nil:
@@ -214,15 +214,15 @@
 	// Guards against sends to an upstream that discovery reported draining between the decision and the write,
 	// while a connection was made, say.
 	if !u.dir.Ready(c.name, c.at) {
-		return Reply{Result: balancer.Moot}, false, false
+		return Reply{Result: balancer.NotSent}, false, false
 	}
 	// It may have waited for its connection: nothing is begun that nobody waits for, that has been called off, or that its group
 	// would take for a new request.
 	if t.left() || ctx.Err() != nil || t.late() {
-		return Reply{Result: balancer.Moot}, true, false
+		return Reply{Result: balancer.NotSent}, true, false
 	}
 	if r.Gate != nil && !r.Gate.Enter() {
-		return Reply{Result: balancer.Moot}, true, false
+		return Reply{Result: balancer.NotSent}, true, false
 	}
 	var up *upload // a long body's
 	if r.long() {
@@ -244,7 +244,7 @@
 		}
 		if err != nil {
 			if t.late() {
-				return Reply{Result: balancer.Moot}, false, false
+				return Reply{Result: balancer.NotSent}, false, false
 			}
 			return ended(balancer.ConnectFailed), false, false
 		}
@@ -274,7 +274,7 @@
 		case in.limited.left == httpheader.MaxBytes: // its last byte never went out, and nothing came back
 			result := balancer.ConnectFailed
 			if ctx.Err() != nil || t.late() {
-				result = balancer.Moot
+				result = balancer.NotSent
 			}
 			return r.unsent(result), false, false
 		default: // whoever answers may have begun, whatever it has read
@@ -335,9 +335,9 @@
 	reusable = whole && !resp.Close && in.Buffered() == 0
 	switch status := resp.StatusCode; {
 	case turnedAway(resp, nil):
-		return Reply{Result: balancer.Overloaded}, reusable, false
+		return Reply{Result: balancer.Rejected}, reusable, false
 	case served && !whole: // of no end, or of too much: what came is not served in parts
-		return Reply{Result: balancer.Garbled}, false, false
+		return Reply{Result: balancer.Malformed}, false, false
 	case served:
 		header := httpheader.EndToEnd(resp.Header)
 		delete(header, httpheader.Load)
@@ -504,5 +504,5 @@
 	if in.limited.broke {
 		return balancer.Reset
 	}
-	return balancer.Garbled
+	return balancer.Malformed
 }
