--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -16,7 +16,7 @@
 // Probe asks an upstream for its load at a path, on a connection like any request's, until ctx ends. It never waits for a slot
 // that requests wait for, and is not sent to an upstream that drains.
 func (u *Pool) Probe(ctx context.Context, name, path string) balancer.ProbeResult {
-	r := balancer.ProbeResult{Upstream: name, Result: balancer.Moot}
+	r := balancer.ProbeResult{Upstream: name, Result: balancer.NotSent}
 	at, ok := u.dir.Place(name)
 	if !ok || u.slots.Waiting(u.service) > 0 {
 		return r
@@ -29,7 +29,7 @@
 		return r
 	}
 	if rep.Status != http.StatusOK || len(rep.Body) > httpheader.MaxBytes || !readLoad(&r, rep.Body) {
-		r.Result = balancer.Garbled
+		r.Result = balancer.Malformed
 	}
 	return r
 }
@@ -54,7 +54,7 @@
 		}
 		switch strings.TrimSpace(name) {
 		case "inflight", "queue":
-			r.InHand, found = max(r.InHand, int(min(v, maxInHand))), true
+			r.InFlight, found = max(r.InFlight, int(min(v, maxInHand))), true
 		case "latency_ms":
 			r.Latency = time.Duration(min(v*float64(time.Millisecond), float64(maxLatency)))
 		}
--- a/internal/upstream/proof_test.go
+++ b/internal/upstream/proof_test.go
@@ -224,7 +224,7 @@
 					if c.ran > 0 {
 						testutil.Eventually(t, "it ran", func() bool { return k.times("x") == c.ran })
 					}
-					if may := rep.Result != balancer.ConnectFailed && rep.Result != balancer.Moot; may != c.may && c.before == 0 || rep.Result == balancer.OK || reusable {
+					if may := rep.Result != balancer.ConnectFailed && rep.Result != balancer.NotSent; may != c.may && c.before == 0 || rep.Result == balancer.OK || reusable {
 						t.Errorf("result %d, reusable %v; it ran %d times", rep.Result, reusable, k.times("x"))
 					}
 				})
@@ -239,7 +239,7 @@
 		"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n": balancer.ServerError,
 		"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n": balancer.Reset,
 		"HTTP/1.1 2": balancer.Reset,
-		"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n": balancer.Overloaded,
+		"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n": balancer.Rejected,
 		"": balancer.ConnectFailed,
 	} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -327,7 +327,7 @@
 					u.Free(rep)
 					before, answers := cut(id)
 					runs := before == 0
-					switch not := rep.Result == balancer.ConnectFailed || rep.Result == balancer.Moot || rep.Result == balancer.Overloaded; {
+					switch not := rep.Result == balancer.ConnectFailed || rep.Result == balancer.NotSent || rep.Result == balancer.Rejected; {
 					case not && k.times(id) > 0:
 						t.Errorf("%s ran, and is called unrun (%d)", id, rep.Result)
 					case k.times(id) > 1:
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -94,14 +94,14 @@
 		"a length":     {"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + part, balancer.Reset},
 		"a chunk":      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nf0000\r\n" + part, balancer.Reset},
 		"no last":      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4b000\r\n" + part + "\r\n", balancer.Reset},
-		"broken frame": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4b000\r\n" + part + "\r\nzz\r\n", balancer.Garbled},
+		"broken frame": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4b000\r\n" + part + "\r\nzz\r\n", balancer.Malformed},
 		"a reset":      {"HTTP/1.1 200 OK\r\n\r\n" + part, balancer.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			hold := make(chan struct{})
 			s := testutil.Raw(t, func(conn net.Conn, _ fakes.Got) bool {
 				_, _ = io.WriteString(conn, c.text)
-				if c.want == balancer.Garbled { // it stays open, and is of no further use
+				if c.want == balancer.Malformed { // it stays open, and is of no further use
 					<-hold
 				}
 				return false
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -208,7 +208,7 @@
 func (r *Request) unsent(result balancer.Result) Reply {
 	if r.Upload != nil {
 		if r.Upload.Broken() {
-			result = balancer.Moot
+			result = balancer.NotSent
 		}
 		return Reply{Result: result, Spent: r.Upload.Spent()}
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -57,12 +57,12 @@
 		{"chunked", fakes.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n"), balancer.OK},
 		{"error", fakes.Says("HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
 		{"redirect", fakes.Says("HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
-		{"turned away", fakes.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Overloaded},
-		{"turned away late", fakes.Says("HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Overloaded},
+		{"turned away", fakes.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Rejected},
+		{"turned away late", fakes.Says("HTTP/1.1 504 Over\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.Rejected},
 		{"503 without the mark", fakes.Says("HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
 		{"500 with the mark", fakes.Says("HTTP/1.1 500 Oops\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"), balancer.ServerError},
 		{"reset", func(net.Conn, fakes.Got) bool { return false }, balancer.Reset},
-		{"garbage", fakes.Says("\x00\x01 no HTTP\r\n\r\n"), balancer.Garbled},
+		{"garbage", fakes.Says("\x00\x01 no HTTP\r\n\r\n"), balancer.Malformed},
 		{"truncated", func(c net.Conn, _ fakes.Got) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
 			return false
@@ -76,20 +76,20 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhalf")
 			return false
 		}, balancer.Reset},
-		{"too large", fakes.Says(fakes.OK200(strings.Repeat("x", maxAnswer+1))), balancer.Garbled},
+		{"too large", fakes.Says(fakes.OK200(strings.Repeat("x", maxAnswer+1))), balancer.Malformed},
 		{"more than a request may have", fakes.Says(fakes.OK200(strings.Repeat("x", 400<<10))), balancer.OK},
 		{"too large in chunks", fakes.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n400000\r\n" +
-			strings.Repeat("x", 4<<20) + "\r\n0\r\n\r\n"), balancer.Garbled},
+			strings.Repeat("x", 4<<20) + "\r\n0\r\n\r\n"), balancer.Malformed},
 		{"another protocol", fakes.Says("HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n"),
 			balancer.ServerError},
-		{"no number for a status", fakes.Says("HTTP/1.1 OK\r\nContent-Length: 0\r\n\r\n"), balancer.Garbled},
-		{"two lengths", fakes.Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nbody"), balancer.Garbled},
-		{"broken chunks", fakes.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\nmany\r\n"), balancer.Garbled},
-		{"3 GB", fakes.Says("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody"), balancer.Garbled},
+		{"no number for a status", fakes.Says("HTTP/1.1 OK\r\nContent-Length: 0\r\n\r\n"), balancer.Malformed},
+		{"two lengths", fakes.Says("HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nbody"), balancer.Malformed},
+		{"broken chunks", fakes.Says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nbody\r\nmany\r\n"), balancer.Malformed},
+		{"3 GB", fakes.Says("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody"), balancer.Malformed},
 		{"interim answers", fakes.Says("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + fakes.OK200("body")), balancer.OK},
-		{"interim answers for ever", fakes.Says(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 100)), balancer.Garbled},
+		{"interim answers for ever", fakes.Says(strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 100)), balancer.Malformed},
 		{"unreadable load", fakes.Says("HTTP/1.1 200 OK\r\nX-Server-Load: TEXT ,,=\xff\r\nContent-Length: 0\r\n\r\n"), balancer.OK},
-		{"headers too large", fakes.Says("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*httpheader.MaxBytes) + "\r\n\r\n"), balancer.Garbled},
+		{"headers too large", fakes.Says("HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 2*httpheader.MaxBytes) + "\r\n\r\n"), balancer.Malformed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := testutil.Raw(t, c.answer)
@@ -178,11 +178,11 @@
 			t.Fatal(err)
 		}
 		u.dir.Apply(testutil.Listing(t, 2, false, testutil.Entry("s", s.Address, status)))
-		if rep, _, _ := u.exchange(t.Context(), c, testRequest("GET", ""), Terms{}); rep.Result != balancer.Moot {
+		if rep, _, _ := u.exchange(t.Context(), c, testRequest("GET", ""), Terms{}); rep.Result != balancer.NotSent {
 			t.Errorf("%s: result %d", status, rep.Result)
 		}
 		u.discard(c)
-		if rep := u.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); rep.Result != balancer.Moot {
+		if rep := u.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); rep.Result != balancer.NotSent {
 			t.Errorf("%s: later result %d", status, rep.Result)
 		}
 		if n := len(s.Requests()); n != 0 {
@@ -372,7 +372,7 @@
 	testutil.Eventually(t, "the idle connection gave way", func() bool { return a.Closed.Load() == 1 && len(b.Requests()) == 1 })
 	short, end := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer end()
-	if rep := u.Attempt(short, "a", testRequest("GET", ""), time.Time{}); rep.Result != balancer.Moot {
+	if rep := u.Attempt(short, "a", testRequest("GET", ""), time.Time{}); rep.Result != balancer.NotSent {
 		t.Errorf("result %d over the limit", rep.Result)
 	}
 	go func() { waits <- u.Attempt(t.Context(), "a", testRequest("GET", ""), time.Time{}) }()
@@ -391,7 +391,7 @@
 		var r balancer.ProbeResult
 		got := ""
 		if readLoad(&r, []byte(report)) {
-			got = fmt.Sprint(r.InHand, " ", r.Latency)
+			got = fmt.Sprint(r.InFlight, " ", r.Latency)
 		}
 		if got != want {
 			t.Errorf("%q is %q, want %q", report, got, want)
