--- a/grpcbalancer/call.go
+++ b/grpcbalancer/call.go
@@ -43,7 +43,7 @@
 	class := p.methods.class(method)
 	md, _ := metadata.FromOutgoingContext(ctx)
 	c := &call{p: p, method: method, lastStatus: &lastStatus{}, Call: engine.Call{Class: class.Name, ID: first(md, RequestIDKey),
-		Tenant: first(md, TenantKey), Expires: p.engine.Clock().Now() + class.Deadline}}
+		Tenant: first(md, TenantKey), Deadline: p.engine.Clock().Now() + class.Deadline}}
 	if p.door != nil { // before a key is made: another would be with the repeat
 		c.print = xxhash.Sum64String(method + "\x00" + first(md, IdempotencyKey))
 	}
@@ -55,10 +55,10 @@
 		ctx = metadata.AppendToOutgoingContext(ctx, IdempotencyKey, p.newID(2))
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		c.Expires = min(c.Expires, p.engine.Clock().At(deadline))
+		c.Deadline = min(c.Deadline, p.engine.Clock().At(deadline))
 	}
 	if us, err := strconv.ParseFloat(first(md, CostKey), 64); err == nil && us > 0 && us < maxCost.Seconds()*1e6 {
-		c.Hint = time.Duration(us * float64(time.Microsecond))
+		c.CostHint = time.Duration(us * float64(time.Microsecond))
 	}
 	return ctx, c
 }
@@ -76,7 +76,7 @@
 	if !ok {
 		return nil
 	}
-	return &attempt{Context: ctx, plugin: c.p, upstream: a.Upstream, place: place, by: a.By, caller: a.Caller, cancel: a.Cancel}
+	return &attempt{Context: ctx, plugin: c.p, upstream: a.Upstream, place: place, by: a.SendBy, caller: a.Caller, cancel: a.Cancel}
 }
 
 // ended says what an RPC's end was for the module. An error that is the application's own answer counts as served.
@@ -98,7 +98,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, bounded := ctx.Deadline()
-	late := bounded && c.p.engine.Clock().Now() >= c.Expires-4*c.p.tick
+	late := bounded && c.p.engine.Clock().Now() >= c.Deadline-4*c.p.tick
 	return answerError(ctx, a, c.last, late)
 }
 
--- a/grpcbalancer/door.go
+++ b/grpcbalancer/door.go
@@ -12,7 +12,7 @@
 )
 
 // do is the engine's Do behind the door, where there is one. A stream keeps its place there until it has begun.
-func (c *call) do(ctx context.Context, carrier engine.Carrier) engine.Answer {
+func (c *call) do(ctx context.Context, carrier engine.Transport) engine.Answer {
 	k := c.p.door
 	if k == nil {
 		return c.p.engine.Do(ctx, c.Call, carrier)
@@ -20,18 +20,18 @@
 	md, _ := metadata.FromOutgoingContext(ctx)
 	waits, end := context.WithCancel(ctx)
 	defer end()
-	if c.Wanted != nil {
-		defer context.AfterFunc(c.Wanted, end)()
+	if c.Interest != nil {
+		defer context.AfterFunc(c.Interest, end)()
 	}
 	marked := first(md, strings.ToLower(k.RepeatHeader()))
 	pass, verdict, in := k.Enter(waits, admission.Who{Tenant: c.Tenant, Header: func(name string) string { return first(md, strings.ToLower(name)) }},
-		admission.Arrival{Class: c.Class, Hint: c.Hint, Came: c.p.engine.Clock().Now(), Expires: c.Expires,
+		admission.Arrival{Class: c.Class, Hint: c.CostHint, Came: c.p.engine.Clock().Now(), Expires: c.Deadline,
 			Repeat: marked != "" && marked != "0", Print: c.print})
 	switch verdict {
 	case controller.Refused:
-		return engine.Answer{Kind: engine.Refused, RetryIn: in}
+		return engine.Answer{Kind: engine.Rejected, RetryAfter: in}
 	case controller.Left:
-		return engine.Answer{Kind: engine.Abandoned}
+		return engine.Answer{Kind: engine.ClientGone}
 	}
 	a := c.p.engine.Do(ctx, c.Call, carrier)
 	pass.Done(controller.Ended(a))
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -216,8 +216,8 @@
 	if source != nil {
 		subscribe = source.Ask
 	}
-	p.engine, err = engine.New(engine.Options{Settings: set, Seed: o.Seed, Clock: clk, Known: members.Endpoints,
-		Subscribe: subscribe, Settle: p.feed.Settle, Log: log, CancelWithCaller: true})
+	p.engine, err = engine.New(engine.Options{Settings: set, Seed: o.Seed, Clock: clk, CachedEndpoints: members.Endpoints,
+		Subscribe: subscribe, WaitForUpdates: p.feed.Settle, Log: log, CancelWithCaller: true})
 	if err != nil {
 		return nil, fmt.Errorf("orchidgrpc: Settings: %w", err)
 	}
@@ -349,7 +349,7 @@
 }
 
 // InHand is how many calls and streams the plug-in has in hand.
-func (p *Plugin) InHand() int { return p.engine.InHand() }
+func (p *Plugin) InHand() int { return p.engine.InFlight() }
 
 // Upstreams is what the module makes of the upstreams now, for those who look on.
 func (p *Plugin) Upstreams() []balancer.UpstreamView { return p.engine.View() }
--- a/grpcbalancer/repeats.go
+++ b/grpcbalancer/repeats.go
@@ -44,16 +44,16 @@
 	sent := &unaryCall{call: &own, req: proto.Clone(req), reply: u.like.fresh(), like: u.like, cc: u.cc, invoker: u.invoker, plain: u.plain}
 	r := u.p.repeats.Do(ctx, idempotency.ID{Tenant: u.Tenant, Class: u.Class, Key: key}, idempotency.Print(h.Sum(nil)[:16]),
 		func(wanted context.Context, prior []idempotency.Send, sends executor.Sends) executor.Ended {
-			sent.Wanted = wanted
+			sent.Interest = wanted
 			for _, x := range prior {
-				sent.Prior = append(sent.Prior, balancer.EarlierAttempt{Zone: x.Zone, Cell: x.Cell, SentAt: x.Sent})
+				sent.EarlierAttempts = append(sent.EarlierAttempts, balancer.EarlierAttempt{Zone: x.Zone, Cell: x.Cell, SentAt: x.Sent})
 			}
 			a := sent.do(context.WithoutCancel(ctx), noted{sent, sends})
 			switch a.Kind {
 			case engine.Served:
 				return kept(a.Value.(*unaryResult))
-			case engine.Refused, engine.Duplicate, engine.Closed:
-				return executor.Ended{Verdict: idempotency.Refuse, RetryIn: a.RetryIn}
+			case engine.Rejected, engine.Duplicate, engine.EngineClosed:
+				return executor.Ended{Verdict: idempotency.Refuse, RetryIn: a.RetryAfter}
 			}
 			return executor.Ended{Verdict: idempotency.Fail}
 		})
@@ -80,7 +80,7 @@
 	case r.Verdict == idempotency.Answered:
 		return status.Error(codes.AlreadyExists, "orchidgrpc: a call of this key was answered, and its answer was too large to be kept")
 	case r.Verdict == idempotency.Refuse:
-		return u.fail(ctx, engine.Answer{Kind: engine.Refused, RetryIn: r.RetryIn})
+		return u.fail(ctx, engine.Answer{Kind: engine.Rejected, RetryAfter: r.RetryIn})
 	}
 	return u.fail(ctx, engine.Answer{Kind: engine.Failed})
 }
@@ -107,11 +107,11 @@
 	sends executor.Sends
 }
 
-// Carry is engine.Carrier's.
-func (c noted) Carry(ctx context.Context, a engine.Attempt) engine.Reply {
+// RoundTrip is engine.Transport's.
+func (c noted) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
 	x := idempotency.Send{Zone: a.Zone, Cell: a.Cell, Sent: c.p.engine.Clock().Now()}
 	c.sends.Sent(x)
-	r := c.unaryCall.Carry(ctx, a)
+	r := c.unaryCall.RoundTrip(ctx, a)
 	switch r.Result {
 	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
 		c.sends.Unsent(x)
--- a/grpcbalancer/status.go
+++ b/grpcbalancer/status.go
@@ -38,14 +38,14 @@
 // status, if it had one; late says that the call's time is up.
 func answerError(ctx context.Context, a engine.Answer, last *status.Status, late bool) error {
 	switch a.Kind {
-	case engine.Abandoned:
+	case engine.ClientGone:
 		// The caller's own cancellation and deadline keep their codes.
 		return status.FromContextError(ctx.Err()).Err()
 	case engine.Duplicate:
 		return status.Error(codes.AlreadyExists, "orchidgrpc: a call of this x-request-id is in hand")
-	case engine.Closed:
+	case engine.EngineClosed:
 		return refusal("orchidgrpc: the plug-in is closed", a, codes.Unavailable)
-	case engine.Refused:
+	case engine.Rejected:
 		code := codes.Unavailable
 		if late {
 			code = codes.DeadlineExceeded
@@ -66,15 +66,15 @@
 
 func refusal(text string, a engine.Answer, code codes.Code) error {
 	details := []protoadapt.MessageV1{info(ReasonRefused, a)}
-	if a.RetryIn > 0 {
-		details = append(details, &errdetails.RetryInfo{RetryDelay: durationpb.New(a.RetryIn)})
+	if a.RetryAfter > 0 {
+		details = append(details, &errdetails.RetryInfo{RetryDelay: durationpb.New(a.RetryAfter)})
 	}
 	return withDetails(code, text, details...)
 }
 
 func info(reason string, a engine.Answer) *errdetails.ErrorInfo {
 	return &errdetails.ErrorInfo{Domain: Domain, Reason: reason,
-		Metadata: map[string]string{"sends": strconv.Itoa(a.Sends)}}
+		Metadata: map[string]string{"sends": strconv.Itoa(a.Attempts)}}
 }
 
 func withDetails(code codes.Code, text string, details ...protoadapt.MessageV1) error {
--- a/grpcbalancer/stream.go
+++ b/grpcbalancer/stream.go
@@ -67,11 +67,11 @@
 	head bool         // wait for the header, where like is nil
 }
 
-func (t *streamAttempt) Carry(ctx context.Context, a engine.Attempt) engine.Reply {
+func (t *streamAttempt) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
 	s := t.s
 	rec := s.begin(streamContext{ctx, s.ctx}, a)
 	if rec == nil {
-		return engine.Reply{Result: balancer.NotSent}
+		return engine.AttemptResult{Result: balancer.NotSent}
 	}
 	r := &streamResult{rec: rec}
 	var err error
@@ -90,7 +90,7 @@
 		}
 	}
 	if err == nil {
-		return engine.Reply{Begun: true, Value: r}
+		return engine.AttemptResult{Streaming: true, Value: r}
 	}
 	if r.stream != nil {
 		r.trailer = r.stream.Trailer()
@@ -98,9 +98,9 @@
 	result := s.ended(rec, err)
 	r.err, r.whole = err, true
 	if result != balancer.OK {
-		return engine.Reply{Result: result}
+		return engine.AttemptResult{Result: result}
 	}
-	return engine.Reply{Result: result, Value: r}
+	return engine.AttemptResult{Result: result, Value: r}
 }
 
 // streamContext tells the upstream the caller's deadline and not the attempt's: the class's bounds the wait for the first
@@ -135,7 +135,7 @@
 // finish reports the end, once.
 func (s *clientStream) finish(r balancer.Result, err error) {
 	s.endOnce.Do(func() {
-		s.answer.End(r)
+		s.answer.EndStream(r)
 		if err == io.EOF {
 			err = nil
 		}
@@ -206,7 +206,7 @@
 		if r == balancer.Rejected || r == balancer.ConnectFailed || r == balancer.NotSent {
 			err = refusal("orchidgrpc: the stream was not processed: "+status.Convert(err).Message(), s.answer, codes.Unavailable)
 		} else {
-			err = answerError(s.ctx, engine.Answer{Kind: engine.Failed, Sends: s.answer.Sends}, status.Convert(err), false)
+			err = answerError(s.ctx, engine.Answer{Kind: engine.Failed, Attempts: s.answer.Attempts}, status.Convert(err), false)
 		}
 	}
 	s.finish(r, err)
--- a/grpcbalancer/unary.go
+++ b/grpcbalancer/unary.go
@@ -53,20 +53,20 @@
 	err   error
 }
 
-func (u *unaryCall) Carry(ctx context.Context, a engine.Attempt) engine.Reply {
+func (u *unaryCall) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
 	rec := u.begin(ctx, a)
 	if rec == nil {
-		return engine.Reply{Result: balancer.NotSent}
+		return engine.AttemptResult{Result: balancer.NotSent}
 	}
 	// What the caller's goroutine carries out may write to the caller's message: the call does not end before.
 	r := &unaryResult{reply: u.reply}
-	if !a.Inline {
+	if !a.OnCallerGoroutine {
 		r.reply = u.like.fresh()
 	}
 	r.err = u.invoker(rec, u.method, u.req, r.reply, u.cc, r.own(u.plain, u.writing)...)
 	result := u.ended(rec, r.err)
 	if result != balancer.OK {
-		return engine.Reply{Result: result}
+		return engine.AttemptResult{Result: result}
 	}
-	return engine.Reply{Result: result, Value: r}
+	return engine.AttemptResult{Result: result, Value: r}
 }
--- a/internal/admission/controller/doorkeeper.go
+++ b/internal/admission/controller/doorkeeper.go
@@ -99,9 +99,9 @@
 // Ended is what a final answer means to the door.
 func Ended(a engine.Answer) admission.Result {
 	switch a.Kind {
-	case engine.Refused:
+	case engine.Rejected:
 		return admission.Turned
-	case engine.Abandoned, engine.Duplicate, engine.Closed:
+	case engine.ClientGone, engine.Duplicate, engine.EngineClosed:
 		return admission.Gone
 	}
 	return admission.Answered
--- a/internal/daemon/body.go
+++ b/internal/daemon/body.go
@@ -157,8 +157,8 @@
 	if length < 0 {
 		most = req.Route.MaxBody
 	}
-	call.Streamed = true
-	call.Expires += time.Duration(most)*time.Second/leastRate + slowUpstreams
+	call.StreamedBody = true
+	call.Deadline += time.Duration(most)*time.Second/leastRate + slowUpstreams
 	return upstream.NewUpload(req.Method, req.Target, req.Host, req.Header, v.body,
 		&upstream.Upload{Rest: v.paced, Length: length, Timeout: req.Timeout, Interrupt: v.paced.interrupt})
 }
--- a/internal/daemon/door.go
+++ b/internal/daemon/door.go
@@ -25,9 +25,9 @@
 		Expires: begun + req.Timeout, Bytes: int64(body), Repeat: marked != "" && marked != "0", Print: printOf(req)})
 	switch verdict {
 	case controller.Refused:
-		return pass, &engine.Answer{Kind: engine.Refused, RetryIn: in}
+		return pass, &engine.Answer{Kind: engine.Rejected, RetryAfter: in}
 	case controller.Left:
-		return pass, &engine.Answer{Kind: engine.Abandoned}
+		return pass, &engine.Answer{Kind: engine.ClientGone}
 	}
 	return pass, nil
 }
--- a/internal/daemon/file_test.go
+++ b/internal/daemon/file_test.go
@@ -234,7 +234,7 @@
 	}
 	for _, s := range r.d.routing.Load().services {
 		testutil.Eventually(t, "nothing is left in hand", func() bool {
-			return r.d.shared.inHand.Used(s.name) == 0 && s.engine.InHand() == 0
+			return r.d.shared.inHand.Used(s.name) == 0 && s.engine.InFlight() == 0
 		})
 	}
 }
--- a/internal/daemon/gone_test.go
+++ b/internal/daemon/gone_test.go
@@ -62,7 +62,7 @@
 			r, e := startLooking(t, d.Address)
 			c := dial(t, r.address, nil)
 			c.send(t, "confirm", "")
-			testutil.Eventually(t, "the request waits for the list", func() bool { return e.InHand() == 1 })
+			testutil.Eventually(t, "the request waits for the list", func() bool { return e.InFlight() == 1 })
 			for range behind {
 				c.send(t, "confirm", "")
 			}
@@ -88,7 +88,7 @@
 // seen waits until nothing is in hand, or long enough for any fault to show: a connection that has not come up is not tried again by the
 // system before a second has passed.
 func seen(e *engine.Engine) {
-	for end := time.Now().Add(500 * time.Millisecond); e.InHand() > 0 && time.Now().Before(end); {
+	for end := time.Now().Add(500 * time.Millisecond); e.InFlight() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -165,14 +165,14 @@
 		c.send(t, []string{"search", "confirm", "record"}[n%3], strings.Repeat("x", n%3*100))
 		all = append(all, c)
 	}
-	testutil.Eventually(t, "all wait for the list", func() bool { return e.InHand() == len(all) })
+	testutil.Eventually(t, "all wait for the list", func() bool { return e.InFlight() == len(all) })
 	for n, c := range all {
 		if n%2 == 0 { // closed, or reset
 			_ = c.Conn.(*net.TCPConn).SetLinger(0)
 		}
 		c.Close()
 	}
-	testutil.Eventually(t, "their ends have come", func() bool { return e.InHand() == 0 })
+	testutil.Eventually(t, "their ends have come", func() bool { return e.InFlight() == 0 })
 	close(tell)
 	other := dial(t, r.address, nil)
 	other.send(t, "search", "")
@@ -198,7 +198,7 @@
 	for _, body := range []string{op(`mutation{confirm(id:"a")}`), op("{seats}"), "[" + op("{seats}") + "," + op(`{coach}`) + "]"} {
 		clients.Go(func() { rig.post(ctx, body) })
 	}
-	testutil.Eventually(t, "all wait for their connections", func() bool { return e.InHand() >= 3 })
+	testutil.Eventually(t, "all wait for their connections", func() bool { return e.InFlight() >= 3 })
 	leave()
 	clients.Wait()
 	seen(e)
--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -186,10 +186,10 @@
 	if refused != nil {
 		o.answer = *refused
 	} else {
-		call := engine.Call{ID: o.id, Class: req.Class.Name, Tenant: req.Tenant, Hint: req.Hint, Expires: c.begun + req.Timeout}
+		call := engine.Call{ID: o.id, Class: req.Class.Name, Tenant: req.Tenant, CostHint: req.Hint, Deadline: c.begun + req.Timeout}
 		if k := c.svc.keyed(d.Class, d.Key); k != nil {
 			o.begun.Add(1) // its attempts, and those of others with its key, are counted elsewhere: any may run
-			o.answer, o.conflict = answerOf(c.svc.once(c.r.Context(), k, call, d.Key, req.Method, req.Target, d.Body, func() (engine.Carrier, func()) {
+			o.answer, o.conflict = answerOf(c.svc.once(c.r.Context(), k, call, d.Key, req.Method, req.Target, d.Body, func() (engine.Transport, func()) {
 				x := &operation{exchange: exchange{pool: o.pool, request: o.request}, call: c, decision: *d}
 				return x, x.end
 			}))
@@ -201,18 +201,18 @@
 		pass.Done(controller.Ended(o.answer))
 	}
 	switch o.answer.Kind {
-	case engine.Refused, engine.Failed, engine.Closed:
+	case engine.Rejected, engine.Failed, engine.EngineClosed:
 		o.unsent = c.lease.ended.Load() && o.begun.Load() == 0 && c.r.Context().Err() == nil && !c.stopping.Load()
 	}
 }
 
-// Carry is engine.Carrier's: what a node answers is judged before the module hears of it.
-func (o *operation) Carry(ctx context.Context, a engine.Attempt) engine.Reply {
+// RoundTrip is engine.Transport's: what a node answers is judged before the module hears of it.
+func (o *operation) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
 	begun := time.Now()
 	rep := o.attempt(ctx, a)
 	if rep.Result != balancer.OK {
 		o.fail(nil)
-		return engine.Reply{Result: rep.Result}
+		return engine.AttemptResult{Result: rep.Result}
 	}
 	e := o.call.endpoint
 	switch e.Judge(rep.Status, rep.Body, rep.Header.Get("Content-Encoding") != "") {
@@ -221,19 +221,19 @@
 			e.Took(&o.decision, time.Since(begun))
 		}
 		o.keep(rep)
-		return engine.Reply{Result: balancer.OK, Value: &rep}
+		return engine.AttemptResult{Result: balancer.OK, Value: &rep}
 	case graphql.Unrun:
 		o.pool.Free(rep)
 		o.fail(nil)
-		return engine.Reply{Result: balancer.Rejected}
+		return engine.AttemptResult{Result: balancer.Rejected}
 	case graphql.Failing:
 		o.keep(rep)
 		o.fail(&rep)
-		return engine.Reply{Result: balancer.ServerError}
+		return engine.AttemptResult{Result: balancer.ServerError}
 	}
 	o.pool.Free(rep)
 	o.fail(nil)
-	return engine.Reply{Result: balancer.Malformed}
+	return engine.AttemptResult{Result: balancer.Malformed}
 }
 
 func (o *operation) fail(rep *upstream.Reply) {
@@ -255,10 +255,10 @@
 // outcome words how an operation ended that no node's answer stands for.
 func (o *operation) outcome() (status int, end graphql.End, body []byte) {
 	say := func(status int, end graphql.End, code, message string) (int, graphql.End, []byte) {
-		return status, end, graphql.ErrorBody(message, code, &graphql.Known{MayHaveRun: end == graphql.Uncertain, RetryAfter: o.answer.RetryIn})
+		return status, end, graphql.ErrorBody(message, code, &graphql.Known{MayHaveRun: end == graphql.Uncertain, RetryAfter: o.answer.RetryAfter})
 	}
 	switch o.answer.Kind {
-	case engine.Refused:
+	case engine.Rejected:
 		if o.decision.Class.Idempotency == balancer.IdempotentWithKey && o.begun.Load() > 0 { // whoever asks again finds the group that drops repeats
 			return say(http.StatusServiceUnavailable, graphql.Uncertain, graphql.CodeRefused, "refused: it may have run; trying again with the same key is harmless")
 		}
@@ -268,9 +268,9 @@
 			return say(o.conflict, graphql.NotRun, graphql.CodeKey, conflictText(o.conflict))
 		}
 		return say(http.StatusConflict, graphql.NotRun, graphql.CodeDuplicate, "a request of this id is in hand")
-	case engine.Closed:
+	case engine.EngineClosed:
 		return say(http.StatusInternalServerError, graphql.NotRun, graphql.CodeFailed, "stopped")
-	case engine.Abandoned:
+	case engine.ClientGone:
 		if o.begun.Load() == 0 {
 			return say(http.StatusBadGateway, graphql.NotRun, graphql.CodeFailed, "the client has left")
 		}
@@ -288,8 +288,8 @@
 		return
 	}
 	status, _, body := o.outcome()
-	c.retryAfter(o.answer.Kind == engine.Refused, o.answer.RetryIn)
-	if o.answer.Kind == engine.Abandoned { // should the client be there after all, it is told
+	c.retryAfter(o.answer.Kind == engine.Rejected, o.answer.RetryAfter)
+	if o.answer.Kind == engine.ClientGone { // should the client be there after all, it is told
 		c.w.Header().Set("Connection", "close")
 	}
 	c.say(status, body)
@@ -344,8 +344,8 @@
 		}
 		begun += int(o.begun.Load())
 		ends[i], bodies[i] = c.entry(o, &room)
-		if o.answer.Kind == engine.Refused {
-			longest = max(longest, o.answer.RetryIn)
+		if o.answer.Kind == engine.Rejected {
+			longest = max(longest, o.answer.RetryAfter)
 		}
 		b.Done(i, ends[i])
 	}
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -536,7 +536,7 @@
 	}
 	t.Logf("%d faults; %d mutations ran; %d served, %d refused, %d failed; queries %d, lost %d", failures(), r.ledger.Operations("mutation"),
 		served.Load(), refused.Load(), failed.Load(), queries.Load(), lost.Load())
-	testutil.Eventually(t, "nothing is left in hand", func() bool { return r.d.routing.Load().services["seats"].engine.InHand() == 0 })
+	testutil.Eventually(t, "nothing is left in hand", func() bool { return r.d.routing.Load().services["seats"].engine.InFlight() == 0 })
 }
 
 // Guards against a keyed operation that runs and is taken for one that was never sent: its attempts are made on behalf of its key, apart
--- a/internal/daemon/probing.go
+++ b/internal/daemon/probing.go
@@ -66,7 +66,7 @@
 			b.mu.Lock()
 			b.p.Answered(b.s.shared.clock.Now(), name, r.Result == balancer.OK)
 			b.mu.Unlock()
-			b.s.engine.Probed(r)
+			b.s.engine.ReportProbe(r)
 			if left.Add(-1) == 0 {
 				end()
 			}
--- a/internal/daemon/reading.go
+++ b/internal/daemon/reading.go
@@ -33,11 +33,11 @@
 }
 
 // endOf is a final answer as the figures count it.
-func endOf(k engine.Kind) metrics.End {
+func endOf(k engine.AnswerKind) metrics.End {
 	switch k {
 	case engine.Served:
 		return metrics.Completed
-	case engine.Refused:
+	case engine.Rejected:
 		return metrics.Rejected
 	}
 	return metrics.Failed
--- a/internal/daemon/repeats.go
+++ b/internal/daemon/repeats.go
@@ -81,18 +81,18 @@
 
 // attempts are a keyed request's: what may have run is noted before it is sent.
 type attempts struct {
-	engine.Carrier
+	engine.Transport
 	s      *service
 	sends  executor.Sends
 	mayRun *atomic.Int64 // of them, so many
 }
 
-// Carry is engine.Carrier's.
-func (c attempts) Carry(ctx context.Context, a engine.Attempt) engine.Reply {
+// RoundTrip is engine.Transport's.
+func (c attempts) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
 	x := idempotency.Send{Zone: a.Zone, Cell: a.Cell, Sent: c.s.shared.clock.Now()}
 	c.sends.Sent(x)
 	c.mayRun.Add(1)
-	r := c.Carrier.Carry(ctx, a)
+	r := c.Transport.RoundTrip(ctx, a)
 	switch r.Result {
 	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
 		c.sends.Unsent(x)
@@ -104,29 +104,29 @@
 // once gives a keyed request the end of the first one of its key. It runs apart from its clients where it is the first: carrier makes
 // what carries out its attempts, and end gives back what those held.
 func (s *service) once(ctx context.Context, k *executor.Keeper, call engine.Call, key, method, target string, body []byte,
-	carrier func() (c engine.Carrier, end func())) executor.Result {
+	carrier func() (c engine.Transport, end func())) executor.Result {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s\x00%s\x00", method, target) // a hash takes everything
 	h.Write(body)
-	ctx, cancel := context.WithTimeout(ctx, call.Expires-s.shared.clock.Now())
+	ctx, cancel := context.WithTimeout(ctx, call.Deadline-s.shared.clock.Now())
 	defer cancel()
 	return k.Do(ctx, idempotency.ID{Tenant: call.Tenant, Class: call.Class, Key: key}, idempotency.Print(h.Sum(nil)[:16]),
 		func(wanted context.Context, prior []idempotency.Send, sends executor.Sends) executor.Ended {
 			c, end := carrier()
 			defer end()
 			for _, x := range prior {
-				call.Prior = append(call.Prior, balancer.EarlierAttempt{Zone: x.Zone, Cell: x.Cell, SentAt: x.Sent})
+				call.EarlierAttempts = append(call.EarlierAttempts, balancer.EarlierAttempt{Zone: x.Zone, Cell: x.Cell, SentAt: x.Sent})
 			}
-			call.Wanted = wanted
+			call.Interest = wanted
 			var mayRun atomic.Int64
 			a := s.engine.Do(context.Background(), call, attempts{c, s, sends, &mayRun})
 			switch a.Kind {
 			case engine.Served:
 				rep := a.Value.(*upstream.Reply)
 				return executor.Ended{Verdict: idempotency.Replay, Answer: &idempotency.Answer{Status: rep.Status, Header: rep.Header, Body: rep.Body}}
-			case engine.Refused, engine.Duplicate, engine.Closed:
-				return executor.Ended{Verdict: idempotency.Refuse, RetryIn: a.RetryIn}
-			case engine.Abandoned: // all have left
+			case engine.Rejected, engine.Duplicate, engine.EngineClosed:
+				return executor.Ended{Verdict: idempotency.Refuse, RetryIn: a.RetryAfter}
+			case engine.ClientGone: // all have left
 				if mayRun.Load() == 0 && len(prior) == 0 {
 					return executor.Ended{Verdict: idempotency.Refuse}
 				}
@@ -142,7 +142,7 @@
 func answerOf(r executor.Result) (a engine.Answer, conflict int) {
 	switch {
 	case r.Left:
-		return engine.Answer{Kind: engine.Abandoned}, 0
+		return engine.Answer{Kind: engine.ClientGone}, 0
 	case r.Verdict == idempotency.Replay:
 		rep := &upstream.Reply{Status: r.Answer.Status, Header: r.Answer.Header, Body: r.Answer.Body}
 		if !r.First {
@@ -154,7 +154,7 @@
 		}
 		return engine.Answer{Kind: engine.Served, Value: rep}, 0
 	case r.Verdict == idempotency.Refuse:
-		return engine.Answer{Kind: engine.Refused, RetryIn: r.RetryIn}, 0
+		return engine.Answer{Kind: engine.Rejected, RetryAfter: r.RetryIn}, 0
 	case r.Verdict == idempotency.Conflict:
 		return engine.Answer{Kind: engine.Duplicate}, http.StatusUnprocessableEntity
 	case r.Verdict == idempotency.Answered:
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -147,7 +147,7 @@
 // finds a count of 0 while another attempt is still out would take a request that runs for one that was never sent.
 func (x *exchange) attempt(ctx context.Context, a engine.Attempt) upstream.Reply {
 	x.begun.Add(1)
-	rep := x.pool.AttemptWithin(ctx, a.Upstream, x.request, upstream.Terms{Deadline: a.Deadline, By: a.By, Caller: a.Caller, Cancel: a.Cancel})
+	rep := x.pool.AttemptWithin(ctx, a.Upstream, x.request, upstream.Terms{Deadline: a.Deadline, By: a.SendBy, Caller: a.Caller, Cancel: a.Cancel})
 	if rep.Result == balancer.NotSent || rep.Result == balancer.ConnectFailed {
 		x.begun.Add(-1)
 	}
@@ -186,4 +186,4 @@
 	x.pool.Free(r)
 }
 
-var _ engine.Carrier = (*exchange)(nil)
+var _ engine.Transport = (*exchange)(nil)
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -32,17 +32,17 @@
 	*course
 }
 
-// Carry is engine.Carrier's.
-func (x *exchange) Carry(ctx context.Context, a engine.Attempt) engine.Reply {
+// RoundTrip is engine.Transport's.
+func (x *exchange) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
 	if up := x.request.Upload; up != nil { // its one attempt at a time
-		up.Done = func() { x.engine.Uploaded(a, x.engine.Clock().Now()+up.Timeout) }
+		up.Done = func() { x.engine.UploadDone(a, x.engine.Clock().Now()+up.Timeout) }
 	}
 	rep := x.attempt(ctx, a)
 	if rep.Result != balancer.OK {
-		return engine.Reply{Result: rep.Result, Spent: rep.Spent}
+		return engine.AttemptResult{Result: rep.Result, BodyConsumed: rep.Spent}
 	}
 	x.keep(rep)
-	return engine.Reply{Result: balancer.OK, Value: &rep, Begun: rep.Rest != nil, Passed: true, Spent: rep.Spent}
+	return engine.AttemptResult{Result: balancer.OK, Value: &rep, Streaming: rep.Rest != nil, PassThrough: true, BodyConsumed: rep.Spent}
 }
 
 // visit is one request of a client, on its way to its answer.
@@ -70,7 +70,7 @@
 	}
 	if s.over.Load() {
 		w.Header().Set("Connection", "close")
-		s.finish(w, engine.Answer{Kind: engine.Closed})
+		s.finish(w, engine.Answer{Kind: engine.EngineClosed})
 		return
 	}
 	if strings.HasPrefix(r.URL.Path, "/-/") {
@@ -163,7 +163,7 @@
 	if !v.taken.Counts() {
 		v.taken = v.d.figures.Take(req.Class.Name)
 	}
-	call := engine.Call{ID: id, Class: req.Class.Name, Tenant: req.Tenant, Hint: req.Hint, Expires: v.begun + req.Timeout}
+	call := engine.Call{ID: id, Class: req.Class.Name, Tenant: req.Tenant, CostHint: req.Hint, Deadline: v.begun + req.Timeout}
 	ctx := r.Context()
 	var out *upstream.Request
 	if v.rest {
@@ -177,7 +177,7 @@
 	defer x.end()
 	pass, refused := v.door(r, svc, &req, v.begun, len(v.body))
 	if refused != nil {
-		if refused.Kind == engine.Refused && lease.ended.Load() && !v.stopping.Load() {
+		if refused.Kind == engine.Rejected && lease.ended.Load() && !v.stopping.Load() {
 			return true // its new route may have room
 		}
 		v.endEarly(*refused, out.Upload)
@@ -185,7 +185,7 @@
 	}
 	if k := keeper; k != nil {
 		out.Whole = true // a repeat is to get it too
-		a, conflict := answerOf(svc.once(r.Context(), k, call, req.Key, req.Method, req.Target, v.body, func() (engine.Carrier, func()) {
+		a, conflict := answerOf(svc.once(r.Context(), k, call, req.Key, req.Method, req.Target, v.body, func() (engine.Transport, func()) {
 			x := &exchange{pool: svc.pool, request: out}
 			return x, x.end
 		}))
@@ -194,7 +194,7 @@
 		case conflict != 0:
 			v.say(w, conflict, conflictText(conflict))
 			return false
-		case a.Kind == engine.Abandoned:
+		case a.Kind == engine.ClientGone:
 			w.Header().Set("Connection", "close")
 		}
 		v.end(a)
@@ -207,11 +207,11 @@
 		v.endEarly(a, out.Upload)
 		return false
 	}
-	if (a.Kind == engine.Refused || a.Kind == engine.Failed || a.Kind == engine.Closed) && lease.ended.Load() &&
+	if (a.Kind == engine.Rejected || a.Kind == engine.Failed || a.Kind == engine.EngineClosed) && lease.ended.Load() &&
 		x.begun.Load() == 0 && r.Context().Err() == nil && !v.stopping.Load() {
 		return true // nothing was sent: it is as new
 	}
-	if a.Kind == engine.Abandoned { // should the client be there after all, it is told
+	if a.Kind == engine.ClientGone { // should the client be there after all, it is told
 		w.Header().Set("Connection", "close")
 	}
 	v.end(a)
@@ -292,7 +292,7 @@
 			err = end
 		}
 	}
-	a.End(rep.Rest.Result())
+	a.EndStream(rep.Rest.Result())
 	if err != io.EOF {
 		v.d.log.Info("a long answer is cut", "id", v.r.Header.Get(httpheader.ID), "path", v.r.URL.Path, "reason", err)
 		v.cut = true
@@ -347,14 +347,14 @@
 		rep := a.Value.(*upstream.Reply)
 		maps.Copy(w.Header(), rep.Header)
 		s.write(w, rep.Status, rep.Body)
-	case engine.Refused:
-		if a.RetryIn > 0 {
-			w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryIn.Seconds(), 'f', -1, 64))
+	case engine.Rejected:
+		if a.RetryAfter > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
 		}
 		s.say(w, http.StatusServiceUnavailable, "refused: not done, trying again is harmless")
 	case engine.Duplicate:
 		s.say(w, http.StatusConflict, "a request of this id is in hand")
-	case engine.Closed:
+	case engine.EngineClosed:
 		s.say(w, http.StatusInternalServerError, "stopped")
 	default:
 		s.say(w, http.StatusBadGateway, "failed")
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -140,7 +140,7 @@
 		seed ^= xxhash.Sum64String(plan.Name)
 	}
 	s.engine, err = engine.New(engine.Options{Settings: plan.Settings.Settings, Seed: seed, Clock: sh.clock,
-		Known: first.Endpoints, Subscribe: s.ask, Settle: s.feed.Settle, Log: log})
+		CachedEndpoints: first.Endpoints, Subscribe: s.ask, WaitForUpdates: s.feed.Settle, Log: log})
 	if err != nil {
 		s.pool.Close()
 		return nil, fmt.Errorf("service %s: %w", plan.Name, err)
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -131,7 +131,7 @@
 		r, e := startLooking(t, d.Address)
 		c := dial(t, r.address, nil)
 		c.send(t, "search", "")
-		testutil.Eventually(t, "the request waits for the list", func() bool { return e.InHand() == 1 })
+		testutil.Eventually(t, "the request waits for the list", func() bool { return e.InFlight() == 1 })
 		r.stop()
 		if comes {
 			close(tell)
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -72,7 +72,7 @@
 func (d *daemon) recall(from *inherited) {
 	for name, s := range d.routing.Load().services {
 		if of := from.state.Services[name]; of.Learnt != nil {
-			s.engine.Recall(of.Learnt)
+			s.engine.Restore(of.Learnt)
 		}
 	}
 	if from.state.Draining {
@@ -84,7 +84,7 @@
 func (d *daemon) state() handover.State {
 	s := handover.State{Who: d.succession.who, Draining: d.course.state() == lifecycle.Draining, Held: d.held(), Services: map[string]handover.Service{}}
 	for name, one := range d.routing.Load().services {
-		of := handover.Service{Learnt: one.engine.Know()}
+		of := handover.Service{Learnt: one.engine.Snapshot()}
 		if d, list := one.followed(); d != "" {
 			of.Discovery, of.List = d, list
 		}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -24,80 +24,80 @@
 
 // Call is a request as the module sees it.
 type Call struct {
-	ID      string // not in use by another call in hand
-	Class   string
-	Tenant  string
-	Expires time.Duration // on the engine's clock: when the caller stops waiting
-	Hint    time.Duration // expected work; 0: unknown
-	Prior   []balancer.EarlierAttempt
+	ID              string // not in use by another call in hand
+	Class           string
+	Tenant          string
+	Deadline        time.Duration // on the engine's clock: when the caller stops waiting
+	CostHint        time.Duration // expected work; 0: unknown
+	EarlierAttempts []balancer.EarlierAttempt
 	// Streamed says that the body is passed on as it comes: Expires bounds what that may take, and Uploaded brings the time from
 	// which the caller waits. Such a call is not copied, and not sent again once a Reply says Spent.
-	Streamed bool
+	StreamedBody bool
 	// Wanted, where there is one, ends once nobody waits for the answer: no attempt begins after it, and those that have begun run
 	// on, whatever CancelWithCaller says.
-	Wanted context.Context
+	Interest context.Context
 }
 
 // Attempt is one send that the module has decided on.
 type Attempt struct {
-	ID       string
-	Number   int // from 0, in the order of the decisions
-	Upstream string
-	Zone     string // the upstream's
-	Cell     int
-	Deadline time.Time // when its context ends
-	By       time.Time // its last byte is to be written before, or it is Moot: a repeat whose group forgets; zero: at any time
-	Inline   bool      // the caller of Do carries it out: Do does not return before it has ended
-	Cancel   context.CancelCauseFunc
-	Caller   context.Context // ends when nobody waits for the answer: what has not begun by then is Moot
-}
-
-// Reply is how an attempt ended. Value is the front's own, and belongs to the caller if this attempt is the answer.
-type Reply struct {
+	ID                string
+	Number            int // from 0, in the order of the decisions
+	Upstream          string
+	Zone              string // the upstream's
+	Cell              int
+	Deadline          time.Time // when its context ends
+	SendBy            time.Time // its last byte is to be written before, or it is Moot: a repeat whose group forgets; zero: at any time
+	OnCallerGoroutine bool      // the caller of Do carries it out: Do does not return before it has ended
+	Cancel            context.CancelCauseFunc
+	Caller            context.Context // ends when nobody waits for the answer: what has not begun by then is Moot
+}
+
+// AttemptResult is how an attempt ended. Value is the front's own, and belongs to the caller if this attempt is the answer.
+type AttemptResult struct {
 	Result balancer.Result
 	Value  any
 	// Begun says that a streamed answer has begun and goes on: Result does not count yet. The attempt's context then
-	// loses its time-out, and whoever gets the Answer must call Answer.End.
-	Begun  bool
-	Passed bool // with Begun: the answer is there, and only its bytes go on
-	Spent  bool // of a streamed call: its body can't be had again
+	// loses its time-out, and whoever gets the Answer must call Answer.EndStream.
+	Streaming    bool
+	PassThrough  bool // with Begun: the answer is there, and only its bytes go on
+	BodyConsumed bool // of a streamed call: its body can't be had again
 }
 
-// Carrier carries out attempts of one call. Carry sends the request to the upstream once, waits for the end, and
+// Transport carries out attempts of one call. Carry sends the request to the upstream once, waits for the end, and
 // returns soon after ctx has ended (context.Cause tells a time-out from a cancellation). It may be called
 // several times at once, and may still run when Do has returned: a copy that lost is on its way out.
-type Carrier interface {
-	Carry(ctx context.Context, a Attempt) Reply
+type Transport interface {
+	RoundTrip(ctx context.Context, a Attempt) AttemptResult
 }
 
-// Kind tells final answers apart.
-type Kind int
+// AnswerKind tells final answers apart.
+type AnswerKind int
 
 // The final answers.
 const (
-	Served    Kind = iota
-	Refused        // not done, trying again is harmless
-	Failed         // no promise: it may have run
-	Duplicate      // another call of this ID is in hand; nothing was done for this one
-	Abandoned      // the caller left, by its context
-	Closed         // the engine is closed; nothing was done
+	Served       AnswerKind = iota
+	Rejected                // not done, trying again is harmless
+	Failed                  // no promise: it may have run
+	Duplicate               // another call of this ID is in hand; nothing was done for this one
+	ClientGone              // the caller left, by its context
+	EngineClosed            // the engine is closed; nothing was done
 )
 
 // Answer is the final answer to a call.
 type Answer struct {
-	Kind    Kind
-	RetryIn time.Duration // of Refused: advice when to come back; 0: none
-	Value   any           // of Served: the winning attempt's
-	Sends   int           // attempts that the module decided on so far
+	Kind       AnswerKind
+	RetryAfter time.Duration // of Refused: advice when to come back; 0: none
+	Value      any           // of Served: the winning attempt's
+	Attempts   int           // attempts that the module decided on so far
 
 	stream *attempt
 	f      *flight
 	e      *Engine
 }
 
-// End reports how a streamed answer ended (Reply.Begun). Only the first call counts; for other answers it does
+// EndStream reports how a streamed answer ended (Reply.Streaming). Only the first call counts; for other answers it does
 // nothing.
-func (a Answer) End(r balancer.Result) {
+func (a Answer) EndStream(r balancer.Result) {
 	if a.stream != nil {
 		a.e.endStream(a.f, a.stream, r)
 	}
@@ -105,13 +105,13 @@
 
 // Options are an engine's parameters.
 type Options struct {
-	Settings  balancer.Settings
-	Seed      uint64
-	Clock     clock.Clock
-	Known     []balancer.Endpoint // the list as last held; may be stale
-	Subscribe func()              // the module asks for the list; must not block or call the engine; nil: nobody is asked
-	Settle    func()              // waits for news that is under way; asked where an attempt was not sent. nil: there is no such thing
-	Log       *slog.Logger        // nil: lines are dropped. Written to without the engine's lock
+	Settings        balancer.Settings
+	Seed            uint64
+	Clock           clock.Clock
+	CachedEndpoints []balancer.Endpoint // the list as last held; may be stale
+	Subscribe       func()              // the module asks for the list; must not block or call the engine; nil: nobody is asked
+	WaitForUpdates  func()              // waits for news that is under way; asked where an attempt was not sent. nil: there is no such thing
+	Log             *slog.Logger        // nil: lines are dropped. Written to without the engine's lock
 	// CancelWithCaller ends a call's attempts when its caller's context ends. Without it they run on to their time-out,
 	// so that what they tell of their upstreams is heard, and Do returns with them.
 	CancelWithCaller bool
@@ -143,7 +143,7 @@
 // flight is a call that the module knows. It stays until it is done and has all its outcomes.
 type flight struct {
 	call     Call
-	carrier  Carrier
+	carrier  Transport
 	ctx      context.Context
 	attempts []*attempt
 	first    attempt // most calls need no other
@@ -187,17 +187,17 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Engine{clock: o.Clock, subscribe: o.Subscribe, settle: o.Settle, log: o.Log, inline: o.Settings.CancellationAllowed,
+	e := &Engine{clock: o.Clock, subscribe: o.Subscribe, settle: o.WaitForUpdates, log: o.Log, inline: o.Settings.CancellationAllowed,
 		cancelAll: o.CancelWithCaller, b: b, flights: map[string]*flight{}}
 	e.timer = time.AfterFunc(time.Hour, e.tick)
 	e.timer.Stop()
 	e.lock()
-	e.handle(balancer.EndpointUpdate{Kind: balancer.CachedUpdate, Endpoints: o.Known})
+	e.handle(balancer.EndpointUpdate{Kind: balancer.CachedUpdate, Endpoints: o.CachedEndpoints})
 	e.unlock()
 	return e, nil
 }
 
-// Clock is the clock that Call.Expires refers to.
+// Clock is the clock that Call.Deadline refers to.
 func (e *Engine) Clock() clock.Clock { return e.clock }
 
 // Update brings news of the list. When it returns no later decision goes against it.
@@ -210,8 +210,8 @@
 	e.unlock()
 }
 
-// Probed tells the module what an upstream said of its load, or that it said nothing.
-func (e *Engine) Probed(r balancer.ProbeResult) {
+// ReportProbe tells the module what an upstream said of its load, or that it said nothing.
+func (e *Engine) ReportProbe(r balancer.ProbeResult) {
 	e.lock()
 	defer e.unlock()
 	if !e.closed {
@@ -219,11 +219,11 @@
 	}
 }
 
-// Do gives a call its final answer, before Call.Expires. When ctx ends the caller has left: the module hears of it,
+// Do gives a call its final answer, before Call.Deadline. When ctx ends the caller has left: the module hears of it,
 // and no further attempt is made.
-func (e *Engine) Do(ctx context.Context, c Call, carrier Carrier) Answer {
+func (e *Engine) Do(ctx context.Context, c Call, carrier Transport) Answer {
 	if ctx.Err() != nil {
-		return Answer{Kind: Abandoned}
+		return Answer{Kind: ClientGone}
 	}
 	f := &flight{call: c, carrier: carrier, ctx: ctx}
 	f.attempts = f.list[:0]
@@ -231,31 +231,31 @@
 	switch {
 	case e.closed:
 		e.unlock()
-		return Answer{Kind: Closed}
+		return Answer{Kind: EngineClosed}
 	case e.flights[c.ID] != nil:
 		e.unlock()
 		return Answer{Kind: Duplicate}
 	}
 	e.flights[c.ID] = f
-	e.handle(balancer.Request{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Deadline: c.Expires, CostHint: c.Hint,
-		EarlierAttempts: c.Prior, StreamedBody: c.Streamed})
+	e.handle(balancer.Request{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Deadline: c.Deadline, CostHint: c.CostHint,
+		EarlierAttempts: c.EarlierAttempts, StreamedBody: c.StreamedBody})
 	// Attempts that end with their caller bring the news themselves.
 	if !f.done && !e.cancelAll && ctx.Done() != nil {
 		defer context.AfterFunc(ctx, func() { e.leave(f) })()
 	}
-	if !f.done && c.Wanted != nil {
-		defer context.AfterFunc(c.Wanted, func() { e.leave(f) })()
+	if !f.done && c.Interest != nil {
+		defer context.AfterFunc(c.Interest, func() { e.leave(f) })()
 	}
 	for {
 		switch {
 		case f.done: // first: what was decided before the end is not carried out after it
 			if f.next != nil {
-				e.ended(f, f.next, Reply{Result: balancer.NotSent})
+				e.ended(f, f.next, AttemptResult{Result: balancer.NotSent})
 			}
 			e.forget(f)
 			e.unlock()
 			if !f.answered {
-				return Answer{Kind: Abandoned, Sends: len(f.attempts)}
+				return Answer{Kind: ClientGone, Attempts: len(f.attempts)}
 			}
 			return f.answer
 		case f.next != nil:
@@ -290,8 +290,8 @@
 	}
 }
 
-// Uploaded says that the last byte of a streamed call has been written by this attempt: what is left until expires is its time.
-func (e *Engine) Uploaded(at Attempt, expires time.Duration) {
+// UploadDone says that the last byte of a streamed call has been written by this attempt: what is left until expires is its time.
+func (e *Engine) UploadDone(at Attempt, expires time.Duration) {
 	e.lock()
 	defer e.unlock()
 	f := e.flights[at.ID]
@@ -299,7 +299,7 @@
 		return
 	}
 	a := f.attempts[at.Number]
-	f.call.Expires, a.sent = expires, e.clock.Now()
+	f.call.Deadline, a.sent = expires, e.clock.Now()
 	a.timer.Reset(expires - a.sent)
 	e.handle(balancer.UploadDone{ID: at.ID, Attempt: at.Number, Deadline: expires})
 }
@@ -330,8 +330,8 @@
 	e.running.Wait()
 }
 
-// InHand is how many calls the engine knows, those included that only wait for the end of an attempt.
-func (e *Engine) InHand() int {
+// InFlight is how many calls the engine knows, those included that only wait for the end of an attempt.
+func (e *Engine) InFlight() int {
 	e.lock()
 	defer e.unlock()
 	return len(e.flights)
@@ -344,15 +344,15 @@
 	return e.b.View(e.clock.Now())
 }
 
-// Know is what the module has learnt, and Recall has it take over what a predecessor had, before the first call.
-func (e *Engine) Know() *balancer.Snapshot {
+// Snapshot is what the module has learnt, and Recall has it take over what a predecessor had, before the first call.
+func (e *Engine) Snapshot() *balancer.Snapshot {
 	e.lock()
 	defer e.unlock()
 	return e.b.Snapshot(e.clock.Now())
 }
 
-// Recall is Know's counterpart.
-func (e *Engine) Recall(k *balancer.Snapshot) {
+// Restore is Know's counterpart.
+func (e *Engine) Restore(k *balancer.Snapshot) {
 	e.lock()
 	defer e.unlock()
 	e.b.Restore(e.clock.Now(), k)
@@ -445,7 +445,7 @@
 			f.attempts[a.Attempt].cancel(context.Canceled)
 		}
 	case balancer.Reject:
-		e.finish(e.flights[a.ID], Answer{Kind: Refused, RetryIn: a.RetryAfter})
+		e.finish(e.flights[a.ID], Answer{Kind: Rejected, RetryAfter: a.RetryAfter})
 	case balancer.Fail:
 		e.finish(e.flights[a.ID], Answer{Kind: Failed})
 	case balancer.SetTimer:
@@ -466,7 +466,7 @@
 		return
 	}
 	now := e.clock.Now()
-	limit := f.call.Expires - now
+	limit := f.call.Deadline - now
 	if s.Timeout > 0 {
 		limit = min(limit, s.Timeout)
 	}
@@ -481,18 +481,18 @@
 	a.Context, a.cancel = context.WithCancelCause(parent)
 	a.at = Attempt{ID: f.call.ID, Number: len(f.attempts), Upstream: s.Upstream, Zone: s.Zone, Cell: s.Cell, Deadline: time.Now().Add(limit),
 		Cancel: a.cancel, Caller: f.ctx}
-	if f.call.Wanted != nil {
-		a.at.Caller = f.call.Wanted
+	if f.call.Interest != nil {
+		a.at.Caller = f.call.Interest
 	}
 	if s.SendBy > 0 {
-		a.at.By = time.Now().Add(s.SendBy - now)
+		a.at.SendBy = time.Now().Add(s.SendBy - now)
 	}
 	a.sent = now
 	a.timer = time.AfterFunc(limit, a.expire)
 	f.attempts = append(f.attempts, a)
 	f.out++
 	if e.inline && !f.busy && f.next == nil {
-		a.at.Inline = true
+		a.at.OnCallerGoroutine = true
 		f.next = a
 		f.signal()
 		return
@@ -507,17 +507,17 @@
 }
 
 // carry carries out an attempt. A front's panic is its own: the attempt may have run.
-func (e *Engine) carry(f *flight, a *attempt) (r Reply) {
+func (e *Engine) carry(f *flight, a *attempt) (r AttemptResult) {
 	defer func() {
 		if p := recover(); p != nil {
-			r = Reply{Result: balancer.Reset}
+			r = AttemptResult{Result: balancer.Reset}
 			if e.log != nil {
 				e.log.Error("an attempt's panic", "class", f.call.Class, "upstream", a.at.Upstream, "attempt", a.at.Number,
 					"reason", fmt.Sprint(p))
 			}
 		}
 	}()
-	if r = f.carrier.Carry(a, a.at); r.Result == balancer.NotSent && e.settle != nil {
+	if r = f.carrier.RoundTrip(a, a.at); r.Result == balancer.NotSent && e.settle != nil {
 		e.settle()
 	}
 	return r
@@ -525,22 +525,22 @@
 
 // ended reports an attempt's one outcome; the first that was served is the final answer, also to a caller that was
 // thought to have left.
-func (e *Engine) ended(f *flight, a *attempt, r Reply) {
+func (e *Engine) ended(f *flight, a *attempt, r AttemptResult) {
 	if a.ended {
 		return
 	}
 	running := a.timer.Stop()
-	if r.Begun {
+	if r.Streaming {
 		switch expired := !running || context.Cause(a.Context) == context.DeadlineExceeded; {
 		case f.done: // too late, or another stream has won
-			r = Reply{Result: balancer.Cancelled}
+			r = AttemptResult{Result: balancer.Cancelled}
 		case expired: // as its answer began: its connection is being closed, and what has come of the answer would be cut
-			r = Reply{Result: balancer.Timeout, Spent: r.Spent}
+			r = AttemptResult{Result: balancer.Timeout, BodyConsumed: r.BodyConsumed}
 		case a.Context.Err() != nil: // the same, by whoever called it off
-			r = Reply{Result: balancer.Cancelled, Spent: r.Spent}
+			r = AttemptResult{Result: balancer.Cancelled, BodyConsumed: r.BodyConsumed}
 		default:
 			a.begun = e.clock.Now()
-			e.handle(balancer.FirstByte{ID: f.call.ID, Attempt: a.at.Number, PassThrough: r.Passed})
+			e.handle(balancer.FirstByte{ID: f.call.ID, Attempt: a.at.Number, PassThrough: r.PassThrough})
 			e.finish(f, Answer{Kind: Served, Value: r.Value, stream: a, f: f, e: e})
 			return
 		}
@@ -556,14 +556,14 @@
 		e.finish(f, Answer{Kind: Served, Value: r.Value})
 	}
 	e.handle(balancer.Outcome{ID: f.call.ID, Attempt: a.at.Number, Result: r.Result,
-		Elapsed: at - a.sent, Final: f.done, BodyConsumed: r.Spent})
+		Elapsed: at - a.sent, Final: f.done, BodyConsumed: r.BodyConsumed})
 	e.forget(f)
 }
 
 func (e *Engine) endStream(f *flight, a *attempt, r balancer.Result) {
 	e.lock()
 	defer e.unlock()
-	e.ended(f, a, Reply{Result: r})
+	e.ended(f, a, AttemptResult{Result: r})
 }
 
 // finish gives a call its final answer, unless it has one.
@@ -571,7 +571,7 @@
 	if f == nil || f.answered {
 		return
 	}
-	a.Sends = len(f.attempts)
+	a.Attempts = len(f.attempts)
 	f.answer, f.answered, f.done = a, true, true
 	f.signal()
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -21,9 +21,9 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // carry is a Carrier made of a function.
-type carry func(ctx context.Context, a Attempt) Reply
+type carry func(ctx context.Context, a Attempt) AttemptResult
 
-func (c carry) Carry(ctx context.Context, a Attempt) Reply { return c(ctx, a) }
+func (c carry) RoundTrip(ctx context.Context, a Attempt) AttemptResult { return c(ctx, a) }
 
 func testSettings() balancer.Settings {
 	class := func(name string, e balancer.Idempotency) balancer.Class {
@@ -43,7 +43,7 @@
 	t.Helper()
 	o := Options{Settings: testSettings(), Seed: 1, Clock: clock.New()}
 	for _, name := range names {
-		o.Known = append(o.Known, member(name, balancer.Active))
+		o.CachedEndpoints = append(o.CachedEndpoints, member(name, balancer.Active))
 	}
 	if change != nil {
 		change(&o)
@@ -57,7 +57,7 @@
 }
 
 func (e *Engine) call(id, class string) Call {
-	return Call{ID: id, Class: class, Expires: e.clock.Now() + 3*time.Second}
+	return Call{ID: id, Class: class, Deadline: e.clock.Now() + 3*time.Second}
 }
 
 // Guards against an engine that starts with settings that it can't use.
@@ -80,9 +80,9 @@
 	for i := range 50 {
 		wg.Go(func() {
 			arrived.Add(1)
-			e.Do(context.Background(), e.call(fmt.Sprint(i), "search"), carry(func(_ context.Context, a Attempt) Reply {
+			e.Do(context.Background(), e.call(fmt.Sprint(i), "search"), carry(func(_ context.Context, a Attempt) AttemptResult {
 				sent.Store(a.Upstream, true)
-				return Reply{Result: balancer.OK}
+				return AttemptResult{Result: balancer.OK}
 			}))
 		})
 	}
@@ -109,14 +109,14 @@
 			e.Abort()
 		}()
 		begun := time.Now()
-		a := e.Do(t.Context(), e.call("1", "search"), carry(func(ctx context.Context, _ Attempt) Reply {
+		a := e.Do(t.Context(), e.call("1", "search"), carry(func(ctx context.Context, _ Attempt) AttemptResult {
 			<-ctx.Done()
-			return Reply{Result: balancer.OK, Value: "late"}
+			return AttemptResult{Result: balancer.OK, Value: "late"}
 		}))
 		if a.Kind != Failed || time.Since(begun) != time.Second {
 			t.Errorf("answered %+v after %v", a, time.Since(begun))
 		}
-		if n := e.InHand(); n != 0 {
+		if n := e.InFlight(); n != 0 {
 			t.Errorf("%d requests are still in hand", n)
 		}
 	})
@@ -128,18 +128,18 @@
 		synctest.Test(t, func(t *testing.T) {
 			e := testEngine(t, nil, "s", "u")
 			begun := time.Now()
-			a := e.Do(t.Context(), e.call("1", class), carry(func(ctx context.Context, _ Attempt) Reply {
+			a := e.Do(t.Context(), e.call("1", class), carry(func(ctx context.Context, _ Attempt) AttemptResult {
 				<-ctx.Done()
 				if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-					return Reply{Result: balancer.Timeout}
+					return AttemptResult{Result: balancer.Timeout}
 				}
-				return Reply{Result: balancer.Cancelled}
+				return AttemptResult{Result: balancer.Cancelled}
 			}))
 			took := time.Since(begun)
-			if a.Kind == Served || a.Kind == Refused && class != "search" || took > 3*time.Second || took < 2*time.Second {
+			if a.Kind == Served || a.Kind == Rejected && class != "search" || took > 3*time.Second || took < 2*time.Second {
 				t.Errorf("%s: answered %+v after %v", class, a, took)
 			}
-			if n := e.InHand(); n != 0 {
+			if n := e.InFlight(); n != 0 {
 				t.Errorf("%s: %d requests are still in hand", class, n)
 			}
 		})
@@ -152,19 +152,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := testEngine(t, nil, "s", "u")
 		var running, most, sends atomic.Int32
-		a := e.Do(t.Context(), e.call("1", "search"), carry(func(ctx context.Context, a Attempt) Reply {
+		a := e.Do(t.Context(), e.call("1", "search"), carry(func(ctx context.Context, a Attempt) AttemptResult {
 			most.Store(max(most.Load(), running.Add(1)))
 			defer running.Add(-1)
 			sends.Add(1)
 			switch a.Number {
 			case 0:
-				return Reply{Result: balancer.ConnectFailed}
+				return AttemptResult{Result: balancer.ConnectFailed}
 			case 1:
-				return Reply{Result: balancer.Rejected}
+				return AttemptResult{Result: balancer.Rejected}
 			}
-			return Reply{Result: balancer.OK, Value: a.Number}
+			return AttemptResult{Result: balancer.OK, Value: a.Number}
 		}))
-		if a.Kind != Served || a.Value != 2 || most.Load() != 1 || sends.Load() != 3 || a.Sends != 3 {
+		if a.Kind != Served || a.Value != 2 || most.Load() != 1 || sends.Load() != 3 || a.Attempts != 3 {
 			t.Errorf("answered %+v, %d at once, %d sends", a, most.Load(), sends.Load())
 		}
 	})
@@ -181,15 +181,15 @@
 				wg.Go(func() {
 					begun := time.Now()
 					a := e.Do(t.Context(), e.call(fmt.Sprint(i), "search"),
-						carry(func(ctx context.Context, a Attempt) Reply {
+						carry(func(ctx context.Context, a Attempt) AttemptResult {
 							if a.Upstream == "hangs" {
 								<-ctx.Done()
-								return Reply{Result: balancer.Cancelled}
+								return AttemptResult{Result: balancer.Cancelled}
 							}
 							time.Sleep(10 * time.Millisecond)
-							return Reply{Result: balancer.OK, Value: a.Upstream}
+							return AttemptResult{Result: balancer.OK, Value: a.Upstream}
 						}))
-					if a.Kind == Served && a.Sends > 1 {
+					if a.Kind == Served && a.Attempts > 1 {
 						copies.Add(1)
 						if took := time.Since(begun); took > 2500*time.Millisecond {
 							t.Errorf("answered %+v after %v", a, took)
@@ -198,7 +198,7 @@
 				})
 			}
 			wg.Wait()
-			if n := e.InHand(); n != 0 {
+			if n := e.InFlight(); n != 0 {
 				t.Errorf("%d requests are still in hand", n)
 			}
 		}
@@ -216,18 +216,18 @@
 			ctx, leave := context.WithTimeout(t.Context(), time.Second)
 			defer leave()
 			begun, sends := time.Now(), 0
-			a := e.Do(ctx, e.call("1", "search"), carry(func(ctx context.Context, _ Attempt) Reply {
+			a := e.Do(ctx, e.call("1", "search"), carry(func(ctx context.Context, _ Attempt) AttemptResult {
 				sends++
 				<-ctx.Done()
-				return Reply{Result: balancer.Cancelled}
+				return AttemptResult{Result: balancer.Cancelled}
 			}))
-			if a.Kind != Abandoned || sends != 1 {
+			if a.Kind != ClientGone || sends != 1 {
 				t.Errorf("answered %+v after %d sends", a, sends)
 			}
 			if ended := time.Since(begun) == time.Second; ended != cancels {
 				t.Errorf("cancelled with its caller: %v, want %v", ended, cancels)
 			}
-			if n := e.InHand(); n != 0 {
+			if n := e.InFlight(); n != 0 {
 				t.Errorf("%d requests are still in hand", n)
 			}
 		})
@@ -235,10 +235,10 @@
 	e := testEngine(t, nil, "s")
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
-	if a := e.Do(ctx, e.call("1", "search"), carry(func(context.Context, Attempt) Reply {
+	if a := e.Do(ctx, e.call("1", "search"), carry(func(context.Context, Attempt) AttemptResult {
 		t.Error("sent for a caller that had left")
-		return Reply{}
-	})); a.Kind != Abandoned {
+		return AttemptResult{}
+	})); a.Kind != ClientGone {
 		t.Errorf("answered %+v", a)
 	}
 }
@@ -248,10 +248,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := testEngine(t, nil, "s")
 		ctx, leave := context.WithCancel(t.Context())
-		a := e.Do(ctx, e.call("1", "confirm"), carry(func(context.Context, Attempt) Reply {
+		a := e.Do(ctx, e.call("1", "confirm"), carry(func(context.Context, Attempt) AttemptResult {
 			leave()
 			synctest.Wait()
-			return Reply{Result: balancer.OK, Value: "whole"}
+			return AttemptResult{Result: balancer.OK, Value: "whole"}
 		}))
 		if a.Kind != Served || a.Value != "whole" {
 			t.Errorf("answered %+v", a)
@@ -263,9 +263,9 @@
 func TestDuplicate(t *testing.T) {
 	e := testEngine(t, nil, "s")
 	inner := Answer{}
-	a := e.Do(t.Context(), e.call("1", "search"), carry(func(context.Context, Attempt) Reply {
+	a := e.Do(t.Context(), e.call("1", "search"), carry(func(context.Context, Attempt) AttemptResult {
 		inner = e.Do(t.Context(), e.call("1", "search"), nil)
-		return Reply{Result: balancer.OK}
+		return AttemptResult{Result: balancer.OK}
 	}))
 	if a.Kind != Served || inner.Kind != Duplicate {
 		t.Errorf("answered %+v, the second %+v", a, inner)
@@ -277,14 +277,14 @@
 	said := ""
 	e := testEngine(t, func(o *Options) { o.Log = logging.To(func(text string) { said += text }) }, "s", "u")
 	sends := 0
-	a := e.Do(t.Context(), e.call("1", "confirm"), carry(func(context.Context, Attempt) Reply {
+	a := e.Do(t.Context(), e.call("1", "confirm"), carry(func(context.Context, Attempt) AttemptResult {
 		sends++
 		panic("boom")
 	}))
 	if a.Kind != Failed || sends != 1 || !strings.Contains(said, "boom") {
 		t.Errorf("answered %+v after %d sends, said %q", a, sends, said)
 	}
-	if n := e.InHand(); n != 0 {
+	if n := e.InFlight(); n != 0 {
 		t.Errorf("%d requests are still in hand", n)
 	}
 }
@@ -294,22 +294,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := testEngine(t, nil, "s", "u")
 		var streamCtx context.Context
-		a := e.Do(t.Context(), e.call("1", "search"), carry(func(ctx context.Context, _ Attempt) Reply {
+		a := e.Do(t.Context(), e.call("1", "search"), carry(func(ctx context.Context, _ Attempt) AttemptResult {
 			streamCtx = ctx
-			return Reply{Begun: true, Value: "first"}
+			return AttemptResult{Streaming: true, Value: "first"}
 		}))
-		if a.Kind != Served || a.Value != "first" || e.InHand() != 1 {
-			t.Fatalf("answered %+v, %d in hand", a, e.InHand())
+		if a.Kind != Served || a.Value != "first" || e.InFlight() != 1 {
+			t.Fatalf("answered %+v, %d in hand", a, e.InFlight())
 		}
 		time.Sleep(time.Minute) // far beyond any deadline: the stream is its reader's
 		if streamCtx.Err() != nil {
 			t.Errorf("the stream was ended: %v", context.Cause(streamCtx))
 		}
 		for range 2 {
-			a.End(balancer.Reset)
+			a.EndStream(balancer.Reset)
 		}
-		if streamCtx.Err() == nil || e.InHand() != 0 {
-			t.Errorf("after its end: context %v, %d in hand", streamCtx.Err(), e.InHand())
+		if streamCtx.Err() == nil || e.InFlight() != 0 {
+			t.Errorf("after its end: context %v, %d in hand", streamCtx.Err(), e.InFlight())
 		}
 	})
 }
@@ -318,15 +318,15 @@
 func TestClose(t *testing.T) {
 	e := testEngine(t, nil, "s")
 	go e.Close()
-	a := e.Do(t.Context(), e.call("1", "search"), carry(func(ctx context.Context, _ Attempt) Reply {
+	a := e.Do(t.Context(), e.call("1", "search"), carry(func(ctx context.Context, _ Attempt) AttemptResult {
 		<-ctx.Done()
-		return Reply{Result: balancer.Cancelled}
+		return AttemptResult{Result: balancer.Cancelled}
 	}))
-	if a.Kind != Failed && a.Kind != Closed {
+	if a.Kind != Failed && a.Kind != EngineClosed {
 		t.Errorf("answered %+v", a)
 	}
 	e.Close()
-	if a := e.Do(t.Context(), e.call("2", "search"), nil); a.Kind != Closed {
+	if a := e.Do(t.Context(), e.call("2", "search"), nil); a.Kind != EngineClosed {
 		t.Errorf("answered %+v", a)
 	}
 	e.Update(balancer.EndpointUpdate{Kind: balancer.FullUpdate})
@@ -339,10 +339,10 @@
 			e := testEngine(t, nil, "s", "u", "v", "w")
 			for i := range 100 {
 				a := e.Do(t.Context(), e.call(fmt.Sprint(i), []string{"search", "record", "confirm"}[i%3]),
-					carry(func(_ context.Context, a Attempt) Reply {
+					carry(func(_ context.Context, a Attempt) AttemptResult {
 						out += a.Upstream
 						time.Sleep(time.Duration(10+len(out)%7) * time.Millisecond)
-						return Reply{Result: []balancer.Result{balancer.OK, balancer.OK, balancer.OK, balancer.ServerError,
+						return AttemptResult{Result: []balancer.Result{balancer.OK, balancer.OK, balancer.OK, balancer.ServerError,
 							balancer.ConnectFailed}[len(out)%5]}
 					}))
 				out += fmt.Sprint(a.Kind, " ")
@@ -369,12 +369,12 @@
 				ctx = c
 			}
 			a := e.Do(ctx, e.call(fmt.Sprint(i), []string{"search", "record", "confirm"}[i%3]),
-				carry(func(ctx context.Context, a Attempt) Reply {
+				carry(func(ctx context.Context, a Attempt) AttemptResult {
 					select {
 					case <-time.After(time.Duration(i%7) * time.Millisecond):
-						return Reply{Result: balancer.Result(i % 9)}
+						return AttemptResult{Result: balancer.Result(i % 9)}
 					case <-ctx.Done():
-						return Reply{Result: balancer.Cancelled}
+						return AttemptResult{Result: balancer.Cancelled}
 					}
 				}))
 			kinds[a.Kind].Add(1)
@@ -386,7 +386,7 @@
 		}
 	}
 	wg.Wait()
-	if n := e.InHand(); n != 0 {
+	if n := e.InFlight(); n != 0 {
 		t.Errorf("%d requests are still in hand", n)
 	}
 	if kinds[Served].Load() == 0 || kinds[Duplicate].Load() != 0 {
@@ -402,10 +402,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				e := testEngine(t, nil, "s", "u")
 				begun := 0
-				a := e.Do(t.Context(), e.call("1", class), carry(func(ctx context.Context, _ Attempt) Reply {
+				a := e.Do(t.Context(), e.call("1", class), carry(func(ctx context.Context, _ Attempt) AttemptResult {
 					<-ctx.Done() // the last moment
 					begun++
-					return Reply{Result: balancer.OK, Begun: true, Passed: true, Value: "a part"}
+					return AttemptResult{Result: balancer.OK, Streaming: true, PassThrough: true, Value: "a part"}
 				}))
 				if a.Kind == Served || a.Value != nil || class == "confirm" && a.Kind != Failed {
 					t.Errorf("after %d attempts: kind %v with %v", begun, a.Kind, a.Value)
--- a/internal/engine/loop_test.go
+++ b/internal/engine/loop_test.go
@@ -25,7 +25,7 @@
 
 type goroutineFlight struct {
 	call    Call
-	carrier Carrier
+	carrier Transport
 	answer  chan Answer
 	sent    []time.Duration
 	cancel  []context.CancelFunc
@@ -37,7 +37,7 @@
 	f     *goroutineFlight
 	n     int
 	at    time.Duration
-	reply Reply
+	reply AttemptResult
 }
 
 func newGoroutineEngine(b *balancer.Balancer, c clock.Clock) *goroutineEngine {
@@ -47,18 +47,18 @@
 	return l
 }
 
-func (l *goroutineEngine) Do(ctx context.Context, c Call, carrier Carrier) Answer {
+func (l *goroutineEngine) Do(ctx context.Context, c Call, carrier Transport) Answer {
 	f := &goroutineFlight{call: c, carrier: carrier, answer: make(chan Answer, 1)}
 	select {
 	case l.events <- f:
 	case <-l.stop:
-		return Answer{Kind: Closed}
+		return Answer{Kind: EngineClosed}
 	}
 	select {
 	case a := <-f.answer:
 		return a
 	case <-ctx.Done():
-		return Answer{Kind: Abandoned}
+		return Answer{Kind: ClientGone}
 	}
 }
 
@@ -69,7 +69,7 @@
 			switch ev := ev.(type) {
 			case *goroutineFlight:
 				l.flights[ev.call.ID] = ev
-				l.handle(balancer.Request{ID: ev.call.ID, Class: ev.call.Class, Deadline: ev.call.Expires})
+				l.handle(balancer.Request{ID: ev.call.ID, Class: ev.call.Class, Deadline: ev.call.Deadline})
 				l.forget(ev)
 			case goroutineEnded:
 				ev.f.out--
@@ -96,13 +96,13 @@
 		switch f := l.flights[a.ID]; a.Kind {
 		case balancer.Send:
 			now := l.clock.Now()
-			ctx, cancel := context.WithTimeout(context.Background(), min(f.call.Expires-now, a.Timeout))
+			ctx, cancel := context.WithTimeout(context.Background(), min(f.call.Deadline-now, a.Timeout))
 			n := len(f.sent)
 			f.sent, f.cancel = append(f.sent, now), append(f.cancel, cancel)
 			f.out++
 			at := Attempt{ID: a.ID, Number: n, Upstream: a.Upstream}
 			go func() {
-				r := f.carrier.Carry(ctx, at)
+				r := f.carrier.RoundTrip(ctx, at)
 				select {
 				case l.events <- goroutineEnded{f, n, l.clock.Now(), r}:
 				case <-l.stop:
@@ -111,7 +111,7 @@
 		case balancer.Cancel:
 			f.cancel[a.Attempt]()
 		case balancer.Reject:
-			l.finish(f, Answer{Kind: Refused})
+			l.finish(f, Answer{Kind: Rejected})
 		case balancer.Fail:
 			l.finish(f, Answer{Kind: Failed})
 		case balancer.SetTimer:
@@ -137,7 +137,7 @@
 //
 //	go test -run '^$' -bench Owner -benchmem -count 6 -cpu 1,4 ./internal/engine
 func BenchmarkOwner(b *testing.B) {
-	served := carry(func(context.Context, Attempt) Reply { return Reply{Result: balancer.OK} })
+	served := carry(func(context.Context, Attempt) AttemptResult { return AttemptResult{Result: balancer.OK} })
 	var names []balancer.Endpoint
 	for i := range 12 {
 		names = append(names, member(fmt.Sprint(i), balancer.Active))
@@ -145,7 +145,7 @@
 	for _, owner := range []string{"mutex", "goroutine"} {
 		b.Run(owner, func(b *testing.B) {
 			clk := clock.New()
-			e, err := New(Options{Settings: testSettings(), Seed: 1, Clock: clk, Known: names})
+			e, err := New(Options{Settings: testSettings(), Seed: 1, Clock: clk, CachedEndpoints: names})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -167,8 +167,8 @@
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
 				for pb.Next() {
-					c := Call{ID: fmt.Sprint(id.Add(1)), Class: "confirm", Expires: clk.Now() + time.Second}
-					if a := do(ctx, c, served); a.Kind != Served && a.Kind != Refused {
+					c := Call{ID: fmt.Sprint(id.Add(1)), Class: "confirm", Deadline: clk.Now() + time.Second}
+					if a := do(ctx, c, served); a.Kind != Served && a.Kind != Rejected {
 						b.Fatalf("answered %+v", a)
 					}
 				}
@@ -181,7 +181,7 @@
 //
 //	go test -run '^$' -bench Members -benchmem -count 5 -cpu 1 ./internal/engine
 func BenchmarkMembers(b *testing.B) {
-	served := carry(func(context.Context, Attempt) Reply { return Reply{Result: balancer.OK} })
+	served := carry(func(context.Context, Attempt) AttemptResult { return AttemptResult{Result: balancer.OK} })
 	for _, n := range []int{12, 50, 128, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var names []string
@@ -191,7 +191,7 @@
 			e := testEngine(b, nil, names...)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				if a := e.Do(context.Background(), e.call(fmt.Sprint(i), "search"), served); a.Kind != Served && a.Kind != Refused {
+				if a := e.Do(context.Background(), e.call(fmt.Sprint(i), "search"), served); a.Kind != Served && a.Kind != Rejected {
 					b.Fatalf("answered %+v", a)
 				}
 			}
