--- a/cmd/orchiddrift/check.go
+++ b/cmd/orchiddrift/check.go
@@ -117,7 +117,7 @@
 			fmt.Fprintf(w, ", %d to %d of them its own", s.Subset.Least, s.Subset.Most)
 		}
 		if s.Door != nil {
-			fmt.Fprintf(w, ", a door fair by %s", strings.Join(s.Door.By, ", then by "))
+			fmt.Fprintf(w, ", a door fair by %s", strings.Join(s.Door.PrincipalSources, ", then by "))
 		}
 		if s.Repeats != nil {
 			fmt.Fprintf(w, ", keys known for %v", s.Repeats.Keep)
--- a/grpcbalancer/door.go
+++ b/grpcbalancer/door.go
@@ -23,17 +23,17 @@
 	if c.Interest != nil {
 		defer context.AfterFunc(c.Interest, end)()
 	}
-	marked := first(md, strings.ToLower(k.RepeatHeader()))
-	pass, verdict, in := k.Enter(waits, admission.Who{Tenant: c.Tenant, Header: func(name string) string { return first(md, strings.ToLower(name)) }},
-		admission.Arrival{Class: c.Class, Hint: c.CostHint, Came: c.p.engine.Clock().Now(), Expires: c.Deadline,
-			Repeat: marked != "" && marked != "0", Print: c.print})
+	marked := first(md, strings.ToLower(k.RetryHeader()))
+	pass, verdict, in := k.Acquire(waits, admission.Client{Tenant: c.Tenant, Header: func(name string) string { return first(md, strings.ToLower(name)) }},
+		admission.Arrival{Class: c.Class, CostHint: c.CostHint, ArrivedAt: c.p.engine.Clock().Now(), Deadline: c.Deadline,
+			Retry: marked != "" && marked != "0", Fingerprint: c.print})
 	switch verdict {
-	case controller.Refused:
+	case controller.Rejected:
 		return engine.Answer{Kind: engine.Rejected, RetryAfter: in}
-	case controller.Left:
+	case controller.ClientLeft:
 		return engine.Answer{Kind: engine.ClientGone}
 	}
 	a := c.p.engine.Do(ctx, c.Call, carrier)
-	pass.Done(controller.Ended(a))
+	pass.Done(controller.OutcomeOf(a))
 	return a
 }
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -121,10 +121,10 @@
 	answers        map[codes.Code]bool
 	connectTimeout time.Duration
 	tick           time.Duration
-	guard          *guard             // nil: connections are not encrypted by the plug-in
-	door           *controller.Keeper // nil: there is none
-	repeats        *executor.Keeper   // nil: repeats of keyed calls are not looked for
-	warming        *warming           // nil: connections are made as calls need them
+	guard          *guard                 // nil: connections are not encrypted by the plug-in
+	door           *controller.Controller // nil: there is none
+	repeats        *executor.Keeper       // nil: repeats of keyed calls are not looked for
+	warming        *warming               // nil: connections are made as calls need them
 	stop           context.CancelFunc
 	watching       sync.WaitGroup
 
@@ -287,10 +287,10 @@
 }
 
 // openDoor makes the door that the operator's file tells of.
-func openDoor(o Options, of admission.Options, clk clock.Clock, log *slog.Logger) (*controller.Keeper, error) {
-	of.Longest = o.Settings.MaxRetryAfter
-	return controller.New(controller.Options{Door: of, Classes: o.Settings.Classes, Clock: clk, Log: log,
-		Seed: o.Seed ^ xxhash.Sum64String("door"), Tells: o.Settings.RetryAfterAllowed})
+func openDoor(o Options, of admission.Options, clk clock.Clock, log *slog.Logger) (*controller.Controller, error) {
+	of.MaxRetryAfter = o.Settings.MaxRetryAfter
+	return controller.New(controller.Options{Queue: of, Classes: o.Settings.Classes, Clock: clk, Log: log,
+		Seed: o.Seed ^ xxhash.Sum64String("door"), SendRetryAfter: o.Settings.RetryAfterAllowed})
 }
 
 // Target is what to give to grpc.NewClient, with DialOptions.
--- a/internal/admission/controller/doorkeeper.go
+++ b/internal/admission/controller/doorkeeper.go
@@ -19,20 +19,20 @@
 
 // The verdicts.
 const (
-	Passed  Verdict = iota // it goes on: Pass.Done must be called
-	Refused                // it was not done, trying again is harmless
-	Left                   // its client left while it waited
+	Admitted   Verdict = iota // it goes on: Pass.Done must be called
+	Rejected                  // it was not done, trying again is harmless
+	ClientLeft                // its client left while it waited
 )
 
-// Keeper is a door that can be waited at.
-type Keeper struct {
+// Controller is a door that can be waited at.
+type Controller struct {
 	clock clock.Clock
 	log   *slog.Logger
 	tells bool
 
 	mu       sync.Mutex
-	door     *admission.Door
-	by       admission.By
+	door     *admission.Queue
+	by       admission.PrincipalSources
 	marked   string
 	open     bool // everybody goes on
 	waiting  map[admission.Ticket]chan admission.Action
@@ -54,38 +54,38 @@
 
 // Options are a Keeper's parameters.
 type Options struct {
-	Door    admission.Options // checked
-	Classes []balancer.Class
-	Seed    uint64
-	Clock   clock.Clock
-	Tells   bool         // refused clients may be told when to come back
-	Log     *slog.Logger // nil: lines are dropped
+	Queue          admission.Options // checked
+	Classes        []balancer.Class
+	Seed           uint64
+	Clock          clock.Clock
+	SendRetryAfter bool         // refused clients may be told when to come back
+	Log            *slog.Logger // nil: lines are dropped
 }
 
 // New returns a Keeper, or says which principals can't be told apart. Close ends it.
-func New(o Options) (*Keeper, error) {
-	by, err := admission.ParseBy(o.Door.By)
+func New(o Options) (*Controller, error) {
+	by, err := admission.ParsePrincipalSources(o.Queue.PrincipalSources)
 	if err != nil {
 		return nil, err
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	k := &Keeper{clock: o.Clock, log: o.Log, tells: o.Tells, by: by, marked: o.Door.Marked, door: admission.New(o.Door, o.Classes, o.Seed),
+	k := &Controller{clock: o.Clock, log: o.Log, tells: o.SendRetryAfter, by: by, marked: o.Queue.RetryHeader, door: admission.New(o.Queue, o.Classes, o.Seed),
 		waiting: map[admission.Ticket]chan admission.Action{}}
 	k.timer = time.AfterFunc(time.Hour, k.wake)
 	k.timer.Stop()
 	return k, nil
 }
 
-// Pass is a request that went on. Its zero value is one that no door counts.
-type Pass struct {
-	k *Keeper
+// Permit is a request that went on. Its zero value is one that no door counts.
+type Permit struct {
+	k *Controller
 	t admission.Ticket
 }
 
 // Done ends it. Only the first call counts.
-func (p Pass) Done(how admission.Result) {
+func (p Permit) Done(how admission.Outcome) {
 	if p.k == nil {
 		return
 	}
@@ -96,24 +96,24 @@
 	p.k.unlock()
 }
 
-// Ended is what a final answer means to the door.
-func Ended(a engine.Answer) admission.Result {
+// OutcomeOf is what a final answer means to the door.
+func OutcomeOf(a engine.Answer) admission.Outcome {
 	switch a.Kind {
 	case engine.Rejected:
-		return admission.Turned
+		return admission.RejectedByBalancer
 	case engine.ClientGone, engine.Duplicate, engine.EngineClosed:
-		return admission.Gone
+		return admission.ClientGone
 	}
-	return admission.Answered
+	return admission.Completed
 }
 
-// Enter brings a request to the door, and returns once it goes on, is refused, or ctx has ended. Group and Flow of a are
+// Acquire brings a request to the door, and returns once it goes on, is refused, or ctx has ended. Group and Flow of a are
 // filled in from who. RetryIn is a refused client's; 0: nothing is to be said.
-func (k *Keeper) Enter(ctx context.Context, who admission.Who, a admission.Arrival) (p Pass, v Verdict, retryIn time.Duration) {
+func (k *Controller) Acquire(ctx context.Context, who admission.Client, a admission.Arrival) (p Permit, v Verdict, retryIn time.Duration) {
 	k.mu.Lock()
 	if k.open {
 		k.unlock()
-		return Pass{}, Passed, 0
+		return Permit{}, Admitted, 0
 	}
 	a.Group, a.Flow = k.by.Names(who)
 	t, acts := k.door.Arrive(k.clock.Now(), a, k.acts[:0])
@@ -121,10 +121,10 @@
 		if x.Ticket == t { // its own fate is known at once
 			k.do(acts)
 			k.unlock()
-			if x.Kind == admission.Pass {
-				return Pass{k, t}, Passed, 0
+			if x.Kind == admission.Admit {
+				return Permit{k, t}, Admitted, 0
 			}
-			return Pass{}, Refused, k.told(x)
+			return Permit{}, Rejected, k.told(x)
 		}
 	}
 	mine := make(chan admission.Action, 1)
@@ -139,36 +139,36 @@
 	k.mu.Lock()
 	if _, waits := k.waiting[t]; waits {
 		delete(k.waiting, t)
-		k.do(k.door.Leave(k.clock.Now(), t, k.acts[:0]))
+		k.do(k.door.Cancel(k.clock.Now(), t, k.acts[:0]))
 		k.unlock()
-		return Pass{}, Left, 0
+		return Permit{}, ClientLeft, 0
 	}
 	k.unlock()
 	return k.called(<-mine) // it was called in the same moment: its caller finds its client gone
 }
 
-func (k *Keeper) called(x admission.Action) (Pass, Verdict, time.Duration) {
+func (k *Controller) called(x admission.Action) (Permit, Verdict, time.Duration) {
 	switch {
-	case x.Kind == admission.Refuse:
-		return Pass{}, Refused, k.told(x)
+	case x.Kind == admission.Reject:
+		return Permit{}, Rejected, k.told(x)
 	case x.Ticket == 0:
-		return Pass{}, Passed, 0
+		return Permit{}, Admitted, 0
 	}
-	return Pass{k, x.Ticket}, Passed, 0
+	return Permit{k, x.Ticket}, Admitted, 0
 }
 
-func (k *Keeper) told(x admission.Action) time.Duration {
+func (k *Controller) told(x admission.Action) time.Duration {
 	if !k.tells {
 		return 0
 	}
-	return x.RetryIn.Round(time.Millisecond)
+	return x.RetryAfter.Round(time.Millisecond)
 }
 
 // do carries out what the door said; the lock is held.
-func (k *Keeper) do(acts []admission.Action) {
+func (k *Controller) do(acts []admission.Action) {
 	now := k.clock.Now()
 	for _, x := range acts {
-		if x.Kind == admission.Refuse {
+		if x.Kind == admission.Reject {
 			k.refused(now, x)
 		}
 		if c := k.waiting[x.Ticket]; c != nil {
@@ -188,18 +188,18 @@
 }
 
 // refused notes a refusal for the log: the first of a time of refusals is written, and their end with how many there were.
-func (k *Keeper) refused(now time.Duration, x admission.Action) {
+func (k *Controller) refused(now time.Duration, x admission.Action) {
 	k.refusals++
 	k.last = now
 	if k.refusals == 1 {
-		v := k.door.View()
-		k.lines = append(k.lines, line{"the door: refusals begin", []any{"reason", x.Reason.String(), "waiting", v.Waiting,
-			"in_hand", v.InHand, "limit", v.Limit, "principals", v.Known}})
+		v := k.door.Stats()
+		k.lines = append(k.lines, line{"the door: refusals begin", []any{"reason", x.Reason.String(), "waiting", v.Queued,
+			"in_hand", v.InFlight, "limit", v.Limit, "principals", v.Principals}})
 	}
 }
 
 // unlock gives the door free, then writes what there was to say.
-func (k *Keeper) unlock() {
+func (k *Controller) unlock() {
 	lines := k.lines
 	k.lines = nil
 	k.mu.Unlock()
@@ -208,7 +208,7 @@
 	}
 }
 
-func (k *Keeper) wake() {
+func (k *Controller) wake() {
 	k.mu.Lock()
 	defer k.unlock()
 	if !k.open {
@@ -217,16 +217,16 @@
 	}
 }
 
-// RepeatHeader is the header by which clients mark repeats.
-func (k *Keeper) RepeatHeader() string {
+// RetryHeader is the header by which clients mark repeats.
+func (k *Controller) RetryHeader() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.marked
 }
 
 // Configure takes over other options, as door.Door.Configure tells.
-func (k *Keeper) Configure(o admission.Options) error {
-	by, err := admission.ParseBy(o.By)
+func (k *Controller) Configure(o admission.Options) error {
+	by, err := admission.ParsePrincipalSources(o.PrincipalSources)
 	if err != nil {
 		return err
 	}
@@ -235,20 +235,20 @@
 	if k.open {
 		return nil
 	}
-	k.by, k.marked = by, o.Marked
+	k.by, k.marked = by, o.RetryHeader
 	k.door.Configure(k.clock.Now(), o)
 	k.do(k.door.Wake(k.clock.Now(), k.acts[:0])) // the limit may have risen
 	return nil
 }
 
-// Open lets on everybody who waits and whoever comes from now on: there is no door any more.
-func (k *Keeper) Open() { k.end(admission.Action{Kind: admission.Pass}) }
+// AdmitAll lets on everybody who waits and whoever comes from now on: there is no door any more.
+func (k *Controller) AdmitAll() { k.end(admission.Action{Kind: admission.Admit}) }
 
 // Close refuses everybody who waits, once: the process is about to be killed. Whoever comes from now on goes on, and has
 // its answer there.
-func (k *Keeper) Close() { k.end(admission.Action{Kind: admission.Refuse}) }
+func (k *Controller) Close() { k.end(admission.Action{Kind: admission.Reject}) }
 
-func (k *Keeper) end(x admission.Action) {
+func (k *Controller) end(x admission.Action) {
 	k.mu.Lock()
 	defer k.unlock()
 	k.open = true
@@ -259,9 +259,9 @@
 	}
 }
 
-// View is what the door holds now.
-func (k *Keeper) View() admission.View {
+// Stats is what the door holds now.
+func (k *Controller) Stats() admission.Stats {
 	k.mu.Lock()
 	defer k.unlock()
-	return k.door.View()
+	return k.door.Stats()
 }
--- a/internal/admission/controller/doorkeeper_test.go
+++ b/internal/admission/controller/doorkeeper_test.go
@@ -21,11 +21,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func keeper(t *testing.T, change func(*Options)) *Keeper {
+func keeper(t *testing.T, change func(*Options)) *Controller {
 	t.Helper()
-	o := Options{Door: admission.Default(), Classes: []balancer.Class{{Name: "search", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, LateValueFraction: 0.3}},
-		Clock: clock.New(), Tells: true, Seed: 1}
-	o.Door.Least, o.Door.Most, o.Door.Waiting = 2, 2, 8
+	o := Options{Queue: admission.Default(), Classes: []balancer.Class{{Name: "search", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, LateValueFraction: 0.3}},
+		Clock: clock.New(), SendRetryAfter: true, Seed: 1}
+	o.Queue.MinLimit, o.Queue.MaxLimit, o.Queue.MaxQueued = 2, 2, 8
 	if change != nil {
 		change(&o)
 	}
@@ -37,9 +37,9 @@
 	return k
 }
 
-func (k *Keeper) search(d time.Duration) admission.Arrival {
+func (k *Controller) search(d time.Duration) admission.Arrival {
 	now := k.clock.Now()
-	return admission.Arrival{Class: "search", Came: now, Expires: now + d}
+	return admission.Arrival{Class: "search", ArrivedAt: now, Deadline: now + d}
 }
 
 // In virtual time: who waits is refused at the very moment at which it can't be answered any more, who leaves is gone at
@@ -48,10 +48,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		var log strings.Builder
 		k := keeper(t, func(o *Options) { o.Log = slog.New(slog.NewTextHandler(&log, nil)) })
-		var held []Pass
+		var held []Permit
 		for range 2 {
-			p, v, _ := k.Enter(t.Context(), admission.Who{Tenant: "a"}, k.search(time.Second))
-			if v != Passed {
+			p, v, _ := k.Acquire(t.Context(), admission.Client{Tenant: "a"}, k.search(time.Second))
+			if v != Admitted {
 				t.Fatal(v)
 			}
 			held = append(held, p)
@@ -59,7 +59,7 @@
 		type end struct {
 			v   Verdict
 			in  time.Duration
-			p   Pass
+			p   Permit
 			at  time.Duration
 			who string
 		}
@@ -67,7 +67,7 @@
 		begun := k.clock.Now()
 		enter := func(ctx context.Context, who string, d time.Duration) {
 			go func() {
-				p, v, in := k.Enter(ctx, admission.Who{Tenant: who}, k.search(d))
+				p, v, in := k.Acquire(ctx, admission.Client{Tenant: who}, k.search(d))
 				ends <- end{v, in, p, k.clock.Now() - begun, who}
 			}()
 			synctest.Wait()
@@ -78,24 +78,24 @@
 		enter(t.Context(), "short", 300*time.Millisecond)
 		time.Sleep(100 * time.Millisecond)
 		leave()
-		if e := <-ends; e.who != "leaves" || e.v != Left || e.at != 100*time.Millisecond {
+		if e := <-ends; e.who != "leaves" || e.v != ClientLeft || e.at != 100*time.Millisecond {
 			t.Errorf("%+v", e)
 		}
-		if e := <-ends; e.who != "short" || e.v != Refused || e.in <= 0 || e.at < 250*time.Millisecond || e.at > 300*time.Millisecond {
+		if e := <-ends; e.who != "short" || e.v != Rejected || e.in <= 0 || e.at < 250*time.Millisecond || e.at > 300*time.Millisecond {
 			t.Errorf("%+v", e)
 		}
-		held[0].Done(admission.Answered)
-		held[0].Done(admission.Answered) // counts once
+		held[0].Done(admission.Completed)
+		held[0].Done(admission.Completed) // counts once
 		e := <-ends
-		if e.who != "waits" || e.v != Passed {
+		if e.who != "waits" || e.v != Admitted {
 			t.Errorf("%+v", e)
 		}
-		if v := k.View(); v.InHand != 2 || v.Waiting != 0 {
+		if v := k.Stats(); v.InFlight != 2 || v.Queued != 0 {
 			t.Errorf("%+v", v)
 		}
 		time.Sleep(2 * time.Second)
-		held[1].Done(admission.Answered)
-		e.p.Done(admission.Answered)
+		held[1].Done(admission.Completed)
+		e.p.Done(admission.Completed)
 		if text := log.String(); !strings.Contains(text, "refusals begin") || !strings.Contains(text, "refusals have ended") {
 			t.Error(text)
 		}
@@ -105,7 +105,7 @@
 // Many at once, some of whom leave, while options change: each has one verdict, nothing is held in the end, and a door that
 // is taken away or closed has nobody wait.
 func TestManyAtOnce(t *testing.T) {
-	for name, end := range map[string]func(*Keeper){"open": (*Keeper).Open, "close": (*Keeper).Close, "neither": nil} {
+	for name, end := range map[string]func(*Controller){"open": (*Controller).AdmitAll, "close": (*Controller).Close, "neither": nil} {
 		t.Run(name, func(t *testing.T) {
 			k := keeper(t, nil)
 			var passed, refused, left atomic.Int64
@@ -118,23 +118,23 @@
 						if rng.IntN(4) == 0 {
 							time.AfterFunc(time.Duration(rng.IntN(2000))*time.Microsecond, cancel)
 						}
-						p, v, _ := k.Enter(ctx, admission.Who{Tenant: fmt.Sprint(i % 7)}, k.search(time.Second))
+						p, v, _ := k.Acquire(ctx, admission.Client{Tenant: fmt.Sprint(i % 7)}, k.search(time.Second))
 						switch v {
-						case Passed:
+						case Admitted:
 							passed.Add(1)
 							if rng.IntN(8) == 0 {
 								time.Sleep(100 * time.Microsecond) // the work
 							}
-							p.Done(admission.Result(rng.IntN(3)))
-						case Refused:
+							p.Done(admission.Outcome(rng.IntN(3)))
+						case Rejected:
 							refused.Add(1)
-						case Left:
+						case ClientLeft:
 							left.Add(1)
 						}
 						cancel()
 						if i == 0 && n%10 == 0 {
 							o := admission.Default()
-							o.Least, o.Most, o.Waiting = 2, 2+n/10, 8+n
+							o.MinLimit, o.MaxLimit, o.MaxQueued = 2, 2+n/10, 8+n
 							o.Weights = []admission.Weight{{Name: "1", Weight: float64(n)}}
 							if err := k.Configure(o); err != nil {
 								t.Error(err)
@@ -150,7 +150,7 @@
 			if sum := passed.Load() + refused.Load() + left.Load(); sum != 5000 || passed.Load() == 0 {
 				t.Errorf("%d verdicts, %d of them passed", sum, passed.Load())
 			}
-			if v := k.View(); end == nil && v.Waiting+v.InHand != 0 || len(k.waiting) != 0 {
+			if v := k.Stats(); end == nil && v.Queued+v.InFlight != 0 || len(k.waiting) != 0 {
 				t.Errorf("%+v, %d waiting", v, len(k.waiting))
 			}
 		})
--- a/internal/admission/door.go
+++ b/internal/admission/door.go
@@ -13,7 +13,7 @@
 // Files: sfq.go shares places between principals, limit.go finds how many there are, cost.go what a request takes of them,
 // promise.go when who was refused may come back, budget.go bounds repeats, principal.go names principals.
 //
-// Bounds: Options.Waiting requests wait; Options.Known groups and flows are known, of one group a 16th at most, beside 16
+// Bounds: Options.MaxQueued requests wait; Options.MaxPrincipals groups and flows are known, of one group a 16th at most, beside 16
 // shared ones; one of them takes under 700 bytes with its name, and what waits and was promised 1 MB at the defaults,
 // so 12 MB at 16,384 (TestMemory). A principal is forgotten
 // when nothing of it waits or is in hand, it owes nothing (its finish is no later than virtual time) and no promise to it
@@ -37,21 +37,21 @@
 type Arrival struct {
 	Group, Flow string // see By.Names
 	Class       string
-	Hint        time.Duration // what the client says it costs; 0: nothing
-	Came        time.Duration // when its time began to count: its aim counts from here
-	Expires     time.Duration // when its client stops waiting
+	CostHint    time.Duration // what the client says it costs; 0: nothing
+	ArrivedAt   time.Duration // when its time began to count: its aim counts from here
+	Deadline    time.Duration // when its client stops waiting
 	Bytes       int64         // of its body, kept while it waits
-	Repeat      bool          // marked as a repeat by its client
-	Print       uint64        // tells requests apart, the same for a repeat; 0: not known
+	Retry       bool          // marked as a repeat by its client
+	Fingerprint uint64        // tells requests apart, the same for a repeat; 0: not known
 }
 
-// Kind tells actions apart.
-type Kind int
+// ActionKind tells actions apart.
+type ActionKind int
 
 // What is to be done with a request.
 const (
-	Pass   Kind = iota // goes on; Done must follow
-	Refuse             // is turned away: it was not done, trying again is harmless
+	Admit  ActionKind = iota // goes on; Done must follow
+	Reject                   // is turned away: it was not done, trying again is harmless
 )
 
 // Reason says why a request was refused.
@@ -59,10 +59,10 @@
 
 // The reasons, in the order in which they are looked at.
 const (
-	Budget  Reason = iota // its principal's repeats, or all, are more than their part
-	TooLate               // its principal's turn won't come in its wanted time
-	Full                  // its principal holds the most of a full queue, for its weight
-	Expired               // its turn did not come in time
+	RetryBudgetExhausted Reason = iota // its principal's repeats, or all, are more than their part
+	WaitTooLong                        // its principal's turn won't come in its wanted time
+	QueueFull                          // its principal holds the most of a full queue, for its weight
+	QueueTimeout                       // its turn did not come in time
 )
 
 var reasons = [...]string{"repeats over their budget", "no turn in its wanted time", "the queue is full", "no turn in time"}
@@ -71,25 +71,25 @@
 
 // Action is one thing to do.
 type Action struct {
-	Kind    Kind
-	Ticket  Ticket
-	RetryIn time.Duration // of Refuse: when to come back
-	Kept    bool          // of Refuse: it is remembered, and who comes then goes before others
-	Reason  Reason        // of Refuse
+	Kind       ActionKind
+	Ticket     Ticket
+	RetryAfter time.Duration // of Refuse: when to come back
+	Reserved   bool          // of Refuse: it is remembered, and who comes then goes before others
+	Reason     Reason        // of Refuse
 }
 
-// Result is how a request that went on ended.
-type Result int
+// Outcome is how a request that went on ended.
+type Outcome int
 
 // The results.
 const (
-	Answered Result = iota // by an upstream, well or not, or it failed after its time
-	Turned                 // the balancer refused it: the upstreams have too much
-	Gone                   // its client left
+	Completed          Outcome = iota // by an upstream, well or not, or it failed after its time
+	RejectedByBalancer                // the balancer refused it: the upstreams have too much
+	ClientGone                        // its client left
 )
 
-// Door is the state machine. See the package's comment.
-type Door struct {
+// Queue is the state machine. See the package's comment.
+type Queue struct {
 	o       Options
 	weights map[string]float64
 	classes map[string]*class
@@ -192,9 +192,9 @@
 )
 
 // New returns a Door for a service's classes. The options have passed Options.Check.
-func New(o Options, classes []balancer.Class, seed uint64) *Door {
-	d := &Door{o: o, weights: o.weights(), classes: map[string]*class{}, seed: seed,
-		rng: rand.New(rand.NewPCG(seed, 0x646f6f72)), groups: map[string]*group{}, limit: newLimiter(o.Least, o.Most),
+func New(o Options, classes []balancer.Class, seed uint64) *Queue {
+	d := &Queue{o: o, weights: o.weights(), classes: map[string]*class{}, seed: seed,
+		rng: rand.New(rand.NewPCG(seed, 0x646f6f72)), groups: map[string]*group{}, limit: newLimiter(o.MinLimit, o.MaxLimit),
 		budget: budget{tokens: budgetAll, most: budgetAll}, usual: costUsual, other: &class{usual: costUsual}}
 	for _, c := range classes {
 		k := &class{Class: c, usual: costUsual}
@@ -216,13 +216,13 @@
 
 // Configure changes the options under way: weights count for what goes from now on, lower bounds turn nobody away who
 // waits already.
-func (d *Door) Configure(now time.Duration, o Options) {
+func (d *Queue) Configure(now time.Duration, o Options) {
 	d.tell(now)
 	if o.longest() != d.o.longest() {
 		d.calendar = newCalendar(o.longest(), d.rng)
 	}
 	d.o, d.weights = o, o.weights()
-	d.limit.least, d.limit.most = float64(o.Least), float64(o.Most)
+	d.limit.least, d.limit.most = float64(o.MinLimit), float64(o.MaxLimit)
 	d.limit.set(d.limit.limit)
 	for _, g := range d.groups {
 		d.root.reweigh(&g.member, d.weightOf(g))
@@ -232,7 +232,7 @@
 }
 
 // weigh puts a group and its flows where their loads belong, which another bound or weight has changed.
-func (d *Door) weigh(g *group) {
+func (d *Queue) weigh(g *group) {
 	if g.most >= 0 {
 		d.root.most.Fix(&g.member, -d.load(&g.member), 0)
 	}
@@ -242,66 +242,66 @@
 	d.weighFlow(&g.shared)
 }
 
-func (d *Door) weighFlow(f *flow) {
+func (d *Queue) weighFlow(f *flow) {
 	if f.most >= 0 {
 		f.group.level.most.Fix(&f.member, -d.load(&f.member), 0)
 	}
 }
 
-func (d *Door) weightOf(g *group) float64 {
+func (d *Queue) weightOf(g *group) float64 {
 	if w, named := d.weights[g.name]; named && !g.crowd {
 		return w
 	}
-	return d.o.Weight
+	return d.o.DefaultWeight
 }
 
 // tell takes the time in. A clock that stands is taken as it is, one that goes back as standing.
-func (d *Door) tell(now time.Duration) { d.now = max(d.now, now) }
+func (d *Queue) tell(now time.Duration) { d.now = max(d.now, now) }
 
 // Arrive brings a request. Its own fate, now or later, comes as an action of the returned Ticket, like that of whoever
 // else it touches.
-func (d *Door) Arrive(now time.Duration, a Arrival, acts []Action) (Ticket, []Action) {
+func (d *Queue) Arrive(now time.Duration, a Arrival, acts []Action) (Ticket, []Action) {
 	acts = d.pass(now, acts)
 	c := d.classes[a.Class]
 	if c == nil {
 		c = d.other
 	}
-	c.hinted(a.Hint)
+	c.hinted(a.CostHint)
 	f := d.find(a.Group, a.Flow)
 	g := f.group
 	f.coming, g.coming = true, true // who gives way to it may be the last of its own group
 	e := d.entry()
-	e.flow, e.class, e.hinted, e.arrival, e.bytes = f, c, a.Hint, d.now, a.Bytes
-	e.print = a.Print
-	e.aim, e.expires = a.Came+c.LatencyObjective+time.Duration(c.ObjectiveStretch*float64(a.Hint)), a.Expires
+	e.flow, e.class, e.hinted, e.arrival, e.bytes = f, c, a.CostHint, d.now, a.Bytes
+	e.print = a.Fingerprint
+	e.aim, e.expires = a.ArrivedAt+c.LatencyObjective+time.Duration(c.ObjectiveStretch*float64(a.CostHint)), a.Deadline
 	if c.LatencyObjective <= 0 {
-		e.aim = a.Expires
+		e.aim = a.Deadline
 	}
-	e.cost = c.estimate(a.Hint, g.honesty)
+	e.cost = c.estimate(a.CostHint, g.honesty)
 	e.worth = c.PriorityWeight
 	e.late = d.now >= e.aim
 	if e.late {
 		e.worth *= c.LateValueFraction
 	}
 
-	if d.redeem(f, a.Print) {
+	if d.redeem(f, a.Fingerprint) {
 		e.redeemed = true
-	} else if why, ok := d.admit(e, a.Repeat); !ok {
+	} else if why, ok := d.admit(e, a.Retry); !ok {
 		return e.ticket(), d.refuse(e, why, acts)
 	}
-	if full := d.waiting >= d.o.Waiting || d.bytes+e.bytes > int64(d.o.Bytes); full && (d.waiting > 0 || d.passed >= d.limit.places()) {
+	if full := d.waiting >= d.o.MaxQueued || d.bytes+e.bytes > int64(d.o.MaxQueuedBytes); full && (d.waiting > 0 || d.passed >= d.limit.places()) {
 		victim := d.victim(e)
 		if victim == e {
-			return e.ticket(), d.refuse(e, Full, acts)
+			return e.ticket(), d.refuse(e, QueueFull, acts)
 		}
 		d.remove(victim)
-		acts = d.refuse(victim, Full, acts)
-		for d.bytes+e.bytes > int64(d.o.Bytes) && d.waiting > 0 {
+		acts = d.refuse(victim, QueueFull, acts)
+		for d.bytes+e.bytes > int64(d.o.MaxQueuedBytes) && d.waiting > 0 {
 			if victim = d.victim(e); victim == e {
-				return e.ticket(), d.refuse(e, Full, acts)
+				return e.ticket(), d.refuse(e, QueueFull, acts)
 			}
 			d.remove(victim)
-			acts = d.refuse(victim, Full, acts)
+			acts = d.refuse(victim, QueueFull, acts)
 		}
 	}
 	d.wait(e)
@@ -309,21 +309,21 @@
 }
 
 // admit tells whether a request may wait, or why not.
-func (d *Door) admit(e *entry, repeat bool) (Reason, bool) {
+func (d *Queue) admit(e *entry, repeat bool) (Reason, bool) {
 	g := e.flow.group
 	crowded := d.waiting > 0 || d.passed >= d.limit.places()
 	if !repeat {
-		g.budget.first(d.o.Repeats)
-		d.budget.first(d.o.Repeats)
+		g.budget.first(d.o.RetryRatio)
+		d.budget.first(d.o.RetryRatio)
 	}
 	if !crowded {
 		return 0, true
 	}
 	if repeat && !(g.budget.may() && d.budget.may()) {
-		return Budget, false
+		return RetryBudgetExhausted, false
 	}
 	if e.class.LateValueFraction <= 0 && e.late || d.now >= e.expires {
-		return TooLate, false
+		return WaitTooLong, false
 	}
 	// Of weight 0: it waits for what is left, as long as it may.
 	if rate := d.rateOf(e.flow); rate > 0 {
@@ -333,7 +333,7 @@
 			last = e.expires
 		}
 		if begin+e.class.mostly() > last && (e.late || d.ahead(e.flow) > 0) {
-			return TooLate, false
+			return WaitTooLong, false
 		}
 	}
 	if repeat {
@@ -349,7 +349,7 @@
 }
 
 // ahead is the cost of what goes before another request of a flow, for what the flow and its group owe too.
-func (d *Door) ahead(f *flow) float64 {
+func (d *Queue) ahead(f *flow) float64 {
 	g := f.group
 	cost := f.queued
 	if s := g.level.of(&f.member); s.owes(&f.member) && f.waiting == 0 {
@@ -362,7 +362,7 @@
 }
 
 // rateOf is what a flow gets, in cost a second, while all that are active go on.
-func (d *Door) rateOf(f *flow) float64 {
+func (d *Queue) rateOf(f *flow) float64 {
 	part := d.root.rate(&f.group.member)
 	if inner := f.group.level.rate(&f.member); inner > 0 {
 		part *= inner
@@ -372,17 +372,17 @@
 
 // crowdedCost is the mean cost of requests while the limit binds, s: what is seen then, or where it is not, what it would be
 // in the middle of what the limit aims at.
-func (d *Door) crowdedCost() float64 {
+func (d *Queue) crowdedCost() float64 {
 	return max(costLeast, d.usual, d.limit.base*(rLow+rHigh)/2)
 }
 
 // load is how much of the queue a member holds, for its weight.
-func (d *Door) load(m *member) float64 {
+func (d *Queue) load(m *member) float64 {
 	return d.loadWith(m, 0, 0)
 }
 
-func (d *Door) loadWith(m *member, requests int, bytes int64) float64 {
-	held := float64(m.waiting+requests)/float64(d.o.Waiting) + float64(m.bytes+bytes)/float64(max(1, d.o.Bytes))
+func (d *Queue) loadWith(m *member, requests int, bytes int64) float64 {
+	held := float64(m.waiting+requests)/float64(d.o.MaxQueued) + float64(m.bytes+bytes)/float64(max(1, d.o.MaxQueuedBytes))
 	if m.weight <= 0 {
 		return held * maxWeight * maxWeight // before all who have a weight
 	}
@@ -391,7 +391,7 @@
 
 // victim is who is given up so that e may wait: of the group that holds the most for its weight, e counted in, of its flow
 // that does, the least worthy, of those the newest. e itself, where that is so.
-func (d *Door) victim(e *entry) *entry {
+func (d *Queue) victim(e *entry) *entry {
 	f, g := e.flow, e.flow.group
 	if d.waiting == 0 {
 		return e
@@ -421,7 +421,7 @@
 }
 
 // wait has e wait.
-func (d *Door) wait(e *entry) {
+func (d *Queue) wait(e *entry) {
 	f, g := e.flow, e.flow.group
 	f.coming, g.coming = false, false
 	e.state = waits
@@ -457,7 +457,7 @@
 	return min(e.aim-min(e.spent(), (e.aim-e.arrival)/2), e.expires)
 }
 
-func (d *Door) levelOf(m *member) *level {
+func (d *Queue) levelOf(m *member) *level {
 	if m.flow == nil {
 		return &d.root
 	}
@@ -514,7 +514,7 @@
 }
 
 // out takes a waiting request out of all that counts waiting ones but the ready heaps.
-func (d *Door) out(e *entry) {
+func (d *Queue) out(e *entry) {
 	f, g := e.flow, e.flow.group
 	d.dues.Remove(e)
 	f.pull(e)
@@ -538,7 +538,7 @@
 }
 
 // remove takes a waiting request out that does not go on.
-func (d *Door) remove(e *entry) {
+func (d *Queue) remove(e *entry) {
 	d.out(e)
 	for _, m := range [2]*member{&e.flow.member, &e.flow.group.member} {
 		l := d.levelOf(m)
@@ -550,7 +550,7 @@
 }
 
 // rested is for a member of which something has ended.
-func (d *Door) rested(l *level, m *member) {
+func (d *Queue) rested(l *level, m *member) {
 	if m.active() {
 		return
 	}
@@ -561,15 +561,15 @@
 }
 
 // refuse words a refusal, and forgets the request.
-func (d *Door) refuse(e *entry, why Reason, acts []Action) []Action {
+func (d *Queue) refuse(e *entry, why Reason, acts []Action) []Action {
 	in, kept := d.promise(e)
-	acts = append(acts, Action{Kind: Refuse, Ticket: e.ticket(), RetryIn: in, Kept: kept, Reason: why})
+	acts = append(acts, Action{Kind: Reject, Ticket: e.ticket(), RetryAfter: in, Reserved: kept, Reason: why})
 	d.end(e)
 	return acts
 }
 
 // end gives a request's entry back.
-func (d *Door) end(e *entry) {
+func (d *Queue) end(e *entry) {
 	f := e.flow
 	if e.state == none { // it never waited
 		f.coming, f.group.coming = false, false
@@ -581,7 +581,7 @@
 }
 
 // entry is an unused one.
-func (d *Door) entry() *entry {
+func (d *Queue) entry() *entry {
 	if n := len(d.free); n > 0 {
 		e := d.entries[d.free[n-1]]
 		d.free = d.free[:n-1]
@@ -594,7 +594,7 @@
 }
 
 // serve lets on who may.
-func (d *Door) serve(acts []Action) []Action {
+func (d *Queue) serve(acts []Action) []Action {
 	for d.waiting > 0 && d.passed < d.limit.places() {
 		e := d.turn()
 		d.out(e)
@@ -606,7 +606,7 @@
 		}
 		e.state, e.went = passes, d.now
 		d.passed++
-		acts = append(acts, Action{Kind: Pass, Ticket: e.ticket()})
+		acts = append(acts, Action{Kind: Admit, Ticket: e.ticket()})
 		d.paid(&g.level)
 		d.paid(&d.root)
 	}
@@ -617,7 +617,7 @@
 }
 
 // turn is who goes next: by turns those who came when told, and those whose turn it is by virtual time.
-func (d *Door) turn() *entry {
+func (d *Queue) turn() *entry {
 	if first := d.lane.after; first != &d.lane && !d.byLane {
 		d.byLane = true
 		return first
@@ -627,7 +627,7 @@
 }
 
 // paid forgets those members of a level whose debts are paid by now.
-func (d *Door) paid(l *level) {
+func (d *Queue) paid(l *level) {
 	for _, s := range l.halves() {
 		for s != nil && s.resting.Len() > 0 && !s.owes(s.resting.First()) {
 			m := s.resting.First()
@@ -641,8 +641,8 @@
 	}
 }
 
-// Leave takes out a request whose client has left while it waited. For any other it does nothing.
-func (d *Door) Leave(now time.Duration, t Ticket, acts []Action) []Action {
+// Cancel takes out a request whose client has left while it waited. For any other it does nothing.
+func (d *Queue) Cancel(now time.Duration, t Ticket, acts []Action) []Action {
 	d.tell(now)
 	if e := d.held(t, waits); e != nil {
 		d.remove(e)
@@ -652,7 +652,7 @@
 }
 
 // Done ends a request that went on.
-func (d *Door) Done(now time.Duration, t Ticket, how Result, acts []Action) []Action {
+func (d *Queue) Done(now time.Duration, t Ticket, how Outcome, acts []Action) []Action {
 	acts = d.pass(now, acts)
 	e := d.held(t, passes)
 	if e == nil {
@@ -667,13 +667,13 @@
 		m.passed--
 		d.rested(l, m)
 	}
-	if how == Answered {
+	if how == Completed {
 		g.honesty = c.honest(g.honesty, e.hinted, took)
 		c.took(took)
 		d.usual += (took - d.usual) * costBlend
 	}
-	if how != Gone {
-		d.limit.sample(d.now, c, took, d.passed+1, how == Turned)
+	if how != ClientGone {
+		d.limit.sample(d.now, c, took, d.passed+1, how == RejectedByBalancer)
 	}
 	d.end(e)
 	d.paid(&d.root)
@@ -681,10 +681,10 @@
 }
 
 // Wake does what is due.
-func (d *Door) Wake(now time.Duration, acts []Action) []Action { return d.serve(d.pass(now, acts)) }
+func (d *Queue) Wake(now time.Duration, acts []Action) []Action { return d.serve(d.pass(now, acts)) }
 
 // Next is when Wake is to be called at the latest; false: there is no need.
-func (d *Door) Next() (time.Duration, bool) {
+func (d *Queue) Next() (time.Duration, bool) {
 	if d.dues.Len() == 0 {
 		return 0, false
 	}
@@ -692,7 +692,7 @@
 }
 
 // pass has time pass: who can't be answered in time any more is turned away at once.
-func (d *Door) pass(now time.Duration, acts []Action) []Action {
+func (d *Queue) pass(now time.Duration, acts []Action) []Action {
 	d.tell(now)
 	for d.dues.Len() > 0 && d.dues.First().due <= d.now {
 		e := d.dues.First()
@@ -707,14 +707,14 @@
 			}
 		}
 		d.remove(e)
-		acts = d.refuse(e, Expired, acts)
+		acts = d.refuse(e, QueueTimeout, acts)
 	}
 	d.lapse()
 	return acts
 }
 
 // held is the request of a ticket, if it is in that state.
-func (d *Door) held(t Ticket, s state) *entry {
+func (d *Queue) held(t Ticket, s state) *entry {
 	i := int(uint32(t))
 	if i >= len(d.entries) {
 		return nil
@@ -726,11 +726,11 @@
 }
 
 // find is a request's flow, made where it is not known.
-func (d *Door) find(groupName, flowName string) *flow {
+func (d *Queue) find(groupName, flowName string) *flow {
 	g := d.groups[groupName]
 	if g == nil {
 		crowd := false
-		if d.known >= d.o.Known {
+		if d.known >= d.o.MaxPrincipals {
 			h := xxhash.NewWithSeed(d.seed)
 			_, _ = h.WriteString(groupName) // never fails
 			groupName, crowd = crowdName+string(rune('a'+h.Sum64()%crowds)), true
@@ -745,7 +745,7 @@
 	}
 	f := g.flows[flowName]
 	if f == nil {
-		if d.known >= d.o.Known || len(g.flows) >= max(1, d.o.Known/flowPart) {
+		if d.known >= d.o.MaxPrincipals || len(g.flows) >= max(1, d.o.MaxPrincipals/flowPart) {
 			return &g.shared
 		}
 		f = d.newFlow(g, flowName)
@@ -753,7 +753,7 @@
 	return f
 }
 
-func (d *Door) newGroup(name string, crowd bool) *group {
+func (d *Queue) newGroup(name string, crowd bool) *group {
 	var g *group
 	if n := len(d.spareGroups); n > 0 {
 		g = d.spareGroups[n-1]
@@ -772,7 +772,7 @@
 	return g
 }
 
-func (d *Door) newFlow(g *group, name string) *flow {
+func (d *Queue) newFlow(g *group, name string) *flow {
 	var f *flow
 	if n := len(d.spareFlows); n > 0 {
 		f = d.spareFlows[n-1]
@@ -797,7 +797,7 @@
 const spares = 64 // groups and flows kept for the next ones
 
 // forget lets a flow go that nothing needs any more, and then its group.
-func (d *Door) forget(f *flow) {
+func (d *Queue) forget(f *flow) {
 	g := f.group
 	if f.active() || f.coming || len(f.promises) > 0 {
 		return
@@ -816,7 +816,7 @@
 }
 
 // forgetGroup lets a group go of which nothing is left.
-func (d *Door) forgetGroup(g *group) {
+func (d *Queue) forgetGroup(g *group) {
 	if g.active() || g.coming || g.gone {
 		return
 	}
@@ -837,7 +837,7 @@
 }
 
 // paidWithin forgets the flows of a group that has nothing waiting or in hand: none of them owes the others anything.
-func (d *Door) paidWithin(g *group) {
+func (d *Queue) paidWithin(g *group) {
 	for _, s := range g.level.halves() {
 		for s != nil && s.resting.Len() > 0 {
 			f := s.resting.First().flow
@@ -850,14 +850,14 @@
 	}
 }
 
-// View is what the door holds now.
-type View struct {
-	Waiting, InHand, Limit int
-	Bytes                  int64
-	Known, Promises        int
+// Stats is what the door holds now.
+type Stats struct {
+	Queued, InFlight, Limit  int
+	QueuedBytes              int64
+	Principals, Reservations int
 }
 
-// View shows what the door holds.
-func (d *Door) View() View {
-	return View{Waiting: d.waiting, InHand: d.passed, Limit: d.limit.places(), Bytes: d.bytes, Known: d.known, Promises: d.promises}
+// Stats shows what the door holds.
+func (d *Queue) Stats() Stats {
+	return Stats{Queued: d.waiting, InFlight: d.passed, Limit: d.limit.places(), QueuedBytes: d.bytes, Principals: d.known, Reservations: d.promises}
 }
--- a/internal/admission/door_test.go
+++ b/internal/admission/door_test.go
@@ -36,13 +36,13 @@
 
 func one(places, waiting int) Options {
 	o := Default()
-	o.Least, o.Most, o.Waiting = places, places, waiting
+	o.MinLimit, o.MaxLimit, o.MaxQueued = places, places, waiting
 	return o
 }
 
 // forever keeps a request from being given up for its time.
 func forever(a Arrival) Arrival {
-	a.Came, a.Expires = 100*time.Hour, 200*time.Hour
+	a.ArrivedAt, a.Deadline = 100*time.Hour, 200*time.Hour
 	return a
 }
 
@@ -71,7 +71,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			o := o
 			if tt.bytes > 0 {
-				o.Bytes, o.Promises = 1000, 0 // nothing keeps who gave way known
+				o.MaxQueuedBytes, o.MaxReservations = 1000, 0 // nothing keeps who gave way known
 			}
 			r := newRig(o)
 			r.fill(t, 1, Arrival{Group: "first"})
@@ -98,10 +98,10 @@
 func TestTime(t *testing.T) {
 	r := newRig(one(2, 200))
 	for range 50 { // a place is needed for 50 ms
-		ticket, err := r.arrive(Arrival{Group: "a", Expires: r.now + time.Second})
+		ticket, err := r.arrive(Arrival{Group: "a", Deadline: r.now + time.Second})
 		must(t, err)
 		r.now += 50 * time.Millisecond
-		must(t, r.done(ticket, Answered))
+		must(t, r.done(ticket, Completed))
 	}
 	if c := r.d.classes["search"]; c.usual < 0.03 {
 		t.Fatalf("learned %v s of 50 ms", c.usual)
@@ -120,7 +120,7 @@
 		t.Errorf("looks again at %v", next-r.now)
 	}
 	r.now += 100 * time.Millisecond
-	pay := r.fill(t, 1, Arrival{Group: "pay", Class: "pay", Expires: r.now + 2*time.Second})
+	pay := r.fill(t, 1, Arrival{Group: "pay", Class: "pay", Deadline: r.now + 2*time.Second})
 	r.now += 880 * time.Millisecond
 	must(t, r.wake())
 	if r.state[quiet[0]] == waits || r.state[pay[0]] != waits {
@@ -134,11 +134,11 @@
 	r := newRig(one(1, 200))
 	first, err := r.arrive(Arrival{Group: "x"})
 	must(t, err)
-	old := r.fill(t, 1, Arrival{Group: "a", Expires: r.now + time.Second})
+	old := r.fill(t, 1, Arrival{Group: "a", Deadline: r.now + time.Second})
 	r.now += 450 * time.Millisecond
 	must(t, r.wake())
 	fresh := r.fill(t, 1, Arrival{Group: "a"})
-	must(t, r.done(first, Answered))
+	must(t, r.done(first, Completed))
 	if r.state[fresh[0]] != passes || r.state[old[0]] != waits {
 		t.Errorf("fresh %v, late %v", r.state[fresh[0]], r.state[old[0]])
 	}
@@ -151,7 +151,7 @@
 		"one name":     func(int) Arrival { return Arrival{Group: "flood"} },
 		"many names":   func(i int) Arrival { return Arrival{Group: "flood", Flow: fmt.Sprint(i)} },
 		"large bodies": func(int) Arrival { return Arrival{Group: "flood", Bytes: 60_000} },
-		"says little":  func(int) Arrival { return Arrival{Group: "flood", Hint: time.Microsecond} },
+		"says little":  func(int) Arrival { return Arrival{Group: "flood", CostHint: time.Microsecond} },
 		"weight 0":     func(int) Arrival { return Arrival{Group: "nobody"} },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -161,16 +161,16 @@
 			for i := range 3000 {
 				a := flood(i)
 				a.Class = "pay"
-				a.Expires = r.now + time.Hour
+				a.Deadline = r.now + time.Hour
 				r.fill(t, 1, a)
 			}
-			quiet := r.fill(t, 1, Arrival{Group: "quiet", Hint: 10 * time.Millisecond})
+			quiet := r.fill(t, 1, Arrival{Group: "quiet", CostHint: 10 * time.Millisecond})
 			if len(quiet) == 0 {
 				t.Fatal("it does not wait")
 			}
 			for range 2 {
 				r.now += 20 * time.Millisecond
-				must(t, r.done(r.order[0], Answered))
+				must(t, r.done(r.order[0], Completed))
 				r.order = r.order[1:]
 			}
 			if r.state[quiet[0]] != passes {
@@ -184,7 +184,7 @@
 // is beyond the bound shares.
 func TestNamesAreBounded(t *testing.T) {
 	o := one(1, 20)
-	o.Known = 64
+	o.MaxPrincipals = 64
 	r := newRig(o)
 	r.fill(t, 1, forever(Arrival{Group: "x"}))
 	known := r.fill(t, 1, forever(Arrival{Group: "known"}))
@@ -199,8 +199,8 @@
 			t.Error("one of the known one's requests has gone")
 		}
 	}
-	if v := r.d.View(); v.Known > 64 {
-		t.Errorf("%d are known", v.Known)
+	if v := r.d.Stats(); v.Principals > 64 {
+		t.Errorf("%d are known", v.Principals)
 	}
 }
 
@@ -227,7 +227,7 @@
 	}{{10_000, false}, {40_000, false}, {40_000, true}} { // within what may be known, and beyond it
 		n := tt.n
 		o := one(8, 1024)
-		o.Longest = 4 * time.Minute
+		o.MaxRetryAfter = 4 * time.Minute
 		before := heap()
 		d := New(o, testClasses, 1)
 		var acts []Action
@@ -238,17 +238,17 @@
 			if tt.flows {
 				flow = name + "f"
 			}
-			_, acts = d.Arrive(now, Arrival{Group: name, Flow: flow, Class: "search", Came: now, Expires: now + time.Second}, acts[:0])
-			_, acts = d.Arrive(now, Arrival{Group: "flood", Class: "search", Came: now, Expires: now + time.Second}, acts[:0])
+			_, acts = d.Arrive(now, Arrival{Group: name, Flow: flow, Class: "search", ArrivedAt: now, Deadline: now + time.Second}, acts[:0])
+			_, acts = d.Arrive(now, Arrival{Group: "flood", Class: "search", ArrivedAt: now, Deadline: now + time.Second}, acts[:0])
 		}
-		v := d.View()
+		v := d.Stats()
 		used := heap() - before
 		t.Logf("%d KB for %+v", used>>10, v)
-		if limit := int64(v.Known)*principalBytes + otherBytes; used > limit {
-			t.Errorf("%d bytes for %d principals, of %d", used, v.Known, limit)
+		if limit := int64(v.Principals)*principalBytes + otherBytes; used > limit {
+			t.Errorf("%d bytes for %d principals, of %d", used, v.Principals, limit)
 		}
-		if v.Known < min(n, o.Known)-1 {
-			t.Errorf("only %d are known", v.Known)
+		if v.Principals < min(n, o.MaxPrincipals)-1 {
+			t.Errorf("only %d are known", v.Principals)
 		}
 		runtime.KeepAlive(d)
 	}
@@ -260,7 +260,7 @@
 	const places, clients = 4, 400
 	rng := rand.New(rand.NewPCG(3, 3))
 	o := one(places, 20)
-	o.Longest = 20 * time.Second
+	o.MaxRetryAfter = 20 * time.Second
 	r := newRig(o)
 	type back struct {
 		at    time.Duration
@@ -276,8 +276,8 @@
 		if err := r.wake(); err != nil {
 			t.Fatal(err)
 		}
-		standing := r.d.View().Promises // those that have lapsed are gone
-		ticket, err := r.arrive(Arrival{Group: group, Expires: r.now + time.Second})
+		standing := r.d.Stats().Reservations // those that have lapsed are gone
+		ticket, err := r.arrive(Arrival{Group: group, Deadline: r.now + time.Second})
 		must(t, err)
 		groups[ticket] = group
 		if !isBack {
@@ -285,7 +285,7 @@
 		}
 		if early {
 			earlyAsked++
-			if r.d.View().Promises < standing {
+			if r.d.Stats().Reservations < standing {
 				earlyKept++
 			}
 		} else {
@@ -328,7 +328,7 @@
 		}
 	}
 	flood := 0
-	for len(backs) > 0 || r.d.View().InHand > 0 {
+	for len(backs) > 0 || r.d.Stats().InFlight > 0 {
 		r.now += time.Millisecond
 		for ; seen < len(r.order); seen++ {
 			ends[r.order[seen]] = r.now + 20*time.Millisecond
@@ -336,7 +336,7 @@
 		for ticket, at := range ends {
 			if at <= r.now {
 				delete(ends, ticket)
-				must(t, r.done(ticket, Answered))
+				must(t, r.done(ticket, Completed))
 			}
 		}
 		if flood++; flood < 15_000 {
@@ -360,16 +360,16 @@
 func TestRepeatBudget(t *testing.T) {
 	r := newRig(one(1, 1000))
 	for range 50 {
-		ticket, err := r.arrive(Arrival{Group: "a", Repeat: true})
+		ticket, err := r.arrive(Arrival{Group: "a", Retry: true})
 		must(t, err)
 		if r.state[ticket] != passes {
 			t.Fatal("a repeat is held up on a quiet day")
 		}
 		r.now += time.Millisecond
-		must(t, r.done(ticket, Answered))
+		must(t, r.done(ticket, Completed))
 	}
 	r.fill(t, 1, forever(Arrival{Group: "x"}))
-	repeats := func(name string) int { return len(r.fill(t, 100, forever(Arrival{Group: name, Repeat: true}))) }
+	repeats := func(name string) int { return len(r.fill(t, 100, forever(Arrival{Group: name, Retry: true}))) }
 	if n := repeats("a"); n != 1 {
 		t.Errorf("%d repeats wait beside no first request", n)
 	}
@@ -392,21 +392,21 @@
 	header := func(string) string { return strings.Repeat("h", 100) }
 	for _, tt := range []struct {
 		by          string
-		who         Who
+		who         Client
 		group, flow string
 	}{
-		{"tenant", Who{Tenant: "acme"}, "acme", ""},
-		{"tenant", Who{}, "", ""},
-		{"tenant address", Who{Tenant: "acme", Peer: peer("192.0.2.7")}, "acme", "192.0.2.7"},
-		{"address", Who{Peer: peer("::ffff:192.0.2.7")}, "192.0.2.7", ""},
-		{"address", Who{Peer: peer("2001:db8:1:2:3:4:5:6")}, "2001:db8:1:2::/64", ""},
-		{"address", Who{Peer: peer("fe80::1%eth0")}, "fe80::/64", ""},
-		{"address", Who{Peer: func() netip.Addr { return netip.Addr{} }}, "", ""},
-		{"certificate", Who{Certificate: func() string { return "spiffe://x/y" }}, "spiffe://x/y", ""},
-		{"certificate", Who{}, "", ""},
-		{"header:X-Shop tenant", Who{Tenant: "t", Header: header}, "*", "t"},
+		{"tenant", Client{Tenant: "acme"}, "acme", ""},
+		{"tenant", Client{}, "", ""},
+		{"tenant address", Client{Tenant: "acme", Peer: peer("192.0.2.7")}, "acme", "192.0.2.7"},
+		{"address", Client{Peer: peer("::ffff:192.0.2.7")}, "192.0.2.7", ""},
+		{"address", Client{Peer: peer("2001:db8:1:2:3:4:5:6")}, "2001:db8:1:2::/64", ""},
+		{"address", Client{Peer: peer("fe80::1%eth0")}, "fe80::/64", ""},
+		{"address", Client{Peer: func() netip.Addr { return netip.Addr{} }}, "", ""},
+		{"certificate", Client{Certificate: func() string { return "spiffe://x/y" }}, "spiffe://x/y", ""},
+		{"certificate", Client{}, "", ""},
+		{"header:X-Shop tenant", Client{Tenant: "t", Header: header}, "*", "t"},
 	} {
-		by, err := ParseBy(strings.Fields(tt.by))
+		by, err := ParsePrincipalSources(strings.Fields(tt.by))
 		must(t, err)
 		group, flow := by.Names(tt.who)
 		if tt.group == "*" && len(group) == longestName {
@@ -417,7 +417,7 @@
 		}
 	}
 	for _, bad := range []string{"", "tenant tenant", "tenant address certificate", "header:", "header:a b", "name", "tenant:x"} {
-		if _, err := ParseBy(strings.Fields(bad)); err == nil {
+		if _, err := ParsePrincipalSources(strings.Fields(bad)); err == nil {
 			t.Errorf("%q is taken", bad)
 		}
 	}
@@ -430,11 +430,11 @@
 	o.Weights = []Weight{{long, 0}}
 	d := New(o, []balancer.Class{{Name: "search", LatencyObjective: 100 * time.Millisecond, ObjectiveStretch: 2, Deadline: 5 * time.Second}}, 1)
 	now := time.Hour
-	by, err := ParseBy([]string{"tenant"})
+	by, err := ParsePrincipalSources([]string{"tenant"})
 	must(t, err)
-	group, _ := by.Names(Who{Tenant: long})
+	group, _ := by.Names(Client{Tenant: long})
 	for _, hint := range []time.Duration{0, time.Second} {
-		d.Arrive(now, Arrival{Group: group, Class: "search", Hint: hint, Came: now, Expires: now + 5*time.Second}, nil)
+		d.Arrive(now, Arrival{Group: group, Class: "search", CostHint: hint, ArrivedAt: now, Deadline: now + 5*time.Second}, nil)
 	}
 	if at, ok := d.Next(); !ok || at < now+time.Second {
 		t.Errorf("an aim of 0.1 s and two of a hint of 1 s ends in %v", at-now)
@@ -467,7 +467,7 @@
 			i := 0
 			for b.Loop() {
 				now += 100 * time.Microsecond
-				acts = d.Done(now, running[i%len(running)], Answered, acts[:0])
+				acts = d.Done(now, running[i%len(running)], Completed, acts[:0])
 				for _, x := range acts {
 					running[i%len(running)] = x.Ticket
 				}
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -19,7 +19,7 @@
 
 // rig is a Door with everything that is known of its requests from outside.
 type rig struct {
-	d      *Door
+	d      *Queue
 	now    time.Duration
 	state  map[Ticket]state
 	bytes  map[Ticket]int64
@@ -39,11 +39,11 @@
 		if r.state[x.Ticket] != waits {
 			return fmt.Errorf("%v for ticket %x, which is %v", x.Kind, x.Ticket, r.state[x.Ticket])
 		}
-		if x.Kind == Refuse {
-			if x.RetryIn < 0 || x.RetryIn > r.d.o.longest() {
-				return fmt.Errorf("told to stay away for %v", x.RetryIn)
+		if x.Kind == Reject {
+			if x.RetryAfter < 0 || x.RetryAfter > r.d.o.longest() {
+				return fmt.Errorf("told to stay away for %v", x.RetryAfter)
 			}
-			r.state[x.Ticket], r.told[x.Ticket] = none, x.RetryIn
+			r.state[x.Ticket], r.told[x.Ticket] = none, x.RetryAfter
 			continue
 		}
 		r.state[x.Ticket], r.passed[x.Ticket] = passes, r.now
@@ -56,11 +56,11 @@
 	if a.Class == "" {
 		a.Class = "search"
 	}
-	if a.Came == 0 {
-		a.Came = r.now
+	if a.ArrivedAt == 0 {
+		a.ArrivedAt = r.now
 	}
-	if a.Expires == 0 {
-		a.Expires = r.now + time.Second
+	if a.Deadline == 0 {
+		a.Deadline = r.now + time.Second
 	}
 	// The ticket is known once the call returns; before, its actions may name it.
 	t, acts := r.d.Arrive(r.now, a, nil)
@@ -68,7 +68,7 @@
 	return t, r.take(t, acts)
 }
 
-func (r *rig) done(t Ticket, how Result) error {
+func (r *rig) done(t Ticket, how Outcome) error {
 	if r.state[t] == passes {
 		r.state[t] = none
 	}
@@ -79,7 +79,7 @@
 	if r.state[t] == waits {
 		r.state[t] = none
 	}
-	return r.take(t, r.d.Leave(r.now, t, nil))
+	return r.take(t, r.d.Cancel(r.now, t, nil))
 }
 
 func (r *rig) wake() error { return r.take(0, r.d.Wake(r.now, nil)) }
@@ -99,15 +99,15 @@
 			delete(r.bytes, t)
 		}
 	}
-	v := d.View()
+	v := d.Stats()
 	switch {
-	case v.Waiting != waiting || v.InHand != inHand || v.Bytes != held:
+	case v.Queued != waiting || v.InFlight != inHand || v.QueuedBytes != held:
 		return fmt.Errorf("view %+v, and %d wait with %d bytes, %d are in hand", v, waiting, held, inHand)
-	case v.Waiting > d.o.Waiting || v.Bytes > int64(d.o.Bytes) || v.Known > d.o.Known || v.Promises > d.o.Promises:
+	case v.Queued > d.o.MaxQueued || v.QueuedBytes > int64(d.o.MaxQueuedBytes) || v.Principals > d.o.MaxPrincipals || v.Reservations > d.o.MaxReservations:
 		return fmt.Errorf("over a bound: %+v", v)
-	case v.Waiting > 0 && v.InHand < v.Limit:
-		return fmt.Errorf("%d wait while only %d of %d are in hand", v.Waiting, v.InHand, v.Limit)
-	case v.Limit < d.o.Least || v.Limit > d.o.Most:
+	case v.Queued > 0 && v.InFlight < v.Limit:
+		return fmt.Errorf("%d wait while only %d of %d are in hand", v.Queued, v.InFlight, v.Limit)
+	case v.Limit < d.o.MinLimit || v.Limit > d.o.MaxLimit:
 		return fmt.Errorf("limit %d", v.Limit)
 	}
 	known, promises, within := 0, 0, 0
@@ -116,7 +116,7 @@
 			known++
 		}
 		within += g.waiting + g.passed
-		if len(g.flows) > max(1, d.o.Known/flowPart) {
+		if len(g.flows) > max(1, d.o.MaxPrincipals/flowPart) {
 			return fmt.Errorf("%q has %d flows", name, len(g.flows))
 		}
 		known += len(g.flows)
@@ -153,10 +153,10 @@
 			return fmt.Errorf("group %q is kept for nothing", name)
 		}
 	}
-	if within != v.Waiting+v.InHand {
+	if within != v.Queued+v.InFlight {
 		return fmt.Errorf("%d requests are of known groups, and the view has %+v", within, v)
 	}
-	if known != v.Known || promises != v.Promises {
+	if known != v.Principals || promises != v.Reservations {
 		return fmt.Errorf("%d known, %d promises, and the view has %+v", known, promises, v)
 	}
 	return nil
@@ -174,7 +174,7 @@
 		switch kind := draw(10); {
 		case kind < 5:
 			a := Arrival{Group: fmt.Sprint("g", draw(6)), Class: []string{"search", "pay", "unknown"}[draw(3)],
-				Hint: time.Duration(draw(50)) * time.Millisecond, Bytes: int64(draw(200)), Repeat: draw(4) == 0}
+				CostHint: time.Duration(draw(50)) * time.Millisecond, Bytes: int64(draw(200)), Retry: draw(4) == 0}
 			if draw(2) == 0 {
 				a.Flow = fmt.Sprint("f", draw(40))
 			}
@@ -182,9 +182,9 @@
 				a.Group = fmt.Sprint("once", draw(1<<16))
 			}
 			if draw(10) == 0 {
-				a.Came = r.now - time.Duration(draw(2000))*time.Millisecond
+				a.ArrivedAt = r.now - time.Duration(draw(2000))*time.Millisecond
 			}
-			a.Expires = r.now + time.Duration(draw(1500))*time.Millisecond
+			a.Deadline = r.now + time.Duration(draw(1500))*time.Millisecond
 			t, err := r.arrive(a)
 			open = append(open, t)
 			return err
@@ -196,13 +196,13 @@
 			if draw(4) == 0 {
 				return r.leave(t)
 			}
-			return r.done(t, Result(draw(3)))
+			return r.done(t, Outcome(draw(3)))
 		case kind == 8:
 			return r.wake()
 		default:
 			o := r.d.o
 			o.Weights = []Weight{{"g1", float64(draw(4))}, {"g2", float64(draw(4)) / 2}, {"g3", 0}}
-			o.Least = 1 + draw(4)
+			o.MinLimit = 1 + draw(4)
 			r.d.Configure(r.now, o)
 			return r.wake()
 		}
@@ -212,11 +212,11 @@
 			return fmt.Errorf("step %d: %w", i, err)
 		}
 	}
-	for r.d.View().InHand+r.d.View().Waiting > 0 {
+	for r.d.Stats().InFlight+r.d.Stats().Queued > 0 {
 		r.now += 10 * time.Millisecond
 		for t, s := range r.state {
 			if s == passes {
-				if err := r.done(t, Answered); err != nil {
+				if err := r.done(t, Completed); err != nil {
 					return err
 				}
 			}
@@ -229,7 +229,7 @@
 	if err := r.wake(); err != nil {
 		return err
 	}
-	if v := r.d.View(); v.Known != 0 || v.Promises != 0 || len(r.d.groups) != 0 {
+	if v := r.d.Stats(); v.Principals != 0 || v.Reservations != 0 || len(r.d.groups) != 0 {
 		return fmt.Errorf("at the end %+v and %d groups are left", v, len(r.d.groups))
 	}
 	return nil
@@ -237,7 +237,7 @@
 
 func smallOptions() Options {
 	o := Default()
-	o.Waiting, o.Bytes, o.Known, o.Promises, o.Least, o.Most = 20, 1500, 32, 12, 2, 6
+	o.MaxQueued, o.MaxQueuedBytes, o.MaxPrincipals, o.MaxReservations, o.MinLimit, o.MaxLimit = 20, 1500, 32, 12, 2, 6
 	return o
 }
 
@@ -279,7 +279,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		o := Default()
 		places := rapid.IntRange(1, 6).Draw(t, "places")
-		o.Least, o.Most, o.Waiting = places, places, 1000
+		o.MinLimit, o.MaxLimit, o.MaxQueued = places, places, 1000
 		n := rapid.IntRange(2, 5).Draw(t, "principals")
 		weights := make([]float64, n)
 		for i := range n {
@@ -289,7 +289,7 @@
 		r := newRig(o)
 		who := map[Ticket]int{}
 		feed := func(i int) {
-			ticket, err := r.arrive(Arrival{Group: fmt.Sprint(i), Expires: r.now + 100*time.Hour, Came: r.now + time.Hour})
+			ticket, err := r.arrive(Arrival{Group: fmt.Sprint(i), Deadline: r.now + 100*time.Hour, ArrivedAt: r.now + time.Hour})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -322,7 +322,7 @@
 			run = append(run[:next], run[next+1:]...)
 			cost := (x.ends - r.passed[x.t]).Seconds()
 			r.now = x.ends
-			if err := r.done(x.t, Answered); err != nil {
+			if err := r.done(x.t, Completed); err != nil {
 				t.Fatal(err)
 			}
 			took[who[x.t]] += cost
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -12,20 +12,20 @@
 
 // Options are a Door's parameters. With Service and By they are its part of the operator's file.
 type Options struct {
-	Service  string     `toml:"service" doc:"Whose door it is: a service's name, or \"platform\" beside the platform's file."`
-	By       []string   `toml:"by" default:"tenant" doc:"Between whom it is fair: one or two of \"tenant\" (as the route reads it), \"header:NAME\", \"certificate\" (the client's) and \"address\" (the peer's; IPv6 by /64). Of two, the second is fair within each of the first."`
-	Weights  []Weight   `toml:"weight" doc:"Principals, of the first of by, whose share is another than theirs."`
-	Weight   float64    `toml:"default_weight" default:"1" doc:"Weight of a principal that no [[door.weight]] names. 0: gets only what the others leave."`
-	Waiting  int        `toml:"waiting" default:"256" doc:"Requests that wait, at most. Each keeps its client's connection."`
-	Bytes    units.Size `toml:"bytes" default:"4MiB" doc:"Bytes of bodies that wait, at most."`
-	Known    int        `toml:"principals" default:"16384" doc:"Principals known at once, at most: those that wait, are in hand, owe or were promised something. More share 16 places by their names' hash."`
-	Promises int        `toml:"promises" default:"16384" doc:"Retry-After promises remembered, at most."`
-	Least    int        `toml:"limit_least" default:"8" doc:"Requests in hand beyond the door: what the limit never falls below."`
-	Most     int        `toml:"limit_most" default:"1024" doc:"And never rises above."`
-	Repeats  float64    `toml:"repeats" default:"0.2" doc:"While requests wait: repeats of clients as a part of first requests, of each principal and of all together."`
-	Marked   string     `toml:"repeat_header" default:"X-Retried" doc:"The header by which clients mark their repeats, with any value but \"0\"."`
+	Service          string     `toml:"service" doc:"Whose door it is: a service's name, or \"platform\" beside the platform's file."`
+	PrincipalSources []string   `toml:"by" default:"tenant" doc:"Between whom it is fair: one or two of \"tenant\" (as the route reads it), \"header:NAME\", \"certificate\" (the client's) and \"address\" (the peer's; IPv6 by /64). Of two, the second is fair within each of the first."`
+	Weights          []Weight   `toml:"weight" doc:"Principals, of the first of by, whose share is another than theirs."`
+	DefaultWeight    float64    `toml:"default_weight" default:"1" doc:"Weight of a principal that no [[door.weight]] names. 0: gets only what the others leave."`
+	MaxQueued        int        `toml:"waiting" default:"256" doc:"Requests that wait, at most. Each keeps its client's connection."`
+	MaxQueuedBytes   units.Size `toml:"bytes" default:"4MiB" doc:"Bytes of bodies that wait, at most."`
+	MaxPrincipals    int        `toml:"principals" default:"16384" doc:"Principals known at once, at most: those that wait, are in hand, owe or were promised something. More share 16 places by their names' hash."`
+	MaxReservations  int        `toml:"promises" default:"16384" doc:"Retry-After promises remembered, at most."`
+	MinLimit         int        `toml:"limit_least" default:"8" doc:"Requests in hand beyond the door: what the limit never falls below."`
+	MaxLimit         int        `toml:"limit_most" default:"1024" doc:"And never rises above."`
+	RetryRatio       float64    `toml:"repeats" default:"0.2" doc:"While requests wait: repeats of clients as a part of first requests, of each principal and of all together."`
+	RetryHeader      string     `toml:"repeat_header" default:"X-Retried" doc:"The header by which clients mark their repeats, with any value but \"0\"."`
 
-	Longest time.Duration // that a refused client is told to stay away; 0: LongestDefault. It is the service's retry_after
+	MaxRetryAfter time.Duration // that a refused client is told to stay away; 0: DefaultMaxRetryAfter. It is the service's retry_after
 }
 
 // Weight is a principal's.
@@ -36,8 +36,8 @@
 
 // Default is what holds where nothing is said.
 func Default() Options {
-	return Options{By: []string{"tenant"}, Weight: 1, Waiting: 256, Bytes: 4 * units.MiB, Known: 16384, Promises: 16384,
-		Least: 8, Most: 1024, Repeats: 0.2, Marked: "X-Retried"}
+	return Options{PrincipalSources: []string{"tenant"}, DefaultWeight: 1, MaxQueued: 256, MaxQueuedBytes: 4 * units.MiB, MaxPrincipals: 16384, MaxReservations: 16384,
+		MinLimit: 8, MaxLimit: 1024, RetryRatio: 0.2, RetryHeader: "X-Retried"}
 }
 
 // Bounds of the options themselves.
@@ -49,12 +49,12 @@
 	longestWait = time.Hour
 )
 
-// LongestDefault is the longest time to stay away where none is set.
-const LongestDefault = 5 * time.Second
+// DefaultMaxRetryAfter is the longest time to stay away where none is set.
+const DefaultMaxRetryAfter = 5 * time.Second
 
 // longest is Longest within what the calendar can hold.
 func (o *Options) longest() time.Duration {
-	return min(longestWait, max(calendarStep, cmp.Or(o.Longest, LongestDefault)))
+	return min(longestWait, max(calendarStep, cmp.Or(o.MaxRetryAfter, DefaultMaxRetryAfter)))
 }
 
 // Check is tomlfile.Checker's.
@@ -62,12 +62,12 @@
 	if o.Service == "" {
 		report("service", "missing")
 	}
-	if _, err := ParseBy(o.By); err != nil {
+	if _, err := ParsePrincipalSources(o.PrincipalSources); err != nil {
 		report("by", "%v", err)
 	}
 	usable := func(w float64) bool { return w >= 0 && w <= maxWeight }
-	if !usable(o.Weight) {
-		report("default_weight", "%v is not from 0 to %v", o.Weight, maxWeight)
+	if !usable(o.DefaultWeight) {
+		report("default_weight", "%v is not from 0 to %v", o.DefaultWeight, maxWeight)
 	}
 	named := map[string]bool{}
 	for _, w := range o.Weights {
@@ -86,19 +86,19 @@
 			report(key, "%d is not from %d to %d", n, least, most)
 		}
 	}
-	between("waiting", o.Waiting, 1, maxWaiting)
-	between("principals", o.Known, 16, maxKnown)
-	between("promises", o.Promises, 0, maxKnown)
-	between("limit_least", o.Least, 1, o.Most)
-	between("limit_most", o.Most, 1, maxLimit)
-	if o.Marked != "" && !httpguts.ValidHeaderFieldName(o.Marked) {
-		report("repeat_header", "%q is no header's name", o.Marked)
+	between("waiting", o.MaxQueued, 1, maxWaiting)
+	between("principals", o.MaxPrincipals, 16, maxKnown)
+	between("promises", o.MaxReservations, 0, maxKnown)
+	between("limit_least", o.MinLimit, 1, o.MaxLimit)
+	between("limit_most", o.MaxLimit, 1, maxLimit)
+	if o.RetryHeader != "" && !httpguts.ValidHeaderFieldName(o.RetryHeader) {
+		report("repeat_header", "%q is no header's name", o.RetryHeader)
 	}
-	if o.Bytes < 0 {
-		report("bytes", "%v is negative", o.Bytes)
+	if o.MaxQueuedBytes < 0 {
+		report("bytes", "%v is negative", o.MaxQueuedBytes)
 	}
-	if !(o.Repeats >= 0) || math.IsInf(o.Repeats, 0) || o.Repeats > 100 {
-		report("repeats", "%v is not a part of the first requests", o.Repeats)
+	if !(o.RetryRatio >= 0) || math.IsInf(o.RetryRatio, 0) || o.RetryRatio > 100 {
+		report("repeats", "%v is not a part of the first requests", o.RetryRatio)
 	}
 }
 
--- a/internal/admission/principal.go
+++ b/internal/admission/principal.go
@@ -11,29 +11,29 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// Who is what a front knows of a request's sender. What a client says of itself (Tenant, Header) it can forge; a
+// Client is what a front knows of a request's sender. What a client says of itself (Tenant, Header) it can forge; a
 // certificate it can't, and an address only as far as its network lets it.
-type Who struct {
+type Client struct {
 	Tenant      string
 	Header      func(name string) string // nil: there are none
 	Certificate func() string            // the name that its certificate bears; empty: it showed none. nil: nobody shows one
 	Peer        func() netip.Addr        // nil: not known
 }
 
-// By tells principals apart.
-type By []source
+// PrincipalSources tells principals apart.
+type PrincipalSources []source
 
 type source struct {
 	kind   string
 	header string
 }
 
-// ParseBy reads what Options.By says: one or two sources.
-func ParseBy(words []string) (By, error) {
+// ParsePrincipalSources reads what Options.PrincipalSources says: one or two sources.
+func ParsePrincipalSources(words []string) (PrincipalSources, error) {
 	if len(words) < 1 || len(words) > 2 {
 		return nil, fmt.Errorf("%d are given: one or two are needed", len(words))
 	}
-	by := make(By, len(words))
+	by := make(PrincipalSources, len(words))
 	for i, word := range words {
 		kind, name, named := strings.Cut(word, ":")
 		switch {
@@ -56,14 +56,14 @@
 
 // Names are a request's principals: of the group, and of the flow within it (empty where By has one source). A request
 // that has none of a source is the principal "".
-func (by By) Names(w Who) (group, flow string) {
+func (by PrincipalSources) Names(w Client) (group, flow string) {
 	if len(by) > 1 {
 		flow = by[1].name(w)
 	}
 	return by[0].name(w), flow
 }
 
-func (s source) name(w Who) string {
+func (s source) name(w Client) string {
 	var name string
 	switch s.kind {
 	case "tenant":
--- a/internal/admission/promise.go
+++ b/internal/admission/promise.go
@@ -106,7 +106,7 @@
 
 // redeem uses up the earliest promise that holds now and was given to such a request. Others of the principal don't use it
 // up, and a request for something else gains nothing by coming in its place.
-func (d *Door) redeem(f *flow, print uint64) bool {
+func (d *Queue) redeem(f *flow, print uint64) bool {
 	for i := range f.promises {
 		p := f.promises[i]
 		if d.now < p.at-early {
@@ -124,11 +124,11 @@
 
 // promise finds when a flow's next refused request is to come back, and tells whether that is remembered. What is stays
 // within promisedWithin of the longest time, what is not is spread over the rest of it.
-func (d *Door) promise(e *entry) (in time.Duration, kept bool) {
+func (d *Queue) promise(e *entry) (in time.Duration, kept bool) {
 	f, cost := e.flow, max(costLeast, e.class.usual)
 	longest := d.o.longest()
 	within := time.Duration(promisedWithin * float64(longest))
-	if rate := d.rateOf(f); rate > 0 && len(f.promises) < flowPromises && d.promises < d.o.Promises {
+	if rate := d.rateOf(f); rate > 0 && len(f.promises) < flowPromises && d.promises < d.o.MaxReservations {
 		// Half of what the flow gets goes to those who were promised it, and so does half of what all get.
 		wait := max(early, time.Duration(min((d.ahead(f)+(f.promised+cost)/promisedPart)/rate, longest.Seconds())*float64(time.Second)))
 		most := d.limit.limit / d.crowdedCost() * promisedPart * d.calendar.step.Seconds()
@@ -145,7 +145,7 @@
 }
 
 // fixLapse keeps a flow in the order in which its next promise lapses.
-func (d *Door) fixLapse(f *flow) {
+func (d *Queue) fixLapse(f *flow) {
 	if len(f.promises) == 0 {
 		d.lapses.Remove(f)
 		return
@@ -155,7 +155,7 @@
 }
 
 // lapse forgets what was promised and not come for.
-func (d *Door) lapse() {
+func (d *Queue) lapse() {
 	for d.lapses.Len() > 0 && d.lapses.First().lapse < d.now {
 		f := d.lapses.First()
 		for i := 0; i < len(f.promises); {
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -395,14 +395,14 @@
 		for _, r := range all {
 			tenants = tenants || r.Service == s.Name && !r.Tenant.None()
 		}
-		if slices.Contains(o.By, "tenant") && !tenants {
+		if slices.Contains(o.PrincipalSources, "tenant") && !tenants {
 			doc.Report(at+".by", "no route of service %s says where a tenant stands", s.Name)
 		}
-		if slices.Contains(o.By, "certificate") && p.TLS.ClientCA == "" {
+		if slices.Contains(o.PrincipalSources, "certificate") && p.TLS.ClientCA == "" {
 			doc.Report(at+".by", "clients show no certificates: [tls] has no client_ca")
 		}
 		if s.Settings.RetryAfterAllowed {
-			o.Longest = s.Settings.MaxRetryAfter
+			o.MaxRetryAfter = s.Settings.MaxRetryAfter
 		}
 		s.Door = &o
 	}
@@ -464,7 +464,7 @@
 			continue
 		}
 		p.Door = o
-		for _, by := range o.By {
+		for _, by := range o.PrincipalSources {
 			if by == "address" || by == "certificate" {
 				doc.Report(fmt.Sprintf("door[%d].by", i), "a plug-in's callers have no %s: \"tenant\" and \"header:NAME\", of the metadata, tell them apart", by)
 			}
--- a/internal/daemon/door.go
+++ b/internal/daemon/door.go
@@ -15,18 +15,18 @@
 
 // door has a request wait until its turn has come, where its service has a door. The answer is not nil where it goes no
 // further: nothing of it was sent.
-func (s *server) door(r *http.Request, svc *service, req *downstream.Request, begun time.Duration, body int) (controller.Pass, *engine.Answer) {
+func (s *server) door(r *http.Request, svc *service, req *downstream.Request, begun time.Duration, body int) (controller.Permit, *engine.Answer) {
 	k := svc.door.Load()
 	if k == nil {
-		return controller.Pass{}, nil
+		return controller.Permit{}, nil
 	}
-	marked := r.Header.Get(k.RepeatHeader())
-	pass, verdict, in := k.Enter(r.Context(), whoOf(r, req.Tenant), admission.Arrival{Class: req.Class.Name, Hint: req.Hint, Came: begun,
-		Expires: begun + req.Timeout, Bytes: int64(body), Repeat: marked != "" && marked != "0", Print: printOf(req)})
+	marked := r.Header.Get(k.RetryHeader())
+	pass, verdict, in := k.Acquire(r.Context(), whoOf(r, req.Tenant), admission.Arrival{Class: req.Class.Name, CostHint: req.Hint, ArrivedAt: begun,
+		Deadline: begun + req.Timeout, Bytes: int64(body), Retry: marked != "" && marked != "0", Fingerprint: printOf(req)})
 	switch verdict {
-	case controller.Refused:
+	case controller.Rejected:
 		return pass, &engine.Answer{Kind: engine.Rejected, RetryAfter: in}
-	case controller.Left:
+	case controller.ClientLeft:
 		return pass, &engine.Answer{Kind: engine.ClientGone}
 	}
 	return pass, nil
@@ -44,8 +44,8 @@
 }
 
 // whoOf is what is known of a request's sender.
-func whoOf(r *http.Request, tenant string) admission.Who {
-	return admission.Who{Tenant: tenant, Header: r.Header.Get,
+func whoOf(r *http.Request, tenant string) admission.Client {
+	return admission.Client{Tenant: tenant, Header: r.Header.Get,
 		Peer: func() netip.Addr {
 			a, err := netip.ParseAddrPort(r.RemoteAddr)
 			if err != nil { // the library writes it
--- a/internal/daemon/door_test.go
+++ b/internal/daemon/door_test.go
@@ -103,18 +103,18 @@
 	return slices.Clone(r.ends[path])
 }
 
-func (r *doorRig) view() admission.View {
+func (r *doorRig) view() admission.Stats {
 	k := r.d.routing.Load().services["seats"].door.Load()
 	if k == nil {
-		return admission.View{}
+		return admission.Stats{}
 	}
-	return k.View()
+	return k.Stats()
 }
 
 // holding waits until so many wait at the door.
 func (r *doorRig) holding(t *testing.T, n int) {
 	t.Helper()
-	testutil.Eventually(t, fmt.Sprint(n, " wait"), func() bool { return r.view().Waiting == n })
+	testutil.Eventually(t, fmt.Sprint(n, " wait"), func() bool { return r.view().Queued == n })
 }
 
 func (r *doorRig) next(t *testing.T) string {
--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -193,12 +193,12 @@
 				x := &operation{exchange: exchange{pool: o.pool, request: o.request}, call: c, decision: *d}
 				return x, x.end
 			}))
-			pass.Done(controller.Ended(o.answer))
+			pass.Done(controller.OutcomeOf(o.answer))
 			return
 		}
 		c.svc.probes.before(c.r.Context())
 		o.answer = c.svc.engine.Do(c.r.Context(), call, o)
-		pass.Done(controller.Ended(o.answer))
+		pass.Done(controller.OutcomeOf(o.answer))
 	}
 	switch o.answer.Kind {
 	case engine.Rejected, engine.Failed, engine.EngineClosed:
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -189,7 +189,7 @@
 			x := &exchange{pool: svc.pool, request: out}
 			return x, x.end
 		}))
-		pass.Done(controller.Ended(a))
+		pass.Done(controller.OutcomeOf(a))
 		switch {
 		case conflict != 0:
 			v.say(w, conflict, conflictText(conflict))
@@ -202,7 +202,7 @@
 	}
 	svc.probes.before(r.Context())
 	a := svc.engine.Do(ctx, call, x)
-	pass.Done(controller.Ended(a))
+	pass.Done(controller.OutcomeOf(a))
 	if v.rest && a.Kind != engine.Served {
 		v.endEarly(a, out.Upload)
 		return false
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -74,12 +74,12 @@
 	pool    *upstream.Pool
 	dir     *endpoints.Directory
 	feed    *discovery.Feed
-	narrow  *discovery.Narrowed               // before the feed; nil: every upstream is its own
-	asked   atomic.Int64                      // requests so far
-	repeats atomic.Pointer[executor.Keeper]   // nil: repeats are not looked for
-	probes  *probing                          // nil: nobody is probed
-	keys    *tlscredentials.Store             // nil: connections are not encrypted
-	door    atomic.Pointer[controller.Keeper] // nil: there is none
+	narrow  *discovery.Narrowed                   // before the feed; nil: every upstream is its own
+	asked   atomic.Int64                          // requests so far
+	repeats atomic.Pointer[executor.Keeper]       // nil: repeats are not looked for
+	probes  *probing                              // nil: nobody is probed
+	keys    *tlscredentials.Store                 // nil: connections are not encrypted
+	door    atomic.Pointer[controller.Controller] // nil: there is none
 
 	stop    context.CancelFunc // of what runs beside requests
 	running sync.WaitGroup
@@ -172,20 +172,20 @@
 	now := s.door.Load()
 	if plan.Door != nil { // before the bulkhead, which knows no principals, has to turn anybody away
 		o, part := *plan.Door, max(1, (s.shared.connections-s.shared.connections/handSpare)/2)
-		o.Waiting, o.Most = min(o.Waiting, part), min(o.Most, part)
-		o.Least = min(o.Least, o.Most)
+		o.MaxQueued, o.MaxLimit = min(o.MaxQueued, part), min(o.MaxLimit, part)
+		o.MinLimit = min(o.MinLimit, o.MaxLimit)
 		plan.Door = &o
 	}
 	switch {
 	case plan.Door == nil && now != nil:
 		s.door.Store(nil)
-		now.Open()
+		now.AdmitAll()
 	case plan.Door != nil && now != nil:
 		return now.Configure(*plan.Door)
 	case plan.Door != nil:
-		k, err := controller.New(controller.Options{Door: *plan.Door, Classes: plan.Settings.Classes, Clock: s.shared.clock,
+		k, err := controller.New(controller.Options{Queue: *plan.Door, Classes: plan.Settings.Classes, Clock: s.shared.clock,
 			Seed: s.shared.seed ^ xxhash.Sum64String("door/"+plan.Name), Log: s.shared.log.With("service", plan.Name),
-			Tells: plan.Settings.RetryAfterAllowed})
+			SendRetryAfter: plan.Settings.RetryAfterAllowed})
 		if err != nil {
 			return fmt.Errorf("door: %w", err)
 		}
--- a/internal/measure/door.go
+++ b/internal/measure/door.go
@@ -38,7 +38,7 @@
 func ourDoor(change func(*admission.Options)) func(uint64) admissionsim.Gate {
 	return func(seed uint64) admissionsim.Gate {
 		o := admission.Default()
-		o.By = []string{"tenant"}
+		o.PrincipalSources = []string{"tenant"}
 		if change != nil {
 			change(&o)
 		}
@@ -68,7 +68,7 @@
 	{"deficit round robin", func(uint64) admissionsim.Gate {
 		return admissionsim.NewQueue(admissionsim.NewDRR(), admissionsim.Fixed(doorPlaces), 256)
 	}},
-	{"door, the same fixed limit", ourDoor(func(o *admission.Options) { o.Least, o.Most = doorPlaces, doorPlaces })},
+	{"door, the same fixed limit", ourDoor(func(o *admission.Options) { o.MinLimit, o.MaxLimit = doorPlaces, doorPlaces })},
 	{"door", ourDoor(nil)},
 }
 
@@ -89,7 +89,7 @@
 	{"Vegas", func(uint64) admissionsim.Gate {
 		return admissionsim.NewQueue(admissionsim.NewFIFO(), &admissionsim.Vegas{}, 256)
 	}},
-	{"door", ourDoor(func(o *admission.Options) { o.By = []string{"tenant"} })},
+	{"door", ourDoor(func(o *admission.Options) { o.PrincipalSources = []string{"tenant"} })},
 }
 
 func quiet(n int, rate float64) (c []admissionsim.Client) {
--- a/internal/simulation/admissionsim/doorsim.go
+++ b/internal/simulation/admissionsim/doorsim.go
@@ -19,7 +19,7 @@
 // Gate is a door, or what is held beside one. *door.Door is one.
 type Gate interface {
 	Arrive(now time.Duration, a admission.Arrival, acts []admission.Action) (admission.Ticket, []admission.Action)
-	Done(now time.Duration, t admission.Ticket, how admission.Result, acts []admission.Action) []admission.Action
+	Done(now time.Duration, t admission.Ticket, how admission.Outcome, acts []admission.Action) []admission.Action
 	Wake(now time.Duration, acts []admission.Action) []admission.Action
 	Next() (time.Duration, bool)
 }
@@ -251,8 +251,8 @@
 	if c.Names {
 		flow = a.id
 	}
-	arrival := admission.Arrival{Group: c.Group, Flow: flow, Class: c.Class, Hint: time.Duration(c.Hint * float64(a.work)),
-		Came: s.Now(), Expires: a.expires, Bytes: 512, Repeat: c.Marks && a.tries > 1, Print: a.print}
+	arrival := admission.Arrival{Group: c.Group, Flow: flow, Class: c.Class, CostHint: time.Duration(c.Hint * float64(a.work)),
+		ArrivedAt: s.Now(), Deadline: a.expires, Bytes: 512, Retry: c.Marks && a.tries > 1, Fingerprint: a.print}
 	t, acts := s.gate.Arrive(s.Now(), arrival, s.doActs[:0])
 	s.doActs = nil
 	a.ticket = t
@@ -267,9 +267,9 @@
 		if a == nil {
 			continue
 		}
-		if x.Kind == admission.Refuse {
+		if x.Kind == admission.Reject {
 			delete(s.doors, x.Ticket)
-			s.refused(a, x.RetryIn, x.Kept)
+			s.refused(a, x.RetryAfter, x.Reserved)
 			continue
 		}
 		a.passed = true
@@ -429,7 +429,7 @@
 	delete(s.doors, a.ticket)
 	s.inHand--
 	seen := &s.out.Clients[a.client]
-	how := admission.Answered
+	how := admission.Completed
 	switch r {
 	case balancer.OK:
 		took := s.Now() - a.first
@@ -443,14 +443,14 @@
 		s.back(a, true)
 		s.again(a)
 	case balancer.Rejected:
-		how = admission.Turned
+		how = admission.RejectedByBalancer
 	default:
 		s.back(a, false)
 		seen.Failed++
 		s.again(a)
 	}
 	acts := s.gate.Done(s.Now(), a.ticket, how, nil)
-	if how == admission.Turned {
+	if how == admission.RejectedByBalancer {
 		s.refused(a, in, false)
 	}
 	s.act(acts)
--- a/internal/simulation/admissionsim/doorsim_test.go
+++ b/internal/simulation/admissionsim/doorsim_test.go
@@ -27,7 +27,7 @@
 	return r
 }
 
-func ours(change func(*admission.Options)) *admission.Door {
+func ours(change func(*admission.Options)) *admission.Queue {
 	o := admission.Default()
 	if change != nil {
 		change(&o)
@@ -101,7 +101,7 @@
 	if told < 1000 || float64(kept) < 0.9*float64(told) {
 		t.Errorf("%d of %d who came when promised were served", kept, told)
 	}
-	gate := &reweighed{Door: ours(nil), at: time.Hour + 5*time.Second}
+	gate := &reweighed{Queue: ours(nil), at: time.Hour + 5*time.Second}
 	r = play(t, 10, counters(n, 240), nil, gate)
 	ratio := func(from, to int) float64 {
 		mine, others := 0.0, 0.0
@@ -123,7 +123,7 @@
 
 // reweighed doubles the first counter's weight at a time.
 type reweighed struct {
-	*admission.Door
+	*admission.Queue
 	at   time.Duration
 	done bool
 }
@@ -135,7 +135,7 @@
 		g.Configure(now, o)
 		g.done = true
 	}
-	return g.Door.Arrive(now, a, acts)
+	return g.Queue.Arrive(now, a, acts)
 }
 
 // All nodes are slower by eight at the opening, and then back: the limit does not collapse, what can be done then is done,
@@ -177,7 +177,7 @@
 		clients = append(clients, more)
 	}
 	part := func(budget float64) float64 {
-		r := play(t, 18, clients, nil, ours(func(o *admission.Options) { o.Repeats = budget }))
+		r := play(t, 18, clients, nil, ours(func(o *admission.Options) { o.RetryRatio = budget }))
 		rate := func(from, to int) (sum float64) {
 			for _, c := range r.Clients {
 				for _, v := range c.Bins[from:to] {
@@ -207,7 +207,7 @@
 		clients = append(clients, Client{Group: fmt.Sprint(i), Class: "search", Work: work, Rate: 1e6, From: 3 * time.Second,
 			To: 3*time.Second + 2*time.Microsecond, Tries: 3, Obeys: true})
 	}
-	r := play(t, 10, clients, nil, ours(func(o *admission.Options) { o.Waiting, o.Longest = 100, 5*time.Second }))
+	r := play(t, 10, clients, nil, ours(func(o *admission.Options) { o.MaxQueued, o.MaxRetryAfter = 100, 5*time.Second }))
 	first, told, kept := 0, 0, 0
 	for _, c := range r.Clients[1:] {
 		first, told, kept = first+c.First, told+c.Told, kept+c.Kept
--- a/internal/simulation/admissionsim/gates.go
+++ b/internal/simulation/admissionsim/gates.go
@@ -62,7 +62,7 @@
 	t := q.next
 	e := &held{ticket: t, a: a, came: now, waits: true}
 	if out := q.of.full(e, q.n, q.most); out != nil {
-		acts = append(acts, admission.Action{Kind: admission.Refuse, Ticket: out.ticket, Reason: admission.Full})
+		acts = append(acts, admission.Action{Kind: admission.Reject, Ticket: out.ticket, Reason: admission.QueueFull})
 		if out == e {
 			return t, acts
 		}
@@ -83,26 +83,26 @@
 		}
 		q.n--
 		e.waits = false
-		if now >= e.a.Expires {
+		if now >= e.a.Deadline {
 			delete(q.all, e.ticket)
-			acts = append(acts, admission.Action{Kind: admission.Refuse, Ticket: e.ticket, Reason: admission.Expired})
+			acts = append(acts, admission.Action{Kind: admission.Reject, Ticket: e.ticket, Reason: admission.QueueTimeout})
 			continue
 		}
 		e.went = now
 		q.in++
-		acts = append(acts, admission.Action{Kind: admission.Pass, Ticket: e.ticket})
+		acts = append(acts, admission.Action{Kind: admission.Admit, Ticket: e.ticket})
 	}
 	return acts
 }
 
 // Done is Gate's.
-func (q *Queue) Done(now time.Duration, t admission.Ticket, how admission.Result, acts []admission.Action) []admission.Action {
+func (q *Queue) Done(now time.Duration, t admission.Ticket, how admission.Outcome, acts []admission.Action) []admission.Action {
 	e := q.all[t]
 	if e == nil {
 		return acts
 	}
 	delete(q.all, t)
-	q.limit.Sample(now, now-e.went, q.in, how == admission.Turned)
+	q.limit.Sample(now, now-e.went, q.in, how == admission.RejectedByBalancer)
 	q.in--
 	q.of.took(e, (now - e.went).Seconds())
 	return q.serve(now, acts)
@@ -175,7 +175,7 @@
 	// Overloaded: what waited beyond the target is dropped from the old end by ending its time, one with each turn.
 	if old := c.q[0]; now-old.came > c.target && len(c.q) > 1 {
 		c.q = c.q[1:]
-		old.a.Expires = 0
+		old.a.Deadline = 0
 		return old
 	}
 	e := c.q[len(c.q)-1]
