--- a/cmd/orchiddrift/check.go
+++ b/cmd/orchiddrift/check.go
@@ -43,7 +43,7 @@
 	}
 	lists := ""
 	if conf.Discovery != "" {
-		how := staleness.Options{Pushed: !conf.Settings.MustSubscribe, AskWithin: conf.Settings.AskWithin}
+		how := staleness.Options{Pushed: !conf.Settings.MustSubscribe, MaxPollAge: conf.Settings.AskWithin}
 		lists = "; lists are " + how.Describe()
 	}
 	_, err = fmt.Fprintf(w, "%s can be used: %d classes, %d upstreams known%s\n", path, len(conf.Settings.Classes), known, lists)
@@ -113,8 +113,8 @@
 		for _, r := range s.Registries {
 			fmt.Fprintf(w, ", %s", r.Describe())
 		}
-		if s.Subset.On {
-			fmt.Fprintf(w, ", %d to %d of them its own", s.Subset.Least, s.Subset.Most)
+		if s.Subset.Enabled {
+			fmt.Fprintf(w, ", %d to %d of them its own", s.Subset.MinSize, s.Subset.MaxSize)
 		}
 		if s.Door != nil {
 			fmt.Fprintf(w, ", a door fair by %s", strings.Join(s.Door.PrincipalSources, ", then by "))
--- a/grpcbalancer/attempt.go
+++ b/grpcbalancer/attempt.go
@@ -19,7 +19,7 @@
 
 	plugin   *Plugin
 	upstream string
-	place    endpoints.Place
+	place    endpoints.Instance
 	by       time.Time               // its pick is to come before; zero: at any time
 	caller   context.Context         // and before this ends
 	cancel   context.CancelCauseFunc // ends the RPC
--- a/grpcbalancer/call.go
+++ b/grpcbalancer/call.go
@@ -72,7 +72,7 @@
 
 // begin makes an attempt's record; nil where it is not to be sent.
 func (c *call) begin(ctx context.Context, a engine.Attempt) *attempt {
-	place, ok := c.p.directory.Place(a.Upstream)
+	place, ok := c.p.directory.Instance(a.Upstream)
 	if !ok {
 		return nil
 	}
--- a/grpcbalancer/eureka_test.go
+++ b/grpcbalancer/eureka_test.go
@@ -39,7 +39,7 @@
 		number, _ := strconv.Atoi(port)
 		e.Put(fakes.EurekaInstance{App: "SEATS", ID: n.Name, Host: host, IP: host, Port: number, Status: "UP"})
 	}
-	f = fakes.NewFlipper(e, "SEATS", endpoints.DrainWithin, names...)
+	f = fakes.NewFlipper(e, "SEATS", endpoints.DrainGrace, names...)
 	file := base.File(t, "o.toml", fmt.Appendf(nil, `
 [membership]
 flaps = 0
--- a/grpcbalancer/keys.go
+++ b/grpcbalancer/keys.go
@@ -45,7 +45,7 @@
 type guarded struct {
 	*tls.Conn
 	g  *guard
-	at endpoints.Place
+	at endpoints.Instance
 }
 
 func newGuard(t TLS, log *slog.Logger) (*guard, error) {
@@ -65,7 +65,7 @@
 
 // follow looks at the files until ctx ends, and names the places of connections that would not come up any more once
 // other authorities count.
-func (g *guard) follow(ctx context.Context, withdrawn func(map[endpoints.Place]bool)) {
+func (g *guard) follow(ctx context.Context, withdrawn func(map[endpoints.Instance]bool)) {
 	generation := g.store.Now().Generation
 	filewatch.Watch(ctx, keysEvery, func() {
 		g.store.Look()
@@ -74,7 +74,7 @@
 			return
 		}
 		generation = now
-		places := map[endpoints.Place]bool{}
+		places := map[endpoints.Instance]bool{}
 		g.mu.Lock()
 		for c := range g.open {
 			if !g.client.Trusts(c.Conn, c.at) {
@@ -97,9 +97,9 @@
 
 // ClientHandshake is credentials.TransportCredentials'. A handshake that fails is a connection that never came up.
 func (g *guard) ClientHandshake(ctx context.Context, _ string, raw net.Conn) (net.Conn, credentials.AuthInfo, error) {
-	at := endpoints.Place{Address: raw.RemoteAddr().String()}
+	at := endpoints.Instance{Address: raw.RemoteAddr().String()}
 	if a := credentials.ClientHandshakeInfoFromContext(ctx).Attributes; a != nil {
-		if place, ok := a.Value(placeKey{}).(endpoints.Place); ok {
+		if place, ok := a.Value(placeKey{}).(endpoints.Instance); ok {
 			at = place
 		}
 	}
@@ -139,7 +139,7 @@
 func (g *guard) OverrideServerName(string) error { return nil }
 
 // renew replaces the sub-connections to these places: streams that are open finish, new ones go by a new handshake.
-func (p *policy) renew(places map[endpoints.Place]bool) {
+func (p *policy) renew(places map[endpoints.Instance]bool) {
 	p.mu.RLock()
 	type stale struct {
 		name string
@@ -161,7 +161,7 @@
 }
 
 // withdrawn has every policy renew its sub-connections to places whose connections are no longer trusted.
-func (p *Plugin) withdrawn(places map[endpoints.Place]bool) {
+func (p *Plugin) withdrawn(places map[endpoints.Instance]bool) {
 	for _, q := range p.allPolicies() {
 		q.renew(places)
 	}
--- a/grpcbalancer/load.go
+++ b/grpcbalancer/load.go
@@ -95,11 +95,11 @@
 				continue
 			}
 			since := time.Time{}
-			if e.SinceMs > 0 {
-				since = time.UnixMilli(int64(e.SinceMs))
+			if e.StartedMs > 0 {
+				since = time.UnixMilli(int64(e.StartedMs))
 			}
-			o.Endpoints = append(o.Endpoints, Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type,
-				Group: e.Group, Since: since, Identity: e.Identity})
+			o.Endpoints = append(o.Endpoints, Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.MachineType,
+				Group: e.Cell, Since: since, Identity: e.TLSIdentity})
 		}
 		slices.SortStableFunc(o.Endpoints, func(a, b Endpoint) int { return cmp.Compare(a.Name, b.Name) })
 	}
--- a/grpcbalancer/picker.go
+++ b/grpcbalancer/picker.go
@@ -44,7 +44,7 @@
 
 type sub struct {
 	sc      balancer.SubConn
-	place   endpoints.Place
+	place   endpoints.Instance
 	address resolver.Address
 	state   connectivity.State
 }
@@ -58,7 +58,7 @@
 	for _, e := range s.ResolverState.Endpoints {
 		for _, address := range e.Addresses {
 			name, _ := address.Attributes.Value(nameKey{}).(string)
-			place, _ := address.Attributes.Value(placeKey{}).(endpoints.Place)
+			place, _ := address.Attributes.Value(placeKey{}).(endpoints.Instance)
 			wanted[name] = true
 			p.want(name, place, address)
 		}
@@ -76,7 +76,7 @@
 }
 
 // want makes sure that there is a sub-connection to that process of the upstream. It connects with the first pick.
-func (p *policy) want(name string, place endpoints.Place, address resolver.Address) {
+func (p *policy) want(name string, place endpoints.Instance, address resolver.Address) {
 	p.mu.RLock()
 	old := p.subs[name]
 	p.mu.RUnlock()
@@ -87,7 +87,7 @@
 }
 
 // replace makes a new sub-connection in the old one's place, if that is still there. Streams of the old one finish.
-func (p *policy) replace(name string, place endpoints.Place, address resolver.Address, old *sub) {
+func (p *policy) replace(name string, place endpoints.Instance, address resolver.Address, old *sub) {
 	s := &sub{place: place, address: address, state: connectivity.Idle}
 	//lint:ignore SA1019 each has one address; only several are deprecated
 	sc, err := p.cc.NewSubConn([]resolver.Address{address}, balancer.NewSubConnOptions{
@@ -118,7 +118,7 @@
 
 // drop shuts the sub-connection to an upstream that drains or is gone: streams that are open finish, and none is
 // opened any more, not even one that waits for the upstream's permission.
-func (p *policy) drop(name string, still endpoints.Place, ready bool) {
+func (p *policy) drop(name string, still endpoints.Instance, ready bool) {
 	p.mu.Lock()
 	s := p.subs[name]
 	if s != nil && (!ready || s.place != still) {
@@ -184,7 +184,7 @@
 }
 
 // addresses is the list as the resolver tells it.
-func addresses(p *Plugin, places map[string]endpoints.Place) resolver.State {
+func addresses(p *Plugin, places map[string]endpoints.Instance) resolver.State {
 	state := resolver.State{Attributes: attributes.New(pluginKey{}, p)}
 	for name, place := range places {
 		state.Endpoints = append(state.Endpoints, resolver.Endpoint{Addresses: []resolver.Address{{Addr: place.Address,
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -111,12 +111,12 @@
 type Plugin struct {
 	service        string
 	engine         *engine.Engine
-	directory      *endpoints.Directory
-	feed           *discovery.Feed
-	merged         *discovery.Merged   // nil: there is one list
-	narrow         *discovery.Narrowed // before the feed; nil: every upstream is its own
-	sink           endpoints.Sink      // where lists go
-	asked          atomic.Int64        // calls so far
+	directory      *endpoints.Registry
+	feed           *discovery.RegistrySink
+	merged         *discovery.MergedSource // nil: there is one list
+	narrow         *discovery.SubsetSink   // before the feed; nil: every upstream is its own
+	sink           endpoints.Sink          // where lists go
+	asked          atomic.Int64            // calls so far
 	methods        *methods
 	answers        map[codes.Code]bool
 	connectTimeout time.Duration
@@ -175,7 +175,7 @@
 	}
 	clk := clock.New()
 	p.directory = endpoints.New(clk, p.dropped)
-	p.feed = discovery.NewFeed(p.directory, p.update)
+	p.feed = discovery.NewRegistrySink(p.directory, p.update)
 	log := logging.To(o.Log)
 	if o.TLS != nil {
 		if p.guard, err = newGuard(*o.TLS, log); err != nil {
@@ -196,13 +196,13 @@
 		p.warming = &warming{used: map[string]bool{}, w: prewarm.New(file.Warm, maxSubs,
 			rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String("warm"))))}
 	}
-	source, known, err := p.openSource(o, file, known, staleness.Options{Pushed: !set.MustSubscribe, Sidecars: set.FleetSize}, log)
+	source, known, err := p.openSource(o, file, known, staleness.Options{Pushed: !set.MustSubscribe, FleetSize: set.FleetSize}, log)
 	if err != nil {
 		return nil, fmt.Errorf("orchidgrpc: %w", err)
 	}
 	p.sink = p.feed
-	if file.Subset.On {
-		p.narrow = discovery.NewNarrowed(subset.New(file.Subset, fmt.Sprintf("%016x", o.Seed), set.Zone, math.MaxInt32), p.feed, p.asked.Load)
+	if file.Subset.Enabled {
+		p.narrow = discovery.NewSubsetSink(subset.New(file.Subset, fmt.Sprintf("%016x", o.Seed), set.Zone, math.MaxInt32), p.feed, p.asked.Load)
 		p.sink = p.narrow
 		if known != nil {
 			known = p.narrow.Load(known)
@@ -210,14 +210,14 @@
 	}
 	var members balancer.EndpointUpdate
 	if known != nil {
-		members = p.feed.Take(known)
+		members = p.feed.Apply(known)
 	}
 	subscribe := func() {}
 	if source != nil {
-		subscribe = source.Ask
+		subscribe = source.Refresh
 	}
 	p.engine, err = engine.New(engine.Options{Settings: set, Seed: o.Seed, Clock: clk, CachedEndpoints: members.Endpoints,
-		Subscribe: subscribe, WaitForUpdates: p.feed.Settle, Log: log, CancelWithCaller: true})
+		Subscribe: subscribe, WaitForUpdates: p.feed.WaitForUpdates, Log: log, CancelWithCaller: true})
 	if err != nil {
 		return nil, fmt.Errorf("orchidgrpc: Settings: %w", err)
 	}
@@ -242,8 +242,8 @@
 }
 
 // openSource makes the source of the list, and the list to begin with; nil: the list is SetEndpoints' alone.
-func (p *Plugin) openSource(o Options, file config.PluginFile, known *endpoints.Listing, follow staleness.Options, log *slog.Logger) (endpoints.Source,
-	*endpoints.Listing, error) {
+func (p *Plugin) openSource(o Options, file config.PluginFile, known *endpoints.List, follow staleness.Options, log *slog.Logger) (endpoints.Source,
+	*endpoints.List, error) {
 	var own endpoints.Source
 	if o.Discovery != "" {
 		own = discovery.New(discovery.Options{Address: o.Discovery, Index: o.Version, ConnectTimeout: p.connectTimeout,
@@ -252,16 +252,16 @@
 	if len(file.Registries) == 0 {
 		return own, known, nil
 	}
-	sources := []discovery.Named{{Name: ownList, Source: own, Known: known, Leads: true}}
+	sources := []discovery.NamedSource{{Name: ownList, Source: own, Initial: known, Primary: true}}
 	for _, r := range file.Registries {
 		one, err := eureka.New(r, p.connectTimeout, o.Seed^xxhash.Sum64String(r.Name), log)
 		if err != nil {
 			return nil, nil, err
 		}
-		sources = append(sources, discovery.Named{Name: r.Name, Source: one})
+		sources = append(sources, discovery.NamedSource{Name: r.Name, Source: one})
 	}
 	var err error
-	if p.merged, err = discovery.NewMerged(file.Members, log, sources...); err != nil {
+	if p.merged, err = discovery.NewMergedSource(file.Members, log, sources...); err != nil {
 		return nil, nil, err
 	}
 	return p.merged, p.merged.Load(), nil
@@ -354,8 +354,8 @@
 // Upstreams is what the module makes of the upstreams now, for those who look on.
 func (p *Plugin) Upstreams() []balancer.UpstreamView { return p.engine.View() }
 
-func listing(list []Endpoint, version int64) (*endpoints.Listing, error) {
-	l := &endpoints.Listing{Index: &version, Snapshot: true}
+func listing(list []Endpoint, version int64) (*endpoints.List, error) {
+	l := &endpoints.List{Index: &version, Snapshot: true}
 	names := map[string]bool{}
 	for _, e := range list {
 		if e.Name == "" || names[e.Name] {
@@ -369,8 +369,8 @@
 		if !e.Since.IsZero() {
 			since = float64(e.Since.UnixMilli())
 		}
-		l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type,
-			Group: e.Group, Status: endpoints.StatusReady, SinceMs: since, Identity: e.Identity})
+		l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, MachineType: e.Type,
+			Cell: e.Group, Status: endpoints.StatusReady, StartedMs: since, TLSIdentity: e.Identity})
 	}
 	return l, nil
 }
@@ -394,7 +394,7 @@
 
 // dropped shuts the sub-connections to an upstream at once, without the way through the resolvers.
 func (p *Plugin) dropped(name string) {
-	place, ready := p.directory.Place(name)
+	place, ready := p.directory.Instance(name)
 	for _, q := range p.allPolicies() {
 		q.drop(name, place, ready)
 	}
--- a/grpcbalancer/resolver.go
+++ b/grpcbalancer/resolver.go
@@ -30,7 +30,7 @@
 func (r *listResolver) tell() {
 	r.p.tellMu.Lock()
 	defer r.p.tellMu.Unlock()
-	_ = r.cc.UpdateState(addresses(r.p, r.p.directory.Places()))
+	_ = r.cc.UpdateState(addresses(r.p, r.p.directory.Instances()))
 }
 
 func (r *listResolver) ResolveNow(resolver.ResolveNowOptions) {}
--- a/grpcbalancer/warm.go
+++ b/grpcbalancer/warm.go
@@ -49,10 +49,10 @@
 		if len(policies) == 0 { // nobody calls yet
 			continue
 		}
-		now, places := c.Now(), p.directory.Places()
+		now, places := c.Now(), p.directory.Instances()
 		ready := make(map[string]uint64, len(places))
 		for name, at := range places {
-			ready[name] = at.Process()
+			ready[name] = at.ProcessID()
 		}
 		w.Members(now, ready)
 		open := subStates(policies)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,7 +23,7 @@
 	Discovery string
 	Seed      uint64
 	Limits    Limits
-	Known     *endpoints.Listing // the list of upstreams as last held; nil: none
+	Known     *endpoints.List // the list of upstreams as last held; nil: none
 	Settings  settings.Settings
 	GRPC      *GRPC // of the plug-in; nil: the file has no such part
 }
@@ -158,7 +158,7 @@
 		add("seed", fmt.Errorf("%q is not a 64-bit hexadecimal number", seed))
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		c.Known, err = endpoints.ParseListing(file.Known)
+		c.Known, err = endpoints.ParseList(file.Known)
 		add("known", err)
 	}
 	if len(file.Settings) == 0 {
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -162,7 +162,7 @@
 		}
 	}
 	if from == 1 && len(s.entries()) > 0 {
-		if err := listfile.Problem(s.entries()); err != nil {
+		if err := listfile.Validate(s.entries()); err != nil {
 			report("", "%v", err)
 		}
 	}
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -70,7 +70,7 @@
 	// Where its upstreams come from: Discovery, ListFile or else Known alone.
 	Discovery string
 	ListFile  string
-	Known     *endpoints.Listing // as last held, or the whole of it; nil: none
+	Known     *endpoints.List // as last held, or the whole of it; nil: none
 
 	Door *admission.Options // before it; nil: there is none
 
@@ -84,8 +84,8 @@
 
 // Staleness is how its list at Discovery is followed.
 func (s *ServicePlan) Staleness() staleness.Options {
-	return staleness.Options{Pushed: !s.Settings.MustSubscribe, AskWithin: s.Settings.AskWithin, Sidecars: s.Settings.FleetSize,
-		Grace: s.Settings.Grace}
+	return staleness.Options{Pushed: !s.Settings.MustSubscribe, MaxPollAge: s.Settings.AskWithin, FleetSize: s.Settings.FleetSize,
+		DrainGrace: s.Settings.Grace}
 }
 
 // Platform is the name of the service that the platform's file tells of.
@@ -263,7 +263,7 @@
 		_, _ = rand.Read(b[:]) // never fails
 		p.Seed, p.SeedDrawn = binary.LittleEndian.Uint64(b[:]), true
 	}
-	if beside == nil && (f.Platform.Subset.On || f.Platform.Warm.On || f.Platform.Probe.On) {
+	if beside == nil && (f.Platform.Subset.Enabled || f.Platform.Warm.On || f.Platform.Probe.On) {
 		doc.Report("platform", "there is no platform's file: a service has its own [service.subset], [service.warm] and [service.probe]")
 	}
 	f.registries(p, beside, doc)
@@ -480,7 +480,7 @@
 			p.Subset, p.Warm = f.Services[i].Subset, f.Services[i].Warm
 		}
 	}
-	if !doc.Broken() && len(p.Registries) == 0 && p.Door == nil && p.Repeats == nil && !p.Subset.On && !p.Warm.On {
+	if !doc.Broken() && len(p.Registries) == 0 && p.Door == nil && p.Repeats == nil && !p.Subset.Enabled && !p.Warm.On {
 		doc.Report("eureka", "nothing in it is for service %q: no [[eureka]], no [[door]], no [service.subset], no [service.warm], no [[repeats]]", service)
 	}
 	return p, problems(doc)
@@ -553,7 +553,7 @@
 		Discovery: s.Discovery, ListFile: s.ListFile}
 	p.Settings.MustSubscribe = s.Discovery != "" && !s.Push
 	if entries := s.entries(); len(entries) > 0 {
-		p.Known = listfile.Listing(1, entries)
+		p.Known = listfile.ListOf(1, entries)
 	}
 	return p
 }
--- a/internal/daemon/eureka_test.go
+++ b/internal/daemon/eureka_test.go
@@ -68,7 +68,7 @@
 func (r *fileRig) answers(t *testing.T, n nodes, names ...string) {
 	t.Helper()
 	testutil.Eventually(t, "requests go to "+strings.Join(names, " "), func() bool {
-		places := r.d.routing.Load().services["seats"].dir.Places()
+		places := r.d.routing.Load().services["seats"].dir.Instances()
 		there := map[string]bool{}
 		for _, at := range places {
 			there[at.Address] = true
@@ -201,7 +201,7 @@
 		return func() bool {
 			got := []string{}
 			for name, address := range n {
-				for _, at := range s.dir.Places() {
+				for _, at := range s.dir.Instances() {
 					if at.Address == address {
 						got = append(got, name)
 					}
@@ -216,7 +216,7 @@
 	testutil.Eventually(t, "a drains", takes("b", "c"))
 	testutil.Eventually(t, "the lost list is asked for again", again.Load)
 	if !takes("b", "c")() {
-		t.Errorf("the loss changed the list: %v", s.dir.Places())
+		t.Errorf("the loss changed the list: %v", s.dir.Instances())
 	}
 }
 
@@ -264,7 +264,7 @@
 	for _, name := range names {
 		e.Put(n.instance(t, name, name, "UP"))
 	}
-	f = fakes.NewFlipper(e, "SEATS", endpoints.DrainWithin, names...)
+	f = fakes.NewFlipper(e, "SEATS", endpoints.DrainGrace, names...)
 	r := startFile(t, eurekaFile(nil, map[string]*fakes.Eureka{"eureka": e}, "[membership]\nflaps = 0\n"))
 	r.answers(t, n, names...)
 	ctx, stop := context.WithCancel(t.Context())
@@ -302,7 +302,7 @@
 // askedSource is a source that counts what it is asked.
 type askedSource struct{ asks atomic.Int64 }
 
-func (a *askedSource) Ask()                                      { a.asks.Add(1) }
+func (a *askedSource) Refresh()                                  { a.asks.Add(1) }
 func (a *askedSource) Run(ctx context.Context, _ endpoints.Sink) { <-ctx.Done() }
 
 // Guards against a module whose wish for the list is lost, for good, because it came before there was a source to ask.
--- a/internal/daemon/file_test.go
+++ b/internal/daemon/file_test.go
@@ -427,7 +427,7 @@
 		"more behind": whole + whole, "unknown key": `{"endpoint":[]}`} {
 		base.Replace(t, list, []byte(text))
 		looked(t, r)
-		if got := served(); got != "one" || dir.Len() != 1 {
+		if got := served(); got != "one" || dir.ReadyCount() != 1 {
 			t.Errorf("%s: served by %q", name, got)
 		}
 	}
@@ -445,7 +445,7 @@
 		t.Fatal(err)
 	}
 	base.Replace(t, list, []byte(`{"endpoints":[`+entry(1)+`,{"name":"n0","status":"Terminating"}]}`))
-	testutil.Eventually(t, "the new list", func() bool { _, on := dir.Place("n1"); return on && dir.Len() == 1 })
+	testutil.Eventually(t, "the new list", func() bool { _, on := dir.Instance("n1"); return on && dir.ReadyCount() == 1 })
 	if got := served(); got != "two" {
 		t.Errorf("served by %q", got)
 	}
--- a/internal/daemon/probing.go
+++ b/internal/daemon/probing.go
@@ -91,7 +91,7 @@
 
 // look brings the prober's members to what is listed now.
 func (b *probing) look() {
-	places := b.s.dir.Places()
+	places := b.s.dir.Instances()
 	for name := range b.listed {
 		if _, stays := places[name]; !stays {
 			b.p.Remove(name)
--- a/internal/daemon/reading.go
+++ b/internal/daemon/reading.go
@@ -10,7 +10,7 @@
 func (d *daemon) read() metrics.Figures {
 	f := d.figures.Read()
 	for _, s := range d.routing.Load().services {
-		ready, leaving := 0, s.dir.Leaving()
+		ready, leaving := 0, s.dir.DrainingCount()
 		for _, u := range s.engine.View() {
 			ready++
 			if u.TrialOnly {
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -389,7 +389,7 @@
 // ready tells whether some service has an upstream.
 func (d *daemon) ready() bool {
 	for _, s := range d.routing.Load().services {
-		if s.dir.Len() > 0 {
+		if s.dir.ReadyCount() > 0 {
 			return true
 		}
 	}
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -72,9 +72,9 @@
 	name    string // of it in the semaphores, and of the one that it replaced
 	engine  *engine.Engine
 	pool    *upstream.Pool
-	dir     *endpoints.Directory
-	feed    *discovery.Feed
-	narrow  *discovery.Narrowed                   // before the feed; nil: every upstream is its own
+	dir     *endpoints.Registry
+	feed    *discovery.RegistrySink
+	narrow  *discovery.SubsetSink                 // before the feed; nil: every upstream is its own
 	asked   atomic.Int64                          // requests so far
 	repeats atomic.Pointer[executor.Keeper]       // nil: repeats are not looked for
 	probes  *probing                              // nil: nobody is probed
@@ -96,7 +96,7 @@
 }
 
 // startService starts one whose shares have been set. known is a list held by an earlier one.
-func startService(plan config.ServicePlan, sh *shared, known *endpoints.Listing) (*service, error) {
+func startService(plan config.ServicePlan, sh *shared, known *endpoints.List) (*service, error) {
 	s := &service{plan: plan, shared: sh, name: plan.Name, idle: make(chan struct{}, 1)}
 	log := sh.log
 	if plan.Name != config.Platform {
@@ -123,24 +123,24 @@
 	s.pool = upstream.New(o)
 	s.dir = endpoints.New(sh.clock, s.pool.Drop)
 	s.pool.SetDirectory(s.dir)
-	s.feed = discovery.NewFeed(s.dir, func(m balancer.EndpointUpdate) { s.engine.Update(m) })
-	if plan.Subset.On {
+	s.feed = discovery.NewRegistrySink(s.dir, func(m balancer.EndpointUpdate) { s.engine.Update(m) })
+	if plan.Subset.Enabled {
 		self := fmt.Sprintf("%s/%016x", sh.name, sh.seed)
-		s.narrow = discovery.NewNarrowed(subset.New(plan.Subset, self, plan.Settings.Zone, sh.connections), s.feed, s.asked.Load)
+		s.narrow = discovery.NewSubsetSink(subset.New(plan.Subset, self, plan.Settings.Zone, sh.connections), s.feed, s.asked.Load)
 		if list != nil {
 			list = s.narrow.Load(list)
 		}
 	}
 	var first balancer.EndpointUpdate
 	if list != nil {
-		first = s.feed.Take(list)
+		first = s.feed.Apply(list)
 	}
 	seed := sh.seed
 	if plan.Name != config.Platform { // services draw apart
 		seed ^= xxhash.Sum64String(plan.Name)
 	}
 	s.engine, err = engine.New(engine.Options{Settings: plan.Settings.Settings, Seed: seed, Clock: sh.clock,
-		CachedEndpoints: first.Endpoints, Subscribe: s.ask, WaitForUpdates: s.feed.Settle, Log: log})
+		CachedEndpoints: first.Endpoints, Subscribe: s.ask, WaitForUpdates: s.feed.WaitForUpdates, Log: log})
 	if err != nil {
 		s.pool.Close()
 		return nil, fmt.Errorf("service %s: %w", plan.Name, err)
@@ -204,24 +204,24 @@
 
 // openSource makes the source of a plan's list, and the list to begin with; nil, nil: the plan has all of it. Where
 // registries list upstreams too, it is the source of the merged list.
-func (s *service) openSource(plan config.ServicePlan, known *endpoints.Listing, log *slog.Logger) (*endpoints.Listing,
+func (s *service) openSource(plan config.ServicePlan, known *endpoints.List, log *slog.Logger) (*endpoints.List,
 	discovery.Source, error) {
 	list, own, err := openOwn(plan, known, s.shared.seed^xxhash.Sum64String("list/"+plan.Name), log)
 	if err != nil || len(plan.Registries) == 0 {
 		return list, own, err
 	}
-	var sources []discovery.Named
+	var sources []discovery.NamedSource
 	if own != nil || list != nil {
-		sources = append(sources, discovery.Named{Name: ownList, Source: own, Known: list, Leads: true})
+		sources = append(sources, discovery.NamedSource{Name: ownList, Source: own, Initial: list, Primary: true})
 	}
 	for _, r := range plan.Registries {
 		source, err := s.openRegistry(plan, r, log)
 		if err != nil {
 			return nil, nil, err
 		}
-		sources = append(sources, discovery.Named{Name: r.Name, Source: source})
+		sources = append(sources, discovery.NamedSource{Name: r.Name, Source: source})
 	}
-	merged, err := discovery.NewMerged(plan.Members, log, sources...)
+	merged, err := discovery.NewMergedSource(plan.Members, log, sources...)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -236,7 +236,7 @@
 }
 
 // openOwn is openSource for the list that is no registry's.
-func openOwn(plan config.ServicePlan, known *endpoints.Listing, seed uint64, log *slog.Logger) (*endpoints.Listing, discovery.Source, error) {
+func openOwn(plan config.ServicePlan, known *endpoints.List, seed uint64, log *slog.Logger) (*endpoints.List, discovery.Source, error) {
 	switch {
 	case plan.Discovery != "":
 		list := plan.Known
@@ -250,7 +250,7 @@
 		return list, discovery.New(discovery.Options{Address: plan.Discovery, Index: index,
 			ConnectTimeout: plan.Settings.ConnectTimeout, Staleness: plan.Staleness(), Seed: seed, Log: log}), nil
 	case plan.ListFile != "":
-		source := discovery.NewFile(plan.ListFile, filewatch.Every, log)
+		source := discovery.NewFileSource(plan.ListFile, filewatch.DefaultInterval, log)
 		list, err := source.Load()
 		return list, source, err
 	}
@@ -271,7 +271,7 @@
 	}
 	if s.wanted { // the module asks as it is made, before there is a source
 		s.wanted = false
-		source.Ask()
+		source.Refresh()
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -295,7 +295,7 @@
 	s.mu.Lock()
 	source := s.source
 	s.mu.Unlock()
-	if merged, is := source.(*discovery.Merged); is {
+	if merged, is := source.(*discovery.MergedSource); is {
 		source = merged.Source(ownList)
 	}
 	w, _ := source.(*discovery.Watcher)
@@ -308,7 +308,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.wanted = s.source == nil; !s.wanted {
-			s.source.Ask()
+			s.source.Refresh()
 		}
 	}()
 }
@@ -323,7 +323,7 @@
 	if sameOwn && sameRest {
 		return nil, nil
 	}
-	if merged, is := s.source.(*discovery.Merged); is && (len(plan.Registries) > 0 || plan.Discovery != "") {
+	if merged, is := s.source.(*discovery.MergedSource); is && (len(plan.Registries) > 0 || plan.Discovery != "") {
 		return s.moveMerged(merged, plan, sameOwn)
 	}
 	if len(was.Registries)+len(plan.Registries) == 0 && was.Discovery != "" && plan.Discovery != "" {
@@ -337,7 +337,7 @@
 	if plan.Discovery != "" && was.Discovery != plan.Discovery {
 		return nil, errors.New("a change between kinds of lists needs a new service")
 	}
-	var known *endpoints.Listing
+	var known *endpoints.List
 	if plan.Discovery != "" { // registries come beside it
 		known = s.feed.Last()
 		if s.narrow != nil {
@@ -359,11 +359,11 @@
 }
 
 // moveMerged is move where registries stay or come and go beside the service's own list.
-func (s *service) moveMerged(merged *discovery.Merged, plan config.ServicePlan, sameOwn bool) (func(), error) {
+func (s *service) moveMerged(merged *discovery.MergedSource, plan config.ServicePlan, sameOwn bool) (func(), error) {
 	was := s.plan
 	steps := []func(){func() { merged.Configure(plan.Members) }}
 	var ends []func() // they come after the steps, so that nothing is missed between
-	add := func(n discovery.Named) {
+	add := func(n discovery.NamedSource) {
 		steps = append(steps, func() {
 			if err := merged.Add(n); err != nil { // the file's check bounds them
 				s.shared.log.Error("membership", "reason", err)
@@ -388,7 +388,7 @@
 					}
 				})
 			case has:
-				add(discovery.Named{Name: ownList, Source: own, Known: list, Leads: true})
+				add(discovery.NamedSource{Name: ownList, Source: own, Initial: list, Primary: true})
 			default:
 				ends = append(ends, func() { merged.Remove(ownList) })
 			}
@@ -411,7 +411,7 @@
 			steps = append(steps, func() { merged.Replace(r.Name, source) })
 			continue
 		}
-		add(discovery.Named{Name: r.Name, Source: source})
+		add(discovery.NamedSource{Name: r.Name, Source: source})
 	}
 	return func() {
 		s.plan = plan
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -64,7 +64,7 @@
 	return listener, &inherited{state, link}, nil
 }
 
-func newer(a, b *endpoints.Listing) bool {
+func newer(a, b *endpoints.List) bool {
 	return b == nil || b.Index == nil || *a.Index >= *b.Index
 }
 
@@ -94,7 +94,7 @@
 }
 
 // followed is the discovery that a service follows alone, and its list as last told; empty: it has other sources.
-func (s *service) followed() (string, *endpoints.Listing) {
+func (s *service) followed() (string, *endpoints.List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.plan.Discovery == "" || len(s.plan.Registries) > 0 {
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -198,7 +198,7 @@
 	e := startEncrypted(t, "")
 	s := e.d.routing.Load().services["a"]
 	name := ""
-	for name = range s.dir.Places() {
+	for name = range s.dir.Instances() {
 	}
 	for _, c := range []struct {
 		slow time.Duration
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -116,9 +116,9 @@
 	f.mu.Lock()
 	f.nodes = append(f.nodes, node)
 	f.mu.Unlock()
-	e := endpoints.Endpoint{Name: name, Address: address, Zone: "home", Type: kind.name, Status: endpoints.StatusReady}
+	e := endpoints.Endpoint{Name: name, Address: address, Zone: "home", MachineType: kind.name, Status: endpoints.StatusReady}
 	if !since.IsZero() {
-		e.SinceMs = float64(since.UnixMilli())
+		e.StartedMs = float64(since.UnixMilli())
 	}
 	f.discovery.Set(e)
 	return nil
--- a/internal/demo/fronts.go
+++ b/internal/demo/fronts.go
@@ -138,7 +138,7 @@
 		o.Methods[methodPrefix+c.name] = c.name
 	}
 	for _, e := range l.Endpoints {
-		o.Endpoints = append(o.Endpoints, grpcbalancer.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type})
+		o.Endpoints = append(o.Endpoints, grpcbalancer.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.MachineType})
 	}
 	p, err := grpcbalancer.New(o)
 	if err != nil {
--- a/internal/discovery/budget_test.go
+++ b/internal/discovery/budget_test.go
@@ -44,7 +44,7 @@
 type says func(n int, after time.Duration, r *http.Request, send func(string))
 
 // played runs a watcher that knows upstream a before a discovery in virtual time, for as long as play does.
-func played(t *testing.T, o staleness.Options, do says, play func(w *Watcher, dir *endpoints.Directory, start time.Time, log func() string)) {
+func played(t *testing.T, o staleness.Options, do says, play func(w *Watcher, dir *endpoints.Registry, start time.Time, log func() string)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		conns := make(chan net.Conn, 16)
@@ -73,8 +73,8 @@
 		})})
 		w.client.Transport.(*http.Transport).DialContext = net.dial
 		dir := endpoints.New(clock.New(), nil)
-		feed := NewFeed(dir, func(balancer.EndpointUpdate) {})
-		feed.Take(testutil.Listing(t, 1, true, testutil.Entry("a", "127.0.0.2:1", "Ready")))
+		feed := NewRegistrySink(dir, func(balancer.EndpointUpdate) {})
+		feed.Apply(testutil.Listing(t, 1, true, testutil.Entry("a", "127.0.0.2:1", "Ready")))
 		ctx, cancel := context.WithCancel(t.Context())
 		var runs sync.WaitGroup
 		runs.Go(func() { w.Run(ctx, feed) })
@@ -90,13 +90,13 @@
 	})
 }
 
-func has(dir *endpoints.Directory, name string) bool {
-	_, ok := dir.Place(name)
+func has(dir *endpoints.Registry, name string) bool {
+	_, ok := dir.Instance(name)
 	return ok
 }
 
 // forgets waits until a drains, and returns how long that took.
-func forgets(t *testing.T, dir *endpoints.Directory, start time.Time) time.Duration {
+func forgets(t *testing.T, dir *endpoints.Registry, start time.Time) time.Duration {
 	t.Helper()
 	for has(dir, "a") {
 		if time.Since(start) > time.Minute {
@@ -122,7 +122,7 @@
 		silent time.Duration // from the start
 		do     says
 	}{
-		{"before the first word", staleness.Options{Sidecars: 6}, 500 * time.Millisecond, func(n int, after time.Duration, r *http.Request, send func(string)) {
+		{"before the first word", staleness.Options{FleetSize: 6}, 500 * time.Millisecond, func(n int, after time.Duration, r *http.Request, send func(string)) {
 			switch {
 			case n == 1:
 				panic(http.ErrAbortHandler)
@@ -133,7 +133,7 @@
 				<-r.Context().Done()
 			}
 		}},
-		{"after a beat, the next call refused twice", staleness.Options{Sidecars: 350}, 2 * time.Second, func(n int, _ time.Duration, r *http.Request, send func(string)) {
+		{"after a beat, the next call refused twice", staleness.Options{FleetSize: 350}, 2 * time.Second, func(n int, _ time.Duration, r *http.Request, send func(string)) {
 			switch n {
 			case 1:
 				send(none)
@@ -146,7 +146,7 @@
 			}
 			<-r.Context().Done()
 		}},
-		{"in the middle of a line that goes on for ever", staleness.Options{Sidecars: 350}, 0, func(n int, _ time.Duration, r *http.Request, send func(string)) {
+		{"in the middle of a line that goes on for ever", staleness.Options{FleetSize: 350}, 0, func(n int, _ time.Duration, r *http.Request, send func(string)) {
 			if n > 1 {
 				send(drained)
 				<-r.Context().Done()
@@ -158,7 +158,7 @@
 				send(" ")
 			}
 		}},
-		{"the next call late and silent again", staleness.Options{Sidecars: 350}, 0, func(n int, _ time.Duration, r *http.Request, send func(string)) {
+		{"the next call late and silent again", staleness.Options{FleetSize: 350}, 0, func(n int, _ time.Duration, r *http.Request, send func(string)) {
 			switch n {
 			case 1:
 				send(none)
@@ -176,7 +176,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			played(t, c.o, c.do, func(_ *Watcher, dir *endpoints.Directory, start time.Time, _ func() string) {
+			played(t, c.o, c.do, func(_ *Watcher, dir *endpoints.Registry, start time.Time, _ func() string) {
 				if took := forgets(t, dir, start); took > c.silent+6*time.Second+200*time.Millisecond {
 					t.Errorf("the drain is heard of %v after the silence", took-c.silent)
 				}
@@ -200,7 +200,7 @@
 			send(testutil.List(8, false, testutil.Entry("b", "127.0.0.2:2", "Ready")) + "\n")
 		}
 		<-r.Context().Done()
-	}, func(w *Watcher, dir *endpoints.Directory, start time.Time, _ func() string) {
+	}, func(w *Watcher, dir *endpoints.Registry, start time.Time, _ func() string) {
 		forgets(t, dir, start)
 		for !has(dir, "b") {
 			if has(dir, "a") {
@@ -225,7 +225,7 @@
 			send(testutil.List(2, true, testutil.Entry("c", "127.0.0.2:3", "Ready")) + "\n")
 		}
 		<-r.Context().Done()
-	}, func(w *Watcher, dir *endpoints.Directory, start time.Time, log func() string) {
+	}, func(w *Watcher, dir *endpoints.Registry, start time.Time, log func() string) {
 		time.Sleep(5 * time.Second)
 		if age, overdue := w.Age(); age < 4*time.Second || overdue {
 			t.Errorf("after 5 s: age %v, overdue %v", age, overdue)
--- a/internal/discovery/calls.go
+++ b/internal/discovery/calls.go
@@ -48,7 +48,7 @@
 
 // age is how long ago the list was last known to be current, for the log; the caller holds mu.
 func (w *Watcher) age() time.Duration {
-	return (w.now() - w.machine.Told()).Round(time.Millisecond)
+	return (w.now() - w.machine.CurrentAt()).Round(time.Millisecond)
 }
 
 // call follows one call to its end and tells the machine of it.
@@ -74,11 +74,11 @@
 		return
 	}
 	w.failed++
-	acts := w.machine.Ended(w.now(), c.id)
+	acts := w.machine.CallEnded(w.now(), c.id)
 	now := w.now()
 	failures := w.machine.Failures()
 	w.log.Log(context.Background(), failureLevel(failures), "watch ended", "reason", err, "call", c.id, "request", c.request.String(), "answered", c.answered,
-		"lasted", lasted, "age", w.age(), "overdue", now >= w.machine.Due(), "failures", failures, "next", max(0, w.machine.Next()-now).Round(time.Millisecond))
+		"lasted", lasted, "age", w.age(), "overdue", now >= w.machine.Deadline(), "failures", failures, "next", max(0, w.machine.Next()-now).Round(time.Millisecond))
 	w.do(acts)
 }
 
@@ -98,7 +98,7 @@
 // follow asks for what a call is to ask for, and takes all that comes until it ends. A whole list ends it without an error.
 func (w *Watcher) follow(ctx context.Context, c *openCall) error {
 	targets := fmt.Sprintf("http://%s/api/targets", c.at.address)
-	if c.request == staleness.List {
+	if c.request == staleness.FetchList {
 		return w.fetch(ctx, c, targets)
 	}
 	body, err := w.get(ctx, fmt.Sprintf("%s?watch=1&from=%d", targets, c.version))
@@ -136,10 +136,10 @@
 
 // take applies what a call brought, unless that has been ended meanwhile; empty text is a sign of life.
 func (w *Watcher) take(ctx context.Context, c *openCall, text []byte) error {
-	var l *endpoints.Listing
+	var l *endpoints.List
 	if len(text) > 0 {
 		var err error
-		if l, err = endpoints.ParseListing(text); err != nil { // the last good list stays, and is asked for again from its version on
+		if l, err = endpoints.ParseList(text); err != nil { // the last good list stays, and is asked for again from its version on
 			return fmt.Errorf("malformed list: %w", err)
 		}
 	}
@@ -148,10 +148,10 @@
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
-	if w.sink == nil || !w.machine.Takes(c.id) {
+	if w.sink == nil || !w.machine.Accepts(c.id) {
 		return errReplaced
 	}
-	first := w.machine.Told() == 0 || !w.stands
+	first := w.machine.CurrentAt() == 0 || !w.stands
 	withdrawn := false
 	switch {
 	case l != nil && c.at != w.at && !w.at.untold:
@@ -162,7 +162,7 @@
 		}
 	}
 	if l == nil && (first || w.asked.Load()) {
-		w.sink.Heard()
+		w.sink.Current()
 	}
 	w.asked.Store(false)
 	if !c.answered {
@@ -170,7 +170,7 @@
 		w.log.Info("list call answered", "call", c.id, "request", c.request.String(), "address", c.at.address, "version", c.version, "news", l != nil,
 			"took", time.Since(c.begun).Round(time.Millisecond), "age", w.age())
 	}
-	w.do(w.machine.Heard(w.now(), c.id))
+	w.do(w.machine.CallActive(w.now(), c.id))
 	if withdrawn {
 		w.do(w.machine.Recheck(w.now()))
 	}
@@ -179,17 +179,17 @@
 
 // applyWithdrawals takes of what an address before tells what drains or is gone: the present address's list may have been written
 // ahead of it. What that list says comes back when it is asked for again. The caller holds mu.
-func (w *Watcher) applyWithdrawals(l *endpoints.Listing) bool {
+func (w *Watcher) applyWithdrawals(l *endpoints.List) bool {
 	withdrawn := slices.DeleteFunc(slices.Clone(l.Endpoints), func(e endpoints.Endpoint) bool { return e.Status == endpoints.StatusReady })
 	if len(withdrawn) > 0 {
 		index := w.at.index
-		w.sink.Update(&endpoints.Listing{Index: &index, Endpoints: withdrawn})
+		w.sink.Update(&endpoints.List{Index: &index, Endpoints: withdrawn})
 	}
 	return len(withdrawn) > 0 || l.Snapshot // what a whole list leaves out is gone there
 }
 
 // apply hands a list or a change to the sink, unless it is older than what is known; the caller holds mu.
-func (w *Watcher) apply(c *openCall, l *endpoints.Listing) error {
+func (w *Watcher) apply(c *openCall, l *endpoints.List) error {
 	index, at := *l.Index, c.at
 	beganAnew := l.Snapshot && c.version == at.index // on the call that brought the newest
 	switch {
--- a/internal/discovery/eureka/eureka_test.go
+++ b/internal/discovery/eureka/eureka_test.go
@@ -34,7 +34,7 @@
 	said  []string
 }
 
-func (h *heard) Update(l *endpoints.Listing) {
+func (h *heard) Update(l *endpoints.List) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if l.Snapshot {
@@ -47,7 +47,7 @@
 	}
 }
 
-func (h *heard) Heard()           { h.mu.Lock(); h.heard++; h.mu.Unlock() }
+func (h *heard) Current()         { h.mu.Lock(); h.heard++; h.mu.Unlock() }
 func (h *heard) Lost(error, bool) { h.mu.Lock(); h.lost++; h.mu.Unlock() }
 
 // says is the list as "name status", in order.
@@ -112,7 +112,7 @@
 		"one application":  func(d *Declaration, _ *fakes.EurekaOptions) { d.Applications = []string{"seats"} },
 		"xml":              func(d *Declaration, _ *fakes.EurekaOptions) { d.Applications, d.Format = []string{"SEATS"}, "xml" },
 		"numbers as texts": func(d *Declaration, o *fakes.EurekaOptions) { d.Applications, o.Texts = []string{"SEATS"}, true },
-		"vip":              func(d *Declaration, _ *fakes.EurekaOptions) { d.VIP = "seats" },
+		"vip":              func(d *Declaration, _ *fakes.EurekaOptions) { d.VirtualAddress = "seats" },
 		"changes":          func(d *Declaration, _ *fakes.EurekaOptions) { d.Applications, d.Delta = []string{"SEATS"}, true },
 		"changes in xml, v2": func(d *Declaration, _ *fakes.EurekaOptions) {
 			d.Applications, d.Delta, d.Format, d.Servers[0] = []string{"SEATS"}, true, "xml", d.Servers[0]+"/v2/"
@@ -147,8 +147,8 @@
 			}
 			want("a Ready")
 			h.mu.Lock()
-			if got, want := h.list["a"], (endpoints.Endpoint{Name: "a", Address: fmt.Sprint("127.0.0.2:", port), Zone: "upper-hill", Type: "large",
-				Group: 3, Status: endpoints.StatusReady, SinceMs: 1_700_000_000_000}); got != want {
+			if got, want := h.list["a"], (endpoints.Endpoint{Name: "a", Address: fmt.Sprint("127.0.0.2:", port), Zone: "upper-hill", MachineType: "large",
+				Cell: 3, Status: endpoints.StatusReady, StartedMs: 1_700_000_000_000}); got != want {
 				t.Errorf("%+v, want %+v", got, want)
 			}
 			h.mu.Unlock()
@@ -170,7 +170,7 @@
 			if d.Delta && e.Calls("GET /apps") > 1 {
 				t.Errorf("everything was asked for %d times", e.Calls("GET /apps"))
 			}
-			if requests, bytes := s.Cost(); requests == 0 || bytes == 0 {
+			if requests, bytes := s.Traffic(); requests == 0 || bytes == 0 {
 				t.Error("what was asked is not counted")
 			}
 		})
--- a/internal/discovery/eureka/instance.go
+++ b/internal/discovery/eureka/instance.go
@@ -89,16 +89,16 @@
 		host = i.host // some put it there; there are no look-ups
 	}
 	e := endpoints.Endpoint{Name: i.key(), Address: net.JoinHostPort(host, strconv.Itoa(p.number)), Status: word,
-		Zone: i.metadata[m.ZoneKey], Type: i.metadata[m.TypeKey], Identity: i.metadata[m.IdentityKey]}
+		Zone: i.metadata[m.ZoneKey], MachineType: i.metadata[m.TypeKey], TLSIdentity: i.metadata[m.IdentityKey]}
 	if e.Zone == "" {
 		e.Zone = i.dcZone
 	}
-	e.Group, _ = strconv.Atoi(i.metadata[m.GroupKey]) // 0 where it is no number
+	e.Cell, _ = strconv.Atoi(i.metadata[m.GroupKey]) // 0 where it is no number
 	if m.WithApp {
 		e.Name = i.app + "/" + e.Name
 	}
-	if e.SinceMs = float64(i.up); e.SinceMs <= 0 {
-		e.SinceMs = float64(max(i.registered, 0))
+	if e.StartedMs = float64(i.up); e.StartedMs <= 0 {
+		e.StartedMs = float64(max(i.registered, 0))
 	}
 	ok := p.on && p.number > 0 && endpoints.CheckAddress(e.Address) == nil && i.key() != ""
 	return e, ok
--- a/internal/discovery/eureka/registry.go
+++ b/internal/discovery/eureka/registry.go
@@ -77,8 +77,8 @@
 
 // news is what changed since news was last asked for; whole: all of it. Where the copy can't be trusted to be whole,
 // partial has what is missing from it stay.
-func (r *registry) news(whole, partial bool) *endpoints.Listing {
-	l := &endpoints.Listing{Snapshot: whole}
+func (r *registry) news(whole, partial bool) *endpoints.List {
+	l := &endpoints.List{Snapshot: whole}
 	seen := make(map[string]bool, len(r.told))
 	for _, n := range r.now {
 		if n.e.Name == "" {
--- a/internal/discovery/eureka/source.go
+++ b/internal/discovery/eureka/source.go
@@ -79,7 +79,7 @@
 // New returns a Source; Run makes it work. Random numbers, for spreading calls, come from seed.
 func New(d Declaration, connect time.Duration, seed uint64, log *slog.Logger) (*Source, error) {
 	s := &Source{d: d, log: cmp.Or(log, slog.New(slog.DiscardHandler)), rng: rand.New(rand.NewPCG(seed, 0x657572656b61)),
-		state: poller{delta: d.VIP == "" && (d.Delta || len(d.Applications) != 1)}}
+		state: poller{delta: d.VirtualAddress == "" && (d.Delta || len(d.Applications) != 1)}}
 	var err error
 	if s.client, s.keys, err = newClient(d, connect, s.log); err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 			if err != nil {
 				return nil, err
 			}
-			c, err := secure.Client(ctx, conn, endpoints.Place{Address: address})
+			c, err := secure.Client(ctx, conn, endpoints.Instance{Address: address})
 			if err != nil {
 				conn.Close()
 				return nil, err
@@ -127,17 +127,17 @@
 
 func (d *Declaration) mapping() Mapping {
 	return Mapping{Secure: d.Secure, ZoneKey: d.ZoneKey, TypeKey: d.TypeKey, GroupKey: d.GroupKey, IdentityKey: d.IdentityKey,
-		WithApp: len(d.Applications) != 1 && d.VIP == ""}
+		WithApp: len(d.Applications) != 1 && d.VirtualAddress == ""}
 }
 
-// Ask is directory.Source's: it is asked anyway.
-func (s *Source) Ask() {}
+// Refresh is directory.Source's: it is asked anyway.
+func (s *Source) Refresh() {}
 
 // Polls is how often the registry has been asked, and the answer taken.
 func (s *Source) Polls() int64 { return s.asked.Load() }
 
-// Cost is what the registry has been asked so far: requests, and bytes of its answers as they came.
-func (s *Source) Cost() (requests, bytes int64) {
+// Traffic is what the registry has been asked so far: requests, and bytes of its answers as they came.
+func (s *Source) Traffic() (requests, bytes int64) {
 	return s.client.requests.Load(), s.client.bytes.Load()
 }
 
@@ -176,7 +176,7 @@
 			if first && !partial || len(l.Endpoints) > 0 {
 				sink.Update(l)
 			} else {
-				sink.Heard()
+				sink.Current()
 			}
 			first = first && partial
 			if n := s.copy.unusual; n != s.odd {
--- a/internal/discovery/file.go
+++ b/internal/discovery/file.go
@@ -13,9 +13,9 @@
 	"orchiddrift/internal/filewatch"
 )
 
-// File is a Source that follows a file of upstreams, as package listfile reads it. The file is replaced by renaming a new
+// FileSource is a Source that follows a file of upstreams, as package listfile reads it. The file is replaced by renaming a new
 // one to its name; one that is caught half-written, or can't be used, keeps the last good list.
-type File struct {
+type FileSource struct {
 	reader  *filewatch.Reader
 	every   time.Duration
 	log     *slog.Logger
@@ -23,14 +23,14 @@
 	looks   atomic.Int64
 }
 
-// NewFile returns one. Load reads the file for the first time, Run follows it.
-func NewFile(path string, every time.Duration, log *slog.Logger) *File {
-	return &File{reader: filewatch.NewReader(path, listfile.MaxBytes), every: every, log: log}
+// NewFileSource returns one. Load reads the file for the first time, Run follows it.
+func NewFileSource(path string, every time.Duration, log *slog.Logger) *FileSource {
+	return &FileSource{reader: filewatch.NewReader(path, listfile.MaxBytes), every: every, log: log}
 }
 
 // Load reads the file now.
-func (s *File) Load() (*endpoints.Listing, error) {
-	c, changed := s.reader.Look()
+func (s *FileSource) Load() (*endpoints.List, error) {
+	c, changed := s.reader.Read()
 	if !changed {
 		return nil, errors.New("unchanged")
 	}
@@ -42,13 +42,13 @@
 		return nil, fmt.Errorf("%s: %w", s.reader.Path(), err)
 	}
 	s.version++
-	return listfile.Listing(s.version, entries), nil
+	return listfile.ListOf(s.version, entries), nil
 }
 
 // Run is Source's.
-func (s *File) Run(ctx context.Context, sink Sink) {
+func (s *FileSource) Run(ctx context.Context, sink Sink) {
 	filewatch.Watch(ctx, s.every, func() {
-		c, changed := s.reader.Look()
+		c, changed := s.reader.Read()
 		defer s.looks.Add(1)
 		if !changed {
 			return
@@ -65,12 +65,12 @@
 			return
 		}
 		s.version++
-		sink.Update(listfile.Listing(s.version, entries))
+		sink.Update(listfile.ListOf(s.version, entries))
 	})
 }
 
-// Ask is Source's: the file is looked at anyway.
-func (s *File) Ask() {}
+// Refresh is Source's: the file is looked at anyway.
+func (s *FileSource) Refresh() {}
 
-// Looks is how often the file has been looked at, and what was new in it taken, since Run.
-func (s *File) Looks() int64 { return s.looks.Load() }
+// Polls is how often the file has been looked at, and what was new in it taken, since Run.
+func (s *FileSource) Polls() int64 { return s.looks.Load() }
--- a/internal/discovery/listfile/listfile.go
+++ b/internal/discovery/listfile/listfile.go
@@ -1,5 +1,5 @@
 // Package listfile reads files of upstreams, JSON or TOML by their ending, and the same entries in the operator's file.
-// The whole list counts: who is missing from it has gone. discovery.File follows such a file.
+// The whole list counts: who is missing from it has gone. discovery.FileSource follows such a file.
 package listfile
 
 import (
@@ -23,14 +23,14 @@
 
 // Entry is one upstream, as the file and the operator's file have it.
 type Entry struct {
-	Name     string `toml:"name" json:"name" doc:"The upstream's name: the same as long as it is the same process. Absent: its address."`
-	Address  string `toml:"address" json:"address" sample:"\"127.0.0.1:9001\"" doc:"IP address and port."`
-	Zone     string `toml:"zone" json:"zone" doc:"Where it stands; the service's own zone is preferred where crossing has a price."`
-	Type     string `toml:"type" json:"type" doc:"What kind of machine it is: those of one kind are taken to be equally fast until they are known better."`
-	Group    int    `toml:"group" json:"group" doc:"Upstreams of one group share their memory of keys, for classes whose group is \"cell\"."`
-	Status   string `toml:"status" json:"status" default:"Ready" oneof:"Ready|Terminating|Gone" doc:"Ready takes requests; Terminating finishes what it has."`
-	Since    string `toml:"since" json:"since" doc:"When it last started, as in RFC 3339, for the care that a cold upstream gets. Absent: long ago."`
-	Identity string `toml:"identity" json:"identity" doc:"The name that its certificate has to bear where the service has TLS: a DNS name or a URI. Absent: the service's."`
+	Name        string `toml:"name" json:"name" doc:"The upstream's name: the same as long as it is the same process. Absent: its address."`
+	Address     string `toml:"address" json:"address" sample:"\"127.0.0.1:9001\"" doc:"IP address and port."`
+	Zone        string `toml:"zone" json:"zone" doc:"Where it stands; the service's own zone is preferred where crossing has a price."`
+	MachineType string `toml:"type" json:"type" doc:"What kind of machine it is: those of one kind are taken to be equally fast until they are known better."`
+	Cell        int    `toml:"group" json:"group" doc:"Upstreams of one group share their memory of keys, for classes whose group is \"cell\"."`
+	Status      string `toml:"status" json:"status" default:"Ready" oneof:"Ready|Terminating|Gone" doc:"Ready takes requests; Terminating finishes what it has."`
+	StartedAt   string `toml:"since" json:"since" doc:"When it last started, as in RFC 3339, for the care that a cold upstream gets. Absent: long ago."`
+	TLSIdentity string `toml:"identity" json:"identity" doc:"The name that its certificate has to bear where the service has TLS: a DNS name or a URI. Absent: the service's."`
 }
 
 // Check is tomlfile.Checker's.
@@ -49,26 +49,26 @@
 			report("address", "%v", err)
 		}
 	}
-	if e.Since != "" {
-		if _, err := time.Parse(time.RFC3339, e.Since); err != nil {
-			report("since", "%q is no time, such as \"2026-12-01T06:00:00Z\"", e.Since)
+	if e.StartedAt != "" {
+		if _, err := time.Parse(time.RFC3339, e.StartedAt); err != nil {
+			report("since", "%q is no time, such as \"2026-12-01T06:00:00Z\"", e.StartedAt)
 		}
 	}
 }
 
 // endpoint is the entry as lists have it.
 func (e *Entry) endpoint() endpoints.Endpoint {
-	p := endpoints.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Group: e.Group, Status: e.Status,
-		Identity: e.Identity}
-	if at, err := time.Parse(time.RFC3339, e.Since); err == nil {
-		p.SinceMs = float64(at.UnixMilli())
+	p := endpoints.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell, Status: e.Status,
+		TLSIdentity: e.TLSIdentity}
+	if at, err := time.Parse(time.RFC3339, e.StartedAt); err == nil {
+		p.StartedMs = float64(at.UnixMilli())
 	}
 	return p
 }
 
-// Listing is a whole list of these entries.
-func Listing(version int64, entries []Entry) *endpoints.Listing {
-	l := &endpoints.Listing{Index: &version, Snapshot: true, Endpoints: make([]endpoints.Endpoint, len(entries))}
+// ListOf is a whole list of these entries.
+func ListOf(version int64, entries []Entry) *endpoints.List {
+	l := &endpoints.List{Index: &version, Snapshot: true, Endpoints: make([]endpoints.Endpoint, len(entries))}
 	for i := range entries {
 		l.Endpoints[i] = entries[i].endpoint()
 	}
@@ -115,7 +115,7 @@
 			})
 		}
 	}
-	if err := Problem(f.Endpoints); err != nil {
+	if err := Validate(f.Endpoints); err != nil {
 		bad = append(bad, err.Error())
 	}
 	if f.Count >= 0 && f.Count != len(f.Endpoints) {
@@ -127,8 +127,8 @@
 	return f.Endpoints, nil
 }
 
-// Problem is what is wrong with a list as a whole.
-func Problem(entries []Entry) error {
+// Validate is what is wrong with a list as a whole.
+func Validate(entries []Entry) error {
 	switch {
 	case len(entries) == 0: // never at once: who wants nothing sent marks them Terminating
 		return errors.New("no upstream is listed")
--- a/internal/discovery/membership/membership.go
+++ b/internal/discovery/membership/membership.go
@@ -72,7 +72,7 @@
 	up      int       // records that say up, doubted ones included
 	lost    time.Time // since when it is silent; zero: it stands
 	doubted int
-	vanish  []vanished // within DoubtWithin
+	vanish  []vanished // within MassRemovalWindow
 	left    int        // entries that were left out
 	lostAt  int        // up when it was lost
 }
@@ -165,8 +165,8 @@
 	}
 }
 
-// Told takes a source's list, whole or what changed in it.
-func (m *Merge) Told(now time.Time, name string, l *endpoints.Listing) Output {
+// Update takes a source's list, whole or what changed in it.
+func (m *Merge) Update(now time.Time, name string, l *endpoints.List) Output {
 	s := m.begin(now, name)
 	if s == nil {
 		return Output{}
@@ -181,8 +181,8 @@
 		state := stateOf(e.Status)
 		r := s.records[e.Name]
 		switch {
-		case state == Gone:
-			if r != nil && r.state != Gone {
+		case state == Removed:
+			if r != nil && r.state != Removed {
 				gone = append(gone, r)
 			}
 		case r == nil && len(s.records) >= MaxEntries:
@@ -193,7 +193,7 @@
 	}
 	if l.Snapshot {
 		for id, r := range s.records {
-			if !listed[id] && r.state != Gone {
+			if !listed[id] && r.state != Removed {
 				gone = append(gone, r)
 			}
 		}
@@ -206,8 +206,8 @@
 	return m.end()
 }
 
-// Heard says that a source stands and has nothing new.
-func (m *Merge) Heard(now time.Time, name string) Output {
+// Current says that a source stands and has nothing new.
+func (m *Merge) Current(now time.Time, name string) Output {
 	if s := m.begin(now, name); s != nil {
 		m.back(s)
 	}
@@ -218,8 +218,8 @@
 func (m *Merge) Lost(now time.Time, name string) Output {
 	if s := m.begin(now, name); s != nil && s.lost.IsZero() {
 		s.lost, s.lostAt = now, s.up
-		m.note("source %s is lost: what it said last is kept for %v", s.name, m.o.Hold.D())
-		m.at(now.Add(m.o.Hold.D()), s, nil, nil)
+		m.note("source %s is lost: what it said last is kept for %v", s.name, m.o.SilentSourceHold.D())
+		m.at(now.Add(m.o.SilentSourceHold.D()), s, nil, nil)
 	}
 	return m.end()
 }
@@ -293,7 +293,9 @@
 }
 
 // agedOut tells whether a source has been silent for so long that its word counts only where it is the only one.
-func (m *Merge) agedOut(s *source) bool { return !s.lost.IsZero() && m.now.Sub(s.lost) >= m.o.Hold.D() }
+func (m *Merge) agedOut(s *source) bool {
+	return !s.lost.IsZero() && m.now.Sub(s.lost) >= m.o.SilentSourceHold.D()
+}
 
 // put takes what a source says of an upstream.
 func (m *Merge) put(s *source, r *record, e *endpoints.Endpoint, state State) {
@@ -343,7 +345,7 @@
 // doubted; and where another source says the same of a node, that one's word counts at once.
 func (m *Merge) vanish(s *source, gone []*record) {
 	s.vanish = slices.DeleteFunc(s.vanish, func(v vanished) bool {
-		return m.now.Sub(v.at) > m.o.DoubtWithin.D() || v.r.removed || v.r.state != Gone
+		return m.now.Sub(v.at) > m.o.MassRemovalWindow.D() || v.r.removed || v.r.state != Removed
 	})
 	lost := 0
 	for _, r := range gone {
@@ -353,10 +355,10 @@
 	}
 	recent := len(s.vanish) + s.doubted + lost
 	remain := s.up - s.doubted - lost
-	doubt := lost > 0 && m.o.DoubtFor > 0 &&
-		(remain == 0 || recent > 1 && float64(recent) > m.o.DoubtPart*float64(remain+recent))
+	doubt := lost > 0 && m.o.MassRemovalHold > 0 &&
+		(remain == 0 || recent > 1 && float64(recent) > m.o.MassRemovalFraction*float64(remain+recent))
 	if doubt {
-		m.note("source %s lacks %d of %d upstreams at once: not believed for %v", s.name, recent, remain+recent, m.o.DoubtFor.D())
+		m.note("source %s lacks %d of %d upstreams at once: not believed for %v", s.name, recent, remain+recent, m.o.MassRemovalHold.D())
 		for _, v := range s.vanish { // those that went just before belong to it
 			m.setState(v.r, Up)
 			m.doubt(v.r)
@@ -380,7 +382,7 @@
 func (m *Merge) doubt(r *record) {
 	r.doubted = true
 	r.src.doubted++
-	r.until = m.now.Add(m.o.DoubtFor.D())
+	r.until = m.now.Add(m.o.MassRemovalHold.D())
 	m.dirty[r] = true
 	m.at(r.until, nil, r, nil)
 }
@@ -393,8 +395,8 @@
 	}
 	m.seq++
 	r.seq = m.seq
-	m.setState(r, Gone)
-	r.until = m.now.Add(m.o.GoneHolds.D())
+	m.setState(r, Removed)
+	r.until = m.now.Add(m.o.RemovalHold.D())
 	m.dirty[r] = true
 	m.at(r.until, nil, r, nil)
 }
@@ -516,7 +518,7 @@
 	case r.doubted:
 		m.note("source %s still lacks %s: believed", r.src.name, r.e.Name)
 		m.gone(r)
-	case r.state == Gone:
+	case r.state == Removed:
 		m.drop(r)
 	}
 }
@@ -527,7 +529,7 @@
 	if m.named[s.name] != s || s.lost.IsZero() {
 		return
 	}
-	if due := s.lost.Add(m.o.Hold.D()); due.After(m.now) { // it was back meanwhile, and is lost again
+	if due := s.lost.Add(m.o.SilentSourceHold.D()); due.After(m.now) { // it was back meanwhile, and is lost again
 		m.at(due, s, nil, nil)
 		return
 	}
@@ -540,7 +542,7 @@
 	for _, id := range sortedIDs(s.records) {
 		r := s.records[id]
 		switch {
-		case r.aged || r.state == Gone:
+		case r.aged || r.state == Removed:
 		case r.in != nil && len(r.in.records) > 1: // others speak of it too, and are heard alone from now on
 			m.dirty[r] = true
 		case left > 0:
@@ -553,7 +555,7 @@
 		}
 	}
 	if waiting || !stands {
-		m.at(m.now.Add(max(m.o.Hold.D()/10, time.Second)), s, nil, nil)
+		m.at(m.now.Add(max(m.o.SilentSourceHold.D()/10, time.Second)), s, nil, nil)
 	}
 }
 
@@ -575,9 +577,9 @@
 		for r := range n.records {
 			m.dirty[r] = true
 		}
-	case !n.told && m.now.Sub(n.ended) >= m.o.FlapWithin.D():
+	case !n.told && m.now.Sub(n.ended) >= m.o.FlapWindow.D():
 		delete(m.nodes, n.name)
 	case !n.told:
-		m.at(n.ended.Add(m.o.FlapWithin.D()), nil, nil, n)
+		m.at(n.ended.Add(m.o.FlapWindow.D()), nil, nil, n)
 	}
 }
--- a/internal/discovery/membership/membership_test.go
+++ b/internal/discovery/membership/membership_test.go
@@ -63,12 +63,12 @@
 
 func (r *rig) whole(source string, entries ...endpoints.Endpoint) {
 	r.t.Helper()
-	r.take(r.Told(r.now, source, &endpoints.Listing{Snapshot: true, Endpoints: entries}))
+	r.take(r.Update(r.now, source, &endpoints.List{Snapshot: true, Endpoints: entries}))
 }
 
 func (r *rig) change(source string, entries ...endpoints.Endpoint) {
 	r.t.Helper()
-	r.take(r.Told(r.now, source, &endpoints.Listing{Endpoints: entries}))
+	r.take(r.Update(r.now, source, &endpoints.List{Endpoints: entries}))
 }
 
 // pass lets time pass, with each timer at its time.
@@ -105,7 +105,7 @@
 func at(name string, port int, status string, minutes ...int) endpoints.Endpoint {
 	e := endpoints.Endpoint{Name: name, Address: fmt.Sprintf("10.0.0.%d", port), Status: status}
 	if len(minutes) > 0 {
-		e.SinceMs = 1e12 + float64(minutes[0])*60_000
+		e.StartedMs = 1e12 + float64(minutes[0])*60_000
 	}
 	return e
 }
@@ -149,7 +149,7 @@
 							want = "none"
 						}
 						o := Default()
-						o.DoubtFor = 0 // one upstream is all that there is
+						o.MassRemovalHold = 0 // one upstream is all that there is
 						r := newRig(t, o, "a", "b")
 						pair := []string{row[0], columns[i+1]}
 						if pair[0] == "up" { // said last, it can't have been ready before
@@ -206,8 +206,8 @@
 			r.now = r.now.Add(90 * time.Minute)
 			r.change("eureka", at("i1", 1, gone), at("i2", 1, ready, 88))
 			r.want("another", "n1@1 Ready")
-			if e := r.List()[0]; e.SinceMs != 1e12+88*60_000 {
-				r.t.Errorf("started at %v", e.SinceMs)
+			if e := r.List()[0]; e.StartedMs != 1e12+88*60_000 {
+				r.t.Errorf("started at %v", e.StartedMs)
 			}
 		},
 		"an address that moves, in one list first": func(r *rig) {
@@ -236,9 +236,9 @@
 		"a start that sources see differently": func(r *rig) {
 			r.whole("list", at("n1", 1, ready, 1))
 			late := at("n1", 1, ready, 1)
-			late.SinceMs += 30_000
+			late.StartedMs += 30_000
 			r.whole("eureka", late)
-			if len(r.said) > 0 || r.List()[0].SinceMs != 1e12+60_000 {
+			if len(r.said) > 0 || r.List()[0].StartedMs != 1e12+60_000 {
 				r.t.Errorf("%+v", r.List())
 			}
 		},
@@ -301,7 +301,7 @@
 			want(r, "aged: a tenth goes, the other is believed", 18, 0)
 			r.pass(20 * time.Minute)
 			want(r, "what the other lists", 10, 0)
-			r.take(r.Heard(r.now, "list"))
+			r.take(r.Current(r.now, "list"))
 			want(r, "back, drain and all", 19, 1)
 		},
 		"a registry that restarts empty": func(r *rig) {
@@ -378,7 +378,7 @@
 	words := []string{ready, ready, ready, ends, gone, StatusDown, StatusOutOfService, StatusStarting, StatusUnknown}
 	rapid.Check(t, func(t *rapid.T) {
 		o := Default()
-		o.Flaps = rapid.IntRange(0, 4).Draw(t, "flaps")
+		o.MaxFlaps = rapid.IntRange(0, 4).Draw(t, "flaps")
 		r := &rig{t: t, Merge: New(o), now: time.UnixMilli(1e12), list: map[string]Change{}}
 		sources := []string{"a", "b", "c"}
 		for _, s := range sources {
@@ -394,7 +394,7 @@
 			case 0:
 				r.take(r.Lost(r.now, s))
 			case 1:
-				r.take(r.Heard(r.now, s))
+				r.take(r.Current(r.now, s))
 			case 2:
 				r.pass(time.Duration(rapid.IntRange(1, 2000).Draw(t, "seconds")) * time.Second)
 			case 3:
@@ -435,7 +435,7 @@
 // superseded: a later process at its address, in its own list or by another name, speaks in its place.
 func superseded(r *rig, x *record) bool {
 	return slices.ContainsFunc(r.byAddr[x.e.Address], func(o *record) bool {
-		return o != x && o.e.Name != x.e.Name && (o.src == x.src || o.e.SinceMs > x.e.SinceMs || o.state == Up)
+		return o != x && o.e.Name != x.e.Name && (o.src == x.src || o.e.StartedMs > x.e.StartedMs || o.state == Up)
 	})
 }
 
@@ -445,7 +445,7 @@
 func BenchmarkMerge(b *testing.B) {
 	list := func(prefix string) (all []endpoints.Endpoint) {
 		for i := range 5000 {
-			all = append(all, endpoints.Endpoint{Name: fmt.Sprint(prefix, i), Address: fmt.Sprintf("10.1.%d.%d:80", i/256, i%256), Status: ready, SinceMs: 1e12})
+			all = append(all, endpoints.Endpoint{Name: fmt.Sprint(prefix, i), Address: fmt.Sprintf("10.1.%d.%d:80", i/256, i%256), Status: ready, StartedMs: 1e12})
 		}
 		return all
 	}
@@ -455,7 +455,7 @@
 		m := New(Default())
 		for k, s := range []string{"list", "eureka"} {
 			_ = m.AddSource(s, false)
-			m.Told(now, s, &endpoints.Listing{Snapshot: true, Endpoints: whole[k]})
+			m.Update(now, s, &endpoints.List{Snapshot: true, Endpoints: whole[k]})
 		}
 		return m
 	}
@@ -469,7 +469,7 @@
 	b.Run("again", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			m.Told(now, "eureka", &endpoints.Listing{Snapshot: true, Endpoints: whole[1]})
+			m.Update(now, "eureka", &endpoints.List{Snapshot: true, Endpoints: whole[1]})
 		}
 	})
 	b.Run("change", func(b *testing.B) {
@@ -478,7 +478,7 @@
 			now = now.Add(time.Second)
 			e := whole[1][n%5000]
 			e.Status = []string{ready, ends}[n/5000%2]
-			m.Told(now, "eureka", &endpoints.Listing{Endpoints: []endpoints.Endpoint{e}})
+			m.Update(now, "eureka", &endpoints.List{Endpoints: []endpoints.Endpoint{e}})
 		}
 	})
 }
--- a/internal/discovery/membership/options.go
+++ b/internal/discovery/membership/options.go
@@ -8,34 +8,34 @@
 
 // Options are the windows of a Merge, and its part of the operator's file.
 type Options struct {
-	Hold        units.Duration `toml:"hold" default:"15m" doc:"How long a silent source's last list counts in full. Then what others say goes before it, and what only it lists is withdrawn a tenth at a time, as long as another source stands."`
-	GoneHolds   units.Duration `toml:"gone_holds" default:"30s" doc:"How long a source that no longer lists an upstream outweighs another that says it is up."`
-	DoubtPart   float64        `toml:"doubt_part" default:"0.5" doc:"A source that lacks more than this part of its upstreams at once is not believed for a while. A drain always is."`
-	DoubtWithin units.Duration `toml:"doubt_within" default:"5s" doc:"What counts as at once."`
-	DoubtFor    units.Duration `toml:"doubt_for" default:"60s" doc:"For how long it is not believed. 0s: everything is believed."`
-	Flaps       int            `toml:"flaps" default:"4" doc:"An upstream that has come back this often within flap_within is held back. 0: never."`
-	FlapWithin  units.Duration `toml:"flap_within" default:"60s" doc:"See flaps."`
-	FlapHold    units.Duration `toml:"flap_hold" default:"10s" doc:"How long it is held back after it was last taken out. No more than a quarter of the upstreams are."`
-	SameStart   units.Duration `toml:"same_start" default:"60s" doc:"Start times that sources give for one process differ by no more than this."`
+	SilentSourceHold    units.Duration `toml:"hold" default:"15m" doc:"How long a silent source's last list counts in full. Then what others say goes before it, and what only it lists is withdrawn a tenth at a time, as long as another source stands."`
+	RemovalHold         units.Duration `toml:"gone_holds" default:"30s" doc:"How long a source that no longer lists an upstream outweighs another that says it is up."`
+	MassRemovalFraction float64        `toml:"doubt_part" default:"0.5" doc:"A source that lacks more than this part of its upstreams at once is not believed for a while. A drain always is."`
+	MassRemovalWindow   units.Duration `toml:"doubt_within" default:"5s" doc:"What counts as at once."`
+	MassRemovalHold     units.Duration `toml:"doubt_for" default:"60s" doc:"For how long it is not believed. 0s: everything is believed."`
+	MaxFlaps            int            `toml:"flaps" default:"4" doc:"An upstream that has come back this often within flap_within is held back. 0: never."`
+	FlapWindow          units.Duration `toml:"flap_within" default:"60s" doc:"See flaps."`
+	FlapHold            units.Duration `toml:"flap_hold" default:"10s" doc:"How long it is held back after it was last taken out. No more than a quarter of the upstreams are."`
+	StartTimeTolerance  units.Duration `toml:"same_start" default:"60s" doc:"Start times that sources give for one process differ by no more than this."`
 }
 
 // Default is what holds where nothing is said.
 func Default() Options {
-	return Options{Hold: units.Duration(15 * time.Minute), GoneHolds: units.Duration(30 * time.Second), DoubtPart: 0.5,
-		DoubtWithin: units.Duration(5 * time.Second), DoubtFor: units.Duration(time.Minute), Flaps: 4,
-		FlapWithin: units.Duration(time.Minute), FlapHold: units.Duration(10 * time.Second), SameStart: units.Duration(time.Minute)}
+	return Options{SilentSourceHold: units.Duration(15 * time.Minute), RemovalHold: units.Duration(30 * time.Second), MassRemovalFraction: 0.5,
+		MassRemovalWindow: units.Duration(5 * time.Second), MassRemovalHold: units.Duration(time.Minute), MaxFlaps: 4,
+		FlapWindow: units.Duration(time.Minute), FlapHold: units.Duration(10 * time.Second), StartTimeTolerance: units.Duration(time.Minute)}
 }
 
 // Check is tomlfile.Checker's.
 func (o *Options) Check(report func(key, format string, args ...any)) {
-	if o.Hold < units.Duration(time.Second) {
-		report("hold", "%v is under a second", o.Hold)
+	if o.SilentSourceHold < units.Duration(time.Second) {
+		report("hold", "%v is under a second", o.SilentSourceHold)
 	}
-	if !(o.DoubtPart > 0 && o.DoubtPart <= 1) {
-		report("doubt_part", "%v is not a part, above 0 and up to 1", o.DoubtPart)
+	if !(o.MassRemovalFraction > 0 && o.MassRemovalFraction <= 1) {
+		report("doubt_part", "%v is not a part, above 0 and up to 1", o.MassRemovalFraction)
 	}
-	if o.Flaps < 0 || o.Flaps > maxFlips {
-		report("flaps", "%d is not from 0 to %d", o.Flaps, maxFlips)
+	if o.MaxFlaps < 0 || o.MaxFlaps > maxFlips {
+		report("flaps", "%d is not from 0 to %d", o.MaxFlaps, maxFlips)
 	}
 }
 
--- a/internal/discovery/membership/settle.go
+++ b/internal/discovery/membership/settle.go
@@ -99,7 +99,7 @@
 
 func (m *Merge) apart(a, b string) bool {
 	for _, x := range m.byID[a] {
-		if y := x.src.records[b]; y != nil && y.e.Address != x.e.Address && x.state != Gone && y.state != Gone {
+		if y := x.src.records[b]; y != nil && y.e.Address != x.e.Address && x.state != Removed && y.state != Removed {
 			return true
 		}
 	}
@@ -108,10 +108,10 @@
 
 // later tells which of two records of one source speaks of the process that runs now.
 func later(a, b *record) bool {
-	if (a.state == Gone) != (b.state == Gone) {
-		return b.state == Gone
+	if (a.state == Removed) != (b.state == Removed) {
+		return b.state == Removed
 	}
-	return cmp.Or(cmp.Compare(a.e.SinceMs, b.e.SinceMs), cmp.Compare(a.seq, b.seq)) > 0
+	return cmp.Or(cmp.Compare(a.e.StartedMs, b.e.StartedMs), cmp.Compare(a.seq, b.seq)) > 0
 }
 
 // merge makes one upstream of the records that speak of it.
@@ -173,24 +173,24 @@
 	}
 	return slices.ContainsFunc(speaks, func(o *record) bool {
 		return o.e.Name != r.e.Name && o.state == Up && o.e.Address == r.e.Address &&
-			time.UnixMilli(int64(o.e.SinceMs)).After(r.told.Add(m.o.SameStart.D()))
+			time.UnixMilli(int64(o.e.StartedMs)).After(r.told.Add(m.o.StartTimeTolerance.D()))
 	})
 }
 
 // describe is where and what an upstream is: the first source's word counts, but for a later start.
 func (m *Merge) describe(speaks []*record) endpoints.Endpoint {
-	listed := slices.DeleteFunc(slices.Clone(speaks), func(r *record) bool { return r.state == Gone })
+	listed := slices.DeleteFunc(slices.Clone(speaks), func(r *record) bool { return r.state == Removed })
 	if len(listed) == 0 {
 		listed = speaks
 	}
 	e := listed[0].e
 	at := listed[0]
 	for _, r := range listed[1:] {
-		if e.SinceMs == 0 || r.e.SinceMs > e.SinceMs+float64(m.o.SameStart.D().Milliseconds()) {
-			e.SinceMs = cmp.Or(r.e.SinceMs, e.SinceMs)
+		if e.StartedMs == 0 || r.e.StartedMs > e.StartedMs+float64(m.o.StartTimeTolerance.D().Milliseconds()) {
+			e.StartedMs = cmp.Or(r.e.StartedMs, e.StartedMs)
 		}
-		e.Zone, e.Type, e.Identity = cmp.Or(e.Zone, r.e.Zone), cmp.Or(e.Type, r.e.Type), cmp.Or(e.Identity, r.e.Identity)
-		e.Group = cmp.Or(e.Group, r.e.Group)
+		e.Zone, e.MachineType, e.TLSIdentity = cmp.Or(e.Zone, r.e.Zone), cmp.Or(e.MachineType, r.e.MachineType), cmp.Or(e.TLSIdentity, r.e.TLSIdentity)
+		e.Cell = cmp.Or(e.Cell, r.e.Cell)
 		if r.e.Address != at.e.Address && r.e.Address != "" && m.prefers(r, at) {
 			at = r
 		}
@@ -204,19 +204,19 @@
 func (m *Merge) prefers(a, b *record) bool {
 	taken := func(r *record) int {
 		for _, o := range m.byAddr[r.e.Address] {
-			if o.e.Name != r.e.Name && o.state != Gone {
+			if o.e.Name != r.e.Name && o.state != Removed {
 				return 1
 			}
 		}
 		return 0
 	}
-	return cmp.Or(cmp.Compare(taken(b), taken(a)), cmp.Compare(a.e.SinceMs, b.e.SinceMs), cmp.Compare(a.seq, b.seq)) > 0
+	return cmp.Or(cmp.Compare(taken(b), taken(a)), cmp.Compare(a.e.StartedMs, b.e.StartedMs), cmp.Compare(a.seq, b.seq)) > 0
 }
 
 // nameFor is the name that the first source gives.
 func (m *Merge) nameFor(speaks []*record) string {
 	for _, r := range speaks {
-		if r.state != Gone {
+		if r.state != Removed {
 			return r.e.Name
 		}
 	}
@@ -232,10 +232,10 @@
 	}
 	for _, r := range group {
 		n := r.was
-		if n == nil || !n.told || len(n.records) > 0 || n.e.Address != e.Address || !m.sameStart(n.e.SinceMs, e.SinceMs) {
+		if n == nil || !n.told || len(n.records) > 0 || n.e.Address != e.Address || !m.sameStart(n.e.StartedMs, e.StartedMs) {
 			continue
 		}
-		if !slices.ContainsFunc(m.byID[n.name], func(x *record) bool { return x.state != Gone && !slices.Contains(group, x) }) {
+		if !slices.ContainsFunc(m.byID[n.name], func(x *record) bool { return x.state != Removed && !slices.Contains(group, x) }) {
 			return n
 		}
 	}
@@ -244,7 +244,7 @@
 
 func (m *Merge) sameStart(a, b float64) bool {
 	d := a - b
-	return max(d, -d) <= float64(m.o.SameStart.D().Milliseconds())
+	return max(d, -d) <= float64(m.o.StartTimeTolerance.D().Milliseconds())
 }
 
 func (m *Merge) newNode(name string) *node {
@@ -255,14 +255,14 @@
 
 // damp holds back an upstream that comes and goes, unless too many are held back already.
 func (m *Merge) damp(n *node, reason string) string {
-	if m.o.Flaps == 0 || n.counted || !n.hold.IsZero() && !n.hold.After(m.now) && n.isHeld {
+	if m.o.MaxFlaps == 0 || n.counted || !n.hold.IsZero() && !n.hold.After(m.now) && n.isHeld {
 		return reason
 	}
 	if n.hold.After(m.now) {
 		return "it flaps: held back"
 	}
-	n.flips = slices.DeleteFunc(n.flips, func(t time.Time) bool { return m.now.Sub(t) > m.o.FlapWithin.D() })
-	if len(n.flips) < m.o.Flaps || m.held > 0 && 4*(m.held+1) > m.ready+m.held || m.ready == 0 {
+	n.flips = slices.DeleteFunc(n.flips, func(t time.Time) bool { return m.now.Sub(t) > m.o.FlapWindow.D() })
+	if len(n.flips) < m.o.MaxFlaps || m.held > 0 && 4*(m.held+1) > m.ready+m.held || m.ready == 0 {
 		return reason
 	}
 	if until := n.flips[len(n.flips)-1].Add(m.o.FlapHold.D()); until.After(m.now) {
@@ -277,14 +277,14 @@
 func (m *Merge) tell(n *node, e endpoints.Endpoint, reason string) *Change {
 	wasReady := n.counted
 	ready := e.Status == endpoints.StatusReady
-	if n.told && m.sameStart(n.e.SinceMs, e.SinceMs) && n.e.SinceMs != 0 && n.e.Address == e.Address {
-		e.SinceMs = n.e.SinceMs // sources differ a little; connections are tied to it
+	if n.told && m.sameStart(n.e.StartedMs, e.StartedMs) && n.e.StartedMs != 0 && n.e.Address == e.Address {
+		e.StartedMs = n.e.StartedMs // sources differ a little; connections are tied to it
 	}
 	m.held = m.countHeld(n)
 	if wasReady != ready {
 		if wasReady {
 			m.ready--
-			if m.o.Flaps > 0 {
+			if m.o.MaxFlaps > 0 {
 				if n.flips = append(n.flips, m.now); len(n.flips) > maxFlips {
 					n.flips = n.flips[1:]
 				}
@@ -342,5 +342,5 @@
 // forget has a node that is not in the list remembered for its flapping, and no longer.
 func (m *Merge) forget(n *node) {
 	n.ended = m.now
-	m.at(m.now.Add(m.o.FlapWithin.D()), nil, nil, n)
+	m.at(m.now.Add(m.o.FlapWindow.D()), nil, nil, n)
 }
--- a/internal/discovery/membership/verdict.go
+++ b/internal/discovery/membership/verdict.go
@@ -14,7 +14,7 @@
 	Draining
 	OutOfService
 	Down
-	Gone // it was listed, and is no longer
+	Removed // it was listed, and is no longer
 )
 
 var stateNames = [...]string{"absent", "up", "starting", "unknown", "draining", "out of service", "down", "gone"}
@@ -37,7 +37,7 @@
 	case StatusDown:
 		return Down
 	}
-	return Gone
+	return Removed
 }
 
 // voice is what one source says of an upstream, and how much that counts.
@@ -49,7 +49,7 @@
 
 // weight orders what is said: of two voices the heavier one counts. In words: who says that an upstream wants nothing new
 // is believed by all; then who says that it has gone; then who says that it is not ready yet; then who says it is up.
-var weight = [...]int{Absent: 0, Unknown: 1, Up: 2, Starting: 3, Gone: 4, Down: 5, OutOfService: 6, Draining: 7}
+var weight = [...]int{Absent: 0, Unknown: 1, Up: 2, Starting: 3, Removed: 4, Down: 5, OutOfService: 6, Draining: 7}
 
 // verdict is the merged state, and whose word it is. It does not depend on the order of the voices but for the source that
 // is named.
--- a/internal/discovery/merged.go
+++ b/internal/discovery/merged.go
@@ -11,23 +11,23 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// Named is a Source of a Merged, by the name that the log calls it.
-type Named struct {
-	Name   string
-	Source Source
-	Known  *endpoints.Listing // what it is known to list to begin with; nil: nothing
-	Leads  bool               // it is first in rank, and its silence and its signs of life are the module's to know, as with a list alone
+// NamedSource is a Source of a Merged, by the name that the log calls it.
+type NamedSource struct {
+	Name    string
+	Source  Source
+	Initial *endpoints.List // what it is known to list to begin with; nil: nothing
+	Primary bool            // it is first in rank, and its silence and its signs of life are the module's to know, as with a list alone
 }
 
-// Merged is a Source that follows several, and tells what membership makes of them. Sources come and go while it runs.
-type Merged struct {
+// MergedSource is a Source that follows several, and tells what membership makes of them. Sources come and go while it runs.
+type MergedSource struct {
 	log   *slog.Logger
 	merge *membership.Merge
 	now   func() time.Time
 
 	mu      sync.Mutex // of the merge, and of what is told: one input after another
 	sink    Sink       // nil: Run has not begun
-	pending *endpoints.Listing
+	pending *endpoints.List
 	running map[string]*followed
 	timer   *time.Timer
 	version int64
@@ -37,16 +37,16 @@
 }
 
 type followed struct {
-	Named
+	NamedSource
 	stop context.CancelFunc
 	over chan struct{}
 }
 
-var _ Source = (*Merged)(nil)
+var _ Source = (*MergedSource)(nil)
 
-// NewMerged returns one that follows sources, the first of them first in rank.
-func NewMerged(o membership.Options, log *slog.Logger, sources ...Named) (*Merged, error) {
-	m := &Merged{log: cmp.Or(log, slog.New(slog.DiscardHandler)), merge: membership.New(o), now: time.Now, running: map[string]*followed{}}
+// NewMergedSource returns one that follows sources, the first of them first in rank.
+func NewMergedSource(o membership.Options, log *slog.Logger, sources ...NamedSource) (*MergedSource, error) {
+	m := &MergedSource{log: cmp.Or(log, slog.New(slog.DiscardHandler)), merge: membership.New(o), now: time.Now, running: map[string]*followed{}}
 	m.timer = time.AfterFunc(time.Hour, m.tick)
 	m.timer.Stop()
 	for _, s := range sources {
@@ -58,25 +58,25 @@
 }
 
 // Load is the merged list of what is known to begin with; it is not told again.
-func (m *Merged) Load() *endpoints.Listing {
+func (m *MergedSource) Load() *endpoints.List {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.pending = nil
 	version := m.version
-	return &endpoints.Listing{Index: &version, Snapshot: true, Endpoints: m.merge.List()}
+	return &endpoints.List{Index: &version, Snapshot: true, Endpoints: m.merge.List()}
 }
 
 // Add follows one source more.
-func (m *Merged) Add(s Named) error {
+func (m *MergedSource) Add(s NamedSource) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if err := m.merge.AddSource(s.Name, s.Leads); err != nil {
+	if err := m.merge.AddSource(s.Name, s.Primary); err != nil {
 		return err
 	}
-	f := &followed{Named: s}
+	f := &followed{NamedSource: s}
 	m.running[s.Name] = f
-	if s.Known != nil {
-		m.tell(m.merge.Told(m.now(), s.Name, s.Known))
+	if s.Initial != nil {
+		m.tell(m.merge.Update(m.now(), s.Name, s.Initial))
 	}
 	if m.ctx != nil {
 		m.start(f)
@@ -85,7 +85,7 @@
 }
 
 // halt ends the following of a source; nil: there is none of that name.
-func (m *Merged) halt(name string) *followed {
+func (m *MergedSource) halt(name string) *followed {
 	m.mu.Lock()
 	f := m.running[name]
 	m.mu.Unlock()
@@ -97,7 +97,7 @@
 }
 
 // Remove ends a source; what only it listed is gone when Remove returns. Add, Remove and Replace come one after another.
-func (m *Merged) Remove(name string) {
+func (m *MergedSource) Remove(name string) {
 	if m.halt(name) == nil {
 		return
 	}
@@ -108,14 +108,14 @@
 }
 
 // Replace follows another source in place of the one of that name: what that one said stands until the new one has told.
-func (m *Merged) Replace(name string, source Source) {
+func (m *MergedSource) Replace(name string, source Source) {
 	f := m.halt(name)
 	if f == nil {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next := &followed{Named: f.Named}
+	next := &followed{NamedSource: f.NamedSource}
 	next.Source = source
 	m.running[name] = next
 	if m.ctx != nil {
@@ -124,7 +124,7 @@
 }
 
 // Source is the one of that name; nil: there is none.
-func (m *Merged) Source(name string) Source {
+func (m *MergedSource) Source(name string) Source {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if f := m.running[name]; f != nil {
@@ -134,34 +134,34 @@
 }
 
 // Update takes a list for a source that has no life of its own, such as entries of a file.
-func (m *Merged) Update(name string, l *endpoints.Listing) { (&input{m, name, false}).Update(l) }
+func (m *MergedSource) Update(name string, l *endpoints.List) { (&input{m, name, false}).Update(l) }
 
 // Configure changes the windows of the merge.
-func (m *Merged) Configure(o membership.Options) {
+func (m *MergedSource) Configure(o membership.Options) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.merge.Configure(o)
 }
 
-// Ask is Source's: those that lead are asked.
-func (m *Merged) Ask() {
+// Refresh is Source's: those that lead are asked.
+func (m *MergedSource) Refresh() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, f := range m.running {
-		if f.Leads && f.Source != nil {
-			f.Source.Ask()
+		if f.Primary && f.Source != nil {
+			f.Source.Refresh()
 		}
 	}
 }
 
 // Attach has sink told of what Update brings already before Run, which is to be given the same.
-func (m *Merged) Attach(sink Sink) {
+func (m *MergedSource) Attach(sink Sink) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.attach(sink)
 }
 
-func (m *Merged) attach(sink Sink) {
+func (m *MergedSource) attach(sink Sink) {
 	m.sink = sink
 	if l := m.pending; l != nil {
 		m.pending = nil
@@ -170,7 +170,7 @@
 }
 
 // Run is Source's.
-func (m *Merged) Run(ctx context.Context, sink Sink) {
+func (m *MergedSource) Run(ctx context.Context, sink Sink) {
 	m.mu.Lock()
 	m.ctx = ctx
 	m.attach(sink)
@@ -188,7 +188,7 @@
 }
 
 // start follows a source beside the others.
-func (m *Merged) start(f *followed) {
+func (m *MergedSource) start(f *followed) {
 	if f.Source == nil || m.over {
 		return
 	}
@@ -196,12 +196,12 @@
 	f.stop, f.over = stop, make(chan struct{})
 	m.done.Go(func() {
 		defer close(f.over)
-		f.Source.Run(ctx, &input{m, f.Name, f.Leads})
+		f.Source.Run(ctx, &input{m, f.Name, f.Primary})
 	})
 }
 
 // tell passes on what an input led to.
-func (m *Merged) tell(o membership.Output) {
+func (m *MergedSource) tell(o membership.Output) {
 	for _, note := range o.Notes {
 		m.log.Warn("membership: " + note)
 	}
@@ -217,14 +217,14 @@
 	if len(o.Changes) > 0 {
 		m.version++
 		version := m.version
-		l := &endpoints.Listing{Index: &version, Endpoints: make([]endpoints.Endpoint, len(o.Changes))}
+		l := &endpoints.List{Index: &version, Endpoints: make([]endpoints.Endpoint, len(o.Changes))}
 		for i, c := range o.Changes {
 			l.Endpoints[i] = c.Endpoint
 		}
 		if m.sink != nil {
 			m.sink.Update(l)
 		} else {
-			m.pending = &endpoints.Listing{Index: &version, Snapshot: true, Endpoints: m.merge.List()}
+			m.pending = &endpoints.List{Index: &version, Snapshot: true, Endpoints: m.merge.List()}
 		}
 	}
 	m.arm()
@@ -233,7 +233,7 @@
 // maxTold bounds the lines of one input.
 const maxTold = 16
 
-func (m *Merged) arm() {
+func (m *MergedSource) arm() {
 	if m.over || m.ctx == nil {
 		return
 	}
@@ -242,7 +242,7 @@
 	}
 }
 
-func (m *Merged) tick() {
+func (m *MergedSource) tick() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.over {
@@ -252,29 +252,29 @@
 
 // input is the Sink of one source.
 type input struct {
-	m     *Merged
+	m     *MergedSource
 	name  string
 	leads bool
 }
 
-func (i *input) Update(l *endpoints.Listing) {
+func (i *input) Update(l *endpoints.List) {
 	i.m.mu.Lock()
 	defer i.m.mu.Unlock()
 	if i.m.over {
 		return
 	}
-	i.m.tell(i.m.merge.Told(i.m.now(), i.name, l))
+	i.m.tell(i.m.merge.Update(i.m.now(), i.name, l))
 	if i.leads && i.m.sink != nil {
-		i.m.sink.Heard() // also where it changed nothing
+		i.m.sink.Current() // also where it changed nothing
 	}
 }
 
-func (i *input) Heard() {
+func (i *input) Current() {
 	i.m.mu.Lock()
 	defer i.m.mu.Unlock()
-	i.m.tell(i.m.merge.Heard(i.m.now(), i.name))
+	i.m.tell(i.m.merge.Current(i.m.now(), i.name))
 	if i.leads && i.m.sink != nil {
-		i.m.sink.Heard()
+		i.m.sink.Current()
 	}
 }
 
--- a/internal/discovery/merged_test.go
+++ b/internal/discovery/merged_test.go
@@ -29,14 +29,14 @@
 	<-ctx.Done()
 }
 
-func (s *scripted) Ask() { s.asks++ }
+func (s *scripted) Refresh() { s.asks++ }
 
 // Guards against nodes that a registry's absence takes away in minutes, against a merged list that stands still when only
 // time passes, and against a list that a change of sources loses. The time is virtual.
 func TestMergedThroughAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list := func(entries ...string) *endpoints.Listing {
-			l := &endpoints.Listing{Index: new(int64), Snapshot: true}
+		list := func(entries ...string) *endpoints.List {
+			l := &endpoints.List{Index: new(int64), Snapshot: true}
 			for _, e := range entries {
 				name, status, _ := strings.Cut(e, " ")
 				l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: name, Address: "127.0.0.2:" + name[1:], Status: status})
@@ -44,22 +44,22 @@
 			return l
 		}
 		own, registry, next := &scripted{up: make(chan struct{})}, &scripted{up: make(chan struct{})}, &scripted{up: make(chan struct{})}
-		m, err := NewMerged(membership.Default(), nil,
-			Named{Name: "list", Source: own, Known: list("n1 Ready"), Leads: true}, Named{Name: "eureka", Source: registry})
+		m, err := NewMergedSource(membership.Default(), nil,
+			NamedSource{Name: "list", Source: own, Initial: list("n1 Ready"), Primary: true}, NamedSource{Name: "eureka", Source: registry})
 		if err != nil {
 			t.Fatal(err)
 		}
 		var mu sync.Mutex
 		failed := 0
 		dir := endpoints.New(clock.New(), nil)
-		feed := NewFeed(dir, func(m balancer.EndpointUpdate) {
+		feed := NewRegistrySink(dir, func(m balancer.EndpointUpdate) {
 			mu.Lock()
 			defer mu.Unlock()
 			if m.Kind == balancer.UpdateFailed {
 				failed++
 			}
 		})
-		feed.Take(m.Load())
+		feed.Apply(m.Load())
 		ctx, stop := context.WithCancel(t.Context())
 		var run sync.WaitGroup
 		run.Go(func() { m.Run(ctx, feed) })
@@ -69,7 +69,7 @@
 			t.Helper()
 			synctest.Wait()
 			var got []string
-			for name := range dir.Places() {
+			for name := range dir.Instances() {
 				got = append(got, name)
 			}
 			if slices.Sort(got); !slices.Equal(got, want) {
@@ -81,7 +81,7 @@
 		takes("all", "n1", "n2", "n3", "n4")
 		for range 60 { // of ten minutes
 			registry.sink.Lost(errors.New("unreachable"), true)
-			own.sink.Heard()
+			own.sink.Current()
 			time.Sleep(10 * time.Second)
 		}
 		takes("away for ten minutes", "n1", "n2", "n3", "n4")
@@ -106,7 +106,7 @@
 		takes("empty for a minute: believed")
 		next.sink.Update(list("n4 Ready"))
 		takes("and filled", "n4")
-		m.Ask()
+		m.Refresh()
 		own.sink.Lost(errors.New("broken"), false)
 		synctest.Wait()
 		if own.asks != 1 || next.asks != 0 || failed != 1 {
--- a/internal/discovery/messages_test.go
+++ b/internal/discovery/messages_test.go
@@ -85,7 +85,7 @@
 	if err != nil || len(all) != 1 {
 		t.Fatalf("%d messages, %v", len(all), err)
 	}
-	if l, err := endpoints.ParseListing([]byte(all[0])); err != nil || len(l.Endpoints) != 1024 {
+	if l, err := endpoints.ParseList([]byte(all[0])); err != nil || len(l.Endpoints) != 1024 {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/discovery/narrowed.go
+++ b/internal/discovery/narrowed.go
@@ -10,9 +10,9 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// Narrowed is the Sink before a Feed that passes on only what subset takes for this process's own. It keeps the whole list.
-type Narrowed struct {
-	feed *Feed
+// SubsetSink is the Sink before a Feed that passes on only what subset takes for this process's own. It keeps the whole list.
+type SubsetSink struct {
+	feed *RegistrySink
 	sent func() int64 // requests so far
 
 	mu    sync.Mutex
@@ -22,23 +22,23 @@
 	over  bool
 }
 
-var _ Sink = (*Narrowed)(nil)
+var _ Sink = (*SubsetSink)(nil)
 
-// NewNarrowed returns one; sent counts the requests that the size follows.
-func NewNarrowed(s *subset.Subset, feed *Feed, sent func() int64) *Narrowed {
-	n := &Narrowed{feed: feed, sent: sent, s: s}
+// NewSubsetSink returns one; sent counts the requests that the size follows.
+func NewSubsetSink(s *subset.Subset, feed *RegistrySink, sent func() int64) *SubsetSink {
+	n := &SubsetSink{feed: feed, sent: sent, s: s}
 	n.timer = time.AfterFunc(time.Hour, n.tick)
 	n.timer.Stop()
 	return n
 }
 
 // Load takes a first list, and returns what of it is this process's own; it is not passed on.
-func (n *Narrowed) Load(l *endpoints.Listing) *endpoints.Listing {
+func (n *SubsetSink) Load(l *endpoints.List) *endpoints.List {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.whole.take(l)
 	index := n.whole.index
-	own := &endpoints.Listing{Index: &index, Snapshot: true}
+	own := &endpoints.List{Index: &index, Snapshot: true}
 	if out := n.s.Update(time.Now(), l); out != nil {
 		own.Endpoints = out.Endpoints
 	}
@@ -46,35 +46,35 @@
 }
 
 // Last is the whole list as last held.
-func (n *Narrowed) Last() *endpoints.Listing {
+func (n *SubsetSink) Last() *endpoints.List {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.whole.last()
 }
 
 // Size is how many upstreams are this process's own, and how many are listed.
-func (n *Narrowed) Size() (own, listed int) {
+func (n *SubsetSink) Size() (own, listed int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.s.Size()
 }
 
 // Update is Sink's.
-func (n *Narrowed) Update(l *endpoints.Listing) {
+func (n *SubsetSink) Update(l *endpoints.List) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.whole.take(l)
 	n.pass(n.s.Update(time.Now(), l))
-	n.feed.Heard() // also where nothing of it is this process's own
+	n.feed.Current() // also where nothing of it is this process's own
 }
 
-// Heard and Lost are Sink's.
-func (n *Narrowed) Heard() { n.feed.Heard() }
+// Current and Lost are Sink's.
+func (n *SubsetSink) Current() { n.feed.Current() }
 
 // Lost is Sink's.
-func (n *Narrowed) Lost(err error, again bool) { n.feed.Lost(err, again) }
+func (n *SubsetSink) Lost(err error, again bool) { n.feed.Lost(err, again) }
 
-func (n *Narrowed) pass(out *endpoints.Listing) {
+func (n *SubsetSink) pass(out *endpoints.List) {
 	if out != nil {
 		index := n.whole.index
 		out.Index = &index
@@ -85,7 +85,7 @@
 	}
 }
 
-func (n *Narrowed) tick() {
+func (n *SubsetSink) tick() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if !n.over {
@@ -100,7 +100,7 @@
 )
 
 // Run follows the traffic and the time until ctx ends.
-func (n *Narrowed) Run(ctx context.Context) {
+func (n *SubsetSink) Run(ctx context.Context) {
 	every := time.NewTicker(rateEvery)
 	defer every.Stop()
 	rate, last, at := 0.0, n.sent(), time.Now()
--- a/internal/discovery/source.go
+++ b/internal/discovery/source.go
@@ -13,10 +13,10 @@
 	Sink   = endpoints.Sink
 )
 
-// Feed is the Sink of a service with one list: what is heard goes to its directory, then to the module. It keeps the
+// RegistrySink is the Sink of a service with one list: what is heard goes to its directory, then to the module. It keeps the
 // list as last held, one entry for each upstream listed.
-type Feed struct {
-	dir    *endpoints.Directory
+type RegistrySink struct {
+	dir    *endpoints.Registry
 	report func(balancer.EndpointUpdate)
 
 	telling sync.Mutex // from when the directory has news until the module has them
@@ -31,7 +31,7 @@
 	entries map[string]endpoints.Endpoint
 }
 
-func (h *held) take(l *endpoints.Listing) {
+func (h *held) take(l *endpoints.List) {
 	if l.Snapshot || h.entries == nil {
 		h.entries = make(map[string]endpoints.Endpoint, len(l.Endpoints))
 	}
@@ -48,54 +48,54 @@
 }
 
 // last is all of it.
-func (h *held) last() *endpoints.Listing {
+func (h *held) last() *endpoints.List {
 	index := h.index
-	l := &endpoints.Listing{Index: &index, Snapshot: true, Endpoints: make([]endpoints.Endpoint, 0, len(h.entries))}
+	l := &endpoints.List{Index: &index, Snapshot: true, Endpoints: make([]endpoints.Endpoint, 0, len(h.entries))}
 	for _, e := range h.entries {
 		l.Endpoints = append(l.Endpoints, e)
 	}
 	return l
 }
 
-// NewFeed returns one for a directory; report hands news to the module.
-func NewFeed(dir *endpoints.Directory, report func(balancer.EndpointUpdate)) *Feed {
-	return &Feed{dir: dir, report: report}
+// NewRegistrySink returns one for a directory; report hands news to the module.
+func NewRegistrySink(dir *endpoints.Registry, report func(balancer.EndpointUpdate)) *RegistrySink {
+	return &RegistrySink{dir: dir, report: report}
 }
 
 // Update is Sink's.
-func (f *Feed) Update(l *endpoints.Listing) {
+func (f *RegistrySink) Update(l *endpoints.List) {
 	f.telling.Lock()
 	defer f.telling.Unlock()
-	f.report(f.Take(l))
+	f.report(f.Apply(l))
 }
 
-// Settle waits until the module has what the directory has. An attempt that the directory stopped is told to the module
+// WaitForUpdates waits until the module has what the directory has. An attempt that the directory stopped is told to the module
 // after that: with the old list it would look for another upstream among those that have just gone.
-func (f *Feed) Settle() {
+func (f *RegistrySink) WaitForUpdates() {
 	f.telling.Lock()
 	defer f.telling.Unlock()
 }
 
-// Take is Update for a list that the module is to get by other means: it returns the news.
-func (f *Feed) Take(l *endpoints.Listing) balancer.EndpointUpdate {
+// Apply is Update for a list that the module is to get by other means: it returns the news.
+func (f *RegistrySink) Apply(l *endpoints.List) balancer.EndpointUpdate {
 	f.mu.Lock()
 	defer f.mu.Unlock() // one list after another, in the directory too
 	f.held.take(l)
 	return f.dir.Apply(l)
 }
 
-// Heard is Sink's.
-func (f *Feed) Heard() { f.report(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate}) }
+// Current is Sink's.
+func (f *RegistrySink) Current() { f.report(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate}) }
 
 // Lost is Sink's. The module hears of it where it is for it to ask again.
-func (f *Feed) Lost(_ error, again bool) {
+func (f *RegistrySink) Lost(_ error, again bool) {
 	if !again {
 		f.report(balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
 	}
 }
 
 // Last is the list as last held, whole.
-func (f *Feed) Last() *endpoints.Listing {
+func (f *RegistrySink) Last() *endpoints.List {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.held.last()
--- a/internal/discovery/staleness/budget.go
+++ b/internal/discovery/staleness/budget.go
@@ -80,15 +80,15 @@
 )
 
 func (o *Options) askWithin() time.Duration {
-	if o.AskWithin > 0 {
-		return o.AskWithin
+	if o.MaxPollAge > 0 {
+		return o.MaxPollAge
 	}
 	return askUntold
 }
 
 func (o *Options) grace() time.Duration {
-	if o.Grace > 0 {
-		return min(o.Grace, graceMost)
+	if o.DrainGrace > 0 {
+		return min(o.DrainGrace, graceMost)
 	}
 	return graceMost
 }
@@ -97,7 +97,7 @@
 
 // spread is drawn once for each watch, so that a fleet's calls are spread and one sidecar's deadline is kept.
 func (m *Machine) spread() time.Duration {
-	most := min(time.Duration(m.o.Sidecars)*spreadEach, spreadMost)
+	most := min(time.Duration(m.o.FleetSize)*spreadEach, spreadMost)
 	if m.o.Pushed || most <= 0 {
 		return 0
 	}
@@ -147,7 +147,7 @@
 
 // fleet is a time for each sidecar of the fleet.
 func (o *Options) fleet(each time.Duration) time.Duration {
-	return time.Duration(min(o.Sidecars, mostSidecars)) * each
+	return time.Duration(min(o.FleetSize, mostSidecars)) * each
 }
 
 // overdueWait is the wait between calls once the list is overdue. It does not grow.
--- a/internal/discovery/staleness/crowd_test.go
+++ b/internal/discovery/staleness/crowd_test.go
@@ -82,7 +82,7 @@
 func playCrowd(day crowdedDay, seed uint64, until time.Duration) *crowd {
 	c := &crowd{day: day, rng: rand.New(rand.NewPCG(seed, 7))}
 	for i := range day.sidecars {
-		s := &crowdSidecar{machine: New(Options{Sidecars: day.sidecars}, rng(seed*1000+uint64(i))), calls: map[CallID]*crowdCall{}, heard: -1}
+		s := &crowdSidecar{machine: New(Options{FleetSize: day.sidecars}, rng(seed*1000+uint64(i))), calls: map[CallID]*crowdCall{}, heard: -1}
 		c.sidecars = append(c.sidecars, s)
 		c.at(time.Duration(i)*ms, func() { c.do(s, s.machine.Start(c.now)) })
 		if i < len(day.reloads) {
@@ -116,7 +116,7 @@
 
 func (c *crowd) do(s *crowdSidecar, actions []Action) {
 	for _, a := range actions {
-		if a.Kind == Close {
+		if a.Kind == CloseCall {
 			delete(s.calls, a.Call)
 			continue
 		}
@@ -158,13 +158,13 @@
 		return
 	}
 	c.learn(s)
-	if call.request == List {
+	if call.request == FetchList {
 		delete(s.calls, id)
-		c.do(s, s.machine.Heard(c.now, id))
+		c.do(s, s.machine.CallActive(c.now, id))
 		return
 	}
 	call.watching = true
-	c.do(s, s.machine.Heard(c.now, id))
+	c.do(s, s.machine.CallActive(c.now, id))
 	c.beat(s, id, call)
 }
 
@@ -177,7 +177,7 @@
 func (c *crowd) beat(s *crowdSidecar, id CallID, call *crowdCall) {
 	c.at(c.now+beat, func() {
 		if s.calls[id] == call && !c.isDown() {
-			c.do(s, s.machine.Heard(c.now, id))
+			c.do(s, s.machine.CallActive(c.now, id))
 			c.beat(s, id, call)
 		}
 	})
@@ -195,7 +195,7 @@
 				continue
 			}
 			c.learn(s)
-			c.do(s, s.machine.Heard(c.now, id))
+			c.do(s, s.machine.CallActive(c.now, id))
 		}
 	}
 }
@@ -203,7 +203,7 @@
 func (c *crowd) end(s *crowdSidecar, id CallID) {
 	if s.calls[id] != nil {
 		delete(s.calls, id)
-		c.do(s, s.machine.Ended(c.now, id))
+		c.do(s, s.machine.CallEnded(c.now, id))
 	}
 }
 
--- a/internal/discovery/staleness/machine.go
+++ b/internal/discovery/staleness/machine.go
@@ -3,7 +3,7 @@
 //
 // A call is one question to discovery that stays open as a watch. The list is current as long as a call speaks: it brings a list, a
 // change or a sign of life. A call that ends, or that has been quiet for longer than one that is well can be, leaves it open whether
-// something was missed; from then on there is one deadline, Machine.Due, at which what was missed counts as told (budget.go). All
+// something was missed; from then on there is one deadline, Machine.Deadline, at which what was missed counts as told (budget.go). All
 // waits are derived from what is left until then. A call that is quiet is not given up before a later one speaks: it may be waiting
 // its turn at a discovery that works through calls one after another.
 //
@@ -19,22 +19,22 @@
 
 // Options are a Machine's parameters.
 type Options struct {
-	Pushed    bool          // the list is pushed to an agent at hand: calls cost nothing, and what it has counts as told at once
-	AskWithin time.Duration // without a watch the list holds for so long from the last call; 0: not told
-	Sidecars  int           // that follow the same list
-	Grace     time.Duration // for what is sent after a change counts as told; 0: not told
+	Pushed     bool          // the list is pushed to an agent at hand: calls cost nothing, and what it has counts as told at once
+	MaxPollAge time.Duration // without a watch the list holds for so long from the last call; 0: not told
+	FleetSize  int           // that follow the same list
+	DrainGrace time.Duration // for what is sent after a change counts as told; 0: not told
 }
 
 // CallID names a call, from 1 up.
 type CallID uint64
 
-// Kind of an Action.
-type Kind int
+// ActionKind of an Action.
+type ActionKind int
 
 // The actions.
 const (
-	Open  Kind = iota // make a call
-	Close             // end it; nothing that it says counts any more
+	OpenCall  ActionKind = iota // make a call
+	CloseCall                   // end it; nothing that it says counts any more
 )
 
 // Request is what a call asks discovery for.
@@ -42,12 +42,12 @@
 
 // The requests.
 const (
-	Watch Request = iota // what changes from the version that is known on
-	List                 // the whole list; the call is over once it is heard
+	WatchChanges Request = iota // what changes from the version that is known on
+	FetchList                   // the whole list; the call is over once it is heard
 )
 
 func (r Request) String() string {
-	if r == List {
+	if r == FetchList {
 		return "list"
 	}
 	return "watch"
@@ -55,7 +55,7 @@
 
 // Action is what the driver is to do.
 type Action struct {
-	Kind    Kind
+	Kind    ActionKind
 	Call    CallID
 	Request Request // of Open
 }
@@ -108,8 +108,8 @@
 	return m.callNow(now)
 }
 
-// Heard says that a call spoke: it brought a list, a change, or a line that stands for none. Part of a line is nothing.
-func (m *Machine) Heard(now time.Duration, id CallID) []Action {
+// CallActive says that a call spoke: it brought a list, a change, or a line that stands for none. Part of a line is nothing.
+func (m *Machine) CallActive(now time.Duration, id CallID) []Action {
 	if i := m.findPrevious(id); i >= 0 {
 		return m.heardPrevious(now, i)
 	}
@@ -117,7 +117,7 @@
 	if i < 0 {
 		return nil
 	}
-	if m.calls[i].request == List {
+	if m.calls[i].request == FetchList {
 		return m.listed(now, i)
 	}
 	c := &m.calls[i]
@@ -156,8 +156,8 @@
 	m.informed, m.told, m.due = true, now, now+toldSilent
 }
 
-// Ended says that a call ended by itself, or could not be made.
-func (m *Machine) Ended(now time.Duration, id CallID) []Action {
+// CallEnded says that a call ended by itself, or could not be made.
+func (m *Machine) CallEnded(now time.Duration, id CallID) []Action {
 	if i := m.findPrevious(id); i >= 0 {
 		m.previous = slices.Delete(m.previous, i, i+1)
 		return nil
@@ -241,20 +241,20 @@
 	return min(next, m.previousEnds())
 }
 
-// Due is when what may have been missed counts as told; the list may be too old from then on.
-func (m *Machine) Due() time.Duration { return m.due }
+// Deadline is when what may have been missed counts as told; the list may be too old from then on.
+func (m *Machine) Deadline() time.Duration { return m.due }
 
-// Told is when the list was last known to be current.
-func (m *Machine) Told() time.Duration { return m.told }
+// CurrentAt is when the list was last known to be current.
+func (m *Machine) CurrentAt() time.Duration { return m.told }
 
 // Failures is how many calls have ended since one spoke.
 func (m *Machine) Failures() int { return m.fails }
 
-// Standing tells whether a call speaks, or the whole list was heard and the watch behind it is still to be made.
-func (m *Machine) Standing(now time.Duration) bool { return m.standing(now) || m.watchPending }
+// Connected tells whether a call speaks, or the whole list was heard and the watch behind it is still to be made.
+func (m *Machine) Connected(now time.Duration) bool { return m.standing(now) || m.watchPending }
 
-// Takes tells whether what a call says counts.
-func (m *Machine) Takes(id CallID) bool { return m.find(id) >= 0 || m.findPrevious(id) >= 0 }
+// Accepts tells whether what a call says counts.
+func (m *Machine) Accepts(id CallID) bool { return m.find(id) >= 0 || m.findPrevious(id) >= 0 }
 
 func (m *Machine) standing(now time.Duration) bool {
 	return m.callStands(now) || slices.ContainsFunc(m.previous, func(c previousCall) bool { return c.standing(now) })
@@ -273,18 +273,18 @@
 func (m *Machine) callNow(now time.Duration) []Action {
 	m.last++
 	m.lastMade, m.watchPending = now, false
-	request := Watch
+	request := WatchChanges
 	if m.listWanted {
-		request = List
+		request = FetchList
 	}
 	m.calls = append(m.calls, call{id: m.last, request: request, begun: now, patience: m.patience(now)})
-	return []Action{{Kind: Open, Call: m.last, Request: request}}
+	return []Action{{Kind: OpenCall, Call: m.last, Request: request}}
 }
 
 func (m *Machine) close(i int) Action {
 	id := m.calls[i].id
 	m.calls = slices.Delete(m.calls, i, i+1)
-	return Action{Kind: Close, Call: id}
+	return Action{Kind: CloseCall, Call: id}
 }
 
 func (m *Machine) closeAll() []Action {
--- a/internal/discovery/staleness/model_test.go
+++ b/internal/discovery/staleness/model_test.go
@@ -15,8 +15,8 @@
 // follower is what is tried in the world below: a Machine, or the waits that were before it.
 type follower interface {
 	Start(now time.Duration) []Action
-	Heard(now time.Duration, id CallID) []Action
-	Ended(now time.Duration, id CallID) []Action
+	CallActive(now time.Duration, id CallID) []Action
+	CallEnded(now time.Duration, id CallID) []Action
 	Tick(now time.Duration) []Action
 	Next() time.Duration
 }
@@ -88,7 +88,7 @@
 
 func (w *world) do(acts []Action) {
 	for _, a := range acts {
-		if a.Kind == Close {
+		if a.Kind == CloseCall {
 			delete(w.calls, a.Call)
 			continue
 		}
@@ -142,7 +142,7 @@
 			w.heardAt[i] = w.now
 		}
 	}
-	w.do(w.f.Heard(w.now, id))
+	w.do(w.f.CallActive(w.now, id))
 }
 
 func (w *world) beat(id CallID) {
@@ -169,7 +169,7 @@
 			w.heldFor = askUntold
 		}
 	}
-	w.do(w.f.Ended(w.now, id))
+	w.do(w.f.CallEnded(w.now, id))
 }
 
 func (w *world) open() []*worldCall {
@@ -334,14 +334,14 @@
 func (b *before) open(now time.Duration) []Action {
 	b.id++
 	b.limit, b.next = now+5*time.Second, never
-	return []Action{{Kind: Open, Call: b.id}}
+	return []Action{{Kind: OpenCall, Call: b.id}}
 }
 func (b *before) Start(now time.Duration) []Action { b.wait = 250 * ms; return b.open(now) }
-func (b *before) Heard(now time.Duration, _ CallID) []Action {
+func (b *before) CallActive(now time.Duration, _ CallID) []Action {
 	b.limit, b.fails, b.wait = now+3500*ms, 0, 250*ms
 	return nil
 }
-func (b *before) Ended(now time.Duration, _ CallID) []Action {
+func (b *before) CallEnded(now time.Duration, _ CallID) []Action {
 	b.limit = never
 	if b.pushed {
 		b.next = now + b.wait
@@ -356,8 +356,8 @@
 func (b *before) Tick(now time.Duration) []Action {
 	switch {
 	case now >= b.limit:
-		b.Ended(now, b.id)
-		return []Action{{Kind: Close, Call: b.id}}
+		b.CallEnded(now, b.id)
+		return []Action{{Kind: CloseCall, Call: b.id}}
 	case now >= b.next:
 		return b.open(now)
 	}
@@ -420,7 +420,7 @@
 			worst := map[string]time.Duration{}
 			for seed := range uint64(40) {
 				for name, f := range map[string]follower{
-					"now":    New(Options{Pushed: c.pushed, Sidecars: 1 + int(seed)*50}, rng(seed)),
+					"now":    New(Options{Pushed: c.pushed, FleetSize: 1 + int(seed)*50}, rng(seed)),
 					"before": &before{rng: rng(seed), pushed: c.pushed},
 				} {
 					w := &world{f: f, pushed: c.pushed, faults: c.faults, changes: changesEvery(37*ms, 60*time.Second)}
@@ -445,7 +445,7 @@
 		worst := time.Duration(0)
 		for _, c := range cases {
 			for seed := range uint64(8) {
-				w := &world{f: New(Options{Pushed: c.pushed, Sidecars: 300, Grace: grace}, rng(seed)), pushed: c.pushed, faults: c.faults,
+				w := &world{f: New(Options{Pushed: c.pushed, FleetSize: 300, DrainGrace: grace}, rng(seed)), pushed: c.pushed, faults: c.faults,
 					changes: changesEvery(37*ms, 60*time.Second)}
 				if w.run(worldEnd); c.pushed {
 					worst = max(worst, w.worst)
@@ -487,7 +487,7 @@
 		if pushed { // an agent is at hand, and answers at once
 			faults = slices.DeleteFunc(faults, func(f fault) bool { return f.what == "late" || f.what == "cut" })
 		}
-		w := &world{f: New(Options{Pushed: pushed, Sidecars: rapid.IntRange(1, 400).Draw(t, "sidecars")}, rng(rapid.Uint64().Draw(t, "seed"))),
+		w := &world{f: New(Options{Pushed: pushed, FleetSize: rapid.IntRange(1, 400).Draw(t, "sidecars")}, rng(rapid.Uint64().Draw(t, "seed"))),
 			pushed: pushed, faults: faults, changes: changesEvery(151*ms, worldEnd-40*time.Second)}
 		w.run(worldEnd)
 		if w.worst > grace-50*ms {
@@ -517,7 +517,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				w := &world{f: New(Options{Pushed: c.pushed, Sidecars: 300}, rng(seed)), pushed: c.pushed, faults: c.faults}
+				w := &world{f: New(Options{Pushed: c.pushed, FleetSize: 300}, rng(seed)), pushed: c.pushed, faults: c.faults}
 				w.run(worldEnd)
 				if w.made > c.made || w.most > c.second || len(w.calls) > mostCalls {
 					t.Fatalf("%d calls, %d in a second, %d open; at most %d and %d are wanted", w.made, w.most, len(w.calls), c.made, c.second)
@@ -532,10 +532,10 @@
 func TestACallIsMadeSoonAfterAWatchEnds(t *testing.T) {
 	for sidecars, most := range map[int]time.Duration{0: 600 * ms, 1: 600 * ms, 6: 600 * ms, 50: 600 * ms, 100: 750 * ms, 300: 2250 * ms} {
 		for seed := range uint64(100) {
-			m := New(Options{Sidecars: sidecars}, rng(seed))
+			m := New(Options{FleetSize: sidecars}, rng(seed))
 			m.Start(0)
-			m.Heard(10*ms, 1)
-			m.Ended(time.Second, 1)
+			m.CallActive(10*ms, 1)
+			m.CallEnded(time.Second, 1)
 			if wait := m.Next() - time.Second; wait > most || wait < most/3 {
 				t.Errorf("%d sidecars: the next call %v after the end, %v at most", sidecars, wait, most)
 			}
@@ -545,7 +545,7 @@
 
 // Guards against the machine's words being wrong: when the list was last current, and when it may be too old.
 func TestDue(t *testing.T) {
-	m := New(Options{AskWithin: 3 * time.Second}, rng(1))
+	m := New(Options{MaxPollAge: 3 * time.Second}, rng(1))
 	m.Start(0)
 	steps := []struct {
 		what     string
@@ -554,24 +554,24 @@
 		standing bool
 	}{
 		{"started", func() {}, 6 * time.Second, false},
-		{"heard at 1 s", func() { m.Heard(time.Second, 1) }, 7 * time.Second, true},
+		{"heard at 1 s", func() { m.CallActive(time.Second, 1) }, 7 * time.Second, true},
 		{"silent at 3.5 s", func() { m.Tick(3500 * ms) }, 7 * time.Second, false},
-		{"the call made then fails", func() { m.Ended(4*time.Second, 2) }, 7 * time.Second, false},
-		{"and the silent one speaks", func() { m.Heard(5*time.Second, 1) }, 11 * time.Second, true},
-		{"it ends", func() { m.Ended(6*time.Second, 1) }, 11 * time.Second, false},
+		{"the call made then fails", func() { m.CallEnded(4*time.Second, 2) }, 7 * time.Second, false},
+		{"and the silent one speaks", func() { m.CallActive(5*time.Second, 1) }, 11 * time.Second, true},
+		{"it ends", func() { m.CallEnded(6*time.Second, 1) }, 11 * time.Second, false},
 		{"another address", func() { m.Redirect(6100 * ms) }, 10100 * ms, false},
 	}
 	for _, s := range steps {
 		s.do()
-		now := cmp.Or(m.Told(), 1)
-		if m.Due() != s.due {
-			t.Errorf("%s: due at %v, not %v", s.what, m.Due(), s.due)
+		now := cmp.Or(m.CurrentAt(), 1)
+		if m.Deadline() != s.due {
+			t.Errorf("%s: due at %v, not %v", s.what, m.Deadline(), s.due)
 		}
-		if got := m.Standing(max(now, s.due-toldSilent+silence-ms)); s.standing && !got {
+		if got := m.Connected(max(now, s.due-toldSilent+silence-ms)); s.standing && !got {
 			t.Errorf("%s: does not stand", s.what)
 		}
 	}
-	if got := fmt.Sprint(m.Heard(7*time.Second, 1)); got != "[]" || m.Takes(1) {
+	if got := fmt.Sprint(m.CallActive(7*time.Second, 1)); got != "[]" || m.Accepts(1) {
 		t.Errorf("a call to the old address counts: %v", got)
 	}
 }
--- a/internal/discovery/staleness/redirect.go
+++ b/internal/discovery/staleness/redirect.go
@@ -65,14 +65,14 @@
 // heardPrevious takes a word of a previous call. The new address is asked all the same; once its list is known, that one's age counts.
 func (m *Machine) heardPrevious(now time.Duration, i int) []Action {
 	c := &m.previous[i]
-	c.spoke, c.heard = c.request == Watch, now
+	c.spoke, c.heard = c.request == WatchChanges, now
 	if m.listWanted {
 		m.informed, m.told = true, now
 		if !m.o.Pushed {
 			m.due = now + toldSilent
 		}
 	}
-	if c.request == List { // it is over
+	if c.request == FetchList { // it is over
 		m.previous = slices.Delete(m.previous, i, i+1)
 	}
 	return nil
@@ -90,7 +90,7 @@
 func (m *Machine) closePrevious(i int) Action {
 	id := m.previous[i].id
 	m.previous = slices.Delete(m.previous, i, i+1)
-	return Action{Kind: Close, Call: id}
+	return Action{Kind: CloseCall, Call: id}
 }
 
 func (m *Machine) closeAllPrevious() []Action {
--- a/internal/discovery/subset/subset.go
+++ b/internal/discovery/subset/subset.go
@@ -32,16 +32,16 @@
 	born  time.Time // when it had its first list
 }
 
-// EndFor is how long an upstream that is no longer its own may finish what it has, before it is forgotten.
-const EndFor = 10 * time.Second
+// RemovedGrace is how long an upstream that is no longer its own may finish what it has, before it is forgotten.
+const RemovedGrace = 10 * time.Second
 
 // New returns a Subset of a sidecar in a zone. self tells sidecars apart whose index is not known. descriptors is how many
 // connections to upstreams there may be.
 func New(o Options, self, zone string, descriptors int) *Subset {
 	id := xxhash.Sum64String(self)
-	s := &Subset{o: o, zone: zone, most: max(1, min(o.Most, descriptors/descriptorPart)), all: map[string]endpoints.Endpoint{},
+	s := &Subset{o: o, zone: zone, most: max(1, min(o.MaxSize, descriptors/descriptorPart)), all: map[string]endpoints.Endpoint{},
 		home: newRing(id), away: newRing(id), chosen: map[string]endpoints.Endpoint{}, ending: map[string]time.Time{}}
-	s.want = min(o.Least, s.most)
+	s.want = min(o.MinSize, s.most)
 	s.size = s.want
 	return s
 }
@@ -53,7 +53,7 @@
 const descriptorPart = 5
 
 // Update takes a list, whole or what changed in it, and returns what changes in the smaller one; nil: nothing.
-func (s *Subset) Update(now time.Time, l *endpoints.Listing) *endpoints.Listing {
+func (s *Subset) Update(now time.Time, l *endpoints.List) *endpoints.List {
 	if s.born.IsZero() {
 		s.born = now
 	}
@@ -104,9 +104,9 @@
 // Rate tells how many requests a second the sidecar has sent of late. A larger size is taken soon, since until then few
 // upstreams carry all of it; a smaller one once it has been called for long enough. Sizes go by steps of two, so that sidecars
 // with a little more traffic than others have the same.
-func (s *Subset) Rate(now time.Time, perSecond float64) *endpoints.Listing {
-	size := s.o.Least
-	for float64(size) < perSecond*s.o.Heard.D().Seconds() && size < s.most {
+func (s *Subset) Rate(now time.Time, perSecond float64) *endpoints.List {
+	size := s.o.MinSize
+	for float64(size) < perSecond*s.o.SampleInterval.D().Seconds() && size < s.most {
 		size *= 2
 	}
 	size = min(size, s.most)
@@ -118,9 +118,9 @@
 		s.since = now
 	}
 	s.size = size
-	wait := s.o.Settle.D()
+	wait := s.o.ShrinkDelay.D()
 	if size > s.want {
-		if wait = s.o.Grow.D(); now.Sub(s.born) < young { // how much traffic there is has never been known yet
+		if wait = s.o.GrowDelay.D(); now.Sub(s.born) < young { // how much traffic there is has never been known yet
 			wait = 0
 		}
 	}
@@ -132,9 +132,9 @@
 }
 
 // Tick lets time pass.
-func (s *Subset) Tick(now time.Time) *endpoints.Listing { return s.tick(now) }
+func (s *Subset) Tick(now time.Time) *endpoints.List { return s.tick(now) }
 
-func (s *Subset) tick(now time.Time) *endpoints.Listing {
+func (s *Subset) tick(now time.Time) *endpoints.List {
 	if s.next.IsZero() || now.Before(s.next) {
 		return nil
 	}
@@ -148,9 +148,9 @@
 func (s *Subset) Size() (own, listed int) { return len(s.chosen), len(s.all) }
 
 // choose picks its own anew, and tells what differs.
-func (s *Subset) choose(now time.Time) *endpoints.Listing {
+func (s *Subset) choose(now time.Time) *endpoints.List {
 	s.next = time.Time{}
-	away := int(math.Ceil(float64(s.want) * s.o.Away))
+	away := int(math.Ceil(float64(s.want) * s.o.RemoteZoneFraction))
 	home := s.want - away
 	if n := s.home.len(); n < home { // a small zone: the others make up for it
 		home, away = n, s.want-n
@@ -162,7 +162,7 @@
 	s.pick(now, s.home, home, picked)
 	s.pick(now, s.away, away, picked)
 	s.keep(now, picked)
-	out := &endpoints.Listing{}
+	out := &endpoints.List{}
 	for name := range picked {
 		e := s.all[name]
 		if was, ok := s.chosen[name]; !ok || was != e {
@@ -191,8 +191,8 @@
 				out.Endpoints = append(out.Endpoints, e)
 			}
 		case !ends:
-			s.ending[name] = now.Add(EndFor)
-			s.soon(now.Add(EndFor))
+			s.ending[name] = now.Add(RemovedGrace)
+			s.soon(now.Add(RemovedGrace))
 			e.Status = endpoints.StatusTerminating
 			s.chosen[name] = e
 			out.Endpoints = append(out.Endpoints, e)
@@ -217,7 +217,7 @@
 // pick adds a ring's share. Where more than half of it is cold, warm ones from beyond are borrowed, half as many at most:
 // so that when many restart at once, those who are warm carry the load and the cold ones get what the module lets them.
 func (s *Subset) pick(now time.Time, r *ring, want int, picked map[string]bool) {
-	names, own := r.share(s.o.Index, s.o.Sidecars, want, want)
+	names, own := r.share(s.o.Index, s.o.FleetSize, want, want)
 	own = min(own, max(0, s.most-len(picked)))
 	warm, borrow := 0, 0
 	for i, name := range names {
@@ -243,8 +243,8 @@
 
 // cold tells whether a listed upstream has started lately, and until when it counts so.
 func (s *Subset) cold(now time.Time, name string) (until time.Time, cold bool) {
-	until = time.UnixMilli(int64(s.all[name].SinceMs)).Add(s.o.Warm.D())
-	return until, s.all[name].SinceMs > 0 && until.After(now)
+	until = time.UnixMilli(int64(s.all[name].StartedMs)).Add(s.o.SlowStartWindow.D())
+	return until, s.all[name].StartedMs > 0 && until.After(now)
 }
 
 // keep has those stay that were its own and are warm, while more than half of what was picked is cold: where a fleet grows many
--- a/internal/discovery/subset/subset_test.go
+++ b/internal/discovery/subset/subset_test.go
@@ -18,8 +18,8 @@
 	return endpoints.Endpoint{Name: fmt.Sprint("n", i), Address: fmt.Sprint("127.0.0.1:", 1+i%65535), Zone: zone, Status: endpoints.StatusReady}
 }
 
-func whole(n int) *endpoints.Listing {
-	l := &endpoints.Listing{Snapshot: true}
+func whole(n int) *endpoints.List {
+	l := &endpoints.List{Snapshot: true}
 	for i := range n {
 		l.Endpoints = append(l.Endpoints, node(i, ""))
 	}
@@ -32,9 +32,9 @@
 	all, list := make([]*Subset, count), whole(nodes)
 	for i := range all {
 		o := Default()
-		o.Least, o.Most = size, 4096
+		o.MinSize, o.MaxSize = size, 4096
 		if known {
-			o.Sidecars, o.Index = count, i
+			o.FleetSize, o.Index = count, i
 		}
 		all[i] = New(o, fmt.Sprint("sidecar", i), "", 1<<20)
 		all[i].Update(start, list)
@@ -95,7 +95,7 @@
 		most := 0
 		for _, s := range all {
 			before := own(s)
-			s.Update(start, &endpoints.Listing{Endpoints: []endpoints.Endpoint{{Name: "n77", Status: endpoints.StatusGone}, node(5000, "")}})
+			s.Update(start, &endpoints.List{Endpoints: []endpoints.Endpoint{{Name: "n77", Status: endpoints.StatusGone}, node(5000, "")}})
 			moved := 0
 			for name := range own(s) {
 				if !before[name] {
@@ -114,16 +114,16 @@
 // is, and members that are dropped with what they have.
 func TestSubset(t *testing.T) {
 	o := Default()
-	o.Sidecars, o.Index = 10, 3
+	o.FleetSize, o.Index = 10, 3
 	fresh := func() *Subset { return New(o, "x", "a", 1000) }
-	zoned := func(a, b int, since float64) *endpoints.Listing {
-		l := &endpoints.Listing{Snapshot: true}
+	zoned := func(a, b int, since float64) *endpoints.List {
+		l := &endpoints.List{Snapshot: true}
 		for i := range a + b {
 			e := node(i, "a")
 			if i >= a {
 				e.Zone = "b"
 			}
-			e.SinceMs = since
+			e.StartedMs = since
 			l.Endpoints = append(l.Endpoints, e)
 		}
 		return l
@@ -164,11 +164,11 @@
 			t.Errorf("%d after short bursts, %d before", n, small)
 		}
 		step(4, 1000)
-		if n := len(own(s)); n <= 2*small || n > o.Most {
+		if n := len(own(s)); n <= 2*small || n > o.MaxSize {
 			t.Errorf("%d with a thousand requests a second", n)
 		}
 		step(60, 1.0/60)
-		if n := len(own(s)); n > 2*small || n < o.Least {
+		if n := len(own(s)); n > 2*small || n < o.MinSize {
 			t.Errorf("%d with one request a minute", n)
 		}
 		if s.most = 5; len(New(o, "x", "a", 25).chosen) != 0 {
@@ -179,10 +179,10 @@
 		s := fresh()
 		s.Update(start, zoned(400, 0, 0))
 		before := own(s)
-		change := &endpoints.Listing{}
+		change := &endpoints.List{}
 		for name := range before { // all of its own, while others are warm
 			e := s.all[name]
-			e.SinceMs = float64(start.UnixMilli())
+			e.StartedMs = float64(start.UnixMilli())
 			change.Endpoints = append(change.Endpoints, e)
 		}
 		s.Update(start, change)
@@ -205,7 +205,7 @@
 		change.Snapshot = false
 		change.Endpoints = slices.DeleteFunc(change.Endpoints, func(e endpoints.Endpoint) bool { return s.all[e.Name].Name != "" })
 		for i := range change.Endpoints {
-			change.Endpoints[i].SinceMs = float64(start.UnixMilli())
+			change.Endpoints[i].StartedMs = float64(start.UnixMilli())
 		}
 		s.Update(start, change)
 		kept := 0
@@ -214,7 +214,7 @@
 				kept++
 			}
 		}
-		if n := len(own(s)); kept < len(before) || n > o.Most {
+		if n := len(own(s)); kept < len(before) || n > o.MaxSize {
 			t.Errorf("of %d only %d stay among %d", len(before), kept, n)
 		}
 	})
@@ -233,14 +233,14 @@
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Default()
-		o.Least, o.Most = rapid.IntRange(1, 8).Draw(t, "least"), rapid.IntRange(8, 20).Draw(t, "most")
-		if o.Sidecars = rapid.IntRange(0, 6).Draw(t, "sidecars"); o.Sidecars > 0 {
-			o.Index = rapid.IntRange(-1, o.Sidecars-1).Draw(t, "index")
+		o.MinSize, o.MaxSize = rapid.IntRange(1, 8).Draw(t, "least"), rapid.IntRange(8, 20).Draw(t, "most")
+		if o.FleetSize = rapid.IntRange(0, 6).Draw(t, "sidecars"); o.FleetSize > 0 {
+			o.Index = rapid.IntRange(-1, o.FleetSize-1).Draw(t, "index")
 		}
 		s, now := New(o, "me", "a", 1000), start
 		list, told := map[string]endpoints.Endpoint{}, map[string]endpoints.Endpoint{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			var out *endpoints.Listing
+			var out *endpoints.List
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0:
 				now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "seconds")) * time.Second)
@@ -248,7 +248,7 @@
 			case 1:
 				out = s.Rate(now, rapid.Float64Range(0, 100).Draw(t, "rate"))
 			case 2:
-				l := &endpoints.Listing{Snapshot: true}
+				l := &endpoints.List{Snapshot: true}
 				clear(list)
 				for i := range rapid.IntRange(0, 50).Draw(t, "nodes") {
 					e := node(i, []string{"a", "b"}[i%2])
@@ -259,11 +259,11 @@
 			default:
 				e := node(rapid.IntRange(0, 50).Draw(t, "node"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"))
 				e.Status = rapid.SampledFrom([]string{endpoints.StatusReady, endpoints.StatusReady, endpoints.StatusTerminating, endpoints.StatusGone}).Draw(t, "status")
-				e.SinceMs = float64(now.UnixMilli() * rapid.Int64Range(0, 1).Draw(t, "started"))
+				e.StartedMs = float64(now.UnixMilli() * rapid.Int64Range(0, 1).Draw(t, "started"))
 				if list[e.Name] = e; e.Status == endpoints.StatusGone {
 					delete(list, e.Name)
 				}
-				out = s.Update(now, &endpoints.Listing{Endpoints: []endpoints.Endpoint{e}})
+				out = s.Update(now, &endpoints.List{Endpoints: []endpoints.Endpoint{e}})
 			}
 			if out != nil {
 				for _, e := range out.Endpoints {
@@ -286,7 +286,7 @@
 					t.Fatalf("%s is told as %+v and listed as %+v", name, e, list[name])
 				}
 			}
-			if taking > o.Most || taking < min(ready, 1) || ready <= s.want && taking < min(ready, s.want) {
+			if taking > o.MaxSize || taking < min(ready, 1) || ready <= s.want && taking < min(ready, s.want) {
 				t.Fatalf("%d of %d ready ones are told, %d are wanted", taking, ready, s.want)
 			}
 		}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -69,8 +69,8 @@
 	return w
 }
 
-// Ask wants the next sign of life told, also where there is no news. It does not block.
-func (w *Watcher) Ask() { w.asked.Store(true) }
+// Refresh wants the next sign of life told, also where there is no news. It does not block.
+func (w *Watcher) Refresh() { w.asked.Store(true) }
 
 // Run watches until ctx ends.
 func (w *Watcher) Run(ctx context.Context, sink Sink) {
@@ -109,7 +109,7 @@
 		return 0, false
 	}
 	now := w.now()
-	return now - w.machine.Told(), now >= w.machine.Due()
+	return now - w.machine.CurrentAt(), now >= w.machine.Deadline()
 }
 
 // Calls is how many calls were made, and how many of these were refused, failed or ended other than by the Watcher itself.
@@ -136,9 +136,9 @@
 	}
 	for _, a := range acts {
 		switch a.Kind {
-		case staleness.Open:
+		case staleness.OpenCall:
 			w.begin(a)
-		case staleness.Close:
+		case staleness.CloseCall:
 			if c := w.open[a.Call]; c != nil {
 				c.end(errReplaced)
 			}
@@ -146,22 +146,22 @@
 	}
 	now := w.now()
 	next := w.machine.Next()
-	if stands := w.machine.Standing(now); stands != w.stands && !stands && w.machine.Told() > 0 {
-		w.log.Warn("the list is not heard of: asking again", "age", (now - w.machine.Told()).Round(time.Millisecond))
+	if stands := w.machine.Connected(now); stands != w.stands && !stands && w.machine.CurrentAt() > 0 {
+		w.log.Warn("the list is not heard of: asking again", "age", (now - w.machine.CurrentAt()).Round(time.Millisecond))
 		w.sink.Lost(errors.New("discovery is silent"), true)
 		w.stands = false
 	} else if stands {
 		w.stands = true
 	}
-	overdue := now >= w.machine.Due()
+	overdue := now >= w.machine.Deadline()
 	if overdue != w.overdue {
 		if w.overdue = overdue; overdue {
-			w.log.Warn("the list may be too old", "age", (now - w.machine.Told()).Round(time.Millisecond))
+			w.log.Warn("the list may be too old", "age", (now - w.machine.CurrentAt()).Round(time.Millisecond))
 		} else {
 			w.log.Info("the list is current again")
 		}
 	}
-	if due := w.machine.Due(); !overdue {
+	if due := w.machine.Deadline(); !overdue {
 		next = min(next, due) // to say so
 	}
 	w.timer.Reset(max(0, next-now))
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -23,13 +23,13 @@
 }
 
 // watch runs a watcher until the test ends.
-func watch(t *testing.T, address string, pushed bool, known ...string) (*endpoints.Directory, *Watcher, chan balancer.EndpointUpdate) {
+func watch(t *testing.T, address string, pushed bool, known ...string) (*endpoints.Registry, *Watcher, chan balancer.EndpointUpdate) {
 	t.Helper()
 	told := make(chan balancer.EndpointUpdate, 64)
 	dir := endpoints.New(clock.New(), nil)
 	w := testWatcher(t, address, pushed)
-	feed := NewFeed(dir, func(m balancer.EndpointUpdate) { told <- m })
-	feed.Take(testutil.Listing(t, 1, true, known...))
+	feed := NewRegistrySink(dir, func(m balancer.EndpointUpdate) { told <- m })
+	feed.Apply(testutil.Listing(t, 1, true, known...))
 	done := make(chan struct{})
 	go func() {
 		w.Run(t.Context(), feed) // ends before the cleanups
@@ -68,7 +68,7 @@
 		t.Errorf("snapshot told as %+v", m)
 	}
 	for name, want := range map[string]bool{"a": false, "b": false, "c": true} {
-		if _, ok := dir.Place(name); ok != want {
+		if _, ok := dir.Instance(name); ok != want {
 			t.Errorf("%s wants requests: %v", name, ok)
 		}
 	}
@@ -105,7 +105,7 @@
 			if froms := d.Calls(); froms[1] != "7" {
 				t.Errorf("asked again from %s", froms[1])
 			}
-			if _, ok := dir.Place("a"); !ok {
+			if _, ok := dir.Instance("a"); !ok {
 				t.Error("the good list is lost")
 			}
 		})
@@ -129,7 +129,7 @@
 	if len(told) != 0 {
 		t.Errorf("told %+v too", <-told)
 	}
-	if _, ok := dir.Place("a"); !ok {
+	if _, ok := dir.Instance("a"); !ok {
 		t.Error("the known list is lost")
 	}
 }
@@ -177,7 +177,7 @@
 		t.Errorf("told %+v", m)
 	}
 	testutil.Eventually(t, "a watch after the list", func() bool { return len(d.Calls()) == 4 })
-	w.Ask()
+	w.Refresh()
 	if m := next(t, told); m.Kind != balancer.IncrementalUpdate || len(m.Endpoints) != 0 {
 		t.Errorf("told %+v", m)
 	}
@@ -243,7 +243,7 @@
 			send("\n")
 		}
 		<-r.Context().Done()
-	}, func(w *Watcher, dir *endpoints.Directory, start time.Time, _ func() string) {
+	}, func(w *Watcher, dir *endpoints.Registry, start time.Time, _ func() string) {
 		time.Sleep(2900 * time.Millisecond)
 		w.Redirect(after)
 		if took := forgets(t, dir, start); took > 4010*time.Millisecond {
--- a/internal/endpoints/directory.go
+++ b/internal/endpoints/directory.go
@@ -13,42 +13,42 @@
 	"orchiddrift/internal/clock"
 )
 
-// Directory is safe for concurrent use. It holds one entry for each upstream that is listed.
-type Directory struct {
+// Registry is safe for concurrent use. It holds one entry for each upstream that is listed.
+type Registry struct {
 	clock  clock.Clock
 	onDrop func(name string)
 
 	mu     sync.RWMutex
-	places map[string]Place // of the upstreams that want requests, by name
-	leaves map[string]bool  // those that are listed and want none
-	starts map[string]start // of both
+	places map[string]Instance // of the upstreams that want requests, by name
+	leaves map[string]bool     // those that are listed and want none
+	starts map[string]start    // of both
 }
 
-// Place tells the processes of an upstream apart: connections to an earlier one are worth nothing.
-type Place struct {
-	Address  string
-	SinceMs  float64
-	Identity string
+// Instance tells the processes of an upstream apart: connections to an earlier one are worth nothing.
+type Instance struct {
+	Address     string
+	StartedMs   float64
+	TLSIdentity string
 }
 
 // New returns an empty Directory. It calls onDrop, outside its lock, with the name of each upstream whose
 // connections are no longer wanted; nil: nobody is told.
-func New(c clock.Clock, onDrop func(name string)) *Directory {
+func New(c clock.Clock, onDrop func(name string)) *Registry {
 	if onDrop == nil {
 		onDrop = func(string) {}
 	}
-	return &Directory{clock: c, onDrop: onDrop, places: map[string]Place{}, leaves: map[string]bool{}, starts: map[string]start{}}
+	return &Registry{clock: c, onDrop: onDrop, places: map[string]Instance{}, leaves: map[string]bool{}, starts: map[string]start{}}
 }
 
 // Apply takes in a message and translates it for the module.
-func (d *Directory) Apply(l *Listing) balancer.EndpointUpdate {
+func (d *Registry) Apply(l *List) balancer.EndpointUpdate {
 	m := balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate, Endpoints: make([]balancer.Endpoint, 0, len(l.Endpoints))}
 	d.mu.Lock()
 	var dropped []string
-	before := map[string]Place{}
+	before := map[string]Instance{}
 	if l.Snapshot {
 		m.Kind = balancer.FullUpdate
-		before, d.places = d.places, map[string]Place{}
+		before, d.places = d.places, map[string]Instance{}
 		clear(d.leaves)
 	}
 	for _, e := range l.Endpoints {
@@ -62,7 +62,7 @@
 		switch e.Status {
 		case StatusReady:
 			state = balancer.Active
-			d.places[e.Name] = Place{e.Address, e.SinceMs, e.Identity}
+			d.places[e.Name] = Instance{e.Address, e.StartedMs, e.TLSIdentity}
 		case StatusTerminating:
 			state = balancer.Draining
 			delete(d.places, e.Name)
@@ -70,8 +70,8 @@
 		default:
 			delete(d.places, e.Name)
 		}
-		m.Endpoints = append(m.Endpoints, balancer.Endpoint{Name: e.Name, Zone: e.Zone, MachineType: e.Type,
-			Cell: e.Group, State: state, StartedAt: d.started(e)})
+		m.Endpoints = append(m.Endpoints, balancer.Endpoint{Name: e.Name, Zone: e.Zone, MachineType: e.MachineType,
+			Cell: e.Cell, State: state, StartedAt: d.started(e)})
 	}
 	if l.Snapshot {
 		d.forgetStarts(l)
@@ -96,10 +96,10 @@
 
 // started is when an upstream's process started. What was understood once stays: the wall clock, by which it is told, may be stepped. The
 // caller holds mu.
-func (d *Directory) started(e Endpoint) time.Duration {
+func (d *Registry) started(e Endpoint) time.Duration {
 	known, ok := d.starts[e.Name]
-	if !ok || known.sinceMs != e.SinceMs {
-		known = start{e.SinceMs, d.clock.FromUnixMs(e.SinceMs)}
+	if !ok || known.sinceMs != e.StartedMs {
+		known = start{e.StartedMs, d.clock.FromUnixMs(e.StartedMs)}
 	}
 	if e.Status == StatusReady || e.Status == StatusTerminating {
 		d.starts[e.Name] = known
@@ -110,7 +110,7 @@
 }
 
 // forgetStarts keeps the starts that a whole list names. The caller holds mu.
-func (d *Directory) forgetStarts(l *Listing) {
+func (d *Registry) forgetStarts(l *List) {
 	if len(d.starts) <= len(l.Endpoints) {
 		return // each that is listed has one
 	}
@@ -121,8 +121,8 @@
 	maps.DeleteFunc(d.starts, func(name string, _ start) bool { return !listed[name] })
 }
 
-// Place is where an upstream takes requests now; nowhere while it drains or is gone.
-func (d *Directory) Place(name string) (Place, bool) {
+// Instance is where an upstream takes requests now; nowhere while it drains or is gone.
+func (d *Registry) Instance(name string) (Instance, bool) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	at, ok := d.places[name]
@@ -130,32 +130,32 @@
 }
 
 // Ready tells whether an upstream takes requests, and still does so at that place.
-func (d *Directory) Ready(name string, at Place) bool {
-	now, ok := d.Place(name)
+func (d *Registry) Ready(name string, at Instance) bool {
+	now, ok := d.Instance(name)
 	return ok && now == at
 }
 
-// Len is how many upstreams want requests.
-func (d *Directory) Len() int {
+// ReadyCount is how many upstreams want requests.
+func (d *Registry) ReadyCount() int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return len(d.places)
 }
 
-// Leaving is how many upstreams are listed and want no requests.
-func (d *Directory) Leaving() int {
+// DrainingCount is how many upstreams are listed and want no requests.
+func (d *Registry) DrainingCount() int {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return len(d.leaves)
 }
 
-// Process is a number that tells the processes of one upstream apart.
-func (p Place) Process() uint64 {
-	return xxhash.Sum64String(p.Address+"\x00"+p.Identity) ^ uint64(p.SinceMs)
+// ProcessID is a number that tells the processes of one upstream apart.
+func (p Instance) ProcessID() uint64 {
+	return xxhash.Sum64String(p.Address+"\x00"+p.TLSIdentity) ^ uint64(p.StartedMs)
 }
 
-// Places is a copy of where all upstreams take requests, by name.
-func (d *Directory) Places() map[string]Place {
+// Instances is a copy of where all upstreams take requests, by name.
+func (d *Registry) Instances() map[string]Instance {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return maps.Clone(d.places)
--- a/internal/endpoints/listing.go
+++ b/internal/endpoints/listing.go
@@ -8,8 +8,8 @@
 	"strconv"
 )
 
-// Listing is one message of discovery: the whole list, or what changed.
-type Listing struct {
+// List is one message of discovery: the whole list, or what changed.
+type List struct {
 	Index     *int64     `json:"index"` // version of the list after this message
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
@@ -17,16 +17,16 @@
 
 // Endpoint is one entry of a Listing.
 type Endpoint struct {
-	Name    string  `json:"name"` // the same at every sidecar
-	Address string  `json:"address"`
-	Zone    string  `json:"zone"`
-	Type    string  `json:"type"`
-	Group   int     `json:"group"`
-	Status  string  `json:"status"`
-	SinceMs float64 `json:"since_ms"` // when it last started, Unix time in milliseconds; 0: long ago
+	Name        string  `json:"name"` // the same at every sidecar
+	Address     string  `json:"address"`
+	Zone        string  `json:"zone"`
+	MachineType string  `json:"type"`
+	Cell        int     `json:"group"`
+	Status      string  `json:"status"`
+	StartedMs   float64 `json:"since_ms"` // when it last started, Unix time in milliseconds; 0: long ago
 	// Identity is the name that its certificate has to bear, a DNS name or a URI, where connections are encrypted.
 	// Empty: the service's. The platform's lists hold none.
-	Identity string `json:"identity,omitempty"`
+	TLSIdentity string `json:"identity,omitempty"`
 }
 
 // What Status may be; anything else counts as StatusGone.
@@ -36,9 +36,9 @@
 	StatusGone        = "Gone"
 )
 
-// ParseListing turns down what is not whole, so that half a message never replaces a good list.
-func ParseListing(text []byte) (*Listing, error) {
-	l := &Listing{}
+// ParseList turns down what is not whole, so that half a message never replaces a good list.
+func ParseList(text []byte) (*List, error) {
+	l := &List{}
 	if err := json.Unmarshal(text, l); err != nil {
 		return nil, err
 	}
--- a/internal/endpoints/start_test.go
+++ b/internal/endpoints/start_test.go
@@ -17,7 +17,7 @@
 	index := int64(1)
 	start := float64(time.Now().Add(time.Hour).UnixMilli()) // ahead: by the wall clock alone it would move
 	list := func(snapshot bool, since float64, status string) time.Duration {
-		l := &Listing{Index: &index, Snapshot: snapshot, Endpoints: []Endpoint{{Name: "a", Address: "127.0.0.2:1", SinceMs: since, Status: status}}}
+		l := &List{Index: &index, Snapshot: snapshot, Endpoints: []Endpoint{{Name: "a", Address: "127.0.0.2:1", StartedMs: since, Status: status}}}
 		return d.Apply(l).Endpoints[0].StartedAt
 	}
 	first := list(true, start, StatusReady)
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -249,16 +249,16 @@
 }
 
 // Listing is the whole list, as a configuration's known list.
-func (d *Discovery) Listing() *endpoints.Listing {
+func (d *Discovery) Listing() *endpoints.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.since(-1)
 }
 
 // since is what changed after a version; below 0 the whole list. The caller holds mu.
-func (d *Discovery) since(from int64) *endpoints.Listing {
+func (d *Discovery) since(from int64) *endpoints.List {
 	index := d.index
-	l := &endpoints.Listing{Index: &index, Snapshot: from < 0, Endpoints: []endpoints.Endpoint{}}
+	l := &endpoints.List{Index: &index, Snapshot: from < 0, Endpoints: []endpoints.Endpoint{}}
 	for _, v := range d.entries {
 		if v.at > from && (!l.Snapshot || v.e.Status != endpoints.StatusGone) {
 			l.Endpoints = append(l.Endpoints, v.e)
@@ -370,7 +370,7 @@
 }
 
 // write sends a message; the caller holds mu, so that Told is never earlier than the write.
-func (d *Discovery) write(w http.ResponseWriter, address string, l *endpoints.Listing) error {
+func (d *Discovery) write(w http.ResponseWriter, address string, l *endpoints.List) error {
 	out := json.NewEncoder(w)
 	if d.Indent {
 		out.SetIndent("", "  ")
--- a/internal/filewatch/filewatch.go
+++ b/internal/filewatch/filewatch.go
@@ -12,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Every is how often a file is looked at, where nothing else is asked for.
-const Every = 100 * time.Millisecond
+// DefaultInterval is how often a file is looked at, where nothing else is asked for.
+const DefaultInterval = 100 * time.Millisecond
 
 // Content is what a file held when it was last read whole.
 type Content struct {
@@ -44,9 +44,9 @@
 // Path is the file's.
 func (r *Reader) Path() string { return r.path }
 
-// Look returns the file's content if it differs from that of the Look before. A file whose time and size stand still
+// Read returns the file's content if it differs from that of the Look before. A file whose time and size stand still
 // for longer than their grain is not read again.
-func (r *Reader) Look() (c Content, changed bool) {
+func (r *Reader) Read() (c Content, changed bool) {
 	info, err := os.Stat(r.path)
 	if err == nil && !info.Mode().IsRegular() {
 		err = fmt.Errorf("%s is not a file", r.path)
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -21,8 +21,8 @@
 	want := State{Who: who, Draining: true, Held: 7, Services: map[string]Service{
 		"platform": {
 			Discovery: "127.0.0.1:8500",
-			List: &endpoints.Listing{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{
-				{Name: "u1", Address: "127.0.0.1:81", Zone: "dc1", Type: "large", Group: 2, Status: endpoints.StatusReady, SinceMs: 1500, Identity: "u1.example"},
+			List: &endpoints.List{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{
+				{Name: "u1", Address: "127.0.0.1:81", Zone: "dc1", MachineType: "large", Cell: 2, Status: endpoints.StatusReady, StartedMs: 1500, TLSIdentity: "u1.example"},
 				{Name: "u2", Status: endpoints.StatusTerminating},
 				{Name: "u3", Status: endpoints.StatusGone},
 			}},
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -68,7 +68,7 @@
 func testState() State {
 	index := int64(41)
 	return State{Who: Who{"n1", "127.0.0.1:9000"}, Draining: true, Services: map[string]Service{"platform": {Discovery: "127.0.0.1:8500",
-		List:   &endpoints.Listing{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{{Name: "s", Address: "127.0.0.1:9", Status: "Ready"}}},
+		List:   &endpoints.List{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{{Name: "s", Address: "127.0.0.1:9", Status: "Ready"}}},
 		Learnt: &balancer.Snapshot{MeanLatency: 0.1, Upstreams: map[string]balancer.UpstreamSnapshot{"s": {Estimate: 0.2, Ejections: 1}}}}}}
 }
 
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -26,7 +26,7 @@
 // Service is a service's part of it. A list counts only where it is still followed at the same address: its index is that one's.
 type Service struct {
 	Discovery string             `json:"discovery,omitempty"`
-	List      *endpoints.Listing `json:"list,omitempty"`
+	List      *endpoints.List    `json:"list,omitempty"`
 	Learnt    *balancer.Snapshot `json:"learnt,omitempty"`
 }
 
@@ -63,7 +63,7 @@
 		if one.List != nil {
 			text, err := json.Marshal(one.List)
 			if err == nil {
-				_, err = endpoints.ParseListing(text)
+				_, err = endpoints.ParseList(text)
 			}
 			if err != nil {
 				return State{}, fmt.Errorf("service %s: its list: %w", name, err)
--- a/internal/idempotency/etcdstore/repeatshare.go
+++ b/internal/idempotency/etcdstore/repeatshare.go
@@ -122,7 +122,7 @@
 			if err != nil {
 				return nil, err
 			}
-			t, err := secure.Speak(ctx, conn, endpoints.Place{Address: address}, "h2")
+			t, err := secure.Speak(ctx, conn, endpoints.Instance{Address: address}, "h2")
 			if err != nil {
 				conn.Close()
 				return nil, err
--- a/internal/measure/daemon_bench_test.go
+++ b/internal/measure/daemon_bench_test.go
@@ -77,7 +77,7 @@
 		run(b, l.Addr().String())
 	})
 	b.Run("daemon", func(b *testing.B) {
-		known := &endpoints.Listing{Index: new(int64), Snapshot: true}
+		known := &endpoints.List{Index: new(int64), Snapshot: true}
 		for i, address := range addresses {
 			known.Endpoints = append(known.Endpoints, endpoints.Endpoint{Name: fmt.Sprint("n", i), Address: address, Zone: "a",
 				Status: endpoints.StatusReady})
--- a/internal/measure/eureka.go
+++ b/internal/measure/eureka.go
@@ -78,7 +78,7 @@
 		return err
 	}
 	defer stopNodes()
-	f = fakes.NewFlipper(e, "SEATS", endpoints.DrainWithin, names...)
+	f = fakes.NewFlipper(e, "SEATS", endpoints.DrainGrace, names...)
 	address, stop, err := eurekaDaemon(e, poll, "192MiB")
 	if err != nil {
 		return err
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -25,7 +25,7 @@
 
 func fleetRun(sidecars int) fleetsim.Run {
 	o := subset.Default()
-	o.On, o.Most, o.Away, o.Settle = true, 4096, 0, units.Duration(5*time.Second)
+	o.Enabled, o.MaxSize, o.RemoteZoneFraction, o.ShrinkDelay = true, 4096, 0, units.Duration(5*time.Second)
 	return fleetsim.Run{Sidecars: sidecars, Nodes: fleetNodes, Rate: fleetRate, Work: fleetWork, Length: 60 * time.Second, Seed: 1,
 		Subset: o, Known: true, Connect: 2 * time.Millisecond, Descriptors: 1 << 20,
 		Settings: balancer.Settings{MaxAttempts: 3, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: time.Second, ConnectTimeout: time.Second,
@@ -50,9 +50,9 @@
 		runs = append(runs, named{name, r})
 	}
 	add("200, index not known", 200, func(r *fleetsim.Run) { r.Known = false })
-	add("200, no subsets", 200, func(r *fleetsim.Run) { r.Subset.On = false })
-	add("10, no subsets", 10, func(r *fleetsim.Run) { r.Subset.On = false })
-	add("200, by chance among all", 200, func(r *fleetsim.Run) { r.Subset.On, r.Probes = false, &fleetsim.Probes{Each: 1} })
+	add("200, no subsets", 200, func(r *fleetsim.Run) { r.Subset.Enabled = false })
+	add("10, no subsets", 10, func(r *fleetsim.Run) { r.Subset.Enabled = false })
+	add("200, by chance among all", 200, func(r *fleetsim.Run) { r.Subset.Enabled, r.Probes = false, &fleetsim.Probes{Each: 1} })
 	restart := func(r *fleetsim.Run) {
 		r.RestartAt, r.RestartOver, r.RestartPart, r.Down = 20*time.Second, 10*time.Second, 0.5, 3*time.Second
 		r.Rate, r.Settings.SlowStartMinCapacity, r.Settings.OverloadMultiple, r.Settings.OverloadWindow = 25_000, 0.1, 2, time.Second
--- a/internal/measure/roles.go
+++ b/internal/measure/roles.go
@@ -205,7 +205,7 @@
 		return r.serveTLSProxy(l)
 	}
 	if r.Part == "daemon" {
-		known := &endpoints.Listing{Index: new(int64), Snapshot: true}
+		known := &endpoints.List{Index: new(int64), Snapshot: true}
 		for i, address := range r.Addresses {
 			known.Endpoints = append(known.Endpoints, endpoints.Endpoint{Name: fmt.Sprint("n", i), Address: address, Zone: "a",
 				Status: endpoints.StatusReady})
--- a/internal/measure/subset.go
+++ b/internal/measure/subset.go
@@ -49,11 +49,11 @@
 func own(known bool) func(nodes []string, sidecar, sidecars, size int) map[string]bool {
 	return func(nodes []string, sidecar, sidecars, size int) map[string]bool {
 		o := subset.Default()
-		o.Least, o.Most, o.Settle = size, 1<<14, units.Duration(0)
+		o.MinSize, o.MaxSize, o.ShrinkDelay = size, 1<<14, units.Duration(0)
 		if known {
-			o.Sidecars, o.Index = sidecars, sidecar
+			o.FleetSize, o.Index = sidecars, sidecar
 		}
-		l := &endpoints.Listing{Snapshot: true}
+		l := &endpoints.List{Snapshot: true}
 		for _, n := range nodes {
 			l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: n, Address: "127.0.0.1:1", Status: endpoints.StatusReady})
 		}
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -281,7 +281,7 @@
 	}
 	if f.Subset {
 		r.Subset, r.Known = subset.Default(), true
-		r.Subset.On = true
+		r.Subset.Enabled = true
 	}
 	r.Settings.HedgingAllowed = policy != OursOneCopy
 	if !isOurs(policy) {
--- a/internal/simulation/fleetsim/discovery.go
+++ b/internal/simulation/fleetsim/discovery.go
@@ -102,8 +102,8 @@
 }
 
 // list is what is listed now.
-func (s *sim) list() *endpoints.Listing {
-	l := &endpoints.Listing{Snapshot: true}
+func (s *sim) list() *endpoints.List {
+	l := &endpoints.List{Snapshot: true}
 	for _, n := range s.nodes {
 		if n.listed {
 			l.Endpoints = append(l.Endpoints, s.endpoint(n, endpoints.StatusReady))
@@ -162,7 +162,7 @@
 	if s.r.Discovery != nil {
 		kind = balancer.CachedUpdate
 		if c.life > 0 {
-			l = &endpoints.Listing{Snapshot: true, Endpoints: slices.Clone(c.known)}
+			l = &endpoints.List{Snapshot: true, Endpoints: slices.Clone(c.known)}
 		}
 	}
 	s.tell(c, l, kind)
@@ -172,7 +172,7 @@
 }
 
 // knows keeps what a sidecar last had of the list.
-func (s *sim) knows(c *sidecar, l *endpoints.Listing) {
+func (s *sim) knows(c *sidecar, l *endpoints.List) {
 	if s.r.Discovery == nil {
 		return
 	}
--- a/internal/simulation/fleetsim/fleetsim.go
+++ b/internal/simulation/fleetsim/fleetsim.go
@@ -284,10 +284,10 @@
 	if s.r.Policy != nil {
 		c.p = s.r.Policy(rand.New(rand.NewPCG(s.r.Seed, uint64(i)+3<<32)))
 	}
-	if s.r.Subset.On {
+	if s.r.Subset.Enabled {
 		o := s.r.Subset
 		if o.Index = -1; s.r.Known {
-			o.Sidecars, o.Index = s.r.Sidecars, i
+			o.FleetSize, o.Index = s.r.Sidecars, i
 		}
 		c.s = subset.New(o, fmt.Sprint("sidecar-", i), zone, s.r.Descriptors)
 	}
@@ -306,7 +306,7 @@
 func (s *sim) endpoint(n *node, status string) endpoints.Endpoint {
 	e := endpoints.Endpoint{Name: n.name, Address: "127.0.0.1:1", Zone: n.zone, Status: status}
 	if n.started > 0 {
-		e.SinceMs = float64(s.at(n.started).UnixMilli())
+		e.StartedMs = float64(s.at(n.started).UnixMilli())
 	}
 	return e
 }
@@ -314,7 +314,7 @@
 func (s *sim) at(t time.Duration) time.Time { return s.wall.Add(t - virtualtime.Origin) }
 
 // tell brings a list, or a change, to a sidecar: through its subset, if it has one.
-func (s *sim) tell(c *sidecar, l *endpoints.Listing, kind balancer.UpdateKind) {
+func (s *sim) tell(c *sidecar, l *endpoints.List, kind balancer.UpdateKind) {
 	s.knows(c, l)
 	if c.s != nil {
 		if l = c.s.Update(s.at(s.Now()), l); l == nil {
@@ -327,7 +327,7 @@
 	s.members(c, l, kind)
 }
 
-func (s *sim) members(c *sidecar, l *endpoints.Listing, kind balancer.UpdateKind) {
+func (s *sim) members(c *sidecar, l *endpoints.List, kind balancer.UpdateKind) {
 	if l == nil {
 		return
 	}
@@ -340,13 +340,13 @@
 		case endpoints.StatusGone:
 			member.State = balancer.Removed
 		}
-		if e.SinceMs > 0 && !s.r.Blind {
-			member.StartedAt = virtualtime.Origin + time.UnixMilli(int64(e.SinceMs)).Sub(s.wall)
+		if e.StartedMs > 0 && !s.r.Blind {
+			member.StartedAt = virtualtime.Origin + time.UnixMilli(int64(e.StartedMs)).Sub(s.wall)
 		}
 		m.Endpoints = append(m.Endpoints, member)
 		if c.warm != nil {
 			if delete(c.ready, e.Name); member.State == balancer.Active {
-				c.ready[e.Name] = uint64(e.SinceMs) + 1
+				c.ready[e.Name] = uint64(e.StartedMs) + 1
 			}
 		}
 		if c.probe != nil {
@@ -395,7 +395,7 @@
 			if s.r.Discovery != nil && !c.watches {
 				return
 			}
-			s.tell(c, &endpoints.Listing{Endpoints: news}, balancer.IncrementalUpdate)
+			s.tell(c, &endpoints.List{Endpoints: news}, balancer.IncrementalUpdate)
 		})
 	}
 }
@@ -844,7 +844,7 @@
 		}
 	}
 	if c.s != nil {
-		c.rate += rateBlend * (float64(c.sent)/sweep.Seconds() - c.rate) // as discovery.Narrowed does
+		c.rate += rateBlend * (float64(c.sent)/sweep.Seconds() - c.rate) // as discovery.SubsetSink does
 		c.sent = 0
 		s.members(c, c.s.Rate(s.at(s.Now()), c.rate), balancer.IncrementalUpdate)
 	}
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -13,7 +13,7 @@
 
 func run(sidecars, nodes int) Run {
 	o := subset.Default()
-	o.On, o.Least, o.Most, o.Away, o.Settle = true, 8, 4096, 0, units.Duration(2*time.Second)
+	o.Enabled, o.MinSize, o.MaxSize, o.RemoteZoneFraction, o.ShrinkDelay = true, 8, 4096, 0, units.Duration(2*time.Second)
 	return Run{Sidecars: sidecars, Nodes: nodes, Rate: float64(nodes), Work: 100 * time.Millisecond, Length: 30 * time.Second, Seed: 3, Subset: o, Known: true,
 		Connect: 2 * time.Millisecond, Settings: balancer.Settings{MaxAttempts: 3, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: time.Second,
 			ConnectTimeout: time.Second, Tick: 5 * time.Millisecond, SlowStartMinCapacity: 0.2, SlowStartWindow: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
@@ -46,7 +46,7 @@
 func TestFlat(t *testing.T) {
 	few, many := play(t, run(4, 200)), play(t, run(40, 200))
 	chance := run(40, 200)
-	chance.Subset.On, chance.Probes = false, &Probes{Each: 1}
+	chance.Subset.Enabled, chance.Probes = false, &Probes{Each: 1}
 	if whole := play(t, chance); many.OpenNode > 1.5*few.OpenNode || whole.OpenNode < 3*many.OpenNode {
 		t.Errorf("connections a node: %.2f of 4 sidecars, %.2f of 40, %.2f of 40 by chance", few.OpenNode, many.OpenNode, whole.OpenNode)
 	}
--- a/internal/simulation/fleetsim/many_test.go
+++ b/internal/simulation/fleetsim/many_test.go
@@ -11,7 +11,7 @@
 // thin is a fleet of 60 nodes in four zones before sidecars that send little each, all of them with the whole list.
 func thin(sidecars int) Run {
 	r := run(sidecars, 60)
-	r.Subset.On, r.Zones, r.Work, r.Rate = false, 4, 25*time.Millisecond, 1200
+	r.Subset.Enabled, r.Zones, r.Work, r.Rate = false, 4, 25*time.Millisecond, 1200
 	r.Settings.ConnectTimeout, r.Settings.HedgingAllowed, r.Settings.SlowStartMinCapacity, r.Settings.SlowStartWindow = 250*time.Millisecond, true, 0.3, 9*time.Second
 	r.Settings.Classes = []balancer.Class{{Name: "search", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, LateValueFraction: 0.3}}
 	return r
--- a/internal/testing/conformance/child_test.go
+++ b/internal/testing/conformance/child_test.go
@@ -86,7 +86,7 @@
 }
 
 // writeConfig is configFile at a path, with the list that the child is to know from before.
-func writeConfig(t *testing.T, path string, d *fakes.Discovery, p protocol, listen string, list *endpoints.Listing) string {
+func writeConfig(t *testing.T, path string, d *fakes.Discovery, p protocol, listen string, list *endpoints.List) string {
 	t.Helper()
 	known, err := json.Marshal(list)
 	if err != nil {
--- a/internal/testing/conformance/fronts_test.go
+++ b/internal/testing/conformance/fronts_test.go
@@ -143,8 +143,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.discovery[p].Set(endpoints.Endpoint{Name: o.Name, Address: address, Zone: o.Zone, Type: o.Type,
-			Status: endpoints.StatusReady, SinceMs: since})
+		w.discovery[p].Set(endpoints.Endpoint{Name: o.Name, Address: address, Zone: o.Zone, MachineType: o.Type,
+			Status: endpoints.StatusReady, StartedMs: since})
 	}
 	return n
 }
@@ -263,10 +263,10 @@
 	o := grpcbalancer.Options{Settings: set, Seed: 7, Discovery: d.Address(), Version: *l.Index, Methods: pluginMethods}
 	for _, e := range l.Endpoints {
 		since := time.Time{}
-		if e.SinceMs > 0 {
-			since = time.UnixMilli(int64(e.SinceMs))
+		if e.StartedMs > 0 {
+			since = time.UnixMilli(int64(e.StartedMs))
 		}
-		o.Endpoints = append(o.Endpoints, grpcbalancer.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.Type, Since: since})
+		o.Endpoints = append(o.Endpoints, grpcbalancer.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.MachineType, Since: since})
 	}
 	p, err := grpcbalancer.New(o)
 	if err != nil {
--- a/internal/testing/conformance/replace_test.go
+++ b/internal/testing/conformance/replace_test.go
@@ -318,7 +318,7 @@
 	testutil.Eventually(t, "the drain is heard", func() bool { return r.figure(old, "members_unavailable") == 1 })
 	r.discovery.Down(true)
 	index := int64(0)
-	writeConfig(t, r.config, r.discovery, overHTTP, r.listen, &endpoints.Listing{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{}})
+	writeConfig(t, r.config, r.discovery, overHTTP, r.listen, &endpoints.List{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{}})
 	stop := r.load()
 	second := r.start()
 	r.end(old)
--- a/internal/testing/processes/leaving_test.go
+++ b/internal/testing/processes/leaving_test.go
@@ -72,7 +72,7 @@
 		go s.Serve(l)
 		t.Cleanup(func() { s.Close() })
 		f.names = append(f.names, name)
-		entries = append(entries, endpoints.Endpoint{Name: name, Address: l.Addr().String(), Zone: "a", Type: "m", Status: endpoints.StatusReady})
+		entries = append(entries, endpoints.Endpoint{Name: name, Address: l.Addr().String(), Zone: "a", MachineType: "m", Status: endpoints.StatusReady})
 	}
 	disco.Beat = 2 * time.Second // the protocol's
 	address, err := disco.Listen("127.0.0.1:0")
--- a/internal/testing/soak/fleet.go
+++ b/internal/testing/soak/fleet.go
@@ -85,7 +85,7 @@
 		}
 		f.t.Cleanup(u.close)
 		f.upstreams = append(f.upstreams, u)
-		entries = append(entries, endpoints.Endpoint{Name: u.name, Address: u.address, Zone: "a", Type: "m", Status: endpoints.StatusReady})
+		entries = append(entries, endpoints.Endpoint{Name: u.name, Address: u.address, Zone: "a", MachineType: "m", Status: endpoints.StatusReady})
 	}
 	f.discovery = fakes.NewDiscovery(entries...)
 	f.discovery.Beat = 2 * time.Second
@@ -156,11 +156,11 @@
 }
 
 // known is the list as it was before anything changed.
-func (f *fleet) known() *endpoints.Listing {
+func (f *fleet) known() *endpoints.List {
 	version := int64(1)
-	l := &endpoints.Listing{Index: &version, Snapshot: true}
+	l := &endpoints.List{Index: &version, Snapshot: true}
 	for _, u := range f.upstreams {
-		l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: u.name, Address: u.address, Zone: "a", Type: "m", Status: endpoints.StatusReady})
+		l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: u.name, Address: u.address, Zone: "a", MachineType: "m", Status: endpoints.StatusReady})
 	}
 	return l
 }
--- a/internal/testing/testutil/testkit.go
+++ b/internal/testing/testutil/testkit.go
@@ -79,9 +79,9 @@
 }
 
 // Listing is the same, parsed.
-func Listing(t testing.TB, index int, snapshot bool, entries ...string) *endpoints.Listing {
+func Listing(t testing.TB, index int, snapshot bool, entries ...string) *endpoints.List {
 	t.Helper()
-	l, err := endpoints.ParseListing([]byte(List(index, snapshot, entries...)))
+	l, err := endpoints.ParseList([]byte(List(index, snapshot, entries...)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/tlscredentials/keys_test.go
+++ b/internal/tlscredentials/keys_test.go
@@ -183,7 +183,7 @@
 }
 
 // shake makes one connection, and reads the byte that comes once the other side is content.
-func shake(ctx context.Context, c *Client, at endpoints.Place) (*tls.Conn, error) {
+func shake(ctx context.Context, c *Client, at endpoints.Instance) (*tls.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", at.Address)
 	if err != nil {
 		return nil, err
@@ -239,7 +239,7 @@
 		r := newRig(t, mine, ca.PEM)
 		c.d.Name = c.name
 		client := NewClient(r.Store, c.d)
-		at := endpoints.Place{Address: listen(t, c.server), Identity: c.id}
+		at := endpoints.Instance{Address: listen(t, c.server), TLSIdentity: c.id}
 		for range 2 { // the second resumes, where there is something to resume
 			conn, err := shake(t.Context(), client, at)
 			if (err == nil) != c.good {
@@ -258,7 +258,7 @@
 	r := newRig(t, base.Issue(t, ca, "a"), ca.PEM)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := shake(ctx, NewClient(r.Store, Upstream{}), endpoints.Place{Address: listen(t, nil)}); err == nil {
+	if _, err := shake(ctx, NewClient(r.Store, Upstream{}), endpoints.Instance{Address: listen(t, nil)}); err == nil {
 		t.Error("a stalled handshake came up")
 	}
 }
@@ -268,9 +268,9 @@
 	old, new := base.CA(t, "old"), base.CA(t, "new")
 	r := newRig(t, base.Issue(t, old, "a"), old.PEM)
 	client := NewClient(r.Store, Upstream{})
-	before := endpoints.Place{Address: listen(t, base.ServerTLS(t, base.Issue(t, old, "127.0.0.1")))}
-	after := endpoints.Place{Address: listen(t, base.ServerTLS(t, base.Issue(t, new, "127.0.0.1")))}
-	open := func(at endpoints.Place) *tls.Conn {
+	before := endpoints.Instance{Address: listen(t, base.ServerTLS(t, base.Issue(t, old, "127.0.0.1")))}
+	after := endpoints.Instance{Address: listen(t, base.ServerTLS(t, base.Issue(t, new, "127.0.0.1")))}
+	open := func(at endpoints.Instance) *tls.Conn {
 		t.Helper()
 		conn, err := shake(t.Context(), client, at)
 		if err != nil {
--- a/internal/tlscredentials/store.go
+++ b/internal/tlscredentials/store.go
@@ -100,7 +100,7 @@
 		r    *filewatch.Reader
 		text *[]byte
 	}{{s.cert, &s.certText}, {s.key, &s.keyText}} {
-		c, new := f.r.Look()
+		c, new := f.r.Read()
 		switch {
 		case !new:
 		case c.Err != nil:
@@ -143,7 +143,7 @@
 	if s.ca == nil {
 		return nil
 	}
-	c, changed := s.ca.Look()
+	c, changed := s.ca.Read()
 	switch {
 	case !changed:
 		return nil
--- a/internal/tlscredentials/tls.go
+++ b/internal/tlscredentials/tls.go
@@ -77,11 +77,11 @@
 }
 
 // Config is a configuration for connections to the upstream at a place, for those who make them themselves.
-func (c *Client) Config(at endpoints.Place) *tls.Config {
+func (c *Client) Config(at endpoints.Instance) *tls.Config {
 	config := c.base.Clone()
 	name := c.expected(at)
 	// A session is resumed with the very same upstream only.
-	config.ClientSessionCache = scoped{c.sessions, at.Address + " " + at.Identity + " "}
+	config.ClientSessionCache = scoped{c.sessions, at.Address + " " + at.TLSIdentity + " "}
 	config.ServerName, _, _ = net.SplitHostPort(at.Address) // an address is not sent
 	if name != "" && !strings.Contains(name, "://") {
 		config.ServerName = name
@@ -112,9 +112,9 @@
 	s.ClientSessionCache.Put(s.scope+key, state)
 }
 
-func (c *Client) expected(at endpoints.Place) string {
-	if at.Identity != "" {
-		return at.Identity
+func (c *Client) expected(at endpoints.Instance) string {
+	if at.TLSIdentity != "" {
+		return at.TLSIdentity
 	}
 	return c.name
 }
@@ -141,12 +141,12 @@
 }
 
 // Client makes a fresh connection an encrypted one.
-func (c *Client) Client(ctx context.Context, conn net.Conn, at endpoints.Place) (*tls.Conn, error) {
+func (c *Client) Client(ctx context.Context, conn net.Conn, at endpoints.Instance) (*tls.Conn, error) {
 	return c.Speak(ctx, conn, at, "http/1.1")
 }
 
 // Speak is Client for another protocol's connections, by its ALPN name.
-func (c *Client) Speak(ctx context.Context, conn net.Conn, at endpoints.Place, protocol string) (*tls.Conn, error) {
+func (c *Client) Speak(ctx context.Context, conn net.Conn, at endpoints.Instance, protocol string) (*tls.Conn, error) {
 	config := c.Config(at)
 	config.NextProtos = []string{protocol}
 	t := tls.Client(conn, config)
@@ -158,7 +158,7 @@
 
 // Trusts tells whether a connection made earlier would still be made now: by the authorities of now, and under the name
 // of now.
-func (c *Client) Trusts(t *tls.Conn, at endpoints.Place) bool {
+func (c *Client) Trusts(t *tls.Conn, at endpoints.Instance) bool {
 	m := c.store.Now()
 	state := t.ConnectionState()
 	if len(state.PeerCertificates) == 0 {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -146,7 +146,7 @@
 
 // AttemptWithin is Attempt within terms.
 func (u *Pool) AttemptWithin(ctx context.Context, name string, r *Request, t Terms) Reply {
-	at, ok := u.dir.Place(name)
+	at, ok := u.dir.Instance(name)
 	if !ok {
 		return Reply{Result: balancer.NotSent}
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -30,7 +30,7 @@
 
 // Options are a Pool's parameters.
 type Options struct {
-	Directory      *endpoints.Directory
+	Directory      *endpoints.Registry
 	ConnectTimeout time.Duration
 	Idle           time.Duration // upstreams close connections that are idle for this long
 	Connections    int           // open at once, at most; not used where Slots is given
@@ -48,14 +48,14 @@
 type Secure interface {
 	// Client makes a fresh connection one to the upstream at that place, and proves that it is that upstream. It ends
 	// with ctx.
-	Client(ctx context.Context, conn net.Conn, at endpoints.Place) (*tls.Conn, error)
+	Client(ctx context.Context, conn net.Conn, at endpoints.Instance) (*tls.Conn, error)
 	// Trusts tells whether a connection made earlier would still be made now.
-	Trusts(conn *tls.Conn, at endpoints.Place) bool
+	Trusts(conn *tls.Conn, at endpoints.Instance) bool
 }
 
 // Pool holds the connections to upstreams. It is safe for concurrent use.
 type Pool struct {
-	dir            *endpoints.Directory
+	dir            *endpoints.Registry
 	connectTimeout time.Duration
 	maxIdle        time.Duration
 	sweepEvery     time.Duration
@@ -121,7 +121,7 @@
 }
 
 // SetDirectory names the Directory, where that was made after the Pool. It comes before the first attempt.
-func (u *Pool) SetDirectory(d *endpoints.Directory) { u.dir = d }
+func (u *Pool) SetDirectory(d *endpoints.Registry) { u.dir = d }
 
 // poolConn is one connection. Nothing reads from it between exchanges: see quiet.
 type poolConn struct {
@@ -130,7 +130,7 @@
 	secure   *tls.Conn       // nil: not encrypted
 	below    *counted        // what secure writes to
 	name     string
-	at       endpoints.Place
+	at       endpoints.Instance
 	since    time.Time // when it became idle
 	unused   bool      // it was opened ahead, and no request has gone out on it
 }
@@ -163,12 +163,12 @@
 
 // connection returns a connection to an upstream: the one that was used last of those that have rested, or a new
 // one. At the limit it closes the one idle for longest, and where all are busy it waits until ctx ends.
-func (u *Pool) connection(ctx context.Context, name string, at endpoints.Place) (c *poolConn, reused bool, err error) {
+func (u *Pool) connection(ctx context.Context, name string, at endpoints.Instance) (c *poolConn, reused bool, err error) {
 	return u.connectionFor(ctx, nil, name, at)
 }
 
 // connectionFor is connection for a caller: where one has to be waited for, the wait ends with the caller too.
-func (u *Pool) connectionFor(ctx, caller context.Context, name string, at endpoints.Place) (c *poolConn, reused bool, err error) {
+func (u *Pool) connectionFor(ctx, caller context.Context, name string, at endpoints.Instance) (c *poolConn, reused bool, err error) {
 	if c = u.take(name, at); c != nil {
 		return c, true, nil
 	}
@@ -189,7 +189,7 @@
 
 // connect dials within a slot, and gives that back where there is no connection. An encrypted connection that is called
 // off while it is made may be had in handshakeFor for requests to come: most of its cost is paid by then.
-func (u *Pool) connect(ctx context.Context, name string, at endpoints.Place) (*poolConn, error) {
+func (u *Pool) connect(ctx context.Context, name string, at endpoints.Instance) (*poolConn, error) {
 	if u.secure == nil {
 		c, err := u.dial(ctx, name, at)
 		if err != nil {
@@ -231,7 +231,7 @@
 
 // dial makes a connection; its handshake, too, is a part of connecting: nothing of a request has been sent before it
 // has ended.
-func (u *Pool) dial(ctx context.Context, name string, at endpoints.Place) (*poolConn, error) {
+func (u *Pool) dial(ctx context.Context, name string, at endpoints.Instance) (*poolConn, error) {
 	whole, cancel := context.WithTimeout(ctx, u.connectTimeout)
 	defer cancel()
 	ctx, cancel = context.WithTimeout(whole, u.connects.patience(u.connectTimeout))
@@ -340,7 +340,7 @@
 // take returns the upstream's connection that was used last, or nil. Guards against answers that are not this
 // request's: a second copy or noise behind an answer may come a moment after it, so a connection rests before
 // its next request, and one that brought anything meanwhile is closed.
-func (u *Pool) take(name string, at endpoints.Place) *poolConn {
+func (u *Pool) take(name string, at endpoints.Instance) *poolConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.warm.use(name)
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -17,7 +17,7 @@
 // that requests wait for, and is not sent to an upstream that drains.
 func (u *Pool) Probe(ctx context.Context, name, path string) balancer.ProbeResult {
 	r := balancer.ProbeResult{Upstream: name, Result: balancer.NotSent}
-	at, ok := u.dir.Place(name)
+	at, ok := u.dir.Instance(name)
 	if !ok || u.slots.Waiting(u.service) > 0 {
 		return r
 	}
--- a/internal/upstream/proof_test.go
+++ b/internal/upstream/proof_test.go
@@ -188,7 +188,7 @@
 						// Whose certificate it is does not matter here; records of one size tell the last one.
 						u.secure = bare{&tls.Config{InsecureSkipVerify: true, DynamicRecordSizingDisabled: true}}
 					}
-					at, _ := u.dir.Place("s")
+					at, _ := u.dir.Instance("s")
 					conn, _, err := u.connection(t.Context(), "s", at)
 					if err != nil {
 						t.Fatal(err)
--- a/internal/upstream/secure_test.go
+++ b/internal/upstream/secure_test.go
@@ -18,12 +18,12 @@
 // bare encrypts and trusts whoever answers.
 type bare struct{ *tls.Config }
 
-func (b bare) Client(ctx context.Context, conn net.Conn, _ endpoints.Place) (*tls.Conn, error) {
+func (b bare) Client(ctx context.Context, conn net.Conn, _ endpoints.Instance) (*tls.Conn, error) {
 	c := tls.Client(conn, b.Config)
 	return c, c.HandshakeContext(ctx)
 }
 
-func (bare) Trusts(*tls.Conn, endpoints.Place) bool { return true }
+func (bare) Trusts(*tls.Conn, endpoints.Instance) bool { return true }
 
 // Guards against a handshake for every request that is called off: a connection that is being made, and one whose answer
 // has come by then, carry the next request. One that is made for too long gives its place back.
@@ -40,7 +40,7 @@
 	address := base.HTTP(t, server, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) })
 	u := testPool(t, 4, testutil.Entry("s", address, "Ready"))
 	u.secure = bare{&tls.Config{InsecureSkipVerify: true}} // whose certificate it is does not matter here
-	at, _ := u.dir.Place("s")
+	at, _ := u.dir.Instance("s")
 	calledOff := func() {
 		ctx, cancel := context.WithCancel(t.Context())
 		over := make(chan Reply, 1)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -154,7 +154,7 @@
 	}
 	defer l.Close()
 	u := testPool(t, 4, testutil.Entry("s", l.Addr().String(), "Ready"))
-	c, _, err := u.connection(t.Context(), "s", endpoints.Place{Address: l.Addr().String()})
+	c, _, err := u.connection(t.Context(), "s", endpoints.Instance{Address: l.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 	for _, status := range []string{"Terminating", "Gone"} {
 		s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 		u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
-		c, _, err := u.connection(t.Context(), "s", endpoints.Place{Address: s.Address})
+		c, _, err := u.connection(t.Context(), "s", endpoints.Instance{Address: s.Address})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/upstream/warming.go
+++ b/internal/upstream/warming.go
@@ -80,10 +80,10 @@
 			continue
 		case <-tick.C:
 		}
-		places := u.dir.Places()
+		places := u.dir.Instances()
 		ready := make(map[string]uint64, len(places))
 		for name, at := range places {
-			ready[name] = at.Process()
+			ready[name] = at.ProcessID()
 		}
 		now := c.Now()
 		w.Members(now, ready)
@@ -104,7 +104,7 @@
 }
 
 // openAhead opens one connection, if there is a free slot, and tells whether it did.
-func (u *Pool) openAhead(ctx context.Context, name string, at endpoints.Place) bool {
+func (u *Pool) openAhead(ctx context.Context, name string, at endpoints.Instance) bool {
 	if u.slots.Waiting(u.service) > 0 || !u.slots.TryAcquire(u.service, 1) {
 		return false
 	}
--- a/internal/upstream/warming_test.go
+++ b/internal/upstream/warming_test.go
@@ -113,11 +113,11 @@
 		}
 	}
 	ask("a")
-	at, _ := u.dir.Place("b")
+	at, _ := u.dir.Instance("b")
 	if !u.openAhead(t.Context(), "b", at) {
 		t.Fatal("b can't be had")
 	}
-	if at, _ := u.dir.Place("c"); u.openAhead(t.Context(), "c", at) {
+	if at, _ := u.dir.Instance("c"); u.openAhead(t.Context(), "c", at) {
 		t.Error("opened ahead beyond the limit")
 	}
 	ask("c") // in place of b's
