--- a/cmd/orchiddrift/check.go
+++ b/cmd/orchiddrift/check.go
@@ -120,7 +120,7 @@
 			fmt.Fprintf(w, ", a door fair by %s", strings.Join(s.Door.PrincipalSources, ", then by "))
 		}
 		if s.Repeats != nil {
-			fmt.Fprintf(w, ", keys known for %v", s.Repeats.Keep)
+			fmt.Fprintf(w, ", keys known for %v", s.Repeats.Retention)
 		}
 		fmt.Fprint(w, "; classes")
 		for _, c := range s.Settings.Classes {
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -123,7 +123,7 @@
 	tick           time.Duration
 	guard          *guard                 // nil: connections are not encrypted by the plug-in
 	door           *controller.Controller // nil: there is none
-	repeats        *executor.Keeper       // nil: repeats of keyed calls are not looked for
+	repeats        *executor.Executor     // nil: repeats of keyed calls are not looked for
 	warming        *warming               // nil: connections are made as calls need them
 	stop           context.CancelFunc
 	watching       sync.WaitGroup
@@ -188,7 +188,7 @@
 		}
 	}
 	if file.Repeats != nil {
-		if p.repeats, err = executor.Open(context.Background(), *file.Repeats, p.service, &set, executor.StartPatience, executor.Options{Clock: clk, Log: log, Apart: true}); err != nil {
+		if p.repeats, err = executor.Open(context.Background(), *file.Repeats, p.service, &set, executor.StartTimeout, executor.Options{Clock: clk, Log: log, OwnGoroutine: true}); err != nil {
 			return nil, fmt.Errorf("orchidgrpc: repeats: %w", err)
 		}
 	}
--- a/grpcbalancer/repeats.go
+++ b/grpcbalancer/repeats.go
@@ -42,20 +42,20 @@
 	h.Write(body)
 	own := *u.call // the call that is sent has no word of this caller's end
 	sent := &unaryCall{call: &own, req: proto.Clone(req), reply: u.like.fresh(), like: u.like, cc: u.cc, invoker: u.invoker, plain: u.plain}
-	r := u.p.repeats.Do(ctx, idempotency.ID{Tenant: u.Tenant, Class: u.Class, Key: key}, idempotency.Print(h.Sum(nil)[:16]),
-		func(wanted context.Context, prior []idempotency.Send, sends executor.Sends) executor.Ended {
+	r := u.p.repeats.Do(ctx, idempotency.ID{Tenant: u.Tenant, Class: u.Class, Key: key}, idempotency.Fingerprint(h.Sum(nil)[:16]),
+		func(wanted context.Context, prior []idempotency.Attempt, sends executor.AttemptRecorder) executor.Outcome {
 			sent.Interest = wanted
 			for _, x := range prior {
-				sent.EarlierAttempts = append(sent.EarlierAttempts, balancer.EarlierAttempt{Zone: x.Zone, Cell: x.Cell, SentAt: x.Sent})
+				sent.EarlierAttempts = append(sent.EarlierAttempts, balancer.EarlierAttempt{Zone: x.Zone, Cell: x.Cell, SentAt: x.SentAt})
 			}
 			a := sent.do(context.WithoutCancel(ctx), noted{sent, sends})
 			switch a.Kind {
 			case engine.Served:
 				return kept(a.Value.(*unaryResult))
 			case engine.Rejected, engine.Duplicate, engine.EngineClosed:
-				return executor.Ended{Verdict: idempotency.Refuse, RetryIn: a.RetryAfter}
+				return executor.Outcome{Verdict: idempotency.Reject, RetryAfter: a.RetryAfter}
 			}
-			return executor.Ended{Verdict: idempotency.Fail}
+			return executor.Outcome{Verdict: idempotency.Fail}
 		})
 	err = u.told(ctx, r, reply)
 	(&outputs{}).handOver(u.writing, err) // headers and trailers are the first call's alone, and not kept
@@ -65,7 +65,7 @@
 // told words what a caller is told.
 func (u *unaryCall) told(ctx context.Context, r executor.Result, reply proto.Message) error {
 	switch {
-	case r.Left:
+	case r.ClientLeft:
 		return status.FromContextError(ctx.Err()).Err()
 	case r.Verdict == idempotency.Replay:
 		if code := codes.Code(r.Answer.Status); code != codes.OK {
@@ -77,16 +77,16 @@
 		return nil
 	case r.Verdict == idempotency.Conflict:
 		return status.Error(codes.InvalidArgument, "orchidgrpc: the key was used for another call")
-	case r.Verdict == idempotency.Answered:
+	case r.Verdict == idempotency.AnswerNotStored:
 		return status.Error(codes.AlreadyExists, "orchidgrpc: a call of this key was answered, and its answer was too large to be kept")
-	case r.Verdict == idempotency.Refuse:
-		return u.fail(ctx, engine.Answer{Kind: engine.Rejected, RetryAfter: r.RetryIn})
+	case r.Verdict == idempotency.Reject:
+		return u.fail(ctx, engine.Answer{Kind: engine.Rejected, RetryAfter: r.RetryAfter})
 	}
 	return u.fail(ctx, engine.Answer{Kind: engine.Failed})
 }
 
 // kept is an answer as it is kept: a message's bytes, or the application's status. What can't be written has run all the same.
-func kept(r *unaryResult) executor.Ended {
+func kept(r *unaryResult) executor.Outcome {
 	a := &idempotency.Answer{Status: int(codes.OK)}
 	if r.err != nil {
 		s := status.Convert(r.err)
@@ -94,27 +94,27 @@
 	} else {
 		body, err := proto.Marshal(r.reply.(proto.Message))
 		if err != nil {
-			return executor.Ended{Verdict: idempotency.Fail}
+			return executor.Outcome{Verdict: idempotency.Fail}
 		}
 		a.Body = body
 	}
-	return executor.Ended{Verdict: idempotency.Replay, Answer: a}
+	return executor.Outcome{Verdict: idempotency.Replay, Answer: a}
 }
 
 // noted are attempts whose sends are told of before they may run.
 type noted struct {
 	*unaryCall
-	sends executor.Sends
+	sends executor.AttemptRecorder
 }
 
 // RoundTrip is engine.Transport's.
 func (c noted) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
-	x := idempotency.Send{Zone: a.Zone, Cell: a.Cell, Sent: c.p.engine.Clock().Now()}
-	c.sends.Sent(x)
+	x := idempotency.Attempt{Zone: a.Zone, Cell: a.Cell, SentAt: c.p.engine.Clock().Now()}
+	c.sends.AttemptStarted(x)
 	r := c.unaryCall.RoundTrip(ctx, a)
 	switch r.Result {
 	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
-		c.sends.Unsent(x)
+		c.sends.AttemptNotSent(x)
 	}
 	return r
 }
--- a/internal/boltfile/heldfile.go
+++ b/internal/boltfile/heldfile.go
@@ -12,10 +12,10 @@
 	bolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Wait is how a file that is held is waited for.
-type Wait struct {
-	For  time.Duration             // at most, if over 0
-	Held func(since time.Duration) // is told at once and then every sayEvery; nil: nobody is
+// LockWait is how a file that is held is waited for.
+type LockWait struct {
+	Timeout   time.Duration             // at most, if over 0
+	OnWaiting func(since time.Duration) // is told at once and then every sayEvery; nil: nobody is
 }
 
 const (
@@ -23,11 +23,11 @@
 	sayEvery = time.Second
 )
 
-// ErrHeld is the error where a file was held for longer than it could be waited for.
-var ErrHeld = errors.New("another process holds the file")
+// ErrLocked is the error where a file was held for longer than it could be waited for.
+var ErrLocked = errors.New("another process holds the file")
 
 // Open opens a file, or makes it. It ends early with ctx.
-func Open(ctx context.Context, path string, wait Wait) (*bbolt.DB, error) {
+func Open(ctx context.Context, path string, wait LockWait) (*bbolt.DB, error) {
 	begun := time.Now()
 	var says time.Duration
 	for {
@@ -36,11 +36,11 @@
 			return db, err
 		}
 		waited := time.Since(begun)
-		if wait.For > 0 && waited >= wait.For {
-			return nil, fmt.Errorf("%w, for %v by now", ErrHeld, waited.Round(time.Millisecond))
+		if wait.Timeout > 0 && waited >= wait.Timeout {
+			return nil, fmt.Errorf("%w, for %v by now", ErrLocked, waited.Round(time.Millisecond))
 		}
-		if wait.Held != nil && waited >= says {
-			wait.Held(waited)
+		if wait.OnWaiting != nil && waited >= says {
+			wait.OnWaiting(waited)
 			says += sayEvery
 		}
 		select {
--- a/internal/boltfile/heldfile_test.go
+++ b/internal/boltfile/heldfile_test.go
@@ -24,7 +24,7 @@
 func TestHeldFileIsWaitedFor(t *testing.T) {
 	path, release := held(t)
 	said := 0
-	db, err := Open(t.Context(), path, Wait{For: 20 * time.Second, Held: func(time.Duration) {
+	db, err := Open(t.Context(), path, LockWait{Timeout: 20 * time.Second, OnWaiting: func(time.Duration) {
 		if said++; said == 3 { // 2 s later
 			release()
 		}
@@ -43,11 +43,11 @@
 // Guards against a wait without an end, and one that holds up the end of the process.
 func TestHeldFileIsGivenUp(t *testing.T) {
 	path, _ := held(t)
-	if _, err := Open(t.Context(), path, Wait{For: 50 * time.Millisecond}); !errors.Is(err, ErrHeld) {
+	if _, err := Open(t.Context(), path, LockWait{Timeout: 50 * time.Millisecond}); !errors.Is(err, ErrLocked) {
 		t.Errorf("%v", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	if _, err := Open(ctx, path, Wait{Held: func(time.Duration) { cancel() }}); !errors.Is(err, context.Canceled) {
+	if _, err := Open(ctx, path, LockWait{OnWaiting: func(time.Duration) { cancel() }}); !errors.Is(err, context.Canceled) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -150,7 +150,7 @@
 	}
 	defer d.end()
 	if from == nil { // else the one before this process holds its files for as long as it lives
-		d.shared.filesCtx, d.shared.filesPatience = ctx, executor.StartPatience
+		d.shared.filesCtx, d.shared.filesPatience = ctx, executor.StartTimeout
 	}
 	err := d.apply(p)
 	if err != nil && ctx.Err() != nil {
--- a/internal/daemon/repeats.go
+++ b/internal/daemon/repeats.go
@@ -21,14 +21,14 @@
 
 // openRepeats finds or makes the keeper of a service's keys. It outlives the service: one that a reload starts anew, or takes
 // away for a while, knows its keys again.
-func (sh *shared) openRepeats(plan config.ServicePlan) (*executor.Keeper, error) {
+func (sh *shared) openRepeats(plan config.ServicePlan) (*executor.Executor, error) {
 	if plan.Repeats == nil {
 		return nil, nil
 	}
 	sh.repeatsMu.Lock()
 	defer sh.repeatsMu.Unlock()
 	if k := sh.repeats[plan.Name]; k != nil {
-		k.Configure(plan.Repeats.Options, executor.Windows(&plan.Settings.Settings))
+		k.Configure(plan.Repeats.Options, executor.DedupWindows(&plan.Settings.Settings))
 		return k, nil
 	}
 	k, err := executor.Open(sh.filesCtx, *plan.Repeats, plan.Name, &plan.Settings.Settings, sh.filesPatience, executor.Options{Clock: sh.clock,
@@ -37,7 +37,7 @@
 		return nil, fmt.Errorf("repeats: %w", err)
 	}
 	if sh.repeats == nil {
-		sh.repeats = map[string]*executor.Keeper{}
+		sh.repeats = map[string]*executor.Executor{}
 	}
 	sh.repeats[plan.Name] = k
 	return k, nil
@@ -72,7 +72,7 @@
 }
 
 // keyed tells whether a request's repeats are looked for.
-func (s *service) keyed(class *balancer.Class, key string) *executor.Keeper {
+func (s *service) keyed(class *balancer.Class, key string) *executor.Executor {
 	if class.Idempotency != balancer.IdempotentWithKey || key == "" {
 		return nil
 	}
@@ -83,19 +83,19 @@
 type attempts struct {
 	engine.Transport
 	s      *service
-	sends  executor.Sends
+	sends  executor.AttemptRecorder
 	mayRun *atomic.Int64 // of them, so many
 }
 
 // RoundTrip is engine.Transport's.
 func (c attempts) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
-	x := idempotency.Send{Zone: a.Zone, Cell: a.Cell, Sent: c.s.shared.clock.Now()}
-	c.sends.Sent(x)
+	x := idempotency.Attempt{Zone: a.Zone, Cell: a.Cell, SentAt: c.s.shared.clock.Now()}
+	c.sends.AttemptStarted(x)
 	c.mayRun.Add(1)
 	r := c.Transport.RoundTrip(ctx, a)
 	switch r.Result {
 	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
-		c.sends.Unsent(x)
+		c.sends.AttemptNotSent(x)
 		c.mayRun.Add(-1)
 	}
 	return r
@@ -103,19 +103,19 @@
 
 // once gives a keyed request the end of the first one of its key. It runs apart from its clients where it is the first: carrier makes
 // what carries out its attempts, and end gives back what those held.
-func (s *service) once(ctx context.Context, k *executor.Keeper, call engine.Call, key, method, target string, body []byte,
+func (s *service) once(ctx context.Context, k *executor.Executor, call engine.Call, key, method, target string, body []byte,
 	carrier func() (c engine.Transport, end func())) executor.Result {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s\x00%s\x00", method, target) // a hash takes everything
 	h.Write(body)
 	ctx, cancel := context.WithTimeout(ctx, call.Deadline-s.shared.clock.Now())
 	defer cancel()
-	return k.Do(ctx, idempotency.ID{Tenant: call.Tenant, Class: call.Class, Key: key}, idempotency.Print(h.Sum(nil)[:16]),
-		func(wanted context.Context, prior []idempotency.Send, sends executor.Sends) executor.Ended {
+	return k.Do(ctx, idempotency.ID{Tenant: call.Tenant, Class: call.Class, Key: key}, idempotency.Fingerprint(h.Sum(nil)[:16]),
+		func(wanted context.Context, prior []idempotency.Attempt, sends executor.AttemptRecorder) executor.Outcome {
 			c, end := carrier()
 			defer end()
 			for _, x := range prior {
-				call.EarlierAttempts = append(call.EarlierAttempts, balancer.EarlierAttempt{Zone: x.Zone, Cell: x.Cell, SentAt: x.Sent})
+				call.EarlierAttempts = append(call.EarlierAttempts, balancer.EarlierAttempt{Zone: x.Zone, Cell: x.Cell, SentAt: x.SentAt})
 			}
 			call.Interest = wanted
 			var mayRun atomic.Int64
@@ -123,15 +123,15 @@
 			switch a.Kind {
 			case engine.Served:
 				rep := a.Value.(*upstream.Reply)
-				return executor.Ended{Verdict: idempotency.Replay, Answer: &idempotency.Answer{Status: rep.Status, Header: rep.Header, Body: rep.Body}}
+				return executor.Outcome{Verdict: idempotency.Replay, Answer: &idempotency.Answer{Status: rep.Status, Header: rep.Header, Body: rep.Body}}
 			case engine.Rejected, engine.Duplicate, engine.EngineClosed:
-				return executor.Ended{Verdict: idempotency.Refuse, RetryIn: a.RetryAfter}
+				return executor.Outcome{Verdict: idempotency.Reject, RetryAfter: a.RetryAfter}
 			case engine.ClientGone: // all have left
 				if mayRun.Load() == 0 && len(prior) == 0 {
-					return executor.Ended{Verdict: idempotency.Refuse}
+					return executor.Outcome{Verdict: idempotency.Reject}
 				}
 			}
-			return executor.Ended{Verdict: idempotency.Fail}
+			return executor.Outcome{Verdict: idempotency.Fail}
 		})
 }
 
@@ -141,11 +141,11 @@
 // answerOf is a Result as the engine would have told it; conflict is not 0 where it has no word for it.
 func answerOf(r executor.Result) (a engine.Answer, conflict int) {
 	switch {
-	case r.Left:
+	case r.ClientLeft:
 		return engine.Answer{Kind: engine.ClientGone}, 0
 	case r.Verdict == idempotency.Replay:
 		rep := &upstream.Reply{Status: r.Answer.Status, Header: r.Answer.Header, Body: r.Answer.Body}
-		if !r.First {
+		if !r.Executed {
 			rep.Header = maps.Clone(http.Header(r.Answer.Header))
 			if rep.Header == nil {
 				rep.Header = http.Header{}
@@ -153,11 +153,11 @@
 			rep.Header.Set(replayed, "true")
 		}
 		return engine.Answer{Kind: engine.Served, Value: rep}, 0
-	case r.Verdict == idempotency.Refuse:
-		return engine.Answer{Kind: engine.Rejected, RetryAfter: r.RetryIn}, 0
+	case r.Verdict == idempotency.Reject:
+		return engine.Answer{Kind: engine.Rejected, RetryAfter: r.RetryAfter}, 0
 	case r.Verdict == idempotency.Conflict:
 		return engine.Answer{Kind: engine.Duplicate}, http.StatusUnprocessableEntity
-	case r.Verdict == idempotency.Answered:
+	case r.Verdict == idempotency.AnswerNotStored:
 		return engine.Answer{Kind: engine.Duplicate}, http.StatusConflict
 	}
 	return engine.Answer{Kind: engine.Failed}, 0
--- a/internal/daemon/repeats_test.go
+++ b/internal/daemon/repeats_test.go
@@ -349,8 +349,8 @@
 		t.Errorf("%d answers of another kind", odd.Load())
 	}
 	k := r.d.routing.Load().services["pay"].repeats.Load()
-	testutil.Eventually(t, "nothing runs", func() bool { _, _, running := k.Held(); return running == 0 })
-	keys, bytes, _ := k.Held()
+	testutil.Eventually(t, "nothing runs", func() bool { _, _, running := k.Stats(); return running == 0 })
+	keys, bytes, _ := k.Stats()
 	t.Logf("%d tries, %d payments recorded, %d served; %d keys of %d bytes", tries.Load(), ledger.Operations("record"), served.Load(), keys, bytes)
 }
 
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -50,7 +50,7 @@
 	interlude yielding.Interlude // of long bodies and answers
 
 	repeatsMu sync.Mutex
-	repeats   map[string]*executor.Keeper // by service
+	repeats   map[string]*executor.Executor // by service
 
 	// For how long files that another process holds are waited for. They change before the first reload, and not after.
 	filesCtx      context.Context
@@ -76,7 +76,7 @@
 	feed    *discovery.RegistrySink
 	narrow  *discovery.SubsetSink                 // before the feed; nil: every upstream is its own
 	asked   atomic.Int64                          // requests so far
-	repeats atomic.Pointer[executor.Keeper]       // nil: repeats are not looked for
+	repeats atomic.Pointer[executor.Executor]     // nil: repeats are not looked for
 	probes  *probing                              // nil: nobody is probed
 	keys    *tlscredentials.Store                 // nil: connections are not encrypted
 	door    atomic.Pointer[controller.Controller] // nil: there is none
--- a/internal/idempotency/boltstore/golden_test.go
+++ b/internal/idempotency/boltstore/golden_test.go
@@ -20,16 +20,16 @@
 // A file of keys is read and written as the release before did: its buckets, keys and values.
 func TestFileGolden(t *testing.T) {
 	want := []idempotency.Record{
-		{ID: idempotency.ID{Tenant: "agents", Class: "payment", Key: "k-1"}, Print: idempotency.Print{1}, Running: true, At: time.Second},
-		{ID: idempotency.ID{Tenant: "agents", Class: "payment", Key: "k-2"}, Print: idempotency.Print{2}, Kind: idempotency.Uncertain,
-			Sends: []idempotency.Send{{Zone: "dc1", Cell: 1, Sent: time.Second}}, At: 2 * time.Second},
+		{ID: idempotency.ID{Tenant: "agents", Class: "payment", Key: "k-1"}, Fingerprint: idempotency.Fingerprint{1}, Running: true, UpdatedAt: time.Second},
+		{ID: idempotency.ID{Tenant: "agents", Class: "payment", Key: "k-2"}, Fingerprint: idempotency.Fingerprint{2}, Outcome: idempotency.MayHaveRun,
+			Attempts: []idempotency.Attempt{{Zone: "dc1", Cell: 1, SentAt: time.Second}}, UpdatedAt: 2 * time.Second},
 	}
-	l, err := Open(t.Context(), filepath.Join(t.TempDir(), "keys.db"), boltfile.Wait{})
+	l, err := Open(t.Context(), filepath.Join(t.TempDir(), "keys.db"), boltfile.LockWait{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range want {
-		if err := l.Put(&want[i], nil, want[i].At); err != nil {
+		if err := l.Put(&want[i], nil, want[i].UpdatedAt); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -83,7 +83,7 @@
 	if err := db.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if l, err = Open(t.Context(), old, boltfile.Wait{}); err != nil {
+	if l, err = Open(t.Context(), old, boltfile.LockWait{}); err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
--- a/internal/idempotency/boltstore/repeatlog.go
+++ b/internal/idempotency/boltstore/repeatlog.go
@@ -18,8 +18,8 @@
 	"orchiddrift/internal/idempotency/recordcodec"
 )
 
-// Log is an open file. It is safe for concurrent use.
-type Log struct{ db *bbolt.DB }
+// Store is an open file. It is safe for concurrent use.
+type Store struct{ db *bbolt.DB }
 
 var (
 	keys = []byte("keys") // records by id
@@ -31,7 +31,7 @@
 
 // Open opens a file, or makes it; wait is for where another process has it. One that is cut, broken or another program's is an error:
 // keys that may matter stand in it, and who takes it away says that they do not.
-func Open(ctx context.Context, path string, wait boltfile.Wait) (l *Log, err error) {
+func Open(ctx context.Context, path string, wait boltfile.LockWait) (l *Store, err error) {
 	defer guard(path, &err)()
 	if err := whole(path); err != nil {
 		return nil, err
@@ -53,7 +53,7 @@
 		db.Close()
 		return nil, fmt.Errorf("%s is broken: %w", path, err)
 	}
-	return &Log{db}, nil
+	return &Store{db}, nil
 }
 
 // whole tells a file that lacks its end: what is mapped of it would end the process.
@@ -100,7 +100,7 @@
 }
 
 // Load calls do for each record, with the time up to which the last process's went on.
-func (l *Log) Load(do func(at time.Duration, r idempotency.Record) error) (err error) {
+func (l *Store) Load(do func(at time.Duration, r idempotency.Record) error) (err error) {
 	defer guard(l.db.Path(), &err)()
 	err = l.db.View(func(tx *bbolt.Tx) error {
 		var at time.Duration
@@ -122,7 +122,7 @@
 }
 
 // Put writes a record, and takes out others; it returns when that is on the disk.
-func (l *Log) Put(r *idempotency.Record, gone []idempotency.ID, at time.Duration) error {
+func (l *Store) Put(r *idempotency.Record, gone []idempotency.ID, at time.Duration) error {
 	var value []byte
 	if r != nil {
 		value = recordcodec.Encode(r)
@@ -148,7 +148,7 @@
 }
 
 // PutAll writes many records in order, with few syncs.
-func (l *Log) PutAll(records []idempotency.Record, at time.Duration) error {
+func (l *Store) PutAll(records []idempotency.Record, at time.Duration) error {
 	const each = 50_000
 	for len(records) > 0 {
 		some := records[:min(each, len(records))]
@@ -172,4 +172,4 @@
 func key(id idempotency.ID) []byte { return []byte(id.Tenant + "\x00" + id.Class + "\x00" + id.Key) }
 
 // Close closes the file.
-func (l *Log) Close() error { return l.db.Close() }
+func (l *Store) Close() error { return l.db.Close() }
--- a/internal/idempotency/boltstore/repeatlog_test.go
+++ b/internal/idempotency/boltstore/repeatlog_test.go
@@ -25,7 +25,7 @@
 		want := map[idempotency.ID]idempotency.Record{}
 		var last time.Duration
 		for range rapid.IntRange(1, 3).Draw(t, "opens") {
-			l, err := Open(t.Context(), path, boltfile.Wait{For: time.Second})
+			l, err := Open(t.Context(), path, boltfile.LockWait{Timeout: time.Second})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -37,14 +37,14 @@
 			}
 			for range rapid.IntRange(0, 4).Draw(t, "puts") {
 				r := idempotency.Record{ID: idempotency.ID{Tenant: rapid.String().Draw(t, "tenant"), Class: "c", Key: rapid.StringN(1, 10, -1).Draw(t, "key")},
-					Running: rapid.Bool().Draw(t, "running"), Kind: idempotency.Kind(rapid.IntRange(0, 2).Draw(t, "kind")), Lost: rapid.Bool().Draw(t, "lost"), At: time.Duration(rapid.Int64().Draw(t, "at"))}
-				copy(r.Print[:], rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "print"))
+					Running: rapid.Bool().Draw(t, "running"), Outcome: idempotency.Outcome(rapid.IntRange(0, 2).Draw(t, "kind")), AttemptsUnknown: rapid.Bool().Draw(t, "lost"), UpdatedAt: time.Duration(rapid.Int64().Draw(t, "at"))}
+				copy(r.Fingerprint[:], rapid.SliceOfN(rapid.Byte(), 16, 16).Draw(t, "print"))
 				if rapid.Bool().Draw(t, "answer") {
 					r.Answer = &idempotency.Answer{Status: rapid.IntRange(100, 999).Draw(t, "status"), Body: rapid.SliceOfN(rapid.Byte(), 1, 20).Draw(t, "body"),
 						Header: map[string][]string{"A": {"1", "2"}, "B": {""}}}
 				}
 				for range rapid.IntRange(0, 2).Draw(t, "sends") {
-					r.Sends = append(r.Sends, idempotency.Send{Zone: rapid.String().Draw(t, "zone"), Cell: rapid.Int().Draw(t, "cell"), Sent: time.Duration(rapid.Int64().Draw(t, "sent"))})
+					r.Attempts = append(r.Attempts, idempotency.Attempt{Zone: rapid.String().Draw(t, "zone"), Cell: rapid.Int().Draw(t, "cell"), SentAt: time.Duration(rapid.Int64().Draw(t, "sent"))})
 				}
 				var gone []idempotency.ID
 				for id := range want {
--- a/internal/idempotency/etcdstore/declaration.go
+++ b/internal/idempotency/etcdstore/declaration.go
@@ -16,21 +16,21 @@
 	Prefix       string                  `toml:"prefix" default:"orchiddrift/repeats/" doc:"What its keys begin with; sidecars that share it share their keys."`
 	Timeout      units.Duration          `toml:"timeout" default:"500ms" doc:"For one of its answers."`
 	Session      units.Duration          `toml:"session" default:"10s" doc:"So long after this process was last heard of there, what it ran counts as perhaps run, and is not sent again."`
-	Skew         units.Duration          `toml:"clock_skew" default:"0s" doc:"How far the sidecars' wall clocks may be apart. Given, what may have run at one sidecar is sent again by another within the nodes' window, less this. 0: it is not."`
-	Error        string                  `toml:"error" default:"refuse" oneof:"refuse|go on" doc:"What becomes of new keys while it can't be asked: refused, or sent under this sidecar's own knowledge alone."`
+	MaxClockSkew units.Duration          `toml:"clock_skew" default:"0s" doc:"How far the sidecars' wall clocks may be apart. Given, what may have run at one sidecar is sent again by another within the nodes' window, less this. 0: it is not."`
+	OnError      string                  `toml:"error" default:"refuse" oneof:"refuse|go on" doc:"What becomes of new keys while it can't be asked: refused, or sent under this sidecar's own knowledge alone."`
 	User         string                  `toml:"user" doc:"For its authentication."`
 	PasswordFile string                  `toml:"password_file" sample:"\"/etc/orchiddrift/etcd-password\"" doc:"A file that holds the password, read when it is connected to."`
 	TLS          tlscredentials.Upstream `toml:"tls" doc:"Encryption towards it."`
 }
 
-// On tells whether there is a shared store.
-func (d *Declaration) On() bool { return len(d.Servers) > 0 }
+// Enabled tells whether there is a shared store.
+func (d *Declaration) Enabled() bool { return len(d.Servers) > 0 }
 
 const maxServers = 16
 
 // Check is tomlfile.Checker's.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
-	if !d.On() {
+	if !d.Enabled() {
 		if d.User != "" || d.PasswordFile != "" || d.TLS.On() {
 			report("servers", "none is given")
 		}
@@ -53,8 +53,8 @@
 	if d.Session.D() < 2*time.Second || d.Session.D() > 10*time.Minute {
 		report("session", "%v is not from 2s to 10m", d.Session)
 	}
-	if d.Skew < 0 {
-		report("clock_skew", "%v is under 0", d.Skew)
+	if d.MaxClockSkew < 0 {
+		report("clock_skew", "%v is under 0", d.MaxClockSkew)
 	}
 	if (d.User == "") != (d.PasswordFile == "") {
 		report("user", "user and password_file stand together")
--- a/internal/idempotency/etcdstore/golden_test.go
+++ b/internal/idempotency/etcdstore/golden_test.go
@@ -17,6 +17,6 @@
 		fmt.Fprintf(&out, "%+v %s\n", id, s.key(id))
 	}
 	fmt.Fprintf(&out, "owner %s\n", s.ownerKey(name(0x694d)))
-	fmt.Fprintf(&out, "claim %s\n", idempotency.ClaimOf(name(0x694d), "1z"))
+	fmt.Fprintf(&out, "claim %s\n", idempotency.ClaimName(name(0x694d), "1z"))
 	golden.Match(t, "names.txt", []byte(out.String()))
 }
--- a/internal/idempotency/etcdstore/repeatshare.go
+++ b/internal/idempotency/etcdstore/repeatshare.go
@@ -35,8 +35,8 @@
 type Options struct {
 	Declaration               // checked
 	Service     string        // keys of different services are apart
-	Keep        time.Duration // how long a record stands after it was written, at least
-	Pending     int           // ends that can't be told, at most: beyond, a claim that may stand is left to stand
+	Retention   time.Duration // how long a record stands after it was written, at least
+	MaxPending  int           // ends that can't be told, at most: beyond, a claim that may stand is left to stand
 	Log         *slog.Logger
 }
 
@@ -151,7 +151,7 @@
 func (s *Store) standing() (standing, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return standing{s.client, s.session, s.slot, s.process}, s.session != 0 && s.slot != 0 && time.Since(s.slotAt) < s.o.Keep/slots
+	return standing{s.client, s.session, s.slot, s.process}, s.session != 0 && s.slot != 0 && time.Since(s.slotAt) < s.o.Retention/slots
 }
 
 // ready is the connection, made or mended where it has to be; who comes meanwhile waits for the same try.
@@ -219,7 +219,7 @@
 	}
 	// A record's lease is one of few: all that is written in a part of Keep has the same, which outlasts the last of them by Keep.
 	begun := time.Now()
-	grant, err := at.client.Grant(ctx, int64((s.o.Keep+s.o.Keep/slots)/time.Second)+int64(lateCommits/time.Second))
+	grant, err := at.client.Grant(ctx, int64((s.o.Retention+s.o.Retention/slots)/time.Second)+int64(lateCommits/time.Second))
 	if err != nil {
 		return at, s.heard(err)
 	}
@@ -304,13 +304,13 @@
 // m's process and skew are the Store's to fill in. same is called once the key is known to be this very request's, and no other's:
 // what waits may wait for long. An error says that the store could not be asked, and that nothing may be
 // sent on its word.
-func (s *Store) Claim(ctx context.Context, m idempotency.Meeting, same func()) (Claim, error) {
+func (s *Store) Claim(ctx context.Context, m idempotency.SharedRequest, same func()) (Claim, error) {
 	if err := s.flush(ctx, m.ID); err != nil {
 		return Claim{}, err
 	}
 	key := s.key(m.ID)
-	m.Skew = s.o.Skew.D()
-	own := ages{m.Prior, time.Now()}
+	m.MaxClockSkew = s.o.MaxClockSkew.D()
+	own := ages{m.EarlierAttempts, time.Now()}
 	prior := own
 	var c Claim
 	over := int64(0) // the revision of the record that is to be replaced; 0: there is none
@@ -323,11 +323,11 @@
 		m.Process = at.process
 		s.mu.Lock()
 		s.serial++
-		c.name = idempotency.ClaimOf(at.process, strconv.FormatUint(s.serial, 36))
+		c.name = idempotency.ClaimName(at.process, strconv.FormatUint(s.serial, 36))
 		s.mu.Unlock()
 		owner := s.ownerKey(name(at.session))
-		value := recordcodec.EncodeShared(&idempotency.Shared{Owner: name(at.session), Claim: c.name,
-			Record: idempotency.Record{ID: m.ID, Print: m.Print, Running: true, Sends: prior.wall()}})
+		value := recordcodec.EncodeShared(&idempotency.SharedRecord{Owner: name(at.session), Claim: c.name,
+			Record: idempotency.Record{ID: m.ID, Fingerprint: m.Fingerprint, Running: true, Attempts: prior.wall()}})
 		r, err := s.commit(ctx, at, []clientv3.Cmp{clientv3.Compare(clientv3.ModRevision(key), "=", over),
 			clientv3.Compare(clientv3.CreateRevision(owner), ">", 0)}, clientv3.OpPut(key, string(value), clientv3.WithLease(at.slot)), clientv3.OpGet(key))
 		switch {
@@ -337,7 +337,7 @@
 			s.add(&unsettled{id: m.ID, claim: c.name, record: was, given: true, until: time.Now().Add(lateCommits)})
 			return c, err
 		case r.Succeeded:
-			c.revision, c.Prior = r.Header.Revision, prior.now()
+			c.revision, c.EarlierAttempts = r.Header.Revision, prior.now()
 			return c, nil
 		}
 		kvs := r.Responses[0].GetResponseRange().Kvs
@@ -353,7 +353,7 @@
 			return c, s.heard(err)
 		}
 		if rec.Claim == c.name { // the library sent it twice
-			c.revision, c.Prior = kvs[0].ModRevision, prior.now()
+			c.revision, c.EarlierAttempts = kvs[0].ModRevision, prior.now()
 			return c, nil
 		}
 		lives := false
@@ -364,12 +364,12 @@
 			}
 			lives = len(r.Kvs) > 0
 		}
-		m.Prior = own.now()
+		m.EarlierAttempts = own.now()
 		met := time.Now()
-		d := m.Meet(&rec, lives, sinceEpoch(met))
+		d := m.Resolve(&rec, lives, sinceEpoch(met))
 		switch d.Verdict {
-		case idempotency.Run:
-			prior, over, was = ages{d.Prior, met}, kvs[0].ModRevision, &rec.Record
+		case idempotency.Execute:
+			prior, over, was = ages{d.EarlierAttempts, met}, kvs[0].ModRevision, &rec.Record
 		case idempotency.Wait:
 			same()
 			if !s.wait(ctx, at, key, s.ownerKey(rec.Owner), r.Header.Revision+1) {
@@ -384,7 +384,7 @@
 }
 
 // Look tells of a kept answer, or Fail: for what this process would not send in any case.
-func (s *Store) Look(ctx context.Context, m idempotency.Meeting) (idempotency.Decision, error) {
+func (s *Store) Look(ctx context.Context, m idempotency.SharedRequest) (idempotency.Decision, error) {
 	fail := idempotency.Decision{Verdict: idempotency.Fail}
 	at, err := s.ready(ctx)
 	if err != nil {
@@ -395,10 +395,10 @@
 		return fail, err
 	}
 	rec, err := recordcodec.DecodeShared(r.Kvs[0].Value)
-	if err != nil || rec.Running || rec.Kind != idempotency.WasAnswered {
+	if err != nil || rec.Running || rec.Outcome != idempotency.Answered {
 		return fail, err
 	}
-	return m.Meet(&rec, false, 0), nil
+	return m.Resolve(&rec, false, 0), nil
 }
 
 // wait returns when a key may have another record, or its owner's session none; false: ctx has ended.
@@ -432,24 +432,24 @@
 
 // ages are sends whose Sent is how long ago each was at a moment.
 type ages struct {
-	sends []idempotency.Send
+	sends []idempotency.Attempt
 	at    time.Time
 }
 
 // now is them now, and wall with a wall clock's times.
-func (a ages) now() []idempotency.Send {
+func (a ages) now() []idempotency.Attempt {
 	of := slices.Clone(a.sends)
 	for i := range of {
-		of[i].Sent += time.Since(a.at)
+		of[i].SentAt += time.Since(a.at)
 	}
 	return of
 }
 
-func (a ages) wall() []idempotency.Send {
+func (a ages) wall() []idempotency.Attempt {
 	of := a.now()
 	wall := sinceEpoch(time.Now())
 	for i := range of {
-		of[i].Sent = wall - of[i].Sent
+		of[i].SentAt = wall - of[i].SentAt
 	}
 	return of
 }
@@ -463,7 +463,7 @@
 	u := &unsettled{id: id, claim: c.name, revision: c.revision, record: r}
 	if r != nil {
 		own := *r
-		own.Sends = ages{r.Sends, time.Now()}.wall()
+		own.Attempts = ages{r.Attempts, time.Now()}.wall()
 		u.record = &own
 	}
 	s.add(u)
@@ -473,7 +473,7 @@
 	u.busy = make(chan struct{}, 1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ctx.Err() != nil || u.given && len(s.pending) >= s.o.Pending {
+	if s.ctx.Err() != nil || u.given && len(s.pending) >= s.o.MaxPending {
 		return // it stands as running, and is not sent again
 	}
 	s.pending[u.id] = u
@@ -566,7 +566,7 @@
 		}
 		do := clientv3.OpDelete(key)
 		if u.record != nil {
-			do = clientv3.OpPut(key, string(recordcodec.EncodeShared(&idempotency.Shared{Record: *u.record, Owner: name(at.session), Claim: u.claim})),
+			do = clientv3.OpPut(key, string(recordcodec.EncodeShared(&idempotency.SharedRecord{Record: *u.record, Owner: name(at.session), Claim: u.claim})),
 				clientv3.WithLease(at.slot))
 		}
 		r, err := s.commit(ctx, at, []clientv3.Cmp{clientv3.Compare(clientv3.ModRevision(key), "=", u.revision)}, do, clientv3.OpGet(key))
--- a/internal/idempotency/etcdstore/repeatshare_test.go
+++ b/internal/idempotency/etcdstore/repeatshare_test.go
@@ -24,7 +24,7 @@
 func open(t *testing.T, at string, change func(*Options)) *Store {
 	t.Helper()
 	o := Options{Declaration: Declaration{Servers: []string{at}, Prefix: "p/", Timeout: units.Duration(300 * time.Millisecond),
-		Session: units.Duration(3 * time.Second)}, Service: "pay", Keep: time.Minute, Pending: 100, Log: slog.New(slog.DiscardHandler)}
+		Session: units.Duration(3 * time.Second)}, Service: "pay", Retention: time.Minute, MaxPending: 100, Log: slog.New(slog.DiscardHandler)}
 	if change != nil {
 		change(&o)
 	}
@@ -38,11 +38,11 @@
 
 func id(n any) idempotency.ID { return idempotency.ID{Tenant: "t", Class: "c", Key: fmt.Sprint(n)} }
 
-func meeting(n any) idempotency.Meeting {
-	return idempotency.Meeting{ID: id(n), Print: idempotency.Print{1}, Window: 6 * time.Second}
+func meeting(n any) idempotency.SharedRequest {
+	return idempotency.SharedRequest{ID: id(n), Fingerprint: idempotency.Fingerprint{1}, DedupWindow: 6 * time.Second}
 }
 
-func claim(t *testing.T, s *Store, m idempotency.Meeting, want idempotency.Verdict) Claim {
+func claim(t *testing.T, s *Store, m idempotency.SharedRequest, want idempotency.Verdict) Claim {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
@@ -53,43 +53,43 @@
 	return c
 }
 
-func answered(m idempotency.Meeting, body string) *idempotency.Record {
-	return &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.WasAnswered, Answer: &idempotency.Answer{Status: 200, Body: []byte(body)}}
+func answered(m idempotency.SharedRequest, body string) *idempotency.Record {
+	return &idempotency.Record{ID: m.ID, Fingerprint: m.Fingerprint, Outcome: idempotency.Answered, Answer: &idempotency.Answer{Status: 200, Body: []byte(body)}}
 }
 
 // What one process runs another waits for, and has the end of: an answer, that it never ran, that it may have run, or that the
 // process has gone. Another request under the key is a conflict, also at another process.
 func TestAnotherProcess(t *testing.T) {
 	e, at := base.Etcd(t, fakes.EtcdOptions{})
-	a, b := open(t, at, nil), open(t, at, func(o *Options) { o.Skew = units.Duration(time.Second) })
-	send := idempotency.Send{Zone: "z", Cell: 2, Sent: 2 * time.Second}
+	a, b := open(t, at, nil), open(t, at, func(o *Options) { o.MaxClockSkew = units.Duration(time.Second) })
+	send := idempotency.Attempt{Zone: "z", Cell: 2, SentAt: 2 * time.Second}
 	for _, c := range []struct {
 		name  string
-		end   func(c Claim, m idempotency.Meeting)
+		end   func(c Claim, m idempotency.SharedRequest)
 		want  idempotency.Verdict
 		again idempotency.Verdict // at the first process
 	}{
-		{"answered", func(c Claim, m idempotency.Meeting) { a.Settle(c, m.ID, answered(m, "paid")) }, idempotency.Replay, idempotency.Replay},
-		{"never ran", func(c Claim, m idempotency.Meeting) { a.Settle(c, m.ID, nil) }, idempotency.Run, idempotency.Wait},
-		{"too large", func(c Claim, m idempotency.Meeting) {
-			a.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.WasAnswered})
-		}, idempotency.Answered, idempotency.Answered},
-		{"may have run", func(c Claim, m idempotency.Meeting) {
-			a.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.Uncertain, Sends: []idempotency.Send{send}})
-		}, idempotency.Run, idempotency.Wait},
-		{"may have run anywhere", func(c Claim, m idempotency.Meeting) {
-			a.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.Uncertain, Lost: true, Sends: []idempotency.Send{send}})
+		{"answered", func(c Claim, m idempotency.SharedRequest) { a.Settle(c, m.ID, answered(m, "paid")) }, idempotency.Replay, idempotency.Replay},
+		{"never ran", func(c Claim, m idempotency.SharedRequest) { a.Settle(c, m.ID, nil) }, idempotency.Execute, idempotency.Wait},
+		{"too large", func(c Claim, m idempotency.SharedRequest) {
+			a.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Fingerprint: m.Fingerprint, Outcome: idempotency.Answered})
+		}, idempotency.AnswerNotStored, idempotency.AnswerNotStored},
+		{"may have run", func(c Claim, m idempotency.SharedRequest) {
+			a.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Fingerprint: m.Fingerprint, Outcome: idempotency.MayHaveRun, Attempts: []idempotency.Attempt{send}})
+		}, idempotency.Execute, idempotency.Wait},
+		{"may have run anywhere", func(c Claim, m idempotency.SharedRequest) {
+			a.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Fingerprint: m.Fingerprint, Outcome: idempotency.MayHaveRun, AttemptsUnknown: true, Attempts: []idempotency.Attempt{send}})
 		}, idempotency.Fail, idempotency.Fail},
-		{"long ago", func(c Claim, m idempotency.Meeting) {
-			a.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.Uncertain, Sends: []idempotency.Send{send, {Sent: 5100 * time.Millisecond}}})
+		{"long ago", func(c Claim, m idempotency.SharedRequest) {
+			a.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Fingerprint: m.Fingerprint, Outcome: idempotency.MayHaveRun, Attempts: []idempotency.Attempt{send, {SentAt: 5100 * time.Millisecond}}})
 		}, idempotency.Fail, idempotency.Fail},
-		{"gone", func(Claim, idempotency.Meeting) { e.Expire(3 * time.Second) }, idempotency.Fail, idempotency.Fail},
+		{"gone", func(Claim, idempotency.SharedRequest) { e.Expire(3 * time.Second) }, idempotency.Fail, idempotency.Fail},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := meeting(c.name)
-			first := claim(t, a, m, idempotency.Run)
+			first := claim(t, a, m, idempotency.Execute)
 			other := m
-			other.Print = idempotency.Print{2}
+			other.Fingerprint = idempotency.Fingerprint{2}
 			claim(t, b, other, idempotency.Conflict)
 			ends := make(chan Claim, 1)
 			go func() { ends <- claim(t, b, m, c.want) }()
@@ -101,8 +101,8 @@
 			c.end(first, m)
 			got := <-ends
 			if c.name == "may have run" {
-				if len(got.Prior) != 1 || got.Prior[0].Zone != "z" || got.Prior[0].Cell != 2 || got.Prior[0].Sent < 3*time.Second || got.Prior[0].Sent > 4*time.Second {
-					t.Errorf("prior sends, with the skew: %+v", got.Prior)
+				if len(got.EarlierAttempts) != 1 || got.EarlierAttempts[0].Zone != "z" || got.EarlierAttempts[0].Cell != 2 || got.EarlierAttempts[0].SentAt < 3*time.Second || got.EarlierAttempts[0].SentAt > 4*time.Second {
+					t.Errorf("prior sends, with the skew: %+v", got.EarlierAttempts)
 				}
 			}
 			if c.want == idempotency.Replay && string(got.Answer.Body) != "paid" {
@@ -122,12 +122,12 @@
 	_, at := base.Etcd(t, fakes.EtcdOptions{})
 	a, b := open(t, at, nil), open(t, at, nil)
 	m := meeting(1)
-	a.Settle(claim(t, a, m, idempotency.Run), m.ID, &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.Uncertain, Sends: []idempotency.Send{{Zone: "z"}}})
+	a.Settle(claim(t, a, m, idempotency.Execute), m.ID, &idempotency.Record{ID: m.ID, Fingerprint: m.Fingerprint, Outcome: idempotency.MayHaveRun, Attempts: []idempotency.Attempt{{Zone: "z"}}})
 	claim(t, b, m, idempotency.Fail)
-	m.Prior = []idempotency.Send{{Zone: "z", Sent: time.Second}}
-	c := claim(t, a, m, idempotency.Run)
-	if len(c.Prior) != 1 || c.Prior[0].Sent < time.Second {
-		t.Errorf("%+v", c.Prior)
+	m.EarlierAttempts = []idempotency.Attempt{{Zone: "z", SentAt: time.Second}}
+	c := claim(t, a, m, idempotency.Execute)
+	if len(c.EarlierAttempts) != 1 || c.EarlierAttempts[0].SentAt < time.Second {
+		t.Errorf("%+v", c.EarlierAttempts)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
@@ -143,9 +143,9 @@
 	e, at := base.Etcd(t, fakes.EtcdOptions{Fault: func() fakes.EtcdFault { return fakes.EtcdFault(fault.Load()) }, Late: 200 * time.Millisecond})
 	a, b := open(t, at, nil), open(t, at, nil)
 	m := meeting("in hand")
-	held := claim(t, a, m, idempotency.Run)
-	claim(t, b, meeting("warm"), idempotency.Run) // it has its session
-	away := claim(t, a, meeting("away"), idempotency.Run)
+	held := claim(t, a, m, idempotency.Execute)
+	claim(t, b, meeting("warm"), idempotency.Execute) // it has its session
+	away := claim(t, a, meeting("away"), idempotency.Execute)
 	for i, f := range []fakes.EtcdFault{fakes.EtcdRefuse, fakes.EtcdLose, fakes.EtcdLate, fakes.EtcdHang} {
 		fault.Store(int32(f))
 		if c, err := a.Claim(t.Context(), meeting(i), func() {}); err == nil {
@@ -164,7 +164,7 @@
 	}
 	base.Eventually(t, "what never ran can be run", func() bool {
 		c, err := a.Claim(t.Context(), meeting("away"), func() {})
-		if err == nil && c.Verdict != idempotency.Run {
+		if err == nil && c.Verdict != idempotency.Execute {
 			t.Fatalf("its end here counts before it is told there: %+v", c)
 		}
 		return err == nil
@@ -178,7 +178,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 			defer cancel()
 			c, err := b.Claim(ctx, meeting(i), func() {})
-			return err == nil && c.Verdict == idempotency.Run
+			return err == nil && c.Verdict == idempotency.Execute
 		})
 	}
 }
@@ -195,7 +195,7 @@
 		})
 	}
 	s := with(ca, "secret")
-	claim(t, s, meeting(0), idempotency.Run)
+	claim(t, s, meeting(0), idempotency.Execute)
 	for name, s := range map[string]*Store{"another authority": with(strange, "secret"), "another password": with(ca, "guess")} {
 		if c, err := s.Claim(t.Context(), meeting(name), func() {}); err == nil {
 			t.Errorf("%s: %+v", name, c)
@@ -203,7 +203,7 @@
 	}
 	for i := range 3 {
 		e.Expire(time.Hour) // all of them, records too
-		claim(t, s, meeting(i), idempotency.Run)
+		claim(t, s, meeting(i), idempotency.Execute)
 	}
 }
 
@@ -250,7 +250,7 @@
 	var processes [4]atomic.Pointer[Store]
 	start := func(i int) {
 		processes[i].Store(open(t, at, func(o *Options) {
-			o.Timeout, o.Session, o.Skew = units.Duration(50*time.Millisecond), units.Duration(2*time.Second), units.Duration(time.Millisecond)
+			o.Timeout, o.Session, o.MaxClockSkew = units.Duration(50*time.Millisecond), units.Duration(2*time.Second), units.Duration(time.Millisecond)
 		}))
 	}
 	for i := range processes {
@@ -266,7 +266,7 @@
 					tries.Add(1)
 					s := processes[(worker+try)%len(processes)].Load()
 					m := meeting(key)
-					m.Window = window
+					m.DedupWindow = window
 					ctx, cancel := context.WithTimeout(t.Context(), 150*time.Millisecond)
 					c, err := s.Claim(ctx, m, func() {})
 					cancel()
@@ -282,40 +282,40 @@
 						mu.Unlock()
 						told.Add(1)
 						continue
-					case c.Verdict != idempotency.Run:
+					case c.Verdict != idempotency.Execute:
 						t.Errorf("%s: %+v", key, c)
 						continue
 					}
 					begun := time.Now()
 					late := func() bool {
-						return slices.ContainsFunc(c.Prior, func(x idempotency.Send) bool { return x.Sent+time.Since(begun) >= window })
+						return slices.ContainsFunc(c.EarlierAttempts, func(x idempotency.Attempt) bool { return x.SentAt+time.Since(begun) >= window })
 					}
-					unsure := func(sends ...idempotency.Send) *idempotency.Record { // Sent since begun
-						sends = append(sends, c.Prior...)
+					unsure := func(sends ...idempotency.Attempt) *idempotency.Record { // Sent since begun
+						sends = append(sends, c.EarlierAttempts...)
 						for i := range sends {
-							sends[i].Sent += time.Since(begun)
+							sends[i].SentAt += time.Since(begun)
 						}
-						return &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.Uncertain, Sends: sends}
+						return &idempotency.Record{ID: m.ID, Fingerprint: m.Fingerprint, Outcome: idempotency.MayHaveRun, Attempts: sends}
 					}
 					switch {
 					case late():
-						s.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.Uncertain, Lost: true})
+						s.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Fingerprint: m.Fingerprint, Outcome: idempotency.MayHaveRun, AttemptsUnknown: true})
 					case chance(0.1): // turned away by the node
-						if of := unsure(); len(of.Sends) > 0 { // an earlier one may have run all the same
+						if of := unsure(); len(of.Attempts) > 0 { // an earlier one may have run all the same
 							s.Settle(c, m.ID, of)
 						} else {
 							s.Settle(c, m.ID, nil)
 						}
 					case chance(0.15): // it runs, and no answer comes
 						node.pay(key, late)
-						s.Settle(c, m.ID, unsure(idempotency.Send{}))
+						s.Settle(c, m.ID, unsure(idempotency.Attempt{}))
 					case chance(0.05): // the process ends without a word
 						node.pay(key, late)
 						s.Abort()
 						start((worker + try) % len(processes))
 					default:
 						if node.pay(key, late); late() { // it may not have been sent
-							s.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Print: m.Print, Kind: idempotency.Uncertain, Lost: true})
+							s.Settle(c, m.ID, &idempotency.Record{ID: m.ID, Fingerprint: m.Fingerprint, Outcome: idempotency.MayHaveRun, AttemptsUnknown: true})
 							continue
 						}
 						body := fmt.Sprint(worker, try)
--- a/internal/idempotency/executor/declaration.go
+++ b/internal/idempotency/executor/declaration.go
@@ -24,16 +24,16 @@
 // Check is tomlfile.Checker's.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
 	d.Options.Check(report)
-	if d.Shared.On() && d.File != "" {
+	if d.Shared.Enabled() && d.File != "" {
 		report("file", "stands in place of [repeats.shared], not beside it")
 	}
-	if d.Shared.On() && d.Answer > mostShared {
-		report("answer", "%v is over %v, which a shared store takes", d.Answer, mostShared)
+	if d.Shared.Enabled() && d.MaxAnswerBytes > mostShared {
+		report("answer", "%v is over %v, which a shared store takes", d.MaxAnswerBytes, mostShared)
 	}
 }
 
-// Windows are the times for which the nodes drop repeats of a class, less what a decision takes.
-func Windows(set *balancer.Settings) func(class string) time.Duration {
+// DedupWindows are the times for which the nodes drop repeats of a class, less what a decision takes.
+func DedupWindows(set *balancer.Settings) func(class string) time.Duration {
 	windows := map[string]time.Duration{}
 	for _, c := range set.Classes {
 		windows[c.Name] = c.DedupWindow - 2*set.Tick
@@ -41,17 +41,17 @@
 	return func(class string) time.Duration { return windows[class] }
 }
 
-// StartPatience is how long a process that starts waits for a file that another one holds: for the lock of a killed one, which the system
+// StartTimeout is how long a process that starts waits for a file that another one holds: for the lock of a killed one, which the system
 // may keep for seconds. It leaves a third of the 30 s that a start may take.
-const StartPatience = 20 * time.Second
+const StartTimeout = 20 * time.Second
 
 // Open returns the Keeper of a service that the operator's file declares, with its file or its shared store. What o has of these is
 // filled in. A file that another process holds is waited for, until ctx ends.
-func Open(ctx context.Context, d Declaration, service string, set *balancer.Settings, patience time.Duration, o Options) (*Keeper, error) {
-	o.Repeats, o.Window = d.Options, Windows(set)
+func Open(ctx context.Context, d Declaration, service string, set *balancer.Settings, patience time.Duration, o Options) (*Executor, error) {
+	o.Limits, o.DedupWindow = d.Options, DedupWindows(set)
 	switch {
 	case d.File != "":
-		l, err := boltstore.Open(ctx, d.File, boltfile.Wait{For: patience, Held: func(since time.Duration) {
+		l, err := boltstore.Open(ctx, d.File, boltfile.LockWait{Timeout: patience, OnWaiting: func(since time.Duration) {
 			if o.Log != nil {
 				o.Log.Warn("repeats: another process holds the file: waiting for it", "file", d.File, "since", since.Round(time.Millisecond).String())
 			}
@@ -59,13 +59,13 @@
 		if err != nil {
 			return nil, err
 		}
-		o.Journal = l
-	case d.Shared.On():
-		s, err := etcdstore.New(etcdstore.Options{Declaration: d.Shared, Service: service, Keep: d.Keep.D(), Pending: d.Entries, Log: o.Log})
+		o.Records = l
+	case d.Shared.Enabled():
+		s, err := etcdstore.New(etcdstore.Options{Declaration: d.Shared, Service: service, Retention: d.Retention.D(), MaxPending: d.MaxKeys, Log: o.Log})
 		if err != nil {
 			return nil, err
 		}
-		o.Shared, o.GoOn = s, d.Shared.Error == GoOn
+		o.Shared, o.ProceedOnSharedError = s, d.Shared.OnError == ProceedOnError
 	}
 	return New(o)
 }
--- a/internal/idempotency/executor/keeper.go
+++ b/internal/idempotency/executor/keeper.go
@@ -15,36 +15,36 @@
 	"orchiddrift/internal/idempotency/etcdstore"
 )
 
-// Sends is where a running request tells of its sends.
-type Sends interface {
-	Sent(x idempotency.Send)   // before its first byte goes out
-	Unsent(x idempotency.Send) // it is proved not to have run
+// AttemptRecorder is where a running request tells of its sends.
+type AttemptRecorder interface {
+	AttemptStarted(x idempotency.Attempt) // before its first byte goes out
+	AttemptNotSent(x idempotency.Attempt) // it is proved not to have run
 }
 
-// Ended is how a request that ran ended, as its clients are to be told.
-type Ended struct {
-	Verdict idempotency.Verdict // Replay, Refuse or Fail
-	Answer  *idempotency.Answer // of Replay
-	RetryIn time.Duration       // of Refuse
+// Outcome is how a request that ran ended, as its clients are to be told.
+type Outcome struct {
+	Verdict    idempotency.Verdict // Replay, Refuse or Fail
+	Answer     *idempotency.Answer // of Replay
+	RetryAfter time.Duration       // of Refuse
 }
 
 // Result is what a client is told. Left: it has gone meanwhile.
 type Result struct {
-	Ended
-	First bool // it was run for this client
-	Left  bool
+	Outcome
+	Executed   bool // it was run for this client
+	ClientLeft bool
 }
 
 // Options are a Keeper's parameters.
 type Options struct {
-	Repeats idempotency.Options // checked
-	Window  func(class string) time.Duration
-	Clock   clock.Clock
-	Log     *slog.Logger
-	Apart   bool    // what runs has a goroutine of its own, for clients that may leave at any time
-	Journal Journal // nil: nothing lasts longer than the process
-	Shared  Shared  // nil: no other process knows its keys
-	GoOn    bool    // new keys run while Shared can't be asked
+	Limits               idempotency.Options // checked
+	DedupWindow          func(class string) time.Duration
+	Clock                clock.Clock
+	Log                  *slog.Logger
+	OwnGoroutine         bool        // what runs has a goroutine of its own, for clients that may leave at any time
+	Records              RecordStore // nil: nothing lasts longer than the process
+	Shared               SharedStore // nil: no other process knows its keys
+	ProceedOnSharedError bool        // new keys run while Shared can't be asked
 	// Step is called as a request gets to each of Steps, for tests that end the process there. Absent: nothing is.
 	Step func(step string)
 }
@@ -52,25 +52,25 @@
 // Steps are the points of a request's way between which what is on record changes.
 var Steps = []string{"arrived", "recorded", "sent", "answered", "told", "kept"}
 
-// Journal is where records last. Put returns when they are on the disk.
-type Journal interface {
+// RecordStore is where records last. Put returns when they are on the disk.
+type RecordStore interface {
 	// Load calls do for each record, with the time up to which the last process's went on.
 	Load(do func(at time.Duration, r idempotency.Record) error) error
 	Put(r *idempotency.Record, gone []idempotency.ID, at time.Duration) error
 	Close() error
 }
 
-// Shared is a store of keys that other processes have too: internal/idempotency/etcdstore's. Times of sends are ages.
-type Shared interface {
-	Claim(ctx context.Context, m idempotency.Meeting, same func()) (etcdstore.Claim, error)
-	Look(ctx context.Context, m idempotency.Meeting) (idempotency.Decision, error)
+// SharedStore is a store of keys that other processes have too: internal/idempotency/etcdstore's. Times of sends are ages.
+type SharedStore interface {
+	Claim(ctx context.Context, m idempotency.SharedRequest, same func()) (etcdstore.Claim, error)
+	Look(ctx context.Context, m idempotency.SharedRequest) (idempotency.Decision, error)
 	Settle(c etcdstore.Claim, id idempotency.ID, r *idempotency.Record)
 	Abort()
 	Close()
 }
 
-// Keeper holds a Store, and an entry for each request that runs.
-type Keeper struct {
+// Executor holds a Store, and an entry for each request that runs.
+type Executor struct {
 	o Options
 
 	mu      sync.Mutex
@@ -92,33 +92,33 @@
 
 	done   chan struct{}
 	same   chan struct{} // where keys are shared: closed once it is known that the key is this request's elsewhere too, or with done
-	end    Ended
+	end    Outcome
 	theirs bool // its end is another process's
 }
 
 // New returns a Keeper, with what its journal holds. Close ends it, and the journal.
-func New(o Options) (*Keeper, error) {
-	k := &Keeper{o: o, store: idempotency.New(o.Repeats, o.Window), flights: map[idempotency.ID]*flight{}, window: o.Window}
-	if o.Journal == nil {
+func New(o Options) (*Executor, error) {
+	k := &Executor{o: o, store: idempotency.New(o.Limits, o.DedupWindow), flights: map[idempotency.ID]*flight{}, window: o.DedupWindow}
+	if o.Records == nil {
 		return k, nil
 	}
 	begun := o.Clock.Now()
-	err := o.Journal.Load(func(at time.Duration, r idempotency.Record) error {
+	err := o.Records.Load(func(at time.Duration, r idempotency.Record) error {
 		k.offset = at - begun
 		return k.store.Load(at, r)
 	})
 	if err != nil {
-		_ = o.Journal.Close() // the error at hand says more
+		_ = o.Records.Close() // the error at hand says more
 		return nil, err
 	}
 	return k, nil
 }
 
 // now is the time of all processes that wrote the journal, one after another.
-func (k *Keeper) now() time.Duration { return k.offset + k.o.Clock.Now() }
+func (k *Executor) now() time.Duration { return k.offset + k.o.Clock.Now() }
 
 // Configure takes other bounds over. What is held stays, also where it is more than they allow.
-func (k *Keeper) Configure(o idempotency.Options, window func(class string) time.Duration) {
+func (k *Executor) Configure(o idempotency.Options, window func(class string) time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.store.Configure(o, window)
@@ -130,7 +130,7 @@
 
 // Do gives a client of a key its end. Where the request is to be sent, run is called, which must end by itself and not with this
 // client: others may wait for it, and wanted ends once none does. One that waits is told Fail at ctx's deadline, and else has left when ctx ends.
-func (k *Keeper) Do(ctx context.Context, id idempotency.ID, print idempotency.Print, run func(wanted context.Context, prior []idempotency.Send, s Sends) Ended) Result {
+func (k *Executor) Do(ctx context.Context, id idempotency.ID, print idempotency.Fingerprint, run func(wanted context.Context, prior []idempotency.Attempt, s AttemptRecorder) Outcome) Result {
 	for {
 		r, again := k.do(ctx, id, print, run)
 		if again == nil {
@@ -139,27 +139,27 @@
 		select { // another request has the key here, and perhaps not elsewhere
 		case <-again:
 		case <-ctx.Done():
-			return Result{Ended: Ended{Verdict: idempotency.Conflict}}
+			return Result{Outcome: Outcome{Verdict: idempotency.Conflict}}
 		}
 	}
 }
 
 // do is Do; where it returns a channel the key is not decided on before that is closed.
-func (k *Keeper) do(ctx context.Context, id idempotency.ID, print idempotency.Print, run func(wanted context.Context, prior []idempotency.Send, s Sends) Ended) (Result, <-chan struct{}) {
+func (k *Executor) do(ctx context.Context, id idempotency.ID, print idempotency.Fingerprint, run func(wanted context.Context, prior []idempotency.Attempt, s AttemptRecorder) Outcome) (Result, <-chan struct{}) {
 	now := k.now()
 	k.mu.Lock()
 	window := k.window
 	if k.closed {
 		k.mu.Unlock()
-		return Result{Ended: Ended{Verdict: idempotency.Refuse}}, nil
+		return Result{Outcome: Outcome{Verdict: idempotency.Reject}}, nil
 	}
-	if gone := k.store.Expire(now); k.o.Journal != nil {
+	if gone := k.store.Expire(now); k.o.Records != nil {
 		k.gone = append(k.gone, gone...) // with the next record
 	}
 	d := k.store.Arrive(now, id, print)
 	var f *flight
 	switch d.Verdict {
-	case idempotency.Run:
+	case idempotency.Execute:
 		f = &flight{done: make(chan struct{}), waiting: 1}
 		f.wanted, f.give = context.WithCancel(context.Background())
 		if k.o.Shared != nil {
@@ -170,7 +170,7 @@
 	case idempotency.Wait:
 		f = k.flights[id]
 		f.waiting++
-	case idempotency.Refuse:
+	case idempotency.Reject:
 		k.refusal(now)
 	case idempotency.Conflict:
 		if of := k.flights[id]; of != nil && k.o.Shared != nil {
@@ -183,47 +183,47 @@
 		}
 	}
 	k.mu.Unlock()
-	meeting := idempotency.Meeting{ID: id, Print: print, Prior: d.Prior, Window: window(id.Class)}
+	meeting := idempotency.SharedRequest{ID: id, Fingerprint: print, EarlierAttempts: d.EarlierAttempts, DedupWindow: window(id.Class)}
 	switch {
 	case d.Verdict == idempotency.Fail && k.o.Shared != nil: // another process may have had the answer since
 		if of, err := k.o.Shared.Look(ctx, meeting); err == nil {
 			d = of
 		}
-		return Result{Ended: Ended{Verdict: d.Verdict, Answer: d.Answer}}, nil
+		return Result{Outcome: Outcome{Verdict: d.Verdict, Answer: d.Answer}}, nil
 	case f == nil:
-		return Result{Ended: Ended{Verdict: d.Verdict, Answer: d.Answer, RetryIn: d.RetryIn}}, nil
-	case d.Verdict == idempotency.Run && k.o.Apart:
+		return Result{Outcome: Outcome{Verdict: d.Verdict, Answer: d.Answer, RetryAfter: d.RetryAfter}}, nil
+	case d.Verdict == idempotency.Execute && k.o.OwnGoroutine:
 		go func() {
 			defer k.running.Done()
 			k.run(ctx, meeting, f, run)
 		}()
-	case d.Verdict == idempotency.Run:
+	case d.Verdict == idempotency.Execute:
 		defer k.running.Done()
 		defer context.AfterFunc(ctx, func() { k.leave(f) })()
 		k.run(ctx, meeting, f, run)
-		return Result{Ended: f.end, First: !f.theirs}, nil
+		return Result{Outcome: f.end, Executed: !f.theirs}, nil
 	}
 	select {
 	case <-f.done:
-		return Result{Ended: f.end, First: d.Verdict == idempotency.Run && !f.theirs}, nil
+		return Result{Outcome: f.end, Executed: d.Verdict == idempotency.Execute && !f.theirs}, nil
 	case <-ctx.Done():
 	}
 	k.leave(f)
 	if d.Verdict == idempotency.Wait {
 		k.mu.Lock()
 		if k.flights[id] == f { // it still runs
-			k.store.Leave(id)
+			k.store.StopWaiting(id)
 		}
 		k.mu.Unlock()
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return Result{Ended: Ended{Verdict: idempotency.Fail}}, nil
+		return Result{Outcome: Outcome{Verdict: idempotency.Fail}}, nil
 	}
-	return Result{Left: true}, nil
+	return Result{ClientLeft: true}, nil
 }
 
 // leave says that a client waits no longer.
-func (k *Keeper) leave(f *flight) {
+func (k *Executor) leave(f *flight) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if f.waiting--; f.waiting == 0 {
@@ -232,7 +232,7 @@
 }
 
 // refusal logs that keys are refused, now and then.
-func (k *Keeper) refusal(now time.Duration) {
+func (k *Executor) refusal(now time.Duration) {
 	if k.refused++; k.refused > 1 && now-k.said < saidEvery {
 		return
 	}
@@ -241,8 +241,8 @@
 }
 
 // write puts a key's record into the journal, as it is now.
-func (k *Keeper) write(id idempotency.ID) error {
-	if k.o.Journal == nil {
+func (k *Executor) write(id idempotency.ID) error {
+	if k.o.Records == nil {
 		return nil
 	}
 	now := k.now()
@@ -258,7 +258,7 @@
 	if ok {
 		record = &r
 	}
-	err := k.o.Journal.Put(record, gone, now)
+	err := k.o.Records.Put(record, gone, now)
 	if err != nil {
 		k.o.Log.Error("repeats: the journal can't be written", "reason", err)
 		k.mu.Lock()
@@ -270,42 +270,42 @@
 
 // run sends a request, once it is on record, and claimed where processes share their keys. Its end is told before it is on record:
 // should the process end between the two, the record says that it ran, and a repeat is not sent.
-func (k *Keeper) run(ctx context.Context, m idempotency.Meeting, f *flight, run func(context.Context, []idempotency.Send, Sends) Ended) {
+func (k *Executor) run(ctx context.Context, m idempotency.SharedRequest, f *flight, run func(context.Context, []idempotency.Attempt, AttemptRecorder) Outcome) {
 	id := m.ID
-	var end Ended
+	var end Outcome
 	var claim etcdstore.Claim
 	same := func() {}
 	if k.o.Shared != nil {
 		same = sync.OnceFunc(func() { close(f.same) })
 	}
 	k.step(0)
-	if err := k.write(id); err != nil && k.o.Repeats.DiskError != GoOn {
-		end = Ended{Verdict: idempotency.Refuse, RetryIn: storeAgain}
-	} else if claim, err = k.claimed(ctx, m, same); err != nil && !k.o.GoOn {
-		end = Ended{Verdict: idempotency.Refuse, RetryIn: storeAgain}
-	} else if claim.Verdict != idempotency.Run {
+	if err := k.write(id); err != nil && k.o.Limits.DiskError != ProceedOnError {
+		end = Outcome{Verdict: idempotency.Reject, RetryAfter: storeAgain}
+	} else if claim, err = k.claimed(ctx, m, same); err != nil && !k.o.ProceedOnSharedError {
+		end = Outcome{Verdict: idempotency.Reject, RetryAfter: storeAgain}
+	} else if claim.Verdict != idempotency.Execute {
 		f.theirs = true
-		end = Ended{Verdict: claim.Verdict, Answer: claim.Answer}
+		end = Outcome{Verdict: claim.Verdict, Answer: claim.Answer}
 	} else {
 		same()
 		k.step(1)
-		prior := claim.Prior
+		prior := claim.EarlierAttempts
 		for i := range prior {
-			prior[i].Sent -= k.offset
+			prior[i].SentAt -= k.offset
 		}
 		end = run(f.wanted, prior, sends{k, id})
 	}
 	k.step(3)
-	kind := idempotency.Uncertain
+	kind := idempotency.MayHaveRun
 	switch {
 	case end.Verdict == idempotency.Replay:
-		kind = idempotency.WasAnswered
-	case end.Verdict == idempotency.Refuse || f.theirs:
-		kind = idempotency.NeverRan
+		kind = idempotency.Answered
+	case end.Verdict == idempotency.Reject || f.theirs:
+		kind = idempotency.NotExecuted
 	}
 	now := k.now()
 	k.mu.Lock()
-	k.store.End(now, id, kind, end.Answer)
+	k.store.Finish(now, id, kind, end.Answer)
 	if k.o.Shared != nil && !f.theirs {
 		k.settle(now, claim, id)
 	}
@@ -316,7 +316,7 @@
 	close(f.done)
 	same()
 	k.step(4)
-	if k.o.Journal == nil {
+	if k.o.Records == nil {
 		return
 	}
 	k.running.Add(1)
@@ -328,16 +328,16 @@
 }
 
 // claimed is claim where processes share their keys.
-func (k *Keeper) claimed(ctx context.Context, m idempotency.Meeting, same func()) (etcdstore.Claim, error) {
+func (k *Executor) claimed(ctx context.Context, m idempotency.SharedRequest, same func()) (etcdstore.Claim, error) {
 	if k.o.Shared == nil {
-		return etcdstore.Claim{Decision: idempotency.Decision{Prior: m.Prior}}, nil
+		return etcdstore.Claim{Decision: idempotency.Decision{EarlierAttempts: m.EarlierAttempts}}, nil
 	}
 	return k.claim(ctx, m, same)
 }
 
 // claim claims a request where processes share their keys; it goes on when its client leaves. Prior times are the Store's again.
-func (k *Keeper) claim(ctx context.Context, m idempotency.Meeting, same func()) (etcdstore.Claim, error) {
-	known := etcdstore.Claim{Decision: idempotency.Decision{Prior: m.Prior}}
+func (k *Executor) claim(ctx context.Context, m idempotency.SharedRequest, same func()) (etcdstore.Claim, error) {
+	known := etcdstore.Claim{Decision: idempotency.Decision{EarlierAttempts: m.EarlierAttempts}}
 	stays := context.WithoutCancel(ctx)
 	if at, ok := ctx.Deadline(); ok {
 		var cancel context.CancelFunc
@@ -345,87 +345,87 @@
 		defer cancel()
 	}
 	begun := k.now()
-	m.Prior = aged(begun, m.Prior)
+	m.EarlierAttempts = aged(begun, m.EarlierAttempts)
 	c, err := k.o.Shared.Claim(stays, m, same)
 	if err != nil {
 		return known, err
 	}
 	now := k.now()
-	c.Prior = aged(now, c.Prior)
+	c.EarlierAttempts = aged(now, c.EarlierAttempts)
 	k.mu.Lock()
-	k.store.Adopt(m.ID, c.Prior)
+	k.store.AdoptAttempts(m.ID, c.EarlierAttempts)
 	k.mu.Unlock()
 	return c, nil
 }
 
 // settle tells the processes that share the keys of an end.
-func (k *Keeper) settle(now time.Duration, c etcdstore.Claim, id idempotency.ID) {
+func (k *Executor) settle(now time.Duration, c etcdstore.Claim, id idempotency.ID) {
 	r, ok := k.store.Record(now, id)
 	if !ok {
 		k.o.Shared.Settle(c, id, nil)
 		return
 	}
-	r.Sends = aged(now, r.Sends)
+	r.Attempts = aged(now, r.Attempts)
 	k.o.Shared.Settle(c, id, &r)
 }
 
 // aged turns times into ages at now, and ages into times.
-func aged(now time.Duration, sends []idempotency.Send) []idempotency.Send {
-	of := append([]idempotency.Send(nil), sends...)
+func aged(now time.Duration, sends []idempotency.Attempt) []idempotency.Attempt {
+	of := append([]idempotency.Attempt(nil), sends...)
 	for i := range of {
-		of[i].Sent = now - of[i].Sent
+		of[i].SentAt = now - of[i].SentAt
 	}
 	return of
 }
 
-func (k *Keeper) step(i int) {
+func (k *Executor) step(i int) {
 	if k.o.Step != nil {
 		k.o.Step(Steps[i])
 	}
 }
 
-// GoOn is Options.DiskError where keyed requests go on without a record.
-const GoOn = "go on"
+// ProceedOnError is Options.DiskError where keyed requests go on without a record.
+const ProceedOnError = "go on"
 
 // storeAgain is when to come back where a record can't be written.
 const storeAgain = time.Second
 
 type sends struct {
-	k  *Keeper
+	k  *Executor
 	id idempotency.ID
 }
 
-func (s sends) Sent(x idempotency.Send) {
+func (s sends) AttemptStarted(x idempotency.Attempt) {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
-	x.Sent += s.k.offset
-	s.k.store.Sent(s.id, x)
+	x.SentAt += s.k.offset
+	s.k.store.AttemptStarted(s.id, x)
 	s.k.step(2)
 }
 
-func (s sends) Unsent(x idempotency.Send) {
+func (s sends) AttemptNotSent(x idempotency.Attempt) {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
-	x.Sent += s.k.offset
-	s.k.store.Unsent(s.id, x)
+	x.SentAt += s.k.offset
+	s.k.store.AttemptNotSent(s.id, x)
 }
 
-// Held is how many keys are known, what they take, and how many requests run.
-func (k *Keeper) Held() (keys, bytes, running int) {
+// Stats is how many keys are known, what they take, and how many requests run.
+func (k *Executor) Stats() (keys, bytes, running int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.store.Len(), k.store.Bytes(), k.store.Running()
 }
 
 // Abort ends what waits for other processes: the process is about to be killed.
-func (k *Keeper) Abort() {
+func (k *Executor) Abort() {
 	if k.o.Shared != nil {
 		k.o.Shared.Abort()
 	}
 }
 
 // Close runs nothing more, and waits for what runs: its engines are closed before.
-func (k *Keeper) Close() {
+func (k *Executor) Close() {
 	k.mu.Lock()
 	k.closed = true
 	k.mu.Unlock()
@@ -433,8 +433,8 @@
 	if k.o.Shared != nil {
 		k.o.Shared.Close()
 	}
-	if k.o.Journal != nil {
-		if err := k.o.Journal.Close(); err != nil {
+	if k.o.Records != nil {
+		if err := k.o.Records.Close(); err != nil {
 			k.o.Log.Error("repeats: closing the journal", "reason", err)
 		}
 	}
--- a/internal/idempotency/executor/keeper_test.go
+++ b/internal/idempotency/executor/keeper_test.go
@@ -52,22 +52,22 @@
 
 func (d *disk) Close() error { return nil }
 
-func keeper(t *testing.T, j Journal, change func(*idempotency.Options)) *Keeper {
+func keeper(t *testing.T, j RecordStore, change func(*idempotency.Options)) *Executor {
 	t.Helper()
 	o := idempotency.Default()
-	o.Part = 1
+	o.TenantFraction = 1
 	if change != nil {
 		change(&o)
 	}
-	k, err := New(Options{Repeats: o, Window: func(string) time.Duration { return 6 * time.Second }, Clock: clock.New(), Log: slog.New(slog.DiscardHandler), Journal: j})
+	k, err := New(Options{Limits: o, DedupWindow: func(string) time.Duration { return 6 * time.Second }, Clock: clock.New(), Log: slog.New(slog.DiscardHandler), Records: j})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return k
 }
 
-func paid(context.Context, []idempotency.Send, Sends) Ended {
-	return Ended{Verdict: idempotency.Replay, Answer: &idempotency.Answer{Status: 200, Body: []byte("paid")}}
+func paid(context.Context, []idempotency.Attempt, AttemptRecorder) Outcome {
+	return Outcome{Verdict: idempotency.Replay, Answer: &idempotency.Answer{Status: 200, Body: []byte("paid")}}
 }
 
 func id(n int) idempotency.ID { return idempotency.ID{Tenant: "t", Class: "c", Key: fmt.Sprint(n)} }
@@ -76,15 +76,17 @@
 // there is room again all is as before, with what was forgotten meanwhile taken off the disk.
 func TestFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, on := range []string{"refuse", GoOn} {
+		for _, on := range []string{"refuse", ProceedOnError} {
 			d := &disk{kept: map[idempotency.ID]idempotency.Record{}}
-			k := keeper(t, d, func(o *idempotency.Options) { o.DiskError, o.Keep = on, units.Duration(time.Minute) })
-			do := func(n int) idempotency.Verdict { return k.Do(t.Context(), id(n), idempotency.Print{}, paid).Verdict }
+			k := keeper(t, d, func(o *idempotency.Options) { o.DiskError, o.Retention = on, units.Duration(time.Minute) })
+			do := func(n int) idempotency.Verdict {
+				return k.Do(t.Context(), id(n), idempotency.Fingerprint{}, paid).Verdict
+			}
 			do(1)
 			synctest.Wait()
 			d.full = true
-			want := idempotency.Refuse
-			if on == GoOn {
+			want := idempotency.Reject
+			if on == ProceedOnError {
 				want = idempotency.Replay
 			}
 			for range 3 {
@@ -106,7 +108,7 @@
 			}
 			k.Close()
 			again := keeper(t, d, nil)
-			if r := again.Do(t.Context(), id(4), idempotency.Print{}, nil); r.Verdict != idempotency.Replay || string(r.Answer.Body) != "paid" {
+			if r := again.Do(t.Context(), id(4), idempotency.Fingerprint{}, nil); r.Verdict != idempotency.Replay || string(r.Answer.Body) != "paid" {
 				t.Errorf("%s: after a restart: %+v", on, r)
 			}
 			again.Close()
@@ -119,11 +121,11 @@
 func TestWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := keeper(t, nil, nil)
-		end := make(chan Ended)
+		end := make(chan Outcome)
 		results := make(chan Result, 20)
 		ask := func(ctx context.Context) {
 			go func() {
-				results <- k.Do(ctx, id(1), idempotency.Print{}, func(context.Context, []idempotency.Send, Sends) Ended { return <-end })
+				results <- k.Do(ctx, id(1), idempotency.Fingerprint{}, func(context.Context, []idempotency.Attempt, AttemptRecorder) Outcome { return <-end })
 			}()
 			synctest.Wait()
 		}
@@ -137,23 +139,23 @@
 			ask(t.Context())
 		}
 		leave()
-		if r := <-results; !r.Left {
+		if r := <-results; !r.ClientLeft {
 			t.Errorf("who left: %+v", r)
 		}
-		if r := <-results; r.Verdict != idempotency.Fail || r.Left {
+		if r := <-results; r.Verdict != idempotency.Fail || r.ClientLeft {
 			t.Errorf("at its deadline: %+v", r)
 		}
-		end <- Ended{Verdict: idempotency.Refuse, RetryIn: time.Second}
+		end <- Outcome{Verdict: idempotency.Reject, RetryAfter: time.Second}
 		for range 4 {
-			if r := <-results; r.Verdict != idempotency.Refuse || r.RetryIn != time.Second {
+			if r := <-results; r.Verdict != idempotency.Reject || r.RetryAfter != time.Second {
 				t.Errorf("%+v", r)
 			}
 		}
-		if keys, bytes, running := k.Held(); keys+bytes+running != 0 {
+		if keys, bytes, running := k.Stats(); keys+bytes+running != 0 {
 			t.Errorf("%d keys of %d bytes are left, %d run", keys, bytes, running)
 		}
 		k.Close()
-		if r := k.Do(t.Context(), id(2), idempotency.Print{}, nil); r.Verdict != idempotency.Refuse {
+		if r := k.Do(t.Context(), id(2), idempotency.Fingerprint{}, nil); r.Verdict != idempotency.Reject {
 			t.Errorf("after its end: %+v", r)
 		}
 	})
@@ -162,16 +164,16 @@
 // 100,000 distinct keys a minute: what is held follows keep, within the bounds, and none is refused while there is room.
 func TestManyKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := keeper(t, nil, func(o *idempotency.Options) { o.Keep = units.Duration(5 * time.Second) })
+		k := keeper(t, nil, func(o *idempotency.Options) { o.Retention = units.Duration(5 * time.Second) })
 		defer k.Close()
 		most, refused := 0, 0
 		for n := range 200_000 {
 			time.Sleep(600 * time.Microsecond)
-			if k.Do(t.Context(), id(n), idempotency.Print{}, paid).Verdict != idempotency.Replay {
+			if k.Do(t.Context(), id(n), idempotency.Fingerprint{}, paid).Verdict != idempotency.Replay {
 				refused++
 			}
 			if n%1000 == 0 {
-				keys, bytes, _ := k.Held()
+				keys, bytes, _ := k.Stats()
 				most = max(most, keys)
 				if bytes > 16<<20 {
 					t.Fatalf("%d bytes", bytes)
--- a/internal/idempotency/recordcodec/golden_test.go
+++ b/internal/idempotency/recordcodec/golden_test.go
@@ -15,22 +15,22 @@
 // Records on a disk and in a shared store are read and written byte for byte as the release before did.
 func TestRecordsGolden(t *testing.T) {
 	id := idempotency.ID{Tenant: "agents", Class: "payment", Key: "k-1"}
-	print := idempotency.Print{1, 2, 3, 15: 16}
-	sends := []idempotency.Send{{Zone: "dc1", Cell: 2, Sent: 3 * time.Second}, {}}
+	print := idempotency.Fingerprint{1, 2, 3, 15: 16}
+	sends := []idempotency.Attempt{{Zone: "dc1", Cell: 2, SentAt: 3 * time.Second}, {}}
 	answer := &idempotency.Answer{Status: 201, Header: map[string][]string{"Content-Type": {"text/plain", "again"}}, Body: []byte("paid")}
 	records := []struct {
 		name   string
 		record idempotency.Record
 	}{
-		{"running", idempotency.Record{ID: id, Print: print, Running: true, Sends: sends, At: time.Minute}},
-		{"answered", idempotency.Record{ID: id, Print: print, Kind: idempotency.WasAnswered, Answer: answer, At: -time.Second}},
-		{"too-large", idempotency.Record{ID: id, Print: print, Kind: idempotency.WasAnswered}},
-		{"uncertain", idempotency.Record{ID: id, Print: print, Kind: idempotency.Uncertain, Sends: sends, Lost: true, At: 1}},
+		{"running", idempotency.Record{ID: id, Fingerprint: print, Running: true, Attempts: sends, UpdatedAt: time.Minute}},
+		{"answered", idempotency.Record{ID: id, Fingerprint: print, Outcome: idempotency.Answered, Answer: answer, UpdatedAt: -time.Second}},
+		{"too-large", idempotency.Record{ID: id, Fingerprint: print, Outcome: idempotency.Answered}},
+		{"uncertain", idempotency.Record{ID: id, Fingerprint: print, Outcome: idempotency.MayHaveRun, Attempts: sends, AttemptsUnknown: true, UpdatedAt: 1}},
 	}
 	var out strings.Builder
 	for _, r := range records {
 		fmt.Fprintf(&out, "%s %s\n", r.name, hex.EncodeToString(Encode(&r.record)))
-		shared := idempotency.Shared{Record: r.record, Owner: "694d", Claim: "694d/1"}
+		shared := idempotency.SharedRecord{Record: r.record, Owner: "694d", Claim: "694d/1"}
 		fmt.Fprintf(&out, "%s-shared %s\n", r.name, hex.EncodeToString(EncodeShared(&shared)))
 	}
 	golden.Match(t, "records.txt", []byte(out.String()))
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		shared, err := DecodeShared(encoded)
-		if want := (idempotency.Shared{Record: r.record, Owner: "694d", Claim: "694d/1"}); err != nil || !reflect.DeepEqual(shared, want) {
+		if want := (idempotency.SharedRecord{Record: r.record, Owner: "694d", Claim: "694d/1"}); err != nil || !reflect.DeepEqual(shared, want) {
 			t.Errorf("%s, shared, is read as %+v, %v; want %+v", r.name, shared, err, want)
 		}
 	}
--- a/internal/idempotency/recordcodec/repeatcodec.go
+++ b/internal/idempotency/recordcodec/repeatcodec.go
@@ -36,12 +36,12 @@
 	b = appendText(b, 1, []byte(r.ID.Tenant))
 	b = appendText(b, 2, []byte(r.ID.Class))
 	b = appendText(b, 3, []byte(r.ID.Key))
-	b = appendText(b, 4, r.Print[:])
+	b = appendText(b, 4, r.Fingerprint[:])
 	if r.Running {
 		b = appendNumber(b, 5, 1)
 	}
-	b = appendNumber(b, 6, int64(r.Kind))
-	b = appendNumber(b, 7, int64(r.At))
+	b = appendNumber(b, 6, int64(r.Outcome))
+	b = appendNumber(b, 7, int64(r.UpdatedAt))
 	if a := r.Answer; a != nil {
 		m := appendText(appendNumber(nil, 1, int64(a.Status)), 2, a.Body)
 		for name, values := range a.Header {
@@ -51,22 +51,22 @@
 		}
 		b = appendText(b, 8, m)
 	}
-	for _, x := range r.Sends {
-		b = appendText(b, 9, appendNumber(appendNumber(appendText(nil, 1, []byte(x.Zone)), 2, int64(x.Cell)), 3, int64(x.Sent)))
+	for _, x := range r.Attempts {
+		b = appendText(b, 9, appendNumber(appendNumber(appendText(nil, 1, []byte(x.Zone)), 2, int64(x.Cell)), 3, int64(x.SentAt)))
 	}
-	if r.Lost {
+	if r.AttemptsUnknown {
 		b = appendNumber(b, 10, 1)
 	}
 	return b
 }
 
 // EncodeShared writes a record that processes share.
-func EncodeShared(r *idempotency.Shared) []byte {
+func EncodeShared(r *idempotency.SharedRecord) []byte {
 	return appendText(appendText(Encode(&r.Record), 11, []byte(r.Owner)), 12, []byte(r.Claim))
 }
 
 // DecodeShared reads one; nothing of it shares b.
-func DecodeShared(b []byte) (r idempotency.Shared, err error) {
+func DecodeShared(b []byte) (r idempotency.SharedRecord, err error) {
 	if r.Record, err = Decode(b, &idempotency.Record{}); err != nil {
 		return r, err
 	}
@@ -132,15 +132,15 @@
 		case 3:
 			r.ID.Key = string(text)
 		case 4:
-			if copy(r.Print[:], text) != len(r.Print) {
+			if copy(r.Fingerprint[:], text) != len(r.Fingerprint) {
 				return errRecord
 			}
 		case 5:
 			r.Running = number != 0
 		case 6:
-			r.Kind = idempotency.Kind(number)
+			r.Outcome = idempotency.Outcome(number)
 		case 7:
-			r.At = time.Duration(number)
+			r.UpdatedAt = time.Duration(number)
 		case 8:
 			r.Answer = &idempotency.Answer{}
 			return fields(text, func(n protowire.Number, text []byte, number int64) error {
@@ -169,7 +169,7 @@
 				return nil
 			})
 		case 9:
-			var x idempotency.Send
+			var x idempotency.Attempt
 			err := fields(text, func(n protowire.Number, text []byte, number int64) error {
 				switch n {
 				case 1:
@@ -177,18 +177,18 @@
 				case 2:
 					x.Cell = int(number)
 				case 3:
-					x.Sent = time.Duration(number)
+					x.SentAt = time.Duration(number)
 				}
 				return nil
 			})
-			r.Sends = append(r.Sends, x)
+			r.Attempts = append(r.Attempts, x)
 			return err
 		case 10:
-			r.Lost = number != 0
+			r.AttemptsUnknown = number != 0
 		}
 		return nil
 	})
-	if err == nil && (r.ID.Key == "" || r.Kind < idempotency.WasAnswered || r.Kind > idempotency.Uncertain) {
+	if err == nil && (r.ID.Key == "" || r.Outcome < idempotency.Answered || r.Outcome > idempotency.MayHaveRun) {
 		err = errRecord
 	}
 	return r, err
--- a/internal/idempotency/repeats.go
+++ b/internal/idempotency/repeats.go
@@ -4,11 +4,11 @@
 //
 //	unseen --Arrive: Run--> running --End: Answered--> answered --Arrive--> Replay
 //	   ^                       |  ^
-//	   '--End: NeverRan--------'  '--Arrive: Run, within the window-- uncertain --Arrive, later--> Fail
+//	   '--End: NotExecuted--------'  '--Arrive: Run, within the window-- uncertain --Arrive, later--> Fail
 //	                           '---End: Uncertain-----------------------^
 //
 // A key is known by tenant, class and key; the same key with another request (method, path, body) is a conflict, as in the
-// IETF's draft-ietf-httpapi-idempotency-key-header. Nothing that may still matter is forgotten: an entry stays for Options.Keep
+// IETF's draft-ietf-httpapi-idempotency-key-header. Nothing that may still matter is forgotten: an entry stays for Options.Retention
 // after its last event, and while there is no room new keys are refused.
 //
 // Time is that of the process's own running: it need not be the wall's, and stands still while the process is down, so that no
@@ -25,21 +25,21 @@
 
 // Options are a Store's parameters, and its part of the operator's file.
 type Options struct {
-	Service   string         `toml:"service" doc:"Whose keyed requests: a service's name, or \"platform\" beside the platform's file."`
-	Keep      units.Duration `toml:"keep" default:"10m" doc:"How long a key is known after its last event. A client must not send it again later."`
-	Entries   int            `toml:"entries" default:"100000" doc:"Keys known at once, at most. New ones are refused beyond."`
-	Bytes     units.Size     `toml:"bytes" default:"16MiB" doc:"What keys and kept answers may take, at most. New ones are refused beyond."`
-	Part      float64        `toml:"tenant_part" default:"0.5" doc:"The part of both that one tenant's keys may take."`
-	Answer    units.Size     `toml:"answer" default:"16KiB" doc:"An answer that is larger is not kept: its repeats are told that it was answered."`
-	Running   int            `toml:"running" default:"256" doc:"Keyed requests that run at once, at most, whether or not their clients are still there."`
-	File      string         `toml:"file" reload:"start" sample:"\"/var/lib/orchiddrift/payments.db\"" doc:"Where keys last longer than the process, on a disk that does: a keyed request is sent once its record is synced. Absent: a new process knows no keys."`
-	DiskError string         `toml:"disk_error" default:"refuse" oneof:"refuse|go on" doc:"What becomes of keyed requests while the file can't be written."`
-	Waiting   int            `toml:"waiting" default:"16" doc:"Repeats of one key that wait for its answer, at most."`
+	Service        string         `toml:"service" doc:"Whose keyed requests: a service's name, or \"platform\" beside the platform's file."`
+	Retention      units.Duration `toml:"keep" default:"10m" doc:"How long a key is known after its last event. A client must not send it again later."`
+	MaxKeys        int            `toml:"entries" default:"100000" doc:"Keys known at once, at most. New ones are refused beyond."`
+	MaxBytes       units.Size     `toml:"bytes" default:"16MiB" doc:"What keys and kept answers may take, at most. New ones are refused beyond."`
+	TenantFraction float64        `toml:"tenant_part" default:"0.5" doc:"The part of both that one tenant's keys may take."`
+	MaxAnswerBytes units.Size     `toml:"answer" default:"16KiB" doc:"An answer that is larger is not kept: its repeats are told that it was answered."`
+	MaxRunning     int            `toml:"running" default:"256" doc:"Keyed requests that run at once, at most, whether or not their clients are still there."`
+	File           string         `toml:"file" reload:"start" sample:"\"/var/lib/orchiddrift/payments.db\"" doc:"Where keys last longer than the process, on a disk that does: a keyed request is sent once its record is synced. Absent: a new process knows no keys."`
+	DiskError      string         `toml:"disk_error" default:"refuse" oneof:"refuse|go on" doc:"What becomes of keyed requests while the file can't be written."`
+	MaxWaiting     int            `toml:"waiting" default:"16" doc:"Repeats of one key that wait for its answer, at most."`
 }
 
 // Default is what holds where nothing is said.
 func Default() Options {
-	return Options{Keep: units.Duration(10 * time.Minute), Entries: 100_000, Bytes: 16 * units.MiB, Part: 0.5, Answer: 16 * units.KiB, Running: 256, Waiting: 16, DiskError: "refuse"}
+	return Options{Retention: units.Duration(10 * time.Minute), MaxKeys: 100_000, MaxBytes: 16 * units.MiB, TenantFraction: 0.5, MaxAnswerBytes: 16 * units.KiB, MaxRunning: 256, MaxWaiting: 16, DiskError: "refuse"}
 }
 
 // Check is tomlfile.Checker's.
@@ -47,22 +47,22 @@
 	if o.Service == "" {
 		report("service", "missing")
 	}
-	if o.Keep.D() < time.Second || o.Keep.D() > 30*24*time.Hour {
-		report("keep", "%v is not from 1s to 720h", o.Keep)
+	if o.Retention.D() < time.Second || o.Retention.D() > 30*24*time.Hour {
+		report("keep", "%v is not from 1s to 720h", o.Retention)
 	}
 	for _, x := range []struct {
 		key     string
 		n, most int
-	}{{"entries", o.Entries, 1 << 24}, {"running", o.Running, 1 << 16}, {"waiting", o.Waiting, 1 << 16}} {
+	}{{"entries", o.MaxKeys, 1 << 24}, {"running", o.MaxRunning, 1 << 16}, {"waiting", o.MaxWaiting, 1 << 16}} {
 		if x.n < 1 || x.n > x.most {
 			report(x.key, "%d is not from 1 to %d", x.n, x.most)
 		}
 	}
-	if o.Bytes < perEntry || o.Answer < 0 {
-		report("bytes", "%v holds no key", o.Bytes)
+	if o.MaxBytes < perEntry || o.MaxAnswerBytes < 0 {
+		report("bytes", "%v holds no key", o.MaxBytes)
 	}
-	if !(o.Part > 0 && o.Part <= 1) {
-		report("tenant_part", "%v is not a part, above 0", o.Part)
+	if !(o.TenantFraction > 0 && o.TenantFraction <= 1) {
+		report("tenant_part", "%v is not a part, above 0", o.TenantFraction)
 	}
 }
 
@@ -74,14 +74,14 @@
 // maxID bounds an ID's texts together.
 const maxID = 1024
 
-// Print tells requests apart: a cryptographic hash's first bytes of method, path and body.
-type Print [16]byte
+// Fingerprint tells requests apart: a cryptographic hash's first bytes of method, path and body.
+type Fingerprint [16]byte
 
-// Send is a send that may have run, and where its repeats are dropped.
-type Send struct {
-	Zone string
-	Cell int
-	Sent time.Duration
+// Attempt is a send that may have run, and where its repeats are dropped.
+type Attempt struct {
+	Zone   string
+	Cell   int
+	SentAt time.Duration
 }
 
 // Answer is a kept one. It is not changed.
@@ -107,31 +107,31 @@
 
 // The verdicts.
 const (
-	Run      Verdict = iota // it is to be sent, with the Sends given as prior ones; End must follow
-	Wait                    // another of its key runs: it gets that one's end, or calls Leave
-	Replay                  // it gets the kept answer
-	Conflict                // the key stands for another request
-	Refuse                  // not run, trying again is harmless, after RetryIn
-	Fail                    // an earlier one may have run, and none may be sent any more
-	Answered                // an earlier one was answered, and the answer was too large to be kept
+	Execute         Verdict = iota // it is to be sent, with the Sends given as prior ones; End must follow
+	Wait                           // another of its key runs: it gets that one's end, or calls Leave
+	Replay                         // it gets the kept answer
+	Conflict                       // the key stands for another request
+	Reject                         // not run, trying again is harmless, after RetryAfter
+	Fail                           // an earlier one may have run, and none may be sent any more
+	AnswerNotStored                // an earlier one was answered, and the answer was too large to be kept
 )
 
 // Decision is a verdict with what belongs to it.
 type Decision struct {
-	Verdict Verdict
-	Answer  *Answer       // of Replay
-	Prior   []Send        // of Run
-	RetryIn time.Duration // of Refuse
+	Verdict         Verdict
+	Answer          *Answer       // of Replay
+	EarlierAttempts []Attempt     // of Run
+	RetryAfter      time.Duration // of Refuse
 }
 
-// Kind is how a request that ran ended.
-type Kind int
+// Outcome is how a request that ran ended.
+type Outcome int
 
 // The ends.
 const (
-	WasAnswered Kind = iota
-	NeverRan         // proved: the key is as if it had not been seen, unless an earlier one may have run
-	Uncertain        // it may have run
+	Answered    Outcome = iota
+	NotExecuted         // proved: the key is as if it had not been seen, unless an earlier one may have run
+	MayHaveRun          // it may have run
 )
 
 type state int8
@@ -144,11 +144,11 @@
 
 type entry struct {
 	id      ID
-	print   Print
+	print   Fingerprint
 	state   state
-	answer  *Answer // nil: too large, or there is none
-	sends   []Send  // that may have run
-	lost    bool    // where it was sent is not known: it was running when the process ended
+	answer  *Answer   // nil: too large, or there is none
+	sends   []Attempt // that may have run
+	lost    bool      // where it was sent is not known: it was running when the process ended
 	waiting int
 	size    int
 	until   time.Duration // forgotten then, unless running
@@ -195,7 +195,7 @@
 func (s *Store) Running() int { return s.running }
 
 // Arrive decides on a request. Expire goes before it.
-func (s *Store) Arrive(now time.Duration, id ID, print Print) Decision {
+func (s *Store) Arrive(now time.Duration, id ID, print Fingerprint) Decision {
 	e := s.entries[id]
 	if e == nil {
 		return s.fresh(now, id, print)
@@ -205,14 +205,14 @@
 	}
 	switch e.state {
 	case running:
-		if e.waiting >= s.o.Waiting {
-			return Decision{Verdict: Refuse, RetryIn: crowded}
+		if e.waiting >= s.o.MaxWaiting {
+			return Decision{Verdict: Reject, RetryAfter: crowded}
 		}
 		e.waiting++
 		return Decision{Verdict: Wait}
 	case answered:
 		if e.answer == nil {
-			return Decision{Verdict: Answered}
+			return Decision{Verdict: AnswerNotStored}
 		}
 		return Decision{Verdict: Replay, Answer: e.answer}
 	}
@@ -221,38 +221,38 @@
 	}
 	window := s.window(id.Class)
 	for _, x := range e.sends {
-		if now-x.Sent >= window {
+		if now-x.SentAt >= window {
 			return Decision{Verdict: Fail}
 		}
 	}
-	if s.running >= s.o.Running {
-		return Decision{Verdict: Refuse, RetryIn: crowded}
+	if s.running >= s.o.MaxRunning {
+		return Decision{Verdict: Reject, RetryAfter: crowded}
 	}
 	e.state = running
 	s.running++
 	s.due.Remove(e)
-	return Decision{Verdict: Run, Prior: append([]Send(nil), e.sends...)}
+	return Decision{Verdict: Execute, EarlierAttempts: append([]Attempt(nil), e.sends...)}
 }
 
 // crowded is when to come back where others of the same moment have to end first.
 const crowded = 250 * time.Millisecond
 
 // fresh decides on a key that is not known.
-func (s *Store) fresh(now time.Duration, id ID, print Print) Decision {
+func (s *Store) fresh(now time.Duration, id ID, print Fingerprint) Decision {
 	size := perEntry + id.bytes()
 	t := s.tenants[id.Tenant]
 	if t == nil {
 		t = &tenant{}
 	}
-	full := len(s.entries) >= s.o.Entries || s.bytes+size > s.o.Bytes.Bytes() ||
-		float64(t.entries+1) > max(1, s.o.Part*float64(s.o.Entries)) || float64(t.bytes+size) > max(float64(size), s.o.Part*float64(s.o.Bytes))
+	full := len(s.entries) >= s.o.MaxKeys || s.bytes+size > s.o.MaxBytes.Bytes() ||
+		float64(t.entries+1) > max(1, s.o.TenantFraction*float64(s.o.MaxKeys)) || float64(t.bytes+size) > max(float64(size), s.o.TenantFraction*float64(s.o.MaxBytes))
 	switch {
 	case id.bytes() > maxID:
 		return Decision{Verdict: Conflict} // no honest key is that long
 	case full && s.due.Len() > 0: // of the tenant's own another may have to go, which is later
-		return Decision{Verdict: Refuse, RetryIn: max(crowded, s.due.First().until-now)}
-	case full || s.running >= s.o.Running:
-		return Decision{Verdict: Refuse, RetryIn: crowded}
+		return Decision{Verdict: Reject, RetryAfter: max(crowded, s.due.First().until-now)}
+	case full || s.running >= s.o.MaxRunning:
+		return Decision{Verdict: Reject, RetryAfter: crowded}
 	}
 	e := &entry{id: id, print: print, at: -1}
 	s.entries[id] = e
@@ -260,7 +260,7 @@
 	t.entries++
 	s.grow(e, size)
 	s.running++
-	return Decision{Verdict: Run}
+	return Decision{Verdict: Execute}
 }
 
 func (s *Store) grow(e *entry, by int) {
@@ -269,8 +269,8 @@
 	s.tenants[e.id.Tenant].bytes += by
 }
 
-// Sent tells that a running one is about to be sent, before its first byte: it may run from now on.
-func (s *Store) Sent(id ID, x Send) {
+// AttemptStarted tells that a running one is about to be sent, before its first byte: it may run from now on.
+func (s *Store) AttemptStarted(id ID, x Attempt) {
 	if e := s.entries[id]; e != nil && e.state == running {
 		if len(e.sends) == mostSends { // where it may have run is no longer known in full: it is not sent again
 			e.lost = true
@@ -281,8 +281,8 @@
 	}
 }
 
-// Unsent takes a send back that is proved not to have run.
-func (s *Store) Unsent(id ID, x Send) {
+// AttemptNotSent takes a send back that is proved not to have run.
+func (s *Store) AttemptNotSent(id ID, x Attempt) {
 	if e := s.entries[id]; e != nil && e.state == running {
 		for i := range e.sends {
 			if e.sends[i] == x {
@@ -294,28 +294,28 @@
 	}
 }
 
-// End ends a running one; those that wait for it have its end too. What is known of sends decides whether it NeverRan: a word
+// Finish ends a running one; those that wait for it have its end too. What is known of sends decides whether it NotExecuted: a word
 // to that effect does not count against one that may have. It returns how it is kept.
-func (s *Store) End(now time.Duration, id ID, kind Kind, a *Answer) Kind {
+func (s *Store) Finish(now time.Duration, id ID, kind Outcome, a *Answer) Outcome {
 	e := s.entries[id]
 	if e == nil || e.state != running {
 		return kind
 	}
 	s.running--
 	e.waiting = 0
-	if kind == NeverRan && (len(e.sends) > 0 || e.lost) {
-		kind = Uncertain
+	if kind == NotExecuted && (len(e.sends) > 0 || e.lost) {
+		kind = MayHaveRun
 	}
 	switch kind {
-	case NeverRan:
+	case NotExecuted:
 		s.forget(e)
 		return kind
-	case WasAnswered:
+	case Answered:
 		e.state = answered
 		s.grow(e, -len(e.sends)*perSend)
 		e.sends = nil
-		if n := a.bytes(); n <= s.o.Answer.Bytes() && s.bytes+n <= s.o.Bytes.Bytes() &&
-			float64(s.tenants[id.Tenant].bytes+n) <= s.o.Part*float64(s.o.Bytes) {
+		if n := a.bytes(); n <= s.o.MaxAnswerBytes.Bytes() && s.bytes+n <= s.o.MaxBytes.Bytes() &&
+			float64(s.tenants[id.Tenant].bytes+n) <= s.o.TenantFraction*float64(s.o.MaxBytes) {
 			e.answer = a
 			s.grow(e, n)
 		}
@@ -326,8 +326,8 @@
 	return kind
 }
 
-// Leave tells that one that waits has left.
-func (s *Store) Leave(id ID) {
+// StopWaiting tells that one that waits has left.
+func (s *Store) StopWaiting(id ID) {
 	if e := s.entries[id]; e != nil && e.waiting > 0 {
 		e.waiting--
 	}
@@ -335,7 +335,7 @@
 
 func (s *Store) keep(e *entry, now time.Duration) {
 	s.seq++
-	e.until = now + s.o.Keep.D()
+	e.until = now + s.o.Retention.D()
 	s.due.Fix(e, float64(e.until), s.seq)
 }
 
@@ -351,7 +351,7 @@
 	}
 }
 
-// Expire forgets what is older than Options.Keep, and names it.
+// Expire forgets what is older than Options.Retention, and names it.
 func (s *Store) Expire(now time.Duration) (gone []ID) {
 	for s.due.Len() > 0 && s.due.First().until <= now {
 		e := s.due.First()
@@ -372,36 +372,36 @@
 // Record is an entry as a disk that lasts has it. One that was Running when the process ended is uncertain, and where it was sent is
 // not known: it is not sent again.
 type Record struct {
-	ID      ID
-	Print   Print
-	Running bool
-	Kind    Kind // WasAnswered or Uncertain, where it is not Running
-	Answer  *Answer
-	Sends   []Send
-	Lost    bool          // not all sends are known: it is not sent again
-	At      time.Duration // its last event
+	ID              ID
+	Fingerprint     Fingerprint
+	Running         bool
+	Outcome         Outcome // Answered or Uncertain, where it is not Running
+	Answer          *Answer
+	Attempts        []Attempt
+	AttemptsUnknown bool          // not all sends are known: it is not sent again
+	UpdatedAt       time.Duration // its last event
 }
 
-// ErrFull says that a record has no room: the bounds are smaller than they were.
-var ErrFull = errors.New("repeats: more keys are on record than may be held")
+// ErrStoreFull says that a record has no room: the bounds are smaller than they were.
+var ErrStoreFull = errors.New("repeats: more keys are on record than may be held")
 
 // Load takes a record over, of an earlier process whose time went on to now.
 func (s *Store) Load(now time.Duration, r Record) error {
-	size := perEntry + r.ID.bytes() + len(r.Sends)*perSend
+	size := perEntry + r.ID.bytes() + len(r.Attempts)*perSend
 	if r.Answer != nil {
 		size += r.Answer.bytes()
 	}
-	if s.entries[r.ID] != nil || r.At+s.o.Keep.D() <= now {
+	if s.entries[r.ID] != nil || r.UpdatedAt+s.o.Retention.D() <= now {
 		return nil
 	}
-	if len(s.entries) >= s.o.Entries || s.bytes+size > s.o.Bytes.Bytes() {
-		return ErrFull
+	if len(s.entries) >= s.o.MaxKeys || s.bytes+size > s.o.MaxBytes.Bytes() {
+		return ErrStoreFull
 	}
-	e := &entry{id: r.ID, print: r.Print, at: -1, sends: r.Sends, state: uncertain}
+	e := &entry{id: r.ID, print: r.Fingerprint, at: -1, sends: r.Attempts, state: uncertain}
 	switch {
-	case r.Running || r.Kind == Uncertain: // the nodes' windows went on while no process ran
+	case r.Running || r.Outcome == MayHaveRun: // the nodes' windows went on while no process ran
 		e.lost = true
-	case r.Kind == WasAnswered:
+	case r.Outcome == Answered:
 		e.state, e.answer, e.sends = answered, r.Answer, nil
 	}
 	s.entries[r.ID] = e
@@ -412,7 +412,7 @@
 	}
 	t.entries++
 	s.grow(e, size)
-	s.keep(e, min(r.At, now))
+	s.keep(e, min(r.UpdatedAt, now))
 	return nil
 }
 
@@ -422,9 +422,9 @@
 	if e == nil {
 		return Record{}, false
 	}
-	r := Record{ID: id, Print: e.print, Running: e.state == running, Sends: append([]Send(nil), e.sends...), Answer: e.answer, Lost: e.lost, At: now}
+	r := Record{ID: id, Fingerprint: e.print, Running: e.state == running, Attempts: append([]Attempt(nil), e.sends...), Answer: e.answer, AttemptsUnknown: e.lost, UpdatedAt: now}
 	if e.state == uncertain {
-		r.Kind = Uncertain
+		r.Outcome = MayHaveRun
 	}
 	return r, true
 }
--- a/internal/idempotency/repeats_test.go
+++ b/internal/idempotency/repeats_test.go
@@ -15,16 +15,16 @@
 
 func testOptions() Options {
 	o := Default()
-	o.Keep, o.Entries, o.Bytes, o.Answer, o.Running, o.Waiting = units.Duration(time.Minute), 12, 14000, 300, 4, 2
+	o.Retention, o.MaxKeys, o.MaxBytes, o.MaxAnswerBytes, o.MaxRunning, o.MaxWaiting = units.Duration(time.Minute), 12, 14000, 300, 4, 2
 	return o
 }
 
 // known is what the plain reference remembers of a key: everything that ever happened to it.
 type known struct {
-	print   Print
+	print   Fingerprint
 	runs    bool
 	answer  *Answer
-	sends   []Send
+	sends   []Attempt
 	last    time.Duration
 	waiting int
 }
@@ -48,7 +48,7 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
 			for _, id := range s.Expire(now) {
-				if k := ref[id]; k == nil || k.runs || now-k.last < o.Keep.D() {
+				if k := ref[id]; k == nil || k.runs || now-k.last < o.Retention.D() {
 					t.Fatalf("%v is forgotten: %+v at %v", id, k, now)
 				}
 				delete(ref, id)
@@ -57,20 +57,20 @@
 			k := ref[id]
 			switch what := rapid.IntRange(0, 6).Draw(t, "what"); {
 			case what <= 2:
-				print := Print{byte(rapid.IntRange(0, 5).Draw(t, "print") / 5)}
+				print := Fingerprint{byte(rapid.IntRange(0, 5).Draw(t, "print") / 5)}
 				d := s.Arrive(now, id, print)
 				oldest := now
 				if k != nil {
 					for _, x := range k.sends {
-						oldest = min(oldest, x.Sent)
+						oldest = min(oldest, x.SentAt)
 					}
 				}
 				switch {
 				case k == nil:
-					if d.Verdict != Run && d.Verdict != Refuse || d.Verdict == Run && len(d.Prior) > 0 {
+					if d.Verdict != Execute && d.Verdict != Reject || d.Verdict == Execute && len(d.EarlierAttempts) > 0 {
 						t.Fatalf("a new key: %+v", d)
 					}
-					if d.Verdict == Refuse && d.RetryIn <= 0 {
+					if d.Verdict == Reject && d.RetryAfter <= 0 {
 						t.Fatal("it is not told when to come back")
 					}
 				case k.print != print:
@@ -78,14 +78,14 @@
 						t.Fatalf("another request: %+v", d)
 					}
 				case k.runs:
-					if d.Verdict != Wait && !(d.Verdict == Refuse && k.waiting >= o.Waiting) {
+					if d.Verdict != Wait && !(d.Verdict == Reject && k.waiting >= o.MaxWaiting) {
 						t.Fatalf("while it runs: %+v", d)
 					}
 					if d.Verdict == Wait {
 						k.waiting++
 					}
 				case k.answer != nil:
-					if d.Verdict != Replay && d.Verdict != Answered || d.Verdict == Replay && d.Answer != k.answer {
+					if d.Verdict != Replay && d.Verdict != AnswerNotStored || d.Verdict == Replay && d.Answer != k.answer {
 						t.Fatalf("after its answer: %+v", d)
 					}
 				case now-oldest >= window(""):
@@ -93,12 +93,12 @@
 						t.Fatalf("sent at %v, now %v: %+v", oldest, now, d)
 					}
 				default:
-					if d.Verdict != Refuse && !(d.Verdict == Run && fmt.Sprint(d.Prior) == fmt.Sprint(k.sends)) {
+					if d.Verdict != Reject && !(d.Verdict == Execute && fmt.Sprint(d.EarlierAttempts) == fmt.Sprint(k.sends)) {
 						t.Fatalf("within the window: %+v, sends %v", d, k.sends)
 					}
 				}
-				if d.Verdict == Run {
-					if runs() >= o.Running {
+				if d.Verdict == Execute {
+					if runs() >= o.MaxRunning {
 						t.Fatal("too many run")
 					}
 					if k == nil {
@@ -109,12 +109,12 @@
 				}
 			case k == nil || !k.runs:
 			case what == 3:
-				x := Send{Zone: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "zone")), Sent: now}
-				s.Sent(id, x)
+				x := Attempt{Zone: fmt.Sprint(rapid.IntRange(0, 1).Draw(t, "zone")), SentAt: now}
+				s.AttemptStarted(id, x)
 				k.sends = append(k.sends, x)
 			case what == 4 && len(k.sends) > 0:
 				x := k.sends[len(k.sends)-1]
-				s.Unsent(id, x)
+				s.AttemptNotSent(id, x)
 				for i := range k.sends {
 					if k.sends[i] == x {
 						k.sends = append(k.sends[:i:i], k.sends[i+1:]...)
@@ -122,26 +122,26 @@
 					}
 				}
 			case what == 5 && k.waiting > 0:
-				s.Leave(id)
+				s.StopWaiting(id)
 				k.waiting--
 			case what == 6:
 				a := &Answer{Status: 200, Body: make([]byte, rapid.IntRange(0, 500).Draw(t, "body"))}
-				kind := Kind(rapid.IntRange(0, 2).Draw(t, "end"))
-				got := s.End(now, id, kind, a)
-				if want := kind; kind == NeverRan && len(k.sends) > 0 {
-					if want = Uncertain; got != want {
+				kind := Outcome(rapid.IntRange(0, 2).Draw(t, "end"))
+				got := s.Finish(now, id, kind, a)
+				if want := kind; kind == NotExecuted && len(k.sends) > 0 {
+					if want = MayHaveRun; got != want {
 						t.Fatalf("it ended as %v", got)
 					}
 				}
 				k.runs, k.waiting, k.last = false, 0, now
 				switch got {
-				case NeverRan:
+				case NotExecuted:
 					delete(ref, id)
-				case WasAnswered:
+				case Answered:
 					k.answer, k.sends = a, nil
 				}
 			}
-			if s.Len() != len(ref) || s.Len() > o.Entries || s.Running() != runs() || s.Bytes() > o.Bytes.Bytes()+o.Running*mostSends*perSend {
+			if s.Len() != len(ref) || s.Len() > o.MaxKeys || s.Running() != runs() || s.Bytes() > o.MaxBytes.Bytes()+o.MaxRunning*mostSends*perSend {
 				t.Fatalf("%d keys (%d), %d run (%d), %d bytes", s.Len(), len(ref), s.Running(), runs(), s.Bytes())
 			}
 		}
@@ -154,11 +154,11 @@
 			}
 			d := again.Arrive(now, id, k.print)
 			switch {
-			case k.runs && d.Verdict != Fail, !k.runs && k.answer != nil && d.Verdict != Replay && d.Verdict != Answered:
+			case k.runs && d.Verdict != Fail, !k.runs && k.answer != nil && d.Verdict != Replay && d.Verdict != AnswerNotStored:
 				t.Fatalf("after a restart: %+v of %+v", d, k)
 			}
-			if d.Verdict == Run {
-				again.End(now, id, Uncertain, nil)
+			if d.Verdict == Execute {
+				again.Finish(now, id, MayHaveRun, nil)
 			}
 		}
 	})
@@ -167,22 +167,22 @@
 // A full store refuses and forgets nothing; one tenant's flood leaves others room; what is told of coming back is true.
 func TestFull(t *testing.T) {
 	o := testOptions()
-	o.Running = 100
+	o.MaxRunning = 100
 	s := New(o, window)
 	arrive := func(tenant string, key int) Decision {
-		return s.Arrive(time.Hour, ID{tenant, "c", fmt.Sprint(key)}, Print{})
+		return s.Arrive(time.Hour, ID{tenant, "c", fmt.Sprint(key)}, Fingerprint{})
 	}
 	taken := map[string]int{}
 	for i := range 20 {
-		if d := arrive("flood", i); d.Verdict == Run {
+		if d := arrive("flood", i); d.Verdict == Execute {
 			taken["flood"]++
-			s.End(time.Hour, ID{"flood", "c", fmt.Sprint(i)}, WasAnswered, &Answer{Status: 200})
-		} else if d.Verdict != Refuse || d.RetryIn != o.Keep.D() {
+			s.Finish(time.Hour, ID{"flood", "c", fmt.Sprint(i)}, Answered, &Answer{Status: 200})
+		} else if d.Verdict != Reject || d.RetryAfter != o.Retention.D() {
 			t.Errorf("%+v", d)
 		}
 	}
 	for i := range 3 {
-		if d := arrive("quiet", i); d.Verdict == Run {
+		if d := arrive("quiet", i); d.Verdict == Execute {
 			taken["quiet"]++
 		}
 	}
@@ -194,10 +194,10 @@
 			t.Errorf("key %d: %+v", i, d)
 		}
 	}
-	if gone := s.Expire(time.Hour + o.Keep.D()); len(gone) != 6 || s.Running() != 3 {
+	if gone := s.Expire(time.Hour + o.Retention.D()); len(gone) != 6 || s.Running() != 3 {
 		t.Errorf("%v are forgotten, %d run", gone, s.Running())
 	}
-	if d := s.Arrive(time.Hour, ID{Key: strings.Repeat("x", maxID+1)}, Print{}); d.Verdict != Conflict {
+	if d := s.Arrive(time.Hour, ID{Key: strings.Repeat("x", maxID+1)}, Fingerprint{}); d.Verdict != Conflict {
 		t.Errorf("a key of %d bytes: %+v", maxID+1, d)
 	}
 }
@@ -205,7 +205,7 @@
 // BenchmarkKey is a keyed request's way: its arrival, a send, its end and a repeat.
 func BenchmarkKey(b *testing.B) {
 	o := Default()
-	o.Keep = units.Duration(time.Second)
+	o.Retention = units.Duration(time.Second)
 	s := New(o, window)
 	a := &Answer{Status: 200, Body: make([]byte, 200)}
 	now := time.Hour
@@ -214,9 +214,9 @@
 		now += 20 * time.Microsecond
 		id := ID{"tenant", "record", fmt.Sprint(i)}
 		s.Expire(now)
-		s.Arrive(now, id, Print{})
-		s.Sent(id, Send{Zone: "a", Sent: now})
-		s.End(now, id, WasAnswered, a)
-		s.Arrive(now, id, Print{})
+		s.Arrive(now, id, Fingerprint{})
+		s.AttemptStarted(id, Attempt{Zone: "a", SentAt: now})
+		s.Finish(now, id, Answered, a)
+		s.Arrive(now, id, Fingerprint{})
 	}
 }
--- a/internal/idempotency/shared_test.go
+++ b/internal/idempotency/shared_test.go
@@ -8,14 +8,14 @@
 // What a request meets in a shared store, row by row: nothing is sent that may run, or may have run where that can't be told.
 func TestMeet(t *testing.T) {
 	const wall = 1000 * time.Hour
-	sent := func(ago ...time.Duration) (of []Send) {
+	sent := func(ago ...time.Duration) (of []Attempt) {
 		for _, d := range ago {
-			of = append(of, Send{Zone: "z", Sent: wall - d})
+			of = append(of, Attempt{Zone: "z", SentAt: wall - d})
 		}
 		return of
 	}
-	prior := []Send{{Zone: "z", Sent: time.Second}}
-	elsewhere := []Send{{Zone: "y", Sent: time.Second}}
+	prior := []Attempt{{Zone: "z", SentAt: time.Second}}
+	elsewhere := []Attempt{{Zone: "y", SentAt: time.Second}}
 	answer := &Answer{Status: 200}
 	for _, c := range []struct {
 		name  string
@@ -23,44 +23,44 @@
 		mine  bool
 		lives bool
 		skew  time.Duration
-		prior []Send
+		prior []Attempt
 		want  Verdict
 		ages  []time.Duration
 	}{
 		{"runs", Record{Running: true}, false, true, time.Second, nil, Wait, nil},
 		{"ran when its process ended", Record{Running: true}, false, false, time.Second, nil, Fail, nil},
-		{"ran again when its process ended", Record{Running: true, Sends: sent(time.Second)}, false, false, time.Second, prior, Fail, nil},
+		{"ran again when its process ended", Record{Running: true, Attempts: sent(time.Second)}, false, false, time.Second, prior, Fail, nil},
 		{"answered", Record{Answer: answer}, false, false, 0, nil, Replay, nil},
-		{"answered at length", Record{}, false, false, 0, nil, Answered, nil},
+		{"answered at length", Record{}, false, false, 0, nil, AnswerNotStored, nil},
 		{"answered here", Record{Answer: answer}, true, true, 0, prior, Replay, nil},
-		{"uncertain", Record{Kind: Uncertain, Sends: sent(2*time.Second, time.Second)}, false, false, time.Second, nil, Run, []time.Duration{3 * time.Second, 2 * time.Second}},
-		{"uncertain, known here in part", Record{Kind: Uncertain, Sends: sent(2*time.Second, time.Second)}, false, false, time.Second, prior, Run, []time.Duration{3 * time.Second, 2 * time.Second}},
-		{"uncertain, clocks not trusted", Record{Kind: Uncertain, Sends: sent(time.Second)}, false, false, 0, nil, Fail, nil},
-		{"uncertain, one too old", Record{Kind: Uncertain, Sends: sent(time.Second, 5*time.Second)}, false, false, time.Second, nil, Fail, nil},
-		{"uncertain, of a clock ahead", Record{Kind: Uncertain, Sends: sent(-time.Hour)}, false, false, time.Second, nil, Run, []time.Duration{time.Second}},
-		{"uncertain, sends lost", Record{Kind: Uncertain, Lost: true, Sends: sent(time.Second)}, false, false, time.Second, nil, Fail, nil},
-		{"uncertain, no sends", Record{Kind: Uncertain}, false, false, time.Second, nil, Fail, nil},
-		{"uncertain here", Record{Kind: Uncertain, Sends: sent(time.Second)}, true, true, 0, prior, Run, []time.Duration{time.Second}},
-		{"uncertain here, and elsewhere before", Record{Kind: Uncertain, Sends: sent(time.Second)}, true, true, 0, elsewhere, Fail, nil},
-		{"uncertain here, and more than is known", Record{Kind: Uncertain, Sends: sent(time.Second, time.Second)}, true, true, 0, prior, Fail, nil},
-		{"its end here was not told", Record{Running: true}, true, true, 0, prior, Run, []time.Duration{time.Second}},
+		{"uncertain", Record{Outcome: MayHaveRun, Attempts: sent(2*time.Second, time.Second)}, false, false, time.Second, nil, Execute, []time.Duration{3 * time.Second, 2 * time.Second}},
+		{"uncertain, known here in part", Record{Outcome: MayHaveRun, Attempts: sent(2*time.Second, time.Second)}, false, false, time.Second, prior, Execute, []time.Duration{3 * time.Second, 2 * time.Second}},
+		{"uncertain, clocks not trusted", Record{Outcome: MayHaveRun, Attempts: sent(time.Second)}, false, false, 0, nil, Fail, nil},
+		{"uncertain, one too old", Record{Outcome: MayHaveRun, Attempts: sent(time.Second, 5*time.Second)}, false, false, time.Second, nil, Fail, nil},
+		{"uncertain, of a clock ahead", Record{Outcome: MayHaveRun, Attempts: sent(-time.Hour)}, false, false, time.Second, nil, Execute, []time.Duration{time.Second}},
+		{"uncertain, sends lost", Record{Outcome: MayHaveRun, AttemptsUnknown: true, Attempts: sent(time.Second)}, false, false, time.Second, nil, Fail, nil},
+		{"uncertain, no sends", Record{Outcome: MayHaveRun}, false, false, time.Second, nil, Fail, nil},
+		{"uncertain here", Record{Outcome: MayHaveRun, Attempts: sent(time.Second)}, true, true, 0, prior, Execute, []time.Duration{time.Second}},
+		{"uncertain here, and elsewhere before", Record{Outcome: MayHaveRun, Attempts: sent(time.Second)}, true, true, 0, elsewhere, Fail, nil},
+		{"uncertain here, and more than is known", Record{Outcome: MayHaveRun, Attempts: sent(time.Second, time.Second)}, true, true, 0, prior, Fail, nil},
+		{"its end here was not told", Record{Running: true}, true, true, 0, prior, Execute, []time.Duration{time.Second}},
 		{"ran here, forgotten", Record{Running: true}, true, true, time.Second, nil, Fail, nil},
 	} {
-		m := Meeting{ID: ID{"t", "c", "k"}, Print: Print{1}, Process: "p", Prior: c.prior, Window: 6 * time.Second, Skew: c.skew}
-		r := Shared{Record: c.r, Owner: "o", Claim: ClaimOf("pp", "1")}
-		if r.ID, r.Print = m.ID, m.Print; c.mine {
-			r.Claim = ClaimOf("p", "1")
+		m := SharedRequest{ID: ID{"t", "c", "k"}, Fingerprint: Fingerprint{1}, Process: "p", EarlierAttempts: c.prior, DedupWindow: 6 * time.Second, MaxClockSkew: c.skew}
+		r := SharedRecord{Record: c.r, Owner: "o", Claim: ClaimName("pp", "1")}
+		if r.ID, r.Fingerprint = m.ID, m.Fingerprint; c.mine {
+			r.Claim = ClaimName("p", "1")
 		}
-		d := m.Meet(&r, c.lives, wall)
+		d := m.Resolve(&r, c.lives, wall)
 		var ages []time.Duration
-		for _, x := range d.Prior {
-			ages = append(ages, x.Sent)
+		for _, x := range d.EarlierAttempts {
+			ages = append(ages, x.SentAt)
 		}
 		if d.Verdict != c.want || len(ages) != len(c.ages) || len(ages) > 0 && ages[0] != c.ages[0] || d.Verdict == Replay && d.Answer != answer {
 			t.Errorf("%s: %+v", c.name, d)
 		}
-		for _, other := range []func(){func() { r.Print[0]++ }, func() { r.Print, r.ID.Key = m.Print, "other" }} {
-			if other(); m.Meet(&r, c.lives, wall).Verdict != Conflict {
+		for _, other := range []func(){func() { r.Fingerprint[0]++ }, func() { r.Fingerprint, r.ID.Key = m.Fingerprint, "other" }} {
+			if other(); m.Resolve(&r, c.lives, wall).Verdict != Conflict {
 				t.Errorf("%s: another request is none", c.name)
 			}
 		}
@@ -71,20 +71,20 @@
 func TestAdopt(t *testing.T) {
 	s := New(testOptions(), window)
 	id := ID{"t", "c", "k"}
-	s.Arrive(0, id, Print{})
+	s.Arrive(0, id, Fingerprint{})
 	before := s.Bytes()
-	s.Adopt(id, []Send{{Zone: "a"}, {Zone: "a", Sent: time.Second}})
+	s.AdoptAttempts(id, []Attempt{{Zone: "a"}, {Zone: "a", SentAt: time.Second}})
 	if s.Bytes() != before+2*perSend {
 		t.Errorf("%d bytes, %d before", s.Bytes(), before)
 	}
-	if kind := s.End(2*time.Second, id, NeverRan, nil); kind != Uncertain {
+	if kind := s.Finish(2*time.Second, id, NotExecuted, nil); kind != MayHaveRun {
 		t.Errorf("it ended as %v", kind)
 	}
-	if d := s.Arrive(3*time.Second, id, Print{}); d.Verdict != Run || len(d.Prior) != 2 {
+	if d := s.Arrive(3*time.Second, id, Fingerprint{}); d.Verdict != Execute || len(d.EarlierAttempts) != 2 {
 		t.Errorf("%+v", d)
 	}
-	s.Adopt(id, nil)
-	if s.Bytes() != before || s.End(4*time.Second, id, NeverRan, nil) != NeverRan || s.Len() != 0 {
+	s.AdoptAttempts(id, nil)
+	if s.Bytes() != before || s.Finish(4*time.Second, id, NotExecuted, nil) != NotExecuted || s.Len() != 0 {
 		t.Errorf("%d bytes, %d keys", s.Bytes(), s.Len())
 	}
 }
--- a/internal/lease/raftgroup/disk.go
+++ b/internal/lease/raftgroup/disk.go
@@ -39,7 +39,7 @@
 func at(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // openDisk opens a member's file, or makes it. A file that is torn is an error: what stands in it can't be trusted to hold all votes.
-func openDisk(ctx context.Context, path, fleet string, wait boltfile.Wait) (*disk, error) {
+func openDisk(ctx context.Context, path, fleet string, wait boltfile.LockWait) (*disk, error) {
 	db, err := boltfile.Open(ctx, path, wait)
 	if err != nil {
 		return nil, err
--- a/internal/lease/raftgroup/disk_test.go
+++ b/internal/lease/raftgroup/disk_test.go
@@ -27,7 +27,7 @@
 	path := filepath.Join(t.TempDir(), "fleet.db")
 	open := func() *disk {
 		t.Helper()
-		d, err := openDisk(t.Context(), path, "f", boltfile.Wait{For: 1})
+		d, err := openDisk(t.Context(), path, "f", boltfile.LockWait{Timeout: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -76,7 +76,7 @@
 		t.Errorf("an entry before the snapshot: %v", err)
 	}
 	check(d.close())
-	if _, err := openDisk(t.Context(), path, "other", boltfile.Wait{For: 1}); !errors.Is(err, errOtherFleet) {
+	if _, err := openDisk(t.Context(), path, "other", boltfile.LockWait{Timeout: 1}); !errors.Is(err, errOtherFleet) {
 		t.Errorf("of another fleet: %v", err)
 	}
 }
@@ -84,7 +84,7 @@
 // A torn file is an error, wherever it is torn, and never a crash: what it says may lack a vote.
 func TestTornDisk(t *testing.T) {
 	whole := filepath.Join(t.TempDir(), "whole.db")
-	d, err := openDisk(t.Context(), whole, "f", boltfile.Wait{For: 1})
+	d, err := openDisk(t.Context(), whole, "f", boltfile.LockWait{Timeout: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 			t.Fatal(err)
 		}
 		if err := guarded(func() error {
-			d, err := openDisk(t.Context(), path, "f", boltfile.Wait{For: 1})
+			d, err := openDisk(t.Context(), path, "f", boltfile.LockWait{Timeout: 1})
 			if err == nil {
 				return d.close()
 			}
--- a/internal/lease/raftgroup/golden_test.go
+++ b/internal/lease/raftgroup/golden_test.go
@@ -89,7 +89,7 @@
 	hard := &pb.HardState{Term: proto.Uint64(3), Vote: proto.Uint64(77), Commit: proto.Uint64(2)}
 	entries := []*pb.Entry{{Term: proto.Uint64(2), Index: proto.Uint64(2), Data: []byte("first")}, {Term: proto.Uint64(3), Index: proto.Uint64(3), Data: []byte("second")}}
 	path := filepath.Join(t.TempDir(), "member.db")
-	d, err := openDisk(t.Context(), path, "bookings", boltfile.Wait{})
+	d, err := openDisk(t.Context(), path, "bookings", boltfile.LockWait{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 	if err := db.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if d, err = openDisk(t.Context(), old, "bookings", boltfile.Wait{}); err != nil {
+	if d, err = openDisk(t.Context(), old, "bookings", boltfile.LockWait{}); err != nil {
 		t.Fatal(err)
 	}
 	defer d.close()
--- a/internal/lease/raftgroup/member.go
+++ b/internal/lease/raftgroup/member.go
@@ -143,7 +143,7 @@
 		return nil, fmt.Errorf("%q is not one of the group's members", o.Name)
 	}
 	var d *disk
-	held := boltfile.Wait{Held: func(since time.Duration) {
+	held := boltfile.LockWait{OnWaiting: func(since time.Duration) {
 		o.Log.Warn("fleet: another process holds the group's file: waiting for it", "file", o.File, "since", since.Round(time.Millisecond).String())
 	}}
 	if err := guarded(func() (err error) { d, err = openDisk(ctx, o.File, o.Fleet, held); return err }); err != nil {
--- a/internal/measure/repeats.go
+++ b/internal/measure/repeats.go
@@ -151,14 +151,14 @@
 // repeatsFull fills a file with a million keys, and reads it back.
 func repeatsFull(out io.Writer, path string) error {
 	const n = 1_000_000
-	log, err := boltstore.Open(context.Background(), path, boltfile.Wait{For: time.Second})
+	log, err := boltstore.Open(context.Background(), path, boltfile.LockWait{Timeout: time.Second})
 	if err != nil {
 		return err
 	}
 	answer := &idempotency.Answer{Status: 200, Header: map[string][]string{"Content-Type": {"application/json"}}, Body: []byte(`{"data":"recorded"}`)}
 	records := make([]idempotency.Record, 0, n)
 	for i := range n {
-		records = append(records, idempotency.Record{ID: idempotency.ID{Tenant: "shop", Class: "record", Key: fmt.Sprintf("%032x", i*7919)}, Answer: answer, At: time.Hour})
+		records = append(records, idempotency.Record{ID: idempotency.ID{Tenant: "shop", Class: "record", Key: fmt.Sprintf("%032x", i*7919)}, Answer: answer, UpdatedAt: time.Hour})
 	}
 	begun := time.Now()
 	err = errors.Join(log.PutAll(records, time.Hour), log.Close())
@@ -175,19 +175,19 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	begun = time.Now()
-	if log, err = boltstore.Open(context.Background(), path, boltfile.Wait{For: time.Second}); err != nil {
+	if log, err = boltstore.Open(context.Background(), path, boltfile.LockWait{Timeout: time.Second}); err != nil {
 		return err
 	}
 	options := idempotency.Default()
-	options.Entries, options.Bytes, options.Part = 2*n, 2*units.GiB, 1
-	k, err := executor.New(executor.Options{Repeats: options, Window: func(string) time.Duration { return 6 * time.Second }, Clock: clock.New(), Journal: log})
+	options.MaxKeys, options.MaxBytes, options.TenantFraction = 2*n, 2*units.GiB, 1
+	k, err := executor.New(executor.Options{Limits: options, DedupWindow: func(string) time.Duration { return 6 * time.Second }, Clock: clock.New(), Records: log})
 	if err != nil {
 		return err
 	}
 	took := time.Since(begun)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	keys, bytes, _ := k.Held()
+	keys, bytes, _ := k.Stats()
 	k.Close()
 	fmt.Fprintf(out, "\n%d keys: written in %v, %.0f bytes of the file a key, read back in %v; %.0f bytes of memory a key, %.0f counted\n", keys, filled.Round(time.Millisecond),
 		float64(info.Size())/n, took.Round(time.Millisecond), float64(after.HeapAlloc-before.HeapAlloc)/n, float64(bytes)/n)
