--- a/cmd/orchiddrift/lease.go
+++ b/cmd/orchiddrift/lease.go
@@ -92,12 +92,12 @@
 	defer stop()
 	r := &leaseRun{again: c.Again, stop: stop}
 	r.Command = raftgroup.Command{Guard: []string{self, "lease", "--file", l.File, "guard"}, Name: c.Name, Argv: c.Argv, Margin: c.Margin,
-		Over: r.over, Told: func(text string) { fmt.Fprintln(os.Stderr, "orchiddrift: lease:", text) }}
+		OnExit: r.over, Log: func(text string) { fmt.Fprintln(os.Stderr, "orchiddrift: lease:", text) }}
 	if !c.Wait && !c.Again {
 		r.tries = 3
 	}
-	raftgroup.Keep(ctx, at, lease.HolderOptions{Name: c.Name, Client: raftgroup.NewClientID(), Term: c.Term, Wait: c.Wait || c.Again,
-		Drift: d.Drift, Margin: c.Margin, Retry: c.Term / 5}, r)
+	raftgroup.RunWhileHeld(ctx, at, lease.HolderOptions{Name: c.Name, Client: raftgroup.NewClientID(), Duration: c.Term, Wait: c.Wait || c.Again,
+		Drift: d.Drift, Margin: c.Margin, RetryInterval: c.Term / 5}, r)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.err.code != 0 {
@@ -126,26 +126,26 @@
 	r.stop()
 }
 
-func (r *leaseRun) over(code int, why lease.Why) {
+func (r *leaseRun) over(code int, why lease.Reason) {
 	switch {
 	case why == 0:
 		r.end(code, fmt.Errorf("the command ended with %d", code))
-	case why == lease.Left:
+	case why == lease.Released:
 	case r.again:
 	default:
 		r.end(exitLost, errors.New("the lease was lost, and its command was ended"))
 	}
 }
 
-// Turned is Task's.
-func (r *leaseRun) Turned(why lease.Why) {
-	r.Command.Turned(why)
+// Rejected is Task's.
+func (r *leaseRun) Rejected(why lease.Reason) {
+	r.Command.Rejected(why)
 	r.end(exitHeld, errors.New("the lease is held elsewhere, or there is no room for it"))
 }
 
-// Unreached is Task's.
-func (r *leaseRun) Unreached(err error) {
-	r.Command.Unreached(err)
+// Unreachable is Task's.
+func (r *leaseRun) Unreachable(err error) {
+	r.Command.Unreachable(err)
 	if r.tries > 0 {
 		if r.tries--; r.tries == 0 {
 			r.end(exitUnreached, err)
@@ -215,7 +215,7 @@
 	fmt.Fprintln(w, "NAME\tTOKEN\tLEFT\tTERM\tWAITING\tHOLDER")
 	for n, e := range i.Leases {
 		if want(e) {
-			fmt.Fprintf(w, "%s\t%d\t%v\t%v\t%d\t%s\n", e.Name, e.Token, time.Duration(i.Left[n])*time.Millisecond, e.Term, len(e.Waiters), e.Holder)
+			fmt.Fprintf(w, "%s\t%d\t%v\t%v\t%d\t%s\n", e.Name, e.Token, time.Duration(i.RemainingMs[n])*time.Millisecond, e.Duration, len(e.Waiters), e.Holder)
 		}
 	}
 	return w.Flush()
@@ -275,12 +275,12 @@
 		if !is {
 			continue
 		}
-		r, err := tasks.Read(i.Notes[name])
+		r, err := tasks.DecodeRecord(i.Notes[name])
 		if err != nil {
 			fmt.Fprintf(w, "%s\t%v\n", task, err)
 			continue
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\n", task, r.Due.Local().Format(time.RFC3339), r.Phase, r.Code, r.Tries, r.Token, r.By)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\n", task, r.Due.Local().Format(time.RFC3339), r.Phase, r.ExitCode, r.Attempts, r.Token, r.By)
 	}
 	return w.Flush()
 }
@@ -300,7 +300,7 @@
 	switch {
 	case err != nil:
 		return exit{exitUnreached, err}
-	case r.Verdict != lease.Done:
+	case r.Status != lease.Done:
 		return exit{exitLost, fmt.Errorf("nobody holds %q", c.Name)}
 	}
 	fmt.Printf("%s is revoked from %s: it goes to the next when that one has stopped, or its term is over\n", c.Name, r.Holder)
--- a/internal/daemon/course.go
+++ b/internal/daemon/course.go
@@ -22,7 +22,7 @@
 	over     atomic.Bool // what was unanswered has been failed, and nothing more is sent
 
 	mu        sync.Mutex
-	life      *lifecycle.Life
+	life      *lifecycle.Machine
 	abandoned bool
 	turned    chan struct{} // holds one: the state is another
 }
@@ -34,12 +34,12 @@
 }
 
 // turn changes the state.
-func (c *course) turn(by func(*lifecycle.Life, time.Duration) bool) bool {
+func (c *course) turn(by func(*lifecycle.Machine, time.Duration) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ok := by(c.life, c.clock.Now())
-	c.wanted.Store(c.life.Wanted())
-	c.last.Store(c.life.LastAnswers())
+	c.wanted.Store(c.life.Ready())
+	c.last.Store(c.life.CloseAfterAnswer())
 	c.stopping.Store(c.life.Ending())
 	select {
 	case c.turned <- struct{}{}:
@@ -48,11 +48,11 @@
 	return ok
 }
 
-func (c *course) drain() bool   { return c.turn((*lifecycle.Life).Drain) }
-func (c *course) undrain() bool { return c.turn((*lifecycle.Life).Undrain) }
+func (c *course) drain() bool   { return c.turn((*lifecycle.Machine).Drain) }
+func (c *course) undrain() bool { return c.turn((*lifecycle.Machine).Undrain) }
 
 func (c *course) stop(successor bool) {
-	c.turn(func(l *lifecycle.Life, now time.Duration) bool {
+	c.turn(func(l *lifecycle.Machine, now time.Duration) bool {
 		l.Stop(now, successor)
 		return true
 	})
@@ -60,7 +60,7 @@
 
 // abandon ends run at once.
 func (c *course) abandon() {
-	c.turn(func(*lifecycle.Life, time.Duration) bool {
+	c.turn(func(*lifecycle.Machine, time.Duration) bool {
 		c.abandoned = true
 		return true
 	})
@@ -91,7 +91,7 @@
 	for {
 		c.mu.Lock()
 		now := c.clock.Now()
-		rest, again, closing := c.life.Rest(now)
+		rest, again, closing := c.life.IdleTimeout(now)
 		accepts, ending, abandoned := c.life.Accepts(now), c.life.Ending(), c.abandoned
 		left, over := c.life.Abort(now)
 		c.mu.Unlock()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -143,7 +143,7 @@
 	if p.SeedDrawn {
 		d.log.Info("seed drawn", "seed", fmt.Sprintf("%016x", p.Seed))
 	}
-	d.succession = &succession{who: handover.Who{Name: p.Name, Listen: p.Listen}}
+	d.succession = &succession{who: handover.Identity{Name: p.Name, Listen: p.Listen}}
 	connections := connectionsOf(p.Limits)
 	if err := d.share(connections); err != nil {
 		return err
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -19,7 +19,7 @@
 
 // runTasks has the process take its part in the fleet's tasks. Requests never wait for any of it.
 func (d *daemon) runTasks(ctx context.Context, p *config.Plan, file string) error {
-	if p.File == nil || len(p.File.Tasks) == 0 || p.File.Fleet.Tasks == 0 {
+	if p.File == nil || len(p.File.Tasks) == 0 || p.File.Fleet.MaxTasks == 0 {
 		return nil
 	}
 	f := &p.File.Fleet
@@ -33,9 +33,9 @@
 	}
 	d.besides.Go(func() {
 		defer at.Close()
-		err := runner.Run(ctx, runner.Options{Name: p.Name, Tasks: p.File.Tasks, At: at, Drift: f.Drift, Guard: []string{self, "lease", "--file", file, "guard"},
-			Listen: func() string { return d.listening.Addr().String() }, Room: f.Tasks, Seed: p.Seed ^ xxhash.Sum64String("tasks"),
-			Drains: func() bool { return d.course.stopping.Load() || !d.course.wanted.Load() }, Now: time.Now, Log: d.log})
+		err := runner.Run(ctx, runner.Options{Name: p.Name, Tasks: p.File.Tasks, Leases: at, Drift: f.Drift, Guard: []string{self, "lease", "--file", file, "guard"},
+			Listen: func() string { return d.listening.Addr().String() }, MaxRuns: f.MaxTasks, Seed: p.Seed ^ xxhash.Sum64String("tasks"),
+			Draining: func() bool { return d.course.stopping.Load() || !d.course.wanted.Load() }, Now: time.Now, Log: d.log})
 		if err != nil {
 			d.log.Error("tasks: this process runs none", "reason", err)
 		}
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -20,7 +20,7 @@
 // succession is a process's place between the one before it and the one after it. Both exist for a while only: then the two share
 // the limits, and a drain of either is a drain of both. It is safe for concurrent use.
 type succession struct {
-	who handover.Who
+	who handover.Identity
 
 	mu          sync.Mutex
 	predecessor *handover.Link // nil: none runs any more
@@ -43,8 +43,8 @@
 	if p.Control == "" { // nobody could tell when this one serves
 		return nil, nil, nil
 	}
-	who := handover.Who{Name: p.Name, Listen: p.Listen}
-	state, listener, link, err := handover.Ask(handover.Path(folder, who), who)
+	who := handover.Identity{Name: p.Name, Listen: p.Listen}
+	state, listener, link, err := handover.Request(handover.SocketPath(folder, who), who)
 	switch {
 	case errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED):
 		return nil, nil, nil
@@ -71,8 +71,8 @@
 // recall gives the modules what the predecessor's had learnt, and the drain that it was in.
 func (d *daemon) recall(from *inherited) {
 	for name, s := range d.routing.Load().services {
-		if of := from.state.Services[name]; of.Learnt != nil {
-			s.engine.Restore(of.Learnt)
+		if of := from.state.Services[name]; of.Snapshot != nil {
+			s.engine.Restore(of.Snapshot)
 		}
 	}
 	if from.state.Draining {
@@ -82,9 +82,9 @@
 
 // state is what a successor gets.
 func (d *daemon) state() handover.State {
-	s := handover.State{Who: d.succession.who, Draining: d.course.state() == lifecycle.Draining, Held: d.held(), Services: map[string]handover.Service{}}
+	s := handover.State{Identity: d.succession.who, Draining: d.course.state() == lifecycle.Draining, Descriptors: d.held(), Services: map[string]handover.Service{}}
 	for name, one := range d.routing.Load().services {
-		of := handover.Service{Learnt: one.engine.Snapshot()}
+		of := handover.Service{Snapshot: one.engine.Snapshot()}
 		if d, list := one.followed(); d != "" {
 			of.Discovery, of.List = d, list
 		}
@@ -110,7 +110,7 @@
 func (d *daemon) succeed(ctx context.Context, from *inherited, folder string, clients net.Listener) {
 	if from != nil {
 		d.halveMemory()
-		d.keepBeside(from.state.Held)
+		d.keepBeside(from.state.Descriptors)
 		d.besides.Go(func() { d.hear(from.link, true) })
 		stop := context.AfterFunc(ctx, func() { from.link.Close() })
 		defer stop()
@@ -130,7 +130,7 @@
 	}
 	defer context.AfterFunc(ctx, d.succession.closeOffer)()
 	for ctx.Err() == nil {
-		offer, err := handover.Wait(handover.Path(folder, d.succession.who))
+		offer, err := handover.Listen(handover.SocketPath(folder, d.succession.who))
 		if err != nil {
 			d.log.Warn("hand-over: no successor can ask here; it will open the address beside this process", "reason", err)
 			d.succession.placed.Store(true)
@@ -155,7 +155,7 @@
 	for {
 		link, err := offer.Next(d.succession.who, clients, d.state)
 		switch {
-		case errors.Is(err, handover.ErrStranger):
+		case errors.Is(err, handover.ErrNoSuccessor):
 			d.log.Warn("hand-over", "reason", err)
 			continue
 		case err != nil:
@@ -201,7 +201,7 @@
 			break
 		}
 		switch k {
-		case handover.Room: // the first one answers Ready
+		case handover.DescriptorsHeld: // the first one answers Ready
 			if predecessor {
 				d.keepBeside(held)
 				n.placed.Store(true)
@@ -243,7 +243,7 @@
 }
 
 // tell has the other processes of this sidecar drain or serve too.
-func (n *succession) tell(k handover.Kind) {
+func (n *succession) tell(k handover.MessageKind) {
 	n.mu.Lock()
 	links := []*handover.Link{n.predecessor, n.successor}
 	n.mu.Unlock()
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -17,8 +17,8 @@
 // A Welcome's payload is read and written byte for byte as the release before did: old and new processes replace each other.
 func TestStateGolden(t *testing.T) {
 	index := int64(41)
-	who := Who{Name: "n3", Listen: "127.0.0.1:9000"}
-	want := State{Who: who, Draining: true, Held: 7, Services: map[string]Service{
+	who := Identity{Name: "n3", Listen: "127.0.0.1:9000"}
+	want := State{Identity: who, Draining: true, Descriptors: 7, Services: map[string]Service{
 		"platform": {
 			Discovery: "127.0.0.1:8500",
 			List: &endpoints.List{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{
@@ -26,7 +26,7 @@
 				{Name: "u2", Status: endpoints.StatusTerminating},
 				{Name: "u3", Status: endpoints.StatusGone},
 			}},
-			Learnt: &balancer.Snapshot{MeanLatency: 0.5, Upstreams: map[string]balancer.UpstreamSnapshot{"u1": {Estimate: 0.25, Ejections: 1, EjectedFor: time.Second}}},
+			Snapshot: &balancer.Snapshot{MeanLatency: 0.5, Upstreams: map[string]balancer.UpstreamSnapshot{"u1": {Estimate: 0.25, Ejections: 1, EjectedFor: time.Second}}},
 		},
 		"web": {},
 	}}
@@ -54,8 +54,8 @@
 	var out strings.Builder
 	for _, message := range []struct {
 		name string
-		kind Kind
-	}{{"hello", Hello}, {"welcome", Welcome}, {"ready", Ready}, {"drain", Drain}, {"undrain", Undrain}, {"room", Room}} {
+		kind MessageKind
+	}{{"hello", Hello}, {"welcome", Welcome}, {"ready", Ready}, {"drain", Drain}, {"undrain", Undrain}, {"room", DescriptorsHeld}} {
 		frame := Append(nil, message.kind, []byte("payload"))
 		fmt.Fprintf(&out, "%s %s\n", message.name, hex.EncodeToString(frame))
 		kind, payload, err := Read(strings.NewReader(string(frame)))
@@ -63,6 +63,6 @@
 			t.Errorf("%s: read %v %q, %v", message.name, kind, payload, err)
 		}
 	}
-	fmt.Fprintf(&out, "socket %s\n", Path("folder", Who{Name: "n3", Listen: "127.0.0.1:9000"}))
+	fmt.Fprintf(&out, "socket %s\n", SocketPath("folder", Identity{Name: "n3", Listen: "127.0.0.1:9000"}))
 	golden.Match(t, "frames.txt", []byte(out.String()))
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -24,7 +24,7 @@
 // Whatever is framed is read as it was, one after another; cut anywhere, it is not read at all; and no changed bit goes by.
 func TestFrames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		kind := Kind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind"))
+		kind := MessageKind(rapid.IntRange(1, int(kinds)-1).Draw(t, "kind"))
 		payload := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "payload")
 		one := Append(nil, kind, payload)
 		in := bytes.NewReader(Append(one, Ready, nil))
@@ -61,15 +61,15 @@
 		if again := Append(nil, k, payload); !bytes.Equal(again, b[:len(b)-in.Len()]) {
 			t.Errorf("%q is read as %q", b, again)
 		}
-		_, _ = Decode(payload, Who{}) // no bytes make it panic
+		_, _ = Decode(payload, Identity{}) // no bytes make it panic
 	})
 }
 
 func testState() State {
 	index := int64(41)
-	return State{Who: Who{"n1", "127.0.0.1:9000"}, Draining: true, Services: map[string]Service{"platform": {Discovery: "127.0.0.1:8500",
-		List:   &endpoints.List{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{{Name: "s", Address: "127.0.0.1:9", Status: "Ready"}}},
-		Learnt: &balancer.Snapshot{MeanLatency: 0.1, Upstreams: map[string]balancer.UpstreamSnapshot{"s": {Estimate: 0.2, Ejections: 1}}}}}}
+	return State{Identity: Identity{"n1", "127.0.0.1:9000"}, Draining: true, Services: map[string]Service{"platform": {Discovery: "127.0.0.1:8500",
+		List:     &endpoints.List{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{{Name: "s", Address: "127.0.0.1:9", Status: "Ready"}}},
+		Snapshot: &balancer.Snapshot{MeanLatency: 0.1, Upstreams: map[string]balancer.UpstreamSnapshot{"s": {Estimate: 0.2, Ejections: 1}}}}}}
 }
 
 // Guards against a state of another sidecar, and one that can't be used: it is turned down as a whole.
@@ -79,18 +79,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := Decode(text, s.Who)
+	got, err := Decode(text, s.Identity)
 	again, _ := json.Marshal(got)
 	if err != nil || string(again) != string(text) {
 		t.Errorf("%s, %v", again, err)
 	}
-	if _, err := Decode(text, Who{"n2", "127.0.0.1:9000"}); err == nil {
+	if _, err := Decode(text, Identity{"n2", "127.0.0.1:9000"}); err == nil {
 		t.Error("another sidecar's is taken")
 	}
 	for name, spoil := range map[string]func(*Service){
 		"a list without version": func(s *Service) { s.List.Index = nil },
 		"an address":             func(s *Service) { s.List.Endpoints[0].Address = "nowhere" },
-		"knowledge":              func(s *Service) { s.Learnt.MeanLatency = -1 },
+		"knowledge":              func(s *Service) { s.Snapshot.MeanLatency = -1 },
 	} {
 		s := testState()
 		one := s.Services["platform"]
@@ -100,7 +100,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Decode(text, s.Who); err == nil {
+		if _, err := Decode(text, s.Identity); err == nil {
 			t.Errorf("%s: it is taken", name)
 		}
 	}
@@ -111,26 +111,26 @@
 	s := testState()
 	one := s.Services["platform"]
 	for i := range 20000 {
-		one.Learnt.Upstreams[fmt.Sprintf("upstream-%d", i)] = balancer.UpstreamSnapshot{Estimate: 0.123456789, Age: time.Duration(i)}
+		one.Snapshot.Upstreams[fmt.Sprintf("upstream-%d", i)] = balancer.UpstreamSnapshot{Estimate: 0.123456789, Age: time.Duration(i)}
 	}
 	text, err := s.Encode()
 	if err != nil || len(text) > MaxPayload {
 		t.Fatalf("%d bytes, %v", len(text), err)
 	}
-	got, err := Decode(text, s.Who)
-	if err != nil || got.Services["platform"].List == nil || got.Services["platform"].Learnt != nil || !got.Draining {
+	got, err := Decode(text, s.Identity)
+	if err != nil || got.Services["platform"].List == nil || got.Services["platform"].Snapshot != nil || !got.Draining {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
 
 // offered starts a process that waits for successors.
-func offered(t *testing.T, path string, who Who) (net.Listener, <-chan *Link) {
+func offered(t *testing.T, path string, who Identity) (net.Listener, <-chan *Link) {
 	t.Helper()
 	clients, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, err := Wait(path)
+	o, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,8 +139,8 @@
 	go func() {
 		defer close(done)
 		for {
-			l, err := o.Next(who, clients, func() State { s := testState(); s.Who = who; return s })
-			if errors.Is(err, ErrStranger) {
+			l, err := o.Next(who, clients, func() State { s := testState(); s.Identity = who; return s })
+			if errors.Is(err, ErrNoSuccessor) {
 				continue
 			}
 			if err != nil {
@@ -160,9 +160,9 @@
 // The successor gets the socket itself: what waits in its queue when the old process has closed it is there for the new one. Guards
 // against requests that a replacement resets; the same queue behind SO_REUSEPORT is lost, which is counted beside it.
 func TestWhatWaitsInTheQueueIsNotLost(t *testing.T) {
-	path, who := filepath.Join(t.TempDir(), "a.sock"), Who{"n1", "127.0.0.1:0"}
+	path, who := filepath.Join(t.TempDir(), "a.sock"), Identity{"n1", "127.0.0.1:0"}
 	clients, links := offered(t, path, who)
-	state, listener, link, err := Ask(path, who)
+	state, listener, link, err := Request(path, who)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -228,21 +228,21 @@
 // Guards against leftovers and strangers that cost more than themselves: a path that a dead process left, another sidecar behind it, one
 // that says nothing or nonsense, and a predecessor that ends in the middle.
 func TestStrangersAndLeftovers(t *testing.T) {
-	dir, who := t.TempDir(), Who{"n1", "127.0.0.1:9"}
-	if _, _, _, err := Ask(filepath.Join(dir, "none.sock"), who); !errors.Is(err, os.ErrNotExist) {
+	dir, who := t.TempDir(), Identity{"n1", "127.0.0.1:9"}
+	if _, _, _, err := Request(filepath.Join(dir, "none.sock"), who); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("nobody there: %v", err)
 	}
 	left := filepath.Join(dir, "left.sock")
-	o, err := Wait(left)
+	o, err := Listen(left)
 	if err != nil {
 		t.Fatal(err)
 	}
 	o.Close()
-	if _, _, _, err := Ask(left, who); !errors.Is(err, syscall.ECONNREFUSED) {
+	if _, _, _, err := Request(left, who); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("a leftover: %v", err)
 	}
 	_, links := offered(t, left, who) // over the leftover
-	if _, _, _, err := Ask(left, Who{"n2", who.Listen}); err == nil {
+	if _, _, _, err := Request(left, Identity{"n2", who.Listen}); err == nil {
 		t.Error("another sidecar got the socket")
 	}
 	for _, nonsense := range []string{"", "GET / HTTP/1.1\r\n\r\n", string(Append(nil, Ready, nil)), string(Append(nil, Hello, []byte("{}")))} {
@@ -253,7 +253,7 @@
 		_, _ = io.WriteString(c, nonsense)
 		c.Close()
 	}
-	_, listener, link, err := Ask(left, who) // it still waits
+	_, listener, link, err := Request(left, who) // it still waits
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,7 +268,7 @@
 	if err := old.TellRoom(77); err != nil {
 		t.Error(err)
 	}
-	if k, held, err := link.Next(); err != nil || k != Room || held != 77 {
+	if k, held, err := link.Next(); err != nil || k != DescriptorsHeld || held != 77 {
 		t.Errorf("%v, %v, %v", k, held, err)
 	}
 	link.Close()
@@ -293,19 +293,19 @@
 			_, _ = io.WriteString(c, says)
 			c.Close()
 		}()
-		if _, _, _, err := Ask(broken, who); err == nil {
+		if _, _, _, err := Request(broken, who); err == nil {
 			t.Errorf("%s is taken", name)
 		}
 		l.Close()
 	}
-	if _, err := Wait(filepath.Join(dir, strings.Repeat("x", 120)+".sock")); err == nil {
+	if _, err := Listen(filepath.Join(dir, strings.Repeat("x", 120)+".sock")); err == nil {
 		t.Error("a path beyond what a socket's may have")
 	}
 }
 
-func mustEncode(t *testing.T, who Who) []byte {
+func mustEncode(t *testing.T, who Identity) []byte {
 	s := testState()
-	s.Who = who
+	s.Identity = who
 	text, err := s.Encode()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -20,8 +20,8 @@
 	maxPath  = 107         // bytes of a Unix socket's path, sockaddr_un
 )
 
-// Path is where a sidecar's process waits for a successor, in the folder that both share.
-func Path(folder string, w Who) string {
+// SocketPath is where a sidecar's process waits for a successor, in the folder that both share.
+func SocketPath(folder string, w Identity) string {
 	return filepath.Join(folder, fmt.Sprintf("orchiddrift-%016x.sock", xxhash.Sum64String(w.Name+"\x00"+w.Listen)))
 }
 
@@ -29,9 +29,9 @@
 type Link struct{ conn *net.UnixConn }
 
 // Tell sends a message without payload.
-func (l *Link) Tell(k Kind) error { return l.send(k, nil) }
+func (l *Link) Tell(k MessageKind) error { return l.send(k, nil) }
 
-func (l *Link) send(k Kind, payload []byte) error {
+func (l *Link) send(k MessageKind, payload []byte) error {
 	if err := l.conn.SetWriteDeadline(time.Now().Add(patience)); err != nil {
 		return err
 	}
@@ -41,18 +41,18 @@
 
 // TellRoom says how many descriptors this process holds yet.
 func (l *Link) TellRoom(held int) error {
-	return l.send(Room, binary.BigEndian.AppendUint32(nil, uint32(held)))
+	return l.send(DescriptorsHeld, binary.BigEndian.AppendUint32(nil, uint32(held)))
 }
 
 // Next waits for the next message; held is a Room's. Any error says that the other process has gone, or is a stranger.
-func (l *Link) Next() (k Kind, held int, err error) {
+func (l *Link) Next() (k MessageKind, held int, err error) {
 	k, payload, err := Read(l.conn)
 	switch {
 	case err != nil:
 		return 0, 0, err
-	case k == Room && len(payload) != 4:
-		return 0, 0, ErrForeign
-	case k == Room:
+	case k == DescriptorsHeld && len(payload) != 4:
+		return 0, 0, ErrProtocol
+	case k == DescriptorsHeld:
 		held = int(binary.BigEndian.Uint32(payload))
 	}
 	return k, held, nil
@@ -61,9 +61,9 @@
 // Close ends it.
 func (l *Link) Close() error { return l.conn.Close() }
 
-// Ask asks the process that waits at path for all that it has. Where there is none, nothing is passed on: os.ErrNotExist, or
+// Request asks the process that waits at path for all that it has. Where there is none, nothing is passed on: os.ErrNotExist, or
 // syscall.ECONNREFUSED where one has left its path behind.
-func Ask(path string, own Who) (State, net.Listener, *Link, error) {
+func Request(path string, own Identity) (State, net.Listener, *Link, error) {
 	fail := func(err error) (State, net.Listener, *Link, error) { return State{}, nil, nil, err }
 	if len(path) > maxPath {
 		return fail(fmt.Errorf("%s is too long for a socket", path))
@@ -81,7 +81,7 @@
 	return state, listener, l, nil
 }
 
-func (l *Link) ask(own Who) (State, net.Listener, error) {
+func (l *Link) ask(own Identity) (State, net.Listener, error) {
 	if err := sameUser(l.conn); err != nil {
 		return State{}, nil, err
 	}
@@ -99,7 +99,7 @@
 	defer in.drop()
 	k, payload, err := Read(in)
 	if err == nil && k != Welcome {
-		err = ErrForeign
+		err = ErrProtocol
 	}
 	if err != nil {
 		return State{}, nil, err
@@ -184,8 +184,8 @@
 	path string
 }
 
-// Wait takes the path, also from a process that has it now: that one's successor asks here from then on.
-func Wait(path string) (*Offer, error) {
+// Listen takes the path, also from a process that has it now: that one's successor asks here from then on.
+func Listen(path string) (*Offer, error) {
 	if len(path)+len(".new") > maxPath {
 		return nil, fmt.Errorf("%s is too long for a socket", path)
 	}
@@ -205,8 +205,8 @@
 }
 
 // Next waits for a successor, gives it what state and clients bring, and returns the link to it. An error of one that is none or
-// breaks off is errors.Is(err, ErrStranger); any other ends the offer.
-func (o *Offer) Next(own Who, clients net.Listener, state func() State) (*Link, error) {
+// breaks off is errors.Is(err, ErrNoSuccessor); any other ends the offer.
+func (o *Offer) Next(own Identity, clients net.Listener, state func() State) (*Link, error) {
 	conn, err := o.l.AcceptUnix()
 	if err != nil {
 		return nil, err
@@ -214,15 +214,15 @@
 	l := &Link{conn}
 	if err := l.welcome(own, clients, state); err != nil {
 		l.Close()
-		return nil, fmt.Errorf("%w: %w", ErrStranger, err)
+		return nil, fmt.Errorf("%w: %w", ErrNoSuccessor, err)
 	}
 	return l, nil
 }
 
-// ErrStranger says that what came is no successor, or did not get through.
-var ErrStranger = errors.New("no successor")
+// ErrNoSuccessor says that what came is no successor, or did not get through.
+var ErrNoSuccessor = errors.New("no successor")
 
-func (l *Link) welcome(own Who, clients net.Listener, state func() State) error {
+func (l *Link) welcome(own Identity, clients net.Listener, state func() State) error {
 	if err := errors.Join(sameUser(l.conn), l.conn.SetDeadline(time.Now().Add(patience))); err != nil {
 		return err
 	}
@@ -230,9 +230,9 @@
 	if err != nil {
 		return err
 	}
-	var who Who
+	var who Identity
 	if err := json.Unmarshal(payload, &who); err != nil || k != Hello || who != own {
-		return ErrForeign
+		return ErrProtocol
 	}
 	text, err := state().Encode()
 	if err != nil {
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -9,30 +9,30 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// Who names a sidecar: successor and predecessor are of one.
-type Who struct {
+// Identity names a sidecar: successor and predecessor are of one.
+type Identity struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
 }
 
 // State is what a process has to pass on.
 type State struct {
-	Who
-	Draining bool               `json:"draining"`
-	Held     int                `json:"held"` // descriptors
-	Services map[string]Service `json:"services"`
+	Identity
+	Draining    bool               `json:"draining"`
+	Descriptors int                `json:"held"` // descriptors
+	Services    map[string]Service `json:"services"`
 }
 
 // Service is a service's part of it. A list counts only where it is still followed at the same address: its index is that one's.
 type Service struct {
 	Discovery string             `json:"discovery,omitempty"`
 	List      *endpoints.List    `json:"list,omitempty"`
-	Learnt    *balancer.Snapshot `json:"learnt,omitempty"`
+	Snapshot  *balancer.Snapshot `json:"learnt,omitempty"`
 }
 
 // Encode is a State as a Welcome's payload. Where it is too large, what was learnt stays behind, and then the lists.
 func (s State) Encode() ([]byte, error) {
-	for _, without := range []func(*Service){func(*Service) {}, func(s *Service) { s.Learnt = nil }, func(s *Service) { s.List = nil }} {
+	for _, without := range []func(*Service){func(*Service) {}, func(s *Service) { s.Snapshot = nil }, func(s *Service) { s.List = nil }} {
 		part := make(map[string]Service, len(s.Services))
 		for name, one := range s.Services {
 			without(&one)
@@ -48,15 +48,15 @@
 }
 
 // Decode reads a Welcome's payload, and turns down what is not this sidecar's or can't be used.
-func Decode(payload []byte, own Who) (State, error) {
+func Decode(payload []byte, own Identity) (State, error) {
 	var s State
 	if err := json.Unmarshal(payload, &s); err != nil {
 		return State{}, fmt.Errorf("what was passed on can't be read: %w", err)
 	}
-	if s.Held < 0 {
-		return State{}, fmt.Errorf("%d descriptors are held", s.Held)
+	if s.Descriptors < 0 {
+		return State{}, fmt.Errorf("%d descriptors are held", s.Descriptors)
 	}
-	if s.Who != own {
+	if s.Identity != own {
 		return State{}, fmt.Errorf("it is of %q at %s", s.Name, s.Listen)
 	}
 	for name, one := range s.Services {
@@ -69,8 +69,8 @@
 				return State{}, fmt.Errorf("service %s: its list: %w", name, err)
 			}
 		}
-		if one.Learnt != nil {
-			if err := one.Learnt.Validate(); err != nil {
+		if one.Snapshot != nil {
+			if err := one.Snapshot.Validate(); err != nil {
 				return State{}, fmt.Errorf("service %s: what was learnt: %w", name, err)
 			}
 		}
--- a/internal/lease/declaration.go
+++ b/internal/lease/declaration.go
@@ -9,18 +9,18 @@
 
 // Declaration is the operator's file's part on the fleet that a process belongs to.
 type Declaration struct {
-	Name     string         `toml:"name" reload:"start" sample:"\"bookings\"" doc:"The fleet's name: who is of another one is turned away. Absent: there is no fleet, and no leases."`
-	Member   string         `toml:"member" reload:"start" sample:"\"a\"" doc:"Which of the group's members this process is. Absent: none, it asks them."`
-	Listen   string         `toml:"listen" reload:"start" sample:"\"127.0.0.1:7001\"" doc:"Where a member listens for the others and for clients: loopback only. Absent: at its address below."`
-	File     string         `toml:"file" reload:"start" sample:"\"/var/lib/orchiddrift/fleet.db\"" doc:"A member's disk. One whose file is lost comes back as a new member."`
-	Members  []MemberOf     `toml:"members" doc:"The group that keeps the record of leases: three or five, the same in every process."`
-	Tick     units.Duration `toml:"tick" default:"50ms" reload:"start" doc:"Between two heartbeats of the group's leader. One that is silent for ten of them is replaced."`
-	Shortest units.Duration `toml:"shortest" default:"1s" reload:"start" doc:"A lease's term is no shorter."`
-	Longest  units.Duration `toml:"longest" default:"5m" reload:"start" doc:"And no longer."`
-	Drift    float64        `toml:"drift" default:"0.01" reload:"start" doc:"How far the rate of any process's clock is from true time at most, as a part."`
-	Names    int            `toml:"names" default:"10000" reload:"start" doc:"Leases held at once, at most: a new name is refused then."`
-	Tasks    int            `toml:"tasks" default:"2" reload:"start" doc:"Runs of [[task]] that this process takes at once, at most; 0: none."`
-	Waiters  int            `toml:"waiters" default:"1000" reload:"start" doc:"Processes that wait for one lease, at most."`
+	Name        string         `toml:"name" reload:"start" sample:"\"bookings\"" doc:"The fleet's name: who is of another one is turned away. Absent: there is no fleet, and no leases."`
+	Member      string         `toml:"member" reload:"start" sample:"\"a\"" doc:"Which of the group's members this process is. Absent: none, it asks them."`
+	Listen      string         `toml:"listen" reload:"start" sample:"\"127.0.0.1:7001\"" doc:"Where a member listens for the others and for clients: loopback only. Absent: at its address below."`
+	File        string         `toml:"file" reload:"start" sample:"\"/var/lib/orchiddrift/fleet.db\"" doc:"A member's disk. One whose file is lost comes back as a new member."`
+	Members     []MemberOf     `toml:"members" doc:"The group that keeps the record of leases: three or five, the same in every process."`
+	Tick        units.Duration `toml:"tick" default:"50ms" reload:"start" doc:"Between two heartbeats of the group's leader. One that is silent for ten of them is replaced."`
+	MinDuration units.Duration `toml:"shortest" default:"1s" reload:"start" doc:"A lease's term is no shorter."`
+	MaxDuration units.Duration `toml:"longest" default:"5m" reload:"start" doc:"And no longer."`
+	Drift       float64        `toml:"drift" default:"0.01" reload:"start" doc:"How far the rate of any process's clock is from true time at most, as a part."`
+	MaxNames    int            `toml:"names" default:"10000" reload:"start" doc:"Leases held at once, at most: a new name is refused then."`
+	MaxTasks    int            `toml:"tasks" default:"2" reload:"start" doc:"Runs of [[task]] that this process takes at once, at most; 0: none."`
+	MaxWaiters  int            `toml:"waiters" default:"1000" reload:"start" doc:"Processes that wait for one lease, at most."`
 }
 
 // MemberOf is one of the group's members.
@@ -34,7 +34,7 @@
 
 // Limits are the record's.
 func (d *Declaration) Limits() Limits {
-	return Limits{Names: d.Names, Waiters: d.Waiters, NameBytes: maxName, Shortest: d.Shortest.D(), Longest: d.Longest.D()}
+	return Limits{MaxNames: d.MaxNames, MaxWaiters: d.MaxWaiters, MaxNameBytes: maxName, MinDuration: d.MinDuration.D(), MaxDuration: d.MaxDuration.D()}
 }
 
 // maxName bounds names of leases and clients, in bytes.
@@ -76,17 +76,17 @@
 	if d.Tick.D() < 5*time.Millisecond || d.Tick.D() > 10*time.Second {
 		report("tick", "%v is not from 5ms to 10s", d.Tick)
 	}
-	if d.Shortest <= 0 || d.Longest < d.Shortest {
-		report("shortest", "terms from %v to %v", d.Shortest, d.Longest)
+	if d.MinDuration <= 0 || d.MaxDuration < d.MinDuration {
+		report("shortest", "terms from %v to %v", d.MinDuration, d.MaxDuration)
 	}
 	if !(d.Drift >= 0 && d.Drift <= 0.2) {
 		report("drift", "%v is not from 0 to 0.2", d.Drift)
 	}
-	if d.Tasks < 0 || d.Tasks > 1000 {
-		report("tasks", "%d is not from 0 to 1000", d.Tasks)
+	if d.MaxTasks < 0 || d.MaxTasks > 1000 {
+		report("tasks", "%d is not from 0 to 1000", d.MaxTasks)
 	}
-	if d.Names < 1 || d.Names > 1_000_000 || d.Waiters < 1 || d.Waiters > 100_000 {
-		report("names", "%d names with %d waiters each", d.Names, d.Waiters)
+	if d.MaxNames < 1 || d.MaxNames > 1_000_000 || d.MaxWaiters < 1 || d.MaxWaiters > 100_000 {
+		report("names", "%d names with %d waiters each", d.MaxNames, d.MaxWaiters)
 	}
 }
 
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -44,19 +44,19 @@
 // Asks stand in the group's log, entries in its snapshots, and replies go between releases: they are read and written byte for byte as the
 // release before did, their kinds by the same numbers.
 func TestRecordsGolden(t *testing.T) {
-	var asks []Ask
-	for _, kind := range []Kind{Acquire, Renew, Release, HandOn, Revoke, Expire, Drop, Note, Look} {
-		asks = append(asks, Ask{Kind: kind, Name: "report", Client: "c1", Seq: 2, Nr: 3, Token: 4, Term: 5 * time.Second, Wait: true, To: "c2", Value: "text"})
+	var asks []Request
+	for _, kind := range []RequestKind{Acquire, Renew, Release, Transfer, Revoke, Expire, RemoveWaiter, WriteNote, ReadNote} {
+		asks = append(asks, Request{Kind: kind, Name: "report", Client: "c1", Sequence: 2, SendNumber: 3, Token: 4, Duration: 5 * time.Second, Wait: true, To: "c2", Value: "text"})
 	}
-	goldenLines(t, "asks.jsonl", append(asks, Ask{Kind: Acquire}))
+	goldenLines(t, "asks.jsonl", append(asks, Request{Kind: Acquire}))
 	var replies []Reply
-	for _, verdict := range []Verdict{Granted, Waiting, Held, Full, Lost, Done} {
-		replies = append(replies, Reply{Verdict: verdict, Client: "c1", Name: "report", Seq: 2, Nr: 3, Token: 4, Term: 5 * time.Second, Place: 6, Holder: "c0", Value: "text"})
+	for _, verdict := range []Status{Granted, Waiting, HeldByOther, TableFull, NotHeld, Done} {
+		replies = append(replies, Reply{Status: verdict, Client: "c1", Name: "report", Sequence: 2, SendNumber: 3, Token: 4, Duration: 5 * time.Second, Position: 6, Holder: "c0", Value: "text"})
 	}
 	goldenLines(t, "replies.jsonl", append(replies, Reply{}))
 	goldenLines(t, "entries.jsonl", []Entry{
-		{Name: "report", Holder: "c1", Seq: 2, Token: 4, Term: 5 * time.Second, Revoked: true, Heir: true,
-			Waiters: []Waiter{{Client: "c2", Seq: 1, Term: time.Second}, {Client: "c3"}}},
+		{Name: "report", Holder: "c1", Sequence: 2, Token: 4, Duration: 5 * time.Second, Revoked: true, TransferPending: true,
+			Waiters: []Waiter{{Client: "c2", Sequence: 1, Duration: time.Second}, {Client: "c3"}}},
 		{Name: "free"},
 	})
 }
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -4,13 +4,13 @@
 
 // HolderOptions are a Holder's parameters.
 type HolderOptions struct {
-	Name   string
-	Client string        // one life of one process
-	Term   time.Duration // asked for
-	Wait   bool          // in the queue
-	Drift  float64       // how far a clock's rate is from true time at most, as a part
-	Margin time.Duration // what an act takes to end once it is told to
-	Retry  time.Duration // between two asks of which none was answered, or that were turned away
+	Name          string
+	Client        string        // one life of one process
+	Duration      time.Duration // asked for
+	Wait          bool          // in the queue
+	Drift         float64       // how far a clock's rate is from true time at most, as a part
+	Margin        time.Duration // what an act takes to end once it is told to
+	RetryInterval time.Duration // between two asks of which none was answered, or that were turned away
 }
 
 // renewPart is the part of a term after which the next is asked for: two more asks fit in before it is over.
@@ -26,35 +26,35 @@
 	stopping              // it may not act any more, and what it did has not ended yet
 )
 
-// Act is what a Holder wants done.
-type Act struct {
-	Do    Deed
-	Ask   Ask           // Send
-	Token Token         // Begin, End
-	Until time.Duration // Begin: not a moment later, unless a later look at May says otherwise
-	Why   Why           // End, Turned
+// Action is what a Holder wants done.
+type Action struct {
+	Kind    ActionKind
+	Request Request       // Send
+	Token   Token         // Begin, End
+	Until   time.Duration // Begin: not a moment later, unless a later look at May says otherwise
+	Reason  Reason        // End, Turned
 }
 
-// Deed is the kind of an Act.
-type Deed uint8
+// ActionKind is the kind of an Act.
+type ActionKind uint8
 
 const (
-	Send   Deed = iota + 1 // an Ask to the record; it may be lost
-	Begin                  // it holds the lease: the act may begin
-	End                    // the act has to end, within Margin; Stopped is to say when it has
-	Turned                 // the ask was turned away; where the Holder waits it asks again
+	Send     ActionKind = iota + 1 // an Ask to the record; it may be lost
+	Begin                          // it holds the lease: the act may begin
+	End                            // the act has to end, within Margin; Stopped is to say when it has
+	Rejected                       // the ask was turned away; where the Holder waits it asks again
 )
 
-// Why says why an act ends, or an ask was turned away.
-type Why uint8
+// Reason says why an act ends, or an ask was turned away.
+type Reason uint8
 
 const (
-	Left    Why = iota + 1 // by the holder's own wish
-	Over                   // the term is over, and nobody has said that there is another one
-	Taken                  // the record says that it is not held any more
-	Another                // the record has granted it anew, under another token
-	Busy                   // somebody else holds it
-	NoRoom                 // the record is full
+	Released   Reason = iota + 1 // by the holder's own wish
+	Expired                      // the term is over, and nobody has said that there is another one
+	Revoked                      // the record says that it is not held any more
+	Replaced                     // the record has granted it anew, under another token
+	Busy                         // somebody else holds it
+	NoCapacity                   // the record is full
 )
 
 // Holder is the side that wants a lease. It is for one goroutine; time is that of a clock that goes on while the machine sleeps.
@@ -79,8 +79,8 @@
 // NewHolder returns one that wants nothing yet.
 func NewHolder(o HolderOptions) *Holder { return &Holder{o: o, sent: map[uint64]time.Duration{}} }
 
-// Want has it ask for the lease until Leave.
-func (h *Holder) Want(now time.Duration) []Act {
+// Acquire has it ask for the lease until Leave.
+func (h *Holder) Acquire(now time.Duration) []Action {
 	if h.wants {
 		return nil
 	}
@@ -92,52 +92,52 @@
 }
 
 // begin asks anew.
-func (h *Holder) begin(now time.Duration) []Act {
+func (h *Holder) begin(now time.Duration) []Action {
 	h.phase = asking
 	h.seq++
 	clear(h.sent)
 	return h.ask(now, Acquire)
 }
 
-func (h *Holder) ask(now time.Duration, kind Kind) []Act {
+func (h *Holder) ask(now time.Duration, kind RequestKind) []Action {
 	h.nr++
 	h.sent[h.nr] = now
 	delete(h.sent, h.nr-sentMost)
-	h.next = now + h.o.Retry
-	a := Ask{Kind: kind, Name: h.o.Name, Client: h.o.Client, Seq: h.seq, Nr: h.nr, Term: h.o.Term, Wait: h.o.Wait}
+	h.next = now + h.o.RetryInterval
+	a := Request{Kind: kind, Name: h.o.Name, Client: h.o.Client, Sequence: h.seq, SendNumber: h.nr, Duration: h.o.Duration, Wait: h.o.Wait}
 	if kind != Acquire {
 		a.Token = h.token
 	}
-	return []Act{{Do: Send, Ask: a}}
+	return []Action{{Kind: Send, Request: a}}
 }
 
-// Leave has it give the lease back, once the act has ended; to a client that is to have it next, or to whoever waits longest.
-func (h *Holder) Leave(now time.Duration, to string) []Act {
+// Release has it give the lease back, once the act has ended; to a client that is to have it next, or to whoever waits longest.
+func (h *Holder) Release(now time.Duration, to string) []Action {
 	h.wants, h.to = false, to
 	switch h.phase {
 	case asking: // it may have been granted meanwhile: what comes of it is given back as it comes
 		h.phase = idle
-		return []Act{{Do: Send, Ask: Ask{Kind: Drop, Name: h.o.Name, Client: h.o.Client, Seq: h.seq}}}
+		return []Action{{Kind: Send, Request: Request{Kind: RemoveWaiter, Name: h.o.Name, Client: h.o.Client, Sequence: h.seq}}}
 	case holding:
-		return h.end(Left)
+		return h.end(Released)
 	}
 	return nil
 }
 
-func (h *Holder) end(why Why) []Act {
+func (h *Holder) end(why Reason) []Action {
 	h.phase = stopping
-	return []Act{{Do: End, Token: h.token, Why: why}}
+	return []Action{{Kind: End, Token: h.token, Reason: why}}
 }
 
 // Stopped says that the act has ended. Only then is the lease given back, and asked for anew where it is still wanted.
-func (h *Holder) Stopped(now time.Duration) []Act {
+func (h *Holder) Stopped(now time.Duration) []Action {
 	if h.phase != stopping {
 		return nil
 	}
 	h.phase = idle
-	out := []Act{{Do: Send, Ask: Ask{Kind: Release, Name: h.o.Name, Client: h.o.Client, Seq: h.seq, Token: h.token}}}
+	out := []Action{{Kind: Send, Request: Request{Kind: Release, Name: h.o.Name, Client: h.o.Client, Sequence: h.seq, Token: h.token}}}
 	if h.to != "" {
-		out[0].Ask.Kind, out[0].Ask.To = HandOn, h.to
+		out[0].Request.Kind, out[0].Request.To = Transfer, h.to
 	}
 	if h.wants {
 		out = append(out, h.begin(now)...)
@@ -145,40 +145,40 @@
 	return out
 }
 
-// Heard takes the record's word, which may be late, or come twice.
-func (h *Holder) Heard(now time.Duration, r Reply) []Act {
+// HandleReply takes the record's word, which may be late, or come twice.
+func (h *Holder) HandleReply(now time.Duration, r Reply) []Action {
 	if h.phase == holding && now >= h.until { // its own word comes first: whoever looks after the act has ended it by now
-		return h.end(Over)
+		return h.end(Expired)
 	}
-	sent, known := h.sent[r.Nr]
-	if r.Verdict == Granted && (r.Seq != h.seq || h.phase == idle) { // nobody wants it any more
-		if r.Token <= h.token && r.Seq >= h.seq {
+	sent, known := h.sent[r.SendNumber]
+	if r.Status == Granted && (r.Sequence != h.seq || h.phase == idle) { // nobody wants it any more
+		if r.Token <= h.token && r.Sequence >= h.seq {
 			return nil // it was held, and has been given back
 		}
-		return []Act{{Do: Send, Ask: Ask{Kind: Release, Name: h.o.Name, Client: h.o.Client, Seq: r.Seq, Token: r.Token}}}
+		return []Action{{Kind: Send, Request: Request{Kind: Release, Name: h.o.Name, Client: h.o.Client, Sequence: r.Sequence, Token: r.Token}}}
 	}
-	if r.Seq != h.seq || !known {
+	if r.Sequence != h.seq || !known {
 		return nil
 	}
-	switch r.Verdict {
+	switch r.Status {
 	case Granted:
 		return h.grant(now, sent, r)
-	case Waiting, Held, Full:
+	case Waiting, HeldByOther, TableFull:
 		if h.phase != asking {
 			return nil
 		}
-		if r.Verdict != Waiting { // who waits goes on asking in the rhythm of its asks: the record may hold an answer back
-			h.next = now + h.o.Retry
+		if r.Status != Waiting { // who waits goes on asking in the rhythm of its asks: the record may hold an answer back
+			h.next = now + h.o.RetryInterval
 		}
-		switch r.Verdict {
-		case Held:
-			return []Act{{Do: Turned, Why: Busy}}
-		case Full:
-			return []Act{{Do: Turned, Why: NoRoom}}
+		switch r.Status {
+		case HeldByOther:
+			return []Action{{Kind: Rejected, Reason: Busy}}
+		case TableFull:
+			return []Action{{Kind: Rejected, Reason: NoCapacity}}
 		}
-	case Lost:
+	case NotHeld:
 		if h.phase == holding && sent >= h.granted { // asked on the grant that it acts on
-			return h.end(Taken)
+			return h.end(Revoked)
 		}
 		if h.phase == asking { // of a wish that the record has behind it
 			return h.begin(now)
@@ -187,31 +187,31 @@
 	return nil
 }
 
-func (h *Holder) grant(now, sent time.Duration, r Reply) []Act {
-	until := sent + r.Term - time.Duration(float64(r.Term)*h.o.Drift) - h.o.Margin
+func (h *Holder) grant(now, sent time.Duration, r Reply) []Action {
+	until := sent + r.Duration - time.Duration(float64(r.Duration)*h.o.Drift) - h.o.Margin
 	switch {
 	case r.Token < h.token: // from before
 		return nil
 	case h.phase == asking && until > now:
-		h.phase, h.token, h.until, h.granted, h.term = holding, r.Token, until, sent, r.Term
-		h.next = sent + r.Term/renewPart
-		return []Act{{Do: Begin, Token: h.token, Until: h.until}}
+		h.phase, h.token, h.until, h.granted, h.term = holding, r.Token, until, sent, r.Duration
+		h.next = sent + r.Duration/renewPart
+		return []Action{{Kind: Begin, Token: h.token, Until: h.until}}
 	case h.phase == holding && r.Token == h.token:
 		if until > h.until {
-			h.until, h.granted, h.term = until, sent, r.Term
-			h.next = sent + r.Term/renewPart
+			h.until, h.granted, h.term = until, sent, r.Duration
+			h.next = sent + r.Duration/renewPart
 		}
 	case h.phase == holding:
-		return h.end(Another)
+		return h.end(Replaced)
 	}
 	return nil // it comes too late to be of use: the next ask brings another term
 }
 
 // Tick lets time go by.
-func (h *Holder) Tick(now time.Duration) []Act {
+func (h *Holder) Tick(now time.Duration) []Action {
 	switch {
 	case h.phase == holding && now >= h.until:
-		return h.end(Over)
+		return h.end(Expired)
 	case h.phase == holding && now >= h.next:
 		return h.ask(now, Renew)
 	case h.phase == asking && now >= h.next:
@@ -231,8 +231,8 @@
 	return 0, false
 }
 
-// May tells whether it may act now, under which token, and until when.
-func (h *Holder) May(now time.Duration) (token Token, until time.Duration, ok bool) {
+// Held tells whether it may act now, under which token, and until when.
+func (h *Holder) Held(now time.Duration) (token Token, until time.Duration, ok bool) {
 	if h.phase != holding || now >= h.until {
 		return 0, 0, false
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -16,61 +16,61 @@
 // Token numbers grants: of one name, and of all names of a record, a later grant has a higher one. 0 is none.
 type Token uint64
 
-// Kind says what an Ask wants.
-type Kind uint8
+// RequestKind says what an Ask wants.
+type RequestKind uint8
 
 const (
-	Acquire Kind = iota + 1 // the lease, or a place in its queue; said again it keeps either alive
-	Renew                   // another term for the Token
-	Release                 // the holder has stopped acting
-	HandOn                  // the same, and To is to have it next
-	Revoke                  // an operator's word: the holder gets no other term
-	Expire                  // the leader's word: the Token's term is over
-	Drop                    // the leader's word: a waiter has not been heard of
-	Note                    // Value is to be kept with the name, also when nobody holds it; only the holder of Token may
-	Look                    // the same without a change: what is kept
+	Acquire      RequestKind = iota + 1 // the lease, or a place in its queue; said again it keeps either alive
+	Renew                               // another term for the Token
+	Release                             // the holder has stopped acting
+	Transfer                            // the same, and To is to have it next
+	Revoke                              // an operator's word: the holder gets no other term
+	Expire                              // the leader's word: the Token's term is over
+	RemoveWaiter                        // the leader's word: a waiter has not been heard of
+	WriteNote                           // Value is to be kept with the name, also when nobody holds it; only the holder of Token may
+	ReadNote                            // the same without a change: what is kept
 )
 
-// Ask is what the record is told. Acquire, Renew and Release may come late, twice or never.
-type Ask struct {
-	Kind   Kind          `json:"Kind"`
-	Name   string        `json:"Name"`
-	Client string        `json:"Client"` // one life of one process: never used again
-	Seq    uint64        `json:"Seq"`    // of the client's wish: it rises with each time that it begins to want the lease
-	Nr     uint64        `json:"Nr"`     // of the send
-	Token  Token         `json:"Token"`  // which grant is meant
-	Term   time.Duration `json:"Term"`   // Acquire: how long a term is to be
-	Wait   bool          `json:"Wait"`   // Acquire: in the queue if it is held
-	To     string        `json:"To"`     // HandOn: a client
-	Value  string        `json:"Value"`  // Note: at most NoteBytes; "": nothing is kept any more
+// Request is what the record is told. Acquire, Renew and Release may come late, twice or never.
+type Request struct {
+	Kind       RequestKind   `json:"Kind"`
+	Name       string        `json:"Name"`
+	Client     string        `json:"Client"` // one life of one process: never used again
+	Sequence   uint64        `json:"Seq"`    // of the client's wish: it rises with each time that it begins to want the lease
+	SendNumber uint64        `json:"Nr"`     // of the send
+	Token      Token         `json:"Token"`  // which grant is meant
+	Duration   time.Duration `json:"Term"`   // Acquire: how long a term is to be
+	Wait       bool          `json:"Wait"`   // Acquire: in the queue if it is held
+	To         string        `json:"To"`     // Transfer: a client
+	Value      string        `json:"Value"`  // Note: at most MaxNoteBytes; "": nothing is kept any more
 }
 
-// Verdict is how an Ask ended.
-type Verdict uint8
+// Status is how an Ask ended.
+type Status uint8
 
 const (
-	Granted Verdict = iota + 1 // it holds Token for Term, counted from the send of the ask
-	Waiting                    // it stands in the queue, at Place
-	Held                       // somebody else holds it, and the ask would not wait
-	Full                       // no room for another name, or for another waiter
-	Lost                       // what the ask is about is no longer so
-	Done                       // of Release, HandOn, Revoke, Note and Look
+	Granted     Status = iota + 1 // it holds Token for Term, counted from the send of the ask
+	Waiting                       // it stands in the queue, at Place
+	HeldByOther                   // somebody else holds it, and the ask would not wait
+	TableFull                     // no room for another name, or for another waiter
+	NotHeld                       // what the ask is about is no longer so
+	Done                          // of Release, Transfer, Revoke, Note and Look
 )
 
 // Reply is what an Ask comes to. Client, Name, Seq and Nr are the ask's.
 type Reply struct {
-	Verdict Verdict       `json:"Verdict"`
-	Client  string        `json:"Client"`
-	Name    string        `json:"Name"`
-	Seq     uint64        `json:"Seq"`
-	Nr      uint64        `json:"Nr"`
-	Token   Token         `json:"Token"`
-	Term    time.Duration `json:"Term"`
-	Place   int           `json:"Place"`
-	Holder  string        `json:"Holder"`
-	Value   string        `json:"Value"` // of Note and Look: what is kept with the name
+	Status     Status        `json:"Verdict"`
+	Client     string        `json:"Client"`
+	Name       string        `json:"Name"`
+	Sequence   uint64        `json:"Seq"`
+	SendNumber uint64        `json:"Nr"`
+	Token      Token         `json:"Token"`
+	Duration   time.Duration `json:"Term"`
+	Position   int           `json:"Place"`
+	Holder     string        `json:"Holder"`
+	Value      string        `json:"Value"` // of Note and Look: what is kept with the name
 }
 
-func (a *Ask) reply(v Verdict) Reply {
-	return Reply{Verdict: v, Client: a.Client, Name: a.Name, Seq: a.Seq, Nr: a.Nr}
+func (a *Request) reply(v Status) Reply {
+	return Reply{Status: v, Client: a.Client, Name: a.Name, Sequence: a.Sequence, SendNumber: a.SendNumber}
 }
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -37,7 +37,7 @@
 }
 
 type message struct {
-	ask   Ask
+	ask   Request
 	reply Reply
 	to    int // a holder; below 0: the record
 }
@@ -49,26 +49,26 @@
 	quanta  int
 	spent   int // mishaps
 	table   *Table
-	terms   *Terms
+	terms   *Expirations
 	holders []*Holder // by holder and name
 	wished  []uint64
 	flying  []message
-	log     []Ask // proposed, and not applied
+	log     []Request // proposed, and not applied
 }
 
 func (w *world) at(h int) time.Duration { return w.clock[h/w.b.names] }
 
 func newWorld(b *modelBounds) *world {
 	w := &world{b: b, clock: make([]time.Duration, b.holders), table: NewTable(Limits{4, 4, 100, 1, 1 << 20})}
-	w.terms = NewTerms(0, w.table, edge)
+	w.terms = NewExpirations(0, w.table, edge)
 	for h := range b.holders {
 		for n := range b.names {
 			drift := edge
 			if b.broken == "no drift" {
 				drift = 0
 			}
-			w.holders = append(w.holders, NewHolder(HolderOptions{Name: names[n], Client: clients[h], Term: modelTerm, Wait: true,
-				Drift: drift, Retry: modelTerm / 3}))
+			w.holders = append(w.holders, NewHolder(HolderOptions{Name: names[n], Client: clients[h], Duration: modelTerm, Wait: true,
+				Drift: drift, RetryInterval: modelTerm / 3}))
 		}
 	}
 	w.wished = make([]uint64, len(w.holders))
@@ -79,8 +79,8 @@
 	c := *w
 	c.clock, c.wished, c.flying, c.log = slices.Clone(w.clock), slices.Clone(w.wished), slices.Clone(w.flying), slices.Clone(w.log)
 	c.table = NewTable(w.table.limits)
-	c.table.Load(w.table.last, w.table.List())
-	c.terms = &Terms{table: c.table, drift: w.terms.drift, live: map[string]*alive{}}
+	c.table.Restore(w.table.last, w.table.List())
+	c.terms = &Expirations{table: c.table, drift: w.terms.drift, live: map[string]*alive{}}
 	for k, x := range w.terms.live {
 		y := *x
 		c.terms.live[k] = &y
@@ -106,8 +106,8 @@
 			b = binary.AppendVarint(b, x)
 		}
 	}
-	ask := func(a *Ask) {
-		n(int64(a.Kind), int64(a.Seq), int64(a.Nr), int64(a.Token), int64(len(a.To)))
+	ask := func(a *Request) {
+		n(int64(a.Kind), int64(a.Sequence), int64(a.SendNumber), int64(a.Token), int64(len(a.To)))
 		b = append(append(append(b, a.Name...), a.Client...), a.To...)
 	}
 	n(int64(w.quanta), int64(w.spent), int64(w.table.last), int64(len(w.log)))
@@ -128,14 +128,14 @@
 		if e.Revoked {
 			flags++
 		}
-		if e.Heir {
+		if e.TransferPending {
 			flags += 2
 		}
 		b = append(b, e.Holder...)
-		n(int64(e.Seq), int64(e.Token), flags, int64(len(e.Waiters)))
+		n(int64(e.Sequence), int64(e.Token), flags, int64(len(e.Waiters)))
 		for _, c := range append([]Waiter{{}}, e.Waiters...) {
 			b = append(b, c.Client...)
-			n(int64(c.Seq))
+			n(int64(c.Sequence))
 			if x := w.terms.live[key(name, c.Client)]; x != nil {
 				n(int64(x.seq), int64(x.token), int64(x.at-w.leads))
 				if x.asked {
@@ -168,7 +168,7 @@
 		m := &w.flying[i]
 		n(int64(m.to))
 		ask(&m.ask)
-		n(int64(m.reply.Verdict), int64(m.reply.Seq), int64(m.reply.Nr), int64(m.reply.Token))
+		n(int64(m.reply.Status), int64(m.reply.Sequence), int64(m.reply.SendNumber), int64(m.reply.Token))
 		texts[i] = string(b[from:])
 		b = b[:from]
 	}
@@ -182,11 +182,11 @@
 var names, clients = []string{"l0", "l1"}, []string{"c0", "c1", "c2"}
 
 // does carries out what a holder wants done. What does not fit is lost.
-func (w *world) does(h int, acts []Act) {
+func (w *world) does(h int, acts []Action) {
 	for _, a := range acts {
-		switch a.Do {
+		switch a.Kind {
 		case Send:
-			w.fly(message{ask: a.Ask, to: -1})
+			w.fly(message{ask: a.Request, to: -1})
 		case End: // its act ends at once
 			w.does(h, w.holders[h].Stopped(w.at(h)))
 		}
@@ -200,12 +200,12 @@
 }
 
 // hears is the record's driver.
-func (w *world) hears(a Ask) {
+func (w *world) hears(a Request) {
 	if a.Kind == Renew {
 		w.answer(w.terms.Renew(w.leads, a))
 		return
 	}
-	if r, ok := w.terms.Repeats(w.leads, a); ok {
+	if r, ok := w.terms.AnswerRepeated(w.leads, a); ok {
 		w.answer(r)
 		return
 	}
@@ -222,14 +222,14 @@
 	if w.b.broken == "asked for" {
 		told = r
 	}
-	if a.Nr > 0 {
+	if a.SendNumber > 0 {
 		w.answer(told)
 	}
 }
 
 func (w *world) answer(r Reply) {
 	for i, h := range w.holders {
-		if h.o.Client == r.Client && h.o.Name == r.Name && r.Nr > 0 {
+		if h.o.Client == r.Client && h.o.Name == r.Name && r.SendNumber > 0 {
 			w.fly(message{reply: r, to: i})
 		}
 	}
@@ -271,7 +271,7 @@
 		add("applied", func(c *world) { c.apply() })
 	}
 	if at, ok := w.terms.Next(); ok && at <= w.leads && len(w.log) < 3 {
-		add("due", func(c *world) { c.log = append(c.log, c.terms.Due(c.leads)...) })
+		add("due", func(c *world) { c.log = append(c.log, c.terms.Expired(c.leads)...) })
 	}
 	for keeps := range len(w.log) + 1 { // what was proposed is there with the next leader, or is not
 		mishap("another leads", func(c *world) {
@@ -280,7 +280,7 @@
 			}
 			c.log = nil
 			old := c.terms
-			c.terms = NewTerms(c.leads, c.table, edge)
+			c.terms = NewExpirations(c.leads, c.table, edge)
 			if c.b.broken == "not anew" { // it takes over what its predecessor had counted, and not what that confirmed last
 				for k, x := range c.terms.live {
 					if y := old.live[k]; y != nil && y.token == x.token {
@@ -300,12 +300,12 @@
 		case !h.wants && w.wished[i] < w.b.wishes:
 			add(h.o.Client+" wants", func(c *world) {
 				c.wished[i]++
-				c.does(i, c.holders[i].Want(now))
+				c.does(i, c.holders[i].Acquire(now))
 			})
 		case h.wants && h.phase == holding:
-			mishap(h.o.Client+" leaves", func(c *world) { c.does(i, c.holders[i].Leave(now, "")) })
+			mishap(h.o.Client+" leaves", func(c *world) { c.does(i, c.holders[i].Release(now, "")) })
 			if other := (i + w.b.names) % len(w.holders); other != i {
-				mishap(h.o.Client+" hands on", func(c *world) { c.does(i, c.holders[i].Leave(now, c.holders[other].o.Client)) })
+				mishap(h.o.Client+" hands on", func(c *world) { c.does(i, c.holders[i].Release(now, c.holders[other].o.Client)) })
 			}
 		}
 	}
@@ -319,11 +319,11 @@
 	}
 	h := w.holders[m.to]
 	if w.b.broken == "from the answer" {
-		if _, ok := h.sent[m.reply.Nr]; ok {
-			h.sent[m.reply.Nr] = w.at(m.to)
+		if _, ok := h.sent[m.reply.SendNumber]; ok {
+			h.sent[m.reply.SendNumber] = w.at(m.to)
 		}
 	}
-	w.does(m.to, h.Heard(w.at(m.to), m.reply))
+	w.does(m.to, h.HandleReply(w.at(m.to), m.reply))
 }
 
 // wrong is what must not be: two hold one name, or a lower token follows a higher one.
@@ -331,7 +331,7 @@
 	for n := range w.b.names {
 		var who []int
 		for h := range w.b.holders {
-			if _, _, ok := w.holders[h*w.b.names+n].May(w.clock[h]); ok {
+			if _, _, ok := w.holders[h*w.b.names+n].Held(w.clock[h]); ok {
 				who = append(who, h)
 			}
 		}
@@ -350,7 +350,7 @@
 	c.b = &b
 	held := make([]bool, b.names)
 	for i := range c.holders {
-		c.does(i, c.holders[i].Want(c.at(i)))
+		c.does(i, c.holders[i].Acquire(c.at(i)))
 	}
 	for range 200 {
 		for range 100 {
@@ -362,10 +362,10 @@
 			case len(c.log) > 0:
 				c.apply()
 			default:
-				due := c.terms.Due(c.leads)
+				due := c.terms.Expired(c.leads)
 				c.log = append(c.log, due...)
 				for i, h := range c.holders {
-					if _, _, ok := h.May(c.at(i)); ok {
+					if _, _, ok := h.Held(c.at(i)); ok {
 						held[i%b.names] = true
 					}
 					c.does(i, h.Tick(c.at(i)))
--- a/internal/lease/raftgroup/client.go
+++ b/internal/lease/raftgroup/client.go
@@ -67,8 +67,8 @@
 
 func (c *Client) hello() hello { return hello{Version: version, Fleet: c.fleet} }
 
-// Ask asks the leader once, and each of the others at most once on the way to it. patience bounds what one member may take beside hold.
-func (c *Client) Ask(ctx context.Context, a lease.Ask, hold, patience time.Duration) (lease.Reply, error) {
+// Request asks the leader once, and each of the others at most once on the way to it. patience bounds what one member may take beside hold.
+func (c *Client) Request(ctx context.Context, a lease.Request, hold, patience time.Duration) (lease.Reply, error) {
 	c.mu.Lock()
 	at := c.lead
 	c.mu.Unlock()
@@ -77,7 +77,7 @@
 		one, cancel := context.WithTimeout(ctx, hold+patience)
 		r, err := call[askAnswer](one, c.conns[at], "Ask", askCall{c.hello(), a, hold})
 		cancel()
-		if err == nil && r.Reply.Verdict != 0 {
+		if err == nil && r.Reply.Status != 0 {
 			c.mu.Lock()
 			c.lead = at
 			c.mu.Unlock()
--- a/internal/lease/raftgroup/command.go
+++ b/internal/lease/raftgroup/command.go
@@ -31,15 +31,15 @@
 	Name   string
 	Argv   []string
 	Margin time.Duration
-	Env    []string                      // beside this process's own
-	Over   func(code int, why lease.Why) // the command has ended: by itself where why is 0
-	Told   func(text string)             // what is worth a line
+	Env    []string                         // beside this process's own
+	OnExit func(code int, why lease.Reason) // the command has ended: by itself where why is 0
+	Log    func(text string)                // what is worth a line
 
 	mu    sync.Mutex
 	run   *guardedRun
 	token lease.Token
 	until time.Duration
-	ended lease.Why // why it was to end; 0: it was not
+	ended lease.Reason // why it was to end; 0: it was not
 }
 
 // guardedRun is one run.
@@ -58,8 +58,8 @@
 	defer c.mu.Unlock()
 	c.token, c.until, c.ended, c.run = token, until, 0, nil
 	if err := c.launchLocked(); err != nil {
-		c.Told(err.Error())
-		go c.Over(1, 0)
+		c.Log(err.Error())
+		go c.OnExit(1, 0)
 	}
 }
 
@@ -120,10 +120,10 @@
 			c.mu.Unlock()
 			return
 		}
-		why = lease.Over
+		why = lease.Expired
 	}
 	c.mu.Unlock()
-	c.Over(code, why)
+	c.OnExit(code, why)
 }
 
 // Extend is Task's.
@@ -141,7 +141,7 @@
 }
 
 // End is Task's.
-func (c *Command) End(why lease.Why) <-chan struct{} {
+func (c *Command) End(why lease.Reason) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g := c.run
@@ -169,15 +169,15 @@
 	return g.over
 }
 
-// Turned is Task's.
-func (c *Command) Turned(why lease.Why) {
-	if why == lease.NoRoom {
-		c.Told("the record of leases is full")
+// Rejected is Task's.
+func (c *Command) Rejected(why lease.Reason) {
+	if why == lease.NoCapacity {
+		c.Log("the record of leases is full")
 	}
 }
 
-// Unreached is Task's.
-func (c *Command) Unreached(err error) { c.Told(err.Error()) }
+// Unreachable is Task's.
+func (c *Command) Unreachable(err error) { c.Log(err.Error()) }
 
 // tooLate is what a guard says as it ends a command at its moment.
 const tooLate = "late"
@@ -252,9 +252,9 @@
 	}
 }
 
-var _ Task = (*Command)(nil)
+var _ Work = (*Command)(nil)
 
 // Revoke has the holder of a lease get no other term.
-func Revoke(ctx context.Context, at Asker, name string, patience time.Duration) (lease.Reply, error) {
-	return at.Ask(ctx, lease.Ask{Kind: lease.Revoke, Name: name, Client: NewClientID(), Nr: 1}, 0, patience)
+func Revoke(ctx context.Context, at Requester, name string, patience time.Duration) (lease.Reply, error) {
+	return at.Request(ctx, lease.Request{Kind: lease.Revoke, Name: name, Client: NewClientID(), SendNumber: 1}, 0, patience)
 }
--- a/internal/lease/raftgroup/golden_test.go
+++ b/internal/lease/raftgroup/golden_test.go
@@ -40,16 +40,16 @@
 // What stands in the group's log and snapshots, and what members and clients of different releases say to each other, is read and written byte
 // for byte as the release before did.
 func TestMessagesGolden(t *testing.T) {
-	ask := lease.Ask{Kind: lease.Acquire, Name: "report", Client: "c1", Seq: 1, Nr: 2, Term: time.Second}
-	entry := lease.Entry{Name: "report", Holder: "c1", Seq: 1, Token: 9, Term: time.Second, Waiters: []lease.Waiter{{Client: "c2", Seq: 1, Term: time.Second}}}
+	ask := lease.Request{Kind: lease.Acquire, Name: "report", Client: "c1", Sequence: 1, SendNumber: 2, Duration: time.Second}
+	entry := lease.Entry{Name: "report", Holder: "c1", Sequence: 1, Token: 9, Duration: time.Second, Waiters: []lease.Waiter{{Client: "c2", Sequence: 1, Duration: time.Second}}}
 	from := hello{Version: version, Fleet: "bookings", From: 77, Name: "a"}
 	goldenJSON(t, "command.json", command{Node: 77, ID: 5, Epoch: 3, Ask: ask})
 	goldenJSON(t, "snapshot.json", snapshot{Version: version, Last: 9, Entries: []lease.Entry{entry}, Notes: map[string]string{"report": "text"}, Peers: map[uint64]string{77: "a"}})
 	goldenJSON(t, "step.json", stepCall{from, []byte("message")})
 	goldenJSON(t, "ask.json", askCall{hello: from, Ask: ask, Hold: time.Second})
-	goldenJSON(t, "answer.json", askAnswer{Reply: lease.Reply{Verdict: lease.Granted, Client: "c1", Name: "report", Seq: 1, Nr: 2, Token: 9, Term: time.Second}, Leader: "b"})
-	goldenJSON(t, "info.json", Info{ID: 77, Name: "a", Formed: true, Leads: true, Leader: "a", Peers: map[uint64]string{77: "a"}, Last: 9, Leases: []lease.Entry{entry},
-		Left: []int64{250}, Notes: map[string]string{"report": "text"}})
+	goldenJSON(t, "answer.json", askAnswer{Reply: lease.Reply{Status: lease.Granted, Client: "c1", Name: "report", Sequence: 1, SendNumber: 2, Token: 9, Duration: time.Second}, Leader: "b"})
+	goldenJSON(t, "info.json", Info{ID: 77, Name: "a", Formed: true, Leads: true, Leader: "a", Peers: map[uint64]string{77: "a"}, LastToken: 9, Leases: []lease.Entry{entry},
+		RemainingMs: []int64{250}, Notes: map[string]string{"report": "text"}})
 	goldenJSON(t, "join.json", joinCall{from})
 	var methods strings.Builder
 	for _, m := range service.Methods {
--- a/internal/lease/raftgroup/guard_test.go
+++ b/internal/lease/raftgroup/guard_test.go
@@ -27,17 +27,17 @@
 	}
 	read.Close()
 	for _, held := range []bool{false, true} {
-		over := make(chan lease.Why, 1)
+		over := make(chan lease.Reason, 1)
 		// A guard that is late once, and then does as it is told.
 		mark := t.TempDir() + "/mark"
 		guard := "if [ -e " + mark + " ]; then echo 1 >&3; exit 0; fi; touch " + mark + "; sleep 0.2; printf '0\\nlate\\n' >&3; exit 1"
-		c := &Command{Guard: []string{"sh", "-c", guard}, Argv: []string{"true"}, Margin: time.Second, Told: func(string) {},
-			Over: func(_ int, why lease.Why) { over <- why }}
+		c := &Command{Guard: []string{"sh", "-c", guard}, Argv: []string{"true"}, Margin: time.Second, Log: func(string) {},
+			OnExit: func(_ int, why lease.Reason) { over <- why }}
 		c.Begin(1, Boottime()+100*time.Millisecond)
 		if held {
 			c.Extend(Boottime() + time.Hour)
 		}
-		if why := <-over; held != (why == 0) || !held && why != lease.Over {
+		if why := <-over; held != (why == 0) || !held && why != lease.Expired {
 			t.Errorf("held %v: ended with %d", held, why)
 		}
 	}
--- a/internal/lease/raftgroup/keeper.go
+++ b/internal/lease/raftgroup/keeper.go
@@ -11,24 +11,24 @@
 	"orchiddrift/internal/lease"
 )
 
-// Asker is where leases are kept: a Client, or another home of the record.
-type Asker interface {
+// Requester is where leases are kept: a Client, or another home of the record.
+type Requester interface {
 	// Ask brings an ask to the record. The answer may be held back for hold, and take patience beside that.
-	Ask(ctx context.Context, a lease.Ask, hold, patience time.Duration) (lease.Reply, error)
+	Request(ctx context.Context, a lease.Request, hold, patience time.Duration) (lease.Reply, error)
 }
 
-// Task is what is done while a lease is held. Its methods are called one after the other, and return at once.
-type Task interface {
+// Work is what is done while a lease is held. Its methods are called one after the other, and return at once.
+type Work interface {
 	// Begin begins the act under a token; it may go on until then, by Boottime.
 	Begin(token lease.Token, until time.Duration)
 	// Extend says that it may go on for longer.
 	Extend(until time.Duration)
 	// End has the act end, within the margin. The channel is closed once it has.
-	End(why lease.Why) <-chan struct{}
+	End(why lease.Reason) <-chan struct{}
 	// Turned tells that the lease is not to be had now.
-	Turned(why lease.Why)
+	Rejected(why lease.Reason)
 	// Unreached tells that nobody answered.
-	Unreached(err error)
+	Unreachable(err error)
 }
 
 // NewClientID names one life of one process: it is never used again.
@@ -42,16 +42,16 @@
 	return fmt.Sprintf("%.64s-%d-%s", host, os.Getpid(), hex.EncodeToString(b[:]))
 }
 
-// Keep wants a lease until ctx ends, and has the task act while it is held. It returns once the act has ended and the lease was given back, or
+// RunWhileHeld wants a lease until ctx ends, and has the task act while it is held. It returns once the act has ended and the lease was given back, or
 // that was tried.
-func Keep(ctx context.Context, at Asker, o lease.HolderOptions, task Task) {
+func RunWhileHeld(ctx context.Context, at Requester, o lease.HolderOptions, task Work) {
 	k := &keeping{o: o, at: at, task: task, h: lease.NewHolder(o), replies: make(chan lease.Reply, 16), failed: make(chan error, 16)}
 	asking, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	k.ctx = asking
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	k.do(k.h.Want(Boottime()))
+	k.do(k.h.Acquire(Boottime()))
 	done, leaving := ctx.Done(), false
 	for {
 		if leaving && k.stopped == nil {
@@ -64,18 +64,18 @@
 		select {
 		case <-done:
 			done, leaving = nil, true
-			k.do(k.h.Leave(Boottime(), ""))
+			k.do(k.h.Release(Boottime(), ""))
 		case <-timer.C:
 			k.do(k.h.Tick(Boottime()))
 		case r := <-k.replies:
-			k.do(k.h.Heard(Boottime(), r))
+			k.do(k.h.HandleReply(Boottime(), r))
 		case err := <-k.failed:
-			k.task.Unreached(err)
+			k.task.Unreachable(err)
 		case <-k.stopped:
 			k.stopped = nil
 			k.do(k.h.Stopped(Boottime()))
 		}
-		if token, until, ok := k.h.May(Boottime()); ok && token == k.token && until > k.until {
+		if token, until, ok := k.h.Held(Boottime()); ok && token == k.token && until > k.until {
 			k.until = until
 			k.task.Extend(until)
 		}
@@ -84,8 +84,8 @@
 
 type keeping struct {
 	o       lease.HolderOptions
-	at      Asker
-	task    Task
+	at      Requester
+	task    Work
 	h       *lease.Holder
 	ctx     context.Context
 	replies chan lease.Reply
@@ -96,27 +96,27 @@
 	last    []chan struct{} // asks that give back
 }
 
-func (k *keeping) do(acts []lease.Act) {
+func (k *keeping) do(acts []lease.Action) {
 	for _, a := range acts {
-		switch a.Do {
+		switch a.Kind {
 		case lease.Send:
-			k.send(a.Ask)
+			k.send(a.Request)
 		case lease.Begin:
 			k.token, k.until = a.Token, a.Until
 			k.task.Begin(a.Token, a.Until)
 		case lease.End:
-			k.stopped = k.task.End(a.Why)
-		case lease.Turned:
-			k.task.Turned(a.Why)
+			k.stopped = k.task.End(a.Reason)
+		case lease.Rejected:
+			k.task.Rejected(a.Reason)
 		}
 	}
 }
 
 // send asks on a goroutine of its own: an ask that hangs holds nobody up.
-func (k *keeping) send(a lease.Ask) {
+func (k *keeping) send(a lease.Request) {
 	hold := time.Duration(0)
 	if a.Kind == lease.Acquire && a.Wait {
-		hold = k.o.Retry * 9 / 10 // until it asks again
+		hold = k.o.RetryInterval * 9 / 10 // until it asks again
 	}
 	over := make(chan struct{})
 	if a.Kind != lease.Acquire && a.Kind != lease.Renew {
@@ -124,7 +124,7 @@
 	}
 	go func() {
 		defer close(over)
-		r, err := k.at.Ask(k.ctx, a, hold, k.o.Retry)
+		r, err := k.at.Request(k.ctx, a, hold, k.o.RetryInterval)
 		if err != nil {
 			select {
 			case k.failed <- err:
@@ -141,7 +141,7 @@
 
 // wait gives what is being given back a moment to arrive.
 func (k *keeping) wait() {
-	late := time.After(k.o.Retry)
+	late := time.After(k.o.RetryInterval)
 	for _, over := range k.last {
 		for waits := true; waits; {
 			select {
--- a/internal/lease/raftgroup/linear_test.go
+++ b/internal/lease/raftgroup/linear_test.go
@@ -36,7 +36,7 @@
 var oneName = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{held{}} },
 	Step: func(state, in, out any) (next []any) {
-		a, r := in.(lease.Ask), out.(said)
+		a, r := in.(lease.Request), out.(said)
 		from := []held{state.(held)}
 		if from[0].holder != "" { // its term may have ended meanwhile
 			from = append(from, held{token: from[0].token})
@@ -53,12 +53,12 @@
 				}
 				continue
 			}
-			switch v := r.reply.Verdict; {
+			switch v := r.reply.Status; {
 			case a.Kind == lease.Acquire && v == lease.Granted && s.holder == "" && r.reply.Token > s.token:
 				next = append(next, held{a.Client, r.reply.Token})
-			case a.Kind == lease.Acquire && v == lease.Held && s.holder != "" && s.holder != a.Client,
+			case a.Kind == lease.Acquire && v == lease.HeldByOther && s.holder != "" && s.holder != a.Client,
 				a.Kind == lease.Renew && v == lease.Granted && mine,
-				a.Kind != lease.Acquire && v == lease.Lost && !mine:
+				a.Kind != lease.Acquire && v == lease.NotHeld && !mine:
 				next = append(next, s)
 			case a.Kind == lease.Release && v == lease.Done && mine:
 				next = append(next, held{token: s.token})
@@ -111,7 +111,7 @@
 	return out
 }
 
-var testLimits = lease.Limits{Names: 10, Waiters: 100, NameBytes: 100, Shortest: 50 * time.Millisecond, Longest: time.Minute}
+var testLimits = lease.Limits{MaxNames: 10, MaxWaiters: 100, MaxNameBytes: 100, MinDuration: 50 * time.Millisecond, MaxDuration: time.Minute}
 
 func (g *group) start(name string, peers []Peer) {
 	m, err := New(context.Background(), Options{Fleet: "f", Name: name, Peers: peers, File: filepath.Join(g.dir, name), Limits: testLimits, Drift: 0.01, Tick: 10 * time.Millisecond})
@@ -158,7 +158,7 @@
 			token, holder := lease.Token(0), ""
 			for n := range asks {
 				// Each ask is a client of its own, but for what it holds: an answer that was lost is not asked for again.
-				a := lease.Ask{Kind: lease.Acquire, Name: "x", Client: fmt.Sprint("c", i, "-", n), Seq: 1, Nr: uint64(n + 1), Term: 300 * time.Millisecond}
+				a := lease.Request{Kind: lease.Acquire, Name: "x", Client: fmt.Sprint("c", i, "-", n), Sequence: 1, SendNumber: uint64(n + 1), Duration: 300 * time.Millisecond}
 				if token > 0 {
 					a.Kind, a.Token, a.Client = lease.Renew, token, holder
 					if rng.IntN(3) == 0 {
@@ -166,13 +166,13 @@
 					}
 				}
 				op := porcupine.Operation{ClientId: i, Input: a, Call: int64(time.Since(begun))}
-				r, err := c.Ask(t.Context(), a, 0, 150*time.Millisecond)
+				r, err := c.Request(t.Context(), a, 0, 150*time.Millisecond)
 				op.Return, op.Output = int64(time.Since(begun)), said{r, err == nil}
 				if err != nil {
 					op.Return = int64(time.Hour) // it may be applied at any time
 				}
 				switch {
-				case err == nil && r.Verdict == lease.Granted:
+				case err == nil && r.Status == lease.Granted:
 					token, holder = r.Token, a.Client
 				case err == nil && a.Kind != lease.Acquire:
 					token = 0
@@ -216,7 +216,7 @@
 	for _, op := range history {
 		if o := op.Output.(said); !o.known {
 			unknown++
-		} else if o.reply.Verdict == lease.Granted {
+		} else if o.reply.Status == lease.Granted {
 			granted++
 		}
 	}
@@ -233,22 +233,22 @@
 
 // The model takes what one record can say, and nothing else.
 func TestModelOfTheRecordBites(t *testing.T) {
-	acquire := func(client string) lease.Ask { return lease.Ask{Kind: lease.Acquire, Client: client} }
-	renew := func(client string, token lease.Token) lease.Ask {
-		return lease.Ask{Kind: lease.Renew, Client: client, Token: token}
+	acquire := func(client string) lease.Request { return lease.Request{Kind: lease.Acquire, Client: client} }
+	renew := func(client string, token lease.Token) lease.Request {
+		return lease.Request{Kind: lease.Renew, Client: client, Token: token}
 	}
-	granted := func(token lease.Token) said { return said{lease.Reply{Verdict: lease.Granted, Token: token}, true} }
+	granted := func(token lease.Token) said { return said{lease.Reply{Status: lease.Granted, Token: token}, true} }
 	for what, c := range map[string]struct {
 		ops  []any // asks and answers in turn, one after the other
 		want porcupine.CheckResult
 	}{
 		"a term that ended":              {[]any{acquire("a"), granted(1), acquire("b"), granted(2)}, porcupine.Ok},
-		"an answer that was lost":        {[]any{acquire("a"), said{}, acquire("b"), said{lease.Reply{Verdict: lease.Held}, true}}, porcupine.Ok},
+		"an answer that was lost":        {[]any{acquire("a"), said{}, acquire("b"), said{lease.Reply{Status: lease.HeldByOther}, true}}, porcupine.Ok},
 		"two hold it":                    {[]any{acquire("a"), granted(1), acquire("b"), granted(2), renew("a", 1), granted(1)}, porcupine.Illegal},
 		"a token that does not rise":     {[]any{acquire("a"), granted(2), acquire("b"), granted(2)}, porcupine.Illegal},
 		"renewed by who never had it":    {[]any{acquire("a"), granted(1), renew("nobody", 1), granted(1)}, porcupine.Illegal},
-		"held by nobody":                 {[]any{acquire("a"), said{lease.Reply{Verdict: lease.Held}, true}}, porcupine.Illegal},
-		"renewed after it was lost once": {[]any{acquire("a"), granted(1), renew("a", 1), said{lease.Reply{Verdict: lease.Lost}, true}, renew("a", 1), granted(1)}, porcupine.Illegal},
+		"held by nobody":                 {[]any{acquire("a"), said{lease.Reply{Status: lease.HeldByOther}, true}}, porcupine.Illegal},
+		"renewed after it was lost once": {[]any{acquire("a"), granted(1), renew("a", 1), said{lease.Reply{Status: lease.NotHeld}, true}, renew("a", 1), granted(1)}, porcupine.Illegal},
 	} {
 		var history []porcupine.Operation
 		for i := 0; i < len(c.ops); i += 2 {
@@ -270,8 +270,8 @@
 	}
 	defer c.Close()
 	ask := func(n uint64) bool {
-		r, err := c.Ask(t.Context(), lease.Ask{Kind: lease.Acquire, Name: "x", Client: "c", Seq: n, Nr: n, Term: time.Minute}, 0, time.Second)
-		return err == nil && r.Verdict == lease.Granted
+		r, err := c.Request(t.Context(), lease.Request{Kind: lease.Acquire, Name: "x", Client: "c", Sequence: n, SendNumber: n, Duration: time.Minute}, 0, time.Second)
+		return err == nil && r.Status == lease.Granted
 	}
 	testutil.Eventually(t, "a grant", func() bool { return ask(1) })
 	var lost string
--- a/internal/lease/raftgroup/member.go
+++ b/internal/lease/raftgroup/member.go
@@ -73,7 +73,7 @@
 	conns map[string]*grpc.ClientConn // by address; made before the loop begins
 
 	table   *lease.Table
-	terms   *lease.Terms // nil: it does not lead, or not yet for sure
+	terms   *lease.Expirations // nil: it does not lead, or not yet for sure
 	peers   map[uint64]string
 	conf    *pb.ConfState
 	applied uint64
@@ -96,7 +96,7 @@
 }
 
 type asked struct {
-	ask    lease.Ask
+	ask    lease.Request
 	until  time.Duration // it may be held back
 	answer chan askAnswer
 }
@@ -116,10 +116,10 @@
 
 // command is an entry of the log.
 type command struct {
-	Node  uint64    `json:"node"` // that proposed it
-	ID    uint64    `json:"id"`
-	Epoch uint64    `json:"epoch,omitempty"` // a leader's own word: it counts only in the raft term in which it was said
-	Ask   lease.Ask `json:"ask"`
+	Node  uint64        `json:"node"` // that proposed it
+	ID    uint64        `json:"id"`
+	Epoch uint64        `json:"epoch,omitempty"` // a leader's own word: it counts only in the raft term in which it was said
+	Ask   lease.Request `json:"ask"`
 }
 
 // snapshot is the record on the disk.
@@ -364,7 +364,7 @@
 	m.node.Advance(rd)
 	if first, err := m.disk.memory.FirstIndex(); err == nil && (m.changed || m.applied > first+snapshotEvery) {
 		m.changed = false
-		data, err := json.Marshal(snapshot{Version: version, Last: m.table.Last(), Entries: m.table.List(), Notes: m.table.Notes(), Peers: m.peers})
+		data, err := json.Marshal(snapshot{Version: version, Last: m.table.LastToken(), Entries: m.table.List(), Notes: m.table.Notes(), Peers: m.peers})
 		if err != nil {
 			return err
 		}
@@ -382,8 +382,8 @@
 		return fmt.Errorf("the group's snapshot is of version %d, and not %d", s.Version, version)
 	}
 	m.table = lease.NewTable(m.o.Limits)
-	m.table.Load(s.Last, s.Entries)
-	m.table.Keep(s.Notes)
+	m.table.Restore(s.Last, s.Entries)
+	m.table.RestoreNotes(s.Notes)
 	m.peers, m.conf, m.applied = s.Peers, snap.GetMetadata().GetConfState(), snap.GetMetadata().GetIndex()
 	return nil
 }
@@ -438,7 +438,7 @@
 	if mine == nil {
 		return nil
 	}
-	if r.Verdict == lease.Waiting && mine.until > m.o.Now() {
+	if r.Status == lease.Waiting && mine.until > m.o.Now() {
 		m.park(mine, r)
 		return nil
 	}
@@ -452,7 +452,7 @@
 func (m *Member) park(a *asked, r lease.Reply) {
 	k := parkedKey(a.ask.Name, a.ask.Client)
 	if old := m.parked[k]; old != nil {
-		r.Nr = old.ask.Nr
+		r.SendNumber = old.ask.SendNumber
 		old.reply(r)
 	}
 	m.parked[k] = a
@@ -461,9 +461,9 @@
 // unpark tells a waiter at once that it holds the lease. Its term counts from its ask, which came before.
 func (m *Member) unpark(e *lease.Entry) {
 	k := parkedKey(e.Name, e.Holder)
-	if p := m.parked[k]; p != nil && p.ask.Seq == e.Seq {
+	if p := m.parked[k]; p != nil && p.ask.Sequence == e.Sequence {
 		delete(m.parked, k)
-		p.reply(lease.Reply{Verdict: lease.Granted, Client: p.ask.Client, Name: e.Name, Seq: p.ask.Seq, Nr: p.ask.Nr, Token: e.Token, Term: e.Term, Holder: e.Holder})
+		p.reply(lease.Reply{Status: lease.Granted, Client: p.ask.Client, Name: e.Name, Sequence: p.ask.Sequence, SendNumber: p.ask.SendNumber, Token: e.Token, Duration: e.Duration, Holder: e.Holder})
 	}
 }
 
@@ -473,7 +473,7 @@
 	if m.terms != nil || s.RaftState != raft.StateLeader || s.HardState.GetTerm() != term {
 		return
 	}
-	m.term, m.terms = term, lease.NewTerms(m.o.Now(), m.table, m.o.Drift)
+	m.term, m.terms = term, lease.NewExpirations(m.o.Now(), m.table, m.o.Drift)
 	m.o.Log.Info("fleet: leads", "term", term)
 }
 
@@ -510,7 +510,7 @@
 	case a.ask.Kind == lease.Acquire || a.ask.Kind == lease.Renew:
 		m.reads = append(m.reads, a)
 	case a.ask.Kind == lease.Expire: // the leader's alone
-		a.reply(lease.Reply{Verdict: lease.Lost, Client: a.ask.Client, Name: a.ask.Name, Seq: a.ask.Seq, Nr: a.ask.Nr})
+		a.reply(lease.Reply{Status: lease.NotHeld, Client: a.ask.Client, Name: a.ask.Name, Sequence: a.ask.Sequence, SendNumber: a.ask.SendNumber})
 	default:
 		m.propose(a, 0)
 	}
@@ -529,11 +529,11 @@
 				a.reply(m.terms.Renew(now, a.ask))
 				continue
 			}
-			r, ok := m.terms.Repeats(now, a.ask)
+			r, ok := m.terms.AnswerRepeated(now, a.ask)
 			switch {
 			case !ok:
 				m.propose(a, 0)
-			case r.Verdict == lease.Waiting && a.until > now:
+			case r.Status == lease.Waiting && a.until > now:
 				m.park(a, r)
 			default:
 				a.reply(r)
@@ -570,18 +570,18 @@
 		return
 	}
 	now := m.o.Now()
-	for _, a := range m.terms.Due(now) {
+	for _, a := range m.terms.Expired(now) {
 		m.propose(&asked{ask: a, answer: make(chan askAnswer, 1)}, m.term)
 	}
 	for k, a := range m.parked {
 		if now >= a.until {
 			delete(m.parked, k)
-			r, ok := m.terms.Repeats(now, a.ask)
+			r, ok := m.terms.AnswerRepeated(now, a.ask)
 			if !ok {
-				r = lease.Reply{Verdict: lease.Lost, Client: a.ask.Client, Name: a.ask.Name, Seq: a.ask.Seq, Nr: a.ask.Nr}
+				r = lease.Reply{Status: lease.NotHeld, Client: a.ask.Client, Name: a.ask.Name, Sequence: a.ask.Sequence, SendNumber: a.ask.SendNumber}
 			}
-			if r.Verdict == lease.Granted { // who leads was not confirmed for it: it is to ask again
-				r.Verdict = lease.Waiting
+			if r.Status == lease.Granted { // who leads was not confirmed for it: it is to ask again
+				r.Status = lease.Waiting
 			}
 			a.reply(r)
 		}
@@ -617,12 +617,12 @@
 }
 
 func (m *Member) info() Info {
-	i := Info{ID: m.disk.id, Name: m.o.Name, Formed: true, Leads: m.terms != nil, Leader: m.peers[m.leader], Peers: maps.Clone(m.peers), Last: m.table.Last(), Leases: m.table.List(),
+	i := Info{ID: m.disk.id, Name: m.o.Name, Formed: true, Leads: m.terms != nil, Leader: m.peers[m.leader], Peers: maps.Clone(m.peers), LastToken: m.table.LastToken(), Leases: m.table.List(),
 		Notes: m.table.Notes()}
 	if m.terms != nil {
 		now := m.o.Now()
 		for _, e := range i.Leases {
-			i.Left = append(i.Left, m.terms.Left(now, e.Name).Milliseconds())
+			i.RemainingMs = append(i.RemainingMs, m.terms.Remaining(now, e.Name).Milliseconds())
 		}
 	}
 	return i
@@ -712,7 +712,7 @@
 	}
 }
 
-func (m *Member) ask(ctx context.Context, a lease.Ask, hold time.Duration) (askAnswer, error) {
+func (m *Member) ask(ctx context.Context, a lease.Request, hold time.Duration) (askAnswer, error) {
 	one := &asked{ask: a, answer: make(chan askAnswer, 1)}
 	if hold > 0 {
 		one.until = m.o.Now() + hold
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -9,30 +9,30 @@
 
 // Limits bound a Table: about 400 bytes a name and 150 a waiter, beside the names themselves.
 type Limits struct {
-	Names     int           // held or waited for, at most
-	Waiters   int           // of one name, at most
-	NameBytes int           // of a name, and of a client's
-	Shortest  time.Duration // a term
-	Longest   time.Duration
+	MaxNames     int           // held or waited for, at most
+	MaxWaiters   int           // of one name, at most
+	MaxNameBytes int           // of a name, and of a client's
+	MinDuration  time.Duration // a term
+	MaxDuration  time.Duration
 }
 
 // Entry is a name that is held.
 type Entry struct {
-	Name    string        `json:"Name"`
-	Holder  string        `json:"Holder"`
-	Seq     uint64        `json:"Seq"` // the holder's
-	Token   Token         `json:"Token"`
-	Term    time.Duration `json:"Term"`
-	Revoked bool          `json:"Revoked"` // it gets no other term
-	Heir    bool          `json:"Heir"`    // it was handed on, and the holder has not asked for it yet
-	Waiters []Waiter      `json:"Waiters"`
+	Name            string        `json:"Name"`
+	Holder          string        `json:"Holder"`
+	Sequence        uint64        `json:"Seq"` // the holder's
+	Token           Token         `json:"Token"`
+	Duration        time.Duration `json:"Term"`
+	Revoked         bool          `json:"Revoked"` // it gets no other term
+	TransferPending bool          `json:"Heir"`    // it was handed on, and the holder has not asked for it yet
+	Waiters         []Waiter      `json:"Waiters"`
 }
 
 // Waiter stands in a name's queue, in the order of asking.
 type Waiter struct {
-	Client string        `json:"Client"`
-	Seq    uint64        `json:"Seq"`
-	Term   time.Duration `json:"Term"`
+	Client   string        `json:"Client"`
+	Sequence uint64        `json:"Seq"`
+	Duration time.Duration `json:"Term"`
 }
 
 // Table is the record. The same asks in the same order make the same Table. It is for one goroutine.
@@ -50,62 +50,62 @@
 
 // Apply changes the record by an ask, and returns what it comes to; granted tells whether a name has a new holder. Renew changes nothing:
 // Terms answers it.
-func (t *Table) Apply(a Ask) (r Reply, granted *Entry) {
+func (t *Table) Apply(a Request) (r Reply, granted *Entry) {
 	e := t.names[a.Name]
 	switch a.Kind {
 	case Acquire:
 		return t.acquire(a, e)
-	case Release, Expire, HandOn:
+	case Release, Expire, Transfer:
 		if e == nil || e.Token != a.Token || a.Kind != Expire && e.Holder != a.Client {
-			return a.reply(Lost), nil
+			return a.reply(NotHeld), nil
 		}
-		if a.Kind == HandOn && t.usable(a.To) {
-			heir := Waiter{a.To, 0, e.Term}
+		if a.Kind == Transfer && t.usable(a.To) {
+			heir := Waiter{a.To, 0, e.Duration}
 			i := slices.IndexFunc(e.Waiters, func(w Waiter) bool { return w.Client == a.To })
 			if i >= 0 {
 				heir = e.Waiters[i]
 				e.Waiters = slices.Delete(e.Waiters, i, i+1)
 			}
 			t.grant(e, heir)
-			e.Heir = i < 0
+			e.TransferPending = i < 0
 			return a.reply(Done), e
 		}
 		return a.reply(Done), t.next(e)
 	case Revoke:
 		if e == nil || a.Token != 0 && e.Token != a.Token {
-			return a.reply(Lost), nil
+			return a.reply(NotHeld), nil
 		}
 		e.Revoked = true
 		r = a.reply(Done)
 		r.Token, r.Holder = e.Token, e.Holder
 		return r, nil
-	case Note, Look:
+	case WriteNote, ReadNote:
 		return t.note(a, e), nil
-	case Drop:
+	case RemoveWaiter:
 		if e != nil {
-			e.Waiters = slices.DeleteFunc(e.Waiters, func(w Waiter) bool { return w.Client == a.Client && w.Seq == a.Seq })
+			e.Waiters = slices.DeleteFunc(e.Waiters, func(w Waiter) bool { return w.Client == a.Client && w.Sequence == a.Sequence })
 		}
 		return a.reply(Done), nil
 	}
-	return a.reply(Lost), nil
+	return a.reply(NotHeld), nil
 }
 
-// NoteBytes bounds what is kept with a name; as many names may have a note as may be held.
-const NoteBytes = 512
+// MaxNoteBytes bounds what is kept with a name; as many names may have a note as may be held.
+const MaxNoteBytes = 512
 
 // note keeps a word with a name, or tells it. The order of the record is what fences: a holder that has been replaced is refused, whatever it
 // thinks of the time.
-func (t *Table) note(a Ask, e *Entry) Reply {
+func (t *Table) note(a Request, e *Entry) Reply {
 	if e == nil || e.Token != a.Token || e.Holder != a.Client {
-		return a.reply(Lost)
+		return a.reply(NotHeld)
 	}
 	old, kept := t.notes[a.Name]
 	switch {
-	case a.Kind == Look:
+	case a.Kind == ReadNote:
 	case a.Value == "":
 		delete(t.notes, a.Name)
-	case len(a.Value) > NoteBytes || !kept && len(t.notes) >= t.limits.Names:
-		r := a.reply(Full)
+	case len(a.Value) > MaxNoteBytes || !kept && len(t.notes) >= t.limits.MaxNames:
+		r := a.reply(TableFull)
 		r.Value = old
 		return r
 	default:
@@ -119,35 +119,35 @@
 // Notes is a copy of all that is kept, by name; Keep is its counterpart.
 func (t *Table) Notes() map[string]string { return maps.Clone(t.notes) }
 
-// Keep makes the notes what Notes said.
-func (t *Table) Keep(notes map[string]string) {
+// RestoreNotes makes the notes what Notes said.
+func (t *Table) RestoreNotes(notes map[string]string) {
 	if t.notes = maps.Clone(notes); t.notes == nil {
 		t.notes = map[string]string{}
 	}
 }
 
-func (t *Table) usable(name string) bool { return name != "" && len(name) <= t.limits.NameBytes }
+func (t *Table) usable(name string) bool { return name != "" && len(name) <= t.limits.MaxNameBytes }
 
-func (t *Table) acquire(a Ask, e *Entry) (Reply, *Entry) {
-	me := Waiter{a.Client, a.Seq, min(max(a.Term, t.limits.Shortest), t.limits.Longest)}
+func (t *Table) acquire(a Request, e *Entry) (Reply, *Entry) {
+	me := Waiter{a.Client, a.Sequence, min(max(a.Duration, t.limits.MinDuration), t.limits.MaxDuration)}
 	switch {
-	case e == nil && (len(t.names) >= t.limits.Names || !t.usable(a.Name) || !t.usable(a.Client)):
-		return a.reply(Full), nil
+	case e == nil && (len(t.names) >= t.limits.MaxNames || !t.usable(a.Name) || !t.usable(a.Client)):
+		return a.reply(TableFull), nil
 	case e == nil:
 		e = &Entry{Name: a.Name}
 		t.names[a.Name] = e
 		t.grant(e, me)
 		return e.granted(a), e
-	case e.Holder == a.Client && e.Heir: // it was handed on to it
-		e.Seq, e.Heir = a.Seq, false
+	case e.Holder == a.Client && e.TransferPending: // it was handed on to it
+		e.Sequence, e.TransferPending = a.Sequence, false
 		return e.granted(a), nil
-	case e.Holder == a.Client && e.Seq == a.Seq: // said again
+	case e.Holder == a.Client && e.Sequence == a.Sequence: // said again
 		if e.Revoked {
-			return a.reply(Lost), nil
+			return a.reply(NotHeld), nil
 		}
 		return e.granted(a), nil
-	case e.Holder == a.Client && a.Seq < e.Seq: // from before
-		return a.reply(Lost), nil
+	case e.Holder == a.Client && a.Sequence < e.Sequence: // from before
+		return a.reply(NotHeld), nil
 	case e.Holder == a.Client: // it wants it anew, so that it does not act on what it has
 		if len(e.Waiters) == 0 {
 			t.grant(e, me)
@@ -161,32 +161,32 @@
 }
 
 // queue has a client wait, or keep its place.
-func (t *Table) queue(a Ask, e *Entry, me Waiter) (Reply, *Entry) {
+func (t *Table) queue(a Request, e *Entry, me Waiter) (Reply, *Entry) {
 	i := slices.IndexFunc(e.Waiters, func(w Waiter) bool { return w.Client == a.Client })
 	switch {
-	case i >= 0 && a.Seq < e.Waiters[i].Seq:
-		return a.reply(Lost), nil
+	case i >= 0 && a.Sequence < e.Waiters[i].Sequence:
+		return a.reply(NotHeld), nil
 	case i >= 0:
 		e.Waiters[i] = me
 	case !a.Wait:
-		r := a.reply(Held)
+		r := a.reply(HeldByOther)
 		r.Holder = e.Holder
 		return r, nil
-	case len(e.Waiters) >= t.limits.Waiters || !t.usable(a.Client):
-		return a.reply(Full), nil
+	case len(e.Waiters) >= t.limits.MaxWaiters || !t.usable(a.Client):
+		return a.reply(TableFull), nil
 	default:
 		i = len(e.Waiters)
 		e.Waiters = append(e.Waiters, me)
 	}
 	r := a.reply(Waiting)
-	r.Place, r.Holder = i+1, e.Holder
+	r.Position, r.Holder = i+1, e.Holder
 	return r, nil
 }
 
 // grant gives a name to a client, with a token that no grant had before.
 func (t *Table) grant(e *Entry, w Waiter) {
 	t.last++
-	e.Holder, e.Seq, e.Term, e.Token, e.Revoked, e.Heir = w.Client, w.Seq, w.Term, t.last, false, false
+	e.Holder, e.Sequence, e.Duration, e.Token, e.Revoked, e.TransferPending = w.Client, w.Sequence, w.Duration, t.last, false, false
 }
 
 // next gives a name to whoever waits longest; nil: nobody does, and it is free.
@@ -201,17 +201,17 @@
 	return e
 }
 
-func (e *Entry) granted(a Ask) Reply {
+func (e *Entry) granted(a Request) Reply {
 	r := a.reply(Granted)
-	r.Token, r.Term, r.Holder = e.Token, e.Term, e.Holder
+	r.Token, r.Duration, r.Holder = e.Token, e.Duration, e.Holder
 	return r
 }
 
 // Entry is a name's; nil: it is free. It is not to be changed.
 func (t *Table) Entry(name string) *Entry { return t.names[name] }
 
-// Last is the last token given.
-func (t *Table) Last() Token { return t.last }
+// LastToken is the last token given.
+func (t *Table) LastToken() Token { return t.last }
 
 // List are all that are held, by name, as copies.
 func (t *Table) List() []Entry {
@@ -225,8 +225,8 @@
 	return out
 }
 
-// Load makes the record what List and Last said; the Table is empty before it.
-func (t *Table) Load(last Token, all []Entry) {
+// Restore makes the record what List and Last said; the Table is empty before it.
+func (t *Table) Restore(last Token, all []Entry) {
 	t.last = last
 	for _, e := range all {
 		e.Waiters = slices.Clone(e.Waiters)
--- a/internal/lifecycle/life.go
+++ b/internal/lifecycle/life.go
@@ -31,21 +31,21 @@
 	lastPart    = 400 * time.Millisecond // Replaced: all idle ones this long before what is unanswered is failed
 )
 
-// Life is one process's. It is not safe for concurrent use. Times are on the caller's clock.
-type Life struct {
+// Machine is one process's. It is not safe for concurrent use. Times are on the caller's clock.
+type Machine struct {
 	grace time.Duration // after Replaced or Stopping began, what is unanswered is failed
 	state State
 	since time.Duration // the state began
 }
 
 // New is a process that serves.
-func New(grace time.Duration) *Life { return &Life{grace: grace} }
+func New(grace time.Duration) *Machine { return &Machine{grace: grace} }
 
 // State is what it is at.
-func (l *Life) State() State { return l.state }
+func (l *Machine) State() State { return l.state }
 
 // Drain sends clients away; false: the process is ending, and they are leaving already.
-func (l *Life) Drain(now time.Duration) bool {
+func (l *Machine) Drain(now time.Duration) bool {
 	if l.state == Serving {
 		l.state, l.since = Draining, now
 	}
@@ -53,7 +53,7 @@
 }
 
 // Undrain takes clients again; false: the process is ending.
-func (l *Life) Undrain(now time.Duration) bool {
+func (l *Machine) Undrain(now time.Duration) bool {
 	if l.state == Draining {
 		l.state, l.since = Serving, now
 	}
@@ -61,7 +61,7 @@
 }
 
 // Stop ends the process: by itself, or in favour of a successor that serves. Only the first call counts.
-func (l *Life) Stop(now time.Duration, successor bool) {
+func (l *Machine) Stop(now time.Duration, successor bool) {
 	if l.Ending() {
 		return
 	}
@@ -72,16 +72,16 @@
 }
 
 // Ending tells whether the process ends.
-func (l *Life) Ending() bool { return l.state == Replaced || l.state == Stopping }
+func (l *Machine) Ending() bool { return l.state == Replaced || l.state == Stopping }
 
-// Wanted tells whether clients are to be sent here. A process that leaves them to a successor speaks for that one.
-func (l *Life) Wanted() bool { return l.state == Serving || l.state == Replaced }
+// Ready tells whether clients are to be sent here. A process that leaves them to a successor speaks for that one.
+func (l *Machine) Ready() bool { return l.state == Serving || l.state == Replaced }
 
-// LastAnswers tells whether each answer is the last of its connection.
-func (l *Life) LastAnswers() bool { return l.state != Serving }
+// CloseAfterAnswer tells whether each answer is the last of its connection.
+func (l *Machine) CloseAfterAnswer() bool { return l.state != Serving }
 
 // Accepts tells whether new connections are taken.
-func (l *Life) Accepts(now time.Duration) bool {
+func (l *Machine) Accepts(now time.Duration) bool {
 	switch l.state {
 	case Replaced:
 		return false
@@ -91,9 +91,9 @@
 	return true
 }
 
-// Rest is how long a connection may have rested before it is closed now, and when to ask again; false: no connection is closed for
+// IdleTimeout is how long a connection may have rested before it is closed now, and when to ask again; false: no connection is closed for
 // that, and there is nothing to ask before the next change of state.
-func (l *Life) Rest(now time.Duration) (rest, again time.Duration, close bool) {
+func (l *Machine) IdleTimeout(now time.Duration) (rest, again time.Duration, close bool) {
 	const step = 100 * time.Millisecond
 	age := now - l.since
 	first, last := drainFirst, drainLast
@@ -121,7 +121,7 @@
 }
 
 // Abort tells whether what is unanswered is to be failed now, and else how long there is yet. Only an ending process comes to it.
-func (l *Life) Abort(now time.Duration) (left time.Duration, abort bool) {
+func (l *Machine) Abort(now time.Duration) (left time.Duration, abort bool) {
 	if !l.Ending() {
 		return 0, false
 	}
--- a/internal/lifecycle/life_test.go
+++ b/internal/lifecycle/life_test.go
@@ -10,11 +10,11 @@
 const grace = 3550 * time.Millisecond
 
 // events are all that may befall a process.
-var events = map[string]func(*Life, time.Duration) bool{
-	"drain":    (*Life).Drain,
-	"undrain":  (*Life).Undrain,
-	"stop":     func(l *Life, now time.Duration) bool { l.Stop(now, false); return true },
-	"replaced": func(l *Life, now time.Duration) bool { l.Stop(now, true); return true },
+var events = map[string]func(*Machine, time.Duration) bool{
+	"drain":    (*Machine).Drain,
+	"undrain":  (*Machine).Undrain,
+	"stop":     func(l *Machine, now time.Duration) bool { l.Stop(now, false); return true },
+	"replaced": func(l *Machine, now time.Duration) bool { l.Stop(now, true); return true },
 }
 
 // Every pair of events, and what comes of it. Guards against a process that serves again after its end has begun, a second call
@@ -79,14 +79,14 @@
 		l := New(grace)
 		events[c.into](l, time.Minute)
 		now := time.Minute + c.after
-		rest, _, closing := l.Rest(now)
+		rest, _, closing := l.IdleTimeout(now)
 		if !closing {
 			rest = -1
 		}
 		_, abort := l.Abort(now)
-		if l.Wanted() != c.wanted || l.LastAnswers() != c.last || l.Accepts(now) != c.accepts || rest != c.closes || abort != c.abort {
-			t.Errorf("%s and %v: wanted %v, last answers %v, accepts %v, closes %v, aborts %v", c.into, c.after, l.Wanted(),
-				l.LastAnswers(), l.Accepts(now), rest, abort)
+		if l.Ready() != c.wanted || l.CloseAfterAnswer() != c.last || l.Accepts(now) != c.accepts || rest != c.closes || abort != c.abort {
+			t.Errorf("%s and %v: wanted %v, last answers %v, accepts %v, closes %v, aborts %v", c.into, c.after, l.Ready(),
+				l.CloseAfterAnswer(), l.Accepts(now), rest, abort)
 		}
 	}
 }
@@ -105,14 +105,14 @@
 				t.Fatalf("%s takes the end back: %v after %v", name, l.State(), was)
 			}
 			for range rapid.IntRange(0, 8).Draw(t, "looks") {
-				rest, again, closing := l.Rest(now)
+				rest, again, closing := l.IdleTimeout(now)
 				if l.State() == Serving {
 					break
 				}
 				if again <= 0 {
 					t.Fatalf("%v: again in %v", l.State(), again)
 				}
-				before, _, _ := l.Rest(now + again - 1)
+				before, _, _ := l.IdleTimeout(now + again - 1)
 				if before != rest {
 					t.Fatalf("%v at %v: what is closed changes before %v have passed", l.State(), now-l.since, again)
 				}
--- a/internal/task/declaration.go
+++ b/internal/task/declaration.go
@@ -11,18 +11,18 @@
 
 // Declaration is a [[task]] of the operator's file.
 type Declaration struct {
-	Name     string         `toml:"name" reload:"start" sample:"\"nightly\"" doc:"The task's name, the same in every process. Its lease is task/NAME."`
-	Schedule string         `toml:"schedule" reload:"start" sample:"\"30 2 * * *\"" doc:"When it is due: minute, hour, day, month, weekday, or \"@every 90s\", \"@hourly\" and the like; with \"CRON_TZ=Africa/Nairobi \" before it in that zone."`
-	Command  []string       `toml:"command" reload:"start" sample:"[\"/usr/local/bin/nightly.sh\"]" doc:"What is run. It finds ORCHIDDRIFT_TASK_DUE and ORCHIDDRIFT_LEASE_TOKEN in its environment."`
-	Call     string         `toml:"call" reload:"start" sample:"\"POST /sweep/all\"" doc:"Or a call through this daemon: method and path. It bears the token as X-Lease-Token and the run as Idempotency-Key."`
-	Promise  string         `toml:"promise" default:"at-most-once" reload:"start" doc:"\"at-most-once\": a run whose process was lost is not begun again; \"at-least-once\": it is."`
-	Tries    int            `toml:"tries" default:"5" reload:"start" doc:"With at-least-once a run begins no more than so often."`
-	Late     units.Duration `toml:"late" default:"1m" reload:"start" doc:"A run that could not begin for so long was missed."`
-	Missed   string         `toml:"missed" default:"skip" reload:"start" doc:"\"skip\": runs that were missed are left out; \"latest\": the latest of them runs."`
-	Limit    units.Duration `toml:"limit" default:"10m" reload:"start" doc:"A run is ended after so long. One that is due meanwhile waits, and is missed after late."`
-	Priority int            `toml:"priority" reload:"start" doc:"Where a process has no room for all, higher ones go first."`
-	Term     units.Duration `toml:"term" default:"10s" reload:"start" doc:"How long the task's lease outlasts a process that nobody hears of."`
-	Margin   units.Duration `toml:"margin" default:"1s" reload:"start" doc:"What a command may take to end after SIGTERM; then it gets SIGKILL."`
+	Name          string         `toml:"name" reload:"start" sample:"\"nightly\"" doc:"The task's name, the same in every process. Its lease is task/NAME."`
+	Schedule      string         `toml:"schedule" reload:"start" sample:"\"30 2 * * *\"" doc:"When it is due: minute, hour, day, month, weekday, or \"@every 90s\", \"@hourly\" and the like; with \"CRON_TZ=Africa/Nairobi \" before it in that zone."`
+	Command       []string       `toml:"command" reload:"start" sample:"[\"/usr/local/bin/nightly.sh\"]" doc:"What is run. It finds ORCHIDDRIFT_TASK_DUE and ORCHIDDRIFT_LEASE_TOKEN in its environment."`
+	Call          string         `toml:"call" reload:"start" sample:"\"POST /sweep/all\"" doc:"Or a call through this daemon: method and path. It bears the token as X-Lease-Token and the run as Idempotency-Key."`
+	Delivery      string         `toml:"promise" default:"at-most-once" reload:"start" doc:"\"at-most-once\": a run whose process was lost is not begun again; \"at-least-once\": it is."`
+	MaxAttempts   int            `toml:"tries" default:"5" reload:"start" doc:"With at-least-once a run begins no more than so often."`
+	MaxDelay      units.Duration `toml:"late" default:"1m" reload:"start" doc:"A run that could not begin for so long was missed."`
+	OnMissed      string         `toml:"missed" default:"skip" reload:"start" doc:"\"skip\": runs that were missed are left out; \"latest\": the latest of them runs."`
+	Timeout       units.Duration `toml:"limit" default:"10m" reload:"start" doc:"A run is ended after so long. One that is due meanwhile waits, and is missed after late."`
+	Priority      int            `toml:"priority" reload:"start" doc:"Where a process has no room for all, higher ones go first."`
+	LeaseDuration units.Duration `toml:"term" default:"10s" reload:"start" doc:"How long the task's lease outlasts a process that nobody hears of."`
+	Margin        units.Duration `toml:"margin" default:"1s" reload:"start" doc:"What a command may take to end after SIGTERM; then it gets SIGKILL."`
 }
 
 // parser reads schedules as the common cron does.
@@ -44,25 +44,25 @@
 			report("call", "%q is not a method and a path, such as \"POST /sweep/all\"", d.Call)
 		}
 	}
-	if d.Promise != "at-most-once" && d.Promise != "at-least-once" {
-		report("promise", "%q is neither at-most-once nor at-least-once", d.Promise)
+	if d.Delivery != "at-most-once" && d.Delivery != "at-least-once" {
+		report("promise", "%q is neither at-most-once nor at-least-once", d.Delivery)
 	}
-	if d.Missed != "skip" && d.Missed != "latest" {
-		report("missed", "%q is neither skip nor latest", d.Missed)
+	if d.OnMissed != "skip" && d.OnMissed != "latest" {
+		report("missed", "%q is neither skip nor latest", d.OnMissed)
 	}
-	if d.Tries < 1 || d.Tries > 1000 {
-		report("tries", "%d is not from 1 to 1000", d.Tries)
+	if d.MaxAttempts < 1 || d.MaxAttempts > 1000 {
+		report("tries", "%d is not from 1 to 1000", d.MaxAttempts)
 	}
-	if d.Late < 0 || d.Limit.D() < time.Millisecond {
-		report("limit", "late %v, limit %v", d.Late, d.Limit)
+	if d.MaxDelay < 0 || d.Timeout.D() < time.Millisecond {
+		report("limit", "late %v, limit %v", d.MaxDelay, d.Timeout)
 	}
-	if d.Margin <= 0 || d.Term < 4*d.Margin {
-		report("term", "%v is under four times the margin, %v", d.Term, d.Margin)
+	if d.Margin <= 0 || d.LeaseDuration < 4*d.Margin {
+		report("term", "%v is under four times the margin, %v", d.LeaseDuration, d.Margin)
 	}
 }
 
 // Rules are what Decide goes by; the Declaration has been checked.
 func (d *Declaration) Rules() (Rules, error) {
 	s, err := parser.Parse(d.Schedule)
-	return Rules{Schedule: s, Again: d.Promise == "at-least-once", Tries: d.Tries, Late: d.Late.D(), Missed: d.Missed == "latest"}, err
+	return Rules{Schedule: s, AtLeastOnce: d.Delivery == "at-least-once", MaxAttempts: d.MaxAttempts, MaxDelay: d.MaxDelay.D(), RunMissed: d.OnMissed == "latest"}, err
 }
--- a/internal/task/golden_test.go
+++ b/internal/task/golden_test.go
@@ -14,17 +14,17 @@
 	due := time.Date(2026, 12, 3, 4, 30, 0, 0, time.UTC)
 	var want []Record
 	for _, phase := range []Phase{Begun, Ended, Lost, Skipped} {
-		want = append(want, Record{Due: due, Phase: phase, Token: 12, By: "a", Tries: 2, Code: 3})
+		want = append(want, Record{Due: due, Phase: phase, Token: 12, By: "a", Attempts: 2, ExitCode: 3})
 	}
 	want = append(want, Record{Due: due, Phase: Begun})
 	var out strings.Builder
 	for _, r := range want {
-		out.WriteString(r.Note() + "\n")
+		out.WriteString(r.Encode() + "\n")
 	}
 	golden.Match(t, "records.jsonl", []byte(out.String()))
 	lines := strings.Split(strings.TrimSpace(string(golden.Read(t, "records.jsonl", []byte(out.String())))), "\n")
 	for i, line := range lines {
-		got, err := Read(line)
+		got, err := DecodeRecord(line)
 		if err != nil || !reflect.DeepEqual(*got, want[i]) {
 			t.Errorf("%s is read as %+v, %v; want %+v", line, got, err, want[i])
 		}
--- a/internal/task/process.go
+++ b/internal/task/process.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// ProcessOptions are a Process's parameters.
-type ProcessOptions struct {
-	Room   int           // runs at once
-	Spread time.Duration // processes ask for a due run within so long, each at its own moment; one that runs others asks later by so much for each
-	Look   time.Duration // a task that somebody else has is looked at again so soon: it may have been lost
+// SchedulerOptions are a Process's parameters.
+type SchedulerOptions struct {
+	MaxRuns         int           // runs at once
+	Spread          time.Duration // processes ask for a due run within so long, each at its own moment; one that runs others asks later by so much for each
+	RecheckInterval time.Duration // a task that somebody else has is looked at again so soon: it may have been lost
 }
 
-// Process is one process's part in the fleet's tasks: when it asks for which. It is for one goroutine.
-type Process struct {
-	o       ProcessOptions
+// Scheduler is one process's part in the fleet's tasks: when it asks for which. It is for one goroutine.
+type Scheduler struct {
+	o       SchedulerOptions
 	rng     *rand.Rand
 	tasks   []*mine // the most urgent first
 	out     int     // asked for, or run
@@ -32,17 +32,17 @@
 	runs     bool
 }
 
-// NewProcess returns one that knows no tasks.
-func NewProcess(o ProcessOptions, rng *rand.Rand) *Process { return &Process{o: o, rng: rng} }
+// NewScheduler returns one that knows no tasks.
+func NewScheduler(o SchedulerOptions, rng *rand.Rand) *Scheduler { return &Scheduler{o: o, rng: rng} }
 
 // Add has it ask for a task from now on. A higher priority goes first where there is not room for all.
-func (p *Process) Add(now time.Time, name string, priority int) {
+func (p *Scheduler) Add(now time.Time, name string, priority int) {
 	p.tasks = append(p.tasks, &mine{name: name, priority: priority, at: now.Add(p.delay())})
 	slices.SortStableFunc(p.tasks, func(a, b *mine) int { return cmp.Compare(b.priority, a.priority) })
 }
 
 // delay is drawn anew for each due run.
-func (p *Process) delay() time.Duration {
+func (p *Scheduler) delay() time.Duration {
 	d := time.Duration(p.running) * p.o.Spread
 	if p.o.Spread > 0 {
 		d += time.Duration(p.rng.Int64N(int64(p.o.Spread)))
@@ -50,10 +50,10 @@
 	return d
 }
 
-// Ask returns the tasks that are to be asked for now.
-func (p *Process) Ask(now time.Time) (names []string) {
+// Due returns the tasks that are to be asked for now.
+func (p *Scheduler) Due(now time.Time) (names []string) {
 	for _, t := range p.tasks {
-		if p.drains || p.out >= p.o.Room {
+		if p.drains || p.out >= p.o.MaxRuns {
 			break
 		}
 		if !t.out && !t.at.IsZero() && !now.Before(t.at) {
@@ -66,9 +66,9 @@
 }
 
 // Next is when Ask may have something; false: not before something else happens.
-func (p *Process) Next() (time.Time, bool) {
+func (p *Scheduler) Next() (time.Time, bool) {
 	var next time.Time
-	if p.drains || p.out >= p.o.Room {
+	if p.drains || p.out >= p.o.MaxRuns {
 		return next, false
 	}
 	for _, t := range p.tasks {
@@ -79,7 +79,7 @@
 	return next, !next.IsZero()
 }
 
-func (p *Process) find(name string) *mine {
+func (p *Scheduler) find(name string) *mine {
 	for _, t := range p.tasks {
 		if t.name == name && t.out {
 			return t
@@ -88,15 +88,15 @@
 	return nil
 }
 
-// Began says that a task that was asked for runs here.
-func (p *Process) Began(name string) {
+// Started says that a task that was asked for runs here.
+func (p *Scheduler) Started(name string) {
 	if t := p.find(name); t != nil && !t.runs {
 		t.runs = true
 		p.running++
 	}
 }
 
-func (p *Process) back(name string) *mine {
+func (p *Scheduler) back(name string) *mine {
 	t := p.find(name)
 	if t == nil {
 		return nil
@@ -110,8 +110,8 @@
 	return t
 }
 
-// Rested says that a task was asked for, and that nothing is due before at; zero: never again.
-func (p *Process) Rested(name string, at time.Time) {
+// Waiting says that a task was asked for, and that nothing is due before at; zero: never again.
+func (p *Scheduler) Waiting(name string, at time.Time) {
 	if t := p.back(name); t != nil {
 		if t.at = at; !at.IsZero() {
 			t.at = at.Add(p.delay())
@@ -119,12 +119,12 @@
 	}
 }
 
-// Elsewhere says that somebody else has it, or that nobody could be asked.
-func (p *Process) Elsewhere(now time.Time, name string) {
+// HeldElsewhere says that somebody else has it, or that nobody could be asked.
+func (p *Scheduler) HeldElsewhere(now time.Time, name string) {
 	if t := p.back(name); t != nil {
-		t.at = now.Add(p.o.Look/2 + time.Duration(p.rng.Int64N(int64(p.o.Look))))
+		t.at = now.Add(p.o.RecheckInterval/2 + time.Duration(p.rng.Int64N(int64(p.o.RecheckInterval))))
 	}
 }
 
 // Drain has it ask for nothing any more, or, with false, for all that is due.
-func (p *Process) Drain(on bool) { p.drains = on }
+func (p *Scheduler) Drain(on bool) { p.drains = on }
--- a/internal/task/runner/acts.go
+++ b/internal/task/runner/acts.go
@@ -21,32 +21,32 @@
 const TokenHeader = "X-Lease-Token"
 
 // act makes a task's run.
-func (t *known) act(j *job, rec task.Record, over func(code int, why lease.Why)) act {
+func (t *known) act(j *job, rec task.Record, over func(code int, why lease.Reason)) act {
 	due := rec.Due.UTC().Format(time.RFC3339Nano)
 	if t.d.Call != "" {
 		ctx, cancel := context.WithCancel(context.Background())
 		return &call{t: t, to: j.r.o.Listen(), due: due, over: over, ctx: ctx, cancel: cancel, done: make(chan struct{})}
 	}
 	return &command{raftgroup.Command{Guard: j.r.o.Guard, Name: t.lease(), Argv: t.d.Command, Margin: t.d.Margin.D(), Env: []string{DueVariable + "=" + due},
-		Over: over, Told: func(text string) { j.r.o.Log.Warn("task", "task", t.d.Name, "reason", text) }}}
+		OnExit: over, Log: func(text string) { j.r.o.Log.Warn("task", "task", t.d.Name, "reason", text) }}}
 }
 
 type command struct{ raftgroup.Command }
 
 func (c *command) begin(token lease.Token, until time.Duration) { c.Begin(token, until) }
 func (c *command) extend(until time.Duration)                   { c.Extend(until) }
-func (c *command) end(why lease.Why) <-chan struct{}            { return c.End(why) }
+func (c *command) end(why lease.Reason) <-chan struct{}         { return c.End(why) }
 
 // call is a call through the daemon. What the upstream does after the call was given up is for the token to stop.
 type call struct {
 	t      *known
 	to     string
 	due    string
-	over   func(code int, why lease.Why)
+	over   func(code int, why lease.Reason)
 	ctx    context.Context
 	cancel context.CancelFunc
 	done   chan struct{}
-	why    lease.Why // read once ctx has ended
+	why    lease.Reason // read once ctx has ended
 }
 
 func (c *call) begin(token lease.Token, _ time.Duration) {
@@ -56,7 +56,7 @@
 		if err := c.do(token); err != nil {
 			code = 1
 		}
-		var why lease.Why
+		var why lease.Reason
 		if c.ctx.Err() != nil {
 			why = c.why
 		}
@@ -88,7 +88,7 @@
 
 func (c *call) extend(time.Duration) {}
 
-func (c *call) end(why lease.Why) <-chan struct{} {
+func (c *call) end(why lease.Reason) <-chan struct{} {
 	if c.ctx.Err() == nil {
 		c.why = why
 		c.cancel()
--- a/internal/task/runner/job.go
+++ b/internal/task/runner/job.go
@@ -35,7 +35,7 @@
 type act interface {
 	begin(token lease.Token, until time.Duration)
 	extend(until time.Duration)
-	end(why lease.Why) <-chan struct{}
+	end(why lease.Reason) <-chan struct{}
 }
 
 // Begin is Task's.
@@ -56,11 +56,11 @@
 }
 
 // End is Task's. A lease that was lost is not asked for anew by this wish.
-func (j *job) End(why lease.Why) <-chan struct{} {
+func (j *job) End(why lease.Reason) <-chan struct{} {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.ended = true
-	if why != lease.Left {
+	if why != lease.Released {
 		j.cancel()
 	}
 	if j.act != nil {
@@ -71,11 +71,11 @@
 	return done
 }
 
-// Turned is Task's.
-func (j *job) Turned(lease.Why) { j.cancel() }
+// Rejected is Task's.
+func (j *job) Rejected(lease.Reason) { j.cancel() }
 
-// Unreached is Task's.
-func (j *job) Unreached(err error) {
+// Unreachable is Task's.
+func (j *job) Unreachable(err error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.report = err
@@ -87,13 +87,13 @@
 var errLost = errors.New("the lease is lost")
 
 // ask brings an ask under the token, again until it is answered or the wish is over.
-func (j *job) ask(token lease.Token, kind lease.Kind, value string) (string, error) {
+func (j *job) ask(token lease.Token, kind lease.RequestKind, value string) (string, error) {
 	for {
-		r, err := j.r.o.At.Ask(j.ctx, lease.Ask{Kind: kind, Name: j.t.lease(), Client: j.client, Token: token, Value: value}, 0, j.t.d.Term.D()/5)
+		r, err := j.r.o.Leases.Request(j.ctx, lease.Request{Kind: kind, Name: j.t.lease(), Client: j.client, Token: token, Value: value}, 0, j.t.d.LeaseDuration.D()/5)
 		switch {
-		case err == nil && r.Verdict == lease.Done:
+		case err == nil && r.Status == lease.Done:
 			return r.Value, nil
-		case err == nil && r.Verdict == lease.Full:
+		case err == nil && r.Status == lease.TableFull:
 			return "", errors.New("the record has no room for the task's note")
 		case err == nil:
 			return "", errLost
@@ -101,27 +101,27 @@
 		select {
 		case <-j.ctx.Done():
 			return "", j.ctx.Err()
-		case <-time.After(j.t.d.Term.D() / 20):
+		case <-time.After(j.t.d.LeaseDuration.D() / 20):
 		}
 	}
 }
 
 // decide does what the task's record asks for.
 func (j *job) decide(token lease.Token) {
-	note, err := j.ask(token, lease.Look, "")
+	note, err := j.ask(token, lease.ReadNote, "")
 	for err == nil {
 		var last *task.Record
-		if last, err = task.Read(note); err != nil {
+		if last, err = task.DecodeRecord(note); err != nil {
 			break
 		}
 		s := j.t.rules.Decide(j.r.o.Now(), last, token, j.r.o.Name)
-		if s.Do == task.Rest {
+		if s.Kind == task.Wait {
 			j.mu.Lock()
 			j.rest = &s.At
 			j.mu.Unlock()
 			break
 		}
-		if note, err = j.ask(token, lease.Note, s.Record.Note()); err == nil && s.Do == task.Run {
+		if note, err = j.ask(token, lease.WriteNote, s.Record.Encode()); err == nil && s.Kind == task.StartRun {
 			if s.Record.Phase != task.Begun {
 				continue
 			}
@@ -147,12 +147,12 @@
 		return false
 	}
 	j.ran = true
-	a := j.t.act(j, rec, func(code int, why lease.Why) { j.over(token, rec, code, why) })
+	a := j.t.act(j, rec, func(code int, why lease.Reason) { j.over(token, rec, code, why) })
 	j.act = a
 	j.r.began(j.t.d.Name)
-	j.r.o.Log.Info("task: begins", "task", j.t.d.Name, "due", rec.Due.Format(time.RFC3339Nano), "token", uint64(token), "try", rec.Tries)
-	j.limit = time.AfterFunc(j.t.d.Limit.D(), func() {
-		j.r.o.Log.Warn("task: its limit is over", "task", j.t.d.Name, "limit", j.t.d.Limit.D())
+	j.r.o.Log.Info("task: begins", "task", j.t.d.Name, "due", rec.Due.Format(time.RFC3339Nano), "token", uint64(token), "try", rec.Attempts)
+	j.limit = time.AfterFunc(j.t.d.Timeout.D(), func() {
+		j.r.o.Log.Warn("task: its limit is over", "task", j.t.d.Name, "limit", j.t.d.Timeout.D())
 		a.end(limitOver)
 	})
 	a.begin(token, j.until)
@@ -160,27 +160,27 @@
 }
 
 // limitOver is why a run was ended whose limit was over: it counts as ended.
-const limitOver lease.Why = 100
+const limitOver lease.Reason = 100
 
 // over is the end of a run. One that ended by itself is noted as such before the lease is given back; one that was cut off stays begun.
-func (j *job) over(token lease.Token, rec task.Record, code int, why lease.Why) {
+func (j *job) over(token lease.Token, rec task.Record, code int, why lease.Reason) {
 	j.limit.Stop()
 	j.r.o.Log.Info("task: ended", "task", j.t.d.Name, "due", rec.Due.Format(time.RFC3339Nano), "token", uint64(token), "code", code, "cut", why != 0 && why != limitOver)
 	if why != 0 && why != limitOver {
 		j.cancel()
 		return
 	}
-	rec.Phase, rec.Code = task.Ended, code
+	rec.Phase, rec.ExitCode = task.Ended, code
 	j.r.jobs.Go(func() {
 		defer j.cancel()
-		if _, err := j.ask(token, lease.Note, rec.Note()); err != nil {
+		if _, err := j.ask(token, lease.WriteNote, rec.Encode()); err != nil {
 			j.mu.Lock()
 			j.report = fmt.Errorf("the end of a run is not noted: %w", err)
 			j.mu.Unlock()
 			return
 		}
 		now := j.r.o.Now()
-		if s := j.t.rules.Decide(now, &rec, token, j.r.o.Name); s.Do == task.Rest {
+		if s := j.t.rules.Decide(now, &rec, token, j.r.o.Name); s.Kind == task.Wait {
 			j.mu.Lock()
 			j.rest = &s.At
 			j.mu.Unlock()
@@ -188,4 +188,4 @@
 	})
 }
 
-var _ raftgroup.Task = (*job)(nil)
+var _ raftgroup.Work = (*job)(nil)
--- a/internal/task/runner/runner.go
+++ b/internal/task/runner/runner.go
@@ -16,17 +16,17 @@
 
 // Options are Run's.
 type Options struct {
-	Name   string // the process's
-	Tasks  []task.Declaration
-	At     raftgroup.Asker
-	Drift  float64
-	Guard  []string      // the guard's command line
-	Listen func() string // where the daemon's clients connect
-	Room   int           // runs at once
-	Seed   uint64
-	Drains func() bool // looked at often: a process that drains begins nothing
-	Now    func() time.Time
-	Log    *slog.Logger
+	Name     string // the process's
+	Tasks    []task.Declaration
+	Leases   raftgroup.Requester
+	Drift    float64
+	Guard    []string      // the guard's command line
+	Listen   func() string // where the daemon's clients connect
+	MaxRuns  int           // runs at once
+	Seed     uint64
+	Draining func() bool // looked at often: a process that drains begins nothing
+	Now      func() time.Time
+	Log      *slog.Logger
 }
 
 // known is a task.
@@ -47,10 +47,10 @@
 	wake  chan struct{}
 
 	mu sync.Mutex
-	p  *task.Process
+	p  *task.Scheduler
 }
 
-// Spread and look are a process's rhythm: see task.ProcessOptions. Runs are due by the minute, or by the second at most.
+// Spread and look are a process's rhythm: see task.SchedulerOptions. Runs are due by the minute, or by the second at most.
 const (
 	spread   = 300 * time.Millisecond
 	lookMost = 15 * time.Second
@@ -61,10 +61,10 @@
 func Run(ctx context.Context, o Options) error {
 	look := lookMost
 	for _, d := range o.Tasks {
-		look = min(look, d.Term.D()/2)
+		look = min(look, d.LeaseDuration.D()/2)
 	}
 	r := &runner{o: o, tasks: map[string]*known{}, wake: make(chan struct{}, 1),
-		p: task.NewProcess(task.ProcessOptions{Room: o.Room, Spread: spread, Look: look}, rand.New(rand.NewPCG(o.Seed, 0x7461736b)))}
+		p: task.NewScheduler(task.SchedulerOptions{MaxRuns: o.MaxRuns, Spread: spread, RecheckInterval: look}, rand.New(rand.NewPCG(o.Seed, 0x7461736b)))}
 	for _, d := range o.Tasks {
 		rules, err := d.Rules()
 		if err != nil {
@@ -84,8 +84,8 @@
 		case <-r.wake:
 		}
 		r.mu.Lock()
-		r.p.Drain(o.Drains())
-		names := r.p.Ask(o.Now())
+		r.p.Drain(o.Draining())
+		names := r.p.Due(o.Now())
 		r.mu.Unlock()
 		for _, name := range names {
 			r.jobs.Go(func() { r.wish(ctx, r.tasks[name]) })
@@ -98,8 +98,8 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	j := &job{r: r, t: t, client: raftgroup.NewClientID(), ctx: ctx, cancel: cancel}
-	raftgroup.Keep(ctx, r.o.At, lease.HolderOptions{Name: t.lease(), Client: j.client, Term: t.d.Term.D(), Drift: r.o.Drift, Margin: t.d.Margin.D(),
-		Retry: t.d.Term.D() / 5}, j)
+	raftgroup.RunWhileHeld(ctx, r.o.Leases, lease.HolderOptions{Name: t.lease(), Client: j.client, Duration: t.d.LeaseDuration.D(), Drift: r.o.Drift, Margin: t.d.Margin.D(),
+		RetryInterval: t.d.LeaseDuration.D() / 5}, j)
 	j.mu.Lock()
 	rest, err := j.rest, j.report
 	j.mu.Unlock()
@@ -109,9 +109,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if rest != nil {
-		r.p.Rested(t.d.Name, *rest)
+		r.p.Waiting(t.d.Name, *rest)
 	} else {
-		r.p.Elsewhere(r.o.Now(), t.d.Name)
+		r.p.HeldElsewhere(r.o.Now(), t.d.Name)
 	}
 	select {
 	case r.wake <- struct{}{}:
@@ -122,5 +122,5 @@
 func (r *runner) began(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.p.Began(name)
+	r.p.Started(name)
 }
--- a/internal/task/task.go
+++ b/internal/task/task.go
@@ -24,11 +24,11 @@
 	Schedule Schedule
 	// Again has a run that was cut off by the loss of its process begin anew, up to Tries times: it is done at least once. Else it is done at
 	// most once, and one that was cut off counts as lost.
-	Again bool
-	Tries int
+	AtLeastOnce bool
+	MaxAttempts int
 	// Late is how long after it was due a run may begin; later it was missed. Missed has the latest one that was missed run all the same.
-	Late   time.Duration
-	Missed bool
+	MaxDelay  time.Duration
+	RunMissed bool
 }
 
 // Phase is where a run stands.
@@ -44,16 +44,16 @@
 
 // Record is the word on a task's latest run.
 type Record struct {
-	Due   time.Time   `json:"due"`
-	Phase Phase       `json:"phase"`
-	Token lease.Token `json:"token"` // under which it was begun
-	By    string      `json:"by,omitempty"`
-	Tries int         `json:"tries,omitempty"`
-	Code  int         `json:"code,omitempty"` // a command's exit code
+	Due      time.Time   `json:"due"`
+	Phase    Phase       `json:"phase"`
+	Token    lease.Token `json:"token"` // under which it was begun
+	By       string      `json:"by,omitempty"`
+	Attempts int         `json:"tries,omitempty"`
+	ExitCode int         `json:"code,omitempty"` // a command's exit code
 }
 
-// Note is a Record as it is kept.
-func (r Record) Note() string {
+// Encode is a Record as it is kept.
+func (r Record) Encode() string {
 	text, err := json.Marshal(r)
 	if err != nil { // plain values
 		panic(err)
@@ -61,8 +61,8 @@
 	return string(text)
 }
 
-// Read is Note's counterpart; "": there has been no run.
-func Read(note string) (*Record, error) {
+// DecodeRecord is Note's counterpart; "": there has been no run.
+func DecodeRecord(note string) (*Record, error) {
 	if note == "" {
 		return nil, nil
 	}
@@ -77,19 +77,19 @@
 	return nil, fmt.Errorf("the record of the task: %q is no phase", r.Phase)
 }
 
-// Do is what whoever holds the lease is to do.
-type Do int
+// StepKind is what whoever holds the lease is to do.
+type StepKind int
 
 // What is to be done.
 const (
-	Rest  Do = iota // nothing before Step.At: the lease is given back
-	Write           // Step.Record is to be noted, and decided on again
-	Run             // Step.Record is to be noted, and once it is the run begins
+	Wait        StepKind = iota // nothing before Step.At: the lease is given back
+	WriteRecord                 // Step.Record is to be noted, and decided on again
+	StartRun                    // Step.Record is to be noted, and once it is the run begins
 )
 
 // Step is a decision.
 type Step struct {
-	Do     Do
+	Kind   StepKind
 	At     time.Time // Rest; zero: never again
 	Record Record    // Write, Run
 }
@@ -100,23 +100,23 @@
 // Decide is for the holder of a task's lease under token; last is what the note says, nil: nothing.
 func (r *Rules) Decide(now time.Time, last *Record, token lease.Token, by string) Step {
 	if last == nil { // runs count from now on
-		return Step{Do: Write, Record: Record{Due: now, Phase: Skipped, Token: token, By: by}}
+		return Step{Kind: WriteRecord, Record: Record{Due: now, Phase: Skipped, Token: token, By: by}}
 	}
 	if last.Phase == Begun {
 		next := *last
 		switch {
 		case last.Token == token: // it is this one's own: the answer to its note was lost
-			return Step{Do: Run, Record: next}
-		case r.Again && last.Tries < r.Tries:
-			next.Token, next.By, next.Tries = token, by, last.Tries+1
-			return Step{Do: Run, Record: next}
+			return Step{Kind: StartRun, Record: next}
+		case r.AtLeastOnce && last.Attempts < r.MaxAttempts:
+			next.Token, next.By, next.Attempts = token, by, last.Attempts+1
+			return Step{Kind: StartRun, Record: next}
 		}
 		next.Phase = Lost
-		return Step{Do: Write, Record: next}
+		return Step{Kind: WriteRecord, Record: next}
 	}
 	due := r.Schedule.Next(last.Due)
 	if due.IsZero() || due.After(now) {
-		return Step{Do: Rest, At: due}
+		return Step{Kind: Wait, At: due}
 	}
 	for range mostDues {
 		later := r.Schedule.Next(due)
@@ -125,10 +125,10 @@
 		}
 		due = later
 	}
-	begin := Record{Due: due, Phase: Begun, Token: token, By: by, Tries: 1}
-	if now.Sub(due) > r.Late && !r.Missed {
-		begin.Phase, begin.Tries = Skipped, 0
-		return Step{Do: Write, Record: begin}
+	begin := Record{Due: due, Phase: Begun, Token: token, By: by, Attempts: 1}
+	if now.Sub(due) > r.MaxDelay && !r.RunMissed {
+		begin.Phase, begin.Attempts = Skipped, 0
+		return Step{Kind: WriteRecord, Record: begin}
 	}
-	return Step{Do: Run, Record: begin}
+	return Step{Kind: StartRun, Record: begin}
 }
--- a/internal/task/task_test.go
+++ b/internal/task/task_test.go
@@ -16,15 +16,15 @@
 var start = time.Date(2026, 12, 2, 1, 0, 0, 0, time.UTC)
 
 func minutely(again bool, missed bool) *Rules {
-	return &Rules{Schedule: cron.Every(time.Minute), Again: again, Tries: 3, Late: 10 * time.Second, Missed: missed}
+	return &Rules{Schedule: cron.Every(time.Minute), AtLeastOnce: again, MaxAttempts: 3, MaxDelay: 10 * time.Second, RunMissed: missed}
 }
 
 // Guards against a run that is done twice, or not at all, by what the record says as its lease is granted.
 func TestDecide(t *testing.T) {
 	at := func(minutes float64) time.Time { return start.Add(time.Duration(minutes * float64(time.Minute))) }
 	ended := &Record{Due: start, Phase: Ended, Token: 1}
-	begun := &Record{Due: start, Phase: Begun, Token: 1, By: "gone", Tries: 1}
-	worn := &Record{Due: start, Phase: Begun, Token: 1, Tries: 3}
+	begun := &Record{Due: start, Phase: Begun, Token: 1, By: "gone", Attempts: 1}
+	worn := &Record{Due: start, Phase: Begun, Token: 1, Attempts: 3}
 	for _, c := range []struct {
 		name  string
 		rules *Rules
@@ -47,13 +47,13 @@
 	} {
 		s := c.rules.Decide(at(c.now), c.last, 7, "me")
 		got := ""
-		switch s.Do {
-		case Rest:
+		switch s.Kind {
+		case Wait:
 			got = fmt.Sprint("rest ", s.At.Sub(start))
-		case Write:
+		case WriteRecord:
 			got = fmt.Sprint("write ", s.Record.Phase, " ", s.Record.Due.Sub(start))
-		case Run:
-			got = fmt.Sprint("run ", s.Record.Due.Sub(start), " try ", s.Record.Tries)
+		case StartRun:
+			got = fmt.Sprint("run ", s.Record.Due.Sub(start), " try ", s.Record.Attempts)
 			if s.Record.Token != 7 || s.Record.By != "me" || s.Record.Phase != Begun {
 				t.Errorf("%s: %+v", c.name, s.Record)
 			}
@@ -61,12 +61,12 @@
 		if got != c.want {
 			t.Errorf("%s: %s, not %s", c.name, got, c.want)
 		}
-		if back, err := Read(s.Record.Note()); s.Do != Rest && (err != nil || !back.Due.Equal(s.Record.Due) || len(s.Record.Note()) > lease.NoteBytes) {
+		if back, err := DecodeRecord(s.Record.Encode()); s.Kind != Wait && (err != nil || !back.Due.Equal(s.Record.Due) || len(s.Record.Encode()) > lease.MaxNoteBytes) {
 			t.Errorf("%s: %v, %v", c.name, back, err)
 		}
 	}
 	for _, bad := range []string{"{", `{"phase":"gone"}`, "null"} {
-		if _, err := Read(bad); err == nil {
+		if _, err := DecodeRecord(bad); err == nil {
 			t.Errorf("%s is read", bad)
 		}
 	}
@@ -76,7 +76,7 @@
 // is against the promise. broken is a rule that is left out, to see that this is found.
 func played(rng *rand.Rand, broken string) error {
 	r := minutely(rng.IntN(2) == 0, rng.IntN(2) == 0)
-	r.Tries = 1000
+	r.MaxAttempts = 1000
 	note, now, token := "", start, lease.Token(0)
 	done, cut := map[time.Time]int{}, map[time.Time]int{}
 	for range 1 + rng.IntN(60) {
@@ -86,21 +86,21 @@
 			if steps > 3 {
 				return errors.New("it does not come to an end")
 			}
-			last, err := Read(note)
+			last, err := DecodeRecord(note)
 			if err != nil {
 				return err
 			}
 			s := r.Decide(now, last, token, "p")
-			if s.Do == Rest || rng.IntN(10) == 0 { // or it is lost before the note
+			if s.Kind == Wait || rng.IntN(10) == 0 { // or it is lost before the note
 				break
 			}
 			if last != nil && s.Record.Due.Before(last.Due) {
 				return fmt.Errorf("a run of %v after one of %v", s.Record.Due, last.Due)
 			}
-			if s.Do == Write || broken != "noted after the run" {
-				note = s.Record.Note()
+			if s.Kind == WriteRecord || broken != "noted after the run" {
+				note = s.Record.Encode()
 			}
-			if s.Do == Write {
+			if s.Kind == WriteRecord {
 				continue
 			}
 			if rng.IntN(4) == 0 { // in the run
@@ -112,25 +112,25 @@
 				break
 			}
 			s.Record.Phase = Ended
-			note = s.Record.Note()
+			note = s.Record.Encode()
 			break
 		}
-		if last, _ := Read(note); broken == "ended as it begins" && last != nil && last.Phase == Begun {
+		if last, _ := DecodeRecord(note); broken == "ended as it begins" && last != nil && last.Phase == Begun {
 			last.Phase = Ended
-			note = last.Note()
+			note = last.Encode()
 		}
 	}
-	last, err := Read(note)
+	last, err := DecodeRecord(note)
 	if err != nil {
 		return err
 	}
 	for due, n := range done {
-		if !r.Again && n+cut[due] > 1 {
+		if !r.AtLeastOnce && n+cut[due] > 1 {
 			return fmt.Errorf("%v was begun %d times", due, n+cut[due])
 		}
 	}
 	for due := range cut {
-		if r.Again && done[due] == 0 && last.Due.After(due) {
+		if r.AtLeastOnce && done[due] == 0 && last.Due.After(due) {
 			return fmt.Errorf("%v was cut off and never done", due)
 		}
 	}
@@ -158,37 +158,37 @@
 
 // Guards against a process that takes more than it has room for, asks while it drains, forgets a task, or lets an urgent one wait.
 func TestProcess(t *testing.T) {
-	p := NewProcess(ProcessOptions{Room: 2, Spread: 100 * time.Millisecond, Look: time.Second}, rand.New(rand.NewPCG(1, 1)))
+	p := NewScheduler(SchedulerOptions{MaxRuns: 2, Spread: 100 * time.Millisecond, RecheckInterval: time.Second}, rand.New(rand.NewPCG(1, 1)))
 	for i, name := range []string{"low", "high", "middle"} {
 		p.Add(start, name, []int{1, 3, 2}[i])
 	}
 	now := start.Add(200 * time.Millisecond)
 	p.Drain(true)
-	if got := p.Ask(now); len(got) != 0 {
+	if got := p.Due(now); len(got) != 0 {
 		t.Errorf("it drains, and asks for %v", got)
 	}
 	p.Drain(false)
-	if got := fmt.Sprint(p.Ask(now)); got != "[high middle]" {
+	if got := fmt.Sprint(p.Due(now)); got != "[high middle]" {
 		t.Errorf("asks for %s", got)
 	}
-	if _, ok := p.Next(); ok || len(p.Ask(now)) != 0 {
+	if _, ok := p.Next(); ok || len(p.Due(now)) != 0 {
 		t.Error("there is room for two")
 	}
-	p.Began("high")
-	p.Rested("middle", now.Add(time.Minute))
-	if got := fmt.Sprint(p.Ask(now)); got != "[low]" {
+	p.Started("high")
+	p.Waiting("middle", now.Add(time.Minute))
+	if got := fmt.Sprint(p.Due(now)); got != "[low]" {
 		t.Errorf("asks for %s", got)
 	}
-	p.Elsewhere(now, "low")
+	p.HeldElsewhere(now, "low")
 	next, ok := p.Next()
 	if !ok || next.Before(now.Add(500*time.Millisecond)) || next.After(now.Add(1500*time.Millisecond)) {
 		t.Errorf("it looks again at %v", next.Sub(now))
 	}
-	p.Rested("high", time.Time{}) // never again
+	p.Waiting("high", time.Time{}) // never again
 	for range 2 {
-		p.Rested("high", now) // it is out no more
+		p.Waiting("high", now) // it is out no more
 	}
-	if got := fmt.Sprint(p.Ask(now.Add(time.Hour))); got != "[middle low]" {
+	if got := fmt.Sprint(p.Due(now.Add(time.Hour))); got != "[middle low]" {
 		t.Errorf("asks for %s", got)
 	}
 }
