--- a/cmd/orchiddrift/check.go
+++ b/cmd/orchiddrift/check.go
@@ -30,7 +30,7 @@
 		return checkFile(w, path, text, beside)
 	}
 	look := config.Parse
-	if config.ForPlugin(text) {
+	if config.IsPluginConfig(text) {
 		look = grpcbalancer.CheckConfig
 	}
 	conf, err := look(text)
@@ -38,12 +38,12 @@
 		return mistakes(w, path, err)
 	}
 	known := 0
-	if conf.Known != nil {
-		known = len(conf.Known.Endpoints)
+	if conf.CachedEndpoints != nil {
+		known = len(conf.CachedEndpoints.Endpoints)
 	}
 	lists := ""
 	if conf.Discovery != "" {
-		how := staleness.Options{Pushed: !conf.Settings.MustSubscribe, MaxPollAge: conf.Settings.AskWithin}
+		how := staleness.Options{Pushed: !conf.Settings.MustSubscribe, MaxPollAge: conf.Settings.MaxPollAge}
 		lists = "; lists are " + how.Describe()
 	}
 	_, err = fmt.Fprintf(w, "%s can be used: %d classes, %d upstreams known%s\n", path, len(conf.Settings.Classes), known, lists)
@@ -87,13 +87,13 @@
 // describe tells what would be on.
 func describe(w io.Writer, path string, p *config.Plan) error {
 	fmt.Fprintf(w, "%s can be used: clients at %s", path, p.Listen)
-	if p.TLS.On() {
+	if p.TLS.Enabled() {
 		fmt.Fprintf(w, " by TLS %s (client certificates: %s)", p.TLS.MinVersion, p.TLS.Clients)
 	}
 	fmt.Fprintf(w, "; %v cores, %v MB, %d descriptors\n", p.Limits.Cores, p.Limits.MemoryMB, p.Limits.Sockets)
 	for _, s := range p.Services {
 		from := "the file"
-		if s.Known == nil {
+		if s.InitialEndpoints == nil {
 			from = "registries alone"
 		}
 		switch {
@@ -104,10 +104,10 @@
 			from = "the list file " + s.ListFile
 		}
 		fmt.Fprintf(w, "service %s: upstreams from %s", s.Name, from)
-		if s.Known != nil {
-			fmt.Fprintf(w, " (%d known)", len(s.Known.Endpoints))
+		if s.InitialEndpoints != nil {
+			fmt.Fprintf(w, " (%d known)", len(s.InitialEndpoints.Endpoints))
 		}
-		if s.TLS.On() {
+		if s.TLS.Enabled() {
 			fmt.Fprintf(w, ", by TLS %s", s.TLS.MinVersion)
 		}
 		for _, r := range s.Registries {
@@ -116,11 +116,11 @@
 		if s.Subset.Enabled {
 			fmt.Fprintf(w, ", %d to %d of them its own", s.Subset.MinSize, s.Subset.MaxSize)
 		}
-		if s.Door != nil {
-			fmt.Fprintf(w, ", a door fair by %s", strings.Join(s.Door.PrincipalSources, ", then by "))
+		if s.Admission != nil {
+			fmt.Fprintf(w, ", a door fair by %s", strings.Join(s.Admission.PrincipalSources, ", then by "))
 		}
-		if s.Repeats != nil {
-			fmt.Fprintf(w, ", keys known for %v", s.Repeats.Retention)
+		if s.Idempotency != nil {
+			fmt.Fprintf(w, ", keys known for %v", s.Idempotency.Retention)
 		}
 		fmt.Fprint(w, "; classes")
 		for _, c := range s.Settings.Classes {
--- a/grpcbalancer/door_test.go
+++ b/grpcbalancer/door_test.go
@@ -263,7 +263,7 @@
 			o.File = file
 			o.Settings.HedgingAllowed = false
 			for i := range o.Settings.Classes {
-				o.Settings.Classes[i].Deadline, o.Settings.Classes[i].LatencyObjective = base.Patience, base.Patience
+				o.Settings.Classes[i].Deadline, o.Settings.Classes[i].LatencyObjective = base.Timeout, base.Timeout
 			}
 		})
 		conns = append(conns, conn)
@@ -272,7 +272,7 @@
 		t.Helper()
 		select {
 		case <-came:
-		case <-time.After(base.Patience / 2):
+		case <-time.After(base.Timeout / 2):
 			t.Fatal("no call came to a node")
 		}
 	}
--- a/grpcbalancer/gone_test.go
+++ b/grpcbalancer/gone_test.go
@@ -69,9 +69,9 @@
 		f.endpoints[0].Address = address
 		conn, plugin := f.dial(t, func(o *grpcbalancer.Options) {
 			o.File = base.File(t, "o.toml", []byte("[[repeats]]\nservice = \"service\"\ntenant_part = 1.0\n"))
-			o.Settings.ConnectTimeout = base.Patience
+			o.Settings.ConnectTimeout = base.Timeout
 			for i := range o.Settings.Classes {
-				o.Settings.Classes[i].Deadline, o.Settings.Classes[i].LatencyObjective = base.Patience, base.Patience
+				o.Settings.Classes[i].Deadline, o.Settings.Classes[i].LatencyObjective = base.Timeout, base.Timeout
 			}
 		})
 		const callers = 8
--- a/grpcbalancer/keys.go
+++ b/grpcbalancer/keys.go
@@ -60,16 +60,16 @@
 		return nil, fmt.Errorf("TLS: %w", err)
 	}
 	return &guard{store: store, open: map[*guarded]bool{},
-		client: tlscredentials.NewClient(store, tlscredentials.Upstream{CA: t.CA, Name: t.Name, Certificate: t.Certificate, Key: t.Key})}, nil
+		client: tlscredentials.NewClient(store, tlscredentials.UpstreamTLS{CA: t.CA, Name: t.Name, Certificate: t.Certificate, Key: t.Key})}, nil
 }
 
 // follow looks at the files until ctx ends, and names the places of connections that would not come up any more once
 // other authorities count.
 func (g *guard) follow(ctx context.Context, withdrawn func(map[endpoints.Instance]bool)) {
-	generation := g.store.Now().Generation
+	generation := g.store.Current().Generation
 	filewatch.Watch(ctx, keysEvery, func() {
-		g.store.Look()
-		now := g.store.Now().Generation
+		g.store.Reload()
+		now := g.store.Current().Generation
 		if now == generation {
 			return
 		}
@@ -77,7 +77,7 @@
 		places := map[endpoints.Instance]bool{}
 		g.mu.Lock()
 		for c := range g.open {
-			if !g.client.Trusts(c.Conn, c.at) {
+			if !g.client.StillTrusted(c.Conn, c.at) {
 				places[c.at] = true
 			}
 		}
--- a/grpcbalancer/load.go
+++ b/grpcbalancer/load.go
@@ -88,9 +88,9 @@
 	if len(bad) > 0 {
 		return Options{}, nil, bad
 	}
-	if c.Known != nil {
-		o.Version = *c.Known.Index
-		for _, e := range c.Known.Endpoints {
+	if c.CachedEndpoints != nil {
+		o.Version = *c.CachedEndpoints.Index
+		for _, e := range c.CachedEndpoints.Endpoints {
 			if e.Status != endpoints.StatusReady {
 				continue
 			}
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -176,24 +176,24 @@
 	clk := clock.New()
 	p.directory = endpoints.New(clk, p.dropped)
 	p.feed = discovery.NewRegistrySink(p.directory, p.update)
-	log := logging.To(o.Log)
+	log := logging.NewFunc(o.Log)
 	if o.TLS != nil {
 		if p.guard, err = newGuard(*o.TLS, log); err != nil {
 			return nil, fmt.Errorf("orchidgrpc: %w", err)
 		}
 	}
-	if file.Door != nil {
-		if p.door, err = openDoor(o, *file.Door, clk, log); err != nil {
+	if file.Admission != nil {
+		if p.door, err = openDoor(o, *file.Admission, clk, log); err != nil {
 			return nil, fmt.Errorf("orchidgrpc: %w", err)
 		}
 	}
-	if file.Repeats != nil {
-		if p.repeats, err = executor.Open(context.Background(), *file.Repeats, p.service, &set, executor.StartTimeout, executor.Options{Clock: clk, Log: log, OwnGoroutine: true}); err != nil {
+	if file.Idempotency != nil {
+		if p.repeats, err = executor.Open(context.Background(), *file.Idempotency, p.service, &set, executor.StartTimeout, executor.Options{Clock: clk, Log: log, OwnGoroutine: true}); err != nil {
 			return nil, fmt.Errorf("orchidgrpc: repeats: %w", err)
 		}
 	}
-	if file.Warm.On {
-		p.warming = &warming{used: map[string]bool{}, w: prewarm.New(file.Warm, maxSubs,
+	if file.Prewarm.Enabled {
+		p.warming = &warming{used: map[string]bool{}, w: prewarm.New(file.Prewarm, maxSubs,
 			rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String("warm"))))}
 	}
 	source, known, err := p.openSource(o, file, known, staleness.Options{Pushed: !set.MustSubscribe, FleetSize: set.FleetSize}, log)
@@ -261,7 +261,7 @@
 		sources = append(sources, discovery.NamedSource{Name: r.Name, Source: one})
 	}
 	var err error
-	if p.merged, err = discovery.NewMergedSource(file.Members, log, sources...); err != nil {
+	if p.merged, err = discovery.NewMergedSource(file.Membership, log, sources...); err != nil {
 		return nil, nil, err
 	}
 	return p.merged, p.merged.Load(), nil
@@ -279,7 +279,7 @@
 	if err != nil {
 		return config.PluginFile{}, fmt.Errorf("option File: %w", err)
 	}
-	file, err := config.PluginPart(text, cmp.Or(o.Service, defaultService))
+	file, err := config.ParsePluginFile(text, cmp.Or(o.Service, defaultService))
 	if err != nil {
 		return config.PluginFile{}, fmt.Errorf("option File: %s: %w", o.File, err)
 	}
--- a/grpcbalancer/warm.go
+++ b/grpcbalancer/warm.go
@@ -17,7 +17,7 @@
 // warming has sub-connections connect before a call needs them, as package warm decides. Each ClientConn of the plug-in has a
 // sub-connection of its own to an upstream; the warmer sees one, which is open when all of them are.
 type warming struct {
-	w *prewarm.Warmer // keepWarm's alone
+	w *prewarm.Prewarmer // keepWarm's alone
 
 	mu   sync.Mutex
 	used map[string]bool // since it looked last
@@ -61,7 +61,7 @@
 			case ready[name] != process:
 				delete(connecting, name)
 			case state != connectivity.Connecting:
-				w.Ended(now, name, process, state == connectivity.Ready)
+				w.Connected(now, name, process, state == connectivity.Ready)
 				delete(connecting, name)
 			}
 		}
--- a/internal/admission/door.go
+++ b/internal/admission/door.go
@@ -234,7 +234,7 @@
 // weigh puts a group and its flows where their loads belong, which another bound or weight has changed.
 func (d *Queue) weigh(g *group) {
 	if g.most >= 0 {
-		d.root.most.Fix(&g.member, -d.load(&g.member), 0)
+		d.root.most.Set(&g.member, -d.load(&g.member), 0)
 	}
 	for _, f := range g.flows {
 		d.weighFlow(f)
@@ -244,7 +244,7 @@
 
 func (d *Queue) weighFlow(f *flow) {
 	if f.most >= 0 {
-		f.group.level.most.Fix(&f.member, -d.load(&f.member), 0)
+		f.group.level.most.Set(&f.member, -d.load(&f.member), 0)
 	}
 }
 
@@ -443,10 +443,10 @@
 		if m.waiting == 1 {
 			l.of(m).wake(m)
 		}
-		l.most.Fix(m, -d.load(m), 0)
+		l.most.Set(m, -d.load(m), 0)
 	}
 	e.due = e.lastStart()
-	d.dues.Fix(e, float64(e.due), uint64(e.index))
+	d.dues.Set(e, float64(e.due), uint64(e.index))
 }
 
 // lastStart is when a request that waits is to be looked at: when it would miss its aim, and then its end.
@@ -532,7 +532,7 @@
 			m.queued = 0
 			l.most.Remove(m)
 		} else {
-			l.most.Fix(m, -d.load(m), 0)
+			l.most.Set(m, -d.load(m), 0)
 		}
 	}
 }
@@ -555,7 +555,7 @@
 		return
 	}
 	if s := l.of(m); s.owes(m) && m.rest < 0 {
-		s.resting.Fix(m, m.finish, 0)
+		s.resting.Set(m, m.finish, 0)
 	}
 	l.idle(m)
 }
@@ -702,7 +702,7 @@
 			e.worth *= e.class.LateValueFraction
 			e.flow.push(e)
 			if e.due = e.lastStart(); e.due > d.now {
-				d.dues.Fix(e, float64(e.due), uint64(e.index))
+				d.dues.Set(e, float64(e.due), uint64(e.index))
 				continue
 			}
 		}
--- a/internal/admission/promise.go
+++ b/internal/admission/promise.go
@@ -151,7 +151,7 @@
 		return
 	}
 	f.lapse = f.promises[0].until // a later one may lapse a little sooner: it is forgotten with this one
-	d.lapses.Fix(f, float64(f.lapse), 0)
+	d.lapses.Set(f, float64(f.lapse), 0)
 }
 
 // lapse forgets what was promised and not come for.
--- a/internal/admission/sfq.go
+++ b/internal/admission/sfq.go
@@ -51,7 +51,7 @@
 	s.resting.Remove(m)
 	s.order++
 	m.start, m.order = max(s.v, m.finish), s.order
-	s.ready.Fix(m, m.start, m.order)
+	s.ready.Set(m, m.start, m.order)
 }
 
 // charge is for one request of a waiting member that goes, by turn or out of it: v moves with turns only. more says that
@@ -68,7 +68,7 @@
 	}
 	s.order++
 	m.start, m.order = m.finish, s.order
-	s.ready.Fix(m, m.start, m.order)
+	s.ready.Set(m, m.start, m.order)
 }
 
 // settle corrects what a member was charged.
@@ -77,7 +77,7 @@
 	m.finish += by / m.share()
 	s.last = max(s.last, m.finish)
 	if m.rest >= 0 {
-		s.resting.Fix(m, m.finish, 0)
+		s.resting.Set(m, m.finish, 0)
 	}
 	if m.ready < 0 {
 		return
@@ -87,7 +87,7 @@
 	} else {
 		m.start = max(m.start, m.finish)
 	}
-	s.ready.Fix(m, m.start, m.order)
+	s.ready.Set(m, m.start, m.order)
 }
 
 // owes tells whether a member had more than it is due up to now.
@@ -186,6 +186,6 @@
 	if waits {
 		now.wake(m)
 	} else if rests {
-		now.resting.Fix(m, m.finish, 0)
+		now.resting.Set(m, m.finish, 0)
 	}
 }
--- a/internal/bulkhead/bulkhead.go
+++ b/internal/bulkhead/bulkhead.go
@@ -102,16 +102,16 @@
 	return err
 }
 
-// Held is what all services hold.
-func (l *Limiter) Held() (n int64) {
+// Total is what all services hold.
+func (l *Limiter) Total() (n int64) {
 	for _, h := range l.by {
 		n += h.used
 	}
 	return n
 }
 
-// Take takes n for a service, or nothing. One that has no share is given nothing.
-func (l *Limiter) Take(name string, n int64) bool {
+// TryAcquire takes n for a service, or nothing. One that has no share is given nothing.
+func (l *Limiter) TryAcquire(name string, n int64) bool {
 	h := l.by[name]
 	if h == nil || n < 0 || h.leaving {
 		return false
@@ -126,8 +126,8 @@
 	return true
 }
 
-// Give gives n back. Giving more than is held is a mistake of the program.
-func (l *Limiter) Give(name string, n int64) {
+// Release gives n back. Giving more than is held is a mistake of the program.
+func (l *Limiter) Release(name string, n int64) {
 	h := l.by[name]
 	if h == nil || n < 0 || n > h.used {
 		panic(fmt.Sprintf("bulkhead: %s gives back %d", name, n))
@@ -140,8 +140,8 @@
 	}
 }
 
-// Own is what a service is guaranteed, and Used what it holds.
-func (l *Limiter) Own(name string) int64 {
+// Guaranteed is what a service is guaranteed, and Used what it holds.
+func (l *Limiter) Guaranteed(name string) int64 {
 	if h := l.by[name]; h != nil {
 		return h.own
 	}
@@ -156,8 +156,8 @@
 	return 0
 }
 
-// Over lists who holds of the common part.
-func (l *Limiter) Over() (names []string) {
+// OverGuarantee lists who holds of the common part.
+func (l *Limiter) OverGuarantee() (names []string) {
 	for name, h := range l.by {
 		if h.over() > 0 {
 			names = append(names, name)
--- a/internal/bulkhead/bulkhead_test.go
+++ b/internal/bulkhead/bulkhead_test.go
@@ -36,10 +36,10 @@
 		sum := func() (all, over, set int64) {
 			for _, name := range names {
 				all += used[name]
-				over += max(0, used[name]-l.Own(name))
+				over += max(0, used[name]-l.Guaranteed(name))
 			}
 			for _, s := range shares {
-				set += l.Own(s.Name)
+				set += l.Guaranteed(s.Name)
 			}
 			return all, over, set
 		}
@@ -61,16 +61,16 @@
 				}
 			case 1, 2, 3:
 				if n = min(n, used[name]); n > 0 {
-					l.Give(name, n)
+					l.Release(name, n)
 					used[name] -= n
 				}
 			default:
 				_, over, set := sum()
 				common := limit - set
-				more := max(0, used[name]+n-l.Own(name)) - max(0, used[name]-l.Own(name))
+				more := max(0, used[name]+n-l.Guaranteed(name)) - max(0, used[name]-l.Guaranteed(name))
 				want := has(name) && (more == 0 || over+more <= common)
-				if got := l.Take(name, n); got != want {
-					t.Fatalf("%s takes %d of %v, own %d, over %d of %d: %v", name, n, used, l.Own(name), over, common, got)
+				if got := l.TryAcquire(name, n); got != want {
+					t.Fatalf("%s takes %d of %v, own %d, over %d of %d: %v", name, n, used, l.Guaranteed(name), over, common, got)
 				} else if got {
 					used[name] += n
 				}
@@ -86,7 +86,7 @@
 			}
 		}
 		for _, s := range shares { // whatever the others hold
-			if n := l.Own(s.Name) - used[s.Name]; n > 0 && !l.Take(s.Name, n) {
+			if n := l.Guaranteed(s.Name) - used[s.Name]; n > 0 && !l.TryAcquire(s.Name, n) {
 				t.Fatalf("%s can't take its own %d", s.Name, n)
 			}
 		}
@@ -121,16 +121,16 @@
 			return has
 		}
 	}
-	s.OnWanted("a", give("a", true))
-	s.OnWanted("b", give("b", false))
+	s.OnContention("a", give("a", true))
+	s.OnContention("b", give("b", false))
 	if err := s.Acquire(t.Context(), "b", 1); err != nil { // from a, that holds of the common part
 		t.Fatal(err)
 	}
 	if first, second := <-asked, <-asked; first != "b" || second != "a" || s.Used("a") != 2 || s.Used("b") != 2 {
 		t.Errorf("asked %s and %s; a holds %d, b %d", first, second, s.Used("a"), s.Used("b"))
 	}
-	s.OnWanted("a", nil)
-	s.OnWanted("b", nil)
+	s.OnContention("a", nil)
+	s.OnContention("b", nil)
 	short, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
 	if err := s.Acquire(short, "a", 1); err == nil || s.Waiting("a") != 0 {
--- a/internal/bulkhead/semaphore.go
+++ b/internal/bulkhead/semaphore.go
@@ -11,7 +11,7 @@
 	mu      sync.Mutex
 	l       *Limiter
 	waiting []*waiter              // in the order of their coming
-	wanted  map[string]func() bool // see OnWanted
+	wanted  map[string]func() bool // see OnContention
 }
 
 type waiter struct {
@@ -44,17 +44,17 @@
 	return err
 }
 
-// Held is Limiter.Held.
-func (s *Semaphore) Held() int64 {
+// Total is Limiter.Total.
+func (s *Semaphore) Total() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.l.Held()
+	return s.l.Total()
 }
 
-// OnWanted names what gives back one that a service holds without need, if it does; nil takes that away. It is called
+// OnContention names what gives back one that a service holds without need, if it does; nil takes that away. It is called
 // without the lock when somebody has to wait: the service's own first, then those of the others that hold of the common
 // part, until one has given.
-func (s *Semaphore) OnWanted(name string, give func() bool) {
+func (s *Semaphore) OnContention(name string, give func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if give == nil {
@@ -68,13 +68,13 @@
 func (s *Semaphore) TryAcquire(name string, n int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.l.Take(name, n)
+	return s.l.TryAcquire(name, n)
 }
 
 // Acquire takes n for a service, and waits for them until ctx ends.
 func (s *Semaphore) Acquire(ctx context.Context, name string, n int64) error {
 	s.mu.Lock()
-	if s.l.Take(name, n) {
+	if s.l.TryAcquire(name, n) {
 		s.mu.Unlock()
 		return nil
 	}
@@ -82,7 +82,7 @@
 	s.waiting = append(s.waiting, w)
 	own := s.wanted[name]
 	var others []func() bool
-	for _, of := range s.l.Over() {
+	for _, of := range s.l.OverGuarantee() {
 		if give := s.wanted[of]; give != nil && of != name {
 			others = append(others, give)
 		}
@@ -115,7 +115,7 @@
 func (s *Semaphore) Release(name string, n int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.l.Give(name, n)
+	s.l.Release(name, n)
 	s.grant()
 }
 
@@ -126,7 +126,7 @@
 	}
 	full := map[string]bool{}
 	s.waiting = slices.DeleteFunc(s.waiting, func(w *waiter) bool {
-		if full[w.name] || !s.l.Take(w.name, w.n) {
+		if full[w.name] || !s.l.TryAcquire(w.name, w.n) {
 			full[w.name] = true
 			return false
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,15 +17,15 @@
 
 // Config is what the platform tells one process.
 type Config struct {
-	Name      string
-	Listen    string // where clients connect
-	Control   string // where operators call; empty: nowhere
-	Discovery string
-	Seed      uint64
-	Limits    Limits
-	Known     *endpoints.List // the list of upstreams as last held; nil: none
-	Settings  settings.Settings
-	GRPC      *GRPC // of the plug-in; nil: the file has no such part
+	Name            string
+	Listen          string // where clients connect
+	Control         string // where operators call; empty: nowhere
+	Discovery       string
+	Seed            uint64
+	Limits          Limits
+	CachedEndpoints *endpoints.List // the list of upstreams as last held; nil: none
+	Settings        settings.Settings
+	GRPC            *GRPC // of the plug-in; nil: the file has no such part
 }
 
 // GRPC is the part of a file that only the plug-in inside gRPC clients reads.
@@ -109,8 +109,8 @@
 // known one alone.
 func ParsePlugin(text []byte) (*Config, error) { return parse(text, true) }
 
-// ForPlugin tells whether a file is the plug-in's: it has a grpc part and listens nowhere.
-func ForPlugin(text []byte) bool {
+// IsPluginConfig tells whether a file is the plug-in's: it has a grpc part and listens nowhere.
+func IsPluginConfig(text []byte) bool {
 	var file struct{ Listen, GRPC json.RawMessage }
 	return json.Unmarshal(text, &file) == nil && len(file.GRPC) > 0 && len(file.Listen) == 0
 }
@@ -158,7 +158,7 @@
 		add("seed", fmt.Errorf("%q is not a 64-bit hexadecimal number", seed))
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		c.Known, err = endpoints.ParseList(file.Known)
+		c.CachedEndpoints, err = endpoints.ParseList(file.Known)
 		add("known", err)
 	}
 	if len(file.Settings) == 0 {
@@ -169,11 +169,11 @@
 		for _, p := range c.Settings.Problems() {
 			bad = append(bad, Problem{Key: "settings." + p.Key, Reason: oneLine(errors.New(p.Reason))})
 		}
-		if c.Settings.ConnIdle < 0 {
+		if c.Settings.ConnIdleTimeout < 0 {
 			bad = append(bad, Problem{Key: "settings.ConnIdle", Reason: "negative"})
 		}
 	}
-	if plugin && c.Discovery == "" && (c.Known == nil || len(c.Known.Endpoints) == 0) {
+	if plugin && c.Discovery == "" && (c.CachedEndpoints == nil || len(c.CachedEndpoints.Endpoints) == 0) {
 		add("discovery", errors.New("missing, and no upstream is known"))
 	}
 	if len(bad) > 0 {
@@ -182,8 +182,8 @@
 	if c.Settings.ConnectTimeout == 0 {
 		c.Settings.ConnectTimeout = connectDefault
 	}
-	if c.Settings.ConnIdle == 0 {
-		c.Settings.ConnIdle = connIdleShort
+	if c.Settings.ConnIdleTimeout == 0 {
+		c.Settings.ConnIdleTimeout = connIdleShort
 	}
 	return c, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -19,8 +19,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || *c.Known.Index != 41 ||
-		c.Settings.ConnIdle != 15*time.Second || c.Settings.ConnectTimeout != 2*time.Second {
+	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || *c.CachedEndpoints.Index != 41 ||
+		c.Settings.ConnIdleTimeout != 15*time.Second || c.Settings.ConnectTimeout != 2*time.Second {
 		t.Errorf("read as %+v", c)
 	}
 	for name, change := range map[string][2]string{
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -29,21 +29,21 @@
 
 // File is the operator's file. Each subsystem's part is declared next to it; this is where they come together.
 type File struct {
-	Daemon   Daemon                  `toml:"daemon" doc:"The process. Beside the platform's file, that one's name, listen and seed win."`
-	Limits   FileLimits              `toml:"limits" doc:"What the process may use. Beside the platform's file, that one's win."`
-	Shares   Shares                  `toml:"shares" doc:"How services share the limits."`
-	TLS      tlscredentials.Listener `toml:"tls" doc:"Encryption towards clients."`
-	Log      logging.Declaration     `toml:"log" doc:"The log."`
-	Members  membership.Options      `toml:"membership" doc:"How several lists of one service are merged."`
-	Eureka   []eureka.Declaration    `toml:"eureka" doc:"An Eureka registry that lists upstreams of a service, beside that one's own list or alone."`
-	Platform PlatformPart            `toml:"platform" doc:"Added to the platform's service, beside its file."`
-	Fleet    lease.Declaration       `toml:"fleet" doc:"The fleet of processes that this one belongs to, and the group of them that keeps its leases."`
-	Tasks    []task.Declaration      `toml:"task" reload:"start" doc:"Background work of the fleet: each due run is done by one of its processes."`
-	Doors    []admission.Options     `toml:"door" doc:"A queue before a service, fair between those who ask."`
-	Services []Service               `toml:"service" doc:"A service: upstreams that answer the same requests. There are as many as there are such tables."`
-	Repeats  []executor.Declaration  `toml:"repeats" doc:"A store of idempotency keys: a client's repeat of a keyed request gets the first one's end."`
-	GraphQL  []graphql.Options       `toml:"graphql" doc:"A GraphQL endpoint: its operations are told apart, classed and costed by what stands in them."`
-	Routes   []routes.Declaration    `toml:"route" doc:"A route: which requests go to which service, and as what. Absent, with one service and no [[graphql]]: all go there."`
+	Daemon      Daemon                     `toml:"daemon" doc:"The process. Beside the platform's file, that one's name, listen and seed win."`
+	Limits      FileLimits                 `toml:"limits" doc:"What the process may use. Beside the platform's file, that one's win."`
+	Shares      Shares                     `toml:"shares" doc:"How services share the limits."`
+	TLS         tlscredentials.ListenerTLS `toml:"tls" doc:"Encryption towards clients."`
+	Log         logging.Declaration        `toml:"log" doc:"The log."`
+	Membership  membership.Options         `toml:"membership" doc:"How several lists of one service are merged."`
+	Eureka      []eureka.Declaration       `toml:"eureka" doc:"An Eureka registry that lists upstreams of a service, beside that one's own list or alone."`
+	Platform    PlatformPart               `toml:"platform" doc:"Added to the platform's service, beside its file."`
+	Fleet       lease.Declaration          `toml:"fleet" doc:"The fleet of processes that this one belongs to, and the group of them that keeps its leases."`
+	Tasks       []task.Declaration         `toml:"task" reload:"start" doc:"Background work of the fleet: each due run is done by one of its processes."`
+	Admission   []admission.Options        `toml:"door" doc:"A queue before a service, fair between those who ask."`
+	Services    []Service                  `toml:"service" doc:"A service: upstreams that answer the same requests. There are as many as there are such tables."`
+	Idempotency []executor.Declaration     `toml:"repeats" doc:"A store of idempotency keys: a client's repeat of a keyed request gets the first one's end."`
+	GraphQL     []graphql.Options          `toml:"graphql" doc:"A GraphQL endpoint: its operations are told apart, classed and costed by what stands in them."`
+	Routes      []routes.Declaration       `toml:"route" doc:"A route: which requests go to which service, and as what. Absent, with one service and no [[graphql]]: all go there."`
 }
 
 // Daemon is about the process.
@@ -71,26 +71,26 @@
 
 // Service is one service. Its upstreams come from exactly one of addresses, endpoint, list_file and discovery.
 type Service struct {
-	Name      string                  `toml:"name" sample:"\"seats\"" doc:"The service's name, which routes give."`
-	Addresses []string                `toml:"addresses" sample:"[\"127.0.0.1:9001\", \"127.0.0.1:9002\"]" doc:"The upstreams, where there is no more to say of them than IP address and port."`
-	Endpoints []listfile.Entry        `toml:"endpoint" doc:"An upstream, with all that can be said of it."`
-	ListFile  string                  `toml:"list_file" sample:"\"/etc/orchiddrift/seats.json\"" doc:"A watched file of upstreams, JSON or TOML by its ending. A file that can't be used keeps the last good list."`
-	Discovery string                  `toml:"discovery" sample:"\"127.0.0.1:8500\"" doc:"The platform's discovery: IP address and port."`
-	Push      bool                    `toml:"discovery_pushes" doc:"Lists are pushed to an agent at that address, so that asking costs nothing."`
-	Answers   []string                `toml:"answers" default:"2xx, 3xx, 4xx" doc:"Statuses that are an upstream's answer, and passed on as they are. Any other is a failure. 429 and 503 never count."`
-	Share     float64                 `toml:"share" default:"1" doc:"Its weight in what is set aside for services."`
-	TLS       tlscredentials.Upstream `toml:"tls" doc:"Encryption towards its upstreams."`
-	Warm      prewarm.Options         `toml:"warm" doc:"Connections that are open before requests need them."`
-	Probe     loadprobe.Options       `toml:"probe" doc:"Asking upstreams for their load, where a process sends little."`
-	Subset    subset.Options          `toml:"subset" doc:"For many upstreams: a part of them is this process's own."`
+	Name            string                     `toml:"name" sample:"\"seats\"" doc:"The service's name, which routes give."`
+	Addresses       []string                   `toml:"addresses" sample:"[\"127.0.0.1:9001\", \"127.0.0.1:9002\"]" doc:"The upstreams, where there is no more to say of them than IP address and port."`
+	Endpoints       []listfile.Entry           `toml:"endpoint" doc:"An upstream, with all that can be said of it."`
+	ListFile        string                     `toml:"list_file" sample:"\"/etc/orchiddrift/seats.json\"" doc:"A watched file of upstreams, JSON or TOML by its ending. A file that can't be used keeps the last good list."`
+	Discovery       string                     `toml:"discovery" sample:"\"127.0.0.1:8500\"" doc:"The platform's discovery: IP address and port."`
+	Push            bool                       `toml:"discovery_pushes" doc:"Lists are pushed to an agent at that address, so that asking costs nothing."`
+	SuccessStatuses []string                   `toml:"answers" default:"2xx, 3xx, 4xx" doc:"Statuses that are an upstream's answer, and passed on as they are. Any other is a failure. 429 and 503 never count."`
+	Weight          float64                    `toml:"share" default:"1" doc:"Its weight in what is set aside for services."`
+	TLS             tlscredentials.UpstreamTLS `toml:"tls" doc:"Encryption towards its upstreams."`
+	Prewarm         prewarm.Options            `toml:"warm" doc:"Connections that are open before requests need them."`
+	LoadProbe       loadprobe.Options          `toml:"probe" doc:"Asking upstreams for their load, where a process sends little."`
+	Subset          subset.Options             `toml:"subset" doc:"For many upstreams: a part of them is this process's own."`
 	settings.Declaration
 }
 
 // PlatformPart is what the operator's file says of the platform's service.
 type PlatformPart struct {
-	Warm   prewarm.Options   `toml:"warm" doc:"Connections that are open before requests need them."`
-	Probe  loadprobe.Options `toml:"probe" doc:"Asking upstreams for their load, where its settings allow probes."`
-	Subset subset.Options    `toml:"subset" doc:"For many upstreams: a part of them is this process's own."`
+	Prewarm   prewarm.Options   `toml:"warm" doc:"Connections that are open before requests need them."`
+	LoadProbe loadprobe.Options `toml:"probe" doc:"Asking upstreams for their load, where its settings allow probes."`
+	Subset    subset.Options    `toml:"subset" doc:"For many upstreams: a part of them is this process's own."`
 }
 
 // Check is tomlfile.Checker's.
@@ -171,11 +171,11 @@
 			report("discovery", "%v", err)
 		}
 	}
-	if _, err := httpheader.ParseStatuses(s.Answers); err != nil {
+	if _, err := httpheader.ParseStatuses(s.SuccessStatuses); err != nil {
 		report("answers", "%v", err)
 	}
-	if !(s.Share > 0) || s.Share > 1e6 {
-		report("share", "%v is not a usable weight", s.Share)
+	if !(s.Weight > 0) || s.Weight > 1e6 {
+		report("share", "%v is not a usable weight", s.Weight)
 	}
 }
 
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -41,11 +41,11 @@
 	}
 	var plain, example, again File
 	tomlfile.Decode([]byte(exampleService), &plain)
-	if bad := tomlfile.Decode(text.Bytes(), &example).Mistakes(); len(bad) > 0 || !reflect.DeepEqual(plain, example) {
+	if bad := tomlfile.Decode(text.Bytes(), &example).Problems(); len(bad) > 0 || !reflect.DeepEqual(plain, example) {
 		t.Errorf("%v\n%+v\n%+v", bad, plain, example)
 	}
 	var all File
-	for _, m := range tomlfile.Decode([]byte(uncommented(text.String())), &all).Mistakes() {
+	for _, m := range tomlfile.Decode([]byte(uncommented(text.String())), &all).Problems() {
 		if strings.Contains(m.Reason, "no such key") || strings.Contains(m.Reason, "and not") {
 			t.Errorf("of the example's tables: %v", m)
 		}
@@ -167,7 +167,7 @@
 		t.Errorf("a route in the platform's place: %v", err)
 	}
 	alone := c.Plan()
-	if alone.Services[0].Answers.Has(404) || !alone.Services[0].Answers.Has(200) || alone.Grace != 2550*time.Millisecond ||
+	if alone.Services[0].SuccessStatuses.Has(404) || !alone.Services[0].SuccessStatuses.Has(200) || alone.Grace != 2550*time.Millisecond ||
 		alone.BodyTimeout != 900*time.Millisecond {
 		t.Errorf("%+v", alone)
 	}
--- a/internal/config/graphql.go
+++ b/internal/config/graphql.go
@@ -66,11 +66,11 @@
 		}
 		// Two files that say the same make endpoints of one fingerprint: what the first has learnt stays.
 		print := fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("%+v %+v %q", o, classes, texts)))
-		r, err := o.Route(name, print, e.Longest())
+		r, err := o.Route(name, print, e.MaxDeadline())
 		if err != nil {
 			continue // its pattern has been read above
 		}
-		r.WholeOnly = true
+		r.CompleteOnly = true
 		if p.Endpoints == nil {
 			p.Endpoints = map[string]*graphql.Endpoint{}
 		}
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -38,54 +38,54 @@
 
 // Plan is what a daemon runs, from whichever files: the platform's, the operator's, or both.
 type Plan struct {
-	Name, Listen string
-	Control      string // where operators call; empty: nowhere
-	Seed         uint64
-	SeedDrawn    bool // no file has one
-	Limits       Limits
-	HeadTimeout  time.Duration
-	BodyTimeout  time.Duration
-	Grace        time.Duration // what is unanswered so long after SIGTERM is failed
-	Guaranteed   float64       // the part of each limit that is set aside for services
-	Services     []ServicePlan
-	Table        *routes.Table
-	Endpoints    map[string]*graphql.Endpoint // of routes, by their Endpoint
-	TLS          tlscredentials.Listener
-	Log          logging.Declaration
-	Registers    []eureka.Declaration // where the process registers itself
-	File         *File                // the operator's; nil: there is none
+	Name, Listen  string
+	Control       string // where operators call; empty: nowhere
+	Seed          uint64
+	SeedDrawn     bool // no file has one
+	Limits        Limits
+	HeadTimeout   time.Duration
+	BodyTimeout   time.Duration
+	Grace         time.Duration // what is unanswered so long after SIGTERM is failed
+	Guaranteed    float64       // the part of each limit that is set aside for services
+	Services      []ServicePlan
+	Table         *routes.Table
+	Endpoints     map[string]*graphql.Endpoint // of routes, by their Endpoint
+	TLS           tlscredentials.ListenerTLS
+	Log           logging.Declaration
+	Registrations []eureka.Declaration // where the process registers itself
+	File          *File                // the operator's; nil: there is none
 }
 
 // ServicePlan is one service.
 type ServicePlan struct {
-	Name     string
-	Settings settings.Settings
-	Answers  *httpheader.Statuses
-	Share    float64
-	TLS      tlscredentials.Upstream
-	Subset   subset.Options
-	Warm     prewarm.Options
-	Probe    loadprobe.Options
+	Name            string
+	Settings        settings.Settings
+	SuccessStatuses *httpheader.Statuses
+	Weight          float64
+	TLS             tlscredentials.UpstreamTLS
+	Subset          subset.Options
+	Prewarm         prewarm.Options
+	LoadProbe       loadprobe.Options
 
 	// Where its upstreams come from: Discovery, ListFile or else Known alone.
-	Discovery string
-	ListFile  string
-	Known     *endpoints.List // as last held, or the whole of it; nil: none
+	Discovery        string
+	ListFile         string
+	InitialEndpoints *endpoints.List // as last held, or the whole of it; nil: none
 
-	Door *admission.Options // before it; nil: there is none
+	Admission *admission.Options // before it; nil: there is none
 
-	Repeats *executor.Declaration // the store of its keys; nil: there is none
+	Idempotency *executor.Declaration // the store of its keys; nil: there is none
 
 	Registries []eureka.Declaration // beside that list, or without one
-	Members    membership.Options
+	Membership membership.Options
 
 	Unrouted bool // no route leads to it
 }
 
 // Staleness is how its list at Discovery is followed.
 func (s *ServicePlan) Staleness() staleness.Options {
-	return staleness.Options{Pushed: !s.Settings.MustSubscribe, MaxPollAge: s.Settings.AskWithin, FleetSize: s.Settings.FleetSize,
-		DrainGrace: s.Settings.Grace}
+	return staleness.Options{Pushed: !s.Settings.MustSubscribe, MaxPollAge: s.Settings.MaxPollAge, FleetSize: s.Settings.FleetSize,
+		DrainGrace: s.Settings.DrainGrace}
 }
 
 // Platform is the name of the service that the platform's file tells of.
@@ -180,8 +180,8 @@
 }
 
 func (c *Config) service() ServicePlan {
-	return ServicePlan{Name: Platform, Settings: c.Settings, Answers: httpheader.Only200(), Share: 1, Discovery: c.Discovery,
-		Known: c.Known}
+	return ServicePlan{Name: Platform, Settings: c.Settings, SuccessStatuses: httpheader.Only200(), Weight: 1, Discovery: c.Discovery,
+		InitialEndpoints: c.CachedEndpoints}
 }
 
 // ParseFile reads an operator's file. Its error is Problems.
@@ -222,7 +222,7 @@
 
 // problems is all that is wrong with a text; nil: nothing.
 func problems(doc *tomlfile.Document) error {
-	mistakes := doc.Mistakes()
+	mistakes := doc.Problems()
 	if len(mistakes) == 0 {
 		return nil
 	}
@@ -248,8 +248,8 @@
 		p.Control = cmp.Or(of.Control, p.Control)
 		p.HeadTimeout, p.BodyTimeout, p.Grace = of.HeadTimeout, of.BodyTimeout, of.Grace
 		p.Services = of.Services
-		p.Services[0].Subset, p.Services[0].Warm, p.Services[0].Probe = f.Platform.Subset, f.Platform.Warm, f.Platform.Probe
-		if f.Platform.Probe.On && !p.Services[0].Settings.ProbingAllowed {
+		p.Services[0].Subset, p.Services[0].Prewarm, p.Services[0].LoadProbe = f.Platform.Subset, f.Platform.Prewarm, f.Platform.LoadProbe
+		if f.Platform.LoadProbe.Enabled && !p.Services[0].Settings.ProbingAllowed {
 			doc.Report("platform.probe", "the platform's settings allow no probes")
 		}
 		names[Platform] = 0
@@ -263,7 +263,7 @@
 		_, _ = rand.Read(b[:]) // never fails
 		p.Seed, p.SeedDrawn = binary.LittleEndian.Uint64(b[:]), true
 	}
-	if beside == nil && (f.Platform.Subset.Enabled || f.Platform.Warm.On || f.Platform.Probe.On) {
+	if beside == nil && (f.Platform.Subset.Enabled || f.Platform.Prewarm.Enabled || f.Platform.LoadProbe.Enabled) {
 		doc.Report("platform", "there is no platform's file: a service has its own [service.subset], [service.warm] and [service.probe]")
 	}
 	f.registries(p, beside, doc)
@@ -284,7 +284,7 @@
 		}
 		names[s.Name] = len(p.Services)
 		made := s.plan()
-		made.Registries, made.Members = f.registriesOf(s.Name), f.Members
+		made.Registries, made.Membership = f.registriesOf(s.Name), f.Membership
 		if !s.ownList() && len(made.Registries) == 0 {
 			doc.Report(fmt.Sprintf("service[%d]", i), fromOne, 0)
 		}
@@ -301,7 +301,7 @@
 	}
 	declared := f.Routes
 	if len(declared) == 0 && len(p.Services) == 1 && beside == nil && len(f.GraphQL) == 0 { // the platform's service has its own
-		declared = []routes.Declaration{{Match: "/", Key: routes.Header(httpheader.Key), MaxBody: routes.MaxMaxBody}}
+		declared = []routes.Declaration{{Match: "/", Key: routes.Header(httpheader.IdempotencyKey), MaxBody: routes.MaxMaxBody}}
 	}
 	led := map[string]bool{}
 	for i := range declared {
@@ -360,13 +360,13 @@
 // repeats gives services their stores of keys.
 func (f *File) repeats(p *Plan, names map[string]int, doc *tomlfile.Document) {
 	files := map[string]bool{}
-	for i := range f.Repeats {
-		at, o := fmt.Sprintf("repeats[%d]", i), f.Repeats[i]
+	for i := range f.Idempotency {
+		at, o := fmt.Sprintf("repeats[%d]", i), f.Idempotency[i]
 		s := p.named(names, o.Service, at, doc)
 		if s == nil {
 			continue
 		}
-		if s.Repeats != nil {
+		if s.Idempotency != nil {
 			doc.Report(at+".service", "%q has two stores of keys", o.Service)
 		}
 		if !slices.ContainsFunc(s.Settings.Classes, func(c balancer.Class) bool { return c.Idempotency == balancer.IdempotentWithKey }) {
@@ -376,19 +376,19 @@
 			doc.Report(at+".file", "%q is another store's", o.File)
 		}
 		files[o.File] = true
-		s.Repeats = &o
+		s.Idempotency = &o
 	}
 }
 
 // doors gives services their doors, and checks that principals can be told apart there.
 func (f *File) doors(p *Plan, names map[string]int, all []*routes.Route, doc *tomlfile.Document) {
-	for i := range f.Doors {
-		at, o := fmt.Sprintf("door[%d]", i), f.Doors[i]
+	for i := range f.Admission {
+		at, o := fmt.Sprintf("door[%d]", i), f.Admission[i]
 		s := p.named(names, o.Service, at, doc)
 		if s == nil {
 			continue
 		}
-		if s.Door != nil {
+		if s.Admission != nil {
 			doc.Report(at+".service", "%q has two doors", o.Service)
 		}
 		tenants := false
@@ -404,7 +404,7 @@
 		if s.Settings.RetryAfterAllowed {
 			o.MaxRetryAfter = s.Settings.MaxRetryAfter
 		}
-		s.Door = &o
+		s.Admission = &o
 	}
 }
 
@@ -430,57 +430,57 @@
 			doc.Report(at+".service", "%d registries of one service at most", membership.MaxSources-1)
 		}
 		if r.Register.Application != "" {
-			p.Registers = append(p.Registers, r)
+			p.Registrations = append(p.Registrations, r)
 		}
 	}
 	for i := range p.Services {
-		p.Services[i].Registries, p.Services[i].Members = f.registriesOf(p.Services[i].Name), f.Members
+		p.Services[i].Registries, p.Services[i].Membership = f.registriesOf(p.Services[i].Name), f.Membership
 	}
 }
 
 // PluginFile is what a plug-in takes from an operator's file.
 type PluginFile struct {
-	Registries []eureka.Declaration
-	Members    membership.Options
-	Door       *admission.Options    // nil: there is none
-	Repeats    *executor.Declaration // nil: there is no store
-	Warm       prewarm.Options
-	Subset     subset.Options // of the [[service]] of that name, which needs no upstreams there
+	Registries  []eureka.Declaration
+	Membership  membership.Options
+	Admission   *admission.Options    // nil: there is none
+	Idempotency *executor.Declaration // nil: there is no store
+	Prewarm     prewarm.Options
+	Subset      subset.Options // of the [[service]] of that name, which needs no upstreams there
 }
 
-// PluginPart reads an operator's file for a plug-in's service. Its error is Problems.
-func PluginPart(text []byte, service string) (PluginFile, error) {
+// ParsePluginFile reads an operator's file for a plug-in's service. Its error is Problems.
+func ParsePluginFile(text []byte, service string) (PluginFile, error) {
 	f := &File{}
 	doc := tomlfile.Decode(text, f)
-	p := PluginFile{Registries: f.registriesOf(service), Members: f.Members}
+	p := PluginFile{Registries: f.registriesOf(service), Membership: f.Membership}
 	for i, r := range f.Eureka {
 		if r.Service == service && r.Register.Application != "" {
 			doc.Report(fmt.Sprintf("eureka[%d].register", i), "a plug-in listens nowhere, and does not register")
 		}
 	}
-	for i := range f.Doors {
-		o := &f.Doors[i]
+	for i := range f.Admission {
+		o := &f.Admission[i]
 		if o.Service != service {
 			continue
 		}
-		p.Door = o
+		p.Admission = o
 		for _, by := range o.PrincipalSources {
 			if by == "address" || by == "certificate" {
 				doc.Report(fmt.Sprintf("door[%d].by", i), "a plug-in's callers have no %s: \"tenant\" and \"header:NAME\", of the metadata, tell them apart", by)
 			}
 		}
 	}
-	for i := range f.Repeats {
-		if f.Repeats[i].Service == service {
-			p.Repeats = &f.Repeats[i]
+	for i := range f.Idempotency {
+		if f.Idempotency[i].Service == service {
+			p.Idempotency = &f.Idempotency[i]
 		}
 	}
 	for i := range f.Services {
 		if f.Services[i].Name == service {
-			p.Subset, p.Warm = f.Services[i].Subset, f.Services[i].Warm
+			p.Subset, p.Prewarm = f.Services[i].Subset, f.Services[i].Prewarm
 		}
 	}
-	if !doc.Broken() && len(p.Registries) == 0 && p.Door == nil && p.Repeats == nil && !p.Subset.Enabled && !p.Warm.On {
+	if !doc.Broken() && len(p.Registries) == 0 && p.Admission == nil && p.Idempotency == nil && !p.Subset.Enabled && !p.Prewarm.Enabled {
 		doc.Report("eureka", "nothing in it is for service %q: no [[eureka]], no [[door]], no [service.subset], no [service.warm], no [[repeats]]", service)
 	}
 	return p, problems(doc)
@@ -540,26 +540,26 @@
 	if why := r.Unreachable(); why != "" {
 		report(".class", "%s", why)
 	}
-	r.WholeOnly = !p.Services[i].Answers.Has(304) || !p.Services[i].Answers.Has(206) || !p.Services[i].Answers.Has(412)
+	r.CompleteOnly = !p.Services[i].SuccessStatuses.Has(304) || !p.Services[i].SuccessStatuses.Has(206) || !p.Services[i].SuccessStatuses.Has(412)
 	return []*routes.Route{r}
 }
 
 func (s *Service) plan() ServicePlan {
-	answers, err := httpheader.ParseStatuses(s.Answers)
+	answers, err := httpheader.ParseStatuses(s.SuccessStatuses)
 	if err != nil { // reported by Check
 		answers = httpheader.Only200()
 	}
-	p := ServicePlan{Name: s.Name, Settings: s.Settings(), Answers: answers, Share: s.Share, TLS: s.TLS, Subset: s.Subset, Warm: s.Warm, Probe: s.Probe,
+	p := ServicePlan{Name: s.Name, Settings: s.Settings(), SuccessStatuses: answers, Weight: s.Weight, TLS: s.TLS, Subset: s.Subset, Prewarm: s.Prewarm, LoadProbe: s.LoadProbe,
 		Discovery: s.Discovery, ListFile: s.ListFile}
 	p.Settings.MustSubscribe = s.Discovery != "" && !s.Push
 	if entries := s.entries(); len(entries) > 0 {
-		p.Known = listfile.ListOf(1, entries)
+		p.InitialEndpoints = listfile.ListOf(1, entries)
 	}
 	return p
 }
 
 // Same tells whether two plans of a service differ in nothing but where its upstreams come from, and its door.
 func (s *ServicePlan) Same(o *ServicePlan) bool {
-	return s.Name == o.Name && reflect.DeepEqual(s.Settings, o.Settings) && *s.Answers == *o.Answers &&
-		reflect.DeepEqual(s.TLS, o.TLS) && s.Subset == o.Subset && s.Warm == o.Warm && s.Probe == o.Probe
+	return s.Name == o.Name && reflect.DeepEqual(s.Settings, o.Settings) && *s.SuccessStatuses == *o.SuccessStatuses &&
+		reflect.DeepEqual(s.TLS, o.TLS) && s.Subset == o.Subset && s.Prewarm == o.Prewarm && s.LoadProbe == o.LoadProbe
 }
--- a/internal/daemon/body.go
+++ b/internal/daemon/body.go
@@ -160,5 +160,5 @@
 	call.StreamedBody = true
 	call.Deadline += time.Duration(most)*time.Second/leastRate + slowUpstreams
 	return upstream.NewUpload(req.Method, req.Target, req.Host, req.Header, v.body,
-		&upstream.Upload{Rest: v.paced, Length: length, Timeout: req.Timeout, Interrupt: v.paced.interrupt})
+		&upstream.Upload{Body: v.paced, Length: length, Timeout: req.Timeout, Interrupt: v.paced.interrupt})
 }
--- a/internal/daemon/body_test.go
+++ b/internal/daemon/body_test.go
@@ -286,7 +286,7 @@
 			piece(pattern(first))
 			select {
 			case <-again:
-			case <-time.After(testutil.Patience):
+			case <-time.After(testutil.Timeout):
 				t.Fatalf("sent %d times", n.Load())
 			}
 			piece(pattern(rest))
@@ -384,11 +384,11 @@
 		<-release
 		return fakes.Says(fakes.OK200("a"))(c, g)
 	})
-	pool := upstream.New(upstream.Options{ConnectTimeout: testutil.Patience, Idle: time.Minute, Connections: 2, MaxAnswer: 1 << 20})
-	dir := endpoints.New(clock.New(), pool.Drop)
-	pool.SetDirectory(dir)
-	dir.Apply(testutil.Listing(t, 1, true, testutil.Entry("s", s.Address, "Ready"), testutil.Entry("nobody", base.FreeAddress(t), "Ready")))
-	defer pool.Drop("s")
+	pool := upstream.New(upstream.Options{ConnectTimeout: testutil.Timeout, IdleTimeout: time.Minute, MaxConnections: 2, MaxAnswerBytes: 1 << 20})
+	dir := endpoints.New(clock.New(), pool.CloseUpstream)
+	pool.SetRegistry(dir)
+	dir.Apply(testutil.EndpointList(t, 1, true, testutil.Entry("s", s.Address, "Ready"), testutil.Entry("nobody", base.FreeAddress(t), "Ready")))
+	defer pool.CloseUpstream("s")
 	x := &exchange{pool: pool, request: upstream.NewRequest("POST", "/confirm/1", "s", nil, []byte("a"))}
 	over := make(chan balancer.Result, 1)
 	go func() { over <- x.attempt(t.Context(), engine.Attempt{Upstream: "s"}).Result }()
--- a/internal/daemon/closing_test.go
+++ b/internal/daemon/closing_test.go
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(testutil.Patience))
+	_ = c.SetDeadline(time.Now().Add(testutil.Timeout))
 	return &dialed{c, bufio.NewReader(c)}
 }
 
--- a/internal/daemon/course.go
+++ b/internal/daemon/course.go
@@ -14,7 +14,7 @@
 // It is safe for concurrent use.
 type course struct {
 	clock clock.Clock
-	conns *downstream.Conns
+	conns *downstream.Connections
 
 	wanted   atomic.Bool // clients are to be sent here
 	last     atomic.Bool // answers are the last of their connections
@@ -27,7 +27,7 @@
 	turned    chan struct{} // holds one: the state is another
 }
 
-func newCourse(c clock.Clock, grace time.Duration, conns *downstream.Conns) *course {
+func newCourse(c clock.Clock, grace time.Duration, conns *downstream.Connections) *course {
 	n := &course{clock: c, conns: conns, life: lifecycle.New(grace), turned: make(chan struct{}, 1)}
 	n.wanted.Store(true)
 	return n
@@ -74,10 +74,10 @@
 
 // end waits until the last answers are written and their connections closed, or that long, and then closes those that are left.
 func (c *course) end(most time.Duration) {
-	for last := time.Now().Add(most); !c.conns.Over() && time.Now().Before(last); {
+	for last := time.Now().Add(most); !c.conns.OverLimit() && time.Now().Before(last); {
 		time.Sleep(look)
 	}
-	c.conns.Drop()
+	c.conns.CloseAll()
 }
 
 // look is how often the end of connections is looked for, once nothing new is accepted.
@@ -110,7 +110,7 @@
 			abort()
 			return
 		}
-		if !accepting && c.conns.Over() {
+		if !accepting && c.conns.OverLimit() {
 			return
 		}
 		switch {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -111,7 +111,7 @@
 	rest      context.Context // of what runs besides; ends with the daemon
 	listening net.Listener
 	limits    config.Limits
-	figures   *metrics.Counts
+	figures   *metrics.Registry
 	course    *course
 
 	succession *succession
@@ -161,12 +161,12 @@
 	}
 	d.shared.filesCtx, d.shared.filesPatience = rest, heldPatience
 	look(d)
-	var secure *downstream.Secure
-	if p.TLS.On() {
-		secure = &downstream.Secure{Handshake: p.HeadTimeout, Config: &tls.Config{MinVersion: tls.VersionTLS12,
+	var secure *downstream.TLS
+	if p.TLS.Enabled() {
+		secure = &downstream.TLS{HandshakeTimeout: p.HeadTimeout, Config: &tls.Config{MinVersion: tls.VersionTLS12,
 			GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return d.tls.Load(), nil }}}
 	}
-	conns := downstream.NewConns(acceptor.New(listener, d.log), connections, secure)
+	conns := downstream.NewConnections(acceptor.New(listener, d.log), connections, secure)
 	d.course = newCourse(d.shared.clock, p.Grace, conns)
 	s := &server{d: d, ids: newIDs(p.Seed), course: d.course}
 	srv := &http.Server{Handler: s, ReadHeaderTimeout: p.HeadTimeout, IdleTimeout: clientIdle,
@@ -237,7 +237,7 @@
 func (d *daemon) register(p *config.Plan) (*registrations, error) {
 	ctx, stop := context.WithCancel(context.Background())
 	r := &registrations{stop: stop}
-	for _, declared := range p.Registers {
+	for _, declared := range p.Registrations {
 		one, err := eureka.NewRegistration(declared, p.Name, d.listening.Addr().String(), time.Second, p.Seed, d.log)
 		if err != nil {
 			stop()
@@ -290,7 +290,7 @@
 	add := func(s config.ServicePlan) {
 		if !named[s.Name] {
 			named[s.Name] = true
-			shares = append(shares, bulkhead.Share{Name: s.Name, Weight: s.Share})
+			shares = append(shares, bulkhead.Share{Name: s.Name, Weight: s.Weight})
 		}
 	}
 	for _, s := range services {
--- a/internal/daemon/door.go
+++ b/internal/daemon/door.go
@@ -21,7 +21,7 @@
 		return controller.Permit{}, nil
 	}
 	marked := r.Header.Get(k.RetryHeader())
-	pass, verdict, in := k.Acquire(r.Context(), whoOf(r, req.Tenant), admission.Arrival{Class: req.Class.Name, CostHint: req.Hint, ArrivedAt: begun,
+	pass, verdict, in := k.Acquire(r.Context(), whoOf(r, req.Tenant), admission.Arrival{Class: req.Class.Name, CostHint: req.CostHint, ArrivedAt: begun,
 		Deadline: begun + req.Timeout, Bytes: int64(body), Retry: marked != "" && marked != "0", Fingerprint: printOf(req)})
 	switch verdict {
 	case controller.Rejected:
@@ -36,7 +36,7 @@
 func printOf(req *downstream.Request) uint64 {
 	var h xxhash.Digest
 	h.Reset()
-	for _, part := range [3]string{req.Method, req.Target, req.Key} {
+	for _, part := range [3]string{req.Method, req.Target, req.IdempotencyKey} {
 		_, _ = h.WriteString(part) // never fails
 		_, _ = h.WriteString("\x00")
 	}
--- a/internal/daemon/door_test.go
+++ b/internal/daemon/door_test.go
@@ -122,7 +122,7 @@
 	select {
 	case path := <-r.came:
 		return path
-	case <-time.After(testutil.Patience):
+	case <-time.After(testutil.Timeout):
 		t.Fatal("nothing reaches the upstream")
 		return ""
 	}
--- a/internal/daemon/file_test.go
+++ b/internal/daemon/file_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	r := &fileRig{path: base.File(t, "o.toml", []byte(text)), running: &running{address: l.Addr().String(),
-		ended: make(chan struct{}), client: &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}}
+		ended: make(chan struct{}), client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
 	p, up := plan(t, text), make(chan *daemon, 1)
@@ -282,7 +282,7 @@
 func TestReloadNamesWhatCountsFromTheNextStart(t *testing.T) {
 	text := services(map[string]string{"a": base.HTTP(t, nil, says("a"))})
 	said := ""
-	d := &daemon{plan: plan(t, text), rest: t.Context(), log: logging.To(func(line string) { said += line + "\n" })}
+	d := &daemon{plan: plan(t, text), rest: t.Context(), log: logging.NewFunc(func(line string) { said += line + "\n" })}
 	if err := errors.Join(d.share(64), d.apply(d.plan)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -36,7 +36,7 @@
 	begun    time.Duration
 	media    string // of the answer
 	entries  int
-	taken    *[]metrics.Taken // of the entries, kept where the request is decided anew
+	taken    *[]metrics.Request // of the entries, kept where the request is decided anew
 }
 
 // serve answers the request, or tells that it is to be decided anew: its route ended before anything was sent.
@@ -52,7 +52,7 @@
 		header = nil
 	}
 	if len(*c.taken) != c.entries {
-		*c.taken = make([]metrics.Taken, c.entries)
+		*c.taken = make([]metrics.Request, c.entries)
 	}
 	entries := make([]*operation, c.entries)
 	problems := asked.Problems
@@ -70,7 +70,7 @@
 		for _, o := range entries {
 			o.end()
 			if !again {
-				o.taken.End(endOf(o.answer.Kind))
+				o.taken.Finish(endOf(o.answer.Kind))
 			}
 		}
 	}()
@@ -143,22 +143,22 @@
 	answer   engine.Answer
 	conflict int  // the status of its key's conflict; 0: there is none
 	unsent   bool // its route ended, and nothing was sent
-	taken    *metrics.Taken
+	taken    *metrics.Request
 
 	failedMu sync.Mutex
-	failed   *upstream.Reply // the latest attempt's, where that was a node's word of its failure
+	failed   *upstream.Response // the latest attempt's, where that was a node's word of its failure
 }
 
 // run has the door and the module decide on the operation.
 func (o *operation) run() {
 	c, d := o.call, &o.decision
-	if !o.taken.Counts() {
-		*o.taken = c.d.figures.Take(d.Class.Name)
+	if !o.taken.Open() {
+		*o.taken = c.d.figures.Start(d.Class.Name)
 	}
 	req := c.req
 	req.Class, req.Timeout = d.Class, min(req.Timeout, d.Class.Deadline)
-	if req.Hint == 0 {
-		req.Hint = d.Hint
+	if req.CostHint == 0 {
+		req.CostHint = d.CostHint
 	}
 	req.Method = http.MethodPost
 	if c.entries > 1 { // they differ in it
@@ -169,24 +169,24 @@
 	}
 	req.Header["Accept"] = []string{c.media}
 	req.Header["Content-Type"] = []string{graphql.MediaJSON}
-	if given := req.Header[httpheader.ID]; len(given) == 0 || given[0] == c.id {
-		req.Header[httpheader.ID] = []string{o.id}
+	if given := req.Header[httpheader.RequestID]; len(given) == 0 || given[0] == c.id {
+		req.Header[httpheader.RequestID] = []string{o.id}
 	}
 	if c.r.Method == http.MethodGet {
 		req.Target, _, _ = strings.Cut(req.Target, "?")
 	}
 	if c.svc.door.Load() != nil { // which remembers its promises by it: all operations have one path
-		req.Key = strconv.FormatUint(xxhash.Sum64(d.Body), 16)
+		req.IdempotencyKey = strconv.FormatUint(xxhash.Sum64(d.Body), 16)
 	}
 	o.pool = c.svc.pool
 	o.request = upstream.NewRequest(req.Method, req.Target, req.Host, req.Header, d.Body)
 	o.request.Gate = &presence{lease: c.lease, ctx: c.r.Context(), leave: c.leave}
-	o.request.Written, o.request.Whole = c.d.figures.Sent, true
+	o.request.Written, o.request.CompleteOnly = c.d.figures.AttemptSent, true
 	pass, refused := c.door(c.r, c.svc, &req, c.begun, len(d.Body))
 	if refused != nil {
 		o.answer = *refused
 	} else {
-		call := engine.Call{ID: o.id, Class: req.Class.Name, Tenant: req.Tenant, CostHint: req.Hint, Deadline: c.begun + req.Timeout}
+		call := engine.Call{ID: o.id, Class: req.Class.Name, Tenant: req.Tenant, CostHint: req.CostHint, Deadline: c.begun + req.Timeout}
 		if k := c.svc.keyed(d.Class, d.Key); k != nil {
 			o.begun.Add(1) // its attempts, and those of others with its key, are counted elsewhere: any may run
 			o.answer, o.conflict = answerOf(c.svc.once(c.r.Context(), k, call, d.Key, req.Method, req.Target, d.Body, func() (engine.Transport, func()) {
@@ -215,18 +215,18 @@
 		return engine.AttemptResult{Result: rep.Result}
 	}
 	e := o.call.endpoint
-	switch e.Judge(rep.Status, rep.Body, rep.Header.Get("Content-Encoding") != "") {
+	switch e.Classify(rep.Status, rep.Body, rep.Header.Get("Content-Encoding") != "") {
 	case graphql.Served:
 		if rep.Status == http.StatusOK {
-			e.Took(&o.decision, time.Since(begun))
+			e.RecordDuration(&o.decision, time.Since(begun))
 		}
 		o.keep(rep)
 		return engine.AttemptResult{Result: balancer.OK, Value: &rep}
-	case graphql.Unrun:
+	case graphql.NotExecuted:
 		o.pool.Free(rep)
 		o.fail(nil)
 		return engine.AttemptResult{Result: balancer.Rejected}
-	case graphql.Failing:
+	case graphql.UpstreamFailed:
 		o.keep(rep)
 		o.fail(&rep)
 		return engine.AttemptResult{Result: balancer.ServerError}
@@ -236,14 +236,14 @@
 	return engine.AttemptResult{Result: balancer.Malformed}
 }
 
-func (o *operation) fail(rep *upstream.Reply) {
+func (o *operation) fail(rep *upstream.Response) {
 	o.failedMu.Lock()
 	defer o.failedMu.Unlock()
 	o.failed = rep
 }
 
 // told is a node's own word of its failure, where that is what the operation ended with.
-func (o *operation) told() *upstream.Reply {
+func (o *operation) told() *upstream.Response {
 	o.failedMu.Lock()
 	defer o.failedMu.Unlock()
 	if o.answer.Kind != engine.Failed {
@@ -253,14 +253,14 @@
 }
 
 // outcome words how an operation ended that no node's answer stands for.
-func (o *operation) outcome() (status int, end graphql.End, body []byte) {
-	say := func(status int, end graphql.End, code, message string) (int, graphql.End, []byte) {
-		return status, end, graphql.ErrorBody(message, code, &graphql.Known{MayHaveRun: end == graphql.Uncertain, RetryAfter: o.answer.RetryAfter})
+func (o *operation) outcome() (status int, end graphql.EntryOutcome, body []byte) {
+	say := func(status int, end graphql.EntryOutcome, code, message string) (int, graphql.EntryOutcome, []byte) {
+		return status, end, graphql.ErrorBody(message, code, &graphql.Known{MayHaveRun: end == graphql.MayHaveRun, RetryAfter: o.answer.RetryAfter})
 	}
 	switch o.answer.Kind {
 	case engine.Rejected:
 		if o.decision.Class.Idempotency == balancer.IdempotentWithKey && o.begun.Load() > 0 { // whoever asks again finds the group that drops repeats
-			return say(http.StatusServiceUnavailable, graphql.Uncertain, graphql.CodeRefused, "refused: it may have run; trying again with the same key is harmless")
+			return say(http.StatusServiceUnavailable, graphql.MayHaveRun, graphql.CodeRefused, "refused: it may have run; trying again with the same key is harmless")
 		}
 		return say(http.StatusServiceUnavailable, graphql.NotRun, graphql.CodeRefused, "refused: not done, trying again is harmless")
 	case engine.Duplicate:
@@ -276,9 +276,9 @@
 		}
 	}
 	if rep := o.told(); rep != nil {
-		return http.StatusBadGateway, graphql.Uncertain, rep.Body
+		return http.StatusBadGateway, graphql.MayHaveRun, rep.Body
 	}
-	return say(http.StatusBadGateway, graphql.Uncertain, graphql.CodeFailed, "failed: it may have run")
+	return say(http.StatusBadGateway, graphql.MayHaveRun, graphql.CodeFailed, "failed: it may have run")
 }
 
 // finish words the answer to a single operation.
@@ -303,7 +303,7 @@
 
 // batch answers several operations in one array, in their order.
 func (c *graphqlCall) batch(entries []*operation, problems []*graphql.Problem) (again bool) {
-	kinds := make([]graphql.Kind, len(entries))
+	kinds := make([]graphql.OperationKind, len(entries))
 	for i, o := range entries {
 		if kinds[i] = o.decision.Kind; problems[i] != nil && o.decision.Class == nil {
 			kinds[i] = graphql.Mutation // it might be one
@@ -313,7 +313,7 @@
 	defer release()
 	b := graphql.NewBatch(kinds, problems, parallel)
 	ended := make(chan int, len(entries))
-	ends, bodies := make([]graphql.End, len(entries)), make([][]byte, len(entries))
+	ends, bodies := make([]graphql.EntryOutcome, len(entries)), make([][]byte, len(entries))
 	var unsent, begun int
 	var longest time.Duration
 	room := c.endpoint.Limits().Answers.Bytes()
@@ -334,7 +334,7 @@
 			ends[i], bodies[i] = graphql.NotRun, graphql.ErrorBody("not sent: a mutation before it in the batch has no good end; trying again is harmless",
 				graphql.CodeNotSent, &graphql.Known{})
 		}
-		if b.Over() {
+		if b.Finished() {
 			break
 		}
 		i := <-ended
@@ -370,15 +370,15 @@
 }
 
 // entry is what stands in a batch's answer for an operation, as long as there is room.
-func (c *graphqlCall) entry(o *operation, room *int) (graphql.End, []byte) {
+func (c *graphqlCall) entry(o *operation, room *int) (graphql.EntryOutcome, []byte) {
 	if o.answer.Kind != engine.Served {
 		_, end, body := o.outcome()
 		if *room -= len(body); *room < 0 {
-			return end, graphql.ErrorBody("the batch's answers are too large", graphql.CodeTooLarge, &graphql.Known{MayHaveRun: end == graphql.Uncertain})
+			return end, graphql.ErrorBody("the batch's answers are too large", graphql.CodeTooLarge, &graphql.Known{MayHaveRun: end == graphql.MayHaveRun})
 		}
 		return end, body
 	}
-	rep := o.answer.Value.(*upstream.Reply)
+	rep := o.answer.Value.(*upstream.Response)
 	switch {
 	case !graphql.IsAnswer(rep.Body):
 		return graphql.Answered, graphql.ErrorBody("the upstream answered with status "+strconv.Itoa(rep.Status), graphql.CodeAnswer,
--- a/internal/daemon/heldfile_test.go
+++ b/internal/daemon/heldfile_test.go
@@ -58,7 +58,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(testutil.Patience / 2):
+	case <-time.After(testutil.Timeout / 2):
 		t.Error("it does not end")
 	}
 }
@@ -72,7 +72,7 @@
 	if err := r.reload(t, p.file("6s", "20s", part)); err != nil {
 		t.Log(err)
 	}
-	if took := time.Since(begun); took > testutil.Patience/2 {
+	if took := time.Since(begun); took > testutil.Timeout/2 {
 		t.Errorf("it waited for %v", took)
 	}
 	p.let <- "paid"
--- a/internal/daemon/operate_test.go
+++ b/internal/daemon/operate_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	c.Control = base.FreeAddress(t)
 	r := start(t, c, "127.0.0.1:0")
-	client := &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	return r, func(method, path string) (int, string) {
 		t.Helper()
 		req, err := http.NewRequest(method, "http://"+c.Control+path, nil)
--- a/internal/daemon/probing.go
+++ b/internal/daemon/probing.go
@@ -47,14 +47,14 @@
 	}
 	var names []string
 	if !b.closed {
-		names = b.p.Ask(now)
+		names = b.p.Targets(now)
 		b.out.Add(len(names))
 	}
 	b.mu.Unlock()
 	if len(names) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), b.o.Patience.D())
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), b.o.Timeout.D())
 	end := cancel // by the last of them
 	answers := make(chan struct{}, len(names))
 	var left atomic.Int64
--- a/internal/daemon/reading.go
+++ b/internal/daemon/reading.go
@@ -7,7 +7,7 @@
 
 // read reads the figures. The upstreams are those of all services, and which of them are avoided is the module's own word; those
 // that drain are avoided too.
-func (d *daemon) read() metrics.Figures {
+func (d *daemon) read() metrics.Reading {
 	f := d.figures.Read()
 	for _, s := range d.routing.Load().services {
 		ready, leaving := 0, s.dir.DrainingCount()
@@ -33,7 +33,7 @@
 }
 
 // endOf is a final answer as the figures count it.
-func endOf(k engine.AnswerKind) metrics.End {
+func endOf(k engine.AnswerKind) metrics.Outcome {
 	switch k {
 	case engine.Served:
 		return metrics.Completed
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -24,7 +24,7 @@
 			return
 		}
 		err := d.reload(files)
-		d.figures.Reloaded(err == nil)
+		d.figures.ConfigReloaded(err == nil)
 		if err != nil {
 			d.log.Error("reload: the old configuration stays", "reason", err)
 		}
@@ -54,7 +54,7 @@
 			next.Services[0].Settings, next.Table = was.Services[0].Settings, was.Table
 		}
 	}
-	if (was.File == nil) != (next.File == nil) || was.TLS.On() != next.TLS.On() {
+	if (was.File == nil) != (next.File == nil) || was.TLS.Enabled() != next.TLS.Enabled() {
 		return errors.New("a change between the platform's file and the operator's, or of tls between on and off, needs a new start")
 	}
 	// What counts from the next start stays as it is.
@@ -99,7 +99,7 @@
 						if err := s.setRepeats(plan); err != nil {
 							d.log.Error("reload", "service", plan.Name, "reason", err)
 						}
-						s.plan.Door, s.plan.Repeats = plan.Door, plan.Repeats
+						s.plan.Admission, s.plan.Idempotency = plan.Admission, plan.Idempotency
 					})
 					continue
 				}
@@ -121,7 +121,7 @@
 		if now != nil { // all is as it was
 			_ = d.setShares(d.plan.Guaranteed, d.plan.Services) // they have been set before
 			for _, s := range now.services {
-				s.pool.Claim()
+				s.pool.EvictOnContention()
 			}
 		}
 	}()
@@ -185,7 +185,7 @@
 		defer d.applying.Unlock()
 		delete(d.leaving, s)
 		if d.routing.Load().services[s.name] == nil {
-			d.shared.slots.OnWanted(s.name, nil)
+			d.shared.slots.OnContention(s.name, nil)
 		}
 		_ = d.setShares(d.plan.Guaranteed, d.plan.Services) // fewer than there were
 	})
@@ -203,7 +203,7 @@
 // prepareKeys reads what the clients' listener is to show, where that is another one; the returned function takes it
 // over.
 func (d *daemon) prepareKeys(p *config.Plan) (func(), error) {
-	if !p.TLS.On() || d.keys.Load() != nil && reflect.DeepEqual(p.TLS, d.plan.TLS) {
+	if !p.TLS.Enabled() || d.keys.Load() != nil && reflect.DeepEqual(p.TLS, d.plan.TLS) {
 		return func() {}, nil
 	}
 	store, err := tlscredentials.Open(tlscredentials.Files{Certificate: p.TLS.Certificate, Key: p.TLS.Key, CA: p.TLS.ClientCA},
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -50,7 +50,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	over := make(chan error, 1)
 	go func() { over <- Serve(ctx, c, l, path, hup, nil) }()
-	r := &running{address: l.Addr().String(), client: &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: true}}}
+	r := &running{address: l.Addr().String(), client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}}
 	testutil.Eventually(t, "the first watch", func() bool { return slices.Equal(first.Calls(), []string{"1"}) })
 
 	write(`{"name":`)
@@ -62,7 +62,7 @@
 	hup <- syscall.SIGHUP
 	select {
 	case <-ended:
-	case <-time.After(testutil.Patience):
+	case <-time.After(testutil.Timeout):
 		t.Fatal("the old watch goes on")
 	}
 	testutil.Eventually(t, "the whole list, then a watch from its version", func() bool {
--- a/internal/daemon/repeats.go
+++ b/internal/daemon/repeats.go
@@ -22,16 +22,16 @@
 // openRepeats finds or makes the keeper of a service's keys. It outlives the service: one that a reload starts anew, or takes
 // away for a while, knows its keys again.
 func (sh *shared) openRepeats(plan config.ServicePlan) (*executor.Executor, error) {
-	if plan.Repeats == nil {
+	if plan.Idempotency == nil {
 		return nil, nil
 	}
 	sh.repeatsMu.Lock()
 	defer sh.repeatsMu.Unlock()
 	if k := sh.repeats[plan.Name]; k != nil {
-		k.Configure(plan.Repeats.Options, executor.DedupWindows(&plan.Settings.Settings))
+		k.Configure(plan.Idempotency.Options, executor.DedupWindows(&plan.Settings.Settings))
 		return k, nil
 	}
-	k, err := executor.Open(sh.filesCtx, *plan.Repeats, plan.Name, &plan.Settings.Settings, sh.filesPatience, executor.Options{Clock: sh.clock,
+	k, err := executor.Open(sh.filesCtx, *plan.Idempotency, plan.Name, &plan.Settings.Settings, sh.filesPatience, executor.Options{Clock: sh.clock,
 		Log: sh.log.With("service", plan.Name), Step: repeatStep})
 	if err != nil {
 		return nil, fmt.Errorf("repeats: %w", err)
@@ -122,7 +122,7 @@
 			a := s.engine.Do(context.Background(), call, attempts{c, s, sends, &mayRun})
 			switch a.Kind {
 			case engine.Served:
-				rep := a.Value.(*upstream.Reply)
+				rep := a.Value.(*upstream.Response)
 				return executor.Outcome{Verdict: idempotency.Replay, Answer: &idempotency.Answer{Status: rep.Status, Header: rep.Header, Body: rep.Body}}
 			case engine.Rejected, engine.Duplicate, engine.EngineClosed:
 				return executor.Outcome{Verdict: idempotency.Reject, RetryAfter: a.RetryAfter}
@@ -144,7 +144,7 @@
 	case r.ClientLeft:
 		return engine.Answer{Kind: engine.ClientGone}, 0
 	case r.Verdict == idempotency.Replay:
-		rep := &upstream.Reply{Status: r.Answer.Status, Header: r.Answer.Header, Body: r.Answer.Body}
+		rep := &upstream.Response{Status: r.Answer.Status, Header: r.Answer.Header, Body: r.Answer.Body}
 		if !r.Executed {
 			rep.Header = maps.Clone(http.Header(r.Answer.Header))
 			if rep.Header == nil {
--- a/internal/daemon/repeats_shared_test.go
+++ b/internal/daemon/repeats_shared_test.go
@@ -116,7 +116,7 @@
 			}
 			select {
 			case <-b.ended:
-			case <-time.After(testutil.Patience):
+			case <-time.After(testutil.Timeout):
 				t.Fatal("it does not end")
 			}
 			if b.err != nil || p.came.Load() != 1 {
@@ -150,7 +150,7 @@
 				address := base.FreeAddress(t)
 				files[i] = base.File(t, "o.toml", fmt.Appendf(nil, "[daemon]\nlisten = %q\n"+strings.TrimPrefix(repeatsFile, "\n")+"running = 1024\n%s",
 					address, list, window, "250ms", more))
-				rigs[i] = &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}}
+				rigs[i] = &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}}
 				t.Cleanup(rigs[i].client.CloseIdleConnections)
 				children[i] = startChild(t, rigs[i], files[i], "")
 			}
@@ -213,7 +213,7 @@
 			address := base.FreeAddress(t)
 			file := base.File(t, "o.toml", fmt.Appendf(nil, "[daemon]\nlisten = %q\n"+strings.TrimPrefix(repeatsFile, "\n")+"file = %q\ndisk_error = %q\n", address,
 				fmt.Sprintf("addresses = [%q]", upstream), "6s", "5s", filepath.Join(t.TempDir(), "keys.db"), how))
-			r := &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: true}}}}
+			r := &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}}}
 			c := startChild(t, r, file, "", childSize+"=1048576")
 			taken, refused := 0, 0
 			for n := range 300 {
--- a/internal/daemon/repeats_test.go
+++ b/internal/daemon/repeats_test.go
@@ -261,7 +261,7 @@
 // startError is what ends a daemon's start.
 func startError(t *testing.T, text string) error {
 	t.Helper()
-	ctx, stop := context.WithTimeout(t.Context(), testutil.Patience)
+	ctx, stop := context.WithTimeout(t.Context(), testutil.Timeout)
 	defer stop()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -423,7 +423,7 @@
 			address := base.FreeAddress(t)
 			file := base.File(t, "o.toml", fmt.Appendf(nil, "[daemon]\nlisten = %q\n"+strings.TrimPrefix(repeatsFile, "\n")+"file = %q\n", address,
 				fmt.Sprintf("addresses = [%q]", upstream), "6s", "5s", filepath.Join(t.TempDir(), "keys.db")))
-			r := &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: true}}}}
+			r := &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}}}
 			first := startChild(t, r, file, step)
 			status, told, _ := pay(t.Context(), r, "/record/1", "k", "5")
 			if err := first.Wait(); err == nil || first.ProcessState.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
--- a/internal/daemon/rig_test.go
+++ b/internal/daemon/rig_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &running{address: l.Addr().String(), stop: cancel, ended: make(chan struct{}),
-		client: &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{}}}
+		client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{}}}
 	go func() {
 		r.err = Serve(ctx, c, l, "", nil, look)
 		close(r.ended)
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -59,7 +59,7 @@
 // Enter is upstream.Gate's. The connection is looked at here because its reader does not see the end behind a request that waits on
 // it. Where others wait for the same answer it is only told once, and attempts go on for them.
 func (p *presence) Enter() bool {
-	if !p.left.Load() && downstream.Left(p.ctx) {
+	if !p.left.Load() && downstream.ClientGone(p.ctx) {
 		p.left.Store(true)
 		p.leave()
 		return false
@@ -139,15 +139,15 @@
 	begun   atomic.Int32   // attempts that may have sent something, those in hand too
 
 	mu   sync.Mutex
-	done bool             // the request has its answer
-	held []upstream.Reply // what its attempts brought, to be given back with it
+	done bool                // the request has its answer
+	held []upstream.Response // what its attempts brought, to be given back with it
 }
 
 // attempt sends the request once. It counts before anything can be sent, and no more once that is proved not to have happened: whoever
 // finds a count of 0 while another attempt is still out would take a request that runs for one that was never sent.
-func (x *exchange) attempt(ctx context.Context, a engine.Attempt) upstream.Reply {
+func (x *exchange) attempt(ctx context.Context, a engine.Attempt) upstream.Response {
 	x.begun.Add(1)
-	rep := x.pool.AttemptWithin(ctx, a.Upstream, x.request, upstream.Terms{Deadline: a.Deadline, By: a.SendBy, Caller: a.Caller, Cancel: a.Cancel})
+	rep := x.pool.AttemptWithOptions(ctx, a.Upstream, x.request, upstream.AttemptOptions{Deadline: a.Deadline, SendBy: a.SendBy, Caller: a.Caller, Cancel: a.Cancel})
 	if rep.Result == balancer.NotSent || rep.Result == balancer.ConnectFailed {
 		x.begun.Add(-1)
 	}
@@ -155,8 +155,8 @@
 }
 
 // keep holds on to an attempt's reply until the request is done.
-func (x *exchange) keep(r upstream.Reply) {
-	if r.Held == 0 && r.Rest == nil {
+func (x *exchange) keep(r upstream.Response) {
+	if r.ReservedBytes == 0 && r.Remainder == nil {
 		return
 	}
 	x.mu.Lock()
@@ -179,9 +179,9 @@
 	x.held = nil
 }
 
-func (x *exchange) letGo(r upstream.Reply) {
-	if r.Rest != nil {
-		r.Rest.End()
+func (x *exchange) letGo(r upstream.Response) {
+	if r.Remainder != nil {
+		r.Remainder.End()
 	}
 	x.pool.Free(r)
 }
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -39,10 +39,10 @@
 	}
 	rep := x.attempt(ctx, a)
 	if rep.Result != balancer.OK {
-		return engine.AttemptResult{Result: rep.Result, BodyConsumed: rep.Spent}
+		return engine.AttemptResult{Result: rep.Result, BodyConsumed: rep.BodyConsumed}
 	}
 	x.keep(rep)
-	return engine.AttemptResult{Result: balancer.OK, Value: &rep, Streaming: rep.Rest != nil, PassThrough: true, BodyConsumed: rep.Spent}
+	return engine.AttemptResult{Result: balancer.OK, Value: &rep, Streaming: rep.Remainder != nil, PassThrough: true, BodyConsumed: rep.BodyConsumed}
 }
 
 // visit is one request of a client, on its way to its answer.
@@ -56,16 +56,16 @@
 	rest  bool // it goes on
 	paced *paced
 	leave context.CancelFunc // ends r's context: its client is known to have gone
-	taken metrics.Taken
+	taken metrics.Request
 	cut   bool // its answer can't be had whole, and its client is to see that
 
 	spooled int64 // of what bodies share
 
-	entries []metrics.Taken // of a GraphQL request's operations
+	entries []metrics.Request // of a GraphQL request's operations
 }
 
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !downstream.Take(r.Context()) { // it came as its connection was shut: its client sends it again
+	if !downstream.StartRequest(r.Context()) { // it came as its connection was shut: its client sends it again
 		panic(http.ErrAbortHandler)
 	}
 	if s.over.Load() {
@@ -84,7 +84,7 @@
 	defer v.letGo()
 	for {
 		routing := s.d.routing.Load()
-		req, bad := routing.checker.Check(r, downstream.FramedOnce(r.Context()))
+		req, bad := routing.checker.Check(r, downstream.UnambiguousFraming(r.Context()))
 		if bad != nil {
 			s.turnDown(w, bad)
 			break
@@ -99,9 +99,9 @@
 			break
 		}
 	}
-	v.taken.End(metrics.Failed) // where it had no end yet
+	v.taken.Finish(metrics.Failed) // where it had no end yet
 	for i := range v.entries {
-		v.entries[i].End(metrics.Failed)
+		v.entries[i].Finish(metrics.Failed)
 	}
 	if v.cut {
 		panic(http.ErrAbortHandler) // has the library reset the connection
@@ -135,7 +135,7 @@
 			defer sh.bytes.Release(svc.name, n)
 		}
 	}
-	e, keeper := routing.graphql[req.Route.Endpoint], svc.keyed(req.Class, req.Key)
+	e, keeper := routing.graphql[req.Route.Endpoint], svc.keyed(req.Class, req.IdempotencyKey)
 	if !v.read {
 		if bad := v.takeBody(&req, routing.body, e != nil || keeper != nil); bad != nil {
 			v.turnDown(w, bad)
@@ -143,15 +143,15 @@
 		}
 		v.read = true
 		if !v.rest {
-			downstream.InHand(r.Context(), v.leave)
+			downstream.OnClientGone(r.Context(), v.leave)
 		}
 		v.begun = sh.clock.Now()
 	}
 	id := req.ID
 	if id == "" {
 		id = v.ids.next()
-		if len(req.Header[httpheader.ID]) == 0 {
-			req.Header[httpheader.ID] = []string{id}
+		if len(req.Header[httpheader.RequestID]) == 0 {
+			req.Header[httpheader.RequestID] = []string{id}
 		}
 	}
 	lease := routing.leases[req.Route]
@@ -160,10 +160,10 @@
 			taken: &v.entries}
 		return c.serve(v.body)
 	}
-	if !v.taken.Counts() {
-		v.taken = v.d.figures.Take(req.Class.Name)
+	if !v.taken.Open() {
+		v.taken = v.d.figures.Start(req.Class.Name)
 	}
-	call := engine.Call{ID: id, Class: req.Class.Name, Tenant: req.Tenant, CostHint: req.Hint, Deadline: v.begun + req.Timeout}
+	call := engine.Call{ID: id, Class: req.Class.Name, Tenant: req.Tenant, CostHint: req.CostHint, Deadline: v.begun + req.Timeout}
 	ctx := r.Context()
 	var out *upstream.Request
 	if v.rest {
@@ -172,7 +172,7 @@
 	} else {
 		out = upstream.NewRequest(req.Method, req.Target, req.Host, req.Header, v.body)
 	}
-	out.Gate, out.Written = &presence{lease: lease, ctx: ctx, leave: v.leave}, v.d.figures.Sent
+	out.Gate, out.Written = &presence{lease: lease, ctx: ctx, leave: v.leave}, v.d.figures.AttemptSent
 	x := &exchange{pool: svc.pool, request: out, engine: svc.engine}
 	defer x.end()
 	pass, refused := v.door(r, svc, &req, v.begun, len(v.body))
@@ -184,8 +184,8 @@
 		return false
 	}
 	if k := keeper; k != nil {
-		out.Whole = true // a repeat is to get it too
-		a, conflict := answerOf(svc.once(r.Context(), k, call, req.Key, req.Method, req.Target, v.body, func() (engine.Transport, func()) {
+		out.CompleteOnly = true // a repeat is to get it too
+		a, conflict := answerOf(svc.once(r.Context(), k, call, req.IdempotencyKey, req.Method, req.Target, v.body, func() (engine.Transport, func()) {
 			x := &exchange{pool: svc.pool, request: out}
 			return x, x.end
 		}))
@@ -239,13 +239,13 @@
 // end gives the request its final answer.
 func (v *visit) end(a engine.Answer) {
 	if a.Kind == engine.Served {
-		if rep := a.Value.(*upstream.Reply); rep.Rest != nil {
+		if rep := a.Value.(*upstream.Response); rep.Remainder != nil {
 			v.passOn(a, rep)
 			return
 		}
 	}
 	v.finish(v.w, a)
-	v.taken.End(endOf(a.Kind))
+	v.taken.Finish(endOf(a.Kind))
 }
 
 // passPatience is how long a client may take nothing of an answer that is passed on to it.
@@ -256,12 +256,12 @@
 
 // passOn passes an answer on as it comes, no faster than the client takes it. One that breaks off is cut, so that the client can
 // tell.
-func (v *visit) passOn(a engine.Answer, rep *upstream.Reply) {
+func (v *visit) passOn(a engine.Answer, rep *upstream.Response) {
 	header, conn := v.w.Header(), http.NewResponseController(v.w)
 	maps.Copy(header, rep.Header)
 	header.Del("Content-Length")
-	if rep.Rest.Length >= 0 {
-		header.Set("Content-Length", strconv.FormatInt(rep.Rest.Length, 10))
+	if rep.Remainder.Length >= 0 {
+		header.Set("Content-Length", strconv.FormatInt(rep.Remainder.Length, 10))
 	}
 	if v.last.Load() {
 		header.Set("Connection", "close")
@@ -281,9 +281,9 @@
 	buffer := passed.Get().(*[32 << 10]byte)
 	defer passed.Put(buffer)
 	for err == nil {
-		n, end := rep.Rest.Read(buffer[:])
+		n, end := rep.Remainder.Read(buffer[:])
 		if n > 0 {
-			if err = write(buffer[:n], rep.Rest.Buffered() > 0); err != nil {
+			if err = write(buffer[:n], rep.Remainder.Buffered() > 0); err != nil {
 				break
 			}
 			v.d.shared.rest(n)
@@ -292,14 +292,14 @@
 			err = end
 		}
 	}
-	a.EndStream(rep.Rest.Result())
+	a.EndStream(rep.Remainder.Result())
 	if err != io.EOF {
-		v.d.log.Info("a long answer is cut", "id", v.r.Header.Get(httpheader.ID), "path", v.r.URL.Path, "reason", err)
+		v.d.log.Info("a long answer is cut", "id", v.r.Header.Get(httpheader.RequestID), "path", v.r.URL.Path, "reason", err)
 		v.cut = true
-		v.taken.End(metrics.Failed)
+		v.taken.Finish(metrics.Failed)
 		return
 	}
-	v.taken.End(metrics.Completed)
+	v.taken.Finish(metrics.Completed)
 }
 
 // turnDown answers a request that is not taken.
@@ -319,8 +319,8 @@
 // crowded answers a request whose service holds as much as the bulkhead lets it. The module has not seen it, so that this
 // is no refusal of its.
 func (v *visit) crowded(svc *service, req *downstream.Request, what string) {
-	if !v.taken.Counts() {
-		v.taken = v.d.figures.Take(req.Class.Name)
+	if !v.taken.Open() {
+		v.taken = v.d.figures.Start(req.Class.Name)
 	}
 	v.d.log.Warn("bulkhead", "service", svc.plan.Name, "reason", "no more "+what+" in hand")
 	v.w.Header().Set("Connection", "close")
@@ -344,7 +344,7 @@
 func (s *server) finish(w http.ResponseWriter, a engine.Answer) {
 	switch a.Kind {
 	case engine.Served:
-		rep := a.Value.(*upstream.Reply)
+		rep := a.Value.(*upstream.Response)
 		maps.Copy(w.Header(), rep.Header)
 		s.write(w, rep.Status, rep.Body)
 	case engine.Rejected:
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -115,7 +115,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = conn.SetDeadline(time.Now().Add(testutil.Patience))
+		_ = conn.SetDeadline(time.Now().Add(testutil.Timeout))
 		_, _ = io.WriteString(conn, c.head+"\r\n")
 		line, err := bufio.NewReader(conn).ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, "HTTP/1.") || !strings.HasPrefix(line[len("HTTP/1.1"):], " "+c.want) {
@@ -217,11 +217,11 @@
 			}
 			defer conn.Close()
 			begun := time.Now()
-			_ = conn.SetDeadline(begun.Add(testutil.Patience))
+			_ = conn.SetDeadline(begun.Add(testutil.Timeout))
 			_, _ = io.WriteString(conn, text)
 			if _, err := io.ReadAll(conn); err != nil {
 				ends <- err.Error()
-			} else if took := time.Since(begun); took > testutil.Patience/2 {
+			} else if took := time.Since(begun); took > testutil.Timeout/2 {
 				ends <- fmt.Sprintf("%q: ended after %v", text, took)
 			} else {
 				ends <- ""
@@ -249,7 +249,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(testutil.Patience))
+	_ = conn.SetDeadline(time.Now().Add(testutil.Timeout))
 	in := bufio.NewReader(conn)
 	ask := func() {
 		t.Helper()
@@ -279,7 +279,7 @@
 	for range 4 {
 		select {
 		case <-ended:
-		case <-time.After(testutil.Patience):
+		case <-time.After(testutil.Timeout):
 			t.Fatal("no silent connection gave way")
 		}
 	}
@@ -315,7 +315,7 @@
 	r := start(t, c, "127.0.0.1:0")
 	var clients []*http.Client
 	for range 8 {
-		client := &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{}}
+		client := &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{}}
 		defer client.CloseIdleConnections()
 		resp, err := client.Do(testutil.Request(t, r.address, "search", ""))
 		if err != nil {
@@ -346,7 +346,7 @@
 	taken := r.later(testutil.Request(t, r.address, "confirm", ""))
 	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
 	r.stop()
-	fresh := &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{}}
+	fresh := &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{}}
 	testutil.Eventually(t, "answers end their connections", func() bool {
 		resp, err := fresh.Do(testutil.Request(t, r.address, "search", ""))
 		if err != nil {
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -47,7 +47,7 @@
 	name        string // the process's
 	connections int    // to upstreams, at most
 
-	interlude yielding.Interlude // of long bodies and answers
+	interlude yielding.Yielder // of long bodies and answers
 
 	repeatsMu sync.Mutex
 	repeats   map[string]*executor.Executor // by service
@@ -59,7 +59,7 @@
 
 // rest notes what of a long body or answer has been passed on, and has its transfer rest where that is due.
 func (s *shared) rest(n int) {
-	if d := s.interlude.Passed(s.clock.Now(), n); d > 0 {
+	if d := s.interlude.Transferred(s.clock.Now(), n); d > 0 {
 		time.Sleep(d)
 	}
 }
@@ -102,27 +102,27 @@
 	if plan.Name != config.Platform {
 		log = log.With("service", plan.Name)
 	}
-	o := upstream.Options{ConnectTimeout: plan.Settings.ConnectTimeout, Idle: plan.Settings.ConnIdle, Slots: sh.slots,
-		Service: plan.Name, Bytes: sh.bytes, MaxAnswer: sh.maxAnswer, Answers: plan.Answers}
-	if plan.TLS.On() {
+	o := upstream.Options{ConnectTimeout: plan.Settings.ConnectTimeout, IdleTimeout: plan.Settings.ConnIdleTimeout, ConnectionSlots: sh.slots,
+		Service: plan.Name, AnswerBytes: sh.bytes, MaxAnswerBytes: sh.maxAnswer, SuccessStatuses: plan.SuccessStatuses}
+	if plan.TLS.Enabled() {
 		var err error
 		s.keys, err = tlscredentials.Open(tlscredentials.Files{Certificate: plan.TLS.Certificate, Key: plan.TLS.Key, CA: plan.TLS.CA},
 			plan.TLS.WarnBefore.D(), log)
 		if err != nil {
 			return nil, fmt.Errorf("service %s: %w", plan.Name, err)
 		}
-		o.Secure = tlscredentials.NewClient(s.keys, plan.TLS)
+		o.TLS = tlscredentials.NewClient(s.keys, plan.TLS)
 	}
-	if plan.Warm.On {
-		o.Warm = prewarm.New(plan.Warm, sh.connections, rand.New(rand.NewPCG(sh.seed, xxhash.Sum64String("warm/"+plan.Name))))
+	if plan.Prewarm.Enabled {
+		o.Prewarmer = prewarm.New(plan.Prewarm, sh.connections, rand.New(rand.NewPCG(sh.seed, xxhash.Sum64String("warm/"+plan.Name))))
 	}
 	list, source, err := s.openSource(plan, known, log)
 	if err != nil {
 		return nil, fmt.Errorf("service %s: %w", plan.Name, err)
 	}
 	s.pool = upstream.New(o)
-	s.dir = endpoints.New(sh.clock, s.pool.Drop)
-	s.pool.SetDirectory(s.dir)
+	s.dir = endpoints.New(sh.clock, s.pool.CloseUpstream)
+	s.pool.SetRegistry(s.dir)
 	s.feed = discovery.NewRegistrySink(s.dir, func(m balancer.EndpointUpdate) { s.engine.Update(m) })
 	if plan.Subset.Enabled {
 		self := fmt.Sprintf("%s/%016x", sh.name, sh.seed)
@@ -145,8 +145,8 @@
 		s.pool.Close()
 		return nil, fmt.Errorf("service %s: %w", plan.Name, err)
 	}
-	if plan.Probe.On {
-		s.probes = newProbing(s, plan.Probe, rand.New(rand.NewPCG(sh.seed, xxhash.Sum64String("probe/"+plan.Name))))
+	if plan.LoadProbe.Enabled {
+		s.probes = newProbing(s, plan.LoadProbe, rand.New(rand.NewPCG(sh.seed, xxhash.Sum64String("probe/"+plan.Name))))
 	}
 	if err := errors.Join(s.setDoor(plan), s.setRepeats(plan)); err != nil {
 		s.engine.Close()
@@ -156,7 +156,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
 	s.running.Go(func() { s.pool.Sweep(ctx) })
-	s.running.Go(func() { s.pool.KeepWarm(ctx, sh.clock) })
+	s.running.Go(func() { s.pool.Prewarm(ctx, sh.clock) })
 	if s.keys != nil {
 		s.running.Go(func() { s.keys.Run(ctx) })
 	}
@@ -170,20 +170,20 @@
 // setDoor takes over what a plan says of the door: another one keeps who waits, none lets them on.
 func (s *service) setDoor(plan config.ServicePlan) error {
 	now := s.door.Load()
-	if plan.Door != nil { // before the bulkhead, which knows no principals, has to turn anybody away
-		o, part := *plan.Door, max(1, (s.shared.connections-s.shared.connections/handSpare)/2)
+	if plan.Admission != nil { // before the bulkhead, which knows no principals, has to turn anybody away
+		o, part := *plan.Admission, max(1, (s.shared.connections-s.shared.connections/handSpare)/2)
 		o.MaxQueued, o.MaxLimit = min(o.MaxQueued, part), min(o.MaxLimit, part)
 		o.MinLimit = min(o.MinLimit, o.MaxLimit)
-		plan.Door = &o
+		plan.Admission = &o
 	}
 	switch {
-	case plan.Door == nil && now != nil:
+	case plan.Admission == nil && now != nil:
 		s.door.Store(nil)
 		now.AdmitAll()
-	case plan.Door != nil && now != nil:
-		return now.Configure(*plan.Door)
-	case plan.Door != nil:
-		k, err := controller.New(controller.Options{Queue: *plan.Door, Classes: plan.Settings.Classes, Clock: s.shared.clock,
+	case plan.Admission != nil && now != nil:
+		return now.Configure(*plan.Admission)
+	case plan.Admission != nil:
+		k, err := controller.New(controller.Options{Queue: *plan.Admission, Classes: plan.Settings.Classes, Clock: s.shared.clock,
 			Seed: s.shared.seed ^ xxhash.Sum64String("door/"+plan.Name), Log: s.shared.log.With("service", plan.Name),
 			SendRetryAfter: plan.Settings.RetryAfterAllowed})
 		if err != nil {
@@ -221,7 +221,7 @@
 		}
 		sources = append(sources, discovery.NamedSource{Name: r.Name, Source: source})
 	}
-	merged, err := discovery.NewMergedSource(plan.Members, log, sources...)
+	merged, err := discovery.NewMergedSource(plan.Membership, log, sources...)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -239,7 +239,7 @@
 func openOwn(plan config.ServicePlan, known *endpoints.List, seed uint64, log *slog.Logger) (*endpoints.List, discovery.Source, error) {
 	switch {
 	case plan.Discovery != "":
-		list := plan.Known
+		list := plan.InitialEndpoints
 		if known != nil {
 			list = known
 		}
@@ -254,7 +254,7 @@
 		list, err := source.Load()
 		return list, source, err
 	}
-	return plan.Known, nil, nil
+	return plan.InitialEndpoints, nil, nil
 }
 
 // follow has a source followed in place of the one before; nil: none.
@@ -318,8 +318,8 @@
 func (s *service) move(plan config.ServicePlan) (func(), error) {
 	was := s.plan
 	sameOwn := was.Discovery == plan.Discovery && was.ListFile == plan.ListFile &&
-		(plan.Discovery != "" || plan.ListFile != "" || reflect.DeepEqual(was.Known, plan.Known))
-	sameRest := reflect.DeepEqual(was.Registries, plan.Registries) && was.Members == plan.Members
+		(plan.Discovery != "" || plan.ListFile != "" || reflect.DeepEqual(was.InitialEndpoints, plan.InitialEndpoints))
+	sameRest := reflect.DeepEqual(was.Registries, plan.Registries) && was.Membership == plan.Membership
 	if sameOwn && sameRest {
 		return nil, nil
 	}
@@ -361,7 +361,7 @@
 // moveMerged is move where registries stay or come and go beside the service's own list.
 func (s *service) moveMerged(merged *discovery.MergedSource, plan config.ServicePlan, sameOwn bool) (func(), error) {
 	was := s.plan
-	steps := []func(){func() { merged.Configure(plan.Members) }}
+	steps := []func(){func() { merged.Configure(plan.Membership) }}
 	var ends []func() // they come after the steps, so that nothing is missed between
 	add := func(n discovery.NamedSource) {
 		steps = append(steps, func() {
@@ -378,7 +378,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("service %s: %w", plan.Name, err)
 			}
-			had, has := was.Discovery != "" || was.ListFile != "" || was.Known != nil, own != nil || list != nil
+			had, has := was.Discovery != "" || was.ListFile != "" || was.InitialEndpoints != nil, own != nil || list != nil
 			switch {
 			case had && has:
 				steps = append(steps, func() {
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -227,7 +227,7 @@
 		}()
 	}
 	testutil.Eventually(t, "no more are open than there may be", func() bool { return ended.Load() >= clients-most })
-	d.Set(testutil.Listing(t, 2, true, testutil.Entry("s", s.Address, "Ready")).Endpoints...)
+	d.Set(testutil.EndpointList(t, 2, true, testutil.Entry("s", s.Address, "Ready")).Endpoints...)
 	d.Down(false)
 	asks := dial(t, r.address, nil)
 	asks.send(t, "search", "")
--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -57,8 +57,8 @@
 	for i := range p.Services {
 		s := &p.Services[i]
 		from, has := state.Services[s.Name]
-		if has && from.List != nil && s.Discovery != "" && from.Discovery == s.Discovery && newer(from.List, s.Known) {
-			s.Known = from.List
+		if has && from.List != nil && s.Discovery != "" && from.Discovery == s.Discovery && newer(from.List, s.InitialEndpoints) {
+			s.InitialEndpoints = from.List
 		}
 	}
 	return listener, &inherited{state, link}, nil
@@ -288,7 +288,7 @@
 
 // held is how many descriptors the process holds, and those that it may open without a look.
 func (d *daemon) held() int {
-	return ownSockets + max(keptLeast, d.course.conns.Open()) + max(keptLeast, int(d.shared.slots.Held()))
+	return ownSockets + max(keptLeast, d.course.conns.Open()) + max(keptLeast, int(d.shared.slots.Total()))
 }
 
 // giveRoom tells a successor what this process holds, as it lets go, until the link has ended.
@@ -299,7 +299,7 @@
 		d.succession.mu.Lock()
 		goes := d.succession.ready
 		if goes { // else it has gone, and all is this process's again
-			d.resize(connectionsOf(d.limits), max(keptLeast, int(d.shared.slots.Held())))
+			d.resize(connectionsOf(d.limits), max(keptLeast, int(d.shared.slots.Total())))
 		}
 		d.succession.mu.Unlock()
 		if !goes {
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -172,14 +172,14 @@
 	s := e.d.routing.Load().services["a"]
 	next := base.CA(t, "two")
 	e.write(t, "ca.crt", append(append([]byte{}, e.ca.PEM...), next.PEM...))
-	before := s.keys.Now().Generation
-	testutil.Eventually(t, "both authorities", func() bool { return s.keys.Now().Generation > before })
+	before := s.keys.Current().Generation
+	testutil.Eventually(t, "both authorities", func() bool { return s.keys.Current().Generation > before })
 	if got := ask(); got != "200 encrypted" {
 		t.Errorf("by overlap: %s", got)
 	}
 	seen := e.seen.Load()
 	e.write(t, "ca.crt", next.PEM)
-	testutil.Eventually(t, "the new authority", func() bool { return s.keys.Now().Generation > before+1 })
+	testutil.Eventually(t, "the new authority", func() bool { return s.keys.Current().Generation > before+1 })
 	testutil.Eventually(t, "the old connection is closed", func() bool { return e.d.shared.slots.Used(s.name) == 0 })
 	if got := ask(); got != "503 refused: not done, trying again is harmless" && got != "503 refused: not done, trying again is harmless\n" {
 		t.Errorf("under a withdrawn authority: %s", got)
@@ -206,7 +206,7 @@
 	}{{4 * time.Millisecond, 1}, {500 * time.Millisecond, 0}} {
 		e.slow.Store(int64(c.slow))
 		ctx, cancel := context.WithCancel(t.Context())
-		before, done := e.asked.Load(), make(chan upstream.Reply, 1)
+		before, done := e.asked.Load(), make(chan upstream.Response, 1)
 		go func() {
 			done <- s.pool.Attempt(ctx, name, upstream.NewRequest("GET", "/", "a", http.Header{}, nil), time.Time{})
 		}()
@@ -235,11 +235,11 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(testutil.Patience))
+	_ = conn.SetDeadline(time.Now().Add(testutil.Timeout))
 	_, _ = conn.Write([]byte{0x16, 0x03, 0x01, 0x02, 0x00}) // a record's head, and no more
 	begun := time.Now()
 	_, err = conn.Read(make([]byte, 1))
-	if took := time.Since(begun); err == nil || took > testutil.Patience/2 {
+	if took := time.Since(begun); err == nil || took > testutil.Timeout/2 {
 		t.Errorf("%v after %v", err, took)
 	}
 	if status, body := e.ask("/"); status != 200 || body != "encrypted" {
--- a/internal/demo/fronts.go
+++ b/internal/demo/fronts.go
@@ -47,8 +47,8 @@
 		return nil, err
 	}
 	c := &config.Config{Name: "demo", Listen: l.Addr().String(), Discovery: f.discovery.Address(), Seed: seed,
-		Known: f.discovery.Listing(), Limits: config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
-		Settings: settings.Settings{Settings: moduleSettings(), ConnIdle: 15 * time.Second}}
+		CachedEndpoints: f.discovery.Listing(), Limits: config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
+		Settings: settings.Settings{Settings: moduleSettings(), ConnIdleTimeout: 15 * time.Second}}
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &daemonFront{address: l.Addr().String(), stop: cancel, ended: make(chan error, 1), client: newClient()}
 	log.SetOutput(io.Discard) // the table tells
--- a/internal/discovery/budget_test.go
+++ b/internal/discovery/budget_test.go
@@ -66,7 +66,7 @@
 		})}
 		served.Go(func() { _ = srv.Serve(net) }) // ends with Close
 		var lines strings.Builder
-		w := New(Options{Address: "127.0.0.1:1", Index: 1, Staleness: o, Log: logging.To(func(line string) {
+		w := New(Options{Address: "127.0.0.1:1", Index: 1, Staleness: o, Log: logging.NewFunc(func(line string) {
 			mu.Lock()
 			defer mu.Unlock()
 			lines.WriteString(line + "\n")
@@ -74,7 +74,7 @@
 		w.client.Transport.(*http.Transport).DialContext = net.dial
 		dir := endpoints.New(clock.New(), nil)
 		feed := NewRegistrySink(dir, func(balancer.EndpointUpdate) {})
-		feed.Apply(testutil.Listing(t, 1, true, testutil.Entry("a", "127.0.0.2:1", "Ready")))
+		feed.Apply(testutil.EndpointList(t, 1, true, testutil.Entry("a", "127.0.0.2:1", "Ready")))
 		ctx, cancel := context.WithCancel(t.Context())
 		var runs sync.WaitGroup
 		runs.Go(func() { w.Run(ctx, feed) })
--- a/internal/discovery/eureka/declaration.go
+++ b/internal/discovery/eureka/declaration.go
@@ -14,26 +14,26 @@
 
 // Declaration is a Eureka registry in the operator's file.
 type Declaration struct {
-	Service        string                  `toml:"service" sample:"\"seats\"" doc:"The service whose upstreams it lists, beside that one's own list; \"platform\" is the platform's."`
-	Name           string                  `toml:"name" default:"eureka" doc:"What the log calls it. Two registries of a service differ in it."`
-	Servers        []string                `toml:"servers" sample:"[\"http://127.0.0.1:8761/eureka\"]" doc:"Its replicas' base addresses, tried in turn, up to and without /apps: .../eureka, or .../eureka/v2."`
-	Applications   []string                `toml:"applications" sample:"[\"SEATS\"]" doc:"The applications whose instances are upstreams. Absent: all. One alone is asked for by name."`
-	VirtualAddress string                  `toml:"vip" doc:"In place of applications: a virtual address (vipAddress)."`
-	Delta          bool                    `toml:"delta" doc:"Follows all that the registry has by changes, also where one application is wanted: pays where that is large and its replicas agree."`
-	Format         string                  `toml:"format" default:"json" oneof:"json|xml" doc:"What is asked for; what comes is told by its media type."`
-	Poll           units.Duration          `toml:"poll" default:"200ms" doc:"How often it is asked, from 100ms on: a drain is known after this and the registry's own cache time."`
-	Timeout        units.Duration          `toml:"timeout" default:"1s" doc:"For a whole answer of one server."`
-	Backoff        units.Duration          `toml:"backoff" default:"1250ms" doc:"The longest wait after failures; it doubles from poll on, and is spread. Three failed polls have to fit into the 6s within which a change is to be heard."`
-	MaxAnswer      units.Size              `toml:"max_answer" default:"16MiB" doc:"The largest answer, unpacked."`
-	User           string                  `toml:"user" doc:"For basic authentication."`
-	PasswordFile   string                  `toml:"password_file" sample:"\"/etc/orchiddrift/eureka-password\"" doc:"A file that holds the password, read at every connection made with a new one."`
-	Secure         bool                    `toml:"secure" doc:"Requests go to the instances' secure ports."`
-	ZoneKey        string                  `toml:"zone_key" default:"zone" doc:"The key of an instance's metadata that has its zone; else the data centre's availability-zone."`
-	TypeKey        string                  `toml:"type_key" default:"type" doc:"That has its kind of machine."`
-	GroupKey       string                  `toml:"group_key" default:"group" doc:"That has its group."`
-	IdentityKey    string                  `toml:"identity_key" default:"identity" doc:"That has the name in its certificate."`
-	TLS            tlscredentials.Upstream `toml:"tls" doc:"For servers of https."`
-	Register       Register                `toml:"register" reload:"start" doc:"Makes this process known in the registry."`
+	Service        string                     `toml:"service" sample:"\"seats\"" doc:"The service whose upstreams it lists, beside that one's own list; \"platform\" is the platform's."`
+	Name           string                     `toml:"name" default:"eureka" doc:"What the log calls it. Two registries of a service differ in it."`
+	Servers        []string                   `toml:"servers" sample:"[\"http://127.0.0.1:8761/eureka\"]" doc:"Its replicas' base addresses, tried in turn, up to and without /apps: .../eureka, or .../eureka/v2."`
+	Applications   []string                   `toml:"applications" sample:"[\"SEATS\"]" doc:"The applications whose instances are upstreams. Absent: all. One alone is asked for by name."`
+	VirtualAddress string                     `toml:"vip" doc:"In place of applications: a virtual address (vipAddress)."`
+	Delta          bool                       `toml:"delta" doc:"Follows all that the registry has by changes, also where one application is wanted: pays where that is large and its replicas agree."`
+	Format         string                     `toml:"format" default:"json" oneof:"json|xml" doc:"What is asked for; what comes is told by its media type."`
+	Poll           units.Duration             `toml:"poll" default:"200ms" doc:"How often it is asked, from 100ms on: a drain is known after this and the registry's own cache time."`
+	Timeout        units.Duration             `toml:"timeout" default:"1s" doc:"For a whole answer of one server."`
+	Backoff        units.Duration             `toml:"backoff" default:"1250ms" doc:"The longest wait after failures; it doubles from poll on, and is spread. Three failed polls have to fit into the 6s within which a change is to be heard."`
+	MaxAnswer      units.Size                 `toml:"max_answer" default:"16MiB" doc:"The largest answer, unpacked."`
+	User           string                     `toml:"user" doc:"For basic authentication."`
+	PasswordFile   string                     `toml:"password_file" sample:"\"/etc/orchiddrift/eureka-password\"" doc:"A file that holds the password, read at every connection made with a new one."`
+	Secure         bool                       `toml:"secure" doc:"Requests go to the instances' secure ports."`
+	ZoneKey        string                     `toml:"zone_key" default:"zone" doc:"The key of an instance's metadata that has its zone; else the data centre's availability-zone."`
+	TypeKey        string                     `toml:"type_key" default:"type" doc:"That has its kind of machine."`
+	GroupKey       string                     `toml:"group_key" default:"group" doc:"That has its group."`
+	IdentityKey    string                     `toml:"identity_key" default:"identity" doc:"That has the name in its certificate."`
+	TLS            tlscredentials.UpstreamTLS `toml:"tls" doc:"For servers of https."`
+	Register       Register                   `toml:"register" reload:"start" doc:"Makes this process known in the registry."`
 }
 
 // Register is how this process is known in the registry.
--- a/internal/discovery/eureka/eureka_test.go
+++ b/internal/discovery/eureka/eureka_test.go
@@ -85,7 +85,7 @@
 func follow(t *testing.T, d Declaration) (*heard, *Source) {
 	t.Helper()
 	h := &heard{list: map[string]endpoints.Endpoint{}}
-	s, err := New(d, time.Second, 1, logging.To(func(line string) {
+	s, err := New(d, time.Second, 1, logging.NewFunc(func(line string) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.said = append(h.said, line)
@@ -212,7 +212,7 @@
 // Guards against failures that take turns and are logged with every poll.
 func TestFailuresInTurn(t *testing.T) {
 	h := &heard{}
-	s := &Source{log: logging.To(func(line string) { h.said = append(h.said, line) })}
+	s := &Source{log: logging.NewFunc(func(line string) { h.said = append(h.said, line) })}
 	for outage := 1; outage <= 2; outage++ {
 		for n := range 100 {
 			s.say(fmt.Errorf("reason %d", n%(2*maxReasons)))
--- a/internal/discovery/eureka/source.go
+++ b/internal/discovery/eureka/source.go
@@ -105,7 +105,7 @@
 			if err != nil {
 				return nil, err
 			}
-			c, err := secure.Client(ctx, conn, endpoints.Instance{Address: address})
+			c, err := secure.Handshake(ctx, conn, endpoints.Instance{Address: address})
 			if err != nil {
 				conn.Close()
 				return nil, err
--- a/internal/discovery/listfile/listfile.go
+++ b/internal/discovery/listfile/listfile.go
@@ -90,7 +90,7 @@
 	var bad []string
 	switch strings.ToLower(filepath.Ext(name)) {
 	case ".toml":
-		for _, m := range tomlfile.Decode(text, &f).Mistakes() {
+		for _, m := range tomlfile.Decode(text, &f).Problems() {
 			bad = append(bad, m.Error())
 		}
 		if f.Count < 0 {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -19,7 +19,7 @@
 
 func testWatcher(t *testing.T, address string, pushed bool) *Watcher {
 	return New(Options{Address: address, Index: 1, ConnectTimeout: 2 * time.Second, Staleness: staleness.Options{Pushed: pushed},
-		Log: logging.To(func(line string) { t.Log(line) })})
+		Log: logging.NewFunc(func(line string) { t.Log(line) })})
 }
 
 // watch runs a watcher until the test ends.
@@ -29,7 +29,7 @@
 	dir := endpoints.New(clock.New(), nil)
 	w := testWatcher(t, address, pushed)
 	feed := NewRegistrySink(dir, func(m balancer.EndpointUpdate) { told <- m })
-	feed.Apply(testutil.Listing(t, 1, true, known...))
+	feed.Apply(testutil.EndpointList(t, 1, true, known...))
 	done := make(chan struct{})
 	go func() {
 		w.Run(t.Context(), feed) // ends before the cleanups
@@ -44,7 +44,7 @@
 	select {
 	case m := <-told:
 		return m
-	case <-time.After(testutil.Patience):
+	case <-time.After(testutil.Timeout):
 		t.Fatal("nothing was reported")
 		panic("unreachable")
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -275,7 +275,7 @@
 // Guards against a front's panic that leaves a request in hand, or repeats what may have run.
 func TestPanicInAnAttempt(t *testing.T) {
 	said := ""
-	e := testEngine(t, func(o *Options) { o.Log = logging.To(func(text string) { said += text }) }, "s", "u")
+	e := testEngine(t, func(o *Options) { o.Log = logging.NewFunc(func(text string) { said += text }) }, "s", "u")
 	sends := 0
 	a := e.Do(t.Context(), e.call("1", "confirm"), carry(func(context.Context, Attempt) AttemptResult {
 		sends++
--- a/internal/graphql/answer.go
+++ b/internal/graphql/answer.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// Verdict is what a node's answer is for the balancer.
-type Verdict int
+// Classification is what a node's answer is for the balancer.
+type Classification int
 
 // The verdicts.
 const (
-	Served  Verdict = iota // the client's answer, errors of its own mistakes included
-	Failing                // the node has failed; the operation may have run
-	Unrun                  // the node says that it has not run it
-	Garbled                // no GraphQL answer; it may have run
+	Served         Classification = iota // the client's answer, errors of its own mistakes included
+	UpstreamFailed                       // the node has failed; the operation may have run
+	NotExecuted                          // the node says that it has not run it
+	Malformed                            // no GraphQL answer; it may have run
 )
 
-// Judge says what an answer is that came with a status which the service takes for an answer.
+// Classify says what an answer is that came with a status which the service takes for an answer.
 //
 // Weighed were: that errors without data are a failure, as an HTTP 500 is; that they never are; and by their codes. The
 // first lets one client's wrong operation, sent to node after node, eject a fleet; the second serves what a node answers
@@ -23,28 +23,28 @@
 //
 // With a status of 200 a body has to be a GraphQL answer. With any other one that the service serves, it may be anything:
 // what stands before a node says 401 or 413 in words of its own.
-func (e *Endpoint) Judge(status int, body []byte, encoded bool) Verdict {
+func (e *Endpoint) Classify(status int, body []byte, encoded bool) Classification {
 	if encoded {
-		return Garbled // nobody asked for it, and what stands in it can't be told
+		return Malformed // nobody asked for it, and what stands in it can't be told
 	}
 	a, ok := readAnswer(body)
 	switch {
 	case !ok && status/100 == 2:
-		return Garbled
+		return Malformed
 	case !ok || a.data:
 		return Served
 	}
 	for _, code := range a.codes {
 		if slices.Contains(e.o.Unrun, code) {
 			if len(a.codes) == a.errors && !slices.ContainsFunc(a.codes, func(c string) bool { return !slices.Contains(e.o.Unrun, c) }) {
-				return Unrun // every error says so
+				return NotExecuted // every error says so
 			}
-			return Failing
+			return UpstreamFailed
 		}
 	}
 	for _, code := range a.codes {
 		if slices.Contains(e.o.Failing, code) {
-			return Failing
+			return UpstreamFailed
 		}
 	}
 	return Served
--- a/internal/graphql/batch.go
+++ b/internal/graphql/batch.go
@@ -1,13 +1,13 @@
 package graphql
 
-// End is how an entry of a batch has ended.
-type End int
+// EntryOutcome is how an entry of a batch has ended.
+type EntryOutcome int
 
 // The ends.
 const (
-	Answered  End = iota // a node's answer stands for it, errors or not
-	NotRun               // refused, or turned down: nothing of it has run
-	Uncertain            // no answer: it may have run, or may yet
+	Answered   EntryOutcome = iota // a node's answer stands for it, errors or not
+	NotRun                         // refused, or turned down: nothing of it has run
+	MayHaveRun                     // no answer: it may have run, or may yet
 )
 
 // Batch says which entries of a batch are to be sent, and when. It is a state machine without clock: Next after the start
@@ -19,7 +19,7 @@
 // not sent, so that a client that sends it again gets the order that it asked for. An entry that was not taken leaves a gap if it
 // is a mutation or its kind could not be told.
 type Batch struct {
-	kinds    []Kind
+	kinds    []OperationKind
 	state    []entryState
 	parallel int
 	out      int  // sent and not ended
@@ -37,7 +37,7 @@
 )
 
 // NewBatch begins a batch of these entries. Those that have a problem are not sent; their kind is Mutation if it is not known.
-func NewBatch(kinds []Kind, problems []*Problem, parallel int) *Batch {
+func NewBatch(kinds []OperationKind, problems []*Problem, parallel int) *Batch {
 	b := &Batch{kinds: kinds, state: make([]entryState, len(kinds)), parallel: max(1, parallel), left: len(kinds)}
 	for i, p := range problems {
 		if p != nil {
@@ -79,7 +79,7 @@
 }
 
 // Done tells that an entry that was sent has ended.
-func (b *Batch) Done(i int, end End) {
+func (b *Batch) Done(i int, end EntryOutcome) {
 	if b.state[i] != sent {
 		return
 	}
@@ -90,18 +90,18 @@
 	b.end(i, end == Answered)
 }
 
-// Over tells whether every entry has ended.
-func (b *Batch) Over() bool { return b.left == 0 }
+// Finished tells whether every entry has ended.
+func (b *Batch) Finished() bool { return b.left == 0 }
 
 // Status is the HTTP status of a batch's answer by its entries' ends: 200 where one of them has an answer or failed by its own
 // mistake, else 503 where none has run, else 502.
-func Status(ends []End, problems []*Problem) int {
+func Status(ends []EntryOutcome, problems []*Problem) int {
 	uncertain := false
 	for i, e := range ends {
 		if problems[i] != nil || e == Answered {
 			return 200
 		}
-		uncertain = uncertain || e == Uncertain
+		uncertain = uncertain || e == MayHaveRun
 	}
 	if uncertain {
 		return 502
--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -15,12 +15,12 @@
 	"github.com/vektah/gqlparser/v2/validator/rules"
 )
 
-// Kind is an operation's.
-type Kind int
+// OperationKind is an operation's.
+type OperationKind int
 
 // The kinds that are sent on.
 const (
-	Query Kind = iota
+	Query OperationKind = iota
 	Mutation
 )
 
--- a/internal/graphql/endpoint.go
+++ b/internal/graphql/endpoint.go
@@ -172,8 +172,8 @@
 	return text
 }
 
-// Longest is the longest deadline of a class that the endpoint may decide on.
-func (e *Endpoint) Longest() time.Duration { return e.longest }
+// MaxDeadline is the longest deadline of a class that the endpoint may decide on.
+func (e *Endpoint) MaxDeadline() time.Duration { return e.longest }
 
 // Limits are the endpoint's.
 func (e *Endpoint) Limits() *Limits { return &e.o.Limits }
@@ -183,13 +183,13 @@
 
 // Decision is what an operation is.
 type Decision struct {
-	Kind  Kind
-	Class *Class
-	Key   string        // of a keyed class
-	Cost  float64       // the static estimate
-	Hint  time.Duration // what such an operation is expected to take; 0: nothing is known yet
-	Body  []byte        // what goes on to a node, by POST
-	Name  string        // the operation's; it is the client's word
+	Kind     OperationKind
+	Class    *Class
+	Key      string        // of a keyed class
+	Cost     float64       // the static estimate
+	CostHint time.Duration // what such an operation is expected to take; 0: nothing is known yet
+	Body     []byte        // what goes on to a node, by POST
+	Name     string        // the operation's; it is the client's word
 
 	signed string
 }
@@ -242,7 +242,7 @@
 		return d, problem(CodeLimit, "the operation's cost is %.4g, %.4g at most", d.Cost, most)
 	}
 	e.mu.Lock()
-	d.Hint = e.learnt.hint(op.signed, d.Cost)
+	d.CostHint = e.learnt.hint(op.signed, d.Cost)
 	e.mu.Unlock()
 	var err error
 	if d.Body, err = p.encode(text); err != nil {
@@ -252,7 +252,7 @@
 }
 
 // class is an operation's, by its kind and its root fields.
-func (e *Endpoint) class(op *operation, kind Kind, vars func() valueOf, header http.Header) (*Class, string) {
+func (e *Endpoint) class(op *operation, kind OperationKind, vars func() valueOf, header http.Header) (*Class, string) {
 	typ := rootType(op.kind)
 	all := make([]*Class, 0, 4)
 	var keyed *Class
@@ -294,8 +294,8 @@
 	return c, key
 }
 
-// Took tells how long an operation that was answered took.
-func (e *Endpoint) Took(d *Decision, took time.Duration) {
+// RecordDuration tells how long an operation that was answered took.
+func (e *Endpoint) RecordDuration(d *Decision, took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.learnt.add(d.signed, d.Cost, took)
--- a/internal/graphql/graphql_test.go
+++ b/internal/graphql/graphql_test.go
@@ -301,17 +301,17 @@
 	// What operations took makes the hint, by kind of operation; who changes names changes nothing.
 	e = endpoint(t, "", nil)
 	ask := func(q string) Decision { d, _ := decide(e, asked(q)); return d }
-	if h := ask(`{seats{id}}`).Hint; h != 0 {
+	if h := ask(`{seats{id}}`).CostHint; h != 0 {
 		t.Errorf("%v is expected of nothing", h)
 	}
 	for i := range 3000 {
 		d := ask(fmt.Sprintf(`query N%d{seats(first:4){coach{id}}}`, i))
-		e.Took(&d, 60*time.Millisecond)
+		e.RecordDuration(&d, 60*time.Millisecond)
 		d = ask(fmt.Sprintf(`query{n%d}`, i))
-		e.Took(&d, time.Millisecond)
+		e.RecordDuration(&d, time.Millisecond)
 	}
-	if d := ask(`{seats(first:9){coach{id}}}`); d.Hint.Round(time.Millisecond) != 110*time.Millisecond {
-		t.Errorf("hint %v, want 110ms: 6 units took 60 ms, this has 11", d.Hint)
+	if d := ask(`{seats(first:9){coach{id}}}`); d.CostHint.Round(time.Millisecond) != 110*time.Millisecond {
+		t.Errorf("hint %v, want 110ms: 6 units took 60 ms, this has 11", d.CostHint)
 	}
 	if n := e.learnt.kind.Len(); n != maxLearnt {
 		t.Errorf("%d kinds are remembered", n)
@@ -374,28 +374,28 @@
 		}
 		return `"errors":[` + strings.Join(text, ",") + `]`
 	}
-	for body, want := range map[string]Verdict{
+	for body, want := range map[string]Classification{
 		`{"data":{"a":1}}`: Served, ` {"data":{},"extensions":{}} `: Served, `{"data":null}`: Served,
-		`{"data":{"a":null},` + coded("GONE") + `}`: Served, `{"data":null,` + coded("GONE") + `}`: Failing,
-		`{` + coded("GONE") + `}`: Failing, `{` + coded("X", "GONE") + `}`: Failing, `{` + coded("X") + `}`: Served,
-		`{` + coded("FULL") + `}`: Unrun, `{` + coded("FULL", "FULL") + `}`: Unrun, `{` + coded("FULL", "X") + `}`: Failing,
-		`{"errors":[{"message":"m"},` + coded("FULL")[10:] + `}`: Failing, `{"data":{"a":1},` + coded("FULL") + `}`: Served,
-		`{"errors":[{"message":"m"}]}`: Served, `{"errors":[]}`: Garbled, `{"errors":[{}]}`: Garbled, `{"errors":{}}`: Garbled,
-		`{"data":[]}`: Garbled, `{"data":1}`: Garbled, `{}`: Garbled, `[]`: Garbled, ``: Garbled, `ok`: Garbled, `{"data":{"a":1}`: Garbled,
-		`{"data":{"a":1}}{`: Garbled, `{"data":{},"data":{}}`: Garbled, "{\"data\":{\"a\":\"\xff\"}}": Garbled, `{"errors":[1]}`: Garbled,
-		"\x1f\x8b": Garbled,
+		`{"data":{"a":null},` + coded("GONE") + `}`: Served, `{"data":null,` + coded("GONE") + `}`: UpstreamFailed,
+		`{` + coded("GONE") + `}`: UpstreamFailed, `{` + coded("X", "GONE") + `}`: UpstreamFailed, `{` + coded("X") + `}`: Served,
+		`{` + coded("FULL") + `}`: NotExecuted, `{` + coded("FULL", "FULL") + `}`: NotExecuted, `{` + coded("FULL", "X") + `}`: UpstreamFailed,
+		`{"errors":[{"message":"m"},` + coded("FULL")[10:] + `}`: UpstreamFailed, `{"data":{"a":1},` + coded("FULL") + `}`: Served,
+		`{"errors":[{"message":"m"}]}`: Served, `{"errors":[]}`: Malformed, `{"errors":[{}]}`: Malformed, `{"errors":{}}`: Malformed,
+		`{"data":[]}`: Malformed, `{"data":1}`: Malformed, `{}`: Malformed, `[]`: Malformed, ``: Malformed, `ok`: Malformed, `{"data":{"a":1}`: Malformed,
+		`{"data":{"a":1}}{`: Malformed, `{"data":{},"data":{}}`: Malformed, "{\"data\":{\"a\":\"\xff\"}}": Malformed, `{"errors":[1]}`: Malformed,
+		"\x1f\x8b": Malformed,
 	} {
-		if got := e.Judge(200, []byte(body), false); got != want {
+		if got := e.Classify(200, []byte(body), false); got != want {
 			t.Errorf("%s is %v, want %v", body, got, want)
 		}
-		if other := e.Judge(401, []byte(body), false); want == Garbled && other != Served {
+		if other := e.Classify(401, []byte(body), false); want == Malformed && other != Served {
 			t.Errorf("401 with %s is %v", body, other)
 		}
-		if IsAnswer([]byte(body)) != (want != Garbled) {
-			t.Errorf("%s may stand in a batch: %v", body, want == Garbled)
+		if IsAnswer([]byte(body)) != (want != Malformed) {
+			t.Errorf("%s may stand in a batch: %v", body, want == Malformed)
 		}
 	}
-	if e.Judge(200, []byte(`{"data":{}}`), true) != Garbled {
+	if e.Classify(200, []byte(`{"data":{}}`), true) != Malformed {
 		t.Error("a packed answer is served")
 	}
 }
@@ -426,23 +426,23 @@
 func TestBatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, parallel := rapid.IntRange(1, 12).Draw(t, "entries"), rapid.IntRange(1, 4).Draw(t, "parallel")
-		kinds, problems := make([]Kind, n), make([]*Problem, n)
+		kinds, problems := make([]OperationKind, n), make([]*Problem, n)
 		for i := range n {
-			kinds[i] = Kind(rapid.IntRange(0, 1).Draw(t, "kind"))
+			kinds[i] = OperationKind(rapid.IntRange(0, 1).Draw(t, "kind"))
 			if rapid.IntRange(0, 5).Draw(t, "problem") == 0 {
 				problems[i] = &Problem{}
 			}
 		}
 		b := NewBatch(kinds, problems, parallel)
 		var out, order []int
-		ends, got := map[int]End{}, map[int]int{}
+		ends, got := map[int]EntryOutcome{}, map[int]int{}
 		for i, p := range problems {
 			if p != nil {
 				ends[i] = NotRun
 				got[i]++
 			}
 		}
-		for !b.Over() {
+		for !b.Finished() {
 			send, drop := b.Next(nil, nil)
 			for _, i := range drop {
 				ends[i] = NotRun
@@ -465,7 +465,7 @@
 					}
 				}
 			}
-			if len(out) > parallel || mutations > 1 || !b.Over() && len(out) == 0 {
+			if len(out) > parallel || mutations > 1 || !b.Finished() && len(out) == 0 {
 				t.Fatalf("%v are out, %d mutations", out, mutations)
 			}
 			if len(out) == 0 {
@@ -474,7 +474,7 @@
 			at := rapid.IntRange(0, len(out)-1).Draw(t, "ends")
 			i := out[at]
 			out = slices.Delete(out, at, at+1)
-			ends[i] = End(rapid.IntRange(0, 2).Draw(t, "how"))
+			ends[i] = EntryOutcome(rapid.IntRange(0, 2).Draw(t, "how"))
 			got[i]++
 			b.Done(i, ends[i])
 			b.Done(i, Answered) // counts once
@@ -493,10 +493,10 @@
 func TestStatusOfBatch(t *testing.T) {
 	none, bad := []*Problem{nil, nil}, []*Problem{nil, {}}
 	for _, c := range []struct {
-		ends     []End
+		ends     []EntryOutcome
 		problems []*Problem
 		want     int
-	}{{[]End{Answered, Uncertain}, none, 200}, {[]End{NotRun, NotRun}, none, 503}, {[]End{NotRun, Uncertain}, none, 502}, {[]End{NotRun, NotRun}, bad, 200}} {
+	}{{[]EntryOutcome{Answered, MayHaveRun}, none, 200}, {[]EntryOutcome{NotRun, NotRun}, none, 503}, {[]EntryOutcome{NotRun, MayHaveRun}, none, 502}, {[]EntryOutcome{NotRun, NotRun}, bad, 200}} {
 		if got := Status(c.ends, c.problems); got != c.want {
 			t.Errorf("%v: %d", c.ends, got)
 		}
@@ -561,7 +561,7 @@
 				}
 			}
 		}
-		with.Judge(200, []byte(body), false)
+		with.Classify(200, []byte(body), false)
 		if _, bad := URLQuery(body, with.Limits()); bad != nil && bad.Status/100 != 4 {
 			t.Fatalf("status %d", bad.Status)
 		}
--- a/internal/graphql/options.go
+++ b/internal/graphql/options.go
@@ -77,7 +77,7 @@
 func Default() Options {
 	return Options{Query: "read", Mutation: "write", Persist: "off", Stored: units.MiB, Cache: 2 * units.MiB, Limits: DefaultLimits(),
 		Sizes: []string{"first", "last", "limit"}, Assumed: 10, Parallel: 4, MaxBody: 64 * units.KiB,
-		Tenant: routes.Header(httpheader.Tenant), Cost: routes.Header(httpheader.Cost), ID: routes.Header(httpheader.ID),
+		Tenant: routes.Header(httpheader.Tenant), Cost: routes.Header(httpheader.Cost), ID: routes.Header(httpheader.RequestID),
 		Deadline: routes.Header(httpheader.Timeout)}
 }
 
--- a/internal/httpheader/golden_test.go
+++ b/internal/httpheader/golden_test.go
@@ -9,6 +9,6 @@
 
 // The platform names these headers.
 func TestNamesGolden(t *testing.T) {
-	names := []string{ID, Class, Tenant, Timeout, Cost, Attrs, Retried, Key, Load, NotProcessed}
+	names := []string{RequestID, Class, Tenant, Timeout, Cost, Attributes, RetryMarker, IdempotencyKey, LoadReport, NotProcessed}
 	golden.Match(t, "headers.txt", []byte(strings.Join(names, "\n")+"\n"))
 }
--- a/internal/httpheader/httphead.go
+++ b/internal/httpheader/httphead.go
@@ -8,16 +8,16 @@
 
 // The platform's headers, in net/http's canonical form.
 const (
-	ID           = "X-Request-Id"
-	Class        = "X-Priority-Class"
-	Tenant       = "X-Tenant-Id"
-	Timeout      = "X-Timeout"
-	Cost         = "X-Cost"
-	Attrs        = "X-Attrs"
-	Retried      = "X-Retried"
-	Key          = "Idempotency-Key"
-	Load         = "X-Server-Load"   // a load report, on answers
-	NotProcessed = "X-Not-Processed" // on answers: "1" says that the request never ran
+	RequestID      = "X-Request-Id"
+	Class          = "X-Priority-Class"
+	Tenant         = "X-Tenant-Id"
+	Timeout        = "X-Timeout"
+	Cost           = "X-Cost"
+	Attributes     = "X-Attrs"
+	RetryMarker    = "X-Retried"
+	IdempotencyKey = "Idempotency-Key"
+	LoadReport     = "X-Server-Load"   // a load report, on answers
+	NotProcessed   = "X-Not-Processed" // on answers: "1" says that the request never ran
 )
 
 // MaxBytes bounds a head, of a request and of an answer.
--- a/internal/idempotency/etcdstore/declaration.go
+++ b/internal/idempotency/etcdstore/declaration.go
@@ -12,15 +12,15 @@
 
 // Declaration is a shared store's part of the operator's file.
 type Declaration struct {
-	Servers      []string                `toml:"servers" sample:"[\"127.0.0.1:2379\"]" doc:"Client addresses of the etcd (v3 API) that all sidecars of the service share. Absent: there is none."`
-	Prefix       string                  `toml:"prefix" default:"orchiddrift/repeats/" doc:"What its keys begin with; sidecars that share it share their keys."`
-	Timeout      units.Duration          `toml:"timeout" default:"500ms" doc:"For one of its answers."`
-	Session      units.Duration          `toml:"session" default:"10s" doc:"So long after this process was last heard of there, what it ran counts as perhaps run, and is not sent again."`
-	MaxClockSkew units.Duration          `toml:"clock_skew" default:"0s" doc:"How far the sidecars' wall clocks may be apart. Given, what may have run at one sidecar is sent again by another within the nodes' window, less this. 0: it is not."`
-	OnError      string                  `toml:"error" default:"refuse" oneof:"refuse|go on" doc:"What becomes of new keys while it can't be asked: refused, or sent under this sidecar's own knowledge alone."`
-	User         string                  `toml:"user" doc:"For its authentication."`
-	PasswordFile string                  `toml:"password_file" sample:"\"/etc/orchiddrift/etcd-password\"" doc:"A file that holds the password, read when it is connected to."`
-	TLS          tlscredentials.Upstream `toml:"tls" doc:"Encryption towards it."`
+	Servers      []string                   `toml:"servers" sample:"[\"127.0.0.1:2379\"]" doc:"Client addresses of the etcd (v3 API) that all sidecars of the service share. Absent: there is none."`
+	Prefix       string                     `toml:"prefix" default:"orchiddrift/repeats/" doc:"What its keys begin with; sidecars that share it share their keys."`
+	Timeout      units.Duration             `toml:"timeout" default:"500ms" doc:"For one of its answers."`
+	Session      units.Duration             `toml:"session" default:"10s" doc:"So long after this process was last heard of there, what it ran counts as perhaps run, and is not sent again."`
+	MaxClockSkew units.Duration             `toml:"clock_skew" default:"0s" doc:"How far the sidecars' wall clocks may be apart. Given, what may have run at one sidecar is sent again by another within the nodes' window, less this. 0: it is not."`
+	OnError      string                     `toml:"error" default:"refuse" oneof:"refuse|go on" doc:"What becomes of new keys while it can't be asked: refused, or sent under this sidecar's own knowledge alone."`
+	User         string                     `toml:"user" doc:"For its authentication."`
+	PasswordFile string                     `toml:"password_file" sample:"\"/etc/orchiddrift/etcd-password\"" doc:"A file that holds the password, read when it is connected to."`
+	TLS          tlscredentials.UpstreamTLS `toml:"tls" doc:"Encryption towards it."`
 }
 
 // Enabled tells whether there is a shared store.
@@ -31,7 +31,7 @@
 // Check is tomlfile.Checker's.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
 	if !d.Enabled() {
-		if d.User != "" || d.PasswordFile != "" || d.TLS.On() {
+		if d.User != "" || d.PasswordFile != "" || d.TLS.Enabled() {
 			report("servers", "none is given")
 		}
 		return
--- a/internal/idempotency/etcdstore/repeatshare.go
+++ b/internal/idempotency/etcdstore/repeatshare.go
@@ -93,7 +93,7 @@
 // New returns a Store. It connects by and by: while it can't, Claim fails.
 func New(o Options) (*Store, error) {
 	s := &Store{o: o, prefix: o.Prefix + o.Service + "/", pending: map[idempotency.ID]*unsettled{}, writing: make(chan struct{}, together)}
-	if o.TLS.On() {
+	if o.TLS.Enabled() {
 		store, err := tlscredentials.Open(tlscredentials.Files{Certificate: o.TLS.Certificate, Key: o.TLS.Key, CA: o.TLS.CA}, o.TLS.WarnBefore.D(), o.Log)
 		if err != nil {
 			return nil, err
@@ -122,7 +122,7 @@
 			if err != nil {
 				return nil, err
 			}
-			t, err := secure.Speak(ctx, conn, endpoints.Instance{Address: address}, "h2")
+			t, err := secure.HandshakeALPN(ctx, conn, endpoints.Instance{Address: address}, "h2")
 			if err != nil {
 				conn.Close()
 				return nil, err
--- a/internal/idempotency/repeats.go
+++ b/internal/idempotency/repeats.go
@@ -336,7 +336,7 @@
 func (s *Store) keep(e *entry, now time.Duration) {
 	s.seq++
 	e.until = now + s.o.Retention.D()
-	s.due.Fix(e, float64(e.until), s.seq)
+	s.due.Set(e, float64(e.until), s.seq)
 }
 
 func (s *Store) forget(e *entry) {
--- a/internal/logging/logs.go
+++ b/internal/logging/logs.go
@@ -135,8 +135,8 @@
 	_, _ = d.WriteString("\x00" + a.Key + "\x00" + a.Value.Resolve().String())
 }
 
-// To is a log whose lines are given to a function, as msg=... key=value, without time and level; nil: they are dropped.
-func To(say func(line string)) *slog.Logger {
+// NewFunc is a log whose lines are given to a function, as msg=... key=value, without time and level; nil: they are dropped.
+func NewFunc(say func(line string)) *slog.Logger {
 	if say == nil {
 		return Discard()
 	}
--- a/internal/logging/logs_test.go
+++ b/internal/logging/logs_test.go
@@ -101,8 +101,8 @@
 // Guards against a nil function that is called, and against fields that a line lacks.
 func TestTo(t *testing.T) {
 	var got []string
-	To(func(line string) { got = append(got, line) }).With("service", "a").Error("boom", "upstream", "n 1")
-	To(nil).Error("nowhere")
+	NewFunc(func(line string) { got = append(got, line) }).With("service", "a").Error("boom", "upstream", "n 1")
+	NewFunc(nil).Error("nowhere")
 	if want := `msg=boom service=a upstream="n 1"`; len(got) != 1 || got[0] != want {
 		t.Errorf("said %q, want %q", got, want)
 	}
--- a/internal/measure/daemon_bench_test.go
+++ b/internal/measure/daemon_bench_test.go
@@ -86,9 +86,9 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() {
-			ended <- daemon.Serve(ctx, &config.Config{Discovery: "127.0.0.1:1", Known: known,
+			ended <- daemon.Serve(ctx, &config.Config{Discovery: "127.0.0.1:1", CachedEndpoints: known,
 				Limits:   config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
-				Settings: settings.Settings{Settings: moduleSettings(), ConnIdle: 30 * time.Second}}, l, "", nil, nil)
+				Settings: settings.Settings{Settings: moduleSettings(), ConnIdleTimeout: 30 * time.Second}}, l, "", nil, nil)
 		}()
 		run(b, l.Addr().String())
 		cancel()
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -64,7 +64,7 @@
 		r.RestartAt, r.RestartOver, r.RestartPart, r.Down = 20*time.Second, 10*time.Second, 0.5, 3*time.Second
 	}
 	add("200, half restart, a connection takes 50 ms", 200, dear)
-	add("the same, connections open ahead", 200, func(r *fleetsim.Run) { dear(r); r.Warm = prewarm.Default(); r.Warm.On = true })
+	add("the same, connections open ahead", 200, func(r *fleetsim.Run) { dear(r); r.Warm = prewarm.Default(); r.Warm.Enabled = true })
 	add("200, the list shrinks to 50 and grows back", 200, func(r *fleetsim.Run) {
 		r.Rate = 100
 		r.Sizes = []fleetsim.Size{{At: 15 * time.Second, Nodes: 50}, {At: 35 * time.Second, Nodes: fleetNodes}}
--- a/internal/measure/probes.go
+++ b/internal/measure/probes.go
@@ -43,7 +43,7 @@
 			run.Nodes, run.Rate, run.Probes = nodes, rate(r), r.probe
 			if r.ask > 0 {
 				run.Ask, run.Latent = loadprobe.Default(), r.blind
-				run.Ask.On, run.Ask.Each, run.Ask.Share = true, r.ask, float64(r.ask)
+				run.Ask.Enabled, run.Ask.UpstreamsPerRequest, run.Ask.ProbesPerRequest = true, r.ask, float64(r.ask)
 			}
 			run.Speed = func(i int) float64 {
 				if i%10 == 0 {
@@ -79,7 +79,7 @@
 		g.Go(func() (err error) {
 			run := fleetRun(m)
 			run.Nodes, run.Rate, run.Ask = nodes, rate, loadprobe.Default()
-			run.Ask.On = true
+			run.Ask.Enabled = true
 			seen[i], err = fleetsim.Play(run)
 			return err
 		})
--- a/internal/measure/roles.go
+++ b/internal/measure/roles.go
@@ -210,9 +210,9 @@
 			known.Endpoints = append(known.Endpoints, endpoints.Endpoint{Name: fmt.Sprint("n", i), Address: address, Zone: "a",
 				Status: endpoints.StatusReady})
 		}
-		c := &config.Config{Listen: r.Listen, Discovery: "127.0.0.1:1", Seed: 1, Known: known,
+		c := &config.Config{Listen: r.Listen, Discovery: "127.0.0.1:1", Seed: 1, CachedEndpoints: known,
 			Limits:   config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
-			Settings: settings.Settings{Settings: moduleSettings(), ConnIdle: 30 * time.Second}}
+			Settings: settings.Settings{Settings: moduleSettings(), ConnIdleTimeout: 30 * time.Second}}
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- daemon.Serve(ctx, c, l, "", nil, nil) }()
--- a/internal/metrics/figures.go
+++ b/internal/metrics/figures.go
@@ -10,22 +10,22 @@
 	"sync/atomic"
 )
 
-// End is how a request ended.
-type End int
+// Outcome is how a request ended.
+type Outcome int
 
 // The ends.
 const (
-	Completed End = iota // served
-	Rejected             // refused: trying again is harmless
-	Failed               // anything else
+	Completed Outcome = iota // served
+	Rejected                 // refused: trying again is harmless
+	Failed                   // anything else
 	ends
 )
 
 var endNames = [ends]string{"completed", "rejected", "failed"}
 
-// Counts is safe for concurrent use, and counts from 0. It holds one entry for each class that it was ever told of; those come from
+// Registry is safe for concurrent use, and counts from 0. It holds one entry for each class that it was ever told of; those come from
 // configurations.
-type Counts struct {
+type Registry struct {
 	sent          atomic.Int64
 	reloads       atomic.Int64
 	reloadsFailed atomic.Int64
@@ -40,15 +40,15 @@
 }
 
 // New counts for these classes.
-func New(classes ...string) *Counts {
-	c := &Counts{}
+func New(classes ...string) *Registry {
+	c := &Registry{}
 	c.classes.Store(&map[string]*counts{})
 	c.Add(classes...)
 	return c
 }
 
 // Add has these classes stand among the figures from now on.
-func (c *Counts) Add(classes ...string) {
+func (c *Registry) Add(classes ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	next := map[string]*counts{}
@@ -63,36 +63,36 @@
 	c.classes.Store(&next)
 }
 
-// Taken is a request that was taken, until its End. The zero one counts nothing.
-type Taken struct{ of *counts }
+// Request is a request that was taken, until its End. The zero one counts nothing.
+type Request struct{ of *counts }
 
-// Take counts a request of a class as taken. Classes that nobody has told of are added: they come from configurations only.
-func (c *Counts) Take(class string) Taken {
+// Start counts a request of a class as taken. Classes that nobody has told of are added: they come from configurations only.
+func (c *Registry) Start(class string) Request {
 	of := (*c.classes.Load())[class]
 	if of == nil {
 		c.Add(class)
 		of = (*c.classes.Load())[class]
 	}
 	of.taken.Add(1)
-	return Taken{of}
+	return Request{of}
 }
 
-// Counts tells whether it was taken and has not ended.
-func (t *Taken) Counts() bool { return t.of != nil }
+// Open tells whether it was taken and has not ended.
+func (t *Request) Open() bool { return t.of != nil }
 
-// End counts it as ended. Only the first call does.
-func (t *Taken) End(e End) {
+// Finish counts it as ended. Only the first call does.
+func (t *Request) Finish(e Outcome) {
 	if t.of != nil {
 		t.of.ended[e].Add(1)
 		t.of = nil
 	}
 }
 
-// Sent counts an attempt whose last byte has been written.
-func (c *Counts) Sent() { c.sent.Add(1) }
+// AttemptSent counts an attempt whose last byte has been written.
+func (c *Registry) AttemptSent() { c.sent.Add(1) }
 
-// Reloaded counts a new configuration.
-func (c *Counts) Reloaded(ok bool) {
+// ConfigReloaded counts a new configuration.
+func (c *Registry) ConfigReloaded(ok bool) {
 	if ok {
 		c.reloads.Add(1)
 	} else {
@@ -100,17 +100,17 @@
 	}
 }
 
-// ClassFigures are the counts of one class.
-type ClassFigures struct {
+// ClassReading are the counts of one class.
+type ClassReading struct {
 	Class   string
 	Taken   int64
 	Ended   [ends]int64
 	Pending int64
 }
 
-// Figures is a reading. What has been taken is what has ended and what is pending, in each class.
-type Figures struct {
-	Classes []ClassFigures // by name
+// Reading is a reading. What has been taken is what has ended and what is pending, in each class.
+type Reading struct {
+	Classes []ClassReading // by name
 	Pending int64
 	Sent    int64
 	Reloads, ReloadsFailed,
@@ -124,10 +124,10 @@
 }
 
 // Read reads all counts; the members are the caller's to fill in.
-func (c *Counts) Read() Figures {
-	f := Figures{ListAge: -1, Sent: c.sent.Load(), Reloads: c.reloads.Load(), ReloadsFailed: c.reloadsFailed.Load()}
+func (c *Registry) Read() Reading {
+	f := Reading{ListAge: -1, Sent: c.sent.Load(), Reloads: c.reloads.Load(), ReloadsFailed: c.reloadsFailed.Load()}
 	for name, of := range *c.classes.Load() {
-		one := ClassFigures{Class: name}
+		one := ClassReading{Class: name}
 		var ended int64
 		for i := range one.Ended { // before what was taken: each that has ended was
 			one.Ended[i] = of.ended[i].Load()
@@ -138,12 +138,12 @@
 		f.Pending += one.Pending
 		f.Classes = append(f.Classes, one)
 	}
-	slices.SortFunc(f.Classes, func(a, b ClassFigures) int { return strings.Compare(a.Class, b.Class) })
+	slices.SortFunc(f.Classes, func(a, b ClassReading) int { return strings.Compare(a.Class, b.Class) })
 	return f
 }
 
 // Text words a reading, one figure a line.
-func (f Figures) Text() string {
+func (f Reading) Text() string {
 	out := make([]byte, 0, 64*(3*len(f.Classes)+8))
 	line := func(n int64, name ...string) {
 		for _, part := range name {
--- a/internal/metrics/figures_test.go
+++ b/internal/metrics/figures_test.go
@@ -16,10 +16,10 @@
 		clients.Go(func() {
 			for i := 0; i < 20000; i++ {
 				class := []string{"a", "b", "late"}[(i+n)%3] // "late" comes with a reload
-				taken := c.Take(class)
-				c.Sent()
-				taken.End(End(i % 3))
-				taken.End(Failed) // counts nothing
+				taken := c.Start(class)
+				c.AttemptSent()
+				taken.Finish(Outcome(i % 3))
+				taken.Finish(Failed) // counts nothing
 			}
 		})
 	}
@@ -27,7 +27,7 @@
 		clients.Wait()
 		close(stop)
 	}()
-	var before Figures
+	var before Reading
 	for reading := true; reading; {
 		select {
 		case <-stop:
@@ -62,13 +62,13 @@
 func TestText(t *testing.T) {
 	c := New("seat-search")
 	c.Add("confirm")
-	a, b := c.Take("seat-search"), c.Take("confirm")
-	a.End(Completed)
-	b.End(Rejected)
-	c.Take("confirm")
-	c.Sent()
-	c.Reloaded(true)
-	c.Reloaded(false)
+	a, b := c.Start("seat-search"), c.Start("confirm")
+	a.Finish(Completed)
+	b.Finish(Rejected)
+	c.Start("confirm")
+	c.AttemptSent()
+	c.ConfigReloaded(true)
+	c.ConfigReloaded(false)
 	f := c.Read()
 	f.Members, f.Unavailable = 12, 2
 	want := `downstream_requests.confirm.completed=0
@@ -96,8 +96,8 @@
 func BenchmarkRead(b *testing.B) {
 	c := New("a", "b", "c", "d")
 	for range 1_000_000 {
-		t := c.Take("a")
-		t.End(Completed)
+		t := c.Start("a")
+		t.Finish(Completed)
 	}
 	for b.Loop() {
 		_ = c.Read().Text()
@@ -107,7 +107,7 @@
 func BenchmarkTakeAndEnd(b *testing.B) {
 	c := New("a", "b", "c", "d")
 	for b.Loop() {
-		t := c.Take("c")
-		t.End(Completed)
+		t := c.Start("c")
+		t.Finish(Completed)
 	}
 }
--- a/internal/priorityqueue/priority.go
+++ b/internal/priorityqueue/priority.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Fix puts an item where its key belongs; one that is not in goes in.
-func (h *Queue[T]) Fix(x T, key float64, tie uint64) {
+// Set puts an item where its key belongs; one that is not in goes in.
+func (h *Queue[T]) Set(x T, key float64, tie uint64) {
 	if i := *h.place(x); i >= 0 {
 		h.settle(i, ranked[T]{key, tie, x})
 		return
--- a/internal/priorityqueue/priority_test.go
+++ b/internal/priorityqueue/priority_test.go
@@ -20,11 +20,11 @@
 			case kind < 2 || len(all) == 0:
 				x := &item{key, i, -1}
 				all = append(all, x)
-				q.Fix(x, float64(key), uint64(i))
+				q.Set(x, float64(key), uint64(i))
 			case kind == 2:
 				x := all[rapid.IntRange(0, len(all)-1).Draw(t, "which")]
 				x.key = key
-				q.Fix(x, float64(key), uint64(x.id))
+				q.Set(x, float64(key), uint64(x.id))
 			case kind == 3:
 				n := rapid.IntRange(0, len(all)-1).Draw(t, "which")
 				q.Remove(all[n])
--- a/internal/routes/headers.go
+++ b/internal/routes/headers.go
@@ -11,8 +11,8 @@
 
 // platformHeaders are those of the platform's protocol. A request may carry each once at most, spelled in one way only,
 // whether or not a route reads it: an upstream may.
-var platformHeaders = []string{httpheader.ID, httpheader.Class, httpheader.Tenant, httpheader.Timeout, httpheader.Cost,
-	httpheader.Attrs, httpheader.Retried, httpheader.Key}
+var platformHeaders = []string{httpheader.RequestID, httpheader.Class, httpheader.Tenant, httpheader.Timeout, httpheader.Cost,
+	httpheader.Attributes, httpheader.RetryMarker, httpheader.IdempotencyKey}
 
 // rewriting headers make some servers take a request for another one than its request line says.
 var rewriting = []string{"X-Http-Method-Override", "X-Http-Method", "X-Method-Override", "X-Original-Url",
--- a/internal/routes/platform.go
+++ b/internal/routes/platform.go
@@ -23,9 +23,9 @@
 		if class.Name == "" || strings.ContainsAny(class.Name, "/%?") || unambiguous("/"+class.Name) != nil {
 			continue
 		}
-		r := Route{Service: service, Class: class, Key: Header(httpheader.Key), Tenant: Header(httpheader.Tenant),
-			Cost: Header(httpheader.Cost), ID: Header(httpheader.ID), Deadline: Header(httpheader.Timeout), MaxBody: PlatformBody,
-			ClassHeader: httpheader.Class, NeedID: true, StrictKey: true, GetOnly: true, WholeOnly: true}
+		r := Route{Service: service, Class: class, Key: Header(httpheader.IdempotencyKey), Tenant: Header(httpheader.Tenant),
+			Cost: Header(httpheader.Cost), ID: Header(httpheader.RequestID), Deadline: Header(httpheader.Timeout), MaxBody: PlatformBody,
+			ClassHeader: httpheader.Class, NeedID: true, StrictKey: true, GetOnly: true, CompleteOnly: true}
 		first := segment{text: class.Name}
 		for _, segments := range [][]segment{{first}, {first, {kind: rest}}} {
 			of := r
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -44,22 +44,22 @@
 	Endpoint string
 
 	// What the platform's header rules add, see Platform.
-	ClassHeader string // names the class again, where it is there
-	NeedID      bool   // a request without ID is turned down; else one is made
-	StrictKey   bool   // a key on a class that is not keyed is turned down
-	GetOnly     bool   // GET is not for HEAD too
-	WholeOnly   bool   // only whole answers count: what asks for another is not passed on
+	ClassHeader  string // names the class again, where it is there
+	NeedID       bool   // a request without ID is turned down; else one is made
+	StrictKey    bool   // a key on a class that is not keyed is turned down
+	GetOnly      bool   // GET is not for HEAD too
+	CompleteOnly bool   // only whole answers count: what asks for another is not passed on
 }
 
 // Decision is what a request is.
 type Decision struct {
-	Route   *Route
-	Class   *balancer.Class
-	ID      string // empty: one is to be made
-	Key     string // of a keyed class
-	Tenant  string
-	Hint    time.Duration // expected work; 0: unknown
-	Timeout time.Duration // what the client waits, at most its class's deadline
+	Route          *Route
+	Class          *balancer.Class
+	ID             string // empty: one is to be made
+	IdempotencyKey string // of a keyed class
+	Tenant         string
+	CostHint       time.Duration // expected work; 0: unknown
+	Timeout        time.Duration // what the client waits, at most its class's deadline
 }
 
 // Rejection answers a request that is not taken. Status is a 4xx, or 505; never 429, which would be a refusal.
@@ -242,14 +242,14 @@
 	case keyed && !usableKey(key):
 		return reject(http.StatusBadRequest, "%s: one key is needed, without commas outside quotes", display(r.Key.header()))
 	case keyed:
-		d.Key = key
+		d.IdempotencyKey = key
 	}
 	if q.ContentLength != 0 && (q.Method == http.MethodGet || q.Method == http.MethodHead) {
 		return reject(http.StatusBadRequest, "class %s has no body", class.Name)
 	}
 	if class.Idempotency != balancer.Idempotent {
 		for _, name := range conditions {
-			if _, has := q.Header[name]; has && r.WholeOnly {
+			if _, has := q.Header[name]; has && r.CompleteOnly {
 				return reject(http.StatusBadRequest, "%s is not taken: an answer that it leads to can't be told from a failure", name)
 			}
 		}
@@ -267,7 +267,7 @@
 		if err != nil || !(us >= 0) || us > maxTimeout.Seconds()*1e6 {
 			return reject(http.StatusBadRequest, "%s: %q is not a usable number of microseconds", display(r.Cost.header()), text)
 		}
-		d.Hint = time.Duration(us * float64(time.Microsecond))
+		d.CostHint = time.Duration(us * float64(time.Microsecond))
 	}
 	if q.ContentLength > r.MaxBody {
 		return reject(http.StatusRequestEntityTooLarge, "a body holds %d bytes at most", r.MaxBody)
@@ -279,7 +279,7 @@
 func (d *Decision) Forward(h http.Header) http.Header {
 	header := httpheader.EndToEnd(h)
 	delete(header, httpheader.Timeout)
-	if d.Route.WholeOnly {
+	if d.Route.CompleteOnly {
 		for _, name := range conditions {
 			delete(header, name)
 		}
@@ -349,7 +349,7 @@
 
 // display is a header's name as people write it.
 func display(name string) string {
-	if name == httpheader.ID {
+	if name == httpheader.RequestID {
 		return "X-Request-ID"
 	}
 	return name
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -328,7 +328,7 @@
 	}
 	d, bad := table.Decide(Request{Method: "POST", Target: "/shops/7/record", ContentLength: 9, Header: http.Header{
 		"Idempotency-Key": {"k"}, "X-Work": {"1500.5"}, "X-Wait": {"250m"}, "X-Id": {"i"}}})
-	if bad != nil || d.Tenant != "7" || d.Key != "k" || d.Hint != 1500500 || d.Timeout != 250*time.Millisecond || d.ID != "i" {
+	if bad != nil || d.Tenant != "7" || d.IdempotencyKey != "k" || d.CostHint != 1500500 || d.Timeout != 250*time.Millisecond || d.ID != "i" {
 		t.Errorf("%+v, %+v", d, bad)
 	}
 	if _, bad := table.Decide(Request{Method: "POST", Target: "/a", ContentLength: 1<<10 + 1}); bad == nil || bad.Status != 413 {
--- a/internal/server/control/call.go
+++ b/internal/server/control/call.go
@@ -32,44 +32,44 @@
 	Allow  string
 }
 
-// Progress is what Read makes of the bytes so far.
-type Progress int
+// ParseState is what Read makes of the bytes so far.
+type ParseState int
 
 // The kinds of Progress.
 const (
-	More  Progress = iota // the call goes on
-	Whole                 // here it is
-	Bad                   // it can't become one: the Answer says why
+	Incomplete ParseState = iota // the call goes on
+	Complete                     // here it is
+	Invalid                      // it can't become one: the Answer says why
 )
 
-// Read reads a call out of all bytes of a connection so far. What follows a whole call is not looked at.
-func Read(b []byte) (Call, Progress, Answer) {
+// ParseCall reads a call out of all bytes of a connection so far. What follows a whole call is not looked at.
+func ParseCall(b []byte) (Call, ParseState, Answer) {
 	end := headEnd(b)
 	if end < 0 {
 		if len(b) > MaxHead {
-			return Call{}, Bad, Answer{Status: http.StatusRequestHeaderFieldsTooLarge, Body: "the head is too large"}
+			return Call{}, Invalid, Answer{Status: http.StatusRequestHeaderFieldsTooLarge, Body: "the head is too large"}
 		}
 		if bad := hopeless(b); bad {
-			return Call{}, Bad, malformed("no request line")
+			return Call{}, Invalid, malformed("no request line")
 		}
-		return Call{}, More, Answer{}
+		return Call{}, Incomplete, Answer{}
 	}
 	if end > MaxHead {
-		return Call{}, Bad, Answer{Status: http.StatusRequestHeaderFieldsTooLarge, Body: "the head is too large"}
+		return Call{}, Invalid, Answer{Status: http.StatusRequestHeaderFieldsTooLarge, Body: "the head is too large"}
 	}
 	from := bufio.NewReaderSize(bytes.NewReader(b), len(b)) // holds all of it
 	r, err := http.ReadRequest(from)
 	if err != nil {
-		return Call{}, Bad, malformed("the head can't be read")
+		return Call{}, Invalid, malformed("the head can't be read")
 	}
 	if !r.ProtoAtLeast(1, 0) || r.ProtoAtLeast(2, 0) {
-		return Call{}, Bad, Answer{Status: http.StatusHTTPVersionNotSupported, Body: "HTTP/1.1 is spoken here"}
+		return Call{}, Invalid, Answer{Status: http.StatusHTTPVersionNotSupported, Body: "HTTP/1.1 is spoken here"}
 	}
 	if len(r.TransferEncoding) > 0 && len(r.Header["Content-Length"]) > 0 {
-		return Call{}, Bad, malformed("the body is framed twice")
+		return Call{}, Invalid, malformed("the body is framed twice")
 	}
 	if r.ContentLength > MaxBody {
-		return Call{}, Bad, tooLarge
+		return Call{}, Invalid, tooLarge
 	}
 	body := io.LimitReader(from, max(r.ContentLength, 0))
 	chunked := len(r.TransferEncoding) > 0
@@ -80,13 +80,13 @@
 	rest, _ := from.Peek(from.Buffered()) // what is buffered can be had
 	switch {
 	case n > MaxBody || chunked && len(b) > end+2*MaxBody: // of what frames chunks, too
-		return Call{}, Bad, tooLarge
+		return Call{}, Invalid, tooLarge
 	case err != nil && !errors.Is(err, io.ErrUnexpectedEOF):
-		return Call{}, Bad, malformed("the body can't be read")
+		return Call{}, Invalid, malformed("the body can't be read")
 	case err != nil || !chunked && n < r.ContentLength || chunked && headEnd(rest) < 0:
-		return Call{}, More, Answer{}
+		return Call{}, Incomplete, Answer{}
 	}
-	return Call{Method: r.Method, Path: r.URL.Path, Query: r.URL.RawQuery}, Whole, Answer{}
+	return Call{Method: r.Method, Path: r.URL.Path, Query: r.URL.RawQuery}, Complete, Answer{}
 }
 
 func malformed(text string) Answer { return Answer{Status: http.StatusBadRequest, Body: text} }
--- a/internal/server/control/control_test.go
+++ b/internal/server/control/control_test.go
@@ -65,15 +65,15 @@
 		"a query":  "GET /ready?a=b HTTP/1.1\r\nHost: s\r\n\r\n",
 	} {
 		for n := range text {
-			if _, p, bad := Read([]byte(text[:n])); p != More {
+			if _, p, bad := ParseCall([]byte(text[:n])); p != Incomplete {
 				t.Errorf("%s, %q: %v %+v", name, text[:n], p, bad)
 			}
 		}
-		call, p, bad := Read([]byte(text))
-		if p != Whole || call.Path != "/ready" && call.Path != "/drain" {
+		call, p, bad := ParseCall([]byte(text))
+		if p != Complete || call.Path != "/ready" && call.Path != "/drain" {
 			t.Errorf("%s: %v %+v %+v", name, p, call, bad)
 		}
-		if _, p, _ := Read([]byte(text + "and more")); p != Whole {
+		if _, p, _ := ParseCall([]byte(text + "and more")); p != Complete {
 			t.Errorf("%s and more: %v", name, p)
 		}
 	}
@@ -95,7 +95,7 @@
 		"GET /ready HTTP/1.1\r\nX: " + strings.Repeat("x", MaxHead):                                                 431,
 		"GET /ready HTTP/1.1\r\nX: " + strings.Repeat("x", MaxHead) + "\r\n\r\n":                                    431,
 	} {
-		if _, p, bad := Read([]byte(text)); p != Bad || bad.Status != want {
+		if _, p, bad := ParseCall([]byte(text)); p != Invalid || bad.Status != want {
 			t.Errorf("%.60q: %v %d, want %d", text, p, bad.Status, want)
 		}
 	}
@@ -150,16 +150,16 @@
 		return len(s.waiting)
 	}
 	base.Eventually(t, "the first is held", func() bool { return held() == 1 })
-	for range 3 * Most {
+	for range 3 * MaxWaiting {
 		base.Dial(t, address)
-		if n := held(); n > Most {
+		if n := held(); n > MaxWaiting {
 			t.Fatalf("%d are held", n)
 		}
 	}
 	if _, err := oldest.Read(make([]byte, 1)); err == nil {
 		t.Error("the oldest was told something")
 	}
-	base.Eventually(t, "the table is full", func() bool { return held() == Most })
+	base.Eventually(t, "the table is full", func() bool { return held() == MaxWaiting })
 }
 
 // Guards against calls that are lost because they come in pieces, and answers that are lost to a reset because not all was read.
@@ -216,19 +216,19 @@
 		if cut < 0 || cut > len(b) {
 			return
 		}
-		begun, p, bad := Read(b[:cut])
-		whole, q, _ := Read(b)
+		begun, p, bad := ParseCall(b[:cut])
+		whole, q, _ := ParseCall(b)
 		switch {
-		case p == Whole && (q != Whole || whole != begun):
+		case p == Complete && (q != Complete || whole != begun):
 			t.Errorf("%q is whole and then %v", b[:cut], q)
-		case p == Bad && q != Bad:
+		case p == Invalid && q != Invalid:
 			t.Errorf("%q is bad (%d) and then %v", b[:cut], bad.Status, q)
-		case p == Bad && (bad.Status < 400 || bad.Status > 505 || bad.Body == ""):
+		case p == Invalid && (bad.Status < 400 || bad.Status > 505 || bad.Body == ""):
 			t.Errorf("%q is told %+v", b[:cut], bad)
 		}
-		if q == Bad {
+		if q == Invalid {
 			resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(bad.appendTo(nil, ""))), nil)
-			if p == Bad && (err != nil || resp.StatusCode != bad.Status) {
+			if p == Invalid && (err != nil || resp.StatusCode != bad.Status) {
 				t.Errorf("the answer can't be read: %v", err)
 			}
 		}
--- a/internal/server/control/server.go
+++ b/internal/server/control/server.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// Most is how many connections are held at once; the listener's queue in the kernel holds more.
-	Most      = 12
-	waitFor   = 5 * time.Second        // for the rest of a call
-	lingerFor = 500 * time.Millisecond // for a caller to read what it is told, where it has sent more than was read
-	writeFor  = time.Second
+	// MaxWaiting is how many connections are held at once; the listener's queue in the kernel holds more.
+	MaxWaiting = 12
+	waitFor    = 5 * time.Second        // for the rest of a call
+	lingerFor  = 500 * time.Millisecond // for a caller to read what it is told, where it has sent more than was read
+	writeFor   = time.Second
 )
 
 // Handler answers calls. It must not wait for anything.
@@ -76,14 +76,14 @@
 // take answers a call that is there, or has it wait for the rest.
 func (s *Server) take(c *net.TCPConn, buffer []byte) {
 	n, ended := readNow(c, buffer)
-	call, progress, bad := Read(buffer[:n])
-	if progress == Whole && n < len(buffer) {
+	call, progress, bad := ParseCall(buffer[:n])
+	if progress == Complete && n < len(buffer) {
 		s.tell(c, call.Method, s.answer(call))
 		c.Close() // all that came was read
 		return
 	}
-	if progress == More && ended {
-		progress, bad = Bad, malformed("the call ends before it is whole")
+	if progress == Incomplete && ended {
+		progress, bad = Invalid, malformed("the call ends before it is whole")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +91,7 @@
 		c.Close()
 		return
 	}
-	if len(s.waiting) >= Most {
+	if len(s.waiting) >= MaxWaiting {
 		s.waiting[0].Close() // its goroutine ends with it
 		s.waiting = s.waiting[1:]
 	}
@@ -99,7 +99,7 @@
 	begun := append(make([]byte, 0, n+512), buffer[:n]...)
 	s.running.Go(func() {
 		defer s.leave(c)
-		if progress == Bad {
+		if progress == Invalid {
 			s.tell(c, "", bad)
 			s.linger(c)
 			return
@@ -146,12 +146,12 @@
 		}
 		n, err := c.Read(b[len(b):cap(b)])
 		b = b[:len(b)+n]
-		call, progress, bad := Read(b)
+		call, progress, bad := ParseCall(b)
 		switch {
-		case progress == Whole:
+		case progress == Complete:
 			s.tell(c, call.Method, s.answer(call))
 			return
-		case progress == Bad:
+		case progress == Invalid:
 			s.tell(c, "", bad)
 			s.linger(c)
 			return
--- a/internal/server/downstream/conn.go
+++ b/internal/server/downstream/conn.go
@@ -37,7 +37,7 @@
 	socket   net.Conn        // below it: the same where it is not encrypted
 	raw      syscall.RawConn // of socket; nil: it is none
 
-	watch framing.Watch // of who reads; the library has one reader at a time
+	watch framing.Detector // of who reads; the library has one reader at a time
 	twice atomic.Bool
 
 	phase  atomic.Int32
@@ -91,7 +91,7 @@
 			c.readAhead()
 		}
 	}
-	if c.watch.Feed(p[:n]); c.watch.Twice() {
+	if c.watch.Feed(p[:n]); c.watch.Ambiguous() {
 		c.twice.Store(true)
 	}
 	return n, err
@@ -239,35 +239,35 @@
 }
 
 // Context keeps the connection for what is asked of a request's context below.
-func (c *Conns) Context(ctx context.Context, of net.Conn) context.Context {
+func (c *Connections) Context(ctx context.Context, of net.Conn) context.Context {
 	if one := connOf(of); one != nil {
 		return context.WithValue(ctx, connKey{}, one)
 	}
 	return ctx
 }
 
-// FramedOnce tells whether the requests of ctx's connection are known to frame their bodies in one way each.
-func FramedOnce(ctx context.Context) bool {
+// UnambiguousFraming tells whether the requests of ctx's connection are known to frame their bodies in one way each.
+func UnambiguousFraming(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	return ok && !c.twice.Load()
 }
 
-// Take takes a request for its answer; false: its connection was shut before it was read, so that it can have none.
-func Take(ctx context.Context) bool {
+// StartRequest takes a request for its answer; false: its connection was shut before it was read, so that it can have none.
+func StartRequest(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	return !ok || c.begin()
 }
 
-// InHand says that a request has come to its last byte: what comes now is behind it. leave is called should its client go, also where
+// OnClientGone says that a request has come to its last byte: what comes now is behind it. leave is called should its client go, also where
 // that can be seen behind other requests alone.
-func InHand(ctx context.Context, leave func()) {
+func OnClientGone(ctx context.Context, leave func()) {
 	if c, ok := ctx.Value(connKey{}).(*conn); ok {
 		c.inHand(leave)
 	}
 }
 
-// Left tells whether a request's client is known to have gone. It looks at the connection where ctx alone would not tell.
-func Left(ctx context.Context) bool {
+// ClientGone tells whether a request's client is known to have gone. It looks at the connection where ctx alone would not tell.
+func ClientGone(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
 	return ok && c.left()
 }
--- a/internal/server/downstream/conns.go
+++ b/internal/server/downstream/conns.go
@@ -16,12 +16,12 @@
 	queueMost = time.Second            // and so long at most
 )
 
-// Conns is the listener for clients. It bounds their connections: one that comes beyond the limit has the one closed that
+// Connections is the listener for clients. It bounds their connections: one that comes beyond the limit has the one closed that
 // is needed least; where all are needed it stays, and no more are accepted until there is room. A connection counts from its accept until its socket is closed.
-type Conns struct {
+type Connections struct {
 	net.Listener
 	most   int
-	secure *Secure // nil: connections are not encrypted
+	secure *TLS // nil: connections are not encrypted
 
 	paused bool // under mu: what waits is left to another process
 
@@ -43,15 +43,15 @@
 	dying bool
 }
 
-// NewConns bounds l's connections to most; they are encrypted where secure is not nil.
-func NewConns(l net.Listener, most int, secure *Secure) *Conns {
-	c := &Conns{Listener: l, most: most, secure: secure, conns: map[*conn]*record{}}
+// NewConnections bounds l's connections to most; they are encrypted where secure is not nil.
+func NewConnections(l net.Listener, most int, secure *TLS) *Connections {
+	c := &Connections{Listener: l, most: most, secure: secure, conns: map[*conn]*record{}}
 	c.room = sync.NewCond(&c.mu)
 	return c
 }
 
 // Accept is net.Listener's.
-func (c *Conns) Accept() (net.Conn, error) {
+func (c *Connections) Accept() (net.Conn, error) {
 	c.mu.Lock()
 	for (c.paused || len(c.conns)-c.dying > c.most) && !c.closed {
 		if !c.paused && c.closeOne(c.newest) {
@@ -87,7 +87,7 @@
 
 // next accepts a connection. Of a listener that is closed, one that waits in its queue; the deadline only ends the wait for others, and is
 // set anew here, since it may have passed before this was run.
-func (c *Conns) next() (net.Conn, error) {
+func (c *Connections) next() (net.Conn, error) {
 	for {
 		accepted, err := c.Listener.Accept()
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -108,7 +108,7 @@
 // closeOne makes room. Guards against clients that connect by hundreds and say nothing, at the cost of those that
 // ask: a connection that never brought a request goes before one that did, unless it is about to. One whose client has gone
 // goes first, then one that has its last answer.
-func (c *Conns) closeOne(but *conn) bool {
+func (c *Connections) closeOne(but *conn) bool {
 	now := time.Now()
 	rank := func(one *conn, of *record) int {
 		switch quiet := now.Sub(of.since); {
@@ -149,7 +149,7 @@
 }
 
 // Close ends the listener. What waits in its queue is still taken, unless it is left to another process.
-func (c *Conns) Close() error {
+func (c *Connections) Close() error {
 	c.mu.Lock()
 	was, left := c.closed, c.paused || len(c.conns)-c.dying >= c.most
 	if c.closed = true; !was {
@@ -170,7 +170,7 @@
 }
 
 // Resize changes how many connections there may be. Those that there are stay, also beyond it.
-func (c *Conns) Resize(most int) {
+func (c *Connections) Resize(most int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.most = most
@@ -178,7 +178,7 @@
 }
 
 // Pause leaves new connections to another process that has the listener too, or takes them again.
-func (c *Conns) Pause(on bool) {
+func (c *Connections) Pause(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.paused = on
@@ -186,21 +186,21 @@
 }
 
 // Open is how many connections there are.
-func (c *Conns) Open() int {
+func (c *Connections) Open() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns)
 }
 
-// Over tells whether nothing more is accepted, and all connections have ended.
-func (c *Conns) Over() bool {
+// OverLimit tells whether nothing more is accepted, and all connections have ended.
+func (c *Connections) OverLimit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ended && len(c.conns) == 0
 }
 
 // CloseIdle closes all connections that have carried no request for that long, and on which none has come: see conn.closeIdle.
-func (c *Conns) CloseIdle(least time.Duration) {
+func (c *Connections) CloseIdle(least time.Duration) {
 	c.mu.Lock()
 	var quiet []*conn
 	for one, of := range c.conns {
@@ -214,8 +214,8 @@
 	}
 }
 
-// Drop closes all connections at once.
-func (c *Conns) Drop() {
+// CloseAll closes all connections at once.
+func (c *Connections) CloseAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for one := range c.conns {
@@ -224,7 +224,7 @@
 }
 
 // State follows the server's connections.
-func (c *Conns) State(of net.Conn, s http.ConnState) {
+func (c *Connections) State(of net.Conn, s http.ConnState) {
 	one := connOf(of)
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/server/downstream/intake.go
+++ b/internal/server/downstream/intake.go
@@ -27,8 +27,8 @@
 // NewChecker returns a Checker for these routes.
 func NewChecker(t *routes.Table) *Checker { return &Checker{t} }
 
-// Platform returns a Checker for the platform's own rules.
-func Platform(classes []balancer.Class) *Checker {
+// NewPlatformChecker returns a Checker for the platform's own rules.
+func NewPlatformChecker(classes []balancer.Class) *Checker {
 	t, conflicts := routes.New(routes.Platform("", classes))
 	if len(conflicts) > 0 {
 		panic("intake: two classes of one name") // the settings' check finds that
--- a/internal/server/downstream/intake_test.go
+++ b/internal/server/downstream/intake_test.go
@@ -18,7 +18,7 @@
 	class := func(name string, e balancer.Idempotency) balancer.Class {
 		return balancer.Class{Name: name, Idempotency: e, Deadline: 4 * time.Second}
 	}
-	return Platform([]balancer.Class{class("seat-search", balancer.Idempotent), class("payment-record", balancer.IdempotentWithKey),
+	return NewPlatformChecker([]balancer.Class{class("seat-search", balancer.Idempotent), class("payment-record", balancer.IdempotentWithKey),
 		class("confirm-booking", balancer.NonIdempotent)})
 }
 
@@ -134,10 +134,10 @@
 	if bad != nil {
 		t.Fatalf("%+v", bad)
 	}
-	if req.ID != "9b1f" || req.Class.Name != "payment-record" || req.Tenant != "acme" || req.Key != `"5c0f, 6e"` ||
-		req.Class.Idempotency != balancer.IdempotentWithKey || req.Timeout != 4*time.Second || req.Hint != 1500500 || req.Method != "POST" ||
+	if req.ID != "9b1f" || req.Class.Name != "payment-record" || req.Tenant != "acme" || req.IdempotencyKey != `"5c0f, 6e"` ||
+		req.Class.Idempotency != balancer.IdempotentWithKey || req.Timeout != 4*time.Second || req.CostHint != 1500500 || req.Method != "POST" ||
 		req.Host != "s" || req.Header.Get("X-Hop") != "" || req.Header.Get(httpheader.Timeout) != "" ||
-		req.Header.Get(httpheader.Key) == "" {
+		req.Header.Get(httpheader.IdempotencyKey) == "" {
 		t.Errorf("%+v", req)
 	}
 }
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := NewConns(l, 2, nil)
+	c := NewConnections(l, 2, nil)
 	defer c.Close()
 	took := make(chan net.Conn, 4)
 	go func() {
--- a/internal/server/downstream/secure.go
+++ b/internal/server/downstream/secure.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Secure says how clients' connections are encrypted.
-type Secure struct {
-	Config    *tls.Config
-	Handshake time.Duration // what it may take
+// TLS says how clients' connections are encrypted.
+type TLS struct {
+	Config           *tls.Config
+	HandshakeTimeout time.Duration // what it may take
 }
 
 // secured is an encrypted connection whose requests' framing is followed: the watch reads what was decrypted. The library takes it for
@@ -22,10 +22,10 @@
 	most time.Duration
 }
 
-func (s *Secure) over(c *conn) *secured {
+func (s *TLS) over(c *conn) *secured {
 	t := tls.Server(c.socket, s.Config)
 	c.Conn = t
-	return &secured{c, t, s.Handshake}
+	return &secured{c, t, s.HandshakeTimeout}
 }
 
 // ConnectionState has the library's goroutine of this connection do the handshake, before it reads a request. One that fails shows at
--- a/internal/server/framing/framing.go
+++ b/internal/server/framing/framing.go
@@ -24,8 +24,8 @@
 	lost                   // it can't be followed any more
 )
 
-// Watch follows one connection. The zero one is at its beginning. It is not safe for concurrent use.
-type Watch struct {
+// Detector follows one connection. The zero one is at its beginning. It is not safe for concurrent use.
+type Detector struct {
 	state     state
 	left      int64 // bytes
 	line      [maxLine]byte
@@ -38,12 +38,12 @@
 	twice     bool
 }
 
-// Twice tells whether some head so far frames its body in two ways, or the requests could not be followed: a chunked one is then
+// Ambiguous tells whether some head so far frames its body in two ways, or the requests could not be followed: a chunked one is then
 // not to be trusted.
-func (w *Watch) Twice() bool { return w.twice || w.state == lost }
+func (w *Detector) Ambiguous() bool { return w.twice || w.state == lost }
 
 // Feed takes the bytes that came next.
-func (w *Watch) Feed(b []byte) {
+func (w *Detector) Feed(b []byte) {
 	for len(b) > 0 {
 		switch w.state {
 		case lost:
@@ -74,18 +74,18 @@
 	}
 }
 
-func (w *Watch) add(b []byte) {
+func (w *Detector) add(b []byte) {
 	n := copy(w.line[w.n:], b)
 	w.n += n
 	w.long = w.long || n < len(b)
 }
 
-func (w *Watch) begin() {
+func (w *Detector) begin() {
 	w.state, w.first, w.hasLength, w.length, w.chunked = head, false, false, 0, false
 }
 
 // take takes a whole line; long: only its beginning.
-func (w *Watch) take(line []byte, long bool) {
+func (w *Detector) take(line []byte, long bool) {
 	switch w.state {
 	case head:
 		w.header(line, long)
@@ -112,7 +112,7 @@
 }
 
 // header takes a line of a head.
-func (w *Watch) header(line []byte, long bool) {
+func (w *Detector) header(line []byte, long bool) {
 	switch {
 	case !w.first:
 		w.first = true // the request line; the library takes no empty one before it
--- a/internal/server/framing/framing_test.go
+++ b/internal/server/framing/framing_test.go
@@ -42,12 +42,12 @@
 		"a long value":        {"GET /a HTTP/1.1\r\nContent-Length: 0" + strings.Repeat(" ", 5*maxLine) + "1\r\n\r\n", true},
 	} {
 		for _, step := range []int{1, 2, 7, len(c.text) + 1} {
-			var w Watch
+			var w Detector
 			for i := 0; i < len(c.text); i += step {
 				w.Feed([]byte(c.text[i:min(len(c.text), i+step)]))
 			}
-			if w.Twice() != c.want {
-				t.Errorf("%s, by %d: %v", name, step, w.Twice())
+			if w.Ambiguous() != c.want {
+				t.Errorf("%s, by %d: %v", name, step, w.Ambiguous())
 			}
 		}
 	}
@@ -61,7 +61,7 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var w Watch
+		var w Detector
 		in := bufio.NewReader(io.TeeReader(bytes.NewReader(b), feeder{&w}))
 		for {
 			r, err := http.ReadRequest(in)
@@ -71,7 +71,7 @@
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return
 			}
-			if len(r.TransferEncoding) == 0 || w.Twice() {
+			if len(r.TransferEncoding) == 0 || w.Ambiguous() {
 				continue
 			}
 			// What the library took for this head must not name a length: it deletes it, so the bytes themselves are looked at.
@@ -86,7 +86,7 @@
 	})
 }
 
-type feeder struct{ w *Watch }
+type feeder struct{ w *Detector }
 
 func (f feeder) Write(b []byte) (int, error) {
 	f.w.Feed(b)
@@ -96,7 +96,7 @@
 func BenchmarkFeed(b *testing.B) {
 	head := []byte("GET /seat-search/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: service.internal\r\nX-Request-ID: 9b1f03aa5c7e2d41\r\n" +
 		"X-Priority-Class: checkout\r\nX-Tenant-Id: acme\r\nX-Timeout: 480m\r\n\r\n")
-	var w Watch
+	var w Detector
 	for b.Loop() {
 		w.Feed(head)
 	}
--- a/internal/server/yielding/interlude.go
+++ b/internal/server/yielding/interlude.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// Every is how many bytes all transfers together pass on between two rests, and Rest how long one is: long enough for all to come to the
+// BytesPerYield is how many bytes all transfers together pass on between two rests, and Rest how long one is: long enough for all to come to the
 // end of a piece, a twentieth of the time that one core takes for so many bytes, or less.
 const (
-	Every = 2 << 20
-	Rest  = 100 * time.Microsecond
+	BytesPerYield = 2 << 20
+	YieldDuration = 100 * time.Microsecond
 )
 
-// Interlude counts what transfers pass on. The zero one is ready. It is safe for concurrent use.
-type Interlude struct {
+// Yielder counts what transfers pass on. The zero one is ready. It is safe for concurrent use.
+type Yielder struct {
 	passed atomic.Int64 // bytes since the latest rest began
 	until  atomic.Int64 // when that ends, on the caller's clock
 }
 
-// Passed notes n bytes at now, and tells how long who passed them on is to rest.
-func (i *Interlude) Passed(now time.Duration, n int) time.Duration {
-	if total := i.passed.Add(int64(n)); total >= Every && i.passed.CompareAndSwap(total, 0) {
-		i.until.Store(int64(now + Rest))
+// Transferred notes n bytes at now, and tells how long who passed them on is to rest.
+func (i *Yielder) Transferred(now time.Duration, n int) time.Duration {
+	if total := i.passed.Add(int64(n)); total >= BytesPerYield && i.passed.CompareAndSwap(total, 0) {
+		i.until.Store(int64(now + YieldDuration))
 	}
 	return max(0, time.Duration(i.until.Load())-now)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,9 +15,9 @@
 // Settings is what the object tells: the module's part, and what only a process on real sockets needs.
 type Settings struct {
 	balancer.Settings
-	ConnIdle  time.Duration // upstreams close connections that are idle for this long; 0: not told
-	Grace     time.Duration // after a change counts as told nothing may be sent against it; 0: not told
-	AskWithin time.Duration // a list that is asked for holds for so long after the last call, where no watch stands; 0: not told
+	ConnIdleTimeout time.Duration // upstreams close connections that are idle for this long; 0: not told
+	DrainGrace      time.Duration // after a change counts as told nothing may be sent against it; 0: not told
+	MaxPollAge      time.Duration // a list that is asked for holds for so long after the last call, where no watch stands; 0: not told
 }
 
 // Decode reads the object. Keys that are not known here are passed over; whether the values can be used is for
@@ -27,8 +27,8 @@
 	if err := json.Unmarshal(raw, &o); err != nil {
 		return Settings{}, fmt.Errorf("not a settings object: %w", err)
 	}
-	return Settings{Settings: o.settings(), ConnIdle: Milliseconds(o.Limits.ConnIdleMs),
-		Grace: max(0, Milliseconds(o.Rules.DrainGraceMs)), AskWithin: max(0, Milliseconds(o.Rules.MustAskInMs))}, nil
+	return Settings{Settings: o.settings(), ConnIdleTimeout: Milliseconds(o.Limits.ConnIdleMs),
+		DrainGrace: max(0, Milliseconds(o.Rules.DrainGraceMs)), MaxPollAge: max(0, Milliseconds(o.Rules.MustAskInMs))}, nil
 }
 
 // Milliseconds converts a number of milliseconds, counted in whole microseconds as the settings' source does. What
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -112,7 +112,7 @@
 // Problems are all that is wrong with a file.
 type Problems struct {
 	Name     string
-	Mistakes []tomlfile.Mistake
+	Mistakes []tomlfile.Problem
 }
 
 func (p *Problems) Error() string { return tomlfile.Text(p.Name, p.Mistakes) }
@@ -131,7 +131,7 @@
 	e := &Experiment{}
 	doc := tomlfile.Decode(text, e)
 	e.check(doc)
-	if m := doc.Mistakes(); len(m) > 0 {
+	if m := doc.Problems(); len(m) > 0 {
 		return nil, &Problems{name, m}
 	}
 	e.hash = fmt.Sprintf("%016x", xxhash.Sum64(text))
--- a/internal/simulation/fleetsim/fleetsim.go
+++ b/internal/simulation/fleetsim/fleetsim.go
@@ -142,7 +142,7 @@
 	sent  int
 	rate  float64
 	rng   *rand.Rand
-	warm  *prewarm.Warmer      // nil: there is none
+	warm  *prewarm.Prewarmer   // nil: there is none
 	probe *loadprobe.Prober    // nil: there is none
 	ready map[string]uint64    // what the warmer is told of
 	own   []string             // active ones, where probes choose
@@ -291,11 +291,11 @@
 		}
 		c.s = subset.New(o, fmt.Sprint("sidecar-", i), zone, s.r.Descriptors)
 	}
-	if s.r.Warm.On {
+	if s.r.Warm.Enabled {
 		c.warm, c.ready = prewarm.New(s.r.Warm, s.r.Descriptors, rand.New(rand.NewPCG(s.r.Seed, uint64(i)+1<<32))), map[string]uint64{}
 		s.After(time.Duration(s.rng.Int64N(int64(warmEvery))), func() { s.keepWarm(c) })
 	}
-	if s.r.Ask.On {
+	if s.r.Ask.Enabled {
 		c.probe = loadprobe.New(s.r.Ask, rand.New(rand.NewPCG(s.r.Seed, uint64(i)+2<<32)))
 	}
 	s.sidecars = append(s.sidecars, c)
@@ -508,7 +508,7 @@
 		s.module(c, balancer.Request{ID: q.id, Class: class.Name, Deadline: q.expires, CostHint: s.hint(q)})
 	}
 	if c.probe != nil {
-		if names := c.probe.Ask(s.Now()); len(names) > 0 {
+		if names := c.probe.Targets(s.Now()); len(names) > 0 {
 			s.probe(c, names, decide)
 			return
 		}
@@ -523,7 +523,7 @@
 		n := s.byName[name]
 		s.out.Probes++
 		if !n.up {
-			wait = s.r.Ask.Patience.D()
+			wait = s.r.Ask.Timeout.D()
 			continue
 		}
 		n.owed += probeWork
@@ -792,7 +792,7 @@
 	s.out.MostMade = max(s.out.MostMade, n.made)
 }
 
-// keepWarm opens what the sidecar's warmer names, as upstream.Pool.KeepWarm does.
+// keepWarm opens what the sidecar's warmer names, as upstream.Pool.Prewarm does.
 func (s *sim) keepWarm(c *sidecar) {
 	c.warm.Members(s.Now(), c.ready)
 	open := func(name string) int {
@@ -805,7 +805,7 @@
 	for _, name := range c.warm.Tick(s.Now(), open, c.open) {
 		n, process := s.byName[name], c.warm.Process(name)
 		if !n.up {
-			s.After(wire, func() { c.warm.Ended(s.Now(), name, process, false) })
+			s.After(wire, func() { c.warm.Connected(s.Now(), name, process, false) })
 			continue
 		}
 		s.made(c, n)
@@ -819,7 +819,7 @@
 			} else {
 				s.close(c, n, 1)
 			}
-			c.warm.Ended(s.Now(), name, process, ok)
+			c.warm.Connected(s.Now(), name, process, ok)
 		})
 	}
 	s.After(warmEvery, func() { s.keepWarm(c) })
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -103,7 +103,7 @@
 	r.RestartAt, r.RestartOver, r.RestartPart, r.Down = 8*time.Second, time.Second, 0.5, time.Second
 	cold := play(t, r)
 	r.Warm = prewarm.Default()
-	r.Warm.On = true
+	r.Warm.Enabled = true
 	got := play(t, r)
 	if 2*got.Waited > cold.Waited || got.OpenNode > 1.5*cold.OpenNode+1 || got.MostMade > cold.MostMade+2 {
 		t.Errorf("%d of %d requests wait for a connection, %d without; %.2f and %.2f open a node, %d and %d made in a second", got.Waited, got.Requests,
--- a/internal/simulation/fleetsim/many_test.go
+++ b/internal/simulation/fleetsim/many_test.go
@@ -71,7 +71,7 @@
 		r := thin(sidecars)
 		r.Nodes, r.Rate, r.Length, r.Down = 16, float64(5*sidecars), 60*time.Second, 500*time.Millisecond
 		r.Ask = loadprobe.Default()
-		r.Ask.On = true
+		r.Ask.Enabled = true
 		r.Discovery = &Discovery{CallLines: 30, Lines: float64(sidecars*(16+30)) / 8, Timeout: time.Second, DownAt: 25 * time.Second, DownFor: 5 * time.Second}
 		r.Faults = []Fault{{Kind: Deploy, Part: 0.3, At: 18 * time.Second, For: 7 * time.Second}, {Kind: Kill, Part: 0.9, At: 20 * time.Second}}
 		got, err := Play(r)
@@ -82,7 +82,7 @@
 		probes, opened, calls, made := float64(got.Probes)/asked, float64(got.Opened)/asked, float64(got.Calls)/each, float64(got.MostMade)/each
 		t.Logf("%d sidecars: %.2f probes and %.3f connections a request, %.1f calls a sidecar (%d in vain), %.2f connections a sidecar to one node in a second, listed at %v, %d served of %d",
 			sidecars, probes, opened, calls, got.CallsTurnedAway, made, got.Listed, got.Served, got.Requests)
-		if probes > float64(r.Ask.Each) || opened > 0.25 || calls > 10 || made > 1 || got.CallsTurnedAway == 0 || got.Fell > 0 || got.Violations > 0 || float64(got.Served) < 0.95*asked {
+		if probes > float64(r.Ask.UpstreamsPerRequest) || opened > 0.25 || calls > 10 || made > 1 || got.CallsTurnedAway == 0 || got.Fell > 0 || got.Violations > 0 || float64(got.Served) < 0.95*asked {
 			t.Errorf("%d sidecars: %+v", sidecars, got)
 		}
 	}
--- a/internal/testing/conformance/fronts_test.go
+++ b/internal/testing/conformance/fronts_test.go
@@ -178,9 +178,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &config.Config{Name: "suite", Listen: l.Addr().String(), Discovery: d.Address(), Seed: 7, Known: d.Listing(),
+	c := &config.Config{Name: "suite", Listen: l.Addr().String(), Discovery: d.Address(), Seed: 7, CachedEndpoints: d.Listing(),
 		Limits:   config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
-		Settings: settings.Settings{Settings: set, ConnIdle: 15 * time.Second}}
+		Settings: settings.Settings{Settings: set, ConnIdleTimeout: 15 * time.Second}}
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &daemonFront{address: l.Addr().String(), stop: cancel, ended: make(chan error, 1),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
--- a/internal/testing/conformance/replace_test.go
+++ b/internal/testing/conformance/replace_test.go
@@ -48,7 +48,7 @@
 	w := newWorld(t, node, node, node)
 	listen := base.FreeAddress(t)
 	return &replaced{t: t, discovery: w.discovery[overHTTP], config: configFile(t, w, overHTTP, listen), folder: t.TempDir(), listen: listen,
-		client: &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: true}}}, w
+		client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}}, w
 }
 
 // start starts a process, and waits until it can serve.
@@ -143,7 +143,7 @@
 	var clients sync.WaitGroup
 	var served, unheard atomic.Int64
 	for n := range 6 {
-		client := &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: n%2 == 0}}
+		client := &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: n%2 == 0}}
 		clients.Go(func() {
 			defer client.CloseIdleConnections()
 			for ctx.Err() == nil {
@@ -344,7 +344,7 @@
 	var clients sync.WaitGroup
 	var asked atomic.Int64
 	for n := range 6 {
-		client := &http.Client{Timeout: testutil.Patience, Transport: &http.Transport{DisableKeepAlives: n%2 == 0}}
+		client := &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: n%2 == 0}}
 		clients.Go(func() {
 			defer client.CloseIdleConnections()
 			for ctx.Err() == nil {
--- a/internal/testing/testutil/base/base.go
+++ b/internal/testing/testutil/base/base.go
@@ -16,13 +16,13 @@
 	"orchiddrift/internal/fakes"
 )
 
-// Patience bounds every wait of the tests; on a good run none comes near it.
-const Patience = 20 * time.Second
+// Timeout bounds every wait of the tests; on a good run none comes near it.
+const Timeout = 20 * time.Second
 
 // Eventually waits for a condition.
 func Eventually(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Patience); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(Timeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain: %s", what)
 		}
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(Patience)) // should it fail, reads show it
+	_ = c.SetDeadline(time.Now().Add(Timeout)) // should it fail, reads show it
 	return c
 }
 
@@ -108,7 +108,7 @@
 	if config != nil {
 		l = tls.NewListener(l, config)
 	}
-	srv.ErrorLog, srv.ReadHeaderTimeout = log.New(io.Discard, "", 0), Patience
+	srv.ErrorLog, srv.ReadHeaderTimeout = log.New(io.Discard, "", 0), Timeout
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/testing/testutil/testkit.go
+++ b/internal/testing/testutil/testkit.go
@@ -21,8 +21,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Patience is base.Patience.
-const Patience = base.Patience
+// Timeout is base.Timeout.
+const Timeout = base.Timeout
 
 // Eventually is base.Eventually.
 func Eventually(t testing.TB, what string, ok func() bool) {
@@ -78,8 +78,8 @@
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, snapshot, strings.Join(entries, ","))
 }
 
-// Listing is the same, parsed.
-func Listing(t testing.TB, index int, snapshot bool, entries ...string) *endpoints.List {
+// EndpointList is the same, parsed.
+func EndpointList(t testing.TB, index int, snapshot bool, entries ...string) *endpoints.List {
 	t.Helper()
 	l, err := endpoints.ParseList([]byte(List(index, snapshot, entries...)))
 	if err != nil {
--- a/internal/tlscredentials/declaration.go
+++ b/internal/tlscredentials/declaration.go
@@ -7,8 +7,8 @@
 	"orchiddrift/internal/units"
 )
 
-// Listener is the clients' side in the operator's file.
-type Listener struct {
+// ListenerTLS is the clients' side in the operator's file.
+type ListenerTLS struct {
 	Certificate string         `toml:"certificate" sample:"\"/etc/orchiddrift/tls.crt\"" doc:"The certificate chain shown to clients, PEM. Given with key: clients' connections are encrypted. The file is watched."`
 	Key         string         `toml:"key" sample:"\"/etc/orchiddrift/tls.key\"" doc:"Its private key, PEM. The file is watched; a pair that does not fit together is not taken over."`
 	ClientCA    string         `toml:"client_ca" doc:"Authorities, PEM, that clients' certificates may come from. The file is watched."`
@@ -18,7 +18,7 @@
 }
 
 // Check is tomlfile.Checker's.
-func (l *Listener) Check(report func(key, format string, args ...any)) {
+func (l *ListenerTLS) Check(report func(key, format string, args ...any)) {
 	switch {
 	case l.Certificate != "" && l.Key == "":
 		report("certificate", "stands there without a key")
@@ -33,11 +33,11 @@
 	}
 }
 
-// On tells whether there is something to encrypt with.
-func (l *Listener) On() bool { return l.Certificate != "" }
+// Enabled tells whether there is something to encrypt with.
+func (l *ListenerTLS) Enabled() bool { return l.Certificate != "" }
 
-// Upstream is a service's side in the operator's file.
-type Upstream struct {
+// UpstreamTLS is a service's side in the operator's file.
+type UpstreamTLS struct {
 	CA          string         `toml:"ca" sample:"\"/etc/orchiddrift/upstreams-ca.crt\"" doc:"Authorities, PEM, that upstreams' certificates have to come from. Given: connections are encrypted. The file is watched; a connection made under an authority that has been withdrawn is closed once it is idle."`
 	Name        string         `toml:"name" doc:"The name that an upstream's certificate has to bear, a DNS name or a URI. An entry of the list may name its own (identity)."`
 	Certificate string         `toml:"certificate" doc:"The certificate shown to upstreams, PEM. The file is watched."`
@@ -47,7 +47,7 @@
 }
 
 // Check is tomlfile.Checker's.
-func (u *Upstream) Check(report func(key, format string, args ...any)) {
+func (u *UpstreamTLS) Check(report func(key, format string, args ...any)) {
 	switch {
 	case u.Certificate != "" && u.Key == "":
 		report("certificate", "stands there without a key")
@@ -58,8 +58,8 @@
 	}
 }
 
-// On tells whether connections are encrypted.
-func (u *Upstream) On() bool { return u.CA != "" }
+// Enabled tells whether connections are encrypted.
+func (u *UpstreamTLS) Enabled() bool { return u.CA != "" }
 
 func version(text string) uint16 {
 	if text == "1.2" {
--- a/internal/tlscredentials/keys_test.go
+++ b/internal/tlscredentials/keys_test.go
@@ -37,7 +37,7 @@
 	r := &rig{t: t, files: Files{filepath.Join(dir, "crt"), filepath.Join(dir, "key"), filepath.Join(dir, "ca")}}
 	r.write(pair, ca)
 	var err error
-	if r.Store, err = Open(r.files, 30*time.Minute, logging.To(r.log)); err != nil {
+	if r.Store, err = Open(r.files, 30*time.Minute, logging.NewFunc(r.log)); err != nil {
 		t.Fatal(err)
 	}
 	return r
@@ -73,7 +73,7 @@
 	ca := base.CA(t, "one")
 	first, second := base.Issue(t, ca, "a.example"), base.Issue(t, ca, "a.example")
 	r := newRig(t, first, ca.PEM)
-	was := r.Now()
+	was := r.Current()
 	ended, err := ca.Issue(-time.Minute, "a.example")
 	if err != nil {
 		t.Fatal(err)
@@ -91,13 +91,13 @@
 		"a key for the CA": func() { base.Replace(t, r.files.CA, first.Key) },
 	} {
 		change()
-		r.Look()
-		if r.Now().Pair != was.Pair || r.Now().CA != was.CA {
+		r.Reload()
+		if r.Current().Pair != was.Pair || r.Current().CA != was.CA {
 			t.Errorf("%s was taken over", name)
 		}
 		r.write(first, ca.PEM)
-		r.Look()
-		was = r.Now()
+		r.Reload()
+		was = r.Current()
 		if serial(was) != serialOf(t, first) {
 			t.Errorf("after %s: not the first pair", name)
 		}
@@ -111,24 +111,24 @@
 		}
 	}
 	base.Replace(t, r.files.Certificate, second.Certificate)
-	r.Look()
+	r.Reload()
 	base.Replace(t, r.files.Key, second.Key)
-	r.Look()
-	if serial(r.Now()) != serialOf(t, second) {
+	r.Reload()
+	if serial(r.Current()) != serialOf(t, second) {
 		t.Error("a pair that fits, one after the other, was not taken over")
 	}
 	r.now = func() time.Time { return time.Now().Add(45 * time.Minute) }
-	r.Look()
-	r.Look()
+	r.Reload()
+	r.Reload()
 	if n := r.said("ends soon"); n != 1 {
 		t.Errorf("warned %d times ahead of the end", n)
 	}
 	r.now = func() time.Time { return time.Now().Add(3 * time.Hour) }
-	r.Look()
-	if r.said("has ended") == 0 || serial(r.Now()) != serialOf(t, second) {
+	r.Reload()
+	if r.said("has ended") == 0 || serial(r.Current()) != serialOf(t, second) {
 		t.Error("an end passed unsaid, or took the pair with it")
 	}
-	if _, err := Open(Files{r.files.CA, r.files.Key, ""}, 0, logging.To(r.log)); err == nil {
+	if _, err := Open(Files{r.files.CA, r.files.Key, ""}, 0, logging.NewFunc(r.log)); err == nil {
 		t.Error("a pair that does not fit is taken at the start")
 	}
 }
@@ -188,9 +188,9 @@
 	if err != nil {
 		return nil, err
 	}
-	secure, err := c.Client(ctx, conn, at)
+	secure, err := c.Handshake(ctx, conn, at)
 	if err == nil {
-		_ = secure.SetReadDeadline(time.Now().Add(base.Patience))
+		_ = secure.SetReadDeadline(time.Now().Add(base.Timeout))
 		_, err = secure.Read(make([]byte, 1))
 	}
 	if err != nil {
@@ -220,21 +220,21 @@
 		what     string
 		server   *tls.Config
 		name, id string
-		d        Upstream
+		d        UpstreamTLS
 		good     bool
 	}{
-		{"by address", node, "", "", Upstream{}, true},
-		{"by the service's name", node, "node7.example", "", Upstream{}, true},
-		{"by the entry's name", node, "wrong.example", "node7.example", Upstream{}, true},
-		{"by URI", node, "", uri, Upstream{}, true},
-		{"another's name", node, "", "node8.example", Upstream{}, false},
-		{"another's URI", node, "", uri + "0", Upstream{}, false},
-		{"another authority", foreign, "node7.example", "", Upstream{}, false},
-		{"an old version", old, "", "", Upstream{MinVersion: "1.3"}, false},
-		{"an old version, taken", old, "", "", Upstream{MinVersion: "1.2"}, true},
-		{"it wants a certificate", wants(ca), "", "", Upstream{Certificate: "y"}, true},
-		{"it wants one, and gets none", wants(ca), "", "", Upstream{}, false},
-		{"it wants another authority's", wants(other), "", "", Upstream{Certificate: "y"}, false},
+		{"by address", node, "", "", UpstreamTLS{}, true},
+		{"by the service's name", node, "node7.example", "", UpstreamTLS{}, true},
+		{"by the entry's name", node, "wrong.example", "node7.example", UpstreamTLS{}, true},
+		{"by URI", node, "", uri, UpstreamTLS{}, true},
+		{"another's name", node, "", "node8.example", UpstreamTLS{}, false},
+		{"another's URI", node, "", uri + "0", UpstreamTLS{}, false},
+		{"another authority", foreign, "node7.example", "", UpstreamTLS{}, false},
+		{"an old version", old, "", "", UpstreamTLS{MinVersion: "1.3"}, false},
+		{"an old version, taken", old, "", "", UpstreamTLS{MinVersion: "1.2"}, true},
+		{"it wants a certificate", wants(ca), "", "", UpstreamTLS{Certificate: "y"}, true},
+		{"it wants one, and gets none", wants(ca), "", "", UpstreamTLS{}, false},
+		{"it wants another authority's", wants(other), "", "", UpstreamTLS{Certificate: "y"}, false},
 	} {
 		r := newRig(t, mine, ca.PEM)
 		c.d.Name = c.name
@@ -258,7 +258,7 @@
 	r := newRig(t, base.Issue(t, ca, "a"), ca.PEM)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := shake(ctx, NewClient(r.Store, Upstream{}), endpoints.Instance{Address: listen(t, nil)}); err == nil {
+	if _, err := shake(ctx, NewClient(r.Store, UpstreamTLS{}), endpoints.Instance{Address: listen(t, nil)}); err == nil {
 		t.Error("a stalled handshake came up")
 	}
 }
@@ -267,7 +267,7 @@
 func TestAuthoritiesByOverlap(t *testing.T) {
 	old, new := base.CA(t, "old"), base.CA(t, "new")
 	r := newRig(t, base.Issue(t, old, "a"), old.PEM)
-	client := NewClient(r.Store, Upstream{})
+	client := NewClient(r.Store, UpstreamTLS{})
 	before := endpoints.Instance{Address: listen(t, base.ServerTLS(t, base.Issue(t, old, "127.0.0.1")))}
 	after := endpoints.Instance{Address: listen(t, base.ServerTLS(t, base.Issue(t, new, "127.0.0.1")))}
 	open := func(at endpoints.Instance) *tls.Conn {
@@ -281,16 +281,16 @@
 	}
 	kept := open(before)
 	base.Replace(t, r.files.CA, append(append([]byte{}, old.PEM...), new.PEM...))
-	r.Look()
+	r.Reload()
 	fresh := open(after)
 	open(before)
-	if !client.Trusts(kept, before) || !client.Trusts(fresh, after) {
+	if !client.StillTrusted(kept, before) || !client.StillTrusted(fresh, after) {
 		t.Error("a good connection is closed while both are trusted")
 	}
 	base.Replace(t, r.files.CA, new.PEM)
-	r.Look()
+	r.Reload()
 	for range 2 {
-		if client.Trusts(kept, before) || !client.Trusts(fresh, after) {
+		if client.StillTrusted(kept, before) || !client.StillTrusted(fresh, after) {
 			t.Error("a withdrawn authority is trusted, or the other is not")
 		}
 	}
--- a/internal/tlscredentials/store.go
+++ b/internal/tlscredentials/store.go
@@ -71,14 +71,14 @@
 	return s, nil
 }
 
-// Now is the material in use.
-func (s *Store) Now() *Material { return s.current.Load() }
+// Current is the material in use.
+func (s *Store) Current() *Material { return s.current.Load() }
 
 // Run follows the files until ctx ends.
-func (s *Store) Run(ctx context.Context) { filewatch.Watch(ctx, every, s.Look) }
+func (s *Store) Run(ctx context.Context) { filewatch.Watch(ctx, every, s.Reload) }
 
-// Look looks at the files now.
-func (s *Store) Look() {
+// Reload looks at the files now.
+func (s *Store) Reload() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	err := errors.Join(s.lookPair(), s.lookCA())
@@ -128,7 +128,7 @@
 	case now.Before(pair.Leaf.NotBefore):
 		return fmt.Errorf("%s begins on %s only", s.files.Certificate, pair.Leaf.NotBefore.UTC().Format(time.RFC3339))
 	}
-	m := *s.Now()
+	m := *s.Current()
 	first := m.Pair == nil
 	m.Pair = &pair
 	s.current.Store(&m)
@@ -154,7 +154,7 @@
 	if !pool.AppendCertsFromPEM(bytes.TrimSpace(c.Text)) {
 		return fmt.Errorf("%s holds no certificate of an authority", s.files.CA)
 	}
-	m := *s.Now()
+	m := *s.Current()
 	first := m.CA == nil
 	m.CA = pool
 	m.Generation++
@@ -168,7 +168,7 @@
 
 // warn tells of a certificate that ends soon, or has ended: it is still shown, since none may be worse.
 func (s *Store) warn() {
-	pair := s.Now().Pair
+	pair := s.Current().Pair
 	if pair == nil {
 		return
 	}
--- a/internal/tlscredentials/tls.go
+++ b/internal/tlscredentials/tls.go
@@ -15,9 +15,9 @@
 
 // Server is the configuration for clients' connections. Each handshake uses what the Store holds then; handshakes under
 // way, and connections that stand, go on with what they began with.
-func Server(s *Store, d Listener) *tls.Config {
+func Server(s *Store, d ListenerTLS) *tls.Config {
 	c := &tls.Config{MinVersion: version(d.MinVersion), NextProtos: []string{"http/1.1"}}
-	c.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.Now().Pair, nil }
+	c.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.Current().Pair, nil }
 	if d.Clients == "none" {
 		return c
 	}
@@ -32,7 +32,7 @@
 			}
 			return nil
 		}
-		return verify(state.PeerCertificates, s.Now().CA, x509.ExtKeyUsageClientAuth)
+		return verify(state.PeerCertificates, s.Current().CA, x509.ExtKeyUsageClientAuth)
 	}
 	return c
 }
@@ -46,7 +46,7 @@
 	return err
 }
 
-// Client makes connections to upstreams encrypted ones. It implements upstream.Secure, and is safe for concurrent use.
+// Client makes connections to upstreams encrypted ones. It implements upstream.TLSClient, and is safe for concurrent use.
 type Client struct {
 	store *Store
 	name  string // that certificates bear where an entry names none
@@ -64,14 +64,14 @@
 )
 
 // NewClient returns one by a service's declaration.
-func NewClient(s *Store, d Upstream) *Client {
+func NewClient(s *Store, d UpstreamTLS) *Client {
 	c := &Client{store: s, name: d.Name, sessions: tls.NewLRUClientSessionCache(sessions), trusted: map[*x509.Certificate]int64{}}
 	c.base = &tls.Config{MinVersion: version(d.MinVersion), NextProtos: []string{"http/1.1"},
 		// The library's own check knows no URIs, and no authorities that change: VerifyConnection does it, at each
 		// handshake and each resumption.
 		InsecureSkipVerify: true}
 	if d.Certificate != "" {
-		c.base.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return s.Now().Pair, nil }
+		c.base.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return s.Current().Pair, nil }
 	}
 	return c
 }
@@ -90,7 +90,7 @@
 		if len(state.PeerCertificates) == 0 {
 			return errors.New("the upstream shows no certificate")
 		}
-		if err := verify(state.PeerCertificates, c.store.Now().CA, x509.ExtKeyUsageServerAuth); err != nil {
+		if err := verify(state.PeerCertificates, c.store.Current().CA, x509.ExtKeyUsageServerAuth); err != nil {
 			return err
 		}
 		return bears(state.PeerCertificates[0], name, at.Address)
@@ -140,13 +140,13 @@
 	return leaf.VerifyHostname(name)
 }
 
-// Client makes a fresh connection an encrypted one.
-func (c *Client) Client(ctx context.Context, conn net.Conn, at endpoints.Instance) (*tls.Conn, error) {
-	return c.Speak(ctx, conn, at, "http/1.1")
+// Handshake makes a fresh connection an encrypted one.
+func (c *Client) Handshake(ctx context.Context, conn net.Conn, at endpoints.Instance) (*tls.Conn, error) {
+	return c.HandshakeALPN(ctx, conn, at, "http/1.1")
 }
 
-// Speak is Client for another protocol's connections, by its ALPN name.
-func (c *Client) Speak(ctx context.Context, conn net.Conn, at endpoints.Instance, protocol string) (*tls.Conn, error) {
+// HandshakeALPN is Client for another protocol's connections, by its ALPN name.
+func (c *Client) HandshakeALPN(ctx context.Context, conn net.Conn, at endpoints.Instance, protocol string) (*tls.Conn, error) {
 	config := c.Config(at)
 	config.NextProtos = []string{protocol}
 	t := tls.Client(conn, config)
@@ -156,10 +156,10 @@
 	return t, nil
 }
 
-// Trusts tells whether a connection made earlier would still be made now: by the authorities of now, and under the name
+// StillTrusted tells whether a connection made earlier would still be made now: by the authorities of now, and under the name
 // of now.
-func (c *Client) Trusts(t *tls.Conn, at endpoints.Instance) bool {
-	m := c.store.Now()
+func (c *Client) StillTrusted(t *tls.Conn, at endpoints.Instance) bool {
+	m := c.store.Current()
 	state := t.ConnectionState()
 	if len(state.PeerCertificates) == 0 {
 		return false
