--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -31,14 +31,14 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Mistake is one thing that is wrong. Line and Column count from 1; 0: it stands nowhere, as a key that is missing.
-type Mistake struct {
+// Problem is one thing that is wrong. Line and Column count from 1; 0: it stands nowhere, as a key that is missing.
+type Problem struct {
 	Line, Column int
 	Key          string // its whole path: service[0].class[1].aim
 	Reason       string
 }
 
-func (m Mistake) Error() string {
+func (m Problem) Error() string {
 	if m.Line == 0 {
 		return m.Key + ": " + m.Reason
 	}
@@ -55,8 +55,8 @@
 type Document struct {
 	text     []byte
 	at       map[string]int // by path: where in the text
-	mistakes []Mistake
-	seen     map[Mistake]bool
+	mistakes []Problem
+	seen     map[Problem]bool
 	broken   bool
 }
 
@@ -69,7 +69,7 @@
 // Decode fills a pointer to a declaration, with defaults where the text has no key. The Document tells what is wrong
 // with the text; what could be read has been filled in all the same.
 func Decode(text []byte, into any) *Document {
-	d := &Document{text: text, at: map[string]int{}, seen: map[Mistake]bool{}}
+	d := &Document{text: text, at: map[string]int{}, seen: map[Problem]bool{}}
 	v := reflect.ValueOf(into).Elem()
 	setDefaults(v)
 	if len(text) > MaxBytes {
@@ -80,7 +80,7 @@
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		d.broken = true
-		m := Mistake{Line: 1, Column: 1, Key: "file", Reason: oneLine(err.Error())}
+		m := Problem{Line: 1, Column: 1, Key: "file", Reason: oneLine(err.Error())}
 		var de *toml.DecodeError
 		if errors.As(err, &de) {
 			m.Line, m.Column = de.Position()
@@ -97,7 +97,7 @@
 
 // Report notes a mistake at a key's whole path; where that stands nowhere, at the nearest table round it.
 func (d *Document) Report(path, format string, args ...any) {
-	m := Mistake{Key: cmp.Or(path, "file"), Reason: oneLine(fmt.Sprintf(format, args...))}
+	m := Problem{Key: cmp.Or(path, "file"), Reason: oneLine(fmt.Sprintf(format, args...))}
 	m.Line, m.Column = d.position(path)
 	if !d.seen[m] {
 		d.seen[m] = true
@@ -133,11 +133,11 @@
 	return ok
 }
 
-// Mistakes is all that is wrong, in the order of the text; what stands nowhere comes last.
-func (d *Document) Mistakes() []Mistake {
+// Problems is all that is wrong, in the order of the text; what stands nowhere comes last.
+func (d *Document) Problems() []Problem {
 	out := slices.Clone(d.mistakes)
-	line := func(m Mistake) int { return (m.Line - 1) & (1<<31 - 1) }
-	slices.SortStableFunc(out, func(a, b Mistake) int {
+	line := func(m Problem) int { return (m.Line - 1) & (1<<31 - 1) }
+	slices.SortStableFunc(out, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(line(a), line(b)), cmp.Compare(a.Column, b.Column))
 	})
 	return out
@@ -227,7 +227,7 @@
 func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
 
 // Text writes Mistakes one a line, each behind the file's name.
-func Text(name string, mistakes []Mistake) string {
+func Text(name string, mistakes []Problem) string {
 	var b bytes.Buffer
 	for _, m := range mistakes {
 		fmt.Fprintf(&b, "%s:%s\n", name, strings.TrimPrefix(m.Error(), ":"))
--- a/internal/upstream/by_test.go
+++ b/internal/upstream/by_test.go
@@ -30,7 +30,7 @@
 	by := time.Now().Add(20 * time.Millisecond)
 	repeat := make(chan balancer.Result, 1)
 	go func() {
-		repeat <- u.AttemptWithin(t.Context(), "s", testRequest("POST", "repeat"), Terms{By: by}).Result
+		repeat <- u.AttemptWithOptions(t.Context(), "s", testRequest("POST", "repeat"), AttemptOptions{SendBy: by}).Result
 	}()
 	time.Sleep(time.Until(by.Add(time.Millisecond)))
 	close(release)
@@ -40,7 +40,7 @@
 	if got := <-repeat; got != balancer.NotSent {
 		t.Errorf("the repeat: %v", got)
 	}
-	if got := u.AttemptWithin(t.Context(), "s", testRequest("POST", "in time"), Terms{By: time.Now().Add(time.Minute)}).Result; got != balancer.OK {
+	if got := u.AttemptWithOptions(t.Context(), "s", testRequest("POST", "in time"), AttemptOptions{SendBy: time.Now().Add(time.Minute)}).Result; got != balancer.OK {
 		t.Errorf("one in time: %v", got)
 	}
 	if n := len(s.Requests()); n != 2 {
@@ -65,7 +65,7 @@
 	}()
 	slow := testPool(t, 1, testutil.Entry("s", l.Addr().String(), "Ready"))
 	large := NewRequest(http.MethodPost, "/record/1", "s", nil, make([]byte, 32<<20))
-	if got := slow.AttemptWithin(t.Context(), "s", large, Terms{By: time.Now().Add(50 * time.Millisecond)}).Result; got != balancer.NotSent {
+	if got := slow.AttemptWithOptions(t.Context(), "s", large, AttemptOptions{SendBy: time.Now().Add(50 * time.Millisecond)}).Result; got != balancer.NotSent {
 		t.Errorf("a body that is taken too slowly: %v", got)
 	}
 	close(repeat)
@@ -75,9 +75,9 @@
 	slowly := make(chan balancer.Result, 1)
 	by = time.Now().Add(300 * time.Millisecond)
 	go func() {
-		slowly <- comesUp.AttemptWithin(t.Context(), "s", testRequest("GET", ""), Terms{By: by}).Result
+		slowly <- comesUp.AttemptWithOptions(t.Context(), "s", testRequest("GET", ""), AttemptOptions{SendBy: by}).Result
 	}()
-	testutil.Eventually(t, "it waits for its connection", func() bool { return comesUp.slots.Held() == 1 })
+	testutil.Eventually(t, "it waits for its connection", func() bool { return comesUp.slots.Total() == 1 })
 	time.Sleep(time.Until(by)) // the moment itself: connections come up later, see base.Late
 	late.ComeUp()
 	if got := <-slowly; got != balancer.NotSent {
--- a/internal/upstream/caller_test.go
+++ b/internal/upstream/caller_test.go
@@ -25,7 +25,7 @@
 	defer leave()
 	ended := make(chan balancer.Result, 3)
 	attempt := func(u *Pool) {
-		ended <- u.AttemptWithin(t.Context(), "s", testRequest("GET", ""), Terms{Caller: caller}).Result
+		ended <- u.AttemptWithOptions(t.Context(), "s", testRequest("GET", ""), AttemptOptions{Caller: caller}).Result
 	}
 	comesUp := testPool(t, 4, testutil.Entry("s", late.Address, "Ready"))
 	go attempt(comesUp)
@@ -34,7 +34,7 @@
 	go func() { first <- busy.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}).Result }()
 	testutil.Eventually(t, "another request has the connection", func() bool { return len(s.Requests()) == 1 })
 	go attempt(busy)
-	testutil.Eventually(t, "both wait", func() bool { return busy.slots.Waiting("") == 1 && comesUp.slots.Held() == 1 })
+	testutil.Eventually(t, "both wait", func() bool { return busy.slots.Waiting("") == 1 && comesUp.slots.Total() == 1 })
 	left := time.Now()
 	leave()
 	for range 2 {
@@ -42,7 +42,7 @@
 			t.Errorf("one that waited: %v", got)
 		}
 	}
-	if took := time.Since(left); took > testutil.Patience/2 {
+	if took := time.Since(left); took > testutil.Timeout/2 {
 		t.Errorf("they waited on for %v", took)
 	}
 	late.ComeUp()
@@ -52,10 +52,10 @@
 	}
 	off, end := context.WithCancel(t.Context())
 	end()
-	if got := busy.AttemptWithin(off, "s", testRequest("GET", ""), Terms{}).Result; got != balancer.NotSent {
+	if got := busy.AttemptWithOptions(off, "s", testRequest("GET", ""), AttemptOptions{}).Result; got != balancer.NotSent {
 		t.Errorf("one that was called off: %v", got)
 	}
-	if got := busy.AttemptWithin(t.Context(), "s", testRequest("GET", ""), Terms{Caller: caller}).Result; got != balancer.NotSent {
+	if got := busy.AttemptWithOptions(t.Context(), "s", testRequest("GET", ""), AttemptOptions{Caller: caller}).Result; got != balancer.NotSent {
 		t.Errorf("one whose caller had left: %v", got)
 	}
 	if got := comesUp.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}).Result; got != balancer.OK {
--- a/internal/upstream/connects_test.go
+++ b/internal/upstream/connects_test.go
@@ -67,7 +67,7 @@
 		if got := u.Attempt(t.Context(), "good", testRequest("GET", ""), time.Time{}); got.Result != balancer.OK {
 			t.Fatalf("%+v", got)
 		}
-		u.Drop("good")
+		u.CloseUpstream("good")
 	}
 	begun := time.Now()
 	got := u.Attempt(context.Background(), "lost", testRequest("GET", ""), time.Time{})
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -32,8 +32,8 @@
 	Gate Gate
 	// Written, where there is one, is called with each attempt whose last byte has been written.
 	Written func()
-	// Whole has each answer taken whole, as far as Options.MaxAnswer; else a long one is passed on as it comes, as Reply.Rest.
-	Whole bool
+	// Whole has each answer taken whole, as far as Options.MaxAnswerBytes; else a long one is passed on as it comes, as Reply.Remainder.
+	CompleteOnly bool
 }
 
 // Gate lets attempts begin as long as it is open. Whoever shuts it may wait for those that are being written.
@@ -102,34 +102,34 @@
 	return append(out, r.body...)
 }
 
-// Reply is how an attempt ended; the rest belongs to an answer.
-type Reply struct {
-	Result balancer.Result
-	Status int
-	Header http.Header
-	Body   []byte
-	Held   int64 // of Pool.Bytes, which whoever has the Reply gives back by Free
-	Rest   *Rest // what follows Body, to be ended by its End; nil: nothing
-	Spent  bool  // the request's body can't be had again
+// Response is how an attempt ended; the rest belongs to an answer.
+type Response struct {
+	Result        balancer.Result
+	Status        int
+	Header        http.Header
+	Body          []byte
+	ReservedBytes int64      // of Pool.Bytes, which whoever has the Reply gives back by Free
+	Remainder     *Remainder // what follows Body, to be ended by its End; nil: nothing
+	BodyConsumed  bool       // the request's body can't be had again
 }
 
 // Free gives back what a Reply holds.
-func (u *Pool) Free(r Reply) {
-	if r.Held > 0 {
-		u.bytes.Release(u.service, r.Held)
+func (u *Pool) Free(r Response) {
+	if r.ReservedBytes > 0 {
+		u.bytes.Release(u.service, r.ReservedBytes)
 	}
 }
 
 // Attempt sends a request to an upstream once, and waits for its end or that of ctx. The upstream is told to answer
 // until deadline; zero: it is told nothing.
-func (u *Pool) Attempt(ctx context.Context, name string, r *Request, deadline time.Time) Reply {
-	return u.AttemptWithin(ctx, name, r, Terms{Deadline: deadline})
+func (u *Pool) Attempt(ctx context.Context, name string, r *Request, deadline time.Time) Response {
+	return u.AttemptWithOptions(ctx, name, r, AttemptOptions{Deadline: deadline})
 }
 
-// Terms bound one attempt.
-type Terms struct {
+// AttemptOptions bound one attempt.
+type AttemptOptions struct {
 	Deadline time.Time       // the upstream is told to answer until then; zero: it is told nothing
-	By       time.Time       // the last byte is to be written before; what is not has not been sent. Zero: at any time
+	SendBy   time.Time       // the last byte is to be written before; what is not has not been sent. Zero: at any time
 	Caller   context.Context // once it has ended nobody waits for the answer, and nothing is begun; nil: it does not end
 	// Cancel, where there is one, ends an attempt that has begun and whose caller has left: what it would tell of its upstream is worth
 	// less than its connection to those who wait for one.
@@ -139,16 +139,16 @@
 }
 
 // left tells whether nobody waits for the answer any more.
-func (t *Terms) left() bool { return t.Caller != nil && t.Caller.Err() != nil }
+func (t *AttemptOptions) left() bool { return t.Caller != nil && t.Caller.Err() != nil }
 
 // late tells whether the last byte can't be written in time any more.
-func (t *Terms) late() bool { return !t.By.IsZero() && !time.Now().Before(t.By) }
+func (t *AttemptOptions) late() bool { return !t.SendBy.IsZero() && !time.Now().Before(t.SendBy) }
 
-// AttemptWithin is Attempt within terms.
-func (u *Pool) AttemptWithin(ctx context.Context, name string, r *Request, t Terms) Reply {
+// AttemptWithOptions is Attempt within terms.
+func (u *Pool) AttemptWithOptions(ctx context.Context, name string, r *Request, t AttemptOptions) Response {
 	at, ok := u.dir.Instance(name)
 	if !ok {
-		return Reply{Result: balancer.NotSent}
+		return Response{Result: balancer.NotSent}
 	}
 	if t.Caller != nil && t.Caller.Done() != nil && t.Cancel != nil {
 		defer u.follow(&t)()
@@ -157,13 +157,13 @@
 		c, reused, err := u.connectionFor(ctx, t.Caller, name, at)
 		switch {
 		case err != nil && t.left():
-			return Reply{Result: balancer.NotSent}
+			return Response{Result: balancer.NotSent}
 		case errors.Is(err, errSaturated): // says nothing of the upstream
-			return Reply{Result: balancer.NotSent}
+			return Response{Result: balancer.NotSent}
 		case err != nil && ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded):
-			return Reply{Result: balancer.Cancelled}
+			return Response{Result: balancer.Cancelled}
 		case err != nil:
-			return Reply{Result: balancer.ConnectFailed}
+			return Response{Result: balancer.ConnectFailed}
 		}
 		rep, reusable, lingers := u.exchange(ctx, c, r, t)
 		switch {
@@ -173,7 +173,7 @@
 		default:
 			u.discard(c)
 		}
-		if reused && rep.Result == balancer.ConnectFailed && !rep.Spent {
+		if reused && rep.Result == balancer.ConnectFailed && !rep.BodyConsumed {
 			continue // closed as the request was written: not sent whole, and says nothing of the upstream
 		}
 		return rep
@@ -182,7 +182,7 @@
 
 // exchange writes the request and reads its answer, with nothing else of the connection's running beside it: what
 // was written and what came is known here to the byte. A connection is reusable only if nothing is left of it.
-func (u *Pool) exchange(ctx context.Context, c *poolConn, r *Request, t Terms) (rep Reply, reusable, lingers bool) {
+func (u *Pool) exchange(ctx context.Context, c *poolConn, r *Request, t AttemptOptions) (rep Response, reusable, lingers bool) {
 	var gaveUp chan struct{} // closed once giveUp has ended
 	if c.secure != nil {
 		gaveUp = make(chan struct{})
@@ -195,18 +195,18 @@
 	})
 	settle := func() bool { return running() || c.secure != nil && c.takeBack(ctx, gaveUp) }
 	defer func() {
-		if rep.Rest == nil && !settle() { // called off as its answer came
+		if rep.Remainder == nil && !settle() { // called off as its answer came
 			reusable = false
 		}
 	}()
-	ended := func(otherwise balancer.Result) Reply {
+	ended := func(otherwise balancer.Result) Response {
 		switch {
 		case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
-			return Reply{Result: balancer.Timeout}
+			return Response{Result: balancer.Timeout}
 		case ctx.Err() != nil:
-			return Reply{Result: balancer.Cancelled}
+			return Response{Result: balancer.Cancelled}
 		}
-		return Reply{Result: otherwise}
+		return Response{Result: otherwise}
 	}
 	buffer := outgoing.Get().(*[]byte)
 	defer outgoing.Put(buffer)
@@ -214,26 +214,26 @@
 	// Guards against sends to an upstream that discovery reported draining between the decision and the write,
 	// while a connection was made, say.
 	if !u.dir.Ready(c.name, c.at) {
-		return Reply{Result: balancer.NotSent}, false, false
+		return Response{Result: balancer.NotSent}, false, false
 	}
 	// It may have waited for its connection: nothing is begun that nobody waits for, that has been called off, or that its group
 	// would take for a new request.
 	if t.left() || ctx.Err() != nil || t.late() {
-		return Reply{Result: balancer.NotSent}, true, false
+		return Response{Result: balancer.NotSent}, true, false
 	}
 	if r.Gate != nil && !r.Gate.Enter() {
-		return Reply{Result: balancer.NotSent}, true, false
+		return Response{Result: balancer.NotSent}, true, false
 	}
 	var up *upload // a long body's
 	if r.long() {
-		up = r.start(c, *buffer, t.By)
+		up = r.start(c, *buffer, t.SendBy)
 		defer func() {
 			whole := up.stop()
 			reusable = c.SetWriteDeadline(time.Time{}) == nil && whole && reusable
 		}()
 	} else {
-		if !t.By.IsZero() {
-			_ = c.SetWriteDeadline(t.By) // the write shows it
+		if !t.SendBy.IsZero() {
+			_ = c.SetWriteDeadline(t.SendBy) // the write shows it
 		}
 		out, err := c.send(*buffer)
 		if r.Gate != nil {
@@ -244,11 +244,11 @@
 		}
 		if err != nil {
 			if t.late() {
-				return Reply{Result: balancer.NotSent}, false, false
+				return Response{Result: balancer.NotSent}, false, false
 			}
 			return ended(balancer.ConnectFailed), false, false
 		}
-		if !t.By.IsZero() {
+		if !t.SendBy.IsZero() {
 			_ = c.SetWriteDeadline(time.Time{})
 		}
 		if r.Written != nil {
@@ -257,7 +257,7 @@
 	}
 	in := newAnswerReader(c)
 	defer func() {
-		if rep.Rest == nil {
+		if rep.Remainder == nil {
 			in.release()
 		}
 	}()
@@ -278,7 +278,7 @@
 			}
 			return r.unsent(result), false, false
 		default: // whoever answers may have begun, whatever it has read
-			rep = Reply{Result: in.failure(), Spent: r.Upload != nil && r.Upload.Spent()}
+			rep = Response{Result: in.failure(), BodyConsumed: r.Upload != nil && r.Upload.Consumed()}
 			if err == nil {
 				rep.Result = balancer.ServerError
 				if u.answers.Has(resp.StatusCode) {
@@ -287,7 +287,7 @@
 			}
 			return rep, false, false
 		}
-		defer func() { rep.Spent = r.Upload != nil && r.Upload.Spent() }()
+		defer func() { rep.BodyConsumed = r.Upload != nil && r.Upload.Consumed() }()
 	}
 	if err != nil {
 		if c.secure != nil && in.limited.left == httpheader.MaxBytes && errors.Is(err, os.ErrDeadlineExceeded) {
@@ -305,25 +305,25 @@
 	switch {
 	case r.isHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified:
 		whole = resp.StatusCode >= 200
-	case served && !r.Whole && resp.StatusCode >= 200 && (resp.ContentLength < 0 || resp.ContentLength > keptWhole && resp.ContentLength <= MaxPassed):
+	case served && !r.CompleteOnly && resp.StatusCode >= 200 && (resp.ContentLength < 0 || resp.ContentLength > keptWhole && resp.ContentLength <= MaxPassThroughBytes):
 		if held = u.holdPart(); held < 0 {
-			return Reply{Result: balancer.Cancelled}, false, false
+			return Response{Result: balancer.Cancelled}, false, false
 		}
 		first, rest, err := u.passOn(ctx, c, in, resp, settle)
 		if err != nil {
-			u.Free(Reply{Held: held})
+			u.Free(Response{ReservedBytes: held})
 			return ended(in.failure()), false, false
 		}
 		header := httpheader.EndToEnd(resp.Header)
-		delete(header, httpheader.Load)
-		return Reply{balancer.OK, resp.StatusCode, header, first, held, rest, false}, rest == nil && !resp.Close && in.Buffered() == 0, rest != nil
+		delete(header, httpheader.LoadReport)
+		return Response{balancer.OK, resp.StatusCode, header, first, held, rest, false}, rest == nil && !resp.Close && in.Buffered() == 0, rest != nil
 	case whole:
 		if held = u.hold(resp); held < 0 { // of ours, and says nothing of the upstream; it has run
-			return Reply{Result: balancer.Cancelled}, false, false
+			return Response{Result: balancer.Cancelled}, false, false
 		}
 		defer func() {
-			if rep.Held == 0 {
-				u.Free(Reply{Held: held})
+			if rep.ReservedBytes == 0 {
+				u.Free(Response{ReservedBytes: held})
 			}
 		}()
 		body, err = in.body(resp, u.maxAnswer)
@@ -335,15 +335,15 @@
 	reusable = whole && !resp.Close && in.Buffered() == 0
 	switch status := resp.StatusCode; {
 	case turnedAway(resp, nil):
-		return Reply{Result: balancer.Rejected}, reusable, false
+		return Response{Result: balancer.Rejected}, reusable, false
 	case served && !whole: // of no end, or of too much: what came is not served in parts
-		return Reply{Result: balancer.Malformed}, false, false
+		return Response{Result: balancer.Malformed}, false, false
 	case served:
 		header := httpheader.EndToEnd(resp.Header)
-		delete(header, httpheader.Load)
-		return Reply{balancer.OK, status, header, body, held, nil, false}, reusable, false
+		delete(header, httpheader.LoadReport)
+		return Response{balancer.OK, status, header, body, held, nil, false}, reusable, false
 	}
-	return Reply{Result: balancer.ServerError}, reusable, false
+	return Response{Result: balancer.ServerError}, reusable, false
 }
 
 // turnedAway tells whether the upstream says that it has not begun the request.
--- a/internal/upstream/loadprobe/probe_test.go
+++ b/internal/upstream/loadprobe/probe_test.go
@@ -16,10 +16,10 @@
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Default()
-		o.Each = rapid.IntRange(2, 8).Draw(t, "each")
-		o.Share = float64(rapid.IntRange(1, 16).Draw(t, "share")) / 2
+		o.UpstreamsPerRequest = rapid.IntRange(2, 8).Draw(t, "each")
+		o.ProbesPerRequest = float64(rapid.IntRange(1, 16).Draw(t, "share")) / 2
 		o.Rate = float64(rapid.IntRange(1, 500).Draw(t, "rate"))
-		o.Heard = units.Duration(time.Duration(rapid.IntRange(0, 1000).Draw(t, "heard")) * time.Millisecond)
+		o.SampleInterval = units.Duration(time.Duration(rapid.IntRange(0, 1000).Draw(t, "heard")) * time.Millisecond)
 		p := New(o, rand.New(rand.NewPCG(1, 2)))
 		members, out, known := map[string]bool{}, map[string]bool{}, map[string]time.Duration{}
 		var now time.Duration
@@ -47,18 +47,18 @@
 				}
 			default:
 				requests++
-				for _, name := range p.Ask(now) {
-					if at, has := known[name]; !members[name] || out[name] || has && now-at < o.Fresh.D() {
+				for _, name := range p.Targets(now) {
+					if at, has := known[name]; !members[name] || out[name] || has && now-at < o.MaxAge.D() {
 						t.Fatalf("%s is asked: member %v, asked %v, answered at %v, now %v", name, members[name], out[name], at, now)
 					}
 					out[name] = true
 					probes++
 				}
 			}
-			if p.Len() != len(members) || p.Asking() != len(out) {
-				t.Fatalf("%d members, %d asked; want %d, %d", p.Len(), p.Asking(), len(members), len(out))
+			if p.Len() != len(members) || p.InFlight() != len(out) {
+				t.Fatalf("%d members, %d asked; want %d, %d", p.Len(), p.InFlight(), len(members), len(out))
 			}
-			if most := o.Share * float64(requests); float64(probes) > most {
+			if most := o.ProbesPerRequest * float64(requests); float64(probes) > most {
 				t.Fatalf("%d probes for %d requests", probes, requests)
 			}
 			if most := burst(o) + o.Rate*now.Seconds(); float64(probes) > most+1e-6 {
@@ -82,7 +82,7 @@
 		asked := 0
 		for i := range 20 * c.perSecond {
 			now := time.Duration(i) * time.Second / time.Duration(c.perSecond)
-			names := p.Ask(now)
+			names := p.Targets(now)
 			for _, name := range names {
 				p.Answered(now, name, true)
 			}
@@ -94,8 +94,8 @@
 			t.Errorf("%d members, %d requests a second: %d probes", c.members, c.perSecond, asked)
 		}
 	}
-	for _, change := range []func(*Options){func(o *Options) { o.Each = 1 }, func(o *Options) { o.Share = 0 }, func(o *Options) { o.Rate = 0 },
-		func(o *Options) { o.Patience = 0 }, func(o *Options) { o.Path = "load" }} {
+	for _, change := range []func(*Options){func(o *Options) { o.UpstreamsPerRequest = 1 }, func(o *Options) { o.ProbesPerRequest = 0 }, func(o *Options) { o.Rate = 0 },
+		func(o *Options) { o.Timeout = 0 }, func(o *Options) { o.Path = "load" }} {
 		o, bad := Default(), 0
 		change(&o)
 		if o.Check(func(string, string, ...any) { bad++ }); bad == 0 {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -30,27 +30,27 @@
 
 // Options are a Pool's parameters.
 type Options struct {
-	Directory      *endpoints.Registry
+	Registry       *endpoints.Registry
 	ConnectTimeout time.Duration
-	Idle           time.Duration // upstreams close connections that are idle for this long
-	Connections    int           // open at once, at most; not used where Slots is given
-	MaxAnswer      int           // bytes of an answer's body, at most
-
-	Slots   *bulkhead.Semaphore  // of connections, shared with other services
-	Service string               // the name that Slots knows this one by
-	Bytes   *bulkhead.Semaphore  // of answers in hand, shared with other services; nil: not counted
-	Answers *httpheader.Statuses // what counts as served; nil: 200 alone
-	Secure  Secure               // nil: connections are not encrypted
-	Warm    *prewarm.Warmer      // has KeepWarm open connections ahead of use; nil: none are
+	IdleTimeout    time.Duration // upstreams close connections that are idle for this long
+	MaxConnections int           // open at once, at most; not used where Slots is given
+	MaxAnswerBytes int           // bytes of an answer's body, at most
+
+	ConnectionSlots *bulkhead.Semaphore  // of connections, shared with other services
+	Service         string               // the name that Slots knows this one by
+	AnswerBytes     *bulkhead.Semaphore  // of answers in hand, shared with other services; nil: not counted
+	SuccessStatuses *httpheader.Statuses // what counts as served; nil: 200 alone
+	TLS             TLSClient            // nil: connections are not encrypted
+	Prewarmer       *prewarm.Prewarmer   // has Prewarm open connections ahead of use; nil: none are
 }
 
-// Secure encrypts connections.
-type Secure interface {
+// TLSClient encrypts connections.
+type TLSClient interface {
 	// Client makes a fresh connection one to the upstream at that place, and proves that it is that upstream. It ends
 	// with ctx.
-	Client(ctx context.Context, conn net.Conn, at endpoints.Instance) (*tls.Conn, error)
+	Handshake(ctx context.Context, conn net.Conn, at endpoints.Instance) (*tls.Conn, error)
 	// Trusts tells whether a connection made earlier would still be made now.
-	Trusts(conn *tls.Conn, at endpoints.Instance) bool
+	StillTrusted(conn *tls.Conn, at endpoints.Instance) bool
 }
 
 // Pool holds the connections to upstreams. It is safe for concurrent use.
@@ -65,13 +65,13 @@
 	service        string
 	bytes          *bulkhead.Semaphore
 	answers        *httpheader.Statuses
-	secure         Secure
+	secure         TLSClient
 	connects       connects
 	dialTCP        func(ctx context.Context, address string) (net.Conn, error)
 
 	mu        sync.Mutex
-	idle      map[string][]*poolConn // by upstream, the one idle for longest first
-	abandoned map[*Terms]bool        // attempts under way whose callers have left
+	idle      map[string][]*poolConn   // by upstream, the one idle for longest first
+	abandoned map[*AttemptOptions]bool // attempts under way whose callers have left
 	closed    bool
 	warm      *warming // nil: nothing is opened ahead
 }
@@ -79,32 +79,32 @@
 // New returns an empty Pool. Whoever owns the Directory tells it of upstreams whose connections are no longer
 // wanted, by Drop.
 func New(o Options) *Pool {
-	u := &Pool{dir: o.Directory, connectTimeout: o.ConnectTimeout, slots: o.Slots, service: o.Service, bytes: o.Bytes,
-		rest: restFor, maxAnswer: o.MaxAnswer, answers: o.Answers, secure: o.Secure,
-		maxIdle:    time.Duration(float64(o.Idle) * idlePart),
-		sweepEvery: time.Duration(float64(o.Idle) * sweepPart), idle: map[string][]*poolConn{}, abandoned: map[*Terms]bool{}}
+	u := &Pool{dir: o.Registry, connectTimeout: o.ConnectTimeout, slots: o.ConnectionSlots, service: o.Service, bytes: o.AnswerBytes,
+		rest: restFor, maxAnswer: o.MaxAnswerBytes, answers: o.SuccessStatuses, secure: o.TLS,
+		maxIdle:    time.Duration(float64(o.IdleTimeout) * idlePart),
+		sweepEvery: time.Duration(float64(o.IdleTimeout) * sweepPart), idle: map[string][]*poolConn{}, abandoned: map[*AttemptOptions]bool{}}
 	u.dialTCP = func(ctx context.Context, address string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	}
-	if o.Warm != nil {
-		u.warm = &warming{w: o.Warm, open: map[string]int{}, used: map[string]bool{}}
+	if o.Prewarmer != nil {
+		u.warm = &warming{w: o.Prewarmer, open: map[string]int{}, used: map[string]bool{}}
 	}
 	if u.answers == nil {
 		u.answers = httpheader.Only200()
 	}
 	if u.slots == nil {
 		var err error
-		u.slots, err = bulkhead.NewSemaphore(int64(max(1, o.Connections)), 1, []bulkhead.Share{{Name: o.Service, Weight: 1}})
+		u.slots, err = bulkhead.NewSemaphore(int64(max(1, o.MaxConnections)), 1, []bulkhead.Share{{Name: o.Service, Weight: 1}})
 		if err != nil { // one service has all of it
 			panic(err)
 		}
 	}
-	u.Claim()
+	u.EvictOnContention()
 	return u
 }
 
-// Claim makes this pool the one that is asked for idle connections of its service, in place of another of that name.
-func (u *Pool) Claim() { u.slots.OnWanted(u.service, u.evict) }
+// EvictOnContention makes this pool the one that is asked for idle connections of its service, in place of another of that name.
+func (u *Pool) EvictOnContention() { u.slots.OnContention(u.service, u.evict) }
 
 // Close closes all idle connections; those in use end with what they carry. Nothing is sent after it, since the
 // Directory is empty by then or its owner's Gates are shut.
@@ -120,8 +120,8 @@
 	}
 }
 
-// SetDirectory names the Directory, where that was made after the Pool. It comes before the first attempt.
-func (u *Pool) SetDirectory(d *endpoints.Registry) { u.dir = d }
+// SetRegistry names the Directory, where that was made after the Pool. It comes before the first attempt.
+func (u *Pool) SetRegistry(d *endpoints.Registry) { u.dir = d }
 
 // poolConn is one connection. Nothing reads from it between exchanges: see quiet.
 type poolConn struct {
@@ -254,7 +254,7 @@
 	u.warm.opened(name, 1)
 	if c.raw, err = conn.(*net.TCPConn).SyscallConn(); err == nil && u.secure != nil {
 		c.below = &counted{Conn: conn}
-		if c.secure, err = u.secure.Client(ctx, c.below, at); err == nil {
+		if c.secure, err = u.secure.Handshake(ctx, c.below, at); err == nil {
 			c.Conn = c.secure
 		}
 	}
@@ -285,7 +285,7 @@
 }
 
 // follow has an attempt give its connection up once its caller has left and another waits for one. The returned function ends that.
-func (u *Pool) follow(t *Terms) (end func()) {
+func (u *Pool) follow(t *AttemptOptions) (end func()) {
 	left := func() {
 		u.mu.Lock()
 		defer u.mu.Unlock()
@@ -389,10 +389,12 @@
 }
 
 // trusted tells whether the connection would still be made: the authority that vouched for it may have been withdrawn.
-func (u *Pool) trusted(c *poolConn) bool { return c.secure == nil || u.secure.Trusts(c.secure, c.at) }
+func (u *Pool) trusted(c *poolConn) bool {
+	return c.secure == nil || u.secure.StillTrusted(c.secure, c.at)
+}
 
-// Idle is how many connections are open and not in use.
-func (u *Pool) Idle() (n int) {
+// IdleCount is how many connections are open and not in use.
+func (u *Pool) IdleCount() (n int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, idle := range u.idle {
@@ -401,8 +403,8 @@
 	return n
 }
 
-// Drop closes an upstream's idle connections; those in use end with what they carry, see put.
-func (u *Pool) Drop(name string) {
+// CloseUpstream closes an upstream's idle connections; those in use end with what they carry, see put.
+func (u *Pool) CloseUpstream(name string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.idle[name] {
--- a/internal/upstream/prewarm/warm.go
+++ b/internal/upstream/prewarm/warm.go
@@ -4,7 +4,7 @@
 // random numbers are its caller's.
 //
 // A member is opened to when it is new, at a random moment within Options.Spread, and again while it was used within
-// Options.Recent and has fewer than Options.Each open. Three bounds hold: Options.Rate a second, Options.Part of all connections
+// Options.IdleAfter and has fewer than Options.ConnectionsPerUpstream open. Three bounds hold: Options.Rate a second, Options.MaxFraction of all connections
 // that there may be, and a wait between tries of one that can't be had that doubles up to backoffMost. So an upstream that M
 // sidecars have among their own gets at most M x Each connections ahead of use, spread over Spread when it starts.
 package prewarm
@@ -21,29 +21,29 @@
 
 // Options are a Warmer's parameters, and its part of the operator's file.
 type Options struct {
-	On     bool           `toml:"on" doc:"Opens connections to its own upstreams before requests need them."`
-	Each   int            `toml:"each" default:"1" doc:"Connections that each upstream of its own is to have open, idle or in use."`
-	Rate   float64        `toml:"rate" default:"20" doc:"Connections opened ahead a second, at most."`
-	Spread units.Duration `toml:"spread" default:"2s" doc:"An upstream that is new is connected to at a random moment within this."`
-	Recent units.Duration `toml:"recent" default:"1m" doc:"An upstream that was not asked for so long is not connected to again."`
-	Part   float64        `toml:"part" default:"0.25" doc:"Nothing is opened ahead once this part of the connections that there may be is open."`
+	Enabled                bool           `toml:"on" doc:"Opens connections to its own upstreams before requests need them."`
+	ConnectionsPerUpstream int            `toml:"each" default:"1" doc:"Connections that each upstream of its own is to have open, idle or in use."`
+	Rate                   float64        `toml:"rate" default:"20" doc:"Connections opened ahead a second, at most."`
+	Spread                 units.Duration `toml:"spread" default:"2s" doc:"An upstream that is new is connected to at a random moment within this."`
+	IdleAfter              units.Duration `toml:"recent" default:"1m" doc:"An upstream that was not asked for so long is not connected to again."`
+	MaxFraction            float64        `toml:"part" default:"0.25" doc:"Nothing is opened ahead once this part of the connections that there may be is open."`
 }
 
 // Default is what holds where nothing is said.
 func Default() Options {
-	return Options{Each: 1, Rate: 20, Spread: units.Duration(2 * time.Second), Recent: units.Duration(time.Minute), Part: 0.25}
+	return Options{ConnectionsPerUpstream: 1, Rate: 20, Spread: units.Duration(2 * time.Second), IdleAfter: units.Duration(time.Minute), MaxFraction: 0.25}
 }
 
 // Check is tomlfile.Checker's.
 func (o *Options) Check(report func(key, format string, args ...any)) {
-	if o.Each < 1 || o.Each > 64 {
-		report("each", "%d is not from 1 to 64", o.Each)
+	if o.ConnectionsPerUpstream < 1 || o.ConnectionsPerUpstream > 64 {
+		report("each", "%d is not from 1 to 64", o.ConnectionsPerUpstream)
 	}
 	if !(o.Rate >= 0.1 && o.Rate <= 10_000) {
 		report("rate", "%v is not from 0.1 to 10000", o.Rate)
 	}
-	if !(o.Part > 0 && o.Part <= 1) {
-		report("part", "%v is not a part, above 0", o.Part)
+	if !(o.MaxFraction > 0 && o.MaxFraction <= 1) {
+		report("part", "%v is not a part, above 0", o.MaxFraction)
 	}
 }
 
@@ -54,8 +54,8 @@
 	burst       = 0.1 // s of Rate that may come at once
 )
 
-// Warmer is the state machine. It holds one entry for each member. It is not safe for concurrent use.
-type Warmer struct {
+// Prewarmer is the state machine. It holds one entry for each member. It is not safe for concurrent use.
+type Prewarmer struct {
 	o       Options
 	most    int
 	rng     *rand.Rand
@@ -78,13 +78,13 @@
 }
 
 // New returns a Warmer for so many connections at most.
-func New(o Options, connections int, rng *rand.Rand) *Warmer {
-	return &Warmer{o: o, most: int(o.Part * float64(connections)), rng: rng, members: map[string]*member{},
+func New(o Options, connections int, rng *rand.Rand) *Prewarmer {
+	return &Prewarmer{o: o, most: int(o.MaxFraction * float64(connections)), rng: rng, members: map[string]*member{},
 		due: priorityqueue.New(func(m *member) *int { return &m.at }), tokens: 1}
 }
 
 // Members brings all that are its own and take requests, each with a number that another process of the name has another of.
-func (w *Warmer) Members(now time.Duration, ready map[string]uint64) {
+func (w *Prewarmer) Members(now time.Duration, ready map[string]uint64) {
 	for name, m := range w.members {
 		if process, stays := ready[name]; !stays || process != m.process {
 			w.due.Remove(m)
@@ -106,18 +106,18 @@
 }
 
 // within is a random time below d.
-func (w *Warmer) within(d time.Duration) time.Duration {
+func (w *Prewarmer) within(d time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(max(d, 0)) + 1))
 }
 
-func (w *Warmer) schedule(m *member, when time.Duration) {
+func (w *Prewarmer) schedule(m *member, when time.Duration) {
 	w.seq++
 	m.when = when
-	w.due.Fix(m, float64(when), w.seq)
+	w.due.Set(m, float64(when), w.seq)
 }
 
 // Used says that a request has gone to a member.
-func (w *Warmer) Used(now time.Duration, name string) {
+func (w *Prewarmer) Used(now time.Duration, name string) {
 	if m := w.members[name]; m != nil {
 		m.used = now
 	}
@@ -125,13 +125,13 @@
 
 // Tick names members to open a connection to, now; Ended must follow for each. open tells how many a member has open, and
 // total how many all have.
-func (w *Warmer) Tick(now time.Duration, open func(name string) int, total int) (names []string) {
+func (w *Prewarmer) Tick(now time.Duration, open func(name string) int, total int) (names []string) {
 	w.tokens = min(max(1, w.o.Rate*burst), w.tokens+w.o.Rate*max(0, now-w.filled).Seconds())
 	w.filled = max(w.filled, now)
 	for w.due.Len() > 0 && w.due.First().when <= now {
 		m := w.due.First()
-		wanted := m.fresh || m.used > 0 && now-m.used <= w.o.Recent.D()
-		if !wanted || open(m.name)+m.opening >= w.o.Each {
+		wanted := m.fresh || m.used > 0 && now-m.used <= w.o.IdleAfter.D()
+		if !wanted || open(m.name)+m.opening >= w.o.ConnectionsPerUpstream {
 			m.fresh = m.fresh && open(m.name) == 0
 			w.schedule(m, now+look)
 			continue
@@ -151,8 +151,8 @@
 	return names
 }
 
-// Ended says that what Tick named is open, or could not be had.
-func (w *Warmer) Ended(now time.Duration, name string, process uint64, ok bool) {
+// Connected says that what Tick named is open, or could not be had.
+func (w *Prewarmer) Connected(now time.Duration, name string, process uint64, ok bool) {
 	m := w.members[name]
 	if m == nil || m.process != process || m.opening == 0 {
 		return
@@ -169,7 +169,7 @@
 }
 
 // Process is the number that a member is known by.
-func (w *Warmer) Process(name string) uint64 {
+func (w *Prewarmer) Process(name string) uint64 {
 	if m := w.members[name]; m != nil {
 		return m.process
 	}
@@ -177,7 +177,7 @@
 }
 
 // Next is when Tick has something to do at the earliest; false: nobody is its own.
-func (w *Warmer) Next(now time.Duration) (time.Duration, bool) {
+func (w *Prewarmer) Next(now time.Duration) (time.Duration, bool) {
 	if w.due.Len() == 0 {
 		return 0, false
 	}
--- a/internal/upstream/prewarm/warm_test.go
+++ b/internal/upstream/prewarm/warm_test.go
@@ -19,7 +19,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
 		o := Default()
-		o.Each, o.Rate, o.Spread = 1+draw(3), float64(1+draw(30)), units.Duration(time.Duration(draw(3000))*time.Millisecond)
+		o.ConnectionsPerUpstream, o.Rate, o.Spread = 1+draw(3), float64(1+draw(30)), units.Duration(time.Duration(draw(3000))*time.Millisecond)
 		const connections = 40
 		w := New(o, connections, rand.New(rand.NewPCG(uint64(draw(1000)), 1)))
 		now := time.Hour
@@ -44,7 +44,7 @@
 				opening[name]++
 				named = append(named, now)
 				ends = append(ends, end{name, w.Process(name)})
-				if _, is := ready[name]; !is || open[name]+opening[name] > o.Each || before >= connections/4 {
+				if _, is := ready[name]; !is || open[name]+opening[name] > o.ConnectionsPerUpstream || before >= connections/4 {
 					t.Fatalf("%s: %v, %d open and %d opening, %d in all", name, is, open[name], opening[name], before)
 				}
 				if at, was := failed[name]; was && now-at < backoff/2 {
@@ -70,7 +70,7 @@
 					failed[e.name] = now
 				}
 			}
-			w.Ended(now, e.name, e.process, ok)
+			w.Connected(now, e.name, e.process, ok)
 		}
 		for range 120 {
 			now += time.Duration(draw(400)) * time.Millisecond
@@ -101,7 +101,7 @@
 				tick()
 			}
 		}
-		if len(ready)*o.Each > connections/4 {
+		if len(ready)*o.ConnectionsPerUpstream > connections/4 {
 			return
 		}
 		for range 2000 {
@@ -115,8 +115,8 @@
 			}
 		}
 		for name := range ready {
-			if open[name] != o.Each {
-				t.Fatalf("%s has %d open of %d", name, open[name], o.Each)
+			if open[name] != o.ConnectionsPerUpstream {
+				t.Fatalf("%s has %d open of %d", name, open[name], o.ConnectionsPerUpstream)
 			}
 		}
 	})
@@ -140,7 +140,7 @@
 		for _, name := range w.Tick(now, func(name string) int { return open[name] }, len(open)) {
 			open[name]++
 			halves[i/20]++
-			w.Ended(now, name, 1, true)
+			w.Connected(now, name, 1, true)
 		}
 	}
 	if halves[0] < 60 || halves[1] < 60 || halves[0]+halves[1] != 200 {
--- a/internal/upstream/proof_test.go
+++ b/internal/upstream/proof_test.go
@@ -38,7 +38,7 @@
 	if name == "short" || name == "kept" {
 		return NewRequest("POST", "/confirm/1", "s", header, make([]byte, f.size))
 	}
-	up := &Upload{Rest: bytes.NewReader(make([]byte, f.rest)), Length: int64(f.size + f.rest), Timeout: time.Minute}
+	up := &Upload{Body: bytes.NewReader(make([]byte, f.rest)), Length: int64(f.size + f.rest), Timeout: time.Minute}
 	if f.chunked {
 		up.Length = -1
 	}
@@ -81,7 +81,7 @@
 func (k *cutter) serve(c net.Conn) {
 	defer c.Close()
 	for in := bufio.NewReader(c); ; {
-		_ = c.SetDeadline(time.Now().Add(10 * testutil.Patience)) // reads show it; a kept one may rest for as long as a busy machine takes
+		_ = c.SetDeadline(time.Now().Add(10 * testutil.Timeout)) // reads show it; a kept one may rest for as long as a busy machine takes
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -216,7 +216,7 @@
 					} else {
 						s.Conn, conn.Conn = conn.Conn, s
 					}
-					rep, reusable, _ := u.exchange(t.Context(), conn, r, Terms{})
+					rep, reusable, _ := u.exchange(t.Context(), conn, r, AttemptOptions{})
 					u.discard(conn)
 					if r.Upload != nil {
 						r.Upload.End()
@@ -320,7 +320,7 @@
 					name := names[rng.IntN(len(names))]
 					id := fmt.Sprintf("%s-%d-%d", name, x, rng.IntN(10))
 					r := framed(name, id)
-					rep := u.Attempt(t.Context(), "s", r, time.Now().Add(testutil.Patience))
+					rep := u.Attempt(t.Context(), "s", r, time.Now().Add(testutil.Timeout))
 					if r.Upload != nil {
 						r.Upload.End()
 					}
--- a/internal/upstream/pump_test.go
+++ b/internal/upstream/pump_test.go
@@ -15,10 +15,10 @@
 		from, to := io.Pipe()
 		body := bytes.Repeat([]byte("0123456789abcdef"), 3*uploadPiece/16)
 		wrote := make(chan error, 1)
-		u := &Upload{Rest: from, pump: newPump(), Interrupt: func() { from.CloseWithError(errors.New("interrupted")) }}
+		u := &Upload{Body: from, pump: newPump(), Interrupt: func() { from.CloseWithError(errors.New("interrupted")) }}
 		off := make(chan struct{})
 		close(off)
-		if _, err := u.pump.next(u.Rest, false, off); err != errStopped {
+		if _, err := u.pump.next(u.Body, false, off); err != errStopped {
 			t.Errorf("an attempt that is over gets %v", err)
 		}
 		go func() {
@@ -27,7 +27,7 @@
 		}()
 		var got []byte
 		for i := range 2 {
-			b, err := u.pump.next(u.Rest, i > 0, nil)
+			b, err := u.pump.next(u.Body, i > 0, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -48,7 +48,7 @@
 		u.End() // the source is open, and silent
 		u.End()
 		<-drained
-		if _, err := u.pump.next(u.Rest, false, nil); err != errOver {
+		if _, err := u.pump.next(u.Body, false, nil); err != errOver {
 			t.Errorf("after the end: %v", err)
 		}
 	})
@@ -57,17 +57,17 @@
 // A source that ends without a byte ends each attempt that asks, and one that nobody asked is never read.
 func TestPumpEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &Upload{Rest: bytes.NewReader(nil), pump: newPump()}
+		u := &Upload{Body: bytes.NewReader(nil), pump: newPump()}
 		for range 2 {
-			if _, err := u.pump.next(u.Rest, false, nil); err != io.EOF {
+			if _, err := u.pump.next(u.Body, false, nil); err != io.EOF {
 				t.Error(err)
 			}
 		}
 		u.End()
-		unread := &Upload{Rest: bytes.NewReader([]byte("x")), pump: newPump(), Interrupt: func() { t.Error("interrupted though nothing is read") }}
+		unread := &Upload{Body: bytes.NewReader([]byte("x")), pump: newPump(), Interrupt: func() { t.Error("interrupted though nothing is read") }}
 		unread.Drain()
 		unread.End()
-		if _, err := unread.pump.next(unread.Rest, false, nil); err != errOver {
+		if _, err := unread.pump.next(unread.Body, false, nil); err != errOver {
 			t.Error(err)
 		}
 	})
--- a/internal/upstream/rest.go
+++ b/internal/upstream/rest.go
@@ -14,16 +14,16 @@
 
 // Sizes of answers, in bytes.
 const (
-	keptWhole = 64 << 10 // taken whole before any of it is passed on
-	MaxPassed = 64 << 20 // an answer that says it has more is spoilt
-	firstPart = 16 << 10 // what is read of a longer one before it is passed on, at most
+	keptWhole           = 64 << 10 // taken whole before any of it is passed on
+	MaxPassThroughBytes = 64 << 20 // an answer that says it has more is spoilt
+	firstPart           = 16 << 10 // what is read of a longer one before it is passed on, at most
 )
 
 // restIdle is how long an upstream may give nothing of an answer that is being passed on.
 const restIdle = 10 * time.Second
 
-// Rest is what is still to come of an answer that is passed on as it comes. It is for one goroutine, but for End.
-type Rest struct {
+// Remainder is what is still to come of an answer that is passed on as it comes. It is for one goroutine, but for End.
+type Remainder struct {
 	pool   *Pool
 	c      *poolConn
 	in     *answerReader
@@ -38,25 +38,25 @@
 	ended atomic.Bool
 }
 
-// ErrCut says that an answer ends before it is whole.
-var ErrCut = errors.New("the answer is cut")
+// ErrTruncated says that an answer ends before it is whole.
+var ErrTruncated = errors.New("the answer is cut")
 
 // Read reads on. Any error but io.EOF says that the answer can't be had whole.
-func (s *Rest) Read(p []byte) (int, error) {
+func (s *Remainder) Read(p []byte) (int, error) {
 	if s.err != nil {
 		return 0, s.err
 	}
 	if err := s.c.SetReadDeadline(time.Now().Add(restIdle)); err != nil {
-		s.err = fmt.Errorf("%w: %w", ErrCut, err)
+		s.err = fmt.Errorf("%w: %w", ErrTruncated, err)
 		return 0, s.err
 	}
 	if s.ctx.Err() != nil { // after the deadline, which calling off sets too where the connection is encrypted
-		s.err = fmt.Errorf("%w: %w", ErrCut, context.Cause(s.ctx))
+		s.err = fmt.Errorf("%w: %w", ErrTruncated, context.Cause(s.ctx))
 		return 0, s.err
 	}
 	n, err := s.body.Read(p)
 	if err != nil {
-		s.err = fmt.Errorf("%w: %w", ErrCut, err)
+		s.err = fmt.Errorf("%w: %w", ErrTruncated, err)
 		if err == io.EOF {
 			s.whole, s.err = true, io.EOF
 		}
@@ -68,11 +68,11 @@
 }
 
 // Buffered is how much can be read without waiting.
-func (s *Rest) Buffered() int { return s.in.Buffered() }
+func (s *Remainder) Buffered() int { return s.in.Buffered() }
 
 // Result is how the attempt ended: an answer that is not whole by the upstream's doing has broken, one that nobody took was
 // called off.
-func (s *Rest) Result() balancer.Result {
+func (s *Remainder) Result() balancer.Result {
 	switch {
 	case s.whole:
 		return balancer.OK
@@ -83,7 +83,7 @@
 }
 
 // End lets go of the connection: it goes on where the answer has come whole. Only the first call counts.
-func (s *Rest) End() {
+func (s *Remainder) End() {
 	if s.ended.Swap(true) {
 		return
 	}
@@ -99,8 +99,8 @@
 
 // passOn begins an answer that is passed on as it comes: resp's body is longer than keptWhole, or of unknown length. It reads what
 // is to be there first; nil, nil: the body is whole and stands in first.
-func (u *Pool) passOn(ctx context.Context, c *poolConn, in *answerReader, resp *http.Response, settle func() bool) (first []byte, rest *Rest, err error) {
-	in.limited.left = MaxPassed + MaxPassed/4
+func (u *Pool) passOn(ctx context.Context, c *poolConn, in *answerReader, resp *http.Response, settle func() bool) (first []byte, rest *Remainder, err error) {
+	in.limited.left = MaxPassThroughBytes + MaxPassThroughBytes/4
 	if resp.ContentLength >= 0 {
 		in.limited.left = int(resp.ContentLength) + in.Size()
 		first = make([]byte, firstPart)
@@ -115,5 +115,5 @@
 			return first, nil, err
 		}
 	}
-	return first, &Rest{pool: u, c: c, in: in, body: resp.Body, ctx: ctx, settle: settle, close: resp.Close, Length: resp.ContentLength}, nil
+	return first, &Remainder{pool: u, c: c, in: in, body: resp.Body, ctx: ctx, settle: settle, close: resp.Close, Length: resp.ContentLength}, nil
 }
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -25,11 +25,11 @@
 }
 
 // readAll reads an answer to its end, as whoever passes it on does.
-func readAll(rep Reply) (string, error) {
-	if rep.Rest == nil {
+func readAll(rep Response) (string, error) {
+	if rep.Remainder == nil {
 		return string(rep.Body), nil
 	}
-	rest, err := io.ReadAll(rep.Rest)
+	rest, err := io.ReadAll(rep.Remainder)
 	return string(rep.Body) + string(rest), err
 }
 
@@ -68,16 +68,16 @@
 			s := testutil.Raw(t, c.answer)
 			u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
 			rep := u.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{})
-			if rep.Result != balancer.OK || rep.Rest == nil || rep.Rest.Length != c.length {
+			if rep.Result != balancer.OK || rep.Remainder == nil || rep.Remainder.Length != c.length {
 				t.Fatalf("%+v", rep)
 			}
 			got, err := readAll(rep)
-			if err != nil || got != body || rep.Rest.Result() != balancer.OK {
-				t.Errorf("%d bytes, %v, result %d", len(got), err, rep.Rest.Result())
+			if err != nil || got != body || rep.Remainder.Result() != balancer.OK {
+				t.Errorf("%d bytes, %v, result %d", len(got), err, rep.Remainder.Result())
 			}
-			rep.Rest.End()
-			rep.Rest.End() // does nothing
-			if n := u.Idle(); n != c.kept {
+			rep.Remainder.End()
+			rep.Remainder.End() // does nothing
+			if n := u.IdleCount(); n != c.kept {
 				t.Errorf("%d connections are kept, want %d", n, c.kept)
 			}
 		})
@@ -116,11 +116,11 @@
 				return
 			}
 			_, err := readAll(rep)
-			if err == nil || rep.Rest.Result() != c.want {
-				t.Errorf("%v, result %d, want %d", err, rep.Rest.Result(), c.want)
+			if err == nil || rep.Remainder.Result() != c.want {
+				t.Errorf("%v, result %d, want %d", err, rep.Remainder.Result(), c.want)
 			}
-			rep.Rest.End()
-			if u.Idle() != 0 {
+			rep.Remainder.End()
+			if u.IdleCount() != 0 {
 				t.Error("its connection is kept")
 			}
 		})
@@ -147,16 +147,16 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	rep := u.Attempt(ctx, "s", testRequest("GET", ""), time.Time{})
-	if rep.Rest == nil {
+	if rep.Remainder == nil {
 		t.Fatalf("%+v", rep)
 	}
 	cancel()
 	if n := <-written; n == all {
 		t.Error("all of it was written though nobody read")
 	}
-	if _, err := readAll(rep); err == nil || rep.Rest.Result() != balancer.Cancelled {
-		t.Errorf("%v, result %d", err, rep.Rest.Result())
+	if _, err := readAll(rep); err == nil || rep.Remainder.Result() != balancer.Cancelled {
+		t.Errorf("%v, result %d", err, rep.Remainder.Result())
 	}
-	rep.Rest.End()
+	rep.Remainder.End()
 	testutil.Eventually(t, "its slot is free", func() bool { return u.slots.TryAcquire("", 4) })
 }
--- a/internal/upstream/secure_test.go
+++ b/internal/upstream/secure_test.go
@@ -18,12 +18,12 @@
 // bare encrypts and trusts whoever answers.
 type bare struct{ *tls.Config }
 
-func (b bare) Client(ctx context.Context, conn net.Conn, _ endpoints.Instance) (*tls.Conn, error) {
+func (b bare) Handshake(ctx context.Context, conn net.Conn, _ endpoints.Instance) (*tls.Conn, error) {
 	c := tls.Client(conn, b.Config)
 	return c, c.HandshakeContext(ctx)
 }
 
-func (bare) Trusts(*tls.Conn, endpoints.Instance) bool { return true }
+func (bare) StillTrusted(*tls.Conn, endpoints.Instance) bool { return true }
 
 // Guards against a handshake for every request that is called off: a connection that is being made, and one whose answer
 // has come by then, carry the next request. One that is made for too long gives its place back.
@@ -43,7 +43,7 @@
 	at, _ := u.dir.Instance("s")
 	calledOff := func() {
 		ctx, cancel := context.WithCancel(t.Context())
-		over := make(chan Reply, 1)
+		over := make(chan Response, 1)
 		go func() { over <- u.Attempt(ctx, "s", testRequest("GET", ""), time.Time{}) }()
 		<-asked
 		cancel()
@@ -55,7 +55,7 @@
 	testutil.Eventually(t, "who stalls gives the place back", func() bool { return u.slots.Used("") == 0 })
 	calledOff()
 	close(hold)
-	testutil.Eventually(t, "it is made beside the request", func() bool { return u.Idle() == 1 })
+	testutil.Eventually(t, "it is made beside the request", func() bool { return u.IdleCount() == 1 })
 	c := u.take("s", at)
 	if c == nil {
 		t.Fatal("the connection is not to be had")
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -14,7 +14,7 @@
 // Upload is the part of a request's body that is passed on as it comes, behind Request.body. It can be read once: an attempt that
 // ends before any of it was taken leaves all of it to the next one. Whoever made it ends it by End.
 type Upload struct {
-	Rest    io.Reader
+	Body    io.Reader
 	Length  int64         // of the whole body; -1: not known, it goes on in chunks
 	Timeout time.Duration // what the client waits once its last byte has come
 	// Interrupt has a Read of Rest that waits return. It is called by End alone.
@@ -34,8 +34,8 @@
 // End ends the reading. Rest is not read any more once it returns; it may be called more than once.
 func (l *Upload) End() { l.pump.end(l.Interrupt) }
 
-// Spent tells whether the body can't be had again.
-func (l *Upload) Spent() bool { return l.begun.Load() || l.broken.Load() }
+// Consumed tells whether the body can't be had again.
+func (l *Upload) Consumed() bool { return l.begun.Load() || l.broken.Load() }
 
 // Broken tells whether the client broke off.
 func (l *Upload) Broken() bool { return l.broken.Load() }
@@ -149,7 +149,7 @@
 		b = b[n:]
 	}
 	for again := false; ; again = true {
-		b, err := more.pump.next(more.Rest, again, l.off)
+		b, err := more.pump.next(more.Body, again, l.off)
 		if l.whole.Load() { // the source is asked once more for its end alone
 			return nil
 		}
@@ -205,12 +205,12 @@
 
 // unsent is how an attempt ended whose last byte never went out, and of which nothing came back: its upstream has not begun it. Where the client or the module
 // ended it, that says nothing of the upstream.
-func (r *Request) unsent(result balancer.Result) Reply {
+func (r *Request) unsent(result balancer.Result) Response {
 	if r.Upload != nil {
 		if r.Upload.Broken() {
 			result = balancer.NotSent
 		}
-		return Reply{Result: result, Spent: r.Upload.Spent()}
+		return Response{Result: result, BodyConsumed: r.Upload.Consumed()}
 	}
-	return Reply{Result: result}
+	return Response{Result: result}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -23,14 +23,14 @@
 
 func testPool(t *testing.T, most int, entries ...string) *Pool {
 	t.Helper()
-	u := New(Options{ConnectTimeout: 2 * time.Second, Idle: 15 * time.Second, Connections: most, MaxAnswer: maxAnswer})
-	u.SetDirectory(endpoints.New(clock.New(), u.Drop))
+	u := New(Options{ConnectTimeout: 2 * time.Second, IdleTimeout: 15 * time.Second, MaxConnections: most, MaxAnswerBytes: maxAnswer})
+	u.SetRegistry(endpoints.New(clock.New(), u.CloseUpstream))
 	u.rest = 0
-	known := testutil.Listing(t, 1, true, entries...)
+	known := testutil.EndpointList(t, 1, true, entries...)
 	u.dir.Apply(known)
 	t.Cleanup(func() {
 		for _, e := range known.Endpoints {
-			u.Drop(e.Name)
+			u.CloseUpstream(e.Name)
 		}
 	})
 	return u
@@ -94,16 +94,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := testutil.Raw(t, c.answer)
 			u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
-			ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 			defer cancel()
 			req := testRequest("POST", "b")
-			req.Whole = strings.Contains(c.name, "too large")
+			req.CompleteOnly = strings.Contains(c.name, "too large")
 			rep := u.Attempt(ctx, "s", req, time.Time{})
 			if rep.Result != c.want {
 				t.Errorf("result %d, want %d", rep.Result, c.want)
 			}
-			if rep.Rest != nil {
-				rep.Rest.End()
+			if rep.Remainder != nil {
+				rep.Remainder.End()
 			}
 			if n := len(s.Requests()); n != 1 {
 				t.Errorf("the upstream got %d copies", n)
@@ -128,7 +128,7 @@
 		if want == balancer.Timeout {
 			ctx, cancel = context.WithTimeout(context.Background(), 200*time.Millisecond)
 		}
-		end := make(chan Reply, 1)
+		end := make(chan Response, 1)
 		go func() { end <- u.Attempt(ctx, "s", testRequest("GET", ""), time.Time{}) }()
 		testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
 		if want == balancer.Cancelled {
@@ -161,7 +161,7 @@
 	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil { // the write will fail
 		t.Fatal(err)
 	}
-	rep, reusable, _ := u.exchange(t.Context(), c, testRequest("POST", "b"), Terms{})
+	rep, reusable, _ := u.exchange(t.Context(), c, testRequest("POST", "b"), AttemptOptions{})
 	u.discard(c)
 	if rep.Result != balancer.ConnectFailed || reusable {
 		t.Errorf("result %d, reusable %v", rep.Result, reusable)
@@ -177,8 +177,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		u.dir.Apply(testutil.Listing(t, 2, false, testutil.Entry("s", s.Address, status)))
-		if rep, _, _ := u.exchange(t.Context(), c, testRequest("GET", ""), Terms{}); rep.Result != balancer.NotSent {
+		u.dir.Apply(testutil.EndpointList(t, 2, false, testutil.Entry("s", s.Address, status)))
+		if rep, _, _ := u.exchange(t.Context(), c, testRequest("GET", ""), AttemptOptions{}); rep.Result != balancer.NotSent {
 			t.Errorf("%s: result %d", status, rep.Result)
 		}
 		u.discard(c)
@@ -195,10 +195,10 @@
 func TestRequestGoesOnUnchanged(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
-	ctx, cancel := context.WithTimeout(context.Background(), testutil.Patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testutil.Timeout)
 	defer cancel()
 	body := "\x00binary\r\n" + strings.Repeat("y", 60<<10)
-	u.Attempt(ctx, "s", testRequest("POST", body), time.Now().Add(testutil.Patience))
+	u.Attempt(ctx, "s", testRequest("POST", body), time.Now().Add(testutil.Timeout))
 	g := s.Requests()[0]
 	if g.Method != "POST" || g.Target != "/search/a%2Fb?x=%20y&z" || g.Body != body {
 		t.Errorf("got %s %s and %d bytes", g.Method, g.Target, len(g.Body))
@@ -206,7 +206,7 @@
 	if g.Header.Get("X-Request-ID") != "9b1f03aa5c7e2d41" || g.Header.Get("Idempotency-Key") != "k" {
 		t.Errorf("headers %v", g.Header)
 	}
-	if d, err := routes.ParseTimeout(g.Header.Get("X-Timeout")); err != nil || d <= 0 || d > testutil.Patience {
+	if d, err := routes.ParseTimeout(g.Header.Get("X-Timeout")); err != nil || d <= 0 || d > testutil.Timeout {
 		t.Errorf("X-Timeout %q: %v, %v", g.Header.Get("X-Timeout"), d, err)
 	}
 }
@@ -263,14 +263,14 @@
 	// Gone: the pool goes too.
 	u.maxIdle = time.Hour
 	send(balancer.OK)
-	u.dir.Apply(testutil.Listing(t, 2, false, testutil.Entry("s", s.Address, "Gone")))
+	u.dir.Apply(testutil.EndpointList(t, 2, false, testutil.Entry("s", s.Address, "Gone")))
 	testutil.Eventually(t, "pool dropped", func() bool { return s.Closed.Load() == 3 })
 
 	// Back at another address: no connection to the old one is used.
-	u.dir.Apply(testutil.Listing(t, 3, false, testutil.Entry("s", s.Address, "Ready")))
+	u.dir.Apply(testutil.EndpointList(t, 3, false, testutil.Entry("s", s.Address, "Ready")))
 	send(balancer.OK)
 	moved := testutil.Raw(t, fakes.Says(fakes.OK200("")))
-	u.dir.Apply(testutil.Listing(t, 4, false, testutil.Entry("s", moved.Address, "Ready")))
+	u.dir.Apply(testutil.EndpointList(t, 4, false, testutil.Entry("s", moved.Address, "Ready")))
 	testutil.Eventually(t, "old address dropped", func() bool { return s.Closed.Load() == 4 })
 	send(balancer.OK)
 	if len(moved.Requests()) != 1 {
@@ -279,7 +279,7 @@
 
 	// A new process at the same address: connections to the old one are dead, if silently.
 	again := strings.Replace(testutil.Entry("s", moved.Address, "Ready"), `"since_ms":0`, `"since_ms":1000`, 1)
-	u.dir.Apply(testutil.Listing(t, 5, false, again))
+	u.dir.Apply(testutil.EndpointList(t, 5, false, again))
 	testutil.Eventually(t, "old process dropped", func() bool { return moved.Closed.Load() == 1 })
 }
 
@@ -367,7 +367,7 @@
 		t.Fatalf("result %d", rep.Result)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	busy, waits := make(chan Reply, 1), make(chan Reply, 1)
+	busy, waits := make(chan Response, 1), make(chan Response, 1)
 	go func() { busy <- u.Attempt(ctx, "b", testRequest("GET", ""), time.Time{}) }()
 	testutil.Eventually(t, "the idle connection gave way", func() bool { return a.Closed.Load() == 1 && len(b.Requests()) == 1 })
 	short, end := context.WithTimeout(t.Context(), 50*time.Millisecond)
--- a/internal/upstream/warming.go
+++ b/internal/upstream/warming.go
@@ -12,11 +12,11 @@
 
 // warming is what is known of connections where some are opened ahead of use. A nil one counts nothing.
 type warming struct {
-	w *prewarm.Warmer // KeepWarm's alone
+	w *prewarm.Prewarmer // Prewarm's alone
 
 	mu   sync.Mutex
 	open map[string]int  // by upstream
-	used map[string]bool // since KeepWarm looked last
+	used map[string]bool // since Prewarm looked last
 }
 
 // opened counts a connection in, or with -1 out.
@@ -52,11 +52,11 @@
 	return open, total, used
 }
 
-// warmEvery is how often KeepWarm looks at the list and at what was used.
+// warmEvery is how often Prewarm looks at the list and at what was used.
 const warmEvery = 100 * time.Millisecond
 
-// KeepWarm opens connections as Options.Warm says, until ctx ends. It never waits for a slot: what requests need goes first.
-func (u *Pool) KeepWarm(ctx context.Context, c clock.Clock) {
+// Prewarm opens connections as Options.Prewarmer says, until ctx ends. It never waits for a slot: what requests need goes first.
+func (u *Pool) Prewarm(ctx context.Context, c clock.Clock) {
 	if u.warm == nil {
 		return
 	}
@@ -76,7 +76,7 @@
 		case <-ctx.Done():
 			return
 		case e := <-ends:
-			w.Ended(c.Now(), e.name, e.process, e.ok)
+			w.Connected(c.Now(), e.name, e.process, e.ok)
 			continue
 		case <-tick.C:
 		}
--- a/internal/upstream/warming_test.go
+++ b/internal/upstream/warming_test.go
@@ -65,16 +65,16 @@
 	o := prewarm.Default()
 	o.Rate, o.Spread = 1000, units.Duration(50*time.Millisecond)
 	const most = 28 // a quarter of them may be opened ahead: 7
-	u := New(Options{ConnectTimeout: 2 * time.Second, Idle: 15 * time.Second, Connections: most, MaxAnswer: maxAnswer,
-		Warm: prewarm.New(o, most, rand.New(rand.NewPCG(1, 1)))})
+	u := New(Options{ConnectTimeout: 2 * time.Second, IdleTimeout: 15 * time.Second, MaxConnections: most, MaxAnswerBytes: maxAnswer,
+		Prewarmer: prewarm.New(o, most, rand.New(rand.NewPCG(1, 1)))})
 	c := clock.New()
-	u.SetDirectory(endpoints.New(c, u.Drop))
-	u.dir.Apply(testutil.Listing(t, 1, true, append(entries, testutil.Entry("gone", refused, "Ready"))...))
+	u.SetRegistry(endpoints.New(c, u.CloseUpstream))
+	u.dir.Apply(testutil.EndpointList(t, 1, true, append(entries, testutil.Entry("gone", refused, "Ready"))...))
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		u.KeepWarm(ctx, c)
+		u.Prewarm(ctx, c)
 	}()
 	defer func() {
 		stop()
@@ -82,9 +82,9 @@
 		u.Close()
 	}()
 	testutil.Eventually(t, "one connection each", d.of(names...))
-	testutil.Eventually(t, "they are idle", func() bool { return u.Idle() == len(names) })
+	testutil.Eventually(t, "they are idle", func() bool { return u.IdleCount() == len(names) })
 	for _, name := range names {
-		rep := u.Attempt(ctx, name, NewRequest(http.MethodGet, "/", "x", nil, nil), time.Now().Add(testutil.Patience))
+		rep := u.Attempt(ctx, name, NewRequest(http.MethodGet, "/", "x", nil, nil), time.Now().Add(testutil.Timeout))
 		if rep.Result != balancer.OK || string(rep.Body) != name {
 			t.Errorf("%s: %v %q", name, rep.Result, rep.Body)
 		}
@@ -92,13 +92,13 @@
 	if !d.of(names...)() {
 		t.Errorf("connections made: %v", d.made)
 	}
-	u.dir.Apply(testutil.Listing(t, 2, false, testutil.Entry("late", d.start(t, "late"), "Ready"), testutil.Entry("later", d.start(t, "later"), "Ready")))
-	testutil.Eventually(t, "the seventh", func() bool { return u.Idle() == 7 })
+	u.dir.Apply(testutil.EndpointList(t, 2, false, testutil.Entry("late", d.start(t, "late"), "Ready"), testutil.Entry("later", d.start(t, "later"), "Ready")))
+	testutil.Eventually(t, "the seventh", func() bool { return u.IdleCount() == 7 })
 	testutil.Eventually(t, "no eighth", func() bool {
 		open, total, _ := u.warm.look()
 		return total == 7 && open["late"]+open["later"] == 1
 	})
-	u.dir.Apply(testutil.Listing(t, 3, false, testutil.Entry("n0", "127.0.0.1:1", "Terminating")))
+	u.dir.Apply(testutil.EndpointList(t, 3, false, testutil.Entry("n0", "127.0.0.1:1", "Terminating")))
 	testutil.Eventually(t, "room for it", func() bool { return d.of("late", "later")() })
 }
 
