--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -159,7 +159,8 @@
 // stuck: an attempt may have run, and nothing may follow it any more.
 func (b *Balancer) stuck(r *request) bool {
 	since, ran := r.mayRunSince()
-	return ran && (r.class.Idempotency == NonIdempotent || r.class.Idempotency == IdempotentWithKey && b.now > b.repeatBy(r, since))
+	kind := r.class.Idempotency
+	return ran && (kind == NonIdempotent || kind == IdempotentWithKey && b.now > b.repeatBy(r, since))
 }
 
 // mayRunSince is when the first send that may have run was made; false: there is none.
--- a/balancer/refusals.go
+++ b/balancer/refusals.go
@@ -10,7 +10,7 @@
 
 // mayRefuse: a refusal tells the client that trying again is harmless.
 func mayRefuse(r *request) bool {
-	if r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == ScopeAll {
+	if c := r.class; c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == ScopeAll {
 		return true
 	}
 	return len(r.prior) == 0 && !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayRun })
@@ -28,7 +28,8 @@
 		a := Action{Kind: Reject, ID: r.id}
 		if b.set.RetryAfterAllowed {
 			a.RetryAfter = b.set.MaxRetryAfter
-			if wait := (r.aim - b.now) / 2; wait > 0 && r.class.LateValueFraction > 0 && a.RetryAfter < r.class.Deadline {
+			late := r.class.LateValueFraction > 0
+			if wait := (r.aim - b.now) / 2; wait > 0 && late && a.RetryAfter < r.class.Deadline {
 				a.RetryAfter = min(a.RetryAfter, wait)
 			}
 		}
--- a/internal/admission/controller/doorkeeper.go
+++ b/internal/admission/controller/doorkeeper.go
@@ -1,4 +1,4 @@
-// Package doorkeeper drives a door.Door: it has requests wait, wakes them, and leaves with their clients. It is safe for
+// Package controller drives a door.Door: it has requests wait, wakes them, and leaves with their clients. It is safe for
 // concurrent use. Who waits costs a channel and an entry here, both within the door's bound on waiting requests.
 package controller
 
--- a/internal/admission/door.go
+++ b/internal/admission/door.go
@@ -1,4 +1,4 @@
-// Package door decides, before the balancer sees a request, who goes on, who waits and in which order, and who is turned
+// Package admission decides, before the balancer sees a request, who goes on, who waits and in which order, and who is turned
 // away with what word on when to come back. It is fair between principals, the tenants or clients that requests come from:
 // one that floods takes from itself.
 //
--- a/internal/admission/principal.go
+++ b/internal/admission/principal.go
@@ -4,8 +4,8 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
-	"net/http"
 	"net/netip"
+	"net/textproto"
 	"strings"
 
 	"golang.org/x/net/http/httpguts"
@@ -40,7 +40,7 @@
 		case !named && (kind == "tenant" || kind == "certificate" || kind == "address"):
 			by[i] = source{kind: kind}
 		case named && kind == "header" && httpguts.ValidHeaderFieldName(name):
-			by[i] = source{kind: kind, header: http.CanonicalHeaderKey(name)}
+			by[i] = source{kind: kind, header: textproto.CanonicalMIMEHeaderKey(name)}
 		default:
 			return nil, fmt.Errorf(`%q is none of "tenant", "header:NAME", "certificate" and "address"`, word)
 		}
--- a/internal/boltfile/heldfile.go
+++ b/internal/boltfile/heldfile.go
@@ -1,4 +1,4 @@
-// Package heldfile opens bbolt files that another process may still hold. The system lets go of a killed process's lock only once what
+// Package boltfile opens bbolt files that another process may still hold. The system lets go of a killed process's lock only once what
 // it was syncing is on the disk, which may be seconds after the process is gone; a process that takes its place waits for that.
 package boltfile
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -188,10 +188,10 @@
 	return c, nil
 }
 
-// checkControl says what is wrong with the operators' address.
 // AnyPort tells whether an address leaves its port to the system.
 func AnyPort(address string) bool { return strings.HasSuffix(address, ":0") }
 
+// checkControl says what is wrong with the operators' address.
 func checkControl(control, listen string) error {
 	if control == listen && !AnyPort(listen) {
 		return errors.New("clients connect there")
--- a/internal/daemon/file_test.go
+++ b/internal/daemon/file_test.go
@@ -455,6 +455,6 @@
 func looked(t testing.TB, r *fileRig) {
 	t.Helper()
 	s := r.d.routing.Load().services["a"]
-	from := s.source.(interface{ Looks() int64 }).Looks()
-	testutil.Eventually(t, "the file is looked at", func() bool { return s.source.(interface{ Looks() int64 }).Looks() > from+1 })
+	from := s.source.(interface{ Polls() int64 }).Polls()
+	testutil.Eventually(t, "the file is looked at", func() bool { return s.source.(interface{ Polls() int64 }).Polls() > from+1 })
 }
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -58,8 +58,8 @@
 }
 
 // rest notes what of a long body or answer has been passed on, and has its transfer rest where that is due.
-func (s *shared) rest(n int) {
-	if d := s.interlude.Transferred(s.clock.Now(), n); d > 0 {
+func (sh *shared) rest(n int) {
+	if d := sh.interlude.Transferred(sh.clock.Now(), n); d > 0 {
 		time.Sleep(d)
 	}
 }
--- a/internal/endpoints/directory.go
+++ b/internal/endpoints/directory.go
@@ -1,4 +1,4 @@
-// Package directory keeps where upstreams are and whether they want requests. Whoever hears of a change applies it
+// Package endpoints keeps where upstreams are and whether they want requests. Whoever hears of a change applies it
 // here at once, ahead of the engine, so that a request decided on before is still stopped at its write.
 package endpoints
 
--- a/internal/fakes/doc.go
+++ b/internal/fakes/doc.go
@@ -1,4 +1,4 @@
-// Package standin is the project's own stand-ins for what orchiddrift meets in service: nodes, discovery, and peers that
+// Package fakes is the project's own stand-ins for what orchiddrift meets in service: nodes, discovery, and peers that
 // break the protocol. Tests, the demo and benchmarks use it; the daemon's and the plug-in's normal path never does.
 //
 // A Node has cores, a queue, a cold start that falls over when overdriven, and faults scripted by time. It speaks the
--- a/internal/httpheader/httphead.go
+++ b/internal/httpheader/httphead.go
@@ -1,4 +1,4 @@
-// Package httphead names the platform's HTTP headers and tells which headers go from end to end.
+// Package httpheader names the platform's HTTP headers and tells which headers go from end to end.
 package httpheader
 
 import (
--- a/internal/idempotency/boltstore/repeatlog.go
+++ b/internal/idempotency/boltstore/repeatlog.go
@@ -1,4 +1,4 @@
-// Package repeatlog keeps the records of a repeats.Store on a disk that lasts, in a bbolt file: a record is there, synced, when
+// Package boltstore keeps the records of a repeats.Store on a disk that lasts, in a bbolt file: a record is there, synced, when
 // Put returns. Puts at the same time share a sync. docs/design/repeats.md weighs it against a log of the project's own.
 package boltstore
 
--- a/internal/idempotency/etcdstore/repeatshare.go
+++ b/internal/idempotency/etcdstore/repeatshare.go
@@ -1,4 +1,4 @@
-// Package repeatshare lets the processes of a service share their keys: a request is claimed in an etcd, by its published v3 API, before
+// Package etcdstore lets the processes of a service share their keys: a request is claimed in an etcd, by its published v3 API, before
 // its first byte goes out, and its end is put there for repeats that come to another process. What a record means is
 // decided by repeats.Meeting; docs/design/repeats.md goes through it.
 //
--- a/internal/idempotency/executor/keeper.go
+++ b/internal/idempotency/executor/keeper.go
@@ -1,4 +1,4 @@
-// Package repeatkeeper drives a repeats.Store: it runs what is to be sent, has repeats wait for it, and hands out ends. It is safe
+// Package executor drives a repeats.Store: it runs what is to be sent, has repeats wait for it, and hands out ends. It is safe
 // for concurrent use. A request runs on the goroutine of the client that came first, and goes on when that one leaves: others may
 // wait for its end, and what it brought is kept for those who come again. Once all have left nothing more of it is begun.
 package executor
--- a/internal/idempotency/recordcodec/repeatcodec.go
+++ b/internal/idempotency/recordcodec/repeatcodec.go
@@ -1,4 +1,4 @@
-// Package repeatcodec writes the records of a repeats.Store as bytes, for a disk or a store that processes share, and reads them.
+// Package recordcodec writes the records of a repeats.Store as bytes, for a disk or a store that processes share, and reads them.
 package recordcodec
 
 import (
--- a/internal/idempotency/repeats.go
+++ b/internal/idempotency/repeats.go
@@ -1,4 +1,4 @@
-// Package repeats decides what becomes of requests that bear an idempotency key: which one is sent, which waits for another that
+// Package idempotency decides what becomes of requests that bear an idempotency key: which one is sent, which waits for another that
 // runs, which gets a kept answer, and which is turned down. It is a state machine: arrivals, sends and ends in, verdicts out;
 // no I/O, no clock.
 //
--- a/internal/lifecycle/life.go
+++ b/internal/lifecycle/life.go
@@ -1,4 +1,4 @@
-// Package life holds what a process that serves is about to do: serve, drain, leave its clients to a successor, or stop. It is a
+// Package lifecycle holds what a process that serves is about to do: serve, drain, leave its clients to a successor, or stop. It is a
 // state machine without I/O or a clock: calls, signals and the time go in; whether clients are wanted, whether answers end their
 // connection and which idle connections are to be closed come out.
 package lifecycle
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -1,4 +1,4 @@
-// Package load sends requests at a rate, whatever becomes of them: an open loop, over HTTP/1.1 or gRPC. Latency counts from the moment at
+// Package loadgen sends requests at a rate, whatever becomes of them: an open loop, over HTTP/1.1 or gRPC. Latency counts from the moment at
 // which a request was to be sent, so that a server that stands still is seen by all who would have come meanwhile
 // (no coordinated omission). Memory is bounded at any length: what is due is found by counting on, not kept.
 package loadgen
--- a/internal/logging/logs.go
+++ b/internal/logging/logs.go
@@ -1,4 +1,4 @@
-// Package logs is the program's log: log/slog with a bound. Lines bear the same fields throughout: service, upstream,
+// Package logging is the program's log: log/slog with a bound. Lines bear the same fields throughout: service, upstream,
 // class, attempt, file, key, reason. A line that is said again within ten seconds is written once and counted, and no
 // more than a stated number is written a second, so that a failure does not fill the disk that tells of it.
 package logging
--- a/internal/metrics/figures.go
+++ b/internal/metrics/figures.go
@@ -1,4 +1,4 @@
-// Package figures counts requests and attempts, and words the counts for the operators. A request is counted where it is taken
+// Package metrics counts requests and attempts, and words the counts for the operators. A request is counted where it is taken
 // and where it ends, an attempt where its last byte has been written; there is no other place.
 package metrics
 
--- a/internal/priorityqueue/priority.go
+++ b/internal/priorityqueue/priority.go
@@ -1,4 +1,4 @@
-// Package priority is a priority queue for simulations and schedulers: container/heap's job with the keys beside the items, so
+// Package priorityqueue is a priority queue for simulations and schedulers: container/heap's job with the keys beside the items, so
 // that comparing them touches no item, without an allocation a call, and with items that can move or leave from the middle.
 package priorityqueue
 
--- a/internal/server/downstream/intake.go
+++ b/internal/server/downstream/intake.go
@@ -1,4 +1,4 @@
-// Package intake decides what is taken from a client of the daemon: it holds a request's framing against what can be read
+// Package downstream decides what is taken from a client of the daemon: it holds a request's framing against what can be read
 // in one way only, has package routes say what the request is, and tells what of it goes on to an upstream. It does no
 // I/O. conns.go bounds the clients' connections.
 package downstream
--- a/internal/server/yielding/interlude.go
+++ b/internal/server/yielding/interlude.go
@@ -1,4 +1,4 @@
-// Package interlude has long transfers rest together now and then, so that whoever waits for the processor gets it.
+// Package yielding has long transfers rest together now and then, so that whoever waits for the processor gets it.
 //
 // With one processor and transfers that never wait, Go's scheduler does not look at the network by itself: runnable goroutines, also
 // those that yield, come before that (runtime, findRunnable: own queue, global queue, then netpoll), and the monitor looks once in 10 ms,
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -1,4 +1,4 @@
-// Package lab plays experiments: a fleet, a load, faults by time, and the policies to compare, from a file, in virtual time. The
+// Package experiment plays experiments: a fleet, a load, faults by time, and the policies to compare, from a file, in virtual time. The
 // module is the real one; internal/simulation/fleetsim is the fleet.
 package experiment
 
--- a/internal/simulation/virtualtime/virtual.go
+++ b/internal/simulation/virtualtime/virtual.go
@@ -1,4 +1,4 @@
-// Package virtual is time for simulations: events in the order of their times, those of one time in the order in which they
+// Package virtualtime is time for simulations: events in the order of their times, those of one time in the order in which they
 // were set. It is not safe for concurrent use; runs on several goroutines have a Time each.
 package virtualtime
 
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,4 +1,4 @@
-// Package wire translates between the simulator's wire and package balancer. It makes no decisions.
+// Package simwire translates between the simulator's wire and package balancer. It makes no decisions.
 package simwire
 
 import (
@@ -12,63 +12,63 @@
 	"orchiddrift/internal/settings"
 )
 
-// timerCookie marks the one timer that an instance keeps.
-const timerCookie = "w"
+// timerID marks the one timer that an instance keeps.
+const timerID = "w"
 
 type batch struct {
-	TsMs float64
-	In   []json.RawMessage `json:"in"`
+	TimeMs float64           `json:"TsMs"`
+	Events []json.RawMessage `json:"in"`
 }
 
 // event holds the fields of every verb that is read here.
 type event struct {
-	Verb        string `json:"verb"`
-	I           int
-	Prng        json.Number
-	Env         json.RawMessage
-	Table       int
-	MembersList []entry
-	Scope       string
-	ID          string `json:"Id"`
-	Type        string
-	Billing     any
-	ExpiresMs   float64
-	PredictedMs float64
-	Bits        int
-	Hop         int
-	Upstream    string
-	Result      int
-	ElapsedMs   float64
-	Finished    bool
-	By          int
-	Contents    string
+	Verb       string          `json:"verb"`
+	Instance   int             `json:"I"`
+	Seed       json.Number     `json:"Prng"`
+	Settings   json.RawMessage `json:"Env"`
+	List       int             `json:"Table"`
+	Endpoints  []entry         `json:"MembersList"`
+	Scope      string          `json:"Scope"`
+	ID         string          `json:"Id"`
+	Class      string          `json:"Type"`
+	Tenant     any             `json:"Billing"`
+	DeadlineMs float64         `json:"ExpiresMs"`
+	CostHintMs float64         `json:"PredictedMs"`
+	Flags      int             `json:"Bits"`
+	Attempt    int             `json:"Hop"`
+	Upstream   string          `json:"Upstream"`
+	Result     int             `json:"Result"`
+	ElapsedMs  float64         `json:"ElapsedMs"`
+	Final      bool            `json:"Finished"`
+	From       int             `json:"By"`
+	Message    string          `json:"Contents"`
 }
 
 type entry struct {
-	RackZone   string
-	Cell       int
-	StageState string
-	Upstream   string
-	Machine    string
-	CameUpMs   float64
+	Zone        string  `json:"RackZone"`
+	Cell        int     `json:"Cell"`
+	State       string  `json:"StageState"`
+	Upstream    string  `json:"Upstream"`
+	MachineType string  `json:"Machine"`
+	StartedAtMs float64 `json:"CameUpMs"`
 }
 
 // action is any action on the wire.
 type action struct {
-	Verb       string  `json:"verb"`
-	I          int     `json:"I"`
-	ID         string  `json:"Id,omitempty"`
-	Upstream   string  `json:"Upstream,omitempty"`
-	LimitMs    float64 `json:"LimitMs,omitempty"`
-	Hop        *int    `json:"Hop,omitempty"`
-	RetryInMs  float64 `json:"RetryInMs,omitempty"`
-	MomentMs   float64 `json:"MomentMs,omitempty"`
-	Cookie     string  `json:"Cookie,omitempty"`
-	Enable     bool    `json:"Enable,omitempty"`
-	ReasonText string  `json:"ReasonText,omitempty"`
+	Verb         string  `json:"verb"`
+	Instance     int     `json:"I"`
+	ID           string  `json:"Id,omitempty"`
+	Upstream     string  `json:"Upstream,omitempty"`
+	TimeoutMs    float64 `json:"LimitMs,omitempty"`
+	Attempt      *int    `json:"Hop,omitempty"`
+	RetryAfterMs float64 `json:"RetryInMs,omitempty"`
+	FireAtMs     float64 `json:"MomentMs,omitempty"`
+	TimerID      string  `json:"Cookie,omitempty"`
+	Enable       bool    `json:"Enable,omitempty"`
+	Text         string  `json:"ReasonText,omitempty"`
 }
 
-// hintValid is the bit of Bits that says PredictedMs may be used.
+// hintValid is the bit of Bits that says CostHintMs may be used.
 const hintValid = 1
 
 // host is the table of instances in this process, and the numbered lists they share as messages.
@@ -118,8 +118,8 @@
 		return nil, fmt.Errorf("not a batch: %w", err)
 	}
 	reply := []action{}
-	now := duration(b.TsMs)
-	for n, raw := range b.In {
+	now := duration(b.TimeMs)
+	for n, raw := range b.Events {
 		var e event
 		if err := json.Unmarshal(raw, &e); err != nil {
 			return nil, fmt.Errorf("event %d: %w", n, err)
@@ -135,43 +135,43 @@
 func (h *host) event(now time.Duration, e *event, reply []action) ([]action, error) {
 	switch e.Verb {
 	case "Inventory":
-		h.tables[e.Table] = members(e.MembersList)
+		h.tables[e.List] = members(e.Endpoints)
 		return reply, nil
 	case "PowerOn":
-		if len(e.Env) == 0 {
+		if len(e.Settings) == 0 {
 			return nil, fmt.Errorf("no Env")
 		}
-		set, err := settings.Decode(e.Env)
+		set, err := settings.Decode(e.Settings)
 		if err != nil {
 			return nil, err
 		}
-		b, err := balancer.New(set.Settings, seed(e.Prng))
+		b, err := balancer.New(set.Settings, seed(e.Seed))
 		if err != nil {
 			return nil, err
 		}
-		h.instances[e.I] = b
+		h.instances[e.Instance] = b
 		return reply, nil
 	}
 	translated := h.translate(e)
 	if translated == nil && e.Verb != "Teardown" {
 		return reply, nil // a verb that this adapter does not know
 	}
-	b := h.instances[e.I]
+	b := h.instances[e.Instance]
 	if b == nil {
-		return nil, fmt.Errorf("instance %d was never started", e.I)
+		return nil, fmt.Errorf("instance %d was never started", e.Instance)
 	}
 	if e.Verb == "Teardown" {
-		delete(h.instances, e.I)
+		delete(h.instances, e.Instance)
 		return reply, nil
 	}
-	return h.decide(b, now, e.I, translated, reply), nil
+	return h.decide(b, now, e.Instance, translated, reply), nil
 }
 
 // decide runs one decision; a panic in it becomes a BailOut with its text.
 func (h *host) decide(b *balancer.Balancer, now time.Duration, inst int, e balancer.Event, reply []action) (out []action) {
 	defer func() {
 		if p := recover(); p != nil {
-			out = append(reply, action{Verb: "BailOut", I: inst, ReasonText: fmt.Sprint(p)})
+			out = append(reply, action{Verb: "BailOut", Instance: inst, Text: fmt.Sprint(p)})
 		}
 	}()
 	h.acts = b.Handle(now, e, h.acts[:0])
@@ -194,19 +194,19 @@
 		if kind == balancer.UpdateFailed {
 			return balancer.EndpointUpdate{Kind: kind}
 		}
-		return balancer.EndpointUpdate{Kind: kind, Endpoints: h.tables[e.Table]}
+		return balancer.EndpointUpdate{Kind: kind, Endpoints: h.tables[e.List]}
 	case "Order":
-		r := balancer.Request{ID: e.ID, Class: e.Type, Deadline: duration(e.ExpiresMs)}
-		r.Tenant, _ = e.Billing.(string)
-		if e.Bits&hintValid != 0 {
-			r.CostHint = duration(e.PredictedMs)
+		r := balancer.Request{ID: e.ID, Class: e.Class, Deadline: duration(e.DeadlineMs)}
+		r.Tenant, _ = e.Tenant.(string)
+		if e.Flags&hintValid != 0 {
+			r.CostHint = duration(e.CostHintMs)
 		}
 		return r
 	case "FirstByte":
-		return balancer.FirstByte{ID: e.ID, Attempt: e.Hop}
+		return balancer.FirstByte{ID: e.ID, Attempt: e.Attempt}
 	case "Returned":
-		return balancer.Outcome{ID: e.ID, Attempt: e.Hop, Result: result(e.Result),
-			Elapsed: duration(e.ElapsedMs), Final: e.Finished}
+		return balancer.Outcome{ID: e.ID, Attempt: e.Attempt, Result: result(e.Result),
+			Elapsed: duration(e.ElapsedMs), Final: e.Final}
 	case "Hangup":
 		return balancer.ClientDisconnected{ID: e.ID}
 	case "Wakeup":
@@ -214,7 +214,7 @@
 	case "ProbeDone":
 		return balancer.ProbeResult{Upstream: e.Upstream, Result: result(e.Result), Elapsed: duration(e.ElapsedMs)}
 	case "Heard":
-		return balancer.PeerMessage{From: e.By, Message: e.Contents}
+		return balancer.PeerMessage{From: e.From, Message: e.Message}
 	}
 	return nil
 }
@@ -222,20 +222,20 @@
 func encode(inst int, a *balancer.Action) action {
 	switch a.Kind {
 	case balancer.Send:
-		return action{Verb: "Try", I: inst, ID: a.ID, Upstream: a.Upstream, LimitMs: millis(a.Timeout)}
+		return action{Verb: "Try", Instance: inst, ID: a.ID, Upstream: a.Upstream, TimeoutMs: millis(a.Timeout)}
 	case balancer.Cancel:
 		hop := a.Attempt
-		return action{Verb: "Retract", I: inst, ID: a.ID, Hop: &hop}
+		return action{Verb: "Retract", Instance: inst, ID: a.ID, Attempt: &hop}
 	case balancer.Reject:
-		return action{Verb: "Refuse", I: inst, ID: a.ID, RetryInMs: millis(a.RetryAfter)}
+		return action{Verb: "Refuse", Instance: inst, ID: a.ID, RetryAfterMs: millis(a.RetryAfter)}
 	case balancer.Fail:
-		return action{Verb: "Error", I: inst, ID: a.ID}
+		return action{Verb: "Error", Instance: inst, ID: a.ID}
 	case balancer.SetTimer:
-		return action{Verb: "Defer", I: inst, MomentMs: millis(a.FireAt), Cookie: timerCookie}
+		return action{Verb: "Defer", Instance: inst, FireAtMs: millis(a.FireAt), TimerID: timerID}
 	case balancer.Subscribe:
-		return action{Verb: "Watch", I: inst, Enable: true}
+		return action{Verb: "Watch", Instance: inst, Enable: true}
 	case balancer.Log:
-		return action{Verb: "Emit", I: inst, ReasonText: a.Text}
+		return action{Verb: "Emit", Instance: inst, Text: a.Text}
 	}
 	panic(fmt.Sprintf("no wire form for action kind %d", a.Kind))
 }
@@ -265,12 +265,12 @@
 	states := map[string]balancer.EndpointState{"active": balancer.Active, "leaving": balancer.Draining}
 	list := make([]balancer.Endpoint, len(entries))
 	for i, e := range entries {
-		state, known := states[e.StageState]
+		state, known := states[e.State]
 		if !known {
 			state = balancer.Removed // gone, or in a state that promises nothing
 		}
-		list[i] = balancer.Endpoint{Name: e.Upstream, Zone: e.RackZone, Cell: e.Cell, MachineType: e.Machine,
-			State: state, StartedAt: duration(e.CameUpMs)}
+		list[i] = balancer.Endpoint{Name: e.Upstream, Zone: e.Zone, Cell: e.Cell, MachineType: e.MachineType,
+			State: state, StartedAt: duration(e.StartedAtMs)}
 	}
 	return list
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -69,7 +69,7 @@
 func TestPanicBecomesBailOut(t *testing.T) {
 	h := &host{}
 	got := h.decide(nil, 0, 3, balancer.TimerFired{}, []action{{Verb: "Emit"}})
-	if len(got) != 2 || got[1].Verb != "BailOut" || got[1].I != 3 || got[1].ReasonText == "" {
+	if len(got) != 2 || got[1].Verb != "BailOut" || got[1].Instance != 3 || got[1].Text == "" {
 		t.Errorf("got %+v", got)
 	}
 }
@@ -90,21 +90,21 @@
 		want balancer.Event
 	}{
 		{event{Verb: "Hangup", ID: "x"}, balancer.ClientDisconnected{ID: "x"}},
-		{event{Verb: "FirstByte", ID: "x", Hop: 2}, balancer.FirstByte{ID: "x", Attempt: 2}},
-		{event{Verb: "Order", ID: "x", Type: "c", Billing: "t", ExpiresMs: 1.5, PredictedMs: 2, Bits: 1},
+		{event{Verb: "FirstByte", ID: "x", Attempt: 2}, balancer.FirstByte{ID: "x", Attempt: 2}},
+		{event{Verb: "Order", ID: "x", Class: "c", Tenant: "t", DeadlineMs: 1.5, CostHintMs: 2, Flags: 1},
 			balancer.Request{ID: "x", Class: "c", Tenant: "t", Deadline: 1500 * time.Microsecond, CostHint: 2 * time.Millisecond}},
-		{event{Verb: "Order", ID: "x", Type: "c", Billing: 0.0, PredictedMs: 2}, balancer.Request{ID: "x", Class: "c"}},
-		{event{Verb: "Returned", ID: "x", Hop: 1, Result: 520, ElapsedMs: 3},
+		{event{Verb: "Order", ID: "x", Class: "c", Tenant: 0.0, CostHintMs: 2}, balancer.Request{ID: "x", Class: "c"}},
+		{event{Verb: "Returned", ID: "x", Attempt: 1, Result: 520, ElapsedMs: 3},
 			balancer.Outcome{ID: "x", Attempt: 1, Result: balancer.Reset, Elapsed: 3 * time.Millisecond}},
 		{event{Verb: "ProbeDone", Upstream: "s", Result: 200}, balancer.ProbeResult{Upstream: "s"}},
-		{event{Verb: "Heard", By: 2, Contents: "hi"}, balancer.PeerMessage{From: 2, Message: "hi"}},
+		{event{Verb: "Heard", From: 2, Message: "hi"}, balancer.PeerMessage{From: 2, Message: "hi"}},
 		{event{Verb: "Wakeup"}, balancer.TimerFired{}},
 	} {
 		if got := h.translate(&c.e); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %+v, want %+v", c.e.Verb, got, c.want)
 		}
 	}
-	m := h.translate(&event{Verb: "Topology", Scope: "FULL", Table: 3}).(balancer.EndpointUpdate)
+	m := h.translate(&event{Verb: "Topology", Scope: "FULL", List: 3}).(balancer.EndpointUpdate)
 	if m.Kind != balancer.FullUpdate || len(m.Endpoints) != 1 {
 		t.Errorf("list: %+v", m)
 	}
@@ -149,7 +149,7 @@
 func TestUnknownStateIsNotActive(t *testing.T) {
 	for word, want := range map[string]balancer.EndpointState{"active": balancer.Active, "leaving": balancer.Draining,
 		"left": balancer.Removed, "resting": balancer.Removed} {
-		if got := members([]entry{{StageState: word}})[0].State; got != want {
+		if got := members([]entry{{State: word}})[0].State; got != want {
 			t.Errorf("%s: %d, want %d", word, got, want)
 		}
 	}
--- a/internal/task/runner/runner.go
+++ b/internal/task/runner/runner.go
@@ -1,4 +1,4 @@
-// Package taskrun carries out the fleet's tasks in one process: it asks for their leases when package task says so, notes runs before they
+// Package runner carries out the fleet's tasks in one process: it asks for their leases when package task says so, notes runs before they
 // begin and after they end, and runs them: commands under a guard, calls through the daemon.
 package runner
 
--- a/internal/testing/conformance/fronts_test.go
+++ b/internal/testing/conformance/fronts_test.go
@@ -1,4 +1,4 @@
-// Package suite holds the fronts to one another: the same module behind the daemon's HTTP and inside a gRPC client, with the
+// Package conformance holds the fronts to one another: the same module behind the daemon's HTTP and inside a gRPC client, with the
 // same seed, list and script of faults, has to give the same answers and the same load on each node.
 package conformance
 
--- a/internal/testing/processes/doc.go
+++ b/internal/testing/processes/doc.go
@@ -1,4 +1,4 @@
-// Package procs runs many processes of the program beside each other and puts faults between them: it is what the tests of leases,
+// Package processes runs many processes of the program beside each other and puts faults between them: it is what the tests of leases,
 // takeover and spread stand on. Only tests and measurements import it.
 //
 // A Rig builds the program once and starts Processes, each with a directory of its own. Whatever one of them says to another goes through
--- a/internal/testing/testutil/testkit.go
+++ b/internal/testing/testutil/testkit.go
@@ -1,4 +1,4 @@
-// Package testkit is what the tests of several packages share: waiting on conditions, the stand-ins with their clean-up,
+// Package testutil is what the tests of several packages share: waiting on conditions, the stand-ins with their clean-up,
 // and well-formed configurations and requests. Only tests import it.
 package testutil
 
--- a/internal/tlscredentials/store.go
+++ b/internal/tlscredentials/store.go
@@ -1,4 +1,4 @@
-// Package keys keeps certificates, keys and authorities, as the files hold them now: a Store takes over what is new as
+// Package tlscredentials keeps certificates, keys and authorities, as the files hold them now: a Store takes over what is new as
 // soon as it is whole and fits, and keeps what it has otherwise. tls.go makes crypto/tls configurations of it. A key is
 // never logged.
 package tlscredentials
--- a/internal/upstream/loadprobe/probe.go
+++ b/internal/upstream/loadprobe/probe.go
@@ -1,4 +1,4 @@
-// Package probe decides which upstreams are asked for their load before a request is decided on, and when none is: a sidecar
+// Package loadprobe decides which upstreams are asked for their load before a request is decided on, and when none is: a sidecar
 // that sends little hears each upstream too seldom to know it, and may ask a few instead. It is a state machine: members,
 // requests and answers in, upstreams to ask out; no I/O, no clock. Its random numbers are its caller's. What the answers mean
 // is the module's to say: package balancer prefers, among upstreams that were asked just now, the one of lowest load.
--- a/internal/upstream/prewarm/warm.go
+++ b/internal/upstream/prewarm/warm.go
@@ -1,4 +1,4 @@
-// Package warm decides which connections to upstreams are opened before a request needs them, and how fast: so that the
+// Package prewarm decides which connections to upstreams are opened before a request needs them, and how fast: so that the
 // first request to an upstream that is new to a sidecar does not wait for a connection, and so that a fleet that restarts is not
 // met by all connections at once. It is a state machine: members, uses and ends in, what to open out; no I/O, no clock. Its
 // random numbers are its caller's.
--- a/test.sh
+++ b/test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The whole check: formatting, vet, the deploy file's build, all tests but what KNOWN-RED.txt lists (.ci/tests.sh). Run from anywhere; needs Go and a C compiler.
+# The whole check: formatting, vet, linters, the deploy file's build, all tests but what KNOWN-RED.txt lists (.ci/tests.sh). Run from anywhere; needs Go and a C compiler.
 #   --race   the tests under the race detector
 #   --fleet  the tests that start hundreds of processes, and nothing else
 set -eu
@@ -32,6 +32,7 @@
 fi
 go vet ./...
 go tool staticcheck ./...
+.ci/lint.sh
 # What only tests use is in no program.
 if linked=$(go list -deps ./cmd/... | grep -xE 'testing|.*/internal/testing/.*'); then
 	echo "linked into bin/:" $linked >&2
