--- a/balancer/refusals.go
+++ b/balancer/refusals.go
@@ -10,7 +10,8 @@
 
 // mayRefuse: a refusal tells the client that trying again is harmless.
 func mayRefuse(r *request) bool {
-	if c := r.class; c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == ScopeAll {
+	c := r.class
+	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == ScopeAll {
 		return true
 	}
 	return len(r.prior) == 0 && !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayRun })
@@ -28,8 +29,7 @@
 		a := Action{Kind: Reject, ID: r.id}
 		if b.set.RetryAfterAllowed {
 			a.RetryAfter = b.set.MaxRetryAfter
-			late := r.class.LateValueFraction > 0
-			if wait := (r.aim - b.now) / 2; wait > 0 && late && a.RetryAfter < r.class.Deadline {
+			if wait, c := (r.aim-b.now)/2, r.class; wait > 0 && c.LateValueFraction > 0 && a.RetryAfter < c.Deadline {
 				a.RetryAfter = min(a.RetryAfter, wait)
 			}
 		}
