--- a/internal/admission/door.go
+++ b/internal/admission/queue.go
@@ -1,93 +1,13 @@
-// Package admission decides, before the balancer sees a request, who goes on, who waits and in which order, and who is turned
-// away with what word on when to come back. It is fair between principals, the tenants or clients that requests come from:
-// one that floods takes from itself.
-//
-// A Door is a pure state machine: every call brings the time and appends what is to be done. It does no I/O, reads no clock,
-// and is not safe for concurrent use; package doorkeeper drives it. All random numbers come from its seed.
-//
-//	Arrive   a request has come: it goes on, waits, or is refused; somebody else who waits may be refused for it
-//	Leave    one that waits has lost its client
-//	Done     one that went on has its answer
-//	Wake     the time of Next has come
-//
-// Files: sfq.go shares places between principals, limit.go finds how many there are, cost.go what a request takes of them,
-// promise.go when who was refused may come back, budget.go bounds repeats, principal.go names principals.
-//
-// Bounds: Options.MaxQueued requests wait; Options.MaxPrincipals groups and flows are known, of one group a 16th at most, beside 16
-// shared ones; one of them takes under 700 bytes with its name, and what waits and was promised 1 MB at the defaults,
-// so 12 MB at 16,384 (TestMemory). A principal is forgotten
-// when nothing of it waits or is in hand, it owes nothing (its finish is no later than virtual time) and no promise to it
-// stands. None of that depends on how many others there are, so that a flood of names neither keeps nor ousts anybody.
 package admission
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"orchiddrift/balancer"
 	"orchiddrift/internal/priorityqueue"
 )
 
-// Ticket is one request at the door. It is never used again.
-type Ticket uint64
-
-// Arrival is a request that has come. Times are those of the clock that Door's calls bring.
-type Arrival struct {
-	Group, Flow string // see By.Names
-	Class       string
-	CostHint    time.Duration // what the client says it costs; 0: nothing
-	ArrivedAt   time.Duration // when its time began to count: its aim counts from here
-	Deadline    time.Duration // when its client stops waiting
-	Bytes       int64         // of its body, kept while it waits
-	Retry       bool          // marked as a repeat by its client
-	Fingerprint uint64        // tells requests apart, the same for a repeat; 0: not known
-}
-
-// ActionKind tells actions apart.
-type ActionKind int
-
-// What is to be done with a request.
-const (
-	Admit  ActionKind = iota // goes on; Done must follow
-	Reject                   // is turned away: it was not done, trying again is harmless
-)
-
-// Reason says why a request was refused.
-type Reason int
-
-// The reasons, in the order in which they are looked at.
-const (
-	RetryBudgetExhausted Reason = iota // its principal's repeats, or all, are more than their part
-	WaitTooLong                        // its principal's turn won't come in its wanted time
-	QueueFull                          // its principal holds the most of a full queue, for its weight
-	QueueTimeout                       // its turn did not come in time
-)
-
-var reasons = [...]string{"repeats over their budget", "no turn in its wanted time", "the queue is full", "no turn in time"}
-
-func (r Reason) String() string { return reasons[r] }
-
-// Action is one thing to do.
-type Action struct {
-	Kind       ActionKind
-	Ticket     Ticket
-	RetryAfter time.Duration // of Refuse: when to come back
-	Reserved   bool          // of Refuse: it is remembered, and who comes then goes before others
-	Reason     Reason        // of Refuse
-}
-
-// Outcome is how a request that went on ended.
-type Outcome int
-
-// The results.
-const (
-	Completed          Outcome = iota // by an upstream, well or not, or it failed after its time
-	RejectedByBalancer                // the balancer refused it: the upstreams have too much
-	ClientGone                        // its client left
-)
-
 // Queue is the state machine. See the package's comment.
 type Queue struct {
 	o       Options
@@ -121,36 +41,6 @@
 	spareFlows  []*flow
 }
 
-// group is a principal of the first source.
-type group struct {
-	member
-	name    string
-	level   level // of its flows
-	flows   map[string]*flow
-	shared  flow // of requests without a second source, and of flows beyond the bound
-	honesty float64
-	budget  budget
-	crowd   bool // one of the 16 that stand for those beyond the bound
-	gone    bool // forgotten
-}
-
-// flow is a principal of the second source, within its group.
-type flow struct {
-	member
-	name     string
-	runs     []run // what waits, the worthiest first
-	promises []promise
-	promised float64 // their cost
-	lapse    time.Duration
-	lapsing  int
-}
-
-// run is what waits of one flow and one worth, in the order of coming.
-type run struct {
-	worth       float64
-	first, last *entry
-}
-
 type state int8
 
 const (
@@ -185,12 +75,6 @@
 
 func (e *entry) ticket() Ticket { return Ticket(e.gen)<<32 | Ticket(e.index) }
 
-const (
-	crowds    = 16 // shared groups for principals beyond the bound
-	flowPart  = 16 // one group may have this fraction of the known principals as flows
-	crowdName = "\x00"
-)
-
 // New returns a Door for a service's classes. The options have passed Options.Check.
 func New(o Options, classes []balancer.Class, seed uint64) *Queue {
 	d := &Queue{o: o, weights: o.weights(), classes: map[string]*class{}, seed: seed,
@@ -231,23 +115,6 @@
 	}
 }
 
-// weigh puts a group and its flows where their loads belong, which another bound or weight has changed.
-func (d *Queue) weigh(g *group) {
-	if g.most >= 0 {
-		d.root.most.Set(&g.member, -d.load(&g.member), 0)
-	}
-	for _, f := range g.flows {
-		d.weighFlow(f)
-	}
-	d.weighFlow(&g.shared)
-}
-
-func (d *Queue) weighFlow(f *flow) {
-	if f.most >= 0 {
-		f.group.level.most.Set(&f.member, -d.load(&f.member), 0)
-	}
-}
-
 func (d *Queue) weightOf(g *group) float64 {
 	if w, named := d.weights[g.name]; named && !g.crowd {
 		return w
@@ -343,83 +210,6 @@
 	return 0, true
 }
 
-// spent is how long the request will take beyond the door, as such requests do now.
-func (e *entry) spent() time.Duration {
-	return seconds(e.class.usual)
-}
-
-// ahead is the cost of what goes before another request of a flow, for what the flow and its group owe too.
-func (d *Queue) ahead(f *flow) float64 {
-	g := f.group
-	cost := f.queued
-	if s := g.level.of(&f.member); s.owes(&f.member) && f.waiting == 0 {
-		cost += (f.finish - s.v) * f.share()
-	}
-	if s := d.root.of(&g.member); s.owes(&g.member) && g.waiting == 0 {
-		cost += (g.finish - s.v) * g.share()
-	}
-	return cost
-}
-
-// rateOf is what a flow gets, in cost a second, while all that are active go on.
-func (d *Queue) rateOf(f *flow) float64 {
-	part := d.root.rate(&f.group.member)
-	if inner := f.group.level.rate(&f.member); inner > 0 {
-		part *= inner
-	}
-	return part * d.limit.limit
-}
-
-// crowdedCost is the mean cost of requests while the limit binds, s: what is seen then, or where it is not, what it would be
-// in the middle of what the limit aims at.
-func (d *Queue) crowdedCost() float64 {
-	return max(costLeast, d.usual, d.limit.base*(rLow+rHigh)/2)
-}
-
-// load is how much of the queue a member holds, for its weight.
-func (d *Queue) load(m *member) float64 {
-	return d.loadWith(m, 0, 0)
-}
-
-func (d *Queue) loadWith(m *member, requests int, bytes int64) float64 {
-	held := float64(m.waiting+requests)/float64(d.o.MaxQueued) + float64(m.bytes+bytes)/float64(max(1, d.o.MaxQueuedBytes))
-	if m.weight <= 0 {
-		return held * maxWeight * maxWeight // before all who have a weight
-	}
-	return held / m.weight
-}
-
-// victim is who is given up so that e may wait: of the group that holds the most for its weight, e counted in, of its flow
-// that does, the least worthy, of those the newest. e itself, where that is so.
-func (d *Queue) victim(e *entry) *entry {
-	f, g := e.flow, e.flow.group
-	if d.waiting == 0 {
-		return e
-	}
-	most := d.root.most.First()
-	if most.group != g && d.load(most) <= d.loadWith(&g.member, 1, e.bytes) {
-		most = &g.member
-	}
-	if most.group == g && g.waiting == 0 {
-		return e
-	}
-	of := most.group.level.most.First()
-	if of != &f.member && most.group == g && d.load(of) <= d.loadWith(&f.member, 1, e.bytes) {
-		of = &f.member
-	}
-	if of == &f.member {
-		if f.waiting == 0 {
-			return e
-		}
-		if last := f.runs[len(f.runs)-1]; e.redeemed || last.worth < e.worth {
-			return last.last
-		}
-		return e
-	}
-	runs := of.flow.runs
-	return runs[len(runs)-1].last
-}
-
 // wait has e wait.
 func (d *Queue) wait(e *entry) {
 	f, g := e.flow, e.flow.group
@@ -464,55 +254,6 @@
 	return &m.group.level
 }
 
-// push puts e behind those of its worth.
-func (f *flow) push(e *entry) {
-	worth := e.worth
-	if e.redeemed {
-		worth += 1e18 // before all others
-	}
-	i := 0
-	for i < len(f.runs) && f.runs[i].worth > worth {
-		i++
-	}
-	if i == len(f.runs) || f.runs[i].worth != worth {
-		f.runs = append(f.runs, run{})
-		copy(f.runs[i+1:], f.runs[i:])
-		f.runs[i] = run{worth: worth}
-	}
-	r := &f.runs[i]
-	e.prev, e.next = r.last, nil
-	if r.last == nil {
-		r.first = e
-	} else {
-		r.last.next = e
-	}
-	r.last = e
-}
-
-// pull takes e out of its run.
-func (f *flow) pull(e *entry) {
-	for i := range f.runs {
-		r := &f.runs[i]
-		if r.first == e {
-			r.first = e.next
-		}
-		if r.last == e {
-			r.last = e.prev
-		}
-		if r.first == nil {
-			f.runs = append(f.runs[:i], f.runs[i+1:]...)
-			break
-		}
-	}
-	if e.prev != nil {
-		e.prev.next = e.next
-	}
-	if e.next != nil {
-		e.next.prev = e.prev
-	}
-	e.prev, e.next = nil, nil
-}
-
 // out takes a waiting request out of all that counts waiting ones but the ready heaps.
 func (d *Queue) out(e *entry) {
 	f, g := e.flow, e.flow.group
@@ -725,131 +466,6 @@
 	return nil
 }
 
-// find is a request's flow, made where it is not known.
-func (d *Queue) find(groupName, flowName string) *flow {
-	g := d.groups[groupName]
-	if g == nil {
-		crowd := false
-		if d.known >= d.o.MaxPrincipals {
-			h := xxhash.NewWithSeed(d.seed)
-			_, _ = h.WriteString(groupName) // never fails
-			groupName, crowd = crowdName+string(rune('a'+h.Sum64()%crowds)), true
-			g = d.groups[groupName]
-		}
-		if g == nil {
-			g = d.newGroup(groupName, crowd)
-		}
-	}
-	if flowName == "" || g.crowd {
-		return &g.shared
-	}
-	f := g.flows[flowName]
-	if f == nil {
-		if d.known >= d.o.MaxPrincipals || len(g.flows) >= max(1, d.o.MaxPrincipals/flowPart) {
-			return &g.shared
-		}
-		f = d.newFlow(g, flowName)
-	}
-	return f
-}
-
-func (d *Queue) newGroup(name string, crowd bool) *group {
-	var g *group
-	if n := len(d.spareGroups); n > 0 {
-		g = d.spareGroups[n-1]
-		d.spareGroups = d.spareGroups[:n-1]
-	} else {
-		g = &group{level: newLevel()}
-	}
-	g.name, g.crowd, g.gone, g.honesty, g.budget = name, crowd, false, 1, budget{tokens: 1, most: budgetOne}
-	g.member = member{ready: -1, rest: -1, most: -1, group: g}
-	g.weight = d.weightOf(g)
-	g.shared.reset(g, "")
-	d.groups[name] = g
-	if !crowd {
-		d.known++
-	}
-	return g
-}
-
-func (d *Queue) newFlow(g *group, name string) *flow {
-	var f *flow
-	if n := len(d.spareFlows); n > 0 {
-		f = d.spareFlows[n-1]
-		d.spareFlows = d.spareFlows[:n-1]
-	} else {
-		f = &flow{}
-	}
-	f.reset(g, name)
-	if g.flows == nil {
-		g.flows = map[string]*flow{}
-	}
-	g.flows[name] = f
-	d.known++
-	return f
-}
-
-func (f *flow) reset(g *group, name string) {
-	*f = flow{name: name, runs: f.runs[:0], promises: f.promises[:0], lapsing: -1,
-		member: member{weight: 1, ready: -1, rest: -1, most: -1, group: g, flow: f}}
-}
-
-const spares = 64 // groups and flows kept for the next ones
-
-// forget lets a flow go that nothing needs any more, and then its group.
-func (d *Queue) forget(f *flow) {
-	g := f.group
-	if f.active() || f.coming || len(f.promises) > 0 {
-		return
-	}
-	if s := g.level.of(&f.member); s.owes(&f.member) { // it rests until that is paid
-		return
-	} else if f != &g.shared && g.flows[f.name] == f {
-		s.resting.Remove(&f.member)
-		delete(g.flows, f.name)
-		d.known--
-		if len(d.spareFlows) < spares {
-			d.spareFlows = append(d.spareFlows, f)
-		}
-	}
-	d.forgetGroup(g)
-}
-
-// forgetGroup lets a group go of which nothing is left.
-func (d *Queue) forgetGroup(g *group) {
-	if g.active() || g.coming || g.gone {
-		return
-	}
-	d.paidWithin(g)
-	if s := d.root.of(&g.member); len(g.flows) > 0 || len(g.shared.promises) > 0 || s.owes(&g.member) {
-		return
-	}
-	d.root.of(&g.member).resting.Remove(&g.member)
-	delete(d.groups, g.name)
-	g.gone = true
-	if !g.crowd {
-		d.known--
-	}
-	if len(d.spareGroups) < spares {
-		g.level.reset()
-		d.spareGroups = append(d.spareGroups, g)
-	}
-}
-
-// paidWithin forgets the flows of a group that has nothing waiting or in hand: none of them owes the others anything.
-func (d *Queue) paidWithin(g *group) {
-	for _, s := range g.level.halves() {
-		for s != nil && s.resting.Len() > 0 {
-			f := s.resting.First().flow
-			s.resting.Remove(&f.member)
-			if len(f.promises) == 0 && f != &g.shared {
-				delete(g.flows, f.name)
-				d.known--
-			}
-		}
-	}
-}
-
 // Stats is what the door holds now.
 type Stats struct {
 	Queued, InFlight, Limit  int
--- a/internal/admission/promise.go
+++ b/internal/admission/reservation.go
@@ -5,9 +5,6 @@
 	"time"
 )
 
-// A refused client is told when to come back. Those times are handed out from a calendar, so that no more are told to come
-// in one step of it than can be served beside others, and are remembered, so that who comes when told goes first.
-
 const (
 	calendarStep   = 10 * time.Millisecond
 	calendarSteps  = 1024 // at most; long waits have longer steps
--- /dev/null
+++ b/internal/simulation/admissionsim/result.go
@@ -0,0 +1,71 @@
+package admissionsim
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+// Seen is what one client saw.
+type Seen struct {
+	First, InAim, Late, Refused, Failed int // first requests, and how they ended in the end
+	Asked                               int // with repeats
+	Told, Kept                          int // came back when promised, and were served then
+	Firsts, Repeats                     int // first tries, and others that came unbidden, that went on
+	Chanced, Lucky                      int // came back when told without a promise, and were served then
+	Took                                []time.Duration
+	Work                                time.Duration // that nodes did for it
+	Bins                                []float64     // answers in their aim, by time of the answer
+}
+
+// Share is the part of first requests that was answered in the aim.
+func (s *Seen) Share() float64 { return float64(s.InAim) / float64(max(1, s.First)) }
+
+// Quantile is of the time from the first try to the answer.
+func (s *Seen) Quantile(q float64) time.Duration {
+	if len(s.Took) == 0 {
+		return 0
+	}
+	slices.Sort(s.Took)
+	return s.Took[min(len(s.Took)-1, int(q*float64(len(s.Took))))]
+}
+
+// Result is what a run came to.
+type Result struct {
+	Clients []Seen
+	Busy    float64   // part of the nodes' time that was work
+	Wasted  float64   // part of it for answers that nobody waited for, or that were late
+	InHand  []float64 // mean number beyond the gate, by bin
+}
+
+// Jain is R. Jain's index of fairness (1984) of some figures: 1 where all are equal, 1/n where one has all.
+func Jain(x []float64) float64 {
+	sum, squares := 0.0, 0.0
+	for _, v := range x {
+		sum, squares = sum+v, squares+v*v
+	}
+	if squares == 0 {
+		return 1
+	}
+	return sum * sum / (float64(len(x)) * squares)
+}
+
+// RelativeTo is one share over another, 1 where there was nothing to get.
+func RelativeTo(with, alone float64) float64 {
+	if alone == 0 {
+		return 1
+	}
+	return with / alone
+}
+
+// Spread is the largest of some figures over their mean.
+func Spread(x []float64) float64 {
+	sum, most := 0.0, 0.0
+	for _, v := range x {
+		sum, most = sum+v, math.Max(most, v)
+	}
+	if sum == 0 {
+		return 1
+	}
+	return most * float64(len(x)) / sum
+}
