--- a/internal/engine/answer.go
+++ b/internal/engine/answer.go
@@ -26,21 +26,21 @@
 	Value      any           // of Served: the winning attempt's
 	Attempts   int           // attempts that the module decided on so far
 
-	stream *attempt
-	f      *flight
-	e      *Engine
+	attempt *attempt
+	call    *callState
+	engine  *Engine
 }
 
 // EndStream reports how a streamed answer ended (Reply.Streaming). Only the first call counts; for other answers it does
 // nothing.
-func (a Answer) EndStream(r balancer.Result) {
-	if a.stream != nil {
-		a.e.endStream(a.f, a.stream, r)
+func (a Answer) EndStream(result balancer.Result) {
+	if a.attempt != nil {
+		a.engine.endStreamedAttempt(a.call, a.attempt, result)
 	}
 }
 
-func (e *Engine) endStream(f *flight, a *attempt, r balancer.Result) {
+func (e *Engine) endStreamedAttempt(call *callState, a *attempt, result balancer.Result) {
 	e.lock()
 	defer e.unlock()
-	e.ended(f, a, AttemptResult{Result: r})
+	e.endAttempt(call, a, AttemptResult{Result: result})
 }
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -43,16 +43,16 @@
 // attempt is one send, and the context that it is carried out under.
 type attempt struct {
 	context.Context // ends with cancel
-	at              Attempt
-	sent            time.Duration
-	begun           time.Duration // when its stream began; 0: it has not
+	info            Attempt
+	startedAt       time.Duration
+	streamStartedAt time.Duration // when its stream began; 0: it has not
 	cancel          context.CancelCauseFunc
 	timer           *time.Timer
 	ended           bool
 }
 
 // Deadline is the attempt's, which the engine keeps by a timer of its own: a stream loses it.
-func (a *attempt) Deadline() (time.Time, bool) { return a.at.Deadline, true }
+func (a *attempt) Deadline() (time.Time, bool) { return a.info.Deadline, true }
 
 func (a *attempt) Err() error {
 	err := a.Context.Err()
@@ -64,103 +64,103 @@
 
 func (a *attempt) expire() { a.cancel(context.DeadlineExceeded) }
 
-// start begins an attempt: by the caller where that is free, else beside it.
-func (e *Engine) start(s *balancer.Action) {
-	f := e.flights[s.ID]
-	if f == nil {
+// startAttempt begins an attempt: by the caller where that is free, else beside it.
+func (e *Engine) startAttempt(send *balancer.Action) {
+	call := e.calls[send.ID]
+	if call == nil {
 		return
 	}
 	now := e.clock.Now()
-	limit := f.call.Deadline - now
-	if s.Timeout > 0 {
-		limit = min(limit, s.Timeout)
+	limit := call.request.Deadline - now
+	if send.Timeout > 0 {
+		limit = min(limit, send.Timeout)
 	}
-	a := &f.first
-	if len(f.attempts) > 0 {
+	a := &call.firstAttempt
+	if len(call.attempts) > 0 {
 		a = &attempt{}
 	}
 	parent := context.Background()
-	if e.cancelAll {
-		parent = f.ctx
+	if e.cancelWithCaller {
+		parent = call.ctx
 	}
 	a.Context, a.cancel = context.WithCancelCause(parent)
-	a.at = Attempt{ID: f.call.ID, Number: len(f.attempts), Upstream: s.Upstream, Zone: s.Zone, Cell: s.Cell, Deadline: time.Now().Add(limit),
-		Cancel: a.cancel, Caller: f.ctx}
-	if f.call.Interest != nil {
-		a.at.Caller = f.call.Interest
+	a.info = Attempt{ID: call.request.ID, Number: len(call.attempts), Upstream: send.Upstream, Zone: send.Zone, Cell: send.Cell, Deadline: time.Now().Add(limit),
+		Cancel: a.cancel, Caller: call.ctx}
+	if call.request.Interest != nil {
+		a.info.Caller = call.request.Interest
 	}
-	if s.SendBy > 0 {
-		a.at.SendBy = time.Now().Add(s.SendBy - now)
+	if send.SendBy > 0 {
+		a.info.SendBy = time.Now().Add(send.SendBy - now)
 	}
-	a.sent = now
+	a.startedAt = now
 	a.timer = time.AfterFunc(limit, a.expire)
-	f.attempts = append(f.attempts, a)
-	f.out++
-	if e.inline && !f.busy && f.next == nil {
-		a.at.OnCallerGoroutine = true
-		f.next = a
-		f.signal()
+	call.attempts = append(call.attempts, a)
+	call.runningAttempts++
+	if e.callerRunsAttempts && !call.callerBusy && call.callerAttempt == nil {
+		a.info.OnCallerGoroutine = true
+		call.callerAttempt = a
+		call.wakeCaller()
 		return
 	}
-	e.running.Go(func() {
-		r := e.carry(f, a)
+	e.attemptGoroutines.Go(func() {
+		result := e.runAttempt(call, a)
 		e.lock()
 		defer e.unlock()
-		e.ended(f, a, r)
-		f.signal()
+		e.endAttempt(call, a, result)
+		call.wakeCaller()
 	})
 }
 
-// carry carries out an attempt. A front's panic is its own: the attempt may have run.
-func (e *Engine) carry(f *flight, a *attempt) (r AttemptResult) {
+// runAttempt carries out an attempt. A front's panic is its own: the attempt may have run.
+func (e *Engine) runAttempt(call *callState, a *attempt) (result AttemptResult) {
 	defer func() {
 		if p := recover(); p != nil {
-			r = AttemptResult{Result: balancer.Reset}
+			result = AttemptResult{Result: balancer.Reset}
 			if e.log != nil {
-				e.log.Error("an attempt's panic", "class", f.call.Class, "upstream", a.at.Upstream, "attempt", a.at.Number,
+				e.log.Error("an attempt's panic", "class", call.request.Class, "upstream", a.info.Upstream, "attempt", a.info.Number,
 					"reason", fmt.Sprint(p))
 			}
 		}
 	}()
-	if r = f.carrier.RoundTrip(a, a.at); r.Result == balancer.NotSent && e.settle != nil {
-		e.settle()
+	if result = call.transport.RoundTrip(a, a.info); result.Result == balancer.NotSent && e.waitForUpdates != nil {
+		e.waitForUpdates()
 	}
-	return r
+	return result
 }
 
-// ended reports an attempt's one outcome; the first that was served is the final answer, also to a caller that was
+// endAttempt reports an attempt's one outcome; the first that was served is the final answer, also to a caller that was
 // thought to have left.
-func (e *Engine) ended(f *flight, a *attempt, r AttemptResult) {
+func (e *Engine) endAttempt(call *callState, a *attempt, result AttemptResult) {
 	if a.ended {
 		return
 	}
-	running := a.timer.Stop()
-	if r.Streaming {
-		switch expired := !running || context.Cause(a.Context) == context.DeadlineExceeded; {
-		case f.done: // too late, or another stream has won
-			r = AttemptResult{Result: balancer.Cancelled}
+	timerStopped := a.timer.Stop()
+	if result.Streaming {
+		switch expired := !timerStopped || context.Cause(a.Context) == context.DeadlineExceeded; {
+		case call.closed: // too late, or another stream has won
+			result = AttemptResult{Result: balancer.Cancelled}
 		case expired: // as its answer began: its connection is being closed, and what has come of the answer would be cut
-			r = AttemptResult{Result: balancer.Timeout, BodyConsumed: r.BodyConsumed}
+			result = AttemptResult{Result: balancer.Timeout, BodyConsumed: result.BodyConsumed}
 		case a.Context.Err() != nil: // the same, by whoever called it off
-			r = AttemptResult{Result: balancer.Cancelled, BodyConsumed: r.BodyConsumed}
+			result = AttemptResult{Result: balancer.Cancelled, BodyConsumed: result.BodyConsumed}
 		default:
-			a.begun = e.clock.Now()
-			e.handle(balancer.FirstByte{ID: f.call.ID, Attempt: a.at.Number, PassThrough: r.PassThrough})
-			e.finish(f, Answer{Kind: Served, Value: r.Value, stream: a, f: f, e: e})
+			a.streamStartedAt = e.clock.Now()
+			e.handle(balancer.FirstByte{ID: call.request.ID, Attempt: a.info.Number, PassThrough: result.PassThrough})
+			e.answerCall(call, Answer{Kind: Served, Value: result.Value, attempt: a, call: call, engine: e})
 			return
 		}
 	}
 	a.ended = true
-	f.out--
-	at := e.clock.Now()
-	if a.begun > 0 { // how long a stream goes on tells nothing of its upstream's speed
-		at = a.begun
+	call.runningAttempts--
+	endedAt := e.clock.Now()
+	if a.streamStartedAt > 0 { // how long a stream goes on tells nothing of its upstream's speed
+		endedAt = a.streamStartedAt
 	}
 	a.cancel(context.Canceled)
-	if r.Result == balancer.OK {
-		e.finish(f, Answer{Kind: Served, Value: r.Value})
+	if result.Result == balancer.OK {
+		e.answerCall(call, Answer{Kind: Served, Value: result.Value})
 	}
-	e.handle(balancer.Outcome{ID: f.call.ID, Attempt: a.at.Number, Result: r.Result,
-		Elapsed: at - a.sent, Final: f.done, BodyConsumed: r.BodyConsumed})
-	e.forget(f)
+	e.handle(balancer.Outcome{ID: call.request.ID, Attempt: a.info.Number, Result: result.Result,
+		Elapsed: endedAt - a.startedAt, Final: call.closed, BodyConsumed: result.BodyConsumed})
+	e.removeIfComplete(call)
 }
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -23,129 +23,129 @@
 	Interest context.Context
 }
 
-// flight is a call that the module knows. It stays until it is done and has all its outcomes.
-type flight struct {
-	call     Call
-	carrier  Transport
-	ctx      context.Context
-	attempts []*attempt
-	first    attempt // most calls need no other
-	list     [2]*attempt
-	out      int
-	done     bool // the module owes nothing for it any more
-	answered bool // and answer holds
-	answer   Answer
-	busy     bool          // the caller carries out an attempt
-	next     *attempt      // the caller is to carry out this one
-	wake     chan struct{} // the caller waits; made when it first does
+// callState is a call that the module knows. It stays until it is done and has all its outcomes.
+type callState struct {
+	request         Call
+	transport       Transport
+	ctx             context.Context
+	attempts        []*attempt
+	firstAttempt    attempt // most calls need no other
+	attemptBuffer   [2]*attempt
+	runningAttempts int
+	closed          bool // the module owes nothing for it any more
+	answered        bool // and answer holds
+	answer          Answer
+	callerBusy      bool          // the caller carries out an attempt
+	callerAttempt   *attempt      // the caller is to carry out this one
+	wake            chan struct{} // the caller waits; made when it first does
 }
 
 // Do gives a call its final answer, before Call.Deadline. When ctx ends the caller has left: the module hears of it,
 // and no further attempt is made.
-func (e *Engine) Do(ctx context.Context, c Call, carrier Transport) Answer {
+func (e *Engine) Do(ctx context.Context, request Call, transport Transport) Answer {
 	if ctx.Err() != nil {
 		return Answer{Kind: ClientGone}
 	}
-	f := &flight{call: c, carrier: carrier, ctx: ctx}
-	f.attempts = f.list[:0]
+	call := &callState{request: request, transport: transport, ctx: ctx}
+	call.attempts = call.attemptBuffer[:0]
 	e.lock()
 	switch {
 	case e.closed:
 		e.unlock()
 		return Answer{Kind: EngineClosed}
-	case e.flights[c.ID] != nil:
+	case e.calls[request.ID] != nil:
 		e.unlock()
 		return Answer{Kind: Duplicate}
 	}
-	e.flights[c.ID] = f
-	e.handle(balancer.Request{ID: c.ID, Class: c.Class, Tenant: c.Tenant, Deadline: c.Deadline, CostHint: c.CostHint,
-		EarlierAttempts: c.EarlierAttempts, StreamedBody: c.StreamedBody})
+	e.calls[request.ID] = call
+	e.handle(balancer.Request{ID: request.ID, Class: request.Class, Tenant: request.Tenant, Deadline: request.Deadline, CostHint: request.CostHint,
+		EarlierAttempts: request.EarlierAttempts, StreamedBody: request.StreamedBody})
 	// Attempts that end with their caller bring the news themselves.
-	if !f.done && !e.cancelAll && ctx.Done() != nil {
-		defer context.AfterFunc(ctx, func() { e.leave(f) })()
+	if !call.closed && !e.cancelWithCaller && ctx.Done() != nil {
+		defer context.AfterFunc(ctx, func() { e.disconnect(call) })()
 	}
-	if !f.done && c.Interest != nil {
-		defer context.AfterFunc(c.Interest, func() { e.leave(f) })()
+	if !call.closed && request.Interest != nil {
+		defer context.AfterFunc(request.Interest, func() { e.disconnect(call) })()
 	}
 	for {
 		switch {
-		case f.done: // first: what was decided before the end is not carried out after it
-			if f.next != nil {
-				e.ended(f, f.next, AttemptResult{Result: balancer.NotSent})
+		case call.closed: // first: what was decided before the end is not carried out after it
+			if call.callerAttempt != nil {
+				e.endAttempt(call, call.callerAttempt, AttemptResult{Result: balancer.NotSent})
 			}
-			e.forget(f)
+			e.removeIfComplete(call)
 			e.unlock()
-			if !f.answered {
-				return Answer{Kind: ClientGone, Attempts: len(f.attempts)}
+			if !call.answered {
+				return Answer{Kind: ClientGone, Attempts: len(call.attempts)}
 			}
-			return f.answer
-		case f.next != nil:
-			a := f.next
-			f.next, f.busy = nil, true
+			return call.answer
+		case call.callerAttempt != nil:
+			a := call.callerAttempt
+			call.callerAttempt, call.callerBusy = nil, true
 			e.unlock()
-			r := e.carry(f, a)
+			result := e.runAttempt(call, a)
 			e.lock()
-			f.busy = false
-			if e.cancelAll && ctx.Err() != nil {
-				e.leaveLocked(f)
+			call.callerBusy = false
+			if e.cancelWithCaller && ctx.Err() != nil {
+				e.disconnectLocked(call)
 			}
-			e.ended(f, a, r)
+			e.endAttempt(call, a, result)
 		default:
-			if f.wake == nil {
-				f.wake = make(chan struct{}, 1)
+			if call.wake == nil {
+				call.wake = make(chan struct{}, 1)
 			}
 			e.unlock()
-			if e.cancelAll {
+			if e.cancelWithCaller {
 				select {
-				case <-f.wake:
+				case <-call.wake:
 					e.lock()
 				case <-ctx.Done():
 					e.lock()
-					e.leaveLocked(f)
+					e.disconnectLocked(call)
 				}
 			} else {
-				<-f.wake // leave signals too
+				<-call.wake // leave signals too
 				e.lock()
 			}
 		}
 	}
 }
 
-// leave tells the module that a caller has left.
-func (e *Engine) leave(f *flight) {
+// disconnect tells the module that a caller has left.
+func (e *Engine) disconnect(call *callState) {
 	e.lock()
 	defer e.unlock()
-	e.leaveLocked(f)
+	e.disconnectLocked(call)
 }
 
-func (e *Engine) leaveLocked(f *flight) {
-	if f.done {
+func (e *Engine) disconnectLocked(call *callState) {
+	if call.closed {
 		return
 	}
-	f.done = true
-	e.handle(balancer.ClientDisconnected{ID: f.call.ID})
-	e.forget(f)
-	f.signal()
+	call.closed = true
+	e.handle(balancer.ClientDisconnected{ID: call.request.ID})
+	e.removeIfComplete(call)
+	call.wakeCaller()
 }
 
-// finish gives a call its final answer, unless it has one.
-func (e *Engine) finish(f *flight, a Answer) {
-	if f == nil || f.answered {
+// answerCall gives a call its final answer, unless it has one.
+func (e *Engine) answerCall(call *callState, answer Answer) {
+	if call == nil || call.answered {
 		return
 	}
-	a.Attempts = len(f.attempts)
-	f.answer, f.answered, f.done = a, true, true
-	f.signal()
+	answer.Attempts = len(call.attempts)
+	call.answer, call.answered, call.closed = answer, true, true
+	call.wakeCaller()
 }
 
-func (e *Engine) forget(f *flight) {
-	if f.done && f.out == 0 && e.flights[f.call.ID] == f {
-		delete(e.flights, f.call.ID)
+func (e *Engine) removeIfComplete(call *callState) {
+	if call.closed && call.runningAttempts == 0 && e.calls[call.request.ID] == call {
+		delete(e.calls, call.request.ID)
 	}
 }
 
-// signal wakes the caller, if it waits.
-func (f *flight) signal() {
+// wakeCaller wakes the caller, if it waits.
+func (f *callState) wakeCaller() {
 	if f.wake == nil {
 		return
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -24,39 +24,39 @@
 
 // Engine is safe for concurrent use. What it holds is bounded by the calls in Do and their attempts.
 type Engine struct {
-	clock     clock.Clock
-	subscribe func()
-	settle    func()
-	log       *slog.Logger
-	inline    bool // the caller's goroutine carries out attempts
-	cancelAll bool
-
-	mu      sync.Mutex
-	b       *balancer.Balancer
-	flights map[string]*flight
-	acts    []balancer.Action
-	lines   []balancer.Action // for log, once the lock is free
-	timer   *time.Timer
-	closed  bool
-	running sync.WaitGroup // attempts on goroutines of their own
-
-	newsMu  sync.Mutex
-	news    []balancer.EndpointUpdate // told and not yet handled, oldest first
-	waiting atomic.Bool               // there is news
+	clock              clock.Clock
+	subscribe          func()
+	waitForUpdates     func()
+	log                *slog.Logger
+	callerRunsAttempts bool // the caller's goroutine carries out attempts
+	cancelWithCaller   bool
+
+	mu                sync.Mutex
+	balancer          *balancer.Balancer
+	calls             map[string]*callState
+	actionBuffer      []balancer.Action
+	logActions        []balancer.Action // for log, once the lock is free
+	timer             *time.Timer
+	closed            bool
+	attemptGoroutines sync.WaitGroup // attempts on goroutines of their own
+
+	updatesMu      sync.Mutex
+	updates        []balancer.EndpointUpdate // told and not yet handled, oldest first
+	updatesPending atomic.Bool               // there is news
 }
 
 // New starts an engine, or says which settings cannot be used. Close ends it.
-func New(o Options) (*Engine, error) {
-	b, err := balancer.New(o.Settings, o.Seed)
+func New(options Options) (*Engine, error) {
+	policy, err := balancer.New(options.Settings, options.Seed)
 	if err != nil {
 		return nil, err
 	}
-	e := &Engine{clock: o.Clock, subscribe: o.Subscribe, settle: o.WaitForUpdates, log: o.Log, inline: o.Settings.CancellationAllowed,
-		cancelAll: o.CancelWithCaller, b: b, flights: map[string]*flight{}}
-	e.timer = time.AfterFunc(time.Hour, e.tick)
+	e := &Engine{clock: options.Clock, subscribe: options.Subscribe, waitForUpdates: options.WaitForUpdates, log: options.Log, callerRunsAttempts: options.Settings.CancellationAllowed,
+		cancelWithCaller: options.CancelWithCaller, balancer: policy, calls: map[string]*callState{}}
+	e.timer = time.AfterFunc(time.Hour, e.timerFired)
 	e.timer.Stop()
 	e.lock()
-	e.handle(balancer.EndpointUpdate{Kind: balancer.CachedUpdate, Endpoints: o.CachedEndpoints})
+	e.handle(balancer.EndpointUpdate{Kind: balancer.CachedUpdate, Endpoints: options.CachedEndpoints})
 	e.unlock()
 	return e, nil
 }
@@ -65,11 +65,11 @@
 func (e *Engine) Clock() clock.Clock { return e.clock }
 
 // Update brings news of the list. When it returns no later decision goes against it.
-func (e *Engine) Update(m balancer.EndpointUpdate) {
-	e.newsMu.Lock()
-	e.news = append(e.news, m) // at most one for each caller of Update: it waits below
-	e.waiting.Store(true)
-	e.newsMu.Unlock()
+func (e *Engine) Update(update balancer.EndpointUpdate) {
+	e.updatesMu.Lock()
+	e.updates = append(e.updates, update) // at most one for each caller of Update: it waits below
+	e.updatesPending.Store(true)
+	e.updatesMu.Unlock()
 	e.lock()
 	e.unlock()
 }
@@ -84,32 +84,32 @@
 }
 
 // UploadDone says that the last byte of a streamed call has been written by this attempt: what is left until expires is its time.
-func (e *Engine) UploadDone(at Attempt, expires time.Duration) {
+func (e *Engine) UploadDone(info Attempt, deadline time.Duration) {
 	e.lock()
 	defer e.unlock()
-	f := e.flights[at.ID]
-	if f == nil || f.done || at.Number >= len(f.attempts) || f.attempts[at.Number].ended {
+	call := e.calls[info.ID]
+	if call == nil || call.closed || info.Number >= len(call.attempts) || call.attempts[info.Number].ended {
 		return
 	}
-	a := f.attempts[at.Number]
-	f.call.Deadline, a.sent = expires, e.clock.Now()
-	a.timer.Reset(expires - a.sent)
-	e.handle(balancer.UploadDone{ID: at.ID, Attempt: at.Number, Deadline: expires})
+	a := call.attempts[info.Number]
+	call.request.Deadline, a.startedAt = deadline, e.clock.Now()
+	a.timer.Reset(deadline - a.startedAt)
+	e.handle(balancer.UploadDone{ID: info.ID, Attempt: info.Number, Deadline: deadline})
 }
 
 // Abort fails every call in hand: the process is about to be killed.
 func (e *Engine) Abort() {
 	e.lock()
 	defer e.unlock()
-	for _, f := range e.flights {
-		if !f.done {
-			e.finish(f, Answer{Kind: Failed})
-			e.handle(balancer.ClientDisconnected{ID: f.call.ID})
+	for _, call := range e.calls {
+		if !call.closed {
+			e.answerCall(call, Answer{Kind: Failed})
+			e.handle(balancer.ClientDisconnected{ID: call.request.ID})
 		}
-		for _, a := range f.attempts {
+		for _, a := range call.attempts {
 			a.cancel(context.Canceled)
 		}
-		e.forget(f)
+		e.removeIfComplete(call)
 	}
 }
 
@@ -120,60 +120,60 @@
 	e.closed = true
 	e.timer.Stop()
 	e.unlock()
-	e.running.Wait()
+	e.attemptGoroutines.Wait()
 }
 
 // InFlight is how many calls the engine knows, those included that only wait for the end of an attempt.
 func (e *Engine) InFlight() int {
 	e.lock()
 	defer e.unlock()
-	return len(e.flights)
+	return len(e.calls)
 }
 
 // View is what the module makes of the upstreams now.
 func (e *Engine) View() []balancer.UpstreamView {
 	e.lock()
 	defer e.unlock()
-	return e.b.View(e.clock.Now())
+	return e.balancer.View(e.clock.Now())
 }
 
 // Snapshot is what the module has learnt, and Recall has it take over what a predecessor had, before the first call.
 func (e *Engine) Snapshot() *balancer.Snapshot {
 	e.lock()
 	defer e.unlock()
-	return e.b.Snapshot(e.clock.Now())
+	return e.balancer.Snapshot(e.clock.Now())
 }
 
 // Restore is Know's counterpart.
-func (e *Engine) Restore(k *balancer.Snapshot) {
+func (e *Engine) Restore(snapshot *balancer.Snapshot) {
 	e.lock()
 	defer e.unlock()
-	e.b.Restore(e.clock.Now(), k)
+	e.balancer.Restore(e.clock.Now(), snapshot)
 }
 
 // lock takes the Balancer, and first handles what is new of the list.
 func (e *Engine) lock() {
 	e.mu.Lock()
-	if !e.waiting.Load() {
+	if !e.updatesPending.Load() {
 		return
 	}
-	e.newsMu.Lock()
-	news := e.news
-	e.news = nil
-	e.waiting.Store(false)
-	e.newsMu.Unlock()
+	e.updatesMu.Lock()
+	updates := e.updates
+	e.updates = nil
+	e.updatesPending.Store(false)
+	e.updatesMu.Unlock()
 	if e.closed {
 		return
 	}
-	for _, m := range news {
-		e.handle(m)
+	for _, update := range updates {
+		e.handle(update)
 	}
 }
 
 // unlock gives the Balancer free, then writes what it had to say: a slow log holds nobody up but the caller.
 func (e *Engine) unlock() {
-	lines := e.lines
-	e.lines = nil
+	lines := e.logActions
+	e.logActions = nil
 	e.mu.Unlock()
 	if e.log != nil {
 		for _, line := range lines {
@@ -186,7 +186,7 @@
 	}
 }
 
-func (e *Engine) tick() {
+func (e *Engine) timerFired() {
 	e.lock()
 	defer e.unlock()
 	if !e.closed {
@@ -196,41 +196,41 @@
 
 // handle runs one decision. A panic in it ends the process: with the module's state unknown a request might be
 // answered twice or run twice, and a server that recovers would leave the lock taken for ever.
-func (e *Engine) handle(ev balancer.Event) {
+func (e *Engine) handle(event balancer.Event) {
 	defer func() {
 		if p := recover(); p != nil {
 			go panic(fmt.Sprintf("balancer: %v", p))
 			select {}
 		}
 	}()
-	acts := e.b.Handle(e.clock.Now(), ev, e.acts[:0])
-	e.acts = nil // what is done below may bring further decisions
-	for i := range acts {
-		e.act(&acts[i])
+	actions := e.balancer.Handle(e.clock.Now(), event, e.actionBuffer[:0])
+	e.actionBuffer = nil // what is done below may bring further decisions
+	for i := range actions {
+		e.execute(&actions[i])
 	}
-	clear(acts)
-	e.acts = acts[:0]
+	clear(actions)
+	e.actionBuffer = actions[:0]
 }
 
-func (e *Engine) act(a *balancer.Action) {
-	switch a.Kind {
+func (e *Engine) execute(action *balancer.Action) {
+	switch action.Kind {
 	case balancer.Send:
-		e.start(a)
+		e.startAttempt(action)
 	case balancer.Cancel:
-		if f := e.flights[a.ID]; f != nil && a.Attempt < len(f.attempts) {
-			f.attempts[a.Attempt].cancel(context.Canceled)
+		if call := e.calls[action.ID]; call != nil && action.Attempt < len(call.attempts) {
+			call.attempts[action.Attempt].cancel(context.Canceled)
 		}
 	case balancer.Reject:
-		e.finish(e.flights[a.ID], Answer{Kind: Rejected, RetryAfter: a.RetryAfter})
+		e.answerCall(e.calls[action.ID], Answer{Kind: Rejected, RetryAfter: action.RetryAfter})
 	case balancer.Fail:
-		e.finish(e.flights[a.ID], Answer{Kind: Failed})
+		e.answerCall(e.calls[action.ID], Answer{Kind: Failed})
 	case balancer.SetTimer:
-		e.timer.Reset(a.FireAt - e.clock.Now())
+		e.timer.Reset(action.FireAt - e.clock.Now())
 	case balancer.Subscribe:
 		if e.subscribe != nil {
 			e.subscribe()
 		}
 	case balancer.Log:
-		e.lines = append(e.lines, *a)
+		e.logActions = append(e.logActions, *action)
 	}
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -20,10 +20,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// carry is a Carrier made of a function.
-type carry func(ctx context.Context, a Attempt) AttemptResult
+// transportFunc is a Carrier made of a function.
+type transportFunc func(ctx context.Context, a Attempt) AttemptResult
 
-func (c carry) RoundTrip(ctx context.Context, a Attempt) AttemptResult { return c(ctx, a) }
+func (c transportFunc) RoundTrip(ctx context.Context, a Attempt) AttemptResult { return c(ctx, a) }
 
 func testSettings() balancer.Settings {
 	class := func(name string, e balancer.Idempotency) balancer.Class {
@@ -35,7 +35,7 @@
 		HedgingAllowed: true, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 1500 * time.Millisecond}
 }
 
-func member(name string, state balancer.EndpointState) balancer.Endpoint {
+func testEndpoint(name string, state balancer.EndpointState) balancer.Endpoint {
 	return balancer.Endpoint{Name: name, Zone: "a", State: state}
 }
 
@@ -43,7 +43,7 @@
 	t.Helper()
 	o := Options{Settings: testSettings(), Seed: 1, Clock: clock.New()}
 	for _, name := range names {
-		o.CachedEndpoints = append(o.CachedEndpoints, member(name, balancer.Active))
+		o.CachedEndpoints = append(o.CachedEndpoints, testEndpoint(name, balancer.Active))
 	}
 	if change != nil {
 		change(&o)
@@ -56,7 +56,7 @@
 	return e
 }
 
-func (e *Engine) call(id, class string) Call {
+func (e *Engine) newTestCall(id, class string) Call {
 	return Call{ID: id, Class: class, Deadline: e.clock.Now() + 3*time.Second}
 }
 
@@ -80,16 +80,16 @@
 	for i := range 50 {
 		wg.Go(func() {
 			arrived.Add(1)
-			e.Do(context.Background(), e.call(fmt.Sprint(i), "search"), carry(func(_ context.Context, a Attempt) AttemptResult {
+			e.Do(context.Background(), e.newTestCall(fmt.Sprint(i), "search"), transportFunc(func(_ context.Context, a Attempt) AttemptResult {
 				sent.Store(a.Upstream, true)
 				return AttemptResult{Result: balancer.OK}
 			}))
 		})
 	}
 	wg.Go(func() {
-		e.Update(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate, Endpoints: []balancer.Endpoint{member("drains", balancer.Draining)}})
+		e.Update(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate, Endpoints: []balancer.Endpoint{testEndpoint("drains", balancer.Draining)}})
 	})
-	for arrived.Load() < 50 || !e.waiting.Load() {
+	for arrived.Load() < 50 || !e.updatesPending.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	e.mu.Unlock()
@@ -109,7 +109,7 @@
 			e.Abort()
 		}()
 		begun := time.Now()
-		a := e.Do(t.Context(), e.call("1", "search"), carry(func(ctx context.Context, _ Attempt) AttemptResult {
+		a := e.Do(t.Context(), e.newTestCall("1", "search"), transportFunc(func(ctx context.Context, _ Attempt) AttemptResult {
 			<-ctx.Done()
 			return AttemptResult{Result: balancer.OK, Value: "late"}
 		}))
@@ -128,7 +128,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			e := testEngine(t, nil, "s", "u")
 			begun := time.Now()
-			a := e.Do(t.Context(), e.call("1", class), carry(func(ctx context.Context, _ Attempt) AttemptResult {
+			a := e.Do(t.Context(), e.newTestCall("1", class), transportFunc(func(ctx context.Context, _ Attempt) AttemptResult {
 				<-ctx.Done()
 				if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 					return AttemptResult{Result: balancer.Timeout}
@@ -152,7 +152,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := testEngine(t, nil, "s", "u")
 		var running, most, sends atomic.Int32
-		a := e.Do(t.Context(), e.call("1", "search"), carry(func(ctx context.Context, a Attempt) AttemptResult {
+		a := e.Do(t.Context(), e.newTestCall("1", "search"), transportFunc(func(ctx context.Context, a Attempt) AttemptResult {
 			most.Store(max(most.Load(), running.Add(1)))
 			defer running.Add(-1)
 			sends.Add(1)
@@ -180,8 +180,8 @@
 			for i := range 3 { // two unanswered at one upstream are a reason for a copy
 				wg.Go(func() {
 					begun := time.Now()
-					a := e.Do(t.Context(), e.call(fmt.Sprint(i), "search"),
-						carry(func(ctx context.Context, a Attempt) AttemptResult {
+					a := e.Do(t.Context(), e.newTestCall(fmt.Sprint(i), "search"),
+						transportFunc(func(ctx context.Context, a Attempt) AttemptResult {
 							if a.Upstream == "hangs" {
 								<-ctx.Done()
 								return AttemptResult{Result: balancer.Cancelled}
@@ -216,7 +216,7 @@
 			ctx, leave := context.WithTimeout(t.Context(), time.Second)
 			defer leave()
 			begun, sends := time.Now(), 0
-			a := e.Do(ctx, e.call("1", "search"), carry(func(ctx context.Context, _ Attempt) AttemptResult {
+			a := e.Do(ctx, e.newTestCall("1", "search"), transportFunc(func(ctx context.Context, _ Attempt) AttemptResult {
 				sends++
 				<-ctx.Done()
 				return AttemptResult{Result: balancer.Cancelled}
@@ -235,7 +235,7 @@
 	e := testEngine(t, nil, "s")
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
-	if a := e.Do(ctx, e.call("1", "search"), carry(func(context.Context, Attempt) AttemptResult {
+	if a := e.Do(ctx, e.newTestCall("1", "search"), transportFunc(func(context.Context, Attempt) AttemptResult {
 		t.Error("sent for a caller that had left")
 		return AttemptResult{}
 	})); a.Kind != ClientGone {
@@ -248,7 +248,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := testEngine(t, nil, "s")
 		ctx, leave := context.WithCancel(t.Context())
-		a := e.Do(ctx, e.call("1", "confirm"), carry(func(context.Context, Attempt) AttemptResult {
+		a := e.Do(ctx, e.newTestCall("1", "confirm"), transportFunc(func(context.Context, Attempt) AttemptResult {
 			leave()
 			synctest.Wait()
 			return AttemptResult{Result: balancer.OK, Value: "whole"}
@@ -263,8 +263,8 @@
 func TestDuplicate(t *testing.T) {
 	e := testEngine(t, nil, "s")
 	inner := Answer{}
-	a := e.Do(t.Context(), e.call("1", "search"), carry(func(context.Context, Attempt) AttemptResult {
-		inner = e.Do(t.Context(), e.call("1", "search"), nil)
+	a := e.Do(t.Context(), e.newTestCall("1", "search"), transportFunc(func(context.Context, Attempt) AttemptResult {
+		inner = e.Do(t.Context(), e.newTestCall("1", "search"), nil)
 		return AttemptResult{Result: balancer.OK}
 	}))
 	if a.Kind != Served || inner.Kind != Duplicate {
@@ -277,7 +277,7 @@
 	said := ""
 	e := testEngine(t, func(o *Options) { o.Log = logging.NewFunc(func(text string) { said += text }) }, "s", "u")
 	sends := 0
-	a := e.Do(t.Context(), e.call("1", "confirm"), carry(func(context.Context, Attempt) AttemptResult {
+	a := e.Do(t.Context(), e.newTestCall("1", "confirm"), transportFunc(func(context.Context, Attempt) AttemptResult {
 		sends++
 		panic("boom")
 	}))
@@ -294,7 +294,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := testEngine(t, nil, "s", "u")
 		var streamCtx context.Context
-		a := e.Do(t.Context(), e.call("1", "search"), carry(func(ctx context.Context, _ Attempt) AttemptResult {
+		a := e.Do(t.Context(), e.newTestCall("1", "search"), transportFunc(func(ctx context.Context, _ Attempt) AttemptResult {
 			streamCtx = ctx
 			return AttemptResult{Streaming: true, Value: "first"}
 		}))
@@ -318,7 +318,7 @@
 func TestClose(t *testing.T) {
 	e := testEngine(t, nil, "s")
 	go e.Close()
-	a := e.Do(t.Context(), e.call("1", "search"), carry(func(ctx context.Context, _ Attempt) AttemptResult {
+	a := e.Do(t.Context(), e.newTestCall("1", "search"), transportFunc(func(ctx context.Context, _ Attempt) AttemptResult {
 		<-ctx.Done()
 		return AttemptResult{Result: balancer.Cancelled}
 	}))
@@ -326,7 +326,7 @@
 		t.Errorf("answered %+v", a)
 	}
 	e.Close()
-	if a := e.Do(t.Context(), e.call("2", "search"), nil); a.Kind != EngineClosed {
+	if a := e.Do(t.Context(), e.newTestCall("2", "search"), nil); a.Kind != EngineClosed {
 		t.Errorf("answered %+v", a)
 	}
 	e.Update(balancer.EndpointUpdate{Kind: balancer.FullUpdate})
@@ -338,8 +338,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			e := testEngine(t, nil, "s", "u", "v", "w")
 			for i := range 100 {
-				a := e.Do(t.Context(), e.call(fmt.Sprint(i), []string{"search", "record", "confirm"}[i%3]),
-					carry(func(_ context.Context, a Attempt) AttemptResult {
+				a := e.Do(t.Context(), e.newTestCall(fmt.Sprint(i), []string{"search", "record", "confirm"}[i%3]),
+					transportFunc(func(_ context.Context, a Attempt) AttemptResult {
 						out += a.Upstream
 						time.Sleep(time.Duration(10+len(out)%7) * time.Millisecond)
 						return AttemptResult{Result: []balancer.Result{balancer.OK, balancer.OK, balancer.OK, balancer.ServerError,
@@ -368,8 +368,8 @@
 				defer cancel()
 				ctx = c
 			}
-			a := e.Do(ctx, e.call(fmt.Sprint(i), []string{"search", "record", "confirm"}[i%3]),
-				carry(func(ctx context.Context, a Attempt) AttemptResult {
+			a := e.Do(ctx, e.newTestCall(fmt.Sprint(i), []string{"search", "record", "confirm"}[i%3]),
+				transportFunc(func(ctx context.Context, a Attempt) AttemptResult {
 					select {
 					case <-time.After(time.Duration(i%7) * time.Millisecond):
 						return AttemptResult{Result: balancer.Result(i % 9)}
@@ -381,7 +381,7 @@
 		})
 		if i%50 == 0 {
 			wg.Go(func() {
-				e.Update(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate, Endpoints: []balancer.Endpoint{member("v", balancer.EndpointState(i/50%3))}})
+				e.Update(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate, Endpoints: []balancer.Endpoint{testEndpoint("v", balancer.EndpointState(i/50%3))}})
 			})
 		}
 	}
@@ -402,7 +402,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				e := testEngine(t, nil, "s", "u")
 				begun := 0
-				a := e.Do(t.Context(), e.call("1", class), carry(func(ctx context.Context, _ Attempt) AttemptResult {
+				a := e.Do(t.Context(), e.newTestCall("1", class), transportFunc(func(ctx context.Context, _ Attempt) AttemptResult {
 					<-ctx.Done() // the last moment
 					begun++
 					return AttemptResult{Result: balancer.OK, Streaming: true, PassThrough: true, Value: "a part"}
--- a/internal/engine/owner_bench_test.go
+++ b/internal/engine/owner_bench_test.go
@@ -18,12 +18,12 @@
 	b       *balancer.Balancer
 	events  chan any
 	stop    chan struct{}
-	flights map[string]*goroutineFlight
+	flights map[string]*goroutineCall
 	timer   *time.Timer
 	acts    []balancer.Action
 }
 
-type goroutineFlight struct {
+type goroutineCall struct {
 	call    Call
 	carrier Transport
 	answer  chan Answer
@@ -33,8 +33,8 @@
 	done    bool
 }
 
-type goroutineEnded struct {
-	f     *goroutineFlight
+type goroutineOutcome struct {
+	f     *goroutineCall
 	n     int
 	at    time.Duration
 	reply AttemptResult
@@ -42,13 +42,13 @@
 
 func newGoroutineEngine(b *balancer.Balancer, c clock.Clock) *goroutineEngine {
 	l := &goroutineEngine{clock: c, b: b, events: make(chan any, 256), stop: make(chan struct{}),
-		flights: map[string]*goroutineFlight{}, timer: time.NewTimer(time.Hour)}
+		flights: map[string]*goroutineCall{}, timer: time.NewTimer(time.Hour)}
 	go l.run()
 	return l
 }
 
 func (l *goroutineEngine) Do(ctx context.Context, c Call, carrier Transport) Answer {
-	f := &goroutineFlight{call: c, carrier: carrier, answer: make(chan Answer, 1)}
+	f := &goroutineCall{call: c, carrier: carrier, answer: make(chan Answer, 1)}
 	select {
 	case l.events <- f:
 	case <-l.stop:
@@ -67,11 +67,11 @@
 		select {
 		case ev := <-l.events:
 			switch ev := ev.(type) {
-			case *goroutineFlight:
+			case *goroutineCall:
 				l.flights[ev.call.ID] = ev
 				l.handle(balancer.Request{ID: ev.call.ID, Class: ev.call.Class, Deadline: ev.call.Deadline})
 				l.forget(ev)
-			case goroutineEnded:
+			case goroutineOutcome:
 				ev.f.out--
 				ev.f.cancel[ev.n]()
 				if ev.reply.Result == balancer.OK {
@@ -104,7 +104,7 @@
 			go func() {
 				r := f.carrier.RoundTrip(ctx, at)
 				select {
-				case l.events <- goroutineEnded{f, n, l.clock.Now(), r}:
+				case l.events <- goroutineOutcome{f, n, l.clock.Now(), r}:
 				case <-l.stop:
 				}
 			}()
@@ -120,14 +120,14 @@
 	}
 }
 
-func (l *goroutineEngine) finish(f *goroutineFlight, a Answer) {
+func (l *goroutineEngine) finish(f *goroutineCall, a Answer) {
 	if !f.done {
 		f.done = true
 		f.answer <- a
 	}
 }
 
-func (l *goroutineEngine) forget(f *goroutineFlight) {
+func (l *goroutineEngine) forget(f *goroutineCall) {
 	if f.done && f.out == 0 {
 		delete(l.flights, f.call.ID)
 	}
@@ -137,10 +137,10 @@
 //
 //	go test -run '^$' -bench Owner -benchmem -count 6 -cpu 1,4 ./internal/engine
 func BenchmarkOwner(b *testing.B) {
-	served := carry(func(context.Context, Attempt) AttemptResult { return AttemptResult{Result: balancer.OK} })
+	served := transportFunc(func(context.Context, Attempt) AttemptResult { return AttemptResult{Result: balancer.OK} })
 	var names []balancer.Endpoint
 	for i := range 12 {
-		names = append(names, member(fmt.Sprint(i), balancer.Active))
+		names = append(names, testEndpoint(fmt.Sprint(i), balancer.Active))
 	}
 	for _, owner := range []string{"mutex", "goroutine"} {
 		b.Run(owner, func(b *testing.B) {
@@ -181,7 +181,7 @@
 //
 //	go test -run '^$' -bench Members -benchmem -count 5 -cpu 1 ./internal/engine
 func BenchmarkMembers(b *testing.B) {
-	served := carry(func(context.Context, Attempt) AttemptResult { return AttemptResult{Result: balancer.OK} })
+	served := transportFunc(func(context.Context, Attempt) AttemptResult { return AttemptResult{Result: balancer.OK} })
 	for _, n := range []int{12, 50, 128, 5000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var names []string
@@ -191,7 +191,7 @@
 			e := testEngine(b, nil, names...)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				if a := e.Do(context.Background(), e.call(fmt.Sprint(i), "search"), served); a.Kind != Served && a.Kind != Rejected {
+				if a := e.Do(context.Background(), e.newTestCall(fmt.Sprint(i), "search"), served); a.Kind != Served && a.Kind != Rejected {
 					b.Fatalf("answered %+v", a)
 				}
 			}
