--- a/internal/engine/answer.go
+++ b/internal/engine/answer.go
@@ -11,36 +11,34 @@
 
 // The final answers.
 const (
-	Served       AnswerKind = iota
-	Rejected                // not done, trying again is harmless
-	Failed                  // no promise: it may have run
-	Duplicate               // another call of this ID is in hand; nothing was done for this one
-	ClientGone              // the caller left, by its context
-	EngineClosed            // the engine is closed; nothing was done
+	Served       AnswerKind = iota // an attempt succeeded, or its streamed answer has begun
+	Rejected                       // not executed: the caller may retry
+	Failed                         // may have been executed
+	Duplicate                      // another call with this ID is in flight; nothing was done for this one
+	ClientGone                     // the caller's context ended first
+	EngineClosed                   // the engine is closed; nothing was done
 )
 
 // Answer is the final answer to a call.
 type Answer struct {
 	Kind       AnswerKind
-	RetryAfter time.Duration // of Refused: advice when to come back; 0: none
-	Value      any           // of Served: the winning attempt's
-	Attempts   int           // attempts that the module decided on so far
+	RetryAfter time.Duration // Rejected: when to retry; 0: no advice
+	Value      any           // Served: AttemptResult.Value of the successful attempt
+	Attempts   int           // attempts started up to the answer
 
-	attempt *attempt
-	call    *callState
+	// Of a streamed answer; nil otherwise.
 	engine  *Engine
+	call    *callState
+	attempt *attempt
 }
 
-// EndStream reports how a streamed answer ended (Reply.Streaming). Only the first call counts; for other answers it does
-// nothing.
+// EndStream reports how a streamed answer ended (AttemptResult.Streaming). Only the first call counts; for any other
+// answer it does nothing. It may be called from any goroutine.
 func (a Answer) EndStream(result balancer.Result) {
-	if a.attempt != nil {
-		a.engine.endStreamedAttempt(a.call, a.attempt, result)
+	if a.attempt == nil {
+		return
 	}
-}
-
-func (e *Engine) endStreamedAttempt(call *callState, a *attempt, result balancer.Result) {
-	e.lock()
-	defer e.unlock()
-	e.endAttempt(call, a, AttemptResult{Result: result})
+	a.engine.lock()
+	defer a.engine.unlock()
+	a.engine.endAttempt(a.call, a.attempt, AttemptResult{Result: result})
 }
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -7,41 +7,48 @@
 	"orchiddrift/balancer"
 )
 
-// Call is a request as the module sees it.
+// Call is a request as the balancer sees it.
 type Call struct {
-	ID              string // not in use by another call in hand
+	ID              string // unique among the calls in flight
 	Class           string
 	Tenant          string
 	Deadline        time.Duration // on the engine's clock: when the caller stops waiting
 	CostHint        time.Duration // expected work; 0: unknown
 	EarlierAttempts []balancer.EarlierAttempt
-	// Streamed says that the body is passed on as it comes: Expires bounds what that may take, and Uploaded brings the time from
-	// which the caller waits. Such a call is not copied, and not sent again once a Reply says Spent.
+
+	// StreamedBody says that the body is forwarded as it arrives. Deadline then bounds the upload, and Engine.UploadDone
+	// sets the deadline of the answer. Such a call is not hedged, and not retried after AttemptResult.BodyConsumed.
 	StreamedBody bool
-	// Wanted, where there is one, ends once nobody waits for the answer: no attempt begins after it, and those that have begun run
-	// on, whatever CancelWithCaller says.
+
+	// Interest ends once nobody waits for the answer: no attempt starts after that, and attempts that have started run
+	// on, whatever Options.CancelWithCaller says. Nil: the context of Do alone counts.
 	Interest context.Context
 }
 
-// callState is a call that the module knows. It stays until it is done and has all its outcomes.
+// callState is a call in flight. It is guarded by Engine.mu, and stays in Engine.calls until the call is closed and its
+// attempts have ended.
 type callState struct {
-	request         Call
-	transport       Transport
-	ctx             context.Context
-	attempts        []*attempt
-	firstAttempt    attempt // most calls need no other
+	request   Call
+	transport Transport
+	ctx       context.Context // the caller's
+
+	attempts        []*attempt // in the order of their numbers
+	firstAttempt    attempt    // storage of attempts[0]: most calls need no other
 	attemptBuffer   [2]*attempt
-	runningAttempts int
-	closed          bool // the module owes nothing for it any more
-	answered        bool // and answer holds
-	answer          Answer
-	callerBusy      bool          // the caller carries out an attempt
-	callerAttempt   *attempt      // the caller is to carry out this one
-	wake            chan struct{} // the caller waits; made when it first does
+	runningAttempts int // started and not yet ended
+
+	closed   bool // answered, or its caller has disconnected: the balancer owes it nothing more
+	answered bool
+	answer   Answer // valid if answered
+
+	callerBusy    bool          // the goroutine in Do carries out an attempt
+	callerAttempt *attempt      // the attempt that it carries out next
+	wake          chan struct{} // wakes it; made when it first waits
 }
 
-// Do gives a call its final answer, before Call.Deadline. When ctx ends the caller has left: the module hears of it,
-// and no further attempt is made.
+// Do gives a call its final answer, before Call.Deadline. When ctx ends, the caller has disconnected: the
+// balancer is notified, and no further attempt starts. Do carries out attempts on the calling goroutine, and returns
+// only after those have ended.
 func (e *Engine) Do(ctx context.Context, request Call, transport Transport) Answer {
 	if ctx.Err() != nil {
 		return Answer{Kind: ClientGone}
@@ -57,61 +64,91 @@
 		e.unlock()
 		return Answer{Kind: Duplicate}
 	}
-	e.calls[request.ID] = call
-	e.handle(balancer.Request{ID: request.ID, Class: request.Class, Tenant: request.Tenant, Deadline: request.Deadline, CostHint: request.CostHint,
-		EarlierAttempts: request.EarlierAttempts, StreamedBody: request.StreamedBody})
-	// Attempts that end with their caller bring the news themselves.
+	e.begin(call)
+	// With cancelWithCaller the attempts end with ctx, and the goroutine in Do notices by itself.
 	if !call.closed && !e.cancelWithCaller && ctx.Done() != nil {
 		defer context.AfterFunc(ctx, func() { e.disconnect(call) })()
 	}
 	if !call.closed && request.Interest != nil {
 		defer context.AfterFunc(request.Interest, func() { e.disconnect(call) })()
 	}
-	for {
-		switch {
-		case call.closed: // first: what was decided before the end is not carried out after it
-			if call.callerAttempt != nil {
-				e.endAttempt(call, call.callerAttempt, AttemptResult{Result: balancer.NotSent})
-			}
-			e.removeIfComplete(call)
-			e.unlock()
-			if !call.answered {
-				return Answer{Kind: ClientGone, Attempts: len(call.attempts)}
-			}
-			return call.answer
-		case call.callerAttempt != nil:
-			a := call.callerAttempt
-			call.callerAttempt, call.callerBusy = nil, true
-			e.unlock()
-			result := e.runAttempt(call, a)
-			e.lock()
-			call.callerBusy = false
-			if e.cancelWithCaller && ctx.Err() != nil {
-				e.disconnectLocked(call)
-			}
-			e.endAttempt(call, a, result)
-		default:
-			if call.wake == nil {
-				call.wake = make(chan struct{}, 1)
-			}
-			e.unlock()
-			if e.cancelWithCaller {
-				select {
-				case <-call.wake:
-					e.lock()
-				case <-ctx.Done():
-					e.lock()
-					e.disconnectLocked(call)
-				}
-			} else {
-				<-call.wake // leave signals too
-				e.lock()
-			}
+	for !call.closed { // tested first: an attempt decided on before the end is not carried out after it
+		if call.callerAttempt != nil {
+			e.runCallerAttempt(call)
+		} else {
+			e.waitForWake(call)
 		}
 	}
+	answer := e.closeCall(call)
+	e.unlock()
+	return answer
+}
+
+// begin registers a call and asks the balancer for its first decision. The lock is held.
+func (e *Engine) begin(call *callState) {
+	request := &call.request
+	e.calls[request.ID] = call
+	e.handle(balancer.Request{
+		ID:              request.ID,
+		Class:           request.Class,
+		Tenant:          request.Tenant,
+		Deadline:        request.Deadline,
+		CostHint:        request.CostHint,
+		EarlierAttempts: request.EarlierAttempts,
+		StreamedBody:    request.StreamedBody,
+	})
+}
+
+// runCallerAttempt carries out the attempt that waits for the goroutine in Do, which calls this. The lock is held on
+// entry and on return, and released during the attempt.
+func (e *Engine) runCallerAttempt(call *callState) {
+	a := call.callerAttempt
+	call.callerAttempt, call.callerBusy = nil, true
+	e.unlock()
+	result := e.runAttempt(call, a)
+	e.lock()
+	call.callerBusy = false
+	if e.cancelWithCaller && call.ctx.Err() != nil {
+		e.disconnectLocked(call)
+	}
+	e.endAttempt(call, a, result)
+}
+
+// waitForWake blocks the goroutine in Do until there is an attempt for it to carry out or the call is closed. The lock
+// is held on entry and on return, and released meanwhile.
+func (e *Engine) waitForWake(call *callState) {
+	if call.wake == nil {
+		call.wake = make(chan struct{}, 1)
+	}
+	e.unlock()
+	if !e.cancelWithCaller {
+		<-call.wake // disconnect signals it too
+		e.lock()
+		return
+	}
+	select {
+	case <-call.wake:
+		e.lock()
+	case <-call.ctx.Done():
+		e.lock()
+		e.disconnectLocked(call)
+	}
+}
+
+// closeCall returns the final answer of a closed call. An attempt that is still waiting for the goroutine in Do was
+// never handed to the Transport: it ends as NotSent. The lock is held.
+func (e *Engine) closeCall(call *callState) Answer {
+	if call.callerAttempt != nil {
+		e.endAttempt(call, call.callerAttempt, AttemptResult{Result: balancer.NotSent})
+	}
+	e.removeIfComplete(call)
+	if !call.answered {
+		return Answer{Kind: ClientGone, Attempts: len(call.attempts)}
+	}
+	return call.answer
 }
 
-// disconnect tells the module that a caller has left.
+// disconnect notifies the balancer that a call's caller has left. It runs on a goroutine of the ended context's.
 func (e *Engine) disconnect(call *callState) {
 	e.lock()
 	defer e.unlock()
@@ -128,7 +165,7 @@
 	call.wakeCaller()
 }
 
-// answerCall gives a call its final answer, unless it has one.
+// answerCall sets a call's final answer, unless it has one. The lock is held. A nil call is one that is not in flight.
 func (e *Engine) answerCall(call *callState, answer Answer) {
 	if call == nil || call.answered {
 		return
@@ -138,19 +175,20 @@
 	call.wakeCaller()
 }
 
+// removeIfComplete forgets a call that is closed and has no running attempt. The lock is held.
 func (e *Engine) removeIfComplete(call *callState) {
 	if call.closed && call.runningAttempts == 0 && e.calls[call.request.ID] == call {
 		delete(e.calls, call.request.ID)
 	}
 }
 
-// wakeCaller wakes the caller, if it waits.
-func (f *callState) wakeCaller() {
-	if f.wake == nil {
+// wakeCaller wakes the goroutine in Do, if it waits. The lock is held.
+func (c *callState) wakeCaller() {
+	if c.wake == nil {
 		return
 	}
 	select {
-	case f.wake <- struct{}{}:
-	default:
+	case c.wake <- struct{}{}:
+	default: // it has been woken already
 	}
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,13 +1,3 @@
-// Package engine holds the requests in hand, free of any transport. A front hands it a Call and a Carrier that can
-// carry out one attempt; the engine drives package balancer and gives exactly one final answer.
-//
-// The Balancer stands under one mutex and is run by whoever brings an event: the goroutine that calls Do decides,
-// and carries out its attempts itself, one after another, without a hop to another goroutine. Only what must run
-// beside them, a second copy or an attempt while the caller is busy, gets a goroutine. docs/design/engine.md weighs
-// this against a goroutine that owns the Balancer.
-//
-// Two orders hold. News of the list is handled before any decision that begins after Update was called: it may
-// forbid what a request would be sent to. And an attempt's outcome is told to the module before its caller goes on.
 package engine
 
 import (
@@ -22,38 +12,51 @@
 	"orchiddrift/internal/clock"
 )
 
-// Engine is safe for concurrent use. What it holds is bounded by the calls in Do and their attempts.
+// Engine drives a balancer for calls. It is safe for concurrent use. What it holds is bounded by the calls in Do, and by
+// their attempts that have not ended.
 type Engine struct {
 	clock              clock.Clock
 	subscribe          func()
 	waitForUpdates     func()
 	log                *slog.Logger
-	callerRunsAttempts bool // the caller's goroutine carries out attempts
+	callerRunsAttempts bool // the goroutine in Do carries out attempts: they can be cancelled for another one's answer
 	cancelWithCaller   bool
 
-	mu                sync.Mutex
-	balancer          *balancer.Balancer
-	calls             map[string]*callState
-	actionBuffer      []balancer.Action
-	logActions        []balancer.Action // for log, once the lock is free
-	timer             *time.Timer
-	closed            bool
-	attemptGoroutines sync.WaitGroup // attempts on goroutines of their own
+	mu           sync.Mutex // see the package comment for the lock order
+	balancer     *balancer.Balancer
+	calls        map[string]*callState // by ID
+	actionBuffer []balancer.Action     // reused by handle; nil while it is in use
+	logActions   []balancer.Action     // written by unlock
+	timer        *time.Timer           // the balancer's
+	closed       bool
+
+	attemptGoroutines sync.WaitGroup
 
 	updatesMu      sync.Mutex
-	updates        []balancer.EndpointUpdate // told and not yet handled, oldest first
-	updatesPending atomic.Bool               // there is news
+	updates        []balancer.EndpointUpdate // queued by Update, oldest first: at most one for each of its callers
+	updatesPending atomic.Bool               // updates is not empty; read without updatesMu
 }
 
-// New starts an engine, or says which settings cannot be used. Close ends it.
+// unsetTimer is the duration of a timer that is stopped before it can fire.
+const unsetTimer = time.Hour
+
+// New starts an engine. The error names a setting that cannot be used. Close ends the engine.
 func New(options Options) (*Engine, error) {
 	policy, err := balancer.New(options.Settings, options.Seed)
 	if err != nil {
 		return nil, err
 	}
-	e := &Engine{clock: options.Clock, subscribe: options.Subscribe, waitForUpdates: options.WaitForUpdates, log: options.Log, callerRunsAttempts: options.Settings.CancellationAllowed,
-		cancelWithCaller: options.CancelWithCaller, balancer: policy, calls: map[string]*callState{}}
-	e.timer = time.AfterFunc(time.Hour, e.timerFired)
+	e := &Engine{
+		clock:              options.Clock,
+		subscribe:          options.Subscribe,
+		waitForUpdates:     options.WaitForUpdates,
+		log:                options.Log,
+		callerRunsAttempts: options.Settings.CancellationAllowed,
+		cancelWithCaller:   options.CancelWithCaller,
+		balancer:           policy,
+		calls:              map[string]*callState{},
+	}
+	e.timer = time.AfterFunc(unsetTimer, e.timerFired)
 	e.timer.Stop()
 	e.lock()
 	e.handle(balancer.EndpointUpdate{Kind: balancer.CachedUpdate, Endpoints: options.CachedEndpoints})
@@ -61,29 +64,31 @@
 	return e, nil
 }
 
-// Clock is the clock that Call.Deadline refers to.
+// Clock returns the clock that Call.Deadline refers to.
 func (e *Engine) Clock() clock.Clock { return e.clock }
 
-// Update brings news of the list. When it returns no later decision goes against it.
+// Update brings an endpoint update. No decision that begins after the call of Update goes against it, and it has been
+// handled when Update returns.
 func (e *Engine) Update(update balancer.EndpointUpdate) {
 	e.updatesMu.Lock()
-	e.updates = append(e.updates, update) // at most one for each caller of Update: it waits below
+	e.updates = append(e.updates, update)
 	e.updatesPending.Store(true)
 	e.updatesMu.Unlock()
-	e.lock()
+	e.lock() // handles it, unless another goroutine has
 	e.unlock()
 }
 
-// ReportProbe tells the module what an upstream said of its load, or that it said nothing.
-func (e *Engine) ReportProbe(r balancer.ProbeResult) {
+// ReportProbe notifies the balancer of a load probe's result.
+func (e *Engine) ReportProbe(result balancer.ProbeResult) {
 	e.lock()
 	defer e.unlock()
 	if !e.closed {
-		e.handle(r)
+		e.handle(result)
 	}
 }
 
-// UploadDone says that the last byte of a streamed call has been written by this attempt: what is left until expires is its time.
+// UploadDone reports that an attempt has written the last byte of a streamed call: from now on the call and the attempt
+// have until deadline, on the engine's clock. The Transport calls it during RoundTrip.
 func (e *Engine) UploadDone(info Attempt, deadline time.Duration) {
 	e.lock()
 	defer e.unlock()
@@ -97,7 +102,7 @@
 	e.handle(balancer.UploadDone{ID: info.ID, Attempt: info.Number, Deadline: deadline})
 }
 
-// Abort fails every call in hand: the process is about to be killed.
+// Abort fails every call in flight and cancels all attempts. It is for a process that is about to be killed.
 func (e *Engine) Abort() {
 	e.lock()
 	defer e.unlock()
@@ -113,7 +118,8 @@
 	}
 }
 
-// Close fails what is in hand, waits for the attempts, and stops the timers.
+// Close aborts the calls in flight, stops the timer, and waits for the attempts on goroutines of their own. Calls of Do
+// that follow are answered EngineClosed.
 func (e *Engine) Close() {
 	e.Abort()
 	e.lock()
@@ -123,35 +129,35 @@
 	e.attemptGoroutines.Wait()
 }
 
-// InFlight is how many calls the engine knows, those included that only wait for the end of an attempt.
+// InFlight returns the number of calls in flight, including those that are answered and have a running attempt.
 func (e *Engine) InFlight() int {
 	e.lock()
 	defer e.unlock()
 	return len(e.calls)
 }
 
-// View is what the module makes of the upstreams now.
+// View returns the balancer's current view of the upstreams.
 func (e *Engine) View() []balancer.UpstreamView {
 	e.lock()
 	defer e.unlock()
 	return e.balancer.View(e.clock.Now())
 }
 
-// Snapshot is what the module has learnt, and Recall has it take over what a predecessor had, before the first call.
+// Snapshot returns what the balancer has learned, for the process that replaces this one.
 func (e *Engine) Snapshot() *balancer.Snapshot {
 	e.lock()
 	defer e.unlock()
 	return e.balancer.Snapshot(e.clock.Now())
 }
 
-// Restore is Know's counterpart.
+// Restore gives the balancer what the replaced process had learned. It is called before the first Do.
 func (e *Engine) Restore(snapshot *balancer.Snapshot) {
 	e.lock()
 	defer e.unlock()
 	e.balancer.Restore(e.clock.Now(), snapshot)
 }
 
-// lock takes the Balancer, and first handles what is new of the list.
+// lock takes mu, and handles the endpoint updates that have been queued before anything else.
 func (e *Engine) lock() {
 	e.mu.Lock()
 	if !e.updatesPending.Load() {
@@ -170,18 +176,19 @@
 	}
 }
 
-// unlock gives the Balancer free, then writes what it had to say: a slow log holds nobody up but the caller.
+// unlock releases mu, then writes the balancer's log lines.
 func (e *Engine) unlock() {
 	lines := e.logActions
 	e.logActions = nil
 	e.mu.Unlock()
-	if e.log != nil {
-		for _, line := range lines {
-			if line.Upstream == "" {
-				e.log.Info(line.Text)
-			} else {
-				e.log.Info(line.Text, "upstream", line.Upstream)
-			}
+	if e.log == nil {
+		return
+	}
+	for _, line := range lines {
+		if line.Upstream == "" {
+			e.log.Info(line.Text)
+		} else {
+			e.log.Info(line.Text, "upstream", line.Upstream)
 		}
 	}
 }
@@ -194,8 +201,10 @@
 	}
 }
 
-// handle runs one decision. A panic in it ends the process: with the module's state unknown a request might be
-// answered twice or run twice, and a server that recovers would leave the lock taken for ever.
+// handle has the balancer decide on an event, and executes its actions. The lock is held.
+//
+// A panic ends the process, on another goroutine: a server that recovers panics (net/http does) would keep running with
+// the lock held and the balancer's state unknown.
 func (e *Engine) handle(event balancer.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -204,7 +213,7 @@
 		}
 	}()
 	actions := e.balancer.Handle(e.clock.Now(), event, e.actionBuffer[:0])
-	e.actionBuffer = nil // what is done below may bring further decisions
+	e.actionBuffer = nil // executing an action may bring another event
 	for i := range actions {
 		e.execute(&actions[i])
 	}
@@ -212,6 +221,7 @@
 	e.actionBuffer = actions[:0]
 }
 
+// execute does what the balancer decided. The lock is held.
 func (e *Engine) execute(action *balancer.Action) {
 	switch action.Kind {
 	case balancer.Send:
--- a/internal/engine/options.go
+++ b/internal/engine/options.go
@@ -9,14 +9,27 @@
 
 // Options are an engine's parameters.
 type Options struct {
-	Settings        balancer.Settings
-	Seed            uint64
-	Clock           clock.Clock
-	CachedEndpoints []balancer.Endpoint // the list as last held; may be stale
-	Subscribe       func()              // the module asks for the list; must not block or call the engine; nil: nobody is asked
-	WaitForUpdates  func()              // waits for news that is under way; asked where an attempt was not sent. nil: there is no such thing
-	Log             *slog.Logger        // nil: lines are dropped. Written to without the engine's lock
-	// CancelWithCaller ends a call's attempts when its caller's context ends. Without it they run on to their time-out,
-	// so that what they tell of their upstreams is heard, and Do returns with them.
+	Settings balancer.Settings
+	Seed     uint64 // of the balancer's random draws
+	Clock    clock.Clock
+
+	// CachedEndpoints is the endpoint list as last known; it may be stale.
+	CachedEndpoints []balancer.Endpoint
+
+	// Subscribe is called when the balancer needs the endpoint list. It is called with the engine's lock held: it must
+	// not block or call the engine. Nil: requests for the list are ignored.
+	Subscribe func()
+
+	// WaitForUpdates waits for endpoint updates that are on their way. It is called without the lock after an attempt
+	// that ended as balancer.NotSent, so that the next decision knows what prevented the attempt. Nil: no wait.
+	WaitForUpdates func()
+
+	// Log receives the balancer's log lines and the panics of Transports. It is written to without the engine's lock.
+	// Nil: lines are dropped.
+	Log *slog.Logger
+
+	// CancelWithCaller cancels a call's attempts when its caller's context ends. Without it attempts run on until they
+	// time out, so that the balancer learns from their outcomes, and Do returns when the attempt that it carries out has
+	// ended.
 	CancelWithCaller bool
 }
