--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -20,14 +20,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// transportFunc is a Carrier made of a function.
+// transportFunc is a Transport made of a function.
 type transportFunc func(ctx context.Context, a Attempt) AttemptResult
 
 func (c transportFunc) RoundTrip(ctx context.Context, a Attempt) AttemptResult { return c(ctx, a) }
 
 func testSettings() balancer.Settings {
-	class := func(name string, e balancer.Idempotency) balancer.Class {
-		return balancer.Class{Name: name, LatencyObjective: time.Second, Deadline: 4 * time.Second, LateValueFraction: 0.5, Idempotency: e,
+	class := func(name string, idempotency balancer.Idempotency) balancer.Class {
+		return balancer.Class{Name: name, LatencyObjective: time.Second, Deadline: 4 * time.Second, LateValueFraction: 0.5, Idempotency: idempotency,
 			DedupScope: balancer.ScopeZone, DedupWindow: 6 * time.Second}
 	}
 	return balancer.Settings{Zone: "a", Classes: []balancer.Class{class("search", balancer.Idempotent),
@@ -39,14 +39,14 @@
 	return balancer.Endpoint{Name: name, Zone: "a", State: state}
 }
 
-func testEngine(t testing.TB, change func(*Options), names ...string) *Engine {
+func testEngine(t testing.TB, configure func(*Options), names ...string) *Engine {
 	t.Helper()
 	o := Options{Settings: testSettings(), Seed: 1, Clock: clock.New()}
 	for _, name := range names {
 		o.CachedEndpoints = append(o.CachedEndpoints, testEndpoint(name, balancer.Active))
 	}
-	if change != nil {
-		change(&o)
+	if configure != nil {
+		configure(&o)
 	}
 	e, err := New(o)
 	if err != nil {
@@ -60,8 +60,8 @@
 	return Call{ID: id, Class: class, Deadline: e.clock.Now() + 3*time.Second}
 }
 
-// Guards against an engine that starts with settings that it can't use.
-func TestNewNamesTheBadSetting(t *testing.T) {
+// New reports a setting that cannot be used, by its name.
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Deadline = -1
 	if _, err := New(Options{Settings: s, Clock: clock.New()}); err == nil || !strings.Contains(err.Error(), "Deadline") {
@@ -69,11 +69,11 @@
 	}
 }
 
-// Guards against sends to what a list already forbids: however many requests wait for the Balancer, news that Update
-// was called with is handled before any decision that begins after it.
-func TestNewsGoesBeforeRequests(t *testing.T) {
-	e := testEngine(t, nil, "drains", "stays")
-	e.mu.Lock() // everything below waits for it
+// However many requests wait for the lock, an update is handled before any decision that begins after Update was called:
+// none is sent to an endpoint that it says is draining.
+func TestUpdatesAreHandledBeforeRequests(t *testing.T) {
+	e := testEngine(t, nil, "draining", "active")
+	e.mu.Lock() // all goroutines below wait for it
 	var sent sync.Map
 	var wg sync.WaitGroup
 	arrived := atomic.Int32{}
@@ -87,21 +87,21 @@
 		})
 	}
 	wg.Go(func() {
-		e.Update(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate, Endpoints: []balancer.Endpoint{testEndpoint("drains", balancer.Draining)}})
+		e.Update(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate, Endpoints: []balancer.Endpoint{testEndpoint("draining", balancer.Draining)}})
 	})
 	for arrived.Load() < 50 || !e.updatesPending.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	e.mu.Unlock()
 	wg.Wait()
-	if _, ok := sent.Load("drains"); ok {
-		t.Error("sent to the one that drains")
+	if _, ok := sent.Load("draining"); ok {
+		t.Error("sent to the draining endpoint")
 	}
 }
 
-// Guards against two answers and against a request that is never forgotten: a copy's answer after the request was
-// failed goes nowhere, and each attempt is still reported to the module.
-func TestOneFinalAnswer(t *testing.T) {
+// A call that Abort has failed keeps that answer when an attempt succeeds late, and is forgotten once the attempt has
+// ended.
+func TestAbortGivesOneFinalAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := testEngine(t, nil, "s")
 		go func() {
@@ -117,13 +117,13 @@
 			t.Errorf("answered %+v after %v", a, time.Since(begun))
 		}
 		if n := e.InFlight(); n != 0 {
-			t.Errorf("%d requests are still in hand", n)
+			t.Errorf("%d calls are still in flight", n)
 		}
 	})
 }
 
-// Guards against an attempt that outlasts its request, and against an answer that comes after the client's time.
-func TestAnsweredInTime(t *testing.T) {
+// A call whose attempts all hang is answered before its deadline, and no attempt outlasts it.
+func TestAnsweredBeforeDeadline(t *testing.T) {
 	for _, class := range []string{"search", "record", "confirm"} {
 		synctest.Test(t, func(t *testing.T) {
 			e := testEngine(t, nil, "s", "u")
@@ -140,15 +140,14 @@
 				t.Errorf("%s: answered %+v after %v", class, a, took)
 			}
 			if n := e.InFlight(); n != 0 {
-				t.Errorf("%s: %d requests are still in hand", class, n)
+				t.Errorf("%s: %d calls are still in flight", class, n)
 			}
 		})
 	}
 }
 
-// Guards against a hop that costs: what the caller can carry out itself runs on its goroutine, one attempt after
-// another; a second copy runs beside it and its answer ends the first.
-func TestCallerCarriesOut(t *testing.T) {
+// Attempts that follow one another run on the goroutine in Do, one at a time.
+func TestAttemptsRunOnCallerGoroutine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := testEngine(t, nil, "s", "u")
 		var running, most, sends atomic.Int32
@@ -170,14 +169,14 @@
 	})
 }
 
-// Guards against a copy's answer that waits for the attempt that it was sent beside: the winner calls that off.
-func TestSecondCopyWins(t *testing.T) {
+// The answer of a hedged request does not wait for the attempt beside it: that is cancelled.
+func TestHedgedRequestWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		copies := atomic.Int32{}
+		hedgesWon := atomic.Int32{}
 		for seed := range uint64(20) {
 			e := testEngine(t, func(o *Options) { o.Seed = seed }, "hangs", "answers")
 			var wg sync.WaitGroup
-			for i := range 3 { // two unanswered at one upstream are a reason for a copy
+			for i := range 3 { // two unanswered requests at one upstream are a reason to hedge
 				wg.Go(func() {
 					begun := time.Now()
 					a := e.Do(t.Context(), e.newTestCall(fmt.Sprint(i), "search"),
@@ -190,7 +189,7 @@
 							return AttemptResult{Result: balancer.OK, Value: a.Upstream}
 						}))
 					if a.Kind == Served && a.Attempts > 1 {
-						copies.Add(1)
+						hedgesWon.Add(1)
 						if took := time.Since(begun); took > 2500*time.Millisecond {
 							t.Errorf("answered %+v after %v", a, took)
 						}
@@ -199,22 +198,23 @@
 			}
 			wg.Wait()
 			if n := e.InFlight(); n != 0 {
-				t.Errorf("%d requests are still in hand", n)
+				t.Errorf("%d calls are still in flight", n)
 			}
 		}
-		if copies.Load() == 0 {
-			t.Error("no copy ever won")
+		if hedgesWon.Load() == 0 {
+			t.Error("no hedged request ever won")
 		}
 	})
 }
 
-// Guards against work for callers that have left, and against a request that the module holds for ever.
-func TestCallerLeaves(t *testing.T) {
+// A caller that disconnects gets no further attempt, and its call is forgotten. Its attempt is cancelled with
+// CancelWithCaller, and otherwise runs on until it times out.
+func TestCallerDisconnects(t *testing.T) {
 	for _, cancels := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			e := testEngine(t, func(o *Options) { o.CancelWithCaller = cancels }, "s", "u")
-			ctx, leave := context.WithTimeout(t.Context(), time.Second)
-			defer leave()
+			ctx, disconnect := context.WithTimeout(t.Context(), time.Second)
+			defer disconnect()
 			begun, sends := time.Now(), 0
 			a := e.Do(ctx, e.newTestCall("1", "search"), transportFunc(func(ctx context.Context, _ Attempt) AttemptResult {
 				sends++
@@ -228,39 +228,39 @@
 				t.Errorf("cancelled with its caller: %v, want %v", ended, cancels)
 			}
 			if n := e.InFlight(); n != 0 {
-				t.Errorf("%d requests are still in hand", n)
+				t.Errorf("%d calls are still in flight", n)
 			}
 		})
 	}
 	e := testEngine(t, nil, "s")
-	ctx, leave := context.WithCancel(t.Context())
-	leave()
+	ctx, disconnect := context.WithCancel(t.Context())
+	disconnect()
 	if a := e.Do(ctx, e.newTestCall("1", "search"), transportFunc(func(context.Context, Attempt) AttemptResult {
-		t.Error("sent for a caller that had left")
+		t.Error("sent for a caller that had disconnected")
 		return AttemptResult{}
 	})); a.Kind != ClientGone {
 		t.Errorf("answered %+v", a)
 	}
 }
 
-// Guards against an answer thrown away: the client was thought to have left, and is there after all.
-func TestServedThoughThoughtGone(t *testing.T) {
+// An attempt that succeeds after its caller's context has ended is still the answer.
+func TestServedAfterDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := testEngine(t, nil, "s")
-		ctx, leave := context.WithCancel(t.Context())
+		ctx, disconnect := context.WithCancel(t.Context())
 		a := e.Do(ctx, e.newTestCall("1", "confirm"), transportFunc(func(context.Context, Attempt) AttemptResult {
-			leave()
+			disconnect()
 			synctest.Wait()
-			return AttemptResult{Result: balancer.OK, Value: "whole"}
+			return AttemptResult{Result: balancer.OK, Value: "answer"}
 		}))
-		if a.Kind != Served || a.Value != "whole" {
+		if a.Kind != Served || a.Value != "answer" {
 			t.Errorf("answered %+v", a)
 		}
 	})
 }
 
-// Guards against two requests of one id: the module would ignore the second, and it would wait for ever.
-func TestDuplicate(t *testing.T) {
+// A second call with the ID of a call in flight is answered at once, and does not disturb the first.
+func TestDuplicateCallID(t *testing.T) {
 	e := testEngine(t, nil, "s")
 	inner := Answer{}
 	a := e.Do(t.Context(), e.newTestCall("1", "search"), transportFunc(func(context.Context, Attempt) AttemptResult {
@@ -272,25 +272,25 @@
 	}
 }
 
-// Guards against a front's panic that leaves a request in hand, or repeats what may have run.
-func TestPanicInAnAttempt(t *testing.T) {
-	said := ""
-	e := testEngine(t, func(o *Options) { o.Log = logging.NewFunc(func(text string) { said += text }) }, "s", "u")
+// A panic of the Transport is logged, counts as an attempt that may have run, and leaves no call in flight.
+func TestTransportPanic(t *testing.T) {
+	logged := ""
+	e := testEngine(t, func(o *Options) { o.Log = logging.NewFunc(func(text string) { logged += text }) }, "s", "u")
 	sends := 0
 	a := e.Do(t.Context(), e.newTestCall("1", "confirm"), transportFunc(func(context.Context, Attempt) AttemptResult {
 		sends++
 		panic("boom")
 	}))
-	if a.Kind != Failed || sends != 1 || !strings.Contains(said, "boom") {
-		t.Errorf("answered %+v after %d sends, said %q", a, sends, said)
+	if a.Kind != Failed || sends != 1 || !strings.Contains(logged, "boom") {
+		t.Errorf("answered %+v after %d sends, said %q", a, sends, logged)
 	}
 	if n := e.InFlight(); n != 0 {
-		t.Errorf("%d requests are still in hand", n)
+		t.Errorf("%d calls are still in flight", n)
 	}
 }
 
-// Guards against a second attempt of a stream that has begun, and against a stream whose end the module never hears.
-func TestStream(t *testing.T) {
+// A streamed answer ends its call at once, outlasts every deadline, and stays in flight until EndStream.
+func TestStreamedAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := testEngine(t, nil, "s", "u")
 		var streamCtx context.Context
@@ -299,9 +299,9 @@
 			return AttemptResult{Streaming: true, Value: "first"}
 		}))
 		if a.Kind != Served || a.Value != "first" || e.InFlight() != 1 {
-			t.Fatalf("answered %+v, %d in hand", a, e.InFlight())
+			t.Fatalf("answered %+v, %d in flight", a, e.InFlight())
 		}
-		time.Sleep(time.Minute) // far beyond any deadline: the stream is its reader's
+		time.Sleep(time.Minute) // far beyond any deadline
 		if streamCtx.Err() != nil {
 			t.Errorf("the stream was ended: %v", context.Cause(streamCtx))
 		}
@@ -309,12 +309,12 @@
 			a.EndStream(balancer.Reset)
 		}
 		if streamCtx.Err() == nil || e.InFlight() != 0 {
-			t.Errorf("after its end: context %v, %d in hand", streamCtx.Err(), e.InFlight())
+			t.Errorf("after its end: context %v, %d in flight", streamCtx.Err(), e.InFlight())
 		}
 	})
 }
 
-// Guards against a closed engine that still takes calls, and one that closes under them.
+// Close fails the calls in flight, and a closed engine takes no further ones.
 func TestClose(t *testing.T) {
 	e := testEngine(t, nil, "s")
 	go e.Close()
@@ -332,7 +332,7 @@
 	e.Update(balancer.EndpointUpdate{Kind: balancer.FullUpdate})
 }
 
-// Guards against a trace that depends on anything but the seed: the same script gives the same sends and answers.
+// The same seed and the same script give the same attempts and answers.
 func TestSameSeedSameTrace(t *testing.T) {
 	trace := func() (out string) {
 		synctest.Test(t, func(t *testing.T) {
@@ -355,11 +355,11 @@
 	}
 }
 
-// Many calls at once, with every kind of end: one answer each, nothing left in hand. For the race detector too.
-func TestManyAtOnce(t *testing.T) {
+// Concurrent calls with every kind of end get one answer each, and none stays in flight. The race detector watches.
+func TestConcurrentCalls(t *testing.T) {
 	e := testEngine(t, nil, "s", "u", "v")
 	var wg sync.WaitGroup
-	var kinds [8]atomic.Int32
+	var answersByKind [8]atomic.Int32
 	for i := range 2000 {
 		wg.Go(func() {
 			ctx := t.Context()
@@ -377,7 +377,7 @@
 						return AttemptResult{Result: balancer.Cancelled}
 					}
 				}))
-			kinds[a.Kind].Add(1)
+			answersByKind[a.Kind].Add(1)
 		})
 		if i%50 == 0 {
 			wg.Go(func() {
@@ -387,17 +387,17 @@
 	}
 	wg.Wait()
 	if n := e.InFlight(); n != 0 {
-		t.Errorf("%d requests are still in hand", n)
+		t.Errorf("%d calls are still in flight", n)
 	}
-	if kinds[Served].Load() == 0 || kinds[Duplicate].Load() != 0 {
-		t.Errorf("answers by kind: %v", []int32{kinds[0].Load(), kinds[1].Load(), kinds[2].Load(), kinds[3].Load()})
+	if answersByKind[Served].Load() == 0 || answersByKind[Duplicate].Load() != 0 {
+		t.Errorf("answers by kind: %v", []int32{answersByKind[0].Load(), answersByKind[1].Load(), answersByKind[2].Load(), answersByKind[3].Load()})
 	}
 }
 
-// Guards against an answer that begins as its attempt is over: its connection is closed by then, so that its client would have a part of
-// it and no end. It is not begun; the attempt's end is what ended it, and the module decides anew.
-func TestAnswerBeginsAsItsAttemptEnds(t *testing.T) {
-	for name, class := range map[string]string{"safe": "search", "unsafe": "confirm"} {
+// A streamed answer that begins just as its attempt expires is not passed on, since its connection is being closed: the
+// attempt timed out, and the balancer decides again. A non-idempotent call is not attempted again.
+func TestStreamBeginsAsAttemptExpires(t *testing.T) {
+	for name, class := range map[string]string{"idempotent": "search", "non-idempotent": "confirm"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e := testEngine(t, nil, "s", "u")
--- a/internal/engine/owner_bench_test.go
+++ b/internal/engine/owner_bench_test.go
@@ -11,51 +11,51 @@
 	"orchiddrift/internal/clock"
 )
 
-// goroutineEngine is the other way to own a Balancer, as the sidecar had it: one goroutine, an event channel, and a
-// goroutine for each attempt. It is here to be measured beside Engine, and leaves out what the benchmark needs not.
+// goroutineEngine is the alternative to Engine's mutex: one goroutine owns the balancer and reads events from a channel,
+// and each attempt has a goroutine. BenchmarkOwner compares the two; what the benchmark does not need is left out.
 type goroutineEngine struct {
-	clock   clock.Clock
-	b       *balancer.Balancer
-	events  chan any
-	stop    chan struct{}
-	flights map[string]*goroutineCall
-	timer   *time.Timer
-	acts    []balancer.Action
+	clock    clock.Clock
+	balancer *balancer.Balancer
+	events   chan any
+	stop     chan struct{}
+	calls    map[string]*goroutineCall
+	timer    *time.Timer
+	actions  []balancer.Action
 }
 
 type goroutineCall struct {
-	call    Call
-	carrier Transport
-	answer  chan Answer
-	sent    []time.Duration
-	cancel  []context.CancelFunc
-	out     int
-	done    bool
+	request         Call
+	transport       Transport
+	answer          chan Answer
+	startedAt       []time.Duration
+	cancel          []context.CancelFunc
+	runningAttempts int
+	answered        bool
 }
 
 type goroutineOutcome struct {
-	f     *goroutineCall
-	n     int
-	at    time.Duration
-	reply AttemptResult
+	call    *goroutineCall
+	attempt int
+	endedAt time.Duration
+	result  AttemptResult
 }
 
 func newGoroutineEngine(b *balancer.Balancer, c clock.Clock) *goroutineEngine {
-	l := &goroutineEngine{clock: c, b: b, events: make(chan any, 256), stop: make(chan struct{}),
-		flights: map[string]*goroutineCall{}, timer: time.NewTimer(time.Hour)}
+	l := &goroutineEngine{clock: c, balancer: b, events: make(chan any, 256), stop: make(chan struct{}),
+		calls: map[string]*goroutineCall{}, timer: time.NewTimer(time.Hour)}
 	go l.run()
 	return l
 }
 
-func (l *goroutineEngine) Do(ctx context.Context, c Call, carrier Transport) Answer {
-	f := &goroutineCall{call: c, carrier: carrier, answer: make(chan Answer, 1)}
+func (l *goroutineEngine) Do(ctx context.Context, request Call, transport Transport) Answer {
+	call := &goroutineCall{request: request, transport: transport, answer: make(chan Answer, 1)}
 	select {
-	case l.events <- f:
+	case l.events <- call:
 	case <-l.stop:
 		return Answer{Kind: EngineClosed}
 	}
 	select {
-	case a := <-f.answer:
+	case a := <-call.answer:
 		return a
 	case <-ctx.Done():
 		return Answer{Kind: ClientGone}
@@ -68,18 +68,18 @@
 		case ev := <-l.events:
 			switch ev := ev.(type) {
 			case *goroutineCall:
-				l.flights[ev.call.ID] = ev
-				l.handle(balancer.Request{ID: ev.call.ID, Class: ev.call.Class, Deadline: ev.call.Deadline})
+				l.calls[ev.request.ID] = ev
+				l.handle(balancer.Request{ID: ev.request.ID, Class: ev.request.Class, Deadline: ev.request.Deadline})
 				l.forget(ev)
 			case goroutineOutcome:
-				ev.f.out--
-				ev.f.cancel[ev.n]()
-				if ev.reply.Result == balancer.OK {
-					l.finish(ev.f, Answer{Kind: Served, Value: ev.reply.Value})
+				ev.call.runningAttempts--
+				ev.call.cancel[ev.attempt]()
+				if ev.result.Result == balancer.OK {
+					l.finish(ev.call, Answer{Kind: Served, Value: ev.result.Value})
 				}
-				l.handle(balancer.Outcome{ID: ev.f.call.ID, Attempt: ev.n, Result: ev.reply.Result,
-					Elapsed: ev.at - ev.f.sent[ev.n], Final: ev.f.done})
-				l.forget(ev.f)
+				l.handle(balancer.Outcome{ID: ev.call.request.ID, Attempt: ev.attempt, Result: ev.result.Result,
+					Elapsed: ev.endedAt - ev.call.startedAt[ev.attempt], Final: ev.call.answered})
+				l.forget(ev.call)
 			}
 		case <-l.timer.C:
 			l.handle(balancer.TimerFired{})
@@ -89,51 +89,51 @@
 	}
 }
 
-func (l *goroutineEngine) handle(e balancer.Event) {
-	l.acts = l.b.Handle(l.clock.Now(), e, l.acts[:0])
-	for i := range l.acts {
-		a := &l.acts[i]
-		switch f := l.flights[a.ID]; a.Kind {
+func (l *goroutineEngine) handle(event balancer.Event) {
+	l.actions = l.balancer.Handle(l.clock.Now(), event, l.actions[:0])
+	for i := range l.actions {
+		a := &l.actions[i]
+		switch call := l.calls[a.ID]; a.Kind {
 		case balancer.Send:
 			now := l.clock.Now()
-			ctx, cancel := context.WithTimeout(context.Background(), min(f.call.Deadline-now, a.Timeout))
-			n := len(f.sent)
-			f.sent, f.cancel = append(f.sent, now), append(f.cancel, cancel)
-			f.out++
-			at := Attempt{ID: a.ID, Number: n, Upstream: a.Upstream}
+			ctx, cancel := context.WithTimeout(context.Background(), min(call.request.Deadline-now, a.Timeout))
+			number := len(call.startedAt)
+			call.startedAt, call.cancel = append(call.startedAt, now), append(call.cancel, cancel)
+			call.runningAttempts++
+			info := Attempt{ID: a.ID, Number: number, Upstream: a.Upstream}
 			go func() {
-				r := f.carrier.RoundTrip(ctx, at)
+				r := call.transport.RoundTrip(ctx, info)
 				select {
-				case l.events <- goroutineOutcome{f, n, l.clock.Now(), r}:
+				case l.events <- goroutineOutcome{call, number, l.clock.Now(), r}:
 				case <-l.stop:
 				}
 			}()
 		case balancer.Cancel:
-			f.cancel[a.Attempt]()
+			call.cancel[a.Attempt]()
 		case balancer.Reject:
-			l.finish(f, Answer{Kind: Rejected})
+			l.finish(call, Answer{Kind: Rejected})
 		case balancer.Fail:
-			l.finish(f, Answer{Kind: Failed})
+			l.finish(call, Answer{Kind: Failed})
 		case balancer.SetTimer:
 			l.timer.Reset(a.FireAt - l.clock.Now())
 		}
 	}
 }
 
-func (l *goroutineEngine) finish(f *goroutineCall, a Answer) {
-	if !f.done {
-		f.done = true
-		f.answer <- a
+func (l *goroutineEngine) finish(call *goroutineCall, a Answer) {
+	if !call.answered {
+		call.answered = true
+		call.answer <- a
 	}
 }
 
-func (l *goroutineEngine) forget(f *goroutineCall) {
-	if f.done && f.out == 0 {
-		delete(l.flights, f.call.ID)
+func (l *goroutineEngine) forget(call *goroutineCall) {
+	if call.answered && call.runningAttempts == 0 {
+		delete(l.calls, call.request.ID)
 	}
 }
 
-// BenchmarkOwner measures a call whose attempt costs nothing, by who owns the Balancer. From the repository's root:
+// BenchmarkOwner measures a call whose attempt costs nothing, by what owns the balancer. From the repository's root:
 //
 //	go test -run '^$' -bench Owner -benchmem -count 6 -cpu 1,4 ./internal/engine
 func BenchmarkOwner(b *testing.B) {
@@ -177,7 +177,7 @@
 	}
 }
 
-// BenchmarkMembers measures a call whose attempt costs nothing, by the length of the module's list.
+// BenchmarkMembers measures a call whose attempt costs nothing, by the length of the endpoint list.
 //
 //	go test -run '^$' -bench Members -benchmem -count 5 -cpu 1 ./internal/engine
 func BenchmarkMembers(b *testing.B) {
