--- a/internal/admission/backlog.go
+++ b/internal/admission/backlog.go
@@ -4,28 +4,28 @@
 	"time"
 )
 
-// run is what waits of one flow and one worth, in the order of coming.
-type run struct {
-	worth       float64
-	first, last *entry
+// entryList is what waits of one flow and one worth, in the order of coming.
+type entryList struct {
+	priorityWeight float64
+	first, last    *entry
 }
 
 // push puts e behind those of its worth.
 func (f *flow) push(e *entry) {
-	worth := e.worth
-	if e.redeemed {
+	worth := e.priorityWeight
+	if e.reserved {
 		worth += 1e18 // before all others
 	}
 	i := 0
-	for i < len(f.runs) && f.runs[i].worth > worth {
+	for i < len(f.lists) && f.lists[i].priorityWeight > worth {
 		i++
 	}
-	if i == len(f.runs) || f.runs[i].worth != worth {
-		f.runs = append(f.runs, run{})
-		copy(f.runs[i+1:], f.runs[i:])
-		f.runs[i] = run{worth: worth}
+	if i == len(f.lists) || f.lists[i].priorityWeight != worth {
+		f.lists = append(f.lists, entryList{})
+		copy(f.lists[i+1:], f.lists[i:])
+		f.lists[i] = entryList{priorityWeight: worth}
 	}
-	r := &f.runs[i]
+	r := &f.lists[i]
 	e.prev, e.next = r.last, nil
 	if r.last == nil {
 		r.first = e
@@ -35,10 +35,10 @@
 	r.last = e
 }
 
-// pull takes e out of its run.
-func (f *flow) pull(e *entry) {
-	for i := range f.runs {
-		r := &f.runs[i]
+// remove takes e out of its run.
+func (f *flow) remove(e *entry) {
+	for i := range f.lists {
+		r := &f.lists[i]
 		if r.first == e {
 			r.first = e.next
 		}
@@ -46,7 +46,7 @@
 			r.last = e.prev
 		}
 		if r.first == nil {
-			f.runs = append(f.runs[:i], f.runs[i+1:]...)
+			f.lists = append(f.lists[:i], f.lists[i+1:]...)
 			break
 		}
 	}
@@ -59,35 +59,35 @@
 	e.prev, e.next = nil, nil
 }
 
-// spent is how long the request will take beyond the door, as such requests do now.
-func (e *entry) spent() time.Duration {
-	return seconds(e.class.usual)
+// expectedServiceTime is how long the request will take beyond the door, as such requests do now.
+func (e *entry) expectedServiceTime() time.Duration {
+	return seconds(e.class.meanCost)
 }
 
-// ahead is the cost of what goes before another request of a flow, for what the flow and its group owe too.
-func (d *Queue) ahead(f *flow) float64 {
+// costAhead is the cost of what goes before another request of a flow, for what the flow and its group owe too.
+func (q *Queue) costAhead(f *flow) float64 {
 	g := f.group
-	cost := f.queued
-	if s := g.level.of(&f.member); s.owes(&f.member) && f.waiting == 0 {
-		cost += (f.finish - s.v) * f.share()
+	cost := f.backlog
+	if s := g.flowLevel.schedulerOf(&f.member); s.isAhead(&f.member) && f.queued == 0 {
+		cost += (f.finishTag - s.virtualTime) * f.effectiveWeight()
 	}
-	if s := d.root.of(&g.member); s.owes(&g.member) && g.waiting == 0 {
-		cost += (g.finish - s.v) * g.share()
+	if s := q.groupLevel.schedulerOf(&g.member); s.isAhead(&g.member) && g.queued == 0 {
+		cost += (g.finishTag - s.virtualTime) * g.effectiveWeight()
 	}
 	return cost
 }
 
-// rateOf is what a flow gets, in cost a second, while all that are active go on.
-func (d *Queue) rateOf(f *flow) float64 {
-	part := d.root.rate(&f.group.member)
-	if inner := f.group.level.rate(&f.member); inner > 0 {
+// serviceRate is what a flow gets, in cost a second, while all that are active go on.
+func (q *Queue) serviceRate(f *flow) float64 {
+	part := q.groupLevel.capacityShare(&f.group.member)
+	if inner := f.group.flowLevel.capacityShare(&f.member); inner > 0 {
 		part *= inner
 	}
-	return part * d.limit.limit
+	return part * q.limiter.limit
 }
 
-// crowdedCost is the mean cost of requests while the limit binds, s: what is seen then, or where it is not, what it would be
+// costUnderLoad is the mean cost of requests while the limit binds, s: what is seen then, or where it is not, what it would be
 // in the middle of what the limit aims at.
-func (d *Queue) crowdedCost() float64 {
-	return max(costLeast, d.usual, d.limit.base*(rLow+rHigh)/2)
+func (q *Queue) costUnderLoad() float64 {
+	return max(minCost, q.meanCost, q.limiter.baseTime*(growRatio+shrinkRatio)/2)
 }
--- a/internal/admission/concurrency_limit.go
+++ b/internal/admission/concurrency_limit.go
@@ -19,178 +19,178 @@
 //
 // docs/design/door.md has this beside AIMD, gradients, the rate-delay product and Vegas, on the same loads.
 type limiter struct {
-	limit       float64
-	least, most float64
-	base, long  float64 // s; long is the mean of all requests over minutes. 0: not known
-
-	begun   time.Duration // the round
-	samples int
-	took    float64 // s, of the round's requests as if all were of the mean class
-	turned  int     // of them that the balancer turned down
-	bound   bool    // the limit held somebody up in this round
-	crowded bool    // more than half of it was in use
-
-	mode   mode
-	fell   int           // rounds of this shrinking
-	from   float64       // the limit before it
-	meanAt float64       // and the mean time then, s
-	probed time.Duration // when the base was tried last
-	slower time.Duration // when upstreams were found to be slower
+	limit                  float64
+	min, max               float64
+	baseTime, longTermTime float64 // s; long is the mean of all requests over minutes. 0: not known
+
+	roundStart time.Duration // the round
+	samples    int
+	timeSum    float64 // s, of the round's requests as if all were of the mean class
+	rejected   int     // of them that the balancer turned down
+	saturated  bool    // the limit held somebody up in this round
+	halfUsed   bool    // more than half of it was in use
+
+	mode            limiterMode
+	decreases       int           // rounds of this shrinking
+	limitBefore     float64       // the limit before it
+	meanBefore      float64       // and the mean time then, s
+	lastBaseProbe   time.Duration // when the base was tried last
+	slowdownFoundAt time.Duration // when upstreams were found to be slower
 }
 
-type mode int8
+type limiterMode int8
 
 const (
-	steady  mode = iota
-	settles      // the limit has just been halved to try the base: this round's requests began before
-	probes       // and this one's tell
+	steady         limiterMode = iota
+	probeSettling              // the limit has just been halved to try the base: this round's requests began before
+	probeMeasuring             // and this one's tell
 )
 
 const (
-	limitBegin   = 64
-	roundLeast   = 50 * time.Millisecond
-	roundSamples = 32 // of a round at least, and half as many again as the limit: most have begun within it
-	roundMost    = 512
-	rFaster      = 0.8  // below, the base is too high
-	rLow         = 1.7  // grow below
-	rHigh        = 2.6  // shrink above
-	grow         = 1.15 // factors of a round
-	shrink       = 0.85
-	turnedHigh   = 0.05 // shrink where more than this part was turned down beyond the door
-	elastic      = 0.4  // where the time follows the limit by less than this power, upstreams are slower and not crowded
-	fallsToTell  = 5    // rounds before that is judged; the times of the first still tell of the limit before
-	probeEvery   = 30 * time.Second
-	firstProbe   = 500 * time.Millisecond // with requests in hand: until then their times tell of an empty fleet
-	slowerFor    = 3 * time.Second        // what the balancer turns down is not the limit's fault for so long after that
-	baseBlend    = 0.2                    // weight of a calm round in the base
-	longBlend    = 0.002                  // weight of a request in the long means
+	initialLimit           = 64
+	minRoundDuration       = 50 * time.Millisecond
+	minRoundSamples        = 32 // of a round at least, and half as many again as the limit: most have begun within it
+	maxRoundSamples        = 512
+	fasterRatio            = 0.8  // below, the base is too high
+	growRatio              = 1.7  // grow below
+	shrinkRatio            = 2.6  // shrink above
+	growFactor             = 1.15 // factors of a round
+	shrinkFactor           = 0.85
+	maxRejectedFraction    = 0.05 // shrink where more than this part was turned down beyond the door
+	minElasticity          = 0.4  // where the time follows the limit by less than this power, upstreams are slower and not crowded
+	decreasesBeforeJudging = 5    // rounds before that is judged; the times of the first still tell of the limit before
+	baseProbeInterval      = 30 * time.Second
+	firstBaseProbeDelay    = 500 * time.Millisecond // with requests in hand: until then their times tell of an empty fleet
+	slowdownGrace          = 3 * time.Second        // what the balancer turns down is not the limit's fault for so long after that
+	baseSmoothing          = 0.2                    // weight of a calm round in the base
+	longTermSmoothing      = 0.002                  // weight of a request in the long means
 )
 
 func newLimiter(least, most int) limiter {
-	return limiter{limit: max(float64(least), min(limitBegin, float64(most))), least: float64(least), most: float64(most)}
+	return limiter{limit: max(float64(least), min(initialLimit, float64(most))), min: float64(least), max: float64(most)}
 }
 
-// places is the limit as a number of requests.
-func (l *limiter) places() int { return int(l.limit) }
+// current is the limit as a number of requests.
+func (l *limiter) current() int { return int(l.limit) }
 
-// sample tells of a request of a class that ended, with so many in hand, itself included.
-func (l *limiter) sample(now time.Duration, c *class, took float64, inHand int, turned bool) {
-	if l.probed == 0 {
-		l.probed = now
+// observe tells of a request of a class that ended, with so many in hand, itself included.
+func (l *limiter) observe(now time.Duration, c *classStats, took float64, inHand int, turned bool) {
+	if l.lastBaseProbe == 0 {
+		l.lastBaseProbe = now
 	}
 	l.samples++
-	l.crowded = l.crowded || float64(inHand) > l.limit/2
+	l.halfUsed = l.halfUsed || float64(inHand) > l.limit/2
 	if turned {
-		l.turned++
+		l.rejected++
 	} else {
 		// Classes that take different times are made alike by their long means, so that another mixture is no crowding.
-		if c.long == 0 {
-			c.long = took
+		if c.longTermCost == 0 {
+			c.longTermCost = took
 		}
-		if l.long == 0 {
-			l.long = took
+		if l.longTermTime == 0 {
+			l.longTermTime = took
 		}
-		c.long += (took - c.long) * longBlend
-		l.long += (took - l.long) * longBlend
-		l.took += took * l.long / max(c.long, costLeast)
+		c.longTermCost += (took - c.longTermCost) * longTermSmoothing
+		l.longTermTime += (took - l.longTermTime) * longTermSmoothing
+		l.timeSum += took * l.longTermTime / max(c.longTermCost, minCost)
 	}
-	if need := max(roundSamples, min(roundMost, l.places()*3/2)); l.samples < need || now-l.begun < roundLeast {
+	if need := max(minRoundSamples, min(maxRoundSamples, l.current()*3/2)); l.samples < need || now-l.roundStart < minRoundDuration {
 		return
 	}
-	l.decide(now)
-	l.begun, l.samples, l.took, l.turned, l.bound, l.crowded = now, 0, 0, 0, false, false
+	l.endRound(now)
+	l.roundStart, l.samples, l.timeSum, l.rejected, l.saturated, l.halfUsed = now, 0, 0, 0, false, false
 }
 
-func (l *limiter) decide(now time.Duration) {
-	n := l.samples - l.turned
+func (l *limiter) endRound(now time.Duration) {
+	n := l.samples - l.rejected
 	if n == 0 {
-		l.mode, l.fell = steady, 0
-		l.set(l.limit * shrink)
+		l.mode, l.decreases = steady, 0
+		l.setLimit(l.limit * shrinkFactor)
 		return
 	}
-	mean := l.took / float64(n)
-	turned := float64(l.turned) > turnedHigh*float64(l.samples)
+	mean := l.timeSum / float64(n)
+	turned := float64(l.rejected) > maxRejectedFraction*float64(l.samples)
 	switch {
 	case turned && l.mode != steady:
 		l.mode = steady
-		l.set(l.from)
+		l.setLimit(l.limitBefore)
 		return
-	case turned && now-l.slower > slowerFor:
-		l.fall(now, mean)
+	case turned && now-l.slowdownFoundAt > slowdownGrace:
+		l.decrease(now, mean)
 		return
-	case l.mode == settles:
-		l.mode = probes
+	case l.mode == probeSettling:
+		l.mode = probeMeasuring
 		return
-	case l.mode == probes:
-		l.probe(now, mean)
+	case l.mode == probeMeasuring:
+		l.finishBaseProbe(now, mean)
 		return
-	case !l.bound:
-		l.fell = 0
+	case !l.saturated:
+		l.decreases = 0
 		switch {
-		case l.base == 0 && !l.crowded:
-			l.base = mean
-		case !l.crowded || mean < l.base:
-			l.base += (mean - l.base) * baseBlend
+		case l.baseTime == 0 && !l.halfUsed:
+			l.baseTime = mean
+		case !l.halfUsed || mean < l.baseTime:
+			l.baseTime += (mean - l.baseTime) * baseSmoothing
 		}
 		return
-	case l.fell == 0 && (now-l.probed > probeEvery || l.base == 0 && now-l.probed > firstProbe):
-		l.halve(mean)
+	case l.decreases == 0 && (now-l.lastBaseProbe > baseProbeInterval || l.baseTime == 0 && now-l.lastBaseProbe > firstBaseProbeDelay):
+		l.startBaseProbe(mean)
 		return
-	case l.base == 0:
+	case l.baseTime == 0:
 		return
 	}
-	switch r := mean / l.base; {
-	case r > rHigh:
-		l.fall(now, mean)
-	case r < rFaster: // upstreams are faster than they were
-		l.fell, l.base = 0, mean
-		l.set(l.limit * grow)
-	case r < rLow:
-		l.fell = 0
-		l.set(l.limit * grow)
+	switch r := mean / l.baseTime; {
+	case r > shrinkRatio:
+		l.decrease(now, mean)
+	case r < fasterRatio: // upstreams are faster than they were
+		l.decreases, l.baseTime = 0, mean
+		l.setLimit(l.limit * growFactor)
+	case r < growRatio:
+		l.decreases = 0
+		l.setLimit(l.limit * growFactor)
 	default:
-		l.fell = 0
+		l.decreases = 0
 	}
 }
 
-// fall shrinks the limit by a round's step, and tells after some whether that helps.
-func (l *limiter) fall(now time.Duration, mean float64) {
-	if l.fell == 0 {
-		l.from, l.meanAt = l.limit, mean
+// decrease shrinks the limit by a round's step, and tells after some whether that helps.
+func (l *limiter) decrease(now time.Duration, mean float64) {
+	if l.decreases == 0 {
+		l.limitBefore, l.meanBefore = l.limit, mean
 	}
-	if l.fell++; l.fell > fallsToTell && !l.helped(mean) {
-		l.fell, l.base, l.probed, l.slower = 0, mean, now, now
-		l.set(l.from)
+	if l.decreases++; l.decreases > decreasesBeforeJudging && !l.latencyFollowedLimit(mean) {
+		l.decreases, l.baseTime, l.lastBaseProbe, l.slowdownFoundAt = 0, mean, now, now
+		l.setLimit(l.limitBefore)
 		return
 	}
-	l.set(l.limit * shrink)
+	l.setLimit(l.limit * shrinkFactor)
 }
 
-// helped tells whether the mean time has followed the limit down. At the least limit there is nothing to follow.
-func (l *limiter) helped(mean float64) bool {
-	down := math.Log(l.from / l.limit)
-	return down > 0 && math.Log(l.meanAt/mean) > elastic*down
+// latencyFollowedLimit tells whether the mean time has followed the limit down. At the least limit there is nothing to follow.
+func (l *limiter) latencyFollowedLimit(mean float64) bool {
+	down := math.Log(l.limitBefore / l.limit)
+	return down > 0 && math.Log(l.meanBefore/mean) > minElasticity*down
 }
 
-// halve begins to try the base.
-func (l *limiter) halve(mean float64) {
-	l.from, l.meanAt, l.mode, l.fell = l.limit, mean, settles, 0
-	l.set(l.limit / 2)
+// startBaseProbe begins to try the base.
+func (l *limiter) startBaseProbe(mean float64) {
+	l.limitBefore, l.meanBefore, l.mode, l.decreases = l.limit, mean, probeSettling, 0
+	l.setLimit(l.limit / 2)
 }
 
-// probe judges a halved limit: where the time has fallen with it, the limit was for waiting, and is halved again; else this
+// finishBaseProbe judges a halved limit: where the time has fallen with it, the limit was for waiting, and is halved again; else this
 // is what requests take while nothing is crowded.
-func (l *limiter) probe(now time.Duration, mean float64) {
-	if l.limit > l.least && l.helped(mean) {
-		if l.base > 0 && mean > l.base*rLow { // still crowded by what is known
-			l.mode, l.probed = steady, now
+func (l *limiter) finishBaseProbe(now time.Duration, mean float64) {
+	if l.limit > l.min && l.latencyFollowedLimit(mean) {
+		if l.baseTime > 0 && mean > l.baseTime*growRatio { // still crowded by what is known
+			l.mode, l.lastBaseProbe = steady, now
 			return
 		}
-		l.halve(mean)
+		l.startBaseProbe(mean)
 		return
 	}
-	l.mode, l.probed, l.base = steady, now, mean
-	l.set(l.from)
+	l.mode, l.lastBaseProbe, l.baseTime = steady, now, mean
+	l.setLimit(l.limitBefore)
 }
 
-func (l *limiter) set(limit float64) { l.limit = min(l.most, max(l.least, limit)) }
+func (l *limiter) setLimit(limit float64) { l.limit = min(l.max, max(l.min, limit)) }
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -17,42 +17,42 @@
 	{Name: "pay", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 5},
 }
 
-// rig is a Door with everything that is known of its requests from outside.
-type rig struct {
-	d      *Queue
-	now    time.Duration
-	state  map[Ticket]state
-	bytes  map[Ticket]int64
-	passed map[Ticket]time.Duration
-	order  []Ticket // that went on
-	told   map[Ticket]time.Duration
+// harness is a Door with everything that is known of its requests from outside.
+type harness struct {
+	queue      *Queue
+	now        time.Duration
+	state      map[Ticket]entryState
+	bytes      map[Ticket]int64
+	admittedAt map[Ticket]time.Duration
+	admitted   []Ticket // that went on
+	retryAfter map[Ticket]time.Duration
 }
 
-func newRig(o Options) *rig {
-	return &rig{d: New(o, testClasses, 1), now: time.Hour, state: map[Ticket]state{}, bytes: map[Ticket]int64{},
-		passed: map[Ticket]time.Duration{}, told: map[Ticket]time.Duration{}}
+func newHarness(o Options) *harness {
+	return &harness{queue: New(o, testClasses, 1), now: time.Hour, state: map[Ticket]entryState{}, bytes: map[Ticket]int64{},
+		admittedAt: map[Ticket]time.Duration{}, retryAfter: map[Ticket]time.Duration{}}
 }
 
-// take holds actions against what may be: each request goes on once or is refused once.
-func (r *rig) take(t Ticket, acts []Action) error {
+// apply holds actions against what may be: each request goes on once or is refused once.
+func (r *harness) apply(t Ticket, acts []Action) error {
 	for _, x := range acts {
-		if r.state[x.Ticket] != waits {
+		if r.state[x.Ticket] != entryQueued {
 			return fmt.Errorf("%v for ticket %x, which is %v", x.Kind, x.Ticket, r.state[x.Ticket])
 		}
 		if x.Kind == Reject {
-			if x.RetryAfter < 0 || x.RetryAfter > r.d.o.longest() {
+			if x.RetryAfter < 0 || x.RetryAfter > r.queue.options.maxRetryAfter() {
 				return fmt.Errorf("told to stay away for %v", x.RetryAfter)
 			}
-			r.state[x.Ticket], r.told[x.Ticket] = none, x.RetryAfter
+			r.state[x.Ticket], r.retryAfter[x.Ticket] = entryFree, x.RetryAfter
 			continue
 		}
-		r.state[x.Ticket], r.passed[x.Ticket] = passes, r.now
-		r.order = append(r.order, x.Ticket)
+		r.state[x.Ticket], r.admittedAt[x.Ticket] = entryAdmitted, r.now
+		r.admitted = append(r.admitted, x.Ticket)
 	}
-	return r.check()
+	return r.checkInvariants()
 }
 
-func (r *rig) arrive(a Arrival) (Ticket, error) {
+func (r *harness) arrive(a Arrival) (Ticket, error) {
 	if a.Class == "" {
 		a.Class = "search"
 	}
@@ -63,38 +63,38 @@
 		a.Deadline = r.now + time.Second
 	}
 	// The ticket is known once the call returns; before, its actions may name it.
-	t, acts := r.d.Arrive(r.now, a, nil)
-	r.state[t], r.bytes[t] = waits, a.Bytes
-	return t, r.take(t, acts)
+	t, acts := r.queue.Arrive(r.now, a, nil)
+	r.state[t], r.bytes[t] = entryQueued, a.Bytes
+	return t, r.apply(t, acts)
 }
 
-func (r *rig) done(t Ticket, how Outcome) error {
-	if r.state[t] == passes {
-		r.state[t] = none
+func (r *harness) complete(t Ticket, how Outcome) error {
+	if r.state[t] == entryAdmitted {
+		r.state[t] = entryFree
 	}
-	return r.take(t, r.d.Done(r.now, t, how, nil))
+	return r.apply(t, r.queue.Done(r.now, t, how, nil))
 }
 
-func (r *rig) leave(t Ticket) error {
-	if r.state[t] == waits {
-		r.state[t] = none
+func (r *harness) cancel(t Ticket) error {
+	if r.state[t] == entryQueued {
+		r.state[t] = entryFree
 	}
-	return r.take(t, r.d.Cancel(r.now, t, nil))
+	return r.apply(t, r.queue.Cancel(r.now, t, nil))
 }
 
-func (r *rig) wake() error { return r.take(0, r.d.Wake(r.now, nil)) }
+func (r *harness) wake() error { return r.apply(0, r.queue.Wake(r.now, nil)) }
 
-// check holds the whole Door against its bounds and its own counts.
-func (r *rig) check() error {
-	d, waiting, inHand, held := r.d, 0, 0, int64(0)
+// checkInvariants holds the whole Door against its bounds and its own counts.
+func (r *harness) checkInvariants() error {
+	d, waiting, inHand, held := r.queue, 0, 0, int64(0)
 	for t, s := range r.state {
 		switch s {
-		case waits:
+		case entryQueued:
 			waiting++
 			held += r.bytes[t]
-		case passes:
+		case entryAdmitted:
 			inHand++
-		case none:
+		case entryFree:
 			delete(r.state, t)
 			delete(r.bytes, t)
 		}
@@ -103,53 +103,53 @@
 	switch {
 	case v.Queued != waiting || v.InFlight != inHand || v.QueuedBytes != held:
 		return fmt.Errorf("view %+v, and %d wait with %d bytes, %d are in hand", v, waiting, held, inHand)
-	case v.Queued > d.o.MaxQueued || v.QueuedBytes > int64(d.o.MaxQueuedBytes) || v.Principals > d.o.MaxPrincipals || v.Reservations > d.o.MaxReservations:
+	case v.Queued > d.options.MaxQueued || v.QueuedBytes > int64(d.options.MaxQueuedBytes) || v.Principals > d.options.MaxPrincipals || v.Reservations > d.options.MaxReservations:
 		return fmt.Errorf("over a bound: %+v", v)
 	case v.Queued > 0 && v.InFlight < v.Limit:
 		return fmt.Errorf("%d wait while only %d of %d are in hand", v.Queued, v.InFlight, v.Limit)
-	case v.Limit < d.o.MinLimit || v.Limit > d.o.MaxLimit:
+	case v.Limit < d.options.MinLimit || v.Limit > d.options.MaxLimit:
 		return fmt.Errorf("limit %d", v.Limit)
 	}
 	known, promises, within := 0, 0, 0
 	for name, g := range d.groups {
-		if !g.crowd {
+		if !g.overflow {
 			known++
 		}
-		within += g.waiting + g.passed
-		if len(g.flows) > max(1, d.o.MaxPrincipals/flowPart) {
+		within += g.queued + g.inFlight
+		if len(g.flows) > max(1, d.options.MaxPrincipals/groupFlowDivisor) {
 			return fmt.Errorf("%q has %d flows", name, len(g.flows))
 		}
 		known += len(g.flows)
 		wait, pass, actives := 0, 0, 0
-		flows := []*flow{&g.shared}
+		flows := []*flow{&g.sharedFlow}
 		for _, f := range g.flows {
 			flows = append(flows, f)
 		}
 		for _, f := range flows {
 			n := 0
-			for _, run := range f.runs {
+			for _, run := range f.lists {
 				for e := run.first; e != nil; e = e.next {
-					if e.flow != f || e.state != waits || e.next == nil && run.last != e {
+					if e.flow != f || e.state != entryQueued || e.next == nil && run.last != e {
 						return fmt.Errorf("a request of %q is not linked rightly", name)
 					}
 					n++
 				}
 			}
-			if n != f.waiting || (f.waiting > 0) != (f.ready >= 0) || (f.waiting > 0) != (f.most >= 0) || len(f.promises) > flowPromises {
+			if n != f.queued || (f.queued > 0) != (f.readyIndex >= 0) || (f.queued > 0) != (f.loadIndex >= 0) || len(f.reservations) > maxFlowReservations {
 				return fmt.Errorf("flow %q of %q: %d in runs, %+v", f.name, name, n, f.member)
 			}
-			wait, pass, promises = wait+f.waiting, pass+f.passed, promises+len(f.promises)
+			wait, pass, promises = wait+f.queued, pass+f.inFlight, promises+len(f.reservations)
 			if f.active() {
 				actives++
 			}
-			if (len(f.promises) > 0) != (f.lapsing >= 0) || math.IsNaN(f.finish) || f.ready >= 0 && f.rest >= 0 {
+			if (len(f.reservations) > 0) != (f.expiryIndex >= 0) || math.IsNaN(f.finishTag) || f.readyIndex >= 0 && f.indebtedIndex >= 0 {
 				return fmt.Errorf("flow %q of %q: %+v", f.name, name, f)
 			}
 		}
-		if wait != g.waiting || pass != g.passed || actives != g.level.actives || (g.waiting > 0) != (g.ready >= 0) {
+		if wait != g.queued || pass != g.inFlight || actives != g.flowLevel.activeMembers || (g.queued > 0) != (g.readyIndex >= 0) {
 			return fmt.Errorf("group %q: %d wait, %d in hand, %d active; %+v", name, wait, pass, actives, g.member)
 		}
-		if !g.active() && len(g.flows) == 0 && len(g.shared.promises) == 0 && !d.root.of(&g.member).owes(&g.member) {
+		if !g.active() && len(g.flows) == 0 && len(g.sharedFlow.reservations) == 0 && !d.groupLevel.schedulerOf(&g.member).isAhead(&g.member) {
 			return fmt.Errorf("group %q is kept for nothing", name)
 		}
 	}
@@ -162,8 +162,8 @@
 	return nil
 }
 
-// play has a rig go through what draw says, and then everything end: nothing may be left.
-func play(r *rig, steps int, draw func(n int) int) error {
+// runScript has a rig go through what draw says, and then everything end: nothing may be left.
+func runScript(r *harness, steps int, draw func(n int) int) error {
 	var open []Ticket
 	step := func() error {
 		if draw(8) == 0 { // else the clock stands
@@ -194,16 +194,16 @@
 			open[i] = open[len(open)-1]
 			open = open[:len(open)-1]
 			if draw(4) == 0 {
-				return r.leave(t)
+				return r.cancel(t)
 			}
-			return r.done(t, Outcome(draw(3)))
+			return r.complete(t, Outcome(draw(3)))
 		case kind == 8:
 			return r.wake()
 		default:
-			o := r.d.o
+			o := r.queue.options
 			o.Weights = []Weight{{"g1", float64(draw(4))}, {"g2", float64(draw(4)) / 2}, {"g3", 0}}
 			o.MinLimit = 1 + draw(4)
-			r.d.Configure(r.now, o)
+			r.queue.Configure(r.now, o)
 			return r.wake()
 		}
 	}
@@ -212,11 +212,11 @@
 			return fmt.Errorf("step %d: %w", i, err)
 		}
 	}
-	for r.d.Stats().InFlight+r.d.Stats().Queued > 0 {
+	for r.queue.Stats().InFlight+r.queue.Stats().Queued > 0 {
 		r.now += 10 * time.Millisecond
 		for t, s := range r.state {
-			if s == passes {
-				if err := r.done(t, Completed); err != nil {
+			if s == entryAdmitted {
+				if err := r.complete(t, Completed); err != nil {
 					return err
 				}
 			}
@@ -225,12 +225,12 @@
 			return err
 		}
 	}
-	r.now += r.d.o.longest() + graceMost + time.Second
+	r.now += r.queue.options.maxRetryAfter() + maxGrace + time.Second
 	if err := r.wake(); err != nil {
 		return err
 	}
-	if v := r.d.Stats(); v.Principals != 0 || v.Reservations != 0 || len(r.d.groups) != 0 {
-		return fmt.Errorf("at the end %+v and %d groups are left", v, len(r.d.groups))
+	if v := r.queue.Stats(); v.Principals != 0 || v.Reservations != 0 || len(r.queue.groups) != 0 {
+		return fmt.Errorf("at the end %+v and %d groups are left", v, len(r.queue.groups))
 	}
 	return nil
 }
@@ -244,8 +244,8 @@
 // Every order of events keeps the bounds, the counts and one fate for each request, wastes no place, and leaves nothing.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newRig(smallOptions())
-		if err := play(r, 150, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }); err != nil {
+		r := newHarness(smallOptions())
+		if err := runScript(r, 150, func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -257,8 +257,8 @@
 		if len(data) > 8192 {
 			return
 		}
-		r := newRig(smallOptions())
-		err := play(r, len(data)/6, func(n int) int {
+		r := newHarness(smallOptions())
+		err := runScript(r, len(data)/6, func(n int) int {
 			if len(data) < 2 {
 				return 0
 			}
@@ -286,7 +286,7 @@
 			weights[i] = float64(rapid.IntRange(1, 4).Draw(t, "weight"))
 			o.Weights = append(o.Weights, Weight{fmt.Sprint(i), weights[i]})
 		}
-		r := newRig(o)
+		r := newHarness(o)
 		who := map[Ticket]int{}
 		feed := func(i int) {
 			ticket, err := r.arrive(Arrival{Group: fmt.Sprint(i), Deadline: r.now + 100*time.Hour, ArrivedAt: r.now + time.Hour})
@@ -308,9 +308,9 @@
 		var run []running
 		seen := 0
 		for range 300 {
-			for ; seen < len(r.order); seen++ {
+			for ; seen < len(r.admitted); seen++ {
 				cost := time.Duration(rapid.IntRange(1, 60).Draw(t, "ms")) * time.Millisecond
-				run = append(run, running{r.order[seen], r.now + cost})
+				run = append(run, running{r.admitted[seen], r.now + cost})
 			}
 			next := 0
 			for i := range run {
@@ -320,9 +320,9 @@
 			}
 			x := run[next]
 			run = append(run[:next], run[next+1:]...)
-			cost := (x.ends - r.passed[x.t]).Seconds()
+			cost := (x.ends - r.admittedAt[x.t]).Seconds()
 			r.now = x.ends
-			if err := r.done(x.t, Completed); err != nil {
+			if err := r.complete(x.t, Completed); err != nil {
 				t.Fatal(err)
 			}
 			took[who[x.t]] += cost
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -42,19 +42,19 @@
 
 // Bounds of the options themselves.
 const (
-	maxWeight   = 1e6
-	maxWaiting  = 65_536
-	maxKnown    = 1 << 20
-	maxLimit    = 65_536
-	longestWait = time.Hour
+	maxWeight             = 1e6
+	queuedLimit           = 65_536
+	principalsLimit       = 1 << 20
+	concurrencyLimitLimit = 65_536
+	retryAfterLimit       = time.Hour
 )
 
 // DefaultMaxRetryAfter is the longest time to stay away where none is set.
 const DefaultMaxRetryAfter = 5 * time.Second
 
-// longest is Longest within what the calendar can hold.
-func (o *Options) longest() time.Duration {
-	return min(longestWait, max(calendarStep, cmp.Or(o.MaxRetryAfter, DefaultMaxRetryAfter)))
+// maxRetryAfter is Longest within what the calendar can hold.
+func (o *Options) maxRetryAfter() time.Duration {
+	return min(retryAfterLimit, max(calendarStep, cmp.Or(o.MaxRetryAfter, DefaultMaxRetryAfter)))
 }
 
 // Check is tomlfile.Checker's.
@@ -86,11 +86,11 @@
 			report(key, "%d is not from %d to %d", n, least, most)
 		}
 	}
-	between("waiting", o.MaxQueued, 1, maxWaiting)
-	between("principals", o.MaxPrincipals, 16, maxKnown)
-	between("promises", o.MaxReservations, 0, maxKnown)
+	between("waiting", o.MaxQueued, 1, queuedLimit)
+	between("principals", o.MaxPrincipals, 16, principalsLimit)
+	between("promises", o.MaxReservations, 0, principalsLimit)
 	between("limit_least", o.MinLimit, 1, o.MaxLimit)
-	between("limit_most", o.MaxLimit, 1, maxLimit)
+	between("limit_most", o.MaxLimit, 1, concurrencyLimitLimit)
 	if o.RetryHeader != "" && !httpguts.ValidHeaderFieldName(o.RetryHeader) {
 		report("repeat_header", "%q is no header's name", o.RetryHeader)
 	}
@@ -102,11 +102,11 @@
 	}
 }
 
-// weights are by name.
-func (o *Options) weights() map[string]float64 {
+// weightsByName are by name.
+func (o *Options) weightsByName() map[string]float64 {
 	m := make(map[string]float64, len(o.Weights))
 	for _, w := range o.Weights {
-		m[bounded(w.Name)] = w.Weight
+		m[boundedName(w.Name)] = w.Weight
 	}
 	return m
 }
--- a/internal/admission/principal.go
+++ b/internal/admission/principal.go
@@ -51,8 +51,8 @@
 	return by, nil
 }
 
-// longestName is how long a principal's name may be; longer ones are known by their hash.
-const longestName = 64
+// maxNameLength is how long a principal's name may be; longer ones are known by their hash.
+const maxNameLength = 64
 
 // Names are a request's principals: of the group, and of the flow within it (empty where By has one source). A request
 // that has none of a source is the principal "".
@@ -78,24 +78,24 @@
 		}
 	case "address":
 		if w.Peer != nil {
-			return network(w.Peer())
+			return networkName(w.Peer())
 		}
 	}
-	return bounded(name)
+	return boundedName(name)
 }
 
-// bounded is a name of no more than longestName bytes, and none that stands for a crowd.
-func bounded(name string) string {
-	if len(name) > longestName || strings.HasPrefix(name, crowdName) {
+// boundedName is a name of no more than maxNameLength bytes, and none that stands for a crowd.
+func boundedName(name string) string {
+	if len(name) > maxNameLength || strings.HasPrefix(name, overflowPrefix) {
 		sum := sha256.Sum256([]byte(name))
-		name = hex.EncodeToString(sum[:longestName/2])
+		name = hex.EncodeToString(sum[:maxNameLength/2])
 	}
 	return name
 }
 
-// network is the part of an address that stands for one party: all of an IPv4 address, the /64 of an IPv6 one, which a
+// networkName is the part of an address that stands for one party: all of an IPv4 address, the /64 of an IPv6 one, which a
 // host may choose freely within.
-func network(a netip.Addr) string {
+func networkName(a netip.Addr) string {
 	a = a.Unmap()
 	switch {
 	case !a.IsValid():
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -10,457 +10,459 @@
 
 // Queue is the state machine. See the package's comment.
 type Queue struct {
-	o       Options
-	weights map[string]float64
-	classes map[string]*class
-	other   *class // of requests of no known class
-	now     time.Duration
-	seed    uint64
-	rng     *rand.Rand
-
-	root   level
-	groups map[string]*group
-	known  int // groups and flows beside the shared ones
-	limit  limiter
-	passed int
-	budget budget
-	usual  float64 // mean cost of all requests, s
-
-	entries []*entry
-	free    []uint32
-	waiting int
-	bytes   int64
-	dues    priorityqueue.Queue[*entry]
-	lane    entry // of those who came when told: a ring by next and prev, lane itself its root
-	byLane  bool  // the last one went by the lane
-
-	calendar    calendar
-	promises    int
-	lapses      priorityqueue.Queue[*flow]
-	spareGroups []*group
-	spareFlows  []*flow
+	options      Options
+	weights      map[string]float64
+	classes      map[string]*classStats
+	defaultClass *classStats // of requests of no known class
+	now          time.Duration
+	seed         uint64
+	rng          *rand.Rand
+
+	groupLevel      level
+	groups          map[string]*group
+	knownPrincipals int // groups and flows beside the shared ones
+	limiter         limiter
+	inFlight        int
+	retryBudget     retryBudget
+	meanCost        float64 // mean cost of all requests, s
+
+	entries      []*entry
+	freeEntries  []uint32
+	queued       int
+	queuedBytes  int64
+	timeouts     priorityqueue.Queue[*entry]
+	reservedLane entry // of those who came when told: a ring by next and prev, lane itself its root
+	lastFromLane bool  // the last one went by the lane
+
+	calendar            calendar
+	reservations        int
+	reservationExpiries priorityqueue.Queue[*flow]
+	spareGroups         []*group
+	spareFlows          []*flow
 }
 
-type state int8
+type entryState int8
 
 const (
-	none state = iota
-	waits
-	passes
+	entryFree entryState = iota
+	entryQueued
+	entryAdmitted
 )
 
 // entry is a request between its arrival and its end.
 type entry struct {
-	index, gen uint32
-	state      state
-	redeemed   bool // it came when told
-	late       bool // its aim has passed while it waited
-	hinted     time.Duration
-	flow       *flow
-	class      *class
-	worth      float64
-	cost       float64
-	arrival    time.Duration
-	went       time.Duration
-	aim        time.Duration
-	expires    time.Duration
-	due        time.Duration // when to look at it again
-	bytes      int64
-	print      uint64
-	prev, next *entry // in its run
-	before     *entry // in the lane
-	after      *entry
-	at         int // in dues
+	index, generation uint32
+	state             entryState
+	reserved          bool // it came when told
+	pastObjective     bool // its aim has passed while it waited
+	costHint          time.Duration
+	flow              *flow
+	class             *classStats
+	priorityWeight    float64
+	estimatedCost     float64
+	arrivedAt         time.Duration
+	admittedAt        time.Duration
+	objectiveAt       time.Duration
+	deadline          time.Duration
+	timeoutAt         time.Duration // when to look at it again
+	bytes             int64
+	fingerprint       uint64
+	prev, next        *entry // in its run
+	prevReserved      *entry // in the lane
+	nextReserved      *entry
+	timeoutIndex      int // in dues
 }
 
-func (e *entry) ticket() Ticket { return Ticket(e.gen)<<32 | Ticket(e.index) }
+func (e *entry) ticket() Ticket { return Ticket(e.generation)<<32 | Ticket(e.index) }
 
 // New returns a Door for a service's classes. The options have passed Options.Check.
 func New(o Options, classes []balancer.Class, seed uint64) *Queue {
-	d := &Queue{o: o, weights: o.weights(), classes: map[string]*class{}, seed: seed,
-		rng: rand.New(rand.NewPCG(seed, 0x646f6f72)), groups: map[string]*group{}, limit: newLimiter(o.MinLimit, o.MaxLimit),
-		budget: budget{tokens: budgetAll, most: budgetAll}, usual: costUsual, other: &class{usual: costUsual}}
+	q := &Queue{options: o, weights: o.weightsByName(), classes: map[string]*classStats{}, seed: seed,
+		rng: rand.New(rand.NewPCG(seed, 0x646f6f72)), groups: map[string]*group{}, limiter: newLimiter(o.MinLimit, o.MaxLimit),
+		retryBudget: retryBudget{tokens: totalRetryBurst, capacity: totalRetryBurst}, meanCost: initialCost, defaultClass: &classStats{meanCost: initialCost}}
 	for _, c := range classes {
-		k := &class{Class: c, usual: costUsual}
+		k := &classStats{Class: c, meanCost: initialCost}
 		if k.PriorityWeight == 0 {
 			k.PriorityWeight = 1
 		}
 		if k.LatencyObjective == 0 {
 			k.LatencyObjective = k.Deadline
 		}
-		d.classes[c.Name] = k
-	}
-	d.root = newLevel()
-	d.dues = priorityqueue.New(func(e *entry) *int { return &e.at })
-	d.lapses = priorityqueue.New(func(f *flow) *int { return &f.lapsing })
-	d.lane.before, d.lane.after = &d.lane, &d.lane
-	d.calendar = newCalendar(o.longest(), d.rng)
-	return d
+		q.classes[c.Name] = k
+	}
+	q.groupLevel = newLevel()
+	q.timeouts = priorityqueue.New(func(e *entry) *int { return &e.timeoutIndex })
+	q.reservationExpiries = priorityqueue.New(func(f *flow) *int { return &f.expiryIndex })
+	q.reservedLane.prevReserved, q.reservedLane.nextReserved = &q.reservedLane, &q.reservedLane
+	q.calendar = newCalendar(o.maxRetryAfter(), q.rng)
+	return q
 }
 
 // Configure changes the options under way: weights count for what goes from now on, lower bounds turn nobody away who
 // waits already.
-func (d *Queue) Configure(now time.Duration, o Options) {
-	d.tell(now)
-	if o.longest() != d.o.longest() {
-		d.calendar = newCalendar(o.longest(), d.rng)
-	}
-	d.o, d.weights = o, o.weights()
-	d.limit.least, d.limit.most = float64(o.MinLimit), float64(o.MaxLimit)
-	d.limit.set(d.limit.limit)
-	for _, g := range d.groups {
-		d.root.reweigh(&g.member, d.weightOf(g))
-		d.weigh(g)
-		d.forgetGroup(g)
+func (q *Queue) Configure(now time.Duration, o Options) {
+	q.advanceClock(now)
+	if o.maxRetryAfter() != q.options.maxRetryAfter() {
+		q.calendar = newCalendar(o.maxRetryAfter(), q.rng)
+	}
+	q.options, q.weights = o, o.weightsByName()
+	q.limiter.min, q.limiter.max = float64(o.MinLimit), float64(o.MaxLimit)
+	q.limiter.setLimit(q.limiter.limit)
+	for _, g := range q.groups {
+		q.groupLevel.setWeight(&g.member, q.groupWeight(g))
+		q.updateLoads(g)
+		q.forgetGroup(g)
 	}
 }
 
-func (d *Queue) weightOf(g *group) float64 {
-	if w, named := d.weights[g.name]; named && !g.crowd {
+func (q *Queue) groupWeight(g *group) float64 {
+	if w, named := q.weights[g.name]; named && !g.overflow {
 		return w
 	}
-	return d.o.DefaultWeight
+	return q.options.DefaultWeight
 }
 
-// tell takes the time in. A clock that stands is taken as it is, one that goes back as standing.
-func (d *Queue) tell(now time.Duration) { d.now = max(d.now, now) }
+// advanceClock takes the time in. A clock that stands is taken as it is, one that goes back as standing.
+func (q *Queue) advanceClock(now time.Duration) { q.now = max(q.now, now) }
 
 // Arrive brings a request. Its own fate, now or later, comes as an action of the returned Ticket, like that of whoever
 // else it touches.
-func (d *Queue) Arrive(now time.Duration, a Arrival, acts []Action) (Ticket, []Action) {
-	acts = d.pass(now, acts)
-	c := d.classes[a.Class]
+func (q *Queue) Arrive(now time.Duration, a Arrival, acts []Action) (Ticket, []Action) {
+	acts = q.advance(now, acts)
+	c := q.classes[a.Class]
 	if c == nil {
-		c = d.other
+		c = q.defaultClass
 	}
-	c.hinted(a.CostHint)
-	f := d.find(a.Group, a.Flow)
+	c.observeHint(a.CostHint)
+	f := q.flowFor(a.Group, a.Flow)
 	g := f.group
-	f.coming, g.coming = true, true // who gives way to it may be the last of its own group
-	e := d.entry()
-	e.flow, e.class, e.hinted, e.arrival, e.bytes = f, c, a.CostHint, d.now, a.Bytes
-	e.print = a.Fingerprint
-	e.aim, e.expires = a.ArrivedAt+c.LatencyObjective+time.Duration(c.ObjectiveStretch*float64(a.CostHint)), a.Deadline
+	f.arriving, g.arriving = true, true // who gives way to it may be the last of its own group
+	e := q.newEntry()
+	e.flow, e.class, e.costHint, e.arrivedAt, e.bytes = f, c, a.CostHint, q.now, a.Bytes
+	e.fingerprint = a.Fingerprint
+	e.objectiveAt, e.deadline = a.ArrivedAt+c.LatencyObjective+time.Duration(c.ObjectiveStretch*float64(a.CostHint)), a.Deadline
 	if c.LatencyObjective <= 0 {
-		e.aim = a.Deadline
+		e.objectiveAt = a.Deadline
 	}
-	e.cost = c.estimate(a.CostHint, g.honesty)
-	e.worth = c.PriorityWeight
-	e.late = d.now >= e.aim
-	if e.late {
-		e.worth *= c.LateValueFraction
+	e.estimatedCost = c.estimateCost(a.CostHint, g.hintAccuracy)
+	e.priorityWeight = c.PriorityWeight
+	e.pastObjective = q.now >= e.objectiveAt
+	if e.pastObjective {
+		e.priorityWeight *= c.LateValueFraction
 	}
 
-	if d.redeem(f, a.Fingerprint) {
-		e.redeemed = true
-	} else if why, ok := d.admit(e, a.Retry); !ok {
-		return e.ticket(), d.refuse(e, why, acts)
+	if q.redeemReservation(f, a.Fingerprint) {
+		e.reserved = true
+	} else if why, ok := q.mayWait(e, a.Retry); !ok {
+		return e.ticket(), q.reject(e, why, acts)
 	}
-	if full := d.waiting >= d.o.MaxQueued || d.bytes+e.bytes > int64(d.o.MaxQueuedBytes); full && (d.waiting > 0 || d.passed >= d.limit.places()) {
-		victim := d.victim(e)
+	if full := q.queued >= q.options.MaxQueued || q.queuedBytes+e.bytes > int64(q.options.MaxQueuedBytes); full && (q.queued > 0 || q.inFlight >= q.limiter.current()) {
+		victim := q.selectVictim(e)
 		if victim == e {
-			return e.ticket(), d.refuse(e, QueueFull, acts)
+			return e.ticket(), q.reject(e, QueueFull, acts)
 		}
-		d.remove(victim)
-		acts = d.refuse(victim, QueueFull, acts)
-		for d.bytes+e.bytes > int64(d.o.MaxQueuedBytes) && d.waiting > 0 {
-			if victim = d.victim(e); victim == e {
-				return e.ticket(), d.refuse(e, QueueFull, acts)
+		q.removeQueued(victim)
+		acts = q.reject(victim, QueueFull, acts)
+		for q.queuedBytes+e.bytes > int64(q.options.MaxQueuedBytes) && q.queued > 0 {
+			if victim = q.selectVictim(e); victim == e {
+				return e.ticket(), q.reject(e, QueueFull, acts)
 			}
-			d.remove(victim)
-			acts = d.refuse(victim, QueueFull, acts)
+			q.removeQueued(victim)
+			acts = q.reject(victim, QueueFull, acts)
 		}
 	}
-	d.wait(e)
-	return e.ticket(), d.serve(acts)
+	q.enqueue(e)
+	return e.ticket(), q.dispatch(acts)
 }
 
-// admit tells whether a request may wait, or why not.
-func (d *Queue) admit(e *entry, repeat bool) (Reason, bool) {
+// mayWait tells whether a request may wait, or why not.
+func (q *Queue) mayWait(e *entry, repeat bool) (Reason, bool) {
 	g := e.flow.group
-	crowded := d.waiting > 0 || d.passed >= d.limit.places()
+	crowded := q.queued > 0 || q.inFlight >= q.limiter.current()
 	if !repeat {
-		g.budget.first(d.o.RetryRatio)
-		d.budget.first(d.o.RetryRatio)
+		g.retryBudget.deposit(q.options.RetryRatio)
+		q.retryBudget.deposit(q.options.RetryRatio)
 	}
 	if !crowded {
 		return 0, true
 	}
-	if repeat && !(g.budget.may() && d.budget.may()) {
+	if repeat && !(g.retryBudget.available() && q.retryBudget.available()) {
 		return RetryBudgetExhausted, false
 	}
-	if e.class.LateValueFraction <= 0 && e.late || d.now >= e.expires {
+	if e.class.LateValueFraction <= 0 && e.pastObjective || q.now >= e.deadline {
 		return WaitTooLong, false
 	}
 	// Of weight 0: it waits for what is left, as long as it may.
-	if rate := d.rateOf(e.flow); rate > 0 {
-		begin := d.now + time.Duration(min(d.ahead(e.flow)/rate, 3600)*float64(time.Second))
-		last := e.aim
-		if e.late {
-			last = e.expires
+	if rate := q.serviceRate(e.flow); rate > 0 {
+		begin := q.now + time.Duration(min(q.costAhead(e.flow)/rate, 3600)*float64(time.Second))
+		last := e.objectiveAt
+		if e.pastObjective {
+			last = e.deadline
 		}
-		if begin+e.class.mostly() > last && (e.late || d.ahead(e.flow) > 0) {
+		if begin+e.class.costBound() > last && (e.pastObjective || q.costAhead(e.flow) > 0) {
 			return WaitTooLong, false
 		}
 	}
 	if repeat {
-		g.budget.spend()
-		d.budget.spend()
+		g.retryBudget.withdraw()
+		q.retryBudget.withdraw()
 	}
 	return 0, true
 }
 
-// wait has e wait.
-func (d *Queue) wait(e *entry) {
+// enqueue has e wait.
+func (q *Queue) enqueue(e *entry) {
 	f, g := e.flow, e.flow.group
-	f.coming, g.coming = false, false
-	e.state = waits
-	if e.redeemed {
-		e.after, e.before = &d.lane, d.lane.before
-		d.lane.before.after, d.lane.before = e, e
+	f.arriving, g.arriving = false, false
+	e.state = entryQueued
+	if e.reserved {
+		e.nextReserved, e.prevReserved = &q.reservedLane, q.reservedLane.prevReserved
+		q.reservedLane.prevReserved.nextReserved, q.reservedLane.prevReserved = e, e
 	}
 	f.push(e)
-	d.waiting++
-	d.bytes += e.bytes
+	q.queued++
+	q.queuedBytes += e.bytes
 	for _, m := range [2]*member{&f.member, &g.member} {
-		l := d.levelOf(m)
+		l := q.levelOf(m)
 		if !m.active() {
 			l.activate(m)
 		}
-		m.waiting++
-		m.bytes += e.bytes
-		m.queued += e.cost
-		if m.waiting == 1 {
-			l.of(m).wake(m)
+		m.queued++
+		m.queuedBytes += e.bytes
+		m.backlog += e.estimatedCost
+		if m.queued == 1 {
+			l.schedulerOf(m).enqueue(m)
 		}
-		l.most.Set(m, -d.load(m), 0)
+		l.byLoad.Set(m, -q.load(m), 0)
 	}
-	e.due = e.lastStart()
-	d.dues.Set(e, float64(e.due), uint64(e.index))
+	e.timeoutAt = e.latestStart()
+	q.timeouts.Set(e, float64(e.timeoutAt), uint64(e.index))
 }
 
-// lastStart is when a request that waits is to be looked at: when it would miss its aim, and then its end.
-func (e *entry) lastStart() time.Duration {
-	if e.late {
-		return e.expires - min(e.spent(), (e.expires-e.arrival)/2)
+// latestStart is when a request that waits is to be looked at: when it would miss its aim, and then its end.
+func (e *entry) latestStart() time.Duration {
+	if e.pastObjective {
+		return e.deadline - min(e.expectedServiceTime(), (e.deadline-e.arrivedAt)/2)
 	}
-	return min(e.aim-min(e.spent(), (e.aim-e.arrival)/2), e.expires)
+	return min(e.objectiveAt-min(e.expectedServiceTime(), (e.objectiveAt-e.arrivedAt)/2), e.deadline)
 }
 
-func (d *Queue) levelOf(m *member) *level {
+func (q *Queue) levelOf(m *member) *level {
 	if m.flow == nil {
-		return &d.root
+		return &q.groupLevel
 	}
-	return &m.group.level
+	return &m.group.flowLevel
 }
 
-// out takes a waiting request out of all that counts waiting ones but the ready heaps.
-func (d *Queue) out(e *entry) {
+// dequeue takes a waiting request out of all that counts waiting ones but the ready heaps.
+func (q *Queue) dequeue(e *entry) {
 	f, g := e.flow, e.flow.group
-	d.dues.Remove(e)
-	f.pull(e)
-	if e.redeemed {
-		e.before.after, e.after.before = e.after, e.before
-		e.before, e.after = nil, nil
-	}
-	d.waiting--
-	d.bytes -= e.bytes
+	q.timeouts.Remove(e)
+	f.remove(e)
+	if e.reserved {
+		e.prevReserved.nextReserved, e.nextReserved.prevReserved = e.nextReserved, e.prevReserved
+		e.prevReserved, e.nextReserved = nil, nil
+	}
+	q.queued--
+	q.queuedBytes -= e.bytes
 	for _, m := range [2]*member{&f.member, &g.member} {
-		l := d.levelOf(m)
-		m.waiting--
-		m.bytes -= e.bytes
-		if m.queued -= e.cost; m.waiting == 0 {
-			m.queued = 0
-			l.most.Remove(m)
+		l := q.levelOf(m)
+		m.queued--
+		m.queuedBytes -= e.bytes
+		if m.backlog -= e.estimatedCost; m.queued == 0 {
+			m.backlog = 0
+			l.byLoad.Remove(m)
 		} else {
-			l.most.Set(m, -d.load(m), 0)
+			l.byLoad.Set(m, -q.load(m), 0)
 		}
 	}
 }
 
-// remove takes a waiting request out that does not go on.
-func (d *Queue) remove(e *entry) {
-	d.out(e)
+// removeQueued takes a waiting request out that does not go on.
+func (q *Queue) removeQueued(e *entry) {
+	q.dequeue(e)
 	for _, m := range [2]*member{&e.flow.member, &e.flow.group.member} {
-		l := d.levelOf(m)
-		if m.waiting == 0 {
-			l.of(m).ready.Remove(m)
+		l := q.levelOf(m)
+		if m.queued == 0 {
+			l.schedulerOf(m).ready.Remove(m)
 		}
-		d.rested(l, m)
+		q.deactivateIfIdle(l, m)
 	}
 }
 
-// rested is for a member of which something has ended.
-func (d *Queue) rested(l *level, m *member) {
+// deactivateIfIdle is for a member of which something has ended.
+func (q *Queue) deactivateIfIdle(l *level, m *member) {
 	if m.active() {
 		return
 	}
-	if s := l.of(m); s.owes(m) && m.rest < 0 {
-		s.resting.Set(m, m.finish, 0)
+	if s := l.schedulerOf(m); s.isAhead(m) && m.indebtedIndex < 0 {
+		s.indebted.Set(m, m.finishTag, 0)
 	}
-	l.idle(m)
+	l.deactivate(m)
 }
 
-// refuse words a refusal, and forgets the request.
-func (d *Queue) refuse(e *entry, why Reason, acts []Action) []Action {
-	in, kept := d.promise(e)
+// reject words a refusal, and forgets the request.
+func (q *Queue) reject(e *entry, why Reason, acts []Action) []Action {
+	in, kept := q.reserve(e)
 	acts = append(acts, Action{Kind: Reject, Ticket: e.ticket(), RetryAfter: in, Reserved: kept, Reason: why})
-	d.end(e)
+	q.releaseEntry(e)
 	return acts
 }
 
-// end gives a request's entry back.
-func (d *Queue) end(e *entry) {
+// releaseEntry gives a request's entry back.
+func (q *Queue) releaseEntry(e *entry) {
 	f := e.flow
-	if e.state == none { // it never waited
-		f.coming, f.group.coming = false, false
+	if e.state == entryFree { // it never waited
+		f.arriving, f.group.arriving = false, false
 	}
-	e.state, e.flow, e.class = none, nil, nil
-	e.gen++
-	d.free = append(d.free, e.index)
-	d.forget(f)
+	e.state, e.flow, e.class = entryFree, nil, nil
+	e.generation++
+	q.freeEntries = append(q.freeEntries, e.index)
+	q.forgetFlow(f)
 }
 
-// entry is an unused one.
-func (d *Queue) entry() *entry {
-	if n := len(d.free); n > 0 {
-		e := d.entries[d.free[n-1]]
-		d.free = d.free[:n-1]
-		*e = entry{index: e.index, gen: e.gen, at: -1}
+// newEntry is an unused one.
+func (q *Queue) newEntry() *entry {
+	if n := len(q.freeEntries); n > 0 {
+		e := q.entries[q.freeEntries[n-1]]
+		q.freeEntries = q.freeEntries[:n-1]
+		*e = entry{index: e.index, generation: e.generation, timeoutIndex: -1}
 		return e
 	}
-	e := &entry{index: uint32(len(d.entries)), gen: 1, at: -1}
-	d.entries = append(d.entries, e)
+	e := &entry{index: uint32(len(q.entries)), generation: 1, timeoutIndex: -1}
+	q.entries = append(q.entries, e)
 	return e
 }
 
-// serve lets on who may.
-func (d *Queue) serve(acts []Action) []Action {
-	for d.waiting > 0 && d.passed < d.limit.places() {
-		e := d.turn()
-		d.out(e)
+// dispatch lets on who may.
+func (q *Queue) dispatch(acts []Action) []Action {
+	for q.queued > 0 && q.inFlight < q.limiter.current() {
+		e := q.nextEntry()
+		q.dequeue(e)
 		f, g := e.flow, e.flow.group
 		for _, m := range [2]*member{&f.member, &g.member} {
-			l := d.levelOf(m)
-			l.of(m).charge(m, e.cost, !d.byLane, m.waiting > 0)
-			m.passed++
+			l := q.levelOf(m)
+			l.schedulerOf(m).dispatch(m, e.estimatedCost, !q.lastFromLane, m.queued > 0)
+			m.inFlight++
 		}
-		e.state, e.went = passes, d.now
-		d.passed++
+		e.state, e.admittedAt = entryAdmitted, q.now
+		q.inFlight++
 		acts = append(acts, Action{Kind: Admit, Ticket: e.ticket()})
-		d.paid(&g.level)
-		d.paid(&d.root)
+		q.forgetSettled(&g.flowLevel)
+		q.forgetSettled(&q.groupLevel)
 	}
-	if d.waiting > 0 {
-		d.limit.bound = true
+	if q.queued > 0 {
+		q.limiter.saturated = true
 	}
 	return acts
 }
 
-// turn is who goes next: by turns those who came when told, and those whose turn it is by virtual time.
-func (d *Queue) turn() *entry {
-	if first := d.lane.after; first != &d.lane && !d.byLane {
-		d.byLane = true
+// nextEntry is who goes next: by turns those who came when told, and those whose turn it is by virtual time.
+func (q *Queue) nextEntry() *entry {
+	if first := q.reservedLane.nextReserved; first != &q.reservedLane && !q.lastFromLane {
+		q.lastFromLane = true
 		return first
 	}
-	d.byLane = false
-	return d.root.next().group.level.next().flow.runs[0].first
+	q.lastFromLane = false
+	return q.groupLevel.next().group.flowLevel.next().flow.lists[0].first
 }
 
-// paid forgets those members of a level whose debts are paid by now.
-func (d *Queue) paid(l *level) {
-	for _, s := range l.halves() {
-		for s != nil && s.resting.Len() > 0 && !s.owes(s.resting.First()) {
-			m := s.resting.First()
-			s.resting.Remove(m)
+// forgetSettled forgets those members of a level whose debts are paid by now.
+func (q *Queue) forgetSettled(l *level) {
+	for _, s := range l.schedulers() {
+		for s != nil && s.indebted.Len() > 0 && !s.isAhead(s.indebted.First()) {
+			m := s.indebted.First()
+			s.indebted.Remove(m)
 			if m.flow != nil {
-				d.forget(m.flow)
+				q.forgetFlow(m.flow)
 			} else {
-				d.forgetGroup(m.group)
+				q.forgetGroup(m.group)
 			}
 		}
 	}
 }
 
 // Cancel takes out a request whose client has left while it waited. For any other it does nothing.
-func (d *Queue) Cancel(now time.Duration, t Ticket, acts []Action) []Action {
-	d.tell(now)
-	if e := d.held(t, waits); e != nil {
-		d.remove(e)
-		d.end(e)
+func (q *Queue) Cancel(now time.Duration, t Ticket, acts []Action) []Action {
+	q.advanceClock(now)
+	if e := q.lookup(t, entryQueued); e != nil {
+		q.removeQueued(e)
+		q.releaseEntry(e)
 	}
-	return d.serve(d.pass(now, acts))
+	return q.dispatch(q.advance(now, acts))
 }
 
 // Done ends a request that went on.
-func (d *Queue) Done(now time.Duration, t Ticket, how Outcome, acts []Action) []Action {
-	acts = d.pass(now, acts)
-	e := d.held(t, passes)
+func (q *Queue) Done(now time.Duration, t Ticket, how Outcome, acts []Action) []Action {
+	acts = q.advance(now, acts)
+	e := q.lookup(t, entryAdmitted)
 	if e == nil {
 		return acts
 	}
 	f, g, c := e.flow, e.flow.group, e.class
-	took := max(costLeast, (d.now - e.went).Seconds())
-	d.passed--
+	took := max(minCost, (q.now - e.admittedAt).Seconds())
+	q.inFlight--
 	for _, m := range [2]*member{&f.member, &g.member} {
-		l := d.levelOf(m)
-		l.of(m).settle(m, took-e.cost)
-		m.passed--
-		d.rested(l, m)
+		l := q.levelOf(m)
+		l.schedulerOf(m).correctCost(m, took-e.estimatedCost)
+		m.inFlight--
+		q.deactivateIfIdle(l, m)
 	}
 	if how == Completed {
-		g.honesty = c.honest(g.honesty, e.hinted, took)
-		c.took(took)
-		d.usual += (took - d.usual) * costBlend
+		g.hintAccuracy = c.updateHintAccuracy(g.hintAccuracy, e.costHint, took)
+		c.observeCost(took)
+		q.meanCost += (took - q.meanCost) * costSmoothing
 	}
 	if how != ClientGone {
-		d.limit.sample(d.now, c, took, d.passed+1, how == RejectedByBalancer)
+		q.limiter.observe(q.now, c, took, q.inFlight+1, how == RejectedByBalancer)
 	}
-	d.end(e)
-	d.paid(&d.root)
-	return d.serve(acts)
+	q.releaseEntry(e)
+	q.forgetSettled(&q.groupLevel)
+	return q.dispatch(acts)
 }
 
 // Wake does what is due.
-func (d *Queue) Wake(now time.Duration, acts []Action) []Action { return d.serve(d.pass(now, acts)) }
+func (q *Queue) Wake(now time.Duration, acts []Action) []Action {
+	return q.dispatch(q.advance(now, acts))
+}
 
 // Next is when Wake is to be called at the latest; false: there is no need.
-func (d *Queue) Next() (time.Duration, bool) {
-	if d.dues.Len() == 0 {
+func (q *Queue) Next() (time.Duration, bool) {
+	if q.timeouts.Len() == 0 {
 		return 0, false
 	}
-	return d.dues.First().due, true
+	return q.timeouts.First().timeoutAt, true
 }
 
-// pass has time pass: who can't be answered in time any more is turned away at once.
-func (d *Queue) pass(now time.Duration, acts []Action) []Action {
-	d.tell(now)
-	for d.dues.Len() > 0 && d.dues.First().due <= d.now {
-		e := d.dues.First()
-		if !e.late && e.class.LateValueFraction > 0 && e.expires > e.aim {
-			e.flow.pull(e)
-			e.late = true
-			e.worth *= e.class.LateValueFraction
+// advance has time pass: who can't be answered in time any more is turned away at once.
+func (q *Queue) advance(now time.Duration, acts []Action) []Action {
+	q.advanceClock(now)
+	for q.timeouts.Len() > 0 && q.timeouts.First().timeoutAt <= q.now {
+		e := q.timeouts.First()
+		if !e.pastObjective && e.class.LateValueFraction > 0 && e.deadline > e.objectiveAt {
+			e.flow.remove(e)
+			e.pastObjective = true
+			e.priorityWeight *= e.class.LateValueFraction
 			e.flow.push(e)
-			if e.due = e.lastStart(); e.due > d.now {
-				d.dues.Set(e, float64(e.due), uint64(e.index))
+			if e.timeoutAt = e.latestStart(); e.timeoutAt > q.now {
+				q.timeouts.Set(e, float64(e.timeoutAt), uint64(e.index))
 				continue
 			}
 		}
-		d.remove(e)
-		acts = d.refuse(e, QueueTimeout, acts)
+		q.removeQueued(e)
+		acts = q.reject(e, QueueTimeout, acts)
 	}
-	d.lapse()
+	q.expireReservations()
 	return acts
 }
 
-// held is the request of a ticket, if it is in that state.
-func (d *Queue) held(t Ticket, s state) *entry {
+// lookup is the request of a ticket, if it is in that state.
+func (q *Queue) lookup(t Ticket, s entryState) *entry {
 	i := int(uint32(t))
-	if i >= len(d.entries) {
+	if i >= len(q.entries) {
 		return nil
 	}
-	if e := d.entries[i]; e.gen == uint32(t>>32) && e.state == s {
+	if e := q.entries[i]; e.generation == uint32(t>>32) && e.state == s {
 		return e
 	}
 	return nil
@@ -474,6 +476,6 @@
 }
 
 // Stats shows what the door holds.
-func (d *Queue) Stats() Stats {
-	return Stats{Queued: d.waiting, InFlight: d.passed, Limit: d.limit.places(), QueuedBytes: d.bytes, Principals: d.known, Reservations: d.promises}
+func (q *Queue) Stats() Stats {
+	return Stats{Queued: q.queued, InFlight: q.inFlight, Limit: q.limiter.current(), QueuedBytes: q.queuedBytes, Principals: q.knownPrincipals, Reservations: q.reservations}
 }
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -13,8 +13,8 @@
 	"orchiddrift/balancer"
 )
 
-// must ends the test on an error.
-func must(t testing.TB, err error) {
+// mustSucceed ends the test on an error.
+func mustSucceed(t testing.TB, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -22,33 +22,33 @@
 }
 
 // fill has so many requests of a principal come; it returns those that neither went on nor were refused.
-func (r *rig) fill(t testing.TB, n int, a Arrival) (waiting []Ticket) {
+func (r *harness) fill(t testing.TB, n int, a Arrival) (waiting []Ticket) {
 	t.Helper()
 	for range n {
 		ticket, err := r.arrive(a)
-		must(t, err)
-		if r.state[ticket] == waits {
+		mustSucceed(t, err)
+		if r.state[ticket] == entryQueued {
 			waiting = append(waiting, ticket)
 		}
 	}
 	return waiting
 }
 
-func one(places, waiting int) Options {
+func fixedLimitOptions(places, waiting int) Options {
 	o := Default()
 	o.MinLimit, o.MaxLimit, o.MaxQueued = places, places, waiting
 	return o
 }
 
-// forever keeps a request from being given up for its time.
-func forever(a Arrival) Arrival {
+// withoutTimeLimit keeps a request from being given up for its time.
+func withoutTimeLimit(a Arrival) Arrival {
 	a.ArrivedAt, a.Deadline = 100*time.Hour, 200*time.Hour
 	return a
 }
 
 // A full queue gives up of who holds the most for its weight, of that the least worthy and newest; never of a quiet one.
 func TestWhoIsGivenUp(t *testing.T) {
-	o := one(1, 10)
+	o := fixedLimitOptions(1, 10)
 	o.Weights = []Weight{{"big", 8}, {"nobody", 0}}
 	for _, tt := range []struct {
 		name    string
@@ -73,19 +73,19 @@
 			if tt.bytes > 0 {
 				o.MaxQueuedBytes, o.MaxReservations = 1000, 0 // nothing keeps who gave way known
 			}
-			r := newRig(o)
+			r := newHarness(o)
 			r.fill(t, 1, Arrival{Group: "first"})
 			var held []Ticket
 			for _, a := range tt.held {
-				held = append(held, r.fill(t, 1, forever(a))...)
+				held = append(held, r.fill(t, 1, withoutTimeLimit(a))...)
 			}
 			if len(held) != len(tt.held) {
 				t.Fatalf("%d of %d wait", len(held), len(tt.held))
 			}
-			came, err := r.arrive(forever(tt.comes))
-			must(t, err)
+			came, err := r.arrive(withoutTimeLimit(tt.comes))
+			mustSucceed(t, err)
 			for i, ticket := range append(held, came) {
-				if gone := r.state[ticket] != waits; gone != (i == tt.gone || tt.gone < 0 && i == len(held)) {
+				if gone := r.state[ticket] != entryQueued; gone != (i == tt.gone || tt.gone < 0 && i == len(held)) {
 					t.Errorf("number %d: given up %v", i, gone)
 				}
 			}
@@ -96,15 +96,15 @@
 // What can't be answered in time leaves at once: at its arrival where its principal's own queue is too long, in the queue
 // when its time is up. Others of the same moment wait on.
 func TestTime(t *testing.T) {
-	r := newRig(one(2, 200))
+	r := newHarness(fixedLimitOptions(2, 200))
 	for range 50 { // a place is needed for 50 ms
 		ticket, err := r.arrive(Arrival{Group: "a", Deadline: r.now + time.Second})
-		must(t, err)
+		mustSucceed(t, err)
 		r.now += 50 * time.Millisecond
-		must(t, r.done(ticket, Completed))
+		mustSucceed(t, r.complete(ticket, Completed))
 	}
-	if c := r.d.classes["search"]; c.usual < 0.03 {
-		t.Fatalf("learned %v s of 50 ms", c.usual)
+	if c := r.queue.classes["search"]; c.meanCost < 0.03 {
+		t.Fatalf("learned %v s of 50 ms", c.meanCost)
 	}
 	r.fill(t, 2, Arrival{Group: "busy"})
 	held := r.fill(t, 40, Arrival{Group: "flood"})
@@ -115,15 +115,15 @@
 	if len(quiet) != 1 {
 		t.Fatal("a quiet one does not wait")
 	}
-	next, ok := r.d.Next()
+	next, ok := r.queue.Next()
 	if !ok || next > r.now+400*time.Millisecond {
 		t.Errorf("looks again at %v", next-r.now)
 	}
 	r.now += 100 * time.Millisecond
 	pay := r.fill(t, 1, Arrival{Group: "pay", Class: "pay", Deadline: r.now + 2*time.Second})
 	r.now += 880 * time.Millisecond
-	must(t, r.wake())
-	if r.state[quiet[0]] == waits || r.state[pay[0]] != waits {
+	mustSucceed(t, r.wake())
+	if r.state[quiet[0]] == entryQueued || r.state[pay[0]] != entryQueued {
 		t.Errorf("after 0.98 s: quiet %v, pay %v", r.state[quiet[0]], r.state[pay[0]])
 	}
 }
@@ -131,15 +131,15 @@
 // Who has waited beyond its aim is worth less than who has not, and goes behind it; where late answers are worth nothing
 // it leaves.
 func TestLateGoBehind(t *testing.T) {
-	r := newRig(one(1, 200))
+	r := newHarness(fixedLimitOptions(1, 200))
 	first, err := r.arrive(Arrival{Group: "x"})
-	must(t, err)
+	mustSucceed(t, err)
 	old := r.fill(t, 1, Arrival{Group: "a", Deadline: r.now + time.Second})
 	r.now += 450 * time.Millisecond
-	must(t, r.wake())
+	mustSucceed(t, r.wake())
 	fresh := r.fill(t, 1, Arrival{Group: "a"})
-	must(t, r.done(first, Completed))
-	if r.state[fresh[0]] != passes || r.state[old[0]] != waits {
+	mustSucceed(t, r.complete(first, Completed))
+	if r.state[fresh[0]] != entryAdmitted || r.state[old[0]] != entryQueued {
 		t.Errorf("fresh %v, late %v", r.state[fresh[0]], r.state[old[0]])
 	}
 }
@@ -155,9 +155,9 @@
 		"weight 0":     func(int) Arrival { return Arrival{Group: "nobody"} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			o := one(4, 100)
+			o := fixedLimitOptions(4, 100)
 			o.Weights = []Weight{{"nobody", 0}}
-			r := newRig(o)
+			r := newHarness(o)
 			for i := range 3000 {
 				a := flood(i)
 				a.Class = "pay"
@@ -170,10 +170,10 @@
 			}
 			for range 2 {
 				r.now += 20 * time.Millisecond
-				must(t, r.done(r.order[0], Completed))
-				r.order = r.order[1:]
+				mustSucceed(t, r.complete(r.admitted[0], Completed))
+				r.admitted = r.admitted[1:]
 			}
-			if r.state[quiet[0]] != passes {
+			if r.state[quiet[0]] != entryAdmitted {
 				t.Error("it still waits")
 			}
 		})
@@ -183,23 +183,23 @@
 // A flood of names neither ousts nor keeps anybody: who was known stays known, with what it owes and was promised, and who
 // is beyond the bound shares.
 func TestNamesAreBounded(t *testing.T) {
-	o := one(1, 20)
+	o := fixedLimitOptions(1, 20)
 	o.MaxPrincipals = 64
-	r := newRig(o)
-	r.fill(t, 1, forever(Arrival{Group: "x"}))
-	known := r.fill(t, 1, forever(Arrival{Group: "known"}))
+	r := newHarness(o)
+	r.fill(t, 1, withoutTimeLimit(Arrival{Group: "x"}))
+	known := r.fill(t, 1, withoutTimeLimit(Arrival{Group: "known"}))
 	for i := range 5000 {
-		r.fill(t, 1, forever(Arrival{Group: fmt.Sprint("name", i), Flow: fmt.Sprint(i)}))
+		r.fill(t, 1, withoutTimeLimit(Arrival{Group: fmt.Sprint("name", i), Flow: fmt.Sprint(i)}))
 	}
-	if g := r.d.groups["known"]; g == nil || g.waiting != 1 {
+	if g := r.queue.groups["known"]; g == nil || g.queued != 1 {
 		t.Error("the known one was ousted")
 	}
 	for _, ticket := range known {
-		if r.state[ticket] != waits {
+		if r.state[ticket] != entryQueued {
 			t.Error("one of the known one's requests has gone")
 		}
 	}
-	if v := r.d.Stats(); v.Principals > 64 {
+	if v := r.queue.Stats(); v.Principals > 64 {
 		t.Errorf("%d are known", v.Principals)
 	}
 }
@@ -207,7 +207,7 @@
 // What the package's comment states.
 const (
 	principalBytes = 700
-	otherBytes     = 1 << 20
+	fixedBytes     = 1 << 20
 )
 
 // Ten thousand principals with one request each, and one with thousands, in the memory that the package's comment states.
@@ -226,7 +226,7 @@
 		flows bool
 	}{{10_000, false}, {40_000, false}, {40_000, true}} { // within what may be known, and beyond it
 		n := tt.n
-		o := one(8, 1024)
+		o := fixedLimitOptions(8, 1024)
 		o.MaxRetryAfter = 4 * time.Minute
 		before := heap()
 		d := New(o, testClasses, 1)
@@ -244,7 +244,7 @@
 		v := d.Stats()
 		used := heap() - before
 		t.Logf("%d KB for %+v", used>>10, v)
-		if limit := int64(v.Principals)*principalBytes + otherBytes; used > limit {
+		if limit := int64(v.Principals)*principalBytes + fixedBytes; used > limit {
 			t.Errorf("%d bytes for %d principals, of %d", used, v.Principals, limit)
 		}
 		if v.Principals < min(n, o.MaxPrincipals)-1 {
@@ -259,9 +259,9 @@
 func TestPromises(t *testing.T) {
 	const places, clients = 4, 400
 	rng := rand.New(rand.NewPCG(3, 3))
-	o := one(places, 20)
+	o := fixedLimitOptions(places, 20)
 	o.MaxRetryAfter = 20 * time.Second
-	r := newRig(o)
+	r := newHarness(o)
 	type back struct {
 		at    time.Duration
 		group string
@@ -276,21 +276,21 @@
 		if err := r.wake(); err != nil {
 			t.Fatal(err)
 		}
-		standing := r.d.Stats().Reservations // those that have lapsed are gone
+		standing := r.queue.Stats().Reservations // those that have lapsed are gone
 		ticket, err := r.arrive(Arrival{Group: group, Deadline: r.now + time.Second})
-		must(t, err)
+		mustSucceed(t, err)
 		groups[ticket] = group
 		if !isBack {
 			return
 		}
 		if early {
 			earlyAsked++
-			if r.d.Stats().Reservations < standing {
+			if r.queue.Stats().Reservations < standing {
 				earlyKept++
 			}
 		} else {
 			told++
-			if _, refused := r.told[ticket]; !refused {
+			if _, refused := r.retryAfter[ticket]; !refused {
 				kept++
 			}
 		}
@@ -299,18 +299,18 @@
 		arrive(fmt.Sprint(i), false, false)
 	}
 	for _, ticket := range slices.Sorted(func(yield func(Ticket) bool) {
-		for ticket := range r.told {
+		for ticket := range r.retryAfter {
 			if !yield(ticket) {
 				return
 			}
 		}
 	}) {
 		early := rng.IntN(4) == 0
-		at := r.now + r.told[ticket]
+		at := r.now + r.retryAfter[ticket]
 		if early {
-			at = r.now + r.told[ticket]/2 // 20 ms are let pass, so that this is before its time
-			if r.told[ticket] < 50*time.Millisecond {
-				early, at = false, r.now+r.told[ticket]
+			at = r.now + r.retryAfter[ticket]/2 // 20 ms are let pass, so that this is before its time
+			if r.retryAfter[ticket] < 50*time.Millisecond {
+				early, at = false, r.now+r.retryAfter[ticket]
 			}
 		}
 		backs = append(backs, back{at, groups[ticket], early})
@@ -328,15 +328,15 @@
 		}
 	}
 	flood := 0
-	for len(backs) > 0 || r.d.Stats().InFlight > 0 {
+	for len(backs) > 0 || r.queue.Stats().InFlight > 0 {
 		r.now += time.Millisecond
-		for ; seen < len(r.order); seen++ {
-			ends[r.order[seen]] = r.now + 20*time.Millisecond
+		for ; seen < len(r.admitted); seen++ {
+			ends[r.admitted[seen]] = r.now + 20*time.Millisecond
 		}
 		for ticket, at := range ends {
 			if at <= r.now {
 				delete(ends, ticket)
-				must(t, r.done(ticket, Completed))
+				mustSucceed(t, r.complete(ticket, Completed))
 			}
 		}
 		if flood++; flood < 15_000 {
@@ -346,7 +346,7 @@
 			arrive(backs[0].group, true, backs[0].early)
 			backs = backs[1:]
 		}
-		must(t, r.wake())
+		mustSucceed(t, r.wake())
 	}
 	if part := float64(kept) / float64(told); part < 0.95 {
 		t.Errorf("of %d who came when told %d were kept", told, kept)
@@ -358,30 +358,30 @@
 
 // Repeats have their part of first requests, of each principal and of all, and none where nobody waits.
 func TestRepeatBudget(t *testing.T) {
-	r := newRig(one(1, 1000))
+	r := newHarness(fixedLimitOptions(1, 1000))
 	for range 50 {
 		ticket, err := r.arrive(Arrival{Group: "a", Retry: true})
-		must(t, err)
-		if r.state[ticket] != passes {
+		mustSucceed(t, err)
+		if r.state[ticket] != entryAdmitted {
 			t.Fatal("a repeat is held up on a quiet day")
 		}
 		r.now += time.Millisecond
-		must(t, r.done(ticket, Completed))
+		mustSucceed(t, r.complete(ticket, Completed))
 	}
-	r.fill(t, 1, forever(Arrival{Group: "x"}))
-	repeats := func(name string) int { return len(r.fill(t, 100, forever(Arrival{Group: name, Retry: true}))) }
+	r.fill(t, 1, withoutTimeLimit(Arrival{Group: "x"}))
+	repeats := func(name string) int { return len(r.fill(t, 100, withoutTimeLimit(Arrival{Group: name, Retry: true}))) }
 	if n := repeats("a"); n != 1 {
 		t.Errorf("%d repeats wait beside no first request", n)
 	}
-	r.fill(t, 100, forever(Arrival{Group: "a"}))
-	if n := repeats("a"); n != budgetOne {
+	r.fill(t, 100, withoutTimeLimit(Arrival{Group: "a"}))
+	if n := repeats("a"); n != groupRetryBurst {
 		t.Errorf("%d repeats wait beside 100 first requests", n)
 	}
-	r.fill(t, 50, forever(Arrival{Group: "b"}))
+	r.fill(t, 50, withoutTimeLimit(Arrival{Group: "b"}))
 	for i := range 100 { // names that repeat without having asked don't use up what others have earned
 		repeats(fmt.Sprint("name", i))
 	}
-	if n := repeats("b"); n != budgetOne {
+	if n := repeats("b"); n != groupRetryBurst {
 		t.Errorf("%d of another's repeats wait beside its 50 first requests", n)
 	}
 }
@@ -407,9 +407,9 @@
 		{"header:X-Shop tenant", Client{Tenant: "t", Header: header}, "*", "t"},
 	} {
 		by, err := ParsePrincipalSources(strings.Fields(tt.by))
-		must(t, err)
+		mustSucceed(t, err)
 		group, flow := by.Names(tt.who)
-		if tt.group == "*" && len(group) == longestName {
+		if tt.group == "*" && len(group) == maxNameLength {
 			tt.group = group
 		}
 		if group != tt.group || flow != tt.flow {
@@ -425,13 +425,13 @@
 
 // An aim that stretches with the hint holds a request longer, and a weight counts for a name that is known by its hash.
 func TestStretchAndLongNames(t *testing.T) {
-	long := strings.Repeat("n", longestName+1)
-	o := one(1, 100)
+	long := strings.Repeat("n", maxNameLength+1)
+	o := fixedLimitOptions(1, 100)
 	o.Weights = []Weight{{long, 0}}
 	d := New(o, []balancer.Class{{Name: "search", LatencyObjective: 100 * time.Millisecond, ObjectiveStretch: 2, Deadline: 5 * time.Second}}, 1)
 	now := time.Hour
 	by, err := ParsePrincipalSources([]string{"tenant"})
-	must(t, err)
+	mustSucceed(t, err)
 	group, _ := by.Names(Client{Tenant: long})
 	for _, hint := range []time.Duration{0, time.Second} {
 		d.Arrive(now, Arrival{Group: group, Class: "search", CostHint: hint, ArrivedAt: now, Deadline: now + 5*time.Second}, nil)
@@ -448,7 +448,7 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range []int{1, 100, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			o := one(64, 16_000)
+			o := fixedLimitOptions(64, 16_000)
 			d := New(o, testClasses, 1)
 			names := make([]string, n)
 			for i := range names {
@@ -458,7 +458,7 @@
 			var acts []Action
 			var running []Ticket
 			for i := range max(n, 128) { // all of them wait
-				_, acts = d.Arrive(now, forever(Arrival{Group: names[i%n], Class: "search"}), acts[:0])
+				_, acts = d.Arrive(now, withoutTimeLimit(Arrival{Group: names[i%n], Class: "search"}), acts[:0])
 				for _, x := range acts {
 					running = append(running, x.Ticket)
 				}
@@ -471,7 +471,7 @@
 				for _, x := range acts {
 					running[i%len(running)] = x.Ticket
 				}
-				_, acts = d.Arrive(now, forever(Arrival{Group: names[i%n], Class: "search"}), acts[:0])
+				_, acts = d.Arrive(now, withoutTimeLimit(Arrival{Group: names[i%n], Class: "search"}), acts[:0])
 				i++
 			}
 		})
--- a/internal/admission/registry.go
+++ b/internal/admission/registry.go
@@ -9,85 +9,85 @@
 // group is a principal of the first source.
 type group struct {
 	member
-	name    string
-	level   level // of its flows
-	flows   map[string]*flow
-	shared  flow // of requests without a second source, and of flows beyond the bound
-	honesty float64
-	budget  budget
-	crowd   bool // one of the 16 that stand for those beyond the bound
-	gone    bool // forgotten
+	name         string
+	flowLevel    level // of its flows
+	flows        map[string]*flow
+	sharedFlow   flow // of requests without a second source, and of flows beyond the bound
+	hintAccuracy float64
+	retryBudget  retryBudget
+	overflow     bool // one of the 16 that stand for those beyond the bound
+	forgotten    bool // forgotten
 }
 
 // flow is a principal of the second source, within its group.
 type flow struct {
 	member
-	name     string
-	runs     []run // what waits, the worthiest first
-	promises []promise
-	promised float64 // their cost
-	lapse    time.Duration
-	lapsing  int
+	name         string
+	lists        []entryList // what waits, the worthiest first
+	reservations []reservation
+	reservedCost float64 // their cost
+	nextExpiry   time.Duration
+	expiryIndex  int
 }
 
 const (
-	crowds    = 16 // shared groups for principals beyond the bound
-	flowPart  = 16 // one group may have this fraction of the known principals as flows
-	crowdName = "\x00"
+	overflowGroups   = 16 // shared groups for principals beyond the bound
+	groupFlowDivisor = 16 // one group may have this fraction of the known principals as flows
+	overflowPrefix   = "\x00"
 )
 
-// find is a request's flow, made where it is not known.
-func (d *Queue) find(groupName, flowName string) *flow {
-	g := d.groups[groupName]
+// flowFor is a request's flow, made where it is not known.
+func (q *Queue) flowFor(groupName, flowName string) *flow {
+	g := q.groups[groupName]
 	if g == nil {
 		crowd := false
-		if d.known >= d.o.MaxPrincipals {
-			h := xxhash.NewWithSeed(d.seed)
+		if q.knownPrincipals >= q.options.MaxPrincipals {
+			h := xxhash.NewWithSeed(q.seed)
 			_, _ = h.WriteString(groupName) // never fails
-			groupName, crowd = crowdName+string(rune('a'+h.Sum64()%crowds)), true
-			g = d.groups[groupName]
+			groupName, crowd = overflowPrefix+string(rune('a'+h.Sum64()%overflowGroups)), true
+			g = q.groups[groupName]
 		}
 		if g == nil {
-			g = d.newGroup(groupName, crowd)
+			g = q.newGroup(groupName, crowd)
 		}
 	}
-	if flowName == "" || g.crowd {
-		return &g.shared
+	if flowName == "" || g.overflow {
+		return &g.sharedFlow
 	}
 	f := g.flows[flowName]
 	if f == nil {
-		if d.known >= d.o.MaxPrincipals || len(g.flows) >= max(1, d.o.MaxPrincipals/flowPart) {
-			return &g.shared
+		if q.knownPrincipals >= q.options.MaxPrincipals || len(g.flows) >= max(1, q.options.MaxPrincipals/groupFlowDivisor) {
+			return &g.sharedFlow
 		}
-		f = d.newFlow(g, flowName)
+		f = q.newFlow(g, flowName)
 	}
 	return f
 }
 
-func (d *Queue) newGroup(name string, crowd bool) *group {
+func (q *Queue) newGroup(name string, crowd bool) *group {
 	var g *group
-	if n := len(d.spareGroups); n > 0 {
-		g = d.spareGroups[n-1]
-		d.spareGroups = d.spareGroups[:n-1]
+	if n := len(q.spareGroups); n > 0 {
+		g = q.spareGroups[n-1]
+		q.spareGroups = q.spareGroups[:n-1]
 	} else {
-		g = &group{level: newLevel()}
+		g = &group{flowLevel: newLevel()}
 	}
-	g.name, g.crowd, g.gone, g.honesty, g.budget = name, crowd, false, 1, budget{tokens: 1, most: budgetOne}
-	g.member = member{ready: -1, rest: -1, most: -1, group: g}
-	g.weight = d.weightOf(g)
-	g.shared.reset(g, "")
-	d.groups[name] = g
+	g.name, g.overflow, g.forgotten, g.hintAccuracy, g.retryBudget = name, crowd, false, 1, retryBudget{tokens: 1, capacity: groupRetryBurst}
+	g.member = member{readyIndex: -1, indebtedIndex: -1, loadIndex: -1, group: g}
+	g.weight = q.groupWeight(g)
+	g.sharedFlow.reset(g, "")
+	q.groups[name] = g
 	if !crowd {
-		d.known++
+		q.knownPrincipals++
 	}
 	return g
 }
 
-func (d *Queue) newFlow(g *group, name string) *flow {
+func (q *Queue) newFlow(g *group, name string) *flow {
 	var f *flow
-	if n := len(d.spareFlows); n > 0 {
-		f = d.spareFlows[n-1]
-		d.spareFlows = d.spareFlows[:n-1]
+	if n := len(q.spareFlows); n > 0 {
+		f = q.spareFlows[n-1]
+		q.spareFlows = q.spareFlows[:n-1]
 	} else {
 		f = &flow{}
 	}
@@ -96,66 +96,66 @@
 		g.flows = map[string]*flow{}
 	}
 	g.flows[name] = f
-	d.known++
+	q.knownPrincipals++
 	return f
 }
 
 func (f *flow) reset(g *group, name string) {
-	*f = flow{name: name, runs: f.runs[:0], promises: f.promises[:0], lapsing: -1,
-		member: member{weight: 1, ready: -1, rest: -1, most: -1, group: g, flow: f}}
+	*f = flow{name: name, lists: f.lists[:0], reservations: f.reservations[:0], expiryIndex: -1,
+		member: member{weight: 1, readyIndex: -1, indebtedIndex: -1, loadIndex: -1, group: g, flow: f}}
 }
 
-const spares = 64 // groups and flows kept for the next ones
+const maxSpares = 64 // groups and flows kept for the next ones
 
-// forget lets a flow go that nothing needs any more, and then its group.
-func (d *Queue) forget(f *flow) {
+// forgetFlow lets a flow go that nothing needs any more, and then its group.
+func (q *Queue) forgetFlow(f *flow) {
 	g := f.group
-	if f.active() || f.coming || len(f.promises) > 0 {
+	if f.active() || f.arriving || len(f.reservations) > 0 {
 		return
 	}
-	if s := g.level.of(&f.member); s.owes(&f.member) { // it rests until that is paid
+	if s := g.flowLevel.schedulerOf(&f.member); s.isAhead(&f.member) { // it rests until that is paid
 		return
-	} else if f != &g.shared && g.flows[f.name] == f {
-		s.resting.Remove(&f.member)
+	} else if f != &g.sharedFlow && g.flows[f.name] == f {
+		s.indebted.Remove(&f.member)
 		delete(g.flows, f.name)
-		d.known--
-		if len(d.spareFlows) < spares {
-			d.spareFlows = append(d.spareFlows, f)
+		q.knownPrincipals--
+		if len(q.spareFlows) < maxSpares {
+			q.spareFlows = append(q.spareFlows, f)
 		}
 	}
-	d.forgetGroup(g)
+	q.forgetGroup(g)
 }
 
 // forgetGroup lets a group go of which nothing is left.
-func (d *Queue) forgetGroup(g *group) {
-	if g.active() || g.coming || g.gone {
+func (q *Queue) forgetGroup(g *group) {
+	if g.active() || g.arriving || g.forgotten {
 		return
 	}
-	d.paidWithin(g)
-	if s := d.root.of(&g.member); len(g.flows) > 0 || len(g.shared.promises) > 0 || s.owes(&g.member) {
+	q.forgetIndebtedFlows(g)
+	if s := q.groupLevel.schedulerOf(&g.member); len(g.flows) > 0 || len(g.sharedFlow.reservations) > 0 || s.isAhead(&g.member) {
 		return
 	}
-	d.root.of(&g.member).resting.Remove(&g.member)
-	delete(d.groups, g.name)
-	g.gone = true
-	if !g.crowd {
-		d.known--
+	q.groupLevel.schedulerOf(&g.member).indebted.Remove(&g.member)
+	delete(q.groups, g.name)
+	g.forgotten = true
+	if !g.overflow {
+		q.knownPrincipals--
 	}
-	if len(d.spareGroups) < spares {
-		g.level.reset()
-		d.spareGroups = append(d.spareGroups, g)
+	if len(q.spareGroups) < maxSpares {
+		g.flowLevel.reset()
+		q.spareGroups = append(q.spareGroups, g)
 	}
 }
 
-// paidWithin forgets the flows of a group that has nothing waiting or in hand: none of them owes the others anything.
-func (d *Queue) paidWithin(g *group) {
-	for _, s := range g.level.halves() {
-		for s != nil && s.resting.Len() > 0 {
-			f := s.resting.First().flow
-			s.resting.Remove(&f.member)
-			if len(f.promises) == 0 && f != &g.shared {
+// forgetIndebtedFlows forgets the flows of a group that has nothing waiting or in hand: none of them owes the others anything.
+func (q *Queue) forgetIndebtedFlows(g *group) {
+	for _, s := range g.flowLevel.schedulers() {
+		for s != nil && s.indebted.Len() > 0 {
+			f := s.indebted.First().flow
+			s.indebted.Remove(&f.member)
+			if len(f.reservations) == 0 && f != &g.sharedFlow {
 				delete(g.flows, f.name)
-				d.known--
+				q.knownPrincipals--
 			}
 		}
 	}
--- a/internal/admission/reservation.go
+++ b/internal/admission/reservation.go
@@ -6,53 +6,53 @@
 )
 
 const (
-	calendarStep   = 10 * time.Millisecond
-	calendarSteps  = 1024 // at most; long waits have longer steps
-	promisedPart   = 0.5  // of what drains may be promised
-	flowPromises   = 256  // of one flow that are remembered at once
-	promisedWithin = 0.75 // of the longest time to stay away; what lies beyond is no promise
-	early          = 10 * time.Millisecond
-	graceLeast     = 250 * time.Millisecond
-	graceMost      = 2 * time.Second
-	gracePart      = 0.25 // of the wait
+	calendarStep        = 10 * time.Millisecond
+	maxCalendarSteps    = 1024 // at most; long waits have longer steps
+	reservableFraction  = 0.5  // of what drains may be promised
+	maxFlowReservations = 256  // of one flow that are remembered at once
+	reservationHorizon  = 0.75 // of the longest time to stay away; what lies beyond is no promise
+	earlyTolerance      = 10 * time.Millisecond
+	minGrace            = 250 * time.Millisecond
+	maxGrace            = 2 * time.Second
+	graceFraction       = 0.25 // of the wait
 )
 
-// promise is a time at which one request of a flow may come.
-type promise struct {
-	at, until time.Duration
-	cost      float64
-	print     uint64 // of the request that was refused
+// reservation is a time at which one request of a flow may come.
+type reservation struct {
+	at, until   time.Duration
+	cost        float64
+	fingerprint uint64 // of the request that was refused
 }
 
 // calendar counts what was promised by steps of time, from now to its end.
 type calendar struct {
-	step   time.Duration
-	counts []uint32
-	from   int64 // the step that now lies in
-	rng    *rand.Rand
+	step      time.Duration
+	counts    []uint32
+	firstStep int64 // the step that now lies in
+	rng       *rand.Rand
 }
 
 func newCalendar(longest time.Duration, rng *rand.Rand) calendar {
-	step := max(calendarStep, (longest+calendarSteps-1)/calendarSteps)
+	step := max(calendarStep, (longest+maxCalendarSteps-1)/maxCalendarSteps)
 	return calendar{step: step, counts: make([]uint32, int(longest/step)+2), rng: rng}
 }
 
 // advance forgets the steps that have passed.
 func (c *calendar) advance(now time.Duration) {
 	to := int64(now / c.step)
-	if to-c.from >= int64(len(c.counts)) {
+	if to-c.firstStep >= int64(len(c.counts)) {
 		clear(c.counts)
-		c.from = to
+		c.firstStep = to
 	}
-	for ; c.from < to; c.from++ {
-		c.counts[c.from%int64(len(c.counts))] = 0
+	for ; c.firstStep < to; c.firstStep++ {
+		c.counts[c.firstStep%int64(len(c.counts))] = 0
 	}
 }
 
-// take finds the first time from at on at which no more than most a step would be promised, and a moment in it; false:
+// reserve finds the first time from at on at which no more than most a step would be promised, and a moment in it; false:
 // there is none that ends by last. Where most is under one, a promise takes several steps for itself. It looks through
 // all steps at most, 1,026.
-func (c *calendar) take(now, at, last time.Duration, most float64) (time.Duration, bool) {
+func (c *calendar) reserve(now, at, last time.Duration, most float64) (time.Duration, bool) {
 	c.advance(now)
 	need := 1 // steps in a row
 	if most < 1 {
@@ -60,7 +60,7 @@
 	}
 	room := uint32(max(0, most-1))
 	size, run := int64(len(c.counts)), 0
-	for s := max(c.from, int64(at/c.step)); s < c.from+size && time.Duration(s+1)*c.step <= last; s++ {
+	for s := max(c.firstStep, int64(at/c.step)); s < c.firstStep+size && time.Duration(s+1)*c.step <= last; s++ {
 		if n := c.counts[s%size]; need > 1 && n > 0 || n > room {
 			run = 0
 			continue
@@ -77,93 +77,93 @@
 	return 0, false
 }
 
-// keep remembers a promise of a flow, the earliest first.
-func (f *flow) keep(p promise) {
-	i := len(f.promises)
-	for i > 0 && f.promises[i-1].at > p.at {
+// addReservation remembers a promise of a flow, the earliest first.
+func (f *flow) addReservation(p reservation) {
+	i := len(f.reservations)
+	for i > 0 && f.reservations[i-1].at > p.at {
 		i--
 	}
-	f.promises = append(f.promises, promise{})
-	copy(f.promises[i+1:], f.promises[i:])
-	f.promises[i] = p
-	f.promised += p.cost
+	f.reservations = append(f.reservations, reservation{})
+	copy(f.reservations[i+1:], f.reservations[i:])
+	f.reservations[i] = p
+	f.reservedCost += p.cost
 }
 
-// drop forgets the i-th.
-func (f *flow) drop(i int) {
-	f.promised -= f.promises[i].cost
-	f.promises = append(f.promises[:i], f.promises[i+1:]...)
-	if len(f.promises) == 0 {
-		f.promised = 0
+// dropReservation forgets the i-th.
+func (f *flow) dropReservation(i int) {
+	f.reservedCost -= f.reservations[i].cost
+	f.reservations = append(f.reservations[:i], f.reservations[i+1:]...)
+	if len(f.reservations) == 0 {
+		f.reservedCost = 0
 	}
-	if cap(f.promises) > 8 && cap(f.promises) > 4*len(f.promises) { // what all flows keep follows what is promised
-		f.promises = append(make([]promise, 0, 2*len(f.promises)), f.promises...)
+	if cap(f.reservations) > 8 && cap(f.reservations) > 4*len(f.reservations) { // what all flows keep follows what is promised
+		f.reservations = append(make([]reservation, 0, 2*len(f.reservations)), f.reservations...)
 	}
 }
 
-// redeem uses up the earliest promise that holds now and was given to such a request. Others of the principal don't use it
+// redeemReservation uses up the earliest promise that holds now and was given to such a request. Others of the principal don't use it
 // up, and a request for something else gains nothing by coming in its place.
-func (d *Queue) redeem(f *flow, print uint64) bool {
-	for i := range f.promises {
-		p := f.promises[i]
-		if d.now < p.at-early {
+func (q *Queue) redeemReservation(f *flow, print uint64) bool {
+	for i := range f.reservations {
+		p := f.reservations[i]
+		if q.now < p.at-earlyTolerance {
 			break
 		}
-		if d.now <= p.until && p.print == print {
-			f.drop(i)
-			d.promises--
-			d.fixLapse(f)
+		if q.now <= p.until && p.fingerprint == print {
+			f.dropReservation(i)
+			q.reservations--
+			q.updateExpiry(f)
 			return true
 		}
 	}
 	return false
 }
 
-// promise finds when a flow's next refused request is to come back, and tells whether that is remembered. What is stays
-// within promisedWithin of the longest time, what is not is spread over the rest of it.
-func (d *Queue) promise(e *entry) (in time.Duration, kept bool) {
-	f, cost := e.flow, max(costLeast, e.class.usual)
-	longest := d.o.longest()
-	within := time.Duration(promisedWithin * float64(longest))
-	if rate := d.rateOf(f); rate > 0 && len(f.promises) < flowPromises && d.promises < d.o.MaxReservations {
+// reserve finds when a flow's next refused request is to come back, and tells whether that is remembered. What is stays
+// within reservationHorizon of the longest time, what is not is spread over the rest of it.
+func (q *Queue) reserve(e *entry) (in time.Duration, kept bool) {
+	f, cost := e.flow, max(minCost, e.class.meanCost)
+	longest := q.options.maxRetryAfter()
+	within := time.Duration(reservationHorizon * float64(longest))
+	if rate := q.serviceRate(f); rate > 0 && len(f.reservations) < maxFlowReservations && q.reservations < q.options.MaxReservations {
 		// Half of what the flow gets goes to those who were promised it, and so does half of what all get.
-		wait := max(early, time.Duration(min((d.ahead(f)+(f.promised+cost)/promisedPart)/rate, longest.Seconds())*float64(time.Second)))
-		most := d.limit.limit / d.crowdedCost() * promisedPart * d.calendar.step.Seconds()
-		if at, ok := d.calendar.take(d.now, d.now+wait, d.now+within, most); ok {
-			in = at - d.now
-			grace := min(graceMost, max(graceLeast, time.Duration(gracePart*float64(in))))
-			f.keep(promise{at: at, until: at + grace, cost: cost, print: e.print})
-			d.promises++
-			d.fixLapse(f)
+		wait := max(earlyTolerance, time.Duration(min((q.costAhead(f)+(f.reservedCost+cost)/reservableFraction)/rate, longest.Seconds())*float64(time.Second)))
+		most := q.limiter.limit / q.costUnderLoad() * reservableFraction * q.calendar.step.Seconds()
+		if at, ok := q.calendar.reserve(q.now, q.now+wait, q.now+within, most); ok {
+			in = at - q.now
+			grace := min(maxGrace, max(minGrace, time.Duration(graceFraction*float64(in))))
+			f.addReservation(reservation{at: at, until: at + grace, cost: cost, fingerprint: e.fingerprint})
+			q.reservations++
+			q.updateExpiry(f)
 			return in, true
 		}
 	}
-	return within + time.Duration(d.rng.Int64N(int64(longest-within)+1)), false
+	return within + time.Duration(q.rng.Int64N(int64(longest-within)+1)), false
 }
 
-// fixLapse keeps a flow in the order in which its next promise lapses.
-func (d *Queue) fixLapse(f *flow) {
-	if len(f.promises) == 0 {
-		d.lapses.Remove(f)
+// updateExpiry keeps a flow in the order in which its next promise lapses.
+func (q *Queue) updateExpiry(f *flow) {
+	if len(f.reservations) == 0 {
+		q.reservationExpiries.Remove(f)
 		return
 	}
-	f.lapse = f.promises[0].until // a later one may lapse a little sooner: it is forgotten with this one
-	d.lapses.Set(f, float64(f.lapse), 0)
+	f.nextExpiry = f.reservations[0].until // a later one may lapse a little sooner: it is forgotten with this one
+	q.reservationExpiries.Set(f, float64(f.nextExpiry), 0)
 }
 
-// lapse forgets what was promised and not come for.
-func (d *Queue) lapse() {
-	for d.lapses.Len() > 0 && d.lapses.First().lapse < d.now {
-		f := d.lapses.First()
-		for i := 0; i < len(f.promises); {
-			if f.promises[i].until < d.now {
-				f.drop(i)
-				d.promises--
+// expireReservations forgets what was promised and not come for.
+func (q *Queue) expireReservations() {
+	for q.reservationExpiries.Len() > 0 && q.reservationExpiries.First().nextExpiry < q.now {
+		f := q.reservationExpiries.First()
+		for i := 0; i < len(f.reservations); {
+			if f.reservations[i].until < q.now {
+				f.dropReservation(i)
+				q.reservations--
 			} else {
 				i++
 			}
 		}
-		d.fixLapse(f)
-		d.forget(f)
+		q.updateExpiry(f)
+		q.forgetFlow(f)
 	}
 }
