--- a/internal/admission/concurrency_limit.go
+++ b/internal/admission/concurrency_limit.go
@@ -5,160 +5,189 @@
 	"time"
 )
 
-// limiter finds how many requests may be in hand beyond the door: enough to keep the upstreams busy, and few enough that
-// those who must wait do so here, where their order is fair.
+// limiter finds the concurrency limit: enough requests in flight to keep the upstreams busy, and few enough that requests
+// wait in the queue, where their order is fair, rather than at the upstreams.
 //
-// It works in rounds, as TCP Vegas does (L. Brakmo, L. Peterson, 1995). R is the mean time of a round over the base, what
-// requests take while nothing is crowded. While the limit binds it grows where R is low and shrinks where R is high.
+// It works in rounds, as TCP Vegas does (L. Brakmo, L. Peterson, "TCP Vegas: End to End Congestion Avoidance on a Global
+// Internet", 1995). The ratio of a round is the mean time in flight over the base time, that of requests which do not
+// wait for each other. While the limit is saturated it grows in rounds of a low ratio and shrinks in rounds of a high one.
 //
-// What Vegas can't tell apart, upstreams that have become slower and upstreams that are crowded, is told by the answer to the
-// shrinking itself. By Little's law the time falls in step with the limit where requests wait for each other, and does not
-// where they do not: in that case what is usual now is the new base, and the limit comes back. The same test finds the base
-// where none is known, at a start under load, and tries it again from time to time, since a base learned under load would
-// hold the limit too high for good.
+// Vegas can't tell slower upstreams from overloaded ones; the effect of a smaller limit can. By Little's law the time in
+// flight falls in proportion to the limit where requests wait for each other, and does not where they don't: then the
+// present mean becomes the base time, and the limit returns to what it was. The same test, by halving the limit, finds
+// the base time at a start under load, and repeats it at intervals, since a base time learned under load would keep the
+// limit too high for good.
 //
-// docs/design/door.md has this beside AIMD, gradients, the rate-delay product and Vegas, on the same loads.
+// docs/design/door.md compares it with AIMD, gradients, the rate-delay product and Vegas.
 type limiter struct {
-	limit                  float64
-	min, max               float64
-	baseTime, longTermTime float64 // s; long is the mean of all requests over minutes. 0: not known
+	limit        float64
+	min, max     float64
+	baseTime     float64 // s; 0: unknown
+	longTermTime float64 // mean of all requests over minutes, s; 0: unknown
 
-	roundStart time.Duration // the round
+	// The present round.
+	roundStart time.Duration
 	samples    int
-	timeSum    float64 // s, of the round's requests as if all were of the mean class
-	rejected   int     // of them that the balancer turned down
-	saturated  bool    // the limit held somebody up in this round
-	halfUsed   bool    // more than half of it was in use
-
-	mode            limiterMode
-	decreases       int           // rounds of this shrinking
-	limitBefore     float64       // the limit before it
-	meanBefore      float64       // and the mean time then, s
-	lastBaseProbe   time.Duration // when the base was tried last
-	slowdownFoundAt time.Duration // when upstreams were found to be slower
+	rejected   int     // of the samples, by the balancer
+	timeSum    float64 // of the other samples, as if all were of the mean class, s
+	saturated  bool    // a request had to wait for the limit
+	halfUsed   bool    // more than half of the limit was in flight
+
+	phase           limiterPhase
+	decreases       int           // rounds in a row in which the limit was decreased
+	limitBefore     float64       // the limit before the decreases, or before the base probe
+	meanBefore      float64       // the mean time in flight then, s
+	lastBaseProbe   time.Duration // when the base time was last tested; 0: no request has ended yet
+	slowdownFoundAt time.Duration // when upstreams were last found to be slower
 }
 
-type limiterMode int8
+type limiterPhase int8
 
 const (
-	steady         limiterMode = iota
-	probeSettling              // the limit has just been halved to try the base: this round's requests began before
-	probeMeasuring             // and this one's tell
+	steady         limiterPhase = iota
+	probeSettling               // the limit has been halved to find the base time: the round's requests began before that
+	probeMeasuring              // the round's requests began after that
 )
 
 const (
-	initialLimit           = 64
-	minRoundDuration       = 50 * time.Millisecond
-	minRoundSamples        = 32 // of a round at least, and half as many again as the limit: most have begun within it
-	maxRoundSamples        = 512
-	fasterRatio            = 0.8  // below, the base is too high
-	growRatio              = 1.7  // grow below
-	shrinkRatio            = 2.6  // shrink above
-	growFactor             = 1.15 // factors of a round
-	shrinkFactor           = 0.85
-	maxRejectedFraction    = 0.05 // shrink where more than this part was turned down beyond the door
-	minElasticity          = 0.4  // where the time follows the limit by less than this power, upstreams are slower and not crowded
-	decreasesBeforeJudging = 5    // rounds before that is judged; the times of the first still tell of the limit before
-	baseProbeInterval      = 30 * time.Second
-	firstBaseProbeDelay    = 500 * time.Millisecond // with requests in hand: until then their times tell of an empty fleet
-	slowdownGrace          = 3 * time.Second        // what the balancer turns down is not the limit's fault for so long after that
-	baseSmoothing          = 0.2                    // weight of a calm round in the base
-	longTermSmoothing      = 0.002                  // weight of a request in the long means
+	initialLimit     = 64 // requests
+	minRoundDuration = 50 * time.Millisecond
+	minRoundSamples  = 32 // requests; also one and a half times the limit, so that most have begun within the round
+	maxRoundSamples  = 512
+
+	// Ratios of the mean time in flight to the base time.
+	fasterRatio = 0.8 // below: the base time is too high
+	growRatio   = 1.7 // below: the limit grows
+	shrinkRatio = 2.6 // above: the limit shrinks
+
+	// Factors of the limit.
+	growFactor   = 1.15 // of a round
+	shrinkFactor = 0.85 // of a round
+	probeFactor  = 2    // divisor, of a base probe
+
+	maxRejectedFraction    = 0.05 // of a round's samples: the limit shrinks above it
+	minElasticity          = 0.4  // the time in flight must follow the limit by at least this power, or the upstreams are slower
+	decreasesBeforeJudging = 5    // rounds: the first ones still measure requests that began before the decrease
+
+	baseProbeInterval   = 30 * time.Second
+	firstBaseProbeDelay = 500 * time.Millisecond // after the first request has ended: earlier times are those of idle upstreams
+	slowdownGrace       = 3 * time.Second        // after a slowdown was found the balancer's rejections do not shrink the limit
+
+	baseSmoothing     = 0.2   // weight of an unsaturated round in the base time
+	longTermSmoothing = 0.002 // weight of a request in the long-term means
 )
 
-func newLimiter(least, most int) limiter {
-	return limiter{limit: max(float64(least), min(initialLimit, float64(most))), min: float64(least), max: float64(most)}
+func newLimiter(minLimit, maxLimit int) limiter {
+	low, high := float64(minLimit), float64(maxLimit)
+	return limiter{limit: max(low, min(initialLimit, high)), min: low, max: high}
 }
 
-// current is the limit as a number of requests.
+// current is the limit in requests.
 func (l *limiter) current() int { return int(l.limit) }
 
-// observe tells of a request of a class that ended, with so many in hand, itself included.
-func (l *limiter) observe(now time.Duration, c *classStats, took float64, inHand int, turned bool) {
+func (l *limiter) setLimit(limit float64) { l.limit = min(l.max, max(l.min, limit)) }
+
+// observe brings a request that has ended: its cost in seconds, how many were in flight with it, and whether the balancer
+// rejected it. The last sample of a round adapts the limit.
+func (l *limiter) observe(now time.Duration, class *classStats, cost float64, inFlight int, rejected bool) {
 	if l.lastBaseProbe == 0 {
 		l.lastBaseProbe = now
 	}
 	l.samples++
-	l.halfUsed = l.halfUsed || float64(inHand) > l.limit/2
-	if turned {
+	l.halfUsed = l.halfUsed || float64(inFlight) > l.limit/2
+	if rejected {
 		l.rejected++
 	} else {
-		// Classes that take different times are made alike by their long means, so that another mixture is no crowding.
-		if c.longTermCost == 0 {
-			c.longTermCost = took
-		}
-		if l.longTermTime == 0 {
-			l.longTermTime = took
-		}
-		c.longTermCost += (took - c.longTermCost) * longTermSmoothing
-		l.longTermTime += (took - l.longTermTime) * longTermSmoothing
-		l.timeSum += took * l.longTermTime / max(c.longTermCost, minCost)
+		l.addTime(class, cost)
 	}
-	if need := max(minRoundSamples, min(maxRoundSamples, l.current()*3/2)); l.samples < need || now-l.roundStart < minRoundDuration {
+	needed := max(minRoundSamples, min(maxRoundSamples, l.current()*3/2))
+	if l.samples < needed || now-l.roundStart < minRoundDuration {
 		return
 	}
 	l.endRound(now)
 	l.roundStart, l.samples, l.timeSum, l.rejected, l.saturated, l.halfUsed = now, 0, 0, 0, false, false
 }
 
+// addTime adds a request's cost to the round, scaled by the long-term means of all requests and of its class, so that
+// another mixture of classes does not look like a change of latency.
+func (l *limiter) addTime(class *classStats, cost float64) {
+	if class.longTermCost == 0 {
+		class.longTermCost = cost
+	}
+	if l.longTermTime == 0 {
+		l.longTermTime = cost
+	}
+	class.longTermCost += (cost - class.longTermCost) * longTermSmoothing
+	l.longTermTime += (cost - l.longTermTime) * longTermSmoothing
+	l.timeSum += cost * l.longTermTime / max(class.longTermCost, minCost)
+}
+
+// endRound adapts the limit and the base time to a round.
 func (l *limiter) endRound(now time.Duration) {
-	n := l.samples - l.rejected
-	if n == 0 {
-		l.mode, l.decreases = steady, 0
+	completed := l.samples - l.rejected
+	if completed == 0 {
+		l.phase, l.decreases = steady, 0
 		l.setLimit(l.limit * shrinkFactor)
 		return
 	}
-	mean := l.timeSum / float64(n)
-	turned := float64(l.rejected) > maxRejectedFraction*float64(l.samples)
+	mean := l.timeSum / float64(completed)
+	manyRejected := float64(l.rejected) > maxRejectedFraction*float64(l.samples)
 	switch {
-	case turned && l.mode != steady:
-		l.mode = steady
+	case manyRejected && l.phase != steady:
+		l.phase = steady
 		l.setLimit(l.limitBefore)
-		return
-	case turned && now-l.slowdownFoundAt > slowdownGrace:
+	case manyRejected && now-l.slowdownFoundAt > slowdownGrace:
 		l.decrease(now, mean)
-		return
-	case l.mode == probeSettling:
-		l.mode = probeMeasuring
-		return
-	case l.mode == probeMeasuring:
+	case l.phase == probeSettling:
+		l.phase = probeMeasuring
+	case l.phase == probeMeasuring:
 		l.finishBaseProbe(now, mean)
-		return
 	case !l.saturated:
-		l.decreases = 0
-		switch {
-		case l.baseTime == 0 && !l.halfUsed:
-			l.baseTime = mean
-		case !l.halfUsed || mean < l.baseTime:
-			l.baseTime += (mean - l.baseTime) * baseSmoothing
-		}
-		return
-	case l.decreases == 0 && (now-l.lastBaseProbe > baseProbeInterval || l.baseTime == 0 && now-l.lastBaseProbe > firstBaseProbeDelay):
+		l.updateBaseTime(mean)
+	case l.decreases == 0 && l.baseProbeDue(now):
 		l.startBaseProbe(mean)
-		return
 	case l.baseTime == 0:
-		return
+		// Nothing to compare with before the first base probe.
+	default:
+		l.adapt(now, mean)
 	}
-	switch r := mean / l.baseTime; {
-	case r > shrinkRatio:
+}
+
+// adapt changes the limit by the ratio of a saturated round.
+func (l *limiter) adapt(now time.Duration, mean float64) {
+	ratio := mean / l.baseTime
+	if ratio > shrinkRatio {
 		l.decrease(now, mean)
-	case r < fasterRatio: // upstreams are faster than they were
-		l.decreases, l.baseTime = 0, mean
-		l.setLimit(l.limit * growFactor)
-	case r < growRatio:
-		l.decreases = 0
+		return
+	}
+	l.decreases = 0
+	if ratio < fasterRatio {
+		l.baseTime = mean
+	}
+	if ratio < growRatio {
 		l.setLimit(l.limit * growFactor)
-	default:
-		l.decreases = 0
 	}
 }
 
-// decrease shrinks the limit by a round's step, and tells after some whether that helps.
+// updateBaseTime learns the base time from a round that was not saturated.
+func (l *limiter) updateBaseTime(mean float64) {
+	l.decreases = 0
+	switch {
+	case l.baseTime == 0 && !l.halfUsed:
+		l.baseTime = mean
+	case !l.halfUsed || mean < l.baseTime:
+		l.baseTime += (mean - l.baseTime) * baseSmoothing
+	}
+}
+
+// decrease shrinks the limit by one round's factor. After some rounds it restores the limit if that had no effect: the
+// upstreams are slower.
 func (l *limiter) decrease(now time.Duration, mean float64) {
 	if l.decreases == 0 {
 		l.limitBefore, l.meanBefore = l.limit, mean
 	}
-	if l.decreases++; l.decreases > decreasesBeforeJudging && !l.latencyFollowedLimit(mean) {
+	l.decreases++
+	if l.decreases > decreasesBeforeJudging && !l.timeFollowedLimit(mean) {
 		l.decreases, l.baseTime, l.lastBaseProbe, l.slowdownFoundAt = 0, mean, now, now
 		l.setLimit(l.limitBefore)
 		return
@@ -166,31 +195,37 @@
 	l.setLimit(l.limit * shrinkFactor)
 }
 
-// latencyFollowedLimit tells whether the mean time has followed the limit down. At the least limit there is nothing to follow.
-func (l *limiter) latencyFollowedLimit(mean float64) bool {
+// timeFollowedLimit reports whether the mean time in flight has fallen with the limit. At the minimum limit there was no
+// change to follow.
+func (l *limiter) timeFollowedLimit(mean float64) bool {
 	down := math.Log(l.limitBefore / l.limit)
 	return down > 0 && math.Log(l.meanBefore/mean) > minElasticity*down
 }
 
-// startBaseProbe begins to try the base.
+// baseProbeDue reports whether the base time is to be tested.
+func (l *limiter) baseProbeDue(now time.Duration) bool {
+	since := now - l.lastBaseProbe
+	return since > baseProbeInterval || l.baseTime == 0 && since > firstBaseProbeDelay
+}
+
+// startBaseProbe halves the limit.
 func (l *limiter) startBaseProbe(mean float64) {
-	l.limitBefore, l.meanBefore, l.mode, l.decreases = l.limit, mean, probeSettling, 0
-	l.setLimit(l.limit / 2)
+	l.limitBefore, l.meanBefore, l.phase, l.decreases = l.limit, mean, probeSettling, 0
+	l.setLimit(l.limit / probeFactor)
 }
 
-// finishBaseProbe judges a halved limit: where the time has fallen with it, the limit was for waiting, and is halved again; else this
-// is what requests take while nothing is crowded.
+// finishBaseProbe judges a halved limit. If the time in flight has not fallen with it, requests did not wait for each
+// other: the present mean is the base time, and the limit is restored. Otherwise the limit is halved again, or kept if
+// the mean is still high by the known base time.
 func (l *limiter) finishBaseProbe(now time.Duration, mean float64) {
-	if l.limit > l.min && l.latencyFollowedLimit(mean) {
-		if l.baseTime > 0 && mean > l.baseTime*growRatio { // still crowded by what is known
-			l.mode, l.lastBaseProbe = steady, now
-			return
-		}
-		l.startBaseProbe(mean)
+	if l.limit <= l.min || !l.timeFollowedLimit(mean) {
+		l.phase, l.lastBaseProbe, l.baseTime = steady, now, mean
+		l.setLimit(l.limitBefore)
 		return
 	}
-	l.mode, l.lastBaseProbe, l.baseTime = steady, now, mean
-	l.setLimit(l.limitBefore)
+	if l.baseTime > 0 && mean > l.baseTime*growRatio {
+		l.phase, l.lastBaseProbe = steady, now
+		return
+	}
+	l.startBaseProbe(mean)
 }
-
-func (l *limiter) setLimit(limit float64) { l.limit = min(l.max, max(l.min, limit)) }
--- a/internal/admission/cost.go
+++ b/internal/admission/cost.go
@@ -7,43 +7,47 @@
 	"orchiddrift/balancer"
 )
 
-// A request's cost is how long it holds a place beyond the door, in seconds: places are what there is too little of.
-// Before it has ended that is an estimate, after it the difference is settled (sfq.correctCost).
+// A request's cost is the time that it is in flight, in seconds. It is estimated before the request is dispatched, and
+// the difference is charged after it has ended (sfqScheduler.correctCost).
 const (
-	initialCost     = 0.02  // of a class that nothing is known of
-	minCost         = 1e-6  // no request is free
-	maxHintFactor   = 8.0   // an estimate is within this factor of its class's usual cost
-	costSmoothing   = 0.05  // weight of one sample in the averages
-	hintSmoothing   = 0.05  // and of one hint
-	minHintAccuracy = 0.125 // bounds of a group's factor between hints and what its requests took
+	initialCost     = 0.02  // s: mean of a class that nothing is known of
+	minCost         = 1e-6  // s: no request is free
+	maxHintFactor   = 8.0   // an estimate is at most this factor away from its class's mean
+	costSmoothing   = 0.05  // weight of one request in the means
+	hintSmoothing   = 0.05  // weight of one hint in the mean hint and in a group's hint accuracy
+	minHintAccuracy = 0.125 // bounds of one observed accuracy
 	maxHintAccuracy = 8.0
+	boundDeviations = 2 // mean deviations above the mean, in costBound
 )
 
-// classStats is what the door knows of one class of requests.
+// classStats is a class of requests and what has been learned of their cost, in seconds.
 type classStats struct {
 	balancer.Class
-	meanCost      float64 // mean cost, s
-	meanDeviation float64 // mean distance of costs from it, s
-	longTermCost  float64 // mean cost over minutes, s; 0: not known yet
-	meanHint      float64 // mean of the hints that come with it, s; 0: none came
+	meanCost      float64
+	meanDeviation float64 // mean absolute deviation from meanCost
+	longTermCost  float64 // mean over minutes, kept by the limiter; 0: unknown
+	meanHint      float64 // of the hints that came with requests; 0: none came
 }
 
-// estimateCost is what a request is charged at first. honesty is what the group's earlier hints were worth.
-func (c *classStats) estimateCost(hint time.Duration, honesty float64) float64 {
+// estimateCost is the estimated cost of a request, in seconds: its class's mean, scaled by its hint over the mean hint
+// and by the accuracy of its group's earlier hints.
+func (c *classStats) estimateCost(hint time.Duration, accuracy float64) float64 {
 	cost := c.meanCost
 	if hint > 0 && c.meanHint > 0 {
-		cost *= min(maxHintFactor, max(1/maxHintFactor, hint.Seconds()/c.meanHint*honesty))
+		cost *= min(maxHintFactor, max(1/maxHintFactor, hint.Seconds()/c.meanHint*accuracy))
 	}
 	return max(minCost, cost)
 }
 
-// costBound is what most requests cost at most, as TCP's retransmission timer has it (V. Jacobson, 1988): the mean and twice
-// the mean distance from it.
-func (c *classStats) costBound() time.Duration { return seconds(c.meanCost + 2*c.meanDeviation) }
+// costBound is a cost that most requests stay under: the mean and a multiple of the mean deviation, as in TCP's
+// retransmission timer (V. Jacobson, "Congestion Avoidance and Control", SIGCOMM 1988).
+func (c *classStats) costBound() time.Duration {
+	return seconds(c.meanCost + boundDeviations*c.meanDeviation)
+}
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// observeHint learns from a hint as it comes.
+// observeHint updates the mean hint when a request arrives.
 func (c *classStats) observeHint(hint time.Duration) {
 	if hint <= 0 {
 		return
@@ -54,19 +58,19 @@
 	c.meanHint += (hint.Seconds() - c.meanHint) * hintSmoothing
 }
 
-// observeCost learns from a request that went to its end.
+// observeCost updates the mean and deviation when a request has completed.
 func (c *classStats) observeCost(cost float64) {
 	c.meanDeviation += (math.Abs(cost-c.meanCost) - c.meanDeviation) * costSmoothing
 	c.meanCost += (cost - c.meanCost) * costSmoothing
 }
 
-// updateHintAccuracy moves a group's factor towards what one of its hinted requests took, against what its class takes for such a
-// hint. Who always says ten times too much is soon taken at a tenth.
-func (c *classStats) updateHintAccuracy(factor float64, hint time.Duration, took float64) float64 {
+// updateHintAccuracy moves a group's hint accuracy towards that of a completed request: its cost over its class's mean,
+// divided by its hint over the mean hint. The hints of a group that always states ten times too much soon count a tenth.
+func (c *classStats) updateHintAccuracy(accuracy float64, hint time.Duration, cost float64) float64 {
 	if hint <= 0 || c.meanHint == 0 || c.meanCost <= 0 {
-		return factor
+		return accuracy
 	}
-	seen := (took / c.meanCost) / (hint.Seconds() / c.meanHint)
-	seen = min(maxHintAccuracy, max(minHintAccuracy, seen))
-	return factor + (seen-factor)*hintSmoothing
+	observed := (cost / c.meanCost) / (hint.Seconds() / c.meanHint)
+	observed = min(maxHintAccuracy, max(minHintAccuracy, observed))
+	return accuracy + (observed-accuracy)*hintSmoothing
 }
--- /dev/null
+++ b/internal/admission/entry.go
@@ -0,0 +1,88 @@
+package admission
+
+import "time"
+
+type entryState int8
+
+const (
+	entryFree     entryState = iota // unused, or its request is being decided on
+	entryQueued                     // waits
+	entryAdmitted                   // in flight
+)
+
+// entry is a request between its arrival and its end. Entries are reused.
+type entry struct {
+	index, generation uint32 // position in Queue.entries, and how often it has been reused: together the ticket
+	state             entryState
+	reserved          bool // its client came back at its reserved time
+	pastObjective     bool // its latency objective had passed on arrival, or did while it waited
+	flow              *flow
+	class             *classStats
+
+	costHint       time.Duration
+	estimatedCost  float64 // s
+	priorityWeight float64 // its class's, lowered once its objective has passed
+	bytes          int64
+	fingerprint    uint64
+
+	arrivedAt   time.Duration
+	admittedAt  time.Duration
+	objectiveAt time.Duration // when its latency objective passes
+	deadline    time.Duration
+	timeoutAt   time.Duration // when Queue.advance looks at it again
+
+	prev, next                 *entry // in its entryList
+	prevReserved, nextReserved *entry // in Queue.reservedLane
+	timeoutIndex               int    // in Queue.timeouts; -1: not in it
+}
+
+func (e *entry) ticket() Ticket { return Ticket(e.generation)<<32 | Ticket(e.index) }
+
+// expectedServiceTime is the mean time in flight of requests of its class.
+func (e *entry) expectedServiceTime() time.Duration { return seconds(e.class.meanCost) }
+
+// latestStart is when a queued request must be admitted to meet its latency objective or, once that has passed, its
+// deadline. The expected service time counts for half of the total time at most.
+func (e *entry) latestStart() time.Duration {
+	if e.pastObjective {
+		return e.deadline - min(e.expectedServiceTime(), (e.deadline-e.arrivedAt)/2)
+	}
+	return min(e.objectiveAt-min(e.expectedServiceTime(), (e.objectiveAt-e.arrivedAt)/2), e.deadline)
+}
+
+// newEntry returns an unused entry.
+func (q *Queue) newEntry() *entry {
+	if n := len(q.freeEntries); n > 0 {
+		e := q.entries[q.freeEntries[n-1]]
+		q.freeEntries = q.freeEntries[:n-1]
+		*e = entry{index: e.index, generation: e.generation, timeoutIndex: -1}
+		return e
+	}
+	e := &entry{index: uint32(len(q.entries)), generation: 1, timeoutIndex: -1}
+	q.entries = append(q.entries, e)
+	return e
+}
+
+// releaseEntry makes an entry free for reuse, and its ticket invalid.
+func (q *Queue) releaseEntry(e *entry) {
+	f := e.flow
+	if e.state == entryFree { // its request was rejected on arrival
+		f.arriving, f.group.arriving = false, false
+	}
+	e.state, e.flow, e.class = entryFree, nil, nil
+	e.generation++
+	q.freeEntries = append(q.freeEntries, e.index)
+	q.forgetFlow(f)
+}
+
+// lookup returns the entry of a ticket if it is in the given state, and nil otherwise.
+func (q *Queue) lookup(t Ticket, state entryState) *entry {
+	i := int(uint32(t))
+	if i >= len(q.entries) {
+		return nil
+	}
+	if e := q.entries[i]; e.generation == uint32(t>>32) && e.state == state {
+		return e
+	}
+	return nil
+}
--- a/internal/admission/eviction.go
+++ b/internal/admission/eviction.go
@@ -1,62 +1,86 @@
 package admission
 
-// updateLoads puts a group and its flows where their loads belong, which another bound or weight has changed.
-func (q *Queue) updateLoads(g *group) {
-	if g.loadIndex >= 0 {
-		q.groupLevel.byLoad.Set(&g.member, -q.load(&g.member), 0)
+// makeSpace evicts queued requests until a request that arrives fits into the queue, and reports whether it fits. If the
+// request itself is the one to reject, or would be after some evictions, it does not. A request that can be admitted at
+// once needs no space.
+func (q *Queue) makeSpace(e *entry, actions []Action) (_ []Action, fits bool) {
+	maxBytes := int64(q.options.MaxQueuedBytes)
+	full := q.queued >= q.options.MaxQueued || q.queuedBytes+e.bytes > maxBytes
+	if !full || !q.saturated() {
+		return actions, true
 	}
-	for _, f := range g.flows {
-		q.updateFlowLoad(f)
+	for {
+		victim := q.selectVictim(e)
+		if victim == e {
+			return actions, false
+		}
+		q.removeQueued(victim)
+		actions = q.reject(victim, QueueFull, actions)
+		if q.queuedBytes+e.bytes <= maxBytes || q.queued == 0 {
+			return actions, true
+		}
 	}
-	q.updateFlowLoad(&g.sharedFlow)
 }
 
-func (q *Queue) updateFlowLoad(f *flow) {
-	if f.loadIndex >= 0 {
-		f.group.flowLevel.byLoad.Set(&f.member, -q.load(&f.member), 0)
+// selectVictim returns the request to reject when a request that arrives finds the queue full: of the group with the
+// highest load, and in it of the flow with the highest load, the request of the lowest priority weight, and of those the
+// newest. The arriving request counts as queued, and may be the victim itself.
+func (q *Queue) selectVictim(e *entry) *entry {
+	f, g := e.flow, e.flow.group
+	if q.queued == 0 {
+		return e
+	}
+	heaviest := q.groupLevel.byLoad.First()
+	if heaviest.group != g && q.load(heaviest) <= q.loadWith(&g.member, 1, e.bytes) {
+		heaviest = &g.member
+	}
+	if heaviest.group == g && g.queued == 0 {
+		return e
+	}
+	heaviestFlow := heaviest.group.flowLevel.byLoad.First()
+	if heaviestFlow != &f.member && heaviest.group == g && q.load(heaviestFlow) <= q.loadWith(&f.member, 1, e.bytes) {
+		heaviestFlow = &f.member
+	}
+	if heaviestFlow != &f.member {
+		return heaviestFlow.flow.newestOfLowestPriority()
+	}
+	if f.queued == 0 {
+		return e
+	}
+	if e.reserved || f.lists[len(f.lists)-1].priorityWeight < e.priorityWeight {
+		return f.newestOfLowestPriority()
 	}
+	return e
 }
 
-// load is how much of the queue a member holds, for its weight.
-func (q *Queue) load(m *member) float64 {
-	return q.loadWith(m, 0, 0)
-}
+// newestOfLowestPriority is the queued request of a flow that is evicted first.
+func (f *flow) newestOfLowestPriority() *entry { return f.lists[len(f.lists)-1].last }
+
+// load is the fraction of the queue that a member holds, divided by its weight.
+func (q *Queue) load(m *member) float64 { return q.loadWith(m, 0, 0) }
 
+// loadWith is the load of a member with further requests and bytes.
 func (q *Queue) loadWith(m *member, requests int, bytes int64) float64 {
 	held := float64(m.queued+requests)/float64(q.options.MaxQueued) + float64(m.queuedBytes+bytes)/float64(max(1, q.options.MaxQueuedBytes))
 	if m.weight <= 0 {
-		return held * maxWeight * maxWeight // before all who have a weight
+		return held * maxWeight * maxWeight // above the load of every member that has a weight
 	}
 	return held / m.weight
 }
 
-// selectVictim is who is given up so that e may wait: of the group that holds the most for its weight, e counted in, of its flow
-// that does, the least worthy, of those the newest. e itself, where that is so.
-func (q *Queue) selectVictim(e *entry) *entry {
-	f, g := e.flow, e.flow.group
-	if q.queued == 0 {
-		return e
-	}
-	most := q.groupLevel.byLoad.First()
-	if most.group != g && q.load(most) <= q.loadWith(&g.member, 1, e.bytes) {
-		most = &g.member
-	}
-	if most.group == g && g.queued == 0 {
-		return e
+// updateLoads orders a group and its flows by their loads again, after a change of the bounds or weights.
+func (q *Queue) updateLoads(g *group) {
+	if g.loadIndex >= 0 {
+		q.groupLevel.byLoad.Set(&g.member, -q.load(&g.member), 0)
 	}
-	of := most.group.flowLevel.byLoad.First()
-	if of != &f.member && most.group == g && q.load(of) <= q.loadWith(&f.member, 1, e.bytes) {
-		of = &f.member
+	for _, f := range g.flows {
+		q.updateFlowLoad(f)
 	}
-	if of == &f.member {
-		if f.queued == 0 {
-			return e
-		}
-		if last := f.lists[len(f.lists)-1]; e.reserved || last.priorityWeight < e.priorityWeight {
-			return last.last
-		}
-		return e
+	q.updateFlowLoad(&g.sharedFlow)
+}
+
+func (q *Queue) updateFlowLoad(f *flow) {
+	if f.loadIndex >= 0 {
+		f.group.flowLevel.byLoad.Set(&f.member, -q.load(&f.member), 0)
 	}
-	runs := of.flow.lists
-	return runs[len(runs)-1].last
 }
--- a/internal/admission/fair_queueing.go
+++ b/internal/admission/fair_queueing.go
@@ -1,29 +1,37 @@
 package admission
 
-import (
-	"orchiddrift/internal/priorityqueue"
-)
+import "orchiddrift/internal/priorityqueue"
 
-// member is one of those between whom a level is fair: a group among groups, or a flow among those of its group. Times
-// are virtual: cost (seconds of a place) divided by weight.
+// member is a party to the fair queueing of one level: a group among groups, or a flow among those of its group. Tags
+// are in virtual time: cost (seconds in flight) divided by weight.
 type member struct {
-	weight                    float64 // 0: gets only what the others leave
-	startTag, finishTag       float64 // of what it sends next, and of what it sent last
-	readyOrder                uint64  // among equal starts, who has waited for longest goes first
-	readyIndex, indebtedIndex int     // places in the heaps of its level; -1: not in it
-	loadIndex                 int     // place among those that hold most; -1: holds nothing
-	queued                    int
-	inFlight                  int // in hand beyond the door
-	queuedBytes               int64
-	backlog                   float64 // cost of what waits
-	arriving                  bool    // a request of it is being decided on: it is not forgotten
-	group                     *group
-	flow                      *flow // nil: the member is the group itself
+	weight     float64 // 0: best effort
+	startTag   float64 // of its next request
+	finishTag  float64 // of the request that it dispatched last
+	readyOrder uint64  // breaks ties of equal start tags: the longest wait first
+
+	readyIndex    int // in sfqScheduler.ready; -1: nothing is queued
+	indebtedIndex int // in sfqScheduler.indebted; -1: not in it
+	loadIndex     int // in level.byLoad; -1: nothing is queued
+
+	queued      int
+	inFlight    int
+	queuedBytes int64
+	backlog     float64 // estimated cost of its queued requests, s
+	arriving    bool    // a request of it is being decided on: it is not forgotten
+
+	group *group
+	flow  *flow // nil: the member is the group itself
+}
+
+func newMember(g *group, f *flow, weight float64) member {
+	return member{weight: weight, readyIndex: -1, indebtedIndex: -1, loadIndex: -1, group: g, flow: f}
 }
 
+// active reports whether a member has a request queued or in flight.
 func (m *member) active() bool { return m.queued+m.inFlight > 0 }
 
-// effectiveWeight is the weight to divide by: members without one are equal among themselves.
+// effectiveWeight is the weight that costs are divided by: best-effort members are equal among themselves.
 func (m *member) effectiveWeight() float64 {
 	if m.weight > 0 {
 		return m.weight
@@ -31,35 +39,45 @@
 	return 1
 }
 
-// sfqScheduler is start-time fair queueing over several places, SFQ(D): P. Goyal, H. Vin, H. Cheng, "Start-time Fair Queuing"
-// (SIGCOMM 1996); W. Jin, J. Chase, J. Kaur, "Interposed Proportional Sharing for a Storage Service Utility"
-// (SIGMETRICS 2004) for the D places. A member that begins to wait gets the start max(v, finish), the least start goes
-// next, v is the start that went last. What a request took in the end is known only when it has: the difference to what
-// was charged moves the member's tags then, so that over time shares are of what was really taken.
+// sfqScheduler is start-time fair queueing with several requests in flight, SFQ(D): P. Goyal, H. Vin, H. Cheng,
+// "Start-time Fair Queuing" (SIGCOMM 1996); W. Jin, J. Chase, J. Kaur, "Interposed Proportional Sharing for a Storage
+// Service Utility" (SIGMETRICS 2004) for the depth D, here the concurrency limit.
+//
+// A member that begins to queue gets the start tag max(virtual time, its finish tag). The least start tag is dispatched
+// next, and virtual time is the start tag that was dispatched last. A request's cost is known only when it has ended:
+// the difference to the estimate moves the member's tags then, so that over time shares are of the actual cost.
 type sfqScheduler struct {
-	virtualTime, maxFinishTag float64 // virtual time, and the largest finish so far
-	ready                     priorityqueue.Queue[*member]
-	indebted                  priorityqueue.Queue[*member] // have nothing waiting and a finish above v: they are not forgotten before v gets there
-	nextOrder                 uint64
+	virtualTime  float64
+	maxFinishTag float64
+	ready        priorityqueue.Queue[*member] // members with queued requests, by start tag
+	indebted     priorityqueue.Queue[*member] // idle members that are ahead of virtual time, by finish tag: not forgotten until it catches up
+	nextOrder    uint64
 }
 
 func newSFQScheduler() sfqScheduler {
-	return sfqScheduler{ready: priorityqueue.New(func(m *member) *int { return &m.readyIndex }),
-		indebted: priorityqueue.New(func(m *member) *int { return &m.indebtedIndex })}
+	return sfqScheduler{
+		ready:    priorityqueue.New(func(m *member) *int { return &m.readyIndex }),
+		indebted: priorityqueue.New(func(m *member) *int { return &m.indebtedIndex }),
+	}
 }
 
-// enqueue has a member wait: it had nothing waiting before.
+// enqueue adds a member that had nothing queued.
 func (s *sfqScheduler) enqueue(m *member) {
 	s.indebted.Remove(m)
+	s.setReady(m, max(s.virtualTime, m.finishTag))
+}
+
+// setReady gives a member a start tag, behind members of the same tag.
+func (s *sfqScheduler) setReady(m *member, startTag float64) {
 	s.nextOrder++
-	m.startTag, m.readyOrder = max(s.virtualTime, m.finishTag), s.nextOrder
+	m.startTag, m.readyOrder = startTag, s.nextOrder
 	s.ready.Set(m, m.startTag, m.readyOrder)
 }
 
-// dispatch is for one request of a waiting member that goes, by turn or out of it: v moves with turns only. more says that
-// others of it wait.
-func (s *sfqScheduler) dispatch(m *member, cost float64, turn, more bool) {
-	if turn {
+// dispatch charges a member for a request of the given estimated cost. inOrder says that it was dispatched by its start
+// tag, which moves virtual time, and not from the reserved lane; more, that the member has further queued requests.
+func (s *sfqScheduler) dispatch(m *member, cost float64, inOrder, more bool) {
+	if inOrder {
 		s.virtualTime = max(s.virtualTime, m.startTag)
 	}
 	m.finishTag = m.startTag + cost/m.effectiveWeight()
@@ -68,15 +86,13 @@
 		s.ready.Remove(m)
 		return
 	}
-	s.nextOrder++
-	m.startTag, m.readyOrder = m.finishTag, s.nextOrder
-	s.ready.Set(m, m.startTag, m.readyOrder)
+	s.setReady(m, m.finishTag)
 }
 
-// correctCost corrects what a member was charged.
-func (s *sfqScheduler) correctCost(m *member, by float64) {
-	follows := m.startTag == m.finishTag
-	m.finishTag += by / m.effectiveWeight()
+// correctCost charges a member for the difference between a request's actual and estimated cost.
+func (s *sfqScheduler) correctCost(m *member, difference float64) {
+	backToBack := m.startTag == m.finishTag // the next request starts where the last one finishes
+	m.finishTag += difference / m.effectiveWeight()
 	s.maxFinishTag = max(s.maxFinishTag, m.finishTag)
 	if m.indebtedIndex >= 0 {
 		s.indebted.Set(m, m.finishTag, 0)
@@ -84,7 +100,7 @@
 	if m.readyIndex < 0 {
 		return
 	}
-	if follows {
+	if backToBack {
 		m.startTag = m.finishTag
 	} else {
 		m.startTag = max(m.startTag, m.finishTag)
@@ -92,8 +108,8 @@
 	s.ready.Set(m, m.startTag, m.readyOrder)
 }
 
-// isAhead tells whether a member had more than it is due up to now.
+// isAhead reports whether a member has been served more than its share up to virtual time.
 func (s *sfqScheduler) isAhead(m *member) bool { return m.finishTag > s.virtualTime }
 
-// endBusyPeriod is for the moment at which no member has anything waiting or in hand: nobody owes anything any more.
+// endBusyPeriod moves virtual time past all finish tags, when no member is active: none is ahead any more.
 func (s *sfqScheduler) endBusyPeriod() { s.virtualTime = max(s.virtualTime, s.maxFinishTag) }
--- a/internal/admission/level.go
+++ b/internal/admission/level.go
@@ -1,22 +1,24 @@
 package admission
 
-import (
-	"orchiddrift/internal/priorityqueue"
-)
+import "orchiddrift/internal/priorityqueue"
 
-// level is the members of one parent.
+// level is the members of one parent: all groups, or the flows of a group.
 type level struct {
 	weighted      sfqScheduler
-	bestEffort    *sfqScheduler // of those of weight 0, that get what is left; nil: there was none yet
-	activeWeight  float64       // of active members; those of weight 0 count nothing
+	bestEffort    *sfqScheduler // members of weight 0, which get the capacity that others leave; nil: there was none yet
+	activeWeight  float64       // sum over active members
 	activeMembers int
-	byLoad        priorityqueue.Queue[*member] // by load, the largest first
+	byLoad        priorityqueue.Queue[*member] // members with queued requests, the highest load first
 }
 
 func newLevel() level {
-	return level{weighted: newSFQScheduler(), byLoad: priorityqueue.New(func(m *member) *int { return &m.loadIndex })}
+	return level{
+		weighted: newSFQScheduler(),
+		byLoad:   priorityqueue.New(func(m *member) *int { return &m.loadIndex }),
+	}
 }
 
+// schedulerOf returns the scheduler that a member belongs to by its weight.
 func (l *level) schedulerOf(m *member) *sfqScheduler {
 	if m.weight > 0 {
 		return &l.weighted
@@ -28,10 +30,10 @@
 	return l.bestEffort
 }
 
-// schedulers are what of it there is.
+// schedulers returns both schedulers; the second one may be nil.
 func (l *level) schedulers() [2]*sfqScheduler { return [2]*sfqScheduler{&l.weighted, l.bestEffort} }
 
-// next is the member whose turn it is; nil: nobody waits.
+// next returns the member to dispatch next; nil: nothing is queued.
 func (l *level) next() *member {
 	switch {
 	case l.weighted.ready.Len() > 0:
@@ -42,7 +44,7 @@
 	return nil
 }
 
-// capacityShare is the part of the level's capacity that is a member's while all that are active now go on.
+// capacityShare is a member's fraction of the level's capacity while all members that are active now remain active.
 func (l *level) capacityShare(m *member) float64 {
 	if m.weight <= 0 {
 		return 0
@@ -54,28 +56,32 @@
 	return m.weight / max(total, m.weight)
 }
 
-// activate and idle count a member among those that share the capacity.
+// activate counts a member among those that share the capacity.
 func (l *level) activate(m *member) {
-	l.activeMembers, l.activeWeight = l.activeMembers+1, l.activeWeight+m.weight
+	l.activeMembers++
+	l.activeWeight += m.weight
 }
 
+// deactivate undoes activate. Without active members a busy period ends.
 func (l *level) deactivate(m *member) {
-	l.activeMembers, l.activeWeight = l.activeMembers-1, l.activeWeight-m.weight
-	if l.activeMembers == 0 {
-		l.activeWeight = 0 // sums of fractions drift
-		l.weighted.endBusyPeriod()
-		if l.bestEffort != nil {
-			l.bestEffort.endBusyPeriod()
-		}
+	l.activeMembers--
+	l.activeWeight -= m.weight
+	if l.activeMembers > 0 {
+		return
+	}
+	l.activeWeight = 0 // without the rounding errors of the sum
+	l.weighted.endBusyPeriod()
+	if l.bestEffort != nil {
+		l.bestEffort.endBusyPeriod()
 	}
 }
 
-// reset is for a level that nobody is in.
+// reset prepares a level without members for reuse.
 func (l *level) reset() {
 	l.weighted.virtualTime, l.weighted.maxFinishTag, l.bestEffort = 0, 0, nil
 }
 
-// setWeight gives a member another weight under way. Its tags are of the old one until they are used up.
+// setWeight changes a member's weight. Tags that it has keep the old weight until they are used up.
 func (l *level) setWeight(m *member, weight float64) {
 	if weight == m.weight {
 		return
@@ -83,19 +89,19 @@
 	if m.active() {
 		l.activeWeight += weight - m.weight
 	}
-	was := l.schedulerOf(m)
-	waits, rests := m.readyIndex >= 0, m.indebtedIndex >= 0
-	was.ready.Remove(m)
-	was.indebted.Remove(m)
+	before := l.schedulerOf(m)
+	ready, indebted := m.readyIndex >= 0, m.indebtedIndex >= 0
+	before.ready.Remove(m)
+	before.indebted.Remove(m)
 	m.weight = weight
-	now := l.schedulerOf(m)
-	if now != was { // the other's virtual time is another
-		m.finishTag = now.virtualTime
-		rests = false
+	after := l.schedulerOf(m)
+	if after != before { // whose virtual time is another one
+		m.finishTag = after.virtualTime
+		indebted = false
 	}
-	if waits {
-		now.enqueue(m)
-	} else if rests {
-		now.indebted.Set(m, m.finishTag, 0)
+	if ready {
+		after.enqueue(m)
+	} else if indebted {
+		after.indebted.Set(m, m.finishTag, 0)
 	}
 }
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -10,7 +10,8 @@
 	"orchiddrift/internal/units"
 )
 
-// Options are a Door's parameters. With Service and By they are its part of the operator's file.
+// Options are a Queue's parameters. With Service, PrincipalSources and RetryHeader they are a [[door]] of the operator's
+// file.
 type Options struct {
 	Service          string     `toml:"service" doc:"Whose door it is: a service's name, or \"platform\" beside the platform's file."`
 	PrincipalSources []string   `toml:"by" default:"tenant" doc:"Between whom it is fair: one or two of \"tenant\" (as the route reads it), \"header:NAME\", \"certificate\" (the client's) and \"address\" (the peer's; IPv6 by /64). Of two, the second is fair within each of the first."`
@@ -25,39 +26,54 @@
 	RetryRatio       float64    `toml:"repeats" default:"0.2" doc:"While requests wait: repeats of clients as a part of first requests, of each principal and of all together."`
 	RetryHeader      string     `toml:"repeat_header" default:"X-Retried" doc:"The header by which clients mark their repeats, with any value but \"0\"."`
 
-	MaxRetryAfter time.Duration // that a refused client is told to stay away; 0: DefaultMaxRetryAfter. It is the service's retry_after
+	// MaxRetryAfter is the longest time that a rejected client is told to stay away: the service's retry_after.
+	// 0: DefaultMaxRetryAfter.
+	MaxRetryAfter time.Duration
 }
 
-// Weight is a principal's.
+// Weight is the weight of one principal.
 type Weight struct {
 	Name   string  `toml:"name" doc:"The principal."`
 	Weight float64 `toml:"weight" default:"1" doc:"Its share is in proportion. 0: it gets only what the others leave."`
 }
 
-// Default is what holds where nothing is said.
+// Default returns the options that apply where nothing is configured.
 func Default() Options {
-	return Options{PrincipalSources: []string{"tenant"}, DefaultWeight: 1, MaxQueued: 256, MaxQueuedBytes: 4 * units.MiB, MaxPrincipals: 16384, MaxReservations: 16384,
-		MinLimit: 8, MaxLimit: 1024, RetryRatio: 0.2, RetryHeader: "X-Retried"}
+	return Options{
+		PrincipalSources: []string{"tenant"},
+		DefaultWeight:    1,
+		MaxQueued:        256,
+		MaxQueuedBytes:   4 * units.MiB,
+		MaxPrincipals:    16384,
+		MaxReservations:  16384,
+		MinLimit:         8,
+		MaxLimit:         1024,
+		RetryRatio:       0.2,
+		RetryHeader:      "X-Retried",
+	}
 }
 
-// Bounds of the options themselves.
+// Bounds of the options.
 const (
-	maxWeight             = 1e6
-	queuedLimit           = 65_536
-	principalsLimit       = 1 << 20
-	concurrencyLimitLimit = 65_536
-	retryAfterLimit       = time.Hour
+	maxWeight           = 1e6 // and 1/maxWeight is the least weight above 0
+	maxMaxQueued        = 65_536
+	minMaxPrincipals    = 16
+	maxMaxPrincipals    = 1 << 20
+	maxMaxReservations  = 1 << 20
+	maxConcurrencyLimit = 65_536
+	maxRetryRatio       = 100
+	maxMaxRetryAfter    = time.Hour
 )
 
-// DefaultMaxRetryAfter is the longest time to stay away where none is set.
+// DefaultMaxRetryAfter is the longest time to stay away where none is configured.
 const DefaultMaxRetryAfter = 5 * time.Second
 
-// maxRetryAfter is Longest within what the calendar can hold.
+// maxRetryAfter is MaxRetryAfter within what the calendar can hold.
 func (o *Options) maxRetryAfter() time.Duration {
-	return min(retryAfterLimit, max(calendarStep, cmp.Or(o.MaxRetryAfter, DefaultMaxRetryAfter)))
+	return min(maxMaxRetryAfter, max(minCalendarStep, cmp.Or(o.MaxRetryAfter, DefaultMaxRetryAfter)))
 }
 
-// Check is tomlfile.Checker's.
+// Check reports options that cannot be used, by their keys. It implements tomlfile.Checker.
 func (o *Options) Check(report func(key, format string, args ...any)) {
 	if o.Service == "" {
 		report("service", "missing")
@@ -86,23 +102,23 @@
 			report(key, "%d is not from %d to %d", n, least, most)
 		}
 	}
-	between("waiting", o.MaxQueued, 1, queuedLimit)
-	between("principals", o.MaxPrincipals, 16, principalsLimit)
-	between("promises", o.MaxReservations, 0, principalsLimit)
+	between("waiting", o.MaxQueued, 1, maxMaxQueued)
+	between("principals", o.MaxPrincipals, minMaxPrincipals, maxMaxPrincipals)
+	between("promises", o.MaxReservations, 0, maxMaxReservations)
 	between("limit_least", o.MinLimit, 1, o.MaxLimit)
-	between("limit_most", o.MaxLimit, 1, concurrencyLimitLimit)
+	between("limit_most", o.MaxLimit, 1, maxConcurrencyLimit)
 	if o.RetryHeader != "" && !httpguts.ValidHeaderFieldName(o.RetryHeader) {
 		report("repeat_header", "%q is no header's name", o.RetryHeader)
 	}
 	if o.MaxQueuedBytes < 0 {
 		report("bytes", "%v is negative", o.MaxQueuedBytes)
 	}
-	if !(o.RetryRatio >= 0) || math.IsInf(o.RetryRatio, 0) || o.RetryRatio > 100 {
+	if !(o.RetryRatio >= 0) || math.IsInf(o.RetryRatio, 0) || o.RetryRatio > maxRetryRatio {
 		report("repeats", "%v is not a part of the first requests", o.RetryRatio)
 	}
 }
 
-// weightsByName are by name.
+// weightsByName returns the configured weights by the names that requests are known by.
 func (o *Options) weightsByName() map[string]float64 {
 	m := make(map[string]float64, len(o.Weights))
 	for _, w := range o.Weights {
--- a/internal/admission/principal.go
+++ b/internal/admission/principal.go
@@ -11,80 +11,99 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// Client is what a front knows of a request's sender. What a client says of itself (Tenant, Header) it can forge; a
-// certificate it can't, and an address only as far as its network lets it.
+// Client is what a protocol adapter knows of a request's sender. A client can forge what it states itself (Tenant,
+// Header), but not a certificate, and an address only as far as its network lets it.
 type Client struct {
 	Tenant      string
-	Header      func(name string) string // nil: there are none
-	Certificate func() string            // the name that its certificate bears; empty: it showed none. nil: nobody shows one
-	Peer        func() netip.Addr        // nil: not known
+	Header      func(name string) string // nil: no headers
+	Certificate func() string            // the name in the client's certificate; empty: it presented none. Nil: none can
+	Peer        func() netip.Addr        // nil: unknown
 }
 
-// PrincipalSources tells principals apart.
+// PrincipalSources are the sources of a request's group and, if there are two, of its flow.
 type PrincipalSources []source
 
 type source struct {
-	kind   string
-	header string
+	kind   sourceKind
+	header string // of fromHeader, in canonical form
 }
 
-// ParsePrincipalSources reads what Options.PrincipalSources says: one or two sources.
+// sourceKind is a kind of source, as Options.PrincipalSources spells it.
+type sourceKind string
+
+const (
+	fromTenant      sourceKind = "tenant"
+	fromCertificate sourceKind = "certificate"
+	fromAddress     sourceKind = "address"
+	fromHeader      sourceKind = "header" // followed by a colon and the header's name
+)
+
+// ParsePrincipalSources parses Options.PrincipalSources: one or two sources. The error names the one that is wrong.
 func ParsePrincipalSources(words []string) (PrincipalSources, error) {
 	if len(words) < 1 || len(words) > 2 {
 		return nil, fmt.Errorf("%d are given: one or two are needed", len(words))
 	}
-	by := make(PrincipalSources, len(words))
+	sources := make(PrincipalSources, len(words))
 	for i, word := range words {
-		kind, name, named := strings.Cut(word, ":")
-		switch {
-		case !named && (kind == "tenant" || kind == "certificate" || kind == "address"):
-			by[i] = source{kind: kind}
-		case named && kind == "header" && httpguts.ValidHeaderFieldName(name):
-			by[i] = source{kind: kind, header: textproto.CanonicalMIMEHeaderKey(name)}
-		default:
-			return nil, fmt.Errorf(`%q is none of "tenant", "header:NAME", "certificate" and "address"`, word)
+		parsed, err := parseSource(word)
+		if err != nil {
+			return nil, err
 		}
-		if i > 0 && by[i] == by[0] {
+		sources[i] = parsed
+		if i > 0 && sources[i] == sources[0] {
 			return nil, fmt.Errorf("%q is given twice", word)
 		}
 	}
-	return by, nil
+	return sources, nil
 }
 
-// maxNameLength is how long a principal's name may be; longer ones are known by their hash.
-const maxNameLength = 64
+func parseSource(word string) (source, error) {
+	name, header, hasHeader := strings.Cut(word, ":")
+	kind := sourceKind(name)
+	switch {
+	case !hasHeader && (kind == fromTenant || kind == fromCertificate || kind == fromAddress):
+		return source{kind: kind}, nil
+	case hasHeader && kind == fromHeader && httpguts.ValidHeaderFieldName(header):
+		return source{kind: kind, header: textproto.CanonicalMIMEHeaderKey(header)}, nil
+	}
+	return source{}, fmt.Errorf(`%q is none of "tenant", "header:NAME", "certificate" and "address"`, word)
+}
 
-// Names are a request's principals: of the group, and of the flow within it (empty where By has one source). A request
-// that has none of a source is the principal "".
-func (by PrincipalSources) Names(w Client) (group, flow string) {
-	if len(by) > 1 {
-		flow = by[1].name(w)
+// Names returns a request's principals: its group, and its flow within the group, which is empty with one source. A
+// request that lacks a source belongs to the principal "".
+func (s PrincipalSources) Names(c Client) (group, flow string) {
+	if len(s) > 1 {
+		flow = s[1].name(c)
 	}
-	return by[0].name(w), flow
+	return s[0].name(c), flow
 }
 
-func (s source) name(w Client) string {
+// name returns a request's principal by one source.
+func (s source) name(c Client) string {
 	var name string
 	switch s.kind {
-	case "tenant":
-		name = w.Tenant
-	case "certificate":
-		if w.Certificate != nil {
-			name = w.Certificate()
+	case fromTenant:
+		name = c.Tenant
+	case fromCertificate:
+		if c.Certificate != nil {
+			name = c.Certificate()
 		}
-	case "header":
-		if w.Header != nil {
-			name = w.Header(s.header)
+	case fromHeader:
+		if c.Header != nil {
+			name = c.Header(s.header)
 		}
-	case "address":
-		if w.Peer != nil {
-			return networkName(w.Peer())
+	case fromAddress:
+		if c.Peer != nil {
+			return networkName(c.Peer())
 		}
 	}
 	return boundedName(name)
 }
 
-// boundedName is a name of no more than maxNameLength bytes, and none that stands for a crowd.
+// maxNameLength is the longest name of a principal, in bytes. A longer one is known by its hash.
+const maxNameLength = 64
+
+// boundedName returns a name of at most maxNameLength bytes, and none that names an overflow group.
 func boundedName(name string) string {
 	if len(name) > maxNameLength || strings.HasPrefix(name, overflowPrefix) {
 		sum := sha256.Sum256([]byte(name))
@@ -93,8 +112,11 @@
 	return name
 }
 
-// networkName is the part of an address that stands for one party: all of an IPv4 address, the /64 of an IPv6 one, which a
-// host may choose freely within.
+// ipv6PrefixBits is the length of the network that an IPv6 host may choose its addresses from.
+const ipv6PrefixBits = 64
+
+// networkName returns the part of an address that stands for one party: all of an IPv4 address, and the network of an
+// IPv6 address.
 func networkName(a netip.Addr) string {
 	a = a.Unmap()
 	switch {
@@ -103,9 +125,9 @@
 	case a.Is4():
 		return a.String()
 	}
-	p, err := a.WithZone("").Prefix(64)
+	prefix, err := a.WithZone("").Prefix(ipv6PrefixBits)
 	if err != nil {
 		return a.String()
 	}
-	return p.String()
+	return prefix.String()
 }
--- a/internal/admission/registry.go
+++ b/internal/admission/registry.go
@@ -10,61 +10,75 @@
 type group struct {
 	member
 	name         string
-	flowLevel    level // of its flows
+	flowLevel    level
 	flows        map[string]*flow
-	sharedFlow   flow // of requests without a second source, and of flows beyond the bound
-	hintAccuracy float64
+	sharedFlow   flow    // of requests without a second source, and of flows beyond the bound
+	hintAccuracy float64 // what its requests cost over what their hints say; 1: as stated
 	retryBudget  retryBudget
-	overflow     bool // one of the 16 that stand for those beyond the bound
-	forgotten    bool // forgotten
+	overflow     bool // one of overflowGroups
+	forgotten    bool // removed from Queue.groups, and possibly kept for reuse
 }
 
 // flow is a principal of the second source, within its group.
 type flow struct {
 	member
 	name         string
-	lists        []entryList // what waits, the worthiest first
-	reservations []reservation
-	reservedCost float64 // their cost
-	nextExpiry   time.Duration
-	expiryIndex  int
+	lists        []entryList   // what is queued, by descending priority weight
+	reservations []reservation // the earliest first
+	reservedCost float64       // of all reservations, s
+	nextExpiry   time.Duration // of the first reservation
+	expiryIndex  int           // in Queue.reservationExpiries; -1: not in it
 }
 
 const (
-	overflowGroups   = 16 // shared groups for principals beyond the bound
-	groupFlowDivisor = 16 // one group may have this fraction of the known principals as flows
-	overflowPrefix   = "\x00"
+	overflowGroups   = 16     // groups that share the requests of principals beyond Options.MaxPrincipals
+	groupFlowDivisor = 16     // a group may have MaxPrincipals divided by this as flows
+	overflowPrefix   = "\x00" // of the names of overflow groups; no principal's name begins with it
+	maxSpares        = 64     // groups, and flows, that are kept for reuse
 )
 
-// flowFor is a request's flow, made where it is not known.
+// flowFor returns the flow of a request, and makes its group and flow if they are not known. Beyond the bounds a group
+// is one of the overflow groups, by its name's hash, and a flow is its group's shared flow.
 func (q *Queue) flowFor(groupName, flowName string) *flow {
 	g := q.groups[groupName]
 	if g == nil {
-		crowd := false
-		if q.knownPrincipals >= q.options.MaxPrincipals {
-			h := xxhash.NewWithSeed(q.seed)
-			_, _ = h.WriteString(groupName) // never fails
-			groupName, crowd = overflowPrefix+string(rune('a'+h.Sum64()%overflowGroups)), true
+		overflow := q.knownPrincipals >= q.options.MaxPrincipals
+		if overflow {
+			groupName = q.overflowName(groupName)
 			g = q.groups[groupName]
 		}
 		if g == nil {
-			g = q.newGroup(groupName, crowd)
+			g = q.newGroup(groupName, overflow)
 		}
 	}
 	if flowName == "" || g.overflow {
 		return &g.sharedFlow
 	}
-	f := g.flows[flowName]
-	if f == nil {
-		if q.knownPrincipals >= q.options.MaxPrincipals || len(g.flows) >= max(1, q.options.MaxPrincipals/groupFlowDivisor) {
-			return &g.sharedFlow
-		}
-		f = q.newFlow(g, flowName)
+	if f := g.flows[flowName]; f != nil {
+		return f
 	}
-	return f
+	if q.knownPrincipals >= q.options.MaxPrincipals || len(g.flows) >= max(1, q.options.MaxPrincipals/groupFlowDivisor) {
+		return &g.sharedFlow
+	}
+	return q.newFlow(g, flowName)
+}
+
+// overflowName is the name of the overflow group that a principal belongs to.
+func (q *Queue) overflowName(name string) string {
+	h := xxhash.NewWithSeed(q.seed)
+	_, _ = h.WriteString(name) // never fails
+	return overflowPrefix + string(rune('a'+h.Sum64()%overflowGroups))
 }
 
-func (q *Queue) newGroup(name string, crowd bool) *group {
+// groupWeight is the configured weight of a group.
+func (q *Queue) groupWeight(g *group) float64 {
+	if w, named := q.weights[g.name]; named && !g.overflow {
+		return w
+	}
+	return q.options.DefaultWeight
+}
+
+func (q *Queue) newGroup(name string, overflow bool) *group {
 	var g *group
 	if n := len(q.spareGroups); n > 0 {
 		g = q.spareGroups[n-1]
@@ -72,12 +86,12 @@
 	} else {
 		g = &group{flowLevel: newLevel()}
 	}
-	g.name, g.overflow, g.forgotten, g.hintAccuracy, g.retryBudget = name, crowd, false, 1, retryBudget{tokens: 1, capacity: groupRetryBurst}
-	g.member = member{readyIndex: -1, indebtedIndex: -1, loadIndex: -1, group: g}
-	g.weight = q.groupWeight(g)
+	g.name, g.overflow, g.forgotten, g.hintAccuracy = name, overflow, false, 1
+	g.retryBudget = retryBudget{tokens: newGroupRetryTokens, capacity: groupRetryBurst}
+	g.member = newMember(g, nil, q.groupWeight(g))
 	g.sharedFlow.reset(g, "")
 	q.groups[name] = g
-	if !crowd {
+	if !overflow {
 		q.knownPrincipals++
 	}
 	return g
@@ -100,22 +114,23 @@
 	return f
 }
 
+// reset makes f an empty flow of a group. All flows of a group have the same weight.
 func (f *flow) reset(g *group, name string) {
-	*f = flow{name: name, lists: f.lists[:0], reservations: f.reservations[:0], expiryIndex: -1,
-		member: member{weight: 1, readyIndex: -1, indebtedIndex: -1, loadIndex: -1, group: g, flow: f}}
+	*f = flow{member: newMember(g, f, 1), name: name, lists: f.lists[:0], reservations: f.reservations[:0], expiryIndex: -1}
 }
 
-const maxSpares = 64 // groups and flows kept for the next ones
-
-// forgetFlow lets a flow go that nothing needs any more, and then its group.
+// forgetFlow forgets a flow that nothing refers to any more, and then its group. An indebted flow is forgotten later, by
+// forgetSettled.
 func (q *Queue) forgetFlow(f *flow) {
 	g := f.group
 	if f.active() || f.arriving || len(f.reservations) > 0 {
 		return
 	}
-	if s := g.flowLevel.schedulerOf(&f.member); s.isAhead(&f.member) { // it rests until that is paid
+	s := g.flowLevel.schedulerOf(&f.member)
+	if s.isAhead(&f.member) {
 		return
-	} else if f != &g.sharedFlow && g.flows[f.name] == f {
+	}
+	if f != &g.sharedFlow && g.flows[f.name] == f {
 		s.indebted.Remove(&f.member)
 		delete(g.flows, f.name)
 		q.knownPrincipals--
@@ -126,16 +141,17 @@
 	q.forgetGroup(g)
 }
 
-// forgetGroup lets a group go of which nothing is left.
+// forgetGroup forgets a group that nothing refers to any more.
 func (q *Queue) forgetGroup(g *group) {
 	if g.active() || g.arriving || g.forgotten {
 		return
 	}
 	q.forgetIndebtedFlows(g)
-	if s := q.groupLevel.schedulerOf(&g.member); len(g.flows) > 0 || len(g.sharedFlow.reservations) > 0 || s.isAhead(&g.member) {
+	s := q.groupLevel.schedulerOf(&g.member)
+	if len(g.flows) > 0 || len(g.sharedFlow.reservations) > 0 || s.isAhead(&g.member) {
 		return
 	}
-	q.groupLevel.schedulerOf(&g.member).indebted.Remove(&g.member)
+	s.indebted.Remove(&g.member)
 	delete(q.groups, g.name)
 	g.forgotten = true
 	if !g.overflow {
@@ -147,7 +163,8 @@
 	}
 }
 
-// forgetIndebtedFlows forgets the flows of a group that has nothing waiting or in hand: none of them owes the others anything.
+// forgetIndebtedFlows forgets the indebted flows of a group that has nothing queued or in flight: there is no other flow
+// that was served less.
 func (q *Queue) forgetIndebtedFlows(g *group) {
 	for _, s := range g.flowLevel.schedulers() {
 		for s != nil && s.indebted.Len() > 0 {
--- a/internal/admission/retry_budget.go
+++ b/internal/admission/retry_budget.go
@@ -1,21 +1,26 @@
 package admission
 
-// retryBudget bounds the repeats of clients as a part of their first requests: a token bucket that first requests fill. It is
-// the retry budget of Finagle and of the SRE book (chapter 22), kept at the receiving end. Each group has one, so that its
-// repeats are paid by its own first requests, and all together have one, whose burst is large enough that a few groups
-// can't use it up for the others. A repeat over its budget is told when to come, and then goes within its group's share.
-type retryBudget struct{ tokens, capacity float64 }
+// retryBudget bounds client retries to a fraction of first requests: a token bucket that first requests fill. It is the
+// retry budget of Finagle and of the SRE book (chapter 22), kept at the receiving end. Each group has one, so that its
+// retries are paid for by its own first requests, and all groups together have one, whose capacity is large enough that a
+// few groups can't exhaust it for the others. A retry over its budget is rejected like any other request: at its reserved
+// time it needs no token.
+type retryBudget struct {
+	tokens   float64 // each admits one retry
+	capacity float64
+}
 
 const (
-	groupRetryBurst = 10  // repeats of a group that may come at once, having been earned; one that is new has a single one
-	totalRetryBurst = 200 // and of all groups
+	newGroupRetryTokens = 1   // of a group that is new
+	groupRetryBurst     = 10  // capacity for one group, in retries
+	totalRetryBurst     = 200 // capacity for all groups together, in retries
 )
 
-// deposit notes a first request.
-func (b *retryBudget) deposit(part float64) { b.tokens = min(b.capacity, b.tokens+part) }
+// deposit adds the tokens of a first request.
+func (b *retryBudget) deposit(ratio float64) { b.tokens = min(b.capacity, b.tokens+ratio) }
 
-// available tells whether there is room for a repeat, and spend takes it. It is taken only where requests wait: on a quiet day
-// repeats cost nothing.
+// available reports whether there is a token for a retry.
 func (b *retryBudget) available() bool { return b.tokens >= 1 }
 
+// withdraw takes a retry's token. It is called only while requests wait: otherwise retries cost nothing.
 func (b *retryBudget) withdraw() { b.tokens-- }
