--- /dev/null
+++ b/internal/admission/harness_test.go
@@ -0,0 +1,219 @@
+package admission
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+
+	"orchiddrift/balancer"
+)
+
+var testClasses = []balancer.Class{
+	{Name: "search", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, LateValueFraction: 0.3},
+	{Name: "pay", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 5},
+}
+
+// harness is a Queue with everything that is known of its requests from outside. It checks the queue's invariants after
+// each event.
+type harness struct {
+	queue      *Queue
+	now        time.Duration
+	state      map[Ticket]entryState
+	bytes      map[Ticket]int64
+	admittedAt map[Ticket]time.Duration
+	admitted   []Ticket // in order
+	retryAfter map[Ticket]time.Duration
+}
+
+func newHarness(o Options) *harness {
+	return &harness{queue: New(o, testClasses, 1), now: time.Hour, state: map[Ticket]entryState{}, bytes: map[Ticket]int64{},
+		admittedAt: map[Ticket]time.Duration{}, retryAfter: map[Ticket]time.Duration{}}
+}
+
+func fixedLimitOptions(limit, maxQueued int) Options {
+	o := Default()
+	o.MinLimit, o.MaxLimit, o.MaxQueued = limit, limit, maxQueued
+	return o
+}
+
+// withoutTimeLimit keeps a request from being rejected for its time.
+func withoutTimeLimit(a Arrival) Arrival {
+	a.ArrivedAt, a.Deadline = 100*time.Hour, 200*time.Hour
+	return a
+}
+
+func mustSucceed(t testing.TB, err error) {
+	t.Helper()
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// apply records actions. Each request must be queued when it is admitted or rejected, which happens once.
+func (h *harness) apply(actions []Action) error {
+	for _, action := range actions {
+		if h.state[action.Ticket] != entryQueued {
+			return fmt.Errorf("%v for ticket %x, which is %v", action.Kind, action.Ticket, h.state[action.Ticket])
+		}
+		if action.Kind == Reject {
+			if action.RetryAfter < 0 || action.RetryAfter > h.queue.options.maxRetryAfter() {
+				return fmt.Errorf("Retry-After is %v", action.RetryAfter)
+			}
+			h.state[action.Ticket], h.retryAfter[action.Ticket] = entryFree, action.RetryAfter
+			continue
+		}
+		h.state[action.Ticket], h.admittedAt[action.Ticket] = entryAdmitted, h.now
+		h.admitted = append(h.admitted, action.Ticket)
+	}
+	return h.checkInvariants()
+}
+
+func (h *harness) arrive(a Arrival) (Ticket, error) {
+	if a.Class == "" {
+		a.Class = "search"
+	}
+	if a.ArrivedAt == 0 {
+		a.ArrivedAt = h.now
+	}
+	if a.Deadline == 0 {
+		a.Deadline = h.now + time.Second
+	}
+	t, actions := h.queue.Arrive(h.now, a, nil)
+	h.state[t], h.bytes[t] = entryQueued, a.Bytes
+	return t, h.apply(actions)
+}
+
+// arriveMany brings n requests, and returns those that were neither admitted nor rejected.
+func (h *harness) arriveMany(t testing.TB, n int, a Arrival) (queued []Ticket) {
+	t.Helper()
+	for range n {
+		ticket, err := h.arrive(a)
+		mustSucceed(t, err)
+		if h.state[ticket] == entryQueued {
+			queued = append(queued, ticket)
+		}
+	}
+	return queued
+}
+
+func (h *harness) complete(t Ticket, outcome Outcome) error {
+	if h.state[t] == entryAdmitted {
+		h.state[t] = entryFree
+	}
+	return h.apply(h.queue.Done(h.now, t, outcome, nil))
+}
+
+func (h *harness) cancel(t Ticket) error {
+	if h.state[t] == entryQueued {
+		h.state[t] = entryFree
+	}
+	return h.apply(h.queue.Cancel(h.now, t, nil))
+}
+
+func (h *harness) wake() error { return h.apply(h.queue.Wake(h.now, nil)) }
+
+// checkInvariants compares the queue with its bounds, with what is known from outside, and with its own counts.
+func (h *harness) checkInvariants() error {
+	if err := h.checkStats(); err != nil {
+		return err
+	}
+	q, stats := h.queue, h.queue.Stats()
+	known, reservations, requests := 0, 0, 0
+	for _, g := range q.groups {
+		if !g.overflow {
+			known++
+		}
+		known += len(g.flows)
+		requests += g.queued + g.inFlight
+		held, err := q.checkGroup(g)
+		if err != nil {
+			return fmt.Errorf("group %q: %w", g.name, err)
+		}
+		reservations += held
+	}
+	if requests != stats.Queued+stats.InFlight {
+		return fmt.Errorf("%d requests belong to known groups, stats are %+v", requests, stats)
+	}
+	if known != stats.Principals || reservations != stats.Reservations {
+		return fmt.Errorf("%d known principals, %d reservations, stats are %+v", known, reservations, stats)
+	}
+	return nil
+}
+
+// checkStats compares the statistics with the bounds and with what is known from outside.
+func (h *harness) checkStats() error {
+	queued, inFlight, bytes := 0, 0, int64(0)
+	for t, s := range h.state {
+		switch s {
+		case entryQueued:
+			queued++
+			bytes += h.bytes[t]
+		case entryAdmitted:
+			inFlight++
+		case entryFree:
+			delete(h.state, t)
+			delete(h.bytes, t)
+		}
+	}
+	o, stats := &h.queue.options, h.queue.Stats()
+	switch {
+	case stats.Queued != queued || stats.InFlight != inFlight || stats.QueuedBytes != bytes:
+		return fmt.Errorf("stats are %+v, but %d are queued with %d bytes, and %d in flight", stats, queued, bytes, inFlight)
+	case stats.Queued > o.MaxQueued || stats.QueuedBytes > int64(o.MaxQueuedBytes) || stats.Principals > o.MaxPrincipals || stats.Reservations > o.MaxReservations:
+		return fmt.Errorf("over a bound: %+v", stats)
+	case stats.Queued > 0 && stats.InFlight < stats.Limit:
+		return fmt.Errorf("%d are queued while only %d of %d are in flight", stats.Queued, stats.InFlight, stats.Limit)
+	case stats.Limit < o.MinLimit || stats.Limit > o.MaxLimit:
+		return fmt.Errorf("limit %d", stats.Limit)
+	}
+	return nil
+}
+
+// checkGroup compares a group's counts with those of its flows, and returns the number of its reservations.
+func (q *Queue) checkGroup(g *group) (reservations int, _ error) {
+	if len(g.flows) > max(1, q.options.MaxPrincipals/groupFlowDivisor) {
+		return 0, fmt.Errorf("%d flows", len(g.flows))
+	}
+	flows := []*flow{&g.sharedFlow}
+	for _, f := range g.flows {
+		flows = append(flows, f)
+	}
+	queued, inFlight, active := 0, 0, 0
+	for _, f := range flows {
+		if err := f.check(); err != nil {
+			return 0, fmt.Errorf("flow %q: %w", f.name, err)
+		}
+		queued, inFlight, reservations = queued+f.queued, inFlight+f.inFlight, reservations+len(f.reservations)
+		if f.active() {
+			active++
+		}
+	}
+	if queued != g.queued || inFlight != g.inFlight || active != g.flowLevel.activeMembers || (g.queued > 0) != (g.readyIndex >= 0) {
+		return 0, fmt.Errorf("%d queued, %d in flight, %d active; %+v", queued, inFlight, active, g.member)
+	}
+	if !g.active() && len(g.flows) == 0 && len(g.sharedFlow.reservations) == 0 && !q.groupLevel.schedulerOf(&g.member).isAhead(&g.member) {
+		return 0, fmt.Errorf("known without a reason")
+	}
+	return reservations, nil
+}
+
+// check compares a flow's lists, counts and places in the priority queues.
+func (f *flow) check() error {
+	n := 0
+	for _, list := range f.lists {
+		for e := list.first; e != nil; e = e.next {
+			if e.flow != f || e.state != entryQueued || e.next == nil && list.last != e {
+				return fmt.Errorf("a request is not linked correctly")
+			}
+			n++
+		}
+	}
+	if n != f.queued || (f.queued > 0) != (f.readyIndex >= 0) || (f.queued > 0) != (f.loadIndex >= 0) || len(f.reservations) > maxFlowReservations {
+		return fmt.Errorf("%d requests in its lists, %+v", n, f.member)
+	}
+	if (len(f.reservations) > 0) != (f.expiryIndex >= 0) || math.IsNaN(f.finishTag) || f.readyIndex >= 0 && f.indebtedIndex >= 0 {
+		return fmt.Errorf("%+v", f)
+	}
+	return nil
+}
