--- a/internal/admission/controller/controller.go
+++ b/internal/admission/controller/controller.go
@@ -26,31 +26,31 @@
 
 // Controller is a door that can be waited at.
 type Controller struct {
-	clock clock.Clock
-	log   *slog.Logger
-	tells bool
+	clock          clock.Clock
+	log            *slog.Logger
+	sendRetryAfter bool
 
-	mu       sync.Mutex
-	door     *admission.Queue
-	by       admission.PrincipalSources
-	marked   string
-	open     bool // everybody goes on
-	waiting  map[admission.Ticket]chan admission.Action
-	acts     []admission.Action
-	timer    *time.Timer
-	due      time.Duration // what the timer is set to; 0: nothing
-	refusals int           // since the log spoke of them
-	last     time.Duration // when one was
-	lines    []line
+	mu               sync.Mutex
+	queue            *admission.Queue
+	principalSources admission.PrincipalSources
+	retryHeader      string
+	bypassed         bool // everybody goes on
+	waiters          map[admission.Ticket]chan admission.Action
+	actionBuffer     []admission.Action
+	timer            *time.Timer
+	timerAt          time.Duration // what the timer is set to; 0: nothing
+	rejections       int           // since the log spoke of them
+	lastRejection    time.Duration // when one was
+	logLines         []logLine
 }
 
-type line struct {
+type logLine struct {
 	text  string
 	attrs []any
 }
 
-// quiet is how long after the last refusal the log says that refusals have ended.
-const quiet = time.Second
+// rejectionsQuietAfter is how long after the last refusal the log says that refusals have ended.
+const rejectionsQuietAfter = time.Second
 
 // Options are a Keeper's parameters.
 type Options struct {
@@ -71,8 +71,8 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	k := &Controller{clock: o.Clock, log: o.Log, tells: o.SendRetryAfter, by: by, marked: o.Queue.RetryHeader, door: admission.New(o.Queue, o.Classes, o.Seed),
-		waiting: map[admission.Ticket]chan admission.Action{}}
+	k := &Controller{clock: o.Clock, log: o.Log, sendRetryAfter: o.SendRetryAfter, principalSources: by, retryHeader: o.Queue.RetryHeader, queue: admission.New(o.Queue, o.Classes, o.Seed),
+		waiters: map[admission.Ticket]chan admission.Action{}}
 	k.timer = time.AfterFunc(time.Hour, k.wake)
 	k.timer.Stop()
 	return k, nil
@@ -80,20 +80,20 @@
 
 // Permit is a request that went on. Its zero value is one that no door counts.
 type Permit struct {
-	k *Controller
-	t admission.Ticket
+	controller *Controller
+	ticket     admission.Ticket
 }
 
 // Done ends it. Only the first call counts.
 func (p Permit) Done(how admission.Outcome) {
-	if p.k == nil {
+	if p.controller == nil {
 		return
 	}
-	p.k.mu.Lock()
-	if !p.k.open {
-		p.k.do(p.k.door.Done(p.k.clock.Now(), p.t, how, p.k.acts[:0]))
+	p.controller.mu.Lock()
+	if !p.controller.bypassed {
+		p.controller.execute(p.controller.queue.Done(p.controller.clock.Now(), p.ticket, how, p.controller.actionBuffer[:0]))
 	}
-	p.k.unlock()
+	p.controller.unlock()
 }
 
 // OutcomeOf is what a final answer means to the door.
@@ -109,159 +109,159 @@
 
 // Acquire brings a request to the door, and returns once it goes on, is refused, or ctx has ended. Group and Flow of a are
 // filled in from who. RetryIn is a refused client's; 0: nothing is to be said.
-func (k *Controller) Acquire(ctx context.Context, who admission.Client, a admission.Arrival) (p Permit, v Verdict, retryIn time.Duration) {
-	k.mu.Lock()
-	if k.open {
-		k.unlock()
+func (c *Controller) Acquire(ctx context.Context, who admission.Client, a admission.Arrival) (p Permit, v Verdict, retryIn time.Duration) {
+	c.mu.Lock()
+	if c.bypassed {
+		c.unlock()
 		return Permit{}, Admitted, 0
 	}
-	a.Group, a.Flow = k.by.Names(who)
-	t, acts := k.door.Arrive(k.clock.Now(), a, k.acts[:0])
+	a.Group, a.Flow = c.principalSources.Names(who)
+	t, acts := c.queue.Arrive(c.clock.Now(), a, c.actionBuffer[:0])
 	for _, x := range acts {
 		if x.Ticket == t { // its own fate is known at once
-			k.do(acts)
-			k.unlock()
+			c.execute(acts)
+			c.unlock()
 			if x.Kind == admission.Admit {
-				return Permit{k, t}, Admitted, 0
+				return Permit{c, t}, Admitted, 0
 			}
-			return Permit{}, Rejected, k.told(x)
+			return Permit{}, Rejected, c.retryAfter(x)
 		}
 	}
 	mine := make(chan admission.Action, 1)
-	k.waiting[t] = mine
-	k.do(acts)
-	k.unlock()
+	c.waiters[t] = mine
+	c.execute(acts)
+	c.unlock()
 	select {
 	case x := <-mine:
-		return k.called(x)
+		return c.verdictOf(x)
 	case <-ctx.Done():
 	}
-	k.mu.Lock()
-	if _, waits := k.waiting[t]; waits {
-		delete(k.waiting, t)
-		k.do(k.door.Cancel(k.clock.Now(), t, k.acts[:0]))
-		k.unlock()
+	c.mu.Lock()
+	if _, waits := c.waiters[t]; waits {
+		delete(c.waiters, t)
+		c.execute(c.queue.Cancel(c.clock.Now(), t, c.actionBuffer[:0]))
+		c.unlock()
 		return Permit{}, ClientLeft, 0
 	}
-	k.unlock()
-	return k.called(<-mine) // it was called in the same moment: its caller finds its client gone
+	c.unlock()
+	return c.verdictOf(<-mine) // it was called in the same moment: its caller finds its client gone
 }
 
-func (k *Controller) called(x admission.Action) (Permit, Verdict, time.Duration) {
+func (c *Controller) verdictOf(x admission.Action) (Permit, Verdict, time.Duration) {
 	switch {
 	case x.Kind == admission.Reject:
-		return Permit{}, Rejected, k.told(x)
+		return Permit{}, Rejected, c.retryAfter(x)
 	case x.Ticket == 0:
 		return Permit{}, Admitted, 0
 	}
-	return Permit{k, x.Ticket}, Admitted, 0
+	return Permit{c, x.Ticket}, Admitted, 0
 }
 
-func (k *Controller) told(x admission.Action) time.Duration {
-	if !k.tells {
+func (c *Controller) retryAfter(x admission.Action) time.Duration {
+	if !c.sendRetryAfter {
 		return 0
 	}
 	return x.RetryAfter.Round(time.Millisecond)
 }
 
-// do carries out what the door said; the lock is held.
-func (k *Controller) do(acts []admission.Action) {
-	now := k.clock.Now()
+// execute carries out what the door said; the lock is held.
+func (c *Controller) execute(acts []admission.Action) {
+	now := c.clock.Now()
 	for _, x := range acts {
 		if x.Kind == admission.Reject {
-			k.refused(now, x)
+			c.noteRejection(now, x)
 		}
-		if c := k.waiting[x.Ticket]; c != nil {
-			delete(k.waiting, x.Ticket)
-			c <- x
+		if waiter := c.waiters[x.Ticket]; waiter != nil {
+			delete(c.waiters, x.Ticket)
+			waiter <- x
 		}
 	}
-	k.acts = acts[:0]
-	if k.refusals > 0 && now-k.last > quiet {
-		k.lines = append(k.lines, line{"the door: refusals have ended", []any{"refused", k.refusals}})
-		k.refusals = 0
+	c.actionBuffer = acts[:0]
+	if c.rejections > 0 && now-c.lastRejection > rejectionsQuietAfter {
+		c.logLines = append(c.logLines, logLine{"the door: refusals have ended", []any{"refused", c.rejections}})
+		c.rejections = 0
 	}
-	if at, ok := k.door.Next(); ok && at != k.due {
-		k.due = at
-		k.timer.Reset(at - now)
+	if at, ok := c.queue.Next(); ok && at != c.timerAt {
+		c.timerAt = at
+		c.timer.Reset(at - now)
 	}
 }
 
-// refused notes a refusal for the log: the first of a time of refusals is written, and their end with how many there were.
-func (k *Controller) refused(now time.Duration, x admission.Action) {
-	k.refusals++
-	k.last = now
-	if k.refusals == 1 {
-		v := k.door.Stats()
-		k.lines = append(k.lines, line{"the door: refusals begin", []any{"reason", x.Reason.String(), "waiting", v.Queued,
+// noteRejection notes a refusal for the log: the first of a time of refusals is written, and their end with how many there were.
+func (c *Controller) noteRejection(now time.Duration, x admission.Action) {
+	c.rejections++
+	c.lastRejection = now
+	if c.rejections == 1 {
+		v := c.queue.Stats()
+		c.logLines = append(c.logLines, logLine{"the door: refusals begin", []any{"reason", x.Reason.String(), "waiting", v.Queued,
 			"in_hand", v.InFlight, "limit", v.Limit, "principals", v.Principals}})
 	}
 }
 
 // unlock gives the door free, then writes what there was to say.
-func (k *Controller) unlock() {
-	lines := k.lines
-	k.lines = nil
-	k.mu.Unlock()
+func (c *Controller) unlock() {
+	lines := c.logLines
+	c.logLines = nil
+	c.mu.Unlock()
 	for _, l := range lines {
-		k.log.Info(l.text, l.attrs...)
+		c.log.Info(l.text, l.attrs...)
 	}
 }
 
-func (k *Controller) wake() {
-	k.mu.Lock()
-	defer k.unlock()
-	if !k.open {
-		k.due = 0
-		k.do(k.door.Wake(k.clock.Now(), k.acts[:0]))
+func (c *Controller) wake() {
+	c.mu.Lock()
+	defer c.unlock()
+	if !c.bypassed {
+		c.timerAt = 0
+		c.execute(c.queue.Wake(c.clock.Now(), c.actionBuffer[:0]))
 	}
 }
 
 // RetryHeader is the header by which clients mark repeats.
-func (k *Controller) RetryHeader() string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.marked
+func (c *Controller) RetryHeader() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.retryHeader
 }
 
 // Configure takes over other options, as door.Door.Configure tells.
-func (k *Controller) Configure(o admission.Options) error {
+func (c *Controller) Configure(o admission.Options) error {
 	by, err := admission.ParsePrincipalSources(o.PrincipalSources)
 	if err != nil {
 		return err
 	}
-	k.mu.Lock()
-	defer k.unlock()
-	if k.open {
+	c.mu.Lock()
+	defer c.unlock()
+	if c.bypassed {
 		return nil
 	}
-	k.by, k.marked = by, o.RetryHeader
-	k.door.Configure(k.clock.Now(), o)
-	k.do(k.door.Wake(k.clock.Now(), k.acts[:0])) // the limit may have risen
+	c.principalSources, c.retryHeader = by, o.RetryHeader
+	c.queue.Configure(c.clock.Now(), o)
+	c.execute(c.queue.Wake(c.clock.Now(), c.actionBuffer[:0])) // the limit may have risen
 	return nil
 }
 
 // AdmitAll lets on everybody who waits and whoever comes from now on: there is no door any more.
-func (k *Controller) AdmitAll() { k.end(admission.Action{Kind: admission.Admit}) }
+func (c *Controller) AdmitAll() { c.bypass(admission.Action{Kind: admission.Admit}) }
 
 // Close refuses everybody who waits, once: the process is about to be killed. Whoever comes from now on goes on, and has
 // its answer there.
-func (k *Controller) Close() { k.end(admission.Action{Kind: admission.Reject}) }
+func (c *Controller) Close() { c.bypass(admission.Action{Kind: admission.Reject}) }
 
-func (k *Controller) end(x admission.Action) {
-	k.mu.Lock()
-	defer k.unlock()
-	k.open = true
-	k.timer.Stop()
-	for t, c := range k.waiting {
-		delete(k.waiting, t)
-		c <- x
+func (c *Controller) bypass(x admission.Action) {
+	c.mu.Lock()
+	defer c.unlock()
+	c.bypassed = true
+	c.timer.Stop()
+	for t, waiter := range c.waiters {
+		delete(c.waiters, t)
+		waiter <- x
 	}
 }
 
 // Stats is what the door holds now.
-func (k *Controller) Stats() admission.Stats {
-	k.mu.Lock()
-	defer k.unlock()
-	return k.door.Stats()
+func (c *Controller) Stats() admission.Stats {
+	c.mu.Lock()
+	defer c.unlock()
+	return c.queue.Stats()
 }
--- a/internal/admission/controller/controller_test.go
+++ b/internal/admission/controller/controller_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func keeper(t *testing.T, change func(*Options)) *Controller {
+func newTestController(t *testing.T, change func(*Options)) *Controller {
 	t.Helper()
 	o := Options{Queue: admission.Default(), Classes: []balancer.Class{{Name: "search", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, LateValueFraction: 0.3}},
 		Clock: clock.New(), SendRetryAfter: true, Seed: 1}
@@ -37,20 +37,20 @@
 	return k
 }
 
-func (k *Controller) search(d time.Duration) admission.Arrival {
+func (k *Controller) newSearch(d time.Duration) admission.Arrival {
 	now := k.clock.Now()
 	return admission.Arrival{Class: "search", ArrivedAt: now, Deadline: now + d}
 }
 
 // In virtual time: who waits is refused at the very moment at which it can't be answered any more, who leaves is gone at
 // once, a place that gets free goes to the next, and the log tells when refusals begin and end.
-func TestMoments(t *testing.T) {
+func TestAcquireInVirtualTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log strings.Builder
-		k := keeper(t, func(o *Options) { o.Log = slog.New(slog.NewTextHandler(&log, nil)) })
+		k := newTestController(t, func(o *Options) { o.Log = slog.New(slog.NewTextHandler(&log, nil)) })
 		var held []Permit
 		for range 2 {
-			p, v, _ := k.Acquire(t.Context(), admission.Client{Tenant: "a"}, k.search(time.Second))
+			p, v, _ := k.Acquire(t.Context(), admission.Client{Tenant: "a"}, k.newSearch(time.Second))
 			if v != Admitted {
 				t.Fatal(v)
 			}
@@ -67,7 +67,7 @@
 		begun := k.clock.Now()
 		enter := func(ctx context.Context, who string, d time.Duration) {
 			go func() {
-				p, v, in := k.Acquire(ctx, admission.Client{Tenant: who}, k.search(d))
+				p, v, in := k.Acquire(ctx, admission.Client{Tenant: who}, k.newSearch(d))
 				ends <- end{v, in, p, k.clock.Now() - begun, who}
 			}()
 			synctest.Wait()
@@ -104,10 +104,10 @@
 
 // Many at once, some of whom leave, while options change: each has one verdict, nothing is held in the end, and a door that
 // is taken away or closed has nobody wait.
-func TestManyAtOnce(t *testing.T) {
+func TestConcurrentAcquire(t *testing.T) {
 	for name, end := range map[string]func(*Controller){"open": (*Controller).AdmitAll, "close": (*Controller).Close, "neither": nil} {
 		t.Run(name, func(t *testing.T) {
-			k := keeper(t, nil)
+			k := newTestController(t, nil)
 			var passed, refused, left atomic.Int64
 			var wg sync.WaitGroup
 			for i := range 50 {
@@ -118,7 +118,7 @@
 						if rng.IntN(4) == 0 {
 							time.AfterFunc(time.Duration(rng.IntN(2000))*time.Microsecond, cancel)
 						}
-						p, v, _ := k.Acquire(ctx, admission.Client{Tenant: fmt.Sprint(i % 7)}, k.search(time.Second))
+						p, v, _ := k.Acquire(ctx, admission.Client{Tenant: fmt.Sprint(i % 7)}, k.newSearch(time.Second))
 						switch v {
 						case Admitted:
 							passed.Add(1)
@@ -150,8 +150,8 @@
 			if sum := passed.Load() + refused.Load() + left.Load(); sum != 5000 || passed.Load() == 0 {
 				t.Errorf("%d verdicts, %d of them passed", sum, passed.Load())
 			}
-			if v := k.Stats(); end == nil && v.Queued+v.InFlight != 0 || len(k.waiting) != 0 {
-				t.Errorf("%+v, %d waiting", v, len(k.waiting))
+			if v := k.Stats(); end == nil && v.Queued+v.InFlight != 0 || len(k.waiters) != 0 {
+				t.Errorf("%+v, %d waiting", v, len(k.waiters))
 			}
 		})
 	}
