--- a/internal/admission/controller/controller_test.go
+++ b/internal/admission/controller/controller_test.go
@@ -21,94 +21,94 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func newTestController(t *testing.T, change func(*Options)) *Controller {
+func newTestController(t *testing.T, configure func(*Options)) *Controller {
 	t.Helper()
 	o := Options{Queue: admission.Default(), Classes: []balancer.Class{{Name: "search", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, LateValueFraction: 0.3}},
 		Clock: clock.New(), SendRetryAfter: true, Seed: 1}
 	o.Queue.MinLimit, o.Queue.MaxLimit, o.Queue.MaxQueued = 2, 2, 8
-	if change != nil {
-		change(&o)
+	if configure != nil {
+		configure(&o)
 	}
-	k, err := New(o)
+	c, err := New(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(k.Close)
-	return k
+	t.Cleanup(c.Close)
+	return c
 }
 
-func (k *Controller) newSearch(d time.Duration) admission.Arrival {
-	now := k.clock.Now()
-	return admission.Arrival{Class: "search", ArrivedAt: now, Deadline: now + d}
+func (c *Controller) newSearch(timeout time.Duration) admission.Arrival {
+	now := c.clock.Now()
+	return admission.Arrival{Class: "search", ArrivedAt: now, Deadline: now + timeout}
 }
 
-// In virtual time: who waits is refused at the very moment at which it can't be answered any more, who leaves is gone at
-// once, a place that gets free goes to the next, and the log tells when refusals begin and end.
+// A waiting request is rejected at the moment at which it can't be answered in time any more, a client that disconnects
+// is gone at once, free capacity goes to the next request, and the log says when rejections begin and end.
 func TestAcquireInVirtualTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log strings.Builder
-		k := newTestController(t, func(o *Options) { o.Log = slog.New(slog.NewTextHandler(&log, nil)) })
+		c := newTestController(t, func(o *Options) { o.Log = slog.New(slog.NewTextHandler(&log, nil)) })
 		var held []Permit
 		for range 2 {
-			p, v, _ := k.Acquire(t.Context(), admission.Client{Tenant: "a"}, k.newSearch(time.Second))
+			p, v, _ := c.Acquire(t.Context(), admission.Client{Tenant: "a"}, c.newSearch(time.Second))
 			if v != Admitted {
 				t.Fatal(v)
 			}
 			held = append(held, p)
 		}
-		type end struct {
-			v   Verdict
-			in  time.Duration
-			p   Permit
-			at  time.Duration
-			who string
+		type result struct {
+			client     string
+			permit     Permit
+			verdict    Verdict
+			retryAfter time.Duration
+			at         time.Duration
 		}
-		ends := make(chan end, 10)
-		begun := k.clock.Now()
-		enter := func(ctx context.Context, who string, d time.Duration) {
+		results := make(chan result, 10)
+		start := c.clock.Now()
+		acquire := func(ctx context.Context, client string, timeout time.Duration) {
 			go func() {
-				p, v, in := k.Acquire(ctx, admission.Client{Tenant: who}, k.newSearch(d))
-				ends <- end{v, in, p, k.clock.Now() - begun, who}
+				p, v, retryAfter := c.Acquire(ctx, admission.Client{Tenant: client}, c.newSearch(timeout))
+				results <- result{client, p, v, retryAfter, c.clock.Now() - start}
 			}()
 			synctest.Wait()
 		}
-		leaving, leave := context.WithCancel(t.Context())
-		enter(leaving, "leaves", time.Second)
-		enter(t.Context(), "waits", time.Second)
-		enter(t.Context(), "short", 300*time.Millisecond)
+		ctx, disconnect := context.WithCancel(t.Context())
+		acquire(ctx, "disconnects", time.Second)
+		acquire(t.Context(), "waits", time.Second)
+		acquire(t.Context(), "short", 300*time.Millisecond)
 		time.Sleep(100 * time.Millisecond)
-		leave()
-		if e := <-ends; e.who != "leaves" || e.v != ClientLeft || e.at != 100*time.Millisecond {
-			t.Errorf("%+v", e)
+		disconnect()
+		if r := <-results; r.client != "disconnects" || r.verdict != ClientLeft || r.at != 100*time.Millisecond {
+			t.Errorf("%+v", r)
 		}
-		if e := <-ends; e.who != "short" || e.v != Rejected || e.in <= 0 || e.at < 250*time.Millisecond || e.at > 300*time.Millisecond {
-			t.Errorf("%+v", e)
+		if r := <-results; r.client != "short" || r.verdict != Rejected || r.retryAfter <= 0 || r.at < 250*time.Millisecond || r.at > 300*time.Millisecond {
+			t.Errorf("%+v", r)
 		}
 		held[0].Done(admission.Completed)
 		held[0].Done(admission.Completed) // counts once
-		e := <-ends
-		if e.who != "waits" || e.v != Admitted {
-			t.Errorf("%+v", e)
+		r := <-results
+		if r.client != "waits" || r.verdict != Admitted {
+			t.Errorf("%+v", r)
 		}
-		if v := k.Stats(); v.InFlight != 2 || v.Queued != 0 {
-			t.Errorf("%+v", v)
+		if stats := c.Stats(); stats.InFlight != 2 || stats.Queued != 0 {
+			t.Errorf("%+v", stats)
 		}
 		time.Sleep(2 * time.Second)
 		held[1].Done(admission.Completed)
-		e.p.Done(admission.Completed)
+		r.permit.Done(admission.Completed)
 		if text := log.String(); !strings.Contains(text, "refusals begin") || !strings.Contains(text, "refusals have ended") {
 			t.Error(text)
 		}
 	})
 }
 
-// Many at once, some of whom leave, while options change: each has one verdict, nothing is held in the end, and a door that
-// is taken away or closed has nobody wait.
+// Concurrent requests, some of whose clients disconnect, while options change: each gets one verdict, nothing is in flight
+// in the end, and nothing waits after AdmitAll or Close.
 func TestConcurrentAcquire(t *testing.T) {
-	for name, end := range map[string]func(*Controller){"open": (*Controller).AdmitAll, "close": (*Controller).Close, "neither": nil} {
+	for name, end := range map[string]func(*Controller){"admit all": (*Controller).AdmitAll, "close": (*Controller).Close, "neither": nil} {
 		t.Run(name, func(t *testing.T) {
-			k := newTestController(t, nil)
-			var passed, refused, left atomic.Int64
+			c := newTestController(t, nil)
+			var admitted, rejected, disconnected atomic.Int64
 			var wg sync.WaitGroup
 			for i := range 50 {
 				wg.Go(func() {
@@ -118,40 +118,40 @@
 						if rng.IntN(4) == 0 {
 							time.AfterFunc(time.Duration(rng.IntN(2000))*time.Microsecond, cancel)
 						}
-						p, v, _ := k.Acquire(ctx, admission.Client{Tenant: fmt.Sprint(i % 7)}, k.newSearch(time.Second))
+						p, v, _ := c.Acquire(ctx, admission.Client{Tenant: fmt.Sprint(i % 7)}, c.newSearch(time.Second))
 						switch v {
 						case Admitted:
-							passed.Add(1)
+							admitted.Add(1)
 							if rng.IntN(8) == 0 {
 								time.Sleep(100 * time.Microsecond) // the work
 							}
 							p.Done(admission.Outcome(rng.IntN(3)))
 						case Rejected:
-							refused.Add(1)
+							rejected.Add(1)
 						case ClientLeft:
-							left.Add(1)
+							disconnected.Add(1)
 						}
 						cancel()
 						if i == 0 && n%10 == 0 {
 							o := admission.Default()
 							o.MinLimit, o.MaxLimit, o.MaxQueued = 2, 2+n/10, 8+n
 							o.Weights = []admission.Weight{{Name: "1", Weight: float64(n)}}
-							if err := k.Configure(o); err != nil {
+							if err := c.Configure(o); err != nil {
 								t.Error(err)
 							}
 						}
 						if i == 1 && n == 60 && end != nil {
-							end(k)
+							end(c)
 						}
 					}
 				})
 			}
 			wg.Wait()
-			if sum := passed.Load() + refused.Load() + left.Load(); sum != 5000 || passed.Load() == 0 {
-				t.Errorf("%d verdicts, %d of them passed", sum, passed.Load())
+			if sum := admitted.Load() + rejected.Load() + disconnected.Load(); sum != 5000 || admitted.Load() == 0 {
+				t.Errorf("%d verdicts, %d of them admitted", sum, admitted.Load())
 			}
-			if v := k.Stats(); end == nil && v.Queued+v.InFlight != 0 || len(k.waiters) != 0 {
-				t.Errorf("%+v, %d waiting", v, len(k.waiters))
+			if stats := c.Stats(); end == nil && stats.Queued+stats.InFlight != 0 || len(c.waiters) != 0 {
+				t.Errorf("%+v, %d waiting", stats, len(c.waiters))
 			}
 		})
 	}
