--- a/internal/simulation/admissionsim/result.go
+++ b/internal/simulation/admissionsim/result.go
@@ -1,7 +1,6 @@
 package admissionsim
 
 import (
-	"math"
 	"slices"
 	"time"
 )
@@ -18,9 +17,6 @@
 	Bins                                []float64     // answers in their aim, by time of the answer
 }
 
-// Share is the part of first requests that was answered in the aim.
-func (s *Seen) Share() float64 { return float64(s.InAim) / float64(max(1, s.First)) }
-
 // Quantile is of the time from the first try to the answer.
 func (s *Seen) Quantile(q float64) time.Duration {
 	if len(s.Took) == 0 {
@@ -57,15 +53,3 @@
 	}
 	return with / alone
 }
-
-// Spread is the largest of some figures over their mean.
-func Spread(x []float64) float64 {
-	sum, most := 0.0, 0.0
-	for _, v := range x {
-		sum, most = sum+v, math.Max(most, v)
-	}
-	if sum == 0 {
-		return 1
-	}
-	return most * float64(len(x)) / sum
-}
