--- a/internal/measure/door.go
+++ b/internal/measure/door.go
@@ -32,11 +32,11 @@
 // namedGate is a kind of gate by name.
 type namedGate struct {
 	name string
-	make func(seed uint64) admissionsim.Gate
+	make func(seed uint64) admissionsim.AdmissionControl
 }
 
-func ourDoor(change func(*admission.Options)) func(uint64) admissionsim.Gate {
-	return func(seed uint64) admissionsim.Gate {
+func ourDoor(change func(*admission.Options)) func(uint64) admissionsim.AdmissionControl {
+	return func(seed uint64) admissionsim.AdmissionControl {
 		o := admission.Default()
 		o.PrincipalSources = []string{"tenant"}
 		if change != nil {
@@ -50,22 +50,22 @@
 
 // disciplines are ours and those beside it, all but the first two with one fixed limit, so that the order alone differs.
 var disciplines = []namedGate{
-	{"no door", func(uint64) admissionsim.Gate {
+	{"no door", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(1<<30), 1<<30)
 	}},
-	{"FIFO", func(uint64) admissionsim.Gate {
+	{"FIFO", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(doorPlaces), 256)
 	}},
-	{"CoDel with adaptive LIFO", func(uint64) admissionsim.Gate {
+	{"CoDel with adaptive LIFO", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewCoDel(), admissionsim.Fixed(doorPlaces), 256)
 	}},
-	{"stochastic, 64 queues", func(uint64) admissionsim.Gate {
-		return admissionsim.NewQueue(admissionsim.NewShuffled(64, 1), admissionsim.Fixed(doorPlaces), 256)
+	{"stochastic, 64 queues", func(uint64) admissionsim.AdmissionControl {
+		return admissionsim.NewQueue(admissionsim.NewShuffleSharded(64, 1), admissionsim.Fixed(doorPlaces), 256)
 	}},
-	{"shuffle-sharded, hands of 6 of 64", func(uint64) admissionsim.Gate {
-		return admissionsim.NewQueue(admissionsim.NewShuffled(64, 6), admissionsim.Fixed(doorPlaces), 256)
+	{"shuffle-sharded, hands of 6 of 64", func(uint64) admissionsim.AdmissionControl {
+		return admissionsim.NewQueue(admissionsim.NewShuffleSharded(64, 6), admissionsim.Fixed(doorPlaces), 256)
 	}},
-	{"deficit round robin", func(uint64) admissionsim.Gate {
+	{"deficit round robin", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewDRR(), admissionsim.Fixed(doorPlaces), 256)
 	}},
 	{"door, the same fixed limit", ourDoor(func(o *admission.Options) { o.MinLimit, o.MaxLimit = doorPlaces, doorPlaces })},
@@ -74,19 +74,19 @@
 
 // limits are ours and those beside it, all with one principal.
 var limits = []namedGate{
-	{"fixed at 48", func(uint64) admissionsim.Gate {
+	{"fixed at 48", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(doorPlaces), 256)
 	}},
-	{"AIMD by the aim", func(uint64) admissionsim.Gate {
-		return admissionsim.NewQueue(admissionsim.NewFIFO(), &admissionsim.AIMD{Late: 200 * time.Millisecond}, 256)
+	{"AIMD by the aim", func(uint64) admissionsim.AdmissionControl {
+		return admissionsim.NewQueue(admissionsim.NewFIFO(), &admissionsim.AIMD{MaxLatency: 200 * time.Millisecond}, 256)
 	}},
-	{"gradient", func(uint64) admissionsim.Gate {
+	{"gradient", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewFIFO(), &admissionsim.Gradient{}, 256)
 	}},
-	{"rate x delay", func(uint64) admissionsim.Gate {
+	{"rate x delay", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewFIFO(), &admissionsim.RateDelay{}, 256)
 	}},
-	{"Vegas", func(uint64) admissionsim.Gate {
+	{"Vegas", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewFIFO(), &admissionsim.Vegas{}, 256)
 	}},
 	{"door", ourDoor(func(o *admission.Options) { o.PrincipalSources = []string{"tenant"} })},
@@ -94,13 +94,13 @@
 
 func quiet(n int, rate float64) (c []admissionsim.Client) {
 	for i := range n {
-		c = append(c, admissionsim.Client{Group: fmt.Sprintf("counter-%02d", i), Class: "search", Work: doorWork, Rate: rate, Tries: 3, Obeys: true})
+		c = append(c, admissionsim.Client{Group: fmt.Sprintf("counter-%02d", i), Class: "search", MeanServiceTime: doorWork, Rate: rate, MaxAttempts: 3, HonorsRetryAfter: true})
 	}
 	return c
 }
 
 func doorRun(clients []admissionsim.Client, slow func(time.Duration) float64, seed uint64) admissionsim.Run {
-	return admissionsim.Run{Nodes: doorNodes, Classes: doorClasses, Settings: doorSettings(), Clients: clients, Slow: slow,
+	return admissionsim.Run{Nodes: doorNodes, Classes: doorClasses, Settings: doorSettings(), Clients: clients, Slowdown: slow,
 		Length: doorSpan, Seed: seed}
 }
 
@@ -147,26 +147,26 @@
 func counted(r *admissionsim.Result, n int) float64 {
 	in, first := 0, 0
 	for _, c := range r.Clients[:n] {
-		in, first = in+c.InAim, first+c.First
+		in, first = in+c.WithinObjective, first+c.FirstRequests
 	}
 	return float64(in) / float64(max(1, first))
 }
 
 func answersOf(r *admissionsim.Result, n int) (x []float64) {
 	for _, c := range r.Clients[:n] {
-		x = append(x, float64(c.InAim))
+		x = append(x, float64(c.WithinObjective))
 	}
 	return x
 }
 
 // doorFair is the wish's own case, and equal demand above capacity.
 func doorFair(out io.Writer, rounds int) error {
-	flood := append(quiet(counters, 20), admissionsim.Client{Group: "script", Class: "search", Work: doorWork, Loops: 400,
-		Rate: 1200.0 / (counters + 1) * 50, Tries: 3})
+	flood := append(quiet(counters, 20), admissionsim.Client{Group: "script", Class: "search", MeanServiceTime: doorWork, ClosedLoops: 400,
+		Rate: 1200.0 / (counters + 1) * 50, MaxAttempts: 3})
 	greedy := quiet(counters, 120)
 	shops := quiet(counters, 20)
 	for i := range 200 {
-		shops = append(shops, admissionsim.Client{Group: "shop", Flow: fmt.Sprint(i), Class: "search", Work: doorWork, Rate: 30, Tries: 3})
+		shops = append(shops, admissionsim.Client{Group: "shop", Flow: fmt.Sprint(i), Class: "search", MeanServiceTime: doorWork, Rate: 30, MaxAttempts: 3})
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "discipline\tcounters in time\tof alone\tp99 ms\tscript's answers a second\tJain, 20 x 2 times capacity\tgoodput there\tkept of promised\twork wasted\t")
@@ -194,7 +194,7 @@
 		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.0f\t%.0f\t%.3f\t%.0f\t%.3f\t%.3f\t\n", g.name, in, admissionsim.RelativeTo(in, base),
 			medianOf(a, func(r *admissionsim.Result) float64 { return float64(r.Clients[0].Quantile(0.99).Milliseconds()) }),
 			medianOf(a, func(r *admissionsim.Result) float64 {
-				return float64(r.Clients[counters].InAim+r.Clients[counters].Late) / doorSpan.Seconds()
+				return float64(r.Clients[counters].WithinObjective+r.Clients[counters].Late) / doorSpan.Seconds()
 			}),
 			medianOf(b, func(r *admissionsim.Result) float64 { return admissionsim.Jain(answersOf(r, counters)) }),
 			medianOf(b, func(r *admissionsim.Result) float64 { return goodput(r) }),
@@ -206,7 +206,7 @@
 func goodput(r *admissionsim.Result) float64 {
 	n := 0
 	for _, c := range r.Clients {
-		n += c.InAim
+		n += c.WithinObjective
 	}
 	return float64(n) / doorSpan.Seconds()
 }
@@ -214,7 +214,7 @@
 func keptOf(r *admissionsim.Result) float64 {
 	told, kept := 0, 0
 	for _, c := range r.Clients {
-		told, kept = told+c.Told, kept+c.Kept
+		told, kept = told+c.ReservedReturns, kept+c.ReservedServed
 	}
 	return float64(kept) / float64(max(1, told))
 }
@@ -230,7 +230,7 @@
 		case 1:
 			hint = 10
 		}
-		clients = append(clients, admissionsim.Client{Group: fmt.Sprint(i), Class: "search", Work: doorWork, Rate: 200, Hint: hint, Tries: 1})
+		clients = append(clients, admissionsim.Client{Group: fmt.Sprint(i), Class: "search", MeanServiceTime: doorWork, Rate: 200, HintFactor: hint, MaxAttempts: 1})
 	}
 	all, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
 		return admissionsim.Play(doorRun(clients, nil, seed), ourDoor(nil)(seed))
@@ -242,9 +242,9 @@
 		return medianOf(all, func(r *admissionsim.Result) float64 {
 			honest := 0.0
 			for _, c := range r.Clients[2:] {
-				honest += c.Work.Seconds() / 10
+				honest += c.ServiceTime.Seconds() / 10
 			}
-			return r.Clients[i].Work.Seconds() / honest
+			return r.Clients[i].ServiceTime.Seconds() / honest
 		})
 	}
 	fmt.Fprintf(out, "work done for a client that hints a tenth: %.3f of an honest one's; that hints ten times: %.3f\n", share(0), share(1))
@@ -256,7 +256,7 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "limit\tgoodput at 0.7\tat 3 times\tmean in hand\tp50 ms\tslower by 8, of what can be\tin hand\tback, of 3 times\ts to 0.9 of it\t")
 	load := func(rate float64) []admissionsim.Client {
-		return []admissionsim.Client{{Group: "all", Class: "search", Work: doorWork, Rate: rate, Tries: 1}}
+		return []admissionsim.Client{{Group: "all", Class: "search", MeanServiceTime: doorWork, Rate: rate, MaxAttempts: 1}}
 	}
 	slow := func(t time.Duration) float64 {
 		if t >= 10*time.Second && t < 20*time.Second {
@@ -290,15 +290,19 @@
 			}
 			return sum / float64(to-from)
 		}
-		steady := medianOf(over, func(r *admissionsim.Result) float64 { return mean(r, 5, 30, r.Clients[0].Bins) })
+		steady := medianOf(over, func(r *admissionsim.Result) float64 { return mean(r, 5, 30, r.Clients[0].WithinObjectiveByInterval) })
 		fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.0f\t%.2f\t%.0f\t\n", g.name, medianOf(calm, goodput), steady,
-			medianOf(over, func(r *admissionsim.Result) float64 { return mean(r, 5, 30, r.InHand) }),
+			medianOf(over, func(r *admissionsim.Result) float64 { return mean(r, 5, 30, r.InFlightByInterval) }),
 			medianOf(over, func(r *admissionsim.Result) float64 { return float64(r.Clients[0].Quantile(0.5).Milliseconds()) }),
-			medianOf(eight, func(r *admissionsim.Result) float64 { return mean(r, 12, 20, r.Clients[0].Bins) / 150 }),
-			medianOf(eight, func(r *admissionsim.Result) float64 { return mean(r, 15, 20, r.InHand) }),
-			medianOf(eight, func(r *admissionsim.Result) float64 { return mean(r, 21, 30, r.Clients[0].Bins) / steady }),
 			medianOf(eight, func(r *admissionsim.Result) float64 {
-				for i, v := range r.Clients[0].Bins[20:30] {
+				return mean(r, 12, 20, r.Clients[0].WithinObjectiveByInterval) / 150
+			}),
+			medianOf(eight, func(r *admissionsim.Result) float64 { return mean(r, 15, 20, r.InFlightByInterval) }),
+			medianOf(eight, func(r *admissionsim.Result) float64 {
+				return mean(r, 21, 30, r.Clients[0].WithinObjectiveByInterval) / steady
+			}),
+			medianOf(eight, func(r *admissionsim.Result) float64 {
+				for i, v := range r.Clients[0].WithinObjectiveByInterval[20:30] {
 					if v >= 0.9*steady {
 						return float64(i)
 					}
@@ -316,7 +320,7 @@
 	for _, obeys := range []bool{false, true} {
 		clients := quiet(counters, 42)
 		for i := range clients {
-			clients[i].Obeys, clients[i].Marks, clients[i].Tries = obeys, true, 4
+			clients[i].HonorsRetryAfter, clients[i].MarksRetries, clients[i].MaxAttempts = obeys, true, 4
 			more := clients[i]
 			more.Rate, more.From, more.To = 138, 10*time.Second, 20*time.Second
 			clients = append(clients, more)
@@ -335,7 +339,7 @@
 			at := func(r *admissionsim.Result, from, to int) float64 {
 				sum := 0.0
 				for _, c := range r.Clients {
-					for _, v := range c.Bins[from:to] {
+					for _, v := range c.WithinObjectiveByInterval[from:to] {
 						sum += v
 					}
 				}
@@ -356,7 +360,7 @@
 				medianOf(all, func(r *admissionsim.Result) float64 {
 					asked, first := 0, 0
 					for _, c := range r.Clients[counters:] {
-						asked, first = asked+c.Asked, first+c.First
+						asked, first = asked+c.Attempts, first+c.FirstRequests
 					}
 					return float64(asked) / float64(max(1, first))
 				}), medianOf(all, keptOf))
--- a/internal/simulation/admissionsim/gate.go
+++ b/internal/simulation/admissionsim/admission.go
@@ -22,14 +22,14 @@
 		a.passed = true
 		switch seen := &s.out.Clients[a.client]; {
 		case a.tries == 1:
-			seen.Firsts++
+			seen.AdmittedFirst++
 		case !a.waited:
-			seen.Repeats++
+			seen.AdmittedRetries++
 		}
 		s.inHand++
 		s.asked[a.id] = a
 		s.module(balancer.Request{ID: a.id, Class: s.r.Clients[a.client].Class, Deadline: a.expires,
-			CostHint: time.Duration(s.r.Clients[a.client].Hint * float64(a.work))})
+			CostHint: time.Duration(s.r.Clients[a.client].HintFactor * float64(a.work))})
 	}
 	s.doActs = acts[:0]
 	if at, ok := s.gate.Next(); ok && at != s.wakeAt {
--- a/internal/simulation/admissionsim/disciplines.go
+++ b/internal/simulation/admissionsim/disciplines.go
@@ -174,8 +174,8 @@
 	finish float64
 }
 
-// NewShuffled returns one of so many queues, of which a principal has hand.
-func NewShuffled(queues, hand int) discipline {
+// NewShuffleSharded returns one of so many queues, of which a principal has hand.
+func NewShuffleSharded(queues, hand int) discipline {
 	return &shuffled{queues: make([]sq, queues), hand: hand, usual: 0.02}
 }
 
--- a/internal/simulation/admissionsim/limits.go
+++ b/internal/simulation/admissionsim/limits.go
@@ -9,17 +9,17 @@
 // Fixed is a Limit that stays.
 type Fixed int
 
-// Places is Limit's.
-func (f Fixed) Places() int { return int(f) }
+// Current is Limit's.
+func (f Fixed) Current() int { return int(f) }
 
-// Sample is Limit's.
-func (f Fixed) Sample(time.Duration, time.Duration, int, bool) {}
+// Observe is Limit's.
+func (f Fixed) Observe(time.Duration, time.Duration, int, bool) {}
 
 // places is a limit that moves.
 type places struct{ limit float64 }
 
-// Places is Limit's.
-func (p *places) Places() int {
+// Current is Limit's.
+func (p *places) Current() int {
 	if p.limit == 0 {
 		p.limit = 64
 	}
@@ -55,14 +55,14 @@
 
 // AIMD adds one for a limit's worth of answers in time, and takes two hundredths for one that is later than Late.
 type AIMD struct {
-	Late time.Duration
+	MaxLatency time.Duration
 	places
 }
 
-// Sample is Limit's.
-func (l *AIMD) Sample(_, took time.Duration, inHand int, turned bool) {
+// Observe is Limit's.
+func (l *AIMD) Observe(_, took time.Duration, inHand int, turned bool) {
 	switch {
-	case turned || took > l.Late:
+	case turned || took > l.MaxLatency:
 		l.set(l.limit * 0.98)
 	case float64(inHand)*2 > l.limit:
 		l.set(l.limit + 1/l.limit)
@@ -77,8 +77,8 @@
 	long float64
 }
 
-// Sample is Limit's.
-func (l *Gradient) Sample(now, took time.Duration, inHand int, _ bool) {
+// Observe is Limit's.
+func (l *Gradient) Observe(now, took time.Duration, inHand int, _ bool) {
 	r, ended := l.add(now, took, inHand, 100*time.Millisecond)
 	if !ended {
 		return
@@ -105,8 +105,8 @@
 	rates, delays []float64
 }
 
-// Sample is Limit's.
-func (l *RateDelay) Sample(now, took time.Duration, inHand int, turned bool) {
+// Observe is Limit's.
+func (l *RateDelay) Observe(now, took time.Duration, inHand int, turned bool) {
 	if turned {
 		return
 	}
@@ -129,8 +129,8 @@
 	base float64
 }
 
-// Sample is Limit's.
-func (l *Vegas) Sample(now, took time.Duration, inHand int, _ bool) {
+// Observe is Limit's.
+func (l *Vegas) Observe(now, took time.Duration, inHand int, _ bool) {
 	r, ended := l.add(now, took, inHand, 50*time.Millisecond)
 	if !ended {
 		return
--- a/internal/simulation/admissionsim/queue.go
+++ b/internal/simulation/admissionsim/queue.go
@@ -8,8 +8,8 @@
 
 // Limit is how many requests may be in hand beyond a Queue.
 type Limit interface {
-	Places() int
-	Sample(now, took time.Duration, inHand int, turned bool)
+	Current() int
+	Observe(now, took time.Duration, inHand int, turned bool)
 }
 
 // discipline orders what waits in a Queue.
@@ -68,7 +68,7 @@
 }
 
 func (q *Queue) serve(now time.Duration, acts []admission.Action) []admission.Action {
-	for q.n > 0 && q.in < q.limit.Places() {
+	for q.n > 0 && q.in < q.limit.Current() {
 		e := q.of.pop(now)
 		if e == nil {
 			break
@@ -94,7 +94,7 @@
 		return acts
 	}
 	delete(q.all, t)
-	q.limit.Sample(now, now-e.went, q.in, how == admission.RejectedByBalancer)
+	q.limit.Observe(now, now-e.went, q.in, how == admission.RejectedByBalancer)
 	q.in--
 	q.of.took(e, (now - e.went).Seconds())
 	return q.serve(now, acts)
--- a/internal/simulation/admissionsim/result.go
+++ b/internal/simulation/admissionsim/result.go
@@ -5,33 +5,33 @@
 	"time"
 )
 
-// Seen is what one client saw.
-type Seen struct {
-	First, InAim, Late, Refused, Failed int // first requests, and how they ended in the end
-	Asked                               int // with repeats
-	Told, Kept                          int // came back when promised, and were served then
-	Firsts, Repeats                     int // first tries, and others that came unbidden, that went on
-	Chanced, Lucky                      int // came back when told without a promise, and were served then
-	Took                                []time.Duration
-	Work                                time.Duration // that nodes did for it
-	Bins                                []float64     // answers in their aim, by time of the answer
+// ClientResult is what one client saw.
+type ClientResult struct {
+	FirstRequests, WithinObjective, Late, Rejected, Failed int // first requests, and how they ended in the end
+	Attempts                                               int // with repeats
+	ReservedReturns, ReservedServed                        int // came back when promised, and were served then
+	AdmittedFirst, AdmittedRetries                         int // first tries, and others that came unbidden, that went on
+	UnreservedReturns, UnreservedServed                    int // came back when told without a promise, and were served then
+	Latencies                                              []time.Duration
+	ServiceTime                                            time.Duration // that nodes did for it
+	WithinObjectiveByInterval                              []float64     // answers in their aim, by time of the answer
 }
 
 // Quantile is of the time from the first try to the answer.
-func (s *Seen) Quantile(q float64) time.Duration {
-	if len(s.Took) == 0 {
+func (s *ClientResult) Quantile(q float64) time.Duration {
+	if len(s.Latencies) == 0 {
 		return 0
 	}
-	slices.Sort(s.Took)
-	return s.Took[min(len(s.Took)-1, int(q*float64(len(s.Took))))]
+	slices.Sort(s.Latencies)
+	return s.Latencies[min(len(s.Latencies)-1, int(q*float64(len(s.Latencies))))]
 }
 
 // Result is what a run came to.
 type Result struct {
-	Clients []Seen
-	Busy    float64   // part of the nodes' time that was work
-	Wasted  float64   // part of it for answers that nobody waited for, or that were late
-	InHand  []float64 // mean number beyond the gate, by bin
+	Clients            []ClientResult
+	Utilization        float64   // part of the nodes' time that was work
+	Wasted             float64   // part of it for answers that nobody waited for, or that were late
+	InFlightByInterval []float64 // mean number beyond the gate, by bin
 }
 
 // Jain is R. Jain's index of fairness (1984) of some figures: 1 where all are equal, 1/n where one has all.
--- a/internal/simulation/admissionsim/simulation_test.go
+++ b/internal/simulation/admissionsim/simulation_test.go
@@ -16,9 +16,9 @@
 	work  = 20 * time.Millisecond // 1,200 a second are done
 )
 
-func play(t *testing.T, seconds int, clients []Client, slow func(time.Duration) float64, gate Gate) *Result {
+func play(t *testing.T, seconds int, clients []Client, slow func(time.Duration) float64, gate AdmissionControl) *Result {
 	t.Helper()
-	r, err := Play(Run{Nodes: nodes, Classes: classes, Clients: clients, Slow: slow, Length: time.Duration(seconds) * time.Second, Seed: 5,
+	r, err := Play(Run{Nodes: nodes, Classes: classes, Clients: clients, Slowdown: slow, Length: time.Duration(seconds) * time.Second, Seed: 5,
 		Settings: balancer.Settings{MaxAttempts: 3, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second,
 			ConnectTimeout: time.Second, Tick: time.Millisecond}}, gate)
 	if err != nil {
@@ -37,7 +37,7 @@
 
 func counters(n int, rate float64) (c []Client) {
 	for i := range n {
-		c = append(c, Client{Group: fmt.Sprint("counter-", i), Class: "search", Work: work, Rate: rate, Tries: 3, Obeys: true})
+		c = append(c, Client{Group: fmt.Sprint("counter-", i), Class: "search", MeanServiceTime: work, Rate: rate, MaxAttempts: 3, HonorsRetryAfter: true})
 	}
 	return c
 }
@@ -45,7 +45,7 @@
 func share(r *Result, from, to int) float64 {
 	in, first := 0, 0
 	for _, c := range r.Clients[from:to] {
-		in, first = in+c.InAim, first+c.First
+		in, first = in+c.WithinObjective, first+c.FirstRequests
 	}
 	return float64(in) / float64(max(1, first))
 }
@@ -54,7 +54,7 @@
 // each of its shapes; and beside one queue for all it is not, which shows that the load would do harm.
 func TestCountersBesideAFlood(t *testing.T) {
 	const n = 20
-	script := Client{Group: "script", Class: "search", Work: work, Rate: 50 * 1200 / (n + 1), Loops: 200, Tries: 3}
+	script := Client{Group: "script", Class: "search", MeanServiceTime: work, Rate: 50 * 1200 / (n + 1), ClosedLoops: 200, MaxAttempts: 3}
 	shape := func(change func(*Client)) Client {
 		c := script
 		change(&c)
@@ -66,11 +66,11 @@
 	}
 	for name, c := range map[string]Client{
 		"one name":           script,
-		"a name each time":   shape(func(c *Client) { c.Names = true }),
-		"tries without end":  shape(func(c *Client) { c.Tries = 30 }),
-		"hints a hundredth":  shape(func(c *Client) { c.Hint = 0.01 }),
-		"costs three times":  shape(func(c *Client) { c.Work, c.Rate = 3*work, c.Rate/3 }),
-		"comes back as told": shape(func(c *Client) { c.Obeys, c.Tries = true, 10 }),
+		"a name each time":   shape(func(c *Client) { c.FlowPerRequest = true }),
+		"tries without end":  shape(func(c *Client) { c.MaxAttempts = 30 }),
+		"hints a hundredth":  shape(func(c *Client) { c.HintFactor = 0.01 }),
+		"costs three times":  shape(func(c *Client) { c.MeanServiceTime, c.Rate = 3*work, c.Rate/3 }),
+		"comes back as told": shape(func(c *Client) { c.HonorsRetryAfter, c.MaxAttempts = true, 10 }),
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := play(t, 10, append(counters(n, 20), c), nil, ours(nil))
@@ -92,8 +92,8 @@
 	var got []float64
 	told, kept := 0, 0
 	for _, c := range r.Clients {
-		got = append(got, float64(c.InAim))
-		told, kept = told+c.Told, kept+c.Kept
+		got = append(got, float64(c.WithinObjective))
+		told, kept = told+c.ReservedReturns, kept+c.ReservedServed
 	}
 	if j := Jain(got); j < 0.98 {
 		t.Errorf("Jain's index %.3f of %v", j, got)
@@ -106,7 +106,7 @@
 	ratio := func(from, to int) float64 {
 		mine, others := 0.0, 0.0
 		for i, c := range r.Clients {
-			for _, v := range c.Bins[from:to] {
+			for _, v := range c.WithinObjectiveByInterval[from:to] {
 				if i == 0 {
 					mine += v
 				} else {
@@ -150,14 +150,14 @@
 	r := play(t, 24, counters(10, 240), slow, ours(nil))
 	rate := func(from, to int) (sum float64) {
 		for _, c := range r.Clients {
-			for _, v := range c.Bins[from:to] {
+			for _, v := range c.WithinObjectiveByInterval[from:to] {
 				sum += v
 			}
 		}
 		return sum / float64(to-from)
 	}
 	before, during, after := rate(3, 8), rate(11, 16), rate(18, 24)
-	if inHand := r.InHand[6]; inHand < nodes || inHand > 5*nodes { // the base is found at a start under load
+	if inHand := r.InFlightByInterval[6]; inHand < nodes || inHand > 5*nodes { // the base is found at a start under load
 		t.Errorf("%.0f in hand before", inHand)
 	}
 	t.Logf("%.0f a second before, %.0f during, %.0f after two seconds", before, during, after)
@@ -171,7 +171,7 @@
 func TestRetryStorm(t *testing.T) {
 	clients := counters(20, 42)
 	for i := range clients {
-		clients[i].Obeys, clients[i].Marks, clients[i].Tries = false, true, 8
+		clients[i].HonorsRetryAfter, clients[i].MarksRetries, clients[i].MaxAttempts = false, true, 8
 		more := clients[i]
 		more.Rate, more.From, more.To = 138, 5*time.Second, 12*time.Second
 		clients = append(clients, more)
@@ -180,7 +180,7 @@
 		r := play(t, 18, clients, nil, ours(func(o *admission.Options) { o.RetryRatio = budget }))
 		rate := func(from, to int) (sum float64) {
 			for _, c := range r.Clients {
-				for _, v := range c.Bins[from:to] {
+				for _, v := range c.WithinObjectiveByInterval[from:to] {
 					sum += v
 				}
 			}
@@ -191,7 +191,7 @@
 		}
 		firsts, repeats := 0, 0
 		for _, c := range r.Clients {
-			firsts, repeats = firsts+c.Firsts, repeats+c.Repeats
+			firsts, repeats = firsts+c.AdmittedFirst, repeats+c.AdmittedRetries
 		}
 		return float64(repeats) / float64(firsts)
 	}
@@ -202,15 +202,15 @@
 
 // A thousand clients that are refused in one moment and come back exactly when told don't come back together, and are served.
 func TestComingBackTogether(t *testing.T) {
-	clients := []Client{{Group: "counter", Class: "search", Work: work, Rate: 500}}
+	clients := []Client{{Group: "counter", Class: "search", MeanServiceTime: work, Rate: 500}}
 	for i := range 1000 {
-		clients = append(clients, Client{Group: fmt.Sprint(i), Class: "search", Work: work, Rate: 1e6, From: 3 * time.Second,
-			To: 3*time.Second + 2*time.Microsecond, Tries: 3, Obeys: true})
+		clients = append(clients, Client{Group: fmt.Sprint(i), Class: "search", MeanServiceTime: work, Rate: 1e6, From: 3 * time.Second,
+			To: 3*time.Second + 2*time.Microsecond, MaxAttempts: 3, HonorsRetryAfter: true})
 	}
 	r := play(t, 10, clients, nil, ours(func(o *admission.Options) { o.MaxQueued, o.MaxRetryAfter = 100, 5*time.Second }))
 	first, told, kept := 0, 0, 0
 	for _, c := range r.Clients[1:] {
-		first, told, kept = first+c.First, told+c.Told, kept+c.Kept
+		first, told, kept = first+c.FirstRequests, told+c.ReservedReturns, kept+c.ReservedServed
 	}
 	if first < 1000 || told < first/3 || float64(kept) < 0.9*float64(told) {
 		t.Errorf("of %d requests in one moment %d came when promised, %d of them were served", first, told, kept)
--- a/internal/simulation/admissionsim/upstreams.go
+++ b/internal/simulation/admissionsim/upstreams.go
@@ -42,7 +42,7 @@
 		limit = min(limit, x.Timeout)
 	}
 	s.At(s.Now()+limit, func() { s.outcome(at, balancer.Timeout) })
-	if len(n.queue) >= s.r.NodeQueue {
+	if len(n.queue) >= s.r.MaxNodeQueue {
 		s.At(s.Now()+wire, func() { s.outcome(at, balancer.Rejected) })
 		return
 	}
@@ -59,15 +59,15 @@
 			continue
 		}
 		factor := 1.0
-		if s.r.Slow != nil {
-			factor = s.r.Slow(s.Now() - origin)
+		if s.r.Slowdown != nil {
+			factor = s.r.Slowdown(s.Now() - origin)
 		}
 		took := time.Duration(float64(at.of.work) * factor)
 		n.busy = true
 		s.At(s.Now()+took, func() {
 			n.busy = false
 			s.busy += took
-			s.out.Clients[at.of.client].Work += took
+			s.out.Clients[at.of.client].ServiceTime += took
 			if at.ended || s.Now()-at.of.begun > s.class(&s.r.Clients[at.of.client]).LatencyObjective {
 				s.wasted += took
 			}
@@ -104,10 +104,10 @@
 	switch r {
 	case balancer.OK:
 		took := s.Now() - a.first
-		seen.Took = append(seen.Took, took)
+		seen.Latencies = append(seen.Latencies, took)
 		if s.Now()-a.begun <= s.class(&s.r.Clients[a.client]).LatencyObjective {
-			seen.InAim++
-			seen.Bins[s.bin()]++
+			seen.WithinObjective++
+			seen.WithinObjectiveByInterval[s.bin()]++
 		} else {
 			seen.Late++
 		}
