--- a/internal/simulation/admissionsim/admission.go
+++ b/internal/simulation/admissionsim/admission.go
@@ -7,38 +7,38 @@
 	"orchiddrift/internal/admission"
 )
 
-// act does what the gate said.
-func (s *sim) act(acts []admission.Action) {
+// executeAdmission does what the gate said.
+func (s *simulation) executeAdmission(acts []admission.Action) {
 	for _, x := range acts {
-		a := s.doors[x.Ticket]
+		a := s.byTicket[x.Ticket]
 		if a == nil {
 			continue
 		}
 		if x.Kind == admission.Reject {
-			delete(s.doors, x.Ticket)
-			s.refused(a, x.RetryAfter, x.Reserved)
+			delete(s.byTicket, x.Ticket)
+			s.handleRejection(a, x.RetryAfter, x.Reserved)
 			continue
 		}
-		a.passed = true
-		switch seen := &s.out.Clients[a.client]; {
-		case a.tries == 1:
+		a.admitted = true
+		switch seen := &s.result.Clients[a.client]; {
+		case a.number == 1:
 			seen.AdmittedFirst++
-		case !a.waited:
+		case !a.honoredRetryAfter:
 			seen.AdmittedRetries++
 		}
-		s.inHand++
-		s.asked[a.id] = a
-		s.module(balancer.Request{ID: a.id, Class: s.r.Clients[a.client].Class, Deadline: a.expires,
-			CostHint: time.Duration(s.r.Clients[a.client].HintFactor * float64(a.work))})
+		s.inFlightCount++
+		s.inFlight[a.id] = a
+		s.handleEvent(balancer.Request{ID: a.id, Class: s.run.Clients[a.client].Class, Deadline: a.deadline,
+			CostHint: time.Duration(s.run.Clients[a.client].HintFactor * float64(a.serviceTime))})
 	}
-	s.doActs = acts[:0]
-	if at, ok := s.gate.Next(); ok && at != s.wakeAt {
-		s.wakeAt = at
+	s.actionBuffer = acts[:0]
+	if at, ok := s.control.Next(); ok && at != s.controlWakeAt {
+		s.controlWakeAt = at
 		s.At(at, func() {
-			if s.wakeAt == at {
-				s.wakeAt = 0
-				acts := s.gate.Wake(s.Now(), nil)
-				s.act(acts)
+			if s.controlWakeAt == at {
+				s.controlWakeAt = 0
+				acts := s.control.Wake(s.Now(), nil)
+				s.executeAdmission(acts)
 			}
 		})
 	}
--- a/internal/simulation/admissionsim/disciplines.go
+++ b/internal/simulation/admissionsim/disciplines.go
@@ -9,31 +9,33 @@
 )
 
 // fifo is one queue for all.
-type fifo struct{ q []*held }
+type fifo struct{ queue []*queuedRequest }
 
 // NewFIFO returns one queue in the order of coming.
 func NewFIFO() discipline { return &fifo{} }
 
 // tailDrop is the usual rule.
-func tailDrop(e *held, waiting, most int) *held {
+func tailDrop(e *queuedRequest, waiting, most int) *queuedRequest {
 	if waiting >= most {
 		return e
 	}
 	return nil
 }
 
-func (f *fifo) full(e *held, waiting, most int) *held { return tailDrop(e, waiting, most) }
+func (f *fifo) evict(e *queuedRequest, waiting, most int) *queuedRequest {
+	return tailDrop(e, waiting, most)
+}
 
-func (f *fifo) push(e *held) { f.q = append(f.q, e) }
+func (f *fifo) enqueue(e *queuedRequest) { f.queue = append(f.queue, e) }
 
-func (f *fifo) took(*held, float64) {}
+func (f *fifo) observeCost(*queuedRequest, float64) {}
 
-func (f *fifo) pop(time.Duration) *held {
-	if len(f.q) == 0 {
+func (f *fifo) dequeue(time.Duration) *queuedRequest {
+	if len(f.queue) == 0 {
 		return nil
 	}
-	e := f.q[0]
-	f.q = f.q[1:]
+	e := f.queue[0]
+	f.queue = f.queue[1:]
 	return e
 }
 
@@ -41,7 +43,7 @@
 // give it for requests) with adaptive LIFO: while the queue has not been empty for an interval, the newest goes first and
 // what has waited longer than the target is passed over.
 type codel struct {
-	q         []*held
+	queue     []*queuedRequest
 	lastEmpty time.Duration
 	target    time.Duration
 	interval  time.Duration
@@ -52,32 +54,34 @@
 	return &codel{target: 5 * time.Millisecond, interval: 100 * time.Millisecond}
 }
 
-func (c *codel) full(e *held, waiting, most int) *held { return tailDrop(e, waiting, most) }
+func (c *codel) evict(e *queuedRequest, waiting, most int) *queuedRequest {
+	return tailDrop(e, waiting, most)
+}
 
-func (c *codel) push(e *held) { c.q = append(c.q, e) }
+func (c *codel) enqueue(e *queuedRequest) { c.queue = append(c.queue, e) }
 
-func (c *codel) took(*held, float64) {}
+func (c *codel) observeCost(*queuedRequest, float64) {}
 
-func (c *codel) pop(now time.Duration) *held {
-	if len(c.q) == 0 {
+func (c *codel) dequeue(now time.Duration) *queuedRequest {
+	if len(c.queue) == 0 {
 		c.lastEmpty = now
 		return nil
 	}
 	if now-c.lastEmpty < c.interval {
-		e := c.q[0]
-		if c.q = c.q[1:]; len(c.q) == 0 {
+		e := c.queue[0]
+		if c.queue = c.queue[1:]; len(c.queue) == 0 {
 			c.lastEmpty = now
 		}
 		return e
 	}
 	// Overloaded: what waited beyond the target is dropped from the old end by ending its time, one with each turn.
-	if old := c.q[0]; now-old.came > c.target && len(c.q) > 1 {
-		c.q = c.q[1:]
-		old.a.Deadline = 0
+	if old := c.queue[0]; now-old.arrivedAt > c.target && len(c.queue) > 1 {
+		c.queue = c.queue[1:]
+		old.arrival.Deadline = 0
 		return old
 	}
-	e := c.q[len(c.q)-1]
-	if c.q = c.q[:len(c.q)-1]; len(c.q) == 0 {
+	e := c.queue[len(c.queue)-1]
+	if c.queue = c.queue[:len(c.queue)-1]; len(c.queue) == 0 {
 		c.lastEmpty = now
 	}
 	return e
@@ -87,149 +91,149 @@
 type drr struct {
 	quantum float64
 	flows   map[string]*drrFlow
-	ring    []*drrFlow
+	active  []*drrFlow
 }
 
 type drrFlow struct {
-	q       []*held
-	deficit float64
-	usual   float64
+	queue    []*queuedRequest
+	deficit  float64
+	meanCost float64
 }
 
 // NewDRR returns one with a quantum of 20 ms of place.
 func NewDRR() discipline { return &drr{quantum: 0.02, flows: map[string]*drrFlow{}} }
 
-func (d *drr) push(e *held) {
-	name := e.a.Group + "\x00" + e.a.Flow
+func (d *drr) enqueue(e *queuedRequest) {
+	name := e.arrival.Group + "\x00" + e.arrival.Flow
 	f := d.flows[name]
 	if f == nil {
-		f = &drrFlow{usual: 0.02}
+		f = &drrFlow{meanCost: 0.02}
 		d.flows[name] = f
 	}
-	if len(f.q) == 0 {
+	if len(f.queue) == 0 {
 		f.deficit = 0
-		d.ring = append(d.ring, f)
+		d.active = append(d.active, f)
 	}
-	f.q = append(f.q, e)
+	f.queue = append(f.queue, e)
 }
 
-// full steals from the longest (McKenney's buffer stealing).
-func (d *drr) full(e *held, waiting, most int) *held {
+// evict steals from the longest (McKenney's buffer stealing).
+func (d *drr) evict(e *queuedRequest, waiting, most int) *queuedRequest {
 	if waiting < most {
 		return nil
 	}
-	longest := d.ring[0]
-	for _, f := range d.ring {
-		if len(f.q) > len(longest.q) {
+	longest := d.active[0]
+	for _, f := range d.active {
+		if len(f.queue) > len(longest.queue) {
 			longest = f
 		}
 	}
-	last := longest.q[len(longest.q)-1]
-	if len(longest.q) > 1 { // one that becomes empty would have to leave the ring
-		longest.q = longest.q[:len(longest.q)-1]
+	last := longest.queue[len(longest.queue)-1]
+	if len(longest.queue) > 1 { // one that becomes empty would have to leave the ring
+		longest.queue = longest.queue[:len(longest.queue)-1]
 		return last
 	}
 	return e
 }
 
-func (d *drr) pop(time.Duration) *held {
-	for range len(d.ring) * 1024 {
-		if len(d.ring) == 0 {
+func (d *drr) dequeue(time.Duration) *queuedRequest {
+	for range len(d.active) * 1024 {
+		if len(d.active) == 0 {
 			return nil
 		}
-		f := d.ring[0]
-		if f.deficit < f.usual {
+		f := d.active[0]
+		if f.deficit < f.meanCost {
 			f.deficit += d.quantum
-			d.ring = append(d.ring[1:], f)
+			d.active = append(d.active[1:], f)
 			continue
 		}
-		e := f.q[0]
-		f.q = f.q[1:]
-		f.deficit -= f.usual
-		if len(f.q) == 0 {
-			d.ring = d.ring[1:]
+		e := f.queue[0]
+		f.queue = f.queue[1:]
+		f.deficit -= f.meanCost
+		if len(f.queue) == 0 {
+			d.active = d.active[1:]
 		}
 		return e
 	}
 	return nil
 }
 
-func (d *drr) took(e *held, cost float64) {
-	f := d.flows[e.a.Group+"\x00"+e.a.Flow]
-	f.usual += (cost - f.usual) * 0.1
+func (d *drr) observeCost(e *queuedRequest, cost float64) {
+	f := d.flows[e.arrival.Group+"\x00"+e.arrival.Flow]
+	f.meanCost += (cost - f.meanCost) * 0.1
 }
 
-// shuffled is Kubernetes' API priority and fairness (KEP-1040) at one priority level: queues to which a principal is dealt
+// shuffleSharded is Kubernetes' API priority and fairness (KEP-1040) at one priority level: queues to which a principal is dealt
 // a hand by its name's hash, the shortest of the hand takes the request, and the queue whose next would finish first by
 // virtual time goes. With a hand of one it is stochastic fair queueing (P. McKenney, 1990).
-type shuffled struct {
-	queues []sq
-	hand   int
-	v      float64
-	usual  float64
+type shuffleSharded struct {
+	shards      []shard
+	handSize    int
+	virtualTime float64
+	meanCost    float64
 }
 
-type sq struct {
-	q      []*held
+type shard struct {
+	queue  []*queuedRequest
 	finish float64
 }
 
 // NewShuffleSharded returns one of so many queues, of which a principal has hand.
 func NewShuffleSharded(queues, hand int) discipline {
-	return &shuffled{queues: make([]sq, queues), hand: hand, usual: 0.02}
+	return &shuffleSharded{shards: make([]shard, queues), handSize: hand, meanCost: 0.02}
 }
 
-// full turns away who would go to a queue that has its part of all that may wait, as Kubernetes' queueLengthLimit; each
+// evict turns away who would go to a queue that has its part of all that may wait, as Kubernetes' queueLengthLimit; each
 // may have three times the even part, since most are empty.
-func (s *shuffled) full(e *held, waiting, most int) *held {
-	if len(s.queues[s.pick(e)].q) >= 3*most/len(s.queues) {
+func (s *shuffleSharded) evict(e *queuedRequest, waiting, most int) *queuedRequest {
+	if len(s.shards[s.shardOf(e)].queue) >= 3*most/len(s.shards) {
 		return e
 	}
 	return nil
 }
 
-// pick is the shortest queue of a principal's hand.
-func (s *shuffled) pick(e *held) int {
-	rng := rand.New(rand.NewPCG(xxhash.Sum64String(e.a.Group+"\x00"+e.a.Flow), 1))
+// shardOf is the shortest queue of a principal's hand.
+func (s *shuffleSharded) shardOf(e *queuedRequest) int {
+	rng := rand.New(rand.NewPCG(xxhash.Sum64String(e.arrival.Group+"\x00"+e.arrival.Flow), 1))
 	best, least := 0, math.MaxInt
-	for _, i := range rng.Perm(len(s.queues))[:s.hand] {
-		if n := len(s.queues[i].q); n < least {
+	for _, i := range rng.Perm(len(s.shards))[:s.handSize] {
+		if n := len(s.shards[i].queue); n < least {
 			best, least = i, n
 		}
 	}
 	return best
 }
 
-func (s *shuffled) push(e *held) {
-	best := s.pick(e)
-	q := &s.queues[best]
-	if len(q.q) == 0 {
-		q.finish = max(q.finish, s.v)
+func (s *shuffleSharded) enqueue(e *queuedRequest) {
+	best := s.shardOf(e)
+	q := &s.shards[best]
+	if len(q.queue) == 0 {
+		q.finish = max(q.finish, s.virtualTime)
 	}
-	e.queue = best
-	q.q = append(q.q, e)
+	e.shard = best
+	q.queue = append(q.queue, e)
 }
 
-func (s *shuffled) pop(time.Duration) *held {
+func (s *shuffleSharded) dequeue(time.Duration) *queuedRequest {
 	best := -1
-	for i := range s.queues {
-		if len(s.queues[i].q) > 0 && (best < 0 || s.queues[i].finish < s.queues[best].finish) {
+	for i := range s.shards {
+		if len(s.shards[i].queue) > 0 && (best < 0 || s.shards[i].finish < s.shards[best].finish) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return nil
 	}
-	q := &s.queues[best]
-	s.v = max(s.v, q.finish)
-	e := q.q[0]
-	q.q = q.q[1:]
-	e.charged = s.usual
-	q.finish += s.usual
+	q := &s.shards[best]
+	s.virtualTime = max(s.virtualTime, q.finish)
+	e := q.queue[0]
+	q.queue = q.queue[1:]
+	e.chargedCost = s.meanCost
+	q.finish += s.meanCost
 	return e
 }
 
-func (s *shuffled) took(e *held, cost float64) {
-	s.queues[e.queue].finish += cost - e.charged
-	s.usual += (cost - s.usual) * 0.05
+func (s *shuffleSharded) observeCost(e *queuedRequest, cost float64) {
+	s.shards[e.shard].finish += cost - e.chargedCost
+	s.meanCost += (cost - s.meanCost) * 0.05
 }
--- a/internal/simulation/admissionsim/queue.go
+++ b/internal/simulation/admissionsim/queue.go
@@ -14,74 +14,74 @@
 
 // discipline orders what waits in a Queue.
 type discipline interface {
-	push(e *held)
-	pop(now time.Duration) *held // nil: nothing
-	took(e *held, cost float64)
+	enqueue(e *queuedRequest)
+	dequeue(now time.Duration) *queuedRequest // nil: nothing
+	observeCost(e *queuedRequest, cost float64)
 	// full makes room for e among the most that may wait: it takes out who gives way, e or another; nil: there is room.
-	full(e *held, waiting, most int) *held
+	evict(e *queuedRequest, waiting, most int) *queuedRequest
 }
 
-type held struct {
-	ticket  admission.Ticket
-	a       admission.Arrival
-	came    time.Duration
-	went    time.Duration
-	waits   bool
-	queue   int
-	charged float64
+type queuedRequest struct {
+	ticket      admission.Ticket
+	arrival     admission.Arrival
+	arrivedAt   time.Duration
+	admittedAt  time.Duration
+	queued      bool
+	shard       int
+	chargedCost float64
 }
 
 // Queue is a Gate of a discipline and a limit. What waits longer than its client does is refused, and so is what comes
 // when Most wait. It tells nobody when to come back.
 type Queue struct {
-	of    discipline
-	limit Limit
-	most  int
-	n     int
-	in    int
-	next  admission.Ticket
-	all   map[admission.Ticket]*held
+	discipline discipline
+	limit      Limit
+	maxQueued  int
+	queued     int
+	inFlight   int
+	lastTicket admission.Ticket
+	requests   map[admission.Ticket]*queuedRequest
 }
 
 // NewQueue returns one in which at most so many wait.
 func NewQueue(of discipline, limit Limit, most int) *Queue {
-	return &Queue{of: of, limit: limit, most: most, all: map[admission.Ticket]*held{}}
+	return &Queue{discipline: of, limit: limit, maxQueued: most, requests: map[admission.Ticket]*queuedRequest{}}
 }
 
 // Arrive is Gate's.
 func (q *Queue) Arrive(now time.Duration, a admission.Arrival, acts []admission.Action) (admission.Ticket, []admission.Action) {
-	q.next++
-	t := q.next
-	e := &held{ticket: t, a: a, came: now, waits: true}
-	if out := q.of.full(e, q.n, q.most); out != nil {
+	q.lastTicket++
+	t := q.lastTicket
+	e := &queuedRequest{ticket: t, arrival: a, arrivedAt: now, queued: true}
+	if out := q.discipline.evict(e, q.queued, q.maxQueued); out != nil {
 		acts = append(acts, admission.Action{Kind: admission.Reject, Ticket: out.ticket, Reason: admission.QueueFull})
 		if out == e {
 			return t, acts
 		}
-		delete(q.all, out.ticket)
-		q.n--
+		delete(q.requests, out.ticket)
+		q.queued--
 	}
-	q.all[t] = e
-	q.n++
-	q.of.push(e)
-	return t, q.serve(now, acts)
+	q.requests[t] = e
+	q.queued++
+	q.discipline.enqueue(e)
+	return t, q.dispatch(now, acts)
 }
 
-func (q *Queue) serve(now time.Duration, acts []admission.Action) []admission.Action {
-	for q.n > 0 && q.in < q.limit.Current() {
-		e := q.of.pop(now)
+func (q *Queue) dispatch(now time.Duration, acts []admission.Action) []admission.Action {
+	for q.queued > 0 && q.inFlight < q.limit.Current() {
+		e := q.discipline.dequeue(now)
 		if e == nil {
 			break
 		}
-		q.n--
-		e.waits = false
-		if now >= e.a.Deadline {
-			delete(q.all, e.ticket)
+		q.queued--
+		e.queued = false
+		if now >= e.arrival.Deadline {
+			delete(q.requests, e.ticket)
 			acts = append(acts, admission.Action{Kind: admission.Reject, Ticket: e.ticket, Reason: admission.QueueTimeout})
 			continue
 		}
-		e.went = now
-		q.in++
+		e.admittedAt = now
+		q.inFlight++
 		acts = append(acts, admission.Action{Kind: admission.Admit, Ticket: e.ticket})
 	}
 	return acts
@@ -89,20 +89,20 @@
 
 // Done is Gate's.
 func (q *Queue) Done(now time.Duration, t admission.Ticket, how admission.Outcome, acts []admission.Action) []admission.Action {
-	e := q.all[t]
+	e := q.requests[t]
 	if e == nil {
 		return acts
 	}
-	delete(q.all, t)
-	q.limit.Observe(now, now-e.went, q.in, how == admission.RejectedByBalancer)
-	q.in--
-	q.of.took(e, (now - e.went).Seconds())
-	return q.serve(now, acts)
+	delete(q.requests, t)
+	q.limit.Observe(now, now-e.admittedAt, q.inFlight, how == admission.RejectedByBalancer)
+	q.inFlight--
+	q.discipline.observeCost(e, (now - e.admittedAt).Seconds())
+	return q.dispatch(now, acts)
 }
 
 // Wake is Gate's.
 func (q *Queue) Wake(now time.Duration, acts []admission.Action) []admission.Action {
-	return q.serve(now, acts)
+	return q.dispatch(now, acts)
 }
 
 // Next is Gate's.
--- a/internal/simulation/admissionsim/simulation.go
+++ b/internal/simulation/admissionsim/simulation.go
@@ -48,61 +48,61 @@
 }
 
 const (
-	wire   = 300 * time.Microsecond // one way and back
-	origin = virtualtime.Origin
+	networkDelay = 300 * time.Microsecond // one way and back
+	origin       = virtualtime.Origin
 )
 
-// asked is one try of a client's request.
-type asked struct {
-	id       string
-	client   int
-	loop     bool
-	work     time.Duration
-	first    time.Duration // when the first try was made
-	begun    time.Duration // this one
-	expires  time.Duration
-	tries    int
-	print    uint64
-	ticket   admission.Ticket
-	passed   bool
-	ended    bool
-	attempts []*attempt
-	waited   bool // it has come when it was told
-	promised bool // and that was a promise
+// clientAttempt is one try of a client's request.
+type clientAttempt struct {
+	id                string
+	client            int
+	closedLoop        bool
+	serviceTime       time.Duration
+	firstSentAt       time.Duration // when the first try was made
+	sentAt            time.Duration // this one
+	deadline          time.Duration
+	number            int
+	fingerprint       uint64
+	ticket            admission.Ticket
+	admitted          bool
+	answered          bool
+	attempts          []*upstreamAttempt
+	honoredRetryAfter bool // it has come when it was told
+	reserved          bool // and that was a promise
 }
 
-type attempt struct {
-	of     *asked
-	number int
-	node   *node
-	sent   time.Duration
-	ended  bool
+type upstreamAttempt struct {
+	request   *clientAttempt
+	number    int
+	node      *node
+	startedAt time.Duration
+	ended     bool
 }
 
 type node struct {
 	name  string
-	queue []*attempt
+	queue []*upstreamAttempt
 	busy  bool
 }
 
-type sim struct {
-	r    Run
-	gate AdmissionControl
-	b    *balancer.Balancer
-	rng  *rand.Rand
+type simulation struct {
+	run      Run
+	control  AdmissionControl
+	balancer *balancer.Balancer
+	rng      *rand.Rand
 	*virtualtime.Time
-	nodes  map[string]*node
-	asked  map[string]*asked
-	doors  map[admission.Ticket]*asked
-	ids    int
-	prints uint64
-	out    Result
-	wakeAt time.Duration
-	timer  time.Duration
-	inHand int
-	busy   time.Duration
-	wasted time.Duration
-	doActs []admission.Action
+	nodes           map[string]*node
+	inFlight        map[string]*clientAttempt
+	byTicket        map[admission.Ticket]*clientAttempt
+	lastID          int
+	lastFingerprint uint64
+	result          Result
+	controlWakeAt   time.Duration
+	balancerTimerAt time.Duration
+	inFlightCount   int
+	serviceTime     time.Duration
+	wastedTime      time.Duration
+	actionBuffer    []admission.Action
 }
 
 // Play plays a run through a gate.
@@ -118,47 +118,47 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &sim{r: r, gate: gate, b: b, rng: rand.New(rand.NewPCG(r.Seed, 7)), Time: virtualtime.New(), nodes: map[string]*node{},
-		asked: map[string]*asked{}, doors: map[admission.Ticket]*asked{}}
-	s.out.Clients = make([]ClientResult, len(r.Clients))
+	s := &simulation{run: r, control: gate, balancer: b, rng: rand.New(rand.NewPCG(r.Seed, 7)), Time: virtualtime.New(), nodes: map[string]*node{},
+		inFlight: map[string]*clientAttempt{}, byTicket: map[admission.Ticket]*clientAttempt{}}
+	s.result.Clients = make([]ClientResult, len(r.Clients))
 	bins := int(r.Length/r.Interval) + 2
-	s.out.InFlightByInterval = make([]float64, bins)
+	s.result.InFlightByInterval = make([]float64, bins)
 	var list []balancer.Endpoint
 	for i := range r.Nodes {
 		n := &node{name: fmt.Sprintf("n%03d", i)}
 		s.nodes[n.name] = n
 		list = append(list, balancer.Endpoint{Name: n.name})
 	}
-	s.module(balancer.EndpointUpdate{Kind: balancer.FullUpdate, Endpoints: list})
+	s.handleEvent(balancer.EndpointUpdate{Kind: balancer.FullUpdate, Endpoints: list})
 	for i := range r.Clients {
-		s.out.Clients[i].WithinObjectiveByInterval = make([]float64, bins)
-		s.begin(i)
+		s.result.Clients[i].WithinObjectiveByInterval = make([]float64, bins)
+		s.startTraffic(i)
 	}
 	for t := time.Duration(0); t < r.Length; t += 10 * time.Millisecond {
 		s.At(origin+t, func() {
-			s.out.InFlightByInterval[s.bin()] += float64(s.inHand) / float64(r.Interval/(10*time.Millisecond))
+			s.result.InFlightByInterval[s.interval()] += float64(s.inFlightCount) / float64(r.Interval/(10*time.Millisecond))
 		})
 	}
 	s.Run(r.Length)
 	span := r.Length * time.Duration(r.Nodes)
-	s.out.Utilization, s.out.Wasted = float64(s.busy)/float64(span), float64(s.wasted)/float64(span)
-	return &s.out, nil
+	s.result.Utilization, s.result.Wasted = float64(s.serviceTime)/float64(span), float64(s.wastedTime)/float64(span)
+	return &s.result, nil
 }
 
-func (s *sim) bin() int {
-	return min(len(s.out.InFlightByInterval)-1, int((s.Now()-origin)/s.r.Interval))
+func (s *simulation) interval() int {
+	return min(len(s.result.InFlightByInterval)-1, int((s.Now()-origin)/s.run.Interval))
 }
 
-func (s *sim) open(c *Client) bool {
+func (s *simulation) sending(c *Client) bool {
 	t := s.Now() - origin
 	return t >= c.From && (c.To == 0 || t < c.To)
 }
 
-func (s *sim) class(c *Client) *balancer.Class {
-	for i := range s.r.Classes {
-		if s.r.Classes[i].Name == c.Class {
-			return &s.r.Classes[i]
+func (s *simulation) class(c *Client) *balancer.Class {
+	for i := range s.run.Classes {
+		if s.run.Classes[i].Name == c.Class {
+			return &s.run.Classes[i]
 		}
 	}
-	return &s.r.Classes[0]
+	return &s.run.Classes[0]
 }
--- a/internal/simulation/admissionsim/simulation_test.go
+++ b/internal/simulation/admissionsim/simulation_test.go
@@ -12,13 +12,13 @@
 var classes = []balancer.Class{{Name: "search", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, LateValueFraction: 0.3}}
 
 const (
-	nodes = 24
-	work  = 20 * time.Millisecond // 1,200 a second are done
+	nodeCount       = 24
+	meanServiceTime = 20 * time.Millisecond // 1,200 a second are done
 )
 
 func play(t *testing.T, seconds int, clients []Client, slow func(time.Duration) float64, gate AdmissionControl) *Result {
 	t.Helper()
-	r, err := Play(Run{Nodes: nodes, Classes: classes, Clients: clients, Slowdown: slow, Length: time.Duration(seconds) * time.Second, Seed: 5,
+	r, err := Play(Run{Nodes: nodeCount, Classes: classes, Clients: clients, Slowdown: slow, Length: time.Duration(seconds) * time.Second, Seed: 5,
 		Settings: balancer.Settings{MaxAttempts: 3, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second,
 			ConnectTimeout: time.Second, Tick: time.Millisecond}}, gate)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return r
 }
 
-func ours(change func(*admission.Options)) *admission.Queue {
+func newAdmissionQueue(change func(*admission.Options)) *admission.Queue {
 	o := admission.Default()
 	if change != nil {
 		change(&o)
@@ -35,9 +35,9 @@
 	return admission.New(o, classes, 5)
 }
 
-func counters(n int, rate float64) (c []Client) {
+func quietClients(n int, rate float64) (c []Client) {
 	for i := range n {
-		c = append(c, Client{Group: fmt.Sprint("counter-", i), Class: "search", MeanServiceTime: work, Rate: rate, MaxAttempts: 3, HonorsRetryAfter: true})
+		c = append(c, Client{Group: fmt.Sprint("counter-", i), Class: "search", MeanServiceTime: meanServiceTime, Rate: rate, MaxAttempts: 3, HonorsRetryAfter: true})
 	}
 	return c
 }
@@ -52,15 +52,15 @@
 
 // The wish's cases: a quiet counter is served within its wanted time at least 0.98 of what it gets alone, beside a script in
 // each of its shapes; and beside one queue for all it is not, which shows that the load would do harm.
-func TestCountersBesideAFlood(t *testing.T) {
+func TestQuietClientsBesideFlood(t *testing.T) {
 	const n = 20
-	script := Client{Group: "script", Class: "search", MeanServiceTime: work, Rate: 50 * 1200 / (n + 1), ClosedLoops: 200, MaxAttempts: 3}
+	script := Client{Group: "script", Class: "search", MeanServiceTime: meanServiceTime, Rate: 50 * 1200 / (n + 1), ClosedLoops: 200, MaxAttempts: 3}
 	shape := func(change func(*Client)) Client {
 		c := script
 		change(&c)
 		return c
 	}
-	alone := share(play(t, 10, counters(n, 20), nil, ours(nil)), 0, n)
+	alone := share(play(t, 10, quietClients(n, 20), nil, newAdmissionQueue(nil)), 0, n)
 	if alone < 0.97 {
 		t.Fatalf("alone %.3f", alone)
 	}
@@ -69,26 +69,26 @@
 		"a name each time":   shape(func(c *Client) { c.FlowPerRequest = true }),
 		"tries without end":  shape(func(c *Client) { c.MaxAttempts = 30 }),
 		"hints a hundredth":  shape(func(c *Client) { c.HintFactor = 0.01 }),
-		"costs three times":  shape(func(c *Client) { c.MeanServiceTime, c.Rate = 3*work, c.Rate/3 }),
+		"costs three times":  shape(func(c *Client) { c.MeanServiceTime, c.Rate = 3*meanServiceTime, c.Rate/3 }),
 		"comes back as told": shape(func(c *Client) { c.HonorsRetryAfter, c.MaxAttempts = true, 10 }),
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := play(t, 10, append(counters(n, 20), c), nil, ours(nil))
+			r := play(t, 10, append(quietClients(n, 20), c), nil, newAdmissionQueue(nil))
 			if got := share(r, 0, n); got < 0.98*alone {
 				t.Errorf("counters %.3f, alone %.3f", got, alone)
 			}
 		})
 	}
-	if got := share(play(t, 10, append(counters(n, 20), script), nil, NewQueue(NewFIFO(), Fixed(2*nodes), 256)), 0, n); got > 0.5 {
+	if got := share(play(t, 10, append(quietClients(n, 20), script), nil, NewQueue(NewFIFO(), Fixed(2*nodeCount), 256)), 0, n); got > 0.5 {
 		t.Errorf("behind one queue the counters get %.3f: no flood", got)
 	}
 }
 
 // Equal demand above what can be done is shared equally, unequal weights in proportion, also when they change mid-flood; who
 // comes when promised is served.
-func TestShares(t *testing.T) {
+func TestFairShares(t *testing.T) {
 	const n = 10
-	r := play(t, 10, counters(n, 240), nil, ours(nil))
+	r := play(t, 10, quietClients(n, 240), nil, newAdmissionQueue(nil))
 	var got []float64
 	told, kept := 0, 0
 	for _, c := range r.Clients {
@@ -101,8 +101,8 @@
 	if told < 1000 || float64(kept) < 0.9*float64(told) {
 		t.Errorf("%d of %d who came when promised were served", kept, told)
 	}
-	gate := &reweighed{Queue: ours(nil), at: time.Hour + 5*time.Second}
-	r = play(t, 10, counters(n, 240), nil, gate)
+	gate := &reweighedQueue{Queue: newAdmissionQueue(nil), at: time.Hour + 5*time.Second}
+	r = play(t, 10, quietClients(n, 240), nil, gate)
 	ratio := func(from, to int) float64 {
 		mine, others := 0.0, 0.0
 		for i, c := range r.Clients {
@@ -121,14 +121,14 @@
 	}
 }
 
-// reweighed doubles the first counter's weight at a time.
-type reweighed struct {
+// reweighedQueue doubles the first counter's weight at a time.
+type reweighedQueue struct {
 	*admission.Queue
 	at   time.Duration
 	done bool
 }
 
-func (g *reweighed) Arrive(now time.Duration, a admission.Arrival, acts []admission.Action) (admission.Ticket, []admission.Action) {
+func (g *reweighedQueue) Arrive(now time.Duration, a admission.Arrival, acts []admission.Action) (admission.Ticket, []admission.Action) {
 	if now >= g.at && !g.done {
 		o := admission.Default()
 		o.Weights = []admission.Weight{{Name: "counter-0", Weight: 2}}
@@ -140,14 +140,14 @@
 
 // All nodes are slower by eight at the opening, and then back: the limit does not collapse, what can be done then is done,
 // and what could be done before is done again within two seconds.
-func TestSlowerByEight(t *testing.T) {
+func TestUpstreamsSlowDownEightfold(t *testing.T) {
 	slow := func(at time.Duration) float64 {
 		if at >= 8*time.Second && at < 16*time.Second {
 			return 8
 		}
 		return 1
 	}
-	r := play(t, 24, counters(10, 240), slow, ours(nil))
+	r := play(t, 24, quietClients(10, 240), slow, newAdmissionQueue(nil))
 	rate := func(from, to int) (sum float64) {
 		for _, c := range r.Clients {
 			for _, v := range c.WithinObjectiveByInterval[from:to] {
@@ -157,7 +157,7 @@
 		return sum / float64(to-from)
 	}
 	before, during, after := rate(3, 8), rate(11, 16), rate(18, 24)
-	if inHand := r.InFlightByInterval[6]; inHand < nodes || inHand > 5*nodes { // the base is found at a start under load
+	if inHand := r.InFlightByInterval[6]; inHand < nodeCount || inHand > 5*nodeCount { // the base is found at a start under load
 		t.Errorf("%.0f in hand before", inHand)
 	}
 	t.Logf("%.0f a second before, %.0f during, %.0f after two seconds", before, during, after)
@@ -169,7 +169,7 @@
 // A storm of clients that try again at once and mark it: when the load is back, so are the answers, and repeats take less of
 // what goes on than without a budget.
 func TestRetryStorm(t *testing.T) {
-	clients := counters(20, 42)
+	clients := quietClients(20, 42)
 	for i := range clients {
 		clients[i].HonorsRetryAfter, clients[i].MarksRetries, clients[i].MaxAttempts = false, true, 8
 		more := clients[i]
@@ -177,7 +177,7 @@
 		clients = append(clients, more)
 	}
 	part := func(budget float64) float64 {
-		r := play(t, 18, clients, nil, ours(func(o *admission.Options) { o.RetryRatio = budget }))
+		r := play(t, 18, clients, nil, newAdmissionQueue(func(o *admission.Options) { o.RetryRatio = budget }))
 		rate := func(from, to int) (sum float64) {
 			for _, c := range r.Clients {
 				for _, v := range c.WithinObjectiveByInterval[from:to] {
@@ -201,13 +201,13 @@
 }
 
 // A thousand clients that are refused in one moment and come back exactly when told don't come back together, and are served.
-func TestComingBackTogether(t *testing.T) {
-	clients := []Client{{Group: "counter", Class: "search", MeanServiceTime: work, Rate: 500}}
+func TestReturnsAreSpread(t *testing.T) {
+	clients := []Client{{Group: "counter", Class: "search", MeanServiceTime: meanServiceTime, Rate: 500}}
 	for i := range 1000 {
-		clients = append(clients, Client{Group: fmt.Sprint(i), Class: "search", MeanServiceTime: work, Rate: 1e6, From: 3 * time.Second,
+		clients = append(clients, Client{Group: fmt.Sprint(i), Class: "search", MeanServiceTime: meanServiceTime, Rate: 1e6, From: 3 * time.Second,
 			To: 3*time.Second + 2*time.Microsecond, MaxAttempts: 3, HonorsRetryAfter: true})
 	}
-	r := play(t, 10, clients, nil, ours(func(o *admission.Options) { o.MaxQueued, o.MaxRetryAfter = 100, 5*time.Second }))
+	r := play(t, 10, clients, nil, newAdmissionQueue(func(o *admission.Options) { o.MaxQueued, o.MaxRetryAfter = 100, 5*time.Second }))
 	first, told, kept := 0, 0, 0
 	for _, c := range r.Clients[1:] {
 		first, told, kept = first+c.FirstRequests, told+c.ReservedReturns, kept+c.ReservedServed
--- a/internal/simulation/admissionsim/traffic.go
+++ b/internal/simulation/admissionsim/traffic.go
@@ -7,11 +7,11 @@
 	"orchiddrift/internal/admission"
 )
 
-// begin starts a client's traffic.
-func (s *sim) begin(i int) {
-	c := &s.r.Clients[i]
+// startTraffic starts a client's traffic.
+func (s *simulation) startTraffic(i int) {
+	c := &s.run.Clients[i]
 	for range c.ClosedLoops {
-		s.At(origin+c.From+time.Duration(s.rng.Int64N(int64(time.Millisecond))), func() { s.ask(i, true) })
+		s.At(origin+c.From+time.Duration(s.rng.Int64N(int64(time.Millisecond))), func() { s.sendRequest(i, true) })
 	}
 	if c.Rate <= 0 {
 		return
@@ -21,78 +21,78 @@
 		if c.To > 0 && s.Now()-origin >= c.To {
 			return
 		}
-		s.ask(i, false)
+		s.sendRequest(i, false)
 		s.At(s.Now()+time.Duration(s.rng.ExpFloat64()/c.Rate*float64(time.Second)), next)
 	}
 	s.At(origin+c.From+time.Duration(s.rng.ExpFloat64()/c.Rate*float64(time.Second)), next)
 }
 
-// ask makes a client's new request.
-func (s *sim) ask(i int, loop bool) {
-	c := &s.r.Clients[i]
-	if !s.open(c) {
+// sendRequest makes a client's new request.
+func (s *simulation) sendRequest(i int, loop bool) {
+	c := &s.run.Clients[i]
+	if !s.sending(c) {
 		return
 	}
-	s.out.Clients[i].FirstRequests++
+	s.result.Clients[i].FirstRequests++
 	work := time.Duration(s.rng.ExpFloat64() * float64(c.MeanServiceTime))
-	s.prints++
-	s.try(&asked{client: i, loop: loop, work: work, first: s.Now(), tries: 1, print: s.prints})
+	s.lastFingerprint++
+	s.arrive(&clientAttempt{client: i, closedLoop: loop, serviceTime: work, firstSentAt: s.Now(), number: 1, fingerprint: s.lastFingerprint})
 }
 
-func (s *sim) try(a *asked) {
-	c := &s.r.Clients[a.client]
-	s.out.Clients[a.client].Attempts++
-	s.ids++
-	a.id = strconv.Itoa(s.ids)
-	a.begun, a.expires = s.Now(), s.Now()+s.class(c).Deadline
+func (s *simulation) arrive(a *clientAttempt) {
+	c := &s.run.Clients[a.client]
+	s.result.Clients[a.client].Attempts++
+	s.lastID++
+	a.id = strconv.Itoa(s.lastID)
+	a.sentAt, a.deadline = s.Now(), s.Now()+s.class(c).Deadline
 	flow := c.Flow
 	if c.FlowPerRequest {
 		flow = a.id
 	}
-	arrival := admission.Arrival{Group: c.Group, Flow: flow, Class: c.Class, CostHint: time.Duration(c.HintFactor * float64(a.work)),
-		ArrivedAt: s.Now(), Deadline: a.expires, Bytes: 512, Retry: c.MarksRetries && a.tries > 1, Fingerprint: a.print}
-	t, acts := s.gate.Arrive(s.Now(), arrival, s.doActs[:0])
-	s.doActs = nil
+	arrival := admission.Arrival{Group: c.Group, Flow: flow, Class: c.Class, CostHint: time.Duration(c.HintFactor * float64(a.serviceTime)),
+		ArrivedAt: s.Now(), Deadline: a.deadline, Bytes: 512, Retry: c.MarksRetries && a.number > 1, Fingerprint: a.fingerprint}
+	t, acts := s.control.Arrive(s.Now(), arrival, s.actionBuffer[:0])
+	s.actionBuffer = nil
 	a.ticket = t
-	s.doors[t] = a
-	s.act(acts)
+	s.byTicket[t] = a
+	s.executeAdmission(acts)
 }
 
-// refused has a client come back, or give up.
-func (s *sim) refused(a *asked, in time.Duration, kept bool) {
-	c := &s.r.Clients[a.client]
-	s.back(a, false)
-	if a.tries >= max(1, c.MaxAttempts) {
-		s.out.Clients[a.client].Rejected++
-		s.again(a)
+// handleRejection has a client come back, or give up.
+func (s *simulation) handleRejection(a *clientAttempt, in time.Duration, kept bool) {
+	c := &s.run.Clients[a.client]
+	s.countReturn(a, false)
+	if a.number >= max(1, c.MaxAttempts) {
+		s.result.Clients[a.client].Rejected++
+		s.continueLoop(a)
 		return
 	}
-	next := &asked{client: a.client, loop: a.loop, work: a.work, first: a.first, print: a.print, tries: a.tries + 1, waited: c.HonorsRetryAfter && in > 0}
-	next.promised = next.waited && kept
+	next := &clientAttempt{client: a.client, closedLoop: a.closedLoop, serviceTime: a.serviceTime, firstSentAt: a.firstSentAt, fingerprint: a.fingerprint, number: a.number + 1, honoredRetryAfter: c.HonorsRetryAfter && in > 0}
+	next.reserved = next.honoredRetryAfter && kept
 	wait := time.Millisecond + time.Duration(s.rng.Int64N(int64(20*time.Millisecond)))
-	if next.waited {
+	if next.honoredRetryAfter {
 		wait = in + time.Duration(s.rng.Int64N(int64(5*time.Millisecond)))
 	}
-	s.At(s.Now()+wait, func() { s.try(next) })
+	s.At(s.Now()+wait, func() { s.arrive(next) })
 }
 
-// back counts how a try ended that came when it was told.
-func (s *sim) back(a *asked, served bool) {
-	seen, one := &s.out.Clients[a.client], 0
+// countReturn counts how a try ended that came when it was told.
+func (s *simulation) countReturn(a *clientAttempt, served bool) {
+	seen, one := &s.result.Clients[a.client], 0
 	if served {
 		one = 1
 	}
 	switch {
-	case a.promised:
+	case a.reserved:
 		seen.ReservedReturns, seen.ReservedServed = seen.ReservedReturns+1, seen.ReservedServed+one
-	case a.waited:
+	case a.honoredRetryAfter:
 		seen.UnreservedReturns, seen.UnreservedServed = seen.UnreservedReturns+1, seen.UnreservedServed+one
 	}
 }
 
-// again goes on with a loop.
-func (s *sim) again(a *asked) {
-	if a.loop {
-		s.At(s.Now()+time.Millisecond+s.r.Clients[a.client].ThinkTime, func() { s.ask(a.client, true) })
+// continueLoop goes on with a loop.
+func (s *simulation) continueLoop(a *clientAttempt) {
+	if a.closedLoop {
+		s.At(s.Now()+time.Millisecond+s.run.Clients[a.client].ThinkTime, func() { s.sendRequest(a.client, true) })
 	}
 }
--- a/internal/simulation/admissionsim/upstreams.go
+++ b/internal/simulation/admissionsim/upstreams.go
@@ -7,51 +7,51 @@
 	"orchiddrift/internal/admission"
 )
 
-// module tells the balancer, and does what it says.
-func (s *sim) module(ev balancer.Event) {
-	for _, x := range s.b.Handle(s.Now(), ev, nil) {
+// handleEvent tells the balancer, and does what it says.
+func (s *simulation) handleEvent(ev balancer.Event) {
+	for _, x := range s.balancer.Handle(s.Now(), ev, nil) {
 		switch x.Kind {
 		case balancer.Send:
-			s.send(x)
+			s.startAttempt(x)
 		case balancer.Reject:
-			s.finish(x.ID, balancer.Rejected, x.RetryAfter)
+			s.answer(x.ID, balancer.Rejected, x.RetryAfter)
 		case balancer.Fail:
-			s.finish(x.ID, balancer.Timeout, 0)
+			s.answer(x.ID, balancer.Timeout, 0)
 		case balancer.SetTimer:
 			at := x.FireAt
-			s.timer = at
+			s.balancerTimerAt = at
 			s.At(at, func() {
-				if s.timer == at {
-					s.module(balancer.TimerFired{})
+				if s.balancerTimerAt == at {
+					s.handleEvent(balancer.TimerFired{})
 				}
 			})
 		}
 	}
 }
 
-func (s *sim) send(x balancer.Action) {
-	a := s.asked[x.ID]
+func (s *simulation) startAttempt(x balancer.Action) {
+	a := s.inFlight[x.ID]
 	if a == nil {
 		return
 	}
 	n := s.nodes[x.Upstream]
-	at := &attempt{of: a, number: len(a.attempts), node: n, sent: s.Now()}
+	at := &upstreamAttempt{request: a, number: len(a.attempts), node: n, startedAt: s.Now()}
 	a.attempts = append(a.attempts, at)
-	limit := a.expires - s.Now()
+	limit := a.deadline - s.Now()
 	if x.Timeout > 0 {
 		limit = min(limit, x.Timeout)
 	}
-	s.At(s.Now()+limit, func() { s.outcome(at, balancer.Timeout) })
-	if len(n.queue) >= s.r.MaxNodeQueue {
-		s.At(s.Now()+wire, func() { s.outcome(at, balancer.Rejected) })
+	s.At(s.Now()+limit, func() { s.endAttempt(at, balancer.Timeout) })
+	if len(n.queue) >= s.run.MaxNodeQueue {
+		s.At(s.Now()+networkDelay, func() { s.endAttempt(at, balancer.Rejected) })
 		return
 	}
 	n.queue = append(n.queue, at)
-	s.work(n)
+	s.serveNext(n)
 }
 
-// work has a node take its next.
-func (s *sim) work(n *node) {
+// serveNext has a node take its next.
+func (s *simulation) serveNext(n *node) {
 	for !n.busy && len(n.queue) > 0 {
 		at := n.queue[0]
 		n.queue = n.queue[1:]
@@ -59,70 +59,70 @@
 			continue
 		}
 		factor := 1.0
-		if s.r.Slowdown != nil {
-			factor = s.r.Slowdown(s.Now() - origin)
+		if s.run.Slowdown != nil {
+			factor = s.run.Slowdown(s.Now() - origin)
 		}
-		took := time.Duration(float64(at.of.work) * factor)
+		took := time.Duration(float64(at.request.serviceTime) * factor)
 		n.busy = true
 		s.At(s.Now()+took, func() {
 			n.busy = false
-			s.busy += took
-			s.out.Clients[at.of.client].ServiceTime += took
-			if at.ended || s.Now()-at.of.begun > s.class(&s.r.Clients[at.of.client]).LatencyObjective {
-				s.wasted += took
+			s.serviceTime += took
+			s.result.Clients[at.request.client].ServiceTime += took
+			if at.ended || s.Now()-at.request.sentAt > s.class(&s.run.Clients[at.request.client]).LatencyObjective {
+				s.wastedTime += took
 			}
-			s.At(s.Now()+wire, func() { s.outcome(at, balancer.OK) })
-			s.work(n)
+			s.At(s.Now()+networkDelay, func() { s.endAttempt(at, balancer.OK) })
+			s.serveNext(n)
 		})
 	}
 }
 
-func (s *sim) outcome(at *attempt, r balancer.Result) {
+func (s *simulation) endAttempt(at *upstreamAttempt, r balancer.Result) {
 	if at.ended {
 		return
 	}
 	at.ended = true
-	a := at.of
+	a := at.request
 	if r == balancer.OK {
-		s.finish(a.id, balancer.OK, 0)
+		s.answer(a.id, balancer.OK, 0)
 	}
-	s.module(balancer.Outcome{ID: a.id, Attempt: at.number, Result: r, Elapsed: s.Now() - at.sent, Final: a.ended})
+	s.handleEvent(balancer.Outcome{ID: a.id, Attempt: at.number, Result: r, Elapsed: s.Now() - at.startedAt, Final: a.answered})
 }
 
-// finish gives a request its answer.
-func (s *sim) finish(id string, r balancer.Result, in time.Duration) {
-	a := s.asked[id]
-	if a == nil || a.ended {
+// answer gives a request its answer.
+func (s *simulation) answer(id string, r balancer.Result, in time.Duration) {
+	a := s.inFlight[id]
+	if a == nil || a.answered {
 		return
 	}
-	a.ended = true
-	delete(s.asked, id)
-	delete(s.doors, a.ticket)
-	s.inHand--
-	seen := &s.out.Clients[a.client]
+	a.answered = true
+	delete(s.inFlight, id)
+	delete(s.byTicket, a.ticket)
+	s.inFlightCount--
+	seen := &s.result.Clients[a.client]
 	how := admission.Completed
 	switch r {
 	case balancer.OK:
-		took := s.Now() - a.first
+		took := s.Now() - a.firstSentAt
 		seen.Latencies = append(seen.Latencies, took)
-		if s.Now()-a.begun <= s.class(&s.r.Clients[a.client]).LatencyObjective {
+		if s.Now()-a.sentAt <= s.class(&s.run.Clients[a.client]).LatencyObjective {
 			seen.WithinObjective++
-			seen.WithinObjectiveByInterval[s.bin()]++
+			seen.WithinObjectiveByInterval[s.interval()]++
 		} else {
 			seen.Late++
 		}
-		s.back(a, true)
-		s.again(a)
+		s.countReturn(a, true)
+		s.continueLoop(a)
 	case balancer.Rejected:
 		how = admission.RejectedByBalancer
 	default:
-		s.back(a, false)
+		s.countReturn(a, false)
 		seen.Failed++
-		s.again(a)
+		s.continueLoop(a)
 	}
-	acts := s.gate.Done(s.Now(), a.ticket, how, nil)
+	acts := s.control.Done(s.Now(), a.ticket, how, nil)
 	if how == admission.RejectedByBalancer {
-		s.refused(a, in, false)
+		s.handleRejection(a, in, false)
 	}
-	s.act(acts)
+	s.executeAdmission(acts)
 }
