--- a/internal/simulation/admissionsim/admission.go
+++ b/internal/simulation/admissionsim/admission.go
@@ -1,45 +1,47 @@
 package admissionsim
 
 import (
-	"time"
-
 	"orchiddrift/balancer"
 	"orchiddrift/internal/admission"
 )
 
-// executeAdmission does what the gate said.
-func (s *simulation) executeAdmission(acts []admission.Action) {
-	for _, x := range acts {
-		a := s.byTicket[x.Ticket]
+// execute does what the admission control decided, and schedules its next wake.
+func (s *simulation) execute(actions []admission.Action) {
+	for _, action := range actions {
+		a := s.byTicket[action.Ticket]
 		if a == nil {
 			continue
 		}
-		if x.Kind == admission.Reject {
-			delete(s.byTicket, x.Ticket)
-			s.handleRejection(a, x.RetryAfter, x.Reserved)
+		if action.Kind == admission.Reject {
+			delete(s.byTicket, action.Ticket)
+			s.handleRejection(a, action.RetryAfter, action.Reserved)
 			continue
 		}
-		a.admitted = true
-		switch seen := &s.result.Clients[a.client]; {
-		case a.number == 1:
-			seen.AdmittedFirst++
-		case !a.honoredRetryAfter:
-			seen.AdmittedRetries++
-		}
-		s.inFlightCount++
-		s.inFlight[a.id] = a
-		s.handleEvent(balancer.Request{ID: a.id, Class: s.run.Clients[a.client].Class, Deadline: a.deadline,
-			CostHint: time.Duration(s.run.Clients[a.client].HintFactor * float64(a.serviceTime))})
+		s.admit(a)
+	}
+	s.actionBuffer = actions[:0]
+	at, ok := s.control.Next()
+	if !ok || at == s.controlWakeAt {
+		return
 	}
-	s.actionBuffer = acts[:0]
-	if at, ok := s.control.Next(); ok && at != s.controlWakeAt {
-		s.controlWakeAt = at
-		s.At(at, func() {
-			if s.controlWakeAt == at {
-				s.controlWakeAt = 0
-				acts := s.control.Wake(s.Now(), nil)
-				s.executeAdmission(acts)
-			}
-		})
+	s.controlWakeAt = at
+	s.At(at, func() {
+		if s.controlWakeAt == at { // no other wake has been set since
+			s.controlWakeAt = 0
+			s.execute(s.control.Wake(s.Now(), nil))
+		}
+	})
+}
+
+// admit passes an attempt on to the balancer.
+func (s *simulation) admit(a *clientAttempt) {
+	switch result := &s.result.Clients[a.client]; {
+	case a.number == 1:
+		result.AdmittedFirst++
+	case !a.honoredRetryAfter:
+		result.AdmittedRetries++
 	}
+	s.inFlightCount++
+	s.inFlight[a.id] = a
+	s.handleEvent(balancer.Request{ID: a.id, Class: s.run.Clients[a.client].Class, Deadline: a.deadline, CostHint: s.costHint(a)})
 }
--- a/internal/simulation/admissionsim/disciplines.go
+++ b/internal/simulation/admissionsim/disciplines.go
@@ -8,25 +8,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// fifo is one queue for all.
-type fifo struct{ queue []*queuedRequest }
-
-// NewFIFO returns one queue in the order of coming.
-func NewFIFO() discipline { return &fifo{} }
+const initialCost = 0.02 // s: a principal's or discipline's mean cost before any request has ended
 
-// tailDrop is the usual rule.
-func tailDrop(e *queuedRequest, waiting, most int) *queuedRequest {
-	if waiting >= most {
-		return e
+// rejectWhenFull is tail drop: it rejects what arrives at a full queue.
+func rejectWhenFull(arriving *queuedRequest, queued, maxQueued int) *queuedRequest {
+	if queued >= maxQueued {
+		return arriving
 	}
 	return nil
 }
 
-func (f *fifo) evict(e *queuedRequest, waiting, most int) *queuedRequest {
-	return tailDrop(e, waiting, most)
+// fifo is one queue for all principals, in the order of arrival.
+type fifo struct{ queue []*queuedRequest }
+
+// NewFIFO returns one queue in the order of arrival.
+func NewFIFO() discipline { return &fifo{} }
+
+func (f *fifo) evict(arriving *queuedRequest, queued, maxQueued int) *queuedRequest {
+	return rejectWhenFull(arriving, queued, maxQueued)
 }
 
-func (f *fifo) enqueue(e *queuedRequest) { f.queue = append(f.queue, e) }
+func (f *fifo) enqueue(r *queuedRequest) { f.queue = append(f.queue, r) }
 
 func (f *fifo) observeCost(*queuedRequest, float64) {}
 
@@ -34,14 +36,14 @@
 	if len(f.queue) == 0 {
 		return nil
 	}
-	e := f.queue[0]
+	r := f.queue[0]
 	f.queue = f.queue[1:]
-	return e
+	return r
 }
 
-// codel is one queue under CoDel (K. Nichols, V. Jacobson, 2012; as Facebook's wangle and B. Maurer's "Fail at Scale"
-// give it for requests) with adaptive LIFO: while the queue has not been empty for an interval, the newest goes first and
-// what has waited longer than the target is passed over.
+// codel is one queue under CoDel (K. Nichols, V. Jacobson, 2012; for requests as in Facebook's wangle and B. Maurer's
+// "Fail at Scale") with adaptive LIFO: once the queue has not been empty for an interval, the newest request goes first,
+// and what has waited longer than the target is dropped.
 type codel struct {
 	queue     []*queuedRequest
 	lastEmpty time.Duration
@@ -49,16 +51,16 @@
 	interval  time.Duration
 }
 
-// NewCoDel returns one with the customary 5 ms and 100 ms.
+// NewCoDel returns CoDel with the customary target of 5 ms and interval of 100 ms.
 func NewCoDel() discipline {
 	return &codel{target: 5 * time.Millisecond, interval: 100 * time.Millisecond}
 }
 
-func (c *codel) evict(e *queuedRequest, waiting, most int) *queuedRequest {
-	return tailDrop(e, waiting, most)
+func (c *codel) evict(arriving *queuedRequest, queued, maxQueued int) *queuedRequest {
+	return rejectWhenFull(arriving, queued, maxQueued)
 }
 
-func (c *codel) enqueue(e *queuedRequest) { c.queue = append(c.queue, e) }
+func (c *codel) enqueue(r *queuedRequest) { c.queue = append(c.queue, r) }
 
 func (c *codel) observeCost(*queuedRequest, float64) {}
 
@@ -67,59 +69,68 @@
 		c.lastEmpty = now
 		return nil
 	}
+	oldest := c.queue[0]
 	if now-c.lastEmpty < c.interval {
-		e := c.queue[0]
-		if c.queue = c.queue[1:]; len(c.queue) == 0 {
-			c.lastEmpty = now
-		}
-		return e
+		c.setQueue(now, c.queue[1:])
+		return oldest
 	}
-	// Overloaded: what waited beyond the target is dropped from the old end by ending its time, one with each turn.
-	if old := c.queue[0]; now-old.arrivedAt > c.target && len(c.queue) > 1 {
-		c.queue = c.queue[1:]
-		old.arrival.Deadline = 0
-		return old
+	if now-oldest.arrivedAt > c.target && len(c.queue) > 1 {
+		c.setQueue(now, c.queue[1:])
+		oldest.arrival.Deadline = 0 // has Queue reject it
+		return oldest
 	}
-	e := c.queue[len(c.queue)-1]
-	if c.queue = c.queue[:len(c.queue)-1]; len(c.queue) == 0 {
+	newest := c.queue[len(c.queue)-1]
+	c.setQueue(now, c.queue[:len(c.queue)-1])
+	return newest
+}
+
+func (c *codel) setQueue(now time.Duration, queue []*queuedRequest) {
+	c.queue = queue
+	if len(queue) == 0 {
 		c.lastEmpty = now
 	}
-	return e
 }
 
-// drr is deficit round robin (M. Shreedhar, G. Varghese, 1995) by principal, its cost what the request before took.
+// drr is deficit round robin (M. Shreedhar, G. Varghese, 1995) by principal. A request's cost is estimated by the mean of
+// its principal's earlier ones.
 type drr struct {
-	quantum float64
+	quantum float64 // s
 	flows   map[string]*drrFlow
-	active  []*drrFlow
+	active  []*drrFlow // flows with queued requests, in the order of their turns
 }
 
 type drrFlow struct {
 	queue    []*queuedRequest
-	deficit  float64
-	meanCost float64
+	deficit  float64 // s
+	meanCost float64 // s
 }
 
-// NewDRR returns one with a quantum of 20 ms of place.
-func NewDRR() discipline { return &drr{quantum: 0.02, flows: map[string]*drrFlow{}} }
+const (
+	drrQuantum       = 0.02 // s
+	drrCostSmoothing = 0.1  // weight of one request in a flow's mean cost
+	drrMaxRounds     = 1024 // bounds the search for a flow with a sufficient deficit
+)
+
+// NewDRR returns deficit round robin with a quantum of 20 ms in flight.
+func NewDRR() discipline { return &drr{quantum: drrQuantum, flows: map[string]*drrFlow{}} }
 
-func (d *drr) enqueue(e *queuedRequest) {
-	name := e.arrival.Group + "\x00" + e.arrival.Flow
+func (d *drr) enqueue(r *queuedRequest) {
+	name := r.principal()
 	f := d.flows[name]
 	if f == nil {
-		f = &drrFlow{meanCost: 0.02}
+		f = &drrFlow{meanCost: initialCost}
 		d.flows[name] = f
 	}
 	if len(f.queue) == 0 {
 		f.deficit = 0
 		d.active = append(d.active, f)
 	}
-	f.queue = append(f.queue, e)
+	f.queue = append(f.queue, r)
 }
 
-// evict steals from the longest (McKenney's buffer stealing).
-func (d *drr) evict(e *queuedRequest, waiting, most int) *queuedRequest {
-	if waiting < most {
+// evict removes the newest request of the longest queue (P. McKenney's buffer stealing).
+func (d *drr) evict(arriving *queuedRequest, queued, maxQueued int) *queuedRequest {
+	if queued < maxQueued {
 		return nil
 	}
 	longest := d.active[0]
@@ -128,112 +139,112 @@
 			longest = f
 		}
 	}
-	last := longest.queue[len(longest.queue)-1]
-	if len(longest.queue) > 1 { // one that becomes empty would have to leave the ring
-		longest.queue = longest.queue[:len(longest.queue)-1]
-		return last
+	if len(longest.queue) <= 1 { // an emptied flow would have to leave the active ones
+		return arriving
 	}
-	return e
+	newest := longest.queue[len(longest.queue)-1]
+	longest.queue = longest.queue[:len(longest.queue)-1]
+	return newest
 }
 
 func (d *drr) dequeue(time.Duration) *queuedRequest {
-	for range len(d.active) * 1024 {
-		if len(d.active) == 0 {
-			return nil
-		}
+	for range len(d.active) * drrMaxRounds {
 		f := d.active[0]
 		if f.deficit < f.meanCost {
 			f.deficit += d.quantum
 			d.active = append(d.active[1:], f)
 			continue
 		}
-		e := f.queue[0]
+		r := f.queue[0]
 		f.queue = f.queue[1:]
 		f.deficit -= f.meanCost
 		if len(f.queue) == 0 {
 			d.active = d.active[1:]
 		}
-		return e
+		return r
 	}
 	return nil
 }
 
-func (d *drr) observeCost(e *queuedRequest, cost float64) {
-	f := d.flows[e.arrival.Group+"\x00"+e.arrival.Flow]
-	f.meanCost += (cost - f.meanCost) * 0.1
+func (d *drr) observeCost(r *queuedRequest, cost float64) {
+	f := d.flows[r.principal()]
+	f.meanCost += (cost - f.meanCost) * drrCostSmoothing
 }
 
-// shuffleSharded is Kubernetes' API priority and fairness (KEP-1040) at one priority level: queues to which a principal is dealt
-// a hand by its name's hash, the shortest of the hand takes the request, and the queue whose next would finish first by
-// virtual time goes. With a hand of one it is stochastic fair queueing (P. McKenney, 1990).
+// shuffleSharded is Kubernetes' API priority and fairness (KEP-1040) at one priority level. A principal is dealt a hand of
+// shards by its name's hash; the shortest shard of the hand takes the request, and the shard with the least finish tag is
+// dispatched next. With a hand of one it is stochastic fair queueing (P. McKenney, 1990).
 type shuffleSharded struct {
 	shards      []shard
 	handSize    int
 	virtualTime float64
-	meanCost    float64
+	meanCost    float64 // s
 }
 
 type shard struct {
-	queue  []*queuedRequest
-	finish float64
+	queue     []*queuedRequest
+	finishTag float64
 }
 
-// NewShuffleSharded returns one of so many queues, of which a principal has hand.
-func NewShuffleSharded(queues, hand int) discipline {
-	return &shuffleSharded{shards: make([]shard, queues), handSize: hand, meanCost: 0.02}
+const (
+	shardCostSmoothing = 0.05 // weight of one request in the mean cost
+	shardCapacity      = 3    // times the even part of all queued requests: most shards are empty
+)
+
+// NewShuffleSharded returns shuffle sharding over so many shards, with hands of handSize.
+func NewShuffleSharded(shards, handSize int) discipline {
+	return &shuffleSharded{shards: make([]shard, shards), handSize: handSize, meanCost: initialCost}
 }
 
-// evict turns away who would go to a queue that has its part of all that may wait, as Kubernetes' queueLengthLimit; each
-// may have three times the even part, since most are empty.
-func (s *shuffleSharded) evict(e *queuedRequest, waiting, most int) *queuedRequest {
-	if len(s.shards[s.shardOf(e)].queue) >= 3*most/len(s.shards) {
-		return e
+// evict rejects a request whose shard is full, as Kubernetes' queueLengthLimit does.
+func (s *shuffleSharded) evict(arriving *queuedRequest, _, maxQueued int) *queuedRequest {
+	if len(s.shards[s.shardFor(arriving)].queue) >= shardCapacity*maxQueued/len(s.shards) {
+		return arriving
 	}
 	return nil
 }
 
-// shardOf is the shortest queue of a principal's hand.
-func (s *shuffleSharded) shardOf(e *queuedRequest) int {
-	rng := rand.New(rand.NewPCG(xxhash.Sum64String(e.arrival.Group+"\x00"+e.arrival.Flow), 1))
-	best, least := 0, math.MaxInt
+// shardFor is the shortest shard of a principal's hand.
+func (s *shuffleSharded) shardFor(r *queuedRequest) int {
+	rng := rand.New(rand.NewPCG(xxhash.Sum64String(r.principal()), 1))
+	shortest, length := 0, math.MaxInt
 	for _, i := range rng.Perm(len(s.shards))[:s.handSize] {
-		if n := len(s.shards[i].queue); n < least {
-			best, least = i, n
+		if n := len(s.shards[i].queue); n < length {
+			shortest, length = i, n
 		}
 	}
-	return best
+	return shortest
 }
 
-func (s *shuffleSharded) enqueue(e *queuedRequest) {
-	best := s.shardOf(e)
-	q := &s.shards[best]
-	if len(q.queue) == 0 {
-		q.finish = max(q.finish, s.virtualTime)
+func (s *shuffleSharded) enqueue(r *queuedRequest) {
+	r.shard = s.shardFor(r)
+	shard := &s.shards[r.shard]
+	if len(shard.queue) == 0 {
+		shard.finishTag = max(shard.finishTag, s.virtualTime)
 	}
-	e.shard = best
-	q.queue = append(q.queue, e)
+	shard.queue = append(shard.queue, r)
 }
 
 func (s *shuffleSharded) dequeue(time.Duration) *queuedRequest {
-	best := -1
+	next := -1
 	for i := range s.shards {
-		if len(s.shards[i].queue) > 0 && (best < 0 || s.shards[i].finish < s.shards[best].finish) {
-			best = i
+		if len(s.shards[i].queue) > 0 && (next < 0 || s.shards[i].finishTag < s.shards[next].finishTag) {
+			next = i
 		}
 	}
-	if best < 0 {
+	if next < 0 {
 		return nil
 	}
-	q := &s.shards[best]
-	s.virtualTime = max(s.virtualTime, q.finish)
-	e := q.queue[0]
-	q.queue = q.queue[1:]
-	e.chargedCost = s.meanCost
-	q.finish += s.meanCost
-	return e
+	shard := &s.shards[next]
+	s.virtualTime = max(s.virtualTime, shard.finishTag)
+	r := shard.queue[0]
+	shard.queue = shard.queue[1:]
+	r.chargedCost = s.meanCost
+	shard.finishTag += s.meanCost
+	return r
 }
 
-func (s *shuffleSharded) observeCost(e *queuedRequest, cost float64) {
-	s.shards[e.shard].finish += cost - e.chargedCost
-	s.meanCost += (cost - s.meanCost) * 0.05
+func (s *shuffleSharded) observeCost(r *queuedRequest, cost float64) {
+	s.shards[r.shard].finishTag += cost - r.chargedCost
+	s.meanCost += (cost - s.meanCost) * shardCostSmoothing
 }
--- a/internal/simulation/admissionsim/limits.go
+++ b/internal/simulation/admissionsim/limits.go
@@ -6,142 +6,190 @@
 	"time"
 )
 
-// Fixed is a Limit that stays.
+// Fixed is a Limit that does not change.
 type Fixed int
 
-// Current is Limit's.
+// Current implements Limit.
 func (f Fixed) Current() int { return int(f) }
 
-// Observe is Limit's.
+// Observe implements Limit.
 func (f Fixed) Observe(time.Duration, time.Duration, int, bool) {}
 
-// adaptiveLimit is a limit that moves.
+const (
+	initialLimit = 64 // requests
+	minLimit     = 8
+	maxLimit     = 1024
+)
+
+// adaptiveLimit is a limit that changes within its bounds.
 type adaptiveLimit struct{ limit float64 }
 
-// Current is Limit's.
-func (p *adaptiveLimit) Current() int {
-	if p.limit == 0 {
-		p.limit = 64
+// Current implements Limit.
+func (l *adaptiveLimit) Current() int {
+	if l.limit == 0 {
+		l.limit = initialLimit
 	}
-	return int(p.limit)
+	return int(l.limit)
 }
 
-func (p *adaptiveLimit) setLimit(limit float64) { p.limit = max(8, min(1024, limit)) }
+func (l *adaptiveLimit) setLimit(limit float64) { l.limit = max(minLimit, min(maxLimit, limit)) }
+
+// minWindowSamples is the number of requests in a window, at least.
+const minWindowSamples = 32
 
-// window gathers samples.
+// window gathers samples until a minimum duration and number is reached.
 type window struct {
-	start, timeSum       time.Duration
+	start, latencySum    time.Duration
 	samples, maxInFlight int
 }
 
-// windowStats is one of at least 32 samples.
+// windowStats is what a window gathered.
 type windowStats struct {
-	meanLatency, rate float64 // s, and answers a second
-	maxInFlight       int     // in hand
+	meanLatency float64 // s
+	rate        float64 // requests ended per second
+	maxInFlight int
 }
 
-func (r *window) add(now, took time.Duration, inHand int, least time.Duration) (_ windowStats, ended bool) {
-	if r.start == 0 {
-		r.start = now
+// add adds a sample. It returns the statistics when the window has ended, and then begins the next one.
+func (w *window) add(now, latency time.Duration, inFlight int, minDuration time.Duration) (_ windowStats, ended bool) {
+	if w.start == 0 {
+		w.start = now
 	}
-	r.timeSum, r.samples, r.maxInFlight = r.timeSum+took, r.samples+1, max(r.maxInFlight, inHand)
-	if r.samples < 32 || now-r.start < least {
+	w.latencySum += latency
+	w.samples++
+	w.maxInFlight = max(w.maxInFlight, inFlight)
+	if w.samples < minWindowSamples || now-w.start < minDuration {
 		return windowStats{}, false
 	}
-	out := windowStats{r.timeSum.Seconds() / float64(r.samples), float64(r.samples) / (now - r.start).Seconds(), r.maxInFlight}
-	*r = window{start: now}
-	return out, true
+	stats := windowStats{
+		meanLatency: w.latencySum.Seconds() / float64(w.samples),
+		rate:        float64(w.samples) / (now - w.start).Seconds(),
+		maxInFlight: w.maxInFlight,
+	}
+	*w = window{start: now}
+	return stats, true
 }
 
-// AIMD adds one for a limit's worth of answers in time, and takes two hundredths for one that is later than Late.
+// AIMD adds one request for a limit's worth of answers in time, and takes 2% for each answer later than MaxLatency and
+// each rejection.
 type AIMD struct {
 	MaxLatency time.Duration
 	adaptiveLimit
 }
 
-// Observe is Limit's.
-func (l *AIMD) Observe(_, took time.Duration, inHand int, turned bool) {
+// Observe implements Limit.
+func (l *AIMD) Observe(_, latency time.Duration, inFlight int, rejected bool) {
+	const decrease = 0.98
 	switch {
-	case turned || took > l.MaxLatency:
-		l.setLimit(l.limit * 0.98)
-	case float64(inHand)*2 > l.limit:
+	case rejected || latency > l.MaxLatency:
+		l.setLimit(l.limit * decrease)
+	case float64(inFlight)*2 > l.limit:
 		l.setLimit(l.limit + 1/l.limit)
 	}
 }
 
-// Gradient is Netflix's Gradient2 behind its WindowedLimit (concurrency-limits): the long mean of times over that of a window,
-// plus room for a queue.
+// Gradient is Gradient2 behind a WindowedLimit, of Netflix's concurrency-limits: the long-term mean latency over that of
+// a window, and space for a queue.
 type Gradient struct {
 	adaptiveLimit
 	window
-	longTermLatency float64
+	longTermLatency float64 // s; 0: unknown
 }
 
-// Observe is Limit's.
-func (l *Gradient) Observe(now, took time.Duration, inHand int, _ bool) {
-	r, ended := l.add(now, took, inHand, 100*time.Millisecond)
+// Observe implements Limit.
+func (l *Gradient) Observe(now, latency time.Duration, inFlight int, _ bool) {
+	const (
+		minDuration = 100 * time.Millisecond
+		longWindow  = 600  // windows in the long-term mean
+		driftRatio  = 2    // a long-term mean above this multiple of a window's decays
+		driftDecay  = 0.95 // per window
+		tolerance   = 1.5  // of latency over the long-term mean
+		minGradient = 0.5
+		queueSize   = 4   // requests
+		smoothing   = 0.2 // weight of the new limit
+		minLatency  = 1e-9
+	)
+	stats, ended := l.add(now, latency, inFlight, minDuration)
 	if !ended {
 		return
 	}
 	if l.longTermLatency == 0 {
-		l.longTermLatency = r.meanLatency
+		l.longTermLatency = stats.meanLatency
 	}
-	l.longTermLatency += (r.meanLatency - l.longTermLatency) * 2 / 601
-	if l.longTermLatency > 2*r.meanLatency {
-		l.longTermLatency *= 0.95
+	l.longTermLatency += (stats.meanLatency - l.longTermLatency) * 2 / (longWindow + 1)
+	if l.longTermLatency > driftRatio*stats.meanLatency {
+		l.longTermLatency *= driftDecay
 	}
-	if float64(r.maxInFlight) < l.limit/2 {
+	if float64(stats.maxInFlight) < l.limit/2 {
 		return
 	}
-	next := l.limit*max(0.5, min(1, 1.5*l.longTermLatency/max(r.meanLatency, 1e-9))) + 4
-	l.setLimit(l.limit*0.8 + next*0.2)
+	gradient := max(minGradient, min(1, tolerance*l.longTermLatency/max(stats.meanLatency, minLatency)))
+	next := l.limit*gradient + queueSize
+	l.setLimit(l.limit*(1-smoothing) + next*smoothing)
 }
 
-// RateDelay is what BBR's model comes to for requests: the highest rate of answers seen lately, times the least mean time
-// seen lately, times a gain.
+// RateDelay is BBR's model for requests: the highest recent rate of answers, times the lowest recent mean latency, times
+// a gain.
 type RateDelay struct {
 	adaptiveLimit
 	window
-	rates, delays []float64
+	rates  []float64 // of the last windows, answers per second
+	delays []float64 // of the last windows, mean latencies in seconds
 }
 
-// Observe is Limit's.
-func (l *RateDelay) Observe(now, took time.Duration, inHand int, turned bool) {
-	if turned {
+// Observe implements Limit.
+func (l *RateDelay) Observe(now, latency time.Duration, inFlight int, rejected bool) {
+	const (
+		minDuration  = 100 * time.Millisecond
+		delayWindows = 50 // of which the lowest latency counts
+		rateWindows  = 10 // of which the highest rate counts
+		gain         = 1.25
+	)
+	if rejected {
 		return
 	}
-	r, ended := l.add(now, took, inHand, 100*time.Millisecond)
+	stats, ended := l.add(now, latency, inFlight, minDuration)
 	if !ended {
 		return
 	}
-	const kept, recent, gain = 50, 10, 1.25
-	l.rates, l.delays = append(l.rates, r.rate), append(l.delays, r.meanLatency)
-	if len(l.rates) > kept {
+	l.rates, l.delays = append(l.rates, stats.rate), append(l.delays, stats.meanLatency)
+	if len(l.rates) > delayWindows {
 		l.rates, l.delays = l.rates[1:], l.delays[1:]
 	}
-	l.setLimit(gain * slices.Max(l.rates[max(0, len(l.rates)-recent):]) * slices.Min(l.delays))
+	recent := l.rates[max(0, len(l.rates)-rateWindows):]
+	l.setLimit(gain * slices.Max(recent) * slices.Min(l.delays))
 }
 
-// Vegas is TCP Vegas' rule by rounds, for requests: what of the limit waits, by the least mean time ever seen.
+// Vegas is the rule of TCP Vegas for requests, by rounds: it estimates how many of the limit are waiting from the lowest
+// mean latency ever observed.
 type Vegas struct {
 	adaptiveLimit
 	window
-	baseLatency float64
+	baseLatency float64 // s; 0: unknown
 }
 
-// Observe is Limit's.
-func (l *Vegas) Observe(now, took time.Duration, inHand int, _ bool) {
-	r, ended := l.add(now, took, inHand, 50*time.Millisecond)
+// Observe implements Limit.
+func (l *Vegas) Observe(now, latency time.Duration, inFlight int, _ bool) {
+	const (
+		minDuration = 50 * time.Millisecond
+		usedEnough  = 0.8 // of the limit, or it does not grow
+		growth      = 1.15
+		decrease    = 0.85
+	)
+	stats, ended := l.add(now, latency, inFlight, minDuration)
 	if !ended {
 		return
 	}
-	if l.baseLatency == 0 || r.meanLatency < l.baseLatency {
-		l.baseLatency = r.meanLatency
+	if l.baseLatency == 0 || stats.meanLatency < l.baseLatency {
+		l.baseLatency = stats.meanLatency
 	}
-	switch queue := l.limit * (1 - l.baseLatency/r.meanLatency); {
-	case queue > 6*math.Log10(l.limit)+l.limit/2:
-		l.setLimit(l.limit * 0.85)
-	case queue < 3*math.Log10(l.limit)+l.limit/4 && float64(r.maxInFlight) > l.limit*0.8:
-		l.setLimit(l.limit * 1.15)
+	waiting := l.limit * (1 - l.baseLatency/stats.meanLatency)
+	alpha := 3*math.Log10(l.limit) + l.limit/4 // Vegas' thresholds, in requests
+	beta := 6*math.Log10(l.limit) + l.limit/2
+	switch {
+	case waiting > beta:
+		l.setLimit(l.limit * decrease)
+	case waiting < alpha && float64(stats.maxInFlight) > l.limit*usedEnough:
+		l.setLimit(l.limit * growth)
 	}
 }
--- a/internal/simulation/admissionsim/queue.go
+++ b/internal/simulation/admissionsim/queue.go
@@ -6,33 +6,42 @@
 	"orchiddrift/internal/admission"
 )
 
-// Limit is how many requests may be in hand beyond a Queue.
+// Limit is the concurrency limit of a Queue.
 type Limit interface {
+	// Current is the limit in requests.
 	Current() int
-	Observe(now, took time.Duration, inHand int, turned bool)
+	// Observe brings a request that has ended: its latency, how many were in flight with it, and whether the balancer
+	// rejected it.
+	Observe(now, latency time.Duration, inFlight int, rejected bool)
 }
 
-// discipline orders what waits in a Queue.
+// discipline orders the requests that a Queue holds.
 type discipline interface {
-	enqueue(e *queuedRequest)
-	dequeue(now time.Duration) *queuedRequest // nil: nothing
-	observeCost(e *queuedRequest, cost float64)
-	// full makes room for e among the most that may wait: it takes out who gives way, e or another; nil: there is room.
-	evict(e *queuedRequest, waiting, most int) *queuedRequest
+	enqueue(r *queuedRequest)
+	// dequeue returns the next request; nil: none.
+	dequeue(now time.Duration) *queuedRequest
+	// observeCost brings the cost of an admitted request that has ended, in seconds.
+	observeCost(r *queuedRequest, cost float64)
+	// evict makes space for an arriving request. It removes and returns the request to reject, which may be the arriving
+	// one; nil: there is space.
+	evict(arriving *queuedRequest, queued, maxQueued int) *queuedRequest
 }
 
+// queuedRequest is a request of a Queue, until it has its answer.
 type queuedRequest struct {
 	ticket      admission.Ticket
 	arrival     admission.Arrival
 	arrivedAt   time.Duration
 	admittedAt  time.Duration
-	queued      bool
-	shard       int
-	chargedCost float64
+	shard       int     // of shuffleSharded
+	chargedCost float64 // of shuffleSharded, s
 }
 
-// Queue is a Gate of a discipline and a limit. What waits longer than its client does is refused, and so is what comes
-// when Most wait. It tells nobody when to come back.
+// principal names a request's principal.
+func (r *queuedRequest) principal() string { return r.arrival.Group + "\x00" + r.arrival.Flow }
+
+// Queue is an AdmissionControl made of a discipline and a limit. It rejects what arrives at a full queue, and what has
+// waited until its deadline. It gives no Retry-After.
 type Queue struct {
 	discipline discipline
 	limit      Limit
@@ -43,67 +52,67 @@
 	requests   map[admission.Ticket]*queuedRequest
 }
 
-// NewQueue returns one in which at most so many wait.
-func NewQueue(of discipline, limit Limit, most int) *Queue {
-	return &Queue{discipline: of, limit: limit, maxQueued: most, requests: map[admission.Ticket]*queuedRequest{}}
+// NewQueue returns a Queue of at most maxQueued waiting requests.
+func NewQueue(d discipline, limit Limit, maxQueued int) *Queue {
+	return &Queue{discipline: d, limit: limit, maxQueued: maxQueued, requests: map[admission.Ticket]*queuedRequest{}}
 }
 
-// Arrive is Gate's.
-func (q *Queue) Arrive(now time.Duration, a admission.Arrival, acts []admission.Action) (admission.Ticket, []admission.Action) {
+// Arrive implements AdmissionControl.
+func (q *Queue) Arrive(now time.Duration, a admission.Arrival, actions []admission.Action) (admission.Ticket, []admission.Action) {
 	q.lastTicket++
-	t := q.lastTicket
-	e := &queuedRequest{ticket: t, arrival: a, arrivedAt: now, queued: true}
-	if out := q.discipline.evict(e, q.queued, q.maxQueued); out != nil {
-		acts = append(acts, admission.Action{Kind: admission.Reject, Ticket: out.ticket, Reason: admission.QueueFull})
-		if out == e {
-			return t, acts
+	r := &queuedRequest{ticket: q.lastTicket, arrival: a, arrivedAt: now}
+	if victim := q.discipline.evict(r, q.queued, q.maxQueued); victim != nil {
+		actions = append(actions, admission.Action{Kind: admission.Reject, Ticket: victim.ticket, Reason: admission.QueueFull})
+		if victim == r {
+			return r.ticket, actions
 		}
-		delete(q.requests, out.ticket)
+		delete(q.requests, victim.ticket)
 		q.queued--
 	}
-	q.requests[t] = e
+	q.requests[r.ticket] = r
 	q.queued++
-	q.discipline.enqueue(e)
-	return t, q.dispatch(now, acts)
+	q.discipline.enqueue(r)
+	return r.ticket, q.dispatch(now, actions)
 }
 
-func (q *Queue) dispatch(now time.Duration, acts []admission.Action) []admission.Action {
+// dispatch admits requests up to the limit.
+func (q *Queue) dispatch(now time.Duration, actions []admission.Action) []admission.Action {
 	for q.queued > 0 && q.inFlight < q.limit.Current() {
-		e := q.discipline.dequeue(now)
-		if e == nil {
+		r := q.discipline.dequeue(now)
+		if r == nil {
 			break
 		}
 		q.queued--
-		e.queued = false
-		if now >= e.arrival.Deadline {
-			delete(q.requests, e.ticket)
-			acts = append(acts, admission.Action{Kind: admission.Reject, Ticket: e.ticket, Reason: admission.QueueTimeout})
+		if now >= r.arrival.Deadline {
+			delete(q.requests, r.ticket)
+			actions = append(actions, admission.Action{Kind: admission.Reject, Ticket: r.ticket, Reason: admission.QueueTimeout})
 			continue
 		}
-		e.admittedAt = now
+		r.admittedAt = now
 		q.inFlight++
-		acts = append(acts, admission.Action{Kind: admission.Admit, Ticket: e.ticket})
+		actions = append(actions, admission.Action{Kind: admission.Admit, Ticket: r.ticket})
 	}
-	return acts
+	return actions
 }
 
-// Done is Gate's.
-func (q *Queue) Done(now time.Duration, t admission.Ticket, how admission.Outcome, acts []admission.Action) []admission.Action {
-	e := q.requests[t]
-	if e == nil {
-		return acts
+// Done implements AdmissionControl.
+func (q *Queue) Done(now time.Duration, t admission.Ticket, outcome admission.Outcome, actions []admission.Action) []admission.Action {
+	r := q.requests[t]
+	if r == nil {
+		return actions
 	}
 	delete(q.requests, t)
-	q.limit.Observe(now, now-e.admittedAt, q.inFlight, how == admission.RejectedByBalancer)
+	latency := now - r.admittedAt
+	q.limit.Observe(now, latency, q.inFlight, outcome == admission.RejectedByBalancer)
 	q.inFlight--
-	q.discipline.observeCost(e, (now - e.admittedAt).Seconds())
-	return q.dispatch(now, acts)
+	q.discipline.observeCost(r, latency.Seconds())
+	return q.dispatch(now, actions)
 }
 
-// Wake is Gate's.
-func (q *Queue) Wake(now time.Duration, acts []admission.Action) []admission.Action {
-	return q.dispatch(now, acts)
+// Wake implements AdmissionControl.
+func (q *Queue) Wake(now time.Duration, actions []admission.Action) []admission.Action {
+	return q.dispatch(now, actions)
 }
 
-// Next is Gate's.
+// Next implements AdmissionControl: no wake is needed.
 func (q *Queue) Next() (time.Duration, bool) { return 0, false }
--- a/internal/simulation/admissionsim/result.go
+++ b/internal/simulation/admissionsim/result.go
@@ -5,51 +5,63 @@
 	"time"
 )
 
-// ClientResult is what one client saw.
+// ClientResult is what one client experienced. Counts are of requests, unless they say attempts.
 type ClientResult struct {
-	FirstRequests, WithinObjective, Late, Rejected, Failed int // first requests, and how they ended in the end
-	Attempts                                               int // with repeats
-	ReservedReturns, ReservedServed                        int // came back when promised, and were served then
-	AdmittedFirst, AdmittedRetries                         int // first tries, and others that came unbidden, that went on
-	UnreservedReturns, UnreservedServed                    int // came back when told without a promise, and were served then
-	Latencies                                              []time.Duration
-	ServiceTime                                            time.Duration // that nodes did for it
-	WithinObjectiveByInterval                              []float64     // answers in their aim, by time of the answer
+	FirstRequests   int // requests, without retries
+	WithinObjective int // answered within the latency objective
+	Late            int // answered after it
+	Rejected        int // rejected for good
+	Failed          int
+	Attempts        int
+
+	// Attempts that were sent when a reserved Retry-After had passed, and those of them that were answered.
+	ReservedReturns, ReservedServed int
+
+	AdmittedFirst   int // first attempts that were admitted
+	AdmittedRetries int // retries that were admitted without having waited for Retry-After
+
+	// Attempts that were sent when an unreserved Retry-After had passed, and those of them that were answered.
+	UnreservedReturns, UnreservedServed int
+
+	Latencies   []time.Duration // of answered requests, from their first attempt
+	ServiceTime time.Duration   // of all nodes, for this client
+
+	WithinObjectiveByInterval []float64 // answers within the latency objective, by the time of the answer
 }
 
-// Quantile is of the time from the first try to the answer.
-func (s *ClientResult) Quantile(q float64) time.Duration {
-	if len(s.Latencies) == 0 {
+// Quantile returns a quantile of the latencies; 0 without any. It sorts Latencies.
+func (r *ClientResult) Quantile(q float64) time.Duration {
+	if len(r.Latencies) == 0 {
 		return 0
 	}
-	slices.Sort(s.Latencies)
-	return s.Latencies[min(len(s.Latencies)-1, int(q*float64(len(s.Latencies))))]
+	slices.Sort(r.Latencies)
+	return r.Latencies[min(len(r.Latencies)-1, int(q*float64(len(r.Latencies))))]
 }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
-	Clients            []ClientResult
-	Utilization        float64   // part of the nodes' time that was work
-	Wasted             float64   // part of it for answers that nobody waited for, or that were late
-	InFlightByInterval []float64 // mean number beyond the gate, by bin
+	Clients            []ClientResult // in the order of Run.Clients
+	Utilization        float64        // fraction of the nodes' time that they served requests
+	Wasted             float64        // fraction of the nodes' time for answers that were late or that nobody waited for
+	InFlightByInterval []float64      // mean number of requests in flight
 }
 
-// Jain is R. Jain's index of fairness (1984) of some figures: 1 where all are equal, 1/n where one has all.
-func Jain(x []float64) float64 {
+// Jain is R. Jain's fairness index (1984): 1 where all values are equal, 1/n where one of n has everything.
+func Jain(values []float64) float64 {
 	sum, squares := 0.0, 0.0
-	for _, v := range x {
+	for _, v := range values {
 		sum, squares = sum+v, squares+v*v
 	}
 	if squares == 0 {
 		return 1
 	}
-	return sum * sum / (float64(len(x)) * squares)
+	return sum * sum / (float64(len(values)) * squares)
 }
 
-// RelativeTo is one share over another, 1 where there was nothing to get.
-func RelativeTo(with, alone float64) float64 {
+// RelativeTo returns a share over that of the same client alone; 1 if that was 0.
+func RelativeTo(share, alone float64) float64 {
 	if alone == 0 {
 		return 1
 	}
-	return with / alone
+	return share / alone
 }
--- a/internal/simulation/admissionsim/simulation.go
+++ b/internal/simulation/admissionsim/simulation.go
@@ -10,11 +10,11 @@
 	"orchiddrift/internal/simulation/virtualtime"
 )
 
-// AdmissionControl is a door, or what is held beside one. *door.Door is one.
+// AdmissionControl decides what becomes of requests, as *admission.Queue does.
 type AdmissionControl interface {
-	Arrive(now time.Duration, a admission.Arrival, acts []admission.Action) (admission.Ticket, []admission.Action)
-	Done(now time.Duration, t admission.Ticket, how admission.Outcome, acts []admission.Action) []admission.Action
-	Wake(now time.Duration, acts []admission.Action) []admission.Action
+	Arrive(now time.Duration, a admission.Arrival, actions []admission.Action) (admission.Ticket, []admission.Action)
+	Done(now time.Duration, t admission.Ticket, outcome admission.Outcome, actions []admission.Action) []admission.Action
+	Wake(now time.Duration, actions []admission.Action) []admission.Action
 	Next() (time.Duration, bool)
 }
 
@@ -22,138 +22,128 @@
 type Client struct {
 	Group, Flow      string
 	Class            string
-	MeanServiceTime  time.Duration // mean, drawn from an exponential distribution
-	HintFactor       float64       // what it says of its work, as a factor; 0: nothing
-	Rate             float64       // first requests a second, as a Poisson process; 0: none
-	ClosedLoops      int           // or so many that ask again as soon as they are answered
-	ThinkTime        time.Duration // of a loop after an answer
-	MaxAttempts      int           // of one request in all; absent: 1
-	HonorsRetryAfter bool          // comes back when it is told, and not at once
-	MarksRetries     bool          // its repeats are marked
-	From, To         time.Duration // when it asks; To 0: to the end
-	FlowPerRequest   bool          // another flow with each request
+	MeanServiceTime  time.Duration // of its requests, drawn from an exponential distribution
+	HintFactor       float64       // the cost hint over the service time; 0: no hints
+	Rate             float64       // first requests per second, as a Poisson process; 0: none
+	ClosedLoops      int           // loops that send the next request once the last is answered, in addition
+	ThinkTime        time.Duration // of a closed loop after an answer
+	MaxAttempts      int           // of one request; 0: 1
+	HonorsRetryAfter bool          // it comes back when it is told to, and not at once
+	MarksRetries     bool          // its retries are marked
+	From, To         time.Duration // since the start, when it sends; To 0: to the end
+	FlowPerRequest   bool          // each attempt comes from another flow
 }
 
 // Run is a run's parameters.
 type Run struct {
 	Nodes        int
-	Slowdown     func(t time.Duration) float64 // factor on all work; nil: 1
-	MaxNodeQueue int                           // requests that wait at a node, at most; absent: 1000
+	Slowdown     func(t time.Duration) float64 // factor on all service times, by the time since the start; nil: 1
+	MaxNodeQueue int                           // requests that wait at a node; 0: 1000
 	Classes      []balancer.Class
-	Settings     balancer.Settings // Classes are put in
+	Settings     balancer.Settings // with Classes in place of its own
 	Clients      []Client
 	Length       time.Duration
 	Seed         uint64
-	Interval     time.Duration // of Seen.WithinObjectiveByInterval; absent: 1 s
+	Interval     time.Duration // of the series in the results; 0: 1 s
 }
 
 const (
-	networkDelay = 300 * time.Microsecond // one way and back
-	origin       = virtualtime.Origin
+	defaultMaxNodeQueue = 1000 // requests
+	defaultInterval     = time.Second
+	samplingPeriod      = 10 * time.Millisecond  // of the number in flight
+	networkDelay        = 300 * time.Microsecond // from a node back to the sidecar
+	origin              = virtualtime.Origin
+	trafficStream       = 7 // selects the clients' stream of random numbers
 )
 
-// clientAttempt is one try of a client's request.
-type clientAttempt struct {
-	id                string
-	client            int
-	closedLoop        bool
-	serviceTime       time.Duration
-	firstSentAt       time.Duration // when the first try was made
-	sentAt            time.Duration // this one
-	deadline          time.Duration
-	number            int
-	fingerprint       uint64
-	ticket            admission.Ticket
-	admitted          bool
-	answered          bool
-	attempts          []*upstreamAttempt
-	honoredRetryAfter bool // it has come when it was told
-	reserved          bool // and that was a promise
-}
-
-type upstreamAttempt struct {
-	request   *clientAttempt
-	number    int
-	node      *node
-	startedAt time.Duration
-	ended     bool
-}
-
-type node struct {
-	name  string
-	queue []*upstreamAttempt
-	busy  bool
-}
-
+// simulation is a run under way.
 type simulation struct {
+	*virtualtime.Time
 	run      Run
 	control  AdmissionControl
 	balancer *balancer.Balancer
 	rng      *rand.Rand
-	*virtualtime.Time
-	nodes           map[string]*node
-	inFlight        map[string]*clientAttempt
+	nodes    map[string]*node
+	result   Result
+
+	inFlight        map[string]*clientAttempt // admitted, by ID
 	byTicket        map[admission.Ticket]*clientAttempt
+	inFlightCount   int
 	lastID          int
 	lastFingerprint uint64
-	result          Result
-	controlWakeAt   time.Duration
+	controlWakeAt   time.Duration // 0: no wake is set
 	balancerTimerAt time.Duration
-	inFlightCount   int
-	serviceTime     time.Duration
-	wastedTime      time.Duration
 	actionBuffer    []admission.Action
+
+	serviceTime time.Duration // of all nodes
+	wastedTime  time.Duration // of that, for answers that were late or that nobody waited for
 }
 
-// Play plays a run through a gate.
-func Play(r Run, gate AdmissionControl) (*Result, error) {
+// Play plays a run through an admission control. The error names a balancer setting that cannot be used.
+func Play(r Run, control AdmissionControl) (*Result, error) {
 	if r.MaxNodeQueue == 0 {
-		r.MaxNodeQueue = 1000
+		r.MaxNodeQueue = defaultMaxNodeQueue
 	}
 	if r.Interval == 0 {
-		r.Interval = time.Second
+		r.Interval = defaultInterval
 	}
 	r.Settings.Classes = r.Classes
-	b, err := balancer.New(r.Settings, r.Seed)
+	policy, err := balancer.New(r.Settings, r.Seed)
 	if err != nil {
 		return nil, err
 	}
-	s := &simulation{run: r, control: gate, balancer: b, rng: rand.New(rand.NewPCG(r.Seed, 7)), Time: virtualtime.New(), nodes: map[string]*node{},
-		inFlight: map[string]*clientAttempt{}, byTicket: map[admission.Ticket]*clientAttempt{}}
+	s := &simulation{
+		Time:     virtualtime.New(),
+		run:      r,
+		control:  control,
+		balancer: policy,
+		rng:      rand.New(rand.NewPCG(r.Seed, trafficStream)),
+		nodes:    map[string]*node{},
+		inFlight: map[string]*clientAttempt{},
+		byTicket: map[admission.Ticket]*clientAttempt{},
+	}
+	intervals := int(r.Length/r.Interval) + 2
 	s.result.Clients = make([]ClientResult, len(r.Clients))
-	bins := int(r.Length/r.Interval) + 2
-	s.result.InFlightByInterval = make([]float64, bins)
+	s.result.InFlightByInterval = make([]float64, intervals)
+	s.addNodes()
+	for i := range r.Clients {
+		s.result.Clients[i].WithinObjectiveByInterval = make([]float64, intervals)
+		s.startTraffic(i)
+	}
+	s.sampleInFlight()
+	s.Run(r.Length)
+	capacity := float64(r.Length * time.Duration(r.Nodes))
+	s.result.Utilization, s.result.Wasted = float64(s.serviceTime)/capacity, float64(s.wastedTime)/capacity
+	return &s.result, nil
+}
+
+// addNodes makes the nodes, and gives the balancer their list.
+func (s *simulation) addNodes() {
 	var list []balancer.Endpoint
-	for i := range r.Nodes {
+	for i := range s.run.Nodes {
 		n := &node{name: fmt.Sprintf("n%03d", i)}
 		s.nodes[n.name] = n
 		list = append(list, balancer.Endpoint{Name: n.name})
 	}
 	s.handleEvent(balancer.EndpointUpdate{Kind: balancer.FullUpdate, Endpoints: list})
-	for i := range r.Clients {
-		s.result.Clients[i].WithinObjectiveByInterval = make([]float64, bins)
-		s.startTraffic(i)
-	}
-	for t := time.Duration(0); t < r.Length; t += 10 * time.Millisecond {
+}
+
+// sampleInFlight records the number in flight throughout the run.
+func (s *simulation) sampleInFlight() {
+	samplesPerInterval := float64(s.run.Interval / samplingPeriod)
+	for t := time.Duration(0); t < s.run.Length; t += samplingPeriod {
 		s.At(origin+t, func() {
-			s.result.InFlightByInterval[s.interval()] += float64(s.inFlightCount) / float64(r.Interval/(10*time.Millisecond))
+			s.result.InFlightByInterval[s.interval()] += float64(s.inFlightCount) / samplesPerInterval
 		})
 	}
-	s.Run(r.Length)
-	span := r.Length * time.Duration(r.Nodes)
-	s.result.Utilization, s.result.Wasted = float64(s.serviceTime)/float64(span), float64(s.wastedTime)/float64(span)
-	return &s.result, nil
 }
 
+// interval is the index of the present interval.
 func (s *simulation) interval() int {
 	return min(len(s.result.InFlightByInterval)-1, int((s.Now()-origin)/s.run.Interval))
 }
 
-func (s *simulation) sending(c *Client) bool {
-	t := s.Now() - origin
-	return t >= c.From && (c.To == 0 || t < c.To)
-}
-
+// class returns a client's class; the first one, if its own is unknown.
 func (s *simulation) class(c *Client) *balancer.Class {
 	for i := range s.run.Classes {
 		if s.run.Classes[i].Name == c.Class {
--- a/internal/simulation/admissionsim/traffic.go
+++ b/internal/simulation/admissionsim/traffic.go
@@ -7,39 +7,82 @@
 	"orchiddrift/internal/admission"
 )
 
-// startTraffic starts a client's traffic.
+const (
+	requestBytes     = 512                   // of a request's body
+	loopStartSpread  = time.Millisecond      // closed loops start within it
+	loopDelay        = time.Millisecond      // of a closed loop after an answer, beside its think time
+	minRetryDelay    = time.Millisecond      // of a client that retries at once
+	retryDelaySpread = 20 * time.Millisecond // added to it at random
+	returnSpread     = 5 * time.Millisecond  // added to Retry-After at random
+)
+
+// clientAttempt is one attempt of a client's request.
+type clientAttempt struct {
+	id          string
+	client      int // index in Run.Clients
+	closedLoop  bool
+	serviceTime time.Duration
+	firstSentAt time.Duration // when the first attempt was sent
+	sentAt      time.Duration // when this one was
+	deadline    time.Duration
+	number      int // from 1
+	fingerprint uint64
+	ticket      admission.Ticket
+
+	answered          bool
+	attempts          []*upstreamAttempt
+	honoredRetryAfter bool // it was sent when its Retry-After had passed
+	reserved          bool // which was reserved
+}
+
+// sends reports whether a client sends new requests now.
+func (s *simulation) sends(c *Client) bool {
+	t := s.Now() - origin
+	return t >= c.From && (c.To == 0 || t < c.To)
+}
+
+// startTraffic schedules a client's first requests.
 func (s *simulation) startTraffic(i int) {
 	c := &s.run.Clients[i]
 	for range c.ClosedLoops {
-		s.At(origin+c.From+time.Duration(s.rng.Int64N(int64(time.Millisecond))), func() { s.sendRequest(i, true) })
+		s.At(origin+c.From+time.Duration(s.rng.Int64N(int64(loopStartSpread))), func() { s.sendRequest(i, true) })
 	}
 	if c.Rate <= 0 {
 		return
 	}
+	pause := func() time.Duration { return time.Duration(s.rng.ExpFloat64() / c.Rate * float64(time.Second)) }
 	var next func()
 	next = func() {
 		if c.To > 0 && s.Now()-origin >= c.To {
 			return
 		}
 		s.sendRequest(i, false)
-		s.At(s.Now()+time.Duration(s.rng.ExpFloat64()/c.Rate*float64(time.Second)), next)
+		s.At(s.Now()+pause(), next)
 	}
-	s.At(origin+c.From+time.Duration(s.rng.ExpFloat64()/c.Rate*float64(time.Second)), next)
+	s.At(origin+c.From+pause(), next)
 }
 
-// sendRequest makes a client's new request.
-func (s *simulation) sendRequest(i int, loop bool) {
+// sendRequest sends a client's next request.
+func (s *simulation) sendRequest(i int, closedLoop bool) {
 	c := &s.run.Clients[i]
-	if !s.sending(c) {
+	if !s.sends(c) {
 		return
 	}
 	s.result.Clients[i].FirstRequests++
-	work := time.Duration(s.rng.ExpFloat64() * float64(c.MeanServiceTime))
+	serviceTime := time.Duration(s.rng.ExpFloat64() * float64(c.MeanServiceTime))
 	s.lastFingerprint++
-	s.arrive(&clientAttempt{client: i, closedLoop: loop, serviceTime: work, firstSentAt: s.Now(), number: 1, fingerprint: s.lastFingerprint})
+	s.send(&clientAttempt{client: i, closedLoop: closedLoop, serviceTime: serviceTime, firstSentAt: s.Now(), number: 1, fingerprint: s.lastFingerprint})
 }
 
-func (s *simulation) arrive(a *clientAttempt) {
+// continueLoop sends the next request of a closed loop after its think time.
+func (s *simulation) continueLoop(a *clientAttempt) {
+	if a.closedLoop {
+		s.At(s.Now()+loopDelay+s.run.Clients[a.client].ThinkTime, func() { s.sendRequest(a.client, true) })
+	}
+}
+
+// send has an attempt arrive at the admission control.
+func (s *simulation) send(a *clientAttempt) {
 	c := &s.run.Clients[a.client]
 	s.result.Clients[a.client].Attempts++
 	s.lastID++
@@ -49,17 +92,30 @@
 	if c.FlowPerRequest {
 		flow = a.id
 	}
-	arrival := admission.Arrival{Group: c.Group, Flow: flow, Class: c.Class, CostHint: time.Duration(c.HintFactor * float64(a.serviceTime)),
-		ArrivedAt: s.Now(), Deadline: a.deadline, Bytes: 512, Retry: c.MarksRetries && a.number > 1, Fingerprint: a.fingerprint}
-	t, acts := s.control.Arrive(s.Now(), arrival, s.actionBuffer[:0])
+	ticket, actions := s.control.Arrive(s.Now(), admission.Arrival{
+		Group:       c.Group,
+		Flow:        flow,
+		Class:       c.Class,
+		CostHint:    s.costHint(a),
+		ArrivedAt:   s.Now(),
+		Deadline:    a.deadline,
+		Bytes:       requestBytes,
+		Retry:       c.MarksRetries && a.number > 1,
+		Fingerprint: a.fingerprint,
+	}, s.actionBuffer[:0])
 	s.actionBuffer = nil
-	a.ticket = t
-	s.byTicket[t] = a
-	s.executeAdmission(acts)
+	a.ticket = ticket
+	s.byTicket[ticket] = a
+	s.execute(actions)
 }
 
-// handleRejection has a client come back, or give up.
-func (s *simulation) handleRejection(a *clientAttempt, in time.Duration, kept bool) {
+// costHint is what a client says of an attempt's cost.
+func (s *simulation) costHint(a *clientAttempt) time.Duration {
+	return time.Duration(s.run.Clients[a.client].HintFactor * float64(a.serviceTime))
+}
+
+// handleRejection has a client retry, or give up.
+func (s *simulation) handleRejection(a *clientAttempt, retryAfter time.Duration, reserved bool) {
 	c := &s.run.Clients[a.client]
 	s.countReturn(a, false)
 	if a.number >= max(1, c.MaxAttempts) {
@@ -67,32 +123,28 @@
 		s.continueLoop(a)
 		return
 	}
-	next := &clientAttempt{client: a.client, closedLoop: a.closedLoop, serviceTime: a.serviceTime, firstSentAt: a.firstSentAt, fingerprint: a.fingerprint, number: a.number + 1, honoredRetryAfter: c.HonorsRetryAfter && in > 0}
-	next.reserved = next.honoredRetryAfter && kept
-	wait := time.Millisecond + time.Duration(s.rng.Int64N(int64(20*time.Millisecond)))
-	if next.honoredRetryAfter {
-		wait = in + time.Duration(s.rng.Int64N(int64(5*time.Millisecond)))
+	honored := c.HonorsRetryAfter && retryAfter > 0
+	retry := &clientAttempt{client: a.client, closedLoop: a.closedLoop, serviceTime: a.serviceTime, firstSentAt: a.firstSentAt,
+		fingerprint: a.fingerprint, number: a.number + 1, honoredRetryAfter: honored, reserved: honored && reserved}
+	delay := minRetryDelay + time.Duration(s.rng.Int64N(int64(retryDelaySpread)))
+	if honored {
+		delay = retryAfter + time.Duration(s.rng.Int64N(int64(returnSpread)))
 	}
-	s.At(s.Now()+wait, func() { s.arrive(next) })
+	s.At(s.Now()+delay, func() { s.send(retry) })
 }
 
-// countReturn counts how a try ended that came when it was told.
+// countReturn counts how an attempt ended that was sent when its Retry-After had passed.
 func (s *simulation) countReturn(a *clientAttempt, served bool) {
-	seen, one := &s.result.Clients[a.client], 0
+	result, n := &s.result.Clients[a.client], 0
 	if served {
-		one = 1
+		n = 1
 	}
 	switch {
 	case a.reserved:
-		seen.ReservedReturns, seen.ReservedServed = seen.ReservedReturns+1, seen.ReservedServed+one
+		result.ReservedReturns++
+		result.ReservedServed += n
 	case a.honoredRetryAfter:
-		seen.UnreservedReturns, seen.UnreservedServed = seen.UnreservedReturns+1, seen.UnreservedServed+one
-	}
-}
-
-// continueLoop goes on with a loop.
-func (s *simulation) continueLoop(a *clientAttempt) {
-	if a.closedLoop {
-		s.At(s.Now()+time.Millisecond+s.run.Clients[a.client].ThinkTime, func() { s.sendRequest(a.client, true) })
+		result.UnreservedReturns++
+		result.UnreservedServed += n
 	}
 }
--- a/internal/simulation/admissionsim/upstreams.go
+++ b/internal/simulation/admissionsim/upstreams.go
@@ -7,18 +7,33 @@
 	"orchiddrift/internal/admission"
 )
 
-// handleEvent tells the balancer, and does what it says.
-func (s *simulation) handleEvent(ev balancer.Event) {
-	for _, x := range s.balancer.Handle(s.Now(), ev, nil) {
-		switch x.Kind {
+// node is an upstream that serves one request at a time, in the order of arrival.
+type node struct {
+	name  string
+	queue []*upstreamAttempt
+	busy  bool
+}
+
+// upstreamAttempt is one attempt of the balancer's, of a client's attempt that was admitted.
+type upstreamAttempt struct {
+	request   *clientAttempt
+	number    int
+	startedAt time.Duration
+	ended     bool
+}
+
+// handleEvent has the balancer decide on an event, and does what it decided.
+func (s *simulation) handleEvent(event balancer.Event) {
+	for _, action := range s.balancer.Handle(s.Now(), event, nil) {
+		switch action.Kind {
 		case balancer.Send:
-			s.startAttempt(x)
+			s.startAttempt(&action)
 		case balancer.Reject:
-			s.answer(x.ID, balancer.Rejected, x.RetryAfter)
+			s.answer(action.ID, balancer.Rejected, action.RetryAfter)
 		case balancer.Fail:
-			s.answer(x.ID, balancer.Timeout, 0)
+			s.answer(action.ID, balancer.Timeout, 0)
 		case balancer.SetTimer:
-			at := x.FireAt
+			at := action.FireAt
 			s.balancerTimerAt = at
 			s.At(at, func() {
 				if s.balancerTimerAt == at {
@@ -29,68 +44,76 @@
 	}
 }
 
-func (s *simulation) startAttempt(x balancer.Action) {
-	a := s.inFlight[x.ID]
-	if a == nil {
+// startAttempt sends an attempt to a node, and sets its timeout.
+func (s *simulation) startAttempt(send *balancer.Action) {
+	request := s.inFlight[send.ID]
+	if request == nil {
 		return
 	}
-	n := s.nodes[x.Upstream]
-	at := &upstreamAttempt{request: a, number: len(a.attempts), node: n, startedAt: s.Now()}
-	a.attempts = append(a.attempts, at)
-	limit := a.deadline - s.Now()
-	if x.Timeout > 0 {
-		limit = min(limit, x.Timeout)
+	a := &upstreamAttempt{request: request, number: len(request.attempts), startedAt: s.Now()}
+	request.attempts = append(request.attempts, a)
+	timeout := request.deadline - s.Now()
+	if send.Timeout > 0 {
+		timeout = min(timeout, send.Timeout)
 	}
-	s.At(s.Now()+limit, func() { s.endAttempt(at, balancer.Timeout) })
+	s.At(s.Now()+timeout, func() { s.endAttempt(a, balancer.Timeout) })
+	n := s.nodes[send.Upstream]
 	if len(n.queue) >= s.run.MaxNodeQueue {
-		s.At(s.Now()+networkDelay, func() { s.endAttempt(at, balancer.Rejected) })
+		s.At(s.Now()+networkDelay, func() { s.endAttempt(a, balancer.Rejected) })
 		return
 	}
-	n.queue = append(n.queue, at)
+	n.queue = append(n.queue, a)
 	s.serveNext(n)
 }
 
-// serveNext has a node take its next.
+// serveNext has an idle node serve its next attempt. One that has ended is skipped: its connection is closed.
 func (s *simulation) serveNext(n *node) {
 	for !n.busy && len(n.queue) > 0 {
-		at := n.queue[0]
+		a := n.queue[0]
 		n.queue = n.queue[1:]
-		if at.ended { // its connection is closed: nobody waits
+		if a.ended {
 			continue
 		}
-		factor := 1.0
+		slowdown := 1.0
 		if s.run.Slowdown != nil {
-			factor = s.run.Slowdown(s.Now() - origin)
+			slowdown = s.run.Slowdown(s.Now() - origin)
 		}
-		took := time.Duration(float64(at.request.serviceTime) * factor)
+		serviceTime := time.Duration(float64(a.request.serviceTime) * slowdown)
 		n.busy = true
-		s.At(s.Now()+took, func() {
+		s.At(s.Now()+serviceTime, func() {
 			n.busy = false
-			s.serviceTime += took
-			s.result.Clients[at.request.client].ServiceTime += took
-			if at.ended || s.Now()-at.request.sentAt > s.class(&s.run.Clients[at.request.client]).LatencyObjective {
-				s.wastedTime += took
-			}
-			s.At(s.Now()+networkDelay, func() { s.endAttempt(at, balancer.OK) })
+			s.countService(a, serviceTime)
+			s.At(s.Now()+networkDelay, func() { s.endAttempt(a, balancer.OK) })
 			s.serveNext(n)
 		})
 	}
 }
 
-func (s *simulation) endAttempt(at *upstreamAttempt, r balancer.Result) {
-	if at.ended {
+// countService counts the service time of an attempt that a node has finished.
+func (s *simulation) countService(a *upstreamAttempt, serviceTime time.Duration) {
+	client := a.request.client
+	s.serviceTime += serviceTime
+	s.result.Clients[client].ServiceTime += serviceTime
+	if a.ended || s.Now()-a.request.sentAt > s.class(&s.run.Clients[client]).LatencyObjective {
+		s.wastedTime += serviceTime
+	}
+}
+
+// endAttempt brings the balancer an attempt's outcome; only the first one counts.
+func (s *simulation) endAttempt(a *upstreamAttempt, result balancer.Result) {
+	if a.ended {
 		return
 	}
-	at.ended = true
-	a := at.request
-	if r == balancer.OK {
-		s.answer(a.id, balancer.OK, 0)
+	a.ended = true
+	request := a.request
+	if result == balancer.OK {
+		s.answer(request.id, balancer.OK, 0)
 	}
-	s.handleEvent(balancer.Outcome{ID: a.id, Attempt: at.number, Result: r, Elapsed: s.Now() - at.startedAt, Final: a.answered})
+	s.handleEvent(balancer.Outcome{ID: request.id, Attempt: a.number, Result: result, Elapsed: s.Now() - a.startedAt, Final: request.answered})
 }
 
-// answer gives a request its answer.
-func (s *simulation) answer(id string, r balancer.Result, in time.Duration) {
+// answer gives a request its final answer: OK, Rejected, or any other result for a failure.
+func (s *simulation) answer(id string, result balancer.Result, retryAfter time.Duration) {
 	a := s.inFlight[id]
 	if a == nil || a.answered {
 		return
@@ -99,30 +122,34 @@
 	delete(s.inFlight, id)
 	delete(s.byTicket, a.ticket)
 	s.inFlightCount--
-	seen := &s.result.Clients[a.client]
-	how := admission.Completed
-	switch r {
+	outcome := admission.Completed
+	switch result {
 	case balancer.OK:
-		took := s.Now() - a.firstSentAt
-		seen.Latencies = append(seen.Latencies, took)
-		if s.Now()-a.sentAt <= s.class(&s.run.Clients[a.client]).LatencyObjective {
-			seen.WithinObjective++
-			seen.WithinObjectiveByInterval[s.interval()]++
-		} else {
-			seen.Late++
-		}
+		s.countAnswer(a)
 		s.countReturn(a, true)
 		s.continueLoop(a)
 	case balancer.Rejected:
-		how = admission.RejectedByBalancer
+		outcome = admission.RejectedByBalancer
 	default:
 		s.countReturn(a, false)
-		seen.Failed++
+		s.result.Clients[a.client].Failed++
 		s.continueLoop(a)
 	}
-	acts := s.control.Done(s.Now(), a.ticket, how, nil)
-	if how == admission.RejectedByBalancer {
-		s.handleRejection(a, in, false)
+	actions := s.control.Done(s.Now(), a.ticket, outcome, nil)
+	if outcome == admission.RejectedByBalancer {
+		s.handleRejection(a, retryAfter, false)
+	}
+	s.execute(actions)
+}
+
+// countAnswer counts a successful answer by its latency.
+func (s *simulation) countAnswer(a *clientAttempt) {
+	result := &s.result.Clients[a.client]
+	result.Latencies = append(result.Latencies, s.Now()-a.firstSentAt)
+	if s.Now()-a.sentAt <= s.class(&s.run.Clients[a.client]).LatencyObjective {
+		result.WithinObjective++
+		result.WithinObjectiveByInterval[s.interval()]++
+	} else {
+		result.Late++
 	}
-	s.executeAdmission(acts)
 }
