--- /dev/null
+++ b/internal/simulation/virtualtime/time_test.go
@@ -0,0 +1,41 @@
+package virtualtime
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// Events run in the order of their times, then of scheduling; one scheduled for the past runs now; what lies beyond the
+// end waits for the next Run.
+func TestEventsRunInOrder(t *testing.T) {
+	clock := New()
+	var ran []string
+	event := func(name string, at time.Duration) func() {
+		return func() {
+			if clock.Since() != at {
+				t.Errorf("%s ran at %v, want %v", name, clock.Since(), at)
+			}
+			ran = append(ran, name)
+		}
+	}
+	clock.At(Origin+2*time.Second, event("second", 2*time.Second))
+	clock.After(time.Second, func() {
+		event("first", time.Second)()
+		clock.At(Origin, event("past", time.Second))
+		clock.After(time.Second, event("after second", 2*time.Second))
+	})
+	clock.At(Origin+2*time.Second, event("beside second", 2*time.Second))
+	clock.At(Origin+3*time.Second+1, event("beyond", 3*time.Second+1))
+	clock.Run(3 * time.Second)
+	if want := []string{"first", "past", "second", "beside second", "after second"}; !slices.Equal(ran, want) {
+		t.Errorf("ran %q, want %q", ran, want)
+	}
+	if clock.Since() != 3*time.Second {
+		t.Errorf("the run ended at %v", clock.Since())
+	}
+	clock.Run(4 * time.Second)
+	if ran[len(ran)-1] != "beyond" || clock.Now() != Origin+4*time.Second {
+		t.Errorf("then ran %q until %v", ran[len(ran)-1], clock.Since())
+	}
+}
