--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -55,14 +55,14 @@
 
 // Bounds of the options.
 const (
-	maxWeight           = 1e6 // and 1/maxWeight is the least weight above 0
-	maxMaxQueued        = 65_536
-	minMaxPrincipals    = 16
-	maxMaxPrincipals    = 1 << 20
-	maxMaxReservations  = 1 << 20
-	maxConcurrencyLimit = 65_536
-	maxRetryRatio       = 100
-	maxMaxRetryAfter    = time.Hour
+	maxWeight              = 1e6 // and 1/maxWeight is the least weight above 0
+	queuedUpperBound       = 65_536
+	principalsLowerBound   = 16
+	principalsUpperBound   = 1 << 20
+	reservationsUpperBound = 1 << 20
+	limitUpperBound        = 65_536
+	retryRatioUpperBound   = 100
+	retryAfterUpperBound   = time.Hour
 )
 
 // DefaultMaxRetryAfter is the longest time to stay away where none is configured.
@@ -70,7 +70,7 @@
 
 // maxRetryAfter is MaxRetryAfter within what the calendar can hold.
 func (o *Options) maxRetryAfter() time.Duration {
-	return min(maxMaxRetryAfter, max(minCalendarStep, cmp.Or(o.MaxRetryAfter, DefaultMaxRetryAfter)))
+	return min(retryAfterUpperBound, max(minCalendarStep, cmp.Or(o.MaxRetryAfter, DefaultMaxRetryAfter)))
 }
 
 // Check reports options that cannot be used, by their keys. It implements tomlfile.Checker.
@@ -102,18 +102,18 @@
 			report(key, "%d is not from %d to %d", n, least, most)
 		}
 	}
-	between("waiting", o.MaxQueued, 1, maxMaxQueued)
-	between("principals", o.MaxPrincipals, minMaxPrincipals, maxMaxPrincipals)
-	between("promises", o.MaxReservations, 0, maxMaxReservations)
+	between("waiting", o.MaxQueued, 1, queuedUpperBound)
+	between("principals", o.MaxPrincipals, principalsLowerBound, principalsUpperBound)
+	between("promises", o.MaxReservations, 0, reservationsUpperBound)
 	between("limit_least", o.MinLimit, 1, o.MaxLimit)
-	between("limit_most", o.MaxLimit, 1, maxConcurrencyLimit)
+	between("limit_most", o.MaxLimit, 1, limitUpperBound)
 	if o.RetryHeader != "" && !httpguts.ValidHeaderFieldName(o.RetryHeader) {
 		report("repeat_header", "%q is no header's name", o.RetryHeader)
 	}
 	if o.MaxQueuedBytes < 0 {
 		report("bytes", "%v is negative", o.MaxQueuedBytes)
 	}
-	if !(o.RetryRatio >= 0) || math.IsInf(o.RetryRatio, 0) || o.RetryRatio > maxRetryRatio {
+	if !(o.RetryRatio >= 0) || math.IsInf(o.RetryRatio, 0) || o.RetryRatio > retryRatioUpperBound {
 		report("repeats", "%v is not a part of the first requests", o.RetryRatio)
 	}
 }
--- a/internal/admission/principal.go
+++ b/internal/admission/principal.go
@@ -39,26 +39,26 @@
 )
 
 // ParsePrincipalSources parses Options.PrincipalSources: one or two sources. The error names the one that is wrong.
-func ParsePrincipalSources(words []string) (PrincipalSources, error) {
-	if len(words) < 1 || len(words) > 2 {
-		return nil, fmt.Errorf("%d are given: one or two are needed", len(words))
+func ParsePrincipalSources(specs []string) (PrincipalSources, error) {
+	if len(specs) < 1 || len(specs) > 2 {
+		return nil, fmt.Errorf("%d are given: one or two are needed", len(specs))
 	}
-	sources := make(PrincipalSources, len(words))
-	for i, word := range words {
-		parsed, err := parseSource(word)
+	sources := make(PrincipalSources, len(specs))
+	for i, spec := range specs {
+		parsed, err := parseSource(spec)
 		if err != nil {
 			return nil, err
 		}
 		sources[i] = parsed
 		if i > 0 && sources[i] == sources[0] {
-			return nil, fmt.Errorf("%q is given twice", word)
+			return nil, fmt.Errorf("%q is given twice", spec)
 		}
 	}
 	return sources, nil
 }
 
-func parseSource(word string) (source, error) {
-	name, header, hasHeader := strings.Cut(word, ":")
+func parseSource(spec string) (source, error) {
+	name, header, hasHeader := strings.Cut(spec, ":")
 	kind := sourceKind(name)
 	switch {
 	case !hasHeader && (kind == fromTenant || kind == fromCertificate || kind == fromAddress):
@@ -66,7 +66,7 @@
 	case hasHeader && kind == fromHeader && httpguts.ValidHeaderFieldName(header):
 		return source{kind: kind, header: textproto.CanonicalMIMEHeaderKey(header)}, nil
 	}
-	return source{}, fmt.Errorf(`%q is none of "tenant", "header:NAME", "certificate" and "address"`, word)
+	return source{}, fmt.Errorf(`%q is none of "tenant", "header:NAME", "certificate" and "address"`, spec)
 }
 
 // Names returns a request's principals: its group, and its flow within the group, which is empty with one source. A
