--- a/internal/upstream/by_test.go
+++ b/internal/upstream/by_test.go
@@ -77,7 +77,7 @@
 	go func() {
 		slowly <- comesUp.AttemptWithOptions(t.Context(), "s", testRequest("GET", ""), AttemptOptions{SendBy: by}).Result
 	}()
-	testutil.Eventually(t, "it waits for its connection", func() bool { return comesUp.slots.Total() == 1 })
+	testutil.Eventually(t, "it waits for its connection", func() bool { return comesUp.connectionSlots.Total() == 1 })
 	time.Sleep(time.Until(by)) // the moment itself: connections come up later, see base.Late
 	late.ComeUp()
 	if got := <-slowly; got != balancer.NotSent {
--- a/internal/upstream/caller_test.go
+++ b/internal/upstream/caller_test.go
@@ -34,7 +34,7 @@
 	go func() { first <- busy.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}).Result }()
 	testutil.Eventually(t, "another request has the connection", func() bool { return len(s.Requests()) == 1 })
 	go attempt(busy)
-	testutil.Eventually(t, "both wait", func() bool { return busy.slots.Waiting("") == 1 && comesUp.slots.Total() == 1 })
+	testutil.Eventually(t, "both wait", func() bool { return busy.connectionSlots.Waiting("") == 1 && comesUp.connectionSlots.Total() == 1 })
 	left := time.Now()
 	leave()
 	for range 2 {
--- a/internal/upstream/connects_test.go
+++ b/internal/upstream/connects_test.go
@@ -22,16 +22,16 @@
 	}{
 		{"nothing known", nil, most},
 		{"little known", []time.Duration{1e6, 1e6, 1e6}, most},
-		{"near", make([]time.Duration, connectsFew), connectsLeast},
-		{"far", append(make([]time.Duration, connectsFew), 8*time.Millisecond), 80 * time.Millisecond},
-		{"farther than the setting", append(make([]time.Duration, connectsFew), time.Second), most},
-		{"long ago", append([]time.Duration{time.Second}, make([]time.Duration, connectsKept)...), connectsLeast},
+		{"near", make([]time.Duration, connectTimesNeeded), minConnectTimeout},
+		{"far", append(make([]time.Duration, connectTimesNeeded), 8*time.Millisecond), 80 * time.Millisecond},
+		{"farther than the setting", append(make([]time.Duration, connectTimesNeeded), time.Second), most},
+		{"long ago", append([]time.Duration{time.Second}, make([]time.Duration, connectTimesKept)...), minConnectTimeout},
 	} {
-		var k connects
+		var k connectTimes
 		for _, d := range c.took {
-			k.took(d)
+			k.record(d)
 		}
-		if got := k.patience(most); got != c.want {
+		if got := k.timeout(most); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -63,7 +63,7 @@
 	}
 	good := testutil.Raw(t, fakes.Says(fakes.OK200("body")))
 	u := testPool(t, 32, testutil.Entry("good", good.Address, "Ready"), testutil.Entry("lost", full.String(), "Ready"))
-	for range connectsFew {
+	for range connectTimesNeeded {
 		if got := u.Attempt(t.Context(), "good", testRequest("GET", ""), time.Time{}); got.Result != balancer.OK {
 			t.Fatalf("%+v", got)
 		}
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	maxInterim = 5 // 1xx answers ahead of the final one
+	maxInformational = 5 // 1xx answers ahead of the final one
 )
 
 // Request is what goes to an upstream: the same bytes with every attempt, but for the time that it still has.
@@ -42,8 +42,8 @@
 	Leave()      // what Enter let in has been written
 }
 
-// notCopied headers are written from what a Request is told elsewhere.
-var notCopied = []string{"Host", "Content-Length", "Transfer-Encoding", "Trailer", "Expect", httpheader.Timeout}
+// rewrittenHeaders headers are written from what a Request is told elsewhere.
+var rewrittenHeaders = []string{"Host", "Content-Length", "Transfer-Encoding", "Trailer", "Expect", httpheader.Timeout}
 
 // NewRequest keeps method, target and body byte for byte, and of the header what belongs end to end: that is for the
 // caller to pick, see httphead.EndToEnd. All of them come from a request that a server has read, so that none holds a
@@ -53,7 +53,7 @@
 	head = append(append(append(append(head, method...), ' '), target...), " HTTP/1.1\r\nHost: "...)
 	head = append(append(head, host...), '\r', '\n')
 	for _, name := range slices.Sorted(maps.Keys(header)) {
-		if slices.Contains(notCopied, name) {
+		if slices.Contains(rewrittenHeaders, name) {
 			continue
 		}
 		for _, value := range header[name] {
@@ -77,7 +77,7 @@
 	} else {
 		r.head = append(r.head, "Transfer-Encoding: chunked\r\n"...)
 	}
-	r.body, r.Upload, rest.pump = first, rest, newPump()
+	r.body, r.Upload, rest.pump = first, rest, newBodyPump()
 	return r
 }
 
@@ -96,7 +96,7 @@
 		out = append(strconv.AppendInt(append(out, httpheader.Timeout+": "...), left, 10), "u\r\n"...)
 	}
 	out = append(out, '\r', '\n')
-	if r.long() {
+	if r.streamsBody() {
 		return out
 	}
 	return append(out, r.body...)
@@ -116,7 +116,7 @@
 // Free gives back what a Reply holds.
 func (u *Pool) Free(r Response) {
 	if r.ReservedBytes > 0 {
-		u.bytes.Release(u.service, r.ReservedBytes)
+		u.answerBytes.Release(u.service, r.ReservedBytes)
 	}
 }
 
@@ -135,28 +135,28 @@
 	// less than its connection to those who wait for one.
 	Cancel context.CancelCauseFunc
 
-	over bool // the attempt has ended; under Pool.mu
+	ended bool // the attempt has ended; under Pool.mu
 }
 
-// left tells whether nobody waits for the answer any more.
-func (t *AttemptOptions) left() bool { return t.Caller != nil && t.Caller.Err() != nil }
+// callerGone tells whether nobody waits for the answer any more.
+func (t *AttemptOptions) callerGone() bool { return t.Caller != nil && t.Caller.Err() != nil }
 
-// late tells whether the last byte can't be written in time any more.
-func (t *AttemptOptions) late() bool { return !t.SendBy.IsZero() && !time.Now().Before(t.SendBy) }
+// pastSendBy tells whether the last byte can't be written in time any more.
+func (t *AttemptOptions) pastSendBy() bool { return !t.SendBy.IsZero() && !time.Now().Before(t.SendBy) }
 
 // AttemptWithOptions is Attempt within terms.
 func (u *Pool) AttemptWithOptions(ctx context.Context, name string, r *Request, t AttemptOptions) Response {
-	at, ok := u.dir.Instance(name)
+	at, ok := u.registry.Instance(name)
 	if !ok {
 		return Response{Result: balancer.NotSent}
 	}
 	if t.Caller != nil && t.Caller.Done() != nil && t.Cancel != nil {
-		defer u.follow(&t)()
+		defer u.watchCaller(&t)()
 	}
 	for {
-		c, reused, err := u.connectionFor(ctx, t.Caller, name, at)
+		c, reused, err := u.connectionWithCaller(ctx, t.Caller, name, at)
 		switch {
-		case err != nil && t.left():
+		case err != nil && t.callerGone():
 			return Response{Result: balancer.NotSent}
 		case errors.Is(err, errSaturated): // says nothing of the upstream
 			return Response{Result: balancer.NotSent}
@@ -169,7 +169,7 @@
 		switch {
 		case lingers: // it is put back, or closed, by itself, or by whoever ends the Reply's Rest
 		case reusable:
-			u.put(c)
+			u.putIdle(c)
 		default:
 			u.discard(c)
 		}
@@ -182,18 +182,18 @@
 
 // exchange writes the request and reads its answer, with nothing else of the connection's running beside it: what
 // was written and what came is known here to the byte. A connection is reusable only if nothing is left of it.
-func (u *Pool) exchange(ctx context.Context, c *poolConn, r *Request, t AttemptOptions) (rep Response, reusable, lingers bool) {
-	var gaveUp chan struct{} // closed once giveUp has ended
-	if c.secure != nil {
+func (u *Pool) exchange(ctx context.Context, c *pooledConn, r *Request, t AttemptOptions) (rep Response, reusable, lingers bool) {
+	var gaveUp chan struct{} // closed once interruptRead has ended
+	if c.tlsConn != nil {
 		gaveUp = make(chan struct{})
 	}
 	running := context.AfterFunc(ctx, func() {
-		c.giveUp(context.Cause(ctx))
+		c.interruptRead(context.Cause(ctx))
 		if gaveUp != nil {
 			close(gaveUp)
 		}
 	})
-	settle := func() bool { return running() || c.secure != nil && c.takeBack(ctx, gaveUp) }
+	settle := func() bool { return running() || c.tlsConn != nil && c.resumeRead(ctx, gaveUp) }
 	defer func() {
 		if rep.Remainder == nil && !settle() { // called off as its answer came
 			reusable = false
@@ -208,25 +208,25 @@
 		}
 		return Response{Result: otherwise}
 	}
-	buffer := outgoing.Get().(*[]byte)
-	defer outgoing.Put(buffer)
+	buffer := requestBuffers.Get().(*[]byte)
+	defer requestBuffers.Put(buffer)
 	*buffer = r.appendTo((*buffer)[:0], t.Deadline)
 	// Guards against sends to an upstream that discovery reported draining between the decision and the write,
 	// while a connection was made, say.
-	if !u.dir.Ready(c.name, c.at) {
+	if !u.registry.Ready(c.name, c.instance) {
 		return Response{Result: balancer.NotSent}, false, false
 	}
 	// It may have waited for its connection: nothing is begun that nobody waits for, that has been called off, or that its group
 	// would take for a new request.
-	if t.left() || ctx.Err() != nil || t.late() {
+	if t.callerGone() || ctx.Err() != nil || t.pastSendBy() {
 		return Response{Result: balancer.NotSent}, true, false
 	}
 	if r.Gate != nil && !r.Gate.Enter() {
 		return Response{Result: balancer.NotSent}, true, false
 	}
-	var up *upload // a long body's
-	if r.long() {
-		up = r.start(c, *buffer, t.SendBy)
+	var up *uploadWriter // a long body's
+	if r.streamsBody() {
+		up = r.startUpload(c, *buffer, t.SendBy)
 		defer func() {
 			whole := up.stop()
 			reusable = c.SetWriteDeadline(time.Time{}) == nil && whole && reusable
@@ -243,7 +243,7 @@
 			return ended(balancer.Reset), false, false
 		}
 		if err != nil {
-			if t.late() {
+			if t.pastSendBy() {
 				return Response{Result: balancer.NotSent}, false, false
 			}
 			return ended(balancer.ConnectFailed), false, false
@@ -255,7 +255,7 @@
 			r.Written()
 		}
 	}
-	in := newAnswerReader(c)
+	in := newResponseReader(c)
 	defer func() {
 		if rep.Remainder == nil {
 			in.release()
@@ -264,24 +264,24 @@
 	resp, err := in.head(r)
 	if up != nil {
 		whole := false
-		if err == nil && u.answers.Has(resp.StatusCode) {
+		if err == nil && u.successStatuses.Has(resp.StatusCode) {
 			whole = up.wait() // it answers what it has not read to the end; the rest is owed to it
 		} else {
 			whole = up.stop()
 		}
 		switch {
-		case whole || turnedAway(resp, err):
-		case in.limited.left == httpheader.MaxBytes: // its last byte never went out, and nothing came back
+		case whole || rejectedUnprocessed(resp, err):
+		case in.limit.remaining == httpheader.MaxBytes: // its last byte never went out, and nothing came back
 			result := balancer.ConnectFailed
-			if ctx.Err() != nil || t.late() {
+			if ctx.Err() != nil || t.pastSendBy() {
 				result = balancer.NotSent
 			}
-			return r.unsent(result), false, false
+			return r.notSentResponse(result), false, false
 		default: // whoever answers may have begun, whatever it has read
 			rep = Response{Result: in.failure(), BodyConsumed: r.Upload != nil && r.Upload.Consumed()}
 			if err == nil {
 				rep.Result = balancer.ServerError
-				if u.answers.Has(resp.StatusCode) {
+				if u.successStatuses.Has(resp.StatusCode) {
 					rep.Result = balancer.Reset
 				}
 			}
@@ -290,26 +290,26 @@
 		defer func() { rep.BodyConsumed = r.Upload != nil && r.Upload.Consumed() }()
 	}
 	if err != nil {
-		if c.secure != nil && in.limited.left == httpheader.MaxBytes && errors.Is(err, os.ErrDeadlineExceeded) {
-			go u.linger(c, r)
+		if c.tlsConn != nil && in.limit.remaining == httpheader.MaxBytes && errors.Is(err, os.ErrDeadlineExceeded) {
+			go u.drainCancelled(c, r)
 			return ended(balancer.Cancelled), false, true
 		}
 		return ended(in.failure()), false, false
 	}
-	served := u.answers.Has(resp.StatusCode)
+	served := u.successStatuses.Has(resp.StatusCode)
 	// The body is not closed: that would first read the rest of it.
 	delimited := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 	var body []byte
 	var held int64
-	whole := delimited && resp.ContentLength <= int64(u.maxAnswer) && resp.StatusCode >= 200
+	whole := delimited && resp.ContentLength <= int64(u.maxAnswerBytes) && resp.StatusCode >= 200
 	switch {
 	case r.isHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified:
 		whole = resp.StatusCode >= 200
-	case served && !r.CompleteOnly && resp.StatusCode >= 200 && (resp.ContentLength < 0 || resp.ContentLength > keptWhole && resp.ContentLength <= MaxPassThroughBytes):
-		if held = u.holdPart(); held < 0 {
+	case served && !r.CompleteOnly && resp.StatusCode >= 200 && (resp.ContentLength < 0 || resp.ContentLength > maxBufferedAnswer && resp.ContentLength <= MaxPassThroughBytes):
+		if held = u.reservePassThrough(); held < 0 {
 			return Response{Result: balancer.Cancelled}, false, false
 		}
-		first, rest, err := u.passOn(ctx, c, in, resp, settle)
+		first, rest, err := u.passThrough(ctx, c, in, resp, settle)
 		if err != nil {
 			u.Free(Response{ReservedBytes: held})
 			return ended(in.failure()), false, false
@@ -318,7 +318,7 @@
 		delete(header, httpheader.LoadReport)
 		return Response{balancer.OK, resp.StatusCode, header, first, held, rest, false}, rest == nil && !resp.Close && in.Buffered() == 0, rest != nil
 	case whole:
-		if held = u.hold(resp); held < 0 { // of ours, and says nothing of the upstream; it has run
+		if held = u.reserveAnswer(resp); held < 0 { // of ours, and says nothing of the upstream; it has run
 			return Response{Result: balancer.Cancelled}, false, false
 		}
 		defer func() {
@@ -326,7 +326,7 @@
 				u.Free(Response{ReservedBytes: held})
 			}
 		}()
-		body, err = in.body(resp, u.maxAnswer)
+		body, err = in.body(resp, u.maxAnswerBytes)
 		if err != nil && served {
 			return ended(in.failure()), false, false
 		}
@@ -334,7 +334,7 @@
 	}
 	reusable = whole && !resp.Close && in.Buffered() == 0
 	switch status := resp.StatusCode; {
-	case turnedAway(resp, nil):
+	case rejectedUnprocessed(resp, nil):
 		return Response{Result: balancer.Rejected}, reusable, false
 	case served && !whole: // of no end, or of too much: what came is not served in parts
 		return Response{Result: balancer.Malformed}, false, false
@@ -346,133 +346,133 @@
 	return Response{Result: balancer.ServerError}, reusable, false
 }
 
-// turnedAway tells whether the upstream says that it has not begun the request.
-func turnedAway(resp *http.Response, err error) bool {
+// rejectedUnprocessed tells whether the upstream says that it has not begun the request.
+func rejectedUnprocessed(resp *http.Response, err error) bool {
 	return err == nil && (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get(httpheader.NotProcessed) == "1"
 }
 
-// lingerFor is how long an encrypted connection is kept for the answer of an attempt that was called off, and lingerMost
+// cancelledAnswerTimeout is how long an encrypted connection is kept for the answer of an attempt that was called off, and maxCancelledAnswer
 // what that may have: a handshake costs both sides more than a short answer that nobody waits for. Without encryption the
 // connection is closed at once.
 const (
-	lingerFor  = 20 * time.Millisecond
-	lingerMost = 64 << 10
+	cancelledAnswerTimeout = 20 * time.Millisecond
+	maxCancelledAnswer     = 64 << 10
 )
 
-// giveUp ends what is read from the connection: it is closed, or where it is encrypted and the attempt was called off
+// interruptRead ends what is read from the connection: it is closed, or where it is encrypted and the attempt was called off
 // before any byte of its answer had come, left for linger.
-func (c *poolConn) giveUp(cause error) {
-	if c.secure == nil || errors.Is(cause, context.DeadlineExceeded) || c.secure.SetReadDeadline(time.Unix(1, 0)) != nil {
-		c.end()
+func (c *pooledConn) interruptRead(cause error) {
+	if c.tlsConn == nil || errors.Is(cause, context.DeadlineExceeded) || c.tlsConn.SetReadDeadline(time.Unix(1, 0)) != nil {
+		c.closeSocket()
 	}
 }
 
-// takeBack undoes what giveUp has done to an encrypted connection whose answer had come whole meanwhile; false: it is
+// resumeRead undoes what interruptRead has done to an encrypted connection whose answer had come whole meanwhile; false: it is
 // closed.
-func (c *poolConn) takeBack(ctx context.Context, gaveUp <-chan struct{}) bool {
+func (c *pooledConn) resumeRead(ctx context.Context, gaveUp <-chan struct{}) bool {
 	<-gaveUp // it does not block
 	return !errors.Is(context.Cause(ctx), context.DeadlineExceeded) && c.SetReadDeadline(time.Time{}) == nil
 }
 
-// linger waits a moment for an answer that nobody wants any more, so that its connection can carry another request.
-func (u *Pool) linger(c *poolConn, r *Request) {
+// drainCancelled waits a moment for an answer that nobody wants any more, so that its connection can carry another request.
+func (u *Pool) drainCancelled(c *pooledConn, r *Request) {
 	whole := false
-	if c.SetReadDeadline(time.Now().Add(lingerFor)) == nil {
-		in := newAnswerReader(c)
+	if c.SetReadDeadline(time.Now().Add(cancelledAnswerTimeout)) == nil {
+		in := newResponseReader(c)
 		defer in.release()
 		if resp, err := in.head(r); err == nil && resp.StatusCode >= 200 && !resp.Close {
 			none := r.isHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified
-			delimited := resp.ContentLength >= 0 && resp.ContentLength <= lingerMost || len(resp.TransferEncoding) > 0
+			delimited := resp.ContentLength >= 0 && resp.ContentLength <= maxCancelledAnswer || len(resp.TransferEncoding) > 0
 			if !none && delimited {
-				_, err = in.body(resp, lingerMost)
+				_, err = in.body(resp, maxCancelledAnswer)
 			}
 			whole = err == nil && (none || delimited) && in.Buffered() == 0
 		}
 	}
 	if whole && c.SetReadDeadline(time.Time{}) == nil {
-		u.put(c)
+		u.putIdle(c)
 		return
 	}
 	u.discard(c)
 }
 
-// hold takes the bytes of an answer's body out of what is shared: its length, or where none is told the most that it
+// reserveAnswer takes the bytes of an answer's body out of what is shared: its length, or where none is told the most that it
 // may have. Below 0: they are not to be had.
-func (u *Pool) hold(resp *http.Response) int64 {
-	if u.bytes == nil {
+func (u *Pool) reserveAnswer(resp *http.Response) int64 {
+	if u.answerBytes == nil {
 		return 0
 	}
 	n := resp.ContentLength
 	if n < 0 {
-		n = int64(u.maxAnswer)
+		n = int64(u.maxAnswerBytes)
 	}
-	if !u.bytes.TryAcquire(u.service, n) {
+	if !u.answerBytes.TryAcquire(u.service, n) {
 		return -1
 	}
 	return n
 }
 
-// holdPart is hold for an answer that is passed on.
-func (u *Pool) holdPart() int64 {
-	if u.bytes == nil {
+// reservePassThrough is hold for an answer that is passed on.
+func (u *Pool) reservePassThrough() int64 {
+	if u.answerBytes == nil {
 		return 0
 	}
-	if !u.bytes.TryAcquire(u.service, keptWhole) {
+	if !u.answerBytes.TryAcquire(u.service, maxBufferedAnswer) {
 		return -1
 	}
-	return keptWhole
+	return maxBufferedAnswer
 }
 
-// answerReader reads one answer. It never takes in more than an answer may have.
-type answerReader struct {
+// responseReader reads one answer. It never takes in more than an answer may have.
+type responseReader struct {
 	*bufio.Reader
-	limited limited
+	limit limitedReader
 }
 
-// limited passes on no more than left from a connection.
-type limited struct {
-	from  io.Reader
-	left  int
-	broke bool // the connection ended or broke
+// limitedReader passes on no more than left from a connection.
+type limitedReader struct {
+	source    io.Reader
+	remaining int
+	broken    bool // the connection ended or broke
 }
 
-func (l *limited) Read(p []byte) (int, error) {
-	if l.left <= 0 {
+func (l *limitedReader) Read(p []byte) (int, error) {
+	if l.remaining <= 0 {
 		return 0, errTooLarge
 	}
-	n, err := l.from.Read(p[:min(len(p), l.left)])
-	l.left -= n
-	l.broke = l.broke || err != nil
+	n, err := l.source.Read(p[:min(len(p), l.remaining)])
+	l.remaining -= n
+	l.broken = l.broken || err != nil
 	return n, err
 }
 
 var errTooLarge = errors.New("the answer is too large")
 
-// outgoing holds buffers for what is written, each at most a request's head and body.
-var outgoing = sync.Pool{New: func() any { return new([]byte) }}
+// requestBuffers holds buffers for what is written, each at most a request's head and body.
+var requestBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-var readers = sync.Pool{New: func() any { return &answerReader{Reader: bufio.NewReader(nil)} }}
+var responseReaders = sync.Pool{New: func() any { return &responseReader{Reader: bufio.NewReader(nil)} }}
 
-func newAnswerReader(from io.Reader) *answerReader {
-	in := readers.Get().(*answerReader)
-	in.limited = limited{from: from, left: httpheader.MaxBytes}
-	in.Reader.Reset(&in.limited)
+func newResponseReader(from io.Reader) *responseReader {
+	in := responseReaders.Get().(*responseReader)
+	in.limit = limitedReader{source: from, remaining: httpheader.MaxBytes}
+	in.Reader.Reset(&in.limit)
 	return in
 }
 
-func (in *answerReader) release() {
-	in.limited.from = nil
-	readers.Put(in)
+func (in *responseReader) release() {
+	in.limit.source = nil
+	responseReaders.Put(in)
 }
 
 // head reads up to the final answer's body.
-func (in *answerReader) head(r *Request) (*http.Response, error) {
+func (in *responseReader) head(r *Request) (*http.Response, error) {
 	var to *http.Request // nil: a GET
 	if r.isHead {
 		to = headRequest
 	}
-	for range maxInterim + 1 {
+	for range maxInformational + 1 {
 		resp, err := http.ReadResponse(in.Reader, to)
 		if err != nil || resp.StatusCode >= 200 || resp.StatusCode == http.StatusSwitchingProtocols {
 			return resp, err
@@ -484,8 +484,8 @@
 var headRequest = &http.Request{Method: http.MethodHead}
 
 // body reads the body to its end.
-func (in *answerReader) body(resp *http.Response, most int) ([]byte, error) {
-	in.limited.left = most + most/4 + httpheader.MaxBytes // chunks have heads of their own
+func (in *responseReader) body(resp *http.Response, most int) ([]byte, error) {
+	in.limit.remaining = most + most/4 + httpheader.MaxBytes // chunks have heads of their own
 	if resp.ContentLength >= 0 {
 		body := make([]byte, resp.ContentLength)
 		_, err := io.ReadFull(resp.Body, body)
@@ -500,8 +500,8 @@
 
 // failure is the outcome where no whole answer could be read: it may have run. An upstream that writes what can't
 // be read is alive.
-func (in *answerReader) failure() balancer.Result {
-	if in.limited.broke {
+func (in *responseReader) failure() balancer.Result {
+	if in.limit.broken {
 		return balancer.Reset
 	}
 	return balancer.Malformed
--- a/internal/upstream/local.go
+++ b/internal/upstream/local.go
@@ -11,15 +11,15 @@
 
 // The wait before a connect is made again that this machine has failed. It doubles from first to most.
 const (
-	dialAgainFirst = 2 * time.Millisecond
-	dialAgainMost  = 32 * time.Millisecond
+	minDialBackoff = 2 * time.Millisecond
+	maxDialBackoff = 32 * time.Millisecond
 )
 
 // localErrors are those of socket(2) and connect(2) that come of this machine alone: no descriptor, memory or port is free.
 var localErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR}
 
-// isLocal tells whether a connect failed for a reason that says nothing of the upstream.
-func isLocal(err error) bool {
+// isLocalError tells whether a connect failed for a reason that says nothing of the upstream.
+func isLocalError(err error) bool {
 	errno, ok := errors.AsType[syscall.Errno](err)
 	return ok && slices.Contains(localErrors, errno)
 }
@@ -28,7 +28,7 @@
 // those that are open can still be used. At the end of ctx it returns errSaturated, so that the attempt counts as never sent and its
 // upstream is not blamed.
 func (u *Pool) awaitResources(ctx context.Context, wait time.Duration, cause error) error {
-	if wait == dialAgainFirst {
+	if wait == minDialBackoff {
 		u.evict()
 	}
 	timer := time.NewTimer(wait)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	idlePart  = 0.6 // idle connections are retired after this part of the time after which upstreams close them
-	sweepPart = 0.1 // and looked through this often, as a part of the same
-	restFor   = 5 * time.Millisecond
+	idleTimeoutFraction = 0.6 // idle connections are retired after this part of the time after which upstreams close them
+	sweepFraction       = 0.1 // and looked through this often, as a part of the same
+	defaultRestTime     = 5 * time.Millisecond
 
-	handshakeFor = 100 * time.Millisecond // how long an encrypted connection that was called off may still be made
+	handshakeGrace = 100 * time.Millisecond // how long an encrypted connection that was called off may still be made
 )
 
 // Options are a Pool's parameters.
@@ -55,46 +55,46 @@
 
 // Pool holds the connections to upstreams. It is safe for concurrent use.
 type Pool struct {
-	dir            *endpoints.Registry
-	connectTimeout time.Duration
-	maxIdle        time.Duration
-	sweepEvery     time.Duration
-	rest           time.Duration       // of a connection between an answer and the next request, see take
-	maxAnswer      int                 // bytes
-	slots          *bulkhead.Semaphore // one for each connection that is open
-	service        string
-	bytes          *bulkhead.Semaphore
-	answers        *httpheader.Statuses
-	secure         TLSClient
-	connects       connects
-	dialTCP        func(ctx context.Context, address string) (net.Conn, error)
-
-	mu        sync.Mutex
-	idle      map[string][]*poolConn   // by upstream, the one idle for longest first
-	abandoned map[*AttemptOptions]bool // attempts under way whose callers have left
-	closed    bool
-	warm      *warming // nil: nothing is opened ahead
+	registry        *endpoints.Registry
+	connectTimeout  time.Duration
+	idleTimeout     time.Duration
+	sweepInterval   time.Duration
+	restTime        time.Duration       // of a connection between an answer and the next request, see take
+	maxAnswerBytes  int                 // bytes
+	connectionSlots *bulkhead.Semaphore // one for each connection that is open
+	service         string
+	answerBytes     *bulkhead.Semaphore
+	successStatuses *httpheader.Statuses
+	tlsClient       TLSClient
+	connectTimes    connectTimes
+	dialTCP         func(ctx context.Context, address string) (net.Conn, error)
+
+	mu         sync.Mutex
+	idle       map[string][]*pooledConn // by upstream, the one idle for longest first
+	abandoned  map[*AttemptOptions]bool // attempts under way whose callers have left
+	closed     bool
+	prewarming *prewarming // nil: nothing is opened ahead
 }
 
 // New returns an empty Pool. Whoever owns the Directory tells it of upstreams whose connections are no longer
 // wanted, by Drop.
 func New(o Options) *Pool {
-	u := &Pool{dir: o.Registry, connectTimeout: o.ConnectTimeout, slots: o.ConnectionSlots, service: o.Service, bytes: o.AnswerBytes,
-		rest: restFor, maxAnswer: o.MaxAnswerBytes, answers: o.SuccessStatuses, secure: o.TLS,
-		maxIdle:    time.Duration(float64(o.IdleTimeout) * idlePart),
-		sweepEvery: time.Duration(float64(o.IdleTimeout) * sweepPart), idle: map[string][]*poolConn{}, abandoned: map[*AttemptOptions]bool{}}
+	u := &Pool{registry: o.Registry, connectTimeout: o.ConnectTimeout, connectionSlots: o.ConnectionSlots, service: o.Service, answerBytes: o.AnswerBytes,
+		restTime: defaultRestTime, maxAnswerBytes: o.MaxAnswerBytes, successStatuses: o.SuccessStatuses, tlsClient: o.TLS,
+		idleTimeout:   time.Duration(float64(o.IdleTimeout) * idleTimeoutFraction),
+		sweepInterval: time.Duration(float64(o.IdleTimeout) * sweepFraction), idle: map[string][]*pooledConn{}, abandoned: map[*AttemptOptions]bool{}}
 	u.dialTCP = func(ctx context.Context, address string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	}
 	if o.Prewarmer != nil {
-		u.warm = &warming{w: o.Prewarmer, open: map[string]int{}, used: map[string]bool{}}
+		u.prewarming = &prewarming{prewarmer: o.Prewarmer, open: map[string]int{}, used: map[string]bool{}}
 	}
-	if u.answers == nil {
-		u.answers = httpheader.Only200()
+	if u.successStatuses == nil {
+		u.successStatuses = httpheader.Only200()
 	}
-	if u.slots == nil {
+	if u.connectionSlots == nil {
 		var err error
-		u.slots, err = bulkhead.NewSemaphore(int64(max(1, o.MaxConnections)), 1, []bulkhead.Share{{Name: o.Service, Weight: 1}})
+		u.connectionSlots, err = bulkhead.NewSemaphore(int64(max(1, o.MaxConnections)), 1, []bulkhead.Share{{Name: o.Service, Weight: 1}})
 		if err != nil { // one service has all of it
 			panic(err)
 		}
@@ -104,7 +104,7 @@
 }
 
 // EvictOnContention makes this pool the one that is asked for idle connections of its service, in place of another of that name.
-func (u *Pool) EvictOnContention() { u.slots.OnContention(u.service, u.evict) }
+func (u *Pool) EvictOnContention() { u.connectionSlots.OnContention(u.service, u.evict) }
 
 // Close closes all idle connections; those in use end with what they carry. Nothing is sent after it, since the
 // Directory is empty by then or its owner's Gates are shut.
@@ -121,55 +121,55 @@
 }
 
 // SetRegistry names the Directory, where that was made after the Pool. It comes before the first attempt.
-func (u *Pool) SetRegistry(d *endpoints.Registry) { u.dir = d }
-
-// poolConn is one connection. Nothing reads from it between exchanges: see quiet.
-type poolConn struct {
-	net.Conn                 // what requests are written to
-	raw      syscall.RawConn // of the socket below
-	secure   *tls.Conn       // nil: not encrypted
-	below    *counted        // what secure writes to
-	name     string
-	at       endpoints.Instance
-	since    time.Time // when it became idle
-	unused   bool      // it was opened ahead, and no request has gone out on it
+func (u *Pool) SetRegistry(d *endpoints.Registry) { u.registry = d }
+
+// pooledConn is one connection. Nothing reads from it between exchanges: see quiet.
+type pooledConn struct {
+	net.Conn                  // what requests are written to
+	rawSocket syscall.RawConn // of the socket below
+	tlsConn   *tls.Conn       // nil: not encrypted
+	tlsSocket *countingConn   // what secure writes to
+	name      string
+	instance  endpoints.Instance
+	idleSince time.Time // when it became idle
+	prewarmed bool      // it was opened ahead, and no request has gone out on it
 }
 
 var errSaturated = errors.New("all upstream connections that the limits allow are busy")
 
-// quiet tells whether the connection is open and brought nothing since its last answer. What came after that
+// isIdle tells whether the connection is open and brought nothing since its last answer. What came after that
 // belongs to no request: it would be read as the answer to the next.
-func (c *poolConn) quiet() bool {
+func (c *pooledConn) isIdle() bool {
 	var err error
-	if failed := c.raw.Read(func(fd uintptr) bool {
+	if failed := c.rawSocket.Read(func(fd uintptr) bool {
 		_, _, err = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return true
 	}); failed != nil {
 		return false
 	}
-	if err != syscall.EAGAIN || c.secure == nil {
+	if err != syscall.EAGAIN || c.tlsConn == nil {
 		return err == syscall.EAGAIN
 	}
 	// What was taken off the socket with the answer's last record waits within the library.
-	if c.secure.SetReadDeadline(time.Unix(1, 0)) != nil {
+	if c.tlsConn.SetReadDeadline(time.Unix(1, 0)) != nil {
 		return false
 	}
-	n, err := c.secure.Read(make([]byte, 1))
+	n, err := c.tlsConn.Read(make([]byte, 1))
 	if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
-	return c.secure.SetReadDeadline(time.Time{}) == nil
+	return c.tlsConn.SetReadDeadline(time.Time{}) == nil
 }
 
 // connection returns a connection to an upstream: the one that was used last of those that have rested, or a new
 // one. At the limit it closes the one idle for longest, and where all are busy it waits until ctx ends.
-func (u *Pool) connection(ctx context.Context, name string, at endpoints.Instance) (c *poolConn, reused bool, err error) {
-	return u.connectionFor(ctx, nil, name, at)
+func (u *Pool) connection(ctx context.Context, name string, at endpoints.Instance) (c *pooledConn, reused bool, err error) {
+	return u.connectionWithCaller(ctx, nil, name, at)
 }
 
-// connectionFor is connection for a caller: where one has to be waited for, the wait ends with the caller too.
-func (u *Pool) connectionFor(ctx, caller context.Context, name string, at endpoints.Instance) (c *poolConn, reused bool, err error) {
-	if c = u.take(name, at); c != nil {
+// connectionWithCaller is connection for a caller: where one has to be waited for, the wait ends with the caller too.
+func (u *Pool) connectionWithCaller(ctx, caller context.Context, name string, at endpoints.Instance) (c *pooledConn, reused bool, err error) {
+	if c = u.takeIdle(name, at); c != nil {
 		return c, true, nil
 	}
 	if caller != nil && caller.Done() != nil {
@@ -178,7 +178,7 @@
 		defer end()
 		defer context.AfterFunc(caller, end)()
 	}
-	if err = u.slot(ctx); err != nil {
+	if err = u.acquireSlot(ctx); err != nil {
 		return nil, false, err
 	}
 	if c, err = u.connect(ctx, name, at); err != nil {
@@ -188,17 +188,17 @@
 }
 
 // connect dials within a slot, and gives that back where there is no connection. An encrypted connection that is called
-// off while it is made may be had in handshakeFor for requests to come: most of its cost is paid by then.
-func (u *Pool) connect(ctx context.Context, name string, at endpoints.Instance) (*poolConn, error) {
-	if u.secure == nil {
+// off while it is made may be had in handshakeGrace for requests to come: most of its cost is paid by then.
+func (u *Pool) connect(ctx context.Context, name string, at endpoints.Instance) (*pooledConn, error) {
+	if u.tlsClient == nil {
 		c, err := u.dial(ctx, name, at)
 		if err != nil {
-			u.slots.Release(u.service, 1)
+			u.connectionSlots.Release(u.service, 1)
 		}
 		return c, err
 	}
 	type made struct {
-		c   *poolConn
+		c   *pooledConn
 		err error
 	}
 	apart, end := context.WithCancel(context.WithoutCancel(ctx))
@@ -211,19 +211,19 @@
 	case m := <-done:
 		end()
 		if m.err != nil {
-			u.slots.Release(u.service, 1)
+			u.connectionSlots.Release(u.service, 1)
 		}
 		return m.c, m.err
 	case <-ctx.Done():
 	}
 	go func() {
 		defer end()
-		late := time.AfterFunc(handshakeFor, end)
+		late := time.AfterFunc(handshakeGrace, end)
 		defer late.Stop()
 		if m := <-done; m.err != nil {
-			u.slots.Release(u.service, 1)
+			u.connectionSlots.Release(u.service, 1)
 		} else {
-			u.put(m.c)
+			u.putIdle(m.c)
 		}
 	}()
 	return nil, ctx.Err()
@@ -231,14 +231,14 @@
 
 // dial makes a connection; its handshake, too, is a part of connecting: nothing of a request has been sent before it
 // has ended.
-func (u *Pool) dial(ctx context.Context, name string, at endpoints.Instance) (*poolConn, error) {
+func (u *Pool) dial(ctx context.Context, name string, at endpoints.Instance) (*pooledConn, error) {
 	whole, cancel := context.WithTimeout(ctx, u.connectTimeout)
 	defer cancel()
-	ctx, cancel = context.WithTimeout(whole, u.connects.patience(u.connectTimeout))
+	ctx, cancel = context.WithTimeout(whole, u.connectTimes.timeout(u.connectTimeout))
 	defer cancel()
 	begun := time.Now()
 	conn, err := u.dialTCP(ctx, at.Address)
-	for wait := dialAgainFirst; isLocal(err); wait = min(2*wait, dialAgainMost) {
+	for wait := minDialBackoff; isLocalError(err); wait = min(2*wait, maxDialBackoff) {
 		if err = u.awaitResources(ctx, wait, err); err != nil {
 			return nil, err
 		}
@@ -248,30 +248,30 @@
 	if err != nil {
 		return nil, err
 	}
-	u.connects.took(time.Since(begun))
+	u.connectTimes.record(time.Since(begun))
 	ctx = whole // a handshake takes what it takes
-	c := &poolConn{Conn: conn, name: name, at: at}
-	u.warm.opened(name, 1)
-	if c.raw, err = conn.(*net.TCPConn).SyscallConn(); err == nil && u.secure != nil {
-		c.below = &counted{Conn: conn}
-		if c.secure, err = u.secure.Handshake(ctx, c.below, at); err == nil {
-			c.Conn = c.secure
+	c := &pooledConn{Conn: conn, name: name, instance: at}
+	u.prewarming.count(name, 1)
+	if c.rawSocket, err = conn.(*net.TCPConn).SyscallConn(); err == nil && u.tlsClient != nil {
+		c.tlsSocket = &countingConn{Conn: conn}
+		if c.tlsConn, err = u.tlsClient.Handshake(ctx, c.tlsSocket, at); err == nil {
+			c.Conn = c.tlsConn
 		}
 	}
 	if err != nil {
 		conn.Close()
-		u.warm.opened(name, -1)
+		u.prewarming.count(name, -1)
 		return nil, err
 	}
 	return c, nil
 }
 
-// slot makes room for one more connection.
-func (u *Pool) slot(ctx context.Context) error {
-	if u.slots.TryAcquire(u.service, 1) {
+// acquireSlot makes room for one more connection.
+func (u *Pool) acquireSlot(ctx context.Context) error {
+	if u.connectionSlots.TryAcquire(u.service, 1) {
 		return nil
 	}
-	if u.slots.Acquire(ctx, u.service, 1) != nil {
+	if u.connectionSlots.Acquire(ctx, u.service, 1) != nil {
 		return errSaturated
 	}
 	return nil
@@ -284,15 +284,15 @@
 	return u.evictLocked()
 }
 
-// follow has an attempt give its connection up once its caller has left and another waits for one. The returned function ends that.
-func (u *Pool) follow(t *AttemptOptions) (end func()) {
+// watchCaller has an attempt give its connection up once its caller has left and another waits for one. The returned function ends that.
+func (u *Pool) watchCaller(t *AttemptOptions) (end func()) {
 	left := func() {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		if t.over {
+		if t.ended {
 			return
 		}
-		if u.abandoned[t] = true; u.slots.Waiting(u.service) > 0 {
+		if u.abandoned[t] = true; u.connectionSlots.Waiting(u.service) > 0 {
 			u.evictLocked()
 		}
 	}
@@ -301,7 +301,7 @@
 		if !stop() {
 			u.mu.Lock()
 			defer u.mu.Unlock()
-			t.over = true
+			t.ended = true
 			delete(u.abandoned, t)
 		}
 	}
@@ -310,9 +310,9 @@
 // evictLocked closes the connection that is worth least: one that was opened ahead and never used, else the one that has been
 // idle for longest, else one whose request nobody waits for.
 func (u *Pool) evictLocked() bool {
-	var oldest *poolConn
+	var oldest *pooledConn
 	for _, idle := range u.idle {
-		if c := idle[0]; oldest == nil || c.unused && !oldest.unused || c.unused == oldest.unused && c.since.Before(oldest.since) {
+		if c := idle[0]; oldest == nil || c.prewarmed && !oldest.prewarmed || c.prewarmed == oldest.prewarmed && c.idleSince.Before(oldest.idleSince) {
 			oldest = c
 		}
 	}
@@ -329,7 +329,7 @@
 	return false
 }
 
-func (u *Pool) setIdleLocked(name string, idle []*poolConn) {
+func (u *Pool) setIdleLocked(name string, idle []*pooledConn) {
 	if len(idle) == 0 {
 		delete(u.idle, name) // names are ever new
 	} else {
@@ -337,24 +337,24 @@
 	}
 }
 
-// take returns the upstream's connection that was used last, or nil. Guards against answers that are not this
+// takeIdle returns the upstream's connection that was used last, or nil. Guards against answers that are not this
 // request's: a second copy or noise behind an answer may come a moment after it, so a connection rests before
 // its next request, and one that brought anything meanwhile is closed.
-func (u *Pool) take(name string, at endpoints.Instance) *poolConn {
+func (u *Pool) takeIdle(name string, at endpoints.Instance) *pooledConn {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.warm.use(name)
+	u.prewarming.markUsed(name)
 	idle := u.idle[name]
 	defer func() { u.setIdleLocked(name, idle) }()
 	now := time.Now()
 	for i := len(idle) - 1; i >= 0; i-- {
 		c := idle[i]
-		if now.Sub(c.since) < u.rest && !c.unused { // nothing can come behind an answer that there was not
+		if now.Sub(c.idleSince) < u.restTime && !c.prewarmed { // nothing can come behind an answer that there was not
 			continue
 		}
 		idle = slices.Delete(idle, i, i+1)
-		if c.at == at && u.trusted(c) && c.quiet() {
-			c.unused = false
+		if c.instance == at && u.trusted(c) && c.isIdle() {
+			c.prewarmed = false
 			return c
 		}
 		u.discard(c)
@@ -362,35 +362,35 @@
 	return nil
 }
 
-func (u *Pool) put(c *poolConn) {
+func (u *Pool) putIdle(c *pooledConn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.closed || !u.dir.Ready(c.name, c.at) || !u.trusted(c) || u.slots.Waiting(u.service) > 0 {
+	if u.closed || !u.registry.Ready(c.name, c.instance) || !u.trusted(c) || u.connectionSlots.Waiting(u.service) > 0 {
 		u.discard(c)
 		return
 	}
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	u.idle[c.name] = append(u.idle[c.name], c)
 }
 
-func (u *Pool) discard(c *poolConn) {
-	c.end()
-	u.warm.opened(c.name, -1)
-	u.slots.Release(u.service, 1)
+func (u *Pool) discard(c *pooledConn) {
+	c.closeSocket()
+	u.prewarming.count(c.name, -1)
+	u.connectionSlots.Release(u.service, 1)
 }
 
-// end closes the socket without a word on the encrypted layer: that could wait for one who does not read.
-func (c *poolConn) end() {
-	if c.secure != nil {
-		c.secure.NetConn().Close()
+// closeSocket closes the socket without a word on the encrypted layer: that could wait for one who does not read.
+func (c *pooledConn) closeSocket() {
+	if c.tlsConn != nil {
+		c.tlsConn.NetConn().Close()
 		return
 	}
 	c.Close()
 }
 
 // trusted tells whether the connection would still be made: the authority that vouched for it may have been withdrawn.
-func (u *Pool) trusted(c *poolConn) bool {
-	return c.secure == nil || u.secure.StillTrusted(c.secure, c.at)
+func (u *Pool) trusted(c *pooledConn) bool {
+	return c.tlsConn == nil || u.tlsClient.StillTrusted(c.tlsConn, c.instance)
 }
 
 // IdleCount is how many connections are open and not in use.
@@ -416,7 +416,7 @@
 // Sweep retires idle connections until ctx ends: those that upstreams are about to close, and those that have ended
 // or brought something that nobody asked for.
 func (u *Pool) Sweep(ctx context.Context) {
-	tick := time.NewTicker(u.sweepEvery)
+	tick := time.NewTicker(u.sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -426,8 +426,8 @@
 		}
 		u.mu.Lock()
 		for name, idle := range u.idle {
-			u.setIdleLocked(name, slices.DeleteFunc(idle, func(c *poolConn) bool {
-				done := time.Since(c.since) >= u.maxIdle || !u.trusted(c) || !c.quiet()
+			u.setIdleLocked(name, slices.DeleteFunc(idle, func(c *pooledConn) bool {
+				done := time.Since(c.idleSince) >= u.idleTimeout || !u.trusted(c) || !c.isIdle()
 				if done {
 					u.discard(c)
 				}
--- a/internal/upstream/prewarm/warm.go
+++ b/internal/upstream/prewarm/warm.go
@@ -5,7 +5,7 @@
 //
 // A member is opened to when it is new, at a random moment within Options.Spread, and again while it was used within
 // Options.IdleAfter and has fewer than Options.ConnectionsPerUpstream open. Three bounds hold: Options.Rate a second, Options.MaxFraction of all connections
-// that there may be, and a wait between tries of one that can't be had that doubles up to backoffMost. So an upstream that M
+// that there may be, and a wait between tries of one that can't be had that doubles up to maxBackoff. So an upstream that M
 // sidecars have among their own gets at most M x Each connections ahead of use, spread over Spread when it starts.
 package prewarm
 
@@ -48,43 +48,43 @@
 }
 
 const (
-	look        = time.Second // a member that needs nothing is looked at again after it
-	backoff     = 500 * time.Millisecond
-	backoffMost = 30 * time.Second
-	burst       = 0.1 // s of Rate that may come at once
+	recheckInterval = time.Second // a member that needs nothing is looked at again after it
+	minBackoff      = 500 * time.Millisecond
+	maxBackoff      = 30 * time.Second
+	burstSeconds    = 0.1 // s of Rate that may come at once
 )
 
 // Prewarmer is the state machine. It holds one entry for each member. It is not safe for concurrent use.
 type Prewarmer struct {
-	o       Options
-	most    int
-	rng     *rand.Rand
-	members map[string]*member
-	due     priorityqueue.Queue[*member]
-	seq     uint64
-	tokens  float64
-	filled  time.Duration
+	options    Options
+	maxOpen    int
+	rng        *rand.Rand
+	members    map[string]*member
+	due        priorityqueue.Queue[*member]
+	sequence   uint64
+	tokens     float64
+	refilledAt time.Duration
 }
 
 type member struct {
-	name    string
-	process uint64 // which process of that name it is
-	at      int    // place in due
-	when    time.Duration
-	used    time.Duration
-	fresh   bool // nothing was opened to it yet
-	opening int
-	fails   int
+	name        string
+	process     uint64 // which process of that name it is
+	heapIndex   int    // place in due
+	dueAt       time.Duration
+	usedAt      time.Duration
+	neverOpened bool // nothing was opened to it yet
+	opening     int
+	failures    int
 }
 
 // New returns a Warmer for so many connections at most.
 func New(o Options, connections int, rng *rand.Rand) *Prewarmer {
-	return &Prewarmer{o: o, most: int(o.MaxFraction * float64(connections)), rng: rng, members: map[string]*member{},
-		due: priorityqueue.New(func(m *member) *int { return &m.at }), tokens: 1}
+	return &Prewarmer{options: o, maxOpen: int(o.MaxFraction * float64(connections)), rng: rng, members: map[string]*member{},
+		due: priorityqueue.New(func(m *member) *int { return &m.heapIndex }), tokens: 1}
 }
 
-// Members brings all that are its own and take requests, each with a number that another process of the name has another of.
-func (w *Prewarmer) Members(now time.Duration, ready map[string]uint64) {
+// SetMembers brings all that are its own and take requests, each with a number that another process of the name has another of.
+func (w *Prewarmer) SetMembers(now time.Duration, ready map[string]uint64) {
 	for name, m := range w.members {
 		if process, stays := ready[name]; !stays || process != m.process {
 			w.due.Remove(m)
@@ -99,45 +99,45 @@
 	}
 	slices.Sort(fresh) // the same seed gives them the same times
 	for _, name := range fresh {
-		m := &member{name: name, process: ready[name], at: -1, fresh: true}
+		m := &member{name: name, process: ready[name], heapIndex: -1, neverOpened: true}
 		w.members[name] = m
-		w.schedule(m, now+w.within(w.o.Spread.D()))
+		w.schedule(m, now+w.randomBelow(w.options.Spread.D()))
 	}
 }
 
-// within is a random time below d.
-func (w *Prewarmer) within(d time.Duration) time.Duration {
+// randomBelow is a random time below d.
+func (w *Prewarmer) randomBelow(d time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(max(d, 0)) + 1))
 }
 
 func (w *Prewarmer) schedule(m *member, when time.Duration) {
-	w.seq++
-	m.when = when
-	w.due.Set(m, float64(when), w.seq)
+	w.sequence++
+	m.dueAt = when
+	w.due.Set(m, float64(when), w.sequence)
 }
 
-// Used says that a request has gone to a member.
-func (w *Prewarmer) Used(now time.Duration, name string) {
+// RecordUse says that a request has gone to a member.
+func (w *Prewarmer) RecordUse(now time.Duration, name string) {
 	if m := w.members[name]; m != nil {
-		m.used = now
+		m.usedAt = now
 	}
 }
 
 // Tick names members to open a connection to, now; Ended must follow for each. open tells how many a member has open, and
 // total how many all have.
 func (w *Prewarmer) Tick(now time.Duration, open func(name string) int, total int) (names []string) {
-	w.tokens = min(max(1, w.o.Rate*burst), w.tokens+w.o.Rate*max(0, now-w.filled).Seconds())
-	w.filled = max(w.filled, now)
-	for w.due.Len() > 0 && w.due.First().when <= now {
+	w.tokens = min(max(1, w.options.Rate*burstSeconds), w.tokens+w.options.Rate*max(0, now-w.refilledAt).Seconds())
+	w.refilledAt = max(w.refilledAt, now)
+	for w.due.Len() > 0 && w.due.First().dueAt <= now {
 		m := w.due.First()
-		wanted := m.fresh || m.used > 0 && now-m.used <= w.o.IdleAfter.D()
-		if !wanted || open(m.name)+m.opening >= w.o.ConnectionsPerUpstream {
-			m.fresh = m.fresh && open(m.name) == 0
-			w.schedule(m, now+look)
+		wanted := m.neverOpened || m.usedAt > 0 && now-m.usedAt <= w.options.IdleAfter.D()
+		if !wanted || open(m.name)+m.opening >= w.options.ConnectionsPerUpstream {
+			m.neverOpened = m.neverOpened && open(m.name) == 0
+			w.schedule(m, now+recheckInterval)
 			continue
 		}
-		if total+len(names) >= w.most {
-			w.schedule(m, now+look)
+		if total+len(names) >= w.maxOpen {
+			w.schedule(m, now+recheckInterval)
 			continue
 		}
 		if w.tokens < 1 {
@@ -146,7 +146,7 @@
 		w.tokens--
 		m.opening++
 		names = append(names, m.name)
-		w.schedule(m, now+look) // for the next, where it is to have several
+		w.schedule(m, now+recheckInterval) // for the next, where it is to have several
 	}
 	return names
 }
@@ -159,13 +159,13 @@
 	}
 	m.opening--
 	if ok {
-		m.fresh, m.fails = false, 0
-		w.schedule(m, now+w.within(look))
+		m.neverOpened, m.failures = false, 0
+		w.schedule(m, now+w.randomBelow(recheckInterval))
 		return
 	}
-	wait := min(backoffMost, time.Duration(float64(backoff)*math.Pow(2, float64(min(m.fails, 10)))))
-	m.fails++
-	w.schedule(m, now+wait/2+w.within(wait))
+	wait := min(maxBackoff, time.Duration(float64(minBackoff)*math.Pow(2, float64(min(m.failures, 10)))))
+	m.failures++
+	w.schedule(m, now+wait/2+w.randomBelow(wait))
 }
 
 // Process is the number that a member is known by.
@@ -181,9 +181,9 @@
 	if w.due.Len() == 0 {
 		return 0, false
 	}
-	at := w.due.First().when
+	at := w.due.First().dueAt
 	if w.tokens < 1 {
-		at = max(at, w.filled+time.Duration((1-w.tokens)/w.o.Rate*float64(time.Second)))
+		at = max(at, w.refilledAt+time.Duration((1-w.tokens)/w.options.Rate*float64(time.Second)))
 	}
 	return max(at, now), true
 }
--- a/internal/upstream/prewarm/warm_test.go
+++ b/internal/upstream/prewarm/warm_test.go
@@ -47,7 +47,7 @@
 				if _, is := ready[name]; !is || open[name]+opening[name] > o.ConnectionsPerUpstream || before >= connections/4 {
 					t.Fatalf("%s: %v, %d open and %d opening, %d in all", name, is, open[name], opening[name], before)
 				}
-				if at, was := failed[name]; was && now-at < backoff/2 {
+				if at, was := failed[name]; was && now-at < minBackoff/2 {
 					t.Fatalf("%s again after %v", name, now-at)
 				}
 			}
@@ -55,7 +55,7 @@
 			for from < len(named) && named[from] <= now-time.Second {
 				from++
 			}
-			if named = named[from:]; float64(len(named)) > o.Rate+max(1, o.Rate*burst)+1 {
+			if named = named[from:]; float64(len(named)) > o.Rate+max(1, o.Rate*burstSeconds)+1 {
 				t.Fatalf("%d within a second, at %v", len(named), o.Rate)
 			}
 		}
@@ -86,9 +86,9 @@
 				delete(open, name)
 				delete(opening, name)
 				delete(failed, name)
-				w.Members(now, ready)
+				w.SetMembers(now, ready)
 			case 1:
-				w.Used(now, name)
+				w.RecordUse(now, name)
 			case 2:
 				if len(ends) > 0 {
 					finish(draw(3) > 0)
@@ -107,7 +107,7 @@
 		for range 2000 {
 			now += 100 * time.Millisecond
 			for name := range ready {
-				w.Used(now, name)
+				w.RecordUse(now, name)
 			}
 			tick()
 			for len(ends) > 0 {
@@ -132,7 +132,7 @@
 		ready[fmt.Sprint(i)] = 1
 	}
 	now := time.Hour
-	w.Members(now, ready)
+	w.SetMembers(now, ready)
 	open := map[string]int{}
 	halves := [2]int{}
 	for i := range 40 {
@@ -147,7 +147,7 @@
 		t.Errorf("opened by halves of the spread: %v", halves)
 	}
 	clear(open)
-	w.Used(now, "7")
+	w.RecordUse(now, "7")
 	again := 0
 	for range 40 {
 		now += 50 * time.Millisecond
@@ -169,7 +169,7 @@
 		for i := range 50 {
 			ready[fmt.Sprint("u", i)] = 1
 		}
-		w.Members(0, ready)
+		w.SetMembers(0, ready)
 		for now := time.Duration(0); now < time.Minute; now += 100 * time.Millisecond {
 			order = append(order, w.Tick(now, func(string) int { return 0 }, 0)...)
 		}
--- a/internal/upstream/probe.go
+++ b/internal/upstream/probe.go
@@ -17,8 +17,8 @@
 // that requests wait for, and is not sent to an upstream that drains.
 func (u *Pool) Probe(ctx context.Context, name, path string) balancer.ProbeResult {
 	r := balancer.ProbeResult{Upstream: name, Result: balancer.NotSent}
-	at, ok := u.dir.Instance(name)
-	if !ok || u.slots.Waiting(u.service) > 0 {
+	at, ok := u.registry.Instance(name)
+	if !ok || u.connectionSlots.Waiting(u.service) > 0 {
 		return r
 	}
 	begun := time.Now()
@@ -28,21 +28,21 @@
 	if rep.Result != balancer.OK {
 		return r
 	}
-	if rep.Status != http.StatusOK || len(rep.Body) > httpheader.MaxBytes || !readLoad(&r, rep.Body) {
+	if rep.Status != http.StatusOK || len(rep.Body) > httpheader.MaxBytes || !parseLoadReport(&r, rep.Body) {
 		r.Result = balancer.Malformed
 	}
 	return r
 }
 
-// maxInHand and maxLatency bound what an upstream may say of itself.
+// maxReportedInFlight and maxReportedLatency bound what an upstream may say of itself.
 const (
-	maxInHand  = 1 << 20
-	maxLatency = time.Hour
+	maxReportedInFlight = 1 << 20
+	maxReportedLatency  = time.Hour
 )
 
-// readLoad reads a load report as X-Server-Load has it, "TEXT inflight=7, queue=2, util=0.61", and latency_ms beside. It needs
+// parseLoadReport reads a load report as X-Server-Load has it, "TEXT inflight=7, queue=2, util=0.61", and latency_ms beside. It needs
 // inflight or queue, of which the larger counts; what else stands there is passed over.
-func readLoad(r *balancer.ProbeResult, report []byte) bool {
+func parseLoadReport(r *balancer.ProbeResult, report []byte) bool {
 	report = bytes.TrimSpace(report)
 	report = bytes.TrimPrefix(report, []byte("TEXT "))
 	found := false
@@ -54,9 +54,9 @@
 		}
 		switch strings.TrimSpace(name) {
 		case "inflight", "queue":
-			r.InFlight, found = max(r.InFlight, int(min(v, maxInHand))), true
+			r.InFlight, found = max(r.InFlight, int(min(v, maxReportedInFlight))), true
 		case "latency_ms":
-			r.Latency = time.Duration(min(v*float64(time.Millisecond), float64(maxLatency)))
+			r.Latency = time.Duration(min(v*float64(time.Millisecond), float64(maxReportedLatency)))
 		}
 	}
 	return found
--- a/internal/upstream/proof.go
+++ b/internal/upstream/proof.go
@@ -10,27 +10,27 @@
 
 // send writes b, and tells how much of it may be out: an error counts against no byte that the system has taken. On an encrypted
 // connection the library's count leaves out a record whose write failed; that one is out unless the socket below took less than it.
-func (c *poolConn) send(b []byte) (out int, err error) {
-	if c.secure == nil {
+func (c *pooledConn) send(b []byte) (out int, err error) {
+	if c.tlsConn == nil {
 		return c.Write(b)
 	}
-	c.below.took.Store(false)
+	c.tlsSocket.wroteAll.Store(false)
 	n, err := c.Write(b)
-	if err != nil && c.below.took.Load() {
+	if err != nil && c.tlsSocket.wroteAll.Load() {
 		n = len(b)
 	}
 	return n, err
 }
 
-// counted is a socket that knows whether the last write was taken whole. The library writes from more than one goroutine: the other's
+// countingConn is a socket that knows whether the last write was taken whole. The library writes from more than one goroutine: the other's
 // last write may have it say that a request may be out, which is the safe side.
-type counted struct {
+type countingConn struct {
 	net.Conn
-	took atomic.Bool
+	wroteAll atomic.Bool
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.took.Store(n == len(b))
+	c.wroteAll.Store(n == len(b))
 	return n, err
 }
--- a/internal/upstream/proof_test.go
+++ b/internal/upstream/proof_test.go
@@ -28,8 +28,8 @@
 var framings = map[string]struct {
 	size, rest int
 	chunked    bool
-}{"short": {size: 100}, "kept": {size: 4 * uploadPiece}, "streamed": {uploadPiece, 2 * uploadPiece, false}, "begun whole": {uploadPiece, 0, false},
-	"nothing": {}, "chunked": {uploadPiece, uploadPiece, true}}
+}{"short": {size: 100}, "kept": {size: 4 * uploadPieceBytes}, "streamed": {uploadPieceBytes, 2 * uploadPieceBytes, false}, "begun whole": {uploadPieceBytes, 0, false},
+	"nothing": {}, "chunked": {uploadPieceBytes, uploadPieceBytes, true}}
 
 // request is one of a framing, with an id.
 func framed(name, id string) *Request {
@@ -91,7 +91,7 @@
 		if before > 0 {
 			most := r.ContentLength
 			if most < 0 {
-				most = 2 * uploadPiece
+				most = 2 * uploadPieceBytes
 			}
 			_, _ = io.CopyN(io.Discard, r.Body, most-before)
 			return
@@ -186,16 +186,16 @@
 					u := testPool(t, 1, testutil.Entry("s", k.address, "Ready"))
 					if secure != nil {
 						// Whose certificate it is does not matter here; records of one size tell the last one.
-						u.secure = bare{&tls.Config{InsecureSkipVerify: true, DynamicRecordSizingDisabled: true}}
+						u.tlsClient = bare{&tls.Config{InsecureSkipVerify: true, DynamicRecordSizingDisabled: true}}
 					}
-					at, _ := u.dir.Instance("s")
+					at, _ := u.registry.Instance("s")
 					conn, _, err := u.connection(t.Context(), "s", at)
 					if err != nil {
 						t.Fatal(err)
 					}
 					r := framed(name, "x")
 					total := len(r.appendTo(nil, time.Time{})) + f.rest
-					if r.long() {
+					if r.streamsBody() {
 						total += f.size
 					}
 					written := 0
@@ -212,7 +212,7 @@
 						return c.write(s, last, p, to)
 					}
 					if secure != nil {
-						s.Conn, conn.below.Conn = conn.below.Conn, s
+						s.Conn, conn.tlsSocket.Conn = conn.tlsSocket.Conn, s
 					} else {
 						s.Conn, conn.Conn = conn.Conn, s
 					}
@@ -255,7 +255,7 @@
 			_, _ = http.ReadRequest(bufio.NewReader(c))
 			_, _ = io.WriteString(c, answer)
 			_ = c.(*net.TCPConn).CloseWrite()
-			most := int64(uploadPiece)
+			most := int64(uploadPieceBytes)
 			if strings.HasPrefix(answer, "HTTP/1.1 5") { // else the reset behind what nobody reads may come before the answer is read
 				most = math.MaxInt64
 			}
@@ -311,7 +311,7 @@
 		k := newCutter(t, secure, cut)
 		u := testPool(t, 8, testutil.Entry("s", k.address, "Ready"))
 		if secure != nil {
-			u.secure = bare{&tls.Config{InsecureSkipVerify: true, ClientSessionCache: tls.NewLRUClientSessionCache(8)}}
+			u.tlsClient = bare{&tls.Config{InsecureSkipVerify: true, ClientSessionCache: tls.NewLRUClientSessionCache(8)}}
 		}
 		for j := range 8 {
 			rng := rand.New(rand.NewPCG(uint64(i), uint64(j)))
--- a/internal/upstream/pump.go
+++ b/internal/upstream/pump.go
@@ -6,58 +6,58 @@
 	"sync"
 )
 
-// pump reads the rest of a body on a goroutine of its own, a piece at a time: the next one is read once the one before has been used.
+// bodyPump reads the rest of a body on a goroutine of its own, a piece at a time: the next one is read once the one before has been used.
 // An attempt that ends while the client says nothing leaves the wait to the next attempt. To break off the read instead would end the
 // request: net/http cancels its context on any error of a read (connReader.handleReadErrorLocked), and reads of chunks fail for good.
-type pump struct {
-	begin  sync.Once
-	finish sync.Once
-	pieces chan []byte
-	used   chan struct{}
-	over   chan struct{} // closed by end
-	done   chan struct{} // closed once the goroutine has ended; then err stands
-	err    error
+type bodyPump struct {
+	startOnce sync.Once
+	endOnce   sync.Once
+	pieces    chan []byte
+	consumed  chan struct{}
+	ending    chan struct{} // closed by end
+	done      chan struct{} // closed once the goroutine has ended; then err stands
+	err       error
 }
 
-var errOver = errors.New("nothing more of the body is wanted")
+var errBodyUnwanted = errors.New("nothing more of the body is wanted")
 
-func newPump() *pump {
-	return &pump{pieces: make(chan []byte), used: make(chan struct{}), over: make(chan struct{}), done: make(chan struct{})}
+func newBodyPump() *bodyPump {
+	return &bodyPump{pieces: make(chan []byte), consumed: make(chan struct{}), ending: make(chan struct{}), done: make(chan struct{})}
 }
 
-func (p *pump) run(from io.Reader) {
+func (p *bodyPump) run(from io.Reader) {
 	defer close(p.done)
-	buffer := make([]byte, uploadPiece)
+	buffer := make([]byte, uploadPieceBytes)
 	for p.err == nil {
 		n, err := from.Read(buffer)
-		if n > 0 && !p.hand(buffer[:n]) {
-			err = errOver
+		if n > 0 && !p.offer(buffer[:n]) {
+			err = errBodyUnwanted
 		}
 		select {
-		case <-p.over: // it may have been interrupted
-			p.err = errOver
+		case <-p.ending: // it may have been interrupted
+			p.err = errBodyUnwanted
 		default:
 			p.err = err
 		}
 	}
 }
 
-// never stands for the goroutine where nothing was read.
-func (p *pump) never() {
-	p.err = errOver
+// skip stands for the goroutine where nothing was read.
+func (p *bodyPump) skip() {
+	p.err = errBodyUnwanted
 	close(p.done)
 }
 
-// hand gives a piece to whoever takes it, and waits until it has been used.
-func (p *pump) hand(b []byte) bool {
+// offer gives a piece to whoever takes it, and waits until it has been used.
+func (p *bodyPump) offer(b []byte) bool {
 	select {
 	case p.pieces <- b:
-	case <-p.over:
+	case <-p.ending:
 		return false
 	}
 	select {
-	case <-p.used:
-	case <-p.over:
+	case <-p.consumed:
+	case <-p.ending:
 		return false
 	}
 	return true
@@ -65,18 +65,18 @@
 
 // next waits for a piece, which is the caller's until it calls next again, or stop. One caller at a time; again tells that it has
 // used the piece before.
-func (p *pump) next(from io.Reader, again bool, stop <-chan struct{}) ([]byte, error) {
-	p.begin.Do(func() { go p.run(from) })
+func (p *bodyPump) next(from io.Reader, again bool, stop <-chan struct{}) ([]byte, error) {
+	p.startOnce.Do(func() { go p.run(from) })
 	if again {
 		select {
-		case p.used <- struct{}{}:
+		case p.consumed <- struct{}{}:
 		case <-p.done:
 			return nil, p.err
 		}
 	}
 	select {
 	case <-stop: // before a piece is taken in vain
-		return nil, errStopped
+		return nil, errUploadStopped
 	default:
 	}
 	select {
@@ -85,16 +85,16 @@
 	case <-p.done:
 		return nil, p.err
 	case <-stop:
-		return nil, errStopped
+		return nil, errUploadStopped
 	}
 }
 
 // drain reads on without use, until the body ends or can't be read.
-func (p *pump) drain() {
-	p.begin.Do(p.never)
+func (p *bodyPump) drain() {
+	p.startOnce.Do(p.skip)
 	for {
 		select {
-		case p.used <- struct{}{}: // of a piece that an attempt left
+		case p.consumed <- struct{}{}: // of a piece that an attempt left
 		case <-p.pieces:
 		case <-p.done:
 			return
@@ -103,9 +103,9 @@
 }
 
 // end ends it, and returns once nothing is read any more; interrupt has a read that waits return.
-func (p *pump) end(interrupt func()) {
-	p.begin.Do(p.never)
-	p.finish.Do(func() { close(p.over) })
+func (p *bodyPump) end(interrupt func()) {
+	p.startOnce.Do(p.skip)
+	p.endOnce.Do(func() { close(p.ending) })
 	select {
 	case <-p.done:
 		return
--- a/internal/upstream/pump_test.go
+++ b/internal/upstream/pump_test.go
@@ -13,12 +13,12 @@
 func TestPump(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		from, to := io.Pipe()
-		body := bytes.Repeat([]byte("0123456789abcdef"), 3*uploadPiece/16)
+		body := bytes.Repeat([]byte("0123456789abcdef"), 3*uploadPieceBytes/16)
 		wrote := make(chan error, 1)
-		u := &Upload{Body: from, pump: newPump(), Interrupt: func() { from.CloseWithError(errors.New("interrupted")) }}
+		u := &Upload{Body: from, pump: newBodyPump(), Interrupt: func() { from.CloseWithError(errors.New("interrupted")) }}
 		off := make(chan struct{})
 		close(off)
-		if _, err := u.pump.next(u.Body, false, off); err != errStopped {
+		if _, err := u.pump.next(u.Body, false, off); err != errUploadStopped {
 			t.Errorf("an attempt that is over gets %v", err)
 		}
 		go func() {
@@ -33,7 +33,7 @@
 			}
 			got = append(got, b...)
 		}
-		if !bytes.Equal(got, body[:2*uploadPiece]) {
+		if !bytes.Equal(got, body[:2*uploadPieceBytes]) {
 			t.Errorf("%d bytes, others than were written", len(got))
 		}
 		drained := make(chan struct{})
@@ -48,7 +48,7 @@
 		u.End() // the source is open, and silent
 		u.End()
 		<-drained
-		if _, err := u.pump.next(u.Body, false, nil); err != errOver {
+		if _, err := u.pump.next(u.Body, false, nil); err != errBodyUnwanted {
 			t.Errorf("after the end: %v", err)
 		}
 	})
@@ -57,17 +57,17 @@
 // A source that ends without a byte ends each attempt that asks, and one that nobody asked is never read.
 func TestPumpEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		u := &Upload{Body: bytes.NewReader(nil), pump: newPump()}
+		u := &Upload{Body: bytes.NewReader(nil), pump: newBodyPump()}
 		for range 2 {
 			if _, err := u.pump.next(u.Body, false, nil); err != io.EOF {
 				t.Error(err)
 			}
 		}
 		u.End()
-		unread := &Upload{Body: bytes.NewReader([]byte("x")), pump: newPump(), Interrupt: func() { t.Error("interrupted though nothing is read") }}
+		unread := &Upload{Body: bytes.NewReader([]byte("x")), pump: newBodyPump(), Interrupt: func() { t.Error("interrupted though nothing is read") }}
 		unread.Drain()
 		unread.End()
-		if _, err := unread.pump.next(unread.Body, false, nil); err != errOver {
+		if _, err := unread.pump.next(unread.Body, false, nil); err != errBodyUnwanted {
 			t.Error(err)
 		}
 	})
--- a/internal/upstream/rest.go
+++ b/internal/upstream/rest.go
@@ -14,25 +14,25 @@
 
 // Sizes of answers, in bytes.
 const (
-	keptWhole           = 64 << 10 // taken whole before any of it is passed on
+	maxBufferedAnswer   = 64 << 10 // taken whole before any of it is passed on
 	MaxPassThroughBytes = 64 << 20 // an answer that says it has more is spoilt
-	firstPart           = 16 << 10 // what is read of a longer one before it is passed on, at most
+	firstPartBytes      = 16 << 10 // what is read of a longer one before it is passed on, at most
 )
 
-// restIdle is how long an upstream may give nothing of an answer that is being passed on.
-const restIdle = 10 * time.Second
+// readIdleTimeout is how long an upstream may give nothing of an answer that is being passed on.
+const readIdleTimeout = 10 * time.Second
 
 // Remainder is what is still to come of an answer that is passed on as it comes. It is for one goroutine, but for End.
 type Remainder struct {
-	pool   *Pool
-	c      *poolConn
-	in     *answerReader
-	body   io.Reader
-	ctx    context.Context
-	settle func() bool // ends what calls the connection off; false: it has been
-	whole  bool        // all of it has come
-	close  bool        // the connection ends with it
-	Length int64       // of the whole body, -1: not known
+	pool       *Pool
+	conn       *pooledConn
+	reader     *responseReader
+	body       io.Reader
+	ctx        context.Context
+	detach     func() bool // ends what calls the connection off; false: it has been
+	complete   bool        // all of it has come
+	closeAfter bool        // the connection ends with it
+	Length     int64       // of the whole body, -1: not known
 
 	err   error
 	ended atomic.Bool
@@ -46,7 +46,7 @@
 	if s.err != nil {
 		return 0, s.err
 	}
-	if err := s.c.SetReadDeadline(time.Now().Add(restIdle)); err != nil {
+	if err := s.conn.SetReadDeadline(time.Now().Add(readIdleTimeout)); err != nil {
 		s.err = fmt.Errorf("%w: %w", ErrTruncated, err)
 		return 0, s.err
 	}
@@ -58,7 +58,7 @@
 	if err != nil {
 		s.err = fmt.Errorf("%w: %w", ErrTruncated, err)
 		if err == io.EOF {
-			s.whole, s.err = true, io.EOF
+			s.complete, s.err = true, io.EOF
 		}
 	}
 	if n > 0 {
@@ -68,18 +68,18 @@
 }
 
 // Buffered is how much can be read without waiting.
-func (s *Remainder) Buffered() int { return s.in.Buffered() }
+func (s *Remainder) Buffered() int { return s.reader.Buffered() }
 
 // Result is how the attempt ended: an answer that is not whole by the upstream's doing has broken, one that nobody took was
 // called off.
 func (s *Remainder) Result() balancer.Result {
 	switch {
-	case s.whole:
+	case s.complete:
 		return balancer.OK
 	case s.err == nil || s.ctx.Err() != nil:
 		return balancer.Cancelled
 	}
-	return s.in.failure()
+	return s.reader.failure()
 }
 
 // End lets go of the connection: it goes on where the answer has come whole. Only the first call counts.
@@ -87,33 +87,33 @@
 	if s.ended.Swap(true) {
 		return
 	}
-	calm := s.settle()
-	reusable := calm && s.whole && !s.close && s.in.Buffered() == 0 && s.c.SetReadDeadline(time.Time{}) == nil
-	s.in.release()
+	calm := s.detach()
+	reusable := calm && s.complete && !s.closeAfter && s.reader.Buffered() == 0 && s.conn.SetReadDeadline(time.Time{}) == nil
+	s.reader.release()
 	if reusable {
-		s.pool.put(s.c)
+		s.pool.putIdle(s.conn)
 	} else {
-		s.pool.discard(s.c)
+		s.pool.discard(s.conn)
 	}
 }
 
-// passOn begins an answer that is passed on as it comes: resp's body is longer than keptWhole, or of unknown length. It reads what
+// passThrough begins an answer that is passed on as it comes: resp's body is longer than maxBufferedAnswer, or of unknown length. It reads what
 // is to be there first; nil, nil: the body is whole and stands in first.
-func (u *Pool) passOn(ctx context.Context, c *poolConn, in *answerReader, resp *http.Response, settle func() bool) (first []byte, rest *Remainder, err error) {
-	in.limited.left = MaxPassThroughBytes + MaxPassThroughBytes/4
+func (u *Pool) passThrough(ctx context.Context, c *pooledConn, in *responseReader, resp *http.Response, settle func() bool) (first []byte, rest *Remainder, err error) {
+	in.limit.remaining = MaxPassThroughBytes + MaxPassThroughBytes/4
 	if resp.ContentLength >= 0 {
-		in.limited.left = int(resp.ContentLength) + in.Size()
-		first = make([]byte, firstPart)
+		in.limit.remaining = int(resp.ContentLength) + in.Size()
+		first = make([]byte, firstPartBytes)
 		n, err := io.ReadAtLeast(resp.Body, first, 1) // a head alone is not yet an answer
 		if err != nil {
 			return nil, nil, err
 		}
 		first = first[:n]
 	} else {
-		first, err = io.ReadAll(io.LimitReader(resp.Body, keptWhole+1))
-		if err != nil || len(first) <= keptWhole {
+		first, err = io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer+1))
+		if err != nil || len(first) <= maxBufferedAnswer {
 			return first, nil, err
 		}
 	}
-	return first, &Remainder{pool: u, c: c, in: in, body: resp.Body, ctx: ctx, settle: settle, close: resp.Close, Length: resp.ContentLength}, nil
+	return first, &Remainder{pool: u, conn: c, reader: in, body: resp.Body, ctx: ctx, detach: settle, closeAfter: resp.Close, Length: resp.ContentLength}, nil
 }
--- a/internal/upstream/rest_test.go
+++ b/internal/upstream/rest_test.go
@@ -158,5 +158,5 @@
 		t.Errorf("%v, result %d", err, rep.Remainder.Result())
 	}
 	rep.Remainder.End()
-	testutil.Eventually(t, "its slot is free", func() bool { return u.slots.TryAcquire("", 4) })
+	testutil.Eventually(t, "its slot is free", func() bool { return u.connectionSlots.TryAcquire("", 4) })
 }
--- a/internal/upstream/secure_test.go
+++ b/internal/upstream/secure_test.go
@@ -39,8 +39,8 @@
 	}
 	address := base.HTTP(t, server, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok")) })
 	u := testPool(t, 4, testutil.Entry("s", address, "Ready"))
-	u.secure = bare{&tls.Config{InsecureSkipVerify: true}} // whose certificate it is does not matter here
-	at, _ := u.dir.Instance("s")
+	u.tlsClient = bare{&tls.Config{InsecureSkipVerify: true}} // whose certificate it is does not matter here
+	at, _ := u.registry.Instance("s")
 	calledOff := func() {
 		ctx, cancel := context.WithCancel(t.Context())
 		over := make(chan Response, 1)
@@ -52,29 +52,29 @@
 		}
 	}
 	calledOff()
-	testutil.Eventually(t, "who stalls gives the place back", func() bool { return u.slots.Used("") == 0 })
+	testutil.Eventually(t, "who stalls gives the place back", func() bool { return u.connectionSlots.Used("") == 0 })
 	calledOff()
 	close(hold)
 	testutil.Eventually(t, "it is made beside the request", func() bool { return u.IdleCount() == 1 })
-	c := u.take("s", at)
+	c := u.takeIdle("s", at)
 	if c == nil {
 		t.Fatal("the connection is not to be had")
 	}
 	called, gaveUp := context.WithCancel(t.Context())
 	gaveUp()
 	ended := make(chan struct{})
-	c.giveUp(context.Canceled)
+	c.interruptRead(context.Canceled)
 	close(ended)
-	if !c.takeBack(called, ended) {
+	if !c.resumeRead(called, ended) {
 		t.Error("an open connection is not taken back")
 	}
-	u.put(c)
+	u.putIdle(c)
 	if rep := u.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); rep.Result != balancer.OK || handshakes.Load() != 2 {
 		t.Errorf("result %d, %d handshakes", rep.Result, handshakes.Load())
 	}
 	late, cancel := context.WithDeadline(t.Context(), time.Unix(1, 0))
 	defer cancel()
-	if c = u.take("s", at); c == nil || c.takeBack(late, ended) {
+	if c = u.takeIdle("s", at); c == nil || c.resumeRead(late, ended) {
 		t.Error("a connection whose answer came after its time is taken back")
 	}
 	u.discard(c)
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -22,9 +22,9 @@
 	// Done, where there is one, is called as the last byte has been written.
 	Done func()
 
-	pump   *pump
-	begun  atomic.Bool // something of Rest was taken: the body can't be had again
-	broken atomic.Bool // the client broke off: no attempt can be whole
+	pump    *bodyPump
+	started atomic.Bool // something of Rest was taken: the body can't be had again
+	broken  atomic.Bool // the client broke off: no attempt can be whole
 }
 
 // Drain reads what is left of the body and drops it, until the body ends or Rest fails: so a client that still writes reads an early
@@ -35,49 +35,49 @@
 func (l *Upload) End() { l.pump.end(l.Interrupt) }
 
 // Consumed tells whether the body can't be had again.
-func (l *Upload) Consumed() bool { return l.begun.Load() || l.broken.Load() }
+func (l *Upload) Consumed() bool { return l.started.Load() || l.broken.Load() }
 
 // Broken tells whether the client broke off.
 func (l *Upload) Broken() bool { return l.broken.Load() }
 
-// uploadPiece is what is read of a body before it is written, at most, in bytes; writeIdle is how long its upstream may take none of
+// uploadPieceBytes is what is read of a body before it is written, at most, in bytes; writeIdleTimeout is how long its upstream may take none of
 // it.
 const (
-	uploadPiece = 32 << 10
-	writeIdle   = restIdle
+	uploadPieceBytes = 32 << 10
+	writeIdleTimeout = readIdleTimeout
 )
 
-// upload writes a long body beside the reader of its answer: an upstream may turn a request away before it has read it, and then
+// uploadWriter writes a long body beside the reader of its answer: an upstream may turn a request away before it has read it, and then
 // reads no more. It is ended by stop before anything else is done with the connection.
-type upload struct {
-	c     *poolConn
-	r     *Request
-	done  chan struct{}
-	whole atomic.Bool // its last byte may be out: see put
-	ended atomic.Bool
-	off   chan struct{} // closed as it is ended
-	by    time.Time     // its last byte is to be written before; zero: at any time
+type uploadWriter struct {
+	conn     *pooledConn
+	request  *Request
+	done     chan struct{}
+	complete atomic.Bool // its last byte may be out: see put
+	stopped  atomic.Bool
+	stopping chan struct{} // closed as it is ended
+	sendBy   time.Time     // its last byte is to be written before; zero: at any time
 }
 
-// long tells whether the body is written beside the reader of its answer.
-func (r *Request) long() bool { return r.Upload != nil || len(r.body) > keptWhole }
+// streamsBody tells whether the body is written beside the reader of its answer.
+func (r *Request) streamsBody() bool { return r.Upload != nil || len(r.body) > maxBufferedAnswer }
 
-// start writes the head and whatever follows.
-func (r *Request) start(c *poolConn, head []byte, by time.Time) *upload {
-	l := &upload{c: c, r: r, by: by, done: make(chan struct{}), off: make(chan struct{})}
+// startUpload writes the head and whatever follows.
+func (r *Request) startUpload(c *pooledConn, head []byte, by time.Time) *uploadWriter {
+	l := &uploadWriter{conn: c, request: r, sendBy: by, done: make(chan struct{}), stopping: make(chan struct{})}
 	go func() {
 		defer close(l.done)
-		err := l.put(head, endOf(head, r.Upload != nil && r.Upload.Length == 0))
+		err := l.writePiece(head, lastByteIn(head, r.Upload != nil && r.Upload.Length == 0))
 		if r.Gate != nil { // its first byte is out
 			r.Gate.Leave()
 		}
 		if err == nil {
-			err = l.write()
+			err = l.writeBody()
 		}
-		if errors.Is(err, os.ErrDeadlineExceeded) && !l.ended.Load() {
-			l.c.end() // its upstream takes nothing, and may answer nothing either
+		if errors.Is(err, os.ErrDeadlineExceeded) && !l.stopped.Load() {
+			l.conn.closeSocket() // its upstream takes nothing, and may answer nothing either
 		}
-		if !l.whole.Load() {
+		if !l.complete.Load() {
 			return
 		}
 		if r.Written != nil {
@@ -90,30 +90,30 @@
 	return l
 }
 
-var errStopped = errors.New("the upload was stopped")
+var errUploadStopped = errors.New("the upload was stopped")
 
-// put writes one piece. end is how much of it tells the upstream that the request is whole; 0: more follows it. Whether the request can
+// writePiece writes one piece. end is how much of it tells the upstream that the request is whole; 0: more follows it. Whether the request can
 // have been had whole is decided as that byte is begun to be written, and taken back only where the count that came back shows that it
 // did not go out: an upstream can run the request, answer and close before the write has returned here.
-func (l *upload) put(b []byte, end int) error {
+func (l *uploadWriter) writePiece(b []byte, end int) error {
 	for len(b) > 0 { // an upstream that takes some of it goes on
-		limit := time.Now().Add(writeIdle)
-		if !l.by.IsZero() && l.by.Before(limit) {
-			limit = l.by
+		limit := time.Now().Add(writeIdleTimeout)
+		if !l.sendBy.IsZero() && l.sendBy.Before(limit) {
+			limit = l.sendBy
 		}
-		if err := l.c.SetWriteDeadline(limit); err != nil {
+		if err := l.conn.SetWriteDeadline(limit); err != nil {
 			return err
 		}
-		if l.ended.Load() { // after the deadline, which stop sets too
-			return errStopped
+		if l.stopped.Load() { // after the deadline, which stop sets too
+			return errUploadStopped
 		}
-		part := b[:min(len(b), uploadPiece)]
+		part := b[:min(len(b), uploadPieceBytes)]
 		if end > 0 && end <= len(part) {
-			l.whole.Store(true)
+			l.complete.Store(true)
 		}
-		n, err := l.c.send(part)
+		n, err := l.conn.send(part)
 		if end > n {
-			l.whole.Store(false)
+			l.complete.Store(false)
 		}
 		if err != nil {
 			return err
@@ -123,38 +123,38 @@
 	return nil
 }
 
-// write writes the body.
-func (l *upload) write() error {
-	more := l.r.Upload
+// writeBody writes the body.
+func (l *uploadWriter) writeBody() error {
+	more := l.request.Upload
 	if more == nil {
-		return l.put(l.r.body, len(l.r.body))
+		return l.writePiece(l.request.body, len(l.request.body))
 	}
 	chunked := more.Length < 0
 	left := more.Length
-	piece := make([]byte, 0, uploadPiece+32)
+	piece := make([]byte, 0, uploadPieceBytes+32)
 	say := func(b []byte) error {
 		if !chunked {
 			left -= int64(len(b))
-			return l.put(b, endOf(b, left == 0))
+			return l.writePiece(b, lastByteIn(b, left == 0))
 		}
 		piece = strconv.AppendInt(piece[:0], int64(len(b)), 16)
 		piece = append(append(append(piece, '\r', '\n'), b...), '\r', '\n')
-		return l.put(piece, 0)
+		return l.writePiece(piece, 0)
 	}
-	for b := l.r.body; len(b) > 0; {
-		n := min(len(b), uploadPiece)
+	for b := l.request.body; len(b) > 0; {
+		n := min(len(b), uploadPieceBytes)
 		if err := say(b[:n]); err != nil {
 			return err
 		}
 		b = b[n:]
 	}
 	for again := false; ; again = true {
-		b, err := more.pump.next(more.Body, again, l.off)
-		if l.whole.Load() { // the source is asked once more for its end alone
+		b, err := more.pump.next(more.Body, again, l.stopping)
+		if l.complete.Load() { // the source is asked once more for its end alone
 			return nil
 		}
 		if err == nil {
-			more.begun.Store(true)
+			more.started.Store(true)
 			err = say(b)
 			if err == nil {
 				continue
@@ -162,11 +162,11 @@
 			return err
 		}
 		if err == io.EOF && chunked {
-			return l.put([]byte(lastChunk), len("0\r\n"))
+			return l.writePiece([]byte(lastChunk), len("0\r\n"))
 		}
-		if err != errStopped && err != errOver { // the client's
+		if err != errUploadStopped && err != errBodyUnwanted { // the client's
 			more.broken.Store(true)
-			l.c.end() // the answer's reader waits for nothing more
+			l.conn.closeSocket() // the answer's reader waits for nothing more
 		}
 		return err
 	}
@@ -175,8 +175,8 @@
 // lastChunk ends a body in chunks: its first line tells the upstream that nothing more of the body comes.
 const lastChunk = "0\r\n\r\n"
 
-// endOf is put's end for a piece with the request's last byte, or without.
-func endOf(b []byte, last bool) int {
+// lastByteIn is put's end for a piece with the request's last byte, or without.
+func lastByteIn(b []byte, last bool) int {
 	if last {
 		return len(b)
 	}
@@ -184,28 +184,28 @@
 }
 
 // stop ends the upload, and tells whether its last byte may be out.
-func (l *upload) stop() bool {
-	if l.ended.CompareAndSwap(false, true) {
-		close(l.off)
+func (l *uploadWriter) stop() bool {
+	if l.stopped.CompareAndSwap(false, true) {
+		close(l.stopping)
 	}
 	select {
 	case <-l.done:
 	default:
-		_ = l.c.SetWriteDeadline(time.Unix(1, 0)) // it may be closed
+		_ = l.conn.SetWriteDeadline(time.Unix(1, 0)) // it may be closed
 		<-l.done
 	}
-	return l.whole.Load()
+	return l.complete.Load()
 }
 
 // wait waits until the body is written, or can't be, and tells what stop does.
-func (l *upload) wait() bool {
+func (l *uploadWriter) wait() bool {
 	<-l.done
-	return l.whole.Load()
+	return l.complete.Load()
 }
 
-// unsent is how an attempt ended whose last byte never went out, and of which nothing came back: its upstream has not begun it. Where the client or the module
+// notSentResponse is how an attempt ended whose last byte never went out, and of which nothing came back: its upstream has not begun it. Where the client or the module
 // ended it, that says nothing of the upstream.
-func (r *Request) unsent(result balancer.Result) Response {
+func (r *Request) notSentResponse(result balancer.Result) Response {
 	if r.Upload != nil {
 		if r.Upload.Broken() {
 			result = balancer.NotSent
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -25,9 +25,9 @@
 	t.Helper()
 	u := New(Options{ConnectTimeout: 2 * time.Second, IdleTimeout: 15 * time.Second, MaxConnections: most, MaxAnswerBytes: maxAnswer})
 	u.SetRegistry(endpoints.New(clock.New(), u.CloseUpstream))
-	u.rest = 0
+	u.restTime = 0
 	known := testutil.EndpointList(t, 1, true, entries...)
-	u.dir.Apply(known)
+	u.registry.Apply(known)
 	t.Cleanup(func() {
 		for _, e := range known.Endpoints {
 			u.CloseUpstream(e.Name)
@@ -139,7 +139,7 @@
 		}
 		cancel()
 		testutil.Eventually(t, "connection closed", func() bool { return s.Closed.Load() == 1 })
-		if n := u.slots.Used(""); n != 0 {
+		if n := u.connectionSlots.Used(""); n != 0 {
 			t.Errorf("%d connections counted", n)
 		}
 	}
@@ -177,7 +177,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		u.dir.Apply(testutil.EndpointList(t, 2, false, testutil.Entry("s", s.Address, status)))
+		u.registry.Apply(testutil.EndpointList(t, 2, false, testutil.Entry("s", s.Address, status)))
 		if rep, _, _ := u.exchange(t.Context(), c, testRequest("GET", ""), AttemptOptions{}); rep.Result != balancer.NotSent {
 			t.Errorf("%s: result %d", status, rep.Result)
 		}
@@ -240,14 +240,14 @@
 	send(balancer.OK)
 	idle := u.idle["s"][0]
 	close(pooled)
-	testutil.Eventually(t, "the upstream's close is seen", func() bool { return !idle.quiet() })
+	testutil.Eventually(t, "the upstream's close is seen", func() bool { return !idle.isIdle() })
 	send(balancer.OK)
 	if n := s.Opened.Load(); n != 2 {
 		t.Fatalf("%d connections", n)
 	}
 
 	// Retired while idle, before the upstream would.
-	u.maxIdle, u.sweepEvery = time.Millisecond, time.Millisecond
+	u.idleTimeout, u.sweepInterval = time.Millisecond, time.Millisecond
 	send(balancer.OK)
 	sweeping, stop := context.WithCancel(t.Context())
 	swept := make(chan struct{})
@@ -261,16 +261,16 @@
 	<-swept
 
 	// Gone: the pool goes too.
-	u.maxIdle = time.Hour
+	u.idleTimeout = time.Hour
 	send(balancer.OK)
-	u.dir.Apply(testutil.EndpointList(t, 2, false, testutil.Entry("s", s.Address, "Gone")))
+	u.registry.Apply(testutil.EndpointList(t, 2, false, testutil.Entry("s", s.Address, "Gone")))
 	testutil.Eventually(t, "pool dropped", func() bool { return s.Closed.Load() == 3 })
 
 	// Back at another address: no connection to the old one is used.
-	u.dir.Apply(testutil.EndpointList(t, 3, false, testutil.Entry("s", s.Address, "Ready")))
+	u.registry.Apply(testutil.EndpointList(t, 3, false, testutil.Entry("s", s.Address, "Ready")))
 	send(balancer.OK)
 	moved := testutil.Raw(t, fakes.Says(fakes.OK200("")))
-	u.dir.Apply(testutil.EndpointList(t, 4, false, testutil.Entry("s", moved.Address, "Ready")))
+	u.registry.Apply(testutil.EndpointList(t, 4, false, testutil.Entry("s", moved.Address, "Ready")))
 	testutil.Eventually(t, "old address dropped", func() bool { return s.Closed.Load() == 4 })
 	send(balancer.OK)
 	if len(moved.Requests()) != 1 {
@@ -279,7 +279,7 @@
 
 	// A new process at the same address: connections to the old one are dead, if silently.
 	again := strings.Replace(testutil.Entry("s", moved.Address, "Ready"), `"since_ms":0`, `"since_ms":1000`, 1)
-	u.dir.Apply(testutil.EndpointList(t, 5, false, again))
+	u.registry.Apply(testutil.EndpointList(t, 5, false, again))
 	testutil.Eventually(t, "old process dropped", func() bool { return moved.Closed.Load() == 1 })
 }
 
@@ -331,7 +331,7 @@
 			}
 			if pooled := u.idle["s"]; late {
 				close(idle)
-				testutil.Eventually(t, "something came", func() bool { return !pooled[0].quiet() })
+				testutil.Eventually(t, "something came", func() bool { return !pooled[0].isIdle() })
 			}
 			if rep := u.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); string(rep.Body) != "second" {
 				t.Errorf("extra %q, late %v: result %d, %q", extra, late, rep.Result, rep.Body)
@@ -347,7 +347,7 @@
 func TestConnectionsRest(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
-	u.rest = time.Hour
+	u.restTime = time.Hour
 	for range 2 {
 		if rep := u.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); rep.Result != balancer.OK {
 			t.Fatalf("result %d", rep.Result)
@@ -376,7 +376,7 @@
 		t.Errorf("result %d over the limit", rep.Result)
 	}
 	go func() { waits <- u.Attempt(t.Context(), "a", testRequest("GET", ""), time.Time{}) }()
-	testutil.Eventually(t, "an attempt waits", func() bool { return u.slots.Waiting("") == 1 })
+	testutil.Eventually(t, "an attempt waits", func() bool { return u.connectionSlots.Waiting("") == 1 })
 	cancel()
 	<-busy
 	if rep := <-waits; rep.Result != balancer.OK {
@@ -390,7 +390,7 @@
 		"inflight=1e99": "1048576 0s", "inflight=-1": "", "inflight=NaN": "", "util=1": "", "": "", "inflight=x, queue=1": "1 0s", "queue=1, latency_ms=1e30": "1 1h0m0s"} {
 		var r balancer.ProbeResult
 		got := ""
-		if readLoad(&r, []byte(report)) {
+		if parseLoadReport(&r, []byte(report)) {
 			got = fmt.Sprint(r.InFlight, " ", r.Latency)
 		}
 		if got != want {
--- a/internal/upstream/warming.go
+++ b/internal/upstream/warming.go
@@ -10,17 +10,17 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// warming is what is known of connections where some are opened ahead of use. A nil one counts nothing.
-type warming struct {
-	w *prewarm.Prewarmer // Prewarm's alone
+// prewarming is what is known of connections where some are opened ahead of use. A nil one counts nothing.
+type prewarming struct {
+	prewarmer *prewarm.Prewarmer // Prewarm's alone
 
 	mu   sync.Mutex
 	open map[string]int  // by upstream
 	used map[string]bool // since Prewarm looked last
 }
 
-// opened counts a connection in, or with -1 out.
-func (w *warming) opened(name string, n int) {
+// count counts a connection in, or with -1 out.
+func (w *prewarming) count(name string, n int) {
 	if w == nil {
 		return
 	}
@@ -31,7 +31,7 @@
 	}
 }
 
-func (w *warming) use(name string) {
+func (w *prewarming) markUsed(name string) {
 	if w == nil {
 		return
 	}
@@ -40,8 +40,8 @@
 	w.used[name] = true
 }
 
-// look copies what there is.
-func (w *warming) look() (open map[string]int, total int, used map[string]bool) {
+// snapshot copies what there is.
+func (w *prewarming) snapshot() (open map[string]int, total int, used map[string]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	open = make(map[string]int, len(w.open))
@@ -52,12 +52,12 @@
 	return open, total, used
 }
 
-// warmEvery is how often Prewarm looks at the list and at what was used.
-const warmEvery = 100 * time.Millisecond
+// prewarmInterval is how often Prewarm looks at the list and at what was used.
+const prewarmInterval = 100 * time.Millisecond
 
 // Prewarm opens connections as Options.Prewarmer says, until ctx ends. It never waits for a slot: what requests need goes first.
 func (u *Pool) Prewarm(ctx context.Context, c clock.Clock) {
-	if u.warm == nil {
+	if u.prewarming == nil {
 		return
 	}
 	type end struct {
@@ -68,9 +68,9 @@
 	ends := make(chan end)
 	var running sync.WaitGroup
 	defer running.Wait()
-	tick := time.NewTicker(warmEvery)
+	tick := time.NewTicker(prewarmInterval)
 	defer tick.Stop()
-	w := u.warm.w
+	w := u.prewarming.prewarmer
 	for {
 		select {
 		case <-ctx.Done():
@@ -80,20 +80,20 @@
 			continue
 		case <-tick.C:
 		}
-		places := u.dir.Instances()
+		places := u.registry.Instances()
 		ready := make(map[string]uint64, len(places))
 		for name, at := range places {
 			ready[name] = at.ProcessID()
 		}
 		now := c.Now()
-		w.Members(now, ready)
-		open, total, used := u.warm.look()
+		w.SetMembers(now, ready)
+		open, total, used := u.prewarming.snapshot()
 		for name := range used {
-			w.Used(now, name)
+			w.RecordUse(now, name)
 		}
 		for _, name := range w.Tick(now, func(name string) int { return open[name] }, total) {
 			running.Go(func() {
-				e := end{name, ready[name], u.openAhead(ctx, name, places[name])}
+				e := end{name, ready[name], u.prewarmOne(ctx, name, places[name])}
 				select {
 				case ends <- e:
 				case <-ctx.Done():
@@ -103,17 +103,17 @@
 	}
 }
 
-// openAhead opens one connection, if there is a free slot, and tells whether it did.
-func (u *Pool) openAhead(ctx context.Context, name string, at endpoints.Instance) bool {
-	if u.slots.Waiting(u.service) > 0 || !u.slots.TryAcquire(u.service, 1) {
+// prewarmOne opens one connection, if there is a free slot, and tells whether it did.
+func (u *Pool) prewarmOne(ctx context.Context, name string, at endpoints.Instance) bool {
+	if u.connectionSlots.Waiting(u.service) > 0 || !u.connectionSlots.TryAcquire(u.service, 1) {
 		return false
 	}
 	c, err := u.dial(ctx, name, at)
 	if err != nil {
-		u.slots.Release(u.service, 1)
+		u.connectionSlots.Release(u.service, 1)
 		return false
 	}
-	c.unused = true
-	u.put(c)
+	c.prewarmed = true
+	u.putIdle(c)
 	return true
 }
--- a/internal/upstream/warming_test.go
+++ b/internal/upstream/warming_test.go
@@ -69,7 +69,7 @@
 		Prewarmer: prewarm.New(o, most, rand.New(rand.NewPCG(1, 1)))})
 	c := clock.New()
 	u.SetRegistry(endpoints.New(c, u.CloseUpstream))
-	u.dir.Apply(testutil.EndpointList(t, 1, true, append(entries, testutil.Entry("gone", refused, "Ready"))...))
+	u.registry.Apply(testutil.EndpointList(t, 1, true, append(entries, testutil.Entry("gone", refused, "Ready"))...))
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
@@ -92,13 +92,13 @@
 	if !d.of(names...)() {
 		t.Errorf("connections made: %v", d.made)
 	}
-	u.dir.Apply(testutil.EndpointList(t, 2, false, testutil.Entry("late", d.start(t, "late"), "Ready"), testutil.Entry("later", d.start(t, "later"), "Ready")))
+	u.registry.Apply(testutil.EndpointList(t, 2, false, testutil.Entry("late", d.start(t, "late"), "Ready"), testutil.Entry("later", d.start(t, "later"), "Ready")))
 	testutil.Eventually(t, "the seventh", func() bool { return u.IdleCount() == 7 })
 	testutil.Eventually(t, "no eighth", func() bool {
-		open, total, _ := u.warm.look()
+		open, total, _ := u.prewarming.snapshot()
 		return total == 7 && open["late"]+open["later"] == 1
 	})
-	u.dir.Apply(testutil.EndpointList(t, 3, false, testutil.Entry("n0", "127.0.0.1:1", "Terminating")))
+	u.registry.Apply(testutil.EndpointList(t, 3, false, testutil.Entry("n0", "127.0.0.1:1", "Terminating")))
 	testutil.Eventually(t, "room for it", func() bool { return d.of("late", "later")() })
 }
 
@@ -113,11 +113,11 @@
 		}
 	}
 	ask("a")
-	at, _ := u.dir.Instance("b")
-	if !u.openAhead(t.Context(), "b", at) {
+	at, _ := u.registry.Instance("b")
+	if !u.prewarmOne(t.Context(), "b", at) {
 		t.Fatal("b can't be had")
 	}
-	if at, _ := u.dir.Instance("c"); u.openAhead(t.Context(), "c", at) {
+	if at, _ := u.registry.Instance("c"); u.prewarmOne(t.Context(), "c", at) {
 		t.Error("opened ahead beyond the limit")
 	}
 	ask("c") // in place of b's
