--- /dev/null
+++ b/internal/upstream/attempt.go
@@ -0,0 +1,77 @@
+package upstream
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"orchiddrift/balancer"
+)
+
+// AttemptOptions bound one attempt.
+type AttemptOptions struct {
+	// Deadline is passed to the upstream as the time that is left; zero: nothing is passed.
+	Deadline time.Time
+	// SendBy is the time before which the last byte has to be written, or the attempt is not sent; zero: any time.
+	SendBy time.Time
+	// Caller ends once nobody waits for the response: an attempt that has not begun by then is not sent. nil: it never ends.
+	Caller context.Context
+	// Cancel ends an attempt that has begun and whose caller is gone, where another request waits for its connection; nil: it runs on.
+	Cancel context.CancelCauseFunc
+
+	ended bool // the attempt has ended; guarded by Pool.mu
+}
+
+// callerGone reports whether nobody waits for the response any more.
+func (t *AttemptOptions) callerGone() bool { return t.Caller != nil && t.Caller.Err() != nil }
+
+// pastSendBy reports whether the last byte can no longer be written in time.
+func (t *AttemptOptions) pastSendBy() bool { return !t.SendBy.IsZero() && !time.Now().Before(t.SendBy) }
+
+// Attempt sends a request to an upstream once and waits for its end, or for that of ctx. deadline is passed to the upstream; zero:
+// nothing is passed.
+func (p *Pool) Attempt(ctx context.Context, name string, r *Request, deadline time.Time) Response {
+	return p.AttemptWithOptions(ctx, name, r, AttemptOptions{Deadline: deadline})
+}
+
+// AttemptWithOptions is Attempt with further bounds. It blocks until the attempt has ended.
+func (p *Pool) AttemptWithOptions(ctx context.Context, name string, r *Request, options AttemptOptions) Response {
+	instance, ok := p.registry.Instance(name)
+	if !ok {
+		return Response{Result: balancer.NotSent}
+	}
+	if options.Caller != nil && options.Caller.Done() != nil && options.Cancel != nil {
+		defer p.watchCaller(&options)()
+	}
+	for {
+		conn, reused, err := p.connection(ctx, options.Caller, name, instance)
+		if err != nil {
+			return Response{Result: connectionFailure(ctx, &options, err)}
+		}
+		response, after := p.exchange(ctx, conn, r, options)
+		switch after {
+		case reuseConnection:
+			p.putIdle(conn)
+		case closeConnection:
+			p.discard(conn)
+		case connectionOwned:
+		}
+		if reused && response.Result == balancer.ConnectFailed && !response.BodyConsumed {
+			continue // the upstream closed an idle connection as the request was written: nothing is known of the upstream
+		}
+		return response
+	}
+}
+
+// connectionFailure is the result of an attempt that got no connection: nothing was sent.
+func connectionFailure(ctx context.Context, options *AttemptOptions, err error) balancer.Result {
+	switch {
+	case options.callerGone():
+		return balancer.NotSent
+	case errors.Is(err, errSaturated): // says nothing of the upstream
+		return balancer.NotSent
+	case ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded):
+		return balancer.Cancelled
+	}
+	return balancer.ConnectFailed
+}
--- a/internal/upstream/body_pump.go
+++ b/internal/upstream/body_pump.go
@@ -6,25 +6,27 @@
 	"sync"
 )
 
-// bodyPump reads the rest of a body on a goroutine of its own, a piece at a time: the next one is read once the one before has been used.
-// An attempt that ends while the client says nothing leaves the wait to the next attempt. To break off the read instead would end the
-// request: net/http cancels its context on any error of a read (connReader.handleReadErrorLocked), and reads of chunks fail for good.
+var errBodyUnwanted = errors.New("nothing more of the body is wanted")
+
+// bodyPump reads a client's body on a goroutine of its own, one piece at a time: the next piece is read once the one before has been
+// consumed. An attempt that ends while the client is silent leaves the pending read to the next attempt. Interrupting the read instead
+// would end the request: net/http cancels a request's context on any read error (connReader.handleReadErrorLocked), and a chunked body
+// cannot be read after one.
 type bodyPump struct {
 	startOnce sync.Once
 	endOnce   sync.Once
 	pieces    chan []byte
-	consumed  chan struct{}
+	consumed  chan struct{} // a receiver is done with its piece
 	ending    chan struct{} // closed by end
-	done      chan struct{} // closed once the goroutine has ended; then err stands
+	done      chan struct{} // closed once the goroutine has ended; err is set by then
 	err       error
 }
 
-var errBodyUnwanted = errors.New("nothing more of the body is wanted")
-
 func newBodyPump() *bodyPump {
 	return &bodyPump{pieces: make(chan []byte), consumed: make(chan struct{}), ending: make(chan struct{}), done: make(chan struct{})}
 }
 
+// run reads until the body ends, fails or is no longer wanted.
 func (p *bodyPump) run(from io.Reader) {
 	defer close(p.done)
 	buffer := make([]byte, uploadPieceBytes)
@@ -34,7 +36,7 @@
 			err = errBodyUnwanted
 		}
 		select {
-		case <-p.ending: // it may have been interrupted
+		case <-p.ending: // the read may have been interrupted
 			p.err = errBodyUnwanted
 		default:
 			p.err = err
@@ -42,16 +44,16 @@
 	}
 }
 
-// skip stands for the goroutine where nothing was read.
+// skip takes the place of run where nothing was ever read.
 func (p *bodyPump) skip() {
 	p.err = errBodyUnwanted
 	close(p.done)
 }
 
-// offer gives a piece to whoever takes it, and waits until it has been used.
-func (p *bodyPump) offer(b []byte) bool {
+// offer hands out a piece and waits until it has been consumed. It returns false once the pump is ending.
+func (p *bodyPump) offer(piece []byte) bool {
 	select {
-	case p.pieces <- b:
+	case p.pieces <- piece:
 	case <-p.ending:
 		return false
 	}
@@ -63,8 +65,8 @@
 	return true
 }
 
-// next waits for a piece, which is the caller's until it calls next again, or stop. One caller at a time; again tells that it has
-// used the piece before.
+// next waits for a piece, which belongs to the caller until it calls next again, or until stop is closed. It is called by one goroutine
+// at a time. again says that the caller has consumed the piece before.
 func (p *bodyPump) next(from io.Reader, again bool, stop <-chan struct{}) ([]byte, error) {
 	p.startOnce.Do(func() { go p.run(from) })
 	if again {
@@ -75,13 +77,13 @@
 		}
 	}
 	select {
-	case <-stop: // before a piece is taken in vain
+	case <-stop: // before a piece is taken for nothing
 		return nil, errUploadStopped
 	default:
 	}
 	select {
-	case b := <-p.pieces:
-		return b, nil
+	case piece := <-p.pieces:
+		return piece, nil
 	case <-p.done:
 		return nil, p.err
 	case <-stop:
@@ -89,12 +91,12 @@
 	}
 }
 
-// drain reads on without use, until the body ends or can't be read.
+// drain reads and drops the rest, until the body ends or cannot be read.
 func (p *bodyPump) drain() {
 	p.startOnce.Do(p.skip)
 	for {
 		select {
-		case p.consumed <- struct{}{}: // of a piece that an attempt left
+		case p.consumed <- struct{}{}: // of a piece that an attempt has left
 		case <-p.pieces:
 		case <-p.done:
 			return
@@ -102,7 +104,7 @@
 	}
 }
 
-// end ends it, and returns once nothing is read any more; interrupt has a read that waits return.
+// end ends the pump and returns once nothing is read any more; interrupt makes a pending read return.
 func (p *bodyPump) end(interrupt func()) {
 	p.startOnce.Do(p.skip)
 	p.endOnce.Do(func() { close(p.ending) })
--- a/internal/upstream/connect_timeout.go
+++ b/internal/upstream/connect_timeout.go
@@ -5,24 +5,27 @@
 	"time"
 )
 
-// connectTimes is how long connections have taken to come up of late, and how long to wait for the next. A network that is
-// there answers in a few round trips; a SYN that was lost is sent again after a second (RFC 6298), far beyond any patience
-// here. Waiting longer than many times the slowest of late only holds up a request that could be sent elsewhere: a
-// connection that never came up proves that nothing ran. It is safe for concurrent use.
+const (
+	// connectTimesKept is how many recent connects are remembered.
+	connectTimesKept = 64
+	// connectTimesNeeded connects have to be known before they bound the next one.
+	connectTimesNeeded = 8
+	// connectTimeoutFactor times the slowest recent connect is the timeout of the next one.
+	connectTimeoutFactor = 10
+	// minConnectTimeout covers a machine that is held up for a moment.
+	minConnectTimeout = 40 * time.Millisecond
+)
+
+// connectTimes derives the connect timeout from how long recent connects have taken. A lost SYN is sent again after a second (RFC 6298),
+// while a reachable instance answers within a few round trips: waiting longer only delays a request that could go elsewhere, and a
+// connection that was never made proves that nothing ran. It is safe for concurrent use.
 type connectTimes struct {
 	mu     sync.Mutex
-	recent [connectTimesKept]time.Duration
-	count  int
+	recent [connectTimesKept]time.Duration // a ring
+	count  int                             // of connects recorded
 }
 
-const (
-	connectTimesKept     = 64
-	connectTimesNeeded   = 8                     // before that many nothing is known
-	connectTimeoutFactor = 10                    // the slowest of those kept
-	minConnectTimeout    = 40 * time.Millisecond // beside a machine that is held up for a moment
-)
-
-// record notes a connection that came up.
+// record notes how long a connect took.
 func (c *connectTimes) record(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,16 +33,16 @@
 	c.count++
 }
 
-// timeout is how long to wait for the next one, at most the configured time.
-func (c *connectTimes) timeout(most time.Duration) time.Duration {
+// timeout is how long the next connect may take, at most configured.
+func (c *connectTimes) timeout(configured time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.count < connectTimesNeeded {
-		return most
+		return configured
 	}
 	slowest := time.Duration(0)
 	for _, d := range c.recent {
 		slowest = max(slowest, d)
 	}
-	return min(most, max(minConnectTimeout, connectTimeoutFactor*slowest))
+	return min(configured, max(minConnectTimeout, connectTimeoutFactor*slowest))
 }
--- /dev/null
+++ b/internal/upstream/eviction.go
@@ -0,0 +1,68 @@
+package upstream
+
+import (
+	"context"
+	"slices"
+)
+
+// evict closes the connection that is of least use, and reports whether there was one. It is called when all slots are taken and a
+// request waits for one.
+func (p *Pool) evict() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.evictLocked()
+}
+
+// evictLocked closes, in this order of preference, a connection that was opened ahead and never used, the one that has been idle for
+// longest, or one whose request nobody waits for. p.mu is held.
+func (p *Pool) evictLocked() bool {
+	var candidate *pooledConn
+	for _, idle := range p.idle {
+		if oldest := idle[0]; candidate == nil || evictBefore(oldest, candidate) {
+			candidate = oldest
+		}
+	}
+	if candidate != nil {
+		p.setIdleLocked(candidate.name, slices.Delete(p.idle[candidate.name], 0, 1))
+		p.discard(candidate)
+		return true
+	}
+	for attempt := range p.abandoned {
+		delete(p.abandoned, attempt)
+		attempt.Cancel(context.Canceled)
+		return true
+	}
+	return false
+}
+
+// evictBefore orders idle connections for eviction.
+func evictBefore(a, b *pooledConn) bool {
+	if a.prewarmed != b.prewarmed {
+		return a.prewarmed
+	}
+	return a.idleSince.Before(b.idleSince)
+}
+
+// watchCaller lets an attempt be evicted once its caller is gone. The returned function ends that when the attempt has ended.
+func (p *Pool) watchCaller(attempt *AttemptOptions) (end func()) {
+	stop := context.AfterFunc(attempt.Caller, func() {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		if attempt.ended {
+			return
+		}
+		p.abandoned[attempt] = true
+		if p.connectionSlots.Waiting(p.service) > 0 {
+			p.evictLocked()
+		}
+	})
+	return func() {
+		if stop() { // the caller has not gone
+			return
+		}
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		attempt.ended = true
+		delete(p.abandoned, attempt)
+	}
+}
--- a/internal/upstream/load_probe.go
+++ b/internal/upstream/load_probe.go
@@ -13,50 +13,52 @@
 	"orchiddrift/internal/httpheader"
 )
 
-// Probe asks an upstream for its load at a path, on a connection like any request's, until ctx ends. It never waits for a slot
-// that requests wait for, and is not sent to an upstream that drains.
-func (u *Pool) Probe(ctx context.Context, name, path string) balancer.ProbeResult {
-	r := balancer.ProbeResult{Upstream: name, Result: balancer.NotSent}
-	at, ok := u.registry.Instance(name)
-	if !ok || u.connectionSlots.Waiting(u.service) > 0 {
-		return r
-	}
-	begun := time.Now()
-	rep := u.Attempt(ctx, name, NewRequest(http.MethodGet, path, at.Address, http.Header{"Accept": {"text/plain"}}, nil), time.Time{})
-	defer u.Free(rep)
-	r.Result, r.Elapsed = rep.Result, time.Since(begun)
-	if rep.Result != balancer.OK {
-		return r
-	}
-	if rep.Status != http.StatusOK || len(rep.Body) > httpheader.MaxBytes || !parseLoadReport(&r, rep.Body) {
-		r.Result = balancer.Malformed
-	}
-	return r
-}
-
-// maxReportedInFlight and maxReportedLatency bound what an upstream may say of itself.
+// Bounds of what an upstream may report of itself.
 const (
 	maxReportedInFlight = 1 << 20
 	maxReportedLatency  = time.Hour
 )
 
-// parseLoadReport reads a load report as X-Server-Load has it, "TEXT inflight=7, queue=2, util=0.61", and latency_ms beside. It needs
-// inflight or queue, of which the larger counts; what else stands there is passed over.
-func parseLoadReport(r *balancer.ProbeResult, report []byte) bool {
+// Probe asks an upstream for its load at a path, until ctx ends. It never waits for a connection slot that requests wait for, and is not
+// sent to an upstream that is draining.
+func (p *Pool) Probe(ctx context.Context, name, path string) balancer.ProbeResult {
+	result := balancer.ProbeResult{Upstream: name, Result: balancer.NotSent}
+	instance, ok := p.registry.Instance(name)
+	if !ok || p.connectionSlots.Waiting(p.service) > 0 {
+		return result
+	}
+	started := time.Now()
+	request := NewRequest(http.MethodGet, path, instance.Address, http.Header{"Accept": {"text/plain"}}, nil)
+	response := p.Attempt(ctx, name, request, time.Time{})
+	defer p.Free(response)
+	result.Result, result.Elapsed = response.Result, time.Since(started)
+	if response.Result != balancer.OK {
+		return result
+	}
+	if response.Status != http.StatusOK || len(response.Body) > httpheader.MaxBytes || !parseLoadReport(&result, response.Body) {
+		result.Result = balancer.Malformed
+	}
+	return result
+}
+
+// parseLoadReport reads a load report in the form of X-Server-Load, "TEXT inflight=7, queue=2, util=0.61", with latency_ms (milliseconds)
+// beside. It needs inflight or queue, in requests, of which the larger counts. Unknown items are ignored.
+func parseLoadReport(result *balancer.ProbeResult, report []byte) bool {
 	report = bytes.TrimSpace(report)
 	report = bytes.TrimPrefix(report, []byte("TEXT "))
 	found := false
 	for item := range strings.SplitSeq(string(report), ",") {
 		name, text, _ := strings.Cut(strings.TrimSpace(item), "=")
-		v, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-		if err != nil || math.IsNaN(v) || v < 0 {
+		value, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
+		if err != nil || math.IsNaN(value) || value < 0 {
 			continue
 		}
 		switch strings.TrimSpace(name) {
 		case "inflight", "queue":
-			r.InFlight, found = max(r.InFlight, int(min(v, maxReportedInFlight))), true
+			found = true
+			result.InFlight = max(result.InFlight, int(min(value, maxReportedInFlight)))
 		case "latency_ms":
-			r.Latency = time.Duration(min(v*float64(time.Millisecond), float64(maxReportedLatency)))
+			result.Latency = time.Duration(min(value*float64(time.Millisecond), float64(maxReportedLatency)))
 		}
 	}
 	return found
--- a/internal/upstream/not_sent_proof_test.go
+++ b/internal/upstream/not_sent_proof_test.go
@@ -189,7 +189,7 @@
 						u.tlsClient = bare{&tls.Config{InsecureSkipVerify: true, DynamicRecordSizingDisabled: true}}
 					}
 					at, _ := u.registry.Instance("s")
-					conn, _, err := u.connection(t.Context(), "s", at)
+					conn, _, err := u.connection(t.Context(), nil, "s", at)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -216,7 +216,8 @@
 					} else {
 						s.Conn, conn.Conn = conn.Conn, s
 					}
-					rep, reusable, _ := u.exchange(t.Context(), conn, r, AttemptOptions{})
+					rep, after := u.exchange(t.Context(), conn, r, AttemptOptions{})
+					reusable := after == reuseConnection
 					u.discard(conn)
 					if r.Upload != nil {
 						r.Upload.End()
--- a/internal/upstream/prewarming.go
+++ b/internal/upstream/prewarming.go
@@ -10,27 +10,32 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// prewarming is what is known of connections where some are opened ahead of use. A nil one counts nothing.
+// prewarmInterval is how often Prewarm looks at the endpoint registry and at the connections that were used.
+const prewarmInterval = 100 * time.Millisecond
+
+// prewarming counts the connections of a pool that opens some ahead of use. The methods of a nil prewarming do nothing.
 type prewarming struct {
-	prewarmer *prewarm.Prewarmer // Prewarm's alone
+	prewarmer *prewarm.Prewarmer // used by Prewarm's goroutine alone
 
 	mu   sync.Mutex
-	open map[string]int  // by upstream
-	used map[string]bool // since Prewarm looked last
+	open map[string]int  // connections by upstream
+	used map[string]bool // upstreams that were sent to since the last snapshot
 }
 
-// count counts a connection in, or with -1 out.
-func (w *prewarming) count(name string, n int) {
+// count adds change to the open connections of an upstream.
+func (w *prewarming) count(name string, change int) {
 	if w == nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.open[name] += n; w.open[name] <= 0 {
-		delete(w.open, name) // names are ever new
+	w.open[name] += change
+	if w.open[name] <= 0 {
+		delete(w.open, name) // names of upstreams are not used again: the map must not grow
 	}
 }
 
+// markUsed notes that a request goes to an upstream.
 func (w *prewarming) markUsed(name string) {
 	if w == nil {
 		return
@@ -40,80 +45,84 @@
 	w.used[name] = true
 }
 
-// snapshot copies what there is.
+// snapshot returns the open connections by upstream and in all, and the upstreams used since the last snapshot.
 func (w *prewarming) snapshot() (open map[string]int, total int, used map[string]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	open = make(map[string]int, len(w.open))
 	for name, n := range w.open {
-		open[name], total = n, total+n
+		open[name] = n
+		total += n
 	}
 	used, w.used = w.used, map[string]bool{}
 	return open, total, used
 }
 
-// prewarmInterval is how often Prewarm looks at the list and at what was used.
-const prewarmInterval = 100 * time.Millisecond
+// prewarmResult is what the opening of one connection has come to.
+type prewarmResult struct {
+	name    string
+	process uint64 // of the instance, see endpoints.Instance.ProcessID
+	ok      bool
+}
 
-// Prewarm opens connections as Options.Prewarmer says, until ctx ends. It never waits for a slot: what requests need goes first.
-func (u *Pool) Prewarm(ctx context.Context, c clock.Clock) {
-	if u.prewarming == nil {
+// Prewarm opens connections as Options.Prewarmer decides, until ctx ends. It never waits for a connection slot, so that requests go
+// first. It blocks; the owner runs it on a goroutine of its own.
+func (p *Pool) Prewarm(ctx context.Context, clock clock.Clock) {
+	if p.prewarming == nil {
 		return
 	}
-	type end struct {
-		name    string
-		process uint64
-		ok      bool
-	}
-	ends := make(chan end)
+	results := make(chan prewarmResult)
 	var running sync.WaitGroup
 	defer running.Wait()
-	tick := time.NewTicker(prewarmInterval)
-	defer tick.Stop()
-	w := u.prewarming.prewarmer
+	ticker := time.NewTicker(prewarmInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-ends:
-			w.Connected(c.Now(), e.name, e.process, e.ok)
-			continue
-		case <-tick.C:
-		}
-		places := u.registry.Instances()
-		ready := make(map[string]uint64, len(places))
-		for name, at := range places {
-			ready[name] = at.ProcessID()
-		}
-		now := c.Now()
-		w.SetMembers(now, ready)
-		open, total, used := u.prewarming.snapshot()
-		for name := range used {
-			w.RecordUse(now, name)
-		}
-		for _, name := range w.Tick(now, func(name string) int { return open[name] }, total) {
-			running.Go(func() {
-				e := end{name, ready[name], u.prewarmOne(ctx, name, places[name])}
-				select {
-				case ends <- e:
-				case <-ctx.Done():
-				}
-			})
+		case r := <-results:
+			p.prewarming.prewarmer.Connected(clock.Now(), r.name, r.process, r.ok)
+		case <-ticker.C:
+			p.prewarmOnce(ctx, clock.Now(), &running, results)
 		}
 	}
 }
 
-// prewarmOne opens one connection, if there is a free slot, and tells whether it did.
-func (u *Pool) prewarmOne(ctx context.Context, name string, at endpoints.Instance) bool {
-	if u.connectionSlots.Waiting(u.service) > 0 || !u.connectionSlots.TryAcquire(u.service, 1) {
+// prewarmOnce starts the openings that are due.
+func (p *Pool) prewarmOnce(ctx context.Context, now time.Duration, running *sync.WaitGroup, results chan<- prewarmResult) {
+	prewarmer := p.prewarming.prewarmer
+	instances := p.registry.Instances()
+	ready := make(map[string]uint64, len(instances))
+	for name, instance := range instances {
+		ready[name] = instance.ProcessID()
+	}
+	prewarmer.SetMembers(now, ready)
+	open, total, used := p.prewarming.snapshot()
+	for name := range used {
+		prewarmer.RecordUse(now, name)
+	}
+	for _, name := range prewarmer.Tick(now, func(name string) int { return open[name] }, total) {
+		running.Go(func() {
+			r := prewarmResult{name, ready[name], p.openAhead(ctx, name, instances[name])}
+			select {
+			case results <- r:
+			case <-ctx.Done():
+			}
+		})
+	}
+}
+
+// openAhead opens one connection if a slot is free, and reports whether it did.
+func (p *Pool) openAhead(ctx context.Context, name string, instance endpoints.Instance) bool {
+	if p.connectionSlots.Waiting(p.service) > 0 || !p.connectionSlots.TryAcquire(p.service, 1) {
 		return false
 	}
-	c, err := u.dial(ctx, name, at)
+	conn, err := p.dial(ctx, name, instance)
 	if err != nil {
-		u.connectionSlots.Release(u.service, 1)
+		p.connectionSlots.Release(p.service, 1)
 		return false
 	}
-	c.prewarmed = true
-	u.putIdle(c)
+	conn.prewarmed = true
+	p.putIdle(conn)
 	return true
 }
--- a/internal/upstream/prewarming_test.go
+++ b/internal/upstream/prewarming_test.go
@@ -114,10 +114,10 @@
 	}
 	ask("a")
 	at, _ := u.registry.Instance("b")
-	if !u.prewarmOne(t.Context(), "b", at) {
+	if !u.openAhead(t.Context(), "b", at) {
 		t.Fatal("b can't be had")
 	}
-	if at, _ := u.registry.Instance("c"); u.prewarmOne(t.Context(), "c", at) {
+	if at, _ := u.registry.Instance("c"); u.openAhead(t.Context(), "c", at) {
 		t.Error("opened ahead beyond the limit")
 	}
 	ask("c") // in place of b's
--- a/internal/upstream/remainder.go
+++ b/internal/upstream/remainder.go
@@ -12,108 +12,116 @@
 	"orchiddrift/balancer"
 )
 
-// Sizes of answers, in bytes.
+// Sizes of response bodies, in bytes.
 const (
-	maxBufferedAnswer   = 64 << 10 // taken whole before any of it is passed on
-	MaxPassThroughBytes = 64 << 20 // an answer that says it has more is spoilt
-	firstPartBytes      = 16 << 10 // what is read of a longer one before it is passed on, at most
+	// maxBufferedAnswer is read completely before any of it is forwarded.
+	maxBufferedAnswer = 64 << 10
+	// MaxPassThroughBytes is the most that a response may announce; a longer one counts as malformed.
+	MaxPassThroughBytes = 64 << 20
+	// firstPartBytes of a longer body are read before it is forwarded, at most.
+	firstPartBytes = 16 << 10
 )
 
-// readIdleTimeout is how long an upstream may give nothing of an answer that is being passed on.
+// readIdleTimeout is how long an upstream may send nothing of a body that is being forwarded.
 const readIdleTimeout = 10 * time.Second
 
-// Remainder is what is still to come of an answer that is passed on as it comes. It is for one goroutine, but for End.
+// ErrTruncated says that a response ended before it was complete.
+var ErrTruncated = errors.New("the answer is cut")
+
+// Remainder is the rest of a body that is forwarded as it arrives. It is used by one goroutine; End may be called from any.
 type Remainder struct {
+	Length int64 // of the whole body, in bytes; -1: unknown
+
 	pool       *Pool
 	conn       *pooledConn
 	reader     *responseReader
 	body       io.Reader
 	ctx        context.Context
-	detach     func() bool // ends what calls the connection off; false: it has been
-	complete   bool        // all of it has come
-	closeAfter bool        // the connection ends with it
-	Length     int64       // of the whole body, -1: not known
+	detach     func() bool // see exchange
+	closeAfter bool        // the connection ends with the response
+	complete   bool        // all of the body has been read
 
-	err   error
+	err   error // of the last Read
 	ended atomic.Bool
 }
 
-// ErrTruncated says that an answer ends before it is whole.
-var ErrTruncated = errors.New("the answer is cut")
-
-// Read reads on. Any error but io.EOF says that the answer can't be had whole.
-func (s *Remainder) Read(p []byte) (int, error) {
-	if s.err != nil {
-		return 0, s.err
+// Read reads on. It returns io.EOF at the end of a complete body, and an error that wraps ErrTruncated where the rest cannot be had.
+func (r *Remainder) Read(p []byte) (int, error) {
+	if r.err != nil {
+		return 0, r.err
 	}
-	if err := s.conn.SetReadDeadline(time.Now().Add(readIdleTimeout)); err != nil {
-		s.err = fmt.Errorf("%w: %w", ErrTruncated, err)
-		return 0, s.err
+	if err := r.conn.SetReadDeadline(time.Now().Add(readIdleTimeout)); err != nil {
+		return 0, r.fail(err)
 	}
-	if s.ctx.Err() != nil { // after the deadline, which calling off sets too where the connection is encrypted
-		s.err = fmt.Errorf("%w: %w", ErrTruncated, context.Cause(s.ctx))
-		return 0, s.err
+	if r.ctx.Err() != nil { // checked after the deadline was set, which a cancellation sets too where the connection is encrypted
+		return 0, r.fail(context.Cause(r.ctx))
 	}
-	n, err := s.body.Read(p)
-	if err != nil {
-		s.err = fmt.Errorf("%w: %w", ErrTruncated, err)
-		if err == io.EOF {
-			s.complete, s.err = true, io.EOF
-		}
+	n, err := r.body.Read(p)
+	switch {
+	case err == io.EOF:
+		r.complete, r.err = true, io.EOF
+	case err != nil:
+		_ = r.fail(err)
 	}
 	if n > 0 {
 		return n, nil
 	}
-	return 0, s.err
+	return 0, r.err
+}
+
+// fail notes why the rest cannot be had.
+func (r *Remainder) fail(cause error) error {
+	r.err = fmt.Errorf("%w: %w", ErrTruncated, cause)
+	return r.err
 }
 
-// Buffered is how much can be read without waiting.
-func (s *Remainder) Buffered() int { return s.reader.Buffered() }
+// Buffered is how many bytes can be read without waiting.
+func (r *Remainder) Buffered() int { return r.reader.Buffered() }
 
-// Result is how the attempt ended: an answer that is not whole by the upstream's doing has broken, one that nobody took was
-// called off.
-func (s *Remainder) Result() balancer.Result {
+// Result is how the attempt ended, once reading has: reset where the upstream broke off, cancelled where nobody read to the end.
+func (r *Remainder) Result() balancer.Result {
 	switch {
-	case s.complete:
+	case r.complete:
 		return balancer.OK
-	case s.err == nil || s.ctx.Err() != nil:
+	case r.err == nil || r.ctx.Err() != nil:
 		return balancer.Cancelled
 	}
-	return s.reader.failure()
+	return r.reader.failure()
 }
 
-// End lets go of the connection: it goes on where the answer has come whole. Only the first call counts.
-func (s *Remainder) End() {
-	if s.ended.Swap(true) {
+// End returns the connection to the pool if the body was read completely, and closes it otherwise. Only the first call counts.
+func (r *Remainder) End() {
+	if r.ended.Swap(true) {
 		return
 	}
-	calm := s.detach()
-	reusable := calm && s.complete && !s.closeAfter && s.reader.Buffered() == 0 && s.conn.SetReadDeadline(time.Time{}) == nil
-	s.reader.release()
+	detached := r.detach()
+	reusable := detached && r.complete && !r.closeAfter && r.reader.Buffered() == 0 && r.conn.SetReadDeadline(time.Time{}) == nil
+	r.reader.release()
 	if reusable {
-		s.pool.putIdle(s.conn)
+		r.pool.putIdle(r.conn)
 	} else {
-		s.pool.discard(s.conn)
+		r.pool.discard(r.conn)
 	}
 }
 
-// passThrough begins an answer that is passed on as it comes: resp's body is longer than maxBufferedAnswer, or of unknown length. It reads what
-// is to be there first; nil, nil: the body is whole and stands in first.
-func (u *Pool) passThrough(ctx context.Context, c *pooledConn, in *responseReader, resp *http.Response, settle func() bool) (first []byte, rest *Remainder, err error) {
-	in.limit.remaining = MaxPassThroughBytes + MaxPassThroughBytes/4
-	if resp.ContentLength >= 0 {
-		in.limit.remaining = int(resp.ContentLength) + in.Size()
+// readFirstPart reads the beginning of a body that is forwarded as it arrives: one longer than maxBufferedAnswer, or of unknown length.
+// A nil Remainder says that first is the complete body.
+func (x *exchange) readFirstPart(message *http.Response) (first []byte, remainder *Remainder, err error) {
+	if message.ContentLength >= 0 {
+		x.reader.limit.remaining = int(message.ContentLength) + x.reader.Size()
 		first = make([]byte, firstPartBytes)
-		n, err := io.ReadAtLeast(resp.Body, first, 1) // a head alone is not yet an answer
+		n, err := io.ReadAtLeast(message.Body, first, 1) // a head alone is not yet an answer
 		if err != nil {
 			return nil, nil, err
 		}
 		first = first[:n]
 	} else {
-		first, err = io.ReadAll(io.LimitReader(resp.Body, maxBufferedAnswer+1))
+		x.reader.limit.remaining = withChunkOverhead(MaxPassThroughBytes)
+		first, err = io.ReadAll(io.LimitReader(message.Body, maxBufferedAnswer+1))
 		if err != nil || len(first) <= maxBufferedAnswer {
 			return first, nil, err
 		}
 	}
-	return first, &Remainder{pool: u, conn: c, reader: in, body: resp.Body, ctx: ctx, detach: settle, closeAfter: resp.Close, Length: resp.ContentLength}, nil
+	return first, &Remainder{Length: message.ContentLength, pool: x.pool, conn: x.conn, reader: x.reader, body: message.Body, ctx: x.ctx,
+		detach: x.detach, closeAfter: message.Close}, nil
 }
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -11,206 +11,229 @@
 	"orchiddrift/balancer"
 )
 
-// Upload is the part of a request's body that is passed on as it comes, behind Request.body. It can be read once: an attempt that
-// ends before any of it was taken leaves all of it to the next one. Whoever made it ends it by End.
+const (
+	// uploadPieceBytes of a body are read before they are written, at most.
+	uploadPieceBytes = 32 << 10
+	// chunkOverheadBytes is what the size line and the line ends of a chunk may take.
+	chunkOverheadBytes = 32
+	// writeIdleTimeout is how long an upstream may take none of a body.
+	writeIdleTimeout = readIdleTimeout
+	// lastChunk ends a chunked body: its first line tells the upstream that nothing more of the body follows.
+	lastChunk     = "0\r\n\r\n"
+	lastChunkSize = "0\r\n"
+)
+
+var errUploadStopped = errors.New("the upload was stopped")
+
+// Upload is the part of a request's body that is forwarded as it arrives, behind Request.body. It can be read once: an attempt that ends
+// before it has taken any of it leaves all of it to the next attempt. Its owner calls End.
 type Upload struct {
 	Body    io.Reader
-	Length  int64         // of the whole body; -1: not known, it goes on in chunks
-	Timeout time.Duration // what the client waits once its last byte has come
-	// Interrupt has a Read of Rest that waits return. It is called by End alone.
+	Length  int64         // of the whole body, in bytes; -1: unknown, the body is forwarded in chunks
+	Timeout time.Duration // how long the client waits after the last byte of its body
+	// Interrupt makes a Read of Body return that is waiting. End calls it.
 	Interrupt func()
-	// Done, where there is one, is called as the last byte has been written.
+	// Done is called once the last byte has been written; nil: nothing is.
 	Done func()
 
 	pump    *bodyPump
-	started atomic.Bool // something of Rest was taken: the body can't be had again
-	broken  atomic.Bool // the client broke off: no attempt can be whole
+	started atomic.Bool // some of Body was taken: it cannot be had again
+	broken  atomic.Bool // the client broke off: no attempt can be complete
 }
 
-// Drain reads what is left of the body and drops it, until the body ends or Rest fails: so a client that still writes reads an early
-// answer, and no reset. Nothing may be sent after it.
-func (l *Upload) Drain() { l.pump.drain() }
+// Drain reads and drops the rest of the body, until it ends or Body fails, so that a client that is still writing can read an early
+// response. Nothing may be sent after it.
+func (u *Upload) Drain() { u.pump.drain() }
 
-// End ends the reading. Rest is not read any more once it returns; it may be called more than once.
-func (l *Upload) End() { l.pump.end(l.Interrupt) }
+// End ends the reading. Body is not read any more once it returns. It may be called more than once.
+func (u *Upload) End() { u.pump.end(u.Interrupt) }
 
-// Consumed tells whether the body can't be had again.
-func (l *Upload) Consumed() bool { return l.started.Load() || l.broken.Load() }
+// Consumed reports whether the body cannot be had again.
+func (u *Upload) Consumed() bool { return u.started.Load() || u.broken.Load() }
 
-// Broken tells whether the client broke off.
-func (l *Upload) Broken() bool { return l.broken.Load() }
+// Broken reports whether the client broke off.
+func (u *Upload) Broken() bool { return u.broken.Load() }
 
-// uploadPieceBytes is what is read of a body before it is written, at most, in bytes; writeIdleTimeout is how long its upstream may take none of
-// it.
-const (
-	uploadPieceBytes = 32 << 10
-	writeIdleTimeout = readIdleTimeout
-)
+// streamsBody reports whether the body is written beside the reading of the response.
+func (r *Request) streamsBody() bool { return r.Upload != nil || len(r.body) > maxBufferedAnswer }
 
-// uploadWriter writes a long body beside the reader of its answer: an upstream may turn a request away before it has read it, and then
-// reads no more. It is ended by stop before anything else is done with the connection.
+// uploadWriter writes a long body on a goroutine of its own while the response is read: an upstream may reject a request before it has
+// read all of it, and then reads no more. It is ended by stop or wait before anything else is done with the connection.
 type uploadWriter struct {
 	conn     *pooledConn
 	request  *Request
-	done     chan struct{}
-	complete atomic.Bool // its last byte may be out: see put
+	sendBy   time.Time     // the last byte is written before; zero: any time
+	done     chan struct{} // closed once the goroutine has ended
+	complete atomic.Bool   // the last byte may have left this process: see writePiece
 	stopped  atomic.Bool
-	stopping chan struct{} // closed as it is ended
-	sendBy   time.Time     // its last byte is to be written before; zero: at any time
+	stopping chan struct{} // closed by stop
 }
 
-// streamsBody tells whether the body is written beside the reader of its answer.
-func (r *Request) streamsBody() bool { return r.Upload != nil || len(r.body) > maxBufferedAnswer }
+// startUpload begins to write the head and the body behind it.
+func (r *Request) startUpload(conn *pooledConn, head []byte, sendBy time.Time) *uploadWriter {
+	w := &uploadWriter{conn: conn, request: r, sendBy: sendBy, done: make(chan struct{}), stopping: make(chan struct{})}
+	go w.run(head)
+	return w
+}
 
-// startUpload writes the head and whatever follows.
-func (r *Request) startUpload(c *pooledConn, head []byte, by time.Time) *uploadWriter {
-	l := &uploadWriter{conn: c, request: r, sendBy: by, done: make(chan struct{}), stopping: make(chan struct{})}
-	go func() {
-		defer close(l.done)
-		err := l.writePiece(head, lastByteIn(head, r.Upload != nil && r.Upload.Length == 0))
-		if r.Gate != nil { // its first byte is out
-			r.Gate.Leave()
-		}
-		if err == nil {
-			err = l.writeBody()
-		}
-		if errors.Is(err, os.ErrDeadlineExceeded) && !l.stopped.Load() {
-			l.conn.closeSocket() // its upstream takes nothing, and may answer nothing either
-		}
-		if !l.complete.Load() {
-			return
-		}
-		if r.Written != nil {
-			r.Written()
-		}
-		if r.Upload != nil && r.Upload.Done != nil {
-			r.Upload.Done()
-		}
-	}()
-	return l
+func (w *uploadWriter) run(head []byte) {
+	defer close(w.done)
+	r := w.request
+	bodyIsEmpty := r.Upload != nil && r.Upload.Length == 0
+	err := w.writePiece(head, lastByteIn(head, bodyIsEmpty))
+	if r.Gate != nil { // the first byte has been written
+		r.Gate.Leave()
+	}
+	if err == nil {
+		err = w.writeBody()
+	}
+	if errors.Is(err, os.ErrDeadlineExceeded) && !w.stopped.Load() {
+		w.conn.closeSocket() // the upstream takes nothing, and may send no response either
+	}
+	if !w.complete.Load() {
+		return
+	}
+	if r.Written != nil {
+		r.Written()
+	}
+	if r.Upload != nil && r.Upload.Done != nil {
+		r.Upload.Done()
+	}
 }
 
-var errUploadStopped = errors.New("the upload was stopped")
+// lastByteIn returns the end argument of writePiece for a piece that holds the last byte of the request, or does not.
+func lastByteIn(piece []byte, last bool) int {
+	if last {
+		return len(piece)
+	}
+	return 0
+}
 
-// writePiece writes one piece. end is how much of it tells the upstream that the request is whole; 0: more follows it. Whether the request can
-// have been had whole is decided as that byte is begun to be written, and taken back only where the count that came back shows that it
-// did not go out: an upstream can run the request, answer and close before the write has returned here.
-func (l *uploadWriter) writePiece(b []byte, end int) error {
-	for len(b) > 0 { // an upstream that takes some of it goes on
-		limit := time.Now().Add(writeIdleTimeout)
-		if !l.sendBy.IsZero() && l.sendBy.Before(limit) {
-			limit = l.sendBy
-		}
-		if err := l.conn.SetWriteDeadline(limit); err != nil {
+// writePiece writes a part of the request. end is the number of its bytes after which the upstream knows that the request is complete;
+// 0: more follows. Whether the request may have been received completely is decided as the write of that byte begins, and taken back only
+// if the count that the write returns shows that the byte was not taken: an upstream can run the request, respond and close before the
+// write returns here.
+func (w *uploadWriter) writePiece(piece []byte, end int) error {
+	for len(piece) > 0 { // an upstream that takes some of it gets more time
+		deadline := time.Now().Add(writeIdleTimeout)
+		if !w.sendBy.IsZero() && w.sendBy.Before(deadline) {
+			deadline = w.sendBy
+		}
+		if err := w.conn.SetWriteDeadline(deadline); err != nil {
 			return err
 		}
-		if l.stopped.Load() { // after the deadline, which stop sets too
+		if w.stopped.Load() { // checked after the deadline was set, which stop sets too
 			return errUploadStopped
 		}
-		part := b[:min(len(b), uploadPieceBytes)]
+		part := piece[:min(len(piece), uploadPieceBytes)]
 		if end > 0 && end <= len(part) {
-			l.complete.Store(true)
+			w.complete.Store(true)
 		}
-		n, err := l.conn.send(part)
+		n, err := w.conn.send(part)
 		if end > n {
-			l.complete.Store(false)
+			w.complete.Store(false)
 		}
 		if err != nil {
 			return err
 		}
-		b, end = b[n:], max(end-n, 0)
+		piece, end = piece[n:], max(end-n, 0)
 	}
 	return nil
 }
 
-// writeBody writes the body.
-func (l *uploadWriter) writeBody() error {
-	more := l.request.Upload
-	if more == nil {
-		return l.writePiece(l.request.body, len(l.request.body))
-	}
-	chunked := more.Length < 0
-	left := more.Length
-	piece := make([]byte, 0, uploadPieceBytes+32)
-	say := func(b []byte) error {
-		if !chunked {
-			left -= int64(len(b))
-			return l.writePiece(b, lastByteIn(b, left == 0))
-		}
-		piece = strconv.AppendInt(piece[:0], int64(len(b)), 16)
-		piece = append(append(append(piece, '\r', '\n'), b...), '\r', '\n')
-		return l.writePiece(piece, 0)
+// writeBody writes the body: what is at hand, then what arrives.
+func (w *uploadWriter) writeBody() error {
+	upload := w.request.Upload
+	if upload == nil {
+		return w.writePiece(w.request.body, len(w.request.body))
 	}
-	for b := l.request.body; len(b) > 0; {
-		n := min(len(b), uploadPieceBytes)
-		if err := say(b[:n]); err != nil {
+	framer := &bodyFramer{writer: w, chunked: upload.Length < 0, remaining: upload.Length}
+	for first := w.request.body; len(first) > 0; {
+		n := min(len(first), uploadPieceBytes)
+		if err := framer.write(first[:n]); err != nil {
 			return err
 		}
-		b = b[n:]
+		first = first[n:]
 	}
+	return w.forwardUpload(upload, framer)
+}
+
+// forwardUpload writes the body as it arrives.
+func (w *uploadWriter) forwardUpload(upload *Upload, framer *bodyFramer) error {
 	for again := false; ; again = true {
-		b, err := more.pump.next(more.Body, again, l.stopping)
-		if l.complete.Load() { // the source is asked once more for its end alone
+		piece, err := upload.pump.next(upload.Body, again, w.stopping)
+		if w.complete.Load() { // the source was read once more for its end alone
 			return nil
 		}
 		if err == nil {
-			more.started.Store(true)
-			err = say(b)
-			if err == nil {
-				continue
+			upload.started.Store(true)
+			if err := framer.write(piece); err != nil {
+				return err
 			}
-			return err
+			continue
 		}
-		if err == io.EOF && chunked {
-			return l.writePiece([]byte(lastChunk), len("0\r\n"))
+		if err == io.EOF && framer.chunked {
+			return w.writePiece([]byte(lastChunk), len(lastChunkSize))
 		}
-		if err != errUploadStopped && err != errBodyUnwanted { // the client's
-			more.broken.Store(true)
-			l.conn.closeSocket() // the answer's reader waits for nothing more
+		if err != errUploadStopped && err != errBodyUnwanted { // the client broke off
+			upload.broken.Store(true)
+			w.conn.closeSocket() // the reader of the response waits for nothing more
 		}
 		return err
 	}
 }
 
-// lastChunk ends a body in chunks: its first line tells the upstream that nothing more of the body comes.
-const lastChunk = "0\r\n\r\n"
+// bodyFramer writes pieces of a body with a known length, or as chunks.
+type bodyFramer struct {
+	writer    *uploadWriter
+	chunked   bool
+	remaining int64  // bytes of a body with a known length
+	chunk     []byte // buffer
+}
 
-// lastByteIn is put's end for a piece with the request's last byte, or without.
-func lastByteIn(b []byte, last bool) int {
-	if last {
-		return len(b)
+func (f *bodyFramer) write(piece []byte) error {
+	if !f.chunked {
+		f.remaining -= int64(len(piece))
+		return f.writer.writePiece(piece, lastByteIn(piece, f.remaining == 0))
 	}
-	return 0
+	if f.chunk == nil {
+		f.chunk = make([]byte, 0, uploadPieceBytes+chunkOverheadBytes)
+	}
+	f.chunk = strconv.AppendInt(f.chunk[:0], int64(len(piece)), 16)
+	f.chunk = append(f.chunk, "\r\n"...)
+	f.chunk = append(f.chunk, piece...)
+	f.chunk = append(f.chunk, "\r\n"...)
+	return f.writer.writePiece(f.chunk, 0)
 }
 
-// stop ends the upload, and tells whether its last byte may be out.
-func (l *uploadWriter) stop() bool {
-	if l.stopped.CompareAndSwap(false, true) {
-		close(l.stopping)
+// stop ends the upload and waits for its goroutine. It reports whether the last byte may have left this process.
+func (w *uploadWriter) stop() bool {
+	if w.stopped.CompareAndSwap(false, true) {
+		close(w.stopping)
 	}
 	select {
-	case <-l.done:
+	case <-w.done:
 	default:
-		_ = l.conn.SetWriteDeadline(time.Unix(1, 0)) // it may be closed
-		<-l.done
+		_ = w.conn.SetWriteDeadline(past) // the connection may be closed already
+		<-w.done
 	}
-	return l.complete.Load()
+	return w.complete.Load()
 }
 
-// wait waits until the body is written, or can't be, and tells what stop does.
-func (l *uploadWriter) wait() bool {
-	<-l.done
-	return l.complete.Load()
+// wait waits until the body is written or cannot be. It reports what stop does.
+func (w *uploadWriter) wait() bool {
+	<-w.done
+	return w.complete.Load()
 }
 
-// notSentResponse is how an attempt ended whose last byte never went out, and of which nothing came back: its upstream has not begun it. Where the client or the module
-// ended it, that says nothing of the upstream.
+// notSentResponse is the end of an attempt whose last byte was never written and to which nothing came back: the upstream has not begun
+// it. Where the client broke off, that says nothing of the upstream.
 func (r *Request) notSentResponse(result balancer.Result) Response {
-	if r.Upload != nil {
-		if r.Upload.Broken() {
-			result = balancer.NotSent
-		}
-		return Response{Result: result, BodyConsumed: r.Upload.Consumed()}
+	if r.Upload == nil {
+		return Response{Result: result}
+	}
+	if r.Upload.Broken() {
+		result = balancer.NotSent
 	}
-	return Response{Result: result}
+	return Response{Result: result, BodyConsumed: r.Upload.Consumed()}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -154,14 +154,15 @@
 	}
 	defer l.Close()
 	u := testPool(t, 4, testutil.Entry("s", l.Addr().String(), "Ready"))
-	c, _, err := u.connection(t.Context(), "s", endpoints.Instance{Address: l.Addr().String()})
+	c, _, err := u.connection(t.Context(), nil, "s", endpoints.Instance{Address: l.Addr().String()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil { // the write will fail
 		t.Fatal(err)
 	}
-	rep, reusable, _ := u.exchange(t.Context(), c, testRequest("POST", "b"), AttemptOptions{})
+	rep, after := u.exchange(t.Context(), c, testRequest("POST", "b"), AttemptOptions{})
+	reusable := after == reuseConnection
 	u.discard(c)
 	if rep.Result != balancer.ConnectFailed || reusable {
 		t.Errorf("result %d, reusable %v", rep.Result, reusable)
@@ -173,12 +174,12 @@
 	for _, status := range []string{"Terminating", "Gone"} {
 		s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 		u := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
-		c, _, err := u.connection(t.Context(), "s", endpoints.Instance{Address: s.Address})
+		c, _, err := u.connection(t.Context(), nil, "s", endpoints.Instance{Address: s.Address})
 		if err != nil {
 			t.Fatal(err)
 		}
 		u.registry.Apply(testutil.EndpointList(t, 2, false, testutil.Entry("s", s.Address, status)))
-		if rep, _, _ := u.exchange(t.Context(), c, testRequest("GET", ""), AttemptOptions{}); rep.Result != balancer.NotSent {
+		if rep, _ := u.exchange(t.Context(), c, testRequest("GET", ""), AttemptOptions{}); rep.Result != balancer.NotSent {
 			t.Errorf("%s: result %d", status, rep.Result)
 		}
 		u.discard(c)
--- a/internal/upstream/write_count.go
+++ b/internal/upstream/write_count.go
@@ -5,12 +5,13 @@
 	"sync/atomic"
 )
 
-// What proves that a request was not had whole is the count of its bytes that the system took, and nothing that is learnt after: the
-// upstream may have run it before the write returns.
+// That an upstream cannot have received a complete request is proved only by the number of bytes that the system has taken, and by
+// nothing that is learnt later: the upstream may run the request before the write returns.
 
-// send writes b, and tells how much of it may be out: an error counts against no byte that the system has taken. On an encrypted
-// connection the library's count leaves out a record whose write failed; that one is out unless the socket below took less than it.
-func (c *pooledConn) send(b []byte) (out int, err error) {
+// send writes b and returns how much of it may have left this process. An error does not count against bytes that the system has taken.
+// On an encrypted connection the count of crypto/tls leaves out a record whose write failed; that record may have left unless the socket
+// took less than all of it.
+func (c *pooledConn) send(b []byte) (sent int, err error) {
 	if c.tlsConn == nil {
 		return c.Write(b)
 	}
@@ -22,8 +23,8 @@
 	return n, err
 }
 
-// countingConn is a socket that knows whether the last write was taken whole. The library writes from more than one goroutine: the other's
-// last write may have it say that a request may be out, which is the safe side.
+// countingConn is a socket that notes whether its last write was taken completely. crypto/tls writes from more than one goroutine: a
+// write of another one may make a request count as possibly sent, which is the safe side.
 type countingConn struct {
 	net.Conn
 	wroteAll atomic.Bool
