--- a/internal/bulkhead/bulkhead.go
+++ b/internal/bulkhead/bulkhead.go
@@ -28,21 +28,21 @@
 type Limiter struct {
 	limit, common int64
 	over          int64 // held of the common part
-	by            map[string]*holder
+	by            map[string]*usage
 	part          float64
 	shares        []Share
 }
 
-type holder struct {
-	own, used int64
-	leaving   bool // no share any more, but still holds something
+type usage struct {
+	guaranteed, used int64
+	leaving          bool // no share any more, but still holds something
 }
 
-func (h *holder) over() int64 { return max(0, h.used-h.own) }
+func (h *usage) over() int64 { return max(0, h.used-h.guaranteed) }
 
 // New returns one for a limit of which a part, from 0 to 1, is set aside.
 func New(limit int64, part float64, shares []Share) (*Limiter, error) {
-	l := &Limiter{limit: limit, by: map[string]*holder{}}
+	l := &Limiter{limit: limit, by: map[string]*usage{}}
 	return l, l.Set(part, shares)
 }
 
@@ -73,16 +73,16 @@
 	l.common, l.part, l.shares = limit-set, part, slices.Clone(shares)
 	for name, h := range l.by {
 		if _, stays := own[name]; !stays {
-			if h.own, h.leaving = 0, true; h.used == 0 {
+			if h.guaranteed, h.leaving = 0, true; h.used == 0 {
 				delete(l.by, name)
 			}
 		}
 	}
 	for name, n := range own {
 		if l.by[name] == nil {
-			l.by[name] = &holder{}
+			l.by[name] = &usage{}
 		}
-		l.by[name].own, l.by[name].leaving = n, false
+		l.by[name].guaranteed, l.by[name].leaving = n, false
 	}
 	l.over = 0
 	for _, h := range l.by {
@@ -117,7 +117,7 @@
 		return false
 	}
 	before := h.over()
-	after := max(0, h.used+n-h.own)
+	after := max(0, h.used+n-h.guaranteed)
 	if more := after - before; more > 0 && l.over+more > l.common {
 		return false
 	}
@@ -143,7 +143,7 @@
 // Guaranteed is what a service is guaranteed, and Used what it holds.
 func (l *Limiter) Guaranteed(name string) int64 {
 	if h := l.by[name]; h != nil {
-		return h.own
+		return h.guaranteed
 	}
 	return 0
 }
--- a/internal/daemon/course.go
+++ b/internal/daemon/course.go
@@ -74,7 +74,7 @@
 
 // end waits until the last answers are written and their connections closed, or that long, and then closes those that are left.
 func (c *course) end(most time.Duration) {
-	for last := time.Now().Add(most); !c.conns.OverLimit() && time.Now().Before(last); {
+	for last := time.Now().Add(most); !c.conns.Drained() && time.Now().Before(last); {
 		time.Sleep(look)
 	}
 	c.conns.CloseAll()
@@ -110,7 +110,7 @@
 			abort()
 			return
 		}
-		if !accepting && c.conns.OverLimit() {
+		if !accepting && c.conns.Drained() {
 			return
 		}
 		switch {
--- a/internal/server/acceptor/acceptor.go
+++ b/internal/server/acceptor/acceptor.go
@@ -13,8 +13,8 @@
 
 // The wait after an accept that failed. It doubles from first to most, which is well under the shortest deadline of a request.
 const (
-	firstWait = time.Millisecond
-	mostWait  = 32 * time.Millisecond
+	minBackoff = time.Millisecond
+	maxBackoff = 32 * time.Millisecond
 )
 
 // Listener is a net.Listener whose Accept fails only once it has been closed, or at its deadline.
@@ -22,7 +22,7 @@
 	net.Listener
 	log      *slog.Logger
 	failed   atomic.Int64
-	failing  time.Duration // the last wait; 0: the last accept did not fail
+	backoff  time.Duration // the last wait; 0: the last accept did not fail
 	deadline atomic.Pointer[time.Time]
 }
 
@@ -45,12 +45,12 @@
 		if at := l.deadline.Load(); at != nil && !time.Now().Before(*at) {
 			return nil, os.ErrDeadlineExceeded
 		}
-		l.rest(err)
+		l.backOff(err)
 	}
 }
 
-// Failed is how many accepts have failed.
-func (l *Listener) Failed() int64 { return l.failed.Load() }
+// Failures is how many accepts have failed.
+func (l *Listener) Failures() int64 { return l.failed.Load() }
 
 // SetDeadline sets until when Accept waits, where the listener below can.
 func (l *Listener) SetDeadline(t time.Time) error {
@@ -64,19 +64,19 @@
 	return errors.ErrUnsupported
 }
 
-func (l *Listener) rest(err error) {
+func (l *Listener) backOff(err error) {
 	l.failed.Add(1)
-	if l.failing == 0 {
+	if l.backoff == 0 {
 		l.log.Warn("a connection could not be accepted: trying again", "address", l.Addr().String(), "reason", err)
 	}
-	l.failing = min(max(2*l.failing, firstWait), mostWait)
-	time.Sleep(l.failing)
+	l.backoff = min(max(2*l.backoff, minBackoff), maxBackoff)
+	time.Sleep(l.backoff)
 }
 
 func (l *Listener) recovered() {
-	if l.failing == 0 {
+	if l.backoff == 0 {
 		return
 	}
-	l.failing = 0
+	l.backoff = 0
 	l.log.Info("connections are accepted again", "address", l.Addr().String(), "failures", l.failed.Load())
 }
--- a/internal/server/acceptor/acceptor_test.go
+++ b/internal/server/acceptor/acceptor_test.go
@@ -42,11 +42,11 @@
 				t.Fatal(err)
 			}
 			late := time.Since(begun) - outage
-			if late > mostWait {
+			if late > maxBackoff {
 				t.Errorf("an outage of %v: accepted %v behind it", outage, late)
 			}
-			if most := 8 + int(outage/mostWait); below.tries > most || l.Failed() != int64(below.tries-1) {
-				t.Errorf("an outage of %v: %d tries, %d at most are wanted; %d failed", outage, below.tries, most, l.Failed())
+			if most := 8 + int(outage/maxBackoff); below.tries > most || l.Failures() != int64(below.tries-1) {
+				t.Errorf("an outage of %v: %d tries, %d at most are wanted; %d failed", outage, below.tries, most, l.Failures())
 			}
 		})
 	}
@@ -70,7 +70,7 @@
 		if err := l.SetDeadline(begun.Add(time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := l.Accept(); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(begun) > time.Second+mostWait {
+		if _, err := l.Accept(); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(begun) > time.Second+maxBackoff {
 			t.Errorf("%v after %v", err, time.Since(begun))
 		}
 	})
--- a/internal/server/control/call.go
+++ b/internal/server/control/call.go
@@ -49,7 +49,7 @@
 		if len(b) > MaxHead {
 			return Call{}, Invalid, Answer{Status: http.StatusRequestHeaderFieldsTooLarge, Body: "the head is too large"}
 		}
-		if bad := hopeless(b); bad {
+		if bad := invalidRequestLine(b); bad {
 			return Call{}, Invalid, malformed("no request line")
 		}
 		return Call{}, Incomplete, Answer{}
@@ -108,8 +108,8 @@
 	}
 }
 
-// hopeless tells whether the first line, as far as it is there, can't begin a request: there is no use in waiting for more.
-func hopeless(b []byte) bool {
+// invalidRequestLine tells whether the first line, as far as it is there, can't begin a request: there is no use in waiting for more.
+func invalidRequestLine(b []byte) bool {
 	line, _, whole := bytes.Cut(b, []byte{'\n'})
 	if whole {
 		line = bytes.TrimSuffix(line, []byte{'\r'})
--- a/internal/server/control/server.go
+++ b/internal/server/control/server.go
@@ -14,10 +14,10 @@
 
 const (
 	// MaxWaiting is how many connections are held at once; the listener's queue in the kernel holds more.
-	MaxWaiting = 12
-	waitFor    = 5 * time.Second        // for the rest of a call
-	lingerFor  = 500 * time.Millisecond // for a caller to read what it is told, where it has sent more than was read
-	writeFor   = time.Second
+	MaxWaiting    = 12
+	callTimeout   = 5 * time.Second        // for the rest of a call
+	lingerTimeout = 500 * time.Millisecond // for a caller to read what it is told, where it has sent more than was read
+	writeTimeout  = time.Second
 )
 
 // Handler answers calls. It must not wait for anything.
@@ -28,7 +28,7 @@
 // the one that has waited longest is closed.
 type Server struct {
 	listener net.Listener
-	answer   Handler
+	handler  Handler
 	log      *slog.Logger
 
 	mu      sync.Mutex
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Server{listener: acceptor.New(l, log), answer: answer, log: log}, nil
+	return &Server{listener: acceptor.New(l, log), handler: answer, log: log}, nil
 }
 
 // Addr is where it listens.
@@ -57,7 +57,7 @@
 		if err != nil { // it is closed
 			return
 		}
-		s.take(c.(*net.TCPConn), buffer)
+		s.handle(c.(*net.TCPConn), buffer)
 	}
 }
 
@@ -73,12 +73,12 @@
 	s.running.Wait()
 }
 
-// take answers a call that is there, or has it wait for the rest.
-func (s *Server) take(c *net.TCPConn, buffer []byte) {
+// handle answers a call that is there, or has it wait for the rest.
+func (s *Server) handle(c *net.TCPConn, buffer []byte) {
 	n, ended := readNow(c, buffer)
 	call, progress, bad := ParseCall(buffer[:n])
 	if progress == Complete && n < len(buffer) {
-		s.tell(c, call.Method, s.answer(call))
+		s.respond(c, call.Method, s.handler(call))
 		c.Close() // all that came was read
 		return
 	}
@@ -98,13 +98,13 @@
 	s.waiting = append(s.waiting, c)
 	begun := append(make([]byte, 0, n+512), buffer[:n]...)
 	s.running.Go(func() {
-		defer s.leave(c)
+		defer s.forget(c)
 		if progress == Invalid {
-			s.tell(c, "", bad)
+			s.respond(c, "", bad)
 			s.linger(c)
 			return
 		}
-		s.rest(c, begun)
+		s.readRest(c, begun)
 	})
 }
 
@@ -135,9 +135,9 @@
 	return n, false
 }
 
-// rest waits for the rest of a call.
-func (s *Server) rest(c *net.TCPConn, b []byte) {
-	if c.SetReadDeadline(time.Now().Add(waitFor)) != nil {
+// readRest waits for the rest of a call.
+func (s *Server) readRest(c *net.TCPConn, b []byte) {
+	if c.SetReadDeadline(time.Now().Add(callTimeout)) != nil {
 		return
 	}
 	for {
@@ -149,10 +149,10 @@
 		call, progress, bad := ParseCall(b)
 		switch {
 		case progress == Complete:
-			s.tell(c, call.Method, s.answer(call))
+			s.respond(c, call.Method, s.handler(call))
 			return
 		case progress == Invalid:
-			s.tell(c, "", bad)
+			s.respond(c, "", bad)
 			s.linger(c)
 			return
 		case errors.Is(err, net.ErrClosed): // gave way
@@ -162,21 +162,21 @@
 			if nerr, ok := errors.AsType[net.Error](err); ok && nerr.Timeout() {
 				status = http.StatusRequestTimeout
 			}
-			s.tell(c, "", Answer{Status: status, Body: "the call ends before it is whole"})
+			s.respond(c, "", Answer{Status: status, Body: "the call ends before it is whole"})
 			return
 		}
 	}
 }
 
-func (s *Server) tell(c *net.TCPConn, method string, a Answer) {
-	_ = c.SetWriteDeadline(time.Now().Add(writeFor)) // the write shows it
-	_, _ = c.Write(a.appendTo(nil, method))          // a caller that has left is told nothing
+func (s *Server) respond(c *net.TCPConn, method string, a Answer) {
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout)) // the write shows it
+	_, _ = c.Write(a.appendTo(nil, method))              // a caller that has left is told nothing
 }
 
 // linger has the caller read its answer: closing what still holds unread bytes would reset it.
 func (s *Server) linger(c *net.TCPConn) {
 	_ = c.CloseWrite() // it may have gone
-	if c.SetReadDeadline(time.Now().Add(lingerFor)) != nil {
+	if c.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
 		return
 	}
 	buffer := make([]byte, 2048)
@@ -187,7 +187,7 @@
 	}
 }
 
-func (s *Server) leave(c *net.TCPConn) {
+func (s *Server) forget(c *net.TCPConn) {
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/server/downstream/intake_test.go
+++ b/internal/server/downstream/checker_test.go
@@ -189,7 +189,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for conn, is := range c.conns {
-			if is.dying {
+			if is.closing {
 				go c.State(conn, http.StateClosed)
 				return true
 			}
--- a/internal/server/downstream/conn.go
+++ b/internal/server/downstream/connection.go
@@ -19,16 +19,16 @@
 // The states of a client's connection. Whoever changes one does so by compare and swap, so that of two that cross one is the
 // first: a request that is read after its connection was shut is not taken, and a connection on which one was read is not shut.
 const (
-	idle   int32 = iota // nothing of a request has been read
-	active              // a request is read, or in hand
-	shut                // our side is shut: nothing that comes is taken
+	phaseIdle   int32 = iota // nothing of a request has been read
+	phaseActive              // a request is read, or in hand
+	phaseShut                // our side is shut: nothing that comes is taken
 )
 
-// lingerFor and lingerMost bound the lingering close, in time and in bytes that are read and dropped. A close over unread bytes
+// lingerTimeout and lingerMaxBytes bound the lingering close, in time and in bytes that are read and dropped. A close over unread bytes
 // resets the connection, and takes the answer with it that is still on its way.
 const (
-	lingerFor  = 500 * time.Millisecond
-	lingerMost = 1 << 20
+	lingerTimeout  = 500 * time.Millisecond
+	lingerMaxBytes = 1 << 20
 )
 
 // conn is a connection of a client.
@@ -37,19 +37,19 @@
 	socket   net.Conn        // below it: the same where it is not encrypted
 	raw      syscall.RawConn // of socket; nil: it is none
 
-	watch framing.Detector // of who reads; the library has one reader at a time
-	twice atomic.Bool
+	framing   framing.Detector // of who reads; the library has one reader at a time
+	ambiguous atomic.Bool
 
-	phase  atomic.Int32
-	behind atomic.Bool // something came behind the request in hand, which has come whole
-	gone   atomic.Bool // the client's end of the connection, or a reset, was read
-	closed atomic.Bool
-	leave  atomic.Pointer[func()] // tells the request in hand, which has come whole, that its client has gone; nil: there is none
+	phase        atomic.Int32
+	pipelined    atomic.Bool // something came behind the request in hand, which has come whole
+	clientGone   atomic.Bool // the client's end of the connection, or a reset, was read
+	closed       atomic.Bool
+	onClientGone atomic.Pointer[func()] // tells the request in hand, which has come whole, that its client has gone; nil: there is none
 
-	mu    sync.Mutex // of what follows
-	until time.Time  // the server's deadline for reads
-	end   time.Time  // shut: nothing is read after it
-	ahead *ahead     // nil: nothing is read ahead
+	mu              sync.Mutex       // of what follows
+	readDeadline    time.Time        // the server's deadline for reads
+	shutDeadline    time.Time        // shut: nothing is read after it
+	readAheadBuffer *readAheadBuffer // nil: nothing is read ahead
 }
 
 func newConn(socket net.Conn) *conn {
@@ -62,37 +62,39 @@
 	return c
 }
 
-func (c *conn) state() int32 { return c.phase.Load() }
+func (c *conn) currentPhase() int32 { return c.phase.Load() }
 
-// begin says that a request comes, or is taken; false: the connection was shut before, and it is not to be taken. Its client finds
+// tryActivate says that a request comes, or is taken; false: the connection was shut before, and it is not to be taken. Its client finds
 // an end of the connection with no answer, which tells it that the request was not read.
-func (c *conn) begin() bool { return c.phase.CompareAndSwap(idle, active) || c.phase.Load() == active }
+func (c *conn) tryActivate() bool {
+	return c.phase.CompareAndSwap(phaseIdle, phaseActive) || c.phase.Load() == phaseActive
+}
 
-// answered says that the request in hand has its answer. Where a part of the next one has been read the connection is not idle.
-func (c *conn) answered() {
-	c.leave.Store(nil)
-	if !c.behind.Swap(false) {
-		c.phase.CompareAndSwap(active, idle)
+// requestEnded says that the request in hand has its answer. Where a part of the next one has been read the connection is not idle.
+func (c *conn) requestEnded() {
+	c.onClientGone.Store(nil)
+	if !c.pipelined.Swap(false) {
+		c.phase.CompareAndSwap(phaseActive, phaseIdle)
 	}
 }
 
 // Read is net.Conn's.
 func (c *conn) Read(p []byte) (int, error) {
-	n, err := c.next(p)
+	n, err := c.readNext(p)
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.hasGone()
+		c.markClientGone()
 	}
 	if n > 0 {
-		if !c.begin() {
+		if !c.tryActivate() {
 			return 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: net.ErrClosed}
 		}
-		if c.leave.Load() != nil {
-			c.behind.Store(true)
-			c.readAhead()
+		if c.onClientGone.Load() != nil {
+			c.pipelined.Store(true)
+			c.startReadAhead()
 		}
 	}
-	if c.watch.Feed(p[:n]); c.watch.Ambiguous() {
-		c.twice.Store(true)
+	if c.framing.Feed(p[:n]); c.framing.Ambiguous() {
+		c.ambiguous.Store(true)
 	}
 	return n, err
 }
@@ -101,8 +103,8 @@
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.until = t
-	if c.ahead != nil { // it has none
+	c.readDeadline = t
+	if c.readAheadBuffer != nil { // it has none
 		return nil
 	}
 	return c.setDeadline()
@@ -110,25 +112,25 @@
 
 // setDeadline has reads end as they are to; the caller holds mu.
 func (c *conn) setDeadline() error {
-	t := c.until
-	if !c.end.IsZero() && (t.IsZero() || t.After(c.end)) {
-		t = c.end
+	t := c.readDeadline
+	if !c.shutDeadline.IsZero() && (t.IsZero() || t.After(c.shutDeadline)) {
+		t = c.shutDeadline
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// hasGone notes that the client has gone, and tells the request in hand.
-func (c *conn) hasGone() {
-	c.gone.Store(true)
-	if leave := c.leave.Load(); leave != nil {
+// markClientGone notes that the client has gone, and tells the request in hand.
+func (c *conn) markClientGone() {
+	c.clientGone.Store(true)
+	if leave := c.onClientGone.Load(); leave != nil {
 		(*leave)()
 	}
 }
 
-// inHand says that a request has come whole, and whom to tell should its client go.
-func (c *conn) inHand(leave func()) {
-	c.leave.Store(&leave)
-	if c.gone.Load() {
+// watchClient says that a request has come whole, and whom to tell should its client go.
+func (c *conn) watchClient(leave func()) {
+	c.onClientGone.Store(&leave)
+	if c.clientGone.Load() {
 		leave()
 	}
 }
@@ -137,13 +139,13 @@
 func (c *conn) shutWrite() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.end.IsZero() {
+	if !c.shutDeadline.IsZero() {
 		return
 	}
-	c.end = time.Now().Add(lingerFor)
+	c.shutDeadline = time.Now().Add(lingerTimeout)
 	_ = c.setDeadline()     // these fail where it has ended
 	if c.Conn != c.socket { // says on the encrypted layer that it ends
-		_ = c.Conn.SetWriteDeadline(c.end)
+		_ = c.Conn.SetWriteDeadline(c.shutDeadline)
 		_ = c.CloseWrite()
 	}
 	if s, ok := c.socket.(interface{ CloseWrite() error }); ok {
@@ -152,25 +154,25 @@
 }
 
 // closeIdle ends a connection on which nothing has come: it half-closes it, and the server reads on, and closes it once the client has
-// or lingerFor is over. Where bytes wait to be read it does nothing: they are a request.
+// or lingerTimeout is over. Where bytes wait to be read it does nothing: they are a request.
 func (c *conn) closeIdle() {
-	if !c.unread() && c.phase.CompareAndSwap(idle, shut) {
+	if !c.hasUnreadBytes() && c.phase.CompareAndSwap(phaseIdle, phaseShut) {
 		c.shutWrite()
 	}
 }
 
-// drop closes a connection at once that has no request, or whose client has gone; false: one has begun.
-func (c *conn) drop() bool {
-	if !c.gone.Load() && !c.phase.CompareAndSwap(idle, shut) && c.phase.Load() != shut {
+// closeUnlessActive closes a connection at once that has no request, or whose client has gone; false: one has begun.
+func (c *conn) closeUnlessActive() bool {
+	if !c.clientGone.Load() && !c.phase.CompareAndSwap(phaseIdle, phaseShut) && c.phase.Load() != phaseShut {
 		return false
 	}
-	c.kill()
+	c.closeNow()
 	return true
 }
 
-// kill closes it at once.
-func (c *conn) kill() {
-	c.phase.Store(shut)
+// closeNow closes it at once.
+func (c *conn) closeNow() {
+	c.phase.Store(phaseShut)
 	c.closed.Store(true)
 	c.socket.Close()
 }
@@ -181,10 +183,10 @@
 	if c.closed.Swap(true) {
 		return c.socket.Close()
 	}
-	c.phase.Store(shut)
-	if !c.gone.Load() {
+	c.phase.Store(phaseShut)
+	if !c.clientGone.Load() {
 		c.shutWrite()
-		_, _ = io.CopyN(io.Discard, c.socket, lingerMost) // until the client ends it, or it is time
+		_, _ = io.CopyN(io.Discard, c.socket, lingerMaxBytes) // until the client ends it, or it is time
 	}
 	return c.socket.Close()
 }
@@ -197,8 +199,8 @@
 	return errors.ErrUnsupported
 }
 
-// unread tells whether bytes wait to be read.
-func (c *conn) unread() (some bool) {
+// hasUnreadBytes tells whether bytes wait to be read.
+func (c *conn) hasUnreadBytes() (some bool) {
 	if c.raw == nil {
 		return false
 	}
@@ -209,20 +211,20 @@
 	return some
 }
 
-// left tells whether the client has ended the connection, also where more unread bytes stand before the end than are read ahead.
-func (c *conn) left() bool {
-	if c.gone.Load() || !c.behind.Load() || c.raw == nil {
-		return c.gone.Load()
+// checkClientGone tells whether the client has ended the connection, also where more unread bytes stand before the end than are read ahead.
+func (c *conn) checkClientGone() bool {
+	if c.clientGone.Load() || !c.pipelined.Load() || c.raw == nil {
+		return c.clientGone.Load()
 	}
 	_ = c.raw.Control(func(fd uintptr) {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		if n, err := unix.Poll(p, 0); err == nil && n > 0 {
 			if p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 {
-				c.hasGone()
+				c.markClientGone()
 			}
 		}
 	})
-	return c.gone.Load()
+	return c.clientGone.Load()
 }
 
 type connKey struct{}
@@ -232,7 +234,7 @@
 	switch c := c.(type) {
 	case *conn:
 		return c
-	case *secured:
+	case *tlsConn:
 		return c.conn
 	}
 	return nil
@@ -249,25 +251,25 @@
 // UnambiguousFraming tells whether the requests of ctx's connection are known to frame their bodies in one way each.
 func UnambiguousFraming(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
-	return ok && !c.twice.Load()
+	return ok && !c.ambiguous.Load()
 }
 
 // StartRequest takes a request for its answer; false: its connection was shut before it was read, so that it can have none.
 func StartRequest(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
-	return !ok || c.begin()
+	return !ok || c.tryActivate()
 }
 
 // OnClientGone says that a request has come to its last byte: what comes now is behind it. leave is called should its client go, also where
 // that can be seen behind other requests alone.
 func OnClientGone(ctx context.Context, leave func()) {
 	if c, ok := ctx.Value(connKey{}).(*conn); ok {
-		c.inHand(leave)
+		c.watchClient(leave)
 	}
 }
 
 // ClientGone tells whether a request's client is known to have gone. It looks at the connection where ctx alone would not tell.
 func ClientGone(ctx context.Context) bool {
 	c, ok := ctx.Value(connKey{}).(*conn)
-	return ok && c.left()
+	return ok && c.checkClientGone()
 }
--- a/internal/server/framing/framing.go
+++ b/internal/server/framing/framing.go
@@ -15,98 +15,98 @@
 type state int8
 
 const (
-	head      state = iota // lines of a head, the request line first
-	body                   // left bytes of a body
-	chunkSize              // a line with a chunk's size
-	chunkData              // left bytes of a chunk
-	chunkEnd               // the line end behind it
-	trailer                // lines behind the last chunk
-	lost                   // it can't be followed any more
+	inHead      state = iota // lines of a head, the request line first
+	inBody                   // left bytes of a body
+	inChunkSize              // a line with a chunk's size
+	inChunkData              // left bytes of a chunk
+	afterChunk               // the line end behind it
+	inTrailer                // lines behind the last chunk
+	unknown                  // it can't be followed any more
 )
 
 // Detector follows one connection. The zero one is at its beginning. It is not safe for concurrent use.
 type Detector struct {
-	state     state
-	left      int64 // bytes
-	line      [maxLine]byte
-	n         int  // of line
-	long      bool // the line is longer
-	first     bool // a line of this head has come
-	hasLength bool
-	length    int64
-	chunked   bool
-	twice     bool
+	state           state
+	remaining       int64 // bytes
+	line            [maxLine]byte
+	lineLength      int  // of line
+	lineTooLong     bool // the line is longer
+	requestLineSeen bool // a line of this head has come
+	hasLength       bool
+	contentLength   int64
+	chunked         bool
+	ambiguous       bool
 }
 
 // Ambiguous tells whether some head so far frames its body in two ways, or the requests could not be followed: a chunked one is then
 // not to be trusted.
-func (w *Detector) Ambiguous() bool { return w.twice || w.state == lost }
+func (w *Detector) Ambiguous() bool { return w.ambiguous || w.state == unknown }
 
 // Feed takes the bytes that came next.
 func (w *Detector) Feed(b []byte) {
 	for len(b) > 0 {
 		switch w.state {
-		case lost:
+		case unknown:
 			return
-		case body, chunkData:
-			n := min(int64(len(b)), w.left)
+		case inBody, inChunkData:
+			n := min(int64(len(b)), w.remaining)
 			b = b[n:]
-			if w.left -= n; w.left == 0 {
-				if w.state == body {
-					w.begin()
+			if w.remaining -= n; w.remaining == 0 {
+				if w.state == inBody {
+					w.nextRequest()
 				} else {
-					w.state = chunkEnd
+					w.state = afterChunk
 				}
 			}
 		default:
 			i := bytes.IndexByte(b, '\n')
 			if i < 0 {
-				w.add(b)
+				w.appendLine(b)
 				return
 			}
-			w.add(b[:i])
+			w.appendLine(b[:i])
 			b = b[i+1:]
-			line := bytes.TrimSuffix(w.line[:w.n], []byte{'\r'})
-			long := w.long
-			w.n, w.long = 0, false
-			w.take(line, long)
+			line := bytes.TrimSuffix(w.line[:w.lineLength], []byte{'\r'})
+			long := w.lineTooLong
+			w.lineLength, w.lineTooLong = 0, false
+			w.endLine(line, long)
 		}
 	}
 }
 
-func (w *Detector) add(b []byte) {
-	n := copy(w.line[w.n:], b)
-	w.n += n
-	w.long = w.long || n < len(b)
+func (w *Detector) appendLine(b []byte) {
+	n := copy(w.line[w.lineLength:], b)
+	w.lineLength += n
+	w.lineTooLong = w.lineTooLong || n < len(b)
 }
 
-func (w *Detector) begin() {
-	w.state, w.first, w.hasLength, w.length, w.chunked = head, false, false, 0, false
+func (w *Detector) nextRequest() {
+	w.state, w.requestLineSeen, w.hasLength, w.contentLength, w.chunked = inHead, false, false, 0, false
 }
 
-// take takes a whole line; long: only its beginning.
-func (w *Detector) take(line []byte, long bool) {
+// endLine takes a whole line; long: only its beginning.
+func (w *Detector) endLine(line []byte, long bool) {
 	switch w.state {
-	case head:
+	case inHead:
 		w.header(line, long)
-	case chunkSize:
+	case inChunkSize:
 		size, _, _ := bytes.Cut(line, []byte{';'})
 		n, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 62)
 		switch {
 		case err != nil:
-			w.state = lost
+			w.state = unknown
 		case n == 0:
-			w.state = trailer
+			w.state = inTrailer
 		default:
-			w.state, w.left = chunkData, int64(n)
+			w.state, w.remaining = inChunkData, int64(n)
 		}
-	case chunkEnd:
-		if w.state = chunkSize; len(line) > 0 {
-			w.state = lost
+	case afterChunk:
+		if w.state = inChunkSize; len(line) > 0 {
+			w.state = unknown
 		}
-	case trailer:
+	case inTrailer:
 		if len(line) == 0 && !long {
-			w.begin()
+			w.nextRequest()
 		}
 	}
 }
@@ -114,17 +114,17 @@
 // header takes a line of a head.
 func (w *Detector) header(line []byte, long bool) {
 	switch {
-	case !w.first:
-		w.first = true // the request line; the library takes no empty one before it
+	case !w.requestLineSeen:
+		w.requestLineSeen = true // the request line; the library takes no empty one before it
 		return
 	case len(line) == 0 && !long:
 		switch {
 		case w.chunked:
-			w.state = chunkSize
-		case w.length > 0:
-			w.state, w.left = body, w.length
+			w.state = inChunkSize
+		case w.contentLength > 0:
+			w.state, w.remaining = inBody, w.contentLength
 		default:
-			w.begin()
+			w.nextRequest()
 		}
 		return
 	}
@@ -132,14 +132,14 @@
 	value = bytes.TrimSpace(value)
 	switch {
 	case line[0] == ' ' || line[0] == '\t': // goes on with the line before, which may have framed
-		w.twice = w.twice || w.hasLength || w.chunked
+		w.ambiguous = w.ambiguous || w.hasLength || w.chunked
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		n, err := strconv.ParseUint(string(value), 10, 62)
-		if w.hasLength, w.length = true, int64(n); err != nil || long {
-			w.state = lost // the library turns it down
+		if w.hasLength, w.contentLength = true, int64(n); err != nil || long {
+			w.state = unknown // the library turns it down
 		}
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 		w.chunked = true
 	}
-	w.twice = w.twice || w.hasLength && w.chunked
+	w.ambiguous = w.ambiguous || w.hasLength && w.chunked
 }
--- a/internal/server/yielding/interlude.go
+++ b/internal/server/yielding/yielding.go
@@ -19,14 +19,14 @@
 
 // Yielder counts what transfers pass on. The zero one is ready. It is safe for concurrent use.
 type Yielder struct {
-	passed atomic.Int64 // bytes since the latest rest began
-	until  atomic.Int64 // when that ends, on the caller's clock
+	sinceYield atomic.Int64 // bytes since the latest rest began
+	yieldUntil atomic.Int64 // when that ends, on the caller's clock
 }
 
 // Transferred notes n bytes at now, and tells how long who passed them on is to rest.
 func (i *Yielder) Transferred(now time.Duration, n int) time.Duration {
-	if total := i.passed.Add(int64(n)); total >= BytesPerYield && i.passed.CompareAndSwap(total, 0) {
-		i.until.Store(int64(now + YieldDuration))
+	if total := i.sinceYield.Add(int64(n)); total >= BytesPerYield && i.sinceYield.CompareAndSwap(total, 0) {
+		i.yieldUntil.Store(int64(now + YieldDuration))
 	}
-	return max(0, time.Duration(i.until.Load())-now)
+	return max(0, time.Duration(i.yieldUntil.Load())-now)
 }
--- a/internal/simulation/fleetsim/fleetsim.go
+++ b/internal/simulation/fleetsim/fleetsim.go
@@ -605,7 +605,7 @@
 	}
 	s.After(limit, func() { s.outcome(a, balancer.Timeout) })
 	if c.warm != nil {
-		c.warm.Used(s.Now(), n.name)
+		c.warm.RecordUse(s.Now(), n.name)
 	}
 	p := c.pool(n)
 	delay := time.Duration(0)
@@ -794,7 +794,7 @@
 
 // keepWarm opens what the sidecar's warmer names, as upstream.Pool.Prewarm does.
 func (s *sim) keepWarm(c *sidecar) {
-	c.warm.Members(s.Now(), c.ready)
+	c.warm.SetMembers(s.Now(), c.ready)
 	open := func(name string) int {
 		p := c.conns[s.byName[name]]
 		if p == nil {
