--- a/internal/bulkhead/bulkhead.go
+++ b/internal/bulkhead/bulkhead.go
@@ -1,14 +1,14 @@
-// Package bulkhead shares one limit between services so that none in trouble can take what another needs: a bulkhead, as
-// in a ship's hull. bulkhead.go is the rule, free of locks, I/O and clocks; semaphore.go waits by it.
+// Package bulkhead divides one limit among services, so that no service under load can take what another one needs: the bulkhead
+// pattern. bulkhead.go is the rule, free of locks, I/O and clocks; semaphore.go waits by it.
 //
-// The rule. Of a limit L, the part L·p is set aside, and split by weight: service i is guaranteed
+// The rule. Of a limit L, the fraction p is guaranteed and divided by weight: service i is guaranteed
 //
 //	g_i = floor(L·p·w_i / Σw)
 //
-// but 1 at least. What is left, C = L − Σ g_i, is common. A service that holds u_i uses max(0, u_i − g_i) of it, and may
-// take n more as long as the sum of that over all services stays at most C. So each can always take its g_i, whatever the
-// others hold: Σ u_i ≤ Σ g_i + C = L. Where weights change, who holds more than is now its own keeps it until it gives it
-// back; the sum may be above C meanwhile, and then nobody takes of the common part.
+// but 1 at least. The rest, C = L − Σ g_i, is common capacity. A service that uses u_i takes max(0, u_i − g_i) of it, and may acquire n
+// more as long as the sum of that over all services stays at most C. So each service can always use its g_i, whatever the others use:
+// Σ u_i ≤ Σ g_i + C = L. When weights change, a service that uses more than its new guarantee keeps it until it releases it. The sum may
+// exceed C meanwhile; no service can acquire common capacity then.
 package bulkhead
 
 import (
@@ -18,7 +18,7 @@
 	"slices"
 )
 
-// Share is one service's.
+// Share is the share of one service.
 type Share struct {
 	Name   string
 	Weight float64 // above 0
@@ -26,140 +26,156 @@
 
 // Limiter applies the rule. It is not safe for concurrent use.
 type Limiter struct {
-	limit, common int64
-	over          int64 // held of the common part
-	by            map[string]*usage
-	part          float64
-	shares        []Share
+	limit      int64
+	guaranteed float64 // the fraction of limit that is guaranteed
+	shares     []Share
+	common     int64 // common capacity
+	commonUsed int64
+	services   map[string]*usage
 }
 
+// usage is what one service is guaranteed and uses.
 type usage struct {
-	guaranteed, used int64
-	leaving          bool // no share any more, but still holds something
+	guaranteed int64
+	used       int64
+	removed    bool // it has no share any more, but still uses something
 }
 
-func (h *usage) over() int64 { return max(0, h.used-h.guaranteed) }
+// common is how much of the common capacity a service uses.
+func (u *usage) common() int64 { return max(0, u.used-u.guaranteed) }
 
-// New returns one for a limit of which a part, from 0 to 1, is set aside.
-func New(limit int64, part float64, shares []Share) (*Limiter, error) {
-	l := &Limiter{limit: limit, by: map[string]*usage{}}
-	return l, l.Set(part, shares)
+// New returns a Limiter of which a fraction, from 0 to 1, is guaranteed to the services.
+func New(limit int64, guaranteed float64, shares []Share) (*Limiter, error) {
+	l := &Limiter{limit: limit, services: map[string]*usage{}}
+	return l, l.Set(guaranteed, shares)
 }
 
-// Set changes the part and the shares. What is held stays held. An error leaves all as it was.
-func (l *Limiter) Set(part float64, shares []Share) error {
-	limit := l.limit
-	if !(part >= 0 && part <= 1) {
-		return fmt.Errorf("%v is not a part of the limit", part)
+// Set changes the guaranteed fraction and the shares. What is used stays in use. An error leaves everything as it was.
+func (l *Limiter) Set(guaranteed float64, shares []Share) error {
+	byService, total, err := guarantees(l.limit, guaranteed, shares)
+	if err != nil {
+		return err
 	}
-	sum := 0.0
-	for _, s := range shares {
-		if !(s.Weight > 0) || math.IsInf(s.Weight, 0) {
-			return fmt.Errorf("share of %s: %v is not usable", s.Name, s.Weight)
+	l.common, l.guaranteed, l.shares = l.limit-total, guaranteed, slices.Clone(shares)
+	for name, u := range l.services {
+		if _, stays := byService[name]; stays {
+			continue
+		}
+		u.guaranteed, u.removed = 0, true
+		if u.used == 0 {
+			delete(l.services, name)
 		}
-		sum += s.Weight
 	}
-	own, set := make(map[string]int64, len(shares)), int64(0)
-	for _, s := range shares {
-		if _, twice := own[s.Name]; twice {
-			return fmt.Errorf("%s has two shares", s.Name)
+	for name, n := range byService {
+		u := l.services[name]
+		if u == nil {
+			u = &usage{}
+			l.services[name] = u
 		}
-		own[s.Name] = max(1, int64(float64(limit)*part*s.Weight/sum))
-		set += own[s.Name]
-	}
-	if set > limit {
-		return errors.New("the limit is too low for so many services")
-	}
-	l.common, l.part, l.shares = limit-set, part, slices.Clone(shares)
-	for name, h := range l.by {
-		if _, stays := own[name]; !stays {
-			if h.guaranteed, h.leaving = 0, true; h.used == 0 {
-				delete(l.by, name)
-			}
+		u.guaranteed, u.removed = n, false
+	}
+	l.commonUsed = 0
+	for _, u := range l.services {
+		l.commonUsed += u.common()
+	}
+	return nil
+}
+
+// guarantees divides a fraction of the limit by weight.
+func guarantees(limit int64, fraction float64, shares []Share) (byService map[string]int64, total int64, err error) {
+	if !(fraction >= 0 && fraction <= 1) {
+		return nil, 0, fmt.Errorf("%v is not a part of the limit", fraction)
+	}
+	weights := 0.0
+	for _, s := range shares {
+		if !(s.Weight > 0) || math.IsInf(s.Weight, 0) {
+			return nil, 0, fmt.Errorf("share of %s: %v is not usable", s.Name, s.Weight)
 		}
+		weights += s.Weight
 	}
-	for name, n := range own {
-		if l.by[name] == nil {
-			l.by[name] = &usage{}
+	byService = make(map[string]int64, len(shares))
+	for _, s := range shares {
+		if _, twice := byService[s.Name]; twice {
+			return nil, 0, fmt.Errorf("%s has two shares", s.Name)
 		}
-		l.by[name].guaranteed, l.by[name].leaving = n, false
+		byService[s.Name] = max(1, int64(float64(limit)*fraction*s.Weight/weights))
+		total += byService[s.Name]
 	}
-	l.over = 0
-	for _, h := range l.by {
-		l.over += h.over()
+	if total > limit {
+		return nil, 0, errors.New("the limit is too low for so many services")
 	}
-	return nil
+	return byService, total, nil
 }
 
-// Resize changes the limit. What is held stays held, also beyond it. An error leaves all as it was.
+// Resize changes the limit. What is used stays in use, even beyond it. An error leaves everything as it was.
 func (l *Limiter) Resize(limit int64) error {
-	was := l.limit
+	before := l.limit
 	l.limit = limit
-	err := l.Set(l.part, l.shares)
+	err := l.Set(l.guaranteed, l.shares)
 	if err != nil {
-		l.limit = was
+		l.limit = before
 	}
 	return err
 }
 
-// Total is what all services hold.
+// Total is what all services use.
 func (l *Limiter) Total() (n int64) {
-	for _, h := range l.by {
-		n += h.used
+	for _, u := range l.services {
+		n += u.used
 	}
 	return n
 }
 
-// TryAcquire takes n for a service, or nothing. One that has no share is given nothing.
+// TryAcquire takes n for a service, or nothing. A service without a share gets nothing.
 func (l *Limiter) TryAcquire(name string, n int64) bool {
-	h := l.by[name]
-	if h == nil || n < 0 || h.leaving {
+	u := l.services[name]
+	if u == nil || n < 0 || u.removed {
 		return false
 	}
-	before := h.over()
-	after := max(0, h.used+n-h.guaranteed)
-	if more := after - before; more > 0 && l.over+more > l.common {
+	before := u.common()
+	after := max(0, u.used+n-u.guaranteed)
+	if more := after - before; more > 0 && l.commonUsed+more > l.common {
 		return false
 	}
-	h.used += n
-	l.over += after - before
+	u.used += n
+	l.commonUsed += after - before
 	return true
 }
 
-// Release gives n back. Giving more than is held is a mistake of the program.
+// Release returns n. It panics if the service uses less than n, since that is an error of the program.
 func (l *Limiter) Release(name string, n int64) {
-	h := l.by[name]
-	if h == nil || n < 0 || n > h.used {
-		panic(fmt.Sprintf("bulkhead: %s gives back %d", name, n))
+	u := l.services[name]
+	if u == nil || n < 0 || n > u.used {
+		panic(fmt.Sprintf("bulkhead: %s releases %d", name, n))
 	}
-	before := h.over()
-	h.used -= n
-	l.over += h.over() - before
-	if h.leaving && h.used == 0 {
-		delete(l.by, name)
+	before := u.common()
+	u.used -= n
+	l.commonUsed += u.common() - before
+	if u.removed && u.used == 0 {
+		delete(l.services, name)
 	}
 }
 
-// Guaranteed is what a service is guaranteed, and Used what it holds.
+// Guaranteed is what a service is guaranteed.
 func (l *Limiter) Guaranteed(name string) int64 {
-	if h := l.by[name]; h != nil {
-		return h.guaranteed
+	if u := l.services[name]; u != nil {
+		return u.guaranteed
 	}
 	return 0
 }
 
-// Used is what a service holds.
+// Used is what a service uses.
 func (l *Limiter) Used(name string) int64 {
-	if h := l.by[name]; h != nil {
-		return h.used
+	if u := l.services[name]; u != nil {
+		return u.used
 	}
 	return 0
 }
 
-// OverGuarantee lists who holds of the common part.
+// OverGuarantee lists the services that use common capacity, in no order.
 func (l *Limiter) OverGuarantee() (names []string) {
-	for name, h := range l.by {
-		if h.over() > 0 {
+	for name, u := range l.services {
+		if u.common() > 0 {
 			names = append(names, name)
 		}
 	}
--- a/internal/bulkhead/semaphore.go
+++ b/internal/bulkhead/semaphore.go
@@ -6,32 +6,33 @@
 	"sync"
 )
 
-// Semaphore is a Limiter that can be waited for. It is safe for concurrent use. It holds one entry for each who waits.
+// Semaphore is a Limiter with waiting. It is safe for concurrent use. It holds one entry for each waiter.
 type Semaphore struct {
 	mu      sync.Mutex
-	l       *Limiter
-	waiting []*waiter              // in the order of their coming
-	wanted  map[string]func() bool // see OnContention
+	limiter *Limiter
+	waiters []*waiter              // in order of arrival
+	reclaim map[string]func() bool // by service, see OnContention
 }
 
+// waiter is a call of Acquire that waits.
 type waiter struct {
-	name  string
-	n     int64
-	given chan struct{}
+	service  string
+	n        int64
+	acquired chan struct{} // closed once n is the waiter's
 }
 
-// NewSemaphore returns one; see New.
-func NewSemaphore(limit int64, part float64, shares []Share) (*Semaphore, error) {
-	l, err := New(limit, part, shares)
-	return &Semaphore{l: l, wanted: map[string]func() bool{}}, err
+// NewSemaphore returns a Semaphore; see New for the arguments.
+func NewSemaphore(limit int64, guaranteed float64, shares []Share) (*Semaphore, error) {
+	limiter, err := New(limit, guaranteed, shares)
+	return &Semaphore{limiter: limiter, reclaim: map[string]func() bool{}}, err
 }
 
 // Set is Limiter.Set.
-func (s *Semaphore) Set(part float64, shares []Share) error {
+func (s *Semaphore) Set(guaranteed float64, shares []Share) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	err := s.l.Set(part, shares)
-	s.grant()
+	err := s.limiter.Set(guaranteed, shares)
+	s.grantLocked()
 	return err
 }
 
@@ -39,8 +40,8 @@
 func (s *Semaphore) Resize(limit int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	err := s.l.Resize(limit)
-	s.grant()
+	err := s.limiter.Resize(limit)
+	s.grantLocked()
 	return err
 }
 
@@ -48,106 +49,112 @@
 func (s *Semaphore) Total() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.l.Total()
+	return s.limiter.Total()
 }
 
-// OnContention names what gives back one that a service holds without need, if it does; nil takes that away. It is called
-// without the lock when somebody has to wait: the service's own first, then those of the others that hold of the common
-// part, until one has given.
-func (s *Semaphore) OnContention(name string, give func() bool) {
+// OnContention sets the function that releases one unit that a service does not need, and reports whether it did; nil removes it. It is
+// called without the lock when an Acquire has to wait: that of the waiting service first, then those of services that use common
+// capacity, until one has released something.
+func (s *Semaphore) OnContention(service string, reclaim func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if give == nil {
-		delete(s.wanted, name)
+	if reclaim == nil {
+		delete(s.reclaim, service)
 		return
 	}
-	s.wanted[name] = give
+	s.reclaim[service] = reclaim
 }
 
 // TryAcquire takes n for a service, or nothing.
-func (s *Semaphore) TryAcquire(name string, n int64) bool {
+func (s *Semaphore) TryAcquire(service string, n int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.l.TryAcquire(name, n)
+	return s.limiter.TryAcquire(service, n)
 }
 
-// Acquire takes n for a service, and waits for them until ctx ends.
-func (s *Semaphore) Acquire(ctx context.Context, name string, n int64) error {
+// Acquire takes n for a service. It waits until ctx ends, and returns ctx's error then.
+func (s *Semaphore) Acquire(ctx context.Context, service string, n int64) error {
 	s.mu.Lock()
-	if s.l.TryAcquire(name, n) {
+	if s.limiter.TryAcquire(service, n) {
 		s.mu.Unlock()
 		return nil
 	}
-	w := &waiter{name, n, make(chan struct{})}
-	s.waiting = append(s.waiting, w)
-	own := s.wanted[name]
-	var others []func() bool
-	for _, of := range s.l.OverGuarantee() {
-		if give := s.wanted[of]; give != nil && of != name {
-			others = append(others, give)
-		}
-	}
+	w := &waiter{service, n, make(chan struct{})}
+	s.waiters = append(s.waiters, w)
+	candidates := s.reclaimersLocked(service)
 	s.mu.Unlock()
-	if own == nil || !own() {
-		for _, give := range others {
-			if give() {
-				break
-			}
+	for _, reclaim := range candidates {
+		if reclaim() {
+			break
 		}
 	}
 	select {
-	case <-w.given:
+	case <-w.acquired:
 		return nil
 	case <-ctx.Done():
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-w.given: // both at once: it has been given
+	case <-w.acquired: // in the same moment as the end of ctx
 		return nil
 	default:
 	}
-	s.waiting = slices.DeleteFunc(s.waiting, func(o *waiter) bool { return o == w })
+	s.waiters = slices.DeleteFunc(s.waiters, func(other *waiter) bool { return other == w })
 	return ctx.Err()
 }
 
-// Release gives n back.
-func (s *Semaphore) Release(name string, n int64) {
+// reclaimersLocked lists who may release something for a service, in the order in which they are called. s.mu is held.
+func (s *Semaphore) reclaimersLocked(service string) (candidates []func() bool) {
+	if own := s.reclaim[service]; own != nil {
+		candidates = append(candidates, own)
+	}
+	for _, other := range s.limiter.OverGuarantee() {
+		if reclaim := s.reclaim[other]; reclaim != nil && other != service {
+			candidates = append(candidates, reclaim)
+		}
+	}
+	return candidates
+}
+
+// Release returns n.
+func (s *Semaphore) Release(service string, n int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.l.Release(name, n)
-	s.grant()
+	s.limiter.Release(service, n)
+	s.grantLocked()
 }
 
-// grant gives to all who wait and may have, in the order of their coming; one who may not holds up nobody else's.
-func (s *Semaphore) grant() {
-	if len(s.waiting) == 0 {
+// grantLocked gives to all waiters that may acquire, in order of arrival. A waiter that may not holds up later ones of its service only.
+// s.mu is held.
+func (s *Semaphore) grantLocked() {
+	if len(s.waiters) == 0 {
 		return
 	}
-	full := map[string]bool{}
-	s.waiting = slices.DeleteFunc(s.waiting, func(w *waiter) bool {
-		if full[w.name] || !s.l.TryAcquire(w.name, w.n) {
-			full[w.name] = true
+	blocked := map[string]bool{}
+	s.waiters = slices.DeleteFunc(s.waiters, func(w *waiter) bool {
+		if blocked[w.service] || !s.limiter.TryAcquire(w.service, w.n) {
+			blocked[w.service] = true
 			return false
 		}
-		close(w.given)
+		close(w.acquired)
 		return true
 	})
 }
 
-// Used is what a service holds.
-func (s *Semaphore) Used(name string) int64 {
+// Used is what a service uses.
+func (s *Semaphore) Used(service string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.l.Used(name)
+	return s.limiter.Used(service)
 }
 
-// Waiting is how many wait for a service's.
-func (s *Semaphore) Waiting(name string) (n int) {
+// Waiting is the number of calls of Acquire that wait for a service.
+func (s *Semaphore) Waiting(service string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, w := range s.waiting {
-		if w.name == name {
+	for _, w := range s.waiters {
+		if w.service == service {
 			n++
 		}
 	}
--- a/internal/server/acceptor/acceptor.go
+++ b/internal/server/acceptor/acceptor.go
@@ -1,5 +1,5 @@
-// Package acceptor keeps a server accepting connections through failures of accept(2). net/http and grpc-go end a server, and with it
-// all requests in hand, for errors that do not call themselves temporary, and rest for up to a second behind the others.
+// Package acceptor keeps a server accepting connections when accept(2) fails. net/http and grpc-go end a server, with all its requests in
+// flight, on errors that do not report themselves as temporary, and wait for up to a second after the others.
 package acceptor
 
 import (
@@ -11,61 +11,65 @@
 	"time"
 )
 
-// The wait after an accept that failed. It doubles from first to most, which is well under the shortest deadline of a request.
+// Backoff after an accept that failed. It doubles from the first to the second.
 const (
 	minBackoff = time.Millisecond
 	maxBackoff = 32 * time.Millisecond
 )
 
-// Listener is a net.Listener whose Accept fails only once it has been closed, or at its deadline.
+// Listener is a net.Listener whose Accept fails only if it has been closed or its deadline has passed.
 type Listener struct {
 	net.Listener
 	log      *slog.Logger
-	failed   atomic.Int64
-	backoff  time.Duration // the last wait; 0: the last accept did not fail
+	failures atomic.Int64
+	backoff  time.Duration // after the last failure; 0: the last accept did not fail
 	deadline atomic.Pointer[time.Time]
 }
 
-// New returns a Listener that accepts from l, and logs failures to log. Its Accept is not safe for concurrent use.
+// deadlineSetter is implemented by listeners with a deadline.
+type deadlineSetter interface{ SetDeadline(time.Time) error }
+
+// New returns a Listener that accepts from l and logs failures to log. One goroutine at a time may call its Accept.
 func New(l net.Listener, log *slog.Logger) *Listener {
 	return &Listener{Listener: l, log: log}
 }
 
-// Accept waits for the next connection, through any failure of the system.
+// Accept waits for the next connection, whatever the system's failures. It returns net.ErrClosed or os.ErrDeadlineExceeded.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		switch {
 		case err == nil:
 			l.recovered()
-			return c, nil
+			return conn, nil
 		case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
 			return nil, err
 		}
-		if at := l.deadline.Load(); at != nil && !time.Now().Before(*at) {
+		if deadline := l.deadline.Load(); deadline != nil && !time.Now().Before(*deadline) {
 			return nil, os.ErrDeadlineExceeded
 		}
 		l.backOff(err)
 	}
 }
 
-// Failures is how many accepts have failed.
-func (l *Listener) Failures() int64 { return l.failed.Load() }
+// Failures is the number of accepts that have failed.
+func (l *Listener) Failures() int64 { return l.failures.Load() }
 
-// SetDeadline sets until when Accept waits, where the listener below can.
+// SetDeadline sets the time until which Accept waits, if the listener below supports one.
 func (l *Listener) SetDeadline(t time.Time) error {
-	if below, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok {
-		l.deadline.Store(nil)
-		if !t.IsZero() {
-			l.deadline.Store(&t)
-		}
-		return below.SetDeadline(t)
+	below, ok := l.Listener.(deadlineSetter)
+	if !ok {
+		return errors.ErrUnsupported
+	}
+	l.deadline.Store(nil)
+	if !t.IsZero() {
+		l.deadline.Store(&t)
 	}
-	return errors.ErrUnsupported
+	return below.SetDeadline(t)
 }
 
 func (l *Listener) backOff(err error) {
-	l.failed.Add(1)
+	l.failures.Add(1)
 	if l.backoff == 0 {
 		l.log.Warn("a connection could not be accepted: trying again", "address", l.Addr().String(), "reason", err)
 	}
@@ -78,5 +82,5 @@
 		return
 	}
 	l.backoff = 0
-	l.log.Info("connections are accepted again", "address", l.Addr().String(), "failures", l.failed.Load())
+	l.log.Info("connections are accepted again", "address", l.Addr().String(), "failures", l.failures.Load())
 }
--- a/internal/server/downstream/checker.go
+++ b/internal/server/downstream/checker.go
@@ -1,6 +1,10 @@
-// Package downstream decides what is taken from a client of the daemon: it holds a request's framing against what can be read
-// in one way only, has package routes say what the request is, and tells what of it goes on to an upstream. It does no
-// I/O. conns.go bounds the clients' connections.
+// Package downstream is the side of the daemon that faces its clients: it bounds their connections, follows the life of each, and checks
+// requests.
+//
+// Connections is the listener: it bounds the number of connections and evicts those that are needed least (connections.go). A connection
+// notices a client that disconnects while its request is in flight, is closed only where no request can get lost, and lingers so that the
+// last response is not reset (connection.go, read_ahead.go). Checker rejects requests whose framing can be read in two ways, and lets
+// package routes decide what a request is (checker.go); it does no I/O.
 package downstream
 
 import (
@@ -10,18 +14,18 @@
 	"orchiddrift/internal/routes"
 )
 
-// Request is a well-formed request, as the module and the upstreams are to see it.
+// Request is a well-formed request, as the balancer and the upstreams see it.
 type Request struct {
 	routes.Decision
 	Method, Target, Host string
-	Header               http.Header // what goes on; X-Timeout is the attempt's
+	Header               http.Header // that is forwarded; X-Timeout is written by each attempt
 	Body                 []byte
 }
 
-// Rejection answers a request that is not taken.
+// Rejection is the response to a request that is rejected.
 type Rejection = routes.Rejection
 
-// Checker takes requests by a table of routes. It is safe for concurrent use.
+// Checker checks requests against a table of routes. It is safe for concurrent use.
 type Checker struct{ table *routes.Table }
 
 // NewChecker returns a Checker for these routes.
@@ -31,21 +35,20 @@
 func NewPlatformChecker(classes []balancer.Class) *Checker {
 	t, conflicts := routes.New(routes.Platform("", classes))
 	if len(conflicts) > 0 {
-		panic("intake: two classes of one name") // the settings' check finds that
+		panic("downstream: two classes of one name") // the settings' check finds them
 	}
 	return NewChecker(t)
 }
 
-// Check looks at a request's head. The body is still to be read, and may hold r.ContentLength bytes, or where that is -1 as many as
-// its route allows. chunks says that a body in chunks is framed by nothing else.
+// Check decides on a request's head. The body is still unread: it may have r.ContentLength bytes, or if that is -1 as many as its route
+// allows. chunks says that a chunked body is known to be framed in no other way.
 func (c *Checker) Check(r *http.Request, chunks bool) (Request, *Rejection) {
-	// Guards against requests hidden in a body: two framings at once may be read in two ways, and of two the
-	// library shows only the chunks.
+	// A body that is framed in two ways may hide a request; of two framings net/http shows the chunks only.
 	if len(r.TransferEncoding) > 0 && !chunks {
 		return Request{}, &Rejection{Status: http.StatusLengthRequired,
 			Text: "the body needs a Content-Length, without Transfer-Encoding"}
 	}
-	if !r.ProtoAtLeast(1, 1) { // there the library passes over Transfer-Encoding, and others may not
+	if !r.ProtoAtLeast(1, 1) { // net/http ignores Transfer-Encoding there, and others may not
 		return Request{}, &Rejection{Status: http.StatusHTTPVersionNotSupported, Text: "HTTP/1.1 is needed"}
 	}
 	d, bad := c.table.Decide(routes.Request{Method: r.Method, Host: r.Host, Target: r.RequestURI, Header: r.Header,
--- a/internal/server/downstream/read_ahead.go
+++ b/internal/server/downstream/read_ahead.go
@@ -6,75 +6,90 @@
 	"time"
 )
 
-// maxReadAhead is how much is read of a connection ahead of the server, at most, in bytes; readAheadStep how much at a time. Memory is taken
-// as it comes.
+// Bounds of reading ahead, in bytes. Memory is taken as bytes arrive.
 const (
-	maxReadAhead  = 32 << 10
-	readAheadStep = 4 << 10
+	maxReadAhead  = 32 << 10 // of a connection in all
+	readAheadStep = 4 << 10  // of one read
 )
 
-// readAheadBuffer reads what comes behind the request in hand, for the server's later reads. The server itself reads one byte behind a request
-// and no more before it has its answer, so that it would not see the client go: the end of the connection stands behind that.
+// readAheadBuffer reads what arrives behind the request in flight, for the server's later reads. The server itself reads one byte behind a
+// request, and no more before the response, so that it would not see a client disconnect whose end stands behind pipelined requests.
 type readAheadBuffer struct {
-	done   chan struct{} // closed once nothing is read any more; then the rest stands
+	done   chan struct{} // closed once nothing is read ahead any more; the other fields are set by then
 	unread []byte
 	err    error // of the connection
 }
 
-// startReadAhead begins to.
+// startReadAhead begins to read ahead on a goroutine of its own.
 func (c *conn) startReadAhead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := &readAheadBuffer{done: make(chan struct{})}
-	if c.readAheadBuffer != nil { // what was read before has not been used up
-		a.unread, a.err = c.readAheadBuffer.unread, c.readAheadBuffer.err
+	buffer := &readAheadBuffer{done: make(chan struct{})}
+	if before := c.readAheadBuffer; before != nil { // the server has not used up what was read before
+		buffer.unread, buffer.err = before.unread, before.err
 	}
-	if c.readAheadBuffer = a; a.err != nil || len(a.unread) >= maxReadAhead || c.Conn.SetReadDeadline(time.Time{}) != nil {
-		close(a.done)
+	c.readAheadBuffer = buffer
+	if buffer.err != nil || len(buffer.unread) >= maxReadAhead || c.Conn.SetReadDeadline(time.Time{}) != nil {
+		close(buffer.done)
 		return
 	}
-	go func() {
-		defer close(a.done)
-		for a.err == nil && len(a.unread) < maxReadAhead {
-			if cap(a.unread)-len(a.unread) < readAheadStep {
-				a.unread = append(make([]byte, 0, 2*cap(a.unread)+readAheadStep), a.unread...)
-			}
-			n, err := c.Conn.Read(a.unread[len(a.unread) : len(a.unread)+min(readAheadStep, maxReadAhead-len(a.unread))])
-			a.unread = a.unread[:len(a.unread)+n]
-			switch {
-			case errors.Is(err, os.ErrDeadlineExceeded): // the server reads on
-				return
-			case err != nil:
-				a.err = err
-				c.markClientGone()
-			}
+	go c.readAhead(buffer)
+}
+
+// readAhead reads until the buffer is full, the connection ends, or the server interrupts it to read itself.
+func (c *conn) readAhead(buffer *readAheadBuffer) {
+	defer close(buffer.done)
+	for buffer.err == nil && len(buffer.unread) < maxReadAhead {
+		buffer.grow()
+		used := len(buffer.unread)
+		n, err := c.Conn.Read(buffer.unread[used : used+min(readAheadStep, maxReadAhead-used)])
+		buffer.unread = buffer.unread[:used+n]
+		switch {
+		case errors.Is(err, os.ErrDeadlineExceeded):
+			return
+		case err != nil:
+			buffer.err = err
+			c.markClientGone()
 		}
-	}()
+	}
 }
 
-// readNext is a read of the server: what was read ahead goes first.
+// grow makes place for one more read.
+func (b *readAheadBuffer) grow() {
+	if cap(b.unread)-len(b.unread) < readAheadStep {
+		b.unread = append(make([]byte, 0, 2*cap(b.unread)+readAheadStep), b.unread...)
+	}
+}
+
+// readNext is a read of the server: bytes that were read ahead come first.
 func (c *conn) readNext(p []byte) (int, error) {
+	n, err := c.readBuffered(p)
+	if n > 0 || err != nil {
+		return n, err
+	}
+	return c.Conn.Read(p)
+}
+
+// readBuffered stops reading ahead and returns what was read; 0, nil: nothing is buffered.
+func (c *conn) readBuffered(p []byte) (int, error) {
 	c.mu.Lock()
-	a := c.readAheadBuffer
-	if a != nil {
-		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // it may be closed
-		c.mu.Unlock()
-		<-a.done
-		c.mu.Lock()
-		n := copy(p, a.unread)
-		if a.unread = a.unread[n:]; n == 0 && a.err != nil {
-			c.mu.Unlock()
-			return 0, a.err
-		}
-		if len(a.unread) == 0 && a.err == nil {
-			c.readAheadBuffer = nil
-		}
-		_ = c.setDeadline()
-		if n > 0 {
-			c.mu.Unlock()
-			return n, nil
-		}
+	defer c.mu.Unlock()
+	buffer := c.readAheadBuffer
+	if buffer == nil {
+		return 0, nil
 	}
+	_ = c.Conn.SetReadDeadline(past) // the connection may be closed
 	c.mu.Unlock()
-	return c.Conn.Read(p)
+	<-buffer.done
+	c.mu.Lock()
+	n := copy(p, buffer.unread)
+	buffer.unread = buffer.unread[n:]
+	if n == 0 && buffer.err != nil {
+		return 0, buffer.err
+	}
+	if len(buffer.unread) == 0 && buffer.err == nil {
+		c.readAheadBuffer = nil
+	}
+	_ = c.setDeadlineLocked()
+	return n, nil
 }
--- a/internal/server/downstream/tls.go
+++ b/internal/server/downstream/tls.go
@@ -8,36 +8,38 @@
 	"time"
 )
 
+// plainTextResponse is sent to a client that does not begin a TLS handshake.
+const plainTextResponse = "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 26\r\n\r\nthis address speaks HTTPS\n"
+
 // TLS says how clients' connections are encrypted.
 type TLS struct {
 	Config           *tls.Config
-	HandshakeTimeout time.Duration // what it may take
+	HandshakeTimeout time.Duration
 }
 
-// tlsConn is an encrypted connection whose requests' framing is followed: the watch reads what was decrypted. The library takes it for
-// one that is not encrypted, but for ConnectionState.
+// tlsConn is an encrypted connection; the framing of the decrypted requests is followed. net/http takes it for a plain connection, except
+// that it calls ConnectionState.
 type tlsConn struct {
 	*conn
 	tls              *tls.Conn
 	handshakeTimeout time.Duration
 }
 
-func (s *TLS) wrap(c *conn) *tlsConn {
-	t := tls.Server(c.socket, s.Config)
-	c.Conn = t
-	return &tlsConn{c, t, s.HandshakeTimeout}
+func (t *TLS) wrap(c *conn) *tlsConn {
+	encrypted := tls.Server(c.socket, t.Config)
+	c.Conn = encrypted
+	return &tlsConn{c, encrypted, t.HandshakeTimeout}
 }
 
-// ConnectionState has the library's goroutine of this connection do the handshake, before it reads a request. One that fails shows at
-// the first read.
-func (s *tlsConn) ConnectionState() tls.ConnectionState {
-	ctx, cancel := context.WithTimeout(context.Background(), s.handshakeTimeout)
+// ConnectionState makes the handshake on net/http's goroutine of the connection, before a request is read. A failure shows in the first
+// read.
+func (c *tlsConn) ConnectionState() tls.ConnectionState {
+	ctx, cancel := context.WithTimeout(context.Background(), c.handshakeTimeout)
 	defer cancel()
-	err := s.tls.HandshakeContext(ctx)
+	err := c.tls.HandshakeContext(ctx)
 	if plain := (tls.RecordHeaderError{}); errors.As(err, &plain) && plain.Conn != nil {
-		// One who has not begun to encrypt can read this.
-		_ = plain.Conn.SetWriteDeadline(time.Now().Add(s.handshakeTimeout)) // it is closed next
-		_, _ = io.WriteString(plain.Conn, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 26\r\n\r\nthis address speaks HTTPS\n")
+		_ = plain.Conn.SetWriteDeadline(time.Now().Add(c.handshakeTimeout)) // the connection is closed next
+		_, _ = io.WriteString(plain.Conn, plainTextResponse)
 	}
-	return s.tls.ConnectionState()
+	return c.tls.ConnectionState()
 }
--- a/internal/server/framing/framing.go
+++ b/internal/server/framing/framing.go
@@ -1,7 +1,7 @@
-// Package framing follows the requests on a client's connection, byte by byte, to tell of a head that frames its body in two ways.
-// The library that serves them drops one of the two without a word (net/http, transfer.go: fixLength), while others before or
-// behind may follow the other one, and find a second request in the body. It does no I/O, keeps no more than a line, and reads as
-// that library does: what the library turns down it need not understand.
+// Package framing follows the requests on a client's connection, byte by byte, to detect a request head that frames its body in two ways
+// (Content-Length and Transfer-Encoding), which enables request smuggling. net/http drops one of the two silently (transfer.go:
+// fixLength), while a proxy before or behind may follow the other and find a second request in the body. The package does no I/O, keeps
+// at most one line, and parses as net/http does: what net/http rejects it need not understand.
 package framing
 
 import (
@@ -9,137 +9,168 @@
 	"strconv"
 )
 
-// maxLine bounds what is kept of a line; no header that frames is longer.
+// maxLine is how many bytes are kept of a line; no framing header is longer.
 const maxLine = 256
 
+// maxLengthBits bounds the lengths of bodies and chunks, as net/http does.
+const maxLengthBits = 62
+
+// state is the part of a request that the next byte belongs to.
 type state int8
 
 const (
 	inHead      state = iota // lines of a head, the request line first
-	inBody                   // left bytes of a body
-	inChunkSize              // a line with a chunk's size
-	inChunkData              // left bytes of a chunk
-	afterChunk               // the line end behind it
+	inBody                   // remaining bytes of a body
+	inChunkSize              // the line with a chunk's size
+	inChunkData              // remaining bytes of a chunk
+	afterChunk               // the line end behind a chunk
 	inTrailer                // lines behind the last chunk
-	unknown                  // it can't be followed any more
+	unknown                  // the requests can no longer be followed
+)
+
+var (
+	contentLength    = []byte("Content-Length")
+	transferEncoding = []byte("Transfer-Encoding")
 )
 
-// Detector follows one connection. The zero one is at its beginning. It is not safe for concurrent use.
+// Detector follows one connection. The zero value is at the beginning of a connection. It is not safe for concurrent use.
 type Detector struct {
-	state           state
-	remaining       int64 // bytes
-	line            [maxLine]byte
-	lineLength      int  // of line
-	lineTooLong     bool // the line is longer
-	requestLineSeen bool // a line of this head has come
+	state     state
+	remaining int64 // bytes of the body or chunk
+
+	line        [maxLine]byte
+	lineLength  int
+	lineTooLong bool // the line has more bytes than are kept
+
+	requestLineSeen bool // of the current head
 	hasLength       bool
 	contentLength   int64
 	chunked         bool
 	ambiguous       bool
 }
 
-// Ambiguous tells whether some head so far frames its body in two ways, or the requests could not be followed: a chunked one is then
-// not to be trusted.
-func (w *Detector) Ambiguous() bool { return w.ambiguous || w.state == unknown }
+// Ambiguous reports whether a head so far framed its body in two ways, or the requests could not be followed. A chunked request must not
+// be trusted then.
+func (d *Detector) Ambiguous() bool { return d.ambiguous || d.state == unknown }
 
-// Feed takes the bytes that came next.
-func (w *Detector) Feed(b []byte) {
+// Feed takes the next bytes of the connection.
+func (d *Detector) Feed(b []byte) {
 	for len(b) > 0 {
-		switch w.state {
+		switch d.state {
 		case unknown:
 			return
 		case inBody, inChunkData:
-			n := min(int64(len(b)), w.remaining)
-			b = b[n:]
-			if w.remaining -= n; w.remaining == 0 {
-				if w.state == inBody {
-					w.nextRequest()
-				} else {
-					w.state = afterChunk
-				}
-			}
+			b = d.skipData(b)
 		default:
-			i := bytes.IndexByte(b, '\n')
-			if i < 0 {
-				w.appendLine(b)
+			end := bytes.IndexByte(b, '\n')
+			if end < 0 {
+				d.appendLine(b)
 				return
 			}
-			w.appendLine(b[:i])
-			b = b[i+1:]
-			line := bytes.TrimSuffix(w.line[:w.lineLength], []byte{'\r'})
-			long := w.lineTooLong
-			w.lineLength, w.lineTooLong = 0, false
-			w.endLine(line, long)
+			d.appendLine(b[:end])
+			b = b[end+1:]
+			d.endLine()
 		}
 	}
 }
 
-func (w *Detector) appendLine(b []byte) {
-	n := copy(w.line[w.lineLength:], b)
-	w.lineLength += n
-	w.lineTooLong = w.lineTooLong || n < len(b)
+// skipData passes over the bytes of a body or chunk, and returns what follows them.
+func (d *Detector) skipData(b []byte) []byte {
+	n := min(int64(len(b)), d.remaining)
+	d.remaining -= n
+	if d.remaining == 0 {
+		if d.state == inBody {
+			d.nextRequest()
+		} else {
+			d.state = afterChunk
+		}
+	}
+	return b[n:]
+}
+
+func (d *Detector) appendLine(b []byte) {
+	n := copy(d.line[d.lineLength:], b)
+	d.lineLength += n
+	d.lineTooLong = d.lineTooLong || n < len(b)
 }
 
-func (w *Detector) nextRequest() {
-	w.state, w.requestLineSeen, w.hasLength, w.contentLength, w.chunked = inHead, false, false, 0, false
+func (d *Detector) nextRequest() {
+	d.state, d.requestLineSeen = inHead, false
+	d.hasLength, d.contentLength, d.chunked = false, 0, false
 }
 
-// endLine takes a whole line; long: only its beginning.
-func (w *Detector) endLine(line []byte, long bool) {
-	switch w.state {
+// endLine handles the line that has ended, and begins the next one.
+func (d *Detector) endLine() {
+	line := bytes.TrimSuffix(d.line[:d.lineLength], []byte{'\r'})
+	tooLong := d.lineTooLong
+	d.lineLength, d.lineTooLong = 0, false
+	switch d.state {
 	case inHead:
-		w.header(line, long)
+		d.headLine(line, tooLong)
 	case inChunkSize:
-		size, _, _ := bytes.Cut(line, []byte{';'})
-		n, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 62)
-		switch {
-		case err != nil:
-			w.state = unknown
-		case n == 0:
-			w.state = inTrailer
-		default:
-			w.state, w.remaining = inChunkData, int64(n)
-		}
+		d.chunkSizeLine(line)
 	case afterChunk:
-		if w.state = inChunkSize; len(line) > 0 {
-			w.state = unknown
+		d.state = inChunkSize
+		if len(line) > 0 {
+			d.state = unknown
 		}
 	case inTrailer:
-		if len(line) == 0 && !long {
-			w.nextRequest()
+		if len(line) == 0 && !tooLong {
+			d.nextRequest()
 		}
 	}
 }
 
-// header takes a line of a head.
-func (w *Detector) header(line []byte, long bool) {
+func (d *Detector) chunkSizeLine(line []byte) {
+	size, _, _ := bytes.Cut(line, []byte{';'})
+	n, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, maxLengthBits)
 	switch {
-	case !w.requestLineSeen:
-		w.requestLineSeen = true // the request line; the library takes no empty one before it
-		return
-	case len(line) == 0 && !long:
-		switch {
-		case w.chunked:
-			w.state = inChunkSize
-		case w.contentLength > 0:
-			w.state, w.remaining = inBody, w.contentLength
-		default:
-			w.nextRequest()
-		}
-		return
+	case err != nil:
+		d.state = unknown
+	case n == 0:
+		d.state = inTrailer
+	default:
+		d.state, d.remaining = inChunkData, int64(n)
+	}
+}
+
+// headLine handles a line of a head.
+func (d *Detector) headLine(line []byte, tooLong bool) {
+	switch {
+	case !d.requestLineSeen: // net/http accepts no empty line before it
+		d.requestLineSeen = true
+	case len(line) == 0 && !tooLong:
+		d.endHead()
+	default:
+		d.header(line, tooLong)
 	}
+}
+
+func (d *Detector) endHead() {
+	switch {
+	case d.chunked:
+		d.state = inChunkSize
+	case d.contentLength > 0:
+		d.state, d.remaining = inBody, d.contentLength
+	default:
+		d.nextRequest()
+	}
+}
+
+func (d *Detector) header(line []byte, tooLong bool) {
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimSpace(value)
 	switch {
-	case line[0] == ' ' || line[0] == '\t': // goes on with the line before, which may have framed
-		w.ambiguous = w.ambiguous || w.hasLength || w.chunked
-	case bytes.EqualFold(name, []byte("Content-Length")):
-		n, err := strconv.ParseUint(string(value), 10, 62)
-		if w.hasLength, w.contentLength = true, int64(n); err != nil || long {
-			w.state = unknown // the library turns it down
+	case line[0] == ' ' || line[0] == '\t': // it continues the line before, which may have been a framing header
+		d.ambiguous = d.ambiguous || d.hasLength || d.chunked
+	case bytes.EqualFold(name, contentLength):
+		n, err := strconv.ParseUint(string(value), 10, maxLengthBits)
+		d.hasLength, d.contentLength = true, int64(n)
+		if err != nil || tooLong {
+			d.state = unknown // net/http rejects it
 		}
-	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-		w.chunked = true
+	case bytes.EqualFold(name, transferEncoding):
+		d.chunked = true
 	}
-	w.ambiguous = w.ambiguous || w.hasLength && w.chunked
+	d.ambiguous = d.ambiguous || d.hasLength && d.chunked
 }
--- a/internal/server/yielding/yielding.go
+++ b/internal/server/yielding/yielding.go
@@ -1,8 +1,8 @@
-// Package yielding has long transfers rest together now and then, so that whoever waits for the processor gets it.
+// Package yielding makes long transfers pause together now and then, so that small requests get the processor.
 //
-// With one processor and transfers that never wait, Go's scheduler does not look at the network by itself: runnable goroutines, also
-// those that yield, come before that (runtime, findRunnable: own queue, global queue, then netpoll), and the monitor looks once in 10 ms,
-// behind them. A transfer that rests alone changes nothing while another one is runnable; where all rest at once the queues run empty.
+// With one processor and transfers that never block, Go's scheduler does not poll the network: runnable goroutines, including those that
+// yield, come first (runtime, findRunnable: own queue, global queue, then netpoll), and the monitor polls only once in 10 ms, behind
+// them. A transfer that pauses alone changes nothing while another one is runnable; if all pause at once the run queues become empty.
 package yielding
 
 import (
@@ -10,23 +10,25 @@
 	"time"
 )
 
-// BytesPerYield is how many bytes all transfers together pass on between two rests, and Rest how long one is: long enough for all to come to the
-// end of a piece, a twentieth of the time that one core takes for so many bytes, or less.
 const (
+	// BytesPerYield are transferred by all transfers together between two pauses.
 	BytesPerYield = 2 << 20
+	// YieldDuration of a pause lets all transfers come to the end of a piece. It is at most a twentieth of the time that one core takes
+	// for BytesPerYield.
 	YieldDuration = 100 * time.Microsecond
 )
 
-// Yielder counts what transfers pass on. The zero one is ready. It is safe for concurrent use.
+// Yielder counts the bytes of all transfers. The zero value is ready for use. It is safe for concurrent use.
 type Yielder struct {
-	sinceYield atomic.Int64 // bytes since the latest rest began
-	yieldUntil atomic.Int64 // when that ends, on the caller's clock
+	sinceYield atomic.Int64 // bytes since the latest pause began
+	yieldUntil atomic.Int64 // end of that pause, on the caller's clock
 }
 
-// Transferred notes n bytes at now, and tells how long who passed them on is to rest.
-func (i *Yielder) Transferred(now time.Duration, n int) time.Duration {
-	if total := i.sinceYield.Add(int64(n)); total >= BytesPerYield && i.sinceYield.CompareAndSwap(total, 0) {
-		i.yieldUntil.Store(int64(now + YieldDuration))
+// Transferred notes n bytes at now, and returns how long the caller has to pause.
+func (y *Yielder) Transferred(now time.Duration, n int) time.Duration {
+	total := y.sinceYield.Add(int64(n))
+	if total >= BytesPerYield && y.sinceYield.CompareAndSwap(total, 0) {
+		y.yieldUntil.Store(int64(now + YieldDuration))
 	}
-	return max(0, time.Duration(i.yieldUntil.Load())-now)
+	return max(0, time.Duration(y.yieldUntil.Load())-now)
 }
