--- a/internal/upstream/loadprobe/loadprobe_test.go
+++ b/internal/upstream/loadprobe/loadprobe_test.go
@@ -61,7 +61,7 @@
 			if most := o.ProbesPerRequest * float64(requests); float64(probes) > most {
 				t.Fatalf("%d probes for %d requests", probes, requests)
 			}
-			if most := burst(o) + o.Rate*now.Seconds(); float64(probes) > most+1e-6 {
+			if most := o.burst() + o.Rate*now.Seconds(); float64(probes) > most+1e-6 {
 				t.Fatalf("%d probes in %v", probes, now)
 			}
 		}
