--- a/internal/daemon/door.go
+++ b/internal/daemon/admission.go
@@ -13,16 +13,16 @@
 	"orchiddrift/internal/server/downstream"
 )
 
-// door has a request wait until its turn has come, where its service has a door. The answer is not nil where it goes no
+// awaitAdmission has a request wait until its turn has come, where its service has a door. The answer is not nil where it goes no
 // further: nothing of it was sent.
-func (s *server) door(r *http.Request, svc *service, req *downstream.Request, begun time.Duration, body int) (controller.Permit, *engine.Answer) {
-	k := svc.door.Load()
+func (s *server) awaitAdmission(r *http.Request, svc *service, req *downstream.Request, begun time.Duration, body int) (controller.Permit, *engine.Answer) {
+	k := svc.admission.Load()
 	if k == nil {
 		return controller.Permit{}, nil
 	}
 	marked := r.Header.Get(k.RetryHeader())
-	pass, verdict, in := k.Acquire(r.Context(), whoOf(r, req.Tenant), admission.Arrival{Class: req.Class.Name, CostHint: req.CostHint, ArrivedAt: begun,
-		Deadline: begun + req.Timeout, Bytes: int64(body), Retry: marked != "" && marked != "0", Fingerprint: printOf(req)})
+	pass, verdict, in := k.Acquire(r.Context(), clientOf(r, req.Tenant), admission.Arrival{Class: req.Class.Name, CostHint: req.CostHint, ArrivedAt: begun,
+		Deadline: begun + req.Timeout, Bytes: int64(body), Retry: marked != "" && marked != "0", Fingerprint: fingerprint(req)})
 	switch verdict {
 	case controller.Rejected:
 		return pass, &engine.Answer{Kind: engine.Rejected, RetryAfter: in}
@@ -32,8 +32,8 @@
 	return pass, nil
 }
 
-// printOf tells requests apart: method, target and key, which a client's repeat has again.
-func printOf(req *downstream.Request) uint64 {
+// fingerprint tells requests apart: method, target and key, which a client's repeat has again.
+func fingerprint(req *downstream.Request) uint64 {
 	var h xxhash.Digest
 	h.Reset()
 	for _, part := range [3]string{req.Method, req.Target, req.IdempotencyKey} {
@@ -43,8 +43,8 @@
 	return h.Sum64()
 }
 
-// whoOf is what is known of a request's sender.
-func whoOf(r *http.Request, tenant string) admission.Client {
+// clientOf is what is known of a request's sender.
+func clientOf(r *http.Request, tenant string) admission.Client {
 	return admission.Client{Tenant: tenant, Header: r.Header.Get,
 		Peer: func() netip.Addr {
 			a, err := netip.ParseAddrPort(r.RemoteAddr)
--- a/internal/daemon/body.go
+++ b/internal/daemon/body.go
@@ -16,68 +16,68 @@
 
 // Sizes of bodies, in bytes, and what a client may take to send one.
 const (
-	keptAlways = 64 << 10 // taken whole, whatever else is in hand
-	spoolPart  = 8        // longer ones as long as all of them take no more than this fraction of the memory
-	spoolMost  = 4        // and each no more than this fraction of that
-	leastRate  = 32 << 10 // a second: half of what the slowest client that is served sends
-	// slowUpstreams is what upstreams may add to the time that a body takes.
-	slowUpstreams = time.Minute
+	alwaysBufferedBytes = 64 << 10 // taken whole, whatever else is in hand
+	spoolMemoryFraction = 8        // longer ones as long as all of them take no more than this fraction of the memory
+	maxSpoolFraction    = 4        // and each no more than this fraction of that
+	minClientRate       = 32 << 10 // a second: half of what the slowest client that is served sends
+	// uploadSlack is what upstreams may add to the time that a body takes.
+	uploadSlack = time.Minute
 )
 
-var errBodyLarge = errors.New("the body is too large")
+var errBodyTooLarge = errors.New("the body is too large")
 
-// paced reads a client's body. The client may be waited for as long as patience and leastRate give; what is spent between reads is
+// clientBody reads a client's body. The client may be waited for as long as patience and minClientRate give; what is spent between reads is
 // not its time.
-type paced struct {
-	body  io.Reader
-	conn  *http.ResponseController
-	left  time.Duration // that the client may be waited for
-	room  int64         // bytes that it may still send
-	broke error         // why the body can't be had whole
-	asked bool          // something was read: the library has said 100 Continue where that was due
-	rest  func(n int)   // so many bytes have been passed on
-	until atomic.Pointer[time.Time]
+type clientBody struct {
+	body        io.Reader
+	conn        *http.ResponseController
+	timeLeft    time.Duration // that the client may be waited for
+	bytesLeft   int64         // bytes that it may still send
+	failure     error         // why the body can't be had whole
+	started     bool          // something was read: the library has said 100 Continue where that was due
+	onRead      func(n int)   // so many bytes have been passed on
+	interruptAt atomic.Pointer[time.Time]
 }
 
-func (p *paced) Read(b []byte) (int, error) {
-	if p.room < 0 {
-		return 0, errBodyLarge
+func (p *clientBody) Read(b []byte) (int, error) {
+	if p.bytesLeft < 0 {
+		return 0, errBodyTooLarge
 	}
 	begun := time.Now()
-	end := begun.Add(p.left)
+	end := begun.Add(p.timeLeft)
 	_ = p.conn.SetReadDeadline(end) // can't fail on a server's own connections; should it, the read shows it
-	if !p.asked {
-		p.asked = true
+	if !p.started {
+		p.started = true
 		_ = p.conn.SetWriteDeadline(end)
 	}
-	if by := p.until.Load(); by != nil && by.Before(end) { // after the deadline, which hurry sets too
+	if by := p.interruptAt.Load(); by != nil && by.Before(end) { // after the deadline, which hurry sets too
 		_ = p.conn.SetReadDeadline(*by)
 	}
 	n, err := p.body.Read(b)
-	p.left += time.Duration(n)*time.Second/leastRate - time.Since(begun)
-	if p.room -= int64(n); p.room < 0 {
-		err = errBodyLarge
+	p.timeLeft += time.Duration(n)*time.Second/minClientRate - time.Since(begun)
+	if p.bytesLeft -= int64(n); p.bytesLeft < 0 {
+		err = errBodyTooLarge
 	}
-	if err != nil && err != io.EOF && p.until.Load() == nil {
-		p.broke = err
+	if err != nil && err != io.EOF && p.interruptAt.Load() == nil {
+		p.failure = err
 	}
-	p.rest(n)
+	p.onRead(n)
 	return n, err
 }
 
-// hurry has reads end by then, also one that waits.
-func (p *paced) hurry(by time.Time) {
-	p.until.Store(&by)
+// interruptBy has reads end by then, also one that waits.
+func (p *clientBody) interruptBy(by time.Time) {
+	p.interruptAt.Store(&by)
 	_ = p.conn.SetReadDeadline(by) // see Read
 }
 
 // interrupt has a Read that waits return.
-func (p *paced) interrupt() { p.hurry(time.Unix(1, 0)) }
+func (p *clientBody) interrupt() { p.interruptBy(time.Unix(1, 0)) }
 
-// rejected says how a client is told that its body could not be taken.
-func rejected(err error) *downstream.Rejection {
+// bodyRejection says how a client is told that its body could not be taken.
+func bodyRejection(err error) *downstream.Rejection {
 	switch {
-	case errors.Is(err, errBodyLarge):
+	case errors.Is(err, errBodyTooLarge):
 		return &downstream.Rejection{Status: http.StatusRequestEntityTooLarge, Text: err.Error()}
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return &downstream.Rejection{Status: http.StatusRequestTimeout, Text: "the body did not come in time"}
@@ -85,15 +85,15 @@
 	return &downstream.Rejection{Status: http.StatusBadRequest, Text: fmt.Sprintf("reading the body: %v", err)}
 }
 
-// takeBody takes in the request's body: whole, or where that takes too much memory and hold does not ask for it, its beginning.
-func (v *visit) takeBody(req *downstream.Request, patience time.Duration, hold bool) *downstream.Rejection {
+// readBody takes in the request's body: whole, or where that takes too much memory and hold does not ask for it, its beginning.
+func (v *clientRequest) readBody(req *downstream.Request, patience time.Duration, hold bool) *downstream.Rejection {
 	length := v.r.ContentLength
 	if length == 0 {
 		return nil
 	}
-	v.paced = &paced{body: v.r.Body, conn: http.NewResponseController(v.w), left: patience, room: req.Route.MaxBody,
-		rest: v.d.shared.rest}
-	most := v.d.shared.spoolSize / spoolMost
+	v.bodyReader = &clientBody{body: v.r.Body, conn: http.NewResponseController(v.w), timeLeft: patience, bytesLeft: req.Route.MaxBody,
+		onRead: v.daemon.shared.yieldAfter}
+	most := v.daemon.shared.spoolSize / maxSpoolFraction
 	if hold {
 		most = req.Route.MaxBody
 	}
@@ -102,38 +102,38 @@
 	for {
 		if len(v.body) == cap(v.body) {
 			have := int64(len(v.body))
-			if !hold && have >= keptAlways && (have >= most || length > most) || !v.grow(length) {
+			if !hold && have >= alwaysBufferedBytes && (have >= most || length > most) || !v.growBody(length) {
 				if hold {
 					return &downstream.Rejection{Status: http.StatusInternalServerError, Text: "not done: too much is in hand to keep the body"}
 				}
-				v.rest = true
+				v.bodyStreams = true
 				return nil
 			}
 		}
-		n, err := v.paced.Read(v.body[len(v.body):cap(v.body)])
+		n, err := v.bodyReader.Read(v.body[len(v.body):cap(v.body)])
 		v.body = v.body[:len(v.body)+n]
 		switch {
 		case err == io.EOF, err == nil && length > 0 && int64(len(v.body)) == length:
-			_ = v.paced.conn.SetReadDeadline(time.Time{})
+			_ = v.bodyReader.conn.SetReadDeadline(time.Time{})
 			return nil
 		case err != nil:
-			return rejected(err)
+			return bodyRejection(err)
 		}
 	}
 }
 
-// grow makes room for more of the body, whose length is told or -1; false: there is none to be had.
-func (v *visit) grow(length int64) bool {
+// growBody makes room for more of the body, whose length is told or -1; false: there is none to be had.
+func (v *clientRequest) growBody(length int64) bool {
 	now := int64(cap(v.body))
 	to := 2 * now
-	if now < keptAlways {
-		to = min(to, keptAlways)
+	if now < alwaysBufferedBytes {
+		to = min(to, alwaysBufferedBytes)
 	}
 	if length > now {
 		to = min(to, length)
 	}
-	if more := to - keptAlways - v.spooled; more > 0 {
-		if !v.d.shared.spool.TryAcquire(more) {
+	if more := to - alwaysBufferedBytes - v.spooled; more > 0 {
+		if !v.daemon.shared.bodySpool.TryAcquire(more) {
 			return false
 		}
 		v.spooled += more
@@ -142,23 +142,23 @@
 	return true
 }
 
-// letGo gives back what the body holds.
-func (v *visit) letGo() {
+// releaseSpool gives back what the body holds.
+func (v *clientRequest) releaseSpool() {
 	if v.spooled > 0 {
-		v.d.shared.spool.Release(v.spooled)
+		v.daemon.shared.bodySpool.Release(v.spooled)
 		v.spooled = 0
 	}
 }
 
 // upload makes the request that passes on the rest of the body as it comes, and its call.
-func (v *visit) upload(req *downstream.Request, call *engine.Call) *upstream.Request {
+func (v *clientRequest) upload(req *downstream.Request, call *engine.Call) *upstream.Request {
 	length := v.r.ContentLength
 	most := length
 	if length < 0 {
 		most = req.Route.MaxBody
 	}
 	call.StreamedBody = true
-	call.Deadline += time.Duration(most)*time.Second/leastRate + slowUpstreams
+	call.Deadline += time.Duration(most)*time.Second/minClientRate + uploadSlack
 	return upstream.NewUpload(req.Method, req.Target, req.Host, req.Header, v.body,
-		&upstream.Upload{Body: v.paced, Length: length, Timeout: req.Timeout, Interrupt: v.paced.interrupt})
+		&upstream.Upload{Body: v.bodyReader, Length: length, Timeout: req.Timeout, Interrupt: v.bodyReader.interrupt})
 }
--- a/internal/daemon/body_test.go
+++ b/internal/daemon/body_test.go
@@ -57,7 +57,7 @@
 		return fakes.Says(fakes.OK200("a"))(c, g)
 	})
 	r := start(t, small(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
-	for _, size := range []int{0, 1, 4095, 4096, 4097, keptAlways - 1, keptAlways, keptAlways + 1, 300 << 10, 1 << 20, 1<<20 + 1, 5 << 20} {
+	for _, size := range []int{0, 1, 4095, 4096, 4097, alwaysBufferedBytes - 1, alwaysBufferedBytes, alwaysBufferedBytes + 1, 300 << 10, 1 << 20, 1<<20 + 1, 5 << 20} {
 		for _, framing := range []string{"length", "chunks"} {
 			body := pattern(size)
 			req := testutil.Request(t, r.address, "confirm", "")
@@ -196,7 +196,7 @@
 		want   int
 	}{
 		"turned away at its beginning": {func(c net.Conn, in *bufio.Reader) {
-			_, _ = io.CopyN(io.Discard, in, 2*keptAlways)
+			_, _ = io.CopyN(io.Discard, in, 2*alwaysBufferedBytes)
 			_, _ = io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 			time.Sleep(50 * time.Millisecond)
 		}, 503},
@@ -249,7 +249,7 @@
 	for _, framing := range []string{"length", "chunks"} {
 		t.Run(framing, func(t *testing.T) {
 			const rest = 2 << 20
-			first := keptAlways // what is taken before an upstream is chosen
+			first := alwaysBufferedBytes // what is taken before an upstream is chosen
 			if framing == "chunks" {
 				first = 1 << 20
 			}
@@ -389,18 +389,18 @@
 	pool.SetRegistry(dir)
 	dir.Apply(testutil.EndpointList(t, 1, true, testutil.Entry("s", s.Address, "Ready"), testutil.Entry("nobody", base.FreeAddress(t), "Ready")))
 	defer pool.CloseUpstream("s")
-	x := &exchange{pool: pool, request: upstream.NewRequest("POST", "/confirm/1", "s", nil, []byte("a"))}
+	x := &transport{pool: pool, request: upstream.NewRequest("POST", "/confirm/1", "s", nil, []byte("a"))}
 	over := make(chan balancer.Result, 1)
 	go func() { over <- x.attempt(t.Context(), engine.Attempt{Upstream: "s"}).Result }()
 	testutil.Eventually(t, "the upstream has it", func() bool { return len(s.Requests()) == 1 })
-	if n := x.begun.Load(); n != 1 {
+	if n := x.started.Load(); n != 1 {
 		t.Errorf("%d attempts count while one is out", n)
 	}
-	if r := x.attempt(t.Context(), engine.Attempt{Upstream: "nobody"}).Result; r != balancer.ConnectFailed || x.begun.Load() != 1 {
-		t.Errorf("result %d, %d count after one that was not sent", r, x.begun.Load())
+	if r := x.attempt(t.Context(), engine.Attempt{Upstream: "nobody"}).Result; r != balancer.ConnectFailed || x.started.Load() != 1 {
+		t.Errorf("result %d, %d count after one that was not sent", r, x.started.Load())
 	}
 	close(release)
-	if r := <-over; r != balancer.OK || x.begun.Load() != 1 {
-		t.Errorf("result %d, %d count at the end", r, x.begun.Load())
+	if r := <-over; r != balancer.OK || x.started.Load() != 1 {
+		t.Errorf("result %d, %d count at the end", r, x.started.Load())
 	}
 }
--- a/internal/daemon/operate.go
+++ b/internal/daemon/control.go
@@ -7,9 +7,9 @@
 	"orchiddrift/internal/server/control"
 )
 
-// operate answers the operators' calls. Nothing in it waits for traffic: the figures are counters, and the module's lock is held
+// handleControl answers the operators' calls. Nothing in it waits for traffic: the figures are counters, and the module's lock is held
 // for one decision at a time.
-func (d *daemon) operate(c control.Call) control.Answer {
+func (d *daemon) handleControl(c control.Call) control.Answer {
 	say := func(ok bool, yes, no string) control.Answer {
 		if ok {
 			return control.Answer{Status: http.StatusOK, Body: yes}
@@ -26,32 +26,32 @@
 		if !get {
 			return wrong("GET, HEAD")
 		}
-		return say(!d.course.stopping.Load() && d.ready() && d.succession.placed.Load(), "yes: "+d.course.state().String(), "no: "+d.why())
+		return say(!d.lifecycle.stopping.Load() && d.ready() && d.upgrade.established.Load(), "yes: "+d.lifecycle.state().String(), "no: "+d.notReadyReason())
 	case "/metrics":
 		if !get {
 			return wrong("GET, HEAD")
 		}
-		return control.Answer{Status: http.StatusOK, Body: d.read().Text()}
+		return control.Answer{Status: http.StatusOK, Body: d.readMetrics().Text()}
 	case "/drain":
 		if !post {
 			return wrong("POST")
 		}
-		defer d.succession.tell(handover.Drain)
-		return say(d.course.drain(), "draining", "no: "+d.why())
+		defer d.upgrade.notifyPeers(handover.Drain)
+		return say(d.lifecycle.drain(), "draining", "no: "+d.notReadyReason())
 	case "/undrain":
 		if !post {
 			return wrong("POST")
 		}
-		defer d.succession.tell(handover.Undrain)
-		return say(d.course.undrain(), "serving", "no: "+d.why())
+		defer d.upgrade.notifyPeers(handover.Undrain)
+		return say(d.lifecycle.undrain(), "serving", "no: "+d.notReadyReason())
 	}
 	return control.Answer{Status: http.StatusNotFound, Body: "known here: GET /ready, GET /metrics, POST /drain, POST /undrain"}
 }
 
-// why words what keeps the process from serving.
-func (d *daemon) why() string {
-	if d.course.stopping.Load() {
-		return d.course.state().String()
+// notReadyReason words what keeps the process from serving.
+func (d *daemon) notReadyReason() string {
+	if d.lifecycle.stopping.Load() {
+		return d.lifecycle.state().String()
 	}
 	if d.ready() {
 		return "its predecessor has not heard of it yet"
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -40,17 +40,17 @@
 )
 
 const (
-	ownSockets = 32   // descriptors that are neither a client's nor an upstream's
-	memoryPart = 0.75 // of the limit that the heap may use
-	gcLeastMB  = 32   // the memory limit at which the collector works as Go has it; see GCPercent
-	gcMost     = 400
-	answerPart = 64 // an answer may have this fraction of the memory: many are in hand at once
-	bytesPart  = 4  // and all bodies in hand this one, where services share it
-	handSpare  = 8  // this fraction of clients' connections never carries requests in hand
-	clientIdle = 30 * time.Second
+	reservedDescriptors    = 32   // descriptors that are neither a client's nor an upstream's
+	heapFraction           = 0.75 // of the limit that the heap may use
+	gcBaseMB               = 32   // the memory limit at which the collector works as Go has it; see GCPercent
+	maxGCPercent           = 400
+	maxAnswerFraction      = 64 // an answer may have this fraction of the memory: many are in hand at once
+	bodyBytesFraction      = 4  // and all bodies in hand this one, where services share it
+	idleConnectionFraction = 8  // this fraction of clients' connections never carries requests in hand
+	clientIdleTimeout      = 30 * time.Second
 
-	// heldPatience is how long a reload, or a successor whose predecessor lives, waits for a file that another process holds.
-	heldPatience = time.Second
+	// fileLockTimeout is how long a reload, or a successor whose predecessor lives, waits for a file that another process holds.
+	fileLockTimeout = time.Second
 )
 
 // Run serves as the files say until ctx ends, then finishes what it has taken. Whenever reload brings something it reads
@@ -62,7 +62,7 @@
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Limits.Cores))))
 	LimitMemory(p)
-	listener, from, err := inherit(p, sharedFolder())
+	listener, from, err := inherit(p, handoverFolder())
 	if err != nil {
 		slog.Warn("hand-over: the address is opened beside the process that has it", "reason", err)
 	}
@@ -76,14 +76,14 @@
 
 // LimitMemory has the process's collector keep to the plan's limit.
 func LimitMemory(p *config.Plan) {
-	debug.SetMemoryLimit(int64(p.Limits.MemoryMB * memoryPart * (1 << 20)))
+	debug.SetMemoryLimit(int64(p.Limits.MemoryMB * heapFraction * (1 << 20)))
 	debug.SetGCPercent(GCPercent(p.Limits.MemoryMB))
 }
 
 // GCPercent is how far the heap may grow over what is live, in percent, by the memory limit in MB: the live heap is a
 // few MB whatever the limit, so where there is more memory the collector can work less often.
 func GCPercent(memoryMB float64) int {
-	return int(min(gcMost, max(100, 100*memoryMB/gcLeastMB)))
+	return int(min(maxGCPercent, max(100, 100*memoryMB/gcBaseMB)))
 }
 
 // Serve is ServePlan for the platform's file alone, which path names.
@@ -95,26 +95,26 @@
 // daemon is a running one.
 type daemon struct {
 	plan    *config.Plan // as it runs; what counts from the next start is as it was
-	shared  *shared
+	shared  *sharedResources
 	logger  *logging.Logger // nil: the program's default
 	log     *slog.Logger
 	routing atomic.Pointer[routing]
 
-	keys      atomic.Pointer[tlscredentials.Store] // of the clients' listener; nil: not encrypted
-	tls       atomic.Pointer[tls.Config]
-	stopKeys  context.CancelFunc
-	retiring  sync.WaitGroup // services that only finish what they hold
-	applying  sync.Mutex     // of plan, leaving, the shares and ended
-	ended     bool           // nothing is applied any more
-	leaving   map[*service]bool
-	besides   sync.WaitGroup
-	rest      context.Context // of what runs besides; ends with the daemon
-	listening net.Listener
-	limits    config.Limits
-	figures   *metrics.Registry
-	course    *course
+	credentials      atomic.Pointer[tlscredentials.Store] // of the clients' listener; nil: not encrypted
+	tlsConfig        atomic.Pointer[tls.Config]
+	stopCredentials  context.CancelFunc
+	retirements      sync.WaitGroup // services that only finish what they hold
+	reloadMu         sync.Mutex     // of plan, leaving, the shares and ended
+	ended            bool           // nothing is applied any more
+	retiringServices map[*service]bool
+	backgroundTasks  sync.WaitGroup
+	background       context.Context // of what runs besides; ends with the daemon
+	listener         net.Listener
+	limits           config.Limits
+	metrics          *metrics.Registry
+	lifecycle        *lifecycleDriver
 
-	succession *succession
+	upgrade *upgrade
 }
 
 // ServePlan is Run with a plan and a listener at hand; it closes the listener. Where look is not nil it is given the
@@ -128,29 +128,29 @@
 	})
 }
 
-func serve(ctx context.Context, p *config.Plan, listener net.Listener, from *inherited, files config.Sources, reload <-chan os.Signal,
+func serve(ctx context.Context, p *config.Plan, listener net.Listener, from *inheritance, files config.Sources, reload <-chan os.Signal,
 	look func(*daemon)) error {
 	defer listener.Close()
 	rest, stop := context.WithCancel(context.Background())
-	d := &daemon{plan: p, log: slog.Default(), rest: rest, listening: listener, limits: p.Limits}
-	defer d.besides.Wait()
+	d := &daemon{plan: p, log: slog.Default(), background: rest, listener: listener, limits: p.Limits}
+	defer d.backgroundTasks.Wait()
 	defer stop()
 	if p.File != nil {
 		d.logger = logging.New(os.Stderr, p.Log)
 		d.log = d.logger.Logger
-		d.besides.Go(func() { d.logger.Run(rest) })
+		d.backgroundTasks.Go(func() { d.logger.Run(rest) })
 	}
 	if p.SeedDrawn {
 		d.log.Info("seed drawn", "seed", fmt.Sprintf("%016x", p.Seed))
 	}
-	d.succession = &succession{who: handover.Identity{Name: p.Name, Listen: p.Listen}}
-	connections := connectionsOf(p.Limits)
-	if err := d.share(connections); err != nil {
+	d.upgrade = &upgrade{identity: handover.Identity{Name: p.Name, Listen: p.Listen}}
+	connections := connectionLimit(p.Limits)
+	if err := d.newSharedResources(connections); err != nil {
 		return err
 	}
-	defer d.end()
+	defer d.endServices()
 	if from == nil { // else the one before this process holds its files for as long as it lives
-		d.shared.filesCtx, d.shared.filesPatience = ctx, executor.StartTimeout
+		d.shared.filesCtx, d.shared.fileLockTimeout = ctx, executor.StartTimeout
 	}
 	err := d.apply(p)
 	if err != nil && ctx.Err() != nil {
@@ -159,32 +159,32 @@
 	if err != nil {
 		return err
 	}
-	d.shared.filesCtx, d.shared.filesPatience = rest, heldPatience
+	d.shared.filesCtx, d.shared.fileLockTimeout = rest, fileLockTimeout
 	look(d)
 	var secure *downstream.TLS
 	if p.TLS.Enabled() {
 		secure = &downstream.TLS{HandshakeTimeout: p.HeadTimeout, Config: &tls.Config{MinVersion: tls.VersionTLS12,
-			GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return d.tls.Load(), nil }}}
+			GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return d.tlsConfig.Load(), nil }}}
 	}
 	conns := downstream.NewConnections(acceptor.New(listener, d.log), connections, secure)
-	d.course = newCourse(d.shared.clock, p.Grace, conns)
-	s := &server{d: d, ids: newIDs(p.Seed), course: d.course}
-	srv := &http.Server{Handler: s, ReadHeaderTimeout: p.HeadTimeout, IdleTimeout: clientIdle,
+	d.lifecycle = newLifecycleDriver(d.shared.clock, p.Grace, conns)
+	s := &server{daemon: d, ids: newRequestIDs(p.Seed), lifecycleDriver: d.lifecycle}
+	srv := &http.Server{Handler: s, ReadHeaderTimeout: p.HeadTimeout, IdleTimeout: clientIdleTimeout,
 		MaxHeaderBytes: httpheader.MaxBytes, DisableGeneralOptionsHandler: true, ConnState: conns.State, ConnContext: conns.Context,
 		ErrorLog: slog.NewLogLogger(d.log.Handler(), slog.LevelDebug)}
 	operators := "" // where they call
 	if p.Control != "" {
-		c, err := control.Listen(p.Control, d.operate, d.log)
+		c, err := control.Listen(p.Control, d.handleControl, d.log)
 		if err != nil {
 			return fmt.Errorf("listening for operators: %w", err)
 		}
 		operators = c.Addr().String()
-		d.besides.Go(c.Run)
+		d.backgroundTasks.Go(c.Run)
 		defer c.Close()
 		if from != nil {
-			d.recall(from)
+			d.restore(from)
 		}
-		d.besides.Go(func() { d.succeed(rest, from, sharedFolder(), listener) })
+		d.backgroundTasks.Go(func() { d.runUpgrade(rest, from, handoverFolder(), listener) })
 	}
 	if p.File != nil {
 		d.log.Info("listening", "clients", listener.Addr().String(), "operators", operators)
@@ -199,32 +199,32 @@
 	if err != nil {
 		return err
 	}
-	defer known.end()
+	defer known.stopAll()
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(conns) }()
-	d.besides.Go(func() { d.followReloads(rest, files, reload) })
+	d.backgroundTasks.Go(func() { d.followReloads(rest, files, reload) })
 	over := make(chan struct{}) // all that was taken is finished, or was failed
 	go func() {
 		defer close(over)
-		d.course.run(d.abort)
+		d.lifecycle.run(d.abort)
 	}()
 	select {
 	case err := <-ended:
-		d.course.abandon()
+		d.lifecycle.abandon()
 		<-over
 		return fmt.Errorf("serving: %w", err)
 	case <-ctx.Done():
 	}
 	known.drain()
-	d.course.stop(d.succession.succeeded())
+	d.lifecycle.stop(d.upgrade.hasSuccessor())
 	<-over
-	d.course.end(lastMoment)
+	d.lifecycle.awaitConnections(finalWriteTimeout)
 	_ = srv.Close() // of what has been closed
 	return nil
 }
 
-// lastMoment is what answers that have just been failed may take to be written.
-const lastMoment = 100 * time.Millisecond
+// finalWriteTimeout is what answers that have just been failed may take to be written.
+const finalWriteTimeout = 100 * time.Millisecond
 
 // registrations are where the process is known.
 type registrations struct {
@@ -238,7 +238,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r := &registrations{stop: stop}
 	for _, declared := range p.Registrations {
-		one, err := eureka.NewRegistration(declared, p.Name, d.listening.Addr().String(), time.Second, p.Seed, d.log)
+		one, err := eureka.NewRegistration(declared, p.Name, d.listener.Addr().String(), time.Second, p.Seed, d.log)
 		if err != nil {
 			stop()
 			return nil, err
@@ -257,29 +257,29 @@
 	}
 }
 
-func (r *registrations) end() {
+func (r *registrations) stopAll() {
 	r.stop()
 	r.done.Wait()
 }
 
-// share makes what services share.
-func (d *daemon) share(connections int) error {
+// newSharedResources makes what services share.
+func (d *daemon) newSharedResources(connections int) error {
 	p := d.plan
-	d.figures = metrics.New()
-	d.shared = &shared{clock: clock.New(), log: d.log, seed: p.Seed, name: p.Name, connections: connections, filesCtx: d.rest, filesPatience: heldPatience,
-		spoolSize: int64(p.Limits.MemoryMB * (1 << 20) / spoolPart), maxAnswer: int(p.Limits.MemoryMB * (1 << 20) / answerPart)}
-	d.shared.spool = semaphore.NewWeighted(d.shared.spoolSize)
+	d.metrics = metrics.New()
+	d.shared = &sharedResources{clock: clock.New(), log: d.log, seed: p.Seed, name: p.Name, connections: connections, filesCtx: d.background, fileLockTimeout: fileLockTimeout,
+		spoolSize: int64(p.Limits.MemoryMB * (1 << 20) / spoolMemoryFraction), maxAnswerBytes: int(p.Limits.MemoryMB * (1 << 20) / maxAnswerFraction)}
+	d.shared.bodySpool = semaphore.NewWeighted(d.shared.spoolSize)
 	var err error
-	if d.shared.slots, err = bulkhead.NewSemaphore(int64(connections), p.Guaranteed, nil); err != nil {
+	if d.shared.connectionSlots, err = bulkhead.NewSemaphore(int64(connections), p.Guaranteed, nil); err != nil {
 		return err
 	}
 	if p.File == nil {
 		return nil
 	}
-	if d.shared.inHand, err = bulkhead.NewSemaphore(int64(connections-connections/handSpare), p.Guaranteed, nil); err != nil {
+	if d.shared.inFlight, err = bulkhead.NewSemaphore(int64(connections-connections/idleConnectionFraction), p.Guaranteed, nil); err != nil {
 		return err
 	}
-	d.shared.bytes, err = bulkhead.NewSemaphore(int64(p.Limits.MemoryMB*(1<<20)/bytesPart), p.Guaranteed, nil)
+	d.shared.bodyBytes, err = bulkhead.NewSemaphore(int64(p.Limits.MemoryMB*(1<<20)/bodyBytesFraction), p.Guaranteed, nil)
 	return err
 }
 
@@ -296,10 +296,10 @@
 	for _, s := range services {
 		add(s)
 	}
-	for s := range d.leaving { // it still needs connections and room for answers
+	for s := range d.retiringServices { // it still needs connections and room for answers
 		add(s.plan)
 	}
-	for _, of := range []*bulkhead.Semaphore{d.shared.slots, d.shared.inHand, d.shared.bytes} {
+	for _, of := range []*bulkhead.Semaphore{d.shared.connectionSlots, d.shared.inFlight, d.shared.bodyBytes} {
 		if of == nil {
 			continue
 		}
@@ -312,25 +312,25 @@
 
 // abort fails every request in hand: the process is about to be killed.
 func (d *daemon) abort() {
-	d.shared.abortRepeats()
+	d.shared.abortExecutors()
 	for _, s := range d.routing.Load().services {
 		s.abort()
 	}
 }
 
-// end ends the services. A reload that is under way is waited for, and none begins any more: it would start services that nobody ends.
-func (d *daemon) end() {
-	d.applying.Lock()
+// endServices ends the services. A reload that is under way is waited for, and none begins any more: it would start services that nobody ends.
+func (d *daemon) endServices() {
+	d.reloadMu.Lock()
 	d.ended = true
-	d.applying.Unlock()
+	d.reloadMu.Unlock()
 	if r := d.routing.Load(); r != nil {
 		for _, s := range r.services {
 			s.close()
 		}
 	}
-	if d.stopKeys != nil {
-		d.stopKeys()
+	if d.stopCredentials != nil {
+		d.stopCredentials()
 	}
-	d.retiring.Wait()
-	d.shared.closeRepeats()
+	d.retirements.Wait()
+	d.shared.closeExecutors()
 }
--- a/internal/daemon/door_test.go
+++ b/internal/daemon/door_test.go
@@ -104,7 +104,7 @@
 }
 
 func (r *doorRig) view() admission.Stats {
-	k := r.d.routing.Load().services["seats"].door.Load()
+	k := r.d.routing.Load().services["seats"].admission.Load()
 	if k == nil {
 		return admission.Stats{}
 	}
@@ -266,12 +266,12 @@
 		want string
 	}{{nil, ""}, {&tls.ConnectionState{}, ""}, {shows(&named), "cn"}, {shows(&dns), "counter.example.org"}, {shows(&both), id.String()}} {
 		r := &http.Request{RemoteAddr: "192.0.2.9:4711", TLS: tt.from, Header: http.Header{"X-Shop": {"a"}}}
-		who := whoOf(r, "acme")
+		who := clientOf(r, "acme")
 		if who.Certificate() != tt.want || who.Peer().String() != "192.0.2.9" || who.Tenant != "acme" || who.Header("x-shop") != "a" {
 			t.Errorf("%q from %v, for %q", who.Certificate(), who.Peer(), tt.want)
 		}
 	}
-	if who := whoOf(&http.Request{RemoteAddr: "@"}, ""); who.Peer().IsValid() {
+	if who := clientOf(&http.Request{RemoteAddr: "@"}, ""); who.Peer().IsValid() {
 		t.Error("an address out of nothing")
 	}
 }
--- a/internal/daemon/eureka_test.go
+++ b/internal/daemon/eureka_test.go
@@ -68,7 +68,7 @@
 func (r *fileRig) answers(t *testing.T, n nodes, names ...string) {
 	t.Helper()
 	testutil.Eventually(t, "requests go to "+strings.Join(names, " "), func() bool {
-		places := r.d.routing.Load().services["seats"].dir.Instances()
+		places := r.d.routing.Load().services["seats"].registry.Instances()
 		there := map[string]bool{}
 		for _, at := range places {
 			there[at.Address] = true
@@ -201,7 +201,7 @@
 		return func() bool {
 			got := []string{}
 			for name, address := range n {
-				for _, at := range s.dir.Instances() {
+				for _, at := range s.registry.Instances() {
 					if at.Address == address {
 						got = append(got, name)
 					}
@@ -216,7 +216,7 @@
 	testutil.Eventually(t, "a drains", takes("b", "c"))
 	testutil.Eventually(t, "the lost list is asked for again", again.Load)
 	if !takes("b", "c")() {
-		t.Errorf("the loss changed the list: %v", s.dir.Instances())
+		t.Errorf("the loss changed the list: %v", s.registry.Instances())
 	}
 }
 
@@ -308,11 +308,11 @@
 // Guards against a module whose wish for the list is lost, for good, because it came before there was a source to ask.
 func TestListIsAskedForEarly(t *testing.T) {
 	s, source := &service{}, &askedSource{}
-	s.ask()
-	testutil.Eventually(t, "the wish is noted", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.wanted })
+	s.requestRefresh()
+	testutil.Eventually(t, "the wish is noted", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.refreshWanted })
 	s.follow(source)
 	defer s.follow(nil)
 	testutil.Eventually(t, "it is asked", func() bool { return source.asks.Load() == 1 })
-	s.ask()
+	s.requestRefresh()
 	testutil.Eventually(t, "and again", func() bool { return source.asks.Load() == 2 })
 }
--- a/internal/daemon/file_test.go
+++ b/internal/daemon/file_test.go
@@ -234,7 +234,7 @@
 	}
 	for _, s := range r.d.routing.Load().services {
 		testutil.Eventually(t, "nothing is left in hand", func() bool {
-			return r.d.shared.inHand.Used(s.name) == 0 && s.engine.InFlight() == 0
+			return r.d.shared.inFlight.Used(s.name) == 0 && s.engine.InFlight() == 0
 		})
 	}
 }
@@ -274,7 +274,7 @@
 	}
 	stop()
 	clients.Wait()
-	testutil.Eventually(t, "nothing is left in hand", func() bool { return r.d.shared.inHand.Used("a") == 0 })
+	testutil.Eventually(t, "nothing is left in hand", func() bool { return r.d.shared.inFlight.Used("a") == 0 })
 }
 
 // Guards against a key that a reload passes over in silence: what counts from the next start is named and stays, and tls
@@ -282,11 +282,11 @@
 func TestReloadNamesWhatCountsFromTheNextStart(t *testing.T) {
 	text := services(map[string]string{"a": base.HTTP(t, nil, says("a"))})
 	said := ""
-	d := &daemon{plan: plan(t, text), rest: t.Context(), log: logging.NewFunc(func(line string) { said += line + "\n" })}
-	if err := errors.Join(d.share(64), d.apply(d.plan)); err != nil {
+	d := &daemon{plan: plan(t, text), background: t.Context(), log: logging.NewFunc(func(line string) { said += line + "\n" })}
+	if err := errors.Join(d.newSharedResources(64), d.apply(d.plan)); err != nil {
 		t.Fatal(err)
 	}
-	defer d.end()
+	defer d.endServices()
 	limits, path := d.plan.Limits, base.File(t, "o.toml", nil)
 	reload := func(text string) error {
 		base.Replace(t, path, []byte(text))
@@ -300,8 +300,8 @@
 			t.Errorf("%s is not named in\n%s", key, said)
 		}
 	}
-	if strings.Contains(said, "body_timeout") || d.plan.Limits != limits || d.routing.Load().body != 7*time.Second {
-		t.Errorf("limits %+v, body time-out %v, said\n%s", d.plan.Limits, d.routing.Load().body, said)
+	if strings.Contains(said, "body_timeout") || d.plan.Limits != limits || d.routing.Load().bodyTimeout != 7*time.Second {
+		t.Errorf("limits %+v, body time-out %v, said\n%s", d.plan.Limits, d.routing.Load().bodyTimeout, said)
 	}
 	if err := reload("[tls]\ncertificate = \"/c\"\nkey = \"/k\"\n" + text); err == nil || !strings.Contains(err.Error(), "needs a new start") {
 		t.Errorf("tls is switched on: %v", err)
@@ -402,7 +402,7 @@
 		}
 	}
 	s := r.d.routing.Load().services["a"]
-	if used := r.d.shared.inHand.Used(s.name); used > 42 { // 64-8 = 56: 14 its own, 28 common
+	if used := r.d.shared.inFlight.Used(s.name); used > 42 { // 64-8 = 56: 14 its own, 28 common
 		t.Errorf("the hung service holds %d", used)
 	}
 }
@@ -418,7 +418,7 @@
 		_, body := r.get("GET", "/", "")
 		return body
 	}
-	dir := r.d.routing.Load().services["a"].dir
+	dir := r.d.routing.Load().services["a"].registry
 	if got := served(); got != "one" {
 		t.Fatalf("served by %q", got)
 	}
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -31,11 +31,11 @@
 	if err != nil {
 		return fmt.Errorf("tasks: %w", err)
 	}
-	d.besides.Go(func() {
+	d.backgroundTasks.Go(func() {
 		defer at.Close()
 		err := runner.Run(ctx, runner.Options{Name: p.Name, Tasks: p.File.Tasks, Leases: at, Drift: f.Drift, Guard: []string{self, "lease", "--file", file, "guard"},
-			Listen: func() string { return d.listening.Addr().String() }, MaxRuns: f.MaxTasks, Seed: p.Seed ^ xxhash.Sum64String("tasks"),
-			Draining: func() bool { return d.course.stopping.Load() || !d.course.wanted.Load() }, Now: time.Now, Log: d.log})
+			Listen: func() string { return d.listener.Addr().String() }, MaxRuns: f.MaxTasks, Seed: p.Seed ^ xxhash.Sum64String("tasks"),
+			Draining: func() bool { return d.lifecycle.stopping.Load() || !d.lifecycle.ready.Load() }, Now: time.Now, Log: d.log})
 		if err != nil {
 			d.log.Error("tasks: this process runs none", "reason", err)
 		}
@@ -60,8 +60,8 @@
 	if err != nil {
 		return fmt.Errorf("listening for the fleet: %w", err)
 	}
-	d.besides.Go(func() {
-		if err := d.member(ctx, f, l); err != nil {
+	d.backgroundTasks.Go(func() {
+		if err := d.runFleetMember(ctx, f, l); err != nil {
 			d.log.Error("fleet: this process takes no part in the group any more", "member", f.Member, "reason", err)
 		}
 	})
@@ -69,7 +69,7 @@
 	return nil
 }
 
-func (d *daemon) member(ctx context.Context, f *leases.Declaration, l net.Listener) error {
+func (d *daemon) runFleetMember(ctx context.Context, f *leases.Declaration, l net.Listener) error {
 	m, err := raftgroup.New(ctx, raftgroup.Options{Fleet: f.Name, Name: f.Member, Peers: raftgroup.PeersOf(f), File: f.File, Limits: f.Limits(),
 		Drift: f.Drift, Tick: f.Tick.D(), Log: d.log})
 	if err != nil {
--- a/internal/daemon/gone_test.go
+++ b/internal/daemon/gone_test.go
@@ -133,7 +133,7 @@
 		}()
 		testutil.Eventually(t, "the attempt waits for its connection", func() bool { return pending(e) == 1 })
 	}
-	testutil.Eventually(t, "the second one waits too", func() bool { return r.d.course.conns.Open() == 2 })
+	testutil.Eventually(t, "the second one waits too", func() bool { return r.d.lifecycle.connections.Open() == 2 })
 	leave[0]()
 	<-ended
 	if pending(e) != 1 {
@@ -143,7 +143,7 @@
 	<-ended
 	seen(e)
 	late.ComeUp()
-	if status, body, header := pay(t.Context(), r, "/record/1", "k", ""); status != 200 || header.Get(replayed) != "" {
+	if status, body, header := pay(t.Context(), r, "/record/1", "k", ""); status != 200 || header.Get(replayedHeader) != "" {
 		t.Errorf("who comes again: %d %q", status, body)
 	}
 	r.client.CloseIdleConnections()
@@ -224,7 +224,7 @@
 		return fakes.Says(fakes.OK200("whole"))(c, g)
 	})
 	c := testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"))
-	c.Limits.Sockets = ownSockets + 2*4
+	c.Limits.Sockets = reservedDescriptors + 2*4
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -25,25 +25,25 @@
 // to the door and the module.
 type graphqlCall struct {
 	*server
-	w        http.ResponseWriter
-	r        *http.Request
-	svc      *service
-	req      downstream.Request
-	id       string
-	endpoint *graphql.Endpoint
-	lease    *lease
-	leave    context.CancelFunc // see visit
-	begun    time.Duration
-	media    string // of the answer
-	entries  int
-	taken    *[]metrics.Request // of the entries, kept where the request is decided anew
+	w            http.ResponseWriter
+	r            *http.Request
+	service      *service
+	req          downstream.Request
+	id           string
+	endpoint     *graphql.Endpoint
+	gate         *routeGate
+	cancel       context.CancelFunc // see visit
+	startedAt    time.Duration
+	media        string // of the answer
+	entries      int
+	entryMetrics *[]metrics.Request // of the entries, kept where the request is decided anew
 }
 
 // serve answers the request, or tells that it is to be decided anew: its route ended before anything was sent.
 func (c *graphqlCall) serve(body []byte) (again bool) {
-	asked, bad := c.read(body)
+	asked, bad := c.readOperations(body)
 	if bad != nil {
-		c.turnDown(bad)
+		c.rejectProblem(bad)
 		return false
 	}
 	c.entries = len(asked.Params)
@@ -51,13 +51,13 @@
 	if asked.Batch {
 		header = nil
 	}
-	if len(*c.taken) != c.entries {
-		*c.taken = make([]metrics.Request, c.entries)
+	if len(*c.entryMetrics) != c.entries {
+		*c.entryMetrics = make([]metrics.Request, c.entries)
 	}
 	entries := make([]*operation, c.entries)
 	problems := asked.Problems
 	for i := range entries {
-		o := &operation{call: c, id: c.id, taken: &(*c.taken)[i]}
+		o := &operation{call: c, id: c.id, metric: &(*c.entryMetrics)[i]}
 		if asked.Batch {
 			o.id += "." + strconv.Itoa(i)
 		}
@@ -68,9 +68,9 @@
 	}
 	defer func() {
 		for _, o := range entries {
-			o.end()
+			o.release()
 			if !again {
-				o.taken.Finish(endOf(o.answer.Kind))
+				o.metric.Finish(metricOutcome(o.answer.Kind))
 			}
 		}
 	}()
@@ -78,20 +78,20 @@
 		return c.batch(entries, problems)
 	}
 	if problems[0] != nil {
-		c.turnDown(problems[0])
+		c.rejectProblem(problems[0])
 		return false
 	}
 	o := entries[0]
 	o.run()
-	if o.unsent {
+	if o.notSent {
 		return true
 	}
-	c.finish(o)
+	c.writeOperation(o)
 	return false
 }
 
-// read takes the operations out of the request.
-func (c *graphqlCall) read(body []byte) (graphql.Asked, *graphql.Problem) {
+// readOperations takes the operations out of the request.
+func (c *graphqlCall) readOperations(body []byte) (graphql.Asked, *graphql.Problem) {
 	var none graphql.Asked
 	bad := func(status int, text string) (graphql.Asked, *graphql.Problem) {
 		return none, &graphql.Problem{Status: status, Code: graphql.CodeRequest, Message: text}
@@ -121,39 +121,39 @@
 		Message: "this is asked for with GET or POST"}
 }
 
-// turnDown answers a request that is not taken. Its body has been read, so that the connection goes on.
-func (c *graphqlCall) turnDown(p *graphql.Problem) {
+// reject answers a request that is not taken. Its body has been read, so that the connection goes on.
+func (c *graphqlCall) rejectProblem(p *graphql.Problem) {
 	if p.Allow != "" {
 		c.w.Header().Set("Allow", p.Allow)
 	}
-	c.say(p.StatusFor(c.media), p.Body())
+	c.writeBody(p.StatusFor(c.media), p.Body())
 }
 
-func (c *graphqlCall) say(status int, body []byte) {
+func (c *graphqlCall) writeBody(status int, body []byte) {
 	c.w.Header().Set("Content-Type", c.media+"; charset=utf-8")
 	c.write(c.w, status, body)
 }
 
 // operation is one operation in hand.
 type operation struct {
-	exchange
+	transport
 	call     *graphqlCall
 	id       string
 	decision graphql.Decision
 	answer   engine.Answer
 	conflict int  // the status of its key's conflict; 0: there is none
-	unsent   bool // its route ended, and nothing was sent
-	taken    *metrics.Request
+	notSent  bool // its route ended, and nothing was sent
+	metric   *metrics.Request
 
-	failedMu sync.Mutex
-	failed   *upstream.Response // the latest attempt's, where that was a node's word of its failure
+	failedMu       sync.Mutex
+	failedResponse *upstream.Response // the latest attempt's, where that was a node's word of its failure
 }
 
 // run has the door and the module decide on the operation.
 func (o *operation) run() {
 	c, d := o.call, &o.decision
-	if !o.taken.Open() {
-		*o.taken = c.d.figures.Start(d.Class.Name)
+	if !o.metric.Open() {
+		*o.metric = c.daemon.metrics.Start(d.Class.Name)
 	}
 	req := c.req
 	req.Class, req.Timeout = d.Class, min(req.Timeout, d.Class.Deadline)
@@ -175,34 +175,34 @@
 	if c.r.Method == http.MethodGet {
 		req.Target, _, _ = strings.Cut(req.Target, "?")
 	}
-	if c.svc.door.Load() != nil { // which remembers its promises by it: all operations have one path
+	if c.service.admission.Load() != nil { // which remembers its promises by it: all operations have one path
 		req.IdempotencyKey = strconv.FormatUint(xxhash.Sum64(d.Body), 16)
 	}
-	o.pool = c.svc.pool
+	o.pool = c.service.pool
 	o.request = upstream.NewRequest(req.Method, req.Target, req.Host, req.Header, d.Body)
-	o.request.Gate = &presence{lease: c.lease, ctx: c.r.Context(), leave: c.leave}
-	o.request.Written, o.request.CompleteOnly = c.d.figures.AttemptSent, true
-	pass, refused := c.door(c.r, c.svc, &req, c.begun, len(d.Body))
+	o.request.Gate = &clientGate{routeGate: c.gate, ctx: c.r.Context(), cancel: c.cancel}
+	o.request.Written, o.request.CompleteOnly = c.daemon.metrics.AttemptSent, true
+	pass, refused := c.awaitAdmission(c.r, c.service, &req, c.startedAt, len(d.Body))
 	if refused != nil {
 		o.answer = *refused
 	} else {
-		call := engine.Call{ID: o.id, Class: req.Class.Name, Tenant: req.Tenant, CostHint: req.CostHint, Deadline: c.begun + req.Timeout}
-		if k := c.svc.keyed(d.Class, d.Key); k != nil {
-			o.begun.Add(1) // its attempts, and those of others with its key, are counted elsewhere: any may run
-			o.answer, o.conflict = answerOf(c.svc.once(c.r.Context(), k, call, d.Key, req.Method, req.Target, d.Body, func() (engine.Transport, func()) {
-				x := &operation{exchange: exchange{pool: o.pool, request: o.request}, call: c, decision: *d}
-				return x, x.end
+		call := engine.Call{ID: o.id, Class: req.Class.Name, Tenant: req.Tenant, CostHint: req.CostHint, Deadline: c.startedAt + req.Timeout}
+		if k := c.service.executorFor(d.Class, d.Key); k != nil {
+			o.started.Add(1) // its attempts, and those of others with its key, are counted elsewhere: any may run
+			o.answer, o.conflict = answerFor(c.service.executeOnce(c.r.Context(), k, call, d.Key, req.Method, req.Target, d.Body, func() (engine.Transport, func()) {
+				x := &operation{transport: transport{pool: o.pool, request: o.request}, call: c, decision: *d}
+				return x, x.release
 			}))
 			pass.Done(controller.OutcomeOf(o.answer))
 			return
 		}
-		c.svc.probes.before(c.r.Context())
-		o.answer = c.svc.engine.Do(c.r.Context(), call, o)
+		c.service.loadProbing.beforeRequest(c.r.Context())
+		o.answer = c.service.engine.Do(c.r.Context(), call, o)
 		pass.Done(controller.OutcomeOf(o.answer))
 	}
 	switch o.answer.Kind {
 	case engine.Rejected, engine.Failed, engine.EngineClosed:
-		o.unsent = c.lease.ended.Load() && o.begun.Load() == 0 && c.r.Context().Err() == nil && !c.stopping.Load()
+		o.notSent = c.gate.closed.Load() && o.started.Load() == 0 && c.r.Context().Err() == nil && !c.stopping.Load()
 	}
 }
 
@@ -239,17 +239,17 @@
 func (o *operation) fail(rep *upstream.Response) {
 	o.failedMu.Lock()
 	defer o.failedMu.Unlock()
-	o.failed = rep
+	o.failedResponse = rep
 }
 
-// told is a node's own word of its failure, where that is what the operation ended with.
-func (o *operation) told() *upstream.Response {
+// upstreamFailure is a node's own word of its failure, where that is what the operation ended with.
+func (o *operation) upstreamFailure() *upstream.Response {
 	o.failedMu.Lock()
 	defer o.failedMu.Unlock()
 	if o.answer.Kind != engine.Failed {
 		return nil
 	}
-	return o.failed
+	return o.failedResponse
 }
 
 // outcome words how an operation ended that no node's answer stands for.
@@ -259,7 +259,7 @@
 	}
 	switch o.answer.Kind {
 	case engine.Rejected:
-		if o.decision.Class.Idempotency == balancer.IdempotentWithKey && o.begun.Load() > 0 { // whoever asks again finds the group that drops repeats
+		if o.decision.Class.Idempotency == balancer.IdempotentWithKey && o.started.Load() > 0 { // whoever asks again finds the group that drops repeats
 			return say(http.StatusServiceUnavailable, graphql.MayHaveRun, graphql.CodeRefused, "refused: it may have run; trying again with the same key is harmless")
 		}
 		return say(http.StatusServiceUnavailable, graphql.NotRun, graphql.CodeRefused, "refused: not done, trying again is harmless")
@@ -271,20 +271,20 @@
 	case engine.EngineClosed:
 		return say(http.StatusInternalServerError, graphql.NotRun, graphql.CodeFailed, "stopped")
 	case engine.ClientGone:
-		if o.begun.Load() == 0 {
+		if o.started.Load() == 0 {
 			return say(http.StatusBadGateway, graphql.NotRun, graphql.CodeFailed, "the client has left")
 		}
 	}
-	if rep := o.told(); rep != nil {
+	if rep := o.upstreamFailure(); rep != nil {
 		return http.StatusBadGateway, graphql.MayHaveRun, rep.Body
 	}
 	return say(http.StatusBadGateway, graphql.MayHaveRun, graphql.CodeFailed, "failed: it may have run")
 }
 
-// finish words the answer to a single operation.
-func (c *graphqlCall) finish(o *operation) {
+// writeOperation words the answer to a single operation.
+func (c *graphqlCall) writeOperation(o *operation) {
 	if o.answer.Kind == engine.Served {
-		c.server.finish(c.w, o.answer)
+		c.server.writeAnswer(c.w, o.answer)
 		return
 	}
 	status, _, body := o.outcome()
@@ -292,7 +292,7 @@
 	if o.answer.Kind == engine.ClientGone { // should the client be there after all, it is told
 		c.w.Header().Set("Connection", "close")
 	}
-	c.say(status, body)
+	c.writeBody(status, body)
 }
 
 func (c *graphqlCall) retryAfter(refused bool, in time.Duration) {
@@ -309,7 +309,7 @@
 			kinds[i] = graphql.Mutation // it might be one
 		}
 	}
-	parallel, release := c.places(len(entries))
+	parallel, release := c.acquireParallel(len(entries))
 	defer release()
 	b := graphql.NewBatch(kinds, problems, parallel)
 	ended := make(chan int, len(entries))
@@ -339,10 +339,10 @@
 		}
 		i := <-ended
 		o := entries[i]
-		if o.unsent {
+		if o.notSent {
 			unsent++
 		}
-		begun += int(o.begun.Load())
+		begun += int(o.started.Load())
 		ends[i], bodies[i] = c.entry(o, &room)
 		if o.answer.Kind == engine.Rejected {
 			longest = max(longest, o.answer.RetryAfter)
@@ -365,7 +365,7 @@
 		}
 		out = append(out, body...)
 	}
-	c.say(status, append(out, ']'))
+	c.writeBody(status, append(out, ']'))
 	return false
 }
 
@@ -390,18 +390,18 @@
 	return graphql.Answered, rep.Body
 }
 
-// places is how many entries may be in hand at once: the request itself has one place in the bulkhead, further ones are
+// acquireParallel is how many entries may be in hand at once: the request itself has one place in the bulkhead, further ones are
 // taken as far as they are free.
-func (c *graphqlCall) places(entries int) (int, func()) {
-	n, hand := 1, c.d.shared.inHand
+func (c *graphqlCall) acquireParallel(entries int) (int, func()) {
+	n, hand := 1, c.daemon.shared.inFlight
 	for most := min(entries, c.endpoint.Parallel()); n < most; n++ {
-		if hand != nil && !hand.TryAcquire(c.svc.name, 1) {
+		if hand != nil && !hand.TryAcquire(c.service.name, 1) {
 			break
 		}
 	}
 	return n, func() {
 		if hand != nil && n > 1 {
-			hand.Release(c.svc.name, int64(n-1))
+			hand.Release(c.service.name, int64(n-1))
 		}
 	}
 }
--- a/internal/daemon/repeats.go
+++ b/internal/daemon/idempotency.go
@@ -16,94 +16,94 @@
 	"orchiddrift/internal/upstream"
 )
 
-// repeatStep is a test's: see repeatkeeper.Options.Step.
-var repeatStep func(step string)
+// executorStep is a test's: see repeatkeeper.Options.Step.
+var executorStep func(step string)
 
-// openRepeats finds or makes the keeper of a service's keys. It outlives the service: one that a reload starts anew, or takes
+// openExecutor finds or makes the keeper of a service's keys. It outlives the service: one that a reload starts anew, or takes
 // away for a while, knows its keys again.
-func (sh *shared) openRepeats(plan config.ServicePlan) (*executor.Executor, error) {
+func (sh *sharedResources) openExecutor(plan config.ServicePlan) (*executor.Executor, error) {
 	if plan.Idempotency == nil {
 		return nil, nil
 	}
-	sh.repeatsMu.Lock()
-	defer sh.repeatsMu.Unlock()
-	if k := sh.repeats[plan.Name]; k != nil {
+	sh.executorsMu.Lock()
+	defer sh.executorsMu.Unlock()
+	if k := sh.executors[plan.Name]; k != nil {
 		k.Configure(plan.Idempotency.Options, executor.DedupWindows(&plan.Settings.Settings))
 		return k, nil
 	}
-	k, err := executor.Open(sh.filesCtx, *plan.Idempotency, plan.Name, &plan.Settings.Settings, sh.filesPatience, executor.Options{Clock: sh.clock,
-		Log: sh.log.With("service", plan.Name), Step: repeatStep})
+	k, err := executor.Open(sh.filesCtx, *plan.Idempotency, plan.Name, &plan.Settings.Settings, sh.fileLockTimeout, executor.Options{Clock: sh.clock,
+		Log: sh.log.With("service", plan.Name), Step: executorStep})
 	if err != nil {
 		return nil, fmt.Errorf("repeats: %w", err)
 	}
-	if sh.repeats == nil {
-		sh.repeats = map[string]*executor.Executor{}
+	if sh.executors == nil {
+		sh.executors = map[string]*executor.Executor{}
 	}
-	sh.repeats[plan.Name] = k
+	sh.executors[plan.Name] = k
 	return k, nil
 }
 
-// abortRepeats ends what waits for other processes.
-func (sh *shared) abortRepeats() {
-	sh.repeatsMu.Lock()
-	defer sh.repeatsMu.Unlock()
-	for _, k := range sh.repeats {
+// abortExecutors ends what waits for other processes.
+func (sh *sharedResources) abortExecutors() {
+	sh.executorsMu.Lock()
+	defer sh.executorsMu.Unlock()
+	for _, k := range sh.executors {
 		k.Abort()
 	}
 }
 
-// closeRepeats ends all keepers; their engines are closed.
-func (sh *shared) closeRepeats() {
-	sh.repeatsMu.Lock()
-	defer sh.repeatsMu.Unlock()
-	for _, k := range sh.repeats {
+// closeExecutors ends all keepers; their engines are closed.
+func (sh *sharedResources) closeExecutors() {
+	sh.executorsMu.Lock()
+	defer sh.executorsMu.Unlock()
+	for _, k := range sh.executors {
 		k.Close()
 	}
 }
 
-// setRepeats takes over what a plan says of repeats.
-func (s *service) setRepeats(plan config.ServicePlan) error {
-	k, err := s.shared.openRepeats(plan)
+// setExecutor takes over what a plan says of repeats.
+func (s *service) setExecutor(plan config.ServicePlan) error {
+	k, err := s.shared.openExecutor(plan)
 	if err != nil {
 		return fmt.Errorf("service %s: %w", plan.Name, err)
 	}
-	s.repeats.Store(k)
+	s.executor.Store(k)
 	return nil
 }
 
-// keyed tells whether a request's repeats are looked for.
-func (s *service) keyed(class *balancer.Class, key string) *executor.Executor {
+// executorFor tells whether a request's repeats are looked for.
+func (s *service) executorFor(class *balancer.Class, key string) *executor.Executor {
 	if class.Idempotency != balancer.IdempotentWithKey || key == "" {
 		return nil
 	}
-	return s.repeats.Load()
+	return s.executor.Load()
 }
 
-// attempts are a keyed request's: what may have run is noted before it is sent.
-type attempts struct {
+// idempotentTransport are a keyed request's: what may have run is noted before it is sent.
+type idempotentTransport struct {
 	engine.Transport
-	s      *service
-	sends  executor.AttemptRecorder
-	mayRun *atomic.Int64 // of them, so many
+	service    *service
+	recorder   executor.AttemptRecorder
+	mayHaveRun *atomic.Int64 // of them, so many
 }
 
 // RoundTrip is engine.Transport's.
-func (c attempts) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
-	x := idempotency.Attempt{Zone: a.Zone, Cell: a.Cell, SentAt: c.s.shared.clock.Now()}
-	c.sends.AttemptStarted(x)
-	c.mayRun.Add(1)
+func (c idempotentTransport) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
+	x := idempotency.Attempt{Zone: a.Zone, Cell: a.Cell, SentAt: c.service.shared.clock.Now()}
+	c.recorder.AttemptStarted(x)
+	c.mayHaveRun.Add(1)
 	r := c.Transport.RoundTrip(ctx, a)
 	switch r.Result {
 	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
-		c.sends.AttemptNotSent(x)
-		c.mayRun.Add(-1)
+		c.recorder.AttemptNotSent(x)
+		c.mayHaveRun.Add(-1)
 	}
 	return r
 }
 
-// once gives a keyed request the end of the first one of its key. It runs apart from its clients where it is the first: carrier makes
+// executeOnce gives a keyed request the end of the first one of its key. It runs apart from its clients where it is the first: carrier makes
 // what carries out its attempts, and end gives back what those held.
-func (s *service) once(ctx context.Context, k *executor.Executor, call engine.Call, key, method, target string, body []byte,
+func (s *service) executeOnce(ctx context.Context, k *executor.Executor, call engine.Call, key, method, target string, body []byte,
 	carrier func() (c engine.Transport, end func())) executor.Result {
 	h := sha256.New()
 	fmt.Fprintf(h, "%s\x00%s\x00", method, target) // a hash takes everything
@@ -119,7 +119,7 @@
 			}
 			call.Interest = wanted
 			var mayRun atomic.Int64
-			a := s.engine.Do(context.Background(), call, attempts{c, s, sends, &mayRun})
+			a := s.engine.Do(context.Background(), call, idempotentTransport{c, s, sends, &mayRun})
 			switch a.Kind {
 			case engine.Served:
 				rep := a.Value.(*upstream.Response)
@@ -135,11 +135,11 @@
 		})
 }
 
-// replayed marks an answer that an earlier request of its key has had.
-const replayed = "Idempotent-Replayed"
+// replayedHeader marks an answer that an earlier request of its key has had.
+const replayedHeader = "Idempotent-Replayed"
 
-// answerOf is a Result as the engine would have told it; conflict is not 0 where it has no word for it.
-func answerOf(r executor.Result) (a engine.Answer, conflict int) {
+// answerFor is a Result as the engine would have told it; conflict is not 0 where it has no word for it.
+func answerFor(r executor.Result) (a engine.Answer, conflict int) {
 	switch {
 	case r.ClientLeft:
 		return engine.Answer{Kind: engine.ClientGone}, 0
@@ -150,7 +150,7 @@
 			if rep.Header == nil {
 				rep.Header = http.Header{}
 			}
-			rep.Header.Set(replayed, "true")
+			rep.Header.Set(replayedHeader, "true")
 		}
 		return engine.Answer{Kind: engine.Served, Value: rep}, 0
 	case r.Verdict == idempotency.Reject:
--- a/internal/daemon/reading.go
+++ b/internal/daemon/metrics.go
@@ -5,12 +5,12 @@
 	"orchiddrift/internal/metrics"
 )
 
-// read reads the figures. The upstreams are those of all services, and which of them are avoided is the module's own word; those
+// readMetrics reads the figures. The upstreams are those of all services, and which of them are avoided is the module's own word; those
 // that drain are avoided too.
-func (d *daemon) read() metrics.Reading {
-	f := d.figures.Read()
+func (d *daemon) readMetrics() metrics.Reading {
+	f := d.metrics.Read()
 	for _, s := range d.routing.Load().services {
-		ready, leaving := 0, s.dir.DrainingCount()
+		ready, leaving := 0, s.registry.DrainingCount()
 		for _, u := range s.engine.View() {
 			ready++
 			if u.TrialOnly {
@@ -32,8 +32,8 @@
 	return f
 }
 
-// endOf is a final answer as the figures count it.
-func endOf(k engine.AnswerKind) metrics.Outcome {
+// metricOutcome is a final answer as the figures count it.
+func metricOutcome(k engine.AnswerKind) metrics.Outcome {
 	switch k {
 	case engine.Served:
 		return metrics.Completed
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -24,7 +24,7 @@
 			return
 		}
 		err := d.reload(files)
-		d.figures.ConfigReloaded(err == nil)
+		d.metrics.ConfigReloaded(err == nil)
 		if err != nil {
 			d.log.Error("reload: the old configuration stays", "reason", err)
 		}
@@ -73,8 +73,8 @@
 
 // apply makes a plan the one that runs, all of it or nothing.
 func (d *daemon) apply(p *config.Plan) (err error) {
-	d.applying.Lock()
-	defer d.applying.Unlock()
+	d.reloadMu.Lock()
+	defer d.reloadMu.Unlock()
 	if d.ended {
 		return errors.New("the process is ending")
 	}
@@ -86,17 +86,17 @@
 	for _, plan := range p.Services {
 		if now != nil {
 			if s := now.services[plan.Name]; s != nil && s.plan.Same(&plan) {
-				move, err := s.move(plan)
+				move, err := s.prepareMove(plan)
 				if err == nil {
 					services[plan.Name] = s
 					if move != nil {
 						moves = append(moves, move)
 					}
 					moves = append(moves, func() {
-						if err := s.setDoor(plan); err != nil { // the file's check has tried it
+						if err := s.setAdmission(plan); err != nil { // the file's check has tried it
 							d.log.Error("reload", "service", plan.Name, "reason", err)
 						}
-						if err := s.setRepeats(plan); err != nil {
+						if err := s.setExecutor(plan); err != nil {
 							d.log.Error("reload", "service", plan.Name, "reason", err)
 						}
 						s.plan.Admission, s.plan.Idempotency = plan.Admission, plan.Idempotency
@@ -143,7 +143,7 @@
 		started = append(started, s)
 		services[plan.Name] = s
 	}
-	takeKeys, err := d.prepareKeys(p)
+	takeKeys, err := d.prepareCredentials(p)
 	if err != nil {
 		return err
 	}
@@ -151,7 +151,7 @@
 	// From here on nothing fails.
 	for _, plan := range p.Services {
 		for _, class := range plan.Settings.Classes {
-			d.figures.Add(class.Name)
+			d.metrics.Add(class.Name)
 		}
 	}
 	next, ended := now.next(p.Table, services, p.Endpoints, p.BodyTimeout)
@@ -160,11 +160,11 @@
 	}
 	takeKeys()
 	d.routing.Store(next)
-	endAll(ended)
+	closeGates(ended)
 	if now != nil {
 		for name, s := range now.services {
 			if services[name] != s {
-				d.finish(s)
+				d.retireService(s)
 			}
 		}
 	}
@@ -172,20 +172,20 @@
 	return nil
 }
 
-// finish lets a service that has been taken away finish what it holds, with its share until then.
-func (d *daemon) finish(s *service) {
-	if d.leaving == nil {
-		d.leaving = map[*service]bool{}
+// retireService lets a service that has been taken away finish what it holds, with its share until then.
+func (d *daemon) retireService(s *service) {
+	if d.retiringServices == nil {
+		d.retiringServices = map[*service]bool{}
 	}
-	d.leaving[s] = true
+	d.retiringServices[s] = true
 	patience := longestDeadline(d.plan) + time.Second
-	d.retiring.Go(func() {
+	d.retirements.Go(func() {
 		s.retire(patience)
-		d.applying.Lock()
-		defer d.applying.Unlock()
-		delete(d.leaving, s)
+		d.reloadMu.Lock()
+		defer d.reloadMu.Unlock()
+		delete(d.retiringServices, s)
 		if d.routing.Load().services[s.name] == nil {
-			d.shared.slots.OnContention(s.name, nil)
+			d.shared.connectionSlots.OnContention(s.name, nil)
 		}
 		_ = d.setShares(d.plan.Guaranteed, d.plan.Services) // fewer than there were
 	})
@@ -200,10 +200,10 @@
 	return longest
 }
 
-// prepareKeys reads what the clients' listener is to show, where that is another one; the returned function takes it
+// prepareCredentials reads what the clients' listener is to show, where that is another one; the returned function takes it
 // over.
-func (d *daemon) prepareKeys(p *config.Plan) (func(), error) {
-	if !p.TLS.Enabled() || d.keys.Load() != nil && reflect.DeepEqual(p.TLS, d.plan.TLS) {
+func (d *daemon) prepareCredentials(p *config.Plan) (func(), error) {
+	if !p.TLS.Enabled() || d.credentials.Load() != nil && reflect.DeepEqual(p.TLS, d.plan.TLS) {
 		return func() {}, nil
 	}
 	store, err := tlscredentials.Open(tlscredentials.Files{Certificate: p.TLS.Certificate, Key: p.TLS.Key, CA: p.TLS.ClientCA},
@@ -212,13 +212,13 @@
 		return nil, fmt.Errorf("tls: %w", err)
 	}
 	return func() {
-		if d.stopKeys != nil {
-			d.stopKeys()
+		if d.stopCredentials != nil {
+			d.stopCredentials()
 		}
-		ctx, stop := context.WithCancel(d.rest)
-		d.stopKeys = stop
-		d.besides.Go(func() { store.Run(ctx) })
-		d.keys.Store(store)
-		d.tls.Store(tlscredentials.Server(store, p.TLS))
+		ctx, stop := context.WithCancel(d.background)
+		d.stopCredentials = stop
+		d.backgroundTasks.Go(func() { store.Run(ctx) })
+		d.credentials.Store(store)
+		d.tlsConfig.Store(tlscredentials.Server(store, p.TLS))
 	}, nil
 }
--- a/internal/daemon/repeats_shared_test.go
+++ b/internal/daemon/repeats_shared_test.go
@@ -31,7 +31,7 @@
 	for i, r := range []*fileRig{a, b, b, a} {
 		go func() {
 			status, body, head := pay(t.Context(), r, "/record/1", "k1", "5")
-			ends <- fmt.Sprint(status, body, head.Get(replayed))
+			ends <- fmt.Sprint(status, body, head.Get(replayedHeader))
 		}()
 		if i == 0 {
 			testutil.Eventually(t, "it runs", func() bool { return p.came.Load() == 1 })
@@ -106,7 +106,7 @@
 			for range 5 {
 				go try(b)
 			}
-			testutil.Eventually(t, "its repeats are in hand", func() bool { return b.d.routing.Load().services["pay"].held.Load() >= 5 })
+			testutil.Eventually(t, "its repeats are in hand", func() bool { return b.d.routing.Load().services["pay"].inFlight.Load() >= 5 })
 			b.stop()
 			time.AfterFunc(100*time.Millisecond, func() { p.let <- "paid" })
 			for range 6 {
@@ -235,7 +235,7 @@
 			known := func() {
 				t.Helper()
 				for n := range 20 {
-					if status, _, head := pay(t.Context(), r, "/record/1", fmt.Sprint(n), "5"); status != 200 || head.Get(replayed) == "" {
+					if status, _, head := pay(t.Context(), r, "/record/1", fmt.Sprint(n), "5"); status != 200 || head.Get(replayedHeader) == "" {
 						t.Errorf("payment %d again: %d", n, status)
 					}
 				}
--- a/internal/daemon/repeats_test.go
+++ b/internal/daemon/repeats_test.go
@@ -348,7 +348,7 @@
 	if odd.Load() > 0 {
 		t.Errorf("%d answers of another kind", odd.Load())
 	}
-	k := r.d.routing.Load().services["pay"].repeats.Load()
+	k := r.d.routing.Load().services["pay"].executor.Load()
 	testutil.Eventually(t, "nothing runs", func() bool { _, _, running := k.Stats(); return running == 0 })
 	keys, bytes, _ := k.Stats()
 	t.Logf("%d tries, %d payments recorded, %d served; %d keys of %d bytes", tries.Load(), ledger.Operations("record"), served.Load(), keys, bytes)
@@ -364,7 +364,7 @@
 	if path == "" {
 		t.Skip("it is run by TestRepeatsKilled")
 	}
-	repeatStep = func(step string) {
+	executorStep = func(step string) {
 		if step == os.Getenv(childStep) {
 			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // nothing comes after it
 			select {}
--- a/internal/daemon/scale_test.go
+++ b/internal/daemon/scale_test.go
@@ -37,9 +37,9 @@
 	}
 	for b.Loop() {
 		p := plan(b, manyServices(200))
-		d := &daemon{plan: p, log: logging.Discard(), rest: b.Context()}
+		d := &daemon{plan: p, log: logging.Discard(), background: b.Context()}
 		before, goroutines := heap(), runtime.NumGoroutine()
-		if err := d.share(2032); err != nil {
+		if err := d.newSharedResources(2032); err != nil {
 			b.Fatal(err)
 		}
 		if err := d.apply(p); err != nil {
@@ -47,7 +47,7 @@
 		}
 		b.ReportMetric((heap()-before)/200, "heap-B/service")
 		b.ReportMetric(float64(runtime.NumGoroutine()-goroutines)/200, "goroutines/service")
-		d.end()
+		d.endServices()
 	}
 }
 
@@ -77,14 +77,14 @@
 	for name, text := range map[string]func(int) string{"5000-endpoints": endpoints, "10000-routes": routes} {
 		b.Run(name, func(b *testing.B) {
 			p := plan(b, text(0))
-			d := &daemon{plan: p, log: logging.Discard(), rest: b.Context()}
-			if err := d.share(496); err != nil {
+			d := &daemon{plan: p, log: logging.Discard(), background: b.Context()}
+			if err := d.newSharedResources(496); err != nil {
 				b.Fatal(err)
 			}
 			if err := d.apply(p); err != nil {
 				b.Fatal(err)
 			}
-			defer d.end()
+			defer d.endServices()
 			path, turn := base.File(b, "o.toml", nil), 0
 			for b.Loop() {
 				turn++
@@ -144,7 +144,7 @@
 			})
 		}
 		s := r.d.routing.Load().services["a"]
-		base.Eventually(b, "the hung one has its requests in hand", func() bool { return r.d.shared.inHand.Used(s.name) >= 40 })
+		base.Eventually(b, "the hung one has its requests in hand", func() bool { return r.d.shared.inFlight.Used(s.name) >= 40 })
 		beside := p99()
 		ratios = append(ratios, float64(beside)/float64(alone))
 		close(stop)
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -242,7 +242,7 @@
 func TestSilentConnectionsGiveWayFirst(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	c := testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"))
-	c.Limits.Sockets = ownSockets + 2*4
+	c.Limits.Sockets = reservedDescriptors + 2*4
 	r := start(t, c, "127.0.0.1:0")
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
@@ -290,12 +290,12 @@
 // deadline that fires as the body ends does the same.
 func TestEndedContextIsAnswered(t *testing.T) {
 	c := testutil.Config(t, "127.0.0.1:1")
-	d := &daemon{plan: c.Plan(), log: logging.Discard(), rest: t.Context()}
-	if err := errors.Join(d.share(8), d.apply(d.plan)); err != nil {
+	d := &daemon{plan: c.Plan(), log: logging.Discard(), background: t.Context()}
+	if err := errors.Join(d.newSharedResources(8), d.apply(d.plan)); err != nil {
 		t.Fatal(err)
 	}
-	defer d.end()
-	s := &server{d: d, ids: newIDs(1), course: newCourse(d.shared.clock, 0, nil)}
+	defer d.endServices()
+	s := &server{daemon: d, ids: newRequestIDs(1), lifecycleDriver: newLifecycleDriver(d.shared.clock, 0, nil)}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	req := httptest.NewRequest(http.MethodGet, "/search/1", nil).WithContext(ctx)
@@ -311,7 +311,7 @@
 func TestClientConnectionLimit(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	c := testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"))
-	c.Limits.Sockets = ownSockets + 2*3
+	c.Limits.Sockets = reservedDescriptors + 2*3
 	r := start(t, c, "127.0.0.1:0")
 	var clients []*http.Client
 	for range 8 {
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -33,33 +33,33 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// shared is what the services of a daemon have in common.
-type shared struct {
-	clock       clock.Clock
-	log         *slog.Logger
-	slots       *bulkhead.Semaphore // connections to upstreams
-	inHand      *bulkhead.Semaphore // requests; nil: only the connections bound them
-	bytes       *bulkhead.Semaphore // of bodies, both ways; nil: not counted
-	spool       *semaphore.Weighted // bytes of bodies beyond keptAlways
-	spoolSize   int64
-	maxAnswer   int
-	seed        uint64
-	name        string // the process's
-	connections int    // to upstreams, at most
+// sharedResources is what the services of a daemon have in common.
+type sharedResources struct {
+	clock           clock.Clock
+	log             *slog.Logger
+	connectionSlots *bulkhead.Semaphore // connections to upstreams
+	inFlight        *bulkhead.Semaphore // requests; nil: only the connections bound them
+	bodyBytes       *bulkhead.Semaphore // of bodies, both ways; nil: not counted
+	bodySpool       *semaphore.Weighted // bytes of bodies beyond alwaysBufferedBytes
+	spoolSize       int64
+	maxAnswerBytes  int
+	seed            uint64
+	name            string // the process's
+	connections     int    // to upstreams, at most
 
-	interlude yielding.Yielder // of long bodies and answers
+	yielder yielding.Yielder // of long bodies and answers
 
-	repeatsMu sync.Mutex
-	repeats   map[string]*executor.Executor // by service
+	executorsMu sync.Mutex
+	executors   map[string]*executor.Executor // by service
 
 	// For how long files that another process holds are waited for. They change before the first reload, and not after.
-	filesCtx      context.Context
-	filesPatience time.Duration
+	filesCtx        context.Context
+	fileLockTimeout time.Duration
 }
 
-// rest notes what of a long body or answer has been passed on, and has its transfer rest where that is due.
-func (sh *shared) rest(n int) {
-	if d := sh.interlude.Transferred(sh.clock.Now(), n); d > 0 {
+// yieldAfter notes what of a long body or answer has been passed on, and has its transfer rest where that is due.
+func (sh *sharedResources) yieldAfter(n int) {
+	if d := sh.yielder.Transferred(sh.clock.Now(), n); d > 0 {
 		time.Sleep(d)
 	}
 }
@@ -67,51 +67,51 @@
 // service is one service's module, list and connections. It is used by requests that hold it (enter) and ended by
 // retire, once none does.
 type service struct {
-	plan    config.ServicePlan
-	shared  *shared
-	name    string // of it in the semaphores, and of the one that it replaced
-	engine  *engine.Engine
-	pool    *upstream.Pool
-	dir     *endpoints.Registry
-	feed    *discovery.RegistrySink
-	narrow  *discovery.SubsetSink                 // before the feed; nil: every upstream is its own
-	asked   atomic.Int64                          // requests so far
-	repeats atomic.Pointer[executor.Executor]     // nil: repeats are not looked for
-	probes  *probing                              // nil: nobody is probed
-	keys    *tlscredentials.Store                 // nil: connections are not encrypted
-	door    atomic.Pointer[controller.Controller] // nil: there is none
+	plan         config.ServicePlan
+	shared       *sharedResources
+	name         string // of it in the semaphores, and of the one that it replaced
+	engine       *engine.Engine
+	pool         *upstream.Pool
+	registry     *endpoints.Registry
+	registrySink *discovery.RegistrySink
+	subsetSink   *discovery.SubsetSink                 // before the feed; nil: every upstream is its own
+	requests     atomic.Int64                          // requests so far
+	executor     atomic.Pointer[executor.Executor]     // nil: repeats are not looked for
+	loadProbing  *loadProbing                          // nil: nobody is probed
+	credentials  *tlscredentials.Store                 // nil: connections are not encrypted
+	admission    atomic.Pointer[controller.Controller] // nil: there is none
 
 	stop    context.CancelFunc // of what runs beside requests
 	running sync.WaitGroup
 
-	mu         sync.Mutex // of the source
-	source     discovery.Source
-	wanted     bool // the module has asked for the list, and nobody has been told
-	stopSource context.CancelFunc
-	sourceDone chan struct{}
+	mu            sync.Mutex // of the source
+	source        discovery.Source
+	refreshWanted bool // the module has asked for the list, and nobody has been told
+	stopSource    context.CancelFunc
+	sourceDone    chan struct{}
 
-	held    atomic.Int64
-	retired atomic.Bool
-	idle    chan struct{} // gets something when held may have fallen to 0 after retired
+	inFlight atomic.Int64
+	retired  atomic.Bool
+	released chan struct{} // gets something when held may have fallen to 0 after retired
 }
 
 // startService starts one whose shares have been set. known is a list held by an earlier one.
-func startService(plan config.ServicePlan, sh *shared, known *endpoints.List) (*service, error) {
-	s := &service{plan: plan, shared: sh, name: plan.Name, idle: make(chan struct{}, 1)}
+func startService(plan config.ServicePlan, sh *sharedResources, known *endpoints.List) (*service, error) {
+	s := &service{plan: plan, shared: sh, name: plan.Name, released: make(chan struct{}, 1)}
 	log := sh.log
 	if plan.Name != config.Platform {
 		log = log.With("service", plan.Name)
 	}
-	o := upstream.Options{ConnectTimeout: plan.Settings.ConnectTimeout, IdleTimeout: plan.Settings.ConnIdleTimeout, ConnectionSlots: sh.slots,
-		Service: plan.Name, AnswerBytes: sh.bytes, MaxAnswerBytes: sh.maxAnswer, SuccessStatuses: plan.SuccessStatuses}
+	o := upstream.Options{ConnectTimeout: plan.Settings.ConnectTimeout, IdleTimeout: plan.Settings.ConnIdleTimeout, ConnectionSlots: sh.connectionSlots,
+		Service: plan.Name, AnswerBytes: sh.bodyBytes, MaxAnswerBytes: sh.maxAnswerBytes, SuccessStatuses: plan.SuccessStatuses}
 	if plan.TLS.Enabled() {
 		var err error
-		s.keys, err = tlscredentials.Open(tlscredentials.Files{Certificate: plan.TLS.Certificate, Key: plan.TLS.Key, CA: plan.TLS.CA},
+		s.credentials, err = tlscredentials.Open(tlscredentials.Files{Certificate: plan.TLS.Certificate, Key: plan.TLS.Key, CA: plan.TLS.CA},
 			plan.TLS.WarnBefore.D(), log)
 		if err != nil {
 			return nil, fmt.Errorf("service %s: %w", plan.Name, err)
 		}
-		o.TLS = tlscredentials.NewClient(s.keys, plan.TLS)
+		o.TLS = tlscredentials.NewClient(s.credentials, plan.TLS)
 	}
 	if plan.Prewarm.Enabled {
 		o.Prewarmer = prewarm.New(plan.Prewarm, sh.connections, rand.New(rand.NewPCG(sh.seed, xxhash.Sum64String("warm/"+plan.Name))))
@@ -121,34 +121,34 @@
 		return nil, fmt.Errorf("service %s: %w", plan.Name, err)
 	}
 	s.pool = upstream.New(o)
-	s.dir = endpoints.New(sh.clock, s.pool.CloseUpstream)
-	s.pool.SetRegistry(s.dir)
-	s.feed = discovery.NewRegistrySink(s.dir, func(m balancer.EndpointUpdate) { s.engine.Update(m) })
+	s.registry = endpoints.New(sh.clock, s.pool.CloseUpstream)
+	s.pool.SetRegistry(s.registry)
+	s.registrySink = discovery.NewRegistrySink(s.registry, func(m balancer.EndpointUpdate) { s.engine.Update(m) })
 	if plan.Subset.Enabled {
 		self := fmt.Sprintf("%s/%016x", sh.name, sh.seed)
-		s.narrow = discovery.NewSubsetSink(subset.New(plan.Subset, self, plan.Settings.Zone, sh.connections), s.feed, s.asked.Load)
+		s.subsetSink = discovery.NewSubsetSink(subset.New(plan.Subset, self, plan.Settings.Zone, sh.connections), s.registrySink, s.requests.Load)
 		if list != nil {
-			list = s.narrow.Load(list)
+			list = s.subsetSink.Load(list)
 		}
 	}
 	var first balancer.EndpointUpdate
 	if list != nil {
-		first = s.feed.Apply(list)
+		first = s.registrySink.Apply(list)
 	}
 	seed := sh.seed
 	if plan.Name != config.Platform { // services draw apart
 		seed ^= xxhash.Sum64String(plan.Name)
 	}
 	s.engine, err = engine.New(engine.Options{Settings: plan.Settings.Settings, Seed: seed, Clock: sh.clock,
-		CachedEndpoints: first.Endpoints, Subscribe: s.ask, WaitForUpdates: s.feed.WaitForUpdates, Log: log})
+		CachedEndpoints: first.Endpoints, Subscribe: s.requestRefresh, WaitForUpdates: s.registrySink.WaitForUpdates, Log: log})
 	if err != nil {
 		s.pool.Close()
 		return nil, fmt.Errorf("service %s: %w", plan.Name, err)
 	}
 	if plan.LoadProbe.Enabled {
-		s.probes = newProbing(s, plan.LoadProbe, rand.New(rand.NewPCG(sh.seed, xxhash.Sum64String("probe/"+plan.Name))))
+		s.loadProbing = newLoadProbing(s, plan.LoadProbe, rand.New(rand.NewPCG(sh.seed, xxhash.Sum64String("probe/"+plan.Name))))
 	}
-	if err := errors.Join(s.setDoor(plan), s.setRepeats(plan)); err != nil {
+	if err := errors.Join(s.setAdmission(plan), s.setExecutor(plan)); err != nil {
 		s.engine.Close()
 		s.pool.Close()
 		return nil, fmt.Errorf("service %s: %w", plan.Name, err)
@@ -157,28 +157,28 @@
 	s.stop = stop
 	s.running.Go(func() { s.pool.Sweep(ctx) })
 	s.running.Go(func() { s.pool.Prewarm(ctx, sh.clock) })
-	if s.keys != nil {
-		s.running.Go(func() { s.keys.Run(ctx) })
+	if s.credentials != nil {
+		s.running.Go(func() { s.credentials.Run(ctx) })
 	}
-	if s.narrow != nil {
-		s.running.Go(func() { s.narrow.Run(ctx) })
+	if s.subsetSink != nil {
+		s.running.Go(func() { s.subsetSink.Run(ctx) })
 	}
 	s.follow(source)
 	return s, nil
 }
 
-// setDoor takes over what a plan says of the door: another one keeps who waits, none lets them on.
-func (s *service) setDoor(plan config.ServicePlan) error {
-	now := s.door.Load()
+// setAdmission takes over what a plan says of the door: another one keeps who waits, none lets them on.
+func (s *service) setAdmission(plan config.ServicePlan) error {
+	now := s.admission.Load()
 	if plan.Admission != nil { // before the bulkhead, which knows no principals, has to turn anybody away
-		o, part := *plan.Admission, max(1, (s.shared.connections-s.shared.connections/handSpare)/2)
+		o, part := *plan.Admission, max(1, (s.shared.connections-s.shared.connections/idleConnectionFraction)/2)
 		o.MaxQueued, o.MaxLimit = min(o.MaxQueued, part), min(o.MaxLimit, part)
 		o.MinLimit = min(o.MinLimit, o.MaxLimit)
 		plan.Admission = &o
 	}
 	switch {
 	case plan.Admission == nil && now != nil:
-		s.door.Store(nil)
+		s.admission.Store(nil)
 		now.AdmitAll()
 	case plan.Admission != nil && now != nil:
 		return now.Configure(*plan.Admission)
@@ -189,14 +189,14 @@
 		if err != nil {
 			return fmt.Errorf("door: %w", err)
 		}
-		s.door.Store(k)
+		s.admission.Store(k)
 	}
 	return nil
 }
 
 // abort gives everything in hand its answer: the process is about to be killed.
 func (s *service) abort() {
-	if k := s.door.Load(); k != nil {
+	if k := s.admission.Load(); k != nil {
 		k.Close()
 	}
 	s.engine.Abort()
@@ -206,7 +206,7 @@
 // registries list upstreams too, it is the source of the merged list.
 func (s *service) openSource(plan config.ServicePlan, known *endpoints.List, log *slog.Logger) (*endpoints.List,
 	discovery.Source, error) {
-	list, own, err := openOwn(plan, known, s.shared.seed^xxhash.Sum64String("list/"+plan.Name), log)
+	list, own, err := openOwnSource(plan, known, s.shared.seed^xxhash.Sum64String("list/"+plan.Name), log)
 	if err != nil || len(plan.Registries) == 0 {
 		return list, own, err
 	}
@@ -235,8 +235,8 @@
 	return eureka.New(r, plan.Settings.ConnectTimeout, s.shared.seed^xxhash.Sum64String(r.Name), log)
 }
 
-// openOwn is openSource for the list that is no registry's.
-func openOwn(plan config.ServicePlan, known *endpoints.List, seed uint64, log *slog.Logger) (*endpoints.List, discovery.Source, error) {
+// openOwnSource is openSource for the list that is no registry's.
+func openOwnSource(plan config.ServicePlan, known *endpoints.List, seed uint64, log *slog.Logger) (*endpoints.List, discovery.Source, error) {
 	switch {
 	case plan.Discovery != "":
 		list := plan.InitialEndpoints
@@ -269,8 +269,8 @@
 	if s.source = source; source == nil {
 		return
 	}
-	if s.wanted { // the module asks as it is made, before there is a source
-		s.wanted = false
+	if s.refreshWanted { // the module asks as it is made, before there is a source
+		s.refreshWanted = false
 		source.Refresh()
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -284,10 +284,10 @@
 
 // sink is where lists go.
 func (s *service) sink() endpoints.Sink {
-	if s.narrow != nil {
-		return s.narrow
+	if s.subsetSink != nil {
+		return s.subsetSink
 	}
-	return s.feed
+	return s.registrySink
 }
 
 // watcher is what follows the service's list at a discovery; nil: there is none.
@@ -302,20 +302,20 @@
 	return w
 }
 
-// ask is the module's wish for the list.
-func (s *service) ask() {
+// requestRefresh is the module's wish for the list.
+func (s *service) requestRefresh() {
 	go func() { // it must not block, and follow may hold the lock for a moment
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.wanted = s.source == nil; !s.wanted {
+		if s.refreshWanted = s.source == nil; !s.refreshWanted {
 			s.source.Refresh()
 		}
 	}()
 }
 
-// move makes ready to follow another list in place of the one now, in the same service; the returned function does so.
+// prepareMove makes ready to follow another list in place of the one now, in the same service; the returned function does so.
 // It returns nil where the lists are the same.
-func (s *service) move(plan config.ServicePlan) (func(), error) {
+func (s *service) prepareMove(plan config.ServicePlan) (func(), error) {
 	was := s.plan
 	sameOwn := was.Discovery == plan.Discovery && was.ListFile == plan.ListFile &&
 		(plan.Discovery != "" || plan.ListFile != "" || reflect.DeepEqual(was.InitialEndpoints, plan.InitialEndpoints))
@@ -324,7 +324,7 @@
 		return nil, nil
 	}
 	if merged, is := s.source.(*discovery.MergedSource); is && (len(plan.Registries) > 0 || plan.Discovery != "") {
-		return s.moveMerged(merged, plan, sameOwn)
+		return s.prepareMergedMove(merged, plan, sameOwn)
 	}
 	if len(was.Registries)+len(plan.Registries) == 0 && was.Discovery != "" && plan.Discovery != "" {
 		return func() {
@@ -339,9 +339,9 @@
 	}
 	var known *endpoints.List
 	if plan.Discovery != "" { // registries come beside it
-		known = s.feed.Last()
-		if s.narrow != nil {
-			known = s.narrow.Last()
+		known = s.registrySink.Last()
+		if s.subsetSink != nil {
+			known = s.subsetSink.Last()
 		}
 	}
 	list, source, err := s.openSource(plan, known, s.shared.log)
@@ -358,8 +358,8 @@
 	}, nil
 }
 
-// moveMerged is move where registries stay or come and go beside the service's own list.
-func (s *service) moveMerged(merged *discovery.MergedSource, plan config.ServicePlan, sameOwn bool) (func(), error) {
+// prepareMergedMove is move where registries stay or come and go beside the service's own list.
+func (s *service) prepareMergedMove(merged *discovery.MergedSource, plan config.ServicePlan, sameOwn bool) (func(), error) {
 	was := s.plan
 	steps := []func(){func() { merged.Configure(plan.Membership) }}
 	var ends []func() // they come after the steps, so that nothing is missed between
@@ -374,7 +374,7 @@
 		if was.Discovery != "" && plan.Discovery != "" {
 			steps = append(steps, func() { merged.Source(ownList).(*discovery.Watcher).Redirect(plan.Discovery) })
 		} else {
-			list, own, err := openOwn(plan, nil, s.shared.seed^xxhash.Sum64String("list/"+plan.Name), s.shared.log)
+			list, own, err := openOwnSource(plan, nil, s.shared.seed^xxhash.Sum64String("list/"+plan.Name), s.shared.log)
 			if err != nil {
 				return nil, fmt.Errorf("service %s: %w", plan.Name, err)
 			}
@@ -427,21 +427,21 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// enter takes the service for a request; false: it has been retired.
-func (s *service) enter() bool {
-	s.held.Add(1)
-	s.asked.Add(1)
+// acquire takes the service for a request; false: it has been retired.
+func (s *service) acquire() bool {
+	s.inFlight.Add(1)
+	s.requests.Add(1)
 	if s.retired.Load() {
-		s.leave()
+		s.release()
 		return false
 	}
 	return true
 }
 
-func (s *service) leave() {
-	if s.held.Add(-1) == 0 && s.retired.Load() {
+func (s *service) release() {
+	if s.inFlight.Add(-1) == 0 && s.retired.Load() {
 		select {
-		case s.idle <- struct{}{}:
+		case s.released <- struct{}{}:
 		default:
 		}
 	}
@@ -452,9 +452,9 @@
 	s.retired.Store(true)
 	last := time.NewTimer(patience)
 	defer last.Stop()
-	for s.held.Load() > 0 {
+	for s.inFlight.Load() > 0 {
 		select {
-		case <-s.idle:
+		case <-s.released:
 		case <-last.C:
 			s.close()
 			return
@@ -468,10 +468,10 @@
 	s.retired.Store(true)
 	s.follow(nil)
 	s.stop()
-	if k := s.door.Load(); k != nil {
+	if k := s.admission.Load(); k != nil {
 		k.Close()
 	}
-	s.probes.close()
+	s.loadProbing.close()
 	s.engine.Close()
 	s.pool.Close()
 	s.running.Wait()
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -97,12 +97,12 @@
 func TestNothingIsSentAfterTheEnd(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	c := testutil.Config(t, "127.0.0.1:1", testutil.Entry("s", s.Address, "Ready"))
-	d := &daemon{plan: c.Plan(), log: logging.Discard(), rest: t.Context()}
-	if err := errors.Join(d.share(8), d.apply(d.plan)); err != nil {
+	d := &daemon{plan: c.Plan(), log: logging.Discard(), background: t.Context()}
+	if err := errors.Join(d.newSharedResources(8), d.apply(d.plan)); err != nil {
 		t.Fatal(err)
 	}
-	defer d.end()
-	srv := &server{d: d, ids: newIDs(1), course: newCourse(d.shared.clock, 0, nil)}
+	defer d.endServices()
+	srv := &server{daemon: d, ids: newRequestIDs(1), lifecycleDriver: newLifecycleDriver(d.shared.clock, 0, nil)}
 	ask := func() *httptest.ResponseRecorder {
 		req := httptest.NewRequest(http.MethodGet, "/search/1", nil)
 		req.Header.Set("X-Request-ID", "1")
@@ -113,7 +113,7 @@
 	if w := ask(); w.Code != 200 {
 		t.Fatalf("before: %d", w.Code)
 	}
-	srv.over.Store(true)
+	srv.aborted.Store(true)
 	if w := ask(); w.Code != http.StatusInternalServerError || w.Header().Get("Connection") != "close" {
 		t.Errorf("answered %d, %v", w.Code, w.Header())
 	}
@@ -212,7 +212,7 @@
 	t.Cleanup(d.Close)
 	c := testutil.Config(t, address)
 	const most, clients = 20, 90
-	c.Limits.Sockets, c.Control = ownSockets+2*most, base.FreeAddress(t)
+	c.Limits.Sockets, c.Control = reservedDescriptors+2*most, base.FreeAddress(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/subset_test.go
+++ b/internal/daemon/subset_test.go
@@ -50,7 +50,7 @@
 			"[service.subset]\non = true\nsidecars = %d\nindex = %d\nleast = 8\nmost = 16\naway = 0.0\n", i, path, sidecars, i))
 	}
 	places := func(r *fileRig) []string {
-		return slices.Sorted(maps.Keys(r.d.routing.Load().services["seats"].dir.Instances()))
+		return slices.Sorted(maps.Keys(r.d.routing.Load().services["seats"].registry.Instances()))
 	}
 	shared := map[string]int{}
 	for i, r := range rigs {
@@ -89,7 +89,7 @@
 	}))
 	for _, r := range rigs {
 		testutil.Eventually(t, "the drain of one", func() bool {
-			_, listed := r.d.routing.Load().services["seats"].narrow.Size()
+			_, listed := r.d.routing.Load().services["seats"].subsetSink.Size()
 			return listed == nodes && !slices.Contains(places(r), before[0])
 		})
 	}
@@ -120,7 +120,7 @@
 		t.Fatal(err)
 	}
 	d, address := startPlan(t, p)
-	own := slices.Sorted(maps.Keys(d.routing.Load().services[config.Platform].dir.Instances()))
+	own := slices.Sorted(maps.Keys(d.routing.Load().services[config.Platform].registry.Instances()))
 	if len(own) != 5 {
 		t.Fatalf("its own are %v", own)
 	}
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -172,15 +172,15 @@
 	s := e.d.routing.Load().services["a"]
 	next := base.CA(t, "two")
 	e.write(t, "ca.crt", append(append([]byte{}, e.ca.PEM...), next.PEM...))
-	before := s.keys.Current().Generation
-	testutil.Eventually(t, "both authorities", func() bool { return s.keys.Current().Generation > before })
+	before := s.credentials.Current().Generation
+	testutil.Eventually(t, "both authorities", func() bool { return s.credentials.Current().Generation > before })
 	if got := ask(); got != "200 encrypted" {
 		t.Errorf("by overlap: %s", got)
 	}
 	seen := e.seen.Load()
 	e.write(t, "ca.crt", next.PEM)
-	testutil.Eventually(t, "the new authority", func() bool { return s.keys.Current().Generation > before+1 })
-	testutil.Eventually(t, "the old connection is closed", func() bool { return e.d.shared.slots.Used(s.name) == 0 })
+	testutil.Eventually(t, "the new authority", func() bool { return s.credentials.Current().Generation > before+1 })
+	testutil.Eventually(t, "the old connection is closed", func() bool { return e.d.shared.connectionSlots.Used(s.name) == 0 })
 	if got := ask(); got != "503 refused: not done, trying again is harmless" && got != "503 refused: not done, trying again is harmless\n" {
 		t.Errorf("under a withdrawn authority: %s", got)
 	}
@@ -198,7 +198,7 @@
 	e := startEncrypted(t, "")
 	s := e.d.routing.Load().services["a"]
 	name := ""
-	for name = range s.dir.Instances() {
+	for name = range s.registry.Instances() {
 	}
 	for _, c := range []struct {
 		slow time.Duration
@@ -216,7 +216,7 @@
 		if rep := <-done; rep.Result != balancer.Cancelled && rep.Result != balancer.OK || time.Since(begun) > c.slow/2+200*time.Millisecond {
 			t.Errorf("%v: result %d after %v", c.slow, rep.Result, time.Since(begun))
 		}
-		testutil.Eventually(t, "it is kept, or closed", func() bool { return e.d.shared.slots.Used(s.name) == c.kept })
+		testutil.Eventually(t, "it is kept, or closed", func() bool { return e.d.shared.connectionSlots.Used(s.name) == c.kept })
 		if c.kept == 1 {
 			testutil.Eventually(t, "it carries the next", func() bool {
 				rep := s.pool.Attempt(t.Context(), name, upstream.NewRequest("GET", "/", "a", http.Header{}, nil), time.Time{})
