--- a/internal/admission/harness_test.go
+++ b/internal/admission/harness_test.go
@@ -180,11 +180,13 @@
 		flows = append(flows, f)
 	}
 	queued, inFlight, active := 0, 0, 0
+	bytes, backlog := int64(0), 0.0
 	for _, f := range flows {
 		if err := f.check(); err != nil {
 			return 0, fmt.Errorf("flow %q: %w", f.name, err)
 		}
 		queued, inFlight, reservations = queued+f.queued, inFlight+f.inFlight, reservations+len(f.reservations)
+		bytes, backlog = bytes+f.queuedBytes, backlog+f.backlog
 		if f.active() {
 			active++
 		}
@@ -192,23 +194,32 @@
 	if queued != g.queued || inFlight != g.inFlight || active != g.flowLevel.activeMembers || (g.queued > 0) != (g.readyIndex >= 0) {
 		return 0, fmt.Errorf("%d queued, %d in flight, %d active; %+v", queued, inFlight, active, g.member)
 	}
+	if bytes != g.queuedBytes || math.Abs(backlog-g.backlog) > backlogTolerance {
+		return 0, fmt.Errorf("flows hold %d bytes and a backlog of %v s; %+v", bytes, backlog, g.member)
+	}
 	if !g.active() && len(g.flows) == 0 && len(g.sharedFlow.reservations) == 0 && !q.groupLevel.schedulerOf(&g.member).isAhead(&g.member) {
 		return 0, fmt.Errorf("known without a reason")
 	}
 	return reservations, nil
 }
 
+// backlogTolerance is for the rounding errors of sums, in seconds.
+const backlogTolerance = 1e-9
+
 // check compares a flow's lists, counts and places in the priority queues.
 func (f *flow) check() error {
-	n := 0
+	n, bytes, backlog := 0, int64(0), 0.0
 	for _, list := range f.lists {
 		for e := list.first; e != nil; e = e.next {
 			if e.flow != f || e.state != entryQueued || e.next == nil && list.last != e {
 				return fmt.Errorf("a request is not linked correctly")
 			}
-			n++
+			n, bytes, backlog = n+1, bytes+e.bytes, backlog+e.estimatedCost
 		}
 	}
+	if bytes != f.queuedBytes || math.Abs(backlog-f.backlog) > backlogTolerance {
+		return fmt.Errorf("lists hold %d bytes and a backlog of %v s, %+v", bytes, backlog, f.member)
+	}
 	if n != f.queued || (f.queued > 0) != (f.readyIndex >= 0) || (f.queued > 0) != (f.loadIndex >= 0) || len(f.reservations) > maxFlowReservations {
 		return fmt.Errorf("%d requests in its lists, %+v", n, f.member)
 	}
