--- a/internal/idempotency/shared_record.go
+++ b/internal/idempotency/shared_record.go
@@ -6,76 +6,78 @@
 	"time"
 )
 
-// SharedRecord is a record in a store that several processes have. Its sends' times are those of the writer's wall clock, since 1970;
-// At means nothing there.
+// SharedRecord is a Record in a store that several processes share. Its attempts' SentAt are wall-clock times of the process that wrote
+// it, since the Unix epoch; UpdatedAt is not used.
 type SharedRecord struct {
 	Record
-	Owner string // the session of the process that wrote it last: while it lives, what is Running does
-	Claim string // names the claim that it was written under; it begins with ClaimName's process
+	Owner string // the session of the process that wrote it last: a Running request runs only while that session lives
+	Claim string // the name of the claim that it was written under; see ClaimName
 }
 
-// ClaimName names a process's nth claim. The process's name is the store's to give, so that none is used twice.
+// ClaimName returns the name of a process's nth claim. The shared store assigns process names so that none is used twice.
 func ClaimName(process, n string) string { return process + "/" + n }
 
-// SharedRequest is a request that this process would run, and has to claim in the store first.
+// SharedRequest is a request that this process would execute and must claim in the shared store first.
 type SharedRequest struct {
 	ID              ID
 	Fingerprint     Fingerprint
 	Process         string
-	EarlierAttempts []Attempt     // its sends that are known here: Sent is how long ago each was
-	DedupWindow     time.Duration // for which the nodes drop repeats
-	MaxClockSkew    time.Duration // by which wall clocks of processes may differ, with what a message takes; 0: they are not trusted
+	EarlierAttempts []Attempt     // the attempts known to this process; SentAt is their age
+	DedupWindow     time.Duration // for which upstreams drop repeated attempts
+	MaxClockSkew    time.Duration // bound on the difference of two processes' wall clocks plus a message's delay; 0: unknown
 }
 
-// Resolve decides on a request whose key has a record already; lives tells of its owner's session, wall is the time since 1970. Run says
-// that the request may be claimed in place of that very record, with the Prior sends, whose Sent is how long ago each was at most.
+// Resolve decides on a request whose key has a record already. ownerAlive tells whether the session of the record's owner lives, wall is
+// the wall-clock time since the Unix epoch. Execute means that the request may replace that very record by its own claim;
+// EarlierAttempts then holds attempts whose SentAt is their age, at most.
 //
-// What another process runs is waited for. If its session has ended it may have run, and where is not known, so it is never sent
-// again. What ended uncertain elsewhere may be sent again only where its age can be told: two processes have no clock in common, and so
-// none is sent unless Skew bounds how far theirs are apart.
-func (m *SharedRequest) Resolve(r *SharedRecord, lives bool, wall time.Duration) Decision {
-	mine := strings.HasPrefix(r.Claim, m.Process+"/")
+// A request that another process runs is waited for. If that process's session has ended, the request may have been executed anywhere
+// and is never executed again. A request of uncertain outcome is executed again only if the ages of its attempts are known: by the
+// process that sent them all, or by another one if MaxClockSkew bounds the difference of their clocks.
+func (r *SharedRequest) Resolve(record *SharedRecord, ownerAlive bool, wall time.Duration) Decision {
+	own := strings.HasPrefix(record.Claim, ClaimName(r.Process, ""))
+	finished := !record.Running && record.Outcome == Answered
 	switch {
-	case r.ID != m.ID || r.Fingerprint != m.Fingerprint:
+	case record.ID != r.ID || record.Fingerprint != r.Fingerprint:
 		return Decision{Verdict: Conflict}
-	case r.Running && !mine && lives:
+	case record.Running && !own && ownerAlive:
 		return Decision{Verdict: Wait}
-	case !r.Running && r.Outcome == Answered && r.Answer == nil:
+	case finished && record.Answer == nil:
 		return Decision{Verdict: AnswerNotStored}
-	case !r.Running && r.Outcome == Answered:
-		return Decision{Verdict: Replay, Answer: r.Answer}
-	case mine && m.knows(r.Attempts): // nobody had it after this process
-		return Decision{Verdict: Execute, EarlierAttempts: m.EarlierAttempts}
-	case r.Running || r.AttemptsUnknown || m.MaxClockSkew <= 0 || len(r.Attempts) == 0:
+	case finished:
+		return Decision{Verdict: Replay, Answer: record.Answer}
+	case own && r.knowsAll(record.Attempts): // no other process has claimed it since
+		return Decision{Verdict: Execute, EarlierAttempts: r.EarlierAttempts}
+	case record.Running || record.AttemptsUnknown || r.MaxClockSkew <= 0 || len(record.Attempts) == 0:
 		return Decision{Verdict: Fail}
 	}
-	prior := make([]Attempt, len(r.Attempts))
-	for i, x := range r.Attempts {
-		x.SentAt = max(0, wall-x.SentAt) + m.MaxClockSkew
-		if x.SentAt >= m.DedupWindow {
-			return Decision{Verdict: Fail}
-		}
-		prior[i] = x
-	}
-	return Decision{Verdict: Execute, EarlierAttempts: prior}
+	return r.resolveByWallClock(record.Attempts, wall)
 }
 
-// AdoptAttempts gives a running request the prior sends of another process, in place of those known: that one knew them too.
-func (s *Store) AdoptAttempts(id ID, sends []Attempt) {
-	e := s.entries[id]
-	if e == nil || e.state != running {
-		return
+// resolveByWallClock decides on a request whose attempts were sent by other processes, from their wall-clock times. A time in the
+// future counts as now; each age is increased by MaxClockSkew, so that it is an upper bound.
+func (r *SharedRequest) resolveByWallClock(attempts []Attempt, wall time.Duration) Decision {
+	aged := make([]Attempt, len(attempts))
+	for i, attempt := range attempts {
+		attempt.SentAt = max(0, wall-attempt.SentAt) + r.MaxClockSkew
+		if attempt.SentAt >= r.DedupWindow {
+			return Decision{Verdict: Fail}
+		}
+		aged[i] = attempt
 	}
-	s.grow(e, (len(sends)-len(e.sends))*perSend)
-	e.sends = append([]Attempt(nil), sends...)
+	return Decision{Verdict: Execute, EarlierAttempts: aged}
 }
 
-// knows tells whether all sends of a record are known here.
-func (m *SharedRequest) knows(sends []Attempt) bool {
-	for _, x := range sends {
-		if !slices.ContainsFunc(m.EarlierAttempts, func(own Attempt) bool { return own.Zone == x.Zone && own.Cell == x.Cell }) {
+// knowsAll reports whether this process knows all attempts of a record. Their times are on different clocks, so it compares their
+// groups of upstreams and their number.
+func (r *SharedRequest) knowsAll(attempts []Attempt) bool {
+	for _, attempt := range attempts {
+		known := slices.ContainsFunc(r.EarlierAttempts, func(own Attempt) bool {
+			return own.Zone == attempt.Zone && own.Cell == attempt.Cell
+		})
+		if !known {
 			return false
 		}
 	}
-	return len(m.EarlierAttempts) > 0 && len(sends) <= len(m.EarlierAttempts)
+	return len(r.EarlierAttempts) > 0 && len(attempts) <= len(r.EarlierAttempts)
 }
--- a/internal/idempotency/shared_record_test.go
+++ b/internal/idempotency/shared_record_test.go
@@ -1,84 +1,97 @@
 package idempotency
 
 import (
+	"slices"
 	"testing"
 	"time"
 )
 
-// What a request meets in a shared store, row by row: nothing is sent that may run, or may have run where that can't be told.
-func TestMeet(t *testing.T) {
+// TestResolve checks the decision on each kind of record: nothing is executed that may be running, or that may have been executed
+// where that can't be determined.
+func TestResolve(t *testing.T) {
 	const wall = 1000 * time.Hour
-	sent := func(ago ...time.Duration) (of []Attempt) {
-		for _, d := range ago {
-			of = append(of, Attempt{Zone: "z", SentAt: wall - d})
+	sentAgo := func(ages ...time.Duration) (attempts []Attempt) {
+		for _, age := range ages {
+			attempts = append(attempts, Attempt{Zone: "z", SentAt: wall - age})
 		}
-		return of
+		return attempts
 	}
-	prior := []Attempt{{Zone: "z", SentAt: time.Second}}
-	elsewhere := []Attempt{{Zone: "y", SentAt: time.Second}}
+	sameZone := []Attempt{{Zone: "z", SentAt: time.Second}}
+	otherZone := []Attempt{{Zone: "y", SentAt: time.Second}}
 	answer := &Answer{Status: 200}
 	for _, c := range []struct {
-		name  string
-		r     Record
-		mine  bool
-		lives bool
-		skew  time.Duration
-		prior []Attempt
-		want  Verdict
-		ages  []time.Duration
+		name       string
+		record     Record
+		own        bool // the record's claim is this process's
+		ownerAlive bool
+		skew       time.Duration
+		earlier    []Attempt
+		want       Verdict
+		wantAges   []time.Duration
 	}{
-		{"runs", Record{Running: true}, false, true, time.Second, nil, Wait, nil},
-		{"ran when its process ended", Record{Running: true}, false, false, time.Second, nil, Fail, nil},
-		{"ran again when its process ended", Record{Running: true, Attempts: sent(time.Second)}, false, false, time.Second, prior, Fail, nil},
+		{"running", Record{Running: true}, false, true, time.Second, nil, Wait, nil},
+		{"running, its process ended", Record{Running: true}, false, false, time.Second, nil, Fail, nil},
+		{"running again, its process ended", Record{Running: true, Attempts: sentAgo(time.Second)}, false, false, time.Second, sameZone, Fail, nil},
 		{"answered", Record{Answer: answer}, false, false, 0, nil, Replay, nil},
-		{"answered at length", Record{}, false, false, 0, nil, AnswerNotStored, nil},
-		{"answered here", Record{Answer: answer}, true, true, 0, prior, Replay, nil},
-		{"uncertain", Record{Outcome: MayHaveRun, Attempts: sent(2*time.Second, time.Second)}, false, false, time.Second, nil, Execute, []time.Duration{3 * time.Second, 2 * time.Second}},
-		{"uncertain, known here in part", Record{Outcome: MayHaveRun, Attempts: sent(2*time.Second, time.Second)}, false, false, time.Second, prior, Execute, []time.Duration{3 * time.Second, 2 * time.Second}},
-		{"uncertain, clocks not trusted", Record{Outcome: MayHaveRun, Attempts: sent(time.Second)}, false, false, 0, nil, Fail, nil},
-		{"uncertain, one too old", Record{Outcome: MayHaveRun, Attempts: sent(time.Second, 5*time.Second)}, false, false, time.Second, nil, Fail, nil},
-		{"uncertain, of a clock ahead", Record{Outcome: MayHaveRun, Attempts: sent(-time.Hour)}, false, false, time.Second, nil, Execute, []time.Duration{time.Second}},
-		{"uncertain, sends lost", Record{Outcome: MayHaveRun, AttemptsUnknown: true, Attempts: sent(time.Second)}, false, false, time.Second, nil, Fail, nil},
-		{"uncertain, no sends", Record{Outcome: MayHaveRun}, false, false, time.Second, nil, Fail, nil},
-		{"uncertain here", Record{Outcome: MayHaveRun, Attempts: sent(time.Second)}, true, true, 0, prior, Execute, []time.Duration{time.Second}},
-		{"uncertain here, and elsewhere before", Record{Outcome: MayHaveRun, Attempts: sent(time.Second)}, true, true, 0, elsewhere, Fail, nil},
-		{"uncertain here, and more than is known", Record{Outcome: MayHaveRun, Attempts: sent(time.Second, time.Second)}, true, true, 0, prior, Fail, nil},
-		{"its end here was not told", Record{Running: true}, true, true, 0, prior, Execute, []time.Duration{time.Second}},
-		{"ran here, forgotten", Record{Running: true}, true, true, time.Second, nil, Fail, nil},
+		{"answered, too large", Record{}, false, false, 0, nil, AnswerNotStored, nil},
+		{"answered here", Record{Answer: answer}, true, true, 0, sameZone, Replay, nil},
+		{"uncertain", Record{Outcome: MayHaveRun, Attempts: sentAgo(2*time.Second, time.Second)}, false, false, time.Second, nil, Execute, []time.Duration{3 * time.Second, 2 * time.Second}},
+		{"uncertain, known here in part", Record{Outcome: MayHaveRun, Attempts: sentAgo(2*time.Second, time.Second)}, false, false, time.Second, sameZone, Execute, []time.Duration{3 * time.Second, 2 * time.Second}},
+		{"uncertain, clock skew unknown", Record{Outcome: MayHaveRun, Attempts: sentAgo(time.Second)}, false, false, 0, nil, Fail, nil},
+		{"uncertain, one attempt too old", Record{Outcome: MayHaveRun, Attempts: sentAgo(time.Second, 5*time.Second)}, false, false, time.Second, nil, Fail, nil},
+		{"uncertain, writer's clock ahead", Record{Outcome: MayHaveRun, Attempts: sentAgo(-time.Hour)}, false, false, time.Second, nil, Execute, []time.Duration{time.Second}},
+		{"uncertain, attempts unknown", Record{Outcome: MayHaveRun, AttemptsUnknown: true, Attempts: sentAgo(time.Second)}, false, false, time.Second, nil, Fail, nil},
+		{"uncertain, no attempts", Record{Outcome: MayHaveRun}, false, false, time.Second, nil, Fail, nil},
+		{"uncertain here", Record{Outcome: MayHaveRun, Attempts: sentAgo(time.Second)}, true, true, 0, sameZone, Execute, []time.Duration{time.Second}},
+		{"uncertain here, and elsewhere before", Record{Outcome: MayHaveRun, Attempts: sentAgo(time.Second)}, true, true, 0, otherZone, Fail, nil},
+		{"uncertain here, more attempts than known", Record{Outcome: MayHaveRun, Attempts: sentAgo(time.Second, time.Second)}, true, true, 0, sameZone, Fail, nil},
+		{"finished here, settlement pending", Record{Running: true}, true, true, 0, sameZone, Execute, []time.Duration{time.Second}},
+		{"ran here, expired", Record{Running: true}, true, true, time.Second, nil, Fail, nil},
 	} {
-		m := SharedRequest{ID: ID{"t", "c", "k"}, Fingerprint: Fingerprint{1}, Process: "p", EarlierAttempts: c.prior, DedupWindow: 6 * time.Second, MaxClockSkew: c.skew}
-		r := SharedRecord{Record: c.r, Owner: "o", Claim: ClaimName("pp", "1")}
-		if r.ID, r.Fingerprint = m.ID, m.Fingerprint; c.mine {
-			r.Claim = ClaimName("p", "1")
-		}
-		d := m.Resolve(&r, c.lives, wall)
-		var ages []time.Duration
-		for _, x := range d.EarlierAttempts {
-			ages = append(ages, x.SentAt)
-		}
-		if d.Verdict != c.want || len(ages) != len(c.ages) || len(ages) > 0 && ages[0] != c.ages[0] || d.Verdict == Replay && d.Answer != answer {
-			t.Errorf("%s: %+v", c.name, d)
-		}
-		for _, other := range []func(){func() { r.Fingerprint[0]++ }, func() { r.Fingerprint, r.ID.Key = m.Fingerprint, "other" }} {
-			if other(); m.Resolve(&r, c.lives, wall).Verdict != Conflict {
-				t.Errorf("%s: another request is none", c.name)
+		t.Run(c.name, func(t *testing.T) {
+			request := SharedRequest{ID: ID{"t", "c", "k"}, Fingerprint: Fingerprint{1}, Process: "p", EarlierAttempts: c.earlier, DedupWindow: 6 * time.Second, MaxClockSkew: c.skew}
+			record := SharedRecord{Record: c.record, Owner: "o", Claim: ClaimName("pp", "1")}
+			if record.ID, record.Fingerprint = request.ID, request.Fingerprint; c.own {
+				record.Claim = ClaimName("p", "1")
+			}
+			d := request.Resolve(&record, c.ownerAlive, wall)
+			var ages []time.Duration
+			for _, attempt := range d.EarlierAttempts {
+				ages = append(ages, attempt.SentAt)
 			}
+			if d.Verdict != c.want || !slices.Equal(ages, c.wantAges) || d.Verdict == Replay && d.Answer != answer {
+				t.Errorf("%+v", d)
+			}
+			checkConflicts(t, request, record, c.ownerAlive, wall)
+		})
+	}
+}
+
+// checkConflicts checks that a request conflicts with a record of another fingerprint and one of another key.
+func checkConflicts(t *testing.T, request SharedRequest, record SharedRecord, ownerAlive bool, wall time.Duration) {
+	t.Helper()
+	otherFingerprint, otherKey := record, record
+	otherFingerprint.Fingerprint[0]++
+	otherKey.ID.Key = "other"
+	for _, other := range []*SharedRecord{&otherFingerprint, &otherKey} {
+		if d := request.Resolve(other, ownerAlive, wall); d.Verdict != Conflict {
+			t.Errorf("record %+v: %+v", other, d)
 		}
 	}
 }
 
-// Adopted sends are in place of those known, and count.
-func TestAdopt(t *testing.T) {
-	s := New(testOptions(), window)
+// TestAdoptAttempts checks that adopted attempts replace the known ones and count as attempts that may have been executed.
+func TestAdoptAttempts(t *testing.T) {
+	s := New(testOptions(), testDedupWindow)
 	id := ID{"t", "c", "k"}
 	s.Arrive(0, id, Fingerprint{})
 	before := s.Bytes()
 	s.AdoptAttempts(id, []Attempt{{Zone: "a"}, {Zone: "a", SentAt: time.Second}})
-	if s.Bytes() != before+2*perSend {
+	if s.Bytes() != before+2*attemptBytes {
 		t.Errorf("%d bytes, %d before", s.Bytes(), before)
 	}
-	if kind := s.Finish(2*time.Second, id, NotExecuted, nil); kind != MayHaveRun {
-		t.Errorf("it ended as %v", kind)
+	if outcome := s.Finish(2*time.Second, id, NotExecuted, nil); outcome != MayHaveRun {
+		t.Errorf("it finished as %v", outcome)
 	}
 	if d := s.Arrive(3*time.Second, id, Fingerprint{}); d.Verdict != Execute || len(d.EarlierAttempts) != 2 {
 		t.Errorf("%+v", d)
