--- a/internal/daemon/succession.go
+++ b/internal/daemon/succession.go
@@ -123,7 +123,7 @@
 		}
 	}
 	if from != nil {
-		if err := from.link.Tell(handover.Ready); err != nil {
+		if err := from.link.Send(handover.Ready); err != nil {
 			d.log.Warn("hand-over: the predecessor has gone", "reason", err)
 		}
 		defer time.AfterFunc(placedAfter, func() { d.succession.placed.Store(true) }).Stop()
@@ -249,7 +249,7 @@
 	n.mu.Unlock()
 	for _, l := range links {
 		if l != nil {
-			_ = l.Tell(k) // one that has gone needs no telling
+			_ = l.Send(k) // one that has gone needs no telling
 		}
 	}
 }
@@ -305,7 +305,7 @@
 		if !goes {
 			return
 		}
-		if link.TellRoom(d.held()) != nil {
+		if link.SendDescriptorsHeld(d.held()) != nil {
 			return
 		}
 		<-tick.C
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -258,14 +258,14 @@
 		t.Fatal(err)
 	}
 	listener.Close()
-	if err := link.Tell(Ready); err != nil {
+	if err := link.Send(Ready); err != nil {
 		t.Error(err)
 	}
 	old := <-links
 	if k, _, err := old.Next(); err != nil || k != Ready {
 		t.Errorf("%v, %v", k, err)
 	}
-	if err := old.TellRoom(77); err != nil {
+	if err := old.SendDescriptorsHeld(77); err != nil {
 		t.Error(err)
 	}
 	if k, held, err := link.Next(); err != nil || k != DescriptorsHeld || held != 77 {
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -28,8 +28,8 @@
 // Link is the connection between a process and its successor. Tell is safe for concurrent use; Next has one caller.
 type Link struct{ conn *net.UnixConn }
 
-// Tell sends a message without payload.
-func (l *Link) Tell(k MessageKind) error { return l.send(k, nil) }
+// Send sends a message without payload.
+func (l *Link) Send(k MessageKind) error { return l.send(k, nil) }
 
 func (l *Link) send(k MessageKind, payload []byte) error {
 	if err := l.conn.SetWriteDeadline(time.Now().Add(patience)); err != nil {
@@ -39,8 +39,8 @@
 	return err
 }
 
-// TellRoom says how many descriptors this process holds yet.
-func (l *Link) TellRoom(held int) error {
+// SendDescriptorsHeld says how many descriptors this process holds yet.
+func (l *Link) SendDescriptorsHeld(held int) error {
 	return l.send(DescriptorsHeld, binary.BigEndian.AppendUint32(nil, uint32(held)))
 }
 
--- a/internal/idempotency/etcdstore/store.go
+++ b/internal/idempotency/etcdstore/store.go
@@ -383,8 +383,8 @@
 	return c, errContended
 }
 
-// Look tells of a kept answer, or Fail: for what this process would not send in any case.
-func (s *Store) Look(ctx context.Context, m idempotency.SharedRequest) (idempotency.Decision, error) {
+// Lookup tells of a kept answer, or Fail: for what this process would not send in any case.
+func (s *Store) Lookup(ctx context.Context, m idempotency.SharedRequest) (idempotency.Decision, error) {
 	fail := idempotency.Decision{Verdict: idempotency.Fail}
 	at, err := s.ready(ctx)
 	if err != nil {
@@ -583,8 +583,8 @@
 	return false, errContended
 }
 
-// Unsettled is how many ends are yet to be told.
-func (s *Store) Unsettled() int {
+// pendingSettlements is how many ends are yet to be told.
+func (s *Store) pendingSettlements() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.pending)
@@ -601,7 +601,7 @@
 // not waited for elsewhere.
 func (s *Store) Close() {
 	until := time.Now().Add(s.o.Timeout.D())
-	for s.Unsettled() > 0 && time.Now().Before(until) && s.ctx.Err() == nil {
+	for s.pendingSettlements() > 0 && time.Now().Before(until) && s.ctx.Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	at, _ := s.standing()
--- a/internal/idempotency/executor/executor.go
+++ b/internal/idempotency/executor/executor.go
@@ -63,7 +63,7 @@
 // SharedStore is a store of keys that other processes have too: internal/idempotency/etcdstore's. Times of sends are ages.
 type SharedStore interface {
 	Claim(ctx context.Context, m idempotency.SharedRequest, same func()) (etcdstore.Claim, error)
-	Look(ctx context.Context, m idempotency.SharedRequest) (idempotency.Decision, error)
+	Lookup(ctx context.Context, m idempotency.SharedRequest) (idempotency.Decision, error)
 	Settle(c etcdstore.Claim, id idempotency.ID, r *idempotency.Record)
 	Abort()
 	Close()
@@ -186,7 +186,7 @@
 	meeting := idempotency.SharedRequest{ID: id, Fingerprint: print, EarlierAttempts: d.EarlierAttempts, DedupWindow: window(id.Class)}
 	switch {
 	case d.Verdict == idempotency.Fail && k.o.Shared != nil: // another process may have had the answer since
-		if of, err := k.o.Shared.Look(ctx, meeting); err == nil {
+		if of, err := k.o.Shared.Lookup(ctx, meeting); err == nil {
 			d = of
 		}
 		return Result{Outcome: Outcome{Verdict: d.Verdict, Answer: d.Answer}}, nil
