--- a/internal/idempotency/executor/declaration.go
+++ b/internal/idempotency/executor/declaration.go
@@ -12,60 +12,71 @@
 	"orchiddrift/internal/units"
 )
 
-// Declaration is a store of keys in the operator's file.
+// Declaration is a store of keys in the configuration file.
 type Declaration struct {
 	idempotency.Options
 	Shared etcdstore.Declaration `toml:"shared" reload:"start" doc:"Keys that all sidecars of the service share, in an etcd."`
 }
 
-// mostShared bounds an answer in an etcd, whose requests are 1.5 MiB at most.
-const mostShared = units.MiB
+// maxSharedAnswerBytes is the largest answer that a shared store takes: etcd accepts requests of at most 1.5 MiB.
+const maxSharedAnswerBytes = units.MiB
 
-// Check is tomlfile.Checker's.
+// Check implements tomlfile.Checker.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
 	d.Options.Check(report)
 	if d.Shared.Enabled() && d.File != "" {
 		report("file", "stands in place of [repeats.shared], not beside it")
 	}
-	if d.Shared.Enabled() && d.MaxAnswerBytes > mostShared {
-		report("answer", "%v is over %v, which a shared store takes", d.MaxAnswerBytes, mostShared)
+	if d.Shared.Enabled() && d.MaxAnswerBytes > maxSharedAnswerBytes {
+		report("answer", "%v is over %v, which a shared store takes", d.MaxAnswerBytes, maxSharedAnswerBytes)
 	}
 }
 
-// DedupWindows are the times for which the nodes drop repeats of a class, less what a decision takes.
-func DedupWindows(set *balancer.Settings) func(class string) time.Duration {
+// dedupWindowMarginTicks is by how many scheduler ticks a deduplication window is shortened: a decision and the send that follows it take
+// at most one tick each.
+const dedupWindowMarginTicks = 2
+
+// DedupWindows returns the time for which upstreams drop repeated attempts of a class, less the time from a decision to its send.
+func DedupWindows(settings *balancer.Settings) func(class string) time.Duration {
 	windows := map[string]time.Duration{}
-	for _, c := range set.Classes {
-		windows[c.Name] = c.DedupWindow - 2*set.Tick
+	for _, class := range settings.Classes {
+		windows[class.Name] = class.DedupWindow - dedupWindowMarginTicks*settings.Tick
 	}
 	return func(class string) time.Duration { return windows[class] }
 }
 
-// StartTimeout is how long a process that starts waits for a file that another one holds: for the lock of a killed one, which the system
-// may keep for seconds. It leaves a third of the 30 s that a start may take.
+// StartTimeout is how long a starting process waits for a file that another process has locked. The system may hold the lock of a killed
+// process for seconds. It leaves a third of the 30 s within which a start must succeed or fail.
 const StartTimeout = 20 * time.Second
 
-// Open returns the Keeper of a service that the operator's file declares, with its file or its shared store. What o has of these is
-// filled in. A file that another process holds is waited for, until ctx ends.
-func Open(ctx context.Context, d Declaration, service string, set *balancer.Settings, patience time.Duration, o Options) (*Executor, error) {
-	o.Limits, o.DedupWindow = d.Options, DedupWindows(set)
+// Open returns the Executor of a service, with the file or the shared store of its declaration. It fills in the corresponding fields of
+// options. It waits up to lockTimeout, or until ctx ends, for a file that another process has locked.
+func Open(ctx context.Context, d Declaration, service string, settings *balancer.Settings, lockTimeout time.Duration, options Options) (*Executor, error) {
+	options.Limits, options.DedupWindow = d.Options, DedupWindows(settings)
 	switch {
 	case d.File != "":
-		l, err := boltstore.Open(ctx, d.File, boltfile.LockWait{Timeout: patience, OnWaiting: func(since time.Duration) {
-			if o.Log != nil {
-				o.Log.Warn("repeats: another process holds the file: waiting for it", "file", d.File, "since", since.Round(time.Millisecond).String())
+		wait := boltfile.LockWait{Timeout: lockTimeout, OnWaiting: func(waited time.Duration) {
+			if options.Log != nil {
+				options.Log.Warn("repeats: another process holds the file: waiting for it", "file", d.File, "since", waited.Round(time.Millisecond).String())
 			}
-		}})
+		}}
+		records, err := boltstore.Open(ctx, d.File, wait)
 		if err != nil {
 			return nil, err
 		}
-		o.Records = l
+		options.Records = records
 	case d.Shared.Enabled():
-		s, err := etcdstore.New(etcdstore.Options{Declaration: d.Shared, Service: service, Retention: d.Retention.D(), MaxPending: d.MaxKeys, Log: o.Log})
+		shared, err := etcdstore.New(etcdstore.Options{
+			Declaration: d.Shared,
+			Service:     service,
+			Retention:   d.Retention.D(),
+			MaxPending:  d.MaxKeys,
+			Log:         options.Log,
+		})
 		if err != nil {
 			return nil, err
 		}
-		o.Shared, o.ProceedOnSharedError = s, d.Shared.OnError == ProceedOnError
+		options.Shared, options.ProceedOnSharedError = shared, d.Shared.OnError == ProceedOnError
 	}
-	return New(o)
+	return New(options)
 }
--- a/internal/idempotency/executor/executor.go
+++ b/internal/idempotency/executor/executor.go
@@ -1,6 +1,3 @@
-// Package executor drives a repeats.Store: it runs what is to be sent, has repeats wait for it, and hands out ends. It is safe
-// for concurrent use. A request runs on the goroutine of the client that came first, and goes on when that one leaves: others may
-// wait for its end, and what it brought is kept for those who come again. Once all have left nothing more of it is begun.
 package executor
 
 import (
@@ -15,427 +12,291 @@
 	"orchiddrift/internal/idempotency/etcdstore"
 )
 
-// AttemptRecorder is where a running request tells of its sends.
+// AttemptRecorder receives the attempts of an execution.
 type AttemptRecorder interface {
-	AttemptStarted(x idempotency.Attempt) // before its first byte goes out
-	AttemptNotSent(x idempotency.Attempt) // it is proved not to have run
+	AttemptStarted(attempt idempotency.Attempt) // called before the attempt's first byte is sent
+	AttemptNotSent(attempt idempotency.Attempt) // the attempt is proved not to have been executed
 }
 
-// Outcome is how a request that ran ended, as its clients are to be told.
+// RunFunc executes a request and returns its outcome. It must end by itself, not with the client that caused it: other clients may wait
+// for the outcome. wanted is canceled once no client waits; earlier are attempts that may have been executed, which the request must be
+// deduplicated against. It must report its own attempts to recorder.
+type RunFunc func(wanted context.Context, earlier []idempotency.Attempt, recorder AttemptRecorder) Outcome
+
+// Outcome is how an execution ended, as its clients see it.
 type Outcome struct {
-	Verdict    idempotency.Verdict // Replay, Refuse or Fail
+	Verdict    idempotency.Verdict // of a RunFunc: Replay, Reject or Fail
 	Answer     *idempotency.Answer // of Replay
-	RetryAfter time.Duration       // of Refuse
+	RetryAfter time.Duration       // of Reject
 }
 
-// Result is what a client is told. Left: it has gone meanwhile.
+// Result is what a client gets.
 type Result struct {
 	Outcome
-	Executed   bool // it was run for this client
-	ClientLeft bool
+	Executed   bool // the request was executed for this client
+	ClientLeft bool // the client's context was canceled first; there is no Outcome
 }
 
-// Options are a Keeper's parameters.
+// Options are an Executor's parameters.
 type Options struct {
 	Limits               idempotency.Options // checked
 	DedupWindow          func(class string) time.Duration
 	Clock                clock.Clock
 	Log                  *slog.Logger
-	OwnGoroutine         bool        // what runs has a goroutine of its own, for clients that may leave at any time
-	Records              RecordStore // nil: nothing lasts longer than the process
-	Shared               SharedStore // nil: no other process knows its keys
-	ProceedOnSharedError bool        // new keys run while Shared can't be asked
-	// Step is called as a request gets to each of Steps, for tests that end the process there. Absent: nothing is.
+	OwnGoroutine         bool        // executions have goroutines of their own, so that a client can leave at any time
+	Records              RecordStore // nil: records do not outlive the process
+	Shared               SharedStore // nil: keys are not shared with other processes
+	ProceedOnSharedError bool        // execute new keys without a claim while Shared is not available
+	// Step, if not nil, is called as an execution reaches each of Steps. Tests end the process there.
 	Step func(step string)
 }
 
-// Steps are the points of a request's way between which what is on record changes.
-var Steps = []string{"arrived", "recorded", "sent", "answered", "told", "kept"}
+// The steps of an execution; the package comment says what a crash after each of them means.
+const (
+	StepArrived  = "arrived"
+	StepRecorded = "recorded"
+	StepSent     = "sent"
+	StepAnswered = "answered"
+	StepNotified = "notified"
+	StepStored   = "stored"
+)
+
+// Steps are the steps of an execution in order.
+var Steps = []string{StepArrived, StepRecorded, StepSent, StepAnswered, StepNotified, StepStored}
 
-// RecordStore is where records last. Put returns when they are on the disk.
+// RecordStore keeps records durably.
 type RecordStore interface {
-	// Load calls do for each record, with the time up to which the last process's went on.
-	Load(do func(at time.Duration, r idempotency.Record) error) error
-	Put(r *idempotency.Record, gone []idempotency.ID, at time.Duration) error
+	// Load calls do for each record, with the time that the last process's clock had reached.
+	Load(do func(now time.Duration, record idempotency.Record) error) error
+	// Put writes record, if it is not nil, and deletes expired ones. It returns once both are durable.
+	Put(record *idempotency.Record, expired []idempotency.ID, now time.Duration) error
 	Close() error
 }
 
-// SharedStore is a store of keys that other processes have too: internal/idempotency/etcdstore's. Times of sends are ages.
+// SharedStore is a store of keys that several processes share, implemented by etcdstore.Store. SentAt of all attempts are ages.
 type SharedStore interface {
-	Claim(ctx context.Context, m idempotency.SharedRequest, same func()) (etcdstore.Claim, error)
-	Lookup(ctx context.Context, m idempotency.SharedRequest) (idempotency.Decision, error)
-	Settle(c etcdstore.Claim, id idempotency.ID, r *idempotency.Record)
+	Claim(ctx context.Context, request idempotency.SharedRequest, confirmKey func()) (etcdstore.Claim, error)
+	Lookup(ctx context.Context, request idempotency.SharedRequest) (idempotency.Decision, error)
+	Settle(claim etcdstore.Claim, id idempotency.ID, record *idempotency.Record)
 	Abort()
 	Close()
 }
 
-// Executor holds a Store, and an entry for each request that runs.
+// Executor runs the requests with idempotency keys of one service. It is safe for concurrent use.
 type Executor struct {
-	o Options
-
-	mu      sync.Mutex
-	store   *idempotency.Store
-	window  func(class string) time.Duration
-	flights map[idempotency.ID]*flight
-	closed  bool
-	refused int
-	said    time.Duration
-	offset  time.Duration    // what this process's time began at, beyond the clock's: an earlier process's went on up to there
-	gone    []idempotency.ID // forgotten, and still in the journal
-	running sync.WaitGroup
+	options     Options
+	clockOffset time.Duration // the durable clock minus Options.Clock; see now
+	running     sync.WaitGroup
+
+	mu          sync.Mutex
+	store       *idempotency.Store
+	dedupWindow func(class string) time.Duration
+	executions  map[idempotency.ID]*execution
+	closed      bool
+	expired     []idempotency.ID // keys whose records are to be deleted with the next Put
+	rejections  rejectionLog
 }
 
-type flight struct {
-	wanted  context.Context // ends once all have left that wait for its end
-	give    context.CancelFunc
-	waiting int // under mu
-
-	done   chan struct{}
-	same   chan struct{} // where keys are shared: closed once it is known that the key is this request's elsewhere too, or with done
-	end    Outcome
-	theirs bool // its end is another process's
-}
-
-// New returns a Keeper, with what its journal holds. Close ends it, and the journal.
-func New(o Options) (*Executor, error) {
-	k := &Executor{o: o, store: idempotency.New(o.Limits, o.DedupWindow), flights: map[idempotency.ID]*flight{}, window: o.DedupWindow}
-	if o.Records == nil {
-		return k, nil
+// New returns an Executor that knows the keys of Options.Records. Close ends it and closes the stores.
+func New(options Options) (*Executor, error) {
+	e := &Executor{
+		options:     options,
+		store:       idempotency.New(options.Limits, options.DedupWindow),
+		executions:  map[idempotency.ID]*execution{},
+		dedupWindow: options.DedupWindow,
+	}
+	if options.Records == nil {
+		return e, nil
 	}
-	begun := o.Clock.Now()
-	err := o.Records.Load(func(at time.Duration, r idempotency.Record) error {
-		k.offset = at - begun
-		return k.store.Load(at, r)
+	started := options.Clock.Now()
+	err := options.Records.Load(func(now time.Duration, record idempotency.Record) error {
+		e.clockOffset = now - started
+		return e.store.Load(now, record)
 	})
 	if err != nil {
-		_ = o.Records.Close() // the error at hand says more
+		_ = options.Records.Close() // Load's error says more
 		return nil, err
 	}
-	return k, nil
+	return e, nil
 }
 
-// now is the time of all processes that wrote the journal, one after another.
-func (k *Executor) now() time.Duration { return k.offset + k.o.Clock.Now() }
+// now returns the time on the durable clock, which goes on from process to process and stands still in between. The Store and its records
+// use it.
+func (e *Executor) now() time.Duration { return e.clockOffset + e.options.Clock.Now() }
 
-// Configure takes other bounds over. What is held stays, also where it is more than they allow.
-func (k *Executor) Configure(o idempotency.Options, window func(class string) time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.store.Configure(o, window)
-	k.window = window
+// Configure replaces the limits and deduplication windows. Known keys stay, even if they exceed the new limits.
+func (e *Executor) Configure(limits idempotency.Options, dedupWindow func(class string) time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.store.Configure(limits, dedupWindow)
+	e.dedupWindow = dedupWindow
 }
 
-// saidEvery is how often the log speaks of refusals.
-const saidEvery = 10 * time.Second
-
-// Do gives a client of a key its end. Where the request is to be sent, run is called, which must end by itself and not with this
-// client: others may wait for it, and wanted ends once none does. One that waits is told Fail at ctx's deadline, and else has left when ctx ends.
-func (k *Executor) Do(ctx context.Context, id idempotency.ID, print idempotency.Fingerprint, run func(wanted context.Context, prior []idempotency.Attempt, s AttemptRecorder) Outcome) Result {
+// Do returns the outcome of a request with an idempotency key. It executes the request by run, waits for a running one, or returns the
+// stored answer. It blocks until then, or until ctx ends: with the verdict Fail at its deadline, and ClientLeft if it is canceled.
+func (e *Executor) Do(ctx context.Context, id idempotency.ID, fingerprint idempotency.Fingerprint, run RunFunc) Result {
 	for {
-		r, again := k.do(ctx, id, print, run)
-		if again == nil {
-			return r
+		result, keyConfirmed := e.tryDo(ctx, id, fingerprint, run)
+		if keyConfirmed == nil {
+			return result
 		}
-		select { // another request has the key here, and perhaps not elsewhere
-		case <-again:
+		select {
+		case <-keyConfirmed:
 		case <-ctx.Done():
 			return Result{Outcome: Outcome{Verdict: idempotency.Conflict}}
 		}
 	}
 }
 
-// do is Do; where it returns a channel the key is not decided on before that is closed.
-func (k *Executor) do(ctx context.Context, id idempotency.ID, print idempotency.Fingerprint, run func(wanted context.Context, prior []idempotency.Attempt, s AttemptRecorder) Outcome) (Result, <-chan struct{}) {
-	now := k.now()
-	k.mu.Lock()
-	window := k.window
-	if k.closed {
-		k.mu.Unlock()
-		return Result{Outcome: Outcome{Verdict: idempotency.Reject}}, nil
-	}
-	if gone := k.store.Expire(now); k.o.Records != nil {
-		k.gone = append(k.gone, gone...) // with the next record
+// tryDo is Do, except that it returns a channel instead of a Result if the decision has to be made again once that is closed.
+func (e *Executor) tryDo(ctx context.Context, id idempotency.ID, fingerprint idempotency.Fingerprint, run RunFunc) (Result, <-chan struct{}) {
+	a := e.arrive(id, fingerprint)
+	if a.keyConfirmed != nil {
+		return Result{}, a.keyConfirmed
 	}
-	d := k.store.Arrive(now, id, print)
-	var f *flight
-	switch d.Verdict {
-	case idempotency.Execute:
-		f = &flight{done: make(chan struct{}), waiting: 1}
-		f.wanted, f.give = context.WithCancel(context.Background())
-		if k.o.Shared != nil {
-			f.same = make(chan struct{})
-		}
-		k.flights[id] = f
-		k.running.Add(1)
-	case idempotency.Wait:
-		f = k.flights[id]
-		f.waiting++
-	case idempotency.Reject:
-		k.refusal(now)
-	case idempotency.Conflict:
-		if of := k.flights[id]; of != nil && k.o.Shared != nil {
-			select {
-			case <-of.same:
-			default:
-				k.mu.Unlock()
-				return Result{}, of.same
-			}
+	d := a.decision
+	request := idempotency.SharedRequest{ID: id, Fingerprint: fingerprint, EarlierAttempts: d.EarlierAttempts, DedupWindow: a.dedupWindow}
+	if d.Verdict == idempotency.Fail && e.options.Shared != nil { // another process may have the answer by now
+		if shared, err := e.options.Shared.Lookup(ctx, request); err == nil {
+			d = shared
 		}
 	}
-	k.mu.Unlock()
-	meeting := idempotency.SharedRequest{ID: id, Fingerprint: print, EarlierAttempts: d.EarlierAttempts, DedupWindow: window(id.Class)}
-	switch {
-	case d.Verdict == idempotency.Fail && k.o.Shared != nil: // another process may have had the answer since
-		if of, err := k.o.Shared.Lookup(ctx, meeting); err == nil {
-			d = of
-		}
-		return Result{Outcome: Outcome{Verdict: d.Verdict, Answer: d.Answer}}, nil
-	case f == nil:
+	if a.execution == nil {
 		return Result{Outcome: Outcome{Verdict: d.Verdict, Answer: d.Answer, RetryAfter: d.RetryAfter}}, nil
-	case d.Verdict == idempotency.Execute && k.o.OwnGoroutine:
-		go func() {
-			defer k.running.Done()
-			k.run(ctx, meeting, f, run)
-		}()
-	case d.Verdict == idempotency.Execute:
-		defer k.running.Done()
-		defer context.AfterFunc(ctx, func() { k.leave(f) })()
-		k.run(ctx, meeting, f, run)
-		return Result{Outcome: f.end, Executed: !f.theirs}, nil
-	}
-	select {
-	case <-f.done:
-		return Result{Outcome: f.end, Executed: d.Verdict == idempotency.Execute && !f.theirs}, nil
-	case <-ctx.Done():
-	}
-	k.leave(f)
-	if d.Verdict == idempotency.Wait {
-		k.mu.Lock()
-		if k.flights[id] == f { // it still runs
-			k.store.StopWaiting(id)
-		}
-		k.mu.Unlock()
 	}
-	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return Result{Outcome: Outcome{Verdict: idempotency.Fail}}, nil
+	executes := d.Verdict == idempotency.Execute
+	if executes && !e.options.OwnGoroutine {
+		defer e.running.Done()
+		defer context.AfterFunc(ctx, func() { e.leave(a.execution) })()
+		e.execute(ctx, request, a.execution, run)
+		return Result{Outcome: a.execution.outcome, Executed: !a.execution.decidedElsewhere}, nil
 	}
-	return Result{ClientLeft: true}, nil
-}
-
-// leave says that a client waits no longer.
-func (k *Executor) leave(f *flight) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if f.waiting--; f.waiting == 0 {
-		f.give()
+	if executes {
+		go func() {
+			defer e.running.Done()
+			e.execute(ctx, request, a.execution, run)
+		}()
 	}
+	return e.wait(ctx, id, a.execution, executes), nil
 }
 
-// refusal logs that keys are refused, now and then.
-func (k *Executor) refusal(now time.Duration) {
-	if k.refused++; k.refused > 1 && now-k.said < saidEvery {
-		return
-	}
-	k.o.Log.Warn("repeats: keyed requests are refused", "refused", k.refused, "keys", k.store.Len(), "bytes", k.store.Bytes(), "running", k.store.Running())
-	k.refused, k.said = 1, now
+// arrival is the Store's decision on a request.
+type arrival struct {
+	decision    idempotency.Decision
+	dedupWindow time.Duration
+	execution   *execution // of Execute and Wait
+	// keyConfirmed is not nil if another request runs under the key here, and it is not yet known whether the key is that request's in the
+	// shared store too. The decision has to be made again once it is closed.
+	keyConfirmed <-chan struct{}
 }
 
-// write puts a key's record into the journal, as it is now.
-func (k *Executor) write(id idempotency.ID) error {
-	if k.o.Records == nil {
-		return nil
-	}
-	now := k.now()
-	k.mu.Lock()
-	r, ok := k.store.Record(now, id)
-	gone := k.gone
-	k.gone = nil
-	if !ok {
-		gone = append(gone, id)
+// arrive asks the Store for a decision and registers the execution that it leads to.
+func (e *Executor) arrive(id idempotency.ID, fingerprint idempotency.Fingerprint) arrival {
+	now := e.now()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.closed {
+		return arrival{decision: idempotency.Decision{Verdict: idempotency.Reject}}
 	}
-	k.mu.Unlock()
-	var record *idempotency.Record
-	if ok {
-		record = &r
+	if expired := e.store.Expire(now); e.options.Records != nil {
+		e.expired = append(e.expired, expired...)
 	}
-	err := k.o.Records.Put(record, gone, now)
-	if err != nil {
-		k.o.Log.Error("repeats: the journal can't be written", "reason", err)
-		k.mu.Lock()
-		k.gone = append(k.gone, gone...)
-		k.mu.Unlock()
+	a := arrival{decision: e.store.Arrive(now, id, fingerprint), dedupWindow: e.dedupWindow(id.Class)}
+	switch a.decision.Verdict {
+	case idempotency.Execute:
+		a.execution = newExecution(e.options.Shared != nil)
+		e.executions[id] = a.execution
+		e.running.Add(1)
+	case idempotency.Wait:
+		a.execution = e.executions[id]
+		a.execution.waiters++
+	case idempotency.Reject:
+		e.logRejection(now)
+	case idempotency.Conflict:
+		if x := e.executions[id]; x != nil && !x.isKeyConfirmed() {
+			a.keyConfirmed = x.keyConfirmed
+		}
 	}
-	return err
+	return a
 }
 
-// run sends a request, once it is on record, and claimed where processes share their keys. Its end is told before it is on record:
-// should the process end between the two, the record says that it ran, and a repeat is not sent.
-func (k *Executor) run(ctx context.Context, m idempotency.SharedRequest, f *flight, run func(context.Context, []idempotency.Attempt, AttemptRecorder) Outcome) {
-	id := m.ID
-	var end Outcome
-	var claim etcdstore.Claim
-	same := func() {}
-	if k.o.Shared != nil {
-		same = sync.OnceFunc(func() { close(f.same) })
+// wait waits for an execution until ctx ends. executes tells whether it runs for this client.
+func (e *Executor) wait(ctx context.Context, id idempotency.ID, x *execution, executes bool) Result {
+	select {
+	case <-x.done:
+		return Result{Outcome: x.outcome, Executed: executes && !x.decidedElsewhere}
+	case <-ctx.Done():
 	}
-	k.step(0)
-	if err := k.write(id); err != nil && k.o.Limits.DiskError != ProceedOnError {
-		end = Outcome{Verdict: idempotency.Reject, RetryAfter: storeAgain}
-	} else if claim, err = k.claimed(ctx, m, same); err != nil && !k.o.ProceedOnSharedError {
-		end = Outcome{Verdict: idempotency.Reject, RetryAfter: storeAgain}
-	} else if claim.Verdict != idempotency.Execute {
-		f.theirs = true
-		end = Outcome{Verdict: claim.Verdict, Answer: claim.Answer}
-	} else {
-		same()
-		k.step(1)
-		prior := claim.EarlierAttempts
-		for i := range prior {
-			prior[i].SentAt -= k.offset
+	e.leave(x)
+	if !executes {
+		e.mu.Lock()
+		if e.executions[id] == x { // it is still running
+			e.store.StopWaiting(id)
 		}
-		end = run(f.wanted, prior, sends{k, id})
+		e.mu.Unlock()
 	}
-	k.step(3)
-	kind := idempotency.MayHaveRun
-	switch {
-	case end.Verdict == idempotency.Replay:
-		kind = idempotency.Answered
-	case end.Verdict == idempotency.Reject || f.theirs:
-		kind = idempotency.NotExecuted
-	}
-	now := k.now()
-	k.mu.Lock()
-	k.store.Finish(now, id, kind, end.Answer)
-	if k.o.Shared != nil && !f.theirs {
-		k.settle(now, claim, id)
-	}
-	delete(k.flights, id)
-	k.mu.Unlock()
-	f.end = end
-	f.give()
-	close(f.done)
-	same()
-	k.step(4)
-	if k.o.Records == nil {
-		return
-	}
-	k.running.Add(1)
-	go func() { // its client need not wait for it
-		defer k.running.Done()
-		_ = k.write(id) // it has been logged; the record that stands is the stricter one
-		k.step(5)
-	}()
-}
-
-// claimed is claim where processes share their keys.
-func (k *Executor) claimed(ctx context.Context, m idempotency.SharedRequest, same func()) (etcdstore.Claim, error) {
-	if k.o.Shared == nil {
-		return etcdstore.Claim{Decision: idempotency.Decision{EarlierAttempts: m.EarlierAttempts}}, nil
+	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
+		return Result{Outcome: Outcome{Verdict: idempotency.Fail}}
 	}
-	return k.claim(ctx, m, same)
+	return Result{ClientLeft: true}
 }
 
-// claim claims a request where processes share their keys; it goes on when its client leaves. Prior times are the Store's again.
-func (k *Executor) claim(ctx context.Context, m idempotency.SharedRequest, same func()) (etcdstore.Claim, error) {
-	known := etcdstore.Claim{Decision: idempotency.Decision{EarlierAttempts: m.EarlierAttempts}}
-	stays := context.WithoutCancel(ctx)
-	if at, ok := ctx.Deadline(); ok {
-		var cancel context.CancelFunc
-		stays, cancel = context.WithDeadline(stays, at)
-		defer cancel()
+// leave records that a client no longer waits for an execution.
+func (e *Executor) leave(x *execution) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if x.waiters--; x.waiters == 0 {
+		x.cancel()
 	}
-	begun := k.now()
-	m.EarlierAttempts = aged(begun, m.EarlierAttempts)
-	c, err := k.o.Shared.Claim(stays, m, same)
-	if err != nil {
-		return known, err
-	}
-	now := k.now()
-	c.EarlierAttempts = aged(now, c.EarlierAttempts)
-	k.mu.Lock()
-	k.store.AdoptAttempts(m.ID, c.EarlierAttempts)
-	k.mu.Unlock()
-	return c, nil
 }
 
-// settle tells the processes that share the keys of an end.
-func (k *Executor) settle(now time.Duration, c etcdstore.Claim, id idempotency.ID) {
-	r, ok := k.store.Record(now, id)
-	if !ok {
-		k.o.Shared.Settle(c, id, nil)
-		return
-	}
-	r.Attempts = aged(now, r.Attempts)
-	k.o.Shared.Settle(c, id, &r)
-}
+// rejectionLogInterval is the shortest time between two log lines on rejected requests.
+const rejectionLogInterval = 10 * time.Second
 
-// aged turns times into ages at now, and ages into times.
-func aged(now time.Duration, sends []idempotency.Attempt) []idempotency.Attempt {
-	of := append([]idempotency.Attempt(nil), sends...)
-	for i := range of {
-		of[i].SentAt = now - of[i].SentAt
-	}
-	return of
+// rejectionLog counts rejected requests between log lines.
+type rejectionLog struct {
+	count    int
+	loggedAt time.Duration
 }
 
-func (k *Executor) step(i int) {
-	if k.o.Step != nil {
-		k.o.Step(Steps[i])
+// logRejection counts a rejected request, and logs the count at most once per rejectionLogInterval. e.mu is held.
+func (e *Executor) logRejection(now time.Duration) {
+	r := &e.rejections
+	if r.count++; r.count > 1 && now-r.loggedAt < rejectionLogInterval {
+		return
 	}
+	e.options.Log.Warn("repeats: requests with idempotency keys are rejected", "refused", r.count, "keys", e.store.Len(),
+		"bytes", e.store.Bytes(), "running", e.store.Running())
+	r.count, r.loggedAt = 1, now
 }
 
-// ProceedOnError is Options.DiskError where keyed requests go on without a record.
-const ProceedOnError = "go on"
-
-// storeAgain is when to come back where a record can't be written.
-const storeAgain = time.Second
-
-type sends struct {
-	k  *Executor
-	id idempotency.ID
-}
-
-func (s sends) AttemptStarted(x idempotency.Attempt) {
-	s.k.mu.Lock()
-	defer s.k.mu.Unlock()
-	x.SentAt += s.k.offset
-	s.k.store.AttemptStarted(s.id, x)
-	s.k.step(2)
-}
-
-func (s sends) AttemptNotSent(x idempotency.Attempt) {
-	s.k.mu.Lock()
-	defer s.k.mu.Unlock()
-	x.SentAt += s.k.offset
-	s.k.store.AttemptNotSent(s.id, x)
-}
-
-// Stats is how many keys are known, what they take, and how many requests run.
-func (k *Executor) Stats() (keys, bytes, running int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.store.Len(), k.store.Bytes(), k.store.Running()
+// Stats returns the number of known keys, their estimated memory in bytes, and the number of running requests.
+func (e *Executor) Stats() (keys, bytes, running int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.store.Len(), e.store.Bytes(), e.store.Running()
 }
 
-// Abort ends what waits for other processes: the process is about to be killed.
-func (k *Executor) Abort() {
-	if k.o.Shared != nil {
-		k.o.Shared.Abort()
+// Abort makes executions stop waiting for other processes. It is called before the process exits without a graceful shutdown.
+func (e *Executor) Abort() {
+	if e.options.Shared != nil {
+		e.options.Shared.Abort()
 	}
 }
 
-// Close runs nothing more, and waits for what runs: its engines are closed before.
-func (k *Executor) Close() {
-	k.mu.Lock()
-	k.closed = true
-	k.mu.Unlock()
-	k.running.Wait()
-	if k.o.Shared != nil {
-		k.o.Shared.Close()
+// Close rejects new requests, waits for running executions and closes the stores. The engines that execute requests must have been
+// closed before.
+func (e *Executor) Close() {
+	e.mu.Lock()
+	e.closed = true
+	e.mu.Unlock()
+	e.running.Wait()
+	if e.options.Shared != nil {
+		e.options.Shared.Close()
 	}
-	if k.o.Records != nil {
-		if err := k.o.Records.Close(); err != nil {
-			k.o.Log.Error("repeats: closing the journal", "reason", err)
+	if e.options.Records != nil {
+		if err := e.options.Records.Close(); err != nil {
+			e.options.Log.Error("repeats: closing the record store failed", "reason", err)
 		}
 	}
 }
