--- a/internal/idempotency/recordcodec/golden_test.go
+++ b/internal/idempotency/recordcodec/golden_test.go
@@ -12,20 +12,21 @@
 	"orchiddrift/internal/testing/golden"
 )
 
-// Records on a disk and in a shared store are read and written byte for byte as the release before did.
+// TestRecordsGolden checks that records in a file and in a shared store are encoded byte for byte as by the previous release, and that
+// its bytes are decoded.
 func TestRecordsGolden(t *testing.T) {
 	id := idempotency.ID{Tenant: "agents", Class: "payment", Key: "k-1"}
-	print := idempotency.Fingerprint{1, 2, 3, 15: 16}
-	sends := []idempotency.Attempt{{Zone: "dc1", Cell: 2, SentAt: 3 * time.Second}, {}}
+	fingerprint := idempotency.Fingerprint{1, 2, 3, 15: 16}
+	attempts := []idempotency.Attempt{{Zone: "dc1", Cell: 2, SentAt: 3 * time.Second}, {}}
 	answer := &idempotency.Answer{Status: 201, Header: map[string][]string{"Content-Type": {"text/plain", "again"}}, Body: []byte("paid")}
 	records := []struct {
 		name   string
 		record idempotency.Record
 	}{
-		{"running", idempotency.Record{ID: id, Fingerprint: print, Running: true, Attempts: sends, UpdatedAt: time.Minute}},
-		{"answered", idempotency.Record{ID: id, Fingerprint: print, Outcome: idempotency.Answered, Answer: answer, UpdatedAt: -time.Second}},
-		{"too-large", idempotency.Record{ID: id, Fingerprint: print, Outcome: idempotency.Answered}},
-		{"uncertain", idempotency.Record{ID: id, Fingerprint: print, Outcome: idempotency.MayHaveRun, Attempts: sends, AttemptsUnknown: true, UpdatedAt: 1}},
+		{"running", idempotency.Record{ID: id, Fingerprint: fingerprint, Running: true, Attempts: attempts, UpdatedAt: time.Minute}},
+		{"answered", idempotency.Record{ID: id, Fingerprint: fingerprint, Outcome: idempotency.Answered, Answer: answer, UpdatedAt: -time.Second}},
+		{"too-large", idempotency.Record{ID: id, Fingerprint: fingerprint, Outcome: idempotency.Answered}},
+		{"uncertain", idempotency.Record{ID: id, Fingerprint: fingerprint, Outcome: idempotency.MayHaveRun, Attempts: attempts, AttemptsUnknown: true, UpdatedAt: 1}},
 	}
 	var out strings.Builder
 	for _, r := range records {
@@ -42,7 +43,7 @@
 		}
 		got, err := Decode(plain, &idempotency.Record{})
 		if err != nil || !reflect.DeepEqual(got, r.record) {
-			t.Errorf("%s is read as %+v, %v; want %+v", r.name, got, err, r.record)
+			t.Errorf("%s is decoded as %+v, %v; want %+v", r.name, got, err, r.record)
 		}
 		encoded, err := hex.DecodeString(lines[4*i+3])
 		if err != nil {
@@ -50,7 +51,7 @@
 		}
 		shared, err := DecodeShared(encoded)
 		if want := (idempotency.SharedRecord{Record: r.record, Owner: "694d", Claim: "694d/1"}); err != nil || !reflect.DeepEqual(shared, want) {
-			t.Errorf("%s, shared, is read as %+v, %v; want %+v", r.name, shared, err, want)
+			t.Errorf("%s, shared, is decoded as %+v, %v; want %+v", r.name, shared, err, want)
 		}
 	}
 }
