--- a/internal/idempotency/boltstore/golden_test.go
+++ b/internal/idempotency/boltstore/golden_test.go
@@ -17,27 +17,54 @@
 	"orchiddrift/internal/testing/golden"
 )
 
-// A file of keys is read and written as the release before did: its buckets, keys and values.
+// goldenRecords are the records of the golden file.
+var goldenRecords = []idempotency.Record{
+	{ID: idempotency.ID{Tenant: "agents", Class: "payment", Key: "k-1"}, Fingerprint: idempotency.Fingerprint{1}, Running: true, UpdatedAt: time.Second},
+	{ID: idempotency.ID{Tenant: "agents", Class: "payment", Key: "k-2"}, Fingerprint: idempotency.Fingerprint{2}, Outcome: idempotency.MayHaveRun,
+		Attempts: []idempotency.Attempt{{Zone: "dc1", Cell: 1, SentAt: time.Second}}, UpdatedAt: 2 * time.Second},
+}
+
+// TestFileGolden checks that a file's buckets, keys and values are written as by the previous release, and that its file is read.
 func TestFileGolden(t *testing.T) {
-	want := []idempotency.Record{
-		{ID: idempotency.ID{Tenant: "agents", Class: "payment", Key: "k-1"}, Fingerprint: idempotency.Fingerprint{1}, Running: true, UpdatedAt: time.Second},
-		{ID: idempotency.ID{Tenant: "agents", Class: "payment", Key: "k-2"}, Fingerprint: idempotency.Fingerprint{2}, Outcome: idempotency.MayHaveRun,
-			Attempts: []idempotency.Attempt{{Zone: "dc1", Cell: 1, SentAt: time.Second}}, UpdatedAt: 2 * time.Second},
+	text := dumpFile(t, goldenRecords)
+	golden.Match(t, "file.txt", text)
+	path := filepath.Join(t.TempDir(), "old.db")
+	createFile(t, path, string(golden.Read(t, "file.txt", text)))
+	s, err := Open(t.Context(), path, boltfile.LockWait{})
+	if err != nil {
+		t.Fatal(err)
 	}
-	l, err := Open(t.Context(), filepath.Join(t.TempDir(), "keys.db"), boltfile.LockWait{})
+	defer s.Close()
+	var got []idempotency.Record
+	err = s.Load(func(now time.Duration, r idempotency.Record) error {
+		if now != 2*time.Second {
+			t.Errorf("the process's clock is read as %v", now)
+		}
+		got = append(got, r)
+		return nil
+	})
+	if err != nil || !reflect.DeepEqual(got, goldenRecords) {
+		t.Errorf("read %+v, %v; want %+v", got, err, goldenRecords)
+	}
+}
+
+// dumpFile writes records into a new file, and returns a line "bucket key value" for each of its entries.
+func dumpFile(t *testing.T, records []idempotency.Record) []byte {
+	t.Helper()
+	s, err := Open(t.Context(), filepath.Join(t.TempDir(), "keys.db"), boltfile.LockWait{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range want {
-		if err := l.Put(&want[i], nil, want[i].UpdatedAt); err != nil {
+	for i := range records {
+		if err := s.Put(&records[i], nil, records[i].UpdatedAt); err != nil {
 			t.Fatal(err)
 		}
 	}
-	var out bytes.Buffer
-	err = l.db.View(func(tx *bbolt.Tx) error {
-		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
-			return b.ForEach(func(k, v []byte) error {
-				_, err := fmt.Fprintf(&out, "%s %s %s\n", name, hex.EncodeToString(k), hex.EncodeToString(v))
+	var text bytes.Buffer
+	err = s.db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(name []byte, bucket *bbolt.Bucket) error {
+			return bucket.ForEach(func(key, value []byte) error {
+				_, err := fmt.Fprintf(&text, "%s %s %s\n", name, hex.EncodeToString(key), hex.EncodeToString(value))
 				return err
 			})
 		})
@@ -45,21 +72,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := l.Close(); err != nil {
+	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	golden.Match(t, "file.txt", out.Bytes())
+	return text.Bytes()
+}
 
-	// A file that is made from the golden text alone is opened.
-	old := filepath.Join(t.TempDir(), "old.db")
-	db, err := bbolt.Open(old, 0o600, nil)
+// createFile writes a bbolt file from lines "bucket key value", without this package's own code.
+func createFile(t *testing.T, path, text string) {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		for line := range strings.Lines(string(golden.Read(t, "file.txt", out.Bytes()))) {
+		for line := range strings.Lines(text) {
 			part := strings.Fields(line)
-			b, err := tx.CreateBucketIfNotExists([]byte(part[0]))
+			bucket, err := tx.CreateBucketIfNotExists([]byte(part[0]))
 			if err != nil {
 				return err
 			}
@@ -71,7 +100,7 @@
 			if err != nil {
 				return err
 			}
-			if err := b.Put(key, value); err != nil {
+			if err := bucket.Put(key, value); err != nil {
 				return err
 			}
 		}
@@ -83,19 +112,4 @@
 	if err := db.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if l, err = Open(t.Context(), old, boltfile.LockWait{}); err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	var got []idempotency.Record
-	err = l.Load(func(at time.Duration, r idempotency.Record) error {
-		if at != 2*time.Second {
-			t.Errorf("the process's time is read as %v", at)
-		}
-		got = append(got, r)
-		return nil
-	})
-	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, %v; want %+v", got, err, want)
-	}
 }
