--- /dev/null
+++ b/internal/idempotency/etcdstore/session.go
@@ -0,0 +1,197 @@
+package etcdstore
+
+import (
+	"context"
+	"net"
+	"time"
+
+	clientv3 "go.etcd.io/etcd/client/v3"
+	"go.uber.org/zap"
+	"google.golang.org/grpc"
+
+	"orchiddrift/internal/endpoints"
+	"orchiddrift/internal/tlscredentials"
+)
+
+// session is a connection with its leases.
+type session struct {
+	client      *clientv3.Client // nil: not connected yet
+	lease       clientv3.LeaseID // of the owner key, kept alive; 0: none
+	recordLease clientv3.LeaseID // of the records that are written now; 0: none
+	process     string           // the name of the process's first session
+}
+
+// Records are attached to a few leases instead of one each: all records that a process writes within Retention/recordLeaseSlots share a
+// lease, which expires Retention after that period.
+const (
+	recordLeaseSlots = 8
+	// lateCommitTimeout is how long after its client gave up on a transaction a server may still commit it, at most. A record's lease lasts
+	// that much longer, and a claim that failed is withdrawn for that long.
+	lateCommitTimeout = 10 * time.Second
+)
+
+// currentSession returns the session as it is; false if it has to be completed by ensureSession.
+func (s *Store) currentSession() (session, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	current := s.session
+	complete := current.lease != 0 && current.recordLease != 0
+	return current, complete && time.Since(s.recordLeaseSince) < s.options.Retention/recordLeaseSlots
+}
+
+// ensureSession returns a complete session, connecting and granting leases where needed. Concurrent calls share one try.
+func (s *Store) ensureSession(ctx context.Context) (session, error) {
+	if current, ok := s.currentSession(); ok {
+		return current, nil
+	}
+	done := s.connecting.DoChan("session", func() (any, error) { return s.completeSession() })
+	select {
+	case result := <-done:
+		if result.Err != nil {
+			return session{}, result.Err
+		}
+		return result.Val.(session), nil
+	case <-ctx.Done():
+		return session{}, ctx.Err()
+	}
+}
+
+// completeSession connects, and grants the leases that are missing or due for rotation. It takes at most Declaration.Timeout.
+func (s *Store) completeSession() (session, error) {
+	current, ok := s.currentSession()
+	if ok {
+		return current, nil
+	}
+	ctx, cancel := context.WithTimeout(s.ctx, s.options.Timeout.D())
+	defer cancel()
+	if current.client == nil {
+		client, err := s.connect()
+		if err != nil {
+			return current, err
+		}
+		current.client = client
+	}
+	if current.lease == 0 {
+		if err := s.grantSessionLease(ctx, current.client); err != nil {
+			return current, s.trackAvailability(err)
+		}
+	}
+	err := s.grantRecordLease(ctx, current.client)
+	current, _ = s.currentSession()
+	return current, s.trackAvailability(err)
+}
+
+// connect makes the client, which connects to etcd in the background and reconnects by itself.
+func (s *Store) connect() (*clientv3.Client, error) {
+	client, err := s.newClient()
+	if err != nil {
+		return nil, s.trackAvailability(err)
+	}
+	s.mu.Lock()
+	closed := s.ctx.Err()
+	if closed == nil {
+		s.session.client = client
+	}
+	s.mu.Unlock()
+	if closed != nil { // Store.Close does not know this client
+		client.Close()
+		return nil, closed
+	}
+	return client, nil
+}
+
+func (s *Store) newClient() (*clientv3.Client, error) {
+	password, err := s.options.password()
+	if err != nil {
+		return nil, err
+	}
+	servers := make([]string, len(s.options.Servers))
+	for i, server := range s.options.Servers {
+		servers[i] = "http://" + server // TLS is the dialer's
+	}
+	timeout := s.options.Timeout.D()
+	return clientv3.New(clientv3.Config{
+		Endpoints:            servers,
+		Username:             s.options.User,
+		Password:             password,
+		DialTimeout:          timeout,
+		DialKeepAliveTime:    s.options.Session.D(),
+		DialKeepAliveTimeout: timeout,
+		Context:              s.ctx,
+		Logger:               zap.NewNop(),
+		DialOptions:          []grpc.DialOption{grpc.WithContextDialer(s.dialer())},
+	})
+}
+
+// dialer returns the function that opens connections to etcd, encrypted if the declaration says so.
+func (s *Store) dialer() func(ctx context.Context, address string) (net.Conn, error) {
+	dialer := &net.Dialer{Timeout: s.options.Timeout.D()}
+	if s.credentials == nil {
+		return func(ctx context.Context, address string) (net.Conn, error) {
+			return dialer.DialContext(ctx, "tcp", address)
+		}
+	}
+	tlsClient := tlscredentials.NewClient(s.credentials, s.options.TLS)
+	return func(ctx context.Context, address string) (net.Conn, error) {
+		conn, err := dialer.DialContext(ctx, "tcp", address)
+		if err != nil {
+			return nil, err
+		}
+		encrypted, err := tlsClient.HandshakeALPN(ctx, conn, endpoints.Instance{Address: address}, "h2")
+		if err != nil {
+			conn.Close()
+			return nil, err
+		}
+		return encrypted, nil
+	}
+}
+
+// grantSessionLease starts a session: a lease that is kept alive, with the owner key attached to it.
+func (s *Store) grantSessionLease(ctx context.Context, client *clientv3.Client) error {
+	grant, err := client.Grant(ctx, int64(s.options.Session.D()/time.Second))
+	if err != nil {
+		return err
+	}
+	if _, err := client.Put(ctx, s.ownerKey(leaseName(grant.ID)), s.options.Service, clientv3.WithLease(grant.ID)); err != nil {
+		return err
+	}
+	keepAlives, err := client.KeepAlive(s.ctx, grant.ID)
+	if err != nil {
+		return err
+	}
+	s.mu.Lock()
+	s.session.lease = grant.ID
+	if s.session.process == "" {
+		s.session.process = leaseName(grant.ID)
+	}
+	s.mu.Unlock()
+	s.start(func() {
+		for range keepAlives { // closed once the client takes the lease for expired
+		}
+		s.dropSession(grant.ID)
+	})
+	return nil
+}
+
+// grantRecordLease grants the lease of the records that are written from now on. It outlasts the last of them by Retention.
+func (s *Store) grantRecordLease(ctx context.Context, client *clientv3.Client) error {
+	granted := time.Now()
+	ttl := int64((s.options.Retention+s.options.Retention/recordLeaseSlots)/time.Second) + int64(lateCommitTimeout/time.Second)
+	grant, err := client.Grant(ctx, ttl)
+	if err != nil {
+		return err
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.session.recordLease, s.recordLeaseSince = grant.ID, granted
+	return nil
+}
+
+// dropSession gives up a session whose lease has expired, if it is still the current one. The next ensureSession starts another.
+func (s *Store) dropSession(lease clientv3.LeaseID) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.session.lease == lease {
+		s.session.lease, s.session.recordLease = 0, 0
+	}
+}
--- /dev/null
+++ b/internal/idempotency/etcdstore/settlement.go
@@ -0,0 +1,188 @@
+package etcdstore
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
+	clientv3 "go.etcd.io/etcd/client/v3"
+
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/idempotency/recordcodec"
+)
+
+// settleRetryInterval is the pause between two tries to write a settlement.
+const settleRetryInterval = time.Second
+
+// settlement is the outcome of a claim that is yet to be written to etcd, or the withdrawal of a claim whose transaction failed and may have
+// been committed.
+type settlement struct {
+	id             idempotency.ID
+	claim          string
+	record         *idempotency.Record // to be written, with wall-clock times; nil: the claim's record is deleted
+	withdrawal     bool                // record is the one that the claim replaced
+	mayCommitUntil time.Time           // of a withdrawal: the claim may still be committed until then
+
+	lock     chan struct{} // of capacity 1: held by the goroutine that writes the settlement; guards the fields below
+	revision int64         // of the claim's record; 0: not known
+	done     bool
+}
+
+// Settle ends a claim with a record, whose attempts' SentAt are ages, or with nil if the request was not executed. It returns at once:
+// the record is written in the background, and the next Claim of the key waits for that.
+func (s *Store) Settle(claim Claim, id idempotency.ID, record *idempotency.Record) {
+	if claim.name == "" {
+		return
+	}
+	p := &settlement{id: id, claim: claim.name, revision: claim.revision}
+	if record != nil {
+		timed := *record
+		timed.Attempts = agedAttempts{record.Attempts, time.Now()}.wallTimes()
+		p.record = &timed
+	}
+	s.addSettlement(p)
+}
+
+// addSettlement starts writing a settlement. Once the Store is closed, or beyond MaxPending withdrawals, it does nothing: the record then
+// stays running and its request is not executed again.
+func (s *Store) addSettlement(p *settlement) {
+	p.lock = make(chan struct{}, 1)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.ctx.Err() != nil || p.withdrawal && len(s.pending) >= s.options.MaxPending {
+		return
+	}
+	s.pending[p.id] = p
+	s.running.Go(func() { s.settleUntilDone(p) })
+}
+
+// pendingSettlements returns the number of settlements that are yet to be written.
+func (s *Store) pendingSettlements() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.pending)
+}
+
+// settleUntilDone tries to write a settlement until it is done or the Store is closed.
+func (s *Store) settleUntilDone(p *settlement) {
+	for {
+		select {
+		case s.settling <- struct{}{}:
+		case <-s.ctx.Done():
+			return
+		}
+		done, _ := s.settle(s.ctx, p) // its error has been logged
+		<-s.settling
+		if done {
+			return
+		}
+		select {
+		case <-time.After(settleRetryInterval):
+		case <-s.ctx.Done():
+			return
+		}
+	}
+}
+
+// settlePending tries to write the pending settlement of a key, before the key is claimed anew.
+func (s *Store) settlePending(ctx context.Context, id idempotency.ID) error {
+	s.mu.Lock()
+	p := s.pending[id]
+	s.mu.Unlock()
+	if p == nil {
+		return nil
+	}
+	_, err := s.settle(ctx, p)
+	return err
+}
+
+// settle tries to write a settlement once. It returns true if nothing is left to do.
+func (s *Store) settle(ctx context.Context, p *settlement) (done bool, err error) {
+	select {
+	case p.lock <- struct{}{}:
+		defer func() { <-p.lock }()
+	case <-ctx.Done():
+		return false, ctx.Err()
+	}
+	if p.done {
+		return true, nil
+	}
+	done, err = s.writeSettlement(ctx, p)
+	if done {
+		p.done = true
+		s.mu.Lock()
+		if s.pending[p.id] == p {
+			delete(s.pending, p.id)
+		}
+		s.mu.Unlock()
+	}
+	return done, err
+}
+
+// writeSettlement replaces or deletes the record of a claim, if it is still the claim's. Its results are those of settle.
+func (s *Store) writeSettlement(ctx context.Context, p *settlement) (done bool, err error) {
+	revisionKnown := p.revision != 0
+	for range maxTransactionAttempts {
+		at, err := s.ensureSession(ctx)
+		if err != nil {
+			return false, err
+		}
+		if !revisionKnown {
+			if stands, done, err := s.findClaim(ctx, at, p); !stands {
+				return done, err
+			}
+		}
+		response, err := s.commitSettlement(ctx, at, p)
+		switch {
+		case errors.Is(err, rpctypes.ErrLeaseNotFound): // with a new session
+		case err != nil:
+			return false, err
+		case response.Succeeded:
+			return true, nil
+		default:
+			revisionKnown = false
+		}
+	}
+	return false, errContended
+}
+
+// findClaim reads the revision of a claim's record. It returns false for stands if the settlement has nothing to write now: done is then
+// true unless the claim may still be committed. A settlement that has a record to write and finds none creates it, at revision 0.
+func (s *Store) findClaim(ctx context.Context, at session, p *settlement) (stands, done bool, err error) {
+	response, err := s.get(ctx, at, s.recordKey(p.id))
+	if err != nil {
+		return false, false, err
+	}
+	p.revision = 0
+	if len(response.Kvs) == 0 {
+		if p.withdrawal || p.record == nil {
+			return false, p.settled(), nil
+		}
+		return true, false, nil
+	}
+	record, err := recordcodec.DecodeShared(response.Kvs[0].Value)
+	if err != nil {
+		return false, true, s.trackAvailability(err)
+	}
+	if record.Claim != p.claim { // another claim has replaced it, or it was never committed
+		return false, p.settled(), nil
+	}
+	p.revision = response.Kvs[0].ModRevision
+	return true, false, nil
+}
+
+// settled reports whether a claim that has no record can't be committed any more.
+func (p *settlement) settled() bool { return time.Now().After(p.mayCommitUntil) }
+
+// commitSettlement runs the transaction of a settlement.
+func (s *Store) commitSettlement(ctx context.Context, at session, p *settlement) (*clientv3.TxnResponse, error) {
+	key := s.recordKey(p.id)
+	write := clientv3.OpDelete(key)
+	if p.record != nil {
+		value := recordcodec.EncodeShared(&idempotency.SharedRecord{Record: *p.record, Owner: leaseName(at.lease), Claim: p.claim})
+		write = clientv3.OpPut(key, string(value), clientv3.WithLease(at.recordLease))
+	}
+	conditions := []clientv3.Cmp{clientv3.Compare(clientv3.ModRevision(key), "=", p.revision)}
+	return s.commit(ctx, at, conditions, write, clientv3.OpGet(key))
+}
