--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -247,6 +247,33 @@
 	}
 }
 
+// TestUncertainWithinWindow checks that a key of uncertain outcome is executed again only while the deduplication window of its oldest
+// attempt is open.
+func TestUncertainWithinWindow(t *testing.T) {
+	window := testDedupWindow("")
+	for _, c := range []struct {
+		name string
+		age  time.Duration // of the oldest attempt
+		want Verdict
+	}{
+		{"at once", time.Second, Execute},
+		{"just before it closes", window - 1, Execute},
+		{"as it closes", window, Fail},
+		{"later", 2 * window, Fail},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s, id := New(testOptions(), testDedupWindow), ID{"t", "c", "k"}
+			s.Arrive(0, id, Fingerprint{})
+			s.AttemptStarted(id, Attempt{Zone: "a"})
+			s.AttemptStarted(id, Attempt{Zone: "b", SentAt: time.Second})
+			s.Finish(time.Second, id, MayHaveRun, nil)
+			if d := s.Arrive(c.age, id, Fingerprint{}); d.Verdict != c.want || d.Verdict == Execute && len(d.EarlierAttempts) != 2 {
+				t.Errorf("%+v", d)
+			}
+		})
+	}
+}
+
 // BenchmarkKey is the life of a request with a key: its arrival, an attempt, its answer and a replay.
 func BenchmarkKey(b *testing.B) {
 	o := Default()
