--- a/internal/boltfile/boltfile_test.go
+++ b/internal/boltfile/boltfile_test.go
@@ -10,7 +10,9 @@
 	"go.etcd.io/bbolt"
 )
 
-func held(t *testing.T) (path string, release func()) {
+// lockedFile returns a file that is locked until release is called or the test ends.
+func lockedFile(t *testing.T) (path string, release func()) {
+	t.Helper()
 	path = filepath.Join(t.TempDir(), "keys.db")
 	db, err := bbolt.Open(path, 0o600, nil)
 	if err != nil {
@@ -20,29 +22,29 @@
 	return path, func() { db.Close() }
 }
 
-// Guards against a process that ends since the one before it is dead, and its lock is not: it waits, says so, and has the file then.
-func TestHeldFileIsWaitedFor(t *testing.T) {
-	path, release := held(t)
-	said := 0
+// TestOpenWaitsForLock checks that Open waits for the lock of another process, calls OnWaiting each second, and has the file then.
+func TestOpenWaitsForLock(t *testing.T) {
+	path, release := lockedFile(t)
+	notified := 0
 	db, err := Open(t.Context(), path, LockWait{Timeout: 20 * time.Second, OnWaiting: func(time.Duration) {
-		if said++; said == 3 { // 2 s later
+		if notified++; notified == 3 { // after 2 s
 			release()
 		}
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if said < 3 {
-		t.Errorf("it has the file after %d words of it", said)
+	if notified < 3 {
+		t.Errorf("opened after %d notifications", notified)
 	}
 	if err := db.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// Guards against a wait without an end, and one that holds up the end of the process.
-func TestHeldFileIsGivenUp(t *testing.T) {
-	path, _ := held(t)
+// TestOpenGivesUp checks that Open ends at its timeout, and with its context.
+func TestOpenGivesUp(t *testing.T) {
+	path, _ := lockedFile(t)
 	if _, err := Open(t.Context(), path, LockWait{Timeout: 50 * time.Millisecond}); !errors.Is(err, ErrLocked) {
 		t.Errorf("%v", err)
 	}
--- a/internal/idempotency/etcdstore/declaration.go
+++ b/internal/idempotency/etcdstore/declaration.go
@@ -10,7 +10,7 @@
 	"orchiddrift/internal/units"
 )
 
-// Declaration is a shared store's part of the operator's file.
+// Declaration is a shared store in the configuration file.
 type Declaration struct {
 	Servers      []string                   `toml:"servers" sample:"[\"127.0.0.1:2379\"]" doc:"Client addresses of the etcd (v3 API) that all sidecars of the service share. Absent: there is none."`
 	Prefix       string                     `toml:"prefix" default:"orchiddrift/repeats/" doc:"What its keys begin with; sidecars that share it share their keys."`
@@ -23,12 +23,19 @@
 	TLS          tlscredentials.UpstreamTLS `toml:"tls" doc:"Encryption towards it."`
 }
 
-// Enabled tells whether there is a shared store.
+// Enabled reports whether a shared store is declared.
 func (d *Declaration) Enabled() bool { return len(d.Servers) > 0 }
 
-const maxServers = 16
+// The ranges that Declaration.Check accepts.
+const (
+	maxServers = 16
+	minTimeout = time.Millisecond
+	maxTimeout = time.Minute
+	minSession = 2 * time.Second // leases are granted in whole seconds
+	maxSession = 10 * time.Minute
+)
 
-// Check is tomlfile.Checker's.
+// Check implements tomlfile.Checker: it reports each value that is out of range, with its key in the configuration file.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
 	if !d.Enabled() {
 		if d.User != "" || d.PasswordFile != "" || d.TLS.Enabled() {
@@ -39,18 +46,18 @@
 	if len(d.Servers) > maxServers {
 		report("servers", "%d are given, %d at most", len(d.Servers), maxServers)
 	}
-	for _, s := range d.Servers {
-		if err := endpoints.CheckAddress(s); err != nil {
+	for _, server := range d.Servers {
+		if err := endpoints.CheckAddress(server); err != nil {
 			report("servers", "%v", err)
 		}
 	}
 	if d.Prefix == "" {
 		report("prefix", "keys need one")
 	}
-	if d.Timeout.D() < time.Millisecond || d.Timeout.D() > time.Minute {
+	if d.Timeout.D() < minTimeout || d.Timeout.D() > maxTimeout {
 		report("timeout", "%v is not from 1ms to 1m", d.Timeout)
 	}
-	if d.Session.D() < 2*time.Second || d.Session.D() > 10*time.Minute {
+	if d.Session.D() < minSession || d.Session.D() > maxSession {
 		report("session", "%v is not from 2s to 10m", d.Session)
 	}
 	if d.MaxClockSkew < 0 {
@@ -61,6 +68,7 @@
 	}
 }
 
+// password reads the password file; "" if there is none.
 func (d *Declaration) password() (string, error) {
 	if d.PasswordFile == "" {
 		return "", nil
