--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -7,22 +7,22 @@
 	"pgregory.net/rapid"
 )
 
-const grace = 3550 * time.Millisecond
+const testGracePeriod = 3550 * time.Millisecond
 
-// events are all that may befall a process.
+// events are all events of a process; they return whether the event was accepted.
 var events = map[string]func(*Machine, time.Duration) bool{
 	"drain":    (*Machine).Drain,
 	"undrain":  (*Machine).Undrain,
-	"stop":     func(l *Machine, now time.Duration) bool { l.Stop(now, false); return true },
-	"replaced": func(l *Machine, now time.Duration) bool { l.Stop(now, true); return true },
+	"stop":     func(m *Machine, now time.Duration) bool { m.Stop(now, false); return true },
+	"replaced": func(m *Machine, now time.Duration) bool { m.Stop(now, true); return true },
 }
 
-// Every pair of events, and what comes of it. Guards against a process that serves again after its end has begun, a second call
-// that begins a drain anew and so never lets connections be closed, and a drain that is not taken back.
+// TestEveryPairOfEvents checks the state after each pair of events: an end is final, a second event of the same kind does not restart its
+// periods, and a drain can be taken back.
 func TestEveryPairOfEvents(t *testing.T) {
 	type want struct {
-		state State
-		ok    bool // of the second event
+		state    State
+		accepted bool // the second event
 	}
 	table := map[string]map[string]want{
 		"drain": {"drain": {Draining, true}, "undrain": {Serving, true}, "stop": {Stopping, true}, "replaced": {Replaced, true}},
@@ -35,96 +35,101 @@
 	}
 	for first := range events {
 		for second := range events {
-			l := New(grace)
-			events[first](l, time.Second)
-			ok := events[second](l, 3*time.Second)
-			if w := table[first][second]; l.State() != w.state || ok != w.ok {
-				t.Errorf("%s, %s: %v, %v; want %v, %v", first, second, l.State(), ok, w.state, w.ok)
+			m := New(testGracePeriod)
+			events[first](m, time.Second)
+			accepted := events[second](m, 3*time.Second)
+			if w := table[first][second]; m.State() != w.state || accepted != w.accepted {
+				t.Errorf("%s, %s: %v, %v; want %v, %v", first, second, m.State(), accepted, w.state, w.accepted)
 			}
-			if first == second && l.since != time.Second && first != "undrain" {
-				t.Errorf("%s twice begins anew", first)
+			if first == second && m.since != time.Second && first != "undrain" {
+				t.Errorf("%s twice restarts its periods", first)
 			}
 		}
 	}
 }
 
-// What holds in each state, by the time since it began. "closes" is the least rest of a connection that is closed then; -1: none is.
-func TestWhatHoldsInEachState(t *testing.T) {
+// TestOutputsOfEachState checks all outputs by the state and its age.
+func TestOutputsOfEachState(t *testing.T) {
+	const none = -1 // no idle connection is closed
 	for _, c := range []struct {
-		into    string
-		after   time.Duration
-		wanted  bool
-		last    bool
-		accepts bool
-		closes  time.Duration
-		abort   bool
+		event      string
+		age        time.Duration // of the state after the event
+		ready      bool
+		lastAnswer bool
+		accepts    bool
+		idle       time.Duration
+		abort      bool
 	}{
-		{"undrain", time.Hour, true, false, true, -1, false},
-		{"drain", 0, false, true, true, -1, false},
-		{"drain", 599 * time.Millisecond, false, true, true, -1, false},
+		{"undrain", time.Hour, true, false, true, none, false},
+		{"drain", 0, false, true, true, none, false},
+		{"drain", 599 * time.Millisecond, false, true, true, none, false},
 		{"drain", 600 * time.Millisecond, false, true, true, time.Second, false},
-		{"drain", 2500 * time.Millisecond, false, true, true, restShort, false},
-		{"drain", time.Hour, false, true, true, restShort, false},
-		{"replaced", 0, true, true, false, -1, false},
+		{"drain", 2500 * time.Millisecond, false, true, true, shortIdle, false},
+		{"drain", time.Hour, false, true, true, shortIdle, false},
+		{"replaced", 0, true, true, false, none, false},
 		{"replaced", 700 * time.Millisecond, true, true, false, time.Second, false},
-		{"replaced", grace - 300*time.Millisecond, true, true, false, restShort, false},
-		{"replaced", grace, true, true, false, restShort, true},
-		{"stop", 0, false, true, true, -1, false},
-		{"stop", 449 * time.Millisecond, false, true, true, -1, false},
-		{"stop", 450 * time.Millisecond, false, true, true, restShort, false},
+		{"replaced", testGracePeriod - 300*time.Millisecond, true, true, false, shortIdle, false},
+		{"replaced", testGracePeriod, true, true, false, shortIdle, true},
+		{"stop", 0, false, true, true, none, false},
+		{"stop", 449 * time.Millisecond, false, true, true, none, false},
+		{"stop", 450 * time.Millisecond, false, true, true, shortIdle, false},
 		{"stop", 600 * time.Millisecond, false, true, false, 0, false},
-		{"stop", grace - 1, false, true, false, 0, false},
-		{"stop", grace, false, true, false, 0, true},
+		{"stop", testGracePeriod - 1, false, true, false, 0, false},
+		{"stop", testGracePeriod, false, true, false, 0, true},
 	} {
-		l := New(grace)
-		events[c.into](l, time.Minute)
-		now := time.Minute + c.after
-		rest, _, closing := l.IdleTimeout(now)
+		m := New(testGracePeriod)
+		events[c.event](m, time.Minute)
+		now := time.Minute + c.age
+		idle, _, closing := m.IdleTimeout(now)
 		if !closing {
-			rest = -1
+			idle = none
 		}
-		_, abort := l.Abort(now)
-		if l.Ready() != c.wanted || l.CloseAfterAnswer() != c.last || l.Accepts(now) != c.accepts || rest != c.closes || abort != c.abort {
-			t.Errorf("%s and %v: wanted %v, last answers %v, accepts %v, closes %v, aborts %v", c.into, c.after, l.Ready(),
-				l.CloseAfterAnswer(), l.Accepts(now), rest, abort)
+		_, abort := m.Abort(now)
+		if m.Ready() != c.ready || m.CloseAfterAnswer() != c.lastAnswer || m.Accepts(now) != c.accepts || idle != c.idle || abort != c.abort {
+			t.Errorf("%s and %v: ready %v, last answers %v, accepts %v, idle timeout %v, aborts %v", c.event, c.age, m.Ready(),
+				m.CloseAfterAnswer(), m.Accepts(now), idle, abort)
 		}
 	}
 }
 
-// Whatever befalls a process: an end that has begun is never taken back and comes in time; a drained one has let go of every
-// connection that is not in use well within 4 s; and whoever follows Rest's own times is never told to wait for a moment that has
-// passed, nor past one at which something changes.
-func TestAnyCourse(t *testing.T) {
+// TestAnySequenceOfEvents checks that an end is final and comes in time; that a draining process closes all connections that are not in
+// use well within 4 s; and that the time at which IdleTimeout is to be asked again lies in the future, and not behind a change.
+func TestAnySequenceOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, now := New(grace), time.Duration(0)
+		m, now := New(testGracePeriod), time.Duration(0)
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
-			was, since := l.State(), l.since
+			before, since := m.State(), m.since
 			name := rapid.SampledFrom([]string{"drain", "undrain", "stop", "replaced"}).Draw(t, "event")
-			events[name](l, now)
-			if (was == Stopping || was == Replaced) && (l.State() != was || l.since != since) {
-				t.Fatalf("%s takes the end back: %v after %v", name, l.State(), was)
+			events[name](m, now)
+			if (before == Stopping || before == Replaced) && (m.State() != before || m.since != since) {
+				t.Fatalf("%s takes the end back: %v after %v", name, m.State(), before)
 			}
-			for range rapid.IntRange(0, 8).Draw(t, "looks") {
-				rest, again, closing := l.IdleTimeout(now)
-				if l.State() == Serving {
+			for range rapid.IntRange(0, 8).Draw(t, "checks") {
+				if m.State() == Serving {
 					break
 				}
-				if again <= 0 {
-					t.Fatalf("%v: again in %v", l.State(), again)
-				}
-				before, _, _ := l.IdleTimeout(now + again - 1)
-				if before != rest {
-					t.Fatalf("%v at %v: what is closed changes before %v have passed", l.State(), now-l.since, again)
-				}
-				if l.State() == Draining && now-l.since >= 3*time.Second && (!closing || rest > restShort) {
-					t.Fatalf("%v after %v: idle connections stay", l.State(), now-l.since)
-				}
-				if left, abort := l.Abort(now); l.Ending() && abort != (now-l.since >= grace) || !abort && left > grace {
-					t.Fatalf("%v: abort %v, left %v", now-l.since, abort, left)
-				}
-				now += again
+				now += checkIdleTimeout(t, m, now)
 			}
-			now += time.Duration(rapid.IntRange(0, 5000).Draw(t, "later")) * time.Millisecond
+			now += time.Duration(rapid.IntRange(0, 5000).Draw(t, "pause")) * time.Millisecond
 		}
 	})
 }
+
+// checkIdleTimeout checks the outputs of a process that does not serve, and returns when to ask again.
+func checkIdleTimeout(t *rapid.T, m *Machine, now time.Duration) (next time.Duration) {
+	t.Helper()
+	idle, next, closing := m.IdleTimeout(now)
+	if next <= 0 {
+		t.Fatalf("%v: again in %v", m.State(), next)
+	}
+	if before, _, _ := m.IdleTimeout(now + next - 1); before != idle {
+		t.Fatalf("%v at %v: the idle timeout changes before %v have passed", m.State(), now-m.since, next)
+	}
+	if m.State() == Draining && now-m.since >= 3*time.Second && (!closing || idle > shortIdle) {
+		t.Fatalf("%v after %v: idle connections stay", m.State(), now-m.since)
+	}
+	if left, abort := m.Abort(now); m.Ending() && abort != (now-m.since >= testGracePeriod) || !abort && left > testGracePeriod {
+		t.Fatalf("%v: abort %v, left %v", now-m.since, abort, left)
+	}
+	return next
+}
