--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -1,5 +1,3 @@
-// Package handover passes what a process has to its successor: the clients' listening socket, and what it knows. frame.go frames
-// messages, state.go says what they hold and checks it, both without I/O; socket.go carries them over a Unix socket.
 package handover
 
 import (
@@ -10,66 +8,75 @@
 	"io"
 )
 
-// Version is the protocol's. A process of another one is a stranger.
+// Version is the version of the protocol. Processes of other versions are rejected.
 const Version = 1
 
-// MaxPayload bounds a message, in bytes: 5,000 upstreams with all that is learnt of them take less.
+// MaxPayload is the largest payload of a message, in bytes. The state of 5,000 upstreams takes less.
 const MaxPayload = 1 << 20
 
-// MessageKind tells messages apart.
+// MessageKind is the kind of a message. Its numbers are sent.
 type MessageKind uint8
 
 // The kinds of messages.
 const (
-	Hello   MessageKind = iota + 1 // a successor is there
-	Welcome                        // and gets what there is; the listening socket comes with its first byte
-	Ready                          // it serves
-	Drain                          // the sidecar is to drain: told to either, done by both
-	Undrain
-	DescriptorsHeld // how many descriptors the predecessor holds yet; 4 bytes, big-endian
-	kinds
+	Hello           MessageKind = iota + 1 // a successor is there
+	Welcome                                // the reply: the state, and the listening socket with its first byte
+	Ready                                  // the successor serves
+	Drain                                  // the sidecar is to drain; sent by either process to the other
+	Undrain                                // the sidecar is to serve again; sent by either process to the other
+	DescriptorsHeld                        // the number of descriptors that the predecessor still holds: 4 bytes, big-endian
+	kindsEnd                               // the first number that is not a kind
 )
 
-// headSize is what stands before a payload: "ODHO", version, kind, length and the payload's checksum (CRC-32C), big-endian.
-const headSize = 4 + 1 + 1 + 4 + 4
+// The header of a message, big-endian; the payload follows.
+const (
+	magicOffset    = 0  // "ODHO"
+	versionOffset  = 4  // uint8
+	kindOffset     = 5  // uint8
+	lengthOffset   = 6  // uint32, of the payload, in bytes
+	checksumOffset = 10 // uint32, CRC-32C of the payload
+	headerSize     = 14
+)
 
 var (
 	magic      = [4]byte{'O', 'D', 'H', 'O'}
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// ErrProtocol says that what came is no message of this protocol and version.
+// ErrProtocol is returned for bytes that are not a message of this protocol and version, and for an unexpected message.
 var ErrProtocol = errors.New("not a message of this program's version")
 
-// Append appends a message.
-func Append(out []byte, k MessageKind, payload []byte) []byte {
-	out = append(append(out, magic[:]...), Version, byte(k))
+// Append appends a message to out.
+func Append(out []byte, kind MessageKind, payload []byte) []byte {
+	out = append(out, magic[:]...)
+	out = append(out, Version, byte(kind))
 	out = binary.BigEndian.AppendUint32(out, uint32(len(payload)))
 	out = binary.BigEndian.AppendUint32(out, crc32.Checksum(payload, castagnoli))
 	return append(out, payload...)
 }
 
-// Read reads one message. It takes memory as the payload comes.
+// Read reads one message. It allocates memory as the payload arrives, not by the length that the header claims.
 func Read(in io.Reader) (MessageKind, []byte, error) {
-	var head [headSize]byte
-	if _, err := io.ReadFull(in, head[:]); err != nil {
+	var header [headerSize]byte
+	if _, err := io.ReadFull(in, header[:]); err != nil {
 		return 0, nil, err
 	}
-	k, n := MessageKind(head[5]), binary.BigEndian.Uint32(head[6:])
-	if [4]byte(head[:4]) != magic || head[4] != Version || k == 0 || k >= kinds {
+	kind := MessageKind(header[kindOffset])
+	if [4]byte(header[magicOffset:versionOffset]) != magic || header[versionOffset] != Version || kind == 0 || kind >= kindsEnd {
 		return 0, nil, ErrProtocol
 	}
-	if n > MaxPayload {
-		return 0, nil, fmt.Errorf("%w: %d bytes are too many", ErrProtocol, n)
+	length := binary.BigEndian.Uint32(header[lengthOffset:])
+	if length > MaxPayload {
+		return 0, nil, fmt.Errorf("%w: a payload of %d bytes, %d at most", ErrProtocol, length, MaxPayload)
 	}
-	payload, err := io.ReadAll(io.LimitReader(in, int64(n)))
+	payload, err := io.ReadAll(io.LimitReader(in, int64(length)))
 	switch {
 	case err != nil:
 		return 0, nil, err
-	case len(payload) < int(n):
+	case len(payload) < int(length):
 		return 0, nil, io.ErrUnexpectedEOF
-	case crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(head[10:]):
-		return 0, nil, fmt.Errorf("%w: the checksum is another one", ErrProtocol)
+	case crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(header[checksumOffset:]):
+		return 0, nil, fmt.Errorf("%w: wrong checksum", ErrProtocol)
 	}
-	return k, payload, nil
+	return kind, payload, nil
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -14,11 +14,12 @@
 	"orchiddrift/internal/testing/golden"
 )
 
-// A Welcome's payload is read and written byte for byte as the release before did: old and new processes replace each other.
+// TestStateGolden checks that the payloads of Welcome and Hello are encoded byte for byte as by the previous release, and that its bytes
+// are decoded: processes of both replace each other.
 func TestStateGolden(t *testing.T) {
 	index := int64(41)
-	who := Identity{Name: "n3", Listen: "127.0.0.1:9000"}
-	want := State{Identity: who, Draining: true, Descriptors: 7, Services: map[string]Service{
+	own := Identity{Name: "n3", Listen: "127.0.0.1:9000"}
+	want := State{Identity: own, Draining: true, Descriptors: 7, Services: map[string]Service{
 		"platform": {
 			Discovery: "127.0.0.1:8500",
 			List: &endpoints.List{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{
@@ -35,21 +36,21 @@
 		t.Fatal(err)
 	}
 	golden.Match(t, "state.json", text)
-	got, err := Decode(golden.Read(t, "state.json", text), who)
+	got, err := Decode(golden.Read(t, "state.json", text), own)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
-	hello, err := json.Marshal(who)
+	hello, err := json.Marshal(own)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Match(t, "hello.json", hello)
 }
 
-// The frames, their kinds' numbers and the path of the socket are those of the release before.
+// TestFramesGolden checks that frames, the numbers of their kinds and the socket's path are those of the previous release.
 func TestFramesGolden(t *testing.T) {
 	var out strings.Builder
 	for _, message := range []struct {
--- /dev/null
+++ b/internal/handover/link.go
@@ -0,0 +1,87 @@
+package handover
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"golang.org/x/sys/unix"
+)
+
+const (
+	// stepTimeout bounds each step of a hand-over. Both processes are on one machine.
+	stepTimeout = time.Second
+	// maxSocketPath is the longest path of a Unix socket, in bytes: sockaddr_un has 108, one of them for the terminating zero.
+	maxSocketPath = 107
+	// descriptorsHeldSize is the length of a DescriptorsHeld's payload, in bytes.
+	descriptorsHeldSize = 4
+)
+
+// SocketPath returns the path at which a sidecar's process waits for a successor, in a folder that both share.
+func SocketPath(folder string, own Identity) string {
+	return filepath.Join(folder, fmt.Sprintf("orchiddrift-%016x.sock", xxhash.Sum64String(own.Name+"\x00"+own.Listen)))
+}
+
+// Link is the connection between a process and its successor. Its Send methods are safe for concurrent use; Next has one caller.
+type Link struct{ conn *net.UnixConn }
+
+// Send sends a message without payload.
+func (l *Link) Send(kind MessageKind) error { return l.send(kind, nil) }
+
+// SendDescriptorsHeld tells the successor how many descriptors this process still holds.
+func (l *Link) SendDescriptorsHeld(held int) error {
+	return l.send(DescriptorsHeld, binary.BigEndian.AppendUint32(nil, uint32(held)))
+}
+
+func (l *Link) send(kind MessageKind, payload []byte) error {
+	if err := l.conn.SetWriteDeadline(time.Now().Add(stepTimeout)); err != nil {
+		return err
+	}
+	_, err := l.conn.Write(Append(nil, kind, payload))
+	return err
+}
+
+// Next waits for the next message; held is the number of a DescriptorsHeld. Any error means that the other process has ended or does not
+// follow the protocol.
+func (l *Link) Next() (kind MessageKind, held int, err error) {
+	kind, payload, err := Read(l.conn)
+	switch {
+	case err != nil:
+		return 0, 0, err
+	case kind == DescriptorsHeld && len(payload) != descriptorsHeldSize:
+		return 0, 0, ErrProtocol
+	case kind == DescriptorsHeld:
+		held = int(binary.BigEndian.Uint32(payload))
+	}
+	return kind, held, nil
+}
+
+// Close closes the connection.
+func (l *Link) Close() error { return l.conn.Close() }
+
+// checkSameUser returns an error if the other process is of another user.
+func (l *Link) checkSameUser() error {
+	raw, err := l.conn.SyscallConn()
+	if err != nil {
+		return err
+	}
+	var peer *unix.Ucred
+	controlErr := raw.Control(func(fd uintptr) {
+		peer, err = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED)
+	})
+	if controlErr != nil {
+		return controlErr
+	}
+	if err != nil {
+		return err
+	}
+	if int(peer.Uid) != os.Getuid() {
+		return errors.New("the other process belongs to another user")
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/handover/offer.go
@@ -0,0 +1,113 @@
+package handover
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"syscall"
+	"time"
+)
+
+// ErrNoSuccessor is returned by Offer.Next when what connected is not a successor, or did not complete the hand-over.
+var ErrNoSuccessor = errors.New("no successor")
+
+const (
+	// temporaryPathReserve is how many bytes the temporary path of a socket may be longer than its path.
+	temporaryPathReserve = 4
+	// temporaryPathNumbers bounds the number in a temporary path, for its length.
+	temporaryPathNumbers = 100_000
+
+	socketSuffix               = ".sock"
+	socketFileMode os.FileMode = 0o600
+)
+
+// Offer waits for successors at a path.
+type Offer struct{ listener *net.UnixListener }
+
+// Listen takes over path, also from a process that waits there: that one's successor connects to this process from then on. The path ends
+// in ".sock"; the socket is made under a temporary name and renamed, so that there is always one to connect to.
+func Listen(path string) (*Offer, error) {
+	if len(path)+temporaryPathReserve > maxSocketPath {
+		return nil, fmt.Errorf("%s is too long for a socket", path)
+	}
+	temporary := fmt.Sprintf("%s.%d", path[:len(path)-len(socketSuffix)], os.Getpid()%temporaryPathNumbers)
+	_ = os.Remove(temporary) // left by a process of the same number that crashed
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
+	if err != nil {
+		return nil, err
+	}
+	listener.SetUnlinkOnClose(false) // the path may be a successor's by then
+	if err := errors.Join(os.Chmod(temporary, socketFileMode), os.Rename(temporary, path)); err != nil {
+		listener.Close()
+		_ = os.Remove(temporary)
+		return nil, err
+	}
+	return &Offer{listener}, nil
+}
+
+// Next waits for a successor, passes it state and the socket of clients, and returns the link to it. An error that is ErrNoSuccessor
+// concerns one connection, and Next may be called again; any other one ends the offer.
+func (o *Offer) Next(own Identity, clients net.Listener, state func() State) (*Link, error) {
+	conn, err := o.listener.AcceptUnix()
+	if err != nil {
+		return nil, err
+	}
+	link := &Link{conn}
+	if err := link.welcome(own, clients, state); err != nil {
+		link.Close()
+		return nil, fmt.Errorf("%w: %w", ErrNoSuccessor, err)
+	}
+	return link, nil
+}
+
+// Close ends the offer. It leaves the path, which may be a successor's; nobody answers there otherwise.
+func (o *Offer) Close() error { return o.listener.Close() }
+
+// welcome receives Hello and sends Welcome, within stepTimeout.
+func (l *Link) welcome(own Identity, clients net.Listener, state func() State) error {
+	if err := errors.Join(l.checkSameUser(), l.conn.SetDeadline(time.Now().Add(stepTimeout))); err != nil {
+		return err
+	}
+	kind, payload, err := Read(l.conn)
+	if err != nil {
+		return err
+	}
+	var successor Identity
+	if err := json.Unmarshal(payload, &successor); err != nil || kind != Hello || successor != own {
+		return ErrProtocol
+	}
+	encoded, err := state().Encode()
+	if err != nil {
+		return err
+	}
+	if err := l.sendWithSocket(Append(nil, Welcome, encoded), clients); err != nil {
+		return err
+	}
+	return l.conn.SetDeadline(time.Time{})
+}
+
+// sendWithSocket writes a message, with a listening socket attached to its first byte.
+func (l *Link) sendWithSocket(message []byte, socket net.Listener) error {
+	tcp, ok := socket.(*net.TCPListener)
+	if !ok {
+		return errors.New("the clients' socket can't be passed on")
+	}
+	raw, err := tcp.SyscallConn()
+	if err != nil {
+		return err
+	}
+	sent := 0
+	controlErr := raw.Control(func(fd uintptr) {
+		sent, _, err = l.conn.WriteMsgUnix(message[:1], syscall.UnixRights(int(fd)), nil)
+	})
+	if controlErr != nil {
+		return controlErr
+	}
+	if err != nil {
+		return err
+	}
+	_, err = l.conn.Write(message[sent:])
+	return err
+}
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -9,71 +9,86 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// Identity names a sidecar: successor and predecessor are of one.
+// Identity identifies a sidecar. A successor must have its predecessor's.
 type Identity struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
 }
 
-// State is what a process has to pass on.
+// State is what a process passes on to its successor, beside the listening socket.
 type State struct {
 	Identity
 	Draining    bool               `json:"draining"`
-	Descriptors int                `json:"held"` // descriptors
+	Descriptors int                `json:"held"` // file descriptors that the predecessor holds
 	Services    map[string]Service `json:"services"`
 }
 
-// Service is a service's part of it. A list counts only where it is still followed at the same address: its index is that one's.
+// Service is the state of one service.
 type Service struct {
-	Discovery string             `json:"discovery,omitempty"`
+	Discovery string             `json:"discovery,omitempty"` // the address that List came from; List is of use only with the same one
 	List      *endpoints.List    `json:"list,omitempty"`
 	Snapshot  *balancer.Snapshot `json:"learnt,omitempty"`
 }
 
-// Encode is a State as a Welcome's payload. Where it is too large, what was learnt stays behind, and then the lists.
+// Encode returns the payload of a Welcome. If it would exceed MaxPayload it is encoded without the balancers' snapshots, and then without
+// the endpoint lists, which the successor can get again.
 func (s State) Encode() ([]byte, error) {
-	for _, without := range []func(*Service){func(*Service) {}, func(s *Service) { s.Snapshot = nil }, func(s *Service) { s.List = nil }} {
-		part := make(map[string]Service, len(s.Services))
-		for name, one := range s.Services {
-			without(&one)
-			part[name] = one
+	reductions := []func(*Service){
+		func(*Service) {},
+		func(service *Service) { service.Snapshot = nil },
+		func(service *Service) { service.List = nil },
+	}
+	for _, reduce := range reductions {
+		reduced := make(map[string]Service, len(s.Services))
+		for name, service := range s.Services {
+			reduce(&service)
+			reduced[name] = service
 		}
-		s.Services = part
-		text, err := json.Marshal(s)
-		if err != nil || len(text) <= MaxPayload {
-			return text, err
+		s.Services = reduced
+		payload, err := json.Marshal(s)
+		if err != nil || len(payload) <= MaxPayload {
+			return payload, err
 		}
 	}
-	return nil, errors.New("too many services to pass on")
+	return nil, errors.New("the state exceeds a message: too many services")
 }
 
-// Decode reads a Welcome's payload, and turns down what is not this sidecar's or can't be used.
+// Decode decodes and validates the payload of a Welcome. It returns an error for the state of another sidecar, and for one that a
+// successor could not use.
 func Decode(payload []byte, own Identity) (State, error) {
 	var s State
 	if err := json.Unmarshal(payload, &s); err != nil {
-		return State{}, fmt.Errorf("what was passed on can't be read: %w", err)
+		return State{}, fmt.Errorf("decoding the state: %w", err)
 	}
 	if s.Descriptors < 0 {
-		return State{}, fmt.Errorf("%d descriptors are held", s.Descriptors)
+		return State{}, fmt.Errorf("the state holds %d descriptors", s.Descriptors)
 	}
 	if s.Identity != own {
-		return State{}, fmt.Errorf("it is of %q at %s", s.Name, s.Listen)
+		return State{}, fmt.Errorf("the state is that of %q at %s", s.Name, s.Listen)
 	}
-	for name, one := range s.Services {
-		if one.List != nil {
-			text, err := json.Marshal(one.List)
-			if err == nil {
-				_, err = endpoints.ParseList(text)
-			}
-			if err != nil {
-				return State{}, fmt.Errorf("service %s: its list: %w", name, err)
-			}
-		}
-		if one.Snapshot != nil {
-			if err := one.Snapshot.Validate(); err != nil {
-				return State{}, fmt.Errorf("service %s: what was learnt: %w", name, err)
-			}
+	for name, service := range s.Services {
+		if err := service.validate(); err != nil {
+			return State{}, fmt.Errorf("service %s: %w", name, err)
 		}
 	}
 	return s, nil
 }
+
+// validate checks a service's endpoint list and snapshot.
+func (s *Service) validate() error {
+	if s.List != nil {
+		text, err := json.Marshal(s.List)
+		if err == nil {
+			_, err = endpoints.ParseList(text)
+		}
+		if err != nil {
+			return fmt.Errorf("endpoint list: %w", err)
+		}
+	}
+	if s.Snapshot != nil {
+		if err := s.Snapshot.Validate(); err != nil {
+			return fmt.Errorf("snapshot: %w", err)
+		}
+	}
+	return nil
+}
