--- /dev/null
+++ b/internal/logging/func.go
@@ -0,0 +1,34 @@
+package logging
+
+import (
+	"log/slog"
+	"strings"
+)
+
+// NewFunc returns a log that passes each line to write as msg=... key=value, without time, level and a final newline. With a nil write it
+// is Discard.
+func NewFunc(write func(line string)) *slog.Logger {
+	if write == nil {
+		return Discard()
+	}
+	return slog.New(slog.NewTextHandler(lineWriter(write), &slog.HandlerOptions{ReplaceAttr: dropTimeAndLevel}))
+}
+
+// Discard returns a log that writes nothing.
+func Discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
+
+func dropTimeAndLevel(groups []string, attr slog.Attr) slog.Attr {
+	if len(groups) == 0 && (attr.Key == slog.TimeKey || attr.Key == slog.LevelKey) {
+		return slog.Attr{}
+	}
+	return attr
+}
+
+// lineWriter is an io.Writer for a slog.Handler, which writes one line per call.
+type lineWriter func(line string)
+
+// Write implements io.Writer.
+func (w lineWriter) Write(p []byte) (int, error) {
+	w(strings.TrimSuffix(string(p), "\n"))
+	return len(p), nil
+}
--- /dev/null
+++ b/internal/logging/logger.go
@@ -0,0 +1,90 @@
+// Package logging provides the program's log: log/slog with a rate limit. A line that is repeated within ten seconds is written once and
+// counted, and no more than a configured number of lines is written per second, so that a failure can't fill the disk.
+//
+// The keys of fields are the same in all packages: service, upstream, class, attempt, file, key, reason.
+package logging
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"sync"
+	"time"
+)
+
+// flushInterval is how often counted lines are checked for the end of their window.
+const flushInterval = time.Second
+
+// Logger is a rate-limited log. It is safe for concurrent use.
+type Logger struct {
+	*slog.Logger
+	core *core
+}
+
+// New returns a Logger that writes to w, one line per call. Run has to run for counted lines to be written.
+func New(w io.Writer, d Declaration) *Logger {
+	c := &core{limiter: newLimiter[pendingLine](d.PerSecond)}
+	c.level.Set(d.level())
+	options := &slog.HandlerOptions{Level: &c.level}
+	c.root = slog.NewTextHandler(w, options)
+	if d.Format == "json" {
+		c.root = slog.NewJSONHandler(w, options)
+	}
+	return &Logger{slog.New(&handler{core: c, next: c.root}), c}
+}
+
+// Set applies another declaration's level and rate limit. A change of the format needs a restart.
+func (l *Logger) Set(d Declaration) {
+	l.core.level.Set(d.level())
+	l.core.mu.Lock()
+	defer l.core.mu.Unlock()
+	l.core.limiter.setRate(d.PerSecond)
+}
+
+// Run writes counted lines at the end of their window until ctx ends, and then all that are left.
+func (l *Logger) Run(ctx context.Context) {
+	ticker := time.NewTicker(flushInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case now := <-ticker.C:
+			l.core.flush(now, false)
+		case <-ctx.Done():
+			l.core.flush(time.Now(), true)
+			return
+		}
+	}
+}
+
+// core is the state that all handlers of a Logger share.
+type core struct {
+	level slog.LevelVar
+	root  slog.Handler // without fields or groups
+
+	mu      sync.Mutex
+	limiter *limiter[pendingLine]
+}
+
+// pendingLine is a line and the handler that writes it, with the fields of its logger.
+type pendingLine struct {
+	next   slog.Handler
+	record slog.Record
+}
+
+// flush writes the lines that the limiter has counted. Errors are ignored: there is no other place to report them.
+func (c *core) flush(now time.Time, all bool) {
+	c.mu.Lock()
+	repeated, dropped := c.limiter.flush(now, all)
+	c.mu.Unlock()
+	ctx := context.Background()
+	for _, r := range repeated {
+		record := r.line.record
+		record.AddAttrs(slog.Int("repeated", r.repeats))
+		_ = r.line.next.Handle(ctx, record)
+	}
+	if dropped > 0 {
+		record := slog.NewRecord(now, slog.LevelWarn, "lines left out", 0)
+		record.AddAttrs(slog.Int("lines", dropped))
+		_ = c.root.Handle(ctx, record)
+	}
+}
