--- a/internal/filewatch/filewatch.go
+++ b/internal/filewatch/filewatch.go
@@ -1,5 +1,5 @@
-// Package filewatch follows the content of files by looking at them, at a stated interval: that works on every file
-// system, through links that are swapped, and where a file is replaced by renaming.
+// Package filewatch follows the content of files by polling, which works on every file system, through symbolic links that are switched,
+// and where a file is replaced by renaming. Callers decide what a content means; the package owns no goroutine.
 package filewatch
 
 import (
@@ -12,98 +12,108 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultInterval is how often a file is looked at, where nothing else is asked for.
+// DefaultInterval is the polling interval of files without a setting of their own.
 const DefaultInterval = 100 * time.Millisecond
 
-// Content is what a file held when it was last read whole.
+// timestampGranularity is the longest interval in which a file system may give two writes the same modification time. A file modified
+// within it is read again even if its metadata are unchanged.
+const timestampGranularity = 2 * time.Second
+
+// Content is the content of a file, or the error of reading it.
 type Content struct {
-	Text []byte
-	Err  error // it could not be read; Text is nil then
+	Text []byte // nil if Err is not nil
+	Err  error
 }
 
-// Reader reads one file, and tells whether it has changed. It is not safe for concurrent use.
+// Reader reads one file and detects changes. It is not safe for concurrent use.
 type Reader struct {
-	path string
-	most int64
-	last stamp
-	sum  uint64
-	seen bool
-	err  string
+	path     string
+	maxBytes int64
+
+	metadata  metadata // when the content was last read
+	hash      uint64   // of the last content
+	hasRead   bool
+	lastError string // of the last Read; "" if it succeeded
 }
 
-// stamp tells two states of a path apart without reading it.
-type stamp struct {
-	size    int64
-	changed time.Time
-	info    os.FileInfo
+// metadata tells two versions of a file apart without reading them.
+type metadata struct {
+	size     int64
+	modified time.Time
+	info     os.FileInfo
 }
 
-// NewReader returns one for a file of at most so many bytes.
-func NewReader(path string, most int) *Reader { return &Reader{path: path, most: int64(most)} }
+// equal reports whether both are of the same file, size and modification time.
+func (m metadata) equal(other metadata) bool {
+	return m.size == other.size && m.modified.Equal(other.modified) && os.SameFile(m.info, other.info)
+}
+
+// NewReader returns a Reader for a file of at most maxBytes. A larger one is an error of Read.
+func NewReader(path string, maxBytes int) *Reader {
+	return &Reader{path: path, maxBytes: int64(maxBytes)}
+}
 
-// Path is the file's.
+// Path returns the path of the file.
 func (r *Reader) Path() string { return r.path }
 
-// Read returns the file's content if it differs from that of the Look before. A file whose time and size stand still
-// for longer than their grain is not read again.
+// Read returns the file's content, or the error of reading it, and true if that differs from the Read before. A file whose metadata have not
+// changed for longer than timestampGranularity is not read.
 func (r *Reader) Read() (c Content, changed bool) {
 	info, err := os.Stat(r.path)
 	if err == nil && !info.Mode().IsRegular() {
 		err = fmt.Errorf("%s is not a file", r.path)
 	}
 	if err != nil {
-		return r.failed(err)
+		return r.fail(err)
 	}
-	now := stamp{info.Size(), info.ModTime(), info}
-	// A write within the grain of the file system's clock leaves the time as it was: what is young is read again.
-	settled := time.Since(now.changed) > 2*time.Second
-	if r.seen && r.err == "" && settled && now.size == r.last.size && now.changed.Equal(r.last.changed) &&
-		os.SameFile(info, r.last.info) {
+	current := metadata{info.Size(), info.ModTime(), info}
+	unchanged := r.hasRead && r.lastError == "" && current.equal(r.metadata)
+	if unchanged && time.Since(current.modified) > timestampGranularity {
 		return Content{}, false
 	}
-	text, err := read(r.path, r.most)
+	text, err := readFile(r.path, r.maxBytes)
 	if err != nil {
-		return r.failed(err)
+		return r.fail(err)
 	}
-	r.last = now
-	sum := xxhash.Sum64(text)
-	if r.seen && r.err == "" && sum == r.sum {
+	r.metadata = current
+	hash := xxhash.Sum64(text)
+	if r.hasRead && r.lastError == "" && hash == r.hash {
 		return Content{}, false
 	}
-	r.seen, r.sum, r.err = true, sum, ""
+	r.hasRead, r.hash, r.lastError = true, hash, ""
 	return Content{Text: text}, true
 }
 
-// failed reports an error once, until it is another one.
-func (r *Reader) failed(err error) (Content, bool) {
-	if r.err == err.Error() {
+// fail reports an error once, until it is another one.
+func (r *Reader) fail(err error) (Content, bool) {
+	if r.lastError == err.Error() {
 		return Content{}, false
 	}
-	r.err = err.Error()
+	r.lastError = err.Error()
 	return Content{Err: err}, true
 }
 
-func read(path string, most int64) ([]byte, error) {
+func readFile(path string, maxBytes int64) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, most+1))
-	if err == nil && int64(len(text)) > most {
-		err = fmt.Errorf("%s has over %d bytes", path, most)
+	text, err := io.ReadAll(io.LimitReader(f, maxBytes+1))
+	if err == nil && int64(len(text)) > maxBytes {
+		err = fmt.Errorf("%s has over %d bytes", path, maxBytes)
 	}
 	return text, err
 }
 
-// Watch calls look every so often until ctx ends.
-func Watch(ctx context.Context, every time.Duration, look func()) {
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+// Watch calls check after each interval, on the caller's goroutine, until ctx ends.
+func Watch(ctx context.Context, interval time.Duration, check func()) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
-			look()
+		case <-ticker.C:
+			check()
 		case <-ctx.Done():
 			return
 		}
