--- a/internal/tlscredentials/declaration.go
+++ b/internal/tlscredentials/declaration.go
@@ -2,12 +2,11 @@
 
 import (
 	"crypto/tls"
-	"time"
 
 	"orchiddrift/internal/units"
 )
 
-// ListenerTLS is the clients' side in the operator's file.
+// ListenerTLS is the encryption of clients' connections in the configuration file.
 type ListenerTLS struct {
 	Certificate string         `toml:"certificate" sample:"\"/etc/orchiddrift/tls.crt\"" doc:"The certificate chain shown to clients, PEM. Given with key: clients' connections are encrypted. The file is watched."`
 	Key         string         `toml:"key" sample:"\"/etc/orchiddrift/tls.key\"" doc:"Its private key, PEM. The file is watched; a pair that does not fit together is not taken over."`
@@ -17,7 +16,7 @@
 	WarnBefore  units.Duration `toml:"warn_before" default:"168h" doc:"So long ahead of a certificate's end the log begins to warn."`
 }
 
-// Check is tomlfile.Checker's.
+// Check implements tomlfile.Checker.
 func (l *ListenerTLS) Check(report func(key, format string, args ...any)) {
 	switch {
 	case l.Certificate != "" && l.Key == "":
@@ -26,17 +25,17 @@
 		report("key", "stands there without a certificate")
 	}
 	switch {
-	case l.Clients != "none" && l.Certificate == "":
+	case l.Clients != clientsNone && l.Certificate == "":
 		report("clients", "clients can show none where connections are not encrypted")
-	case l.Clients != "none" && l.ClientCA == "":
+	case l.Clients != clientsNone && l.ClientCA == "":
 		report("clients", "there is no client_ca to hold certificates against")
 	}
 }
 
-// Enabled tells whether there is something to encrypt with.
+// Enabled reports whether clients' connections are encrypted.
 func (l *ListenerTLS) Enabled() bool { return l.Certificate != "" }
 
-// UpstreamTLS is a service's side in the operator's file.
+// UpstreamTLS is the encryption of connections to a service's upstreams in the configuration file.
 type UpstreamTLS struct {
 	CA          string         `toml:"ca" sample:"\"/etc/orchiddrift/upstreams-ca.crt\"" doc:"Authorities, PEM, that upstreams' certificates have to come from. Given: connections are encrypted. The file is watched; a connection made under an authority that has been withdrawn is closed once it is idle."`
 	Name        string         `toml:"name" doc:"The name that an upstream's certificate has to bear, a DNS name or a URI. An entry of the list may name its own (identity)."`
@@ -46,7 +45,7 @@
 	WarnBefore  units.Duration `toml:"warn_before" default:"168h" doc:"So long ahead of a certificate's end the log begins to warn."`
 }
 
-// Check is tomlfile.Checker's.
+// Check implements tomlfile.Checker.
 func (u *UpstreamTLS) Check(report func(key, format string, args ...any)) {
 	switch {
 	case u.Certificate != "" && u.Key == "":
@@ -58,15 +57,13 @@
 	}
 }
 
-// Enabled tells whether connections are encrypted.
+// Enabled reports whether connections to upstreams are encrypted.
 func (u *UpstreamTLS) Enabled() bool { return u.CA != "" }
 
+// version returns the TLS version of a min_version.
 func version(text string) uint16 {
 	if text == "1.2" {
 		return tls.VersionTLS12
 	}
 	return tls.VersionTLS13
 }
-
-// every is how often files are looked at.
-const every = 250 * time.Millisecond
--- a/internal/tlscredentials/store.go
+++ b/internal/tlscredentials/store.go
@@ -1,6 +1,6 @@
-// Package tlscredentials keeps certificates, keys and authorities, as the files hold them now: a Store takes over what is new as
-// soon as it is whole and fits, and keeps what it has otherwise. tls.go makes crypto/tls configurations of it. A key is
-// never logged.
+// Package tlscredentials loads certificates, private keys and authorities from files and follows their changes. A Store replaces its
+// credentials once new ones are complete and valid, and keeps the ones that it has otherwise. server.go and client.go make crypto/tls
+// configurations of it. Private keys are never logged.
 package tlscredentials
 
 import (
@@ -19,139 +19,160 @@
 )
 
 const (
-	maxFile = 1 << 20
-	// warnEvery is how often an approaching end is warned of.
-	warnEvery = time.Hour
+	// pollInterval is how often Run reads the files.
+	pollInterval = 250 * time.Millisecond
+	// maxFileBytes is the size of the largest file that is read.
+	maxFileBytes = 1 << 20
+	// expiryWarningInterval is the time between two warnings that a certificate expires.
+	expiryWarningInterval = time.Hour
 )
 
-// Files names what a Store reads. Empty: there is none.
+// Files are the paths of a Store's files, PEM. An empty path means that there is no such file.
 type Files struct{ Certificate, Key, CA string }
 
-// Material is one state of the files. It is immutable.
+// Material holds the credentials at a moment. It is immutable.
 type Material struct {
 	Pair       *tls.Certificate // nil: none
 	CA         *x509.CertPool   // nil: none
-	Generation int64            // of CA: grows with each other one
+	Generation int64            // of CA: increases with each change
 }
 
-// Store follows files. It is safe for concurrent use.
+// Store holds the credentials of a set of files. It is safe for concurrent use.
 type Store struct {
 	files      Files
-	warnBefore time.Duration
+	warnBefore time.Duration // before a certificate expires
 	log        *slog.Logger
 	now        func() time.Time
 
 	current atomic.Pointer[Material]
 
-	mu            sync.Mutex // of what follows
-	cert, key, ca *filewatch.Reader
-	certText      []byte // the newest readable content of the files, in use or not
-	keyText       []byte
-	said          string // the last complaint
-	warned        time.Time
+	mu                               sync.Mutex // guards the fields below, and changes of current
+	certificateFile, keyFile, caFile *filewatch.Reader
+	certificateText, keyText         []byte // the latest content of the files, whether or not it is valid
+	loggedError                      string // the last one that was logged
+	warnedAt                         time.Time
 }
 
-// Open reads the files for the first time; what can't be used is an error here. Run follows them.
+// Open returns a Store with the files' credentials. Credentials that are not valid are an error here. Run follows the files.
 func Open(files Files, warnBefore time.Duration, log *slog.Logger) (*Store, error) {
-	s := &Store{files: files, warnBefore: warnBefore, log: log, now: time.Now}
-	reader := func(path string) *filewatch.Reader {
-		if path == "" {
-			return nil
-		}
-		return filewatch.NewReader(path, maxFile)
+	s := &Store{
+		files:           files,
+		warnBefore:      warnBefore,
+		log:             log,
+		now:             time.Now,
+		certificateFile: newReader(files.Certificate),
+		keyFile:         newReader(files.Key),
+		caFile:          newReader(files.CA),
 	}
-	s.cert, s.key, s.ca = reader(files.Certificate), reader(files.Key), reader(files.CA)
 	s.current.Store(&Material{})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := errors.Join(s.lookPair(), s.lookCA()); err != nil {
+	if err := errors.Join(s.reloadPair(), s.reloadCA()); err != nil {
 		return nil, err
 	}
-	s.warn()
+	s.warnOfExpiry()
 	return s, nil
 }
 
-// Current is the material in use.
+func newReader(path string) *filewatch.Reader {
+	if path == "" {
+		return nil
+	}
+	return filewatch.NewReader(path, maxFileBytes)
+}
+
+// Current returns the credentials in use.
 func (s *Store) Current() *Material { return s.current.Load() }
 
 // Run follows the files until ctx ends.
-func (s *Store) Run(ctx context.Context) { filewatch.Watch(ctx, every, s.Reload) }
+func (s *Store) Run(ctx context.Context) { filewatch.Watch(ctx, pollInterval, s.Reload) }
 
-// Reload looks at the files now.
+// Reload reads the files now. Errors are logged, and leave the credentials in use.
 func (s *Store) Reload() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	err := errors.Join(s.lookPair(), s.lookCA())
-	if err != nil && err.Error() != s.said {
+	err := errors.Join(s.reloadPair(), s.reloadCA())
+	if err != nil && err.Error() != s.loggedError {
 		s.log.Warn("keys: what is in use stays", "reason", oneLine(err))
-		s.said = err.Error()
+		s.loggedError = err.Error()
 	}
-	s.warn()
+	s.warnOfExpiry()
 }
 
-// lookPair takes over a new certificate and key. They are two files, replaced one after the other: until they fit
-// together the old pair stays, so that there is no moment with a wrong one.
-func (s *Store) lookPair() error {
-	if s.cert == nil {
+// reloadPair replaces the certificate and its key if they have changed and are valid. The two files are replaced one after the other: until
+// they fit together the old pair stays in use.
+func (s *Store) reloadPair() error {
+	if s.certificateFile == nil {
 		return nil
 	}
-	changed := false
-	for _, f := range []struct {
-		r    *filewatch.Reader
-		text *[]byte
-	}{{s.cert, &s.certText}, {s.key, &s.keyText}} {
-		c, new := f.r.Read()
-		switch {
-		case !new:
-		case c.Err != nil:
-			return c.Err
-		default:
-			*f.text, changed = c.Text, true
-		}
+	changed, err := s.readPair()
+	if err != nil || !changed {
+		return err
 	}
-	if !changed {
-		return nil
+	pair, err := s.parsePair()
+	if err != nil {
+		return err
 	}
-	pair, err := tls.X509KeyPair(s.certText, s.keyText)
+	m := *s.Current()
+	first := m.Pair == nil
+	m.Pair = pair
+	s.current.Store(&m)
+	s.warnedAt, s.loggedError = time.Time{}, ""
+	if !first {
+		s.log.Info("keys: taken over", "file", s.files.Certificate, "until", pair.Leaf.NotAfter.UTC())
+	}
+	return nil
+}
+
+// readPair reads the files of the certificate and its key, and reports whether one of them has changed.
+func (s *Store) readPair() (changed bool, err error) {
+	for _, file := range []struct {
+		reader *filewatch.Reader
+		text   *[]byte
+	}{{s.certificateFile, &s.certificateText}, {s.keyFile, &s.keyText}} {
+		content, fileChanged := file.reader.Read()
+		if content.Err != nil {
+			return false, content.Err
+		}
+		if fileChanged {
+			*file.text, changed = content.Text, true
+		}
+	}
+	return changed, nil
+}
+
+// parsePair parses the certificate and its key, which must fit together and be valid now.
+func (s *Store) parsePair() (*tls.Certificate, error) {
+	pair, err := tls.X509KeyPair(s.certificateText, s.keyText)
 	if err != nil {
-		return fmt.Errorf("%s and %s: %w", s.files.Certificate, s.files.Key, err)
+		return nil, fmt.Errorf("%s and %s: %w", s.files.Certificate, s.files.Key, err)
 	}
 	if pair.Leaf == nil {
 		if pair.Leaf, err = x509.ParseCertificate(pair.Certificate[0]); err != nil {
-			return fmt.Errorf("%s: %w", s.files.Certificate, err)
+			return nil, fmt.Errorf("%s: %w", s.files.Certificate, err)
 		}
 	}
 	now := s.now()
 	switch {
 	case now.After(pair.Leaf.NotAfter):
-		return fmt.Errorf("%s has ended on %s", s.files.Certificate, pair.Leaf.NotAfter.UTC().Format(time.RFC3339))
+		return nil, fmt.Errorf("%s has ended on %s", s.files.Certificate, pair.Leaf.NotAfter.UTC().Format(time.RFC3339))
 	case now.Before(pair.Leaf.NotBefore):
-		return fmt.Errorf("%s begins on %s only", s.files.Certificate, pair.Leaf.NotBefore.UTC().Format(time.RFC3339))
+		return nil, fmt.Errorf("%s begins on %s only", s.files.Certificate, pair.Leaf.NotBefore.UTC().Format(time.RFC3339))
 	}
-	m := *s.Current()
-	first := m.Pair == nil
-	m.Pair = &pair
-	s.current.Store(&m)
-	s.warned, s.said = time.Time{}, ""
-	if !first {
-		s.log.Info("keys: taken over", "file", s.files.Certificate, "until", pair.Leaf.NotAfter.UTC())
-	}
-	return nil
+	return &pair, nil
 }
 
-func (s *Store) lookCA() error {
-	if s.ca == nil {
+// reloadCA replaces the authorities if they have changed and there is at least one.
+func (s *Store) reloadCA() error {
+	if s.caFile == nil {
 		return nil
 	}
-	c, changed := s.ca.Read()
-	switch {
-	case !changed:
-		return nil
-	case c.Err != nil:
-		return c.Err
+	content, changed := s.caFile.Read()
+	if !changed || content.Err != nil {
+		return content.Err
 	}
 	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(bytes.TrimSpace(c.Text)) {
+	if !pool.AppendCertsFromPEM(bytes.TrimSpace(content.Text)) {
 		return fmt.Errorf("%s holds no certificate of an authority", s.files.CA)
 	}
 	m := *s.Current()
@@ -159,31 +180,33 @@
 	m.CA = pool
 	m.Generation++
 	s.current.Store(&m)
-	s.said = ""
+	s.loggedError = ""
 	if !first {
 		s.log.Info("keys: taken over", "file", s.files.CA)
 	}
 	return nil
 }
 
-// warn tells of a certificate that ends soon, or has ended: it is still shown, since none may be worse.
-func (s *Store) warn() {
+// warnOfExpiry logs that the certificate expires soon or has expired. An expired certificate stays in use: peers may still accept it, and
+// there is no other.
+func (s *Store) warnOfExpiry() {
 	pair := s.Current().Pair
 	if pair == nil {
 		return
 	}
-	now, end := s.now(), pair.Leaf.NotAfter
-	if end.Sub(now) > s.warnBefore || now.Sub(s.warned) < warnEvery {
+	now, expiry := s.now(), pair.Leaf.NotAfter
+	if expiry.Sub(now) > s.warnBefore || now.Sub(s.warnedAt) < expiryWarningInterval {
 		return
 	}
-	s.warned = now
-	if now.After(end) {
-		s.log.Error("keys: the certificate has ended, and there is no new one", "file", s.files.Certificate, "until", end.UTC())
+	s.warnedAt = now
+	if now.After(expiry) {
+		s.log.Error("keys: the certificate has ended, and there is no new one", "file", s.files.Certificate, "until", expiry.UTC())
 		return
 	}
-	s.log.Warn("keys: the certificate ends soon", "file", s.files.Certificate, "until", end.UTC())
+	s.log.Warn("keys: the certificate ends soon", "file", s.files.Certificate, "until", expiry.UTC())
 }
 
+// oneLine returns the text of joined errors on one line.
 func oneLine(err error) string {
 	return string(bytes.Join(bytes.Fields([]byte(err.Error())), []byte(" ")))
 }
