--- a/internal/idempotency/etcdstore/settlement.go
+++ b/internal/idempotency/etcdstore/settlement.go
@@ -129,7 +129,7 @@
 			return false, err
 		}
 		if !revisionKnown {
-			if stands, done, err := s.findClaim(ctx, at, p); !stands {
+			if needed, done, err := s.findClaim(ctx, at, p); !needed {
 				return done, err
 			}
 		}
@@ -147,9 +147,9 @@
 	return false, errContended
 }
 
-// findClaim reads the revision of a claim's record. It returns false for stands if the settlement has nothing to write now: done is then
-// true unless the claim may still be committed. A settlement that has a record to write and finds none creates it, at revision 0.
-func (s *Store) findClaim(ctx context.Context, at session, p *settlement) (stands, done bool, err error) {
+// findClaim reads the revision of a claim's record. It returns needed if there is something to write at that revision; else done, which is
+// false while the claim may still be committed. A settlement that has a record to write and finds none creates it, at revision 0.
+func (s *Store) findClaim(ctx context.Context, at session, p *settlement) (needed, done bool, err error) {
 	response, err := s.get(ctx, at, s.recordKey(p.id))
 	if err != nil {
 		return false, false, err
@@ -157,7 +157,7 @@
 	p.revision = 0
 	if len(response.Kvs) == 0 {
 		if p.withdrawal || p.record == nil {
-			return false, p.settled(), nil
+			return false, p.commitImpossible(), nil
 		}
 		return true, false, nil
 	}
@@ -166,14 +166,14 @@
 		return false, true, s.trackAvailability(err)
 	}
 	if record.Claim != p.claim { // another claim has replaced it, or it was never committed
-		return false, p.settled(), nil
+		return false, p.commitImpossible(), nil
 	}
 	p.revision = response.Kvs[0].ModRevision
 	return true, false, nil
 }
 
-// settled reports whether a claim that has no record can't be committed any more.
-func (p *settlement) settled() bool { return time.Now().After(p.mayCommitUntil) }
+// commitImpossible reports whether a claim that has not been committed can't be committed any more.
+func (p *settlement) commitImpossible() bool { return time.Now().After(p.mayCommitUntil) }
 
 // commitSettlement runs the transaction of a settlement.
 func (s *Store) commitSettlement(ctx context.Context, at session, p *settlement) (*clientv3.TxnResponse, error) {
--- a/internal/idempotency/etcdstore/store.go
+++ b/internal/idempotency/etcdstore/store.go
@@ -38,7 +38,7 @@
 )
 
 // errContended is returned when a record changed between each read and the transaction that followed.
-var errContended = errors.New("the record kept changing")
+var errContended = errors.New("the record changed in each try")
 
 // Store is a connection to the shared store. It is safe for concurrent use.
 type Store struct {
--- a/internal/idempotency/shared_record.go
+++ b/internal/idempotency/shared_record.go
@@ -27,8 +27,8 @@
 	MaxClockSkew    time.Duration // bound on the difference of two processes' wall clocks plus a message's delay; 0: unknown
 }
 
-// Resolve decides on a request whose key has a record already. ownerAlive tells whether the session of the record's owner lives, wall is
-// the wall-clock time since the Unix epoch. Execute means that the request may replace that very record by its own claim;
+// Resolve decides on a request whose key has a record already. ownerAlive reports whether the session of the record's owner
+// lives, wall is the wall-clock time since the Unix epoch. Execute means that the request may replace that very record by its own claim;
 // EarlierAttempts then holds attempts whose SentAt is their age, at most.
 //
 // A request that another process runs is waited for. If that process's session has ended, the request may have been executed anywhere
