--- a/balancer/estimate_test.go
+++ b/balancer/estimate_test.go
@@ -15,23 +15,23 @@
 	half := time.Duration(math.Round(math.Ln2 * 1e9))
 	for _, c := range []struct {
 		name    string
-		e       estimate
+		e       peakEWMA
 		sample  float64
 		now     time.Duration
 		want    float64
 		wantNow time.Duration
 	}{
-		{"above the estimate: replaces it", estimate{0.1, 0}, 0.3, half, 0.3, half},
-		{"above its projection only: replaces it", estimate{0.1, 0}, 0.06, half, 0.06, half},
-		{"below the projection: blended in", estimate{0.1, 0}, 0.02, half, 0.1*0.5 + 0.02*0.5, half},
-		{"at the projection: stays there", estimate{0.1, 0}, 0.05, half, 0.05, half},
-		{"same moment, lower: no weight", estimate{0.1, half}, 0.02, half, 0.1, half},
-		{"same moment, higher: a peak all the same", estimate{0.1, half}, 0.2, half, 0.2, half},
-		{"earlier than the last: dropped", estimate{0.1, half}, 0.9, half - 1, 0.1, half},
+		{"above the estimate: replaces it", peakEWMA{0.1, 0}, 0.3, half, 0.3, half},
+		{"above its projection only: replaces it", peakEWMA{0.1, 0}, 0.06, half, 0.06, half},
+		{"below the projection: blended in", peakEWMA{0.1, 0}, 0.02, half, 0.1*0.5 + 0.02*0.5, half},
+		{"at the projection: stays there", peakEWMA{0.1, 0}, 0.05, half, 0.05, half},
+		{"same moment, lower: no weight", peakEWMA{0.1, half}, 0.02, half, 0.1, half},
+		{"same moment, higher: a peak all the same", peakEWMA{0.1, half}, 0.2, half, 0.2, half},
+		{"earlier than the last: dropped", peakEWMA{0.1, half}, 0.9, half - 1, 0.1, half},
 	} {
 		c.e.add(c.sample, c.now, decay)
-		if math.Abs(c.e.value-c.want) > 1e-6 || c.e.at != c.wantNow {
-			t.Errorf("%s: got %v at %v, want %v at %v", c.name, c.e.value, c.e.at, c.want, c.wantNow)
+		if math.Abs(c.e.value-c.want) > 1e-6 || c.e.updatedAt != c.wantNow {
+			t.Errorf("%s: got %v at %v, want %v at %v", c.name, c.e.value, c.e.updatedAt, c.want, c.wantNow)
 		}
 	}
 }
@@ -55,12 +55,12 @@
 		r.fleet(1)
 		r.wantSend(r.request("1", "c", time.Second))
 		r.now += 60 * time.Second // the seed's projection is nothing by now
-		u := r.b.list[0]
-		a := u.out[0]
+		u := r.b.shuffled[0]
+		a := u.inFlight[0]
 		r.b.now = r.now
-		r.b.observe(a, c.res, c.elapsed)
-		if !near(u.est.value, c.want) {
-			t.Errorf("result %d after %v: estimate %v, want %v", c.res, c.elapsed, u.est.value, c.want)
+		r.b.observeLatency(a, c.res, c.elapsed)
+		if !near(u.latency.value, c.want) {
+			t.Errorf("result %d after %v: estimate %v, want %v", c.res, c.elapsed, u.latency.value, c.want)
 		}
 	}
 }
@@ -68,9 +68,9 @@
 // The seed is the mean latency known when the upstream is first seen.
 func TestSeed(t *testing.T) {
 	r := newRig(t, testSettings())
-	r.b.fleet = 0.033
+	r.b.latency.normalizedMean = 0.033
 	r.fleet(1)
-	if got := r.b.list[0].est; got.value != 0.033 || got.at != r.now {
+	if got := r.b.shuffled[0].latency; got.value != 0.033 || got.updatedAt != r.now {
 		t.Errorf("seed %+v", got)
 	}
 }
@@ -79,13 +79,13 @@
 func TestLoad(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(1)
-	u := r.b.list[0]
-	u.est = estimate{0.04, r.now}
+	u := r.b.shuffled[0]
+	u.latency = peakEWMA{0.04, r.now}
 	r.b.now = r.now
 	if got := r.b.load(u); !near(got, 0.04) {
 		t.Errorf("idle: %v", got)
 	}
-	r.b.send(&request{id: "x", class: r.b.classes["c"], cost: 1, expires: r.now + time.Second}, u)
+	r.b.send(&request{id: "x", class: r.b.classes["c"], cost: 1, timing: requestTiming{deadline: r.now + time.Second}}, u)
 	if got := r.b.load(u); !near(got, 0.08) {
 		t.Errorf("one pending: %v", got)
 	}
@@ -100,10 +100,10 @@
 func TestIdleEstimateTendsToMean(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
-	r.b.list[0].est = estimate{0.5, r.now}
+	r.b.shuffled[0].latency = peakEWMA{0.5, r.now}
 	r.b.now = r.now + time.Hour
-	if got := r.b.load(r.b.list[0]); !near(got, r.b.fleet) {
-		t.Errorf("idle for long: %v, want the mean %v", got, r.b.fleet)
+	if got := r.b.load(r.b.shuffled[0]); !near(got, r.b.latency.normalizedMean) {
+		t.Errorf("idle for long: %v, want the mean %v", got, r.b.latency.normalizedMean)
 	}
 }
 
@@ -111,8 +111,8 @@
 func TestPickTakesLowerOfTwo(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
-	r.b.ups["u0"].est = estimate{0.02, r.now}
-	r.b.ups["u1"].est = estimate{0.05, r.now}
+	r.b.upstreams["u0"].latency = peakEWMA{0.02, r.now}
+	r.b.upstreams["u1"].latency = peakEWMA{0.05, r.now}
 	r.b.now = r.now
 	got := ""
 	for i, want := range []string{"u0", "u0", "u1", "u0", "u0", "u1"} { // loads 20/50, 40/50, 60/50, 60/100, 80/100, 100/100
@@ -130,13 +130,13 @@
 func TestPairIsRandomAndDistinct(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(4)
-	for i := range r.b.list {
-		r.b.ups[fmt.Sprint("u", i)].est = estimate{0.01 * float64(i+1), r.now}
+	for i := range r.b.shuffled {
+		r.b.upstreams[fmt.Sprint("u", i)].latency = peakEWMA{0.01 * float64(i+1), r.now}
 	}
 	r.b.now = r.now
 	n := map[string]int{}
 	for range 6000 {
-		n[r.b.twoChoices(r.b.list).id]++
+		n[r.b.powerOfTwoChoices(r.b.shuffled).name]++
 	}
 	// Of the six pairs, u0 wins three, u1 two, u2 one, u3 none.
 	for id, want := range map[string]int{"u0": 3000, "u1": 2000, "u2": 1000, "u3": 0} {
@@ -146,8 +146,9 @@
 	}
 }
 
-// A quiet sidecar keeps to a few of many upstreams, so that its estimates stay current and its connections few; which
-// ones is its own draw, so that all sidecars together reach each alike. A dead one's place is taken by the next.
+// A quiet sidecar keeps to a few of many upstreams, so that its estimates stay current and its connections
+// few; which ones is its own draw, so that all sidecars together reach each alike. A dead one's place is
+// taken by the next.
 func TestQuietSidecarKeepsToASubset(t *testing.T) {
 	const sidecars, fleet = 300, 50
 	owners := map[string]int{}
@@ -166,7 +167,7 @@
 			r.result(id, 0, OK, 20*ms)
 			r.pass(time.Second)
 		}
-		if len(met) > subsetMin+2 {
+		if len(met) > subsetSizeMin+2 {
 			t.Fatalf("one request a second met %d upstreams", len(met))
 		}
 		for u := range met {
@@ -180,8 +181,8 @@
 	}
 	r := newRig(t, testSettings())
 	r.fleet(fleet)
-	for _, u := range r.b.list[:subsetMin] {
-		u.until = r.now + time.Hour
+	for _, u := range r.b.shuffled[:subsetSizeMin] {
+		u.outlier.ejectedUntil = r.now + time.Hour
 	}
 	r.wantSend(r.request("x", "c", time.Second))
 }
@@ -196,7 +197,8 @@
 	}
 }
 
-// An upstream never heard of counts as its kind of machine does, not as the fleet: kinds differ in speed threefold.
+// An upstream never heard of counts as its kind of machine does, not as the fleet: kinds differ in speed
+// threefold.
 func TestUnheardUpstreamCountsAsItsKind(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.list(FullUpdate, Endpoint{Name: "f0", MachineType: "fast"}, Endpoint{Name: "s0", MachineType: "slow"})
@@ -208,12 +210,13 @@
 		r.now += 10 * time.Second
 	}
 	r.list(IncrementalUpdate, Endpoint{Name: "f1", MachineType: "fast"}, Endpoint{Name: "s1", MachineType: "slow"})
-	if f, s := r.b.load(r.b.ups["f1"]), r.b.load(r.b.ups["s1"]); s < 2*f {
+	if f, s := r.b.load(r.b.upstreams["f1"]), r.b.load(r.b.upstreams["s1"]); s < 2*f {
 		t.Errorf("new and unheard: fast %.3f, slow %.3f", f, s)
 	}
 }
 
-// A pick at a quiet sidecar costs the same however long the list. (At 400 upstreams it took 11 us of a budget of 10.)
+// A pick at a quiet sidecar costs the same however long the list. (At 400 upstreams it took 11 us of a
+// budget of 10.)
 func TestPickDoesNotWalkALargeList(t *testing.T) {
 	r := newRig(t, testSettings())
 	var list []Endpoint
@@ -221,17 +224,18 @@
 		list = append(list, Endpoint{Name: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
 	}
 	r.list(FullUpdate, list...)
-	clear(r.b.list[100:]) // a look at one of them panics
+	clear(r.b.shuffled[100:]) // a look at one of them panics
 	r.wantSend(r.request("1", "c", time.Second))
 }
 
-// What is known of an upstream outlasts the time until it is drawn again, and no longer: at two requests a second among
-// twelve a failing one is still passed over seconds later, at two hundred an estimate is as old as its like.
+// What is known of an upstream outlasts the time until it is drawn again, and no longer: at two requests a
+// second among twelve a failing one is still passed over seconds later, at two hundred an estimate is as old
+// as its like.
 func TestEstimatesLastUntilHeardAgain(t *testing.T) {
 	for _, c := range []struct {
 		rate int
 		want time.Duration
-	}{{2, seconds(decayHeard * subsetEvery.Seconds())}, {200, 4 * 200 * ms}} {
+	}{{2, durationFromSeconds(latencyDecayIntervals * subsetSampleInterval.Seconds())}, {200, 4 * 200 * ms}} {
 		r := newRig(t, testSettings())
 		r.fleet(12)
 		for i := range 10 * c.rate {
@@ -240,8 +244,8 @@
 			r.result(id, 0, OK, 5*ms)
 			r.pass(time.Second / time.Duration(c.rate))
 		}
-		if r.b.decay != c.want {
-			t.Errorf("%d a second: estimates last %v, want %v", c.rate, r.b.decay, c.want)
+		if r.b.latency.decay != c.want {
+			t.Errorf("%d a second: estimates last %v, want %v", c.rate, r.b.latency.decay, c.want)
 		}
 	}
 }
--- a/balancer/input_test.go
+++ b/balancer/input_test.go
@@ -87,8 +87,8 @@
 	}
 	r.list(FullUpdate, Endpoint{Name: "new"})
 	r.pass(2 * time.Second)
-	if len(r.b.reqs) != 0 || len(r.b.ups) != 1 || len(r.b.list) != 1 || r.b.timers.Len() != 0 {
-		t.Errorf("kept: %d requests, %d upstreams, %d listed, %d timers", len(r.b.reqs), len(r.b.ups), len(r.b.list),
+	if len(r.b.requests) != 0 || len(r.b.upstreams) != 1 || len(r.b.shuffled) != 1 || r.b.timers.Len() != 0 {
+		t.Errorf("kept: %d requests, %d upstreams, %d listed, %d timers", len(r.b.requests), len(r.b.upstreams), len(r.b.shuffled),
 			r.b.timers.Len())
 	}
 }
@@ -127,13 +127,13 @@
 	r.wantSend(r.request("1", "c", time.Second))
 	r.now += 50 * ms
 	r.result("1", 0, OK, 50*ms)
-	before := []*upstream{r.b.list[0], r.b.list[1]}
+	before := []*upstream{r.b.shuffled[0], r.b.shuffled[1]}
 	known := []upstream{*before[0], *before[1]}
 	r.list(FullUpdate, entries...)
 	r.list(CachedUpdate, entries...)
 	for i, u := range before {
-		if r.b.list[i] != u || u.est != known[i].est || u.cold || u.heard != known[i].heard {
-			t.Errorf("changed: %+v, was %+v", *r.b.list[i], known[i])
+		if r.b.shuffled[i] != u || u.latency != known[i].latency || u.slowStart.active || u.lastAnswerAt != known[i].lastAnswerAt {
+			t.Errorf("changed: %+v, was %+v", *r.b.shuffled[i], known[i])
 		}
 	}
 }
--- a/balancer/knowledge_test.go
+++ b/balancer/knowledge_test.go
@@ -30,8 +30,8 @@
 	return r
 }
 
-// Guards against a successor that begins as if nothing was known: it would send to the failing upstream, take the slow one for the fast
-// one, and shed because nothing has been served.
+// Guards against a successor that begins as if nothing was known: it would send to the failing upstream,
+// take the slow one for the fast one, and shed because nothing has been served.
 func TestKnowledgeIsPassedOn(t *testing.T) {
 	old := busy(t)
 	text, err := json.Marshal(old.b.Snapshot(old.now))
@@ -46,24 +46,24 @@
 	next := newRig(t, testSettings())
 	next.now = time.Hour
 	next.list(CachedUpdate, Endpoint{Name: "fast", Zone: "a", MachineType: "new"}, Endpoint{Name: "slow", Zone: "a", MachineType: "old"},
-		Endpoint{Name: "bad", Zone: "a", StartedAt: next.now - (old.now - old.b.ups["bad"].cameUp)}, Endpoint{Name: "new", Zone: "a"})
-	fresh := next.b.ups["new"].est
+		Endpoint{Name: "bad", Zone: "a", StartedAt: next.now - (old.now - old.b.upstreams["bad"].startedAt)}, Endpoint{Name: "new", Zone: "a"})
+	fresh := next.b.upstreams["new"].latency
 	next.b.Restore(next.now, &k)
-	for name, u := range old.b.ups {
-		v := next.b.ups[name]
-		if v.est.value != u.est.value || next.now-v.est.at != old.now-u.est.at || v.ejections != u.ejections ||
-			max(0, v.until-next.now) != max(0, u.until-old.now) || v.wrong != u.wrong {
+	for name, u := range old.b.upstreams {
+		v := next.b.upstreams[name]
+		if v.latency.value != u.latency.value || next.now-v.latency.updatedAt != old.now-u.latency.updatedAt || v.outlier.ejections != u.outlier.ejections ||
+			max(0, v.outlier.ejectedUntil-next.now) != max(0, u.outlier.ejectedUntil-old.now) || v.outlier.errorRatio != u.outlier.errorRatio {
 			t.Errorf("%s: %+v, was %+v", name, v, u)
 		}
 	}
-	if next.b.ups["bad"].ejections == 0 {
+	if next.b.upstreams["bad"].outlier.ejections == 0 {
 		t.Error("the failing one was not left out")
 	}
-	if next.b.ups["new"].est != fresh {
+	if next.b.upstreams["new"].latency != fresh {
 		t.Error("one that nothing is known of has an estimate")
 	}
-	for _, x := range [][2]float64{{next.b.served.per(next.now), old.b.served.per(old.now)}, {next.b.offered.per(next.now), old.b.offered.per(old.now)},
-		{next.b.mid.v, old.b.mid.v}, {next.b.classes["c"].mean, old.b.classes["c"].mean}, {next.b.limit, old.b.limit}} {
+	for _, x := range [][2]float64{{next.b.servedRate.perSecond(next.now), old.b.servedRate.perSecond(old.now)}, {next.b.offeredRate.perSecond(next.now), old.b.offeredRate.perSecond(old.now)},
+		{next.b.latency.median.value, old.b.latency.median.value}, {next.b.classes["c"].meanLatency, old.b.classes["c"].meanLatency}, {next.b.shedding.queueingLimit, old.b.shedding.queueingLimit}} {
 		if math.Abs(x[0]-x[1]) > 1e-6*x[1] {
 			t.Errorf("%v, was %v", x[0], x[1])
 		}
@@ -71,9 +71,9 @@
 	again := newRig(t, testSettings())
 	again.now = time.Hour
 	again.list(CachedUpdate, Endpoint{Name: "bad", Zone: "a", StartedAt: again.now - time.Millisecond})
-	was := *again.b.ups["bad"]
+	was := *again.b.upstreams["bad"]
 	again.b.Restore(again.now, &k)
-	if u := again.b.ups["bad"]; u.ejections != 0 || u.est != was.est {
+	if u := again.b.upstreams["bad"]; u.outlier.ejections != 0 || u.latency != was.latency {
 		t.Error("what was known of an upstream's earlier process counts for the one that started since")
 	}
 }
--- /dev/null
+++ b/balancer/latency.go
@@ -0,0 +1,110 @@
+package balancer
+
+import (
+	"math"
+	"time"
+)
+
+// peakEWMA is an exponentially weighted moving average of latency that follows a rise at once and a fall
+// with its time constant.
+type peakEWMA struct {
+	value     float64       // seconds
+	updatedAt time.Duration // clock time
+}
+
+// weight returns what weight the value still has at now, 0 to 1.
+func (e *peakEWMA) weight(now, decay time.Duration) float64 {
+	return math.Exp(-float64(now-e.updatedAt) / float64(decay))
+}
+
+// add takes in a sample, in seconds. One above the decayed value replaces it; any other is averaged in. A
+// sample older than the latest is dropped.
+func (e *peakEWMA) add(sample float64, now, decay time.Duration) {
+	if now < e.updatedAt {
+		return
+	}
+	weight := e.weight(now, decay)
+	if sample > e.value*weight {
+		e.value = sample
+	} else {
+		e.value = e.value*weight + sample*(1-weight)
+	}
+	e.updatedAt = now
+}
+
+// The time constant of the upstreams' estimates: the longer of the two.
+const (
+	latencyDecayObjectives = 4.0  // in mean latency objectives
+	latencyDecayIntervals  = 1.25 // in mean times between two requests to one upstream
+)
+
+// updateLatencyDecay sets the time constant of the estimates from the offered rate, in requests a second. A
+// sidecar of little traffic keeps an estimate until it chooses the upstream again.
+func (b *Balancer) updateLatencyDecay() {
+	offered := b.offeredRate.perSecond(b.now)
+	interval := min(float64(len(b.shuffled))/max(offered, minRatePerSecond), subsetSampleInterval.Seconds())
+	b.latency.decay = durationFromSeconds(max(latencyDecayObjectives*b.meanObjective,
+		latencyDecayIntervals*interval))
+}
+
+const (
+	meanSampleWeight        = 0.02 // weight of one sample in the plain means
+	machineTypeSampleWeight = 0.05 // weight of one sample in a machine type's mean, which gets fewer
+	// errorPenaltyObjectives is the least latency that an error answer counts as, in mean latency objectives:
+	// a fast error must not make its upstream look fast.
+	errorPenaltyObjectives = 1.0
+)
+
+// observeLatency feeds an attempt's result after elapsed into the latency estimates. Samples are normalized
+// by the request's cost, so that a costly request does not make its upstream look slow. The elapsed time of
+// an attempt without an answer is a lower bound: it counts only where it is above what is known.
+func (b *Balancer) observeLatency(a *attempt, result Result, elapsed time.Duration) {
+	latency := elapsed.Seconds()
+	normalized := latency / a.request.cost
+	b.observeObjectiveUse(a.request, result, latency)
+	switch result {
+	case OK:
+		b.servedRate.add(1, b.now)
+		c := a.request.class
+		c.meanLatency += meanSampleWeight * (latency - c.meanLatency)
+		b.latency.mean += meanSampleWeight * (latency - b.latency.mean)
+		b.latency.normalizedMean += meanSampleWeight * (normalized - b.latency.normalizedMean)
+		machineType := a.upstream.machineTypeLatency
+		*machineType += machineTypeSampleWeight * (normalized - *machineType)
+		b.latency.median.add(normalized)
+		b.latency.late.add(normalized)
+	case ServerError, Rejected:
+		normalized = max(normalized, errorPenaltyObjectives*b.meanObjective)
+	case NotSent:
+		return
+	case Cancelled, Timeout:
+		if normalized > b.latency.late.value {
+			b.latency.late.add(normalized)
+			b.latency.median.add(normalized)
+		}
+		if result == Cancelled && normalized <= a.upstream.latency.value {
+			return
+		}
+	}
+	a.upstream.latency.add(normalized, b.now, b.latency.decay)
+}
+
+// Bounds of a request's cost, relative to the mean request.
+const (
+	requestCostMin = 0.25
+	requestCostMax = 8
+)
+
+// normalizedCost returns the work expected of a request relative to the mean request: from its cost hint and
+// the mean hint, or without a hint from the mean latencies of its class and of all classes.
+func (b *Balancer) normalizedCost(c *class, hint time.Duration) float64 {
+	cost := c.meanLatency / b.latency.mean
+	if hint > 0 {
+		if b.latency.meanCostHint == 0 {
+			b.latency.meanCostHint = hint.Seconds()
+		}
+		b.latency.meanCostHint += meanSampleWeight * (hint.Seconds() - b.latency.meanCostHint)
+		cost = hint.Seconds() / b.latency.meanCostHint
+	}
+	return min(max(cost, requestCostMin), requestCostMax)
+}
--- /dev/null
+++ b/balancer/locality.go
@@ -0,0 +1,124 @@
+package balancer
+
+import "time"
+
+const (
+	// crossZoneObjectives converts CrossZonePrice, in points of service, to latency: the price times so many
+	// mean latency objectives.
+	crossZoneObjectives = 3.5
+	crossZoneMinShare   = 0.25 // share of the mean latency below which the cross-zone cost is ignored
+)
+
+// crossZoneCost returns the latency that a cross-zone attempt is taken to cost in addition, in seconds.
+func (b *Balancer) crossZoneCost() float64 {
+	return b.settings.CrossZonePrice * crossZoneObjectives * b.meanObjective
+}
+
+// prefersLocal reports whether a cross-zone cost, in seconds, is high enough to prefer this sidecar's zone.
+func (b *Balancer) prefersLocal(crossZoneCost float64) bool {
+	return crossZoneCost >= b.latency.normalizedMean*crossZoneMinShare
+}
+
+// pickZone chooses between candidates of this sidecar's zone and of others, each by the power of two
+// choices. Where crossing costs, the local one is taken unless its load exceeds the remote one's by more
+// than the cross-zone cost, in seconds. If the subset covers all upstreams, every local candidate is
+// compared before a request crosses: both of a random pair may have an estimate raised by one failure.
+func (b *Balancer) pickZone(local, remote []*upstream) *upstream {
+	crossZoneCost := b.crossZoneCost()
+	if len(local) == 0 || len(remote) == 0 || !b.prefersLocal(crossZoneCost) {
+		return b.powerOfTwoChoices(append(local, remote...))
+	}
+	nearest, farther := b.powerOfTwoChoices(local), b.powerOfTwoChoices(remote)
+	if b.load(farther)+crossZoneCost >= b.load(nearest) {
+		return nearest
+	}
+	for _, u := range local {
+		if b.subsetSize() >= len(b.shuffled) && b.load(u) < b.load(nearest) {
+			nearest = u
+		}
+	}
+	if b.load(farther)+crossZoneCost < b.load(nearest) {
+		return farther
+	}
+	return nearest
+}
+
+// delayNextTrial keeps an ejected zone from getting another trial before until, by when the one just sent
+// should have an answer.
+func (z *zoneState) delayNextTrial(until time.Duration) {
+	if z.ejections > 0 {
+		z.ejectedUntil = max(z.ejectedUntil, until)
+	}
+}
+
+// recordZoneAnswer ends the outage of u's zone: u has answered.
+func (b *Balancer) recordZoneAnswer(u *upstream) {
+	z := u.zoneState
+	if z.ejections > 0 {
+		b.logUpstreamEvent(u, "zone %s answers again", u.zone)
+	}
+	z.lastAnswerAt = b.now
+	z.failedUpstreams, z.ejections, z.ejectedUntil = 0, 0, 0
+	z.failureEpoch++
+}
+
+const (
+	// zoneOutageUpstreams is how many upstreams of a zone have to fail, with no answer from it, for an outage.
+	zoneOutageUpstreams = 3
+	// zoneEjectionParts: a zone is ejected for an upstream's ejection time divided by this.
+	zoneEjectionParts = 2
+)
+
+// recordZoneFailure notes that attempt a at u ended without an answer, and ejects the zone when that shows
+// an outage: zoneOutageUpstreams failed, none of them answered what was sent since the zone's latest answer,
+// and another zone did answer. An ejected zone gets one trial at a time, after a time that doubles.
+// Detecting the outage of a zone at once saves the attempts that detecting it for each upstream would cost.
+func (b *Balancer) recordZoneFailure(u *upstream, a *attempt) {
+	z := u.zoneState
+	if a.sentAt <= z.lastAnswerAt || z.ejections > 0 && a.sentAt <= z.ejectedAt {
+		return
+	}
+	if u.outlier.countedInEpoch != z.failureEpoch {
+		u.outlier.countedInEpoch = z.failureEpoch
+		z.failedUpstreams++
+		if z.failedUpstreams == 1 {
+			z.firstFailureAt = b.now
+		}
+	}
+	if z.failedUpstreams < zoneOutageUpstreams || !b.otherZoneAnswered(z) {
+		return
+	}
+	z.ejectedAt = b.now
+	ejectedFor := ejectionTime(z.ejections) / zoneEjectionParts
+	z.ejectedUntil = b.now + b.jitter(ejectedFor, ejectionJitterMin, ejectionJitterMax)
+	z.ejections++
+	if z.ejections > 1 {
+		return
+	}
+	b.logUpstreamEvent(u, "zone %s is silent: %d of its upstreams fail", u.zone, z.failedUpstreams)
+	b.expireAttempts(z)
+}
+
+// expireAttempts makes the attempts in flight at a zone late now, so that their requests go elsewhere.
+func (b *Balancer) expireAttempts(z *zoneState) {
+	for _, u := range b.shuffled {
+		for _, a := range u.inFlight {
+			if u.zoneState == z && a.request.class.Idempotency != NonIdempotent {
+				a.request.timing.attemptLateAt = b.now
+				b.schedule(b.now, timerAttemptLate, a.request)
+			}
+		}
+	}
+}
+
+// otherZoneAnswered reports whether another zone has answered since z began to fail. If none has, the fault
+// may be this sidecar's own network.
+func (b *Balancer) otherZoneAnswered(z *zoneState) bool {
+	for _, u := range b.shuffled {
+		other := u.zoneState
+		if other != z && other.lastAnswerAt >= z.firstFailureAt && other.lastAnswerAt > 0 {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/balancer/outlier_detection.go
@@ -0,0 +1,137 @@
+package balancer
+
+import "time"
+
+const (
+	// ejectionBase is the first ejection time. It doubles with each trial that fails, up to ejectionMax.
+	ejectionBase = time.Second
+	ejectionMax  = 8 * time.Second
+	// An ejection time is multiplied by a random factor between these, so that the sidecars do not all send
+	// their trials at once.
+	ejectionJitterMin    = 0.75
+	ejectionJitterMax    = 1.25
+	maxConsecutiveErrors = 3    // the number of error answers in a row that ejects
+	errorRatioWeight     = 0.25 // weight of one answer in the error ratio
+	// errorRatioEject is the error ratio above which an upstream is ejected: the second error in about four
+	// answers.
+	errorRatioEject  = 0.35
+	errorRatioReturn = 0.25 // error ratio above which an ejected upstream stays so after a good answer
+	// silenceObjectives is how long an upstream with failures may go without an answer, in mean latency
+	// objectives.
+	silenceObjectives      = 3.0
+	failuresBeforeEjection = 2 // failures in a row that eject: one connection may break by chance
+	// fastConnectParts: a connect that failed within ConnectTimeout divided by this was refused.
+	fastConnectParts = 2
+)
+
+// available reports whether u is not ejected, or may get r as its trial: the ejection time is over, nothing
+// is in flight at it, and r could be sent again.
+func (b *Balancer) available(u *upstream, r *request) bool {
+	if b.now < u.outlier.ejectedUntil || b.now < u.zoneState.ejectedUntil {
+		return false
+	}
+	if u.outlier.ejections == 0 && u.zoneState.ejections == 0 {
+		return true
+	}
+	return len(u.inFlight) == 0 && r.class.Idempotency != NonIdempotent
+}
+
+// updateOutlierState takes in an attempt's result after elapsed. It ejects an upstream that refuses or
+// breaks connections, answers with errors, or stays silent: failures that end at once would make it look
+// fast.
+func (b *Balancer) updateOutlierState(a *attempt, result Result, elapsed time.Duration) {
+	switch result {
+	case ServerError, Malformed:
+		b.recordErrorAnswer(a.upstream, result)
+	case OK, Rejected:
+		b.recordGoodAnswer(a.upstream)
+	case Timeout, ConnectFailed, Reset, Cancelled:
+		b.recordFailure(a, result, elapsed)
+	}
+}
+
+// recordErrorAnswer ejects an upstream by errors in a row or by its error ratio. A malformed answer leaves
+// the ratio alone: it may have been damaged on its way from any upstream.
+func (b *Balancer) recordErrorAnswer(u *upstream, result Result) {
+	b.recordAnswer(u)
+	o := &u.outlier
+	o.consecutiveFailures = 0
+	if result == ServerError {
+		o.errorRatio += errorRatioWeight * (1 - o.errorRatio)
+	}
+	o.consecutiveErrors++
+	failing := o.consecutiveErrors >= maxConsecutiveErrors || o.errorRatio > errorRatioEject
+	if failing && b.now >= o.ejectedUntil {
+		b.eject(u)
+	}
+}
+
+// recordGoodAnswer ends an ejection, unless the error ratio is still high. The ratio of an ejected upstream
+// falls faster, so that two good answers in a row end its ejection.
+func (b *Balancer) recordGoodAnswer(u *upstream) {
+	b.recordAnswer(u)
+	o := &u.outlier
+	o.errorRatio -= errorRatioWeight * o.errorRatio
+	if o.ejections > 0 {
+		o.errorRatio /= 1 + errorRatioWeight
+		if o.errorRatio > errorRatioReturn {
+			return
+		}
+		b.logUpstreamEvent(u, "return %s after %d ejections", u.name, o.ejections)
+	}
+	o.consecutiveFailures, o.consecutiveErrors, o.ejections, o.ejectedUntil = 0, 0, 0, 0
+}
+
+// recordAnswer notes that u has answered, whatever the answer was.
+func (b *Balancer) recordAnswer(u *upstream) {
+	u.lastAnswerAt = b.now
+	b.recordZoneAnswer(u)
+}
+
+// recordFailure ejects an upstream that fails without an answer: after two failures in a row if connections
+// are refused or reset or it has been silent for long, and at any failed trial.
+func (b *Balancer) recordFailure(a *attempt, result Result, elapsed time.Duration) {
+	u := a.upstream
+	if b.merelySlow(a, result, elapsed) {
+		return
+	}
+	o := &u.outlier
+	o.consecutiveFailures++
+	if o.consecutiveFailures == 1 {
+		o.firstFailureSentAt = a.sentAt
+	}
+	b.recordZoneFailure(u, a)
+	refused := result == Reset ||
+		result == ConnectFailed && elapsed < b.settings.ConnectTimeout/fastConnectParts
+	silent := (b.now - o.firstFailureSentAt).Seconds() > silenceObjectives*b.meanObjective
+	failing := o.consecutiveFailures >= failuresBeforeEjection && (refused || silent)
+	if (failing || o.ejections > 0) && b.now >= o.ejectedUntil {
+		b.eject(u)
+	}
+}
+
+// merelySlow reports whether an attempt without an answer says nothing about its upstream: the upstream has
+// answered others since, or the attempt was cancelled before it was late. Without hedging, a cancelled
+// attempt may only have been moved off a long queue.
+func (b *Balancer) merelySlow(a *attempt, result Result, elapsed time.Duration) bool {
+	answeredSince := a.sentAt < a.upstream.lastAnswerAt
+	late := b.settings.HedgingAllowed && elapsed.Seconds() >= b.latency.late.value*a.request.cost
+	return result == Timeout && answeredSince || result == Cancelled && (answeredSince || !late)
+}
+
+// eject keeps u from getting attempts for its ejection time.
+func (b *Balancer) eject(u *upstream) {
+	o := &u.outlier
+	ejectedFor := b.jitter(ejectionTime(o.ejections), ejectionJitterMin, ejectionJitterMax)
+	o.ejections++
+	o.ejectedUntil = b.now + ejectedFor
+	if o.ejections == 1 {
+		b.logUpstreamEvent(u, "eject %s: %d failures unheard, %d errors in a row",
+			u.name, o.consecutiveFailures, o.consecutiveErrors)
+	}
+}
+
+// ejectionTime returns the ejection time after a number of failed trials, without jitter.
+func ejectionTime(failedTrials int) time.Duration {
+	return exponentialBackoff(ejectionBase, ejectionMax, failedTrials)
+}
--- a/balancer/probe_test.go
+++ b/balancer/probe_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Guards against answers to probes that are taken when they are old, by one upstream alone, of one that drains or was not there,
-// or that take all requests to one upstream until the next probe.
+// Guards against answers to probes that are taken when they are old, by one upstream alone, of one that
+// drains or was not there, or that take all requests to one upstream until the next probe.
 func TestProbedUpstreams(t *testing.T) {
 	said := func(name string, inHand int, latency time.Duration) ProbeResult {
 		return ProbeResult{Upstream: name, InFlight: inHand, Latency: latency}
@@ -24,7 +24,7 @@
 		{"of four", []ProbeResult{said("u6", 2, 0), said("u7", 3, 0), said("u8", 1, 0), said("u9", 4, 0)}, 0, nil, "u8"},
 		{"the latest word", []ProbeResult{said("u8", 9, 0), said("u7", 1, 0), said("u8", 0, 0)}, 0, nil, "u8"},
 		{"the other says nothing", []ProbeResult{said("u7", 0, 0), said("u8", 0, 0), {Upstream: "u7", Result: Timeout}}, 0, nil, ""},
-		{"old", []ProbeResult{said("u7", 3, 0), said("u8", 0, 0)}, toldFor, nil, ""},
+		{"old", []ProbeResult{said("u7", 3, 0), said("u8", 0, 0)}, loadReportTTL, nil, ""},
 		{"one", []ProbeResult{said("u8", 0, 0)}, 0, nil, ""},
 		{"nonsense", []ProbeResult{said("u7", -1, 0), said("u8", 0, -1), said("nobody", 0, 0)}, 0, nil, ""},
 		{"drains", []ProbeResult{said("u7", 3, 0), said("u6", 2, 0), said("u8", 0, 0)}, 0,
@@ -66,7 +66,7 @@
 	for i := range 40 { // what is remembered is bounded
 		r.do(said(fmt.Sprint("u", i), 0, 0))
 	}
-	if len(r.b.told) != toldMost {
-		t.Errorf("%d are remembered", len(r.b.told))
+	if len(r.b.reportingUpstreams) != loadReportsMax {
+		t.Errorf("%d are remembered", len(r.b.reportingUpstreams))
 	}
 }
--- a/balancer/property_test.go
+++ b/balancer/property_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// The four rules, checked on the stream of actions under random legal events. This knows nothing of the module.
+// The four rules, checked on the stream of actions under random legal events. This knows nothing of the
+// module.
 
 type sent struct {
 	upstream, zone string
@@ -138,7 +139,7 @@
 			}
 		}
 		run(f, g, deal, 1200)
-		if n := len(b.reqs); n != 0 {
+		if n := len(b.requests); n != 0 {
 			t.Fatalf("seed %d: %d requests kept after all have ended", seed, n)
 		}
 	}
--- a/balancer/rig_test.go
+++ b/balancer/rig_test.go
@@ -49,7 +49,7 @@
 // pass lets time go by, with a Wake each tick.
 func (r *rig) pass(d time.Duration) (all []Action) {
 	for end := r.now + d; r.now < end; {
-		r.now += r.b.set.Tick
+		r.now += r.b.settings.Tick
 		all = append(all, r.do(TimerFired{})...)
 	}
 	return all
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -93,15 +93,15 @@
 	r.wantFinal(r.result("1", 0, ConnectFailed, ms), Reject)
 }
 
-// Guards against a refusal where the list changes under each attempt: one that was never sent uses up none, nor of what is kept for
-// repeats. It is bounded all the same.
+// Guards against a refusal where the list changes under each attempt: one that was never sent uses up none,
+// nor of what is kept for repeats. It is bounded all the same.
 func TestMootAttemptsUseUpNone(t *testing.T) {
 	for moot, final := range map[int]bool{1: false, 2: false, 3: true} {
 		s := unsafeSettings()
 		s.MaxAttempts = 2
 		r := newRig(t, s)
 		r.fleet(3)
-		r.b.retries = 0
+		r.b.retryTokens = 0
 		acts := r.request("1", "x", time.Second)
 		for n := range moot {
 			r.wantSend(acts)
@@ -133,9 +133,9 @@
 		}
 		for n := range 40 {
 			r := newRig(t, keyed(group))
-			r.b.rng.Uint64() // other chances each time
+			r.b.random.Uint64() // other chances each time
 			for range n {
-				r.b.rng.Uint64()
+				r.b.random.Uint64()
 			}
 			r.list(FullUpdate, entries...)
 			first := list[r.wantSend(r.request("1", "k", time.Second))]
@@ -222,7 +222,7 @@
 		}
 		waits = append(waits, r.now-asked)
 	}
-	if waits[0] < askBase/2 || waits[3] < 2*waits[0] {
+	if waits[0] < subscribeBackoffBase/2 || waits[3] < 2*waits[0] {
 		t.Errorf("waits %v do not grow", waits)
 	}
 	r.list(IncrementalUpdate)
@@ -239,16 +239,17 @@
 func TestRestartIsANewProcess(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
-	r.b.ups["u0"].est = estimate{5, r.now}
-	r.b.ups["u0"].until = r.now + time.Hour
+	r.b.upstreams["u0"].latency = peakEWMA{5, r.now}
+	r.b.upstreams["u0"].outlier.ejectedUntil = r.now + time.Hour
 	r.list(IncrementalUpdate, Endpoint{Name: "u0", Zone: "a", StartedAt: r.now - time.Second})
-	u := r.b.ups["u0"]
-	if u.est.value > 1 || u.until != 0 || !u.cold || len(r.b.list) != 2 {
+	u := r.b.upstreams["u0"]
+	if u.latency.value > 1 || u.outlier.ejectedUntil != 0 || !u.slowStart.active || len(r.b.shuffled) != 2 {
 		t.Errorf("still known: %+v", u)
 	}
 }
 
-// A cold upstream gets its warmth's share of the mean load at most, whatever goes on: first tries, retries, panic.
+// A cold upstream gets its warmth's share of the mean load at most, whatever goes on: first tries, retries,
+// panic.
 func TestColdBudget(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(10)
@@ -275,7 +276,8 @@
 	second()
 	for i := range 9 {
 		u := "u" + string(rune('0'+i))
-		// 20 a second is the mean, and three times the 0.2 to 0.28 of it that is there in this second pushes it over.
+		// 20 a second is the mean, and three times the 0.2 to 0.28 of it that is there in this second pushes it
+		// over.
 		if n[u] > 13 {
 			t.Errorf("%d requests to cold %s in its first second", n[u], u)
 		}
@@ -288,8 +290,9 @@
 	}
 }
 
-// A cold upstream's budget is used while the others are full: its estimate is no worse than theirs before it has had a
-// request. (Cold upstreams answered in 20 ms, a third of their budget used, beside old ones at 500 ms.)
+// A cold upstream's budget is used while the others are full: its estimate is no worse than theirs before it
+// has had a request. (Cold upstreams answered in 20 ms, a third of their budget used, beside old ones at 500
+// ms.)
 func TestColdBudgetIsUsed(t *testing.T) {
 	s := testSettings()
 	s.FleetSize, s.Classes[0].LatencyObjective = 80, time.Second // aims long enough that nothing is shed
@@ -331,14 +334,16 @@
 		}
 		ended += len(finals(acts))
 	}
-	// 200 a second over 4 cold upstreams, each with 0.2 to 0.36 of its share: 0.8 of three times that is 112 a second.
+	// 200 a second over 4 cold upstreams, each with 0.2 to 0.36 of its share: 0.8 of three times that is 112 a
+	// second.
 	if sent > 224 || sent < 80 || ended == 0 {
 		t.Errorf("%d sent, %d ended unsent", sent, ended)
 	}
 }
 
-// A repeat whose aim has passed is refused at once: its time left was cut by the end of all tries, which tells when
-// the first came. A repeat early enough is served, and first tries settle what time left is usual.
+// A repeat whose aim has passed is refused at once: its time left was cut by the end of all tries, which
+// tells when the first came. A repeat early enough is served, and first tries settle what time left is
+// usual.
 func TestStaleRepeatIsRefused(t *testing.T) {
 	r := newRig(t, testSettings()) // aim 200 ms, deadline 1 s
 	r.fleet(3)
@@ -356,13 +361,13 @@
 	r.wantSend(r.request("first", "c", 601*ms))
 }
 
-// A return from ejection is not a cold start: only the list tells of a restart. (iadfa39: three upstreams silent for
-// 10 s idled for the whole warm-up after it, the others overloaded.)
+// A return from ejection is not a cold start: only the list tells of a restart. (iadfa39: three upstreams
+// silent for 10 s idled for the whole warm-up after it, the others overloaded.)
 func TestReturnIsNotAColdStart(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(2)
-	u := r.b.ups["u0"]
-	u.ejections, u.until = 3, r.now+10*ms
+	u := r.b.upstreams["u0"]
+	u.outlier.ejections, u.outlier.ejectedUntil = 3, r.now+10*ms
 	r.now += 20 * ms
 	n := map[string]int{}
 	for i := range 5 {
@@ -374,14 +379,14 @@
 	for i := range 5 {
 		r.result(string(rune('a'+i)), 0, OK, 20*ms)
 	}
-	if u.cold || u.ejections != 0 {
+	if u.slowStart.active || u.outlier.ejections != 0 {
 		t.Errorf("after its return: %+v", u)
 	}
 }
 
-// Many quiet sidecars against a fleet most of which has just started: together they stay under what pushes a cold
-// upstream over, and still warm it. Nothing is shared between them. (i2a20be: with many cold each sidecar passed those
-// without budget, came to all of them and had a full token for each.)
+// Many quiet sidecars against a fleet most of which has just started: together they stay under what pushes a
+// cold upstream over, and still warm it. Nothing is shared between them. (i2a20be: with many cold each
+// sidecar passed those without budget, came to all of them and had a full token for each.)
 func TestManyQuietSidecarsAgainstColdUpstreams(t *testing.T) {
 	const sidecars, fleet, cold = 400, 40, 36
 	for seed := range uint64(5) {
@@ -447,7 +452,8 @@
 	}
 }
 
-// Guards against a client's repeat that runs where its first try's memory is not: what was sent for that counts as sent for this.
+// Guards against a client's repeat that runs where its first try's memory is not: what was sent for that
+// counts as sent for this.
 func TestPriorSends(t *testing.T) {
 	s := testSettings()
 	s.Classes = []Class{{Name: "c", LatencyObjective: 200 * ms, Deadline: 10 * time.Second, PriorityWeight: 1, Idempotency: IdempotentWithKey, DedupScope: ScopeZone, DedupWindow: 6 * time.Second}}
@@ -462,7 +468,7 @@
 		got := map[string]bool{}
 		for i := range 30 {
 			r := newRig(t, s)
-			r.b.rng = rand.New(rand.NewPCG(uint64(i), 1))
+			r.b.random = rand.New(rand.NewPCG(uint64(i), 1))
 			r.list(FullUpdate, Endpoint{Name: "x", Zone: "a"}, Endpoint{Name: "y", Zone: "b"})
 			acts := r.do(Request{ID: "1", Class: "c", Deadline: r.now + 5*time.Second, EarlierAttempts: c.prior})
 			if sends := kinds(acts, Send); len(sends) == 1 {
@@ -477,8 +483,8 @@
 	}
 }
 
-// A repeat of a keyed request that may have run says by when it is to be with its group; what was never sent before, or may run at any
-// time, does not.
+// A repeat of a keyed request that may have run says by when it is to be with its group; what was never sent
+// before, or may run at any time, does not.
 func TestRepeatsSayByWhen(t *testing.T) {
 	for effect, bound := range map[Idempotency]bool{IdempotentWithKey: true, Idempotent: false} {
 		s := testSettings()
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -1,100 +1,71 @@
 package balancer
 
-import (
-	"cmp"
-	"fmt"
-	"math"
-	"slices"
-	"time"
+import "time"
+
+// Idempotency says what a second execution of a request would do.
+type Idempotency int
+
+// The kinds of idempotency. Any other value is a Problem.
+const (
+	Idempotent        Idempotency = iota // may run any number of times
+	IdempotentWithKey                    // the upstreams of one DedupScope drop repeats within DedupWindow
+	NonIdempotent                        // must not run twice
 )
 
-// Problem is a setting that cannot be used.
-type Problem struct{ Key, Reason string }
+// DedupScope is the set of upstreams that share the deduplication of requests with an idempotency key.
+type DedupScope int
 
-func (p Problem) Error() string { return "setting " + p.Key + ": " + p.Reason }
+// The deduplication scopes. Any other value is a Problem.
+const (
+	ScopeAll  DedupScope = iota // all upstreams
+	ScopeZone                   // the upstreams of one zone
+	ScopeCell                   // the upstreams of one cell
+)
 
-// Problems names every setting that cannot be used, in a fixed order; none: New takes them.
-func (s Settings) Problems() []Problem { return s.check() }
+// Class describes one kind of request.
+type Class struct {
+	Name              string
+	LatencyObjective  time.Duration // an answer within it earns the full priority weight; absent: Deadline
+	ObjectiveStretch  float64       // the objective grows by this multiple of the request's cost hint
+	Deadline          time.Duration // what a client waits over all its retries
+	PriorityWeight    float64       // value of an answer in time, relative to other classes; absent: 1
+	LateValueFraction float64       // share of the priority weight that a late answer still earns, 0 to 1
+	Idempotency       Idempotency
+	DedupScope        DedupScope    // of IdempotentWithKey
+	DedupWindow       time.Duration // of IdempotentWithKey: how long repeats are dropped
+	Streaming         bool          // its answers are streams; no decision depends on it
+}
 
-// check fills in the defaults of absent settings and names all that cannot be used.
-func (s *Settings) check() (bad []Problem) {
-	add := func(key, format string, args ...any) {
-		bad = append(bad, Problem{key, fmt.Sprintf(format, args...)})
-	}
-	for _, t := range []struct {
-		name string
-		d    time.Duration
-	}{{"Tick", s.Tick}, {"MaxRetryAfter", s.MaxRetryAfter}, {"ConnectTimeout", s.ConnectTimeout},
-		{"WarmUp", s.SlowStartWindow}, {"FallTime", s.OverloadWindow}} {
-		if t.d < 0 {
-			add(t.name, "negative")
-		}
-	}
-	for _, x := range []struct {
-		name string
-		v    float64
-	}{{"Balancers", float64(s.FleetSize)}, {"MaxAttempts", float64(s.MaxAttempts)},
-		{"PriceCrossZone", s.CrossZonePrice}, {"FallMultiple", s.OverloadMultiple}} {
-		if x.v < 0 || math.IsNaN(x.v) || math.IsInf(x.v, 0) {
-			add(x.name, "%v is not usable", x.v)
-		}
-	}
-	if !isShare(s.SlowStartMinCapacity) {
-		add("ColdFrom", "%v is not a share", s.SlowStartMinCapacity)
-	}
-	if !isShare(s.OverQuotaWeight) {
-		add("OverShareWorth", "%v is not a share", s.OverQuotaWeight)
-	}
-	for _, t := range s.Tenants {
-		if !isShare(t.Quota) {
-			add("Tenants", "%s: Fraction %v is not a share", t.Name, t.Quota)
-		}
-	}
-	if len(s.Classes) == 0 {
-		add("Classes", "none given")
-	}
-	s.FleetSize, s.MaxAttempts = max(s.FleetSize, 1), max(s.MaxAttempts, 1)
-	s.Tick = cmp.Or(s.Tick, time.Millisecond)
-	s.SlowStartMinCapacity = cmp.Or(s.SlowStartMinCapacity, 1)
-	s.Classes = slices.Clone(s.Classes)
-	names := map[string]bool{}
-	for i := range s.Classes {
-		c := &s.Classes[i]
-		c.LatencyObjective = cmp.Or(c.LatencyObjective, c.Deadline)
-		c.PriorityWeight = cmp.Or(c.PriorityWeight, 1)
-		if c.Name == "" || names[c.Name] {
-			add("Classes", "Name %q empty or repeated", c.Name)
-		}
-		names[c.Name] = true
-		if field := c.unusable(); field != "" {
-			add("Classes", "%s: %s is not usable", c.Name, field)
-		}
-	}
-	return bad
+// Tenant is one of the parties that share the service.
+type Tenant struct {
+	Name  string
+	Quota float64 // its share of all requests, 0 to 1
 }
 
-// isShare is false for what is not a number, too.
-func isShare(x float64) bool { return x >= 0 && x <= 1 }
+// Settings configures a Balancer. A feature whose setting is absent (zero) is off, and a price is nil.
+type Settings struct {
+	FleetSize int    // sidecars of this tier in all; absent: 1
+	Zone      string // this sidecar's zone
+	Classes   []Class
+	Tenants   []Tenant
+
+	MustSubscribe bool          // the endpoint list is only sent to subscribers
+	Tick          time.Duration // least time between two calls of Handle; absent: 1 ms
+
+	MaxAttempts         int  // attempts of one request, the first included; absent: 1
+	HedgingAllowed      bool // two attempts of one request may be in flight
+	CancellationAllowed bool
+	ProbingAllowed      bool // no decision depends on it
+	RetryAfterAllowed   bool // a Reject may carry RetryAfter
+	MaxRetryAfter       time.Duration
+	ConnectTimeout      time.Duration
+
+	CrossZonePrice  float64 // cost of one cross-zone attempt per request, in points of service
+	OverQuotaWeight float64 // factor on the priority of requests beyond their tenant's quota, 0 to 1
+	WeightPerWork   bool    // PriorityWeight counts per unit of work instead of per request
 
-// unusable names the first field that cannot be used, or none.
-func (c *Class) unusable() string {
-	switch {
-	case c.LatencyObjective <= 0:
-		return "Aim"
-	case c.Deadline <= 0:
-		return "Deadline"
-	case c.Idempotency < Idempotent || c.Idempotency > NonIdempotent:
-		return "Effect"
-	case c.DedupScope < ScopeAll || c.DedupScope > ScopeCell:
-		return "Group"
-	case !(c.PriorityWeight >= 0) || math.IsInf(c.PriorityWeight, 0):
-		return "Worth"
-	case !isShare(c.LateValueFraction):
-		return "LateShare"
-	case !(c.ObjectiveStretch >= 0) || math.IsInf(c.ObjectiveStretch, 0):
-		return "AimStretch"
-	case c.DedupWindow < 0:
-		return "Window"
-	}
-	return ""
+	SlowStartMinCapacity float64       // least share of its capacity that a started upstream has; absent: 1
+	SlowStartWindow      time.Duration // after it, at most, an upstream has its full capacity
+	OverloadMultiple     float64       // multiple of the present capacity that overloads; absent: no such rule
+	OverloadWindow       time.Duration // when it is kept up for this long
 }
--- /dev/null
+++ b/balancer/settings_validation.go
@@ -0,0 +1,132 @@
+package balancer
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+	"time"
+)
+
+// Problem is a setting that can't be used. Key is the setting's name on the platform's pages.
+type Problem struct{ Key, Reason string }
+
+func (p Problem) Error() string { return "setting " + p.Key + ": " + p.Reason }
+
+// Problems names every setting that can't be used, in a fixed order. New accepts settings without any.
+func (s Settings) Problems() []Problem { return s.normalize() }
+
+// normalize fills in the defaults of absent settings and returns all that can't be used. It copies the
+// classes before it changes them.
+func (s *Settings) normalize() []Problem {
+	problems := s.valueProblems()
+	s.setDefaults()
+	return append(problems, s.classProblems()...)
+}
+
+// valueProblems checks what does not belong to one class.
+func (s *Settings) valueProblems() (problems []Problem) {
+	add := func(key, format string, args ...any) {
+		problems = append(problems, Problem{key, fmt.Sprintf(format, args...)})
+	}
+	for _, setting := range []struct {
+		key   string
+		value time.Duration
+	}{
+		{"Tick", s.Tick},
+		{"MaxRetryAfter", s.MaxRetryAfter},
+		{"ConnectTimeout", s.ConnectTimeout},
+		{"WarmUp", s.SlowStartWindow},
+		{"FallTime", s.OverloadWindow},
+	} {
+		if setting.value < 0 {
+			add(setting.key, "negative")
+		}
+	}
+	for _, setting := range []struct {
+		key   string
+		value float64
+	}{
+		{"Balancers", float64(s.FleetSize)},
+		{"MaxAttempts", float64(s.MaxAttempts)},
+		{"PriceCrossZone", s.CrossZonePrice},
+		{"FallMultiple", s.OverloadMultiple},
+	} {
+		if setting.value < 0 || math.IsNaN(setting.value) || math.IsInf(setting.value, 0) {
+			add(setting.key, "%v is not usable", setting.value)
+		}
+	}
+	if !isFraction(s.SlowStartMinCapacity) {
+		add("ColdFrom", "%v is not a share", s.SlowStartMinCapacity)
+	}
+	if !isFraction(s.OverQuotaWeight) {
+		add("OverShareWorth", "%v is not a share", s.OverQuotaWeight)
+	}
+	for _, tenant := range s.Tenants {
+		if !isFraction(tenant.Quota) {
+			add("Tenants", "%s: Fraction %v is not a share", tenant.Name, tenant.Quota)
+		}
+	}
+	if len(s.Classes) == 0 {
+		add("Classes", "none given")
+	}
+	return problems
+}
+
+func (s *Settings) setDefaults() {
+	s.FleetSize = max(s.FleetSize, 1)
+	s.MaxAttempts = max(s.MaxAttempts, 1)
+	s.Tick = cmp.Or(s.Tick, time.Millisecond)
+	s.SlowStartMinCapacity = cmp.Or(s.SlowStartMinCapacity, 1)
+	s.Classes = slices.Clone(s.Classes)
+	for i := range s.Classes {
+		class := &s.Classes[i]
+		class.LatencyObjective = cmp.Or(class.LatencyObjective, class.Deadline)
+		class.PriorityWeight = cmp.Or(class.PriorityWeight, 1)
+	}
+}
+
+// classProblems checks the classes, with their defaults filled in.
+func (s *Settings) classProblems() (problems []Problem) {
+	add := func(format string, args ...any) {
+		problems = append(problems, Problem{"Classes", fmt.Sprintf(format, args...)})
+	}
+	seen := map[string]bool{}
+	for i := range s.Classes {
+		class := &s.Classes[i]
+		if class.Name == "" || seen[class.Name] {
+			add("Name %q empty or repeated", class.Name)
+		}
+		seen[class.Name] = true
+		if field := class.unusableField(); field != "" {
+			add("%s: %s is not usable", class.Name, field)
+		}
+	}
+	return problems
+}
+
+// isFraction reports whether x is between 0 and 1. It is false for NaN.
+func isFraction(x float64) bool { return x >= 0 && x <= 1 }
+
+// unusableField returns the first field that can't be used, by its name on the platform's pages, or "".
+func (c *Class) unusableField() string {
+	switch {
+	case c.LatencyObjective <= 0:
+		return "Aim"
+	case c.Deadline <= 0:
+		return "Deadline"
+	case c.Idempotency < Idempotent || c.Idempotency > NonIdempotent:
+		return "Effect"
+	case c.DedupScope < ScopeAll || c.DedupScope > ScopeCell:
+		return "Group"
+	case !(c.PriorityWeight >= 0) || math.IsInf(c.PriorityWeight, 0):
+		return "Worth"
+	case !isFraction(c.LateValueFraction):
+		return "LateShare"
+	case !(c.ObjectiveStretch >= 0) || math.IsInf(c.ObjectiveStretch, 0):
+		return "AimStretch"
+	case c.DedupWindow < 0:
+		return "Window"
+	}
+	return ""
+}
--- /dev/null
+++ b/balancer/slow_start.go
@@ -0,0 +1,72 @@
+package balancer
+
+import "slices"
+
+const (
+	slowStartOverloadFraction = 0.8 // the part used of the load that would overload a starting upstream
+	// slowStartInitialLatency is the first estimate of a starting upstream, as a factor on the mean of its
+	// machine type. Below 1, so that it is chosen and the token bucket, not the estimate, holds it back.
+	slowStartInitialLatency = 0.9
+	// slowStartCapacityRatioMax bounds, upward and by its inverse downward, the capacity of a machine type
+	// relative to the mean.
+	slowStartCapacityRatioMax = 1.6
+	// slowStartBurstParts: the token bucket holds the tokens of OverloadWindow divided by this, at least one.
+	slowStartBurstParts = 10
+)
+
+// beginSlowStart holds back an upstream that started at u.startedAt, within SlowStartWindow. The bucket
+// begins with a random part of a token, so that the sidecars' first requests do not arrive together.
+func (b *Balancer) beginSlowStart(u *upstream) {
+	u.slowStart = slowStartState{
+		active:     true,
+		startedAt:  u.startedAt,
+		refilledAt: b.now,
+		tokens:     b.random.Float64(),
+	}
+	u.latency = peakEWMA{slowStartInitialLatency * *u.machineTypeLatency, b.now}
+}
+
+// slowStartCapacity returns the least share of its capacity that u has by now, 0 to 1. It grows linearly
+// from SlowStartMinCapacity to 1 over SlowStartWindow, and ends the slow start after it.
+func (b *Balancer) slowStartCapacity(u *upstream) float64 {
+	s := &u.slowStart
+	if s.active && b.now-s.startedAt >= b.settings.SlowStartWindow {
+		s.active = false
+	}
+	if !s.active {
+		return 1
+	}
+	age := float64(b.now-s.startedAt) / float64(b.settings.SlowStartWindow)
+	least := b.settings.SlowStartMinCapacity
+	return min(1, least+(1-least)*age)
+}
+
+// slowStartAllows reports whether u's token bucket has a token for an attempt; send takes it. An upstream
+// that is not in slow start always allows.
+//
+// The bucket fills at this sidecar's mean load of an upstream (offered rate in mean requests a second,
+// divided by the subset size) times a share: the present capacity, and a fraction of OverloadMultiple of it.
+// As every sidecar keeps to its share, the sum over all stays below what overloads the upstream. A machine
+// type faster or slower than the mean has a capacity as much larger or smaller. Only upstreams of the subset
+// get attempts in slow start: otherwise, with many starting, every sidecar would send to each of them.
+func (b *Balancer) slowStartAllows(u *upstream) bool {
+	share := b.slowStartCapacity(u)
+	if !u.slowStart.active {
+		return true
+	}
+	size := min(len(b.shuffled), b.subsetSize())
+	if !slices.Contains(b.shuffled[:size], u) {
+		return false
+	}
+	if b.settings.OverloadMultiple > 0 {
+		capacityRatio := b.latency.normalizedMean / *u.machineTypeLatency
+		capacityRatio = min(max(capacityRatio, 1/slowStartCapacityRatioMax), slowStartCapacityRatioMax)
+		share *= slowStartOverloadFraction * b.settings.OverloadMultiple * capacityRatio
+	}
+	perSecond := share * b.offeredRate.perSecond(b.now) / float64(size)
+	burst := max(1, perSecond*b.settings.OverloadWindow.Seconds()/slowStartBurstParts)
+	s := &u.slowStart
+	s.tokens = min(burst, s.tokens+perSecond*(b.now-s.refilledAt).Seconds())
+	s.refilledAt = b.now
+	return s.tokens >= 1
+}
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -5,39 +5,58 @@
 	"time"
 )
 
-// Plain statistics: a quantile and a rate. What is fed to them and what follows from them is in pick.go and refusals.go.
+// quantileStep is how far one sample moves a quantileEstimate, in natural logarithm.
+const quantileStep = 0.1
 
-// quantile follows a quantile p of what is added.
-type quantile struct{ p, v float64 }
+// quantileEstimate follows a quantile of the samples that it is given, by steps and without storing them.
+type quantileEstimate struct {
+	probability float64 // which quantile, 0 to 1
+	value       float64 // in the samples' unit
+}
 
-func (q *quantile) add(x float64) {
-	if x > q.v {
-		q.v *= math.Exp(quantStep * q.p)
+func (q *quantileEstimate) add(sample float64) {
+	if sample > q.value {
+		q.value *= math.Exp(quantileStep * q.probability)
 	} else {
-		q.v *= math.Exp(-quantStep * (1 - q.p))
+		q.value *= math.Exp(-quantileStep * (1 - q.probability))
 	}
 }
 
-// rate is an exponentially forgetting rate.
+// rate is an exponentially weighted rate of events.
 type rate struct {
-	memory time.Duration
-	sum    float64
-	at     time.Duration
-	since  time.Duration
-	begun  bool
+	memory    time.Duration // time constant
+	sum       float64       // weighted amount
+	updatedAt time.Duration // clock time to which sum is weighted
+	startedAt time.Duration // clock time of the first event
+	started   bool
 }
 
-func (r *rate) add(x float64, now time.Duration) {
-	if !r.begun {
-		r.begun, r.since, r.at = true, now, now
+const (
+	rateMinAgeParts  = 20   // a rate is taken to be at least its memory divided by this old
+	restoredRateAge  = 100  // in memories: how long a restored rate counts as having been measured
+	minRatePerSecond = 1e-3 // per second: least rate that something is divided by
+)
+
+func (r *rate) add(amount float64, now time.Duration) {
+	if !r.started {
+		r.started, r.startedAt, r.updatedAt = true, now, now
 	}
-	r.sum = r.sum*math.Exp(-float64(now-r.at)/float64(r.memory)) + x
-	r.at = now
+	r.sum = r.sum*math.Exp(-float64(now-r.updatedAt)/float64(r.memory)) + amount
+	r.updatedAt = now
 }
 
-// per second, not biased low while young.
-func (r *rate) per(now time.Duration) float64 {
-	age := max(now-r.since, r.memory/20)
-	sum := r.sum * math.Exp(-float64(now-r.at)/float64(r.memory))
+// perSecond returns the rate at now. While the rate is younger than its memory, the missing past is left out
+// of the mean.
+func (r *rate) perSecond(now time.Duration) float64 {
+	age := max(now-r.startedAt, r.memory/rateMinAgeParts)
+	sum := r.sum * math.Exp(-float64(now-r.updatedAt)/float64(r.memory))
 	return sum / (r.memory.Seconds() * (1 - math.Exp(-float64(age)/float64(r.memory))))
 }
+
+// restore sets the rate to one that has been perSecond for long.
+func (r *rate) restore(perSecond float64, now time.Duration) {
+	r.started = true
+	r.sum = perSecond * r.memory.Seconds()
+	r.updatedAt = now
+	r.startedAt = now - restoredRateAge*r.memory
+}
--- a/balancer/stream_test.go
+++ b/balancer/stream_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Guards against an upstream that looks slow because a stream on it goes on, and a sidecar that takes streams that go on
-// for requests that wait: the answer's beginning is what counts, the rest is the client's.
+// Guards against an upstream that looks slow because a stream on it goes on, and a sidecar that takes
+// streams that go on for requests that wait: the answer's beginning is what counts, the rest is the
+// client's.
 func TestStreamsThatGoOnAreNotSlow(t *testing.T) {
 	s := testSettings()
 	b, err := New(s, 1)
@@ -34,8 +35,8 @@
 		do(FirstByte{ID: id, Attempt: 0})
 	}
 	now += 10 * time.Minute
-	if b.waiting != 0 || b.pressure() != 0 {
-		t.Errorf("%d requests wait, pressure %v", b.waiting, b.pressure())
+	if b.waiting.count != 0 || b.loadPressure() != 0 {
+		t.Errorf("%d requests wait, pressure %v", b.waiting.count, b.loadPressure())
 	}
 	for i := range 40 {
 		id := string(rune('a'+i%26)) + string(rune('0'+i/26))
@@ -43,34 +44,34 @@
 		now += 5 * time.Millisecond
 		do(Outcome{ID: id, Attempt: 0, Result: OK, Elapsed: 5 * time.Millisecond, Final: true})
 	}
-	for _, u := range b.list {
+	for _, u := range b.shuffled {
 		if l := b.load(u); l > 1 {
-			t.Errorf("%s looks like %v s with %d streams", u.id, l, u.streams)
+			t.Errorf("%s looks like %v s with %d streams", u.name, l, u.activeStreams)
 		}
 	}
 	for i := range 8 {
 		do(Outcome{ID: string(rune('A' + i)), Attempt: 0, Result: OK, Elapsed: 10 * time.Minute, Final: true})
 	}
-	for _, u := range b.list {
-		if u.streams != 0 || len(u.out) != 0 {
-			t.Errorf("%s: %d streams, %d out", u.id, u.streams, len(u.out))
+	for _, u := range b.shuffled {
+		if u.activeStreams != 0 || len(u.inFlight) != 0 {
+			t.Errorf("%s: %d streams, %d out", u.name, u.activeStreams, len(u.inFlight))
 		}
 	}
-	if len(b.reqs) != 0 {
-		t.Errorf("%d requests are not forgotten", len(b.reqs))
+	if len(b.requests) != 0 {
+		t.Errorf("%d requests are not forgotten", len(b.requests))
 	}
 }
 
-// Guards against a stream that is called off by the end of a copy that lost to it. Seen: "a long answer is cut: context canceled",
-// the copy's outcome came after the request was handed to its client.
+// Guards against a stream that is called off by the end of a copy that lost to it. Seen: "a long answer is
+// cut: context canceled", the copy's outcome came after the request was handed to its client.
 func TestTheEndOfACopyLeavesTheStream(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(4)
 	r.wantSend(r.request("q", "c", time.Second))
-	q := r.b.reqs["q"]
-	other := r.b.list[0]
-	if other == q.attempts[0].u {
-		other = r.b.list[1]
+	q := r.b.requests["q"]
+	other := r.b.shuffled[0]
+	if other == q.attempts[0].upstream {
+		other = r.b.shuffled[1]
 	}
 	r.b.send(q, other) // a copy
 	r.now += 5 * ms
@@ -85,8 +86,8 @@
 	if acts := r.do(Outcome{ID: "q", Attempt: 0, Result: OK, Elapsed: 5 * ms, Final: true}); len(finals(acts)) > 0 {
 		t.Errorf("the stream's end: %+v", acts)
 	}
-	if len(r.b.reqs) != 0 || q.attempts[0].u.streams != 0 {
-		t.Errorf("%d requests are left, %d streams", len(r.b.reqs), q.attempts[0].u.streams)
+	if len(r.b.requests) != 0 || q.attempts[0].upstream.activeStreams != 0 {
+		t.Errorf("%d requests are left, %d streams", len(r.b.requests), q.attempts[0].upstream.activeStreams)
 	}
 }
 
@@ -100,8 +101,8 @@
 	return r
 }
 
-// Guards against upstreams that are passed over for answers that only their clients still take: an answer that is passed on is no load
-// of its upstream, one that its upstream still works on is.
+// Guards against upstreams that are passed over for answers that only their clients still take: an answer
+// that is passed on is no load of its upstream, one that its upstream still works on is.
 func TestAnswersThatArePassedOnAreNoLoad(t *testing.T) {
 	for _, passed := range []bool{true, false} {
 		s := testSettings()
@@ -114,32 +115,33 @@
 			r.now += 10 * ms
 			r.do(FirstByte{ID: id, PassThrough: passed})
 		}
-		u := r.b.list[0]
+		u := r.b.shuffled[0]
 		first := r.b.load(u)
 		for i := range 5 {
 			r.result(fmt.Sprint(i), 0, OK, time.Second)
 		}
-		if last := r.b.load(u); passed != (first == last) || u.streams != 0 || len(r.b.reqs) != 0 {
-			t.Errorf("passed %v: load %v with five of them, %v with none; %d streams, %d requests left", passed, first, last, u.streams, len(r.b.reqs))
+		if last := r.b.load(u); passed != (first == last) || u.activeStreams != 0 || len(r.b.requests) != 0 {
+			t.Errorf("passed %v: load %v with five of them, %v with none; %d streams, %d requests left", passed, first, last, u.activeStreams, len(r.b.requests))
 		}
 	}
 }
 
-// A body that takes its time is no time of its request, of its upstream, nor a request in hand: all of that begins with its last byte.
+// A body that takes its time is no time of its request, of its upstream, nor a request in hand: all of that
+// begins with its last byte.
 func TestTheTimeOfAStreamedRequestBeginsWithItsLastByte(t *testing.T) {
 	r := streamedRig(t, Idempotent)
-	q := r.b.reqs["q"]
-	u := q.attempts[0].u
+	q := r.b.requests["q"]
+	u := q.attempts[0].upstream
 	idle := r.b.load(u)
 	if all := r.pass(20 * time.Second); len(finals(all))+len(kinds(all, Send)) > 0 {
 		t.Fatalf("while its body comes: %+v", all)
 	}
-	if r.b.waiting != 0 || r.b.load(u) > idle {
-		t.Errorf("%d in hand, load %v, was %v", r.b.waiting, r.b.load(u), idle)
+	if r.b.waiting.count != 0 || r.b.load(u) > idle {
+		t.Errorf("%d in hand, load %v, was %v", r.b.waiting.count, r.b.load(u), idle)
 	}
 	r.do(UploadDone{ID: "q", Attempt: 0, Deadline: r.now + time.Second})
-	if r.b.waiting != 1 || u.streams != 0 || len(u.out) != 1 {
-		t.Errorf("%d in hand, %d streams, %d out", r.b.waiting, u.streams, len(u.out))
+	if r.b.waiting.count != 1 || u.activeStreams != 0 || len(u.inFlight) != 1 {
+		t.Errorf("%d in hand, %d streams, %d out", r.b.waiting.count, u.activeStreams, len(u.inFlight))
 	}
 	acts := r.pass(190 * ms)
 	if len(kinds(acts, Send))+len(finals(acts)) > 0 {
@@ -150,13 +152,14 @@
 		t.Errorf("after its time: %+v", ends)
 	}
 	r.result("q", 0, Cancelled, time.Second)
-	if r.b.waiting != 0 || len(r.b.reqs) != 0 {
-		t.Errorf("%d in hand, %d known", r.b.waiting, len(r.b.reqs))
+	if r.b.waiting.count != 0 || len(r.b.requests) != 0 {
+		t.Errorf("%d in hand, %d known", r.b.waiting.count, len(r.b.requests))
 	}
 }
 
-// What becomes of a streamed request whose attempt fails, by its effect, whether its body can be had again, and whether it came whole.
-// Guards against a second send of a body that is no longer there, and a refusal of what may have run.
+// What becomes of a streamed request whose attempt fails, by its effect, whether its body can be had again,
+// and whether it came whole. Guards against a second send of a body that is no longer there, and a refusal
+// of what may have run.
 func TestStreamedRequestsThatFail(t *testing.T) {
 	for _, effect := range []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent} {
 		for _, res := range []Result{ServerError, Rejected, ConnectFailed, Reset, NotSent, Malformed} {
--- /dev/null
+++ b/balancer/subscription.go
@@ -0,0 +1,30 @@
+package balancer
+
+import "time"
+
+const (
+	// subscribeBackoffBase is the pause before the first new subscription after a failure. It doubles with
+	// each further failure, up to subscribeBackoffMax.
+	subscribeBackoffBase = time.Second
+	subscribeBackoffMax  = 8 * time.Second
+	// The pause is multiplied by a random factor between these, so that sidecars do not subscribe in step.
+	subscribeJitterMin = 0.5
+	subscribeJitterMax = 1.5
+)
+
+// handleUpdateFailed schedules a new subscription with exponential backoff and jitter.
+func (b *Balancer) handleUpdateFailed() {
+	s := &b.subscription
+	if s.connected || s.failures == 0 {
+		b.logEvent("list lost: asking again")
+	}
+	s.connected, s.pending = false, false
+	s.failures++
+	pause := exponentialBackoff(subscribeBackoffBase, subscribeBackoffMax, s.failures-1)
+	b.schedule(b.now+b.jitter(pause, subscribeJitterMin, subscribeJitterMax), timerSubscribe, nil)
+}
+
+func (b *Balancer) subscribe() {
+	b.subscription.pending = true
+	b.emit(Action{Kind: Subscribe})
+}
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -6,68 +6,108 @@
 	"time"
 )
 
-// Timers: a heap of what is to be looked at again, behind the one Wake that the sidecar keeps for us.
-
+// timerKind says what is done when a timer is due.
 type timerKind int
 
 const (
-	timerEnd timerKind = iota
-	timerLate
-	timerHeld
-	timerAsk
+	timerGiveUp        timerKind = iota // ends the request without an answer
+	timerAttemptLate                    // its latest attempt is late
+	timerRetryDispatch                  // no upstream was available: tries again to send it
+	timerSubscribe                      // subscribes to the endpoint list again
 )
 
+// timer is an entry of the heap. Timers are never stopped: one that no longer applies does nothing.
 type timer struct {
-	at   time.Duration
-	seq  int
-	kind timerKind
-	r    *request
+	at       time.Duration // clock time
+	sequence int           // order among timers of the same time
+	kind     timerKind
+	request  *request // nil for timerSubscribe
 }
 
+// timerHeap holds all timers behind the one timer that the driver keeps.
 type timerHeap struct {
-	t    []timer
-	seq  int
-	next int // not looked through before it has grown to this
+	timers        []timer
+	sequence      int
+	nextPruneSize int // not pruned before it has grown to this
 }
 
-func (h *timerHeap) Len() int { return len(h.t) }
+func (h *timerHeap) Len() int { return len(h.timers) }
 func (h *timerHeap) Less(i, j int) bool {
-	return h.t[i].at < h.t[j].at || h.t[i].at == h.t[j].at && h.t[i].seq < h.t[j].seq
+	a, b := h.timers[i], h.timers[j]
+	return a.at < b.at || a.at == b.at && a.sequence < b.sequence
 }
-func (h *timerHeap) Swap(i, j int) { h.t[i], h.t[j] = h.t[j], h.t[i] }
-func (h *timerHeap) Push(x any)    { h.t = append(h.t, x.(timer)) }
+func (h *timerHeap) Swap(i, j int) { h.timers[i], h.timers[j] = h.timers[j], h.timers[i] }
+func (h *timerHeap) Push(x any)    { h.timers = append(h.timers, x.(timer)) }
 func (h *timerHeap) Pop() any {
-	t := h.t[len(h.t)-1]
-	h.t = h.t[:len(h.t)-1]
-	return t
+	last := h.timers[len(h.timers)-1]
+	h.timers = h.timers[:len(h.timers)-1]
+	return last
 }
 
-// timersKept is how many timers of requests that have ended may stand in the heap beside those of requests in hand, as
-// a multiple of these and at least timersLeast: most end long before their timers are due, and each holds its request.
+// Most requests end long before their timers are due, and each timer keeps its request in memory. The heap
+// is pruned of timers of finished requests when it exceeds both limits.
 const (
-	timersKept  = 8
-	timersLeast = 256
+	timersPerRequestMax = 8   // timers, per open request
+	timersPruneMin      = 256 // timers
+	timersPruneGrowth   = 2   // and it has grown by this factor since it was last pruned
 )
 
-func (b *Balancer) after(at time.Duration, kind timerKind, r *request) {
-	if n := len(b.timers.t); n > timersLeast && n > timersKept*len(b.reqs) && n >= b.timers.next {
-		b.timers.t = slices.DeleteFunc(b.timers.t, func(t timer) bool { return t.r != nil && t.r.done })
-		heap.Init(&b.timers)
-		b.timers.next = 2 * len(b.timers.t) // what is left may be long timers: look again when it has doubled
+// schedule sets a timer of kind for r at the clock time at.
+func (b *Balancer) schedule(at time.Duration, kind timerKind, r *request) {
+	h := &b.timers
+	if n := len(h.timers); n > timersPruneMin && n > timersPerRequestMax*len(b.requests) && n >= h.nextPruneSize {
+		h.timers = slices.DeleteFunc(h.timers, func(t timer) bool { return t.request != nil && t.request.finished })
+		heap.Init(h)
+		h.nextPruneSize = timersPruneGrowth * len(h.timers)
+	}
+	h.sequence++
+	heap.Push(h, timer{at, h.sequence, kind, r})
+}
+
+// handleTimers does what is due by now.
+func (b *Balancer) handleTimers() {
+	if b.now >= b.timerArmedFor {
+		b.timerArmedFor = 0
+	}
+	for len(b.timers.timers) > 0 && b.timers.timers[0].at <= b.now {
+		b.handleTimer(heap.Pop(&b.timers).(timer))
+	}
+}
+
+func (b *Balancer) handleTimer(t timer) {
+	if t.kind == timerSubscribe {
+		if !b.subscription.pending && !b.subscription.connected {
+			b.subscribe()
+		}
+		return
+	}
+	r := t.request
+	if r.finished || r.responseStarted {
+		return
+	}
+	switch t.kind {
+	case timerGiveUp:
+		if b.now >= r.timing.giveUpAt { // the end of an upload may have moved it
+			b.rejectOrFail(r)
+		}
+	case timerAttemptLate:
+		b.handleLateAttempt(r)
+	case timerRetryDispatch:
+		if r.inFlight == 0 {
+			b.dispatch(r)
+		}
 	}
-	b.timers.seq++
-	heap.Push(&b.timers, timer{at, b.timers.seq, kind, r})
 }
 
-// arm asks for a Wake at the earliest timer, if none is out for that early.
-func (b *Balancer) arm() {
-	if len(b.timers.t) == 0 {
+// armTimer asks the driver for a TimerFired at the earliest timer, unless one as early is outstanding.
+func (b *Balancer) armTimer() {
+	if len(b.timers.timers) == 0 {
 		return
 	}
-	// Timers outside may count microseconds: never wake a moment too early, and then wait for nothing.
-	at := (b.timers.t[0].at + time.Microsecond - 1).Truncate(time.Microsecond)
-	if b.armed == 0 || at < b.armed {
-		b.armed = max(at, 1)
-		b.act(Action{Kind: SetTimer, FireAt: b.armed})
+	// Rounded up, as the driver's timer may count in microseconds and must not fire before the timer is due.
+	at := (b.timers.timers[0].at + time.Microsecond - 1).Truncate(time.Microsecond)
+	if b.timerArmedFor == 0 || at < b.timerArmedFor {
+		b.timerArmedFor = max(at, 1)
+		b.emit(Action{Kind: SetTimer, FireAt: b.timerArmedFor})
 	}
 }
--- a/balancer/trouble_test.go
+++ b/balancer/trouble_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// world answers attempts as a script says, tick by tick: a table of what each upstream does, no model of a server.
+// world answers attempts as a script says, tick by tick: a table of what each upstream does, no model of a
+// server.
 type world struct {
 	*rig
 	reply func(u string) (Result, time.Duration) // and after how long; a negative time: no answer ever
@@ -58,15 +59,15 @@
 // play runs for d with perSec requests a second, spread evenly.
 func (w *world) play(d time.Duration, perSec int) {
 	tries := map[string]int{}
-	tick := w.b.set.Tick
+	tick := w.b.settings.Tick
 	due := 0.0
 	for end := w.now + d; w.now < end; {
 		w.now += tick
 		w.take(w.do(TimerFired{}), tries)
 		for due += float64(perSec) * tick.Seconds(); due >= 1; due-- {
 			w.n++
-			w.take(w.do(Request{ID: fmt.Sprint("r", w.n), Class: w.b.set.Classes[0].Name,
-				Deadline: w.now + w.b.set.Classes[0].Deadline}), tries)
+			w.take(w.do(Request{ID: fmt.Sprint("r", w.n), Class: w.b.settings.Classes[0].Name,
+				Deadline: w.now + w.b.settings.Classes[0].Deadline}), tries)
 		}
 		for i := 0; i < len(w.out); i++ {
 			f := w.out[i]
@@ -90,7 +91,8 @@
 
 func fine(string) (Result, time.Duration) { return OK, 20 * ms }
 
-// A crashed upstream refuses at once and so looks fast; it must not draw picks. It comes back by single trials.
+// A crashed upstream refuses at once and so looks fast; it must not draw picks. It comes back by single
+// trials.
 func TestCrashedUpstreamDrawsNoPicks(t *testing.T) {
 	down := true
 	w := newWorld(t, testSettings(), func(u string) (Result, time.Duration) {
@@ -114,7 +116,8 @@
 	}
 }
 
-// A broken connection or an answer that can't be read happens now and then to upstreams that are fine: they stay.
+// A broken connection or an answer that can't be read happens now and then to upstreams that are fine: they
+// stay.
 func TestChanceFailuresDoNotEject(t *testing.T) {
 	for _, res := range []Result{Reset, Malformed} {
 		n := 0
@@ -192,17 +195,17 @@
 		r.result(id, 0, OK, 20*ms)
 		r.now += 10 * ms
 	}
-	before := r.b.list[0].est.value
+	before := r.b.shuffled[0].latency.value
 	r.do(Request{ID: "big", Class: "c", Deadline: r.now + time.Second, CostHint: 120 * ms})
 	r.now += 10 * ms
 	r.result("big", 0, OK, 120*ms)
-	if after := r.b.list[0].est.value; after > 1.5*before {
+	if after := r.b.shuffled[0].latency.value; after > 1.5*before {
 		t.Errorf("estimate %v, %v after six times the work in six times the time", before, after)
 	}
 }
 
-// Overload, as it looks from a sidecar: everything takes longer than it may. Work is refused early instead of failing
-// late, also with a slow upstream on top, and shedding ends with its cause.
+// Overload, as it looks from a sidecar: everything takes longer than it may. Work is refused early instead
+// of failing late, also with a slow upstream on top, and shedding ends with its cause.
 func TestOverloadIsShedEarlyAndEnds(t *testing.T) {
 	latency := 20 * ms
 	w := newWorld(t, testSettings(), func(u string) (Result, time.Duration) {
@@ -377,9 +380,9 @@
 	low := map[int]int{}
 	for i := range 1000 {
 		r.b.now += ms
-		q := &request{class: r.b.classes["c"], cost: 1, tenant: min(i%10/9, 1)} // nine of ten are the first's
-		if r.b.value(q) < 1 {
-			low[q.tenant]++
+		q := &request{class: r.b.classes["c"], cost: 1, tenantIndex: min(i%10/9, 1)} // nine of ten are the first's
+		if r.b.priority(q) < 1 {
+			low[q.tenantIndex]++
 		}
 	}
 	if low[1] != 0 || low[0] < 300 || low[0] > 500 { // (0.9-0.5)/0.9 of 900
@@ -393,7 +396,7 @@
 	w.fleet(8)
 	w.play(20*time.Second, 100)
 	total := w.attempts()
-	if limit := float64(w.n)*(1+retryRatio) + retryBurst; float64(total) > limit {
+	if limit := float64(w.n)*(1+retryTokensPerRequest) + retryTokensBurst; float64(total) > limit {
 		t.Errorf("%d attempts for %d requests", total, w.n)
 	}
 }
@@ -403,8 +406,8 @@
 	w := newWorld(t, testSettings(), func(u string) (Result, time.Duration) { return ConnectFailed, 0 })
 	w.fleet(4)
 	w.play(5*time.Second, 100)
-	if w.b.retries < 0 {
-		t.Errorf("budget %v", w.b.retries)
+	if w.b.retryTokens < 0 {
+		t.Errorf("budget %v", w.b.retryTokens)
 	}
 }
 
@@ -419,12 +422,13 @@
 		r.request(id, "c", time.Second)
 		r.result(id, 0, OK, ms)
 	}
-	if b := r.b; b.waiting != 1 || b.arrivals != r.now || b.inHand < 4.999 || b.inHand > 5.001 {
-		t.Errorf("in hand %d, %v, %v", b.waiting, b.arrivals, b.inHand)
+	if b := r.b; b.waiting.count != 1 || b.waiting.startSum != r.now || b.waiting.requiredRate < 4.999 || b.waiting.requiredRate > 5.001 {
+		t.Errorf("in hand %d, %v, %v", b.waiting.count, b.waiting.startSum, b.waiting.requiredRate)
 	}
 }
 
-// An upstream that answers errors at once is no choice beside queues that last longer than the penalty (id62488).
+// An upstream that answers errors at once is no choice beside queues that last longer than the penalty
+// (id62488).
 func TestErrorsAtOnceDrawNoPicks(t *testing.T) {
 	broken := true
 	s := testSettings()
@@ -447,8 +451,8 @@
 	}
 }
 
-// Late answers from upstreams that go on answering narrow the limit, down to its least and back; what waits at a hung
-// upstream does not (i4fffd9, i5c4351).
+// Late answers from upstreams that go on answering narrow the limit, down to its least and back; what waits
+// at a hung upstream does not (i4fffd9, i5c4351).
 func TestLimitNarrowsWhereUpstreamsAreCrowded(t *testing.T) {
 	n, crowded := 0, true
 	s := testSettings()
@@ -462,13 +466,13 @@
 	w := newWorld(t, s, reply)
 	w.fleet(4)
 	w.play(5*time.Second, 400)
-	if w.b.limit > limitMin*1.2 {
-		t.Errorf("limit %.2f with half of all answers late", w.b.limit)
+	if w.b.shedding.queueingLimit > queueingLimitMin*1.2 {
+		t.Errorf("limit %.2f with half of all answers late", w.b.shedding.queueingLimit)
 	}
 	crowded = false
 	w.play(10*time.Second, 100)
-	if w.b.limit < limitMax {
-		t.Errorf("limit %.2f long after", w.b.limit)
+	if w.b.shedding.queueingLimit < queueingLimitMax {
+		t.Errorf("limit %.2f long after", w.b.shedding.queueingLimit)
 	}
 	w = newWorld(t, s, func(u string) (Result, time.Duration) {
 		if u < "u2" {
@@ -478,13 +482,13 @@
 	})
 	w.fleet(4)
 	w.play(2*time.Second, 400)
-	if w.ended[Reject] == 0 || w.b.limit < limitMax*0.9 {
-		t.Errorf("%d refused; limit %.2f with upstreams hung, not crowded", w.ended[Reject], w.b.limit)
+	if w.ended[Reject] == 0 || w.b.shedding.queueingLimit < queueingLimitMax*0.9 {
+		t.Errorf("%d refused; limit %.2f with upstreams hung, not crowded", w.ended[Reject], w.b.shedding.queueingLimit)
 	}
 }
 
-// Pressure rises with the age of what is in hand, without a step: a burst after a lull is let in, more than can be
-// served is not admitted up to the moment it is old.
+// Pressure rises with the age of what is in hand, without a step: a burst after a lull is let in, more than
+// can be served is not admitted up to the moment it is old.
 func TestPressureRisesWithAge(t *testing.T) {
 	for _, c := range []struct {
 		n, answered int
@@ -501,16 +505,16 @@
 		r := newRig(t, testSettings())
 		r.fleet(4)
 		for i := range c.answered { // over 2 s
-			r.b.served.add(1, r.now+2*time.Second*time.Duration(i)/time.Duration(c.answered))
+			r.b.servedRate.add(1, r.now+2*time.Second*time.Duration(i)/time.Duration(c.answered))
 		}
 		r.now += 2 * time.Second
 		r.do(TimerFired{})
 		for range c.n {
-			r.b.hold(&request{arrived: r.now, aim: r.now + 200*ms}, 1)
+			r.b.setWaiting(&request{timing: requestTiming{startedAt: r.now, objectiveAt: r.now + 200*ms}}, true)
 		}
 		r.now += c.age
 		r.do(TimerFired{})
-		if p := r.b.pressure(); p > 1 != c.over {
+		if p := r.b.loadPressure(); p > 1 != c.over {
 			t.Errorf("%d in hand for %v, %d answered: pressure %.2f", c.n, c.age, c.answered, p)
 		}
 	}
@@ -520,23 +524,24 @@
 func TestRefusedRequestsEarnNoRetries(t *testing.T) {
 	r := newRig(t, testSettings())
 	r.fleet(4)
-	r.b.retries = 0
+	r.b.retryTokens = 0
 	for i := range 20 {
 		r.wantSend(r.request(fmt.Sprint(i), "c", time.Second))
 	}
-	if r.b.retries != 20*retryRatio {
-		t.Errorf("budget %.2f after twenty first attempts", r.b.retries)
+	if r.b.retryTokens != 20*retryTokensPerRequest {
+		t.Errorf("budget %.2f after twenty first attempts", r.b.retryTokens)
 	}
 	r.now += 150 * ms // and no answer: all that comes now is refused
 	for i := range 100 {
 		r.wantFinal(r.request(fmt.Sprint("late", i), "c", time.Second), Reject)
 	}
-	if r.b.retries != 20*retryRatio {
-		t.Errorf("budget %.2f after a hundred refusals", r.b.retries)
+	if r.b.retryTokens != 20*retryTokensPerRequest {
+		t.Errorf("budget %.2f after a hundred refusals", r.b.retryTokens)
 	}
 }
 
-// Copies stop before first attempts are refused: near the limit they crowd what is crowded (i38832b, i4fffd9).
+// Copies stop before first attempts are refused: near the limit they crowd what is crowded (i38832b,
+// i4fffd9).
 func TestNoCopiesNearTheLimit(t *testing.T) {
 	for _, c := range []struct {
 		inHand int
@@ -546,20 +551,20 @@
 		r.fleet(4)
 		for range 400 {
 			r.now += 5 * ms
-			r.b.served.add(1, r.now)
+			r.b.servedRate.add(1, r.now)
 		}
-		r.b.late.v, r.b.copyWins = 0.08, 1
+		r.b.latency.late.value, r.b.hedgingSuccessRatio = 0.08, 1
 		r.wantSend(r.do(Request{ID: "r", Class: "c", Deadline: r.now + time.Second, CostHint: 20 * ms}))
 		for range c.inHand {
-			r.b.hold(&request{arrived: r.now, aim: r.now + 200*ms}, 1)
+			r.b.setWaiting(&request{timing: requestTiming{startedAt: r.now, objectiveAt: r.now + 200*ms}}, true)
 		}
 		copies := 0
 		for range 24 {
-			r.b.served.add(1, r.now)
+			r.b.servedRate.add(1, r.now)
 			copies += len(kinds(r.pass(5*ms), Send))
 		}
 		if copies > 0 != c.copied {
-			t.Errorf("%d copies with %d in hand, pressure %.2f", copies, c.inHand, r.b.pressure())
+			t.Errorf("%d copies with %d in hand, pressure %.2f", copies, c.inHand, r.b.loadPressure())
 		}
 	}
 }
@@ -583,8 +588,8 @@
 	}
 }
 
-// A quiet sidecar takes its part in an overload: with attempts near their aim or beyond it sheds though it never has
-// more than one in hand, and lets work in again soon after.
+// A quiet sidecar takes its part in an overload: with attempts near their aim or beyond it sheds though it
+// never has more than one in hand, and lets work in again soon after.
 func TestQuietSidecarShedsInOverload(t *testing.T) {
 	latency := 240 * ms
 	w := newWorld(t, testSettings(), func(string) (Result, time.Duration) { return OK, latency })
@@ -602,8 +607,9 @@
 	}
 }
 
-// A late request is most often a costly one, and its copy as costly: no copy of it, unless copies have won of late and its work is told.
-// Where the upstream leaves a second of ours unanswered too it hangs, and the copy goes out as soon as it is late.
+// A late request is most often a costly one, and its copy as costly: no copy of it, unless copies have won
+// of late and its work is told. Where the upstream leaves a second of ours unanswered too it hangs, and the
+// copy goes out as soon as it is late.
 func TestCopiesOnlyWhereTheUpstreamHangs(t *testing.T) {
 	for _, c := range []struct {
 		second, won bool
@@ -619,7 +625,7 @@
 			r.result(id, 0, OK, 20*ms)
 		}
 		if c.won {
-			r.b.copyWins = 0.5
+			r.b.hedgingSuccessRatio = 0.5
 		}
 		r.now += time.Second
 		r.do(Request{ID: "late", Class: "c", Deadline: r.now + time.Second, CostHint: c.hint})
@@ -648,14 +654,14 @@
 		})
 		w.fleet(6)
 		w.play(30*time.Second, 100)
-		if copies := w.attempts() - w.n; pauses != (w.b.copyWins > copyPays) || !pauses && copies > w.n/20 {
-			t.Errorf("pauses %v: %d copies of %d, wins %.2f", pauses, copies, w.n, w.b.copyWins)
+		if copies := w.attempts() - w.n; pauses != (w.b.hedgingSuccessRatio > hedgingMinSuccessRatio) || !pauses && copies > w.n/20 {
+			t.Errorf("pauses %v: %d copies of %d, wins %.2f", pauses, copies, w.n, w.b.hedgingSuccessRatio)
 		}
 	}
 }
 
-// A refused client is to stay away for good. Where the longest advice ends before the deadline it is back while late
-// answers count, past its aim, and in the way: there it is told to be back in time.
+// A refused client is to stay away for good. Where the longest advice ends before the deadline it is back
+// while late answers count, past its aim, and in the way: there it is told to be back in time.
 func TestAdviceOnRefusal(t *testing.T) {
 	for _, c := range []struct {
 		longest   time.Duration
@@ -666,7 +672,7 @@
 		s.MaxRetryAfter, s.Classes[0].LateValueFraction = c.longest, c.lateShare
 		r := newRig(t, s)
 		r.fleet(4)
-		r.b.crowd, r.b.crowdAt = 10, r.now // half is refused
+		r.b.shedding.objectiveUse, r.b.shedding.objectiveUseAt = 10, r.now // half is refused
 		var acts []Action
 		for i := 0; i < 40 && len(finals(acts)) == 0; i++ {
 			acts = r.request(fmt.Sprint(i), "c", time.Second)
@@ -678,10 +684,11 @@
 	}
 }
 
-// One of many sidecars sees too little to know a crowd from a few long answers: a burst that is in hand, or eight answers
-// that took most of their aim, refuse nothing; where it goes on, what is worth least is shed first, in proportion, and a part
-// goes on always. (Eighty sidecars before sixty upstreams refused 1,000 of 2,500 tries a second, four of five of them while
-// upstreams had room, and as their clients came back at once, lost one request in five.)
+// One of many sidecars sees too little to know a crowd from a few long answers: a burst that is in hand, or
+// eight answers that took most of their aim, refuse nothing; where it goes on, what is worth least is shed
+// first, in proportion, and a part goes on always. (Eighty sidecars before sixty upstreams refused 1,000 of
+// 2,500 tries a second, four of five of them while upstreams had room, and as their clients came back at
+// once, lost one request in five.)
 func TestThinSidecarShedsInProportion(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -696,17 +703,17 @@
 		s.Classes = append(s.Classes, Class{Name: "better", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 3})
 		r := newRig(t, s)
 		r.fleet(60)
-		r.b.crowd = 0.2
-		for i := range rankOver { // half is worth more
-			r.b.ranks[i] = float64(1 + i%2*2)
+		r.b.shedding.objectiveUse = 0.2
+		for i := range priorityWindow { // half is worth more
+			r.b.shedding.recentPriorities[i] = float64(1 + i%2*2)
 		}
-		r.b.ranked = rankOver
+		r.b.shedding.priorityCount = priorityWindow
 		for range c.answers {
-			r.b.crowd += crowdWeight * (c.took - r.b.crowd)
-			r.b.crowdAt = r.now
+			r.b.shedding.objectiveUse += objectiveUseWeight * (c.took - r.b.shedding.objectiveUse)
+			r.b.shedding.objectiveUseAt = r.now
 		}
 		for i := range 5 { // in hand, five times what is usual at ten a second
-			r.b.hold(&request{id: fmt.Sprint(i), arrived: r.now - 60*ms, aim: r.now + 140*ms}, 1)
+			r.b.setWaiting(&request{id: fmt.Sprint(i), timing: requestTiming{startedAt: r.now - 60*ms, objectiveAt: r.now + 140*ms}}, true)
 		}
 		const asked = 200
 		refused := map[string]int{}
@@ -718,7 +725,7 @@
 			} else {
 				r.do(ClientDisconnected{ID: id})
 			}
-			r.b.crowdAt = r.now
+			r.b.shedding.objectiveUseAt = r.now
 		}
 		if share := float64(refused["c"]) / asked; share < c.least || share > c.most || float64(refused["better"]) > c.better*asked {
 			t.Errorf("%s: %.2f of those worth least refused, %d of %d better ones", c.name, share, refused["better"], asked)
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -2,33 +2,49 @@
 
 import "time"
 
-// UpstreamView is what a Balancer makes of an upstream, for those who look on. Nothing is decided by it.
+// UpstreamView is what a Balancer knows of an upstream, for operators. No decision depends on it.
 type UpstreamView struct {
 	Name, Zone        string
-	Latency           time.Duration // the estimate that is compared, of a mean request
-	Pending           int           // attempts without answer, and streams that go on
-	Load              float64       // Latency x (Pending+1), in seconds
-	EjectedFor        time.Duration // how much longer it is left out; 0: it is not
-	TrialOnly         bool          // nothing is sent to it now but a trial, to see whether it is back
-	SlowStartCapacity float64       // the least share of its capacity that it is taken to have
+	Latency           time.Duration // that upstreams are compared by, of a mean request
+	Pending           int           // attempts without an answer, and streams that it works on
+	Load              float64       // Latency x (Pending + 1), in seconds
+	EjectedFor        time.Duration // how much longer it gets no attempts; 0: it is not ejected
+	TrialOnly         bool          // it gets at most one attempt at a time, as the trial that ends its ejection
+	SlowStartCapacity float64       // the least share of its capacity that it is taken to have, 0 to 1
 }
 
-// View tells of every listed upstream, in the order of the list. Like Handle it is not safe for concurrent use; it
-// changes nothing.
+// View returns every active upstream, in this sidecar's shuffled order. It changes no state. Like Handle it
+// is not safe for concurrent use.
 func (b *Balancer) View(now time.Duration) []UpstreamView {
-	was := b.now
-	defer func() { b.now = was }()
+	latest := b.now
+	defer func() { b.now = latest }()
 	b.now = max(now, b.now)
-	views := make([]UpstreamView, 0, len(b.list))
-	for _, u := range b.list {
-		v := UpstreamView{Name: u.id, Zone: u.zone, Pending: len(u.out) + u.streams, Load: b.load(u),
-			EjectedFor: max(0, u.until-b.now), SlowStartCapacity: 1,
-			TrialOnly: u.ejections > 0 || u.in.losses > 0 || b.now < u.until || b.now < u.in.until}
-		v.Latency = seconds(v.Load / float64(v.Pending+1))
-		if u.cold && b.now-u.coldFrom < b.set.SlowStartWindow {
-			v.SlowStartCapacity = b.warmth(u)
-		}
-		views = append(views, v)
+	views := make([]UpstreamView, 0, len(b.shuffled))
+	for _, u := range b.shuffled {
+		views = append(views, b.viewUpstream(u))
 	}
 	return views
 }
+
+func (b *Balancer) viewUpstream(u *upstream) UpstreamView {
+	view := UpstreamView{
+		Name:              u.name,
+		Zone:              u.zone,
+		Pending:           u.pending(),
+		Load:              b.load(u),
+		EjectedFor:        max(0, u.outlier.ejectedUntil-b.now),
+		TrialOnly:         b.trialOnly(u),
+		SlowStartCapacity: 1,
+	}
+	view.Latency = durationFromSeconds(view.Load / float64(view.Pending+1))
+	if u.slowStart.active && b.now-u.slowStart.startedAt < b.settings.SlowStartWindow {
+		view.SlowStartCapacity = b.slowStartCapacity(u)
+	}
+	return view
+}
+
+// trialOnly reports whether u or its zone is ejected, or waits for the trial that ends an ejection.
+func (b *Balancer) trialOnly(u *upstream) bool {
+	return u.outlier.ejections > 0 || u.zoneState.ejections > 0 ||
+		b.now < u.outlier.ejectedUntil || b.now < u.zoneState.ejectedUntil
+}
--- a/balancer/zones_test.go
+++ b/balancer/zones_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// zoned is a world of one sidecar in zone a that sends little, before perZone upstreams in each of three zones.
+// zoned is a world of one sidecar in zone a that sends little, before perZone upstreams in each of three
+// zones.
 func zoned(t *testing.T, perZone int, reply func(u string) (Result, time.Duration)) *world {
 	s := testSettings()
 	s.FleetSize = 80
@@ -29,9 +30,9 @@
 	return n
 }
 
-// A zone falls silent, in each way that it can: its upstreams are not found out one after the other, with two lost
-// requests for each, and what is on its way there goes elsewhere. It is taken back at once as it answers.
-// Guards against eighty sidecars that spend 2,700 attempts on finding seventeen lost upstreams.
+// A zone falls silent, in each way that it can: its upstreams are not found out one after the other, with
+// two lost requests for each, and what is on its way there goes elsewhere. It is taken back at once as it
+// answers. Guards against eighty sidecars that spend 2,700 attempts on finding seventeen lost upstreams.
 func TestLostZoneIsLeftOutAsAWhole(t *testing.T) {
 	for name, silent := range map[string]func() (Result, time.Duration){
 		"no connection": func() (Result, time.Duration) { return ConnectFailed, 40 * ms },
@@ -68,7 +69,8 @@
 	}
 }
 
-// What is no loss of a zone: failures between answers, failures everywhere at once, and one upstream that fails often.
+// What is no loss of a zone: failures between answers, failures everywhere at once, and one upstream that
+// fails often.
 func TestZoneIsNotTakenAsLost(t *testing.T) {
 	n := 0
 	for name, reply := range map[string]func(u string) (Result, time.Duration){
@@ -107,17 +109,17 @@
 	})
 	w.play(10*time.Second, 20)
 	z := w.b.zones["c"]
-	if z.losses == 0 {
+	if z.ejections == 0 {
 		t.Fatalf("log %q", w.logs)
 	}
 	w.list(IncrementalUpdate, Endpoint{Name: "c2", Zone: "c", StartedAt: w.now})
-	if z.losses != 0 || w.now < z.until {
-		t.Errorf("left out %d times, until %v, at %v", z.losses, z.until, w.now)
+	if z.ejections != 0 || w.now < z.ejectedUntil {
+		t.Errorf("left out %d times, until %v, at %v", z.ejections, z.ejectedUntil, w.now)
 	}
 }
 
-// Answers that can't be read come from any upstream alike, spoilt on their way: one in ten ejects nobody. (Forty
-// ejections in half a minute of four sidecars, where the share of errors counted them.)
+// Answers that can't be read come from any upstream alike, spoilt on their way: one in ten ejects nobody.
+// (Forty ejections in half a minute of four sidecars, where the share of errors counted them.)
 func TestSpoiltAnswersEjectNobody(t *testing.T) {
 	n := 0
 	w := zoned(t, 6, func(string) (Result, time.Duration) {
@@ -138,7 +140,7 @@
 	for i := range 1000 {
 		r.list(FullUpdate, Endpoint{Name: "u", Zone: fmt.Sprint("z", i)})
 	}
-	if n := len(r.b.zones); n > zonesKept+2 {
+	if n := len(r.b.zones); n > spareZoneStatesMax+2 {
 		t.Errorf("%d zones kept of one", n)
 	}
 }
