--- /dev/null
+++ b/balancer/hedging_test.go
@@ -0,0 +1,120 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestOneAttemptInFlightWithoutHedging(t *testing.T) {
+	r := newHarness(t, keyedSettings(ScopeZone))
+	r.addUpstreams(4)
+	r.wantSend(r.request("1", "k", time.Second))
+	var cancelled bool
+	for range 80 {
+		acts := r.advance(5 * ms)
+		if len(ofKind(acts, Send)) > 0 {
+			t.Fatal("second attempt beside the first")
+		}
+		cancelled = cancelled || len(ofKind(acts, Cancel)) > 0
+	}
+	if !cancelled {
+		t.Fatal("the silent attempt was never ended")
+	}
+}
+
+// Hedged requests cover a pause that is too short for outlier detection.
+func TestHedgingCoversPause(t *testing.T) {
+	var w *scriptedFleet
+	w = newScriptedFleet(t, testSettings(), func(u string) (Result, time.Duration) {
+		if phase := w.now % (2 * time.Second); u == "u0" && phase < 300*ms {
+			return OK, 300*ms - phase + 20*ms
+		}
+		return OK, 20 * ms
+	})
+	w.addUpstreams(4)
+	w.run(20*time.Second, 100)
+	if float64(w.succeeded) < 0.99*float64(w.requests-5) {
+		t.Errorf("%d of %d served", w.succeeded, w.requests)
+	}
+}
+
+// Hedging stops before requests are rejected.
+func TestNoHedgingNearQueueingLimit(t *testing.T) {
+	for _, c := range []struct {
+		inHand int
+		copied bool
+	}{{15, true}, {24, false}} { // the limit is 26: 0.65 of the aim of 200 ms at 200 answers a second
+		r := newHarness(t, testSettings())
+		r.addUpstreams(4)
+		for range 400 {
+			r.now += 5 * ms
+			r.balancer.servedRate.add(1, r.now)
+		}
+		r.balancer.latency.late.value, r.balancer.hedgingSuccessRatio = 0.08, 1
+		r.wantSend(r.handle(Request{ID: "r", Class: "c", Deadline: r.now + time.Second, CostHint: 20 * ms}))
+		for range c.inHand {
+			r.balancer.setWaiting(&request{timing: requestTiming{startedAt: r.now, objectiveAt: r.now + 200*ms}}, true)
+		}
+		copies := 0
+		for range 24 {
+			r.balancer.servedRate.add(1, r.now)
+			copies += len(ofKind(r.advance(5*ms), Send))
+		}
+		if copies > 0 != c.copied {
+			t.Errorf("%d copies with %d in hand, pressure %.2f", copies, c.inHand, r.balancer.loadPressure())
+		}
+	}
+}
+
+// A late request is hedged only if its upstream looks hung, or if its cost is known and hedging has paid
+// lately.
+func TestHedgingOnlyOfHungUpstreams(t *testing.T) {
+	for _, c := range []struct {
+		second, won bool
+		hint        time.Duration
+		copied      bool
+	}{{}, {second: true, copied: true}, {won: true, hint: 20 * ms, copied: true}, {won: true}, {hint: 20 * ms}} {
+		r := newHarness(t, testSettings()) // aim 200 ms
+		r.addUpstreams(1)
+		for i := range 300 {
+			id := fmt.Sprint(i)
+			r.request(id, "c", time.Second)
+			r.now += 20 * ms
+			r.outcome(id, 0, OK, 20*ms)
+		}
+		if c.won {
+			r.balancer.hedgingSuccessRatio = 0.5
+		}
+		r.now += time.Second
+		r.handle(Request{ID: "late", Class: "c", Deadline: r.now + time.Second, CostHint: c.hint})
+		if c.second {
+			r.request("beside", "c", time.Second)
+		}
+		r.updateEndpoints(IncrementalUpdate, Endpoint{Name: "other", Zone: "a"})
+		if got := len(ofKind(r.advance(60*ms), Send)) > 0; got != c.copied {
+			t.Errorf("%+v: copied %v", c, got)
+		}
+	}
+}
+
+// Whether hedging pays is learnt from the hedged requests: it does where upstreams pause.
+func TestHedgingFollowsItsSuccess(t *testing.T) {
+	for _, pauses := range []bool{false, true} {
+		var w *scriptedFleet
+		w = newScriptedFleet(t, testSettings(), func(u string) (Result, time.Duration) {
+			if phase := (w.now + time.Duration(u[1])*170*ms) % (2 * time.Second); pauses && phase < 300*ms {
+				return OK, 300*ms - phase + 20*ms
+			}
+			if !pauses && w.now%(4*time.Second) < 400*ms {
+				return OK, 150 * ms // everywhere: the copy takes as long
+			}
+			return OK, 20 * ms
+		})
+		w.addUpstreams(6)
+		w.run(30*time.Second, 100)
+		if copies := w.attempts() - w.requests; pauses != (w.balancer.hedgingSuccessRatio > hedgingMinSuccessRatio) || !pauses && copies > w.requests/20 {
+			t.Errorf("pauses %v: %d copies of %d, wins %.2f", pauses, copies, w.requests, w.balancer.hedgingSuccessRatio)
+		}
+	}
+}
--- a/balancer/property_test.go
+++ b/balancer/invariants_test.go
@@ -11,44 +11,44 @@
 // The four rules, checked on the stream of actions under random legal events. This knows nothing of the
 // module.
 
-type sent struct {
-	upstream, zone string
-	cell           int
-	at, limit      time.Duration
-	out, mayRun    bool
+type observedAttempt struct {
+	upstream, zone       string
+	cell                 int
+	sentAt, endsBy       time.Duration
+	inFlight, mayHaveRun bool
 }
 
-type owed struct {
-	moot     int // of attempts: never sent
-	class    Class
-	expires  time.Duration
-	attempts []*sent
-	answers  int
-	ended    bool // an end was reported or given
-	gone     bool
+type observedRequest struct {
+	notSent      int // of attempts: never sent
+	class        Class
+	deadline     time.Duration
+	attempts     []*observedAttempt
+	answers      int
+	answered     bool // an end was reported or given
+	disconnected bool
 }
 
-type referee struct {
-	t      *testing.T
-	s      Settings
-	now    time.Duration
-	reqs   map[string]*owed
-	order  []string
-	active map[string]Endpoint
-	timers []time.Duration
+type ruleChecker struct {
+	t        *testing.T
+	settings Settings
+	now      time.Duration
+	requests map[string]*observedRequest
+	order    []string
+	active   map[string]Endpoint
+	timers   []time.Duration
 }
 
-func (f *referee) action(a Action) {
+func (f *ruleChecker) checkAction(a Action) {
 	f.t.Helper()
-	q := f.reqs[a.ID]
+	q := f.requests[a.ID]
 	if q == nil && a.Kind <= Fail {
 		f.t.Fatalf("action for unknown request: %+v", a)
 	}
 	switch a.Kind {
 	case Send:
-		f.send(a, q)
+		f.checkSend(a, q)
 	case Cancel:
-		if !f.s.CancellationAllowed {
+		if !f.settings.CancellationAllowed {
 			f.t.Fatal("cancel is not allowed")
 		}
 		if a.Attempt < 0 || a.Attempt >= len(q.attempts) {
@@ -56,52 +56,52 @@
 		}
 	case Reject, Fail:
 		if a.Kind == Reject && !(q.class.Idempotency == Idempotent || q.class.Idempotency == IdempotentWithKey && q.class.DedupScope == ScopeAll) &&
-			slices.ContainsFunc(q.attempts, func(x *sent) bool { return x.mayRun }) {
+			slices.ContainsFunc(q.attempts, func(x *observedAttempt) bool { return x.mayHaveRun }) {
 			f.t.Fatalf("refused %s, which may have run", a.ID)
 		}
-		if q.ended {
+		if q.answered {
 			f.t.Fatalf("second answer to %s", a.ID)
 		}
-		q.answers, q.ended = q.answers+1, true
+		q.answers, q.answered = q.answers+1, true
 	case SetTimer:
 		f.timers = append(f.timers, a.FireAt)
 	}
 }
 
-func (f *referee) send(a Action, q *owed) {
+func (f *ruleChecker) checkSend(a Action, q *observedRequest) {
 	f.t.Helper()
 	m, listed := f.active[a.Upstream]
 	switch {
-	case q.ended:
+	case q.answered:
 		f.t.Fatalf("%s: attempt after its end", a.ID)
-	case f.now >= q.expires:
+	case f.now >= q.deadline:
 		f.t.Fatalf("%s: attempt after its time", a.ID)
 	case !listed:
 		f.t.Fatalf("%s: attempt to %s, which drains or is gone", a.ID, a.Upstream)
-	case len(q.attempts)-min(q.moot, f.s.MaxAttempts) >= f.s.MaxAttempts:
-		f.t.Fatalf("%s: attempt %d of %d, %d of them moot", a.ID, len(q.attempts)+1, f.s.MaxAttempts, q.moot)
+	case len(q.attempts)-min(q.notSent, f.settings.MaxAttempts) >= f.settings.MaxAttempts:
+		f.t.Fatalf("%s: attempt %d of %d, %d of them moot", a.ID, len(q.attempts)+1, f.settings.MaxAttempts, q.notSent)
 	}
 	for _, x := range q.attempts {
-		if x.out && !f.s.HedgingAllowed {
+		if x.inFlight && !f.settings.HedgingAllowed {
 			f.t.Fatalf("%s: two attempts out", a.ID)
 		}
-		if !x.mayRun {
+		if !x.mayHaveRun {
 			continue
 		}
 		c := q.class
 		if c.Idempotency == NonIdempotent {
 			f.t.Fatalf("%s: unsafe, and sent again", a.ID)
 		}
-		if c.Idempotency == IdempotentWithKey && (f.now-x.at > c.DedupWindow || c.DedupScope == ScopeZone && x.zone != m.Zone ||
+		if c.Idempotency == IdempotentWithKey && (f.now-x.sentAt > c.DedupWindow || c.DedupScope == ScopeZone && x.zone != m.Zone ||
 			c.DedupScope == ScopeCell && x.cell != m.Cell) {
 			f.t.Fatalf("%s: keyed, and sent outside its group or window", a.ID)
 		}
 	}
-	limit := q.expires
+	limit := q.deadline
 	if a.Timeout != 0 {
 		limit = min(limit, f.now+a.Timeout)
 	}
-	q.attempts = append(q.attempts, &sent{a.Upstream, m.Zone, m.Cell, f.now, limit, true, true})
+	q.attempts = append(q.attempts, &observedAttempt{a.Upstream, m.Zone, m.Cell, f.now, limit, true, true})
 }
 
 func randomSettings(g *rand.Rand) Settings {
@@ -124,7 +124,7 @@
 	return s
 }
 
-func TestRulesUnderRandomEvents(t *testing.T) {
+func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(150) {
 		g := rand.New(rand.NewPCG(seed, 7))
 		s := randomSettings(g)
@@ -132,42 +132,42 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &referee{t: t, s: s, now: time.Hour, reqs: map[string]*owed{}, active: map[string]Endpoint{}}
+		f := &ruleChecker{t: t, settings: s, now: time.Hour, requests: map[string]*observedRequest{}, active: map[string]Endpoint{}}
 		deal := func(e Event) {
 			for _, a := range b.Handle(f.now, e, nil) {
-				f.action(a)
+				f.checkAction(a)
 			}
 		}
-		run(f, g, deal, 1200)
+		playRandomEvents(f, g, deal, 1200)
 		if n := len(b.requests); n != 0 {
 			t.Fatalf("seed %d: %d requests kept after all have ended", seed, n)
 		}
 	}
 }
 
-// run plays ticks with random events, then lets all that is open end.
-func run(f *referee, g *rand.Rand, deal func(Event), ticks int) {
+// playRandomEvents plays ticks with random events, then lets all that is open end.
+func playRandomEvents(f *ruleChecker, g *rand.Rand, deal func(Event), ticks int) {
 	deal(EndpointUpdate{Kind: CachedUpdate})
 	for i := range ticks + 1000 {
-		f.now += f.s.Tick + time.Duration(g.IntN(2000))*time.Microsecond
+		f.now += f.settings.Tick + time.Duration(g.IntN(2000))*time.Microsecond
 		if i < ticks {
-			f.randomList(g, deal)
+			f.deliverRandomUpdate(g, deal)
 			for range g.IntN(4) {
-				f.randomRequest(g, deal, i)
+				f.deliverRandomRequest(g, deal, i)
 			}
-			f.noise(g, deal)
+			f.deliverNoise(g, deal)
 		}
-		f.timersDue(deal)
-		f.outcomes(g, deal)
+		f.fireDueTimers(deal)
+		f.deliverOutcomes(g, deal)
 	}
-	for id, q := range f.reqs {
-		if !q.ended {
+	for id, q := range f.requests {
+		if !q.answered {
 			f.t.Fatalf("%s never answered", id)
 		}
 	}
 }
 
-func (f *referee) randomList(g *rand.Rand, deal func(Event)) {
+func (f *ruleChecker) deliverRandomUpdate(g *rand.Rand, deal func(Event)) {
 	if g.IntN(20) > 0 {
 		return
 	}
@@ -199,28 +199,28 @@
 	deal(EndpointUpdate{Kind: kind, Endpoints: entries})
 }
 
-func (f *referee) randomRequest(g *rand.Rand, deal func(Event), i int) {
-	c := f.s.Classes[g.IntN(len(f.s.Classes))]
+func (f *ruleChecker) deliverRandomRequest(g *rand.Rand, deal func(Event), i int) {
+	c := f.settings.Classes[g.IntN(len(f.settings.Classes))]
 	id := fmt.Sprint(i, "-", g.Uint32())
-	q := &owed{class: c, expires: f.now + time.Duration(1+g.IntN(int(c.Deadline/ms)))*ms}
-	f.reqs[id], f.order = q, append(f.order, id)
-	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], Deadline: q.expires,
+	q := &observedRequest{class: c, deadline: f.now + time.Duration(1+g.IntN(int(c.Deadline/ms)))*ms}
+	f.requests[id], f.order = q, append(f.order, id)
+	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], Deadline: q.deadline,
 		CostHint: time.Duration(g.IntN(3)*g.IntN(100)) * ms})
-	if g.IntN(50) == 0 && !q.ended {
-		q.ended, q.gone = true, true
+	if g.IntN(50) == 0 && !q.answered {
+		q.answered, q.disconnected = true, true
 		deal(ClientDisconnected{ID: id})
 	}
 }
 
-// noise is what must change nothing: strangers, repeats, stale timers, messages.
-func (f *referee) noise(g *rand.Rand, deal func(Event)) {
+// deliverNoise is what must change nothing: strangers, repeats, stale timers, messages.
+func (f *ruleChecker) deliverNoise(g *rand.Rand, deal func(Event)) {
 	switch g.IntN(12) {
 	case 0:
 		deal(Outcome{ID: "nobody", Result: OK, Final: true})
 	case 1:
 		if n := len(f.order); n > 0 {
 			id := f.order[g.IntN(n)]
-			deal(Outcome{ID: id, Attempt: len(f.reqs[id].attempts) + g.IntN(3) - 1 + 1, Result: OK, Final: true})
+			deal(Outcome{ID: id, Attempt: len(f.requests[id].attempts) + g.IntN(3) - 1 + 1, Result: OK, Final: true})
 		}
 	case 2:
 		deal(TimerFired{})
@@ -232,7 +232,7 @@
 	}
 }
 
-func (f *referee) timersDue(deal func(Event)) {
+func (f *ruleChecker) fireDueTimers(deal func(Event)) {
 	due := 0
 	f.timers = slices.DeleteFunc(f.timers, func(at time.Duration) bool {
 		if at <= f.now {
@@ -245,38 +245,38 @@
 	}
 }
 
-func (f *referee) outcomes(g *rand.Rand, deal func(Event)) {
+func (f *ruleChecker) deliverOutcomes(g *rand.Rand, deal func(Event)) {
 	for _, id := range f.order {
-		q := f.reqs[id]
+		q := f.requests[id]
 		for n := 0; n < len(q.attempts); n++ {
 			x := q.attempts[n]
-			if !x.out || f.now < x.limit && g.IntN(12) > 0 {
+			if !x.inFlight || f.now < x.endsBy && g.IntN(12) > 0 {
 				continue
 			}
 			res := Result(g.IntN(int(NotSent) + 1))
-			if f.now >= x.limit {
+			if f.now >= x.endsBy {
 				res = Timeout
 			}
-			x.out = false
-			x.mayRun = res != Rejected && res != ConnectFailed && res != NotSent
+			x.inFlight = false
+			x.mayHaveRun = res != Rejected && res != ConnectFailed && res != NotSent
 			if res == NotSent {
-				q.moot++
+				q.notSent++
 			}
 			if res == OK {
-				q.ended = true
+				q.answered = true
 			}
-			e := Outcome{ID: id, Attempt: n, Result: res, Elapsed: f.now - x.at, Final: q.ended}
+			e := Outcome{ID: id, Attempt: n, Result: res, Elapsed: f.now - x.sentAt, Final: q.answered}
 			deal(e)
 			if g.IntN(10) == 0 {
 				deal(e) // the same again
 			}
 		}
-		if !q.ended && f.now > q.expires+20*ms {
-			f.t.Fatalf("%s: no answer %v after its time", id, f.now-q.expires)
+		if !q.answered && f.now > q.deadline+20*ms {
+			f.t.Fatalf("%s: no answer %v after its time", id, f.now-q.deadline)
 		}
 	}
 	f.order = slices.DeleteFunc(f.order, func(id string) bool {
-		q := f.reqs[id]
-		return q.ended && !slices.ContainsFunc(q.attempts, func(x *sent) bool { return x.out })
+		q := f.requests[id]
+		return q.answered && !slices.ContainsFunc(q.attempts, func(x *observedAttempt) bool { return x.inFlight })
 	})
 }
--- /dev/null
+++ b/balancer/latency_test.go
@@ -0,0 +1,143 @@
+package balancer
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
+
+// With a decay of 1 s the weight is 1/2 after 693.147... ms.
+func TestPeakEWMA(t *testing.T) {
+	const decay = time.Second
+	half := time.Duration(math.Round(math.Ln2 * 1e9))
+	for _, c := range []struct {
+		name    string
+		e       peakEWMA
+		sample  float64
+		now     time.Duration
+		want    float64
+		wantNow time.Duration
+	}{
+		{"above the estimate: replaces it", peakEWMA{0.1, 0}, 0.3, half, 0.3, half},
+		{"above its projection only: replaces it", peakEWMA{0.1, 0}, 0.06, half, 0.06, half},
+		{"below the projection: blended in", peakEWMA{0.1, 0}, 0.02, half, 0.1*0.5 + 0.02*0.5, half},
+		{"at the projection: stays there", peakEWMA{0.1, 0}, 0.05, half, 0.05, half},
+		{"same moment, lower: no weight", peakEWMA{0.1, half}, 0.02, half, 0.1, half},
+		{"same moment, higher: a peak all the same", peakEWMA{0.1, half}, 0.2, half, 0.2, half},
+		{"earlier than the last: dropped", peakEWMA{0.1, half}, 0.9, half - 1, 0.1, half},
+	} {
+		c.e.add(c.sample, c.now, decay)
+		if math.Abs(c.e.value-c.want) > 1e-6 || c.e.updatedAt != c.wantNow {
+			t.Errorf("%s: got %v at %v, want %v at %v", c.name, c.e.value, c.e.updatedAt, c.want, c.wantNow)
+		}
+	}
+}
+
+// A good answer counts its latency, an error answer at least the penalty, any other result its elapsed time.
+func TestLatencySampleByResult(t *testing.T) {
+	for _, c := range []struct {
+		res     Result
+		elapsed time.Duration
+		want    float64
+	}{
+		{OK, 80 * ms, 0.080},
+		{ServerError, 10 * ms, 0.200}, // penalty: one mean aim
+		{Rejected, 1 * ms, 0.200},
+		{ServerError, 300 * ms, 0.300}, // longer than the penalty
+		{Timeout, 150 * ms, 0.150},
+		{Reset, 90 * ms, 0.090},
+		{ConnectFailed, 70 * ms, 0.070},
+	} {
+		r := newHarness(t, testSettings())
+		r.addUpstreams(1)
+		r.wantSend(r.request("1", "c", time.Second))
+		r.now += 60 * time.Second // the seed's projection is nothing by now
+		u := r.balancer.shuffled[0]
+		a := u.inFlight[0]
+		r.balancer.now = r.now
+		r.balancer.observeLatency(a, c.res, c.elapsed)
+		if !almostEqual(u.latency.value, c.want) {
+			t.Errorf("result %d after %v: estimate %v, want %v", c.res, c.elapsed, u.latency.value, c.want)
+		}
+	}
+}
+
+// The first estimate is the mean latency known when the upstream appears.
+func TestNewUpstreamHasMeanLatency(t *testing.T) {
+	r := newHarness(t, testSettings())
+	r.balancer.latency.normalizedMean = 0.033
+	r.addUpstreams(1)
+	if got := r.balancer.shuffled[0].latency; got.value != 0.033 || got.updatedAt != r.now {
+		t.Errorf("seed %+v", got)
+	}
+}
+
+// An idle upstream's estimate fades to the mean of all, not to zero.
+func TestIdleEstimateFadesToMean(t *testing.T) {
+	r := newHarness(t, testSettings())
+	r.addUpstreams(2)
+	r.balancer.shuffled[0].latency = peakEWMA{0.5, r.now}
+	r.balancer.now = r.now + time.Hour
+	if got := r.balancer.load(r.balancer.shuffled[0]); !almostEqual(got, r.balancer.latency.normalizedMean) {
+		t.Errorf("idle for long: %v, want the mean %v", got, r.balancer.latency.normalizedMean)
+	}
+}
+
+// An upstream without requests counts as its machine type does: the types differ in speed.
+func TestNewUpstreamHasLatencyOfMachineType(t *testing.T) {
+	r := newHarness(t, testSettings())
+	r.updateEndpoints(FullUpdate, Endpoint{Name: "f0", MachineType: "fast"}, Endpoint{Name: "s0", MachineType: "slow"})
+	for i := range 200 {
+		id := fmt.Sprint(i)
+		elapsed := map[string]time.Duration{"f0": 20 * ms, "s0": 80 * ms}[r.wantSend(r.request(id, "c", time.Second))]
+		r.now += elapsed
+		r.outcome(id, 0, OK, elapsed)
+		r.now += 10 * time.Second
+	}
+	r.updateEndpoints(IncrementalUpdate, Endpoint{Name: "f1", MachineType: "fast"}, Endpoint{Name: "s1", MachineType: "slow"})
+	if f, s := r.balancer.load(r.balancer.upstreams["f1"]), r.balancer.load(r.balancer.upstreams["s1"]); s < 2*f {
+		t.Errorf("new and unheard: fast %.3f, slow %.3f", f, s)
+	}
+}
+
+// An estimate outlasts the time until its upstream is chosen again: at a low rate it fades more slowly.
+func TestLatencyDecayFollowsOfferedRate(t *testing.T) {
+	for _, c := range []struct {
+		rate int
+		want time.Duration
+	}{{2, durationFromSeconds(latencyDecayIntervals * subsetSampleInterval.Seconds())}, {200, 4 * 200 * ms}} {
+		r := newHarness(t, testSettings())
+		r.addUpstreams(12)
+		for i := range 10 * c.rate {
+			id := time.Duration(i).String()
+			r.wantSend(r.request(id, "c", time.Second))
+			r.outcome(id, 0, OK, 5*ms)
+			r.advance(time.Second / time.Duration(c.rate))
+		}
+		if r.balancer.latency.decay != c.want {
+			t.Errorf("%d a second: estimates last %v, want %v", c.rate, r.balancer.latency.decay, c.want)
+		}
+	}
+}
+
+// Samples are normalized by cost hints: a costly request does not make its upstream look slow.
+func TestCostlyRequestDoesNotRaiseLatency(t *testing.T) {
+	r := newHarness(t, testSettings())
+	r.addUpstreams(1)
+	for i := range 200 { // a mean of 20 ms of work, all answered in 20 ms
+		id := fmt.Sprint(i)
+		r.handle(Request{ID: id, Class: "c", Deadline: r.now + time.Second, CostHint: 20 * ms})
+		r.outcome(id, 0, OK, 20*ms)
+		r.now += 10 * ms
+	}
+	before := r.balancer.shuffled[0].latency.value
+	r.handle(Request{ID: "big", Class: "c", Deadline: r.now + time.Second, CostHint: 120 * ms})
+	r.now += 10 * ms
+	r.outcome("big", 0, OK, 120*ms)
+	if after := r.balancer.shuffled[0].latency.value; after > 1.5*before {
+		t.Errorf("estimate %v, %v after six times the work in six times the time", before, after)
+	}
+}
--- a/balancer/probe_test.go
+++ b/balancer/load_report_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Guards against answers to probes that are taken when they are old, by one upstream alone, of one that
-// drains or was not there, or that take all requests to one upstream until the next probe.
-func TestProbedUpstreams(t *testing.T) {
+// Load reports decide a first attempt only while they are fresh and of two available upstreams, and what is
+// sent meanwhile counts.
+func TestPickByLoadReport(t *testing.T) {
 	said := func(name string, inHand int, latency time.Duration) ProbeResult {
 		return ProbeResult{Upstream: name, InFlight: inHand, Latency: latency}
 	}
@@ -16,7 +16,7 @@
 		name  string
 		said  []ProbeResult
 		after time.Duration
-		then  func(*rig)
+		then  func(*harness)
 		want  string // "": as without
 	}{
 		{"the emptier", []ProbeResult{said("u7", 3, 0), said("u8", 0, 0)}, 0, nil, "u8"},
@@ -28,15 +28,19 @@
 		{"one", []ProbeResult{said("u8", 0, 0)}, 0, nil, ""},
 		{"nonsense", []ProbeResult{said("u7", -1, 0), said("u8", 0, -1), said("nobody", 0, 0)}, 0, nil, ""},
 		{"drains", []ProbeResult{said("u7", 3, 0), said("u6", 2, 0), said("u8", 0, 0)}, 0,
-			func(r *rig) { r.list(IncrementalUpdate, Endpoint{Name: "u8", Zone: "a", State: Draining}) }, "u6"},
+			func(r *harness) {
+				r.updateEndpoints(IncrementalUpdate, Endpoint{Name: "u8", Zone: "a", State: Draining})
+			}, "u6"},
 		{"gone", []ProbeResult{said("u7", 3, 0), said("u6", 2, 0), said("u8", 0, 0)}, 0,
-			func(r *rig) { r.list(IncrementalUpdate, Endpoint{Name: "u8", Zone: "a", State: Removed}) }, "u6"},
+			func(r *harness) {
+				r.updateEndpoints(IncrementalUpdate, Endpoint{Name: "u8", Zone: "a", State: Removed})
+			}, "u6"},
 	} {
-		r, plain := newRig(t, testSettings()), newRig(t, testSettings())
-		r.fleet(40)
-		plain.fleet(40)
+		r, plain := newHarness(t, testSettings()), newHarness(t, testSettings())
+		r.addUpstreams(40)
+		plain.addUpstreams(40)
 		for _, e := range c.said {
-			r.do(e)
+			r.handle(e)
 		}
 		if c.then != nil {
 			c.then(r)
@@ -51,10 +55,10 @@
 			t.Errorf("%s: sent to %s, want %s", c.name, got, want)
 		}
 	}
-	r := newRig(t, testSettings())
-	r.fleet(40)
+	r := newHarness(t, testSettings())
+	r.addUpstreams(40)
 	for _, n := range []string{"u1", "u2", "u3"} {
-		r.do(said(n, 0, 0))
+		r.handle(said(n, 0, 0))
 	}
 	got := map[string]int{}
 	for i := range 30 {
@@ -64,9 +68,9 @@
 		t.Errorf("sent as %v", got)
 	}
 	for i := range 40 { // what is remembered is bounded
-		r.do(said(fmt.Sprint("u", i), 0, 0))
+		r.handle(said(fmt.Sprint("u", i), 0, 0))
 	}
-	if len(r.b.reportingUpstreams) != loadReportsMax {
-		t.Errorf("%d are remembered", len(r.b.reportingUpstreams))
+	if len(r.balancer.reportingUpstreams) != loadReportsMax {
+		t.Errorf("%d are remembered", len(r.balancer.reportingUpstreams))
 	}
 }
--- /dev/null
+++ b/balancer/outlier_detection_test.go
@@ -0,0 +1,166 @@
+package balancer
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// Bounds on what faulty upstreams cost a sidecar of little traffic: attempts at them, and requests not
+// served.
+func TestLowTrafficSidecarWithFaultyUpstreams(t *testing.T) {
+	g := rand.New(rand.NewPCG(5, 7))
+	answer := func() time.Duration { return time.Duration(5+g.IntN(40)) * ms }
+	bad := func(u string, n int) bool { // n of the 60 in zoned's order
+		var i int
+		if _, err := fmt.Sscanf(u[1:], "%d", &i); err != nil {
+			t.Fatal(err)
+		}
+		return i < n
+	}
+	for _, c := range []struct {
+		name     string
+		bad      int
+		reply    func(u string) (Result, time.Duration)
+		attempts float64 // most at the bad ones, of the requests
+		served   float64 // least
+	}{
+		{"twenty fail four of five", 20, func(u string) (Result, time.Duration) {
+			if bad(u, 20) && g.Float64() < 0.8 {
+				return ServerError, 5 * ms
+			}
+			return OK, answer()
+		}, 0.15, 0.97},
+		{"an old list, six in ten are gone", 36, func(u string) (Result, time.Duration) {
+			if bad(u, 36) {
+				return ConnectFailed, ms
+			}
+			return OK, answer()
+		}, 0.35, 0.97},
+		{"one whose table of connections is full", 1, func(u string) (Result, time.Duration) {
+			if bad(u, 1) {
+				return ConnectFailed, ms
+			}
+			return OK, answer()
+		}, 0.02, 0.99},
+		{"three hang", 3, func(u string) (Result, time.Duration) {
+			if bad(u, 3) {
+				return OK, -1
+			}
+			return OK, answer()
+		}, 0.05, 0.95},
+	} {
+		w := newZonedFleet(t, 20, func(u string) (Result, time.Duration) { return c.reply(u) })
+		w.run(60*time.Second, 20)
+		at := 0
+		for u, n := range w.attemptsAt {
+			if bad(u, c.bad) {
+				at += n
+			}
+		}
+		t.Logf("%s: %d attempts at bad ones, %d of %d requests served", c.name, at, w.succeeded, w.requests)
+		if float64(at) > c.attempts*float64(w.requests) || float64(w.succeeded) < c.served*float64(w.requests) {
+			t.Errorf("%s: %d attempts at bad ones, %d of %d requests served", c.name, at, w.succeeded, w.requests)
+		}
+	}
+}
+
+// A crashed upstream refuses at once and so looks fast. It is ejected, and returns after single trials.
+func TestCrashedUpstreamIsEjected(t *testing.T) {
+	down := true
+	w := newScriptedFleet(t, testSettings(), func(u string) (Result, time.Duration) {
+		if u == "u0" && down {
+			return ConnectFailed, 0
+		}
+		return OK, 20 * ms
+	})
+	w.addUpstreams(5)
+	w.run(10*time.Second, 100)
+	if w.attemptsAt["u0"] > 10 {
+		t.Errorf("%d attempts on the crashed upstream", w.attemptsAt["u0"])
+	}
+	if w.finalAnswers[Reject]+w.finalAnswers[Fail] > 0 {
+		t.Errorf("requests lost with four upstreams fine: %v", w.finalAnswers)
+	}
+	down = false
+	w.run(10*time.Second, 100)
+	if w.attemptsAt["u0"] < 50 || !w.logged("eject u0") || !w.logged("return u0") {
+		t.Errorf("not back: %d attempts, log %q", w.attemptsAt["u0"], w.logs)
+	}
+}
+
+func TestOccasionalFailuresDoNotEject(t *testing.T) {
+	for _, res := range []Result{Reset, Malformed} {
+		n := 0
+		w := newScriptedFleet(t, testSettings(), func(string) (Result, time.Duration) {
+			if n++; n%20 == 0 {
+				return res, 5 * ms
+			}
+			return OK, 20 * ms
+		})
+		w.addUpstreams(5)
+		w.run(10*time.Second, 100)
+		if w.logged("eject") {
+			t.Errorf("result %d: log %q", res, w.logs)
+		}
+	}
+}
+
+// An upstream that answers nothing is recognized by the age of its attempts, and ejected for its silence.
+func TestHungUpstreamIsEjected(t *testing.T) {
+	for _, copies := range []bool{true, false} {
+		s := testSettings()
+		s.HedgingAllowed = copies
+		w := newScriptedFleet(t, s, func(u string) (Result, time.Duration) {
+			if u == "u0" {
+				return OK, -1
+			}
+			return OK, 20 * ms
+		})
+		w.addUpstreams(5)
+		w.run(10*time.Second, 100)
+		if w.attemptsAt["u0"] > 60 || w.succeeded < 950 {
+			t.Errorf("copies %v: %d attempts on the hung upstream, %d of %d served", copies, w.attemptsAt["u0"], w.succeeded, w.requests)
+		}
+	}
+}
+
+// An upstream that answers errors at once is ejected, although its load is below that of others with long
+// queues.
+func TestFastErrorsEject(t *testing.T) {
+	broken := true
+	s := testSettings()
+	s.Classes[0].LatencyObjective = 400 * ms
+	w := newScriptedFleet(t, s, func(u string) (Result, time.Duration) {
+		if u == "u0" && broken {
+			return ServerError, time.Millisecond
+		}
+		return OK, 150 * ms // ten or more out at each: a load far above the penalty
+	})
+	w.addUpstreams(4)
+	w.run(10*time.Second, 250)
+	if w.attemptsAt["u0"] > 40 {
+		t.Errorf("%d attempts on an upstream that only answers errors", w.attemptsAt["u0"])
+	}
+	broken = false
+	w.run(15*time.Second, 250) // out for up to 10 s, and two good answers
+	if w.attemptsAt["u0"] < 200 || !w.logged("return u0") {
+		t.Errorf("not back: %d attempts, log %q", w.attemptsAt["u0"], w.logs)
+	}
+}
+
+// Malformed answers may come so from any upstream: one in ten ejects none.
+func TestMalformedAnswersDoNotEject(t *testing.T) {
+	n := 0
+	w := newZonedFleet(t, 6, func(string) (Result, time.Duration) {
+		if n++; n%10 < 2 && n%20 < 10 {
+			return Malformed, 5 * ms
+		}
+		return OK, 20 * ms
+	})
+	w.run(60*time.Second, 40)
+	if w.logged("eject") {
+		t.Errorf("log %q", w.logs)
+	}
+}
--- /dev/null
+++ b/balancer/scripted_fleet_test.go
@@ -0,0 +1,123 @@
+package balancer
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// scriptedFleet answers attempts as a script says, tick by tick: a table of what each upstream does, no model of a
+// server.
+type scriptedFleet struct {
+	*harness
+	reply        func(u string) (Result, time.Duration) // and after how long; a negative time: no answer ever
+	inFlight     []scriptedAttempt
+	attemptsAt   map[string]int
+	finalAnswers map[ActionKind]int
+	succeeded    int
+	requests     int
+}
+
+type scriptedAttempt struct {
+	action Action
+	number int
+	sentAt time.Duration
+	endsAt time.Duration
+	result Result
+}
+
+func newScriptedFleet(t *testing.T, s Settings, reply func(string) (Result, time.Duration)) *scriptedFleet {
+	return &scriptedFleet{harness: newHarness(t, s), reply: reply, attemptsAt: map[string]int{}, finalAnswers: map[ActionKind]int{}}
+}
+
+func (w *scriptedFleet) execute(acts []Action, tries map[string]int) {
+	for _, a := range acts {
+		switch a.Kind {
+		case Send:
+			res, d := w.reply(a.Upstream)
+			f := scriptedAttempt{action: a, number: tries[a.ID], sentAt: w.now, endsAt: w.now + d, result: res}
+			if d < 0 || d > a.Timeout {
+				f.endsAt, f.result = w.now+a.Timeout, Timeout
+			}
+			tries[a.ID]++
+			w.attemptsAt[a.Upstream]++
+			w.inFlight = append(w.inFlight, f)
+		case Cancel:
+			for i := range w.inFlight {
+				if w.inFlight[i].action.ID == a.ID && w.inFlight[i].number == a.Attempt {
+					w.inFlight[i].endsAt, w.inFlight[i].result = w.now, Cancelled
+				}
+			}
+		case Reject, Fail:
+			w.finalAnswers[a.Kind]++
+		}
+	}
+}
+
+// run runs for d with capacity requests a second, spread evenly.
+func (w *scriptedFleet) run(d time.Duration, perSec int) {
+	tries := map[string]int{}
+	tick := w.balancer.settings.Tick
+	due := 0.0
+	for end := w.now + d; w.now < end; {
+		w.now += tick
+		w.execute(w.handle(TimerFired{}), tries)
+		for due += float64(perSec) * tick.Seconds(); due >= 1; due-- {
+			w.requests++
+			w.execute(w.handle(Request{ID: fmt.Sprint("r", w.requests), Class: w.balancer.settings.Classes[0].Name,
+				Deadline: w.now + w.balancer.settings.Classes[0].Deadline}), tries)
+		}
+		for i := 0; i < len(w.inFlight); i++ {
+			f := w.inFlight[i]
+			if f.endsAt > w.now {
+				continue
+			}
+			w.inFlight = slices.Delete(w.inFlight, i, i+1)
+			i--
+			if f.result == OK {
+				w.succeeded++
+			}
+			w.execute(w.handle(Outcome{ID: f.action.ID, Attempt: f.number, Result: f.result, Elapsed: w.now - f.sentAt,
+				Final: f.result == OK}), tries)
+		}
+	}
+}
+
+func (w *scriptedFleet) logged(text string) bool {
+	return slices.ContainsFunc(w.logs, func(l string) bool { return strings.Contains(l, text) })
+}
+
+func answerInTime(string) (Result, time.Duration) { return OK, 20 * ms }
+
+func (w *scriptedFleet) attempts() (n int) {
+	for _, k := range w.attemptsAt {
+		n += k
+	}
+	return n
+}
+
+// newZonedFleet is a world of one sidecar in zone a that sends little, before perZone upstreams in each of three
+// zones.
+func newZonedFleet(t *testing.T, perZone int, reply func(u string) (Result, time.Duration)) *scriptedFleet {
+	s := testSettings()
+	s.FleetSize = 80
+	w := newScriptedFleet(t, s, reply)
+	var list []Endpoint
+	for i := range 3 * perZone {
+		zone := "abc"[i%3 : i%3+1]
+		list = append(list, Endpoint{Name: fmt.Sprint(zone, i), Zone: zone})
+	}
+	w.updateEndpoints(FullUpdate, list...)
+	return w
+}
+
+func (w *scriptedFleet) attemptsInZone(zone string) (n int) {
+	for u, k := range w.attemptsAt {
+		if u[:1] == zone {
+			n += k
+		}
+	}
+	return n
+}
--- /dev/null
+++ b/balancer/slow_start_test.go
@@ -0,0 +1,223 @@
+package balancer
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// An upstream in slow start gets at most its share of the mean load, of first attempts, retries and panic
+// picks.
+func TestSlowStartBudget(t *testing.T) {
+	r := newHarness(t, testSettings())
+	r.addUpstreams(10)
+	n := map[string]int{}
+	id := 0
+	second := func() {
+		for range 200 { // 200 requests a second, answered at once
+			id++
+			name := string(rune('a'+id%26)) + time.Duration(id).String()
+			for _, a := range ofKind(r.request(name, "c", time.Second), Send) {
+				n[a.Upstream]++
+				r.outcome(name, 0, OK, 5*ms)
+			}
+			r.advance(5 * ms)
+		}
+	}
+	for range 10 {
+		second()
+	}
+	for i := range 9 { // nearly the whole fleet starts anew
+		r.updateEndpoints(IncrementalUpdate, Endpoint{Name: "u" + string(rune('0'+i)), Zone: "a", StartedAt: r.now})
+	}
+	clear(n)
+	second()
+	for i := range 9 {
+		u := "u" + string(rune('0'+i))
+		// 20 a second is the mean, and three times the 0.2 to 0.28 of it that is there in this second pushes it
+		// over.
+		if n[u] > 13 {
+			t.Errorf("%d requests to cold %s in its first second", n[u], u)
+		}
+	}
+	for range 4 {
+		second()
+	}
+	if len(n) < 10 {
+		t.Errorf("in five seconds only %d upstreams got a request", len(n))
+	}
+}
+
+// The budget of a starting upstream is used while the others are full: its first estimate is no worse than
+// theirs.
+func TestSlowStartBudgetIsUsed(t *testing.T) {
+	s := testSettings()
+	s.FleetSize, s.Classes[0].LatencyObjective = 80, time.Second // aims long enough that nothing is shed
+	w := newScriptedFleet(t, s, func(u string) (Result, time.Duration) {
+		if u < "u4" {
+			return OK, 200 * ms
+		}
+		return OK, 20 * ms
+	})
+	w.addUpstreams(4)
+	w.run(20*time.Second, 20)
+	for i := range 4 {
+		w.updateEndpoints(IncrementalUpdate, Endpoint{Name: fmt.Sprint("u", 4+i), Zone: "a", StartedAt: w.now})
+	}
+	clear(w.attemptsAt)
+	w.run(4*time.Second, 20)
+	cold := w.attemptsAt["u4"] + w.attemptsAt["u5"] + w.attemptsAt["u6"] + w.attemptsAt["u7"]
+	// 2.5 a second is the mean, of which 0.8 x 3 x 0.2 to 0.52 may go: 34 in all.
+	if cold < 20 || cold > 40 {
+		t.Errorf("%d sent to four cold upstreams in 4 s beside full ones", cold)
+	}
+}
+
+// With all upstreams in slow start, requests wait or are rejected: a panic pick keeps to the budget.
+func TestAllUpstreamsInSlowStart(t *testing.T) {
+	r := newHarness(t, testSettings())
+	var list []Endpoint
+	for i := range 4 {
+		list = append(list, Endpoint{Name: "u" + string(rune('0'+i)), Zone: "a", StartedAt: r.now})
+	}
+	r.updateEndpoints(FullUpdate, list...)
+	sent, ended := 0, 0
+	for i := range 400 {
+		acts := r.request("r"+time.Duration(i).String(), "c", 150*ms)
+		acts = append(acts, r.advance(5*ms)...)
+		for _, a := range ofKind(acts, Send) {
+			sent++
+			r.outcome(a.ID, 0, OK, 5*ms)
+		}
+		ended += len(finalAnswers(acts))
+	}
+	// 200 a second over 4 cold upstreams, each with 0.2 to 0.36 of its share: 0.8 of three times that is 112 a
+	// second.
+	if sent > 224 || sent < 80 || ended == 0 {
+		t.Errorf("%d sent, %d ended unsent", sent, ended)
+	}
+}
+
+// Only the endpoint list tells of a restart: a return from ejection is no slow start.
+func TestReturnFromEjectionIsNoSlowStart(t *testing.T) {
+	r := newHarness(t, testSettings())
+	r.addUpstreams(2)
+	u := r.balancer.upstreams["u0"]
+	u.outlier.ejections, u.outlier.ejectedUntil = 3, r.now+10*ms
+	r.now += 20 * ms
+	n := map[string]int{}
+	for i := range 5 {
+		n[r.wantSend(r.request(string(rune('a'+i)), "c", time.Second))]++
+	}
+	if n["u0"] != 1 {
+		t.Errorf("%d trials at once, want 1", n["u0"])
+	}
+	for i := range 5 {
+		r.outcome(string(rune('a'+i)), 0, OK, 20*ms)
+	}
+	if u.slowStart.active || u.outlier.ejections != 0 {
+		t.Errorf("after its return: %+v", u)
+	}
+}
+
+// Many sidecars of little traffic, and most upstreams have just started: together they stay below what
+// overloads a starting upstream, and still use it.
+func TestManyLowTrafficSidecarsInSlowStart(t *testing.T) {
+	const sidecars, fleet, cold = 400, 40, 36
+	for seed := range uint64(5) {
+		s := testSettings() // cold from 0.2, warm in 10 s; three times the capacity for 2 s pushes over
+		s.FleetSize = sidecars
+		g := rand.New(rand.NewPCG(seed, 3))
+		var all []*Balancer
+		now := time.Minute
+		deal := func(b *Balancer, e Event) []Action { return ofKind(b.Handle(now, e, nil), Send) }
+		var entries []Endpoint
+		for i := range fleet {
+			entries = append(entries, Endpoint{Name: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
+		}
+		for i := range sidecars {
+			b, err := New(s, seed<<32+uint64(i))
+			if err != nil {
+				t.Fatal(err)
+			}
+			deal(b, EndpointUpdate{Kind: FullUpdate, Endpoints: entries})
+			all = append(all, b)
+		}
+		n := 0
+		second := func() map[string]int { // two requests a second from each, answered at once
+			sends := map[string]int{}
+			for range 100 {
+				for range sidecars * 2 / 100 {
+					b := all[g.IntN(sidecars)]
+					n++
+					id := fmt.Sprint(n)
+					for _, a := range deal(b, Request{ID: id, Class: "c", Deadline: now + time.Second}) {
+						sends[a.Upstream]++
+						deal(b, Outcome{ID: id, Result: OK, Elapsed: 20 * ms, Final: true})
+					}
+				}
+				now += 10 * ms
+			}
+			return sends
+		}
+		for range 10 {
+			second()
+		}
+		for i := range cold {
+			entries[i].StartedAt = now
+		}
+		for _, b := range all {
+			deal(b, EndpointUpdate{Kind: FullUpdate, Endpoints: entries})
+		}
+		const mean = float64(sidecars) * 2 / fleet // a second, below the capacity of each
+		warmed := 0
+		for sec := range 8 {
+			one, two := second(), second()
+			for i := range cold {
+				got := one[fmt.Sprint("u", i)] + two[fmt.Sprint("u", i)]
+				warmed += got
+				if limit := 3 * 2 * mean * (0.2 + 0.8*float64(2*sec)/10); sec < 5 && float64(got) > limit {
+					t.Errorf("seed %d: %d sent to cold u%d in 2 s, %.0f push it over", seed, got, i, limit)
+				}
+			}
+		}
+		if float64(warmed) < cold*mean*16/8 {
+			t.Errorf("seed %d: %d requests to %d upstreams in 16 s: left out while and after cold", seed, warmed, cold)
+		}
+	}
+}
+
+// Half the upstreams in slow start and one crashed: the starting ones stay within their budget.
+func TestCrashDuringDeploy(t *testing.T) {
+	w := newScriptedFleet(t, testSettings(), func(u string) (Result, time.Duration) {
+		if u == "u0" {
+			return Reset, 5 * ms
+		}
+		return OK, 20 * ms
+	})
+	w.addUpstreams(8)
+	w.reply, w.harness.logs = answerInTime, nil
+	w.run(10*time.Second, 200)
+	for i := range 4 {
+		w.updateEndpoints(IncrementalUpdate, Endpoint{Name: fmt.Sprint("u", i+4), Zone: "a", StartedAt: w.now})
+	}
+	w.reply = func(u string) (Result, time.Duration) {
+		if u == "u0" {
+			return ConnectFailed, 0
+		}
+		return OK, 20 * ms
+	}
+	clear(w.attemptsAt)
+	ok, n := w.succeeded, w.requests
+	w.run(2*time.Second, 200)
+	if got := w.succeeded - ok; float64(got) < 0.95*float64(w.requests-n) {
+		t.Errorf("%d of %d served", got, w.requests-n)
+	}
+	for i := 4; i < 8; i++ {
+		// The fall rule: 3 times 0.2 to 0.36 of the capacity; 25 a second each is the mean load.
+		if got := w.attemptsAt[fmt.Sprint("u", i)]; got > 40 {
+			t.Errorf("u%d, cold: %d in 2 s", i, got)
+		}
+	}
+}
--- a/balancer/stream_test.go
+++ b/balancer/streaming_test.go
@@ -6,10 +6,9 @@
 	"time"
 )
 
-// Guards against an upstream that looks slow because a stream on it goes on, and a sidecar that takes
-// streams that go on for requests that wait: the answer's beginning is what counts, the rest is the
-// client's.
-func TestStreamsThatGoOnAreNotSlow(t *testing.T) {
+// The time to the first byte is the latency: a stream that goes on neither makes its upstream look slow nor
+// counts as waiting.
+func TestLongStreamsDoNotLookSlow(t *testing.T) {
 	s := testSettings()
 	b, err := New(s, 1)
 	if err != nil {
@@ -62,117 +61,113 @@
 	}
 }
 
-// Guards against a stream that is called off by the end of a copy that lost to it. Seen: "a long answer is
-// cut: context canceled", the copy's outcome came after the request was handed to its client.
-func TestTheEndOfACopyLeavesTheStream(t *testing.T) {
-	r := newRig(t, testSettings())
-	r.fleet(4)
+// The Outcome of a hedged attempt that lost, which comes after the first byte, does not end the stream.
+func TestLosingHedgeDoesNotEndStream(t *testing.T) {
+	r := newHarness(t, testSettings())
+	r.addUpstreams(4)
 	r.wantSend(r.request("q", "c", time.Second))
-	q := r.b.requests["q"]
-	other := r.b.shuffled[0]
+	q := r.balancer.requests["q"]
+	other := r.balancer.shuffled[0]
 	if other == q.attempts[0].upstream {
-		other = r.b.shuffled[1]
+		other = r.balancer.shuffled[1]
 	}
-	r.b.send(q, other) // a copy
+	r.balancer.send(q, other) // a copy
 	r.now += 5 * ms
-	if c := kinds(r.do(FirstByte{ID: "q", Attempt: 0}), Cancel); len(c) != 1 || c[0].Attempt != 1 {
+	if c := ofKind(r.handle(FirstByte{ID: "q", Attempt: 0}), Cancel); len(c) != 1 || c[0].Attempt != 1 {
 		t.Fatalf("the copy is not called off: %+v", c)
 	}
-	acts := r.do(Outcome{ID: "q", Attempt: 1, Result: Cancelled, Elapsed: 5 * ms, Final: true})
-	if len(kinds(acts, Cancel))+len(finals(acts)) > 0 {
+	acts := r.handle(Outcome{ID: "q", Attempt: 1, Result: Cancelled, Elapsed: 5 * ms, Final: true})
+	if len(ofKind(acts, Cancel))+len(finalAnswers(acts)) > 0 {
 		t.Errorf("the copy's end: %+v", acts)
 	}
 	r.now += time.Minute
-	if acts := r.do(Outcome{ID: "q", Attempt: 0, Result: OK, Elapsed: 5 * ms, Final: true}); len(finals(acts)) > 0 {
+	if acts := r.handle(Outcome{ID: "q", Attempt: 0, Result: OK, Elapsed: 5 * ms, Final: true}); len(finalAnswers(acts)) > 0 {
 		t.Errorf("the stream's end: %+v", acts)
 	}
-	if len(r.b.requests) != 0 || q.attempts[0].upstream.activeStreams != 0 {
-		t.Errorf("%d requests are left, %d streams", len(r.b.requests), q.attempts[0].upstream.activeStreams)
+	if len(r.balancer.requests) != 0 || q.attempts[0].upstream.activeStreams != 0 {
+		t.Errorf("%d requests are left, %d streams", len(r.balancer.requests), q.attempts[0].upstream.activeStreams)
 	}
 }
 
-// streamedRig has a request of each effect whose body goes on as it comes.
-func streamedRig(t *testing.T, effect Idempotency) *rig {
+// newUploadHarness has a request of each effect whose body goes on as it comes.
+func newUploadHarness(t *testing.T, effect Idempotency) *harness {
 	s := testSettings()
 	s.Classes[0].Idempotency, s.Classes[0].DedupWindow = effect, 5*time.Second
-	r := newRig(t, s)
-	r.fleet(4)
-	r.wantSend(r.do(Request{ID: "q", Class: "c", Deadline: r.now + time.Minute, StreamedBody: true}))
+	r := newHarness(t, s)
+	r.addUpstreams(4)
+	r.wantSend(r.handle(Request{ID: "q", Class: "c", Deadline: r.now + time.Minute, StreamedBody: true}))
 	return r
 }
 
-// Guards against upstreams that are passed over for answers that only their clients still take: an answer
-// that is passed on is no load of its upstream, one that its upstream still works on is.
-func TestAnswersThatArePassedOnAreNoLoad(t *testing.T) {
+// A response that is only passed on is no load of its upstream; one that it still works on is.
+func TestPassThroughIsNoLoad(t *testing.T) {
 	for _, passed := range []bool{true, false} {
 		s := testSettings()
 		s.Classes[0].Deadline = time.Minute
-		r := newRig(t, s)
-		r.fleet(1)
+		r := newHarness(t, s)
+		r.addUpstreams(1)
 		for i := range 5 {
 			id := fmt.Sprint(i)
 			r.wantSend(r.request(id, "c", time.Minute))
 			r.now += 10 * ms
-			r.do(FirstByte{ID: id, PassThrough: passed})
+			r.handle(FirstByte{ID: id, PassThrough: passed})
 		}
-		u := r.b.shuffled[0]
-		first := r.b.load(u)
+		u := r.balancer.shuffled[0]
+		first := r.balancer.load(u)
 		for i := range 5 {
-			r.result(fmt.Sprint(i), 0, OK, time.Second)
+			r.outcome(fmt.Sprint(i), 0, OK, time.Second)
 		}
-		if last := r.b.load(u); passed != (first == last) || u.activeStreams != 0 || len(r.b.requests) != 0 {
-			t.Errorf("passed %v: load %v with five of them, %v with none; %d streams, %d requests left", passed, first, last, u.activeStreams, len(r.b.requests))
+		if last := r.balancer.load(u); passed != (first == last) || u.activeStreams != 0 || len(r.balancer.requests) != 0 {
+			t.Errorf("passed %v: load %v with five of them, %v with none; %d streams, %d requests left", passed, first, last, u.activeStreams, len(r.balancer.requests))
 		}
 	}
 }
 
-// A body that takes its time is no time of its request, of its upstream, nor a request in hand: all of that
-// begins with its last byte.
-func TestTheTimeOfAStreamedRequestBeginsWithItsLastByte(t *testing.T) {
-	r := streamedRig(t, Idempotent)
-	q := r.b.requests["q"]
+// The time of an upload counts neither as the request's, nor as its upstream's, nor as waiting.
+func TestUploadTimeDoesNotCount(t *testing.T) {
+	r := newUploadHarness(t, Idempotent)
+	q := r.balancer.requests["q"]
 	u := q.attempts[0].upstream
-	idle := r.b.load(u)
-	if all := r.pass(20 * time.Second); len(finals(all))+len(kinds(all, Send)) > 0 {
+	idle := r.balancer.load(u)
+	if all := r.advance(20 * time.Second); len(finalAnswers(all))+len(ofKind(all, Send)) > 0 {
 		t.Fatalf("while its body comes: %+v", all)
 	}
-	if r.b.waiting.count != 0 || r.b.load(u) > idle {
-		t.Errorf("%d in hand, load %v, was %v", r.b.waiting.count, r.b.load(u), idle)
+	if r.balancer.waiting.count != 0 || r.balancer.load(u) > idle {
+		t.Errorf("%d in hand, load %v, was %v", r.balancer.waiting.count, r.balancer.load(u), idle)
 	}
-	r.do(UploadDone{ID: "q", Attempt: 0, Deadline: r.now + time.Second})
-	if r.b.waiting.count != 1 || u.activeStreams != 0 || len(u.inFlight) != 1 {
-		t.Errorf("%d in hand, %d streams, %d out", r.b.waiting.count, u.activeStreams, len(u.inFlight))
+	r.handle(UploadDone{ID: "q", Attempt: 0, Deadline: r.now + time.Second})
+	if r.balancer.waiting.count != 1 || u.activeStreams != 0 || len(u.inFlight) != 1 {
+		t.Errorf("%d in hand, %d streams, %d out", r.balancer.waiting.count, u.activeStreams, len(u.inFlight))
 	}
-	acts := r.pass(190 * ms)
-	if len(kinds(acts, Send))+len(finals(acts)) > 0 {
+	acts := r.advance(190 * ms)
+	if len(ofKind(acts, Send))+len(finalAnswers(acts)) > 0 {
 		t.Errorf("it is copied, or ended before its aim: %+v", acts)
 	}
-	ends := finals(r.pass(time.Second))
+	ends := finalAnswers(r.advance(time.Second))
 	if len(ends) != 1 || ends[0].Kind != Reject { // safe to repeat
 		t.Errorf("after its time: %+v", ends)
 	}
-	r.result("q", 0, Cancelled, time.Second)
-	if r.b.waiting.count != 0 || len(r.b.requests) != 0 {
-		t.Errorf("%d in hand, %d known", r.b.waiting.count, len(r.b.requests))
+	r.outcome("q", 0, Cancelled, time.Second)
+	if r.balancer.waiting.count != 0 || len(r.balancer.requests) != 0 {
+		t.Errorf("%d in hand, %d known", r.balancer.waiting.count, len(r.balancer.requests))
 	}
 }
 
-// What becomes of a streamed request whose attempt fails, by its effect, whether its body can be had again,
-// and whether it came whole. Guards against a second send of a body that is no longer there, and a refusal
-// of what may have run.
-func TestStreamedRequestsThatFail(t *testing.T) {
+// What follows a failed attempt of an upload, by idempotency, by whether its body is consumed, and by
+// whether it was complete.
+func TestFailedUploads(t *testing.T) {
 	for _, effect := range []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent} {
 		for _, res := range []Result{ServerError, Rejected, ConnectFailed, Reset, NotSent, Malformed} {
 			for _, spent := range []bool{false, true} {
 				for _, whole := range []bool{false, true} {
-					r := streamedRig(t, effect)
+					r := newUploadHarness(t, effect)
 					if whole {
-						r.do(UploadDone{ID: "q", Attempt: 0, Deadline: r.now + time.Second})
+						r.handle(UploadDone{ID: "q", Attempt: 0, Deadline: r.now + time.Second})
 					}
 					r.now += 5 * ms
-					acts := r.do(Outcome{ID: "q", Attempt: 0, Result: res, Elapsed: 5 * ms, BodyConsumed: spent})
+					acts := r.handle(Outcome{ID: "q", Attempt: 0, Result: res, Elapsed: 5 * ms, BodyConsumed: spent})
 					unrun := res == Rejected || res == ConnectFailed || res == NotSent
-					sends, ends := len(kinds(acts, Send)), finals(acts)
+					sends, ends := len(ofKind(acts, Send)), finalAnswers(acts)
 					switch {
 					case spent || whole: // nothing is left to send
 						want := Fail
@@ -187,7 +182,7 @@
 							t.Errorf("effect %d, result %d: %+v", effect, res, acts)
 						}
 					case sends+len(ends) == 0: // it waits for a ready one, or is sent again
-						if len(kinds(r.pass(100*ms), Send)) != 1 {
+						if len(ofKind(r.advance(100*ms), Send)) != 1 {
 							t.Errorf("effect %d, result %d: it is not sent again", effect, res)
 						}
 					}
--- a/balancer/fleet_test.go
+++ b/balancer/subscription_test.go
@@ -1,15 +1,13 @@
 package balancer
 
 import (
-	"fmt"
-	"math/rand/v2"
 	"testing"
 	"time"
 )
 
-// All sidecars of a release start at the same moment; discovery turns every call away for 10 s and then takes one a
-// second. Guards against calls that go on in step, and against a sidecar that gives up asking.
-func TestManyAskADiscoveryThatTurnsAway(t *testing.T) {
+// All sidecars of a release start at the same moment. The registry rejects every call for 10 s and then
+// takes one a second: the calls do not go on in step, and no sidecar gives up.
+func TestManySidecarsSubscribeToOverloadedRegistry(t *testing.T) {
 	const down, length = 10 * time.Second, 420 * time.Second
 	for _, sidecars := range []int{10, 80, 320} {
 		s := testSettings()
@@ -81,60 +79,34 @@
 	}
 }
 
-// What befalls a sidecar of little traffic, and what it may cost: attempts at what fails, and requests that are not served.
-func TestHardCasesOfAThinSidecar(t *testing.T) {
-	g := rand.New(rand.NewPCG(5, 7))
-	answer := func() time.Duration { return time.Duration(5+g.IntN(40)) * ms }
-	bad := func(u string, n int) bool { // n of the 60 in zoned's order
-		var i int
-		if _, err := fmt.Sscanf(u[1:], "%d", &i); err != nil {
-			t.Fatal(err)
-		}
-		return i < n
+// A failed subscription is followed by another, each time after a longer pause; a success ends that.
+func TestSubscribesAgainWithBackoff(t *testing.T) {
+	s := testSettings()
+	s.MustSubscribe = true
+	r := newHarness(t, s)
+	if n := len(ofKind(r.updateEndpoints(CachedUpdate, Endpoint{Name: "u0"}), Subscribe)); n != 1 {
+		t.Fatalf("%d calls at the start", n)
 	}
-	for _, c := range []struct {
-		name     string
-		bad      int
-		reply    func(u string) (Result, time.Duration)
-		attempts float64 // most at the bad ones, of the requests
-		served   float64 // least
-	}{
-		{"twenty fail four of five", 20, func(u string) (Result, time.Duration) {
-			if bad(u, 20) && g.Float64() < 0.8 {
-				return ServerError, 5 * ms
-			}
-			return OK, answer()
-		}, 0.15, 0.97},
-		{"an old list, six in ten are gone", 36, func(u string) (Result, time.Duration) {
-			if bad(u, 36) {
-				return ConnectFailed, ms
-			}
-			return OK, answer()
-		}, 0.35, 0.97},
-		{"one whose table of connections is full", 1, func(u string) (Result, time.Duration) {
-			if bad(u, 1) {
-				return ConnectFailed, ms
-			}
-			return OK, answer()
-		}, 0.02, 0.99},
-		{"three hang", 3, func(u string) (Result, time.Duration) {
-			if bad(u, 3) {
-				return OK, -1
-			}
-			return OK, answer()
-		}, 0.05, 0.95},
-	} {
-		w := zoned(t, 20, func(u string) (Result, time.Duration) { return c.reply(u) })
-		w.play(60*time.Second, 20)
-		at := 0
-		for u, n := range w.sends {
-			if bad(u, c.bad) {
-				at += n
+	var waits []time.Duration
+	for range 4 {
+		asked := r.now
+		r.handle(EndpointUpdate{Kind: UpdateFailed})
+		for len(ofKind(r.advance(5*ms), Subscribe)) == 0 {
+			if r.now-asked > 20*time.Second {
+				t.Fatal("never asked again")
 			}
 		}
-		t.Logf("%s: %d attempts at bad ones, %d of %d requests served", c.name, at, w.ok, w.n)
-		if float64(at) > c.attempts*float64(w.n) || float64(w.ok) < c.served*float64(w.n) {
-			t.Errorf("%s: %d attempts at bad ones, %d of %d requests served", c.name, at, w.ok, w.n)
-		}
+		waits = append(waits, r.now-asked)
+	}
+	if waits[0] < subscribeBackoffBase/2 || waits[3] < 2*waits[0] {
+		t.Errorf("waits %v do not grow", waits)
+	}
+	r.updateEndpoints(IncrementalUpdate)
+	if n := len(ofKind(r.advance(20*time.Second), Subscribe)); n != 0 {
+		t.Errorf("%d calls while subscribed", n)
+	}
+	r.handle(EndpointUpdate{Kind: UpdateFailed}) // the subscription broke
+	if n := len(ofKind(r.advance(2*time.Second), Subscribe)); n != 1 {
+		t.Errorf("%d calls after the subscription broke", n)
 	}
 }
