--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -17,7 +17,7 @@
 	logs     []string
 }
 
-// testSettings are a plain site: one safe class, copies and cancelling allowed, pushed list.
+// testSettings have one idempotent class, hedging and cancellation allowed, and endpoint lists without subscription.
 func testSettings() Settings {
 	return Settings{
 		FleetSize: 2, Zone: "a", Tick: 5 * ms, MaxAttempts: 4, HedgingAllowed: true, CancellationAllowed: true,
@@ -46,7 +46,7 @@
 	return r.actions
 }
 
-// advance lets time go by, with a Wake each tick.
+// advance advances the clock by d, with a TimerFired each tick.
 func (r *harness) advance(d time.Duration) (all []Action) {
 	for end := r.now + d; r.now < end; {
 		r.now += r.balancer.settings.Tick
@@ -75,7 +75,7 @@
 	return r.handle(Outcome{ID: id, Attempt: n, Result: res, Elapsed: elapsed, Final: res == OK})
 }
 
-// ofKind picks the actions of one kind.
+// ofKind returns the actions of one kind.
 func ofKind(acts []Action, k ActionKind) (out []Action) {
 	for _, a := range acts {
 		if a.Kind == k {
@@ -85,7 +85,7 @@
 	return out
 }
 
-// finalAnswers are the final answers among acts.
+// finalAnswers returns the final answers among acts.
 func finalAnswers(acts []Action) []Action { return append(ofKind(acts, Reject), ofKind(acts, Fail)...) }
 
 // wantSend fails the test unless acts hold exactly one attempt, and returns its upstream.
--- a/balancer/hedging_test.go
+++ b/balancer/hedging_test.go
@@ -42,9 +42,13 @@
 // Hedging stops before requests are rejected.
 func TestNoHedgingNearQueueingLimit(t *testing.T) {
 	for _, c := range []struct {
-		inHand int
-		copied bool
-	}{{15, true}, {24, false}} { // the limit is 26: 0.65 of the aim of 200 ms at 200 answers a second
+		name    string
+		waiting int // the limit is 26: 0.65 of the objective of 200 ms at 200 answers a second
+		hedged  bool
+	}{
+		{"far below the limit", 15, true},
+		{"near the limit", 24, false},
+	} {
 		r := newHarness(t, testSettings())
 		r.addUpstreams(4)
 		for range 400 {
@@ -53,16 +57,16 @@
 		}
 		r.balancer.latency.late.value, r.balancer.hedgingSuccessRatio = 0.08, 1
 		r.wantSend(r.handle(Request{ID: "r", Class: "c", Deadline: r.now + time.Second, CostHint: 20 * ms}))
-		for range c.inHand {
+		for range c.waiting {
 			r.balancer.setWaiting(&request{timing: requestTiming{startedAt: r.now, objectiveAt: r.now + 200*ms}}, true)
 		}
-		copies := 0
+		hedges := 0
 		for range 24 {
 			r.balancer.servedRate.add(1, r.now)
-			copies += len(ofKind(r.advance(5*ms), Send))
+			hedges += len(ofKind(r.advance(5*ms), Send))
 		}
-		if copies > 0 != c.copied {
-			t.Errorf("%d copies with %d in hand, pressure %.2f", copies, c.inHand, r.balancer.loadPressure())
+		if hedges > 0 != c.hedged {
+			t.Errorf("%s: %d hedges with %d waiting, pressure %.2f", c.name, hedges, c.waiting, r.balancer.loadPressure())
 		}
 	}
 }
@@ -71,11 +75,19 @@
 // lately.
 func TestHedgingOnlyOfHungUpstreams(t *testing.T) {
 	for _, c := range []struct {
-		second, won bool
-		hint        time.Duration
-		copied      bool
-	}{{}, {second: true, copied: true}, {won: true, hint: 20 * ms, copied: true}, {won: true}, {hint: 20 * ms}} {
-		r := newHarness(t, testSettings()) // aim 200 ms
+		name       string
+		unanswered bool // another attempt at the upstream has no answer either
+		paid       bool // hedging has paid lately
+		costHint   time.Duration
+		hedged     bool
+	}{
+		{name: "nothing known"},
+		{name: "two attempts unanswered", unanswered: true, hedged: true},
+		{name: "hedging pays, cost known", paid: true, costHint: 20 * ms, hedged: true},
+		{name: "hedging pays, cost unknown", paid: true},
+		{name: "hedging does not pay, cost known", costHint: 20 * ms},
+	} {
+		r := newHarness(t, testSettings()) // objective 200 ms
 		r.addUpstreams(1)
 		for i := range 300 {
 			id := fmt.Sprint(i)
@@ -83,17 +95,17 @@
 			r.now += 20 * ms
 			r.outcome(id, 0, OK, 20*ms)
 		}
-		if c.won {
+		if c.paid {
 			r.balancer.hedgingSuccessRatio = 0.5
 		}
 		r.now += time.Second
-		r.handle(Request{ID: "late", Class: "c", Deadline: r.now + time.Second, CostHint: c.hint})
-		if c.second {
+		r.handle(Request{ID: "late", Class: "c", Deadline: r.now + time.Second, CostHint: c.costHint})
+		if c.unanswered {
 			r.request("beside", "c", time.Second)
 		}
 		r.updateEndpoints(IncrementalUpdate, Endpoint{Name: "other", Zone: "a"})
-		if got := len(ofKind(r.advance(60*ms), Send)) > 0; got != c.copied {
-			t.Errorf("%+v: copied %v", c, got)
+		if got := len(ofKind(r.advance(60*ms), Send)) > 0; got != c.hedged {
+			t.Errorf("%s: hedged %v", c.name, got)
 		}
 	}
 }
@@ -107,14 +119,16 @@
 				return OK, 300*ms - phase + 20*ms
 			}
 			if !pauses && w.now%(4*time.Second) < 400*ms {
-				return OK, 150 * ms // everywhere: the copy takes as long
+				return OK, 150 * ms // everywhere: the hedge takes as long
 			}
 			return OK, 20 * ms
 		})
 		w.addUpstreams(6)
 		w.run(30*time.Second, 100)
-		if copies := w.attempts() - w.requests; pauses != (w.balancer.hedgingSuccessRatio > hedgingMinSuccessRatio) || !pauses && copies > w.requests/20 {
-			t.Errorf("pauses %v: %d copies of %d, wins %.2f", pauses, copies, w.requests, w.balancer.hedgingSuccessRatio)
+		hedges := w.attempts() - w.requests
+		pays := w.balancer.hedgingSuccessRatio > hedgingMinSuccessRatio
+		if pauses != pays || !pauses && hedges > w.requests/20 {
+			t.Errorf("pauses %v: %d hedges of %d, success ratio %.2f", pauses, hedges, w.requests, w.balancer.hedgingSuccessRatio)
 		}
 	}
 }
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -8,9 +8,8 @@
 	"time"
 )
 
-// The four rules, checked on the stream of actions under random legal events. This knows nothing of the
-// module.
-
+// observedAttempt is what ruleChecker knows of an attempt. It is built from actions and events alone, independently of
+// the state of the Balancer.
 type observedAttempt struct {
 	upstream, zone       string
 	cell                 int
@@ -18,16 +17,18 @@
 	inFlight, mayHaveRun bool
 }
 
+// observedRequest is what ruleChecker knows of a request.
 type observedRequest struct {
-	notSent      int // of attempts: never sent
+	notSent      int // attempts that ended as NotSent
 	class        Class
 	deadline     time.Duration
 	attempts     []*observedAttempt
 	answers      int
-	answered     bool // an end was reported or given
+	answered     bool // by an Outcome or by the Balancer
 	disconnected bool
 }
 
+// ruleChecker delivers random events that a driver may send, and checks the invariants of doc.go on the actions.
 type ruleChecker struct {
 	t        *testing.T
 	settings Settings
@@ -49,7 +50,7 @@
 		f.checkSend(a, q)
 	case Cancel:
 		if !f.settings.CancellationAllowed {
-			f.t.Fatal("cancel is not allowed")
+			f.t.Fatal("cancellation is not allowed")
 		}
 		if a.Attempt < 0 || a.Attempt >= len(q.attempts) {
 			f.t.Fatalf("cancel of attempt %d, never made", a.Attempt)
@@ -57,7 +58,7 @@
 	case Reject, Fail:
 		if a.Kind == Reject && !(q.class.Idempotency == Idempotent || q.class.Idempotency == IdempotentWithKey && q.class.DedupScope == ScopeAll) &&
 			slices.ContainsFunc(q.attempts, func(x *observedAttempt) bool { return x.mayHaveRun }) {
-			f.t.Fatalf("refused %s, which may have run", a.ID)
+			f.t.Fatalf("rejected %s, which may have run", a.ID)
 		}
 		if q.answered {
 			f.t.Fatalf("second answer to %s", a.ID)
@@ -77,24 +78,24 @@
 	case f.now >= q.deadline:
 		f.t.Fatalf("%s: attempt after its time", a.ID)
 	case !listed:
-		f.t.Fatalf("%s: attempt to %s, which drains or is gone", a.ID, a.Upstream)
+		f.t.Fatalf("%s: attempt to %s, which is draining or removed", a.ID, a.Upstream)
 	case len(q.attempts)-min(q.notSent, f.settings.MaxAttempts) >= f.settings.MaxAttempts:
-		f.t.Fatalf("%s: attempt %d of %d, %d of them moot", a.ID, len(q.attempts)+1, f.settings.MaxAttempts, q.notSent)
+		f.t.Fatalf("%s: attempt %d of %d, %d of them not sent", a.ID, len(q.attempts)+1, f.settings.MaxAttempts, q.notSent)
 	}
 	for _, x := range q.attempts {
 		if x.inFlight && !f.settings.HedgingAllowed {
-			f.t.Fatalf("%s: two attempts out", a.ID)
+			f.t.Fatalf("%s: two attempts in flight", a.ID)
 		}
 		if !x.mayHaveRun {
 			continue
 		}
 		c := q.class
 		if c.Idempotency == NonIdempotent {
-			f.t.Fatalf("%s: unsafe, and sent again", a.ID)
+			f.t.Fatalf("%s: non-idempotent, and sent again", a.ID)
 		}
 		if c.Idempotency == IdempotentWithKey && (f.now-x.sentAt > c.DedupWindow || c.DedupScope == ScopeZone && x.zone != m.Zone ||
 			c.DedupScope == ScopeCell && x.cell != m.Cell) {
-			f.t.Fatalf("%s: keyed, and sent outside its group or window", a.ID)
+			f.t.Fatalf("%s: with an idempotency key, and sent outside its scope or window", a.ID)
 		}
 	}
 	limit := q.deadline
@@ -115,8 +116,8 @@
 	s.Classes = nil
 	for e := Idempotent; e <= NonIdempotent; e++ {
 		for group := ScopeAll; group <= ScopeCell; group++ {
-			aim := time.Duration(50+g.IntN(400)) * ms
-			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, group), LatencyObjective: aim, Deadline: aim * 2, Idempotency: e,
+			objective := time.Duration(50+g.IntN(400)) * ms
+			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, group), LatencyObjective: objective, Deadline: objective * 2, Idempotency: e,
 				DedupScope: group, DedupWindow: time.Duration(20+g.IntN(800)) * ms, LateValueFraction: float64(g.IntN(2)) / 2,
 				PriorityWeight: float64(1 + g.IntN(9)), ObjectiveStretch: float64(g.IntN(2)), Streaming: g.IntN(4) == 0})
 		}
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -44,7 +44,7 @@
 		want    float64
 	}{
 		{OK, 80 * ms, 0.080},
-		{ServerError, 10 * ms, 0.200}, // penalty: one mean aim
+		{ServerError, 10 * ms, 0.200}, // penalty: one mean objective
 		{Rejected, 1 * ms, 0.200},
 		{ServerError, 300 * ms, 0.300}, // longer than the penalty
 		{Timeout, 150 * ms, 0.150},
@@ -54,7 +54,7 @@
 		r := newHarness(t, testSettings())
 		r.addUpstreams(1)
 		r.wantSend(r.request("1", "c", time.Second))
-		r.now += 60 * time.Second // the seed's projection is nothing by now
+		r.now += 60 * time.Second // the first estimate has faded
 		u := r.balancer.shuffled[0]
 		a := u.inFlight[0]
 		r.balancer.now = r.now
@@ -71,7 +71,7 @@
 	r.balancer.latency.normalizedMean = 0.033
 	r.addUpstreams(1)
 	if got := r.balancer.shuffled[0].latency; got.value != 0.033 || got.updatedAt != r.now {
-		t.Errorf("seed %+v", got)
+		t.Errorf("first estimate %+v", got)
 	}
 }
 
@@ -99,7 +99,7 @@
 	}
 	r.updateEndpoints(IncrementalUpdate, Endpoint{Name: "f1", MachineType: "fast"}, Endpoint{Name: "s1", MachineType: "slow"})
 	if f, s := r.balancer.load(r.balancer.upstreams["f1"]), r.balancer.load(r.balancer.upstreams["s1"]); s < 2*f {
-		t.Errorf("new and unheard: fast %.3f, slow %.3f", f, s)
+		t.Errorf("new: fast %.3f, slow %.3f", f, s)
 	}
 }
 
--- a/balancer/load_shedding_test.go
+++ b/balancer/load_shedding_test.go
@@ -19,7 +19,7 @@
 	w.addUpstreams(4)
 	w.run(5*time.Second, 200)
 	if w.finalAnswers[Reject] > 10 {
-		t.Errorf("%d refused in calm", w.finalAnswers[Reject])
+		t.Errorf("%d rejected without load", w.finalAnswers[Reject])
 	}
 	latency = 250 * ms
 	w.run(2*time.Second, 200)
@@ -43,15 +43,15 @@
 func TestLowestPriorityIsRejectedFirst(t *testing.T) {
 	s := testSettings()
 	s.Classes = []Class{{Name: "c", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1},
-		{Name: "dear", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 9}}
+		{Name: "important", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 9}}
 	r := newHarness(t, s)
 	r.addUpstreams(4)
-	refused := map[string]int{}
+	rejected := map[string]int{}
 	var open []string // answered in order, each 155 ms after it came: a little more than may wait
 	for i := range 600 {
-		id, class := fmt.Sprint(i), []string{"c", "dear"}[i%2]
+		id, class := fmt.Sprint(i), []string{"c", "important"}[i%2]
 		if len(ofKind(r.request(id, class, time.Second), Send)) == 0 {
-			refused[class]++
+			rejected[class]++
 			id = ""
 		}
 		if open = append(open, id); len(open) > 31 {
@@ -62,8 +62,8 @@
 		}
 		r.now += 5 * ms
 	}
-	if refused["c"] < 10 || refused["dear"] > refused["c"]/2 {
-		t.Errorf("refused %v", refused)
+	if rejected["c"] < 10 || rejected["important"] > rejected["c"]/2 {
+		t.Errorf("rejected %v", rejected)
 	}
 }
 
@@ -98,18 +98,18 @@
 		r.outcome(id, 0, OK, ms)
 	}
 	if b := r.balancer; b.waiting.count != 1 || b.waiting.startSum != r.now || b.waiting.requiredRate < 4.999 || b.waiting.requiredRate > 5.001 {
-		t.Errorf("in hand %d, %v, %v", b.waiting.count, b.waiting.startSum, b.waiting.requiredRate)
+		t.Errorf("waiting %d, %v, %v", b.waiting.count, b.waiting.startSum, b.waiting.requiredRate)
 	}
 }
 
 // Late answers of upstreams that go on answering lower the queueing limit to its minimum, and answers in
 // time raise it again. What waits at a hung upstream does not lower it.
 func TestQueueingLimitFollowsLateAnswers(t *testing.T) {
-	n, crowded := 0, true
+	n, overloaded := 0, true
 	s := testSettings()
 	s.HedgingAllowed = false
 	reply := func(string) (Result, time.Duration) {
-		if n++; crowded && n%2 == 0 {
+		if n++; overloaded && n%2 == 0 {
 			return OK, 230 * ms
 		}
 		return OK, 90 * ms
@@ -120,7 +120,7 @@
 	if w.balancer.shedding.queueingLimit > queueingLimitMin*1.2 {
 		t.Errorf("limit %.2f with half of all answers late", w.balancer.shedding.queueingLimit)
 	}
-	crowded = false
+	overloaded = false
 	w.run(10*time.Second, 100)
 	if w.balancer.shedding.queueingLimit < queueingLimitMax {
 		t.Errorf("limit %.2f long after", w.balancer.shedding.queueingLimit)
@@ -134,7 +134,7 @@
 	w.addUpstreams(4)
 	w.run(2*time.Second, 400)
 	if w.finalAnswers[Reject] == 0 || w.balancer.shedding.queueingLimit < queueingLimitMax*0.9 {
-		t.Errorf("%d refused; limit %.2f with upstreams hung, not crowded", w.finalAnswers[Reject], w.balancer.shedding.queueingLimit)
+		t.Errorf("%d rejected; limit %.2f with upstreams hung, not overloaded", w.finalAnswers[Reject], w.balancer.shedding.queueingLimit)
 	}
 }
 
@@ -142,16 +142,17 @@
 // be served is not.
 func TestLoadPressureRisesWithAge(t *testing.T) {
 	for _, c := range []struct {
-		n, answered int
-		age         time.Duration
-		over        bool
+		name              string
+		waiting, answered int
+		age               time.Duration
+		over              bool
 	}{
-		{n: 100, answered: 400, age: 10 * ms},
-		{n: 100, answered: 400, age: 35 * ms, over: true},
-		{n: 100, answered: 400, age: 100 * ms, over: true},
-		{n: 20, answered: 400, age: 35 * ms},
-		{n: 20, answered: 1, age: 15 * ms}, // a lull
-		{n: 20, answered: 0, age: 150 * ms, over: true},
+		{name: "burst", waiting: 100, answered: 400, age: 10 * ms},
+		{name: "too many, older", waiting: 100, answered: 400, age: 35 * ms, over: true},
+		{name: "too many, old", waiting: 100, answered: 400, age: 100 * ms, over: true},
+		{name: "few enough", waiting: 20, answered: 400, age: 35 * ms},
+		{name: "burst after a lull", waiting: 20, answered: 1, age: 15 * ms},
+		{name: "no answers", waiting: 20, answered: 0, age: 150 * ms, over: true},
 	} {
 		r := newHarness(t, testSettings())
 		r.addUpstreams(4)
@@ -160,13 +161,13 @@
 		}
 		r.now += 2 * time.Second
 		r.handle(TimerFired{})
-		for range c.n {
+		for range c.waiting {
 			r.balancer.setWaiting(&request{timing: requestTiming{startedAt: r.now, objectiveAt: r.now + 200*ms}}, true)
 		}
 		r.now += c.age
 		r.handle(TimerFired{})
 		if p := r.balancer.loadPressure(); p > 1 != c.over {
-			t.Errorf("%d in hand for %v, %d answered: pressure %.2f", c.n, c.age, c.answered, p)
+			t.Errorf("%s: %d waiting for %v, %d answered: pressure %.2f", c.name, c.waiting, c.age, c.answered, p)
 		}
 	}
 }
@@ -175,7 +176,7 @@
 func TestFewWaitingRequestsAreNoOverload(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(10)
-	for i := range 60 { // three at once every second, each answered in half its aim
+	for i := range 60 { // three at once every second, each answered in half its objective
 		for j := range 3 {
 			r.wantSend(r.request(fmt.Sprint(i, "-", j), "c", time.Second))
 			r.advance(25 * ms)
@@ -198,13 +199,13 @@
 	w.addUpstreams(10)
 	w.run(20*time.Second, 3)
 	if w.finalAnswers[Reject] < 20 {
-		t.Errorf("%d of %d refused while all took longer than their aim", w.finalAnswers[Reject], w.requests)
+		t.Errorf("%d of %d rejected while all took longer than their objective", w.finalAnswers[Reject], w.requests)
 	}
 	latency = 20 * ms
 	w.run(10*time.Second, 3)
-	refused := w.finalAnswers[Reject]
+	rejected := w.finalAnswers[Reject]
 	w.run(10*time.Second, 3)
-	if w.finalAnswers[Reject] != refused {
+	if w.finalAnswers[Reject] != rejected {
 		t.Error("still shedding long after")
 	}
 }
@@ -213,22 +214,28 @@
 // late answer has a value, it is advised to be back in time.
 func TestRetryAfterOfRejection(t *testing.T) {
 	for _, c := range []struct {
+		name      string
 		longest   time.Duration
-		lateShare float64
+		lateValue float64
 		want      time.Duration
-	}{{time.Second, 0.5, time.Second}, {800 * ms, 0, 800 * ms}, {800 * ms, 0.5, 100 * ms}, {50 * ms, 0.5, 50 * ms}} {
-		s := testSettings() // aim 200 ms, deadline 1 s
-		s.MaxRetryAfter, s.Classes[0].LateValueFraction = c.longest, c.lateShare
+	}{
+		{"longest reaches the deadline", time.Second, 0.5, time.Second},
+		{"late answers have no value", 800 * ms, 0, 800 * ms},
+		{"back in time", 800 * ms, 0.5, 100 * ms},
+		{"longest is in time", 50 * ms, 0.5, 50 * ms},
+	} {
+		s := testSettings() // objective 200 ms, deadline 1 s
+		s.MaxRetryAfter, s.Classes[0].LateValueFraction = c.longest, c.lateValue
 		r := newHarness(t, s)
 		r.addUpstreams(4)
-		r.balancer.shedding.objectiveUse, r.balancer.shedding.objectiveUseAt = 10, r.now // half is refused
+		r.balancer.shedding.objectiveUse, r.balancer.shedding.objectiveUseAt = 10, r.now // half is rejected
 		var acts []Action
 		for i := 0; i < 40 && len(finalAnswers(acts)) == 0; i++ {
 			acts = r.request(fmt.Sprint(i), "c", time.Second)
 		}
 		r.wantFinal(acts, Reject)
 		if got := finalAnswers(acts)[0].RetryAfter; got != c.want {
-			t.Errorf("%+v: advised %v", c, got)
+			t.Errorf("%s: advised %v, want %v", c.name, got, c.want)
 		}
 	}
 }
@@ -238,43 +245,47 @@
 func TestLowTrafficSidecarShedsInProportion(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		took        float64 // share of their aim that answers take
+		use         float64 // share of their objective that answers take
 		answers     int
-		least, most float64 // share of what is worth least that is refused
-		better      float64 // most of what is worth more
-	}{{"a burst", 0.3, 100, 0, 0, 0}, {"a few long ones", 0.95, 4, 0, 0.02, 0}, {"crowded a little", 0.4, 200, 0.2, 0.6, 0.02},
-		{"crowded", 1.5, 200, 0.98, 1, 0.7}} {
+		least, most float64 // share of the lowest priority that is rejected
+		better      float64 // most of the higher priority
+	}{
+		{"a burst", 0.3, 100, 0, 0, 0},
+		{"a few late answers", 0.95, 4, 0, 0.02, 0},
+		{"slightly overloaded", 0.4, 200, 0.2, 0.6, 0.02},
+		{"overloaded", 1.5, 200, 0.98, 1, 0.7},
+	} {
 		s := testSettings()
 		s.FleetSize = 80
 		s.Classes = append(s.Classes, Class{Name: "better", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 3})
 		r := newHarness(t, s)
 		r.addUpstreams(60)
 		r.balancer.shedding.objectiveUse = 0.2
-		for i := range priorityWindow { // half is worth more
+		for i := range priorityWindow { // half has the higher priority
 			r.balancer.shedding.recentPriorities[i] = float64(1 + i%2*2)
 		}
 		r.balancer.shedding.priorityCount = priorityWindow
 		for range c.answers {
-			r.balancer.shedding.objectiveUse += objectiveUseWeight * (c.took - r.balancer.shedding.objectiveUse)
+			r.balancer.shedding.objectiveUse += objectiveUseWeight * (c.use - r.balancer.shedding.objectiveUse)
 			r.balancer.shedding.objectiveUseAt = r.now
 		}
-		for i := range 5 { // in hand, five times what is usual at ten a second
+		for i := range 5 { // waiting, five times what is usual at ten a second
 			r.balancer.setWaiting(&request{id: fmt.Sprint(i), timing: requestTiming{startedAt: r.now - 60*ms, objectiveAt: r.now + 140*ms}}, true)
 		}
-		const asked = 200
-		refused := map[string]int{}
-		for i := range 2 * asked {
+		const requests = 200
+		rejected := map[string]int{}
+		for i := range 2 * requests {
 			class := s.Classes[i%2].Name
 			id := fmt.Sprint(class, i)
 			if len(finalAnswers(r.request(id, class, time.Second))) > 0 {
-				refused[class]++
+				rejected[class]++
 			} else {
 				r.handle(ClientDisconnected{ID: id})
 			}
 			r.balancer.shedding.objectiveUseAt = r.now
 		}
-		if share := float64(refused["c"]) / asked; share < c.least || share > c.most || float64(refused["better"]) > c.better*asked {
-			t.Errorf("%s: %.2f of those worth least refused, %d of %d better ones", c.name, share, refused["better"], asked)
+		if share := float64(rejected["c"]) / requests; share < c.least || share > c.most || float64(rejected["better"]) > c.better*requests {
+			t.Errorf("%s: %.2f of the lowest priority rejected, %d of %d of the higher", c.name, share, rejected["better"], requests)
 		}
 	}
 }
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// A zone outage, in each way that it shows, is recognized for the zone as one, with few attempts lost. What
+// A zone outage, in each way that it shows, is recognized for the zone as one, with few lost attempts. What
 // is in flight there goes elsewhere. The zone returns as soon as it answers.
 func TestZoneOutageEjectsZone(t *testing.T) {
 	for name, silent := range map[string]func() (Result, time.Duration){
@@ -79,9 +79,9 @@
 		"no answer":     func() (Result, time.Duration) { return OK, -1 },
 		"reset":         func() (Result, time.Duration) { return Reset, 2 * ms },
 	} {
-		lost := false
+		outage := false
 		w := newZonedFleet(t, 12, func(u string) (Result, time.Duration) {
-			if lost && u[:1] == "c" {
+			if outage && u[:1] == "c" {
 				return silent()
 			}
 			return OK, 20 * ms
@@ -90,16 +90,16 @@
 		if n := w.attemptsInZone("c"); n < 30 {
 			t.Fatalf("%s: %d to zone c in calm", name, n)
 		}
-		lost = true
+		outage = true
 		clear(w.attemptsAt)
 		w.run(10*time.Second, 10)
 		if n := w.attemptsInZone("c"); n > 20 || n < 4 { // 3 that tell, what was out by then, and trials
-			t.Errorf("%s: %d attempts at a lost zone of 12 in 10 s", name, n)
+			t.Errorf("%s: %d attempts at an ejected zone of 12 in 10 s", name, n)
 		}
 		if !w.logged("zone c is silent") {
 			t.Errorf("%s: log %q", name, w.logs)
 		}
-		lost = false
+		outage = false
 		w.run(6*time.Second, 10)
 		clear(w.attemptsAt)
 		w.run(10*time.Second, 10)
@@ -140,9 +140,9 @@
 
 // A new process in an ejected zone ends its ejection before it has answered.
 func TestRestartEndsZoneEjection(t *testing.T) {
-	lost := true
+	outage := true
 	w := newZonedFleet(t, 6, func(u string) (Result, time.Duration) {
-		if lost && u[:1] == "c" {
+		if outage && u[:1] == "c" {
 			return ConnectFailed, 40 * ms
 		}
 		return OK, 20 * ms
--- a/balancer/outlier_detection_test.go
+++ b/balancer/outlier_detection_test.go
@@ -12,7 +12,7 @@
 func TestLowTrafficSidecarWithFaultyUpstreams(t *testing.T) {
 	g := rand.New(rand.NewPCG(5, 7))
 	answer := func() time.Duration { return time.Duration(5+g.IntN(40)) * ms }
-	bad := func(u string, n int) bool { // n of the 60 in zoned's order
+	bad := func(u string, n int) bool { // the first n of the 60
 		var i int
 		if _, err := fmt.Sscanf(u[1:], "%d", &i); err != nil {
 			t.Fatal(err)
@@ -26,19 +26,19 @@
 		attempts float64 // most at the bad ones, of the requests
 		served   float64 // least
 	}{
-		{"twenty fail four of five", 20, func(u string) (Result, time.Duration) {
+		{"twenty answer four of five with errors", 20, func(u string) (Result, time.Duration) {
 			if bad(u, 20) && g.Float64() < 0.8 {
 				return ServerError, 5 * ms
 			}
 			return OK, answer()
 		}, 0.15, 0.97},
-		{"an old list, six in ten are gone", 36, func(u string) (Result, time.Duration) {
+		{"stale list, six in ten are gone", 36, func(u string) (Result, time.Duration) {
 			if bad(u, 36) {
 				return ConnectFailed, ms
 			}
 			return OK, answer()
 		}, 0.35, 0.97},
-		{"one whose table of connections is full", 1, func(u string) (Result, time.Duration) {
+		{"one refuses connections", 1, func(u string) (Result, time.Duration) {
 			if bad(u, 1) {
 				return ConnectFailed, ms
 			}
@@ -81,7 +81,7 @@
 		t.Errorf("%d attempts on the crashed upstream", w.attemptsAt["u0"])
 	}
 	if w.finalAnswers[Reject]+w.finalAnswers[Fail] > 0 {
-		t.Errorf("requests lost with four upstreams fine: %v", w.finalAnswers)
+		t.Errorf("requests failed with four upstreams healthy: %v", w.finalAnswers)
 	}
 	down = false
 	w.run(10*time.Second, 100)
@@ -109,9 +109,9 @@
 
 // An upstream that answers nothing is recognized by the age of its attempts, and ejected for its silence.
 func TestHungUpstreamIsEjected(t *testing.T) {
-	for _, copies := range []bool{true, false} {
+	for _, hedging := range []bool{true, false} {
 		s := testSettings()
-		s.HedgingAllowed = copies
+		s.HedgingAllowed = hedging
 		w := newScriptedFleet(t, s, func(u string) (Result, time.Duration) {
 			if u == "u0" {
 				return OK, -1
@@ -121,7 +121,7 @@
 		w.addUpstreams(5)
 		w.run(10*time.Second, 100)
 		if w.attemptsAt["u0"] > 60 || w.succeeded < 950 {
-			t.Errorf("copies %v: %d attempts on the hung upstream, %d of %d served", copies, w.attemptsAt["u0"], w.succeeded, w.requests)
+			t.Errorf("hedging %v: %d attempts on the hung upstream, %d of %d served", hedging, w.attemptsAt["u0"], w.succeeded, w.requests)
 		}
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -40,7 +41,7 @@
 	r.addUpstreams(3)
 	r.wantSend(r.request("1", "x", time.Second))
 	if s := ofKind(r.advance(900*ms), Send); len(s) > 0 {
-		t.Fatalf("second copy of an unsafe request: %+v", s)
+		t.Fatalf("hedge of a non-idempotent request: %+v", s)
 	}
 }
 
@@ -55,19 +56,19 @@
 
 // An attempt that was not sent uses up neither MaxAttempts nor the retry budget, up to as many again.
 func TestNotSentAttemptsDoNotCount(t *testing.T) {
-	for moot, final := range map[int]bool{1: false, 2: false, 3: true} {
+	for notSent, final := range map[int]bool{1: false, 2: false, 3: true} {
 		s := nonIdempotentSettings()
 		s.MaxAttempts = 2
 		r := newHarness(t, s)
 		r.addUpstreams(3)
 		r.balancer.retryTokens = 0
 		acts := r.request("1", "x", time.Second)
-		for n := range moot {
+		for n := range notSent {
 			r.wantSend(acts)
 			acts = r.outcome("1", n, NotSent, ms)
 		}
 		r.wantSend(acts)
-		if acts = r.outcome("1", moot, ConnectFailed, ms); final {
+		if acts = r.outcome("1", notSent, ConnectFailed, ms); final {
 			r.wantFinal(acts, Reject)
 		} else {
 			r.wantSend(acts)
@@ -92,7 +93,7 @@
 		}
 		for n := range 40 {
 			r := newHarness(t, keyedSettings(group))
-			r.balancer.random.Uint64() // other chances each time
+			r.balancer.random.Uint64() // other random draws each time
 			for range n {
 				r.balancer.random.Uint64()
 			}
@@ -133,7 +134,7 @@
 // A client's retry whose latency objective has passed is rejected at once: its time left tells when the
 // first attempt came. An early retry is served.
 func TestStaleRetryIsRejected(t *testing.T) {
-	r := newHarness(t, testSettings()) // aim 200 ms, deadline 1 s
+	r := newHarness(t, testSettings()) // objective 200 ms, deadline 1 s
 	r.addUpstreams(3)
 	for i := range 20 { // first tries have 600 ms
 		id := time.Duration(i).String()
@@ -143,8 +144,8 @@
 	}
 	r.wantFinal(r.request("stale", "c", 550*ms), Reject)     // the first came 450 ms ago
 	r.wantSend(r.request("early", "c", 900*ms))              // the first came 100 ms ago
-	if f := finalAnswers(r.advance(105 * ms)); len(f) != 1 { // and so it ends when its aim does
-		t.Errorf("still open after its aim: %+v", f)
+	if f := finalAnswers(r.advance(105 * ms)); len(f) != 1 { // it ends when its objective does
+		t.Errorf("still open after its objective: %+v", f)
 	}
 	r.wantSend(r.request("first", "c", 601*ms))
 }
@@ -152,29 +153,43 @@
 // Attempts of earlier requests of the same key count as this request's.
 func TestEarlierAttemptsBindDedupScope(t *testing.T) {
 	s := testSettings()
-	s.Classes = []Class{{Name: "c", LatencyObjective: 200 * ms, Deadline: 10 * time.Second, PriorityWeight: 1, Idempotency: IdempotentWithKey, DedupScope: ScopeZone, DedupWindow: 6 * time.Second}}
+	s.Classes = []Class{{
+		Name: "c", LatencyObjective: 200 * ms, Deadline: 10 * time.Second, PriorityWeight: 1,
+		Idempotency: IdempotentWithKey, DedupScope: ScopeZone, DedupWindow: 6 * time.Second,
+	}}
+	inZone := func(zone string, sentAt time.Duration) EarlierAttempt {
+		return EarlierAttempt{Zone: zone, SentAt: sentAt}
+	}
 	for _, c := range []struct {
-		name  string
-		prior []EarlierAttempt
-		want  string // zones that it may go to; "": none
+		name    string
+		earlier []EarlierAttempt
+		want    string // zones that it may be sent to; "": none
+		fails   bool   // it gets its final answer at once
 	}{
-		{"none", nil, "ab"}, {"in b", []EarlierAttempt{{Zone: "b", SentAt: 50 * time.Second}}, ""}, {"in b, within the window", []EarlierAttempt{{Zone: "b", SentAt: 58 * time.Second}}, "b"},
-		{"in both", []EarlierAttempt{{Zone: "a", SentAt: 59 * time.Second}, {Zone: "b", SentAt: 59 * time.Second}}, ""}, {"elsewhere", []EarlierAttempt{{Zone: "z", SentAt: 59 * time.Second}}, ""},
+		{"no earlier attempt", nil, "ab", false},
+		{"in b, after the window", []EarlierAttempt{inZone("b", 50*time.Second)}, "", true},
+		{"in b, within the window", []EarlierAttempt{inZone("b", 58*time.Second)}, "b", false},
+		{"in both zones", []EarlierAttempt{inZone("a", 59*time.Second), inZone("b", 59*time.Second)}, "", false},
+		{"in an unknown zone", []EarlierAttempt{inZone("z", 59*time.Second)}, "", false},
 	} {
 		got := map[string]bool{}
 		for i := range 30 {
 			r := newHarness(t, s)
 			r.balancer.random = rand.New(rand.NewPCG(uint64(i), 1))
 			r.updateEndpoints(FullUpdate, Endpoint{Name: "x", Zone: "a"}, Endpoint{Name: "y", Zone: "b"})
-			acts := r.handle(Request{ID: "1", Class: "c", Deadline: r.now + 5*time.Second, EarlierAttempts: c.prior})
+			acts := r.handle(Request{ID: "1", Class: "c", Deadline: r.now + 5*time.Second, EarlierAttempts: c.earlier})
 			if sends := ofKind(acts, Send); len(sends) == 1 {
 				got[sends[0].Zone] = true
-			} else if len(ofKind(acts, Reject)) > 0 || c.want == "" && c.name == "in b" && len(ofKind(acts, Fail)) != 1 {
+			} else if len(ofKind(acts, Reject)) > 0 || c.fails && len(ofKind(acts, Fail)) != 1 {
 				t.Errorf("%s: %+v", c.name, acts)
 			}
 		}
-		if want := map[string]bool{"ab": c.want == "ab"}; len(got) != len(c.want) && !want["ab"] || c.want == "b" && !got["b"] {
-			t.Errorf("%s: sent to %v, want %q", c.name, got, c.want)
+		want := map[string]bool{}
+		for _, zone := range c.want {
+			want[string(zone)] = true
+		}
+		if !maps.Equal(got, want) {
+			t.Errorf("%s: sent to %v, want %v", c.name, got, want)
 		}
 	}
 }
@@ -184,7 +199,9 @@
 func TestRetryCarriesSendBy(t *testing.T) {
 	for effect, bound := range map[Idempotency]bool{IdempotentWithKey: true, Idempotent: false} {
 		s := testSettings()
-		s.Classes[0].Idempotency, s.Classes[0].DedupScope, s.Classes[0].DedupWindow, s.Classes[0].Deadline = effect, ScopeAll, 5*time.Second, time.Minute
+		class := &s.Classes[0]
+		class.Idempotency, class.Deadline = effect, time.Minute
+		class.DedupScope, class.DedupWindow = ScopeAll, 5*time.Second
 		r := newHarness(t, s)
 		r.addUpstreams(3)
 		sent := r.now
@@ -235,7 +252,7 @@
 	if r.balancer.retryTokens != 20*retryTokensPerRequest {
 		t.Errorf("budget %.2f after twenty first attempts", r.balancer.retryTokens)
 	}
-	r.now += 150 * ms // and no answer: all that comes now is refused
+	r.now += 150 * ms // and no answer: every request is rejected now
 	for i := range 100 {
 		r.wantFinal(r.request(fmt.Sprint("late", i), "c", time.Second), Reject)
 	}
--- a/balancer/scripted_fleet_test.go
+++ b/balancer/scripted_fleet_test.go
@@ -8,13 +8,12 @@
 	"time"
 )
 
-// scriptedFleet answers attempts as a script says, tick by tick: a table of what each upstream does, no model of a
-// server.
+// scriptedFleet answers attempts as a script says, tick by tick.
 type scriptedFleet struct {
 	*harness
-	reply        func(u string) (Result, time.Duration) // and after how long; a negative time: no answer ever
+	reply        func(u string) (Result, time.Duration) // and after what time; negative: never
 	inFlight     []scriptedAttempt
-	attemptsAt   map[string]int
+	attemptsAt   map[string]int // by upstream
 	finalAnswers map[ActionKind]int
 	succeeded    int
 	requests     int
@@ -29,7 +28,13 @@
 }
 
 func newScriptedFleet(t *testing.T, s Settings, reply func(string) (Result, time.Duration)) *scriptedFleet {
-	return &scriptedFleet{harness: newHarness(t, s), reply: reply, attemptsAt: map[string]int{}, finalAnswers: map[ActionKind]int{}}
+	t.Helper()
+	return &scriptedFleet{
+		harness:      newHarness(t, s),
+		reply:        reply,
+		attemptsAt:   map[string]int{},
+		finalAnswers: map[ActionKind]int{},
+	}
 }
 
 func (w *scriptedFleet) execute(acts []Action, tries map[string]int) {
@@ -56,7 +61,7 @@
 	}
 }
 
-// run runs for d with capacity requests a second, spread evenly.
+// run plays d with perSec requests a second, spread evenly.
 func (w *scriptedFleet) run(d time.Duration, perSec int) {
 	tries := map[string]int{}
 	tick := w.balancer.settings.Tick
--- a/balancer/slow_start_scenario_test.go
+++ b/balancer/slow_start_scenario_test.go
@@ -11,26 +11,28 @@
 	"pgregory.net/rapid"
 )
 
-// slowStartScenario is a fleet of sidecars that share nothing, before upstreams of which some start at one moment, of which all hear at once.
+// slowStartScenario is a fleet of sidecars that share nothing. Some of its upstreams start at one moment, of which all
+// sidecars learn at once.
 type slowStartScenario struct {
-	processes, upstreams, starting int
-	capacity                       float64                           // mean requests that an upstream can serve in a second
-	load                           float64                           // part of that which is asked for, over all
-	traffic                        func(since time.Duration) float64 // times the mean, from the start on; nil: 1
-	restarts                       bool                              // some processes start anew in the ramp
-	errorRatio                     float64                           // share of attempts that end with an error, and are made again
-	// of other customers' settings; absent: testSettings
+	processes, upstreams int
+	starting             int                               // upstreams that start
+	capacity             float64                           // mean requests that an upstream can serve in a second
+	load                 float64                           // share of all upstreams' capacity that is requested
+	traffic              func(since time.Duration) float64 // factor on the mean traffic since the start; nil: 1
+	restarts             bool                              // some sidecars restart during the slow start
+	errorRatio           float64                           // share of attempts that end with an error, and are retried
+	hasCostHints         bool                              // requests have cost hints, from a quarter to four times the mean
+
+	// Settings of the rule; absent: those of testSettings.
 	overloadMultiple, minCapacity   float64
 	overloadWindow, slowStartWindow time.Duration
-	hasCostHints                    bool // requests tell their work, from a quarter to four times the mean
 }
 
-// played is what came of a ramp: the most that was sent in a window, in parts of what it may be, over all cold upstreams, and the
-// work that they got while warming up, in parts of what they could have done.
+// slowStartResult is what the starting upstreams got.
 type slowStartResult struct {
-	highestLoad  float64
-	overloaded   int // cold upstreams that got more in some window
-	usedCapacity float64
+	highestLoad  float64 // most requests in a window, as a multiple of what is allowed
+	overloaded   int     // upstreams that got more than is allowed in some window
+	usedCapacity float64 // share of the capacity that they had during the slow start
 }
 
 type pendingOutcome struct {
@@ -41,152 +43,211 @@
 
 type outcomeHeap []pendingOutcome
 
-func (h outcomeHeap) Len() int { return len(h) }
-
+func (h outcomeHeap) Len() int           { return len(h) }
 func (h outcomeHeap) Less(i, j int) bool { return h[i].at < h[j].at }
-
-func (h outcomeHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-
-func (h *outcomeHeap) Push(x any) { *h = append(*h, x.(pendingOutcome)) }
-
+func (h outcomeHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *outcomeHeap) Push(x any)        { *h = append(*h, x.(pendingOutcome)) }
 func (h *outcomeHeap) Pop() any {
 	x := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return x
 }
 
-func (r slowStartScenario) play(t interface{ Fatal(...any) }, seed uint64) slowStartResult {
-	g := rand.New(rand.NewPCG(seed, 99))
-	s := testSettings()
-	s.FleetSize = r.processes
-	s.Classes = []Class{{Name: "c", LatencyObjective: 2 * time.Second, Deadline: 10 * time.Second, PriorityWeight: 1}}
-	if r.overloadMultiple > 0 {
-		s.OverloadMultiple, s.OverloadWindow, s.SlowStartMinCapacity, s.SlowStartWindow = r.overloadMultiple, r.overloadWindow, r.minCapacity, r.slowStartWindow
-	}
-	var entries []Endpoint
-	for i := range r.upstreams {
-		entries = append(entries, Endpoint{Name: fmt.Sprint("u", i), Zone: "a", MachineType: "m"})
+// slowStartRun is a scenario while it is played.
+type slowStartRun struct {
+	slowStartScenario
+	t        interface{ Fatal(...any) }
+	random   *rand.Rand
+	settings Settings
+	now      time.Duration
+	startAt  time.Duration // when the upstreams start
+
+	endpoints []Endpoint
+	sidecars  []*Balancer
+	timers    []time.Duration // by sidecar; 0: none
+	weights   []float64       // by sidecar: share of the traffic
+	outcomes  outcomeHeap
+	attempts  [][]time.Duration // by starting upstream: when they were sent
+
+	requests  int
+	owed      float64 // requests due by now, less those sent
+	restarted int     // sidecars
+}
+
+func (s slowStartScenario) play(t interface{ Fatal(...any) }, seed uint64) slowStartResult {
+	r := s.newRun(t, seed)
+	for i := range r.sidecars {
+		r.startSidecar(i)
+		r.handle(i, EndpointUpdate{Kind: FullUpdate, Endpoints: r.endpoints})
 	}
-	now := time.Minute
-	all := make([]*Balancer, r.processes)
-	wake := make([]time.Duration, r.processes)
-	ends := &outcomeHeap{}
-	sent := make([][]time.Duration, r.starting)
-	coldFrom := time.Duration(math.MaxInt64)
-	fresh := func(i int) {
-		b, err := New(s, g.Uint64())
-		if err != nil {
-			t.Fatal(err)
+	for ; r.now < r.startAt+r.settings.SlowStartWindow; r.now += ms {
+		if r.now == r.startAt {
+			r.startUpstreams()
 		}
-		all[i], wake[i] = b, 0
-	}
-	do := func(i int, e Event) {
-		for _, a := range all[i].Handle(now, e, nil) {
-			switch a.Kind {
-			case SetTimer:
-				wake[i] = a.FireAt
-			case Send:
-				var u int
-				_, _ = fmt.Sscanf(a.Upstream, "u%d", &u)
-				if u < r.starting && now >= coldFrom {
-					sent[u] = append(sent[u], now)
-				}
-				out := Outcome{ID: a.ID, Attempt: a.Attempt, Result: OK, Final: true, Elapsed: time.Duration(20+g.IntN(20)) * ms}
-				if u >= r.starting { // the others are full: each request would be better off at a cold one
-					out.Elapsed += 300 * ms
-				}
-				if g.Float64() < r.errorRatio {
-					out.Result, out.Final = ServerError, false
-				}
-				heap.Push(ends, pendingOutcome{now + out.Elapsed, i, out})
+		r.restartSidecar()
+		for len(r.outcomes) > 0 && r.outcomes[0].at <= r.now {
+			due := heap.Pop(&r.outcomes).(pendingOutcome)
+			r.handle(due.sidecar, due.outcome)
+		}
+		r.sendRequests()
+		for i, at := range r.timers {
+			if at > 0 && at <= r.now {
+				r.timers[i] = 0
+				r.handle(i, TimerFired{})
 			}
 		}
 	}
-	weights, total := make([]float64, r.processes), 0.0
-	for i := range weights {
-		weights[i] = math.Exp(0.9 * g.NormFloat64()) // some have several times the mean
-		total += weights[i]
+	return r.result()
+}
+
+func (s slowStartScenario) newRun(t interface{ Fatal(...any) }, seed uint64) *slowStartRun {
+	r := &slowStartRun{
+		slowStartScenario: s,
+		t:                 t,
+		random:            rand.New(rand.NewPCG(seed, 99)),
+		settings:          testSettings(),
+		now:               time.Minute,
+		startAt:           time.Minute + 20*time.Second,
+		sidecars:          make([]*Balancer, s.processes),
+		timers:            make([]time.Duration, s.processes),
+		weights:           make([]float64, s.processes),
+		attempts:          make([][]time.Duration, s.starting),
+	}
+	r.settings.FleetSize = s.processes
+	r.settings.Classes = []Class{{Name: "c", LatencyObjective: 2 * time.Second, Deadline: 10 * time.Second, PriorityWeight: 1}}
+	if s.overloadMultiple > 0 {
+		r.settings.OverloadMultiple, r.settings.OverloadWindow = s.overloadMultiple, s.overloadWindow
+		r.settings.SlowStartMinCapacity, r.settings.SlowStartWindow = s.minCapacity, s.slowStartWindow
 	}
-	pick := func() int {
-		x := g.Float64() * total
-		for i, w := range weights {
-			if x -= w; x < 0 {
-				return i
-			}
-		}
-		return len(weights) - 1
+	for i := range s.upstreams {
+		r.endpoints = append(r.endpoints, Endpoint{Name: fmt.Sprint("u", i), Zone: "a", MachineType: "m"})
 	}
-	for i := range all {
-		fresh(i)
-		do(i, EndpointUpdate{Kind: FullUpdate, Endpoints: entries})
+	for i := range r.weights { // some have several times the mean
+		r.weights[i] = math.Exp(0.9 * r.random.NormFloat64())
 	}
-	mean := r.load * r.capacity * float64(r.upstreams)
-	begin := now + 20*time.Second
-	n, owed, restarted := 0, 0.0, 0
-	for ; now < begin+s.SlowStartWindow; now += ms {
-		if now == begin {
-			coldFrom = now
-			for i := range r.starting {
-				entries[i].StartedAt = now
-			}
-			for i := range all {
-				do(i, EndpointUpdate{Kind: FullUpdate, Endpoints: entries})
-			}
-		}
-		if r.restarts && now > begin && restarted < r.processes/4 && now > begin+time.Duration(restarted+1)*s.SlowStartWindow/time.Duration(r.processes/4+1) {
-			i := restarted * 4
-			restarted++
-			for j := len(*ends) - 1; j >= 0; j-- { // they are another process's
-				if (*ends)[j].sidecar == i {
-					heap.Remove(ends, j)
-				}
-			}
-			fresh(i)
-			do(i, EndpointUpdate{Kind: FullUpdate, Endpoints: entries})
-		}
-		for len(*ends) > 0 && (*ends)[0].at <= now {
-			e := heap.Pop(ends).(pendingOutcome)
-			do(e.sidecar, e.outcome)
+	return r
+}
+
+func (r *slowStartRun) startSidecar(i int) {
+	b, err := New(r.settings, r.random.Uint64())
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.sidecars[i], r.timers[i] = b, 0
+}
+
+func (r *slowStartRun) startUpstreams() {
+	for i := range r.starting {
+		r.endpoints[i].StartedAt = r.now
+	}
+	for i := range r.sidecars {
+		r.handle(i, EndpointUpdate{Kind: FullUpdate, Endpoints: r.endpoints})
+	}
+}
+
+// restartSidecar restarts the next of every fourth sidecar when it is due: evenly spread over the slow start.
+func (r *slowStartRun) restartSidecar() {
+	pause := time.Duration(r.restarted+1) * r.settings.SlowStartWindow / time.Duration(r.processes/4+1)
+	if !r.restarts || r.now <= r.startAt || r.restarted >= r.processes/4 || r.now <= r.startAt+pause {
+		return
+	}
+	i := r.restarted * 4
+	r.restarted++
+	for j := len(r.outcomes) - 1; j >= 0; j-- { // they are another process's
+		if r.outcomes[j].sidecar == i {
+			heap.Remove(&r.outcomes, j)
 		}
-		times := 1.0
-		if r.traffic != nil && now >= begin {
-			times = r.traffic(now - begin)
+	}
+	r.startSidecar(i)
+	r.handle(i, EndpointUpdate{Kind: FullUpdate, Endpoints: r.endpoints})
+}
+
+// sendRequests sends what is due by now, at random intervals and to random sidecars.
+func (r *slowStartRun) sendRequests() {
+	mean := r.load * r.capacity * float64(r.upstreams)
+	factor := 1.0
+	if r.traffic != nil && r.now >= r.startAt {
+		factor = r.traffic(r.now - r.startAt)
+	}
+	for r.owed += mean * factor / 1000; r.owed > 0; r.owed -= r.random.ExpFloat64() {
+		r.requests++
+		i := r.randomSidecar()
+		e := Request{ID: fmt.Sprint(r.requests), Class: "c", Deadline: r.now + 8*time.Second}
+		if r.hasCostHints {
+			e.CostHint = time.Duration(float64(20*ms) * math.Exp(0.7*r.random.NormFloat64()))
 		}
-		for owed += mean * times / 1000; owed > 0; owed -= g.ExpFloat64() {
-			n++
-			i := pick()
-			q := Request{ID: fmt.Sprint(n), Class: "c", Deadline: now + 8*time.Second}
-			if r.hasCostHints {
-				q.CostHint = time.Duration(float64(20*ms) * math.Exp(0.7*g.NormFloat64()))
-			}
-			do(i, q)
+		r.handle(i, e)
+	}
+}
+
+func (r *slowStartRun) randomSidecar() int {
+	total := 0.0
+	for _, weight := range r.weights {
+		total += weight
+	}
+	x := r.random.Float64() * total
+	for i, weight := range r.weights {
+		if x -= weight; x < 0 {
+			return i
 		}
-		for i, at := range wake {
-			if at > 0 && at <= now {
-				wake[i] = 0
-				do(i, TimerFired{})
-			}
+	}
+	return len(r.weights) - 1
+}
+
+func (r *slowStartRun) handle(sidecar int, e Event) {
+	for _, a := range r.sidecars[sidecar].Handle(r.now, e, nil) {
+		switch a.Kind {
+		case SetTimer:
+			r.timers[sidecar] = a.FireAt
+		case Send:
+			r.send(sidecar, a)
 		}
 	}
-	var p slowStartResult
-	for _, times := range sent {
-		over := false
+}
+
+// send answers an attempt later. The upstreams that do not start are full: each request would be better off at one that
+// starts.
+func (r *slowStartRun) send(sidecar int, a Action) {
+	var u int
+	_, _ = fmt.Sscanf(a.Upstream, "u%d", &u)
+	if u < r.starting && r.now >= r.startAt {
+		r.attempts[u] = append(r.attempts[u], r.now)
+	}
+	elapsed := time.Duration(20+r.random.IntN(20)) * ms
+	outcome := Outcome{ID: a.ID, Attempt: a.Attempt, Result: OK, Final: true, Elapsed: elapsed}
+	if u >= r.starting {
+		outcome.Elapsed += 300 * ms
+	}
+	if r.random.Float64() < r.errorRatio {
+		outcome.Result, outcome.Final = ServerError, false
+	}
+	heap.Push(&r.outcomes, pendingOutcome{r.now + outcome.Elapsed, sidecar, outcome})
+}
+
+// result compares what each starting upstream got in every window with what is allowed at the window's end: N, by
+// 2 x root of N + 2.
+func (r *slowStartRun) result() (result slowStartResult) {
+	s := r.settings
+	for _, times := range r.attempts {
+		overloaded := false
 		for j, from := 0, 0; j < len(times); j++ {
 			for times[j]-times[from] >= s.OverloadWindow {
 				from++
 			}
-			warm := min(1, s.SlowStartMinCapacity+(1-s.SlowStartMinCapacity)*float64(times[j]-begin)/float64(s.SlowStartWindow))
-			allowed := s.OverloadMultiple * warm * r.capacity * s.OverloadWindow.Seconds()
-			x := float64(j-from+1) / (allowed + 2*math.Sqrt(allowed) + 2)
-			p.highestLoad = max(p.highestLoad, x)
-			over = over || x > 1
+			age := float64(times[j]-r.startAt) / float64(s.SlowStartWindow)
+			capacity := min(1, s.SlowStartMinCapacity+(1-s.SlowStartMinCapacity)*age)
+			allowed := s.OverloadMultiple * capacity * r.capacity * s.OverloadWindow.Seconds()
+			load := float64(j-from+1) / (allowed + 2*math.Sqrt(allowed) + 2)
+			result.highestLoad = max(result.highestLoad, load)
+			overloaded = overloaded || load > 1
 		}
-		if over {
-			p.overloaded++
+		if overloaded {
+			result.overloaded++
 		}
-		p.usedCapacity += float64(len(times)) / (r.capacity * s.SlowStartWindow.Seconds() * (1 + s.SlowStartMinCapacity) / 2) / float64(r.starting)
+		possible := r.capacity * s.SlowStartWindow.Seconds() * (1 + s.SlowStartMinCapacity) / 2
+		result.usedCapacity += float64(len(times)) / possible / float64(r.starting)
 	}
-	return p
+	return result
 }
 
 var slowStartScenarios = []struct {
@@ -205,14 +266,14 @@
 	{"300 processes before few, lulls and bursts", slowStartScenario{processes: 300, upstreams: 10, starting: 3, capacity: 100, load: 0.95, traffic: lullsAndBursts}},
 	{"300 processes before few, little traffic", slowStartScenario{processes: 300, upstreams: 10, starting: 3, capacity: 20, load: 0.95, traffic: lullsAndBursts}},
 	{"100 processes before few", slowStartScenario{processes: 100, upstreams: 6, starting: 2, capacity: 20, load: 0.95, traffic: lullsAndBursts}},
-	{"20 processes, some start anew", slowStartScenario{processes: 20, upstreams: 20, starting: 6, capacity: 8, load: 0.95, restarts: true}},
-	{"300 processes, some start anew", slowStartScenario{processes: 300, upstreams: 100, starting: 20, capacity: 4, load: 0.95, restarts: true}},
+	{"20 processes, some restart", slowStartScenario{processes: 20, upstreams: 20, starting: 6, capacity: 8, load: 0.95, restarts: true}},
+	{"300 processes, some restart", slowStartScenario{processes: 300, upstreams: 100, starting: 20, capacity: 4, load: 0.95, restarts: true}},
 	{"30 processes, errors and retries", slowStartScenario{processes: 30, upstreams: 20, starting: 6, capacity: 8, load: 0.7, errorRatio: 0.2}},
 	{"30 processes, large and small requests", slowStartScenario{processes: 30, upstreams: 20, starting: 6, capacity: 8, load: 0.95, hasCostHints: true}},
 	{"30 processes, a short window", slowStartScenario{processes: 30, upstreams: 12, starting: 4, capacity: 25, load: 0.95, traffic: lullsAndBursts, overloadMultiple: 2.5,
 		overloadWindow: time.Second, minCapacity: 0.31, slowStartWindow: 8500 * ms}},
-	{"20 processes, most are cold", slowStartScenario{processes: 20, upstreams: 20, starting: 14, capacity: 8, load: 0.6}},
-	{"300 processes, most are cold", slowStartScenario{processes: 300, upstreams: 60, starting: 40, capacity: 8, load: 0.6}},
+	{"20 processes, most in slow start", slowStartScenario{processes: 20, upstreams: 20, starting: 14, capacity: 8, load: 0.6}},
+	{"300 processes, most in slow start", slowStartScenario{processes: 300, upstreams: 60, starting: 40, capacity: 8, load: 0.6}},
 }
 
 // The same as TestSlowStartSumStaysBelowOverload over random sizes, traffic and settings.
@@ -220,11 +281,11 @@
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		r := slowStartScenario{processes: rapid.SampledFrom([]int{4, 20, 30, 60}).Draw(t, "processes"), upstreams: rapid.IntRange(3, 40).Draw(t, "upstreams"),
-			capacity: rapid.Float64Range(1, 20).Draw(t, "perSec"), load: rapid.Float64Range(0.3, 0.95).Draw(t, "load"),
-			restarts: rapid.Bool().Draw(t, "restarts"), hasCostHints: rapid.Bool().Draw(t, "cost"), errorRatio: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "fails"),
-			overloadMultiple: rapid.Float64Range(2, 4).Draw(t, "multiple"), minCapacity: rapid.Float64Range(0.2, 0.6).Draw(t, "coldFrom"),
-			overloadWindow: time.Duration(rapid.IntRange(500, 2000).Draw(t, "window")) * ms, slowStartWindow: time.Duration(rapid.IntRange(4000, 10000).Draw(t, "warmUp")) * ms}
-		r.starting = max(1, r.upstreams/rapid.IntRange(2, 5).Draw(t, "cold"))
+			capacity: rapid.Float64Range(1, 20).Draw(t, "capacity"), load: rapid.Float64Range(0.3, 0.95).Draw(t, "load"),
+			restarts: rapid.Bool().Draw(t, "restarts"), hasCostHints: rapid.Bool().Draw(t, "hasCostHints"), errorRatio: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "errorRatio"),
+			overloadMultiple: rapid.Float64Range(2, 4).Draw(t, "overloadMultiple"), minCapacity: rapid.Float64Range(0.2, 0.6).Draw(t, "minCapacity"),
+			overloadWindow: time.Duration(rapid.IntRange(500, 2000).Draw(t, "overloadWindow")) * ms, slowStartWindow: time.Duration(rapid.IntRange(4000, 10000).Draw(t, "slowStartWindow")) * ms}
+		r.starting = max(1, r.upstreams/rapid.IntRange(2, 5).Draw(t, "starting"))
 		every, quiet := time.Duration(rapid.IntRange(200, 6000).Draw(t, "every"))*ms, rapid.Float64Range(0, 0.9).Draw(t, "quiet")
 		r.traffic = func(since time.Duration) float64 {
 			if float64(since%every) < quiet*float64(every) {
@@ -233,7 +294,7 @@
 			return 1.5
 		}
 		if p := r.play(t, rapid.Uint64().Draw(t, "seed")); p.overloaded > 0 {
-			t.Fatalf("%d of %d cold upstreams got up to %.2f of what they may", p.overloaded, r.starting, p.highestLoad)
+			t.Fatalf("%d of %d starting upstreams got up to %.2f of what is allowed", p.overloaded, r.starting, p.highestLoad)
 		}
 	})
 }
@@ -261,7 +322,7 @@
 			}
 			t.Logf("at most %.2f of what a window may bring, %d of %d over; %.2f of the work that they could do", worst, over, plays*c.starting, work)
 			if over > 0 {
-				t.Errorf("%d of %d cold upstreams got up to %.2f of what they may", over, plays*c.starting, worst)
+				t.Errorf("%d of %d starting upstreams got up to %.2f of what is allowed", over, plays*c.starting, worst)
 			}
 		})
 	}
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -28,7 +28,7 @@
 	for range 10 {
 		second()
 	}
-	for i := range 9 { // nearly the whole fleet starts anew
+	for i := range 9 { // nearly all upstreams restart
 		r.updateEndpoints(IncrementalUpdate, Endpoint{Name: "u" + string(rune('0'+i)), Zone: "a", StartedAt: r.now})
 	}
 	clear(n)
@@ -38,7 +38,7 @@
 		// 20 a second is the mean, and three times the 0.2 to 0.28 of it that is there in this second pushes it
 		// over.
 		if n[u] > 13 {
-			t.Errorf("%d requests to cold %s in its first second", n[u], u)
+			t.Errorf("%d requests to starting %s in its first second", n[u], u)
 		}
 	}
 	for range 4 {
@@ -67,10 +67,10 @@
 	}
 	clear(w.attemptsAt)
 	w.run(4*time.Second, 20)
-	cold := w.attemptsAt["u4"] + w.attemptsAt["u5"] + w.attemptsAt["u6"] + w.attemptsAt["u7"]
+	starting := w.attemptsAt["u4"] + w.attemptsAt["u5"] + w.attemptsAt["u6"] + w.attemptsAt["u7"]
 	// 2.5 a second is the mean, of which 0.8 x 3 x 0.2 to 0.52 may go: 34 in all.
-	if cold < 20 || cold > 40 {
-		t.Errorf("%d sent to four cold upstreams in 4 s beside full ones", cold)
+	if starting < 20 || starting > 40 {
+		t.Errorf("%d sent to four starting upstreams in 4 s beside full ones", starting)
 	}
 }
 
@@ -92,7 +92,7 @@
 		}
 		ended += len(finalAnswers(acts))
 	}
-	// 200 a second over 4 cold upstreams, each with 0.2 to 0.36 of its share: 0.8 of three times that is 112 a
+	// 200 a second over 4 starting upstreams, each with 0.2 to 0.36 of its share: 0.8 of three times that is 112 a
 	// second.
 	if sent > 224 || sent < 80 || ended == 0 {
 		t.Errorf("%d sent, %d ended unsent", sent, ended)
@@ -121,69 +121,93 @@
 	}
 }
 
-// Many sidecars of little traffic, and most upstreams have just started: together they stay below what
-// overloads a starting upstream, and still use it.
-func TestManyLowTrafficSidecarsInSlowStart(t *testing.T) {
-	const sidecars, fleet, cold = 400, 40, 36
-	for seed := range uint64(5) {
-		s := testSettings() // cold from 0.2, warm in 10 s; three times the capacity for 2 s pushes over
-		s.FleetSize = sidecars
-		g := rand.New(rand.NewPCG(seed, 3))
-		var all []*Balancer
-		now := time.Minute
-		deal := func(b *Balancer, e Event) []Action { return ofKind(b.Handle(now, e, nil), Send) }
-		var entries []Endpoint
-		for i := range fleet {
-			entries = append(entries, Endpoint{Name: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
-		}
-		for i := range sidecars {
-			b, err := New(s, seed<<32+uint64(i))
-			if err != nil {
-				t.Fatal(err)
-			}
-			deal(b, EndpointUpdate{Kind: FullUpdate, Endpoints: entries})
-			all = append(all, b)
+// lowTrafficFleet is many sidecars that share nothing, each with two requests a second that are answered at once.
+type lowTrafficFleet struct {
+	now       time.Duration
+	random    *rand.Rand
+	endpoints []Endpoint
+	sidecars  []*Balancer
+	requests  int
+}
+
+func newLowTrafficFleet(t *testing.T, sidecars, upstreams int, seed uint64) *lowTrafficFleet {
+	t.Helper()
+	settings := testSettings()
+	settings.FleetSize = sidecars
+	f := &lowTrafficFleet{now: time.Minute, random: rand.New(rand.NewPCG(seed, 3))}
+	for i := range upstreams {
+		f.endpoints = append(f.endpoints, Endpoint{Name: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
+	}
+	for i := range sidecars {
+		b, err := New(settings, seed<<32+uint64(i))
+		if err != nil {
+			t.Fatal(err)
 		}
-		n := 0
-		second := func() map[string]int { // two requests a second from each, answered at once
-			sends := map[string]int{}
-			for range 100 {
-				for range sidecars * 2 / 100 {
-					b := all[g.IntN(sidecars)]
-					n++
-					id := fmt.Sprint(n)
-					for _, a := range deal(b, Request{ID: id, Class: "c", Deadline: now + time.Second}) {
-						sends[a.Upstream]++
-						deal(b, Outcome{ID: id, Result: OK, Elapsed: 20 * ms, Final: true})
-					}
-				}
-				now += 10 * ms
+		f.sends(b, EndpointUpdate{Kind: FullUpdate, Endpoints: f.endpoints})
+		f.sidecars = append(f.sidecars, b)
+	}
+	return f
+}
+
+func (f *lowTrafficFleet) sends(b *Balancer, e Event) []Action {
+	return ofKind(b.Handle(f.now, e, nil), Send)
+}
+
+// start starts the first upstreams anew.
+func (f *lowTrafficFleet) start(upstreams int) {
+	for i := range upstreams {
+		f.endpoints[i].StartedAt = f.now
+	}
+	for _, b := range f.sidecars {
+		f.sends(b, EndpointUpdate{Kind: FullUpdate, Endpoints: f.endpoints})
+	}
+}
+
+// runSecond returns the attempts of one second by upstream.
+func (f *lowTrafficFleet) runSecond() map[string]int {
+	attempts := map[string]int{}
+	for range 100 {
+		for range len(f.sidecars) * 2 / 100 {
+			b := f.sidecars[f.random.IntN(len(f.sidecars))]
+			f.requests++
+			id := fmt.Sprint(f.requests)
+			for _, a := range f.sends(b, Request{ID: id, Class: "c", Deadline: f.now + time.Second}) {
+				attempts[a.Upstream]++
+				f.sends(b, Outcome{ID: id, Result: OK, Elapsed: 20 * ms, Final: true})
 			}
-			return sends
 		}
+		f.now += 10 * ms
+	}
+	return attempts
+}
+
+// Many sidecars of little traffic, and most upstreams have just started: together they stay below what overloads a
+// starting upstream, and still use it. Its capacity begins at 0.2 and is full after 10 s; three times the capacity for
+// 2 s overloads it.
+func TestManyLowTrafficSidecarsInSlowStart(t *testing.T) {
+	const sidecars, upstreams, starting = 400, 40, 36
+	const mean = float64(sidecars) * 2 / upstreams // requests a second for each upstream, below its capacity
+	for seed := range uint64(5) {
+		f := newLowTrafficFleet(t, sidecars, upstreams, seed)
 		for range 10 {
-			second()
-		}
-		for i := range cold {
-			entries[i].StartedAt = now
-		}
-		for _, b := range all {
-			deal(b, EndpointUpdate{Kind: FullUpdate, Endpoints: entries})
+			f.runSecond()
 		}
-		const mean = float64(sidecars) * 2 / fleet // a second, below the capacity of each
-		warmed := 0
-		for sec := range 8 {
-			one, two := second(), second()
-			for i := range cold {
-				got := one[fmt.Sprint("u", i)] + two[fmt.Sprint("u", i)]
-				warmed += got
-				if limit := 3 * 2 * mean * (0.2 + 0.8*float64(2*sec)/10); sec < 5 && float64(got) > limit {
-					t.Errorf("seed %d: %d sent to cold u%d in 2 s, %.0f push it over", seed, got, i, limit)
+		f.start(starting)
+		total := 0
+		for period := range 8 {
+			first, second := f.runSecond(), f.runSecond()
+			for i := range starting {
+				name := fmt.Sprint("u", i)
+				got := first[name] + second[name]
+				total += got
+				limit := 3 * 2 * mean * (0.2 + 0.8*float64(2*period)/10)
+				if period < 5 && float64(got) > limit {
+					t.Errorf("seed %d: %d sent to starting %s in 2 s, %.0f overload it", seed, got, name, limit)
 				}
 			}
 		}
-		if float64(warmed) < cold*mean*16/8 {
-			t.Errorf("seed %d: %d requests to %d upstreams in 16 s: left out while and after cold", seed, warmed, cold)
+		if float64(total) < starting*mean*16/8 {
+			t.Errorf("seed %d: %d requests to %d upstreams in 16 s, during and after slow start", seed, total, starting)
 		}
 	}
 }
@@ -217,7 +241,7 @@
 	for i := 4; i < 8; i++ {
 		// The fall rule: 3 times 0.2 to 0.36 of the capacity; 25 a second each is the mean load.
 		if got := w.attemptsAt[fmt.Sprint("u", i)]; got > 40 {
-			t.Errorf("u%d, cold: %d in 2 s", i, got)
+			t.Errorf("u%d, in slow start: %d in 2 s", i, got)
 		}
 	}
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -36,8 +36,9 @@
 	}
 }
 
-// trainedHarness is a Balancer that has seen a fast, a slow and a failing upstream.
+// trainedHarness is a Balancer that has learnt of a fast, a slow and a failing upstream.
 func trainedHarness(t *testing.T) *harness {
+	t.Helper()
 	r := newHarness(t, testSettings())
 	r.updateEndpoints(FullUpdate, Endpoint{Name: "fast", Zone: "a", MachineType: "new"}, Endpoint{Name: "slow", Zone: "a", MachineType: "old"},
 		Endpoint{Name: "bad", Zone: "a", StartedAt: r.now - time.Second})
@@ -59,29 +60,41 @@
 	return r
 }
 
+// passOn returns a snapshot as the successor process reads it.
+func (r *harness) passOn() *Snapshot {
+	r.t.Helper()
+	text, err := json.Marshal(r.balancer.Snapshot(r.now))
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	var snapshot Snapshot
+	if err := json.Unmarshal(text, &snapshot); err != nil {
+		r.t.Fatal(err)
+	}
+	if err := snapshot.Validate(); err != nil {
+		r.t.Fatal(err)
+	}
+	return &snapshot
+}
+
 // A restored Balancer goes on with its predecessor's estimates, ejections and rates. Upstreams that have
 // started since are new.
 func TestSnapshotRestores(t *testing.T) {
 	old := trainedHarness(t)
-	text, err := json.Marshal(old.balancer.Snapshot(old.now))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var k Snapshot
-	if err := json.Unmarshal(text, &k); err != nil || k.Validate() != nil {
-		t.Fatal(err, k.Validate())
-	}
+	snapshot := old.passOn()
 	// Its clock began an hour before, and one upstream has started anew meanwhile.
 	next := newHarness(t, testSettings())
 	next.now = time.Hour
 	next.updateEndpoints(CachedUpdate, Endpoint{Name: "fast", Zone: "a", MachineType: "new"}, Endpoint{Name: "slow", Zone: "a", MachineType: "old"},
 		Endpoint{Name: "bad", Zone: "a", StartedAt: next.now - (old.now - old.balancer.upstreams["bad"].startedAt)}, Endpoint{Name: "new", Zone: "a"})
 	fresh := next.balancer.upstreams["new"].latency
-	next.balancer.Restore(next.now, &k)
+	next.balancer.Restore(next.now, snapshot)
 	for name, u := range old.balancer.upstreams {
 		v := next.balancer.upstreams[name]
-		if v.latency.value != u.latency.value || next.now-v.latency.updatedAt != old.now-u.latency.updatedAt || v.outlier.ejections != u.outlier.ejections ||
-			max(0, v.outlier.ejectedUntil-next.now) != max(0, u.outlier.ejectedUntil-old.now) || v.outlier.errorRatio != u.outlier.errorRatio {
+		sameEstimate := v.latency.value == u.latency.value && next.now-v.latency.updatedAt == old.now-u.latency.updatedAt
+		sameEjection := v.outlier.ejections == u.outlier.ejections &&
+			max(0, v.outlier.ejectedUntil-next.now) == max(0, u.outlier.ejectedUntil-old.now)
+		if !sameEstimate || !sameEjection || v.outlier.errorRatio != u.outlier.errorRatio {
 			t.Errorf("%s: %+v, was %+v", name, v, u)
 		}
 	}
@@ -91,38 +104,53 @@
 	if next.balancer.upstreams["new"].latency != fresh {
 		t.Error("one that nothing is known of has an estimate")
 	}
-	for _, x := range [][2]float64{{next.balancer.servedRate.perSecond(next.now), old.balancer.servedRate.perSecond(old.now)}, {next.balancer.offeredRate.perSecond(next.now), old.balancer.offeredRate.perSecond(old.now)},
-		{next.balancer.latency.median.value, old.balancer.latency.median.value}, {next.balancer.classes["c"].meanLatency, old.balancer.classes["c"].meanLatency}, {next.balancer.shedding.queueingLimit, old.balancer.shedding.queueingLimit}} {
-		if math.Abs(x[0]-x[1]) > 1e-6*x[1] {
-			t.Errorf("%v, was %v", x[0], x[1])
+	was, is := old.balancer, next.balancer
+	for _, c := range []struct {
+		name    string
+		is, was float64
+	}{
+		{"served rate", is.servedRate.perSecond(next.now), was.servedRate.perSecond(old.now)},
+		{"offered rate", is.offeredRate.perSecond(next.now), was.offeredRate.perSecond(old.now)},
+		{"median latency", is.latency.median.value, was.latency.median.value},
+		{"class latency", is.classes["c"].meanLatency, was.classes["c"].meanLatency},
+		{"queueing limit", is.shedding.queueingLimit, was.shedding.queueingLimit},
+	} {
+		if math.Abs(c.is-c.was) > 1e-6*c.was {
+			t.Errorf("%s: %v, was %v", c.name, c.is, c.was)
 		}
 	}
+}
+
+// What was known of an upstream's earlier process does not count for one that has started since.
+func TestSnapshotIsNotRestoredAfterRestart(t *testing.T) {
+	old := trainedHarness(t)
+	snapshot := old.passOn()
 	again := newHarness(t, testSettings())
 	again.now = time.Hour
 	again.updateEndpoints(CachedUpdate, Endpoint{Name: "bad", Zone: "a", StartedAt: again.now - time.Millisecond})
-	was := *again.balancer.upstreams["bad"]
-	again.balancer.Restore(again.now, &k)
-	if u := again.balancer.upstreams["bad"]; u.outlier.ejections != 0 || u.latency != was.latency {
-		t.Error("what was known of an upstream's earlier process counts for the one that started since")
+	before := *again.balancer.upstreams["bad"]
+	again.balancer.Restore(again.now, snapshot)
+	if u := again.balancer.upstreams["bad"]; u.outlier.ejections != 0 || u.latency != before.latency {
+		t.Errorf("restored %+v, was %+v", *u, before)
 	}
 }
 
 // Numbers that would break the estimates are rejected.
 func TestSnapshotValidateRejects(t *testing.T) {
 	for name, spoil := range map[string]func(*Snapshot){
-		"negative":  func(k *Snapshot) { k.MeanLatency = -1 },
-		"huge":      func(k *Snapshot) { k.Classes["c"] = 1e300 },
-		"no number": func(k *Snapshot) { k.LateLatency = math.NaN() },
-		"an age":    func(k *Snapshot) { k.Upstreams["x"] = UpstreamSnapshot{Age: -1} },
-		"for ever":  func(k *Snapshot) { k.Upstreams["x"] = UpstreamSnapshot{Ejections: 1, EjectedFor: time.Hour} },
-		"a share":   func(k *Snapshot) { k.Upstreams["x"] = UpstreamSnapshot{ErrorRatio: 2} },
+		"negative":            func(k *Snapshot) { k.MeanLatency = -1 },
+		"too large":           func(k *Snapshot) { k.Classes["c"] = 1e300 },
+		"NaN":                 func(k *Snapshot) { k.LateLatency = math.NaN() },
+		"negative age":        func(k *Snapshot) { k.Upstreams["x"] = UpstreamSnapshot{Age: -1} },
+		"ejection too long":   func(k *Snapshot) { k.Upstreams["x"] = UpstreamSnapshot{Ejections: 1, EjectedFor: time.Hour} },
+		"error ratio above 1": func(k *Snapshot) { k.Upstreams["x"] = UpstreamSnapshot{ErrorRatio: 2} },
 	} {
 		k := trainedHarness(t).balancer.Snapshot(time.Hour)
 		if err := k.Validate(); err != nil {
 			t.Fatal(err)
 		}
 		if spoil(k); k.Validate() == nil {
-			t.Errorf("%s: it is taken", name)
+			t.Errorf("%s: it is accepted", name)
 		}
 	}
 }
--- a/balancer/streaming_test.go
+++ b/balancer/streaming_test.go
@@ -53,11 +53,11 @@
 	}
 	for _, u := range b.shuffled {
 		if u.activeStreams != 0 || len(u.inFlight) != 0 {
-			t.Errorf("%s: %d streams, %d out", u.name, u.activeStreams, len(u.inFlight))
+			t.Errorf("%s: %d streams, %d in flight", u.name, u.activeStreams, len(u.inFlight))
 		}
 	}
 	if len(b.requests) != 0 {
-		t.Errorf("%d requests are not forgotten", len(b.requests))
+		t.Errorf("%d requests are not removed", len(b.requests))
 	}
 }
 
@@ -71,14 +71,14 @@
 	if other == q.attempts[0].upstream {
 		other = r.balancer.shuffled[1]
 	}
-	r.balancer.send(q, other) // a copy
+	r.balancer.send(q, other) // a hedge
 	r.now += 5 * ms
 	if c := ofKind(r.handle(FirstByte{ID: "q", Attempt: 0}), Cancel); len(c) != 1 || c[0].Attempt != 1 {
-		t.Fatalf("the copy is not called off: %+v", c)
+		t.Fatalf("the hedge is not cancelled: %+v", c)
 	}
 	acts := r.handle(Outcome{ID: "q", Attempt: 1, Result: Cancelled, Elapsed: 5 * ms, Final: true})
 	if len(ofKind(acts, Cancel))+len(finalAnswers(acts)) > 0 {
-		t.Errorf("the copy's end: %+v", acts)
+		t.Errorf("the end of the hedge: %+v", acts)
 	}
 	r.now += time.Minute
 	if acts := r.handle(Outcome{ID: "q", Attempt: 0, Result: OK, Elapsed: 5 * ms, Final: true}); len(finalAnswers(acts)) > 0 {
@@ -89,10 +89,11 @@
 	}
 }
 
-// newUploadHarness has a request of each effect whose body goes on as it comes.
-func newUploadHarness(t *testing.T, effect Idempotency) *harness {
+// newUploadHarness has sent request q with a streamed body.
+func newUploadHarness(t *testing.T, idempotency Idempotency) *harness {
+	t.Helper()
 	s := testSettings()
-	s.Classes[0].Idempotency, s.Classes[0].DedupWindow = effect, 5*time.Second
+	s.Classes[0].Idempotency, s.Classes[0].DedupWindow = idempotency, 5*time.Second
 	r := newHarness(t, s)
 	r.addUpstreams(4)
 	r.wantSend(r.handle(Request{ID: "q", Class: "c", Deadline: r.now + time.Minute, StreamedBody: true}))
@@ -101,7 +102,7 @@
 
 // A response that is only passed on is no load of its upstream; one that it still works on is.
 func TestPassThroughIsNoLoad(t *testing.T) {
-	for _, passed := range []bool{true, false} {
+	for _, passThrough := range []bool{true, false} {
 		s := testSettings()
 		s.Classes[0].Deadline = time.Minute
 		r := newHarness(t, s)
@@ -110,15 +111,17 @@
 			id := fmt.Sprint(i)
 			r.wantSend(r.request(id, "c", time.Minute))
 			r.now += 10 * ms
-			r.handle(FirstByte{ID: id, PassThrough: passed})
+			r.handle(FirstByte{ID: id, PassThrough: passThrough})
 		}
 		u := r.balancer.shuffled[0]
 		first := r.balancer.load(u)
 		for i := range 5 {
 			r.outcome(fmt.Sprint(i), 0, OK, time.Second)
 		}
-		if last := r.balancer.load(u); passed != (first == last) || u.activeStreams != 0 || len(r.balancer.requests) != 0 {
-			t.Errorf("passed %v: load %v with five of them, %v with none; %d streams, %d requests left", passed, first, last, u.activeStreams, len(r.balancer.requests))
+		last, left := r.balancer.load(u), len(r.balancer.requests)
+		if passThrough != (first == last) || u.activeStreams != 0 || left != 0 {
+			t.Errorf("pass through %v: load %v with five of them, %v with none; %d streams, %d requests left",
+				passThrough, first, last, u.activeStreams, left)
 		}
 	}
 }
@@ -130,60 +133,60 @@
 	u := q.attempts[0].upstream
 	idle := r.balancer.load(u)
 	if all := r.advance(20 * time.Second); len(finalAnswers(all))+len(ofKind(all, Send)) > 0 {
-		t.Fatalf("while its body comes: %+v", all)
+		t.Fatalf("during the upload: %+v", all)
 	}
 	if r.balancer.waiting.count != 0 || r.balancer.load(u) > idle {
-		t.Errorf("%d in hand, load %v, was %v", r.balancer.waiting.count, r.balancer.load(u), idle)
+		t.Errorf("%d waiting, load %v, was %v", r.balancer.waiting.count, r.balancer.load(u), idle)
 	}
 	r.handle(UploadDone{ID: "q", Attempt: 0, Deadline: r.now + time.Second})
 	if r.balancer.waiting.count != 1 || u.activeStreams != 0 || len(u.inFlight) != 1 {
-		t.Errorf("%d in hand, %d streams, %d out", r.balancer.waiting.count, u.activeStreams, len(u.inFlight))
+		t.Errorf("%d waiting, %d streams, %d in flight", r.balancer.waiting.count, u.activeStreams, len(u.inFlight))
 	}
 	acts := r.advance(190 * ms)
 	if len(ofKind(acts, Send))+len(finalAnswers(acts)) > 0 {
-		t.Errorf("it is copied, or ended before its aim: %+v", acts)
+		t.Errorf("it is hedged, or ended before its objective: %+v", acts)
 	}
 	ends := finalAnswers(r.advance(time.Second))
-	if len(ends) != 1 || ends[0].Kind != Reject { // safe to repeat
+	if len(ends) != 1 || ends[0].Kind != Reject { // idempotent
 		t.Errorf("after its time: %+v", ends)
 	}
 	r.outcome("q", 0, Cancelled, time.Second)
 	if r.balancer.waiting.count != 0 || len(r.balancer.requests) != 0 {
-		t.Errorf("%d in hand, %d known", r.balancer.waiting.count, len(r.balancer.requests))
+		t.Errorf("%d waiting, %d known", r.balancer.waiting.count, len(r.balancer.requests))
 	}
 }
 
 // What follows a failed attempt of an upload, by idempotency, by whether its body is consumed, and by
 // whether it was complete.
 func TestFailedUploads(t *testing.T) {
-	for _, effect := range []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent} {
+	for _, idempotency := range []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent} {
 		for _, res := range []Result{ServerError, Rejected, ConnectFailed, Reset, NotSent, Malformed} {
-			for _, spent := range []bool{false, true} {
-				for _, whole := range []bool{false, true} {
-					r := newUploadHarness(t, effect)
-					if whole {
+			for _, consumed := range []bool{false, true} {
+				for _, complete := range []bool{false, true} {
+					r := newUploadHarness(t, idempotency)
+					if complete {
 						r.handle(UploadDone{ID: "q", Attempt: 0, Deadline: r.now + time.Second})
 					}
 					r.now += 5 * ms
-					acts := r.handle(Outcome{ID: "q", Attempt: 0, Result: res, Elapsed: 5 * ms, BodyConsumed: spent})
+					acts := r.handle(Outcome{ID: "q", Attempt: 0, Result: res, Elapsed: 5 * ms, BodyConsumed: consumed})
 					unrun := res == Rejected || res == ConnectFailed || res == NotSent
 					sends, ends := len(ofKind(acts, Send)), finalAnswers(acts)
 					switch {
-					case spent || whole: // nothing is left to send
+					case consumed || complete: // nothing is left to send
 						want := Fail
-						if unrun || effect != NonIdempotent { // all zones are one group here
+						if unrun || idempotency != NonIdempotent { // all zones are one group here
 							want = Reject
 						}
 						if sends > 0 || len(ends) != 1 || ends[0].Kind != want {
-							t.Errorf("effect %d, result %d, spent %v, whole %v: %+v", effect, res, spent, whole, acts)
+							t.Errorf("idempotency %d, result %d, consumed %v, complete %v: %+v", idempotency, res, consumed, complete, acts)
 						}
-					case effect == NonIdempotent && !unrun:
+					case idempotency == NonIdempotent && !unrun:
 						if sends > 0 || len(ends) != 1 || ends[0].Kind != Fail {
-							t.Errorf("effect %d, result %d: %+v", effect, res, acts)
+							t.Errorf("idempotency %d, result %d: %+v", idempotency, res, acts)
 						}
 					case sends+len(ends) == 0: // it waits for a ready one, or is sent again
 						if len(ofKind(r.advance(100*ms), Send)) != 1 {
-							t.Errorf("effect %d, result %d: it is not sent again", effect, res)
+							t.Errorf("idempotency %d, result %d: it is not sent again", idempotency, res)
 						}
 					}
 				}
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -5,76 +5,102 @@
 	"time"
 )
 
-// All sidecars of a release start at the same moment. The registry rejects every call for 10 s and then
-// takes one a second: the calls do not go on in step, and no sidecar gives up.
-func TestManySidecarsSubscribeToOverloadedRegistry(t *testing.T) {
-	const down, length = 10 * time.Second, 420 * time.Second
-	for _, sidecars := range []int{10, 80, 320} {
-		s := testSettings()
-		s.FleetSize, s.MustSubscribe = sidecars, true
-		now := time.Minute
-		begin := now
-		known := []Endpoint{{Name: "u0", Zone: "a"}, {Name: "u1", Zone: "a"}}
-		type call struct{ of int }
-		var due []call
-		wakes := make([]time.Duration, sidecars)
-		var all []*Balancer
-		take := func(i int, acts []Action) {
-			for _, a := range acts {
-				switch a.Kind {
-				case Subscribe:
-					due = append(due, call{i})
-				case SetTimer:
-					wakes[i] = a.FireAt
-				}
-			}
+// registryScenario is a fleet of sidecars whose endpoint registry rejects calls.
+type registryScenario struct {
+	now, startedAt time.Duration
+	rejectsFor     time.Duration // every call from the start on; after that it takes one a second
+	endpoints      []Endpoint
+	sidecars       []*Balancer
+	timers         []time.Duration // by sidecar; 0: none
+	calls          []int           // sidecars whose call is to be answered
+	callsInSecond  []int
+	lastAcceptedIn time.Duration // second
+	subscribed     int           // sidecars
+}
+
+func newRegistryScenario(t *testing.T, sidecars int, rejectsFor, length time.Duration) *registryScenario {
+	t.Helper()
+	settings := testSettings()
+	settings.FleetSize, settings.MustSubscribe = sidecars, true
+	r := &registryScenario{
+		now:            time.Minute,
+		startedAt:      time.Minute,
+		rejectsFor:     rejectsFor,
+		endpoints:      []Endpoint{{Name: "u0", Zone: "a"}, {Name: "u1", Zone: "a"}},
+		timers:         make([]time.Duration, sidecars),
+		callsInSecond:  make([]int, length/time.Second),
+		lastAcceptedIn: -1,
+	}
+	for i := range sidecars {
+		b, err := New(settings, uint64(i))
+		if err != nil {
+			t.Fatal(err)
 		}
-		for i := range sidecars {
-			b, err := New(s, uint64(i))
-			if err != nil {
-				t.Fatal(err)
-			}
-			all = append(all, b)
-			take(i, b.Handle(now, EndpointUpdate{Kind: CachedUpdate, Endpoints: known}, nil))
+		r.sidecars = append(r.sidecars, b)
+		r.handle(i, EndpointUpdate{Kind: CachedUpdate, Endpoints: r.endpoints})
+	}
+	return r
+}
+
+func (r *registryScenario) handle(sidecar int, e Event) {
+	for _, a := range r.sidecars[sidecar].Handle(r.now, e, nil) {
+		switch a.Kind {
+		case Subscribe:
+			r.calls = append(r.calls, sidecar)
+		case SetTimer:
+			r.timers[sidecar] = a.FireAt
 		}
-		var perSecond [int(length / time.Second)]int
-		got, last := 0, time.Duration(-1)
-		for ; now < begin+length && got < sidecars; now += 50 * ms {
-			second := (now - begin) / time.Second
-			calls := due
-			due = nil
-			for _, c := range calls {
-				perSecond[second]++
-				if now-begin >= down && second != last {
-					last = second
-					got++
-					take(c.of, all[c.of].Handle(now, EndpointUpdate{Kind: FullUpdate, Endpoints: known}, nil))
-					continue
-				}
-				take(c.of, all[c.of].Handle(now, EndpointUpdate{Kind: UpdateFailed}, nil))
-			}
-			for i, at := range wakes {
-				if at > 0 && at <= now {
-					wakes[i] = 0
-					take(i, all[i].Handle(now, TimerFired{}, nil))
-				}
-			}
+	}
+}
+
+// step answers the calls, fires the timers that are due, and advances the clock.
+func (r *registryScenario) step() {
+	second := (r.now - r.startedAt) / time.Second
+	calls := r.calls
+	r.calls = nil
+	for _, sidecar := range calls {
+		r.callsInSecond[second]++
+		if r.now-r.startedAt >= r.rejectsFor && second != r.lastAcceptedIn {
+			r.lastAcceptedIn = second
+			r.subscribed++
+			r.handle(sidecar, EndpointUpdate{Kind: FullUpdate, Endpoints: r.endpoints})
+			continue
+		}
+		r.handle(sidecar, EndpointUpdate{Kind: UpdateFailed})
+	}
+	for i, at := range r.timers {
+		if at > 0 && at <= r.now {
+			r.timers[i] = 0
+			r.handle(i, TimerFired{})
+		}
+	}
+	r.now += 50 * ms
+}
+
+// All sidecars of a release start at the same moment. The registry rejects every call for 10 s and then takes one a
+// second: the calls do not go on in step, and no sidecar gives up.
+func TestManySidecarsSubscribeToOverloadedRegistry(t *testing.T) {
+	const rejectsFor, length = 10 * time.Second, 420 * time.Second
+	for _, sidecars := range []int{10, 80, 320} {
+		r := newRegistryScenario(t, sidecars, rejectsFor, length)
+		for r.now < r.startedAt+length && r.subscribed < sidecars {
+			r.step()
 		}
 		early, most := 0, 0
-		for second, n := range perSecond {
-			if second < int(down/time.Second) {
-				early += n
-			}
-			if second >= int(down/time.Second) {
-				most = max(most, n)
+		for second, calls := range r.callsInSecond {
+			if second < int(rejectsFor/time.Second) {
+				early += calls
+			} else {
+				most = max(most, calls)
 			}
 		}
-		t.Logf("%d sidecars: %d calls in the first 10 s, up to %d in a second after, %d have the list after %v", sidecars, early, most, got, now-begin)
+		t.Logf("%d sidecars: %d calls in the first 10 s, up to %d in a second after, %d are subscribed after %v",
+			sidecars, early, most, r.subscribed, r.now-r.startedAt)
 		if early > 5*sidecars || most > sidecars/4+4 {
 			t.Errorf("%d sidecars: %d calls in the first 10 s, up to %d in a second after", sidecars, early, most)
 		}
-		if got < sidecars {
-			t.Errorf("%d of %d sidecars have the list after %v", got, sidecars, length)
+		if r.subscribed < sidecars {
+			t.Errorf("%d of %d sidecars are subscribed after %v", r.subscribed, sidecars, length)
 		}
 	}
 }
@@ -87,19 +113,19 @@
 	if n := len(ofKind(r.updateEndpoints(CachedUpdate, Endpoint{Name: "u0"}), Subscribe)); n != 1 {
 		t.Fatalf("%d calls at the start", n)
 	}
-	var waits []time.Duration
+	var pauses []time.Duration
 	for range 4 {
-		asked := r.now
+		failedAt := r.now
 		r.handle(EndpointUpdate{Kind: UpdateFailed})
 		for len(ofKind(r.advance(5*ms), Subscribe)) == 0 {
-			if r.now-asked > 20*time.Second {
-				t.Fatal("never asked again")
+			if r.now-failedAt > 20*time.Second {
+				t.Fatal("never subscribed again")
 			}
 		}
-		waits = append(waits, r.now-asked)
+		pauses = append(pauses, r.now-failedAt)
 	}
-	if waits[0] < subscribeBackoffBase/2 || waits[3] < 2*waits[0] {
-		t.Errorf("waits %v do not grow", waits)
+	if pauses[0] < subscribeBackoffBase/2 || pauses[3] < 2*pauses[0] {
+		t.Errorf("pauses %v do not grow", pauses)
 	}
 	r.updateEndpoints(IncrementalUpdate)
 	if n := len(ofKind(r.advance(20*time.Second), Subscribe)); n != 0 {
