--- a/balancer/hedging.go
+++ b/balancer/hedging.go
@@ -4,12 +4,15 @@
 
 const (
 	lateAttemptQuantile = 0.8 // the quantile of normalized latency beyond which an attempt is late
+
 	// hedgingMaxPressure is the load pressure above which no late attempt is acted on: hedged requests take
 	// capacity that first attempts need.
 	hedgingMaxPressure = 0.7
+
 	// hedgingMinSuccessRatio is the share of hedged requests whose hedge answers first and in time, from which
 	// hedging pays.
 	hedgingMinSuccessRatio = 0.3
+
 	// hedgingTrialProbability is the share of late attempts that are hedged although hedging does not pay, to
 	// learn when it does.
 	hedgingTrialProbability = 0.02
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -50,6 +50,7 @@
 const (
 	meanSampleWeight        = 0.02 // weight of one sample in the plain means
 	machineTypeSampleWeight = 0.05 // weight of one sample in a machine type's mean, which gets fewer
+
 	// errorPenaltyObjectives is the least latency that an error answer counts as, in mean latency objectives:
 	// a fast error must not make its upstream look fast.
 	errorPenaltyObjectives = 1.0
--- a/balancer/load_shedding.go
+++ b/balancer/load_shedding.go
@@ -8,10 +8,12 @@
 const (
 	offeredRateMemory = 20 * time.Second // the time constant of the offered rate and of the tenants' rates
 	servedRateMemory  = 2 * time.Second  // the time constant of the rate of good answers
+
 	// sheddingEndsAfter is how long after the latest rejection load shedding is logged as ended.
 	sheddingEndsAfter = servedRateMemory
 	priorityWindow    = 64 // how many arrivals a new request's priority is ranked among
 	pressureAdmitAll  = 1  // the load pressure up to which every request is admitted
+
 	// priorityRankPressure is how much more pressure the request of highest rank endures than the lowest.
 	priorityRankPressure = 0.5
 )
@@ -100,6 +102,7 @@
 	// pressureWaitingMin is the number of waiting requests below which the served rate is too uncertain to
 	// compare with.
 	pressureWaitingMin = 12.0
+
 	// pressureFullAge is the mean age of the waiting requests, as a share of their latency objective, from
 	// which the pressure counts in full.
 	pressureFullAge = 0.25
@@ -133,13 +136,16 @@
 
 const (
 	objectiveUseWeight = 0.04 // weight of one attempt in the objective use
+
 	// objectiveUseMemory is the time constant with which the objective use fades without attempts, so that
 	// rejecting all requests can't go on for ever.
 	objectiveUseMemory = 10 * time.Second
+
 	// objectiveUseMax bounds the objective use of one attempt: a hung upstream is not an overloaded one.
 	objectiveUseMax   = 1.5
 	objectiveUseFull  = 0.33 // the objective use that is a pressure of 1
 	objectiveUseSlope = 0.5  // how much of the objective use above it counts, as it is uncertain
+
 	// objectiveUsePressureMax bounds the pressure by objective use: a fifth of the requests is still admitted
 	// and shows when the overload ends.
 	objectiveUsePressureMax = 1.4
@@ -177,9 +183,11 @@
 	queueingLimitMax  = 0.65
 	queueingLimitMin  = 0.33
 	queueingLimitStep = 0.06 // the relative step down for a request that was late under pressure
+
 	// allowedLateFraction is the part of that step up for a request in time: the limit is steady when such a
 	// share of the requests is late.
 	allowedLateFraction = 0.05
+
 	// objectiveMarginTicks, in ticks, is how long before its latency objective a request ends in time.
 	objectiveMarginTicks = 2
 )
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -65,6 +65,7 @@
 const (
 	// zoneOutageUpstreams is how many upstreams of a zone have to fail, with no answer from it, for an outage.
 	zoneOutageUpstreams = 3
+
 	// zoneEjectionParts: a zone is ejected for an upstream's ejection time divided by this.
 	zoneEjectionParts = 2
 )
--- a/balancer/outlier_detection.go
+++ b/balancer/outlier_detection.go
@@ -6,20 +6,24 @@
 	// ejectionBase is the first ejection time. It doubles with each trial that fails, up to ejectionMax.
 	ejectionBase = time.Second
 	ejectionMax  = 8 * time.Second
+
 	// An ejection time is multiplied by a random factor between these, so that the sidecars do not all send
 	// their trials at once.
 	ejectionJitterMin    = 0.75
 	ejectionJitterMax    = 1.25
 	maxConsecutiveErrors = 3    // the number of error answers in a row that ejects
 	errorRatioWeight     = 0.25 // weight of one answer in the error ratio
+
 	// errorRatioEject is the error ratio above which an upstream is ejected: the second error in about four
 	// answers.
 	errorRatioEject  = 0.35
 	errorRatioReturn = 0.25 // error ratio above which an ejected upstream stays so after a good answer
+
 	// silenceObjectives is how long an upstream with failures may go without an answer, in mean latency
 	// objectives.
 	silenceObjectives      = 3.0
 	failuresBeforeEjection = 2 // failures in a row that eject: one connection may break by chance
+
 	// fastConnectParts: a connect that failed within ConnectTimeout divided by this was refused.
 	fastConnectParts = 2
 )
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -9,8 +9,10 @@
 	// giveUpMarginTicks, in ticks, is how long before its deadline a request is given up, so that the answer
 	// is out in time even if the driver's next events come a tick late.
 	giveUpMarginTicks = 2
+
 	// lateMarginTicks, in ticks, is how long before it becomes worthless a request is given up.
 	lateMarginTicks = 1
+
 	// dispatchRetryTicks, in ticks, is the pause until a request that no upstream is available for is tried
 	// again.
 	dispatchRetryTicks = 2
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -137,6 +137,7 @@
 	// more than usualTimeLeftVotesTrusted the value is relied on.
 	usualTimeLeftVotesMax     = 20
 	usualTimeLeftVotesTrusted = usualTimeLeftVotesMax / 2
+
 	// timeLeftToleranceTicks, in ticks, is how far from the usual a time left may be and still count as it.
 	timeLeftToleranceTicks = 2
 )
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -4,12 +4,15 @@
 
 const (
 	slowStartOverloadFraction = 0.8 // the part used of the load that would overload a starting upstream
+
 	// slowStartInitialLatency is the first estimate of a starting upstream, as a factor on the mean of its
 	// machine type. Below 1, so that it is chosen and the token bucket, not the estimate, holds it back.
 	slowStartInitialLatency = 0.9
+
 	// slowStartCapacityRatioMax bounds, upward and by its inverse downward, the capacity of a machine type
 	// relative to the mean.
 	slowStartCapacityRatioMax = 1.6
+
 	// slowStartBurstParts: the token bucket holds the tokens of OverloadWindow divided by this, at least one.
 	slowStartBurstParts = 10
 )
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -37,6 +37,7 @@
 const (
 	// snapshotValueMax bounds every latency and rate of a valid snapshot: seconds, or per second.
 	snapshotValueMax = 1e6
+
 	// snapshotEjectionFactor: a valid ejection is at most ejectionMax times this.
 	snapshotEjectionFactor = 2
 )
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -7,6 +7,7 @@
 	// each further failure, up to subscribeBackoffMax.
 	subscribeBackoffBase = time.Second
 	subscribeBackoffMax  = 8 * time.Second
+
 	// The pause is multiplied by a random factor between these, so that sidecars do not subscribe in step.
 	subscribeJitterMin = 0.5
 	subscribeJitterMax = 1.5
