--- a/grpcbalancer/warm.go
+++ b/grpcbalancer/warm.go
@@ -54,7 +54,7 @@
 		for name, at := range places {
 			ready[name] = at.ProcessID()
 		}
-		w.Members(now, ready)
+		w.SetMembers(now, ready)
 		open := subStates(policies)
 		for name, process := range connecting {
 			switch state := open[name]; {
@@ -70,7 +70,7 @@
 		p.warming.used = map[string]bool{}
 		p.warming.mu.Unlock()
 		for name := range used {
-			w.Used(now, name)
+			w.RecordUse(now, name)
 		}
 		total := 0
 		for _, state := range open {
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -13,31 +13,39 @@
 	"orchiddrift/internal/server/downstream"
 )
 
-// awaitAdmission has a request wait until its turn has come, where its service has a door. The answer is not nil where it goes no
-// further: nothing of it was sent.
-func (s *server) awaitAdmission(r *http.Request, svc *service, req *downstream.Request, begun time.Duration, body int) (controller.Permit, *engine.Answer) {
-	k := svc.admission.Load()
-	if k == nil {
+// awaitAdmission makes a request wait until it is admitted, if its service queues requests. rejected is the final answer of a request that
+// is not: nothing of it was sent.
+func (s *server) awaitAdmission(r *http.Request, service *service, req *downstream.Request, startedAt time.Duration,
+	bodyBytes int) (permit controller.Permit, rejected *engine.Answer) {
+	queue := service.admission.Load()
+	if queue == nil {
 		return controller.Permit{}, nil
 	}
-	marked := r.Header.Get(k.RetryHeader())
-	pass, verdict, in := k.Acquire(r.Context(), clientOf(r, req.Tenant), admission.Arrival{Class: req.Class.Name, CostHint: req.CostHint, ArrivedAt: begun,
-		Deadline: begun + req.Timeout, Bytes: int64(body), Retry: marked != "" && marked != "0", Fingerprint: fingerprint(req)})
+	retryMarker := r.Header.Get(queue.RetryHeader())
+	permit, verdict, retryAfter := queue.Acquire(r.Context(), clientOf(r, req.Tenant), admission.Arrival{
+		Class:       req.Class.Name,
+		CostHint:    req.CostHint,
+		ArrivedAt:   startedAt,
+		Deadline:    startedAt + req.Timeout,
+		Bytes:       int64(bodyBytes),
+		Retry:       retryMarker != "" && retryMarker != "0",
+		Fingerprint: fingerprint(req),
+	})
 	switch verdict {
 	case controller.Rejected:
-		return pass, &engine.Answer{Kind: engine.Rejected, RetryAfter: in}
+		return permit, &engine.Answer{Kind: engine.Rejected, RetryAfter: retryAfter}
 	case controller.ClientLeft:
-		return pass, &engine.Answer{Kind: engine.ClientGone}
+		return permit, &engine.Answer{Kind: engine.ClientGone}
 	}
-	return pass, nil
+	return permit, nil
 }
 
-// fingerprint tells requests apart: method, target and key, which a client's repeat has again.
+// fingerprint tells requests apart by method, target and key, which a client's retry repeats.
 func fingerprint(req *downstream.Request) uint64 {
 	var h xxhash.Digest
 	h.Reset()
 	for _, part := range [3]string{req.Method, req.Target, req.IdempotencyKey} {
-		_, _ = h.WriteString(part) // never fails
+		_, _ = h.WriteString(part) // it never fails
 		_, _ = h.WriteString("\x00")
 	}
 	return h.Sum64()
@@ -45,19 +53,23 @@
 
 // clientOf is what is known of a request's sender.
 func clientOf(r *http.Request, tenant string) admission.Client {
-	return admission.Client{Tenant: tenant, Header: r.Header.Get,
-		Peer: func() netip.Addr {
-			a, err := netip.ParseAddrPort(r.RemoteAddr)
-			if err != nil { // the library writes it
-				return netip.Addr{}
-			}
-			return a.Addr()
-		},
-		Certificate: func() string { return certificateName(r) }}
+	return admission.Client{
+		Tenant:      tenant,
+		Header:      r.Header.Get,
+		Peer:        func() netip.Addr { return peerAddress(r) },
+		Certificate: func() string { return certificateName(r) },
+	}
+}
+
+func peerAddress(r *http.Request) netip.Addr {
+	address, err := netip.ParseAddrPort(r.RemoteAddr)
+	if err != nil { // net/http writes it
+		return netip.Addr{}
+	}
+	return address.Addr()
 }
 
-// certificateName is the name that a client's certificate bears: its first URI, else its first DNS name, else its common
-// name.
+// certificateName is the name in a client's certificate: its first URI, else its first DNS name, else its common name.
 func certificateName(r *http.Request) string {
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return ""
--- a/internal/daemon/body.go
+++ b/internal/daemon/body.go
@@ -14,67 +14,77 @@
 	"orchiddrift/internal/upstream"
 )
 
-// Sizes of bodies, in bytes, and what a client may take to send one.
 const (
-	alwaysBufferedBytes = 64 << 10 // taken whole, whatever else is in hand
-	spoolMemoryFraction = 8        // longer ones as long as all of them take no more than this fraction of the memory
-	maxSpoolFraction    = 4        // and each no more than this fraction of that
-	minClientRate       = 32 << 10 // a second: half of what the slowest client that is served sends
+	// alwaysBufferedBytes of a body are read before it is decided on, whatever else is in flight.
+	alwaysBufferedBytes = 64 << 10
+	// Longer bodies are buffered as long as all of them together take at most a spoolMemoryFraction-th of the memory limit, and each at most
+	// a maxSpoolFraction-th of that.
+	spoolMemoryFraction = 8
+	maxSpoolFraction    = 4
+	// minClientRate is how fast a client has to send its body, in bytes a second.
+	minClientRate = 32 << 10
 	// uploadSlack is what upstreams may add to the time that a body takes.
 	uploadSlack = time.Minute
+	// Sizes of the first buffer of a body, in bytes.
+	minBodyBuffer = 512
+	maxBodyBuffer = 4 << 10
 )
 
+// past is a deadline that interrupts a read at once.
+var past = time.Unix(1, 0)
+
 var errBodyTooLarge = errors.New("the body is too large")
 
-// clientBody reads a client's body. The client may be waited for as long as patience and minClientRate give; what is spent between reads is
-// not its time.
+// clientBody reads a client's body. The client has timeLeft, which grows with each byte by minClientRate; time between reads does not count.
 type clientBody struct {
 	body        io.Reader
 	conn        *http.ResponseController
-	timeLeft    time.Duration // that the client may be waited for
-	bytesLeft   int64         // bytes that it may still send
-	failure     error         // why the body can't be had whole
-	started     bool          // something was read: the library has said 100 Continue where that was due
-	onRead      func(n int)   // so many bytes have been passed on
+	timeLeft    time.Duration
+	bytesLeft   int64       // that may still arrive
+	failure     error       // why the body cannot be read completely
+	started     bool        // something was read: net/http has written 100 Continue if it was due
+	onRead      func(n int) // is told of each read
 	interruptAt atomic.Pointer[time.Time]
 }
 
-func (p *clientBody) Read(b []byte) (int, error) {
-	if p.bytesLeft < 0 {
+// Read implements io.Reader.
+func (b *clientBody) Read(p []byte) (int, error) {
+	if b.bytesLeft < 0 {
 		return 0, errBodyTooLarge
 	}
-	begun := time.Now()
-	end := begun.Add(p.timeLeft)
-	_ = p.conn.SetReadDeadline(end) // can't fail on a server's own connections; should it, the read shows it
-	if !p.started {
-		p.started = true
-		_ = p.conn.SetWriteDeadline(end)
+	startedAt := time.Now()
+	deadline := startedAt.Add(b.timeLeft)
+	_ = b.conn.SetReadDeadline(deadline) // it cannot fail on a server's own connections; if it did, the read would show it
+	if !b.started {
+		b.started = true
+		_ = b.conn.SetWriteDeadline(deadline)
 	}
-	if by := p.interruptAt.Load(); by != nil && by.Before(end) { // after the deadline, which hurry sets too
-		_ = p.conn.SetReadDeadline(*by)
+	if at := b.interruptAt.Load(); at != nil && at.Before(deadline) { // checked after the deadline was set, which interruptBy sets too
+		_ = b.conn.SetReadDeadline(*at)
 	}
-	n, err := p.body.Read(b)
-	p.timeLeft += time.Duration(n)*time.Second/minClientRate - time.Since(begun)
-	if p.bytesLeft -= int64(n); p.bytesLeft < 0 {
+	n, err := b.body.Read(p)
+	b.timeLeft += time.Duration(n)*time.Second/minClientRate - time.Since(startedAt)
+	b.bytesLeft -= int64(n)
+	if b.bytesLeft < 0 {
 		err = errBodyTooLarge
 	}
-	if err != nil && err != io.EOF && p.interruptAt.Load() == nil {
-		p.failure = err
+	if err != nil && err != io.EOF && b.interruptAt.Load() == nil {
+		b.failure = err
 	}
-	p.onRead(n)
+	b.onRead(n)
 	return n, err
 }
 
-// interruptBy has reads end by then, also one that waits.
-func (p *clientBody) interruptBy(by time.Time) {
-	p.interruptAt.Store(&by)
-	_ = p.conn.SetReadDeadline(by) // see Read
+// interruptBy ends reads at a time, including one that is waiting.
+func (b *clientBody) interruptBy(t time.Time) {
+	b.interruptAt.Store(&t)
+	_ = b.conn.SetReadDeadline(t) // see Read
 }
 
-// interrupt has a Read that waits return.
-func (p *clientBody) interrupt() { p.interruptBy(time.Unix(1, 0)) }
+// interrupt makes a Read return that is waiting.
+func (b *clientBody) interrupt() { b.interruptBy(past) }
 
-// bodyRejection says how a client is told that its body could not be taken.
+// bodyRejection is the answer to a request whose body could not be read.
 func bodyRejection(err error) *downstream.Rejection {
 	switch {
 	case errors.Is(err, errBodyTooLarge):
@@ -85,36 +95,29 @@
 	return &downstream.Rejection{Status: http.StatusBadRequest, Text: fmt.Sprintf("reading the body: %v", err)}
 }
 
-// readBody takes in the request's body: whole, or where that takes too much memory and hold does not ask for it, its beginning.
-func (v *clientRequest) readBody(req *downstream.Request, patience time.Duration, hold bool) *downstream.Rejection {
-	length := v.r.ContentLength
+// readBody reads the request's body: completely, or if that takes too much memory and complete is not asked for, its beginning. Memory is
+// taken as the body arrives, since the head may be all that does.
+func (c *clientRequest) readBody(req *downstream.Request, timeout time.Duration, complete bool) *downstream.Rejection {
+	length := c.r.ContentLength
 	if length == 0 {
 		return nil
 	}
-	v.bodyReader = &clientBody{body: v.r.Body, conn: http.NewResponseController(v.w), timeLeft: patience, bytesLeft: req.Route.MaxBody,
-		onRead: v.daemon.shared.yieldAfter}
-	most := v.daemon.shared.spoolSize / maxSpoolFraction
-	if hold {
-		most = req.Route.MaxBody
-	}
-	// It takes memory as it comes: the head may be all that does.
-	v.body = make([]byte, 0, min(max(length, 512), 4<<10))
+	c.bodyReader = &clientBody{body: c.r.Body, conn: http.NewResponseController(c.w), timeLeft: timeout, bytesLeft: req.Route.MaxBody,
+		onRead: c.daemon.shared.yieldAfter}
+	c.body = make([]byte, 0, min(max(length, minBodyBuffer), maxBodyBuffer))
 	for {
-		if len(v.body) == cap(v.body) {
-			have := int64(len(v.body))
-			if !hold && have >= alwaysBufferedBytes && (have >= most || length > most) || !v.growBody(length) {
-				if hold {
-					return &downstream.Rejection{Status: http.StatusInternalServerError, Text: "not done: too much is in hand to keep the body"}
-				}
-				v.bodyStreams = true
-				return nil
+		if len(c.body) == cap(c.body) && !c.makeSpace(length, complete) {
+			if complete {
+				return &downstream.Rejection{Status: http.StatusInternalServerError, Text: "not done: too much is in hand to keep the body"}
 			}
+			c.bodyStreams = true
+			return nil
 		}
-		n, err := v.bodyReader.Read(v.body[len(v.body):cap(v.body)])
-		v.body = v.body[:len(v.body)+n]
+		n, err := c.bodyReader.Read(c.body[len(c.body):cap(c.body)])
+		c.body = c.body[:len(c.body)+n]
 		switch {
-		case err == io.EOF, err == nil && length > 0 && int64(len(v.body)) == length:
-			_ = v.bodyReader.conn.SetReadDeadline(time.Time{})
+		case err == io.EOF, err == nil && length > 0 && int64(len(c.body)) == length:
+			_ = c.bodyReader.conn.SetReadDeadline(time.Time{})
 			return nil
 		case err != nil:
 			return bodyRejection(err)
@@ -122,43 +125,53 @@
 	}
 }
 
-// growBody makes room for more of the body, whose length is told or -1; false: there is none to be had.
-func (v *clientRequest) growBody(length int64) bool {
-	now := int64(cap(v.body))
-	to := 2 * now
-	if now < alwaysBufferedBytes {
-		to = min(to, alwaysBufferedBytes)
+// makeSpace grows the buffer of a body. It returns false if the rest of the body has to be streamed or rejected.
+func (c *clientRequest) makeSpace(length int64, complete bool) bool {
+	buffered := int64(len(c.body))
+	limit := c.daemon.shared.spoolSize / maxSpoolFraction
+	if !complete && buffered >= alwaysBufferedBytes && (buffered >= limit || length > limit) {
+		return false
+	}
+	return c.growBody(length)
+}
+
+// growBody doubles the buffer, up to the body's length, or -1 if that is unknown. It returns false if the spool is full.
+func (c *clientRequest) growBody(length int64) bool {
+	size := int64(cap(c.body))
+	grown := 2 * size
+	if size < alwaysBufferedBytes {
+		grown = min(grown, alwaysBufferedBytes)
 	}
-	if length > now {
-		to = min(to, length)
+	if length > size {
+		grown = min(grown, length)
 	}
-	if more := to - alwaysBufferedBytes - v.spooled; more > 0 {
-		if !v.daemon.shared.bodySpool.TryAcquire(more) {
+	if more := grown - alwaysBufferedBytes - c.spooled; more > 0 {
+		if !c.daemon.shared.bodySpool.TryAcquire(more) {
 			return false
 		}
-		v.spooled += more
+		c.spooled += more
 	}
-	v.body = append(make([]byte, 0, to), v.body...)
+	c.body = append(make([]byte, 0, grown), c.body...)
 	return true
 }
 
-// releaseSpool gives back what the body holds.
-func (v *clientRequest) releaseSpool() {
-	if v.spooled > 0 {
-		v.daemon.shared.bodySpool.Release(v.spooled)
-		v.spooled = 0
+// releaseSpool gives back what the body holds of the spool.
+func (c *clientRequest) releaseSpool() {
+	if c.spooled > 0 {
+		c.daemon.shared.bodySpool.Release(c.spooled)
+		c.spooled = 0
 	}
 }
 
-// upload makes the request that passes on the rest of the body as it comes, and its call.
-func (v *clientRequest) upload(req *downstream.Request, call *engine.Call) *upstream.Request {
-	length := v.r.ContentLength
-	most := length
+// upload makes the request that forwards the rest of the body as it arrives, and extends the deadline of its call.
+func (c *clientRequest) upload(req *downstream.Request, call *engine.Call) *upstream.Request {
+	length := c.r.ContentLength
+	maxLength := length
 	if length < 0 {
-		most = req.Route.MaxBody
+		maxLength = req.Route.MaxBody
 	}
 	call.StreamedBody = true
-	call.Deadline += time.Duration(most)*time.Second/minClientRate + uploadSlack
-	return upstream.NewUpload(req.Method, req.Target, req.Host, req.Header, v.body,
-		&upstream.Upload{Body: v.bodyReader, Length: length, Timeout: req.Timeout, Interrupt: v.bodyReader.interrupt})
+	call.Deadline += time.Duration(maxLength)*time.Second/minClientRate + uploadSlack
+	return upstream.NewUpload(req.Method, req.Target, req.Host, req.Header, c.body,
+		&upstream.Upload{Body: c.bodyReader, Length: length, Timeout: req.Timeout, Interrupt: c.bodyReader.interrupt})
 }
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -7,53 +7,62 @@
 	"orchiddrift/internal/server/control"
 )
 
-// handleControl answers the operators' calls. Nothing in it waits for traffic: the figures are counters, and the module's lock is held
-// for one decision at a time.
+// Methods of the operators' calls, as the Allow header names them.
+const (
+	allowRead  = "GET, HEAD"
+	allowWrite = "POST"
+)
+
+// handleControl answers an operator's call. It waits for no traffic: metrics are counters, and the engine's lock is held for one decision at
+// a time.
 func (d *daemon) handleControl(c control.Call) control.Answer {
-	say := func(ok bool, yes, no string) control.Answer {
-		if ok {
-			return control.Answer{Status: http.StatusOK, Body: yes}
-		}
-		return control.Answer{Status: http.StatusServiceUnavailable, Body: no}
-	}
-	get := c.Method == http.MethodGet || c.Method == http.MethodHead
-	post := c.Method == http.MethodPost
-	wrong := func(allow string) control.Answer {
-		return control.Answer{Status: http.StatusMethodNotAllowed, Allow: allow, Body: "asked for with " + allow}
-	}
+	read := c.Method == http.MethodGet || c.Method == http.MethodHead
+	write := c.Method == http.MethodPost
 	switch c.Path {
 	case "/ready":
-		if !get {
-			return wrong("GET, HEAD")
+		if !read {
+			return methodNotAllowed(allowRead)
 		}
-		return say(!d.lifecycle.stopping.Load() && d.ready() && d.upgrade.established.Load(), "yes: "+d.lifecycle.state().String(), "no: "+d.notReadyReason())
+		ready := !d.lifecycle.stopping.Load() && d.ready() && d.upgrade.established.Load()
+		return yesOrNo(ready, "yes: "+d.lifecycle.state().String(), "no: "+d.notReadyReason())
 	case "/metrics":
-		if !get {
-			return wrong("GET, HEAD")
+		if !read {
+			return methodNotAllowed(allowRead)
 		}
 		return control.Answer{Status: http.StatusOK, Body: d.readMetrics().Text()}
 	case "/drain":
-		if !post {
-			return wrong("POST")
+		if !write {
+			return methodNotAllowed(allowWrite)
 		}
 		defer d.upgrade.notifyPeers(handover.Drain)
-		return say(d.lifecycle.drain(), "draining", "no: "+d.notReadyReason())
+		return yesOrNo(d.lifecycle.drain(), "draining", "no: "+d.notReadyReason())
 	case "/undrain":
-		if !post {
-			return wrong("POST")
+		if !write {
+			return methodNotAllowed(allowWrite)
 		}
 		defer d.upgrade.notifyPeers(handover.Undrain)
-		return say(d.lifecycle.undrain(), "serving", "no: "+d.notReadyReason())
+		return yesOrNo(d.lifecycle.undrain(), "serving", "no: "+d.notReadyReason())
 	}
 	return control.Answer{Status: http.StatusNotFound, Body: "known here: GET /ready, GET /metrics, POST /drain, POST /undrain"}
 }
 
-// notReadyReason words what keeps the process from serving.
+func methodNotAllowed(allow string) control.Answer {
+	return control.Answer{Status: http.StatusMethodNotAllowed, Allow: allow, Body: "asked for with " + allow}
+}
+
+func yesOrNo(ok bool, yes, no string) control.Answer {
+	if ok {
+		return control.Answer{Status: http.StatusOK, Body: yes}
+	}
+	return control.Answer{Status: http.StatusServiceUnavailable, Body: no}
+}
+
+// notReadyReason says what keeps the process from serving.
 func (d *daemon) notReadyReason() string {
-	if d.lifecycle.stopping.Load() {
+	switch {
+	case d.lifecycle.stopping.Load():
 		return d.lifecycle.state().String()
-	}
-	if d.ready() {
+	case d.ready():
 		return "its predecessor has not heard of it yet"
 	}
 	return "no upstream is known"
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -11,31 +11,44 @@
 	"github.com/cespare/xxhash/v2"
 
 	"orchiddrift/internal/config"
-	leases "orchiddrift/internal/lease"
+	"orchiddrift/internal/lease"
 	"orchiddrift/internal/lease/raftgroup"
 	"orchiddrift/internal/server/acceptor"
 	"orchiddrift/internal/task/runner"
 )
 
-// runTasks has the process take its part in the fleet's tasks. Requests never wait for any of it.
+// taskStream tells the random numbers of tasks from others of the same seed.
+const taskStream = "tasks"
+
+// runTasks starts the process's part in the fleet's tasks. Requests never wait for it.
 func (d *daemon) runTasks(ctx context.Context, p *config.Plan, file string) error {
 	if p.File == nil || len(p.File.Tasks) == 0 || p.File.Fleet.MaxTasks == 0 {
 		return nil
 	}
-	f := &p.File.Fleet
-	self, err := os.Executable()
+	fleet := &p.File.Fleet
+	executable, err := os.Executable()
 	if err != nil {
 		return fmt.Errorf("tasks: %w", err)
 	}
-	at, err := raftgroup.NewClient(f.Name, raftgroup.PeersOf(f))
+	leases, err := raftgroup.NewClient(fleet.Name, raftgroup.PeersOf(fleet))
 	if err != nil {
 		return fmt.Errorf("tasks: %w", err)
 	}
 	d.backgroundTasks.Go(func() {
-		defer at.Close()
-		err := runner.Run(ctx, runner.Options{Name: p.Name, Tasks: p.File.Tasks, Leases: at, Drift: f.Drift, Guard: []string{self, "lease", "--file", file, "guard"},
-			Listen: func() string { return d.listener.Addr().String() }, MaxRuns: f.MaxTasks, Seed: p.Seed ^ xxhash.Sum64String("tasks"),
-			Draining: func() bool { return d.lifecycle.stopping.Load() || !d.lifecycle.ready.Load() }, Now: time.Now, Log: d.log})
+		defer leases.Close()
+		err := runner.Run(ctx, runner.Options{
+			Name:     p.Name,
+			Tasks:    p.File.Tasks,
+			Leases:   leases,
+			Drift:    fleet.Drift,
+			Guard:    []string{executable, "lease", "--file", file, "guard"},
+			Listen:   func() string { return d.listener.Addr().String() },
+			MaxRuns:  fleet.MaxTasks,
+			Seed:     p.Seed ^ xxhash.Sum64String(taskStream),
+			Draining: func() bool { return d.lifecycle.stopping.Load() || !d.lifecycle.ready.Load() },
+			Now:      time.Now,
+			Log:      d.log,
+		})
 		if err != nil {
 			d.log.Error("tasks: this process runs none", "reason", err)
 		}
@@ -43,38 +56,43 @@
 	return nil
 }
 
-// joinFleet has the process take its part in the fleet's group, where the operator's file gives it one. A part that breaks off later, its disk
-// being torn, say, ends alone: requests are served all the same, and none waits for any of it.
+// joinFleet starts the process's part in the fleet's raft group, if the operator's file gives it one. A failure later, such as a torn file,
+// ends that part alone: requests are served all the same, and none waits for it.
 func (d *daemon) joinFleet(ctx context.Context, p *config.Plan) error {
 	if p.File == nil || p.File.Fleet.Member == "" {
 		return nil
 	}
-	f := &p.File.Fleet
-	address := f.Listen
-	for _, m := range f.Members {
-		if m.Name == f.Member {
-			address = cmp.Or(address, m.Address)
-		}
-	}
-	l, err := net.Listen("tcp", address)
+	fleet := &p.File.Fleet
+	listener, err := net.Listen("tcp", memberAddress(fleet))
 	if err != nil {
 		return fmt.Errorf("listening for the fleet: %w", err)
 	}
 	d.backgroundTasks.Go(func() {
-		if err := d.runFleetMember(ctx, f, l); err != nil {
-			d.log.Error("fleet: this process takes no part in the group any more", "member", f.Member, "reason", err)
+		if err := d.runFleetMember(ctx, fleet, listener); err != nil {
+			d.log.Error("fleet: this process takes no part in the group any more", "member", fleet.Member, "reason", err)
 		}
 	})
-	d.log.Info("fleet: listening", "member", f.Member, "address", l.Addr().String())
+	d.log.Info("fleet: listening", "member", fleet.Member, "address", listener.Addr().String())
 	return nil
 }
 
-func (d *daemon) runFleetMember(ctx context.Context, f *leases.Declaration, l net.Listener) error {
-	m, err := raftgroup.New(ctx, raftgroup.Options{Fleet: f.Name, Name: f.Member, Peers: raftgroup.PeersOf(f), File: f.File, Limits: f.Limits(),
-		Drift: f.Drift, Tick: f.Tick.D(), Log: d.log})
+// memberAddress is where this process listens for the group: its own setting, or else its address in the group.
+func memberAddress(fleet *lease.Declaration) string {
+	address := fleet.Listen
+	for _, m := range fleet.Members {
+		if m.Name == fleet.Member {
+			address = cmp.Or(address, m.Address)
+		}
+	}
+	return address
+}
+
+func (d *daemon) runFleetMember(ctx context.Context, fleet *lease.Declaration, listener net.Listener) error {
+	member, err := raftgroup.New(ctx, raftgroup.Options{Fleet: fleet.Name, Name: fleet.Member, Peers: raftgroup.PeersOf(fleet), File: fleet.File,
+		Limits: fleet.Limits(), Drift: fleet.Drift, Tick: fleet.Tick.D(), Log: d.log})
 	if err != nil {
-		l.Close()
+		listener.Close()
 		return err
 	}
-	return m.Run(ctx, acceptor.New(l, d.log))
+	return member.Run(ctx, acceptor.New(listener, d.log))
 }
--- a/internal/daemon/idempotency.go
+++ b/internal/daemon/idempotency.go
@@ -16,62 +16,65 @@
 	"orchiddrift/internal/upstream"
 )
 
-// executorStep is a test's: see repeatkeeper.Options.Step.
+// replayedHeader marks an answer that an earlier request of the same key has had.
+const replayedHeader = "Idempotent-Replayed"
+
+// executorStep is set by tests: see executor.Options.Step.
 var executorStep func(step string)
 
-// openExecutor finds or makes the keeper of a service's keys. It outlives the service: one that a reload starts anew, or takes
-// away for a while, knows its keys again.
+// openExecutor returns the executor of a service's idempotency keys, and makes it if there is none. It outlives the service: a service that
+// a reload starts anew, or removes for a while, finds its keys again.
 func (sh *sharedResources) openExecutor(plan config.ServicePlan) (*executor.Executor, error) {
 	if plan.Idempotency == nil {
 		return nil, nil
 	}
 	sh.executorsMu.Lock()
 	defer sh.executorsMu.Unlock()
-	if k := sh.executors[plan.Name]; k != nil {
-		k.Configure(plan.Idempotency.Options, executor.DedupWindows(&plan.Settings.Settings))
-		return k, nil
+	if x := sh.executors[plan.Name]; x != nil {
+		x.Configure(plan.Idempotency.Options, executor.DedupWindows(&plan.Settings.Settings))
+		return x, nil
 	}
-	k, err := executor.Open(sh.filesCtx, *plan.Idempotency, plan.Name, &plan.Settings.Settings, sh.fileLockTimeout, executor.Options{Clock: sh.clock,
-		Log: sh.log.With("service", plan.Name), Step: executorStep})
+	x, err := executor.Open(sh.filesCtx, *plan.Idempotency, plan.Name, &plan.Settings.Settings, sh.fileLockTimeout,
+		executor.Options{Clock: sh.clock, Log: sh.log.With("service", plan.Name), Step: executorStep})
 	if err != nil {
 		return nil, fmt.Errorf("repeats: %w", err)
 	}
 	if sh.executors == nil {
 		sh.executors = map[string]*executor.Executor{}
 	}
-	sh.executors[plan.Name] = k
-	return k, nil
+	sh.executors[plan.Name] = x
+	return x, nil
 }
 
 // abortExecutors ends what waits for other processes.
 func (sh *sharedResources) abortExecutors() {
 	sh.executorsMu.Lock()
 	defer sh.executorsMu.Unlock()
-	for _, k := range sh.executors {
-		k.Abort()
+	for _, x := range sh.executors {
+		x.Abort()
 	}
 }
 
-// closeExecutors ends all keepers; their engines are closed.
+// closeExecutors ends all executors, after the engines of their services.
 func (sh *sharedResources) closeExecutors() {
 	sh.executorsMu.Lock()
 	defer sh.executorsMu.Unlock()
-	for _, k := range sh.executors {
-		k.Close()
+	for _, x := range sh.executors {
+		x.Close()
 	}
 }
 
-// setExecutor takes over what a plan says of repeats.
+// setExecutor applies what a plan says of idempotency keys.
 func (s *service) setExecutor(plan config.ServicePlan) error {
-	k, err := s.shared.openExecutor(plan)
+	x, err := s.shared.openExecutor(plan)
 	if err != nil {
 		return fmt.Errorf("service %s: %w", plan.Name, err)
 	}
-	s.executor.Store(k)
+	s.executor.Store(x)
 	return nil
 }
 
-// executorFor tells whether a request's repeats are looked for.
+// executorFor returns the executor of a request's key; nil: retries of it are not recognised.
 func (s *service) executorFor(class *balancer.Class, key string) *executor.Executor {
 	if class.Idempotency != balancer.IdempotentWithKey || key == "" {
 		return nil
@@ -79,80 +82,97 @@
 	return s.executor.Load()
 }
 
-// idempotentTransport are a keyed request's: what may have run is noted before it is sent.
+// idempotentTransport records attempts of a request with a key before they are sent.
 type idempotentTransport struct {
 	engine.Transport
 	service    *service
 	recorder   executor.AttemptRecorder
-	mayHaveRun *atomic.Int64 // of them, so many
+	mayHaveRun *atomic.Int64 // attempts
 }
 
-// RoundTrip is engine.Transport's.
-func (c idempotentTransport) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
-	x := idempotency.Attempt{Zone: a.Zone, Cell: a.Cell, SentAt: c.service.shared.clock.Now()}
-	c.recorder.AttemptStarted(x)
-	c.mayHaveRun.Add(1)
-	r := c.Transport.RoundTrip(ctx, a)
-	switch r.Result {
+// RoundTrip implements engine.Transport.
+func (t idempotentTransport) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
+	attempt := idempotency.Attempt{Zone: a.Zone, Cell: a.Cell, SentAt: t.service.shared.clock.Now()}
+	t.recorder.AttemptStarted(attempt)
+	t.mayHaveRun.Add(1)
+	result := t.Transport.RoundTrip(ctx, a)
+	switch result.Result {
 	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
-		c.recorder.AttemptNotSent(x)
-		c.mayHaveRun.Add(-1)
+		t.recorder.AttemptNotSent(attempt)
+		t.mayHaveRun.Add(-1)
 	}
-	return r
+	return result
 }
 
-// executeOnce gives a keyed request the end of the first one of its key. It runs apart from its clients where it is the first: carrier makes
-// what carries out its attempts, and end gives back what those held.
-func (s *service) executeOnce(ctx context.Context, k *executor.Executor, call engine.Call, key, method, target string, body []byte,
-	carrier func() (c engine.Transport, end func())) executor.Result {
+// keyedRequest is a request with an idempotency key.
+type keyedRequest struct {
+	executor       *executor.Executor
+	call           engine.Call
+	key            string
+	method, target string
+	body           []byte
+	// newTransport makes what carries out the attempts; release gives back what they held.
+	newTransport func() (t engine.Transport, release func())
+}
+
+func (q *keyedRequest) id() idempotency.ID {
+	return idempotency.ID{Tenant: q.call.Tenant, Class: q.call.Class, Key: q.key}
+}
+
+// fingerprint tells different requests of one key apart.
+func (q *keyedRequest) fingerprint() (f idempotency.Fingerprint) {
 	h := sha256.New()
-	fmt.Fprintf(h, "%s\x00%s\x00", method, target) // a hash takes everything
-	h.Write(body)
-	ctx, cancel := context.WithTimeout(ctx, call.Deadline-s.shared.clock.Now())
+	fmt.Fprintf(h, "%s\x00%s\x00", q.method, q.target) // a hash never fails
+	h.Write(q.body)
+	copy(f[:], h.Sum(nil))
+	return f
+}
+
+// executeOnce gives a request with a key the outcome of the first request of its key. If it is the first it runs apart from its client, which
+// may disconnect while others wait.
+func (s *service) executeOnce(ctx context.Context, q keyedRequest) executor.Result {
+	ctx, cancel := context.WithTimeout(ctx, q.call.Deadline-s.shared.clock.Now())
 	defer cancel()
-	return k.Do(ctx, idempotency.ID{Tenant: call.Tenant, Class: call.Class, Key: key}, idempotency.Fingerprint(h.Sum(nil)[:16]),
-		func(wanted context.Context, prior []idempotency.Attempt, sends executor.AttemptRecorder) executor.Outcome {
-			c, end := carrier()
-			defer end()
-			for _, x := range prior {
-				call.EarlierAttempts = append(call.EarlierAttempts, balancer.EarlierAttempt{Zone: x.Zone, Cell: x.Cell, SentAt: x.SentAt})
-			}
-			call.Interest = wanted
-			var mayRun atomic.Int64
-			a := s.engine.Do(context.Background(), call, idempotentTransport{c, s, sends, &mayRun})
-			switch a.Kind {
-			case engine.Served:
-				rep := a.Value.(*upstream.Response)
-				return executor.Outcome{Verdict: idempotency.Replay, Answer: &idempotency.Answer{Status: rep.Status, Header: rep.Header, Body: rep.Body}}
-			case engine.Rejected, engine.Duplicate, engine.EngineClosed:
-				return executor.Outcome{Verdict: idempotency.Reject, RetryAfter: a.RetryAfter}
-			case engine.ClientGone: // all have left
-				if mayRun.Load() == 0 && len(prior) == 0 {
-					return executor.Outcome{Verdict: idempotency.Reject}
-				}
-			}
-			return executor.Outcome{Verdict: idempotency.Fail}
+	return q.executor.Do(ctx, q.id(), q.fingerprint(),
+		func(interest context.Context, earlier []idempotency.Attempt, recorder executor.AttemptRecorder) executor.Outcome {
+			return s.execute(q, interest, earlier, recorder)
 		})
 }
 
-// replayedHeader marks an answer that an earlier request of its key has had.
-const replayedHeader = "Idempotent-Replayed"
+// execute runs a request with a key. interest ends once no client waits for it; earlier are attempts of its key that may have run.
+func (s *service) execute(q keyedRequest, interest context.Context, earlier []idempotency.Attempt, recorder executor.AttemptRecorder) executor.Outcome {
+	transport, release := q.newTransport()
+	defer release()
+	call := q.call
+	for _, a := range earlier {
+		call.EarlierAttempts = append(call.EarlierAttempts, balancer.EarlierAttempt{Zone: a.Zone, Cell: a.Cell, SentAt: a.SentAt})
+	}
+	call.Interest = interest
+	var mayHaveRun atomic.Int64
+	answer := s.engine.Do(context.Background(), call, idempotentTransport{transport, s, recorder, &mayHaveRun})
+	switch answer.Kind {
+	case engine.Served:
+		response := answer.Value.(*upstream.Response)
+		return executor.Outcome{Verdict: idempotency.Replay,
+			Answer: &idempotency.Answer{Status: response.Status, Header: response.Header, Body: response.Body}}
+	case engine.Rejected, engine.Duplicate, engine.EngineClosed:
+		return executor.Outcome{Verdict: idempotency.Reject, RetryAfter: answer.RetryAfter}
+	case engine.ClientGone: // no client waits any more
+		if mayHaveRun.Load() == 0 && len(earlier) == 0 {
+			return executor.Outcome{Verdict: idempotency.Reject}
+		}
+	}
+	return executor.Outcome{Verdict: idempotency.Fail}
+}
 
-// answerFor is a Result as the engine would have told it; conflict is not 0 where it has no word for it.
-func answerFor(r executor.Result) (a engine.Answer, conflict int) {
+// answerFor translates a Result into an answer of the engine. conflict is the HTTP status of a key that stands against the request; 0: it
+// does not.
+func answerFor(r executor.Result) (answer engine.Answer, conflict int) {
 	switch {
 	case r.ClientLeft:
 		return engine.Answer{Kind: engine.ClientGone}, 0
 	case r.Verdict == idempotency.Replay:
-		rep := &upstream.Response{Status: r.Answer.Status, Header: r.Answer.Header, Body: r.Answer.Body}
-		if !r.Executed {
-			rep.Header = maps.Clone(http.Header(r.Answer.Header))
-			if rep.Header == nil {
-				rep.Header = http.Header{}
-			}
-			rep.Header.Set(replayedHeader, "true")
-		}
-		return engine.Answer{Kind: engine.Served, Value: rep}, 0
+		return engine.Answer{Kind: engine.Served, Value: storedResponse(r)}, 0
 	case r.Verdict == idempotency.Reject:
 		return engine.Answer{Kind: engine.Rejected, RetryAfter: r.RetryAfter}, 0
 	case r.Verdict == idempotency.Conflict:
@@ -163,7 +183,21 @@
 	return engine.Answer{Kind: engine.Failed}, 0
 }
 
-// conflictText words why a key stands against a request.
+// storedResponse is the answer of a Result, marked if an earlier request has had it.
+func storedResponse(r executor.Result) *upstream.Response {
+	response := &upstream.Response{Status: r.Answer.Status, Header: r.Answer.Header, Body: r.Answer.Body}
+	if r.Executed {
+		return response
+	}
+	response.Header = maps.Clone(response.Header)
+	if response.Header == nil {
+		response.Header = http.Header{}
+	}
+	response.Header.Set(replayedHeader, "true")
+	return response
+}
+
+// conflictText says why a key stands against a request.
 func conflictText(status int) string {
 	if status == http.StatusUnprocessableEntity {
 		return "the key was used for another request"
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -10,122 +10,152 @@
 	"orchiddrift/internal/server/downstream"
 )
 
-// lifecycleDriver drives package life: it closes the connections that are to be closed, and ends once the process has nothing left to do.
-// It is safe for concurrent use.
+const (
+	// drainPollInterval is how often the end of the clients' connections is checked once nothing new is accepted.
+	drainPollInterval = 10 * time.Millisecond
+	// idleInterval is the wait where nothing is due.
+	idleInterval = time.Hour
+)
+
+// lifecycleDriver drives package lifecycle: it closes the connections that are to be closed, and ends once the process has nothing left to
+// do. It is safe for concurrent use.
 type lifecycleDriver struct {
 	clock       clock.Clock
 	connections *downstream.Connections
 
-	ready            atomic.Bool // clients are to be sent here
-	closeAfterAnswer atomic.Bool // answers are the last of their connections
+	// What requests look at, as the machine says.
+	ready            atomic.Bool // clients are wanted here
+	closeAfterAnswer atomic.Bool // each answer is the last of its connection
 	stopping         atomic.Bool // the process is ending
 	aborted          atomic.Bool // what was unanswered has been failed, and nothing more is sent
 
 	mu           sync.Mutex
 	machine      *lifecycle.Machine
-	abandoned    bool
-	stateChanged chan struct{} // holds one: the state is another
+	abandoned    bool          // run ends at once
+	stateChanged chan struct{} // wakes run; it holds one
 }
 
-func newLifecycleDriver(c clock.Clock, grace time.Duration, conns *downstream.Connections) *lifecycleDriver {
-	n := &lifecycleDriver{clock: c, connections: conns, machine: lifecycle.New(grace), stateChanged: make(chan struct{}, 1)}
-	n.ready.Store(true)
-	return n
+func newLifecycleDriver(c clock.Clock, grace time.Duration, connections *downstream.Connections) *lifecycleDriver {
+	l := &lifecycleDriver{clock: c, connections: connections, machine: lifecycle.New(grace), stateChanged: make(chan struct{}, 1)}
+	l.ready.Store(true)
+	return l
 }
 
-// change changes the state.
-func (c *lifecycleDriver) change(by func(*lifecycle.Machine, time.Duration) bool) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	ok := by(c.machine, c.clock.Now())
-	c.ready.Store(c.machine.Ready())
-	c.closeAfterAnswer.Store(c.machine.CloseAfterAnswer())
-	c.stopping.Store(c.machine.Ending())
+// change applies a change of state, and publishes what requests look at.
+func (l *lifecycleDriver) change(apply func(*lifecycle.Machine, time.Duration) bool) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	ok := apply(l.machine, l.clock.Now())
+	l.ready.Store(l.machine.Ready())
+	l.closeAfterAnswer.Store(l.machine.CloseAfterAnswer())
+	l.stopping.Store(l.machine.Ending())
 	select {
-	case c.stateChanged <- struct{}{}:
+	case l.stateChanged <- struct{}{}:
 	default:
 	}
 	return ok
 }
 
-func (c *lifecycleDriver) drain() bool   { return c.change((*lifecycle.Machine).Drain) }
-func (c *lifecycleDriver) undrain() bool { return c.change((*lifecycle.Machine).Undrain) }
+func (l *lifecycleDriver) drain() bool   { return l.change((*lifecycle.Machine).Drain) }
+func (l *lifecycleDriver) undrain() bool { return l.change((*lifecycle.Machine).Undrain) }
 
-func (c *lifecycleDriver) stop(successor bool) {
-	c.change(func(l *lifecycle.Machine, now time.Duration) bool {
-		l.Stop(now, successor)
+// stop ends the process; successor says that another one has taken its place.
+func (l *lifecycleDriver) stop(successor bool) {
+	l.change(func(m *lifecycle.Machine, now time.Duration) bool {
+		m.Stop(now, successor)
 		return true
 	})
 }
 
 // abandon ends run at once.
-func (c *lifecycleDriver) abandon() {
-	c.change(func(*lifecycle.Machine, time.Duration) bool {
-		c.abandoned = true
+func (l *lifecycleDriver) abandon() {
+	l.change(func(*lifecycle.Machine, time.Duration) bool {
+		l.abandoned = true
 		return true
 	})
 }
 
-func (c *lifecycleDriver) state() lifecycle.State {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.machine.State()
+func (l *lifecycleDriver) state() lifecycle.State {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.machine.State()
 }
 
-// awaitConnections waits until the last answers are written and their connections closed, or that long, and then closes those that are left.
-func (c *lifecycleDriver) awaitConnections(most time.Duration) {
-	for last := time.Now().Add(most); !c.connections.Drained() && time.Now().Before(last); {
+// awaitConnections waits until the last answers are written and their connections closed, for timeout at most, and closes the rest.
+func (l *lifecycleDriver) awaitConnections(timeout time.Duration) {
+	for deadline := time.Now().Add(timeout); !l.connections.Drained() && time.Now().Before(deadline); {
 		time.Sleep(drainPollInterval)
 	}
-	c.connections.CloseAll()
+	l.connections.CloseAll()
+}
+
+// lifecycleStep is what the machine asks for at one time.
+type lifecycleStep struct {
+	closeIdle   bool          // close connections that have been idle for idleTimeout
+	idleTimeout time.Duration // see closeIdle
+	again       time.Duration // until the machine is asked again; 0: at its next change
+	accepts     bool          // new connections are accepted
+	ending      bool
+	abandoned   bool
+	abort       bool          // fail what is unanswered
+	untilAbort  time.Duration // of an ending process
 }
 
-// drainPollInterval is how often the end of connections is looked for, once nothing new is accepted.
-const drainPollInterval = 10 * time.Millisecond
+func (l *lifecycleDriver) step() lifecycleStep {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.clock.Now()
+	var s lifecycleStep
+	s.idleTimeout, s.again, s.closeIdle = l.machine.IdleTimeout(now)
+	s.accepts, s.ending, s.abandoned = l.machine.Accepts(now), l.machine.Ending(), l.abandoned
+	s.untilAbort, s.abort = l.machine.Abort(now)
+	return s
+}
 
-// run returns once the process ends and all connections of clients have ended, or what they wait for has been failed by abort.
-func (c *lifecycleDriver) run(abort func()) {
-	wait := time.NewTimer(time.Hour)
-	defer wait.Stop()
+// run returns once the process is ending and all connections of clients have ended, or what is unanswered has been failed by abort.
+func (l *lifecycleDriver) run(abort func()) {
+	timer := time.NewTimer(idleInterval)
+	defer timer.Stop()
 	accepting := true
 	for {
-		c.mu.Lock()
-		now := c.clock.Now()
-		rest, again, closing := c.machine.IdleTimeout(now)
-		accepts, ending, abandoned := c.machine.Accepts(now), c.machine.Ending(), c.abandoned
-		left, over := c.machine.Abort(now)
-		c.mu.Unlock()
-		if abandoned {
+		s := l.step()
+		if s.abandoned {
 			return
 		}
-		if accepting && !accepts {
+		if accepting && !s.accepts {
 			accepting = false
-			c.connections.Close() // its error says that it was closed
+			l.connections.Close() // an error says that it was closed
 		}
-		if closing {
-			c.connections.CloseIdle(rest)
+		if s.closeIdle {
+			l.connections.CloseIdle(s.idleTimeout)
 		}
-		if over {
-			c.aborted.Store(true)
+		if s.abort {
+			l.aborted.Store(true)
 			abort()
 			return
 		}
-		if !accepting && c.connections.Drained() {
+		if !accepting && l.connections.Drained() {
 			return
 		}
-		switch {
-		case !ending && again == 0:
-			again = time.Hour
-		case ending && !accepting:
-			again = min(again, drainPollInterval)
-		}
-		if ending {
-			again = min(again, left)
-		}
-		wait.Reset(again)
+		timer.Reset(s.wait(accepting))
 		select {
-		case <-wait.C:
-		case <-c.stateChanged:
+		case <-timer.C:
+		case <-l.stateChanged:
 		}
 	}
 }
+
+// wait is how long nothing is due.
+func (s *lifecycleStep) wait(accepting bool) time.Duration {
+	again := s.again
+	switch {
+	case !s.ending && again == 0:
+		again = idleInterval
+	case s.ending && !accepting:
+		again = min(again, drainPollInterval)
+	}
+	if s.ending {
+		again = min(again, s.untilAbort)
+	}
+	return again
+}
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -8,16 +8,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// listen opens the clients' address so that a successor may open it too, while this process still serves.
+// listen opens the clients' address with SO_REUSEPORT, so that a successor may open it too while this process still serves.
 func listen(address string) (net.Listener, error) {
-	c := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
-		if failed := raw.Control(func(fd uintptr) {
+		failed := raw.Control(func(fd uintptr) {
 			err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
-		}); failed != nil {
+		})
+		if failed != nil {
 			return failed
 		}
 		return err
 	}}
-	return c.Listen(context.Background(), "tcp", address)
+	return config.Listen(context.Background(), "tcp", address)
 }
--- a/internal/daemon/load_probing.go
+++ b/internal/daemon/load_probing.go
@@ -11,8 +11,12 @@
 	"orchiddrift/internal/upstream/loadprobe"
 )
 
-// loadProbing asks upstreams of a service for their load, as package probe decides, and tells the module. It is safe for concurrent
-// use.
+// memberSyncInterval is how often the members are brought to what is listed. An upstream that is removed is not probed before, since the
+// pool checks the registry at each write.
+const memberSyncInterval = 250 * time.Millisecond
+
+// loadProbing probes upstreams of a service for their load as package loadprobe decides, and reports the answers to the engine. It is safe
+// for concurrent use. The methods of a nil loadProbing do nothing.
 type loadProbing struct {
 	service *service
 	options loadprobe.Options
@@ -25,83 +29,90 @@
 	inFlight sync.WaitGroup // probes
 }
 
-// memberSyncInterval is how often the list is looked at: an upstream that is gone is not sent to before, since the pool asks the directory
-// at each write.
-const memberSyncInterval = 250 * time.Millisecond
-
 func newLoadProbing(s *service, o loadprobe.Options, rng *rand.Rand) *loadProbing {
 	return &loadProbing{service: s, options: o, prober: loadprobe.New(o, rng), members: map[string]bool{}, syncedAt: -memberSyncInterval}
 }
 
-// beforeRequest asks what is to be asked before a request, and returns once all but one have answered, or patience has ended: one upstream
-// that hangs holds no request up. What comes later is told too. A nil one does nothing.
-func (b *loadProbing) beforeRequest(ctx context.Context) {
-	if b == nil {
+// beforeRequest sends the probes that are due before a request. It returns once all but one have an answer, or their timeout is over, so
+// that one upstream that hangs holds up no request. Later answers are reported too.
+func (p *loadProbing) beforeRequest(ctx context.Context) {
+	if p == nil {
 		return
 	}
-	now := b.service.shared.clock.Now()
-	b.mu.Lock()
-	if now-b.syncedAt >= memberSyncInterval {
-		b.syncedAt = now
-		b.syncMembers()
-	}
-	var names []string
-	if !b.closed {
-		names = b.prober.Targets(now)
-		b.inFlight.Add(len(names))
-	}
-	b.mu.Unlock()
+	names := p.targets()
 	if len(names) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), b.options.Timeout.D())
-	end := cancel // by the last of them
-	answers := make(chan struct{}, len(names))
-	var left atomic.Int64
-	left.Store(int64(len(names)))
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.options.Timeout.D())
+	end := cancel // called by the last of the probes
+	answered := make(chan struct{}, len(names))
+	var remaining atomic.Int64
+	remaining.Store(int64(len(names)))
 	for _, name := range names {
 		go func() {
-			defer b.inFlight.Done()
-			r := b.service.pool.Probe(ctx, name, b.options.Path)
-			b.mu.Lock()
-			b.prober.Answered(b.service.shared.clock.Now(), name, r.Result == balancer.OK)
-			b.mu.Unlock()
-			b.service.engine.ReportProbe(r)
-			if left.Add(-1) == 0 {
+			defer p.inFlight.Done()
+			p.probe(ctx, name)
+			if remaining.Add(-1) == 0 {
 				end()
 			}
-			answers <- struct{}{}
+			answered <- struct{}{}
 		}()
 	}
 	for range max(len(names)-1, min(2, len(names))) { // each ends with ctx at the latest
-		<-answers
+		<-answered
 	}
 }
 
-// close waits for what is out; nothing is asked any more.
-func (b *loadProbing) close() {
-	if b == nil {
+// targets names the upstreams to probe now, and counts them as in flight.
+func (p *loadProbing) targets() []string {
+	now := p.service.shared.clock.Now()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if now-p.syncedAt >= memberSyncInterval {
+		p.syncedAt = now
+		p.syncMembers()
+	}
+	if p.closed {
+		return nil
+	}
+	names := p.prober.Targets(now)
+	p.inFlight.Add(len(names))
+	return names
+}
+
+// probe sends one probe and reports its answer.
+func (p *loadProbing) probe(ctx context.Context, name string) {
+	result := p.service.pool.Probe(ctx, name, p.options.Path)
+	p.mu.Lock()
+	p.prober.Answered(p.service.shared.clock.Now(), name, result.Result == balancer.OK)
+	p.mu.Unlock()
+	p.service.engine.ReportProbe(result)
+}
+
+// close sends no further probes, and waits for those in flight.
+func (p *loadProbing) close() {
+	if p == nil {
 		return
 	}
-	b.mu.Lock()
-	b.closed = true
-	b.mu.Unlock()
-	b.inFlight.Wait()
+	p.mu.Lock()
+	p.closed = true
+	p.mu.Unlock()
+	p.inFlight.Wait()
 }
 
-// syncMembers brings the prober's members to what is listed now.
-func (b *loadProbing) syncMembers() {
-	places := b.service.registry.Instances()
-	for name := range b.members {
-		if _, stays := places[name]; !stays {
-			b.prober.Remove(name)
-			delete(b.members, name)
+// syncMembers makes the upstreams that are ready the prober's members. p.mu is held.
+func (p *loadProbing) syncMembers() {
+	instances := p.service.registry.Instances()
+	for name := range p.members {
+		if _, ready := instances[name]; !ready {
+			p.prober.Remove(name)
+			delete(p.members, name)
 		}
 	}
-	for name := range places {
-		if !b.members[name] {
-			b.prober.Add(name)
-			b.members[name] = true
+	for name := range instances {
+		if !p.members[name] {
+			p.prober.Add(name)
+			p.members[name] = true
 		}
 	}
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -5,36 +5,44 @@
 	"orchiddrift/internal/metrics"
 )
 
-// readMetrics reads the figures. The upstreams are those of all services, and which of them are avoided is the module's own word; those
-// that drain are avoided too.
+// readMetrics reads all metrics. The upstreams are those of all services; unavailable are those that the balancer avoids and those that
+// are draining.
 func (d *daemon) readMetrics() metrics.Reading {
-	f := d.metrics.Read()
+	reading := d.metrics.Read()
 	for _, s := range d.routing.Load().services {
-		ready, leaving := 0, s.registry.DrainingCount()
-		for _, u := range s.engine.View() {
-			ready++
-			if u.TrialOnly {
-				f.Unavailable++
-			}
-		}
-		f.Members += int64(ready + leaving)
-		f.Unavailable += int64(leaving)
-		if w := s.watcher(); w != nil {
-			age, overdue := w.Age()
-			if f.ListAge = max(f.ListAge, age.Milliseconds()); overdue {
-				f.Overdue++
-			}
-			made, failed := w.Calls()
-			f.ListCalls += made
-			f.ListCallsFailed += failed
+		s.addTo(&reading)
+	}
+	return reading
+}
+
+// addTo adds a service's upstreams and lists to a reading.
+func (s *service) addTo(reading *metrics.Reading) {
+	draining := int64(s.registry.DrainingCount())
+	upstreams := s.engine.View()
+	for _, u := range upstreams {
+		if u.TrialOnly {
+			reading.Unavailable++
 		}
 	}
-	return f
+	reading.Members += int64(len(upstreams)) + draining
+	reading.Unavailable += draining
+	watcher := s.watcher()
+	if watcher == nil {
+		return
+	}
+	age, stale := watcher.Age()
+	reading.ListAge = max(reading.ListAge, age.Milliseconds())
+	if stale {
+		reading.Overdue++
+	}
+	made, failed := watcher.Calls()
+	reading.ListCalls += made
+	reading.ListCallsFailed += failed
 }
 
-// metricOutcome is a final answer as the figures count it.
-func metricOutcome(k engine.AnswerKind) metrics.Outcome {
-	switch k {
+// metricOutcome is how a final answer is counted.
+func metricOutcome(kind engine.AnswerKind) metrics.Outcome {
+	switch kind {
 	case engine.Served:
 		return metrics.Completed
 	case engine.Rejected:
--- /dev/null
+++ b/internal/daemon/response.go
@@ -0,0 +1,149 @@
+package daemon
+
+import (
+	"io"
+	"maps"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"orchiddrift/internal/engine"
+	"orchiddrift/internal/httpheader"
+	"orchiddrift/internal/metrics"
+	"orchiddrift/internal/server/downstream"
+	"orchiddrift/internal/upstream"
+)
+
+const (
+	// writeTimeout is how long a client may take for its answer.
+	writeTimeout = 5 * time.Second
+	// passThroughTimeout is how long a client may take nothing of an answer that is forwarded as it arrives.
+	passThroughTimeout = 10 * time.Second
+	// rejectedReadTime is how long the rest of a rejected request is read, so that a reset does not destroy the answer.
+	rejectedReadTime = 900 * time.Millisecond
+	// passThroughBuffer is the size of the pieces of an answer that is forwarded as it arrives, in bytes.
+	passThroughBuffer = 32 << 10
+)
+
+var passThroughBuffers = sync.Pool{New: func() any { return new([passThroughBuffer]byte) }}
+
+// writeAnswer writes a final answer in the form of the platform's protocol.
+func (s *server) writeAnswer(w http.ResponseWriter, answer engine.Answer) {
+	switch answer.Kind {
+	case engine.Served:
+		response := answer.Value.(*upstream.Response)
+		maps.Copy(w.Header(), response.Header)
+		s.write(w, response.Status, response.Body)
+	case engine.Rejected:
+		setRetryAfter(w.Header(), answer.RetryAfter)
+		s.writeText(w, http.StatusServiceUnavailable, "refused: not done, trying again is harmless")
+	case engine.Duplicate:
+		s.writeText(w, http.StatusConflict, "a request of this id is in hand")
+	case engine.EngineClosed:
+		s.writeText(w, http.StatusInternalServerError, "stopped")
+	default:
+		s.writeText(w, http.StatusBadGateway, "failed")
+	}
+}
+
+// setRetryAfter sets the header in seconds, with decimals; 0: no advice is given.
+func setRetryAfter(header http.Header, retryAfter time.Duration) {
+	if retryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
+	}
+}
+
+// reject answers a request that is malformed, too slow or too large.
+func (s *server) reject(w http.ResponseWriter, rejection *downstream.Rejection) {
+	w.Header().Set("Connection", "close")
+	if rejection.Allow != "" {
+		w.Header().Set("Allow", rejection.Allow)
+	}
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(rejectedReadTime))
+	s.writeText(w, rejection.Status, rejection.Text)
+}
+
+// writeText writes a line of the sidecar's own.
+func (s *server) writeText(w http.ResponseWriter, status int, line string) {
+	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
+	s.write(w, status, []byte(line+"\n"))
+}
+
+// write writes a complete answer.
+func (s *server) write(w http.ResponseWriter, status int, body []byte) {
+	// Deadlines cannot fail on a server's own connections; if one did, the write would show it.
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	s.prepareHeader(w.Header())
+	switch { // an answer to HEAD, or without a body, keeps the length that it came with
+	case status == http.StatusNoContent || status == http.StatusNotModified:
+		w.Header().Del("Content-Length")
+	case len(body) > 0 || w.Header().Get("Content-Length") == "":
+		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	}
+	w.WriteHeader(status)
+	_, _ = w.Write(body) // a client that does not take its answer has disconnected
+}
+
+// prepareHeader announces the end of the connection where the process is ending, and keeps net/http from guessing a content type.
+func (s *server) prepareHeader(header http.Header) {
+	if s.closeAfterAnswer.Load() {
+		header.Set("Connection", "close")
+	}
+	if header.Get("Content-Type") == "" {
+		header["Content-Type"] = nil
+	}
+}
+
+// passThrough forwards an answer as it arrives, no faster than the client takes it. If the answer breaks off the client's connection is
+// reset, so that the client notices.
+func (c *clientRequest) passThrough(answer engine.Answer, response *upstream.Response) {
+	header := c.w.Header()
+	maps.Copy(header, response.Header)
+	header.Del("Content-Length")
+	if response.Remainder.Length >= 0 {
+		header.Set("Content-Length", strconv.FormatInt(response.Remainder.Length, 10))
+	}
+	c.prepareHeader(header)
+	c.w.WriteHeader(response.Status)
+	err := c.copyBody(response)
+	answer.EndStream(response.Remainder.Result())
+	if err != io.EOF {
+		c.daemon.log.Info("a long answer is cut", "id", c.r.Header.Get(httpheader.RequestID), "path", c.r.URL.Path, "reason", err)
+		c.truncated = true
+		c.metric.Finish(metrics.Failed)
+		return
+	}
+	c.metric.Finish(metrics.Completed)
+}
+
+// copyBody forwards a body until it ends (io.EOF), breaks off, or the client does not take it.
+func (c *clientRequest) copyBody(response *upstream.Response) error {
+	if err := c.writePiece(response.Body, false); err != nil {
+		return err
+	}
+	buffer := passThroughBuffers.Get().(*[passThroughBuffer]byte)
+	defer passThroughBuffers.Put(buffer)
+	for {
+		n, readErr := response.Remainder.Read(buffer[:])
+		if n > 0 {
+			if err := c.writePiece(buffer[:n], response.Remainder.Buffered() > 0); err != nil {
+				return err
+			}
+			c.daemon.shared.yieldAfter(n)
+		}
+		if readErr != nil {
+			return readErr
+		}
+	}
+}
+
+// writePiece writes a piece of a body, and flushes it unless more is at hand.
+func (c *clientRequest) writePiece(piece []byte, more bool) error {
+	controller := http.NewResponseController(c.w)
+	_ = controller.SetWriteDeadline(time.Now().Add(passThroughTimeout)) // see write
+	if _, err := c.w.Write(piece); err != nil || more {
+		return err
+	}
+	return controller.Flush()
+}
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -6,19 +6,24 @@
 	"reflect"
 	"slices"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"time"
 
-	"orchiddrift/balancer"
-	"orchiddrift/internal/engine"
 	"orchiddrift/internal/graphql"
 	"orchiddrift/internal/routes"
 	"orchiddrift/internal/server/downstream"
 	"orchiddrift/internal/upstream"
 )
 
-// routing is what requests are decided by at one time. It is immutable.
+const (
+	// gateDrainTimeout bounds how long the closing of a gate waits for requests that are being written: their first bytes were written
+	// before.
+	gateDrainTimeout = 250 * time.Millisecond
+	// gatePollInterval is how often these are looked at.
+	gatePollInterval = 100 * time.Microsecond
+)
+
+// routing is what requests are decided by at one time. It is immutable; a reload replaces it.
 type routing struct {
 	checker     *downstream.Checker
 	table       *routes.Table
@@ -28,99 +33,101 @@
 	bodyTimeout time.Duration                // that a client may take for a request's body
 }
 
-// routeGate is a route's right to send. A route that a reload takes away or changes loses it: nothing is sent by it once the
-// reload has returned.
+var (
+	_ upstream.Gate = (*routeGate)(nil)
+	_ upstream.Gate = (*clientGate)(nil)
+)
+
+// routeGate is a route's right to send. A reload that removes or changes a route closes its gate: nothing is sent by that route once the
+// reload has returned. It is safe for concurrent use.
 type routeGate struct {
 	closed  atomic.Bool
 	writing atomic.Int64 // attempts whose request is being written
 }
 
-// Enter is upstream.Gate's.
-func (l *routeGate) Enter() bool {
-	l.writing.Add(1)
-	if l.closed.Load() {
-		l.writing.Add(-1)
+// Enter implements upstream.Gate.
+func (g *routeGate) Enter() bool {
+	g.writing.Add(1)
+	if g.closed.Load() {
+		g.writing.Add(-1)
 		return false
 	}
 	return true
 }
 
-// Leave is upstream.Gate's.
-func (l *routeGate) Leave() { l.writing.Add(-1) }
+// Leave implements upstream.Gate.
+func (g *routeGate) Leave() { g.writing.Add(-1) }
 
-// clientGate is a lease for one request: an attempt begins only as long as its client is not known to have gone.
+// clientGate is a routeGate for one request: an attempt begins only while its client is not known to have disconnected.
 type clientGate struct {
 	*routeGate
-	ctx        context.Context // the request's
+	ctx        context.Context // of the request
 	cancel     context.CancelFunc
 	clientGone atomic.Bool
 }
 
-// Enter is upstream.Gate's. The connection is looked at here because its reader does not see the end behind a request that waits on
-// it. Where others wait for the same answer it is only told once, and attempts go on for them.
-func (p *clientGate) Enter() bool {
-	if !p.clientGone.Load() && downstream.ClientGone(p.ctx) {
-		p.clientGone.Store(true)
-		p.cancel()
+// Enter implements upstream.Gate. It checks the connection, since its reader does not see an end behind a pipelined request. Where others
+// wait for the same answer the disconnect counts once, and attempts go on for them.
+func (g *clientGate) Enter() bool {
+	if !g.clientGone.Load() && downstream.ClientGone(g.ctx) {
+		g.clientGone.Store(true)
+		g.cancel()
 		return false
 	}
-	return p.routeGate.Enter()
+	return g.routeGate.Enter()
 }
 
-// gateDrainTimeout bounds how long the end of a lease waits for requests whose writing has begun: the first byte of those was
-// written before.
-const gateDrainTimeout = 250 * time.Millisecond
-
-// closeGates takes leases away, and waits for writes under way.
-func closeGates(leases []*routeGate) {
-	for _, l := range leases {
-		l.closed.Store(true)
+// closeGates closes gates and waits for writes in progress.
+func closeGates(gates []*routeGate) {
+	for _, g := range gates {
+		g.closed.Store(true)
 	}
-	end := time.Now().Add(gateDrainTimeout)
-	for _, l := range leases {
-		for l.writing.Load() > 0 && time.Now().Before(end) {
-			time.Sleep(100 * time.Microsecond)
+	deadline := time.Now().Add(gateDrainTimeout)
+	for _, g := range gates {
+		for g.writing.Load() > 0 && time.Now().Before(deadline) {
+			time.Sleep(gatePollInterval)
 		}
 	}
 }
 
-// next makes the routing for a table and its services. Routes that stay as they are, to a service that stays, keep their
-// lease; ended are the leases of the others.
+// next makes the routing for a table and its services. A route that is unchanged, to a service that stays, keeps its gate; closing are the
+// gates of the others. r is nil for the first routing.
 func (r *routing) next(table *routes.Table, services map[string]*service, endpoints map[string]*graphql.Endpoint,
-	body time.Duration) (n *routing, ended []*routeGate) {
-	n = &routing{checker: downstream.NewChecker(table), table: table, services: services,
-		gates: make(map[*routes.Route]*routeGate, len(table.Routes())), graphql: maps.Clone(endpoints), bodyTimeout: body}
-	for print := range n.graphql { // those that stay keep what they hold
-		if r != nil && r.graphql[print] != nil {
-			n.graphql[print] = r.graphql[print]
-		}
-	}
+	bodyTimeout time.Duration) (n *routing, closing []*routeGate) {
+	n = &routing{checker: downstream.NewChecker(table), table: table, services: services, bodyTimeout: bodyTimeout,
+		gates: make(map[*routes.Route]*routeGate, len(table.Routes())), graphql: maps.Clone(endpoints)}
 	before := map[string]*routes.Route{}
 	if r != nil {
+		for fingerprint := range n.graphql { // endpoints that stay keep what they have cached
+			if r.graphql[fingerprint] != nil {
+				n.graphql[fingerprint] = r.graphql[fingerprint]
+			}
+		}
 		for _, old := range r.table.Routes() {
 			before[routeKey(old)] = old
 		}
 	}
 	kept := map[*routeGate]bool{}
 	for _, route := range table.Routes() {
-		if old := before[routeKey(route)]; old != nil && r.services[old.Service] == services[route.Service] && sameRoute(old, route) {
+		old := before[routeKey(route)]
+		if old != nil && r.services[old.Service] == services[route.Service] && sameRoute(old, route) {
 			n.gates[route] = r.gates[old]
 			kept[r.gates[old]] = true
-		} else {
-			n.gates[route] = &routeGate{}
+			continue
 		}
+		n.gates[route] = &routeGate{}
 	}
 	if r != nil {
-		for _, l := range r.gates {
-			if !kept[l] {
-				ended = append(ended, l)
+		for _, gate := range r.gates {
+			if !kept[gate] {
+				closing = append(closing, gate)
 			}
 		}
 	}
-	return n, ended
+	return n, closing
 }
 
-// routeKey tells routes of one table apart.
+// routeKey identifies a route within its table.
 func routeKey(r *routes.Route) string {
 	text := r.Pattern.String()
 	for _, name := range slices.Sorted(maps.Keys(r.Pattern.Headers)) {
@@ -130,60 +137,3 @@
 }
 
 func sameRoute(a, b *routes.Route) bool { return reflect.DeepEqual(a, b) }
-
-// transport carries out the attempts of one request.
-type transport struct {
-	pool    *upstream.Pool
-	request *upstream.Request
-	engine  *engine.Engine // where Upload is set in the request
-	started atomic.Int32   // attempts that may have sent something, those in hand too
-
-	mu        sync.Mutex
-	done      bool                // the request has its answer
-	responses []upstream.Response // what its attempts brought, to be given back with it
-}
-
-// attempt sends the request once. It counts before anything can be sent, and no more once that is proved not to have happened: whoever
-// finds a count of 0 while another attempt is still out would take a request that runs for one that was never sent.
-func (x *transport) attempt(ctx context.Context, a engine.Attempt) upstream.Response {
-	x.started.Add(1)
-	rep := x.pool.AttemptWithOptions(ctx, a.Upstream, x.request, upstream.AttemptOptions{Deadline: a.Deadline, SendBy: a.SendBy, Caller: a.Caller, Cancel: a.Cancel})
-	if rep.Result == balancer.NotSent || rep.Result == balancer.ConnectFailed {
-		x.started.Add(-1)
-	}
-	return rep
-}
-
-// keep holds on to an attempt's reply until the request is done.
-func (x *transport) keep(r upstream.Response) {
-	if r.ReservedBytes == 0 && r.Remainder == nil {
-		return
-	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	if x.done {
-		x.releaseResponse(r)
-		return
-	}
-	x.responses = append(x.responses, r)
-}
-
-// release gives back what was held.
-func (x *transport) release() {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.done = true
-	for _, r := range x.responses {
-		x.releaseResponse(r)
-	}
-	x.responses = nil
-}
-
-func (x *transport) releaseResponse(r upstream.Response) {
-	if r.Remainder != nil {
-		r.Remainder.End()
-	}
-	x.pool.Free(r)
-}
-
-var _ engine.Transport = (*transport)(nil)
--- /dev/null
+++ b/internal/daemon/transport.go
@@ -0,0 +1,83 @@
+package daemon
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+
+	"orchiddrift/balancer"
+	"orchiddrift/internal/engine"
+	"orchiddrift/internal/upstream"
+)
+
+var _ engine.Transport = (*transport)(nil)
+
+// transport carries out the attempts of one request over HTTP/1.1.
+type transport struct {
+	pool    *upstream.Pool
+	request *upstream.Request
+	engine  *engine.Engine // set if the request has an Upload
+	started atomic.Int32   // attempts that may have sent something, those in flight included
+
+	mu        sync.Mutex
+	released  bool                // the request has its answer
+	responses []upstream.Response // of its attempts, to be released with it
+}
+
+// RoundTrip implements engine.Transport.
+func (t *transport) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
+	if upload := t.request.Upload; upload != nil { // such a request has one attempt at a time
+		upload.Done = func() { t.engine.UploadDone(a, t.engine.Clock().Now()+upload.Timeout) }
+	}
+	response := t.attempt(ctx, a)
+	if response.Result != balancer.OK {
+		return engine.AttemptResult{Result: response.Result, BodyConsumed: response.BodyConsumed}
+	}
+	t.keep(response)
+	return engine.AttemptResult{Result: balancer.OK, Value: &response, Streaming: response.Remainder != nil, PassThrough: true,
+		BodyConsumed: response.BodyConsumed}
+}
+
+// attempt sends the request once. It counts before anything can be sent, and no longer once it is proved that nothing was: a count of 0
+// while another attempt is in flight would make a request that may run look like one that was never sent.
+func (t *transport) attempt(ctx context.Context, a engine.Attempt) upstream.Response {
+	t.started.Add(1)
+	options := upstream.AttemptOptions{Deadline: a.Deadline, SendBy: a.SendBy, Caller: a.Caller, Cancel: a.Cancel}
+	response := t.pool.AttemptWithOptions(ctx, a.Upstream, t.request, options)
+	if response.Result == balancer.NotSent || response.Result == balancer.ConnectFailed {
+		t.started.Add(-1)
+	}
+	return response
+}
+
+// keep holds an attempt's response until the request is released.
+func (t *transport) keep(r upstream.Response) {
+	if r.ReservedBytes == 0 && r.Remainder == nil {
+		return
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.released {
+		t.releaseResponse(r)
+		return
+	}
+	t.responses = append(t.responses, r)
+}
+
+// release gives back what the responses hold.
+func (t *transport) release() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.released = true
+	for _, r := range t.responses {
+		t.releaseResponse(r)
+	}
+	t.responses = nil
+}
+
+func (t *transport) releaseResponse(r upstream.Response) {
+	if r.Remainder != nil {
+		r.Remainder.End()
+	}
+	t.pool.Free(r)
+}
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -17,8 +17,21 @@
 	"orchiddrift/internal/lifecycle"
 )
 
-// upgrade is a process's place between the one before it and the one after it. Both exist for a while only: then the two share
-// the limits, and a drain of either is a drain of both. It is safe for concurrent use.
+const (
+	// readyPollInterval is how often a process that starts checks whether it can serve.
+	readyPollInterval = 20 * time.Millisecond
+	// establishedAfter is how long a successor waits for its predecessor's confirmation that it knows of it.
+	establishedAfter = 500 * time.Millisecond
+	// minConnections of each side may be open in a process with a successor, whatever is left of the limits.
+	minConnections = 4
+	// descriptorReportInterval is how often a predecessor reports the descriptors that it holds.
+	descriptorReportInterval = 100 * time.Millisecond
+)
+
+var errOtherAddress = errors.New("the socket that was passed on listens elsewhere")
+
+// upgrade is a process's place between its predecessor and its successor. During a hand-over two processes of one sidecar run and share its
+// limits; a drain of either is a drain of both. It is safe for concurrent use.
 type upgrade struct {
 	identity handover.Identity
 
@@ -28,7 +41,7 @@
 	successorReady bool // the successor serves
 	offer          *handover.Offer
 
-	established atomic.Bool // the predecessor knows that this process serves, or there is none: that one may be ended
+	established atomic.Bool // the predecessor knows that this process serves, or there is none: the predecessor may be ended
 }
 
 // inheritance is what a process got from its predecessor.
@@ -37,14 +50,14 @@
 	link  *handover.Link
 }
 
-// inherit asks a process that serves for what it has: the clients' listening socket and its state. nil, nil: there is none, or it can't
-// be had from it; the address is then opened beside it.
-func inherit(p *config.Plan, folder string) (net.Listener, *inheritance, error) {
-	if p.Control == "" { // nobody could tell when this one serves
+// takeOver asks a running process of this sidecar for its listening socket and its state. Without an error it returns nil, nil if there is
+// none; the address is then opened beside it.
+func takeOver(p *config.Plan, folder string) (net.Listener, *inheritance, error) {
+	if p.Control == "" { // operators could not tell when this process serves
 		return nil, nil, nil
 	}
-	who := handover.Identity{Name: p.Name, Listen: p.Listen}
-	state, listener, link, err := handover.Request(handover.SocketPath(folder, who), who)
+	identity := handover.Identity{Name: p.Name, Listen: p.Listen}
+	state, listener, link, err := handover.Request(handover.SocketPath(folder, identity), identity)
 	switch {
 	case errors.Is(err, fs.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED):
 		return nil, nil, nil
@@ -52,27 +65,33 @@
 		return nil, nil, err
 	}
 	if listener.Addr().String() != p.Listen && !config.AnyPort(p.Listen) {
-		return nil, nil, errors.Join(errors.New("the socket that was passed on listens elsewhere"), listener.Close(), link.Close())
+		return nil, nil, errors.Join(errOtherAddress, listener.Close(), link.Close())
 	}
 	for i := range p.Services {
-		s := &p.Services[i]
-		from, has := state.Services[s.Name]
-		if has && from.List != nil && s.Discovery != "" && from.Discovery == s.Discovery && isNewer(from.List, s.InitialEndpoints) {
-			s.InitialEndpoints = from.List
-		}
+		useHandedOverList(&p.Services[i], state.Services[p.Services[i].Name])
 	}
 	return listener, &inheritance{state, link}, nil
 }
 
+// useHandedOverList begins with the predecessor's list if both follow the same discovery and it is not older.
+func useHandedOverList(plan *config.ServicePlan, from handover.Service) {
+	if from.List == nil || plan.Discovery == "" || from.Discovery != plan.Discovery {
+		return
+	}
+	if isNewer(from.List, plan.InitialEndpoints) {
+		plan.InitialEndpoints = from.List
+	}
+}
+
 func isNewer(a, b *endpoints.List) bool {
 	return b == nil || b.Index == nil || *a.Index >= *b.Index
 }
 
-// restore gives the modules what the predecessor's had learnt, and the drain that it was in.
+// restore gives the engines the snapshots of the predecessor's, and takes over its draining.
 func (d *daemon) restore(from *inheritance) {
 	for name, s := range d.routing.Load().services {
-		if of := from.state.Services[name]; of.Snapshot != nil {
-			s.engine.Restore(of.Snapshot)
+		if handedOver := from.state.Services[name]; handedOver.Snapshot != nil {
+			s.engine.Restore(handedOver.Snapshot)
 		}
 	}
 	if from.state.Draining {
@@ -82,31 +101,29 @@
 
 // handoverState is what a successor gets.
 func (d *daemon) handoverState() handover.State {
-	s := handover.State{Identity: d.upgrade.identity, Draining: d.lifecycle.state() == lifecycle.Draining, Descriptors: d.descriptorsHeld(), Services: map[string]handover.Service{}}
-	for name, one := range d.routing.Load().services {
-		of := handover.Service{Snapshot: one.engine.Snapshot()}
-		if d, list := one.handoverList(); d != "" {
-			of.Discovery, of.List = d, list
+	state := handover.State{Identity: d.upgrade.identity, Draining: d.lifecycle.state() == lifecycle.Draining,
+		Descriptors: d.descriptorsHeld(), Services: map[string]handover.Service{}}
+	for name, s := range d.routing.Load().services {
+		one := handover.Service{Snapshot: s.engine.Snapshot()}
+		if discovery, list := s.handoverList(); discovery != "" {
+			one.Discovery, one.List = discovery, list
 		}
-		s.Services[name] = of
+		state.Services[name] = one
 	}
-	return s
+	return state
 }
 
-// handoverList is the discovery that a service follows alone, and its list as last told; empty: it has other sources.
+// handoverList returns the discovery that a service follows alone, and its list; empty: it has other sources.
 func (s *service) handoverList() (string, *endpoints.List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.plan.Discovery == "" || len(s.plan.Registries) > 0 {
 		return "", nil
 	}
-	if s.subsetSink != nil {
-		return s.plan.Discovery, s.subsetSink.Last()
-	}
-	return s.plan.Discovery, s.registrySink.Last()
+	return s.plan.Discovery, s.lastList()
 }
 
-// runUpgrade has the process take its place: it tells its predecessor once it serves, and then waits for a successor of its own.
+// runUpgrade notifies the predecessor once this process serves, and then offers the hand-over to successors. It blocks until ctx ends.
 func (d *daemon) runUpgrade(ctx context.Context, from *inheritance, folder string, clients net.Listener) {
 	if from != nil {
 		d.halveMemory()
@@ -115,12 +132,8 @@
 		stop := context.AfterFunc(ctx, func() { from.link.Close() })
 		defer stop()
 	}
-	for !d.ready() {
-		select {
-		case <-ctx.Done():
-			return
-		case <-time.After(20 * time.Millisecond):
-		}
+	if !d.awaitReady(ctx) {
+		return
 	}
 	if from != nil {
 		if err := from.link.Tell(handover.Ready); err != nil {
@@ -136,13 +149,11 @@
 			d.upgrade.established.Store(true)
 			return
 		}
-		d.upgrade.mu.Lock()
-		d.upgrade.offer = offer
-		d.upgrade.mu.Unlock()
-		if from == nil { // nobody is to be ended, and a successor can ask from now on
+		d.upgrade.setOffer(offer)
+		if from == nil { // there is no predecessor, and a successor can ask from now on
 			d.upgrade.established.Store(true)
 		}
-		if ctx.Err() != nil { // before it could be closed
+		if ctx.Err() != nil { // closeOffer may have run before setOffer
 			offer.Close()
 			return
 		}
@@ -150,6 +161,18 @@
 	}
 }
 
+// awaitReady waits until the process can serve. It returns false if ctx ends before.
+func (d *daemon) awaitReady(ctx context.Context) bool {
+	for !d.ready() {
+		select {
+		case <-ctx.Done():
+			return false
+		case <-time.After(readyPollInterval):
+		}
+	}
+	return true
+}
+
 // offerHandover waits for successors until the offer is closed.
 func (d *daemon) offerHandover(ctx context.Context, offer *handover.Offer, clients net.Listener) {
 	for {
@@ -161,11 +184,7 @@
 		case err != nil:
 			return
 		}
-		d.upgrade.mu.Lock()
-		before := d.upgrade.successor
-		d.upgrade.successor, d.upgrade.successorReady = link, false
-		d.upgrade.mu.Unlock()
-		if before != nil { // it did not get ready, or was given up
+		if before := d.upgrade.setSuccessor(link); before != nil { // it never became ready, or was given up
 			before.Close()
 		}
 		d.log.Info("hand-over: a successor has the clients' socket")
@@ -177,41 +196,64 @@
 	}
 }
 
-// closeOffer ends the offer that stands; where the process goes on, it makes another one.
-func (n *upgrade) closeOffer() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.offer != nil {
-		n.offer.Close()
+func (u *upgrade) setOffer(offer *handover.Offer) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.offer = offer
+}
+
+// closeOffer ends the current offer; a process that goes on makes another one.
+func (u *upgrade) closeOffer() {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if u.offer != nil {
+		u.offer.Close()
 	}
 }
 
-// followPeer follows what the other process says, until it has gone.
+// setSuccessor returns the successor that the new one replaces.
+func (u *upgrade) setSuccessor(link *handover.Link) (before *handover.Link) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	before = u.successor
+	u.successor, u.successorReady = link, false
+	return before
+}
+
+func (u *upgrade) setPredecessor(link *handover.Link) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.predecessor = link
+}
+
+// markReady notes that a successor serves, and reports whether it is the current one and did so for the first time.
+func (u *upgrade) markReady(link *handover.Link) (first bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	first = u.successor == link && !u.successorReady
+	u.successorReady = u.successor == link
+	return first
+}
+
+// followPeer handles the messages of the other process, until its link ends.
 func (d *daemon) followPeer(link *handover.Link, predecessor bool) {
-	n := d.upgrade
 	if predecessor {
-		n.mu.Lock()
-		n.predecessor = link
-		n.mu.Unlock()
+		d.upgrade.setPredecessor(link)
 	}
 	defer link.Close()
 	for {
-		k, held, err := link.Next()
+		message, descriptors, err := link.Next()
 		if err != nil {
 			break
 		}
-		switch k {
+		switch message {
 		case handover.DescriptorsHeld: // the first one answers Ready
 			if predecessor {
-				d.limitBesidePredecessor(held)
-				n.established.Store(true)
+				d.limitBesidePredecessor(descriptors)
+				d.upgrade.established.Store(true)
 			}
 		case handover.Ready:
-			n.mu.Lock()
-			first := n.successor == link && !n.successorReady
-			n.successorReady = n.successor == link
-			n.mu.Unlock()
-			if first {
+			if d.upgrade.markReady(link) {
 				d.log.Info("hand-over: the successor serves")
 				d.lifecycle.connections.Pause(true) // it has the socket too
 				d.halveMemory()
@@ -223,105 +265,103 @@
 			d.lifecycle.undrain()
 		}
 	}
-	n.mu.Lock()
+	d.forgetPeer(link)
+}
+
+// forgetPeer notes that the other process has gone. A process that is alone uses all of the limits, and accepts connections.
+func (d *daemon) forgetPeer(link *handover.Link) {
+	u := d.upgrade
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	switch link {
-	case n.predecessor:
-		n.predecessor = nil
-		n.established.Store(true)
-	case n.successor:
-		n.successor, n.successorReady = nil, false
-		if n.offer != nil { // the one that has gone may have taken the path: the next one is to ask here again
-			n.offer.Close()
+	case u.predecessor:
+		u.predecessor = nil
+		u.established.Store(true)
+	case u.successor:
+		u.successor, u.successorReady = nil, false
+		if u.offer != nil { // the one that has gone may have replaced the socket: the next successor has to find one of this process
+			u.offer.Close()
 		}
 	}
-	if n.predecessor == nil && n.successor == nil {
+	if u.predecessor == nil && u.successor == nil {
 		LimitMemory(&config.Plan{Limits: d.limits})
 		d.resize(connectionLimit(d.limits), connectionLimit(d.limits))
 		d.lifecycle.connections.Pause(false)
 	}
-	n.mu.Unlock()
 }
 
-// notifyPeers has the other processes of this sidecar drain or serve too.
-func (n *upgrade) notifyPeers(k handover.MessageKind) {
-	n.mu.Lock()
-	links := []*handover.Link{n.predecessor, n.successor}
-	n.mu.Unlock()
-	for _, l := range links {
-		if l != nil {
-			_ = l.Tell(k) // one that has gone needs no telling
+// notifyPeers sends a message to the other processes of this sidecar.
+func (u *upgrade) notifyPeers(message handover.MessageKind) {
+	u.mu.Lock()
+	links := []*handover.Link{u.predecessor, u.successor}
+	u.mu.Unlock()
+	for _, link := range links {
+		if link != nil {
+			_ = link.Tell(message) // one that has gone needs no message
 		}
 	}
 }
 
-// hasSuccessor tells whether a successor serves.
-func (n *upgrade) hasSuccessor() bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.successorReady
+// hasSuccessor reports whether a successor serves.
+func (u *upgrade) hasSuccessor() bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.successorReady
 }
 
-// halveMemory has the process's collector keep to half of the limit: another one has the other half.
+// halveMemory makes the garbage collector keep to half of the limit: the other process has the other half.
 func (d *daemon) halveMemory() {
 	limits := d.limits
 	limits.MemoryMB /= 2
 	LimitMemory(&config.Plan{Limits: limits})
 }
 
-// limitBesidePredecessor has a successor keep to what its predecessor, which holds that many descriptors, leaves of the limits.
-func (d *daemon) limitBesidePredecessor(held int) {
+// limitBesidePredecessor makes a successor keep to what its predecessor, which holds so many descriptors, leaves of the limits.
+func (d *daemon) limitBesidePredecessor(descriptors int) {
 	limits := d.limits
-	limits.Sockets -= held
-	most := connectionLimit(limits)
-	d.resize(most, most)
+	limits.Sockets -= descriptors
+	connections := connectionLimit(limits)
+	d.resize(connections, connections)
 }
 
-// establishedAfter is how long a successor waits for its predecessor's word that it has heard of it.
-const establishedAfter = 500 * time.Millisecond
-
-// minConnections is how many connections of each side a process with a successor may open all the same, and descriptorReportInterval how often it tells
-// what it holds.
-const (
-	minConnections           = 4
-	descriptorReportInterval = 100 * time.Millisecond
-)
-
-// descriptorsHeld is how many descriptors the process holds, and those that it may open without a look.
+// descriptorsHeld is how many descriptors the process holds, and may open without asking.
 func (d *daemon) descriptorsHeld() int {
-	return reservedDescriptors + max(minConnections, d.lifecycle.connections.Open()) + max(minConnections, int(d.shared.connectionSlots.Total()))
+	clients := max(minConnections, d.lifecycle.connections.Open())
+	upstreams := max(minConnections, int(d.shared.connectionSlots.Total()))
+	return reservedDescriptors + clients + upstreams
 }
 
-// reportDescriptors tells a successor what this process holds, as it lets go, until the link has ended.
+// reportDescriptors reports to a successor how many descriptors this process holds, as it closes them, until the link ends.
 func (d *daemon) reportDescriptors(link *handover.Link) {
-	tick := time.NewTicker(descriptorReportInterval)
-	defer tick.Stop()
-	for {
-		d.upgrade.mu.Lock()
-		goes := d.upgrade.successorReady
-		if goes { // else it has gone, and all is this process's again
-			d.resize(connectionLimit(d.limits), max(minConnections, int(d.shared.connectionSlots.Total())))
-		}
-		d.upgrade.mu.Unlock()
-		if !goes {
-			return
-		}
+	ticker := time.NewTicker(descriptorReportInterval)
+	defer ticker.Stop()
+	for d.shrink() {
 		if link.TellRoom(d.descriptorsHeld()) != nil {
 			return
 		}
-		<-tick.C
+		<-ticker.C
 	}
 }
 
+// shrink makes a process with a successor open no further connections to upstreams. It returns false if the successor has gone: all of the
+// limits are this process's again.
+func (d *daemon) shrink() bool {
+	d.upgrade.mu.Lock()
+	defer d.upgrade.mu.Unlock()
+	if !d.upgrade.successorReady {
+		return false
+	}
+	d.resize(connectionLimit(d.limits), max(minConnections, int(d.shared.connectionSlots.Total())))
+	return true
+}
+
 // resize sets how many connections there may be to clients and upstreams.
 func (d *daemon) resize(clients, upstreams int) {
 	d.lifecycle.connections.Resize(clients)
-	if err := d.shared.connectionSlots.Resize(int64(upstreams)); err != nil { // fewer than there are services: all stays
+	if err := d.shared.connectionSlots.Resize(int64(upstreams)); err != nil { // fewer than there are services: nothing changes
 		d.log.Warn("hand-over", "reason", err)
 	}
 }
 
-// connectionLimit is how many connections each side may have.
-func connectionLimit(l config.Limits) int { return max(1, (l.Sockets-reservedDescriptors)/2) }
-
-// handoverFolder is where processes of one sidecar find each other.
+// handoverFolder is where the processes of one sidecar find each other.
 func handoverFolder() string { return os.TempDir() }
