--- a/internal/server/control/call.go
+++ b/internal/server/control/call.go
@@ -1,5 +1,5 @@
-// Package control serves the operators' own address: one HTTP/1.1 call to a connection, answered at once whatever clients and
-// other callers do. call.go reads a call out of bytes, without I/O; server.go holds the connections.
+// Package control serves the operators' address: one HTTP/1.1 call on a connection, which is answered at once whatever clients and other
+// callers do. call.go parses a call, without I/O; server.go holds the connections.
 package control
 
 import (
@@ -13,36 +13,36 @@
 	"strings"
 )
 
-// Bounds of a call, in bytes. Nothing asked for here needs more.
+// Bounds of a call, in bytes.
 const (
 	MaxHead = 8 << 10
 	MaxBody = 4 << 10
 )
 
-// Call is what a caller wants.
+// Call is an operator's call.
 type Call struct {
 	Method, Path string
 	Query        string
 }
 
-// Answer is what it is told. Allow names the methods of a path, where the one asked with is another.
+// Answer is the response to a call.
 type Answer struct {
 	Status int
 	Body   string
-	Allow  string
+	Allow  string // the methods of the path, if the call's is not one of them
 }
 
-// ParseState is what Read makes of the bytes so far.
+// ParseState says how far a call has been parsed.
 type ParseState int
 
-// The kinds of Progress.
+// The parse states.
 const (
-	Incomplete ParseState = iota // the call goes on
-	Complete                     // here it is
-	Invalid                      // it can't become one: the Answer says why
+	Incomplete ParseState = iota // more bytes are needed
+	Complete
+	Invalid // the bytes cannot become a call; the Answer says why
 )
 
-// ParseCall reads a call out of all bytes of a connection so far. What follows a whole call is not looked at.
+// ParseCall parses a call from all bytes of a connection so far. Bytes behind a complete call are ignored.
 func ParseCall(b []byte) (Call, ParseState, Answer) {
 	end := headEnd(b)
 	if end < 0 {
@@ -57,7 +57,7 @@
 	if end > MaxHead {
 		return Call{}, Invalid, Answer{Status: http.StatusRequestHeaderFieldsTooLarge, Body: "the head is too large"}
 	}
-	from := bufio.NewReaderSize(bytes.NewReader(b), len(b)) // holds all of it
+	from := bufio.NewReaderSize(bytes.NewReader(b), len(b)) // all of b fits its buffer
 	r, err := http.ReadRequest(from)
 	if err != nil {
 		return Call{}, Invalid, malformed("the head can't be read")
@@ -93,7 +93,7 @@
 
 var tooLarge = Answer{Status: http.StatusRequestEntityTooLarge, Body: "the body is too large"}
 
-// headEnd is where the head ends, behind its empty line, or -1. The library takes bare line feeds, and so does this.
+// headEnd is the index behind the empty line that ends the head, or -1. Like net/http it accepts bare line feeds.
 func headEnd(b []byte) int {
 	for i := 0; ; {
 		n := bytes.IndexByte(b[i:], '\n')
@@ -108,7 +108,7 @@
 	}
 }
 
-// invalidRequestLine tells whether the first line, as far as it is there, can't begin a request: there is no use in waiting for more.
+// invalidRequestLine reports whether the first line, as far as it has arrived, cannot begin a request.
 func invalidRequestLine(b []byte) bool {
 	line, _, whole := bytes.Cut(b, []byte{'\n'})
 	if whole {
@@ -125,7 +125,7 @@
 	return false
 }
 
-// appendTo appends the answer as it is written. HEAD gets no body.
+// appendTo appends the answer in its wire form. A HEAD call gets no body.
 func (a Answer) appendTo(out []byte, method string) []byte {
 	body := a.Body
 	if body != "" && !strings.HasSuffix(body, "\n") {
@@ -133,9 +133,13 @@
 	}
 	out = append(out, "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(a.Status), 10)
-	out = append(append(append(out, ' '), http.StatusText(a.Status)...), "\r\n"...)
+	out = append(out, ' ')
+	out = append(out, http.StatusText(a.Status)...)
+	out = append(out, "\r\n"...)
 	if a.Allow != "" {
-		out = append(append(append(out, "Allow: "...), a.Allow...), "\r\n"...)
+		out = append(out, "Allow: "...)
+		out = append(out, a.Allow...)
+		out = append(out, "\r\n"...)
 	}
 	out = append(out, "Content-Type: text/plain; charset=utf-8\r\nCache-Control: no-store\r\nConnection: close\r\nContent-Length: "...)
 	out = strconv.AppendInt(out, int64(len(body)), 10)
--- a/internal/server/control/server.go
+++ b/internal/server/control/server.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// MaxWaiting is how many connections are held at once; the listener's queue in the kernel holds more.
-	MaxWaiting    = 12
-	callTimeout   = 5 * time.Second        // for the rest of a call
-	lingerTimeout = 500 * time.Millisecond // for a caller to read what it is told, where it has sent more than was read
+	// MaxWaiting is how many connections may wait for the rest of their calls. The kernel's queue holds more.
+	MaxWaiting = 12
+	// callTimeout is how long the rest of a call may take.
+	callTimeout = 5 * time.Second
+	// lingerTimeout is how long a caller that has sent more than was read may take to read its answer.
+	lingerTimeout = 500 * time.Millisecond
 	writeTimeout  = time.Second
 )
 
-// Handler answers calls. It must not wait for anything.
+// Handler answers calls. It must not block.
 type Handler func(Call) Answer
 
-// Server answers calls on a listener. A call that has come whole by the time its connection is accepted is answered by the
-// accepting goroutine, whatever others wait for; one that has not waits in a table of Most for the rest, and where that is full
-// the one that has waited longest is closed.
+// Server answers calls on a listener. A call that has arrived completely when its connection is accepted is answered by the accepting
+// goroutine, whatever others wait for. Otherwise the connection waits for the rest; if MaxWaiting wait, the longest waiting is closed.
 type Server struct {
 	listener net.Listener
 	handler  Handler
@@ -37,7 +38,7 @@
 	running sync.WaitGroup
 }
 
-// Listen opens the address.
+// Listen opens the address. Run serves it.
 func Listen(address string, answer Handler, log *slog.Logger) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -46,22 +47,22 @@
 	return &Server{listener: acceptor.New(l, log), handler: answer, log: log}, nil
 }
 
-// Addr is where it listens.
+// Addr is the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Run serves until Close.
+// Run serves until Close. It blocks.
 func (s *Server) Run() {
 	buffer := make([]byte, MaxHead+2*MaxBody+1)
 	for {
 		c, err := s.listener.Accept()
-		if err != nil { // it is closed
+		if err != nil { // the listener is closed
 			return
 		}
 		s.handle(c.(*net.TCPConn), buffer)
 	}
 }
 
-// Close ends it, with all connections.
+// Close ends the server and all its connections, and waits for their goroutines.
 func (s *Server) Close() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -73,13 +74,13 @@
 	s.running.Wait()
 }
 
-// handle answers a call that is there, or has it wait for the rest.
+// handle answers a call that has arrived completely, or waits for the rest on a goroutine of its own.
 func (s *Server) handle(c *net.TCPConn, buffer []byte) {
 	n, ended := readNow(c, buffer)
 	call, progress, bad := ParseCall(buffer[:n])
 	if progress == Complete && n < len(buffer) {
 		s.respond(c, call.Method, s.handler(call))
-		c.Close() // all that came was read
+		c.Close() // nothing is left unread
 		return
 	}
 	if progress == Incomplete && ended {
@@ -92,7 +93,7 @@
 		return
 	}
 	if len(s.waiting) >= MaxWaiting {
-		s.waiting[0].Close() // its goroutine ends with it
+		s.waiting[0].Close() // its goroutine ends
 		s.waiting = s.waiting[1:]
 	}
 	s.waiting = append(s.waiting, c)
@@ -108,7 +109,7 @@
 	})
 }
 
-// readNow reads what has come, without waiting.
+// readNow reads what has arrived, without waiting.
 func readNow(c *net.TCPConn, buffer []byte) (n int, ended bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -135,7 +136,7 @@
 	return n, false
 }
 
-// readRest waits for the rest of a call.
+// readRest waits for the rest of a call and answers it.
 func (s *Server) readRest(c *net.TCPConn, b []byte) {
 	if c.SetReadDeadline(time.Now().Add(callTimeout)) != nil {
 		return
@@ -155,7 +156,7 @@
 			s.respond(c, "", bad)
 			s.linger(c)
 			return
-		case errors.Is(err, net.ErrClosed): // gave way
+		case errors.Is(err, net.ErrClosed): // another connection took its place
 			return
 		case err != nil:
 			status := http.StatusBadRequest
@@ -169,13 +170,13 @@
 }
 
 func (s *Server) respond(c *net.TCPConn, method string, a Answer) {
-	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout)) // the write shows it
-	_, _ = c.Write(a.appendTo(nil, method))              // a caller that has left is told nothing
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout)) // an error shows in the write
+	_, _ = c.Write(a.appendTo(nil, method))              // a caller that has disconnected gets none
 }
 
-// linger has the caller read its answer: closing what still holds unread bytes would reset it.
+// linger lets the caller read its answer: closing a connection with unread bytes would reset it.
 func (s *Server) linger(c *net.TCPConn) {
-	_ = c.CloseWrite() // it may have gone
+	_ = c.CloseWrite() // the caller may have disconnected
 	if c.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
 		return
 	}
