--- /dev/null
+++ b/internal/daemon/metrics.go
@@ -0,0 +1,52 @@
+package daemon
+
+import (
+	"orchiddrift/internal/engine"
+	"orchiddrift/internal/metrics"
+)
+
+// readMetrics reads all metrics. The upstreams are those of all services; unavailable are those that the balancer avoids and those that
+// are draining.
+func (d *daemon) readMetrics() metrics.Reading {
+	reading := d.metrics.Read()
+	for _, s := range d.routing.Load().services {
+		s.addTo(&reading)
+	}
+	return reading
+}
+
+// addTo adds a service's upstreams and lists to a reading.
+func (s *service) addTo(reading *metrics.Reading) {
+	draining := int64(s.registry.DrainingCount())
+	upstreams := s.engine.View()
+	for _, u := range upstreams {
+		if u.TrialOnly {
+			reading.Unavailable++
+		}
+	}
+	reading.Members += int64(len(upstreams)) + draining
+	reading.Unavailable += draining
+	watcher := s.watcher()
+	if watcher == nil {
+		return
+	}
+	age, stale := watcher.Age()
+	reading.ListAge = max(reading.ListAge, age.Milliseconds())
+	if stale {
+		reading.Overdue++
+	}
+	made, failed := watcher.Calls()
+	reading.ListCalls += made
+	reading.ListCallsFailed += failed
+}
+
+// metricOutcome is how a final answer is counted.
+func metricOutcome(kind engine.AnswerKind) metrics.Outcome {
+	switch kind {
+	case engine.Served:
+		return metrics.Completed
+	case engine.Rejected:
+		return metrics.Rejected
+	}
+	return metrics.Failed
+}
