--- /dev/null
+++ b/internal/idempotency/etcdstore/store.go
@@ -0,0 +1,173 @@
+package etcdstore
+
+import (
+	"context"
+	"crypto/sha256"
+	"encoding/hex"
+	"errors"
+	"fmt"
+	"log/slog"
+	"strconv"
+	"sync"
+	"time"
+
+	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
+	clientv3 "go.etcd.io/etcd/client/v3"
+	"golang.org/x/sync/singleflight"
+
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/tlscredentials"
+)
+
+// Options are a Store's parameters.
+type Options struct {
+	Declaration               // checked
+	Service     string        // services do not share keys
+	Retention   time.Duration // how long a record is kept after it was written, at least
+	MaxPending  int           // pending settlements beyond which claims of unknown result are not withdrawn: their keys stay running
+	Log         *slog.Logger
+}
+
+const (
+	// maxTransactionAttempts bounds the transactions of one claim or settlement.
+	maxTransactionAttempts = 32
+	// maxConcurrentSettlements is how many settlements are written to etcd at the same time in the background.
+	maxConcurrentSettlements = 64
+	// closePollInterval is how often Close checks whether settlements are still pending.
+	closePollInterval = time.Millisecond
+)
+
+// errContended is returned when a record changed between each read and the transaction that followed.
+var errContended = errors.New("the record changed in each try")
+
+// Store is a connection to the shared store. It is safe for concurrent use.
+type Store struct {
+	options     Options
+	prefix      string
+	credentials *tlscredentials.Store // nil: no TLS
+	ctx         context.Context       // ends with Abort or Close
+	cancel      context.CancelFunc
+	connecting  singleflight.Group
+	settling    chan struct{} // semaphore of maxConcurrentSettlements
+	running     sync.WaitGroup
+
+	mu               sync.Mutex // also serializes cancel with the start of goroutines
+	session          session
+	recordLeaseSince time.Time
+	claims           uint64 // made by this process
+	pending          map[idempotency.ID]*settlement
+	unavailable      bool // the last request to etcd failed
+}
+
+// New returns a Store. It connects in the background; until then Claim fails.
+func New(options Options) (*Store, error) {
+	s := &Store{
+		options:  options,
+		prefix:   options.Prefix + options.Service + "/",
+		pending:  map[idempotency.ID]*settlement{},
+		settling: make(chan struct{}, maxConcurrentSettlements),
+	}
+	if options.TLS.Enabled() {
+		files := tlscredentials.Files{Certificate: options.TLS.Certificate, Key: options.TLS.Key, CA: options.TLS.CA}
+		credentials, err := tlscredentials.Open(files, options.TLS.WarnBefore.D(), options.Log)
+		if err != nil {
+			return nil, err
+		}
+		s.credentials = credentials
+	}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	if s.credentials != nil {
+		s.running.Go(func() { s.credentials.Run(s.ctx) })
+	}
+	// The first request need not wait for the connection. It gets the same error, if there is one.
+	s.running.Go(func() { _, _ = s.ensureSession(s.ctx) })
+	return s, nil
+}
+
+// ownerKey returns the etcd key that exists while a session lives.
+func (s *Store) ownerKey(session string) string { return s.prefix + "owner/" + session }
+
+// recordKey returns the etcd key of an idempotency key's record.
+func (s *Store) recordKey(id idempotency.ID) string {
+	h := sha256.New()
+	fmt.Fprintf(h, "%d\x00%s%d\x00%s%s", len(id.Tenant), id.Tenant, len(id.Class), id.Class, id.Key) // a hash accepts every write
+	return s.prefix + "key/" + hex.EncodeToString(h.Sum(nil))
+}
+
+// leaseName returns the name of the session of a lease.
+func leaseName(id clientv3.LeaseID) string { return strconv.FormatInt(int64(id), 16) }
+
+// get reads a key, within Declaration.Timeout.
+func (s *Store) get(ctx context.Context, at session, key string) (*clientv3.GetResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.options.Timeout.D())
+	defer cancel()
+	response, err := at.client.Get(ctx, key)
+	return response, s.trackAvailability(err)
+}
+
+// commit runs a transaction, within Declaration.Timeout. After rpctypes.ErrLeaseNotFound a new session is made for the next call.
+func (s *Store) commit(ctx context.Context, at session, conditions []clientv3.Cmp, then, otherwise clientv3.Op) (*clientv3.TxnResponse, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.options.Timeout.D())
+	defer cancel()
+	response, err := at.client.Txn(ctx).If(conditions...).Then(then).Else(otherwise).Commit()
+	if errors.Is(err, rpctypes.ErrLeaseNotFound) {
+		s.dropSession(at.lease)
+		return nil, err
+	}
+	return response, s.trackAvailability(err)
+}
+
+// trackAvailability logs when etcd becomes unavailable, and available again, by the result of a request. It returns err.
+func (s *Store) trackAvailability(err error) error {
+	if s.ctx.Err() != nil {
+		return err
+	}
+	s.mu.Lock()
+	wasUnavailable := s.unavailable
+	s.unavailable = err != nil
+	s.mu.Unlock()
+	if err != nil && !wasUnavailable {
+		s.options.Log.Error("repeats: the shared store is unavailable", "reason", err)
+	} else if err == nil && wasUnavailable {
+		s.options.Log.Info("repeats: the shared store is available again")
+	}
+	return err
+}
+
+// start runs do in a goroutine that Close waits for, unless the Store is closed.
+func (s *Store) start(do func()) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.ctx.Err() == nil {
+		s.running.Go(do)
+	}
+}
+
+// Abort makes Claim and all retries return. It is called before the process exits without a graceful shutdown.
+func (s *Store) Abort() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.cancel()
+}
+
+// Close writes pending settlements, for at most Declaration.Timeout, and ends the session, so that other processes need not wait for its
+// lease to expire. Claims that are still running count as perhaps executed from then on.
+func (s *Store) Close() {
+	deadline := time.Now().Add(s.options.Timeout.D())
+	for s.pendingSettlements() > 0 && time.Now().Before(deadline) && s.ctx.Err() == nil {
+		time.Sleep(closePollInterval)
+	}
+	at, _ := s.currentSession()
+	if at.client != nil {
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), s.options.Timeout.D())
+		defer cancel()
+		if at.lease != 0 && s.ctx.Err() == nil {
+			_, _ = at.client.Revoke(ctx, at.lease) // it expires by itself
+		}
+	}
+	s.Abort()
+	if at, _ = s.currentSession(); at.client != nil {
+		at.client.Close()
+	}
+	s.running.Wait()
+}
--- /dev/null
+++ b/internal/idempotency/executor/executor.go
@@ -0,0 +1,302 @@
+package executor
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"sync"
+	"time"
+
+	"orchiddrift/internal/clock"
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/idempotency/etcdstore"
+)
+
+// AttemptRecorder receives the attempts of an execution.
+type AttemptRecorder interface {
+	AttemptStarted(attempt idempotency.Attempt) // called before the attempt's first byte is sent
+	AttemptNotSent(attempt idempotency.Attempt) // the attempt is proved not to have been executed
+}
+
+// RunFunc executes a request and returns its outcome. It must end by itself, not with the client that caused it: other clients may wait
+// for the outcome. wanted is canceled once no client waits; earlier are attempts that may have been executed, which the request must be
+// deduplicated against. It must report its own attempts to recorder.
+type RunFunc func(wanted context.Context, earlier []idempotency.Attempt, recorder AttemptRecorder) Outcome
+
+// Outcome is how an execution ended, as its clients see it.
+type Outcome struct {
+	Verdict    idempotency.Verdict // of a RunFunc: Replay, Reject or Fail
+	Answer     *idempotency.Answer // of Replay
+	RetryAfter time.Duration       // of Reject
+}
+
+// Result is what a client gets.
+type Result struct {
+	Outcome
+	Executed   bool // the request was executed for this client
+	ClientLeft bool // the client's context was canceled first; there is no Outcome
+}
+
+// Options are an Executor's parameters.
+type Options struct {
+	Limits               idempotency.Options // checked
+	DedupWindow          func(class string) time.Duration
+	Clock                clock.Clock
+	Log                  *slog.Logger
+	OwnGoroutine         bool        // executions have goroutines of their own, so that a client can leave at any time
+	Records              RecordStore // nil: records do not outlive the process
+	Shared               SharedStore // nil: keys are not shared with other processes
+	ProceedOnSharedError bool        // execute new keys without a claim while Shared is not available
+	// Step, if not nil, is called as an execution reaches each of Steps. Tests end the process there.
+	Step func(step string)
+}
+
+// The steps of an execution; the package comment says what a crash after each of them means.
+const (
+	StepArrived  = "arrived"
+	StepRecorded = "recorded"
+	StepSent     = "sent"
+	StepAnswered = "answered"
+	StepNotified = "notified"
+	StepStored   = "stored"
+)
+
+// Steps are the steps of an execution in order.
+var Steps = []string{StepArrived, StepRecorded, StepSent, StepAnswered, StepNotified, StepStored}
+
+// RecordStore keeps records durably.
+type RecordStore interface {
+	// Load calls do for each record, with the time that the last process's clock had reached.
+	Load(do func(now time.Duration, record idempotency.Record) error) error
+	// Put writes record, if it is not nil, and deletes expired ones. It returns once both are durable.
+	Put(record *idempotency.Record, expired []idempotency.ID, now time.Duration) error
+	Close() error
+}
+
+// SharedStore is a store of keys that several processes share, implemented by etcdstore.Store. SentAt of all attempts are ages.
+type SharedStore interface {
+	Claim(ctx context.Context, request idempotency.SharedRequest, confirmKey func()) (etcdstore.Claim, error)
+	Lookup(ctx context.Context, request idempotency.SharedRequest) (idempotency.Decision, error)
+	Settle(claim etcdstore.Claim, id idempotency.ID, record *idempotency.Record)
+	Abort()
+	Close()
+}
+
+// Executor runs the requests with idempotency keys of one service. It is safe for concurrent use.
+type Executor struct {
+	options     Options
+	clockOffset time.Duration // the durable clock minus Options.Clock; see now
+	running     sync.WaitGroup
+
+	mu          sync.Mutex
+	store       *idempotency.Store
+	dedupWindow func(class string) time.Duration
+	executions  map[idempotency.ID]*execution
+	closed      bool
+	expired     []idempotency.ID // keys whose records are to be deleted with the next Put
+	rejections  rejectionLog
+}
+
+// New returns an Executor that knows the keys of Options.Records. Close ends it and closes the stores.
+func New(options Options) (*Executor, error) {
+	e := &Executor{
+		options:     options,
+		store:       idempotency.New(options.Limits, options.DedupWindow),
+		executions:  map[idempotency.ID]*execution{},
+		dedupWindow: options.DedupWindow,
+	}
+	if options.Records == nil {
+		return e, nil
+	}
+	started := options.Clock.Now()
+	err := options.Records.Load(func(now time.Duration, record idempotency.Record) error {
+		e.clockOffset = now - started
+		return e.store.Load(now, record)
+	})
+	if err != nil {
+		_ = options.Records.Close() // Load's error says more
+		return nil, err
+	}
+	return e, nil
+}
+
+// now returns the time on the durable clock, which goes on from process to process and stands still in between. The Store and its records
+// use it.
+func (e *Executor) now() time.Duration { return e.clockOffset + e.options.Clock.Now() }
+
+// Configure replaces the limits and deduplication windows. Known keys stay, even if they exceed the new limits.
+func (e *Executor) Configure(limits idempotency.Options, dedupWindow func(class string) time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.store.Configure(limits, dedupWindow)
+	e.dedupWindow = dedupWindow
+}
+
+// Do returns the outcome of a request with an idempotency key. It executes the request by run, waits for a running one, or returns the
+// stored answer. It blocks until then, or until ctx ends: with the verdict Fail at its deadline, and ClientLeft if it is canceled.
+func (e *Executor) Do(ctx context.Context, id idempotency.ID, fingerprint idempotency.Fingerprint, run RunFunc) Result {
+	for {
+		result, keyConfirmed := e.tryDo(ctx, id, fingerprint, run)
+		if keyConfirmed == nil {
+			return result
+		}
+		select {
+		case <-keyConfirmed:
+		case <-ctx.Done():
+			return Result{Outcome: Outcome{Verdict: idempotency.Conflict}}
+		}
+	}
+}
+
+// tryDo is Do, except that it returns a channel instead of a Result if the decision has to be made again once that is closed.
+func (e *Executor) tryDo(ctx context.Context, id idempotency.ID, fingerprint idempotency.Fingerprint, run RunFunc) (Result, <-chan struct{}) {
+	a := e.arrive(id, fingerprint)
+	if a.keyConfirmed != nil {
+		return Result{}, a.keyConfirmed
+	}
+	d := a.decision
+	request := idempotency.SharedRequest{ID: id, Fingerprint: fingerprint, EarlierAttempts: d.EarlierAttempts, DedupWindow: a.dedupWindow}
+	if d.Verdict == idempotency.Fail && e.options.Shared != nil { // another process may have the answer by now
+		if shared, err := e.options.Shared.Lookup(ctx, request); err == nil {
+			d = shared
+		}
+	}
+	if a.execution == nil {
+		return Result{Outcome: Outcome{Verdict: d.Verdict, Answer: d.Answer, RetryAfter: d.RetryAfter}}, nil
+	}
+	executes := d.Verdict == idempotency.Execute
+	if executes && !e.options.OwnGoroutine {
+		defer e.running.Done()
+		defer context.AfterFunc(ctx, func() { e.leave(a.execution) })()
+		e.execute(ctx, request, a.execution, run)
+		return Result{Outcome: a.execution.outcome, Executed: !a.execution.decidedElsewhere}, nil
+	}
+	if executes {
+		go func() {
+			defer e.running.Done()
+			e.execute(ctx, request, a.execution, run)
+		}()
+	}
+	return e.wait(ctx, id, a.execution, executes), nil
+}
+
+// arrival is the Store's decision on a request.
+type arrival struct {
+	decision    idempotency.Decision
+	dedupWindow time.Duration
+	execution   *execution // of Execute and Wait
+	// keyConfirmed is not nil if another request runs under the key here, and it is not yet known whether the key is that request's in the
+	// shared store too. The decision has to be made again once it is closed.
+	keyConfirmed <-chan struct{}
+}
+
+// arrive asks the Store for a decision and registers the execution that it leads to.
+func (e *Executor) arrive(id idempotency.ID, fingerprint idempotency.Fingerprint) arrival {
+	now := e.now()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.closed {
+		return arrival{decision: idempotency.Decision{Verdict: idempotency.Reject}}
+	}
+	if expired := e.store.Expire(now); e.options.Records != nil {
+		e.expired = append(e.expired, expired...)
+	}
+	a := arrival{decision: e.store.Arrive(now, id, fingerprint), dedupWindow: e.dedupWindow(id.Class)}
+	switch a.decision.Verdict {
+	case idempotency.Execute:
+		a.execution = newExecution(e.options.Shared != nil)
+		e.executions[id] = a.execution
+		e.running.Add(1)
+	case idempotency.Wait:
+		a.execution = e.executions[id]
+		a.execution.waiters++
+	case idempotency.Reject:
+		e.logRejection(now)
+	case idempotency.Conflict:
+		if x := e.executions[id]; x != nil && !x.isKeyConfirmed() {
+			a.keyConfirmed = x.keyConfirmed
+		}
+	}
+	return a
+}
+
+// wait waits for an execution until ctx ends. executes tells whether it runs for this client.
+func (e *Executor) wait(ctx context.Context, id idempotency.ID, x *execution, executes bool) Result {
+	select {
+	case <-x.done:
+		return Result{Outcome: x.outcome, Executed: executes && !x.decidedElsewhere}
+	case <-ctx.Done():
+	}
+	e.leave(x)
+	if !executes {
+		e.mu.Lock()
+		if e.executions[id] == x { // it is still running
+			e.store.StopWaiting(id)
+		}
+		e.mu.Unlock()
+	}
+	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
+		return Result{Outcome: Outcome{Verdict: idempotency.Fail}}
+	}
+	return Result{ClientLeft: true}
+}
+
+// leave records that a client no longer waits for an execution.
+func (e *Executor) leave(x *execution) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if x.waiters--; x.waiters == 0 {
+		x.cancel()
+	}
+}
+
+// rejectionLogInterval is the shortest time between two log lines on rejected requests.
+const rejectionLogInterval = 10 * time.Second
+
+// rejectionLog counts rejected requests between log lines.
+type rejectionLog struct {
+	count    int
+	loggedAt time.Duration
+}
+
+// logRejection counts a rejected request, and logs the count at most once per rejectionLogInterval. e.mu is held.
+func (e *Executor) logRejection(now time.Duration) {
+	r := &e.rejections
+	if r.count++; r.count > 1 && now-r.loggedAt < rejectionLogInterval {
+		return
+	}
+	e.options.Log.Warn("repeats: requests with idempotency keys are rejected", "refused", r.count, "keys", e.store.Len(),
+		"bytes", e.store.Bytes(), "running", e.store.Running())
+	r.count, r.loggedAt = 1, now
+}
+
+// Stats returns the number of known keys, their estimated memory in bytes, and the number of running requests.
+func (e *Executor) Stats() (keys, bytes, running int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.store.Len(), e.store.Bytes(), e.store.Running()
+}
+
+// Abort makes executions stop waiting for other processes. It is called before the process exits without a graceful shutdown.
+func (e *Executor) Abort() {
+	if e.options.Shared != nil {
+		e.options.Shared.Abort()
+	}
+}
+
+// Close rejects new requests, waits for running executions and closes the stores. The engines that execute requests must have been
+// closed before.
+func (e *Executor) Close() {
+	e.mu.Lock()
+	e.closed = true
+	e.mu.Unlock()
+	e.running.Wait()
+	if e.options.Shared != nil {
+		e.options.Shared.Close()
+	}
+	if e.options.Records != nil {
+		if err := e.options.Records.Close(); err != nil {
+			e.options.Log.Error("repeats: closing the record store failed", "reason", err)
+		}
+	}
+}
