--- /dev/null
+++ b/internal/discovery/staleness/baseline_test.go
@@ -0,0 +1,69 @@
+package staleness
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// baseline is a policy without a deadline: fixed timeouts for silence and the first byte, and a backoff that grows by failures alone.
+// The tests hold that it misses deadlines, so that the world is known to find a policy that does.
+type baseline struct {
+	rng           *rand.Rand
+	pushed        bool
+	lastID        CallID
+	timeoutAt     time.Duration
+	nextCallAt    time.Duration
+	failures      int
+	pushedBackoff time.Duration
+}
+
+const (
+	baselineSilence       = 3500 * ms
+	baselineFirstByte     = 5 * second
+	baselinePushedBackoff = 250 * ms
+	baselinePushedMax     = 4 * second
+	baselineBackoff       = second
+	baselineMax           = 8 * second
+)
+
+func (b *baseline) open(now time.Duration) []Action {
+	b.lastID++
+	b.timeoutAt, b.nextCallAt = now+baselineFirstByte, never
+	return []Action{{Kind: OpenCall, Call: b.lastID}}
+}
+
+func (b *baseline) Start(now time.Duration) []Action {
+	b.pushedBackoff = baselinePushedBackoff
+	return b.open(now)
+}
+
+func (b *baseline) CallActive(now time.Duration, _ CallID) []Action {
+	b.timeoutAt, b.failures, b.pushedBackoff = now+baselineSilence, 0, baselinePushedBackoff
+	return nil
+}
+
+func (b *baseline) CallEnded(now time.Duration, _ CallID) []Action {
+	b.timeoutAt = never
+	if b.pushed {
+		b.nextCallAt = now + b.pushedBackoff
+		b.pushedBackoff = min(2*b.pushedBackoff, baselinePushedMax)
+		return nil
+	}
+	b.failures++
+	d := min(baselineBackoff<<min(b.failures-1, 10), baselineMax)
+	b.nextCallAt = now + time.Duration(float64(d)*(0.5+b.rng.Float64()))
+	return nil
+}
+
+func (b *baseline) Tick(now time.Duration) []Action {
+	switch {
+	case now >= b.timeoutAt:
+		b.CallEnded(now, b.lastID)
+		return []Action{{Kind: CloseCall, Call: b.lastID}}
+	case now >= b.nextCallAt:
+		return b.open(now)
+	}
+	return nil
+}
+
+func (b *baseline) Next() time.Duration { return min(b.timeoutAt, b.nextCallAt) }
--- /dev/null
+++ b/internal/discovery/staleness/call.go
@@ -0,0 +1,106 @@
+package staleness
+
+import (
+	"slices"
+	"time"
+)
+
+// CallID identifies a call of one Machine. IDs count up from 1.
+type CallID uint64
+
+// ActionKind says what the driver does for an Action.
+type ActionKind int
+
+// The kinds of an Action.
+const (
+	OpenCall  ActionKind = iota // open a call
+	CloseCall                   // close it; what it delivers from now on is ignored
+)
+
+// Request is what a call asks the discovery service for.
+type Request int
+
+// The requests.
+const (
+	WatchChanges Request = iota // a stream of changes since the known version
+	FetchList                   // the whole list; the call is over with the answer
+)
+
+func (r Request) String() string {
+	if r == FetchList {
+		return "list"
+	}
+	return "watch"
+}
+
+// Action is a step that the driver carries out.
+type Action struct {
+	Kind    ActionKind
+	Call    CallID
+	Request Request // of OpenCall
+}
+
+// call is a call that has not ended. All times are on the driver's clock.
+type call struct {
+	id        CallID
+	request   Request
+	openedAt  time.Duration
+	connected bool // a watch that has delivered its first byte
+
+	firstByteTimeout time.Duration // from openedAt to the first byte
+	lastActive       time.Duration // when it last delivered something
+	silenceSpread    time.Duration // added to silenceTimeout
+	closeAt          time.Duration // of a superseded call: when it is closed at the latest
+}
+
+// timeoutAt returns when the call counts as timed out if it delivers nothing more.
+func (c *call) timeoutAt() time.Duration {
+	if c.connected {
+		return c.lastActive + silenceTimeout + c.silenceSpread
+	}
+	return c.openedAt + c.firstByteTimeout
+}
+
+// healthy reports whether the call is a watch that delivers and is not silent for too long.
+func (c *call) healthy(now time.Duration) bool {
+	return c.connected && now < c.timeoutAt()
+}
+
+// callSet holds open calls, the oldest first.
+type callSet []call
+
+// find returns the index of a call, or a negative number.
+func (s callSet) find(id CallID) int {
+	return slices.IndexFunc(s, func(c call) bool { return c.id == id })
+}
+
+// anyHealthy reports whether one of the calls is healthy.
+func (s callSet) anyHealthy(now time.Duration) bool {
+	return slices.ContainsFunc(s, func(c call) bool { return c.healthy(now) })
+}
+
+// remove forgets a call that has ended by itself.
+func (s *callSet) remove(i int) {
+	*s = slices.Delete(*s, i, i+1)
+}
+
+// close forgets a call and returns the action that closes it.
+func (s *callSet) close(i int) Action {
+	id := (*s)[i].id
+	s.remove(i)
+	return Action{Kind: CloseCall, Call: id}
+}
+
+// closeOldest closes the count oldest calls.
+func (s *callSet) closeOldest(count int) []Action {
+	var actions []Action
+	for range count {
+		actions = append(actions, s.close(0))
+	}
+	return actions
+}
+
+// closeAll closes all calls.
+func (s *callSet) closeAll() []Action {
+	return s.closeOldest(len(*s))
+}
--- /dev/null
+++ b/internal/discovery/staleness/fleet_test.go
@@ -0,0 +1,291 @@
+package staleness
+
+import (
+	"container/heap"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+// fleetScenario is what happens to a fleet of Machines that share one discovery.
+type fleetScenario struct {
+	sidecars     int
+	serviceTime  time.Duration // of discovery, for a call
+	queueLimit   time.Duration // the longest that a call may queue
+	outageBegins time.Duration
+	outageEnds   time.Duration
+	changedAt    time.Duration     // when the list changes
+	redirects    [][]time.Duration // of each sidecar
+	lossRate     float64           // of answers, and of watch events, in whose place the call ends
+}
+
+type fleetEvent struct {
+	at    time.Duration
+	order int // of scheduling, where times are equal
+	run   func()
+}
+
+type fleetEvents []fleetEvent
+
+func (e fleetEvents) Len() int { return len(e) }
+func (e fleetEvents) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+}
+func (e fleetEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *fleetEvents) Push(x any)   { *e = append(*e, x.(fleetEvent)) }
+func (e *fleetEvents) Pop() any {
+	old := *e
+	last := old[len(old)-1]
+	*e = old[:len(old)-1]
+	return last
+}
+
+type fleetCall struct {
+	request  Request
+	watching bool // it was answered, and waits for changes
+}
+
+type fleetSidecar struct {
+	machine   *Machine
+	calls     map[CallID]*fleetCall
+	noticedAt time.Duration // when it first had the change; -1: it does not
+	timer     int           // number of the timer that is set
+	opened    int           // calls
+}
+
+// openCalls returns its calls in the order in which they were opened.
+func (s *fleetSidecar) openCalls() []CallID {
+	return slices.Sorted(maps.Keys(s.calls))
+}
+
+// fleet is a number of sidecars and their discovery in virtual time. Discovery serves calls one after another and rejects a call at once
+// that would queue for too long. A call that the sidecar has closed keeps its place in the queue. An address that was replaced ends its
+// calls some time after the redirect.
+type fleet struct {
+	scenario fleetScenario
+	rng      *rand.Rand
+	now      time.Duration
+	events   fleetEvents
+	order    int
+	idleAt   time.Duration // when discovery has worked through its queue
+	sidecars []*fleetSidecar
+}
+
+const (
+	fleetOneWayDelay    = 3 * ms // between a sidecar and discovery
+	fleetStartInterval  = ms
+	fleetRedirectedLife = 1500 * ms // from a redirect until the address before ends its calls
+)
+
+func playFleet(scenario fleetScenario, seed uint64, until time.Duration) *fleet {
+	f := &fleet{scenario: scenario, rng: rand.New(rand.NewPCG(seed, 7))}
+	for i := range scenario.sidecars {
+		s := &fleetSidecar{machine: New(Options{FleetSize: scenario.sidecars}, newRand(seed*1000+uint64(i))), calls: map[CallID]*fleetCall{}, noticedAt: -1}
+		f.sidecars = append(f.sidecars, s)
+		f.schedule(time.Duration(i)*fleetStartInterval, func() { f.carryOut(s, s.machine.Start(f.now)) })
+		if i < len(scenario.redirects) {
+			for _, at := range scenario.redirects[i] {
+				f.schedule(at, func() { f.redirect(s) })
+			}
+		}
+	}
+	f.schedule(scenario.outageBegins, f.endAllCalls)
+	f.schedule(scenario.changedAt, f.notifyWatches)
+	for len(f.events) > 0 && f.events[0].at <= until {
+		e := heap.Pop(&f.events).(fleetEvent)
+		f.now = e.at
+		e.run()
+	}
+	return f
+}
+
+func (f *fleet) schedule(at time.Duration, run func()) {
+	f.order++
+	heap.Push(&f.events, fleetEvent{max(at, f.now), f.order, run})
+}
+
+func (f *fleet) isDown() bool {
+	return f.now >= f.scenario.outageBegins && f.now < f.scenario.outageEnds
+}
+
+// carryOut does what a sidecar's machine wants, and sets its timer.
+func (f *fleet) carryOut(s *fleetSidecar, actions []Action) {
+	for _, a := range actions {
+		if a.Kind == CloseCall {
+			delete(s.calls, a.Call)
+			continue
+		}
+		call := &fleetCall{request: a.Request}
+		s.calls[a.Call] = call
+		s.opened++
+		f.enqueue(s, a.Call, call)
+	}
+	s.timer++
+	timer := s.timer
+	if next := s.machine.Next(); next < never {
+		f.schedule(next, func() {
+			if timer == s.timer {
+				f.carryOut(s, s.machine.Tick(f.now))
+			}
+		})
+	}
+}
+
+// enqueue puts a call into discovery's queue.
+func (f *fleet) enqueue(s *fleetSidecar, id CallID, call *fleetCall) {
+	f.schedule(f.now+fleetOneWayDelay, func() {
+		servedAt := max(f.idleAt, f.now)
+		if f.isDown() || servedAt-f.now > f.scenario.queueLimit {
+			f.schedule(f.now+fleetOneWayDelay, func() { f.end(s, id) })
+			return
+		}
+		f.idleAt = servedAt + f.scenario.serviceTime
+		f.schedule(f.idleAt, func() { f.answer(s, id, call) })
+	})
+}
+
+func (f *fleet) answer(s *fleetSidecar, id CallID, call *fleetCall) {
+	if s.calls[id] != call {
+		return
+	}
+	if f.isDown() || f.rng.Float64() < f.scenario.lossRate {
+		f.end(s, id)
+		return
+	}
+	f.notice(s)
+	if call.request == FetchList {
+		delete(s.calls, id)
+		f.carryOut(s, s.machine.CallActive(f.now, id))
+		return
+	}
+	call.watching = true
+	f.carryOut(s, s.machine.CallActive(f.now, id))
+	f.scheduleHeartbeat(s, id, call)
+}
+
+// notice notes that a sidecar has the list as it is now.
+func (f *fleet) notice(s *fleetSidecar) {
+	if f.now >= f.scenario.changedAt && s.noticedAt < 0 {
+		s.noticedAt = f.now
+	}
+}
+
+func (f *fleet) scheduleHeartbeat(s *fleetSidecar, id CallID, call *fleetCall) {
+	f.schedule(f.now+heartbeatInterval, func() {
+		if s.calls[id] == call && !f.isDown() {
+			f.carryOut(s, s.machine.CallActive(f.now, id))
+			f.scheduleHeartbeat(s, id, call)
+		}
+	})
+}
+
+// notifyWatches writes the change to the watches that there are; some end in place of it.
+func (f *fleet) notifyWatches() {
+	for _, s := range f.sidecars {
+		for _, id := range s.openCalls() {
+			if call := s.calls[id]; call == nil || !call.watching {
+				continue
+			}
+			if f.rng.Float64() < f.scenario.lossRate {
+				f.end(s, id)
+				continue
+			}
+			f.notice(s)
+			f.carryOut(s, s.machine.CallActive(f.now, id))
+		}
+	}
+}
+
+func (f *fleet) end(s *fleetSidecar, id CallID) {
+	if s.calls[id] != nil {
+		delete(s.calls, id)
+		f.carryOut(s, s.machine.CallEnded(f.now, id))
+	}
+}
+
+func (f *fleet) endAllCalls() {
+	for _, s := range f.sidecars {
+		for _, id := range s.openCalls() {
+			f.end(s, id)
+		}
+	}
+}
+
+func (f *fleet) redirect(s *fleetSidecar) {
+	for _, id := range s.openCalls() {
+		f.schedule(f.now+fleetRedirectedLife, func() { f.end(s, id) })
+	}
+	f.carryOut(s, s.machine.Redirect(f.now))
+}
+
+// latestNotice returns how long after the change the last sidecar had it.
+func (f *fleet) latestNotice(until time.Duration) time.Duration {
+	latest := time.Duration(0)
+	for _, s := range f.sidecars {
+		noticedAt := s.noticedAt
+		if noticedAt < 0 {
+			noticedAt = until
+		}
+		latest = max(latest, noticedAt-f.scenario.changedAt)
+	}
+	return latest
+}
+
+// opened returns the number of calls that the fleet opened.
+func (f *fleet) opened() int {
+	calls := 0
+	for _, s := range f.sidecars {
+		calls += s.opened
+	}
+	return calls
+}
+
+// redirectsInSeries redirects each sidecar four times within 1.6 s; the first redirects of the sidecars are interval apart.
+func redirectsInSeries(sidecars int, from, interval time.Duration) [][]time.Duration {
+	var all [][]time.Duration
+	for i := range sidecars {
+		first := from + time.Duration(i)*interval
+		all = append(all, []time.Duration{first, first + 300*ms, first + 700*ms, first + 1600*ms})
+	}
+	return all
+}
+
+// Sidecars with a current list leave discovery's queue to those without: discovery was down, serves the calls of the whole fleet in some
+// time from then on, and rejects what would queue for longer than 1 s. The list changes, each sidecar is redirected four times, and one
+// answer in seven is lost.
+func TestCrowdedFleetMeetsDeadline(t *testing.T) {
+	const (
+		runs = 200
+		end  = 60 * second
+	)
+	for _, load := range []struct {
+		callOfEach time.Duration // discovery's service time for a call of each sidecar
+		maxLate    int
+	}{
+		{1500 * ms, 0},
+		{2 * second, runs / 100}, // two answers in a row are lost
+	} {
+		for _, sidecars := range []int{6, 12, 30, 80} {
+			late, worst, calls := 0, time.Duration(0), 0
+			for seed := range uint64(runs) {
+				scenario := fleetScenario{sidecars: sidecars, serviceTime: load.callOfEach / time.Duration(sidecars), queueLimit: second,
+					outageBegins: 10 * second, outageEnds: 23 * second, changedAt: 26800 * ms, lossRate: 0.15,
+					redirects: redirectsInSeries(sidecars, 26400*ms, 2400*ms/time.Duration(sidecars))}
+				f := playFleet(scenario, seed, end)
+				latest := f.latestNotice(end)
+				if latest > notificationDeadline+latestNotice {
+					late++
+				}
+				worst = max(worst, latest)
+				calls += f.opened()
+			}
+			t.Logf("%d sidecars, %v for a call of each: %d of %d runs late, noticed after %v at worst, %.1f calls a sidecar", sidecars, load.callOfEach,
+				late, runs, worst, float64(calls)/runs/float64(sidecars))
+			if late > load.maxLate {
+				t.Errorf("%d sidecars, %v for a call of each: one misses the deadline in %d of %d runs", sidecars, load.callOfEach, late, runs)
+			}
+		}
+	}
+}
--- a/internal/discovery/staleness/machine.go
+++ b/internal/discovery/staleness/machine.go
@@ -1,300 +1,218 @@
-// Package staleness decides when a list of upstreams is asked for, so that no change of it is heard of later than it counts as
-// told. It has no I/O and no clock: a driver says what happens and when, and does what it is told.
-//
-// A call is one question to discovery that stays open as a watch. The list is current as long as a call speaks: it brings a list, a
-// change or a sign of life. A call that ends, or that has been quiet for longer than one that is well can be, leaves it open whether
-// something was missed; from then on there is one deadline, Machine.Deadline, at which what was missed counts as told (budget.go). All
-// waits are derived from what is left until then. A call that is quiet is not given up before a later one speaks: it may be waiting
-// its turn at a discovery that works through calls one after another.
-//
-// At another address nothing is known, and a call asks for the whole list first; a watch follows (redirect.go). Calls may be refused
-// however well discovery is, since others take its places: see budget.go for who waits then.
 package staleness
 
 import (
 	"math/rand/v2"
-	"slices"
 	"time"
 )
 
-// Options are a Machine's parameters.
-type Options struct {
-	Pushed     bool          // the list is pushed to an agent at hand: calls cost nothing, and what it has counts as told at once
-	MaxPollAge time.Duration // without a watch the list holds for so long from the last call; 0: not told
-	FleetSize  int           // that follow the same list
-	DrainGrace time.Duration // for what is sent after a change counts as told; 0: not told
-}
-
-// CallID names a call, from 1 up.
-type CallID uint64
-
-// ActionKind of an Action.
-type ActionKind int
-
-// The actions.
-const (
-	OpenCall  ActionKind = iota // make a call
-	CloseCall                   // end it; nothing that it says counts any more
-)
-
-// Request is what a call asks discovery for.
-type Request int
-
-// The requests.
-const (
-	WatchChanges Request = iota // what changes from the version that is known on
-	FetchList                   // the whole list; the call is over once it is heard
-)
-
-func (r Request) String() string {
-	if r == FetchList {
-		return "list"
-	}
-	return "watch"
-}
-
-// Action is what the driver is to do.
-type Action struct {
-	Kind    ActionKind
-	Call    CallID
-	Request Request // of Open
-}
+// never is a time that does not come.
+const never = time.Duration(1<<63 - 1)
 
-type call struct {
-	id      CallID
-	request Request
-	begun   time.Duration
-	heard   time.Duration // when it last spoke
-	spread  time.Duration // added to the silence that it may keep: fleets do not ask as one
-	spoke   bool
+// Machine schedules the calls for one list. It is not safe for concurrent use. All times are on one monotonic clock of the driver.
+//
+// At most maxOpenCalls calls are open at the present address, and maxSupersededCalls at earlier ones.
+type Machine struct {
+	options Options
+	rng     *rand.Rand
+	started bool
 
-	patience time.Duration // it may be silent for so long before its first word
-}
+	calls        callSet // to the present address
+	superseded   callSet // to earlier addresses; see Redirect
+	lastID       CallID
+	lastOpenedAt time.Duration
+	nextCallAt   time.Duration // no call is opened before; 0: no backoff runs
+	needList     bool          // the next call fetches the list: nothing is known of the present address
+	watchDelayed bool          // the list was fetched, and the watch behind it waits for nextCallAt
 
-// Machine is not safe for concurrent use. It holds no more than mostCalls calls, and mostPrevious to addresses before. Times are on any clock that goes on.
-type Machine struct {
-	o        Options
-	rng      *rand.Rand
-	calls    []call // that are open, the oldest first
-	last     CallID
-	lastMade time.Duration // when the last call was made
-	due      time.Duration
-	pressed  bool          // due is the deadline of something that may have been missed
-	hold     time.Duration // no call is made before, since one has ended
-	fails    int           // calls that ended since one spoke
-	quiet    int           // calls in a row that were replaced and had not spoken
-	told     time.Duration // when the list was last known to be current
-	started  bool
+	everCurrent   bool          // a call has delivered since the start
+	currentAt     time.Duration // when the list was last known to be current
+	deadline      time.Duration // from when on the list counts as stale
+	mayHaveMissed bool          // deadline is that of a change which may have been missed
 
-	informed bool // a call has spoken since the start
+	consecutiveFailures int // calls that ended since one delivered
+	consecutiveTimeouts int // calls in a row that were replaced before their first byte
 
-	watchPending bool           // the whole list was heard, and the watch behind it waits
-	listWanted   bool           // nothing is known of what the present address has
-	previous     []previousCall // to addresses before, the oldest first; see Redirect
-	redirects    int            // how often another address was named, in the series of the last one
-	redirected   time.Duration  // when that was
+	redirects    int // in the present series
+	redirectedAt time.Duration
 }
 
-const never = time.Duration(1<<63 - 1)
-
-// New returns a Machine that has not begun. Random numbers come from rng.
+// New returns a Machine that has not started. It draws the jitter from rng.
 func New(o Options, rng *rand.Rand) *Machine {
-	return &Machine{o: o, rng: rng, due: never}
+	return &Machine{options: o, rng: rng, deadline: never}
 }
 
-// Start has the first call made, and those after it.
+// Start opens the first call.
 func (m *Machine) Start(now time.Duration) []Action {
-	m.started, m.told, m.due = true, now, now+toldSilent
-	return m.callNow(now)
+	m.started = true
+	m.currentAt = now
+	m.deadline = now + notificationDeadline
+	return m.openCall(now)
 }
 
-// CallActive says that a call spoke: it brought a list, a change, or a line that stands for none. Part of a line is nothing.
+// CallActive reports that a call delivered something: the list, a change, or a heartbeat. Part of a message does not count.
 func (m *Machine) CallActive(now time.Duration, id CallID) []Action {
-	if i := m.findPrevious(id); i >= 0 {
-		return m.heardPrevious(now, i)
+	if i := m.superseded.find(id); i >= 0 {
+		m.supersededActive(now, i)
+		return nil
 	}
-	i := m.find(id)
+	i := m.calls.find(id)
 	if i < 0 {
 		return nil
 	}
 	if m.calls[i].request == FetchList {
-		return m.listed(now, i)
+		return m.listFetched(now, i)
 	}
 	c := &m.calls[i]
-	if !c.spoke {
-		c.spread = m.spread()
-	}
-	c.spoke, c.heard = true, now
-	m.current(now)
-	acts := m.closeAllPrevious()
-	for ; i > 0; i-- { // it knows all that they could say
-		acts = append(acts, m.close(0))
+	if !c.connected {
+		c.silenceSpread = m.silenceSpread()
 	}
-	return acts
+	c.connected, c.lastActive = true, now
+	m.markCurrent(now)
+	actions := m.superseded.closeAll()
+	return append(actions, m.calls.closeOldest(i)...) // the older calls have nothing that this one lacks
 }
 
-// listed takes the answer to a call for the whole list, which is over with it, and has the watch made that follows.
-func (m *Machine) listed(now time.Duration, i int) []Action {
-	took := now - m.calls[i].begun
-	crowded := m.fails > 0 || took > crowdedAfter
-	m.calls = slices.Delete(m.calls, i, i+1)
-	m.current(now)
-	m.listWanted = false
-	acts := m.closeAll()
-	// The list is good for a while, and others may have none; but the watch may take as long as the list did, and twice that.
-	wait := min(watchLater, (toldSilent-2*took)/2)
-	if crowded && !m.o.Pushed && wait > 0 {
-		m.hold, m.watchPending = now+m.jitter(wait), true
-		return acts
+// listFetched takes the answer to call i, which is over with it, and opens the watch that follows.
+func (m *Machine) listFetched(now time.Duration, i int) []Action {
+	fetchDuration := now - m.calls[i].openedAt
+	crowded := m.consecutiveFailures > 0 || fetchDuration > crowdedLatency
+	m.calls.remove(i)
+	m.markCurrent(now)
+	m.needList = false
+	actions := m.calls.closeAll()
+	delay := watchDelay(fetchDuration)
+	if crowded && !m.options.Pushed && delay > 0 {
+		m.nextCallAt, m.watchDelayed = now+m.jitter(delay), true
+		return actions
 	}
-	return append(acts, m.callNow(now)...)
+	return append(actions, m.openCall(now)...)
 }
 
-// current says that the list is known to be current.
-func (m *Machine) current(now time.Duration) {
-	m.fails, m.quiet, m.hold, m.pressed = 0, 0, 0, false
-	m.informed, m.told, m.due = true, now, now+toldSilent
+// markCurrent notes that the list is current, which ends any backoff and moves the deadline.
+func (m *Machine) markCurrent(now time.Duration) {
+	m.consecutiveFailures, m.consecutiveTimeouts = 0, 0
+	m.nextCallAt = 0
+	m.everCurrent, m.currentAt = true, now
+	m.deadline, m.mayHaveMissed = now+notificationDeadline, false
 }
 
-// CallEnded says that a call ended by itself, or could not be made.
+// CallEnded reports that a call ended by itself, or could not be opened.
 func (m *Machine) CallEnded(now time.Duration, id CallID) []Action {
-	if i := m.findPrevious(id); i >= 0 {
-		m.previous = slices.Delete(m.previous, i, i+1)
+	if i := m.superseded.find(id); i >= 0 {
+		m.superseded.remove(i)
 		return nil
 	}
-	i := m.find(id)
+	i := m.calls.find(id)
 	if i < 0 {
 		return nil
 	}
-	m.calls = slices.Delete(m.calls, i, i+1)
-	m.fails++
-	if m.o.Pushed && !m.pressed && !m.standing(now) { // else there is no deadline but for the waits: see budget.go
-		m.pressed, m.due = true, now+m.o.grace()
+	m.calls.remove(i)
+	m.consecutiveFailures++
+	if m.options.Pushed && !m.mayHaveMissed && !m.anyHealthy(now) {
+		m.mayHaveMissed, m.deadline = true, now+m.options.grace()
 	}
-	m.hold = now + m.backoff(now)
+	m.nextCallAt = now + m.backoff(now)
 	return nil
 }
 
-// doubt sets the deadline of a call that may have been silent since it last spoke, or was made.
-func (m *Machine) doubt(now, since time.Duration) {
-	if m.pressed = true; m.o.Pushed {
-		since = now + m.o.grace() - toldSilent
+// callTimedOut sets the deadline for a change that may have been missed since a call last delivered, or was opened.
+func (m *Machine) callTimedOut(now time.Duration, c *call) {
+	m.mayHaveMissed = true
+	if m.options.Pushed {
+		m.deadline = min(m.deadline, now+m.options.grace())
+		return
 	}
-	m.due = min(m.due, since+toldSilent)
+	m.deadline = min(m.deadline, max(c.openedAt, c.lastActive)+notificationDeadline)
 }
 
-// Tick looks at what has been waited for long enough. It is called at Next, or at any time.
+// Tick opens and closes what is due. It is to be called at Next, and may be called at any time.
 func (m *Machine) Tick(now time.Duration) []Action {
-	acts := m.endPrevious(now)
+	actions := m.closeExpired(now)
 	if len(m.calls) == 0 {
-		if !m.started || now < m.hold {
-			return acts
+		if !m.started || now < m.nextCallAt {
+			return actions
 		}
-		return append(acts, m.callNow(now)...)
+		return append(actions, m.openCall(now)...)
 	}
-	for now >= m.limit() {
-		youngest := m.calls[len(m.calls)-1]
-		if m.callStands(now) && !youngest.spoke { // the one before it is well after all
-			acts = append(acts, m.close(len(m.calls)-1))
+	for now >= m.timeoutAt() {
+		youngest := len(m.calls) - 1
+		if m.calls.anyHealthy(now) && !m.calls[youngest].connected {
+			actions = append(actions, m.calls.close(youngest)) // the watch before it delivers again
 			continue
 		}
-		if !m.pressed {
-			m.doubt(now, max(youngest.begun, youngest.heard))
+		if !m.mayHaveMissed {
+			m.callTimedOut(now, &m.calls[youngest])
 		}
-		if now < m.hold { // the one made beside it was turned away
+		if now < m.nextCallAt { // a call beside this one was rejected
 			break
 		}
-		if !youngest.spoke {
-			m.quiet++
-		}
-		if len(m.calls) >= mostCalls {
-			acts = append(acts, m.close(0))
-		}
-		acts = append(acts, m.callNow(now)...)
+		actions = append(actions, m.replaceTimedOut(now)...)
 	}
-	return acts
+	return actions
 }
 
-// limit is until when the youngest call may be quiet.
-func (m *Machine) limit() time.Duration {
+// replaceTimedOut opens a call beside the youngest one, which timed out. Where too many are open the oldest is closed.
+func (m *Machine) replaceTimedOut(now time.Duration) []Action {
+	if !m.calls[len(m.calls)-1].connected {
+		m.consecutiveTimeouts++
+	}
+	var actions []Action
+	if len(m.calls) >= maxOpenCalls {
+		actions = append(actions, m.calls.close(0))
+	}
+	return append(actions, m.openCall(now)...)
+}
+
+// timeoutAt returns when the youngest call at the present address times out.
+func (m *Machine) timeoutAt() time.Duration {
 	if len(m.calls) == 0 {
 		return never
 	}
-	c := &m.calls[len(m.calls)-1]
-	if c.spoke {
-		return c.heard + silence + c.spread
-	}
-	return c.begun + c.patience
+	return m.calls[len(m.calls)-1].timeoutAt()
 }
 
-// Next is when Tick is due.
+// Next returns when Tick is due.
 func (m *Machine) Next() time.Duration {
-	next := m.limit()
+	next := m.timeoutAt()
 	switch {
 	case !m.started:
 		return never
 	case len(m.calls) == 0:
-		next = m.hold
-	case m.pressed:
-		next = max(next, m.hold)
+		next = m.nextCallAt
+	case m.mayHaveMissed:
+		next = max(next, m.nextCallAt)
 	}
-	return min(next, m.previousEnds())
+	return min(next, m.nextExpiry())
 }
 
-// Deadline is when what may have been missed counts as told; the list may be too old from then on.
-func (m *Machine) Deadline() time.Duration { return m.due }
+// Deadline returns when a change that may have been missed counts as notified; from then on the list is stale.
+func (m *Machine) Deadline() time.Duration { return m.deadline }
 
-// CurrentAt is when the list was last known to be current.
-func (m *Machine) CurrentAt() time.Duration { return m.told }
+// CurrentAt returns when the list was last known to be current.
+func (m *Machine) CurrentAt() time.Duration { return m.currentAt }
 
-// Failures is how many calls have ended since one spoke.
-func (m *Machine) Failures() int { return m.fails }
+// Failures returns how many calls have ended since one delivered.
+func (m *Machine) Failures() int { return m.consecutiveFailures }
 
-// Connected tells whether a call speaks, or the whole list was heard and the watch behind it is still to be made.
-func (m *Machine) Connected(now time.Duration) bool { return m.standing(now) || m.watchPending }
+// Connected reports whether a watch delivers, or the list was fetched and the watch behind it is still to be opened.
+func (m *Machine) Connected(now time.Duration) bool { return m.anyHealthy(now) || m.watchDelayed }
 
-// Accepts tells whether what a call says counts.
-func (m *Machine) Accepts(id CallID) bool { return m.find(id) >= 0 || m.findPrevious(id) >= 0 }
+// Accepts reports whether what a call delivers is to be used.
+func (m *Machine) Accepts(id CallID) bool { return m.calls.find(id) >= 0 || m.superseded.find(id) >= 0 }
 
-func (m *Machine) standing(now time.Duration) bool {
-	return m.callStands(now) || slices.ContainsFunc(m.previous, func(c previousCall) bool { return c.standing(now) })
+// anyHealthy reports whether a watch at any address delivers.
+func (m *Machine) anyHealthy(now time.Duration) bool {
+	return m.calls.anyHealthy(now) || m.superseded.anyHealthy(now)
 }
 
-// callStands is standing at the present address.
-func (m *Machine) callStands(now time.Duration) bool {
-	return slices.ContainsFunc(m.calls, func(c call) bool { return c.standing(now) })
-}
-
-// standing tells whether a watch has spoken, and for no longer than one that is well may be quiet.
-func (c *call) standing(now time.Duration) bool {
-	return c.spoke && now < c.heard+silence+c.spread
-}
-
-func (m *Machine) callNow(now time.Duration) []Action {
-	m.last++
-	m.lastMade, m.watchPending = now, false
+// openCall opens a call at the present address.
+func (m *Machine) openCall(now time.Duration) []Action {
+	m.lastID++
+	m.lastOpenedAt, m.watchDelayed = now, false
 	request := WatchChanges
-	if m.listWanted {
+	if m.needList {
 		request = FetchList
 	}
-	m.calls = append(m.calls, call{id: m.last, request: request, begun: now, patience: m.patience(now)})
-	return []Action{{Kind: OpenCall, Call: m.last, Request: request}}
-}
-
-func (m *Machine) close(i int) Action {
-	id := m.calls[i].id
-	m.calls = slices.Delete(m.calls, i, i+1)
-	return Action{Kind: CloseCall, Call: id}
-}
-
-func (m *Machine) closeAll() []Action {
-	var acts []Action
-	for len(m.calls) > 0 {
-		acts = append(acts, m.close(0))
-	}
-	return acts
-}
-
-func (m *Machine) find(id CallID) int {
-	return slices.IndexFunc(m.calls, func(c call) bool { return c.id == id })
+	m.calls = append(m.calls, call{id: m.lastID, request: request, openedAt: now, firstByteTimeout: m.firstByteTimeout(now)})
+	return []Action{{Kind: OpenCall, Call: m.lastID, Request: request}}
 }
--- /dev/null
+++ b/internal/discovery/staleness/options.go
@@ -0,0 +1,58 @@
+package staleness
+
+import (
+	"fmt"
+	"time"
+)
+
+// Options are the parameters of a Machine.
+type Options struct {
+	Pushed     bool          // the list is pushed to a local agent: calls cost nothing, and a change counts as notified when the agent has it
+	MaxPollAge time.Duration // how long a list holds after a poll, without a watch; 0: 10 s
+	FleetSize  int           // sidecars that follow the same list
+	DrainGrace time.Duration // how long requests may be sent after a change counts as notified; 0: the longest that is used, 250 ms
+}
+
+// Describe returns the timeouts that apply to a list, for `orchiddrift check`.
+func (o Options) Describe() string {
+	if o.Pushed {
+		return fmt.Sprintf("pushed: a watch that breaks is opened again within %v, one that is silent doubted after %v",
+			o.gracePercent(pushedMaxBackoffPercent)*3/2, silenceTimeout)
+	}
+	return fmt.Sprintf("asked: a watch doubted after %v of silence, the list too old after %v of it, or %v without a watch",
+		silenceTimeout, notificationDeadline, o.maxPollAge())
+}
+
+func (o *Options) maxPollAge() time.Duration {
+	if o.MaxPollAge > 0 {
+		return o.MaxPollAge
+	}
+	return defaultMaxPollAge
+}
+
+// grace returns the part of DrainGrace that is used for a pushed list.
+func (o *Options) grace() time.Duration {
+	if o.DrainGrace > 0 {
+		return min(o.DrainGrace, maxPushedGrace)
+	}
+	return maxPushedGrace
+}
+
+func (o *Options) gracePercent(percent int) time.Duration {
+	return o.grace() * time.Duration(percent) / 100
+}
+
+// perSidecar returns a time for each sidecar of the fleet.
+func (o *Options) perSidecar(each time.Duration) time.Duration {
+	return time.Duration(min(o.FleetSize, maxCountedSidecars)) * each
+}
+
+// stalePollInterval returns the interval, before its jitter, at which a stale list is polled.
+func (o *Options) stalePollInterval() time.Duration {
+	return min(max(minStalePollInterval, o.perSidecar(stalePollIntervalPerSidecar)), maxBackoff)
+}
+
+// backoffLimit returns the longest backoff before its jitter: with the jitter it is within MaxPollAge.
+func (o *Options) backoffLimit() time.Duration {
+	return min(maxBackoff, o.maxPollAge()*maxPollAgeNumerator/maxPollAgeDenominator)
+}
--- a/internal/discovery/staleness/redirect.go
+++ b/internal/discovery/staleness/redirect.go
@@ -5,120 +5,90 @@
 	"time"
 )
 
-// Redirect says that another address tells the list from now on. It is asked for the whole list, at once but in a series of such words.
+// Redirect reports that the list is served at another address from now on. The list is fetched there at once; in a series of redirects
+// the fetch is held for a moment, so that not each of them takes a place in the server's queue.
 //
-// The calls to addresses before go on until the new address's watch has spoken, so that no change falls between the two, and no later than
-// what the new address has to tell counts as told. What they say is newer than the list that requests are sent by, and a place in the queue
-// of a crowded discovery is not given up.
+// The calls to earlier addresses are superseded. They go on until the watch at the new address delivers, and for redirectDeadline at
+// most, so that no change falls between two addresses and no place in a server's queue is given up. What they deliver is newer than the
+// list in use.
 func (m *Machine) Redirect(now time.Duration) []Action {
 	if !m.started {
 		return nil
 	}
-	acts := m.keepPrevious(now)
-	series := m.redirects > 0 && now < m.redirected+reloadSeries
+	actions := m.supersedeCalls(now)
+	inSeries := m.redirects > 0 && now < m.redirectedAt+redirectSeriesGap
 	m.redirects++
-	if !series {
+	if !inSeries {
 		m.redirects = 1
 	}
-	m.redirected, m.listWanted, m.watchPending = now, true, false
-	m.fails, m.quiet, m.pressed, m.due = 0, 0, true, min(m.due, now+toldMoved)
-	m.hold = now
-	if series && !m.o.Pushed {
-		m.hold = m.holdInSeries(now)
+	m.redirectedAt = now
+	m.needList, m.watchDelayed = true, false
+	m.consecutiveFailures, m.consecutiveTimeouts = 0, 0
+	m.mayHaveMissed, m.deadline = true, min(m.deadline, now+redirectDeadline)
+	m.nextCallAt = now
+	if inSeries && !m.options.Pushed {
+		m.nextCallAt = m.redirectHold(now)
 	}
-	if now < m.hold {
-		return acts
+	if now < m.nextCallAt {
+		return actions
 	}
-	return append(acts, m.callNow(now)...)
+	return append(actions, m.openCall(now)...)
 }
 
-// holdInSeries is until when no call is made behind one of several reloads. However long the series is, the list is asked for once in
-// reloadSeries.
-func (m *Machine) holdInSeries(now time.Duration) time.Duration {
-	if m.due <= now {
-		return now
-	}
-	wait := min(max((m.due-now)/leftPart, reloadHoldLeast), reloadHoldMost)
-	return min(now+m.jitter(wait), m.lastMade+reloadSeries)
-}
-
-// previousCall is one to an address before.
-type previousCall struct {
-	call
-	until time.Duration // it is closed
-}
-
-// keepPrevious has the calls that are open go on as previous ones. Of too many the oldest is closed that does not stand.
-func (m *Machine) keepPrevious(now time.Duration) []Action {
+// supersedeCalls moves the open calls to the superseded ones. Of too many the oldest that is not healthy is closed.
+func (m *Machine) supersedeCalls(now time.Duration) []Action {
 	for _, c := range m.calls {
-		m.previous = append(m.previous, previousCall{c, now + toldMoved})
+		c.closeAt = now + redirectDeadline
+		m.superseded = append(m.superseded, c)
 	}
 	m.calls = nil
-	var acts []Action
-	for len(m.previous) > mostPrevious {
-		oldest := max(0, slices.IndexFunc(m.previous, func(c previousCall) bool { return !c.standing(now) }))
-		acts = append(acts, m.closePrevious(oldest))
+	var actions []Action
+	for len(m.superseded) > maxSupersededCalls {
+		oldest := max(0, slices.IndexFunc(m.superseded, func(c call) bool { return !c.healthy(now) }))
+		actions = append(actions, m.superseded.close(oldest))
 	}
-	return acts
+	return actions
 }
 
-// heardPrevious takes a word of a previous call. The new address is asked all the same; once its list is known, that one's age counts.
-func (m *Machine) heardPrevious(now time.Duration, i int) []Action {
-	c := &m.previous[i]
-	c.spoke, c.heard = c.request == WatchChanges, now
-	if m.listWanted {
-		m.informed, m.told = true, now
-		if !m.o.Pushed {
-			m.due = now + toldSilent
+// supersededActive takes a sign of life of superseded call i. It keeps the list current until that of the new address is there, whose
+// own age counts from then on.
+func (m *Machine) supersededActive(now time.Duration, i int) {
+	c := &m.superseded[i]
+	c.connected, c.lastActive = c.request == WatchChanges, now
+	if m.needList {
+		m.everCurrent, m.currentAt = true, now
+		if !m.options.Pushed {
+			m.deadline = now + notificationDeadline
 		}
 	}
-	if c.request == FetchList { // it is over
-		m.previous = slices.Delete(m.previous, i, i+1)
+	if c.request == FetchList { // it is over with its answer
+		m.superseded.remove(i)
 	}
-	return nil
 }
 
-// Recheck says that a previous call has told something that the present address's list may lack: that is asked for again.
+// Recheck reports that a superseded call has delivered a change which the list of the present address may lack: the list is fetched
+// again, unless a watch at the present address delivers.
 func (m *Machine) Recheck(now time.Duration) []Action {
-	if m.listWanted || m.callStands(now) {
+	if m.needList || m.calls.anyHealthy(now) {
 		return nil
 	}
-	m.listWanted = true
-	return append(m.closeAll(), m.callNow(now)...)
-}
-
-func (m *Machine) closePrevious(i int) Action {
-	id := m.previous[i].id
-	m.previous = slices.Delete(m.previous, i, i+1)
-	return Action{Kind: CloseCall, Call: id}
-}
-
-func (m *Machine) closeAllPrevious() []Action {
-	var acts []Action
-	for len(m.previous) > 0 {
-		acts = append(acts, m.closePrevious(0))
-	}
-	return acts
+	m.needList = true
+	return append(m.calls.closeAll(), m.openCall(now)...)
 }
 
-// endPrevious closes the previous calls whose time is over.
-func (m *Machine) endPrevious(now time.Duration) []Action {
-	var acts []Action
-	for now >= m.previousEnds() {
-		acts = append(acts, m.closePrevious(0))
+// closeExpired closes the superseded calls whose time is over.
+func (m *Machine) closeExpired(now time.Duration) []Action {
+	var actions []Action
+	for now >= m.nextExpiry() {
+		actions = append(actions, m.superseded.close(0))
 	}
-	return acts
-}
-
-// findPrevious is a call's place among the previous ones, or below 0.
-func (m *Machine) findPrevious(id CallID) int {
-	return slices.IndexFunc(m.previous, func(c previousCall) bool { return c.id == id })
+	return actions
 }
 
-// previousEnds is when the oldest previous call is closed.
-func (m *Machine) previousEnds() time.Duration {
-	if len(m.previous) == 0 {
+// nextExpiry returns when the oldest superseded call is closed.
+func (m *Machine) nextExpiry() time.Duration {
+	if len(m.superseded) == 0 {
 		return never
 	}
-	return m.previous[0].until
+	return m.superseded[0].closeAt
 }
