--- a/internal/discovery/calls.go
+++ b/internal/discovery/calls.go
@@ -1,7 +1,5 @@
 package discovery
 
-// The calls of a Watcher: how one is made, followed to its end, and what it brings.
-
 import (
 	"bufio"
 	"cmp"
@@ -11,78 +9,84 @@
 	"io"
 	"log/slog"
 	"net/http"
-	"slices"
 	"time"
 
 	"orchiddrift/internal/discovery/staleness"
 	"orchiddrift/internal/endpoints"
 )
 
-// location is an address that tells the list, with what is known of its versions: those of another one mean nothing there.
-type location struct {
+// errEnded is the reason of a watch whose body ended without an error.
+var errEnded = errors.New("discovery ended it")
+
+// initialMessageBuffer is the buffer of a watch in bytes; it grows up to maxMessageBytes.
+const initialMessageBuffer = 4 << 10
+
+// listServer is an address that serves the list. Versions of one address mean nothing at another.
+type listServer struct {
 	address string
-	index   int64 // of the list as last told there
-	untold  bool  // nothing came from there yet
+	version int64 // of the list that was last received from it
+	isNew   bool  // nothing was received from it yet
 }
 
-// openCall is a call that has not ended. Its fields other than end belong to the goroutine that makes it.
-type openCall struct {
+// listCall is a call that has not ended. Its fields other than cancel belong to the call's goroutine.
+type listCall struct {
 	id       staleness.CallID
-	end      context.CancelCauseFunc
-	begun    time.Time
-	at       *location
 	request  staleness.Request
+	server   *listServer
+	cancel   context.CancelCauseFunc
+	openedAt time.Time
 	version  int64 // that it has reached
 	answered bool
 }
 
-// begin makes a call; the caller holds mu.
-func (w *Watcher) begin(a staleness.Action) {
-	ctx, end := context.WithCancelCause(w.ctx)
-	c := &openCall{id: a.Call, end: end, begun: time.Now(), at: w.at, request: a.Request, version: w.at.index}
-	w.open[c.id] = c
-	w.made++
-	w.log.Debug("list call made", "call", c.id, "request", c.request.String(), "address", c.at.address, "version", c.version, "age", w.age())
-	w.calls.Go(func() { w.call(ctx, c) })
-}
-
-// age is how long ago the list was last known to be current, for the log; the caller holds mu.
-func (w *Watcher) age() time.Duration {
-	return (w.now() - w.machine.CurrentAt()).Round(time.Millisecond)
+// open opens a call in a goroutine; the caller holds mu.
+func (w *Watcher) open(a staleness.Action) {
+	ctx, cancel := context.WithCancelCause(w.ctx)
+	c := &listCall{id: a.Call, request: a.Request, server: w.server, cancel: cancel, openedAt: time.Now(), version: w.server.version}
+	w.calls[c.id] = c
+	w.opened++
+	w.log.Debug("list call made", "call", c.id, "request", c.request.String(), "address", c.server.address, "version", c.version, "age", w.age())
+	w.running.Go(func() { w.run(ctx, c) })
 }
 
-// call follows one call to its end and tells the machine of it.
-func (w *Watcher) call(ctx context.Context, c *openCall) {
-	err := w.follow(ctx, c)
+// run carries out one call and reports its end to the machine.
+func (w *Watcher) run(ctx context.Context, c *listCall) {
+	err := w.receive(ctx, c)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.open, c.id)
+	delete(w.calls, c.id)
 	cause := context.Cause(ctx)
-	c.end(nil)
+	c.cancel(nil)
 	if w.sink == nil || w.ctx.Err() != nil { // Run ends
 		return
 	}
 	if cause != nil {
 		err = cause
 	}
-	if err == nil { // it has brought the whole list
+	if err == nil { // a poll that was answered
 		return
 	}
-	lasted := time.Since(c.begun).Round(time.Millisecond)
+	lasted := time.Since(c.openedAt).Round(time.Millisecond)
 	if errors.Is(err, errReplaced) {
 		w.log.Debug("list call replaced", "call", c.id, "request", c.request.String(), "answered", c.answered, "lasted", lasted)
 		return
 	}
 	w.failed++
-	acts := w.machine.CallEnded(w.now(), c.id)
+	actions := w.machine.CallEnded(w.now(), c.id)
+	w.logFailure(c, err, lasted)
+	w.carryOut(actions)
+}
+
+// logFailure logs that a call ended by itself, once the machine knows of it; the caller holds mu.
+func (w *Watcher) logFailure(c *listCall, reason error, lasted time.Duration) {
 	now := w.now()
 	failures := w.machine.Failures()
-	w.log.Log(context.Background(), failureLevel(failures), "watch ended", "reason", err, "call", c.id, "request", c.request.String(), "answered", c.answered,
-		"lasted", lasted, "age", w.age(), "overdue", now >= w.machine.Deadline(), "failures", failures, "next", max(0, w.machine.Next()-now).Round(time.Millisecond))
-	w.do(acts)
+	w.log.Log(context.Background(), failureLevel(failures), "watch ended", "reason", reason, "call", c.id, "request", c.request.String(),
+		"answered", c.answered, "lasted", lasted, "age", w.age(), "overdue", now >= w.machine.Deadline(), "failures", failures,
+		"next", max(0, w.machine.Next()-now).Round(time.Millisecond))
 }
 
-// The failures in a row that are logged as warnings: the first ones, and then one in so many. The others are there for who debugs.
+// Consecutive failures that are logged as warnings: the first ones, and then one in so many. The others are logged as debug.
 const (
 	warnedFailures = 8
 	warnedOneIn    = 16
@@ -95,51 +99,74 @@
 	return slog.LevelDebug
 }
 
-// follow asks for what a call is to ask for, and takes all that comes until it ends. A whole list ends it without an error.
-func (w *Watcher) follow(ctx context.Context, c *openCall) error {
-	targets := fmt.Sprintf("http://%s/api/targets", c.at.address)
+// receive sends the request of a call and handles what arrives until it ends. It returns nil for a poll that was answered.
+func (w *Watcher) receive(ctx context.Context, c *listCall) error {
+	url := fmt.Sprintf("http://%s/api/targets", c.server.address)
 	if c.request == staleness.FetchList {
-		return w.fetch(ctx, c, targets)
+		return w.receiveList(ctx, c, url)
 	}
-	body, err := w.get(ctx, fmt.Sprintf("%s?watch=1&from=%d", targets, c.version))
+	return w.receiveChanges(ctx, c, fmt.Sprintf("%s?watch=1&from=%d", url, c.version))
+}
+
+// receiveChanges follows a watch to its end, which is an error.
+func (w *Watcher) receiveChanges(ctx context.Context, c *listCall, url string) error {
+	body, err := w.get(ctx, url)
 	if err != nil {
 		return err
 	}
 	defer body.Close()
-	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 0, 4096), maxMessage)
-	lines.Split(messages())
-	for lines.Scan() {
-		if err := w.take(ctx, c, lines.Bytes()); err != nil {
+	messages := bufio.NewScanner(body)
+	messages.Buffer(make([]byte, 0, initialMessageBuffer), maxMessageBytes)
+	messages.Split((&messageSplitter{}).split)
+	for messages.Scan() {
+		if err := w.handle(ctx, c, messages.Bytes()); err != nil {
 			return err
 		}
 	}
-	return cmp.Or(lines.Err(), errors.New("discovery ended it"))
+	return cmp.Or(messages.Err(), errEnded)
 }
 
-// fetch asks for the whole list.
-func (w *Watcher) fetch(ctx context.Context, c *openCall, url string) error {
+// receiveList polls for the whole list.
+func (w *Watcher) receiveList(ctx context.Context, c *listCall, url string) error {
 	body, err := w.get(ctx, url)
 	if err != nil {
 		return err
 	}
 	defer body.Close()
-	text, err := io.ReadAll(io.LimitReader(body, maxMessage+1))
+	text, err := io.ReadAll(io.LimitReader(body, maxMessageBytes+1))
 	if err != nil {
 		return err
 	}
 	if len(text) == 0 {
-		return errCut
+		return errTruncated
 	}
-	return w.take(ctx, c, text)
+	return w.handle(ctx, c, text)
 }
 
-// take applies what a call brought, unless that has been ended meanwhile; empty text is a sign of life.
-func (w *Watcher) take(ctx context.Context, c *openCall, text []byte) error {
-	var l *endpoints.List
-	if len(text) > 0 {
+// get sends a request to discovery; the caller closes the body.
+func (w *Watcher) get(ctx context.Context, url string) (io.ReadCloser, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	if err != nil {
+		return nil, err
+	}
+	response, err := w.client.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	if response.StatusCode != http.StatusOK {
+		response.Body.Close()
+		return nil, fmt.Errorf("discovery answered %s", response.Status)
+	}
+	return response.Body, nil
+}
+
+// handle applies a message of a call, unless the call was closed meanwhile; an empty one is a heartbeat. After a malformed message the
+// last good list stays, and the next call continues from its version.
+func (w *Watcher) handle(ctx context.Context, c *listCall, message []byte) error {
+	var list *endpoints.List
+	if len(message) > 0 {
 		var err error
-		if l, err = endpoints.ParseList(text); err != nil { // the last good list stays, and is asked for again from its version on
+		if list, err = endpoints.ParseList(message); err != nil {
 			return fmt.Errorf("malformed list: %w", err)
 		}
 	}
@@ -151,73 +178,70 @@
 	if w.sink == nil || !w.machine.Accepts(c.id) {
 		return errReplaced
 	}
-	first := w.machine.CurrentAt() == 0 || !w.stands
+	isReconnect := w.machine.CurrentAt() == 0 || !w.connected
+	superseded := c.server != w.server && !w.server.isNew
 	withdrawn := false
 	switch {
-	case l != nil && c.at != w.at && !w.at.untold:
-		withdrawn = w.applyWithdrawals(l)
-	case l != nil:
-		if err := w.apply(c, l); err != nil {
+	case list == nil:
+		if isReconnect || w.refreshWanted.Load() {
+			w.sink.Current()
+		}
+	case superseded:
+		withdrawn = w.applyWithdrawals(list)
+	default:
+		if err := w.apply(c, list); err != nil {
 			return err
 		}
 	}
-	if l == nil && (first || w.asked.Load()) {
-		w.sink.Current()
-	}
-	w.asked.Store(false)
-	if !c.answered {
-		c.answered = true
-		w.log.Info("list call answered", "call", c.id, "request", c.request.String(), "address", c.at.address, "version", c.version, "news", l != nil,
-			"took", time.Since(c.begun).Round(time.Millisecond), "age", w.age())
-	}
-	w.do(w.machine.CallActive(w.now(), c.id))
+	w.refreshWanted.Store(false)
+	w.logFirstAnswer(c, list != nil)
+	w.carryOut(w.machine.CallActive(w.now(), c.id))
 	if withdrawn {
-		w.do(w.machine.Recheck(w.now()))
+		w.carryOut(w.machine.Recheck(w.now()))
 	}
 	return nil
 }
 
-// applyWithdrawals takes of what an address before tells what drains or is gone: the present address's list may have been written
-// ahead of it. What that list says comes back when it is asked for again. The caller holds mu.
-func (w *Watcher) applyWithdrawals(l *endpoints.List) bool {
-	withdrawn := slices.DeleteFunc(slices.Clone(l.Endpoints), func(e endpoints.Endpoint) bool { return e.Status == endpoints.StatusReady })
-	if len(withdrawn) > 0 {
-		index := w.at.index
-		w.sink.Update(&endpoints.List{Index: &index, Endpoints: withdrawn})
+// logFirstAnswer logs the first message of a call; the caller holds mu.
+func (w *Watcher) logFirstAnswer(c *listCall, hasList bool) {
+	if c.answered {
+		return
 	}
-	return len(withdrawn) > 0 || l.Snapshot // what a whole list leaves out is gone there
+	c.answered = true
+	w.log.Info("list call answered", "call", c.id, "request", c.request.String(), "address", c.server.address, "version", c.version,
+		"news", hasList, "took", time.Since(c.openedAt).Round(time.Millisecond), "age", w.age())
 }
 
 // apply hands a list or a change to the sink, unless it is older than what is known; the caller holds mu.
-func (w *Watcher) apply(c *openCall, l *endpoints.List) error {
-	index, at := *l.Index, c.at
-	beganAnew := l.Snapshot && c.version == at.index // on the call that brought the newest
+func (w *Watcher) apply(c *listCall, l *endpoints.List) error {
+	version, server := *l.Index, c.server
+	startedAnew := l.Snapshot && c.version == server.version // a lower version on the call that brought the latest one
 	switch {
-	case at.untold, index >= at.index, beganAnew:
-		at.index, at.untold = index, false
+	case server.isNew, version >= server.version, startedAnew:
+		server.version, server.isNew = version, false
 		w.sink.Update(l)
-	case c.version == at.index:
-		return fmt.Errorf("malformed list: changes of version %d, and %d is known", index, c.version)
-	default: // it was written before what another call has brought since: an upstream that drains must not come back by it
-		w.log.Info("older list passed over", "call", c.id, "request", c.request.String(), "version", index, "known", at.index)
+	case c.version == server.version:
+		return fmt.Errorf("malformed list: changes of version %d, and %d is known", version, c.version)
+	default: // written before what another call has brought since: it must not bring back an upstream that drains
+		w.log.Info("older list passed over", "call", c.id, "request", c.request.String(), "version", version, "known", server.version)
 	}
-	c.version = index
+	c.version = version
 	return nil
 }
 
-// get asks discovery; the caller closes the body.
-func (w *Watcher) get(ctx context.Context, url string) (io.ReadCloser, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
-	if err != nil {
-		return nil, err
-	}
-	resp, err := w.client.Do(req)
-	if err != nil {
-		return nil, err
+// applyWithdrawals applies from a superseded call's list or change only the endpoints that drain or are removed, since the present
+// address's list may have been written ahead of it. It reports whether anything may have been withdrawn, so that the present address is
+// to be polled again. The caller holds mu.
+func (w *Watcher) applyWithdrawals(l *endpoints.List) bool {
+	var withdrawn []endpoints.Endpoint
+	for _, e := range l.Endpoints {
+		if e.Status != endpoints.StatusReady {
+			withdrawn = append(withdrawn, e)
+		}
 	}
-	if resp.StatusCode != http.StatusOK {
-		resp.Body.Close()
-		return nil, fmt.Errorf("discovery answered %s", resp.Status)
+	if len(withdrawn) > 0 {
+		version := w.server.version
+		w.sink.Update(&endpoints.List{Index: &version, Endpoints: withdrawn})
 	}
-	return resp.Body, nil
+	return len(withdrawn) > 0 || l.Snapshot // what a snapshot leaves out is removed there
 }
--- a/internal/discovery/mergedsource.go
+++ b/internal/discovery/mergedsource.go
@@ -11,42 +11,47 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// NamedSource is a Source of a Merged, by the name that the log calls it.
+// maxLoggedChanges bounds the changes that are logged for one input.
+const maxLoggedChanges = 16
+
+// NamedSource is one source of a MergedSource.
 type NamedSource struct {
-	Name    string
-	Source  Source
-	Initial *endpoints.List // what it is known to list to begin with; nil: nothing
-	Primary bool            // it is first in rank, and its silence and its signs of life are the module's to know, as with a list alone
+	Name    string          // for the log
+	Source  Source          // nil: its lists come by MergedSource.Update
+	Initial *endpoints.List // that it is known to have to begin with; nil: none
+	Primary bool            // ranked first, and its signs of life and its loss are passed on, as with a source alone
 }
 
-// MergedSource is a Source that follows several, and tells what membership makes of them. Sources come and go while it runs.
+// MergedSource is a Source that follows several and reports the merged list of package membership. Its methods are safe for concurrent
+// use, but for Add, Remove and Replace, which come one after another.
 type MergedSource struct {
-	log   *slog.Logger
-	merge *membership.Merge
-	now   func() time.Time
-
-	mu      sync.Mutex // of the merge, and of what is told: one input after another
-	sink    Sink       // nil: Run has not begun
-	pending *endpoints.List
-	running map[string]*followed
-	timer   *time.Timer
-	version int64
-	ctx     context.Context
-	over    bool
-	done    sync.WaitGroup
-}
+	log *slog.Logger
+	now func() time.Time
 
-type followed struct {
-	NamedSource
-	stop context.CancelFunc
-	over chan struct{}
+	mu      sync.Mutex // one input after another, through the merge and to the sink
+	merge   *membership.Merge
+	sink    Sink            // nil: before Attach and Run
+	pending *endpoints.List // for the sink once there is one
+	version int64           // of the merged list
+	timer   *time.Timer     // of merge
+	sources map[string]*followedSource
+	ctx     context.Context // of Run; nil before
+	stopped bool
+	running sync.WaitGroup
 }
 
 var _ Source = (*MergedSource)(nil)
 
-// NewMergedSource returns one that follows sources, the first of them first in rank.
+// followedSource is a source and, once it runs, the means to stop it.
+type followedSource struct {
+	NamedSource
+	cancel context.CancelFunc
+	ended  chan struct{}
+}
+
+// NewMergedSource returns a MergedSource that follows sources, ranked in this order.
 func NewMergedSource(o membership.Options, log *slog.Logger, sources ...NamedSource) (*MergedSource, error) {
-	m := &MergedSource{log: cmp.Or(log, slog.New(slog.DiscardHandler)), merge: membership.New(o), now: time.Now, running: map[string]*followed{}}
+	m := &MergedSource{log: cmp.Or(log, slog.New(slog.DiscardHandler)), merge: membership.New(o), now: time.Now, sources: map[string]*followedSource{}}
 	m.timer = time.AfterFunc(time.Hour, m.tick)
 	m.timer.Stop()
 	for _, s := range sources {
@@ -57,26 +62,31 @@
 	return m, nil
 }
 
-// Load is the merged list of what is known to begin with; it is not told again.
+// Load returns the merged list that is known to begin with. It is not reported again.
 func (m *MergedSource) Load() *endpoints.List {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.pending = nil
+	return m.snapshot()
+}
+
+// snapshot returns the whole merged list; the caller holds mu.
+func (m *MergedSource) snapshot() *endpoints.List {
 	version := m.version
 	return &endpoints.List{Index: &version, Snapshot: true, Endpoints: m.merge.List()}
 }
 
-// Add follows one source more.
+// Add follows another source.
 func (m *MergedSource) Add(s NamedSource) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if err := m.merge.AddSource(s.Name, s.Primary); err != nil {
 		return err
 	}
-	f := &followed{NamedSource: s}
-	m.running[s.Name] = f
+	f := &followedSource{NamedSource: s}
+	m.sources[s.Name] = f
 	if s.Initial != nil {
-		m.tell(m.merge.Update(m.now(), s.Name, s.Initial))
+		m.publish(m.merge.Update(m.now(), s.Name, s.Initial))
 	}
 	if m.ctx != nil {
 		m.start(f)
@@ -84,77 +94,67 @@
 	return nil
 }
 
-// halt ends the following of a source; nil: there is none of that name.
-func (m *MergedSource) halt(name string) *followed {
-	m.mu.Lock()
-	f := m.running[name]
-	m.mu.Unlock()
-	if f != nil && f.stop != nil {
-		f.stop()
-		<-f.over
-	}
-	return f
-}
-
-// Remove ends a source; what only it listed is gone when Remove returns. Add, Remove and Replace come one after another.
+// Remove stops a source. What only it listed is removed when Remove returns.
 func (m *MergedSource) Remove(name string) {
-	if m.halt(name) == nil {
+	if m.stop(name) == nil {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.running, name)
-	m.tell(m.merge.RemoveSource(m.now(), name))
+	delete(m.sources, name)
+	m.publish(m.merge.RemoveSource(m.now(), name))
 }
 
-// Replace follows another source in place of the one of that name: what that one said stands until the new one has told.
+// Replace follows another source in place of the one of that name, whose last list stands until the new one reports.
 func (m *MergedSource) Replace(name string, source Source) {
-	f := m.halt(name)
+	f := m.stop(name)
 	if f == nil {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	next := &followed{NamedSource: f.NamedSource}
+	next := &followedSource{NamedSource: f.NamedSource}
 	next.Source = source
-	m.running[name] = next
+	m.sources[name] = next
 	if m.ctx != nil {
 		m.start(next)
 	}
 }
 
-// Source is the one of that name; nil: there is none.
+// Source returns the source of that name; nil: there is none.
 func (m *MergedSource) Source(name string) Source {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if f := m.running[name]; f != nil {
+	if f := m.sources[name]; f != nil {
 		return f.Source
 	}
 	return nil
 }
 
-// Update takes a list for a source that has no life of its own, such as entries of a file.
-func (m *MergedSource) Update(name string, l *endpoints.List) { (&input{m, name, false}).Update(l) }
+// Update takes a list for a source that does not run, such as the entries of the operator's file.
+func (m *MergedSource) Update(name string, l *endpoints.List) {
+	(&sourceSink{merged: m, name: name}).Update(l)
+}
 
-// Configure changes the windows of the merge.
+// Configure changes the options of the merge.
 func (m *MergedSource) Configure(o membership.Options) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.merge.Configure(o)
 }
 
-// Refresh is Source's: those that lead are asked.
+// Refresh refreshes the primary sources.
 func (m *MergedSource) Refresh() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, f := range m.running {
+	for _, f := range m.sources {
 		if f.Primary && f.Source != nil {
 			f.Source.Refresh()
 		}
 	}
 }
 
-// Attach has sink told of what Update brings already before Run, which is to be given the same.
+// Attach has sink hear of lists that come before Run, which is to be called with the same sink.
 func (m *MergedSource) Attach(sink Sink) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -169,72 +169,91 @@
 	}
 }
 
-// Run is Source's.
+// Run follows all sources until ctx ends.
 func (m *MergedSource) Run(ctx context.Context, sink Sink) {
 	m.mu.Lock()
 	m.ctx = ctx
 	m.attach(sink)
-	for _, f := range m.running {
+	for _, f := range m.sources {
 		m.start(f)
 	}
-	m.arm()
+	m.setTimer()
 	m.mu.Unlock()
 	<-ctx.Done()
 	m.mu.Lock()
-	m.over = true
+	m.stopped = true
 	m.timer.Stop()
 	m.mu.Unlock()
-	m.done.Wait()
+	m.running.Wait()
 }
 
-// start follows a source beside the others.
-func (m *MergedSource) start(f *followed) {
-	if f.Source == nil || m.over {
+// start follows a source in a goroutine; the caller holds mu.
+func (m *MergedSource) start(f *followedSource) {
+	if f.Source == nil || m.stopped {
 		return
 	}
-	ctx, stop := context.WithCancel(m.ctx)
-	f.stop, f.over = stop, make(chan struct{})
-	m.done.Go(func() {
-		defer close(f.over)
-		f.Source.Run(ctx, &input{m, f.Name, f.Primary})
+	ctx, cancel := context.WithCancel(m.ctx)
+	f.cancel, f.ended = cancel, make(chan struct{})
+	m.running.Go(func() {
+		defer close(f.ended)
+		f.Source.Run(ctx, &sourceSink{merged: m, name: f.Name, primary: f.Primary})
 	})
 }
 
-// tell passes on what an input led to.
-func (m *MergedSource) tell(o membership.Output) {
+// stop stops a source, waits for its end and returns it; nil: there is none of that name.
+func (m *MergedSource) stop(name string) *followedSource {
+	m.mu.Lock()
+	f := m.sources[name]
+	m.mu.Unlock()
+	if f != nil && f.cancel != nil {
+		f.cancel()
+		<-f.ended
+	}
+	return f
+}
+
+// publish logs the output of the merge and reports its changes to the sink; the caller holds mu.
+func (m *MergedSource) publish(o membership.Output) {
+	m.logOutput(o)
+	if len(o.Changes) > 0 {
+		m.version++
+		m.report(o.Changes)
+	}
+	m.setTimer()
+}
+
+// report passes changes on to the sink. Before there is one, the whole list is kept for it.
+func (m *MergedSource) report(changes []membership.Change) {
+	if m.sink == nil {
+		m.pending = m.snapshot()
+		return
+	}
+	version := m.version
+	l := &endpoints.List{Index: &version, Endpoints: make([]endpoints.Endpoint, len(changes))}
+	for i, c := range changes {
+		l.Endpoints[i] = c.Endpoint
+	}
+	m.sink.Update(l)
+}
+
+func (m *MergedSource) logOutput(o membership.Output) {
 	for _, note := range o.Notes {
 		m.log.Warn("membership: " + note)
 	}
 	for i, c := range o.Changes {
-		if i == maxTold {
-			m.log.Info("membership: more changes", "upstreams", len(o.Changes)-maxTold)
+		if i == maxLoggedChanges {
+			m.log.Info("membership: more changes", "upstreams", len(o.Changes)-maxLoggedChanges)
 			break
 		}
 		if c.Status != endpoints.StatusReady {
 			m.log.Info("membership", "upstream", c.Name, "status", c.Status, "reason", c.Reason)
 		}
 	}
-	if len(o.Changes) > 0 {
-		m.version++
-		version := m.version
-		l := &endpoints.List{Index: &version, Endpoints: make([]endpoints.Endpoint, len(o.Changes))}
-		for i, c := range o.Changes {
-			l.Endpoints[i] = c.Endpoint
-		}
-		if m.sink != nil {
-			m.sink.Update(l)
-		} else {
-			m.pending = &endpoints.List{Index: &version, Snapshot: true, Endpoints: m.merge.List()}
-		}
-	}
-	m.arm()
 }
 
-// maxTold bounds the lines of one input.
-const maxTold = 16
-
-func (m *MergedSource) arm() {
-	if m.over || m.ctx == nil {
+// setTimer sets the timer of the merge while Run follows the sources; the caller holds mu.
+func (m *MergedSource) setTimer() {
+	if m.stopped || m.ctx == nil {
 		return
 	}
 	if next := m.merge.Next(); !next.IsZero() {
@@ -245,44 +264,50 @@
 func (m *MergedSource) tick() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.over {
-		m.tell(m.merge.Tick(m.now()))
+	if !m.stopped {
+		m.publish(m.merge.Tick(m.now()))
 	}
 }
 
-// input is the Sink of one source.
-type input struct {
-	m     *MergedSource
-	name  string
-	leads bool
+// sourceSink is the Sink of one source.
+type sourceSink struct {
+	merged  *MergedSource
+	name    string
+	primary bool
 }
 
-func (i *input) Update(l *endpoints.List) {
-	i.m.mu.Lock()
-	defer i.m.mu.Unlock()
-	if i.m.over {
+// Update merges a list or a change. The primary source's list is current also where that changes nothing.
+func (s *sourceSink) Update(l *endpoints.List) {
+	m := s.merged
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.stopped {
 		return
 	}
-	i.m.tell(i.m.merge.Update(i.m.now(), i.name, l))
-	if i.leads && i.m.sink != nil {
-		i.m.sink.Current() // also where it changed nothing
+	m.publish(m.merge.Update(m.now(), s.name, l))
+	if s.primary && m.sink != nil {
+		m.sink.Current()
 	}
 }
 
-func (i *input) Current() {
-	i.m.mu.Lock()
-	defer i.m.mu.Unlock()
-	i.m.tell(i.m.merge.Current(i.m.now(), i.name))
-	if i.leads && i.m.sink != nil {
-		i.m.sink.Current()
+// Current merges that the source is current.
+func (s *sourceSink) Current() {
+	m := s.merged
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.publish(m.merge.Current(m.now(), s.name))
+	if s.primary && m.sink != nil {
+		m.sink.Current()
 	}
 }
 
-func (i *input) Lost(err error, again bool) {
-	i.m.mu.Lock()
-	defer i.m.mu.Unlock()
-	i.m.tell(i.m.merge.Lost(i.m.now(), i.name))
-	if i.leads && i.m.sink != nil {
-		i.m.sink.Lost(err, again)
+// Lost merges that the source is lost.
+func (s *sourceSink) Lost(err error, retries bool) {
+	m := s.merged
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.publish(m.merge.Lost(m.now(), s.name))
+	if s.primary && m.sink != nil {
+		m.sink.Lost(err, retries)
 	}
 }
--- a/internal/discovery/messages.go
+++ b/internal/discovery/messages.go
@@ -5,77 +5,103 @@
 	"errors"
 )
 
-// maxMessage bounds one message: 20,000 upstreams with 800 bytes each. The buffer grows to what comes.
-const maxMessage = 16 << 20
+// maxMessageBytes bounds one message: 20,000 upstreams of 800 bytes. The buffer grows to what arrives.
+const maxMessageBytes = 16 << 20
 
 var (
-	errNoObject = errors.New("malformed list: not an object")
-	errCut      = errors.New("malformed list: cut short")
+	errNotAnObject = errors.New("malformed list: not an object")
+	errTruncated   = errors.New("malformed list: cut short")
 )
 
-// messages returns a bufio.SplitFunc for a watch: each token is a JSON object whole, however many lines it is written on, or an
-// empty line, which is a sign of life. Only where objects begin and end is looked at. An empty line inside of one says that its rest
-// is missing: nothing that writes JSON writes one, and the next message would be swallowed with it.
-func messages() func(data []byte, atEOF bool) (int, []byte, error) {
-	var (
-		at             int // of what has been looked at, from the token's first byte on
-		depth          int
-		text, escaped  bool
-		begun, content bool // the object has; this line has anything
-	)
-	return func(data []byte, atEOF bool) (int, []byte, error) {
-		for ; at < len(data); at++ {
-			c := data[at]
-			if text {
-				switch {
-				case escaped:
-					escaped = false
-				case c == '\\':
-					escaped = true
-				case c == '"':
-					text = false
-				}
-				continue
-			}
-			switch c {
-			case '\n':
-				if !begun {
-					n := at + 1
-					at, content = 0, false
-					return n, data[:0], nil
-				}
-				if !content {
-					return 0, nil, errCut
-				}
-				content = false
-				continue
-			case ' ', '\t', '\r':
-				continue
-			case '"':
-				text = true
-			case '{', '[':
-				depth++
-			case '}', ']':
-				depth--
-			}
-			if content = true; !begun && c != '{' {
-				return 0, nil, errNoObject
+// messageSplitter splits the body of a watch into messages. A message is a JSON object, on any number of lines, or an empty line, which
+// is a heartbeat. Only the beginning and the end of objects are looked for.
+//
+// An empty line within an object means that the rest of the object is missing: no JSON encoder writes one, and without the check the
+// next message would be swallowed.
+type messageSplitter struct {
+	offset         int // bytes of the present message that were scanned
+	depth          int // open braces and brackets
+	inObject       bool
+	inString       bool
+	escaped        bool // the byte before is a backslash within a string
+	lineHasContent bool
+}
+
+// split is a bufio.SplitFunc. The token is the object, or empty for a heartbeat.
+func (s *messageSplitter) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
+	for ; s.offset < len(data); s.offset++ {
+		c := data[s.offset]
+		if s.inString {
+			s.scanString(c)
+			continue
+		}
+		switch c {
+		case '\n':
+			if !s.inObject {
+				return s.endHeartbeat(data)
 			}
-			if begun = true; depth == 0 {
-				n := at + 1
-				at, begun, content = 0, false, false
-				for n < len(data) && (data[n] == '\r' || data[n] == ' ') {
-					n++
-				}
-				if n < len(data) && data[n] == '\n' { // its own line's end
-					n++
-				}
-				return n, bytes.TrimSpace(data[:n]), nil
+			if !s.lineHasContent {
+				return 0, nil, errTruncated
 			}
+			s.lineHasContent = false
+			continue
+		case ' ', '\t', '\r':
+			continue
 		}
-		if atEOF && begun {
-			return 0, nil, errCut
+		if !s.inObject && c != '{' {
+			return 0, nil, errNotAnObject
 		}
-		return 0, nil, nil
+		if s.scanContent(c); s.depth == 0 {
+			return s.endObject(data)
+		}
+	}
+	if atEOF && s.inObject {
+		return 0, nil, errTruncated
+	}
+	return 0, nil, nil
+}
+
+// scanString takes a byte within a string.
+func (s *messageSplitter) scanString(c byte) {
+	switch {
+	case s.escaped:
+		s.escaped = false
+	case c == '\\':
+		s.escaped = true
+	case c == '"':
+		s.inString = false
+	}
+}
+
+// scanContent takes a byte of an object, other than white space and the content of strings.
+func (s *messageSplitter) scanContent(c byte) {
+	s.inObject, s.lineHasContent = true, true
+	switch c {
+	case '"':
+		s.inString = true
+	case '{', '[':
+		s.depth++
+	case '}', ']':
+		s.depth--
+	}
+}
+
+// endHeartbeat ends an empty line at the present offset.
+func (s *messageSplitter) endHeartbeat(data []byte) (advance int, token []byte, err error) {
+	end := s.offset + 1
+	*s = messageSplitter{}
+	return end, data[:0], nil
+}
+
+// endObject ends an object at the present offset; the end of its line belongs to it.
+func (s *messageSplitter) endObject(data []byte) (advance int, token []byte, err error) {
+	end := s.offset + 1
+	*s = messageSplitter{}
+	for end < len(data) && (data[end] == '\r' || data[end] == ' ') {
+		end++
+	}
+	if end < len(data) && data[end] == '\n' {
+		end++
 	}
+	return end, bytes.TrimSpace(data[:end]), nil
 }
--- a/internal/discovery/messages_test.go
+++ b/internal/discovery/messages_test.go
@@ -16,8 +16,8 @@
 
 func split(from io.Reader) (all []string, err error) {
 	lines := bufio.NewScanner(from)
-	lines.Buffer(make([]byte, 0, 16), maxMessage)
-	lines.Split(messages())
+	lines.Buffer(make([]byte, 0, 16), maxMessageBytes)
+	lines.Split((&messageSplitter{}).split)
 	for lines.Scan() {
 		all = append(all, lines.Text())
 	}
@@ -36,11 +36,11 @@
 		{"\r\n \t\n{\"a\":1}\r\n", []string{"", "", `{"a":1}`}, nil},
 		{"  {\n  \"a\": [\n    {}\n  ]\n}\n\n", []string{"{\n  \"a\": [\n    {}\n  ]\n}", ""}, nil},
 		{`{"a":"}\"]{\\"}{"b":"` + "\n" + `"}`, []string{`{"a":"}\"]{\\"}`, `{"b":"` + "\n" + `"}`}, nil},
-		{"{\"a\":\n\n{\"b\":2}\n", nil, errCut},
-		{"{\"a\":[1,", nil, errCut},
-		{"[1]\n", nil, errNoObject},
-		{"HTTP\n", nil, errNoObject},
-		{"}\n", nil, errNoObject},
+		{"{\"a\":\n\n{\"b\":2}\n", nil, errTruncated},
+		{"{\"a\":[1,", nil, errTruncated},
+		{"[1]\n", nil, errNotAnObject},
+		{"HTTP\n", nil, errNotAnObject},
+		{"}\n", nil, errNotAnObject},
 	} {
 		for _, pieces := range []bool{false, true} {
 			var from io.Reader = strings.NewReader(c.text)
--- a/internal/discovery/registrysink.go
+++ b/internal/discovery/registrysink.go
@@ -7,96 +7,100 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// Source and Sink are the directory's.
-type (
-	Source = endpoints.Source
-	Sink   = endpoints.Sink
-)
+// Source follows one endpoint list; see endpoints.Source.
+type Source = endpoints.Source
+
+// Sink takes what a Source reports; see endpoints.Sink.
+type Sink = endpoints.Sink
 
-// RegistrySink is the Sink of a service with one list: what is heard goes to its directory, then to the module. It keeps the
-// list as last held, one entry for each upstream listed.
+// RegistrySink is the Sink that writes to a service's endpoint registry and then reports to its balancer. It is the only writer of that
+// registry, and keeps the list as last received. It is safe for concurrent use.
 type RegistrySink struct {
-	dir    *endpoints.Registry
-	report func(balancer.EndpointUpdate)
+	registry *endpoints.Registry
+	report   func(balancer.EndpointUpdate)
 
-	telling sync.Mutex // from when the directory has news until the module has them
+	updating sync.Mutex // from when the registry has an update until the balancer has it
 
 	mu   sync.Mutex
-	held held
+	list receivedList
 }
 
-// held is a list as last held, one entry for each upstream that is there, from a Listing and the changes after it.
-type held struct {
-	index   int64
-	entries map[string]endpoints.Endpoint
-}
+var _ Sink = (*RegistrySink)(nil)
 
-func (h *held) take(l *endpoints.List) {
-	if l.Snapshot || h.entries == nil {
-		h.entries = make(map[string]endpoints.Endpoint, len(l.Endpoints))
-	}
-	if l.Index != nil {
-		h.index = *l.Index
-	}
-	for _, e := range l.Endpoints {
-		if e.Status == endpoints.StatusReady || e.Status == endpoints.StatusTerminating {
-			h.entries[e.Name] = e
-		} else {
-			delete(h.entries, e.Name)
-		}
-	}
+// NewRegistrySink returns a RegistrySink; report hands an update to the balancer.
+func NewRegistrySink(registry *endpoints.Registry, report func(balancer.EndpointUpdate)) *RegistrySink {
+	return &RegistrySink{registry: registry, report: report}
 }
 
-// last is all of it.
-func (h *held) last() *endpoints.List {
-	index := h.index
-	l := &endpoints.List{Index: &index, Snapshot: true, Endpoints: make([]endpoints.Endpoint, 0, len(h.entries))}
-	for _, e := range h.entries {
-		l.Endpoints = append(l.Endpoints, e)
-	}
-	return l
+// Update applies a list or a change to the registry, then reports it to the balancer.
+func (s *RegistrySink) Update(l *endpoints.List) {
+	s.updating.Lock()
+	defer s.updating.Unlock()
+	s.report(s.Apply(l))
 }
 
-// NewRegistrySink returns one for a directory; report hands news to the module.
-func NewRegistrySink(dir *endpoints.Registry, report func(balancer.EndpointUpdate)) *RegistrySink {
-	return &RegistrySink{dir: dir, report: report}
+// WaitForUpdates waits until the balancer has what the registry has. An attempt that the registry stopped is reported to the balancer
+// after that: with the list before, it would choose among endpoints that have just been removed.
+func (s *RegistrySink) WaitForUpdates() {
+	s.updating.Lock()
+	defer s.updating.Unlock()
 }
 
-// Update is Sink's.
-func (f *RegistrySink) Update(l *endpoints.List) {
-	f.telling.Lock()
-	defer f.telling.Unlock()
-	f.report(f.Apply(l))
+// Apply applies a list or a change to the registry alone, and returns the update for the balancer. It is for the list that a service
+// starts with.
+func (s *RegistrySink) Apply(l *endpoints.List) balancer.EndpointUpdate {
+	s.mu.Lock()
+	defer s.mu.Unlock() // the registry gets the lists in the same order
+	s.list.apply(l)
+	return s.registry.Apply(l)
 }
 
-// WaitForUpdates waits until the module has what the directory has. An attempt that the directory stopped is told to the module
-// after that: with the old list it would look for another upstream among those that have just gone.
-func (f *RegistrySink) WaitForUpdates() {
-	f.telling.Lock()
-	defer f.telling.Unlock()
+// Current reports to the balancer that the list is current.
+func (s *RegistrySink) Current() { s.report(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate}) }
+
+// Lost reports to the balancer that the list is lost, where the source waits for the balancer to refresh it.
+func (s *RegistrySink) Lost(_ error, retries bool) {
+	if !retries {
+		s.report(balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
+	}
 }
 
-// Apply is Update for a list that the module is to get by other means: it returns the news.
-func (f *RegistrySink) Apply(l *endpoints.List) balancer.EndpointUpdate {
-	f.mu.Lock()
-	defer f.mu.Unlock() // one list after another, in the directory too
-	f.held.take(l)
-	return f.dir.Apply(l)
+// Last returns the list as last received, as a snapshot.
+func (s *RegistrySink) Last() *endpoints.List {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.list.snapshot()
 }
 
-// Current is Sink's.
-func (f *RegistrySink) Current() { f.report(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate}) }
+// receivedList is a list as last received: a snapshot and the changes since. It has an entry for each endpoint that is ready or draining.
+type receivedList struct {
+	version int64
+	entries map[string]endpoints.Endpoint
+}
 
-// Lost is Sink's. The module hears of it where it is for it to ask again.
-func (f *RegistrySink) Lost(_ error, again bool) {
-	if !again {
-		f.report(balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
+// apply takes a snapshot or a change.
+func (r *receivedList) apply(l *endpoints.List) {
+	if l.Snapshot || r.entries == nil {
+		r.entries = make(map[string]endpoints.Endpoint, len(l.Endpoints))
+	}
+	if l.Index != nil {
+		r.version = *l.Index
+	}
+	for _, e := range l.Endpoints {
+		if e.Status == endpoints.StatusReady || e.Status == endpoints.StatusTerminating {
+			r.entries[e.Name] = e
+		} else {
+			delete(r.entries, e.Name)
+		}
 	}
 }
 
-// Last is the list as last held, whole.
-func (f *RegistrySink) Last() *endpoints.List {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.held.last()
+// snapshot returns the whole list.
+func (r *receivedList) snapshot() *endpoints.List {
+	version := r.version
+	l := &endpoints.List{Index: &version, Snapshot: true, Endpoints: make([]endpoints.Endpoint, 0, len(r.entries))}
+	for _, e := range r.entries {
+		l.Endpoints = append(l.Endpoints, e)
+	}
+	return l
 }
--- a/internal/discovery/subsetsink.go
+++ b/internal/discovery/subsetsink.go
@@ -10,120 +10,125 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// SubsetSink is the Sink before a Feed that passes on only what subset takes for this process's own. It keeps the whole list.
+const (
+	rateInterval = time.Second      // between two samples of the request rate
+	rateWindow   = 10 * time.Second // time constant of its moving average
+)
+
+// SubsetSink is the Sink before a RegistrySink that passes on only this process's subset of the endpoints. It keeps the whole list. It is
+// safe for concurrent use; Run follows the request rate, which the size of the subset depends on.
 type SubsetSink struct {
-	feed *RegistrySink
-	sent func() int64 // requests so far
-
-	mu    sync.Mutex
-	s     *subset.Subset
-	whole held
-	timer *time.Timer
-	over  bool
+	next     *RegistrySink
+	requests func() int64 // sent so far
+
+	mu      sync.Mutex
+	subset  *subset.Subset
+	list    receivedList
+	timer   *time.Timer // of subset
+	stopped bool
 }
 
 var _ Sink = (*SubsetSink)(nil)
 
-// NewSubsetSink returns one; sent counts the requests that the size follows.
-func NewSubsetSink(s *subset.Subset, feed *RegistrySink, sent func() int64) *SubsetSink {
-	n := &SubsetSink{feed: feed, sent: sent, s: s}
-	n.timer = time.AfterFunc(time.Hour, n.tick)
-	n.timer.Stop()
-	return n
+// NewSubsetSink returns a SubsetSink; requests counts the requests sent so far.
+func NewSubsetSink(s *subset.Subset, next *RegistrySink, requests func() int64) *SubsetSink {
+	sink := &SubsetSink{next: next, requests: requests, subset: s}
+	sink.timer = time.AfterFunc(time.Hour, sink.tick)
+	sink.timer.Stop()
+	return sink
 }
 
-// Load takes a first list, and returns what of it is this process's own; it is not passed on.
-func (n *SubsetSink) Load(l *endpoints.List) *endpoints.List {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.whole.take(l)
-	index := n.whole.index
-	own := &endpoints.List{Index: &index, Snapshot: true}
-	if out := n.s.Update(time.Now(), l); out != nil {
-		own.Endpoints = out.Endpoints
+// Load takes the first list and returns this process's subset of it, which is not passed on.
+func (s *SubsetSink) Load(l *endpoints.List) *endpoints.List {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.list.apply(l)
+	version := s.list.version
+	own := &endpoints.List{Index: &version, Snapshot: true}
+	if change := s.subset.Update(time.Now(), l); change != nil {
+		own.Endpoints = change.Endpoints
 	}
 	return own
 }
 
-// Last is the whole list as last held.
-func (n *SubsetSink) Last() *endpoints.List {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.whole.last()
+// Last returns the whole list as last received, as a snapshot.
+func (s *SubsetSink) Last() *endpoints.List {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.list.snapshot()
 }
 
-// Size is how many upstreams are this process's own, and how many are listed.
-func (n *SubsetSink) Size() (own, listed int) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.s.Size()
+// Size returns how many endpoints are in this process's subset, and how many are listed.
+func (s *SubsetSink) Size() (own, listed int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.subset.Size()
 }
 
-// Update is Sink's.
-func (n *SubsetSink) Update(l *endpoints.List) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.whole.take(l)
-	n.pass(n.s.Update(time.Now(), l))
-	n.feed.Current() // also where nothing of it is this process's own
+// Update takes a list or a change and passes on what changes in the subset. The list is current also where that is nothing.
+func (s *SubsetSink) Update(l *endpoints.List) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.list.apply(l)
+	s.pass(s.subset.Update(time.Now(), l))
+	s.next.Current()
 }
 
-// Current and Lost are Sink's.
-func (n *SubsetSink) Current() { n.feed.Current() }
+// Current passes on that the list is current.
+func (s *SubsetSink) Current() { s.next.Current() }
 
-// Lost is Sink's.
-func (n *SubsetSink) Lost(err error, again bool) { n.feed.Lost(err, again) }
+// Lost passes on that the list is lost.
+func (s *SubsetSink) Lost(err error, retries bool) { s.next.Lost(err, retries) }
 
-func (n *SubsetSink) pass(out *endpoints.List) {
-	if out != nil {
-		index := n.whole.index
-		out.Index = &index
-		n.feed.Update(out)
+// pass passes on a change of the subset, if there is one, and sets the timer; the caller holds mu.
+func (s *SubsetSink) pass(change *endpoints.List) {
+	if change != nil {
+		version := s.list.version
+		change.Index = &version
+		s.next.Update(change)
 	}
-	if next := n.s.Next(); !next.IsZero() && !n.over {
-		n.timer.Reset(max(0, time.Until(next)))
+	if next := s.subset.Next(); !next.IsZero() && !s.stopped {
+		s.timer.Reset(max(0, time.Until(next)))
 	}
 }
 
-func (n *SubsetSink) tick() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if !n.over {
-		n.pass(n.s.Tick(time.Now()))
+func (s *SubsetSink) tick() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.stopped {
+		s.pass(s.subset.Tick(time.Now()))
 	}
 }
 
-// The traffic is looked at this often, and averaged over rateOver.
-const (
-	rateEvery = time.Second
-	rateOver  = 10 * time.Second
-)
-
-// Run follows the traffic and the time until ctx ends.
-func (n *SubsetSink) Run(ctx context.Context) {
-	every := time.NewTicker(rateEvery)
-	defer every.Stop()
-	rate, last, at := 0.0, n.sent(), time.Now()
-	n.mu.Lock()
-	n.pass(nil) // arms the timer
-	n.mu.Unlock()
+// Run follows the request rate until ctx ends.
+func (s *SubsetSink) Run(ctx context.Context) {
+	ticker := time.NewTicker(rateInterval)
+	defer ticker.Stop()
+	rate, last, sampledAt := 0.0, s.requests(), time.Now()
+	s.mu.Lock()
+	s.pass(nil) // sets the timer
+	s.mu.Unlock()
 	for {
 		select {
-		case <-every.C:
+		case <-ticker.C:
 		case <-ctx.Done():
-			n.mu.Lock()
-			defer n.mu.Unlock()
-			n.over = true
-			n.timer.Stop()
+			s.stop()
 			return
 		}
-		now, sent := time.Now(), n.sent()
-		passed := now.Sub(at)
-		weight := 1 - math.Exp(-passed.Seconds()/rateOver.Seconds())
-		rate += weight * (float64(sent-last)/passed.Seconds() - rate)
-		last, at = sent, now
-		n.mu.Lock()
-		n.pass(n.s.Rate(now, rate))
-		n.mu.Unlock()
+		now, requests := time.Now(), s.requests()
+		elapsed := now.Sub(sampledAt)
+		weight := 1 - math.Exp(-elapsed.Seconds()/rateWindow.Seconds())
+		rate += weight * (float64(requests-last)/elapsed.Seconds() - rate)
+		last, sampledAt = requests, now
+		s.mu.Lock()
+		s.pass(s.subset.Rate(now, rate))
+		s.mu.Unlock()
 	}
 }
+
+func (s *SubsetSink) stop() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.stopped = true
+	s.timer.Stop()
+}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,5 +1,3 @@
-// Package discovery follows lists of upstreams. source.go says what any list's Source is and where its news goes; a
-// Watcher follows the platform's over HTTP, with as many calls as package staleness wants.
 package discovery
 
 import (
@@ -18,91 +16,110 @@
 )
 
 const (
-	maxHeader    = 16 << 10
-	connectLeast = time.Second // discovery may be slower to take a connection than upstreams may be
+	maxResponseHeaderBytes = 16 << 10
+	minConnectTimeout      = time.Second // a discovery may take longer to accept a connection than an upstream may
+	jitterStream           = 0x6c697374  // selects the stream of random numbers of a seed
 )
 
-// errReplaced ends a call that a later one has taken the place of, or whose address is no longer asked.
-var errReplaced = errors.New("another call has taken its place")
+var (
+	// errReplaced closes a call that a later one replaced, or whose address is no longer followed.
+	errReplaced = errors.New("another call has taken its place")
+	// errSilent is the reason of Sink.Lost.
+	errSilent = errors.New("discovery is silent")
+)
 
-// Options are a Watcher's parameters.
+// Options are the parameters of a Watcher.
 type Options struct {
 	Address        string
-	Index          int64 // version of the list as last held
+	Index          int64 // version of the list that is known already
 	ConnectTimeout time.Duration
 	Staleness      staleness.Options
-	Seed           uint64
-	Log            *slog.Logger // nil: lines are dropped
+	Seed           uint64       // of the jitter
+	Log            *slog.Logger // nil: nothing is logged
 }
 
-// Watcher follows discovery. Each call is on a connection of its own, so that no library sends one again by itself.
+// Watcher is a Source that follows the platform's discovery over HTTP. Package staleness decides when a call is opened and closed;
+// the Watcher carries the calls out, each on a connection and in a goroutine of its own, so that the HTTP client does not retry.
+//
+// Its methods are safe for concurrent use.
 type Watcher struct {
-	log    *slog.Logger
-	client *http.Client
-	start  time.Time
-	asked  atomic.Bool // the module is to know of the next sign of life
-	calls  sync.WaitGroup
-
-	mu      sync.Mutex
-	machine *staleness.Machine
-	sink    Sink // of Run; nil: it does not run. It must not call the Watcher, other than Ask
-	timer   *time.Timer
-	ctx     context.Context
-	open    map[staleness.CallID]*openCall
-	at      *location
-	made    int64 // calls, and how many of them ended or failed by themselves
-	failed  int64
-	stands  bool // the sink was not told that the list is lost
-	overdue bool // it was logged that the list may be too old
+	log           *slog.Logger
+	client        *http.Client
+	startedAt     time.Time   // zero of the machine's clock
+	refreshWanted atomic.Bool // the sink is to hear of the next sign of life
+	running       sync.WaitGroup
+
+	mu        sync.Mutex
+	machine   *staleness.Machine
+	sink      Sink // of Run; nil: it does not run. It must not call the Watcher, other than Refresh
+	timer     *time.Timer
+	ctx       context.Context // of Run
+	calls     map[staleness.CallID]*listCall
+	server    *listServer // that is followed now
+	opened    int64       // calls
+	failed    int64       // calls that ended or failed by themselves
+	connected bool        // the sink was not told that the list is lost
+	stale     bool        // it was logged that the list may be too old
 }
 
-// New returns a Watcher; Run makes it work.
+var _ Source = (*Watcher)(nil)
+
+// New returns a Watcher. Run makes it work.
 func New(o Options) *Watcher {
-	w := &Watcher{at: &location{address: o.Address, index: o.Index}, log: cmp.Or(o.Log, slog.New(slog.DiscardHandler)), start: time.Now(), stands: true,
-		machine: staleness.New(o.Staleness, rand.New(rand.NewPCG(o.Seed, 0x6c697374))), open: map[staleness.CallID]*openCall{}}
-	w.client = &http.Client{Transport: &http.Transport{
-		DialContext:            (&net.Dialer{Timeout: max(o.ConnectTimeout, connectLeast)}).DialContext,
+	return &Watcher{
+		log:       cmp.Or(o.Log, slog.New(slog.DiscardHandler)),
+		client:    newClient(o.ConnectTimeout),
+		startedAt: time.Now(),
+		machine:   staleness.New(o.Staleness, rand.New(rand.NewPCG(o.Seed, jitterStream))),
+		calls:     map[staleness.CallID]*listCall{},
+		server:    &listServer{address: o.Address, version: o.Index},
+		connected: true,
+	}
+}
+
+func newClient(connectTimeout time.Duration) *http.Client {
+	return &http.Client{Transport: &http.Transport{
+		DialContext:            (&net.Dialer{Timeout: max(connectTimeout, minConnectTimeout)}).DialContext,
 		DisableKeepAlives:      true,
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: maxHeader,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 	}}
-	return w
 }
 
-// Refresh wants the next sign of life told, also where there is no news. It does not block.
-func (w *Watcher) Refresh() { w.asked.Store(true) }
+// Refresh has the sink hear of the next sign of life, also where there is no change. It does not block.
+func (w *Watcher) Refresh() { w.refreshWanted.Store(true) }
 
-// Run watches until ctx ends.
+// Run follows the list until ctx ends.
 func (w *Watcher) Run(ctx context.Context, sink Sink) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w.mu.Lock()
-	w.ctx, w.sink, w.start = ctx, sink, time.Now()
+	w.ctx, w.sink, w.startedAt = ctx, sink, time.Now()
 	w.timer = time.AfterFunc(time.Hour, w.tick)
-	w.do(w.machine.Start(0))
+	w.carryOut(w.machine.Start(0))
 	w.mu.Unlock()
 	<-ctx.Done()
 	w.mu.Lock()
 	w.sink = nil
 	w.timer.Stop()
 	w.mu.Unlock()
-	w.calls.Wait()
+	w.running.Wait()
 }
 
-// Redirect makes a call at another address, and ends the open ones as the machine says: one may go on until the new address has answered.
+// Redirect follows the list at another address. The calls to earlier addresses go on as long as the machine wants.
 func (w *Watcher) Redirect(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if address == w.at.address {
+	if address == w.server.address {
 		return
 	}
-	w.log.Debug("list address changed", "from", w.at.address, "to", address, "age", w.age())
-	w.at = &location{address: address, untold: true}
-	w.do(w.machine.Redirect(w.now()))
+	w.log.Debug("list address changed", "from", w.server.address, "to", address, "age", w.age())
+	w.server = &listServer{address: address, isNew: true}
+	w.carryOut(w.machine.Redirect(w.now()))
 }
 
-// Age is how long ago the list was last known to be current, and whether it may be too old. Before Run it is 0.
-func (w *Watcher) Age() (age time.Duration, overdue bool) {
+// Age returns how long ago the list was last known to be current, and whether it is stale. Before Run it is 0.
+func (w *Watcher) Age() (age time.Duration, stale bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.sink == nil {
@@ -112,57 +129,77 @@
 	return now - w.machine.CurrentAt(), now >= w.machine.Deadline()
 }
 
-// Calls is how many calls were made, and how many of these were refused, failed or ended other than by the Watcher itself.
-func (w *Watcher) Calls() (made, failed int64) {
+// Calls returns how many calls were opened, and how many of these were rejected, failed or ended other than by the Watcher itself.
+func (w *Watcher) Calls() (opened, failed int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.made, w.failed
+	return w.opened, w.failed
 }
 
-func (w *Watcher) now() time.Duration { return time.Since(w.start) }
+// now returns the time on the machine's clock.
+func (w *Watcher) now() time.Duration { return time.Since(w.startedAt) }
+
+// age returns how long ago the list was last known to be current, for the log; the caller holds mu.
+func (w *Watcher) age() time.Duration {
+	return (w.now() - w.machine.CurrentAt()).Round(time.Millisecond)
+}
 
 func (w *Watcher) tick() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.sink != nil {
-		w.do(w.machine.Tick(w.now()))
+		w.carryOut(w.machine.Tick(w.now()))
 	}
 }
 
-// do carries out what the machine wants; the caller holds mu.
-func (w *Watcher) do(acts []staleness.Action) {
+// carryOut does what the machine wants, reports what follows from its state and sets the timer; the caller holds mu.
+func (w *Watcher) carryOut(actions []staleness.Action) {
 	if w.sink == nil {
 		return
 	}
-	for _, a := range acts {
+	for _, a := range actions {
 		switch a.Kind {
 		case staleness.OpenCall:
-			w.begin(a)
+			w.open(a)
 		case staleness.CloseCall:
-			if c := w.open[a.Call]; c != nil {
-				c.end(errReplaced)
+			if c := w.calls[a.Call]; c != nil {
+				c.cancel(errReplaced)
 			}
 		}
 	}
 	now := w.now()
 	next := w.machine.Next()
-	if stands := w.machine.Connected(now); stands != w.stands && !stands && w.machine.CurrentAt() > 0 {
+	w.reportConnection(now)
+	w.reportStaleness(now)
+	if !w.stale {
+		next = min(next, w.machine.Deadline()) // to report it then
+	}
+	w.timer.Reset(max(0, next-now))
+}
+
+// reportConnection tells the sink once when no watch delivers any more; the caller holds mu.
+func (w *Watcher) reportConnection(now time.Duration) {
+	connected := w.machine.Connected(now)
+	switch {
+	case connected:
+		w.connected = true
+	case w.connected && w.machine.CurrentAt() > 0:
 		w.log.Warn("the list is not heard of: asking again", "age", (now - w.machine.CurrentAt()).Round(time.Millisecond))
-		w.sink.Lost(errors.New("discovery is silent"), true)
-		w.stands = false
-	} else if stands {
-		w.stands = true
+		w.sink.Lost(errSilent, true)
+		w.connected = false
 	}
-	overdue := now >= w.machine.Deadline()
-	if overdue != w.overdue {
-		if w.overdue = overdue; overdue {
-			w.log.Warn("the list may be too old", "age", (now - w.machine.CurrentAt()).Round(time.Millisecond))
-		} else {
-			w.log.Info("the list is current again")
-		}
+}
+
+// reportStaleness logs once when the list becomes stale, and once when it is current again; the caller holds mu.
+func (w *Watcher) reportStaleness(now time.Duration) {
+	stale := now >= w.machine.Deadline()
+	if stale == w.stale {
+		return
 	}
-	if due := w.machine.Deadline(); !overdue {
-		next = min(next, due) // to say so
+	w.stale = stale
+	if stale {
+		w.log.Warn("the list may be too old", "age", (now - w.machine.CurrentAt()).Round(time.Millisecond))
+		return
 	}
-	w.timer.Reset(max(0, next-now))
+	w.log.Info("the list is current again")
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -87,7 +87,7 @@
 		"no name":    testutil.List(8, true, testutil.Entry("", "127.0.0.2:2", "Ready")),
 		"no address": testutil.List(8, true, testutil.Entry("b", "", "Ready")),
 		"a host":     testutil.List(8, true, testutil.Entry("b", "elsewhere.example:80", "Ready")),
-		"too long":   testutil.List(8, true, testutil.Entry(strings.Repeat("b", maxMessage), "127.0.0.2:2", "Ready")),
+		"too long":   testutil.List(8, true, testutil.Entry(strings.Repeat("b", maxMessageBytes), "127.0.0.2:2", "Ready")),
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
@@ -263,7 +263,7 @@
 func (w *Watcher) openCalls() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.open)
+	return len(w.calls)
 }
 
 // Guards against a log that an outage fills: of a long row of failures some are warnings.
