--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -1,198 +1,110 @@
 package discovery
 
 import (
-	"context"
-	"fmt"
-	"net"
 	"net/http"
 	"strings"
-	"sync"
+	"sync/atomic"
 	"testing"
-	"testing/synctest"
 	"time"
 
-	"orchiddrift/balancer"
-	"orchiddrift/internal/clock"
 	"orchiddrift/internal/discovery/staleness"
-	"orchiddrift/internal/endpoints"
-	"orchiddrift/internal/logging"
 	"orchiddrift/internal/testing/testutil"
 )
 
-// pipes is a network without sockets, so that a test's time is its own.
-type pipes struct {
-	conns chan net.Conn
-	over  func()
-}
-
-func (p pipes) Accept() (net.Conn, error) {
-	c, ok := <-p.conns
-	if !ok {
-		return nil, net.ErrClosed
-	}
-	return c, nil
-}
-func (p pipes) Close() error   { p.over(); return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
-func (p pipes) dial(context.Context, string, string) (net.Conn, error) {
-	here, there := net.Pipe()
-	p.conns <- there
-	return here, nil
-}
-
-// says is what a discovery does with its n-th call, from 1 up, made so long after the start. It holds the call until it returns.
-type says func(n int, after time.Duration, r *http.Request, send func(string))
-
-// played runs a watcher that knows upstream a before a discovery in virtual time, for as long as play does.
-func played(t *testing.T, o staleness.Options, do says, play func(w *Watcher, dir *endpoints.Registry, start time.Time, log func() string)) {
-	t.Helper()
-	synctest.Test(t, func(t *testing.T) {
-		conns := make(chan net.Conn, 16)
-		net := pipes{conns, sync.OnceFunc(func() { close(conns) })}
-		var mu sync.Mutex
-		n, start := 0, time.Now()
-		var served sync.WaitGroup
-		srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			served.Add(1) // before Serve's own is done
-			defer served.Done()
-			mu.Lock()
-			n++
-			call := n
-			mu.Unlock()
-			do(call, time.Since(start), r, func(text string) {
-				_, _ = fmt.Fprint(w, text)
-				_ = http.NewResponseController(w).Flush()
-			})
-		})}
-		served.Go(func() { _ = srv.Serve(net) }) // ends with Close
-		var lines strings.Builder
-		w := New(Options{Address: "127.0.0.1:1", Index: 1, Staleness: o, Log: logging.NewFunc(func(line string) {
-			mu.Lock()
-			defer mu.Unlock()
-			lines.WriteString(line + "\n")
-		})})
-		w.client.Transport.(*http.Transport).DialContext = net.dial
-		dir := endpoints.New(clock.New(), nil)
-		feed := NewRegistrySink(dir, func(balancer.EndpointUpdate) {})
-		feed.Apply(testutil.EndpointList(t, 1, true, testutil.Entry("a", "127.0.0.2:1", "Ready")))
-		ctx, cancel := context.WithCancel(t.Context())
-		var runs sync.WaitGroup
-		runs.Go(func() { w.Run(ctx, feed) })
-		play(w, dir, start, func() string {
-			mu.Lock()
-			defer mu.Unlock()
-			return lines.String()
-		})
-		cancel()
-		runs.Wait()
-		srv.Close()
-		served.Wait()
-	})
-}
-
-func has(dir *endpoints.Registry, name string) bool {
-	_, ok := dir.Instance(name)
-	return ok
-}
-
-// forgets waits until a drains, and returns how long that took.
-func forgets(t *testing.T, dir *endpoints.Registry, start time.Time) time.Duration {
-	t.Helper()
-	for has(dir, "a") {
-		if time.Since(start) > time.Minute {
-			t.Fatal("the drain is never heard of")
-		}
-		time.Sleep(time.Millisecond) // of the test's own time
-	}
-	return time.Since(start)
-}
-
+// Messages of the scripted discoveries.
 var (
-	drained = testutil.List(7, false, testutil.Entry("a", "127.0.0.2:1", "Terminating")) + "\n"
-	none    = testutil.List(6, false) + "\n"
+	drainMessage   = testutil.List(7, false, testutil.Entry("a", "127.0.0.2:1", "Terminating")) + "\n"
+	noChange       = testutil.List(6, false) + "\n"
+	notificationBy = 6*time.Second + 200*time.Millisecond // after the silence: the protocol's deadline and most of the grace
 )
 
-// Guards against requests to upstreams announced as leaving: what a silent call misses counts as told 6 s after it fell silent, and
-// the grace is 250 ms. The first case is the one that was found in service: a call refused, the next one silent before its first
-// word; 5 s were waited for that word, then the module's second wait, 2.2 s that time, and the list was 7.2 s old.
-func TestNewsComeInTimeAfterASilence(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		o      staleness.Options
-		silent time.Duration // from the start
-		do     says
-	}{
-		{"before the first word", staleness.Options{FleetSize: 6}, 500 * time.Millisecond, func(n int, after time.Duration, r *http.Request, send func(string)) {
+// silenceCases are the ways in which a watch falls silent. Each discovery drains endpoint a.
+var silenceCases = []struct {
+	name     string
+	options  staleness.Options
+	silentAt time.Duration // from the start
+	script   callScript
+}{
+	{"before the first byte, behind a call that failed", staleness.Options{FleetSize: 6}, 500 * time.Millisecond,
+		func(n int, after time.Duration, r *http.Request, send func(string)) {
 			switch {
 			case n == 1:
 				panic(http.ErrAbortHandler)
 			case after < 2*time.Second:
 				<-r.Context().Done()
 			default:
-				send(drained)
+				send(drainMessage)
 				<-r.Context().Done()
 			}
 		}},
-		{"after a beat, the next call refused twice", staleness.Options{FleetSize: 350}, 2 * time.Second, func(n int, _ time.Duration, r *http.Request, send func(string)) {
+	{"after a heartbeat, the next call refused twice", staleness.Options{FleetSize: 350}, 2 * time.Second,
+		func(n int, _ time.Duration, r *http.Request, send func(string)) {
 			switch n {
 			case 1:
-				send(none)
+				send(noChange)
 				time.Sleep(2 * time.Second)
 				send("\n")
 			case 2, 3:
 				panic(http.ErrAbortHandler)
 			default:
-				send(drained)
+				send(drainMessage)
 			}
 			<-r.Context().Done()
 		}},
-		{"in the middle of a line that goes on for ever", staleness.Options{FleetSize: 350}, 0, func(n int, _ time.Duration, r *http.Request, send func(string)) {
+	{"in the middle of a line that goes on for ever", staleness.Options{FleetSize: 350}, 0,
+		func(n int, _ time.Duration, r *http.Request, send func(string)) {
 			if n > 1 {
-				send(drained)
+				send(drainMessage)
 				<-r.Context().Done()
 				return
 			}
-			send(none + drained[:20])
+			send(noChange + drainMessage[:20])
 			for r.Context().Err() == nil {
 				time.Sleep(time.Second)
 				send(" ")
 			}
 		}},
-		{"the next call late and silent again", staleness.Options{FleetSize: 350}, 0, func(n int, _ time.Duration, r *http.Request, send func(string)) {
+	{"the next call late and silent again", staleness.Options{FleetSize: 350}, 0,
+		func(n int, _ time.Duration, r *http.Request, send func(string)) {
 			switch n {
 			case 1:
-				send(none)
+				send(noChange)
 			case 3:
 				time.Sleep(time.Second)
-				send(drained)
+				send(drainMessage)
 			}
 			<-r.Context().Done()
 		}},
-		{"pushed, the agent's first call silent", staleness.Options{Pushed: true}, -6 * time.Second, func(n int, _ time.Duration, r *http.Request, send func(string)) {
+	{"pushed, the agent's first call silent", staleness.Options{Pushed: true}, -6 * time.Second,
+		func(n int, _ time.Duration, r *http.Request, send func(string)) {
 			if n > 1 {
-				send(drained)
+				send(drainMessage)
 			}
 			<-r.Context().Done()
 		}},
-	} {
+}
+
+// What a silent call misses counts as notified 6 s after it fell silent, and requests may be sent for 250 ms more.
+func TestChangeIsNoticedInTimeAfterSilence(t *testing.T) {
+	for _, c := range silenceCases {
 		t.Run(c.name, func(t *testing.T) {
-			played(t, c.o, c.do, func(_ *Watcher, dir *endpoints.Registry, start time.Time, _ func() string) {
-				if took := forgets(t, dir, start); took > c.silent+6*time.Second+200*time.Millisecond {
-					t.Errorf("the drain is heard of %v after the silence", took-c.silent)
+			runVirtual(t, c.options, c.script, func(t *testing.T, w *virtualWatcher) {
+				if took := w.waitForDrain(t); took > c.silentAt+notificationBy {
+					t.Errorf("the drain is noticed %v after the silence", took-c.silentAt)
 				}
 			})
 		})
 	}
 }
 
-// Guards against an upstream that comes back by an answer that was written before the news of its drain, and read after it.
-func TestAnOlderAnswerBringsNothingBack(t *testing.T) {
-	played(t, staleness.Options{}, func(n int, _ time.Duration, r *http.Request, send func(string)) {
+// An answer that was written before an endpoint's drain and is read after it does not bring the endpoint back.
+func TestOlderAnswerDoesNotBringEndpointBack(t *testing.T) {
+	runVirtual(t, staleness.Options{}, func(n int, _ time.Duration, r *http.Request, send func(string)) {
 		switch n {
 		case 1:
-			send(none)
-			time.Sleep(2700 * time.Millisecond) // another call is made at 2.5 s
-			send(drained)
+			send(noChange)
+			time.Sleep(2700 * time.Millisecond) // another call is opened at 2.5 s
+			send(drainMessage)
 		case 2:
 			time.Sleep(500 * time.Millisecond)
 			send(testutil.List(6, true, testutil.Entry("a", "127.0.0.2:1", "Ready")) + "\n")
@@ -200,50 +112,93 @@
 			send(testutil.List(8, false, testutil.Entry("b", "127.0.0.2:2", "Ready")) + "\n")
 		}
 		<-r.Context().Done()
-	}, func(w *Watcher, dir *endpoints.Registry, start time.Time, _ func() string) {
-		forgets(t, dir, start)
-		for !has(dir, "b") {
-			if has(dir, "a") {
-				t.Fatalf("it is back %v after the start", time.Since(start))
+	}, func(t *testing.T, w *virtualWatcher) {
+		w.waitForDrain(t)
+		for !w.isReady("b") {
+			if w.isReady("a") {
+				t.Fatalf("it is back %v after the start", time.Since(w.startedAt))
 			}
 			time.Sleep(time.Millisecond)
 		}
-		if has(dir, "a") {
+		if w.isReady("a") {
 			t.Error("it is back")
 		}
 	})
 }
 
-// Guards against a list that nobody knows to be old: its age is told, and logged once when it may be too old and once when it is
-// current again. A discovery that counts anew is believed.
-func TestTheAgeOfTheListIsTold(t *testing.T) {
-	played(t, staleness.Options{}, func(n int, after time.Duration, r *http.Request, send func(string)) {
+// The age of a list is reported, and logged once when it becomes stale and once when it is current again. A snapshot with a lower version
+// is applied.
+func TestAgeAndStalenessAreReported(t *testing.T) {
+	runVirtual(t, staleness.Options{}, func(n int, after time.Duration, r *http.Request, send func(string)) {
 		switch {
 		case n == 1:
-			send(none)
+			send(noChange)
 		case after > 30*time.Second:
 			send(testutil.List(2, true, testutil.Entry("c", "127.0.0.2:3", "Ready")) + "\n")
 		}
 		<-r.Context().Done()
-	}, func(w *Watcher, dir *endpoints.Registry, start time.Time, log func() string) {
+	}, func(t *testing.T, w *virtualWatcher) {
 		time.Sleep(5 * time.Second)
-		if age, overdue := w.Age(); age < 4*time.Second || overdue {
-			t.Errorf("after 5 s: age %v, overdue %v", age, overdue)
+		if age, stale := w.Age(); age < 4*time.Second || stale {
+			t.Errorf("after 5 s: age %v, stale %v", age, stale)
 		}
 		time.Sleep(20 * time.Second)
-		if age, overdue := w.Age(); age < 24*time.Second || !overdue {
-			t.Errorf("after 25 s: age %v, overdue %v", age, overdue)
+		if age, stale := w.Age(); age < 24*time.Second || !stale {
+			t.Errorf("after 25 s: age %v, stale %v", age, stale)
 		}
-		for !has(dir, "c") {
+		for !w.isReady("c") {
 			time.Sleep(time.Millisecond)
 		}
-		if age, overdue := w.Age(); age > 100*time.Millisecond || overdue || has(dir, "a") {
-			t.Errorf("age %v, overdue %v, a listed %v", age, overdue, has(dir, "a"))
+		if age, stale := w.Age(); age > 100*time.Millisecond || stale || w.isReady("a") {
+			t.Errorf("age %v, stale %v, a listed %v", age, stale, w.isReady("a"))
 		}
+		log := w.log.String()
 		for _, line := range []string{"the list may be too old", "the list is current again"} {
-			if strings.Count(log(), line) != 1 {
-				t.Errorf("%q is logged %d times", line, strings.Count(log(), line))
+			if count := strings.Count(log, line); count != 1 {
+				t.Errorf("%q is logged %d times", line, count)
 			}
 		}
 	})
 }
+
+// A drain that the watch at the earlier address delivers after an older list of the new address was read is applied, and that list is
+// fetched again. Of what the earlier address has only withdrawals are applied then.
+func TestDrainFromSupersededWatchAfterNewList(t *testing.T) {
+	const before, after = "127.0.0.1:1", "127.0.0.1:2"
+	a, b := testutil.Entry("a", "127.0.0.2:1", "Ready"), testutil.Entry("b", "127.0.0.2:2", "Ready")
+	var lists atomic.Int32
+	runVirtual(t, staleness.Options{}, func(_ int, _ time.Duration, r *http.Request, send func(string)) {
+		switch {
+		case r.Host == before:
+			send(testutil.List(5, true, a, b) + "\n")
+			time.Sleep(2 * time.Second)
+			send("\n")
+			time.Sleep(2 * time.Second)
+			send(testutil.List(6, false, testutil.Entry("a", "127.0.0.2:1", "Terminating"), testutil.Entry("c", "127.0.0.2:3", "Ready")) + "\n")
+		case !r.URL.Query().Has("watch"):
+			time.Sleep(time.Second) // so that its watch is delayed
+			if lists.Add(1) == 1 {
+				send(testutil.List(5, true, a, b))
+			} else {
+				send(testutil.List(6, true, b))
+			}
+			return
+		default:
+			send("\n")
+		}
+		<-r.Context().Done()
+	}, func(t *testing.T, w *virtualWatcher) {
+		time.Sleep(2900 * time.Millisecond)
+		w.Redirect(after)
+		if took := w.waitForDrain(t); took > 4010*time.Millisecond {
+			t.Errorf("the drain is noticed after %v", took)
+		}
+		if !w.isReady("b") || w.isReady("c") {
+			t.Errorf("b %v, c %v: only the drain is to be applied", w.isReady("b"), w.isReady("c"))
+		}
+		time.Sleep(5 * time.Second)
+		if lists.Load() != 2 || w.openCalls() != 1 || w.isReady("a") || !w.isReady("b") {
+			t.Errorf("%d lists, %d calls open, a %v, b %v", lists.Load(), w.openCalls(), w.isReady("a"), w.isReady("b"))
+		}
+	})
+}
--- a/internal/discovery/mergedsource_test.go
+++ b/internal/discovery/mergedsource_test.go
@@ -16,109 +16,153 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// scripted is a Source that a test speaks for.
-type scripted struct {
-	up   chan struct{}
-	sink Sink
-	asks int
+// scriptedSource is a Source that a test reports for.
+type scriptedSource struct {
+	running   chan struct{} // closed by Run
+	sink      Sink          // of Run
+	refreshes int
 }
 
-func (s *scripted) Run(ctx context.Context, sink Sink) {
+func newScriptedSource() *scriptedSource { return &scriptedSource{running: make(chan struct{})} }
+
+func (s *scriptedSource) Run(ctx context.Context, sink Sink) {
 	s.sink = sink
-	close(s.up)
+	close(s.running)
 	<-ctx.Done()
 }
 
-func (s *scripted) Refresh() { s.asks++ }
+func (s *scriptedSource) Refresh() { s.refreshes++ }
 
-// Guards against nodes that a registry's absence takes away in minutes, against a merged list that stands still when only
-// time passes, and against a list that a change of sources loses. The time is virtual.
-func TestMergedThroughAnOutage(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		list := func(entries ...string) *endpoints.List {
-			l := &endpoints.List{Index: new(int64), Snapshot: true}
-			for _, e := range entries {
-				name, status, _ := strings.Cut(e, " ")
-				l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: name, Address: "127.0.0.2:" + name[1:], Status: status})
-			}
-			return l
-		}
-		own, registry, next := &scripted{up: make(chan struct{})}, &scripted{up: make(chan struct{})}, &scripted{up: make(chan struct{})}
-		m, err := NewMergedSource(membership.Default(), nil,
-			NamedSource{Name: "list", Source: own, Initial: list("n1 Ready"), Primary: true}, NamedSource{Name: "eureka", Source: registry})
-		if err != nil {
-			t.Fatal(err)
-		}
-		var mu sync.Mutex
-		failed := 0
-		dir := endpoints.New(clock.New(), nil)
-		feed := NewRegistrySink(dir, func(m balancer.EndpointUpdate) {
-			mu.Lock()
-			defer mu.Unlock()
-			if m.Kind == balancer.UpdateFailed {
-				failed++
-			}
-		})
-		feed.Apply(m.Load())
-		ctx, stop := context.WithCancel(t.Context())
-		var run sync.WaitGroup
-		run.Go(func() { m.Run(ctx, feed) })
-		<-own.up
-		<-registry.up
-		takes := func(step string, want ...string) {
-			t.Helper()
-			synctest.Wait()
-			var got []string
-			for name := range dir.Instances() {
-				got = append(got, name)
-			}
-			if slices.Sort(got); !slices.Equal(got, want) {
-				t.Errorf("%s: requests go to %v, want %v", step, got, want)
-			}
-		}
-		takes("known", "n1")
-		registry.sink.Update(list("n1 Ready", "n2 Ready", "n3 Ready", "n4 Ready"))
-		takes("all", "n1", "n2", "n3", "n4")
-		for range 60 { // of ten minutes
-			registry.sink.Lost(errors.New("unreachable"), true)
-			own.sink.Current()
-			time.Sleep(10 * time.Second)
+// snapshotOf returns a list of entries "n1 Ready".
+func snapshotOf(entries ...string) *endpoints.List {
+	l := &endpoints.List{Index: new(int64), Snapshot: true}
+	for _, e := range entries {
+		name, status, _ := strings.Cut(e, " ")
+		l.Endpoints = append(l.Endpoints, endpoints.Endpoint{Name: name, Address: "127.0.0.2:" + name[1:], Status: status})
+	}
+	return l
+}
+
+// mergedHarness is a MergedSource that runs in virtual time: the primary source "list" knows n1, and "eureka" is beside it.
+type mergedHarness struct {
+	*MergedSource
+	primary, eureka *scriptedSource
+	registry        *endpoints.Registry
+	stop            func() // ends Run and waits for it
+
+	mu       sync.Mutex
+	failures int // reported to the balancer
+}
+
+func startMerged(t *testing.T) *mergedHarness {
+	t.Helper()
+	h := &mergedHarness{primary: newScriptedSource(), eureka: newScriptedSource(), registry: endpoints.New(clock.New(), nil)}
+	var err error
+	h.MergedSource, err = NewMergedSource(membership.Default(), nil,
+		NamedSource{Name: "list", Source: h.primary, Initial: snapshotOf("n1 Ready"), Primary: true}, NamedSource{Name: "eureka", Source: h.eureka})
+	if err != nil {
+		t.Fatal(err)
+	}
+	sink := NewRegistrySink(h.registry, func(u balancer.EndpointUpdate) {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		if u.Kind == balancer.UpdateFailed {
+			h.failures++
 		}
-		takes("away for ten minutes", "n1", "n2", "n3", "n4")
-		own.sink.Update(list("n1 Terminating"))
-		takes("a drain meanwhile", "n2", "n3", "n4")
-		time.Sleep(6 * time.Minute)
-		takes("aged, and nobody else has one that is up", "n2", "n3", "n4")
-		own.sink.Update(list("n1 Terminating", "n5 Ready"))
-		time.Sleep(100 * time.Second)
-		takes("aged: one goes at a time", "n3", "n4", "n5")
-		own.sink.Update(list("n1 Terminating"))
-		time.Sleep(2 * time.Minute) // all that it had: not believed for a minute
-		registry.sink.Update(list("n2 Ready", "n3 Ready", "n4 Ready"))
-		takes("back, without n1", "n2", "n3", "n4")
-		registry.sink.Update(list())
-		time.Sleep(59 * time.Second)
-		takes("empty, and not believed", "n2", "n3", "n4")
-		m.Replace("eureka", next)
-		<-next.up
-		takes("another server, nothing told yet", "n2", "n3", "n4")
-		time.Sleep(2 * time.Second)
-		takes("empty for a minute: believed")
-		next.sink.Update(list("n4 Ready"))
-		takes("and filled", "n4")
-		m.Refresh()
-		own.sink.Lost(errors.New("broken"), false)
+	})
+	sink.Apply(h.Load())
+	ctx, cancel := context.WithCancel(t.Context())
+	var running sync.WaitGroup
+	running.Go(func() { h.Run(ctx, sink) })
+	h.stop = func() {
+		cancel()
+		running.Wait()
+	}
+	<-h.primary.running
+	<-h.eureka.running
+	return h
+}
+
+// wantReady checks which endpoints are ready after a step.
+func (h *mergedHarness) wantReady(t *testing.T, step string, want ...string) {
+	t.Helper()
+	synctest.Wait()
+	var got []string
+	for name := range h.registry.Instances() {
+		got = append(got, name)
+	}
+	if slices.Sort(got); !slices.Equal(got, want) {
+		t.Errorf("%s: %v are ready, want %v", step, got, want)
+	}
+}
+
+// The merged list outlives a registry's outage, changes as time passes, and keeps what other sources list when a source is replaced or
+// removed.
+func TestMergedSourceThroughOutage(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		h := startMerged(t)
+		h.wantReady(t, "known", "n1")
+		h.eureka.sink.Update(snapshotOf("n1 Ready", "n2 Ready", "n3 Ready", "n4 Ready"))
+		h.wantReady(t, "all", "n1", "n2", "n3", "n4")
+		outageOfRegistry(t, h)
+		massRemovalByRegistry(t, h)
+		next := replaceRegistry(t, h)
+		h.Refresh()
+		h.primary.sink.Lost(errors.New("broken"), false)
 		synctest.Wait()
-		if own.asks != 1 || next.asks != 0 || failed != 1 {
-			t.Errorf("%d and %d asked, %d losses told", own.asks, next.asks, failed)
+		if h.primary.refreshes != 1 || next.refreshes != 0 || h.failures != 1 {
+			t.Errorf("%d and %d refreshes, %d failures reported", h.primary.refreshes, next.refreshes, h.failures)
 		}
-		m.Update("list", list("n5 Ready"))
-		takes("told in the source's place", "n4", "n5")
-		m.Remove("eureka")
-		takes("its source is removed", "n5")
-		stop()
-		run.Wait()
-		m.Update("list", list("n6 Ready"))
-		takes("after the end", "n5")
+		h.Update("list", snapshotOf("n5 Ready"))
+		h.wantReady(t, "updated in the source's place", "n4", "n5")
+		h.Remove("eureka")
+		h.wantReady(t, "the registry is removed", "n5")
+		h.stop()
+		h.Update("list", snapshotOf("n6 Ready"))
+		h.wantReady(t, "after the end", "n5")
 	})
 }
+
+// outageOfRegistry has the registry lost for longer than SilentSourceHold, and its endpoints withdrawn one at a time.
+func outageOfRegistry(t *testing.T, h *mergedHarness) {
+	t.Helper()
+	for range 60 { // ten minutes
+		h.eureka.sink.Lost(errors.New("unreachable"), true)
+		h.primary.sink.Current()
+		time.Sleep(10 * time.Second)
+	}
+	h.wantReady(t, "lost for ten minutes", "n1", "n2", "n3", "n4")
+	h.primary.sink.Update(snapshotOf("n1 Terminating"))
+	h.wantReady(t, "a drain meanwhile", "n2", "n3", "n4")
+	time.Sleep(6 * time.Minute)
+	h.wantReady(t, "aged, and no other source has a ready one", "n2", "n3", "n4")
+	h.primary.sink.Update(snapshotOf("n1 Terminating", "n5 Ready"))
+	time.Sleep(100 * time.Second)
+	h.wantReady(t, "aged: one is withdrawn at a time", "n3", "n4", "n5")
+}
+
+// massRemovalByRegistry has lists that lack all endpoints doubted for a minute.
+func massRemovalByRegistry(t *testing.T, h *mergedHarness) {
+	t.Helper()
+	h.primary.sink.Update(snapshotOf("n1 Terminating"))
+	time.Sleep(2 * time.Minute) // all that it had: doubted for a minute
+	h.eureka.sink.Update(snapshotOf("n2 Ready", "n3 Ready", "n4 Ready"))
+	h.wantReady(t, "back, without n1", "n2", "n3", "n4")
+	h.eureka.sink.Update(snapshotOf())
+	time.Sleep(59 * time.Second)
+	h.wantReady(t, "empty, and doubted", "n2", "n3", "n4")
+}
+
+// replaceRegistry follows another server under the registry's name.
+func replaceRegistry(t *testing.T, h *mergedHarness) *scriptedSource {
+	t.Helper()
+	next := newScriptedSource()
+	h.Replace("eureka", next)
+	<-next.running
+	h.wantReady(t, "another server, nothing reported yet", "n2", "n3", "n4")
+	time.Sleep(2 * time.Second)
+	h.wantReady(t, "empty for a minute: believed")
+	next.sink.Update(snapshotOf("n4 Ready"))
+	h.wantReady(t, "and filled", "n4")
+	return next
+}
--- a/internal/discovery/messages_test.go
+++ b/internal/discovery/messages_test.go
@@ -4,8 +4,10 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
+	"slices"
 	"strings"
 	"testing"
 	"testing/iotest"
@@ -14,78 +16,69 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-func split(from io.Reader) (all []string, err error) {
-	lines := bufio.NewScanner(from)
-	lines.Buffer(make([]byte, 0, 16), maxMessageBytes)
-	lines.Split((&messageSplitter{}).split)
-	for lines.Scan() {
-		all = append(all, lines.Text())
+func splitMessages(from io.Reader) (messages []string, err error) {
+	scanner := bufio.NewScanner(from)
+	scanner.Buffer(make([]byte, 0, 16), maxMessageBytes)
+	scanner.Split((&messageSplitter{}).split)
+	for scanner.Scan() {
+		messages = append(messages, scanner.Text())
 	}
-	return all, lines.Err()
+	return messages, scanner.Err()
 }
 
-// Guards against a list that is not understood for how it is written: on many lines, in pieces of one byte, with braces and line
-// ends in its texts. What is cut short or no object is an error, not a wait for the rest.
-func TestMessages(t *testing.T) {
+// Messages may be on many lines, arrive byte by byte, and have braces and line ends in their strings. What is truncated or no object is
+// an error at once.
+func TestMessageSplitter(t *testing.T) {
 	for _, c := range []struct {
+		name string
 		text string
 		want []string
 		err  error
 	}{
-		{"{\"a\":1}\n\n{\"b\":[2]}\n", []string{`{"a":1}`, "", `{"b":[2]}`}, nil},
-		{"\r\n \t\n{\"a\":1}\r\n", []string{"", "", `{"a":1}`}, nil},
-		{"  {\n  \"a\": [\n    {}\n  ]\n}\n\n", []string{"{\n  \"a\": [\n    {}\n  ]\n}", ""}, nil},
-		{`{"a":"}\"]{\\"}{"b":"` + "\n" + `"}`, []string{`{"a":"}\"]{\\"}`, `{"b":"` + "\n" + `"}`}, nil},
-		{"{\"a\":\n\n{\"b\":2}\n", nil, errTruncated},
-		{"{\"a\":[1,", nil, errTruncated},
-		{"[1]\n", nil, errNotAnObject},
-		{"HTTP\n", nil, errNotAnObject},
-		{"}\n", nil, errNotAnObject},
+		{"objects and a heartbeat", "{\"a\":1}\n\n{\"b\":[2]}\n", []string{`{"a":1}`, "", `{"b":[2]}`}, nil},
+		{"carriage returns", "\r\n \t\n{\"a\":1}\r\n", []string{"", "", `{"a":1}`}, nil},
+		{"on many lines", "  {\n  \"a\": [\n    {}\n  ]\n}\n\n", []string{"{\n  \"a\": [\n    {}\n  ]\n}", ""}, nil},
+		{"braces in strings", `{"a":"}\"]{\\"}{"b":"` + "\n" + `"}`, []string{`{"a":"}\"]{\\"}`, `{"b":"` + "\n" + `"}`}, nil},
+		{"empty line in an object", "{\"a\":\n\n{\"b\":2}\n", nil, errTruncated},
+		{"end in an object", "{\"a\":[1,", nil, errTruncated},
+		{"a list", "[1]\n", nil, errNotAnObject},
+		{"text", "HTTP\n", nil, errNotAnObject},
+		{"a closing brace", "}\n", nil, errNotAnObject},
 	} {
-		for _, pieces := range []bool{false, true} {
-			var from io.Reader = strings.NewReader(c.text)
-			if pieces {
-				from = iotest.OneByteReader(from)
+		t.Run(c.name, func(t *testing.T) {
+			got, err := splitMessages(strings.NewReader(c.text))
+			if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", c.want) || !errors.Is(err, c.err) {
+				t.Errorf("%q and %v, want %q and %v", got, err, c.want, c.err)
 			}
-			got, err := split(from)
-			if pieces { // a line's end that had not come yet is a sign of life of its own
-				got = sift(got)
+			got, err = splitMessages(iotest.OneByteReader(strings.NewReader(c.text)))
+			got, want := withoutHeartbeats(got), withoutHeartbeats(c.want) // a line end that comes late is a heartbeat of its own
+			if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || !errors.Is(err, c.err) {
+				t.Errorf("byte by byte: %q and %v, want %q and %v", got, err, want, c.err)
 			}
-			want := c.want
-			if pieces {
-				want = sift(want)
-			}
-			if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || err != c.err {
-				t.Errorf("%q: %q and %v, not %q and %v", c.text, got, err, want, c.err)
-			}
-		}
+		})
 	}
 }
 
-func sift(all []string) (some []string) {
-	for _, s := range all {
-		if s != "" {
-			some = append(some, s)
-		}
-	}
-	return some
+func withoutHeartbeats(messages []string) []string {
+	return slices.DeleteFunc(slices.Clone(messages), func(m string) bool { return m == "" })
 }
 
-// Guards against a cap on lists: 1,024 long entries, indented, in pieces of one byte.
-func TestLongLists(t *testing.T) {
+// A list of 1,024 long entries, indented and byte by byte, is one message.
+func TestMessageSplitterOnLongList(t *testing.T) {
+	const entryCount = 1024
 	var entries []string
-	for i := range 1024 {
+	for i := range entryCount {
 		entries = append(entries, testutil.Entry(fmt.Sprintf("s-%04d-%s", i, strings.Repeat("x", 200)), "127.100.100.100:65535", "Ready"))
 	}
 	var text bytes.Buffer
 	if err := json.Indent(&text, []byte(testutil.List(1, true, entries...)), "", "        "); err != nil {
 		t.Fatal(err)
 	}
-	all, err := split(iotest.OneByteReader(&text))
-	if err != nil || len(all) != 1 {
-		t.Fatalf("%d messages, %v", len(all), err)
+	messages, err := splitMessages(iotest.OneByteReader(&text))
+	if err != nil || len(messages) != 1 {
+		t.Fatalf("%d messages, %v", len(messages), err)
 	}
-	if l, err := endpoints.ParseList([]byte(all[0])); err != nil || len(l.Endpoints) != 1024 {
+	if l, err := endpoints.ParseList([]byte(messages[0])); err != nil || len(l.Endpoints) != entryCount {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"log/slog"
-	"net/http"
 	"slices"
 	"strings"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -17,69 +15,74 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-func testWatcher(t *testing.T, address string, pushed bool) *Watcher {
-	return New(Options{Address: address, Index: 1, ConnectTimeout: 2 * time.Second, Staleness: staleness.Options{Pushed: pushed},
-		Log: logging.NewFunc(func(line string) { t.Log(line) })})
+// runningWatcher is a Watcher that runs until the test ends.
+type runningWatcher struct {
+	*Watcher
+	registry *endpoints.Registry
+	updates  chan balancer.EndpointUpdate // that the balancer got
 }
 
-// watch runs a watcher until the test ends.
-func watch(t *testing.T, address string, pushed bool, known ...string) (*endpoints.Registry, *Watcher, chan balancer.EndpointUpdate) {
+// startWatcher starts a Watcher that knows endpoints at version 1.
+func startWatcher(t *testing.T, address string, pushed bool, known ...string) *runningWatcher {
 	t.Helper()
-	told := make(chan balancer.EndpointUpdate, 64)
-	dir := endpoints.New(clock.New(), nil)
-	w := testWatcher(t, address, pushed)
-	feed := NewRegistrySink(dir, func(m balancer.EndpointUpdate) { told <- m })
-	feed.Apply(testutil.EndpointList(t, 1, true, known...))
+	w := &runningWatcher{registry: endpoints.New(clock.New(), nil), updates: make(chan balancer.EndpointUpdate, 64)}
+	w.Watcher = New(Options{Address: address, Index: 1, ConnectTimeout: 2 * time.Second, Staleness: staleness.Options{Pushed: pushed},
+		Log: logging.NewFunc(func(line string) { t.Log(line) })})
+	sink := NewRegistrySink(w.registry, func(u balancer.EndpointUpdate) { w.updates <- u })
+	sink.Apply(testutil.EndpointList(t, 1, true, known...))
 	done := make(chan struct{})
 	go func() {
-		w.Run(t.Context(), feed) // ends before the cleanups
+		w.Run(t.Context(), sink) // ends before the cleanups
 		close(done)
 	}()
 	t.Cleanup(func() { <-done })
-	return dir, w, told
+	return w
 }
 
-func next(t *testing.T, told chan balancer.EndpointUpdate) balancer.EndpointUpdate {
+func (w *runningWatcher) isReady(name string) bool { return isReady(w.registry, name) }
+
+// nextUpdate waits for an update of the balancer.
+func (w *runningWatcher) nextUpdate(t *testing.T) balancer.EndpointUpdate {
 	t.Helper()
 	select {
-	case m := <-told:
-		return m
+	case u := <-w.updates:
+		return u
 	case <-time.After(testutil.Timeout):
 		t.Fatal("nothing was reported")
 		panic("unreachable")
 	}
 }
 
-// Guards against a list that differs from discovery's: changes apply to what is known, a snapshot replaces it.
-func TestWatchFollowsTheList(t *testing.T) {
+// Changes apply to the list that is known, and a snapshot replaces it.
+func TestWatchAppliesChangesAndSnapshots(t *testing.T) {
 	d := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send(testutil.List(5, false, testutil.Entry("b", "127.0.0.2:2", "Ready"), testutil.Entry("a", "127.0.0.2:1", "Terminating")))
 		send("")
 		send(`{"index":6,"snapshot":true,"new_field":[1],"endpoints":[` + testutil.Entry("c", "127.0.0.2:3", "Ready") + `]}`)
 		<-done
 	})
-	dir, _, told := watch(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
-	m := next(t, told)
-	if m.Kind != balancer.IncrementalUpdate || len(m.Endpoints) != 2 || m.Endpoints[0].State != balancer.Active ||
-		m.Endpoints[1].State != balancer.Draining || m.Endpoints[0].MachineType != "m" || m.Endpoints[0].Zone != "a" {
-		t.Errorf("changes told as %+v", m)
+	w := startWatcher(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
+	u := w.nextUpdate(t)
+	if u.Kind != balancer.IncrementalUpdate || len(u.Endpoints) != 2 || u.Endpoints[0].State != balancer.Active ||
+		u.Endpoints[1].State != balancer.Draining || u.Endpoints[0].MachineType != "m" || u.Endpoints[0].Zone != "a" {
+		t.Errorf("changes reported as %+v", u)
 	}
-	if m = next(t, told); m.Kind != balancer.FullUpdate || len(m.Endpoints) != 1 {
-		t.Errorf("snapshot told as %+v", m)
+	if u = w.nextUpdate(t); u.Kind != balancer.FullUpdate || len(u.Endpoints) != 1 {
+		t.Errorf("snapshot reported as %+v", u)
 	}
 	for name, want := range map[string]bool{"a": false, "b": false, "c": true} {
-		if _, ok := dir.Instance(name); ok != want {
-			t.Errorf("%s wants requests: %v", name, ok)
+		if got := w.isReady(name); got != want {
+			t.Errorf("%s is ready: %v", name, got)
 		}
 	}
-	if froms := d.Calls(); !slices.Equal(froms, []string{"1"}) {
-		t.Errorf("watches from %v", froms)
+	if versions := d.Calls(); !slices.Equal(versions, []string{"1"}) {
+		t.Errorf("watches from versions %v", versions)
 	}
 }
 
-// Guards against a list lost to a bad line: the last good one stays, and is asked for again from there.
-func TestMalformedLines(t *testing.T) {
-	for name, bad := range map[string]string{
+// After a malformed message the last good list stays, and the next watch continues from its version.
+func TestMalformedMessageKeepsLastGoodList(t *testing.T) {
+	for name, malformed := range map[string]string{
 		"not JSON":   `{"index":}`,
 		"cut":        `{"index":8,` + "\n",
 		"no object":  `[8]`,
@@ -93,49 +96,49 @@
 			d := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
 				if n == 1 {
 					send(testutil.List(7, false))
-					send(bad)
+					send(malformed)
 				}
 				<-done
 			})
-			dir, _, told := watch(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
-			if m := next(t, told); m.Kind != balancer.IncrementalUpdate {
-				t.Errorf("told %+v", m)
+			w := startWatcher(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
+			if u := w.nextUpdate(t); u.Kind != balancer.IncrementalUpdate {
+				t.Errorf("reported %+v", u)
 			}
-			testutil.Eventually(t, "asked again", func() bool { return len(d.Calls()) == 2 })
-			if froms := d.Calls(); froms[1] != "7" {
-				t.Errorf("asked again from %s", froms[1])
+			testutil.Eventually(t, "another call", func() bool { return len(d.Calls()) == 2 })
+			if versions := d.Calls(); versions[1] != "7" {
+				t.Errorf("the next watch is from version %s", versions[1])
 			}
-			if _, ok := dir.Instance("a"); !ok {
+			if !w.isReady("a") {
 				t.Error("the good list is lost")
 			}
 		})
 	}
 }
 
-// Guards against a watch that is taken for not yet answered because there is no news: an empty line answers it.
-func TestWatchWithoutNewsIsAnswered(t *testing.T) {
+// The first heartbeat reports that the known list is current; later ones report nothing.
+func TestHeartbeatReportsCurrentList(t *testing.T) {
 	d := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send("")
 		send("")
 		send(testutil.List(9, false))
 		<-done
 	})
-	dir, _, told := watch(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
-	for range 2 { // the answer and the news, nothing for the second empty line
-		if m := next(t, told); m.Kind != balancer.IncrementalUpdate || len(m.Endpoints) != 0 {
-			t.Errorf("told %+v", m)
+	w := startWatcher(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
+	for range 2 { // the first heartbeat and the change
+		if u := w.nextUpdate(t); u.Kind != balancer.IncrementalUpdate || len(u.Endpoints) != 0 {
+			t.Errorf("reported %+v", u)
 		}
 	}
-	if len(told) != 0 {
-		t.Errorf("told %+v too", <-told)
+	if len(w.updates) != 0 {
+		t.Errorf("reported %+v too", <-w.updates)
 	}
-	if _, ok := dir.Instance("a"); !ok {
+	if !w.isReady("a") {
 		t.Error("the known list is lost")
 	}
 }
 
-// Guards against a list that stands still once its watch has ended: it is watched again by itself, from the version last told.
-func TestWatchIsOpenedAgain(t *testing.T) {
+// A watch that ended is opened again, from the version that it reached.
+func TestEndedWatchIsReopenedFromLastVersion(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		d := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
 			send(testutil.List(6+n, false))
@@ -143,21 +146,21 @@
 				<-done
 			}
 		})
-		_, _, told := watch(t, d.Address, pushed)
+		w := startWatcher(t, d.Address, pushed)
 		for range 2 {
-			if m := next(t, told); m.Kind != balancer.IncrementalUpdate {
-				t.Errorf("told %+v", m)
+			if u := w.nextUpdate(t); u.Kind != balancer.IncrementalUpdate {
+				t.Errorf("reported %+v", u)
 			}
 		}
-		if froms := d.Calls(); !slices.Equal(froms, []string{"1", "7"}) {
-			t.Errorf("watches from %v", froms)
+		if versions := d.Calls(); !slices.Equal(versions, []string{"1", "7"}) {
+			t.Errorf("pushed %v: watches from versions %v", pushed, versions)
 		}
 	}
 }
 
-// Guards against a list that is told late: a new address is asked at once, for the whole list first, whatever the old one did,
-// and again soon where it fails at first. The module learns that the list is back.
-func TestNewAddressIsAskedAgainSoon(t *testing.T) {
+// A new address is polled for the whole list at once, again soon where that fails, and then watched. Refresh has the balancer hear of the
+// next heartbeat.
+func TestRedirectFetchesListAndRetries(t *testing.T) {
 	d := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
 		if n == 3 {
 			send(testutil.List(3, true))
@@ -171,25 +174,24 @@
 			}
 		}
 	})
-	_, w, told := watch(t, "127.0.0.1:1", false)
+	w := startWatcher(t, "127.0.0.1:1", false)
 	w.Redirect(d.Address)
-	if m := next(t, told); m.Kind != balancer.FullUpdate {
-		t.Errorf("told %+v", m)
+	if u := w.nextUpdate(t); u.Kind != balancer.FullUpdate {
+		t.Errorf("reported %+v", u)
 	}
 	testutil.Eventually(t, "a watch after the list", func() bool { return len(d.Calls()) == 4 })
 	w.Refresh()
-	if m := next(t, told); m.Kind != balancer.IncrementalUpdate || len(m.Endpoints) != 0 {
-		t.Errorf("told %+v", m)
+	if u := w.nextUpdate(t); u.Kind != balancer.IncrementalUpdate || len(u.Endpoints) != 0 {
+		t.Errorf("reported %+v", u)
 	}
 }
 
-// Guards against a drain that is lost to a reload: what the watch at the address before tells counts until the new one has answered, and
-// nothing of it afterwards.
-func TestTheWatchBeforeAReloadIsFollowed(t *testing.T) {
-	moved := make(chan struct{})
+// What the watch at the earlier address delivers counts until the new one has answered, and not afterwards.
+func TestSupersededWatchIsFollowedAfterRedirect(t *testing.T) {
+	redirected := make(chan struct{})
 	before := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send(testutil.List(5, true, testutil.Entry("a", "127.0.0.2:1", "Ready"), testutil.Entry("b", "127.0.0.2:2", "Ready")))
-		<-moved
+		<-redirected
 		send(testutil.List(6, false, testutil.Entry("a", "127.0.0.2:1", "Terminating")))
 		<-done
 	})
@@ -203,78 +205,33 @@
 		send("")
 		<-done
 	})
-	dir, w, told := watch(t, before.Address, false)
-	next(t, told)
+	w := startWatcher(t, before.Address, false)
+	w.nextUpdate(t)
 	w.Redirect(after.Address)
-	close(moved)
-	if next(t, told); has(dir, "a") || !has(dir, "b") {
-		t.Error("the drain at the address before is not heard")
+	close(redirected)
+	if w.nextUpdate(t); w.isReady("a") || !w.isReady("b") {
+		t.Error("the drain at the earlier address is not noticed")
 	}
 	close(answer)
-	if m := next(t, told); m.Kind != balancer.FullUpdate || has(dir, "b") || !has(dir, "c") {
-		t.Errorf("the new address's list was told as %+v", m)
+	if u := w.nextUpdate(t); u.Kind != balancer.FullUpdate || w.isReady("b") || !w.isReady("c") {
+		t.Errorf("the new address's list was reported as %+v", u)
 	}
-	testutil.Eventually(t, "the watch before ends", func() bool { made, failed := w.Calls(); return made == 3 && failed == 0 && w.openCalls() == 1 })
-}
-
-// Guards against a drain that is told by the watch at the address before, in the moment in which an older list of the new address is read:
-// that watch is followed until the new one's watch has spoken. Only withdrawals are believed then, and the new list is asked for again.
-func TestADrainToldBehindTheNewList(t *testing.T) {
-	const before, after = "127.0.0.1:1", "127.0.0.1:2"
-	a, b := testutil.Entry("a", "127.0.0.2:1", "Ready"), testutil.Entry("b", "127.0.0.2:2", "Ready")
-	var lists atomic.Int32
-	played(t, staleness.Options{}, func(_ int, _ time.Duration, r *http.Request, send func(string)) {
-		switch {
-		case r.Host == before:
-			send(testutil.List(5, true, a, b) + "\n")
-			time.Sleep(2 * time.Second)
-			send("\n")
-			time.Sleep(2 * time.Second)
-			send(testutil.List(6, false, testutil.Entry("a", "127.0.0.2:1", "Terminating"), testutil.Entry("c", "127.0.0.2:3", "Ready")) + "\n")
-		case !r.URL.Query().Has("watch"):
-			time.Sleep(time.Second) // so that its watch is not asked for at once
-			if lists.Add(1) == 1 {
-				send(testutil.List(5, true, a, b))
-			} else {
-				send(testutil.List(6, true, b))
-			}
-			return
-		default:
-			send("\n")
-		}
-		<-r.Context().Done()
-	}, func(w *Watcher, dir *endpoints.Registry, start time.Time, _ func() string) {
-		time.Sleep(2900 * time.Millisecond)
-		w.Redirect(after)
-		if took := forgets(t, dir, start); took > 4010*time.Millisecond {
-			t.Errorf("the drain is heard of after %v", took)
-		}
-		if !has(dir, "b") || has(dir, "c") {
-			t.Errorf("b %v, c %v: only the drain is believed", has(dir, "b"), has(dir, "c"))
-		}
-		time.Sleep(5 * time.Second)
-		if lists.Load() != 2 || w.openCalls() != 1 || has(dir, "a") || !has(dir, "b") {
-			t.Errorf("%d lists, %d calls open, a %v, b %v", lists.Load(), w.openCalls(), has(dir, "a"), has(dir, "b"))
-		}
+	testutil.Eventually(t, "the earlier watch ends", func() bool {
+		opened, failed := w.Calls()
+		return opened == 3 && failed == 0 && w.openCalls() == 1
 	})
 }
 
-// openCalls is how many calls have not ended.
-func (w *Watcher) openCalls() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.calls)
-}
-
-// Guards against a log that an outage fills: of a long row of failures some are warnings.
-func TestFailuresInARowAreLoggedSparingly(t *testing.T) {
+// Of many consecutive failures some are warnings, and the others are logged as debug.
+func TestConsecutiveFailuresAreLoggedSparingly(t *testing.T) {
+	const minuteOfFailures = 400
 	warned := 0
-	for failures := 1; failures <= 400; failures++ { // a minute of them
+	for failures := 1; failures <= minuteOfFailures; failures++ {
 		if failureLevel(failures) == slog.LevelWarn {
 			warned++
 		}
 	}
 	if failureLevel(1) != slog.LevelWarn || warned > 40 {
-		t.Errorf("%d of 400 are warnings", warned)
+		t.Errorf("%d of %d are warnings", warned, minuteOfFailures)
 	}
 }
