--- a/internal/endpoints/list.go
+++ b/internal/endpoints/list.go
@@ -8,14 +8,14 @@
 	"strconv"
 )
 
-// List is one message of discovery: the whole list, or what changed.
+// List is one message of a discovery: a snapshot of the whole list, or the endpoints that changed.
 type List struct {
 	Index     *int64     `json:"index"` // version of the list after this message
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// Endpoint is one entry of a Listing.
+// Endpoint is one entry of a List.
 type Endpoint struct {
 	Name        string  `json:"name"` // the same at every sidecar
 	Address     string  `json:"address"`
@@ -24,30 +24,35 @@
 	Cell        int     `json:"group"`
 	Status      string  `json:"status"`
 	StartedMs   float64 `json:"since_ms"` // when it last started, Unix time in milliseconds; 0: long ago
-	// Identity is the name that its certificate has to bear, a DNS name or a URI, where connections are encrypted.
-	// Empty: the service's. The platform's lists hold none.
+	// TLSIdentity is the name in its certificate, a DNS name or a URI, where connections are encrypted. Empty: the service's. The
+	// platform's lists have none.
 	TLSIdentity string `json:"identity,omitempty"`
 }
 
-// What Status may be; anything else counts as StatusGone.
+// The values of Endpoint.Status; any other counts as StatusGone.
 const (
 	StatusReady       = "Ready"
-	StatusTerminating = "Terminating" // finishes what it has, wants nothing new
-	StatusGone        = "Gone"
+	StatusTerminating = "Terminating" // drains: finishes its requests, and takes no new ones
+	StatusGone        = "Gone"        // removed
 )
 
-// ParseList turns down what is not whole, so that half a message never replaces a good list.
+var (
+	errNoIndex            = errors.New("no index")
+	errIncompleteEndpoint = errors.New("an endpoint without name or status")
+)
+
+// ParseList parses a message. It rejects an incomplete one, so that it does not replace a good list.
 func ParseList(text []byte) (*List, error) {
 	l := &List{}
 	if err := json.Unmarshal(text, l); err != nil {
 		return nil, err
 	}
 	if l.Index == nil {
-		return nil, errors.New("no index")
+		return nil, errNoIndex
 	}
 	for _, e := range l.Endpoints {
 		if e.Name == "" || e.Status == "" {
-			return nil, errors.New("an endpoint without name or status")
+			return nil, errIncompleteEndpoint
 		}
 		if e.Status == StatusReady {
 			if err := CheckAddress(e.Address); err != nil {
@@ -58,8 +63,8 @@
 	return l, nil
 }
 
-// CheckAddress says what is wrong with an address: it is an IP address and a port. There is no DNS, and an empty
-// host would listen everywhere.
+// CheckAddress returns an error for an address that is not an IP address and a port. There are no name look-ups, and an empty host would
+// listen everywhere.
 func CheckAddress(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
--- a/internal/endpoints/registry.go
+++ b/internal/endpoints/registry.go
@@ -1,5 +1,3 @@
-// Package endpoints keeps where upstreams are and whether they want requests. Whoever hears of a change applies it
-// here at once, ahead of the engine, so that a request decided on before is still stopped at its write.
 package endpoints
 
 import (
@@ -13,150 +11,166 @@
 	"orchiddrift/internal/clock"
 )
 
-// Registry is safe for concurrent use. It holds one entry for each upstream that is listed.
+// Registry holds the endpoints that are listed, with an instance for each that is ready. See the package comment for who writes it. It is
+// safe for concurrent use.
 type Registry struct {
-	clock  clock.Clock
-	onDrop func(name string)
+	clock         clock.Clock
+	onInstanceEnd func(name string)
 
-	mu     sync.RWMutex
-	places map[string]Instance // of the upstreams that want requests, by name
-	leaves map[string]bool     // those that are listed and want none
-	starts map[string]start    // of both
+	mu       sync.RWMutex
+	ready    map[string]Instance  // by name
+	draining map[string]bool      // by name
+	started  map[string]startTime // of both
 }
 
-// Instance tells the processes of an upstream apart: connections to an earlier one are worth nothing.
+// Instance is one incarnation of an upstream: connections to another one are of no use.
 type Instance struct {
 	Address     string
-	StartedMs   float64
+	StartedMs   float64 // Unix time in milliseconds; 0: long ago
 	TLSIdentity string
 }
 
-// New returns an empty Directory. It calls onDrop, outside its lock, with the name of each upstream whose
-// connections are no longer wanted; nil: nobody is told.
-func New(c clock.Clock, onDrop func(name string)) *Registry {
-	if onDrop == nil {
-		onDrop = func(string) {}
+// ProcessID returns a number that tells the instances of one upstream apart.
+func (i Instance) ProcessID() uint64 {
+	return xxhash.Sum64String(i.Address+"\x00"+i.TLSIdentity) ^ uint64(i.StartedMs)
+}
+
+// startTime is when an instance started, as listed and on the clock.
+type startTime struct {
+	listedMs float64
+	at       time.Duration
+}
+
+// New returns an empty Registry. It calls onInstanceEnd, outside its lock, with the name of each endpoint whose instance changed, so that
+// connections to the one before can be closed. onInstanceEnd may be nil.
+func New(c clock.Clock, onInstanceEnd func(name string)) *Registry {
+	if onInstanceEnd == nil {
+		onInstanceEnd = func(string) {}
 	}
-	return &Registry{clock: c, onDrop: onDrop, places: map[string]Instance{}, leaves: map[string]bool{}, starts: map[string]start{}}
+	return &Registry{clock: c, onInstanceEnd: onInstanceEnd, ready: map[string]Instance{}, draining: map[string]bool{}, started: map[string]startTime{}}
 }
 
-// Apply takes in a message and translates it for the module.
-func (d *Registry) Apply(l *List) balancer.EndpointUpdate {
-	m := balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate, Endpoints: make([]balancer.Endpoint, 0, len(l.Endpoints))}
-	d.mu.Lock()
-	var dropped []string
-	before := map[string]Instance{}
+// Apply applies a list or a change, and returns it as the update for the balancer.
+func (r *Registry) Apply(l *List) balancer.EndpointUpdate {
+	update, changed := r.apply(l)
+	for _, name := range changed {
+		r.onInstanceEnd(name)
+	}
+	return update
+}
+
+// apply also returns the names of the endpoints whose instances changed.
+func (r *Registry) apply(l *List) (update balancer.EndpointUpdate, changed []string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	before := r.instancesBefore(l)
+	update = balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate, Endpoints: make([]balancer.Endpoint, 0, len(l.Endpoints))}
 	if l.Snapshot {
-		m.Kind = balancer.FullUpdate
-		before, d.places = d.places, map[string]Instance{}
-		clear(d.leaves)
+		update.Kind = balancer.FullUpdate
+		r.ready = map[string]Instance{}
+		clear(r.draining)
 	}
 	for _, e := range l.Endpoints {
-		if !l.Snapshot {
-			if _, seen := before[e.Name]; !seen {
-				before[e.Name] = d.places[e.Name]
-			}
-		}
-		state := balancer.Removed
-		delete(d.leaves, e.Name)
-		switch e.Status {
-		case StatusReady:
-			state = balancer.Active
-			d.places[e.Name] = Instance{e.Address, e.StartedMs, e.TLSIdentity}
-		case StatusTerminating:
-			state = balancer.Draining
-			delete(d.places, e.Name)
-			d.leaves[e.Name] = true
-		default:
-			delete(d.places, e.Name)
-		}
-		m.Endpoints = append(m.Endpoints, balancer.Endpoint{Name: e.Name, Zone: e.Zone, MachineType: e.MachineType,
-			Cell: e.Cell, State: state, StartedAt: d.started(e)})
+		update.Endpoints = append(update.Endpoints, balancer.Endpoint{Name: e.Name, Zone: e.Zone, MachineType: e.MachineType,
+			Cell: e.Cell, State: r.set(e), StartedAt: r.startedAt(e)})
 	}
 	if l.Snapshot {
-		d.forgetStarts(l)
+		r.forgetUnlistedStarts(l)
 	}
-	for name, at := range before {
-		if d.places[name] != at {
-			dropped = append(dropped, name)
+	for name, instance := range before {
+		if r.ready[name] != instance {
+			changed = append(changed, name)
 		}
 	}
-	d.mu.Unlock()
-	for _, name := range dropped {
-		d.onDrop(name)
+	return update, changed
+}
+
+// instancesBefore returns the instances that a list may change; the zero Instance for an endpoint that is not ready. The caller holds mu.
+func (r *Registry) instancesBefore(l *List) map[string]Instance {
+	if l.Snapshot {
+		return r.ready // it is replaced
+	}
+	before := make(map[string]Instance, len(l.Endpoints))
+	for _, e := range l.Endpoints {
+		before[e.Name] = r.ready[e.Name]
 	}
-	return m
+	return before
 }
 
-// start is when a process of an upstream started, as discovery tells it and on the clock.
-type start struct {
-	sinceMs float64
-	at      time.Duration
+// set takes the state of one endpoint. The caller holds mu.
+func (r *Registry) set(e Endpoint) balancer.EndpointState {
+	delete(r.draining, e.Name)
+	switch e.Status {
+	case StatusReady:
+		r.ready[e.Name] = Instance{e.Address, e.StartedMs, e.TLSIdentity}
+		return balancer.Active
+	case StatusTerminating:
+		delete(r.ready, e.Name)
+		r.draining[e.Name] = true
+		return balancer.Draining
+	}
+	delete(r.ready, e.Name)
+	return balancer.Removed
 }
 
-// started is when an upstream's process started. What was understood once stays: the wall clock, by which it is told, may be stepped. The
-// caller holds mu.
-func (d *Registry) started(e Endpoint) time.Duration {
-	known, ok := d.starts[e.Name]
-	if !ok || known.sinceMs != e.StartedMs {
-		known = start{e.StartedMs, d.clock.FromUnixMs(e.StartedMs)}
+// startedAt returns when an endpoint's instance started, on the clock. It is converted once for each instance, since the wall clock by
+// which it is listed may be stepped. The caller holds mu.
+func (r *Registry) startedAt(e Endpoint) time.Duration {
+	start, known := r.started[e.Name]
+	if !known || start.listedMs != e.StartedMs {
+		start = startTime{e.StartedMs, r.clock.FromUnixMs(e.StartedMs)}
 	}
 	if e.Status == StatusReady || e.Status == StatusTerminating {
-		d.starts[e.Name] = known
+		r.started[e.Name] = start
 	} else {
-		delete(d.starts, e.Name)
+		delete(r.started, e.Name)
 	}
-	return known.at
+	return start.at
 }
 
-// forgetStarts keeps the starts that a whole list names. The caller holds mu.
-func (d *Registry) forgetStarts(l *List) {
-	if len(d.starts) <= len(l.Endpoints) {
+// forgetUnlistedStarts forgets the starts of endpoints that a snapshot does not list. The caller holds mu.
+func (r *Registry) forgetUnlistedStarts(l *List) {
+	if len(r.started) <= len(l.Endpoints) {
 		return // each that is listed has one
 	}
 	listed := make(map[string]bool, len(l.Endpoints))
 	for _, e := range l.Endpoints {
 		listed[e.Name] = true
 	}
-	maps.DeleteFunc(d.starts, func(name string, _ start) bool { return !listed[name] })
-}
-
-// Instance is where an upstream takes requests now; nowhere while it drains or is gone.
-func (d *Registry) Instance(name string) (Instance, bool) {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	at, ok := d.places[name]
-	return at, ok
+	maps.DeleteFunc(r.started, func(name string, _ startTime) bool { return !listed[name] })
 }
 
-// Ready tells whether an upstream takes requests, and still does so at that place.
-func (d *Registry) Ready(name string, at Instance) bool {
-	now, ok := d.Instance(name)
-	return ok && now == at
+// Instance returns the instance that takes an endpoint's requests now; false while it drains or is not listed.
+func (r *Registry) Instance(name string) (Instance, bool) {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	instance, ok := r.ready[name]
+	return instance, ok
 }
 
-// ReadyCount is how many upstreams want requests.
-func (d *Registry) ReadyCount() int {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	return len(d.places)
+// Ready reports whether an endpoint takes requests, and still does so at that instance.
+func (r *Registry) Ready(name string, instance Instance) bool {
+	now, ok := r.Instance(name)
+	return ok && now == instance
 }
 
-// DrainingCount is how many upstreams are listed and want no requests.
-func (d *Registry) DrainingCount() int {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	return len(d.leaves)
+// Instances returns a copy of all ready instances, by name.
+func (r *Registry) Instances() map[string]Instance {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return maps.Clone(r.ready)
 }
 
-// ProcessID is a number that tells the processes of one upstream apart.
-func (p Instance) ProcessID() uint64 {
-	return xxhash.Sum64String(p.Address+"\x00"+p.TLSIdentity) ^ uint64(p.StartedMs)
+// ReadyCount returns how many endpoints take requests.
+func (r *Registry) ReadyCount() int {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return len(r.ready)
 }
 
-// Instances is a copy of where all upstreams take requests, by name.
-func (d *Registry) Instances() map[string]Instance {
-	d.mu.RLock()
-	defer d.mu.RUnlock()
-	return maps.Clone(d.places)
+// DrainingCount returns how many endpoints are listed and drain.
+func (r *Registry) DrainingCount() int {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return len(r.draining)
 }
--- a/internal/endpoints/source.go
+++ b/internal/endpoints/source.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// DrainGrace is how long after a Source was told that an upstream wants nothing new the last may still be sent.
+// DrainGrace is how long requests may still be sent to an endpoint after a Source was notified that it drains.
 const DrainGrace = 250 * time.Millisecond
 
-// Source follows one list of upstreams, wherever that is kept.
+// Source follows one endpoint list, wherever that is kept.
 type Source interface {
-	// Run follows it until ctx ends, and tells sink. Of one Source it is called once.
+	// Run follows the list until ctx ends, and reports to sink. It is called once.
 	Run(ctx context.Context, sink Sink)
-	// Ask wants the list again: the module has been told that it is lost. It does not block.
+	// Refresh wants the list again, once the balancer was told that it is lost. It does not block.
 	Refresh()
 }
 
-// Sink takes what a Source hears. A Source calls it from one goroutine at a time. No call may block for long: news of a
-// drain may wait behind it.
+// Sink takes what a Source reports. A Source calls it from one goroutine at a time. The methods must not block for long, since the
+// notification of a drain may wait behind them.
 type Sink interface {
-	// Update brings the whole list, or what changed in it. When it returns nothing new is sent against it.
+	// Update applies a list or a change. When it returns, no request is sent any more that contradicts it.
 	Update(*List)
-	// Heard says that the source stands, and that there is nothing new since the version last held.
+	// Current reports that the source is healthy, and that there is no change since the last version.
 	Current()
-	// Lost says that the source is silent or broken; what it told last may be old by now. Where again is false it waits
-	// for Ask.
-	Lost(err error, again bool)
+	// Lost reports that the source is silent or broken, so that its last list may be old. Where retries is false the source waits for
+	// Refresh; otherwise it retries by itself.
+	Lost(err error, retries bool)
 }
