--- /dev/null
+++ b/internal/discovery/subset/choose.go
@@ -0,0 +1,152 @@
+package subset
+
+import (
+	"cmp"
+	"maps"
+	"math"
+	"slices"
+	"time"
+
+	"orchiddrift/internal/endpoints"
+)
+
+// choose picks the members anew and returns what changes; nil: nothing.
+func (s *Subset) choose(now time.Time) *endpoints.List {
+	s.next = time.Time{}
+	picked := s.pickMembers(now)
+	var changes []endpoints.Endpoint
+	for name := range picked {
+		e := s.listed[name]
+		if was, ok := s.members[name]; !ok || was != e {
+			changes = append(changes, e)
+			s.members[name] = e
+		}
+		delete(s.releasing, name)
+	}
+	for name := range s.members {
+		if picked[name] {
+			continue
+		}
+		if change, changed := s.release(now, name); changed {
+			changes = append(changes, change)
+		}
+	}
+	if len(changes) == 0 {
+		return nil
+	}
+	slices.SortFunc(changes, func(a, b endpoints.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
+	return &endpoints.List{Endpoints: changes}
+}
+
+// pickMembers returns the names of the members. RemoteZoneFraction of the size is in other zones; where there are too few endpoints in
+// the sidecar's zone or in the others, the rest makes up for them.
+func (s *Subset) pickMembers(now time.Time) map[string]bool {
+	remote := int(math.Ceil(float64(s.size) * s.options.RemoteZoneFraction))
+	local := s.size - remote
+	if n := s.local.size(); n < local {
+		local, remote = n, s.size-n
+	}
+	if n := s.remote.size(); n < remote {
+		remote, local = n, s.size-n
+	}
+	picked := make(map[string]bool, s.size+1)
+	s.pickFrom(now, s.local, local, picked)
+	s.pickFrom(now, s.remote, remote, picked)
+	s.keepWarmMembers(now, picked)
+	return picked
+}
+
+// pickFrom picks this sidecar's share of a ring. Where more than half of it is warming up, warm endpoints from further along the ring are
+// borrowed, half as many as the share at most: when many restart at once, the warm ones carry the load, and the others get what the
+// balancer's slow start admits.
+func (s *Subset) pickFrom(now time.Time, r *ring, want int, picked map[string]bool) {
+	names, own := r.share(s.options.Index, s.options.FleetSize, want, want)
+	own = min(own, max(0, s.maxSize-len(picked)))
+	warm, borrowed := 0, 0
+	for i, name := range names {
+		warmAt, isWarming := s.warming(now, name)
+		if i < own {
+			picked[name] = true
+			if isWarming {
+				s.wakeAt(warmAt)
+			} else {
+				warm++
+			}
+			continue
+		}
+		if 2*(warm+borrowed) >= own || borrowed >= (own+1)/2 || len(picked) >= s.maxSize {
+			return
+		}
+		if !isWarming {
+			borrowed++
+			picked[name] = true
+		}
+	}
+}
+
+// keepWarmMembers keeps members that are warm while more than half of what was picked is warming up: after a fleet has grown many times
+// over at once there is hardly a warm endpoint on the ring to be borrowed.
+func (s *Subset) keepWarmMembers(now time.Time, picked map[string]bool) {
+	warm := 0
+	for name := range picked {
+		if _, isWarming := s.warming(now, name); !isWarming {
+			warm++
+		}
+	}
+	if 2*warm >= len(picked) {
+		return
+	}
+	for _, name := range slices.Sorted(maps.Keys(s.members)) {
+		if 2*warm >= len(picked) || len(picked) >= s.maxSize {
+			return
+		}
+		if _, isWarming := s.warming(now, name); isWarming || picked[name] || s.members[name].Status != endpoints.StatusReady ||
+			s.listed[name].Status != endpoints.StatusReady {
+			continue
+		}
+		picked[name] = true
+		warm++
+	}
+}
+
+// warming reports whether an endpoint started less than SlowStartWindow ago, and when that is over.
+func (s *Subset) warming(now time.Time, name string) (warmAt time.Time, isWarming bool) {
+	startedMs := s.listed[name].StartedMs
+	warmAt = time.UnixMilli(int64(startedMs)).Add(s.options.SlowStartWindow.D())
+	return warmAt, startedMs > 0 && warmAt.After(now)
+}
+
+// release takes a member that was not picked one step further, and returns its change if there is one: it drains for RemovedGrace and is
+// removed then. One that drains by the list does so as long as it is listed, and one that is not listed is removed at once.
+func (s *Subset) release(now time.Time, name string) (change endpoints.Endpoint, changed bool) {
+	was := s.members[name]
+	e, isListed := s.listed[name]
+	removeAt, isReleasing := s.releasing[name]
+	switch {
+	case !isListed:
+		return s.removeMember(name), true
+	case e.Status == endpoints.StatusTerminating:
+		delete(s.releasing, name)
+		s.members[name] = e
+		return e, was != e
+	case !isReleasing:
+		s.releasing[name] = now.Add(RemovedGrace)
+		s.wakeAt(now.Add(RemovedGrace))
+		e.Status = endpoints.StatusTerminating
+		s.members[name] = e
+		return e, true
+	case !removeAt.After(now):
+		return s.removeMember(name), true
+	}
+	s.wakeAt(removeAt)
+	return endpoints.Endpoint{}, false
+}
+
+// removeMember forgets a member and returns its removal.
+func (s *Subset) removeMember(name string) endpoints.Endpoint {
+	e := s.members[name]
+	e.Status = endpoints.StatusGone
+	delete(s.members, name)
+	delete(s.releasing, name)
+	return e
+}
--- a/internal/discovery/subset/options.go
+++ b/internal/discovery/subset/options.go
@@ -6,7 +6,13 @@
 	"orchiddrift/internal/units"
 )
 
-// Options are a Subset's parameters, and its part of the operator's file.
+// Bounds of the options.
+const (
+	maxFleetSize = 100_000
+	maxMembers   = 20_000
+)
+
+// Options are the parameters of a Subset, and its table in the operator's file.
 type Options struct {
 	Enabled            bool           `toml:"on" doc:"Knows a part of the upstreams as its own, and holds connections to those alone. Off: all of them."`
 	FleetSize          int            `toml:"sidecars" doc:"How many sidecars of this zone share the upstreams, the same in each of them. 0: not known; the load a node is spread wider then."`
@@ -20,19 +26,19 @@
 	SlowStartWindow    units.Duration `toml:"warm" default:"10s" doc:"An upstream that started less than this ago is cold; where more than half of its own are, warm ones are borrowed."`
 }
 
-// Default is what holds where nothing is said.
+// Default returns the options that hold where the operator's file gives none.
 func Default() Options {
 	return Options{Index: -1, MinSize: 12, MaxSize: 128, SampleInterval: units.Duration(2 * time.Second), RemoteZoneFraction: 0.25,
 		ShrinkDelay: units.Duration(30 * time.Second), GrowDelay: units.Duration(3 * time.Second), SlowStartWindow: units.Duration(10 * time.Second)}
 }
 
-// Check is tomlfile.Checker's.
+// Check reports options that can't be used; it implements tomlfile.Checker.
 func (o *Options) Check(report func(key, format string, args ...any)) {
 	if o.MinSize < 1 || o.MaxSize < o.MinSize || o.MaxSize > maxMembers {
 		report("most", "least (%d) and most (%d) are to be from 1 to %d, in that order", o.MinSize, o.MaxSize, maxMembers)
 	}
-	if o.FleetSize < 0 || o.FleetSize > maxSidecars {
-		report("sidecars", "%d is not from 0 to %d", o.FleetSize, maxSidecars)
+	if o.FleetSize < 0 || o.FleetSize > maxFleetSize {
+		report("sidecars", "%d is not from 0 to %d", o.FleetSize, maxFleetSize)
 	}
 	if o.Index < -1 || o.Index >= 0 && o.Index >= o.FleetSize {
 		report("index", "%d is not below sidecars, %d", o.Index, o.FleetSize)
@@ -44,8 +50,3 @@
 		report("heard", "0s would want no upstream at all")
 	}
 }
-
-const (
-	maxSidecars = 100_000
-	maxMembers  = 20_000
-)
--- a/internal/discovery/subset/ring.go
+++ b/internal/discovery/subset/ring.go
@@ -7,103 +7,112 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ring is the upstreams of one zone, or of all others, in an order that every sidecar has, since it follows from the names
-// alone.
+// maxInsertions is how many added positions are inserted one by one; more are sorted in together.
+const maxInsertions = 32
+
+// ring holds the ready endpoints of one zone, or of all others, in an order that follows from their names alone and is therefore the same
+// at every sidecar.
 type ring struct {
-	order []place
-	fresh []place // added and not yet in order: many at once are sorted in together
-	self  uint64  // of the sidecar, where its index is not known
+	sorted      []position
+	added       []position // not sorted in yet
+	sidecarHash uint64     // of the sidecar's own name, for rendezvous hashing
 }
 
-type place struct {
+// position is an endpoint's place on the ring.
+type position struct {
 	hash uint64
 	name string
 }
 
-func newRing(self uint64) *ring { return &ring{self: self} }
+func newRing(sidecarHash uint64) *ring { return &ring{sidecarHash: sidecarHash} }
 
-func placeOf(name string) place { return place{xxhash.Sum64String(name), name} }
+func positionOf(name string) position { return position{xxhash.Sum64String(name), name} }
 
-func compare(a, b place) int { return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.name, b.name)) }
+func comparePositions(a, b position) int {
+	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.name, b.name))
+}
 
-func (r *ring) len() int {
-	r.settle()
-	return len(r.order)
+// size returns the number of endpoints.
+func (r *ring) size() int {
+	r.sortIn()
+	return len(r.sorted)
 }
 
-// add is for a name that is not there. It and remove cost a look-up and a move of memory.
-func (r *ring) add(name string) { r.fresh = append(r.fresh, placeOf(name)) }
+// add adds an endpoint that is not there. It and remove cost a look-up and a move of memory.
+func (r *ring) add(name string) { r.added = append(r.added, positionOf(name)) }
 
-// settle takes in what was added.
-func (r *ring) settle() {
-	if len(r.fresh) > 32 {
-		r.order = append(r.order, r.fresh...)
-		slices.SortFunc(r.order, compare)
+// sortIn sorts the added endpoints in.
+func (r *ring) sortIn() {
+	if len(r.added) > maxInsertions {
+		r.sorted = append(r.sorted, r.added...)
+		slices.SortFunc(r.sorted, comparePositions)
 	} else {
-		for _, p := range r.fresh {
-			at, _ := slices.BinarySearchFunc(r.order, p, compare)
-			r.order = slices.Insert(r.order, at, p)
+		for _, p := range r.added {
+			i, _ := slices.BinarySearchFunc(r.sorted, p, comparePositions)
+			r.sorted = slices.Insert(r.sorted, i, p)
 		}
 	}
-	r.fresh = r.fresh[:0]
+	r.added = r.added[:0]
 }
 
+// remove removes an endpoint, if it is there.
 func (r *ring) remove(name string) {
-	r.settle()
-	if at, there := slices.BinarySearchFunc(r.order, placeOf(name), compare); there {
-		r.order = slices.Delete(r.order, at, at+1)
+	r.sortIn()
+	if i, found := slices.BinarySearchFunc(r.sorted, positionOf(name), comparePositions); found {
+		r.sorted = slices.Delete(r.sorted, i, i+1)
 	}
 }
 
-// share lists the upstreams that are one sidecar's, in the order of preference, and some beyond to borrow from. The first
-// own of them are its own: want at least, as far as there are any.
+// share returns a sidecar's endpoints in the order of preference: own of them are its share, at least want as far as there are any, and
+// up to extra endpoints follow that it may borrow.
 //
-// With a known index: of n upstreams and m sidecars, b(j) = floor(j n / m) are bounds on the ring, one for each sidecar, and
-// sidecar i has those from b(i) to b(i+c), with c = ceil(want m / n). Each upstream lies between two neighbouring bounds, and
-// so is the own of exactly c sidecars, whatever n and m are. One upstream more or less moves a bound by one at most; one
-// sidecar more moves it by n/m at most, a c-th of a share.
+// With a known index, n endpoints and m sidecars, the ring is cut at the bounds b(j) = floor(j n / m), and sidecar i has the endpoints
+// from b(i) to b(i+c), with c = ceil(want m / n). Each endpoint lies between two neighbouring bounds and is in the share of exactly c
+// sidecars, whatever n and m are. An endpoint more or less moves a bound by one at most; a sidecar more moves it by n/m at most, which is
+// a c-th of a share.
 //
-// Without: the upstreams whose hash with the sidecar's own name is lowest (rendezvous hashing). How many sidecars an
-// upstream has is then binomial.
-func (r *ring) share(index, sidecars, want, beyond int) (names []string, own int) {
-	n := r.len()
+// Without an index a sidecar has the endpoints whose hash combined with its own is lowest (rendezvous hashing). The number of sidecars of
+// an endpoint is binomial then.
+func (r *ring) share(index, fleetSize, want, extra int) (names []string, own int) {
+	n := r.size()
 	switch {
 	case want <= 0 || n == 0:
 		return nil, 0
 	case want >= n:
-		return r.from(0, n), n
-	case index < 0 || sidecars <= 0:
-		return r.rendezvous(min(n, want+beyond)), want
+		return r.arc(0, n), n
+	case index < 0 || fleetSize <= 0:
+		return r.rendezvous(min(n, want+extra)), want
 	}
-	c := (want*sidecars + n - 1) / n
-	begin, end := index*n/sidecars, (index+c)*n/sidecars
+	segments := (want*fleetSize + n - 1) / n
+	begin, end := index*n/fleetSize, (index+segments)*n/fleetSize
 	own = min(n, max(1, end-begin))
-	return r.from(begin, min(n, own+beyond)), own
+	return r.arc(begin, min(n, own+extra)), own
 }
 
-// from is so many upstreams from one on, round the ring.
-func (r *ring) from(begin, count int) []string {
+// arc returns count endpoints from begin on, round the ring.
+func (r *ring) arc(begin, count int) []string {
 	names := make([]string, count)
 	for i := range names {
-		names[i] = r.order[(begin+i)%len(r.order)].name
+		names[i] = r.sorted[(begin+i)%len(r.sorted)].name
 	}
 	return names
 }
 
-func (r *ring) rendezvous(want int) []string {
-	order := make([]place, len(r.order))
-	for i, p := range r.order {
-		order[i] = place{mix(p.hash ^ r.self), p.name}
+// rendezvous returns the count endpoints whose hash combined with the sidecar's is lowest.
+func (r *ring) rendezvous(count int) []string {
+	order := make([]position, len(r.sorted))
+	for i, p := range r.sorted {
+		order[i] = position{mix(p.hash ^ r.sidecarHash), p.name}
 	}
-	slices.SortFunc(order, compare)
-	names := make([]string, want)
+	slices.SortFunc(order, comparePositions)
+	names := make([]string, count)
 	for i := range names {
 		names[i] = order[i].name
 	}
 	return names
 }
 
-// mix is the finalizer of SplitMix64 (Steele, Lea, Flood 2014): an order for each sidecar out of one hash a name.
+// mix is the finalizer of SplitMix64 (Steele, Lea, Flood 2014).
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/discovery/subset/subset_test.go
+++ b/internal/discovery/subset/subset_test.go
@@ -14,38 +14,67 @@
 
 var start = time.UnixMilli(1e12)
 
-func node(i int, zone string) endpoints.Endpoint {
+func endpoint(i int, zone string) endpoints.Endpoint {
 	return endpoints.Endpoint{Name: fmt.Sprint("n", i), Address: fmt.Sprint("127.0.0.1:", 1+i%65535), Zone: zone, Status: endpoints.StatusReady}
 }
 
-func whole(n int) *endpoints.List {
+// snapshot returns a list of count endpoints without a zone.
+func snapshot(count int) *endpoints.List {
 	l := &endpoints.List{Snapshot: true}
-	for i := range n {
-		l.Endpoints = append(l.Endpoints, node(i, ""))
+	for i := range count {
+		l.Endpoints = append(l.Endpoints, endpoint(i, ""))
 	}
 	return l
 }
 
-// sidecars are all of a zone, with the list.
-func sidecars(t testing.TB, count, nodes, size int, known bool) []*Subset {
+// zonedSnapshot returns a list of endpoints in zones a and b, all started at startedMs.
+func zonedSnapshot(inA, inB int, startedMs float64) *endpoints.List {
+	l := &endpoints.List{Snapshot: true}
+	for i := range inA + inB {
+		e := endpoint(i, "a")
+		if i >= inA {
+			e.Zone = "b"
+		}
+		e.StartedMs = startedMs
+		l.Endpoints = append(l.Endpoints, e)
+	}
+	return l
+}
+
+// newFleet returns the subsets of all sidecars of a zone, with the same list.
+func newFleet(t testing.TB, sidecars, count, size int, indexKnown bool) []*Subset {
 	t.Helper()
-	all, list := make([]*Subset, count), whole(nodes)
-	for i := range all {
+	fleet, list := make([]*Subset, sidecars), snapshot(count)
+	for i := range fleet {
 		o := Default()
 		o.MinSize, o.MaxSize = size, 4096
-		if known {
-			o.FleetSize, o.Index = count, i
+		if indexKnown {
+			o.FleetSize, o.Index = sidecars, i
 		}
-		all[i] = New(o, fmt.Sprint("sidecar", i), "", 1<<20)
-		all[i].Update(start, list)
+		fleet[i] = New(o, fmt.Sprint("sidecar", i), "", 1<<20)
+		fleet[i].Update(start, list)
 	}
-	return all
+	return fleet
+}
+
+// zonedOptions are those of one of ten sidecars in zone a.
+func zonedOptions() Options {
+	o := Default()
+	o.FleetSize, o.Index = 10, 3
+	return o
+}
+
+// newZoned returns the subset of a sidecar in zone a.
+func newZoned(l *endpoints.List) *Subset {
+	s := New(zonedOptions(), "x", "a", 1000)
+	s.Update(start, l)
+	return s
 }
 
-// own is the upstreams that take new requests.
-func own(s *Subset) map[string]bool {
+// readyMembers returns the members that take new requests.
+func readyMembers(s *Subset) map[string]bool {
 	names := map[string]bool{}
-	for name, e := range s.chosen {
+	for name, e := range s.members {
 		if e.Status == endpoints.StatusReady {
 			names[name] = true
 		}
@@ -53,51 +82,61 @@
 	return names
 }
 
-// loads is each node's load where every sidecar has one unit of traffic.
-func loads(all []*Subset) map[string]float64 {
+// readyIn returns how many members of a zone take new requests.
+func readyIn(s *Subset, zone string) (count int) {
+	for name := range readyMembers(s) {
+		if s.listed[name].Zone == zone {
+			count++
+		}
+	}
+	return count
+}
+
+// loads returns the load of each endpoint where every sidecar spreads one unit over its members.
+func loads(fleet []*Subset) map[string]float64 {
 	load := map[string]float64{}
-	for _, s := range all {
-		of := own(s)
-		for name := range of {
-			load[name] += 1 / float64(len(of))
+	for _, s := range fleet {
+		members := readyMembers(s)
+		for name := range members {
+			load[name] += 1 / float64(len(members))
 		}
 	}
 	return load
 }
 
-// Guards against a node that has more of all sidecars' traffic than another, a node that nobody knows, and connections a
-// node that grow with the sidecars.
+// Every endpoint is a member of some sidecar, none has much more load than the mean, and connections do not grow with the fleet.
 func TestLoadIsEven(t *testing.T) {
-	for _, c := range []struct{ sidecars, nodes, size int }{{10, 5000, 1000}, {50, 2000, 150}, {200, 5000, 25}, {40, 40, 20}, {7, 40, 12}, {3, 10, 4}} {
-		all := sidecars(t, c.sidecars, c.nodes, c.size, true)
-		load := loads(all)
-		most, open := 0.0, 0
-		for _, v := range load {
-			most = max(most, v)
-		}
-		for _, s := range all {
-			open += len(own(s))
-		}
-		mean := float64(c.sidecars) / float64(c.nodes)
-		if len(load) != c.nodes || most > 1.3*mean {
-			t.Errorf("%+v: %d nodes are known, max/mean %.2f", c, len(load), most/mean)
-		}
-		if each := float64(open) / float64(c.nodes); each > 1.5*float64(c.size*c.sidecars)/float64(c.nodes)+1 {
-			t.Errorf("%+v: %.1f sidecars a node", c, each)
-		}
+	for _, c := range []struct{ sidecars, endpoints, size int }{{10, 5000, 1000}, {50, 2000, 150}, {200, 5000, 25}, {40, 40, 20}, {7, 40, 12}, {3, 10, 4}} {
+		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
+			fleet := newFleet(t, c.sidecars, c.endpoints, c.size, true)
+			load := loads(fleet)
+			highest, members := 0.0, 0
+			for _, v := range load {
+				highest = max(highest, v)
+			}
+			for _, s := range fleet {
+				members += len(readyMembers(s))
+			}
+			mean := float64(c.sidecars) / float64(c.endpoints)
+			if len(load) != c.endpoints || highest > 1.3*mean {
+				t.Errorf("%d endpoints are members, max/mean %.2f", len(load), highest/mean)
+			}
+			if each := float64(members) / float64(c.endpoints); each > 1.5*float64(c.size*c.sidecars)/float64(c.endpoints)+1 {
+				t.Errorf("%.1f sidecars an endpoint", each)
+			}
+		})
 	}
 }
 
-// Guards against a change of one node that moves more than a few members of each sidecar.
-func TestOneNodeMovesFew(t *testing.T) {
-	for _, known := range []bool{true, false} {
-		all := sidecars(t, 50, 2000, 120, known)
+// An endpoint that is replaced moves at most a few members of each sidecar.
+func TestReplacedEndpointMovesFewMembers(t *testing.T) {
+	for _, indexKnown := range []bool{true, false} {
 		most := 0
-		for _, s := range all {
-			before := own(s)
-			s.Update(start, &endpoints.List{Endpoints: []endpoints.Endpoint{{Name: "n77", Status: endpoints.StatusGone}, node(5000, "")}})
+		for _, s := range newFleet(t, 50, 2000, 120, indexKnown) {
+			before := readyMembers(s)
+			s.Update(start, &endpoints.List{Endpoints: []endpoints.Endpoint{{Name: "n77", Status: endpoints.StatusGone}, endpoint(5000, "")}})
 			moved := 0
-			for name := range own(s) {
+			for name := range readyMembers(s) {
 				if !before[name] {
 					moved++
 				}
@@ -105,131 +144,168 @@
 			most = max(most, moved)
 		}
 		if most > 3 {
-			t.Errorf("index known: %v: one node moved %d members of a sidecar", known, most)
+			t.Errorf("index known: %v: one endpoint moved %d members of a sidecar", indexKnown, most)
 		}
 	}
 }
 
-// Guards against zones that are forgotten or too small, sizes that flap with the traffic, cold nodes that are all that there
-// is, and members that are dropped with what they have.
-func TestSubset(t *testing.T) {
-	o := Default()
-	o.FleetSize, o.Index = 10, 3
-	fresh := func() *Subset { return New(o, "x", "a", 1000) }
-	zoned := func(a, b int, since float64) *endpoints.List {
-		l := &endpoints.List{Snapshot: true}
-		for i := range a + b {
-			e := node(i, "a")
-			if i >= a {
-				e.Zone = "b"
-			}
-			e.StartedMs = since
-			l.Endpoints = append(l.Endpoints, e)
+// A zone with too few endpoints is made up for by the others.
+func TestZonesShareMembers(t *testing.T) {
+	for _, c := range []struct{ inA, inB, wantA, wantB int }{{100, 100, 9, 3}, {1, 100, 1, 11}, {0, 100, 0, 12}, {100, 0, 12, 0}, {100, 1, 11, 1}, {3, 2, 3, 2}} {
+		s := newZoned(zonedSnapshot(c.inA, c.inB, 0))
+		if a, b := readyIn(s, "a"), readyIn(s, "b"); a < c.wantA || b < c.wantB || a+b > 2*(c.wantA+c.wantB)+2 {
+			t.Errorf("%+v: %d and %d", c, a, b)
 		}
-		return l
 	}
-	in := func(s *Subset, zone string) (n int) {
-		for name := range own(s) {
-			if s.all[name].Zone == zone {
-				n++
-			}
+}
+
+// The size follows the request rate, and not its short bursts.
+func TestSizeFollowsRequestRate(t *testing.T) {
+	s, now := newZoned(zonedSnapshot(400, 0, 0)), start.Add(time.Minute)
+	before := len(readyMembers(s))
+	requestRate := func(seconds int, rate float64) {
+		for range seconds {
+			now = now.Add(time.Second)
+			s.Rate(now, rate)
 		}
-		return n
 	}
-	t.Run("zones", func(t *testing.T) {
-		for _, c := range []struct{ a, b, wantA, wantB int }{{100, 100, 9, 3}, {1, 100, 1, 11}, {0, 100, 0, 12}, {100, 0, 12, 0}, {100, 1, 11, 1}, {3, 2, 3, 2}} {
-			s := fresh()
-			s.Update(start, zoned(c.a, c.b, 0))
-			if a, b := in(s, "a"), in(s, "b"); a < c.wantA || b < c.wantB || a+b > 2*(c.wantA+c.wantB)+2 {
-				t.Errorf("%+v: %d and %d", c, a, b)
-			}
-		}
-	})
-	t.Run("traffic", func(t *testing.T) {
-		s, now := fresh(), start
-		s.Update(now, zoned(400, 0, 0))
-		now = now.Add(time.Minute)
-		small := len(own(s))
-		step := func(seconds int, rate float64) {
-			for range seconds {
-				now = now.Add(time.Second)
-				s.Rate(now, rate)
-			}
-		}
-		for range 10 {
-			step(3, 1000)
-			step(2, 1)
-		}
-		if n := len(own(s)); n != small {
-			t.Errorf("%d after short bursts, %d before", n, small)
-		}
-		step(4, 1000)
-		if n := len(own(s)); n <= 2*small || n > o.MaxSize {
-			t.Errorf("%d with a thousand requests a second", n)
-		}
-		step(60, 1.0/60)
-		if n := len(own(s)); n > 2*small || n < o.MinSize {
-			t.Errorf("%d with one request a minute", n)
-		}
-		if s.most = 5; len(New(o, "x", "a", 25).chosen) != 0 {
-			t.Error("a new one has members")
-		}
-	})
-	t.Run("half restarts", func(t *testing.T) {
-		s := fresh()
-		s.Update(start, zoned(400, 0, 0))
-		before := own(s)
-		change := &endpoints.List{}
-		for name := range before { // all of its own, while others are warm
-			e := s.all[name]
-			e.StartedMs = float64(start.UnixMilli())
-			change.Endpoints = append(change.Endpoints, e)
-		}
-		s.Update(start, change)
-		if n := len(own(s)); n <= len(before) || n > len(before)*3/2+1 {
-			t.Errorf("%d members beside %d cold ones", n-len(before), len(before))
+	for range 10 {
+		requestRate(3, 1000)
+		requestRate(2, 1)
+	}
+	if n := len(readyMembers(s)); n != before {
+		t.Errorf("%d after short bursts, %d before", n, before)
+	}
+	requestRate(4, 1000)
+	if n := len(readyMembers(s)); n <= 2*before || n > s.options.MaxSize {
+		t.Errorf("%d with a thousand requests a second", n)
+	}
+	requestRate(60, 1.0/60)
+	if n := len(readyMembers(s)); n > 2*before || n < s.options.MinSize {
+		t.Errorf("%d with one request a minute", n)
+	}
+	if len(New(s.options, "x", "a", 25).members) != 0 {
+		t.Error("a new subset has members")
+	}
+}
+
+// Where all members restart, warm endpoints are borrowed until they are warm again.
+func TestWarmEndpointsAreBorrowed(t *testing.T) {
+	s := newZoned(zonedSnapshot(400, 0, 0))
+	before := readyMembers(s)
+	restarts := &endpoints.List{}
+	for name := range before {
+		e := s.listed[name]
+		e.StartedMs = float64(start.UnixMilli())
+		restarts.Endpoints = append(restarts.Endpoints, e)
+	}
+	s.Update(start, restarts)
+	if n := len(readyMembers(s)); n <= len(before) || n > len(before)*3/2+1 {
+		t.Errorf("%d members beside %d that warm up", n-len(before), len(before))
+	}
+	s.Tick(s.Next())
+	if !maps.Equal(readyMembers(s), before) {
+		t.Errorf("%d members when all are warm, %d before", len(readyMembers(s)), len(before))
+	}
+	if s.Tick(s.Next()); len(s.members) != len(before) {
+		t.Errorf("%d members once the borrowed ones are removed, %d before", len(s.members), len(before))
+	}
+}
+
+// Where the fleet grows many times over at once, the warm members stay.
+func TestWarmMembersStayWhenFleetGrows(t *testing.T) {
+	s := newZoned(zonedSnapshot(20, 0, 0))
+	before := readyMembers(s)
+	growth := zonedSnapshot(400, 0, float64(start.UnixMilli()))
+	growth.Snapshot = false
+	growth.Endpoints = slices.DeleteFunc(growth.Endpoints, func(e endpoints.Endpoint) bool { return s.listed[e.Name].Name != "" })
+	s.Update(start, growth)
+	kept := 0
+	for name := range readyMembers(s) {
+		if before[name] {
+			kept++
 		}
-		s.Tick(s.Next())
-		if !maps.Equal(own(s), before) {
-			t.Errorf("%d members when all are warm, %d before", len(own(s)), len(before))
+	}
+	if n := len(readyMembers(s)); kept < len(before) || n > s.options.MaxSize {
+		t.Errorf("of %d only %d stay among %d", len(before), kept, n)
+	}
+}
+
+// The size is bounded by the connections that there may be.
+func TestSizeIsBoundedByConnections(t *testing.T) {
+	s := New(zonedOptions(), "x", "a", 25)
+	s.Update(start, zonedSnapshot(100, 100, 0))
+	s.Rate(start, 1e6)
+	if n := len(readyMembers(s)); n == 0 || n > 5 {
+		t.Errorf("%d members for 25 connections", n)
+	}
+}
+
+// reportedList is what the lists received and the changes returned by a Subset amount to.
+type reportedList struct {
+	listed   map[string]endpoints.Endpoint
+	reported map[string]endpoints.Endpoint
+}
+
+// step draws one input of a Subset and takes its result.
+func (r *reportedList) step(t *rapid.T, s *Subset, now *time.Time) {
+	var change *endpoints.List
+	switch rapid.IntRange(0, 5).Draw(t, "kind") {
+	case 0:
+		*now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "seconds")) * time.Second)
+		change = s.Tick(*now)
+	case 1:
+		change = s.Rate(*now, rapid.Float64Range(0, 100).Draw(t, "rate"))
+	case 2:
+		l := &endpoints.List{Snapshot: true}
+		clear(r.listed)
+		for i := range rapid.IntRange(0, 50).Draw(t, "endpoints") {
+			e := endpoint(i, []string{"a", "b"}[i%2])
+			l.Endpoints = append(l.Endpoints, e)
+			r.listed[e.Name] = e
 		}
-		if s.Tick(s.Next()); len(s.chosen) != len(before) {
-			t.Errorf("%d are still told of", len(s.chosen))
+		change = s.Update(*now, l)
+	default:
+		e := endpoint(rapid.IntRange(0, 50).Draw(t, "endpoint"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"))
+		e.Status = rapid.SampledFrom([]string{endpoints.StatusReady, endpoints.StatusReady, endpoints.StatusTerminating, endpoints.StatusGone}).Draw(t, "status")
+		e.StartedMs = float64(now.UnixMilli() * rapid.Int64Range(0, 1).Draw(t, "started"))
+		if r.listed[e.Name] = e; e.Status == endpoints.StatusGone {
+			delete(r.listed, e.Name)
 		}
-	})
-	t.Run("grows many times over", func(t *testing.T) {
-		s := fresh()
-		s.Update(start, zoned(20, 0, 0))
-		before := own(s)
-		change := zoned(400, 0, 0)
-		change.Snapshot = false
-		change.Endpoints = slices.DeleteFunc(change.Endpoints, func(e endpoints.Endpoint) bool { return s.all[e.Name].Name != "" })
-		for i := range change.Endpoints {
-			change.Endpoints[i].StartedMs = float64(start.UnixMilli())
+		change = s.Update(*now, &endpoints.List{Endpoints: []endpoints.Endpoint{e}})
+	}
+	if change == nil {
+		return
+	}
+	for _, e := range change.Endpoints {
+		if r.reported[e.Name] = e; e.Status == endpoints.StatusGone {
+			delete(r.reported, e.Name)
 		}
-		s.Update(start, change)
-		kept := 0
-		for name := range own(s) {
-			if before[name] {
-				kept++
-			}
+	}
+}
+
+// check holds that the ready members are as listed, and enough of them.
+func (r *reportedList) check(t *rapid.T, s *Subset) {
+	ready, readyMembers := 0, 0
+	for _, e := range r.listed {
+		if e.Status == endpoints.StatusReady {
+			ready++
 		}
-		if n := len(own(s)); kept < len(before) || n > o.MaxSize {
-			t.Errorf("of %d only %d stay among %d", len(before), kept, n)
+	}
+	for name, e := range r.reported {
+		if e.Status != endpoints.StatusReady {
+			continue
 		}
-	})
-	t.Run("few descriptors", func(t *testing.T) {
-		s := New(o, "x", "a", 25)
-		s.Update(start, zoned(100, 100, 0))
-		s.Rate(start, 1e6)
-		if n := len(own(s)); n == 0 || n > 5 {
-			t.Errorf("%d members for 25 connections", n)
+		if readyMembers++; r.listed[name] != e {
+			t.Fatalf("%s is reported as %+v and listed as %+v", name, e, r.listed[name])
 		}
-	})
+	}
+	if readyMembers > s.options.MaxSize || readyMembers < min(ready, 1) || ready <= s.size && readyMembers < min(ready, s.size) {
+		t.Fatalf("%d of %d ready ones are reported, %d are wanted", readyMembers, ready, s.size)
+	}
 }
 
-// Guards against lists that differ from what was told, and members that the list does not have: any history of lists,
-// changes, traffic and time.
+// After any history of lists, changes, rates and time the changes returned add up to members that are listed.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Default()
@@ -238,60 +314,13 @@
 			o.Index = rapid.IntRange(-1, o.FleetSize-1).Draw(t, "index")
 		}
 		s, now := New(o, "me", "a", 1000), start
-		list, told := map[string]endpoints.Endpoint{}, map[string]endpoints.Endpoint{}
+		r := &reportedList{listed: map[string]endpoints.Endpoint{}, reported: map[string]endpoints.Endpoint{}}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			var out *endpoints.List
-			switch rapid.IntRange(0, 5).Draw(t, "kind") {
-			case 0:
-				now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "seconds")) * time.Second)
-				out = s.Tick(now)
-			case 1:
-				out = s.Rate(now, rapid.Float64Range(0, 100).Draw(t, "rate"))
-			case 2:
-				l := &endpoints.List{Snapshot: true}
-				clear(list)
-				for i := range rapid.IntRange(0, 50).Draw(t, "nodes") {
-					e := node(i, []string{"a", "b"}[i%2])
-					l.Endpoints = append(l.Endpoints, e)
-					list[e.Name] = e
-				}
-				out = s.Update(now, l)
-			default:
-				e := node(rapid.IntRange(0, 50).Draw(t, "node"), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"))
-				e.Status = rapid.SampledFrom([]string{endpoints.StatusReady, endpoints.StatusReady, endpoints.StatusTerminating, endpoints.StatusGone}).Draw(t, "status")
-				e.StartedMs = float64(now.UnixMilli() * rapid.Int64Range(0, 1).Draw(t, "started"))
-				if list[e.Name] = e; e.Status == endpoints.StatusGone {
-					delete(list, e.Name)
-				}
-				out = s.Update(now, &endpoints.List{Endpoints: []endpoints.Endpoint{e}})
-			}
-			if out != nil {
-				for _, e := range out.Endpoints {
-					if told[e.Name] = e; e.Status == endpoints.StatusGone {
-						delete(told, e.Name)
-					}
-				}
-			}
-			ready, taking := 0, 0
-			for _, e := range list {
-				if e.Status == endpoints.StatusReady {
-					ready++
-				}
-			}
-			for name, e := range told {
-				if e.Status != endpoints.StatusReady {
-					continue
-				}
-				if taking++; list[name] != e {
-					t.Fatalf("%s is told as %+v and listed as %+v", name, e, list[name])
-				}
-			}
-			if taking > o.MaxSize || taking < min(ready, 1) || ready <= s.want && taking < min(ready, s.want) {
-				t.Fatalf("%d of %d ready ones are told, %d are wanted", taking, ready, s.want)
-			}
+			r.step(t, s, &now)
+			r.check(t, s)
 		}
-		if names := slices.Collect(maps.Keys(s.ending)); len(names) > len(s.chosen) {
-			t.Fatalf("%d end, %d are told of", len(names), len(s.chosen))
+		if len(s.releasing) > len(s.members) {
+			t.Fatalf("%d are being released, %d are members", len(s.releasing), len(s.members))
 		}
 	})
 }
