--- /dev/null
+++ b/internal/discovery/membership/describe.go
@@ -0,0 +1,71 @@
+package membership
+
+import (
+	"cmp"
+	"slices"
+
+	"orchiddrift/internal/endpoints"
+)
+
+// describe returns the address and the properties of an upstream: those of the first speaker, but for a later start and what it leaves
+// out.
+func (m *Merge) describe(speakers []*record) endpoints.Endpoint {
+	listed := slices.DeleteFunc(slices.Clone(speakers), func(r *record) bool { return r.state == Removed })
+	if len(listed) == 0 {
+		listed = speakers
+	}
+	e := listed[0].endpoint
+	located := listed[0] // that has the address
+	for _, r := range listed[1:] {
+		o := &r.endpoint
+		if e.StartedMs == 0 || o.StartedMs > e.StartedMs+m.startToleranceMs() {
+			e.StartedMs = cmp.Or(o.StartedMs, e.StartedMs)
+		}
+		e.Zone = cmp.Or(e.Zone, o.Zone)
+		e.MachineType = cmp.Or(e.MachineType, o.MachineType)
+		e.TLSIdentity = cmp.Or(e.TLSIdentity, o.TLSIdentity)
+		e.Cell = cmp.Or(e.Cell, o.Cell)
+		if o.Address != located.endpoint.Address && o.Address != "" && m.hasPreferredAddress(r, located) {
+			located = r
+		}
+	}
+	e.Address = located.endpoint.Address
+	return e
+}
+
+// hasPreferredAddress reports whether of two addresses of one name the first is the present one: not one that another name has taken,
+// then that of the later start, then the one that was listed last.
+func (m *Merge) hasPreferredAddress(a, b *record) bool {
+	return cmp.Or(cmp.Compare(m.addressTaken(b), m.addressTaken(a)), cmp.Compare(a.endpoint.StartedMs, b.endpoint.StartedMs),
+		cmp.Compare(a.sequence, b.sequence)) > 0
+}
+
+// addressTaken returns 1 if another name is listed at a record's address, and 0 otherwise.
+func (m *Merge) addressTaken(r *record) int {
+	for _, o := range m.recordsByAddress[r.endpoint.Address] {
+		if o.endpoint.Name != r.endpoint.Name && o.state != Removed {
+			return 1
+		}
+	}
+	return 0
+}
+
+// nameFor returns the name that the first speaker gives.
+func nameFor(speakers []*record) string {
+	for _, r := range speakers {
+		if r.state != Removed {
+			return r.endpoint.Name
+		}
+	}
+	return speakers[0].endpoint.Name
+}
+
+// isSameStart reports whether two start times, in milliseconds, may be those of one instance.
+func (m *Merge) isSameStart(a, b float64) bool {
+	d := a - b
+	return max(d, -d) <= m.startToleranceMs()
+}
+
+func (m *Merge) startToleranceMs() float64 {
+	return float64(m.options.StartTimeTolerance.D().Milliseconds())
+}
--- /dev/null
+++ b/internal/discovery/membership/group.go
@@ -0,0 +1,203 @@
+package membership
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"orchiddrift/internal/endpoints"
+)
+
+// mergeDirty merges the dirty records anew and returns what changes in the merged list.
+func (m *Merge) mergeDirty() []Change {
+	if len(m.dirty) == 0 && len(m.touched) == 0 {
+		return nil
+	}
+	work := m.affectedRecords()
+	for _, r := range work {
+		r.previous = r.upstream
+		r.detach()
+	}
+	merged := map[*upstream]bool{}
+	var changes []Change
+	for _, r := range work {
+		if !m.dirty[r] {
+			continue // of a group before
+		}
+		u, change := m.mergeGroup(m.takeGroup(r))
+		if u != nil {
+			merged[u] = true
+		}
+		if change != nil {
+			changes = append(changes, *change)
+		}
+	}
+	for u := range m.touched {
+		if !merged[u] && u.listed && len(u.records) == 0 {
+			changes = append(changes, m.removeUpstream(u, "no source lists it"))
+		}
+	}
+	clear(m.touched)
+	slices.SortFunc(changes, func(a, b Change) int { return cmp.Compare(a.Name, b.Name) })
+	return changes
+}
+
+// affectedRecords returns the dirty records and all that were, or will be, merged with one of them, by rank and name. They are dirty then
+// and their upstreams touched.
+func (m *Merge) affectedRecords() []*record {
+	work := make([]*record, 0, len(m.dirty))
+	for r := range m.dirty {
+		work = append(work, r)
+	}
+	add := func(r *record) {
+		if !m.dirty[r] {
+			m.dirty[r] = true
+			work = append(work, r)
+		}
+	}
+	for i := 0; i < len(work); i++ {
+		r := work[i]
+		if r.upstream != nil {
+			m.touched[r.upstream] = true
+			for other := range r.upstream.records {
+				add(other)
+			}
+		}
+		m.visitNeighbours(r, add)
+	}
+	slices.SortFunc(work, func(a, b *record) int {
+		return cmp.Or(cmp.Compare(a.source.rank, b.source.rank), cmp.Compare(a.endpoint.Name, b.endpoint.Name))
+	})
+	return work
+}
+
+// takeGroup returns the dirty records of the same upstream as r, which are not dirty any more.
+func (m *Merge) takeGroup(r *record) []*record {
+	group := []*record{r}
+	delete(m.dirty, r)
+	for i := 0; i < len(group); i++ {
+		m.visitNeighbours(group[i], func(other *record) {
+			if m.dirty[other] {
+				delete(m.dirty, other)
+				group = append(group, other)
+			}
+		})
+	}
+	return group
+}
+
+// visitNeighbours visits the other records of the same upstream: those of the same name, and those at the same address, unless some
+// source lists both names at different addresses.
+func (m *Merge) visitNeighbours(r *record, visit func(*record)) {
+	for _, other := range m.recordsByName[r.endpoint.Name] {
+		if other != r {
+			visit(other)
+		}
+	}
+	if r.endpoint.Address == "" {
+		return
+	}
+	for _, other := range m.recordsByAddress[r.endpoint.Address] {
+		if other != r && other.endpoint.Name != r.endpoint.Name && !m.areDistinct(r.endpoint.Name, other.endpoint.Name) {
+			visit(other)
+		}
+	}
+}
+
+// areDistinct reports whether a source lists two names at different addresses.
+func (m *Merge) areDistinct(a, b string) bool {
+	for _, x := range m.recordsByName[a] {
+		y := x.source.records[b]
+		if y != nil && y.endpoint.Address != x.endpoint.Address && x.state != Removed && y.state != Removed {
+			return true
+		}
+	}
+	return false
+}
+
+// mergeGroup merges the records of one upstream. It returns the upstream, or nil if it was never listed and is not now, and its change,
+// or nil.
+func (m *Merge) mergeGroup(group []*record) (*upstream, *Change) {
+	speakers := speakersOf(group)
+	if len(speakers) == 0 {
+		return nil, nil
+	}
+	state, sourceName := combine(m.opinions(speakers))
+	e := m.describe(speakers)
+	u := m.upstreamFor(group, speakers, &e)
+	if u == nil {
+		if state != Up && mergedStatus(state, false) == endpoints.StatusGone {
+			return nil, nil
+		}
+		u = m.newUpstream(nameFor(speakers))
+	}
+	e.Name = u.name
+	for _, r := range group {
+		r.upstream = u
+		u.records[r] = true
+	}
+	reason := sourceName + " says " + state.String()
+	if state == Up {
+		reason = m.holdBackIfFlapping(u, reason)
+	}
+	u.heldBack = state == Up && u.heldUntil.After(m.now)
+	e.Status = mergedStatus(state, u.listed)
+	if u.heldBack {
+		e.Status = endpoints.StatusTerminating
+	}
+	return u, m.publish(u, e, reason)
+}
+
+// speakersOf returns the records of a group that count, by rank: for each source and address the one of the latest instance.
+func speakersOf(group []*record) []*record {
+	speakers := make([]*record, 0, MaxSources)
+	for _, r := range group {
+		if r.withdrawn {
+			continue
+		}
+		i := slices.IndexFunc(speakers, func(s *record) bool {
+			return s.source == r.source && s.endpoint.Address == r.endpoint.Address
+		})
+		switch {
+		case i < 0:
+			speakers = append(speakers, r)
+		case isLaterInstance(r, speakers[i]):
+			speakers[i] = r
+		}
+	}
+	slices.SortFunc(speakers, func(a, b *record) int { return cmp.Compare(a.source.rank, b.source.rank) })
+	return speakers
+}
+
+// isLaterInstance reports whether of two records of one source the first is of the instance that runs now.
+func isLaterInstance(a, b *record) bool {
+	if (a.state == Removed) != (b.state == Removed) {
+		return b.state == Removed
+	}
+	return cmp.Or(cmp.Compare(a.endpoint.StartedMs, b.endpoint.StartedMs), cmp.Compare(a.sequence, b.sequence)) > 0
+}
+
+// opinions returns what each speaker says. What was said of an instance that has been replaced does not count.
+func (m *Merge) opinions(speakers []*record) []opinion {
+	opinions := make([]opinion, len(speakers))
+	for i, r := range speakers {
+		opinions[i] = opinion{source: r.source.name, state: r.state, aged: m.isAged(r.source)}
+		if m.isOfReplacedInstance(r, speakers) {
+			opinions[i].state = Absent
+		}
+	}
+	return opinions
+}
+
+// isOfReplacedInstance reports whether a record that wants no requests is about an instance that has been replaced: another name came up
+// at its address later than that by more than StartTimeTolerance.
+func (m *Merge) isOfReplacedInstance(r *record, speakers []*record) bool {
+	if r.state == Up || r.state == Starting || r.state == Unknown {
+		return false
+	}
+	replacedAfter := r.stateSince.Add(m.options.StartTimeTolerance.D())
+	return slices.ContainsFunc(speakers, func(o *record) bool {
+		return o.endpoint.Name != r.endpoint.Name && o.state == Up && o.endpoint.Address == r.endpoint.Address &&
+			time.UnixMilli(int64(o.endpoint.StartedMs)).After(replacedAfter)
+	})
+}
--- /dev/null
+++ b/internal/discovery/membership/harness_test.go
@@ -0,0 +1,141 @@
+package membership
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"orchiddrift/internal/endpoints"
+)
+
+const (
+	ready    = endpoints.StatusReady
+	draining = endpoints.StatusTerminating
+	removed  = endpoints.StatusGone
+)
+
+// epochMs is when the harness's time begins, and the start times of its endpoints are counted from.
+const epochMs = 1e12
+
+// harness drives a Merge and keeps the merged list by its changes alone.
+type harness struct {
+	t interface {
+		Helper()
+		Errorf(string, ...any)
+		Fatalf(string, ...any)
+	}
+	*Merge
+	now   time.Time
+	list  map[string]Change
+	notes []string
+}
+
+func newHarness(t testing.TB, o Options, sources ...string) *harness {
+	h := &harness{t: t, Merge: New(o), now: time.UnixMilli(epochMs), list: map[string]Change{}}
+	for _, s := range sources {
+		if err := h.AddSource(s, false); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return h
+}
+
+// take takes an output, and checks that the changes so far come to the merged list.
+func (h *harness) take(o Output) {
+	h.t.Helper()
+	h.notes = append(h.notes, o.Notes...)
+	for _, c := range o.Changes {
+		if c.Reason == "" {
+			h.t.Errorf("%s is %s for no reason", c.Name, c.Status)
+		}
+		if c.Status == endpoints.StatusGone {
+			delete(h.list, c.Name)
+		} else {
+			h.list[c.Name] = c
+		}
+	}
+	list := h.List()
+	if len(list) != len(h.list) {
+		h.t.Fatalf("the changes come to %v, the list is %v", h.list, list)
+	}
+	for _, e := range list {
+		if h.list[e.Name].Endpoint != e {
+			h.t.Fatalf("by the changes %+v, in the list %+v", h.list[e.Name].Endpoint, e)
+		}
+	}
+}
+
+func (h *harness) snapshot(source string, entries ...endpoints.Endpoint) {
+	h.t.Helper()
+	h.take(h.Update(h.now, source, &endpoints.List{Snapshot: true, Endpoints: entries}))
+}
+
+func (h *harness) change(source string, entries ...endpoints.Endpoint) {
+	h.t.Helper()
+	h.take(h.Update(h.now, source, &endpoints.List{Endpoints: entries}))
+}
+
+// pass lets time pass, with each timer at its time.
+func (h *harness) pass(d time.Duration) {
+	h.t.Helper()
+	end := h.now.Add(d)
+	for next := h.Next(); !next.IsZero() && !next.After(end); next = h.Next() {
+		if next.After(h.now) {
+			h.now = next
+		}
+		h.take(h.Tick(h.now))
+	}
+	h.now = end
+	h.take(h.Tick(h.now))
+}
+
+// listText returns the merged list as "name@address status", in order.
+func (h *harness) listText() string {
+	var out []string
+	for _, e := range h.List() {
+		out = append(out, fmt.Sprintf("%s@%s %s", e.Name, strings.TrimPrefix(e.Address, "10.0.0."), e.Status))
+	}
+	return strings.Join(out, ", ")
+}
+
+func (h *harness) want(step, list string) {
+	h.t.Helper()
+	if got := h.listText(); got != list {
+		h.t.Errorf("%s: %q, want %q", step, got, list)
+	}
+}
+
+// wantCounts checks how many upstreams of the merged list are ready and draining.
+func (h *harness) wantCounts(step string, wantReady, wantDraining int) {
+	h.t.Helper()
+	if a, b := h.count(ready), h.count(draining); a != wantReady || b != wantDraining {
+		h.t.Errorf("%s: %d ready and %d draining, want %d and %d; notes %q", step, a, b, wantReady, wantDraining, h.notes)
+	}
+}
+
+func (h *harness) count(status string) (n int) {
+	for _, e := range h.List() {
+		if e.Status == status {
+			n++
+		}
+	}
+	return n
+}
+
+// entry returns an endpoint by its name, the end of its address, its status, and its start in minutes.
+func entry(name string, address int, status string, startMinutes ...int) endpoints.Endpoint {
+	e := endpoints.Endpoint{Name: name, Address: fmt.Sprintf("10.0.0.%d", address), Status: status}
+	if len(startMinutes) > 0 {
+		e.StartedMs = epochMs + float64(startMinutes[0])*60_000
+	}
+	return e
+}
+
+// fleet returns endpoints n00, n01, ... of one status.
+func fleet(count int, status string) (all []endpoints.Endpoint) {
+	for i := range count {
+		all = append(all, entry(fmt.Sprintf("n%02d", i), i, status, 1))
+	}
+	return all
+}
--- /dev/null
+++ b/internal/discovery/membership/merge.go
@@ -0,0 +1,219 @@
+package membership
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"time"
+
+	"orchiddrift/internal/endpoints"
+)
+
+// The bounds of a Merge.
+const (
+	MaxSources = 8
+	MaxEntries = 20_000 // of a source; further ones are left out, and counted in a note
+	maxNotes   = 16     // of one input; further ones are counted
+)
+
+// Change is a change of the merged list. Its status is one of package endpoints.
+type Change struct {
+	endpoints.Endpoint
+	Reason string
+}
+
+// Output is the result of an input.
+type Output struct {
+	Changes []Change // in the order of the names
+	Notes   []string // for the log: about sources, and decisions that changed nothing
+}
+
+// Merge merges the lists of its sources. It is not safe for concurrent use. Time must not go back.
+type Merge struct {
+	options  Options
+	now      time.Time
+	sequence uint64 // of the changes in what sources say
+
+	sources       []*source // ranked: the first one's description of an upstream counts
+	sourcesByName map[string]*source
+
+	recordsByName    map[string][]*record
+	recordsByAddress map[string][]*record
+	dirty            map[*record]bool // to be merged anew
+
+	upstreams  map[string]*upstream // by name; those that were removed are remembered for FlapWindow
+	touched    map[*upstream]bool   // that had a dirty record
+	readyCount int                  // upstreams
+	heldCount  int                  // upstreams that are held back for flapping
+
+	timers       timerHeap
+	notes        []string
+	omittedNotes int // beyond maxNotes
+}
+
+// New returns a Merge without sources.
+func New(o Options) *Merge {
+	return &Merge{
+		options:          o,
+		sourcesByName:    map[string]*source{},
+		recordsByName:    map[string][]*record{},
+		recordsByAddress: map[string][]*record{},
+		dirty:            map[*record]bool{},
+		upstreams:        map[string]*upstream{},
+		touched:          map[*upstream]bool{},
+	}
+}
+
+// AddSource adds a source that lists nothing yet, ranked behind the others, or before them where first is set.
+func (m *Merge) AddSource(name string, first bool) error {
+	if m.sourcesByName[name] != nil {
+		return fmt.Errorf("source %q is there already", name)
+	}
+	if len(m.sources) >= MaxSources {
+		return fmt.Errorf("%d sources at most", MaxSources)
+	}
+	s := &source{name: name, records: map[string]*record{}}
+	m.sourcesByName[name] = s
+	if first {
+		m.sources = slices.Insert(m.sources, 0, s)
+	} else {
+		m.sources = append(m.sources, s)
+	}
+	m.setRanks()
+	return nil
+}
+
+// Configure changes the options. What has been decided stands until it is merged anew.
+func (m *Merge) Configure(o Options) { m.options = o }
+
+// RemoveSource forgets a source. What only it listed is removed at once, since an operator wants that.
+func (m *Merge) RemoveSource(now time.Time, name string) Output {
+	s := m.begin(now, name)
+	if s == nil {
+		return Output{}
+	}
+	for _, r := range s.records {
+		m.forgetRecord(r)
+	}
+	delete(m.sourcesByName, name)
+	m.sources = slices.DeleteFunc(m.sources, func(x *source) bool { return x == s })
+	m.setRanks()
+	m.note("source %s is no longer followed", name)
+	return m.end()
+}
+
+func (m *Merge) setRanks() {
+	for i, s := range m.sources {
+		s.rank = i
+	}
+}
+
+// Update takes a source's list or change.
+func (m *Merge) Update(now time.Time, name string, l *endpoints.List) Output {
+	s := m.begin(now, name)
+	if s == nil {
+		return Output{}
+	}
+	m.recoverSource(s)
+	listed := make(map[string]bool, len(l.Endpoints))
+	var removed []*record
+	leftOut := 0
+	for i := range l.Endpoints {
+		e := &l.Endpoints[i]
+		listed[e.Name] = true
+		state := stateOf(e.Status)
+		r := s.records[e.Name]
+		switch {
+		case state == Removed:
+			if r != nil && r.state != Removed {
+				removed = append(removed, r)
+			}
+		case r == nil && len(s.records) >= MaxEntries:
+			leftOut++
+		default:
+			m.setRecord(s, r, e, state)
+		}
+	}
+	if l.Snapshot {
+		for name, r := range s.records {
+			if !listed[name] && r.state != Removed {
+				removed = append(removed, r)
+			}
+		}
+	}
+	if leftOut > 0 && leftOut != s.leftOut {
+		m.note("source %s lists more than %d upstreams: %d are left out", s.name, MaxEntries, leftOut)
+	}
+	s.leftOut = leftOut
+	m.applyRemovals(s, removed)
+	return m.end()
+}
+
+// Current reports that a source is healthy and has no change.
+func (m *Merge) Current(now time.Time, name string) Output {
+	if s := m.begin(now, name); s != nil {
+		m.recoverSource(s)
+	}
+	return m.end()
+}
+
+// Lost reports that a source is silent or broken.
+func (m *Merge) Lost(now time.Time, name string) Output {
+	if s := m.begin(now, name); s != nil && !s.isLost() {
+		m.loseSource(s)
+	}
+	return m.end()
+}
+
+// Tick takes the time. It is to be called at Next, and may be called at any time.
+func (m *Merge) Tick(now time.Time) Output {
+	m.begin(now, "")
+	return m.end()
+}
+
+// Next returns when Tick is due; zero: time changes nothing.
+func (m *Merge) Next() time.Time {
+	if len(m.timers) == 0 {
+		return time.Time{}
+	}
+	return m.timers[0].at
+}
+
+// List returns the merged list in the order of the names.
+func (m *Merge) List() []endpoints.Endpoint {
+	list := make([]endpoints.Endpoint, 0, len(m.upstreams))
+	for _, u := range m.upstreams {
+		if u.listed {
+			list = append(list, u.endpoint)
+		}
+	}
+	slices.SortFunc(list, func(a, b endpoints.Endpoint) int { return cmp.Compare(a.Name, b.Name) })
+	return list
+}
+
+// begin begins an input: it takes the time, and returns the source of that name, or nil.
+func (m *Merge) begin(now time.Time, name string) *source {
+	if now.After(m.now) {
+		m.now = now
+	}
+	m.fireTimers()
+	return m.sourcesByName[name]
+}
+
+// end ends an input: it merges the dirty records anew.
+func (m *Merge) end() Output {
+	out := Output{Changes: m.mergeDirty(), Notes: m.notes}
+	if m.omittedNotes > 0 {
+		out.Notes = append(out.Notes, fmt.Sprintf("and %d more", m.omittedNotes))
+	}
+	m.notes, m.omittedNotes = nil, 0
+	return out
+}
+
+func (m *Merge) note(format string, args ...any) {
+	if len(m.notes) >= maxNotes {
+		m.omittedNotes++
+		return
+	}
+	m.notes = append(m.notes, fmt.Sprintf(format, args...))
+}
--- a/internal/discovery/membership/options.go
+++ b/internal/discovery/membership/options.go
@@ -6,7 +6,7 @@
 	"orchiddrift/internal/units"
 )
 
-// Options are the windows of a Merge, and its part of the operator's file.
+// Options are the parameters of a Merge, and its table in the operator's file.
 type Options struct {
 	SilentSourceHold    units.Duration `toml:"hold" default:"15m" doc:"How long a silent source's last list counts in full. Then what others say goes before it, and what only it lists is withdrawn a tenth at a time, as long as another source stands."`
 	RemovalHold         units.Duration `toml:"gone_holds" default:"30s" doc:"How long a source that no longer lists an upstream outweighs another that says it is up."`
@@ -19,14 +19,14 @@
 	StartTimeTolerance  units.Duration `toml:"same_start" default:"60s" doc:"Start times that sources give for one process differ by no more than this."`
 }
 
-// Default is what holds where nothing is said.
+// Default returns the options that hold where the operator's file gives none.
 func Default() Options {
 	return Options{SilentSourceHold: units.Duration(15 * time.Minute), RemovalHold: units.Duration(30 * time.Second), MassRemovalFraction: 0.5,
 		MassRemovalWindow: units.Duration(5 * time.Second), MassRemovalHold: units.Duration(time.Minute), MaxFlaps: 4,
 		FlapWindow: units.Duration(time.Minute), FlapHold: units.Duration(10 * time.Second), StartTimeTolerance: units.Duration(time.Minute)}
 }
 
-// Check is tomlfile.Checker's.
+// Check reports options that can't be used; it implements tomlfile.Checker.
 func (o *Options) Check(report func(key, format string, args ...any)) {
 	if o.SilentSourceHold < units.Duration(time.Second) {
 		report("hold", "%v is under a second", o.SilentSourceHold)
@@ -34,9 +34,7 @@
 	if !(o.MassRemovalFraction > 0 && o.MassRemovalFraction <= 1) {
 		report("doubt_part", "%v is not a part, above 0 and up to 1", o.MassRemovalFraction)
 	}
-	if o.MaxFlaps < 0 || o.MaxFlaps > maxFlips {
-		report("flaps", "%d is not from 0 to %d", o.MaxFlaps, maxFlips)
+	if o.MaxFlaps < 0 || o.MaxFlaps > maxFlapsCounted {
+		report("flaps", "%d is not from 0 to %d", o.MaxFlaps, maxFlapsCounted)
 	}
 }
-
-const maxFlips = 64 // remembered of a node
--- /dev/null
+++ b/internal/discovery/membership/record.go
@@ -0,0 +1,132 @@
+package membership
+
+import (
+	"slices"
+	"time"
+
+	"orchiddrift/internal/endpoints"
+)
+
+// record is what one source says of one endpoint.
+type record struct {
+	source     *source
+	endpoint   endpoints.Endpoint // as listed
+	state      State
+	stateSince time.Time // when the source first said this state
+	sequence   uint64    // of the last change
+	doubted    bool      // the source lacks it, and is not believed yet; the state is Up
+	withdrawn  bool      // the source is aged, and no other has it
+	until      time.Time // of a removed one: how long it counts; of a doubted one: how long it is doubted
+	timerAt    time.Time // zero: no timer is set
+	forgotten  bool
+
+	upstream *upstream // that it is merged into; nil: none
+	previous *upstream // while it is merged anew: upstream before
+}
+
+// setRecord takes what a source says of an endpoint that it lists; r is nil for a new one.
+func (m *Merge) setRecord(s *source, r *record, e *endpoints.Endpoint, state State) {
+	if r != nil && !r.doubted && !r.withdrawn && r.state == state && r.endpoint == *e {
+		return
+	}
+	m.sequence++
+	switch {
+	case r == nil:
+		r = m.newRecord(s, e)
+	case r.endpoint.Address != e.Address:
+		m.touch(r)
+		m.unindex(r)
+		r.endpoint = *e
+		m.index(r)
+	}
+	m.believe(r)
+	m.setState(r, state)
+	r.endpoint, r.sequence, r.withdrawn = *e, m.sequence, false
+	m.dirty[r] = true
+}
+
+func (m *Merge) newRecord(s *source, e *endpoints.Endpoint) *record {
+	r := &record{source: s, endpoint: *e, state: Absent}
+	s.records[e.Name] = r
+	m.index(r)
+	if u := m.upstreams[e.Name]; u != nil { // of an instance that kept the name, which is claimed now
+		for other := range u.records {
+			m.dirty[other] = true
+		}
+	}
+	return r
+}
+
+// setState changes the state, and the source's count of records that are up.
+func (m *Merge) setState(r *record, state State) {
+	if r.state == state {
+		return
+	}
+	if r.state == Up {
+		r.source.upCount--
+	}
+	if state == Up {
+		r.source.upCount++
+	}
+	r.state, r.stateSince, r.until = state, m.now, time.Time{}
+}
+
+// forgetRecord forgets what a source said of an endpoint.
+func (m *Merge) forgetRecord(r *record) {
+	m.touch(r)
+	if r.state == Up {
+		r.source.upCount--
+	}
+	if r.doubted {
+		r.source.doubtedCount--
+	}
+	m.unindex(r)
+	delete(r.source.records, r.endpoint.Name)
+	delete(m.dirty, r)
+	r.forgotten = true
+	r.detach()
+}
+
+// detach takes a record out of its upstream.
+func (r *record) detach() {
+	if r.upstream != nil {
+		delete(r.upstream.records, r)
+		r.upstream = nil
+	}
+}
+
+// touch has all that was merged with a record merged anew.
+func (m *Merge) touch(r *record) {
+	if r.upstream == nil {
+		return
+	}
+	m.touched[r.upstream] = true
+	for other := range r.upstream.records {
+		if other != r {
+			m.dirty[other] = true
+		}
+	}
+}
+
+func (m *Merge) index(r *record) {
+	m.recordsByName[r.endpoint.Name] = append(m.recordsByName[r.endpoint.Name], r)
+	if r.endpoint.Address != "" {
+		m.recordsByAddress[r.endpoint.Address] = append(m.recordsByAddress[r.endpoint.Address], r)
+	}
+}
+
+func (m *Merge) unindex(r *record) {
+	removeFrom(m.recordsByName, r.endpoint.Name, r)
+	if r.endpoint.Address != "" {
+		removeFrom(m.recordsByAddress, r.endpoint.Address, r)
+	}
+}
+
+func removeFrom(index map[string][]*record, key string, r *record) {
+	left := slices.DeleteFunc(index[key], func(x *record) bool { return x == r })
+	if len(left) == 0 {
+		delete(index, key)
+		return
+	}
+	index[key] = left
+}
