--- a/internal/discovery/listfile/listfile.go
+++ b/internal/discovery/listfile/listfile.go
@@ -1,5 +1,9 @@
-// Package listfile reads files of upstreams, JSON or TOML by their ending, and the same entries in the operator's file.
-// The whole list counts: who is missing from it has gone. discovery.FileSource follows such a file.
+// Package listfile parses list files, which are JSON or TOML by their extension, and defines the same entries for the operator's file.
+//
+// A list file has the whole list: an upstream that is missing from it is removed. discovery.FileSource follows such a file, and package
+// config uses Entry, Validate and ListOf for the operator's file.
+//
+// The package has no state and reads no files. It may import internal/endpoints and internal/tomlfile.
 package listfile
 
 import (
@@ -15,13 +19,21 @@
 	"orchiddrift/internal/tomlfile"
 )
 
+// The bounds of a list file.
 const (
-	// MaxBytes bounds a file, and MaxEntries the upstreams that it lists.
 	MaxBytes   = 8 << 20
 	MaxEntries = 20_000
+
+	maxReportedProblems = 3
+)
+
+var (
+	errEmptyFile   = errors.New("the file is empty")
+	errTrailing    = errors.New("something stands behind the list")
+	errNoUpstreams = errors.New("no upstream is listed")
 )
 
-// Entry is one upstream, as the file and the operator's file have it.
+// Entry is one upstream of a list file or the operator's file.
 type Entry struct {
 	Name        string `toml:"name" json:"name" doc:"The upstream's name: the same as long as it is the same process. Absent: its address."`
 	Address     string `toml:"address" json:"address" sample:"\"127.0.0.1:9001\"" doc:"IP address and port."`
@@ -33,7 +45,7 @@
 	TLSIdentity string `toml:"identity" json:"identity" doc:"The name that its certificate has to bear where the service has TLS: a DNS name or a URI. Absent: the service's."`
 }
 
-// Check is tomlfile.Checker's.
+// Check reports what is wrong with an entry, and sets the name of one that has none. It implements tomlfile.Checker.
 func (e *Entry) Check(report func(key, format string, args ...any)) {
 	if e.Name == "" {
 		e.Name = e.Address
@@ -56,17 +68,17 @@
 	}
 }
 
-// endpoint is the entry as lists have it.
+// endpoint returns the entry as lists have it.
 func (e *Entry) endpoint() endpoints.Endpoint {
-	p := endpoints.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell, Status: e.Status,
+	out := endpoints.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell, Status: e.Status,
 		TLSIdentity: e.TLSIdentity}
-	if at, err := time.Parse(time.RFC3339, e.StartedAt); err == nil {
-		p.StartedMs = float64(at.UnixMilli())
+	if startedAt, err := time.Parse(time.RFC3339, e.StartedAt); err == nil {
+		out.StartedMs = float64(startedAt.UnixMilli())
 	}
-	return p
+	return out
 }
 
-// ListOf is a whole list of these entries.
+// ListOf returns a snapshot with these entries.
 func ListOf(version int64, entries []Entry) *endpoints.List {
 	l := &endpoints.List{Index: &version, Snapshot: true, Endpoints: make([]endpoints.Endpoint, len(entries))}
 	for i := range entries {
@@ -75,63 +87,78 @@
 	return l
 }
 
-// file is the whole of a file.
+// file is the content of a list file.
 type file struct {
 	Count     int     `toml:"count" json:"count" default:"-1" doc:"How many upstreams follow. TOML needs it: a file cut off between two entries would look whole."`
 	Endpoints []Entry `toml:"endpoint" json:"endpoints" doc:"The upstreams."`
 }
 
-// Parse reads a file's text; name tells its format.
+// Parse returns the entries of a list file. The extension of its name tells the format: TOML for .toml, JSON otherwise.
 func Parse(name string, text []byte) ([]Entry, error) {
-	f := file{Count: -1}
 	if len(bytes.TrimSpace(text)) == 0 {
-		return nil, errors.New("the file is empty")
+		return nil, errEmptyFile
 	}
-	var bad []string
-	switch strings.ToLower(filepath.Ext(name)) {
-	case ".toml":
-		for _, m := range tomlfile.Decode(text, &f).Problems() {
-			bad = append(bad, m.Error())
-		}
-		if f.Count < 0 {
-			bad = append(bad, "count: missing")
-		}
-	default:
-		d := json.NewDecoder(bytes.NewReader(text))
-		d.DisallowUnknownFields()
-		if err := d.Decode(&f); err != nil {
-			return nil, err
-		}
-		if d.More() {
-			return nil, errors.New("something stands behind the list")
-		}
-		for i := range f.Endpoints {
-			e := &f.Endpoints[i]
-			if e.Status == "" {
-				e.Status = endpoints.StatusReady
-			}
-			e.Check(func(key, format string, args ...any) {
-				bad = append(bad, fmt.Sprintf("endpoints[%d].%s: %s", i, key, fmt.Sprintf(format, args...)))
-			})
-		}
+	var (
+		f        file
+		problems []string
+		err      error
+	)
+	if strings.EqualFold(filepath.Ext(name), ".toml") {
+		f, problems = parseTOML(text)
+	} else if f, problems, err = parseJSON(text); err != nil {
+		return nil, err
 	}
 	if err := Validate(f.Endpoints); err != nil {
-		bad = append(bad, err.Error())
+		problems = append(problems, err.Error())
 	}
 	if f.Count >= 0 && f.Count != len(f.Endpoints) {
-		bad = append(bad, fmt.Sprintf("count says %d, and %d follow", f.Count, len(f.Endpoints)))
+		problems = append(problems, fmt.Sprintf("count says %d, and %d follow", f.Count, len(f.Endpoints)))
 	}
-	if len(bad) > 0 {
-		return nil, errors.New(strings.Join(bad[:min(len(bad), 3)], "; "))
+	if len(problems) > 0 {
+		return nil, errors.New(strings.Join(problems[:min(len(problems), maxReportedProblems)], "; "))
 	}
 	return f.Endpoints, nil
 }
 
-// Validate is what is wrong with a list as a whole.
+func parseTOML(text []byte) (f file, problems []string) {
+	f.Count = -1
+	for _, p := range tomlfile.Decode(text, &f).Problems() {
+		problems = append(problems, p.Error())
+	}
+	if f.Count < 0 {
+		problems = append(problems, "count: missing")
+	}
+	return f, problems
+}
+
+func parseJSON(text []byte) (f file, problems []string, err error) {
+	f.Count = -1
+	d := json.NewDecoder(bytes.NewReader(text))
+	d.DisallowUnknownFields()
+	if err := d.Decode(&f); err != nil {
+		return file{}, nil, err
+	}
+	if d.More() {
+		return file{}, nil, errTrailing
+	}
+	for i := range f.Endpoints {
+		e := &f.Endpoints[i]
+		if e.Status == "" {
+			e.Status = endpoints.StatusReady
+		}
+		e.Check(func(key, format string, args ...any) {
+			problems = append(problems, fmt.Sprintf("endpoints[%d].%s: %s", i, key, fmt.Sprintf(format, args...)))
+		})
+	}
+	return f, problems, nil
+}
+
+// Validate returns what is wrong with a list as a whole. An empty list is an error: to have nothing sent at all, the upstreams are marked
+// Terminating.
 func Validate(entries []Entry) error {
 	switch {
-	case len(entries) == 0: // never at once: who wants nothing sent marks them Terminating
-		return errors.New("no upstream is listed")
+	case len(entries) == 0:
+		return errNoUpstreams
 	case len(entries) > MaxEntries:
 		return fmt.Errorf("%d upstreams are listed, %d at most", len(entries), MaxEntries)
 	}
