--- a/internal/discovery/eureka/client.go
+++ b/internal/discovery/eureka/client.go
@@ -9,6 +9,7 @@
 	"io"
 	"net/http"
 	"net/url"
+	"slices"
 	"strings"
 	"sync/atomic"
 	"time"
@@ -16,176 +17,175 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// client asks a registry's servers, one after the other: the one that answered last is asked first.
+const (
+	maxKeptBufferBytes = 1 << 20  // of the buffer that is kept between answers
+	maxDrainedBytes    = 64 << 10 // of an answer that is read so that its connection can be reused
+)
+
+var (
+	// errUnchanged is returned for an answer that is the one that was decoded last.
+	errUnchanged    = errors.New("unchanged")
+	errAnswerTooBig = errors.New("the answer is larger than max_answer")
+)
+
+// client calls the servers of one registry. Calls go one after the other; the server that answered last is tried first.
 type client struct {
-	servers  []string // base addresses, without a slash at the end
-	http     *http.Client
-	timeout  time.Duration // of a whole call
-	most     int64         // bytes of an answer, unpacked
-	accept   string
-	user     string
-	password func() string
-	current  atomic.Int64
-	packed   bytes.Buffer
-	applied  sumOf // the document that was decoded last; zero: none counts
-
-	// What has been asked so far.
-	requests, bytes atomic.Int64 // bytes as they came, packed
+	servers        []string // base addresses, without a slash at the end
+	http           *http.Client
+	timeout        time.Duration // of a whole call to one server
+	maxAnswerBytes int64         // as it arrives, and uncompressed
+	accept         string        // media type
+	user           string        // for basic authentication; empty: none
+	password       func() string
+
+	current atomic.Int64 // index of the server that answered last
+	answer  bytes.Buffer // as it arrived
+	decoded answerSum    // of the answer that was decoded last; zero: none
+
+	requests, bytes atomic.Int64 // so far; bytes of answers as they arrived
+}
+
+// answerSum identifies an answer.
+type answerSum struct {
+	path  string
+	hash  uint64
+	bytes int64
 }
 
-// statusError is an answer that is not the one wanted.
+// statusError is an answer with another status than the one wanted.
 type statusError struct{ code int }
 
+// Error implements error.
 func (e statusError) Error() string {
 	return fmt.Sprintf("answered %d %s", e.code, http.StatusText(e.code))
 }
 
-// isStatus tells whether an error is an answer with one of these codes.
+// isStatus reports whether an error is an answer with one of these status codes.
 func isStatus(err error, codes ...int) bool {
 	var s statusError
-	if !errors.As(err, &s) {
-		return false
-	}
-	for _, c := range codes {
-		if s.code == c {
-			return true
-		}
-	}
-	return false
+	return errors.As(err, &s) && slices.Contains(codes, s.code)
 }
 
-// get reads a document from the first server that has one. A server that says it knows no such path has answered.
-func (c *client) get(ctx context.Context, path string, d *document, reset func()) (err error) {
+// tryServers calls servers one after the other until one answers, and returns all errors if none does. A server that does not know the
+// path has answered.
+func (c *client) tryServers(ctx context.Context, call func(server string) error) error {
 	first := int(c.current.Load())
-	var all []error
+	var failures []error
 	for n := range c.servers {
-		at := (first + n) % len(c.servers)
-		reset()
-		if err = c.getFrom(ctx, c.servers[at], path, d); err == nil || errors.Is(err, errUnchanged) || isStatus(err, http.StatusNotFound) {
-			c.current.Store(int64(at))
+		i := (first + n) % len(c.servers)
+		err := call(c.servers[i])
+		if err == nil || errors.Is(err, errUnchanged) || isStatus(err, http.StatusNotFound) {
+			c.current.Store(int64(i))
 			return err
 		}
-		c.applied = sumOf{}
-		all = append(all, fmt.Errorf("%s: %w", redacted(c.servers[at]), err))
+		failures = append(failures, fmt.Errorf("%s: %w", redacted(c.servers[i]), err))
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	return errors.Join(all...)
+	return errors.Join(failures...)
 }
 
+// get decodes a document from the first server that has one. It calls reset before each attempt, and returns errUnchanged where the
+// document is the one that was decoded last.
+func (c *client) get(ctx context.Context, path string, d *document, reset func()) error {
+	return c.tryServers(ctx, func(server string) error {
+		reset()
+		err := c.getFrom(ctx, server, path, d)
+		if err != nil && !errors.Is(err, errUnchanged) && !isStatus(err, http.StatusNotFound) {
+			c.decoded = answerSum{}
+		}
+		return err
+	})
+}
+
+// getFrom decodes a document of one server. Most answers are the same as before, since servers answer out of a cache: these are not
+// decoded again.
 func (c *client) getFrom(ctx context.Context, server, path string, d *document) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	resp, err := c.send(ctx, http.MethodGet, server+path, "")
+	response, err := c.send(ctx, http.MethodGet, server+path, "")
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return statusError{resp.StatusCode}
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return statusError{response.StatusCode}
 	}
-	// What comes is the same as before for most polls, since servers answer out of a cache: it is not decoded again.
-	c.packed.Reset()
-	n, err := io.Copy(&c.packed, &bounded{resp.Body, c.most})
+	c.answer.Reset()
+	n, err := io.Copy(&c.answer, &boundedReader{response.Body, c.maxAnswerBytes})
 	c.bytes.Add(n)
 	if err != nil {
 		return err
 	}
-	sum := sumOf{path, xxhash.Sum64(c.packed.Bytes()), n}
-	if c.applied == sum {
+	sum := answerSum{path, xxhash.Sum64(c.answer.Bytes()), n}
+	if c.decoded == sum {
 		return errUnchanged
 	}
-	var body io.Reader = &c.packed
-	if strings.EqualFold(resp.Header.Get("Content-Encoding"), "gzip") {
+	var body io.Reader = &c.answer
+	if strings.EqualFold(response.Header.Get("Content-Encoding"), "gzip") {
 		if body, err = gzip.NewReader(body); err != nil {
 			return fmt.Errorf("unpacking: %w", err)
 		}
 	}
-	if err := d.decode(resp.Header.Get("Content-Type"), &bounded{body, c.most}); err != nil {
+	if err := d.decode(response.Header.Get("Content-Type"), &boundedReader{body, c.maxAnswerBytes}); err != nil {
 		return err
 	}
-	c.applied = sum
-	if c.packed.Cap() > keepPacked {
-		c.packed = bytes.Buffer{}
+	c.decoded = sum
+	if c.answer.Cap() > maxKeptBufferBytes {
+		c.answer = bytes.Buffer{}
 	}
 	return nil
 }
 
-// errUnchanged says that the answer is the one that was applied last.
-var errUnchanged = errors.New("unchanged")
-
-// keepPacked is what is kept of a buffer between calls.
-const keepPacked = 1 << 20
+// post sends a request whose answer has no content that matters to the first server that takes it.
+func (c *client) post(ctx context.Context, method, path, body string) error {
+	return c.tryServers(ctx, func(server string) error { return c.postTo(ctx, server, method, path, body) })
+}
 
-// sumOf tells answers apart.
-type sumOf struct {
-	path  string
-	sum   uint64
-	bytes int64
+func (c *client) postTo(ctx context.Context, server, method, path, body string) error {
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
+	defer cancel()
+	response, err := c.send(ctx, method, server+path, body)
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDrainedBytes))
+	if response.StatusCode/100 != 2 {
+		return statusError{response.StatusCode}
+	}
+	return nil
 }
 
-// send makes one call. Calls go one after the other, so that a connection is kept for each server at most.
+// send sends one request. Its error is without the address, which may have a password.
 func (c *client) send(ctx context.Context, method, target, body string) (*http.Response, error) {
 	var content io.Reader
 	if body != "" {
 		content = strings.NewReader(body)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, target, content)
+	request, err := http.NewRequestWithContext(ctx, method, target, content)
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Accept", c.accept)
-	req.Header.Set("Accept-Encoding", "gzip")
+	request.Header.Set("Accept", c.accept)
+	request.Header.Set("Accept-Encoding", "gzip")
 	if body != "" {
-		req.Header.Set("Content-Type", "application/json")
+		request.Header.Set("Content-Type", "application/json")
 	}
 	if c.user != "" {
-		req.SetBasicAuth(c.user, c.password())
+		request.SetBasicAuth(c.user, c.password())
 	}
 	c.requests.Add(1)
-	resp, err := c.http.Do(req)
-	var wrong *url.Error
-	if errors.As(err, &wrong) { // without the address, which may bear a password
-		return nil, wrong.Err
+	response, err := c.http.Do(request)
+	var urlError *url.Error
+	if errors.As(err, &urlError) {
+		return nil, urlError.Err
 	}
-	return resp, err
-}
-
-// say makes a call whose answer has no content that matters, at the first server that takes it.
-func (c *client) say(ctx context.Context, method, path, body string) (err error) {
-	first := int(c.current.Load())
-	var all []error
-	for n := range c.servers {
-		at := (first + n) % len(c.servers)
-		if err = c.sayTo(ctx, c.servers[at], method, path, body); err == nil || isStatus(err, http.StatusNotFound) {
-			c.current.Store(int64(at))
-			return err
-		}
-		all = append(all, fmt.Errorf("%s: %w", redacted(c.servers[at]), err))
-		if ctx.Err() != nil {
-			break
-		}
-	}
-	return errors.Join(all...)
-}
-
-func (c *client) sayTo(ctx context.Context, server, method, path, body string) error {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout)
-	defer cancel()
-	resp, err := c.send(ctx, method, server+path, body)
-	if err != nil {
-		return err
-	}
-	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 64<<10)) // so that the connection can be kept
-	if resp.StatusCode/100 != 2 {
-		return statusError{resp.StatusCode}
-	}
-	return nil
+	return response, err
 }
 
-// redacted is an address without its password.
+// redacted returns an address without its password.
 func redacted(server string) string {
 	if u, err := url.Parse(server); err == nil {
 		return u.Redacted()
@@ -193,15 +193,16 @@
 	return "a server"
 }
 
-// bounded fails where a document is too large, so that it is not taken for one that has ended.
-type bounded struct {
+// boundedReader fails at its bound, so that an answer that is cut there is not taken for a complete one.
+type boundedReader struct {
 	io.Reader
 	left int64
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
+// Read implements io.Reader.
+func (b *boundedReader) Read(p []byte) (int, error) {
 	if b.left <= 0 {
-		return 0, errors.New("the answer is larger than max_answer")
+		return 0, errAnswerTooBig
 	}
 	n, err := b.Reader.Read(p[:min(int64(len(p)), b.left)])
 	b.left -= int64(n)
--- a/internal/discovery/eureka/declaration.go
+++ b/internal/discovery/eureka/declaration.go
@@ -12,6 +12,19 @@
 	"orchiddrift/internal/units"
 )
 
+// The bounds of a declaration.
+const (
+	minPoll          = 100 * time.Millisecond
+	maxServers       = 16
+	minAnswer        = 4 * units.KiB
+	maxAnswer        = 256 * units.MiB
+	minRenew         = time.Second
+	maxPasswordBytes = 4096
+)
+
+// allApplicationsPath is the path of all that the registry has.
+const allApplicationsPath = "/apps"
+
 // Declaration is a Eureka registry in the operator's file.
 type Declaration struct {
 	Service        string                     `toml:"service" sample:"\"seats\"" doc:"The service whose upstreams it lists, beside that one's own list; \"platform\" is the platform's."`
@@ -36,7 +49,7 @@
 	Register       Register                   `toml:"register" reload:"start" doc:"Makes this process known in the registry."`
 }
 
-// Register is how this process is known in the registry.
+// Register is how this process registers itself.
 type Register struct {
 	Application string            `toml:"application" sample:"\"ORCHIDDRIFT\"" doc:"The application that it registers as. Absent: it does not."`
 	ID          string            `toml:"id" doc:"Its instance id. Absent: daemon.name and its address."`
@@ -46,9 +59,7 @@
 	Metadata    map[string]string `toml:"metadata" doc:"What else is told of it."`
 }
 
-const minPoll = 100 * time.Millisecond
-
-// Check is tomlfile.Checker's.
+// Check reports what is wrong with a declaration; it implements tomlfile.Checker.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
 	if d.Service == "" {
 		report("service", "missing")
@@ -56,18 +67,8 @@
 	if len(d.Servers) == 0 || len(d.Servers) > maxServers {
 		report("servers", "%d are given, from 1 to %d are needed", len(d.Servers), maxServers)
 	}
-	for _, s := range d.Servers {
-		u, err := url.Parse(s)
-		switch {
-		case err != nil || u.Scheme != "http" && u.Scheme != "https" || u.RawQuery != "" || u.Fragment != "":
-			report("servers", "%q is no address such as http://127.0.0.1:8761/eureka", redacted(s))
-		case u.Port() == "" || endpoints.CheckAddress(u.Host) != nil:
-			report("servers", "%s: IP address and port are needed, there are no name look-ups", u.Redacted())
-		case u.User != nil:
-			report("servers", "%s: a password stands in password_file, not here", u.Redacted())
-		case u.Scheme == "https" && d.TLS.CA == "":
-			report("servers", "%s needs tls.ca", u.Redacted())
-		}
+	for _, server := range d.Servers {
+		d.checkServer(server, report)
 	}
 	if d.VirtualAddress != "" && (len(d.Applications) > 0 || d.Delta) {
 		report("vip", "stands in place of applications and delta, not beside them")
@@ -81,47 +82,69 @@
 	if d.Backoff < d.Poll {
 		report("backoff", "%v is under poll", d.Backoff)
 	}
-	if d.MaxAnswer < 4*units.KiB || d.MaxAnswer > 256*units.MiB {
+	if d.MaxAnswer < minAnswer || d.MaxAnswer > maxAnswer {
 		report("max_answer", "%v is not from 4KiB to 256MiB", d.MaxAnswer)
 	}
 	if (d.User == "") != (d.PasswordFile == "") {
 		report("user", "user and password_file come together")
 	}
-	if r := &d.Register; r.Application != "" {
-		if r.Address != "" {
-			if err := endpoints.CheckAddress(r.Address); err != nil {
-				report("register.address", "%v", err)
-			}
-		}
-		if r.Renew.D() < time.Second {
-			report("register.renew", "%v is under a second", r.Renew)
-		}
+	d.Register.check(report)
+}
+
+func (d *Declaration) checkServer(server string, report func(key, format string, args ...any)) {
+	u, err := url.Parse(server)
+	switch {
+	case err != nil || u.Scheme != "http" && u.Scheme != "https" || u.RawQuery != "" || u.Fragment != "":
+		report("servers", "%q is no address such as http://127.0.0.1:8761/eureka", redacted(server))
+	case u.Port() == "" || endpoints.CheckAddress(u.Host) != nil:
+		report("servers", "%s: IP address and port are needed, there are no name look-ups", u.Redacted())
+	case u.User != nil:
+		report("servers", "%s: a password stands in password_file, not here", u.Redacted())
+	case u.Scheme == "https" && d.TLS.CA == "":
+		report("servers", "%s needs tls.ca", u.Redacted())
 	}
 }
 
-const maxServers = 16
+func (r *Register) check(report func(key, format string, args ...any)) {
+	if r.Application == "" {
+		return
+	}
+	if r.Address != "" {
+		if err := endpoints.CheckAddress(r.Address); err != nil {
+			report("register.address", "%v", err)
+		}
+	}
+	if r.Renew.D() < minRenew {
+		report("register.renew", "%v is under a second", r.Renew)
+	}
+}
 
-// password reads the file; what can't be read is no password, and the registry says so.
+// password returns the content of the password file. Where it can't be read there is none, and the registry rejects the call.
 func (d *Declaration) password() string {
 	text, err := os.ReadFile(d.PasswordFile)
-	if err != nil || len(text) > 4096 {
+	if err != nil || len(text) > maxPasswordBytes {
 		return ""
 	}
 	return strings.TrimRight(string(text), "\r\n")
 }
 
-// Path is what is asked for at each poll that wants everything.
+// path returns the path of a poll that is no delta.
 func (d *Declaration) path() string {
 	switch {
 	case d.VirtualAddress != "":
 		return "/vips/" + url.PathEscape(d.VirtualAddress)
 	case len(d.Applications) == 1 && !d.Delta:
-		return "/apps/" + url.PathEscape(strings.ToUpper(d.Applications[0]))
+		return allApplicationsPath + "/" + url.PathEscape(strings.ToUpper(d.Applications[0]))
 	}
-	return "/apps"
+	return allApplicationsPath
 }
 
-// Describe says what it costs the registry.
+// Describe returns what the polls cost the registry, for `orchiddrift check`.
 func (d *Declaration) Describe() string {
 	return fmt.Sprintf("eureka %s: %s, %.3g requests a second", d.Name, d.path(), 1/d.Poll.D().Seconds())
 }
+
+func (d *Declaration) mapping() Mapping {
+	return Mapping{Secure: d.Secure, ZoneKey: d.ZoneKey, TypeKey: d.TypeKey, GroupKey: d.GroupKey, IdentityKey: d.IdentityKey,
+		WithApp: len(d.Applications) != 1 && d.VirtualAddress == ""}
+}
--- a/internal/discovery/eureka/instance.go
+++ b/internal/discovery/eureka/instance.go
@@ -9,7 +9,7 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// The statuses of an instance, as the registry's documents have them.
+// The statuses of an instance in the registry's documents.
 const (
 	statusUp           = "UP"
 	statusDown         = "DOWN"
@@ -18,33 +18,40 @@
 	statusUnknown      = "UNKNOWN"
 )
 
-// words are the statuses as membership has them; what is none of these is not known.
-var words = map[string]string{statusUp: endpoints.StatusReady, statusDown: membership.StatusDown,
-	statusStarting: membership.StatusStarting, statusOutOfService: membership.StatusOutOfService,
-	statusUnknown: membership.StatusUnknown}
+// actionDeleted is the action of a delta that removes an instance; the others add or change it.
+const actionDeleted = "DELETED"
 
-// instance is what a document says of one.
+// endpointStatus is the endpoint's status for an instance's; any other is unknown.
+var endpointStatus = map[string]string{
+	statusUp:           endpoints.StatusReady,
+	statusDown:         membership.StatusDown,
+	statusStarting:     membership.StatusStarting,
+	statusOutOfService: membership.StatusOutOfService,
+	statusUnknown:      membership.StatusUnknown,
+}
+
+// instance is an instance of a document.
 type instance struct {
-	app        string
-	id         string
-	host, ip   string
-	status     string
-	overridden string
-	port       port
-	securePort port
-	metadata   map[string]string
-	dcZone     string // the data centre's own word for its zone
-	up         int64  // when it came up, Unix time in milliseconds; 0: not told
-	registered int64
-	action     string // in a delta: ADDED, MODIFIED, DELETED
+	application    string
+	id             string
+	host, ip       string
+	status         string
+	overridden     string // status that an operator has set
+	port           port
+	securePort     port
+	metadata       map[string]string
+	dataCenterZone string
+	upMs           int64  // when it came up, Unix time in milliseconds; 0: not known
+	registeredMs   int64  // when it registered
+	action         string // in a delta: ADDED, MODIFIED, DELETED
 }
 
 type port struct {
-	number int
-	on     bool
+	number    int
+	isEnabled bool
 }
 
-// key tells instances apart. Without an id, as in old documents, the host is it.
+// key returns what tells instances of an application apart: the host where there is no id, as in old documents.
 func (i *instance) key() string {
 	if i.id != "" {
 		return i.id
@@ -52,9 +59,9 @@
 	return i.host
 }
 
-// effective is the status that counts: an override that takes it out wins over a status that says otherwise, as it will on
-// the registry's other replicas.
-func (i *instance) effective() string {
+// effectiveStatus returns the status that counts. An override that takes the instance out wins over a status that says otherwise, as it
+// will on the registry's other replicas.
+func (i *instance) effectiveStatus() string {
 	switch i.overridden {
 	case statusOutOfService, statusDown:
 		if i.status == statusUp || i.status == statusStarting || i.status == statusUnknown {
@@ -64,21 +71,21 @@
 	return i.status
 }
 
-// Mapping says how an instance becomes an upstream.
+// Mapping says how an instance becomes an endpoint.
 type Mapping struct {
-	Secure      bool // the secure port counts
-	ZoneKey     string
+	Secure      bool   // the secure port is used
+	ZoneKey     string // of the metadata; so are the other keys
 	TypeKey     string
 	GroupKey    string
 	IdentityKey string
-	WithApp     bool // names bear the application, where there are several
+	WithApp     bool // names include the application, where there are several
 }
 
-// endpoint is an instance as an upstream; false: it has no address that can be used.
+// endpoint returns an instance as an endpoint; false: it has no usable address.
 func (m Mapping) endpoint(i *instance) (endpoints.Endpoint, bool) {
-	word, known := words[i.effective()]
+	status, known := endpointStatus[i.effectiveStatus()]
 	if !known {
-		word = membership.StatusUnknown
+		status = membership.StatusUnknown
 	}
 	p := i.port
 	if m.Secure {
@@ -86,34 +93,45 @@
 	}
 	host := i.ip
 	if net.ParseIP(host) == nil {
-		host = i.host // some put it there; there are no look-ups
+		host = i.host // some have the address there; there are no name look-ups
 	}
-	e := endpoints.Endpoint{Name: i.key(), Address: net.JoinHostPort(host, strconv.Itoa(p.number)), Status: word,
+	e := endpoints.Endpoint{Name: i.key(), Address: net.JoinHostPort(host, strconv.Itoa(p.number)), Status: status,
 		Zone: i.metadata[m.ZoneKey], MachineType: i.metadata[m.TypeKey], TLSIdentity: i.metadata[m.IdentityKey]}
 	if e.Zone == "" {
-		e.Zone = i.dcZone
+		e.Zone = i.dataCenterZone
 	}
 	e.Cell, _ = strconv.Atoi(i.metadata[m.GroupKey]) // 0 where it is no number
 	if m.WithApp {
-		e.Name = i.app + "/" + e.Name
+		e.Name = i.application + "/" + e.Name
 	}
-	if e.StartedMs = float64(i.up); e.StartedMs <= 0 {
-		e.StartedMs = float64(max(i.registered, 0))
+	if e.StartedMs = float64(i.upMs); e.StartedMs <= 0 {
+		e.StartedMs = float64(max(i.registeredMs, 0))
 	}
-	ok := p.on && p.number > 0 && endpoints.CheckAddress(e.Address) == nil && i.key() != ""
-	return e, ok
+	isUsable := p.isEnabled && p.number > 0 && endpoints.CheckAddress(e.Address) == nil && i.key() != ""
+	return e, isUsable
 }
 
-// number reads what may be a number, a text with one in it, or neither.
-func number(text string) int64 {
+// maxFloatNumber bounds the numbers that are read from a floating point text, such as 1.7e12.
+const maxFloatNumber = 1e18
+
+// parseNumber returns the number in a text; 0: there is none.
+func parseNumber(text string) int64 {
 	text = strings.TrimSpace(text)
 	if n, err := strconv.ParseInt(text, 10, 64); err == nil {
 		return n
 	}
-	if f, err := strconv.ParseFloat(text, 64); err == nil && f > 0 && f < 1e18 { // 1.7e12
+	if f, err := strconv.ParseFloat(text, 64); err == nil && f > 0 && f < maxFloatNumber {
 		return int64(f)
 	}
 	return 0
 }
 
+// parsePort returns the port number in a text; 0: there is none.
+func parsePort(text string) int {
+	if n := parseNumber(text); n > 0 && n < 1<<16 {
+		return int(n)
+	}
+	return 0
+}
+
 func isTrue(text string) bool { return strings.EqualFold(strings.TrimSpace(text), "true") }
--- a/internal/discovery/eureka/lease.go
+++ b/internal/discovery/eureka/lease.go
@@ -2,102 +2,107 @@
 
 import "time"
 
-// call is what a lease wants said to the registry.
-type call int
+const (
+	initialLeaseBackoff = 250 * time.Millisecond // after a first failure; it doubles up to the renewal interval
+
+	// A renewal is due after nine to ten tenths of the interval, so that many instances do not renew together.
+	renewalEarliestTenths = 9
+	tenths                = 10
+)
+
+// leaseCall is a call of a lease to the registry.
+type leaseCall int
 
 const (
-	callNone call = iota
+	callNone leaseCall = iota
 	callRegister
 	callRenew
 	callOutOfService
 	callCancel
 )
 
-// outcome is how a call ended.
-type outcome int
+// leaseOutcome is how a leaseCall ended.
+type leaseOutcome int
 
 const (
-	callDone    outcome = iota
-	callUnknown         // the registry does not know the instance
-	callFailed
+	outcomeDone    leaseOutcome = iota
+	outcomeUnknown              // the registry does not know the instance
+	outcomeFailed
 )
 
-// lease decides what an instance of our own says to the registry, and when. It is a state machine: the time is told, and
-// each call that it wants is answered before it wants another.
+// lease decides which calls this process's instance makes to the registry, and when: register, renew until the end, out of service once
+// it drains, and cancel. It has no I/O and no clock. The outcome of a call is reported before the next one is asked for.
 type lease struct {
-	renew      time.Duration // between renewals
-	most       time.Duration // between tries after failures
-	registered bool
-	draining   bool // it is to be known as out of service
-	told       bool // and is
-	ending     bool
-	ended      bool
-	due        time.Time
-	wait       time.Duration // after the next failure
+	renewInterval    time.Duration
+	registered       bool
+	draining         bool // it is to be out of service
+	outOfServiceSent bool
+	ending           bool // it is to be cancelled
+	ended            bool
+	dueAt            time.Time     // of the next call
+	backoff          time.Duration // after the next failure
 }
 
-// leaseFirst is the wait after a first failure; it doubles up to most.
-const leaseFirst = 250 * time.Millisecond
-
-func newLease(now time.Time, renew time.Duration) *lease {
-	return &lease{renew: renew, most: renew, due: now, wait: min(leaseFirst, renew)}
+func newLease(now time.Time, renewInterval time.Duration) *lease {
+	return &lease{renewInterval: renewInterval, dueAt: now, backoff: min(initialLeaseBackoff, renewInterval)}
 }
 
-// drain has the registry told that the instance wants nothing new.
+// drain has the instance out of service at once.
 func (l *lease) drain(now time.Time) {
 	if !l.draining {
-		l.draining, l.due = true, now
+		l.draining, l.dueAt = true, now
 	}
 }
 
-// end has the registration withdrawn.
+// end has the registration cancelled at once.
 func (l *lease) end(now time.Time) {
 	if !l.ending {
-		l.ending, l.due = true, now
+		l.ending, l.dueAt = true, now
 	}
 }
 
-// next is what is to be said now; callNone: nothing before the time that it gives, or ever again where that is zero.
-func (l *lease) next(now time.Time) (call, time.Time) {
+// next returns the call that is due now, or callNone and when the next one is; zero: there is none ever again.
+func (l *lease) next(now time.Time) (leaseCall, time.Time) {
 	switch {
 	case l.ended || l.ending && !l.registered:
 		l.ended = true
 		return callNone, time.Time{}
-	case l.due.After(now):
-		return callNone, l.due
+	case l.dueAt.After(now):
+		return callNone, l.dueAt
 	case l.ending:
-		return callCancel, l.due
+		return callCancel, l.dueAt
 	case !l.registered:
-		return callRegister, l.due
-	case l.draining && !l.told:
-		return callOutOfService, l.due
+		return callRegister, l.dueAt
+	case l.draining && !l.outOfServiceSent:
+		return callOutOfService, l.dueAt
 	}
-	return callRenew, l.due
+	return callRenew, l.dueAt
 }
 
-// done takes a call's outcome. spread, from 0 to 1, moves the next one, so that many instances do not call together.
-func (l *lease) done(now time.Time, c call, o outcome, spread float64) {
-	if o == callFailed && c != callCancel {
-		l.due = now.Add(l.wait/2 + time.Duration(spread*float64(l.wait/2)))
-		l.wait = min(2*l.wait, l.most)
+// done takes the outcome of a call. spread, from 0 to 1, moves the next one. A failed call is retried after a backoff that doubles, but
+// for a cancellation, since the lease expires by itself.
+func (l *lease) done(now time.Time, call leaseCall, outcome leaseOutcome, spread float64) {
+	if outcome == outcomeFailed && call != callCancel {
+		l.dueAt = now.Add(l.backoff/2 + time.Duration(spread*float64(l.backoff/2)))
+		l.backoff = min(2*l.backoff, l.renewInterval)
 		return
 	}
-	l.wait = min(leaseFirst, l.renew)
-	l.due = now.Add(l.renew*9/10 + time.Duration(spread*float64(l.renew/10)))
+	l.backoff = min(initialLeaseBackoff, l.renewInterval)
+	l.dueAt = now.Add(l.renewInterval*renewalEarliestTenths/tenths + time.Duration(spread*float64(l.renewInterval/tenths)))
 	switch {
-	case c == callCancel: // also where it failed: the lease runs out by itself
+	case call == callCancel:
 		l.ended = true
-	case o == callUnknown: // expired, or the registry started anew
-		l.registered, l.told, l.due = false, false, now
-	case c == callRegister:
+	case outcome == outcomeUnknown: // it expired, or the registry has restarted
+		l.registered, l.outOfServiceSent, l.dueAt = false, false, now
+	case call == callRegister:
 		l.registered = true
 		if l.draining {
-			l.due = now
+			l.dueAt = now
 		}
-	case c == callOutOfService:
-		l.told = true
+	case call == callOutOfService:
+		l.outOfServiceSent = true
 	}
-	if l.ending || l.draining && !l.told {
-		l.due = now
+	if l.ending || l.draining && !l.outOfServiceSent {
+		l.dueAt = now
 	}
 }
