--- a/internal/discovery/eureka/document.go
+++ b/internal/discovery/eureka/document.go
@@ -18,8 +18,8 @@
 const MaxInstances = 20_000
 
 var (
-	errNoApplications   = errors.New("no applications stand in the answer")
-	errTrailingContent  = errors.New("something stands behind the document")
+	errNoApplications   = errors.New("no applications in the answer")
+	errTrailingContent  = errors.New("trailing content after the document")
 	errUnnamedInstance  = errors.New("an instance without id and host")
 	errTooManyInstances = fmt.Errorf("more than %d instances", MaxInstances)
 )
--- a/internal/discovery/eureka/json.go
+++ b/internal/discovery/eureka/json.go
@@ -102,7 +102,7 @@
 		return err
 	}
 	if t != json.Delim('{') {
-		return fmt.Errorf("%v stands where an object should", t)
+		return fmt.Errorf("%v where an object is expected", t)
 	}
 	return nil
 }
@@ -134,7 +134,7 @@
 	case t == json.Delim('{'):
 		return false, true, nil
 	case t != json.Delim('['):
-		return false, false, fmt.Errorf("%v stands where a list should", t)
+		return false, false, fmt.Errorf("%v where a list is expected", t)
 	}
 	return true, false, nil
 }
--- a/internal/discovery/eureka/lease_test.go
+++ b/internal/discovery/eureka/lease_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// leaseWorld is a registry, and what has been asked of a lease.
+// leaseWorld is a registry, and the state of the instance whose lease is tested.
 type leaseWorld struct {
 	lease         *lease
 	now           time.Time
--- a/internal/discovery/eureka/registration.go
+++ b/internal/discovery/eureka/registration.go
@@ -54,7 +54,7 @@
 		return nil, fmt.Errorf("eureka %s: register: %w", d.Name, err)
 	}
 	if ip := net.ParseIP(r.host); ip == nil || ip.IsUnspecified() {
-		return nil, fmt.Errorf("eureka %s: register.address: %s is nowhere to be found at", d.Name, address)
+		return nil, fmt.Errorf("eureka %s: register.address: %s can't be reached from elsewhere", d.Name, address)
 	}
 	r.id = cmp.Or(d.Register.ID, strings.Trim(name+":"+address, ":"))
 	r.client, r.credentials, err = newClient(d, connectTimeout, r.log)
--- a/internal/discovery/eureka/source.go
+++ b/internal/discovery/eureka/source.go
@@ -152,7 +152,7 @@
 	matches, err := s.pollDelta(ctx)
 	switch {
 	case isStatus(err, http.StatusNotFound, http.StatusForbidden, http.StatusMethodNotAllowed):
-		s.log.Info("the registry tells no changes: it is asked for everything", "registry", s.declaration.Name)
+		s.log.Info("the registry has no deltas: everything is polled", "registry", s.declaration.Name)
 		s.state.wantsDelta = false
 	case err != nil:
 		s.state.isComplete = false // part of the delta may have been lost
@@ -214,7 +214,7 @@
 	s.cache = next
 	s.state.isComplete = true
 	if d.hash != "" && path == allApplicationsPath && d.hash != next.hash() {
-		s.logFailure(errors.New("the registry's answer does not come to its own sum: " + d.hash + ", counted " + next.hash()))
+		s.logFailure(errors.New("the registry's answer does not match its own checksum: " + d.hash + ", counted " + next.hash()))
 		s.partial = true
 	}
 	return s.partial, nil
--- a/internal/discovery/eureka/source_test.go
+++ b/internal/discovery/eureka/source_test.go
@@ -182,7 +182,7 @@
 		base.Eventually(t, "polls", func() bool { return e.Calls("GET /apps") > all+3 })
 		return e.Calls("GET /apps/delta") == before
 	})
-	if n := sink.logCount("does not come to its own sum"); n != 1 {
+	if n := sink.logCount("does not match its own checksum"); n != 1 {
 		t.Errorf("logged %d times", n)
 	}
 	e.Fault(nil)
--- a/internal/discovery/eureka/xml.go
+++ b/internal/discovery/eureka/xml.go
@@ -124,7 +124,7 @@
 func (r *xmlReader) startElement(t xml.StartElement) (err error) {
 	name := t.Name.Local
 	if r.depth == 0 && name != "applications" && name != "application" {
-		return fmt.Errorf("<%s> stands where applications should", name)
+		return fmt.Errorf("<%s> where applications are expected", name)
 	}
 	switch name {
 	case "applications", "application":
--- a/internal/discovery/membership/describe.go
+++ b/internal/discovery/membership/describe.go
@@ -7,12 +7,12 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// describe returns the address and the properties of an upstream: those of the first speaker, but for a later start and what it leaves
-// out.
-func (m *Merge) describe(speakers []*record) endpoints.Endpoint {
-	listed := slices.DeleteFunc(slices.Clone(speakers), func(r *record) bool { return r.state == Removed })
+// describe returns the address and the properties of an upstream: those of the first effective record, but for a later start and what
+// it leaves out.
+func (m *Merge) describe(effective []*record) endpoints.Endpoint {
+	listed := slices.DeleteFunc(slices.Clone(effective), func(r *record) bool { return r.state == Removed })
 	if len(listed) == 0 {
-		listed = speakers
+		listed = effective
 	}
 	e := listed[0].endpoint
 	located := listed[0] // that has the address
@@ -50,14 +50,14 @@
 	return 0
 }
 
-// nameFor returns the name that the first speaker gives.
-func nameFor(speakers []*record) string {
-	for _, r := range speakers {
+// nameFor returns the name of the first effective record.
+func nameFor(effective []*record) string {
+	for _, r := range effective {
 		if r.state != Removed {
 			return r.endpoint.Name
 		}
 	}
-	return speakers[0].endpoint.Name
+	return effective[0].endpoint.Name
 }
 
 // isSameStart reports whether two start times, in milliseconds, may be those of one instance.
--- a/internal/discovery/membership/doc.go
+++ b/internal/discovery/membership/doc.go
@@ -1,7 +1,7 @@
 // Package membership merges the endpoint lists of several sources into one.
 //
 // A Merge is a state machine. It is driven by the sources' lists, their losses and recoveries, and time, and returns the changes of the
-// merged list, each with a reason. It owns what each source says of each endpoint (a record) and the merged upstreams.
+// merged list, each with a reason. It owns what each source reports of each endpoint (a record) and the merged upstreams.
 // discovery.MergedSource drives it.
 //
 // An input changes records and marks them dirty. At its end the dirty records are grouped by upstream (group.go), each group's states are
--- a/internal/discovery/membership/group.go
+++ b/internal/discovery/membership/group.go
@@ -118,18 +118,18 @@
 // mergeGroup merges the records of one upstream. It returns the upstream, or nil if it was never listed and is not now, and its change,
 // or nil.
 func (m *Merge) mergeGroup(group []*record) (*upstream, *Change) {
-	speakers := speakersOf(group)
-	if len(speakers) == 0 {
+	effective := effectiveRecords(group)
+	if len(effective) == 0 {
 		return nil, nil
 	}
-	state, sourceName := combine(m.opinions(speakers))
-	e := m.describe(speakers)
-	u := m.upstreamFor(group, speakers, &e)
+	state, sourceName := combine(m.reports(effective))
+	e := m.describe(effective)
+	u := m.upstreamFor(group, effective, &e)
 	if u == nil {
 		if state != Up && mergedStatus(state, false) == endpoints.StatusGone {
 			return nil, nil
 		}
-		u = m.newUpstream(nameFor(speakers))
+		u = m.newUpstream(nameFor(effective))
 	}
 	e.Name = u.name
 	for _, r := range group {
@@ -148,25 +148,25 @@
 	return u, m.publish(u, e, reason)
 }
 
-// speakersOf returns the records of a group that count, by rank: for each source and address the one of the latest instance.
-func speakersOf(group []*record) []*record {
-	speakers := make([]*record, 0, MaxSources)
+// effectiveRecords returns the records of a group that count, by rank: for each source and address the one of the latest instance.
+func effectiveRecords(group []*record) []*record {
+	effective := make([]*record, 0, MaxSources)
 	for _, r := range group {
 		if r.withdrawn {
 			continue
 		}
-		i := slices.IndexFunc(speakers, func(s *record) bool {
+		i := slices.IndexFunc(effective, func(s *record) bool {
 			return s.source == r.source && s.endpoint.Address == r.endpoint.Address
 		})
 		switch {
 		case i < 0:
-			speakers = append(speakers, r)
-		case isLaterInstance(r, speakers[i]):
-			speakers[i] = r
+			effective = append(effective, r)
+		case isLaterInstance(r, effective[i]):
+			effective[i] = r
 		}
 	}
-	slices.SortFunc(speakers, func(a, b *record) int { return cmp.Compare(a.source.rank, b.source.rank) })
-	return speakers
+	slices.SortFunc(effective, func(a, b *record) int { return cmp.Compare(a.source.rank, b.source.rank) })
+	return effective
 }
 
 // isLaterInstance reports whether of two records of one source the first is of the instance that runs now.
@@ -177,26 +177,26 @@
 	return cmp.Or(cmp.Compare(a.endpoint.StartedMs, b.endpoint.StartedMs), cmp.Compare(a.sequence, b.sequence)) > 0
 }
 
-// opinions returns what each speaker says. What was said of an instance that has been replaced does not count.
-func (m *Merge) opinions(speakers []*record) []opinion {
-	opinions := make([]opinion, len(speakers))
-	for i, r := range speakers {
-		opinions[i] = opinion{source: r.source.name, state: r.state, aged: m.isAged(r.source)}
-		if m.isOfReplacedInstance(r, speakers) {
-			opinions[i].state = Absent
+// reports returns what each source reports. What it reported of an instance that has been replaced does not count.
+func (m *Merge) reports(effective []*record) []report {
+	reports := make([]report, len(effective))
+	for i, r := range effective {
+		reports[i] = report{source: r.source.name, state: r.state, aged: m.isAged(r.source)}
+		if m.isOfReplacedInstance(r, effective) {
+			reports[i].state = Absent
 		}
 	}
-	return opinions
+	return reports
 }
 
 // isOfReplacedInstance reports whether a record that wants no requests is about an instance that has been replaced: another name came up
 // at its address later than that by more than StartTimeTolerance.
-func (m *Merge) isOfReplacedInstance(r *record, speakers []*record) bool {
+func (m *Merge) isOfReplacedInstance(r *record, effective []*record) bool {
 	if r.state == Up || r.state == Starting || r.state == Unknown {
 		return false
 	}
 	replacedAfter := r.stateSince.Add(m.options.StartTimeTolerance.D())
-	return slices.ContainsFunc(speakers, func(o *record) bool {
+	return slices.ContainsFunc(effective, func(o *record) bool {
 		return o.endpoint.Name != r.endpoint.Name && o.state == Up && o.endpoint.Address == r.endpoint.Address &&
 			time.UnixMilli(int64(o.endpoint.StartedMs)).After(replacedAfter)
 	})
--- a/internal/discovery/membership/merge.go
+++ b/internal/discovery/membership/merge.go
@@ -32,7 +32,7 @@
 type Merge struct {
 	options  Options
 	now      time.Time
-	sequence uint64 // of the changes in what sources say
+	sequence uint64 // of the changes of records
 
 	sources       []*source // ranked: the first one's description of an upstream counts
 	sourcesByName map[string]*source
--- a/internal/discovery/membership/record.go
+++ b/internal/discovery/membership/record.go
@@ -7,14 +7,14 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// record is what one source says of one endpoint.
+// record is what one source reports of one endpoint.
 type record struct {
 	source     *source
 	endpoint   endpoints.Endpoint // as listed
 	state      State
-	stateSince time.Time // when the source first said this state
+	stateSince time.Time // when the source first reported this state
 	sequence   uint64    // of the last change
-	doubted    bool      // the source lacks it, and is not believed yet; the state is Up
+	doubted    bool      // the source lacks it since a mass removal; the state is still Up
 	withdrawn  bool      // the source is aged, and no other has it
 	until      time.Time // of a removed one: how long it counts; of a doubted one: how long it is doubted
 	timerAt    time.Time // zero: no timer is set
@@ -24,7 +24,7 @@
 	previous *upstream // while it is merged anew: upstream before
 }
 
-// setRecord takes what a source says of an endpoint that it lists; r is nil for a new one.
+// setRecord takes what a source reports of an endpoint that it lists; r is nil for a new one.
 func (m *Merge) setRecord(s *source, r *record, e *endpoints.Endpoint, state State) {
 	if r != nil && !r.doubted && !r.withdrawn && r.state == state && r.endpoint == *e {
 		return
@@ -39,7 +39,7 @@
 		r.endpoint = *e
 		m.index(r)
 	}
-	m.believe(r)
+	m.endDoubt(r)
 	m.setState(r, state)
 	r.endpoint, r.sequence, r.withdrawn = *e, m.sequence, false
 	m.dirty[r] = true
@@ -71,7 +71,7 @@
 	r.state, r.stateSince, r.until = state, m.now, time.Time{}
 }
 
-// forgetRecord forgets what a source said of an endpoint.
+// forgetRecord forgets what a source reported of an endpoint.
 func (m *Merge) forgetRecord(r *record) {
 	m.touch(r)
 	if r.state == Up {
--- a/internal/discovery/membership/removal.go
+++ b/internal/discovery/membership/removal.go
@@ -14,8 +14,8 @@
 // applyRemovals takes the endpoints that a source lacks now.
 //
 // Where those are most of what it had within MassRemovalWindow, or all, they are doubted for MassRemovalHold, together with those that
-// were removed just before: a registry that has just started, or is cut off from its instances, knows few. What the source says in
-// words, such as a drain, is never doubted, and where another source has removed an endpoint too that counts at once.
+// were removed just before: a registry that has just started, or is cut off from its instances, knows few. A status
+// that is listed, such as a drain, is never doubted, and where another source has removed an endpoint too that counts at once.
 func (m *Merge) applyRemovals(s *source, removed []*record) {
 	s.recentRemovals = slices.DeleteFunc(s.recentRemovals, func(x removal) bool {
 		return m.now.Sub(x.at) > m.options.MassRemovalWindow.D() || x.record.forgotten || x.record.state != Removed
@@ -70,8 +70,8 @@
 	m.setRecordTimer(r.until, r)
 }
 
-// believe ends the doubt about a record.
-func (m *Merge) believe(r *record) {
+// endDoubt ends the doubt about a record.
+func (m *Merge) endDoubt(r *record) {
 	if r.doubted {
 		r.source.doubtedCount--
 		r.doubted = false
@@ -80,7 +80,7 @@
 
 // removeRecord takes a record for removed. That outweighs another source's up for RemovalHold.
 func (m *Merge) removeRecord(r *record) {
-	m.believe(r)
+	m.endDoubt(r)
 	m.sequence++
 	r.sequence = m.sequence
 	m.setState(r, Removed)
--- a/internal/discovery/membership/state.go
+++ b/internal/discovery/membership/state.go
@@ -10,7 +10,7 @@
 	StatusDown         = "Down"         // its health check fails
 )
 
-// State is what a source says of an endpoint.
+// State is what a source reports of an endpoint.
 type State int
 
 // The states.
@@ -48,27 +48,27 @@
 	return Removed
 }
 
-// opinion is what one source says of an upstream.
-type opinion struct {
+// report is what one source reports of an upstream.
+type report struct {
 	source string
 	state  State
 	aged   bool // the source has been lost for too long: it counts where no other does
 }
 
-// precedence orders the states: of two opinions the higher one counts. A source that wants no new requests is always believed, then one
-// that has removed the endpoint, then one that says it is not ready yet, then one that says it is up.
+// precedence orders the states. Of two reports the one with the higher precedence counts: no new requests (draining, out of service,
+// down), then removed, then not ready yet, then up.
 var precedence = [...]int{Absent: 0, Unknown: 1, Up: 2, Starting: 3, Removed: 4, Down: 5, OutOfService: 6, Draining: 7}
 
-// combine returns the merged state, and the source that it comes from. The state does not depend on the order of the opinions.
-func combine(opinions []opinion) (State, string) {
+// combine returns the merged state, and the source that it comes from. The state does not depend on the order of the reports.
+func combine(reports []report) (State, string) {
 	hasFresh := false
-	for _, o := range opinions {
-		hasFresh = hasFresh || !o.aged && o.state != Absent && o.state != Unknown
+	for _, r := range reports {
+		hasFresh = hasFresh || !r.aged && r.state != Absent && r.state != Unknown
 	}
-	best := opinion{}
-	for _, o := range opinions {
-		if !(o.aged && hasFresh) && precedence[o.state] > precedence[best.state] {
-			best = o
+	best := report{}
+	for _, r := range reports {
+		if !(r.aged && hasFresh) && precedence[r.state] > precedence[best.state] {
+			best = r
 		}
 	}
 	return best.state, best.source
--- a/internal/discovery/membership/upstream.go
+++ b/internal/discovery/membership/upstream.go
@@ -33,8 +33,8 @@
 
 // upstreamFor returns the upstream that a group is listed as; nil: none. Where the source of the name is gone, an instance keeps the name
 // as long as no other group claims it, so that no connection and no statistics are lost.
-func (m *Merge) upstreamFor(group, speakers []*record, e *endpoints.Endpoint) *upstream {
-	if u := m.upstreams[nameFor(speakers)]; u != nil {
+func (m *Merge) upstreamFor(group, effective []*record, e *endpoints.Endpoint) *upstream {
+	if u := m.upstreams[nameFor(effective)]; u != nil {
 		return u
 	}
 	for _, r := range group {
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -46,7 +46,7 @@
 	log           *slog.Logger
 	client        *http.Client
 	startedAt     time.Time   // zero of the machine's clock
-	refreshWanted atomic.Bool // the sink is to hear of the next sign of life
+	refreshWanted atomic.Bool // the sink is notified of the next sign of life
 	running       sync.WaitGroup
 
 	mu        sync.Mutex
@@ -58,7 +58,7 @@
 	server    *listServer // that is followed now
 	opened    int64       // calls
 	failed    int64       // calls that ended or failed by themselves
-	connected bool        // the sink was not told that the list is lost
+	connected bool        // Sink.Lost was not called since a watch delivered
 	stale     bool        // it was logged that the list may be too old
 }
 
@@ -86,7 +86,7 @@
 	}}
 }
 
-// Refresh has the sink hear of the next sign of life, also where there is no change. It does not block.
+// Refresh has the sink notified of the next sign of life, also where there is no change. It does not block.
 func (w *Watcher) Refresh() { w.refreshWanted.Store(true) }
 
 // Run follows the list until ctx ends.
@@ -177,7 +177,7 @@
 	w.timer.Reset(max(0, next-now))
 }
 
-// reportConnection tells the sink once when no watch delivers any more; the caller holds mu.
+// reportConnection notifies the sink once when no watch delivers any more; the caller holds mu.
 func (w *Watcher) reportConnection(now time.Duration) {
 	connected := w.machine.Connected(now)
 	switch {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -158,7 +158,7 @@
 	}
 }
 
-// A new address is polled for the whole list at once, again soon where that fails, and then watched. Refresh has the balancer hear of the
+// A new address is polled for the whole list at once, again soon where that fails, and then watched. Refresh has the balancer notified of the
 // next heartbeat.
 func TestRedirectFetchesListAndRetries(t *testing.T) {
 	d := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
