--- /dev/null
+++ b/internal/daemon/idempotency.go
@@ -0,0 +1,206 @@
+package daemon
+
+import (
+	"context"
+	"crypto/sha256"
+	"fmt"
+	"maps"
+	"net/http"
+	"sync/atomic"
+
+	"orchiddrift/balancer"
+	"orchiddrift/internal/config"
+	"orchiddrift/internal/engine"
+	"orchiddrift/internal/idempotency"
+	"orchiddrift/internal/idempotency/executor"
+	"orchiddrift/internal/upstream"
+)
+
+// replayedHeader marks an answer that an earlier request of the same key has had.
+const replayedHeader = "Idempotent-Replayed"
+
+// executorStep is set by tests: see executor.Options.Step.
+var executorStep func(step string)
+
+// openExecutor returns the executor of a service's idempotency keys, and makes it if there is none. It outlives the service: a service that
+// a reload starts anew, or removes for a while, finds its keys again.
+func (sh *sharedResources) openExecutor(plan config.ServicePlan) (*executor.Executor, error) {
+	if plan.Idempotency == nil {
+		return nil, nil
+	}
+	sh.executorsMu.Lock()
+	defer sh.executorsMu.Unlock()
+	if x := sh.executors[plan.Name]; x != nil {
+		x.Configure(plan.Idempotency.Options, executor.DedupWindows(&plan.Settings.Settings))
+		return x, nil
+	}
+	x, err := executor.Open(sh.filesCtx, *plan.Idempotency, plan.Name, &plan.Settings.Settings, sh.fileLockTimeout,
+		executor.Options{Clock: sh.clock, Log: sh.log.With("service", plan.Name), Step: executorStep})
+	if err != nil {
+		return nil, fmt.Errorf("repeats: %w", err)
+	}
+	if sh.executors == nil {
+		sh.executors = map[string]*executor.Executor{}
+	}
+	sh.executors[plan.Name] = x
+	return x, nil
+}
+
+// abortExecutors ends what waits for other processes.
+func (sh *sharedResources) abortExecutors() {
+	sh.executorsMu.Lock()
+	defer sh.executorsMu.Unlock()
+	for _, x := range sh.executors {
+		x.Abort()
+	}
+}
+
+// closeExecutors ends all executors, after the engines of their services.
+func (sh *sharedResources) closeExecutors() {
+	sh.executorsMu.Lock()
+	defer sh.executorsMu.Unlock()
+	for _, x := range sh.executors {
+		x.Close()
+	}
+}
+
+// setExecutor applies what a plan says of idempotency keys.
+func (s *service) setExecutor(plan config.ServicePlan) error {
+	x, err := s.shared.openExecutor(plan)
+	if err != nil {
+		return fmt.Errorf("service %s: %w", plan.Name, err)
+	}
+	s.executor.Store(x)
+	return nil
+}
+
+// executorFor returns the executor of a request's key; nil: retries of it are not recognised.
+func (s *service) executorFor(class *balancer.Class, key string) *executor.Executor {
+	if class.Idempotency != balancer.IdempotentWithKey || key == "" {
+		return nil
+	}
+	return s.executor.Load()
+}
+
+// idempotentTransport records attempts of a request with a key before they are sent.
+type idempotentTransport struct {
+	engine.Transport
+	service    *service
+	recorder   executor.AttemptRecorder
+	mayHaveRun *atomic.Int64 // attempts
+}
+
+// RoundTrip implements engine.Transport.
+func (t idempotentTransport) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
+	attempt := idempotency.Attempt{Zone: a.Zone, Cell: a.Cell, SentAt: t.service.shared.clock.Now()}
+	t.recorder.AttemptStarted(attempt)
+	t.mayHaveRun.Add(1)
+	result := t.Transport.RoundTrip(ctx, a)
+	switch result.Result {
+	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
+		t.recorder.AttemptNotSent(attempt)
+		t.mayHaveRun.Add(-1)
+	}
+	return result
+}
+
+// keyedRequest is a request with an idempotency key.
+type keyedRequest struct {
+	executor       *executor.Executor
+	call           engine.Call
+	key            string
+	method, target string
+	body           []byte
+	// newTransport makes what carries out the attempts; release gives back what they held.
+	newTransport func() (t engine.Transport, release func())
+}
+
+func (q *keyedRequest) id() idempotency.ID {
+	return idempotency.ID{Tenant: q.call.Tenant, Class: q.call.Class, Key: q.key}
+}
+
+// fingerprint tells different requests of one key apart.
+func (q *keyedRequest) fingerprint() (f idempotency.Fingerprint) {
+	h := sha256.New()
+	fmt.Fprintf(h, "%s\x00%s\x00", q.method, q.target) // a hash never fails
+	h.Write(q.body)
+	copy(f[:], h.Sum(nil))
+	return f
+}
+
+// executeOnce gives a request with a key the outcome of the first request of its key. If it is the first it runs apart from its client, which
+// may disconnect while others wait.
+func (s *service) executeOnce(ctx context.Context, q keyedRequest) executor.Result {
+	ctx, cancel := context.WithTimeout(ctx, q.call.Deadline-s.shared.clock.Now())
+	defer cancel()
+	return q.executor.Do(ctx, q.id(), q.fingerprint(),
+		func(interest context.Context, earlier []idempotency.Attempt, recorder executor.AttemptRecorder) executor.Outcome {
+			return s.execute(q, interest, earlier, recorder)
+		})
+}
+
+// execute runs a request with a key. interest ends once no client waits for it; earlier are attempts of its key that may have run.
+func (s *service) execute(q keyedRequest, interest context.Context, earlier []idempotency.Attempt, recorder executor.AttemptRecorder) executor.Outcome {
+	transport, release := q.newTransport()
+	defer release()
+	call := q.call
+	for _, a := range earlier {
+		call.EarlierAttempts = append(call.EarlierAttempts, balancer.EarlierAttempt{Zone: a.Zone, Cell: a.Cell, SentAt: a.SentAt})
+	}
+	call.Interest = interest
+	var mayHaveRun atomic.Int64
+	answer := s.engine.Do(context.Background(), call, idempotentTransport{transport, s, recorder, &mayHaveRun})
+	switch answer.Kind {
+	case engine.Served:
+		response := answer.Value.(*upstream.Response)
+		return executor.Outcome{Verdict: idempotency.Replay,
+			Answer: &idempotency.Answer{Status: response.Status, Header: response.Header, Body: response.Body}}
+	case engine.Rejected, engine.Duplicate, engine.EngineClosed:
+		return executor.Outcome{Verdict: idempotency.Reject, RetryAfter: answer.RetryAfter}
+	case engine.ClientGone: // no client waits any more
+		if mayHaveRun.Load() == 0 && len(earlier) == 0 {
+			return executor.Outcome{Verdict: idempotency.Reject}
+		}
+	}
+	return executor.Outcome{Verdict: idempotency.Fail}
+}
+
+// answerFor translates a Result into an answer of the engine. conflict is the HTTP status of a key that stands against the request; 0: it
+// does not.
+func answerFor(r executor.Result) (answer engine.Answer, conflict int) {
+	switch {
+	case r.ClientLeft:
+		return engine.Answer{Kind: engine.ClientGone}, 0
+	case r.Verdict == idempotency.Replay:
+		return engine.Answer{Kind: engine.Served, Value: storedResponse(r)}, 0
+	case r.Verdict == idempotency.Reject:
+		return engine.Answer{Kind: engine.Rejected, RetryAfter: r.RetryAfter}, 0
+	case r.Verdict == idempotency.Conflict:
+		return engine.Answer{Kind: engine.Duplicate}, http.StatusUnprocessableEntity
+	case r.Verdict == idempotency.AnswerNotStored:
+		return engine.Answer{Kind: engine.Duplicate}, http.StatusConflict
+	}
+	return engine.Answer{Kind: engine.Failed}, 0
+}
+
+// storedResponse is the answer of a Result, marked if an earlier request has had it.
+func storedResponse(r executor.Result) *upstream.Response {
+	response := &upstream.Response{Status: r.Answer.Status, Header: r.Answer.Header, Body: r.Answer.Body}
+	if r.Executed {
+		return response
+	}
+	response.Header = maps.Clone(response.Header)
+	if response.Header == nil {
+		response.Header = http.Header{}
+	}
+	response.Header.Set(replayedHeader, "true")
+	return response
+}
+
+// conflictText says why a key stands against a request.
+func conflictText(status int) string {
+	if status == http.StatusUnprocessableEntity {
+		return "the key was used for another request"
+	}
+	return "a request of this key was answered; its answer was too large to be kept"
+}
