--- a/cmd/orchiddrift/lease.go
+++ b/cmd/orchiddrift/lease.go
@@ -130,7 +130,7 @@
 	switch {
 	case why == 0:
 		r.end(code, fmt.Errorf("the command ended with %d", code))
-	case why == lease.Released:
+	case why == lease.ReasonReleased:
 	case r.again:
 	default:
 		r.end(exitLost, errors.New("the lease was lost, and its command was ended"))
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -49,12 +49,12 @@
 type Reason uint8
 
 const (
-	Released   Reason = iota + 1 // by the holder's own wish
-	Expired                      // the term is over, and nobody has said that there is another one
-	Revoked                      // the record says that it is not held any more
-	Replaced                     // the record has granted it anew, under another token
-	Busy                         // somebody else holds it
-	NoCapacity                   // the record is full
+	ReasonReleased   Reason = iota + 1 // by the holder's own wish
+	ReasonExpired                      // the term is over, and nobody has said that there is another one
+	ReasonRevoked                      // the record says that it is not held any more
+	ReasonReplaced                     // the record has granted it anew, under another token
+	ReasonBusy                         // somebody else holds it
+	ReasonNoCapacity                   // the record is full
 )
 
 // Holder is the side that wants a lease. It is for one goroutine; time is that of a clock that goes on while the machine sleeps.
@@ -119,7 +119,7 @@
 		h.phase = idle
 		return []Action{{Kind: Send, Request: Request{Kind: RemoveWaiter, Name: h.o.Name, Client: h.o.Client, Sequence: h.seq}}}
 	case holding:
-		return h.end(Released)
+		return h.end(ReasonReleased)
 	}
 	return nil
 }
@@ -148,7 +148,7 @@
 // HandleReply takes the record's word, which may be late, or come twice.
 func (h *Holder) HandleReply(now time.Duration, r Reply) []Action {
 	if h.phase == holding && now >= h.until { // its own word comes first: whoever looks after the act has ended it by now
-		return h.end(Expired)
+		return h.end(ReasonExpired)
 	}
 	sent, known := h.sent[r.SendNumber]
 	if r.Status == Granted && (r.Sequence != h.seq || h.phase == idle) { // nobody wants it any more
@@ -172,13 +172,13 @@
 		}
 		switch r.Status {
 		case HeldByOther:
-			return []Action{{Kind: Rejected, Reason: Busy}}
+			return []Action{{Kind: Rejected, Reason: ReasonBusy}}
 		case TableFull:
-			return []Action{{Kind: Rejected, Reason: NoCapacity}}
+			return []Action{{Kind: Rejected, Reason: ReasonNoCapacity}}
 		}
 	case NotHeld:
 		if h.phase == holding && sent >= h.granted { // asked on the grant that it acts on
-			return h.end(Revoked)
+			return h.end(ReasonRevoked)
 		}
 		if h.phase == asking { // of a wish that the record has behind it
 			return h.begin(now)
@@ -202,7 +202,7 @@
 			h.next = sent + r.Duration/renewPart
 		}
 	case h.phase == holding:
-		return h.end(Replaced)
+		return h.end(ReasonReplaced)
 	}
 	return nil // it comes too late to be of use: the next ask brings another term
 }
@@ -211,7 +211,7 @@
 func (h *Holder) Tick(now time.Duration) []Action {
 	switch {
 	case h.phase == holding && now >= h.until:
-		return h.end(Expired)
+		return h.end(ReasonExpired)
 	case h.phase == holding && now >= h.next:
 		return h.ask(now, Renew)
 	case h.phase == asking && now >= h.next:
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -222,7 +222,7 @@
 	if h.HandleReply(8*time.Second, say(asked, NotHeld, 0)) != nil { // of before the grant
 		t.Error("an old word ends it")
 	}
-	if acts := h.Tick(11 * time.Second); len(acts) != 1 || acts[0].Kind != End || acts[0].Reason != Expired {
+	if acts := h.Tick(11 * time.Second); len(acts) != 1 || acts[0].Kind != End || acts[0].Reason != ReasonExpired {
 		t.Errorf("%+v", acts)
 	}
 	if _, _, ok := h.Held(11 * time.Second); ok {
@@ -239,7 +239,7 @@
 	if acts := h.HandleReply(13*time.Second, say(again, Granted, 5)); len(acts) != 1 || acts[0].Request.Kind != Release || acts[0].Request.Token != 5 {
 		t.Errorf("granted to a wish that is over: %+v", acts)
 	}
-	if acts := h.HandleReply(13*time.Second, say(second, HeldByOther, 0)); len(acts) != 1 || acts[0].Kind != Rejected || acts[0].Reason != Busy {
+	if acts := h.HandleReply(13*time.Second, say(second, HeldByOther, 0)); len(acts) != 1 || acts[0].Kind != Rejected || acts[0].Reason != ReasonBusy {
 		t.Errorf("%+v", acts)
 	}
 	if acts := h.Release(14*time.Second, ""); len(acts) != 1 || acts[0].Request.Kind != RemoveWaiter {
@@ -250,7 +250,7 @@
 	}
 	third := h.Acquire(20 * time.Second)[0].Request
 	h.HandleReply(20*time.Second, say(third, Granted, 7))
-	if acts := h.Release(21*time.Second, "b"); len(acts) != 1 || acts[0].Kind != End || acts[0].Reason != Released {
+	if acts := h.Release(21*time.Second, "b"); len(acts) != 1 || acts[0].Kind != End || acts[0].Reason != ReasonReleased {
 		t.Errorf("%+v", acts)
 	}
 	if acts := h.Stopped(22 * time.Second); len(acts) != 1 || acts[0].Request.Kind != Transfer || acts[0].Request.To != "b" || acts[0].Request.Token != 7 {
--- a/internal/lease/raftgroup/command.go
+++ b/internal/lease/raftgroup/command.go
@@ -120,7 +120,7 @@
 			c.mu.Unlock()
 			return
 		}
-		why = lease.Expired
+		why = lease.ReasonExpired
 	}
 	c.mu.Unlock()
 	c.OnExit(code, why)
@@ -171,7 +171,7 @@
 
 // Rejected is Task's.
 func (c *Command) Rejected(why lease.Reason) {
-	if why == lease.NoCapacity {
+	if why == lease.ReasonNoCapacity {
 		c.Log("the record of leases is full")
 	}
 }
--- a/internal/lease/raftgroup/guard_test.go
+++ b/internal/lease/raftgroup/guard_test.go
@@ -37,7 +37,7 @@
 		if held {
 			c.Extend(Boottime() + time.Hour)
 		}
-		if why := <-over; held != (why == 0) || !held && why != lease.Expired {
+		if why := <-over; held != (why == 0) || !held && why != lease.ReasonExpired {
 			t.Errorf("held %v: ended with %d", held, why)
 		}
 	}
--- a/internal/task/runner/job.go
+++ b/internal/task/runner/job.go
@@ -60,7 +60,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.ended = true
-	if why != lease.Released {
+	if why != lease.ReasonReleased {
 		j.cancel()
 	}
 	if j.act != nil {
