--- a/cmd/orchiddrift/lease.go
+++ b/cmd/orchiddrift/lease.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return raftgroup.NewClient(d.Name, raftgroup.PeersOf(d))
+	return raftgroup.NewClient(d.Name, raftgroup.DeclaredPeers(d))
 }
 
 type leaseRunCmd struct {
@@ -189,7 +189,7 @@
 	defer cancel()
 	all := at.Info(ctx)
 	for _, i := range all {
-		if i != nil && i.Leads {
+		if i != nil && i.IsLeader {
 			return i, all, nil
 		}
 	}
@@ -236,9 +236,9 @@
 		state := "does not answer"
 		if one := all[n]; one != nil {
 			switch state = "follows " + one.Leader; {
-			case one.Leads:
+			case one.IsLeader:
 				state = "leads"
-			case !one.Formed:
+			case !one.Bootstrapped:
 				state = "is not in the group yet"
 			case one.Leader == "":
 				state = "knows of no leader"
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return fmt.Errorf("tasks: %w", err)
 	}
-	at, err := raftgroup.NewClient(f.Name, raftgroup.PeersOf(f))
+	at, err := raftgroup.NewClient(f.Name, raftgroup.DeclaredPeers(f))
 	if err != nil {
 		return fmt.Errorf("tasks: %w", err)
 	}
@@ -70,7 +70,7 @@
 }
 
 func (d *daemon) member(ctx context.Context, f *leases.Declaration, l net.Listener) error {
-	m, err := raftgroup.New(ctx, raftgroup.Options{Fleet: f.Name, Name: f.Member, Peers: raftgroup.PeersOf(f), File: f.File, Limits: f.Limits(),
+	m, err := raftgroup.New(ctx, raftgroup.Options{Fleet: f.Name, Name: f.Member, Peers: raftgroup.DeclaredPeers(f), File: f.File, Limits: f.Limits(),
 		Drift: f.Drift, Tick: f.Tick.D(), Log: d.log})
 	if err != nil {
 		l.Close()
--- a/internal/lease/declaration.go
+++ b/internal/lease/declaration.go
@@ -9,22 +9,22 @@
 
 // Declaration is the operator's file's part on the fleet that a process belongs to.
 type Declaration struct {
-	Name        string         `toml:"name" reload:"start" sample:"\"bookings\"" doc:"The fleet's name: who is of another one is turned away. Absent: there is no fleet, and no leases."`
-	Member      string         `toml:"member" reload:"start" sample:"\"a\"" doc:"Which of the group's members this process is. Absent: none, it asks them."`
-	Listen      string         `toml:"listen" reload:"start" sample:"\"127.0.0.1:7001\"" doc:"Where a member listens for the others and for clients: loopback only. Absent: at its address below."`
-	File        string         `toml:"file" reload:"start" sample:"\"/var/lib/orchiddrift/fleet.db\"" doc:"A member's disk. One whose file is lost comes back as a new member."`
-	Members     []MemberOf     `toml:"members" doc:"The group that keeps the record of leases: three or five, the same in every process."`
-	Tick        units.Duration `toml:"tick" default:"50ms" reload:"start" doc:"Between two heartbeats of the group's leader. One that is silent for ten of them is replaced."`
-	MinDuration units.Duration `toml:"shortest" default:"1s" reload:"start" doc:"A lease's term is no shorter."`
-	MaxDuration units.Duration `toml:"longest" default:"5m" reload:"start" doc:"And no longer."`
-	Drift       float64        `toml:"drift" default:"0.01" reload:"start" doc:"How far the rate of any process's clock is from true time at most, as a part."`
-	MaxNames    int            `toml:"names" default:"10000" reload:"start" doc:"Leases held at once, at most: a new name is refused then."`
-	MaxTasks    int            `toml:"tasks" default:"2" reload:"start" doc:"Runs of [[task]] that this process takes at once, at most; 0: none."`
-	MaxWaiters  int            `toml:"waiters" default:"1000" reload:"start" doc:"Processes that wait for one lease, at most."`
+	Name        string              `toml:"name" reload:"start" sample:"\"bookings\"" doc:"The fleet's name: who is of another one is turned away. Absent: there is no fleet, and no leases."`
+	Member      string              `toml:"member" reload:"start" sample:"\"a\"" doc:"Which of the group's members this process is. Absent: none, it asks them."`
+	Listen      string              `toml:"listen" reload:"start" sample:"\"127.0.0.1:7001\"" doc:"Where a member listens for the others and for clients: loopback only. Absent: at its address below."`
+	File        string              `toml:"file" reload:"start" sample:"\"/var/lib/orchiddrift/fleet.db\"" doc:"A member's disk. One whose file is lost comes back as a new member."`
+	Members     []MemberDeclaration `toml:"members" doc:"The group that keeps the record of leases: three or five, the same in every process."`
+	Tick        units.Duration      `toml:"tick" default:"50ms" reload:"start" doc:"Between two heartbeats of the group's leader. One that is silent for ten of them is replaced."`
+	MinDuration units.Duration      `toml:"shortest" default:"1s" reload:"start" doc:"A lease's term is no shorter."`
+	MaxDuration units.Duration      `toml:"longest" default:"5m" reload:"start" doc:"And no longer."`
+	Drift       float64             `toml:"drift" default:"0.01" reload:"start" doc:"How far the rate of any process's clock is from true time at most, as a part."`
+	MaxNames    int                 `toml:"names" default:"10000" reload:"start" doc:"Leases held at once, at most: a new name is refused then."`
+	MaxTasks    int                 `toml:"tasks" default:"2" reload:"start" doc:"Runs of [[task]] that this process takes at once, at most; 0: none."`
+	MaxWaiters  int                 `toml:"waiters" default:"1000" reload:"start" doc:"Processes that wait for one lease, at most."`
 }
 
-// MemberOf is one of the group's members.
-type MemberOf struct {
+// MemberDeclaration is one of the group's members.
+type MemberDeclaration struct {
 	Name    string `toml:"name" sample:"\"a\"" doc:"The member's name."`
 	Address string `toml:"address" sample:"\"127.0.0.1:7001\"" doc:"Where this process reaches it: IP address and port."`
 }
@@ -34,11 +34,11 @@
 
 // Limits are the record's.
 func (d *Declaration) Limits() Limits {
-	return Limits{MaxNames: d.MaxNames, MaxWaiters: d.MaxWaiters, MaxNameBytes: maxName, MinDuration: d.MinDuration.D(), MaxDuration: d.MaxDuration.D()}
+	return Limits{MaxNames: d.MaxNames, MaxWaiters: d.MaxWaiters, MaxNameBytes: maxNameBytes, MinDuration: d.MinDuration.D(), MaxDuration: d.MaxDuration.D()}
 }
 
-// maxName bounds names of leases and clients, in bytes.
-const maxName = 200
+// maxNameBytes bounds names of leases and clients, in bytes.
+const maxNameBytes = 200
 
 // Check is tomlfile.Checker's.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
@@ -56,7 +56,7 @@
 		if m.Name == "" || names[m.Name] {
 			report("members", "item %d: the name %q is missing, or stands twice", i+1, m.Name)
 		}
-		if !loopback(m.Address) || addresses[m.Address] {
+		if !isLoopback(m.Address) || addresses[m.Address] {
 			report("members", "item %d: %q is no address on this machine (others need keys, which are not there yet), or stands twice", i+1, m.Address)
 		}
 		names[m.Name], addresses[m.Address] = true, true
@@ -69,7 +69,7 @@
 		if d.File == "" {
 			report("file", "missing: a member votes, and has to know for what")
 		}
-		if d.Listen != "" && !loopback(d.Listen) {
+		if d.Listen != "" && !isLoopback(d.Listen) {
 			report("listen", "%q is no address on this machine", d.Listen)
 		}
 	}
@@ -90,7 +90,7 @@
 	}
 }
 
-func loopback(address string) bool {
+func isLoopback(address string) bool {
 	at, err := netip.ParseAddrPort(address)
 	return err == nil && at.Addr().IsLoopback()
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -10,24 +10,24 @@
 
 var limits = Limits{MaxNames: 2, MaxWaiters: 2, MaxNameBytes: 20, MinDuration: time.Second, MaxDuration: time.Minute}
 
-// record is a Table with its leader, on a clock of its own.
-type record struct {
-	t     *testing.T
-	now   time.Duration
-	table *Table
-	terms *Expirations
-	nr    uint64
+// harness is a Table with its leader, on a clock of its own.
+type harness struct {
+	t           *testing.T
+	now         time.Duration
+	table       *Table
+	expirations *Expirations
+	sendNumber  uint64
 }
 
-func newRecord(t *testing.T) *record {
-	r := &record{t: t, table: NewTable(limits)}
-	r.terms = NewExpirations(0, r.table, 0.1)
+func newRecord(t *testing.T) *harness {
+	r := &harness{t: t, table: NewTable(limits)}
+	r.expirations = NewExpirations(0, r.table, 0.1)
 	return r
 }
 
-func (r *record) do(a Request) Reply {
-	r.nr++
-	a.SendNumber = r.nr
+func (r *harness) apply(a Request) Reply {
+	r.sendNumber++
+	a.SendNumber = r.sendNumber
 	if a.Name == "" {
 		a.Name = "x"
 	}
@@ -35,27 +35,27 @@
 		a.Duration = 10 * time.Second
 	}
 	if a.Kind == Renew {
-		return r.terms.Renew(r.now, a)
+		return r.expirations.Renew(r.now, a)
 	}
-	if reply, ok := r.terms.AnswerRepeated(r.now, a); ok {
+	if reply, ok := r.expirations.AnswerRepeated(r.now, a); ok {
 		return reply
 	}
 	reply, granted := r.table.Apply(a)
-	return r.terms.Applied(r.now, a, reply, granted)
+	return r.expirations.Applied(r.now, a, reply, granted)
 }
 
-// wait lets time go by, and applies what the leader ends.
-func (r *record) wait(d time.Duration) {
+// advance lets time go by, and applies what the leader ends.
+func (r *harness) advance(d time.Duration) {
 	r.now += d
-	for _, a := range r.terms.Expired(r.now) {
+	for _, a := range r.expirations.Expired(r.now) {
 		reply, granted := r.table.Apply(a)
-		r.terms.Applied(r.now, a, reply, granted)
+		r.expirations.Applied(r.now, a, reply, granted)
 	}
 }
 
-func (r *record) want(a Request, v Status, holder string, token Token) {
+func (r *harness) want(a Request, v Status, holder string, token Token) {
 	r.t.Helper()
-	got := r.do(a)
+	got := r.apply(a)
 	if got.Status != v || v == Granted && (got.Holder != holder || got.Token != token) {
 		r.t.Errorf("%+v: %+v, want %d %s %d", a, got, v, holder, token)
 	}
@@ -98,30 +98,30 @@
 	r.want(acquire("a", 1), Granted, "a", 1)
 	r.want(acquire("b", 1), Waiting, "a", 1)
 	for range 3 {
-		r.wait(9 * time.Second)
+		r.advance(9 * time.Second)
 		r.want(Request{Kind: Renew, Client: "a", Token: 1}, Granted, "a", 1)
 		r.want(acquire("b", 1), Waiting, "a", 1)
 	}
 	r.want(acquire("c", 1), Waiting, "a", 1)
-	r.wait(10500 * time.Millisecond) // the term, and not yet the drift
+	r.advance(10500 * time.Millisecond) // the term, and not yet the drift
 	r.want(acquire("b", 1), Waiting, "a", 1)
-	r.wait(time.Second)
+	r.advance(time.Second)
 	r.want(acquire("b", 1), Granted, "b", 2) // c was dropped as well, b was heard
 	r.want(acquire("c", 1), Waiting, "b", 2)
 	r.want(Request{Kind: Revoke, Client: "op"}, Done, "b", 2)
 	r.want(Request{Kind: Renew, Client: "b", Token: 2}, NotHeld, "b", 2)
 	r.want(acquire("b", 1), NotHeld, "b", 2)
-	r.wait(8 * time.Second)
+	r.advance(8 * time.Second)
 	r.want(acquire("c", 1), Waiting, "b", 2)
-	r.wait(5 * time.Second)
+	r.advance(5 * time.Second)
 	r.want(acquire("c", 1), Granted, "c", 3)
-	r.terms = NewExpirations(r.now+5*time.Second, r.table, 0.1) // another leads: its term is counted anew, in full
-	r.wait(15 * time.Second)
+	r.expirations = NewExpirations(r.now+5*time.Second, r.table, 0.1) // another leads: its term is counted anew, in full
+	r.advance(15 * time.Second)
 	r.want(Request{Kind: Renew, Client: "c", Token: 3}, Granted, "c", 3)
-	r.wait(time.Minute)
+	r.advance(time.Minute)
 	r.want(Request{Kind: Renew, Client: "c", Token: 3}, NotHeld, "", 0)
-	if at, ok := r.terms.Next(); ok || len(r.terms.live) != 0 {
-		t.Errorf("%v, %d are remembered", at, len(r.terms.live))
+	if at, ok := r.expirations.Next(); ok || len(r.expirations.timers) != 0 {
+		t.Errorf("%v, %d are remembered", at, len(r.expirations.timers))
 	}
 }
 
@@ -130,15 +130,15 @@
 	r := newRecord(t)
 	r.want(acquire("a", 1), Granted, "a", 1)
 	r.now = 12 * time.Second
-	if got := r.terms.Expired(r.now); len(got) != 1 || got[0].Kind != Expire {
+	if got := r.expirations.Expired(r.now); len(got) != 1 || got[0].Kind != Expire {
 		t.Fatalf("%+v", got)
 	}
 	r.want(Request{Kind: Renew, Client: "a", Token: 1}, NotHeld, "a", 1)
 	r.want(acquire("a", 1), NotHeld, "a", 1)
-	if got := r.terms.Expired(r.now); len(got) != 0 {
+	if got := r.expirations.Expired(r.now); len(got) != 0 {
 		t.Errorf("%+v at once", got)
 	}
-	if got := r.terms.Expired(r.now + askAgain); len(got) != 1 {
+	if got := r.expirations.Expired(r.now + reproposalDelay); len(got) != 1 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -154,9 +154,9 @@
 	r.want(Request{Kind: Transfer, Client: "c", Token: 2, To: "heir"}, Done, "heir", 3)
 	r.want(acquire("heir", 7), Granted, "heir", 3)
 	r.want(Request{Kind: Transfer, Client: "heir", Token: 3, To: "gone"}, Done, "gone", 4)
-	r.wait(9 * time.Second)
+	r.advance(9 * time.Second)
 	r.want(acquire("b", 1), Waiting, "gone", 4)
-	r.wait(3 * time.Second)
+	r.advance(3 * time.Second)
 	r.want(acquire("b", 1), Granted, "b", 5)
 	r.want(Request{Kind: Transfer, Client: "b", Token: 5, To: "one whose name is far too long"}, Done, "", 0)
 }
@@ -165,21 +165,21 @@
 func TestBounds(t *testing.T) {
 	r := newRecord(t)
 	for i, want := range []Status{Granted, Granted, TableFull} {
-		if got := r.do(Request{Kind: Acquire, Name: fmt.Sprint("n", i), Client: "a", Sequence: 1}); got.Status != want {
+		if got := r.apply(Request{Kind: Acquire, Name: fmt.Sprint("n", i), Client: "a", Sequence: 1}); got.Status != want {
 			t.Errorf("name %d: %+v", i, got)
 		}
 	}
-	if got := r.do(Request{Kind: Release, Name: "n0", Client: "a", Token: 1}); got.Status != Done {
+	if got := r.apply(Request{Kind: Release, Name: "n0", Client: "a", Token: 1}); got.Status != Done {
 		t.Error(got)
 	}
 	for term, want := range map[time.Duration]time.Duration{1: time.Second, time.Hour: time.Minute} {
-		got := r.do(Request{Kind: Acquire, Name: "n2", Client: "a", Sequence: 1, Duration: term})
+		got := r.apply(Request{Kind: Acquire, Name: "n2", Client: "a", Sequence: 1, Duration: term})
 		if got.Status != Granted || got.Duration != want {
 			t.Errorf("a term of %v: %+v", term, got)
 		}
-		r.do(Request{Kind: Release, Name: "n2", Client: "a", Token: got.Token})
+		r.apply(Request{Kind: Release, Name: "n2", Client: "a", Token: got.Token})
 	}
-	if got := r.do(Request{Kind: Acquire, Name: "a name that is far too long", Client: "a", Sequence: 1}); got.Status != TableFull {
+	if got := r.apply(Request{Kind: Acquire, Name: "a name that is far too long", Client: "a", Sequence: 1}); got.Status != TableFull {
 		t.Error(got)
 	}
 	other := NewTable(limits)
@@ -208,7 +208,7 @@
 		t.Errorf("%+v, then %+v", asked, again)
 	}
 	acts := h.HandleReply(5*time.Second, say(asked, Granted, 4))
-	if len(acts) != 1 || acts[0].Kind != Begin || acts[0].Until != 9*time.Second { // 1 + 10 - 1 - 1
+	if len(acts) != 1 || acts[0].Kind != ActionStartWork || acts[0].Until != 9*time.Second { // 1 + 10 - 1 - 1
 		t.Fatalf("%+v", acts)
 	}
 	h.HandleReply(5*time.Second, say(again, Granted, 4))
@@ -222,7 +222,7 @@
 	if h.HandleReply(8*time.Second, say(asked, NotHeld, 0)) != nil { // of before the grant
 		t.Error("an old word ends it")
 	}
-	if acts := h.Tick(11 * time.Second); len(acts) != 1 || acts[0].Kind != End || acts[0].Reason != ReasonExpired {
+	if acts := h.Tick(11 * time.Second); len(acts) != 1 || acts[0].Kind != ActionStopWork || acts[0].Reason != ReasonExpired {
 		t.Errorf("%+v", acts)
 	}
 	if _, _, ok := h.Held(11 * time.Second); ok {
@@ -231,7 +231,7 @@
 	if acts := h.HandleReply(11*time.Second, say(renew, Granted, 4)); acts != nil { // too late: it is ending
 		t.Errorf("%+v", acts)
 	}
-	acts = h.Stopped(12 * time.Second)
+	acts = h.WorkStopped(12 * time.Second)
 	if len(acts) != 2 || acts[0].Request.Kind != Release || acts[0].Request.Token != 4 || acts[1].Request.Kind != Acquire || acts[1].Request.Sequence != 2 {
 		t.Fatalf("%+v", acts)
 	}
@@ -239,7 +239,7 @@
 	if acts := h.HandleReply(13*time.Second, say(again, Granted, 5)); len(acts) != 1 || acts[0].Request.Kind != Release || acts[0].Request.Token != 5 {
 		t.Errorf("granted to a wish that is over: %+v", acts)
 	}
-	if acts := h.HandleReply(13*time.Second, say(second, HeldByOther, 0)); len(acts) != 1 || acts[0].Kind != Rejected || acts[0].Reason != ReasonBusy {
+	if acts := h.HandleReply(13*time.Second, say(second, HeldByOther, 0)); len(acts) != 1 || acts[0].Kind != ActionReportRejection || acts[0].Reason != ReasonBusy {
 		t.Errorf("%+v", acts)
 	}
 	if acts := h.Release(14*time.Second, ""); len(acts) != 1 || acts[0].Request.Kind != RemoveWaiter {
@@ -250,10 +250,10 @@
 	}
 	third := h.Acquire(20 * time.Second)[0].Request
 	h.HandleReply(20*time.Second, say(third, Granted, 7))
-	if acts := h.Release(21*time.Second, "b"); len(acts) != 1 || acts[0].Kind != End || acts[0].Reason != ReasonReleased {
+	if acts := h.Release(21*time.Second, "b"); len(acts) != 1 || acts[0].Kind != ActionStopWork || acts[0].Reason != ReasonReleased {
 		t.Errorf("%+v", acts)
 	}
-	if acts := h.Stopped(22 * time.Second); len(acts) != 1 || acts[0].Request.Kind != Transfer || acts[0].Request.To != "b" || acts[0].Request.Token != 7 {
+	if acts := h.WorkStopped(22 * time.Second); len(acts) != 1 || acts[0].Request.Kind != Transfer || acts[0].Request.To != "b" || acts[0].Request.Token != 7 {
 		t.Errorf("%+v", acts)
 	}
 	if _, ok := h.Next(); ok {
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -19,88 +19,88 @@
 // The model: a record with a leader, holders, and what is on the way between them. Time goes in quanta, in each of which a clock goes on by
 // its rate: 3 units is the slow edge of a drift of a quarter, 5 the fast one.
 const (
-	quantum   = 4
-	modelTerm = 4 * quantum
-	edge      = 0.25
+	quantum       = 4
+	modelDuration = 4 * quantum
+	driftLimit    = 0.25
 )
 
-type modelBounds struct {
+type searchBounds struct {
 	holders, names int
 	rates          []time.Duration // of the holders' clocks
-	leader         time.Duration   // the rate of the leader's clock
+	leaderRate     time.Duration   // the rate of the leader's clock
 	quanta         int             // so long
-	flying         int             // messages at once
-	wishes         uint64          // each holder begins to want so often
-	mishaps        int             // messages that are lost or come twice, wishes that end, and changes of the leader: so many in all
-	from           uint64          // the first walk
-	broken         string          // a rule that is left out, to see that the search finds it
+	inTransit      int             // messages at once
+	acquisitions   uint64          // each holder begins to want so often
+	faults         int             // messages that are lost or come twice, wishes that end, and changes of the leader: so many in all
+	firstSeed      uint64          // the first walk
+	omittedRule    string          // a rule that is left out, to see that the search finds it
 }
 
 type message struct {
-	ask   Request
-	reply Reply
-	to    int // a holder; below 0: the record
+	request Request
+	reply   Reply
+	to      int // a holder; below 0: the record
 }
 
 type world struct {
-	b       *modelBounds
-	clock   []time.Duration // of holders, by holder
-	leads   time.Duration   // the leader's clock
-	quanta  int
-	spent   int // mishaps
-	table   *Table
-	terms   *Expirations
-	holders []*Holder // by holder and name
-	wished  []uint64
-	flying  []message
-	log     []Request // proposed, and not applied
+	bounds       *searchBounds
+	clock        []time.Duration // of holders, by holder
+	leaderClock  time.Duration   // the leader's clock
+	quanta       int
+	faults       int // mishaps
+	table        *Table
+	expirations  *Expirations
+	holders      []*Holder // by holder and name
+	acquisitions []uint64
+	inTransit    []message
+	proposals    []Request // proposed, and not applied
 }
 
-func (w *world) at(h int) time.Duration { return w.clock[h/w.b.names] }
+func (w *world) now(h int) time.Duration { return w.clock[h/w.bounds.names] }
 
-func newWorld(b *modelBounds) *world {
-	w := &world{b: b, clock: make([]time.Duration, b.holders), table: NewTable(Limits{4, 4, 100, 1, 1 << 20})}
-	w.terms = NewExpirations(0, w.table, edge)
+func newWorld(b *searchBounds) *world {
+	w := &world{bounds: b, clock: make([]time.Duration, b.holders), table: NewTable(Limits{4, 4, 100, 1, 1 << 20})}
+	w.expirations = NewExpirations(0, w.table, driftLimit)
 	for h := range b.holders {
 		for n := range b.names {
-			drift := edge
-			if b.broken == "no drift" {
+			drift := driftLimit
+			if b.omittedRule == "no drift" {
 				drift = 0
 			}
-			w.holders = append(w.holders, NewHolder(HolderOptions{Name: names[n], Client: clients[h], Duration: modelTerm, Wait: true,
-				Drift: drift, RetryInterval: modelTerm / 3}))
+			w.holders = append(w.holders, NewHolder(HolderOptions{Name: modelNames[n], Client: modelClients[h], Duration: modelDuration, Wait: true,
+				Drift: drift, RetryInterval: modelDuration / 3}))
 		}
 	}
-	w.wished = make([]uint64, len(w.holders))
+	w.acquisitions = make([]uint64, len(w.holders))
 	return w
 }
 
 func (w *world) clone() *world {
 	c := *w
-	c.clock, c.wished, c.flying, c.log = slices.Clone(w.clock), slices.Clone(w.wished), slices.Clone(w.flying), slices.Clone(w.log)
+	c.clock, c.acquisitions, c.inTransit, c.proposals = slices.Clone(w.clock), slices.Clone(w.acquisitions), slices.Clone(w.inTransit), slices.Clone(w.proposals)
 	c.table = NewTable(w.table.limits)
-	c.table.Restore(w.table.last, w.table.List())
-	c.terms = &Expirations{table: c.table, drift: w.terms.drift, live: map[string]*alive{}}
-	for k, x := range w.terms.live {
+	c.table.Restore(w.table.lastToken, w.table.List())
+	c.expirations = &Expirations{table: c.table, drift: w.expirations.drift, timers: map[string]*expiryTimer{}}
+	for k, x := range w.expirations.timers {
 		y := *x
-		c.terms.live[k] = &y
+		c.expirations.timers[k] = &y
 	}
-	c.terms.due = make(ends, len(w.terms.due))
-	for _, y := range c.terms.live {
-		c.terms.due[y.index] = y
+	c.expirations.queue = make(timerQueue, len(w.expirations.queue))
+	for _, y := range c.expirations.timers {
+		c.expirations.queue[y.index] = y
 	}
-	heap.Init(&c.terms.due)
+	heap.Init(&c.expirations.queue)
 	c.holders = make([]*Holder, len(w.holders))
 	for i, h := range w.holders {
 		x := *h
-		x.sent = maps.Clone(h.sent)
+		x.sentAt = maps.Clone(h.sentAt)
 		c.holders[i] = &x
 	}
 	return &c
 }
 
-// text is a world's, with its times from now on.
-func (w *world) text(b []byte) []byte {
+// fingerprint is a world's, with its times from now on.
+func (w *world) fingerprint(b []byte) []byte {
 	n := func(xs ...int64) {
 		for _, x := range xs {
 			b = binary.AppendVarint(b, x)
@@ -110,16 +110,16 @@
 		n(int64(a.Kind), int64(a.Sequence), int64(a.SendNumber), int64(a.Token), int64(len(a.To)))
 		b = append(append(append(b, a.Name...), a.Client...), a.To...)
 	}
-	n(int64(w.quanta), int64(w.spent), int64(w.table.last), int64(len(w.log)))
-	for i := range w.log {
-		ask(&w.log[i])
+	n(int64(w.quanta), int64(w.faults), int64(w.table.lastToken), int64(len(w.proposals)))
+	for i := range w.proposals {
+		ask(&w.proposals[i])
 	}
-	for _, x := range w.wished {
+	for _, x := range w.acquisitions {
 		n(int64(x))
 	}
-	for i := range w.b.names {
-		name := names[i]
-		e := w.table.names[name]
+	for i := range w.bounds.names {
+		name := modelNames[i]
+		e := w.table.entries[name]
 		if e == nil {
 			n(-1)
 			continue
@@ -136,38 +136,38 @@
 		for _, c := range append([]Waiter{{}}, e.Waiters...) {
 			b = append(b, c.Client...)
 			n(int64(c.Sequence))
-			if x := w.terms.live[key(name, c.Client)]; x != nil {
-				n(int64(x.seq), int64(x.token), int64(x.at-w.leads))
-				if x.asked {
+			if x := w.expirations.timers[timerKey(name, c.Client)]; x != nil {
+				n(int64(x.sequence), int64(x.token), int64(x.deadline-w.leaderClock))
+				if x.proposed {
 					n(1)
 				}
 			}
 		}
 	}
 	for i, h := range w.holders {
-		now := w.at(i)
-		n(int64(h.phase), int64(h.seq), int64(h.token), int64(len(h.to)), int64(h.nr))
-		if h.wants {
+		now := w.now(i)
+		n(int64(h.state), int64(h.sequence), int64(h.token), int64(len(h.transferTo)), int64(h.sendNumber))
+		if h.wanted {
 			n(1)
 		}
-		switch h.phase { // what counts in it
+		switch h.state { // what counts in it
 		case holding:
-			n(int64(h.until-now), int64(h.next-now), int64(h.granted-now))
-		case asking:
-			n(int64(h.next - now))
+			n(int64(h.validUntil-now), int64(h.nextSend-now), int64(h.grantSentAt-now))
+		case acquiring:
+			n(int64(h.nextSend - now))
 		}
-		for nr := max(h.nr, sentMost) - sentMost; nr <= h.nr; nr++ {
-			if at, ok := h.sent[nr]; ok {
+		for nr := max(h.sendNumber, maxTrackedSends) - maxTrackedSends; nr <= h.sendNumber; nr++ {
+			if at, ok := h.sentAt[nr]; ok {
 				n(int64(at - now))
 			}
 		}
 	}
 	from := len(b)
-	texts := make([]string, len(w.flying))
-	for i := range w.flying {
-		m := &w.flying[i]
+	texts := make([]string, len(w.inTransit))
+	for i := range w.inTransit {
+		m := &w.inTransit[i]
 		n(int64(m.to))
-		ask(&m.ask)
+		ask(&m.request)
 		n(int64(m.reply.Status), int64(m.reply.Sequence), int64(m.reply.SendNumber), int64(m.reply.Token))
 		texts[i] = string(b[from:])
 		b = b[:from]
@@ -179,47 +179,47 @@
 	return b
 }
 
-var names, clients = []string{"l0", "l1"}, []string{"c0", "c1", "c2"}
+var modelNames, modelClients = []string{"l0", "l1"}, []string{"c0", "c1", "c2"}
 
-// does carries out what a holder wants done. What does not fit is lost.
-func (w *world) does(h int, acts []Action) {
+// perform carries out what a holder wants done. What does not fit is lost.
+func (w *world) perform(h int, acts []Action) {
 	for _, a := range acts {
 		switch a.Kind {
-		case Send:
-			w.fly(message{ask: a.Request, to: -1})
-		case End: // its act ends at once
-			w.does(h, w.holders[h].Stopped(w.at(h)))
+		case ActionSend:
+			w.transmit(message{request: a.Request, to: -1})
+		case ActionStopWork: // its act ends at once
+			w.perform(h, w.holders[h].WorkStopped(w.now(h)))
 		}
 	}
 }
 
-func (w *world) fly(m message) {
-	if len(w.flying) < w.b.flying {
-		w.flying = append(w.flying, m)
+func (w *world) transmit(m message) {
+	if len(w.inTransit) < w.bounds.inTransit {
+		w.inTransit = append(w.inTransit, m)
 	}
 }
 
-// hears is the record's driver.
-func (w *world) hears(a Request) {
+// receive is the record's driver.
+func (w *world) receive(a Request) {
 	if a.Kind == Renew {
-		w.answer(w.terms.Renew(w.leads, a))
+		w.answer(w.expirations.Renew(w.leaderClock, a))
 		return
 	}
-	if r, ok := w.terms.AnswerRepeated(w.leads, a); ok {
+	if r, ok := w.expirations.AnswerRepeated(w.leaderClock, a); ok {
 		w.answer(r)
 		return
 	}
-	if len(w.log) < 3 {
-		w.log = append(w.log, a)
+	if len(w.proposals) < 3 {
+		w.proposals = append(w.proposals, a)
 	}
 }
 
 func (w *world) apply() {
-	a := w.log[0]
-	w.log = w.log[1:]
+	a := w.proposals[0]
+	w.proposals = w.proposals[1:]
 	r, granted := w.table.Apply(a)
-	told := w.terms.Applied(w.leads, a, r, granted)
-	if w.b.broken == "asked for" {
+	told := w.expirations.Applied(w.leaderClock, a, r, granted)
+	if w.bounds.omittedRule == "asked for" {
 		told = r
 	}
 	if a.SendNumber > 0 {
@@ -229,83 +229,83 @@
 
 func (w *world) answer(r Reply) {
 	for i, h := range w.holders {
-		if h.o.Client == r.Client && h.o.Name == r.Name && r.SendNumber > 0 {
-			w.fly(message{reply: r, to: i})
+		if h.options.Client == r.Client && h.options.Name == r.Name && r.SendNumber > 0 {
+			w.transmit(message{reply: r, to: i})
 		}
 	}
 }
 
-// choice is a step that may follow.
-type choice struct {
-	what   string
-	mishap bool
-	do     func(c *world) // to a copy, or to the world itself
+// modelStep is a step that may follow.
+type modelStep struct {
+	name  string
+	fault bool
+	apply func(c *world) // to a copy, or to the world itself
 }
 
-// next are the steps that may follow.
-func (w *world) next() (out []choice) {
-	add := func(what string, do func(c *world)) { out = append(out, choice{what, false, do}) }
+// steps are the steps that may follow.
+func (w *world) steps() (out []modelStep) {
+	add := func(what string, do func(c *world)) { out = append(out, modelStep{what, false, do}) }
 	mishap := func(what string, do func(c *world)) {
-		if w.spent < w.b.mishaps {
-			out = append(out, choice{what, true, func(c *world) { c.spent++; do(c) }})
+		if w.faults < w.bounds.faults {
+			out = append(out, modelStep{what, true, func(c *world) { c.faults++; do(c) }})
 		}
 	}
-	if w.quanta < w.b.quanta {
+	if w.quanta < w.bounds.quanta {
 		add("a quantum", func(c *world) {
 			c.quanta++
 			for h := range c.clock {
-				c.clock[h] += c.b.rates[h]
+				c.clock[h] += c.bounds.rates[h]
 			}
-			c.leads += c.b.leader
+			c.leaderClock += c.bounds.leaderRate
 		})
 	}
-	for i, m := range w.flying {
+	for i, m := range w.inTransit {
 		add("comes", func(c *world) {
-			c.flying = slices.Delete(c.flying, i, i+1)
+			c.inTransit = slices.Delete(c.inTransit, i, i+1)
 			c.deliver(m)
 		})
-		mishap("lost", func(c *world) { c.flying = slices.Delete(c.flying, i, i+1) })
+		mishap("lost", func(c *world) { c.inTransit = slices.Delete(c.inTransit, i, i+1) })
 		mishap("comes, and will again", func(c *world) { c.deliver(m) })
 	}
-	if len(w.log) > 0 {
+	if len(w.proposals) > 0 {
 		add("applied", func(c *world) { c.apply() })
 	}
-	if at, ok := w.terms.Next(); ok && at <= w.leads && len(w.log) < 3 {
-		add("due", func(c *world) { c.log = append(c.log, c.terms.Expired(c.leads)...) })
+	if at, ok := w.expirations.Next(); ok && at <= w.leaderClock && len(w.proposals) < 3 {
+		add("due", func(c *world) { c.proposals = append(c.proposals, c.expirations.Expired(c.leaderClock)...) })
 	}
-	for keeps := range len(w.log) + 1 { // what was proposed is there with the next leader, or is not
+	for keeps := range len(w.proposals) + 1 { // what was proposed is there with the next leader, or is not
 		mishap("another leads", func(c *world) {
-			for _, a := range c.log[:keeps] {
+			for _, a := range c.proposals[:keeps] {
 				c.table.Apply(a)
 			}
-			c.log = nil
-			old := c.terms
-			c.terms = NewExpirations(c.leads, c.table, edge)
-			if c.b.broken == "not anew" { // it takes over what its predecessor had counted, and not what that confirmed last
-				for k, x := range c.terms.live {
-					if y := old.live[k]; y != nil && y.token == x.token {
-						x.at = y.at - modelTerm/2
+			c.proposals = nil
+			old := c.expirations
+			c.expirations = NewExpirations(c.leaderClock, c.table, driftLimit)
+			if c.bounds.omittedRule == "not anew" { // it takes over what its predecessor had counted, and not what that confirmed last
+				for k, x := range c.expirations.timers {
+					if y := old.timers[k]; y != nil && y.token == x.token {
+						x.deadline = y.deadline - modelDuration/2
 					}
 				}
-				heap.Init(&c.terms.due)
+				heap.Init(&c.expirations.queue)
 			}
 		})
 	}
 	for i, h := range w.holders {
-		now := w.at(i)
+		now := w.now(i)
 		if at, ok := h.Next(); ok && at <= now { // or it is stopped, and does not look
-			add(h.o.Client+" looks at its clock", func(c *world) { c.does(i, c.holders[i].Tick(now)) })
+			add(h.options.Client+" looks at its clock", func(c *world) { c.perform(i, c.holders[i].Tick(now)) })
 		}
 		switch {
-		case !h.wants && w.wished[i] < w.b.wishes:
-			add(h.o.Client+" wants", func(c *world) {
-				c.wished[i]++
-				c.does(i, c.holders[i].Acquire(now))
+		case !h.wanted && w.acquisitions[i] < w.bounds.acquisitions:
+			add(h.options.Client+" wants", func(c *world) {
+				c.acquisitions[i]++
+				c.perform(i, c.holders[i].Acquire(now))
 			})
-		case h.wants && h.phase == holding:
-			mishap(h.o.Client+" leaves", func(c *world) { c.does(i, c.holders[i].Release(now, "")) })
-			if other := (i + w.b.names) % len(w.holders); other != i {
-				mishap(h.o.Client+" hands on", func(c *world) { c.does(i, c.holders[i].Release(now, c.holders[other].o.Client)) })
+		case h.wanted && h.state == holding:
+			mishap(h.options.Client+" leaves", func(c *world) { c.perform(i, c.holders[i].Release(now, "")) })
+			if other := (i + w.bounds.names) % len(w.holders); other != i {
+				mishap(h.options.Client+" hands on", func(c *world) { c.perform(i, c.holders[i].Release(now, c.holders[other].options.Client)) })
 			}
 		}
 	}
@@ -314,24 +314,24 @@
 
 func (w *world) deliver(m message) {
 	if m.to < 0 {
-		w.hears(m.ask)
+		w.receive(m.request)
 		return
 	}
 	h := w.holders[m.to]
-	if w.b.broken == "from the answer" {
-		if _, ok := h.sent[m.reply.SendNumber]; ok {
-			h.sent[m.reply.SendNumber] = w.at(m.to)
+	if w.bounds.omittedRule == "from the answer" {
+		if _, ok := h.sentAt[m.reply.SendNumber]; ok {
+			h.sentAt[m.reply.SendNumber] = w.now(m.to)
 		}
 	}
-	w.does(m.to, h.HandleReply(w.at(m.to), m.reply))
+	w.perform(m.to, h.HandleReply(w.now(m.to), m.reply))
 }
 
-// wrong is what must not be: two hold one name, or a lower token follows a higher one.
-func (w *world) wrong() string {
-	for n := range w.b.names {
+// violation is what must not be: two hold one name, or a lower token follows a higher one.
+func (w *world) violation() string {
+	for n := range w.bounds.names {
 		var who []int
-		for h := range w.b.holders {
-			if _, _, ok := w.holders[h*w.b.names+n].Held(w.clock[h]); ok {
+		for h := range w.bounds.holders {
+			if _, _, ok := w.holders[h*w.bounds.names+n].Held(w.clock[h]); ok {
 				who = append(who, h)
 			}
 		}
@@ -345,32 +345,32 @@
 // recovers tells whether somebody comes to hold each name again once everything works.
 func (w *world) recovers() bool {
 	c := w.clone()
-	b := *w.b
-	b.flying = 100
-	c.b = &b
+	b := *w.bounds
+	b.inTransit = 100
+	c.bounds = &b
 	held := make([]bool, b.names)
 	for i := range c.holders {
-		c.does(i, c.holders[i].Acquire(c.at(i)))
+		c.perform(i, c.holders[i].Acquire(c.now(i)))
 	}
 	for range 200 {
 		for range 100 {
 			switch {
-			case len(c.flying) > 0:
-				m := c.flying[0]
-				c.flying = c.flying[1:]
+			case len(c.inTransit) > 0:
+				m := c.inTransit[0]
+				c.inTransit = c.inTransit[1:]
 				c.deliver(m)
-			case len(c.log) > 0:
+			case len(c.proposals) > 0:
 				c.apply()
 			default:
-				due := c.terms.Expired(c.leads)
-				c.log = append(c.log, due...)
+				due := c.expirations.Expired(c.leaderClock)
+				c.proposals = append(c.proposals, due...)
 				for i, h := range c.holders {
-					if _, _, ok := h.Held(c.at(i)); ok {
+					if _, _, ok := h.Held(c.now(i)); ok {
 						held[i%b.names] = true
 					}
-					c.does(i, h.Tick(c.at(i)))
+					c.perform(i, h.Tick(c.now(i)))
 				}
-				if len(c.flying)+len(due) == 0 {
+				if len(c.inTransit)+len(due) == 0 {
 					goto quiet
 				}
 			}
@@ -382,110 +382,110 @@
 		for h := range c.clock {
 			c.clock[h] += b.rates[h]
 		}
-		c.leads += b.leader
+		c.leaderClock += b.leaderRate
 	}
 	return false
 }
 
 // search visits every world within the bounds, going deep first, and returns how it came to a wrong one.
-func search(b modelBounds, most int) (states int, story []string, whole bool) {
+func search(bounds searchBounds, limit int) (states int, trace []string, exhaustive bool) {
 	type step struct {
 		w      *world
 		what   string
 		before *step
 	}
-	told := func(at *step, what string) (out []string) {
-		for out = []string{what}; at != nil; at = at.before {
-			out = append(out, at.what)
+	traceOf := func(current *step, what string) (out []string) {
+		for out = []string{what}; current != nil; current = current.before {
+			out = append(out, current.what)
 		}
 		slices.Reverse(out)
 		return out
 	}
 	seed := maphash.MakeSeed()
-	var text []byte
+	var encoded []byte
 	seen := map[uint64]struct{}{}
-	stack := []*step{{w: newWorld(&b), what: "begin"}}
+	stack := []*step{{w: newWorld(&bounds), what: "begin"}}
 	for len(stack) > 0 {
-		at := stack[len(stack)-1]
+		current := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		text = at.w.text(text[:0])
-		me := maphash.Bytes(seed, text)
-		if _, ok := seen[me]; ok {
+		encoded = current.w.fingerprint(encoded[:0])
+		hash := maphash.Bytes(seed, encoded)
+		if _, ok := seen[hash]; ok {
 			continue
 		}
-		if len(seen) >= most {
+		if len(seen) >= limit {
 			return len(seen), nil, false
 		}
-		seen[me] = struct{}{}
-		if bad := at.w.wrong(); bad != "" {
-			return len(seen), told(at, bad), false
+		seen[hash] = struct{}{}
+		if violation := current.w.violation(); violation != "" {
+			return len(seen), traceOf(current, violation), false
 		}
-		if me%64 == 0 && !at.w.recovers() {
-			return len(seen), told(at, "nobody ever holds it again"), false
+		if hash%64 == 0 && !current.w.recovers() {
+			return len(seen), traceOf(current, "nobody ever holds it again"), false
 		}
-		for _, x := range at.w.next() {
-			c := at.w.clone()
-			x.do(c)
-			stack = append(stack, &step{c, x.what, at})
+		for _, x := range current.w.steps() {
+			c := current.w.clone()
+			x.apply(c)
+			stack = append(stack, &step{c, x.name, current})
 		}
-		at.w = nil
+		current.w = nil
 	}
 	return len(seen), nil, true
 }
 
-var deep = flag.Int("states", 30_000, "how many states TestModel visits at most, for each of its bounds")
+var maxStates = flag.Int("states", 30_000, "how many states TestModel visits at most, for each of its bounds")
 
 // Every order of a few steps is tried: asks and replies that are lost, late or come twice, clocks at both edges of their drift, holders that are
 // stopped, leaders that change with what they had proposed or without. Two never hold one name, and from no state is it lost for good.
 func TestModel(t *testing.T) {
-	for name, b := range map[string]modelBounds{
-		"two holders, slow, before a fast leader":  {holders: 2, names: 1, rates: []time.Duration{3, 3}, leader: 5, quanta: 7, flying: 2, wishes: 1, mishaps: 1},
-		"a leader changes":                         {holders: 2, names: 1, rates: []time.Duration{3, 5}, leader: 5, quanta: 6, flying: 2, wishes: 1, mishaps: 2},
-		"three holders":                            {holders: 3, names: 1, rates: []time.Duration{3, 5, 3}, leader: 5, quanta: 5, flying: 2, wishes: 1, mishaps: 1},
-		"two names":                                {holders: 2, names: 2, rates: []time.Duration{3, 3}, leader: 5, quanta: 5, flying: 2, wishes: 1, mishaps: 1},
-		"holders that come again, and a slow lead": {holders: 2, names: 1, rates: []time.Duration{5, 3}, leader: 3, quanta: 6, flying: 2, wishes: 2, mishaps: 1},
+	for name, bounds := range map[string]searchBounds{
+		"two holders, slow, before a fast leader":  {holders: 2, names: 1, rates: []time.Duration{3, 3}, leaderRate: 5, quanta: 7, inTransit: 2, acquisitions: 1, faults: 1},
+		"a leader changes":                         {holders: 2, names: 1, rates: []time.Duration{3, 5}, leaderRate: 5, quanta: 6, inTransit: 2, acquisitions: 1, faults: 2},
+		"three holders":                            {holders: 3, names: 1, rates: []time.Duration{3, 5, 3}, leaderRate: 5, quanta: 5, inTransit: 2, acquisitions: 1, faults: 1},
+		"two names":                                {holders: 2, names: 2, rates: []time.Duration{3, 3}, leaderRate: 5, quanta: 5, inTransit: 2, acquisitions: 1, faults: 1},
+		"holders that come again, and a slow lead": {holders: 2, names: 1, rates: []time.Duration{5, 3}, leaderRate: 3, quanta: 6, inTransit: 2, acquisitions: 2, faults: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			states, story, whole := search(b, *deep)
-			if story != nil {
-				t.Errorf("after %d states:\n%s", states, strings.Join(story, "\n"))
+			states, trace, exhaustive := search(bounds, *maxStates)
+			if trace != nil {
+				t.Errorf("after %d states:\n%s", states, strings.Join(trace, "\n"))
 			}
-			t.Logf("%d states, all of them: %v", states, whole)
+			t.Logf("%d states, all of them: %v", states, exhaustive)
 		})
 	}
 }
 
 // walk takes steps as they are drawn: mostly what a day brings, and now and then a mishap. It returns how it came to a wrong world; nil: it
 // did not.
-func walk(b *modelBounds, draw func(what string, n int) int, steps int) (story []string) {
-	w := newWorld(b)
+func walk(bounds *searchBounds, draw func(what string, n int) int, steps int) (trace []string) {
+	w := newWorld(bounds)
 	for range steps {
-		all := w.next()
-		var usual, odd []choice
-		for _, c := range all {
-			if c.mishap {
-				odd = append(odd, c)
+		steps := w.steps()
+		var usual, faults []modelStep
+		for _, c := range steps {
+			if c.fault {
+				faults = append(faults, c)
 			} else {
 				usual = append(usual, c)
 			}
 		}
 		from := usual
-		if len(odd) > 0 && (len(usual) == 0 || draw("mishap", 12) == 0) {
-			from = odd
+		if len(faults) > 0 && (len(usual) == 0 || draw("mishap", 12) == 0) {
+			from = faults
 		}
 		if len(from) == 0 {
 			return nil
 		}
 		c := from[draw("step", len(from))]
-		c.do(w)
-		story = append(story, c.what)
-		if bad := w.wrong(); bad != "" {
-			return append(story, bad)
+		c.apply(w)
+		trace = append(trace, c.name)
+		if violation := w.violation(); violation != "" {
+			return append(trace, violation)
 		}
 	}
 	if !w.recovers() {
-		return append(story, "nobody ever holds it again")
+		return append(trace, "nobody ever holds it again")
 	}
 	return nil
 }
@@ -494,25 +494,25 @@
 func TestModelAtRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]time.Duration{3, 4, 5})
-		b := modelBounds{holders: 3, names: 2, rates: []time.Duration{rate.Draw(t, "rate"), rate.Draw(t, "rate"), rate.Draw(t, "rate")},
-			leader: rate.Draw(t, "leader"), quanta: 1000, flying: 6, wishes: 3, mishaps: 20}
-		if story := walk(&b, func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }, 300); story != nil {
-			t.Fatal(strings.Join(story, "\n"))
+		bounds := searchBounds{holders: 3, names: 2, rates: []time.Duration{rate.Draw(t, "rate"), rate.Draw(t, "rate"), rate.Draw(t, "rate")},
+			leaderRate: rate.Draw(t, "leader"), quanta: 1000, inTransit: 6, acquisitions: 3, faults: 20}
+		if trace := walk(&bounds, func(what string, n int) int { return rapid.IntRange(0, n-1).Draw(t, what) }, 300); trace != nil {
+			t.Fatal(strings.Join(trace, "\n"))
 		}
 	})
 }
 
 // Both searches find what they are there for: each rule that is left out leads to two holders.
 func TestModelBites(t *testing.T) {
-	for broken, b := range map[string]modelBounds{"from the answer": {}, "no drift": {}, "not anew": {}, "asked for": {wishes: 4, from: 82_000}} {
-		t.Run(broken, func(t *testing.T) {
+	for omittedRule, bounds := range map[string]searchBounds{"from the answer": {}, "no drift": {}, "not anew": {}, "asked for": {acquisitions: 4, firstSeed: 82_000}} {
+		t.Run(omittedRule, func(t *testing.T) {
 			t.Parallel()
-			b.holders, b.names, b.rates, b.leader, b.broken = 2, 1, []time.Duration{3, 3}, 5, broken
-			b.quanta, b.flying, b.wishes, b.mishaps = 30, 4, max(b.wishes, 1), 4
-			for n := b.from; n < b.from+200_000; n++ { // the one that is found first, of all, would take a minute
-				rng := rand.New(rand.NewPCG(n, 1))
-				if story := walk(&b, func(_ string, n int) int { return rng.IntN(n) }, 80); story != nil {
-					t.Logf("walk %d: %d steps", n, len(story))
+			bounds.holders, bounds.names, bounds.rates, bounds.leaderRate, bounds.omittedRule = 2, 1, []time.Duration{3, 3}, 5, omittedRule
+			bounds.quanta, bounds.inTransit, bounds.acquisitions, bounds.faults = 30, 4, max(bounds.acquisitions, 1), 4
+			for seed := bounds.firstSeed; seed < bounds.firstSeed+200_000; seed++ { // the one that is found first, of all, would take a minute
+				rng := rand.New(rand.NewPCG(seed, 1))
+				if trace := walk(&bounds, func(_ string, seed int) int { return rng.IntN(seed) }, 80); trace != nil {
+					t.Logf("walk %d: %d steps", seed, len(trace))
 					return
 				}
 			}
--- a/internal/lease/raftgroup/client.go
+++ b/internal/lease/raftgroup/client.go
@@ -17,8 +17,8 @@
 // redial is how soon a broken connection to a member is made again.
 var redial = backoff.Config{BaseDelay: 20 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}
 
-// Boottime is the time since the machine started, which goes on while it sleeps.
-func Boottime() time.Duration {
+// BootTime is the time since the machine started, which goes on while it sleeps.
+func BootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic(err) // Linux has had it since 2.6.39
@@ -26,8 +26,8 @@
 	return time.Duration(t.Nano())
 }
 
-// PeersOf are the members that the operator's file names.
-func PeersOf(d *lease.Declaration) (out []Peer) {
+// DeclaredPeers are the members that the operator's file names.
+func DeclaredPeers(d *lease.Declaration) (out []Peer) {
 	for _, m := range d.Members {
 		out = append(out, Peer(m))
 	}
@@ -48,7 +48,7 @@
 func NewClient(fleet string, peers []Peer) (*Client, error) {
 	c := &Client{fleet: fleet, peers: peers}
 	for _, p := range peers {
-		conn, err := Dial(p.Address)
+		conn, err := dial(p.Address)
 		if err != nil {
 			return nil, errors.Join(err, c.Close())
 		}
--- a/internal/lease/raftgroup/command.go
+++ b/internal/lease/raftgroup/command.go
@@ -52,8 +52,8 @@
 	told chan struct{}
 }
 
-// Begin is Task's.
-func (c *Command) Begin(token lease.Token, until time.Duration) {
+// Start is Task's.
+func (c *Command) Start(token lease.Token, until time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.token, c.until, c.ended, c.run = token, until, 0, nil
@@ -116,7 +116,7 @@
 		code = 1
 	}
 	if why == 0 && g.late {
-		if Boottime() < c.until && c.launchLocked() == nil {
+		if BootTime() < c.until && c.launchLocked() == nil {
 			c.mu.Unlock()
 			return
 		}
@@ -140,8 +140,8 @@
 	}
 }
 
-// End is Task's.
-func (c *Command) End(why lease.Reason) <-chan struct{} {
+// Stop is Task's.
+func (c *Command) Stop(why lease.Reason) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g := c.run
@@ -188,7 +188,7 @@
 	cmd := exec.Command(argv[0], argv[1:]...)
 	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if Boottime() >= until { // a busy machine began the guard too late: not the command's end, and who asked may have another term by now
+	if BootTime() >= until { // a busy machine began the guard too late: not the command's end, and who asked may have another term by now
 		_, _ = fmt.Fprintf(pid, "0\n%s\n", tooLate)
 		return 1, errors.Join(errors.New("the lease's term was over before its command began"), pid.Close())
 	}
@@ -230,15 +230,15 @@
 			until = max(until, at)
 			continue
 		case <-look.C:
-			if Boottime() < until {
+			if BootTime() < until {
 				continue
 			}
 			_, _ = fmt.Fprintln(pid, tooLate)
 		case <-end:
 		}
 		_ = syscall.Kill(group, syscall.SIGTERM)
-		last := min(Boottime(), until) + margin
-		for Boottime() < last {
+		last := min(BootTime(), until) + margin
+		for BootTime() < last {
 			select {
 			case <-over:
 				_ = syscall.Kill(group, syscall.SIGKILL) // what it has left behind
--- a/internal/lease/raftgroup/golden_test.go
+++ b/internal/lease/raftgroup/golden_test.go
@@ -48,7 +48,7 @@
 	goldenJSON(t, "step.json", stepCall{from, []byte("message")})
 	goldenJSON(t, "ask.json", askCall{hello: from, Ask: ask, Hold: time.Second})
 	goldenJSON(t, "answer.json", askAnswer{Reply: lease.Reply{Status: lease.Granted, Client: "c1", Name: "report", Sequence: 1, SendNumber: 2, Token: 9, Duration: time.Second}, Leader: "b"})
-	goldenJSON(t, "info.json", Info{ID: 77, Name: "a", Formed: true, Leads: true, Leader: "a", Peers: map[uint64]string{77: "a"}, LastToken: 9, Leases: []lease.Entry{entry},
+	goldenJSON(t, "info.json", Info{ID: 77, Name: "a", Bootstrapped: true, IsLeader: true, Leader: "a", Peers: map[uint64]string{77: "a"}, LastToken: 9, Leases: []lease.Entry{entry},
 		RemainingMs: []int64{250}, Notes: map[string]string{"report": "text"}})
 	goldenJSON(t, "join.json", joinCall{from})
 	var methods strings.Builder
--- a/internal/lease/raftgroup/guard_test.go
+++ b/internal/lease/raftgroup/guard_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Guard(strings.NewReader(""), write, Boottime()-time.Second, time.Second, []string{"true"}); err == nil {
+	if _, err := Guard(strings.NewReader(""), write, BootTime()-time.Second, time.Second, []string{"true"}); err == nil {
 		t.Error("it runs the command")
 	}
 	write.Close() // it has been, where the guard said its word
@@ -33,9 +33,9 @@
 		guard := "if [ -e " + mark + " ]; then echo 1 >&3; exit 0; fi; touch " + mark + "; sleep 0.2; printf '0\\nlate\\n' >&3; exit 1"
 		c := &Command{Guard: []string{"sh", "-c", guard}, Argv: []string{"true"}, Margin: time.Second, Log: func(string) {},
 			OnExit: func(_ int, why lease.Reason) { over <- why }}
-		c.Begin(1, Boottime()+100*time.Millisecond)
+		c.Start(1, BootTime()+100*time.Millisecond)
 		if held {
-			c.Extend(Boottime() + time.Hour)
+			c.Extend(BootTime() + time.Hour)
 		}
 		if why := <-over; held != (why == 0) || !held && why != lease.ReasonExpired {
 			t.Errorf("held %v: ended with %d", held, why)
--- a/internal/lease/raftgroup/keeper.go
+++ b/internal/lease/raftgroup/keeper.go
@@ -20,11 +20,11 @@
 // Work is what is done while a lease is held. Its methods are called one after the other, and return at once.
 type Work interface {
 	// Begin begins the act under a token; it may go on until then, by Boottime.
-	Begin(token lease.Token, until time.Duration)
+	Start(token lease.Token, until time.Duration)
 	// Extend says that it may go on for longer.
 	Extend(until time.Duration)
 	// End has the act end, within the margin. The channel is closed once it has.
-	End(why lease.Reason) <-chan struct{}
+	Stop(why lease.Reason) <-chan struct{}
 	// Turned tells that the lease is not to be had now.
 	Rejected(why lease.Reason)
 	// Unreached tells that nobody answered.
@@ -51,7 +51,7 @@
 	k.ctx = asking
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	k.do(k.h.Acquire(Boottime()))
+	k.do(k.h.Acquire(BootTime()))
 	done, leaving := ctx.Done(), false
 	for {
 		if leaving && k.stopped == nil {
@@ -59,23 +59,23 @@
 			return
 		}
 		if at, ok := k.h.Next(); ok {
-			timer.Reset(max(0, at-Boottime()))
+			timer.Reset(max(0, at-BootTime()))
 		}
 		select {
 		case <-done:
 			done, leaving = nil, true
-			k.do(k.h.Release(Boottime(), ""))
+			k.do(k.h.Release(BootTime(), ""))
 		case <-timer.C:
-			k.do(k.h.Tick(Boottime()))
+			k.do(k.h.Tick(BootTime()))
 		case r := <-k.replies:
-			k.do(k.h.HandleReply(Boottime(), r))
+			k.do(k.h.HandleReply(BootTime(), r))
 		case err := <-k.failed:
 			k.task.Unreachable(err)
 		case <-k.stopped:
 			k.stopped = nil
-			k.do(k.h.Stopped(Boottime()))
+			k.do(k.h.WorkStopped(BootTime()))
 		}
-		if token, until, ok := k.h.Held(Boottime()); ok && token == k.token && until > k.until {
+		if token, until, ok := k.h.Held(BootTime()); ok && token == k.token && until > k.until {
 			k.until = until
 			k.task.Extend(until)
 		}
@@ -99,14 +99,14 @@
 func (k *keeping) do(acts []lease.Action) {
 	for _, a := range acts {
 		switch a.Kind {
-		case lease.Send:
+		case lease.ActionSend:
 			k.send(a.Request)
-		case lease.Begin:
+		case lease.ActionStartWork:
 			k.token, k.until = a.Token, a.Until
-			k.task.Begin(a.Token, a.Until)
-		case lease.End:
-			k.stopped = k.task.End(a.Reason)
-		case lease.Rejected:
+			k.task.Start(a.Token, a.Until)
+		case lease.ActionStopWork:
+			k.stopped = k.task.Stop(a.Reason)
+		case lease.ActionReportRejection:
 			k.task.Rejected(a.Reason)
 		}
 	}
--- a/internal/lease/raftgroup/linear_test.go
+++ b/internal/lease/raftgroup/linear_test.go
@@ -277,7 +277,7 @@
 	var lost string
 	var old uint64
 	for i, info := range c.Info(t.Context()) {
-		if info != nil && !info.Leads {
+		if info != nil && !info.IsLeader {
 			lost, old = g.names[i], info.ID
 		}
 	}
@@ -295,7 +295,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		for _, info := range c.Info(ctx) {
-			if info != nil && info.Leads {
+			if info != nil && info.IsLeader {
 				return info
 			}
 		}
--- a/internal/lease/raftgroup/member.go
+++ b/internal/lease/raftgroup/member.go
@@ -137,7 +137,7 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	if o.Now == nil {
-		o.Now = Boottime
+		o.Now = BootTime
 	}
 	if !slices.ContainsFunc(o.Peers, func(p Peer) bool { return p.Name == o.Name }) {
 		return nil, fmt.Errorf("%q is not one of the group's members", o.Name)
@@ -153,7 +153,7 @@
 		infos: make(chan chan Info), joins: make(chan joining), sent: make(chan sent), conns: map[string]*grpc.ClientConn{}, table: lease.NewTable(o.Limits),
 		peers: map[uint64]string{}, pending: map[uint64]*asked{}, parked: map[string]*asked{}, sending: map[uint64]chan *pb.Message{}}
 	for _, p := range o.Peers {
-		conn, err := Dial(p.Address)
+		conn, err := dial(p.Address)
 		if err != nil {
 			return nil, errors.Join(err, d.close())
 		}
@@ -164,8 +164,8 @@
 	return m, nil
 }
 
-// Dial makes a connection to a member, which comes up as it is used, and is given up where it is silent.
-func Dial(address string) (*grpc.ClientConn, error) {
+// dial makes a connection to a member, which comes up as it is used, and is given up where it is silent.
+func dial(address string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableServiceConfig(),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 2 * time.Second}),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second, Backoff: redial}))
@@ -256,9 +256,9 @@
 				m.peers = i.Peers // to answer them
 				return nil
 			}
-			if i.Formed {
+			if i.Bootstrapped {
 				formed = true
-				if i.Leads {
+				if i.IsLeader {
 					one, cancel := context.WithTimeout(ctx, electionTicks*m.o.Tick)
 					_, err := call[empty](one, m.conns[p.Address], "Join", joinCall{m.hello()}) // that it is, Info says
 					cancel()
@@ -617,7 +617,7 @@
 }
 
 func (m *Member) info() Info {
-	i := Info{ID: m.disk.id, Name: m.o.Name, Formed: true, Leads: m.terms != nil, Leader: m.peers[m.leader], Peers: maps.Clone(m.peers), LastToken: m.table.LastToken(), Leases: m.table.List(),
+	i := Info{ID: m.disk.id, Name: m.o.Name, Bootstrapped: true, IsLeader: m.terms != nil, Leader: m.peers[m.leader], Peers: maps.Clone(m.peers), LastToken: m.table.LastToken(), Leases: m.table.List(),
 		Notes: m.table.Notes()}
 	if m.terms != nil {
 		now := m.o.Now()
--- a/internal/lease/raftgroup/wire.go
+++ b/internal/lease/raftgroup/wire.go
@@ -49,16 +49,16 @@
 
 // Info is what a member says of itself.
 type Info struct {
-	ID          uint64            `json:"id"`
-	Name        string            `json:"name"`
-	Formed      bool              `json:"formed"` // it is a member of a group, or has been
-	Leads       bool              `json:"leads"`
-	Leader      string            `json:"leader"` // "": none that it knows of
-	Peers       map[uint64]string `json:"peers"`  // the group, as it knows it
-	LastToken   lease.Token       `json:"last"`
-	Leases      []lease.Entry     `json:"leases"`          // as it has applied them; sure at the leader alone
-	RemainingMs []int64           `json:"left"`            // of each term, in milliseconds; the leader knows
-	Notes       map[string]string `json:"notes,omitempty"` // what is kept with names, by name
+	ID           uint64            `json:"id"`
+	Name         string            `json:"name"`
+	Bootstrapped bool              `json:"formed"` // it is a member of a group, or has been
+	IsLeader     bool              `json:"leads"`
+	Leader       string            `json:"leader"` // "": none that it knows of
+	Peers        map[uint64]string `json:"peers"`  // the group, as it knows it
+	LastToken    lease.Token       `json:"last"`
+	Leases       []lease.Entry     `json:"leases"`          // as it has applied them; sure at the leader alone
+	RemainingMs  []int64           `json:"left"`            // of each term, in milliseconds; the leader knows
+	Notes        map[string]string `json:"notes,omitempty"` // what is kept with names, by name
 }
 
 type joinCall struct {
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -37,29 +37,29 @@
 
 // Table is the record. The same asks in the same order make the same Table. It is for one goroutine.
 type Table struct {
-	limits Limits
-	notes  map[string]string // what is kept with names; a sink that refuses lower tokens, since a name's holder alone may change it
-	last   Token             // given: it is of all names, so that a name that nobody holds takes no room and its tokens rise all the same
-	names  map[string]*Entry
+	limits    Limits
+	notes     map[string]string // what is kept with names; a sink that refuses lower tokens, since a name's holder alone may change it
+	lastToken Token             // given: it is of all names, so that a name that nobody holds takes no room and its tokens rise all the same
+	entries   map[string]*Entry
 }
 
 // NewTable returns an empty one.
 func NewTable(l Limits) *Table {
-	return &Table{limits: l, names: map[string]*Entry{}, notes: map[string]string{}}
+	return &Table{limits: l, entries: map[string]*Entry{}, notes: map[string]string{}}
 }
 
 // Apply changes the record by an ask, and returns what it comes to; granted tells whether a name has a new holder. Renew changes nothing:
 // Terms answers it.
 func (t *Table) Apply(a Request) (r Reply, granted *Entry) {
-	e := t.names[a.Name]
+	e := t.entries[a.Name]
 	switch a.Kind {
 	case Acquire:
-		return t.acquire(a, e)
+		return t.applyAcquire(a, e)
 	case Release, Expire, Transfer:
 		if e == nil || e.Token != a.Token || a.Kind != Expire && e.Holder != a.Client {
 			return a.reply(NotHeld), nil
 		}
-		if a.Kind == Transfer && t.usable(a.To) {
+		if a.Kind == Transfer && t.validName(a.To) {
 			heir := Waiter{a.To, 0, e.Duration}
 			i := slices.IndexFunc(e.Waiters, func(w Waiter) bool { return w.Client == a.To })
 			if i >= 0 {
@@ -70,7 +70,7 @@
 			e.TransferPending = i < 0
 			return a.reply(Done), e
 		}
-		return a.reply(Done), t.next(e)
+		return a.reply(Done), t.grantNextWaiter(e)
 	case Revoke:
 		if e == nil || a.Token != 0 && e.Token != a.Token {
 			return a.reply(NotHeld), nil
@@ -80,7 +80,7 @@
 		r.Token, r.Holder = e.Token, e.Holder
 		return r, nil
 	case WriteNote, ReadNote:
-		return t.note(a, e), nil
+		return t.applyNote(a, e), nil
 	case RemoveWaiter:
 		if e != nil {
 			e.Waiters = slices.DeleteFunc(e.Waiters, func(w Waiter) bool { return w.Client == a.Client && w.Sequence == a.Sequence })
@@ -93,9 +93,9 @@
 // MaxNoteBytes bounds what is kept with a name; as many names may have a note as may be held.
 const MaxNoteBytes = 512
 
-// note keeps a word with a name, or tells it. The order of the record is what fences: a holder that has been replaced is refused, whatever it
+// applyNote keeps a word with a name, or tells it. The order of the record is what fences: a holder that has been replaced is refused, whatever it
 // thinks of the time.
-func (t *Table) note(a Request, e *Entry) Reply {
+func (t *Table) applyNote(a Request, e *Entry) Reply {
 	if e == nil || e.Token != a.Token || e.Holder != a.Client {
 		return a.reply(NotHeld)
 	}
@@ -126,42 +126,42 @@
 	}
 }
 
-func (t *Table) usable(name string) bool { return name != "" && len(name) <= t.limits.MaxNameBytes }
+func (t *Table) validName(name string) bool { return name != "" && len(name) <= t.limits.MaxNameBytes }
 
-func (t *Table) acquire(a Request, e *Entry) (Reply, *Entry) {
+func (t *Table) applyAcquire(a Request, e *Entry) (Reply, *Entry) {
 	me := Waiter{a.Client, a.Sequence, min(max(a.Duration, t.limits.MinDuration), t.limits.MaxDuration)}
 	switch {
-	case e == nil && (len(t.names) >= t.limits.MaxNames || !t.usable(a.Name) || !t.usable(a.Client)):
+	case e == nil && (len(t.entries) >= t.limits.MaxNames || !t.validName(a.Name) || !t.validName(a.Client)):
 		return a.reply(TableFull), nil
 	case e == nil:
 		e = &Entry{Name: a.Name}
-		t.names[a.Name] = e
+		t.entries[a.Name] = e
 		t.grant(e, me)
-		return e.granted(a), e
+		return e.grantedReply(a), e
 	case e.Holder == a.Client && e.TransferPending: // it was handed on to it
 		e.Sequence, e.TransferPending = a.Sequence, false
-		return e.granted(a), nil
+		return e.grantedReply(a), nil
 	case e.Holder == a.Client && e.Sequence == a.Sequence: // said again
 		if e.Revoked {
 			return a.reply(NotHeld), nil
 		}
-		return e.granted(a), nil
+		return e.grantedReply(a), nil
 	case e.Holder == a.Client && a.Sequence < e.Sequence: // from before
 		return a.reply(NotHeld), nil
 	case e.Holder == a.Client: // it wants it anew, so that it does not act on what it has
 		if len(e.Waiters) == 0 {
 			t.grant(e, me)
-			return e.granted(a), e
+			return e.grantedReply(a), e
 		}
-		next := t.next(e)
-		r, _ := t.queue(a, e, me)
+		next := t.grantNextWaiter(e)
+		r, _ := t.enqueue(a, e, me)
 		return r, next
 	}
-	return t.queue(a, e, me)
+	return t.enqueue(a, e, me)
 }
 
-// queue has a client wait, or keep its place.
-func (t *Table) queue(a Request, e *Entry, me Waiter) (Reply, *Entry) {
+// enqueue has a client wait, or keep its place.
+func (t *Table) enqueue(a Request, e *Entry, me Waiter) (Reply, *Entry) {
 	i := slices.IndexFunc(e.Waiters, func(w Waiter) bool { return w.Client == a.Client })
 	switch {
 	case i >= 0 && a.Sequence < e.Waiters[i].Sequence:
@@ -172,7 +172,7 @@
 		r := a.reply(HeldByOther)
 		r.Holder = e.Holder
 		return r, nil
-	case len(e.Waiters) >= t.limits.MaxWaiters || !t.usable(a.Client):
+	case len(e.Waiters) >= t.limits.MaxWaiters || !t.validName(a.Client):
 		return a.reply(TableFull), nil
 	default:
 		i = len(e.Waiters)
@@ -185,14 +185,14 @@
 
 // grant gives a name to a client, with a token that no grant had before.
 func (t *Table) grant(e *Entry, w Waiter) {
-	t.last++
-	e.Holder, e.Sequence, e.Duration, e.Token, e.Revoked, e.TransferPending = w.Client, w.Sequence, w.Duration, t.last, false, false
+	t.lastToken++
+	e.Holder, e.Sequence, e.Duration, e.Token, e.Revoked, e.TransferPending = w.Client, w.Sequence, w.Duration, t.lastToken, false, false
 }
 
-// next gives a name to whoever waits longest; nil: nobody does, and it is free.
-func (t *Table) next(e *Entry) *Entry {
+// grantNextWaiter gives a name to whoever waits longest; nil: nobody does, and it is free.
+func (t *Table) grantNextWaiter(e *Entry) *Entry {
 	if len(e.Waiters) == 0 {
-		delete(t.names, e.Name)
+		delete(t.entries, e.Name)
 		return nil
 	}
 	w := e.Waiters[0]
@@ -201,22 +201,22 @@
 	return e
 }
 
-func (e *Entry) granted(a Request) Reply {
+func (e *Entry) grantedReply(a Request) Reply {
 	r := a.reply(Granted)
 	r.Token, r.Duration, r.Holder = e.Token, e.Duration, e.Holder
 	return r
 }
 
 // Entry is a name's; nil: it is free. It is not to be changed.
-func (t *Table) Entry(name string) *Entry { return t.names[name] }
+func (t *Table) Entry(name string) *Entry { return t.entries[name] }
 
 // LastToken is the last token given.
-func (t *Table) LastToken() Token { return t.last }
+func (t *Table) LastToken() Token { return t.lastToken }
 
 // List are all that are held, by name, as copies.
 func (t *Table) List() []Entry {
-	out := make([]Entry, 0, len(t.names))
-	for e := range maps.Values(t.names) {
+	out := make([]Entry, 0, len(t.entries))
+	for e := range maps.Values(t.entries) {
 		c := *e
 		c.Waiters = slices.Clone(e.Waiters)
 		out = append(out, c)
@@ -227,10 +227,10 @@
 
 // Restore makes the record what List and Last said; the Table is empty before it.
 func (t *Table) Restore(last Token, all []Entry) {
-	t.last = last
+	t.lastToken = last
 	for _, e := range all {
 		e.Waiters = slices.Clone(e.Waiters)
-		t.names[e.Name] = &e
-		t.last = max(t.last, e.Token)
+		t.entries[e.Name] = &e
+		t.lastToken = max(t.lastToken, e.Token)
 	}
 }
--- a/internal/task/runner/acts.go
+++ b/internal/task/runner/acts.go
@@ -33,9 +33,9 @@
 
 type command struct{ raftgroup.Command }
 
-func (c *command) begin(token lease.Token, until time.Duration) { c.Begin(token, until) }
+func (c *command) begin(token lease.Token, until time.Duration) { c.Start(token, until) }
 func (c *command) extend(until time.Duration)                   { c.Extend(until) }
-func (c *command) end(why lease.Reason) <-chan struct{}         { return c.End(why) }
+func (c *command) end(why lease.Reason) <-chan struct{}         { return c.Stop(why) }
 
 // call is a call through the daemon. What the upstream does after the call was given up is for the token to stop.
 type call struct {
--- a/internal/task/runner/job.go
+++ b/internal/task/runner/job.go
@@ -38,8 +38,8 @@
 	end(why lease.Reason) <-chan struct{}
 }
 
-// Begin is Task's.
-func (j *job) Begin(token lease.Token, until time.Duration) {
+// Start is Task's.
+func (j *job) Start(token lease.Token, until time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.token, j.until = token, until
@@ -55,8 +55,8 @@
 	}
 }
 
-// End is Task's. A lease that was lost is not asked for anew by this wish.
-func (j *job) End(why lease.Reason) <-chan struct{} {
+// Stop is Task's. A lease that was lost is not asked for anew by this wish.
+func (j *job) Stop(why lease.Reason) <-chan struct{} {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.ended = true
