--- a/internal/lease/declaration.go
+++ b/internal/lease/declaration.go
@@ -7,7 +7,21 @@
 	"orchiddrift/internal/units"
 )
 
-// Declaration is the operator's file's part on the fleet that a process belongs to.
+// The bounds that Declaration.Check sets.
+const (
+	maxNameBytes = 200                  // length of a lease's and of a client's name, in bytes
+	minTick      = 5 * time.Millisecond // raft heartbeat interval
+	maxTick      = 10 * time.Second
+	maxDrift     = 0.2 // relative error of a clock's rate
+	maxRuns      = 1000
+	mostNames    = 1_000_000
+	mostWaiters  = 100_000
+	soleMember   = 1 // a group for trials: it does not survive its member
+	minGroup     = 3
+	maxGroup     = 5
+)
+
+// Declaration is the [fleet] section of the operator's file: the group of processes that this one belongs to.
 type Declaration struct {
 	Name        string              `toml:"name" reload:"start" sample:"\"bookings\"" doc:"The fleet's name: who is of another one is turned away. Absent: there is no fleet, and no leases."`
 	Member      string              `toml:"member" reload:"start" sample:"\"a\"" doc:"Which of the group's members this process is. Absent: none, it asks them."`
@@ -23,24 +37,21 @@
 	MaxWaiters  int                 `toml:"waiters" default:"1000" reload:"start" doc:"Processes that wait for one lease, at most."`
 }
 
-// MemberDeclaration is one of the group's members.
+// MemberDeclaration is a member of the raft group in the operator's file.
 type MemberDeclaration struct {
 	Name    string `toml:"name" sample:"\"a\"" doc:"The member's name."`
 	Address string `toml:"address" sample:"\"127.0.0.1:7001\"" doc:"Where this process reaches it: IP address and port."`
 }
 
-// On tells whether there is a fleet.
+// On reports whether there is a fleet.
 func (d *Declaration) On() bool { return d.Name != "" }
 
-// Limits are the record's.
+// Limits returns the limits of the Table.
 func (d *Declaration) Limits() Limits {
 	return Limits{MaxNames: d.MaxNames, MaxWaiters: d.MaxWaiters, MaxNameBytes: maxNameBytes, MinDuration: d.MinDuration.D(), MaxDuration: d.MaxDuration.D()}
 }
 
-// maxNameBytes bounds names of leases and clients, in bytes.
-const maxNameBytes = 200
-
-// Check is tomlfile.Checker's.
+// Check implements tomlfile.Checker.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
 	if !d.On() {
 		if d.Member != "" || len(d.Members) > 0 || d.File != "" || d.Listen != "" {
@@ -48,10 +59,30 @@
 		}
 		return
 	}
-	if n := len(d.Members); n != 1 && n != 3 && n != 5 {
+	d.checkMembers(report)
+	if d.Tick.D() < minTick || d.Tick.D() > maxTick {
+		report("tick", "%v is not from %v to %v", d.Tick, minTick, maxTick)
+	}
+	if d.MinDuration <= 0 || d.MaxDuration < d.MinDuration {
+		report("shortest", "terms from %v to %v", d.MinDuration, d.MaxDuration)
+	}
+	if !(d.Drift >= 0 && d.Drift <= maxDrift) { // false for NaN too
+		report("drift", "%v is not from 0 to %v", d.Drift, maxDrift)
+	}
+	if d.MaxTasks < 0 || d.MaxTasks > maxRuns {
+		report("tasks", "%d is not from 0 to %d", d.MaxTasks, maxRuns)
+	}
+	if d.MaxNames < 1 || d.MaxNames > mostNames || d.MaxWaiters < 1 || d.MaxWaiters > mostWaiters {
+		report("names", "%d names with %d waiters each", d.MaxNames, d.MaxWaiters)
+	}
+}
+
+// checkMembers checks the group and this process's place in it.
+func (d *Declaration) checkMembers(report func(key, format string, args ...any)) {
+	if n := len(d.Members); n != soleMember && n != minGroup && n != maxGroup {
 		report("members", "%d; a group has 3 or 5 (1: for a look, without survival)", n)
 	}
-	names, addresses, mine := map[string]bool{}, map[string]bool{}, false
+	names, addresses := map[string]bool{}, map[string]bool{}
 	for i, m := range d.Members {
 		if m.Name == "" || names[m.Name] {
 			report("members", "item %d: the name %q is missing, or stands twice", i+1, m.Name)
@@ -60,37 +91,23 @@
 			report("members", "item %d: %q is no address on this machine (others need keys, which are not there yet), or stands twice", i+1, m.Address)
 		}
 		names[m.Name], addresses[m.Address] = true, true
-		mine = mine || m.Name == d.Member
-	}
-	if d.Member != "" {
-		if !mine {
-			report("member", "%q is not one of members", d.Member)
-		}
-		if d.File == "" {
-			report("file", "missing: a member votes, and has to know for what")
-		}
-		if d.Listen != "" && !isLoopback(d.Listen) {
-			report("listen", "%q is no address on this machine", d.Listen)
-		}
 	}
-	if d.Tick.D() < 5*time.Millisecond || d.Tick.D() > 10*time.Second {
-		report("tick", "%v is not from 5ms to 10s", d.Tick)
-	}
-	if d.MinDuration <= 0 || d.MaxDuration < d.MinDuration {
-		report("shortest", "terms from %v to %v", d.MinDuration, d.MaxDuration)
+	if d.Member == "" {
+		return
 	}
-	if !(d.Drift >= 0 && d.Drift <= 0.2) {
-		report("drift", "%v is not from 0 to 0.2", d.Drift)
+	if !names[d.Member] {
+		report("member", "%q is not one of members", d.Member)
 	}
-	if d.MaxTasks < 0 || d.MaxTasks > 1000 {
-		report("tasks", "%d is not from 0 to 1000", d.MaxTasks)
+	if d.File == "" {
+		report("file", "missing: a member votes, and has to know for what")
 	}
-	if d.MaxNames < 1 || d.MaxNames > 1_000_000 || d.MaxWaiters < 1 || d.MaxWaiters > 100_000 {
-		report("names", "%d names with %d waiters each", d.MaxNames, d.MaxWaiters)
+	if d.Listen != "" && !isLoopback(d.Listen) {
+		report("listen", "%q is no address on this machine", d.Listen)
 	}
 }
 
+// isLoopback reports whether an address is an IP address and port on this machine alone.
 func isLoopback(address string) bool {
-	at, err := netip.ParseAddrPort(address)
-	return err == nil && at.Addr().IsLoopback()
+	addrPort, err := netip.ParseAddrPort(address)
+	return err == nil && addrPort.Addr().IsLoopback()
 }
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -2,122 +2,116 @@
 
 import "time"
 
+const (
+	// renewalsPerLease is how often a holder asks for renewal within one lease duration: two more attempts fit in after a lost one.
+	renewalsPerLease = 3
+	// maxTrackedSends bounds the requests whose send time is remembered. The reply to an older one is ignored.
+	maxTrackedSends = 16
+)
+
 // HolderOptions are a Holder's parameters.
 type HolderOptions struct {
-	Name          string
-	Client        string        // one life of one process
-	Duration      time.Duration // asked for
-	Wait          bool          // in the queue
-	Drift         float64       // how far a clock's rate is from true time at most, as a part
-	Margin        time.Duration // what an act takes to end once it is told to
-	RetryInterval time.Duration // between two asks of which none was answered, or that were turned away
+	Name          string        // of the lease
+	Client        string        // names one incarnation of one process and is never used again
+	Duration      time.Duration // requested lease duration
+	Wait          bool          // join the waiter queue if the lease is held
+	Drift         float64       // largest relative error of a process's clock rate
+	Margin        time.Duration // how long the work takes to end once it is told to stop
+	RetryInterval time.Duration // between two sends while no reply comes, and after a rejection
 }
 
-// renewalsPerLease is the part of a term after which the next is asked for: two more asks fit in before it is over.
-const renewalsPerLease = 3
-
-// holderState is where a Holder stands.
-type holderState uint8
-
-const (
-	idle      holderState = iota // it wants nothing
-	acquiring                    // it has asked, or is about to
-	holding                      // it may act
-	stopping                     // it may not act any more, and what it did has not ended yet
-)
-
-// Action is what a Holder wants done.
+// Action is what the driver of a Holder has to do.
 type Action struct {
 	Kind    ActionKind
-	Request Request       // Send
-	Token   Token         // Begin, End
-	Until   time.Duration // Begin: not a moment later, unless a later look at May says otherwise
-	Reason  Reason        // End, Turned
+	Request Request       // ActionSend
+	Token   Token         // ActionStartWork, ActionStopWork
+	Until   time.Duration // ActionStartWork: the work must have stopped by then, unless Held returns a later time meanwhile
+	Reason  Reason        // ActionStopWork, ActionReportRejection
 }
 
-// ActionKind is the kind of an Act.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
+// The kinds of actions.
 const (
-	ActionSend            ActionKind = iota + 1 // an Ask to the record; it may be lost
-	ActionStartWork                             // it holds the lease: the act may begin
-	ActionStopWork                              // the act has to end, within Margin; Stopped is to say when it has
-	ActionReportRejection                       // the ask was turned away; where the Holder waits it asks again
+	ActionSend            ActionKind = iota + 1 // send Request to the record; it may be lost
+	ActionStartWork                             // the lease is held: start the work under Token
+	ActionStopWork                              // stop the work within Margin, then call WorkStopped
+	ActionReportRejection                       // the lease was rejected; the Holder asks again by itself
 )
 
-// Reason says why an act ends, or an ask was turned away.
+// Reason says why work has to stop, or why a request was rejected. 0 is none.
 type Reason uint8
 
+// The reasons. The first four stop the work, the last two come with a rejection.
 const (
-	ReasonReleased   Reason = iota + 1 // by the holder's own wish
-	ReasonExpired                      // the term is over, and nobody has said that there is another one
-	ReasonRevoked                      // the record says that it is not held any more
-	ReasonReplaced                     // the record has granted it anew, under another token
-	ReasonBusy                         // somebody else holds it
+	ReasonReleased   Reason = iota + 1 // the holder released the lease
+	ReasonExpired                      // the grant expired and no renewal was confirmed
+	ReasonRevoked                      // the record says that the grant is not held any more
+	ReasonReplaced                     // the record has granted the lease again, under another token
+	ReasonBusy                         // another client holds the lease
 	ReasonNoCapacity                   // the record is full
 )
 
-// Holder is the side that wants a lease. It is for one goroutine; time is that of a clock that goes on while the machine sleeps.
+// holderState is the state of a Holder.
+type holderState uint8
+
+const (
+	idle      holderState = iota // nothing is wanted
+	acquiring                    // an Acquire was sent; the Holder repeats it
+	holding                      // the work may go on until validUntil
+	stopping                     // the work must stop, and WorkStopped has not been called yet
+)
+
+// Holder is the client's side of one lease. Its driver calls it with the time of a clock that goes on while the machine sleeps, and carries out
+// the actions that it returns. It is not safe for concurrent use.
+//
+//	          Acquire                 Granted
+//	idle ───────────────▶ acquiring ───────────▶ holding
+//	 ▲  ▲                  │     ▲                  │
+//	 │  └── Release ───────┘     │                  │ Release, expiry, NotHeld, another token
+//	 │                           │ still wanted     ▼
+//	 └────── WorkStopped ────────┴────────────── stopping
+//
+// The lease is released only after the work has stopped. A grant that arrives when it is not wanted any more is released at once.
 type Holder struct {
-	options     HolderOptions
-	state       holderState
-	wanted      bool
-	transferTo  string // who is to have it next; "": whoever waits longest
-	sequence    uint64
-	sendNumber  uint64
-	token       Token         // held, or last held
-	validUntil  time.Duration // it may act
-	nextSend    time.Duration // it asks again
-	grantSentAt time.Duration // the term's send
-	term        time.Duration
-	sentAt      map[uint64]time.Duration // by Nr: since when; those of the wish now
-}
+	options    HolderOptions
+	state      holderState
+	wanted     bool
+	transferTo string // the client that is to hold the lease next; empty: the first waiter
+	sequence   uint64 // of this acquisition
+	sendNumber uint64 // of the last send
+	token      Token  // of the grant that is held, or was held last
 
-// maxTrackedSends bounds the asks that are remembered: the answer to one before them counts for nothing.
-const maxTrackedSends = 16
+	validUntil  time.Duration            // the work may go on until then
+	nextSend    time.Duration            // the request is repeated, or renewed, then
+	grantSentAt time.Duration            // when the request was sent from which the grant counts
+	sentAt      map[uint64]time.Duration // when each request of this acquisition was sent, by send number
+}
 
-// NewHolder returns one that wants nothing yet.
-func NewHolder(o HolderOptions) *Holder {
-	return &Holder{options: o, sentAt: map[uint64]time.Duration{}}
+// NewHolder returns a Holder that wants nothing yet.
+func NewHolder(options HolderOptions) *Holder {
+	return &Holder{options: options, sentAt: map[uint64]time.Duration{}}
 }
 
-// Acquire has it ask for the lease until Leave.
+// Acquire makes the Holder want the lease until Release.
 func (h *Holder) Acquire(now time.Duration) []Action {
 	if h.wanted {
 		return nil
 	}
 	h.wanted, h.transferTo = true, ""
 	if h.state != idle {
-		return nil // it has to end first
+		return nil // the earlier work has to stop first
 	}
 	return h.startAcquire(now)
 }
 
-// startAcquire asks anew.
-func (h *Holder) startAcquire(now time.Duration) []Action {
-	h.state = acquiring
-	h.sequence++
-	clear(h.sentAt)
-	return h.send(now, Acquire)
-}
-
-func (h *Holder) send(now time.Duration, kind RequestKind) []Action {
-	h.sendNumber++
-	h.sentAt[h.sendNumber] = now
-	delete(h.sentAt, h.sendNumber-maxTrackedSends)
-	h.nextSend = now + h.options.RetryInterval
-	a := Request{Kind: kind, Name: h.options.Name, Client: h.options.Client, Sequence: h.sequence, SendNumber: h.sendNumber, Duration: h.options.Duration, Wait: h.options.Wait}
-	if kind != Acquire {
-		a.Token = h.token
-	}
-	return []Action{{Kind: ActionSend, Request: a}}
-}
-
-// Release has it give the lease back, once the act has ended; to a client that is to have it next, or to whoever waits longest.
-func (h *Holder) Release(now time.Duration, to string) []Action {
-	h.wanted, h.transferTo = false, to
+// Release makes the Holder give the lease up: to the client transferTo, or, if that is empty, to the first waiter. Work that goes on has to
+// stop first.
+func (h *Holder) Release(_ time.Duration, transferTo string) []Action {
+	h.wanted, h.transferTo = false, transferTo
 	switch h.state {
-	case acquiring: // it may have been granted meanwhile: what comes of it is given back as it comes
+	case acquiring: // a grant may be on its way: HandleReply releases it
 		h.state = idle
 		return []Action{{Kind: ActionSend, Request: Request{Kind: RemoveWaiter, Name: h.options.Name, Client: h.options.Client, Sequence: h.sequence}}}
 	case holding:
@@ -126,90 +120,98 @@
 	return nil
 }
 
-func (h *Holder) stopWork(why Reason) []Action {
-	h.state = stopping
-	return []Action{{Kind: ActionStopWork, Token: h.token, Reason: why}}
-}
-
-// WorkStopped says that the act has ended. Only then is the lease given back, and asked for anew where it is still wanted.
+// WorkStopped says that the work has ended after ActionStopWork. The lease is released, and acquired again if it is still wanted.
 func (h *Holder) WorkStopped(now time.Duration) []Action {
 	if h.state != stopping {
 		return nil
 	}
 	h.state = idle
-	out := []Action{{Kind: ActionSend, Request: Request{Kind: Release, Name: h.options.Name, Client: h.options.Client, Sequence: h.sequence, Token: h.token}}}
+	release := h.releaseOf(h.sequence, h.token)
 	if h.transferTo != "" {
-		out[0].Request.Kind, out[0].Request.To = Transfer, h.transferTo
+		release.Request.Kind, release.Request.To = Transfer, h.transferTo
 	}
+	actions := []Action{release}
 	if h.wanted {
-		out = append(out, h.startAcquire(now)...)
+		actions = append(actions, h.startAcquire(now)...)
 	}
-	return out
+	return actions
 }
 
-// HandleReply takes the record's word, which may be late, or come twice.
-func (h *Holder) HandleReply(now time.Duration, r Reply) []Action {
-	if h.state == holding && now >= h.validUntil { // its own word comes first: whoever looks after the act has ended it by now
+// HandleReply handles a reply of the record, which may be late or repeated.
+func (h *Holder) HandleReply(now time.Duration, reply Reply) []Action {
+	if h.state == holding && now >= h.validUntil { // expired by the own clock, whatever the record says
 		return h.stopWork(ReasonExpired)
 	}
-	sent, known := h.sentAt[r.SendNumber]
-	if r.Status == Granted && (r.Sequence != h.sequence || h.state == idle) { // nobody wants it any more
-		if r.Token <= h.token && r.Sequence >= h.sequence {
-			return nil // it was held, and has been given back
-		}
-		return []Action{{Kind: ActionSend, Request: Request{Kind: Release, Name: h.options.Name, Client: h.options.Client, Sequence: r.Sequence, Token: r.Token}}}
+	if reply.Status == Granted && (reply.Sequence != h.sequence || h.state == idle) {
+		return h.releaseUnwanted(reply)
 	}
-	if r.Sequence != h.sequence || !known {
+	sent, known := h.sentAt[reply.SendNumber]
+	if reply.Sequence != h.sequence || !known {
 		return nil
 	}
-	switch r.Status {
+	switch reply.Status {
 	case Granted:
-		return h.handleGrant(now, sent, r)
+		return h.handleGrant(now, sent, reply)
 	case Waiting, HeldByOther, TableFull:
-		if h.state != acquiring {
-			return nil
-		}
-		if r.Status != Waiting { // who waits goes on asking in the rhythm of its asks: the record may hold an answer back
-			h.nextSend = now + h.options.RetryInterval
-		}
-		switch r.Status {
-		case HeldByOther:
-			return []Action{{Kind: ActionReportRejection, Reason: ReasonBusy}}
-		case TableFull:
-			return []Action{{Kind: ActionReportRejection, Reason: ReasonNoCapacity}}
-		}
+		return h.handleRejection(now, reply.Status)
 	case NotHeld:
-		if h.state == holding && sent >= h.grantSentAt { // asked on the grant that it acts on
+		if h.state == holding && sent >= h.grantSentAt { // sent under this grant, not before it
 			return h.stopWork(ReasonRevoked)
 		}
-		if h.state == acquiring { // of a wish that the record has behind it
+		if h.state == acquiring { // the record has ended this acquisition
 			return h.startAcquire(now)
 		}
 	}
 	return nil
 }
 
-func (h *Holder) handleGrant(now, sent time.Duration, r Reply) []Action {
-	until := sent + r.Duration - time.Duration(float64(r.Duration)*h.options.Drift) - h.options.Margin
+// releaseUnwanted releases a grant that is not wanted any more, unless it was held and has been released already.
+func (h *Holder) releaseUnwanted(reply Reply) []Action {
+	if reply.Token <= h.token && reply.Sequence >= h.sequence {
+		return nil
+	}
+	return []Action{h.releaseOf(reply.Sequence, reply.Token)}
+}
+
+// handleGrant starts or extends the work by a grant of a request that was sent at sent.
+func (h *Holder) handleGrant(now, sent time.Duration, reply Reply) []Action {
+	validUntil := sent + reply.Duration - time.Duration(float64(reply.Duration)*h.options.Drift) - h.options.Margin
 	switch {
-	case r.Token < h.token: // from before
+	case reply.Token < h.token: // a fencing token never goes back: the reply is late
 		return nil
-	case h.state == acquiring && until > now:
-		h.state, h.token, h.validUntil, h.grantSentAt, h.term = holding, r.Token, until, sent, r.Duration
-		h.nextSend = sent + r.Duration/renewalsPerLease
+	case h.state == acquiring && validUntil > now:
+		h.state, h.token = holding, reply.Token
+		h.extend(sent, validUntil, reply.Duration)
 		return []Action{{Kind: ActionStartWork, Token: h.token, Until: h.validUntil}}
-	case h.state == holding && r.Token == h.token:
-		if until > h.validUntil {
-			h.validUntil, h.grantSentAt, h.term = until, sent, r.Duration
-			h.nextSend = sent + r.Duration/renewalsPerLease
-		}
-	case h.state == holding:
+	case h.state == holding && reply.Token != h.token:
 		return h.stopWork(ReasonReplaced)
+	case h.state == holding && validUntil > h.validUntil:
+		h.extend(sent, validUntil, reply.Duration)
+	}
+	return nil // a grant that came too late is asked for again by the next send
+}
+
+// extend makes the grant of a request that was sent at sent the current one.
+func (h *Holder) extend(sent, validUntil, duration time.Duration) {
+	h.validUntil, h.grantSentAt = validUntil, sent
+	h.nextSend = sent + duration/renewalsPerLease
+}
+
+// handleRejection handles an acquisition that was not granted. A waiter repeats its request as planned, since the record may hold the reply
+// back; otherwise a full RetryInterval passes first.
+func (h *Holder) handleRejection(now time.Duration, status Status) []Action {
+	if h.state != acquiring || status == Waiting {
+		return nil
 	}
-	return nil // it comes too late to be of use: the next ask brings another term
+	h.nextSend = now + h.options.RetryInterval
+	reason := ReasonBusy
+	if status == TableFull {
+		reason = ReasonNoCapacity
+	}
+	return []Action{{Kind: ActionReportRejection, Reason: reason}}
 }
 
-// Tick lets time go by.
+// Tick lets time pass: it expires the grant, or repeats or renews the request. It is to be called when Next says so.
 func (h *Holder) Tick(now time.Duration) []Action {
 	switch {
 	case h.state == holding && now >= h.validUntil:
@@ -222,7 +224,7 @@
 	return nil
 }
 
-// Next is when Tick has something to do; false: not before something else happens.
+// Next returns when Tick has something to do; false if only another event makes it so.
 func (h *Holder) Next() (time.Duration, bool) {
 	switch h.state {
 	case holding:
@@ -233,10 +235,43 @@
 	return 0, false
 }
 
-// Held tells whether it may act now, under which token, and until when.
+// Held reports whether the work may go on at now, under which token, and until when.
 func (h *Holder) Held(now time.Duration) (token Token, until time.Duration, ok bool) {
 	if h.state != holding || now >= h.validUntil {
 		return 0, 0, false
 	}
 	return h.token, h.validUntil, true
 }
+
+// startAcquire begins a new acquisition.
+func (h *Holder) startAcquire(now time.Duration) []Action {
+	h.state = acquiring
+	h.sequence++
+	clear(h.sentAt)
+	return h.send(now, Acquire)
+}
+
+// send sends an Acquire or a Renew and remembers when.
+func (h *Holder) send(now time.Duration, kind RequestKind) []Action {
+	h.sendNumber++
+	h.sentAt[h.sendNumber] = now
+	delete(h.sentAt, h.sendNumber-maxTrackedSends)
+	h.nextSend = now + h.options.RetryInterval
+	request := Request{Kind: kind, Name: h.options.Name, Client: h.options.Client, Sequence: h.sequence, SendNumber: h.sendNumber,
+		Duration: h.options.Duration, Wait: h.options.Wait}
+	if kind == Renew {
+		request.Token = h.token
+	}
+	return []Action{{Kind: ActionSend, Request: request}}
+}
+
+// stopWork makes the driver stop the work.
+func (h *Holder) stopWork(reason Reason) []Action {
+	h.state = stopping
+	return []Action{{Kind: ActionStopWork, Token: h.token, Reason: reason}}
+}
+
+// releaseOf is the action that gives a grant back.
+func (h *Holder) releaseOf(sequence uint64, token Token) Action {
+	return Action{Kind: ActionSend, Request: Request{Kind: Release, Name: h.options.Name, Client: h.options.Client, Sequence: sequence, Token: token}}
+}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -196,7 +196,7 @@
 	h := NewHolder(o)
 	asked := h.Acquire(time.Second)[0].Request
 	say := func(a Request, v Status, token Token) Reply {
-		r := a.reply(v)
+		r := a.Reply(v)
 		r.Token, r.Duration = token, 10*time.Second
 		return r
 	}
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -7,230 +7,248 @@
 	"time"
 )
 
-// Limits bound a Table: about 400 bytes a name and 150 a waiter, beside the names themselves.
+// Limits bound a Table. An entry takes about 400 bytes and a waiter about 150, beside the names themselves.
 type Limits struct {
-	MaxNames     int           // held or waited for, at most
-	MaxWaiters   int           // of one name, at most
-	MaxNameBytes int           // of a name, and of a client's
-	MinDuration  time.Duration // a term
-	MaxDuration  time.Duration
+	MaxNames     int           // names that are held at once, and notes
+	MaxWaiters   int           // waiters for one name
+	MaxNameBytes int           // length of a lease's and of a client's name
+	MinDuration  time.Duration // shortest lease duration; a shorter request gets this one
+	MaxDuration  time.Duration // longest lease duration; a longer request gets this one
 }
 
-// Entry is a name that is held.
+// Entry is the record of a name that is held.
 type Entry struct {
 	Name            string        `json:"Name"`
-	Holder          string        `json:"Holder"`
-	Sequence        uint64        `json:"Seq"` // the holder's
+	Holder          string        `json:"Holder"` // a client
+	Sequence        uint64        `json:"Seq"`    // the holder's acquisition
 	Token           Token         `json:"Token"`
 	Duration        time.Duration `json:"Term"`
-	Revoked         bool          `json:"Revoked"` // it gets no other term
-	TransferPending bool          `json:"Heir"`    // it was handed on, and the holder has not asked for it yet
-	Waiters         []Waiter      `json:"Waiters"`
+	Revoked         bool          `json:"Revoked"` // the grant is not renewed any more
+	TransferPending bool          `json:"Heir"`    // the lease was transferred to Holder, which has not asked for it yet
+	Waiters         []Waiter      `json:"Waiters"` // in the order of arrival
 }
 
-// Waiter stands in a name's queue, in the order of asking.
+// Waiter is a client in a name's waiter queue.
 type Waiter struct {
 	Client   string        `json:"Client"`
 	Sequence uint64        `json:"Seq"`
 	Duration time.Duration `json:"Term"`
 }
 
-// Table is the record. The same asks in the same order make the same Table. It is for one goroutine.
+// Table is the replicated record of leases: a deterministic state machine. The same requests in the same order make the same Table. It is not
+// safe for concurrent use.
+//
+// The states of a name, and the requests that move it:
+//
+//	free ── Acquire ──────────────────────────────▶ held
+//	held ── Release, Expire; nobody waits ────────▶ free
+//	held ── Release, Expire; somebody waits ──────▶ held by the first waiter, with the next token
+//	held ── Transfer ─────────────────────────────▶ held by To, with the next token; transfer pending if To did not wait
+//	held, transfer pending ── Acquire by To ──────▶ held
+//	held ── Revoke ───────────────────────────────▶ held, revoked: renewals get NotHeld until the holder releases or expires
+//	held ── Acquire by the holder, new sequence ──▶ held by the first waiter, or by the same client with the next token
 type Table struct {
 	limits    Limits
-	notes     map[string]string // what is kept with names; a sink that refuses lower tokens, since a name's holder alone may change it
-	lastToken Token             // given: it is of all names, so that a name that nobody holds takes no room and its tokens rise all the same
 	entries   map[string]*Entry
+	notes     map[string]string // by name; a note outlives the grant under which it was written
+	lastToken Token             // issued last, for any name
 }
 
-// NewTable returns an empty one.
-func NewTable(l Limits) *Table {
-	return &Table{limits: l, entries: map[string]*Entry{}, notes: map[string]string{}}
+// NewTable returns an empty Table.
+func NewTable(limits Limits) *Table {
+	return &Table{limits: limits, entries: map[string]*Entry{}, notes: map[string]string{}}
 }
 
-// Apply changes the record by an ask, and returns what it comes to; granted tells whether a name has a new holder. Renew changes nothing:
-// Terms answers it.
-func (t *Table) Apply(a Request) (r Reply, granted *Entry) {
-	e := t.entries[a.Name]
-	switch a.Kind {
+// Apply applies a request of the log and returns its reply. granted is the entry that has a new holder, nil if none has. Renew changes nothing
+// in the record and is answered by Expirations.Renew.
+func (t *Table) Apply(request Request) (reply Reply, granted *Entry) {
+	entry := t.entries[request.Name]
+	switch request.Kind {
 	case Acquire:
-		return t.applyAcquire(a, e)
-	case Release, Expire, Transfer:
-		if e == nil || e.Token != a.Token || a.Kind != Expire && e.Holder != a.Client {
-			return a.reply(NotHeld), nil
+		return t.applyAcquire(request, entry)
+	case Release:
+		if !entry.isHeldBy(request.Client, request.Token) {
+			return request.Reply(NotHeld), nil
 		}
-		if a.Kind == Transfer && t.validName(a.To) {
-			heir := Waiter{a.To, 0, e.Duration}
-			i := slices.IndexFunc(e.Waiters, func(w Waiter) bool { return w.Client == a.To })
-			if i >= 0 {
-				heir = e.Waiters[i]
-				e.Waiters = slices.Delete(e.Waiters, i, i+1)
-			}
-			t.grant(e, heir)
-			e.TransferPending = i < 0
-			return a.reply(Done), e
+		return request.Reply(Done), t.grantNextWaiter(entry)
+	case Expire:
+		if entry == nil || entry.Token != request.Token {
+			return request.Reply(NotHeld), nil
 		}
-		return a.reply(Done), t.grantNextWaiter(e)
+		return request.Reply(Done), t.grantNextWaiter(entry)
+	case Transfer:
+		return t.applyTransfer(request, entry)
 	case Revoke:
-		if e == nil || a.Token != 0 && e.Token != a.Token {
-			return a.reply(NotHeld), nil
-		}
-		e.Revoked = true
-		r = a.reply(Done)
-		r.Token, r.Holder = e.Token, e.Holder
-		return r, nil
+		return applyRevoke(request, entry), nil
 	case WriteNote, ReadNote:
-		return t.applyNote(a, e), nil
+		return t.applyNote(request, entry), nil
 	case RemoveWaiter:
-		if e != nil {
-			e.Waiters = slices.DeleteFunc(e.Waiters, func(w Waiter) bool { return w.Client == a.Client && w.Sequence == a.Sequence })
+		if entry != nil {
+			entry.Waiters = slices.DeleteFunc(entry.Waiters, func(w Waiter) bool { return w.Client == request.Client && w.Sequence == request.Sequence })
 		}
-		return a.reply(Done), nil
+		return request.Reply(Done), nil
 	}
-	return a.reply(NotHeld), nil
+	return request.Reply(NotHeld), nil
 }
 
-// MaxNoteBytes bounds what is kept with a name; as many names may have a note as may be held.
-const MaxNoteBytes = 512
-
-// applyNote keeps a word with a name, or tells it. The order of the record is what fences: a holder that has been replaced is refused, whatever it
-// thinks of the time.
-func (t *Table) applyNote(a Request, e *Entry) Reply {
-	if e == nil || e.Token != a.Token || e.Holder != a.Client {
-		return a.reply(NotHeld)
-	}
-	old, kept := t.notes[a.Name]
+// applyAcquire grants a free name, repeats the grant of its holder, or has the client wait.
+func (t *Table) applyAcquire(request Request, entry *Entry) (Reply, *Entry) {
+	client := Waiter{request.Client, request.Sequence, min(max(request.Duration, t.limits.MinDuration), t.limits.MaxDuration)}
 	switch {
-	case a.Kind == ReadNote:
-	case a.Value == "":
-		delete(t.notes, a.Name)
-	case len(a.Value) > MaxNoteBytes || !kept && len(t.notes) >= t.limits.MaxNames:
-		r := a.reply(TableFull)
-		r.Value = old
-		return r
-	default:
-		t.notes[a.Name] = a.Value
+	case entry == nil && (len(t.entries) >= t.limits.MaxNames || !t.validName(request.Name) || !t.validName(request.Client)):
+		return request.Reply(TableFull), nil
+	case entry == nil:
+		entry = &Entry{Name: request.Name}
+		t.entries[request.Name] = entry
+		t.grant(entry, client)
+		return entry.GrantedReply(request), entry
+	case entry.Holder != request.Client:
+		return t.enqueue(request, entry, client)
+	case entry.TransferPending: // the client takes over what was transferred to it
+		entry.Sequence, entry.TransferPending = request.Sequence, false
+		return entry.GrantedReply(request), nil
+	case request.Sequence < entry.Sequence: // of an earlier acquisition
+		return request.Reply(NotHeld), nil
+	case request.Sequence == entry.Sequence: // repeated
+		if entry.Revoked {
+			return request.Reply(NotHeld), nil
+		}
+		return entry.GrantedReply(request), nil
 	}
-	r := a.reply(Done)
-	r.Token, r.Holder, r.Value = e.Token, e.Holder, t.notes[a.Name]
-	return r
+	return t.reacquire(request, entry, client)
 }
 
-// Notes is a copy of all that is kept, by name; Keep is its counterpart.
-func (t *Table) Notes() map[string]string { return maps.Clone(t.notes) }
-
-// RestoreNotes makes the notes what Notes said.
-func (t *Table) RestoreNotes(notes map[string]string) {
-	if t.notes = maps.Clone(notes); t.notes == nil {
-		t.notes = map[string]string{}
+// reacquire handles a holder that asks with a new sequence, which says that it does not act on its grant: it goes behind the waiters.
+func (t *Table) reacquire(request Request, entry *Entry, client Waiter) (Reply, *Entry) {
+	if len(entry.Waiters) == 0 {
+		t.grant(entry, client)
+		return entry.GrantedReply(request), entry
 	}
+	granted := t.grantNextWaiter(entry)
+	reply, _ := t.enqueue(request, entry, client)
+	return reply, granted
 }
 
-func (t *Table) validName(name string) bool { return name != "" && len(name) <= t.limits.MaxNameBytes }
+// applyTransfer gives the lease to request.To, past the other waiters. Where To is no usable name it is a Release.
+func (t *Table) applyTransfer(request Request, entry *Entry) (Reply, *Entry) {
+	if !entry.isHeldBy(request.Client, request.Token) {
+		return request.Reply(NotHeld), nil
+	}
+	if !t.validName(request.To) {
+		return request.Reply(Done), t.grantNextWaiter(entry)
+	}
+	successor := Waiter{request.To, 0, entry.Duration}
+	i := entry.waiterIndex(request.To)
+	if i >= 0 {
+		successor = entry.Waiters[i]
+		entry.Waiters = slices.Delete(entry.Waiters, i, i+1)
+	}
+	t.grant(entry, successor)
+	entry.TransferPending = i < 0
+	return request.Reply(Done), entry
+}
 
-func (t *Table) applyAcquire(a Request, e *Entry) (Reply, *Entry) {
-	me := Waiter{a.Client, a.Sequence, min(max(a.Duration, t.limits.MinDuration), t.limits.MaxDuration)}
-	switch {
-	case e == nil && (len(t.entries) >= t.limits.MaxNames || !t.validName(a.Name) || !t.validName(a.Client)):
-		return a.reply(TableFull), nil
-	case e == nil:
-		e = &Entry{Name: a.Name}
-		t.entries[a.Name] = e
-		t.grant(e, me)
-		return e.grantedReply(a), e
-	case e.Holder == a.Client && e.TransferPending: // it was handed on to it
-		e.Sequence, e.TransferPending = a.Sequence, false
-		return e.grantedReply(a), nil
-	case e.Holder == a.Client && e.Sequence == a.Sequence: // said again
-		if e.Revoked {
-			return a.reply(NotHeld), nil
-		}
-		return e.grantedReply(a), nil
-	case e.Holder == a.Client && a.Sequence < e.Sequence: // from before
-		return a.reply(NotHeld), nil
-	case e.Holder == a.Client: // it wants it anew, so that it does not act on what it has
-		if len(e.Waiters) == 0 {
-			t.grant(e, me)
-			return e.grantedReply(a), e
-		}
-		next := t.grantNextWaiter(e)
-		r, _ := t.enqueue(a, e, me)
-		return r, next
+// applyRevoke marks a grant as revoked; a request without a token means the current one.
+func applyRevoke(request Request, entry *Entry) Reply {
+	if entry == nil || request.Token != 0 && entry.Token != request.Token {
+		return request.Reply(NotHeld)
 	}
-	return t.enqueue(a, e, me)
+	entry.Revoked = true
+	reply := request.Reply(Done)
+	reply.Token, reply.Holder = entry.Token, entry.Holder
+	return reply
 }
 
-// enqueue has a client wait, or keep its place.
-func (t *Table) enqueue(a Request, e *Entry, me Waiter) (Reply, *Entry) {
-	i := slices.IndexFunc(e.Waiters, func(w Waiter) bool { return w.Client == a.Client })
+// enqueue puts a client into the waiter queue, or updates its place there.
+func (t *Table) enqueue(request Request, entry *Entry, client Waiter) (Reply, *Entry) {
+	i := entry.waiterIndex(request.Client)
 	switch {
-	case i >= 0 && a.Sequence < e.Waiters[i].Sequence:
-		return a.reply(NotHeld), nil
+	case i >= 0 && request.Sequence < entry.Waiters[i].Sequence: // of an earlier acquisition
+		return request.Reply(NotHeld), nil
 	case i >= 0:
-		e.Waiters[i] = me
-	case !a.Wait:
-		r := a.reply(HeldByOther)
-		r.Holder = e.Holder
-		return r, nil
-	case len(e.Waiters) >= t.limits.MaxWaiters || !t.validName(a.Client):
-		return a.reply(TableFull), nil
+		entry.Waiters[i] = client
+	case !request.Wait:
+		reply := request.Reply(HeldByOther)
+		reply.Holder = entry.Holder
+		return reply, nil
+	case len(entry.Waiters) >= t.limits.MaxWaiters || !t.validName(request.Client):
+		return request.Reply(TableFull), nil
 	default:
-		i = len(e.Waiters)
-		e.Waiters = append(e.Waiters, me)
+		i = len(entry.Waiters)
+		entry.Waiters = append(entry.Waiters, client)
 	}
-	r := a.reply(Waiting)
-	r.Position, r.Holder = i+1, e.Holder
-	return r, nil
+	return entry.waitingReply(request, i), nil
 }
 
-// grant gives a name to a client, with a token that no grant had before.
-func (t *Table) grant(e *Entry, w Waiter) {
+// grant makes a client the holder, under a token that no grant had before. No other code issues tokens.
+func (t *Table) grant(entry *Entry, client Waiter) {
 	t.lastToken++
-	e.Holder, e.Sequence, e.Duration, e.Token, e.Revoked, e.TransferPending = w.Client, w.Sequence, w.Duration, t.lastToken, false, false
+	entry.Holder, entry.Sequence, entry.Duration = client.Client, client.Sequence, client.Duration
+	entry.Token, entry.Revoked, entry.TransferPending = t.lastToken, false, false
 }
 
-// grantNextWaiter gives a name to whoever waits longest; nil: nobody does, and it is free.
-func (t *Table) grantNextWaiter(e *Entry) *Entry {
-	if len(e.Waiters) == 0 {
-		delete(t.entries, e.Name)
+// grantNextWaiter grants the lease to the first waiter and returns its entry. If nobody waits it frees the name and returns nil.
+func (t *Table) grantNextWaiter(entry *Entry) *Entry {
+	if len(entry.Waiters) == 0 {
+		delete(t.entries, entry.Name)
 		return nil
 	}
-	w := e.Waiters[0]
-	e.Waiters = slices.Delete(e.Waiters, 0, 1)
-	t.grant(e, w)
-	return e
+	first := entry.Waiters[0]
+	entry.Waiters = slices.Delete(entry.Waiters, 0, 1)
+	t.grant(entry, first)
+	return entry
+}
+
+func (t *Table) validName(name string) bool { return name != "" && len(name) <= t.limits.MaxNameBytes }
+
+// isHeldBy reports whether a client holds the name under a token. A nil Entry is a free name.
+func (e *Entry) isHeldBy(client string, token Token) bool {
+	return e != nil && e.Token == token && e.Holder == client
+}
+
+// waiterIndex returns a client's index in the waiter queue, -1 if it does not wait.
+func (e *Entry) waiterIndex(client string) int {
+	return slices.IndexFunc(e.Waiters, func(w Waiter) bool { return w.Client == client })
+}
+
+// GrantedReply returns the reply that tells the holder of its grant.
+func (e *Entry) GrantedReply(request Request) Reply {
+	reply := request.Reply(Granted)
+	reply.Token, reply.Duration, reply.Holder = e.Token, e.Duration, e.Holder
+	return reply
 }
 
-func (e *Entry) grantedReply(a Request) Reply {
-	r := a.reply(Granted)
-	r.Token, r.Duration, r.Holder = e.Token, e.Duration, e.Holder
-	return r
+// waitingReply is the reply to the waiter at an index of the queue.
+func (e *Entry) waitingReply(request Request, index int) Reply {
+	reply := request.Reply(Waiting)
+	reply.Position, reply.Holder = index+1, e.Holder
+	return reply
 }
 
-// Entry is a name's; nil: it is free. It is not to be changed.
+// Entry returns the entry of a name, nil if the name is free. The caller must not change it.
 func (t *Table) Entry(name string) *Entry { return t.entries[name] }
 
-// LastToken is the last token given.
+// LastToken returns the token that was issued last.
 func (t *Table) LastToken() Token { return t.lastToken }
 
-// List are all that are held, by name, as copies.
+// List returns copies of all entries, sorted by name.
 func (t *Table) List() []Entry {
-	out := make([]Entry, 0, len(t.entries))
-	for e := range maps.Values(t.entries) {
-		c := *e
-		c.Waiters = slices.Clone(e.Waiters)
-		out = append(out, c)
+	list := make([]Entry, 0, len(t.entries))
+	for entry := range maps.Values(t.entries) {
+		copied := *entry
+		copied.Waiters = slices.Clone(entry.Waiters)
+		list = append(list, copied)
 	}
-	slices.SortFunc(out, func(a, b Entry) int { return cmp.Compare(a.Name, b.Name) })
-	return out
+	slices.SortFunc(list, func(a, b Entry) int { return cmp.Compare(a.Name, b.Name) })
+	return list
 }
 
-// Restore makes the record what List and Last said; the Table is empty before it.
-func (t *Table) Restore(last Token, all []Entry) {
-	t.lastToken = last
-	for _, e := range all {
-		e.Waiters = slices.Clone(e.Waiters)
-		t.entries[e.Name] = &e
-		t.lastToken = max(t.lastToken, e.Token)
+// Restore fills an empty Table from a snapshot: what LastToken and List returned.
+func (t *Table) Restore(lastToken Token, entries []Entry) {
+	t.lastToken = lastToken
+	for _, entry := range entries {
+		entry.Waiters = slices.Clone(entry.Waiters)
+		t.entries[entry.Name] = &entry
+		t.lastToken = max(t.lastToken, entry.Token)
 	}
 }
