--- /dev/null
+++ b/internal/lease/expirations_test.go
@@ -0,0 +1,58 @@
+package lease
+
+import (
+	"testing"
+	"time"
+)
+
+// A silent client loses its lease or its position; one that renews keeps it; a revoked grant is not renewed, and lasts for its duration; a new
+// leader restarts the timers.
+func TestExpiry(t *testing.T) {
+	h := newHarness(t)
+	h.want(acquire("a", 1), Granted, "a", 1)
+	h.want(acquire("b", 1), Waiting, "a", 1)
+	for range 3 {
+		h.advance(9 * time.Second)
+		h.want(Request{Kind: Renew, Client: "a", Token: 1}, Granted, "a", 1)
+		h.want(acquire("b", 1), Waiting, "a", 1)
+	}
+	h.want(acquire("c", 1), Waiting, "a", 1)
+	h.advance(10500 * time.Millisecond) // the duration, but not the drift
+	h.want(acquire("b", 1), Waiting, "a", 1)
+	h.advance(time.Second)
+	h.want(acquire("b", 1), Granted, "b", 2) // c was removed as well: b repeated its request, c did not
+	h.want(acquire("c", 1), Waiting, "b", 2)
+	h.want(Request{Kind: Revoke, Client: "op"}, Done, "b", 2)
+	h.want(Request{Kind: Renew, Client: "b", Token: 2}, NotHeld, "b", 2)
+	h.want(acquire("b", 1), NotHeld, "b", 2)
+	h.advance(8 * time.Second)
+	h.want(acquire("c", 1), Waiting, "b", 2)
+	h.advance(5 * time.Second)
+	h.want(acquire("c", 1), Granted, "c", 3)
+	h.expirations = NewExpirations(h.now+5*time.Second, h.table, testDrift) // of a new leader
+	h.advance(15 * time.Second)
+	h.want(Request{Kind: Renew, Client: "c", Token: 3}, Granted, "c", 3)
+	h.advance(time.Minute)
+	h.want(Request{Kind: Renew, Client: "c", Token: 3}, NotHeld, "", 0)
+	if next, ok := h.expirations.Next(); ok || len(h.expirations.timers) != 0 {
+		t.Errorf("%v, %d timers are left", next, len(h.expirations.timers))
+	}
+}
+
+// An expiry is proposed again where its proposal got lost, and meanwhile the grant is not renewed.
+func TestExpiryIsProposedAgain(t *testing.T) {
+	h := newHarness(t)
+	h.want(acquire("a", 1), Granted, "a", 1)
+	h.now = 12 * time.Second
+	if requests := h.expirations.Expired(h.now); len(requests) != 1 || requests[0].Kind != Expire {
+		t.Fatalf("%+v", requests)
+	}
+	h.want(Request{Kind: Renew, Client: "a", Token: 1}, NotHeld, "a", 1)
+	h.want(acquire("a", 1), NotHeld, "a", 1)
+	if requests := h.expirations.Expired(h.now); len(requests) != 0 {
+		t.Errorf("%+v at once", requests)
+	}
+	if requests := h.expirations.Expired(h.now + reproposalDelay); len(requests) != 1 {
+		t.Errorf("%+v", requests)
+	}
+}
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -10,7 +10,7 @@
 	"orchiddrift/internal/testing/golden"
 )
 
-// jsonLines writes values as JSON, a line each.
+// jsonLines encodes values as JSON, one a line.
 func jsonLines[T any](t *testing.T, values []T) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -24,7 +24,7 @@
 	return out.Bytes()
 }
 
-// goldenLines holds values to a file of JSON lines, in both directions.
+// goldenLines checks that values are encoded as the golden file's lines, and that these are decoded to the values.
 func goldenLines[T any](t *testing.T, name string, want []T) {
 	t.Helper()
 	text := jsonLines(t, want)
@@ -36,22 +36,22 @@
 			t.Fatalf("%s: line %d: %v", name, i+1, err)
 		}
 		if !reflect.DeepEqual(got, want[i]) {
-			t.Errorf("%s: line %d is read as %+v, want %+v", name, i+1, got, want[i])
+			t.Errorf("%s: line %d is decoded as %+v, want %+v", name, i+1, got, want[i])
 		}
 	}
 }
 
-// Asks stand in the group's log, entries in its snapshots, and replies go between releases: they are read and written byte for byte as the
-// release before did, their kinds by the same numbers.
+// Requests are stored in the raft log, entries in its snapshots, and replies are sent between releases: their encoding, and the numbers of their
+// kinds and statuses, stay as earlier releases wrote them.
 func TestRecordsGolden(t *testing.T) {
-	var asks []Request
+	var requests []Request
 	for _, kind := range []RequestKind{Acquire, Renew, Release, Transfer, Revoke, Expire, RemoveWaiter, WriteNote, ReadNote} {
-		asks = append(asks, Request{Kind: kind, Name: "report", Client: "c1", Sequence: 2, SendNumber: 3, Token: 4, Duration: 5 * time.Second, Wait: true, To: "c2", Value: "text"})
+		requests = append(requests, Request{Kind: kind, Name: "report", Client: "c1", Sequence: 2, SendNumber: 3, Token: 4, Duration: 5 * time.Second, Wait: true, To: "c2", Value: "text"})
 	}
-	goldenLines(t, "asks.jsonl", append(asks, Request{Kind: Acquire}))
+	goldenLines(t, "asks.jsonl", append(requests, Request{Kind: Acquire}))
 	var replies []Reply
-	for _, verdict := range []Status{Granted, Waiting, HeldByOther, TableFull, NotHeld, Done} {
-		replies = append(replies, Reply{Status: verdict, Client: "c1", Name: "report", Sequence: 2, SendNumber: 3, Token: 4, Duration: 5 * time.Second, Position: 6, Holder: "c0", Value: "text"})
+	for _, status := range []Status{Granted, Waiting, HeldByOther, TableFull, NotHeld, Done} {
+		replies = append(replies, Reply{Status: status, Client: "c1", Name: "report", Sequence: 2, SendNumber: 3, Token: 4, Duration: 5 * time.Second, Position: 6, Holder: "c0", Value: "text"})
 	}
 	goldenLines(t, "replies.jsonl", append(replies, Reply{}))
 	goldenLines(t, "entries.jsonl", []Entry{
--- /dev/null
+++ b/internal/lease/world_test.go
@@ -0,0 +1,279 @@
+package lease
+
+import (
+	"container/heap"
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+)
+
+// The model has a record with a leader, holders, and messages between them. Time passes in quanta, in each of which a clock advances by its rate
+// in units: modelQuantum is true time, 3 the slow and 5 the fast limit of driftLimit.
+const (
+	modelQuantum       = 4
+	modelDuration      = 4 * modelQuantum // of a lease
+	driftLimit         = 0.25
+	maxProposals       = 3   // that are not applied yet
+	recoveryQuanta     = 200 // after which a name must be held again once all faults have ended
+	recoverySteps      = 100 // within one quantum
+	recoveryInTransit  = 100 // messages at once
+	unboundedDuration  = 1 << 20
+	modelNameBytes     = 100
+	modelTableCapacity = 4
+)
+
+var modelNames, modelClients = []string{"l0", "l1"}, []string{"c0", "c1", "c2"}
+
+// omittedRule is a rule that the model leaves out, to show that the search finds the fault; empty: none is left out.
+type omittedRule string
+
+const (
+	countFromSend        omittedRule = "a grant counts from when its request was sent"
+	subtractDrift        omittedRule = "a holder subtracts the drift"
+	restartTimers        omittedRule = "a new leader restarts the timers"
+	noGrantAfterProposal omittedRule = "a grant whose expiry was proposed is not confirmed"
+)
+
+// searchBounds bound what the searches look at.
+type searchBounds struct {
+	holders, names int
+	rates          []time.Duration // of the holders' clocks, in units per quantum
+	leaderRate     time.Duration   // of the leader's clock, in units per quantum
+	quanta         int
+	inTransit      int    // messages at once
+	acquisitions   uint64 // of each holder
+	faults         int    // messages that are lost or duplicated, releases, transfers and changes of the leader, in all
+	omitted        omittedRule
+}
+
+// message is a request to the record or a reply to a holder.
+type message struct {
+	request Request
+	reply   Reply
+	to      int // index of a holder; toRecord: the record
+}
+
+const toRecord = -1
+
+// world is a state of the model.
+type world struct {
+	bounds       *searchBounds
+	clocks       []time.Duration // of the holders' processes
+	leaderClock  time.Duration
+	quanta       int
+	faults       int
+	table        *Table
+	expirations  *Expirations
+	holders      []*Holder // by process, then by name
+	acquisitions []uint64  // by holder
+	inTransit    []message
+	proposals    []Request // that are not applied yet
+}
+
+func newWorld(bounds *searchBounds) *world {
+	limits := Limits{modelTableCapacity, modelTableCapacity, modelNameBytes, 1, unboundedDuration}
+	w := &world{bounds: bounds, clocks: make([]time.Duration, bounds.holders), table: NewTable(limits)}
+	w.expirations = NewExpirations(0, w.table, driftLimit)
+	drift := driftLimit
+	if bounds.omitted == subtractDrift {
+		drift = 0
+	}
+	for h := range bounds.holders {
+		for n := range bounds.names {
+			w.holders = append(w.holders, NewHolder(HolderOptions{Name: modelNames[n], Client: modelClients[h], Duration: modelDuration, Wait: true,
+				Drift: drift, RetryInterval: modelDuration / 3}))
+		}
+	}
+	w.acquisitions = make([]uint64, len(w.holders))
+	return w
+}
+
+func (w *world) clone() *world {
+	c := *w
+	c.clocks, c.acquisitions = slices.Clone(w.clocks), slices.Clone(w.acquisitions)
+	c.inTransit, c.proposals = slices.Clone(w.inTransit), slices.Clone(w.proposals)
+	c.table = NewTable(w.table.limits)
+	c.table.Restore(w.table.lastToken, w.table.List())
+	c.expirations = &Expirations{table: c.table, drift: w.expirations.drift, timers: map[string]*expiryTimer{}}
+	for key, timer := range w.expirations.timers {
+		copied := *timer
+		c.expirations.timers[key] = &copied
+	}
+	c.expirations.queue = make(timerQueue, len(w.expirations.queue))
+	for _, timer := range c.expirations.timers {
+		c.expirations.queue[timer.index] = timer
+	}
+	heap.Init(&c.expirations.queue)
+	c.holders = make([]*Holder, len(w.holders))
+	for i, h := range w.holders {
+		copied := *h
+		copied.sentAt = maps.Clone(h.sentAt)
+		c.holders[i] = &copied
+	}
+	return &c
+}
+
+// now is the time by a holder's clock.
+func (w *world) now(holder int) time.Duration { return w.clocks[holder/w.bounds.names] }
+
+// advance lets a quantum pass.
+func (w *world) advance() {
+	for process := range w.clocks {
+		w.clocks[process] += w.bounds.rates[process]
+	}
+	w.leaderClock += w.bounds.leaderRate
+}
+
+// perform carries out a holder's actions. Its work ends at once.
+func (w *world) perform(holder int, actions []Action) {
+	for _, action := range actions {
+		switch action.Kind {
+		case ActionSend:
+			w.transmit(message{request: action.Request, to: toRecord})
+		case ActionStopWork:
+			w.perform(holder, w.holders[holder].WorkStopped(w.now(holder)))
+		}
+	}
+}
+
+// transmit puts a message on its way. It is lost if too many are.
+func (w *world) transmit(m message) {
+	if len(w.inTransit) < w.bounds.inTransit {
+		w.inTransit = append(w.inTransit, m)
+	}
+}
+
+// deliver lets a message arrive.
+func (w *world) deliver(m message) {
+	if m.to == toRecord {
+		w.receive(m.request)
+		return
+	}
+	h := w.holders[m.to]
+	if w.bounds.omitted == countFromSend {
+		if _, ok := h.sentAt[m.reply.SendNumber]; ok {
+			h.sentAt[m.reply.SendNumber] = w.now(m.to)
+		}
+	}
+	w.perform(m.to, h.HandleReply(w.now(m.to), m.reply))
+}
+
+// receive handles a request as the leader's driver does.
+func (w *world) receive(request Request) {
+	if request.Kind == Renew {
+		w.answer(w.expirations.Renew(w.leaderClock, request))
+		return
+	}
+	if reply, ok := w.expirations.AnswerRepeated(w.leaderClock, request); ok {
+		w.answer(reply)
+		return
+	}
+	if len(w.proposals) < maxProposals {
+		w.proposals = append(w.proposals, request)
+	}
+}
+
+// applyProposal applies the oldest proposal.
+func (w *world) applyProposal() {
+	request := w.proposals[0]
+	w.proposals = w.proposals[1:]
+	applied, granted := w.table.Apply(request)
+	reply := w.expirations.Applied(w.leaderClock, request, applied, granted)
+	if w.bounds.omitted == noGrantAfterProposal {
+		reply = applied
+	}
+	if request.SendNumber > 0 {
+		w.answer(reply)
+	}
+}
+
+func (w *world) answer(reply Reply) {
+	for i, h := range w.holders {
+		if h.options.Client == reply.Client && h.options.Name == reply.Name && reply.SendNumber > 0 {
+			w.transmit(message{reply: reply, to: i})
+		}
+	}
+}
+
+// changeLeader makes another member the leader; of the proposals it has the first kept in its log.
+func (w *world) changeLeader(kept int) {
+	for _, request := range w.proposals[:kept] {
+		w.table.Apply(request)
+	}
+	w.proposals = nil
+	previous := w.expirations
+	w.expirations = NewExpirations(w.leaderClock, w.table, driftLimit)
+	if w.bounds.omitted != restartTimers {
+		return
+	}
+	// The new leader takes over its predecessor's timers, without the renewals that it confirmed last.
+	for key, timer := range w.expirations.timers {
+		if old := previous.timers[key]; old != nil && old.token == timer.token {
+			timer.deadline = old.deadline - modelDuration/2
+		}
+	}
+	heap.Init(&w.expirations.queue)
+}
+
+// violation describes what must not be: two holders that may act on one name. It is empty if all is well.
+func (w *world) violation() string {
+	for n := range w.bounds.names {
+		var holders []int
+		for process := range w.bounds.holders {
+			if _, _, ok := w.holders[process*w.bounds.names+n].Held(w.clocks[process]); ok {
+				holders = append(holders, process)
+			}
+		}
+		if len(holders) > 1 {
+			return fmt.Sprintf("%v hold one name", holders)
+		}
+	}
+	return ""
+}
+
+// recovers reports whether each name comes to be held again once all faults have ended.
+func (w *world) recovers() bool {
+	c := w.clone()
+	bounds := *w.bounds
+	bounds.inTransit = recoveryInTransit
+	c.bounds = &bounds
+	held := make([]bool, bounds.names)
+	for i := range c.holders {
+		c.perform(i, c.holders[i].Acquire(c.now(i)))
+	}
+	for range recoveryQuanta {
+		c.settle(held)
+		if !slices.Contains(held, false) {
+			return true
+		}
+		c.advance()
+	}
+	return false
+}
+
+// settle does all that can be done without time passing, and notes which names are held.
+func (w *world) settle(held []bool) {
+	for range recoverySteps {
+		switch {
+		case len(w.inTransit) > 0:
+			m := w.inTransit[0]
+			w.inTransit = w.inTransit[1:]
+			w.deliver(m)
+		case len(w.proposals) > 0:
+			w.applyProposal()
+		default:
+			expired := w.expirations.Expired(w.leaderClock)
+			w.proposals = append(w.proposals, expired...)
+			for i, h := range w.holders {
+				if _, _, ok := h.Held(w.now(i)); ok {
+					held[i%w.bounds.names] = true
+				}
+				w.perform(i, h.Tick(w.now(i)))
+			}
+			if len(w.inTransit)+len(expired) == 0 {
+				return
+			}
+		}
+	}
+}
