--- a/internal/lease/raftgroup/client.go
+++ b/internal/lease/raftgroup/client.go
@@ -14,8 +14,8 @@
 	"orchiddrift/internal/lease"
 )
 
-// redial is how soon a broken connection to a member is made again.
-var redial = backoff.Config{BaseDelay: 20 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}
+// reconnectBackoff is how soon a broken connection to a member is made again.
+var reconnectBackoff = backoff.Config{BaseDelay: 20 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}
 
 // BootTime is the time since the machine started, which goes on while it sleeps.
 func BootTime() time.Duration {
@@ -65,17 +65,17 @@
 	return err
 }
 
-func (c *Client) hello() hello { return hello{Version: version, Fleet: c.fleet} }
+func (c *Client) hello() callHeader { return callHeader{Version: protocolVersion, Fleet: c.fleet} }
 
 // Request asks the leader once, and each of the others at most once on the way to it. patience bounds what one member may take beside hold.
 func (c *Client) Request(ctx context.Context, a lease.Request, hold, patience time.Duration) (lease.Reply, error) {
 	c.mu.Lock()
 	at := c.lead
 	c.mu.Unlock()
-	var last error = errNotNow
+	var last error = ErrNoLeader
 	for range len(c.peers) + 1 {
 		one, cancel := context.WithTimeout(ctx, hold+patience)
-		r, err := call[askAnswer](one, c.conns[at], "Ask", askCall{c.hello(), a, hold})
+		r, err := call[requestAnswer](one, c.conns[at], "Ask", requestCall{c.hello(), a, hold})
 		cancel()
 		if err == nil && r.Reply.Status != 0 {
 			c.mu.Lock()
--- a/internal/lease/raftgroup/command.go
+++ b/internal/lease/raftgroup/command.go
@@ -36,14 +36,14 @@
 	Log    func(text string)                // what is worth a line
 
 	mu    sync.Mutex
-	run   *guardedRun
+	run   *commandRun
 	token lease.Token
 	until time.Duration
 	ended lease.Reason // why it was to end; 0: it was not
 }
 
-// guardedRun is one run.
-type guardedRun struct {
+// commandRun is one run.
+type commandRun struct {
 	cmd  *exec.Cmd
 	to   io.WriteCloser
 	over chan struct{}
@@ -83,7 +83,7 @@
 		read.Close()
 		return err
 	}
-	g := &guardedRun{cmd: cmd, to: to, over: make(chan struct{}), told: make(chan struct{})}
+	g := &commandRun{cmd: cmd, to: to, over: make(chan struct{}), told: make(chan struct{})}
 	c.run = g
 	go func() {
 		defer close(g.told)
@@ -95,7 +95,7 @@
 			c.mu.Unlock()
 			var word string
 			_, err = fmt.Fscan(read, &word)
-			g.late = err == nil && word == tooLate
+			g.late = err == nil && word == guardLate
 		}
 	}()
 	go func() {
@@ -108,7 +108,7 @@
 
 // over is a run's end. One that the guard has ended while the lease is held after all, since the word that it goes on came too late, begins anew:
 // this process still is the only one.
-func (c *Command) over(g *guardedRun) {
+func (c *Command) over(g *commandRun) {
 	c.mu.Lock()
 	close(g.over)
 	code, why := g.cmd.ProcessState.ExitCode(), c.ended
@@ -179,8 +179,8 @@
 // Unreachable is Task's.
 func (c *Command) Unreachable(err error) { c.Log(err.Error()) }
 
-// tooLate is what a guard says as it ends a command at its moment.
-const tooLate = "late"
+// guardLate is what a guard says as it ends a command at its moment.
+const guardLate = "late"
 
 // Guard runs a command until a moment by Boottime that what comes on in moves on ("until N", "end"). At the moment, at "end", or at the end of in
 // it gets SIGTERM, and margin later SIGKILL, with all of its group. It returns the command's exit code.
@@ -189,7 +189,7 @@
 	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if BootTime() >= until { // a busy machine began the guard too late: not the command's end, and who asked may have another term by now
-		_, _ = fmt.Fprintf(pid, "0\n%s\n", tooLate)
+		_, _ = fmt.Fprintf(pid, "0\n%s\n", guardLate)
 		return 1, errors.Join(errors.New("the lease's term was over before its command began"), pid.Close())
 	}
 	if err := cmd.Start(); err != nil {
@@ -233,7 +233,7 @@
 			if BootTime() < until {
 				continue
 			}
-			_, _ = fmt.Fprintln(pid, tooLate)
+			_, _ = fmt.Fprintln(pid, guardLate)
 		case <-end:
 		}
 		_ = syscall.Kill(group, syscall.SIGTERM)
--- a/internal/lease/raftgroup/golden_test.go
+++ b/internal/lease/raftgroup/golden_test.go
@@ -42,18 +42,18 @@
 func TestMessagesGolden(t *testing.T) {
 	ask := lease.Request{Kind: lease.Acquire, Name: "report", Client: "c1", Sequence: 1, SendNumber: 2, Duration: time.Second}
 	entry := lease.Entry{Name: "report", Holder: "c1", Sequence: 1, Token: 9, Duration: time.Second, Waiters: []lease.Waiter{{Client: "c2", Sequence: 1, Duration: time.Second}}}
-	from := hello{Version: version, Fleet: "bookings", From: 77, Name: "a"}
-	goldenJSON(t, "command.json", command{Node: 77, ID: 5, Epoch: 3, Ask: ask})
-	goldenJSON(t, "snapshot.json", snapshot{Version: version, Last: 9, Entries: []lease.Entry{entry}, Notes: map[string]string{"report": "text"}, Peers: map[uint64]string{77: "a"}})
-	goldenJSON(t, "step.json", stepCall{from, []byte("message")})
-	goldenJSON(t, "ask.json", askCall{hello: from, Ask: ask, Hold: time.Second})
-	goldenJSON(t, "answer.json", askAnswer{Reply: lease.Reply{Status: lease.Granted, Client: "c1", Name: "report", Sequence: 1, SendNumber: 2, Token: 9, Duration: time.Second}, Leader: "b"})
-	goldenJSON(t, "info.json", Info{ID: 77, Name: "a", Bootstrapped: true, IsLeader: true, Leader: "a", Peers: map[uint64]string{77: "a"}, LastToken: 9, Leases: []lease.Entry{entry},
+	from := callHeader{Version: protocolVersion, Fleet: "bookings", From: 77, Name: "a"}
+	goldenJSON(t, "command.json", proposal{Proposer: 77, ID: 5, LeaderTerm: 3, Request: ask})
+	goldenJSON(t, "snapshot.json", recordSnapshot{Version: protocolVersion, LastToken: 9, Entries: []lease.Entry{entry}, Notes: map[string]string{"report": "text"}, Members: map[uint64]string{77: "a"}})
+	goldenJSON(t, "step.json", messageCall{from, []byte("message")})
+	goldenJSON(t, "ask.json", requestCall{callHeader: from, Request: ask, Hold: time.Second})
+	goldenJSON(t, "answer.json", requestAnswer{Reply: lease.Reply{Status: lease.Granted, Client: "c1", Name: "report", Sequence: 1, SendNumber: 2, Token: 9, Duration: time.Second}, Leader: "b"})
+	goldenJSON(t, "info.json", Info{ID: 77, Name: "a", Bootstrapped: true, IsLeader: true, Leader: "a", Members: map[uint64]string{77: "a"}, LastToken: 9, Leases: []lease.Entry{entry},
 		RemainingMs: []int64{250}, Notes: map[string]string{"report": "text"}})
 	goldenJSON(t, "join.json", joinCall{from})
 	var methods strings.Builder
-	for _, m := range service.Methods {
-		fmt.Fprintf(&methods, "/%s/%s\n", service.ServiceName, m.MethodName)
+	for _, m := range serviceDesc.Methods {
+		fmt.Fprintf(&methods, "/%s/%s\n", serviceDesc.ServiceName, m.MethodName)
 	}
 	golden.Match(t, "methods.txt", []byte(methods.String()))
 }
@@ -89,11 +89,11 @@
 	hard := &pb.HardState{Term: proto.Uint64(3), Vote: proto.Uint64(77), Commit: proto.Uint64(2)}
 	entries := []*pb.Entry{{Term: proto.Uint64(2), Index: proto.Uint64(2), Data: []byte("first")}, {Term: proto.Uint64(3), Index: proto.Uint64(3), Data: []byte("second")}}
 	path := filepath.Join(t.TempDir(), "member.db")
-	d, err := openDisk(t.Context(), path, "bookings", boltfile.LockWait{})
+	d, err := openStorage(t.Context(), path, "bookings", boltfile.LockWait{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := d.begin(&pb.ConfState{Voters: []uint64{77}}, []byte("record")); err != nil {
+	if err := d.bootstrap(&pb.ConfState{Voters: []uint64{77}}, []byte("record")); err != nil {
 		t.Fatal(err)
 	}
 	if err := d.save(hard, entries, nil); err != nil {
@@ -141,12 +141,12 @@
 	if err := db.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if d, err = openDisk(t.Context(), old, "bookings", boltfile.LockWait{}); err != nil {
+	if d, err = openStorage(t.Context(), old, "bookings", boltfile.LockWait{}); err != nil {
 		t.Fatal(err)
 	}
 	defer d.close()
-	if d.id != 77 || !d.formed {
-		t.Errorf("id %d, formed %t", d.id, d.formed)
+	if d.id != 77 || !d.bootstrapped {
+		t.Errorf("id %d, formed %t", d.id, d.bootstrapped)
 	}
 	state, conf, err := d.memory.InitialState()
 	if err != nil || !proto.Equal(state, hard) || !reflect.DeepEqual(conf.Voters, []uint64{77}) {
--- a/internal/lease/raftgroup/keeper.go
+++ b/internal/lease/raftgroup/holder_driver.go
@@ -45,7 +45,7 @@
 // RunWhileHeld wants a lease until ctx ends, and has the task act while it is held. It returns once the act has ended and the lease was given back, or
 // that was tried.
 func RunWhileHeld(ctx context.Context, at Requester, o lease.HolderOptions, task Work) {
-	k := &keeping{o: o, at: at, task: task, h: lease.NewHolder(o), replies: make(chan lease.Reply, 16), failed: make(chan error, 16)}
+	k := &holderDriver{o: o, at: at, task: task, h: lease.NewHolder(o), replies: make(chan lease.Reply, 16), failed: make(chan error, 16)}
 	asking, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	k.ctx = asking
@@ -82,7 +82,7 @@
 	}
 }
 
-type keeping struct {
+type holderDriver struct {
 	o       lease.HolderOptions
 	at      Requester
 	task    Work
@@ -96,7 +96,7 @@
 	last    []chan struct{} // asks that give back
 }
 
-func (k *keeping) do(acts []lease.Action) {
+func (k *holderDriver) do(acts []lease.Action) {
 	for _, a := range acts {
 		switch a.Kind {
 		case lease.ActionSend:
@@ -113,7 +113,7 @@
 }
 
 // send asks on a goroutine of its own: an ask that hangs holds nobody up.
-func (k *keeping) send(a lease.Request) {
+func (k *holderDriver) send(a lease.Request) {
 	hold := time.Duration(0)
 	if a.Kind == lease.Acquire && a.Wait {
 		hold = k.o.RetryInterval * 9 / 10 // until it asks again
@@ -140,7 +140,7 @@
 }
 
 // wait gives what is being given back a moment to arrive.
-func (k *keeping) wait() {
+func (k *holderDriver) wait() {
 	late := time.After(k.o.RetryInterval)
 	for _, over := range k.last {
 		for waits := true; waits; {
--- a/internal/lease/raftgroup/linear_test.go
+++ b/internal/lease/raftgroup/linearizability_test.go
@@ -304,7 +304,7 @@
 	id := uint64(0)
 	testutil.Eventually(t, "it is a member", func() bool {
 		if l := leader(); l != nil {
-			for x, name := range l.Peers {
+			for x, name := range l.Members {
 				if name == lost && x != old {
 					id = x
 				}
--- a/internal/lease/raftgroup/member.go
+++ b/internal/lease/raftgroup/member.go
@@ -56,7 +56,7 @@
 // Member is one of the group's. It is safe for concurrent use; all that it knows is its loop's.
 type Member struct {
 	o     Options
-	disk  *disk
+	disk  *storage
 	node  *raft.RawNode
 	stop  context.CancelFunc
 	ended chan struct{}
@@ -65,7 +65,7 @@
 	err     error // why it takes no part any more; after ended
 
 	steps chan *pb.Message
-	asks  chan *asked
+	asks  chan *pendingRequest
 	infos chan chan Info
 	joins chan joining
 	sent  chan sent
@@ -82,11 +82,11 @@
 	leader  uint64
 
 	last    uint64                      // proposal
-	pending map[uint64]*asked           // proposed
-	reads   []*asked                    // to be answered once the group has confirmed who leads
-	reading []*asked                    // those that are being confirmed
+	pending map[uint64]*pendingRequest  // proposed
+	reads   []*pendingRequest           // to be answered once the group has confirmed who leads
+	reading []*pendingRequest           // those that are being confirmed
 	readAt  uint64                      // the index that was confirmed; 0: not yet
-	parked  map[string]*asked           // waiters, by name and client
+	parked  map[string]*pendingRequest  // waiters, by name and client
 	sending map[uint64]chan *pb.Message // by member
 
 	turned struct {
@@ -95,15 +95,15 @@
 	}
 }
 
-type asked struct {
-	ask    lease.Request
-	until  time.Duration // it may be held back
-	answer chan askAnswer
+type pendingRequest struct {
+	request   lease.Request
+	holdUntil time.Duration // it may be held back
+	answer    chan requestAnswer
 }
 
-func (a *asked) reply(r lease.Reply) {
+func (a *pendingRequest) reply(r lease.Reply) {
 	select {
-	case a.answer <- askAnswer{Reply: r}:
+	case a.answer <- requestAnswer{Reply: r}:
 	default: // it has one
 	}
 }
@@ -114,21 +114,21 @@
 	done chan error
 }
 
-// command is an entry of the log.
-type command struct {
-	Node  uint64        `json:"node"` // that proposed it
-	ID    uint64        `json:"id"`
-	Epoch uint64        `json:"epoch,omitempty"` // a leader's own word: it counts only in the raft term in which it was said
-	Ask   lease.Request `json:"ask"`
+// proposal is an entry of the log.
+type proposal struct {
+	Proposer   uint64        `json:"node"` // that proposed it
+	ID         uint64        `json:"id"`
+	LeaderTerm uint64        `json:"epoch,omitempty"` // a leader's own word: it counts only in the raft term in which it was said
+	Request    lease.Request `json:"ask"`
 }
 
-// snapshot is the record on the disk.
-type snapshot struct {
-	Version int               `json:"version"`
-	Last    lease.Token       `json:"last"`
-	Entries []lease.Entry     `json:"entries"`
-	Notes   map[string]string `json:"notes,omitempty"`
-	Peers   map[uint64]string `json:"peers"`
+// recordSnapshot is the record on the disk.
+type recordSnapshot struct {
+	Version   int               `json:"version"`
+	LastToken lease.Token       `json:"last"`
+	Entries   []lease.Entry     `json:"entries"`
+	Notes     map[string]string `json:"notes,omitempty"`
+	Members   map[uint64]string `json:"peers"`
 }
 
 // New opens a member's disk; while another process holds it, it waits. Run has it take part.
@@ -142,16 +142,16 @@
 	if !slices.ContainsFunc(o.Peers, func(p Peer) bool { return p.Name == o.Name }) {
 		return nil, fmt.Errorf("%q is not one of the group's members", o.Name)
 	}
-	var d *disk
+	var d *storage
 	held := boltfile.LockWait{OnWaiting: func(since time.Duration) {
 		o.Log.Warn("fleet: another process holds the group's file: waiting for it", "file", o.File, "since", since.Round(time.Millisecond).String())
 	}}
-	if err := guarded(func() (err error) { d, err = openDisk(ctx, o.File, o.Fleet, held); return err }); err != nil {
+	if err := recoverStorageFault(func() (err error) { d, err = openStorage(ctx, o.File, o.Fleet, held); return err }); err != nil {
 		return nil, fmt.Errorf("the group's file %s: %w", o.File, err)
 	}
-	m := &Member{o: o, disk: d, ended: make(chan struct{}), steps: make(chan *pb.Message, mostMessages), asks: make(chan *asked, mostAsks),
+	m := &Member{o: o, disk: d, ended: make(chan struct{}), steps: make(chan *pb.Message, mostMessages), asks: make(chan *pendingRequest, mostAsks),
 		infos: make(chan chan Info), joins: make(chan joining), sent: make(chan sent), conns: map[string]*grpc.ClientConn{}, table: lease.NewTable(o.Limits),
-		peers: map[uint64]string{}, pending: map[uint64]*asked{}, parked: map[string]*asked{}, sending: map[uint64]chan *pb.Message{}}
+		peers: map[uint64]string{}, pending: map[uint64]*pendingRequest{}, parked: map[string]*pendingRequest{}, sending: map[uint64]chan *pb.Message{}}
 	for _, p := range o.Peers {
 		conn, err := dial(p.Address)
 		if err != nil {
@@ -160,7 +160,7 @@
 		m.conns[p.Address] = conn
 	}
 	m.grpc = grpc.NewServer(grpc.MaxRecvMsgSize(2*mostMessage), grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: time.Second, PermitWithoutStream: true}))
-	m.grpc.RegisterService(&service, m)
+	m.grpc.RegisterService(&serviceDesc, m)
 	return m, nil
 }
 
@@ -168,7 +168,7 @@
 func dial(address string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableServiceConfig(),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 10 * time.Second, Timeout: 2 * time.Second}),
-		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second, Backoff: redial}))
+		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second, Backoff: reconnectBackoff}))
 }
 
 // Run takes part until ctx ends or the disk breaks, serving what comes to the listener, which it closes.
@@ -180,7 +180,7 @@
 		defer close(serving)
 		_ = m.grpc.Serve(l) // it ends with Stop
 	}()
-	err := guarded(func() error {
+	err := recoverStorageFault(func() error {
 		if err := m.form(ctx); err != nil {
 			return err
 		}
@@ -196,12 +196,12 @@
 	for _, c := range m.conns {
 		c.Close()
 	}
-	return errors.Join(err, guarded(m.disk.close))
+	return errors.Join(err, recoverStorageFault(m.disk.close))
 }
 
-// guarded has a disk whose pages are not what they should be end this part alone: bbolt panics on some, and a page that the file has lost is a
+// recoverStorageFault has a disk whose pages are not what they should be end this part alone: bbolt panics on some, and a page that the file has lost is a
 // fault of memory.
-func guarded(do func() error) (err error) {
+func recoverStorageFault(do func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -212,7 +212,7 @@
 }
 
 // turnAway is fromOther, logged once a minute.
-func (m *Member) turnAway(h hello) error {
+func (m *Member) turnAway(h callHeader) error {
 	err := m.fromOther(h)
 	if err != nil {
 		m.turned.Lock()
@@ -225,15 +225,15 @@
 	return err
 }
 
-func (m *Member) hello() hello {
-	return hello{Version: version, Fleet: m.o.Fleet, From: m.disk.id, Name: m.o.Name}
+func (m *Member) hello() callHeader {
+	return callHeader{Version: protocolVersion, Fleet: m.o.Fleet, From: m.disk.id, Name: m.o.Name}
 }
 
 // form makes this process a member. One whose disk stands in a group goes on in it. One whose disk is empty begins a group only with all
 // others empty too: else it has lost its disk, or come later, and asks the group to take it in as somebody new, in place of the one of its name
 // that can't vote any more.
 func (m *Member) form(ctx context.Context) error {
-	if m.disk.formed {
+	if m.disk.bootstrapped {
 		return nil
 	}
 	m.forming.Store(true) // others ask too, while this one waits for them
@@ -252,8 +252,8 @@
 			if err != nil {
 				continue
 			}
-			if _, mine := i.Peers[m.disk.id]; mine { // it was counted as the group began, or is being taken in: it waits to be told all
-				m.peers = i.Peers // to answer them
+			if _, mine := i.Members[m.disk.id]; mine { // it was counted as the group began, or is being taken in: it waits to be told all
+				m.peers = i.Members // to answer them
 				return nil
 			}
 			if i.Bootstrapped {
@@ -269,12 +269,12 @@
 		}
 		if !formed && len(all) == len(m.o.Peers) {
 			ids := slices.Sorted(maps.Keys(all))
-			data, err := json.Marshal(snapshot{Version: version, Peers: all})
+			data, err := json.Marshal(recordSnapshot{Version: protocolVersion, Members: all})
 			if err != nil {
 				return err
 			}
 			m.o.Log.Info("fleet: a group begins", "members", len(ids))
-			return m.disk.begin(&pb.ConfState{Voters: ids}, data)
+			return m.disk.bootstrap(&pb.ConfState{Voters: ids}, data)
 		}
 		select {
 		case <-tick.C:
@@ -297,7 +297,7 @@
 	}
 	m.node, err = raft.NewRawNode(&raft.Config{ID: m.disk.id, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: m.disk.memory, Applied: m.applied,
 		MaxSizePerMsg: mostMessage / 4, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 16 << 20, CheckQuorum: true, PreVote: true,
-		ReadOnlyOption: raft.ReadOnlySafe, DisableProposalForwarding: true, Logger: quiet{}})
+		ReadOnlyOption: raft.ReadOnlySafe, DisableProposalForwarding: true, Logger: discardLogger{}})
 	if err != nil {
 		return err
 	}
@@ -364,27 +364,27 @@
 	m.node.Advance(rd)
 	if first, err := m.disk.memory.FirstIndex(); err == nil && (m.changed || m.applied > first+snapshotEvery) {
 		m.changed = false
-		data, err := json.Marshal(snapshot{Version: version, Last: m.table.LastToken(), Entries: m.table.List(), Notes: m.table.Notes(), Peers: m.peers})
+		data, err := json.Marshal(recordSnapshot{Version: protocolVersion, LastToken: m.table.LastToken(), Entries: m.table.List(), Notes: m.table.Notes(), Members: m.peers})
 		if err != nil {
 			return err
 		}
-		return m.disk.compact(m.applied, m.conf, data)
+		return m.disk.saveSnapshot(m.applied, m.conf, data)
 	}
 	return nil
 }
 
 func (m *Member) restore(snap *pb.Snapshot) error {
-	var s snapshot
+	var s recordSnapshot
 	if err := json.Unmarshal(snap.GetData(), &s); err != nil {
 		return fmt.Errorf("the group's snapshot: %w", err)
 	}
-	if s.Version != version {
-		return fmt.Errorf("the group's snapshot is of version %d, and not %d", s.Version, version)
+	if s.Version != protocolVersion {
+		return fmt.Errorf("the group's snapshot is of version %d, and not %d", s.Version, protocolVersion)
 	}
 	m.table = lease.NewTable(m.o.Limits)
-	m.table.Restore(s.Last, s.Entries)
+	m.table.Restore(s.LastToken, s.Entries)
 	m.table.RestoreNotes(s.Notes)
-	m.peers, m.conf, m.applied = s.Peers, snap.GetMetadata().GetConfState(), snap.GetMetadata().GetIndex()
+	m.peers, m.conf, m.applied = s.Members, snap.GetMetadata().GetConfState(), snap.GetMetadata().GetIndex()
 	return nil
 }
 
@@ -414,31 +414,31 @@
 	if len(e.GetData()) == 0 {
 		return nil
 	}
-	var c command
+	var c proposal
 	if err := json.Unmarshal(e.GetData(), &c); err != nil {
 		return fmt.Errorf("entry %d of the group's log: %w", e.GetIndex(), err)
 	}
 	mine := m.pending[c.ID]
-	if c.Node == m.disk.id {
+	if c.Proposer == m.disk.id {
 		delete(m.pending, c.ID)
 	} else {
 		mine = nil
 	}
-	if c.Epoch != 0 && c.Epoch != e.GetTerm() { // its leader led no longer: the new one counts anew
+	if c.LeaderTerm != 0 && c.LeaderTerm != e.GetTerm() { // its leader led no longer: the new one counts anew
 		return nil
 	}
-	r, granted := m.table.Apply(c.Ask)
+	r, granted := m.table.Apply(c.Request)
 	if m.terms == nil { // who does not lead answers nothing
 		return nil
 	}
-	r = m.terms.Applied(m.o.Now(), c.Ask, r, granted)
+	r = m.terms.Applied(m.o.Now(), c.Request, r, granted)
 	if granted != nil {
 		m.unpark(granted)
 	}
 	if mine == nil {
 		return nil
 	}
-	if r.Status == lease.Waiting && mine.until > m.o.Now() {
+	if r.Status == lease.Waiting && mine.holdUntil > m.o.Now() {
 		m.park(mine, r)
 		return nil
 	}
@@ -449,10 +449,10 @@
 func parkedKey(name, client string) string { return name + "\x00" + client }
 
 // park holds an answer back. One ask of a client waits at a time: an earlier one is answered.
-func (m *Member) park(a *asked, r lease.Reply) {
-	k := parkedKey(a.ask.Name, a.ask.Client)
+func (m *Member) park(a *pendingRequest, r lease.Reply) {
+	k := parkedKey(a.request.Name, a.request.Client)
 	if old := m.parked[k]; old != nil {
-		r.SendNumber = old.ask.SendNumber
+		r.SendNumber = old.request.SendNumber
 		old.reply(r)
 	}
 	m.parked[k] = a
@@ -461,9 +461,9 @@
 // unpark tells a waiter at once that it holds the lease. Its term counts from its ask, which came before.
 func (m *Member) unpark(e *lease.Entry) {
 	k := parkedKey(e.Name, e.Holder)
-	if p := m.parked[k]; p != nil && p.ask.Sequence == e.Sequence {
+	if p := m.parked[k]; p != nil && p.request.Sequence == e.Sequence {
 		delete(m.parked, k)
-		p.reply(lease.Reply{Status: lease.Granted, Client: p.ask.Client, Name: e.Name, Sequence: p.ask.Sequence, SendNumber: p.ask.SendNumber, Token: e.Token, Duration: e.Duration, Holder: e.Holder})
+		p.reply(lease.Reply{Status: lease.Granted, Client: p.request.Client, Name: e.Name, Sequence: p.request.Sequence, SendNumber: p.request.SendNumber, Token: e.Token, Duration: e.Duration, Holder: e.Holder})
 	}
 }
 
@@ -483,7 +483,7 @@
 		m.o.Log.Info("fleet: leads no longer", "term", m.term)
 	}
 	m.term, m.terms, m.readAt = 0, nil, 0
-	for _, all := range [][]*asked{m.reads, m.reading, slices.Collect(maps.Values(m.pending)), slices.Collect(maps.Values(m.parked))} {
+	for _, all := range [][]*pendingRequest{m.reads, m.reading, slices.Collect(maps.Values(m.pending)), slices.Collect(maps.Values(m.parked))} {
 		for _, a := range all {
 			m.notNow(a)
 		}
@@ -493,24 +493,24 @@
 	clear(m.parked)
 }
 
-func (m *Member) notNow(a *asked) {
+func (m *Member) notNow(a *pendingRequest) {
 	select {
-	case a.answer <- askAnswer{Leader: m.peers[m.leader]}:
+	case a.answer <- requestAnswer{Leader: m.peers[m.leader]}:
 	default:
 	}
 }
 
 // take takes an ask.
-func (m *Member) take(a *asked) {
+func (m *Member) take(a *pendingRequest) {
 	switch {
 	case m.terms == nil:
 		m.notNow(a)
 	case len(m.reads) >= mostAsks:
 		m.notNow(a)
-	case a.ask.Kind == lease.Acquire || a.ask.Kind == lease.Renew:
+	case a.request.Kind == lease.Acquire || a.request.Kind == lease.Renew:
 		m.reads = append(m.reads, a)
-	case a.ask.Kind == lease.Expire: // the leader's alone
-		a.reply(lease.Reply{Status: lease.NotHeld, Client: a.ask.Client, Name: a.ask.Name, Sequence: a.ask.Sequence, SendNumber: a.ask.SendNumber})
+	case a.request.Kind == lease.Expire: // the leader's alone
+		a.reply(lease.Reply{Status: lease.NotHeld, Client: a.request.Client, Name: a.request.Name, Sequence: a.request.Sequence, SendNumber: a.request.SendNumber})
 	default:
 		m.propose(a, 0)
 	}
@@ -525,15 +525,15 @@
 		m.readAt = 0
 		now := m.o.Now()
 		for _, a := range m.reading {
-			if a.ask.Kind == lease.Renew {
-				a.reply(m.terms.Renew(now, a.ask))
+			if a.request.Kind == lease.Renew {
+				a.reply(m.terms.Renew(now, a.request))
 				continue
 			}
-			r, ok := m.terms.AnswerRepeated(now, a.ask)
+			r, ok := m.terms.AnswerRepeated(now, a.request)
 			switch {
 			case !ok:
 				m.propose(a, 0)
-			case r.Status == lease.Waiting && a.until > now:
+			case r.Status == lease.Waiting && a.holdUntil > now:
 				m.park(a, r)
 			default:
 				a.reply(r)
@@ -548,12 +548,12 @@
 	}
 }
 
-func (m *Member) propose(a *asked, epoch uint64) {
+func (m *Member) propose(a *pendingRequest, epoch uint64) {
 	id := uint64(m.o.Now())<<16 | uint64(len(m.pending))&0xffff // not that of an earlier life
 	for m.pending[id] != nil {
 		id++
 	}
-	data, err := json.Marshal(command{Node: m.disk.id, ID: id, Epoch: epoch, Ask: a.ask})
+	data, err := json.Marshal(proposal{Proposer: m.disk.id, ID: id, LeaderTerm: epoch, Request: a.request})
 	if err == nil {
 		err = m.node.Propose(data)
 	}
@@ -571,14 +571,14 @@
 	}
 	now := m.o.Now()
 	for _, a := range m.terms.Expired(now) {
-		m.propose(&asked{ask: a, answer: make(chan askAnswer, 1)}, m.term)
+		m.propose(&pendingRequest{request: a, answer: make(chan requestAnswer, 1)}, m.term)
 	}
 	for k, a := range m.parked {
-		if now >= a.until {
+		if now >= a.holdUntil {
 			delete(m.parked, k)
-			r, ok := m.terms.AnswerRepeated(now, a.ask)
+			r, ok := m.terms.AnswerRepeated(now, a.request)
 			if !ok {
-				r = lease.Reply{Status: lease.NotHeld, Client: a.ask.Client, Name: a.ask.Name, Sequence: a.ask.Sequence, SendNumber: a.ask.SendNumber}
+				r = lease.Reply{Status: lease.NotHeld, Client: a.request.Client, Name: a.request.Name, Sequence: a.request.Sequence, SendNumber: a.request.SendNumber}
 			}
 			if r.Status == lease.Granted { // who leads was not confirmed for it: it is to ask again
 				r.Status = lease.Waiting
@@ -591,7 +591,7 @@
 // takeIn begins to make a process a member, in steps of one change each: the one of its name goes first.
 func (m *Member) takeIn(j joining) error {
 	if m.terms == nil {
-		return errNotNow
+		return ErrNoLeader
 	}
 	if _, ok := m.peers[j.id]; ok {
 		return nil
@@ -617,7 +617,7 @@
 }
 
 func (m *Member) info() Info {
-	i := Info{ID: m.disk.id, Name: m.o.Name, Bootstrapped: true, IsLeader: m.terms != nil, Leader: m.peers[m.leader], Peers: maps.Clone(m.peers), LastToken: m.table.LastToken(), Leases: m.table.List(),
+	i := Info{ID: m.disk.id, Name: m.o.Name, Bootstrapped: true, IsLeader: m.terms != nil, Leader: m.peers[m.leader], Members: maps.Clone(m.peers), LastToken: m.table.LastToken(), Leases: m.table.List(),
 		Notes: m.table.Notes()}
 	if m.terms != nil {
 		now := m.o.Now()
@@ -682,7 +682,7 @@
 				continue
 			}
 			one, cancel := context.WithTimeout(ctx, electionTicks*m.o.Tick)
-			_, err = call[empty](one, conn, "Step", stepCall{m.hello(), b}) // what is lost is said again
+			_, err = call[empty](one, conn, "Step", messageCall{m.hello(), b}) // what is lost is said again
 			cancel()
 			if snap := msg.GetType() == pb.MsgSnap; err != nil || snap {
 				select {
@@ -700,7 +700,7 @@
 		return err
 	}
 	if msg.GetTo() != m.disk.id { // to the one that this process was before it lost its disk
-		return errNotNow
+		return ErrNoLeader
 	}
 	select {
 	case m.steps <- msg:
@@ -708,29 +708,29 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-m.ended:
-		return errNotNow
+		return ErrNoLeader
 	}
 }
 
-func (m *Member) ask(ctx context.Context, a lease.Request, hold time.Duration) (askAnswer, error) {
-	one := &asked{ask: a, answer: make(chan askAnswer, 1)}
+func (m *Member) ask(ctx context.Context, a lease.Request, hold time.Duration) (requestAnswer, error) {
+	one := &pendingRequest{request: a, answer: make(chan requestAnswer, 1)}
 	if hold > 0 {
-		one.until = m.o.Now() + hold
+		one.holdUntil = m.o.Now() + hold
 	}
 	select {
 	case m.asks <- one:
 	case <-m.ended:
-		return askAnswer{}, errNotNow
+		return requestAnswer{}, ErrNoLeader
 	default: // too many are in hand
-		return askAnswer{}, errNotNow
+		return requestAnswer{}, ErrNoLeader
 	}
 	select {
 	case r := <-one.answer:
 		return r, nil
 	case <-ctx.Done():
-		return askAnswer{}, ctx.Err()
+		return requestAnswer{}, ctx.Err()
 	case <-m.ended:
-		return askAnswer{}, errNotNow
+		return requestAnswer{}, ErrNoLeader
 	}
 }
 
@@ -746,7 +746,7 @@
 	case <-ctx.Done():
 		return Info{}, ctx.Err()
 	case <-m.ended:
-		return Info{}, errNotNow
+		return Info{}, ErrNoLeader
 	}
 }
 
@@ -758,6 +758,6 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-m.ended:
-		return errNotNow
+		return ErrNoLeader
 	}
 }
--- a/internal/lease/raftgroup/wire.go
+++ b/internal/lease/raftgroup/service.go
@@ -17,32 +17,32 @@
 
 // serviceName is the service that members serve, and version what they speak: another one is turned away.
 const (
-	serviceName = "orchiddrift.fleet.Group"
-	version     = 1
+	serviceName     = "orchiddrift.fleet.Group"
+	protocolVersion = 1
 )
 
-// hello stands at the beginning of all that is said.
-type hello struct {
+// callHeader stands at the beginning of all that is said.
+type callHeader struct {
 	Version int    `json:"version"`
 	Fleet   string `json:"fleet"`
 	From    uint64 `json:"from,omitempty"` // a member's id
 	Name    string `json:"name,omitempty"` // and its name
 }
 
-// stepCall carries a raft message.
-type stepCall struct {
-	hello
+// messageCall carries a raft message.
+type messageCall struct {
+	callHeader
 	Message []byte `json:"message"`
 }
 
-type askCall struct {
-	hello
-	Ask lease.Request `json:"ask"`
+type requestCall struct {
+	callHeader
+	Request lease.Request `json:"ask"`
 	// Hold is how long the answer may be held back where it would be lease.Waiting.
 	Hold time.Duration `json:"hold,omitempty"`
 }
 
-type askAnswer struct {
+type requestAnswer struct {
 	Reply  lease.Reply `json:"reply"`
 	Leader string      `json:"leader,omitempty"` // the member to ask, where Reply has no verdict
 }
@@ -54,7 +54,7 @@
 	Bootstrapped bool              `json:"formed"` // it is a member of a group, or has been
 	IsLeader     bool              `json:"leads"`
 	Leader       string            `json:"leader"` // "": none that it knows of
-	Peers        map[uint64]string `json:"peers"`  // the group, as it knows it
+	Members      map[uint64]string `json:"peers"`  // the group, as it knows it
 	LastToken    lease.Token       `json:"last"`
 	Leases       []lease.Entry     `json:"leases"`          // as it has applied them; sure at the leader alone
 	RemainingMs  []int64           `json:"left"`            // of each term, in milliseconds; the leader knows
@@ -62,16 +62,16 @@
 }
 
 type joinCall struct {
-	hello
+	callHeader
 }
 
 type empty struct{}
 
 // fromOther is how a call is turned away that is of another fleet or version.
-func (m *Member) fromOther(h hello) error {
+func (m *Member) fromOther(h callHeader) error {
 	switch {
-	case h.Version != version:
-		return status.Errorf(codes.FailedPrecondition, "version %d is spoken here, and not %d", version, h.Version)
+	case h.Version != protocolVersion:
+		return status.Errorf(codes.FailedPrecondition, "version %d is spoken here, and not %d", protocolVersion, h.Version)
 	case h.Fleet != m.o.Fleet:
 		return status.Errorf(codes.FailedPrecondition, "this is not fleet %q", h.Fleet)
 	}
@@ -98,27 +98,27 @@
 	}}
 }
 
-var service = grpc.ServiceDesc{ServiceName: serviceName, HandlerType: (*any)(nil), Methods: []grpc.MethodDesc{
-	method("Step", func(m *Member, ctx context.Context, c *stepCall) (empty, error) {
-		if err := m.turnAway(c.hello); err != nil {
+var serviceDesc = grpc.ServiceDesc{ServiceName: serviceName, HandlerType: (*any)(nil), Methods: []grpc.MethodDesc{
+	method("Step", func(m *Member, ctx context.Context, c *messageCall) (empty, error) {
+		if err := m.turnAway(c.callHeader); err != nil {
 			return empty{}, err
 		}
 		return empty{}, m.step(ctx, c.Message)
 	}),
-	method("Ask", func(m *Member, ctx context.Context, c *askCall) (askAnswer, error) {
-		if err := m.turnAway(c.hello); err != nil {
-			return askAnswer{}, err
+	method("Ask", func(m *Member, ctx context.Context, c *requestCall) (requestAnswer, error) {
+		if err := m.turnAway(c.callHeader); err != nil {
+			return requestAnswer{}, err
 		}
-		return m.ask(ctx, c.Ask, c.Hold)
+		return m.ask(ctx, c.Request, c.Hold)
 	}),
-	method("Info", func(m *Member, ctx context.Context, c *hello) (Info, error) {
+	method("Info", func(m *Member, ctx context.Context, c *callHeader) (Info, error) {
 		if err := m.turnAway(*c); err != nil {
 			return Info{}, err
 		}
 		return m.Info(ctx)
 	}),
 	method("Join", func(m *Member, ctx context.Context, c *joinCall) (empty, error) {
-		if err := m.turnAway(c.hello); err != nil {
+		if err := m.turnAway(c.callHeader); err != nil {
 			return empty{}, err
 		}
 		return empty{}, m.join(ctx, c.From, c.Name)
@@ -141,4 +141,4 @@
 	return a, nil
 }
 
-var errNotNow = errors.New("the group has no leader that could answer")
+var ErrNoLeader = errors.New("the group has no leader that could answer")
--- a/internal/lease/raftgroup/disk.go
+++ b/internal/lease/raftgroup/storage.go
@@ -16,13 +16,13 @@
 	"orchiddrift/internal/boltfile"
 )
 
-// disk is a member's log, votes and snapshot, in one file. What it says is written when save returns: a vote or an entry that was told of
+// storage is a member's log, votes and snapshot, in one file. What it says is written when save returns: a vote or an entry that was told of
 // before that would let a member that crashed vote twice. The log in memory is what raft reads. It is for one goroutine.
-type disk struct {
-	db     *bbolt.DB
-	memory *raft.MemoryStorage
-	id     uint64 // drawn as the file was made: a member whose disk was lost is another member
-	formed bool   // it is, or has been, a member of a group
+type storage struct {
+	db           *bbolt.DB
+	memory       *raft.MemoryStorage
+	id           uint64 // drawn as the file was made: a member whose disk was lost is another member
+	bootstrapped bool   // it is, or has been, a member of a group
 }
 
 var (
@@ -34,25 +34,25 @@
 	fleetKey    = []byte("fleet")
 )
 
-var errOtherFleet = errors.New("the file is of another fleet")
+var ErrOtherFleet = errors.New("the file is of another fleet")
 
-func at(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// openDisk opens a member's file, or makes it. A file that is torn is an error: what stands in it can't be trusted to hold all votes.
-func openDisk(ctx context.Context, path, fleet string, wait boltfile.LockWait) (*disk, error) {
+// openStorage opens a member's file, or makes it. A file that is torn is an error: what stands in it can't be trusted to hold all votes.
+func openStorage(ctx context.Context, path, fleet string, wait boltfile.LockWait) (*storage, error) {
 	db, err := boltfile.Open(ctx, path, wait)
 	if err != nil {
 		return nil, err
 	}
-	d := &disk{db: db, memory: raft.NewMemoryStorage()}
-	if err := d.read(fleet); err != nil {
+	d := &storage{db: db, memory: raft.NewMemoryStorage()}
+	if err := d.load(fleet); err != nil {
 		return nil, errors.Join(err, db.Close())
 	}
 	return d, nil
 }
 
-func (d *disk) read(fleet string) error {
-	if err := d.whole(); err != nil {
+func (d *storage) load(fleet string) error {
+	if err := d.checkPages(); err != nil {
 		return err
 	}
 	err := d.db.Update(func(tx *bbolt.Tx) error {
@@ -80,7 +80,7 @@
 	return d.db.View(func(tx *bbolt.Tx) error {
 		s := tx.Bucket(stateBucket)
 		if string(s.Get(fleetKey)) != fleet {
-			return errOtherFleet
+			return ErrOtherFleet
 		}
 		d.id = binary.BigEndian.Uint64(s.Get(idKey))
 		if b := s.Get(snapKey); b != nil {
@@ -91,7 +91,7 @@
 			if err := d.memory.ApplySnapshot(snap); err != nil {
 				return err
 			}
-			d.formed = true
+			d.bootstrapped = true
 		}
 		if b := s.Get(hardKey); b != nil {
 			hard := &pb.HardState{}
@@ -101,7 +101,7 @@
 			if err := d.memory.SetHardState(hard); err != nil {
 				return err
 			}
-			d.formed = true
+			d.bootstrapped = true
 		}
 		first, err := d.memory.FirstIndex()
 		if err != nil {
@@ -126,8 +126,8 @@
 	})
 }
 
-// whole looks through all pages before anything is read or written: a vote that is lost may be given twice.
-func (d *disk) whole() error {
+// checkPages looks through all pages before anything is read or written: a vote that is lost may be given twice.
+func (d *storage) checkPages() error {
 	return d.db.View(func(tx *bbolt.Tx) error {
 		var first error
 		torn := 0
@@ -144,7 +144,7 @@
 }
 
 // save writes what raft wants to stand before anything is said.
-func (d *disk) save(hard *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot) error {
+func (d *storage) save(hard *pb.HardState, entries []*pb.Entry, snap *pb.Snapshot) error {
 	hasSnap, hasHard := !raft.IsEmptySnap(snap), !raft.IsEmptyHardState(hard)
 	if !hasSnap && !hasHard && len(entries) == 0 {
 		return nil
@@ -152,26 +152,26 @@
 	err := d.db.Update(func(tx *bbolt.Tx) error {
 		s, l := tx.Bucket(stateBucket), tx.Bucket(logBucket)
 		if hasSnap {
-			if err := put(s, snapKey, snap); err != nil {
+			if err := putMessage(s, snapKey, snap); err != nil {
 				return err
 			}
-			if err := cut(l, 0, snap.GetMetadata().GetIndex()+1); err != nil {
+			if err := deleteEntries(l, 0, snap.GetMetadata().GetIndex()+1); err != nil {
 				return err
 			}
 		}
 		if hasHard {
-			if err := put(s, hardKey, hard); err != nil {
+			if err := putMessage(s, hardKey, hard); err != nil {
 				return err
 			}
 		}
 		if len(entries) == 0 {
 			return nil
 		}
-		if err := cut(l, entries[0].GetIndex(), math.MaxUint64); err != nil { // what another leader had put there
+		if err := deleteEntries(l, entries[0].GetIndex(), math.MaxUint64); err != nil { // what another leader had put there
 			return err
 		}
 		for _, e := range entries {
-			if err := put(l, at(e.GetIndex()), e); err != nil {
+			if err := putMessage(l, logKey(e.GetIndex()), e); err != nil {
 				return err
 			}
 		}
@@ -181,7 +181,7 @@
 		return err
 	}
 	if hasSnap {
-		d.formed = true
+		d.bootstrapped = true
 		if err := d.memory.ApplySnapshot(snap); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 			return err
 		}
@@ -194,7 +194,7 @@
 	return d.memory.Append(entries)
 }
 
-func put(b *bbolt.Bucket, key []byte, m proto.Message) error {
+func putMessage(b *bbolt.Bucket, key []byte, m proto.Message) error {
 	text, err := proto.Marshal(m)
 	if err != nil {
 		return err
@@ -202,10 +202,10 @@
 	return b.Put(key, text)
 }
 
-// cut removes the entries from one on, up to another.
-func cut(b *bbolt.Bucket, from, to uint64) error {
+// deleteEntries removes the entries from one on, up to another.
+func deleteEntries(b *bbolt.Bucket, from, to uint64) error {
 	c := b.Cursor()
-	for k, _ := c.Seek(at(from)); k != nil && binary.BigEndian.Uint64(k) < to; k, _ = c.Seek(at(from)) {
+	for k, _ := c.Seek(logKey(from)); k != nil && binary.BigEndian.Uint64(k) < to; k, _ = c.Seek(logKey(from)) {
 		if err := c.Delete(); err != nil {
 			return err
 		}
@@ -213,21 +213,21 @@
 	return nil
 }
 
-// kept is how many entries stay behind a snapshot, for members that lag a little.
-const kept = 200
+// snapshotCatchUpEntries is how many entries stay behind a snapshot, for members that lag a little.
+const snapshotCatchUpEntries = 200
 
-// compact makes a snapshot of what was applied up to an index, and forgets the entries before.
-func (d *disk) compact(index uint64, conf *pb.ConfState, data []byte) error {
+// saveSnapshot makes a snapshot of what was applied up to an index, and forgets the entries before.
+func (d *storage) saveSnapshot(index uint64, conf *pb.ConfState, data []byte) error {
 	snap, err := d.memory.CreateSnapshot(index, conf, data)
 	if err != nil {
 		return err
 	}
-	first := index - min(index, kept)
+	first := index - min(index, snapshotCatchUpEntries)
 	err = d.db.Update(func(tx *bbolt.Tx) error {
-		if err := put(tx.Bucket(stateBucket), snapKey, snap); err != nil {
+		if err := putMessage(tx.Bucket(stateBucket), snapKey, snap); err != nil {
 			return err
 		}
-		return cut(tx.Bucket(logBucket), 0, first)
+		return deleteEntries(tx.Bucket(logBucket), 0, first)
 	})
 	if err != nil {
 		return err
@@ -238,10 +238,10 @@
 	return nil
 }
 
-// begin is how a group begins: every first member's file says the same.
-func (d *disk) begin(conf *pb.ConfState, data []byte) error {
+// bootstrap is how a group begins: every first member's file says the same.
+func (d *storage) bootstrap(conf *pb.ConfState, data []byte) error {
 	snap := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(1), Term: proto.Uint64(1)}}
 	return d.save(&pb.HardState{Term: proto.Uint64(1), Commit: proto.Uint64(1)}, nil, snap)
 }
 
-func (d *disk) close() error { return d.db.Close() }
+func (d *storage) close() error { return d.db.Close() }
--- a/internal/lease/raftgroup/disk_test.go
+++ b/internal/lease/raftgroup/storage_test.go
@@ -25,9 +25,9 @@
 // the entries before it. A file of another fleet is not opened.
 func TestDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.db")
-	open := func() *disk {
+	open := func() *storage {
 		t.Helper()
-		d, err := openDisk(t.Context(), path, "f", boltfile.LockWait{Timeout: 1})
+		d, err := openStorage(t.Context(), path, "f", boltfile.LockWait{Timeout: 1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -35,10 +35,10 @@
 	}
 	d := open()
 	id := d.id
-	if d.formed || id == 0 {
-		t.Errorf("a new file: formed %v, id %d", d.formed, id)
+	if d.bootstrapped || id == 0 {
+		t.Errorf("a new file: formed %v, id %d", d.bootstrapped, id)
 	}
-	data, err := json.Marshal(snapshot{Version: version, Peers: map[uint64]string{id: "a"}})
+	data, err := json.Marshal(recordSnapshot{Version: protocolVersion, Members: map[uint64]string{id: "a"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,22 +48,22 @@
 			t.Fatal(err)
 		}
 	}
-	check(d.begin(&pb.ConfState{Voters: []uint64{id}}, data))
+	check(d.bootstrap(&pb.ConfState{Voters: []uint64{id}}, data))
 	check(d.save(&pb.HardState{Term: proto.Uint64(3), Vote: proto.Uint64(id), Commit: proto.Uint64(4)}, entries(2, 2, 3, 4, 5, 6), nil))
 	check(d.save(nil, entries(3, 5), nil))
 	check(d.close())
 	d = open()
 	hard, conf, err := d.memory.InitialState()
 	check(err)
-	if d.id != id || !d.formed || hard.GetTerm() != 3 || hard.GetVote() != id || len(conf.GetVoters()) != 1 {
-		t.Errorf("%d formed %v, %v, %v", d.id, d.formed, hard, conf)
+	if d.id != id || !d.bootstrapped || hard.GetTerm() != 3 || hard.GetVote() != id || len(conf.GetVoters()) != 1 {
+		t.Errorf("%d formed %v, %v, %v", d.id, d.bootstrapped, hard, conf)
 	}
 	last, _ := d.memory.LastIndex()
 	term, _ := d.memory.Term(5)
 	if last != 5 || term != 3 {
 		t.Errorf("its log ends at %d of term %d", last, term)
 	}
-	check(d.compact(4, conf, data))
+	check(d.saveSnapshot(4, conf, data))
 	check(d.close())
 	d = open()
 	if snap, err := d.memory.Snapshot(); err != nil || snap.GetMetadata().GetIndex() != 4 {
@@ -76,7 +76,7 @@
 		t.Errorf("an entry before the snapshot: %v", err)
 	}
 	check(d.close())
-	if _, err := openDisk(t.Context(), path, "other", boltfile.LockWait{Timeout: 1}); !errors.Is(err, errOtherFleet) {
+	if _, err := openStorage(t.Context(), path, "other", boltfile.LockWait{Timeout: 1}); !errors.Is(err, ErrOtherFleet) {
 		t.Errorf("of another fleet: %v", err)
 	}
 }
@@ -84,7 +84,7 @@
 // A torn file is an error, wherever it is torn, and never a crash: what it says may lack a vote.
 func TestTornDisk(t *testing.T) {
 	whole := filepath.Join(t.TempDir(), "whole.db")
-	d, err := openDisk(t.Context(), whole, "f", boltfile.LockWait{Timeout: 1})
+	d, err := openStorage(t.Context(), whole, "f", boltfile.LockWait{Timeout: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,8 +118,8 @@
 		if err := os.WriteFile(path, tear(append([]byte{}, text...)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := guarded(func() error {
-			d, err := openDisk(t.Context(), path, "f", boltfile.LockWait{Timeout: 1})
+		if err := recoverStorageFault(func() error {
+			d, err := openStorage(t.Context(), path, "f", boltfile.LockWait{Timeout: 1})
 			if err == nil {
 				return d.close()
 			}
