--- a/internal/lease/raftgroup/client.go
+++ b/internal/lease/raftgroup/client.go
@@ -7,57 +7,35 @@
 	"sync"
 	"time"
 
-	"golang.org/x/sys/unix"
 	"google.golang.org/grpc"
-	"google.golang.org/grpc/backoff"
 
 	"orchiddrift/internal/lease"
 )
 
-// reconnectBackoff is how soon a broken connection to a member is made again.
-var reconnectBackoff = backoff.Config{BaseDelay: 20 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}
-
-// BootTime is the time since the machine started, which goes on while it sleeps.
-func BootTime() time.Duration {
-	var t unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // Linux has had it since 2.6.39
-	}
-	return time.Duration(t.Nano())
-}
-
-// DeclaredPeers are the members that the operator's file names.
-func DeclaredPeers(d *lease.Declaration) (out []Peer) {
-	for _, m := range d.Members {
-		out = append(out, Peer(m))
-	}
-	return out
-}
-
-// Client asks a group. It is safe for concurrent use.
+// Client sends requests to a group. It is safe for concurrent use.
 type Client struct {
 	fleet string
 	peers []Peer
-	conns []*grpc.ClientConn
+	conns []*grpc.ClientConn // by index of peers
 
-	mu   sync.Mutex
-	lead int // the member that is asked first
+	mu     sync.Mutex
+	leader int // index of the member to ask first
 }
 
-// NewClient returns a client of a group's members. It connects as it asks.
+// NewClient returns a client of a group. It connects with its first request.
 func NewClient(fleet string, peers []Peer) (*Client, error) {
 	c := &Client{fleet: fleet, peers: peers}
-	for _, p := range peers {
-		conn, err := dial(p.Address)
+	for _, peer := range peers {
+		conn, err := dial(peer.Address)
 		if err != nil {
-			return nil, errors.Join(err, c.Close())
+			return nil, errors.Join(fmt.Errorf("member %s: %w", peer.Name, err), c.Close())
 		}
 		c.conns = append(c.conns, conn)
 	}
 	return c, nil
 }
 
-// Close ends its connections.
+// Close closes the client's connections.
 func (c *Client) Close() (err error) {
 	for _, conn := range c.conns {
 		err = errors.Join(err, conn.Close())
@@ -65,59 +43,75 @@
 	return err
 }
 
-func (c *Client) hello() callHeader { return callHeader{Version: protocolVersion, Fleet: c.fleet} }
-
-// Request asks the leader once, and each of the others at most once on the way to it. patience bounds what one member may take beside hold.
-func (c *Client) Request(ctx context.Context, a lease.Request, hold, patience time.Duration) (lease.Reply, error) {
-	c.mu.Lock()
-	at := c.lead
-	c.mu.Unlock()
-	var last error = ErrNoLeader
+// Request implements Requester. It asks the member that answered last, then the leader that this one names, or each of the others in turn.
+func (c *Client) Request(ctx context.Context, request lease.Request, hold, timeout time.Duration) (lease.Reply, error) {
+	var lastErr error = ErrNoLeader
+	member := c.firstMember()
 	for range len(c.peers) + 1 {
-		one, cancel := context.WithTimeout(ctx, hold+patience)
-		r, err := call[requestAnswer](one, c.conns[at], "Ask", requestCall{c.hello(), a, hold})
-		cancel()
-		if err == nil && r.Reply.Status != 0 {
-			c.mu.Lock()
-			c.lead = at
-			c.mu.Unlock()
-			return r.Reply, nil
+		answer, err := c.requestFrom(ctx, member, request, hold, timeout)
+		if err == nil && answer.Reply.Status != 0 {
+			c.setFirstMember(member)
+			return answer.Reply, nil
 		}
 		if ctx.Err() != nil {
 			return lease.Reply{}, ctx.Err()
 		}
 		if err != nil {
-			last = err
+			lastErr = err
 		}
-		at = c.after(at, r.Leader)
+		member = c.nextMember(member, answer.Leader)
 	}
-	c.mu.Lock()
-	c.lead = at
-	c.mu.Unlock()
-	return lease.Reply{}, fmt.Errorf("no member answers for the group: %w", last)
+	c.setFirstMember(member)
+	return lease.Reply{}, fmt.Errorf("no member answers for the group: %w", lastErr)
 }
 
-// after is the member to ask next: the one that is said to lead, or the next in the list.
-func (c *Client) after(at int, leader string) int {
-	for i, p := range c.peers {
-		if p.Name == leader && i != at {
+// requestFrom asks one member.
+func (c *Client) requestFrom(ctx context.Context, member int, request lease.Request, hold, timeout time.Duration) (requestAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, hold+timeout)
+	defer cancel()
+	return call[requestAnswer](ctx, c.conns[member], methodAsk, requestCall{c.header(), request, hold})
+}
+
+// nextMember returns the member to ask after another: the leader that it named, or the next in the list.
+func (c *Client) nextMember(member int, leader string) int {
+	for i, peer := range c.peers {
+		if peer.Name == leader && i != member {
 			return i
 		}
 	}
-	return (at + 1) % len(c.peers)
+	return (member + 1) % len(c.peers)
+}
+
+func (c *Client) firstMember() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.leader
+}
+
+func (c *Client) setFirstMember(member int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.leader = member
 }
 
-// Info is what each member says of itself, in their order; nil: it does not answer.
+func (c *Client) header() callHeader { return callHeader{Version: protocolVersion, Fleet: c.fleet} }
+
+// Info returns what each member reports, in the order of the peers; nil for one that does not answer.
 func (c *Client) Info(ctx context.Context) []*Info {
-	out := make([]*Info, len(c.peers))
-	var all sync.WaitGroup
+	infos := make([]*Info, len(c.peers))
+	var calls sync.WaitGroup
 	for i := range c.peers {
-		all.Go(func() {
-			if info, err := call[Info](ctx, c.conns[i], "Info", c.hello()); err == nil {
-				out[i] = &info
+		calls.Go(func() {
+			if info, err := call[Info](ctx, c.conns[i], methodInfo, c.header()); err == nil {
+				infos[i] = &info
 			}
 		})
 	}
-	all.Wait()
-	return out
+	calls.Wait()
+	return infos
+}
+
+// Revoke revokes the grant of a lease: its holder gets no renewal. timeout bounds what one member takes.
+func Revoke(ctx context.Context, requester Requester, name string, timeout time.Duration) (lease.Reply, error) {
+	return requester.Request(ctx, lease.Request{Kind: lease.Revoke, Name: name, Client: NewClientID(), SendNumber: 1}, 0, timeout)
 }
--- a/internal/lease/raftgroup/command.go
+++ b/internal/lease/raftgroup/command.go
@@ -1,15 +1,11 @@
 package raftgroup
 
 import (
-	"bufio"
-	"context"
-	"errors"
 	"fmt"
 	"io"
 	"os"
 	"os/exec"
 	"strconv"
-	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -17,244 +13,194 @@
 	"orchiddrift/internal/lease"
 )
 
-// TokenVariable is the environment variable in which a command finds the token of its lease, NameVariable the lease's name.
+// The environment variables of a command.
 const (
-	TokenVariable = "ORCHIDDRIFT_LEASE_TOKEN"
-	NameVariable  = "ORCHIDDRIFT_LEASE"
+	TokenVariable = "ORCHIDDRIFT_LEASE_TOKEN" // the fencing token of its lease
+	NameVariable  = "ORCHIDDRIFT_LEASE"       // the name of its lease
 )
 
-// Command is a Task that runs a command while the lease is held. The command runs under a guard, a process of its own, which ends it as the
-// term ends though this process is stopped, and as this process dies. This process in turn ends the command where the guard is stopped, and the
-// kernel where the guard is killed. What is left: both stopped, and the command not.
+// exitCodeUnknown is the exit code of a command that could not be started or was killed.
+const exitCodeUnknown = 1
+
+// Command is a Work that runs a command while the lease is held.
+//
+// The command runs under a guard (see Guard), a process of its own between this one and the command. Each covers for another that fails:
+//
+//	this process is stopped          the guard ends the command when the grant expires
+//	this process dies                the guard's standard input ends, and it ends the command
+//	the guard is stopped             this process kills the command's process group
+//	the guard is killed              the kernel kills the command
+//	this process and guard stopped   nothing ends the command: only its fencing token keeps it from doing harm
 type Command struct {
-	Guard  []string // the guard's command line, to which the margin and the command are added
-	Name   string
-	Argv   []string
-	Margin time.Duration
-	Env    []string                         // beside this process's own
-	OnExit func(code int, why lease.Reason) // the command has ended: by itself where why is 0
-	Log    func(text string)                // what is worth a line
-
-	mu    sync.Mutex
-	run   *commandRun
-	token lease.Token
-	until time.Duration
-	ended lease.Reason // why it was to end; 0: it was not
+	Guard  []string                            // command line of the guard, to which the margin and the command are added
+	Name   string                              // of the lease
+	Argv   []string                            // command line of the command
+	Margin time.Duration                       // how long the command may take to end after SIGTERM
+	Env    []string                            // for the command, beside this process's environment
+	OnExit func(code int, reason lease.Reason) // the command has ended; reason is 0 if it ended by itself
+	Log    func(text string)
+
+	mu         sync.Mutex
+	run        *commandRun // the current one; nil: none was started
+	token      lease.Token
+	until      time.Duration
+	stopReason lease.Reason // 0: the command was not told to stop
 }
 
-// commandRun is one run.
+// commandRun is one run of the command under its guard.
 type commandRun struct {
-	cmd  *exec.Cmd
-	to   io.WriteCloser
-	over chan struct{}
-	pid  int  // of the command, once the guard has said so
-	late bool // the guard has ended it, since its time was over by what it had been told; read once told is closed
-	told chan struct{}
+	guard   *exec.Cmd
+	control io.WriteCloser // the guard's standard input
+	ended   chan struct{}  // closed when the guard has ended, and the command with it
+
+	pid      int           // of the command; 0: not known yet. Command.mu protects it
+	statusIn chan struct{} // closed when the guard has written all of its status
+	late     bool          // the guard ended the command because its grant had expired; read after statusIn is closed
 }
 
-// Start is Task's.
+var _ Work = (*Command)(nil)
+
+// Start implements Work.
 func (c *Command) Start(token lease.Token, until time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.token, c.until, c.ended, c.run = token, until, 0, nil
+	c.token, c.until, c.stopReason, c.run = token, until, 0, nil
 	if err := c.launchLocked(); err != nil {
 		c.Log(err.Error())
-		go c.OnExit(1, 0)
+		go c.OnExit(exitCodeUnknown, 0)
+	}
+}
+
+// Extend implements Work.
+func (c *Command) Extend(until time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.until = until
+	c.controlLocked(controlUntil + strconv.FormatInt(int64(until), 10))
+}
+
+// Stop implements Work.
+func (c *Command) Stop(reason lease.Reason) <-chan struct{} {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.stopReason = reason
+	run := c.run
+	if run == nil {
+		ended := make(chan struct{})
+		close(ended)
+		return ended
+	}
+	c.controlLocked(controlEnd)
+	time.AfterFunc(c.Margin, func() { c.kill(run) }) // in case the guard is stopped
+	return run.ended
+}
+
+// Rejected implements Work.
+func (c *Command) Rejected(reason lease.Reason) {
+	if reason == lease.ReasonNoCapacity {
+		c.Log("the record of leases is full")
 	}
 }
 
+// Unreachable implements Work.
+func (c *Command) Unreachable(err error) { c.Log(err.Error()) }
+
+// launchLocked starts the guard, which starts the command. c.mu is held.
 func (c *Command) launchLocked() error {
-	argv := append(append([]string{}, c.Guard...), "--margin", c.Margin.String(), "--until", strconv.FormatInt(int64(c.until), 10), "--")
-	cmd := exec.Command(c.Guard[0], append(argv[1:], c.Argv...)...)
-	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
-	cmd.Env = append(append(os.Environ(), c.Env...), TokenVariable+"="+strconv.FormatUint(uint64(c.token), 10), NameVariable+"="+c.Name)
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
-	read, write, err := os.Pipe() // the guard says there what it does
+	statusReader, statusWriter, err := os.Pipe()
 	if err != nil {
-		return err
+		return fmt.Errorf("the guard's status pipe: %w", err)
 	}
-	cmd.ExtraFiles = []*os.File{write}
-	to, err := cmd.StdinPipe()
+	guard := c.guardCommand()
+	guard.ExtraFiles = []*os.File{statusWriter}
+	control, err := guard.StdinPipe()
 	if err == nil {
-		err = cmd.Start()
+		err = guard.Start()
 	}
-	write.Close()
+	statusWriter.Close()
 	if err != nil {
-		read.Close()
-		return err
+		statusReader.Close()
+		return fmt.Errorf("starting the guard: %w", err)
 	}
-	g := &commandRun{cmd: cmd, to: to, over: make(chan struct{}), told: make(chan struct{})}
-	c.run = g
+	run := &commandRun{guard: guard, control: control, ended: make(chan struct{}), statusIn: make(chan struct{})}
+	c.run = run
+	go c.readStatus(run, statusReader)
 	go func() {
-		defer close(g.told)
-		defer read.Close()
-		var pid int
-		if _, err := fmt.Fscan(read, &pid); err == nil {
-			c.mu.Lock()
-			g.pid = pid
-			c.mu.Unlock()
-			var word string
-			_, err = fmt.Fscan(read, &word)
-			g.late = err == nil && word == guardLate
-		}
-	}()
-	go func() {
-		_ = cmd.Wait() // its exit code tells
-		<-g.told
-		c.over(g)
+		_ = guard.Wait() // ProcessState has its exit code
+		<-run.statusIn
+		c.runEnded(run)
 	}()
 	return nil
 }
 
-// over is a run's end. One that the guard has ended while the lease is held after all, since the word that it goes on came too late, begins anew:
-// this process still is the only one.
-func (c *Command) over(g *commandRun) {
+// guardCommand is the guard's process, in a process group of its own.
+func (c *Command) guardCommand() *exec.Cmd {
+	argv := append([]string{}, c.Guard...)
+	argv = append(argv, "--margin", c.Margin.String(), "--until", strconv.FormatInt(int64(c.until), 10), "--")
+	argv = append(argv, c.Argv...)
+	guard := exec.Command(argv[0], argv[1:]...)
+	guard.Stdout, guard.Stderr = os.Stdout, os.Stderr
+	guard.Env = append(append(os.Environ(), c.Env...), TokenVariable+"="+strconv.FormatUint(uint64(c.token), 10), NameVariable+"="+c.Name)
+	guard.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	return guard
+}
+
+// readStatus reads what the guard writes: the command's process id and, if it ends it because its grant has expired, statusLate.
+func (c *Command) readStatus(run *commandRun, status io.ReadCloser) {
+	defer close(run.statusIn)
+	defer status.Close()
+	var pid int
+	if _, err := fmt.Fscan(status, &pid); err != nil {
+		return
+	}
+	c.mu.Lock()
+	run.pid = pid
+	c.mu.Unlock()
+	var text string
+	_, err := fmt.Fscan(status, &text)
+	run.late = err == nil && text == statusLate
+}
+
+// runEnded handles the end of a run. If the guard has ended it because an extension came too late, and the lease is still held, the command is
+// started again: nobody else has the lease.
+func (c *Command) runEnded(run *commandRun) {
 	c.mu.Lock()
-	close(g.over)
-	code, why := g.cmd.ProcessState.ExitCode(), c.ended
+	close(run.ended)
+	code, reason := run.guard.ProcessState.ExitCode(), c.stopReason
 	if code < 0 {
-		code = 1
+		code = exitCodeUnknown
 	}
-	if why == 0 && g.late {
+	if reason == 0 && run.late {
 		if BootTime() < c.until && c.launchLocked() == nil {
 			c.mu.Unlock()
 			return
 		}
-		why = lease.ReasonExpired
+		reason = lease.ReasonExpired
 	}
 	c.mu.Unlock()
-	c.OnExit(code, why)
+	c.OnExit(code, reason)
 }
 
-// Extend is Task's.
-func (c *Command) Extend(until time.Duration) {
+// kill kills the command's process group and the guard, if the run has not ended.
+func (c *Command) kill(run *commandRun) {
 	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.until = until
-	c.sayLocked("until " + strconv.FormatInt(int64(until), 10))
-}
-
-func (c *Command) sayLocked(line string) {
-	if c.run != nil {
-		_, _ = io.WriteString(c.run.to, line+"\n") // it may have ended; a pipe holds more than anybody says
-	}
-}
-
-// Stop is Task's.
-func (c *Command) Stop(why lease.Reason) <-chan struct{} {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	g := c.run
-	c.ended = why
-	if g == nil {
-		done := make(chan struct{})
-		close(done)
-		return done
+	pid := run.pid
+	c.mu.Unlock()
+	select {
+	case <-run.ended:
+		return
+	default:
 	}
-	c.sayLocked("end")
-	time.AfterFunc(c.Margin, func() { // a guard that is stopped does not end it
-		c.mu.Lock()
-		pid := g.pid
-		c.mu.Unlock()
-		select {
-		case <-g.over:
-			return
-		default:
-		}
-		if pid > 0 {
-			_ = syscall.Kill(-pid, syscall.SIGKILL)
-		}
-		_ = g.cmd.Process.Kill()
-	})
-	return g.over
-}
-
-// Rejected is Task's.
-func (c *Command) Rejected(why lease.Reason) {
-	if why == lease.ReasonNoCapacity {
-		c.Log("the record of leases is full")
+	if pid > 0 {
+		_ = syscall.Kill(-pid, syscall.SIGKILL)
 	}
+	_ = run.guard.Process.Kill()
 }
 
-// Unreachable is Task's.
-func (c *Command) Unreachable(err error) { c.Log(err.Error()) }
-
-// guardLate is what a guard says as it ends a command at its moment.
-const guardLate = "late"
-
-// Guard runs a command until a moment by Boottime that what comes on in moves on ("until N", "end"). At the moment, at "end", or at the end of in
-// it gets SIGTERM, and margin later SIGKILL, with all of its group. It returns the command's exit code.
-func Guard(in io.Reader, pid io.WriteCloser, until, margin time.Duration, argv []string) (int, error) {
-	cmd := exec.Command(argv[0], argv[1:]...)
-	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
-	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if BootTime() >= until { // a busy machine began the guard too late: not the command's end, and who asked may have another term by now
-		_, _ = fmt.Fprintf(pid, "0\n%s\n", guardLate)
-		return 1, errors.Join(errors.New("the lease's term was over before its command began"), pid.Close())
-	}
-	if err := cmd.Start(); err != nil {
-		return 127, err
-	}
-	defer pid.Close()
-	_, _ = fmt.Fprintln(pid, cmd.Process.Pid) // who asked may be gone: in says so
-	over := make(chan struct{})
-	go func() {
-		defer close(over)
-		_ = cmd.Wait()
-	}()
-	moments, end := make(chan time.Duration), make(chan struct{})
-	go func() {
-		defer close(end)
-		for lines := bufio.NewScanner(in); lines.Scan(); {
-			text, ok := strings.CutPrefix(lines.Text(), "until ")
-			n, err := strconv.ParseInt(text, 10, 64)
-			if !ok || err != nil {
-				return
-			}
-			select {
-			case moments <- time.Duration(n):
-			case <-over:
-				return
-			}
-		}
-	}()
-	// Boottime and the timer's clock differ by sleep alone; a machine that slept is looked after by looking often.
-	look := time.NewTicker(max(margin/8, 5*time.Millisecond))
-	defer look.Stop()
-	group := -cmd.Process.Pid
-	for {
-		select {
-		case <-over:
-			return cmd.ProcessState.ExitCode(), nil
-		case at := <-moments:
-			until = max(until, at)
-			continue
-		case <-look.C:
-			if BootTime() < until {
-				continue
-			}
-			_, _ = fmt.Fprintln(pid, guardLate)
-		case <-end:
-		}
-		_ = syscall.Kill(group, syscall.SIGTERM)
-		last := min(BootTime(), until) + margin
-		for BootTime() < last {
-			select {
-			case <-over:
-				_ = syscall.Kill(group, syscall.SIGKILL) // what it has left behind
-				return cmd.ProcessState.ExitCode(), nil
-			case <-look.C:
-			}
-		}
-		_ = syscall.Kill(group, syscall.SIGKILL)
-		<-over
-		return cmd.ProcessState.ExitCode(), nil
+// controlLocked writes a line to the guard. An error means that it has ended. It does not block: a pipe has room for more than is ever written.
+// c.mu is held.
+func (c *Command) controlLocked(line string) {
+	if c.run != nil {
+		_, _ = io.WriteString(c.run.control, line+"\n")
 	}
 }
-
-var _ Work = (*Command)(nil)
-
-// Revoke has the holder of a lease get no other term.
-func Revoke(ctx context.Context, at Requester, name string, patience time.Duration) (lease.Reply, error) {
-	return at.Request(ctx, lease.Request{Kind: lease.Revoke, Name: name, Client: NewClientID(), SendNumber: 1}, 0, patience)
-}
--- a/internal/lease/raftgroup/guard_test.go
+++ b/internal/lease/raftgroup/guard_test.go
@@ -22,7 +22,7 @@
 	write.Close() // it has been, where the guard said its word
 	said := make([]byte, 64)
 	n, _ := read.Read(said)
-	if got := string(said[:n]); got != "0\n"+guardLate+"\n" {
+	if got := string(said[:n]); got != "0\n"+statusLate+"\n" {
 		t.Errorf("it says %q", got)
 	}
 	read.Close()
--- a/internal/lease/raftgroup/holder_driver.go
+++ b/internal/lease/raftgroup/holder_driver.go
@@ -2,154 +2,135 @@
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/hex"
-	"fmt"
-	"os"
 	"time"
 
 	"orchiddrift/internal/lease"
 )
 
-// Requester is where leases are kept: a Client, or another home of the record.
-type Requester interface {
-	// Ask brings an ask to the record. The answer may be held back for hold, and take patience beside that.
-	Request(ctx context.Context, a lease.Request, hold, patience time.Duration) (lease.Reply, error)
-}
+const (
+	maxUnreadReplies   = 16 // replies, and errors, that wait for the driver
+	maxTrackedReleases = 9  // requests that give the lease back, which the driver waits for at its end
+	holdTenths         = 9  // tenths of the retry interval for which a waiter's reply may be held back: it repeats its request soon after
+)
 
-// Work is what is done while a lease is held. Its methods are called one after the other, and return at once.
-type Work interface {
-	// Begin begins the act under a token; it may go on until then, by Boottime.
-	Start(token lease.Token, until time.Duration)
-	// Extend says that it may go on for longer.
-	Extend(until time.Duration)
-	// End has the act end, within the margin. The channel is closed once it has.
-	Stop(why lease.Reason) <-chan struct{}
-	// Turned tells that the lease is not to be had now.
-	Rejected(why lease.Reason)
-	// Unreached tells that nobody answered.
-	Unreachable(err error)
+// RunWhileHeld acquires a lease, does the work while it is held, and acquires it again when it was lost, until ctx ends. It returns when the
+// work has ended and the lease has been released, or after one retry interval without a reply to that.
+func RunWhileHeld(ctx context.Context, requester Requester, options lease.HolderOptions, work Work) {
+	// Requests outlive ctx: the lease is released after it has ended.
+	requestCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	d := &holderDriver{ctx: requestCtx, options: options, requester: requester, work: work, holder: lease.NewHolder(options),
+		replies: make(chan lease.Reply, maxUnreadReplies), errors: make(chan error, maxUnreadReplies)}
+	d.run(ctx.Done())
 }
 
-// NewClientID names one life of one process: it is never used again.
-func NewClientID() string {
-	var b [8]byte
-	_, _ = rand.Read(b[:]) // it does not fail
-	host, err := os.Hostname()
-	if err != nil {
-		host = "?"
-	}
-	return fmt.Sprintf("%.64s-%d-%s", host, os.Getpid(), hex.EncodeToString(b[:]))
+// holderDriver drives a lease.Holder. All but send's goroutines runs on the goroutine of RunWhileHeld.
+type holderDriver struct {
+	ctx       context.Context // of requests
+	options   lease.HolderOptions
+	requester Requester
+	work      Work
+	holder    *lease.Holder
+	replies   chan lease.Reply
+	errors    chan error
+	stopped   <-chan struct{} // closed when the work has ended that is to stop; nil: no work is to stop
+	token     lease.Token     // under which the work was started
+	until     time.Duration   // that the work was told
+	releases  []chan struct{} // each closed when a request that gives the lease back was answered
 }
 
-// RunWhileHeld wants a lease until ctx ends, and has the task act while it is held. It returns once the act has ended and the lease was given back, or
-// that was tried.
-func RunWhileHeld(ctx context.Context, at Requester, o lease.HolderOptions, task Work) {
-	k := &holderDriver{o: o, at: at, task: task, h: lease.NewHolder(o), replies: make(chan lease.Reply, 16), failed: make(chan error, 16)}
-	asking, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	defer cancel()
-	k.ctx = asking
+// run drives the holder until done is closed and the work has ended.
+func (d *holderDriver) run(done <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	k.do(k.h.Acquire(BootTime()))
-	done, leaving := ctx.Done(), false
-	for {
-		if leaving && k.stopped == nil {
-			k.wait()
-			return
-		}
-		if at, ok := k.h.Next(); ok {
-			timer.Reset(max(0, at-BootTime()))
+	d.perform(d.holder.Acquire(BootTime()))
+	releasing := false
+	for !releasing || d.stopped != nil {
+		if next, ok := d.holder.Next(); ok {
+			timer.Reset(max(0, next-BootTime()))
 		}
 		select {
 		case <-done:
-			done, leaving = nil, true
-			k.do(k.h.Release(BootTime(), ""))
+			done, releasing = nil, true
+			d.perform(d.holder.Release(BootTime(), ""))
 		case <-timer.C:
-			k.do(k.h.Tick(BootTime()))
-		case r := <-k.replies:
-			k.do(k.h.HandleReply(BootTime(), r))
-		case err := <-k.failed:
-			k.task.Unreachable(err)
-		case <-k.stopped:
-			k.stopped = nil
-			k.do(k.h.WorkStopped(BootTime()))
-		}
-		if token, until, ok := k.h.Held(BootTime()); ok && token == k.token && until > k.until {
-			k.until = until
-			k.task.Extend(until)
+			d.perform(d.holder.Tick(BootTime()))
+		case reply := <-d.replies:
+			d.perform(d.holder.HandleReply(BootTime(), reply))
+		case err := <-d.errors:
+			d.work.Unreachable(err)
+		case <-d.stopped:
+			d.stopped = nil
+			d.perform(d.holder.WorkStopped(BootTime()))
 		}
+		d.extendWork()
 	}
+	d.awaitReleases()
 }
 
-type holderDriver struct {
-	o       lease.HolderOptions
-	at      Requester
-	task    Work
-	h       *lease.Holder
-	ctx     context.Context
-	replies chan lease.Reply
-	failed  chan error
-	stopped <-chan struct{} // the act's end that is waited for; nil: none is
-	token   lease.Token
-	until   time.Duration
-	last    []chan struct{} // asks that give back
-}
-
-func (k *holderDriver) do(acts []lease.Action) {
-	for _, a := range acts {
-		switch a.Kind {
+// perform carries out the holder's actions.
+func (d *holderDriver) perform(actions []lease.Action) {
+	for _, action := range actions {
+		switch action.Kind {
 		case lease.ActionSend:
-			k.send(a.Request)
+			d.send(action.Request)
 		case lease.ActionStartWork:
-			k.token, k.until = a.Token, a.Until
-			k.task.Start(a.Token, a.Until)
+			d.token, d.until = action.Token, action.Until
+			d.work.Start(action.Token, action.Until)
 		case lease.ActionStopWork:
-			k.stopped = k.task.Stop(a.Reason)
+			d.stopped = d.work.Stop(action.Reason)
 		case lease.ActionReportRejection:
-			k.task.Rejected(a.Reason)
+			d.work.Rejected(action.Reason)
 		}
 	}
 }
 
-// send asks on a goroutine of its own: an ask that hangs holds nobody up.
-func (k *holderDriver) send(a lease.Request) {
+// extendWork tells the work when its grant was extended.
+func (d *holderDriver) extendWork() {
+	if token, until, ok := d.holder.Held(BootTime()); ok && token == d.token && until > d.until {
+		d.until = until
+		d.work.Extend(until)
+	}
+}
+
+// send sends a request on a goroutine of its own, so that one that hangs delays no other.
+func (d *holderDriver) send(request lease.Request) {
 	hold := time.Duration(0)
-	if a.Kind == lease.Acquire && a.Wait {
-		hold = k.o.RetryInterval * 9 / 10 // until it asks again
+	if request.Kind == lease.Acquire && request.Wait {
+		hold = d.options.RetryInterval * holdTenths / 10
 	}
-	over := make(chan struct{})
-	if a.Kind != lease.Acquire && a.Kind != lease.Renew {
-		k.last = append(k.last[max(0, len(k.last)-8):], over)
+	answered := make(chan struct{})
+	if request.Kind != lease.Acquire && request.Kind != lease.Renew {
+		d.releases = append(d.releases[max(0, len(d.releases)-maxTrackedReleases+1):], answered)
 	}
 	go func() {
-		defer close(over)
-		r, err := k.at.Request(k.ctx, a, hold, k.o.RetryInterval)
+		defer close(answered)
+		reply, err := d.requester.Request(d.ctx, request, hold, d.options.RetryInterval)
 		if err != nil {
 			select {
-			case k.failed <- err:
-			case <-k.ctx.Done():
+			case d.errors <- err:
+			case <-d.ctx.Done():
 			}
 			return
 		}
 		select {
-		case k.replies <- r:
-		case <-k.ctx.Done():
+		case d.replies <- reply:
+		case <-d.ctx.Done():
 		}
 	}()
 }
 
-// wait gives what is being given back a moment to arrive.
-func (k *holderDriver) wait() {
-	late := time.After(k.o.RetryInterval)
-	for _, over := range k.last {
-		for waits := true; waits; {
+// awaitReleases waits until the last requests that give the lease back were answered, for one retry interval at most.
+func (d *holderDriver) awaitReleases() {
+	timeout := time.After(d.options.RetryInterval)
+	for _, answered := range d.releases {
+		for waiting := true; waiting; {
 			select {
-			case <-over:
-				waits = false
-			case <-k.replies:
-			case <-k.failed:
-			case <-late:
+			case <-answered:
+				waiting = false
+			case <-d.replies: // drained, so that no request waits for room
+			case <-d.errors:
+			case <-timeout:
 				return
 			}
 		}
--- a/internal/lease/raftgroup/logger.go
+++ b/internal/lease/raftgroup/logger.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// discardLogger drops what the library would log: what matters of it is told by the member.
+// discardLogger drops what the raft library logs: the member logs what an operator needs. A fatal error is a panic.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)              {}
--- a/internal/lease/raftgroup/processes_test.go
+++ b/internal/lease/raftgroup/processes_test.go
@@ -249,7 +249,7 @@
 			return e.Who == p.Name() && e.At >= from && strings.Contains(string(e.Data), what)
 		}
 	}
-	for _, w := range []func(e processes.Event) bool{said(torn, "takes no part in the group any more"), said(lost, "asks to be taken in")} {
+	for _, w := range []func(e processes.Event) bool{said(torn, "takes no part in the group any more"), said(lost, "fleet: asked to join the group")} {
 		if _, _, err := f.rig.History.Wait(within(t), 0, w); err != nil {
 			t.Error(err)
 		}
@@ -353,7 +353,7 @@
 	}
 	f.eventually("the first act", func(all []act) bool { return len(all) > 0 })
 	first := f.read()[0]
-	leads := func(e processes.Event) bool { return e.What == "fleet: leads" }
+	leads := func(e processes.Event) bool { return e.What == "fleet: became leader" }
 	at := 0
 	for range 3 {
 		e, next, err := f.rig.History.Wait(within(t), at, leads)
--- /dev/null
+++ b/internal/lease/raftgroup/snapshots.go
@@ -0,0 +1,54 @@
+package raftgroup
+
+import (
+	"encoding/json"
+	"fmt"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+
+	"orchiddrift/internal/lease"
+)
+
+// snapshotInterval is how many entries the log grows by before a snapshot is written and the log is compacted.
+const snapshotInterval = 2000
+
+// recordSnapshot is the record in a raft snapshot.
+type recordSnapshot struct {
+	Version   int               `json:"version"`
+	LastToken lease.Token       `json:"last"` // tokens go on from here: see package lease on fencing tokens
+	Entries   []lease.Entry     `json:"entries"`
+	Notes     map[string]string `json:"notes,omitempty"`
+	Members   map[uint64]string `json:"peers"` // names by raft id
+}
+
+// maybeSnapshot writes a snapshot if the log has grown by snapshotInterval, or if the members have changed.
+func (m *Member) maybeSnapshot() error {
+	first, err := m.storage.memory.FirstIndex()
+	if err != nil || !m.confChanged && m.appliedIndex <= first+snapshotInterval {
+		return nil
+	}
+	m.confChanged = false
+	data, err := json.Marshal(recordSnapshot{Version: protocolVersion, LastToken: m.table.LastToken(), Entries: m.table.List(),
+		Notes: m.table.Notes(), Members: m.members})
+	if err != nil {
+		return fmt.Errorf("the group's snapshot: %w", err)
+	}
+	return m.storage.saveSnapshot(m.appliedIndex, m.confState, data)
+}
+
+// restoreSnapshot replaces the record by that of a snapshot.
+func (m *Member) restoreSnapshot(snapshot *pb.Snapshot) error {
+	var record recordSnapshot
+	if err := json.Unmarshal(snapshot.GetData(), &record); err != nil {
+		return fmt.Errorf("the group's snapshot: %w", err)
+	}
+	if record.Version != protocolVersion {
+		return fmt.Errorf("the group's snapshot is of version %d, and not %d", record.Version, protocolVersion)
+	}
+	m.table = lease.NewTable(m.options.Limits)
+	m.table.Restore(record.LastToken, record.Entries)
+	m.table.RestoreNotes(record.Notes)
+	metadata := snapshot.GetMetadata()
+	m.members, m.confState, m.appliedIndex = record.Members, metadata.GetConfState(), metadata.GetIndex()
+	return nil
+}
