--- /dev/null
+++ b/internal/lease/raftgroup/fleet_test.go
@@ -0,0 +1,199 @@
+package raftgroup
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"orchiddrift/internal/testing/processes"
+)
+
+func TestMain(m *testing.M) { os.Exit(processes.Main(m)) }
+
+// fleet is a group of members and contenders for one lease, each a process, with a link for each direction between two of them.
+type fleet struct {
+	t          *testing.T
+	rig        *processes.Rig
+	members    []*processes.Process
+	clients    []*processes.Process
+	links      []string
+	sink       string // a file to which the holder's work adds lines with its token
+	fencedSink string // another one, which refuses a token lower than its last
+}
+
+// workScript writes to both sinks, about every 10 ms. The fenced one checks and writes under one lock.
+const workScript = `while :; do
+	echo "$ORCHIDDRIFT_LEASE_TOKEN NAME" >> ACTS
+	flock ACTS.lock sh -c '[ "$ORCHIDDRIFT_LEASE_TOKEN" -ge "$(cat ACTS.last 2>/dev/null || echo 0)" ] || exit 1
+		echo "$ORCHIDDRIFT_LEASE_TOKEN" > ACTS.last; echo "$ORCHIDDRIFT_LEASE_TOKEN NAME" >> ACTS.checked'
+	sleep 0.01
+done`
+
+// newFleet makes the processes and does not start them.
+func newFleet(t *testing.T, seed uint64, members, clients int, duration, margin time.Duration) *fleet {
+	f := &fleet{t: t, rig: processes.New(t, seed), sink: filepath.Join(t.TempDir(), "acts")}
+	f.fencedSink = f.sink + ".checked"
+	names := []string{"a", "b", "c", "d", "e"}[:members]
+	for _, name := range names {
+		f.members = append(f.members, f.rig.Process(processes.Spec{Name: name, Args: []string{"--config", "fleet.toml"},
+			Ready: func(e processes.Event) bool { return e.What == "fleet: listening" },
+			Files: map[string]string{"fleet.toml": f.memberFile(name, names)}}))
+	}
+	for i := range clients {
+		name := fmt.Sprint("c", i)
+		f.clients = append(f.clients, f.rig.Process(processes.Spec{Name: name, Files: map[string]string{"fleet.toml": f.clientFile(name, names)},
+			Args: []string{"lease", "--file", "fleet.toml", "run", "task", "--again", "--term", duration.String(), "--margin", margin.String(), "--",
+				"sh", "-c", strings.NewReplacer("ACTS", f.sink, "NAME", name).Replace(workScript)}}))
+	}
+	return f
+}
+
+// memberFile is the operator's file of a member.
+func (f *fleet) memberFile(name string, members []string) string {
+	return "[daemon]\nlisten = \"127.0.0.1:0\"\n" + fleetSection +
+		fmt.Sprintf("member = %q\nlisten = \"127.0.0.1:0\"\nfile = \"fleet.db\"\n", name) + f.membersSection(name, members) +
+		"[[service]]\nname = \"web\"\naddresses = [\"127.0.0.1:9\"]\n"
+}
+
+// clientFile is the operator's file of a contender.
+func (f *fleet) clientFile(name string, members []string) string {
+	return fleetSection + f.membersSection(name, members)
+}
+
+const fleetSection = "[log]\nformat = \"json\"\n[fleet]\nname = \"f\"\ntick = \"20ms\"\nshortest = \"100ms\"\n"
+
+// membersSection lists the members as a process reaches them, over new links.
+func (f *fleet) membersSection(from string, members []string) string {
+	var section strings.Builder
+	for _, to := range members {
+		link, err := f.rig.Link(from, to, func() string { return listenAddress(f.rig, to) })
+		if err != nil {
+			f.t.Fatal(err)
+		}
+		f.links = append(f.links, link.Name())
+		fmt.Fprintf(&section, "[[fleet.members]]\nname = %q\naddress = %q\n", to, link.Address())
+	}
+	return section.String()
+}
+
+// listenAddress is where a member's present process listens for the group.
+func listenAddress(rig *processes.Rig, member string) (address string) {
+	for _, e := range rig.History.Events(0) {
+		if e.Who == member && e.What == "fleet: listening" {
+			var attributes struct{ Address string }
+			if json.Unmarshal(e.Data, &attributes) == nil {
+				address = attributes.Address
+			}
+		}
+	}
+	return address
+}
+
+// all returns the members and the clients.
+func (f *fleet) all() []*processes.Process { return slices.Concat(f.members, f.clients) }
+
+// startAll starts all processes and waits until the work has begun.
+func (f *fleet) startAll() {
+	f.t.Helper()
+	if err := f.rig.StartAll(testContext(f.t), f.all()...); err != nil {
+		f.t.Fatal(err)
+	}
+	f.eventually("the first line", func(lines []sinkLine) bool { return len(lines) > 0 })
+}
+
+// process returns a process by its name.
+func (f *fleet) process(name string) *processes.Process {
+	f.t.Helper()
+	for _, p := range f.all() {
+		if p.Name() == name {
+			return p
+		}
+	}
+	f.t.Fatalf("there is no process %q", name)
+	return nil
+}
+
+// sinkLine is a line of a sink.
+type sinkLine struct {
+	token  uint64
+	client string
+}
+
+func (f *fleet) readSink() []sinkLine { return f.readFile(f.sink) }
+
+func (f *fleet) readFile(path string) (lines []sinkLine) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil // nothing was written yet
+	}
+	defer file.Close()
+	for scanner := bufio.NewScanner(file); scanner.Scan(); {
+		var line sinkLine
+		if _, err := fmt.Sscan(scanner.Text(), &line.token, &line.client); err != nil {
+			f.t.Errorf("the sink has %q", scanner.Text())
+		}
+		lines = append(lines, line)
+	}
+	return lines
+}
+
+// violations are lines behind one with a higher token, and tokens of two clients: two held the lease, or one wrote after its grant.
+func violations(lines []sinkLine) (found []string) {
+	highest := sinkLine{}
+	for i, line := range lines {
+		switch {
+		case line.token < highest.token:
+			found = append(found, fmt.Sprintf("line %d: %s with %d after %s with %d", i, line.client, line.token, highest.client, highest.token))
+		case line.token == highest.token && line.client != highest.client:
+			found = append(found, fmt.Sprintf("line %d: %s and %s with %d", i, line.client, highest.client, line.token))
+		}
+		if line.token > highest.token {
+			highest = line
+		}
+	}
+	return found
+}
+
+// checkSink fails the test where a sink has violations.
+func (f *fleet) checkSink(path string) {
+	f.t.Helper()
+	if found := violations(f.readFile(path)); len(found) > 0 {
+		f.t.Errorf("%d lines out of order, such as\n%s", len(found), strings.Join(found[:min(5, len(found))], "\n"))
+	}
+}
+
+// eventually waits until the sink has what is wanted.
+func (f *fleet) eventually(what string, ok func(lines []sinkLine) bool) {
+	f.t.Helper()
+	for end := time.Now().Add(processes.Patience); ; time.Sleep(5 * time.Millisecond) {
+		if ok(f.readSink()) {
+			return
+		}
+		if time.Now().After(end) {
+			f.t.Fatalf("waited in vain: %s", what)
+		}
+	}
+}
+
+// linesAfter waits for lines that come once no earlier grant is left. How many come in a time depends on the machine.
+func (f *fleet) linesAfter(what string, grants time.Duration) {
+	f.t.Helper()
+	start := time.Now()
+	f.eventually(what, func([]sinkLine) bool { return time.Since(start) > grants })
+	n := len(f.readSink())
+	f.eventually(what, func(lines []sinkLine) bool { return len(lines) > n })
+}
+
+// testContext ends before the test would hang.
+func testContext(t *testing.T) context.Context {
+	ctx, cancel := context.WithTimeout(t.Context(), 4*processes.Patience)
+	t.Cleanup(cancel)
+	return ctx
+}
--- a/internal/lease/raftgroup/guard_test.go
+++ b/internal/lease/raftgroup/guard_test.go
@@ -1,6 +1,7 @@
 package raftgroup
 
 import (
+	"errors"
 	"os"
 	"strings"
 	"testing"
@@ -9,36 +10,44 @@
 	"orchiddrift/internal/lease"
 )
 
-// Guards against a command that never ran and is said to have ended, so that a task's run counts as done: a guard that begins behind the term
-// that it was told says so, and whoever holds the lease by then begins it anew; whoever does not has lost it.
-func TestAGuardThatBeginsTooLate(t *testing.T) {
-	read, write, err := os.Pipe()
+// A guard that starts after the grant has expired does not run the command and says so.
+func TestGuardStartsTooLate(t *testing.T) {
+	statusReader, statusWriter, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Guard(strings.NewReader(""), write, BootTime()-time.Second, time.Second, []string{"true"}); err == nil {
-		t.Error("it runs the command")
+	defer statusReader.Close()
+	if _, err := Guard(strings.NewReader(""), statusWriter, BootTime()-time.Second, time.Second, []string{"true"}); !errors.Is(err, errGrantExpired) {
+		t.Errorf("it runs the command: %v", err)
 	}
-	write.Close() // it has been, where the guard said its word
-	said := make([]byte, 64)
-	n, _ := read.Read(said)
-	if got := string(said[:n]); got != "0\n"+statusLate+"\n" {
-		t.Errorf("it says %q", got)
+	statusWriter.Close() // the guard has closed it, where it wrote its status
+	status := make([]byte, 64)
+	n, _ := statusReader.Read(status)
+	if got := string(status[:n]); got != "0\n"+statusLate+"\n" {
+		t.Errorf("its status is %q", got)
 	}
-	read.Close()
+}
+
+// A command whose guard was late is started again if the lease is still held; otherwise the lease is lost. A command that never ran must not be
+// reported as ended by itself: a task's run would count as done.
+func TestCommandAfterALateGuard(t *testing.T) {
 	for _, held := range []bool{false, true} {
-		over := make(chan lease.Reason, 1)
-		// A guard that is late once, and then does as it is told.
+		ended := make(chan lease.Reason, 1)
+		// A guard that is late once, and runs well the next time.
 		mark := t.TempDir() + "/mark"
 		guard := "if [ -e " + mark + " ]; then echo 1 >&3; exit 0; fi; touch " + mark + "; sleep 0.2; printf '0\\nlate\\n' >&3; exit 1"
 		c := &Command{Guard: []string{"sh", "-c", guard}, Argv: []string{"true"}, Margin: time.Second, Log: func(string) {},
-			OnExit: func(_ int, why lease.Reason) { over <- why }}
+			OnExit: func(_ int, reason lease.Reason) { ended <- reason }}
 		c.Start(1, BootTime()+100*time.Millisecond)
 		if held {
 			c.Extend(BootTime() + time.Hour)
 		}
-		if why := <-over; held != (why == 0) || !held && why != lease.ReasonExpired {
-			t.Errorf("held %v: ended with %d", held, why)
+		want := lease.ReasonExpired
+		if held {
+			want = 0
+		}
+		if reason := <-ended; reason != want {
+			t.Errorf("held %v: ended with reason %d, want %d", held, reason, want)
 		}
 	}
 }
