--- /dev/null
+++ b/internal/task/decide.go
@@ -0,0 +1,93 @@
+package task
+
+import (
+	"time"
+
+	"orchiddrift/internal/lease"
+)
+
+// Schedule returns when runs are due: the first moment after t, the zero time if there is none. The schedules of github.com/robfig/cron
+// implement it.
+type Schedule interface {
+	Next(t time.Time) time.Time
+}
+
+// Rules are the rules of one task.
+type Rules struct {
+	Schedule Schedule
+	// AtLeastOnce starts a run again whose process was lost, up to MaxAttempts starts in all. Without it a run is started at most once, and one
+	// whose process was lost counts as lost.
+	AtLeastOnce bool
+	MaxAttempts int
+	// MaxDelay is how long after its due time a run may start; after that it was missed.
+	MaxDelay time.Duration
+	// RunMissed starts the latest run that was missed all the same. Without it missed runs are skipped.
+	RunMissed bool
+}
+
+// StepKind is the kind of a Step.
+type StepKind int
+
+// The kinds of steps.
+const (
+	Wait        StepKind = iota // nothing is due before Step.At: release the lease
+	WriteRecord                 // store Step.Record and decide again
+	StartRun                    // store Step.Record, then start the run
+)
+
+// Step is what the holder of a task's lease does next.
+type Step struct {
+	Kind   StepKind
+	At     time.Time // Wait; zero: nothing is due any more
+	Record Record    // WriteRecord, StartRun
+}
+
+// maxMissedRuns bounds how many missed runs are counted to find the latest one. Beyond it a later one is found by the next decision.
+const maxMissedRuns = 10_000
+
+// Decide returns the next step of the process by, which holds the task's lease under token. last is the record that is stored, nil if there is
+// none.
+func (r *Rules) Decide(now time.Time, last *Record, token lease.Token, by string) Step {
+	if last == nil { // runs are due from now on
+		return Step{Kind: WriteRecord, Record: Record{Due: now, Phase: Skipped, Token: token, By: by}}
+	}
+	if last.Phase == Begun {
+		return r.decideOnBegun(*last, token, by)
+	}
+	due := r.Schedule.Next(last.Due)
+	if due.IsZero() || due.After(now) {
+		return Step{Kind: Wait, At: due}
+	}
+	due = r.latestDue(now, due)
+	record := Record{Due: due, Phase: Begun, Token: token, By: by, Attempts: 1}
+	if now.Sub(due) > r.MaxDelay && !r.RunMissed {
+		record.Phase, record.Attempts = Skipped, 0
+		return Step{Kind: WriteRecord, Record: record}
+	}
+	return Step{Kind: StartRun, Record: record}
+}
+
+// decideOnBegun decides on a run that is stored as begun while its lease is held anew: its process was lost.
+func (r *Rules) decideOnBegun(run Record, token lease.Token, by string) Step {
+	switch {
+	case run.Token == token: // stored under this grant: only the reply was lost, and the run has not started
+		return Step{Kind: StartRun, Record: run}
+	case r.AtLeastOnce && run.Attempts < r.MaxAttempts:
+		run.Token, run.By, run.Attempts = token, by, run.Attempts+1
+		return Step{Kind: StartRun, Record: run}
+	}
+	run.Phase = Lost
+	return Step{Kind: WriteRecord, Record: run}
+}
+
+// latestDue returns the latest due time up to now; due is the first one.
+func (r *Rules) latestDue(now, due time.Time) time.Time {
+	for range maxMissedRuns {
+		later := r.Schedule.Next(due)
+		if later.IsZero() || later.After(now) {
+			break
+		}
+		due = later
+	}
+	return due
+}
--- a/internal/task/declaration.go
+++ b/internal/task/declaration.go
@@ -1,6 +1,7 @@
 package task
 
 import (
+	"fmt"
 	"strings"
 	"time"
 
@@ -9,6 +10,22 @@
 	"orchiddrift/internal/units"
 )
 
+// The values of Declaration.Delivery and Declaration.OnMissed.
+const (
+	atMostOnce  = "at-most-once"
+	atLeastOnce = "at-least-once"
+	skipMissed  = "skip"
+	runLatest   = "latest"
+)
+
+// The bounds that Declaration.Check sets.
+const (
+	maxNameBytes    = 100
+	maxAttempts     = 1000
+	minTimeout      = time.Millisecond
+	marginsPerLease = 4 // a lease duration is at least so many margins
+)
+
 // Declaration is a [[task]] of the operator's file.
 type Declaration struct {
 	Name          string         `toml:"name" reload:"start" sample:"\"nightly\"" doc:"The task's name, the same in every process. Its lease is task/NAME."`
@@ -25,13 +42,13 @@
 	Margin        units.Duration `toml:"margin" default:"1s" reload:"start" doc:"What a command may take to end after SIGTERM; then it gets SIGKILL."`
 }
 
-// parser reads schedules as the common cron does.
+// parser parses schedules as the usual cron does.
 var parser = cron.NewParser(cron.Minute | cron.Hour | cron.Dom | cron.Month | cron.Dow | cron.Descriptor)
 
-// Check is tomlfile.Checker's.
+// Check implements tomlfile.Checker.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
-	if d.Name == "" || len(d.Name) > 100 || strings.ContainsAny(d.Name, "/ \t\r\n") {
-		report("name", "%q is no name of at most 100 bytes without slashes and spaces", d.Name)
+	if d.Name == "" || len(d.Name) > maxNameBytes || strings.ContainsAny(d.Name, "/ \t\r\n") {
+		report("name", "%q is no name of at most %d bytes without slashes and spaces", d.Name, maxNameBytes)
 	}
 	if _, err := parser.Parse(d.Schedule); err != nil {
 		report("schedule", "%q: %v", d.Schedule, err)
@@ -44,25 +61,29 @@
 			report("call", "%q is not a method and a path, such as \"POST /sweep/all\"", d.Call)
 		}
 	}
-	if d.Delivery != "at-most-once" && d.Delivery != "at-least-once" {
-		report("promise", "%q is neither at-most-once nor at-least-once", d.Delivery)
+	if d.Delivery != atMostOnce && d.Delivery != atLeastOnce {
+		report("promise", "%q is neither %s nor %s", d.Delivery, atMostOnce, atLeastOnce)
 	}
-	if d.OnMissed != "skip" && d.OnMissed != "latest" {
-		report("missed", "%q is neither skip nor latest", d.OnMissed)
+	if d.OnMissed != skipMissed && d.OnMissed != runLatest {
+		report("missed", "%q is neither %s nor %s", d.OnMissed, skipMissed, runLatest)
 	}
-	if d.MaxAttempts < 1 || d.MaxAttempts > 1000 {
-		report("tries", "%d is not from 1 to 1000", d.MaxAttempts)
+	if d.MaxAttempts < 1 || d.MaxAttempts > maxAttempts {
+		report("tries", "%d is not from 1 to %d", d.MaxAttempts, maxAttempts)
 	}
-	if d.MaxDelay < 0 || d.Timeout.D() < time.Millisecond {
+	if d.MaxDelay < 0 || d.Timeout.D() < minTimeout {
 		report("limit", "late %v, limit %v", d.MaxDelay, d.Timeout)
 	}
-	if d.Margin <= 0 || d.LeaseDuration < 4*d.Margin {
+	if d.Margin <= 0 || d.LeaseDuration < marginsPerLease*d.Margin {
 		report("term", "%v is under four times the margin, %v", d.LeaseDuration, d.Margin)
 	}
 }
 
-// Rules are what Decide goes by; the Declaration has been checked.
+// Rules returns the rules of a Declaration that has been checked.
 func (d *Declaration) Rules() (Rules, error) {
-	s, err := parser.Parse(d.Schedule)
-	return Rules{Schedule: s, AtLeastOnce: d.Delivery == "at-least-once", MaxAttempts: d.MaxAttempts, MaxDelay: d.MaxDelay.D(), RunMissed: d.OnMissed == "latest"}, err
+	schedule, err := parser.Parse(d.Schedule)
+	if err != nil {
+		return Rules{}, fmt.Errorf("task %s: schedule %q: %w", d.Name, d.Schedule, err)
+	}
+	return Rules{Schedule: schedule, AtLeastOnce: d.Delivery == atLeastOnce, MaxAttempts: d.MaxAttempts, MaxDelay: d.MaxDelay.D(),
+		RunMissed: d.OnMissed == runLatest}, nil
 }
--- a/internal/task/golden_test.go
+++ b/internal/task/golden_test.go
@@ -9,7 +9,7 @@
 	"orchiddrift/internal/testing/golden"
 )
 
-// What is noted of a task's runs is read and written byte for byte as the release before did.
+// A task's record is encoded as earlier releases did, and what they encoded is decoded.
 func TestRecordGolden(t *testing.T) {
 	due := time.Date(2026, 12, 3, 4, 30, 0, 0, time.UTC)
 	var want []Record
@@ -26,7 +26,7 @@
 	for i, line := range lines {
 		got, err := DecodeRecord(line)
 		if err != nil || !reflect.DeepEqual(*got, want[i]) {
-			t.Errorf("%s is read as %+v, %v; want %+v", line, got, err, want[i])
+			t.Errorf("%s is decoded as %+v, %v; want %+v", line, got, err, want[i])
 		}
 	}
 }
--- /dev/null
+++ b/internal/task/record.go
@@ -0,0 +1,55 @@
+package task
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"orchiddrift/internal/lease"
+)
+
+// Phase is the phase of a run. Its text is stored.
+type Phase string
+
+// The phases.
+const (
+	Begun   Phase = "begun"
+	Ended   Phase = "ended"   // by itself or by its timeout: the exit code tells
+	Lost    Phase = "lost"    // its process was lost before the run ended
+	Skipped Phase = "skipped" // no process could start it in time
+)
+
+// Record is what is stored of a task's latest run.
+type Record struct {
+	Due      time.Time   `json:"due"`
+	Phase    Phase       `json:"phase"`
+	Token    lease.Token `json:"token"` // under which the phase was written
+	By       string      `json:"by,omitempty"`
+	Attempts int         `json:"tries,omitempty"` // how often the run was started
+	ExitCode int         `json:"code,omitempty"`  // of a command
+}
+
+// Encode returns the record as it is stored in the note of the task's lease.
+func (r Record) Encode() string {
+	text, err := json.Marshal(r)
+	if err != nil {
+		panic(err) // its fields can all be encoded
+	}
+	return string(text)
+}
+
+// DecodeRecord decodes a note. It returns nil for an empty one: the task has never run.
+func DecodeRecord(note string) (*Record, error) {
+	if note == "" {
+		return nil, nil
+	}
+	var r Record
+	if err := json.Unmarshal([]byte(note), &r); err != nil {
+		return nil, fmt.Errorf("the record of the task: %w", err)
+	}
+	switch r.Phase {
+	case Begun, Ended, Lost, Skipped:
+		return &r, nil
+	}
+	return nil, fmt.Errorf("the record of the task: %q is no phase", r.Phase)
+}
