--- a/internal/task/runner/runner.go
+++ b/internal/task/runner/runner.go
@@ -1,5 +1,8 @@
-// Package runner carries out the fleet's tasks in one process: it asks for their leases when package task says so, notes runs before they
-// begin and after they end, and runs them: commands under a guard, calls through the daemon.
+// Package runner runs the fleet's tasks in one process. It drives package task: when the Scheduler says so it acquires a task's lease, stores the
+// run's record before the run starts and after it ends, and carries the run out: a command under a guard process, or a call through the daemon.
+//
+// Goroutines: Run's own asks the Scheduler; each claim of a task has one, which RunWhileHeld drives, and others while it stores records. Run waits
+// for them all.
 package runner
 
 import (
@@ -14,104 +17,131 @@
 	"orchiddrift/internal/task"
 )
 
-// Options are Run's.
+// LeasePrefix is the prefix of the name of a task's lease, before the task's name.
+const LeasePrefix = "task/"
+
+// Rhythm of a process. Runs are due by the minute, or by the second at most.
+const (
+	claimSpread        = 300 * time.Millisecond // see task.SchedulerOptions.Spread
+	maxRecheckInterval = 15 * time.Second       // see task.SchedulerOptions.RecheckInterval; half of the shortest lease duration if that is less
+	pollInterval       = 100 * time.Millisecond // between two looks at what is due, and whether the process is draining
+)
+
+// Parts of a lease duration.
+const (
+	rechecksPerLease = 2  // of a task that another process holds
+	requestsPerLease = 5  // of the lease while no reply comes; also the timeout of a request
+	recordsPerLease  = 20 // attempts to read or store the record while no reply comes
+)
+
+// seedStream keeps the Scheduler's draws apart from those of other users of the same seed.
+const seedStream = 0x7461736b
+
+// Options are Run's parameters.
 type Options struct {
-	Name     string // the process's
+	Name     string // of the process
 	Tasks    []task.Declaration
 	Leases   raftgroup.Requester
-	Drift    float64
-	Guard    []string      // the guard's command line
-	Listen   func() string // where the daemon's clients connect
-	MaxRuns  int           // runs at once
+	Drift    float64       // largest relative error of a process's clock rate
+	Guard    []string      // command line of the guard
+	Listen   func() string // address of the daemon's listener, for calls
+	MaxRuns  int           // at once
 	Seed     uint64
-	Draining func() bool // looked at often: a process that drains begins nothing
+	Draining func() bool // a draining process starts no run
 	Now      func() time.Time
 	Log      *slog.Logger
 }
 
-// known is a task.
-type known struct {
-	d     task.Declaration
-	rules task.Rules
+// declaredTask is a task with its rules.
+type declaredTask struct {
+	declaration task.Declaration
+	rules       task.Rules
 }
 
-// LeasePrefix stands before a task's name in that of its lease.
-const LeasePrefix = "task/"
+func (t *declaredTask) name() string { return t.declaration.Name }
+
+func (t *declaredTask) leaseName() string { return LeasePrefix + t.declaration.Name }
 
-func (t *known) lease() string { return LeasePrefix + t.d.Name }
+func (t *declaredTask) leaseDuration() time.Duration { return t.declaration.LeaseDuration.D() }
 
+// runner is the state of Run.
 type runner struct {
-	o     Options
-	jobs  sync.WaitGroup
-	tasks map[string]*known
-	wake  chan struct{}
+	options Options
+	tasks   map[string]*declaredTask
+	work    sync.WaitGroup
+	wake    chan struct{} // has room for one: the Scheduler may have something due
 
-	mu sync.Mutex
-	p  *task.Scheduler
+	mu        sync.Mutex
+	scheduler *task.Scheduler
 }
 
-// Spread and look are a process's rhythm: see task.SchedulerOptions. Runs are due by the minute, or by the second at most.
-const (
-	spread   = 300 * time.Millisecond
-	lookMost = 15 * time.Second
-	glance   = 100 * time.Millisecond // between two looks at whether it drains
-)
-
-// Run takes part until ctx ends; then runs are ended, and it returns once they have.
-func Run(ctx context.Context, o Options) error {
-	look := lookMost
-	for _, d := range o.Tasks {
-		look = min(look, d.LeaseDuration.D()/2)
-	}
-	r := &runner{o: o, tasks: map[string]*known{}, wake: make(chan struct{}, 1),
-		p: task.NewScheduler(task.SchedulerOptions{MaxRuns: o.MaxRuns, Spread: spread, RecheckInterval: look}, rand.New(rand.NewPCG(o.Seed, 0x7461736b)))}
-	for _, d := range o.Tasks {
-		rules, err := d.Rules()
-		if err != nil {
-			return err
-		}
-		r.tasks[d.Name] = &known{d, rules}
-		r.p.Add(o.Now(), d.Name, d.Priority)
+// Run takes part in the fleet's tasks until ctx ends. Runs that go on are stopped then, and it returns when they have ended. An error means that a
+// schedule is wrong.
+func Run(ctx context.Context, options Options) error {
+	r, err := newRunner(options)
+	if err != nil {
+		return err
 	}
-	defer r.jobs.Wait()
-	timer := time.NewTicker(glance)
-	defer timer.Stop()
+	defer r.work.Wait()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-timer.C:
+		case <-ticker.C:
 		case <-r.wake:
 		}
-		r.mu.Lock()
-		r.p.Drain(o.Draining())
-		names := r.p.Due(o.Now())
-		r.mu.Unlock()
-		for _, name := range names {
-			r.jobs.Go(func() { r.wish(ctx, r.tasks[name]) })
+		for _, name := range r.due() {
+			r.work.Go(func() { r.claimTask(ctx, r.tasks[name]) })
+		}
+	}
+}
+
+func newRunner(options Options) (*runner, error) {
+	recheckInterval := maxRecheckInterval
+	for _, declaration := range options.Tasks {
+		recheckInterval = min(recheckInterval, declaration.LeaseDuration.D()/rechecksPerLease)
+	}
+	r := &runner{options: options, tasks: map[string]*declaredTask{}, wake: make(chan struct{}, 1),
+		scheduler: task.NewScheduler(task.SchedulerOptions{MaxRuns: options.MaxRuns, Spread: claimSpread, RecheckInterval: recheckInterval},
+			rand.New(rand.NewPCG(options.Seed, seedStream)))}
+	for _, declaration := range options.Tasks {
+		rules, err := declaration.Rules()
+		if err != nil {
+			return nil, err
 		}
+		r.tasks[declaration.Name] = &declaredTask{declaration, rules}
+		r.scheduler.Add(options.Now(), declaration.Name, declaration.Priority)
 	}
+	return r, nil
+}
+
+// due returns the tasks to claim now.
+func (r *runner) due() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.scheduler.Drain(r.options.Draining())
+	return r.scheduler.Due(r.options.Now())
 }
 
-// wish asks for a task once, and does what is due.
-func (r *runner) wish(ctx context.Context, t *known) {
+// claimTask acquires a task's lease once, does what is due, and tells the Scheduler when to try again.
+func (r *runner) claimTask(ctx context.Context, t *declaredTask) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	j := &job{r: r, t: t, client: raftgroup.NewClientID(), ctx: ctx, cancel: cancel}
-	raftgroup.RunWhileHeld(ctx, r.o.Leases, lease.HolderOptions{Name: t.lease(), Client: j.client, Duration: t.d.LeaseDuration.D(), Drift: r.o.Drift, Margin: t.d.Margin.D(),
-		RetryInterval: t.d.LeaseDuration.D() / 5}, j)
-	j.mu.Lock()
-	rest, err := j.rest, j.report
-	j.mu.Unlock()
+	c := &claim{runner: r, task: t, client: raftgroup.NewClientID(), ctx: ctx, cancel: cancel}
+	raftgroup.RunWhileHeld(ctx, r.options.Leases, lease.HolderOptions{Name: t.leaseName(), Client: c.client, Duration: t.leaseDuration(),
+		Drift: r.options.Drift, Margin: t.declaration.Margin.D(), RetryInterval: t.leaseDuration() / requestsPerLease}, c)
+	nextDue, err := c.result()
 	if err != nil {
-		r.o.Log.Warn("task", "task", t.d.Name, "reason", err)
+		r.options.Log.Warn("task: attempt failed", "task", t.name(), "reason", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if rest != nil {
-		r.p.Waiting(t.d.Name, *rest)
+	if nextDue != nil {
+		r.scheduler.Waiting(t.name(), *nextDue)
 	} else {
-		r.p.HeldElsewhere(r.o.Now(), t.d.Name)
+		r.scheduler.HeldElsewhere(r.options.Now(), t.name())
 	}
 	select {
 	case r.wake <- struct{}{}:
@@ -119,8 +149,9 @@
 	}
 }
 
-func (r *runner) began(name string) {
+// started tells the Scheduler that a task runs here.
+func (r *runner) started(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.p.Started(name)
+	r.scheduler.Started(name)
 }
