--- a/cmd/orchiddrift/lease.go
+++ b/cmd/orchiddrift/lease.go
@@ -17,17 +17,29 @@
 	"orchiddrift/internal/config"
 	"orchiddrift/internal/lease"
 	"orchiddrift/internal/lease/raftgroup"
-	tasks "orchiddrift/internal/task"
+	"orchiddrift/internal/task"
 	"orchiddrift/internal/task/runner"
 )
 
-// Exit codes of the lease commands, beside 1 for what is wrong with the call.
+// Exit codes of the lease commands, beside 1 for a wrong call and the exit code of the command that is run.
 const (
-	exitUnreached = 69 // nobody answers for the group
-	exitHeld      = 75 // somebody else holds the lease
-	exitLost      = 76 // the lease was lost while its command ran, or is not what was said
+	exitUnreachable = 69 // no leader of the group answers
+	exitHeld        = 75 // another client holds the lease, or the record is full
+	exitLost        = 76 // the lease was lost while its command ran, or nobody holds the lease that was named
 )
 
+const (
+	// infoTimeout is how long the members may take to answer.
+	infoTimeout = 2 * time.Second
+	// marginsPerLease is how many margins a lease duration must have at least.
+	marginsPerLease = 4
+	// requestsPerLease is how often the lease is asked for within a lease duration while no reply comes.
+	requestsPerLease = 5
+	// maxUnreachable is how many requests in a row may get no reply before a command that does not wait gives up.
+	maxUnreachable = 3
+)
+
+// leaseCmd is the command line of `orchiddrift lease`.
 type leaseCmd struct {
 	File   string         `name:"file" env:"ORCHIDDRIFT_FILE" required:"" type:"existingfile" help:"The operator's file, whose [fleet] names the group."`
 	Run    leaseRunCmd    `cmd:"" help:"Run a command while a lease is held. It is ended before the lease is."`
@@ -38,7 +50,7 @@
 	Guard  leaseGuardCmd  `cmd:"" hidden:""`
 }
 
-// exit is an error with an exit code.
+// exit is an error with an exit code. The zero value is no error.
 type exit struct {
 	code int
 	err  error
@@ -46,213 +58,232 @@
 
 func (e exit) Error() string { return e.err.Error() }
 
-// group is the client of the group that the file names.
-func (c *leaseCmd) group() (*raftgroup.Client, error) {
-	d, err := config.LoadFleet(c.File)
+func (e exit) Unwrap() error { return e.err }
+
+// client returns a client of the group that the file names.
+func (c *leaseCmd) client() (*raftgroup.Client, error) {
+	declaration, err := config.LoadFleet(c.File)
 	if err != nil {
 		return nil, err
 	}
-	return raftgroup.NewClient(d.Name, raftgroup.DeclaredPeers(d))
+	return raftgroup.NewClient(declaration.Name, raftgroup.DeclaredPeers(declaration))
+}
+
+// queryMembers returns what the leader reports, and what each member reports, nil for one that does not answer. Without a leader it returns an
+// error beside the members.
+func (c *leaseCmd) queryMembers() (leader *raftgroup.Info, members []*raftgroup.Info, err error) {
+	client, err := c.client()
+	if err != nil {
+		return nil, nil, err
+	}
+	defer client.Close()
+	ctx, cancel := context.WithTimeout(context.Background(), infoTimeout)
+	defer cancel()
+	members = client.Info(ctx)
+	for _, info := range members {
+		if info != nil && info.IsLeader {
+			return info, members, nil
+		}
+	}
+	return nil, members, exit{exitUnreachable, errors.New("nobody leads the group: are most of its members up?")}
 }
 
+// leaseRunCmd is `orchiddrift lease run`.
 type leaseRunCmd struct {
-	Name   string        `arg:"" help:"The lease."`
-	Argv   []string      `arg:"" passthrough:"" help:"The command and its arguments."`
-	Term   time.Duration `default:"10s" help:"How long the lease outlasts a holder that nobody hears of."`
-	Margin time.Duration `default:"1s" help:"What the command may take to end after SIGTERM; then it gets SIGKILL."`
-	Wait   bool          `help:"Wait in the queue while somebody else holds it."`
-	Again  bool          `help:"Where the lease was lost, wait for it and run the command anew."`
+	Name     string        `arg:"" help:"The lease."`
+	Argv     []string      `arg:"" passthrough:"" help:"The command and its arguments."`
+	Duration time.Duration `name:"term" default:"10s" help:"How long the lease outlasts a holder that nobody hears of."`
+	Margin   time.Duration `default:"1s" help:"What the command may take to end after SIGTERM; then it gets SIGKILL."`
+	Wait     bool          `help:"Wait in the queue while somebody else holds it."`
+	Again    bool          `help:"Where the lease was lost, wait for it and run the command anew."`
 }
 
-// Run is kong's.
-func (c *leaseRunCmd) Run(l *leaseCmd) error {
-	if len(c.Argv) > 0 && c.Argv[0] == "--" {
-		c.Argv = c.Argv[1:]
-	}
-	if len(c.Argv) == 0 {
+// Run implements the command.
+func (c *leaseRunCmd) Run(parent *leaseCmd) error {
+	argv := withoutSeparator(c.Argv)
+	if len(argv) == 0 {
 		return errors.New("no command")
 	}
-	d, err := config.LoadFleet(l.File)
+	declaration, err := config.LoadFleet(parent.File)
 	if err != nil {
 		return err
 	}
-	if c.Margin <= 0 || c.Term < 4*c.Margin {
-		return fmt.Errorf("a term of %v is under four times the margin, %v", c.Term, c.Margin)
+	if c.Margin <= 0 || c.Duration < marginsPerLease*c.Margin {
+		return fmt.Errorf("a term of %v is under four times the margin, %v", c.Duration, c.Margin)
 	}
-	at, err := l.group()
+	client, err := parent.client()
 	if err != nil {
 		return err
 	}
-	defer at.Close()
-	self, err := os.Executable()
+	defer client.Close()
+	executable, err := os.Executable()
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	r := &leaseRun{again: c.Again, stop: stop}
-	r.Command = raftgroup.Command{Guard: []string{self, "lease", "--file", l.File, "guard"}, Name: c.Name, Argv: c.Argv, Margin: c.Margin,
-		OnExit: r.over, Log: func(text string) { fmt.Fprintln(os.Stderr, "orchiddrift: lease:", text) }}
-	if !c.Wait && !c.Again {
-		r.tries = 3
+	command := &leasedCommand{restart: c.Again, stop: stop}
+	command.Command = raftgroup.Command{Guard: []string{executable, "lease", "--file", parent.File, "guard"}, Name: c.Name, Argv: argv, Margin: c.Margin,
+		OnExit: command.exited, Log: func(text string) { fmt.Fprintln(os.Stderr, "orchiddrift: lease:", text) }}
+	wait := c.Wait || c.Again
+	if !wait {
+		command.requestsLeft = maxUnreachable
 	}
-	raftgroup.RunWhileHeld(ctx, at, lease.HolderOptions{Name: c.Name, Client: raftgroup.NewClientID(), Duration: c.Term, Wait: c.Wait || c.Again,
-		Drift: d.Drift, Margin: c.Margin, RetryInterval: c.Term / 5}, r)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.err.code != 0 {
-		return r.err
+	raftgroup.RunWhileHeld(ctx, client, lease.HolderOptions{Name: c.Name, Client: raftgroup.NewClientID(), Duration: c.Duration, Wait: wait,
+		Drift: declaration.Drift, Margin: c.Margin, RetryInterval: c.Duration / requestsPerLease}, command)
+	return command.result()
+}
+
+// withoutSeparator returns a command line without the "--" before it.
+func withoutSeparator(argv []string) []string {
+	if len(argv) > 0 && argv[0] == "--" {
+		return argv[1:]
 	}
-	return nil
+	return argv
 }
 
-// leaseRun is a command with the word that its end comes to.
-type leaseRun struct {
+// leasedCommand is the raftgroup.Work of `lease run`: a command, and what the process's exit code comes to.
+type leasedCommand struct {
 	raftgroup.Command
-	again bool
-	tries int // of reaching the group before it is given up; 0: for ever
-	stop  func()
+	restart      bool   // the command is run again after the lease was lost
+	requestsLeft int    // that may get no reply before it gives up; 0: it never does
+	stop         func() // makes RunWhileHeld release the lease and return
+
+	mu     sync.Mutex
+	failed exit // the first failure
+}
 
-	mu  sync.Mutex
-	err exit
+// result returns the first failure; nil if there was none.
+func (c *leasedCommand) result() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.failed.code != 0 {
+		return c.failed
+	}
+	return nil
 }
 
-func (r *leaseRun) end(code int, err error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.err.code == 0 && code != 0 {
-		r.err = exit{code, err}
+// finish ends the run; a code of 0 is no failure.
+func (c *leasedCommand) finish(code int, err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.failed.code == 0 && code != 0 {
+		c.failed = exit{code, err}
 	}
-	r.stop()
+	c.stop()
 }
 
-func (r *leaseRun) over(code int, why lease.Reason) {
+// exited handles the end of the command; reason is 0 if it ended by itself.
+func (c *leasedCommand) exited(code int, reason lease.Reason) {
 	switch {
-	case why == 0:
-		r.end(code, fmt.Errorf("the command ended with %d", code))
-	case why == lease.ReasonReleased:
-	case r.again:
+	case reason == 0:
+		c.finish(code, fmt.Errorf("the command ended with %d", code))
+	case reason == lease.ReasonReleased || c.restart:
 	default:
-		r.end(exitLost, errors.New("the lease was lost, and its command was ended"))
+		c.finish(exitLost, errors.New("the lease was lost, and its command was ended"))
 	}
 }
 
-// Rejected is Task's.
-func (r *leaseRun) Rejected(why lease.Reason) {
-	r.Command.Rejected(why)
-	r.end(exitHeld, errors.New("the lease is held elsewhere, or there is no room for it"))
+// Rejected implements raftgroup.Work.
+func (c *leasedCommand) Rejected(reason lease.Reason) {
+	c.Command.Rejected(reason)
+	c.finish(exitHeld, errors.New("the lease is held elsewhere, or there is no room for it"))
 }
 
-// Unreachable is Task's.
-func (r *leaseRun) Unreachable(err error) {
-	r.Command.Unreachable(err)
-	if r.tries > 0 {
-		if r.tries--; r.tries == 0 {
-			r.end(exitUnreached, err)
+// Unreachable implements raftgroup.Work.
+func (c *leasedCommand) Unreachable(err error) {
+	c.Command.Unreachable(err)
+	if c.requestsLeft > 0 {
+		if c.requestsLeft--; c.requestsLeft == 0 {
+			c.finish(exitUnreachable, err)
 		}
 	}
 }
 
+// leaseGuardCmd is `orchiddrift lease guard`, which `lease run` and tasks start: see raftgroup.Guard.
 type leaseGuardCmd struct {
-	Until  int64         `required:""`
+	Until  int64         `required:""` // by raftgroup.BootTime, in nanoseconds
 	Margin time.Duration `required:""`
 	Argv   []string      `arg:"" passthrough:""`
 }
 
-// Run is kong's.
+// guardStatusFD is the file descriptor to which the guard writes its status.
+const guardStatusFD = 3
+
+// Run implements the command. It does not return.
 func (c *leaseGuardCmd) Run() error {
-	if len(c.Argv) > 0 && c.Argv[0] == "--" {
-		c.Argv = c.Argv[1:]
-	}
-	// They are for who holds the lease, and it says what is to be. Not by Ignore: the command would be started with them ignored.
+	// The signals are for the lease's holder, which tells the guard what to do. They are caught and dropped: had the guard ignored them, its command
+	// would be started with them ignored.
 	signal.Notify(make(chan os.Signal, 1), os.Interrupt, syscall.SIGTERM)
-	syscall.CloseOnExec(3)
-	code, err := raftgroup.Guard(os.Stdin, os.NewFile(3, "pid"), time.Duration(c.Until), c.Margin, c.Argv)
+	syscall.CloseOnExec(guardStatusFD)
+	code, err := raftgroup.Guard(os.Stdin, os.NewFile(guardStatusFD, "status"), time.Duration(c.Until), c.Margin, withoutSeparator(c.Argv))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "orchiddrift: lease:", err)
 	}
-	if code < 0 {
-		code = 128 + int(syscall.SIGKILL)
+	if code < 0 { // killed by a signal, by the guard itself as a rule
+		const shellSignalBase = 128
+		code = shellSignalBase + int(syscall.SIGKILL)
 	}
 	os.Exit(code)
 	return nil
 }
 
-// leader is what the one who leads says; nil: nobody does.
-func (c *leaseCmd) leader(wait time.Duration) (*raftgroup.Info, []*raftgroup.Info, error) {
-	at, err := c.group()
-	if err != nil {
-		return nil, nil, err
-	}
-	defer at.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
-	defer cancel()
-	all := at.Info(ctx)
-	for _, i := range all {
-		if i != nil && i.IsLeader {
-			return i, all, nil
-		}
-	}
-	return nil, all, exit{exitUnreached, errors.New("nobody leads the group: are most of its members up?")}
-}
-
-// infoPatience is how long members may take to say what they know.
-const infoPatience = 2 * time.Second
-
+// leaseListCmd is `orchiddrift lease list`.
 type leaseListCmd struct{}
 
-// Run is kong's.
-func (*leaseListCmd) Run(l *leaseCmd) error {
-	i, _, err := l.leader(infoPatience)
+// Run implements the command.
+func (*leaseListCmd) Run(parent *leaseCmd) error {
+	leader, _, err := parent.queryMembers()
 	if err != nil {
 		return err
 	}
-	return printLeases(i, func(lease.Entry) bool { return true })
+	return printLeases(leader, func(lease.Entry) bool { return true })
+}
+
+// newTable returns a writer of a table with aligned columns.
+func newTable() *tabwriter.Writer {
+	const minWidth, tabWidth, padding = 0, 8, 2
+	return tabwriter.NewWriter(os.Stdout, minWidth, tabWidth, padding, ' ', 0)
 }
 
-func printLeases(i *raftgroup.Info, want func(lease.Entry) bool) error {
-	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "NAME\tTOKEN\tLEFT\tTERM\tWAITING\tHOLDER")
-	for n, e := range i.Leases {
-		if want(e) {
-			fmt.Fprintf(w, "%s\t%d\t%v\t%v\t%d\t%s\n", e.Name, e.Token, time.Duration(i.RemainingMs[n])*time.Millisecond, e.Duration, len(e.Waiters), e.Holder)
+// printLeases prints the leases that a filter accepts.
+func printLeases(leader *raftgroup.Info, accept func(lease.Entry) bool) error {
+	table := newTable()
+	fmt.Fprintln(table, "NAME\tTOKEN\tLEFT\tTERM\tWAITING\tHOLDER")
+	for i, entry := range leader.Leases {
+		if accept(entry) {
+			remaining := time.Duration(leader.RemainingMs[i]) * time.Millisecond
+			fmt.Fprintf(table, "%s\t%d\t%v\t%v\t%d\t%s\n", entry.Name, entry.Token, remaining, entry.Duration, len(entry.Waiters), entry.Holder)
 		}
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
+// leaseShowCmd is `orchiddrift lease show`.
 type leaseShowCmd struct {
 	Name string `arg:"" optional:"" help:"The lease. Absent: the group's members alone."`
 }
 
-// Run is kong's.
-func (c *leaseShowCmd) Run(l *leaseCmd) error {
-	i, all, err := l.leader(infoPatience)
-	d, bad := config.LoadFleet(l.File)
-	if bad != nil {
-		return bad
+// Run implements the command. The members are printed without a leader too.
+func (c *leaseShowCmd) Run(parent *leaseCmd) error {
+	declaration, err := config.LoadFleet(parent.File)
+	if err != nil {
+		return err
 	}
-	for n, m := range d.Members {
-		state := "does not answer"
-		if one := all[n]; one != nil {
-			switch state = "follows " + one.Leader; {
-			case one.IsLeader:
-				state = "leads"
-			case !one.Bootstrapped:
-				state = "is not in the group yet"
-			case one.Leader == "":
-				state = "knows of no leader"
-			}
+	leader, members, err := parent.queryMembers()
+	for i, member := range declaration.Members {
+		if members == nil { // there is no client
+			break
 		}
-		fmt.Printf("member %s at %s: %s\n", m.Name, m.Address, state)
+		fmt.Printf("member %s at %s: %s\n", member.Name, member.Address, memberState(members[i]))
 	}
 	if err != nil || c.Name == "" {
 		return err
 	}
 	found := false
-	err = printLeases(i, func(e lease.Entry) bool {
-		found = found || e.Name == c.Name
-		return e.Name == c.Name
+	err = printLeases(leader, func(entry lease.Entry) bool {
+		found = found || entry.Name == c.Name
+		return entry.Name == c.Name
 	})
 	if err == nil && !found {
 		return exit{exitLost, fmt.Errorf("nobody holds %q", c.Name)}
@@ -260,49 +291,67 @@
 	return err
 }
 
+// memberState says what a member reports of itself; nil: it does not answer.
+func memberState(info *raftgroup.Info) string {
+	switch {
+	case info == nil:
+		return "does not answer"
+	case info.IsLeader:
+		return "leads"
+	case !info.Bootstrapped:
+		return "is not in the group yet"
+	case info.Leader == "":
+		return "knows of no leader"
+	}
+	return "follows " + info.Leader
+}
+
+// leaseTasksCmd is `orchiddrift lease tasks`.
 type leaseTasksCmd struct{}
 
-// Run is kong's.
-func (*leaseTasksCmd) Run(l *leaseCmd) error {
-	i, _, err := l.leader(infoPatience)
+// Run implements the command.
+func (*leaseTasksCmd) Run(parent *leaseCmd) error {
+	leader, _, err := parent.queryMembers()
 	if err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(w, "TASK\tDUE\tPHASE\tCODE\tTRIES\tTOKEN\tBY")
-	for _, name := range slices.Sorted(maps.Keys(i.Notes)) {
-		task, is := strings.CutPrefix(name, runner.LeasePrefix)
-		if !is {
+	table := newTable()
+	fmt.Fprintln(table, "TASK\tDUE\tPHASE\tCODE\tTRIES\tTOKEN\tBY")
+	for _, leaseName := range slices.Sorted(maps.Keys(leader.Notes)) {
+		name, isTask := strings.CutPrefix(leaseName, runner.LeasePrefix)
+		if !isTask {
 			continue
 		}
-		r, err := tasks.DecodeRecord(i.Notes[name])
+		record, err := task.DecodeRecord(leader.Notes[leaseName])
 		if err != nil {
-			fmt.Fprintf(w, "%s\t%v\n", task, err)
+			fmt.Fprintf(table, "%s\t%v\n", name, err)
 			continue
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\n", task, r.Due.Local().Format(time.RFC3339), r.Phase, r.ExitCode, r.Attempts, r.Token, r.By)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%d\t%d\t%s\n", name, record.Due.Local().Format(time.RFC3339), record.Phase, record.ExitCode, record.Attempts,
+			record.Token, record.By)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
+// leaseRevokeCmd is `orchiddrift lease revoke`.
 type leaseRevokeCmd struct {
 	Name string `arg:"" help:"The lease."`
 }
 
-// Run is kong's.
-func (c *leaseRevokeCmd) Run(l *leaseCmd) error {
-	at, err := l.group()
+// Run implements the command.
+func (c *leaseRevokeCmd) Run(parent *leaseCmd) error {
+	client, err := parent.client()
 	if err != nil {
 		return err
 	}
-	defer at.Close()
-	r, err := raftgroup.Revoke(context.Background(), at, c.Name, infoPatience)
+	defer client.Close()
+	reply, err := raftgroup.Revoke(context.Background(), client, c.Name, infoTimeout)
 	switch {
 	case err != nil:
-		return exit{exitUnreached, err}
-	case r.Status != lease.Done:
+		return exit{exitUnreachable, err}
+	case reply.Status != lease.Done:
 		return exit{exitLost, fmt.Errorf("nobody holds %q", c.Name)}
 	}
-	fmt.Printf("%s is revoked from %s: it goes to the next when that one has stopped, or its term is over\n", c.Name, r.Holder)
+	fmt.Printf("%s is revoked from %s: it goes to the next when that one has stopped, or its term is over\n", c.Name, reply.Holder)
 	return nil
 }
