--- a/internal/lease/declaration.go
+++ b/internal/lease/declaration.go
@@ -9,16 +9,20 @@
 
 // The bounds that Declaration.Check sets.
 const (
-	maxNameBytes = 200                  // length of a lease's and of a client's name, in bytes
-	minTick      = 5 * time.Millisecond // raft heartbeat interval
-	maxTick      = 10 * time.Second
-	maxDrift     = 0.2 // relative error of a clock's rate
-	maxRuns      = 1000
-	mostNames    = 1_000_000
-	mostWaiters  = 100_000
-	soleMember   = 1 // a group for trials: it does not survive its member
-	minGroup     = 3
-	maxGroup     = 5
+	maxNameBytes  = 200                  // length of a lease's and of a client's name, in bytes
+	minTick       = 5 * time.Millisecond // raft heartbeat interval
+	maxTick       = 10 * time.Second
+	maxDrift      = 0.2       // relative error of a clock's rate
+	maxMaxTasks   = 1000      // of MaxTasks
+	maxMaxNames   = 1_000_000 // of MaxNames
+	maxMaxWaiters = 100_000   // of MaxWaiters
+)
+
+// The sizes of a group. It survives the loss of fewer than half of its members.
+const (
+	trialGroup = 1
+	smallGroup = 3
+	largeGroup = 5
 )
 
 // Declaration is the [fleet] section of the operator's file: the group of processes that this one belongs to.
@@ -69,17 +73,17 @@
 	if !(d.Drift >= 0 && d.Drift <= maxDrift) { // false for NaN too
 		report("drift", "%v is not from 0 to %v", d.Drift, maxDrift)
 	}
-	if d.MaxTasks < 0 || d.MaxTasks > maxRuns {
-		report("tasks", "%d is not from 0 to %d", d.MaxTasks, maxRuns)
+	if d.MaxTasks < 0 || d.MaxTasks > maxMaxTasks {
+		report("tasks", "%d is not from 0 to %d", d.MaxTasks, maxMaxTasks)
 	}
-	if d.MaxNames < 1 || d.MaxNames > mostNames || d.MaxWaiters < 1 || d.MaxWaiters > mostWaiters {
+	if d.MaxNames < 1 || d.MaxNames > maxMaxNames || d.MaxWaiters < 1 || d.MaxWaiters > maxMaxWaiters {
 		report("names", "%d names with %d waiters each", d.MaxNames, d.MaxWaiters)
 	}
 }
 
 // checkMembers checks the group and this process's place in it.
 func (d *Declaration) checkMembers(report func(key, format string, args ...any)) {
-	if n := len(d.Members); n != soleMember && n != minGroup && n != maxGroup {
+	if n := len(d.Members); n != trialGroup && n != smallGroup && n != largeGroup {
 		report("members", "%d; a group has 3 or 5 (1: for a look, without survival)", n)
 	}
 	names, addresses := map[string]bool{}, map[string]bool{}
--- a/internal/task/record.go
+++ b/internal/task/record.go
@@ -23,7 +23,7 @@
 type Record struct {
 	Due      time.Time   `json:"due"`
 	Phase    Phase       `json:"phase"`
-	Token    lease.Token `json:"token"` // under which the phase was written
+	Token    lease.Token `json:"token"` // under which the run was started
 	By       string      `json:"by,omitempty"`
 	Attempts int         `json:"tries,omitempty"` // how often the run was started
 	ExitCode int         `json:"code,omitempty"`  // of a command
