--- /dev/null
+++ b/internal/server/downstream/connection.go
@@ -0,0 +1,234 @@
+package downstream
+
+import (
+	"errors"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"orchiddrift/internal/server/framing"
+)
+
+// The phases of a client's connection. A change is made by compare-and-swap, so that one of two that happen at once comes first: a
+// request that is read after its connection was shut is not processed, and a connection on which one was read is not shut.
+const (
+	phaseIdle   int32 = iota // nothing of a request has been read
+	phaseActive              // a request is being read, or is in flight
+	phaseShut                // this side is shut: nothing that arrives is processed
+)
+
+// Bounds of the lingering close. Closing a socket with unread bytes resets the connection, and may destroy a response that is still on
+// its way.
+const (
+	lingerTimeout  = 500 * time.Millisecond
+	lingerMaxBytes = 1 << 20 // that are read and dropped
+)
+
+// past is a deadline that interrupts a read at once.
+var past = time.Unix(1, 0)
+
+// writeCloser is implemented by connections that can be half-closed.
+type writeCloser interface{ CloseWrite() error }
+
+// conn is a connection of a client.
+type conn struct {
+	net.Conn                 // what requests are read from and responses written to
+	socket   net.Conn        // the same, or what is below the encryption
+	raw      syscall.RawConn // of socket; nil: it has none
+
+	framing   framing.Detector // used by the reader; net/http has one reader at a time
+	ambiguous atomic.Bool      // see framing.Detector.Ambiguous
+
+	phase        atomic.Int32
+	pipelined    atomic.Bool // bytes arrived behind the request in flight, which has been read completely
+	clientGone   atomic.Bool // the end of the client's side, or a reset, was read
+	closed       atomic.Bool
+	onClientGone atomic.Pointer[func()] // of the request in flight, which has been read completely; nil: there is none
+
+	mu              sync.Mutex // of the following fields
+	readDeadline    time.Time  // as the server has set it
+	shutDeadline    time.Time  // shut: nothing is read after it
+	readAheadBuffer *readAheadBuffer
+}
+
+func newConn(socket net.Conn) *conn {
+	c := &conn{Conn: socket, socket: socket}
+	if s, ok := socket.(syscall.Conn); ok {
+		if raw, err := s.SyscallConn(); err == nil {
+			c.raw = raw
+		}
+	}
+	return c
+}
+
+func (c *conn) currentPhase() int32 { return c.phase.Load() }
+
+// tryActivate notes that a request arrives or is processed. It returns false if the connection was shut before: the request is not
+// processed, and its client finds an end of the connection without a response, which tells it that the request was not read.
+func (c *conn) tryActivate() bool {
+	return c.phase.CompareAndSwap(phaseIdle, phaseActive) || c.phase.Load() == phaseActive
+}
+
+// requestEnded notes that the request in flight has its response. The connection is not idle if a part of the next request was read.
+func (c *conn) requestEnded() {
+	c.onClientGone.Store(nil)
+	if !c.pipelined.Swap(false) {
+		c.phase.CompareAndSwap(phaseActive, phaseIdle)
+	}
+}
+
+// Read implements net.Conn.
+func (c *conn) Read(p []byte) (int, error) {
+	n, err := c.readNext(p)
+	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+		c.markClientGone()
+	}
+	if n > 0 {
+		if !c.tryActivate() {
+			return 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: net.ErrClosed}
+		}
+		if c.onClientGone.Load() != nil {
+			c.pipelined.Store(true)
+			c.startReadAhead()
+		}
+	}
+	c.framing.Feed(p[:n])
+	if c.framing.Ambiguous() {
+		c.ambiguous.Store(true)
+	}
+	return n, err
+}
+
+// SetReadDeadline implements net.Conn. A connection that was shut is not read beyond its shutDeadline.
+func (c *conn) SetReadDeadline(t time.Time) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.readDeadline = t
+	if c.readAheadBuffer != nil { // reading ahead has no deadline
+		return nil
+	}
+	return c.setDeadlineLocked()
+}
+
+// setDeadlineLocked applies the earlier of the two deadlines. c.mu is held.
+func (c *conn) setDeadlineLocked() error {
+	deadline := c.readDeadline
+	if !c.shutDeadline.IsZero() && (deadline.IsZero() || deadline.After(c.shutDeadline)) {
+		deadline = c.shutDeadline
+	}
+	return c.Conn.SetReadDeadline(deadline)
+}
+
+// markClientGone notes that the client has disconnected, and notifies the request in flight.
+func (c *conn) markClientGone() {
+	c.clientGone.Store(true)
+	if notify := c.onClientGone.Load(); notify != nil {
+		(*notify)()
+	}
+}
+
+// watchClient sets what is called if the client disconnects while its request, which has been read completely, is in flight.
+func (c *conn) watchClient(notify func()) {
+	c.onClientGone.Store(&notify)
+	if c.clientGone.Load() {
+		notify()
+	}
+}
+
+// shutWrite half-closes the connection, and bounds how long it is still read.
+func (c *conn) shutWrite() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.shutDeadline.IsZero() {
+		return
+	}
+	c.shutDeadline = time.Now().Add(lingerTimeout)
+	_ = c.setDeadlineLocked() // this and the following fail if the connection has ended
+	if c.Conn != c.socket {   // sends the TLS close alert
+		_ = c.Conn.SetWriteDeadline(c.shutDeadline)
+		_ = c.CloseWrite()
+	}
+	if s, ok := c.socket.(writeCloser); ok {
+		_ = s.CloseWrite()
+	}
+}
+
+// closeIdle half-closes an idle connection; the server reads on, and closes it once the client does or lingerTimeout is over. If bytes
+// wait to be read it does nothing, since they are a request.
+func (c *conn) closeIdle() {
+	if !c.hasUnreadBytes() && c.phase.CompareAndSwap(phaseIdle, phaseShut) {
+		c.shutWrite()
+	}
+}
+
+// closeUnlessActive closes a connection at once that has no request in flight, or whose client is gone. It returns false if a request
+// has begun.
+func (c *conn) closeUnlessActive() bool {
+	if !c.clientGone.Load() && !c.phase.CompareAndSwap(phaseIdle, phaseShut) && c.phase.Load() != phaseShut {
+		return false
+	}
+	c.closeNow()
+	return true
+}
+
+// closeNow closes the connection without lingering.
+func (c *conn) closeNow() {
+	c.phase.Store(phaseShut)
+	c.closed.Store(true)
+	c.socket.Close()
+}
+
+// Close implements net.Conn with a lingering close. The server calls it once it neither reads nor writes any more. A second call closes at
+// once.
+func (c *conn) Close() error {
+	if c.closed.Swap(true) {
+		return c.socket.Close()
+	}
+	c.phase.Store(phaseShut)
+	if !c.clientGone.Load() {
+		c.shutWrite()
+		_, _ = io.CopyN(io.Discard, c.socket, lingerMaxBytes) // until the client closes, or the deadline
+	}
+	return c.socket.Close()
+}
+
+// CloseWrite half-closes the connection. net/http calls it so that a client can read its last response.
+func (c *conn) CloseWrite() error {
+	if s, ok := c.Conn.(writeCloser); ok {
+		return s.CloseWrite()
+	}
+	return errors.ErrUnsupported
+}
+
+// hasUnreadBytes reports whether bytes wait to be read on the socket.
+func (c *conn) hasUnreadBytes() (unread bool) {
+	if c.raw == nil {
+		return false
+	}
+	_ = c.raw.Control(func(fd uintptr) { // it fails if the socket is closed
+		n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		unread = err == nil && n > 0
+	})
+	return unread
+}
+
+// checkClientGone reports whether the client has disconnected. It asks the system where more unread bytes stand before the end of the
+// connection than are read ahead.
+func (c *conn) checkClientGone() bool {
+	if c.clientGone.Load() || !c.pipelined.Load() || c.raw == nil {
+		return c.clientGone.Load()
+	}
+	_ = c.raw.Control(func(fd uintptr) {
+		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		if n, err := unix.Poll(poll, 0); err == nil && n > 0 && poll[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0 {
+			c.markClientGone()
+		}
+	})
+	return c.clientGone.Load()
+}
--- /dev/null
+++ b/internal/server/downstream/read_ahead.go
@@ -0,0 +1,95 @@
+package downstream
+
+import (
+	"errors"
+	"os"
+	"time"
+)
+
+// Bounds of reading ahead, in bytes. Memory is taken as bytes arrive.
+const (
+	maxReadAhead  = 32 << 10 // of a connection in all
+	readAheadStep = 4 << 10  // of one read
+)
+
+// readAheadBuffer reads what arrives behind the request in flight, for the server's later reads. The server itself reads one byte behind a
+// request, and no more before the response, so that it would not see a client disconnect whose end stands behind pipelined requests.
+type readAheadBuffer struct {
+	done   chan struct{} // closed once nothing is read ahead any more; the other fields are set by then
+	unread []byte
+	err    error // of the connection
+}
+
+// startReadAhead begins to read ahead on a goroutine of its own.
+func (c *conn) startReadAhead() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	buffer := &readAheadBuffer{done: make(chan struct{})}
+	if before := c.readAheadBuffer; before != nil { // the server has not used up what was read before
+		buffer.unread, buffer.err = before.unread, before.err
+	}
+	c.readAheadBuffer = buffer
+	if buffer.err != nil || len(buffer.unread) >= maxReadAhead || c.Conn.SetReadDeadline(time.Time{}) != nil {
+		close(buffer.done)
+		return
+	}
+	go c.readAhead(buffer)
+}
+
+// readAhead reads until the buffer is full, the connection ends, or the server interrupts it to read itself.
+func (c *conn) readAhead(buffer *readAheadBuffer) {
+	defer close(buffer.done)
+	for buffer.err == nil && len(buffer.unread) < maxReadAhead {
+		buffer.grow()
+		used := len(buffer.unread)
+		n, err := c.Conn.Read(buffer.unread[used : used+min(readAheadStep, maxReadAhead-used)])
+		buffer.unread = buffer.unread[:used+n]
+		switch {
+		case errors.Is(err, os.ErrDeadlineExceeded):
+			return
+		case err != nil:
+			buffer.err = err
+			c.markClientGone()
+		}
+	}
+}
+
+// grow makes place for one more read.
+func (b *readAheadBuffer) grow() {
+	if cap(b.unread)-len(b.unread) < readAheadStep {
+		b.unread = append(make([]byte, 0, 2*cap(b.unread)+readAheadStep), b.unread...)
+	}
+}
+
+// readNext is a read of the server: bytes that were read ahead come first.
+func (c *conn) readNext(p []byte) (int, error) {
+	n, err := c.readBuffered(p)
+	if n > 0 || err != nil {
+		return n, err
+	}
+	return c.Conn.Read(p)
+}
+
+// readBuffered stops reading ahead and returns what was read; 0, nil: nothing is buffered.
+func (c *conn) readBuffered(p []byte) (int, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	buffer := c.readAheadBuffer
+	if buffer == nil {
+		return 0, nil
+	}
+	_ = c.Conn.SetReadDeadline(past) // the connection may be closed
+	c.mu.Unlock()
+	<-buffer.done
+	c.mu.Lock()
+	n := copy(p, buffer.unread)
+	buffer.unread = buffer.unread[n:]
+	if n == 0 && buffer.err != nil {
+		return 0, buffer.err
+	}
+	if len(buffer.unread) == 0 && buffer.err == nil {
+		c.readAheadBuffer = nil
+	}
+	_ = c.setDeadlineLocked()
+	return n, nil
+}
