--- a/internal/lease/raftgroup/errors.go
+++ b/internal/lease/raftgroup/errors.go
@@ -2,6 +2,7 @@
 
 import "errors"
 
+// Errors. The texts of those that a member answers with are sent to the caller.
 var (
 	// ErrNoLeader is returned where no leader can answer: this member does not lead, is overloaded, or has ended.
 	ErrNoLeader = errors.New("the group has no leader that could answer")
--- a/internal/lease/raftgroup/member.go
+++ b/internal/lease/raftgroup/member.go
@@ -19,15 +19,15 @@
 	"orchiddrift/internal/lease"
 )
 
-// Bounds of what a member holds in memory.
+// Bounds of what a member holds in memory and sends at once.
 const (
-	maxPendingRequests  = 4096    // requests of clients that wait for the loop, and again that wait for a read index
-	maxReceivedMessages = 4096    // raft messages of other members that wait for the loop
-	maxMessageBytes     = 1 << 20 // of a raft message
-	maxGRPCMessageBytes = 2 * maxMessageBytes
-	maxAppendBytes      = maxMessageBytes / 4
-	maxInflightAppends  = 64       // append messages to one member that it has not acknowledged
-	maxUncommittedBytes = 16 << 20 // of proposals
+	maxPendingRequests  = 4096                // requests of clients that wait for the loop, and again that wait for a read index
+	maxReceivedMessages = 4096                // raft messages of other members that wait for the loop
+	maxMessageBytes     = 1 << 20             // of a raft message
+	maxGRPCMessageBytes = 2 * maxMessageBytes // a raft message in base64, with its header
+	maxAppendBytes      = maxMessageBytes / 4 // entries in one append message
+	maxInflightAppends  = 64                  // append messages to one member that it has not acknowledged
+	maxUncommittedBytes = 16 << 20            // of proposals
 )
 
 // minKeepaliveInterval is how often a client may send keepalive pings.
--- a/internal/lease/raftgroup/work.go
+++ b/internal/lease/raftgroup/work.go
@@ -11,7 +11,7 @@
 	"orchiddrift/internal/lease"
 )
 
-// Requester sends requests to the record of leases: a Client, or in tests a fake.
+// Requester sends requests to the record of leases. Client implements it.
 type Requester interface {
 	// Request returns the record's reply. The reply may be held back for hold while its status would be lease.Waiting; timeout bounds what one member
 	// takes beside that.
