--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -11,55 +11,11 @@
 	"testing/synctest"
 	"time"
 
-	"go.uber.org/goleak"
-
 	"orchiddrift/balancer"
 	"orchiddrift/internal/clock"
 	"orchiddrift/internal/logging"
 )
 
-func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
-
-// transportFunc is a Transport made of a function.
-type transportFunc func(ctx context.Context, a Attempt) AttemptResult
-
-func (c transportFunc) RoundTrip(ctx context.Context, a Attempt) AttemptResult { return c(ctx, a) }
-
-func testSettings() balancer.Settings {
-	class := func(name string, idempotency balancer.Idempotency) balancer.Class {
-		return balancer.Class{Name: name, LatencyObjective: time.Second, Deadline: 4 * time.Second, LateValueFraction: 0.5, Idempotency: idempotency,
-			DedupScope: balancer.ScopeZone, DedupWindow: 6 * time.Second}
-	}
-	return balancer.Settings{Zone: "a", Classes: []balancer.Class{class("search", balancer.Idempotent),
-		class("record", balancer.IdempotentWithKey), class("confirm", balancer.NonIdempotent)}, Tick: 5 * time.Millisecond, MaxAttempts: 5,
-		HedgingAllowed: true, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 1500 * time.Millisecond}
-}
-
-func testEndpoint(name string, state balancer.EndpointState) balancer.Endpoint {
-	return balancer.Endpoint{Name: name, Zone: "a", State: state}
-}
-
-func testEngine(t testing.TB, configure func(*Options), names ...string) *Engine {
-	t.Helper()
-	o := Options{Settings: testSettings(), Seed: 1, Clock: clock.New()}
-	for _, name := range names {
-		o.CachedEndpoints = append(o.CachedEndpoints, testEndpoint(name, balancer.Active))
-	}
-	if configure != nil {
-		configure(&o)
-	}
-	e, err := New(o)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(e.Close)
-	return e
-}
-
-func (e *Engine) newTestCall(id, class string) Call {
-	return Call{ID: id, Class: class, Deadline: e.clock.Now() + 3*time.Second}
-}
-
 // New reports a setting that cannot be used, by its name.
 func TestNewRejectsInvalidSettings(t *testing.T) {
 	s := testSettings()
@@ -289,31 +245,6 @@
 	}
 }
 
-// A streamed answer ends its call at once, outlasts every deadline, and stays in flight until EndStream.
-func TestStreamedAnswer(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		e := testEngine(t, nil, "s", "u")
-		var streamCtx context.Context
-		a := e.Do(t.Context(), e.newTestCall("1", "search"), transportFunc(func(ctx context.Context, _ Attempt) AttemptResult {
-			streamCtx = ctx
-			return AttemptResult{Streaming: true, Value: "first"}
-		}))
-		if a.Kind != Served || a.Value != "first" || e.InFlight() != 1 {
-			t.Fatalf("answered %+v, %d in flight", a, e.InFlight())
-		}
-		time.Sleep(time.Minute) // far beyond any deadline
-		if streamCtx.Err() != nil {
-			t.Errorf("the stream was ended: %v", context.Cause(streamCtx))
-		}
-		for range 2 {
-			a.EndStream(balancer.Reset)
-		}
-		if streamCtx.Err() == nil || e.InFlight() != 0 {
-			t.Errorf("after its end: context %v, %d in flight", streamCtx.Err(), e.InFlight())
-		}
-	})
-}
-
 // Close fails the calls in flight, and a closed engine takes no further ones.
 func TestClose(t *testing.T) {
 	e := testEngine(t, nil, "s")
@@ -393,27 +324,3 @@
 		t.Errorf("answers by kind: %v", []int32{answersByKind[0].Load(), answersByKind[1].Load(), answersByKind[2].Load(), answersByKind[3].Load()})
 	}
 }
-
-// A streamed answer that begins just as its attempt expires is not passed on, since its connection is being closed: the
-// attempt timed out, and the balancer decides again. A non-idempotent call is not attempted again.
-func TestStreamBeginsAsAttemptExpires(t *testing.T) {
-	for name, class := range map[string]string{"idempotent": "search", "non-idempotent": "confirm"} {
-		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) {
-				e := testEngine(t, nil, "s", "u")
-				begun := 0
-				a := e.Do(t.Context(), e.newTestCall("1", class), transportFunc(func(ctx context.Context, _ Attempt) AttemptResult {
-					<-ctx.Done() // the last moment
-					begun++
-					return AttemptResult{Result: balancer.OK, Streaming: true, PassThrough: true, Value: "a part"}
-				}))
-				if a.Kind == Served || a.Value != nil || class == "confirm" && a.Kind != Failed {
-					t.Errorf("after %d attempts: kind %v with %v", begun, a.Kind, a.Value)
-				}
-				if class == "confirm" && begun != 1 {
-					t.Errorf("%d attempts of what may have run", begun)
-				}
-			})
-		})
-	}
-}
