--- a/internal/discovery/staleness/doc.go
+++ b/internal/discovery/staleness/doc.go
@@ -11,17 +11,18 @@
 // A call is either a poll (FetchList: the whole list, then the call is over) or a watch (WatchChanges: a stream of changes, with a
 // heartbeat where there are none). The list is current as long as a watch delivers. The states of a call:
 //
-//	          OpenCall             first byte (watch)
-//	opened ------------> waiting ----------------------> connected --+
-//	                      |   |                           |    ^      | heartbeat or change
-//	                      |   | first byte timeout        |    +------+
-//	                      |   v                           | silence timeout
-//	                      |  timed out <------------------+
-//	                      |   |
-//	                      |   | a byte comes after all: connected again
-//	                      |   | a newer call delivers, or too many are open: CloseCall
-//	                      v   v
-//	                      ended: answer to a poll, error, end of stream, or CloseCall
+//	            first message (watch)
+//	waiting --------------------------> connected --+
+//	  |  |                               |    ^     | heartbeat or change
+//	  |  | first byte timeout            |    +-----+
+//	  |  v                               | silence timeout
+//	  | timed out <----------------------+
+//	  |  |  \
+//	  |  |   +--> connected, if a message arrives after all
+//	  v  v
+//	ended: the answer to a poll, an error, the end of the stream, or CloseCall
+//
+// Only complete messages count: the first byte timeout runs until the first one, and part of a message is no sign of life.
 //
 // A call that timed out stays open beside its successor, since it may still wait for its turn at a server that works through its calls
 // one after another. It is closed once a newer call has delivered.
