--- a/internal/discovery/messages_test.go
+++ b/internal/discovery/messages_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"slices"
@@ -47,12 +46,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := splitMessages(strings.NewReader(c.text))
-			if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", c.want) || !errors.Is(err, c.err) {
+			if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", c.want) || err != c.err {
 				t.Errorf("%q and %v, want %q and %v", got, err, c.want, c.err)
 			}
 			got, err = splitMessages(iotest.OneByteReader(strings.NewReader(c.text)))
 			got, want := withoutHeartbeats(got), withoutHeartbeats(c.want) // a line end that comes late is a heartbeat of its own
-			if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || !errors.Is(err, c.err) {
+			if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || err != c.err {
 				t.Errorf("byte by byte: %q and %v, want %q and %v", got, err, want, c.err)
 			}
 		})
