--- a/cmd/orchiddrift/load.go
+++ b/cmd/orchiddrift/load.go
@@ -42,7 +42,7 @@
 }
 
 func (c *loadCmd) options() (loadgen.Options, error) {
-	o := loadgen.Options{Target: c.Target, Connections: c.Connections, Timeout: c.Timeout, Steady: c.Steady, Seed: c.Seed, Retries: c.Retries, RetryWait: c.RetryWait}
+	o := loadgen.Options{Target: c.Target, Connections: c.Connections, Timeout: c.Timeout, Steady: c.Steady, Seed: c.Seed, Retries: c.Retries, RetryBackoff: c.RetryWait}
 	var err error
 	if o.Phases, err = loadgen.ParsePhases(c.Rate, c.Duration); err != nil {
 		return o, fmt.Errorf("--rate: %w", err)
@@ -102,7 +102,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	var w loadgen.Watch
+	var w loadgen.Observers
 	if !c.Quiet {
 		w.Progress = func(p loadgen.Progress) { fmt.Fprintln(os.Stderr, p) }
 	}
--- a/internal/loadgen/grpc.go
+++ b/internal/loadgen/grpc.go
@@ -46,20 +46,20 @@
 
 func (g *overGRPC) close() { g.conn.Close() }
 
-func (g *overGRPC) send(d Due, timeout time.Duration) outcome {
+func (g *overGRPC) send(d ScheduledRequest, timeout time.Duration) attemptResult {
 	c := &g.classes[d.Class]
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	for i, x := range c.headers {
-		ctx = metadata.AppendToOutgoingContext(ctx, x.Name, string(c.values[i].appendTo(nil, d.N)))
+		ctx = metadata.AppendToOutgoingContext(ctx, x.Name, string(c.values[i].appendTo(nil, d.Number)))
 	}
-	body, answer := raw(c.body.appendTo(nil, d.N)), raw(nil)
-	return statusOutcome(g.conn.Invoke(ctx, c.method, &body, &answer))
+	body, answer := raw(c.body.appendTo(nil, d.Number)), raw(nil)
+	return grpcResult(g.conn.Invoke(ctx, c.method, &body, &answer))
 }
 
-func statusOutcome(err error) outcome {
+func grpcResult(err error) attemptResult {
 	s := status.Convert(err)
-	var o outcome
+	var o attemptResult
 	asks := false
 	for _, x := range s.Details() {
 		if r, ok := x.(*errdetails.RetryInfo); ok {
--- a/internal/loadgen/http1.go
+++ b/internal/loadgen/http1.go
@@ -11,33 +11,33 @@
 	"time"
 )
 
-// Kind is how a try ended.
-type Kind int
+// Outcome is how a try ended.
+type Outcome int
 
 // The kinds.
 const (
-	OK       Kind = iota
-	Refused       // 429, 503; UNAVAILABLE and RESOURCE_EXHAUSTED with RetryInfo
-	Rejected      // another 4xx: the request is wrong
-	Failed        // another 5xx
-	Broken        // the connection, or what came over it
+	OK       Outcome = iota
+	Refused          // 429, 503; UNAVAILABLE and RESOURCE_EXHAUSTED with RetryInfo
+	Rejected         // another 4xx: the request is wrong
+	Failed           // another 5xx
+	Broken           // the connection, or what came over it
 	TimedOut
-	kinds
+	outcomeCount
 )
 
-var kindNames = [kinds]string{"ok", "refused", "rejected", "failed", "broken", "timed out"}
+var outcomeNames = [outcomeCount]string{"ok", "refused", "rejected", "failed", "broken", "timed out"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k Outcome) String() string { return outcomeNames[k] }
 
-// outcome is what a try brought.
-type outcome struct {
-	kind    Kind
+// attemptResult is what a try brought.
+type attemptResult struct {
+	kind    Outcome
 	retryIn time.Duration // as the server asks; 0: it does not
 }
 
 // sender sends one request at a time over a connection of its own. It makes the connection anew after it broke.
 type sender interface {
-	send(d Due, timeout time.Duration) outcome
+	send(d ScheduledRequest, timeout time.Duration) attemptResult
 	close()
 }
 
@@ -59,7 +59,7 @@
 	safe       bool
 }
 
-const mostHead = 64 << 10
+const maxHeaderBytes = 64 << 10
 
 func newHTTP1(address string, classes []Class) *http1 {
 	h := &http1{address: address, r: bufio.NewReaderSize(nil, 16<<10)}
@@ -93,28 +93,28 @@
 	}
 }
 
-func (h *http1) send(d Due, timeout time.Duration) outcome {
+func (h *http1) send(d ScheduledRequest, timeout time.Duration) attemptResult {
 	c := &h.classes[d.Class]
 	until := time.Now().Add(timeout)
 	used := h.conn != nil
-	o, heard, err := h.try(c, d.N, until)
+	o, heard, err := h.try(c, d.Number, until)
 	if err != nil && used && !heard && c.safe && time.Now().Before(until) { // a server may close what stood idle
 		h.close()
-		o, _, err = h.try(c, d.N, until)
+		o, _, err = h.try(c, d.Number, until)
 	}
 	if err != nil {
 		h.close()
 		var late net.Error
 		if errors.As(err, &late) && late.Timeout() {
-			return outcome{kind: TimedOut}
+			return attemptResult{kind: TimedOut}
 		}
-		return outcome{kind: Broken}
+		return attemptResult{kind: Broken}
 	}
 	return o
 }
 
 // try is one request. heard: an answer's first byte came.
-func (h *http1) try(c *httpClass, n uint64, until time.Time) (o outcome, heard bool, err error) {
+func (h *http1) try(c *httpClass, n uint64, until time.Time) (o attemptResult, heard bool, err error) {
 	if h.conn == nil {
 		if h.conn, err = (&net.Dialer{Deadline: until}).Dial("tcp", h.address); err != nil {
 			h.conn = nil
@@ -139,10 +139,10 @@
 	return h.answer(c.bodyless)
 }
 
-var errAnswer = errors.New("what came is no answer")
+var errMalformedResponse = errors.New("what came is no answer")
 
 // answer reads one, interim ones before it passed over.
-func (h *http1) answer(bodyless bool) (o outcome, heard bool, err error) {
+func (h *http1) answer(bodyless bool) (o attemptResult, heard bool, err error) {
 	for {
 		status, length, chunked, closes, retry, err := h.head(&heard)
 		if err != nil {
@@ -150,7 +150,7 @@
 		}
 		if status < 200 {
 			if status == 101 {
-				return o, heard, errAnswer
+				return o, heard, errMalformedResponse
 			}
 			continue
 		}
@@ -170,11 +170,11 @@
 		if closes {
 			h.close()
 		}
-		return outcome{statusKind(status), retry}, heard, nil
+		return attemptResult{httpOutcome(status), retry}, heard, nil
 	}
 }
 
-func statusKind(status int) Kind {
+func httpOutcome(status int) Outcome {
 	switch {
 	case status == 429 || status == 503:
 		return Refused
@@ -195,11 +195,11 @@
 	}
 	*heard = true
 	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' {
-		err = errAnswer
+		err = errMalformedResponse
 		return
 	}
 	if status, err = strconv.Atoi(string(line[9:12])); err != nil || status < 100 {
-		err = errAnswer
+		err = errMalformedResponse
 		return
 	}
 	closes = line[7] == '0'
@@ -210,13 +210,13 @@
 		if len(line) == 0 {
 			return
 		}
-		if size += len(line); size > mostHead {
-			err = errAnswer
+		if size += len(line); size > maxHeaderBytes {
+			err = errMalformedResponse
 			return
 		}
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		if !ok {
-			err = errAnswer
+			err = errMalformedResponse
 			return
 		}
 		value = bytes.TrimSpace(value)
@@ -224,7 +224,7 @@
 		case len(name) == 14 && bytes.EqualFold(name, []byte("Content-Length")):
 			n, convErr := strconv.Atoi(string(value))
 			if convErr != nil || n < 0 || length >= 0 && n != length {
-				err = errAnswer
+				err = errMalformedResponse
 				return
 			}
 			length = n
@@ -244,7 +244,7 @@
 	line, err := h.r.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, bufio.ErrBufferFull) {
-			err = fmt.Errorf("%w: a line over %d bytes", errAnswer, h.r.Size())
+			err = fmt.Errorf("%w: a line over %d bytes", errMalformedResponse, h.r.Size())
 		}
 		return nil, err
 	}
@@ -260,7 +260,7 @@
 		size, _, _ := bytes.Cut(line, []byte(";"))
 		n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 31)
 		if err != nil {
-			return errAnswer
+			return errMalformedResponse
 		}
 		if n == 0 {
 			break
@@ -269,7 +269,7 @@
 			return err
 		}
 		if line, err = h.line(); err != nil || len(line) > 0 {
-			return errors.Join(errAnswer, err)
+			return errors.Join(errMalformedResponse, err)
 		}
 	}
 	for {
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -37,7 +37,7 @@
 	return o
 }
 
-func play(t *testing.T, ctx context.Context, o Options, w Watch) *Result {
+func play(t *testing.T, ctx context.Context, o Options, w Observers) *Result {
 	t.Helper()
 	r, err := Run(ctx, o, w)
 	if err != nil {
@@ -45,11 +45,11 @@
 	}
 	for _, c := range r.Classes {
 		sum := int64(0)
-		for _, n := range c.Ends {
+		for _, n := range c.Outcomes {
 			sum += n
 		}
-		if sum != c.Asked || c.Latency.TotalCount() != c.Ends[OK] || c.Tries > c.Asked*int64(1+o.Retries) {
-			t.Errorf("%s: %d asked, ends %v, %d tries, %d latencies", c.Name, c.Asked, c.Ends, c.Tries, c.Latency.TotalCount())
+		if sum != c.Requests || c.Latency.TotalCount() != c.Outcomes[OK] || c.Attempts > c.Requests*int64(1+o.Retries) {
+			t.Errorf("%s: %d asked, ends %v, %d tries, %d latencies", c.Name, c.Requests, c.Outcomes, c.Attempts, c.Latency.TotalCount())
 		}
 	}
 	return r
@@ -71,10 +71,10 @@
 	})
 	o := options("http://"+at, "200:2s")
 	o.Steady = true
-	r := play(t, t.Context(), o, Watch{})
+	r := play(t, t.Context(), o, Observers{})
 	all := r.Total()
-	if all.Asked != 399 || all.Ends[OK] != all.Asked {
-		t.Fatalf("%d asked, %v", all.Asked, all.Ends)
+	if all.Requests != 399 || all.Outcomes[OK] != all.Requests {
+		t.Fatalf("%d asked, %v", all.Requests, all.Outcomes)
 	}
 	// 200 of 400 came in that second, and waited for what was left of it.
 	slow := int64(0)
@@ -86,8 +86,8 @@
 	if slow < 150 || slow > 220 {
 		t.Errorf("%d requests took more than 200 ms, some 160 had to", slow)
 	}
-	if r.Busy < 100 || len(r.Limits()) == 0 || !strings.Contains(strings.Join(r.Limits(), " "), "connections busy") {
-		t.Errorf("%d found all busy; %v", r.Busy, r.Limits())
+	if r.DelayedByConnections < 100 || len(r.Limits()) == 0 || !strings.Contains(strings.Join(r.Limits(), " "), "connections busy") {
+		t.Errorf("%d found all busy; %v", r.DelayedByConnections, r.Limits())
 	}
 }
 
@@ -115,7 +115,7 @@
 				break
 			}
 			n++
-			if x.At < last || x.At >= length || x.N != uint64(n) {
+			if x.At < last || x.At >= length || x.Number != uint64(n) {
 				t.Fatalf("%+v after %v, of %v", x, last, length)
 			}
 			last = x.At
@@ -137,7 +137,7 @@
 	const head = "HTTP/1.1 200 OK\r\n"
 	for _, c := range []struct {
 		name, answer string
-		want         Kind
+		want         Outcome
 		again        bool // over the same connection
 	}{
 		{"length", head + "Content-Length: 3\r\n\r\nabc", OK, true},
@@ -193,7 +193,7 @@
 		})
 		h := newHTTP1(raw.Addr().String(), options("", "1", "CALL /{n}").Classes)
 		for range 2 {
-			if o := h.send(Due{N: 1}, 5*time.Second); o.kind != c.want || c.name == "refused" && o.retryIn != 7*time.Second {
+			if o := h.send(ScheduledRequest{Number: 1}, 5*time.Second); o.kind != c.want || c.name == "refused" && o.retryIn != 7*time.Second {
 				t.Errorf("%s: %+v", c.name, o)
 			}
 		}
@@ -236,21 +236,21 @@
 		}
 	})
 	o := options("http://"+at, "150", "a=1:POST /refuses/{n}", "b=1:GET /breaks", "c=1:POST /unsafe")
-	o.Retries, o.RetryWait = 2, 20*time.Millisecond
+	o.Retries, o.RetryBackoff = 2, 20*time.Millisecond
 	for i := range o.Classes {
 		o.Classes[i].Headers = []Header{{"X-Key", o.Classes[i].Name + "{n}"}}
 	}
 	o.Classes[0].Body = []byte("body {n}")
 	var log bytes.Buffer
-	r := play(t, t.Context(), o, Watch{Log: &log})
+	r := play(t, t.Context(), o, Observers{Log: &log})
 	a, b, c := r.Classes[0], r.Classes[1], r.Classes[2]
-	if a.Asked < 20 || a.Ends[OK] != a.Asked || a.Tries != 2*a.Asked || tries.Load() != a.Tries || Quantile(a.Latency, 0) < 19*time.Millisecond {
+	if a.Requests < 20 || a.Outcomes[OK] != a.Requests || a.Attempts != 2*a.Requests || tries.Load() != a.Attempts || Quantile(a.Latency, 0) < 19*time.Millisecond {
 		t.Errorf("refused: %+v, %d at the server", a, tries.Load())
 	}
-	if b.Ends[OK] != b.Asked {
+	if b.Outcomes[OK] != b.Requests {
 		t.Errorf("broken and safe: %+v", b)
 	}
-	if c.Ends[Broken] != c.Asked || c.Tries != c.Asked {
+	if c.Outcomes[Broken] != c.Requests || c.Attempts != c.Requests {
 		t.Errorf("broken and unsafe: %+v", c)
 	}
 	logged := map[string]int64{}
@@ -265,16 +265,16 @@
 		}
 		logged[h.Tag()] += h.TotalCount()
 	}
-	if logged["a"] != a.Ends[OK] || logged["b"] != b.Ends[OK] || logged["c"] != 0 {
-		t.Errorf("logged: %v, %v %v", logged, a.Ends, b.Ends)
+	if logged["a"] != a.Outcomes[OK] || logged["b"] != b.Outcomes[OK] || logged["c"] != 0 {
+		t.Errorf("logged: %v, %v %v", logged, a.Outcomes, b.Outcomes)
 	}
 
 	o = options("http://"+at, "200:1m", "GET /never")
-	o.Retries, o.MostWaiting, o.RetryWait = 50, 10, time.Minute
+	o.Retries, o.MaxWaitingRetries, o.RetryBackoff = 50, 10, time.Minute
 	ctx, stop := context.WithCancel(t.Context())
 	most := 0
-	r = play(t, ctx, o, Watch{Progress: func(p Progress) { most = max(most, p.Waiting); stop() }})
-	if !r.Stopped || most != 10 || r.Classes[0].GivenUp < 50 || r.Classes[0].Ends[Refused] != r.Classes[0].Asked {
+	r = play(t, ctx, o, Observers{Progress: func(p Progress) { most = max(most, p.Waiting); stop() }})
+	if !r.Stopped || most != 10 || r.Classes[0].GivenUp < 50 || r.Classes[0].Outcomes[Refused] != r.Classes[0].Requests {
 		t.Errorf("%d waited at most; %+v", most, r.Classes[0])
 	}
 }
@@ -289,13 +289,13 @@
 	}
 	o := options("grpc://"+at, "100", "ok=1:CALL /p.S/M", "bad=1:CALL /p.S/M")
 	o.Classes[1].Headers = []Header{{fakes.StatusKey, "3"}}
-	r := play(t, t.Context(), o, Watch{})
-	if a, b := r.Classes[0], r.Classes[1]; a.Ends[OK] != a.Asked || b.Ends[Rejected] != b.Asked || a.Asked == 0 {
+	r := play(t, t.Context(), o, Observers{})
+	if a, b := r.Classes[0], r.Classes[1]; a.Outcomes[OK] != a.Requests || b.Outcomes[Rejected] != b.Requests || a.Requests == 0 {
 		t.Errorf("%+v\n%+v", a, b)
 	}
 	n.Close()
 	o = options("grpc://"+at, "50", "CALL /p.S/M")
-	if r := play(t, t.Context(), o, Watch{}); r.Classes[0].Ends[Broken] != r.Classes[0].Asked {
+	if r := play(t, t.Context(), o, Observers{}); r.Classes[0].Outcomes[Broken] != r.Classes[0].Requests {
 		t.Errorf("without a server: %+v", r.Classes[0])
 	}
 }
@@ -311,18 +311,18 @@
 		{"the server", Result{Took: time.Second, CPU: time.Second, Cores: 2}, time.Millisecond, ""},
 		{"cores", Result{Took: time.Second, CPU: 1900 * time.Millisecond, Cores: 2}, 0, "this tool used 95%"},
 		{"late", Result{Took: time.Second, Cores: 2}, 5 * time.Millisecond, "more than 5ms late"},
-		{"connections", Result{Took: time.Second, Cores: 2, Busy: 5, Blocked: time.Second / 2}, 0, "all connections busy"},
-		{"handing out", Result{Took: time.Second, Cores: 2, Busy: 5}, 0, "it was the limit"},
+		{"connections", Result{Took: time.Second, Cores: 2, DelayedByConnections: 5, Blocked: time.Second / 2}, 0, "all connections busy"},
+		{"handing out", Result{Took: time.Second, Cores: 2, DelayedByConnections: 5}, 0, "it was the limit"},
 	} {
-		c.r.Own = NewHistogram()
-		Record(c.r.Own, c.own)
-		c.r.Classes = []ClassResult{{Asked: 100, Latency: NewHistogram()}}
+		c.r.SendDelay = NewHistogram()
+		Record(c.r.SendDelay, c.own)
+		c.r.Classes = []ClassResult{{Requests: 100, Latency: NewHistogram()}}
 		if got := strings.Join(c.r.Limits(), ";"); c.want == "" && got != "" || !strings.Contains(got, c.want) {
 			t.Errorf("%s: %q", c.name, got)
 		}
 	}
 	var out strings.Builder
-	r := Result{Classes: []ClassResult{{Name: "a", Latency: NewHistogram()}, {Name: "b", Latency: NewHistogram()}}, Own: NewHistogram()}
+	r := Result{Classes: []ClassResult{{Name: "a", Latency: NewHistogram()}, {Name: "b", Latency: NewHistogram()}}, SendDelay: NewHistogram()}
 	if err := r.Print(&out); err != nil || !strings.Contains(out.String(), "all") {
 		t.Errorf("%v\n%s", err, out.String())
 	}
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -92,16 +92,16 @@
 
 // Options are a run's parameters.
 type Options struct {
-	Target      string // http://address or grpc://address
-	Phases      []Phase
-	Classes     []Class
-	Connections int           // at once, at most: a request that finds none free is late, and counted so
-	Timeout     time.Duration // of a try
-	Steady      bool          // requests come at even distances; else as by chance (Poisson)
-	Seed        uint64
-	Retries     int           // tries after the first, where a server refuses (429, 503, UNAVAILABLE with RetryInfo) or a safe one breaks
-	RetryWait   time.Duration // before a try, where the server names no time; it doubles
-	MostWaiting int           // requests that wait for their next try, at most; what comes beyond is given up
+	Target            string // http://address or grpc://address
+	Phases            []Phase
+	Classes           []Class
+	Connections       int           // at once, at most: a request that finds none free is late, and counted so
+	Timeout           time.Duration // of a try
+	Steady            bool          // requests come at even distances; else as by chance (Poisson)
+	Seed              uint64
+	Retries           int           // tries after the first, where a server refuses (429, 503, UNAVAILABLE with RetryInfo) or a safe one breaks
+	RetryBackoff      time.Duration // before a try, where the server names no time; it doubles
+	MaxWaitingRetries int           // requests that wait for their next try, at most; what comes beyond is given up
 }
 
 // Check finds what can't be run, and fills in what is absent.
@@ -132,20 +132,20 @@
 			return fmt.Errorf("two classes are called %q", c.Name)
 		}
 	}
-	if o.RetryWait <= 0 {
-		o.RetryWait = 100 * time.Millisecond
+	if o.RetryBackoff <= 0 {
+		o.RetryBackoff = 100 * time.Millisecond
 	}
-	if o.MostWaiting <= 0 {
-		o.MostWaiting = 1 << 16
+	if o.MaxWaitingRetries <= 0 {
+		o.MaxWaitingRetries = 1 << 16
 	}
 	return nil
 }
 
-// Due is a request that is to be sent.
-type Due struct {
-	At    time.Duration // since the run's begin
-	Class int
-	N     uint64 // from 1 on
+// ScheduledRequest is a request that is to be sent.
+type ScheduledRequest struct {
+	At     time.Duration // since the run's begin
+	Class  int
+	Number uint64 // from 1 on
 }
 
 // Schedule counts on from one request to the next. The same phases, classes and seed give the same requests.
@@ -172,7 +172,7 @@
 }
 
 // Next is the next request; false: there is none.
-func (s *Schedule) Next() (Due, bool) {
+func (s *Schedule) Next() (ScheduledRequest, bool) {
 	for need := s.need(); s.phase < len(s.phases); {
 		p := s.phases[s.phase]
 		left := s.begun + p.For - s.at
@@ -183,14 +183,14 @@
 		if p.Rate > 0 && gap < left {
 			s.at += gap
 			s.n++
-			return Due{At: s.at, Class: s.class(), N: s.n}, true
+			return ScheduledRequest{At: s.at, Class: s.class(), Number: s.n}, true
 		}
 		need -= left.Seconds() * p.Rate // what is left of it is waited for at the next phase's rate
 		s.begun += p.For
 		s.at = s.begun
 		s.phase++
 	}
-	return Due{}, false
+	return ScheduledRequest{}, false
 }
 
 // need is how far the next one is off, at a rate of 1.
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -17,55 +17,55 @@
 // ClassResult is what came of a class.
 type ClassResult struct {
 	Name     string
-	Asked    int64
-	Ends     [kinds]int64   // of requests, after their last try
-	Tries    int64          // sent, first and further ones
-	GivenUp  int64          // of those whose further try found no room to wait
-	Latency  *hdr.Histogram // from when it was to be sent, of all that ended OK
+	Requests int64
+	Outcomes [outcomeCount]int64 // of requests, after their last try
+	Attempts int64               // sent, first and further ones
+	GivenUp  int64               // of those whose further try found no room to wait
+	Latency  *hdr.Histogram      // from when it was to be sent, of all that ended OK
 	interval *hdr.Histogram
 }
 
 // Result is a run's outcome.
 type Result struct {
-	Target   string
-	Planned  time.Duration
-	Took     time.Duration // until the last answer
-	Classes  []ClassResult
-	Busy     int64          // first tries that found all connections busy, and so were sent more than a millisecond late
-	Blocked  time.Duration  // in which no connection was free for what was due
-	Own      *hdr.Histogram // how late this tool sent by itself, with a connection free
-	CPU      time.Duration  // of this process
-	Cores    int            // that it may use
-	Stopped  bool           // before its end
-	Interval time.Duration  // of the log
+	Target               string
+	Planned              time.Duration
+	Took                 time.Duration // until the last answer
+	Classes              []ClassResult
+	DelayedByConnections int64          // first tries that found all connections busy, and so were sent more than a millisecond late
+	Blocked              time.Duration  // in which no connection was free for what was due
+	SendDelay            *hdr.Histogram // how late this tool sent by itself, with a connection free
+	CPU                  time.Duration  // of this process
+	Cores                int            // that it may use
+	Stopped              bool           // before its end
+	Interval             time.Duration  // of the log
 }
 
 // Progress is what a run tells while it goes on.
 type Progress struct {
 	At       time.Duration
-	Asked    int64 // in this interval, as all here
-	Ends     [kinds]int64
+	Requests int64 // in this interval, as all here
+	Outcomes [outcomeCount]int64
 	InFlight int
 	Waiting  int // for their next try
 	P50, P99 time.Duration
 }
 
-// retry is a request that waits for its next try.
-type retry struct {
-	due   Due // At is the try's
+// attempt is a request that waits for its next try.
+type attempt struct {
+	due   ScheduledRequest // At is the try's
 	first time.Duration
 	tries int
 	wait  time.Duration
-	kind  Kind // of the last try
+	kind  Outcome // of the last try
 }
 
-type retries []retry
+type attemptHeap []attempt
 
-func (r retries) Len() int           { return len(r) }
-func (r retries) Less(i, j int) bool { return r[i].due.At < r[j].due.At }
-func (r retries) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
-func (r *retries) Push(x any)        { *r = append(*r, x.(retry)) }
-func (r *retries) Pop() any {
+func (r attemptHeap) Len() int           { return len(r) }
+func (r attemptHeap) Less(i, j int) bool { return r[i].due.At < r[j].due.At }
+func (r attemptHeap) Swap(i, j int)      { r[i], r[j] = r[j], r[i] }
+func (r *attemptHeap) Push(x any)        { *r = append(*r, x.(attempt)) }
+func (r *attemptHeap) Pop() any {
 	old := *r
 	x := old[len(old)-1]
 	*r = old[:len(old)-1]
@@ -82,15 +82,15 @@
 	classes []ClassResult
 	own     *hdr.Histogram
 	busy    int64
-	waiting retries
+	waiting attemptHeap
 	blocked time.Duration // the dispatcher's, while no connection was free
 	last    Progress
 	recent  *hdr.Histogram
 	wake    chan struct{} // a retry has come that may be the next
 }
 
-// Watch is what a run tells: Progress each second, and a log in HdrHistogram's format, a line a class and interval. Either may be absent.
-type Watch struct {
+// Observers is what a run tells: Progress each second, and a log in HdrHistogram's format, a line a class and interval. Either may be absent.
+type Observers struct {
 	Progress func(Progress)
 	Log      io.Writer
 }
@@ -98,7 +98,7 @@
 const interval = time.Second
 
 // Run plays a load until its end or ctx's, and waits for what is in flight.
-func Run(ctx context.Context, o Options, w Watch) (*Result, error) {
+func Run(ctx context.Context, o Options, w Observers) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
@@ -128,7 +128,7 @@
 	}
 	cpu := cpuTime()
 	r.begun = time.Now()
-	work := make(chan retry)
+	work := make(chan attempt)
 	var workers sync.WaitGroup
 	for _, s := range senders {
 		r.idle.Add(1)
@@ -148,11 +148,11 @@
 	workers.Wait()
 	for _, x := range r.waiting { // it was stopped
 		r.classes[x.due.Class].GivenUp++
-		r.classes[x.due.Class].Ends[x.kind]++
+		r.classes[x.due.Class].Outcomes[x.kind]++
 	}
 	stopTicks()
 	ticking.Wait()
-	result := &Result{Target: o.Target, Took: time.Since(r.begun), Classes: r.classes, Busy: r.busy, Blocked: r.blocked, Own: r.own, CPU: cpuTime() - cpu,
+	result := &Result{Target: o.Target, Took: time.Since(r.begun), Classes: r.classes, DelayedByConnections: r.busy, Blocked: r.blocked, SendDelay: r.own, CPU: cpuTime() - cpu,
 		Cores: cores(), Stopped: stopped, Interval: interval}
 	for _, p := range o.Phases {
 		result.Planned += p.For
@@ -163,17 +163,17 @@
 	return result, nil
 }
 
-// coarse is how late the runtime's timers may be; what is left of a wait is slept by nap.
-const coarse = 1500 * time.Microsecond
+// timerSlack is how late the runtime's timers may be; what is left of a wait is slept by nap.
+const timerSlack = 1500 * time.Microsecond
 
-// nap sleeps in the kernel, which is late by some 60 us, where a timer of the runtime's is by a millisecond.
-func nap(d time.Duration) {
+// sleepPrecisely sleeps in the kernel, which is late by some 60 us, where a timer of the runtime's is by a millisecond.
+func sleepPrecisely(d time.Duration) {
 	t := syscall.NsecToTimespec(d.Nanoseconds())
 	_ = syscall.Nanosleep(&t, nil) // it may end early: the time is looked at again
 }
 
 // dispatch hands out what is due until there is nothing more.
-func (r *run) dispatch(ctx context.Context, work chan<- retry) (stopped bool) {
+func (r *run) dispatch(ctx context.Context, work chan<- attempt) (stopped bool) {
 	s := NewSchedule(r.o)
 	next, more := s.Next()
 	timer := time.NewTimer(time.Hour)
@@ -182,7 +182,7 @@
 	for {
 		r.mu.Lock()
 		again := len(r.waiting) > 0
-		x := retry{due: next, first: next.At}
+		x := attempt{due: next, first: next.At}
 		if again && (!more || r.waiting[0].due.At < next.At) {
 			x = r.waiting[0]
 		} else {
@@ -206,10 +206,10 @@
 			}
 			continue
 		}
-		if wait := x.due.At - time.Since(r.begun); wait > 0 && wait <= coarse {
-			nap(wait)
+		if wait := x.due.At - time.Since(r.begun); wait > 0 && wait <= timerSlack {
+			sleepPrecisely(wait)
 		} else if wait > 0 {
-			timer.Reset(wait - coarse)
+			timer.Reset(wait - timerSlack)
 			select {
 			case <-timer.C:
 			case <-r.wake:
@@ -220,7 +220,7 @@
 		}
 		if again {
 			r.mu.Lock()
-			x = heap.Pop(&r.waiting).(retry) // it may be an earlier one by now
+			x = heap.Pop(&r.waiting).(attempt) // it may be an earlier one by now
 			r.mu.Unlock()
 		} else {
 			next, more = s.Next()
@@ -242,8 +242,8 @@
 		if x.tries == 0 {
 			late := sent - x.due.At
 			r.mu.Lock()
-			r.classes[x.due.Class].Asked++
-			r.last.Asked++
+			r.classes[x.due.Class].Requests++
+			r.last.Requests++
 			if x.due.At >= held {
 				Record(r.own, late)
 			} else if late > time.Millisecond {
@@ -255,7 +255,7 @@
 }
 
 // serve makes one try, and decides on another.
-func (r *run) serve(s sender, x retry) {
+func (r *run) serve(s sender, x attempt) {
 	r.idle.Add(-1)
 	o := s.send(x.due, r.o.Timeout)
 	now := time.Since(r.begun)
@@ -264,19 +264,19 @@
 	again := x.tries <= r.o.Retries && (o.kind == Refused || safe && (o.kind == Broken || o.kind == TimedOut || o.kind == Failed))
 	r.mu.Lock()
 	c := &r.classes[x.due.Class]
-	c.Tries++
-	if again && len(r.waiting) >= r.o.MostWaiting {
+	c.Attempts++
+	if again && len(r.waiting) >= r.o.MaxWaitingRetries {
 		c.GivenUp++
 		again = false
 	}
 	if again {
 		x.kind = o.kind
-		x.wait = max(r.o.RetryWait, 2*x.wait)
+		x.wait = max(r.o.RetryBackoff, 2*x.wait)
 		x.due.At = now + max(x.wait, o.retryIn)
 		heap.Push(&r.waiting, x)
 	} else {
-		c.Ends[o.kind]++
-		r.last.Ends[o.kind]++
+		c.Outcomes[o.kind]++
+		r.last.Outcomes[o.kind]++
 		if o.kind == OK {
 			Record(c.Latency, now-x.first)
 			Record(c.interval, now-x.first)
--- a/internal/measure/load.go
+++ b/internal/measure/load.go
@@ -36,9 +36,9 @@
 	}
 	tool := func(rate float64, calls int) (*loadgen.Result, error) {
 		r, err := loadgen.Run(context.Background(), loadgen.Options{Target: "http://" + address, Connections: connections, Timeout: 5 * time.Second, Seed: 1,
-			Phases: []loadgen.Phase{{Rate: rate, For: time.Duration(float64(calls) / rate * float64(time.Second))}}, Classes: []loadgen.Class{{Name: "get", Share: 1, Method: "GET", Path: "/"}}}, loadgen.Watch{})
-		if err == nil && r.Total().Ends[loadgen.OK] != r.Total().Asked {
-			err = fmt.Errorf("%v of %d", r.Total().Ends, r.Total().Asked)
+			Phases: []loadgen.Phase{{Rate: rate, For: time.Duration(float64(calls) / rate * float64(time.Second))}}, Classes: []loadgen.Class{{Name: "get", Share: 1, Method: "GET", Path: "/"}}}, loadgen.Observers{})
+		if err == nil && r.Total().Outcomes[loadgen.OK] != r.Total().Requests {
+			err = fmt.Errorf("%v of %d", r.Total().Outcomes, r.Total().Requests)
 		}
 		return r, err
 	}
@@ -57,7 +57,7 @@
 		if err != nil {
 			return errors.Join(err, server.stop())
 		}
-		own, rates = append(own, figures(before, used(), make([]time.Duration, r.Total().Tries))), append(rates, float64(r.Total().Asked)/r.Took.Seconds())
+		own, rates = append(own, figures(before, used(), make([]time.Duration, r.Total().Attempts))), append(rates, float64(r.Total().Requests)/r.Took.Seconds())
 	}
 	same := func(x float64) float64 { return x }
 	a, b := median(plain), median(own)
@@ -80,7 +80,7 @@
 		if len(s.Limits) > 0 {
 			word = s.Limits[0]
 		}
-		fmt.Fprintf(w, "%s\t%v\t%d us\t%d us\t%d us\t%s\t\n", strconv.FormatFloat(rate, 'f', 0, 64), (r.CPU / time.Duration(max(all.Tries, 1))).Round(100*time.Nanosecond), s.OwnP99,
+		fmt.Fprintf(w, "%s\t%v\t%d us\t%d us\t%d us\t%s\t\n", strconv.FormatFloat(rate, 'f', 0, 64), (r.CPU / time.Duration(max(all.Attempts, 1))).Round(100*time.Nanosecond), s.SendDelayP99,
 			all.Latency["p50"], all.Latency["p99"], word)
 	}
 	return errors.Join(w.Flush(), server.stop())
