--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -40,7 +40,7 @@
 
 type sizeCmd struct{ options }
 
-func (c sizeCmd) Run() error { return measure.Size(c.options.options()) }
+func (c sizeCmd) Run() error { return measure.LargeResponses(c.options.options()) }
 
 type tlsCmd struct{ options }
 
@@ -60,15 +60,15 @@
 
 type manyCmd struct{ options }
 
-func (c manyCmd) Run() error { return measure.Many(c.options.options()) }
+func (c manyCmd) Run() error { return measure.LargeFleet(c.options.options()) }
 
 type doorCmd struct{ options }
 
-func (c doorCmd) Run() error { return measure.Door(c.options.options()) }
+func (c doorCmd) Run() error { return measure.Admission(c.options.options()) }
 
 type countersCmd struct{ options }
 
-func (c countersCmd) Run() error { return measure.Counters(c.options.options()) }
+func (c countersCmd) Run() error { return measure.TenantFairness(c.options.options()) }
 
 type fleetCmd struct {
 	options
@@ -79,7 +79,7 @@
 
 type probesCmd struct{ options }
 
-func (c probesCmd) Run() error { return measure.Probe(c.options.options()) }
+func (c probesCmd) Run() error { return measure.LoadProbes(c.options.options()) }
 
 type graphqlCmd struct{ options }
 
@@ -87,7 +87,7 @@
 
 type repeatsCmd struct{ options }
 
-func (c repeatsCmd) Run() error { return measure.Repeats(c.options.options()) }
+func (c repeatsCmd) Run() error { return measure.Idempotency(c.options.options()) }
 
 type loadCmd struct{ options }
 
@@ -98,7 +98,7 @@
 func (c grpcCmd) Run() error { return measure.GRPC(c.options.options()) }
 
 func main() {
-	if played, err := measure.Role(); played {
+	if played, err := measure.RunChild(); played {
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "measure:", err)
 			os.Exit(1)
--- a/internal/measure/admission.go
+++ b/internal/measure/admission.go
@@ -16,66 +16,66 @@
 )
 
 const (
-	doorNodes = 24
-	doorWork  = 20 * time.Millisecond // so that the nodes do 1,200 such requests a second
-	counters  = 20
-	doorSpan  = 30 * time.Second
+	admissionNodes       = 24
+	admissionServiceTime = 20 * time.Millisecond // so that the nodes do 1,200 such requests a second
+	tenantCount          = 20
+	admissionRunLength   = 30 * time.Second
 )
 
-var doorClasses = []balancer.Class{{Name: "search", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, LateValueFraction: 0.3}}
+var admissionClasses = []balancer.Class{{Name: "search", LatencyObjective: 400 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, LateValueFraction: 0.3}}
 
-func doorSettings() balancer.Settings {
+func admissionSettings() balancer.Settings {
 	return balancer.Settings{MaxAttempts: 3, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 2 * time.Second,
 		ConnectTimeout: time.Second, Tick: time.Millisecond}
 }
 
-// namedGate is a kind of gate by name.
-type namedGate struct {
+// admissionVariant is a kind of gate by name.
+type admissionVariant struct {
 	name string
 	make func(seed uint64) admissionsim.AdmissionControl
 }
 
-func ourDoor(change func(*admission.Options)) func(uint64) admissionsim.AdmissionControl {
+func newAdmissionQueue(change func(*admission.Options)) func(uint64) admissionsim.AdmissionControl {
 	return func(seed uint64) admissionsim.AdmissionControl {
 		o := admission.Default()
 		o.PrincipalSources = []string{"tenant"}
 		if change != nil {
 			change(&o)
 		}
-		return admission.New(o, doorClasses, seed)
+		return admission.New(o, admissionClasses, seed)
 	}
 }
 
-const doorPlaces = 48 // of the fixed limits beside: twice the nodes
+const fixedLimit = 48 // of the fixed limits beside: twice the nodes
 
-// disciplines are ours and those beside it, all but the first two with one fixed limit, so that the order alone differs.
-var disciplines = []namedGate{
+// queueVariants are ours and those beside it, all but the first two with one fixed limit, so that the order alone differs.
+var queueVariants = []admissionVariant{
 	{"no door", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(1<<30), 1<<30)
 	}},
 	{"FIFO", func(uint64) admissionsim.AdmissionControl {
-		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(doorPlaces), 256)
+		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(fixedLimit), 256)
 	}},
 	{"CoDel with adaptive LIFO", func(uint64) admissionsim.AdmissionControl {
-		return admissionsim.NewQueue(admissionsim.NewCoDel(), admissionsim.Fixed(doorPlaces), 256)
+		return admissionsim.NewQueue(admissionsim.NewCoDel(), admissionsim.Fixed(fixedLimit), 256)
 	}},
 	{"stochastic, 64 queues", func(uint64) admissionsim.AdmissionControl {
-		return admissionsim.NewQueue(admissionsim.NewShuffleSharded(64, 1), admissionsim.Fixed(doorPlaces), 256)
+		return admissionsim.NewQueue(admissionsim.NewShuffleSharded(64, 1), admissionsim.Fixed(fixedLimit), 256)
 	}},
 	{"shuffle-sharded, hands of 6 of 64", func(uint64) admissionsim.AdmissionControl {
-		return admissionsim.NewQueue(admissionsim.NewShuffleSharded(64, 6), admissionsim.Fixed(doorPlaces), 256)
+		return admissionsim.NewQueue(admissionsim.NewShuffleSharded(64, 6), admissionsim.Fixed(fixedLimit), 256)
 	}},
 	{"deficit round robin", func(uint64) admissionsim.AdmissionControl {
-		return admissionsim.NewQueue(admissionsim.NewDRR(), admissionsim.Fixed(doorPlaces), 256)
+		return admissionsim.NewQueue(admissionsim.NewDRR(), admissionsim.Fixed(fixedLimit), 256)
 	}},
-	{"door, the same fixed limit", ourDoor(func(o *admission.Options) { o.MinLimit, o.MaxLimit = doorPlaces, doorPlaces })},
-	{"door", ourDoor(nil)},
+	{"door, the same fixed limit", newAdmissionQueue(func(o *admission.Options) { o.MinLimit, o.MaxLimit = fixedLimit, fixedLimit })},
+	{"door", newAdmissionQueue(nil)},
 }
 
-// limits are ours and those beside it, all with one principal.
-var limits = []namedGate{
+// limitVariants are ours and those beside it, all with one principal.
+var limitVariants = []admissionVariant{
 	{"fixed at 48", func(uint64) admissionsim.AdmissionControl {
-		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(doorPlaces), 256)
+		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(fixedLimit), 256)
 	}},
 	{"AIMD by the aim", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewFIFO(), &admissionsim.AIMD{MaxLatency: 200 * time.Millisecond}, 256)
@@ -89,24 +89,24 @@
 	{"Vegas", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewFIFO(), &admissionsim.Vegas{}, 256)
 	}},
-	{"door", ourDoor(func(o *admission.Options) { o.PrincipalSources = []string{"tenant"} })},
+	{"door", newAdmissionQueue(func(o *admission.Options) { o.PrincipalSources = []string{"tenant"} })},
 }
 
-func quiet(n int, rate float64) (c []admissionsim.Client) {
+func tenants(n int, rate float64) (c []admissionsim.Client) {
 	for i := range n {
-		c = append(c, admissionsim.Client{Group: fmt.Sprintf("counter-%02d", i), Class: "search", MeanServiceTime: doorWork, Rate: rate, MaxAttempts: 3, HonorsRetryAfter: true})
+		c = append(c, admissionsim.Client{Group: fmt.Sprintf("counter-%02d", i), Class: "search", MeanServiceTime: admissionServiceTime, Rate: rate, MaxAttempts: 3, HonorsRetryAfter: true})
 	}
 	return c
 }
 
-func doorRun(clients []admissionsim.Client, slow func(time.Duration) float64, seed uint64) admissionsim.Run {
-	return admissionsim.Run{Nodes: doorNodes, Classes: doorClasses, Settings: doorSettings(), Clients: clients, Slowdown: slow,
-		Length: doorSpan, Seed: seed}
+func admissionRun(clients []admissionsim.Client, slow func(time.Duration) float64, seed uint64) admissionsim.Run {
+	return admissionsim.Run{Nodes: admissionNodes, Classes: admissionClasses, Settings: admissionSettings(), Clients: clients, Slowdown: slow,
+		Length: admissionRunLength, Seed: seed}
 }
 
-// Door prints what disciplines at the door, limits and repeats come to, in virtual time with the real module.
-func Door(o Options) error {
-	for _, part := range []func(io.Writer, int) error{doorFair, doorHints, doorLimits, doorRetries} {
+// Admission prints what disciplines at the door, limits and repeats come to, in virtual time with the real module.
+func Admission(o Options) error {
+	for _, part := range []func(io.Writer, int) error{printFairness, printCostHints, printLimits, printRetryStorm} {
 		if err := part(o.Out, o.Rounds); err != nil {
 			return err
 		}
@@ -143,8 +143,8 @@
 	return x[len(x)/2]
 }
 
-// counted is the mean share in time of the first n clients.
-func counted(r *admissionsim.Result, n int) float64 {
+// fractionInTime is the mean share in time of the first n clients.
+func fractionInTime(r *admissionsim.Result, n int) float64 {
 	in, first := 0, 0
 	for _, c := range r.Clients[:n] {
 		in, first = in+c.WithinObjective, first+c.FirstRequests
@@ -152,53 +152,53 @@
 	return float64(in) / float64(max(1, first))
 }
 
-func answersOf(r *admissionsim.Result, n int) (x []float64) {
+func answersInTime(r *admissionsim.Result, n int) (x []float64) {
 	for _, c := range r.Clients[:n] {
 		x = append(x, float64(c.WithinObjective))
 	}
 	return x
 }
 
-// doorFair is the wish's own case, and equal demand above capacity.
-func doorFair(out io.Writer, rounds int) error {
-	flood := append(quiet(counters, 20), admissionsim.Client{Group: "script", Class: "search", MeanServiceTime: doorWork, ClosedLoops: 400,
-		Rate: 1200.0 / (counters + 1) * 50, MaxAttempts: 3})
-	greedy := quiet(counters, 120)
-	shops := quiet(counters, 20)
+// printFairness is the wish's own case, and equal demand above capacity.
+func printFairness(out io.Writer, rounds int) error {
+	flood := append(tenants(tenantCount, 20), admissionsim.Client{Group: "script", Class: "search", MeanServiceTime: admissionServiceTime, ClosedLoops: 400,
+		Rate: 1200.0 / (tenantCount + 1) * 50, MaxAttempts: 3})
+	greedy := tenants(tenantCount, 120)
+	shops := tenants(tenantCount, 20)
 	for i := range 200 {
-		shops = append(shops, admissionsim.Client{Group: "shop", Flow: fmt.Sprint(i), Class: "search", MeanServiceTime: doorWork, Rate: 30, MaxAttempts: 3})
+		shops = append(shops, admissionsim.Client{Group: "shop", Flow: fmt.Sprint(i), Class: "search", MeanServiceTime: admissionServiceTime, Rate: 30, MaxAttempts: 3})
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "discipline\tcounters in time\tof alone\tp99 ms\tscript's answers a second\tJain, 20 x 2 times capacity\tgoodput there\tkept of promised\twork wasted\t")
 	alone, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
-		return admissionsim.Play(doorRun(quiet(counters, 20), nil, seed), disciplines[0].make(seed))
+		return admissionsim.Play(admissionRun(tenants(tenantCount, 20), nil, seed), queueVariants[0].make(seed))
 	})
 	if err != nil {
 		return err
 	}
-	base := medianOf(alone, func(r *admissionsim.Result) float64 { return counted(r, counters) })
-	for _, g := range disciplines {
+	base := medianOf(alone, func(r *admissionsim.Result) float64 { return fractionInTime(r, tenantCount) })
+	for _, g := range queueVariants {
 		a, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
-			return admissionsim.Play(doorRun(flood, nil, seed), g.make(seed))
+			return admissionsim.Play(admissionRun(flood, nil, seed), g.make(seed))
 		})
 		if err != nil {
 			return err
 		}
 		b, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
-			return admissionsim.Play(doorRun(greedy, nil, seed), g.make(seed))
+			return admissionsim.Play(admissionRun(greedy, nil, seed), g.make(seed))
 		})
 		if err != nil {
 			return err
 		}
-		in := medianOf(a, func(r *admissionsim.Result) float64 { return counted(r, counters) })
+		in := medianOf(a, func(r *admissionsim.Result) float64 { return fractionInTime(r, tenantCount) })
 		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.0f\t%.0f\t%.3f\t%.0f\t%.3f\t%.3f\t\n", g.name, in, admissionsim.RelativeTo(in, base),
 			medianOf(a, func(r *admissionsim.Result) float64 { return float64(r.Clients[0].Quantile(0.99).Milliseconds()) }),
 			medianOf(a, func(r *admissionsim.Result) float64 {
-				return float64(r.Clients[counters].WithinObjective+r.Clients[counters].Late) / doorSpan.Seconds()
+				return float64(r.Clients[tenantCount].WithinObjective+r.Clients[tenantCount].Late) / admissionRunLength.Seconds()
 			}),
-			medianOf(b, func(r *admissionsim.Result) float64 { return admissionsim.Jain(answersOf(r, counters)) }),
+			medianOf(b, func(r *admissionsim.Result) float64 { return admissionsim.Jain(answersInTime(r, tenantCount)) }),
 			medianOf(b, func(r *admissionsim.Result) float64 { return goodput(r) }),
-			medianOf(b, keptOf), medianOf(b, func(r *admissionsim.Result) float64 { return r.Wasted }))
+			medianOf(b, reservationsKept), medianOf(b, func(r *admissionsim.Result) float64 { return r.Wasted }))
 	}
 	return w.Flush()
 }
@@ -208,10 +208,10 @@
 	for _, c := range r.Clients {
 		n += c.WithinObjective
 	}
-	return float64(n) / doorSpan.Seconds()
+	return float64(n) / admissionRunLength.Seconds()
 }
 
-func keptOf(r *admissionsim.Result) float64 {
+func reservationsKept(r *admissionsim.Result) float64 {
 	told, kept := 0, 0
 	for _, c := range r.Clients {
 		told, kept = told+c.ReservedReturns, kept+c.ReservedServed
@@ -219,8 +219,8 @@
 	return float64(kept) / float64(max(1, told))
 }
 
-// doorHints is whether a false hint pays: ten clients that say what it costs, one that says a tenth, one ten times that.
-func doorHints(out io.Writer, rounds int) error {
+// printCostHints is whether a false hint pays: ten clients that say what it costs, one that says a tenth, one ten times that.
+func printCostHints(out io.Writer, rounds int) error {
 	var clients []admissionsim.Client
 	for i := range 12 {
 		hint := 1.0
@@ -230,10 +230,10 @@
 		case 1:
 			hint = 10
 		}
-		clients = append(clients, admissionsim.Client{Group: fmt.Sprint(i), Class: "search", MeanServiceTime: doorWork, Rate: 200, HintFactor: hint, MaxAttempts: 1})
+		clients = append(clients, admissionsim.Client{Group: fmt.Sprint(i), Class: "search", MeanServiceTime: admissionServiceTime, Rate: 200, HintFactor: hint, MaxAttempts: 1})
 	}
 	all, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
-		return admissionsim.Play(doorRun(clients, nil, seed), ourDoor(nil)(seed))
+		return admissionsim.Play(admissionRun(clients, nil, seed), newAdmissionQueue(nil)(seed))
 	})
 	if err != nil {
 		return err
@@ -251,12 +251,12 @@
 	return nil
 }
 
-// doorLimits is the limits over a day: calm, three times too much, nodes slower by eight, and back.
-func doorLimits(out io.Writer, rounds int) error {
+// printLimits is the limits over a day: calm, three times too much, nodes slower by eight, and back.
+func printLimits(out io.Writer, rounds int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "limit\tgoodput at 0.7\tat 3 times\tmean in hand\tp50 ms\tslower by 8, of what can be\tin hand\tback, of 3 times\ts to 0.9 of it\t")
 	load := func(rate float64) []admissionsim.Client {
-		return []admissionsim.Client{{Group: "all", Class: "search", MeanServiceTime: doorWork, Rate: rate, MaxAttempts: 1}}
+		return []admissionsim.Client{{Group: "all", Class: "search", MeanServiceTime: admissionServiceTime, Rate: rate, MaxAttempts: 1}}
 	}
 	slow := func(t time.Duration) float64 {
 		if t >= 10*time.Second && t < 20*time.Second {
@@ -264,21 +264,21 @@
 		}
 		return 1
 	}
-	for _, g := range limits {
+	for _, g := range limitVariants {
 		calm, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
-			return admissionsim.Play(doorRun(load(840), nil, seed), g.make(seed))
+			return admissionsim.Play(admissionRun(load(840), nil, seed), g.make(seed))
 		})
 		if err != nil {
 			return err
 		}
 		over, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
-			return admissionsim.Play(doorRun(load(3600), nil, seed), g.make(seed))
+			return admissionsim.Play(admissionRun(load(3600), nil, seed), g.make(seed))
 		})
 		if err != nil {
 			return err
 		}
 		eight, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
-			return admissionsim.Play(doorRun(load(3600), slow, seed), g.make(seed))
+			return admissionsim.Play(admissionRun(load(3600), slow, seed), g.make(seed))
 		})
 		if err != nil {
 			return err
@@ -313,12 +313,12 @@
 	return w.Flush()
 }
 
-// doorRetries is a storm: three times the load for ten seconds, from clients that try three times, then 0.7 of it again.
-func doorRetries(out io.Writer, rounds int) error {
+// printRetryStorm is a storm: three times the load for ten seconds, from clients that try three times, then 0.7 of it again.
+func printRetryStorm(out io.Writer, rounds int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "gate\tclients\tgoodput before\tin the storm\tafter\ts to 0.95 of before\ttries a request in the storm\tkept of promised\t")
 	for _, obeys := range []bool{false, true} {
-		clients := quiet(counters, 42)
+		clients := tenants(tenantCount, 42)
 		for i := range clients {
 			clients[i].HonorsRetryAfter, clients[i].MarksRetries, clients[i].MaxAttempts = obeys, true, 4
 			more := clients[i]
@@ -329,9 +329,9 @@
 		if obeys {
 			who = "come back when told"
 		}
-		for _, g := range []namedGate{disciplines[0], disciplines[1], disciplines[len(disciplines)-1]} {
+		for _, g := range []admissionVariant{queueVariants[0], queueVariants[1], queueVariants[len(queueVariants)-1]} {
 			all, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
-				return admissionsim.Play(doorRun(clients, nil, seed), g.make(seed))
+				return admissionsim.Play(admissionRun(clients, nil, seed), g.make(seed))
 			})
 			if err != nil {
 				return err
@@ -359,11 +359,11 @@
 				}),
 				medianOf(all, func(r *admissionsim.Result) float64 {
 					asked, first := 0, 0
-					for _, c := range r.Clients[counters:] {
+					for _, c := range r.Clients[tenantCount:] {
 						asked, first = asked+c.Attempts, first+c.FirstRequests
 					}
 					return float64(asked) / float64(max(1, first))
-				}), medianOf(all, keptOf))
+				}), medianOf(all, reservationsKept))
 		}
 	}
 	return w.Flush()
--- a/internal/measure/childprocess.go
+++ b/internal/measure/childprocess.go
@@ -34,11 +34,11 @@
 	"orchiddrift/internal/settings"
 )
 
-// roleVariable makes the program play one of its parts.
-const roleVariable = "ORCHIDDRIFT_MEASURE"
+// childRoleVariable makes the program play one of its parts.
+const childRoleVariable = "ORCHIDDRIFT_MEASURE"
 
-// role is what a child process is told.
-type role struct {
+// childRole is what a child process is told.
+type childRole struct {
 	Part      string        // "nodes", "daemon", "reverseproxy", "client"
 	Nodes     int           `json:",omitempty"`
 	GRPC      bool          `json:",omitempty"`
@@ -63,14 +63,14 @@
 	Bytes   uint64
 }
 
-// Role plays the part that the environment names, and tells whether there was one.
-func Role() (bool, error) {
-	text := os.Getenv(roleVariable)
+// RunChild plays the part that the environment names, and tells whether there was one.
+func RunChild() (bool, error) {
+	text := os.Getenv(childRoleVariable)
 	if text == "" {
 		return false, nil
 	}
 	log.SetOutput(io.Discard)
-	var r role
+	var r childRole
 	if err := json.Unmarshal([]byte(text), &r); err != nil {
 		return true, err
 	}
@@ -83,46 +83,46 @@
 	case "daemon", "reverseproxy":
 		return true, r.serveProxy()
 	case "manynodes":
-		return true, r.serveManyNodes()
+		return true, r.serveCountingNodes()
 	case "manydaemon":
-		return true, r.serveManyDaemon()
+		return true, r.serveSubsetDaemon()
 	case "floornodes":
-		return true, r.serveFloorNodes()
+		return true, r.serveFairnessNodes()
 	case "floordaemon":
-		return true, r.serveFloorDaemon()
+		return true, r.serveFairnessDaemon()
 	case "eurekadaemon":
 		return true, r.serveEurekaDaemon()
 	case "graphqldaemon":
 		return true, r.serveGraphQLDaemon()
 	case "repeatsdaemon":
-		return true, r.serveRepeatsDaemon()
+		return true, r.serveIdempotencyDaemon()
 	case "instant":
 		return true, serveInstant()
 	case "etcd":
 		return true, serveEtcd()
 	case "client":
-		return true, r.call()
+		return true, r.runClient()
 	}
 	return true, fmt.Errorf("no part %q", r.Part)
 }
 
-// attend answers each line on standard input with the usage so far, until input ends.
-func attend(ready any) error {
+// answerUsage answers each line on standard input with the usage so far, until input ends.
+func answerUsage(ready any) error {
 	out := json.NewEncoder(os.Stdout)
 	if err := out.Encode(ready); err != nil {
 		return err
 	}
 	in := bufio.NewScanner(os.Stdin)
 	for in.Scan() {
-		if err := out.Encode(used()); err != nil {
+		if err := out.Encode(currentUsage()); err != nil {
 			return err
 		}
 	}
 	return in.Err()
 }
 
-// attendFile is attend beside a daemon by an operator's file, within its memory limit, on a free port.
-func attendFile(text []byte) error {
+// serveDaemonFile is attend beside a daemon by an operator's file, within its memory limit, on a free port.
+func serveDaemonFile(text []byte) error {
 	p, err := config.ParseFile(text)
 	if err != nil {
 		return err
@@ -132,20 +132,20 @@
 	if err != nil {
 		return err
 	}
-	return attendDaemon(p, l)
+	return serveDaemon(p, l)
 }
 
-// attendDaemon is attend beside a daemon.
-func attendDaemon(p *config.Plan, l net.Listener) error {
+// serveDaemon is attend beside a daemon.
+func serveDaemon(p *config.Plan, l net.Listener) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- daemon.ServePlan(ctx, p, l, config.Sources{}, nil, nil) }()
-	err := attend(l.Addr().String())
+	err := answerUsage(l.Addr().String())
 	cancel()
 	return errors.Join(err, <-ended)
 }
 
-func used() usage {
+func currentUsage() usage {
 	var r syscall.Rusage
 	var m runtime.MemStats
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
@@ -155,7 +155,7 @@
 	return usage{time.Duration(r.Utime.Nano() + r.Stime.Nano()), m.Mallocs, m.TotalAlloc}
 }
 
-func (r role) serveNodes() error {
+func (r childRole) serveNodes() error {
 	var addresses []string
 	ledger := fakes.NewLedger()
 	ledger.CountOnly = true
@@ -182,17 +182,17 @@
 		}
 		addresses = append(addresses, address)
 	}
-	return attend(addresses)
+	return answerUsage(addresses)
 }
 
-// moduleSettings are the same for both fronts.
-func moduleSettings() balancer.Settings {
+// balancerSettings are the same for both fronts.
+func balancerSettings() balancer.Settings {
 	return balancer.Settings{Zone: "a", FleetSize: 1, Tick: 5 * time.Millisecond, MaxAttempts: 5, HedgingAllowed: true,
 		CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: time.Second, ConnectTimeout: time.Second,
 		Classes: []balancer.Class{{Name: "search", Idempotency: balancer.Idempotent, LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, LateValueFraction: 0.5}}}
 }
 
-func (r role) serveProxy() error {
+func (r childRole) serveProxy() error {
 	debug.SetGCPercent(r.GC) // the same for both: what the daemon does with more memory is no merit of its code
 	l, err := net.Listen("tcp", r.Listen)
 	if err != nil {
@@ -212,11 +212,11 @@
 		}
 		c := &config.Config{Listen: r.Listen, Discovery: "127.0.0.1:1", Seed: 1, CachedEndpoints: known,
 			Limits:   config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
-			Settings: settings.Settings{Settings: moduleSettings(), ConnIdleTimeout: 30 * time.Second}}
+			Settings: settings.Settings{Settings: balancerSettings(), ConnIdleTimeout: 30 * time.Second}}
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- daemon.Serve(ctx, c, l, "", nil, nil) }()
-		err = attend(l.Addr().String())
+		err = answerUsage(l.Addr().String())
 		cancel()
 		return errors.Join(err, <-ended)
 	}
@@ -231,7 +231,7 @@
 	srv := &http.Server{Handler: proxy, ReadHeaderTimeout: 10 * time.Second}
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(l) }()
-	err = attend(l.Addr().String())
+	err = answerUsage(l.Addr().String())
 	srv.Close()
 	<-ended
 	return err
@@ -244,7 +244,7 @@
 	out *json.Decoder
 }
 
-func start(r role, ready any) (*child, error) {
+func startChild(r childRole, ready any) (*child, error) {
 	text, err := json.Marshal(r)
 	if err != nil {
 		return nil, err
@@ -254,7 +254,7 @@
 		return nil, err
 	}
 	c := &child{cmd: exec.Command(self)}
-	c.cmd.Env = append(os.Environ(), roleVariable+"="+string(text))
+	c.cmd.Env = append(os.Environ(), childRoleVariable+"="+string(text))
 	c.cmd.Stderr = os.Stderr
 	if c.in, err = c.cmd.StdinPipe(); err != nil {
 		return nil, err
@@ -327,7 +327,7 @@
 	return took, err
 }
 
-func quantile(sorted []time.Duration, p float64) time.Duration {
+func sortedQuantile(sorted []time.Duration, p float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
@@ -344,7 +344,7 @@
 func figures(before, after usage, took []time.Duration) Figures {
 	n := float64(max(1, len(took)))
 	return Figures{time.Duration(float64(after.CPU-before.CPU) / n), float64(after.Mallocs-before.Mallocs) / n,
-		quantile(took, 0.5), quantile(took, 0.99)}
+		sortedQuantile(took, 0.5), sortedQuantile(took, 0.99)}
 }
 
 // median is the median of each figure by itself.
--- a/internal/measure/daemon.go
+++ b/internal/measure/daemon.go
@@ -19,7 +19,7 @@
 // Daemon prints the daemon beside ReverseProxy: 12 instant nodes, each proxy on one core, a closed loop of clients.
 func Daemon(o Options) error {
 	var addresses []string
-	nodes, err := start(role{Part: "nodes", Nodes: 12}, &addresses)
+	nodes, err := startChild(childRole{Part: "nodes", Nodes: 12}, &addresses)
 	if err != nil {
 		return err
 	}
@@ -29,7 +29,7 @@
 		all := map[string][]Figures{}
 		for range o.Rounds {
 			for _, part := range []string{"reverseproxy", "daemon"} {
-				f, err := proxyRound(role{Part: part, Addresses: addresses}, connections, o.Calls)
+				f, err := proxyRound(childRole{Part: part, Addresses: addresses}, connections, o.Calls)
 				if err != nil {
 					return errors.Join(err, nodes.stop())
 				}
@@ -38,21 +38,21 @@
 		}
 		base := median(all["reverseproxy"])
 		for _, part := range []string{"reverseproxy", "daemon"} {
-			row(w, fmt.Sprint(connections), part, median(all[part]), base)
+			printRow(w, fmt.Sprint(connections), part, median(all[part]), base)
 		}
 	}
 	return errors.Join(w.Flush(), nodes.stop())
 }
 
-func row(w io.Writer, group, peer string, f, base Figures) {
+func printRow(w io.Writer, group, peer string, f, base Figures) {
 	fmt.Fprintf(w, "%s\t%s\t%v\t%.0f\t%v\t%v\t%.2f\t%.2f\t\n", group, peer, f.CPU.Round(100*time.Nanosecond), f.Mallocs,
 		f.P50.Round(time.Microsecond), f.P99.Round(time.Microsecond), float64(f.CPU)/float64(base.CPU), float64(f.P99)/float64(base.P99))
 }
 
-func proxyRound(r role, connections, calls int) (Figures, error) {
+func proxyRound(r childRole, connections, calls int) (Figures, error) {
 	var address string
 	r.Listen, r.GC = "127.0.0.1:0", 100
-	proxy, err := start(r, &address)
+	proxy, err := startChild(r, &address)
 	if err != nil {
 		return Figures{}, err
 	}
--- a/internal/measure/daemon_bench_test.go
+++ b/internal/measure/daemon_bench_test.go
@@ -25,7 +25,7 @@
 func BenchmarkProxy(b *testing.B) {
 	log.SetOutput(io.Discard)
 	var addresses []string
-	nodes, err := start(role{Part: "nodes", Nodes: 12}, &addresses)
+	nodes, err := startChild(childRole{Part: "nodes", Nodes: 12}, &addresses)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 		go func() {
 			ended <- daemon.Serve(ctx, &config.Config{Discovery: "127.0.0.1:1", CachedEndpoints: known,
 				Limits:   config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
-				Settings: settings.Settings{Settings: moduleSettings(), ConnIdleTimeout: 30 * time.Second}}, l, "", nil, nil)
+				Settings: settings.Settings{Settings: balancerSettings(), ConnIdleTimeout: 30 * time.Second}}, l, "", nil, nil)
 		}()
 		run(b, l.Addr().String())
 		cancel()
--- a/internal/measure/eureka.go
+++ b/internal/measure/eureka.go
@@ -28,18 +28,18 @@
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "poll\tflips\tseen\tp50\tp90\tp99\tmost\tover 250ms after told\tserved\trefused\trequests a second\tbytes a second\t")
 	for _, poll := range []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond, time.Second} {
-		if err := flips(w, poll, max(1, o.Rounds)*400); err != nil {
+		if err := printFlips(w, poll, max(1, o.Rounds)*400); err != nil {
 			return err
 		}
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	return eurekaMemory(o.Out)
+	return printEurekaMemory(o.Out)
 }
 
-// flipNodes are upstreams that tell when they are asked, registered by their names.
-func flipNodes(e *fakes.Eureka, n int, came func(name string)) (names []string, stop func(), err error) {
+// startFlipNodes are upstreams that tell when they are asked, registered by their names.
+func startFlipNodes(e *fakes.Eureka, n int, came func(name string)) (names []string, stop func(), err error) {
 	var servers []*http.Server
 	stop = func() {
 		for _, s := range servers {
@@ -66,20 +66,20 @@
 	return names, stop, nil
 }
 
-func flips(w io.Writer, poll time.Duration, times int) error {
+func printFlips(w io.Writer, poll time.Duration, times int) error {
 	e, err := fakes.NewEureka(fakes.EurekaOptions{})
 	if err != nil {
 		return err
 	}
 	defer e.Close()
 	var f *fakes.Flipper
-	names, stopNodes, err := flipNodes(e, 12, func(name string) { f.Came(name) })
+	names, stopNodes, err := startFlipNodes(e, 12, func(name string) { f.Came(name) })
 	if err != nil {
 		return err
 	}
 	defer stopNodes()
 	f = fakes.NewFlipper(e, "SEATS", endpoints.DrainGrace, names...)
-	address, stop, err := eurekaDaemon(e, poll, "192MiB")
+	address, stop, err := startEurekaDaemon(e, poll, "192MiB")
 	if err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 	return errors.Join(err, stop())
 }
 
-func eurekaFile(e string, poll time.Duration, memory string, delta bool) []byte {
+func eurekaConfig(e string, poll time.Duration, memory string, delta bool) []byte {
 	return fmt.Appendf(nil, `
 [daemon]
 seed = "1"
@@ -154,9 +154,9 @@
 `, memory, e, poll, delta)
 }
 
-// eurekaDaemon starts one in this process whose upstreams are a registry's.
-func eurekaDaemon(e *fakes.Eureka, poll time.Duration, memory string) (address string, stop func() error, err error) {
-	p, err := config.ParseFile(eurekaFile(e.Base, poll, memory, false))
+// startEurekaDaemon starts one in this process whose upstreams are a registry's.
+func startEurekaDaemon(e *fakes.Eureka, poll time.Duration, memory string) (address string, stop func() error, err error) {
+	p, err := config.ParseFile(eurekaConfig(e.Base, poll, memory, false))
 	if err != nil {
 		return "", nil, err
 	}
@@ -183,13 +183,13 @@
 }
 
 // serveEurekaDaemon is a daemon of its own process, whose registry Addresses name.
-func (r role) serveEurekaDaemon() error {
-	return attendFile(eurekaFile(r.Addresses[0], 200*time.Millisecond, "48MiB", r.Policy == "delta"))
+func (r childRole) serveEurekaDaemon() error {
+	return serveDaemonFile(eurekaConfig(r.Addresses[0], 200*time.Millisecond, "48MiB", r.Policy == "delta"))
 }
 
-// eurekaMemory prints the memory and CPU of a daemon process that follows 5,000 instances, whose document changes with
+// printEurekaMemory prints the memory and CPU of a daemon process that follows 5,000 instances, whose document changes with
 // every poll.
-func eurekaMemory(out io.Writer) error {
+func printEurekaMemory(out io.Writer) error {
 	e, err := fakes.NewEureka(fakes.EurekaOptions{KeepDelta: time.Second})
 	if err != nil {
 		return err
@@ -213,7 +213,7 @@
 		{"one changed each time, told as changes", "delta", "GET /apps/delta", 1}} {
 		name, path, changes := c.name, c.path, c.changes
 		var address string
-		c, err := start(role{Part: "eurekadaemon", Addresses: []string{e.Base}, Policy: c.policy}, &address)
+		c, err := startChild(childRole{Part: "eurekadaemon", Addresses: []string{e.Base}, Policy: c.policy}, &address)
 		if err != nil {
 			return err
 		}
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	fleetNodes = 5000
-	fleetRate  = 10_000.0
-	fleetWork  = 100 * time.Millisecond // so that nodes are busy for a fifth of the time
+	fleetNodes       = 5000
+	fleetRate        = 10_000.0
+	fleetServiceTime = 100 * time.Millisecond // so that nodes are busy for a fifth of the time
 )
 
 func fleetRun(sidecars int) fleetsim.Run {
 	o := subset.Default()
 	o.Enabled, o.MaxSize, o.RemoteZoneFraction, o.ShrinkDelay = true, 4096, 0, units.Duration(5*time.Second)
-	return fleetsim.Run{Sidecars: sidecars, Nodes: fleetNodes, Rate: fleetRate, Work: fleetWork, Length: 60 * time.Second, Seed: 1,
+	return fleetsim.Run{Sidecars: sidecars, Nodes: fleetNodes, Rate: fleetRate, Work: fleetServiceTime, Length: 60 * time.Second, Seed: 1,
 		Subset: o, Known: true, Connect: 2 * time.Millisecond, Descriptors: 1 << 20,
 		Settings: balancer.Settings{MaxAttempts: 3, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: time.Second, ConnectTimeout: time.Second,
 			Tick: 5 * time.Millisecond, SlowStartMinCapacity: 0.2, SlowStartWindow: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
@@ -102,11 +102,11 @@
 	for i := range sizes {
 		open[i] = results[i].OpenNode
 	}
-	return os.WriteFile(plot, []byte(curve("connections a node, by sidecars (5,000 nodes, 10,000 requests a second)", sizes, open)), 0o644)
+	return os.WriteFile(plot, []byte(svgChart("connections a node, by sidecars (5,000 nodes, 10,000 requests a second)", sizes, open)), 0o644)
 }
 
-// curve is a small SVG of values over sizes, from 0.
-func curve(title string, x []int, y []float64) string {
+// svgChart is a small SVG of values over sizes, from 0.
+func svgChart(title string, x []int, y []float64) string {
 	const width, height, left, low = 640.0, 320.0, 60.0, 40.0
 	most, last := 0.0, float64(x[len(x)-1])
 	for _, v := range y {
--- a/internal/measure/graphql.go
+++ b/internal/measure/graphql.go
@@ -27,8 +27,8 @@
 	graphqlAnswer = `{"data":{"seats":[{"id":"1","price":12.5,"coach":{"id":"c1","name":"A","number":1},"departs":"08:00","arrives":"12:40","train":{"id":"t","operator":{"name":"o"}}}]}}`
 )
 
-// graphqlAsk makes a request to the n-th row's kind of traffic.
-func graphqlAsk(client *http.Client, address, kind string) func(worker, n int) error {
+// graphqlRequest makes a request to the n-th row's kind of traffic.
+func graphqlRequest(client *http.Client, address, kind string) func(worker, n int) error {
 	nodes := strings.Split(address, " ")
 	return func(worker, n int) error {
 		to := nodes[0]
@@ -82,7 +82,7 @@
 		return err
 	}
 	var addresses []string
-	nodes, err := start(role{Part: "nodes", Nodes: 12, Answer: graphqlAnswer}, &addresses)
+	nodes, err := startChild(childRole{Part: "nodes", Nodes: 12, Answer: graphqlAnswer}, &addresses)
 	if err != nil {
 		return err
 	}
@@ -90,14 +90,14 @@
 		{"warm", "the same, with a schema", dir}, {"cold", "GraphQL, each document new", ""}, {"cold", "the same, with a schema", dir}}
 	round := func(addresses []string, kind, dir string, connections int) (f Figures, err error) {
 		var address string
-		proxy, err := start(role{Part: "graphqldaemon", Addresses: addresses, Dir: dir}, &address)
+		proxy, err := startChild(childRole{Part: "graphqldaemon", Addresses: addresses, Dir: dir}, &address)
 		if err != nil {
 			return f, err
 		}
 		client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: connections}}
 		defer client.CloseIdleConnections()
 		var before usage
-		took, err := closedLoop(connections, o.Calls/5, o.Calls, graphqlAsk(client, address, kind), func() (err error) {
+		took, err := closedLoop(connections, o.Calls/5, o.Calls, graphqlRequest(client, address, kind), func() (err error) {
 			before, err = proxy.used()
 			return err
 		})
@@ -126,7 +126,7 @@
 		return err
 	}
 
-	if nodes, err = start(role{Part: "nodes", Nodes: 10, Work: 5 * time.Millisecond, Slow: 8, Answer: graphqlAnswer}, &addresses); err != nil {
+	if nodes, err = startChild(childRole{Part: "nodes", Nodes: 10, Work: 5 * time.Millisecond, Slow: 8, Answer: graphqlAnswer}, &addresses); err != nil {
 		return err
 	}
 	fmt.Fprintln(o.Out)
@@ -137,7 +137,7 @@
 	slowCalls.Calls = max(100, o.Calls/4)
 	for range o.Rounds {
 		client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
-		took, err := closedLoop(16, slowCalls.Calls/5, slowCalls.Calls, graphqlAsk(client, strings.Join(addresses, " "), "warm"), func() error { return nil })
+		took, err := closedLoop(16, slowCalls.Calls/5, slowCalls.Calls, graphqlRequest(client, strings.Join(addresses, " "), "warm"), func() error { return nil })
 		client.CloseIdleConnections()
 		if err != nil {
 			return errors.Join(err, nodes.stop())
@@ -160,11 +160,11 @@
 		return err
 	}
 	fmt.Fprintln(o.Out)
-	return graphqlDocuments(o.Out)
+	return printGraphQLDocuments(o.Out)
 }
 
 // serveGraphQLDaemon is a daemon with a route and an endpoint, which has a schema where Dir is given.
-func (r role) serveGraphQLDaemon() error {
+func (r childRole) serveGraphQLDaemon() error {
 	text := "[log]\nlevel = \"error\"\n[limits]\nmemory = \"64MiB\"\ndescriptors = 512\n[[service]]\nname = \"s\"\naddresses = ["
 	for _, a := range r.Addresses {
 		text += strconv.Quote(a) + ","
@@ -173,5 +173,5 @@
 	if r.Dir != "" {
 		text += fmt.Sprintf("schema = %q\n", filepath.Join(r.Dir, "s.graphql"))
 	}
-	return attendFile([]byte(text))
+	return serveDaemonFile([]byte(text))
 }
--- a/internal/measure/graphql_documents.go
+++ b/internal/measure/graphql_documents.go
@@ -10,9 +10,9 @@
 	"orchiddrift/internal/graphql"
 )
 
-// graphqlDocuments prints what the way of a request from its body to what goes on costs, or to its refusal: small and usual
+// printGraphQLDocuments prints what the way of a request from its body to what goes on costs, or to its refusal: small and usual
 // documents, known and new, and those that are made to cost much.
-func graphqlDocuments(out io.Writer) error {
+func printGraphQLDocuments(out io.Writer) error {
 	asked := func(query string) string { return fmt.Sprintf(`{"query":%q}`, query) }
 	doubled := "{...F0}"
 	for i := range 60 {
@@ -55,7 +55,7 @@
 			return err
 		}
 		end := ""
-		ns, bytes, allocations := perRun(func() {
+		ns, bytes, allocations := measureRepeated(func() {
 			a, bad := graphql.Body([]byte(c.body), e.Limits())
 			if end = "taken"; bad == nil {
 				_, bad = e.Decide(&a.Params[0], false, nil)
--- a/internal/measure/grpc.go
+++ b/internal/measure/grpc.go
@@ -49,7 +49,7 @@
 		{"5 ms, one in ten 8x slower", 5 * time.Millisecond, 8, 64, o.Calls},
 	} {
 		var addresses []string
-		nodes, err := start(role{Part: "nodes", Nodes: 10, GRPC: true, Work: c.work, Slow: c.slow}, &addresses)
+		nodes, err := startChild(childRole{Part: "nodes", Nodes: 10, GRPC: true, Work: c.work, Slow: c.slow}, &addresses)
 		if err != nil {
 			return err
 		}
@@ -57,7 +57,7 @@
 		for range o.Rounds {
 			for _, p := range policies {
 				var f Figures
-				client, err := start(role{Part: "client", Addresses: addresses, Policy: p.name, Workers: c.workers, Calls: c.calls, Warm: c.calls / 3}, &f)
+				client, err := startChild(childRole{Part: "client", Addresses: addresses, Policy: p.name, Workers: c.workers, Calls: c.calls, Warm: c.calls / 3}, &f)
 				if err != nil {
 					return errors.Join(err, nodes.stop())
 				}
@@ -68,7 +68,7 @@
 			}
 		}
 		for _, p := range policies {
-			row(w, c.name, p.name, median(all[p.name]), median(all[roundrobin.Name]))
+			printRow(w, c.name, p.name, median(all[p.name]), median(all[roundrobin.Name]))
 		}
 		if err := nodes.stop(); err != nil {
 			return err
@@ -77,8 +77,8 @@
 	return w.Flush()
 }
 
-// call is the client's part: it makes its calls and prints its figures.
-func (r role) call() error {
+// runClient is the client's part: it makes its calls and prints its figures.
+func (r childRole) runClient() error {
 	conn, end, err := r.dial()
 	if err != nil {
 		return err
@@ -91,19 +91,19 @@
 		defer cancel()
 		return conn.Invoke(ctx, "/booking.Seats/Search", req, &wrapperspb.StringValue{})
 	}, func() error {
-		before = used()
+		before = currentUsage()
 		return nil
 	})
 	if err != nil {
 		return fmt.Errorf("%s: %w", r.Policy, err)
 	}
-	return json.NewEncoder(os.Stdout).Encode(figures(before, used(), took))
+	return json.NewEncoder(os.Stdout).Encode(figures(before, currentUsage(), took))
 }
 
-func (r role) dial() (*grpc.ClientConn, func(), error) {
+func (r childRole) dial() (*grpc.ClientConn, func(), error) {
 	creds := grpc.WithTransportCredentials(insecure.NewCredentials())
 	if r.Policy == plugin {
-		o := grpcbalancer.Options{Settings: moduleSettings(), Seed: 1, Methods: map[string]string{"/booking.Seats/*": "search"}}
+		o := grpcbalancer.Options{Settings: balancerSettings(), Seed: 1, Methods: map[string]string{"/booking.Seats/*": "search"}}
 		for i, address := range r.Addresses {
 			o.Endpoints = append(o.Endpoints, grpcbalancer.Endpoint{Name: fmt.Sprint("n", i), Address: address, Zone: "a"})
 		}
--- a/internal/measure/grpc_bench_test.go
+++ b/internal/measure/grpc_bench_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestMain(m *testing.M) {
-	if played, err := Role(); played {
+	if played, err := RunChild(); played {
 		if err != nil {
 			os.Exit(1)
 		}
@@ -24,14 +24,14 @@
 //	go test -run '^$' -bench Client -benchmem -cpu 1 ./internal/measure
 func BenchmarkClient(b *testing.B) {
 	var addresses []string
-	nodes, err := start(role{Part: "nodes", Nodes: 10, GRPC: true}, &addresses)
+	nodes, err := startChild(childRole{Part: "nodes", Nodes: 10, GRPC: true}, &addresses)
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer nodes.stop()
 	for _, p := range policies {
 		b.Run(p.name, func(b *testing.B) {
-			conn, end, err := role{Policy: p.name, Addresses: addresses}.dial()
+			conn, end, err := childRole{Policy: p.name, Addresses: addresses}.dial()
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -39,7 +39,7 @@
 			req := wrapperspb.String("seat 4")
 			b.SetParallelism(16)
 			b.ReportAllocs()
-			begun := used()
+			begun := currentUsage()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
@@ -49,7 +49,7 @@
 					cancel()
 				}
 			})
-			b.ReportMetric(float64(used().CPU-begun.CPU)/float64(b.N), "cpu-ns/op")
+			b.ReportMetric(float64(currentUsage().CPU-begun.CPU)/float64(b.N), "cpu-ns/op")
 		})
 	}
 }
--- a/internal/measure/idempotency.go
+++ b/internal/measure/idempotency.go
@@ -24,10 +24,10 @@
 	"orchiddrift/internal/units"
 )
 
-// Repeats prints what a keyed request costs the daemon without a store of keys, with one in memory, on the disk and shared, then what such a file holds: bytes a key, and how soon it is read back.
-func Repeats(o Options) error {
+// Idempotency prints what a keyed request costs the daemon without a store of keys, with one in memory, on the disk and shared, then what such a file holds: bytes a key, and how soon it is read back.
+func Idempotency(o Options) error {
 	var addresses []string
-	nodes, err := start(role{Part: "nodes", Nodes: 12}, &addresses)
+	nodes, err := startChild(childRole{Part: "nodes", Nodes: 12}, &addresses)
 	if err != nil {
 		return err
 	}
@@ -37,7 +37,7 @@
 	}
 	defer os.RemoveAll(dir)
 	var etcd string // the stand-in: it syncs nothing
-	shared, err := start(role{Part: "etcd"}, &etcd)
+	shared, err := startChild(childRole{Part: "etcd"}, &etcd)
 	if err != nil {
 		return errors.Join(err, nodes.stop())
 	}
@@ -53,7 +53,7 @@
 				if k.policy == "shared" {
 					at = etcd
 				}
-				f, rate, err := repeatsRound(addresses, k.policy, at, connections, o.Calls)
+				f, rate, err := idempotencyRound(addresses, k.policy, at, connections, o.Calls)
 				if err != nil {
 					return errors.Join(err, nodes.stop(), shared.stop())
 				}
@@ -71,12 +71,12 @@
 	if err := errors.Join(w.Flush(), nodes.stop(), shared.stop()); err != nil {
 		return err
 	}
-	return repeatsFull(o.Out, filepath.Join(dir, "full.db"))
+	return printFullStore(o.Out, filepath.Join(dir, "full.db"))
 }
 
-func repeatsRound(addresses []string, policy, file string, connections, calls int) (f Figures, rate float64, err error) {
+func idempotencyRound(addresses []string, policy, file string, connections, calls int) (f Figures, rate float64, err error) {
 	var address string
-	proxy, err := start(role{Part: "repeatsdaemon", Addresses: addresses, Policy: policy, Dir: file}, &address)
+	proxy, err := startChild(childRole{Part: "repeatsdaemon", Addresses: addresses, Policy: policy, Dir: file}, &address)
 	if err != nil {
 		return f, 0, err
 	}
@@ -119,8 +119,8 @@
 	return figures(before, after, took), rate, errors.Join(err, usedErr, proxy.stop())
 }
 
-// serveRepeatsDaemon is a daemon before a keyed class, with the store that Policy names.
-func (r role) serveRepeatsDaemon() error {
+// serveIdempotencyDaemon is a daemon before a keyed class, with the store that Policy names.
+func (r childRole) serveIdempotencyDaemon() error {
 	text := "[log]\nlevel = \"error\"\n[limits]\nmemory = \"192MiB\"\ndescriptors = 1024\n[[service]]\nname = \"s\"\naddresses = ["
 	for _, a := range r.Addresses {
 		text += strconv.Quote(a) + ","
@@ -134,7 +134,7 @@
 	case "shared":
 		text += fmt.Sprintf("[[repeats]]\nservice = \"s\"\ntenant_part = 1.0\nbytes = \"64MiB\"\n[repeats.shared]\nservers = [%q]\nprefix = %q\n", r.Dir, strconv.Itoa(os.Getpid())+"/")
 	}
-	return attendFile([]byte(text))
+	return serveDaemonFile([]byte(text))
 }
 
 // serveEtcd is the stand-in of a shared store.
@@ -145,11 +145,11 @@
 		return err
 	}
 	defer e.Close()
-	return attend(at)
+	return answerUsage(at)
 }
 
-// repeatsFull fills a file with a million keys, and reads it back.
-func repeatsFull(out io.Writer, path string) error {
+// printFullStore fills a file with a million keys, and reads it back.
+func printFullStore(out io.Writer, path string) error {
 	const n = 1_000_000
 	log, err := boltstore.Open(context.Background(), path, boltfile.LockWait{Timeout: time.Second})
 	if err != nil {
--- a/internal/measure/largefleet.go
+++ b/internal/measure/largefleet.go
@@ -15,16 +15,16 @@
 	"time"
 )
 
-// manySeen is what 5,000 nodes saw.
-type manySeen struct {
+// connectionCounts is what 5,000 nodes saw.
+type connectionCounts struct {
 	Open, MostOpen int // connections now, and the most that one node has
 	Asked          int // nodes that got a request
 	Requests       int
 	MostRequests   int // of one node
 }
 
-// Many prints what a few daemons of a fleet of 200 hold open towards 5,000 listeners, by the size of their subsets.
-func Many(o Options) error {
+// LargeFleet prints what a few daemons of a fleet of 200 hold open towards 5,000 listeners, by the size of their subsets.
+func LargeFleet(o Options) error {
 	dir, err := os.MkdirTemp("", "orchiddrift-measure-")
 	if err != nil {
 		return err
@@ -32,7 +32,7 @@
 	defer os.RemoveAll(dir)
 	const nodes, running, fleet = 5000, 4, 200
 	var addresses []string
-	n, err := start(role{Part: "manynodes", Nodes: nodes}, &addresses)
+	n, err := startChild(childRole{Part: "manynodes", Nodes: nodes}, &addresses)
 	if err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "subset\tdaemons of\tserved\trefused\tnodes asked\tconnections\ta node, most\trequests a node, most/mean\tmost resident\tanonymous\tCPU a request\t")
 	for _, least := range []int{0, 25, 100} {
-		if err := manyRound(w, addresses[0], list, least, running, fleet, o.Calls); err != nil {
+		if err := largeFleetRound(w, addresses[0], list, least, running, fleet, o.Calls); err != nil {
 			return err
 		}
 	}
@@ -69,8 +69,8 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// manyRound has the daemons asked in turn by two clients each; least 0: no subset.
-func manyRound(w io.Writer, control, list string, least, running, fleet, calls int) error {
+// largeFleetRound has the daemons asked in turn by two clients each; least 0: no subset.
+func largeFleetRound(w io.Writer, control, list string, least, running, fleet, calls int) error {
 	var children []*child
 	stopAll := func() (err error) {
 		for _, c := range children {
@@ -84,7 +84,7 @@
 	var mu sync.Mutex
 	var cpu time.Duration
 	var peaks, anons []string
-	seen := func() (s manySeen, err error) {
+	seen := func() (s connectionCounts, err error) {
 		resp, err := http.Get("http://" + control + "/")
 		if err != nil {
 			return s, err
@@ -97,7 +97,7 @@
 	}
 	for i := range running {
 		var address string
-		c, err := start(role{Part: "manydaemon", Dir: list, Nodes: least, Workers: fleet, Calls: i * fleet / running}, &address)
+		c, err := startChild(childRole{Part: "manydaemon", Dir: list, Nodes: least, Workers: fleet, Calls: i * fleet / running}, &address)
 		if err != nil {
 			return err
 		}
@@ -148,8 +148,8 @@
 	return stopAll()
 }
 
-// serveManyNodes are so many listeners in one process. The first address tells what they saw since it was last asked.
-func (r role) serveManyNodes() error {
+// serveCountingNodes are so many listeners in one process. The first address tells what they saw since it was last asked.
+func (r childRole) serveCountingNodes() error {
 	var mu sync.Mutex
 	open, asked := map[string]int{}, map[string]int{}
 	srv := &http.Server{ReadHeaderTimeout: 10 * time.Second, ErrorLog: log.New(io.Discard, "", 0),
@@ -178,7 +178,7 @@
 	tell := &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		var s manySeen
+		var s connectionCounts
 		for _, n := range open {
 			s.Open, s.MostOpen = s.Open+n, max(s.MostOpen, n)
 		}
@@ -200,15 +200,15 @@
 		go func() { _ = srv.Serve(l) }() // ends with Close
 		addresses = append(addresses, l.Addr().String())
 	}
-	return attend(addresses)
+	return answerUsage(addresses)
 }
 
-// serveManyDaemon is one of a fleet of Workers sidecars, the one of index Calls, with a subset of Nodes; 0: without.
-func (r role) serveManyDaemon() error {
+// serveSubsetDaemon is one of a fleet of Workers sidecars, the one of index Calls, with a subset of Nodes; 0: without.
+func (r childRole) serveSubsetDaemon() error {
 	text := fmt.Appendf(nil, "[daemon]\nseed = \"%x\"\n[log]\nlevel = \"error\"\n[limits]\nmemory = \"32MiB\"\ndescriptors = 1024\n"+
 		"[[service]]\nname = \"many\"\nlist_file = %q\n", r.Calls+1, r.Dir)
 	if r.Nodes > 0 {
 		text = fmt.Appendf(text, "[service.subset]\non = true\nsidecars = %d\nindex = %d\nleast = %d\nmost = 128\naway = 0.0\n", r.Workers, r.Calls, r.Nodes)
 	}
-	return attendFile(text)
+	return serveDaemonFile(text)
 }
--- a/internal/measure/largeresponses.go
+++ b/internal/measure/largeresponses.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	largeAnswer  = 8 << 20 // bytes
-	largeClients = 4       // that ask for one after another
-	smallClients = 16
+	largeResponseBytes = 8 << 20 // bytes
+	largeClients       = 4       // that ask for one after another
+	smallClients       = 16
 )
 
-// Size prints what small requests take beside large answers through the same proxy: the daemon and ReverseProxy, each on one core.
-func Size(o Options) error {
+// LargeResponses prints what small requests take beside large answers through the same proxy: the daemon and ReverseProxy, each on one core.
+func LargeResponses(o Options) error {
 	var addresses []string
 	part := make([]byte, 64<<10)
 	for range 4 {
@@ -33,8 +33,8 @@
 				_, _ = io.WriteString(w, "ok") // a client that has left
 				return
 			}
-			w.Header().Set("Content-Length", fmt.Sprint(largeAnswer))
-			for range largeAnswer / len(part) {
+			w.Header().Set("Content-Length", fmt.Sprint(largeResponseBytes))
+			for range largeResponseBytes / len(part) {
 				if _, err := w.Write(part); err != nil {
 					return
 				}
@@ -50,11 +50,11 @@
 		var alone, beside []Figures
 		var rate []float64
 		for range o.Rounds {
-			f, _, err := sizeRound(role{Part: peer, Addresses: addresses}, 0, o.Calls)
+			f, _, err := largeResponsesRound(childRole{Part: peer, Addresses: addresses}, 0, o.Calls)
 			if err != nil {
 				return err
 			}
-			g, r, err := sizeRound(role{Part: peer, Addresses: addresses}, largeClients, o.Calls)
+			g, r, err := largeResponsesRound(childRole{Part: peer, Addresses: addresses}, largeClients, o.Calls)
 			if err != nil {
 				return err
 			}
@@ -68,11 +68,11 @@
 	return w.Flush()
 }
 
-// sizeRound asks for small answers in a closed loop, beside clients that ask for large ones; rate is how many of those came a second.
-func sizeRound(r role, large, calls int) (f Figures, rate float64, err error) {
+// largeResponsesRound asks for small answers in a closed loop, beside clients that ask for large ones; rate is how many of those came a second.
+func largeResponsesRound(r childRole, large, calls int) (f Figures, rate float64, err error) {
 	var address string
 	r.Listen, r.GC = "127.0.0.1:0", 100
-	proxy, err := start(r, &address)
+	proxy, err := startChild(r, &address)
 	if err != nil {
 		return Figures{}, 0, err
 	}
@@ -90,7 +90,7 @@
 		}
 		defer resp.Body.Close()
 		n, err := io.Copy(io.Discard, resp.Body)
-		if err == nil && (resp.StatusCode != http.StatusOK || path == "large" && n != largeAnswer) {
+		if err == nil && (resp.StatusCode != http.StatusOK || path == "large" && n != largeResponseBytes) {
 			err = fmt.Errorf("%s answered %s with %d bytes", r.Part, resp.Status, n)
 		}
 		return err
--- a/internal/measure/loadgen.go
+++ b/internal/measure/loadgen.go
@@ -18,7 +18,7 @@
 // then how the tool's own lateness and CPU are at rates below its ceiling.
 func Load(o Options) error {
 	var address string
-	server, err := start(role{Part: "instant"}, &address)
+	server, err := startChild(childRole{Part: "instant"}, &address)
 	if err != nil {
 		return err
 	}
@@ -47,17 +47,17 @@
 	for range o.Rounds {
 		var before usage
 		var begun time.Time
-		took, err := closedLoop(connections, o.Calls/5, o.Calls, ask, func() error { before, begun = used(), time.Now(); return nil })
+		took, err := closedLoop(connections, o.Calls/5, o.Calls, ask, func() error { before, begun = currentUsage(), time.Now(); return nil })
 		if err != nil {
 			return errors.Join(err, server.stop())
 		}
-		plain, plainRates = append(plain, figures(before, used(), took)), append(plainRates, float64(len(took))/time.Since(begun).Seconds())
-		before = used()
+		plain, plainRates = append(plain, figures(before, currentUsage(), took)), append(plainRates, float64(len(took))/time.Since(begun).Seconds())
+		before = currentUsage()
 		r, err := tool(1e6, o.Calls)
 		if err != nil {
 			return errors.Join(err, server.stop())
 		}
-		own, rates = append(own, figures(before, used(), make([]time.Duration, r.Total().Attempts))), append(rates, float64(r.Total().Requests)/r.Took.Seconds())
+		own, rates = append(own, figures(before, currentUsage(), make([]time.Duration, r.Total().Attempts))), append(rates, float64(r.Total().Requests)/r.Took.Seconds())
 	}
 	same := func(x float64) float64 { return x }
 	a, b := median(plain), median(own)
@@ -95,7 +95,7 @@
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })}
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(l) }()
-	err = attend(l.Addr().String())
+	err = answerUsage(l.Addr().String())
 	err = errors.Join(err, srv.Close())
 	<-ended // closed
 	return err
--- a/internal/measure/loadprobes.go
+++ b/internal/measure/loadprobes.go
@@ -12,9 +12,9 @@
 	"orchiddrift/internal/upstream/loadprobe"
 )
 
-// Probe prints whether asking nodes before each request would help sidecars that send little: 200 sidecars before 1,000 nodes, a
+// LoadProbes prints whether asking nodes before each request would help sidecars that send little: 200 sidecars before 1,000 nodes, a
 // tenth of which are five times slower, by how busy the nodes are.
-func Probe(o Options) error {
+func LoadProbes(o Options) error {
 	const sidecars, nodes = 200, 1000
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "nodes busy\ta sidecar sends a second\tchoice\tserved\tp50 ms\tp99 ms\tprobes a node and second\tprobes a request\t")
@@ -34,7 +34,7 @@
 
 			&row{busy: busy, name: "module with 2, no latency told", ask: 2, blind: true}, &row{busy: busy, name: "module with 4, no latency told", ask: 4, blind: true})
 	}
-	rate := func(r *row) float64 { return r.busy * nodes / fleetWork.Seconds() }
+	rate := func(r *row) float64 { return r.busy * nodes / fleetServiceTime.Seconds() }
 	var g errgroup.Group
 	g.SetLimit(runtime.NumCPU())
 	for _, r := range rows {
@@ -65,11 +65,11 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	return probeScale(o)
+	return printProbeScale(o)
 }
 
-// probeScale prints probes a node as sidecars grow from 10 to 200 at constant traffic.
-func probeScale(o Options) error {
+// printProbeScale prints probes a node as sidecars grow from 10 to 200 at constant traffic.
+func printProbeScale(o Options) error {
 	sizes := []int{10, 25, 50, 100, 200, 400}
 	seen := make([]*fleetsim.Result, len(sizes))
 	const nodes, rate = 1000, 1000.0
--- a/internal/measure/repeated.go
+++ b/internal/measure/repeated.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// perRunFor is how long perRun goes on for.
-const perRunFor = time.Second
+// repeatDuration is how long measureRepeated goes on for.
+const repeatDuration = time.Second
 
-// perRun runs do again and again, and returns what a run takes, and allocates. Nothing else may run beside it.
-func perRun(do func()) (ns, bytes, allocations uint64) {
+// measureRepeated runs do again and again, and returns what a run takes, and allocates. Nothing else may run beside it.
+func measureRepeated(do func()) (ns, bytes, allocations uint64) {
 	do() // what is made once
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	n, begun := uint64(0), time.Now()
-	for ; n == 0 || time.Since(begun) < perRunFor; n++ {
+	for ; n == 0 || time.Since(begun) < repeatDuration; n++ {
 		do()
 	}
 	took := time.Since(begun)
--- a/internal/measure/subset.go
+++ b/internal/measure/subset.go
@@ -16,8 +16,8 @@
 	"orchiddrift/internal/units"
 )
 
-// way picks one sidecar's upstreams out of all.
-type way struct {
+// subsetAlgorithm picks one sidecar's upstreams out of all.
+type subsetAlgorithm struct {
 	name string
 	pick func(nodes []string, sidecar, sidecars, size int) map[string]bool
 }
@@ -45,8 +45,8 @@
 	return set
 }
 
-// own is package subset as the daemon has it.
-func own(known bool) func(nodes []string, sidecar, sidecars, size int) map[string]bool {
+// daemonSubset is package subset as the daemon has it.
+func daemonSubset(known bool) func(nodes []string, sidecar, sidecars, size int) map[string]bool {
 	return func(nodes []string, sidecar, sidecars, size int) map[string]bool {
 		o := subset.Default()
 		o.MinSize, o.MaxSize, o.ShrinkDelay = size, 1<<14, units.Duration(0)
@@ -67,7 +67,7 @@
 	}
 }
 
-var ways = []way{
+var subsetAlgorithms = []subsetAlgorithm{
 	{"random", func(nodes []string, sidecar, _, size int) map[string]bool {
 		rng := rand.New(rand.NewPCG(uint64(sidecar), 1))
 		names := map[string]bool{}
@@ -98,8 +98,8 @@
 	{"rendezvous", func(nodes []string, sidecar, _, size int) map[string]bool {
 		return setOf(ordered(nodes, uint64(sidecar)+1)[:size])
 	}},
-	{"subset, index not known", own(false)},
-	{"subset", own(true)},
+	{"subset, index not known", daemonSubset(false)},
+	{"subset", daemonSubset(true)},
 }
 
 // Subset prints the ways to choose upstreams, over the number of sidecars at constant total traffic: the load a node, the
@@ -116,7 +116,7 @@
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "sidecars\tsize\tway\tmax/mean load\tunknown nodes\tsidecars a node, most\tits own, most\tmoved by one node, most\tmoved by one sidecar, mean\t")
 	for _, c := range []struct{ sidecars, size int }{{10, 500}, {53, 300}, {190, 70}, {200, 100}} {
-		for _, way := range ways {
+		for _, way := range subsetAlgorithms {
 			load, count := map[string]float64{}, map[string]int{}
 			mostOwn, moved, movedBySidecar := 0, 0, 0
 			for s := range c.sidecars {
@@ -126,8 +126,8 @@
 					load[n] += 1 / float64(len(mine))
 					count[n]++
 				}
-				moved = max(moved, missing(way.pick(replaced, s, c.sidecars, c.size), mine))
-				movedBySidecar += missing(way.pick(nodes, s, c.sidecars+1, c.size), mine)
+				moved = max(moved, countMissing(way.pick(replaced, s, c.sidecars, c.size), mine))
+				movedBySidecar += countMissing(way.pick(nodes, s, c.sidecars+1, c.size), mine)
 			}
 			most, shared := 0.0, 0
 			for n, v := range load {
@@ -140,8 +140,8 @@
 	return w.Flush()
 }
 
-// missing is how many of names are not in the others.
-func missing(names, others map[string]bool) (n int) {
+// countMissing is how many of names are not in the others.
+func countMissing(names, others map[string]bool) (n int) {
 	for name := range names {
 		if !others[name] {
 			n++
--- a/internal/measure/tls.go
+++ b/internal/measure/tls.go
@@ -29,11 +29,11 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	if err := writeKeys(dir); err != nil {
+	if err := writeCredentials(dir); err != nil {
 		return err
 	}
 	var addresses []string
-	nodes, err := start(role{Part: "tlsnodes", Nodes: 12, Dir: dir}, &addresses)
+	nodes, err := startChild(childRole{Part: "tlsnodes", Nodes: 12, Dir: dir}, &addresses)
 	if err != nil {
 		return err
 	}
@@ -56,9 +56,9 @@
 				all[part], rates[part] = append(all[part], f), append(rates[part], rate)
 			}
 		}
-		base, baseRate := median(all["reverseproxy"]), middle(rates["reverseproxy"])
+		base, baseRate := median(all["reverseproxy"]), medianValue(rates["reverseproxy"])
 		for _, part := range []string{"reverseproxy", "daemon"} {
-			f, rate := median(all[part]), middle(rates[part])
+			f, rate := median(all[part]), medianValue(rates[part])
 			fmt.Fprintf(w, "%s\t%s\t%v\t%.0f\t%v\t%v\t%.2f\t%.2f\t%.0f\t%.2f\t\n", c.name, part, f.CPU.Round(100*time.Nanosecond),
 				f.Mallocs, f.P50.Round(time.Microsecond), f.P99.Round(time.Microsecond), float64(f.CPU)/float64(base.CPU),
 				float64(f.P99)/float64(base.P99), rate, rate/baseRate)
@@ -70,7 +70,7 @@
 // Routes prints what a request costs the daemon where there are few routes, and many.
 func Routes(o Options) error {
 	var addresses []string
-	nodes, err := start(role{Part: "nodes", Nodes: 12}, &addresses)
+	nodes, err := startChild(childRole{Part: "nodes", Nodes: 12}, &addresses)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 	counts, all := []int{1, 100, 10_000}, map[int][]Figures{}
 	for range o.Rounds {
 		for _, n := range counts {
-			f, err := proxyRound(role{Part: "daemon", Routes: n, Addresses: addresses}, 16, o.Calls)
+			f, err := proxyRound(childRole{Part: "daemon", Routes: n, Addresses: addresses}, 16, o.Calls)
 			if err != nil {
 				return errors.Join(err, nodes.stop())
 			}
@@ -87,13 +87,13 @@
 		}
 	}
 	for _, n := range counts {
-		row(w, fmt.Sprint(n), "daemon", median(all[n]), median(all[1]))
+		printRow(w, fmt.Sprint(n), "daemon", median(all[n]), median(all[1]))
 	}
 	return errors.Join(w.Flush(), nodes.stop())
 }
 
-// writeKeys puts an authority's certificates into a folder.
-func writeKeys(dir string) error {
+// writeCredentials puts an authority's certificates into a folder.
+func writeCredentials(dir string) error {
 	ca, err := fakes.NewCA("measure")
 	if err != nil {
 		return err
@@ -114,12 +114,12 @@
 	return nil
 }
 
-func (r role) pair(name string) (*tls.Config, error) {
+func (r childRole) certificate(name string) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(filepath.Join(r.Dir, name+".crt"), filepath.Join(r.Dir, name+".key"))
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13, NextProtos: []string{"http/1.1"}}, err
 }
 
-func trusting(dir string) (*tls.Config, error) {
+func trustingConfig(dir string) (*tls.Config, error) {
 	text, err := os.ReadFile(filepath.Join(dir, "ca.crt"))
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(text)
@@ -127,8 +127,8 @@
 }
 
 // serveTLSNodes are instant nodes.
-func (r role) serveTLSNodes() error {
-	config, err := r.pair("node")
+func (r childRole) serveTLSNodes() error {
+	config, err := r.certificate("node")
 	if err != nil {
 		return err
 	}
@@ -145,11 +145,11 @@
 		defer srv.Close()
 		addresses = append(addresses, l.Addr().String())
 	}
-	return attend(addresses)
+	return answerUsage(addresses)
 }
 
 // serveFileDaemon is the daemon by an operator's file, with encryption where there are keys.
-func (r role) serveFileDaemon(l net.Listener) error {
+func (r childRole) serveFileDaemon(l net.Listener) error {
 	quoted := make([]string, len(r.Addresses))
 	for i, a := range r.Addresses {
 		quoted[i] = fmt.Sprintf("%q", a)
@@ -179,16 +179,16 @@
 	if err != nil {
 		return err
 	}
-	return attendDaemon(p, l)
+	return serveDaemon(p, l)
 }
 
 // serveTLSProxy is ReverseProxy.
-func (r role) serveTLSProxy(l net.Listener) error {
-	front, err := r.pair("front")
+func (r childRole) serveTLSProxy(l net.Listener) error {
+	front, err := r.certificate("front")
 	if err != nil {
 		return err
 	}
-	upstreams, err := trusting(r.Dir)
+	upstreams, err := trustingConfig(r.Dir)
 	if err != nil {
 		return err
 	}
@@ -202,7 +202,7 @@
 		Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true, TLSClientConfig: upstreams}}}
 	ended := make(chan error, 1)
 	go func() { ended <- srv.Serve(tls.NewListener(l, front)) }()
-	err = attend(l.Addr().String())
+	err = answerUsage(l.Addr().String())
 	srv.Close()
 	<-ended
 	return err
@@ -210,11 +210,11 @@
 
 func tlsRound(part, dir string, addresses []string, connections, calls int, fresh bool) (f Figures, rate float64, err error) {
 	var address string
-	proxy, err := start(role{Part: part, Addresses: addresses, Listen: "127.0.0.1:0", GC: 100, Dir: dir}, &address)
+	proxy, err := startChild(childRole{Part: part, Addresses: addresses, Listen: "127.0.0.1:0", GC: 100, Dir: dir}, &address)
 	if err != nil {
 		return f, 0, err
 	}
-	config, err := trusting(dir)
+	config, err := trustingConfig(dir)
 	if err != nil {
 		return f, 0, errors.Join(err, proxy.stop())
 	}
@@ -247,7 +247,7 @@
 	return figures(before, after, took), rate, errors.Join(err, usedErr, proxy.stop())
 }
 
-func middle(values []float64) float64 {
+func medianValue(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
 }
