--- a/internal/loadgen/grpc.go
+++ b/internal/loadgen/grpc.go
@@ -63,21 +63,21 @@
 	asks := false
 	for _, x := range s.Details() {
 		if r, ok := x.(*errdetails.RetryInfo); ok {
-			o.retryIn, asks = r.GetRetryDelay().AsDuration(), true
+			o.retryAfter, asks = r.GetRetryDelay().AsDuration(), true
 		}
 	}
 	switch code := s.Code(); {
 	case code == codes.OK:
 	case asks && (code == codes.Unavailable || code == codes.ResourceExhausted):
-		o.kind = Refused
+		o.outcome = Refused
 	case code == codes.DeadlineExceeded:
-		o.kind = TimedOut
+		o.outcome = TimedOut
 	case code == codes.Unavailable:
-		o.kind = Broken
+		o.outcome = Broken
 	case code == codes.Internal || code == codes.Unknown || code == codes.DataLoss || code == codes.Aborted || code == codes.Unimplemented:
-		o.kind = Failed
+		o.outcome = Failed
 	default:
-		o.kind = Rejected
+		o.outcome = Rejected
 	}
 	return o
 }
--- a/internal/loadgen/http1.go
+++ b/internal/loadgen/http1.go
@@ -7,14 +7,15 @@
 	"fmt"
 	"io"
 	"net"
+	"net/http"
 	"strconv"
 	"time"
 )
 
-// Outcome is how a try ended.
+// Outcome is how an attempt ended.
 type Outcome int
 
-// The kinds.
+// The outcomes of an attempt.
 const (
 	OK       Outcome = iota
 	Refused          // 429, 503; UNAVAILABLE and RESOURCE_EXHAUSTED with RetryInfo
@@ -29,20 +30,20 @@
 
 func (k Outcome) String() string { return outcomeNames[k] }
 
-// attemptResult is what a try brought.
+// attemptResult is the result of one attempt.
 type attemptResult struct {
-	kind    Outcome
-	retryIn time.Duration // as the server asks; 0: it does not
+	outcome    Outcome
+	retryAfter time.Duration // the wait that the server asked for; 0: none
 }
 
-// sender sends one request at a time over a connection of its own. It makes the connection anew after it broke.
+// sender sends one request at a time over a connection of its own, and reconnects after a fault.
 type sender interface {
 	send(d ScheduledRequest, timeout time.Duration) attemptResult
 	close()
 }
 
-// http1 is a sender of HTTP/1.1. Its requests are written out before the run but for their numbers; of an answer it reads what tells
-// where it ends, and passes over the rest.
+// http1 is a sender of HTTP/1.1. Its requests are formatted before the run, but for their numbers. Of a response it parses only what is
+// needed to find its end and the time of a retry, which keeps the CPU time of a request low.
 type http1 struct {
 	address string
 	classes []httpClass
@@ -56,7 +57,7 @@
 	head, body template
 	fixed      bool // the body's length is the same for all
 	bodyless   bool // HEAD
-	safe       bool
+	idempotent bool
 }
 
 const maxHeaderBytes = 64 << 10
@@ -73,9 +74,9 @@
 		if !host {
 			head += "Host: " + address + "\r\n"
 		}
-		k := httpClass{body: newTemplate(string(c.Body)), bodyless: c.Method == "HEAD", safe: c.Method == "GET" || c.Method == "HEAD"}
+		k := httpClass{body: newTemplate(string(c.Body)), bodyless: c.Method == "HEAD", idempotent: c.idempotent()}
 		if k.fixed = len(k.body) == 1; k.fixed {
-			if len(c.Body) > 0 || !k.safe {
+			if len(c.Body) > 0 || !k.idempotent {
 				head += "Content-Length: " + strconv.Itoa(len(c.Body)) + "\r\n"
 			}
 			head += "\r\n" + string(c.Body)
@@ -95,35 +96,35 @@
 
 func (h *http1) send(d ScheduledRequest, timeout time.Duration) attemptResult {
 	c := &h.classes[d.Class]
-	until := time.Now().Add(timeout)
+	deadline := time.Now().Add(timeout)
 	used := h.conn != nil
-	o, heard, err := h.try(c, d.Number, until)
-	if err != nil && used && !heard && c.safe && time.Now().Before(until) { // a server may close what stood idle
+	result, started, err := h.attempt(c, d.Number, deadline)
+	if err != nil && used && !started && c.idempotent && time.Now().Before(deadline) { // the server may have closed the idle connection
 		h.close()
-		o, _, err = h.try(c, d.Number, until)
+		result, _, err = h.attempt(c, d.Number, deadline)
 	}
 	if err != nil {
 		h.close()
 		var late net.Error
 		if errors.As(err, &late) && late.Timeout() {
-			return attemptResult{kind: TimedOut}
+			return attemptResult{outcome: TimedOut}
 		}
-		return attemptResult{kind: Broken}
+		return attemptResult{outcome: Broken}
 	}
-	return o
+	return result
 }
 
-// try is one request. heard: an answer's first byte came.
-func (h *http1) try(c *httpClass, n uint64, until time.Time) (o attemptResult, heard bool, err error) {
+// attempt sends a request once and reads the response. started: its first line came.
+func (h *http1) attempt(c *httpClass, n uint64, deadline time.Time) (result attemptResult, started bool, err error) {
 	if h.conn == nil {
-		if h.conn, err = (&net.Dialer{Deadline: until}).Dial("tcp", h.address); err != nil {
+		if h.conn, err = (&net.Dialer{Deadline: deadline}).Dial("tcp", h.address); err != nil {
 			h.conn = nil
-			return o, false, err
+			return result, false, err
 		}
 		h.r.Reset(h.conn)
 	}
-	if err := h.conn.SetDeadline(until); err != nil {
-		return o, false, err
+	if err := h.conn.SetDeadline(deadline); err != nil {
+		return result, false, err
 	}
 	h.buf = c.head.appendTo(h.buf[:0], n)
 	if !c.fixed {
@@ -134,43 +135,43 @@
 		h.buf = append(h.buf, h.body...)
 	}
 	if _, err := h.conn.Write(h.buf); err != nil {
-		return o, false, err
+		return result, false, err
 	}
-	return h.answer(c.bodyless)
+	return h.response(c.bodyless)
 }
 
-var errMalformedResponse = errors.New("what came is no answer")
+var errMalformedResponse = errors.New("malformed response")
 
-// answer reads one, interim ones before it passed over.
-func (h *http1) answer(bodyless bool) (o attemptResult, heard bool, err error) {
+// response reads the final response; interim ones before it are skipped. started: its first line came.
+func (h *http1) response(bodyless bool) (result attemptResult, started bool, err error) {
 	for {
-		status, length, chunked, closes, retry, err := h.head(&heard)
+		head, err := h.head(&started)
 		if err != nil {
-			return o, heard, err
+			return result, started, err
 		}
-		if status < 200 {
-			if status == 101 {
-				return o, heard, errMalformedResponse
-			}
+		if head.status == http.StatusSwitchingProtocols {
+			return result, started, errMalformedResponse
+		}
+		if head.status < http.StatusOK {
 			continue
 		}
 		switch {
-		case bodyless || status == 204 || status == 304:
-		case chunked:
+		case bodyless || head.status == http.StatusNoContent || head.status == http.StatusNotModified:
+		case head.chunked:
 			err = h.chunks()
-		case length >= 0:
-			_, err = h.r.Discard(length)
+		case head.length >= 0:
+			_, err = h.r.Discard(head.length)
 		default:
-			closes = true
+			head.closes = true
 			_, err = io.Copy(io.Discard, h.r)
 		}
 		if err != nil {
-			return o, heard, err
+			return result, started, err
 		}
-		if closes {
+		if head.closes {
 			h.close()
 		}
-		return attemptResult{httpOutcome(status), retry}, heard, nil
+		return attemptResult{httpOutcome(head.status), head.retryAfter}, started, nil
 	}
 }
 
@@ -186,58 +187,70 @@
 	return OK
 }
 
-// head reads a status line and headers. length is -1 where none is told.
-func (h *http1) head(heard *bool) (status, length int, chunked, closes bool, retry time.Duration, err error) {
-	length = -1
+// responseHead is what the status line and the headers say about the end of the response and about retries.
+type responseHead struct {
+	status     int
+	length     int // Content-Length; -1: absent
+	chunked    bool
+	closes     bool // the server closes the connection after the response
+	retryAfter time.Duration
+}
+
+// statusLineLength is the length of "HTTP/1.1 200", the least that a status line has.
+const statusLineLength = 12
+
+// head reads a status line and headers. It sets started once the first line is read.
+func (h *http1) head(started *bool) (responseHead, error) {
+	head := responseHead{length: -1}
 	line, err := h.line()
 	if err != nil {
-		return
+		return head, err
 	}
-	*heard = true
-	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' {
-		err = errMalformedResponse
-		return
+	*started = true
+	if len(line) < statusLineLength || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' {
+		return head, errMalformedResponse
 	}
-	if status, err = strconv.Atoi(string(line[9:12])); err != nil || status < 100 {
-		err = errMalformedResponse
-		return
+	if head.status, err = strconv.Atoi(string(line[9:statusLineLength])); err != nil || head.status < 100 {
+		return head, errMalformedResponse
 	}
-	closes = line[7] == '0'
+	head.closes = line[7] == '0'
 	for size := 0; ; {
-		if line, err = h.line(); err != nil {
-			return
-		}
-		if len(line) == 0 {
-			return
+		if line, err = h.line(); err != nil || len(line) == 0 {
+			return head, err
 		}
 		if size += len(line); size > maxHeaderBytes {
-			err = errMalformedResponse
-			return
+			return head, errMalformedResponse
 		}
-		name, value, ok := bytes.Cut(line, []byte(":"))
-		if !ok {
-			err = errMalformedResponse
-			return
+		if err := head.addHeader(line); err != nil {
+			return head, err
 		}
-		value = bytes.TrimSpace(value)
-		switch {
-		case len(name) == 14 && bytes.EqualFold(name, []byte("Content-Length")):
-			n, convErr := strconv.Atoi(string(value))
-			if convErr != nil || n < 0 || length >= 0 && n != length {
-				err = errMalformedResponse
-				return
-			}
-			length = n
-		case len(name) == 17 && bytes.EqualFold(name, []byte("Transfer-Encoding")):
-			chunked = bytes.EqualFold(value, []byte("chunked"))
-		case len(name) == 10 && bytes.EqualFold(name, []byte("Connection")):
-			closes = bytes.EqualFold(value, []byte("close")) || closes && !bytes.EqualFold(value, []byte("keep-alive"))
-		case len(name) == 11 && bytes.EqualFold(name, []byte("Retry-After")):
-			if n, convErr := strconv.Atoi(string(value)); convErr == nil && n >= 0 {
-				retry = time.Duration(n) * time.Second
-			}
+	}
+}
+
+// addHeader takes over a header line if it is one that matters here.
+func (h *responseHead) addHeader(line []byte) error {
+	name, value, ok := bytes.Cut(line, []byte(":"))
+	if !ok {
+		return errMalformedResponse
+	}
+	value = bytes.TrimSpace(value)
+	switch {
+	case bytes.EqualFold(name, []byte("Content-Length")):
+		n, err := strconv.Atoi(string(value))
+		if err != nil || n < 0 || h.length >= 0 && n != h.length {
+			return errMalformedResponse
+		}
+		h.length = n
+	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
+		h.chunked = bytes.EqualFold(value, []byte("chunked"))
+	case bytes.EqualFold(name, []byte("Connection")):
+		h.closes = bytes.EqualFold(value, []byte("close")) || h.closes && !bytes.EqualFold(value, []byte("keep-alive"))
+	case bytes.EqualFold(name, []byte("Retry-After")):
+		if n, err := strconv.Atoi(string(value)); err == nil && n >= 0 {
+			h.retryAfter = time.Duration(n) * time.Second
 		}
 	}
+	return nil
 }
 
 func (h *http1) line() ([]byte, error) {
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -55,7 +55,7 @@
 	return r
 }
 
-// A server that stands still for a second is seen by all who would have come in that second, not by one a connection.
+// A server that stalls for a second delays all requests scheduled in that second, not one for each connection.
 func TestCoordinatedOmission(t *testing.T) {
 	var mu sync.Mutex
 	var begun time.Time
@@ -132,7 +132,55 @@
 	})
 }
 
-// What a server may say, and what comes of it; the next request is sent in any case.
+// scriptedServer answers each read with the same bytes.
+type scriptedServer struct {
+	listener    net.Listener
+	connections atomic.Int64
+	handlers    sync.WaitGroup
+}
+
+// startScriptedServer listens on loopback; with keepOpen a connection stays open after an answer.
+func startScriptedServer(t *testing.T, answer string, keepOpen bool) *scriptedServer {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := &scriptedServer{listener: listener}
+	s.handlers.Go(func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			s.connections.Add(1)
+			s.handlers.Go(func() { answerReads(conn, answer, keepOpen) })
+		}
+	})
+	return s
+}
+
+func (s *scriptedServer) address() string { return s.listener.Addr().String() }
+
+func (s *scriptedServer) stop() {
+	s.listener.Close()
+	s.handlers.Wait()
+}
+
+func answerReads(conn net.Conn, answer string, keepOpen bool) {
+	defer conn.Close()
+	buf := make([]byte, 4096)
+	for {
+		if _, err := conn.Read(buf); err != nil {
+			return
+		}
+		if _, err := io.WriteString(conn, answer); err != nil || !keepOpen {
+			return
+		}
+	}
+}
+
+// Each response has its outcome, and the next request is sent after it.
 func TestAnswers(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
 	for _, c := range []struct {
@@ -161,59 +209,49 @@
 		{"no answer", "SSH-2.0-OpenSSH\r\n", Broken, false},
 		{"a long line", head + "X: " + strings.Repeat("x", 20<<10), Broken, false},
 		{"a long head", head + strings.Repeat("X: "+strings.Repeat("x", 1000)+"\r\n", 70), Broken, false},
-		{"switches", "HTTP/1.1 101 S\r\n\r\n", Broken, false},
+		{"switches protocols", "HTTP/1.1 101 S\r\n\r\n", Broken, false},
 		{"nothing", "", Broken, false},
 	} {
-		conns := atomic.Int64{}
-		raw, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		var wg sync.WaitGroup
-		wg.Go(func() {
-			for {
-				conn, err := raw.Accept()
-				if err != nil {
-					return
-				}
-				conns.Add(1)
-				wg.Go(func() {
-					defer conn.Close()
-					buf := make([]byte, 4096)
-					for {
-						if _, err := conn.Read(buf); err != nil {
-							return
-						}
-						if _, err := io.WriteString(conn, c.answer); err != nil || !c.again {
-							return
-						}
-					}
-				})
-			}
-		})
-		h := newHTTP1(raw.Addr().String(), options("", "1", "CALL /{n}").Classes)
+		server := startScriptedServer(t, c.answer, c.again)
+		h := newHTTP1(server.address(), options("", "1", "CALL /{n}").Classes)
 		for range 2 {
-			if o := h.send(ScheduledRequest{Number: 1}, 5*time.Second); o.kind != c.want || c.name == "refused" && o.retryIn != 7*time.Second {
+			if o := h.send(ScheduledRequest{Number: 1}, 5*time.Second); o.outcome != c.want || c.name == "refused" && o.retryAfter != 7*time.Second {
 				t.Errorf("%s: %+v", c.name, o)
 			}
 		}
-		if want := map[bool]int64{true: 1, false: 2}[c.again]; conns.Load() != want {
-			t.Errorf("%s: %d connections", c.name, conns.Load())
+		if want := map[bool]int64{true: 1, false: 2}[c.again]; server.connections.Load() != want {
+			t.Errorf("%s: %d connections", c.name, server.connections.Load())
 		}
 		h.close()
-		raw.Close()
-		wg.Wait()
+		server.stop()
 	}
-	rapid.Check(t, func(t *rapid.T) { // whatever comes, it ends
+	rapid.Check(t, func(t *rapid.T) { // any input ends the parser
 		noise := append([]byte(rapid.SampledFrom([]string{"", head, head + "Transfer-Encoding: chunked\r\n\r\n"}).Draw(t, "head")), rapid.SliceOf(rapid.Byte()).Draw(t, "noise")...)
 		h := newHTTP1("", nil)
 		h.r.Reset(bytes.NewReader(noise))
-		_, _, _ = h.answer(false)
+		_, _, _ = h.response(false)
 	})
 }
 
-// What is refused is tried again when the server says, what breaks only where it is safe; no more wait for that than may, and each
-// request has one end, also where the run is stopped. The log has what the result has.
+// loggedCounts returns the number of latencies in a log by class.
+func loggedCounts(t *testing.T, log io.Reader) map[string]int64 {
+	t.Helper()
+	logged := map[string]int64{}
+	reader := hdr.NewHistogramLogReader(log)
+	for {
+		h, err := reader.NextIntervalHistogram()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if h == nil {
+			break
+		}
+		logged[h.Tag()] += h.TotalCount()
+	}
+	return logged
+}
+
+// A rejected request is retried when the server allows, a failed one only if it is idempotent. The log has the counts of the result.
 func TestRetries(t *testing.T) {
 	var tries, posts atomic.Int64
 	seen := sync.Map{}
@@ -228,8 +266,6 @@
 				w.Header().Set("Retry-After", "0")
 				w.WriteHeader(503)
 			}
-		case q.URL.Path == "/never":
-			w.WriteHeader(503)
 		case first && (q.URL.Path == "/breaks" || q.URL.Path == "/unsafe"):
 			posts.Add(1)
 			panic(http.ErrAbortHandler)
@@ -253,27 +289,20 @@
 	if c.Outcomes[Broken] != c.Requests || c.Attempts != c.Requests {
 		t.Errorf("broken and unsafe: %+v", c)
 	}
-	logged := map[string]int64{}
-	reader := hdr.NewHistogramLogReader(&log)
-	for {
-		h, err := reader.NextIntervalHistogram()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if h == nil {
-			break
-		}
-		logged[h.Tag()] += h.TotalCount()
-	}
+	logged := loggedCounts(t, &log)
 	if logged["a"] != a.Outcomes[OK] || logged["b"] != b.Outcomes[OK] || logged["c"] != 0 {
 		t.Errorf("logged: %v, %v %v", logged, a.Outcomes, b.Outcomes)
 	}
+}
 
-	o = options("http://"+at, "200:1m", "GET /never")
+// At most MaxWaitingRetries requests wait for a retry, and each request has one outcome in a run that is stopped.
+func TestWaitingRetriesAreBounded(t *testing.T) {
+	at := base.HTTP(t, nil, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
+	o := options("http://"+at, "200:1m", "GET /never")
 	o.Retries, o.MaxWaitingRetries, o.RetryBackoff = 50, 10, time.Minute
 	ctx, stop := context.WithCancel(t.Context())
 	most := 0
-	r = play(t, ctx, o, Observers{Progress: func(p Progress) { most = max(most, p.Waiting); stop() }})
+	r := play(t, ctx, o, Observers{Progress: func(p Progress) { most = max(most, p.Waiting); stop() }})
 	if !r.Stopped || most != 10 || r.Classes[0].GivenUp < 50 || r.Classes[0].Outcomes[Refused] != r.Classes[0].Requests {
 		t.Errorf("%d waited at most; %+v", most, r.Classes[0])
 	}
@@ -300,7 +329,7 @@
 	}
 }
 
-// It says what was the limit: itself, the connections, or nothing but the server.
+// The report names what limited the run: the load generator, the connections, or nothing but the server.
 func TestLimits(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -328,7 +357,7 @@
 	}
 }
 
-// What can't be run is told in one line.
+// Invalid options and arguments are rejected with an error that names them.
 func TestCheck(t *testing.T) {
 	for _, c := range []struct {
 		what   string
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -1,6 +1,3 @@
-// Package loadgen sends requests at a rate, whatever becomes of them: an open loop, over HTTP/1.1 or gRPC. Latency counts from the moment at
-// which a request was to be sent, so that a server that stands still is seen by all who would have come meanwhile
-// (no coordinated omission). Memory is bounded at any length: what is due is found by counting on, not kept.
 package loadgen
 
 import (
@@ -15,21 +12,21 @@
 	"time"
 )
 
-// Phase is a part of a run at one rate.
+// Phase is a part of a run with a constant rate.
 type Phase struct {
 	Rate float64 // requests a second
 	For  time.Duration
 }
 
-// ParsePhases reads "500:30s,1500:10s", or a rate alone, which goes on for as long as rest says.
+// ParsePhases reads "500:30s,1500:10s", or a rate alone, which lasts for rest.
 func ParsePhases(text string, rest time.Duration) ([]Phase, error) {
 	var all []Phase
 	for part := range strings.SplitSeq(text, ",") {
 		rate, length, given := strings.Cut(part, ":")
 		p := Phase{For: rest}
 		var err error
-		if p.Rate, err = strconv.ParseFloat(rate, 64); err != nil || !(p.Rate >= 0 && p.Rate <= mostRate) {
-			return nil, fmt.Errorf("%q: a rate is a number from 0 to %d, as in 500 or 500:30s,1500:10s", part, int(mostRate))
+		if p.Rate, err = strconv.ParseFloat(rate, 64); err != nil || !(p.Rate >= 0 && p.Rate <= maxRate) {
+			return nil, fmt.Errorf("%q: a rate is a number from 0 to %d, as in 500 or 500:30s,1500:10s", part, int(maxRate))
 		}
 		if given {
 			if p.For, err = time.ParseDuration(length); err != nil {
@@ -44,12 +41,13 @@
 	return all, nil
 }
 
-const mostRate = 10_000_000
+// maxRate is the highest rate of a phase, in requests per second.
+const maxRate = 10_000_000
 
 // Class is a kind of request.
 type Class struct {
 	Name    string
-	Share   float64 // of all requests, beside the others'
+	Share   float64 // weight relative to the shares of the other classes
 	Method  string  // HTTP's, or gRPC's as /package.Service/Method
 	Path    string  // with {n} for the request's number
 	Body    []byte  // a gRPC message's bytes; with {n} too
@@ -95,16 +93,16 @@
 	Target            string // http://address or grpc://address
 	Phases            []Phase
 	Classes           []Class
-	Connections       int           // at once, at most: a request that finds none free is late, and counted so
-	Timeout           time.Duration // of a try
-	Steady            bool          // requests come at even distances; else as by chance (Poisson)
+	Connections       int           // at most; a request that finds none free waits, and counts as delayed
+	Timeout           time.Duration // of an attempt
+	Steady            bool          // constant gaps between requests; otherwise exponential ones (a Poisson process)
 	Seed              uint64
-	Retries           int           // tries after the first, where a server refuses (429, 503, UNAVAILABLE with RetryInfo) or a safe one breaks
-	RetryBackoff      time.Duration // before a try, where the server names no time; it doubles
-	MaxWaitingRetries int           // requests that wait for their next try, at most; what comes beyond is given up
+	Retries           int           // after the first attempt: of refused requests (429, 503, UNAVAILABLE with RetryInfo) and failed idempotent ones
+	RetryBackoff      time.Duration // before the first retry, if the server names no time; doubles with each
+	MaxWaitingRetries int           // at most; requests beyond are given up
 }
 
-// Check finds what can't be run, and fills in what is absent.
+// Check returns an error for options that cannot be run, and sets the defaults of absent ones.
 func (o *Options) Check() error {
 	u, err := url.Parse(o.Target)
 	if err != nil || u.Scheme != "http" && u.Scheme != "grpc" || u.Path != "" && u.Path != "/" || u.RawQuery != "" || u.User != nil {
@@ -143,24 +141,24 @@
 
 // ScheduledRequest is a request that is to be sent.
 type ScheduledRequest struct {
-	At     time.Duration // since the run's begin
+	At     time.Duration // since the start of the run
 	Class  int
 	Number uint64 // from 1 on
 }
 
-// Schedule counts on from one request to the next. The same phases, classes and seed give the same requests.
+// Schedule computes the requests of a run one after another. The same phases, classes and seed give the same requests.
 type Schedule struct {
-	phases []Phase
-	shares []float64 // sums
-	steady bool
-	rng    *rand.Rand
-	phase  int
-	begun  time.Duration // of the phase
-	at     time.Duration
-	n      uint64
+	phases     []Phase
+	shares     []float64 // cumulative
+	steady     bool
+	rng        *rand.Rand
+	phase      int
+	phaseStart time.Duration
+	at         time.Duration
+	n          uint64
 }
 
-// NewSchedule begins one. o is checked.
+// NewSchedule returns the schedule of options that Check has accepted.
 func NewSchedule(o Options) *Schedule {
 	s := &Schedule{phases: o.Phases, steady: o.Steady, rng: rand.New(rand.NewPCG(o.Seed, 0x6c6f6164))}
 	sum := 0.0
@@ -171,11 +169,11 @@
 	return s
 }
 
-// Next is the next request; false: there is none.
+// Next returns the next request; false at the end.
 func (s *Schedule) Next() (ScheduledRequest, bool) {
-	for need := s.need(); s.phase < len(s.phases); {
+	for need := s.nextGap(); s.phase < len(s.phases); {
 		p := s.phases[s.phase]
-		left := s.begun + p.For - s.at
+		left := s.phaseStart + p.For - s.at
 		gap := time.Duration(0)
 		if p.Rate > 0 {
 			gap = time.Duration(need / p.Rate * float64(time.Second))
@@ -185,16 +183,16 @@
 			s.n++
 			return ScheduledRequest{At: s.at, Class: s.class(), Number: s.n}, true
 		}
-		need -= left.Seconds() * p.Rate // what is left of it is waited for at the next phase's rate
-		s.begun += p.For
-		s.at = s.begun
+		need -= left.Seconds() * p.Rate // the rest of the gap passes at the next phase's rate
+		s.phaseStart += p.For
+		s.at = s.phaseStart
 		s.phase++
 	}
 	return ScheduledRequest{}, false
 }
 
-// need is how far the next one is off, at a rate of 1.
-func (s *Schedule) need() float64 {
+// nextGap returns the gap to the next request in units of the mean gap.
+func (s *Schedule) nextGap() float64 {
 	if s.steady {
 		return 1
 	}
@@ -210,7 +208,7 @@
 	return min(i, len(s.shares)-1)
 }
 
-// template is a text with {n} in it.
+// template is a text split at each {n}, the place of the request's number.
 type template []string
 
 func newTemplate(text string) template { return strings.Split(text, "{n}") }
--- /dev/null
+++ b/internal/loadgen/progress.go
@@ -0,0 +1,90 @@
+package loadgen
+
+import (
+	"context"
+	"io"
+	"time"
+
+	hdr "github.com/HdrHistogram/hdrhistogram-go"
+)
+
+// Progress is the state of a run after an interval. Its counts are of the interval.
+type Progress struct {
+	At       time.Duration // since the start of the run
+	Requests int64
+	Outcomes [outcomeCount]int64
+	InFlight int
+	Waiting  int // retries that are not due yet
+	P50, P99 time.Duration
+}
+
+// reportIntervals reports each interval until ctx ends, which it does after all requests; the rest goes into the log only.
+func (r *run) reportIntervals(ctx context.Context, log *hdr.HistogramLogWriter, report func(Progress)) error {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	from := time.Now()
+	for {
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+		}
+		last := ctx.Err() != nil
+		now := time.Now()
+		progress, histograms := r.takeInterval(from, now, log != nil)
+		from = now
+		for _, h := range histograms {
+			if err := log.OutputIntervalHistogram(h); err != nil {
+				return err
+			}
+		}
+		if last {
+			return nil
+		}
+		if report != nil {
+			report(progress)
+		}
+	}
+}
+
+// takeInterval returns the figures of the interval that ends now, with the classes' histograms if they are logged, and begins the next.
+func (r *run) takeInterval(from, now time.Time, logged bool) (Progress, []*hdr.Histogram) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	p := r.progress
+	p.At, p.InFlight, p.Waiting = time.Since(r.started), int(r.unsettled.Load()), len(r.waiting)
+	p.P50, p.P99 = Quantile(r.recent, 50), Quantile(r.recent, 99)
+	r.progress = Progress{}
+	r.recent.Reset()
+	var histograms []*hdr.Histogram
+	for i := range r.classes {
+		if logged {
+			h := r.classes[i].interval.Clone()
+			h.SetTag(r.classes[i].Name)
+			h.SetStartTimeMs(from.UnixMilli())
+			h.SetEndTimeMs(now.UnixMilli())
+			histograms = append(histograms, h)
+		}
+		r.classes[i].interval.Reset()
+	}
+	return p, histograms
+}
+
+// newIntervalLog writes the head of an HdrHistogram log; nil if out is nil.
+func newIntervalLog(out io.Writer) (*hdr.HistogramLogWriter, error) {
+	if out == nil {
+		return nil, nil
+	}
+	log := hdr.NewHistogramLogWriter(out)
+	started := time.Now().UnixMilli()
+	if err := log.OutputLogFormatVersion(); err != nil {
+		return nil, err
+	}
+	if err := log.OutputStartTime(started); err != nil {
+		return nil, err
+	}
+	log.SetBaseTime(started)
+	if err := log.OutputBaseTime(started); err != nil {
+		return nil, err
+	}
+	return log, log.OutputLegend()
+}
