--- a/internal/measure/eureka.go
+++ b/internal/measure/eureka.go
@@ -66,6 +66,56 @@
 	return names, stop, nil
 }
 
+// flipLoad sends requests from some clients in closed loops, and counts the answers.
+type flipLoad struct {
+	client                   *http.Client
+	cancel                   context.CancelFunc
+	clients                  sync.WaitGroup
+	served, rejected, failed atomic.Int64
+}
+
+// flipClients is the number of clients of a flipLoad.
+const flipClients = 4
+
+func startFlipLoad(address string) *flipLoad {
+	ctx, cancel := context.WithCancel(context.Background())
+	l := &flipLoad{client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}, cancel: cancel}
+	for range flipClients {
+		l.clients.Go(func() {
+			for ctx.Err() == nil {
+				l.request(address)
+			}
+		})
+	}
+	return l
+}
+
+func (l *flipLoad) request(address string) {
+	resp, err := l.client.Get("http://" + address + "/")
+	if err != nil {
+		l.failed.Add(1)
+		return
+	}
+	defer resp.Body.Close()
+	_, _ = io.Copy(io.Discard, resp.Body) // a short answer from loopback
+	switch resp.StatusCode {
+	case http.StatusOK:
+		l.served.Add(1)
+	case http.StatusServiceUnavailable:
+		l.rejected.Add(1)
+	default:
+		l.failed.Add(1)
+	}
+}
+
+// stop waits for the requests in flight.
+func (l *flipLoad) stop() {
+	l.cancel()
+	l.clients.Wait()
+	l.client.CloseIdleConnections()
+}
+
+// printFlips prints a row: the time from a flip out of service to the last request, for a poll interval.
 func printFlips(w io.Writer, poll time.Duration, times int) error {
 	e, err := fakes.NewEureka(fakes.EurekaOptions{})
 	if err != nil {
@@ -83,32 +133,7 @@
 	if err != nil {
 		return err
 	}
-	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
-	defer client.CloseIdleConnections()
-	ctx, end := context.WithCancel(context.Background())
-	var clients sync.WaitGroup
-	var served, refused, failed atomic.Int64
-	for range 4 {
-		clients.Go(func() {
-			for ctx.Err() == nil {
-				resp, err := client.Get("http://" + address + "/")
-				if err != nil {
-					failed.Add(1)
-					continue
-				}
-				_, _ = io.Copy(io.Discard, resp.Body) // a short answer from loopback
-				resp.Body.Close()
-				switch resp.StatusCode {
-				case http.StatusOK:
-					served.Add(1)
-				case http.StatusServiceUnavailable:
-					refused.Add(1)
-				default:
-					failed.Add(1)
-				}
-			}
-		})
-	}
+	load := startFlipLoad(address)
 	rng := rand.New(rand.NewPCG(5, uint64(poll)))
 	begun, bytes := time.Now(), e.Bytes()
 	asked := e.Calls("GET /apps/SEATS")
@@ -120,15 +145,14 @@
 	}
 	took := time.Since(begun).Seconds()
 	perSecond, bytesPerSecond := float64(e.Calls("GET /apps/SEATS")-asked)/took, float64(e.Bytes()-bytes)/took
-	end()
-	clients.Wait()
+	load.stop()
 	n, last, wrong := f.Result()
-	if failed.Load() > 0 || len(last) == 0 {
-		err = fmt.Errorf("%d requests failed, %d flips seen", failed.Load(), len(last))
+	if load.failed.Load() > 0 || len(last) == 0 {
+		err = fmt.Errorf("%d requests failed, %d flips seen", load.failed.Load(), len(last))
 	} else {
 		at := func(p float64) time.Duration { return last[int(p*float64(len(last)-1))].Round(time.Millisecond) }
 		fmt.Fprintf(w, "%v\t%d\t%d\t%v\t%v\t%v\t%v\t%d\t%d\t%d\t%.1f\t%.0f\t\n", poll, n, len(last), at(0.5), at(0.9), at(0.99), at(1), len(wrong),
-			served.Load(), refused.Load(), perSecond, bytesPerSecond)
+			load.served.Load(), load.rejected.Load(), perSecond, bytesPerSecond)
 	}
 	return errors.Join(err, stop())
 }
--- a/internal/measure/fairness.go
+++ b/internal/measure/fairness.go
@@ -16,8 +16,6 @@
 	"text/tabwriter"
 	"time"
 
-	"golang.org/x/sync/errgroup"
-
 	"orchiddrift/internal/fakes"
 	"orchiddrift/internal/simulation/admissionsim"
 )
@@ -34,29 +32,41 @@
 	fairnessRetryAfter  = 3 * time.Second // the service's retry_after
 )
 
-// clientCounts is what one kind of client saw.
+// clientCounts are the answers that one kind of client got.
 type clientCounts struct {
-	mu         sync.Mutex
-	asked, in  int
-	told, kept int
-	byName     map[string]int
-	took       []time.Duration
+	mu            sync.Mutex
+	requests      int
+	inTime        int // answered within fairnessObjective
+	returned      int // retries at the reserved time
+	returnsServed int
+	inTimeByName  map[string]int
+	latencies     []time.Duration // of all that were answered
 }
 
 func (t *clientCounts) note(name string, took time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.asked++
+	t.requests++
 	if ok {
-		t.took = append(t.took, took)
+		t.latencies = append(t.latencies, took)
 		if took <= fairnessObjective {
-			t.in++
-			t.byName[name]++
+			t.inTime++
+			t.inTimeByName[name]++
 		}
 	}
 }
 
-func (t *clientCounts) share() float64 { return float64(t.in) / float64(max(1, t.asked)) }
+// noteReturn counts a client that came back at its reserved time.
+func (t *clientCounts) noteReturn(served bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.returned++
+	if served {
+		t.returnsServed++
+	}
+}
+
+func (t *clientCounts) share() float64 { return float64(t.inTime) / float64(max(1, t.requests)) }
 
 // TenantFairness prints, on sockets through the daemon, what 20 counters get beside a script that floods: with a door, behind one
 // queue (a door that takes everybody for one), and with none, in turn.
@@ -80,8 +90,8 @@
 		}
 		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.1f\t%.1f\t%.0f\t%.3f\t%.0f\t%.3f\t%s\t%.2f\t\n", kind, in, admissionsim.RelativeTo(in, alone),
 			pick(func(s fairnessFigures) float64 { return s.p50 }), pick(func(s fairnessFigures) float64 { return s.p99 }), pick(func(s fairnessFigures) float64 { return s.script }),
-			pick(func(s fairnessFigures) float64 { return s.jain }), pick(func(s fairnessFigures) float64 { return float64(s.told) }),
-			pick(func(s fairnessFigures) float64 { return float64(s.kept) / float64(max(1, s.told)) }), all[len(all)-1].resident,
+			pick(func(s fairnessFigures) float64 { return s.jain }), pick(func(s fairnessFigures) float64 { return float64(s.returned) }),
+			pick(func(s fairnessFigures) float64 { return float64(s.returnsServed) / float64(max(1, s.returned)) }), all[len(all)-1].resident,
 			pick(func(s fairnessFigures) float64 { return s.cpu }))
 	}
 	return w.Flush()
@@ -89,7 +99,7 @@
 
 type fairnessFigures struct {
 	in, p50, p99, script, jain, cpu float64
-	told, kept                      int
+	returned, returnsServed         int
 	resident                        string
 }
 
@@ -118,56 +128,81 @@
 	client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 600}}
 	defer client.CloseIdleConnections()
 
-	counters, script := &clientCounts{byName: map[string]int{}}, &clientCounts{byName: map[string]int{}}
+	counters, script := &clientCounts{inTimeByName: map[string]int{}}, &clientCounts{inTimeByName: map[string]int{}}
 	before, err := d.used()
 	if err != nil {
 		return s, err
 	}
-	floor := func(period time.Duration, rate float64, of *clientCounts, obey bool) {
-		ctx, cancel := context.WithTimeout(context.Background(), period)
-		defer cancel()
-		var g errgroup.Group
-		for i := range 20 {
-			g.Go(func() error {
-				openLoop(ctx, client, address, fmt.Sprint("counter-", i), rate, uint64(i), 64, of, obey)
-				return nil
-			})
-		}
-		if !strings.Contains(kind, "alone") && !obey {
-			g.Go(func() error { openLoop(ctx, client, address, "script", floodRate, 99, 400, script, false); return nil })
-		}
-		_ = g.Wait() // nothing fails: what a client sees is counted
+	target := fairnessTarget{client, address}
+	var flood *clientCounts
+	if !strings.Contains(kind, "alone") {
+		flood = script
 	}
-	floor(fairnessPeriod, tenantRate, counters, false)
+	target.play(tenantRate, counters, flood, false)
 	after, err := d.used()
 	if err != nil {
 		return s, err
 	}
-	equal := &clientCounts{byName: map[string]int{}}
-	floor(fairnessPeriod, 50, equal, true)
+	equal := &clientCounts{inTimeByName: map[string]int{}}
+	target.play(excessTenantRate, equal, nil, true)
 	var each []float64
-	for i := range 20 {
-		each = append(each, float64(equal.byName[fmt.Sprint("counter-", i)]))
+	for i := range tenantCount {
+		each = append(each, float64(equal.inTimeByName[fmt.Sprint("counter-", i)]))
 	}
 	peak, _ := d.memory()
-	sorted := slices.Sorted(slices.Values(counters.took))
+	sorted := slices.Sorted(slices.Values(counters.latencies))
 	ms := func(q float64) float64 { return sortedQuantile(sorted, q).Seconds() * 1e3 }
-	s = fairnessFigures{in: counters.share(), p50: ms(0.5), p99: ms(0.99), script: float64(script.in) / fairnessPeriod.Seconds(),
-		jain: admissionsim.Jain(each), told: equal.told, kept: equal.kept, resident: peak,
+	s = fairnessFigures{in: counters.share(), p50: ms(0.5), p99: ms(0.99), script: float64(script.inTime) / fairnessPeriod.Seconds(),
+		jain: admissionsim.Jain(each), returned: equal.returned, returnsServed: equal.returnsServed, resident: peak,
 		cpu: (after.CPU - before.CPU).Seconds() / fairnessPeriod.Seconds()}
 	return s, nil
 }
 
-// openLoop asks at a rate whatever becomes of it, with so many at once at most: what comes while all are busy counts as
-// asked, and as not answered. With obey it comes back, once, when it is told.
-func openLoop(ctx context.Context, client *http.Client, address, name string, rate float64, seed uint64, most int, t *clientCounts, obey bool) {
-	rng := rand.New(rand.NewPCG(seed, 4))
-	busy := make(chan struct{}, most)
+// fairnessTarget is the daemon that clients send to.
+type fairnessTarget struct {
+	client  *http.Client
+	address string
+}
+
+// excessTenantRate is the rate of each tenant, in requests per second, where all ask for 2.5 times their share.
+const excessTenantRate = 50
+
+// play runs 20 tenants for fairnessPeriod, each at rate, and beside them a flooding script if flood is not nil.
+func (t fairnessTarget) play(rate float64, tenants, flood *clientCounts, obey bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), fairnessPeriod)
+	defer cancel()
+	var clients sync.WaitGroup
+	for i := range tenantCount {
+		c := openLoopClient{fairnessTarget: t, name: fmt.Sprint("counter-", i), rate: rate, seed: uint64(i), maxInFlight: 64, counts: tenants, obey: obey}
+		clients.Go(func() { c.run(ctx) })
+	}
+	if flood != nil {
+		c := openLoopClient{fairnessTarget: t, name: "script", rate: floodRate, seed: 99, maxInFlight: 400, counts: flood}
+		clients.Go(func() { c.run(ctx) })
+	}
+	clients.Wait()
+}
+
+// openLoopClient sends requests at a rate, independent of the answers. A request that is due while maxInFlight are in flight counts as
+// sent and not answered. With obey it retries once, after the Retry-After of the answer.
+type openLoopClient struct {
+	fairnessTarget
+	name        string
+	rate        float64 // requests per second
+	seed        uint64
+	maxInFlight int
+	counts      *clientCounts
+	obey        bool
+}
+
+func (c openLoopClient) run(ctx context.Context) {
+	rng := rand.New(rand.NewPCG(c.seed, 4))
+	busy := make(chan struct{}, c.maxInFlight)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	next := time.Now()
 	for n := 0; ; n++ {
-		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
+		next = next.Add(time.Duration(rng.ExpFloat64() / c.rate * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return
@@ -177,41 +212,42 @@
 		select {
 		case busy <- struct{}{}:
 		default:
-			t.note(name, 0, false)
+			c.counts.note(c.name, 0, false)
 			continue
 		}
-		path := fmt.Sprint("/", name, "/", n)
+		path := fmt.Sprint("/", c.name, "/", n)
 		wg.Go(func() {
 			defer func() { <-busy }()
-			status, in := fairnessRequest(ctx, client, address, path, name)
-			t.note(name, time.Since(intended), status == http.StatusOK)
-			if !obey || status != http.StatusServiceUnavailable || in <= 0 {
-				return
-			}
-			select {
-			case <-ctx.Done():
-				return
-			case <-time.After(in):
-			}
-			if status, _ = fairnessRequest(ctx, client, address, path, name); ctx.Err() == nil && in <= fairnessRetryAfter*3/4 {
-				t.mu.Lock()
-				defer t.mu.Unlock()
-				t.told++
-				if status == http.StatusOK {
-					t.kept++
-				}
-			}
+			c.request(ctx, path, intended)
 		})
 	}
 }
 
-func fairnessRequest(ctx context.Context, client *http.Client, address, path, name string) (status int, in time.Duration) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
+// request sends a request that was due at intended, and the retry if there is one.
+func (c openLoopClient) request(ctx context.Context, path string, intended time.Time) {
+	status, retryAfter := c.send(ctx, path, c.name)
+	c.counts.note(c.name, time.Since(intended), status == http.StatusOK)
+	if !c.obey || status != http.StatusServiceUnavailable || retryAfter <= 0 {
+		return
+	}
+	select {
+	case <-ctx.Done():
+		return
+	case <-time.After(retryAfter):
+	}
+	if status, _ = c.send(ctx, path, c.name); ctx.Err() == nil && retryAfter <= fairnessRetryAfter*3/4 {
+		c.counts.noteReturn(status == http.StatusOK)
+	}
+}
+
+// send returns the status and the Retry-After of the answer; 0 and 0 where there was none.
+func (t fairnessTarget) send(ctx context.Context, path, tenant string) (status int, retryAfter time.Duration) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.address+path, nil)
 	if err != nil {
 		return 0, 0
 	}
-	req.Header.Set("X-Tenant-Id", name)
-	resp, err := client.Do(req)
+	req.Header.Set("X-Tenant-Id", tenant)
+	resp, err := t.client.Do(req)
 	if err != nil {
 		return 0, 0
 	}
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -33,21 +33,18 @@
 			Classes: []balancer.Class{{Name: "search", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, LateValueFraction: 0.3}}}}
 }
 
-// Fleet prints what fleets of 10 to 200 sidecars do to 5,000 nodes at constant traffic, in virtual time, and the hard cases.
-func Fleet(o Options, plot string) error {
-	type named struct {
-		name string
-		run  fleetsim.Run
-	}
-	var runs []named
-	sizes := []int{10, 25, 50, 100, 200}
-	for _, m := range sizes {
-		runs = append(runs, named{fmt.Sprintf("%d sidecars", m), fleetRun(m)})
-	}
+// namedFleetRun is a simulated run with its name in the table.
+type namedFleetRun struct {
+	name string
+	run  fleetsim.Run
+}
+
+// fleetFaultRuns are fleets without subsets, and fleets whose nodes restart, shrink or get uneven traffic.
+func fleetFaultRuns() (runs []namedFleetRun) {
 	add := func(name string, sidecars int, change func(*fleetsim.Run)) {
 		r := fleetRun(sidecars)
 		change(&r)
-		runs = append(runs, named{name, r})
+		runs = append(runs, namedFleetRun{name, r})
 	}
 	add("200, index not known", 200, func(r *fleetsim.Run) { r.Known = false })
 	add("200, no subsets", 200, func(r *fleetsim.Run) { r.Subset.Enabled = false })
@@ -77,6 +74,18 @@
 			return 1
 		}
 	})
+	return runs
+}
+
+// Fleet prints the effect of fleets of 10 to 200 sidecars on 5,000 nodes at constant traffic in virtual time, then that of faults. plot names
+// a file for a chart of the connections; "": none.
+func Fleet(o Options, plot string) error {
+	var runs []namedFleetRun
+	sizes := []int{10, 25, 50, 100, 200}
+	for _, m := range sizes {
+		runs = append(runs, namedFleetRun{fmt.Sprintf("%d sidecars", m), fleetRun(m)})
+	}
+	runs = append(runs, fleetFaultRuns()...)
 	results := make([]*fleetsim.Result, len(runs))
 	var g errgroup.Group
 	g.SetLimit(runtime.NumCPU())
@@ -105,7 +114,7 @@
 	return os.WriteFile(plot, []byte(svgChart("connections a node, by sidecars (5,000 nodes, 10,000 requests a second)", sizes, open)), 0o644)
 }
 
-// svgChart is a small SVG of values over sizes, from 0.
+// svgChart returns an SVG line chart of y over x with both axes from 0.
 func svgChart(title string, x []int, y []float64) string {
 	const width, height, left, low = 640.0, 320.0, 60.0, 40.0
 	most, last := 0.0, float64(x[len(x)-1])
--- a/internal/measure/graphql.go
+++ b/internal/measure/graphql.go
@@ -88,28 +88,12 @@
 	}
 	rows := []struct{ kind, name, dir string }{{"GET", "GET by a route", ""}, {"POST", "POST by a route", ""}, {"warm", "GraphQL, document known", ""},
 		{"warm", "the same, with a schema", dir}, {"cold", "GraphQL, each document new", ""}, {"cold", "the same, with a schema", dir}}
-	round := func(addresses []string, kind, dir string, connections int) (f Figures, err error) {
-		var address string
-		proxy, err := startChild(childRole{Part: "graphqldaemon", Addresses: addresses, Dir: dir}, &address)
-		if err != nil {
-			return f, err
-		}
-		client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: connections}}
-		defer client.CloseIdleConnections()
-		var before usage
-		took, err := closedLoop(connections, o.Calls/5, o.Calls, graphqlRequest(client, address, kind), func() (err error) {
-			before, err = proxy.used()
-			return err
-		})
-		after, usedErr := proxy.used()
-		return figures(before, after, took), errors.Join(err, usedErr, proxy.stop())
-	}
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "request\tCPU\tallocations\tp50\tp99\tCPU ratio\tp99 ratio\tCPU beside POST\t")
 	all := make([][]Figures, len(rows))
 	for range o.Rounds {
 		for i, r := range rows {
-			f, err := round(addresses, r.kind, r.dir, 16)
+			f, err := graphqlRound(addresses, r.kind, r.dir, o.Calls)
 			if err != nil {
 				return errors.Join(err, nodes.stop())
 			}
@@ -125,25 +109,55 @@
 	if err := errors.Join(w.Flush(), nodes.stop()); err != nil {
 		return err
 	}
+	if err := printGraphQLSlowNode(o); err != nil {
+		return err
+	}
+	fmt.Fprintln(o.Out)
+	return printGraphQLDocuments(o.Out)
+}
 
-	if nodes, err = startChild(childRole{Part: "nodes", Nodes: 10, Work: 5 * time.Millisecond, Slow: 8, Answer: graphqlAnswer}, &addresses); err != nil {
+// graphqlConnections is the number of the clients' connections.
+const graphqlConnections = 16
+
+// graphqlRound returns the cost of requests of a kind through a daemon process; dir holds its schema, "": none.
+func graphqlRound(addresses []string, kind, dir string, calls int) (f Figures, err error) {
+	var address string
+	proxy, err := startChild(childRole{Part: "graphqldaemon", Addresses: addresses, Dir: dir}, &address)
+	if err != nil {
+		return f, err
+	}
+	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: graphqlConnections}}
+	defer client.CloseIdleConnections()
+	var before usage
+	took, err := closedLoop(graphqlConnections, calls/5, calls, graphqlRequest(client, address, kind), func() (err error) {
+		before, err = proxy.used()
+		return err
+	})
+	after, usedErr := proxy.used()
+	return figures(before, after, took), errors.Join(err, usedErr, proxy.stop())
+}
+
+// printGraphQLSlowNode prints latencies through the daemon beside a random choice of nodes, where one node in ten is 8 times slower.
+func printGraphQLSlowNode(o Options) error {
+	var addresses []string
+	nodes, err := startChild(childRole{Part: "nodes", Nodes: 10, Work: 5 * time.Millisecond, Slow: 8, Answer: graphqlAnswer}, &addresses)
+	if err != nil {
 		return err
 	}
 	fmt.Fprintln(o.Out)
-	w = tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "one node in ten 8 times slower\tp50\tp99\tp99 ratio\t")
 	var random, module []Figures
-	slowCalls := o
-	slowCalls.Calls = max(100, o.Calls/4)
+	slowCalls := max(100, o.Calls/4)
 	for range o.Rounds {
 		client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
-		took, err := closedLoop(16, slowCalls.Calls/5, slowCalls.Calls, graphqlRequest(client, strings.Join(addresses, " "), "warm"), func() error { return nil })
+		took, err := closedLoop(16, slowCalls/5, slowCalls, graphqlRequest(client, strings.Join(addresses, " "), "warm"), func() error { return nil })
 		client.CloseIdleConnections()
 		if err != nil {
 			return errors.Join(err, nodes.stop())
 		}
 		random = append(random, figures(usage{}, usage{}, took))
-		f, err := round(addresses, "warm", "", 16)
+		f, err := graphqlRound(addresses, "warm", "", o.Calls)
 		if err != nil {
 			return errors.Join(err, nodes.stop())
 		}
@@ -156,11 +170,7 @@
 	}{{"random choice", r}, {"the daemon", m}} {
 		fmt.Fprintf(w, "%s\t%v\t%v\t%.2f\t\n", x.name, x.f.P50.Round(10*time.Microsecond), x.f.P99.Round(10*time.Microsecond), float64(x.f.P99)/float64(r.P99))
 	}
-	if err := errors.Join(w.Flush(), nodes.stop()); err != nil {
-		return err
-	}
-	fmt.Fprintln(o.Out)
-	return printGraphQLDocuments(o.Out)
+	return errors.Join(w.Flush(), nodes.stop())
 }
 
 // serveGraphQLDaemon is a daemon with a route and an endpoint, which has a schema where Dir is given.
--- a/internal/measure/largefleet.go
+++ b/internal/measure/largefleet.go
@@ -69,83 +69,94 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// largeFleetRound has the daemons asked in turn by two clients each; least 0: no subset.
-func largeFleetRound(w io.Writer, control, list string, least, running, fleet, calls int) error {
+// largeFleetTotals are the figures of the daemons of a round.
+type largeFleetTotals struct {
+	served, rejected int
+	cpu              time.Duration
+	peak, anonymous  string // memory of the first daemon
+}
+
+// largeFleetRound sends requests to the daemons in turn, and prints a row while all still run. minSize 0: no subset.
+func largeFleetRound(w io.Writer, control, list string, minSize, running, fleet, calls int) (err error) {
 	var children []*child
-	stopAll := func() (err error) {
+	defer func() {
 		for _, c := range children {
 			err = errors.Join(err, c.stop())
 		}
-		children = nil
-		return err
-	}
-	defer func() { _ = stopAll() }()
-	served, refused, perDaemon := 0, 0, max(200, calls/running)
-	var mu sync.Mutex
-	var cpu time.Duration
-	var peaks, anons []string
-	seen := func() (s connectionCounts, err error) {
-		resp, err := http.Get("http://" + control + "/")
-		if err != nil {
-			return s, err
-		}
-		defer resp.Body.Close()
-		return s, json.NewDecoder(resp.Body).Decode(&s)
-	}
-	if _, err := seen(); err != nil { // it counts from here on
+	}()
+	if _, err := readConnectionCounts(control); err != nil { // resets the counts
 		return err
 	}
+	var totals largeFleetTotals
 	for i := range running {
 		var address string
-		c, err := startChild(childRole{Part: "manydaemon", Dir: list, Nodes: least, Workers: fleet, Calls: i * fleet / running}, &address)
+		c, err := startChild(childRole{Part: "manydaemon", Dir: list, Nodes: minSize, Workers: fleet, Calls: i * fleet / running}, &address)
 		if err != nil {
 			return err
 		}
 		children = append(children, c)
-		client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
-		before, err := c.used()
-		if err != nil {
+		if err := totals.loadDaemon(c, address, max(200, calls/running)); err != nil {
 			return err
 		}
-		_, err = closedLoop(8, 0, perDaemon, func(int, int) error {
-			resp, err := client.Get("http://" + address + "/")
-			if err != nil {
-				return err
-			}
-			defer resp.Body.Close()
-			_, _ = io.Copy(io.Discard, resp.Body) // a short answer from loopback
-			mu.Lock()
-			defer mu.Unlock()
-			switch resp.StatusCode {
-			case http.StatusOK:
-				served++
-			case http.StatusServiceUnavailable:
-				refused++
-			default:
-				return fmt.Errorf("answered %s", resp.Status)
-			}
-			return nil
-		}, func() error { return nil })
-		after, usedErr := c.used()
-		client.CloseIdleConnections()
-		if err := errors.Join(err, usedErr); err != nil {
-			return err
+		if i == 0 {
+			totals.peak, totals.anonymous = c.memory()
 		}
-		cpu += after.CPU - before.CPU
-		peak, anon := c.memory()
-		peaks, anons = append(peaks, peak), append(anons, anon)
 	}
-	s, err := seen()
+	s, err := readConnectionCounts(control)
 	if err != nil {
 		return err
 	}
-	name := fmt.Sprint(least)
-	if least == 0 {
+	name := fmt.Sprint(minSize)
+	if minSize == 0 {
 		name = "all 5,000"
 	}
-	fmt.Fprintf(w, "%s\t%d of %d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%s\t%s\t%v\t\n", name, running, fleet, served, refused, s.Asked, s.Open, s.MostOpen,
-		float64(s.MostRequests)*float64(max(1, s.Asked))/float64(max(1, s.Requests)), peaks[0], anons[0], (cpu / time.Duration(max(1, served+refused))).Round(100*time.Nanosecond))
-	return stopAll()
+	requests := max(1, totals.served+totals.rejected)
+	fmt.Fprintf(w, "%s\t%d of %d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%s\t%s\t%v\t\n", name, running, fleet, totals.served, totals.rejected, s.Asked, s.Open, s.MostOpen,
+		float64(s.MostRequests)*float64(max(1, s.Asked))/float64(max(1, s.Requests)), totals.peak, totals.anonymous, (totals.cpu / time.Duration(requests)).Round(100*time.Nanosecond))
+	return nil
+}
+
+// readConnectionCounts returns what the nodes counted since the last call.
+func readConnectionCounts(control string) (s connectionCounts, err error) {
+	resp, err := http.Get("http://" + control + "/")
+	if err != nil {
+		return s, err
+	}
+	defer resp.Body.Close()
+	return s, json.NewDecoder(resp.Body).Decode(&s)
+}
+
+// loadDaemon sends requests to a daemon and adds the answers and its CPU time.
+func (t *largeFleetTotals) loadDaemon(c *child, address string, requests int) error {
+	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
+	defer client.CloseIdleConnections()
+	before, err := c.used()
+	if err != nil {
+		return err
+	}
+	var mu sync.Mutex
+	_, err = closedLoop(8, 0, requests, func(int, int) error {
+		resp, err := client.Get("http://" + address + "/")
+		if err != nil {
+			return err
+		}
+		defer resp.Body.Close()
+		_, _ = io.Copy(io.Discard, resp.Body) // a short answer from loopback
+		mu.Lock()
+		defer mu.Unlock()
+		switch resp.StatusCode {
+		case http.StatusOK:
+			t.served++
+		case http.StatusServiceUnavailable:
+			t.rejected++
+		default:
+			return fmt.Errorf("answered %s", resp.Status)
+		}
+		return nil
+	}, func() error { return nil })
+	after, usedErr := c.used()
+	t.cpu += after.CPU - before.CPU
+	return errors.Join(err, usedErr)
 }
 
 // serveCountingNodes are so many listeners in one process. The first address tells what they saw since it was last asked.
--- a/internal/measure/loadgen.go
+++ b/internal/measure/loadgen.go
@@ -14,18 +14,42 @@
 	"orchiddrift/internal/loadgen"
 )
 
-// Load prints what a request costs the load tool and a plain net/http client before an instant server, as fast as 64 connections go;
-// then how the tool's own lateness and CPU are at rates below its ceiling.
+// loadConnections is the number of connections of both clients.
+const loadConnections = 64
+
+// Load prints the cost of a request for the load generator and for a plain net/http client before an instant server, as fast as their
+// connections allow; then the load generator's own delay and CPU time at rates below its ceiling.
 func Load(o Options) error {
 	var address string
 	server, err := startChild(childRole{Part: "instant"}, &address)
 	if err != nil {
 		return err
 	}
-	const connections = 64
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: connections}}
-	defer client.CloseIdleConnections()
-	ask := func(int, int) error {
+	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	err = printLoadCost(w, o, address)
+	if err == nil {
+		err = printLoadDelay(w, address)
+	}
+	return errors.Join(err, server.stop())
+}
+
+// runLoad sends about so many requests at a rate by the load generator; an answer other than OK is an error.
+func runLoad(address string, rate float64, calls int) (*loadgen.Result, error) {
+	length := time.Duration(float64(calls) / rate * float64(time.Second))
+	r, err := loadgen.Run(context.Background(), loadgen.Options{Target: "http://" + address, Connections: loadConnections, Timeout: 5 * time.Second, Seed: 1,
+		Phases:  []loadgen.Phase{{Rate: rate, For: length}},
+		Classes: []loadgen.Class{{Name: "get", Share: 1, Method: http.MethodGet, Path: "/"}}}, loadgen.Observers{})
+	if err == nil && r.Total().Outcomes[loadgen.OK] != r.Total().Requests {
+		err = fmt.Errorf("%v of %d", r.Total().Outcomes, r.Total().Requests)
+	}
+	return r, err
+}
+
+// plainClientRound returns the cost of a request and the requests per second of a net/http client.
+func plainClientRound(client *http.Client, address string, calls int) (f Figures, rate float64, err error) {
+	var before usage
+	var started time.Time
+	latencies, err := closedLoop(loadConnections, calls/5, calls, func(int, int) error {
 		resp, err := client.Get("http://" + address + "/")
 		if err != nil {
 			return err
@@ -33,60 +57,67 @@
 		defer resp.Body.Close()
 		_, err = io.Copy(io.Discard, resp.Body)
 		return err
+	}, func() error { before, started = currentUsage(), time.Now(); return nil })
+	if err != nil {
+		return f, 0, err
 	}
-	tool := func(rate float64, calls int) (*loadgen.Result, error) {
-		r, err := loadgen.Run(context.Background(), loadgen.Options{Target: "http://" + address, Connections: connections, Timeout: 5 * time.Second, Seed: 1,
-			Phases: []loadgen.Phase{{Rate: rate, For: time.Duration(float64(calls) / rate * float64(time.Second))}}, Classes: []loadgen.Class{{Name: "get", Share: 1, Method: "GET", Path: "/"}}}, loadgen.Observers{})
-		if err == nil && r.Total().Outcomes[loadgen.OK] != r.Total().Requests {
-			err = fmt.Errorf("%v of %d", r.Total().Outcomes, r.Total().Requests)
-		}
-		return r, err
+	return figures(before, currentUsage(), latencies), float64(len(latencies)) / time.Since(started).Seconds(), nil
+}
+
+// loadRound returns the same of the load generator, at a rate above what it reaches.
+func loadRound(address string, calls int) (f Figures, rate float64, err error) {
+	before := currentUsage()
+	r, err := runLoad(address, 1e6, calls)
+	if err != nil {
+		return f, 0, err
 	}
-	var plain, own []Figures
-	var rates, plainRates []float64
+	return figures(before, currentUsage(), make([]time.Duration, r.Total().Attempts)), float64(r.Total().Requests) / r.Took.Seconds(), nil
+}
+
+func printLoadCost(w *tabwriter.Writer, o Options, address string) error {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: loadConnections}}
+	defer client.CloseIdleConnections()
+	var plain, load []Figures
+	var plainRates, loadRates []float64
 	for range o.Rounds {
-		var before usage
-		var begun time.Time
-		took, err := closedLoop(connections, o.Calls/5, o.Calls, ask, func() error { before, begun = currentUsage(), time.Now(); return nil })
+		f, rate, err := plainClientRound(client, address, o.Calls)
 		if err != nil {
-			return errors.Join(err, server.stop())
+			return err
 		}
-		plain, plainRates = append(plain, figures(before, currentUsage(), took)), append(plainRates, float64(len(took))/time.Since(begun).Seconds())
-		before = currentUsage()
-		r, err := tool(1e6, o.Calls)
-		if err != nil {
-			return errors.Join(err, server.stop())
+		plain, plainRates = append(plain, f), append(plainRates, rate)
+		if f, rate, err = loadRound(address, o.Calls); err != nil {
+			return err
 		}
-		own, rates = append(own, figures(before, currentUsage(), make([]time.Duration, r.Total().Attempts))), append(rates, float64(r.Total().Requests)/r.Took.Seconds())
+		load, loadRates = append(load, f), append(loadRates, rate)
 	}
 	same := func(x float64) float64 { return x }
-	a, b := median(plain), median(own)
-	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	a, b := median(plain), median(load)
 	fmt.Fprintln(w, "client\tCPU a request\tallocations\trequests a second\tCPU ratio\t")
 	fmt.Fprintf(w, "net/http\t%v\t%.0f\t%.0f\t%.2f\t\n", a.CPU.Round(100*time.Nanosecond), a.Mallocs, medianBy(plainRates, same), 1.0)
-	fmt.Fprintf(w, "load\t%v\t%.0f\t%.0f\t%.2f\t\n", b.CPU.Round(100*time.Nanosecond), b.Mallocs, medianBy(rates, same), float64(b.CPU)/float64(a.CPU))
-	if err := w.Flush(); err != nil {
-		return errors.Join(err, server.stop())
-	}
+	fmt.Fprintf(w, "load\t%v\t%.0f\t%.0f\t%.2f\t\n", b.CPU.Round(100*time.Nanosecond), b.Mallocs, medianBy(loadRates, same), float64(b.CPU)/float64(a.CPU))
+	return w.Flush()
+}
+
+func printLoadDelay(w *tabwriter.Writer, address string) error {
 	fmt.Fprintln(w, "\nrate\tCPU a request\tlate by itself p99\tp50\tp99\tits word\t")
 	for _, rate := range []float64{100, 1000, 10_000, 50_000, 1_000_000} {
-		r, err := tool(rate, int(max(rate, 1000)))
+		r, err := runLoad(address, rate, int(max(rate, 1000)))
 		if err != nil {
-			return errors.Join(err, server.stop())
+			return err
 		}
 		s := r.Summary()
 		all := s.Classes[len(s.Classes)-1]
-		word := "the server's figures"
+		limit := "the server's figures"
 		if len(s.Limits) > 0 {
-			word = s.Limits[0]
+			limit = s.Limits[0]
 		}
-		fmt.Fprintf(w, "%s\t%v\t%d us\t%d us\t%d us\t%s\t\n", strconv.FormatFloat(rate, 'f', 0, 64), (r.CPU / time.Duration(max(all.Attempts, 1))).Round(100*time.Nanosecond), s.SendDelayP99,
-			all.Latency["p50"], all.Latency["p99"], word)
+		fmt.Fprintf(w, "%s\t%v\t%d us\t%d us\t%d us\t%s\t\n", strconv.FormatFloat(rate, 'f', 0, 64),
+			(r.CPU / time.Duration(max(all.Attempts, 1))).Round(100*time.Nanosecond), s.SendDelayP99, all.Latency["p50"], all.Latency["p99"], limit)
 	}
-	return errors.Join(w.Flush(), server.stop())
+	return w.Flush()
 }
 
-// serveInstant is a server that answers at once.
+// serveInstant runs a server that answers at once.
 func serveInstant() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
