--- a/internal/measure/admission.go
+++ b/internal/measure/admission.go
@@ -29,7 +29,7 @@
 		ConnectTimeout: time.Second, Tick: time.Millisecond}
 }
 
-// admissionVariant is a kind of gate by name.
+// admissionVariant is a named admission control.
 type admissionVariant struct {
 	name string
 	make func(seed uint64) admissionsim.AdmissionControl
@@ -46,9 +46,11 @@
 	}
 }
 
-const fixedLimit = 48 // of the fixed limits beside: twice the nodes
+// fixedLimit is the concurrency limit of the fixed variants: twice the number of nodes.
+const fixedLimit = 48
 
-// queueVariants are ours and those beside it, all but the first two with one fixed limit, so that the order alone differs.
+// queueVariants are package admission and other queue disciplines. All but the first and the last have one fixed limit, so that only the
+// order differs.
 var queueVariants = []admissionVariant{
 	{"no door", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(1<<30), 1<<30)
@@ -72,7 +74,7 @@
 	{"door", newAdmissionQueue(nil)},
 }
 
-// limitVariants are ours and those beside it, all with one principal.
+// limitVariants are package admission and other concurrency limits, all with one tenant.
 var limitVariants = []admissionVariant{
 	{"fixed at 48", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(fixedLimit), 256)
@@ -104,7 +106,7 @@
 		Length: admissionRunLength, Seed: seed}
 }
 
-// Admission prints what disciplines at the door, limits and repeats come to, in virtual time with the real module.
+// Admission prints comparisons of queue disciplines, cost hints, concurrency limits and client retries, in virtual time.
 func Admission(o Options) error {
 	for _, part := range []func(io.Writer, int) error{printFairness, printCostHints, printLimits, printRetryStorm} {
 		if err := part(o.Out, o.Rounds); err != nil {
@@ -115,7 +117,7 @@
 	return nil
 }
 
-// eachSeed plays a gate with some seeds, on all cores, and returns what became of them in their order.
+// eachSeed plays a run for each seed from 1 to rounds on all cores, and returns the results in this order.
 func eachSeed(rounds int, play func(seed uint64) (*admissionsim.Result, error)) ([]*admissionsim.Result, error) {
 	out := make([]*admissionsim.Result, rounds)
 	var g errgroup.Group
@@ -133,7 +135,7 @@
 	return medianBy(results, of)
 }
 
-// medianBy is the median of a figure.
+// medianBy returns the median of a figure.
 func medianBy[T any](of []T, figure func(T) float64) float64 {
 	x := make([]float64, len(of))
 	for i, v := range of {
@@ -143,7 +145,7 @@
 	return x[len(x)/2]
 }
 
-// fractionInTime is the mean share in time of the first n clients.
+// fractionInTime returns the fraction of the requests of the first n clients that were answered within the objective.
 func fractionInTime(r *admissionsim.Result, n int) float64 {
 	in, first := 0, 0
 	for _, c := range r.Clients[:n] {
@@ -159,7 +161,7 @@
 	return x
 }
 
-// printFairness is the wish's own case, and equal demand above capacity.
+// printFairness compares the disciplines under a flooding client, and under equal demand above the capacity.
 func printFairness(out io.Writer, rounds int) error {
 	flood := append(tenants(tenantCount, 20), admissionsim.Client{Group: "script", Class: "search", MeanServiceTime: admissionServiceTime, ClosedLoops: 400,
 		Rate: 1200.0 / (tenantCount + 1) * 50, MaxAttempts: 3})
@@ -212,14 +214,14 @@
 }
 
 func reservationsKept(r *admissionsim.Result) float64 {
-	told, kept := 0, 0
+	returned, served := 0, 0
 	for _, c := range r.Clients {
-		told, kept = told+c.ReservedReturns, kept+c.ReservedServed
+		returned, served = returned+c.ReservedReturns, served+c.ReservedServed
 	}
-	return float64(kept) / float64(max(1, told))
+	return float64(served) / float64(max(1, returned))
 }
 
-// printCostHints is whether a false hint pays: ten clients that say what it costs, one that says a tenth, one ten times that.
+// printCostHints prints whether a false cost hint pays: ten clients hint the true cost, one a tenth of it, one ten times as much.
 func printCostHints(out io.Writer, rounds int) error {
 	var clients []admissionsim.Client
 	for i := range 12 {
@@ -251,7 +253,7 @@
 	return nil
 }
 
-// printLimits is the limits over a day: calm, three times too much, nodes slower by eight, and back.
+// printLimits compares the limits under low load, three times the capacity, and nodes that are eight times slower for ten seconds.
 func printLimits(out io.Writer, rounds int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "limit\tgoodput at 0.7\tat 3 times\tmean in hand\tp50 ms\tslower by 8, of what can be\tin hand\tback, of 3 times\ts to 0.9 of it\t")
@@ -313,7 +315,7 @@
 	return w.Flush()
 }
 
-// printRetryStorm is a storm: three times the load for ten seconds, from clients that try three times, then 0.7 of it again.
+// printRetryStorm compares the recovery from a retry storm: three times the load for ten seconds, then 0.7 of the capacity again.
 func printRetryStorm(out io.Writer, rounds int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "gate\tclients\tgoodput before\tin the storm\tafter\ts to 0.95 of before\ttries a request in the storm\tkept of promised\t")
@@ -325,9 +327,9 @@
 			more.Rate, more.From, more.To = 138, 10*time.Second, 20*time.Second
 			clients = append(clients, more)
 		}
-		who := "come back at once"
+		behavior := "come back at once"
 		if obeys {
-			who = "come back when told"
+			behavior = "come back when told"
 		}
 		for _, g := range []admissionVariant{queueVariants[0], queueVariants[1], queueVariants[len(queueVariants)-1]} {
 			all, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
@@ -346,7 +348,7 @@
 				return sum / float64(to-from)
 			}
 			before := medianOf(all, func(r *admissionsim.Result) float64 { return at(r, 2, 10) })
-			fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.3f\t\n", g.name, who, before,
+			fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.3f\t\n", g.name, behavior, before,
 				medianOf(all, func(r *admissionsim.Result) float64 { return at(r, 11, 20) }),
 				medianOf(all, func(r *admissionsim.Result) float64 { return at(r, 22, 30) }),
 				medianOf(all, func(r *admissionsim.Result) float64 {
--- a/internal/measure/childprocess.go
+++ b/internal/measure/childprocess.go
@@ -1,7 +1,3 @@
-// Package measure holds the fronts beside named peers: the daemon beside net/http/httputil.ReverseProxy, the plug-in beside
-// grpc-go's own balancers, on the same stand-in nodes in one run. Nodes, proxies and gRPC clients are processes of their
-// own, so that each one's CPU is its own. docs/design/measurement.md tells what is measured and what came of it;
-// cmd/measure prints the tables.
 package measure
 
 import (
@@ -12,32 +8,21 @@
 	"fmt"
 	"io"
 	"log"
-	"math/rand/v2"
 	"net"
-	"net/http"
-	"net/http/httputil"
-	"net/url"
 	"os"
 	"os/exec"
 	"runtime"
-	"runtime/debug"
-	"slices"
-	"sync"
 	"syscall"
 	"time"
 
-	"orchiddrift/balancer"
 	"orchiddrift/internal/config"
 	"orchiddrift/internal/daemon"
-	"orchiddrift/internal/endpoints"
-	"orchiddrift/internal/fakes"
-	"orchiddrift/internal/settings"
 )
 
-// childRoleVariable makes the program play one of its parts.
+// childRoleVariable is the environment variable that makes the program run as a child process.
 const childRoleVariable = "ORCHIDDRIFT_MEASURE"
 
-// childRole is what a child process is told.
+// childRole tells a child process what to run. It is passed as JSON in childRoleVariable.
 type childRole struct {
 	Part      string        // "nodes", "daemon", "reverseproxy", "client"
 	Nodes     int           `json:",omitempty"`
@@ -56,14 +41,15 @@
 	Routes    int           `json:",omitempty"` // of a daemon by an operator's file
 }
 
-// usage is what a process has used so far.
+// usage is the resource use of a process since its start.
 type usage struct {
 	CPU     time.Duration
 	Mallocs uint64
 	Bytes   uint64
 }
 
-// RunChild plays the part that the environment names, and tells whether there was one.
+// RunChild runs the role that the environment names until standard input ends, and reports whether there is one. Programs that measure call
+// it first.
 func RunChild() (bool, error) {
 	text := os.Getenv(childRoleVariable)
 	if text == "" {
@@ -106,7 +92,7 @@
 	return true, fmt.Errorf("no part %q", r.Part)
 }
 
-// answerUsage answers each line on standard input with the usage so far, until input ends.
+// answerUsage writes ready, then answers each line on standard input with the usage so far until the input ends.
 func answerUsage(ready any) error {
 	out := json.NewEncoder(os.Stdout)
 	if err := out.Encode(ready); err != nil {
@@ -145,6 +131,7 @@
 	return errors.Join(err, <-ended)
 }
 
+// currentUsage returns the usage of this process; zero if the system does not report it.
 func currentUsage() usage {
 	var r syscall.Rusage
 	var m runtime.MemStats
@@ -155,95 +142,14 @@
 	return usage{time.Duration(r.Utime.Nano() + r.Stime.Nano()), m.Mallocs, m.TotalAlloc}
 }
 
-func (r childRole) serveNodes() error {
-	var addresses []string
-	ledger := fakes.NewLedger()
-	ledger.CountOnly = true
-	for i := range r.Nodes {
-		o := fakes.NodeOptions{Name: fmt.Sprint("n", i), Cores: 64, Work: r.Work, Ledger: ledger, Seed: uint64(i), Orca: r.GRPC}
-		if r.Slow > 0 && i%10 == 0 {
-			o.Faults = []fakes.Fault{{Kind: fakes.Slow, Factor: r.Slow}}
-		}
-		if r.GRPC {
-			o.Answer = func(fakes.Job) []byte { return []byte{10, 2, 'o', 'k'} } // a StringValue
-		}
-		if r.Answer != "" {
-			o.Answer = func(fakes.Job) []byte { return []byte(r.Answer) }
-		}
-		n := fakes.NewNode(o)
-		defer n.Close()
-		listen := n.ListenHTTP
-		if r.GRPC {
-			listen = n.ListenGRPC
-		}
-		address, err := listen("127.0.0.1:0")
-		if err != nil {
-			return err
-		}
-		addresses = append(addresses, address)
-	}
-	return answerUsage(addresses)
-}
-
-// balancerSettings are the same for both fronts.
-func balancerSettings() balancer.Settings {
-	return balancer.Settings{Zone: "a", FleetSize: 1, Tick: 5 * time.Millisecond, MaxAttempts: 5, HedgingAllowed: true,
-		CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: time.Second, ConnectTimeout: time.Second,
-		Classes: []balancer.Class{{Name: "search", Idempotency: balancer.Idempotent, LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, LateValueFraction: 0.5}}}
-}
-
-func (r childRole) serveProxy() error {
-	debug.SetGCPercent(r.GC) // the same for both: what the daemon does with more memory is no merit of its code
-	l, err := net.Listen("tcp", r.Listen)
-	if err != nil {
-		return err
-	}
-	switch {
-	case (r.Dir != "" || r.Routes > 0) && r.Part == "daemon":
-		return r.serveFileDaemon(l)
-	case r.Dir != "":
-		return r.serveTLSProxy(l)
-	}
-	if r.Part == "daemon" {
-		known := &endpoints.List{Index: new(int64), Snapshot: true}
-		for i, address := range r.Addresses {
-			known.Endpoints = append(known.Endpoints, endpoints.Endpoint{Name: fmt.Sprint("n", i), Address: address, Zone: "a",
-				Status: endpoints.StatusReady})
-		}
-		c := &config.Config{Listen: r.Listen, Discovery: "127.0.0.1:1", Seed: 1, CachedEndpoints: known,
-			Limits:   config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
-			Settings: settings.Settings{Settings: balancerSettings(), ConnIdleTimeout: 30 * time.Second}}
-		ctx, cancel := context.WithCancel(context.Background())
-		ended := make(chan error, 1)
-		go func() { ended <- daemon.Serve(ctx, c, l, "", nil, nil) }()
-		err = answerUsage(l.Addr().String())
-		cancel()
-		return errors.Join(err, <-ended)
-	}
-	var targets []*url.URL
-	for _, address := range r.Addresses {
-		targets = append(targets, &url.URL{Scheme: "http", Host: address})
-	}
-	proxy := &httputil.ReverseProxy{
-		Rewrite:   func(p *httputil.ProxyRequest) { p.SetURL(targets[rand.IntN(len(targets))]) },
-		Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true},
-	}
-	srv := &http.Server{Handler: proxy, ReadHeaderTimeout: 10 * time.Second}
-	ended := make(chan error, 1)
-	go func() { ended <- srv.Serve(l) }()
-	err = answerUsage(l.Addr().String())
-	srv.Close()
-	<-ended
-	return err
-}
-
-// child is a process that plays a part.
+// child is a process that runs a childRole.
 type child struct {
 	cmd *exec.Cmd
 	in  io.WriteCloser
 	out *json.Decoder
 }
 
+// startChild starts this program as a child process and decodes its first message, once it serves, into ready.
 func startChild(r childRole, ready any) (*child, error) {
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -273,7 +179,7 @@
 	return c, nil
 }
 
-// used asks for the usage so far.
+// used returns the usage so far.
 func (c *child) used() (u usage, err error) {
 	if _, err = io.WriteString(c.in, "\n"); err == nil {
 		err = c.out.Decode(&u)
@@ -281,84 +187,8 @@
 	return u, err
 }
 
+// stop ends the standard input of the process and waits for its end.
 func (c *child) stop() error {
 	c.in.Close()
 	return c.cmd.Wait()
 }
-
-// closedLoop has workers ask again and again, and returns how long each answer took after the warm ones.
-func closedLoop(workers, warm, calls int, ask func(worker, n int) error, between func() error) ([]time.Duration, error) {
-	run := func(calls int, keep bool) ([]time.Duration, error) {
-		var mu sync.Mutex
-		var took []time.Duration
-		var first error
-		var wg sync.WaitGroup
-		for w := range workers {
-			wg.Go(func() {
-				mine := make([]time.Duration, 0, calls/workers+1)
-				for n := range calls / workers {
-					begun := time.Now()
-					if err := ask(w, n); err != nil {
-						mu.Lock()
-						first = err
-						mu.Unlock()
-						return
-					}
-					mine = append(mine, time.Since(begun))
-				}
-				mu.Lock()
-				defer mu.Unlock()
-				if keep {
-					took = append(took, mine...)
-				}
-			})
-		}
-		wg.Wait()
-		return took, first
-	}
-	if _, err := run(warm, false); err != nil {
-		return nil, err
-	}
-	if err := between(); err != nil {
-		return nil, err
-	}
-	took, err := run(calls, true)
-	slices.Sort(took)
-	return took, err
-}
-
-func sortedQuantile(sorted []time.Duration, p float64) time.Duration {
-	if len(sorted) == 0 {
-		return 0
-	}
-	return sorted[min(len(sorted)-1, int(p*float64(len(sorted))))]
-}
-
-// Figures are what one peer did in one run.
-type Figures struct {
-	CPU      time.Duration // a request
-	Mallocs  float64       // a request
-	P50, P99 time.Duration
-}
-
-func figures(before, after usage, took []time.Duration) Figures {
-	n := float64(max(1, len(took)))
-	return Figures{time.Duration(float64(after.CPU-before.CPU) / n), float64(after.Mallocs-before.Mallocs) / n,
-		sortedQuantile(took, 0.5), sortedQuantile(took, 0.99)}
-}
-
-// median is the median of each figure by itself.
-func median(all []Figures) Figures {
-	pick := func(of func(Figures) float64) float64 {
-		values := make([]float64, 0, len(all))
-		for _, f := range all {
-			values = append(values, of(f))
-		}
-		slices.Sort(values)
-		return values[len(values)/2]
-	}
-	return Figures{time.Duration(pick(func(f Figures) float64 { return float64(f.CPU) })),
-		pick(func(f Figures) float64 { return f.Mallocs }),
-		time.Duration(pick(func(f Figures) float64 { return float64(f.P50) })),
-		time.Duration(pick(func(f Figures) float64 { return float64(f.P99) }))}
-}
--- a/internal/measure/fairness.go
+++ b/internal/measure/fairness.go
@@ -68,8 +68,8 @@
 
 func (t *clientCounts) share() float64 { return float64(t.inTime) / float64(max(1, t.requests)) }
 
-// TenantFairness prints, on sockets through the daemon, what 20 counters get beside a script that floods: with a door, behind one
-// queue (a door that takes everybody for one), and with none, in turn.
+// TenantFairness prints the answers that 20 tenants get beside a flooding script through a daemon process: with a fair admission queue, with
+// one queue for all clients, and without admission control, in turn.
 func TenantFairness(o Options) error {
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "door\tcounters in time\tof alone\tp50 ms\tp99 ms\tscript's answers in time a second\tJain, 20 x 2.5 times their share\tcame when promised\tof them served\tmost resident\tCPU of a core\t")
@@ -274,7 +274,7 @@
 	return answerUsage(addresses)
 }
 
-// serveFairnessDaemon is a daemon with the door that Policy names.
+// serveFairnessDaemon runs a daemon with the admission queue that Policy names.
 func (r childRole) serveFairnessDaemon() error {
 	text := fmt.Appendf(nil, `
 [daemon]
--- a/internal/measure/idempotency.go
+++ b/internal/measure/idempotency.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	var etcd string // the stand-in: it syncs nothing
+	var etcd string // a fake, which syncs nothing to disk
 	shared, err := startChild(childRole{Part: "etcd"}, &etcd)
 	if err != nil {
 		return errors.Join(err, nodes.stop())
@@ -137,7 +137,7 @@
 	return serveDaemonFile([]byte(text))
 }
 
-// serveEtcd is the stand-in of a shared store.
+// serveEtcd runs the fake of a shared store.
 func serveEtcd() error {
 	e := fakes.NewEtcd(fakes.EtcdOptions{})
 	at, err := e.Start()
--- a/internal/measure/repeated.go
+++ b/internal/measure/repeated.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// repeatDuration is how long measureRepeated goes on for.
+// repeatDuration is the time for which measureRepeated repeats.
 const repeatDuration = time.Second
 
-// measureRepeated runs do again and again, and returns what a run takes, and allocates. Nothing else may run beside it.
+// measureRepeated calls do for repeatDuration, and returns the time, bytes and allocations of a call. Nothing else may run at the same time.
 func measureRepeated(do func()) (ns, bytes, allocations uint64) {
-	do() // what is made once
+	do() // excludes one-time allocations
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/internal/measure/tls.go
+++ b/internal/measure/tls.go
@@ -21,7 +21,7 @@
 	"orchiddrift/internal/fakes"
 )
 
-// TLS prints the daemon beside ReverseProxy with the same certificates on both sides, and the same nodes: kept
+// TLS prints the daemon beside ReverseProxy with the same certificates on both sides, and the same nodes: keep-alive
 // connections, then a new connection for each request.
 func TLS(o Options) (err error) {
 	dir, err := os.MkdirTemp("", "orchiddrift-measure-")
