--- a/internal/demo/clients.go
+++ b/internal/demo/clients.go
@@ -25,15 +25,15 @@
 	"orchiddrift/internal/settings"
 )
 
-// front is a way to get a request answered: inTime stands for served, in whatever time.
-type front interface {
-	ask(ctx context.Context, r request) result
-	view() []balancer.UpstreamView // nil where nothing is estimated
+// balancedClient sends requests through a load balancing strategy. do returns inTime for every request that was served, however late.
+type balancedClient interface {
+	do(ctx context.Context, r request) result
+	view() []balancer.UpstreamView // nil without estimates
 	close() error
 }
 
-// daemonFront is the sidecar daemon in this process, asked over its listener.
-type daemonFront struct {
+// daemonClient runs the sidecar daemon in this process and sends to its listener.
+type daemonClient struct {
 	address string
 	client  *http.Client
 	engine  *engine.Engine
@@ -41,26 +41,26 @@
 	ended   chan error
 }
 
-func newDaemon(f *fleet, seed uint64) (*daemonFront, error) {
+func newDaemonClient(f *fleet, seed uint64) (*daemonClient, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	c := &config.Config{Name: "demo", Listen: l.Addr().String(), Discovery: f.discovery.Address(), Seed: seed,
 		CachedEndpoints: f.discovery.Listing(), Limits: config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
-		Settings: settings.Settings{Settings: moduleSettings(), ConnIdleTimeout: 15 * time.Second}}
+		Settings: settings.Settings{Settings: balancerSettings(), ConnIdleTimeout: 15 * time.Second}}
 	ctx, cancel := context.WithCancel(context.Background())
-	d := &daemonFront{address: l.Addr().String(), stop: cancel, ended: make(chan error, 1), client: newClient()}
-	log.SetOutput(io.Discard) // the table tells
-	looked := make(chan struct{})
+	d := &daemonClient{address: l.Addr().String(), stop: cancel, ended: make(chan error, 1), client: newClient()}
+	log.SetOutput(io.Discard) // the table shows the state instead
+	started := make(chan struct{})
 	go func() {
 		d.ended <- daemon.Serve(ctx, c, l, "", nil, func(e *engine.Engine) {
 			d.engine = e
-			close(looked)
+			close(started)
 		})
 	}()
 	select {
-	case <-looked:
+	case <-started:
 		return d, nil
 	case err := <-d.ended:
 		cancel()
@@ -72,8 +72,8 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, DisableCompression: true}}
 }
 
-func (d *daemonFront) ask(ctx context.Context, r request) result {
-	status, err := askHTTP(ctx, d.client, d.address, r)
+func (d *daemonClient) do(ctx context.Context, r request) result {
+	status, err := sendHTTP(ctx, d.client, d.address, r)
 	switch {
 	case err != nil:
 		return failed
@@ -85,18 +85,18 @@
 	return failed
 }
 
-func (d *daemonFront) view() []balancer.UpstreamView { return d.engine.View() }
+func (d *daemonClient) view() []balancer.UpstreamView { return d.engine.View() }
 
-func (d *daemonFront) close() error {
+func (d *daemonClient) close() error {
 	d.client.CloseIdleConnections()
 	d.stop()
 	return <-d.ended
 }
 
-// askHTTP makes one request, and gives the status; with the platform's mark on it, http.StatusTooManyRequests.
-func askHTTP(ctx context.Context, client *http.Client, address string, r request) (int, error) {
+// sendHTTP sends a request and returns the status; http.StatusTooManyRequests if the node marked the request as not processed.
+func sendHTTP(ctx context.Context, client *http.Client, address string, r request) (int, error) {
 	method := http.MethodPost
-	if r.class.effect == balancer.Idempotent {
+	if r.class.idempotency == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+"/"+r.class.name+"/"+r.id, http.NoBody)
@@ -104,8 +104,8 @@
 		return 0, err
 	}
 	req.Header.Set("X-Request-ID", r.id)
-	req.Header.Set("X-Cost", strconv.FormatInt(r.work.Microseconds(), 10))
-	if r.class.effect == balancer.IdempotentWithKey {
+	req.Header.Set("X-Cost", strconv.FormatInt(r.serviceTime.Microseconds(), 10))
+	if r.class.idempotency == balancer.IdempotentWithKey {
 		req.Header.Set("Idempotency-Key", r.key)
 	}
 	resp, err := client.Do(req)
@@ -122,17 +122,17 @@
 	return resp.StatusCode, nil
 }
 
-// pluginFront is the plug-in in this process.
-type pluginFront struct {
+// grpcClient sends by a connection with the gRPC balancer.
+type grpcClient struct {
 	plugin *grpcbalancer.Plugin
 	conn   *grpc.ClientConn
 }
 
 const methodPrefix = "/booking.Seats/"
 
-func newPlugin(f *fleet, seed uint64) (*pluginFront, error) {
+func newGRPCClient(f *fleet, seed uint64) (*grpcClient, error) {
 	l := f.discovery.Listing()
-	o := grpcbalancer.Options{Settings: moduleSettings(), Seed: seed, Discovery: f.discovery.Address(), Version: *l.Index,
+	o := grpcbalancer.Options{Settings: balancerSettings(), Seed: seed, Discovery: f.discovery.Address(), Version: *l.Index,
 		Methods: map[string]string{}}
 	for _, c := range classes {
 		o.Methods[methodPrefix+c.name] = c.name
@@ -149,11 +149,11 @@
 		p.Close()
 		return nil, err
 	}
-	return &pluginFront{p, conn}, nil
+	return &grpcClient{p, conn}, nil
 }
 
-func (p *pluginFront) ask(ctx context.Context, r request) result {
-	err := askGRPC(ctx, p.conn, r)
+func (p *grpcClient) do(ctx context.Context, r request) result {
+	err := sendGRPC(ctx, p.conn, r)
 	switch {
 	case err == nil:
 		return inTime
@@ -163,32 +163,32 @@
 	return failed
 }
 
-func (p *pluginFront) view() []balancer.UpstreamView { return p.plugin.Upstreams() }
+func (p *grpcClient) view() []balancer.UpstreamView { return p.plugin.Upstreams() }
 
-func (p *pluginFront) close() error {
+func (p *grpcClient) close() error {
 	err := p.conn.Close()
 	p.plugin.Close()
 	return err
 }
 
-func askGRPC(ctx context.Context, conn *grpc.ClientConn, r request) error {
+func sendGRPC(ctx context.Context, conn *grpc.ClientConn, r request) error {
 	ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.RequestIDKey, r.id, grpcbalancer.CostKey,
-		strconv.FormatInt(r.work.Microseconds(), 10))
-	if r.class.effect == balancer.IdempotentWithKey {
+		strconv.FormatInt(r.serviceTime.Microseconds(), 10))
+	if r.class.idempotency == balancer.IdempotentWithKey {
 		ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.IdempotencyKey, r.key)
 	}
 	return conn.Invoke(ctx, methodPrefix+r.class.name, wrapperspb.String(r.id), &wrapperspb.StringValue{})
 }
 
-// picks draws listed nodes by chance, as a client without a balancer would. It hears of the list at once.
-type picks struct {
-	f   *fleet
-	mu  sync.Mutex
-	rng *rand.Rand
+// randomChoice picks ready nodes at random, as a client without a balancer would. It sees changes of the endpoint list at once.
+type randomChoice struct {
+	fleet *fleet
+	mu    sync.Mutex
+	rng   *rand.Rand
 }
 
-func (p *picks) draw() (name, address string) {
-	listed := p.f.listed()
+func (p *randomChoice) draw() (name, address string) {
+	listed := p.fleet.readyNodes()
 	names := make([]string, 0, len(listed))
 	for name := range listed {
 		names = append(names, name)
@@ -203,19 +203,19 @@
 	return name, listed[name]
 }
 
-// randomHTTP is plain random choice over HTTP: one attempt, and what was turned away is refused.
+// randomHTTP is plain random choice over HTTP with one attempt for each request.
 type randomHTTP struct {
-	picks
+	randomChoice
 	client *http.Client
 }
 
 func newRandomHTTP(f *fleet, seed uint64) *randomHTTP {
-	return &randomHTTP{picks{f: f, rng: rand.New(rand.NewPCG(seed, 3))}, newClient()}
+	return &randomHTTP{randomChoice{fleet: f, rng: rand.New(rand.NewPCG(seed, 3))}, newClient()}
 }
 
-func (h *randomHTTP) ask(ctx context.Context, r request) result {
+func (h *randomHTTP) do(ctx context.Context, r request) result {
 	_, address := h.draw()
-	status, err := askHTTP(ctx, h.client, address, r)
+	status, err := sendHTTP(ctx, h.client, address, r)
 	switch {
 	case err != nil:
 		return failed
@@ -236,16 +236,16 @@
 
 // randomGRPC is the same over gRPC, with a ClientConn for each node.
 type randomGRPC struct {
-	picks
+	randomChoice
 	connMu sync.Mutex
 	conns  map[string]*grpc.ClientConn
 }
 
 func newRandomGRPC(f *fleet, seed uint64) *randomGRPC {
-	return &randomGRPC{picks: picks{f: f, rng: rand.New(rand.NewPCG(seed, 3))}, conns: map[string]*grpc.ClientConn{}}
+	return &randomGRPC{randomChoice: randomChoice{fleet: f, rng: rand.New(rand.NewPCG(seed, 3))}, conns: map[string]*grpc.ClientConn{}}
 }
 
-func (g *randomGRPC) ask(ctx context.Context, r request) result {
+func (g *randomGRPC) do(ctx context.Context, r request) result {
 	name, address := g.draw()
 	g.connMu.Lock()
 	conn := g.conns[name]
@@ -260,7 +260,7 @@
 	g.connMu.Unlock()
 	var trailer metadata.MD
 	ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.RequestIDKey, r.id, grpcbalancer.CostKey,
-		strconv.FormatInt(r.work.Microseconds(), 10))
+		strconv.FormatInt(r.serviceTime.Microseconds(), 10))
 	err := conn.Invoke(ctx, methodPrefix+r.class.name, wrapperspb.String(r.id), &wrapperspb.StringValue{}, grpc.Trailer(&trailer))
 	switch {
 	case err == nil:
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,7 +1,3 @@
-// Package demo shows the main job with nothing to prepare: a fleet of stand-in nodes, their discovery, a front with the real
-// module, and a client load, all in one process on loopback. While it plays, a node turns slow, others freeze, and half
-// of the fleet is deployed anew. Beside it, in the same run, plain random choice meets the same script, arrivals and
-// seeds on a fleet of its own.
 package demo
 
 import (
@@ -14,41 +10,41 @@
 	"orchiddrift/balancer"
 )
 
-// Options are a demo's parameters.
+// Options are the parameters of a demo.
 type Options struct {
-	For   time.Duration // how long it plays
+	For   time.Duration // duration of the demo
 	Front string        // "daemon" or "grpc"
-	Rate  float64       // requests a second, for each of the two
+	Rate  float64       // requests per second, for each of the two contenders
 	Seed  uint64
 	Out   io.Writer
-	Live  bool // Out is a terminal: draw one table over and over
+	Live  bool // Out is a terminal: redraw one table instead of adding lines
 }
 
 const (
-	shortest = 2 * time.Second
-	longest  = time.Hour
-	mostRate = 2000.0
+	minDuration = 2 * time.Second
+	maxDuration = time.Hour
+	maxRate     = 2000.0
 )
 
 func (o *Options) check() error {
 	switch {
-	case o.For < shortest || o.For > longest:
-		return fmt.Errorf("for: %v is not between %v and %v", o.For, shortest, longest)
+	case o.For < minDuration || o.For > maxDuration:
+		return fmt.Errorf("for: %v is not between %v and %v", o.For, minDuration, maxDuration)
 	case o.Front != "daemon" && o.Front != "grpc":
 		return fmt.Errorf("front: %q is neither daemon nor grpc", o.Front)
-	case !(o.Rate >= 1 && o.Rate <= mostRate):
-		return fmt.Errorf("rate: %v is not between 1 and %v", o.Rate, mostRate)
+	case !(o.Rate >= 1 && o.Rate <= maxRate):
+		return fmt.Errorf("rate: %v is not between 1 and %v", o.Rate, maxRate)
 	}
 	return nil
 }
 
-// class is what the clients ask for.
+// class is a class of requests.
 type class struct {
-	name   string
-	effect balancer.Idempotency
-	share  float64
-	aim    time.Duration
-	limit  time.Duration
+	name             string
+	idempotency      balancer.Idempotency
+	share            float64
+	latencyObjective time.Duration
+	deadline         time.Duration
 }
 
 var classes = []class{
@@ -57,28 +53,28 @@
 	{"confirm-booking", balancer.NonIdempotent, 0.2, 400 * time.Millisecond, 2 * time.Second},
 }
 
-func moduleSettings() balancer.Settings {
+func balancerSettings() balancer.Settings {
 	s := balancer.Settings{Zone: "home", FleetSize: 1, Tick: 5 * time.Millisecond, MaxAttempts: 4, HedgingAllowed: true,
 		CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 500 * time.Millisecond, ConnectTimeout: 500 * time.Millisecond,
-		SlowStartMinCapacity: coldFrom, SlowStartWindow: warmUp, OverloadMultiple: fallMultiple, OverloadWindow: fallTime, WeightPerWork: true}
+		SlowStartMinCapacity: slowStartMinCapacity, SlowStartWindow: slowStartWindow, OverloadMultiple: overloadMultiple, OverloadWindow: overloadWindow, WeightPerWork: true}
 	for _, c := range classes {
-		s.Classes = append(s.Classes, balancer.Class{Name: c.name, Idempotency: c.effect, LatencyObjective: c.aim, Deadline: c.limit, PriorityWeight: 1,
+		s.Classes = append(s.Classes, balancer.Class{Name: c.name, Idempotency: c.idempotency, LatencyObjective: c.latencyObjective, Deadline: c.deadline, PriorityWeight: 1,
 			LateValueFraction: 0.5, DedupScope: balancer.ScopeAll, DedupWindow: 6 * time.Second})
 	}
 	return s
 }
 
-// Summary is what came of it.
+// Summary holds the results of both contenders.
 type Summary struct{ Ours, Random Count }
 
-// Run plays the demo. It ends early, without an error, when ctx does.
+// Run plays the demo and prints its progress and summary. The end of ctx ends it early, without an error.
 func Run(ctx context.Context, o Options) (Summary, error) {
 	if err := o.check(); err != nil {
 		return Summary{}, err
 	}
-	sides := map[string]*side{}
-	for _, name := range []string{ours, random} {
-		s, err := newSide(name, o)
+	sides := map[string]*contender{}
+	for _, name := range []string{ourName, randomName} {
+		s, err := newContender(name, o)
 		if err != nil {
 			return Summary{}, errors.Join(err, closeAll(sides))
 		}
@@ -94,20 +90,20 @@
 			done <- struct{}{}
 		}()
 	}
-	show(ctx, o, begun, sides[ours], sides[random])
+	printProgress(ctx, o, begun, sides[ourName], sides[randomName])
 	for range sides {
 		<-done
 	}
-	sum := Summary{sides[ours].load.total(), sides[random].load.total()}
+	sum := Summary{sides[ourName].load.total(), sides[randomName].load.total()}
 	err := closeAll(sides)
-	sum.Ours.Nodes, sum.Random.Nodes = sides[ours].fleet.outcome(), sides[random].fleet.outcome()
+	sum.Ours.Nodes, sum.Random.Nodes = sides[ourName].fleet.outcome(), sides[randomName].fleet.outcome()
 	if err == nil {
 		err = sum.write(o.Out, o)
 	}
 	return sum, err
 }
 
-func closeAll(sides map[string]*side) error {
+func closeAll(sides map[string]*contender) error {
 	var errs []error
 	for _, s := range sides {
 		errs = append(errs, s.close())
@@ -115,35 +111,35 @@
 	return errors.Join(errs...)
 }
 
-// The two sides.
+// The names of the contenders.
 const (
-	ours   = "orchiddrift"
-	random = "random choice"
+	ourName    = "orchiddrift"
+	randomName = "random choice"
 )
 
-// side is one way to balance, with a fleet and a load of its own.
-type side struct {
+// contender is a load balancing strategy with a fleet and a load of its own.
+type contender struct {
 	name  string
 	fleet *fleet
-	front front
+	front balancedClient
 	load  *load
 }
 
-func newSide(name string, o Options) (*side, error) {
+func newContender(name string, o Options) (*contender, error) {
 	f, err := newFleet(o)
 	if err != nil {
 		return nil, err
 	}
-	s := &side{name: name, fleet: f}
+	s := &contender{name: name, fleet: f}
 	switch {
-	case name == random && o.Front == "daemon":
+	case name == randomName && o.Front == "daemon":
 		s.front = newRandomHTTP(f, o.Seed)
-	case name == random:
+	case name == randomName:
 		s.front = newRandomGRPC(f, o.Seed)
 	case o.Front == "daemon":
-		s.front, err = newDaemon(f, o.Seed)
+		s.front, err = newDaemonClient(f, o.Seed)
 	default:
-		s.front, err = newPlugin(f, o.Seed)
+		s.front, err = newGRPCClient(f, o.Seed)
 	}
 	if err != nil {
 		f.close()
@@ -153,8 +149,8 @@
 	return s, nil
 }
 
-// play runs the script beside the load until ctx ends, and waits for what is in hand.
-func (s *side) play(ctx context.Context, begun time.Time) {
+// play runs the script beside the load until ctx ends, and waits for the requests in flight.
+func (s *contender) play(ctx context.Context, begun time.Time) {
 	script := make(chan struct{})
 	go func() {
 		s.fleet.play(ctx, begun)
@@ -164,7 +160,7 @@
 	<-script
 }
 
-func (s *side) close() error {
+func (s *contender) close() error {
 	err := s.front.close()
 	s.fleet.close()
 	return err
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -12,8 +12,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Guards against a demo that does not show what it says: both fronts play the whole script, answer nearly everything in
-// time, and leave nothing behind. That they do better than random choice is a matter of the machine, and not asserted.
+// Both protocol adapters play the complete script, answer at least half of the requests in time and leave no goroutine behind. The comparison
+// with random choice depends on the machine and is not asserted.
 func TestDemo(t *testing.T) {
 	for _, front := range []string{"daemon", "grpc"} {
 		var out bytes.Buffer
@@ -22,10 +22,10 @@
 			t.Fatal(err)
 		}
 		done := 0
-		for _, n := range sum.Ours.By {
+		for _, n := range sum.Ours.Results {
 			done += n
 		}
-		if sum.Ours.Asked < 100 || done != sum.Ours.Asked || sum.Ours.InTime() < 0.5 {
+		if sum.Ours.Requests < 100 || done != sum.Ours.Requests || sum.Ours.InTime() < 0.5 {
 			t.Errorf("%s: %+v", front, sum.Ours)
 		}
 		replaced := 0
@@ -37,7 +37,7 @@
 				t.Errorf("%s: %s was pushed over", front, name)
 			}
 		}
-		if replaced != size/2 {
+		if replaced != fleetSize/2 {
 			t.Errorf("%s: %d nodes were replaced", front, replaced)
 		}
 		for _, want := range []string{"all is well", "Summary: " + front, "random choice", "p99"} {
@@ -48,7 +48,7 @@
 	}
 }
 
-// Guards against a demo that can't be ended, and against a live table that does not draw.
+// A cancelled demo ends soon, and the live table is drawn.
 func TestDemoEndsEarly(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 600*time.Millisecond)
 	defer cancel()
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	size         = 8 // nodes
-	coldFrom     = 0.3
-	warmUp       = 4 * time.Second
-	fallMultiple = 3.0
-	fallTime     = 2 * time.Second
-	drainTime    = 800 * time.Millisecond // of a node that is replaced
-	cores        = 2
+	fleetSize            = 8 // nodes
+	slowStartMinCapacity = 0.3
+	slowStartWindow      = 4 * time.Second
+	overloadMultiple     = 3.0
+	overloadWindow       = 2 * time.Second
+	drainTime            = 800 * time.Millisecond // of a node that is replaced
+	cores                = 2
 )
 
-// kinds of machines, as a fleet that is half replaced has them.
-var kinds = []struct {
+// machineTypes are the types of machines of a fleet that is partly renewed, by their speed relative to the standard one.
+var machineTypes = []struct {
 	name  string
 	speed float64
 }{{"new-fast", 1.6}, {"standard", 1}, {"old-slow", 0.6}}
 
-// The script, as shares of the whole time.
+// The script, as fractions of the duration of the demo.
 const (
 	slowFrom, slowTo     = 0.15, 0.40
 	freezeFrom, freezeTo = 0.45, 0.65
@@ -39,7 +39,7 @@
 	freezeFor            = 300 * time.Millisecond
 )
 
-// phase says what goes on at a share of the whole time.
+// phase describes what the script does at a fraction of the duration.
 func phase(share float64) string {
 	switch {
 	case share >= slowFrom && share < slowTo:
@@ -52,26 +52,26 @@
 	return "all is well"
 }
 
-// fleet is the nodes, their list, and what happens to them.
+// fleet is a set of fake nodes with their discovery.
 type fleet struct {
-	o         Options
+	options   Options
 	grpc      bool
 	ledger    *fakes.Ledger
 	keys      *fakes.KeyMemory
 	discovery *fakes.Discovery
 
 	mu    sync.Mutex
-	nodes []*fakes.Node // in the order of their start, those that have gone too
+	nodes []*fakes.Node // in the order of their start, stopped ones included
 }
 
 func newFleet(o Options) (*fleet, error) {
-	f := &fleet{o: o, grpc: o.Front == "grpc", ledger: fakes.NewLedger(), keys: fakes.NewKeyMemory(6 * time.Second),
+	f := &fleet{options: o, grpc: o.Front == "grpc", ledger: fakes.NewLedger(), keys: fakes.NewKeyMemory(6 * time.Second),
 		discovery: fakes.NewDiscovery()}
 	f.ledger.CountOnly = true
 	if _, err := f.discovery.Listen("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
-	for i := range size {
+	for i := range fleetSize {
 		if err := f.start(i, fmt.Sprint("node-", i), time.Time{}); err != nil {
 			f.close()
 			return nil, err
@@ -80,15 +80,16 @@
 	return f, nil
 }
 
-// start starts the node at a place of the fleet, and lists it.
-func (f *fleet) start(place int, name string, since time.Time) error {
-	kind := kinds[place%len(kinds)]
+// start starts the node at an index of the fleet and adds it to discovery. A zero since is a node of the initial fleet, which gets the faults
+// of the script.
+func (f *fleet) start(index int, name string, since time.Time) error {
+	kind := machineTypes[index%len(machineTypes)]
 	n := fakes.NodeOptions{Name: name, Zone: "home", Type: kind.name, Cores: cores, Speed: kind.speed, Queue: 40,
-		Started: since, ColdFrom: coldFrom, WarmUp: warmUp, FallMultiple: fallMultiple, FallTime: fallTime,
-		Keys: f.keys, Seed: f.o.Seed + uint64(place), Ledger: f.ledger}
-	if since.IsZero() { // the fleet of the beginning meets the script
-		at := func(share float64) time.Duration { return time.Duration(share * float64(f.o.For)) }
-		switch place {
+		Started: since, ColdFrom: slowStartMinCapacity, WarmUp: slowStartWindow, FallMultiple: overloadMultiple, FallTime: overloadWindow,
+		Keys: f.keys, Seed: f.options.Seed + uint64(index), Ledger: f.ledger}
+	if since.IsZero() { // only the initial fleet gets faults
+		at := func(share float64) time.Duration { return time.Duration(share * float64(f.options.For)) }
+		switch index {
 		case 0:
 			n.Faults = []fakes.Fault{{Kind: fakes.Slow, Factor: slowFactor, From: at(slowFrom), To: at(slowTo)}}
 		case 1, 2:
@@ -124,20 +125,20 @@
 	return nil
 }
 
-// play replaces half of the fleet in the time that the script has for it.
+// play replaces half of the fleet, one node after another, within the deployment phase of the script.
 func (f *fleet) play(ctx context.Context, begun time.Time) {
-	steps := size / 2
+	steps := fleetSize / 2
 	for i := range steps {
 		share := deployFrom + (deployTo-deployFrom)*float64(i)/float64(steps)
-		if !wait(ctx, time.Until(begun.Add(time.Duration(share*float64(f.o.For))))) {
+		if !wait(ctx, time.Until(begun.Add(time.Duration(share*float64(f.options.For))))) {
 			return
 		}
-		place := size - 1 - i
+		index := fleetSize - 1 - i
 		f.mu.Lock()
-		old := f.nodes[place]
+		old := f.nodes[index]
 		f.mu.Unlock()
-		if err := f.start(place, fmt.Sprintf("node-%d.new", place), time.Now()); err != nil {
-			return // no port is free: the old one stays
+		if err := f.start(index, fmt.Sprintf("node-%d.new", index), time.Now()); err != nil {
+			return // no free port: the old node stays
 		}
 		f.discovery.Drain(old.Options().Name)
 		old.Drain()
@@ -159,18 +160,18 @@
 	}
 }
 
-// listed is the nodes that want requests, with their addresses.
-func (f *fleet) listed() map[string]string {
-	places := map[string]string{}
+// readyNodes returns the addresses of the ready nodes by name.
+func (f *fleet) readyNodes() map[string]string {
+	addresses := map[string]string{}
 	for _, e := range f.discovery.Listing().Endpoints {
 		if e.Status == endpoints.StatusReady {
-			places[e.Name] = e.Address
+			addresses[e.Name] = e.Address
 		}
 	}
-	return places
+	return addresses
 }
 
-// outcome is what the nodes saw.
+// outcome returns the counts of the nodes by name.
 func (f *fleet) outcome() map[string]fakes.NodeCount { return f.ledger.Nodes() }
 
 func (f *fleet) all() []*fakes.Node {
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -11,15 +11,15 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 
 	"orchiddrift/internal/fakes"
-	lab "orchiddrift/internal/loadgen"
+	"orchiddrift/internal/loadgen"
 )
 
 const (
-	meanWork = 22 * time.Millisecond // on a yardstick core
-	mostOut  = 3000                  // requests in hand, at most; what comes beyond is counted as failed
+	meanServiceTime = 22 * time.Millisecond // at a speed of 1
+	maxInFlight     = 3000                  // requests in flight; further ones count as failed
 )
 
-// result is how a request ended for its client.
+// result is the outcome of a request for its client.
 type result int
 
 const (
@@ -27,73 +27,76 @@
 	late
 	refused
 	failed
-	results
+	resultCount
 )
 
-var resultNames = [results]string{"in time", "late", "refused", "failed"}
+var resultNames = [resultCount]string{"in time", "late", "refused", "failed"}
 
-// request is one that a client makes.
+// request is a request of a client.
 type request struct {
-	id, key string
-	class   *class
-	work    time.Duration
+	id, key     string
+	class       *class
+	serviceTime time.Duration
 }
 
-// Count is what came of a load.
+// Count holds the results of a load.
 type Count struct {
-	Asked         int
-	By            [results]int
-	P50, P95, P99 time.Duration // of what was served
+	Requests      int
+	Results       [resultCount]int
+	P50, P95, P99 time.Duration // of served requests
 	Nodes         map[string]fakes.NodeCount
 }
 
-// InTime is the share that was served in time.
-func (c Count) InTime() float64 { return float64(c.By[inTime]) / math.Max(1, float64(c.Asked)) }
+// InTime returns the fraction of the requests that were served within their latency objective.
+func (c Count) InTime() float64 { return float64(c.Results[inTime]) / math.Max(1, float64(c.Requests)) }
 
-// load makes requests at a rate, whatever becomes of them: an open loop, so that a slow answer slows no client down.
+// load sends requests at a constant mean rate, independent of the answers (an open loop).
 type load struct {
-	front front
-	o     Options
-
-	mu    sync.Mutex
-	asked int
-	took  *hdr.Histogram
-	by    [results]int
-	out   int
+	front   balancedClient
+	options Options
+
+	mu        sync.Mutex
+	requests  int
+	latencies *hdr.Histogram
+	results   [resultCount]int
+	inFlight  int
 }
 
-func newLoad(f front, o Options) *load { return &load{front: f, o: o, took: lab.NewHistogram()} }
+func newLoad(f balancedClient, o Options) *load {
+	return &load{front: f, options: o, latencies: loadgen.NewHistogram()}
+}
 
-// run asks until ctx ends, then waits for the answers. Both sides draw the same arrivals, classes and work.
+// run sends requests until ctx ends, then waits for the answers. The arrivals, classes and service times depend on the seed only, so that both
+// contenders get the same.
 func (l *load) run(ctx context.Context, begun time.Time) {
-	rng := rand.New(rand.NewPCG(l.o.Seed, 2))
+	rng := rand.New(rand.NewPCG(l.options.Seed, 2))
 	var wg sync.WaitGroup
 	at := begun
 	for n := 0; ; n++ {
-		at = at.Add(time.Duration(rng.ExpFloat64() / l.o.Rate * float64(time.Second)))
-		r := request{id: fmt.Sprintf("%016x", n+1), class: draw(rng), work: time.Duration(float64(meanWork) * (0.4 + 0.6*rng.ExpFloat64()))}
+		at = at.Add(time.Duration(rng.ExpFloat64() / l.options.Rate * float64(time.Second)))
+		r := request{id: fmt.Sprintf("%016x", n+1), class: drawClass(rng), serviceTime: time.Duration(float64(meanServiceTime) * (0.4 + 0.6*rng.ExpFloat64()))}
 		r.key = "key-" + r.id
 		if !wait(ctx, time.Until(at)) {
 			break
 		}
 		l.mu.Lock()
-		l.asked++
-		full := l.out >= mostOut
+		l.requests++
+		full := l.inFlight >= maxInFlight
 		if full {
-			l.by[failed]++
+			l.results[failed]++
 		} else {
-			l.out++
+			l.inFlight++
 		}
 		l.mu.Unlock()
 		if full {
 			continue
 		}
-		wg.Go(func() { l.ask(r) })
+		wg.Go(func() { l.send(r) })
 	}
 	wg.Wait()
 }
 
-func draw(rng *rand.Rand) *class {
+func drawClass(rng *rand.Rand) *class {
 	x := rng.Float64()
 	for i := range classes {
 		if x -= classes[i].share; x < 0 {
@@ -103,27 +106,27 @@
 	return &classes[0]
 }
 
-func (l *load) ask(r request) {
-	ctx, cancel := context.WithTimeout(context.Background(), r.class.limit)
+func (l *load) send(r request) {
+	ctx, cancel := context.WithTimeout(context.Background(), r.class.deadline)
 	defer cancel()
 	begun := time.Now()
-	end := l.front.ask(ctx, r)
+	end := l.front.do(ctx, r)
 	took := time.Since(begun)
-	if end == inTime && took > r.class.aim {
+	if end == inTime && took > r.class.latencyObjective {
 		end = late
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if end == inTime || end == late {
-		lab.Record(l.took, took)
+		loadgen.Record(l.latencies, took)
 	}
-	l.by[end]++
-	l.out--
+	l.results[end]++
+	l.inFlight--
 }
 
 func (l *load) total() Count {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Count{Asked: l.asked, By: l.by, P50: lab.Quantile(l.took, 50), P95: lab.Quantile(l.took, 95),
-		P99: lab.Quantile(l.took, 99)}
+	return Count{Requests: l.requests, Results: l.results, P50: loadgen.Quantile(l.latencies, 50), P95: loadgen.Quantile(l.latencies, 95),
+		P99: loadgen.Quantile(l.latencies, 99)}
 }
--- a/internal/demo/output.go
+++ b/internal/demo/output.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	liveEvery  = 250 * time.Millisecond
-	plainEvery = 2 * time.Second
+	tableInterval = 250 * time.Millisecond
+	lineInterval  = 2 * time.Second
 )
 
-// show writes how things stand until ctx ends: one table over and over on a terminal, else a line now and then.
-func show(ctx context.Context, o Options, begun time.Time, a, b *side) {
-	every := plainEvery
+// printProgress writes the state of both contenders until ctx ends: a table that is redrawn on a terminal, otherwise lines.
+func printProgress(ctx context.Context, o Options, begun time.Time, a, b *contender) {
+	every := lineInterval
 	if o.Live {
-		every = liveEvery
+		every = tableInterval
 	}
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -29,16 +29,16 @@
 		now := time.Since(begun)
 		text := ""
 		if o.Live {
-			text = table(o, now, a, b)
+			text = progressTable(o, now, a, b)
 			if lines > 0 {
 				text = fmt.Sprintf("\x1b[%dA\x1b[J", lines) + text // up, and clear to the end
 			}
 			lines = strings.Count(text, "\n")
 		} else {
-			text = line(o, now, a, b)
+			text = progressLine(o, now, a, b)
 		}
 		if _, err := io.WriteString(o.Out, text); err != nil {
-			return // nobody looks
+			return // the reader has gone
 		}
 		select {
 		case <-tick.C:
@@ -48,16 +48,16 @@
 	}
 }
 
-func line(o Options, now time.Duration, a, b *side) string {
+func progressLine(o Options, now time.Duration, a, b *contender) string {
 	text := fmt.Sprintf("%5.1fs  %s;", now.Seconds(), phase(float64(now)/float64(o.For)))
-	for _, s := range []*side{a, b} {
+	for _, s := range []*contender{a, b} {
 		c := s.load.total()
-		text += fmt.Sprintf("  %s: %d asked, %.1f%% in time, p99 %v;", s.name, c.Asked, 100*c.InTime(), short(c.P99))
+		text += fmt.Sprintf("  %s: %d asked, %.1f%% in time, p99 %v;", s.name, c.Requests, 100*c.InTime(), rounded(c.P99))
 	}
 	return strings.TrimSuffix(text, ";") + "\n"
 }
 
-func table(o Options, now time.Duration, a, b *side) string {
+func progressTable(o Options, now time.Duration, a, b *contender) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%5.1f of %v   %s front   %s\n\n", now.Seconds(), o.For, o.Front, phase(float64(now)/float64(o.For)))
 	w := tabwriter.NewWriter(&out, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -87,7 +87,7 @@
 		}
 		estimate, loaded := "-", "-"
 		if listed {
-			estimate, loaded = short(v.Latency).String(), fmt.Sprintf("%.3f", v.Load)
+			estimate, loaded = rounded(v.Latency).String(), fmt.Sprintf("%.3f", v.Load)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t\t%d\t%d\t\n", name, n.Options().Type, state, n.InHand(), counts[name].Ran,
 			estimate, loaded, beside[name], others[name].Ran)
@@ -109,17 +109,17 @@
 	for _, row := range []struct {
 		name string
 		c    Count
-	}{{ours, s.Ours}, {random, s.Random}} {
-		fmt.Fprintf(w, "%s\t%d\t", row.name, row.c.Asked)
-		for _, n := range row.c.By {
+	}{{ourName, s.Ours}, {randomName, s.Random}} {
+		fmt.Fprintf(w, "%s\t%d\t", row.name, row.c.Requests)
+		for _, n := range row.c.Results {
 			fmt.Fprintf(w, "%d\t", n)
 		}
-		fmt.Fprintf(w, "%v\t%v\t%v\t\n", short(row.c.P50), short(row.c.P95), short(row.c.P99))
+		fmt.Fprintf(w, "%v\t%v\t%v\t\n", rounded(row.c.P50), rounded(row.c.P95), rounded(row.c.P99))
 	}
 	return w.Flush()
 }
 
-// write is the closing summary.
+// write prints the closing summary.
 func (s Summary) write(out io.Writer, o Options) error {
 	fmt.Fprintf(out, "\nSummary: %s front and plain random choice, the same script, arrivals and seed, side by side for %v.\n\n", o.Front, o.For)
 	if err := s.rows(out); err != nil {
@@ -142,7 +142,7 @@
 	return err
 }
 
-func short(d time.Duration) time.Duration {
+func rounded(d time.Duration) time.Duration {
 	if d < 10*time.Millisecond {
 		return d.Round(100 * time.Microsecond)
 	}
