--- a/internal/testing/processes/rig.go
+++ b/internal/testing/processes/rig.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Rig holds processes and the links between them. It is safe for concurrent use.
+// Rig manages processes and the links between them. It is safe for concurrent use.
 type Rig struct {
 	History *History
 
@@ -25,7 +25,7 @@
 	links     map[string]*Link
 }
 
-// built is the program, made once for a test binary.
+// built builds the program once for a test binary and returns its path.
 var built = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "orchiddrift-rig")
 	if err != nil {
@@ -38,10 +38,10 @@
 	return path, nil
 })
 
-// Built is the path of the program, which is built once. Done removes it.
+// Built returns the path of the program, which is built once. Main removes it.
 func Built() (string, error) { return built() }
 
-// Main runs a package's tests and removes the program behind them.
+// Main runs the tests of a package and removes the program after them.
 func Main(m *testing.M) int {
 	code := m.Run()
 	if path, err := builtIfAny(); err == nil && path != "" {
@@ -61,7 +61,8 @@
 	return built()
 }
 
-// New makes a rig for a test, in whose end everything ends. The history is kept in a file, which is named if the test fails.
+// New returns a rig that is closed at the end of the test. Its history is written to a file in the directory of the test, and its last
+// events are logged if the test fails.
 func New(t testing.TB, seed uint64) *Rig {
 	t.Helper()
 	asked.Do(func() {})
@@ -94,7 +95,7 @@
 	return r
 }
 
-// Process makes a place for a process, which does not run yet.
+// Process adds a process, which does not run yet.
 func (r *Rig) Process(s Spec) *Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,7 +104,7 @@
 	return p
 }
 
-// StartAll starts processes at once, and waits until all are ready.
+// StartAll starts processes concurrently and waits until all are ready.
 func (r *Rig) StartAll(ctx context.Context, all ...*Process) error {
 	for _, p := range all {
 		if err := p.Launch(nil); err != nil {
@@ -133,7 +134,7 @@
 	all.Wait()
 }
 
-// did notes what was done.
+// did records an action of the rig.
 func (r *Rig) did(who string, life int, what string, detail any) {
 	e := Event{Kind: Did, Who: who, Life: life, What: what}
 	if detail != nil {
@@ -142,7 +143,7 @@
 	r.History.Add(e)
 }
 
-// Note puts a referee's word into the history.
+// Note records an event of a test or of a rule checker.
 func (r *Rig) Note(who, what string, detail any) {
 	e := Event{Kind: Noted, Who: who, What: what}
 	if detail != nil {
@@ -151,28 +152,30 @@
 	r.History.Add(e)
 }
 
-// Patience bounds waits that no test expects to see the end of.
+// Patience is the timeout of waits that are expected to succeed.
 const Patience = 30 * time.Second
 
-// Listening is Spec.Ready for the daemon: it says where it listens.
+// Listening is the Spec.Ready of the daemon: it matches the line that reports its addresses.
 func Listening(e Event) bool { return e.What == "listening" }
 
-// Address is where the clients of a daemon's present life connect, and Operators where its operators call; "": it has not said so.
-func (p *Process) Address() string   { return p.said("clients") }
-func (p *Process) Operators() string { return p.said("operators") }
+// Address returns the address for the clients of a daemon's current process; "" before it listens.
+func (p *Process) Address() string { return p.logged("clients") }
 
-// said is a word of the line by which the present life said that it listens.
-func (p *Process) said(key string) string {
+// Operators returns the control address of a daemon's current process; "" before it listens.
+func (p *Process) Operators() string { return p.logged("operators") }
+
+// logged returns a field of the line by which the current process reported that it listens.
+func (p *Process) logged(key string) string {
 	l := p.current()
 	if l == nil {
 		return ""
 	}
 	for _, e := range p.rig.History.Events(l.from) {
 		if e.Who == p.spec.Name && e.Life == l.number && e.Kind == Told && Listening(e) {
-			var words map[string]any
-			if json.Unmarshal(e.Data, &words) == nil {
-				word, _ := words[key].(string)
-				return word
+			var fields map[string]any
+			if json.Unmarshal(e.Data, &fields) == nil {
+				value, _ := fields[key].(string)
+				return value
 			}
 		}
 	}
--- a/internal/testing/processes/script.go
+++ b/internal/testing/processes/script.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// Deed is what a step does.
+// Deed is the kind of a step.
 type Deed string
 
-// Deeds. Each lasts for the step's For, where it has an end.
+// The kinds of steps. Those that have an end last for Step.For.
 const (
 	Kill      Deed = "kill"         // SIGKILL; started again after For with its disk
 	KillBare  Deed = "kill-bare"    // the same, with an empty directory
 	Pause     Deed = "pause"        // SIGSTOP, and SIGCONT after For
 	Terminate Deed = "terminate"    // SIGTERM; started again after For once it has ended
-	Replace   Deed = "replace"      // a successor beside it, then SIGTERM
+	Replace   Deed = "replace"      // a new process beside it, then SIGTERM
 	DropBoth  Deed = "drop"         // a link, both ways
 	DropOut   Deed = "drop-out"     // one way
 	DropBack  Deed = "drop-back"    // the other way
 	Slow      Deed = "slow"         // a link, by Lag and up to Lag more each way
-	Hang      Deed = "hang"         // what is connected, for ever
-	Reset     Deed = "reset"        // what is connected
+	Hang      Deed = "hang"         // all connections, for ever
+	Reset     Deed = "reset"        // all connections
 	CutOut    Deed = "cut"          // in the middle of a message, after Bytes
 	Part      Deed = "part"         // all links between Group and the others, both ways
 	PartOne   Deed = "part-one-way" // all links from Group to the others, and back over links of the others
 )
 
-// Step is one deed.
+// Step is a fault or restart at a time.
 type Step struct {
 	At    time.Duration `json:"at"`
 	Do    Deed          `json:"do"`
@@ -41,89 +41,122 @@
 	Bytes int           `json:"bytes,omitempty"`
 }
 
-// Mix says what is drawn, and how.
+// Mix holds the parameters by which Draw makes a script.
 type Mix struct {
 	Processes, Links []string
 	Length           time.Duration    // all steps have ended by then
 	Every            time.Duration    // a step begins, on average
 	Shortest         time.Duration    // a fault
 	Longest          time.Duration    // a fault
-	Weights          map[Deed]float64 // by which deeds are drawn; those without one are not
-	Down             int              // processes that are down or stopped at once, at most
+	Weights          map[Deed]float64 // relative frequencies of the deeds
+	Down             int              // maximum of processes that are down or stopped at the same time
 }
 
-// Draw makes a script: the same seed and Mix give the same one. No process is given a second deed before the first has ended, and no link.
+// Draw returns the script of a seed: the same seed and Mix give the same one. A process or link gets no second fault before its first has
+// ended.
 func Draw(seed uint64, m Mix) []Step {
-	rng := rand.New(rand.NewPCG(seed, 0x70726f6373))
-	deeds := make([]Deed, 0, len(m.Weights))
-	total := 0.0
-	for d, w := range m.Weights {
-		deeds, total = append(deeds, d), total+w
-	}
-	slices.Sort(deeds) // a map's order is nobody's
-	var out []Step
-	free := map[string]time.Duration{} // until when each is busy
-	down := func(at time.Duration) (n int) {
-		for _, p := range m.Processes {
-			if free[p] > at {
-				n++
-			}
-		}
-		return n
+	d := drawer{mix: m, rng: rand.New(rand.NewPCG(seed, 0x70726f6373)), busyUntil: map[string]time.Duration{}}
+	for deed, weight := range m.Weights {
+		d.deeds, d.totalWeight = append(d.deeds, deed), d.totalWeight+weight
 	}
-	for at := time.Duration(0); total > 0; {
-		at += time.Duration(rng.ExpFloat64() * float64(m.Every))
-		s := Step{At: at, For: m.Shortest + time.Duration(rng.Float64()*float64(m.Longest-m.Shortest))}
+	slices.Sort(d.deeds) // map iteration order is random
+	var steps []Step
+	for at := time.Duration(0); d.totalWeight > 0; {
+		at += time.Duration(d.rng.ExpFloat64() * float64(m.Every))
+		s := Step{At: at, For: m.Shortest + time.Duration(d.rng.Float64()*float64(m.Longest-m.Shortest))}
 		if at+s.For >= m.Length {
-			return out
-		}
-		x := rng.Float64() * total
-		for _, d := range deeds {
-			if s.Do = d; x < m.Weights[d] {
-				break
-			}
-			x -= m.Weights[d]
-		}
-		var from []string
-		switch s.Do {
-		case Kill, KillBare, Pause, Terminate, Replace:
-			if down(at) >= m.Down {
-				continue
-			}
-			from = m.Processes
-		case Part, PartOne:
-			group := slices.Clone(m.Processes)
-			rng.Shuffle(len(group), func(i, j int) { group[i], group[j] = group[j], group[i] })
-			s.Group = group[:1+rng.IntN(max(1, len(group)/2))]
-			slices.Sort(s.Group)
-			if free["parts"] > at {
-				continue
-			}
-			free["parts"] = at + s.For
-			out = append(out, s)
-			continue
-		default:
-			from = m.Links
+			break
 		}
-		if len(from) == 0 {
-			continue
+		s.Do = d.deed()
+		if d.complete(&s) {
+			steps = append(steps, s)
 		}
-		if s.Who = from[rng.IntN(len(from))]; free[s.Who] > at {
-			continue
+	}
+	return steps
+}
+
+// partitions is the key of the one partition at a time in drawer.busyUntil.
+const partitions = "parts"
+
+// drawer draws the steps of a script one after another.
+type drawer struct {
+	mix         Mix
+	rng         *rand.Rand
+	deeds       []Deed // sorted
+	totalWeight float64
+	busyUntil   map[string]time.Duration // end of the last fault by process or link
+}
+
+// deed draws a deed by the weights.
+func (d *drawer) deed() (deed Deed) {
+	x := d.rng.Float64() * d.totalWeight
+	for _, deed = range d.deeds {
+		if x < d.mix.Weights[deed] {
+			break
 		}
-		free[s.Who] = at + s.For
-		switch s.Do {
-		case Slow:
-			s.Lag = time.Duration(rng.Float64() * float64(s.For) / 4)
-		case CutOut:
-			s.Bytes = rng.IntN(2000)
+		x -= d.mix.Weights[deed]
+	}
+	return deed
+}
+
+// complete draws the target and the parameters of a step; false: it cannot take place at its time.
+func (d *drawer) complete(s *Step) bool {
+	switch s.Do {
+	case Kill, KillBare, Pause, Terminate, Replace:
+		return d.down(s.At) < d.mix.Down && d.target(s, d.mix.Processes)
+	case Part, PartOne:
+		return d.partition(s)
+	}
+	if !d.target(s, d.mix.Links) {
+		return false
+	}
+	switch s.Do {
+	case Slow:
+		s.Lag = time.Duration(d.rng.Float64() * float64(s.For) / 4)
+	case CutOut:
+		s.Bytes = d.rng.IntN(2000)
+	}
+	return true
+}
+
+// down returns the number of processes that have a fault at a time.
+func (d *drawer) down(at time.Duration) (n int) {
+	for _, p := range d.mix.Processes {
+		if d.busyUntil[p] > at {
+			n++
 		}
-		out = append(out, s)
 	}
-	return out
+	return n
+}
+
+// partition draws the group of a partition; false: another partition lasts.
+func (d *drawer) partition(s *Step) bool {
+	group := slices.Clone(d.mix.Processes)
+	d.rng.Shuffle(len(group), func(i, j int) { group[i], group[j] = group[j], group[i] })
+	s.Group = group[:1+d.rng.IntN(max(1, len(group)/2))]
+	slices.Sort(s.Group)
+	return d.reserve(partitions, s)
+}
+
+// target draws the process or link of a step; false: there is none, or it has a fault.
+func (d *drawer) target(s *Step, names []string) bool {
+	if len(names) == 0 {
+		return false
+	}
+	s.Who = names[d.rng.IntN(len(names))]
+	return d.reserve(s.Who, s)
+}
+
+// reserve marks a target as busy for the length of a step; false: it is busy already.
+func (d *drawer) reserve(name string, s *Step) bool {
+	if d.busyUntil[name] > s.At {
+		return false
+	}
+	d.busyUntil[name] = s.At + s.For
+	return true
 }
 
-// Play does the steps of a script at their times, and returns once all have ended: everything runs again, and all links carry.
+// Play runs the steps of a script at their times, and returns after the end of all: all processes run again and all links are healed.
 func (r *Rig) Play(ctx context.Context, script []Step) error {
 	type due struct {
 		at   time.Duration
@@ -156,7 +189,7 @@
 	return nil
 }
 
-// deed is what a step does at its beginning and, where that is not nil, at its end.
+// deed returns the actions of a step at its start and at its end; end is nil if there is none.
 func (r *Rig) deed(ctx context.Context, s Step) (begin, end func() error, err error) {
 	r.mu.Lock()
 	p, l := r.processes[s.Who], r.links[s.Who]
@@ -220,7 +253,7 @@
 	return nil, nil, fmt.Errorf("no such deed: %q", s.Do)
 }
 
-// part cuts a group of processes off from the others, or joins them again. One way: what the group says is lost, what it is told comes.
+// part begins or ends a partition between a group of processes and the others. With oneWay only what the group sends is lost.
 func (r *Rig) part(group []string, oneWay, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
