--- a/internal/testing/processes/history.go
+++ b/internal/testing/processes/history.go
@@ -11,10 +11,10 @@
 
 // Kinds of events.
 const (
-	Did   = "did"   // the rig did something to a process or a link
-	Told  = "told"  // a process wrote a line, in Data where that is JSON
+	Did   = "did"   // an action of the rig on a process or link
+	Told  = "told"  // a line of a process, in Data if it is JSON
 	Ended = "ended" // a process ended
-	Noted = "noted" // by the test, or by whoever referees it
+	Noted = "noted" // a note of the test or its rule checker
 )
 
 // Event is one line of a history.
@@ -30,7 +30,7 @@
 // mostEvents is how many a History holds. Beyond it they are only written: about 200 MB at 200 bytes each.
 const mostEvents = 1 << 20
 
-// History is what happened, in one order. It is safe for concurrent use.
+// History is an ordered log of events. It is safe for concurrent use.
 type History struct {
 	mu    sync.Mutex
 	begun time.Time
@@ -40,15 +40,15 @@
 	err   error
 }
 
-// NewHistory begins one that is written to out as well, where that is not nil.
+// NewHistory returns an empty history that is also written to out if that is not nil.
 func NewHistory(out io.Writer) *History {
 	return &History{begun: time.Now(), out: out, more: make(chan struct{})}
 }
 
-// Now is the time since it began.
+// Now returns the time since the start of the history.
 func (h *History) Now() time.Duration { return time.Since(h.begun) }
 
-// Add puts an event at its end, and stamps it. Its time never is before that of the one ahead of it.
+// Add appends an event with the current time. Times do not decrease.
 func (h *History) Add(e Event) Event {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -68,14 +68,14 @@
 	return e
 }
 
-// Events are those from a place on. They are not to be changed.
+// Events returns the events from an index on. The caller must not change them.
 func (h *History) Events(from int) []Event {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.all[min(from, len(h.all)):len(h.all):len(h.all)]
 }
 
-// Err is why it is not written any more; nil: it is.
+// Err returns the error that ended the writing to out; nil if there was none.
 func (h *History) Err() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -84,7 +84,7 @@
 
 var errFull = errors.New("the history is full")
 
-// Wait waits for an event at a place or behind it, and returns the place behind that.
+// Wait waits for a matching event from an index on, and returns it with the index after it.
 func (h *History) Wait(ctx context.Context, from int, match func(Event) bool) (Event, int, error) {
 	for {
 		h.mu.Lock()
--- a/internal/testing/processes/leaving_test.go
+++ b/internal/testing/processes/leaving_test.go
@@ -18,7 +18,7 @@
 	"orchiddrift/internal/fakes"
 )
 
-// watched is a fleet of daemons that follow one discovery, before upstreams that note when requests come, all on one clock.
+// watched is a fleet of daemons that follow one discovery, with upstreams that record the arrival times of requests.
 type watched struct {
 	disco   *fakes.Discovery
 	daemons []*Process
@@ -31,7 +31,7 @@
 	driving sync.WaitGroup
 }
 
-// configuration is a daemon's file, with one service that follows a discovery at address.
+// configuration returns the file of a daemon with one service whose discovery is at address.
 func configuration(name string, seed, sidecars int, address string, pushed bool) string {
 	return fmt.Sprintf(`[daemon]
 name = %q
@@ -51,7 +51,7 @@
 `, name, seed, address, pushed, sidecars)
 }
 
-// watch starts daemons and upstreams, and a load of so many requests a second on each daemon.
+// watch starts daemons and upstreams, and sends rate requests per second to each daemon.
 func watch(t *testing.T, r *Rig, sidecars, upstreams int, pushed bool, disco *fakes.Discovery, rate float64) *watched {
 	t.Helper()
 	f := &watched{disco: disco, came: map[string][]time.Time{}, stop: make(chan struct{})}
@@ -157,20 +157,63 @@
 	return worst, n
 }
 
-// settled waits until a moment, so that what comes after it is seen.
+// settled waits until a time.
 func settled(until time.Time) { time.Sleep(time.Until(until)) }
 
-// What a request may come after a drain counts as told: the rule's grace, and what a busy machine may take to read it here.
+// How much later than the daemons have to know of a drain a request may arrive: the grace of the rule, and the delay of a busy machine.
 const (
 	ruleGrace = 250 * time.Millisecond
 	readSlack = 250 * time.Millisecond
 )
 
-// Guards against requests to upstreams announced as leaving, with processes: a quarter of the upstreams drain where the list
-// cannot be heard of at once. Asked: all watches are reset, the calls made then wait for their answer, fall silent before it comes,
-// as all others do, and what they miss counts as told 6 s later. Down: all calls fail for 10 s, and what discovery has at its return counts
-// as told 6 s later. Pushed: the agent breaks all watches and takes no call for a while;
-// what it has at its return counts at once. With the waits before this was mended requests came 1 to 3 s too late.
+// drainUnseen drains upstreams while the daemons cannot learn of it at once, and returns when it did so and by when the daemons have to know.
+func drainUnseen(disco *fakes.Discovery, how string, sidecars int, drained []string) (drainedAt, due time.Time) {
+	switch how {
+	case "pushed":
+		disco.Down(true)
+		settled(time.Now().Add(3100 * time.Millisecond))
+		disco.Drain(drained...)
+		drainedAt = time.Now()
+		disco.Down(false)
+		due = time.Now()
+	case "down":
+		disco.Down(true)
+		settled(time.Now().Add(10 * time.Second)) // until the backoff has reached its maximum
+		disco.Drain(drained...)
+		drainedAt = time.Now()
+		disco.Down(false)
+		due = time.Now().Add(6 * time.Second)
+	default:
+		disco.Hold(900 * time.Millisecond)
+		disco.Break()
+		settled(time.Now().Add(1600*time.Millisecond + time.Duration(sidecars)*3*time.Millisecond)) // each calls again after 0.5 to 1.5 s, or 2.6 s
+		disco.Hold(0)
+		disco.Mute()
+		due = time.Now().Add(6 * time.Second)
+		settled(time.Now().Add(600 * time.Millisecond))
+		disco.Drain(drained...)
+		drainedAt = time.Now()
+	}
+	return drainedAt, due
+}
+
+// maxInOneSecond returns the highest number of calls within a second.
+func maxInOneSecond(calls []time.Time) int {
+	most := 0
+	for i := range calls {
+		j := i
+		for j < len(calls) && calls[j].Sub(calls[i]) < time.Second {
+			j++
+		}
+		most = max(most, j-i)
+	}
+	return most
+}
+
+// No request goes to a draining upstream after the daemons have to know of the drain. A quarter of the upstreams drain while the endpoint list
+// cannot be read. Asked: all watches are reset, and the calls that follow fall silent before their answer; the daemons have to know 6 s later.
+// Down: all calls fail for 10 s; the daemons have to know 6 s after discovery returns. Pushed: the agent breaks all watches and takes no calls
+// for a while; the daemons have to know as soon as it returns.
 func TestNothingGoesToUpstreamsAnnouncedAsLeaving(t *testing.T) {
 	sidecars, upstreams, rate := 4, 8, 20.0
 	if *fleet {
@@ -189,47 +232,13 @@
 			f := watch(t, r, sidecars, upstreams, pushed, disco, rate)
 			begun := len(disco.Calls())
 			drained := f.names[:upstreams/4]
-			var due, drainedAt time.Time
-			switch how {
-			case "pushed":
-				disco.Down(true)
-				settled(time.Now().Add(3100 * time.Millisecond))
-				disco.Drain(drained...)
-				drainedAt = time.Now()
-				disco.Down(false)
-				due = time.Now()
-			case "down":
-				disco.Down(true)
-				settled(time.Now().Add(10 * time.Second)) // so long that waits have grown to their most
-				disco.Drain(drained...)
-				drainedAt = time.Now()
-				disco.Down(false)
-				due = time.Now().Add(6 * time.Second)
-			default:
-				disco.Hold(900 * time.Millisecond)
-				disco.Break()
-				settled(time.Now().Add(1600*time.Millisecond + time.Duration(sidecars)*3*time.Millisecond)) // each calls again after 0.5 to 1.5 s, or 2.6 s
-				disco.Hold(0)
-				disco.Mute()
-				due = time.Now().Add(6 * time.Second)
-				settled(time.Now().Add(600 * time.Millisecond))
-				disco.Drain(drained...)
-				drainedAt = time.Now()
-			}
+			drainedAt, due := drainUnseen(disco, how, sidecars, drained)
 			all := f.current(t, 30*time.Second)
 			settled(due.Add(time.Second))
 			worst, n := f.late(drained, due, ruleGrace+readSlack)
 			calls := disco.Calls()[begun:]
-			most := 0
-			for i := range calls {
-				j := i
-				for j < len(calls) && calls[j].Sub(calls[i]) < time.Second {
-					j++
-				}
-				most = max(most, j-i)
-			}
 			record := map[string]any{"sidecars": sidecars, "upstreams": upstreams, "how": how, "late": n, "worst_ms": worst.Milliseconds(),
-				"all_have_the_news_ms": all.Sub(drainedAt).Milliseconds(), "due_ms": due.Sub(drainedAt).Milliseconds(), "calls": len(calls), "calls_in_a_second": most,
+				"all_have_the_news_ms": all.Sub(drainedAt).Milliseconds(), "due_ms": due.Sub(drainedAt).Milliseconds(), "calls": len(calls), "calls_in_a_second": maxInOneSecond(calls),
 				"served": f.served.Load(), "failed": f.failed.Load()}
 			line, _ := json.Marshal(record)
 			t.Logf("%s", line)
@@ -243,8 +252,8 @@
 	}
 }
 
-// Guards against a bound on lists, and against what grows with them: a daemon follows 1,024 upstreams by a list that comes indented or
-// not, within the limits of its file, and is ready in time. What it holds is logged: resident memory, threads, descriptors.
+// A daemon follows lists of up to 1,024 upstreams, indented or not, within the memory and descriptors of its configuration. Its resident
+// memory, threads and descriptors are logged.
 func TestListsOfAnySize(t *testing.T) {
 	for _, n := range []int{10, 100, 300, 1024} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
--- a/internal/testing/processes/link.go
+++ b/internal/testing/processes/link.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Fault is what a link does to what it carries one way. The zero Fault carries it on at once.
+// Fault is a fault of a link in one direction. The zero Fault forwards bytes at once.
 type Fault struct {
-	Drop   bool          `json:"drop,omitempty"`   // nothing goes on while it lasts; what was held goes on when it is over, as TCP sends it again
-	Delay  time.Duration `json:"delay,omitempty"`  // each piece comes so much later, in order
-	Jitter time.Duration `json:"jitter,omitempty"` // and up to so much more
+	Drop   bool          `json:"drop,omitempty"`   // hold all bytes until the fault ends, as if TCP retransmitted them then
+	Delay  time.Duration `json:"delay,omitempty"`  // added to each piece; the order stays
+	Jitter time.Duration `json:"jitter,omitempty"` // random addition of up to this
 }
 
-// Ways of a link.
+// The directions of a link.
 const (
-	Out  = 0 // from who connects
-	Back = 1 // to it
+	Out  = 0 // from the side that connects
+	Back = 1 // to the side that connects
 	ways = 2
 )
 
@@ -28,13 +28,13 @@
 	piecesHeld = 64
 )
 
-// Link is the way from one process to another: an address that leads to the other's. It is safe for concurrent use.
+// Link is a TCP proxy from one process to another that injects faults. It is safe for concurrent use.
 type Link struct {
 	name   string // from>to
 	from   string
 	to     string
 	rig    *Rig
-	target func() string // where it leads now; "": nobody is there
+	target func() string // current address of the other side; "": none
 	listen net.Listener
 	done   sync.WaitGroup
 
@@ -50,7 +50,7 @@
 // carried is one connection.
 type carried struct {
 	from net.Conn
-	hung chan struct{} // closed: nothing more goes either way, ever
+	hung chan struct{} // closed: no more bytes go in either direction
 	hang sync.Once
 	over chan struct{}
 
@@ -58,7 +58,7 @@
 	to net.Conn
 }
 
-// Link makes one from a process to whatever target says at each connection, and returns it. Its address does not change.
+// Link returns a new link from a process to the address that target returns at each connection. Its own address does not change.
 func (r *Rig) Link(from, to string, target func() string) (*Link, error) {
 	listen, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -89,8 +89,7 @@
 	}
 }
 
-// carry connects on and carries both ways until either side ends. While what goes out is dropped nobody is connected to: the other side
-// does not hear of it.
+// carry connects to the target and forwards in both directions until either side ends. It does not connect while the direction out is dropped.
 func (l *Link) carry(from net.Conn) {
 	x := &carried{from: from, hung: make(chan struct{}), over: make(chan struct{})}
 	if !l.admit(x) {
@@ -131,7 +130,7 @@
 	delete(l.conns, x)
 }
 
-// clear waits until the way is not dropped; false: the connection is over.
+// clear waits until a direction is not dropped; false: the connection has ended.
 func (l *Link) clear(x *carried, way int) bool {
 	for {
 		l.mu.Lock()
@@ -161,7 +160,7 @@
 	due time.Time
 }
 
-// pass carries one way, until it ends or the connection is over.
+// pass forwards one direction until its end or that of the connection.
 func (l *Link) pass(x *carried, from, to net.Conn, way int) {
 	pieces := make(chan piece, piecesHeld)
 	var reading sync.WaitGroup
@@ -230,7 +229,7 @@
 	return f.Delay
 }
 
-// most is how much of a piece goes on, and whether the connection is cut behind it.
+// most returns the number of bytes of a piece to forward, and whether the connection is cut after them.
 func (l *Link) most(way, n int) (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -246,7 +245,7 @@
 	return n, false
 }
 
-// end ends the connection on both sides, by a reset where abrupt says so.
+// end closes the connection on both sides; with a reset if abrupt.
 func (x *carried) end(abrupt bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -266,7 +265,7 @@
 	}
 }
 
-// connected has the other side; false: it is over already.
+// connected sets the other side; false: the connection has ended already.
 func (x *carried) connected(to net.Conn) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -280,7 +279,7 @@
 	return true
 }
 
-// Set has the link do one thing each way from now on, until Heal or another Set.
+// Set sets the faults of both directions, until Heal or another Set.
 func (l *Link) Set(out, back Fault) {
 	l.mu.Lock()
 	l.faults = [ways]Fault{out, back}
@@ -290,7 +289,7 @@
 	l.rig.did(l.name, 0, "set", map[string]Fault{"out": out, "back": back})
 }
 
-// Heal ends what Set and Cut began. What hangs goes on hanging.
+// Heal ends the faults of Set and Cut. Connections that hang stay so.
 func (l *Link) Heal() {
 	l.mu.Lock()
 	l.cut = [ways]int{-1, -1}
@@ -298,7 +297,7 @@
 	l.Set(Fault{}, Fault{})
 }
 
-// Cut has the connection that carries the byte behind the next n of a way broken off there, in the middle of what it carries.
+// Cut resets the connection that would carry the byte after the next n of a direction, in the middle of a message.
 func (l *Link) Cut(way, n int) {
 	l.mu.Lock()
 	l.cut[way] = n
@@ -306,13 +305,13 @@
 	l.rig.did(l.name, 0, "cut", map[string]int{"way": way, "after": n})
 }
 
-// Hang has all that is connected now stand still for ever, both ways, without a sign: its other side has vanished. Newcomers get through.
+// Hang stops all open connections in both directions for ever, as if the other side had vanished. Later connections are not affected.
 func (l *Link) Hang() {
 	n := l.each(func(x *carried) { x.hang.Do(func() { close(x.hung) }) })
 	l.rig.did(l.name, 0, "hang", map[string]int{"connections": n})
 }
 
-// Reset resets all that is connected now.
+// Reset resets all open connections.
 func (l *Link) Reset() {
 	n := l.each(func(x *carried) { x.end(true) })
 	l.rig.did(l.name, 0, "reset", map[string]int{"connections": n})
--- a/internal/testing/processes/process.go
+++ b/internal/testing/processes/process.go
@@ -16,24 +16,24 @@
 	"syscall"
 )
 
-// Spec says how a process is started.
+// Spec holds the parameters of a process.
 type Spec struct {
 	Name  string
 	Args  []string          // of the program
 	Env   []string          // beside the rig's own
 	Files map[string]string // by name, written to the process's directory before each start
-	Ready func(Event) bool  // tells a line of the process that serves; nil: it does once it runs
+	Ready func(Event) bool  // matches the line that a process logs once it serves; nil: it is ready when it runs
 }
 
 // life is one run of a Process.
 type life struct {
 	number int
 	cmd    *exec.Cmd
-	over   chan struct{} // closed once it has ended and its lines are in the history
-	from   int           // where the history stood as it began
+	over   chan struct{} // closed after its end, when all its lines are in the history
+	from   int           // length of the history at its start
 }
 
-// Process is one of the rig's: a place in which lives follow each other. It is safe for concurrent use.
+// Process is a program that a Rig starts, possibly several times in the same directory. It is safe for concurrent use.
 type Process struct {
 	rig  *Rig
 	spec Spec
@@ -45,13 +45,13 @@
 	all   []*life
 }
 
-// Name is the Spec's.
+// Name returns the name of the Spec.
 func (p *Process) Name() string { return p.spec.Name }
 
 var errRuns = errors.New("it runs")
 
-// Start begins a life, in the directory as the last one left it, and waits until it is ready. files go in place of the Spec's where they
-// are not nil.
+// Start starts the process in its directory as the last run left it, and waits until it is ready. files replace those of the Spec if they are
+// not nil.
 func (p *Process) Start(ctx context.Context, files map[string]string) error {
 	if err := p.Launch(files); err != nil {
 		return err
@@ -59,7 +59,7 @@
 	return p.AwaitReady(ctx)
 }
 
-// Launch is Start without the wait.
+// Launch starts the process without waiting.
 func (p *Process) Launch(files map[string]string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +102,7 @@
 	go func() {
 		defer close(lines)
 		defer read.Close()
-		p.hear(l, read)
+		p.readLines(l, read)
 	}()
 	go func() {
 		defer close(l.over)
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// hear puts the lines of a life into the history.
-func (p *Process) hear(l *life, from io.Reader) {
+// readLines adds the lines of a run to the history.
+func (p *Process) readLines(l *life, from io.Reader) {
 	in := bufio.NewReaderSize(from, 64<<10)
 	for {
 		line, err := in.ReadSlice('\n')
@@ -155,7 +155,7 @@
 
 var errNone = errors.New("it does not run")
 
-// AwaitReady waits until the present life is ready.
+// AwaitReady waits until the current run is ready.
 func (p *Process) AwaitReady(ctx context.Context) error {
 	l := p.current()
 	if l == nil {
@@ -179,7 +179,7 @@
 	return nil
 }
 
-// Signal sends the present life a signal: SIGKILL, SIGSTOP, SIGCONT, SIGTERM and SIGHUP are the ones that scripts use.
+// Signal sends a signal to the current run.
 func (p *Process) Signal(s syscall.Signal) error {
 	l := p.current()
 	if l == nil || l.ended() {
@@ -189,7 +189,7 @@
 	return l.cmd.Process.Signal(s)
 }
 
-// Kill ends the present life, and waits for that. What the life has started ends too.
+// Kill ends the current run and its children by SIGKILL, and waits for the end.
 func (p *Process) Kill(ctx context.Context) error {
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		return err
@@ -197,7 +197,7 @@
 	return p.Await(ctx)
 }
 
-// Await waits for the end of the present life.
+// Await waits for the end of the current run.
 func (p *Process) Await(ctx context.Context) error {
 	l := p.current()
 	if l == nil {
@@ -211,7 +211,7 @@
 	}
 }
 
-// Forget empties the directory of a process that does not run: its disk is lost.
+// Forget removes the directory of a process that does not run, as if it had lost its disk.
 func (p *Process) Forget() error {
 	if l := p.current(); l != nil && !l.ended() {
 		return fmt.Errorf("%s: %w", p.spec.Name, errRuns)
@@ -220,8 +220,8 @@
 	return os.RemoveAll(p.Dir)
 }
 
-// Replace starts another life beside the present one, in the same directory; once it is ready the old one gets SIGTERM and its end is
-// waited for.
+// Replace starts another run in the same directory beside the current one. Once it is ready, Replace sends SIGTERM to the old run and waits
+// for its end.
 func (p *Process) Replace(ctx context.Context, files map[string]string) error {
 	p.mu.Lock()
 	old := p.now
@@ -245,7 +245,7 @@
 	}
 }
 
-// end ends all lives, the ones that are stopped too.
+// end kills all runs, paused ones included.
 func (p *Process) end() {
 	p.mu.Lock()
 	all := p.all
@@ -260,7 +260,7 @@
 	}
 }
 
-// Resident is what the present life holds in memory, in bytes; 0: it does not run.
+// Resident returns the resident memory of the current run in bytes; 0 if there is none.
 func (p *Process) Resident() int64 {
 	l := p.current()
 	if l == nil || l.ended() {
@@ -296,7 +296,7 @@
 	return <-err
 }
 
-// Children are the processes that the present life has started, by pid.
+// Children returns the pids of the processes that the current run has started.
 func (p *Process) Children() (out []int) {
 	l := p.current()
 	if l == nil || l.ended() {
--- a/internal/testing/processes/procs_test.go
+++ b/internal/testing/processes/procs_test.go
@@ -59,41 +59,23 @@
 	return l.Addr().String()
 }
 
-// Guards against processes that outlive their test, lives that are mixed up, and a disk that is there after it was lost: each deed on a
-// process has its effect, and stands in the history.
-func TestLives(t *testing.T) {
-	r := New(t, 1)
-	link, err := r.Link("n0", "up", func() string { return "" })
+// ready calls the readiness endpoint of a daemon.
+func ready(p *Process, wait time.Duration) error {
+	c := http.Client{Timeout: wait, Transport: &http.Transport{DisableKeepAlives: true}}
+	resp, err := c.Get("http://" + p.Address() + "/-/ready")
 	if err != nil {
-		t.Fatal(err)
-	}
-	ctx := within(t, Patience)
-	p := daemons(r, 1, link.Address())[0]
-	if err := p.Start(ctx, nil); err != nil {
-		t.Fatal(err)
-	}
-	first := p.Address()
-	if err := p.Launch(nil); !errors.Is(err, errRuns) {
-		t.Errorf("a second start: %v", err)
-	}
-	if err := p.Forget(); !errors.Is(err, errRuns) {
-		t.Errorf("its disk is lost while it runs: %v", err)
-	}
-	ready := func(wait time.Duration) error {
-		c := http.Client{Timeout: wait, Transport: &http.Transport{DisableKeepAlives: true}}
-		resp, err := c.Get("http://" + p.Address() + "/-/ready")
-		if err != nil {
-			return err
-		}
-		return resp.Body.Close()
-	}
-	if err := ready(Patience); err != nil {
-		t.Error(err)
+		return err
 	}
+	return resp.Body.Close()
+}
+
+// checkPause pauses a daemon, and checks that it answers only after it goes on.
+func checkPause(t *testing.T, p *Process) {
+	t.Helper()
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(Patience); ready(50*time.Millisecond) == nil; { // a busy machine stops it a little later
+	for end := time.Now().Add(Patience); ready(p, 50*time.Millisecond) == nil; { // a busy machine stops it a little later
 		if time.Now().After(end) {
 			t.Fatal("it answers while it is stopped")
 		}
@@ -101,19 +83,25 @@
 	if err := p.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	if err := ready(Patience); err != nil {
+	if err := ready(p, Patience); err != nil {
 		t.Error(err)
 	}
-	kept := p.Dir + "/kept"
-	if err := os.WriteFile(kept, nil, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if err := p.Replace(ctx, nil); err != nil {
-		t.Fatal(err)
-	}
-	if p.Address() != first {
-		t.Errorf("the successor listens at %s, not at %s", p.Address(), first)
+}
+
+// actions returns what was done to a process, and its ends, each with the number of the run.
+func actions(r *Rig, process string) []string {
+	var story []string
+	for _, e := range r.History.Events(0) {
+		if e.Who == process && (e.Kind == Did || e.Kind == Ended) {
+			story = append(story, fmt.Sprint(e.Life, " ", e.What))
+		}
 	}
+	return story
+}
+
+// checkDisk ends and starts a process: kept is still in its directory after a kill, and gone after Forget.
+func checkDisk(t *testing.T, ctx context.Context, p *Process, kept string) {
+	t.Helper()
 	for i, end := range []func() error{func() error { return p.Kill(ctx) },
 		func() error { return errors.Join(p.Signal(syscall.SIGTERM), p.Await(ctx)) }} {
 		if err := end(); err != nil {
@@ -131,6 +119,42 @@
 			t.Errorf("life %d: %v", i, err)
 		}
 	}
+}
+
+// Each action on a process has its effect and is in the history; runs are numbered, and no process outlives its test.
+func TestLives(t *testing.T) {
+	r := New(t, 1)
+	link, err := r.Link("n0", "up", func() string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx := within(t, Patience)
+	p := daemons(r, 1, link.Address())[0]
+	if err := p.Start(ctx, nil); err != nil {
+		t.Fatal(err)
+	}
+	first := p.Address()
+	if err := p.Launch(nil); !errors.Is(err, errRuns) {
+		t.Errorf("a second start: %v", err)
+	}
+	if err := p.Forget(); !errors.Is(err, errRuns) {
+		t.Errorf("its disk is lost while it runs: %v", err)
+	}
+	if err := ready(p, Patience); err != nil {
+		t.Error(err)
+	}
+	checkPause(t, p)
+	kept := p.Dir + "/kept"
+	if err := os.WriteFile(kept, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := p.Replace(ctx, nil); err != nil {
+		t.Fatal(err)
+	}
+	if p.Address() != first {
+		t.Errorf("the successor listens at %s, not at %s", p.Address(), first)
+	}
+	checkDisk(t, ctx, p, kept)
 	pid := p.current().cmd.Process.Pid
 	if err := p.Signal(syscall.SIGSTOP); err != nil { // the rig ends it all the same
 		t.Fatal(err)
@@ -139,12 +163,7 @@
 	if err := syscall.Kill(pid, 0); err != syscall.ESRCH {
 		t.Errorf("it is still there: %v", err)
 	}
-	var story []string
-	for _, e := range r.History.Events(0) {
-		if e.Who == "n0" && (e.Kind == Did || e.Kind == Ended) {
-			story = append(story, fmt.Sprint(e.Life, " ", e.What))
-		}
-	}
+	story := actions(r, "n0")
 	want := []string{"1 start", "1 stopped (signal)", "1 continued", "2 start", "1 terminated", "1 exit status 0", "2 killed", "2 signal: killed",
 		"3 start", "3 terminated", "3 exit status 0", "0 lose the disk", "4 start", "4 stopped (signal)", "4 signal: killed"}
 	if !reflect.DeepEqual(story, want) {
@@ -152,7 +171,52 @@
 	}
 }
 
-// Guards against links that do other than they say: each fault is put on one, and what comes through is looked at.
+// echoAll sends back what comes over each connection, until the listener is closed.
+func echoAll(l net.Listener) {
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		go func() { _, _ = io.Copy(c, c); c.Close() }()
+	}
+}
+
+// echo sends ten bytes and returns what comes back within wait.
+func echo(c net.Conn, wait time.Duration) (string, error) {
+	if _, err := io.WriteString(c, "0123456789"); err != nil {
+		return "", err
+	}
+	b := make([]byte, 10)
+	_ = c.SetReadDeadline(time.Now().Add(wait))
+	n, err := io.ReadFull(c, b)
+	return string(b[:n]), err
+}
+
+// checkHangAndReset checks that both affect the connections that are open, and no later ones.
+func checkHangAndReset(t *testing.T, link *Link, dial func() net.Conn) {
+	t.Helper()
+	hung, other := dial(), dial()
+	for _, c := range []net.Conn{hung, other} {
+		if _, err := echo(c, Patience); err != nil {
+			t.Fatal(err)
+		}
+	}
+	link.Hang()
+	link.Heal()
+	if _, err := echo(hung, 30*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("hung: %v", err)
+	}
+	if _, err := echo(dial(), Patience); err != nil {
+		t.Errorf("a newcomer: %v", err)
+	}
+	link.Reset()
+	if _, err := other.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("reset: %v", err)
+	}
+}
+
+// Each fault of a link has its effect on the bytes that come through.
 func TestLinks(t *testing.T) {
 	r := New(t, 2)
 	far, err := net.Listen("tcp", "127.0.0.1:0")
@@ -160,15 +224,7 @@
 		t.Fatal(err)
 	}
 	defer far.Close()
-	go func() {
-		for {
-			c, err := far.Accept()
-			if err != nil {
-				return
-			}
-			go func() { _, _ = io.Copy(c, c); c.Close() }()
-		}
-	}()
+	go echoAll(far)
 	link, err := r.Link("a", "b", func() string { return far.Addr().String() })
 	if err != nil {
 		t.Fatal(err)
@@ -181,15 +237,6 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	echo := func(c net.Conn, wait time.Duration) (string, error) {
-		if _, err := io.WriteString(c, "0123456789"); err != nil {
-			return "", err
-		}
-		b := make([]byte, 10)
-		_ = c.SetReadDeadline(time.Now().Add(wait))
-		n, err := io.ReadFull(c, b)
-		return string(b[:n]), err
-	}
 	c := dial()
 	if got, err := echo(c, Patience); got != "0123456789" {
 		t.Fatal(got, err)
@@ -216,24 +263,7 @@
 		t.Errorf("cut in a message: %q %v", got, err)
 	}
 	link.Heal()
-	hung, other := dial(), dial()
-	for _, c := range []net.Conn{hung, other} {
-		if _, err := echo(c, Patience); err != nil {
-			t.Fatal(err)
-		}
-	}
-	link.Hang()
-	link.Heal()
-	if _, err := echo(hung, 30*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("hung: %v", err)
-	}
-	if _, err := echo(dial(), Patience); err != nil {
-		t.Errorf("a newcomer: %v", err)
-	}
-	link.Reset()
-	if _, err := other.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("reset: %v", err)
-	}
+	checkHangAndReset(t, link, dial)
 	half := dial()
 	_, _ = io.WriteString(half, "half")
 	_ = half.(*net.TCPConn).CloseWrite()
