--- a/internal/testing/soak/doc.go
+++ b/internal/testing/soak/doc.go
@@ -3,7 +3,7 @@
 // uses nothing of the program's own code.
 //
 //   - script.go draws settings and steps; the same seed gives the same ones.
-//   - record.go is what was seen; referee.go judges it. Neither has I/O, so that the referee is tested with faults that are planted.
+//   - record.go is what was seen; rulechecker.go judges it. Neither has I/O, so that the referee is tested with faults that are planted.
 //   - fleet.go starts the processes and plays the steps, upstream.go and load.go are the upstreams and the clients.
 //
 // Only tests import it.
