--- a/internal/testing/conformance/suite_test.go
+++ b/internal/testing/conformance/suite_test.go
@@ -46,6 +46,98 @@
 
 var allClasses = []string{"search", "record", "confirm"}
 
+// comparisonWorkers is the number of concurrent callers of a comparison.
+const comparisonWorkers = 8
+
+// comparison is a fleet on which both protocol adapters have to give the same answers and the same load.
+type comparison struct {
+	name  string
+	nodes []fakes.NodeOptions
+	exact bool // the answers do not depend on random choices
+	calls int  // of each worker
+	// A broken connection ends one HTTP/1.1 request and every gRPC stream on it: where all nodes break them, what
+	// arrives differs, and only answers are compared.
+	answersOnly bool
+}
+
+// compare plays a comparison up to three times, and fails for counts that differ in the same direction in each.
+func (c comparison) compare(t *testing.T) {
+	differences := countDifferences{}
+	for play := range 3 {
+		answers, nodes := c.play(t)
+		n := float64(comparisonWorkers * c.calls)
+		again := false
+		within := func(what string, a, b int) {
+			again = differences.add(t, play, what, n, a, b) || again
+		}
+		for _, class := range allClasses {
+			for _, k := range []kind{served, refused, failed} {
+				key := class + " " + string(k)
+				if a, b := answers[overHTTP][key], answers[overGRPC][key]; c.exact && a != b {
+					t.Errorf("%s: %d with the daemon, %d with the plug-in", key, a, b)
+				} else {
+					within(key, a, b)
+				}
+			}
+		}
+		t.Logf("answers %v", answers)
+		for i := range c.nodes {
+			if c.answersOnly {
+				break
+			}
+			name := fmt.Sprint("n", i)
+			within("requests at "+name, nodes[overHTTP][name].Arrived, nodes[overGRPC][name].Arrived)
+		}
+		if !again {
+			return
+		}
+	}
+	for what, a := range differences {
+		if a[0] != 0 && a[0] == a[1] && a[1] == a[2] {
+			t.Errorf("%s: apart the same way in three plays of three", what)
+		}
+	}
+}
+
+// play sends the load through both protocol adapters, and returns their answers and the counts of the nodes.
+func (c comparison) play(t *testing.T) (answers map[protocol]map[string]int, nodes map[protocol]map[string]fakes.NodeCount) {
+	t.Helper()
+	answers, nodes = map[protocol]map[string]int{}, map[protocol]map[string]fakes.NodeCount{}
+	for _, p := range protocols {
+		w := newWorld(t, c.nodes...)
+		f := w.start(t, p, suiteSettings(2*time.Second))
+		answers[p] = load{workers: comparisonWorkers, calls: c.calls, pause: time.Millisecond, classes: allClasses}.run(f, string(p))
+		f.close()
+		nodes[p] = w.ledger.Nodes()
+		if twice := w.ledger.Doubled("confirm"); len(twice) > 0 {
+			t.Errorf("%s: ran twice: %v", p, twice)
+		}
+		if twice := w.ledger.Doubled("booking.Seats/confirm"); len(twice) > 0 {
+			t.Errorf("%s: ran twice: %v", p, twice)
+		}
+	}
+	return answers, nodes
+}
+
+// countDifferences holds, by count, the sign of a difference beyond the allowed one in each play; 0: there was none.
+type countDifferences map[string]*[3]int
+
+// add compares a count of both adapters, of n requests each, and reports whether it can still fail in a further play.
+func (d countDifferences) add(t *testing.T, play int, what string, n float64, a, b int) bool {
+	t.Helper()
+	p := float64(a+b) / 2 / n
+	allowed := 4*math.Sqrt(2*n*p*max(0, 1-p)) + 4
+	if math.Abs(float64(a-b)) <= allowed {
+		return false
+	}
+	t.Logf("play %d: %s: %d with the daemon, %d with the plug-in; %.0f apart are allowed", play, what, a, b, allowed)
+	if d[what] == nil {
+		d[what] = new([3]int)
+	}
+	d[what][play] = cmp.Compare(a, b)
+	return play == 0 || d[what][play-1] == d[what][play]
+}
+
 // TestSameAnswersSameLoad plays each script against both fronts, with the same seed and list. Two fronts can't draw the same
 // numbers, since sockets decide the order of events, so what has to agree is what the counts of two independent runs agree
 // to: for a node with share p of n requests the difference has a standard deviation of at most sqrt(2np(1-p)) if each
@@ -60,15 +152,7 @@
 	}
 	fault := func(k fakes.FaultKind) fakes.Fault { return fakes.Fault{Kind: k, Factor: 8} }
 	ok := node()
-	for _, c := range []struct {
-		name  string
-		nodes []fakes.NodeOptions
-		exact bool // no chance in the answers
-		calls int  // of each of 8 workers
-		// A broken connection ends one HTTP/1.1 request and every gRPC stream on it: where all nodes break them, what
-		// arrives differs, and only answers are compared.
-		answersOnly bool
-	}{
+	for _, c := range []comparison{
 		{"healthy", []fakes.NodeOptions{ok, ok, ok, ok, ok}, true, 90, false},
 		{"one slow", []fakes.NodeOptions{node(fault(fakes.Slow)), ok, ok, ok, ok}, true, 90, false},
 		{"one freezes", []fakes.NodeOptions{node(fakes.Fault{Kind: fakes.Freeze, Every: 400 * time.Millisecond,
@@ -83,66 +167,7 @@
 		{"one can't be read", []fakes.NodeOptions{node(fault(fakes.Garble)), ok, ok, ok}, false, 60, false},
 		{"one cuts its answers", []fakes.NodeOptions{node(fault(fakes.Cut)), ok, ok, ok}, false, 60, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			apart := map[string]*[3]int{} // by count: -1, 0 or 1 in each play
-			for play := range 3 {
-				answers, nodes := map[protocol]map[string]int{}, map[protocol]map[string]fakes.NodeCount{}
-				for _, p := range protocols {
-					w := newWorld(t, c.nodes...)
-					f := w.start(t, p, suiteSettings(2*time.Second))
-					answers[p] = load{workers: 8, calls: c.calls, pause: time.Millisecond, classes: allClasses}.run(f, string(p))
-					f.close()
-					nodes[p] = w.ledger.Nodes()
-					if twice := w.ledger.Doubled("confirm"); len(twice) > 0 {
-						t.Errorf("%s: ran twice: %v", p, twice)
-					}
-					if twice := w.ledger.Doubled("booking.Seats/confirm"); len(twice) > 0 {
-						t.Errorf("%s: ran twice: %v", p, twice)
-					}
-				}
-				n := float64(8 * c.calls)
-				again := false
-				within := func(what string, a, b int) {
-					p := float64(a+b) / 2 / n
-					allowed := 4*math.Sqrt(2*n*p*max(0, 1-p)) + 4
-					if math.Abs(float64(a-b)) <= allowed {
-						return
-					}
-					t.Logf("play %d: %s: %d with the daemon, %d with the plug-in; %.0f apart are allowed", play, what, a, b, allowed)
-					if apart[what] == nil {
-						apart[what] = new([3]int)
-					}
-					apart[what][play] = cmp.Compare(a, b)
-					again = again || play == 0 || apart[what][play-1] == apart[what][play] // else it can't fail any more
-				}
-				for _, class := range allClasses {
-					for _, k := range []kind{served, refused, failed} {
-						key := class + " " + string(k)
-						if a, b := answers[overHTTP][key], answers[overGRPC][key]; c.exact && a != b {
-							t.Errorf("%s: %d with the daemon, %d with the plug-in", key, a, b)
-						} else {
-							within(key, a, b)
-						}
-					}
-				}
-				t.Logf("answers %v", answers)
-				for i := range c.nodes {
-					if c.answersOnly {
-						break
-					}
-					name := fmt.Sprint("n", i)
-					within("requests at "+name, nodes[overHTTP][name].Arrived, nodes[overGRPC][name].Arrived)
-				}
-				if !again {
-					return
-				}
-			}
-			for what, a := range apart {
-				if a[0] != 0 && a[0] == a[1] && a[1] == a[2] {
-					t.Errorf("%s: apart the same way in three plays of three", what)
-				}
-			}
-		})
+		t.Run(c.name, func(t *testing.T) { c.compare(t) })
 	}
 }
 
@@ -295,34 +320,57 @@
 	}
 }
 
+// allFaults returns the faults of the n-th node: every kind, at random.
+func allFaults(n int) (f []fakes.Fault) {
+	for _, k := range []fakes.FaultKind{fakes.TurnAway, fakes.Fail, fakes.FailUnrun, fakes.ResetBefore,
+		fakes.ResetAfter, fakes.LoseAnswer, fakes.Hang, fakes.Garble, fakes.Cut, fakes.RefuseAtWire, fakes.GoAway} {
+		share := 0.04
+		if k == fakes.LoseAnswer || k == fakes.Hang {
+			share = 0.01 // each costs its caller the whole deadline
+		}
+		f = append(f, fakes.Fault{Kind: k, Share: share})
+	}
+	return append(f, fakes.Fault{Kind: fakes.Freeze, From: time.Duration(n) * 70 * time.Millisecond,
+		Every: time.Second, For: 60 * time.Millisecond})
+}
+
+// answerCounts counts the answers of a client that retries.
+type answerCounts struct {
+	served, refused, failed atomic.Int64
+	unavailable             atomic.Int64 // whose text begins with the status of a refusal
+}
+
+// call makes a call with up to three retries: an idempotent request after any failure, others only after a refusal. Nothing says which
+// zone's memory holds a key, so that a keyed request is not retried after a failure either.
+func (a *answerCounts) call(f front, class, op string) {
+	for try := range 4 {
+		k, text := f.do(context.Background(), spec{class: class, id: fmt.Sprintf("%s-%d", op, try), op: op, key: op})
+		map[kind]*atomic.Int64{served: &a.served, refused: &a.refused, failed: &a.failed}[k].Add(1)
+		if len(text) > 11 && text[:11] == "UNAVAILABLE" {
+			a.unavailable.Add(1)
+		}
+		if k == served || k == failed && class != "search" {
+			return
+		}
+	}
+}
+
 // TestNothingRunsTwice is the proof by count: at least 10,000 injected failures of every kind in each front, with clients
 // that try again as they do in service: a safe request after any failure, all others only after a refusal. The nodes stand in two zones,
 // and those of a zone share their memory of keys. The ledger knows each execution by the client's operation. No unsafe
 // operation may run twice, no keyed one either, and every call has one answer.
 func TestNothingRunsTwice(t *testing.T) {
-	faults := func(n int) (f []fakes.Fault) {
-		for _, k := range []fakes.FaultKind{fakes.TurnAway, fakes.Fail, fakes.FailUnrun, fakes.ResetBefore,
-			fakes.ResetAfter, fakes.LoseAnswer, fakes.Hang, fakes.Garble, fakes.Cut, fakes.RefuseAtWire, fakes.GoAway} {
-			share := 0.04
-			if k == fakes.LoseAnswer || k == fakes.Hang {
-				share = 0.01 // each costs its caller the whole deadline
-			}
-			f = append(f, fakes.Fault{Kind: k, Share: share})
-		}
-		return append(f, fakes.Fault{Kind: fakes.Freeze, From: time.Duration(n) * 70 * time.Millisecond,
-			Every: time.Second, For: 60 * time.Millisecond})
-	}
 	for _, p := range protocols {
 		t.Run(string(p), func(t *testing.T) {
 			t.Parallel()
 			var nodes []fakes.NodeOptions
 			for n := range 6 {
-				nodes = append(nodes, fakes.NodeOptions{Cores: 16, Faults: faults(n)})
+				nodes = append(nodes, fakes.NodeOptions{Cores: 16, Faults: allFaults(n)})
 			}
 			w := newWorld(t, nodes...)
 			set := suiteSettings(300 * time.Millisecond)
 			f := w.start(t, p, set)
-			var answers [3]atomic.Int64
+			var counts answerCounts
 			var wg sync.WaitGroup
 			failures := func() (sum int) {
 				for _, c := range w.ledger.Nodes() {
@@ -330,7 +378,6 @@
 				}
 				return sum
 			}
-			var wrong atomic.Int64
 			var ended atomic.Bool
 			time.AfterFunc(150*time.Second, func() { ended.Store(true) })
 			for worker := range 48 {
@@ -338,19 +385,7 @@
 					for n := 0; !ended.Load() && failures() < 10000; n++ {
 						op := fmt.Sprintf("%d-%d", worker, n)
 						class := allClasses[n%3]
-						for try := range 4 {
-							k, text := f.do(context.Background(), spec{class: class, id: fmt.Sprintf("%s-%d", op, try), op: op, key: op})
-							answers[map[kind]int{served: 0, refused: 1, failed: 2}[k]].Add(1)
-							if len(text) > 11 && text[:11] == "UNAVAILABLE" {
-								wrong.Add(1)
-							}
-							if k == served {
-								break
-							}
-							if k == failed && class != "search" { // a key's memory is its zone's: nothing says which one it was
-								break
-							}
-						}
+						counts.call(f, class, op)
 					}
 				})
 			}
@@ -366,15 +401,15 @@
 			if twice := w.ledger.Doubled(prefix + "record"); len(twice) > 0 {
 				t.Errorf("%d keyed operations ran twice: %v", len(twice), twice[:min(5, len(twice))])
 			}
-			if wrong.Load() > 0 {
-				t.Errorf("%d failures that may have run look like refusals", wrong.Load())
+			if counts.unavailable.Load() > 0 {
+				t.Errorf("%d failures that may have run look like refusals", counts.unavailable.Load())
 			}
 			injected := failures()
 			if injected < 10000 {
 				t.Errorf("only %d failures in the time", injected)
 			}
 			t.Logf("%d injected faults, %d unsafe operations ran; answers: %d served, %d refused, %d failed", injected,
-				w.ledger.Operations(prefix+"confirm"), answers[0].Load(), answers[1].Load(), answers[2].Load())
+				w.ledger.Operations(prefix+"confirm"), counts.served.Load(), counts.refused.Load(), counts.failed.Load())
 		})
 	}
 }
