--- a/internal/testing/conformance/suite_test.go
+++ b/internal/testing/conformance/suite_test.go
@@ -171,10 +171,9 @@
 	}
 }
 
-// Guards against a cold node pushed over by fronts that know nothing of each other: a plug-in and a daemon both send to
-// the nodes when one of them starts anew. Each is told that there are two balancers. The node must not fall over, and
-// must be used.
-func TestColdNodeStandsBothFronts(t *testing.T) {
+// A node in slow start withstands two balancers that do not know of each other: a plug-in and a daemon both send to the nodes when one of
+// them restarts. Both are configured for two balancers. The node must not become overloaded, and must get requests.
+func TestRestartedNodeWithstandsBothAdapters(t *testing.T) {
 	node := fakes.NodeOptions{Cores: 4, ColdFrom: 0.3, WarmUp: 8800 * time.Millisecond, FallMultiple: 3, FallTime: 2 * time.Second}
 	w := newWorld(t, node, node, node)
 	set := suiteSettings(2 * time.Second)
@@ -202,9 +201,9 @@
 		}
 	}
 	time.Sleep(500 * time.Millisecond) // traffic is known before the restart
-	cold := node
-	cold.Name, cold.Started = "cold", time.Now()
-	n := w.add(t, cold)
+	restarted := node
+	restarted.Name, restarted.Started = "restarted", time.Now()
+	n := w.add(t, restarted)
 	w.nodes[0].Kill() // which it replaces
 	for _, d := range w.discovery {
 		d.Remove("n0")
@@ -212,21 +211,21 @@
 	time.Sleep(4 * time.Second)
 	close(stop)
 	wg.Wait()
-	count := w.ledger.Nodes()["cold"]
+	count := w.ledger.Nodes()["restarted"]
 	if n.Down() || count.Fell {
-		t.Errorf("the cold node fell over after %d requests", count.Arrived)
+		t.Errorf("the restarted node was overloaded after %d requests", count.Arrived)
 	}
 	if count.Ran == 0 {
-		t.Error("the cold node was never used")
+		t.Error("the restarted node got no request")
 	}
 	if share := float64(good.Load()) / float64(calls.Load()); share < 0.9 {
 		t.Errorf("%d of %d served", good.Load(), calls.Load())
 	}
-	t.Logf("%d calls, %d served, %d at the cold node", calls.Load(), good.Load(), count.Ran)
+	t.Logf("%d calls, %d served, %d at the restarted node", calls.Load(), good.Load(), count.Ran)
 }
 
-// Guards against sends to a node that drains: what it had is finished, and nothing comes later than 250 ms after the
-// front was told. Nodes drain and come back under load, in both fronts at once.
+// A draining node finishes its requests, and gets no new ones later than 250 ms after the adapter was notified. Nodes drain and return under
+// load, with both adapters at once.
 func TestNothingNewAfterADrain(t *testing.T) {
 	node := fakes.NodeOptions{Cores: 32, Work: 3 * time.Millisecond}
 	w := newWorld(t, node, node, node, node)
@@ -278,15 +277,15 @@
 	for p, d := range w.discovery {
 		for i := range drains {
 			if _, ok := d.Told(w.nodes[i].Options().Name, endpoints.StatusTerminating); !ok {
-				t.Errorf("%s was never told of drain %d", p, i)
+				t.Errorf("%s was never notified of drain %d", p, i)
 			}
 		}
 	}
 }
 
-// Guards against a list that is lost with its watch: discovery breaks its watches, goes down for a while, and then tells of
-// a node that replaces all the others. Both fronts go on meanwhile, and find it.
-func TestDiscoveryTroubles(t *testing.T) {
+// The endpoint list outlasts its watch: discovery breaks its watches, is down for a while, and then lists a node that replaces all others. Both
+// adapters keep serving, and find the new node.
+func TestDiscoveryFaults(t *testing.T) {
 	for _, p := range protocols {
 		t.Run(string(p), func(t *testing.T) {
 			t.Parallel()
