--- a/internal/testing/soak/fleet.go
+++ b/internal/testing/soak/fleet.go
@@ -184,8 +184,8 @@
 // start begins a life; the caller holds the sidecar's lock.
 func (f *fleet) start(s *sidecar) {
 	f.record.do(func(r *Record) {
-		s.life = len(r.Lives)
-		r.Lives = append(r.Lives, Life{Sidecar: s.number, Span: Span{From: f.record.now()}})
+		s.life = len(r.Runs)
+		r.Runs = append(r.Runs, ProcessRun{Sidecar: s.number, Span: Span{From: f.record.now()}})
 	})
 	s.started = time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), processes.Patience)
@@ -196,7 +196,7 @@
 	}
 	for ctx.Err() == nil {
 		if ready(s.address) {
-			f.record.do(func(r *Record) { r.Lives[s.life].Ready = f.record.now() })
+			f.record.do(func(r *Record) { r.Runs[s.life].Ready = f.record.now() })
 			return
 		}
 		time.Sleep(readyLook)
@@ -214,7 +214,7 @@
 }
 
 func (f *fleet) crashed(s *sidecar, how string) {
-	f.record.do(func(r *Record) { r.Lives[s.life].Crashed = how })
+	f.record.do(func(r *Record) { r.Runs[s.life].Crashed = how })
 }
 
 // play does the script's steps at their times.
@@ -308,9 +308,9 @@
 	now := f.record.now()
 	f.record.do(func(r *Record) {
 		if kill {
-			r.Lives[s.life].Killed = true
+			r.Runs[s.life].Killed = true
 		} else {
-			r.Lives[s.life].Terminated = now
+			r.Runs[s.life].Terminated = now
 		}
 	})
 	signal := syscall.SIGTERM
@@ -328,7 +328,7 @@
 		defer stop()
 		_ = s.process.Kill(killed)
 	}
-	f.record.do(func(r *Record) { r.Lives[s.life].To = f.record.now() })
+	f.record.do(func(r *Record) { r.Runs[s.life].To = f.record.now() })
 	return true
 }
 
--- a/internal/testing/soak/load.go
+++ b/internal/testing/soak/load.go
@@ -80,15 +80,15 @@
 	}()
 	select {
 	case <-written:
-		q.Begun = c.record.now()
+		q.SentAt = c.record.now()
 	case <-ended:
-		q.Begun = c.record.now()
+		q.SentAt = c.record.now()
 		q.Refused = err != nil
 	}
 	if leave > 0 {
 		select {
 		case <-time.After(leave):
-			q.LeftAt = c.record.now()
+			q.DisconnectedAt = c.record.now()
 			cancel()
 		case <-ended:
 		}
--- a/internal/testing/soak/record.go
+++ b/internal/testing/soak/record.go
@@ -20,16 +20,16 @@
 
 // Request is one as its client saw it. All times are since the load began.
 type Request struct {
-	ID       RequestID
-	Sidecar  int
-	Effect   Effect
-	Begun    time.Duration // its last byte was written, or later
-	Deadline time.Duration // how long the client waits
-	LeftAt   time.Duration // the client closed its connection; 0: it did not
-	Status   int           // of the answer; 0: none came
-	Ended    time.Duration
-	Refused  bool   // no connection was made
-	Failure  string // why there is no answer
+	ID             RequestID
+	Sidecar        int
+	Effect         Effect
+	SentAt         time.Duration `json:"Begun"` // its last byte was written, or later
+	Deadline       time.Duration // how long the client waits
+	DisconnectedAt time.Duration `json:"LeftAt"` // the client closed its connection; 0: it did not
+	Status         int           // of the answer; 0: none came
+	Ended          time.Duration
+	Refused        bool   // no connection was made
+	Failure        string // why there is no answer
 }
 
 // Attempt is a request as an upstream saw it.
@@ -37,8 +37,8 @@
 	Request  RequestID
 	Upstream string
 	At       time.Duration
-	Told     time.Duration // the time that its sidecar says it will wait
-	Turned   bool          // it was turned away, and has not run
+	Timeout  time.Duration `json:"Told"`   // the time that its sidecar says it will wait
+	Rejected bool          `json:"Turned"` // it was turned away, and has not run
 }
 
 // Change is an upstream that is listed as draining or gone.
@@ -58,8 +58,8 @@
 // Span is a time from one moment to another.
 type Span struct{ From, To time.Duration }
 
-// Life is one process of a sidecar.
-type Life struct {
+// ProcessRun is one process of a sidecar.
+type ProcessRun struct {
 	Sidecar int
 	Span
 	Ready      time.Duration // 0: never
@@ -75,8 +75,8 @@
 	Attempts []Attempt
 	Changes  []Change
 	Writes   []Write
-	Outages  []Span // of discovery
-	Lives    []Life
+	Outages  []Span       // of discovery
+	Runs     []ProcessRun `json:"Lives"`
 }
 
 // recorder collects a Record. It is safe for concurrent use.
--- a/internal/testing/soak/script.go
+++ b/internal/testing/soak/script.go
@@ -50,18 +50,18 @@
 }
 
 const (
-	mostPause    = 150 * time.Millisecond // a sidecar may be held up for so long
+	maxPause     = 150 * time.Millisecond // a sidecar may be held up for so long
 	quietEnd     = 9 * time.Second        // at the end of a script no step begins, so that late requests are seen
 	quietBegin   = time.Second
-	leastLength  = quietBegin + quietEnd + time.Second
-	drainPart    = 3 // of the upstreams one in so many drains or goes at most
-	mostRefusals = 6
+	minLength    = quietBegin + quietEnd + time.Second
+	drainDivisor = 3 // of the upstreams one in so many drains or goes at most
+	maxRefusals  = 6
 )
 
 // Draw makes the script of a seed. length is for all of it.
 func Draw(seed uint64, length time.Duration) Script {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
-	s := Script{Seed: seed, Length: max(length, leastLength), Sidecars: 3 + rng.IntN(4), Upstreams: 6 + rng.IntN(7), Rate: 15,
+	s := Script{Seed: seed, Length: max(length, minLength), Sidecars: 3 + rng.IntN(4), Upstreams: 6 + rng.IntN(7), Rate: 15,
 		Grace: between(rng, 100*time.Millisecond, 400*time.Millisecond), Deadline: between(rng, 600*time.Millisecond, 3*time.Second),
 		CallLimit: time.Second}
 	s.CallRate = float64(s.Sidecars) / (1 + 1.2*rng.Float64()) // each has a call in 1 to 2.2 s
@@ -79,7 +79,7 @@
 	script   *Script
 	rng      *rand.Rand
 	last     time.Duration         // no step begins later
-	left     int                   // upstreams that drain or are gone
+	draining int                   // upstreams that drain or are gone
 	restarts map[int]time.Duration // until when a sidecar is held to be starting
 }
 
@@ -94,7 +94,7 @@
 	back := at + length
 	d.add(Step{At: at, Kind: DiscoveryDown, For: length})
 	if d.rng.IntN(2) == 0 {
-		d.add(Step{At: back, Kind: DiscoveryRefuses, Count: 1 + d.rng.IntN(mostRefusals)})
+		d.add(Step{At: back, Kind: DiscoveryRefuses, Count: 1 + d.rng.IntN(maxRefusals)})
 	}
 	d.drain(min(back+between(d.rng, 0, 4*time.Second), d.last))
 	for i := range d.script.Sidecars {
@@ -113,21 +113,21 @@
 }
 
 func (d *drawer) drain(at time.Duration) {
-	if d.left >= d.script.Upstreams/drainPart {
+	if d.draining >= d.script.Upstreams/drainDivisor {
 		return
 	}
 	kind := Drain
 	if d.rng.IntN(3) == 0 {
 		kind = Remove
 	}
-	d.add(Step{At: at, Kind: kind, Target: d.left}) // each upstream once
-	d.left++
+	d.add(Step{At: at, Kind: kind, Target: d.draining}) // each upstream once
+	d.draining++
 }
 
 func (d *drawer) step() {
 	at := d.moment()
 	sidecar := d.rng.IntN(d.script.Sidecars)
-	upstream := d.staying()
+	upstream := d.remainingUpstream()
 	switch d.rng.IntN(9) {
 	case 0:
 		d.add(Step{At: at, Kind: WatchesReset})
@@ -140,7 +140,7 @@
 	case 5:
 		d.restart(sidecar, at)
 	case 6:
-		d.add(Step{At: at, Kind: Pause, Target: sidecar, For: between(d.rng, 20*time.Millisecond, mostPause)})
+		d.add(Step{At: at, Kind: Pause, Target: sidecar, For: between(d.rng, 20*time.Millisecond, maxPause)})
 	case 7:
 		d.add(Step{At: at, Kind: UpstreamHangs, Target: upstream, For: between(d.rng, 500*time.Millisecond, 4*time.Second)})
 	default:
@@ -161,13 +161,13 @@
 	}
 	d.add(Step{At: at, Kind: kind, Target: sidecar})
 	if d.rng.IntN(2) == 0 { // and what it has in hand hangs
-		d.add(Step{At: max(0, at-between(d.rng, 0, 300*time.Millisecond)), Kind: UpstreamHangs, Target: d.staying(),
+		d.add(Step{At: max(0, at-between(d.rng, 0, 300*time.Millisecond)), Kind: UpstreamHangs, Target: d.remainingUpstream(),
 			For: between(d.rng, 500*time.Millisecond, 4*time.Second)})
 	}
 }
 
-// staying is an upstream that does not drain.
-func (d *drawer) staying() int {
+// remainingUpstream is an upstream that does not drain.
+func (d *drawer) remainingUpstream() int {
 	return d.script.Upstreams - 1 - d.rng.IntN(d.script.Upstreams/2)
 }
 
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -31,11 +31,11 @@
 			t.Parallel()
 			script := Draw(seed, *length)
 			record := Play(t, script)
-			findings := Judge(record)
+			findings := CheckRules(record)
 			t.Logf("seed %d: %d sidecars, %d steps, %d requests, %d attempts, %d answered 200, %d findings", seed, script.Sidecars, len(script.Steps),
 				len(record.Requests), len(record.Attempts), served(record), len(findings))
 			for i, f := range findings {
-				if i < mostFindings {
+				if i < maxFindings {
 					t.Errorf("%v", f)
 				}
 			}
@@ -49,7 +49,7 @@
 	}
 }
 
-const mostFindings = 20
+const maxFindings = 20
 
 func served(r *Record) int {
 	n := 0
--- a/internal/testing/soak/upstream.go
+++ b/internal/testing/soak/upstream.go
@@ -26,10 +26,10 @@
 }
 
 const (
-	leastWork = 2 * time.Millisecond
-	mostWork  = 40 * time.Millisecond
-	longOneIn = 8 // requests, whose work is up to longWork
-	longWork  = 500 * time.Millisecond
+	minServiceTime     = 2 * time.Millisecond
+	maxServiceTime     = 40 * time.Millisecond
+	longOneIn          = 8 // requests, whose work is up to maxLongServiceTime
+	maxLongServiceTime = 500 * time.Millisecond
 )
 
 func newUpstream(name string, seed uint64, record *recorder) (*upstream, error) {
@@ -65,11 +65,11 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := time.Now()
-	most := mostWork
+	most := maxServiceTime
 	if u.rng.IntN(longOneIn) == 0 {
-		most = longWork
+		most = maxLongServiceTime
 	}
-	return between(u.rng, leastWork, most), now.Before(u.hangs), now.Before(u.resets)
+	return between(u.rng, minServiceTime, most), now.Before(u.hangs), now.Before(u.resets)
 }
 
 // ServeHTTP is http.Handler's.
@@ -84,7 +84,7 @@
 	}
 	told := timeout(r.Header.Get("X-Timeout"))
 	u.record.do(func(record *Record) {
-		record.Attempts = append(record.Attempts, Attempt{Request: id, Upstream: u.name, At: u.record.now(), Told: told})
+		record.Attempts = append(record.Attempts, Attempt{Request: id, Upstream: u.name, At: u.record.now(), Timeout: told})
 	})
 	work, hangs, resets := u.fate()
 	var done <-chan time.Time
