--- a/internal/testing/soak/record.go
+++ b/internal/testing/soak/record.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Effect is what a request's class says of repeating it.
+// Effect says whether a request of a class may be retried.
 type Effect string
 
 // The effects.
@@ -15,20 +15,20 @@
 	Unsafe Effect = "unsafe"
 )
 
-// RequestID names a request of a client.
+// RequestID identifies a request of a client.
 type RequestID string
 
-// Request is one as its client saw it. All times are since the load began.
+// Request is a request as its client recorded it. All times are since the start of the load.
 type Request struct {
 	ID             RequestID
 	Sidecar        int
 	Effect         Effect
-	SentAt         time.Duration `json:"Begun"` // its last byte was written, or later
-	Deadline       time.Duration // how long the client waits
-	DisconnectedAt time.Duration `json:"LeftAt"` // the client closed its connection; 0: it did not
+	SentAt         time.Duration `json:"Begun"` // not before its last byte was written
+	Deadline       time.Duration // of the client
+	DisconnectedAt time.Duration `json:"LeftAt"` // time at which the client closed its connection; 0: it did not
 	Status         int           // of the answer; 0: none came
 	Ended          time.Duration
-	Refused        bool   // no connection was made
+	Refused        bool   // the connection was refused
 	Failure        string // why there is no answer
 }
 
@@ -37,11 +37,11 @@
 	Request  RequestID
 	Upstream string
 	At       time.Duration
-	Timeout  time.Duration `json:"Told"`   // the time that its sidecar says it will wait
-	Rejected bool          `json:"Turned"` // it was turned away, and has not run
+	Timeout  time.Duration `json:"Told"`   // as the sidecar announced it
+	Rejected bool          `json:"Turned"` // rejected without execution
 }
 
-// Change is an upstream that is listed as draining or gone.
+// Change is the listing of an upstream as draining or removed.
 type Change struct {
 	Upstream string
 	Version  int64
@@ -51,24 +51,24 @@
 // Write is a message of discovery to a sidecar.
 type Write struct {
 	Sidecar int
-	Version int64 // that the sidecar then knows
+	Version int64 // of the endpoint list
 	At      time.Duration
 }
 
-// Span is a time from one moment to another.
+// Span is an interval of time.
 type Span struct{ From, To time.Duration }
 
-// ProcessRun is one process of a sidecar.
+// ProcessRun is a process of a sidecar from its start to its end.
 type ProcessRun struct {
 	Sidecar int
 	Span
 	Ready      time.Duration // 0: never
 	Terminated time.Duration // when it got SIGTERM; 0: it did not
 	Killed     bool          // by SIGKILL
-	Crashed    string        // how it ended where nothing had told it to
+	Crashed    string        // its exit status, if the script did not end it
 }
 
-// Record is all that was seen.
+// Record holds all observations of a play.
 type Record struct {
 	Grace    time.Duration
 	Requests []Request
--- a/internal/testing/soak/rulechecker.go
+++ b/internal/testing/soak/rulechecker.go
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Rule is one of the operators'.
+// Rule is a rule of the operators.
 type Rule string
 
 // The rules.
 const (
-	RuleDrain        Rule = "drain"     // nothing goes to an upstream later than the grace behind its drain's being told
-	RuleLost         Rule = "lost"      // each request that was taken gets its answer
+	RuleDrain        Rule = "drain"     // no attempt at a draining upstream after the grace since its sidecar was notified
+	RuleLost         Rule = "lost"      // each accepted request gets its answer
 	RuleDuplicate    Rule = "duplicate" // an unsafe request runs once
 	RuleRefusal      Rule = "refusal"   // a refusal of an unsafe request means that it has not run
-	RuleDisconnected Rule = "gone"      // no attempt begins for a client that has gone
-	RuleDeadline     Rule = "deadline"  // an upstream is told no more time than the client has left
+	RuleDisconnected Rule = "gone"      // no attempt begins after its client has disconnected
+	RuleDeadline     Rule = "deadline"  // no attempt has a longer timeout than its client has left
 	RuleCrash        Rule = "crash"     // no process ends by itself
 	RuleReady        Rule = "ready"     // a restarted process is ready in time
 )
 
-// What the rules allow, and what a busy machine adds to what is seen.
+// The tolerances of the rules and of the observations on a busy machine.
 const (
-	notifyTimeout   = 6 * time.Second // a change that discovery had, and could be reached for
+	notifyTimeout   = 6 * time.Second // from a change to its notification while discovery can be reached
 	drainSlack      = 50 * time.Millisecond
-	pauseSlack      = maxPause // between reading a clock and writing
+	pauseSlack      = maxPause // a pause between reading a clock and writing
 	answerSlack     = 500 * time.Millisecond
 	disconnectSlack = 100 * time.Millisecond
 	deadlineSlack   = 150 * time.Millisecond
@@ -34,7 +34,7 @@
 	machineSlack    = 250 * time.Millisecond
 )
 
-// Finding is a rule that was broken.
+// Finding is a violation of a rule.
 type Finding struct {
 	Rule     Rule
 	At       time.Duration
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("%s at %.3f: sidecar %d, request %s, upstream %s: %s", f.Rule, f.At.Seconds(), f.Sidecar, f.Request, f.Upstream, f.Why)
 }
 
-// CheckRules holds a Record to the rules. Its findings are in order of time.
+// CheckRules checks a Record against the rules and returns the violations in order of time.
 func CheckRules(r *Record) []Finding {
 	j := ruleChecker{Record: r, requests: map[RequestID]*Request{}, attempts: map[RequestID][]Attempt{}}
 	for i := range r.Requests {
@@ -99,7 +99,7 @@
 	}
 }
 
-// drainKnownAt is when a sidecar was told by then that an upstream drains or is gone; a moment far ahead: it was not.
+// drainKnownAt returns when a sidecar was notified, before then, that an upstream drains or is removed; a time far ahead if it was not.
 func (j *ruleChecker) drainKnownAt(upstream string, sidecar int, then time.Duration) time.Duration {
 	told := time.Duration(1<<62 - 1)
 	i := slices.IndexFunc(j.Changes, func(c Change) bool { return c.Upstream == upstream })
@@ -120,8 +120,8 @@
 	return told
 }
 
-// knownWithoutWrite is by when a change counts as told that was made at a moment, and was written to nobody: so long after it that discovery
-// could be reached throughout.
+// knownWithoutWrite returns by when a sidecar has to know a change that was not written to it: notifyTimeout after the change, during
+// which discovery could be reached throughout.
 func (j *ruleChecker) knownWithoutWrite(at time.Duration) time.Duration {
 	due := at + notifyTimeout
 	for _, outage := range j.Outages { // in order of time
@@ -132,7 +132,7 @@
 	return due
 }
 
-// runAt is the last process of a sidecar that had been started by a moment.
+// runAt returns the last process of a sidecar that was started by a time; nil if there is none.
 func (j *ruleChecker) runAt(sidecar int, at time.Duration) *ProcessRun {
 	for i := range slices.Backward(j.Runs) {
 		if l := &j.Runs[i]; l.Sidecar == sidecar && l.From <= at {
@@ -159,7 +159,7 @@
 	}
 }
 
-// checkAnswer: a client that left, and one whose process was killed, is owed none.
+// checkAnswer checks that a request got its answer in time. Clients that disconnected or whose process was killed need not get one.
 func (j *ruleChecker) checkAnswer(q *Request, at Finding) {
 	if q.DisconnectedAt > 0 || q.Refused || j.killed(q) {
 		return
@@ -180,7 +180,7 @@
 	})
 }
 
-// executions is how many attempts of a request may have run.
+// executions returns the number of attempts of a request that may have been executed.
 func (j *ruleChecker) executions(id RequestID) int {
 	n := 0
 	for _, a := range j.attempts[id] {
--- a/internal/testing/soak/script.go
+++ b/internal/testing/soak/script.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// StepKind is what a step of a script does.
+// StepKind is the kind of a step.
 type StepKind string
 
-// The kinds. A step that lasts does so for its For.
+// The kinds of steps. Those that last end after Step.For.
 const (
 	DiscoveryDown    StepKind = "discovery down"    // calls fail and watches end
-	DiscoveryRefuses StepKind = "discovery refuses" // the first calls at each address are turned away
+	DiscoveryRefuses StepKind = "discovery refuses" // the first calls at each address are rejected
 	WatchesReset     StepKind = "watches reset"
-	WatchesSilent    StepKind = "watches silent" // calls and watches that are open say nothing more
+	WatchesSilent    StepKind = "watches silent" // open calls and watches get no more bytes
 	Drain            StepKind = "drain"          // an upstream is listed as draining; it serves on
-	Remove           StepKind = "remove"         // an upstream is listed as gone
+	Remove           StepKind = "remove"         // an upstream is removed from the list
 	Reload           StepKind = "reload"         // a sidecar's configuration names another address of discovery
 	Terminate        StepKind = "terminate"      // SIGTERM, and a new start once the process has ended
 	Kill             StepKind = "kill"           // SIGKILL and a new start
@@ -35,7 +35,7 @@
 	Count  int           // of DiscoveryRefuses: calls
 }
 
-// Script is what is played for one seed.
+// Script holds the settings and steps of a seed.
 type Script struct {
 	Seed      uint64
 	Sidecars  int
@@ -43,14 +43,14 @@
 	Length    time.Duration
 	Grace     time.Duration // for requests to an upstream that drains
 	Deadline  time.Duration // the longest of a request
-	CallRate  float64       // calls that discovery works through in a second
-	CallLimit time.Duration // a call that would wait for longer is turned away
+	CallRate  float64       // calls that discovery answers per second
+	CallLimit time.Duration // a call that would wait longer is rejected
 	Rate      float64       // requests a second of each sidecar
 	Steps     []Step
 }
 
 const (
-	maxPause     = 150 * time.Millisecond // a sidecar may be held up for so long
+	maxPause     = 150 * time.Millisecond // longest pause of a sidecar
 	quietEnd     = 9 * time.Second        // at the end of a script no step begins, so that late requests are seen
 	quietBegin   = time.Second
 	minLength    = quietBegin + quietEnd + time.Second
@@ -58,7 +58,7 @@
 	maxRefusals  = 6
 )
 
-// Draw makes the script of a seed. length is for all of it.
+// Draw returns the script of a seed with a total length.
 func Draw(seed uint64, length time.Duration) Script {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	s := Script{Seed: seed, Length: max(length, minLength), Sidecars: 3 + rng.IntN(4), Upstreams: 6 + rng.IntN(7), Rate: 15,
@@ -87,7 +87,7 @@
 
 func (d *drawer) moment() time.Duration { return between(d.rng, quietBegin, d.last) }
 
-// outage is one of discovery, with what makes it hard behind its return: drains, refusals and reloads in series.
+// outage adds an outage of discovery, with drains, rejections and reloads after its end.
 func (d *drawer) outage() {
 	length := between(d.rng, time.Second, max(2*time.Second, min(9*time.Second, d.last/2)))
 	at := between(d.rng, quietBegin, max(quietBegin+time.Millisecond, d.last-length))
@@ -102,7 +102,7 @@
 	}
 }
 
-// reloads is a series at one sidecar.
+// reloads adds a series of reloads of a sidecar.
 func (d *drawer) reloads(sidecar int, at time.Duration) {
 	for range 1 + d.rng.IntN(4) {
 		if at < d.last {
@@ -160,13 +160,13 @@
 		kind = Kill
 	}
 	d.add(Step{At: at, Kind: kind, Target: sidecar})
-	if d.rng.IntN(2) == 0 { // and what it has in hand hangs
+	if d.rng.IntN(2) == 0 { // its requests in flight hang
 		d.add(Step{At: max(0, at-between(d.rng, 0, 300*time.Millisecond)), Kind: UpstreamHangs, Target: d.remainingUpstream(),
 			For: between(d.rng, 500*time.Millisecond, 4*time.Second)})
 	}
 }
 
-// remainingUpstream is an upstream that does not drain.
+// remainingUpstream returns an upstream that never drains.
 func (d *drawer) remainingUpstream() int {
 	return d.script.Upstreams - 1 - d.rng.IntN(d.script.Upstreams/2)
 }
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { os.Exit(processes.Main(m)) }
 
-// The soak: go test ./internal/testing/soak -run Soak -v -timeout 2h -parallel 4 -seeds 50 -report DIR. The verdict on a seed is its findings.
+// The soak: go test ./internal/testing/soak -run Soak -v -timeout 2h -parallel 4 -seeds 50 -report DIR. A seed fails if there are findings.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes a minute")
--- a/internal/testing/soak/upstream.go
+++ b/internal/testing/soak/upstream.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// upstream is a stand-in that answers each request with its id and notes when it came.
+// upstream is a fake that answers each request with its id and records its arrival.
 type upstream struct {
 	name    string
 	address string
@@ -20,8 +20,8 @@
 
 	mu      sync.Mutex
 	rng     *rand.Rand
-	hangs   time.Time // requests that come until then are not answered
-	resets  time.Time // connections of those that come until then are closed
+	hangs   time.Time // requests that arrive until then are not answered
+	resets  time.Time // connections of requests that arrive until then are reset
 	release chan struct{}
 }
 
@@ -60,8 +60,8 @@
 	u.resets = time.Now().Add(d)
 }
 
-// fate is what becomes of a request that comes now.
-func (u *upstream) fate() (work time.Duration, hangs, resets bool) {
+// behavior draws the service time of a request, and returns the faults of now.
+func (u *upstream) behavior() (work time.Duration, hangs, resets bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	now := time.Now()
@@ -72,10 +72,10 @@
 	return between(u.rng, minServiceTime, most), now.Before(u.hangs), now.Before(u.resets)
 }
 
-// ServeHTTP is http.Handler's.
+// ServeHTTP implements http.Handler.
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return // it has not come whole
+		return // incomplete request
 	}
 	id := RequestID(r.Header.Get("X-Request-ID"))
 	if id == "" { // a probe
@@ -86,7 +86,7 @@
 	u.record.do(func(record *Record) {
 		record.Attempts = append(record.Attempts, Attempt{Request: id, Upstream: u.name, At: u.record.now(), Timeout: told})
 	})
-	work, hangs, resets := u.fate()
+	work, hangs, resets := u.behavior()
 	var done <-chan time.Time
 	if !hangs {
 		done = time.After(work)
@@ -104,7 +104,7 @@
 	_, _ = io.WriteString(w, string(id))
 }
 
-// timeout reads a time as X-Timeout has it.
+// timeout parses the value of X-Timeout; 0 if it is malformed.
 func timeout(text string) time.Duration {
 	unit := time.Millisecond
 	if strings.HasSuffix(text, "u") {
--- a/internal/testing/testutil/base/base.go
+++ b/internal/testing/testutil/base/base.go
@@ -1,5 +1,4 @@
-// Package base is the part of testkit that knows no configuration, so that tests of what configurations are made of can
-// use it: waiting on conditions, files, certificates and plain servers. Only tests import it.
+// Package base is the part of testutil that does not import internal/config, so that tests of packages below it can use it: waiting on conditions, files, certificates and plain servers. Only tests import it.
 package base
 
 import (
@@ -16,7 +15,7 @@
 	"orchiddrift/internal/fakes"
 )
 
-// Timeout bounds every wait of the tests; on a good run none comes near it.
+// Timeout is the timeout of waits that are expected to succeed.
 const Timeout = 20 * time.Second
 
 // Eventually waits for a condition.
@@ -29,7 +28,7 @@
 	}
 }
 
-// FreeAddress is one that nobody listens at but who is given it, to the test's end.
+// FreeAddress reserves an address on which nothing else listens until the end of the test.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	r, err := fakes.Reserve("127.0.0.1:0")
@@ -40,7 +39,7 @@
 	return r.Address
 }
 
-// Dial connects; the connection ends with the test, or with Patience.
+// Dial connects with a deadline of Timeout. The connection is closed at the end of the test.
 func Dial(t testing.TB, address string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -52,7 +51,7 @@
 	return c
 }
 
-// CA makes an authority.
+// CA returns a new certificate authority.
 func CA(t testing.TB, name string) *fakes.CA {
 	t.Helper()
 	ca, err := fakes.NewCA(name)
@@ -62,7 +61,7 @@
 	return ca
 }
 
-// Issue makes a certificate that is good for an hour.
+// Issue returns a certificate that is valid for an hour.
 func Issue(t testing.TB, ca *fakes.CA, names ...string) fakes.Issued {
 	t.Helper()
 	i, err := ca.Issue(time.Hour, names...)
@@ -72,7 +71,7 @@
 	return i
 }
 
-// Replace writes a file as it should be: by renaming.
+// Replace replaces a file atomically.
 func Replace(t testing.TB, path string, text []byte) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
@@ -83,7 +82,7 @@
 	}
 }
 
-// File writes one into a folder of the test's own and returns its path.
+// File writes a file into a new directory of the test and returns its path.
 func File(t testing.TB, name string, text []byte) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -91,13 +90,13 @@
 	return path
 }
 
-// HTTP serves a handler at a free port, encrypted where config is not nil, and returns where.
+// HTTP serves a handler on a free port, with TLS if config is not nil, and returns the address.
 func HTTP(t testing.TB, config *tls.Config, h http.HandlerFunc) string {
 	t.Helper()
 	return Serve(t, config, &http.Server{Handler: h})
 }
 
-// Serve is HTTP for a server that is more than its handler.
+// Serve is HTTP for a configured server.
 func Serve(t testing.TB, config *tls.Config, srv *http.Server) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -121,7 +120,7 @@
 	return address
 }
 
-// ServerTLS is a configuration that shows an issued certificate.
+// ServerTLS returns the configuration of a server with an issued certificate.
 func ServerTLS(t testing.TB, i fakes.Issued) *tls.Config {
 	t.Helper()
 	pair, err := i.Pair()
@@ -131,7 +130,7 @@
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12, NextProtos: []string{"http/1.1"}}
 }
 
-// Eureka starts a stand-in registry.
+// Eureka starts a fake Eureka registry.
 func Eureka(t testing.TB, o fakes.EurekaOptions) *fakes.Eureka {
 	t.Helper()
 	e, err := fakes.NewEureka(o)
@@ -142,7 +141,7 @@
 	return e
 }
 
-// Etcd starts a store for the test's length, and returns where it listens.
+// Etcd starts a fake etcd and returns its address.
 func Etcd(t testing.TB, o fakes.EtcdOptions) (*fakes.Etcd, string) {
 	t.Helper()
 	e := fakes.NewEtcd(o)
--- a/internal/testing/testutil/base/late.go
+++ b/internal/testing/testutil/base/late.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Late is an upstream whose connections do not come up before ComeUp: its queue is full, so that the system drops what would connect,
-// and the other side tries again (RFC 6298: after a second). Then it answers 200 without a body.
+// Late is an upstream that accepts no connection before ComeUp: its accept queue is full, so that the kernel drops SYN segments and clients
+// retransmit them (RFC 6298: after a second). Later it answers 200 without a body.
 type Late struct {
 	Address string
 
@@ -27,7 +27,7 @@
 	came  int
 }
 
-// NewLate starts one; it ends with the test.
+// NewLate starts a Late upstream, which is closed at the end of the test.
 func NewLate(t testing.TB) *Late {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -48,7 +48,7 @@
 	}
 	t.Cleanup(l.close)
 	l.Address = l.listener.Addr().String()
-	for range 16 { // until its queue is full
+	for range 16 { // until the accept queue is full
 		c, err := net.DialTimeout("tcp", l.Address, 200*time.Millisecond)
 		if err != nil {
 			return l
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// ComeUp has connections come up from now on.
+// ComeUp accepts connections from now on.
 func (l *Late) ComeUp() {
 	l.once.Do(func() {
 		l.serving.Go(func() {
@@ -97,7 +97,7 @@
 	}
 }
 
-// Came is how many requests have come.
+// Came returns the number of requests that arrived.
 func (l *Late) Came() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testing/testutil/testutil.go
+++ b/internal/testing/testutil/testutil.go
@@ -1,5 +1,5 @@
-// Package testutil is what the tests of several packages share: waiting on conditions, the stand-ins with their clean-up,
-// and well-formed configurations and requests. Only tests import it.
+// Package testutil holds helpers that tests of several packages share: waiting for conditions, fakes that are closed at the end of the test, and
+// valid configurations and requests. Only tests import it.
 package testutil
 
 import (
@@ -30,7 +30,7 @@
 	base.Eventually(t, what, ok)
 }
 
-// Raw starts an upstream that answers as told.
+// Raw starts a fake upstream whose connections answer handles.
 func Raw(t testing.TB, answer func(net.Conn, fakes.Got) bool) *fakes.Raw {
 	t.Helper()
 	u, err := fakes.NewRaw(answer)
@@ -41,7 +41,7 @@
 	return u
 }
 
-// Discovery starts one that sends what script says.
+// Discovery starts a fake discovery that sends what script passes to send.
 func Discovery(t testing.TB, script func(n int, send func(string), done <-chan struct{})) *fakes.ScriptedDiscovery {
 	t.Helper()
 	d, err := fakes.NewScriptedDiscovery(script)
@@ -52,7 +52,7 @@
 	return d
 }
 
-// Quiet is a discovery without news.
+// Quiet starts a fake discovery without updates.
 func Quiet(t testing.TB) *fakes.ScriptedDiscovery {
 	return Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send(`{"index":1,"snapshot":false,"endpoints":[]}`)
@@ -67,18 +67,18 @@
 	})
 }
 
-// Entry is an endpoint of a Listing, as text.
+// Entry returns an endpoint of a list as JSON.
 func Entry(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m","group":0,"status":%q,"weight":1,"since_ms":0}`,
 		name, address, status)
 }
 
-// List is a Listing, as text.
+// List returns an endpoint list as JSON.
 func List(index int, snapshot bool, entries ...string) string {
 	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, snapshot, strings.Join(entries, ","))
 }
 
-// EndpointList is the same, parsed.
+// EndpointList returns a parsed endpoint list.
 func EndpointList(t testing.TB, index int, snapshot bool, entries ...string) *endpoints.List {
 	t.Helper()
 	l, err := endpoints.ParseList([]byte(List(index, snapshot, entries...)))
@@ -88,7 +88,7 @@
 	return l
 }
 
-// Settings has a class of each effect.
+// Settings are balancer settings with a class of each effect, as JSON.
 const Settings = `{"Balancers":1,"Zone":"a","Discovery":"ask","TickMs":5,"WorthBy":"work",
  "Classes":[
   {"Name":"search","Semantics":"retryable","AimMs":5000,"DeadlineMs":10000,"Importance":1,"LateShare":0.5},
@@ -98,14 +98,14 @@
   "SecondCopies":true,"SendCap":5},
  "Rules":{"ColdFrom":0.3,"FallMs":2000,"FallMultiple":3,"WarmUpMs":8800},"Tenants":[]}`
 
-// ConfigText is a configuration with Settings that listens nowhere in particular.
+// ConfigText returns a configuration with Settings as JSON.
 func ConfigText(discovery string, known ...string) string {
 	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:9000","discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
 		discovery, List(1, true, known...), Settings)
 }
 
-// Config is the same, parsed.
+// Config returns a parsed configuration with Settings.
 func Config(t testing.TB, discovery string, known ...string) *config.Config {
 	t.Helper()
 	c, err := config.Parse([]byte(ConfigText(discovery, known...)))
@@ -117,7 +117,7 @@
 
 var lastID atomic.Int64
 
-// Request is a well-formed request of a class of Settings, under an id of its own.
+// Request returns a valid request of a class of Settings with a new id.
 func Request(t testing.TB, address, class, body string) *http.Request {
 	t.Helper()
 	method := http.MethodPost
@@ -137,7 +137,7 @@
 	return req
 }
 
-// Logged collects what package log writes while a test runs.
+// Logged collects the output of package log until the end of the test. The result returns it.
 func Logged(t testing.TB) func() string {
 	t.Helper()
 	l := &lines{}
