--- a/internal/measure/eureka.go
+++ b/internal/measure/eureka.go
@@ -22,8 +22,8 @@
 	"orchiddrift/internal/fakes"
 )
 
-// Eureka prints, by poll interval, the time from an instance's flip out of service to the last request that reached it,
-// with flips at random under load, and what the registry is asked; then what a daemon takes with 5,000 instances.
+// Eureka prints, by poll interval, the time from an instance's change to out of service until its last request, with random changes under load,
+// and the calls of the registry; then the memory and CPU time of a daemon with 5,000 instances.
 func Eureka(o Options) error {
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "poll\tflips\tseen\tp50\tp90\tp99\tmost\tover 250ms after told\tserved\trefused\trequests a second\tbytes a second\t")
@@ -38,7 +38,7 @@
 	return printEurekaMemory(o.Out)
 }
 
-// startFlipNodes are upstreams that tell when they are asked, registered by their names.
+// startFlipNodes are upstreams that report each request to came, registered by their names.
 func startFlipNodes(e *fakes.Eureka, n int, came func(name string)) (names []string, stop func(), err error) {
 	var servers []*http.Server
 	stop = func() {
--- a/internal/measure/largefleet.go
+++ b/internal/measure/largefleet.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// connectionCounts is what 5,000 nodes saw.
+// connectionCounts are the connections and requests that the nodes counted.
 type connectionCounts struct {
-	Open, MostOpen int // connections now, and the most that one node has
-	Asked          int // nodes that got a request
+	Open, MostOpen int // open connections of all nodes, and of the node with the most
+	Asked          int // nodes that got requests
 	Requests       int
-	MostRequests   int // of one node
+	MostRequests   int // of the node with the most
 }
 
-// LargeFleet prints what a few daemons of a fleet of 200 hold open towards 5,000 listeners, by the size of their subsets.
+// LargeFleet prints the connections of some daemons of a fleet of 200 to 5,000 listeners, by the size of their subsets.
 func LargeFleet(o Options) error {
 	dir, err := os.MkdirTemp("", "orchiddrift-measure-")
 	if err != nil {
@@ -159,7 +159,7 @@
 	return errors.Join(err, usedErr)
 }
 
-// serveCountingNodes are so many listeners in one process. The first address tells what they saw since it was last asked.
+// serveCountingNodes runs listeners in one process. The first address returns their counts since the last call.
 func (r childRole) serveCountingNodes() error {
 	var mu sync.Mutex
 	open, asked := map[string]int{}, map[string]int{}
@@ -198,7 +198,7 @@
 		}
 		s.Asked = len(asked)
 		clear(asked)
-		_ = json.NewEncoder(w).Encode(s) // who asked is the parent
+		_ = json.NewEncoder(w).Encode(s) // only the parent process calls it
 	})}
 	go func() { _ = tell.Serve(control) }() // ends with Close
 	defer tell.Close()
@@ -214,7 +214,7 @@
 	return answerUsage(addresses)
 }
 
-// serveSubsetDaemon is one of a fleet of Workers sidecars, the one of index Calls, with a subset of Nodes; 0: without.
+// serveSubsetDaemon runs the sidecar with index Calls of a fleet of Workers, with a subset of at least Nodes; 0: without.
 func (r childRole) serveSubsetDaemon() error {
 	text := fmt.Appendf(nil, "[daemon]\nseed = \"%x\"\n[log]\nlevel = \"error\"\n[limits]\nmemory = \"32MiB\"\ndescriptors = 1024\n"+
 		"[[service]]\nname = \"many\"\nlist_file = %q\n", r.Calls+1, r.Dir)
--- a/internal/measure/loadprobes.go
+++ b/internal/measure/loadprobes.go
@@ -12,8 +12,8 @@
 	"orchiddrift/internal/upstream/loadprobe"
 )
 
-// LoadProbes prints whether asking nodes before each request would help sidecars that send little: 200 sidecars before 1,000 nodes, a
-// tenth of which are five times slower, by how busy the nodes are.
+// LoadProbes prints whether load probes help sidecars with little traffic: 200 sidecars and 1,000 nodes, a tenth of which are five times slower,
+// by the utilization of the nodes.
 func LoadProbes(o Options) error {
 	const sidecars, nodes = 200, 1000
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -68,7 +68,7 @@
 	return printProbeScale(o)
 }
 
-// printProbeScale prints probes a node as sidecars grow from 10 to 200 at constant traffic.
+// printProbeScale prints the probes per node for 10 to 400 sidecars at constant traffic.
 func printProbeScale(o Options) error {
 	sizes := []int{10, 25, 50, 100, 200, 400}
 	seen := make([]*fleetsim.Result, len(sizes))
--- a/internal/measure/subset.go
+++ b/internal/measure/subset.go
@@ -16,7 +16,7 @@
 	"orchiddrift/internal/units"
 )
 
-// subsetAlgorithm picks one sidecar's upstreams out of all.
+// subsetAlgorithm chooses the upstreams of a sidecar.
 type subsetAlgorithm struct {
 	name string
 	pick func(nodes []string, sidecar, sidecars, size int) map[string]bool
@@ -26,7 +26,7 @@
 	return xxhash.Sum64(append(binary.LittleEndian.AppendUint64(nil, seed), name...))
 }
 
-// ordered is the nodes by a hash.
+// ordered returns the nodes sorted by a hash.
 func ordered(nodes []string, seed uint64) []string {
 	keys := make(map[string]uint64, len(nodes))
 	for _, n := range nodes {
@@ -45,7 +45,7 @@
 	return set
 }
 
-// daemonSubset is package subset as the daemon has it.
+// daemonSubset chooses by package subset as the daemon does; known: with the index of the sidecar in its fleet.
 func daemonSubset(known bool) func(nodes []string, sidecar, sidecars, size int) map[string]bool {
 	return func(nodes []string, sidecar, sidecars, size int) map[string]bool {
 		o := subset.Default()
@@ -102,9 +102,8 @@
 	{"subset", daemonSubset(true)},
 }
 
-// Subset prints the ways to choose upstreams, over the number of sidecars at constant total traffic: the load a node, the
-// sidecars a node, and how many of a sidecar's own move when one node is replaced by another, or a sidecar comes. Each
-// sidecar sends evenly to its own.
+// Subset compares the algorithms by the number of sidecars at constant total traffic: the load and the sidecars of a node, and how many nodes of
+// a subset change when a node is replaced or a sidecar is added. Each sidecar sends evenly to its subset.
 func Subset(o Options) error {
 	const fleet = 5000
 	nodes := make([]string, fleet)
@@ -140,7 +139,7 @@
 	return w.Flush()
 }
 
-// countMissing is how many of names are not in the others.
+// countMissing returns the number of names that are not in others.
 func countMissing(names, others map[string]bool) (n int) {
 	for name := range names {
 		if !others[name] {
