--- a/internal/task/runner/claim.go
+++ b/internal/task/runner/claim.go
@@ -25,10 +25,12 @@
 // claim is one attempt at a task: it is the raftgroup.Work that is done while the task's lease is held. cancel ends the attempt, and the lease
 // is released.
 //
-//	Start ── decide: read the record ── Wait ─────────────────────────────▶ cancel
-//	                 │      ▲   │
-//	                 ▼      │   └────── StartRun, record stored ─▶ run ── it ends ── record stored ─▶ cancel
-//	           WriteRecord ─┘                                       └── it is cut off ─▶ cancel; the record stays begun
+//	the lease is granted ──────────────────▶ decide
+//	decide ── nothing is due ──────────────▶ the attempt ends
+//	decide ── WriteRecord is stored ───────▶ decide
+//	decide ── StartRun's record is stored ─▶ run
+//	run ── it ends, and that is stored ────▶ the attempt ends
+//	run ── it is cut off ──────────────────▶ the attempt ends, and the record stays begun
 type claim struct {
 	runner *runner
 	task   *declaredTask
