--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -136,7 +136,7 @@
 		return
 	}
 	if from != nil {
-		if err := from.link.Tell(handover.Ready); err != nil {
+		if err := from.link.Send(handover.Ready); err != nil {
 			d.log.Warn("hand-over: the predecessor has gone", "reason", err)
 		}
 		defer time.AfterFunc(establishedAfter, func() { d.upgrade.established.Store(true) }).Stop()
@@ -297,7 +297,7 @@
 	u.mu.Unlock()
 	for _, link := range links {
 		if link != nil {
-			_ = link.Tell(message) // one that has gone needs no message
+			_ = link.Send(message) // one that has gone needs no message
 		}
 	}
 }
@@ -336,7 +336,7 @@
 	ticker := time.NewTicker(descriptorReportInterval)
 	defer ticker.Stop()
 	for d.shrink() {
-		if link.TellRoom(d.descriptorsHeld()) != nil {
+		if link.SendDescriptorsHeld(d.descriptorsHeld()) != nil {
 			return
 		}
 		<-ticker.C
--- /dev/null
+++ b/internal/simulation/admissionsim/disciplines.go
@@ -0,0 +1,250 @@
+package admissionsim
+
+import (
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+const initialCost = 0.02 // s: a principal's or discipline's mean cost before any request has ended
+
+// rejectWhenFull is tail drop: it rejects what arrives at a full queue.
+func rejectWhenFull(arriving *queuedRequest, queued, maxQueued int) *queuedRequest {
+	if queued >= maxQueued {
+		return arriving
+	}
+	return nil
+}
+
+// fifo is one queue for all principals, in the order of arrival.
+type fifo struct{ queue []*queuedRequest }
+
+// NewFIFO returns one queue in the order of arrival.
+func NewFIFO() discipline { return &fifo{} }
+
+func (f *fifo) evict(arriving *queuedRequest, queued, maxQueued int) *queuedRequest {
+	return rejectWhenFull(arriving, queued, maxQueued)
+}
+
+func (f *fifo) enqueue(r *queuedRequest) { f.queue = append(f.queue, r) }
+
+func (f *fifo) observeCost(*queuedRequest, float64) {}
+
+func (f *fifo) dequeue(time.Duration) *queuedRequest {
+	if len(f.queue) == 0 {
+		return nil
+	}
+	r := f.queue[0]
+	f.queue = f.queue[1:]
+	return r
+}
+
+// codel is one queue under CoDel (K. Nichols, V. Jacobson, 2012; for requests as in Facebook's wangle and B. Maurer's
+// "Fail at Scale") with adaptive LIFO: once the queue has not been empty for an interval, the newest request goes first,
+// and what has waited longer than the target is dropped.
+type codel struct {
+	queue     []*queuedRequest
+	lastEmpty time.Duration
+	target    time.Duration
+	interval  time.Duration
+}
+
+// NewCoDel returns CoDel with the customary target of 5 ms and interval of 100 ms.
+func NewCoDel() discipline {
+	return &codel{target: 5 * time.Millisecond, interval: 100 * time.Millisecond}
+}
+
+func (c *codel) evict(arriving *queuedRequest, queued, maxQueued int) *queuedRequest {
+	return rejectWhenFull(arriving, queued, maxQueued)
+}
+
+func (c *codel) enqueue(r *queuedRequest) { c.queue = append(c.queue, r) }
+
+func (c *codel) observeCost(*queuedRequest, float64) {}
+
+func (c *codel) dequeue(now time.Duration) *queuedRequest {
+	if len(c.queue) == 0 {
+		c.lastEmpty = now
+		return nil
+	}
+	oldest := c.queue[0]
+	if now-c.lastEmpty < c.interval {
+		c.setQueue(now, c.queue[1:])
+		return oldest
+	}
+	if now-oldest.arrivedAt > c.target && len(c.queue) > 1 {
+		c.setQueue(now, c.queue[1:])
+		oldest.arrival.Deadline = 0 // has Queue reject it
+		return oldest
+	}
+	newest := c.queue[len(c.queue)-1]
+	c.setQueue(now, c.queue[:len(c.queue)-1])
+	return newest
+}
+
+func (c *codel) setQueue(now time.Duration, queue []*queuedRequest) {
+	c.queue = queue
+	if len(queue) == 0 {
+		c.lastEmpty = now
+	}
+}
+
+// drr is deficit round robin (M. Shreedhar, G. Varghese, 1995) by principal. A request's cost is estimated by the mean of
+// its principal's earlier ones.
+type drr struct {
+	quantum float64 // s
+	flows   map[string]*drrFlow
+	active  []*drrFlow // flows with queued requests, in the order of their turns
+}
+
+type drrFlow struct {
+	queue    []*queuedRequest
+	deficit  float64 // s
+	meanCost float64 // s
+}
+
+const (
+	drrQuantum       = 0.02 // s
+	drrCostSmoothing = 0.1  // weight of one request in a flow's mean cost
+	drrMaxRounds     = 1024 // bounds the search for a flow with a sufficient deficit
+)
+
+// NewDRR returns deficit round robin with a quantum of 20 ms in flight.
+func NewDRR() discipline { return &drr{quantum: drrQuantum, flows: map[string]*drrFlow{}} }
+
+func (d *drr) enqueue(r *queuedRequest) {
+	name := r.principal()
+	f := d.flows[name]
+	if f == nil {
+		f = &drrFlow{meanCost: initialCost}
+		d.flows[name] = f
+	}
+	if len(f.queue) == 0 {
+		f.deficit = 0
+		d.active = append(d.active, f)
+	}
+	f.queue = append(f.queue, r)
+}
+
+// evict removes the newest request of the longest queue (P. McKenney's buffer stealing).
+func (d *drr) evict(arriving *queuedRequest, queued, maxQueued int) *queuedRequest {
+	if queued < maxQueued {
+		return nil
+	}
+	longest := d.active[0]
+	for _, f := range d.active {
+		if len(f.queue) > len(longest.queue) {
+			longest = f
+		}
+	}
+	if len(longest.queue) <= 1 { // an emptied flow would have to leave the active ones
+		return arriving
+	}
+	newest := longest.queue[len(longest.queue)-1]
+	longest.queue = longest.queue[:len(longest.queue)-1]
+	return newest
+}
+
+func (d *drr) dequeue(time.Duration) *queuedRequest {
+	for range len(d.active) * drrMaxRounds {
+		f := d.active[0]
+		if f.deficit < f.meanCost {
+			f.deficit += d.quantum
+			d.active = append(d.active[1:], f)
+			continue
+		}
+		r := f.queue[0]
+		f.queue = f.queue[1:]
+		f.deficit -= f.meanCost
+		if len(f.queue) == 0 {
+			d.active = d.active[1:]
+		}
+		return r
+	}
+	return nil
+}
+
+func (d *drr) observeCost(r *queuedRequest, cost float64) {
+	f := d.flows[r.principal()]
+	f.meanCost += (cost - f.meanCost) * drrCostSmoothing
+}
+
+// shuffleSharded is Kubernetes' API priority and fairness (KEP-1040) at one priority level. A principal is dealt a hand of
+// shards by its name's hash; the shortest shard of the hand takes the request, and the shard with the least finish tag is
+// dispatched next. With a hand of one it is stochastic fair queueing (P. McKenney, 1990).
+type shuffleSharded struct {
+	shards      []shard
+	handSize    int
+	virtualTime float64
+	meanCost    float64 // s
+}
+
+type shard struct {
+	queue     []*queuedRequest
+	finishTag float64
+}
+
+const (
+	shardCostSmoothing = 0.05 // weight of one request in the mean cost
+	shardCapacity      = 3    // times the even part of all queued requests: most shards are empty
+)
+
+// NewShuffleSharded returns shuffle sharding over so many shards, with hands of handSize.
+func NewShuffleSharded(shards, handSize int) discipline {
+	return &shuffleSharded{shards: make([]shard, shards), handSize: handSize, meanCost: initialCost}
+}
+
+// evict rejects a request whose shard is full, as Kubernetes' queueLengthLimit does.
+func (s *shuffleSharded) evict(arriving *queuedRequest, _, maxQueued int) *queuedRequest {
+	if len(s.shards[s.shardFor(arriving)].queue) >= shardCapacity*maxQueued/len(s.shards) {
+		return arriving
+	}
+	return nil
+}
+
+// shardFor is the shortest shard of a principal's hand.
+func (s *shuffleSharded) shardFor(r *queuedRequest) int {
+	rng := rand.New(rand.NewPCG(xxhash.Sum64String(r.principal()), 1))
+	shortest, length := 0, math.MaxInt
+	for _, i := range rng.Perm(len(s.shards))[:s.handSize] {
+		if n := len(s.shards[i].queue); n < length {
+			shortest, length = i, n
+		}
+	}
+	return shortest
+}
+
+func (s *shuffleSharded) enqueue(r *queuedRequest) {
+	r.shard = s.shardFor(r)
+	shard := &s.shards[r.shard]
+	if len(shard.queue) == 0 {
+		shard.finishTag = max(shard.finishTag, s.virtualTime)
+	}
+	shard.queue = append(shard.queue, r)
+}
+
+func (s *shuffleSharded) dequeue(time.Duration) *queuedRequest {
+	next := -1
+	for i := range s.shards {
+		if len(s.shards[i].queue) > 0 && (next < 0 || s.shards[i].finishTag < s.shards[next].finishTag) {
+			next = i
+		}
+	}
+	if next < 0 {
+		return nil
+	}
+	shard := &s.shards[next]
+	s.virtualTime = max(s.virtualTime, shard.finishTag)
+	r := shard.queue[0]
+	shard.queue = shard.queue[1:]
+	r.chargedCost = s.meanCost
+	shard.finishTag += s.meanCost
+	return r
+}
+
+func (s *shuffleSharded) observeCost(r *queuedRequest, cost float64) {
+	s.shards[r.shard].finishTag += cost - r.chargedCost
+	s.meanCost += (cost - s.meanCost) * shardCostSmoothing
+}
--- /dev/null
+++ b/internal/simulation/admissionsim/limits.go
@@ -0,0 +1,195 @@
+package admissionsim
+
+import (
+	"math"
+	"slices"
+	"time"
+)
+
+// Fixed is a Limit that does not change.
+type Fixed int
+
+// Current implements Limit.
+func (f Fixed) Current() int { return int(f) }
+
+// Observe implements Limit.
+func (f Fixed) Observe(time.Duration, time.Duration, int, bool) {}
+
+const (
+	initialLimit = 64 // requests
+	minLimit     = 8
+	maxLimit     = 1024
+)
+
+// adaptiveLimit is a limit that changes within its bounds.
+type adaptiveLimit struct{ limit float64 }
+
+// Current implements Limit.
+func (l *adaptiveLimit) Current() int {
+	if l.limit == 0 {
+		l.limit = initialLimit
+	}
+	return int(l.limit)
+}
+
+func (l *adaptiveLimit) setLimit(limit float64) { l.limit = max(minLimit, min(maxLimit, limit)) }
+
+// minWindowSamples is the number of requests in a window, at least.
+const minWindowSamples = 32
+
+// window gathers samples until a minimum duration and number is reached.
+type window struct {
+	start, latencySum    time.Duration
+	samples, maxInFlight int
+}
+
+// windowStats is what a window gathered.
+type windowStats struct {
+	meanLatency float64 // s
+	rate        float64 // requests ended per second
+	maxInFlight int
+}
+
+// add adds a sample. It returns the statistics when the window has ended, and then begins the next one.
+func (w *window) add(now, latency time.Duration, inFlight int, minDuration time.Duration) (_ windowStats, ended bool) {
+	if w.start == 0 {
+		w.start = now
+	}
+	w.latencySum += latency
+	w.samples++
+	w.maxInFlight = max(w.maxInFlight, inFlight)
+	if w.samples < minWindowSamples || now-w.start < minDuration {
+		return windowStats{}, false
+	}
+	stats := windowStats{
+		meanLatency: w.latencySum.Seconds() / float64(w.samples),
+		rate:        float64(w.samples) / (now - w.start).Seconds(),
+		maxInFlight: w.maxInFlight,
+	}
+	*w = window{start: now}
+	return stats, true
+}
+
+// AIMD adds one request for a limit's worth of answers in time, and takes 2% for each answer later than MaxLatency and
+// each rejection.
+type AIMD struct {
+	MaxLatency time.Duration
+	adaptiveLimit
+}
+
+// Observe implements Limit.
+func (l *AIMD) Observe(_, latency time.Duration, inFlight int, rejected bool) {
+	const decrease = 0.98
+	switch {
+	case rejected || latency > l.MaxLatency:
+		l.setLimit(l.limit * decrease)
+	case float64(inFlight)*2 > l.limit:
+		l.setLimit(l.limit + 1/l.limit)
+	}
+}
+
+// Gradient is Gradient2 behind a WindowedLimit, of Netflix's concurrency-limits: the long-term mean latency over that of
+// a window, and space for a queue.
+type Gradient struct {
+	adaptiveLimit
+	window
+	longTermLatency float64 // s; 0: unknown
+}
+
+// Observe implements Limit.
+func (l *Gradient) Observe(now, latency time.Duration, inFlight int, _ bool) {
+	const (
+		minDuration = 100 * time.Millisecond
+		longWindow  = 600  // windows in the long-term mean
+		driftRatio  = 2    // a long-term mean above this multiple of a window's decays
+		driftDecay  = 0.95 // per window
+		tolerance   = 1.5  // of latency over the long-term mean
+		minGradient = 0.5
+		queueSize   = 4   // requests
+		smoothing   = 0.2 // weight of the new limit
+		minLatency  = 1e-9
+	)
+	stats, ended := l.add(now, latency, inFlight, minDuration)
+	if !ended {
+		return
+	}
+	if l.longTermLatency == 0 {
+		l.longTermLatency = stats.meanLatency
+	}
+	l.longTermLatency += (stats.meanLatency - l.longTermLatency) * 2 / (longWindow + 1)
+	if l.longTermLatency > driftRatio*stats.meanLatency {
+		l.longTermLatency *= driftDecay
+	}
+	if float64(stats.maxInFlight) < l.limit/2 {
+		return
+	}
+	gradient := max(minGradient, min(1, tolerance*l.longTermLatency/max(stats.meanLatency, minLatency)))
+	next := l.limit*gradient + queueSize
+	l.setLimit(l.limit*(1-smoothing) + next*smoothing)
+}
+
+// RateDelay is BBR's model for requests: the highest recent rate of answers, times the lowest recent mean latency, times
+// a gain.
+type RateDelay struct {
+	adaptiveLimit
+	window
+	rates  []float64 // of the last windows, answers per second
+	delays []float64 // of the last windows, mean latencies in seconds
+}
+
+// Observe implements Limit.
+func (l *RateDelay) Observe(now, latency time.Duration, inFlight int, rejected bool) {
+	const (
+		minDuration  = 100 * time.Millisecond
+		delayWindows = 50 // of which the lowest latency counts
+		rateWindows  = 10 // of which the highest rate counts
+		gain         = 1.25
+	)
+	if rejected {
+		return
+	}
+	stats, ended := l.add(now, latency, inFlight, minDuration)
+	if !ended {
+		return
+	}
+	l.rates, l.delays = append(l.rates, stats.rate), append(l.delays, stats.meanLatency)
+	if len(l.rates) > delayWindows {
+		l.rates, l.delays = l.rates[1:], l.delays[1:]
+	}
+	recent := l.rates[max(0, len(l.rates)-rateWindows):]
+	l.setLimit(gain * slices.Max(recent) * slices.Min(l.delays))
+}
+
+// Vegas is the rule of TCP Vegas for requests, by rounds: it estimates how many of the limit are waiting from the lowest
+// mean latency ever observed.
+type Vegas struct {
+	adaptiveLimit
+	window
+	baseLatency float64 // s; 0: unknown
+}
+
+// Observe implements Limit.
+func (l *Vegas) Observe(now, latency time.Duration, inFlight int, _ bool) {
+	const (
+		minDuration = 50 * time.Millisecond
+		usedEnough  = 0.8 // of the limit, or it does not grow
+		growth      = 1.15
+		decrease    = 0.85
+	)
+	stats, ended := l.add(now, latency, inFlight, minDuration)
+	if !ended {
+		return
+	}
+	if l.baseLatency == 0 || stats.meanLatency < l.baseLatency {
+		l.baseLatency = stats.meanLatency
+	}
+	waiting := l.limit * (1 - l.baseLatency/stats.meanLatency)
+	alpha := 3*math.Log10(l.limit) + l.limit/4 // Vegas' thresholds, in requests
+	beta := 6*math.Log10(l.limit) + l.limit/2
+	switch {
+	case waiting > beta:
+		l.setLimit(l.limit * decrease)
+	case waiting < alpha && float64(stats.maxInFlight) > l.limit*usedEnough:
+		l.setLimit(l.limit * growth)
+	}
+}
--- /dev/null
+++ b/internal/simulation/admissionsim/queue.go
@@ -0,0 +1,118 @@
+package admissionsim
+
+import (
+	"time"
+
+	"orchiddrift/internal/admission"
+)
+
+// Limit is the concurrency limit of a Queue.
+type Limit interface {
+	// Current is the limit in requests.
+	Current() int
+	// Observe brings a request that has ended: its latency, how many were in flight with it, and whether the balancer
+	// rejected it.
+	Observe(now, latency time.Duration, inFlight int, rejected bool)
+}
+
+// discipline orders the requests that a Queue holds.
+type discipline interface {
+	enqueue(r *queuedRequest)
+	// dequeue returns the next request; nil: none.
+	dequeue(now time.Duration) *queuedRequest
+	// observeCost brings the cost of an admitted request that has ended, in seconds.
+	observeCost(r *queuedRequest, cost float64)
+	// evict makes space for an arriving request. It removes and returns the request to reject, which may be the arriving
+	// one; nil: there is space.
+	evict(arriving *queuedRequest, queued, maxQueued int) *queuedRequest
+}
+
+// queuedRequest is a request of a Queue, until it has its answer.
+type queuedRequest struct {
+	ticket      admission.Ticket
+	arrival     admission.Arrival
+	arrivedAt   time.Duration
+	admittedAt  time.Duration
+	shard       int     // of shuffleSharded
+	chargedCost float64 // of shuffleSharded, s
+}
+
+// principal names a request's principal.
+func (r *queuedRequest) principal() string { return r.arrival.Group + "\x00" + r.arrival.Flow }
+
+// Queue is an AdmissionControl made of a discipline and a limit. It rejects what arrives at a full queue, and what has
+// waited until its deadline. It gives no Retry-After.
+type Queue struct {
+	discipline discipline
+	limit      Limit
+	maxQueued  int
+	queued     int
+	inFlight   int
+	lastTicket admission.Ticket
+	requests   map[admission.Ticket]*queuedRequest
+}
+
+// NewQueue returns a Queue of at most maxQueued waiting requests.
+func NewQueue(d discipline, limit Limit, maxQueued int) *Queue {
+	return &Queue{discipline: d, limit: limit, maxQueued: maxQueued, requests: map[admission.Ticket]*queuedRequest{}}
+}
+
+// Arrive implements AdmissionControl.
+func (q *Queue) Arrive(now time.Duration, a admission.Arrival, actions []admission.Action) (admission.Ticket, []admission.Action) {
+	q.lastTicket++
+	r := &queuedRequest{ticket: q.lastTicket, arrival: a, arrivedAt: now}
+	if victim := q.discipline.evict(r, q.queued, q.maxQueued); victim != nil {
+		actions = append(actions, admission.Action{Kind: admission.Reject, Ticket: victim.ticket, Reason: admission.QueueFull})
+		if victim == r {
+			return r.ticket, actions
+		}
+		delete(q.requests, victim.ticket)
+		q.queued--
+	}
+	q.requests[r.ticket] = r
+	q.queued++
+	q.discipline.enqueue(r)
+	return r.ticket, q.dispatch(now, actions)
+}
+
+// dispatch admits requests up to the limit.
+func (q *Queue) dispatch(now time.Duration, actions []admission.Action) []admission.Action {
+	for q.queued > 0 && q.inFlight < q.limit.Current() {
+		r := q.discipline.dequeue(now)
+		if r == nil {
+			break
+		}
+		q.queued--
+		if now >= r.arrival.Deadline {
+			delete(q.requests, r.ticket)
+			actions = append(actions, admission.Action{Kind: admission.Reject, Ticket: r.ticket, Reason: admission.QueueTimeout})
+			continue
+		}
+		r.admittedAt = now
+		q.inFlight++
+		actions = append(actions, admission.Action{Kind: admission.Admit, Ticket: r.ticket})
+	}
+	return actions
+}
+
+// Done implements AdmissionControl.
+func (q *Queue) Done(now time.Duration, t admission.Ticket, outcome admission.Outcome, actions []admission.Action) []admission.Action {
+	r := q.requests[t]
+	if r == nil {
+		return actions
+	}
+	delete(q.requests, t)
+	latency := now - r.admittedAt
+	q.limit.Observe(now, latency, q.inFlight, outcome == admission.RejectedByBalancer)
+	q.inFlight--
+	q.discipline.observeCost(r, latency.Seconds())
+	return q.dispatch(now, actions)
+}
+
+// Wake implements AdmissionControl.
+func (q *Queue) Wake(now time.Duration, actions []admission.Action) []admission.Action {
+	return q.dispatch(now, actions)
+}
+
+// Next implements AdmissionControl: no wake is needed.
+func (q *Queue) Next() (time.Duration, bool) { return 0, false }
