--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -122,8 +122,8 @@
 		return err
 	}
 	started(d)
-	server, connections := d.newServer()
-	closeControl, err := d.startControl(from)
+	server, connections := d.newServer(p)
+	closeControl, err := d.startControl(p, from)
 	if err != nil {
 		return err
 	}
@@ -170,9 +170,8 @@
 	return nil
 }
 
-// newServer makes the HTTP server and the listener of its clients.
-func (d *daemon) newServer() (*http.Server, *downstream.Connections) {
-	p := d.plan
+// newServer makes the HTTP server and the listener of its clients, as the first plan p says: a reload may replace d.plan meanwhile.
+func (d *daemon) newServer(p *config.Plan) (*http.Server, *downstream.Connections) {
 	var secure *downstream.TLS
 	if p.TLS.Enabled() {
 		secure = &downstream.TLS{HandshakeTimeout: p.HeadTimeout, Config: &tls.Config{MinVersion: tls.VersionTLS12,
@@ -192,12 +191,13 @@
 	}, connections
 }
 
-// startControl opens the operators' address, if there is one, and begins the hand-over protocol.
-func (d *daemon) startControl(from *inheritance) (closeControl func(), err error) {
+// startControl opens the operators' address, if the first plan p has one, and begins the hand-over protocol. A reload may replace d.plan
+// meanwhile.
+func (d *daemon) startControl(p *config.Plan, from *inheritance) (closeControl func(), err error) {
 	operators := ""
 	closeControl = func() {}
-	if d.plan.Control != "" {
-		c, err := control.Listen(d.plan.Control, d.handleControl, d.log)
+	if p.Control != "" {
+		c, err := control.Listen(p.Control, d.handleControl, d.log)
 		if err != nil {
 			return nil, fmt.Errorf("listening for operators: %w", err)
 		}
@@ -208,7 +208,7 @@
 		}
 		d.backgroundTasks.Go(func() { d.runUpgrade(d.background, from, handoverFolder(), d.listener) })
 	}
-	if d.plan.File != nil {
+	if p.File != nil {
 		d.log.Info("listening", "clients", d.listener.Addr().String(), "operators", operators)
 	}
 	return closeControl, nil
