--- a/cmd/orchiddrift/check.go
+++ b/cmd/orchiddrift/check.go
@@ -84,7 +84,7 @@
 	return describe(w, path, p)
 }
 
-// describe tells what would be on.
+// describe writes what the plan enables, service by service.
 func describe(w io.Writer, path string, p *config.Plan) error {
 	fmt.Fprintf(w, "%s can be used: clients at %s", path, p.Listen)
 	if p.TLS.Enabled() {
--- a/cmd/orchiddrift/version.go
+++ b/cmd/orchiddrift/version.go
@@ -6,7 +6,7 @@
 	"runtime/debug"
 )
 
-// version is the release that CHANGELOG.md tells of.
+// version is the release that CHANGELOG.md describes last.
 const version = "0.2.0-dev"
 
 type versionCmd struct{}
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -40,7 +40,7 @@
 	return permit, nil
 }
 
-// fingerprint tells requests apart by method, target and key, which a client's retry repeats.
+// fingerprint distinguishes requests by method, target and key, which a client's retry repeats.
 func fingerprint(req *downstream.Request) uint64 {
 	var h xxhash.Digest
 	h.Reset()
--- a/internal/daemon/body.go
+++ b/internal/daemon/body.go
@@ -43,7 +43,7 @@
 	bytesLeft   int64       // that may still arrive
 	failure     error       // why the body cannot be read completely
 	started     bool        // something was read: net/http has written 100 Continue if it was due
-	onRead      func(n int) // is told of each read
+	onRead      func(n int) // is called after each read
 	interruptAt atomic.Pointer[time.Time]
 }
 
--- a/internal/endpoints/source.go
+++ b/internal/endpoints/source.go
@@ -12,7 +12,7 @@
 type Source interface {
 	// Run follows the list until ctx ends, and reports to sink. It is called once.
 	Run(ctx context.Context, sink Sink)
-	// Refresh wants the list again, once the balancer was told that it is lost. It does not block.
+	// Refresh requests the list again, once the balancer was notified that it is lost. It does not block.
 	Refresh()
 }
 
--- a/internal/httpheader/httpheader.go
+++ b/internal/httpheader/httpheader.go
@@ -1,4 +1,4 @@
-// Package httpheader names the platform's HTTP headers and tells which headers go from end to end.
+// Package httpheader names the platform's HTTP headers and distinguishes end-to-end from hop-by-hop headers.
 package httpheader
 
 import (
--- a/internal/httpheader/statuses.go
+++ b/internal/httpheader/statuses.go
@@ -16,10 +16,10 @@
 	return s
 }
 
-// Has tells whether a status is in it.
+// Has reports whether a status is in it.
 func (s *Statuses) Has(status int) bool { return status >= 0 && status < len(s) && s[status] }
 
-// ParseStatuses reads statuses, "404", and classes of them, "2xx". 429 and 503 say that a request was turned away, and
+// ParseStatuses reads statuses, "404", and classes of them, "2xx". 429 and 503 say that a request was rejected, and
 // are in no class.
 func ParseStatuses(words []string) (*Statuses, error) {
 	s := &Statuses{}
--- a/internal/idempotency/executor/executor.go
+++ b/internal/idempotency/executor/executor.go
@@ -220,7 +220,7 @@
 	return a
 }
 
-// wait waits for an execution until ctx ends. executes tells whether it runs for this client.
+// wait waits for an execution until ctx ends. executes reports whether it runs for this client.
 func (e *Executor) wait(ctx context.Context, id idempotency.ID, x *execution, executes bool) Result {
 	select {
 	case <-x.done:
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -16,7 +16,7 @@
 	Duration      time.Duration // requested lease duration
 	Wait          bool          // join the waiter queue if the lease is held
 	Drift         float64       // largest relative error of a process's clock rate
-	Margin        time.Duration // how long the work takes to end once it is told to stop
+	Margin        time.Duration // how long the work takes to end once it has been asked to stop
 	RetryInterval time.Duration // between two sends while no reply comes, and after a rejection
 }
 
--- a/internal/lease/raftgroup/holder_driver.go
+++ b/internal/lease/raftgroup/holder_driver.go
@@ -35,7 +35,7 @@
 	errors    chan error
 	stopped   <-chan struct{} // closed when the work has ended that is to stop; nil: no work is to stop
 	token     lease.Token     // under which the work was started
-	until     time.Duration   // that the work was told
+	until     time.Duration   // that the work was last notified of
 	releases  []chan struct{} // each closed when a request that gives the lease back was answered
 }
 
@@ -85,7 +85,7 @@
 	}
 }
 
-// extendWork tells the work when its grant was extended.
+// extendWork notifies the work that its grant was extended.
 func (d *holderDriver) extendWork() {
 	if token, until, ok := d.holder.Held(BootTime()); ok && token == d.token && until > d.until {
 		d.until = until
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,12 +12,12 @@
 	"orchiddrift/balancer"
 )
 
-// Settings is what the object tells: the module's part, and what only a process on real sockets needs.
+// Settings is the decoded settings object: the balancer's part, and what only a process on real sockets needs.
 type Settings struct {
 	balancer.Settings
-	ConnIdleTimeout time.Duration // upstreams close connections that are idle for this long; 0: not told
-	DrainGrace      time.Duration // after a change counts as told nothing may be sent against it; 0: not told
-	MaxPollAge      time.Duration // a list that is asked for holds for so long after the last call, where no watch stands; 0: not told
+	ConnIdleTimeout time.Duration // upstreams close connections that are idle for this long; 0: unknown
+	DrainGrace      time.Duration // from the notification of a change until it binds: nothing may be sent against it any more; 0: unknown
+	MaxPollAge      time.Duration // a polled list is valid for this long after the last call, where no watch is connected; 0: unknown
 }
 
 // Decode reads the object. Keys that are not known here are passed over; whether the values can be used is for
--- a/internal/task/runner/runner.go
+++ b/internal/task/runner/runner.go
@@ -125,7 +125,7 @@
 	return r.scheduler.Due(r.options.Now())
 }
 
-// claimTask acquires a task's lease once, does what is due, and tells the Scheduler when to try again.
+// claimTask acquires a task's lease once, does what is due, and reports to the Scheduler when to try again.
 func (r *runner) claimTask(ctx context.Context, t *declaredTask) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -149,7 +149,7 @@
 	}
 }
 
-// started tells the Scheduler that a task runs here.
+// started reports to the Scheduler that a task runs here.
 func (r *runner) started(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/upstream/prewarm/prewarm.go
+++ b/internal/upstream/prewarm/prewarm.go
@@ -74,7 +74,7 @@
 // member is an upstream of the subset that takes requests.
 type member struct {
 	name        string
-	process     uint64        // tells processes of the same name apart
+	process     uint64        // the incarnation of the upstream
 	heapIndex   int           // in due
 	dueAt       time.Duration // when it is looked at again
 	usedAt      time.Duration // its latest request; 0: none
@@ -95,7 +95,7 @@
 	}
 }
 
-// SetMembers brings the upstreams that take requests, each with a number that tells its processes apart.
+// SetMembers brings the upstreams that take requests, each with a number of its incarnation.
 func (p *Prewarmer) SetMembers(now time.Duration, ready map[string]uint64) {
 	for name, m := range p.members {
 		if process, stays := ready[name]; !stays || process != m.process {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -16,7 +16,7 @@
 	ReservedBytes int64
 	// Remainder is what follows Body; its owner calls End. nil: Body is complete.
 	Remainder *Remainder
-	// BodyConsumed tells that the request's body cannot be sent again.
+	// BodyConsumed reports that the request's body cannot be sent again.
 	BodyConsumed bool
 }
 
