--- a/internal/bulkhead/bulkhead_test.go
+++ b/internal/bulkhead/bulkhead_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"sync"
 	"testing"
 	"time"
@@ -14,82 +15,116 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestRule holds the Limiter against the rule's own words, whatever is taken, given back and set: the limit is never
-// passed while shares stand still, and each can always take what it is guaranteed.
+// limiterModel is a Limiter beside the rule in its plainest form: what each service holds.
+type limiterModel struct {
+	limiter *Limiter
+	limit   int64
+	shares  []Share
+	used    map[string]int64
+	changed bool // the shares were set anew: the limit may be exceeded until enough is released
+}
+
+var modelServices = []string{"a", "b", "c"}
+
+func drawShares(t *rapid.T) (guaranteedFraction float64, shares []Share) {
+	shares = []Share{}
+	for _, name := range modelServices[:rapid.IntRange(1, 3).Draw(t, "services")] {
+		shares = append(shares, Share{name, rapid.Float64Range(0.1, 10).Draw(t, "weight")})
+	}
+	return rapid.Float64Range(0, 1).Draw(t, "part"), shares
+}
+
+// sums returns what is held, what of it is beyond guarantees, and what is guaranteed to all.
+func (m *limiterModel) sums() (held, beyond, guaranteed int64) {
+	for _, name := range modelServices {
+		held += m.used[name]
+		beyond += max(0, m.used[name]-m.limiter.Guaranteed(name))
+	}
+	for _, s := range m.shares {
+		guaranteed += m.limiter.Guaranteed(s.Name)
+	}
+	return held, beyond, guaranteed
+}
+
+func (m *limiterModel) hasShare(name string) bool {
+	return slices.ContainsFunc(m.shares, func(s Share) bool { return s.Name == name })
+}
+
+func (m *limiterModel) setShares(t *rapid.T) {
+	if fraction, shares := drawShares(t); m.limiter.Set(fraction, shares) == nil {
+		m.shares, m.changed = shares, true
+	}
+}
+
+func (m *limiterModel) release(name string, n int64) {
+	if n = min(n, m.used[name]); n > 0 {
+		m.limiter.Release(name, n)
+		m.used[name] -= n
+	}
+}
+
+// tryAcquire holds TryAcquire against the rule: within the guarantee, or with room in the common part.
+func (m *limiterModel) tryAcquire(t *rapid.T, name string, n int64) {
+	_, beyond, guaranteed := m.sums()
+	common := m.limit - guaranteed
+	own := m.limiter.Guaranteed(name)
+	more := max(0, m.used[name]+n-own) - max(0, m.used[name]-own)
+	want := m.hasShare(name) && (more == 0 || beyond+more <= common)
+	got := m.limiter.TryAcquire(name, n)
+	if got != want {
+		t.Fatalf("%s takes %d of %v, own %d, beyond %d of %d: %v", name, n, m.used, own, beyond, common, got)
+	}
+	if got {
+		m.used[name] += n
+	}
+}
+
+func (m *limiterModel) check(t *rapid.T) {
+	held, _, guaranteed := m.sums()
+	if !m.changed && held > m.limit || guaranteed > m.limit {
+		t.Fatalf("%d held and %d guaranteed of %d", held, guaranteed, m.limit)
+	}
+	for _, name := range modelServices {
+		if m.limiter.Used(name) != m.used[name] {
+			t.Fatalf("%s holds %d, want %d", name, m.limiter.Used(name), m.used[name])
+		}
+	}
+}
+
+// checkGuarantees takes what is left of each guarantee, whatever the other services hold.
+func (m *limiterModel) checkGuarantees(t *rapid.T) {
+	for _, s := range m.shares {
+		if n := m.limiter.Guaranteed(s.Name) - m.used[s.Name]; n > 0 && !m.limiter.TryAcquire(s.Name, n) {
+			t.Fatalf("%s can't take its own %d", s.Name, n)
+		}
+	}
+}
+
+// TestRule holds the Limiter against the rule's own words, whatever is acquired, released and set: the limit is never
+// exceeded while shares stay as they are, and each service can always take what it is guaranteed.
 func TestRule(t *testing.T) {
-	names := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Int64Range(3, 60).Draw(t, "limit")
-		draw := func() (float64, []Share) {
-			shares := []Share{}
-			for _, name := range names[:rapid.IntRange(1, 3).Draw(t, "services")] {
-				shares = append(shares, Share{name, rapid.Float64Range(0.1, 10).Draw(t, "weight")})
-			}
-			return rapid.Float64Range(0, 1).Draw(t, "part"), shares
-		}
-		part, shares := draw()
-		l, err := New(limit, part, shares)
+		fraction, shares := drawShares(t)
+		limiter, err := New(limit, fraction, shares)
 		if err != nil {
 			t.Skip(err)
 		}
-		used, changed := map[string]int64{}, false
-		sum := func() (all, over, set int64) {
-			for _, name := range names {
-				all += used[name]
-				over += max(0, used[name]-l.Guaranteed(name))
-			}
-			for _, s := range shares {
-				set += l.Guaranteed(s.Name)
-			}
-			return all, over, set
-		}
-		has := func(name string) bool {
-			for _, s := range shares {
-				if s.Name == name {
-					return true
-				}
-			}
-			return false
-		}
+		model := &limiterModel{limiter: limiter, limit: limit, shares: shares, used: map[string]int64{}}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			name := rapid.SampledFrom(names).Draw(t, "name")
+			name := rapid.SampledFrom(modelServices).Draw(t, "name")
 			n := rapid.Int64Range(0, 8).Draw(t, "n")
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				if p, s := draw(); l.Set(p, s) == nil {
-					part, shares, changed = p, s, true
-				}
+				model.setShares(t)
 			case 1, 2, 3:
-				if n = min(n, used[name]); n > 0 {
-					l.Release(name, n)
-					used[name] -= n
-				}
+				model.release(name, n)
 			default:
-				_, over, set := sum()
-				common := limit - set
-				more := max(0, used[name]+n-l.Guaranteed(name)) - max(0, used[name]-l.Guaranteed(name))
-				want := has(name) && (more == 0 || over+more <= common)
-				if got := l.TryAcquire(name, n); got != want {
-					t.Fatalf("%s takes %d of %v, own %d, over %d of %d: %v", name, n, used, l.Guaranteed(name), over, common, got)
-				} else if got {
-					used[name] += n
-				}
-			}
-			all, _, set := sum()
-			if !changed && all > limit || set > limit {
-				t.Fatalf("%d held and %d set aside of %d", all, set, limit)
-			}
-			for _, name := range names {
-				if l.Used(name) != used[name] {
-					t.Fatalf("%s holds %d, and %d by the book", name, l.Used(name), used[name])
-				}
-			}
-		}
-		for _, s := range shares { // whatever the others hold
-			if n := l.Guaranteed(s.Name) - used[s.Name]; n > 0 && !l.TryAcquire(s.Name, n) {
-				t.Fatalf("%s can't take its own %d", s.Name, n)
+				model.tryAcquire(t, name, n)
 			}
+			model.check(t)
 		}
+		model.checkGuarantees(t)
 	})
 }
 
--- a/internal/upstream/prewarm/prewarm_test.go
+++ b/internal/upstream/prewarm/prewarm_test.go
@@ -12,111 +12,152 @@
 	"orchiddrift/internal/units"
 )
 
-// Any history of members, uses, ends and time keeps the bounds: no more a second than Rate, none beyond Part, no more of a
-// member than Each, nobody who is no member, none to a failing one sooner than its wait. In the end, with time and room, each
-// member that is used has what it is to have.
-func TestAnyHistory(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
-		o := Default()
-		o.ConnectionsPerUpstream, o.Rate, o.Spread = 1+draw(3), float64(1+draw(30)), units.Duration(time.Duration(draw(3000))*time.Millisecond)
-		const connections = 40
-		w := New(o, connections, rand.New(rand.NewPCG(uint64(draw(1000)), 1)))
-		now := time.Hour
-		open, opening := map[string]int{}, map[string]int{}
-		var named []time.Duration
-		ready, processes := map[string]uint64{}, uint64(0)
-		total := func() (n int) {
-			for _, k := range open {
-				n += k
-			}
-			return n
+// historyConnections is the limit of all connections in the histories, of which a quarter may be prewarmed.
+const historyConnections = 40
+
+// connecting is an upstream and the incarnation of it that a connection is being opened to.
+type connecting struct {
+	name    string
+	process uint64
+}
+
+// history is a Prewarmer with the connections that it caused.
+type history struct {
+	*Prewarmer
+	options   Options
+	now       time.Duration
+	ready     map[string]uint64 // the incarnation of each member
+	processes uint64            // the latest incarnation of all
+	open      map[string]int
+	opening   map[string]int
+	pending   []connecting // in the order in which they end
+	started   []time.Duration
+	failedAt  map[string]time.Duration
+}
+
+func newHistory(options Options, seed uint64) *history {
+	return &history{
+		Prewarmer: New(options, historyConnections, rand.New(rand.NewPCG(seed, 1))),
+		options:   options,
+		now:       time.Hour,
+		ready:     map[string]uint64{},
+		open:      map[string]int{},
+		opening:   map[string]int{},
+		failedAt:  map[string]time.Duration{},
+	}
+}
+
+func (h *history) totalOpen() (n int) {
+	for _, k := range h.open {
+		n += k
+	}
+	return n
+}
+
+// tick asks what to connect to, and holds it against the bounds.
+func (h *history) tick(t *rapid.T) {
+	before := h.totalOpen()
+	for _, name := range h.Tick(h.now, func(name string) int { return h.open[name] }, before) {
+		h.opening[name]++
+		h.started = append(h.started, h.now)
+		h.pending = append(h.pending, connecting{name, h.Process(name)})
+		_, member := h.ready[name]
+		if !member || h.open[name]+h.opening[name] > h.options.ConnectionsPerUpstream || before >= historyConnections/4 {
+			t.Fatalf("%s: member %v, %d open and %d opening, %d in all", name, member, h.open[name], h.opening[name], before)
 		}
-		type end struct {
-			name    string
-			process uint64
+		if at, failed := h.failedAt[name]; failed && h.now-at < minBackoff/2 {
+			t.Fatalf("%s again after %v", name, h.now-at)
 		}
-		var ends []end
-		failed := map[string]time.Duration{}
-		tick := func() {
-			before := total()
-			for _, name := range w.Tick(now, func(name string) int { return open[name] }, before) {
-				opening[name]++
-				named = append(named, now)
-				ends = append(ends, end{name, w.Process(name)})
-				if _, is := ready[name]; !is || open[name]+opening[name] > o.ConnectionsPerUpstream || before >= connections/4 {
-					t.Fatalf("%s: %v, %d open and %d opening, %d in all", name, is, open[name], opening[name], before)
-				}
-				if at, was := failed[name]; was && now-at < minBackoff/2 {
-					t.Fatalf("%s again after %v", name, now-at)
-				}
-			}
-			from := 0
-			for from < len(named) && named[from] <= now-time.Second {
-				from++
-			}
-			if named = named[from:]; float64(len(named)) > o.Rate+max(1, o.Rate*burstSeconds)+1 {
-				t.Fatalf("%d within a second, at %v", len(named), o.Rate)
-			}
+	}
+	h.started = slices.DeleteFunc(h.started, func(at time.Duration) bool { return at <= h.now-time.Second })
+	rate := h.options.Rate
+	if n := len(h.started); float64(n) > rate+max(1, rate*burstSeconds)+1 {
+		t.Fatalf("%d within a second, at %v a second", n, rate)
+	}
+}
+
+// finish ends the oldest connect.
+func (h *history) finish(ok bool) {
+	ended := h.pending[0]
+	h.pending = h.pending[1:]
+	if h.ready[ended.name] == ended.process {
+		h.opening[ended.name]--
+		delete(h.failedAt, ended.name)
+		if ok {
+			h.open[ended.name]++
+		} else {
+			h.failedAt[ended.name] = h.now
 		}
-		finish := func(ok bool) {
-			e := ends[0]
-			ends = ends[1:]
-			if ready[e.name] == e.process {
-				opening[e.name]--
-				if delete(failed, e.name); ok {
-					open[e.name]++
-				} else {
-					failed[e.name] = now
-				}
-			}
-			w.Connected(now, e.name, e.process, ok)
+	}
+	h.Connected(h.now, ended.name, ended.process, ok)
+}
+
+// replace removes a member or gives it a new incarnation.
+func (h *history) replace(name string, removed bool) {
+	if removed {
+		delete(h.ready, name)
+	} else {
+		h.processes++
+		h.ready[name] = h.processes
+	}
+	delete(h.open, name)
+	delete(h.opening, name)
+	delete(h.failedAt, name)
+	h.SetMembers(h.now, h.ready)
+}
+
+// useAll lets every member be used, and every connect succeed, for long enough that all connections are open.
+func (h *history) useAll(t *rapid.T) {
+	for range 2000 {
+		h.now += 100 * time.Millisecond
+		for name := range h.ready {
+			h.RecordUse(h.now, name)
+		}
+		h.tick(t)
+		for len(h.pending) > 0 {
+			h.finish(true)
 		}
+	}
+}
+
+// TestAnyHistory holds any history of members, uses, ends and time to the bounds: no more a second than Rate, none beyond its part of all
+// connections, no more of a member than ConnectionsPerUpstream, none to a removed one, and none to a failing one within its backoff. In the
+// end, with time and room, each member that is used has all its connections.
+func TestAnyHistory(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
+		options := Default()
+		options.ConnectionsPerUpstream = 1 + draw(3)
+		options.Rate = float64(1 + draw(30))
+		options.Spread = units.Duration(time.Duration(draw(3000)) * time.Millisecond)
+		h := newHistory(options, uint64(draw(1000)))
 		for range 120 {
-			now += time.Duration(draw(400)) * time.Millisecond
+			h.now += time.Duration(draw(400)) * time.Millisecond
 			name := fmt.Sprint("n", draw(8))
 			switch draw(6) {
 			case 0:
-				if draw(2) == 0 {
-					delete(ready, name)
-				} else {
-					processes++ // no two are the same: they are told by when they began
-					ready[name] = processes
-				}
-				delete(open, name)
-				delete(opening, name)
-				delete(failed, name)
-				w.SetMembers(now, ready)
+				h.replace(name, draw(2) == 0)
 			case 1:
-				w.RecordUse(now, name)
+				h.RecordUse(h.now, name)
 			case 2:
-				if len(ends) > 0 {
-					finish(draw(3) > 0)
+				if len(h.pending) > 0 {
+					h.finish(draw(3) > 0)
 				}
 			case 3:
-				if open[name] > 0 { // the upstream closes it
-					open[name]--
+				if h.open[name] > 0 { // the upstream closes it
+					h.open[name]--
 				}
 			default:
-				tick()
+				h.tick(t)
 			}
 		}
-		if len(ready)*o.ConnectionsPerUpstream > connections/4 {
+		if len(h.ready)*options.ConnectionsPerUpstream > historyConnections/4 {
 			return
 		}
-		for range 2000 {
-			now += 100 * time.Millisecond
-			for name := range ready {
-				w.RecordUse(now, name)
-			}
-			tick()
-			for len(ends) > 0 {
-				finish(true)
-			}
-		}
-		for name := range ready {
-			if open[name] != o.ConnectionsPerUpstream {
-				t.Fatalf("%s has %d open of %d", name, open[name], o.ConnectionsPerUpstream)
+		h.useAll(t)
+		for name := range h.ready {
+			if h.open[name] != options.ConnectionsPerUpstream {
+				t.Fatalf("%s has %d open of %d", name, h.open[name], options.ConnectionsPerUpstream)
 			}
 		}
 	})
--- a/internal/upstream/send_by_test.go
+++ b/internal/upstream/send_by_test.go
@@ -13,9 +13,9 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Guards against a repeat that reaches its group when that has forgotten it: one that waited for its connection, or whose upstream took
-// its body too slowly, is not sent, and says nothing of the upstream.
-func TestWrittenByThenOrNotAtAll(t *testing.T) {
+// A retry that must be written by a deadline, since its deduplication scope forgets the key then, is not sent after it, and its outcome says
+// nothing of the upstream: here it waits for the pool's only connection until then.
+func TestSendByWhileWaitingForAConnection(t *testing.T) {
 	release := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		if g.Body == "first" {
@@ -23,67 +23,77 @@
 		}
 		return fakes.Says(fakes.OK200("a"))(c, g)
 	})
-	u := testPool(t, 1, testutil.Entry("s", s.Address, "Ready"))
+	pool := testPool(t, 1, testutil.Entry("s", s.Address, "Ready"))
 	first := make(chan balancer.Result, 1)
-	go func() { first <- u.Attempt(t.Context(), "s", testRequest("POST", "first"), time.Time{}).Result }()
-	testutil.Eventually(t, "it has the one connection", func() bool { return len(s.Requests()) == 1 })
-	by := time.Now().Add(20 * time.Millisecond)
-	repeat := make(chan balancer.Result, 1)
+	go func() { first <- pool.Attempt(t.Context(), "s", testRequest("POST", "first"), time.Time{}).Result }()
+	testutil.Eventually(t, "the first request has the only connection", func() bool { return len(s.Requests()) == 1 })
+	sendBy := time.Now().Add(20 * time.Millisecond)
+	retry := make(chan balancer.Result, 1)
 	go func() {
-		repeat <- u.AttemptWithOptions(t.Context(), "s", testRequest("POST", "repeat"), AttemptOptions{SendBy: by}).Result
+		retry <- pool.AttemptWithOptions(t.Context(), "s", testRequest("POST", "repeat"), AttemptOptions{SendBy: sendBy}).Result
 	}()
-	time.Sleep(time.Until(by.Add(time.Millisecond)))
+	time.Sleep(time.Until(sendBy.Add(time.Millisecond)))
 	close(release)
 	if got := <-first; got != balancer.OK {
-		t.Errorf("the first: %v", got)
+		t.Errorf("the first request: %v", got)
 	}
-	if got := <-repeat; got != balancer.NotSent {
-		t.Errorf("the repeat: %v", got)
+	if got := <-retry; got != balancer.NotSent {
+		t.Errorf("the retry: %v", got)
 	}
-	if got := u.AttemptWithOptions(t.Context(), "s", testRequest("POST", "in time"), AttemptOptions{SendBy: time.Now().Add(time.Minute)}).Result; got != balancer.OK {
-		t.Errorf("one in time: %v", got)
+	inTime := AttemptOptions{SendBy: time.Now().Add(time.Minute)}
+	if got := pool.AttemptWithOptions(t.Context(), "s", testRequest("POST", "in time"), inTime).Result; got != balancer.OK {
+		t.Errorf("a retry in time: %v", got)
 	}
 	if n := len(s.Requests()); n != 2 {
-		t.Errorf("%d requests came", n)
+		t.Errorf("%d requests came, want 2", n)
 	}
+}
+
+// The same where the upstream reads nothing of a body that exceeds the socket buffers before the deadline.
+func TestSendByWhileTheBodyIsRead(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	whole := make(chan error, 1)
-	go func() { // it reads nothing before the repeat is late
+	late, drained := make(chan struct{}), make(chan error, 1)
+	go func() { // it reads nothing before the retry is late
 		c, err := l.Accept()
 		if err != nil {
-			whole <- err
+			drained <- err
 			return
 		}
 		defer c.Close()
-		<-repeat
+		<-late
 		_, err = io.Copy(io.Discard, io.LimitReader(c, 64<<20))
-		whole <- err
+		drained <- err
 	}()
-	slow := testPool(t, 1, testutil.Entry("s", l.Addr().String(), "Ready"))
+	pool := testPool(t, 1, testutil.Entry("s", l.Addr().String(), "Ready"))
 	large := NewRequest(http.MethodPost, "/record/1", "s", nil, make([]byte, 32<<20))
-	if got := slow.AttemptWithOptions(t.Context(), "s", large, AttemptOptions{SendBy: time.Now().Add(50 * time.Millisecond)}).Result; got != balancer.NotSent {
-		t.Errorf("a body that is taken too slowly: %v", got)
+	soon := AttemptOptions{SendBy: time.Now().Add(50 * time.Millisecond)}
+	if got := pool.AttemptWithOptions(t.Context(), "s", large, soon).Result; got != balancer.NotSent {
+		t.Errorf("a body that is read too slowly: %v", got)
 	}
-	close(repeat)
-	<-whole
+	close(late)
+	<-drained
+}
+
+// The same where the connection comes up after the deadline.
+func TestSendByWhileConnecting(t *testing.T) {
 	late := base.NewLate(t)
-	comesUp := testPool(t, 1, testutil.Entry("s", late.Address, "Ready"))
-	slowly := make(chan balancer.Result, 1)
-	by = time.Now().Add(300 * time.Millisecond)
+	pool := testPool(t, 1, testutil.Entry("s", late.Address, "Ready"))
+	retry := make(chan balancer.Result, 1)
+	sendBy := time.Now().Add(300 * time.Millisecond)
 	go func() {
-		slowly <- comesUp.AttemptWithOptions(t.Context(), "s", testRequest("GET", ""), AttemptOptions{SendBy: by}).Result
+		retry <- pool.AttemptWithOptions(t.Context(), "s", testRequest("GET", ""), AttemptOptions{SendBy: sendBy}).Result
 	}()
-	testutil.Eventually(t, "it waits for its connection", func() bool { return comesUp.connectionSlots.Total() == 1 })
-	time.Sleep(time.Until(by)) // the moment itself: connections come up later, see base.Late
+	testutil.Eventually(t, "it waits for its connection", func() bool { return pool.connectionSlots.Total() == 1 })
+	time.Sleep(time.Until(sendBy)) // the deadline itself: connections come up later, see base.Late
 	late.ComeUp()
-	if got := <-slowly; got != balancer.NotSent {
-		t.Errorf("one whose connection came up too late: %v", got)
+	if got := <-retry; got != balancer.NotSent {
+		t.Errorf("a retry whose connection came up too late: %v", got)
 	}
-	if got := comesUp.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}).Result; got != balancer.OK || late.Came() != 1 {
-		t.Errorf("a later one: %v, %d came", got, late.Came())
+	if got := pool.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}).Result; got != balancer.OK || late.Came() != 1 {
+		t.Errorf("a later request: %v, %d came", got, late.Came())
 	}
 }
