--- a/grpcbalancer/admission.go
+++ b/grpcbalancer/admission.go
@@ -11,11 +11,11 @@
 	"orchiddrift/internal/engine"
 )
 
-// do is the engine's Do behind the door, where there is one. A stream keeps its place there until it has begun.
-func (c *call) do(ctx context.Context, carrier engine.Transport) engine.Answer {
-	k := c.p.door
+// execute is the engine's Do behind the door, where there is one. A stream keeps its place there until it has begun.
+func (c *call) execute(ctx context.Context, carrier engine.Transport) engine.Answer {
+	k := c.plugin.admission
 	if k == nil {
-		return c.p.engine.Do(ctx, c.Call, carrier)
+		return c.plugin.engine.Do(ctx, c.Call, carrier)
 	}
 	md, _ := metadata.FromOutgoingContext(ctx)
 	waits, end := context.WithCancel(ctx)
@@ -23,17 +23,17 @@
 	if c.Interest != nil {
 		defer context.AfterFunc(c.Interest, end)()
 	}
-	marked := first(md, strings.ToLower(k.RetryHeader()))
-	pass, verdict, in := k.Acquire(waits, admission.Client{Tenant: c.Tenant, Header: func(name string) string { return first(md, strings.ToLower(name)) }},
-		admission.Arrival{Class: c.Class, CostHint: c.CostHint, ArrivedAt: c.p.engine.Clock().Now(), Deadline: c.Deadline,
-			Retry: marked != "" && marked != "0", Fingerprint: c.print})
+	marked := firstValue(md, strings.ToLower(k.RetryHeader()))
+	pass, verdict, in := k.Acquire(waits, admission.Client{Tenant: c.Tenant, Header: func(name string) string { return firstValue(md, strings.ToLower(name)) }},
+		admission.Arrival{Class: c.Class, CostHint: c.CostHint, ArrivedAt: c.plugin.engine.Clock().Now(), Deadline: c.Deadline,
+			Retry: marked != "" && marked != "0", Fingerprint: c.fingerprint})
 	switch verdict {
 	case controller.Rejected:
 		return engine.Answer{Kind: engine.Rejected, RetryAfter: in}
 	case controller.ClientLeft:
 		return engine.Answer{Kind: engine.ClientGone}
 	}
-	a := c.p.engine.Do(ctx, c.Call, carrier)
+	a := c.plugin.engine.Do(ctx, c.Call, carrier)
 	pass.Done(controller.OutcomeOf(a))
 	return a
 }
--- a/grpcbalancer/attempt.go
+++ b/grpcbalancer/attempt.go
@@ -19,129 +19,129 @@
 
 	plugin   *Plugin
 	upstream string
-	place    endpoints.Instance
-	by       time.Time               // its pick is to come before; zero: at any time
+	instance endpoints.Instance
+	sendBy   time.Time               // its pick is to come before; zero: at any time
 	caller   context.Context         // and before this ends
 	cancel   context.CancelCauseFunc // ends the RPC
 
-	mu       sync.Mutex
-	evidence evidence
-	denied   bool        // no pick is to succeed any more
-	picked   bool        // a connection was handed out, and grpc-go has not said that it could not be used
-	patience *time.Timer // for a connection to come up; runs from the first pick that found none
+	mu           sync.Mutex
+	evidence     evidence
+	closed       bool        // no pick is to succeed any more
+	picked       bool        // a connection was handed out, and grpc-go has not said that it could not be used
+	connectTimer *time.Timer // for a connection to come up; runs from the first pick that found none
 }
 
-type attemptKey struct{}
+type attemptContextKey struct{}
 
 // Value finds the record itself, beside what stands in its context.
 func (a *attempt) Value(key any) any {
-	if key == (attemptKey{}) {
+	if key == (attemptContextKey{}) {
 		return a
 	}
 	return a.Context.Value(key)
 }
 
-func attemptOf(ctx context.Context) *attempt {
-	a, _ := ctx.Value(attemptKey{}).(*attempt)
+func attemptFromContext(ctx context.Context) *attempt {
+	a, _ := ctx.Value(attemptContextKey{}).(*attempt)
 	return a
 }
 
 // Why a pick gives an RPC no connection. A status error makes grpc-go end it there and then.
 var (
-	errNotDecided  = status.Error(codes.FailedPrecondition, "orchidgrpc: the call did not come through the plug-in's interceptor")
-	errUnprocessed = status.Error(codes.Unavailable, "orchidgrpc: the upstream did not process the stream")
-	errDrained     = status.Error(codes.Unavailable, "orchidgrpc: the upstream is no longer in the list")
-	errNoConnect   = status.Error(codes.Unavailable, "orchidgrpc: no connection to the upstream")
+	errNotDecided         = status.Error(codes.FailedPrecondition, "orchidgrpc: the call did not come through the plug-in's interceptor")
+	errStreamNotProcessed = status.Error(codes.Unavailable, "orchidgrpc: the upstream did not process the stream")
+	errUpstreamRemoved    = status.Error(codes.Unavailable, "orchidgrpc: the upstream is no longer in the list")
+	errConnectFailed      = status.Error(codes.Unavailable, "orchidgrpc: no connection to the upstream")
 )
 
-// pick is asked before each stream that grpc-go opens for the attempt. Once the request's head was handed to a
+// checkPick is asked before each stream that grpc-go opens for the attempt. Once the request's head was handed to a
 // connection, another pick is grpc-go's transparent retry: it proves that the first stream was not processed, and
 // would be a send that the module never heard of. So it is denied, and the module decides.
-func (a *attempt) pick() error {
+func (a *attempt) checkPick() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
-	case a.evidence.headers:
-		a.evidence.unprocessed = true
-		return errUnprocessed
-	case a.denied:
-		return errNoConnect
-	case !a.plugin.directory.Ready(a.upstream, a.place), // drained or gone since the decision
-		!a.by.IsZero() && !time.Now().Before(a.by), // or a repeat that came too late
-		a.caller.Err() != nil:                      // or nobody waits for the answer
-		a.denied, a.evidence.drained = true, true
-		return errDrained
+	case a.evidence.headersSent:
+		a.evidence.streamNotProcessed = true
+		return errStreamNotProcessed
+	case a.closed:
+		return errConnectFailed
+	case !a.plugin.registry.Ready(a.upstream, a.instance), // drained or gone since the decision
+		!a.sendBy.IsZero() && !time.Now().Before(a.sendBy), // or a repeat that came too late
+		a.caller.Err() != nil:                              // or nobody waits for the answer
+		a.closed, a.evidence.upstreamRemoved = true, true
+		return errUpstreamRemoved
 	}
 	return nil
 }
 
-// found says that a pick hands out a connection; false: it may not any more.
-func (a *attempt) found() bool {
+// claimConnection says that a pick hands out a connection; false: it may not any more.
+func (a *attempt) claimConnection() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.denied {
+	if a.closed {
 		return false
 	}
 	a.picked = true
-	a.plugin.warming.use(a.upstream)
-	if a.patience != nil {
-		a.patience.Stop()
-		a.patience = nil
+	a.plugin.prewarming.recordUse(a.upstream)
+	if a.connectTimer != nil {
+		a.connectTimer.Stop()
+		a.connectTimer = nil
 	}
 	return true
 }
 
-// fail says that there will be no connection.
-func (a *attempt) fail() error {
+// connectFailed says that there will be no connection.
+func (a *attempt) connectFailed() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.evidence.headers {
-		a.denied, a.evidence.noConnection = true, true
+	if !a.evidence.headersSent {
+		a.closed, a.evidence.connectFailed = true, true
 	}
-	return errNoConnect
+	return errConnectFailed
 }
 
-// wait is called by a pick that found no connection yet, and bounds that.
-func (a *attempt) wait() {
+// startConnectTimer is called by a pick that found no connection yet, and bounds that.
+func (a *attempt) startConnectTimer() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.patience == nil && !a.denied {
-		a.patience = time.AfterFunc(a.plugin.connectTimeout, func() {
+	if a.connectTimer == nil && !a.closed {
+		a.connectTimer = time.AfterFunc(a.plugin.connectTimeout, func() {
 			a.mu.Lock()
-			late := !a.picked && !a.denied
+			late := !a.picked && !a.closed
 			if late {
-				a.denied, a.evidence.noConnection = true, true
+				a.closed, a.evidence.connectFailed = true, true
 			}
 			a.mu.Unlock()
 			if late {
-				a.cancel(errNoConnect)
+				a.cancel(errConnectFailed)
 			}
 		})
 	}
 }
 
-// end takes the evidence once the RPC has ended.
-func (a *attempt) end(err error) evidence {
+// finish takes the evidence once the RPC has ended.
+func (a *attempt) finish(err error) evidence {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.patience != nil {
-		a.patience.Stop()
+	if a.connectTimer != nil {
+		a.connectTimer.Stop()
 	}
-	a.denied = true
+	a.closed = true
 	e := a.evidence
-	e.code, e.cause = status.Code(err), context.Cause(a.Context)
-	if e.cause == errNoConnect {
-		e.cause = nil
+	e.code, e.contextCause = status.Code(err), context.Cause(a.Context)
+	if e.contextCause == errConnectFailed {
+		e.contextCause = nil
 	}
 	return e
 }
 
-// done hears from grpc-go that a stream of the attempt has ended, before the call returns and before another pick. A
+// streamDone hears from grpc-go that a stream of the attempt has ended, before the call returns and before another pick. A
 // stream that was made has an id of its connection: its head was handed over.
-func (a *attempt) done(info balancer.DoneInfo) {
+func (a *attempt) streamDone(info balancer.DoneInfo) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.evidence.headers = a.evidence.headers || info.BytesSent
-	a.picked = a.evidence.headers
-	a.evidence.notProcessed = first(info.Trailer, notProcessedKey) == "1"
+	a.evidence.headersSent = a.evidence.headersSent || info.BytesSent
+	a.picked = a.evidence.headersSent
+	a.evidence.markedNotProcessed = firstValue(info.Trailer, notProcessedKey) == "1"
 }
--- a/grpcbalancer/call.go
+++ b/grpcbalancer/call.go
@@ -23,10 +23,10 @@
 
 // call is one call of the application's, in whatever form. Its attempts share it.
 type call struct {
-	p      *Plugin
+	plugin *Plugin
 	method string
 	engine.Call
-	print uint64 // tells calls apart at the door: a repeat's is the same
+	fingerprint uint64 // tells calls apart at the door: a repeat's is the same
 
 	*lastStatus
 }
@@ -39,52 +39,52 @@
 
 // newCall reads what the module is to know from the context, and puts the id and the key into it.
 func (p *Plugin) newCall(ctx context.Context, method string) (context.Context, *call) {
-	p.asked.Add(1)
+	p.callCount.Add(1)
 	class := p.methods.class(method)
 	md, _ := metadata.FromOutgoingContext(ctx)
-	c := &call{p: p, method: method, lastStatus: &lastStatus{}, Call: engine.Call{Class: class.Name, ID: first(md, RequestIDKey),
-		Tenant: first(md, TenantKey), Deadline: p.engine.Clock().Now() + class.Deadline}}
-	if p.door != nil { // before a key is made: another would be with the repeat
-		c.print = xxhash.Sum64String(method + "\x00" + first(md, IdempotencyKey))
+	c := &call{plugin: p, method: method, lastStatus: &lastStatus{}, Call: engine.Call{Class: class.Name, ID: firstValue(md, RequestIDKey),
+		Tenant: firstValue(md, TenantKey), Deadline: p.engine.Clock().Now() + class.Deadline}}
+	if p.admission != nil { // before a key is made: another would be with the repeat
+		c.fingerprint = xxhash.Sum64String(method + "\x00" + firstValue(md, IdempotencyKey))
 	}
 	if c.ID == "" {
 		c.ID = p.newID(1)
 		ctx = metadata.AppendToOutgoingContext(ctx, RequestIDKey, c.ID)
 	}
-	if class.Idempotency == balancer.IdempotentWithKey && first(md, IdempotencyKey) == "" {
+	if class.Idempotency == balancer.IdempotentWithKey && firstValue(md, IdempotencyKey) == "" {
 		ctx = metadata.AppendToOutgoingContext(ctx, IdempotencyKey, p.newID(2))
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		c.Deadline = min(c.Deadline, p.engine.Clock().At(deadline))
 	}
-	if us, err := strconv.ParseFloat(first(md, CostKey), 64); err == nil && us > 0 && us < maxCost.Seconds()*1e6 {
+	if us, err := strconv.ParseFloat(firstValue(md, CostKey), 64); err == nil && us > 0 && us < maxCostHint.Seconds()*1e6 {
 		c.CostHint = time.Duration(us * float64(time.Microsecond))
 	}
 	return ctx, c
 }
 
-func first(md metadata.MD, key string) string {
+func firstValue(md metadata.MD, key string) string {
 	if v := md[key]; len(v) > 0 {
 		return v[0]
 	}
 	return ""
 }
 
-// begin makes an attempt's record; nil where it is not to be sent.
-func (c *call) begin(ctx context.Context, a engine.Attempt) *attempt {
-	place, ok := c.p.directory.Instance(a.Upstream)
+// newAttempt makes an attempt's record; nil where it is not to be sent.
+func (c *call) newAttempt(ctx context.Context, a engine.Attempt) *attempt {
+	place, ok := c.plugin.registry.Instance(a.Upstream)
 	if !ok {
 		return nil
 	}
-	return &attempt{Context: ctx, plugin: c.p, upstream: a.Upstream, place: place, by: a.SendBy, caller: a.Caller, cancel: a.Cancel}
+	return &attempt{Context: ctx, plugin: c.plugin, upstream: a.Upstream, instance: place, sendBy: a.SendBy, caller: a.Caller, cancel: a.Cancel}
 }
 
-// ended says what an RPC's end was for the module. An error that is the application's own answer counts as served.
-func (c *call) ended(rec *attempt, err error) balancer.Result {
+// finishAttempt says what an RPC's end was for the module. An error that is the application's own answer counts as served.
+func (c *call) finishAttempt(rec *attempt, err error) balancer.Result {
 	if err == io.EOF {
 		err = nil
 	}
-	result := rec.end(err).result(c.p.answers)
+	result := rec.finish(err).result(c.plugin.applicationCodes)
 	if result != balancer.OK {
 		c.mu.Lock()
 		c.last = status.Convert(err)
@@ -93,50 +93,50 @@
 	return result
 }
 
-// fail is the caller's error for an answer that is not served.
-func (c *call) fail(ctx context.Context, a engine.Answer) error {
+// finalError is the caller's error for an answer that is not served.
+func (c *call) finalError(ctx context.Context, a engine.Answer) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, bounded := ctx.Deadline()
-	late := bounded && c.p.engine.Clock().Now() >= c.Deadline-4*c.p.tick
+	late := bounded && c.plugin.engine.Clock().Now() >= c.Deadline-4*c.plugin.tick
 	return answerError(ctx, a, c.last, late)
 }
 
-// outputs are what call options write to once an RPC has ended. Copies of a call would write to them at the same time,
+// callOutputs are what call options write to once an RPC has ended. Copies of a call would write to them at the same time,
 // so each attempt gets its own, and those of the one that counts are handed over.
-type outputs struct {
+type callOutputs struct {
 	header, trailer metadata.MD
 	peer            peer.Peer
 }
 
-// split takes the options that write off opts.
-func split(opts []grpc.CallOption) (plain, writing []grpc.CallOption) {
+// splitOptions takes the options that write off opts.
+func splitOptions(opts []grpc.CallOption) (plain, outputOptions []grpc.CallOption) {
 	for i, o := range opts {
 		switch o.(type) {
 		case grpc.HeaderCallOption, grpc.TrailerCallOption, grpc.PeerCallOption, grpc.OnFinishCallOption:
-			if writing == nil {
+			if outputOptions == nil {
 				plain = append(make([]grpc.CallOption, 0, len(opts)), opts[:i]...)
 			}
-			writing = append(writing, o)
+			outputOptions = append(outputOptions, o)
 		default:
-			if writing != nil {
+			if outputOptions != nil {
 				plain = append(plain, o)
 			}
 		}
 	}
-	if writing == nil {
+	if outputOptions == nil {
 		return opts, nil
 	}
-	return plain, writing
+	return plain, outputOptions
 }
 
-// own are the options that make an RPC write to out.
-func (out *outputs) own(plain, writing []grpc.CallOption) []grpc.CallOption {
-	if len(writing) == 0 {
+// options are the options that make an RPC write to out.
+func (out *callOutputs) options(plain, outputOptions []grpc.CallOption) []grpc.CallOption {
+	if len(outputOptions) == 0 {
 		return plain
 	}
-	opts := append(make([]grpc.CallOption, 0, len(plain)+len(writing)), plain...)
-	for _, o := range writing {
+	opts := append(make([]grpc.CallOption, 0, len(plain)+len(outputOptions)), plain...)
+	for _, o := range outputOptions {
 		switch o.(type) {
 		case grpc.HeaderCallOption:
 			opts = append(opts, grpc.Header(&out.header))
@@ -149,9 +149,9 @@
 	return opts
 }
 
-// handOver writes to the caller's options.
-func (out *outputs) handOver(writing []grpc.CallOption, err error) {
-	for _, o := range writing {
+// writeTo writes to the caller's options.
+func (out *callOutputs) writeTo(outputOptions []grpc.CallOption, err error) {
+	for _, o := range outputOptions {
 		switch o := o.(type) {
 		case grpc.HeaderCallOption:
 			*o.HeaderAddr = out.header
@@ -172,23 +172,23 @@
 	plain reflect.Type
 }
 
-func typeOf(m any) messageType {
+func messageTypeOf(m any) messageType {
 	if p, ok := m.(proto.Message); ok {
 		return messageType{proto: p.ProtoReflect().Type()}
 	}
 	return messageType{plain: reflect.TypeOf(m).Elem()}
 }
 
-// fresh is a new, empty message.
-func (t messageType) fresh() any {
+// newMessage is a new, empty message.
+func (t messageType) newMessage() any {
 	if t.proto != nil {
 		return t.proto.New().Interface()
 	}
 	return reflect.New(t.plain).Interface()
 }
 
-// copyInto makes to, a pointer, what from is.
-func copyInto(to, from any) {
+// copyMessage makes to, a pointer, what from is.
+func copyMessage(to, from any) {
 	if t, ok := to.(proto.Message); ok {
 		proto.Reset(t)
 		proto.Merge(t, from.(proto.Message))
@@ -197,5 +197,5 @@
 	reflect.ValueOf(to).Elem().Set(reflect.ValueOf(from).Elem())
 }
 
-// errInternal is for what can't happen.
-var errInternal = status.Error(codes.Internal, "orchidgrpc: an answer of no known form")
+// errUnknownAnswer is for what can't happen.
+var errUnknownAnswer = status.Error(codes.Internal, "orchidgrpc: an answer of no known form")
--- a/grpcbalancer/config.go
+++ b/grpcbalancer/config.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return Options{}, fmt.Errorf("orchidgrpc: reading the configuration: %w", err)
 	}
-	o, _, err := parse(text)
+	o, _, err := parseOptions(text)
 	if err != nil {
 		return Options{}, fmt.Errorf("orchidgrpc: configuration %s: %w", path, err)
 	}
@@ -33,11 +33,11 @@
 
 // CheckConfig says all that is wrong with a plug-in's configuration; its error is config.Problems.
 func CheckConfig(text []byte) (*config.Config, error) {
-	_, c, err := parse(text)
+	_, c, err := parseOptions(text)
 	return c, err
 }
 
-func parse(text []byte) (Options, *config.Config, error) {
+func parseOptions(text []byte) (Options, *config.Config, error) {
 	c, err := config.ParsePlugin(text)
 	var bad config.Problems
 	if err != nil && !errors.As(err, &bad) {
@@ -54,7 +54,7 @@
 	o := Options{Service: c.GRPC.Service, Settings: c.Settings.Settings, Seed: c.Seed, Discovery: c.Discovery,
 		Methods: c.GRPC.Methods, File: c.GRPC.File}
 	if o.File != "" {
-		if _, err := readFile(o); err != nil {
+		if _, err := readPluginFile(o); err != nil {
 			bad = append(bad, config.Problem{Key: "grpc.file", Reason: err.Error()})
 		}
 	}
--- a/grpcbalancer/credentials.go
+++ b/grpcbalancer/credentials.go
@@ -17,152 +17,143 @@
 	"orchiddrift/internal/tlscredentials"
 )
 
-// TLS says how connections to upstreams are encrypted, by TLS 1.3 and from files that are watched: what replaces them is
-// taken over without breaking what runs, and what can't be used keeps what there is.
+// TLS configures the encryption of connections to upstreams, with TLS 1.3. The files are watched: replaced files are loaded without
+// breaking open streams, and files that cannot be used leave the credentials as they are.
 type TLS struct {
-	CA          string // authorities that upstreams' certificates have to come from, PEM
-	Name        string // that a certificate has to bear where its Endpoint has no Identity, a DNS name or a URI; absent: the address
-	Certificate string // shown to upstreams, PEM; absent: none
-	Key         string // its private key, PEM
+	CA          string // PEM file of the authorities that upstreams' certificates have to be signed by
+	Name        string // DNS name or URI required in a certificate where its Endpoint has no Identity; absent: the address
+	Certificate string // PEM file of the certificate shown to upstreams; absent: none
+	Key         string // PEM file of its private key
 }
 
 const (
-	keysEvery = 250 * time.Millisecond // files are looked at this often
-	warnKeys  = 7 * 24 * time.Hour     // ahead of a certificate's end
+	filePollInterval = 250 * time.Millisecond // between two checks of the files
+	expiryWarning    = 7 * 24 * time.Hour     // before a certificate expires, a warning is logged
 )
 
-// guard is a plug-in's encryption: grpc-go's transport credentials, and the connections made with them. It holds an entry
-// for each that is open, and is safe for concurrent use.
-type guard struct {
+// transportCredentials implements credentials.TransportCredentials for all ClientConns of a Plugin and tracks the open connections made
+// with them, to find those that a replaced authority no longer covers. It is safe for concurrent use.
+type transportCredentials struct {
 	store  *tlscredentials.Store
 	client *tlscredentials.Client
 
 	mu   sync.Mutex
-	open map[*guarded]bool
+	open map[*trackedConn]bool
 }
 
-// guarded is one connection.
-type guarded struct {
+// trackedConn is an open connection that leaves transportCredentials.open when it is closed.
+type trackedConn struct {
 	*tls.Conn
-	g  *guard
-	at endpoints.Instance
+	credentials *transportCredentials
+	instance    endpoints.Instance
 }
 
-func newGuard(t TLS, log *slog.Logger) (*guard, error) {
+// newTransportCredentials loads the files; it fails if one of them is missing or cannot be used.
+func newTransportCredentials(t TLS, log *slog.Logger) (*transportCredentials, error) {
 	if t.CA == "" {
 		return nil, errors.New("TLS: there is no CA")
 	}
 	if (t.Certificate == "") != (t.Key == "") {
 		return nil, errors.New("TLS: Certificate and Key belong together")
 	}
-	store, err := tlscredentials.Open(tlscredentials.Files{Certificate: t.Certificate, Key: t.Key, CA: t.CA}, warnKeys, log)
+	files := tlscredentials.Files{Certificate: t.Certificate, Key: t.Key, CA: t.CA}
+	store, err := tlscredentials.Open(files, expiryWarning, log)
 	if err != nil {
 		return nil, fmt.Errorf("TLS: %w", err)
 	}
-	return &guard{store: store, open: map[*guarded]bool{},
-		client: tlscredentials.NewClient(store, tlscredentials.UpstreamTLS{CA: t.CA, Name: t.Name, Certificate: t.Certificate, Key: t.Key})}, nil
+	upstream := tlscredentials.UpstreamTLS{CA: t.CA, Name: t.Name, Certificate: t.Certificate, Key: t.Key}
+	return &transportCredentials{
+		store:  store,
+		client: tlscredentials.NewClient(store, upstream),
+		open:   map[*trackedConn]bool{},
+	}, nil
 }
 
-// follow looks at the files until ctx ends, and names the places of connections that would not come up any more once
-// other authorities count.
-func (g *guard) follow(ctx context.Context, withdrawn func(map[endpoints.Instance]bool)) {
-	generation := g.store.Current().Generation
-	filewatch.Watch(ctx, keysEvery, func() {
-		g.store.Reload()
-		now := g.store.Current().Generation
-		if now == generation {
+// watchFiles reloads the files when they change, until ctx ends. After a change it calls replace with the instances that have connections
+// which the new authorities do not cover. It runs in a goroutine of the Plugin.
+func (c *transportCredentials) watchFiles(ctx context.Context, replace func(map[endpoints.Instance]bool)) {
+	generation := c.store.Current().Generation
+	filewatch.Watch(ctx, filePollInterval, func() {
+		c.store.Reload()
+		current := c.store.Current().Generation
+		if current == generation {
 			return
 		}
-		generation = now
-		places := map[endpoints.Instance]bool{}
-		g.mu.Lock()
-		for c := range g.open {
-			if !g.client.StillTrusted(c.Conn, c.at) {
-				places[c.at] = true
-			}
-		}
-		g.mu.Unlock()
-		if len(places) > 0 {
-			withdrawn(places)
+		generation = current
+		if untrusted := c.untrustedInstances(); len(untrusted) > 0 {
+			replace(untrusted)
 		}
 	})
 }
 
-func (c *guarded) Close() error {
-	c.g.mu.Lock()
-	delete(c.g.open, c)
-	c.g.mu.Unlock()
+// untrustedInstances returns the instances of open connections that the current authorities do not cover.
+func (c *transportCredentials) untrustedInstances() map[endpoints.Instance]bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	untrusted := map[endpoints.Instance]bool{}
+	for conn := range c.open {
+		if !c.client.StillTrusted(conn.Conn, conn.instance) {
+			untrusted[conn.instance] = true
+		}
+	}
+	return untrusted
+}
+
+// Close implements net.Conn.
+func (c *trackedConn) Close() error {
+	c.credentials.mu.Lock()
+	delete(c.credentials.open, c)
+	c.credentials.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// ClientHandshake is credentials.TransportCredentials'. A handshake that fails is a connection that never came up.
-func (g *guard) ClientHandshake(ctx context.Context, _ string, raw net.Conn) (net.Conn, credentials.AuthInfo, error) {
-	at := endpoints.Instance{Address: raw.RemoteAddr().String()}
-	if a := credentials.ClientHandshakeInfoFromContext(ctx).Attributes; a != nil {
-		if place, ok := a.Value(placeKey{}).(endpoints.Instance); ok {
-			at = place
+// ClientHandshake implements credentials.TransportCredentials. A failed handshake counts as a connection that was never made: nothing was
+// sent on it.
+func (c *transportCredentials) ClientHandshake(ctx context.Context, _ string, raw net.Conn) (net.Conn, credentials.AuthInfo, error) {
+	instance := endpoints.Instance{Address: raw.RemoteAddr().String()}
+	if attributes := credentials.ClientHandshakeInfoFromContext(ctx).Attributes; attributes != nil {
+		if decided, ok := attributes.Value(instanceKey{}).(endpoints.Instance); ok {
+			instance = decided
 		}
 	}
-	config := g.client.Config(at)
+	config := c.client.Config(instance)
 	config.NextProtos = []string{"h2"}
-	conn := tls.Client(raw, config)
-	if err := conn.HandshakeContext(ctx); err != nil {
+	tlsConn := tls.Client(raw, config)
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		return nil, nil, err
 	}
-	state := conn.ConnectionState()
+	state := tlsConn.ConnectionState()
 	if state.NegotiatedProtocol != "h2" {
 		return nil, nil, errors.New("the upstream does not speak HTTP/2")
 	}
-	c := &guarded{conn, g, at}
-	g.mu.Lock()
-	g.open[c] = true
-	g.mu.Unlock()
-	return c, credentials.TLSInfo{State: state, CommonAuthInfo: credentials.CommonAuthInfo{
-		SecurityLevel: credentials.PrivacyAndIntegrity}}, nil
+	conn := &trackedConn{Conn: tlsConn, credentials: c, instance: instance}
+	c.mu.Lock()
+	c.open[conn] = true
+	c.mu.Unlock()
+	security := credentials.CommonAuthInfo{SecurityLevel: credentials.PrivacyAndIntegrity}
+	return conn, credentials.TLSInfo{State: state, CommonAuthInfo: security}, nil
 }
 
-// ServerHandshake is credentials.TransportCredentials'; the plug-in has no servers.
-func (g *guard) ServerHandshake(net.Conn) (net.Conn, credentials.AuthInfo, error) {
+// ServerHandshake implements credentials.TransportCredentials. It always fails: the credentials are for clients.
+func (c *transportCredentials) ServerHandshake(net.Conn) (net.Conn, credentials.AuthInfo, error) {
 	return nil, nil, errors.New("orchidgrpc: these credentials are for clients")
 }
 
-// Info is credentials.TransportCredentials'.
-func (g *guard) Info() credentials.ProtocolInfo {
+// Info implements credentials.TransportCredentials.
+func (c *transportCredentials) Info() credentials.ProtocolInfo {
 	//lint:ignore SA1019 peers of older versions of grpc-go still read it
 	return credentials.ProtocolInfo{SecurityProtocol: "tls", SecurityVersion: "1.3"}
 }
 
-// Clone is credentials.TransportCredentials'.
-func (g *guard) Clone() credentials.TransportCredentials { return g }
-
-// OverrideServerName is credentials.TransportCredentials'; names are the list's.
-func (g *guard) OverrideServerName(string) error { return nil }
+// Clone implements credentials.TransportCredentials. ClientConns share the credentials: they hold no state of a ClientConn.
+func (c *transportCredentials) Clone() credentials.TransportCredentials { return c }
 
-// renew replaces the sub-connections to these places: streams that are open finish, new ones go by a new handshake.
-func (p *policy) renew(places map[endpoints.Instance]bool) {
-	p.mu.RLock()
-	type stale struct {
-		name string
-		s    *sub
-	}
-	var all []stale
-	for name, s := range p.subs {
-		if places[s.place] {
-			all = append(all, stale{name, s})
-		}
-	}
-	p.mu.RUnlock()
-	for _, of := range all {
-		p.replace(of.name, of.s.place, of.s.address, of.s)
-	}
-	if len(all) > 0 {
-		p.publish()
-	}
-}
+// OverrideServerName implements credentials.TransportCredentials. It changes nothing: the endpoint list says which names count.
+func (c *transportCredentials) OverrideServerName(string) error { return nil }
 
-// withdrawn has every policy renew its sub-connections to places whose connections are no longer trusted.
-func (p *Plugin) withdrawn(places map[endpoints.Instance]bool) {
-	for _, q := range p.allPolicies() {
-		q.renew(places)
+// replaceSubConns makes every ClientConn connect anew to the given instances, whose connections are no longer trusted.
+func (p *Plugin) replaceSubConns(untrusted map[endpoints.Instance]bool) {
+	for _, b := range p.currentBalancers() {
+		b.replaceSubConnsTo(untrusted)
 	}
 }
--- a/grpcbalancer/idempotency.go
+++ b/grpcbalancer/idempotency.go
@@ -16,18 +16,18 @@
 	"orchiddrift/internal/idempotency/executor"
 )
 
-// repeatKey is the key by which a call's repeats are looked for: the caller's own, of a keyed class. One that is made here is
+// callerIdempotencyKey is the key by which a call's repeats are looked for: the caller's own, of a keyed class. One that is made here is
 // each call's own.
-func (p *Plugin) repeatKey(ctx context.Context, method string) string {
-	if p.repeats == nil || p.methods.class(method).Idempotency != balancer.IdempotentWithKey {
+func (p *Plugin) callerIdempotencyKey(ctx context.Context, method string) string {
+	if p.executor == nil || p.methods.class(method).Idempotency != balancer.IdempotentWithKey {
 		return ""
 	}
 	md, _ := metadata.FromOutgoingContext(ctx)
-	return first(md, IdempotencyKey)
+	return firstValue(md, IdempotencyKey)
 }
 
-// once gives a call the end of the first one of its key. The attempts run apart from the callers, each of which may leave.
-func (u *unaryCall) once(ctx context.Context, key string) error {
+// invokeOnce gives a call the end of the first one of its key. The attempts run apart from the callers, each of which may leave.
+func (u *unaryCall) invokeOnce(ctx context.Context, key string) error {
 	req, isProto := u.req.(proto.Message)
 	reply, replies := u.reply.(proto.Message)
 	if !isProto || !replies {
@@ -41,29 +41,29 @@
 	fmt.Fprintf(h, "%s\x00", u.method) // a hash takes everything
 	h.Write(body)
 	own := *u.call // the call that is sent has no word of this caller's end
-	sent := &unaryCall{call: &own, req: proto.Clone(req), reply: u.like.fresh(), like: u.like, cc: u.cc, invoker: u.invoker, plain: u.plain}
-	r := u.p.repeats.Do(ctx, idempotency.ID{Tenant: u.Tenant, Class: u.Class, Key: key}, idempotency.Fingerprint(h.Sum(nil)[:16]),
+	sent := &unaryCall{call: &own, req: proto.Clone(req), reply: u.replyType.newMessage(), replyType: u.replyType, cc: u.cc, invoker: u.invoker, plainOptions: u.plainOptions}
+	r := u.plugin.executor.Do(ctx, idempotency.ID{Tenant: u.Tenant, Class: u.Class, Key: key}, idempotency.Fingerprint(h.Sum(nil)[:16]),
 		func(wanted context.Context, prior []idempotency.Attempt, sends executor.AttemptRecorder) executor.Outcome {
 			sent.Interest = wanted
 			for _, x := range prior {
 				sent.EarlierAttempts = append(sent.EarlierAttempts, balancer.EarlierAttempt{Zone: x.Zone, Cell: x.Cell, SentAt: x.SentAt})
 			}
-			a := sent.do(context.WithoutCancel(ctx), noted{sent, sends})
+			a := sent.execute(context.WithoutCancel(ctx), recordingTransport{sent, sends})
 			switch a.Kind {
 			case engine.Served:
-				return kept(a.Value.(*unaryResult))
+				return storedOutcome(a.Value.(*unaryResult))
 			case engine.Rejected, engine.Duplicate, engine.EngineClosed:
 				return executor.Outcome{Verdict: idempotency.Reject, RetryAfter: a.RetryAfter}
 			}
 			return executor.Outcome{Verdict: idempotency.Fail}
 		})
-	err = u.told(ctx, r, reply)
-	(&outputs{}).handOver(u.writing, err) // headers and trailers are the first call's alone, and not kept
+	err = u.finish(ctx, r, reply)
+	(&callOutputs{}).writeTo(u.outputOptions, err) // headers and trailers are the first call's alone, and not kept
 	return err
 }
 
-// told words what a caller is told.
-func (u *unaryCall) told(ctx context.Context, r executor.Result, reply proto.Message) error {
+// finish words what a caller is told.
+func (u *unaryCall) finish(ctx context.Context, r executor.Result, reply proto.Message) error {
 	switch {
 	case r.ClientLeft:
 		return status.FromContextError(ctx.Err()).Err()
@@ -80,13 +80,13 @@
 	case r.Verdict == idempotency.AnswerNotStored:
 		return status.Error(codes.AlreadyExists, "orchidgrpc: a call of this key was answered, and its answer was too large to be kept")
 	case r.Verdict == idempotency.Reject:
-		return u.fail(ctx, engine.Answer{Kind: engine.Rejected, RetryAfter: r.RetryAfter})
+		return u.finalError(ctx, engine.Answer{Kind: engine.Rejected, RetryAfter: r.RetryAfter})
 	}
-	return u.fail(ctx, engine.Answer{Kind: engine.Failed})
+	return u.finalError(ctx, engine.Answer{Kind: engine.Failed})
 }
 
-// kept is an answer as it is kept: a message's bytes, or the application's status. What can't be written has run all the same.
-func kept(r *unaryResult) executor.Outcome {
+// storedOutcome is an answer as it is kept: a message's bytes, or the application's status. What can't be written has run all the same.
+func storedOutcome(r *unaryResult) executor.Outcome {
 	a := &idempotency.Answer{Status: int(codes.OK)}
 	if r.err != nil {
 		s := status.Convert(r.err)
@@ -101,20 +101,20 @@
 	return executor.Outcome{Verdict: idempotency.Replay, Answer: a}
 }
 
-// noted are attempts whose sends are told of before they may run.
-type noted struct {
+// recordingTransport are attempts whose sends are told of before they may run.
+type recordingTransport struct {
 	*unaryCall
-	sends executor.AttemptRecorder
+	recorder executor.AttemptRecorder
 }
 
 // RoundTrip is engine.Transport's.
-func (c noted) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
-	x := idempotency.Attempt{Zone: a.Zone, Cell: a.Cell, SentAt: c.p.engine.Clock().Now()}
-	c.sends.AttemptStarted(x)
+func (c recordingTransport) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
+	x := idempotency.Attempt{Zone: a.Zone, Cell: a.Cell, SentAt: c.plugin.engine.Clock().Now()}
+	c.recorder.AttemptStarted(x)
 	r := c.unaryCall.RoundTrip(ctx, a)
 	switch r.Result {
 	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
-		c.sends.AttemptNotSent(x)
+		c.recorder.AttemptNotSent(x)
 	}
 	return r
 }
--- a/grpcbalancer/methods.go
+++ b/grpcbalancer/methods.go
@@ -19,38 +19,38 @@
 const UnsafeClass = "orchidgrpc.unsafe"
 
 // methods maps full method names ("/package.Service/Method") to classes. It is safe for concurrent use, and holds one
-// entry for each method name that was mapped, up to maxMethods.
+// entry for each method name that was mapped, up to maxCachedMethods.
 type methods struct {
-	classes  map[string]balancer.Class
-	exact    map[string]string // by full method name
-	services map[string]string // by service name, for "/package.Service/*"
-	defaults map[balancer.Idempotency]string
-	files    *protoregistry.Files
+	classes            map[string]balancer.Class
+	classByMethod      map[string]string // by full method name
+	classByService     map[string]string // by service name, for "/package.Service/*"
+	classByIdempotency map[balancer.Idempotency]string
+	files              *protoregistry.Files
 
-	mu    sync.RWMutex
-	known map[string]balancer.Class
+	mu     sync.RWMutex
+	cached map[string]balancer.Class
 }
 
-// maxMethods bounds what is remembered; names beyond it are looked up each time.
-const maxMethods = 4096
+// maxCachedMethods bounds what is remembered; names beyond it are looked up each time.
+const maxCachedMethods = 4096
 
 // newMethods checks the mapping against the classes. It may add UnsafeClass to settings.
-func newMethods(set *balancer.Settings, mapping map[string]string, files *protoregistry.Files) (*methods, error) {
-	m := &methods{classes: map[string]balancer.Class{}, exact: map[string]string{}, services: map[string]string{},
-		defaults: map[balancer.Idempotency]string{}, files: cmp.Or(files, protoregistry.GlobalFiles), known: map[string]balancer.Class{}}
+func newMethods(settings *balancer.Settings, mapping map[string]string, files *protoregistry.Files) (*methods, error) {
+	m := &methods{classes: map[string]balancer.Class{}, classByMethod: map[string]string{}, classByService: map[string]string{},
+		classByIdempotency: map[balancer.Idempotency]string{}, files: cmp.Or(files, protoregistry.GlobalFiles), cached: map[string]balancer.Class{}}
 	var longest time.Duration
-	for _, c := range set.Classes {
+	for _, c := range settings.Classes {
 		longest = max(longest, c.Deadline)
-		if m.defaults[c.Idempotency] == "" {
-			m.defaults[c.Idempotency] = c.Name
+		if m.classByIdempotency[c.Idempotency] == "" {
+			m.classByIdempotency[c.Idempotency] = c.Name
 		}
 	}
-	if m.defaults[balancer.NonIdempotent] == "" && longest > 0 {
-		set.Classes = append(append([]balancer.Class(nil), set.Classes...),
+	if m.classByIdempotency[balancer.NonIdempotent] == "" && longest > 0 {
+		settings.Classes = append(append([]balancer.Class(nil), settings.Classes...),
 			balancer.Class{Name: UnsafeClass, Deadline: longest, Idempotency: balancer.NonIdempotent})
-		m.defaults[balancer.NonIdempotent] = UnsafeClass
+		m.classByIdempotency[balancer.NonIdempotent] = UnsafeClass
 	}
-	for _, c := range set.Classes {
+	for _, c := range settings.Classes {
 		m.classes[c.Name] = c
 	}
 	for name, class := range mapping {
@@ -62,9 +62,9 @@
 			return nil, fmt.Errorf("methods: %q is neither /package.Service/Method nor /package.Service/*", name)
 		}
 		if method == "*" {
-			m.services[service] = class
+			m.classByService[service] = class
 		} else {
-			m.exact[name] = class
+			m.classByMethod[name] = class
 		}
 	}
 	return m, nil
@@ -74,24 +74,24 @@
 // the proto's idempotency_level stands for; else, and where nothing is known, the first unsafe one.
 func (m *methods) class(method string) balancer.Class {
 	m.mu.RLock()
-	c, ok := m.known[method]
+	c, ok := m.cached[method]
 	m.mu.RUnlock()
 	if ok {
 		return c
 	}
 	service, name, _ := strings.Cut(strings.TrimPrefix(method, "/"), "/")
-	c = m.classes[cmp.Or(m.exact[method], m.services[service], m.defaults[m.level(service, name)],
-		m.defaults[balancer.NonIdempotent])]
+	c = m.classes[cmp.Or(m.classByMethod[method], m.classByService[service], m.classByIdempotency[m.idempotency(service, name)],
+		m.classByIdempotency[balancer.NonIdempotent])]
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if len(m.known) < maxMethods {
-		m.known[method] = c
+	if len(m.cached) < maxCachedMethods {
+		m.cached[method] = c
 	}
 	return c
 }
 
-// level is the effect that the proto's idempotency_level stands for; Unsafe where nothing is known.
-func (m *methods) level(service, method string) balancer.Idempotency {
+// idempotency is the effect that the proto's idempotency_level stands for; Unsafe where nothing is known.
+func (m *methods) idempotency(service, method string) balancer.Idempotency {
 	d, err := m.files.FindDescriptorByName(protoreflect.FullName(service))
 	if err != nil {
 		return balancer.NonIdempotent
--- a/grpcbalancer/outcome.go
+++ b/grpcbalancer/outcome.go
@@ -11,36 +11,36 @@
 
 // evidence is what is known of an attempt when it has ended.
 type evidence struct {
-	drained      bool       // the upstream had left the list before a connection was taken
-	noConnection bool       // none came up, or not in time
-	headers      bool       // the request's head was handed to a connection
-	unprocessed  bool       // the wire proves that the upstream did not look at it: REFUSED_STREAM, GOAWAY below it
-	notProcessed bool       // trailers came with the platform's mark
-	code         codes.Code // the status
-	cause        error      // why the attempt's context ended; nil: it had not
+	upstreamRemoved    bool       // the upstream had left the list before a connection was taken
+	connectFailed      bool       // none came up, or not in time
+	headersSent        bool       // the request's head was handed to a connection
+	streamNotProcessed bool       // the wire proves that the upstream did not look at it: REFUSED_STREAM, GOAWAY below it
+	markedNotProcessed bool       // trailers came with the platform's mark
+	code               codes.Code // the status
+	contextCause       error      // why the attempt's context ended; nil: it had not
 }
 
 // result is how the attempt ended for the module. Only ConnectFailed, Overloaded and Moot say that it did not run;
 // the note docs/design/grpc.md goes through them status by status.
-func (e evidence) result(answers map[codes.Code]bool) balancer.Result {
+func (e evidence) result(applicationCodes map[codes.Code]bool) balancer.Result {
 	switch {
-	case e.drained:
+	case e.upstreamRemoved:
 		return balancer.NotSent
-	case e.unprocessed:
+	case e.streamNotProcessed:
 		return balancer.Rejected
-	case !e.headers && e.noConnection:
+	case !e.headersSent && e.connectFailed:
 		return balancer.ConnectFailed
-	case !e.headers && e.cause != nil: // called off before anything was sent
+	case !e.headersSent && e.contextCause != nil: // called off before anything was sent
 		return balancer.NotSent
-	case !e.headers:
+	case !e.headersSent:
 		return balancer.ConnectFailed
-	case e.notProcessed:
+	case e.markedNotProcessed:
 		return balancer.Rejected
-	case e.code == codes.OK || answers[e.code]:
+	case e.code == codes.OK || applicationCodes[e.code]:
 		return balancer.OK
-	case errors.Is(e.cause, context.DeadlineExceeded), e.code == codes.DeadlineExceeded: // also as the upstream's word
+	case errors.Is(e.contextCause, context.DeadlineExceeded), e.code == codes.DeadlineExceeded: // also as the upstream's word
 		return balancer.Timeout
-	case e.cause != nil:
+	case e.contextCause != nil:
 		return balancer.Cancelled
 	case e.code == codes.Unavailable: // whoever says it, grpc-go for a broken connection or the upstream
 		return balancer.Reset
@@ -48,7 +48,7 @@
 	return balancer.ServerError
 }
 
-// defaultAnswers are the codes that say something of the request and nothing of the node: they are the caller's
+// defaultApplicationCodes are the codes that say something of the request and nothing of the node: they are the caller's
 // answer, and for the module the attempt was served.
-var defaultAnswers = []codes.Code{codes.InvalidArgument, codes.NotFound, codes.AlreadyExists, codes.PermissionDenied,
+var defaultApplicationCodes = []codes.Code{codes.InvalidArgument, codes.NotFound, codes.AlreadyExists, codes.PermissionDenied,
 	codes.FailedPrecondition, codes.Aborted, codes.OutOfRange, codes.Unimplemented, codes.Unauthenticated}
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -93,50 +93,50 @@
 
 // The metadata keys that travel with each attempt. What the caller sets is kept.
 const (
-	RequestIDKey      = "x-request-id"    // of the call, the same for all its attempts; made here where the caller sets none
-	IdempotencyKey    = "idempotency-key" // of a keyed call; made here where the caller sets none
-	TenantKey         = "x-tenant-id"     // read here
-	CostKey           = "x-cost"          // read here: expected work in microseconds
-	defaultService    = "service"
-	notProcessedKey   = "x-not-processed" // in trailers: "1" says that the request never ran
-	maxCost           = time.Hour
-	connectDefault    = time.Second
-	reconnectBase     = 100 * time.Millisecond
-	reconnectMost     = 2 * time.Second
-	reconnectMultiple = 1.6
-	maxSubs           = 4096 // connections of one ClientConn, of which [service.warm] counts its part
+	RequestIDKey          = "x-request-id"    // of the call, the same for all its attempts; made here where the caller sets none
+	IdempotencyKey        = "idempotency-key" // of a keyed call; made here where the caller sets none
+	TenantKey             = "x-tenant-id"     // read here
+	CostKey               = "x-cost"          // read here: expected work in microseconds
+	defaultService        = "service"
+	notProcessedKey       = "x-not-processed" // in trailers: "1" says that the request never ran
+	maxCostHint           = time.Hour
+	defaultConnectTimeout = time.Second
+	reconnectBaseDelay    = 100 * time.Millisecond
+	reconnectMaxDelay     = 2 * time.Second
+	reconnectMultiplier   = 1.6
+	maxSubConns           = 4096 // connections of one ClientConn, of which [service.warm] counts its part
 )
 
 // Plugin is safe for concurrent use.
 type Plugin struct {
-	service        string
-	engine         *engine.Engine
-	directory      *endpoints.Registry
-	feed           *discovery.RegistrySink
-	merged         *discovery.MergedSource // nil: there is one list
-	narrow         *discovery.SubsetSink   // before the feed; nil: every upstream is its own
-	sink           endpoints.Sink          // where lists go
-	asked          atomic.Int64            // calls so far
-	methods        *methods
-	answers        map[codes.Code]bool
-	connectTimeout time.Duration
-	tick           time.Duration
-	guard          *guard                 // nil: connections are not encrypted by the plug-in
-	door           *controller.Controller // nil: there is none
-	repeats        *executor.Executor     // nil: repeats of keyed calls are not looked for
-	warming        *warming               // nil: connections are made as calls need them
-	stop           context.CancelFunc
-	watching       sync.WaitGroup
+	service          string
+	engine           *engine.Engine
+	registry         *endpoints.Registry
+	registrySink     *discovery.RegistrySink
+	mergedSource     *discovery.MergedSource // nil: there is one list
+	subsetSink       *discovery.SubsetSink   // before the feed; nil: every upstream is its own
+	sink             endpoints.Sink          // where lists go
+	callCount        atomic.Int64            // calls so far
+	methods          *methods
+	applicationCodes map[codes.Code]bool
+	connectTimeout   time.Duration
+	tick             time.Duration
+	credentials      *transportCredentials  // nil: connections are not encrypted by the plug-in
+	admission        *controller.Controller // nil: there is none
+	executor         *executor.Executor     // nil: repeats of keyed calls are not looked for
+	prewarming       *prewarming            // nil: connections are made as calls need them
+	stop             context.CancelFunc
+	background       sync.WaitGroup
 
 	rngMu sync.Mutex
 	rng   *rand.Rand
 
-	fixed     bool       // the list is given with SetEndpoints
-	listMu    sync.Mutex // one list after another, from SetEndpoints
-	tellMu    sync.Mutex // and to the resolvers
-	mu        sync.Mutex
-	policies  map[*policy]bool
-	resolvers map[*listResolver]bool
+	listFromCaller bool       // the list is given with SetEndpoints
+	setEndpointsMu sync.Mutex // one list after another, from SetEndpoints
+	resolverMu     sync.Mutex // and to the resolvers
+	mu             sync.Mutex
+	balancers      map[*subConnBalancer]bool
+	resolvers      map[*listResolver]bool
 }
 
 // New starts a Plugin. Close ends it, after its ClientConns.
@@ -146,7 +146,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("orchidgrpc: %w", err)
 	}
-	file, err := readFile(o)
+	file, err := readPluginFile(o)
 	if err != nil {
 		return nil, fmt.Errorf("orchidgrpc: %w", err)
 	}
@@ -158,85 +158,85 @@
 			return nil, fmt.Errorf("orchidgrpc: Discovery: %w", err)
 		}
 	}
-	known, err := listing(o.Endpoints, o.Version)
+	known, err := endpointList(o.Endpoints, o.Version)
 	if err != nil {
 		return nil, fmt.Errorf("orchidgrpc: Endpoints: %w", err)
 	}
-	p := &Plugin{service: cmp.Or(o.Service, defaultService), fixed: o.Discovery == "", methods: methods, answers: map[codes.Code]bool{},
-		connectTimeout: cmp.Or(set.ConnectTimeout, connectDefault), tick: cmp.Or(set.Tick, time.Millisecond),
-		rng: rand.New(rand.NewPCG(o.Seed, 0x6f72636869646772)), policies: map[*policy]bool{},
+	p := &Plugin{service: cmp.Or(o.Service, defaultService), listFromCaller: o.Discovery == "", methods: methods, applicationCodes: map[codes.Code]bool{},
+		connectTimeout: cmp.Or(set.ConnectTimeout, defaultConnectTimeout), tick: cmp.Or(set.Tick, time.Millisecond),
+		rng: rand.New(rand.NewPCG(o.Seed, 0x6f72636869646772)), balancers: map[*subConnBalancer]bool{},
 		resolvers: map[*listResolver]bool{}}
 	answers := o.Answers
 	if answers == nil {
-		answers = defaultAnswers
+		answers = defaultApplicationCodes
 	}
 	for _, code := range answers {
-		p.answers[code] = true
+		p.applicationCodes[code] = true
 	}
 	clk := clock.New()
-	p.directory = endpoints.New(clk, p.dropped)
-	p.feed = discovery.NewRegistrySink(p.directory, p.update)
+	p.registry = endpoints.New(clk, p.removeSubConns)
+	p.registrySink = discovery.NewRegistrySink(p.registry, p.applyUpdate)
 	log := logging.NewFunc(o.Log)
 	if o.TLS != nil {
-		if p.guard, err = newGuard(*o.TLS, log); err != nil {
+		if p.credentials, err = newTransportCredentials(*o.TLS, log); err != nil {
 			return nil, fmt.Errorf("orchidgrpc: %w", err)
 		}
 	}
 	if file.Admission != nil {
-		if p.door, err = openDoor(o, *file.Admission, clk, log); err != nil {
+		if p.admission, err = newAdmission(o, *file.Admission, clk, log); err != nil {
 			return nil, fmt.Errorf("orchidgrpc: %w", err)
 		}
 	}
 	if file.Idempotency != nil {
-		if p.repeats, err = executor.Open(context.Background(), *file.Idempotency, p.service, &set, executor.StartTimeout, executor.Options{Clock: clk, Log: log, OwnGoroutine: true}); err != nil {
+		if p.executor, err = executor.Open(context.Background(), *file.Idempotency, p.service, &set, executor.StartTimeout, executor.Options{Clock: clk, Log: log, OwnGoroutine: true}); err != nil {
 			return nil, fmt.Errorf("orchidgrpc: repeats: %w", err)
 		}
 	}
 	if file.Prewarm.Enabled {
-		p.warming = &warming{used: map[string]bool{}, w: prewarm.New(file.Prewarm, maxSubs,
+		p.prewarming = &prewarming{used: map[string]bool{}, prewarmer: prewarm.New(file.Prewarm, maxSubConns,
 			rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String("warm"))))}
 	}
 	source, known, err := p.openSource(o, file, known, staleness.Options{Pushed: !set.MustSubscribe, FleetSize: set.FleetSize}, log)
 	if err != nil {
 		return nil, fmt.Errorf("orchidgrpc: %w", err)
 	}
-	p.sink = p.feed
+	p.sink = p.registrySink
 	if file.Subset.Enabled {
-		p.narrow = discovery.NewSubsetSink(subset.New(file.Subset, fmt.Sprintf("%016x", o.Seed), set.Zone, math.MaxInt32), p.feed, p.asked.Load)
-		p.sink = p.narrow
+		p.subsetSink = discovery.NewSubsetSink(subset.New(file.Subset, fmt.Sprintf("%016x", o.Seed), set.Zone, math.MaxInt32), p.registrySink, p.callCount.Load)
+		p.sink = p.subsetSink
 		if known != nil {
-			known = p.narrow.Load(known)
+			known = p.subsetSink.Load(known)
 		}
 	}
 	var members balancer.EndpointUpdate
 	if known != nil {
-		members = p.feed.Apply(known)
+		members = p.registrySink.Apply(known)
 	}
 	subscribe := func() {}
 	if source != nil {
 		subscribe = source.Refresh
 	}
 	p.engine, err = engine.New(engine.Options{Settings: set, Seed: o.Seed, Clock: clk, CachedEndpoints: members.Endpoints,
-		Subscribe: subscribe, WaitForUpdates: p.feed.WaitForUpdates, Log: log, CancelWithCaller: true})
+		Subscribe: subscribe, WaitForUpdates: p.registrySink.WaitForUpdates, Log: log, CancelWithCaller: true})
 	if err != nil {
 		return nil, fmt.Errorf("orchidgrpc: Settings: %w", err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
-	if p.guard != nil {
-		p.watching.Go(func() { p.guard.follow(ctx, p.withdrawn) })
+	if p.credentials != nil {
+		p.background.Go(func() { p.credentials.watchFiles(ctx, p.replaceSubConns) })
 	}
-	if p.narrow != nil {
-		p.watching.Go(func() { p.narrow.Run(ctx) })
+	if p.subsetSink != nil {
+		p.background.Go(func() { p.subsetSink.Run(ctx) })
 	}
-	if p.merged != nil {
-		p.merged.Attach(p.sink)
+	if p.mergedSource != nil {
+		p.mergedSource.Attach(p.sink)
 	}
 	if source != nil {
-		p.watching.Go(func() { source.Run(ctx, p.sink) })
+		p.background.Go(func() { source.Run(ctx, p.sink) })
 	}
-	if p.warming != nil {
-		p.watching.Go(func() { p.keepWarm(ctx, clk) })
+	if p.prewarming != nil {
+		p.background.Go(func() { p.runPrewarming(ctx, clk) })
 	}
 	return p, nil
 }
@@ -252,7 +252,7 @@
 	if len(file.Registries) == 0 {
 		return own, known, nil
 	}
-	sources := []discovery.NamedSource{{Name: ownList, Source: own, Initial: known, Primary: true}}
+	sources := []discovery.NamedSource{{Name: primarySourceName, Source: own, Initial: known, Primary: true}}
 	for _, r := range file.Registries {
 		one, err := eureka.New(r, p.connectTimeout, o.Seed^xxhash.Sum64String(r.Name), log)
 		if err != nil {
@@ -261,17 +261,17 @@
 		sources = append(sources, discovery.NamedSource{Name: r.Name, Source: one})
 	}
 	var err error
-	if p.merged, err = discovery.NewMergedSource(file.Membership, log, sources...); err != nil {
+	if p.mergedSource, err = discovery.NewMergedSource(file.Membership, log, sources...); err != nil {
 		return nil, nil, err
 	}
-	return p.merged, p.merged.Load(), nil
+	return p.mergedSource, p.mergedSource.Load(), nil
 }
 
-// ownList is what Discovery's or SetEndpoints' list is called beside registries.
-const ownList = "list"
+// primarySourceName is what Discovery's or SetEndpoints' list is called beside registries.
+const primarySourceName = "list"
 
-// readFile reads what the operator's file has for the plug-in; nothing, where none is named.
-func readFile(o Options) (config.PluginFile, error) {
+// readPluginFile reads what the operator's file has for the plug-in; nothing, where none is named.
+func readPluginFile(o Options) (config.PluginFile, error) {
 	if o.File == "" {
 		return config.PluginFile{}, nil
 	}
@@ -286,8 +286,8 @@
 	return file, nil
 }
 
-// openDoor makes the door that the operator's file tells of.
-func openDoor(o Options, of admission.Options, clk clock.Clock, log *slog.Logger) (*controller.Controller, error) {
+// newAdmission makes the door that the operator's file tells of.
+func newAdmission(o Options, of admission.Options, clk clock.Clock, log *slog.Logger) (*controller.Controller, error) {
 	of.MaxRetryAfter = o.Settings.MaxRetryAfter
 	return controller.New(controller.Options{Queue: of, Classes: o.Settings.Classes, Clock: clk, Log: log,
 		Seed: o.Seed ^ xxhash.Sum64String("door"), SendRetryAfter: o.Settings.RetryAfterAllowed})
@@ -304,13 +304,13 @@
 		grpc.WithDefaultServiceConfig(`{"loadBalancingConfig":[{"` + policyName + `":{}}]}`),
 		grpc.WithDisableServiceConfig(),
 		grpc.WithDisableRetry(),
-		grpc.WithChainUnaryInterceptor(p.unary),
-		grpc.WithChainStreamInterceptor(p.stream),
+		grpc.WithChainUnaryInterceptor(p.interceptUnary),
+		grpc.WithChainStreamInterceptor(p.interceptStream),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: p.connectTimeout, Backoff: backoff.Config{
-			BaseDelay: reconnectBase, Multiplier: reconnectMultiple, Jitter: 0.2, MaxDelay: reconnectMost}}),
+			BaseDelay: reconnectBaseDelay, Multiplier: reconnectMultiplier, Jitter: 0.2, MaxDelay: reconnectMaxDelay}}),
 	}
-	if p.guard != nil {
-		options = append(options, grpc.WithTransportCredentials(p.guard))
+	if p.credentials != nil {
+		options = append(options, grpc.WithTransportCredentials(p.credentials))
 	}
 	return options
 }
@@ -318,17 +318,17 @@
 // SetEndpoints replaces the list, where it comes from elsewhere than Discovery. When it returns, nothing new is sent to an
 // upstream that is not in it. A list that can't be used changes nothing.
 func (p *Plugin) SetEndpoints(list []Endpoint) error {
-	if !p.fixed {
+	if !p.listFromCaller {
 		return errors.New("orchidgrpc: the list is Discovery's")
 	}
-	p.listMu.Lock()
-	defer p.listMu.Unlock()
-	l, err := listing(list, 0)
+	p.setEndpointsMu.Lock()
+	defer p.setEndpointsMu.Unlock()
+	l, err := endpointList(list, 0)
 	if err != nil {
 		return fmt.Errorf("orchidgrpc: %w", err)
 	}
-	if p.merged != nil {
-		p.merged.Update(ownList, l)
+	if p.mergedSource != nil {
+		p.mergedSource.Update(primarySourceName, l)
 		return nil
 	}
 	p.sink.Update(l)
@@ -338,13 +338,13 @@
 // Close fails what is in hand and ends the plug-in. Close its ClientConns first.
 func (p *Plugin) Close() {
 	p.stop()
-	p.watching.Wait()
-	if p.door != nil {
-		p.door.Close()
+	p.background.Wait()
+	if p.admission != nil {
+		p.admission.Close()
 	}
 	p.engine.Close()
-	if p.repeats != nil {
-		p.repeats.Close()
+	if p.executor != nil {
+		p.executor.Close()
 	}
 }
 
@@ -354,7 +354,7 @@
 // Upstreams is what the module makes of the upstreams now, for those who look on.
 func (p *Plugin) Upstreams() []balancer.UpstreamView { return p.engine.View() }
 
-func listing(list []Endpoint, version int64) (*endpoints.List, error) {
+func endpointList(list []Endpoint, version int64) (*endpoints.List, error) {
 	l := &endpoints.List{Index: &version, Snapshot: true}
 	names := map[string]bool{}
 	for _, e := range list {
@@ -375,8 +375,8 @@
 	return l, nil
 }
 
-// update brings news of the list, which the directory has already.
-func (p *Plugin) update(m balancer.EndpointUpdate) {
+// applyUpdate brings news of the list, which the directory has already.
+func (p *Plugin) applyUpdate(m balancer.EndpointUpdate) {
 	p.engine.Update(m)
 	if len(m.Endpoints) == 0 && m.Kind != balancer.FullUpdate {
 		return
@@ -388,32 +388,32 @@
 	}
 	p.mu.Unlock()
 	for _, r := range resolvers {
-		r.tell()
+		r.updateState()
 	}
 }
 
-// dropped shuts the sub-connections to an upstream at once, without the way through the resolvers.
-func (p *Plugin) dropped(name string) {
-	place, ready := p.directory.Instance(name)
-	for _, q := range p.allPolicies() {
-		q.drop(name, place, ready)
+// removeSubConns shuts the sub-connections to an upstream at once, without the way through the resolvers.
+func (p *Plugin) removeSubConns(name string) {
+	place, ready := p.registry.Instance(name)
+	for _, q := range p.currentBalancers() {
+		q.removeSubConn(name, place, ready)
 	}
 }
 
-// allPolicies lists the policies that there are now.
-func (p *Plugin) allPolicies() []*policy {
+// currentBalancers lists the policies that there are now.
+func (p *Plugin) currentBalancers() []*subConnBalancer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.Collect(maps.Keys(p.policies))
+	return slices.Collect(maps.Keys(p.balancers))
 }
 
-func (p *Plugin) addPolicy(q *policy)    { p.change(func() { p.policies[q] = true }) }
-func (p *Plugin) removePolicy(q *policy) { p.change(func() { delete(p.policies, q) }) }
+func (p *Plugin) addBalancer(q *subConnBalancer)    { p.locked(func() { p.balancers[q] = true }) }
+func (p *Plugin) removeBalancer(q *subConnBalancer) { p.locked(func() { delete(p.balancers, q) }) }
 
-func (p *Plugin) addResolver(r *listResolver)    { p.change(func() { p.resolvers[r] = true }) }
-func (p *Plugin) removeResolver(r *listResolver) { p.change(func() { delete(p.resolvers, r) }) }
+func (p *Plugin) addResolver(r *listResolver)    { p.locked(func() { p.resolvers[r] = true }) }
+func (p *Plugin) removeResolver(r *listResolver) { p.locked(func() { delete(p.resolvers, r) }) }
 
-func (p *Plugin) change(do func()) {
+func (p *Plugin) locked(do func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	do()
--- a/grpcbalancer/prewarm.go
+++ b/grpcbalancer/prewarm.go
@@ -11,20 +11,20 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// warmEvery is how often the list and the sub-connections are looked at.
-const warmEvery = 100 * time.Millisecond
+// prewarmInterval is how often the list and the sub-connections are looked at.
+const prewarmInterval = 100 * time.Millisecond
 
-// warming has sub-connections connect before a call needs them, as package warm decides. Each ClientConn of the plug-in has a
+// prewarming has sub-connections connect before a call needs them, as package warm decides. Each ClientConn of the plug-in has a
 // sub-connection of its own to an upstream; the warmer sees one, which is open when all of them are.
-type warming struct {
-	w *prewarm.Prewarmer // keepWarm's alone
+type prewarming struct {
+	prewarmer *prewarm.Prewarmer // runPrewarming's alone
 
 	mu   sync.Mutex
 	used map[string]bool // since it looked last
 }
 
-// use notes that a call goes to an upstream. A nil one notes nothing.
-func (w *warming) use(name string) {
+// recordUse notes that a call goes to an upstream. A nil one notes nothing.
+func (w *prewarming) recordUse(name string) {
 	if w == nil {
 		return
 	}
@@ -33,11 +33,11 @@
 	w.used[name] = true
 }
 
-// keepWarm runs until ctx ends.
-func (p *Plugin) keepWarm(ctx context.Context, c clock.Clock) {
-	tick := time.NewTicker(warmEvery)
+// runPrewarming runs until ctx ends.
+func (p *Plugin) runPrewarming(ctx context.Context, c clock.Clock) {
+	tick := time.NewTicker(prewarmInterval)
 	defer tick.Stop()
-	w := p.warming.w
+	w := p.prewarming.prewarmer
 	connecting := map[string]uint64{} // what Tick named and has not ended, by process
 	for {
 		select {
@@ -45,17 +45,17 @@
 			return
 		case <-tick.C:
 		}
-		policies := p.allPolicies()
+		policies := p.currentBalancers()
 		if len(policies) == 0 { // nobody calls yet
 			continue
 		}
-		now, places := c.Now(), p.directory.Instances()
+		now, places := c.Now(), p.registry.Instances()
 		ready := make(map[string]uint64, len(places))
 		for name, at := range places {
 			ready[name] = at.ProcessID()
 		}
 		w.SetMembers(now, ready)
-		open := subStates(policies)
+		open := connectionStates(policies)
 		for name, process := range connecting {
 			switch state := open[name]; {
 			case ready[name] != process:
@@ -65,10 +65,10 @@
 				delete(connecting, name)
 			}
 		}
-		p.warming.mu.Lock()
-		used := p.warming.used
-		p.warming.used = map[string]bool{}
-		p.warming.mu.Unlock()
+		p.prewarming.mu.Lock()
+		used := p.prewarming.used
+		p.prewarming.used = map[string]bool{}
+		p.prewarming.mu.Unlock()
 		for name := range used {
 			w.RecordUse(now, name)
 		}
@@ -92,13 +92,13 @@
 	}
 }
 
-// subStates is by upstream how far its sub-connections are: READY if all of them are, CONNECTING if one is on its way, else
+// connectionStates is by upstream how far its sub-connections are: READY if all of them are, CONNECTING if one is on its way, else
 // that it is not connected.
-func subStates(policies []*policy) map[string]connectivity.State {
+func connectionStates(policies []*subConnBalancer) map[string]connectivity.State {
 	states := map[string]connectivity.State{}
 	for _, q := range policies {
 		q.mu.RLock()
-		for name, s := range q.subs {
+		for name, s := range q.subConns {
 			was, seen := states[name]
 			switch {
 			case !seen || s.state == connectivity.Connecting:
@@ -111,17 +111,3 @@
 	}
 	return states
 }
-
-// connect has the sub-connection to an upstream connect, if it is idle.
-func (p *policy) connect(name string) {
-	p.mu.Lock()
-	s := p.subs[name]
-	idle := s != nil && s.state == connectivity.Idle
-	if idle {
-		s.state = connectivity.Connecting // until grpc-go says so: the next look must not take it for one that failed
-	}
-	p.mu.Unlock()
-	if idle {
-		s.sc.Connect()
-	}
-}
--- a/grpcbalancer/status.go
+++ b/grpcbalancer/status.go
@@ -44,13 +44,13 @@
 	case engine.Duplicate:
 		return status.Error(codes.AlreadyExists, "orchidgrpc: a call of this x-request-id is in hand")
 	case engine.EngineClosed:
-		return refusal("orchidgrpc: the plug-in is closed", a, codes.Unavailable)
+		return rejectedError("orchidgrpc: the plug-in is closed", a, codes.Unavailable)
 	case engine.Rejected:
 		code := codes.Unavailable
 		if late {
 			code = codes.DeadlineExceeded
 		}
-		return refusal("orchidgrpc: refused, trying again is harmless", a, code)
+		return rejectedError("orchidgrpc: refused, trying again is harmless", a, code)
 	}
 	// Unavailable is what clients try again on, so a failure never has it.
 	code, text := codes.Unknown, "orchidgrpc: failed, it may have run"
@@ -61,18 +61,18 @@
 	if late {
 		code = codes.DeadlineExceeded
 	}
-	return withDetails(code, text, info(ReasonMayHaveRun, a))
+	return withDetails(code, text, errorInfo(ReasonMayHaveRun, a))
 }
 
-func refusal(text string, a engine.Answer, code codes.Code) error {
-	details := []protoadapt.MessageV1{info(ReasonRefused, a)}
+func rejectedError(text string, a engine.Answer, code codes.Code) error {
+	details := []protoadapt.MessageV1{errorInfo(ReasonRefused, a)}
 	if a.RetryAfter > 0 {
 		details = append(details, &errdetails.RetryInfo{RetryDelay: durationpb.New(a.RetryAfter)})
 	}
 	return withDetails(code, text, details...)
 }
 
-func info(reason string, a engine.Answer) *errdetails.ErrorInfo {
+func errorInfo(reason string, a engine.Answer) *errdetails.ErrorInfo {
 	return &errdetails.ErrorInfo{Domain: Domain, Reason: reason,
 		Metadata: map[string]string{"sends": strconv.Itoa(a.Attempts)}}
 }
--- a/grpcbalancer/stream.go
+++ b/grpcbalancer/stream.go
@@ -16,14 +16,14 @@
 	"orchiddrift/internal/engine"
 )
 
-// stream is the interceptor of streams. A server stream, one message and then an answer of many, is decided like a
+// interceptStream is the interceptor of streams. A server stream, one message and then an answer of many, is decided like a
 // unary call up to its first message: until then it may be sent again as its class allows. A stream on which the client
 // goes on writing is decided once, when it is opened: nothing is repeated once it stands.
-func (p *Plugin) stream(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string,
+func (p *Plugin) interceptStream(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string,
 	streamer grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
 	ctx, c := p.newCall(ctx, method)
 	s := &clientStream{call: c, ctx: ctx, desc: desc, cc: cc, streamer: streamer}
-	s.plain, s.writing = split(opts)
+	s.plainOptions, s.outputOptions = splitOptions(opts)
 	if !desc.ClientStreams {
 		return s, nil
 	}
@@ -33,59 +33,59 @@
 // clientStream is the caller's stream. As grpc says, one goroutine may send while another receives.
 type clientStream struct {
 	*call
-	ctx            context.Context
-	desc           *grpc.StreamDesc
-	cc             *grpc.ClientConn
-	streamer       grpc.Streamer
-	plain, writing []grpc.CallOption
+	ctx                         context.Context
+	desc                        *grpc.StreamDesc
+	cc                          *grpc.ClientConn
+	streamer                    grpc.Streamer
+	plainOptions, outputOptions []grpc.CallOption
 
 	req any // of a server stream
 
-	once    sync.Once   // starting
-	started atomic.Bool // it is over: won or err stands
-	won     *streamResult
-	err     error // instead of a stream
-	answer  engine.Answer
-	stop    func() bool // of the watch on the caller's context
-	endOnce sync.Once
+	startOnce           sync.Once   // starting
+	started             atomic.Bool // it is over: won or err stands
+	result              *streamResult
+	startErr            error // instead of a stream
+	answer              engine.Answer
+	stopWatchingContext func() bool // of the watch on the caller's context
+	endOnce             sync.Once
 }
 
 // streamResult is an attempt whose stream stands, or an answer that was over at once.
 type streamResult struct {
-	outputs
-	rec    *attempt
-	stream grpc.ClientStream
-	first  any   // the first message, if one was received
-	err    error // what came instead of it: io.EOF or the application's status
-	whole  bool  // the answer has ended
+	callOutputs
+	attempt      *attempt
+	stream       grpc.ClientStream
+	firstMessage any   // the first message, if one was received
+	err          error // what came instead of it: io.EOF or the application's status
+	ended        bool  // the answer has ended
 }
 
-// streamAttempt carries out the opening of a stream.
-type streamAttempt struct {
-	s    *clientStream
-	like *messageType // of the first message; nil: do not wait for one
-	head bool         // wait for the header, where like is nil
+// streamTransport carries out the opening of a stream.
+type streamTransport struct {
+	stream           *clientStream
+	firstMessageType *messageType // of the first message; nil: do not wait for one
+	awaitHeader      bool         // wait for the header, where like is nil
 }
 
-func (t *streamAttempt) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
-	s := t.s
-	rec := s.begin(streamContext{ctx, s.ctx}, a)
+func (t *streamTransport) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
+	s := t.stream
+	rec := s.newAttempt(streamContext{ctx, s.ctx}, a)
 	if rec == nil {
 		return engine.AttemptResult{Result: balancer.NotSent}
 	}
-	r := &streamResult{rec: rec}
+	r := &streamResult{attempt: rec}
 	var err error
-	if r.stream, err = s.streamer(rec, s.desc, s.cc, s.method, r.own(s.plain, s.writing)...); err == nil && !s.desc.ClientStreams {
+	if r.stream, err = s.streamer(rec, s.desc, s.cc, s.method, r.options(s.plainOptions, s.outputOptions)...); err == nil && !s.desc.ClientStreams {
 		// An error of SendMsg says only that the stream has ended; what it was says RecvMsg.
 		if err = r.stream.SendMsg(s.req); err == nil {
 			err = r.stream.CloseSend()
 		}
 		switch {
 		case err != nil && err != io.EOF: // the message can't be encoded
-		case t.like != nil:
-			r.first = t.like.fresh()
-			err = r.stream.RecvMsg(r.first)
-		case t.head:
+		case t.firstMessageType != nil:
+			r.firstMessage = t.firstMessageType.newMessage()
+			err = r.stream.RecvMsg(r.firstMessage)
+		case t.awaitHeader:
 			_, err = r.stream.Header()
 		}
 	}
@@ -95,8 +95,8 @@
 	if r.stream != nil {
 		r.trailer = r.stream.Trailer()
 	}
-	result := s.ended(rec, err)
-	r.err, r.whole = err, true
+	result := s.finishAttempt(rec, err)
+	r.err, r.ended = err, true
 	if result != balancer.OK {
 		return engine.AttemptResult{Result: result}
 	}
@@ -114,22 +114,22 @@
 
 // start has the module open the stream, once.
 func (s *clientStream) start(like *messageType, head bool) error {
-	s.once.Do(func() {
+	s.startOnce.Do(func() {
 		defer s.started.Store(true)
-		s.answer = s.do(s.ctx, &streamAttempt{s: s, like: like, head: head})
+		s.answer = s.execute(s.ctx, &streamTransport{stream: s, firstMessageType: like, awaitHeader: head})
 		if s.answer.Kind != engine.Served {
-			s.err = s.fail(s.ctx, s.answer)
-			(&outputs{}).handOver(s.writing, s.err)
+			s.startErr = s.finalError(s.ctx, s.answer)
+			(&callOutputs{}).writeTo(s.outputOptions, s.startErr)
 			return
 		}
-		s.won = s.answer.Value.(*streamResult)
-		if s.won.whole {
-			s.finish(balancer.OK, s.won.err)
+		s.result = s.answer.Value.(*streamResult)
+		if s.result.ended {
+			s.finish(balancer.OK, s.result.err)
 			return
 		}
-		s.stop = context.AfterFunc(s.ctx, func() { s.finish(balancer.Cancelled, s.ctx.Err()) })
+		s.stopWatchingContext = context.AfterFunc(s.ctx, func() { s.finish(balancer.Cancelled, s.ctx.Err()) })
 	})
-	return s.err
+	return s.startErr
 }
 
 // finish reports the end, once.
@@ -139,7 +139,7 @@
 		if err == io.EOF {
 			err = nil
 		}
-		s.won.handOver(s.writing, err)
+		s.result.writeTo(s.outputOptions, err)
 	})
 }
 
@@ -151,7 +151,7 @@
 	if err := s.start(nil, false); err != nil {
 		return err
 	}
-	return s.won.stream.SendMsg(m) // io.EOF: RecvMsg has the status
+	return s.result.stream.SendMsg(m) // io.EOF: RecvMsg has the status
 }
 
 func (s *clientStream) CloseSend() error {
@@ -161,50 +161,50 @@
 	if err := s.start(nil, false); err != nil {
 		return err
 	}
-	return s.won.stream.CloseSend()
+	return s.result.stream.CloseSend()
 }
 
 func (s *clientStream) RecvMsg(m any) error {
 	if !s.started.Load() {
-		like := typeOf(m)
+		like := messageTypeOf(m)
 		if err := s.start(&like, false); err != nil {
 			return err
 		}
 	}
-	if s.err != nil {
-		return s.err
+	if s.startErr != nil {
+		return s.startErr
 	}
-	if first := s.won.first; first != nil && !s.won.whole {
-		s.won.first = nil
-		copyInto(m, first)
+	if first := s.result.firstMessage; first != nil && !s.result.ended {
+		s.result.firstMessage = nil
+		copyMessage(m, first)
 		return nil
 	}
-	if s.won.whole {
-		return s.won.err
+	if s.result.ended {
+		return s.result.err
 	}
-	err := s.won.stream.RecvMsg(m)
+	err := s.result.stream.RecvMsg(m)
 	switch {
 	case err == nil && s.desc.ServerStreams:
 		return nil
 	case err == nil: // the one answer to a client stream
-		s.end(nil)
+		s.finalStatus(nil)
 		return nil
 	}
-	return s.end(err)
+	return s.finalStatus(err)
 }
 
-// end classifies what ended the stream, and words what is to be told of it.
-func (s *clientStream) end(err error) error {
+// finalStatus classifies what ended the stream, and words what is to be told of it.
+func (s *clientStream) finalStatus(err error) error {
 	if s.ctx.Err() != nil && err != nil && err != io.EOF {
 		s.finish(balancer.Cancelled, s.ctx.Err())
 		return status.FromContextError(s.ctx.Err()).Err()
 	}
-	s.stop()
-	s.won.trailer = s.won.stream.Trailer()
-	r := s.ended(s.won.rec, err)
+	s.stopWatchingContext()
+	s.result.trailer = s.result.stream.Trailer()
+	r := s.finishAttempt(s.result.attempt, err)
 	if err != nil && err != io.EOF && r != balancer.OK {
 		if r == balancer.Rejected || r == balancer.ConnectFailed || r == balancer.NotSent {
-			err = refusal("orchidgrpc: the stream was not processed: "+status.Convert(err).Message(), s.answer, codes.Unavailable)
+			err = rejectedError("orchidgrpc: the stream was not processed: "+status.Convert(err).Message(), s.answer, codes.Unavailable)
 		} else {
 			err = answerError(s.ctx, engine.Answer{Kind: engine.Failed, Attempts: s.answer.Attempts}, status.Convert(err), false)
 		}
@@ -217,22 +217,22 @@
 	if err := s.start(nil, true); err != nil {
 		return nil, err
 	}
-	if s.won.stream == nil {
-		return nil, s.won.err
+	if s.result.stream == nil {
+		return nil, s.result.err
 	}
-	return s.won.stream.Header()
+	return s.result.stream.Header()
 }
 
 func (s *clientStream) Trailer() metadata.MD {
-	if !s.started.Load() || s.won == nil || s.won.stream == nil {
+	if !s.started.Load() || s.result == nil || s.result.stream == nil {
 		return nil
 	}
-	return s.won.stream.Trailer()
+	return s.result.stream.Trailer()
 }
 
 func (s *clientStream) Context() context.Context {
-	if s.started.Load() && s.won != nil && s.won.stream != nil {
-		return s.won.stream.Context()
+	if s.started.Load() && s.result != nil && s.result.stream != nil {
+		return s.result.stream.Context()
 	}
 	return s.ctx
 }
