--- a/grpcbalancer/admission.go
+++ b/grpcbalancer/admission.go
@@ -2,38 +2,70 @@
 
 import (
 	"context"
+	"log/slog"
 	"strings"
 
+	"github.com/cespare/xxhash/v2"
 	"google.golang.org/grpc/metadata"
 
 	"orchiddrift/internal/admission"
 	"orchiddrift/internal/admission/controller"
+	"orchiddrift/internal/clock"
 	"orchiddrift/internal/engine"
 )
 
-// execute is the engine's Do behind the door, where there is one. A stream keeps its place there until it has begun.
-func (c *call) execute(ctx context.Context, carrier engine.Transport) engine.Answer {
-	k := c.plugin.admission
-	if k == nil {
-		return c.plugin.engine.Do(ctx, c.Call, carrier)
+// newAdmission starts the admission controller that the operator's file configures.
+func newAdmission(o Options, queue admission.Options, clk clock.Clock, log *slog.Logger) (*controller.Controller, error) {
+	queue.MaxRetryAfter = o.Settings.MaxRetryAfter
+	return controller.New(controller.Options{
+		Queue:          queue,
+		Classes:        o.Settings.Classes,
+		Clock:          clk,
+		Log:            log,
+		Seed:           o.Seed ^ xxhash.Sum64String("door"),
+		SendRetryAfter: o.Settings.RetryAfterAllowed,
+	})
+}
+
+// execute waits until the call is admitted, where calls queue, and has the engine answer it. It blocks until the final answer; a stream
+// keeps its permit until it has been opened.
+func (c *call) execute(ctx context.Context, transport engine.Transport) engine.Answer {
+	if c.plugin.admission == nil {
+		return c.plugin.engine.Do(ctx, c.Call, transport)
+	}
+	permit, rejected := c.awaitAdmission(ctx)
+	if rejected != nil {
+		return *rejected
 	}
+	answer := c.plugin.engine.Do(ctx, c.Call, transport)
+	permit.Done(controller.OutcomeOf(answer))
+	return answer
+}
+
+// awaitAdmission blocks until the call is admitted. rejected is the final answer of a call that is not: nothing of it was sent.
+func (c *call) awaitAdmission(ctx context.Context) (permit controller.Permit, rejected *engine.Answer) {
+	queue := c.plugin.admission
 	md, _ := metadata.FromOutgoingContext(ctx)
-	waits, end := context.WithCancel(ctx)
-	defer end()
-	if c.Interest != nil {
-		defer context.AfterFunc(c.Interest, end)()
+	header := func(name string) string { return firstValue(md, strings.ToLower(name)) }
+	waitCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	if c.Interest != nil { // the callers that wait for an idempotency key's answer
+		defer context.AfterFunc(c.Interest, cancel)()
 	}
-	marked := firstValue(md, strings.ToLower(k.RetryHeader()))
-	pass, verdict, in := k.Acquire(waits, admission.Client{Tenant: c.Tenant, Header: func(name string) string { return firstValue(md, strings.ToLower(name)) }},
-		admission.Arrival{Class: c.Class, CostHint: c.CostHint, ArrivedAt: c.plugin.engine.Clock().Now(), Deadline: c.Deadline,
-			Retry: marked != "" && marked != "0", Fingerprint: c.fingerprint})
+	retryMarker := header(queue.RetryHeader())
+	permit, verdict, retryAfter := queue.Acquire(waitCtx, admission.Client{Tenant: c.Tenant, Header: header}, admission.Arrival{
+		Class:       c.Class,
+		CostHint:    c.CostHint,
+		ArrivedAt:   c.plugin.engine.Clock().Now(),
+		Deadline:    c.Deadline,
+		Retry:       retryMarker != "" && retryMarker != "0",
+		Fingerprint: c.fingerprint,
+	})
 	switch verdict {
 	case controller.Rejected:
-		return engine.Answer{Kind: engine.Rejected, RetryAfter: in}
+		return permit, &engine.Answer{Kind: engine.Rejected, RetryAfter: retryAfter}
 	case controller.ClientLeft:
-		return engine.Answer{Kind: engine.ClientGone}
+		return permit, &engine.Answer{Kind: engine.ClientGone}
 	}
-	a := c.plugin.engine.Do(ctx, c.Call, carrier)
-	pass.Done(controller.OutcomeOf(a))
-	return a
+	return permit, nil
 }
--- a/grpcbalancer/attempt.go
+++ b/grpcbalancer/attempt.go
@@ -12,28 +12,28 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// attempt is the record of one send that the module decided on. It is the context of the RPC, and found by its Value: the picker
-// reads where it is to go, and it and grpc-go's end of a stream write what became of it.
+// attempt is one attempt that the engine decided on. It is the context of the attempt's RPC: the picker finds it there by its Value. The
+// goroutine that runs the RPC creates and finishes it; in between, Pick, DoneInfo and the connect timer write its evidence.
 type attempt struct {
-	context.Context // the engine's, for the attempt
+	context.Context // the engine's, of the attempt
 
 	plugin   *Plugin
 	upstream string
 	instance endpoints.Instance
-	sendBy   time.Time               // its pick is to come before; zero: at any time
-	caller   context.Context         // and before this ends
+	sendBy   time.Time               // no pick succeeds from then on; zero: no limit
+	caller   context.Context         // no pick succeeds once it has ended
 	cancel   context.CancelCauseFunc // ends the RPC
 
 	mu           sync.Mutex
 	evidence     evidence
-	closed       bool        // no pick is to succeed any more
-	picked       bool        // a connection was handed out, and grpc-go has not said that it could not be used
-	connectTimer *time.Timer // for a connection to come up; runs from the first pick that found none
+	closed       bool        // no pick succeeds any more
+	picked       bool        // a connection was handed out, and grpc-go has not reported that it could not be used
+	connectTimer *time.Timer // bounds the wait for a connection; started by the first pick that found none
 }
 
 type attemptContextKey struct{}
 
-// Value finds the record itself, beside what stands in its context.
+// Value implements context.Context: it returns the attempt itself for its key, and the values of the engine's context otherwise.
 func (a *attempt) Value(key any) any {
 	if key == (attemptContextKey{}) {
 		return a
@@ -41,12 +41,13 @@
 	return a.Context.Value(key)
 }
 
+// attemptFromContext returns the attempt of an RPC's context, nil if the RPC did not come through the Plugin's interceptors.
 func attemptFromContext(ctx context.Context) *attempt {
 	a, _ := ctx.Value(attemptContextKey{}).(*attempt)
 	return a
 }
 
-// Why a pick gives an RPC no connection. A status error makes grpc-go end it there and then.
+// Errors of picks. As status errors they make grpc-go end the RPC at once.
 var (
 	errNotDecided         = status.Error(codes.FailedPrecondition, "orchidgrpc: the call did not come through the plug-in's interceptor")
 	errStreamNotProcessed = status.Error(codes.Unavailable, "orchidgrpc: the upstream did not process the stream")
@@ -54,9 +55,10 @@
 	errConnectFailed      = status.Error(codes.Unavailable, "orchidgrpc: no connection to the upstream")
 )
 
-// checkPick is asked before each stream that grpc-go opens for the attempt. Once the request's head was handed to a
-// connection, another pick is grpc-go's transparent retry: it proves that the first stream was not processed, and
-// would be a send that the module never heard of. So it is denied, and the module decides.
+// checkPick returns the error that ends the RPC where the attempt may not be sent. Pick calls it before each stream that grpc-go opens.
+//
+// Once the request's headers were handed to a connection, another pick is grpc-go's transparent retry. It proves that the first stream was
+// not processed, but would be an attempt that the engine knows nothing of: it is denied, and the engine decides on a retry.
 func (a *attempt) checkPick() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -66,16 +68,16 @@
 		return errStreamNotProcessed
 	case a.closed:
 		return errConnectFailed
-	case !a.plugin.registry.Ready(a.upstream, a.instance), // drained or gone since the decision
-		!a.sendBy.IsZero() && !time.Now().Before(a.sendBy), // or a repeat that came too late
-		a.caller.Err() != nil:                              // or nobody waits for the answer
-		a.closed, a.evidence.upstreamRemoved = true, true
+	case !a.plugin.registry.Ready(a.upstream, a.instance), // draining or removed since the decision
+		!a.sendBy.IsZero() && !time.Now().Before(a.sendBy), // a retry past its deduplication window
+		a.caller.Err() != nil:                              // nobody waits for the answer
+		a.closed, a.evidence.notSent = true, true
 		return errUpstreamRemoved
 	}
 	return nil
 }
 
-// claimConnection says that a pick hands out a connection; false: it may not any more.
+// claimConnection records that a pick hands out a connection. It returns false if the attempt was closed since checkPick.
 func (a *attempt) claimConnection() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -91,7 +93,7 @@
 	return true
 }
 
-// connectFailed says that there will be no connection.
+// connectFailed closes the attempt as its upstream cannot be reached, and returns the error that ends the RPC.
 func (a *attempt) connectFailed() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -101,26 +103,39 @@
 	return errConnectFailed
 }
 
-// startConnectTimer is called by a pick that found no connection yet, and bounds that.
+// startConnectTimer bounds the wait for a connection by the Plugin's connect timeout, counted from the first pick that found none.
 func (a *attempt) startConnectTimer() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.connectTimer == nil && !a.closed {
-		a.connectTimer = time.AfterFunc(a.plugin.connectTimeout, func() {
-			a.mu.Lock()
-			late := !a.picked && !a.closed
-			if late {
-				a.closed, a.evidence.connectFailed = true, true
-			}
-			a.mu.Unlock()
-			if late {
-				a.cancel(errConnectFailed)
-			}
-		})
+		a.connectTimer = time.AfterFunc(a.plugin.connectTimeout, a.connectTimedOut)
 	}
 }
 
-// finish takes the evidence once the RPC has ended.
+// connectTimedOut ends the RPC if it has no connection. It runs in the timer's goroutine.
+func (a *attempt) connectTimedOut() {
+	a.mu.Lock()
+	waiting := !a.picked && !a.closed
+	if waiting {
+		a.closed, a.evidence.connectFailed = true, true
+	}
+	a.mu.Unlock()
+	if waiting {
+		a.cancel(errConnectFailed)
+	}
+}
+
+// streamDone is the PickResult.Done of the attempt's picks. grpc-go calls it when a stream has ended, before the RPC returns and before
+// another pick. BytesSent says that the stream got an id on its connection: its headers were handed over.
+func (a *attempt) streamDone(info balancer.DoneInfo) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.evidence.headersSent = a.evidence.headersSent || info.BytesSent
+	a.picked = a.evidence.headersSent
+	a.evidence.markedNotProcessed = firstValue(info.Trailer, notProcessedKey) == "1"
+}
+
+// finish closes the attempt after its RPC has ended with err, and returns its evidence.
 func (a *attempt) finish(err error) evidence {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -135,13 +150,3 @@
 	}
 	return e
 }
-
-// streamDone hears from grpc-go that a stream of the attempt has ended, before the call returns and before another pick. A
-// stream that was made has an id of its connection: its head was handed over.
-func (a *attempt) streamDone(info balancer.DoneInfo) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.evidence.headersSent = a.evidence.headersSent || info.BytesSent
-	a.picked = a.evidence.headersSent
-	a.evidence.markedNotProcessed = firstValue(info.Trailer, notProcessedKey) == "1"
-}
--- a/grpcbalancer/call.go
+++ b/grpcbalancer/call.go
@@ -3,88 +3,120 @@
 import (
 	"context"
 	"io"
-	"reflect"
 	"strconv"
 	"sync"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/metadata"
-	"google.golang.org/grpc/peer"
 	"google.golang.org/grpc/status"
-	"google.golang.org/protobuf/proto"
-	"google.golang.org/protobuf/reflect/protoreflect"
 
 	"orchiddrift/balancer"
 	"orchiddrift/internal/engine"
 )
 
-// call is one call of the application's, in whatever form. Its attempts share it.
+const (
+	requestIDWords      = 1 // of 64 random bits, in a generated request id
+	idempotencyKeyWords = 2 // of 64 random bits, in a generated idempotency key
+
+	// deadlineTicks is how many ticks of the engine before its deadline a call counts as past it: the engine ends calls by its ticks.
+	deadlineTicks = 4
+)
+
+// errUnknownAnswer is for an answer whose value has an unexpected type, which no transport of this package returns.
+var errUnknownAnswer = status.Error(codes.Internal, "orchidgrpc: an answer of no known form")
+
+// call is one call of the application's, unary or a stream. Its attempts, which may run at the same time, share it.
 type call struct {
 	plugin *Plugin
 	method string
 	engine.Call
-	fingerprint uint64 // tells calls apart at the door: a repeat's is the same
+	fingerprint uint64 // equal for a client's retry of the same call; used for admission only
 
 	*lastStatus
 }
 
-// lastStatus is of the attempt that ended last without an answer.
+// lastStatus is the status of the attempt that was the last to end without an answer. It is safe for concurrent use.
 type lastStatus struct {
 	mu   sync.Mutex
 	last *status.Status
 }
 
-// newCall reads what the module is to know from the context, and puts the id and the key into it.
+// newCall reads the engine's view of a call from the caller's context. The returned context carries a request id and, for a class that
+// needs one, an idempotency key, generated where the caller has set none.
 func (p *Plugin) newCall(ctx context.Context, method string) (context.Context, *call) {
 	p.callCount.Add(1)
 	class := p.methods.class(method)
 	md, _ := metadata.FromOutgoingContext(ctx)
-	c := &call{plugin: p, method: method, lastStatus: &lastStatus{}, Call: engine.Call{Class: class.Name, ID: firstValue(md, RequestIDKey),
-		Tenant: firstValue(md, TenantKey), Deadline: p.engine.Clock().Now() + class.Deadline}}
-	if p.admission != nil { // before a key is made: another would be with the repeat
+	c := &call{
+		plugin:     p,
+		method:     method,
+		lastStatus: &lastStatus{},
+		Call: engine.Call{
+			Class:    class.Name,
+			ID:       firstValue(md, RequestIDKey),
+			Tenant:   firstValue(md, TenantKey),
+			Deadline: p.engine.Clock().Now() + class.Deadline,
+		},
+	}
+	if p.admission != nil { // before a key is generated, which would differ in a client's retry
 		c.fingerprint = xxhash.Sum64String(method + "\x00" + firstValue(md, IdempotencyKey))
 	}
 	if c.ID == "" {
-		c.ID = p.newID(1)
+		c.ID = p.newID(requestIDWords)
 		ctx = metadata.AppendToOutgoingContext(ctx, RequestIDKey, c.ID)
 	}
 	if class.Idempotency == balancer.IdempotentWithKey && firstValue(md, IdempotencyKey) == "" {
-		ctx = metadata.AppendToOutgoingContext(ctx, IdempotencyKey, p.newID(2))
+		ctx = metadata.AppendToOutgoingContext(ctx, IdempotencyKey, p.newID(idempotencyKeyWords))
 	}
 	if deadline, ok := ctx.Deadline(); ok {
 		c.Deadline = min(c.Deadline, p.engine.Clock().At(deadline))
 	}
-	if us, err := strconv.ParseFloat(firstValue(md, CostKey), 64); err == nil && us > 0 && us < maxCostHint.Seconds()*1e6 {
-		c.CostHint = time.Duration(us * float64(time.Microsecond))
-	}
+	c.CostHint = costHint(md)
 	return ctx, c
 }
 
+// costHint returns the expected work that the caller states in CostKey; 0 where it is absent, malformed or out of range.
+func costHint(md metadata.MD) time.Duration {
+	micros, err := strconv.ParseFloat(firstValue(md, CostKey), 64)
+	if err == nil && micros > 0 && micros < maxCostHint.Seconds()*1e6 {
+		return time.Duration(micros * float64(time.Microsecond))
+	}
+	return 0
+}
+
+// firstValue returns the first value of a metadata key in lower case, "" if there is none.
 func firstValue(md metadata.MD, key string) string {
-	if v := md[key]; len(v) > 0 {
-		return v[0]
+	if values := md[key]; len(values) > 0 {
+		return values[0]
 	}
 	return ""
 }
 
-// newAttempt makes an attempt's record; nil where it is not to be sent.
+// newAttempt returns the context of an attempt's RPC; nil if the upstream is no longer in the list and nothing is to be sent.
 func (c *call) newAttempt(ctx context.Context, a engine.Attempt) *attempt {
-	place, ok := c.plugin.registry.Instance(a.Upstream)
+	instance, ok := c.plugin.registry.Instance(a.Upstream)
 	if !ok {
 		return nil
 	}
-	return &attempt{Context: ctx, plugin: c.plugin, upstream: a.Upstream, instance: place, sendBy: a.SendBy, caller: a.Caller, cancel: a.Cancel}
+	return &attempt{
+		Context:  ctx,
+		plugin:   c.plugin,
+		upstream: a.Upstream,
+		instance: instance,
+		sendBy:   a.SendBy,
+		caller:   a.Caller,
+		cancel:   a.Cancel,
+	}
 }
 
-// finishAttempt says what an RPC's end was for the module. An error that is the application's own answer counts as served.
-func (c *call) finishAttempt(rec *attempt, err error) balancer.Result {
+// finishAttempt classifies an attempt whose RPC has ended with err. A status that is the application's answer counts as served.
+func (c *call) finishAttempt(a *attempt, err error) balancer.Result {
 	if err == io.EOF {
 		err = nil
 	}
-	result := rec.finish(err).result(c.plugin.applicationCodes)
+	result := a.finish(err).result(c.plugin.applicationCodes)
 	if result != balancer.OK {
 		c.mu.Lock()
 		c.last = status.Convert(err)
@@ -93,109 +125,11 @@
 	return result
 }
 
-// finalError is the caller's error for an answer that is not served.
-func (c *call) finalError(ctx context.Context, a engine.Answer) error {
+// finalError returns the caller's error for an answer that is not a served one.
+func (c *call) finalError(ctx context.Context, answer engine.Answer) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, bounded := ctx.Deadline()
-	late := bounded && c.plugin.engine.Clock().Now() >= c.Deadline-4*c.plugin.tick
-	return answerError(ctx, a, c.last, late)
-}
-
-// callOutputs are what call options write to once an RPC has ended. Copies of a call would write to them at the same time,
-// so each attempt gets its own, and those of the one that counts are handed over.
-type callOutputs struct {
-	header, trailer metadata.MD
-	peer            peer.Peer
-}
-
-// splitOptions takes the options that write off opts.
-func splitOptions(opts []grpc.CallOption) (plain, outputOptions []grpc.CallOption) {
-	for i, o := range opts {
-		switch o.(type) {
-		case grpc.HeaderCallOption, grpc.TrailerCallOption, grpc.PeerCallOption, grpc.OnFinishCallOption:
-			if outputOptions == nil {
-				plain = append(make([]grpc.CallOption, 0, len(opts)), opts[:i]...)
-			}
-			outputOptions = append(outputOptions, o)
-		default:
-			if outputOptions != nil {
-				plain = append(plain, o)
-			}
-		}
-	}
-	if outputOptions == nil {
-		return opts, nil
-	}
-	return plain, outputOptions
-}
-
-// options are the options that make an RPC write to out.
-func (out *callOutputs) options(plain, outputOptions []grpc.CallOption) []grpc.CallOption {
-	if len(outputOptions) == 0 {
-		return plain
-	}
-	opts := append(make([]grpc.CallOption, 0, len(plain)+len(outputOptions)), plain...)
-	for _, o := range outputOptions {
-		switch o.(type) {
-		case grpc.HeaderCallOption:
-			opts = append(opts, grpc.Header(&out.header))
-		case grpc.TrailerCallOption:
-			opts = append(opts, grpc.Trailer(&out.trailer))
-		case grpc.PeerCallOption:
-			opts = append(opts, grpc.Peer(&out.peer))
-		}
-	}
-	return opts
-}
-
-// writeTo writes to the caller's options.
-func (out *callOutputs) writeTo(outputOptions []grpc.CallOption, err error) {
-	for _, o := range outputOptions {
-		switch o := o.(type) {
-		case grpc.HeaderCallOption:
-			*o.HeaderAddr = out.header
-		case grpc.TrailerCallOption:
-			*o.TrailerAddr = out.trailer
-		case grpc.PeerCallOption:
-			*o.PeerAddr = out.peer
-		case grpc.OnFinishCallOption:
-			o.OnFinish(err)
-		}
-	}
-}
-
-// messageType makes messages like a caller's. It is taken before the call begins: while one attempt writes to the
-// caller's message another may want one of its own.
-type messageType struct {
-	proto protoreflect.MessageType
-	plain reflect.Type
-}
-
-func messageTypeOf(m any) messageType {
-	if p, ok := m.(proto.Message); ok {
-		return messageType{proto: p.ProtoReflect().Type()}
-	}
-	return messageType{plain: reflect.TypeOf(m).Elem()}
+	pastDeadline := bounded && c.plugin.engine.Clock().Now() >= c.Deadline-deadlineTicks*c.plugin.tick
+	return answerError(ctx, answer, c.last, pastDeadline)
 }
-
-// newMessage is a new, empty message.
-func (t messageType) newMessage() any {
-	if t.proto != nil {
-		return t.proto.New().Interface()
-	}
-	return reflect.New(t.plain).Interface()
-}
-
-// copyMessage makes to, a pointer, what from is.
-func copyMessage(to, from any) {
-	if t, ok := to.(proto.Message); ok {
-		proto.Reset(t)
-		proto.Merge(t, from.(proto.Message))
-		return
-	}
-	reflect.ValueOf(to).Elem().Set(reflect.ValueOf(from).Elem())
-}
-
-// errUnknownAnswer is for what can't happen.
-var errUnknownAnswer = status.Error(codes.Internal, "orchidgrpc: an answer of no known form")
--- /dev/null
+++ b/grpcbalancer/message.go
@@ -0,0 +1,41 @@
+package grpcbalancer
+
+import (
+	"reflect"
+
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/reflect/protoreflect"
+)
+
+// messageType creates messages of the type of a caller's message. It is determined before the call begins: while one attempt writes to the
+// caller's message, another may need a new one.
+type messageType struct {
+	proto protoreflect.MessageType // nil: not a protobuf message
+	plain reflect.Type             // of what the message points to, where proto is nil
+}
+
+// messageTypeOf returns the type of message, which is a protobuf message or a pointer.
+func messageTypeOf(message any) messageType {
+	if m, ok := message.(proto.Message); ok {
+		return messageType{proto: m.ProtoReflect().Type()}
+	}
+	return messageType{plain: reflect.TypeOf(message).Elem()}
+}
+
+// newMessage returns a new, empty message.
+func (t messageType) newMessage() any {
+	if t.proto != nil {
+		return t.proto.New().Interface()
+	}
+	return reflect.New(t.plain).Interface()
+}
+
+// copyMessage overwrites to with from, a message of the same type.
+func copyMessage(to, from any) {
+	if t, ok := to.(proto.Message); ok {
+		proto.Reset(t)
+		proto.Merge(t, from.(proto.Message))
+		return
+	}
+	reflect.ValueOf(to).Elem().Set(reflect.ValueOf(from).Elem())
+}
--- a/grpcbalancer/outcome.go
+++ b/grpcbalancer/outcome.go
@@ -9,28 +9,28 @@
 	"orchiddrift/balancer"
 )
 
-// evidence is what is known of an attempt when it has ended.
+// evidence is what is known of an attempt when its RPC has ended.
 type evidence struct {
-	upstreamRemoved    bool       // the upstream had left the list before a connection was taken
-	connectFailed      bool       // none came up, or not in time
-	headersSent        bool       // the request's head was handed to a connection
-	streamNotProcessed bool       // the wire proves that the upstream did not look at it: REFUSED_STREAM, GOAWAY below it
-	markedNotProcessed bool       // trailers came with the platform's mark
-	code               codes.Code // the status
-	contextCause       error      // why the attempt's context ended; nil: it had not
+	notSent            bool       // a pick was denied: the upstream was draining or removed, or nobody waited for the answer any more
+	connectFailed      bool       // no connection came up, or not within the connect timeout
+	headersSent        bool       // the request's headers were handed to a connection
+	streamNotProcessed bool       // HTTP/2 proves that the upstream did not process the stream: REFUSED_STREAM, or GOAWAY with a lower id
+	markedNotProcessed bool       // the trailers say that the request never ran (notProcessedKey)
+	code               codes.Code // the RPC's status
+	contextCause       error      // why the attempt's context ended; nil: it has not
 }
 
-// result is how the attempt ended for the module. Only ConnectFailed, Overloaded and Moot say that it did not run;
-// the note docs/design/grpc.md goes through them status by status.
+// result classifies the attempt for the engine. applicationCodes are the codes that count as answered (Options.Answers). Only
+// ConnectFailed, Rejected and NotSent claim that the request did not run; docs/design/grpc.md gives the reasons status by status.
 func (e evidence) result(applicationCodes map[codes.Code]bool) balancer.Result {
 	switch {
-	case e.upstreamRemoved:
+	case e.notSent:
 		return balancer.NotSent
 	case e.streamNotProcessed:
 		return balancer.Rejected
 	case !e.headersSent && e.connectFailed:
 		return balancer.ConnectFailed
-	case !e.headersSent && e.contextCause != nil: // called off before anything was sent
+	case !e.headersSent && e.contextCause != nil: // cancelled before anything was sent
 		return balancer.NotSent
 	case !e.headersSent:
 		return balancer.ConnectFailed
@@ -38,17 +38,26 @@
 		return balancer.Rejected
 	case e.code == codes.OK || applicationCodes[e.code]:
 		return balancer.OK
-	case errors.Is(e.contextCause, context.DeadlineExceeded), e.code == codes.DeadlineExceeded: // also as the upstream's word
+	case errors.Is(e.contextCause, context.DeadlineExceeded), e.code == codes.DeadlineExceeded: // the upstream's own status included
 		return balancer.Timeout
 	case e.contextCause != nil:
 		return balancer.Cancelled
-	case e.code == codes.Unavailable: // whoever says it, grpc-go for a broken connection or the upstream
+	case e.code == codes.Unavailable: // from grpc-go for a broken connection, or from the upstream
 		return balancer.Reset
 	}
 	return balancer.ServerError
 }
 
-// defaultApplicationCodes are the codes that say something of the request and nothing of the node: they are the caller's
-// answer, and for the module the attempt was served.
-var defaultApplicationCodes = []codes.Code{codes.InvalidArgument, codes.NotFound, codes.AlreadyExists, codes.PermissionDenied,
-	codes.FailedPrecondition, codes.Aborted, codes.OutOfRange, codes.Unimplemented, codes.Unauthenticated}
+// defaultApplicationCodes are the codes that concern the request and not the upstream's state: the caller gets them as the answer, and the
+// attempt counts as served.
+var defaultApplicationCodes = []codes.Code{
+	codes.InvalidArgument,
+	codes.NotFound,
+	codes.AlreadyExists,
+	codes.PermissionDenied,
+	codes.FailedPrecondition,
+	codes.Aborted,
+	codes.OutOfRange,
+	codes.Unimplemented,
+	codes.Unauthenticated,
+}
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -36,7 +36,6 @@
 	"google.golang.org/protobuf/reflect/protoregistry"
 
 	"orchiddrift/balancer"
-	"orchiddrift/internal/admission"
 	"orchiddrift/internal/admission/controller"
 	"orchiddrift/internal/clock"
 	"orchiddrift/internal/config"
@@ -286,13 +285,6 @@
 	return file, nil
 }
 
-// newAdmission makes the door that the operator's file tells of.
-func newAdmission(o Options, of admission.Options, clk clock.Clock, log *slog.Logger) (*controller.Controller, error) {
-	of.MaxRetryAfter = o.Settings.MaxRetryAfter
-	return controller.New(controller.Options{Queue: of, Classes: o.Settings.Classes, Clock: clk, Log: log,
-		Seed: o.Seed ^ xxhash.Sum64String("door"), SendRetryAfter: o.Settings.RetryAfterAllowed})
-}
-
 // Target is what to give to grpc.NewClient, with DialOptions.
 func (p *Plugin) Target() string { return Scheme + ":///" + p.service }
 
