--- a/grpcbalancer/prewarm.go
+++ b/grpcbalancer/prewarm.go
@@ -7,23 +7,28 @@
 
 	"google.golang.org/grpc/connectivity"
 
-	"orchiddrift/internal/clock"
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// prewarmInterval is how often the list and the sub-connections are looked at.
+// prewarmInterval is the time between two steps of prewarming.
 const prewarmInterval = 100 * time.Millisecond
 
-// prewarming has sub-connections connect before a call needs them, as package warm decides. Each ClientConn of the plug-in has a
-// sub-connection of its own to an upstream; the warmer sees one, which is open when all of them are.
+// prewarming opens connections before calls need them, as package prewarm decides. Each ClientConn has a SubConn of its own to an upstream;
+// the prewarmer sees them as one connection, which is open when all of them are.
 type prewarming struct {
-	prewarmer *prewarm.Prewarmer // runPrewarming's alone
+	// Used by the goroutine of runPrewarming alone.
+	prewarmer  *prewarm.Prewarmer
+	connecting map[string]uint64 // process ids of the upstreams whose connections have been started and have not come up or failed
 
 	mu   sync.Mutex
-	used map[string]bool // since it looked last
+	used map[string]bool // upstreams that attempts were sent to since the last step
 }
 
-// recordUse notes that a call goes to an upstream. A nil one notes nothing.
+func newPrewarming(prewarmer *prewarm.Prewarmer) *prewarming {
+	return &prewarming{prewarmer: prewarmer, connecting: map[string]uint64{}, used: map[string]bool{}}
+}
+
+// recordUse notes that an attempt is sent to an upstream. It is called by picks from any goroutine; a nil prewarming ignores it.
 func (w *prewarming) recordUse(name string) {
 	if w == nil {
 		return
@@ -33,81 +38,97 @@
 	w.used[name] = true
 }
 
-// runPrewarming runs until ctx ends.
-func (p *Plugin) runPrewarming(ctx context.Context, c clock.Clock) {
-	tick := time.NewTicker(prewarmInterval)
-	defer tick.Stop()
-	w := p.prewarming.prewarmer
-	connecting := map[string]uint64{} // what Tick named and has not ended, by process
+// takeUsed returns the upstreams used since the last call.
+func (w *prewarming) takeUsed() map[string]bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	used := w.used
+	w.used = map[string]bool{}
+	return used
+}
+
+// runPrewarming takes a step at each interval until ctx ends. It runs in a goroutine of the Plugin.
+func (p *Plugin) runPrewarming(ctx context.Context) {
+	ticker := time.NewTicker(prewarmInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		policies := p.currentBalancers()
-		if len(policies) == 0 { // nobody calls yet
-			continue
+		if balancers := p.currentBalancers(); len(balancers) > 0 { // no ClientConn has been used before
+			p.prewarmStep(balancers)
 		}
-		now, places := c.Now(), p.registry.Instances()
-		ready := make(map[string]uint64, len(places))
-		for name, at := range places {
-			ready[name] = at.ProcessID()
+	}
+}
+
+// prewarmStep tells the prewarmer of the upstreams, of connections that came up or failed and of those in use, and starts the connections
+// that it decides on.
+func (p *Plugin) prewarmStep(balancers []*subConnBalancer) {
+	w := p.prewarming
+	now, instances := p.clock.Now(), p.registry.Instances()
+	processes := make(map[string]uint64, len(instances))
+	for name, instance := range instances {
+		processes[name] = instance.ProcessID()
+	}
+	w.prewarmer.SetMembers(now, processes)
+	states := connectionStates(balancers)
+	w.reportConnected(now, processes, states)
+	for name := range w.takeUsed() {
+		w.prewarmer.RecordUse(now, name)
+	}
+	open := 0
+	for _, state := range states {
+		if state == connectivity.Ready {
+			open++
 		}
-		w.SetMembers(now, ready)
-		open := connectionStates(policies)
-		for name, process := range connecting {
-			switch state := open[name]; {
-			case ready[name] != process:
-				delete(connecting, name)
-			case state != connectivity.Connecting:
-				w.Connected(now, name, process, state == connectivity.Ready)
-				delete(connecting, name)
-			}
+	}
+	openTo := func(name string) int {
+		if states[name] == connectivity.Ready {
+			return 1
 		}
-		p.prewarming.mu.Lock()
-		used := p.prewarming.used
-		p.prewarming.used = map[string]bool{}
-		p.prewarming.mu.Unlock()
-		for name := range used {
-			w.RecordUse(now, name)
+		return 0
+	}
+	for _, name := range w.prewarmer.Tick(now, openTo, open) {
+		w.connecting[name] = processes[name]
+		for _, b := range balancers {
+			b.connect(name)
 		}
-		total := 0
-		for _, state := range open {
-			if state == connectivity.Ready {
-				total++
-			}
+	}
+}
+
+// reportConnected tells the prewarmer which of the connections it started have come up or failed.
+func (w *prewarming) reportConnected(now time.Duration, processes map[string]uint64, states map[string]connectivity.State) {
+	for name, process := range w.connecting {
+		state := states[name]
+		if processes[name] != process { // the upstream was restarted or removed
+			delete(w.connecting, name)
+			continue
 		}
-		for _, name := range w.Tick(now, func(name string) int {
-			if open[name] == connectivity.Ready {
-				return 1
-			}
-			return 0
-		}, total) {
-			connecting[name] = ready[name]
-			for _, q := range policies {
-				q.connect(name)
-			}
+		if state != connectivity.Connecting {
+			w.prewarmer.Connected(now, name, process, state == connectivity.Ready)
+			delete(w.connecting, name)
 		}
 	}
 }
 
-// connectionStates is by upstream how far its sub-connections are: READY if all of them are, CONNECTING if one is on its way, else
-// that it is not connected.
-func connectionStates(policies []*subConnBalancer) map[string]connectivity.State {
+// connectionStates combines the states of the SubConns to each upstream: READY if all of them are, CONNECTING if one of them is, and another
+// state otherwise.
+func connectionStates(balancers []*subConnBalancer) map[string]connectivity.State {
 	states := map[string]connectivity.State{}
-	for _, q := range policies {
-		q.mu.RLock()
-		for name, s := range q.subConns {
-			was, seen := states[name]
+	for _, b := range balancers {
+		b.mu.RLock()
+		for name, s := range b.subConns {
+			combined, seen := states[name]
 			switch {
 			case !seen || s.state == connectivity.Connecting:
 				states[name] = s.state
-			case was == connectivity.Ready:
+			case combined == connectivity.Ready:
 				states[name] = s.state
 			}
 		}
-		q.mu.RUnlock()
+		b.mu.RUnlock()
 	}
 	return states
 }
