--- a/grpcbalancer/config.go
+++ b/grpcbalancer/config.go
@@ -15,10 +15,9 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// LoadOptions reads Options from a file of the daemon's form: "settings", "seed", "known" and "discovery" mean the
-// same, "listen" and "limits" are not needed, and "grpc" holds "service", "methods",
-// "answers", "tls" and "file". Its error names the
-// file and the first mistake; "orchiddrift check FILE" lists all.
+// LoadOptions reads Options from a file of the daemon's form: "settings", "seed", "known" and "discovery" mean the same, "listen" and "limits"
+// are not needed, and "grpc" holds "service", "methods", "answers", "tls" and "file". Its error names the file and the first mistake;
+// "orchiddrift check FILE" lists all.
 func LoadOptions(path string) (Options, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -31,77 +30,119 @@
 	return o, nil
 }
 
-// CheckConfig says all that is wrong with a plug-in's configuration; its error is config.Problems.
+// CheckConfig reports all mistakes in a Plugin's configuration: its error is of type config.Problems.
 func CheckConfig(text []byte) (*config.Config, error) {
 	_, c, err := parseOptions(text)
 	return c, err
 }
 
+// parseOptions translates a configuration to Options. Where the configuration has mistakes, its error is of type config.Problems.
 func parseOptions(text []byte) (Options, *config.Config, error) {
 	c, err := config.ParsePlugin(text)
-	var bad config.Problems
-	if err != nil && !errors.As(err, &bad) {
+	var problems config.Problems
+	if err != nil && !errors.As(err, &problems) {
 		return Options{}, nil, err
 	}
-	if c == nil { // the parts that are there are looked at all the same
-		var file struct{ GRPC *config.GRPC }
-		_ = json.Unmarshal(text, &file) // what is wrong with it stands in bad
-		c = &config.Config{GRPC: file.GRPC}
+	if c == nil { // check the sections that can be read all the same
+		c = parseSections(text)
 	}
 	if c.GRPC == nil {
 		c.GRPC = &config.GRPC{}
 	}
-	o := Options{Service: c.GRPC.Service, Settings: c.Settings.Settings, Seed: c.Seed, Discovery: c.Discovery,
-		Methods: c.GRPC.Methods, File: c.GRPC.File}
+	o, found := optionsOf(c)
+	problems = append(problems, found...)
+	if len(problems) == 0 {
+		settings := o.Settings
+		if _, err := newMethods(&settings, o.Methods, nil); err != nil {
+			problems = append(problems, config.Problem{Key: "grpc.methods", Reason: err.Error()})
+		}
+	}
+	if len(problems) > 0 {
+		return Options{}, nil, problems
+	}
+	if c.CachedEndpoints != nil {
+		o.Version = *c.CachedEndpoints.Index
+		o.Endpoints = readyEndpoints(c.CachedEndpoints.Endpoints)
+	}
+	return o, c, nil
+}
+
+// parseSections reads the section "grpc" of a configuration that config.ParsePlugin has rejected.
+func parseSections(text []byte) *config.Config {
+	var file struct{ GRPC *config.GRPC }
+	_ = json.Unmarshal(text, &file) // config.ParsePlugin has reported the error
+	return &config.Config{GRPC: file.GRPC}
+}
+
+// optionsOf translates and checks the section "grpc".
+func optionsOf(c *config.Config) (Options, config.Problems) {
+	o := Options{
+		Service:   c.GRPC.Service,
+		Settings:  c.Settings.Settings,
+		Seed:      c.Seed,
+		Discovery: c.Discovery,
+		Methods:   c.GRPC.Methods,
+		File:      c.GRPC.File,
+	}
+	var problems config.Problems
 	if o.File != "" {
 		if _, err := readPluginFile(o); err != nil {
-			bad = append(bad, config.Problem{Key: "grpc.file", Reason: err.Error()})
+			problems = append(problems, config.Problem{Key: "grpc.file", Reason: err.Error()})
 		}
 	}
 	if t := c.GRPC.TLS; t != nil {
 		o.TLS = &TLS{CA: t.CA, Name: t.Name, Certificate: t.Certificate, Key: t.Key}
 		if t.CA == "" || (t.Certificate == "") != (t.Key == "") {
-			bad = append(bad, config.Problem{Key: "grpc.tls", Reason: "ca is needed, and certificate and key belong together"})
+			problems = append(problems, config.Problem{Key: "grpc.tls", Reason: "ca is needed, and certificate and key belong together"})
 		}
 	}
-	for _, word := range c.GRPC.Answers {
-		var code codes.Code
-		quoted, err := json.Marshal(word)
-		if err == nil {
-			err = code.UnmarshalJSON(quoted)
-		}
-		switch {
-		case err != nil:
-			bad = append(bad, config.Problem{Key: "grpc.answers", Reason: fmt.Sprintf("%q is no status code", word)})
-		case code == codes.OK || code == codes.Unavailable:
-			bad = append(bad, config.Problem{Key: "grpc.answers", Reason: word + " can't be the application's answer"})
-		default:
-			o.Answers = append(o.Answers, code)
+	for _, name := range c.GRPC.Answers {
+		code, problem := parseApplicationCode(name)
+		if problem != "" {
+			problems = append(problems, config.Problem{Key: "grpc.answers", Reason: problem})
+			continue
 		}
+		o.Answers = append(o.Answers, code)
 	}
-	if len(bad) == 0 {
-		set := o.Settings
-		if _, err := newMethods(&set, o.Methods, nil); err != nil {
-			bad = append(bad, config.Problem{Key: "grpc.methods", Reason: err.Error()})
-		}
+	return o, problems
+}
+
+// parseApplicationCode parses the name of a status code that may count as the application's answer. problem is empty if it may.
+func parseApplicationCode(name string) (code codes.Code, problem string) {
+	quoted, err := json.Marshal(name)
+	if err == nil {
+		err = code.UnmarshalJSON(quoted)
 	}
-	if len(bad) > 0 {
-		return Options{}, nil, bad
+	if err != nil {
+		return 0, fmt.Sprintf("%q is no status code", name)
 	}
-	if c.CachedEndpoints != nil {
-		o.Version = *c.CachedEndpoints.Index
-		for _, e := range c.CachedEndpoints.Endpoints {
-			if e.Status != endpoints.StatusReady {
-				continue
-			}
-			since := time.Time{}
-			if e.StartedMs > 0 {
-				since = time.UnixMilli(int64(e.StartedMs))
-			}
-			o.Endpoints = append(o.Endpoints, Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.MachineType,
-				Group: e.Cell, Since: since, Identity: e.TLSIdentity})
+	if code == codes.OK || code == codes.Unavailable {
+		return 0, name + " can't be the application's answer"
+	}
+	return code, ""
+}
+
+// readyEndpoints returns the ready endpoints of a cached list, in the order of their names.
+func readyEndpoints(list []endpoints.Endpoint) []Endpoint {
+	var ready []Endpoint
+	for _, e := range list {
+		if e.Status != endpoints.StatusReady {
+			continue
+		}
+		since := time.Time{}
+		if e.StartedMs > 0 {
+			since = time.UnixMilli(int64(e.StartedMs))
 		}
-		slices.SortStableFunc(o.Endpoints, func(a, b Endpoint) int { return cmp.Compare(a.Name, b.Name) })
+		ready = append(ready, Endpoint{
+			Name:     e.Name,
+			Address:  e.Address,
+			Zone:     e.Zone,
+			Type:     e.MachineType,
+			Group:    e.Cell,
+			Since:    since,
+			Identity: e.TLSIdentity,
+		})
 	}
-	return o, c, nil
+	slices.SortStableFunc(ready, func(a, b Endpoint) int { return cmp.Compare(a.Name, b.Name) })
+	return ready
 }
--- a/grpcbalancer/idempotency.go
+++ b/grpcbalancer/idempotency.go
@@ -16,8 +16,11 @@
 	"orchiddrift/internal/idempotency/executor"
 )
 
-// callerIdempotencyKey is the key by which a call's repeats are looked for: the caller's own, of a keyed class. One that is made here is
-// each call's own.
+// fingerprintBytes is the length of a call's fingerprint, which tells apart different calls that use one key.
+const fingerprintBytes = 16
+
+// callerIdempotencyKey returns the key by which retries of a call are recognised: the caller's own, of a class that is idempotent with a
+// key. It is empty where there is no executor; generated keys do not count, as they differ from call to call.
 func (p *Plugin) callerIdempotencyKey(ctx context.Context, method string) string {
 	if p.executor == nil || p.methods.class(method).Idempotency != balancer.IdempotentWithKey {
 		return ""
@@ -26,95 +29,126 @@
 	return firstValue(md, IdempotencyKey)
 }
 
-// invokeOnce gives a call the end of the first one of its key. The attempts run apart from the callers, each of which may leave.
+// invokeOnce answers a call with the result of the first call of its key, and sends it if it is the first. It blocks until the result or
+// the end of ctx. The attempts run in the executor's goroutine: other callers may wait for the result when this one has left. Headers and
+// trailers are not stored, so the caller's options get none.
 func (u *unaryCall) invokeOnce(ctx context.Context, key string) error {
-	req, isProto := u.req.(proto.Message)
-	reply, replies := u.reply.(proto.Message)
-	if !isProto || !replies {
+	request, ok := u.req.(proto.Message)
+	reply, replyOK := u.reply.(proto.Message)
+	if !ok || !replyOK {
 		return status.Error(codes.Internal, "orchidgrpc: a keyed call's messages are protobuf messages where its repeats are looked for")
 	}
-	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(req)
+	fingerprint, err := u.requestFingerprint(request)
 	if err != nil {
 		return status.Error(codes.Internal, "orchidgrpc: "+err.Error())
 	}
-	h := sha256.New()
-	fmt.Fprintf(h, "%s\x00", u.method) // a hash takes everything
-	h.Write(body)
-	own := *u.call // the call that is sent has no word of this caller's end
-	sent := &unaryCall{call: &own, req: proto.Clone(req), reply: u.replyType.newMessage(), replyType: u.replyType, cc: u.cc, invoker: u.invoker, plainOptions: u.plainOptions}
-	r := u.plugin.executor.Do(ctx, idempotency.ID{Tenant: u.Tenant, Class: u.Class, Key: key}, idempotency.Fingerprint(h.Sum(nil)[:16]),
-		func(wanted context.Context, prior []idempotency.Attempt, sends executor.AttemptRecorder) executor.Outcome {
-			sent.Interest = wanted
-			for _, x := range prior {
-				sent.EarlierAttempts = append(sent.EarlierAttempts, balancer.EarlierAttempt{Zone: x.Zone, Cell: x.Cell, SentAt: x.SentAt})
-			}
-			a := sent.execute(context.WithoutCancel(ctx), recordingTransport{sent, sends})
-			switch a.Kind {
-			case engine.Served:
-				return storedOutcome(a.Value.(*unaryResult))
-			case engine.Rejected, engine.Duplicate, engine.EngineClosed:
-				return executor.Outcome{Verdict: idempotency.Reject, RetryAfter: a.RetryAfter}
-			}
-			return executor.Outcome{Verdict: idempotency.Fail}
+	detached := u.detach(request)
+	result := u.plugin.executor.Do(ctx, idempotency.ID{Tenant: u.Tenant, Class: u.Class, Key: key}, fingerprint,
+		func(interest context.Context, earlier []idempotency.Attempt, recorder executor.AttemptRecorder) executor.Outcome {
+			detached.Interest = interest
+			return detached.executeRecorded(context.WithoutCancel(ctx), earlier, recorder)
 		})
-	err = u.finish(ctx, r, reply)
-	(&callOutputs{}).writeTo(u.outputOptions, err) // headers and trailers are the first call's alone, and not kept
+	err = u.finish(ctx, result, reply)
+	(&callOutputs{}).writeTo(u.outputOptions, err)
 	return err
 }
 
-// finish words what a caller is told.
-func (u *unaryCall) finish(ctx context.Context, r executor.Result, reply proto.Message) error {
-	switch {
-	case r.ClientLeft:
+// requestFingerprint returns a hash of the method and the request.
+func (u *unaryCall) requestFingerprint(request proto.Message) (idempotency.Fingerprint, error) {
+	var fingerprint idempotency.Fingerprint
+	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(request)
+	if err != nil {
+		return fingerprint, err
+	}
+	hash := sha256.New()
+	fmt.Fprintf(hash, "%s\x00", u.method) // a hash's Write never fails
+	hash.Write(body)
+	return idempotency.Fingerprint(hash.Sum(nil)[:fingerprintBytes]), nil
+}
+
+// detach returns a copy of the call, with Interest and EarlierAttempts of its own, that shares no message with the caller: the caller may
+// return before the attempts of the copy end.
+func (u *unaryCall) detach(request proto.Message) *unaryCall {
+	copied := *u.call
+	return &unaryCall{
+		call:         &copied,
+		req:          proto.Clone(request),
+		reply:        u.replyType.newMessage(),
+		replyType:    u.replyType,
+		cc:           u.cc,
+		invoker:      u.invoker,
+		plainOptions: u.plainOptions,
+	}
+}
+
+// executeRecorded sends a detached call and returns the outcome to store. The executor calls it in a goroutine of its own.
+func (u *unaryCall) executeRecorded(ctx context.Context, earlier []idempotency.Attempt, recorder executor.AttemptRecorder) executor.Outcome {
+	for _, attempt := range earlier {
+		u.EarlierAttempts = append(u.EarlierAttempts, balancer.EarlierAttempt{Zone: attempt.Zone, Cell: attempt.Cell, SentAt: attempt.SentAt})
+	}
+	answer := u.execute(ctx, recordingTransport{u, recorder})
+	switch answer.Kind {
+	case engine.Served:
+		return storedOutcome(answer.Value.(*unaryResult))
+	case engine.Rejected, engine.Duplicate, engine.EngineClosed:
+		return executor.Outcome{Verdict: idempotency.Reject, RetryAfter: answer.RetryAfter}
+	}
+	return executor.Outcome{Verdict: idempotency.Fail}
+}
+
+// finish writes a stored answer to the caller's reply, or returns the caller's error.
+func (u *unaryCall) finish(ctx context.Context, result executor.Result, reply proto.Message) error {
+	if result.ClientLeft {
 		return status.FromContextError(ctx.Err()).Err()
-	case r.Verdict == idempotency.Replay:
-		if code := codes.Code(r.Answer.Status); code != codes.OK {
-			return status.Error(code, string(r.Answer.Body))
+	}
+	switch result.Verdict {
+	case idempotency.Replay:
+		if code := codes.Code(result.Answer.Status); code != codes.OK {
+			return status.Error(code, string(result.Answer.Body))
 		}
-		if err := proto.Unmarshal(r.Answer.Body, reply); err != nil {
+		if err := proto.Unmarshal(result.Answer.Body, reply); err != nil {
 			return status.Error(codes.Internal, "orchidgrpc: "+err.Error())
 		}
 		return nil
-	case r.Verdict == idempotency.Conflict:
+	case idempotency.Conflict:
 		return status.Error(codes.InvalidArgument, "orchidgrpc: the key was used for another call")
-	case r.Verdict == idempotency.AnswerNotStored:
+	case idempotency.AnswerNotStored:
 		return status.Error(codes.AlreadyExists, "orchidgrpc: a call of this key was answered, and its answer was too large to be kept")
-	case r.Verdict == idempotency.Reject:
-		return u.finalError(ctx, engine.Answer{Kind: engine.Rejected, RetryAfter: r.RetryAfter})
+	case idempotency.Reject:
+		return u.finalError(ctx, engine.Answer{Kind: engine.Rejected, RetryAfter: result.RetryAfter})
 	}
 	return u.finalError(ctx, engine.Answer{Kind: engine.Failed})
 }
 
-// storedOutcome is an answer as it is kept: a message's bytes, or the application's status. What can't be written has run all the same.
-func storedOutcome(r *unaryResult) executor.Outcome {
-	a := &idempotency.Answer{Status: int(codes.OK)}
-	if r.err != nil {
-		s := status.Convert(r.err)
-		a.Status, a.Body = int(s.Code()), []byte(s.Message())
-	} else {
-		body, err := proto.Marshal(r.reply.(proto.Message))
-		if err != nil {
-			return executor.Outcome{Verdict: idempotency.Fail}
-		}
-		a.Body = body
+// storedOutcome returns an answer in its stored form: a message's bytes, or the application's status. An answer that cannot be encoded
+// counts as failed, since the call has run.
+func storedOutcome(result *unaryResult) executor.Outcome {
+	if result.err != nil {
+		s := status.Convert(result.err)
+		answer := &idempotency.Answer{Status: int(s.Code()), Body: []byte(s.Message())}
+		return executor.Outcome{Verdict: idempotency.Replay, Answer: answer}
+	}
+	body, err := proto.Marshal(result.reply.(proto.Message))
+	if err != nil {
+		return executor.Outcome{Verdict: idempotency.Fail}
 	}
-	return executor.Outcome{Verdict: idempotency.Replay, Answer: a}
+	return executor.Outcome{Verdict: idempotency.Replay, Answer: &idempotency.Answer{Status: int(codes.OK), Body: body}}
 }
 
-// recordingTransport are attempts whose sends are told of before they may run.
+// recordingTransport records attempts of a call with an idempotency key before they are sent.
 type recordingTransport struct {
 	*unaryCall
 	recorder executor.AttemptRecorder
 }
 
-// RoundTrip is engine.Transport's.
-func (c recordingTransport) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
-	x := idempotency.Attempt{Zone: a.Zone, Cell: a.Cell, SentAt: c.plugin.engine.Clock().Now()}
-	c.recorder.AttemptStarted(x)
-	r := c.unaryCall.RoundTrip(ctx, a)
-	switch r.Result {
+// RoundTrip implements engine.Transport.
+func (t recordingTransport) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
+	attempt := idempotency.Attempt{Zone: a.Zone, Cell: a.Cell, SentAt: t.plugin.clock.Now()}
+	t.recorder.AttemptStarted(attempt)
+	result := t.unaryCall.RoundTrip(ctx, a)
+	switch result.Result {
 	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
-		c.recorder.AttemptNotSent(x)
+		t.recorder.AttemptNotSent(attempt)
 	}
-	return r
+	return result
 }
--- a/grpcbalancer/status.go
+++ b/grpcbalancer/status.go
@@ -13,15 +13,18 @@
 	"orchiddrift/internal/engine"
 )
 
-// What the ErrorInfo of an error of the plug-in's says.
+// Values of the ErrorInfo that errors of a Plugin carry.
 const (
 	Domain           = "orchiddrift"
-	ReasonRefused    = "REFUSED"      // it did not run, or may run again: trying again is harmless
-	ReasonMayHaveRun = "MAY_HAVE_RUN" // no promise
+	ReasonRefused    = "REFUSED"      // the call did not run, or may run again: retrying is harmless
+	ReasonMayHaveRun = "MAY_HAVE_RUN" // it is not known whether the call ran
 )
 
-// MayHaveRun tells whether an error leaves open that the call ran. It is false only for errors with ReasonRefused and
-// for what the call's own checks found, so that true is the safe answer for errors from elsewhere.
+// attemptsKey is the ErrorInfo's metadata key of the number of attempts.
+const attemptsKey = "sends"
+
+// MayHaveRun reports whether a call that ended with err may have run. It is false only for an error of a Plugin with ReasonRefused; errors
+// from elsewhere make no statement, so that true is the safe answer for them.
 func MayHaveRun(err error) bool {
 	if err == nil {
 		return true
@@ -34,52 +37,62 @@
 	return true
 }
 
-// answerError is the caller's error for a final answer other than a served one. last is the last attempt's own
-// status, if it had one; late says that the call's time is up.
-func answerError(ctx context.Context, a engine.Answer, last *status.Status, late bool) error {
-	switch a.Kind {
+// answerError returns the caller's error for a final answer that is not a served one. last is the status of the last attempt that ended
+// without an answer, nil if there was none; pastDeadline says that the call's deadline has passed.
+func answerError(ctx context.Context, answer engine.Answer, last *status.Status, pastDeadline bool) error {
+	switch answer.Kind {
 	case engine.ClientGone:
 		// The caller's own cancellation and deadline keep their codes.
 		return status.FromContextError(ctx.Err()).Err()
 	case engine.Duplicate:
 		return status.Error(codes.AlreadyExists, "orchidgrpc: a call of this x-request-id is in hand")
 	case engine.EngineClosed:
-		return rejectedError("orchidgrpc: the plug-in is closed", a, codes.Unavailable)
+		return rejectedError("orchidgrpc: the plug-in is closed", answer, codes.Unavailable)
 	case engine.Rejected:
 		code := codes.Unavailable
-		if late {
+		if pastDeadline {
 			code = codes.DeadlineExceeded
 		}
-		return rejectedError("orchidgrpc: refused, trying again is harmless", a, code)
+		return rejectedError("orchidgrpc: refused, trying again is harmless", answer, code)
 	}
-	// Unavailable is what clients try again on, so a failure never has it.
+	return failedError(answer, last, pastDeadline)
+}
+
+// failedError returns the error of a call that may have run. It never has the code UNAVAILABLE, on which clients retry.
+func failedError(answer engine.Answer, last *status.Status, pastDeadline bool) error {
 	code, text := codes.Unknown, "orchidgrpc: failed, it may have run"
 	if last != nil && last.Code() != codes.Unavailable && last.Code() != codes.OK && last.Code() != codes.Canceled {
 		code = last.Code()
 		text += ": " + last.Message()
 	}
-	if late {
+	if pastDeadline {
 		code = codes.DeadlineExceeded
 	}
-	return withDetails(code, text, errorInfo(ReasonMayHaveRun, a))
+	return withDetails(code, text, errorInfo(ReasonMayHaveRun, answer))
 }
 
-func rejectedError(text string, a engine.Answer, code codes.Code) error {
-	details := []protoadapt.MessageV1{errorInfo(ReasonRefused, a)}
-	if a.RetryAfter > 0 {
-		details = append(details, &errdetails.RetryInfo{RetryDelay: durationpb.New(a.RetryAfter)})
+// rejectedError returns the error of a call that did not run, with RetryInfo if the answer has a Retry-After.
+func rejectedError(text string, answer engine.Answer, code codes.Code) error {
+	details := []protoadapt.MessageV1{errorInfo(ReasonRefused, answer)}
+	if answer.RetryAfter > 0 {
+		details = append(details, &errdetails.RetryInfo{RetryDelay: durationpb.New(answer.RetryAfter)})
 	}
 	return withDetails(code, text, details...)
 }
 
-func errorInfo(reason string, a engine.Answer) *errdetails.ErrorInfo {
-	return &errdetails.ErrorInfo{Domain: Domain, Reason: reason,
-		Metadata: map[string]string{"sends": strconv.Itoa(a.Attempts)}}
+// errorInfo returns the detail that states whether the call may have run, and after how many attempts.
+func errorInfo(reason string, answer engine.Answer) *errdetails.ErrorInfo {
+	return &errdetails.ErrorInfo{
+		Domain:   Domain,
+		Reason:   reason,
+		Metadata: map[string]string{attemptsKey: strconv.Itoa(answer.Attempts)},
+	}
 }
 
+// withDetails returns a status error with details.
 func withDetails(code codes.Code, text string, details ...protoadapt.MessageV1) error {
 	s := status.New(code, text)
-	if detailed, err := s.WithDetails(details...); err == nil { // only a code of OK or a message that does not encode fails
+	if detailed, err := s.WithDetails(details...); err == nil { // fails only for codes.OK and for a message that cannot be encoded
 		s = detailed
 	}
 	return s.Err()
--- a/grpcbalancer/unary.go
+++ b/grpcbalancer/unary.go
@@ -9,64 +9,68 @@
 	"orchiddrift/internal/engine"
 )
 
-// interceptUnary is the interceptor of unary calls.
+// interceptUnary is the grpc.UnaryClientInterceptor. It runs in the caller's goroutine and blocks until the call's final answer.
 func (p *Plugin) interceptUnary(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn,
-	invoker grpc.UnaryInvoker, opts ...grpc.CallOption) error {
-	key := p.callerIdempotencyKey(ctx, method)
+	invoker grpc.UnaryInvoker, options ...grpc.CallOption) error {
+	key := p.callerIdempotencyKey(ctx, method) // newCall may add a generated one
 	ctx, c := p.newCall(ctx, method)
 	u := &unaryCall{call: c, req: req, reply: reply, replyType: messageTypeOf(reply), cc: cc, invoker: invoker}
-	u.plainOptions, u.outputOptions = splitOptions(opts)
+	u.plainOptions, u.outputOptions = splitOptions(options)
 	if key != "" {
 		return u.invokeOnce(ctx, key)
 	}
-	a := c.execute(ctx, u)
-	if a.Kind != engine.Served {
-		err := c.finalError(ctx, a)
+	answer := u.execute(ctx, u)
+	if answer.Kind != engine.Served {
+		err := u.finalError(ctx, answer)
 		(&callOutputs{}).writeTo(u.outputOptions, err)
 		return err
 	}
-	won, ok := a.Value.(*unaryResult)
+	result, ok := answer.Value.(*unaryResult)
 	if !ok {
 		return errUnknownAnswer
 	}
-	if won.reply != reply && won.err == nil {
-		copyMessage(reply, won.reply)
+	if result.reply != reply && result.err == nil {
+		copyMessage(reply, result.reply)
 	}
-	won.writeTo(u.outputOptions, won.err)
-	return won.err
+	result.writeTo(u.outputOptions, result.err)
+	return result.err
 }
 
-// unaryCall carries out the attempts of a unary call.
+// unaryCall is a unary call. It implements engine.Transport for its attempts, which may run at the same time.
 type unaryCall struct {
 	*call
-	req, reply                  any
-	replyType                   messageType
-	cc                          *grpc.ClientConn
-	invoker                     grpc.UnaryInvoker
-	plainOptions, outputOptions []grpc.CallOption
+	req, reply   any
+	replyType    messageType
+	cc           *grpc.ClientConn
+	invoker      grpc.UnaryInvoker
+	plainOptions []grpc.CallOption
+	// outputOptions write to the caller; see callOutputs.
+	outputOptions []grpc.CallOption
 }
 
-// unaryResult is an answer: a message, or a status that is the application's.
+// unaryResult is the answer of an attempt: a message, or a status that is the application's.
 type unaryResult struct {
 	callOutputs
 	reply any
 	err   error
 }
 
+// RoundTrip implements engine.Transport: it sends an attempt as an RPC of its own and blocks until the RPC has ended. The engine calls it
+// from the caller's goroutine or from one of its own.
 func (u *unaryCall) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
-	rec := u.newAttempt(ctx, a)
-	if rec == nil {
+	attempt := u.newAttempt(ctx, a)
+	if attempt == nil {
 		return engine.AttemptResult{Result: balancer.NotSent}
 	}
-	// What the caller's goroutine carries out may write to the caller's message: the call does not end before.
-	r := &unaryResult{reply: u.reply}
+	// Only an attempt in the caller's goroutine may write to the caller's message: the call cannot return before it has ended.
+	answer := &unaryResult{reply: u.reply}
 	if !a.OnCallerGoroutine {
-		r.reply = u.replyType.newMessage()
+		answer.reply = u.replyType.newMessage()
 	}
-	r.err = u.invoker(rec, u.method, u.req, r.reply, u.cc, r.options(u.plainOptions, u.outputOptions)...)
-	result := u.finishAttempt(rec, r.err)
+	answer.err = u.invoker(attempt, u.method, u.req, answer.reply, u.cc, answer.options(u.plainOptions, u.outputOptions)...)
+	result := u.finishAttempt(attempt, answer.err)
 	if result != balancer.OK {
 		return engine.AttemptResult{Result: result}
 	}
-	return engine.AttemptResult{Result: result, Value: r}
+	return engine.AttemptResult{Result: result, Value: answer}
 }
