--- a/grpcbalancer/methods.go
+++ b/grpcbalancer/methods.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"fmt"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -14,97 +15,120 @@
 	"orchiddrift/balancer"
 )
 
-// UnsafeClass is the class that is added where the settings have none of effect Unsafe: methods of which nothing is
-// known go by it, and are never sent twice. Its deadline is the longest of the others.
+// UnsafeClass is the class that is added to settings without a non-idempotent class: methods of which nothing is known get it, and are never
+// sent again unless it is proved that they did not run. Its deadline is the longest of the other classes.
 const UnsafeClass = "orchidgrpc.unsafe"
 
-// methods maps full method names ("/package.Service/Method") to classes. It is safe for concurrent use, and holds one
-// entry for each method name that was mapped, up to maxCachedMethods.
+// maxCachedMethods bounds methods.cached; the classes of further methods are looked up for each call.
+const maxCachedMethods = 4096
+
+// methods maps full method names ("/package.Service/Method") to classes. It is safe for concurrent use.
 type methods struct {
 	classes            map[string]balancer.Class
 	classByMethod      map[string]string // by full method name
-	classByService     map[string]string // by service name, for "/package.Service/*"
+	classByService     map[string]string // by service name, from "/package.Service/*"
 	classByIdempotency map[balancer.Idempotency]string
 	files              *protoregistry.Files
 
 	mu     sync.RWMutex
-	cached map[string]balancer.Class
+	cached map[string]balancer.Class // by full method name, at most maxCachedMethods
 }
 
-// maxCachedMethods bounds what is remembered; names beyond it are looked up each time.
-const maxCachedMethods = 4096
-
-// newMethods checks the mapping against the classes. It may add UnsafeClass to settings.
+// newMethods checks the mapping against the classes of settings, to which it adds UnsafeClass if none of them is non-idempotent. It does
+// not modify the slice that settings.Classes shares with the caller's Options.
 func newMethods(settings *balancer.Settings, mapping map[string]string, files *protoregistry.Files) (*methods, error) {
-	m := &methods{classes: map[string]balancer.Class{}, classByMethod: map[string]string{}, classByService: map[string]string{},
-		classByIdempotency: map[balancer.Idempotency]string{}, files: cmp.Or(files, protoregistry.GlobalFiles), cached: map[string]balancer.Class{}}
+	m := &methods{
+		classes:            map[string]balancer.Class{},
+		classByMethod:      map[string]string{},
+		classByService:     map[string]string{},
+		classByIdempotency: map[balancer.Idempotency]string{},
+		files:              cmp.Or(files, protoregistry.GlobalFiles),
+		cached:             map[string]balancer.Class{},
+	}
+	m.addClasses(settings)
+	for name, class := range mapping {
+		if err := m.addMapping(name, class); err != nil {
+			return nil, err
+		}
+	}
+	return m, nil
+}
+
+// addClasses takes over the classes of settings; the first class of each idempotency is the one of methods that are not mapped.
+func (m *methods) addClasses(settings *balancer.Settings) {
 	var longest time.Duration
-	for _, c := range settings.Classes {
-		longest = max(longest, c.Deadline)
-		if m.classByIdempotency[c.Idempotency] == "" {
-			m.classByIdempotency[c.Idempotency] = c.Name
+	for _, class := range settings.Classes {
+		longest = max(longest, class.Deadline)
+		if m.classByIdempotency[class.Idempotency] == "" {
+			m.classByIdempotency[class.Idempotency] = class.Name
 		}
 	}
 	if m.classByIdempotency[balancer.NonIdempotent] == "" && longest > 0 {
-		settings.Classes = append(append([]balancer.Class(nil), settings.Classes...),
+		settings.Classes = append(slices.Clone(settings.Classes),
 			balancer.Class{Name: UnsafeClass, Deadline: longest, Idempotency: balancer.NonIdempotent})
 		m.classByIdempotency[balancer.NonIdempotent] = UnsafeClass
 	}
-	for _, c := range settings.Classes {
-		m.classes[c.Name] = c
+	for _, class := range settings.Classes {
+		m.classes[class.Name] = class
 	}
-	for name, class := range mapping {
-		if _, ok := m.classes[class]; !ok {
-			return nil, fmt.Errorf("methods: %s: unknown class %q", name, class)
-		}
-		service, method, ok := strings.Cut(strings.TrimPrefix(name, "/"), "/")
-		if !strings.HasPrefix(name, "/") || !ok || service == "" || method == "" || strings.Contains(method, "/") {
-			return nil, fmt.Errorf("methods: %q is neither /package.Service/Method nor /package.Service/*", name)
-		}
-		if method == "*" {
-			m.classByService[service] = class
-		} else {
-			m.classByMethod[name] = class
-		}
+}
+
+// addMapping maps "/package.Service/Method" or "/package.Service/*" to a class.
+func (m *methods) addMapping(name, class string) error {
+	if _, ok := m.classes[class]; !ok {
+		return fmt.Errorf("methods: %s: unknown class %q", name, class)
 	}
-	return m, nil
+	service, method, ok := strings.Cut(strings.TrimPrefix(name, "/"), "/")
+	if !strings.HasPrefix(name, "/") || !ok || service == "" || method == "" || strings.Contains(method, "/") {
+		return fmt.Errorf("methods: %q is neither /package.Service/Method nor /package.Service/*", name)
+	}
+	if method == "*" {
+		m.classByService[service] = class
+	} else {
+		m.classByMethod[name] = class
+	}
+	return nil
 }
 
-// class is a method's class: as the mapping says by method, then by service; else the first class of the effect that
-// the proto's idempotency_level stands for; else, and where nothing is known, the first unsafe one.
+// class returns the class of a full method name. The mapping of the method comes first, then that of its service, then the first class of
+// the idempotency that its proto states. Where nothing is known, it is the first non-idempotent class.
 func (m *methods) class(method string) balancer.Class {
 	m.mu.RLock()
-	c, ok := m.cached[method]
+	class, ok := m.cached[method]
 	m.mu.RUnlock()
 	if ok {
-		return c
+		return class
 	}
 	service, name, _ := strings.Cut(strings.TrimPrefix(method, "/"), "/")
-	c = m.classes[cmp.Or(m.classByMethod[method], m.classByService[service], m.classByIdempotency[m.idempotency(service, name)],
-		m.classByIdempotency[balancer.NonIdempotent])]
+	class = m.classes[cmp.Or(
+		m.classByMethod[method],
+		m.classByService[service],
+		m.classByIdempotency[m.idempotency(service, name)],
+		m.classByIdempotency[balancer.NonIdempotent],
+	)]
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.cached) < maxCachedMethods {
-		m.cached[method] = c
+		m.cached[method] = class
 	}
-	return c
+	return class
 }
 
-// idempotency is the effect that the proto's idempotency_level stands for; Unsafe where nothing is known.
+// idempotency returns what a method's idempotency_level in its proto stands for; NonIdempotent if nothing is known.
 func (m *methods) idempotency(service, method string) balancer.Idempotency {
-	d, err := m.files.FindDescriptorByName(protoreflect.FullName(service))
+	descriptor, err := m.files.FindDescriptorByName(protoreflect.FullName(service))
 	if err != nil {
 		return balancer.NonIdempotent
 	}
-	s, ok := d.(protoreflect.ServiceDescriptor)
+	serviceDescriptor, ok := descriptor.(protoreflect.ServiceDescriptor)
 	if !ok {
 		return balancer.NonIdempotent
 	}
-	md := s.Methods().ByName(protoreflect.Name(method))
-	if md == nil {
+	methodDescriptor := serviceDescriptor.Methods().ByName(protoreflect.Name(method))
+	if methodDescriptor == nil {
 		return balancer.NonIdempotent
 	}
-	options, ok := md.Options().(*descriptorpb.MethodOptions)
+	options, ok := methodDescriptor.Options().(*descriptorpb.MethodOptions)
 	if !ok {
 		return balancer.NonIdempotent
 	}
--- a/grpcbalancer/stream.go
+++ b/grpcbalancer/stream.go
@@ -16,107 +16,49 @@
 	"orchiddrift/internal/engine"
 )
 
-// interceptStream is the interceptor of streams. A server stream, one message and then an answer of many, is decided like a
-// unary call up to its first message: until then it may be sent again as its class allows. A stream on which the client
-// goes on writing is decided once, when it is opened: nothing is repeated once it stands.
+// interceptStream is the grpc.StreamClientInterceptor.
+//
+// A server stream (one request message, many response messages) is decided like a unary call up to its first response message: until then
+// it may be sent again as its class allows. It is sent by the first RecvMsg or Header. A stream on which the client goes on sending is
+// decided once, when it is opened: interceptStream blocks for that, and nothing is retried once the stream is open.
 func (p *Plugin) interceptStream(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string,
-	streamer grpc.Streamer, opts ...grpc.CallOption) (grpc.ClientStream, error) {
+	streamer grpc.Streamer, options ...grpc.CallOption) (grpc.ClientStream, error) {
 	ctx, c := p.newCall(ctx, method)
 	s := &clientStream{call: c, ctx: ctx, desc: desc, cc: cc, streamer: streamer}
-	s.plainOptions, s.outputOptions = splitOptions(opts)
+	s.plainOptions, s.outputOptions = splitOptions(options)
 	if !desc.ClientStreams {
 		return s, nil
 	}
-	return s, s.start(nil, false)
+	return s, s.start(waitForStream{})
 }
 
-// clientStream is the caller's stream. As grpc says, one goroutine may send while another receives.
+// clientStream implements grpc.ClientStream for the caller. As grpc-go allows, one goroutine may send while another one receives.
 type clientStream struct {
 	*call
-	ctx                         context.Context
+	ctx                         context.Context // the caller's, with the metadata that newCall added
 	desc                        *grpc.StreamDesc
 	cc                          *grpc.ClientConn
 	streamer                    grpc.Streamer
 	plainOptions, outputOptions []grpc.CallOption
 
-	req any // of a server stream
+	request any // the one message of a server stream
 
-	startOnce           sync.Once   // starting
-	started             atomic.Bool // it is over: won or err stands
-	result              *streamResult
-	startErr            error // instead of a stream
-	answer              engine.Answer
-	stopWatchingContext func() bool // of the watch on the caller's context
-	endOnce             sync.Once
-}
-
-// streamResult is an attempt whose stream stands, or an answer that was over at once.
-type streamResult struct {
-	callOutputs
-	attempt      *attempt
-	stream       grpc.ClientStream
-	firstMessage any   // the first message, if one was received
-	err          error // what came instead of it: io.EOF or the application's status
-	ended        bool  // the answer has ended
-}
-
-// streamTransport carries out the opening of a stream.
-type streamTransport struct {
-	stream           *clientStream
-	firstMessageType *messageType // of the first message; nil: do not wait for one
-	awaitHeader      bool         // wait for the header, where like is nil
-}
-
-func (t *streamTransport) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
-	s := t.stream
-	rec := s.newAttempt(streamContext{ctx, s.ctx}, a)
-	if rec == nil {
-		return engine.AttemptResult{Result: balancer.NotSent}
-	}
-	r := &streamResult{attempt: rec}
-	var err error
-	if r.stream, err = s.streamer(rec, s.desc, s.cc, s.method, r.options(s.plainOptions, s.outputOptions)...); err == nil && !s.desc.ClientStreams {
-		// An error of SendMsg says only that the stream has ended; what it was says RecvMsg.
-		if err = r.stream.SendMsg(s.req); err == nil {
-			err = r.stream.CloseSend()
-		}
-		switch {
-		case err != nil && err != io.EOF: // the message can't be encoded
-		case t.firstMessageType != nil:
-			r.firstMessage = t.firstMessageType.newMessage()
-			err = r.stream.RecvMsg(r.firstMessage)
-		case t.awaitHeader:
-			_, err = r.stream.Header()
-		}
-	}
-	if err == nil {
-		return engine.AttemptResult{Streaming: true, Value: r}
-	}
-	if r.stream != nil {
-		r.trailer = r.stream.Trailer()
-	}
-	result := s.finishAttempt(rec, err)
-	r.err, r.ended = err, true
-	if result != balancer.OK {
-		return engine.AttemptResult{Result: result}
-	}
-	return engine.AttemptResult{Result: result, Value: r}
-}
+	startOnce sync.Once
+	started   atomic.Bool // the start is over: result or startErr is set and no longer changes
+	result    *streamResult
+	startErr  error
+	answer    engine.Answer
 
-// streamContext tells the upstream the caller's deadline and not the attempt's: the class's bounds the wait for the first
-// message, and the stream goes on after it.
-type streamContext struct {
-	context.Context
-	caller context.Context
+	stopWatchingContext func() bool // stops the watch on the caller's context
+	endOnce             sync.Once
 }
 
-func (c streamContext) Deadline() (time.Time, bool) { return c.caller.Deadline() }
-
-// start has the module open the stream, once.
-func (s *clientStream) start(like *messageType, head bool) error {
+// start has the engine open the stream. Only the first call does so, and blocks until the stream is open as far as wait says or has failed;
+// later calls return its error.
+func (s *clientStream) start(wait waitForStream) error {
 	s.startOnce.Do(func() {
 		defer s.started.Store(true)
-		s.answer = s.execute(s.ctx, &streamTransport{stream: s, firstMessageType: like, awaitHeader: head})
+		s.answer = s.execute(s.ctx, &streamTransport{stream: s, wait: wait})
 		if s.answer.Kind != engine.Served {
 			s.startErr = s.finalError(s.ctx, s.answer)
 			(&callOutputs{}).writeTo(s.outputOptions, s.startErr)
@@ -124,18 +66,19 @@
 		}
 		s.result = s.answer.Value.(*streamResult)
 		if s.result.ended {
-			s.finish(balancer.OK, s.result.err)
+			s.reportEnd(balancer.OK, s.result.err)
 			return
 		}
-		s.stopWatchingContext = context.AfterFunc(s.ctx, func() { s.finish(balancer.Cancelled, s.ctx.Err()) })
+		s.stopWatchingContext = context.AfterFunc(s.ctx, func() { s.reportEnd(balancer.Cancelled, s.ctx.Err()) })
 	})
 	return s.startErr
 }
 
-// finish reports the end, once.
-func (s *clientStream) finish(r balancer.Result, err error) {
+// reportEnd reports the end of an open stream to the engine and to the caller's options, once. It is called from the receiving goroutine
+// and, when the caller's context ends, from the goroutine of the watch.
+func (s *clientStream) reportEnd(result balancer.Result, err error) {
 	s.endOnce.Do(func() {
-		s.answer.EndStream(r)
+		s.answer.EndStream(result)
 		if err == io.EOF {
 			err = nil
 		}
@@ -143,78 +86,86 @@
 	})
 }
 
-func (s *clientStream) SendMsg(m any) error {
+// SendMsg implements grpc.ClientStream. The message of a server stream is kept until the stream is started.
+func (s *clientStream) SendMsg(message any) error {
 	if !s.desc.ClientStreams {
-		s.req = m
+		s.request = message
 		return nil
 	}
-	if err := s.start(nil, false); err != nil {
+	if err := s.start(waitForStream{}); err != nil {
 		return err
 	}
-	return s.result.stream.SendMsg(m) // io.EOF: RecvMsg has the status
+	return s.result.stream.SendMsg(message) // after io.EOF, RecvMsg returns the status
 }
 
+// CloseSend implements grpc.ClientStream.
 func (s *clientStream) CloseSend() error {
 	if !s.desc.ClientStreams {
 		return nil
 	}
-	if err := s.start(nil, false); err != nil {
+	if err := s.start(waitForStream{}); err != nil {
 		return err
 	}
 	return s.result.stream.CloseSend()
 }
 
-func (s *clientStream) RecvMsg(m any) error {
+// RecvMsg implements grpc.ClientStream. It starts a server stream and blocks until a message or the end of the stream.
+func (s *clientStream) RecvMsg(message any) error {
 	if !s.started.Load() {
-		like := messageTypeOf(m)
-		if err := s.start(&like, false); err != nil {
+		firstMessageType := messageTypeOf(message)
+		if err := s.start(waitForStream{firstMessageType: &firstMessageType}); err != nil {
 			return err
 		}
 	}
 	if s.startErr != nil {
 		return s.startErr
 	}
-	if first := s.result.firstMessage; first != nil && !s.result.ended {
-		s.result.firstMessage = nil
-		copyMessage(m, first)
-		return nil
-	}
 	if s.result.ended {
 		return s.result.err
 	}
-	err := s.result.stream.RecvMsg(m)
-	switch {
-	case err == nil && s.desc.ServerStreams:
+	if first := s.result.firstMessage; first != nil {
+		s.result.firstMessage = nil
+		copyMessage(message, first)
 		return nil
-	case err == nil: // the one answer to a client stream
-		s.finalStatus(nil)
+	}
+	err := s.result.stream.RecvMsg(message)
+	if err == nil && s.desc.ServerStreams {
 		return nil
 	}
-	return s.finalStatus(err)
+	return s.end(err) // nil for the one response of a client stream
 }
 
-// finalStatus classifies what ended the stream, and words what is to be told of it.
-func (s *clientStream) finalStatus(err error) error {
+// end classifies what ended an open stream, reports it, and returns the error for the caller: nil and io.EOF stay as they are.
+func (s *clientStream) end(err error) error {
 	if s.ctx.Err() != nil && err != nil && err != io.EOF {
-		s.finish(balancer.Cancelled, s.ctx.Err())
+		s.reportEnd(balancer.Cancelled, s.ctx.Err())
 		return status.FromContextError(s.ctx.Err()).Err()
 	}
 	s.stopWatchingContext()
 	s.result.trailer = s.result.stream.Trailer()
-	r := s.finishAttempt(s.result.attempt, err)
-	if err != nil && err != io.EOF && r != balancer.OK {
-		if r == balancer.Rejected || r == balancer.ConnectFailed || r == balancer.NotSent {
-			err = rejectedError("orchidgrpc: the stream was not processed: "+status.Convert(err).Message(), s.answer, codes.Unavailable)
-		} else {
-			err = answerError(s.ctx, engine.Answer{Kind: engine.Failed, Attempts: s.answer.Attempts}, status.Convert(err), false)
-		}
+	result := s.finishAttempt(s.result.attempt, err)
+	if err != nil && err != io.EOF {
+		err = s.endError(result, err)
 	}
-	s.finish(r, err)
+	s.reportEnd(result, err)
 	return err
 }
 
+// endError returns the caller's error for a status that ended an open stream.
+func (s *clientStream) endError(result balancer.Result, err error) error {
+	switch result {
+	case balancer.OK: // the application's status
+		return err
+	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
+		return rejectedError("orchidgrpc: the stream was not processed: "+status.Convert(err).Message(), s.answer, codes.Unavailable)
+	}
+	failed := engine.Answer{Kind: engine.Failed, Attempts: s.answer.Attempts}
+	return answerError(s.ctx, failed, status.Convert(err), false)
+}
+
+// Header implements grpc.ClientStream. It starts a server stream and blocks until the header or the end of the stream.
 func (s *clientStream) Header() (metadata.MD, error) {
-	if err := s.start(nil, true); err != nil {
+	if err := s.start(waitForStream{header: true}); err != nil {
 		return nil, err
 	}
 	if s.result.stream == nil {
@@ -223,6 +174,7 @@
 	return s.result.stream.Header()
 }
 
+// Trailer implements grpc.ClientStream.
 func (s *clientStream) Trailer() metadata.MD {
 	if !s.started.Load() || s.result == nil || s.result.stream == nil {
 		return nil
@@ -230,9 +182,91 @@
 	return s.result.stream.Trailer()
 }
 
+// Context implements grpc.ClientStream.
 func (s *clientStream) Context() context.Context {
 	if s.started.Load() && s.result != nil && s.result.stream != nil {
 		return s.result.stream.Context()
 	}
 	return s.ctx
 }
+
+// streamResult is an attempt whose stream is open, or has ended with an answer.
+type streamResult struct {
+	callOutputs
+	attempt      *attempt
+	stream       grpc.ClientStream
+	firstMessage any   // of the response, if an attempt waited for it; nil once it has been passed to the caller
+	err          error // in place of the first message: io.EOF or the application's status
+	ended        bool  // the response is complete
+}
+
+// waitForStream says how far the stream of an attempt has to be open for the attempt to count as served. The zero value waits for neither
+// header nor message.
+type waitForStream struct {
+	firstMessageType *messageType // waits for the first response message, which has this type; nil: does not
+	header           bool         // waits for the header, where firstMessageType is nil
+}
+
+// streamTransport implements engine.Transport for the attempts to open a stream.
+type streamTransport struct {
+	stream *clientStream
+	wait   waitForStream
+}
+
+// RoundTrip implements engine.Transport: it opens the stream of an attempt and blocks as long as wait says.
+func (t *streamTransport) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
+	s := t.stream
+	attempt := s.newAttempt(streamContext{ctx, s.ctx}, a)
+	if attempt == nil {
+		return engine.AttemptResult{Result: balancer.NotSent}
+	}
+	opened := &streamResult{attempt: attempt}
+	err := t.open(opened)
+	if err == nil {
+		return engine.AttemptResult{Streaming: true, Value: opened}
+	}
+	if opened.stream != nil {
+		opened.trailer = opened.stream.Trailer()
+	}
+	result := s.finishAttempt(attempt, err)
+	if result != balancer.OK {
+		return engine.AttemptResult{Result: result}
+	}
+	opened.err, opened.ended = err, true
+	return engine.AttemptResult{Result: result, Value: opened}
+}
+
+// open opens the stream of opened.attempt, sends the request of a server stream and waits. Its error is what ended the stream.
+func (t *streamTransport) open(opened *streamResult) error {
+	s := t.stream
+	options := opened.options(s.plainOptions, s.outputOptions)
+	stream, err := s.streamer(opened.attempt, s.desc, s.cc, s.method, options...)
+	opened.stream = stream
+	if err != nil || s.desc.ClientStreams {
+		return err
+	}
+	err = stream.SendMsg(s.request)
+	if err == nil {
+		err = stream.CloseSend()
+	}
+	switch {
+	case err != nil && err != io.EOF: // the message cannot be encoded
+		return err
+	case t.wait.firstMessageType != nil: // after io.EOF, RecvMsg returns the status
+		opened.firstMessage = t.wait.firstMessageType.newMessage()
+		return stream.RecvMsg(opened.firstMessage)
+	case t.wait.header:
+		_, err = stream.Header()
+	}
+	return err
+}
+
+// streamContext is the context of an attempt with the caller's deadline, which is the one that the upstream is sent. The class's deadline
+// bounds the wait for the first message only, and the stream goes on after it.
+type streamContext struct {
+	context.Context
+	caller context.Context
+}
+
+// Deadline implements context.Context.
+func (c streamContext) Deadline() (time.Time, bool) { return c.caller.Deadline() }
