--- a/grpcbalancer/cancellation_test.go
+++ b/grpcbalancer/cancellation_test.go
@@ -16,8 +16,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// lateNode takes connections, and lets nothing through before it is released: no connection to the node behind it is ready before.
-func lateNode(t *testing.T, node string) (address string, release func()) {
+// delayedNode takes connections, and lets nothing through before it is released: no connection to the node behind it is ready before.
+func delayedNode(t *testing.T, node string) (address string, release func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,7 +65,7 @@
 func TestCallersGoneWhileAConnectionComesUp(t *testing.T) {
 	for _, method := range []string{search, confirm, record} {
 		f := newFleet(t, fakes.NodeOptions{})
-		address, release := lateNode(t, f.endpoints[0].Address)
+		address, release := delayedNode(t, f.endpoints[0].Address)
 		f.endpoints[0].Address = address
 		conn, plugin := f.dial(t, func(o *grpcbalancer.Options) {
 			o.File = base.File(t, "o.toml", []byte("[[repeats]]\nservice = \"service\"\ntenant_part = 1.0\n"))
@@ -82,7 +82,7 @@
 		var calls sync.WaitGroup
 		for range callers {
 			calls.Go(func() {
-				if _, err := ask(ctx, conn, method); err == nil {
+				if _, err := invoke(ctx, conn, method); err == nil {
 					t.Errorf("%s: answered", method)
 				}
 			})
@@ -94,7 +94,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		release()
-		if _, err := ask(t.Context(), conn, confirm); err != nil {
+		if _, err := invoke(t.Context(), conn, confirm); err != nil {
 			t.Errorf("%s: a later call: %v", method, err)
 		}
 		if ran := f.ledger.Nodes()["n0"].Ran; ran != 1 {
--- a/grpcbalancer/credentials_test.go
+++ b/grpcbalancer/credentials_test.go
@@ -18,7 +18,7 @@
 )
 
 // encrypted starts nodes that show a certificate of an authority, and a plug-in that trusts a file.
-func encrypted(t *testing.T, ca *fakes.CA, identity string, log func(string), names ...string) (*fleet, *grpc.ClientConn, string) {
+func newEncryptedFleet(t *testing.T, ca *fakes.CA, identity string, log func(string), names ...string) (*fleet, *grpc.ClientConn, string) {
 	t.Helper()
 	var options []fakes.NodeOptions
 	for _, name := range names {
@@ -50,8 +50,8 @@
 func TestEncryptedCalls(t *testing.T) {
 	ca := base.CA(t, "one")
 	for identity, want := range map[string]codes.Code{"": codes.OK, "node.example": codes.OK, "other.example": codes.Unavailable} {
-		f, conn, _ := encrypted(t, ca, identity, nil, "node.example")
-		_, err := ask(t.Context(), conn, confirm)
+		f, conn, _ := newEncryptedFleet(t, ca, identity, nil, "node.example")
+		_, err := invoke(t.Context(), conn, confirm)
 		if status.Code(err) != want || err != nil && grpcbalancer.MayHaveRun(err) {
 			t.Errorf("%q: %v", identity, err)
 		}
@@ -71,30 +71,30 @@
 func TestAuthorityIsWithdrawn(t *testing.T) {
 	ca, next := base.CA(t, "one"), base.CA(t, "two")
 	var taken atomic.Int64
-	_, conn, trusted := encrypted(t, ca, "", func(line string) {
+	_, conn, trusted := newEncryptedFleet(t, ca, "", func(line string) {
 		if contains(line, "taken over") {
 			taken.Add(1)
 		}
 	}, "node.example")
-	if _, err := ask(t.Context(), conn, search); err != nil {
+	if _, err := invoke(t.Context(), conn, search); err != nil {
 		t.Fatal(err)
 	}
-	running := open(t, t.Context(), conn, search, 100, 10*time.Millisecond)
+	running := openServerStream(t, t.Context(), conn, search, 100, 10*time.Millisecond)
 	if err := running.RecvMsg(&wrapperspb.StringValue{}); err != nil {
 		t.Fatal(err)
 	}
 	base.Replace(t, trusted, next.PEM)
 	testutil.Eventually(t, "the new authority", func() bool { return taken.Load() > 0 })
 	testutil.Eventually(t, "no call goes by the old connection", func() bool {
-		_, err := ask(t.Context(), conn, confirm)
+		_, err := invoke(t.Context(), conn, confirm)
 		return status.Code(err) == codes.Unavailable && !grpcbalancer.MayHaveRun(err)
 	})
-	if got, err := drainStream(running); err != nil || len(got) != 99 {
+	if got, err := receiveAll(running); err != nil || len(got) != 99 {
 		t.Errorf("%d messages of the stream that ran, %v", len(got), err)
 	}
 	base.Replace(t, trusted, append(append([]byte{}, next.PEM...), ca.PEM...))
 	testutil.Eventually(t, "served again by overlap", func() bool {
-		_, err := ask(t.Context(), conn, search)
+		_, err := invoke(t.Context(), conn, search)
 		return err == nil
 	})
 }
--- a/grpcbalancer/determinism_test.go
+++ b/grpcbalancer/determinism_test.go
@@ -22,7 +22,7 @@
 
 // trace plays 150 calls, one after another, in virtual time: the whole plug-in with grpc-go and nodes, over connections in
 // memory. Nodes differ in speed, one turns slow, one refuses streams, one freezes.
-func trace(t *testing.T, seed uint64) string {
+func playTrace(t *testing.T, seed uint64) string {
 	var out strings.Builder
 	synctest.Test(t, func(t *testing.T) {
 		listeners := map[string]*bufconn.Listener{}
@@ -61,7 +61,7 @@
 		defer conn.Close()
 		begun := time.Now()
 		for i := range 150 {
-			name, err := ask(t.Context(), conn, []string{search, record, confirm}[i%3])
+			name, err := invoke(t.Context(), conn, []string{search, record, confirm}[i%3])
 			fmt.Fprintf(&out, "%v %s %v\n", time.Since(begun).Round(time.Millisecond), name, status.Code(err))
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -72,7 +72,7 @@
 // Guards against decisions that depend on anything but the seed and what happened: the same script gives the same nodes,
 // answers and times, to the millisecond of virtual time. Another seed gives others.
 func TestSameSeedSameTrace(t *testing.T) {
-	first, second, other := trace(t, 1), trace(t, 1), trace(t, 2)
+	first, second, other := playTrace(t, 1), playTrace(t, 1), playTrace(t, 2)
 	if first != second {
 		a, b := strings.Split(first, "\n"), strings.Split(second, "\n")
 		for i := range a {
--- /dev/null
+++ b/grpcbalancer/drain_test.go
@@ -0,0 +1,73 @@
+package grpcbalancer_test
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"time"
+
+	"orchiddrift/grpcbalancer"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil"
+)
+
+// Guards against sends to a node that has left the list: streams that stand finish, nothing new goes there.
+func TestDrainDuringCalls(t *testing.T) {
+	f := newFleet(t, fakes.NodeOptions{Work: 300 * time.Millisecond}, fakes.NodeOptions{Work: 300 * time.Millisecond})
+	conn, plugin := f.dial(t, nil)
+	var wg sync.WaitGroup
+	for range 8 {
+		wg.Go(func() {
+			if _, err := invoke(context.Background(), conn, confirm); err != nil {
+				t.Errorf("in hand as it drained: %v", err)
+			}
+		})
+	}
+	testutil.Eventually(t, "both are at work", func() bool { return f.nodes[0].InHand() > 0 && f.nodes[0].InHand()+f.nodes[1].InHand() == 8 })
+	if err := plugin.SetEndpoints(f.endpoints[1:]); err != nil {
+		t.Fatal(err)
+	}
+	f.nodes[0].Drain()
+	for range 20 {
+		wg.Go(func() {
+			if name, err := invoke(context.Background(), conn, confirm); err != nil || name != "n1" {
+				t.Errorf("after the drain: %q, %v", name, err)
+			}
+		})
+	}
+	wg.Wait()
+	if n := f.ledger.Nodes()["n0"].AfterDrain; n != 0 {
+		t.Errorf("%d came after the drain", n)
+	}
+}
+
+// Guards against a send between the pick and the write: a call whose stream waits for the node's permission is sent
+// elsewhere once the node drains, and never there.
+func TestDrainWhileAStreamWaits(t *testing.T) {
+	f := newFleet(t, fakes.NodeOptions{Work: 500 * time.Millisecond, Streams: 1}, fakes.NodeOptions{})
+	conn, plugin := f.dial(t, func(o *grpcbalancer.Options) { o.Endpoints = f.endpoints[:1] })
+	ended := make(chan string, 4)
+	for range 4 { // one is at work, the others wait in grpc-go
+		go func() {
+			name, err := invoke(context.Background(), conn, confirm)
+			ended <- fmt.Sprint(name, err)
+		}()
+	}
+	testutil.Eventually(t, "one is at work, all are decided", func() bool { return f.nodes[0].InHand() == 1 && plugin.InHand() == 4 })
+	time.Sleep(20 * time.Millisecond) // where the others get a moment more to wait in, it is the same test
+	if err := plugin.SetEndpoints(f.endpoints[1:]); err != nil {
+		t.Fatal(err)
+	}
+	f.nodes[0].Drain()
+	got := map[string]int{}
+	for range 4 {
+		got[<-ended]++
+	}
+	if got["n0<nil>"] != 1 || got["n1<nil>"] != 3 {
+		t.Errorf("answers %v", got)
+	}
+	if n := f.ledger.Nodes()["n0"]; n.Arrived != 1 || n.AfterDrain != 0 {
+		t.Errorf("the one that drains: %+v", n)
+	}
+}
--- a/grpcbalancer/fleet_test.go
+++ b/grpcbalancer/fleet_test.go
@@ -127,7 +127,7 @@
 }
 
 // ask makes a unary call and gives the name of the node that answered.
-func ask(ctx context.Context, conn *grpc.ClientConn, method string, opts ...grpc.CallOption) (string, error) {
+func invoke(ctx context.Context, conn *grpc.ClientConn, method string, opts ...grpc.CallOption) (string, error) {
 	reply := &wrapperspb.StringValue{}
 	err := conn.Invoke(ctx, method, wrapperspb.String("seat 4"), reply, opts...)
 	return reply.GetValue(), err
--- /dev/null
+++ b/grpcbalancer/idempotency_test.go
@@ -0,0 +1,124 @@
+package grpcbalancer_test
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/metadata"
+	"google.golang.org/grpc/status"
+	"google.golang.org/protobuf/types/known/wrapperspb"
+
+	"orchiddrift/grpcbalancer"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil/base"
+)
+
+// A repeated call with the caller's idempotency key gets the first one's answer: while the first runs, after it, and also if the first
+// caller has left. Another call under the key is rejected as a conflict, and calls without a key of their own are all sent. Two Plugins
+// that share a store behave as one.
+func TestRepeatedIdempotencyKey(t *testing.T) {
+	t.Run("one plug-in", func(t *testing.T) { testRepeatedIdempotencyKey(t, newKeyedCalls(t, 1, "")) })
+	t.Run("two plug-ins with a shared store", func(t *testing.T) {
+		_, address := base.Etcd(t, fakes.EtcdOptions{})
+		testRepeatedIdempotencyKey(t, newKeyedCalls(t, 2, fmt.Sprintf("[repeats.shared]\nservers = [%q]\n", address)))
+	})
+}
+
+func testRepeatedIdempotencyKey(t *testing.T, calls *keyedCalls) {
+	ctx, leave := context.WithCancel(t.Context())
+	calls.start(ctx, "k")
+	calls.awaitArrival(t)
+	leave()
+	if end := <-calls.ends; status.Code(end.err) != codes.Canceled {
+		t.Errorf("the caller that left: %v", end.err)
+	}
+	calls.start(t.Context(), "k")
+	calls.start(t.Context(), "k")
+	calls.release <- true
+	first := <-calls.ends
+	calls.start(t.Context(), "k")
+	for range 2 {
+		if end := <-calls.ends; end != first || end.err != nil || end.node == "" {
+			t.Errorf("%v, and then %v", first, end)
+		}
+	}
+	other := metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.IdempotencyKey, "k")
+	err := calls.conns[0].Invoke(other, record, wrapperspb.String("another seat"), &wrapperspb.StringValue{})
+	if status.Code(err) != codes.InvalidArgument {
+		t.Errorf("another call under the key: %v", err)
+	}
+	if len(calls.arrived) > 0 {
+		t.Error("a repeated call was sent")
+	}
+	calls.start(t.Context(), "")
+	calls.start(t.Context(), "")
+	for range 2 {
+		calls.awaitArrival(t)
+		calls.release <- true
+		if end := <-calls.ends; end.err != nil {
+			t.Error(end.err)
+		}
+	}
+}
+
+// keyedCalls makes calls of one class, in turn on several ClientConns, to two nodes that answer one request for each value of release.
+type keyedCalls struct {
+	conns   []*grpc.ClientConn
+	started int
+	arrived chan string // ids of requests
+	release chan bool
+	ends    chan keyedEnd
+}
+
+// keyedEnd is what a caller got.
+type keyedEnd struct {
+	node string
+	err  error
+}
+
+// newKeyedCalls starts Plugins with the given lines in their section [[repeats]].
+func newKeyedCalls(t *testing.T, plugins int, lines string) *keyedCalls {
+	t.Helper()
+	calls := &keyedCalls{arrived: make(chan string, 100), release: make(chan bool, 100), ends: make(chan keyedEnd, 10)}
+	node := fakes.NodeOptions{Answer: func(j fakes.Job) []byte { calls.arrived <- j.ID; <-calls.release; return nil }}
+	f := newFleet(t, node, node)
+	file := base.File(t, "o.toml", []byte("[[repeats]]\nservice = \"service\"\ntenant_part = 1.0\n"+lines))
+	for range plugins {
+		conn, _ := f.dial(t, func(o *grpcbalancer.Options) {
+			o.File = file
+			o.Settings.HedgingAllowed = false
+			for i := range o.Settings.Classes {
+				o.Settings.Classes[i].Deadline, o.Settings.Classes[i].LatencyObjective = base.Timeout, base.Timeout
+			}
+		})
+		calls.conns = append(calls.conns, conn)
+	}
+	return calls
+}
+
+// start makes a call in a goroutine of its own; key may be empty.
+func (c *keyedCalls) start(ctx context.Context, key string) {
+	c.started++
+	conn := c.conns[c.started%len(c.conns)]
+	if key != "" {
+		ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.IdempotencyKey, key)
+	}
+	go func() {
+		node, err := invoke(ctx, conn, record)
+		c.ends <- keyedEnd{node, err}
+	}()
+}
+
+// awaitArrival waits until a request has reached a node.
+func (c *keyedCalls) awaitArrival(t *testing.T) {
+	t.Helper()
+	select {
+	case <-c.arrived:
+	case <-time.After(base.Timeout / 2):
+		t.Fatal("no call reached a node")
+	}
+}
--- /dev/null
+++ b/grpcbalancer/methods_test.go
@@ -0,0 +1,41 @@
+package grpcbalancer_test
+
+import (
+	"testing"
+
+	"orchiddrift/balancer"
+	"orchiddrift/grpcbalancer"
+	"orchiddrift/internal/fakes"
+)
+
+// Guards against a method of which nothing is known that is sent twice; the mapping goes before the descriptor.
+func TestMethodsMapToClasses(t *testing.T) {
+	for _, c := range []struct {
+		method  string
+		mapping map[string]string
+		classes []balancer.Class // absent: all
+		again   bool
+	}{
+		{search, nil, nil, true},
+		{confirm, nil, nil, false},
+		{"/other.Service/Get", nil, nil, false},
+		{"/booking.Seats/Unheard", nil, nil, false},
+		{"/other.Service/Get", map[string]string{"/other.Service/*": "search"}, nil, true},
+		{"/other.Service/Put", map[string]string{"/other.Service/*": "search", "/other.Service/Put": "confirm"}, nil, false},
+		{search, map[string]string{search: "confirm"}, nil, false},
+		{confirm, nil, settings().Classes[:1], false}, // there is no unsafe class, so one is made
+	} {
+		f := newFleet(t, withFault(fakes.Fail), withFault(fakes.Fail))
+		conn, _ := f.dial(t, func(o *grpcbalancer.Options) {
+			o.Methods = c.mapping
+			if c.classes != nil {
+				o.Settings.Classes = c.classes
+			}
+		})
+		_, _ = invoke(t.Context(), conn, c.method) // fails, after one send or more
+		n := f.ledger.Nodes()
+		if again := n["n0"].Ran+n["n1"].Ran > 1; again != c.again {
+			t.Errorf("%s with %v: sent again is %v", c.method, c.mapping, again)
+		}
+	}
+}
--- /dev/null
+++ b/grpcbalancer/options_test.go
@@ -0,0 +1,66 @@
+package grpcbalancer_test
+
+import (
+	"testing"
+
+	"orchiddrift/grpcbalancer"
+	"orchiddrift/internal/testing/testutil/base"
+)
+
+// Guards against options that are found out under traffic.
+func TestOptions(t *testing.T) {
+	good := grpcbalancer.Options{Settings: settings(), Endpoints: []grpcbalancer.Endpoint{{Name: "a", Address: "127.0.0.1:1"}}}
+	for want, change := range map[string]func(*grpcbalancer.Options){
+		"Discovery":     func(o *grpcbalancer.Options) { o.Discovery = "nowhere" },
+		"none of":       func(o *grpcbalancer.Options) { o.Endpoints = nil },
+		"File":          func(o *grpcbalancer.Options) { o.File = "/nowhere" },
+		"Endpoints":     func(o *grpcbalancer.Options) { o.Endpoints = []grpcbalancer.Endpoint{{Name: "a", Address: "b"}} },
+		"unknown class": func(o *grpcbalancer.Options) { o.Methods = map[string]string{search: "none"} },
+		"neither /pack": func(o *grpcbalancer.Options) { o.Methods = map[string]string{"Search": "search"} },
+		"Settings":      func(o *grpcbalancer.Options) { o.Settings.MaxAttempts = -1 },
+		"Classes":       func(o *grpcbalancer.Options) { o.Settings.Classes = nil },
+	} {
+		o := good
+		change(&o)
+		if p, err := grpcbalancer.New(o); err == nil {
+			t.Errorf("%s: taken", want)
+			p.Close()
+		} else if !contains(err.Error(), want) {
+			t.Errorf("%s: %v", want, err)
+		}
+	}
+	watching := good
+	watching.Discovery = "127.0.0.1:1"
+	w, err := grpcbalancer.New(watching)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer w.Close()
+	if err := w.SetEndpoints(good.Endpoints); err == nil {
+		t.Error("a list is taken beside discovery's")
+	}
+	p, err := grpcbalancer.New(good)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer p.Close()
+	if err := p.SetEndpoints([]grpcbalancer.Endpoint{{Name: "a", Address: "127.0.0.1:1"}, {Name: "a", Address: "127.0.0.1:2"}}); err == nil {
+		t.Error("a list with two of a name is taken")
+	}
+}
+
+// A door that can't be is one clear error.
+func TestDoorOptions(t *testing.T) {
+	for name, text := range map[string]string{
+		"none of this service": "[[door]]\nservice = \"other\"\n",
+		"by the peer":          "[[door]]\nservice = \"service\"\nby = [\"address\"]\n",
+		"no such source":       "[[door]]\nservice = \"service\"\nby = [\"shop\"]\n",
+	} {
+		o := grpcbalancer.Options{Settings: settings(), Seed: 7, Endpoints: []grpcbalancer.Endpoint{{Name: "a", Address: "127.0.0.1:1"}},
+			Files: files(t), File: base.File(t, "o.toml", []byte(text))}
+		if p, err := grpcbalancer.New(o); err == nil {
+			p.Close()
+			t.Errorf("%s: it is taken", name)
+		}
+	}
+}
--- /dev/null
+++ b/grpcbalancer/prewarm_test.go
@@ -0,0 +1,79 @@
+package grpcbalancer_test
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"orchiddrift/grpcbalancer"
+	"orchiddrift/internal/fakes"
+	"orchiddrift/internal/testing/testutil/base"
+)
+
+// With [service.warm] the upstreams that no call has gone to are connected to as well, and one that starts anew again.
+func TestWarm(t *testing.T) {
+	f := newFleet(t, make([]fakes.NodeOptions, 6)...)
+	counted := make([]*countingProxy, len(f.endpoints))
+	for i, e := range f.endpoints {
+		counted[i] = newCountingProxy(t, e.Address)
+		f.endpoints[i].Address = counted[i].address
+	}
+	file := base.File(t, "o.toml", []byte("[[service]]\nname = \"service\"\n[service.warm]\non = true\nspread = \"100ms\"\n"))
+	conn, p := f.dial(t, func(o *grpcbalancer.Options) { o.File = file })
+	if _, err := invoke(t.Context(), conn, search); err != nil {
+		t.Fatal(err)
+	}
+	for i, c := range counted {
+		base.Eventually(t, fmt.Sprint("a connection to ", i), func() bool { return c.open.Load() == 1 })
+	}
+	f.endpoints[0].Since = time.Now()
+	if err := p.SetEndpoints(f.endpoints); err != nil {
+		t.Fatal(err)
+	}
+	base.Eventually(t, "one to the new process", func() bool { return counted[0].made.Load() == 2 && counted[0].open.Load() == 1 })
+	for i, c := range counted[1:] {
+		if n := c.made.Load(); n != 1 {
+			t.Errorf("%d connections were made to %d", n, i+1)
+		}
+	}
+}
+
+// counter passes connections on, and counts them.
+type countingProxy struct {
+	address    string
+	made, open atomic.Int32
+}
+
+func newCountingProxy(t *testing.T, to string) *countingProxy {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := &countingProxy{address: l.Addr().String()}
+	var wg sync.WaitGroup
+	t.Cleanup(func() { l.Close(); wg.Wait() })
+	wg.Go(func() {
+		for {
+			in, err := l.Accept()
+			if err != nil {
+				return
+			}
+			out, err := net.Dial("tcp", to)
+			if err != nil {
+				in.Close()
+				continue
+			}
+			c.made.Add(1)
+			c.open.Add(1)
+			end := sync.OnceFunc(func() { in.Close(); out.Close(); c.open.Add(-1) })
+			wg.Go(func() { _, _ = io.Copy(in, out); end() }) // both end with either
+			wg.Go(func() { _, _ = io.Copy(out, in); end() })
+		}
+	})
+	return c
+}
--- a/grpcbalancer/sources_test.go
+++ b/grpcbalancer/sources_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
@@ -23,24 +24,70 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Guards against calls that reach a node later than 250 ms after the plug-in was told that it is out of service, and
-// against a list of its own that does not count beside the registry.
-func TestRegistries(t *testing.T) {
-	e := base.Eureka(t, fakes.EurekaOptions{})
-	var f *fakes.Flipper
+// Registries list upstreams beside the Plugin's own list: no call reaches a node later than the drain grace after a registry reported it out
+// of service, and the registry's status outweighs the list's.
+func TestRegistriesBesideTheList(t *testing.T) {
+	registry := base.Eureka(t, fakes.EurekaOptions{})
 	names := []string{"n0", "n1", "n2", "n3", "n4"}
+	flipper := fakes.NewFlipper(registry, "SEATS", endpoints.DrainGrace, names...)
+	f := newRegisteredFleet(t, registry, flipper, names)
+	conn, p := f.dial(t, func(o *grpcbalancer.Options) {
+		o.File, o.Endpoints = registryFile(t, registry), f.endpoints[:1]
+	})
+	base.Eventually(t, "all serve", func() bool { return len(answeringNodes(t, conn, 250)) == len(names) })
+
+	served := flipUnderLoad(t, conn, flipper, 500)
+	if flips, last, wrong := flipper.Result(); len(wrong) > 0 || len(last) < 20 || served < 500 {
+		t.Errorf("%d flips, %d served, %d flips seen, late: %v", flips, served, len(last), wrong)
+	}
+
+	for _, name := range names {
+		registry.Override("SEATS", name, "OUT_OF_SERVICE")
+	}
+	base.Eventually(t, "none takes calls", func() bool {
+		short, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
+		defer cancel()
+		_, err := invoke(short, conn, search)
+		return err != nil
+	})
+	// An upstream at the same address in both lists is one upstream.
+	if err := p.SetEndpoints(f.endpoints[1:2]); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := invoke(t.Context(), conn, search); err == nil {
+		t.Error("the list's status outweighs the registry's out of service")
+	}
+}
+
+// A file that is missing is a mistake in the configuration.
+func TestCheckConfigReportsMissingFile(t *testing.T) {
+	var problems config.Problems
+	_, err := grpcbalancer.CheckConfig([]byte(`{"grpc": {"file": "/nowhere"}}`))
+	if !errors.As(err, &problems) || !slices.ContainsFunc(problems, func(p config.Problem) bool { return p.Key == "grpc.file" }) {
+		t.Errorf("%v", err)
+	}
+}
+
+// newRegisteredFleet starts nodes that are listed in a registry and report arriving requests to the flipper.
+func newRegisteredFleet(t *testing.T, registry *fakes.Eureka, flipper *fakes.Flipper, names []string) *fleet {
+	t.Helper()
 	options := make([]fakes.NodeOptions, len(names))
 	for i, name := range names {
-		options[i] = fakes.NodeOptions{Name: name, Answer: func(fakes.Job) []byte { f.Came(name); return nil }}
+		options[i] = fakes.NodeOptions{Name: name, Answer: func(fakes.Job) []byte { flipper.Came(name); return nil }}
 	}
-	nodes := newFleet(t, options...)
-	for _, n := range nodes.endpoints {
-		host, port, _ := net.SplitHostPort(n.Address)
+	f := newFleet(t, options...)
+	for _, e := range f.endpoints {
+		host, port, _ := net.SplitHostPort(e.Address)
 		number, _ := strconv.Atoi(port)
-		e.Put(fakes.EurekaInstance{App: "SEATS", ID: n.Name, Host: host, IP: host, Port: number, Status: "UP"})
+		registry.Put(fakes.EurekaInstance{App: "SEATS", ID: e.Name, Host: host, IP: host, Port: number, Status: "UP"})
 	}
-	f = fakes.NewFlipper(e, "SEATS", endpoints.DrainGrace, names...)
-	file := base.File(t, "o.toml", fmt.Appendf(nil, `
+	return f
+}
+
+// registryFile returns the path of an operator's file that names the registry.
+func registryFile(t *testing.T, registry *fakes.Eureka) string {
+	t.Helper()
+	return base.File(t, "o.toml", fmt.Appendf(nil, `
 [membership]
 flaps = 0
 [[eureka]]
@@ -48,65 +95,47 @@
 servers = [%q]
 applications = ["SEATS"]
 poll = "100ms"
-`, e.Base))
-	conn, p := nodes.dial(t, func(o *grpcbalancer.Options) { o.File, o.Endpoints = file, nodes.endpoints[:1] })
-	serving := func(n int) func() bool {
-		return func() (ok bool) {
-			answered := map[string]bool{}
-			for range 50 * n {
-				if name, err := ask(t.Context(), conn, search); err == nil {
-					answered[name] = true
-				}
-			}
-			return len(answered) == n
+`, registry.Base))
+}
+
+// answeringNodes makes calls and returns the names of the nodes that answered them.
+func answeringNodes(t *testing.T, conn *grpc.ClientConn, calls int) map[string]bool {
+	t.Helper()
+	answered := map[string]bool{}
+	for range calls {
+		if name, err := invoke(t.Context(), conn, search); err == nil {
+			answered[name] = true
 		}
 	}
-	base.Eventually(t, "all serve", serving(5))
+	return answered
+}
+
+// flipUnderLoad flips the nodes' status in the registry while four callers make calls, and returns how many calls were served. Calls may be
+// rejected, but not fail.
+func flipUnderLoad(t *testing.T, conn *grpc.ClientConn, flipper *fakes.Flipper, flips int) int64 {
+	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	var callers sync.WaitGroup
 	var served atomic.Int64
 	for range 4 {
 		callers.Go(func() {
 			for ctx.Err() == nil {
-				if _, err := ask(ctx, conn, search); err == nil {
+				if _, err := invoke(ctx, conn, search); err == nil {
 					served.Add(1)
-				} else if c := status.Code(err); c != codes.Unavailable && ctx.Err() == nil {
+				} else if code := status.Code(err); code != codes.Unavailable && ctx.Err() == nil {
 					t.Error(err)
 				}
 			}
 		})
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
-	tick := time.NewTicker(5 * time.Millisecond)
-	defer tick.Stop()
-	for range 500 {
-		<-tick.C
-		f.Flip(rng)
+	ticker := time.NewTicker(5 * time.Millisecond)
+	defer ticker.Stop()
+	for range flips {
+		<-ticker.C
+		flipper.Flip(rng)
 	}
 	stop()
 	callers.Wait()
-	if flips, last, wrong := f.Result(); len(wrong) > 0 || len(last) < 20 || served.Load() < 500 {
-		t.Errorf("%d flips, %d served, %d flips seen, late: %v", flips, served.Load(), len(last), wrong)
-	}
-	for _, name := range names {
-		e.Override("SEATS", name, "OUT_OF_SERVICE")
-	}
-	base.Eventually(t, "none takes calls", func() bool {
-		short, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
-		defer cancel()
-		_, err := ask(short, conn, search)
-		return err != nil
-	})
-	// What the registry has at another address is one node with the list's; its own entry draws the line.
-	if err := p.SetEndpoints(nodes.endpoints[1:2]); err != nil {
-		t.Fatal(err)
-	}
-	if _, err := ask(t.Context(), conn, search); err == nil {
-		t.Error("the list's up outweighs the registry's out of service")
-	}
-	var bad config.Problems
-	_, err := grpcbalancer.CheckConfig([]byte(`{"grpc": {"file": "/nowhere"}}`))
-	if !errors.As(err, &bad) || !slices.ContainsFunc(bad, func(p config.Problem) bool { return p.Key == "grpc.file" }) {
-		t.Errorf("%v", err)
-	}
+	return served.Load()
 }
--- a/grpcbalancer/stream_test.go
+++ b/grpcbalancer/stream_test.go
@@ -24,7 +24,7 @@
 var clientStream = &grpc.StreamDesc{StreamName: "Search", ClientStreams: true}
 
 // open starts a server stream of so many messages.
-func open(t *testing.T, ctx context.Context, conn *grpc.ClientConn, method string, messages int, gap time.Duration) grpc.ClientStream {
+func openServerStream(t *testing.T, ctx context.Context, conn *grpc.ClientConn, method string, messages int, gap time.Duration) grpc.ClientStream {
 	t.Helper()
 	ctx = metadata.AppendToOutgoingContext(ctx, fakes.MessagesKey, fmt.Sprint(messages), fakes.GapKey, fmt.Sprint(gap.Microseconds()))
 	s, err := conn.NewStream(ctx, serverStream, method)
@@ -40,8 +40,8 @@
 	return s
 }
 
-// drainStream receives to the end.
-func drainStream(s grpc.ClientStream) (got []string, err error) {
+// receiveAll receives to the end.
+func receiveAll(s grpc.ClientStream) (got []string, err error) {
 	for {
 		m := &wrapperspb.StringValue{}
 		if err := s.RecvMsg(m); errors.Is(err, io.EOF) {
@@ -58,13 +58,13 @@
 	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, nil)
 	for _, messages := range []int{0, 1, 200} {
-		s := open(t, t.Context(), conn, search, messages, 0)
+		s := openServerStream(t, t.Context(), conn, search, messages, 0)
 		if messages == 200 {
 			if h, err := s.Header(); err != nil || len(h["content-type"]) != 1 {
 				t.Errorf("header %v, %v", h, err)
 			}
 		}
-		got, err := drainStream(s)
+		got, err := receiveAll(s)
 		if err != nil || len(got) != messages {
 			t.Errorf("%d messages: got %d, %v", messages, len(got), err)
 		}
@@ -89,7 +89,7 @@
 	f := newFleet(t, bad, fakes.NodeOptions{Name: "good"})
 	conn, _ := f.dial(t, nil)
 	for range 20 {
-		got, err := drainStream(open(t, t.Context(), conn, search, 3, 0))
+		got, err := receiveAll(openServerStream(t, t.Context(), conn, search, 3, 0))
 		if err != nil || len(got) != 3 || got[0] != "good" {
 			t.Errorf("%v, %v", got, err)
 		}
@@ -101,7 +101,7 @@
 	broken := fakes.NodeOptions{Faults: []fakes.Fault{{Kind: fakes.ResetAfter, Class: search[1:] + "/message"}}}
 	f = newFleet(t, broken, broken)
 	conn, plugin := f.dial(t, nil)
-	got, err := drainStream(open(t, t.Context(), conn, search, 10, time.Millisecond))
+	got, err := receiveAll(openServerStream(t, t.Context(), conn, search, 10, time.Millisecond))
 	if err == nil || len(got) == 0 || len(got) >= 10 || !grpcbalancer.MayHaveRun(err) || status.Code(err) == codes.Unavailable {
 		t.Errorf("%v, %v", got, err)
 	}
@@ -113,9 +113,9 @@
 
 // Guards against an unsafe stream that is sent twice before its first message.
 func TestUnsafeServerStream(t *testing.T) {
-	f := newFleet(t, always(fakes.ResetAfter), always(fakes.ResetAfter))
+	f := newFleet(t, withFault(fakes.ResetAfter), withFault(fakes.ResetAfter))
 	conn, _ := f.dial(t, nil)
-	_, err := drainStream(open(t, t.Context(), conn, confirm, 3, 0))
+	_, err := receiveAll(openServerStream(t, t.Context(), conn, confirm, 3, 0))
 	if err == nil || !grpcbalancer.MayHaveRun(err) {
 		t.Errorf("%v", err)
 	}
@@ -130,17 +130,17 @@
 	conn, plugin := f.dial(t, func(o *grpcbalancer.Options) {
 		o.Settings.Classes[0].LatencyObjective, o.Settings.Classes[0].Deadline = 300*time.Millisecond, 300*time.Millisecond
 	})
-	got, err := drainStream(open(t, t.Context(), conn, search, 8, 100*time.Millisecond))
+	got, err := receiveAll(openServerStream(t, t.Context(), conn, search, 8, 100*time.Millisecond))
 	if err != nil || len(got) != 8 {
 		t.Errorf("beyond the class's deadline: %d messages, %v", len(got), err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	s := open(t, ctx, conn, search, 1000, 50*time.Millisecond)
+	s := openServerStream(t, ctx, conn, search, 1000, 50*time.Millisecond)
 	if err := s.RecvMsg(&wrapperspb.StringValue{}); err != nil {
 		t.Fatal(err)
 	}
 	cancel()
-	if _, err := drainStream(s); status.Code(err) != codes.Canceled {
+	if _, err := receiveAll(s); status.Code(err) != codes.Canceled {
 		t.Errorf("after its caller left: %v", err)
 	}
 	testutil.Eventually(t, "the node sees it end", func() bool { return f.nodes[0].InHand() == 0 })
@@ -148,7 +148,7 @@
 
 	ctx, cancel = context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	if _, err := drainStream(open(t, ctx, conn, search, 1000, 20*time.Millisecond)); status.Code(err) != codes.DeadlineExceeded {
+	if _, err := receiveAll(openServerStream(t, ctx, conn, search, 1000, 20*time.Millisecond)); status.Code(err) != codes.DeadlineExceeded {
 		t.Errorf("after its caller's deadline: %v", err)
 	}
 	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
@@ -175,7 +175,7 @@
 	if err := s.CloseSend(); err != nil {
 		t.Fatal(err)
 	}
-	if rest, err := drainStream(s); err != nil || len(rest) != 0 {
+	if rest, err := receiveAll(s); err != nil || len(rest) != 0 {
 		t.Errorf("%v, %v", rest, err)
 	}
 
@@ -198,7 +198,7 @@
 // Guards against a client stream that is opened on a second node after its first broke, even of a safe class: messages
 // were written on it.
 func TestClientStreamIsNeverRepeated(t *testing.T) {
-	f := newFleet(t, always(fakes.ResetAfter), always(fakes.ResetAfter))
+	f := newFleet(t, withFault(fakes.ResetAfter), withFault(fakes.ResetAfter))
 	conn, plugin := f.dial(t, nil)
 	ctx := metadata.AppendToOutgoingContext(t.Context(), fakes.EchoKey, "1")
 	s, err := conn.NewStream(ctx, bidiStream, search)
@@ -210,7 +210,7 @@
 			break
 		}
 	}
-	if _, err := drainStream(s); err == nil || !grpcbalancer.MayHaveRun(err) {
+	if _, err := receiveAll(s); err == nil || !grpcbalancer.MayHaveRun(err) {
 		t.Errorf("%v", err)
 	}
 	if n := f.ledger.Nodes(); n["n0"].Ran+n["n1"].Ran != 1 {
@@ -234,7 +234,7 @@
 		if err := s.CloseSend(); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := drainStream(s); err != nil {
+		if _, err := receiveAll(s); err != nil {
 			t.Errorf("%v", err)
 		}
 	}
--- a/grpcbalancer/unary_test.go
+++ b/grpcbalancer/unary_test.go
@@ -15,14 +15,13 @@
 	"google.golang.org/grpc/peer"
 	"google.golang.org/grpc/status"
 
-	"orchiddrift/balancer"
 	"orchiddrift/grpcbalancer"
 	"orchiddrift/internal/fakes"
 	"orchiddrift/internal/testing/testutil"
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-func always(kind fakes.FaultKind) fakes.NodeOptions {
+func withFault(kind fakes.FaultKind) fakes.NodeOptions {
 	return fakes.NodeOptions{Faults: []fakes.Fault{{Kind: kind, Factor: 1}}}
 }
 
@@ -48,10 +47,10 @@
 		{"an answer cut short", fakes.Cut, failed, 1, 1, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			f := newFleet(t, always(c.kind), always(c.kind))
+			f := newFleet(t, withFault(c.kind), withFault(c.kind))
 			conn, plugin := f.dial(t, nil)
 			ctx := metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.RequestIDKey, "op-unsafe")
-			_, err := ask(ctx, conn, confirm)
+			_, err := invoke(ctx, conn, confirm)
 			if got := status.Code(err); got != c.unsafe {
 				t.Errorf("unsafe: %v, want %v", err, c.unsafe)
 			}
@@ -65,7 +64,7 @@
 			if runs := len(f.ledger.Operation("op-unsafe").Runs); arrived != c.unsafeSends || runs != c.unsafeRun {
 				t.Errorf("unsafe: arrived %d times, ran %d", arrived, runs)
 			}
-			if _, err = ask(t.Context(), conn, search); err == nil {
+			if _, err = invoke(t.Context(), conn, search); err == nil {
 				t.Error("safe: served")
 			}
 			after := 0
@@ -82,8 +81,8 @@
 
 // Guards against a refusal without the advice when to come back, and without the proof that it did not run.
 func TestRefusalCarriesRetryInfo(t *testing.T) {
-	conn, _ := newFleet(t, always(fakes.TurnAway)).dial(t, nil)
-	_, err := ask(t.Context(), conn, confirm)
+	conn, _ := newFleet(t, withFault(fakes.TurnAway)).dial(t, nil)
+	_, err := invoke(t.Context(), conn, confirm)
 	var retry time.Duration
 	var reason, sends string
 	for _, d := range status.Convert(err).Details() {
@@ -105,7 +104,7 @@
 	f.endpoints = append(f.endpoints, grpcbalancer.Endpoint{Name: "dead", Address: base.FreeAddress(t), Zone: "a"})
 	conn, _ := f.dial(t, nil)
 	for range 20 {
-		if name, err := ask(t.Context(), conn, confirm); err != nil || name != "n0" {
+		if name, err := invoke(t.Context(), conn, confirm); err != nil || name != "n0" {
 			t.Errorf("%q, %v", name, err)
 		}
 	}
@@ -127,7 +126,7 @@
 	conn, _ := f.dial(t, func(o *grpcbalancer.Options) { o.Settings.ConnectTimeout = 200 * time.Millisecond })
 	for range 10 {
 		begun := time.Now()
-		if name, err := ask(t.Context(), conn, confirm); err != nil || name != "n0" || time.Since(begun) > 3*time.Second {
+		if name, err := invoke(t.Context(), conn, confirm); err != nil || name != "n0" || time.Since(begun) > 3*time.Second {
 			t.Errorf("%q, %v after %v", name, err, time.Since(begun))
 		}
 	}
@@ -138,7 +137,7 @@
 func TestConnectTimeoutDoesNotBoundAnswers(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{Work: 600 * time.Millisecond})
 	conn, _ := f.dial(t, func(o *grpcbalancer.Options) { o.Settings.ConnectTimeout = 200 * time.Millisecond })
-	if name, err := ask(t.Context(), conn, confirm); err != nil || name != "n0" {
+	if name, err := invoke(t.Context(), conn, confirm); err != nil || name != "n0" {
 		t.Errorf("%q, %v", name, err)
 	}
 }
@@ -149,7 +148,7 @@
 	conn, _ := f.dial(t, nil)
 	ctx := metadata.AppendToOutgoingContext(t.Context(), fakes.StatusKey, fmt.Sprint(uint32(codes.NotFound)))
 	for _, method := range []string{search, record, confirm} {
-		_, err := ask(ctx, conn, method)
+		_, err := invoke(ctx, conn, method)
 		if status.Code(err) != codes.NotFound || status.Convert(err).Message() != "said by the application" {
 			t.Errorf("%s: %v", method, err)
 		}
@@ -175,11 +174,11 @@
 		}, codes.DeadlineExceeded},
 	} {
 		for _, method := range []string{search, confirm} {
-			f := newFleet(t, always(fakes.Hang), always(fakes.Hang))
+			f := newFleet(t, withFault(fakes.Hang), withFault(fakes.Hang))
 			conn, plugin := f.dial(t, nil)
 			ctx, cancel := c.end(t.Context())
 			begun := time.Now()
-			if _, err := ask(ctx, conn, method); status.Code(err) != c.want {
+			if _, err := invoke(ctx, conn, method); status.Code(err) != c.want {
 				t.Errorf("%s %s: %v", name, method, err)
 			}
 			if took := time.Since(begun); took > 2*time.Second {
@@ -194,11 +193,11 @@
 
 // Guards against a call without a deadline that waits for ever: it has its class's.
 func TestNoDeadlineIsTheClasss(t *testing.T) {
-	conn, _ := newFleet(t, always(fakes.Hang)).dial(t, func(o *grpcbalancer.Options) {
+	conn, _ := newFleet(t, withFault(fakes.Hang)).dial(t, func(o *grpcbalancer.Options) {
 		o.Settings.Classes[2].LatencyObjective, o.Settings.Classes[2].Deadline = 300*time.Millisecond, 300*time.Millisecond
 	})
 	begun := time.Now()
-	_, err := ask(context.Background(), conn, confirm)
+	_, err := invoke(context.Background(), conn, confirm)
 	if took := time.Since(begun); err == nil || !grpcbalancer.MayHaveRun(err) || took > 3*time.Second {
 		t.Errorf("%v after %v", err, took)
 	}
@@ -211,7 +210,7 @@
 	var header, trailer metadata.MD
 	var from peer.Peer
 	finished := 0
-	if _, err := ask(t.Context(), conn, search, grpc.Header(&header), grpc.Trailer(&trailer), grpc.Peer(&from),
+	if _, err := invoke(t.Context(), conn, search, grpc.Header(&header), grpc.Trailer(&trailer), grpc.Peer(&from),
 		grpc.OnFinish(func(error) { finished++ })); err != nil {
 		t.Fatal(err)
 	}
@@ -227,11 +226,11 @@
 	ctx := metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.RequestIDKey, "7")
 	ended := make(chan error, 1)
 	go func() {
-		_, err := ask(ctx, conn, confirm)
+		_, err := invoke(ctx, conn, confirm)
 		ended <- err
 	}()
 	testutil.Eventually(t, "the first is at its node", func() bool { return f.nodes[0].InHand() == 1 })
-	if _, err := ask(ctx, conn, confirm); status.Code(err) != codes.AlreadyExists {
+	if _, err := invoke(ctx, conn, confirm); status.Code(err) != codes.AlreadyExists {
 		t.Errorf("the second: %v", err)
 	}
 	if err := <-ended; err != nil {
@@ -241,7 +240,7 @@
 
 // Guards against a key that differs between the attempts of one call, or is the same for two calls.
 func TestKeysTravel(t *testing.T) {
-	f := newFleet(t, always(fakes.LoseAnswer), fakes.NodeOptions{}, fakes.NodeOptions{})
+	f := newFleet(t, withFault(fakes.LoseAnswer), fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, _ := f.dial(t, func(o *grpcbalancer.Options) {
 		for i := range o.Settings.Classes {
 			o.Settings.Classes[i].LatencyObjective, o.Settings.Classes[i].Deadline = time.Second, time.Second
@@ -251,7 +250,7 @@
 	for i := range 20 {
 		wg.Go(func() {
 			ctx := metadata.AppendToOutgoingContext(context.Background(), grpcbalancer.RequestIDKey, fmt.Sprint("r", i))
-			_, _ = ask(ctx, conn, record) // some fail: their answers are lost
+			_, _ = invoke(ctx, conn, record) // some fail: their answers are lost
 		})
 	}
 	wg.Wait()
@@ -281,7 +280,7 @@
 		conn := connect(t, plugin)
 		wg.Go(func() {
 			for range 40 {
-				if _, err := ask(context.Background(), conn, confirm); err != nil {
+				if _, err := invoke(context.Background(), conn, confirm); err != nil {
 					t.Error(err)
 				}
 			}
@@ -293,73 +292,13 @@
 	}
 }
 
-// Guards against sends to a node that has left the list: streams that stand finish, nothing new goes there.
-func TestDrainDuringCalls(t *testing.T) {
-	f := newFleet(t, fakes.NodeOptions{Work: 300 * time.Millisecond}, fakes.NodeOptions{Work: 300 * time.Millisecond})
-	conn, plugin := f.dial(t, nil)
-	var wg sync.WaitGroup
-	for range 8 {
-		wg.Go(func() {
-			if _, err := ask(context.Background(), conn, confirm); err != nil {
-				t.Errorf("in hand as it drained: %v", err)
-			}
-		})
-	}
-	testutil.Eventually(t, "both are at work", func() bool { return f.nodes[0].InHand() > 0 && f.nodes[0].InHand()+f.nodes[1].InHand() == 8 })
-	if err := plugin.SetEndpoints(f.endpoints[1:]); err != nil {
-		t.Fatal(err)
-	}
-	f.nodes[0].Drain()
-	for range 20 {
-		wg.Go(func() {
-			if name, err := ask(context.Background(), conn, confirm); err != nil || name != "n1" {
-				t.Errorf("after the drain: %q, %v", name, err)
-			}
-		})
-	}
-	wg.Wait()
-	if n := f.ledger.Nodes()["n0"].AfterDrain; n != 0 {
-		t.Errorf("%d came after the drain", n)
-	}
-}
-
-// Guards against a send between the pick and the write: a call whose stream waits for the node's permission is sent
-// elsewhere once the node drains, and never there.
-func TestDrainWhileAStreamWaits(t *testing.T) {
-	f := newFleet(t, fakes.NodeOptions{Work: 500 * time.Millisecond, Streams: 1}, fakes.NodeOptions{})
-	conn, plugin := f.dial(t, func(o *grpcbalancer.Options) { o.Endpoints = f.endpoints[:1] })
-	ended := make(chan string, 4)
-	for range 4 { // one is at work, the others wait in grpc-go
-		go func() {
-			name, err := ask(context.Background(), conn, confirm)
-			ended <- fmt.Sprint(name, err)
-		}()
-	}
-	testutil.Eventually(t, "one is at work, all are decided", func() bool { return f.nodes[0].InHand() == 1 && plugin.InHand() == 4 })
-	time.Sleep(20 * time.Millisecond) // where the others get a moment more to wait in, it is the same test
-	if err := plugin.SetEndpoints(f.endpoints[1:]); err != nil {
-		t.Fatal(err)
-	}
-	f.nodes[0].Drain()
-	got := map[string]int{}
-	for range 4 {
-		got[<-ended]++
-	}
-	if got["n0<nil>"] != 1 || got["n1<nil>"] != 3 {
-		t.Errorf("answers %v", got)
-	}
-	if n := f.ledger.Nodes()["n0"]; n.Arrived != 1 || n.AfterDrain != 0 {
-		t.Errorf("the one that drains: %+v", n)
-	}
-}
-
 // Guards against UNAVAILABLE taken for a proof, whoever says it: an unsafe call that gets it is not sent again, and its
 // caller is not told what clients try again on.
 func TestUnavailableAloneProvesNothing(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, _ := f.dial(t, nil)
 	ctx := metadata.AppendToOutgoingContext(t.Context(), fakes.StatusKey, fmt.Sprint(uint32(codes.Unavailable)))
-	_, err := ask(ctx, conn, confirm)
+	_, err := invoke(ctx, conn, confirm)
 	if status.Code(err) != codes.Unknown || !grpcbalancer.MayHaveRun(err) {
 		t.Errorf("%v", err)
 	}
@@ -367,77 +306,3 @@
 		t.Errorf("ran %+v", n)
 	}
 }
-
-// Guards against options that are found out under traffic.
-func TestOptions(t *testing.T) {
-	good := grpcbalancer.Options{Settings: settings(), Endpoints: []grpcbalancer.Endpoint{{Name: "a", Address: "127.0.0.1:1"}}}
-	for want, change := range map[string]func(*grpcbalancer.Options){
-		"Discovery":     func(o *grpcbalancer.Options) { o.Discovery = "nowhere" },
-		"none of":       func(o *grpcbalancer.Options) { o.Endpoints = nil },
-		"File":          func(o *grpcbalancer.Options) { o.File = "/nowhere" },
-		"Endpoints":     func(o *grpcbalancer.Options) { o.Endpoints = []grpcbalancer.Endpoint{{Name: "a", Address: "b"}} },
-		"unknown class": func(o *grpcbalancer.Options) { o.Methods = map[string]string{search: "none"} },
-		"neither /pack": func(o *grpcbalancer.Options) { o.Methods = map[string]string{"Search": "search"} },
-		"Settings":      func(o *grpcbalancer.Options) { o.Settings.MaxAttempts = -1 },
-		"Classes":       func(o *grpcbalancer.Options) { o.Settings.Classes = nil },
-	} {
-		o := good
-		change(&o)
-		if p, err := grpcbalancer.New(o); err == nil {
-			t.Errorf("%s: taken", want)
-			p.Close()
-		} else if !contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
-		}
-	}
-	watching := good
-	watching.Discovery = "127.0.0.1:1"
-	w, err := grpcbalancer.New(watching)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer w.Close()
-	if err := w.SetEndpoints(good.Endpoints); err == nil {
-		t.Error("a list is taken beside discovery's")
-	}
-	p, err := grpcbalancer.New(good)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer p.Close()
-	if err := p.SetEndpoints([]grpcbalancer.Endpoint{{Name: "a", Address: "127.0.0.1:1"}, {Name: "a", Address: "127.0.0.1:2"}}); err == nil {
-		t.Error("a list with two of a name is taken")
-	}
-}
-
-// Guards against a method of which nothing is known that is sent twice; the mapping goes before the descriptor.
-func TestMethodsMapToClasses(t *testing.T) {
-	for _, c := range []struct {
-		method  string
-		mapping map[string]string
-		classes []balancer.Class // absent: all
-		again   bool
-	}{
-		{search, nil, nil, true},
-		{confirm, nil, nil, false},
-		{"/other.Service/Get", nil, nil, false},
-		{"/booking.Seats/Unheard", nil, nil, false},
-		{"/other.Service/Get", map[string]string{"/other.Service/*": "search"}, nil, true},
-		{"/other.Service/Put", map[string]string{"/other.Service/*": "search", "/other.Service/Put": "confirm"}, nil, false},
-		{search, map[string]string{search: "confirm"}, nil, false},
-		{confirm, nil, settings().Classes[:1], false}, // there is no unsafe class, so one is made
-	} {
-		f := newFleet(t, always(fakes.Fail), always(fakes.Fail))
-		conn, _ := f.dial(t, func(o *grpcbalancer.Options) {
-			o.Methods = c.mapping
-			if c.classes != nil {
-				o.Settings.Classes = c.classes
-			}
-		})
-		_, _ = ask(t.Context(), conn, c.method) // fails, after one send or more
-		n := f.ledger.Nodes()
-		if again := n["n0"].Ran+n["n1"].Ran > 1; again != c.again {
-			t.Errorf("%s with %v: sent again is %v", c.method, c.mapping, again)
-		}
-	}
-}
