--- a/grpcbalancer/cancellation_test.go
+++ b/grpcbalancer/cancellation_test.go
@@ -16,15 +16,15 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// delayedNode takes connections, and lets nothing through before it is released: no connection to the node behind it is ready before.
+// delayedNode accepts connections for a node and forwards nothing before release is called: until then no connection to the node is ready.
 func delayedNode(t *testing.T, node string) (address string, release func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	goOn := make(chan struct{})
-	release = sync.OnceFunc(func() { close(goOn) })
+	released := make(chan struct{})
+	release = sync.OnceFunc(func() { close(released) })
 	var serving sync.WaitGroup
 	var mu sync.Mutex
 	var conns []net.Conn
@@ -53,16 +53,16 @@
 			conns = append(conns, in, out)
 			mu.Unlock()
 			end := sync.OnceFunc(func() { in.Close(); out.Close() })
-			serving.Go(func() { <-goOn; _, _ = io.Copy(in, out); end() }) // both end with either
-			serving.Go(func() { <-goOn; _, _ = io.Copy(out, in); end() })
+			serving.Go(func() { <-released; _, _ = io.Copy(in, out); end() }) // both end with either
+			serving.Go(func() { <-released; _, _ = io.Copy(out, in); end() })
 		}
 	})
 	return l.Addr().String(), release
 }
 
-// Guards against calls that are sent for callers that have gone while they waited for a connection to come up, also where the attempts
-// run apart from the callers since others may wait for the key's end.
-func TestCallersGoneWhileAConnectionComesUp(t *testing.T) {
+// A call whose caller disconnects while it waits for a connection is never sent, also where its attempts run apart from the caller because
+// other callers may wait for the answer of its idempotency key.
+func TestCallersDisconnectWhileConnecting(t *testing.T) {
 	for _, method := range []string{search, confirm, record} {
 		f := newFleet(t, fakes.NodeOptions{})
 		address, release := delayedNode(t, f.endpoints[0].Address)
@@ -87,7 +87,7 @@
 				}
 			})
 		}
-		testutil.Eventually(t, "they are in hand", func() bool { return plugin.InHand() == callers || method == record && plugin.InHand() == 1 })
+		testutil.Eventually(t, "the calls are in flight", func() bool { return plugin.InHand() == callers || method == record && plugin.InHand() == 1 })
 		leave()
 		calls.Wait()
 		for end := time.Now().Add(500 * time.Millisecond); plugin.InHand() > 0 && time.Now().Before(end); { // or long enough for the fault to show
--- a/grpcbalancer/config_test.go
+++ b/grpcbalancer/config_test.go
@@ -13,7 +13,7 @@
 
 const example = "../deploy/grpc.example.json"
 
-// Guards against an example that can't be used, and a file that means something else than the same Go options.
+// The example configuration means the same as the corresponding Go options, and can be used.
 func TestLoadOptions(t *testing.T) {
 	o, err := grpcbalancer.LoadOptions(example)
 	if err != nil {
@@ -30,8 +30,8 @@
 	p.Close()
 }
 
-// Guards against mistakes that are told one at a time, or not.
-func TestLoadOptionsNamesTheMistakes(t *testing.T) {
+// CheckConfig reports mistakes by their key, and LoadOptions in one line with the path of the file.
+func TestCheckConfigReportsMistakes(t *testing.T) {
 	good, err := os.ReadFile(example)
 	if err != nil {
 		t.Fatal(err)
@@ -64,6 +64,6 @@
 		}
 	}
 	if _, err := grpcbalancer.LoadOptions(filepath.Join(t.TempDir(), "missing")); err == nil {
-		t.Error("a missing file is taken")
+		t.Error("a missing file is accepted")
 	}
 }
--- a/grpcbalancer/credentials_test.go
+++ b/grpcbalancer/credentials_test.go
@@ -17,7 +17,7 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// encrypted starts nodes that show a certificate of an authority, and a plug-in that trusts a file.
+// newEncryptedFleet starts nodes with a certificate of an authority and a Plugin that trusts the authority by a file, whose path it returns.
 func newEncryptedFleet(t *testing.T, ca *fakes.CA, identity string, log func(string), names ...string) (*fleet, *grpc.ClientConn, string) {
 	t.Helper()
 	var options []fakes.NodeOptions
@@ -46,7 +46,8 @@
 	return f, conn, trusted
 }
 
-// Guards against a node that is taken for another one, and against a handshake that counts as a call that may have run.
+// A certificate has to bear the identity of its endpoint; a failed handshake counts as a call that did not run. Invalid TLS options are
+// rejected.
 func TestEncryptedCalls(t *testing.T) {
 	ca := base.CA(t, "one")
 	for identity, want := range map[string]codes.Code{"": codes.OK, "node.example": codes.OK, "other.example": codes.Unavailable} {
@@ -62,13 +63,13 @@
 	for _, bad := range []grpcbalancer.TLS{{}, {CA: "/nonexistent"}, {CA: "/nonexistent", Certificate: "/c"}} {
 		if _, err := grpcbalancer.New(grpcbalancer.Options{Settings: settings(), Endpoints: []grpcbalancer.Endpoint{{Name: "a",
 			Address: "127.0.0.1:1"}}, TLS: &bad}); err == nil {
-			t.Errorf("%+v is taken", bad)
+			t.Errorf("%+v is accepted", bad)
 		}
 	}
 }
 
-// Guards against connections that outlive the authority they were made under, and against streams that its end breaks.
-func TestAuthorityIsWithdrawn(t *testing.T) {
+// After an authority is replaced, no new call uses a connection made under the old one, and open streams finish.
+func TestReplacedAuthority(t *testing.T) {
 	ca, next := base.CA(t, "one"), base.CA(t, "two")
 	var taken atomic.Int64
 	_, conn, trusted := newEncryptedFleet(t, ca, "", func(line string) {
--- a/grpcbalancer/determinism_test.go
+++ b/grpcbalancer/determinism_test.go
@@ -20,8 +20,8 @@
 	"orchiddrift/internal/fakes"
 )
 
-// trace plays 150 calls, one after another, in virtual time: the whole plug-in with grpc-go and nodes, over connections in
-// memory. Nodes differ in speed, one turns slow, one refuses streams, one freezes.
+// playTrace makes 150 calls one after another in virtual time, by a Plugin with grpc-go and nodes over connections in memory, and returns
+// who answered which call when. Nodes differ in speed; one turns slow, one refuses streams, and one freezes.
 func playTrace(t *testing.T, seed uint64) string {
 	var out strings.Builder
 	synctest.Test(t, func(t *testing.T) {
@@ -69,8 +69,8 @@
 	return out.String()
 }
 
-// Guards against decisions that depend on anything but the seed and what happened: the same script gives the same nodes,
-// answers and times, to the millisecond of virtual time. Another seed gives others.
+// Decisions depend on nothing but the seed and what happened: the same script gives the same nodes, answers and times, to the millisecond of
+// virtual time. Another seed gives others.
 func TestSameSeedSameTrace(t *testing.T) {
 	first, second, other := playTrace(t, 1), playTrace(t, 1), playTrace(t, 2)
 	if first != second {
--- a/grpcbalancer/drain_test.go
+++ b/grpcbalancer/drain_test.go
@@ -12,7 +12,7 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// Guards against sends to a node that has left the list: streams that stand finish, nothing new goes there.
+// When a node leaves the list, its calls in flight finish and no new one is sent there.
 func TestDrainDuringCalls(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{Work: 300 * time.Millisecond}, fakes.NodeOptions{Work: 300 * time.Millisecond})
 	conn, plugin := f.dial(t, nil)
@@ -20,11 +20,11 @@
 	for range 8 {
 		wg.Go(func() {
 			if _, err := invoke(context.Background(), conn, confirm); err != nil {
-				t.Errorf("in hand as it drained: %v", err)
+				t.Errorf("in flight as it drained: %v", err)
 			}
 		})
 	}
-	testutil.Eventually(t, "both are at work", func() bool { return f.nodes[0].InHand() > 0 && f.nodes[0].InHand()+f.nodes[1].InHand() == 8 })
+	testutil.Eventually(t, "both have calls in flight", func() bool { return f.nodes[0].InHand() > 0 && f.nodes[0].InHand()+f.nodes[1].InHand() == 8 })
 	if err := plugin.SetEndpoints(f.endpoints[1:]); err != nil {
 		t.Fatal(err)
 	}
@@ -42,19 +42,18 @@
 	}
 }
 
-// Guards against a send between the pick and the write: a call whose stream waits for the node's permission is sent
-// elsewhere once the node drains, and never there.
-func TestDrainWhileAStreamWaits(t *testing.T) {
+// Calls that wait for the node's stream limit are sent elsewhere once the node drains, and never there.
+func TestDrainWhileStreamsWait(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{Work: 500 * time.Millisecond, Streams: 1}, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, func(o *grpcbalancer.Options) { o.Endpoints = f.endpoints[:1] })
 	ended := make(chan string, 4)
-	for range 4 { // one is at work, the others wait in grpc-go
+	for range 4 { // one is in flight, the others wait in grpc-go
 		go func() {
 			name, err := invoke(context.Background(), conn, confirm)
 			ended <- fmt.Sprint(name, err)
 		}()
 	}
-	testutil.Eventually(t, "one is at work, all are decided", func() bool { return f.nodes[0].InHand() == 1 && plugin.InHand() == 4 })
+	testutil.Eventually(t, "one is in flight, all are decided", func() bool { return f.nodes[0].InHand() == 1 && plugin.InHand() == 4 })
 	time.Sleep(20 * time.Millisecond) // where the others get a moment more to wait in, it is the same test
 	if err := plugin.SetEndpoints(f.endpoints[1:]); err != nil {
 		t.Fatal(err)
--- a/grpcbalancer/example_test.go
+++ b/grpcbalancer/example_test.go
@@ -15,9 +15,9 @@
 	"orchiddrift/internal/fakes"
 )
 
-// A client whose calls the plug-in balances over a list that is given in Go. LoadOptions reads the same from a file.
+// A client whose calls are balanced over a list that is given in Go. LoadOptions reads the same from a file.
 func Example() {
-	// A stand-in for a booking node; in service the list comes from discovery.
+	// A fake booking node; in production, the list comes from discovery.
 	node := fakes.NewNode(fakes.NodeOptions{Name: "s-1", Answer: func(fakes.Job) []byte {
 		seat, _ := proto.Marshal(wrapperspb.String("coach 4, seat 17"))
 		return seat
--- a/grpcbalancer/fleet_test.go
+++ b/grpcbalancer/fleet_test.go
@@ -30,6 +30,7 @@
 	confirm = "/booking.Seats/Confirm" // unknown
 )
 
+// files returns the descriptors of the test's service.
 func files(t testing.TB) *protoregistry.Files {
 	t.Helper()
 	method := func(name string, level descriptorpb.MethodOptions_IdempotencyLevel) *descriptorpb.MethodDescriptorProto {
@@ -51,6 +52,7 @@
 	return f
 }
 
+// settings returns settings with one class of each idempotency.
 func settings() balancer.Settings {
 	class := func(name string, e balancer.Idempotency) balancer.Class {
 		return balancer.Class{Name: name, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, LateValueFraction: 0.5, Idempotency: e,
@@ -62,14 +64,14 @@
 		ConnectTimeout: time.Second}
 }
 
-// fleet is nodes that speak gRPC, and their one ledger.
+// fleet is a set of nodes that speak gRPC and share a ledger.
 type fleet struct {
 	ledger    *fakes.Ledger
 	nodes     []*fakes.Node
 	endpoints []grpcbalancer.Endpoint
 }
 
-// newFleet starts one node for each of options, which are completed.
+// newFleet starts a node for each of options, which it completes. Nodes answer with their names.
 func newFleet(t testing.TB, options ...fakes.NodeOptions) *fleet {
 	t.Helper()
 	f := &fleet{ledger: fakes.NewLedger()}
@@ -101,7 +103,7 @@
 	return f
 }
 
-// dial starts a plug-in for the fleet and a ClientConn on it.
+// dial starts a Plugin for the fleet and a ClientConn on it. change, which may be nil, edits the options.
 func (f *fleet) dial(t testing.TB, change func(*grpcbalancer.Options)) (*grpc.ClientConn, *grpcbalancer.Plugin) {
 	t.Helper()
 	o := grpcbalancer.Options{Settings: settings(), Seed: 7, Endpoints: f.endpoints, Files: files(t)}
@@ -116,6 +118,7 @@
 	return connect(t, p), p
 }
 
+// connect opens a ClientConn on a Plugin.
 func connect(t testing.TB, p *grpcbalancer.Plugin) *grpc.ClientConn {
 	t.Helper()
 	conn, err := grpc.NewClient(p.Target(), append(p.DialOptions(), grpc.WithTransportCredentials(insecure.NewCredentials()))...)
@@ -126,7 +129,7 @@
 	return conn
 }
 
-// ask makes a unary call and gives the name of the node that answered.
+// invoke makes a unary call and returns the name of the node that answered.
 func invoke(ctx context.Context, conn *grpc.ClientConn, method string, opts ...grpc.CallOption) (string, error) {
 	reply := &wrapperspb.StringValue{}
 	err := conn.Invoke(ctx, method, wrapperspb.String("seat 4"), reply, opts...)
--- a/grpcbalancer/methods_test.go
+++ b/grpcbalancer/methods_test.go
@@ -8,7 +8,7 @@
 	"orchiddrift/internal/fakes"
 )
 
-// Guards against a method of which nothing is known that is sent twice; the mapping goes before the descriptor.
+// The mapping of a method comes before its descriptor, and a method of which nothing is known is not retried.
 func TestMethodsMapToClasses(t *testing.T) {
 	for _, c := range []struct {
 		method  string
@@ -23,7 +23,7 @@
 		{"/other.Service/Get", map[string]string{"/other.Service/*": "search"}, nil, true},
 		{"/other.Service/Put", map[string]string{"/other.Service/*": "search", "/other.Service/Put": "confirm"}, nil, false},
 		{search, map[string]string{search: "confirm"}, nil, false},
-		{confirm, nil, settings().Classes[:1], false}, // there is no unsafe class, so one is made
+		{confirm, nil, settings().Classes[:1], false}, // there is no non-idempotent class, so one is added
 	} {
 		f := newFleet(t, withFault(fakes.Fail), withFault(fakes.Fail))
 		conn, _ := f.dial(t, func(o *grpcbalancer.Options) {
--- a/grpcbalancer/options_test.go
+++ b/grpcbalancer/options_test.go
@@ -7,7 +7,7 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Guards against options that are found out under traffic.
+// Invalid options fail in New and not when calls are made.
 func TestOptions(t *testing.T) {
 	good := grpcbalancer.Options{Settings: settings(), Endpoints: []grpcbalancer.Endpoint{{Name: "a", Address: "127.0.0.1:1"}}}
 	for want, change := range map[string]func(*grpcbalancer.Options){
@@ -23,7 +23,7 @@
 		o := good
 		change(&o)
 		if p, err := grpcbalancer.New(o); err == nil {
-			t.Errorf("%s: taken", want)
+			t.Errorf("%s: accepted", want)
 			p.Close()
 		} else if !contains(err.Error(), want) {
 			t.Errorf("%s: %v", want, err)
@@ -37,7 +37,7 @@
 	}
 	defer w.Close()
 	if err := w.SetEndpoints(good.Endpoints); err == nil {
-		t.Error("a list is taken beside discovery's")
+		t.Error("a list is accepted beside discovery's")
 	}
 	p, err := grpcbalancer.New(good)
 	if err != nil {
@@ -45,12 +45,12 @@
 	}
 	defer p.Close()
 	if err := p.SetEndpoints([]grpcbalancer.Endpoint{{Name: "a", Address: "127.0.0.1:1"}, {Name: "a", Address: "127.0.0.1:2"}}); err == nil {
-		t.Error("a list with two of a name is taken")
+		t.Error("a list with two of a name is accepted")
 	}
 }
 
-// A door that can't be is one clear error.
-func TestDoorOptions(t *testing.T) {
+// An invalid section [[door]] fails in New.
+func TestInvalidAdmissionOptions(t *testing.T) {
 	for name, text := range map[string]string{
 		"none of this service": "[[door]]\nservice = \"other\"\n",
 		"by the peer":          "[[door]]\nservice = \"service\"\nby = [\"address\"]\n",
@@ -60,7 +60,7 @@
 			Files: files(t), File: base.File(t, "o.toml", []byte(text))}
 		if p, err := grpcbalancer.New(o); err == nil {
 			p.Close()
-			t.Errorf("%s: it is taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
--- a/grpcbalancer/prewarm_test.go
+++ b/grpcbalancer/prewarm_test.go
@@ -14,8 +14,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// With [service.warm] the upstreams that no call has gone to are connected to as well, and one that starts anew again.
-func TestWarm(t *testing.T) {
+// With [service.warm], upstreams that no call was sent to are connected to as well, and so is a restarted one.
+func TestPrewarming(t *testing.T) {
 	f := newFleet(t, make([]fakes.NodeOptions, 6)...)
 	counted := make([]*countingProxy, len(f.endpoints))
 	for i, e := range f.endpoints {
@@ -42,12 +42,13 @@
 	}
 }
 
-// counter passes connections on, and counts them.
+// countingProxy forwards connections to an address, and counts them.
 type countingProxy struct {
 	address    string
 	made, open atomic.Int32
 }
 
+// newCountingProxy starts a countingProxy that ends with the test.
 func newCountingProxy(t *testing.T, to string) *countingProxy {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/grpcbalancer/stream_test.go
+++ b/grpcbalancer/stream_test.go
@@ -23,7 +23,7 @@
 var bidiStream = &grpc.StreamDesc{StreamName: "Search", ServerStreams: true, ClientStreams: true}
 var clientStream = &grpc.StreamDesc{StreamName: "Search", ClientStreams: true}
 
-// open starts a server stream of so many messages.
+// openServerStream starts a server stream whose response has a number of messages, sent with a gap between them.
 func openServerStream(t *testing.T, ctx context.Context, conn *grpc.ClientConn, method string, messages int, gap time.Duration) grpc.ClientStream {
 	t.Helper()
 	ctx = metadata.AppendToOutgoingContext(ctx, fakes.MessagesKey, fmt.Sprint(messages), fakes.GapKey, fmt.Sprint(gap.Microseconds()))
@@ -40,7 +40,7 @@
 	return s
 }
 
-// receiveAll receives to the end.
+// receiveAll receives messages to the end of a stream.
 func receiveAll(s grpc.ClientStream) (got []string, err error) {
 	for {
 		m := &wrapperspb.StringValue{}
@@ -53,7 +53,7 @@
 	}
 }
 
-// Guards against messages lost, doubled or mixed from two attempts.
+// No message of a server stream is lost, doubled or from another attempt.
 func TestServerStream(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, nil)
@@ -78,13 +78,12 @@
 		}
 	}
 	if n := plugin.InHand(); n != 0 {
-		t.Errorf("%d are left in hand", n)
+		t.Errorf("%d calls are in flight", n)
 	}
 }
 
-// Guards against a stream that is not sent again while that is harmless: up to its first message it is like a unary
-// call; and against one that is sent again after it.
-func TestServerStreamIsRepeatedUpToItsFirstMessage(t *testing.T) {
+// A server stream is retried like a unary call up to its first message, and never after it.
+func TestServerStreamIsRetriedUpToItsFirstMessage(t *testing.T) {
 	bad := fakes.NodeOptions{Name: "bad", Faults: []fakes.Fault{{Kind: fakes.ResetBefore}}}
 	f := newFleet(t, bad, fakes.NodeOptions{Name: "good"})
 	conn, _ := f.dial(t, nil)
@@ -108,11 +107,11 @@
 	if n := f.ledger.Nodes(); n["n0"].Arrived+n["n1"].Arrived != 1 {
 		t.Errorf("sent %+v", n)
 	}
-	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 }
 
-// Guards against an unsafe stream that is sent twice before its first message.
-func TestUnsafeServerStream(t *testing.T) {
+// A non-idempotent server stream is not sent twice, even before its first message.
+func TestNonIdempotentServerStreamIsNotRetried(t *testing.T) {
 	f := newFleet(t, withFault(fakes.ResetAfter), withFault(fakes.ResetAfter))
 	conn, _ := f.dial(t, nil)
 	_, err := receiveAll(openServerStream(t, t.Context(), conn, confirm, 3, 0))
@@ -124,7 +123,7 @@
 	}
 }
 
-// Guards against a stream cut off at its class's deadline once it has begun, and one that outlives its caller.
+// An open stream is not bounded by its class's deadline, and ends with its caller's context.
 func TestStreamLastsAsLongAsItsCaller(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, func(o *grpcbalancer.Options) {
@@ -144,17 +143,17 @@
 		t.Errorf("after its caller left: %v", err)
 	}
 	testutil.Eventually(t, "the node sees it end", func() bool { return f.nodes[0].InHand() == 0 })
-	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 
 	ctx, cancel = context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	if _, err := receiveAll(openServerStream(t, ctx, conn, search, 1000, 20*time.Millisecond)); status.Code(err) != codes.DeadlineExceeded {
 		t.Errorf("after its caller's deadline: %v", err)
 	}
-	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 }
 
-// Guards against a stream of the client's that is repeated, or that goes wrong where nothing does.
+// Streams on which the client sends work as with plain grpc-go.
 func TestClientAndBidiStreams(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, nil)
@@ -192,12 +191,11 @@
 	if err := s.RecvMsg(m); err != nil || m.GetValue() != "one" {
 		t.Errorf("answer %q, %v", m.GetValue(), err)
 	}
-	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 }
 
-// Guards against a client stream that is opened on a second node after its first broke, even of a safe class: messages
-// were written on it.
-func TestClientStreamIsNeverRepeated(t *testing.T) {
+// An open client stream is not retried after it broke, even of an idempotent class: messages were sent on it.
+func TestClientStreamIsNeverRetried(t *testing.T) {
 	f := newFleet(t, withFault(fakes.ResetAfter), withFault(fakes.ResetAfter))
 	conn, plugin := f.dial(t, nil)
 	ctx := metadata.AppendToOutgoingContext(t.Context(), fakes.EchoKey, "1")
@@ -216,12 +214,11 @@
 	if n := f.ledger.Nodes(); n["n0"].Ran+n["n1"].Ran != 1 {
 		t.Errorf("ran %+v", n)
 	}
-	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 }
 
-// Guards against a client stream given up on though its opening can be tried elsewhere: a connection that is refused
-// took nothing.
-func TestClientStreamOpensElsewhere(t *testing.T) {
+// The opening of a client stream is retried on another node if its connection was refused: nothing was sent.
+func TestClientStreamIsOpenedElsewhere(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{Name: "dead"}, fakes.NodeOptions{Name: "alive"})
 	f.nodes[0].Kill()
 	conn, _ := f.dial(t, nil)
--- a/grpcbalancer/subset_test.go
+++ b/grpcbalancer/subset_test.go
@@ -8,13 +8,13 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Of many endpoints a plug-in asks those alone that are its own by [service.subset], also after another list was set.
+// With [service.subset], calls go to a subset of the endpoints alone, also after another list was set.
 func TestSubset(t *testing.T) {
 	options := make([]fakes.NodeOptions, 24)
 	f := newFleet(t, options...)
 	file := base.File(t, "o.toml", []byte("[[service]]\nname = \"service\"\n[service.subset]\non = true\nleast = 4\nmost = 4\nsidecars = 3\nindex = 1\naway = 0.0\n"))
 	conn, p := f.dial(t, func(o *grpcbalancer.Options) { o.File = file })
-	asked := func() map[string]bool {
+	callNodes := func() map[string]bool {
 		names := map[string]bool{}
 		for range 200 {
 			name, err := invoke(t.Context(), conn, search)
@@ -25,9 +25,9 @@
 		}
 		return names
 	}
-	first := asked()
+	first := callNodes()
 	if len(first) < 2 || len(first) > 4 {
-		t.Errorf("%d nodes were asked", len(first))
+		t.Errorf("%d nodes got calls", len(first))
 	}
 	rest := f.endpoints[:0:0]
 	for _, e := range f.endpoints {
@@ -38,13 +38,13 @@
 	if err := p.SetEndpoints(rest); err != nil {
 		t.Fatal(err)
 	}
-	second := asked()
+	second := callNodes()
 	for name := range second {
 		if first[name] {
-			t.Errorf("%s is asked, and not listed", name)
+			t.Errorf("%s gets calls, and is not listed", name)
 		}
 	}
 	if len(second) < 2 || len(second) > 4 {
-		t.Errorf("%d nodes were asked of another list", len(second))
+		t.Errorf("%d nodes of another list got calls", len(second))
 	}
 }
--- a/grpcbalancer/unary_test.go
+++ b/grpcbalancer/unary_test.go
@@ -21,25 +21,26 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
+// withFault returns the options of a node that always has a fault.
 func withFault(kind fakes.FaultKind) fakes.NodeOptions {
 	return fakes.NodeOptions{Faults: []fakes.Fault{{Kind: kind, Factor: 1}}}
 }
 
-// Guards against claims of "never ran" that the wire does not bear out, and against repeats of what may have run: each
-// status by what it proves. Every node has the same fault, so the answer is what is left when nothing helps.
-func TestWhatEachEndProves(t *testing.T) {
+// For each way in which an attempt ends: the status of the caller, whether it claims that the call did not run, and how often calls are sent.
+// Every node has the same fault, so that no retry helps.
+func TestResultByEndOfAttempt(t *testing.T) {
 	const refused, failed = codes.Unavailable, codes.Unknown
 	for _, c := range []struct {
-		name                   string
-		kind                   fakes.FaultKind
-		unsafe                 codes.Code // of a call that must not run twice
-		unsafeSends, unsafeRun int
-		safeSends              int // at least
+		name                                  string
+		kind                                  fakes.FaultKind
+		nonIdempotent                         codes.Code // of a call that must not run twice
+		nonIdempotentSends, nonIdempotentRuns int
+		idempotentSends                       int // at least
 	}{
-		{"turned away with the mark", fakes.TurnAway, refused, 5, 0, 5},
+		{"rejected with the trailer", fakes.TurnAway, refused, 5, 0, 5},
 		{"REFUSED_STREAM", fakes.RefuseAtWire, refused, 5, 0, 5},
 		{"GOAWAY below the stream", fakes.GoAway, refused, 5, 0, 5},
-		{"an error without the mark", fakes.FailUnrun, codes.Internal, 1, 0, 2},
+		{"an error without the trailer", fakes.FailUnrun, codes.Internal, 1, 0, 2},
 		{"an error after it ran", fakes.Fail, codes.Internal, 1, 1, 2},
 		{"broken before it ran", fakes.ResetBefore, failed, 1, 0, 2},
 		{"broken after it ran", fakes.ResetAfter, failed, 1, 1, 2},
@@ -49,38 +50,38 @@
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, withFault(c.kind), withFault(c.kind))
 			conn, plugin := f.dial(t, nil)
-			ctx := metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.RequestIDKey, "op-unsafe")
+			ctx := metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.RequestIDKey, "op-non-idempotent")
 			_, err := invoke(ctx, conn, confirm)
-			if got := status.Code(err); got != c.unsafe {
-				t.Errorf("unsafe: %v, want %v", err, c.unsafe)
+			if got := status.Code(err); got != c.nonIdempotent {
+				t.Errorf("non-idempotent: %v, want %v", err, c.nonIdempotent)
 			}
-			if may := grpcbalancer.MayHaveRun(err); may != (c.unsafe != refused) {
-				t.Errorf("unsafe: may have run is %v: %v", may, err)
+			if may := grpcbalancer.MayHaveRun(err); may != (c.nonIdempotent != refused) {
+				t.Errorf("non-idempotent: may have run is %v: %v", may, err)
 			}
 			arrived := 0
 			for _, n := range f.ledger.Nodes() {
 				arrived += n.Arrived
 			}
-			if runs := len(f.ledger.Operation("op-unsafe").Runs); arrived != c.unsafeSends || runs != c.unsafeRun {
-				t.Errorf("unsafe: arrived %d times, ran %d", arrived, runs)
+			if runs := len(f.ledger.Operation("op-non-idempotent").Runs); arrived != c.nonIdempotentSends || runs != c.nonIdempotentRuns {
+				t.Errorf("non-idempotent: arrived %d times, ran %d", arrived, runs)
 			}
 			if _, err = invoke(t.Context(), conn, search); err == nil {
-				t.Error("safe: served")
+				t.Error("idempotent: served")
 			}
 			after := 0
 			for _, n := range f.ledger.Nodes() {
 				after += n.Arrived
 			}
-			if after-arrived < c.safeSends {
-				t.Errorf("safe: sent %d times, %v", after-arrived, err)
+			if after-arrived < c.idempotentSends {
+				t.Errorf("idempotent: sent %d times, %v", after-arrived, err)
 			}
-			testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+			testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 		})
 	}
 }
 
-// Guards against a refusal without the advice when to come back, and without the proof that it did not run.
-func TestRefusalCarriesRetryInfo(t *testing.T) {
+// A rejected call has a Retry-After and the reason that proves that it did not run.
+func TestRejectionCarriesRetryInfo(t *testing.T) {
 	conn, _ := newFleet(t, withFault(fakes.TurnAway)).dial(t, nil)
 	_, err := invoke(t.Context(), conn, confirm)
 	var retry time.Duration
@@ -98,8 +99,8 @@
 	}
 }
 
-// Guards against a connection that can't be made counted as a request that may have run: nothing was sent.
-func TestRefusedConnections(t *testing.T) {
+// A refused connection does not count as a call that may have run: a non-idempotent call is sent elsewhere.
+func TestRefusedConnectionIsRetriedElsewhere(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{})
 	f.endpoints = append(f.endpoints, grpcbalancer.Endpoint{Name: "dead", Address: base.FreeAddress(t), Zone: "a"})
 	conn, _ := f.dial(t, nil)
@@ -113,9 +114,9 @@
 	}
 }
 
-// Guards against a connect timeout that is grpc-go's and not the settings': a peer that takes connections and says
-// nothing costs that long, and then the request goes elsewhere, since it was never sent.
-func TestSilentPeerIsGivenUpInTime(t *testing.T) {
+// The connect timeout is the settings', not grpc-go's: an upstream that accepts connections and never answers the handshake costs that
+// long, and then the call goes elsewhere, since it was never sent.
+func TestConnectTimeoutOfSilentUpstream(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -132,8 +133,7 @@
 	}
 }
 
-// Guards against the patience for a connection that goes on once there is one: a first call whose answer takes longer than
-// a connection may is not cut off.
+// The connect timer ends with the connection: the first call on a connection may take longer than the connect timeout.
 func TestConnectTimeoutDoesNotBoundAnswers(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{Work: 600 * time.Millisecond})
 	conn, _ := f.dial(t, func(o *grpcbalancer.Options) { o.Settings.ConnectTimeout = 200 * time.Millisecond })
@@ -142,7 +142,7 @@
 	}
 }
 
-// Guards against the application's answers taken for failures of a node: they are the caller's, the first time.
+// Statuses of the application are the caller's answer and not retried.
 func TestApplicationStatusIsTheAnswer(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, _ := f.dial(t, nil)
@@ -158,7 +158,7 @@
 	}
 }
 
-// Guards against the caller's own cancellation and deadline told as something else, and against calls that outlive them.
+// The caller's own cancellation and deadline keep their codes, and its call ends with them.
 func TestCallersContextKeepsItsCode(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(context.Context) (context.Context, context.CancelFunc)
@@ -185,14 +185,14 @@
 				t.Errorf("%s %s: took %v", name, method, took)
 			}
 			cancel()
-			testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+			testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 			testutil.Eventually(t, "the nodes see it end", func() bool { return f.nodes[0].InHand()+f.nodes[1].InHand() == 0 })
 		}
 	}
 }
 
-// Guards against a call without a deadline that waits for ever: it has its class's.
-func TestNoDeadlineIsTheClasss(t *testing.T) {
+// A call without a deadline ends at its class's.
+func TestClassDeadlineBoundsCallWithoutDeadline(t *testing.T) {
 	conn, _ := newFleet(t, withFault(fakes.Hang)).dial(t, func(o *grpcbalancer.Options) {
 		o.Settings.Classes[2].LatencyObjective, o.Settings.Classes[2].Deadline = 300*time.Millisecond, 300*time.Millisecond
 	})
@@ -203,7 +203,7 @@
 	}
 }
 
-// Guards against call options that two copies write to at once, or that nobody writes to.
+// Header, Trailer, Peer and OnFinish work, once for each call.
 func TestCallOptions(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{})
 	conn, _ := f.dial(t, nil)
@@ -219,7 +219,7 @@
 	}
 }
 
-// Guards against a call that the module never heard of.
+// A second call with the request id of a call in flight is rejected.
 func TestDuplicateRequestID(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{Work: 200 * time.Millisecond})
 	conn, _ := f.dial(t, nil)
@@ -238,8 +238,8 @@
 	}
 }
 
-// Guards against a key that differs between the attempts of one call, or is the same for two calls.
-func TestKeysTravel(t *testing.T) {
+// The attempts of a call have the same generated idempotency key, and two calls have different ones.
+func TestIdempotencyKeyIsPerCall(t *testing.T) {
 	f := newFleet(t, withFault(fakes.LoseAnswer), fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, _ := f.dial(t, func(o *grpcbalancer.Options) {
 		for i := range o.Settings.Classes {
@@ -270,9 +270,8 @@
 	}
 }
 
-// Guards against estimates kept for each connection: one engine serves any number of ClientConns, and what one call
-// learns of a node the others know. Of two nodes one is slow.
-func TestOneEngineForManyConns(t *testing.T) {
+// One engine serves any number of ClientConns: what one learns of a slow node, the others know.
+func TestClientConnsShareEstimates(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{Work: 150 * time.Millisecond}, fakes.NodeOptions{Work: time.Millisecond})
 	_, plugin := f.dial(t, nil)
 	var wg sync.WaitGroup
@@ -292,8 +291,8 @@
 	}
 }
 
-// Guards against UNAVAILABLE taken for a proof, whoever says it: an unsafe call that gets it is not sent again, and its
-// caller is not told what clients try again on.
+// UNAVAILABLE does not prove that a call did not run, whoever sends it: a non-idempotent call that gets it is not retried, and its caller
+// gets another code, since clients retry on UNAVAILABLE.
 func TestUnavailableAloneProvesNothing(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, _ := f.dial(t, nil)
