--- a/grpcbalancer/admission.go
+++ b/grpcbalancer/admission.go
@@ -22,7 +22,7 @@
 		Classes:        o.Settings.Classes,
 		Clock:          clk,
 		Log:            log,
-		Seed:           o.Seed ^ xxhash.Sum64String("door"),
+		Seed:           o.Seed ^ xxhash.Sum64String(admissionSeedLabel),
 		SendRetryAfter: o.Settings.RetryAfterAllowed,
 	})
 }
--- a/grpcbalancer/call.go
+++ b/grpcbalancer/call.go
@@ -17,6 +17,8 @@
 )
 
 const (
+	microsPerSecond = 1e6
+
 	requestIDWords      = 1 // of 64 random bits, in a generated request id
 	idempotencyKeyWords = 2 // of 64 random bits, in a generated idempotency key
 
@@ -80,7 +82,7 @@
 // costHint returns the expected work that the caller states in CostKey; 0 where it is absent, malformed or out of range.
 func costHint(md metadata.MD) time.Duration {
 	micros, err := strconv.ParseFloat(firstValue(md, CostKey), 64)
-	if err == nil && micros > 0 && micros < maxCostHint.Seconds()*1e6 {
+	if err == nil && micros > 0 && micros < maxCostHint.Seconds()*microsPerSecond {
 		return time.Duration(micros * float64(time.Microsecond))
 	}
 	return 0
--- a/grpcbalancer/options.go
+++ b/grpcbalancer/options.go
@@ -75,3 +75,9 @@
 
 	maxSubConns = 4096 // of one ClientConn; prewarming uses its configured part of them
 )
+
+// Labels that Options.Seed is combined with for independent random numbers. They are part of what a seed means and must not change.
+const (
+	admissionSeedLabel = "door"
+	prewarmSeedLabel   = "warm"
+)
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -70,7 +70,7 @@
 	resolvers map[*listResolver]bool
 }
 
-// idStream is the stream of Options.Seed's random numbers that ids and keys are generated from.
+// idStream is the PCG stream of the random numbers that request ids and idempotency keys are generated from.
 const idStream = 0x6f72636869646772
 
 // checkedOptions are Options whose own checks have passed, with what was read on the way.
@@ -191,7 +191,7 @@
 		}
 	}
 	if o.file.Prewarm.Enabled {
-		rng := rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String("warm")))
+		rng := rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String(prewarmSeedLabel)))
 		p.prewarming = newPrewarming(prewarm.New(o.file.Prewarm, maxSubConns, rng))
 	}
 	return nil
