--- a/internal/admission/cost.go
+++ b/internal/admission/cost.go
@@ -7,66 +7,70 @@
 	"orchiddrift/balancer"
 )
 
-// A request's cost is how long it holds a place beyond the door, in seconds: places are what there is too little of.
-// Before it has ended that is an estimate, after it the difference is settled (sfq.settle).
+// A request's cost is the time that it is in flight, in seconds. It is estimated before the request is dispatched, and
+// the difference is charged after it has ended (sfqScheduler.correctCost).
 const (
-	costUsual   = 0.02  // of a class that nothing is known of
-	costLeast   = 1e-6  // no request is free
-	costRange   = 8.0   // an estimate is within this factor of its class's usual cost
-	costBlend   = 0.05  // weight of one sample in the averages
-	hintBlend   = 0.05  // and of one hint
-	honestyLow  = 0.125 // bounds of a group's factor between hints and what its requests took
-	honestyHigh = 8.0
+	initialCost     = 0.02  // s: mean of a class that nothing is known of
+	minCost         = 1e-6  // s: no request is free
+	maxHintFactor   = 8.0   // an estimate is at most this factor away from its class's mean
+	costSmoothing   = 0.05  // weight of one request in the means
+	hintSmoothing   = 0.05  // weight of one hint in the mean hint and in a group's hint accuracy
+	minHintAccuracy = 0.125 // bounds of one observed accuracy
+	maxHintAccuracy = 8.0
+	boundDeviations = 2 // mean deviations above the mean, in costBound
 )
 
-// class is what the door knows of one class of requests.
-type class struct {
+// classStats is a class of requests and what has been learned of their cost, in seconds.
+type classStats struct {
 	balancer.Class
-	usual float64 // mean cost, s
-	apart float64 // mean distance of costs from it, s
-	long  float64 // mean cost over minutes, s; 0: not known yet
-	hint  float64 // mean of the hints that come with it, s; 0: none came
+	meanCost      float64
+	meanDeviation float64 // mean absolute deviation from meanCost
+	longTermCost  float64 // mean over minutes, kept by the limiter; 0: unknown
+	meanHint      float64 // of the hints that came with requests; 0: none came
 }
 
-// estimate is what a request is charged at first. honesty is what the group's earlier hints were worth.
-func (c *class) estimate(hint time.Duration, honesty float64) float64 {
-	cost := c.usual
-	if hint > 0 && c.hint > 0 {
-		cost *= min(costRange, max(1/costRange, hint.Seconds()/c.hint*honesty))
+// estimateCost is the estimated cost of a request, in seconds: its class's mean, scaled by its hint over the mean hint
+// and by the accuracy of its group's earlier hints.
+func (c *classStats) estimateCost(hint time.Duration, accuracy float64) float64 {
+	cost := c.meanCost
+	if hint > 0 && c.meanHint > 0 {
+		cost *= min(maxHintFactor, max(1/maxHintFactor, hint.Seconds()/c.meanHint*accuracy))
 	}
-	return max(costLeast, cost)
+	return max(minCost, cost)
 }
 
-// mostly is what most requests cost at most, as TCP's retransmission timer has it (V. Jacobson, 1988): the mean and twice
-// the mean distance from it.
-func (c *class) mostly() time.Duration { return seconds(c.usual + 2*c.apart) }
+// costBound is a cost that most requests stay under: the mean and a multiple of the mean deviation, as in TCP's
+// retransmission timer (V. Jacobson, "Congestion Avoidance and Control", SIGCOMM 1988).
+func (c *classStats) costBound() time.Duration {
+	return seconds(c.meanCost + boundDeviations*c.meanDeviation)
+}
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// hinted learns from a hint as it comes.
-func (c *class) hinted(hint time.Duration) {
+// observeHint updates the mean hint when a request arrives.
+func (c *classStats) observeHint(hint time.Duration) {
 	if hint <= 0 {
 		return
 	}
-	if c.hint == 0 {
-		c.hint = hint.Seconds()
+	if c.meanHint == 0 {
+		c.meanHint = hint.Seconds()
 	}
-	c.hint += (hint.Seconds() - c.hint) * hintBlend
+	c.meanHint += (hint.Seconds() - c.meanHint) * hintSmoothing
 }
 
-// took learns from a request that went to its end.
-func (c *class) took(cost float64) {
-	c.apart += (math.Abs(cost-c.usual) - c.apart) * costBlend
-	c.usual += (cost - c.usual) * costBlend
+// observeCost updates the mean and deviation when a request has completed.
+func (c *classStats) observeCost(cost float64) {
+	c.meanDeviation += (math.Abs(cost-c.meanCost) - c.meanDeviation) * costSmoothing
+	c.meanCost += (cost - c.meanCost) * costSmoothing
 }
 
-// honest moves a group's factor towards what one of its hinted requests took, against what its class takes for such a
-// hint. Who always says ten times too much is soon taken at a tenth.
-func (c *class) honest(factor float64, hint time.Duration, took float64) float64 {
-	if hint <= 0 || c.hint == 0 || c.usual <= 0 {
-		return factor
+// updateHintAccuracy moves a group's hint accuracy towards that of a completed request: its cost over its class's mean,
+// divided by its hint over the mean hint. The hints of a group that always states ten times too much soon count a tenth.
+func (c *classStats) updateHintAccuracy(accuracy float64, hint time.Duration, cost float64) float64 {
+	if hint <= 0 || c.meanHint == 0 || c.meanCost <= 0 {
+		return accuracy
 	}
-	seen := (took / c.usual) / (hint.Seconds() / c.hint)
-	seen = min(honestyHigh, max(honestyLow, seen))
-	return factor + (seen-factor)*hintBlend
+	observed := (cost / c.meanCost) / (hint.Seconds() / c.meanHint)
+	observed = min(maxHintAccuracy, max(minHintAccuracy, observed))
+	return accuracy + (observed-accuracy)*hintSmoothing
 }
--- /dev/null
+++ b/internal/admission/reservation.go
@@ -0,0 +1,118 @@
+package admission
+
+import "time"
+
+const (
+	reservableFraction  = 0.5  // of the service rate, for clients that come back; the rest is for first requests
+	reservationHorizon  = 0.75 // of the maximum Retry-After: later times are not reserved
+	maxFlowReservations = 256  // of one flow
+
+	earlyTolerance = 10 * time.Millisecond // a client may come before its reserved time, at most
+	minGrace       = 250 * time.Millisecond
+	maxGrace       = 2 * time.Second
+	graceFraction  = 0.25 // of the Retry-After: how much later than reserved a client may come
+
+	smallReservationSlice = 8 // reservations: slices of this capacity are never shrunk
+	maxReservationSlack   = 4 // capacity over length above which a larger slice is shrunk
+)
+
+// reservation is a time at which a rejected request of a flow may come back.
+type reservation struct {
+	at, until   time.Duration
+	cost        float64 // estimated, s
+	fingerprint uint64  // of the rejected request
+}
+
+// addReservation remembers a reservation, the earliest first.
+func (f *flow) addReservation(r reservation) {
+	i := len(f.reservations)
+	for i > 0 && f.reservations[i-1].at > r.at {
+		i--
+	}
+	f.reservations = append(f.reservations, reservation{})
+	copy(f.reservations[i+1:], f.reservations[i:])
+	f.reservations[i] = r
+	f.reservedCost += r.cost
+}
+
+// dropReservation forgets the i-th reservation.
+func (f *flow) dropReservation(i int) {
+	f.reservedCost -= f.reservations[i].cost
+	f.reservations = append(f.reservations[:i], f.reservations[i+1:]...)
+	if len(f.reservations) == 0 {
+		f.reservedCost = 0 // without the rounding errors of the sum
+	}
+	if c := cap(f.reservations); c > smallReservationSlice && c > maxReservationSlack*len(f.reservations) { // memory follows the reservations held
+		f.reservations = append(make([]reservation, 0, 2*len(f.reservations)), f.reservations...)
+	}
+}
+
+// redeemReservation uses up the earliest reservation of a flow that is valid now and was made for the same request. A
+// request with another fingerprint can neither use nor lose it.
+func (q *Queue) redeemReservation(f *flow, fingerprint uint64) bool {
+	for i := range f.reservations {
+		r := f.reservations[i]
+		if q.now < r.at-earlyTolerance {
+			break
+		}
+		if q.now <= r.until && r.fingerprint == fingerprint {
+			f.dropReservation(i)
+			q.reservations--
+			q.updateExpiry(f)
+			return true
+		}
+	}
+	return false
+}
+
+// reserve returns when a rejected request is to come back, and whether that time is reserved. Reserved times lie within
+// reservationHorizon of the maximum Retry-After; others are spread over the rest of it.
+func (q *Queue) reserve(e *entry) (retryAfter time.Duration, reserved bool) {
+	f := e.flow
+	longest := q.options.maxRetryAfter()
+	horizon := time.Duration(reservationHorizon * float64(longest))
+	if rate := q.serviceRate(f); rate > 0 && len(f.reservations) < maxFlowReservations && q.reservations < q.options.MaxReservations {
+		cost := max(minCost, e.class.meanCost)
+		// The flow's reservations get reservableFraction of its rate, and all reservations that fraction of the total rate.
+		wait := min((q.costAhead(f)+(f.reservedCost+cost)/reservableFraction)/rate, longest.Seconds())
+		earliest := q.now + max(earlyTolerance, seconds(wait))
+		stepCapacity := q.limiter.limit / q.costUnderLoad() * reservableFraction * q.calendar.step.Seconds()
+		if at, ok := q.calendar.reserve(q.now, earliest, q.now+horizon, stepCapacity); ok {
+			retryAfter = at - q.now
+			grace := min(maxGrace, max(minGrace, time.Duration(graceFraction*float64(retryAfter))))
+			f.addReservation(reservation{at: at, until: at + grace, cost: cost, fingerprint: e.fingerprint})
+			q.reservations++
+			q.updateExpiry(f)
+			return retryAfter, true
+		}
+	}
+	return horizon + time.Duration(q.rng.Int64N(int64(longest-horizon)+1)), false
+}
+
+// updateExpiry keeps a flow in the order of nextExpiry. A later reservation may end a little before the first: it expires
+// with that one.
+func (q *Queue) updateExpiry(f *flow) {
+	if len(f.reservations) == 0 {
+		q.reservationExpiries.Remove(f)
+		return
+	}
+	f.nextExpiry = f.reservations[0].until
+	q.reservationExpiries.Set(f, float64(f.nextExpiry), 0)
+}
+
+// expireReservations forgets the reservations that were not redeemed in time.
+func (q *Queue) expireReservations() {
+	for q.reservationExpiries.Len() > 0 && q.reservationExpiries.First().nextExpiry < q.now {
+		f := q.reservationExpiries.First()
+		for i := 0; i < len(f.reservations); {
+			if f.reservations[i].until < q.now {
+				f.dropReservation(i)
+				q.reservations--
+			} else {
+				i++
+			}
+		}
+		q.updateExpiry(f)
+		q.forgetFlow(f)
+	}
+}
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -2,239 +2,276 @@
 
 import "time"
 
+const (
+	// renewalsPerLease is how often a holder asks for renewal within one lease duration: two more attempts fit in after a lost one.
+	renewalsPerLease = 3
+	// maxTrackedSends bounds the requests whose send time is remembered. The reply to an older one is ignored.
+	maxTrackedSends = 16
+)
+
 // HolderOptions are a Holder's parameters.
 type HolderOptions struct {
-	Name          string
-	Client        string        // one life of one process
-	Duration      time.Duration // asked for
-	Wait          bool          // in the queue
-	Drift         float64       // how far a clock's rate is from true time at most, as a part
-	Margin        time.Duration // what an act takes to end once it is told to
-	RetryInterval time.Duration // between two asks of which none was answered, or that were turned away
+	Name          string        // of the lease
+	Client        string        // names one incarnation of one process and is never used again
+	Duration      time.Duration // requested lease duration
+	Wait          bool          // join the waiter queue if the lease is held
+	Drift         float64       // largest relative error of a process's clock rate
+	Margin        time.Duration // how long the work takes to end once it has been asked to stop
+	RetryInterval time.Duration // between two sends while no reply comes, and after a rejection
 }
 
-// renewPart is the part of a term after which the next is asked for: two more asks fit in before it is over.
-const renewPart = 3
-
-// phase is where a Holder stands.
-type phase uint8
-
-const (
-	idle     phase = iota // it wants nothing
-	asking                // it has asked, or is about to
-	holding               // it may act
-	stopping              // it may not act any more, and what it did has not ended yet
-)
-
-// Action is what a Holder wants done.
+// Action is what the driver of a Holder has to do.
 type Action struct {
 	Kind    ActionKind
-	Request Request       // Send
-	Token   Token         // Begin, End
-	Until   time.Duration // Begin: not a moment later, unless a later look at May says otherwise
-	Reason  Reason        // End, Turned
+	Request Request       // ActionSend
+	Token   Token         // ActionStartWork, ActionStopWork
+	Until   time.Duration // ActionStartWork: the work must have stopped by then, unless Held returns a later time meanwhile
+	Reason  Reason        // ActionStopWork, ActionReportRejection
 }
 
-// ActionKind is the kind of an Act.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
+// The kinds of actions.
 const (
-	Send     ActionKind = iota + 1 // an Ask to the record; it may be lost
-	Begin                          // it holds the lease: the act may begin
-	End                            // the act has to end, within Margin; Stopped is to say when it has
-	Rejected                       // the ask was turned away; where the Holder waits it asks again
+	ActionSend            ActionKind = iota + 1 // send Request to the record; it may be lost
+	ActionStartWork                             // the lease is held: start the work under Token
+	ActionStopWork                              // stop the work within Margin, then call WorkStopped
+	ActionReportRejection                       // the lease was rejected; the Holder asks again by itself
 )
 
-// Reason says why an act ends, or an ask was turned away.
+// Reason says why work has to stop, or why a request was rejected. 0 is none.
 type Reason uint8
 
+// The reasons. The first four stop the work, the last two come with a rejection.
+const (
+	ReasonReleased   Reason = iota + 1 // the holder released the lease
+	ReasonExpired                      // the grant expired and no renewal was confirmed
+	ReasonRevoked                      // the record says that the grant is not held any more
+	ReasonReplaced                     // the record has granted the lease again, under another token
+	ReasonBusy                         // another client holds the lease
+	ReasonNoCapacity                   // the record is full
+)
+
+// holderState is the state of a Holder.
+type holderState uint8
+
 const (
-	Released   Reason = iota + 1 // by the holder's own wish
-	Expired                      // the term is over, and nobody has said that there is another one
-	Revoked                      // the record says that it is not held any more
-	Replaced                     // the record has granted it anew, under another token
-	Busy                         // somebody else holds it
-	NoCapacity                   // the record is full
+	idle      holderState = iota // nothing is wanted
+	acquiring                    // an Acquire was sent; the Holder repeats it
+	holding                      // the work may go on until validUntil
+	stopping                     // the work must stop, and WorkStopped has not been called yet
 )
 
-// Holder is the side that wants a lease. It is for one goroutine; time is that of a clock that goes on while the machine sleeps.
+// Holder is the client's side of one lease. Its driver calls it with the time of a clock that goes on while the machine sleeps, and carries out
+// the actions that it returns. It is not safe for concurrent use.
+//
+//	          Acquire                 Granted
+//	idle ───────────────▶ acquiring ───────────▶ holding
+//	 ▲  ▲                  │     ▲                  │
+//	 │  └── Release ───────┘     │                  │ Release, expiry, NotHeld, another token
+//	 │                           │ still wanted     ▼
+//	 └────── WorkStopped ────────┴────────────── stopping
+//
+// The lease is released only after the work has stopped. A grant that arrives when it is not wanted any more is released at once.
 type Holder struct {
-	o       HolderOptions
-	phase   phase
-	wants   bool
-	to      string // who is to have it next; "": whoever waits longest
-	seq     uint64
-	nr      uint64
-	token   Token         // held, or last held
-	until   time.Duration // it may act
-	next    time.Duration // it asks again
-	granted time.Duration // the term's send
-	term    time.Duration
-	sent    map[uint64]time.Duration // by Nr: since when; those of the wish now
-}
-
-// sentMost bounds the asks that are remembered: the answer to one before them counts for nothing.
-const sentMost = 16
-
-// NewHolder returns one that wants nothing yet.
-func NewHolder(o HolderOptions) *Holder { return &Holder{o: o, sent: map[uint64]time.Duration{}} }
-
-// Acquire has it ask for the lease until Leave.
-func (h *Holder) Acquire(now time.Duration) []Action {
-	if h.wants {
-		return nil
-	}
-	h.wants, h.to = true, ""
-	if h.phase != idle {
-		return nil // it has to end first
-	}
-	return h.begin(now)
+	options    HolderOptions
+	state      holderState
+	wanted     bool
+	transferTo string // the client that is to hold the lease next; empty: the first waiter
+	sequence   uint64 // of this acquisition
+	sendNumber uint64 // of the last send
+	token      Token  // of the grant that is held, or was held last
+
+	validUntil  time.Duration            // the work may go on until then
+	nextSend    time.Duration            // the request is repeated, or renewed, then
+	grantSentAt time.Duration            // when the request was sent from which the grant counts
+	sentAt      map[uint64]time.Duration // when each request of this acquisition was sent, by send number
 }
 
-// begin asks anew.
-func (h *Holder) begin(now time.Duration) []Action {
-	h.phase = asking
-	h.seq++
-	clear(h.sent)
-	return h.ask(now, Acquire)
+// NewHolder returns a Holder that wants nothing yet.
+func NewHolder(options HolderOptions) *Holder {
+	return &Holder{options: options, sentAt: map[uint64]time.Duration{}}
 }
 
-func (h *Holder) ask(now time.Duration, kind RequestKind) []Action {
-	h.nr++
-	h.sent[h.nr] = now
-	delete(h.sent, h.nr-sentMost)
-	h.next = now + h.o.RetryInterval
-	a := Request{Kind: kind, Name: h.o.Name, Client: h.o.Client, Sequence: h.seq, SendNumber: h.nr, Duration: h.o.Duration, Wait: h.o.Wait}
-	if kind != Acquire {
-		a.Token = h.token
+// Acquire makes the Holder want the lease until Release.
+func (h *Holder) Acquire(now time.Duration) []Action {
+	if h.wanted {
+		return nil
+	}
+	h.wanted, h.transferTo = true, ""
+	if h.state != idle {
+		return nil // the earlier work has to stop first
 	}
-	return []Action{{Kind: Send, Request: a}}
+	return h.startAcquire(now)
 }
 
-// Release has it give the lease back, once the act has ended; to a client that is to have it next, or to whoever waits longest.
-func (h *Holder) Release(now time.Duration, to string) []Action {
-	h.wants, h.to = false, to
-	switch h.phase {
-	case asking: // it may have been granted meanwhile: what comes of it is given back as it comes
-		h.phase = idle
-		return []Action{{Kind: Send, Request: Request{Kind: RemoveWaiter, Name: h.o.Name, Client: h.o.Client, Sequence: h.seq}}}
+// Release makes the Holder give the lease up: to the client transferTo, or, if that is empty, to the first waiter. Work that goes on has to
+// stop first.
+func (h *Holder) Release(_ time.Duration, transferTo string) []Action {
+	h.wanted, h.transferTo = false, transferTo
+	switch h.state {
+	case acquiring: // a grant may be on its way: HandleReply releases it
+		h.state = idle
+		return []Action{{Kind: ActionSend, Request: Request{Kind: RemoveWaiter, Name: h.options.Name, Client: h.options.Client, Sequence: h.sequence}}}
 	case holding:
-		return h.end(Released)
+		return h.stopWork(ReasonReleased)
 	}
 	return nil
 }
 
-func (h *Holder) end(why Reason) []Action {
-	h.phase = stopping
-	return []Action{{Kind: End, Token: h.token, Reason: why}}
-}
-
-// Stopped says that the act has ended. Only then is the lease given back, and asked for anew where it is still wanted.
-func (h *Holder) Stopped(now time.Duration) []Action {
-	if h.phase != stopping {
+// WorkStopped says that the work has ended after ActionStopWork. The lease is released, and acquired again if it is still wanted.
+func (h *Holder) WorkStopped(now time.Duration) []Action {
+	if h.state != stopping {
 		return nil
 	}
-	h.phase = idle
-	out := []Action{{Kind: Send, Request: Request{Kind: Release, Name: h.o.Name, Client: h.o.Client, Sequence: h.seq, Token: h.token}}}
-	if h.to != "" {
-		out[0].Request.Kind, out[0].Request.To = Transfer, h.to
+	h.state = idle
+	release := h.releaseOf(h.sequence, h.token)
+	if h.transferTo != "" {
+		release.Request.Kind, release.Request.To = Transfer, h.transferTo
 	}
-	if h.wants {
-		out = append(out, h.begin(now)...)
+	actions := []Action{release}
+	if h.wanted {
+		actions = append(actions, h.startAcquire(now)...)
 	}
-	return out
+	return actions
 }
 
-// HandleReply takes the record's word, which may be late, or come twice.
-func (h *Holder) HandleReply(now time.Duration, r Reply) []Action {
-	if h.phase == holding && now >= h.until { // its own word comes first: whoever looks after the act has ended it by now
-		return h.end(Expired)
+// HandleReply handles a reply of the record, which may be late or repeated.
+func (h *Holder) HandleReply(now time.Duration, reply Reply) []Action {
+	if h.state == holding && now >= h.validUntil { // expired by the own clock, whatever the record says
+		return h.stopWork(ReasonExpired)
 	}
-	sent, known := h.sent[r.SendNumber]
-	if r.Status == Granted && (r.Sequence != h.seq || h.phase == idle) { // nobody wants it any more
-		if r.Token <= h.token && r.Sequence >= h.seq {
-			return nil // it was held, and has been given back
-		}
-		return []Action{{Kind: Send, Request: Request{Kind: Release, Name: h.o.Name, Client: h.o.Client, Sequence: r.Sequence, Token: r.Token}}}
+	if reply.Status == Granted && (reply.Sequence != h.sequence || h.state == idle) {
+		return h.releaseUnwanted(reply)
 	}
-	if r.Sequence != h.seq || !known {
+	sent, known := h.sentAt[reply.SendNumber]
+	if reply.Sequence != h.sequence || !known {
 		return nil
 	}
-	switch r.Status {
+	switch reply.Status {
 	case Granted:
-		return h.grant(now, sent, r)
+		return h.handleGrant(now, sent, reply)
 	case Waiting, HeldByOther, TableFull:
-		if h.phase != asking {
-			return nil
-		}
-		if r.Status != Waiting { // who waits goes on asking in the rhythm of its asks: the record may hold an answer back
-			h.next = now + h.o.RetryInterval
-		}
-		switch r.Status {
-		case HeldByOther:
-			return []Action{{Kind: Rejected, Reason: Busy}}
-		case TableFull:
-			return []Action{{Kind: Rejected, Reason: NoCapacity}}
-		}
+		return h.handleRejection(now, reply.Status)
 	case NotHeld:
-		if h.phase == holding && sent >= h.granted { // asked on the grant that it acts on
-			return h.end(Revoked)
+		if h.state == holding && sent >= h.grantSentAt { // sent under this grant, not before it
+			return h.stopWork(ReasonRevoked)
 		}
-		if h.phase == asking { // of a wish that the record has behind it
-			return h.begin(now)
+		if h.state == acquiring { // the record has ended this acquisition
+			return h.startAcquire(now)
 		}
 	}
 	return nil
 }
 
-func (h *Holder) grant(now, sent time.Duration, r Reply) []Action {
-	until := sent + r.Duration - time.Duration(float64(r.Duration)*h.o.Drift) - h.o.Margin
+// releaseUnwanted releases a grant that is not wanted any more, unless it was held and has been released already.
+func (h *Holder) releaseUnwanted(reply Reply) []Action {
+	if reply.Token <= h.token && reply.Sequence >= h.sequence {
+		return nil
+	}
+	return []Action{h.releaseOf(reply.Sequence, reply.Token)}
+}
+
+// handleGrant starts or extends the work by a grant of a request that was sent at sent.
+func (h *Holder) handleGrant(now, sent time.Duration, reply Reply) []Action {
+	validUntil := sent + reply.Duration - time.Duration(float64(reply.Duration)*h.options.Drift) - h.options.Margin
 	switch {
-	case r.Token < h.token: // from before
+	case reply.Token < h.token: // a fencing token never goes back: the reply is late
 		return nil
-	case h.phase == asking && until > now:
-		h.phase, h.token, h.until, h.granted, h.term = holding, r.Token, until, sent, r.Duration
-		h.next = sent + r.Duration/renewPart
-		return []Action{{Kind: Begin, Token: h.token, Until: h.until}}
-	case h.phase == holding && r.Token == h.token:
-		if until > h.until {
-			h.until, h.granted, h.term = until, sent, r.Duration
-			h.next = sent + r.Duration/renewPart
-		}
-	case h.phase == holding:
-		return h.end(Replaced)
+	case h.state == acquiring && validUntil > now:
+		h.state, h.token = holding, reply.Token
+		h.extend(sent, validUntil, reply.Duration)
+		return []Action{{Kind: ActionStartWork, Token: h.token, Until: h.validUntil}}
+	case h.state == holding && reply.Token != h.token:
+		return h.stopWork(ReasonReplaced)
+	case h.state == holding && validUntil > h.validUntil:
+		h.extend(sent, validUntil, reply.Duration)
 	}
-	return nil // it comes too late to be of use: the next ask brings another term
+	return nil // a grant that came too late is asked for again by the next send
+}
+
+// extend makes the grant of a request that was sent at sent the current one.
+func (h *Holder) extend(sent, validUntil, duration time.Duration) {
+	h.validUntil, h.grantSentAt = validUntil, sent
+	h.nextSend = sent + duration/renewalsPerLease
 }
 
-// Tick lets time go by.
+// handleRejection handles an acquisition that was not granted. A waiter repeats its request as planned, since the record may hold the reply
+// back; otherwise a full RetryInterval passes first.
+func (h *Holder) handleRejection(now time.Duration, status Status) []Action {
+	if h.state != acquiring || status == Waiting {
+		return nil
+	}
+	h.nextSend = now + h.options.RetryInterval
+	reason := ReasonBusy
+	if status == TableFull {
+		reason = ReasonNoCapacity
+	}
+	return []Action{{Kind: ActionReportRejection, Reason: reason}}
+}
+
+// Tick lets time pass: it expires the grant, or repeats or renews the request. It is to be called when Next says so.
 func (h *Holder) Tick(now time.Duration) []Action {
 	switch {
-	case h.phase == holding && now >= h.until:
-		return h.end(Expired)
-	case h.phase == holding && now >= h.next:
-		return h.ask(now, Renew)
-	case h.phase == asking && now >= h.next:
-		return h.ask(now, Acquire)
+	case h.state == holding && now >= h.validUntil:
+		return h.stopWork(ReasonExpired)
+	case h.state == holding && now >= h.nextSend:
+		return h.send(now, Renew)
+	case h.state == acquiring && now >= h.nextSend:
+		return h.send(now, Acquire)
 	}
 	return nil
 }
 
-// Next is when Tick has something to do; false: not before something else happens.
+// Next returns when Tick has something to do; false if only another event makes it so.
 func (h *Holder) Next() (time.Duration, bool) {
-	switch h.phase {
+	switch h.state {
 	case holding:
-		return min(h.until, h.next), true
-	case asking:
-		return h.next, true
+		return min(h.validUntil, h.nextSend), true
+	case acquiring:
+		return h.nextSend, true
 	}
 	return 0, false
 }
 
-// Held tells whether it may act now, under which token, and until when.
+// Held reports whether the work may go on at now, under which token, and until when.
 func (h *Holder) Held(now time.Duration) (token Token, until time.Duration, ok bool) {
-	if h.phase != holding || now >= h.until {
+	if h.state != holding || now >= h.validUntil {
 		return 0, 0, false
 	}
-	return h.token, h.until, true
+	return h.token, h.validUntil, true
+}
+
+// startAcquire begins a new acquisition.
+func (h *Holder) startAcquire(now time.Duration) []Action {
+	h.state = acquiring
+	h.sequence++
+	clear(h.sentAt)
+	return h.send(now, Acquire)
+}
+
+// send sends an Acquire or a Renew and remembers when.
+func (h *Holder) send(now time.Duration, kind RequestKind) []Action {
+	h.sendNumber++
+	h.sentAt[h.sendNumber] = now
+	delete(h.sentAt, h.sendNumber-maxTrackedSends)
+	h.nextSend = now + h.options.RetryInterval
+	request := Request{Kind: kind, Name: h.options.Name, Client: h.options.Client, Sequence: h.sequence, SendNumber: h.sendNumber,
+		Duration: h.options.Duration, Wait: h.options.Wait}
+	if kind == Renew {
+		request.Token = h.token
+	}
+	return []Action{{Kind: ActionSend, Request: request}}
+}
+
+// stopWork makes the driver stop the work.
+func (h *Holder) stopWork(reason Reason) []Action {
+	h.state = stopping
+	return []Action{{Kind: ActionStopWork, Token: h.token, Reason: reason}}
+}
+
+// releaseOf is the action that gives a grant back.
+func (h *Holder) releaseOf(sequence uint64, token Token) Action {
+	return Action{Kind: ActionSend, Request: Request{Kind: Release, Name: h.options.Name, Client: h.options.Client, Sequence: sequence, Token: token}}
 }
--- /dev/null
+++ b/internal/lease/raftgroup/processes_test.go
@@ -0,0 +1,198 @@
+package raftgroup
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"orchiddrift/internal/testing/processes"
+)
+
+var faultDuration = flag.Duration("for", 6*time.Second, "how long faults go on in TestNoTwoAct")
+
+// Three members and three contenders are killed, stopped for longer and shorter than a lease duration, cut off one way and both, delayed and hung: no
+// line comes after one with a higher token, and once all is well lines come again.
+func TestNoTwoAct(t *testing.T) {
+	for _, seed := range []uint64{1, 2} {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			t.Parallel()
+			f := newFleet(t, seed, 3, 3, time.Second, 200*time.Millisecond)
+			f.startAll()
+			var names []string
+			for _, p := range f.all() {
+				names = append(names, p.Name())
+			}
+			script := processes.Draw(seed, processes.Mix{Processes: names, Links: f.links, Length: *faultDuration, Every: 150 * time.Millisecond,
+				Shortest: 50 * time.Millisecond, Longest: 2500 * time.Millisecond, Down: 2, Weights: map[processes.Deed]float64{processes.Kill: 3, processes.Pause: 4,
+					processes.DropBoth: 1, processes.DropOut: 1, processes.DropBack: 1, processes.Slow: 1, processes.Hang: 1, processes.CutOut: 1, processes.Part: 1, processes.PartOne: 1}})
+			if err := f.rig.Play(testContext(t), script); err != nil {
+				t.Fatal(err)
+			}
+			before := len(f.readSink())
+			f.eventually("a line after the last fault", func(lines []sinkLine) bool { return len(lines) > before })
+			f.checkSink(f.sink)
+			lines := f.readSink()
+			tokens := map[uint64]bool{}
+			for _, line := range lines {
+				tokens[line.token] = true
+			}
+			t.Logf("%d steps, %d lines under %d tokens", len(script), len(lines), len(tokens))
+		})
+	}
+}
+
+// crash kills all members at once, damages the file of the first and deletes that of the second.
+func (f *fleet) crash() (damaged, lost *processes.Process) {
+	f.t.Helper()
+	for _, p := range f.members {
+		if err := p.Signal(syscall.SIGKILL); err != nil {
+			f.t.Fatal(err)
+		}
+	}
+	for _, p := range f.members {
+		if err := p.Await(testContext(f.t)); err != nil {
+			f.t.Fatal(err)
+		}
+	}
+	damaged, lost = f.members[0], f.members[1]
+	path := filepath.Join(damaged.Dir, "fleet.db")
+	data, err := os.ReadFile(path)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	if err := errors.Join(os.WriteFile(path, data[:2*os.Getpagesize()+100], 0o600), lost.Forget()); err != nil {
+		f.t.Fatal(err)
+	}
+	return damaged, lost
+}
+
+// Five members are killed at once and started again with one file damaged and one lost: the one with the damaged file serves its clients and takes no
+// part, the one without a file joins as a new member, and work goes on.
+func TestDisksAfterACrash(t *testing.T) {
+	f := newFleet(t, 3, 5, 1, time.Second, 200*time.Millisecond)
+	f.startAll()
+	damaged, lost := f.crash()
+	start := f.rig.History.Now()
+	if err := f.rig.StartAll(testContext(t), f.members...); err != nil {
+		t.Fatal(err)
+	}
+	f.linesAfter("lines under the restarted members", 2*time.Second)
+	f.checkSink(f.sink)
+	logged := func(p *processes.Process, text string) func(e processes.Event) bool {
+		return func(e processes.Event) bool {
+			return e.Who == p.Name() && e.At >= start && strings.Contains(string(e.Data), text)
+		}
+	}
+	for _, event := range []func(e processes.Event) bool{logged(damaged, "takes no part in the group any more"), logged(lost, "fleet: asked to join the group")} {
+		if _, _, err := f.rig.History.Wait(testContext(t), 0, event); err != nil {
+			t.Error(err)
+		}
+	}
+	response, err := http.Get("http://" + damaged.Address() + "/-/ready")
+	if err != nil {
+		t.Fatal(err)
+	}
+	response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		t.Errorf("the clients of the one with the damaged file: %s", response.Status)
+	}
+	// Two more are stopped, and one goes on: the lease can be renewed only with the new member's vote.
+	for _, p := range f.members[3:] {
+		_ = p.Signal(syscall.SIGSTOP)
+	}
+	time.Sleep(100 * time.Millisecond) // any time will do
+	_ = f.members[3].Signal(syscall.SIGCONT)
+	f.linesAfter("lines with the new member's vote", 2*time.Second)
+	f.checkSink(f.sink)
+}
+
+// Where a holder and its guard are both stopped, their command goes on while the next holder's works too: the check finds that, and a sink that
+// compares fencing tokens refuses the old one.
+func TestWhatIsLeft(t *testing.T) {
+	f := newFleet(t, 5, 3, 2, time.Second, 200*time.Millisecond)
+	f.startAll()
+	holder := f.process(f.readSink()[0].client)
+	guards := holder.Children()
+	if len(guards) != 1 {
+		t.Fatalf("%d guards", len(guards))
+	}
+	if err := errors.Join(holder.Signal(syscall.SIGSTOP), syscall.Kill(guards[0], syscall.SIGSTOP)); err != nil {
+		t.Fatal(err)
+	}
+	defer syscall.Kill(guards[0], syscall.SIGCONT) // so that it sees its end
+	f.eventually("lines of both", func(lines []sinkLine) bool { return len(violations(lines)) > 10 })
+	f.checkSink(f.fencedSink)
+}
+
+// The next holder's work begins within three lease durations after a holder was killed. With -v the test logs how long it takes, after a kill and
+// after a release.
+func TestNextHolder(t *testing.T) {
+	const duration = time.Second
+	f := newFleet(t, 6, 3, 3, duration, 200*time.Millisecond)
+	f.startAll()
+	var afterKill, afterRelease []time.Duration
+	for i := range 8 {
+		lines := f.readSink()
+		last := lines[len(lines)-1]
+		holder := f.process(last.client)
+		signal, delays := syscall.SIGKILL, &afterKill
+		if i%2 == 1 { // it releases the lease
+			signal, delays = syscall.SIGTERM, &afterRelease
+		}
+		if err := holder.Signal(signal); err != nil {
+			t.Fatal(err)
+		}
+		start := time.Now()
+		f.eventually("the next holder's line", func(lines []sinkLine) bool { return lines[len(lines)-1].token > last.token })
+		*delays = append(*delays, time.Since(start))
+		if err := errors.Join(holder.Await(testContext(t)), holder.Start(testContext(t), nil)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	f.checkSink(f.sink)
+	slices.Sort(afterKill)
+	slices.Sort(afterRelease)
+	t.Logf("after a kill %.2f lease durations (at most %.2f), after a release %v (at most %v)", afterKill[len(afterKill)/2].Seconds()/duration.Seconds(),
+		afterKill[len(afterKill)-1].Seconds()/duration.Seconds(), afterRelease[len(afterRelease)/2].Round(time.Millisecond), afterRelease[len(afterRelease)-1].Round(time.Millisecond))
+	if afterKill[0] > 3*duration {
+		t.Errorf("the next holder's line comes %v after a kill", afterKill[0])
+	}
+}
+
+// The leader is killed, three times: a healthy holder keeps its lease and its token.
+func TestLeaderIsKilled(t *testing.T) {
+	f := newFleet(t, 7, 3, 2, 3*time.Second, 300*time.Millisecond)
+	f.startAll()
+	first := f.readSink()[0]
+	becameLeader := func(e processes.Event) bool { return e.What == "fleet: became leader" }
+	position := 0
+	for range 3 {
+		event, next, err := f.rig.History.Wait(testContext(t), position, becameLeader)
+		if err != nil {
+			t.Fatal(err)
+		}
+		position = next
+		leader := f.process(event.Who)
+		if err := leader.Kill(testContext(t)); err != nil {
+			t.Fatal(err)
+		}
+		if _, _, err := f.rig.History.Wait(testContext(t), position, becameLeader); err != nil { // another one
+			t.Fatal(err)
+		}
+		if err := leader.Start(testContext(t), nil); err != nil {
+			t.Fatal(err)
+		}
+		f.linesAfter("the work goes on", 500*time.Millisecond)
+	}
+	if lines := f.readSink(); lines[len(lines)-1] != first {
+		t.Errorf("it was held by %+v, and is by %+v", first, lines[len(lines)-1])
+	}
+}
--- /dev/null
+++ b/internal/simulation/admissionsim/admission.go
@@ -0,0 +1,47 @@
+package admissionsim
+
+import (
+	"orchiddrift/balancer"
+	"orchiddrift/internal/admission"
+)
+
+// execute does what the admission control decided, and schedules its next wake.
+func (s *simulation) execute(actions []admission.Action) {
+	for _, action := range actions {
+		a := s.byTicket[action.Ticket]
+		if a == nil {
+			continue
+		}
+		if action.Kind == admission.Reject {
+			delete(s.byTicket, action.Ticket)
+			s.handleRejection(a, action.RetryAfter, action.Reserved)
+			continue
+		}
+		s.admit(a)
+	}
+	s.actionBuffer = actions[:0]
+	at, ok := s.control.Next()
+	if !ok || at == s.controlWakeAt {
+		return
+	}
+	s.controlWakeAt = at
+	s.At(at, func() {
+		if s.controlWakeAt == at { // no other wake has been set since
+			s.controlWakeAt = 0
+			s.execute(s.control.Wake(s.Now(), nil))
+		}
+	})
+}
+
+// admit passes an attempt on to the balancer.
+func (s *simulation) admit(a *clientAttempt) {
+	switch result := &s.result.Clients[a.client]; {
+	case a.number == 1:
+		result.AdmittedFirst++
+	case !a.honoredRetryAfter:
+		result.AdmittedRetries++
+	}
+	s.inFlightCount++
+	s.inFlight[a.id] = a
+	s.handleEvent(balancer.Request{ID: a.id, Class: s.run.Clients[a.client].Class, Deadline: a.deadline, CostHint: s.costHint(a)})
+}
