--- /dev/null
+++ b/grpcbalancer/prewarm.go
@@ -0,0 +1,134 @@
+package grpcbalancer
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"google.golang.org/grpc/connectivity"
+
+	"orchiddrift/internal/upstream/prewarm"
+)
+
+// prewarmInterval is the time between two steps of prewarming.
+const prewarmInterval = 100 * time.Millisecond
+
+// prewarming opens connections before calls need them, as package prewarm decides. Each ClientConn has a SubConn of its own to an upstream;
+// the prewarmer sees them as one connection, which is open when all of them are.
+type prewarming struct {
+	// Used by the goroutine of runPrewarming alone.
+	prewarmer  *prewarm.Prewarmer
+	connecting map[string]uint64 // process ids of the upstreams whose connections have been started and have not come up or failed
+
+	mu   sync.Mutex
+	used map[string]bool // upstreams that attempts were sent to since the last step
+}
+
+func newPrewarming(prewarmer *prewarm.Prewarmer) *prewarming {
+	return &prewarming{prewarmer: prewarmer, connecting: map[string]uint64{}, used: map[string]bool{}}
+}
+
+// recordUse notes that an attempt is sent to an upstream. It is called by picks from any goroutine; a nil prewarming ignores it.
+func (w *prewarming) recordUse(name string) {
+	if w == nil {
+		return
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.used[name] = true
+}
+
+// takeUsed returns the upstreams used since the last call.
+func (w *prewarming) takeUsed() map[string]bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	used := w.used
+	w.used = map[string]bool{}
+	return used
+}
+
+// runPrewarming takes a step at each interval until ctx ends. It runs in a goroutine of the Plugin.
+func (p *Plugin) runPrewarming(ctx context.Context) {
+	ticker := time.NewTicker(prewarmInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		if balancers := p.currentBalancers(); len(balancers) > 0 { // no ClientConn has been used before
+			p.prewarmStep(balancers)
+		}
+	}
+}
+
+// prewarmStep tells the prewarmer of the upstreams, of connections that came up or failed and of those in use, and starts the connections
+// that it decides on.
+func (p *Plugin) prewarmStep(balancers []*subConnBalancer) {
+	w := p.prewarming
+	now, instances := p.clock.Now(), p.registry.Instances()
+	processes := make(map[string]uint64, len(instances))
+	for name, instance := range instances {
+		processes[name] = instance.ProcessID()
+	}
+	w.prewarmer.SetMembers(now, processes)
+	states := connectionStates(balancers)
+	w.reportConnected(now, processes, states)
+	for name := range w.takeUsed() {
+		w.prewarmer.RecordUse(now, name)
+	}
+	open := 0
+	for _, state := range states {
+		if state == connectivity.Ready {
+			open++
+		}
+	}
+	openTo := func(name string) int {
+		if states[name] == connectivity.Ready {
+			return 1
+		}
+		return 0
+	}
+	for _, name := range w.prewarmer.Tick(now, openTo, open) {
+		w.connecting[name] = processes[name]
+		for _, b := range balancers {
+			b.connect(name)
+		}
+	}
+}
+
+// reportConnected tells the prewarmer which of the connections it started have come up or failed.
+func (w *prewarming) reportConnected(now time.Duration, processes map[string]uint64, states map[string]connectivity.State) {
+	for name, process := range w.connecting {
+		state := states[name]
+		if processes[name] != process { // the upstream was restarted or removed
+			delete(w.connecting, name)
+			continue
+		}
+		if state != connectivity.Connecting {
+			w.prewarmer.Connected(now, name, process, state == connectivity.Ready)
+			delete(w.connecting, name)
+		}
+	}
+}
+
+// connectionStates combines the states of the SubConns to each upstream: READY if all of them are, CONNECTING if one of them is, and another
+// state otherwise.
+func connectionStates(balancers []*subConnBalancer) map[string]connectivity.State {
+	states := map[string]connectivity.State{}
+	for _, b := range balancers {
+		b.mu.RLock()
+		for name, s := range b.subConns {
+			combined, seen := states[name]
+			switch {
+			case !seen || s.state == connectivity.Connecting:
+				states[name] = s.state
+			case combined == connectivity.Ready:
+				states[name] = s.state
+			}
+		}
+		b.mu.RUnlock()
+	}
+	return states
+}
