--- a/internal/config/config.go
+++ b/internal/config/platform.go
@@ -1,5 +1,3 @@
-// Package config reads what one process is told, and says all that is wrong with it: config.go the platform's JSON file,
-// file.go the operator's TOML file, plan.go what a daemon runs by one of them or by both.
 package config
 
 import (
@@ -28,23 +26,6 @@
 	GRPC            *GRPC // of the plug-in; nil: the file has no such part
 }
 
-// GRPC is the part of a file that only the plug-in inside gRPC clients reads.
-type GRPC struct {
-	Service string            `json:"service"` // names the service in targets
-	Methods map[string]string `json:"methods"` // full method name, or /package.Service/*, to class
-	Answers []string          `json:"answers"` // status codes that are the application's answer, as NOT_FOUND
-	TLS     *GRPCTLS          `json:"tls"`     // nil: credentials are the program's
-	File    string            `json:"file"`    // an operator's file, for the registries of the service
-}
-
-// GRPCTLS is how the plug-in's connections are encrypted; all but Name are files.
-type GRPCTLS struct {
-	CA          string `json:"ca"`
-	Name        string `json:"name"`
-	Certificate string `json:"certificate"`
-	Key         string `json:"key"`
-}
-
 // Limits is what the platform allows the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
@@ -59,32 +40,6 @@
 	connIdleShort  = 10 * time.Second // where they name no idle time
 )
 
-// Problem is one mistake in a configuration. Line and Column count from 1; 0: it has no place, as in the platform's file.
-type Problem struct {
-	Key, Reason  string
-	Line, Column int
-}
-
-func (p Problem) Error() string {
-	if p.Line == 0 {
-		return p.Key + ": " + p.Reason
-	}
-	return fmt.Sprintf("%d:%d: %s: %s", p.Line, p.Column, p.Key, p.Reason)
-}
-
-// Problems is all that is wrong with a configuration; as an error it is one line.
-type Problems []Problem
-
-func (p Problems) Error() string {
-	switch len(p) {
-	case 0:
-		return "no problem"
-	case 1:
-		return p[0].Error()
-	}
-	return fmt.Sprintf("%v (and %d more; \"orchiddrift check\" lists them)", p[0], len(p)-1)
-}
-
 // Load reads the file at path. An error about what stands in it wraps Problems.
 func Load(path string) (*Config, error) {
 	if path == "" {
@@ -105,16 +60,6 @@
 // and not under traffic. Its error is Problems.
 func Parse(text []byte) (*Config, error) { return parse(text, false) }
 
-// ParsePlugin is Parse for the plug-in: it listens nowhere and has its process's limits, and its list may be the
-// known one alone.
-func ParsePlugin(text []byte) (*Config, error) { return parse(text, true) }
-
-// IsPluginConfig tells whether a file is the plug-in's: it has a grpc part and listens nowhere.
-func IsPluginConfig(text []byte) bool {
-	var file struct{ Listen, GRPC json.RawMessage }
-	return json.Unmarshal(text, &file) == nil && len(file.GRPC) > 0 && len(file.Listen) == 0
-}
-
 func parse(text []byte, plugin bool) (*Config, error) {
 	var file struct {
 		Name, Listen, Discovery string
@@ -220,6 +165,3 @@
 	}
 	return bad
 }
-
-// oneLine is an error's text as one line, whatever stands in the file that it speaks of.
-func oneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
