--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -24,7 +24,13 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// File is the operator's file. Each subsystem's part is declared next to it; this is where they come together.
+// Bounds of values in an operator's file.
+const (
+	maxCores  = 4096
+	maxWeight = 1e6 // of a service, beside the others' weights
+)
+
+// File is the operator's file. Most of its parts are declared by the packages that they configure.
 type File struct {
 	Daemon      Daemon                     `toml:"daemon" doc:"The process. Beside the platform's file, that one's name, listen and seed win."`
 	Limits      FileLimits                 `toml:"limits" doc:"What the process may use. Beside the platform's file, that one's win."`
@@ -43,7 +49,7 @@
 	Routes      []routes.Declaration       `toml:"route" doc:"A route: which requests go to which service, and as what. Absent, with one service and no [[graphql]]: all go there."`
 }
 
-// Daemon is about the process.
+// Daemon is the part of the file on the process itself.
 type Daemon struct {
 	Name    string         `toml:"name" reload:"start" doc:"The process's name, for logs."`
 	Listen  string         `toml:"listen" default:"127.0.0.1:8080" reload:"start" doc:"Where clients connect: IP address and port."`
@@ -52,7 +58,7 @@
 	Grace   units.Duration `toml:"grace" default:"0s" reload:"start" doc:"How long what is in hand may take after SIGTERM; 0s: as long as the longest deadline."`
 }
 
-// FileLimits is what the process may use.
+// FileLimits is the part of the file on the resources that the process may use.
 type FileLimits struct {
 	Cores       float64        `toml:"cores" reload:"start" doc:"Processor cores; 0: as many as there are."`
 	Memory      units.Size     `toml:"memory" default:"192MiB" reload:"start" doc:"The heap is held to three quarters of it; a 64th is what one answer may have."`
@@ -61,12 +67,13 @@
 	BodyTimeout units.Duration `toml:"body_timeout" default:"5s" doc:"And for its body."`
 }
 
-// Shares is how services share the limits.
+// Shares is the part of the file on how services share the limits.
 type Shares struct {
 	Guaranteed float64 `toml:"guaranteed" default:"0.5" doc:"The part of each limit (connections to upstreams, requests in hand, bytes in hand) that is set aside for the services by their share; the rest is for who comes first."`
 }
 
-// Service is one service. Its upstreams come from exactly one of addresses, endpoint, list_file and discovery.
+// Service is one service. Its own endpoint list comes from one of Addresses, Endpoints, ListFile and Discovery; it needs none if a registry
+// lists its upstreams.
 type Service struct {
 	Name            string                     `toml:"name" sample:"\"seats\"" doc:"The service's name, which routes give."`
 	Addresses       []string                   `toml:"addresses" sample:"[\"127.0.0.1:9001\", \"127.0.0.1:9002\"]" doc:"The upstreams, where there is no more to say of them than IP address and port."`
@@ -90,7 +97,7 @@
 	Subset    subset.Options    `toml:"subset" doc:"For many upstreams: a part of them is this process's own."`
 }
 
-// Check is tomlfile.Checker's.
+// Check implements tomlfile.Checker.
 func (d *Daemon) Check(report func(key, format string, args ...any)) {
 	if err := endpoints.CheckAddress(d.Listen); err != nil {
 		report("listen", "%v", err)
@@ -107,9 +114,9 @@
 	}
 }
 
-// Check is tomlfile.Checker's.
+// Check implements tomlfile.Checker.
 func (l *FileLimits) Check(report func(key, format string, args ...any)) {
-	if !(l.Cores >= 0) || l.Cores > 4096 {
+	if !(l.Cores >= 0) || l.Cores > maxCores {
 		report("cores", "%v is not usable", l.Cores)
 	}
 	if l.Memory < minMemoryMB*units.MiB {
@@ -123,42 +130,43 @@
 	}
 }
 
-// Check is tomlfile.Checker's.
+// Check implements tomlfile.Checker.
 func (s *Shares) Check(report func(key, format string, args ...any)) {
 	if !(s.Guaranteed >= 0 && s.Guaranteed <= 1) {
 		report("guaranteed", "%v is not a part, from 0 to 1", s.Guaranteed)
 	}
 }
 
-// fromOne is what a service needs; a registry may be all that it has.
-const fromOne = "upstreams come from one of addresses, endpoint, list_file and discovery, beside any [[eureka]]; %d are given"
+// oneSourceNeeded is the message on a service with more or less than one list of its own. It needs none beside a registry.
+const oneSourceNeeded = "upstreams come from one of addresses, endpoint, list_file and discovery, beside any [[eureka]]; %d are given"
 
-// ownList tells whether the service has a list that is no registry's.
-func (s *Service) ownList() bool {
-	return len(s.Addresses) > 0 || len(s.Endpoints) > 0 || s.ListFile != "" || s.Discovery != ""
+// ownSources returns how many lists the service has beside those of registries; one at most is allowed.
+func (s *Service) ownSources() int {
+	sources := 0
+	for _, given := range []bool{len(s.Addresses) > 0, len(s.Endpoints) > 0, s.ListFile != "", s.Discovery != ""} {
+		if given {
+			sources++
+		}
+	}
+	return sources
 }
 
-// Check is tomlfile.Checker's.
+// Check implements tomlfile.Checker.
 func (s *Service) Check(report func(key, format string, args ...any)) {
 	s.Declaration.Check(report)
 	if s.Name == "" {
 		report("name", "missing")
 	}
-	from := 0
-	for _, given := range []bool{len(s.Addresses) > 0, len(s.Endpoints) > 0, s.ListFile != "", s.Discovery != ""} {
-		if given {
-			from++
-		}
-	}
-	if from > 1 {
-		report("", fromOne, from)
+	sources := s.ownSources()
+	if sources > 1 {
+		report("", oneSourceNeeded, sources)
 	}
-	for i, a := range s.Addresses {
-		if err := endpoints.CheckAddress(a); err != nil {
+	for i, address := range s.Addresses {
+		if err := endpoints.CheckAddress(address); err != nil {
 			report("addresses", "item %d: %v", i+1, err)
 		}
 	}
-	if from == 1 && len(s.entries()) > 0 {
+	if sources == 1 && len(s.entries()) > 0 {
 		if err := listfile.Validate(s.entries()); err != nil {
 			report("", "%v", err)
 		}
@@ -171,24 +179,24 @@
 	if _, err := httpheader.ParseStatuses(s.SuccessStatuses); err != nil {
 		report("answers", "%v", err)
 	}
-	if !(s.Weight > 0) || s.Weight > 1e6 {
+	if !(s.Weight > 0) || s.Weight > maxWeight {
 		report("share", "%v is not a usable weight", s.Weight)
 	}
 }
 
-// entries are the upstreams that the file itself lists.
+// entries returns the upstreams that the file itself lists.
 func (s *Service) entries() []listfile.Entry {
 	if len(s.Addresses) == 0 {
 		return s.Endpoints
 	}
-	out := make([]listfile.Entry, len(s.Addresses))
-	for i, a := range s.Addresses {
-		out[i] = listfile.Entry{Name: a, Address: a, Status: endpoints.StatusReady}
+	entries := make([]listfile.Entry, len(s.Addresses))
+	for i, address := range s.Addresses {
+		entries[i] = listfile.Entry{Name: address, Address: address, Status: endpoints.StatusReady}
 	}
-	return out
+	return entries
 }
 
-// cores is how many there are to use.
+// cores returns the number of processor cores to use.
 func (l *FileLimits) cores() float64 {
 	if l.Cores == 0 {
 		return float64(runtime.NumCPU())
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -10,117 +10,125 @@
 	"orchiddrift/internal/tomlfile"
 )
 
+// errNoConfiguration says that no file is named.
+var errNoConfiguration = errors.New(`no configuration: name one with --config, or GW_CONFIG ("orchiddrift config example" prints one)`)
+
+// errTwoOperatorFiles says that both files named are operator's files.
+var errTwoOperatorFiles = errors.New("two operator's files: the one beside is for the platform's")
+
 // Sources names the files that a daemon reads.
 type Sources struct {
-	Config string // the platform's JSON or the operator's TOML, told apart by what stands in it
-	Beside string // the operator's file beside the platform's; empty: none
-	// Control is where operators call, where no file says so; empty: nowhere.
-	Control string
+	Config  string // the platform's JSON file or the operator's TOML file; their content tells which
+	Beside  string // the operator's file beside the platform's; empty: none
+	Control string // address of the control listener if no file has one; empty: none
 }
 
-// LoadPlan reads the files. An error about what stands in one wraps Problems.
-func LoadPlan(s Sources) (*Plan, error) {
-	p, err := loadPlan(s)
-	if err != nil || p.Control != "" || s.Control == "" {
-		return p, err
+// LoadPlan reads the files. An error about their content wraps Problems.
+func LoadPlan(sources Sources) (*Plan, error) {
+	plan, err := loadFiles(sources)
+	if err != nil || plan.Control != "" || sources.Control == "" {
+		return plan, err
 	}
-	if err := checkControl(s.Control, p.Listen); err != nil {
+	if err := checkControl(sources.Control, plan.Listen); err != nil {
 		return nil, fmt.Errorf("control: %w", err)
 	}
-	p.Control = s.Control
-	return p, nil
+	plan.Control = sources.Control
+	return plan, nil
 }
 
-func loadPlan(s Sources) (*Plan, error) {
+// loadFiles is LoadPlan without the control address of the command line.
+func loadFiles(sources Sources) (*Plan, error) {
 	switch {
-	case s.Config == "" && s.Beside == "":
-		return nil, errors.New(`no configuration: name one with --config, or GW_CONFIG ("orchiddrift config example" prints one)`)
-	case s.Config == "":
-		s = Sources{Config: s.Beside}
+	case sources.Config == "" && sources.Beside == "":
+		return nil, errNoConfiguration
+	case sources.Config == "":
+		sources = Sources{Config: sources.Beside}
 	}
-	text, err := os.ReadFile(s.Config)
+	text, err := os.ReadFile(sources.Config)
 	if err != nil {
 		return nil, fmt.Errorf("reading the configuration: %w", err)
 	}
-	in := func(path string, err error) error { return fmt.Errorf("configuration %s: %w", path, err) }
-	if !IsPlatform(text) {
-		if s.Beside != "" {
-			return nil, errors.New("two operator's files: the one beside is for the platform's")
-		}
-		p, err := ParseFile(text)
-		if err != nil {
-			return nil, in(s.Config, err)
-		}
-		return p, nil
+	if IsPlatform(text) {
+		return loadPlatform(sources, text)
 	}
-	c, err := Parse(text)
+	if sources.Beside != "" {
+		return nil, errTwoOperatorFiles
+	}
+	plan, err := ParseFile(text)
+	return plan, inFile(sources.Config, err)
+}
+
+// loadPlatform makes the plan of the platform's file, whose text is given, and of the operator's file beside it.
+func loadPlatform(sources Sources, text []byte) (*Plan, error) {
+	platform, err := Parse(text)
 	if err != nil {
-		return nil, in(s.Config, err)
+		return nil, inFile(sources.Config, err)
 	}
-	if s.Beside == "" {
-		return c.Plan(), nil
+	if sources.Beside == "" {
+		return platform.Plan(), nil
 	}
-	if text, err = os.ReadFile(s.Beside); err != nil {
+	beside, err := os.ReadFile(sources.Beside)
+	if err != nil {
 		return nil, fmt.Errorf("reading the operator's file: %w", err)
 	}
-	p, err := ParseBeside(c, text)
-	if err != nil {
-		return nil, in(s.Beside, err)
+	plan, err := ParseBeside(platform, beside)
+	return plan, inFile(sources.Beside, err)
+}
+
+// inFile says which file an error is about; nil: there is none.
+func inFile(path string, err error) error {
+	if err == nil {
+		return nil
 	}
-	return p, nil
+	return fmt.Errorf("configuration %s: %w", path, err)
 }
 
-// IsPlatform tells the platform's JSON from the operator's TOML.
+// byteOrderMark may stand at the beginning of a text file.
+const byteOrderMark = "\xef\xbb\xbf"
+
+// IsPlatform reports whether a text is the platform's JSON, and not the operator's TOML. An empty text counts as the platform's.
 func IsPlatform(text []byte) bool {
-	text = bytes.TrimSpace(bytes.TrimPrefix(text, []byte("\xef\xbb\xbf")))
+	text = bytes.TrimSpace(bytes.TrimPrefix(text, []byte(byteOrderMark)))
 	return len(text) == 0 || text[0] == '{'
 }
 
-// ParseFile reads an operator's file. Its error is Problems.
+// ParseFile reads an operator's file that stands alone. Its error is Problems.
 func ParseFile(text []byte) (*Plan, error) { return parseFile(nil, text) }
 
-// LoadFleet is what an operator's file says of the fleet. It need not say how a daemon is run.
-func LoadFleet(path string) (*lease.Declaration, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, fmt.Errorf("reading the configuration: %w", err)
-	}
-	f := &File{}
-	if err := problems(tomlfile.Decode(text, f)); err != nil {
-		return nil, fmt.Errorf("configuration %s: %w", path, err)
-	}
-	if !f.Fleet.On() {
-		return nil, fmt.Errorf("configuration %s: fleet.name: missing", path)
-	}
-	return &f.Fleet, nil
+// ParseBeside reads an operator's file that stands beside the platform's. The platform's name, listen address, seed, limits and timeouts
+// win; its service, called Platform, comes first, under its own routes. Its error is Problems.
+func ParseBeside(platform *Config, text []byte) (*Plan, error) {
+	return parseFile(platform.Plan(), text)
 }
 
-// ParseBeside reads an operator's file that stands beside the platform's: of that one, name, listen, seed, limits and
-// time-outs win, and its service, called Platform, comes first, under its own routes.
-func ParseBeside(c *Config, text []byte) (*Plan, error) { return parseFile(c, text) }
-
-func parseFile(beside *Config, text []byte) (*Plan, error) {
-	f := &File{}
-	doc := tomlfile.Decode(text, f)
-	var p *Plan
-	if !doc.Broken() {
-		p = f.plan(beside, doc)
-	}
-	if err := problems(doc); err != nil {
+func parseFile(platform *Plan, text []byte) (*Plan, error) {
+	file := &File{}
+	document := tomlfile.Decode(text, file)
+	var plan *Plan
+	if !document.Broken() {
+		plan = buildPlan(file, platform, document)
+	}
+	if err := problemsOf(document); err != nil {
 		return nil, err
 	}
-	return p, nil
+	return plan, nil
 }
 
-// problems is all that is wrong with a text; nil: nothing.
-func problems(doc *tomlfile.Document) error {
-	mistakes := doc.Problems()
-	if len(mistakes) == 0 {
-		return nil
+// LoadFleet reads the part of an operator's file on the fleet. The file need not configure a daemon.
+func LoadFleet(path string) (*lease.Declaration, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, fmt.Errorf("reading the configuration: %w", err)
+	}
+	file := &File{}
+	if err := problemsOf(tomlfile.Decode(text, file)); err != nil {
+		return nil, inFile(path, err)
 	}
-	bad := make(Problems, len(mistakes))
-	for i, m := range mistakes {
-		bad[i] = Problem{Key: m.Key, Reason: m.Reason, Line: m.Line, Column: m.Column}
+	if !file.Fleet.On() {
+		return nil, inFile(path, errNoFleet)
 	}
-	return bad
+	return &file.Fleet, nil
 }
+
+// errNoFleet says that an operator's file configures no fleet.
+var errNoFleet = errors.New("fleet.name: missing")
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -4,6 +4,7 @@
 	"reflect"
 	"time"
 
+	"orchiddrift/balancer"
 	"orchiddrift/internal/admission"
 	"orchiddrift/internal/discovery/eureka"
 	"orchiddrift/internal/discovery/membership"
@@ -21,27 +22,27 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// Plan is what a daemon runs, from whichever files: the platform's, the operator's, or both.
+// Plan is what a daemon runs, whichever files it was made from: the platform's, the operator's, or both.
 type Plan struct {
 	Name, Listen  string
-	Control       string // where operators call; empty: nowhere
+	Control       string // address of the operators' control listener; empty: none
 	Seed          uint64
-	SeedDrawn     bool // no file has one
+	SeedDrawn     bool // no file has a seed, and a random one was drawn
 	Limits        Limits
 	HeadTimeout   time.Duration
 	BodyTimeout   time.Duration
-	Grace         time.Duration // what is unanswered so long after SIGTERM is failed
-	Guaranteed    float64       // the part of each limit that is set aside for services
+	Grace         time.Duration // requests without an answer this long after SIGTERM fail
+	Guaranteed    float64       // fraction of each limit that is reserved for services by their weight
 	Services      []ServicePlan
 	Table         *routes.Table
-	Endpoints     map[string]*graphql.Endpoint // of routes, by their Endpoint
+	Endpoints     map[string]*graphql.Endpoint // by the Endpoint field of their routes
 	TLS           tlscredentials.ListenerTLS
 	Log           logging.Declaration
-	Registrations []eureka.Declaration // where the process registers itself
-	File          *File                // the operator's; nil: there is none
+	Registrations []eureka.Declaration // registries in which the process registers itself
+	File          *File                // the operator's file; nil: there is none
 }
 
-// ServicePlan is one service.
+// ServicePlan is one service of a plan.
 type ServicePlan struct {
 	Name            string
 	Settings        settings.Settings
@@ -52,32 +53,53 @@
 	Prewarm         prewarm.Options
 	LoadProbe       loadprobe.Options
 
-	// Where its upstreams come from: Discovery, ListFile or else Known alone.
+	// The service's own endpoint list comes from Discovery or ListFile; if both are empty, it is InitialEndpoints.
 	Discovery        string
 	ListFile         string
-	InitialEndpoints *endpoints.List // as last held, or the whole of it; nil: none
+	InitialEndpoints *endpoints.List // the list to begin with; nil: none
 
-	Admission *admission.Options // before it; nil: there is none
+	Admission   *admission.Options    // the queue before the service; nil: none
+	Idempotency *executor.Declaration // the store of its idempotency keys; nil: none
 
-	Idempotency *executor.Declaration // the store of its keys; nil: there is none
+	Registries []eureka.Declaration // merged with the service's own list, or its only source
+	Membership membership.Options   // how they are merged
 
-	Registries []eureka.Declaration // beside that list, or without one
-	Membership membership.Options
-
-	Unrouted bool // no route leads to it
+	Unrouted bool // no route leads to the service
 }
 
-// Staleness is how its list at Discovery is followed.
+// Staleness returns how the endpoint list at Discovery is followed.
 func (s *ServicePlan) Staleness() staleness.Options {
-	return staleness.Options{Pushed: !s.Settings.MustSubscribe, MaxPollAge: s.Settings.MaxPollAge, FleetSize: s.Settings.FleetSize,
-		DrainGrace: s.Settings.DrainGrace}
+	return staleness.Options{
+		Pushed:     !s.Settings.MustSubscribe,
+		MaxPollAge: s.Settings.MaxPollAge,
+		FleetSize:  s.Settings.FleetSize,
+		DrainGrace: s.Settings.DrainGrace,
+	}
 }
 
-// Platform is the name of the service that the platform's file tells of.
-const Platform = "platform"
-
-// Same tells whether two plans of a service differ in nothing but where its upstreams come from, and its door.
+// Same reports whether two plans of a service differ in nothing but the sources of the endpoint list, admission, idempotency and routes.
 func (s *ServicePlan) Same(o *ServicePlan) bool {
 	return s.Name == o.Name && reflect.DeepEqual(s.Settings, o.Settings) && *s.SuccessStatuses == *o.SuccessStatuses &&
 		reflect.DeepEqual(s.TLS, o.TLS) && s.Subset == o.Subset && s.Prewarm == o.Prewarm && s.LoadProbe == o.LoadProbe
 }
+
+// class returns the service's class of a name; nil: there is none.
+func (s *ServicePlan) class(name string) *balancer.Class {
+	for i := range s.Settings.Classes {
+		if s.Settings.Classes[i].Name == name {
+			return &s.Settings.Classes[i]
+		}
+	}
+	return nil
+}
+
+// longestDeadline returns the longest deadline of any class of the services.
+func longestDeadline(services []ServicePlan) time.Duration {
+	longest := time.Duration(0)
+	for i := range services {
+		for _, class := range services[i].Settings.Classes {
+			longest = max(longest, class.Deadline)
+		}
+	}
+	return longest
+}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -13,17 +13,17 @@
 	"orchiddrift/internal/settings"
 )
 
-// Config is what the platform tells one process.
+// Config is the content of the platform's file, which configures one process.
 type Config struct {
 	Name            string
-	Listen          string // where clients connect
-	Control         string // where operators call; empty: nowhere
+	Listen          string // address of the clients' listener
+	Control         string // address of the operators' control listener; empty: none
 	Discovery       string
 	Seed            uint64
 	Limits          Limits
-	CachedEndpoints *endpoints.List // the list of upstreams as last held; nil: none
+	CachedEndpoints *endpoints.List // the endpoint list as last received; nil: none
 	Settings        settings.Settings
-	GRPC            *GRPC // of the plug-in; nil: the file has no such part
+	GRPC            *GRPC // the plug-in's part; nil: none
 }
 
 // Limits is what the platform allows the process.
@@ -33,135 +33,193 @@
 	Sockets  int     `json:"sockets"`
 }
 
+// The least that a process can run with.
 const (
-	minSockets     = 64 // fewer leave no room for clients and upstreams beside the fixed descriptors
-	minMemoryMB    = 16
-	connectDefault = time.Second      // where the settings name no connect timeout
-	connIdleShort  = 10 * time.Second // where they name no idle time
+	minSockets  = 64 // for clients and upstreams, beside the descriptors that every process needs
+	minMemoryMB = 16
 )
 
-// Load reads the file at path. An error about what stands in it wraps Problems.
+// The platform's settings where they name none.
+const (
+	defaultConnectTimeout  = time.Second
+	defaultConnIdleTimeout = 10 * time.Second
+)
+
+// errNoPath says that the environment names no platform's file.
+var errNoPath = errors.New("GW_CONFIG is not set")
+
+// Load reads the platform's file at path. An error about its content wraps Problems.
 func Load(path string) (*Config, error) {
 	if path == "" {
-		return nil, errors.New("GW_CONFIG is not set")
+		return nil, errNoPath
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("reading the configuration: %w", err)
 	}
 	c, err := Parse(text)
-	if err != nil {
-		return nil, fmt.Errorf("configuration %s: %w", path, err)
-	}
-	return c, nil
+	return c, inFile(path, err)
 }
 
-// Parse checks everything that a daemon relies on, the module's settings too: what is wrong must show at the start
-// and not under traffic. Its error is Problems.
+// Parse reads the platform's file and checks everything that a daemon relies on, the module's settings too, so that mistakes show at the
+// start and not under traffic. Its error is Problems.
 func Parse(text []byte) (*Config, error) { return parse(text, false) }
 
+// platformFile is the platform's file as JSON. Its parts are decoded one by one, so that a mistake in one does not hide those in others.
+// It is an alias without tags because the JSON decoder quotes the names of types and fields in its errors, which "check" prints.
+type platformFile = struct {
+	Name, Listen, Discovery string
+	Control                 string
+	Seed                    json.RawMessage
+	Limits                  json.RawMessage
+	Known                   json.RawMessage
+	Settings                json.RawMessage
+	GRPC                    json.RawMessage
+}
+
+// platformParser checks the parts of a platform's file and collects what is wrong with them.
+type platformParser struct {
+	file     platformFile
+	config   *Config
+	problems Problems
+}
+
 func parse(text []byte, plugin bool) (*Config, error) {
-	var file struct {
-		Name, Listen, Discovery string
-		Control                 string
-		Seed                    json.RawMessage
-		Limits                  json.RawMessage
-		Known                   json.RawMessage
-		Settings                json.RawMessage
-		GRPC                    json.RawMessage
-	}
-	if err := json.Unmarshal(text, &file); err != nil {
+	p := &platformParser{}
+	if err := json.Unmarshal(text, &p.file); err != nil {
 		return nil, Problems{{Key: "file", Reason: oneLine(err)}}
 	}
-	var bad Problems
-	add := func(key string, err error) {
-		if err != nil {
-			bad = append(bad, Problem{Key: key, Reason: oneLine(err)})
-		}
-	}
-	c := &Config{Name: file.Name, Listen: file.Listen, Control: file.Control, Discovery: file.Discovery}
+	p.config = &Config{Name: p.file.Name, Listen: p.file.Listen, Control: p.file.Control, Discovery: p.file.Discovery}
 	if !plugin {
-		add("listen", endpoints.CheckAddress(c.Listen))
-		if c.Control != "" {
-			add("control", checkControl(c.Control, c.Listen))
-		}
-		bad = append(bad, c.readLimits(file.Limits)...)
-	}
-	if !plugin || c.Discovery != "" {
-		add("discovery", endpoints.CheckAddress(c.Discovery))
-	}
-	if len(file.GRPC) > 0 && string(file.GRPC) != "null" {
-		c.GRPC = &GRPC{}
-		add("grpc", json.Unmarshal(file.GRPC, c.GRPC))
-	}
-	var seed string
-	if json.Unmarshal(file.Seed, &seed) != nil {
-		seed = string(file.Seed)
-	}
-	var err error
-	if c.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
-		add("seed", fmt.Errorf("%q is not a 64-bit hexadecimal number", seed))
-	}
-	if len(file.Known) > 0 && string(file.Known) != "null" {
-		c.CachedEndpoints, err = endpoints.ParseList(file.Known)
-		add("known", err)
-	}
-	if len(file.Settings) == 0 {
-		add("settings", errors.New("missing"))
-	} else if c.Settings, err = settings.Decode(file.Settings); err != nil {
-		add("settings", err)
-	} else {
-		for _, p := range c.Settings.Problems() {
-			bad = append(bad, Problem{Key: "settings." + p.Key, Reason: oneLine(errors.New(p.Reason))})
-		}
-		if c.Settings.ConnIdleTimeout < 0 {
-			bad = append(bad, Problem{Key: "settings.ConnIdle", Reason: "negative"})
-		}
-	}
-	if plugin && c.Discovery == "" && (c.CachedEndpoints == nil || len(c.CachedEndpoints.Endpoints) == 0) {
-		add("discovery", errors.New("missing, and no upstream is known"))
-	}
-	if len(bad) > 0 {
-		return nil, bad
+		p.checkListeners()
+		p.parseLimits()
 	}
-	if c.Settings.ConnectTimeout == 0 {
-		c.Settings.ConnectTimeout = connectDefault
+	if !plugin || p.config.Discovery != "" {
+		p.report("discovery", endpoints.CheckAddress(p.config.Discovery))
 	}
-	if c.Settings.ConnIdleTimeout == 0 {
-		c.Settings.ConnIdleTimeout = connIdleShort
+	p.parseGRPC()
+	p.parseSeed()
+	p.parseKnownEndpoints()
+	p.parseSettings()
+	if plugin && p.config.Discovery == "" && !p.config.hasCachedEndpoints() {
+		p.report("discovery", errors.New("missing, and no upstream is known"))
+	}
+	if len(p.problems) > 0 {
+		return nil, p.problems
 	}
-	return c, nil
+	p.config.setDefaults()
+	return p.config, nil
 }
 
-// AnyPort tells whether an address leaves its port to the system.
-func AnyPort(address string) bool { return strings.HasSuffix(address, ":0") }
+// report adds a problem at a key if there is an error.
+func (p *platformParser) report(key string, err error) {
+	if err != nil {
+		p.problems = append(p.problems, Problem{Key: key, Reason: oneLine(err)})
+	}
+}
 
-// checkControl says what is wrong with the operators' address.
-func checkControl(control, listen string) error {
-	if control == listen && !AnyPort(listen) {
-		return errors.New("clients connect there")
+func (p *platformParser) checkListeners() {
+	p.report("listen", endpoints.CheckAddress(p.config.Listen))
+	if p.config.Control != "" {
+		p.report("control", checkControl(p.config.Control, p.config.Listen))
+	}
+}
+
+func (p *platformParser) parseLimits() {
+	if !given(p.file.Limits) {
+		p.report("limits", errMissing)
+		return
+	}
+	limits := &p.config.Limits
+	if err := json.Unmarshal(p.file.Limits, limits); err != nil {
+		p.report("limits", err)
+		return
+	}
+	if !(limits.Cores > 0) {
+		p.report("limits.cores", fmt.Errorf("%v is not above 0", limits.Cores))
+	}
+	if limits.MemoryMB < minMemoryMB {
+		p.report("limits.memory_mb", fmt.Errorf("%v is under %d", limits.MemoryMB, minMemoryMB))
+	}
+	if limits.Sockets < minSockets {
+		p.report("limits.sockets", fmt.Errorf("%d is under %d", limits.Sockets, minSockets))
 	}
-	return endpoints.CheckAddress(control)
 }
 
-func (c *Config) readLimits(text json.RawMessage) (bad Problems) {
-	if len(text) == 0 || string(text) == "null" {
-		return Problems{{Key: "limits", Reason: "missing"}}
+func (p *platformParser) parseGRPC() {
+	if given(p.file.GRPC) {
+		p.config.GRPC = &GRPC{}
+		p.report("grpc", json.Unmarshal(p.file.GRPC, p.config.GRPC))
 	}
-	if err := json.Unmarshal(text, &c.Limits); err != nil {
-		return Problems{{Key: "limits", Reason: oneLine(err)}}
+}
+
+// parseSeed reads the seed: a string of hexadecimal digits, or the same digits as a number.
+func (p *platformParser) parseSeed() {
+	var digits string
+	if json.Unmarshal(p.file.Seed, &digits) != nil {
+		digits = string(p.file.Seed)
 	}
-	add := func(key, format string, args ...any) {
-		bad = append(bad, Problem{Key: "limits." + key, Reason: fmt.Sprintf(format, args...)})
+	seed, err := strconv.ParseUint(digits, 16, 64)
+	if err != nil {
+		p.report("seed", fmt.Errorf("%q is not a 64-bit hexadecimal number", digits))
 	}
-	if !(c.Limits.Cores > 0) {
-		add("cores", "%v is not above 0", c.Limits.Cores)
+	p.config.Seed = seed
+}
+
+func (p *platformParser) parseKnownEndpoints() {
+	if !given(p.file.Known) {
+		return
 	}
-	if c.Limits.MemoryMB < minMemoryMB {
-		add("memory_mb", "%v is under %d", c.Limits.MemoryMB, minMemoryMB)
+	list, err := endpoints.ParseList(p.file.Known)
+	p.report("known", err)
+	p.config.CachedEndpoints = list
+}
+
+func (p *platformParser) parseSettings() {
+	if len(p.file.Settings) == 0 {
+		p.report("settings", errMissing)
+		return
 	}
-	if c.Limits.Sockets < minSockets {
-		add("sockets", "%d is under %d", c.Limits.Sockets, minSockets)
+	decoded, err := settings.Decode(p.file.Settings)
+	if err != nil {
+		p.report("settings", err)
+		return
 	}
-	return bad
+	p.config.Settings = decoded
+	for _, problem := range decoded.Problems() {
+		p.report("settings."+problem.Key, errors.New(problem.Reason))
+	}
+	if decoded.ConnIdleTimeout < 0 {
+		p.report("settings.ConnIdle", errors.New("negative"))
+	}
+}
+
+// errMissing says that a part of the platform's file is missing.
+var errMissing = errors.New("missing")
+
+// given reports whether an optional part of the platform's file is present.
+func given(part json.RawMessage) bool { return len(part) > 0 && string(part) != "null" }
+
+func (c *Config) hasCachedEndpoints() bool {
+	return c.CachedEndpoints != nil && len(c.CachedEndpoints.Endpoints) > 0
+}
+
+func (c *Config) setDefaults() {
+	if c.Settings.ConnectTimeout == 0 {
+		c.Settings.ConnectTimeout = defaultConnectTimeout
+	}
+	if c.Settings.ConnIdleTimeout == 0 {
+		c.Settings.ConnIdleTimeout = defaultConnIdleTimeout
+	}
+}
+
+// AnyPort reports whether an address leaves the choice of the port to the system.
+func AnyPort(address string) bool { return strings.HasSuffix(address, ":0") }
+
+// checkControl returns what is wrong with the address of the control listener.
+func checkControl(control, listen string) error {
+	if control == listen && !AnyPort(listen) {
+		return errors.New("clients connect there")
+	}
+	return endpoints.CheckAddress(control)
 }
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -3,9 +3,11 @@
 import (
 	"fmt"
 	"strings"
+
+	"orchiddrift/internal/tomlfile"
 )
 
-// Problem is one mistake in a configuration. Line and Column count from 1; 0: it has no place, as in the platform's file.
+// Problem is one mistake in a configuration. Line and Column count from 1; they are 0 if the place is not known, as in the platform's file.
 type Problem struct {
 	Key, Reason  string
 	Line, Column int
@@ -18,7 +20,7 @@
 	return fmt.Sprintf("%d:%d: %s: %s", p.Line, p.Column, p.Key, p.Reason)
 }
 
-// Problems is all that is wrong with a configuration; as an error it is one line.
+// Problems is everything that is wrong with a configuration. As an error it is one line, with the first problem and their number.
 type Problems []Problem
 
 func (p Problems) Error() string {
@@ -31,5 +33,18 @@
 	return fmt.Sprintf("%v (and %d more; \"orchiddrift check\" lists them)", p[0], len(p)-1)
 }
 
-// oneLine is an error's text as one line, whatever stands in the file that it speaks of.
+// oneLine returns an error's text as one line. The text may quote lines of the file.
 func oneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
+
+// problemsOf returns the problems of an operator's file as an error; nil: there are none.
+func problemsOf(document *tomlfile.Document) error {
+	mistakes := document.Problems()
+	if len(mistakes) == 0 {
+		return nil
+	}
+	problems := make(Problems, len(mistakes))
+	for i, mistake := range mistakes {
+		problems[i] = Problem{Key: mistake.Key, Reason: mistake.Reason, Line: mistake.Line, Column: mistake.Column}
+	}
+	return problems
+}
