--- a/internal/settings/declaration.go
+++ b/internal/settings/declaration.go
@@ -2,13 +2,15 @@
 
 import (
 	"math"
+	"slices"
+	"time"
 
 	"orchiddrift/balancer"
 	"orchiddrift/internal/units"
 )
 
-// Declaration is a service's part of the operator's file that the module decides by. It says the same as the platform's
-// object; Settings converts it.
+// Declaration is the part of a service in the operator's file that the balancer decides by. It has the same content as the platform's
+// settings object; Settings converts it.
 type Declaration struct {
 	Zone            string         `toml:"zone" doc:"Where this process stands, as in the list's entries."`
 	FleetSize       int            `toml:"sidecars" default:"1" doc:"How many processes share the upstreams: each takes care of a cold one by its part."`
@@ -25,7 +27,7 @@
 	Tenants         []Tenant       `toml:"tenant" doc:"Parties that share the service."`
 }
 
-// SlowStart is the rule of cold upstreams.
+// SlowStart is how upstreams that have just started are given less.
 type SlowStart struct {
 	MinCapacity      float64        `toml:"from" default:"1" doc:"The part of its capacity that it has at its start; 1: there is no such rule."`
 	Window           units.Duration `toml:"warm_up" default:"0s" doc:"After this long it has all of it."`
@@ -33,7 +35,7 @@
 	OverloadWindow   units.Duration `toml:"over" default:"0s" doc:"when kept up for this long."`
 }
 
-// Class is one kind of requests.
+// Class is one class of requests.
 type Class struct {
 	Name              string         `toml:"name" sample:"\"search\"" doc:"The class's name, which routes give."`
 	Idempotency       string         `toml:"effect" default:"unsafe" oneof:"safe|keyed|unsafe" doc:"safe: may run any number of times. keyed: bears a key by which upstreams drop repeats. unsafe: must not run twice."`
@@ -46,40 +48,57 @@
 	DedupWindow       units.Duration `toml:"window" default:"0s" doc:"Of a keyed class: how long they keep it."`
 }
 
-// Tenant is one of the parties that share a service.
+// Tenant is one of the tenants that share a service.
 type Tenant struct {
 	Name  string  `toml:"name" sample:"\"acme\"" doc:"The tenant's name, as requests bear it."`
 	Quota float64 `toml:"share" doc:"Its share of the service, as a part."`
 }
 
-// ReadClass and WriteClass are the classes of a service that declares none.
+// ReadClass and WriteClass are the names of the classes of a service that declares none.
 const (
 	ReadClass  = "read"
 	WriteClass = "write"
 )
 
-var plainClasses = []Class{
-	{Name: ReadClass, Idempotency: "safe", LatencyObjective: 1e9, Deadline: 10e9, PriorityWeight: 1, LateValueFraction: 0.5, DedupScope: "all"},
-	{Name: WriteClass, Idempotency: "unsafe", LatencyObjective: 2e9, Deadline: 10e9, PriorityWeight: 2, LateValueFraction: 0.5, DedupScope: "all"},
+// defaultClasses are the classes of a service that declares none.
+var defaultClasses = []Class{
+	{Name: ReadClass, Idempotency: idempotencySafe, LatencyObjective: units.Duration(time.Second), Deadline: units.Duration(10 * time.Second),
+		PriorityWeight: 1, LateValueFraction: 0.5, DedupScope: scopeAll},
+	{Name: WriteClass, Idempotency: idempotencyUnsafe, LatencyObjective: units.Duration(2 * time.Second), Deadline: units.Duration(10 * time.Second),
+		PriorityWeight: 2, LateValueFraction: 0.5, DedupScope: scopeAll},
 }
 
-// declaredTick is the grain of time of declared services.
-const declaredTick = 2e6
+const (
+	declaredTick = 2 * time.Millisecond // granularity of time of the services of an operator's file
+	maxDeadline  = units.Duration(time.Hour)
+	maxCount     = 100_000 // of processes of a fleet, and of attempts
+)
 
-var effects = map[string]balancer.Idempotency{"safe": balancer.Idempotent, "keyed": balancer.IdempotentWithKey, "unsafe": balancer.NonIdempotent}
+// The values of a class's effect in the operator's file.
+const (
+	idempotencySafe   = "safe"
+	idempotencyKeyed  = "keyed"
+	idempotencyUnsafe = "unsafe"
+)
 
-// Check is tomlfile.Checker's.
+var declaredIdempotency = map[string]balancer.Idempotency{
+	idempotencySafe:   balancer.Idempotent,
+	idempotencyKeyed:  balancer.IdempotentWithKey,
+	idempotencyUnsafe: balancer.NonIdempotent,
+}
+
+// Check implements tomlfile.Checker.
 func (c *Class) Check(report func(key, format string, args ...any)) {
 	if c.Name == "" {
 		report("name", "missing")
 	}
-	if c.Deadline <= 0 || c.Deadline > 3600e9 {
+	if c.Deadline <= 0 || c.Deadline > maxDeadline {
 		report("deadline", "%v is not between 0s and 1h", c.Deadline)
 	}
-	if c.Idempotency == "keyed" && c.DedupWindow == 0 {
+	if c.Idempotency == idempotencyKeyed && c.DedupWindow == 0 {
 		report("window", "a keyed class needs the time for which repeats are dropped")
 	}
-	if c.Idempotency != "keyed" && (c.DedupWindow != 0 || c.DedupScope != "all") {
+	if c.Idempotency != idempotencyKeyed && (c.DedupWindow != 0 || c.DedupScope != scopeAll) {
 		report("effect", "window and group belong to a keyed class")
 	}
 	for key, v := range map[string]float64{"worth": c.PriorityWeight, "aim_stretch": c.ObjectiveStretch} {
@@ -92,66 +111,101 @@
 	}
 }
 
-// Check is tomlfile.Checker's. What remains of the module's own checks is reported for the whole.
+// Check implements tomlfile.Checker. The balancer's own checks follow only if the declaration's find nothing: most would repeat them.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
-	before := 0
-	count := func(key, format string, args ...any) {
-		before++
+	if d.checkValues(report) || d.hasUnknownIdempotency() {
+		return
+	}
+	for _, problem := range d.Settings().Problems() {
+		if problem.Key != "Classes" || len(d.Classes) > 0 {
+			report("", "%s: %s", problem.Key, problem.Reason)
+		}
+	}
+}
+
+// checkValues reports values out of range, and returns whether there are any.
+func (d *Declaration) checkValues(report func(key, format string, args ...any)) (found bool) {
+	add := func(key, format string, args ...any) {
+		found = true
 		report(key, format, args...)
 	}
-	for key, v := range map[string]float64{"cold.from": d.SlowStart.MinCapacity, "over_share_worth": d.OverQuotaWeight} {
-		if !(v >= 0 && v <= 1) {
-			count(key, "%v is not a part, from 0 to 1", v)
+	for key, fraction := range map[string]float64{"cold.from": d.SlowStart.MinCapacity, "over_share_worth": d.OverQuotaWeight} {
+		if !(fraction >= 0 && fraction <= 1) {
+			add(key, "%v is not a part, from 0 to 1", fraction)
 		}
 	}
 	for key, n := range map[string]int{"sidecars": d.FleetSize, "attempts": d.MaxAttempts} {
-		if n < 1 || n > 100_000 {
-			count(key, "%d is not usable", n)
+		if n < 1 || n > maxCount {
+			add(key, "%d is not usable", n)
 		}
 	}
 	if d.ConnIdleTimeout == 0 {
-		count("idle", "0s would retire every connection")
+		add("idle", "0s would retire every connection")
 	}
 	if d.ConnectTimeout == 0 {
-		count("connect_timeout", "0s lets no connection come up")
-	}
-	for _, c := range d.Classes {
-		if _, ok := effects[c.Idempotency]; !ok {
-			before++ // reported where it stands
-		}
-	}
-	if before > 0 {
-		return
-	}
-	for _, p := range d.Settings().Problems() {
-		if p.Key != "Classes" || len(d.Classes) > 0 {
-			report("", "%s: %s", p.Key, p.Reason)
-		}
+		add("connect_timeout", "0s lets no connection come up")
 	}
+	return found
+}
+
+// hasUnknownIdempotency reports whether a class has a value that there is not, which decoding has reported.
+func (d *Declaration) hasUnknownIdempotency() bool {
+	return slices.ContainsFunc(d.Classes, func(c Class) bool {
+		_, known := declaredIdempotency[c.Idempotency]
+		return !known
+	})
 }
 
-// Settings converts it.
+// Settings converts the declaration.
 func (d *Declaration) Settings() Settings {
-	s := Settings{ConnIdleTimeout: d.ConnIdleTimeout.D(), Settings: balancer.Settings{FleetSize: d.FleetSize, Zone: d.Zone, Tick: declaredTick,
-		MaxAttempts: d.MaxAttempts, HedgingAllowed: d.HedgingAllowed, CancellationAllowed: true, RetryAfterAllowed: d.MaxRetryAfter > 0,
-		MaxRetryAfter: d.MaxRetryAfter.D(), ConnectTimeout: d.ConnectTimeout.D(), CrossZonePrice: d.CrossZonePrice,
-		OverQuotaWeight: d.OverQuotaWeight, WeightPerWork: d.WeightPerWork, SlowStartMinCapacity: d.SlowStart.MinCapacity, SlowStartWindow: d.SlowStart.Window.D(),
-		OverloadMultiple: d.SlowStart.OverloadMultiple, OverloadWindow: d.SlowStart.OverloadWindow.D()}}
+	s := Settings{
+		ConnIdleTimeout: d.ConnIdleTimeout.D(),
+		Settings: balancer.Settings{
+			FleetSize:            d.FleetSize,
+			Zone:                 d.Zone,
+			Tick:                 declaredTick,
+			MaxAttempts:          d.MaxAttempts,
+			HedgingAllowed:       d.HedgingAllowed,
+			CancellationAllowed:  true,
+			RetryAfterAllowed:    d.MaxRetryAfter > 0,
+			MaxRetryAfter:        d.MaxRetryAfter.D(),
+			ConnectTimeout:       d.ConnectTimeout.D(),
+			CrossZonePrice:       d.CrossZonePrice,
+			OverQuotaWeight:      d.OverQuotaWeight,
+			WeightPerWork:        d.WeightPerWork,
+			SlowStartMinCapacity: d.SlowStart.MinCapacity,
+			SlowStartWindow:      d.SlowStart.Window.D(),
+			OverloadMultiple:     d.SlowStart.OverloadMultiple,
+			OverloadWindow:       d.SlowStart.OverloadWindow.D(),
+		},
+	}
 	classes := d.Classes
 	if len(classes) == 0 {
-		classes = plainClasses
+		classes = defaultClasses
 	}
-	for _, c := range classes {
-		effect, ok := effects[c.Idempotency]
-		if !ok {
-			effect = unknownWord
-		}
-		s.Classes = append(s.Classes, balancer.Class{Name: c.Name, LatencyObjective: c.LatencyObjective.D(), ObjectiveStretch: c.ObjectiveStretch,
-			Deadline: c.Deadline.D(), PriorityWeight: c.PriorityWeight, LateValueFraction: c.LateValueFraction, Idempotency: effect, DedupScope: group(c.DedupScope),
-			DedupWindow: c.DedupWindow.D()})
+	for i := range classes {
+		s.Classes = append(s.Classes, classes[i].settings())
 	}
-	for _, t := range d.Tenants {
-		s.Tenants = append(s.Tenants, balancer.Tenant{Name: t.Name, Quota: t.Quota})
+	for _, tenant := range d.Tenants {
+		s.Tenants = append(s.Tenants, balancer.Tenant{Name: tenant.Name, Quota: tenant.Quota})
 	}
 	return s
 }
+
+func (c *Class) settings() balancer.Class {
+	idempotency, known := declaredIdempotency[c.Idempotency]
+	if !known {
+		idempotency = unknownValue
+	}
+	return balancer.Class{
+		Name:              c.Name,
+		LatencyObjective:  c.LatencyObjective.D(),
+		ObjectiveStretch:  c.ObjectiveStretch,
+		Deadline:          c.Deadline.D(),
+		PriorityWeight:    c.PriorityWeight,
+		LateValueFraction: c.LateValueFraction,
+		Idempotency:       idempotency,
+		DedupScope:        parseDedupScope(c.DedupScope),
+		DedupWindow:       c.DedupWindow.D(),
+	}
+}
