--- a/internal/routes/declaration.go
+++ b/internal/routes/declaration.go
@@ -70,11 +70,3 @@
 	return &Route{Pattern: p, Key: d.Key, Tenant: d.Tenant, Cost: d.Cost, ID: d.ID, Deadline: d.Deadline,
 		Repeats: d.Repeats, MaxBody: int64(d.MaxBody)}, nil
 }
-
-// Unreachable tells why the route's class can't be reached by the one method that its pattern is for; or nothing.
-func (r *Route) Unreachable() string {
-	if m := r.Pattern.Method; m != "" && r.class(m) == nil {
-		return "class " + r.Class.Name + " may be repeated, and " + m + " is not safe by HTTP: say repeats = [\"" + m + "\"] if it is"
-	}
-	return ""
-}
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -1,265 +1,184 @@
 package routes
 
 import (
-	"cmp"
-	"fmt"
+	"net"
 	"net/http"
 	"slices"
 	"strings"
-)
+	"time"
 
-// Conflict is two patterns of which neither takes precedence, by their places in the list that the table was made of.
-type Conflict struct{ First, Second int }
+	"orchiddrift/balancer"
+	"orchiddrift/internal/httpheader"
+)
 
-// table finds the pattern of a request: a tree by host and segment, with what is declared for a path at its leaf. A
-// look-up goes down once in the usual case. Where literal and wildcard both lead on it may have to come back, and looks
-// at no node twice: its cost depends on the request's segments, and not on how many patterns there are.
-type table[T any] struct {
-	hosts map[string]*node[T] // "" for patterns without a host
-	size  int
+// Decision is what a request is.
+type Decision struct {
+	Route          *Route
+	Class          *balancer.Class
+	ID             string // empty: one is to be made
+	IdempotencyKey string // of a keyed class
+	Tenant         string
+	CostHint       time.Duration // expected work; 0: unknown
+	Timeout        time.Duration // what the client waits, at most its class's deadline
 }
 
-type node[T any] struct {
-	children map[string]*node[T] // by literal
-	single   *node[T]
-	rest     []leaf[T] // what is left, whatever it is
-	end      []leaf[T] // after {$}
-	here     []leaf[T] // the path ends here
+// Request is a request's head. ContentLength is -1 where it has a body of unknown length.
+type Request struct {
+	Method, Host, Target string
+	Header               http.Header
+	ContentLength        int64
 }
 
-// leaf is one pattern, and what it stands for. Those of one path are sorted: more headers first, then a method before
-// any method, then HEAD before GET.
-type leaf[T any] struct {
-	p  *Pattern
-	to T
+// Table is a set of routes. It is immutable and safe for concurrent use.
+type Table struct {
+	t       *table[*Route]
+	routes  []*Route
+	hosts   bool            // some route has a host
+	own     []string        // headers that decide something: once at most, spelled in one way
+	listed  []string        // of them those that may hold no list
+	classes map[string]bool // that a ClassHeader may name
+	plain   bool            // the path's first segment is to be there unencoded
 }
 
-func newTable[T any]() *table[T] { return &table[T]{hosts: map[string]*node[T]{}} }
-
-func (t *table[T]) add(p *Pattern, to T) {
-	n := t.hosts[p.Host]
-	if n == nil {
-		n = &node[T]{}
-		t.hosts[p.Host] = n
-	}
-	put := func(list *[]leaf[T]) {
-		*list = append(*list, leaf[T]{p, to})
-		slices.SortStableFunc(*list, func(a, b leaf[T]) int {
-			return cmp.Or(cmp.Compare(len(b.p.Headers), len(a.p.Headers)), cmp.Compare(b.p.Method, a.p.Method))
-		})
-	}
-	t.size++
-	for _, s := range p.segments {
-		switch s.kind {
-		case rest:
-			put(&n.rest)
-			return
-		case end:
-			put(&n.end)
-			return
-		case single:
-			if n.single == nil {
-				n.single = &node[T]{}
-			}
-			n = n.single
-		case literal:
-			if n.children == nil {
-				n.children = map[string]*node[T]{}
+// New makes a table, or tells which pairs of routes conflict.
+func New(routes []*Route) (*Table, []Conflict) {
+	patterns := make([]*Pattern, len(routes))
+	for i, r := range routes {
+		patterns[i] = r.Pattern
+	}
+	if bad := conflicts(patterns); len(bad) > 0 {
+		return nil, bad
+	}
+	t := &Table{t: newTable[*Route](), routes: routes, own: slices.Clone(platformHeaders), classes: map[string]bool{},
+		listed: []string{}}
+	owned := func(name string) {
+		if name != "" && !slices.Contains(t.own, name) {
+			t.own = append(t.own, name)
+		}
+	}
+	for _, r := range routes {
+		t.t.add(r.Pattern, r)
+		t.hosts = t.hosts || r.Pattern.Host != ""
+		for _, s := range []Source{r.Key, r.Tenant, r.Cost, r.ID, r.Deadline} {
+			owned(s.header())
+		}
+		for name := range r.Pattern.Headers {
+			owned(name)
+			t.listed = append(t.listed, name)
+		}
+		if r.ClassHeader != "" {
+			owned(r.ClassHeader)
+			t.listed = append(t.listed, r.ClassHeader)
+			t.plain = true
+			if r.Class != nil {
+				t.classes[r.Class.Name] = true
 			}
-			if n.children[s.text] == nil {
-				n.children[s.text] = &node[T]{}
-			}
-			n = n.children[s.text]
 		}
 	}
-	put(&n.here)
+	slices.Sort(t.listed)
+	t.listed = slices.Compact(t.listed)
+	return t, nil
 }
 
-// asked is a request, for a look-up.
-type asked struct {
-	method, path string
-	header       http.Header
-}
+// Routes lists them, in the order given.
+func (t *Table) Routes() []*Route { return t.routes }
 
-// find returns the most specific pattern that matches: with the request's host first, then without.
-func (t *table[T]) find(host string, q asked) (found leaf[T], ok bool) {
-	if host != "" {
-		if n := t.hosts[host]; n != nil {
-			if found, ok = n.find(q, q.path); ok {
-				return found, true
-			}
+// Decide says what a request is, or how to turn it down.
+func (t *Table) Decide(q Request) (d Decision, bad *Rejection) {
+	path, err := pathOf(q.Target)
+	if err != nil {
+		return d, reject(http.StatusBadRequest, "%v", err)
+	}
+	if problem := t.headers(q.Header); problem != "" {
+		return d, reject(http.StatusBadRequest, "%s", problem)
+	}
+	if t.plain {
+		if first, _, _ := strings.Cut(path[1:], "/"); strings.Contains(first, "%") {
+			return d, reject(http.StatusBadRequest, "the class stands in the path as it is, without encoding")
 		}
 	}
-	if n := t.hosts[""]; n != nil {
-		return n.find(q, q.path)
+	host := ""
+	if t.hosts {
+		host = plainHost(q.Host)
 	}
-	return found, false
-}
-
-// find goes on from a node with what is left of the path, from a slash on.
-func (n *node[T]) find(q asked, left string) (found leaf[T], ok bool) {
-	if left == "" {
-		return pick(n.here, q)
+	asked := asked{method: q.Method, path: path, header: q.Header}
+	plain := isPlain(path)
+	var ways []string
+	if !plain {
+		ways = readings(path)
+		asked.path = ways[0]
+	}
+	found, ok := t.t.find(host, asked)
+	if !ok {
+		return d, t.missing(host, path, asked)
 	}
-	next, after := cut(left)
-	if next != "" {
-		if child := n.children[next]; child != nil {
-			if found, ok = child.find(q, after); ok {
-				return found, true
+	r := found.to
+	if d.Class = r.class(q.Method); d.Class == nil {
+		return d, notAllowed(found.p, r.allowed())
+	}
+	if plain {
+		bad = t.compare(&d, host, asked, found, otherEnd(path), true)
+	} else {
+		for _, way := range ways[1:] {
+			if bad = t.compare(&d, host, asked, found, way, false); bad == nil {
+				bad = t.compare(&d, host, asked, found, otherEnd(way), true)
 			}
-		}
-		if n.single != nil {
-			if found, ok = n.single.find(q, after); ok {
-				return found, true
+			if bad != nil {
+				break
 			}
 		}
-	} else if after == "" {
-		if found, ok = pick(n.end, q); ok {
-			return found, true
+		if bad == nil {
+			bad = t.compare(&d, host, asked, found, otherEnd(ways[0]), true)
 		}
 	}
-	return pick(n.rest, q)
-}
-
-// cut takes the first segment, behind its slash, off a path.
-func cut(path string) (segment, after string) {
-	if i := strings.IndexByte(path[1:], '/'); i >= 0 {
-		return path[1 : i+1], path[i+1:]
+	if bad != nil {
+		return d, bad
 	}
-	return path[1:], ""
+	d.Route = r
+	return d, t.fill(&d, asked.path, q)
 }
 
-// pick returns the first of a path's leaves that takes the method and the headers.
-func pick[T any](list []leaf[T], q asked) (found leaf[T], ok bool) {
-	for _, l := range list {
-		if m := l.p.Method; m != "" && m != q.method && !(m == http.MethodGet && q.method == http.MethodHead) {
-			continue
-		}
-		if l.p.fits(q.header) {
-			return l, true
-		}
+// compare turns a request down which another reading of its path makes one of a stricter class. What the file says of a
+// path with or without its last slash (bySlash) stands against a pattern for more than that path.
+func (t *Table) compare(d *Decision, host string, q asked, found leaf[*Route], way string, bySlash bool) *Rejection {
+	was := q.path
+	q.path = way
+	of, ok := t.t.find(host, q)
+	if !ok || of.to == found.to || bySlash && found.p.compare(of.p) == within {
+		return nil
 	}
-	return found, false
-}
-
-func (p *Pattern) fits(header http.Header) bool {
-	for name, value := range p.Headers {
-		if !strings.EqualFold(header.Get(name), value) {
-			return false
-		}
+	if class := of.to.class(q.method); class != nil && loose(d.Class, class) {
+		return reject(http.StatusBadRequest, "%s may be read as %s, which is for %s and stricter", was, way, of.p)
 	}
-	return true
+	return nil
 }
 
-// methods lists, sorted, those that would have found something for this request.
-func (t *table[T]) methods(host string, q asked) []string {
-	seen := map[string]bool{}
-	var walk func(n *node[T], left string)
-	note := func(list []leaf[T]) {
-		for _, l := range list {
-			if l.p.fits(q.header) {
-				seen[l.p.Method] = true
-				if l.p.Method == http.MethodGet {
-					seen[http.MethodHead] = true
-				}
-			}
-		}
-	}
-	walk = func(n *node[T], left string) {
-		if n == nil {
-			return
+// missing words why no route was found.
+func (t *Table) missing(host, path string, q asked) *Rejection {
+	first, _ := cut(q.path)
+	name := q.header.Get(httpheader.Class)
+	if t.plain && name != "" && name != first {
+		if !t.classes[name] {
+			return reject(http.StatusNotFound, "unknown class %q", name)
 		}
-		if left == "" {
-			note(n.here)
-			return
-		}
-		next, after := cut(left)
-		if next != "" {
-			walk(n.children[next], after)
-			walk(n.single, after)
-		} else if after == "" {
-			note(n.end)
-		}
-		note(n.rest)
-	}
-	if host != "" {
-		walk(t.hosts[host], q.path)
+		return reject(http.StatusBadRequest, "the header names class %q, the path %q", name, first)
 	}
-	walk(t.hosts[""], q.path)
-	var out []string
-	for m := range seen {
-		if m != "" {
-			out = append(out, m)
+	if methods := t.t.methods(host, q); len(methods) > 0 {
+		if t.plain {
+			methods = slices.DeleteFunc(methods, func(m string) bool { return m == http.MethodHead })
 		}
+		return notAllowed(nil, methods)
 	}
-	slices.Sort(out)
-	return out
-}
-
-// maxConflicts bounds how many are reported.
-const maxConflicts = 100
-
-// conflicts finds pairs of patterns of which neither takes precedence, the later against the earlier. Two patterns can
-// match the same path only if at each place they have the same literal or one of them a wildcard, so that a pattern is
-// held against those only that share its literal at the place where these are fewest.
-func conflicts(patterns []*Pattern) (out []Conflict) {
-	type place struct {
-		host, text string
-		at         int
-	}
-	literals := map[place][]int{} // patterns with this literal there
-	wild := map[place][]int{}     // with a wildcard for one segment there (text is empty)
-	rests := map[place][]int{}    // that end with a rest there
-	all := map[string][]int{}     // by host
-	for i, p := range patterns {
-		candidates, fewest := all[p.Host], len(all[p.Host])
-		var reach [][]int // the patterns whose rest begins there or before
-		for at, s := range p.segments {
-			reach = append(reach, rests[place{p.Host, "", at}])
-			if s.kind != literal {
-				continue
-			}
-			at := append(slices.Clone(reach), literals[place{p.Host, s.text, at}], wild[place{p.Host, "", at}])
-			n := 0
-			for _, list := range at {
-				n += len(list)
-			}
-			if n < fewest {
-				candidates, fewest = slices.Concat(at...), n
-			}
-		}
-		candidates = slices.Clone(candidates)
-		slices.Sort(candidates)
-		for _, j := range slices.Compact(candidates) {
-			if p.conflicts(patterns[j]) {
-				out = append(out, Conflict{j, i})
-				if len(out) == maxConflicts {
-					return out
-				}
-			}
-		}
-		for at, s := range p.segments {
-			switch s.kind {
-			case literal:
-				key := place{p.Host, s.text, at}
-				literals[key] = append(literals[key], i)
-			case rest:
-				key := place{p.Host, "", at}
-				rests[key] = append(rests[key], i)
-			default:
-				key := place{p.Host, "", at}
-				wild[key] = append(wild[key], i)
-			}
-		}
-		all[p.Host] = append(all[p.Host], i)
+	if t.plain {
+		return reject(http.StatusNotFound, "unknown class %q", first)
 	}
-	return out
+	return reject(http.StatusNotFound, "no route is for %s", path)
 }
 
-// Describe says why two patterns conflict.
-func Describe(p, q *Pattern) string {
-	if p.compare(q) == equal {
-		return fmt.Sprintf("%s is for the same requests as %s", q, p)
+// plainHost is a Host header as patterns have it.
+func plainHost(host string) string {
+	if h, _, err := net.SplitHostPort(host); err == nil {
+		host = h
 	}
-	return fmt.Sprintf("%s and %s both match some requests, and neither is the more specific", q, p)
+	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
