--- a/internal/routes/conflicts.go
+++ b/internal/routes/conflicts.go
@@ -55,7 +55,7 @@
 			case literal:
 				key := place{p.Host, s.text, at}
 				literals[key] = append(literals[key], i)
-			case rest:
+			case multiWildcard:
 				key := place{p.Host, "", at}
 				rests[key] = append(rests[key], i)
 			default:
@@ -70,7 +70,7 @@
 
 // Describe says why two patterns conflict.
 func Describe(p, q *Pattern) string {
-	if p.compare(q) == equal {
+	if p.compare(q) == equivalent {
 		return fmt.Sprintf("%s is for the same requests as %s", q, p)
 	}
 	return fmt.Sprintf("%s and %s both match some requests, and neither is the more specific", q, p)
--- a/internal/routes/headers.go
+++ b/internal/routes/headers.go
@@ -14,31 +14,31 @@
 var platformHeaders = []string{httpheader.RequestID, httpheader.Class, httpheader.Tenant, httpheader.Timeout, httpheader.Cost,
 	httpheader.Attributes, httpheader.RetryMarker, httpheader.IdempotencyKey}
 
-// rewriting headers make some servers take a request for another one than its request line says.
-var rewriting = []string{"X-Http-Method-Override", "X-Http-Method", "X-Method-Override", "X-Original-Url",
+// overrideHeaders headers make some servers take a request for another one than its request line says.
+var overrideHeaders = []string{"X-Http-Method-Override", "X-Http-Method", "X-Method-Override", "X-Original-Url",
 	"X-Rewrite-Url", "X-Original-Method"}
 
-// conditions and partial make an upstream answer with something other than the whole. Where that is the only answer that
+// preconditionHeaders and partial make an upstream answer with something other than the whole. Where that is the only answer that
 // counts as served, a client could so have upstreams ejected: where they guard a write they are then turned down, else
 // left out.
 var (
-	conditions = []string{"If-Match", "If-Unmodified-Since"}
-	partial    = []string{"Range", "If-Range", "If-None-Match", "If-Modified-Since"}
+	preconditionHeaders  = []string{"If-Match", "If-Unmodified-Since"}
+	partialAnswerHeaders = []string{"Range", "If-Range", "If-None-Match", "If-Modified-Since"}
 )
 
-// headers names what is wrong with a request's headers, whatever its route; or nothing.
-func (t *Table) headers(h http.Header) string {
-	for _, name := range t.own {
+// checkHeaders names what is wrong with a request's headers, whatever its route; or nothing.
+func (t *Table) checkHeaders(h http.Header) string {
+	for _, name := range t.decisiveHeaders {
 		if len(h[name]) > 1 { // which one counts is for each reader to choose
 			return name + " stands there more than once"
 		}
 	}
-	for _, name := range t.listed {
+	for _, name := range t.singleValueHeaders {
 		if strings.Contains(h.Get(name), ",") {
 			return name + " names more than one"
 		}
 	}
-	for _, name := range rewriting {
+	for _, name := range overrideHeaders {
 		if _, has := h[name]; has {
 			return name + " is not taken: an upstream may follow it"
 		}
@@ -46,8 +46,8 @@
 	for name := range h {
 		// CGI and its heirs read X_Request_ID and X-Request-ID as one.
 		if strings.Contains(name, "_") {
-			if dashed := http.CanonicalHeaderKey(strings.ReplaceAll(name, "_", "-")); slices.Contains(t.own, dashed) ||
-				slices.Contains(rewriting, dashed) || dashed == "Content-Length" || dashed == "Transfer-Encoding" ||
+			if dashed := http.CanonicalHeaderKey(strings.ReplaceAll(name, "_", "-")); slices.Contains(t.decisiveHeaders, dashed) ||
+				slices.Contains(overrideHeaders, dashed) || dashed == "Content-Length" || dashed == "Transfer-Encoding" ||
 				dashed == "Host" {
 				return fmt.Sprintf("%s may be taken for %s", name, dashed)
 			}
@@ -55,7 +55,7 @@
 	}
 	for _, list := range h["Connection"] { // what it names is taken off on the way
 		for name := range strings.SplitSeq(list, ",") {
-			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); slices.Contains(t.own, name) {
+			if name = http.CanonicalHeaderKey(strings.TrimSpace(name)); slices.Contains(t.decisiveHeaders, name) {
 				return "Connection names " + name + ", which has to go on"
 			}
 		}
@@ -63,8 +63,8 @@
 	return ""
 }
 
-// usableKey is false for what may be read as no key or as several. A key in quotes is a string as RFC 8941 has it.
-func usableKey(key string) bool {
+// isUsableKey is false for what may be read as no key or as several. A key in quotes is a string as RFC 8941 has it.
+func isUsableKey(key string) bool {
 	if len(key) >= 2 && key[0] == '"' {
 		return len(key) > 2 && strings.IndexByte(key[1:], '"') == len(key)-2
 	}
--- a/internal/routes/pattern.go
+++ b/internal/routes/pattern.go
@@ -28,10 +28,10 @@
 type segmentKind int8
 
 const (
-	literal segmentKind = iota
-	single              // any one segment
-	rest                // all that is left, possibly nothing; last
-	end                 // {$}: the path ends with the slash before; last
+	literal       segmentKind = iota
+	wildcard                  // any one segment
+	multiWildcard             // all that is left, possibly nothing; last
+	exactSlash                // {$}: the path ends with the slash before; last
 )
 
 func (p *Pattern) String() string { return p.text }
@@ -47,14 +47,14 @@
 }
 
 const (
-	maxPattern  = 2048 // bytes
-	maxSegments = 64
+	maxPatternBytes = 2048 // bytes
+	maxSegments     = 64
 )
 
 // ParsePattern reads a pattern.
 func ParsePattern(text string, headers map[string]string) (*Pattern, error) {
-	if len(text) > maxPattern {
-		return nil, fmt.Errorf("the pattern has %d bytes, %d at most", len(text), maxPattern)
+	if len(text) > maxPatternBytes {
+		return nil, fmt.Errorf("the pattern has %d bytes, %d at most", len(text), maxPatternBytes)
 	}
 	p := &Pattern{text: text}
 	left := text
@@ -76,7 +76,7 @@
 		return nil, fmt.Errorf("%q is no host: small letters, without a port", p.Host)
 	}
 	path := left[i:]
-	if err := unambiguous(path); err != nil {
+	if err := checkUnambiguous(path); err != nil {
 		return nil, err
 	}
 	if strings.ContainsAny(path, "%? ") {
@@ -92,15 +92,15 @@
 		s := segment{text: part}
 		switch {
 		case part == "" && isLast:
-			s.kind = rest
+			s.kind = multiWildcard
 		case part == "":
 			return nil, errors.New("the pattern has an empty segment")
 		case part == "{$}" && isLast:
-			s = segment{kind: end}
+			s = segment{kind: exactSlash}
 		case part[0] == '{' && part[len(part)-1] == '}':
-			s.kind, s.text = single, part[1:len(part)-1]
+			s.kind, s.text = wildcard, part[1:len(part)-1]
 			if name, ok := strings.CutSuffix(s.text, "..."); ok {
-				s.kind, s.text = rest, name
+				s.kind, s.text = multiWildcard, name
 				if !isLast {
 					return nil, fmt.Errorf("%s is not the last segment", part)
 				}
--- a/internal/routes/platform.go
+++ b/internal/routes/platform.go
@@ -20,14 +20,14 @@
 		if class.Idempotency == balancer.Idempotent {
 			method = http.MethodGet
 		}
-		if class.Name == "" || strings.ContainsAny(class.Name, "/%?") || unambiguous("/"+class.Name) != nil {
+		if class.Name == "" || strings.ContainsAny(class.Name, "/%?") || checkUnambiguous("/"+class.Name) != nil {
 			continue
 		}
 		r := Route{Service: service, Class: class, Key: Header(httpheader.IdempotencyKey), Tenant: Header(httpheader.Tenant),
 			Cost: Header(httpheader.Cost), ID: Header(httpheader.RequestID), Deadline: Header(httpheader.Timeout), MaxBody: PlatformBody,
 			ClassHeader: httpheader.Class, NeedID: true, StrictKey: true, GetOnly: true, CompleteOnly: true}
 		first := segment{text: class.Name}
-		for _, segments := range [][]segment{{first}, {first, {kind: rest}}} {
+		for _, segments := range [][]segment{{first}, {first, {kind: multiWildcard}}} {
 			of := r
 			of.Pattern = &Pattern{Method: method, segments: segments, text: method + " /" + class.Name}
 			if len(segments) == 2 {
--- a/internal/routes/readings.go
+++ b/internal/routes/readings.go
@@ -11,18 +11,18 @@
 // maxReadings bounds how many ways a path is looked at.
 const maxReadings = 16
 
-// isPlain tells whether a path has one reading, but for its last slash.
-func isPlain(path string) bool {
-	return !strings.ContainsAny(path, "%;") && !strings.Contains(path, "//") && !hasCapital(path)
+// hasOneReading tells whether a path has one reading, but for its last slash.
+func hasOneReading(path string) bool {
+	return !strings.ContainsAny(path, "%;") && !strings.Contains(path, "//") && !mayChangeCase(path)
 }
 
-// readings lists the paths that some server may take a path for, the first as this program does: decoded once. Dots,
-// encoded slashes and backslashes have been turned down before (pathOf). What is left: servers that do not decode, or
+// pathReadings lists the paths that some server may take a path for, the first as this program does: decoded once. Dots,
+// encoded slashes and backslashes have been turned down before (targetPath). What is left: servers that do not decode, or
 // decode again; that cut off parameters behind a semicolon, fold slashes into one, or do not tell capitals from small
-// letters. Those that look past the last slash, or expect it, are for otherEnd.
-func readings(path string) (ways []string) {
+// letters. Those that look past the last slash, or expect it, are for toggleTrailingSlash.
+func pathReadings(path string) (ways []string) {
 	ways = append(ways, path)
-	for text, round := path, 0; round < decodings; round++ {
+	for text, round := path, 0; round < maxDecodings; round++ {
 		decoded, err := url.PathUnescape(text)
 		if err != nil || decoded == text {
 			break
@@ -33,7 +33,7 @@
 			ways = append(ways, text)
 		}
 	}
-	for _, of := range []func(string) string{withoutParameters, oneSlash, strings.ToLower} {
+	for _, of := range []func(string) string{withoutParameters, mergeSlashes, strings.ToLower} {
 		for _, path := range ways[:len(ways):len(ways)] {
 			if v := of(path); v != path && len(ways) < maxReadings && !slices.Contains(ways, v) {
 				ways = append(ways, v)
@@ -54,21 +54,21 @@
 	return strings.Join(parts, "/")
 }
 
-func oneSlash(path string) string {
+func mergeSlashes(path string) string {
 	for strings.Contains(path, "//") {
 		path = strings.ReplaceAll(path, "//", "/")
 	}
 	return path
 }
 
-func otherEnd(path string) string {
+func toggleTrailingSlash(path string) string {
 	if len(path) > 1 && strings.HasSuffix(path, "/") {
 		return path[:len(path)-1]
 	}
 	return path + "/"
 }
 
-func hasCapital(s string) bool {
+func mayChangeCase(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c >= 'A' && c <= 'Z' || c >= 0x80 {
 			return true
@@ -77,9 +77,9 @@
 	return false
 }
 
-// loose tells whether taking a request as class a could run it more often than class b, as which an upstream may read
+// lessStrict tells whether taking a request as class a could run it more often than class b, as which an upstream may read
 // it, allows.
-func loose(a, b *balancer.Class) bool {
+func lessStrict(a, b *balancer.Class) bool {
 	switch {
 	case a == b || a.Idempotency == balancer.NonIdempotent:
 		return false
--- a/internal/routes/rejection.go
+++ b/internal/routes/rejection.go
@@ -29,8 +29,8 @@
 	return &Rejection{Status: status, Text: fmt.Sprintf(format, args...)}
 }
 
-// display is a header's name as people write it.
-func display(name string) string {
+// displayName is a header's name as people write it.
+func displayName(name string) string {
 	if name == httpheader.RequestID {
 		return "X-Request-ID"
 	}
--- a/internal/routes/relation.go
+++ b/internal/routes/relation.go
@@ -9,24 +9,24 @@
 type relation int8
 
 const (
-	equal    relation = iota
-	within            // the first's is a part of the second's
-	around            // the second's is a part of the first's
-	crossing          // each has some of the other's, and some of its own
+	equivalent   relation = iota
+	moreSpecific          // the first's is a part of the second's
+	moreGeneral           // the second's is a part of the first's
+	overlapping           // each has some of the other's, and some of its own
 	disjoint
 )
 
-// both is the relation of two products of sets, from those of their parts.
-func both(a, b relation) relation {
+// combineRelations is the relation of two products of sets, from those of their parts.
+func combineRelations(a, b relation) relation {
 	switch {
 	case a == disjoint || b == disjoint:
 		return disjoint
-	case a == equal:
+	case a == equivalent:
 		return b
-	case b == equal, a == b:
+	case b == equivalent, a == b:
 		return a
 	}
-	return crossing
+	return overlapping
 }
 
 // compare relates two patterns without regard to their hosts, as net/http does: a pattern takes precedence over
@@ -36,7 +36,7 @@
 	if r == disjoint { // most are, and this shows soonest
 		return r
 	}
-	return both(both(r, compareMethods(p.Method, q.Method)), compareHeaders(p.Headers, q.Headers))
+	return combineRelations(combineRelations(r, compareMethods(p.Method, q.Method)), compareHeaders(p.Headers, q.Headers))
 }
 
 // conflicts tells whether a request may match both with neither taking precedence. A pattern with a host goes before
@@ -46,21 +46,21 @@
 		return false
 	}
 	r := p.compare(q)
-	return r == equal || r == crossing
+	return r == equivalent || r == overlapping
 }
 
 func compareMethods(a, b string) relation {
 	switch {
 	case a == b:
-		return equal
+		return equivalent
 	case a == "":
-		return around
+		return moreGeneral
 	case b == "":
-		return within
+		return moreSpecific
 	case a == http.MethodGet && b == http.MethodHead: // GET is for HEAD too
-		return around
+		return moreGeneral
 	case a == http.MethodHead && b == http.MethodGet:
-		return within
+		return moreSpecific
 	}
 	return disjoint
 }
@@ -78,17 +78,17 @@
 	}
 	switch {
 	case same == len(a) && same == len(b):
-		return equal
+		return equivalent
 	case same == len(b):
-		return within
+		return moreSpecific
 	case same == len(a):
-		return around
+		return moreGeneral
 	}
-	return crossing
+	return overlapping
 }
 
 func comparePaths(a, b []segment) relation {
-	r := equal
+	r := equivalent
 	for i := 0; ; i++ {
 		if i == len(a) || i == len(b) {
 			if len(a) == len(b) {
@@ -98,13 +98,13 @@
 		}
 		x, y := a[i], b[i]
 		switch {
-		case x.kind == rest && y.kind == rest:
+		case x.kind == multiWildcard && y.kind == multiWildcard:
 			return r
-		case x.kind == rest:
-			return both(r, around)
-		case y.kind == rest:
-			return both(r, within)
-		case x.kind == end || y.kind == end:
+		case x.kind == multiWildcard:
+			return combineRelations(r, moreGeneral)
+		case y.kind == multiWildcard:
+			return combineRelations(r, moreSpecific)
+		case x.kind == exactSlash || y.kind == exactSlash:
 			if x.kind != y.kind {
 				return disjoint // a segment has at least one byte
 			}
@@ -113,9 +113,9 @@
 				return disjoint
 			}
 		case x.kind == literal:
-			r = both(r, within)
+			r = combineRelations(r, moreSpecific)
 		case y.kind == literal:
-			r = both(r, around)
+			r = combineRelations(r, moreGeneral)
 		}
 		if r == disjoint {
 			return r
--- a/internal/routes/request_fields.go
+++ b/internal/routes/request_fields.go
@@ -9,15 +9,15 @@
 	"orchiddrift/internal/httpheader"
 )
 
-// fill reads what the route's sources say.
-func (t *Table) fill(d *Decision, path string, q Request) *Rejection {
+// readFields reads what the route's sources say.
+func (t *Table) readFields(d *Decision, path string, q Request) *Rejection {
 	r, class := d.Route, d.Class
 	get := func(s Source) string {
 		v, _ := s.value(r.Pattern, path, q.Header)
 		return v
 	}
 	if d.ID = get(r.ID); d.ID == "" && r.NeedID {
-		return reject(http.StatusBadRequest, "one %s is needed", display(r.ID.header()))
+		return reject(http.StatusBadRequest, "one %s is needed", displayName(r.ID.header()))
 	}
 	if name := q.Header.Get(r.ClassHeader); r.ClassHeader != "" && name != "" && name != class.Name {
 		if !t.classes[name] {
@@ -29,9 +29,9 @@
 	switch keyed := class.Idempotency == balancer.IdempotentWithKey; {
 	case keyed && !has, r.StrictKey && keyed != has:
 		return reject(http.StatusBadRequest, "class %s: keyed is %v, and that is what a key says (%s)", class.Name, keyed,
-			display(r.Key.header()))
-	case keyed && !usableKey(key):
-		return reject(http.StatusBadRequest, "%s: one key is needed, without commas outside quotes", display(r.Key.header()))
+			displayName(r.Key.header()))
+	case keyed && !isUsableKey(key):
+		return reject(http.StatusBadRequest, "%s: one key is needed, without commas outside quotes", displayName(r.Key.header()))
 	case keyed:
 		d.IdempotencyKey = key
 	}
@@ -39,7 +39,7 @@
 		return reject(http.StatusBadRequest, "class %s has no body", class.Name)
 	}
 	if class.Idempotency != balancer.Idempotent {
-		for _, name := range conditions {
+		for _, name := range preconditionHeaders {
 			if _, has := q.Header[name]; has && r.CompleteOnly {
 				return reject(http.StatusBadRequest, "%s is not taken: an answer that it leads to can't be told from a failure", name)
 			}
@@ -49,14 +49,14 @@
 	if text := get(r.Deadline); text != "" {
 		timeout, err := ParseTimeout(text)
 		if err != nil {
-			return reject(http.StatusBadRequest, "%s: %v", display(r.Deadline.header()), err)
+			return reject(http.StatusBadRequest, "%s: %v", displayName(r.Deadline.header()), err)
 		}
 		d.Timeout = min(timeout, class.Deadline)
 	}
 	if text := get(r.Cost); text != "" {
 		us, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(us >= 0) || us > maxTimeout.Seconds()*1e6 {
-			return reject(http.StatusBadRequest, "%s: %q is not a usable number of microseconds", display(r.Cost.header()), text)
+			return reject(http.StatusBadRequest, "%s: %q is not a usable number of microseconds", displayName(r.Cost.header()), text)
 		}
 		d.CostHint = time.Duration(us * float64(time.Microsecond))
 	}
@@ -71,10 +71,10 @@
 	header := httpheader.EndToEnd(h)
 	delete(header, httpheader.Timeout)
 	if d.Route.CompleteOnly {
-		for _, name := range conditions {
+		for _, name := range preconditionHeaders {
 			delete(header, name)
 		}
-		for _, name := range partial {
+		for _, name := range partialAnswerHeaders {
 			delete(header, name)
 		}
 	}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -56,7 +56,7 @@
 	return text, nil
 }
 
-func drawAsked(t *rapid.T) (host string, q asked) {
+func drawAsked(t *rapid.T) (host string, q lookup) {
 	host = rapid.SampledFrom([]string{"", "a.example", "b.example", "c.example"}).Draw(t, "host")
 	q.method = rapid.SampledFrom([]string{"GET", "HEAD", "POST", "PUT"}).Draw(t, "method")
 	q.header = http.Header{}
@@ -74,21 +74,21 @@
 }
 
 // matches is what a pattern says, segment by segment.
-func matches(p *Pattern, host string, q asked) bool {
+func matches(p *Pattern, host string, q lookup) bool {
 	if p.Method != "" && p.Method != q.method && !(p.Method == http.MethodGet && q.method == http.MethodHead) {
 		return false
 	}
-	if p.Host != "" && p.Host != host || !p.fits(q.header) {
+	if p.Host != "" && p.Host != host || !p.matchesHeaders(q.header) {
 		return false
 	}
 	segments := strings.Split(q.path[1:], "/")
 	for i, s := range p.segments {
 		switch {
-		case s.kind == rest:
+		case s.kind == multiWildcard:
 			return i < len(segments)
 		case i >= len(segments):
 			return false
-		case s.kind == end:
+		case s.kind == exactSlash:
 			return i == len(segments)-1 && segments[i] == ""
 		case segments[i] == "", s.kind == literal && segments[i] != s.text:
 			return false
@@ -98,13 +98,13 @@
 }
 
 // reference is the plain way: look at every pattern, and keep the one that no other goes before.
-func reference(patterns []*Pattern, host string, q asked) *Pattern {
+func reference(patterns []*Pattern, host string, q lookup) *Pattern {
 	var best *Pattern
 	for _, p := range patterns {
 		if !matches(p, host, q) {
 			continue
 		}
-		if best == nil || p.Host != "" && best.Host == "" || p.Host == best.Host && p.compare(best) == within {
+		if best == nil || p.Host != "" && best.Host == "" || p.Host == best.Host && p.compare(best) == moreSpecific {
 			best = p
 		}
 	}
@@ -115,7 +115,7 @@
 func TestTableFindsWhatThePlainWayFinds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var patterns []*Pattern
-		tree := newTable[int]()
+		tree := newPatternTree[int]()
 		for range rapid.IntRange(1, 12).Draw(t, "patterns") {
 			text, headers := drawPattern(t, true)
 			p, err := ParsePattern(text, headers)
@@ -132,8 +132,8 @@
 			host, q := drawAsked(t)
 			want := reference(patterns, host, q)
 			found, ok := tree.find(host, q)
-			if ok != (want != nil) || ok && found.p != want {
-				t.Fatalf("%s %q%s %v among %v: found %v, wanted %v", q.method, host, q.path, q.header, patterns, found.p, want)
+			if ok != (want != nil) || ok && found.pattern != want {
+				t.Fatalf("%s %q%s %v among %v: found %v, wanted %v", q.method, host, q.path, q.header, patterns, found.pattern, want)
 			}
 		}
 	})
@@ -374,9 +374,9 @@
 				if !strings.HasPrefix(reading, "/") {
 					t.Fatalf("%q: may be read as %q", target, reading)
 				}
-				of, ok := table.t.find("", asked{method: "GET", path: reading})
+				of, ok := table.tree.find("", lookup{method: "GET", path: reading})
 				if class := (*balancer.Class)(nil); ok {
-					if class = of.to.class("GET"); class != nil && loose(d.Class, class) {
+					if class = of.value.class("GET"); class != nil && lessStrict(d.Class, class) {
 						t.Errorf("%q: taken as %s, and may be read as %q, %s", target, d.Class.Name, reading, class.Name)
 					}
 				}
@@ -391,7 +391,7 @@
 	f.Add("/{x}/", "/a/{y...}", "/a/")
 	f.Fuzz(func(t *testing.T, one, two, target string) {
 		var patterns []*Pattern
-		tree := newTable[int]()
+		tree := newPatternTree[int]()
 		for i, text := range []string{one, two} {
 			p, err := ParsePattern(text, nil)
 			if err != nil || slices.ContainsFunc(patterns, p.conflicts) {
@@ -403,14 +403,14 @@
 			patterns = append(patterns, p)
 			tree.add(p, i)
 		}
-		path, err := pathOf(target)
+		path, err := targetPath(target)
 		if err != nil {
 			return
 		}
-		q := asked{method: "GET", path: path}
+		q := lookup{method: "GET", path: path}
 		want := reference(patterns, "a.example", q)
-		if found, ok := tree.find("a.example", q); ok != (want != nil) || ok && found.p != want {
-			t.Fatalf("%q among %v: found %v, wanted %v", target, patterns, found.p, want)
+		if found, ok := tree.find("a.example", q); ok != (want != nil) || ok && found.pattern != want {
+			t.Fatalf("%q among %v: found %v, wanted %v", target, patterns, found.pattern, want)
 		}
 	})
 }
--- a/internal/routes/source.go
+++ b/internal/routes/source.go
@@ -16,20 +16,20 @@
 type sourceKind int8
 
 const (
-	nowhere sourceKind = iota
+	noSource sourceKind = iota
 	fromHeader
 	fromPath
-	fixed
+	fixedText
 )
 
-var sourceWords = map[string]sourceKind{"header": fromHeader, "path": fromPath, "fixed": fixed}
+var sourceKinds = map[string]sourceKind{"header": fromHeader, "path": fromPath, "fixed": fixedText}
 
 // Header is the Source that a header is.
 func Header(name string) Source { return Source{fromHeader, http.CanonicalHeaderKey(name)} }
 
 // MarshalText writes it as it is read.
 func (s Source) MarshalText() ([]byte, error) {
-	for word, kind := range sourceWords {
+	for word, kind := range sourceKinds {
 		if s.kind == kind {
 			return []byte(word + ":" + s.name), nil
 		}
@@ -44,7 +44,7 @@
 		return nil
 	}
 	word, name, ok := strings.Cut(string(text), ":")
-	kind, known := sourceWords[word]
+	kind, known := sourceKinds[word]
 	switch {
 	case !ok || !known:
 		return fmt.Errorf(`%q is none of "header:NAME", "path:WILDCARD", "fixed:TEXT" and ""`, text)
@@ -52,7 +52,7 @@
 		return fmt.Errorf("%q is no usable header's name", name)
 	case kind == fromPath && !isName(name):
 		return fmt.Errorf("%q is no wildcard's name", name)
-	case kind == fixed && (name == "" || hasControl(name)):
+	case kind == fixedText && (name == "" || hasControl(name)):
 		return fmt.Errorf("%q is no usable text", name)
 	case kind == fromHeader:
 		name = http.CanonicalHeaderKey(name)
@@ -62,7 +62,7 @@
 }
 
 // None tells whether it is nowhere.
-func (s Source) None() bool { return s.kind == nowhere }
+func (s Source) None() bool { return s.kind == noSource }
 
 // header is the header that it reads, or nothing.
 func (s Source) header() string {
@@ -81,16 +81,16 @@
 			return "", false
 		}
 		return values[0], true
-	case fixed:
+	case fixedText:
 		return s.name, true
 	case fromPath:
 		left := path
 		for _, seg := range p.segments {
-			if seg.kind == rest {
+			if seg.kind == multiWildcard {
 				return left[1:], seg.text == s.name && left != "/"
 			}
 			var value string
-			if value, left = cut(left); seg.kind == single && seg.text == s.name {
+			if value, left = cutSegment(left); seg.kind == wildcard && seg.text == s.name {
 				return value, true
 			}
 		}
--- a/internal/routes/target.go
+++ b/internal/routes/target.go
@@ -8,19 +8,19 @@
 	"unicode/utf8"
 )
 
-// decodings is how often a target is decoded in search of what an upstream might see in it. A server behind a proxy
+// maxDecodings is how often a target is decoded in search of what an upstream might see in it. A server behind a proxy
 // of its own may decode twice; the third round finds what was hidden for the second.
-const decodings = 3
+const maxDecodings = 3
 
-// pathOf returns a request target's path. It turns down every target that two readers may resolve to different paths:
+// targetPath returns a request target's path. It turns down every target that two readers may resolve to different paths:
 // the class decides whether a request may be repeated, so it must be what any upstream would read. RFC 3986 sections
 // 3.3 and 5.2.4; what servers add to that is named below. Readings that remain are for Table.Decide to compare.
-func pathOf(target string) (string, error) {
+func targetPath(target string) (string, error) {
 	if !strings.HasPrefix(target, "/") || strings.HasPrefix(target, "//") {
 		return "", errors.New("the request target is not a path")
 	}
 	path, query, _ := strings.Cut(target, "?")
-	if err := unambiguous(path); err != nil {
+	if err := checkUnambiguous(path); err != nil {
 		return "", err
 	}
 	if strings.ContainsAny(query, "#\\") || hasControl(query) {
@@ -29,9 +29,9 @@
 	return path, nil
 }
 
-// unambiguous looks at a path as it is written and as it reads once decoded, and again.
-func unambiguous(path string) error {
-	for round := range decodings {
+// checkUnambiguous looks at a path as it is written and as it reads once decoded, and again.
+func checkUnambiguous(path string) error {
+	for round := range maxDecodings {
 		switch {
 		case strings.ContainsAny(path, "\\"): // some servers take it for a slash
 			return errors.New("the request target has a backslash")
