--- a/internal/routes/conflicts.go
+++ b/internal/routes/conflicts.go
@@ -5,67 +5,84 @@
 	"slices"
 )
 
-// Conflict is two patterns of which neither takes precedence, by their places in the list that the table was made of.
+// Conflict is two patterns of which neither takes precedence, by their indices in the list that the table is made of.
 type Conflict struct{ First, Second int }
 
-// maxConflicts bounds how many are reported.
+// maxConflicts is how many conflicts are reported at most.
 const maxConflicts = 100
 
-// conflicts finds pairs of patterns of which neither takes precedence, the later against the earlier. Two patterns can
-// match the same path only if at each place they have the same literal or one of them a wildcard, so that a pattern is
-// held against those only that share its literal at the place where these are fewest.
-func conflicts(patterns []*Pattern) (out []Conflict) {
-	type place struct {
-		host, text string
-		at         int
-	}
-	literals := map[place][]int{} // patterns with this literal there
-	wild := map[place][]int{}     // with a wildcard for one segment there (text is empty)
-	rests := map[place][]int{}    // that end with a rest there
-	all := map[string][]int{}     // by host
-	for i, p := range patterns {
-		candidates, fewest := all[p.Host], len(all[p.Host])
-		var reach [][]int // the patterns whose rest begins there or before
-		for at, s := range p.segments {
-			reach = append(reach, rests[place{p.Host, "", at}])
-			if s.kind != literal {
+// position is a segment of the patterns with a host. text is empty but for literals.
+type position struct {
+	host, text string
+	index      int
+}
+
+// conflictIndex finds the patterns with which another may conflict. Two patterns can match the same path only if at each position they have
+// the same literal or one of them has a wildcard. So a pattern is compared only with those that can share its literal at the position where
+// they are fewest.
+type conflictIndex struct {
+	literals       map[position][]int // patterns with this literal there
+	wildcards      map[position][]int // with a wildcard for one segment, or the end, there
+	multiWildcards map[position][]int // whose remainder begins there
+	all            map[string][]int   // by host
+}
+
+// conflicts returns the pairs of patterns of which neither takes precedence, sorted by the second and the first.
+func conflicts(patterns []*Pattern) []Conflict {
+	index := &conflictIndex{literals: map[position][]int{}, wildcards: map[position][]int{}, multiWildcards: map[position][]int{},
+		all: map[string][]int{}}
+	var found []Conflict
+	for i, pattern := range patterns {
+		for _, j := range index.candidates(pattern) {
+			if !pattern.conflicts(patterns[j]) {
 				continue
 			}
-			at := append(slices.Clone(reach), literals[place{p.Host, s.text, at}], wild[place{p.Host, "", at}])
-			n := 0
-			for _, list := range at {
-				n += len(list)
-			}
-			if n < fewest {
-				candidates, fewest = slices.Concat(at...), n
+			found = append(found, Conflict{j, i})
+			if len(found) == maxConflicts {
+				return found
 			}
 		}
-		candidates = slices.Clone(candidates)
-		slices.Sort(candidates)
-		for _, j := range slices.Compact(candidates) {
-			if p.conflicts(patterns[j]) {
-				out = append(out, Conflict{j, i})
-				if len(out) == maxConflicts {
-					return out
-				}
-			}
+		index.add(pattern, i)
+	}
+	return found
+}
+
+// candidates returns, sorted, the patterns added before that may match a path of this one.
+func (x *conflictIndex) candidates(pattern *Pattern) []int {
+	candidates := x.all[pattern.Host]
+	fewest := len(candidates)
+	var reaching [][]int // patterns whose remainder begins at the position or before
+	for i, s := range pattern.segments {
+		reaching = append(reaching, x.multiWildcards[position{pattern.Host, "", i}])
+		if s.kind != literal {
+			continue
 		}
-		for at, s := range p.segments {
-			switch s.kind {
-			case literal:
-				key := place{p.Host, s.text, at}
-				literals[key] = append(literals[key], i)
-			case multiWildcard:
-				key := place{p.Host, "", at}
-				rests[key] = append(rests[key], i)
-			default:
-				key := place{p.Host, "", at}
-				wild[key] = append(wild[key], i)
-			}
+		sharing := append(slices.Clone(reaching), x.literals[position{pattern.Host, s.text, i}], x.wildcards[position{pattern.Host, "", i}])
+		n := 0
+		for _, list := range sharing {
+			n += len(list)
+		}
+		if n < fewest {
+			candidates, fewest = slices.Concat(sharing...), n
+		}
+	}
+	candidates = slices.Clone(candidates)
+	slices.Sort(candidates)
+	return slices.Compact(candidates)
+}
+
+func (x *conflictIndex) add(pattern *Pattern, number int) {
+	for i, s := range pattern.segments {
+		list, at := x.wildcards, position{pattern.Host, "", i}
+		switch s.kind {
+		case literal:
+			list, at.text = x.literals, s.text
+		case multiWildcard:
+			list = x.multiWildcards
 		}
-		all[p.Host] = append(all[p.Host], i)
+		list[at] = append(list[at], number)
 	}
-	return out
+	x.all[pattern.Host] = append(x.all[pattern.Host], number)
 }
 
 // Describe says why two patterns conflict.
--- a/internal/routes/declaration.go
+++ b/internal/routes/declaration.go
@@ -24,10 +24,10 @@
 	MaxBody  units.Size        `toml:"max_body" default:"64KiB" doc:"What a body may have."`
 }
 
-// MaxMaxBody bounds max_body.
+// MaxMaxBody is the largest max_body.
 const MaxMaxBody = 64 * units.MiB
 
-// Check is tomlfile.Checker's.
+// Check implements tomlfile.Checker.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
 	if d.MaxBody > MaxMaxBody {
 		report("max_body", "%v is over %v", d.MaxBody, MaxMaxBody)
@@ -43,30 +43,48 @@
 		report("match", "%v", err)
 		return
 	}
-	if len(p.segments) > 0 && p.segments[0].text == "-" && p.segments[0].kind == literal {
+	if p.isReserved() {
 		report("match", "/-/ is the daemon's own")
 	}
-	for _, s := range []struct {
-		key string
-		of  Source
-	}{{"key", d.Key}, {"tenant", d.Tenant}, {"cost", d.Cost}, {"id", d.ID}, {"deadline", d.Deadline}} {
-		if s.of.kind == fromPath && !slices.Contains(p.Wildcards(), s.of.name) {
-			report(s.key, "the pattern has no wildcard %q", s.of.name)
+	d.checkSources(p, report)
+	for _, method := range d.Repeats {
+		if method != strings.ToUpper(method) || !isToken(method) || method == http.MethodConnect || method == http.MethodTrace {
+			report("repeats", "%q is no method that can be repeated", method)
 		}
 	}
-	for _, m := range d.Repeats {
-		if m != strings.ToUpper(m) || !isToken(m) || m == http.MethodConnect || m == http.MethodTrace {
-			report("repeats", "%q is no method that can be repeated", m)
+}
+
+// isReserved reports whether a pattern's path begins with /-/, which is the daemon's own.
+func (p *Pattern) isReserved() bool {
+	return len(p.segments) > 0 && p.segments[0] == segment{text: "-", kind: literal}
+}
+
+// checkSources reports sources that read wildcards which the pattern does not have.
+func (d *Declaration) checkSources(pattern *Pattern, report func(key, format string, args ...any)) {
+	for _, declared := range []struct {
+		key    string
+		source Source
+	}{{"key", d.Key}, {"tenant", d.Tenant}, {"cost", d.Cost}, {"id", d.ID}, {"deadline", d.Deadline}} {
+		if declared.source.kind == fromPath && !slices.Contains(pattern.Wildcards(), declared.source.name) {
+			report(declared.key, "the pattern has no wildcard %q", declared.source.name)
 		}
 	}
 }
 
-// Route is the declared one. Service and classes are the caller's to fill in.
+// Route returns the declared route. The caller sets its service and classes.
 func (d *Declaration) Route() (*Route, error) {
-	p, err := ParsePattern(d.Match, d.Headers)
+	pattern, err := ParsePattern(d.Match, d.Headers)
 	if err != nil {
 		return nil, err
 	}
-	return &Route{Pattern: p, Key: d.Key, Tenant: d.Tenant, Cost: d.Cost, ID: d.ID, Deadline: d.Deadline,
-		Repeats: d.Repeats, MaxBody: int64(d.MaxBody)}, nil
+	return &Route{
+		Pattern:  pattern,
+		Key:      d.Key,
+		Tenant:   d.Tenant,
+		Cost:     d.Cost,
+		ID:       d.ID,
+		Deadline: d.Deadline,
+		Repeats:  d.Repeats,
+		MaxBody:  int64(d.MaxBody),
+	}, nil
 }
--- a/internal/routes/pattern.go
+++ b/internal/routes/pattern.go
@@ -4,24 +4,24 @@
 	"errors"
 	"fmt"
 	"net/http"
+	"slices"
 	"strings"
 )
 
-// Pattern says which requests a route is for. It is written as the patterns of net/http are: [METHOD ][HOST]/PATH, where
-// a segment {name} stands for any one segment, a last one {name...} for all that is left, a last slash for all that
-// begins so, and {$} at the end for nothing more than that slash. Headers adds what some headers have to be, in
-// whatever case.
+// Pattern is the set of requests that a route is for. It is written like the patterns of net/http: [METHOD ][HOST]/PATH, where a segment
+// {name} matches any one segment, a last one {name...} or a last slash any remainder, and {$} at the end nothing behind its slash. Headers
+// adds the values that headers must have, in any case.
 type Pattern struct {
 	Method   string // empty: any
-	Host     string // empty: any; without a port, in small letters
+	Host     string // empty: any; without a port, in lower case
 	Headers  map[string]string
 	segments []segment
 	text     string
 }
 
-// segment is one part of the path.
+// segment is one segment of a pattern's path.
 type segment struct {
-	text string // literal, or the wildcard's name; "" for a slash's rest without a name
+	text string // the literal, or the wildcard's name; empty for a last slash
 	kind segmentKind
 }
 
@@ -30,14 +30,15 @@
 const (
 	literal       segmentKind = iota
 	wildcard                  // any one segment
-	multiWildcard             // all that is left, possibly nothing; last
-	exactSlash                // {$}: the path ends with the slash before; last
+	multiWildcard             // any remainder, possibly empty; the last segment
+	exactSlash                // {$}: the path ends with the slash before; the last segment
 )
 
 func (p *Pattern) String() string { return p.text }
 
-// Wildcards are the names that a path's parts get.
-func (p *Pattern) Wildcards() (names []string) {
+// Wildcards returns the names of the path's wildcards.
+func (p *Pattern) Wildcards() []string {
+	var names []string
 	for _, s := range p.segments {
 		if s.kind != literal && s.text != "" {
 			names = append(names, s.text)
@@ -46,98 +47,158 @@
 	return names
 }
 
+// matchesMethod reports whether the pattern is for a method. GET includes HEAD, as in net/http.
+func (p *Pattern) matchesMethod(method string) bool {
+	return p.Method == "" || p.Method == method || p.Method == http.MethodGet && method == http.MethodHead
+}
+
+func (p *Pattern) matchesHeaders(header http.Header) bool {
+	for name, value := range p.Headers {
+		if !strings.EqualFold(header.Get(name), value) {
+			return false
+		}
+	}
+	return true
+}
+
 const (
-	maxPatternBytes = 2048 // bytes
+	maxPatternBytes = 2048
 	maxSegments     = 64
 )
 
-// ParsePattern reads a pattern.
+// ParsePattern parses a pattern.
 func ParsePattern(text string, headers map[string]string) (*Pattern, error) {
 	if len(text) > maxPatternBytes {
 		return nil, fmt.Errorf("the pattern has %d bytes, %d at most", len(text), maxPatternBytes)
 	}
 	p := &Pattern{text: text}
-	left := text
-	if method, after, ok := strings.Cut(text, " "); ok {
-		if !isToken(method) {
-			return nil, fmt.Errorf("%q is no method", method)
-		}
-		if method != strings.ToUpper(method) {
-			return nil, fmt.Errorf("%q: methods are in capitals", method)
-		}
-		p.Method, left = method, strings.TrimLeft(after, " ")
+	location, err := p.parseMethod(text)
+	if err != nil {
+		return nil, err
+	}
+	path, err := p.parseHost(location)
+	if err != nil {
+		return nil, err
+	}
+	if err := p.parsePath(path); err != nil {
+		return nil, err
+	}
+	if err := p.parseHeaders(headers); err != nil {
+		return nil, err
+	}
+	return p, nil
+}
+
+// parseMethod parses the method, if there is one, and returns what follows it.
+func (p *Pattern) parseMethod(text string) (location string, err error) {
+	method, location, ok := strings.Cut(text, " ")
+	if !ok {
+		return text, nil
+	}
+	if !isToken(method) {
+		return "", fmt.Errorf("%q is no method", method)
 	}
-	i := strings.IndexByte(left, '/')
-	if i < 0 {
-		return nil, errors.New("the path begins with a slash: [METHOD ][HOST]/PATH")
+	if method != strings.ToUpper(method) {
+		return "", fmt.Errorf("%q: methods are in capitals", method)
 	}
-	p.Host = left[:i]
+	p.Method = method
+	return strings.TrimLeft(location, " "), nil
+}
+
+// parseHost parses the host, if there is one, and returns the path.
+func (p *Pattern) parseHost(location string) (path string, err error) {
+	slash := strings.IndexByte(location, '/')
+	if slash < 0 {
+		return "", errors.New("the path begins with a slash: [METHOD ][HOST]/PATH")
+	}
+	p.Host = location[:slash]
 	if strings.ContainsAny(p.Host, " {}:") || p.Host != strings.ToLower(p.Host) {
-		return nil, fmt.Errorf("%q is no host: small letters, without a port", p.Host)
+		return "", fmt.Errorf("%q is no host: small letters, without a port", p.Host)
 	}
-	path := left[i:]
+	return location[slash:], nil
+}
+
+func (p *Pattern) parsePath(path string) error {
 	if err := checkUnambiguous(path); err != nil {
-		return nil, err
+		return err
 	}
 	if strings.ContainsAny(path, "%? ") {
-		return nil, errors.New("a pattern's path is written decoded, without %, ? and spaces")
+		return errors.New("a pattern's path is written decoded, without %, ? and spaces")
 	}
-	names := map[string]bool{}
 	parts := strings.Split(path[1:], "/")
 	if len(parts) > maxSegments {
-		return nil, fmt.Errorf("the pattern has %d segments, %d at most", len(parts), maxSegments)
+		return fmt.Errorf("the pattern has %d segments, %d at most", len(parts), maxSegments)
 	}
 	for i, part := range parts {
-		isLast := i == len(parts)-1
-		s := segment{text: part}
-		switch {
-		case part == "" && isLast:
-			s.kind = multiWildcard
-		case part == "":
-			return nil, errors.New("the pattern has an empty segment")
-		case part == "{$}" && isLast:
-			s = segment{kind: exactSlash}
-		case part[0] == '{' && part[len(part)-1] == '}':
-			s.kind, s.text = wildcard, part[1:len(part)-1]
-			if name, ok := strings.CutSuffix(s.text, "..."); ok {
-				s.kind, s.text = multiWildcard, name
-				if !isLast {
-					return nil, fmt.Errorf("%s is not the last segment", part)
-				}
-			}
-			if !isName(s.text) {
-				return nil, fmt.Errorf("%s: a wildcard's name has letters, digits and _", part)
-			}
-			if names[s.text] {
-				return nil, fmt.Errorf("%s stands there twice", part)
-			}
-			names[s.text] = true
-		case strings.ContainsAny(part, "{}"):
-			return nil, fmt.Errorf("%s: a wildcard is a whole segment", part)
+		s, err := parseSegment(part, i == len(parts)-1)
+		if err != nil {
+			return err
+		}
+		if s.kind != literal && s.text != "" && slices.Contains(p.Wildcards(), s.text) {
+			return fmt.Errorf("%s stands there twice", part)
 		}
 		p.segments = append(p.segments, s)
 	}
+	return nil
+}
+
+func parseSegment(part string, isLast bool) (segment, error) {
+	switch {
+	case part == "" && isLast:
+		return segment{kind: multiWildcard}, nil
+	case part == "":
+		return segment{}, errors.New("the pattern has an empty segment")
+	case part == "{$}" && isLast:
+		return segment{kind: exactSlash}, nil
+	case part[0] == '{' && part[len(part)-1] == '}':
+		return parseWildcard(part, isLast)
+	case strings.ContainsAny(part, "{}"):
+		return segment{}, fmt.Errorf("%s: a wildcard is a whole segment", part)
+	}
+	return segment{text: part}, nil
+}
+
+func parseWildcard(part string, isLast bool) (segment, error) {
+	s := segment{kind: wildcard, text: part[1 : len(part)-1]}
+	if name, ok := strings.CutSuffix(s.text, "..."); ok {
+		s = segment{kind: multiWildcard, text: name}
+		if !isLast {
+			return segment{}, fmt.Errorf("%s is not the last segment", part)
+		}
+	}
+	if !isName(s.text) {
+		return segment{}, fmt.Errorf("%s: a wildcard's name has letters, digits and _", part)
+	}
+	return s, nil
+}
+
+func (p *Pattern) parseHeaders(headers map[string]string) error {
 	p.Headers = make(map[string]string, len(headers))
 	for name, value := range headers {
-		if !isToken(name) || strings.Contains(name, "_") {
-			return nil, fmt.Errorf("%q is no usable header's name", name)
+		if !isHeaderName(name) {
+			return fmt.Errorf("%q is no usable header's name", name)
 		}
 		if value == "" || value != strings.TrimSpace(value) || hasControl(value) {
-			return nil, fmt.Errorf("header %s: %q is no usable value", name, value)
+			return fmt.Errorf("header %s: %q is no usable value", name, value)
 		}
 		p.Headers[http.CanonicalHeaderKey(name)] = value
 	}
-	return p, nil
+	return nil
 }
 
+// isName reports whether a text can be the name of a wildcard.
 func isName(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
 		return r != '_' && (r < '0' || r > '9') && (r < 'a' || r > 'z') && (r < 'A' || r > 'Z')
 	})
 }
 
+// isToken reports whether a text is a token of RFC 9110, as methods and the names of headers are.
 func isToken(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
 		return r <= ' ' || r >= 0x7f || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, r)
 	})
 }
+
+// isHeaderName reports whether a text is the name of a header that every reader takes for the same one: CGI confuses _ with -.
+func isHeaderName(s string) bool { return isToken(s) && !strings.Contains(s, "_") }
--- a/internal/routes/readings.go
+++ b/internal/routes/readings.go
@@ -4,43 +4,52 @@
 	"net/url"
 	"slices"
 	"strings"
+	"unicode/utf8"
 
 	"orchiddrift/balancer"
 )
 
-// maxReadings bounds how many ways a path is looked at.
+// maxReadings is how many readings of a path are compared at most.
 const maxReadings = 16
 
-// hasOneReading tells whether a path has one reading, but for its last slash.
+// hasOneReading reports whether all servers read a path in the same way, but for its last slash.
 func hasOneReading(path string) bool {
 	return !strings.ContainsAny(path, "%;") && !strings.Contains(path, "//") && !mayChangeCase(path)
 }
 
-// pathReadings lists the paths that some server may take a path for, the first as this program does: decoded once. Dots,
-// encoded slashes and backslashes have been turned down before (targetPath). What is left: servers that do not decode, or
-// decode again; that cut off parameters behind a semicolon, fold slashes into one, or do not tell capitals from small
-// letters. Those that look past the last slash, or expect it, are for toggleTrailingSlash.
-func pathReadings(path string) (ways []string) {
-	ways = append(ways, path)
-	for text, round := path, 0; round < maxDecodings; round++ {
+// pathReadings returns the paths that some server may take a path for; the first is this program's, decoded once. targetPath has rejected
+// dot segments, encoded slashes and backslashes before. What remains are servers that do not decode or decode again, that remove parameters
+// after a semicolon, merge slashes, or ignore case. Those that ignore a last slash or expect one are left to toggleTrailingSlash.
+func pathReadings(path string) []string {
+	readings := decodedReadings(path)
+	for _, transform := range []func(string) string{withoutParameters, mergeSlashes, strings.ToLower} {
+		for _, reading := range slices.Clone(readings) {
+			other := transform(reading)
+			if other != reading && len(readings) < maxReadings && !slices.Contains(readings, other) {
+				readings = append(readings, other)
+			}
+		}
+	}
+	return readings
+}
+
+// decodedReadings returns a path decoded once, as it is, and decoded again.
+func decodedReadings(path string) []string {
+	readings := []string{path}
+	text := path
+	for round := range maxDecodings {
 		decoded, err := url.PathUnescape(text)
 		if err != nil || decoded == text {
 			break
 		}
-		if text = decoded; round == 0 {
-			ways = []string{text, path}
+		text = decoded
+		if round == 0 {
+			readings = []string{decoded, path}
 		} else {
-			ways = append(ways, text)
-		}
-	}
-	for _, of := range []func(string) string{withoutParameters, mergeSlashes, strings.ToLower} {
-		for _, path := range ways[:len(ways):len(ways)] {
-			if v := of(path); v != path && len(ways) < maxReadings && !slices.Contains(ways, v) {
-				ways = append(ways, v)
-			}
+			readings = append(readings, decoded)
 		}
 	}
-	return ways
+	return readings
 }
 
 func withoutParameters(path string) string {
@@ -68,17 +77,17 @@
 	return path + "/"
 }
 
+// mayChangeCase reports whether a text has capital letters, or bytes of characters that may be.
 func mayChangeCase(s string) bool {
 	for i := range len(s) {
-		if c := s[i]; c >= 'A' && c <= 'Z' || c >= 0x80 {
+		if c := s[i]; c >= 'A' && c <= 'Z' || c >= utf8.RuneSelf {
 			return true
 		}
 	}
 	return false
 }
 
-// lessStrict tells whether taking a request as class a could run it more often than class b, as which an upstream may read
-// it, allows.
+// lessStrict reports whether a request of class a might run more often than class b allows.
 func lessStrict(a, b *balancer.Class) bool {
 	switch {
 	case a == b || a.Idempotency == balancer.NonIdempotent:
--- a/internal/routes/rejection.go
+++ b/internal/routes/rejection.go
@@ -8,28 +8,34 @@
 	"orchiddrift/internal/httpheader"
 )
 
-// Rejection answers a request that is not taken. Status is a 4xx, or 505; never 429, which would be a refusal.
+// Rejection is the answer to a request that is not forwarded. Status is a 4xx or 505, but never 429, which
+// would tell of overload.
 type Rejection struct {
 	Status int
-	Allow  string // of 405: the methods to use
+	Allow  string // of 405: the methods that are allowed
 	Text   string // one line
 }
 
-func notAllowed(p *Pattern, methods []string) *Rejection {
+func reject(status int, format string, args ...any) *Rejection {
+	return &Rejection{Status: status, Text: fmt.Sprintf(format, args...)}
+}
+
+// rejectMethod rejects a request's method. found is the pattern that matched although its route is not for the method; nil: none did.
+func rejectMethod(found *Pattern, methods []string) *Rejection {
 	allow := strings.Join(methods, ", ")
-	bad := reject(http.StatusMethodNotAllowed, "this is asked for with %s", allow)
-	if p != nil && allow == "" {
-		bad.Text = "not a method to ask with"
+	rejection := reject(http.StatusMethodNotAllowed, "this is asked for with %s", allow)
+	if found != nil && allow == "" {
+		rejection.Text = "not a method to ask with"
 	}
-	bad.Allow = allow
-	return bad
+	rejection.Allow = allow
+	return rejection
 }
 
-func reject(status int, format string, args ...any) *Rejection {
-	return &Rejection{Status: status, Text: fmt.Sprintf(format, args...)}
+func rejectUnknownClass(name string) *Rejection {
+	return reject(http.StatusNotFound, "unknown class %q", name)
 }
 
-// displayName is a header's name as people write it.
+// displayName returns a header's name in the spelling of the platform's documents.
 func displayName(name string) string {
 	if name == httpheader.RequestID {
 		return "X-Request-ID"
--- a/internal/routes/relation.go
+++ b/internal/routes/relation.go
@@ -5,18 +5,18 @@
 	"strings"
 )
 
-// relation is how the sets of requests that two patterns match stand to each other.
+// relation is the relation between the sets of requests that two patterns match. The names are those of net/http.
 type relation int8
 
 const (
 	equivalent   relation = iota
-	moreSpecific          // the first's is a part of the second's
-	moreGeneral           // the second's is a part of the first's
-	overlapping           // each has some of the other's, and some of its own
+	moreSpecific          // the first set is a subset of the second
+	moreGeneral           // the second set is a subset of the first
+	overlapping           // each has requests that the other lacks, and some are in both
 	disjoint
 )
 
-// combineRelations is the relation of two products of sets, from those of their parts.
+// combineRelations returns the relation between two products of sets, from those between their factors.
 func combineRelations(a, b relation) relation {
 	switch {
 	case a == disjoint || b == disjoint:
@@ -29,18 +29,16 @@
 	return overlapping
 }
 
-// compare relates two patterns without regard to their hosts, as net/http does: a pattern takes precedence over
-// another one if it matches a part of what that one matches.
+// compare returns the relation between two patterns, without regard to their hosts. As in net/http, the more specific one takes precedence.
 func (p *Pattern) compare(q *Pattern) relation {
 	r := comparePaths(p.segments, q.segments)
-	if r == disjoint { // most are, and this shows soonest
+	if r == disjoint { // the usual case
 		return r
 	}
 	return combineRelations(combineRelations(r, compareMethods(p.Method, q.Method)), compareHeaders(p.Headers, q.Headers))
 }
 
-// conflicts tells whether a request may match both with neither taking precedence. A pattern with a host goes before
-// one without.
+// conflicts reports whether a request may match both patterns without one taking precedence. One with a host precedes one without.
 func (p *Pattern) conflicts(q *Pattern) bool {
 	if p.Host != q.Host {
 		return false
@@ -57,7 +55,7 @@
 		return moreGeneral
 	case b == "":
 		return moreSpecific
-	case a == http.MethodGet && b == http.MethodHead: // GET is for HEAD too
+	case a == http.MethodGet && b == http.MethodHead: // GET includes HEAD
 		return moreGeneral
 	case a == http.MethodHead && b == http.MethodGet:
 		return moreSpecific
@@ -65,7 +63,7 @@
 	return disjoint
 }
 
-// compareHeaders relates conditions: the more there are, the less they match.
+// compareHeaders returns the relation between two sets of conditions. A condition more is more specific.
 func compareHeaders(a, b map[string]string) relation {
 	same := 0
 	for name, value := range a {
@@ -94,7 +92,7 @@
 			if len(a) == len(b) {
 				return r
 			}
-			return disjoint // neither ends with a rest, and one goes on
+			return disjoint // neither ends with a multi wildcard, and one is longer
 		}
 		x, y := a[i], b[i]
 		switch {
@@ -104,21 +102,29 @@
 			return combineRelations(r, moreGeneral)
 		case y.kind == multiWildcard:
 			return combineRelations(r, moreSpecific)
-		case x.kind == exactSlash || y.kind == exactSlash:
-			if x.kind != y.kind {
-				return disjoint // a segment has at least one byte
-			}
-		case x.kind == literal && y.kind == literal:
-			if x.text != y.text {
-				return disjoint
-			}
-		case x.kind == literal:
-			r = combineRelations(r, moreSpecific)
-		case y.kind == literal:
-			r = combineRelations(r, moreGeneral)
 		}
+		r = combineRelations(r, compareSegments(x, y))
 		if r == disjoint {
-			return r
+			return disjoint
+		}
+	}
+}
+
+// compareSegments compares two segments that are no multi wildcards.
+func compareSegments(a, b segment) relation {
+	switch {
+	case a.kind == exactSlash || b.kind == exactSlash:
+		if a.kind != b.kind {
+			return disjoint // a segment has at least one byte
 		}
+	case a.kind == literal && b.kind == literal:
+		if a.text != b.text {
+			return disjoint
+		}
+	case a.kind == literal:
+		return moreSpecific
+	case b.kind == literal:
+		return moreGeneral
 	}
+	return equivalent
 }
--- a/internal/routes/request_fields.go
+++ b/internal/routes/request_fields.go
@@ -1,74 +1,134 @@
 package routes
 
 import (
+	"fmt"
+	"math"
 	"net/http"
 	"strconv"
+	"strings"
 	"time"
 
 	"orchiddrift/balancer"
 	"orchiddrift/internal/httpheader"
 )
 
-// readFields reads what the route's sources say.
-func (t *Table) readFields(d *Decision, path string, q Request) *Rejection {
-	r, class := d.Route, d.Class
-	get := func(s Source) string {
-		v, _ := s.value(r.Pattern, path, q.Header)
-		return v
-	}
-	if d.ID = get(r.ID); d.ID == "" && r.NeedID {
-		return reject(http.StatusBadRequest, "one %s is needed", displayName(r.ID.header()))
-	}
-	if name := q.Header.Get(r.ClassHeader); r.ClassHeader != "" && name != "" && name != class.Name {
-		if !t.classes[name] {
-			return reject(http.StatusNotFound, "unknown class %q", name)
+// readFields reads what the route's sources name, and checks it. path is the path as the route matched it.
+func (t *Table) readFields(d *Decision, path string, request Request) *Rejection {
+	route := d.Route
+	get := func(source Source) string {
+		value, _ := source.value(route.Pattern, path, request.Header)
+		return value
+	}
+	d.ID = get(route.ID)
+	if d.ID == "" && route.NeedID {
+		return reject(http.StatusBadRequest, "one %s is needed", displayName(route.ID.header()))
+	}
+	if route.ClassHeader != "" {
+		if rejection := t.checkClassName(request.Header.Get(route.ClassHeader), d.Class.Name); rejection != nil {
+			return rejection
 		}
-		return reject(http.StatusBadRequest, "the header names class %q, the path %q", name, class.Name)
-	}
-	key, has := r.Key.value(r.Pattern, path, q.Header)
-	switch keyed := class.Idempotency == balancer.IdempotentWithKey; {
-	case keyed && !has, r.StrictKey && keyed != has:
-		return reject(http.StatusBadRequest, "class %s: keyed is %v, and that is what a key says (%s)", class.Name, keyed,
-			displayName(r.Key.header()))
-	case keyed && !isUsableKey(key):
-		return reject(http.StatusBadRequest, "%s: one key is needed, without commas outside quotes", displayName(r.Key.header()))
-	case keyed:
+	}
+	if rejection := d.readKey(path, request.Header); rejection != nil {
+		return rejection
+	}
+	if request.ContentLength != 0 && (request.Method == http.MethodGet || request.Method == http.MethodHead) {
+		return reject(http.StatusBadRequest, "class %s has no body", d.Class.Name)
+	}
+	if rejection := d.checkPreconditions(request.Header); rejection != nil {
+		return rejection
+	}
+	d.Tenant = get(route.Tenant)
+	if rejection := d.readTimeout(get(route.Deadline)); rejection != nil {
+		return rejection
+	}
+	if rejection := d.readCost(get(route.Cost)); rejection != nil {
+		return rejection
+	}
+	if request.ContentLength > route.MaxBody {
+		return reject(http.StatusRequestEntityTooLarge, "a body holds %d bytes at most", route.MaxBody)
+	}
+	return nil
+}
+
+// readKey reads the idempotency key. A class that needs a key gets exactly one; by the platform's rules no other class has any.
+func (d *Decision) readKey(path string, header http.Header) *Rejection {
+	route := d.Route
+	key, given := route.Key.value(route.Pattern, path, header)
+	needed := d.Class.Idempotency == balancer.IdempotentWithKey
+	switch {
+	case needed && !given, route.StrictKey && needed != given:
+		return reject(http.StatusBadRequest, "class %s: keyed is %v, and that is what a key says (%s)", d.Class.Name, needed,
+			displayName(route.Key.header()))
+	case needed && !isUsableKey(key):
+		return reject(http.StatusBadRequest, "%s: one key is needed, without commas outside quotes", displayName(route.Key.header()))
+	case needed:
 		d.IdempotencyKey = key
 	}
-	if q.ContentLength != 0 && (q.Method == http.MethodGet || q.Method == http.MethodHead) {
-		return reject(http.StatusBadRequest, "class %s has no body", class.Name)
+	return nil
+}
+
+// checkPreconditions rejects preconditions of a request that is not idempotent, where only complete answers count as success.
+func (d *Decision) checkPreconditions(header http.Header) *Rejection {
+	if !d.Route.CompleteOnly || d.Class.Idempotency == balancer.Idempotent {
+		return nil
 	}
-	if class.Idempotency != balancer.Idempotent {
-		for _, name := range preconditionHeaders {
-			if _, has := q.Header[name]; has && r.CompleteOnly {
-				return reject(http.StatusBadRequest, "%s is not taken: an answer that it leads to can't be told from a failure", name)
-			}
+	for _, name := range preconditionHeaders {
+		if _, given := header[name]; given {
+			return reject(http.StatusBadRequest, "%s is not taken: an answer that it leads to can't be told from a failure", name)
 		}
 	}
-	d.Tenant, d.Timeout = get(r.Tenant), class.Deadline
-	if text := get(r.Deadline); text != "" {
-		timeout, err := ParseTimeout(text)
-		if err != nil {
-			return reject(http.StatusBadRequest, "%s: %v", displayName(r.Deadline.header()), err)
-		}
-		d.Timeout = min(timeout, class.Deadline)
+	return nil
+}
+
+// readTimeout sets how long the client waits: what it says, or empty, and the class's deadline at most.
+func (d *Decision) readTimeout(text string) *Rejection {
+	d.Timeout = d.Class.Deadline
+	if text == "" {
+		return nil
 	}
-	if text := get(r.Cost); text != "" {
-		us, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(us >= 0) || us > maxTimeout.Seconds()*1e6 {
-			return reject(http.StatusBadRequest, "%s: %q is not a usable number of microseconds", displayName(r.Cost.header()), text)
-		}
-		d.CostHint = time.Duration(us * float64(time.Microsecond))
+	timeout, err := ParseTimeout(text)
+	if err != nil {
+		return reject(http.StatusBadRequest, "%s: %v", displayName(d.Route.Deadline.header()), err)
 	}
-	if q.ContentLength > r.MaxBody {
-		return reject(http.StatusRequestEntityTooLarge, "a body holds %d bytes at most", r.MaxBody)
+	d.Timeout = min(timeout, d.Class.Deadline)
+	return nil
+}
+
+// readCost sets the expected work from a number of microseconds; empty: it is unknown.
+func (d *Decision) readCost(text string) *Rejection {
+	if text == "" {
+		return nil
+	}
+	microseconds, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(microseconds >= 0) || microseconds > float64(maxClientDuration/time.Microsecond) {
+		return reject(http.StatusBadRequest, "%s: %q is not a usable number of microseconds", displayName(d.Route.Cost.header()), text)
 	}
+	d.CostHint = time.Duration(microseconds * float64(time.Microsecond))
 	return nil
 }
 
-// Forward is the headers that go on to an upstream.
-func (d *Decision) Forward(h http.Header) http.Header {
-	header := httpheader.EndToEnd(h)
+// maxClientDuration bounds the durations that clients send: timeouts and expected work.
+const maxClientDuration = time.Hour
+
+// ParseTimeout parses a number with a unit: m for milliseconds or u for microseconds.
+func ParseTimeout(text string) (time.Duration, error) {
+	unit := time.Millisecond
+	number, ok := strings.CutSuffix(text, "m")
+	if !ok {
+		unit = time.Microsecond
+		number, ok = strings.CutSuffix(text, "u")
+	}
+	value, err := strconv.ParseFloat(number, 64)
+	timeout := value * float64(unit)
+	if !ok || err != nil || math.IsNaN(value) || value < 0 || timeout > float64(maxClientDuration) {
+		return 0, fmt.Errorf("%q is not a usable number with the unit m or u", text)
+	}
+	return time.Duration(timeout), nil
+}
+
+// Forward returns the headers that go to an upstream.
+func (d *Decision) Forward(received http.Header) http.Header {
+	header := httpheader.EndToEnd(received)
 	delete(header, httpheader.Timeout)
 	if d.Route.CompleteOnly {
 		for _, name := range preconditionHeaders {
--- a/internal/routes/source.go
+++ b/internal/routes/source.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Source is where a request's key, tenant, cost, id or deadline comes from. It is written "header:NAME", "path:NAME" (a
-// wildcard of the route's pattern) or "fixed:TEXT"; the zero value is nowhere.
+// Source is where a request's key, tenant, cost, id or deadline comes from. It is written "header:NAME", "path:NAME" with a wildcard of the
+// route's pattern, or "fixed:TEXT". The zero value is no source.
 type Source struct {
 	kind sourceKind
 	name string
@@ -24,10 +24,10 @@
 
 var sourceKinds = map[string]sourceKind{"header": fromHeader, "path": fromPath, "fixed": fixedText}
 
-// Header is the Source that a header is.
+// Header returns the source that reads a header.
 func Header(name string) Source { return Source{fromHeader, http.CanonicalHeaderKey(name)} }
 
-// MarshalText writes it as it is read.
+// MarshalText implements encoding.TextMarshaler.
 func (s Source) MarshalText() ([]byte, error) {
 	for word, kind := range sourceKinds {
 		if s.kind == kind {
@@ -37,7 +37,7 @@
 	return []byte{}, nil
 }
 
-// UnmarshalText reads it.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (s *Source) UnmarshalText(text []byte) error {
 	if len(text) == 0 {
 		*s = Source{}
@@ -48,7 +48,7 @@
 	switch {
 	case !ok || !known:
 		return fmt.Errorf(`%q is none of "header:NAME", "path:WILDCARD", "fixed:TEXT" and ""`, text)
-	case kind == fromHeader && (!isToken(name) || strings.Contains(name, "_")):
+	case kind == fromHeader && !isHeaderName(name):
 		return fmt.Errorf("%q is no usable header's name", name)
 	case kind == fromPath && !isName(name):
 		return fmt.Errorf("%q is no wildcard's name", name)
@@ -61,10 +61,10 @@
 	return nil
 }
 
-// None tells whether it is nowhere.
+// None reports whether there is no source.
 func (s Source) None() bool { return s.kind == noSource }
 
-// header is the header that it reads, or nothing.
+// header returns the name of the header that the source reads; empty: it reads none.
 func (s Source) header() string {
 	if s.kind == fromHeader {
 		return s.name
@@ -72,11 +72,11 @@
 	return ""
 }
 
-// value reads it, and tells whether it is there.
-func (s Source) value(p *Pattern, path string, h http.Header) (string, bool) {
+// value returns what the source has for a request, and whether it has anything. path is the path as the pattern matched it.
+func (s Source) value(pattern *Pattern, path string, header http.Header) (string, bool) {
 	switch s.kind {
 	case fromHeader:
-		values := h[s.name]
+		values := header[s.name]
 		if len(values) == 0 {
 			return "", false
 		}
@@ -84,15 +84,22 @@
 	case fixedText:
 		return s.name, true
 	case fromPath:
-		left := path
-		for _, seg := range p.segments {
-			if seg.kind == multiWildcard {
-				return left[1:], seg.text == s.name && left != "/"
-			}
-			var value string
-			if value, left = cutSegment(left); seg.kind == wildcard && seg.text == s.name {
-				return value, true
-			}
+		return pattern.wildcardValue(s.name, path)
+	}
+	return "", false
+}
+
+// wildcardValue returns what a wildcard matches in a path that the pattern matches. A multi wildcard must match at least one byte.
+func (p *Pattern) wildcardValue(name, path string) (string, bool) {
+	remainder := path
+	for _, s := range p.segments {
+		if s.kind == multiWildcard {
+			return remainder[1:], s.text == name && remainder != "/"
+		}
+		var value string
+		value, remainder = cutSegment(remainder)
+		if s.kind == wildcard && s.text == name {
+			return value, true
 		}
 	}
 	return "", false
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -11,174 +11,197 @@
 	"orchiddrift/internal/httpheader"
 )
 
+// Request is a request's head. ContentLength is -1 for a body of unknown length.
+type Request struct {
+	Method, Host, Target string
+	Header               http.Header
+	ContentLength        int64
+}
+
 // Decision is what a request is.
 type Decision struct {
 	Route          *Route
 	Class          *balancer.Class
-	ID             string // empty: one is to be made
-	IdempotencyKey string // of a keyed class
+	ID             string // empty: the caller makes one
+	IdempotencyKey string // of a class that needs one
 	Tenant         string
 	CostHint       time.Duration // expected work; 0: unknown
-	Timeout        time.Duration // what the client waits, at most its class's deadline
-}
-
-// Request is a request's head. ContentLength is -1 where it has a body of unknown length.
-type Request struct {
-	Method, Host, Target string
-	Header               http.Header
-	ContentLength        int64
+	Timeout        time.Duration // how long the client waits, at most the class's deadline
 }
 
 // Table is a set of routes. It is immutable and safe for concurrent use.
 type Table struct {
-	tree               *patternTree[*Route]
-	routes             []*Route
-	hasHosts           bool            // some route has a host
-	decisiveHeaders    []string        // headers that decide something: once at most, spelled in one way
-	singleValueHeaders []string        // of them those that may hold no list
-	classes            map[string]bool // that a ClassHeader may name
-	classInPath        bool            // the path's first segment is to be there unencoded
+	tree     *patternTree[*Route]
+	routes   []*Route
+	hasHosts bool // some route has a host
+
+	decisiveHeaders    []string // headers that decide something: a request has each once at most, in one spelling
+	singleValueHeaders []string // those of them that must not hold a list
+
+	// What the platform's rules add.
+	classInPath bool            // the path's first segment names a class, without encoding
+	classes     map[string]bool // the classes that a ClassHeader may name
 }
 
-// New makes a table, or tells which pairs of routes conflict.
+// New makes a table, or returns the pairs of routes that conflict.
 func New(routes []*Route) (*Table, []Conflict) {
 	patterns := make([]*Pattern, len(routes))
-	for i, r := range routes {
-		patterns[i] = r.Pattern
+	for i, route := range routes {
+		patterns[i] = route.Pattern
 	}
-	if bad := conflicts(patterns); len(bad) > 0 {
-		return nil, bad
+	if found := conflicts(patterns); len(found) > 0 {
+		return nil, found
 	}
-	t := &Table{tree: newPatternTree[*Route](), routes: routes, decisiveHeaders: slices.Clone(platformHeaders), classes: map[string]bool{},
-		singleValueHeaders: []string{}}
-	owned := func(name string) {
-		if name != "" && !slices.Contains(t.decisiveHeaders, name) {
-			t.decisiveHeaders = append(t.decisiveHeaders, name)
-		}
+	t := &Table{
+		tree:               newPatternTree[*Route](),
+		routes:             routes,
+		decisiveHeaders:    slices.Clone(platformHeaders),
+		singleValueHeaders: []string{},
+		classes:            map[string]bool{},
 	}
-	for _, r := range routes {
-		t.tree.add(r.Pattern, r)
-		t.hasHosts = t.hasHosts || r.Pattern.Host != ""
-		for _, s := range []Source{r.Key, r.Tenant, r.Cost, r.ID, r.Deadline} {
-			owned(s.header())
-		}
-		for name := range r.Pattern.Headers {
-			owned(name)
-			t.singleValueHeaders = append(t.singleValueHeaders, name)
-		}
-		if r.ClassHeader != "" {
-			owned(r.ClassHeader)
-			t.singleValueHeaders = append(t.singleValueHeaders, r.ClassHeader)
-			t.classInPath = true
-			if r.Class != nil {
-				t.classes[r.Class.Name] = true
-			}
-		}
+	for _, route := range routes {
+		t.add(route)
 	}
 	slices.Sort(t.singleValueHeaders)
 	t.singleValueHeaders = slices.Compact(t.singleValueHeaders)
 	return t, nil
 }
 
-// Routes lists them, in the order given.
+func (t *Table) add(route *Route) {
+	t.tree.add(route.Pattern, route)
+	t.hasHosts = t.hasHosts || route.Pattern.Host != ""
+	for _, source := range []Source{route.Key, route.Tenant, route.Cost, route.ID, route.Deadline} {
+		t.addDecisiveHeader(source.header())
+	}
+	for name := range route.Pattern.Headers {
+		t.addDecisiveHeader(name)
+		t.singleValueHeaders = append(t.singleValueHeaders, name)
+	}
+	if route.ClassHeader == "" {
+		return
+	}
+	t.addDecisiveHeader(route.ClassHeader)
+	t.singleValueHeaders = append(t.singleValueHeaders, route.ClassHeader)
+	t.classInPath = true
+	if route.Class != nil {
+		t.classes[route.Class.Name] = true
+	}
+}
+
+func (t *Table) addDecisiveHeader(name string) {
+	if name != "" && !slices.Contains(t.decisiveHeaders, name) {
+		t.decisiveHeaders = append(t.decisiveHeaders, name)
+	}
+}
+
+// Routes returns the routes in the order given to New.
 func (t *Table) Routes() []*Route { return t.routes }
 
-// Decide says what a request is, or how to turn it down.
-func (t *Table) Decide(q Request) (d Decision, bad *Rejection) {
-	path, err := targetPath(q.Target)
+// Decide returns what a request is, or its rejection.
+func (t *Table) Decide(request Request) (Decision, *Rejection) {
+	path, err := targetPath(request.Target)
 	if err != nil {
-		return d, reject(http.StatusBadRequest, "%v", err)
+		return Decision{}, reject(http.StatusBadRequest, "%v", err)
 	}
-	if problem := t.checkHeaders(q.Header); problem != "" {
-		return d, reject(http.StatusBadRequest, "%s", problem)
+	if problem := t.checkHeaders(request.Header); problem != "" {
+		return Decision{}, reject(http.StatusBadRequest, "%s", problem)
 	}
 	if t.classInPath {
-		if first, _, _ := strings.Cut(path[1:], "/"); strings.Contains(first, "%") {
-			return d, reject(http.StatusBadRequest, "the class stands in the path as it is, without encoding")
+		if first, _ := cutSegment(path); strings.Contains(first, "%") {
+			return Decision{}, reject(http.StatusBadRequest, "the class stands in the path as it is, without encoding")
 		}
 	}
 	host := ""
 	if t.hasHosts {
-		host = normalizeHost(q.Host)
+		host = normalizeHost(request.Host)
 	}
-	asked := lookup{method: q.Method, path: path, header: q.Header}
-	plain := hasOneReading(path)
-	var ways []string
-	if !plain {
-		ways = pathReadings(path)
-		asked.path = ways[0]
+	wanted := lookup{method: request.Method, path: path, header: request.Header}
+	var readings []string // none: but for its last slash the path has one reading
+	if !hasOneReading(path) {
+		readings = pathReadings(path)
+		wanted.path = readings[0]
 	}
-	found, ok := t.tree.find(host, asked)
+	found, ok := t.tree.find(host, wanted)
 	if !ok {
-		return d, t.rejectUnmatched(host, path, asked)
-	}
-	r := found.value
-	if d.Class = r.class(q.Method); d.Class == nil {
-		return d, notAllowed(found.pattern, r.allowed())
-	}
-	if plain {
-		bad = t.checkReading(&d, host, asked, found, toggleTrailingSlash(path), true)
-	} else {
-		for _, way := range ways[1:] {
-			if bad = t.checkReading(&d, host, asked, found, way, false); bad == nil {
-				bad = t.checkReading(&d, host, asked, found, toggleTrailingSlash(way), true)
+		return Decision{}, t.rejectUnmatched(host, path, wanted)
+	}
+	route := found.value
+	d := Decision{Class: route.class(request.Method)}
+	if d.Class == nil {
+		return d, rejectMethod(found.pattern, route.allowed())
+	}
+	if rejection := t.checkReadings(d.Class, host, wanted, found, readings); rejection != nil {
+		return d, rejection
+	}
+	d.Route = route
+	return d, t.readFields(&d, wanted.path, request)
+}
+
+// checkReadings rejects a request if any other reading of its path has a stricter class than the route found.
+func (t *Table) checkReadings(class *balancer.Class, host string, wanted lookup, found leaf[*Route], readings []string) *Rejection {
+	if len(readings) > 0 {
+		for _, reading := range readings[1:] {
+			if rejection := t.checkReading(class, host, wanted, found, reading, false); rejection != nil {
+				return rejection
 			}
-			if bad != nil {
-				break
+			if rejection := t.checkReading(class, host, wanted, found, toggleTrailingSlash(reading), true); rejection != nil {
+				return rejection
 			}
 		}
-		if bad == nil {
-			bad = t.checkReading(&d, host, asked, found, toggleTrailingSlash(ways[0]), true)
-		}
-	}
-	if bad != nil {
-		return d, bad
 	}
-	d.Route = r
-	return d, t.readFields(&d, asked.path, q)
+	return t.checkReading(class, host, wanted, found, toggleTrailingSlash(wanted.path), true)
 }
 
-// checkReading turns a request down which another reading of its path makes one of a stricter class. What the file says of a
-// path with or without its last slash (bySlash) stands against a pattern for more than that path.
-func (t *Table) checkReading(d *Decision, host string, q lookup, found leaf[*Route], way string, bySlash bool) *Rejection {
-	was := q.path
-	q.path = way
-	of, ok := t.tree.find(host, q)
-	if !ok || of.value == found.value || bySlash && found.pattern.compare(of.pattern) == moreSpecific {
+// checkReading rejects a request if one other reading of its path has a stricter class. If the reading differs by the last slash only
+// (slashOnly), a more specific pattern for the path as sent holds: the operator distinguishes the two.
+func (t *Table) checkReading(class *balancer.Class, host string, wanted lookup, found leaf[*Route], reading string, slashOnly bool) *Rejection {
+	sent := wanted.path
+	wanted.path = reading
+	other, ok := t.tree.find(host, wanted)
+	if !ok || other.value == found.value || slashOnly && found.pattern.compare(other.pattern) == moreSpecific {
 		return nil
 	}
-	if class := of.value.class(q.method); class != nil && lessStrict(d.Class, class) {
-		return reject(http.StatusBadRequest, "%s may be read as %s, which is for %s and stricter", was, way, of.pattern)
+	if otherClass := other.value.class(wanted.method); otherClass != nil && lessStrict(class, otherClass) {
+		return reject(http.StatusBadRequest, "%s may be read as %s, which is for %s and stricter", sent, reading, other.pattern)
 	}
 	return nil
 }
 
-// rejectUnmatched words why no route was found.
-func (t *Table) rejectUnmatched(host, path string, q lookup) *Rejection {
-	first, _ := cutSegment(q.path)
-	name := q.header.Get(httpheader.Class)
-	if t.classInPath && name != "" && name != first {
-		if !t.classes[name] {
-			return reject(http.StatusNotFound, "unknown class %q", name)
+// rejectUnmatched returns why no route was found.
+func (t *Table) rejectUnmatched(host, path string, wanted lookup) *Rejection {
+	first, _ := cutSegment(wanted.path)
+	if t.classInPath {
+		if rejection := t.checkClassName(wanted.header.Get(httpheader.Class), first); rejection != nil {
+			return rejection
 		}
-		return reject(http.StatusBadRequest, "the header names class %q, the path %q", name, first)
 	}
-	if methods := t.tree.methods(host, q); len(methods) > 0 {
+	if methods := t.tree.methods(host, wanted); len(methods) > 0 {
 		if t.classInPath {
-			methods = slices.DeleteFunc(methods, func(m string) bool { return m == http.MethodHead })
+			methods = slices.DeleteFunc(methods, func(method string) bool { return method == http.MethodHead })
 		}
-		return notAllowed(nil, methods)
+		return rejectMethod(nil, methods)
 	}
 	if t.classInPath {
-		return reject(http.StatusNotFound, "unknown class %q", first)
+		return rejectUnknownClass(first)
 	}
 	return reject(http.StatusNotFound, "no route is for %s", path)
 }
 
-// normalizeHost is a Host header as patterns have it.
+// checkClassName rejects a class that a header names if it is not the one of the path; empty: the header names none.
+func (t *Table) checkClassName(named, inPath string) *Rejection {
+	switch {
+	case named == "" || named == inPath:
+		return nil
+	case !t.classes[named]:
+		return rejectUnknownClass(named)
+	}
+	return reject(http.StatusBadRequest, "the header names class %q, the path %q", named, inPath)
+}
+
+// normalizeHost returns a Host header in the form that patterns have.
 func normalizeHost(host string) string {
-	if h, _, err := net.SplitHostPort(host); err == nil {
-		host = h
+	if name, _, err := net.SplitHostPort(host); err == nil {
+		host = name
 	}
 	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
--- a/internal/routes/target.go
+++ b/internal/routes/target.go
@@ -8,13 +8,13 @@
 	"unicode/utf8"
 )
 
-// maxDecodings is how often a target is decoded in search of what an upstream might see in it. A server behind a proxy
-// of its own may decode twice; the third round finds what was hidden for the second.
+// maxDecodings is how often a target is decoded in search of what an upstream may read in it. A server behind a proxy of its own may decode
+// twice; the third round finds what is hidden from the second.
 const maxDecodings = 3
 
-// targetPath returns a request target's path. It turns down every target that two readers may resolve to different paths:
-// the class decides whether a request may be repeated, so it must be what any upstream would read. RFC 3986 sections
-// 3.3 and 5.2.4; what servers add to that is named below. Readings that remain are for Table.Decide to compare.
+// targetPath returns the path of a request target. It rejects every target that two readers may resolve to different paths: the class
+// decides whether a request may be repeated, so it must be that of the path that any upstream reads (RFC 3986, sections 3.3 and 5.2.4).
+// Other readings are left for Table.Decide to compare.
 func targetPath(target string) (string, error) {
 	if !strings.HasPrefix(target, "/") || strings.HasPrefix(target, "//") {
 		return "", errors.New("the request target is not a path")
@@ -29,21 +29,21 @@
 	return path, nil
 }
 
-// checkUnambiguous looks at a path as it is written and as it reads once decoded, and again.
+// checkUnambiguous returns why a path may be resolved in several ways, as it is or decoded up to maxDecodings times.
 func checkUnambiguous(path string) error {
 	for round := range maxDecodings {
 		switch {
-		case strings.ContainsAny(path, "\\"): // some servers take it for a slash
+		case strings.ContainsAny(path, "\\"): // some servers read it as a slash
 			return errors.New("the request target has a backslash")
-		case strings.Contains(path, "#"): // begins a fragment, which has no place here; some cut the path there
+		case strings.Contains(path, "#"): // some servers cut a fragment off
 			return errors.New("the request target has a #")
 		case hasControl(path):
 			return errors.New("the request target has a control character")
-		case !utf8.ValidString(path): // overlong encodings of a dot or slash among it
+		case !utf8.ValidString(path): // such as overlong encodings of a dot or a slash
 			return errors.New("the request target is not UTF-8")
 		}
 		for segment := range strings.SplitSeq(path, "/") {
-			// Some servers take off what follows a semicolon first, RFC 3986's path parameters.
+			// Some servers remove path parameters, which follow a semicolon, first.
 			switch name, _, _ := strings.Cut(segment, ";"); name {
 			case ".", "..":
 				return errors.New("the request target has a dot segment")
@@ -54,7 +54,7 @@
 		}
 		decoded, err := url.PathUnescape(path)
 		if err != nil {
-			if round > 0 { // what was decoded only looks like an encoding
+			if round > 0 { // the decoded text only looks like an encoding
 				return nil
 			}
 			return fmt.Errorf("the request target: %w", err)
--- a/internal/routes/tree.go
+++ b/internal/routes/tree.go
@@ -2,29 +2,29 @@
 
 import (
 	"cmp"
+	"maps"
 	"net/http"
 	"slices"
 	"strings"
 )
 
-// patternTree finds the pattern of a request: a tree by host and segment, with what is declared for a path at its leaf. A
-// look-up goes down once in the usual case. Where literal and wildcard both lead on it may have to come back, and looks
-// at no node twice: its cost depends on the request's segments, and not on how many patterns there are.
+// patternTree finds the pattern of a request. It is a tree by host and path segment with the patterns of a path at its nodes. A lookup is
+// usually one descent. Where a literal and a wildcard both lead on, it may have to come back, but visits no node twice: its cost depends on
+// the number of segments in the request, and not on the number of patterns.
 type patternTree[T any] struct {
 	hosts map[string]*node[T] // "" for patterns without a host
-	size  int
 }
 
 type node[T any] struct {
-	children      map[string]*node[T] // by literal
-	wildcard      *node[T]
-	rest          []leaf[T] // what is left, whatever it is
-	trailingSlash []leaf[T] // after {$}
-	exact         []leaf[T] // the path ends here
+	children      map[string]*node[T] // by literal segment
+	wildcard      *node[T]            // any one segment
+	multiWildcard []leaf[T]           // any remainder of the path
+	trailingSlash []leaf[T]           // after {$}
+	exact         []leaf[T]           // the path ends here
 }
 
-// leaf is one pattern, and what it stands for. Those of one path are sorted: more headers first, then a method before
-// any method, then HEAD before GET.
+// leaf is one pattern and the value added with it. Those of one path are sorted: more headers first, then a method before any method, then
+// HEAD before GET.
 type leaf[T any] struct {
 	pattern *Pattern
 	value   T
@@ -32,26 +32,20 @@
 
 func newPatternTree[T any]() *patternTree[T] { return &patternTree[T]{hosts: map[string]*node[T]{}} }
 
-func (t *patternTree[T]) add(p *Pattern, to T) {
-	n := t.hosts[p.Host]
+func (t *patternTree[T]) add(pattern *Pattern, value T) {
+	n := t.hosts[pattern.Host]
 	if n == nil {
 		n = &node[T]{}
-		t.hosts[p.Host] = n
+		t.hosts[pattern.Host] = n
 	}
-	put := func(list *[]leaf[T]) {
-		*list = append(*list, leaf[T]{p, to})
-		slices.SortStableFunc(*list, func(a, b leaf[T]) int {
-			return cmp.Or(cmp.Compare(len(b.pattern.Headers), len(a.pattern.Headers)), cmp.Compare(b.pattern.Method, a.pattern.Method))
-		})
-	}
-	t.size++
-	for _, s := range p.segments {
+	added := leaf[T]{pattern, value}
+	for _, s := range pattern.segments {
 		switch s.kind {
 		case multiWildcard:
-			put(&n.rest)
+			n.multiWildcard = insertLeaf(n.multiWildcard, added)
 			return
 		case exactSlash:
-			put(&n.trailingSlash)
+			n.trailingSlash = insertLeaf(n.trailingSlash, added)
 			return
 		case wildcard:
 			if n.wildcard == nil {
@@ -59,65 +53,78 @@
 			}
 			n = n.wildcard
 		case literal:
-			if n.children == nil {
-				n.children = map[string]*node[T]{}
-			}
-			if n.children[s.text] == nil {
-				n.children[s.text] = &node[T]{}
-			}
-			n = n.children[s.text]
+			n = n.child(s.text)
 		}
 	}
-	put(&n.exact)
+	n.exact = insertLeaf(n.exact, added)
+}
+
+// child returns the node of a literal segment, which it makes if there is none.
+func (n *node[T]) child(text string) *node[T] {
+	if n.children == nil {
+		n.children = map[string]*node[T]{}
+	}
+	if n.children[text] == nil {
+		n.children[text] = &node[T]{}
+	}
+	return n.children[text]
 }
 
-// lookup is a request, for a look-up.
+func insertLeaf[T any](leaves []leaf[T], added leaf[T]) []leaf[T] {
+	leaves = append(leaves, added)
+	slices.SortStableFunc(leaves, func(a, b leaf[T]) int {
+		return cmp.Or(cmp.Compare(len(b.pattern.Headers), len(a.pattern.Headers)), cmp.Compare(b.pattern.Method, a.pattern.Method))
+	})
+	return leaves
+}
+
+// lookup is the part of a request that patterns match, but for its host.
 type lookup struct {
 	method, path string
 	header       http.Header
 }
 
-// find returns the most specific pattern that matches: with the request's host first, then without.
-func (t *patternTree[T]) find(host string, q lookup) (found leaf[T], ok bool) {
+// find returns the most specific pattern that matches: one with the request's host, or else one without a host.
+func (t *patternTree[T]) find(host string, wanted lookup) (found leaf[T], ok bool) {
 	if host != "" {
 		if n := t.hosts[host]; n != nil {
-			if found, ok = n.find(q, q.path); ok {
+			if found, ok = n.find(wanted, wanted.path); ok {
 				return found, true
 			}
 		}
 	}
 	if n := t.hosts[""]; n != nil {
-		return n.find(q, q.path)
+		return n.find(wanted, wanted.path)
 	}
 	return found, false
 }
 
-// find goes on from a node with what is left of the path, from a slash on.
-func (n *node[T]) find(q lookup, left string) (found leaf[T], ok bool) {
-	if left == "" {
-		return firstMatch(n.exact, q)
+// find continues from a node with the remainder of the path, which begins with a slash or is empty.
+func (n *node[T]) find(wanted lookup, remainder string) (found leaf[T], ok bool) {
+	if remainder == "" {
+		return firstMatch(n.exact, wanted)
 	}
-	next, after := cutSegment(left)
+	next, after := cutSegment(remainder)
 	if next != "" {
 		if child := n.children[next]; child != nil {
-			if found, ok = child.find(q, after); ok {
+			if found, ok = child.find(wanted, after); ok {
 				return found, true
 			}
 		}
 		if n.wildcard != nil {
-			if found, ok = n.wildcard.find(q, after); ok {
+			if found, ok = n.wildcard.find(wanted, after); ok {
 				return found, true
 			}
 		}
 	} else if after == "" {
-		if found, ok = firstMatch(n.trailingSlash, q); ok {
+		if found, ok = firstMatch(n.trailingSlash, wanted); ok {
 			return found, true
 		}
 	}
-	return firstMatch(n.rest, q)
+	return firstMatch(n.multiWildcard, wanted)
 }
 
-// cutSegment takes the first segment, behind its slash, off a path.
+// cutSegment splits the first segment, without its slash, off a path.
 func cutSegment(path string) (segment, after string) {
 	if i := strings.IndexByte(path[1:], '/'); i >= 0 {
 		return path[1 : i+1], path[i+1:]
@@ -125,69 +132,54 @@
 	return path[1:], ""
 }
 
-// firstMatch returns the first of a path's leaves that takes the method and the headers.
-func firstMatch[T any](list []leaf[T], q lookup) (found leaf[T], ok bool) {
-	for _, l := range list {
-		if m := l.pattern.Method; m != "" && m != q.method && !(m == http.MethodGet && q.method == http.MethodHead) {
-			continue
-		}
-		if l.pattern.matchesHeaders(q.header) {
+// firstMatch returns the first of a path's leaves that matches the method and the headers.
+func firstMatch[T any](leaves []leaf[T], wanted lookup) (found leaf[T], ok bool) {
+	for _, l := range leaves {
+		if l.pattern.matchesMethod(wanted.method) && l.pattern.matchesHeaders(wanted.header) {
 			return l, true
 		}
 	}
 	return found, false
 }
 
-func (p *Pattern) matchesHeaders(header http.Header) bool {
-	for name, value := range p.Headers {
-		if !strings.EqualFold(header.Get(name), value) {
-			return false
-		}
+// methods returns, sorted, the methods for which find would have found a pattern.
+func (t *patternTree[T]) methods(host string, wanted lookup) []string {
+	methods := map[string]bool{}
+	if host != "" {
+		t.hosts[host].collectMethods(wanted, wanted.path, methods)
 	}
-	return true
+	t.hosts[""].collectMethods(wanted, wanted.path, methods)
+	delete(methods, "")
+	return slices.Sorted(maps.Keys(methods))
 }
 
-// methods lists, sorted, those that would have found something for this request.
-func (t *patternTree[T]) methods(host string, q lookup) []string {
-	seen := map[string]bool{}
-	var walk func(n *node[T], left string)
-	note := func(list []leaf[T]) {
-		for _, l := range list {
-			if l.pattern.matchesHeaders(q.header) {
-				seen[l.pattern.Method] = true
-				if l.pattern.Method == http.MethodGet {
-					seen[http.MethodHead] = true
-				}
-			}
-		}
+// collectMethods adds the methods of all patterns that match but for the method. The node may be nil.
+func (n *node[T]) collectMethods(wanted lookup, remainder string, into map[string]bool) {
+	if n == nil {
+		return
 	}
-	walk = func(n *node[T], left string) {
-		if n == nil {
-			return
-		}
-		if left == "" {
-			note(n.exact)
-			return
-		}
-		next, after := cutSegment(left)
-		if next != "" {
-			walk(n.children[next], after)
-			walk(n.wildcard, after)
-		} else if after == "" {
-			note(n.trailingSlash)
-		}
-		note(n.rest)
+	if remainder == "" {
+		leafMethods(n.exact, wanted, into)
+		return
 	}
-	if host != "" {
-		walk(t.hosts[host], q.path)
+	next, after := cutSegment(remainder)
+	if next != "" {
+		n.children[next].collectMethods(wanted, after, into)
+		n.wildcard.collectMethods(wanted, after, into)
+	} else if after == "" {
+		leafMethods(n.trailingSlash, wanted, into)
 	}
-	walk(t.hosts[""], q.path)
-	var out []string
-	for m := range seen {
-		if m != "" {
-			out = append(out, m)
+	leafMethods(n.multiWildcard, wanted, into)
+}
+
+func leafMethods[T any](leaves []leaf[T], wanted lookup, into map[string]bool) {
+	for _, l := range leaves {
+		if !l.pattern.matchesHeaders(wanted.header) {
+			continue
+		}
+		into[l.pattern.Method] = true
+		if l.pattern.Method == http.MethodGet {
+			into[http.MethodHead] = true
 		}
 	}
-	slices.Sort(out)
-	return out
 }
