--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -1,9 +1,7 @@
 package graphql
 
 import (
-	"cmp"
 	"errors"
-	"math"
 	"slices"
 	"strings"
 
@@ -205,105 +203,6 @@
 	return false
 }
 
-// measure counts what a document has.
-type measure struct {
-	doc                 *ast.QueryDocument
-	l                   *Limits
-	frags               map[string]*extent // nil while a fragment is being looked at
-	aliases, directives int
-}
-
-// extent is how far a selection reaches, fragments spread out.
-type extent struct{ depth, fields int }
-
-var errCycle = errors.New("a fragment contains itself")
-
-// names finds what the text says twice or not at all, in a form of the parser's that goes by names.
-func (m *measure) names() *Problem {
-	seen := map[string]bool{}
-	for _, op := range m.doc.Operations {
-		if op.Name == "" && len(m.doc.Operations) > 1 {
-			return problem(CodeValidation, "an operation without a name must stand alone")
-		}
-		if seen[op.Name] {
-			return problem(CodeValidation, "there are two operations of the name %q", op.Name)
-		}
-		seen[op.Name] = true
-	}
-	frags := map[string]bool{}
-	for _, f := range m.doc.Fragments {
-		if frags[f.Name] {
-			return problem(CodeValidation, "there are two fragments of the name %q", f.Name)
-		}
-		frags[f.Name] = true
-	}
-	return nil
-}
-
-func (m *measure) beyond(x extent) *Problem {
-	for _, c := range []struct {
-		what    string
-		n, most int
-	}{{"fields within each other", x.depth, m.l.Depth}, {"fields", x.fields, m.l.Fields}, {"aliases", m.aliases, m.l.Aliases},
-		{"directives", m.directives, m.l.Directives}} {
-		if c.n > c.most {
-			return problem(CodeLimit, "%d %s, %d at most", c.n, c.what, c.most)
-		}
-	}
-	return nil
-}
-
-func (m *measure) set(set ast.SelectionSet) (x extent, err error) {
-	for _, s := range set {
-		var of extent
-		switch s := s.(type) {
-		case *ast.Field:
-			m.directives += len(s.Directives)
-			if s.Alias != "" && s.Alias != s.Name {
-				m.aliases++
-			}
-			if of, err = m.set(s.SelectionSet); err != nil {
-				return x, err
-			}
-			of.depth, of.fields = of.depth+1, of.fields+1
-		case *ast.InlineFragment:
-			m.directives += len(s.Directives)
-			if of, err = m.set(s.SelectionSet); err != nil {
-				return x, err
-			}
-		case *ast.FragmentSpread:
-			m.directives += len(s.Directives)
-			if of, err = m.fragment(s.Name); err != nil {
-				return x, err
-			}
-		}
-		x.depth = max(x.depth, of.depth)
-		x.fields = min(x.fields+of.fields, math.MaxInt32) // fragments double it
-	}
-	return x, nil
-}
-
-func (m *measure) fragment(name string) (extent, error) {
-	if x, begun := m.frags[name]; begun {
-		if x == nil {
-			return extent{}, errCycle
-		}
-		return *x, nil
-	}
-	f := m.doc.Fragments.ForName(name)
-	if f == nil {
-		return extent{}, errors.New("there is no fragment " + name)
-	}
-	m.frags[name] = nil
-	m.directives += len(f.Directives)
-	x, err := m.set(f.SelectionSet)
-	if err != nil {
-		return x, err
-	}
-	m.frags[name] = &x
-	return x, nil
-}
-
 // pick is the operation that a node runs.
 func (d *document) pick(name string) (*operation, *Problem) {
 	if name == "" {
@@ -319,54 +218,3 @@
 	}
 	return nil, problem(CodeOperation, "the document has no operation %q", name[:min(len(name), 100)])
 }
-
-// key reads the value of a root field's argument, parts of an input after dots; false: it has none. It is a text, a number or
-// an enum's name, at least one byte long.
-func (r *root) key(path string, vars func() valueOf, defs ast.VariableDefinitionList) (string, bool) {
-	first, rest, _ := strings.Cut(path, ".")
-	a := r.args.ForName(first)
-	if a == nil {
-		return "", false
-	}
-	v := a.Value
-	for {
-		if v.Kind == ast.Variable {
-			if given, ok := vars()[v.Raw]; ok {
-				return scalar(given, rest)
-			}
-			d := defs.ForName(v.Raw)
-			if d == nil || d.DefaultValue == nil {
-				return "", false
-			}
-			v = d.DefaultValue
-			continue
-		}
-		if rest == "" {
-			break
-		}
-		var part string
-		part, rest, _ = strings.Cut(rest, ".")
-		if v.Kind != ast.ObjectValue {
-			return "", false
-		}
-		if v = v.Children.ForName(part); v == nil {
-			return "", false
-		}
-	}
-	switch v.Kind {
-	case ast.IntValue, ast.FloatValue, ast.StringValue, ast.BlockValue, ast.EnumValue:
-		return v.Raw, v.Raw != "" && len(v.Raw) <= maxKey
-	}
-	return "", false
-}
-
-// maxKey is what a key may have, bytes.
-const maxKey = 256
-
-// strictest picks of an operation's classes the one whose Effect allows least; of those alike the one that is worth least, so
-// that a field more buys nothing, then the one with the later deadline.
-func strictest(all []*Class) *Class {
-	return slices.MinFunc(all, func(a, b *Class) int {
-		return cmp.Or(-cmp.Compare(a.Idempotency, b.Idempotency), cmp.Compare(a.PriorityWeight, b.PriorityWeight), -cmp.Compare(a.Deadline, b.Deadline))
-	})
-}
--- /dev/null
+++ b/internal/graphql/key.go
@@ -0,0 +1,72 @@
+package graphql
+
+import (
+	"strings"
+
+	"github.com/go-json-experiment/json/jsontext"
+	"github.com/vektah/gqlparser/v2/ast"
+)
+
+// scalar reads a part of a JSON value as a key.
+func scalar(v jsontext.Value, path string) (string, bool) {
+	for path != "" {
+		var part string
+		part, path, _ = strings.Cut(path, ".")
+		next, ok := variables(v)[part]
+		if !ok {
+			return "", false
+		}
+		v = next
+	}
+	switch v.Kind() {
+	case '"':
+		b, err := jsontext.AppendUnquote(nil, v)
+		return string(b), err == nil && len(b) > 0 && len(b) <= maxKey
+	case '0':
+		return string(v), len(v) <= maxKey
+	}
+	return "", false
+}
+
+// key reads the value of a root field's argument, parts of an input after dots; false: it has none. It is a text, a number or
+// an enum's name, at least one byte long.
+func (r *root) key(path string, vars func() valueOf, defs ast.VariableDefinitionList) (string, bool) {
+	first, rest, _ := strings.Cut(path, ".")
+	a := r.args.ForName(first)
+	if a == nil {
+		return "", false
+	}
+	v := a.Value
+	for {
+		if v.Kind == ast.Variable {
+			if given, ok := vars()[v.Raw]; ok {
+				return scalar(given, rest)
+			}
+			d := defs.ForName(v.Raw)
+			if d == nil || d.DefaultValue == nil {
+				return "", false
+			}
+			v = d.DefaultValue
+			continue
+		}
+		if rest == "" {
+			break
+		}
+		var part string
+		part, rest, _ = strings.Cut(rest, ".")
+		if v.Kind != ast.ObjectValue {
+			return "", false
+		}
+		if v = v.Children.ForName(part); v == nil {
+			return "", false
+		}
+	}
+	switch v.Kind {
+	case ast.IntValue, ast.FloatValue, ast.StringValue, ast.BlockValue, ast.EnumValue:
+		return v.Raw, v.Raw != "" && len(v.Raw) <= maxKey
+	}
+	return "", false
+}
+
+// maxKey is what a key may have, bytes.
+const maxKey = 256
--- /dev/null
+++ b/internal/graphql/limits.go
@@ -0,0 +1,152 @@
+package graphql
+
+import (
+	"errors"
+	"math"
+
+	"github.com/vektah/gqlparser/v2/ast"
+
+	"orchiddrift/internal/units"
+)
+
+// measure counts what a document has.
+type measure struct {
+	doc                 *ast.QueryDocument
+	l                   *Limits
+	frags               map[string]*extent // nil while a fragment is being looked at
+	aliases, directives int
+}
+
+// extent is how far a selection reaches, fragments spread out.
+type extent struct{ depth, fields int }
+
+var errCycle = errors.New("a fragment contains itself")
+
+// names finds what the text says twice or not at all, in a form of the parser's that goes by names.
+func (m *measure) names() *Problem {
+	seen := map[string]bool{}
+	for _, op := range m.doc.Operations {
+		if op.Name == "" && len(m.doc.Operations) > 1 {
+			return problem(CodeValidation, "an operation without a name must stand alone")
+		}
+		if seen[op.Name] {
+			return problem(CodeValidation, "there are two operations of the name %q", op.Name)
+		}
+		seen[op.Name] = true
+	}
+	frags := map[string]bool{}
+	for _, f := range m.doc.Fragments {
+		if frags[f.Name] {
+			return problem(CodeValidation, "there are two fragments of the name %q", f.Name)
+		}
+		frags[f.Name] = true
+	}
+	return nil
+}
+
+func (m *measure) beyond(x extent) *Problem {
+	for _, c := range []struct {
+		what    string
+		n, most int
+	}{{"fields within each other", x.depth, m.l.Depth}, {"fields", x.fields, m.l.Fields}, {"aliases", m.aliases, m.l.Aliases},
+		{"directives", m.directives, m.l.Directives}} {
+		if c.n > c.most {
+			return problem(CodeLimit, "%d %s, %d at most", c.n, c.what, c.most)
+		}
+	}
+	return nil
+}
+
+func (m *measure) set(set ast.SelectionSet) (x extent, err error) {
+	for _, s := range set {
+		var of extent
+		switch s := s.(type) {
+		case *ast.Field:
+			m.directives += len(s.Directives)
+			if s.Alias != "" && s.Alias != s.Name {
+				m.aliases++
+			}
+			if of, err = m.set(s.SelectionSet); err != nil {
+				return x, err
+			}
+			of.depth, of.fields = of.depth+1, of.fields+1
+		case *ast.InlineFragment:
+			m.directives += len(s.Directives)
+			if of, err = m.set(s.SelectionSet); err != nil {
+				return x, err
+			}
+		case *ast.FragmentSpread:
+			m.directives += len(s.Directives)
+			if of, err = m.fragment(s.Name); err != nil {
+				return x, err
+			}
+		}
+		x.depth = max(x.depth, of.depth)
+		x.fields = min(x.fields+of.fields, math.MaxInt32) // fragments double it
+	}
+	return x, nil
+}
+
+func (m *measure) fragment(name string) (extent, error) {
+	if x, begun := m.frags[name]; begun {
+		if x == nil {
+			return extent{}, errCycle
+		}
+		return *x, nil
+	}
+	f := m.doc.Fragments.ForName(name)
+	if f == nil {
+		return extent{}, errors.New("there is no fragment " + name)
+	}
+	m.frags[name] = nil
+	m.directives += len(f.Directives)
+	x, err := m.set(f.SelectionSet)
+	if err != nil {
+		return x, err
+	}
+	m.frags[name] = &x
+	return x, nil
+}
+
+// Limits bound documents and what they ask for. A document that is beyond one is refused before it is validated.
+type Limits struct {
+	Tokens     int        `toml:"tokens" default:"1500" doc:"Tokens of a document."`
+	Depth      int        `toml:"depth" default:"20" doc:"Fields within each other, fragments spread out."`
+	Fields     int        `toml:"fields" default:"5000" doc:"Fields, fragments spread out."`
+	Roots      int        `toml:"root_fields" default:"20" doc:"Root fields."`
+	Aliases    int        `toml:"aliases" default:"50" doc:"Aliases of a document."`
+	Directives int        `toml:"directives" default:"50" doc:"Directives of a document."`
+	Batch      int        `toml:"batch" default:"10" doc:"Entries of a batch; 1: there are no batches."`
+	Variables  units.Size `toml:"variables" default:"32KiB" doc:"Variables of an operation, as JSON."`
+	Cost       float64    `toml:"cost" doc:"The estimate of an operation's cost; 0: any."`
+	Answers    units.Size `toml:"batch_answers" default:"1MiB" doc:"The answers of a batch together."`
+}
+
+// DefaultLimits are those of a file that says nothing.
+func DefaultLimits() Limits {
+	return Limits{Tokens: 1500, Depth: 20, Fields: 5000, Roots: 20, Aliases: 50, Directives: 50, Batch: 10,
+		Variables: 32 * units.KiB, Answers: units.MiB}
+}
+
+// Check is tomlfile.Checker's.
+func (l *Limits) Check(report func(key, format string, args ...any)) {
+	for _, x := range []struct {
+		key     string
+		n, most int
+	}{{"tokens", l.Tokens, maxTokens}, {"depth", l.Depth, 1000}, {"fields", l.Fields, 1e6}, {"root_fields", l.Roots, maxTokens},
+		{"aliases", l.Aliases, maxTokens}, {"directives", l.Directives, maxTokens}, {"batch", l.Batch, maxBatch}} {
+		least := 1
+		if x.key == "aliases" || x.key == "directives" {
+			least = 0
+		}
+		if x.n < least || x.n > x.most {
+			report(x.key, "%d is not from %d to %d", x.n, least, x.most)
+		}
+	}
+	if !(l.Cost >= 0) || math.IsInf(l.Cost, 0) {
+		report("cost", "%v is no usable bound", l.Cost)
+	}
+	if l.Variables < 0 || l.Answers <= 0 {
+		report("batch_answers", "answers need some room")
+	}
+}
--- a/internal/graphql/options.go
+++ b/internal/graphql/options.go
@@ -53,26 +53,6 @@
 	Class string `toml:"class" doc:"Its class."`
 }
 
-// Limits bound documents and what they ask for. A document that is beyond one is refused before it is validated.
-type Limits struct {
-	Tokens     int        `toml:"tokens" default:"1500" doc:"Tokens of a document."`
-	Depth      int        `toml:"depth" default:"20" doc:"Fields within each other, fragments spread out."`
-	Fields     int        `toml:"fields" default:"5000" doc:"Fields, fragments spread out."`
-	Roots      int        `toml:"root_fields" default:"20" doc:"Root fields."`
-	Aliases    int        `toml:"aliases" default:"50" doc:"Aliases of a document."`
-	Directives int        `toml:"directives" default:"50" doc:"Directives of a document."`
-	Batch      int        `toml:"batch" default:"10" doc:"Entries of a batch; 1: there are no batches."`
-	Variables  units.Size `toml:"variables" default:"32KiB" doc:"Variables of an operation, as JSON."`
-	Cost       float64    `toml:"cost" doc:"The estimate of an operation's cost; 0: any."`
-	Answers    units.Size `toml:"batch_answers" default:"1MiB" doc:"The answers of a batch together."`
-}
-
-// DefaultLimits are those of a file that says nothing.
-func DefaultLimits() Limits {
-	return Limits{Tokens: 1500, Depth: 20, Fields: 5000, Roots: 20, Aliases: 50, Directives: 50, Batch: 10,
-		Variables: 32 * units.KiB, Answers: units.MiB}
-}
-
 // Default is what holds where nothing is said.
 func Default() Options {
 	return Options{Query: "read", Mutation: "write", Persist: "off", Stored: units.MiB, Cache: 2 * units.MiB, Limits: DefaultLimits(),
@@ -161,26 +141,3 @@
 	maxBatch  = 1000
 	maxTokens = 100_000
 )
-
-// Check is tomlfile.Checker's.
-func (l *Limits) Check(report func(key, format string, args ...any)) {
-	for _, x := range []struct {
-		key     string
-		n, most int
-	}{{"tokens", l.Tokens, maxTokens}, {"depth", l.Depth, 1000}, {"fields", l.Fields, 1e6}, {"root_fields", l.Roots, maxTokens},
-		{"aliases", l.Aliases, maxTokens}, {"directives", l.Directives, maxTokens}, {"batch", l.Batch, maxBatch}} {
-		least := 1
-		if x.key == "aliases" || x.key == "directives" {
-			least = 0
-		}
-		if x.n < least || x.n > x.most {
-			report(x.key, "%d is not from %d to %d", x.n, least, x.most)
-		}
-	}
-	if !(l.Cost >= 0) || math.IsInf(l.Cost, 0) {
-		report("cost", "%v is no usable bound", l.Cost)
-	}
-	if l.Variables < 0 || l.Answers <= 0 {
-		report("batch_answers", "answers need some room")
-	}
-}
--- /dev/null
+++ b/internal/graphql/persisted.go
@@ -0,0 +1,87 @@
+package graphql
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"strings"
+
+	"github.com/go-json-experiment/json"
+)
+
+// text is the document that is meant, and whether it is a known one.
+func (e *Endpoint) text(p *Params) (text string, trusted bool, bad *Problem) {
+	switch {
+	case p.BadHash:
+		return "", false, problem(CodeRequest, "persistedQuery has version 1 and a sha256Hash")
+	case p.Query == "" && p.Hash == "":
+		return "", false, malformed("there is no query")
+	}
+	switch e.o.Persist {
+	case "known":
+		if p.Query == "" {
+			if text, ok := e.known[p.Hash]; ok {
+				return text, true, nil
+			}
+		} else if e.inFull[p.Query] && (p.Hash == "" || e.known[p.Hash] == p.Query) {
+			return p.Query, true, nil
+		}
+		return "", false, problem(CodeUnknown, "only known operations are served here")
+	case "automatic":
+		if p.Hash == "" {
+			return p.Query, false, nil
+		}
+		if p.Query == "" {
+			if text, ok := e.persist.get(p.Hash); ok {
+				return text, false, nil
+			}
+			return "", false, problem(CodeNotPersisted, "PersistedQueryNotFound")
+		}
+		sum := sha256.Sum256([]byte(p.Query))
+		if hex.EncodeToString(sum[:]) != p.Hash {
+			return "", false, problem(CodeRequest, "provided sha does not match query")
+		}
+		e.persist.put(p.Hash, p.Query, len(p.Query)+len(p.Hash)+perEntry)
+		return p.Query, false, nil
+	}
+	if p.Query == "" {
+		return "", false, problem(CodeNoPersisted, "PersistedQueryNotSupported")
+	}
+	return p.Query, false, nil
+}
+
+// knownOperations reads a file of them: hash to text, or a manifest whose operations have id and body. A SHA-256 that does
+// not fit its text is a mistake; other ids are taken as they are.
+func knownOperations(text string) (map[string]string, error) {
+	var manifest struct {
+		Operations []struct {
+			ID   string `json:"id"`
+			Body string `json:"body"`
+		} `json:"operations"`
+	}
+	known := map[string]string{}
+	if json.Unmarshal([]byte(text), &manifest) == nil && manifest.Operations != nil {
+		for _, op := range manifest.Operations {
+			known[strings.ToLower(op.ID)] = op.Body
+		}
+	} else {
+		var plain map[string]string
+		if err := json.Unmarshal([]byte(text), &plain); err != nil {
+			return nil, err
+		}
+		for id, body := range plain {
+			known[strings.ToLower(id)] = body
+		}
+	}
+	if len(known) == 0 {
+		return nil, fmt.Errorf("there are no operations")
+	}
+	for id, body := range known {
+		if raw, err := hex.DecodeString(id); err == nil && len(raw) == sha256.Size {
+			if sum := sha256.Sum256([]byte(body)); string(raw) != string(sum[:]) {
+				return nil, fmt.Errorf("operation %s: its text has another SHA-256", id)
+			}
+		}
+	}
+	return known, nil
+}
--- a/internal/graphql/problem.go
+++ b/internal/graphql/problem.go
@@ -4,17 +4,9 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
-	"strconv"
-	"strings"
 	"time"
 )
 
-// The media types of GraphQL over HTTP.
-const (
-	MediaResponse = "application/graphql-response+json"
-	MediaJSON     = "application/json"
-)
-
 // Codes of the sidecar's own errors, as extensions.code. The first ones are those that other servers use as well.
 const (
 	CodeParse        = "GRAPHQL_PARSE_FAILED"
@@ -84,66 +76,3 @@
 	body, _ := json.Marshal(map[string]any{"errors": []any{map[string]any{"message": message, "extensions": extensions}}})
 	return body
 }
-
-// Media picks the answer's media type by an Accept header; false: none of the two is wanted. Without a header it is the
-// specification's own, as that says since 2025. Of two types wanted alike the specification's own goes first.
-func Media(accept []string) (string, bool) {
-	if len(accept) == 0 {
-		return MediaResponse, true
-	}
-	weight := func(media string) float64 {
-		best, exact := 0.0, -1
-		for _, line := range accept {
-			for _, item := range strings.Split(line, ",") {
-				parts := strings.Split(item, ";")
-				name := strings.ToLower(strings.TrimSpace(parts[0]))
-				how := -1
-				switch name {
-				case media:
-					how = 2
-				case "application/*":
-					how = 1
-				case "*/*":
-					how = 0
-				}
-				if how < exact || how < 0 {
-					continue
-				}
-				q := 1.0
-				for _, p := range parts[1:] {
-					if key, value, _ := strings.Cut(strings.TrimSpace(p), "="); strings.EqualFold(key, "q") {
-						if q, _ = strconv.ParseFloat(strings.TrimSpace(value), 64); !(q >= 0 && q <= 1) {
-							q = 0
-						}
-					}
-				}
-				best, exact = q, how
-			}
-		}
-		return best
-	}
-	own, plain := weight(MediaResponse), weight(MediaJSON)
-	switch {
-	case own == 0 && plain == 0:
-		return "", false
-	case plain > own:
-		return MediaJSON, true
-	}
-	return MediaResponse, true
-}
-
-// IsJSON tells whether a Content-Type is application/json in UTF-8.
-func IsJSON(contentType string) bool {
-	name, params, _ := strings.Cut(contentType, ";")
-	if !strings.EqualFold(strings.TrimSpace(name), MediaJSON) {
-		return false
-	}
-	for _, p := range strings.Split(params, ";") {
-		key, value, _ := strings.Cut(strings.TrimSpace(p), "=")
-		value = strings.Trim(strings.TrimSpace(value), `"`)
-		if strings.EqualFold(strings.TrimSpace(key), "charset") && !strings.EqualFold(value, "utf-8") {
-			return false
-		}
-	}
-	return true
-}
