--- a/internal/graphql/answer.go
+++ b/internal/graphql/answer.go
@@ -35,15 +35,15 @@
 		return Served
 	}
 	for _, code := range a.codes {
-		if slices.Contains(e.o.Unrun, code) {
-			if len(a.codes) == a.errors && !slices.ContainsFunc(a.codes, func(c string) bool { return !slices.Contains(e.o.Unrun, c) }) {
+		if slices.Contains(e.options.Unrun, code) {
+			if len(a.codes) == a.errors && !slices.ContainsFunc(a.codes, func(c string) bool { return !slices.Contains(e.options.Unrun, c) }) {
 				return NotExecuted // every error says so
 			}
 			return UpstreamFailed
 		}
 	}
 	for _, code := range a.codes {
-		if slices.Contains(e.o.Failing, code) {
+		if slices.Contains(e.options.Failing, code) {
 			return UpstreamFailed
 		}
 	}
@@ -56,8 +56,8 @@
 	return ok
 }
 
-// given is what an answer has.
-type given struct {
+// answerContent is what an answer has.
+type answerContent struct {
 	data   bool // and it is not null
 	errors int
 	codes  []string // of the errors that have one
@@ -65,8 +65,8 @@
 
 // readAnswer reads an answer as the specification has it: an object with data, errors or both, each once; errors are a list
 // that is not empty, of objects with a message. Every byte is read: one that is cut or has more than one value is none.
-func readAnswer(body []byte) (a given, ok bool) {
-	r := read(body)
+func readAnswer(body []byte) (a answerContent, ok bool) {
+	r := newReader(body)
 	defer r.release()
 	if r.PeekKind() != '{' {
 		return a, false
@@ -75,7 +75,7 @@
 	var scratch [16]byte
 	data, errors := false, false
 	for {
-		name, more := r.name(scratch[:])
+		name, more := r.nextName(scratch[:])
 		if !more {
 			break
 		}
@@ -116,7 +116,7 @@
 	if end, err := r.ReadToken(); err != nil || end.Kind() != '}' {
 		return a, false
 	}
-	return a, (data || errors) && r.alone(body)
+	return a, (data || errors) && r.atEnd(body)
 }
 
 // readError reads one error's code.
@@ -125,7 +125,7 @@
 	has := false
 	var scratch [16]byte
 	for {
-		name, more := r.name(scratch[:])
+		name, more := r.nextName(scratch[:])
 		if !more {
 			break
 		}
@@ -140,7 +140,7 @@
 				return "", false
 			}
 		case what == "extensions" && kind == '{':
-			if c, there := variables(value)["code"]; there {
+			if c, there := objectMembers(value)["code"]; there {
 				code, _ = scalar(c, "")
 			}
 		}
--- a/internal/graphql/batch.go
+++ b/internal/graphql/batch.go
@@ -19,59 +19,59 @@
 // not sent, so that a client that sends it again gets the order that it asked for. An entry that was not taken leaves a gap if it
 // is a mutation or its kind could not be told.
 type Batch struct {
-	kinds    []OperationKind
-	state    []entryState
-	parallel int
-	out      int  // sent and not ended
-	mutating bool // one of them is a mutation
-	left     int  // entries that have not ended
+	kinds            []OperationKind
+	state            []entryState
+	parallel         int
+	inFlight         int  // sent and not ended
+	mutationInFlight bool // one of them is a mutation
+	unfinished       int  // entries that have not ended
 }
 
 type entryState int8
 
 const (
-	waits entryState = iota
+	waiting entryState = iota
 	sent
 	ended
-	gap // ended, and no mutation behind it is sent
+	failedMutation // ended, and no mutation behind it is sent
 )
 
 // NewBatch begins a batch of these entries. Those that have a problem are not sent; their kind is Mutation if it is not known.
 func NewBatch(kinds []OperationKind, problems []*Problem, parallel int) *Batch {
-	b := &Batch{kinds: kinds, state: make([]entryState, len(kinds)), parallel: max(1, parallel), left: len(kinds)}
+	b := &Batch{kinds: kinds, state: make([]entryState, len(kinds)), parallel: max(1, parallel), unfinished: len(kinds)}
 	for i, p := range problems {
 		if p != nil {
-			b.end(i, kinds[i] != Mutation)
+			b.finish(i, kinds[i] != Mutation)
 		}
 	}
 	return b
 }
 
-func (b *Batch) end(i int, well bool) {
-	b.left--
+func (b *Batch) finish(i int, well bool) {
+	b.unfinished--
 	if b.state[i] = ended; b.kinds[i] == Mutation && !well {
-		b.state[i] = gap
+		b.state[i] = failedMutation
 	}
 }
 
 // Next appends the entries that are to be sent now to send, and those that end without being sent to drop.
 func (b *Batch) Next(send, drop []int) (_, _ []int) {
-	blocked, broken := b.mutating, false // for the mutations behind
+	mutationBlocked, mutationFailed := b.mutationInFlight, false // for the mutations behind
 	for i, kind := range b.kinds {
-		broken = broken || b.state[i] == gap
+		mutationFailed = mutationFailed || b.state[i] == failedMutation
 		mutation := kind == Mutation
 		switch {
-		case b.state[i] != waits || mutation && blocked:
-		case mutation && broken:
-			b.end(i, false)
+		case b.state[i] != waiting || mutation && mutationBlocked:
+		case mutation && mutationFailed:
+			b.finish(i, false)
 			drop = append(drop, i)
-		case b.out >= b.parallel:
-			blocked = blocked || mutation
+		case b.inFlight >= b.parallel:
+			mutationBlocked = mutationBlocked || mutation
 		default:
 			b.state[i] = sent
-			b.out++
-			b.mutating = b.mutating || mutation
-			blocked = b.mutating
+			b.inFlight++
+			b.mutationInFlight = b.mutationInFlight || mutation
+			mutationBlocked = b.mutationInFlight
 			send = append(send, i)
 		}
 	}
@@ -83,15 +83,15 @@
 	if b.state[i] != sent {
 		return
 	}
-	b.out--
+	b.inFlight--
 	if b.kinds[i] == Mutation {
-		b.mutating = false
+		b.mutationInFlight = false
 	}
-	b.end(i, end == Answered)
+	b.finish(i, end == Answered)
 }
 
 // Finished tells whether every entry has ended.
-func (b *Batch) Finished() bool { return b.left == 0 }
+func (b *Batch) Finished() bool { return b.unfinished == 0 }
 
 // Status is the HTTP status of a batch's answer by its entries' ends: 200 where one of them has an answer or failed by its own
 // mistake, else 503 where none has run, else 502.
--- a/internal/graphql/cost.go
+++ b/internal/graphql/cost.go
@@ -32,30 +32,30 @@
 
 const maxCost = 1e15
 
-// estimator evaluates costs under variables.
-type estimator struct {
+// costEstimator evaluates costs under variables.
+type costEstimator struct {
 	vars map[string]jsontext.Value
 	defs ast.VariableDefinitionList
 	memo map[*costNode]float64
 }
 
-func (e *estimator) group(nodes []*costNode, sized []string, size float64) (sum float64) {
+func (e *costEstimator) sum(nodes []*costNode, sized []string, size float64) (sum float64) {
 	for _, n := range nodes {
-		sum = min(maxCost, sum+e.node(n, sized, size))
+		sum = min(maxCost, sum+e.nodeCost(n, sized, size))
 	}
 	return sum
 }
 
-// node is a field's cost; sized and size are what the field above hands down.
-func (e *estimator) node(n *costNode, sized []string, size float64) float64 {
+// nodeCost is a field's cost; sized and size are what the field above hands down.
+func (e *costEstimator) nodeCost(n *costNode, sized []string, size float64) float64 {
 	if n.spread != nil {
 		if len(sized) > 0 { // the same fragment may stand below another size
-			return e.group(n.spread.children, sized, size)
+			return e.sum(n.spread.children, sized, size)
 		}
 		if c, ok := e.memo[n.spread]; ok {
 			return c
 		}
-		c := e.group(n.spread.children, nil, 1)
+		c := e.sum(n.spread.children, nil, 1)
 		e.memo[n.spread] = c
 		return c
 	}
@@ -78,13 +78,13 @@
 		}
 	}
 	if len(n.sized) > 0 {
-		return min(maxCost, n.weight+e.group(n.children, n.sized, own))
+		return min(maxCost, n.weight+e.sum(n.children, n.sized, own))
 	}
-	return min(maxCost, n.weight+own*e.group(n.children, nil, 1))
+	return min(maxCost, n.weight+own*e.sum(n.children, nil, 1))
 }
 
 // number is an argument's, if it is one, at least 0.
-func (e *estimator) number(v *ast.Value) (float64, bool) {
+func (e *costEstimator) number(v *ast.Value) (float64, bool) {
 	raw := v.Raw
 	if v.Kind == ast.Variable {
 		given, ok := e.vars[v.Raw]
@@ -106,16 +106,16 @@
 	return min(max(x, 0), maxCost), true
 }
 
-// costing makes costNodes for one document.
-type costing struct {
-	o       *Options
-	schema  *ast.Schema
-	weights map[string]float64
-	doc     *ast.QueryDocument
-	frags   map[string]*costNode
+// costBuilder makes costNodes for one document.
+type costBuilder struct {
+	options   *Options
+	schema    *ast.Schema
+	weights   map[string]float64
+	doc       *ast.QueryDocument
+	fragments map[string]*costNode
 }
 
-func (c *costing) selection(set ast.SelectionSet, typ string) (out []*costNode) {
+func (c *costBuilder) selection(set ast.SelectionSet, typ string) (out []*costNode) {
 	for _, s := range set {
 		switch s := s.(type) {
 		case *ast.Field:
@@ -134,20 +134,20 @@
 }
 
 // fragment is made once; cycles have been ruled out.
-func (c *costing) fragment(name string) *costNode {
-	if n := c.frags[name]; n != nil {
+func (c *costBuilder) fragment(name string) *costNode {
+	if n := c.fragments[name]; n != nil {
 		return n
 	}
 	n := &costNode{}
-	c.frags[name] = n
+	c.fragments[name] = n
 	if f := c.doc.Fragments.ForName(name); f != nil {
 		n.children = c.selection(f.SelectionSet, f.TypeCondition)
 	}
 	return n
 }
 
-func (c *costing) field(f *ast.Field, typ string) *costNode {
-	n := &costNode{name: f.Name, assumed: float64(c.o.Assumed)}
+func (c *costBuilder) field(f *ast.Field, typ string) *costNode {
+	n := &costNode{name: f.Name, assumed: float64(c.options.Assumed)}
 	if len(f.SelectionSet) > 0 {
 		n.weight = 1
 	}
@@ -168,15 +168,15 @@
 	if w, ok := c.weights[typ+"."+f.Name]; ok {
 		n.weight = w
 	}
-	names := c.o.Sizes
+	names := c.options.Sizes
 	if size != nil {
 		if a := size.Arguments.ForName("assumedSize"); a != nil {
 			if x, err := strconv.ParseFloat(a.Value.Raw, 64); err == nil {
 				n.assumed = max(0, x)
 			}
 		}
-		names = strings1(size.Arguments.ForName("slicingArguments"))
-		n.sized = strings1(size.Arguments.ForName("sizedFields"))
+		names = stringList(size.Arguments.ForName("slicingArguments"))
+		n.sized = stringList(size.Arguments.ForName("sizedFields"))
 	}
 	for _, name := range names {
 		if a := f.Arguments.ForName(name); a != nil {
@@ -209,8 +209,8 @@
 	return min(max(x, 0), maxCost), true
 }
 
-// strings1 is an argument's list of strings, or the one that it is.
-func strings1(a *ast.Argument) (out []string) {
+// stringList is an argument's list of strings, or the one that it is.
+func stringList(a *ast.Argument) (out []string) {
 	if a == nil {
 		return nil
 	}
--- a/internal/graphql/decide.go
+++ b/internal/graphql/decide.go
@@ -23,7 +23,7 @@
 	Body     []byte        // what goes on to a node, by POST
 	Name     string        // the operation's; it is the client's word
 
-	signed string
+	signature string
 }
 
 type valueOf = map[string]jsontext.Value
@@ -31,25 +31,25 @@
 // Decide says what an operation is, or why it is not taken. get: it was asked for by GET, which is for queries. header is the
 // request's, for keys that stand there; nil: an entry of a batch, whose header says nothing of it alone.
 func (e *Endpoint) Decide(p *Params, get bool, header http.Header) (Decision, *Problem) {
-	text, trusted, bad := e.text(p)
+	text, trusted, bad := e.resolveText(p)
 	if bad != nil {
 		return Decision{}, bad
 	}
-	doc, ok := e.docs.get(text)
+	doc, ok := e.documents.get(text)
 	if !ok {
 		if doc, bad = e.parse(text); bad != nil {
 			return Decision{}, bad
 		}
-		e.docs.put(text, doc, doc.size)
+		e.documents.put(text, doc, doc.size)
 	}
-	op, bad := doc.pick(p.Operation)
+	op, bad := doc.operation(p.Operation)
 	if bad != nil {
 		return Decision{}, bad
 	}
-	d := Decision{Name: op.name, signed: op.signed}
+	d := Decision{Name: op.name, signature: op.signature}
 	switch op.kind {
 	case ast.Subscription:
-		return d, problem(CodeSubscription, "subscriptions are not served here")
+		return d, newProblem(CodeSubscription, "subscriptions are not served here")
 	case ast.Mutation:
 		if d.Kind = Mutation; get {
 			return d, &Problem{Status: 405, Code: CodeRequest, Message: "a mutation is asked for with POST", Allow: "POST"}
@@ -58,23 +58,23 @@
 	var vars valueOf
 	lazily := func() valueOf {
 		if vars == nil {
-			vars = variables(p.Variables)
+			vars = objectMembers(p.Variables)
 		}
 		return vars
 	}
-	d.Class, d.Key = e.class(op, d.Kind, lazily, header)
-	if named := e.named[op.name]; named != nil && op.name != "" && (trusted || named.Idempotency >= d.Class.Idempotency) &&
+	d.Class, d.Key = e.classify(op, d.Kind, lazily, header)
+	if named := e.operationClasses[op.name]; named != nil && op.name != "" && (trusted || named.Idempotency >= d.Class.Idempotency) &&
 		(d.Kind == Query || named.Idempotency == balancer.NonIdempotent) {
 		d.Class, d.Key = named, ""
 	}
-	if d.Cost = op.fixed; d.Cost < 0 {
-		d.Cost = (&estimator{vars: lazily(), defs: op.defs, memo: map[*costNode]float64{}}).group(op.cost, nil, 1)
+	if d.Cost = op.fixedCost; d.Cost < 0 {
+		d.Cost = (&costEstimator{vars: lazily(), defs: op.variableDefinitions, memo: map[*costNode]float64{}}).sum(op.costTree, nil, 1)
 	}
-	if most := e.o.Limits.Cost; most > 0 && d.Cost > most {
-		return d, problem(CodeLimit, "the operation's cost is %.4g, %.4g at most", d.Cost, most)
+	if most := e.options.Limits.Cost; most > 0 && d.Cost > most {
+		return d, newProblem(CodeLimit, "the operation's cost is %.4g, %.4g at most", d.Cost, most)
 	}
 	e.mu.Lock()
-	d.CostHint = e.learnt.hint(op.signed, d.Cost)
+	d.CostHint = e.durations.estimate(op.signature, d.Cost)
 	e.mu.Unlock()
 	var err error
 	if d.Body, err = p.encode(text); err != nil {
@@ -83,15 +83,15 @@
 	return d, nil
 }
 
-// class is an operation's, by its kind and its root fields.
-func (e *Endpoint) class(op *operation, kind OperationKind, vars func() valueOf, header http.Header) (*Class, string) {
+// classify is an operation's, by its kind and its root fields.
+func (e *Endpoint) classify(op *operation, kind OperationKind, vars func() valueOf, header http.Header) (*Class, string) {
 	typ := rootType(op.kind)
 	all := make([]*Class, 0, 4)
 	var keyed *Class
 	key, byHeader := "", 0
 	for i := range op.roots {
 		r := &op.roots[i]
-		rule := e.fields[typ+"."+r.name]
+		rule := e.fieldRules[typ+"."+r.name]
 		switch {
 		case r.name == "__typename" && len(op.roots) > 1: // it does nothing
 		case rule == nil:
@@ -106,7 +106,7 @@
 					k, ok = v[0], v[0] != "" && len(v[0]) <= maxKey
 				}
 			} else {
-				k, ok = r.key(rule.key, vars, op.defs)
+				k, ok = r.keyOf(rule.key, vars, op.variableDefinitions)
 			}
 			if !ok || keyed != nil && keyed != rule.class { // of two classes no group of nodes drops the repeats of both
 				all = append(all, e.classes[kind])
@@ -130,7 +130,7 @@
 func (e *Endpoint) RecordDuration(d *Decision, took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.learnt.add(d.signed, d.Cost, took)
+	e.durations.add(d.signature, d.Cost, took)
 }
 
 // strictest picks of an operation's classes the one whose Effect allows least; of those alike the one that is worth least, so
--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -25,104 +25,104 @@
 // document is a text that has been parsed, held against the limits and, where there is a schema, validated. It is
 // immutable: requests at the same time share it.
 type document struct {
-	ops  []*operation
-	size int // bytes that it takes, about
+	operations []*operation
+	size       int // bytes that it takes, about
 }
 
 // operation is one of a document's.
 type operation struct {
-	name   string
-	kind   ast.Operation
-	roots  []root // of fragments too, whatever @skip and @include say: variables decide those
-	spread int    // fields, fragments spread out
-	signed string // the same for operations of the same root fields: what is learnt of one holds for the other
-	cost   []*costNode
-	fixed  float64 // the cost, where no variable changes it; below 0: some does
-	defs   ast.VariableDefinitionList
+	name                string
+	kind                ast.Operation
+	roots               []rootField // of fragments too, whatever @skip and @include say: variables decide those
+	spread              int         // fields, fragments spread out
+	signature           string      // the same for operations of the same root fields: what is learnt of one holds for the other
+	costTree            []*costNode
+	fixedCost           float64 // the cost, where no variable changes it; below 0: some does
+	variableDefinitions ast.VariableDefinitionList
 }
 
-// root is a root field.
-type root struct {
+// rootField is a root field.
+type rootField struct {
 	name string
 	args ast.ArgumentList
 }
 
-// mostProblems is how many mistakes of a document are told.
-const mostProblems = 3
+// maxReportedProblems is how many mistakes of a document are told.
+const maxReportedProblems = 3
 
 // parse reads a text. What it costs is bounded by the limits: tokens are counted as they are read; depth, fields,
 // aliases and directives are counted, with each fragment looked at once, before the document is validated.
 func (e *Endpoint) parse(text string) (*document, *Problem) {
-	l := &e.o.Limits
+	l := &e.options.Limits
 	doc, err := parser.ParseQueryWithTokenLimit(&ast.Source{Input: text}, l.Tokens)
 	if err != nil {
 		code := CodeParse
 		if strings.Contains(err.Error(), "exceeded token limit") {
 			code = CodeLimit
 		}
-		return nil, problem(code, "%s", message(err))
+		return nil, newProblem(code, "%s", errorMessage(err))
 	}
 	if len(doc.Operations) == 0 {
-		return nil, problem(CodeValidation, "the document has no operation")
+		return nil, newProblem(CodeValidation, "the document has no operation")
 	}
-	m := &measure{doc: doc, l: l, frags: map[string]*extent{}}
-	if bad := m.names(); bad != nil {
+	m := &extentMeasurer{doc: doc, limits: l, fragments: map[string]*extent{}}
+	if bad := m.checkNames(); bad != nil {
 		return nil, bad
 	}
 	extents := make([]extent, len(doc.Operations))
 	for i, op := range doc.Operations {
 		m.directives += len(op.Directives)
-		if extents[i], err = m.set(op.SelectionSet); err != nil {
-			return nil, problem(CodeValidation, "%v", err)
+		if extents[i], err = m.selectionSet(op.SelectionSet); err != nil {
+			return nil, newProblem(CodeValidation, "%v", err)
 		}
 	}
 	for _, f := range doc.Fragments { // those that no operation has, too
 		if _, err := m.fragment(f.Name); err != nil {
-			return nil, problem(CodeValidation, "%v", err)
+			return nil, newProblem(CodeValidation, "%v", err)
 		}
 	}
 	for _, x := range extents {
-		if bad := m.beyond(x); bad != nil {
+		if bad := m.checkLimits(x); bad != nil {
 			return nil, bad
 		}
 	}
 	if e.schema != nil {
 		if errs := validator.ValidateWithRules(e.schema, doc, validation); len(errs) > 0 {
 			texts := []string{}
-			for _, err := range errs[:min(len(errs), mostProblems)] {
-				texts = append(texts, message(err))
+			for _, err := range errs[:min(len(errs), maxReportedProblems)] {
+				texts = append(texts, errorMessage(err))
 			}
-			return nil, problem(CodeValidation, "%s", strings.Join(texts, "; "))
+			return nil, newProblem(CodeValidation, "%s", strings.Join(texts, "; "))
 		}
 	}
-	d := &document{size: perDocument + len(text)*perByte}
-	c := &costing{o: &e.o, schema: e.schema, weights: e.weights, doc: doc, frags: map[string]*costNode{}}
+	d := &document{size: bytesPerDocument + len(text)*bytesPerTextByte}
+	c := &costBuilder{options: &e.options, schema: e.schema, weights: e.weights, doc: doc, fragments: map[string]*costNode{}}
 	for i, def := range doc.Operations {
-		op := &operation{name: def.Name, kind: def.Operation, spread: extents[i].fields, defs: def.VariableDefinitions, fixed: -1}
+		op := &operation{name: def.Name, kind: def.Operation, spread: extents[i].fields, variableDefinitions: def.VariableDefinitions, fixedCost: -1}
 		seen := map[string]bool{}
-		collect(doc, def.SelectionSet, seen, &op.roots)
+		collectRootFields(doc, def.SelectionSet, seen, &op.roots)
 		if len(op.roots) > l.Roots {
-			return nil, problem(CodeLimit, "%d root fields, %d at most", len(op.roots), l.Roots)
+			return nil, newProblem(CodeLimit, "%d root fields, %d at most", len(op.roots), l.Roots)
 		}
 		names := make([]string, len(op.roots))
 		for i, r := range op.roots {
 			names[i] = r.name
 		}
 		slices.Sort(names)
-		op.signed = string(op.kind) + " " + strings.Join(slices.Compact(names), " ")
-		op.cost = c.selection(def.SelectionSet, rootType(def.Operation))
-		if !byVariable(op.cost, map[*costNode]bool{}) {
-			op.fixed = (&estimator{memo: map[*costNode]float64{}}).group(op.cost, nil, 1)
+		op.signature = string(op.kind) + " " + strings.Join(slices.Compact(names), " ")
+		op.costTree = c.selection(def.SelectionSet, rootType(def.Operation))
+		if !dependsOnVariables(op.costTree, map[*costNode]bool{}) {
+			op.fixedCost = (&costEstimator{memo: map[*costNode]float64{}}).sum(op.costTree, nil, 1)
 		}
-		d.ops = append(d.ops, op)
+		d.operations = append(d.operations, op)
 	}
 	return d, nil
 }
 
 // What a parsed document takes beside its text, measured: about 100 bytes of it for one of the text.
 const (
-	perDocument = 2048
-	perByte     = 100
+	bytesPerDocument = 2048
+	bytesPerTextByte = 100
 )
 
 // validation is all of the specification's rules but one: whether fields of one name can be merged is a matter of the
@@ -144,8 +144,8 @@
 	return r
 }()
 
-// message is an error's text, with its place.
-func message(err error) string {
+// errorMessage is an error's text, with its place.
+func errorMessage(err error) string {
 	var g *gqlerror.Error
 	if !errors.As(err, &g) {
 		return err.Error()
@@ -167,54 +167,54 @@
 	return queryType
 }
 
-// collect adds the root fields of a selection, each fragment once.
-func collect(doc *ast.QueryDocument, set ast.SelectionSet, seen map[string]bool, into *[]root) {
+// collectRootFields adds the root fields of a selection, each fragment once.
+func collectRootFields(doc *ast.QueryDocument, set ast.SelectionSet, seen map[string]bool, into *[]rootField) {
 	for _, s := range set {
 		switch s := s.(type) {
 		case *ast.Field:
-			*into = append(*into, root{s.Name, s.Arguments})
+			*into = append(*into, rootField{s.Name, s.Arguments})
 		case *ast.InlineFragment:
-			collect(doc, s.SelectionSet, seen, into)
+			collectRootFields(doc, s.SelectionSet, seen, into)
 		case *ast.FragmentSpread:
 			if f := doc.Fragments.ForName(s.Name); f != nil && !seen[s.Name] {
 				seen[s.Name] = true
-				collect(doc, f.SelectionSet, seen, into)
+				collectRootFields(doc, f.SelectionSet, seen, into)
 			}
 		}
 	}
 }
 
-// byVariable tells whether some size depends on a variable.
-func byVariable(nodes []*costNode, seen map[*costNode]bool) bool {
+// dependsOnVariables tells whether some size depends on a variable.
+func dependsOnVariables(nodes []*costNode, seen map[*costNode]bool) bool {
 	for _, n := range nodes {
 		if n.spread != nil {
 			if !seen[n.spread] {
 				seen[n.spread] = true
-				if byVariable(n.spread.children, seen) {
+				if dependsOnVariables(n.spread.children, seen) {
 					return true
 				}
 			}
 			continue
 		}
-		if slices.ContainsFunc(n.slicing, func(v *ast.Value) bool { return v.Kind == ast.Variable }) || byVariable(n.children, seen) {
+		if slices.ContainsFunc(n.slicing, func(v *ast.Value) bool { return v.Kind == ast.Variable }) || dependsOnVariables(n.children, seen) {
 			return true
 		}
 	}
 	return false
 }
 
-// pick is the operation that a node runs.
-func (d *document) pick(name string) (*operation, *Problem) {
+// operation is the operation that a node runs.
+func (d *document) operation(name string) (*operation, *Problem) {
 	if name == "" {
-		if len(d.ops) > 1 {
-			return nil, problem(CodeOperation, "the document has %d operations: operationName says which is meant", len(d.ops))
+		if len(d.operations) > 1 {
+			return nil, newProblem(CodeOperation, "the document has %d operations: operationName says which is meant", len(d.operations))
 		}
-		return d.ops[0], nil
+		return d.operations[0], nil
 	}
-	for _, op := range d.ops {
+	for _, op := range d.operations {
 		if op.name == name {
 			return op, nil
 		}
 	}
-	return nil, problem(CodeOperation, "the document has no operation %q", name[:min(len(name), 100)])
+	return nil, newProblem(CodeOperation, "the document has no operation %q", name[:min(len(name), 100)])
 }
--- a/internal/graphql/endpoint.go
+++ b/internal/graphql/endpoint.go
@@ -17,21 +17,21 @@
 type Class = balancer.Class
 
 // Endpoint decides for one GraphQL endpoint. It is safe for concurrent use. What it holds is bounded: parsed documents and
-// their texts by Options.Cache, persisted texts by Options.Stored, what operations took by maxLearnt.
+// their texts by Options.Cache, persisted texts by Options.Stored, what operations took by maxOperationKinds.
 type Endpoint struct {
-	o       Options
-	schema  *ast.Schema // nil: there is none
-	classes [2]*Class   // by Kind
-	fields  map[string]*fieldRule
-	named   map[string]*Class
-	weights map[string]float64
-	known   map[string]string // by hash; nil: any operation may pass
-	inFull  map[string]bool   // the known texts
-	docs    *lru[*document]
-	persist *lru[string]
-	mu      sync.Mutex // of learnt
-	learnt  *learnt
-	longest time.Duration // deadline of any class that it may decide on
+	options          Options
+	schema           *ast.Schema // nil: there is none
+	classes          [2]*Class   // by Kind
+	fieldRules       map[string]*fieldRule
+	operationClasses map[string]*Class
+	weights          map[string]float64
+	knownTexts       map[string]string // by hash; nil: any operation may pass
+	knownInFull      map[string]bool   // the known texts
+	documents        *lru[*document]
+	persistedTexts   *lru[string]
+	mu               sync.Mutex // of learnt
+	durations        *durationEstimates
+	maxDeadline      time.Duration // deadline of any class that it may decide on
 }
 
 type fieldRule struct {
@@ -42,14 +42,14 @@
 // New makes an Endpoint. class finds a service's class by its name, nil: it has none; schema and known are the files' texts,
 // empty: there are none. Its errors are about what stands in them and in o, one at a time.
 func New(o Options, class func(string) *Class, schema, known string) (*Endpoint, error) {
-	e := &Endpoint{o: o, fields: map[string]*fieldRule{}, named: map[string]*Class{}, weights: map[string]float64{},
-		docs: newLRU[*document](o.Cache.Bytes()), persist: newLRU[string](o.Stored.Bytes()), learnt: newLearnt()}
+	e := &Endpoint{options: o, fieldRules: map[string]*fieldRule{}, operationClasses: map[string]*Class{}, weights: map[string]float64{},
+		documents: newLRU[*document](o.Cache.Bytes()), persistedTexts: newLRU[string](o.Stored.Bytes()), durations: newDurationEstimates()}
 	find := func(name, what string) (*Class, error) {
 		c := class(name)
 		if c == nil {
 			return nil, fmt.Errorf("%s: the service has no class %q", what, name)
 		}
-		e.longest = max(e.longest, c.Deadline)
+		e.maxDeadline = max(e.maxDeadline, c.Deadline)
 		return c, nil
 	}
 	var err error
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	if e.classes[Mutation].Idempotency != balancer.NonIdempotent { // it is what holds for a mutation without a key
-		return nil, fmt.Errorf("mutation: class %q is %s: mutations in general must not run twice", o.Mutation, effect(e.classes[Mutation].Idempotency))
+		return nil, fmt.Errorf("mutation: class %q is %s: mutations in general must not run twice", o.Mutation, idempotencyName(e.classes[Mutation].Idempotency))
 	}
 	for _, f := range o.Fields {
 		if f.Weight >= 0 {
@@ -80,7 +80,7 @@
 		case c.Idempotency == balancer.Idempotent && strings.HasPrefix(f.Name, mutationType+"."):
 			return nil, fmt.Errorf("%s: class %q may run any number of times, and a mutation must not", f.Name, f.Class)
 		}
-		e.fields[f.Name] = &fieldRule{c, f.Key}
+		e.fieldRules[f.Name] = &fieldRule{c, f.Key}
 	}
 	for _, n := range o.Named {
 		c, err := find(n.Class, "operation "+n.Name)
@@ -90,25 +90,25 @@
 		if c.Idempotency == balancer.IdempotentWithKey {
 			return nil, fmt.Errorf("operation %s: a keyed class needs a root field's key", n.Name)
 		}
-		e.named[n.Name] = c
+		e.operationClasses[n.Name] = c
 	}
 	if schema != "" {
-		if e.schema, err = gqlparser.LoadSchema(directives(schema), &ast.Source{Name: o.Schema, Input: schema}); err != nil {
-			return nil, fmt.Errorf("schema: %s", message(err))
+		if e.schema, err = gqlparser.LoadSchema(costDirectives(schema), &ast.Source{Name: o.Schema, Input: schema}); err != nil {
+			return nil, fmt.Errorf("schema: %s", errorMessage(err))
 		}
 		for _, f := range o.Fields {
-			if err := e.inSchema(f.Name); err != nil {
+			if err := e.checkInSchema(f.Name); err != nil {
 				return nil, err
 			}
 		}
 	}
 	if known != "" {
-		if e.known, err = knownOperations(known); err != nil {
+		if e.knownTexts, err = knownOperations(known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
-		e.inFull = make(map[string]bool, len(e.known))
-		for hash, text := range e.known {
-			e.inFull[text] = true
+		e.knownInFull = make(map[string]bool, len(e.knownTexts))
+		for hash, text := range e.knownTexts {
+			e.knownInFull[text] = true
 			if _, bad := e.parse(text); bad != nil {
 				return nil, fmt.Errorf("known: operation %s: %s", hash, bad.Message)
 			}
@@ -117,8 +117,8 @@
 	return e, nil
 }
 
-// directives are IBM's two, where a schema uses them without defining them.
-func directives(schema string) *ast.Source {
+// costDirectives are IBM's two, where a schema uses them without defining them.
+func costDirectives(schema string) *ast.Source {
 	text := ""
 	if !strings.Contains(schema, "directive @cost") {
 		text += "directive @cost(weight: String!) on ARGUMENT_DEFINITION | ENUM | FIELD_DEFINITION | INPUT_FIELD_DEFINITION | OBJECT | SCALAR\n"
@@ -129,8 +129,8 @@
 	return &ast.Source{Name: "directives", Input: text, BuiltIn: true}
 }
 
-// inSchema tells what is wrong with a field's name.
-func (e *Endpoint) inSchema(name string) error {
+// checkInSchema tells what is wrong with a field's name.
+func (e *Endpoint) checkInSchema(name string) error {
 	typ, field, _ := strings.Cut(name, ".")
 	def := e.schema.Types[typ]
 	switch {
@@ -145,22 +145,22 @@
 	return nil
 }
 
-func effect(e balancer.Idempotency) string {
+func idempotencyName(e balancer.Idempotency) string {
 	return [...]string{"safe", "keyed", "unsafe"}[e]
 }
 
 // String tells in a line how operations are told apart.
 func (e *Endpoint) String() string {
 	text := fmt.Sprintf("GraphQL: queries %s, mutations %s", e.classes[Query].Name, e.classes[Mutation].Name)
-	if n := len(e.fields); n > 0 {
+	if n := len(e.fieldRules); n > 0 {
 		text += fmt.Sprintf(", %d root fields of their own", n)
 	}
 	if e.schema != nil {
 		text += ", held against a schema"
 	}
-	switch e.o.Persist {
+	switch e.options.Persist {
 	case "known":
-		text += fmt.Sprintf(", %d known operations alone", len(e.known))
+		text += fmt.Sprintf(", %d known operations alone", len(e.knownTexts))
 	case "automatic":
 		text += ", persisted queries"
 	}
@@ -168,12 +168,12 @@
 }
 
 // MaxDeadline is the longest deadline of a class that the endpoint may decide on.
-func (e *Endpoint) MaxDeadline() time.Duration { return e.longest }
+func (e *Endpoint) MaxDeadline() time.Duration { return e.maxDeadline }
 
 // Limits are the endpoint's.
-func (e *Endpoint) Limits() *Limits { return &e.o.Limits }
+func (e *Endpoint) Limits() *Limits { return &e.options.Limits }
 
 // Parallel is how many entries of a batch are sent at once.
-func (e *Endpoint) Parallel() int { return e.o.Parallel }
+func (e *Endpoint) Parallel() int { return e.options.Parallel }
 
 func itoa(n int) string { return strconv.Itoa(n) }
--- a/internal/graphql/graphql_test.go
+++ b/internal/graphql/graphql_test.go
@@ -313,7 +313,7 @@
 	if d := ask(`{seats(first:9){coach{id}}}`); d.CostHint.Round(time.Millisecond) != 110*time.Millisecond {
 		t.Errorf("hint %v, want 110ms: 6 units took 60 ms, this has 11", d.CostHint)
 	}
-	if n := e.learnt.kind.Len(); n != maxLearnt {
+	if n := e.durations.kinds.Len(); n != maxOperationKinds {
 		t.Errorf("%d kinds are remembered", n)
 	}
 }
@@ -342,10 +342,10 @@
 		text := fmt.Sprintf(`{seats{id%d}}`, i)
 		decide(e, asked(text, by(hashed(text))))
 	}
-	if bytes, n := e.persist.size(); bytes > 3000 || n < 5 {
+	if bytes, n := e.persistedTexts.size(); bytes > 3000 || n < 5 {
 		t.Errorf("%d bytes in %d entries", bytes, n)
 	}
-	if bytes, n := e.docs.size(); bytes > e.o.Cache.Bytes() || n < 100 {
+	if bytes, n := e.documents.size(); bytes > e.options.Cache.Bytes() || n < 100 {
 		t.Errorf("%d bytes in %d documents", bytes, n)
 	}
 	for _, file := range []string{fmt.Sprintf(`{%q:%q,"cheap":"query Cheap{audit}"}`, hashed(search), search),
--- a/internal/graphql/key.go
+++ b/internal/graphql/key.go
@@ -12,7 +12,7 @@
 	for path != "" {
 		var part string
 		part, path, _ = strings.Cut(path, ".")
-		next, ok := variables(v)[part]
+		next, ok := objectMembers(v)[part]
 		if !ok {
 			return "", false
 		}
@@ -28,9 +28,9 @@
 	return "", false
 }
 
-// key reads the value of a root field's argument, parts of an input after dots; false: it has none. It is a text, a number or
+// keyOf reads the value of a root field's argument, parts of an input after dots; false: it has none. It is a text, a number or
 // an enum's name, at least one byte long.
-func (r *root) key(path string, vars func() valueOf, defs ast.VariableDefinitionList) (string, bool) {
+func (r *rootField) keyOf(path string, vars func() valueOf, defs ast.VariableDefinitionList) (string, bool) {
 	first, rest, _ := strings.Cut(path, ".")
 	a := r.args.ForName(first)
 	if a == nil {
--- a/internal/graphql/limits.go
+++ b/internal/graphql/limits.go
@@ -9,11 +9,11 @@
 	"orchiddrift/internal/units"
 )
 
-// measure counts what a document has.
-type measure struct {
+// extentMeasurer counts what a document has.
+type extentMeasurer struct {
 	doc                 *ast.QueryDocument
-	l                   *Limits
-	frags               map[string]*extent // nil while a fragment is being looked at
+	limits              *Limits
+	fragments           map[string]*extent // nil while a fragment is being looked at
 	aliases, directives int
 }
 
@@ -22,42 +22,42 @@
 
 var errCycle = errors.New("a fragment contains itself")
 
-// names finds what the text says twice or not at all, in a form of the parser's that goes by names.
-func (m *measure) names() *Problem {
+// checkNames finds what the text says twice or not at all, in a form of the parser's that goes by names.
+func (m *extentMeasurer) checkNames() *Problem {
 	seen := map[string]bool{}
 	for _, op := range m.doc.Operations {
 		if op.Name == "" && len(m.doc.Operations) > 1 {
-			return problem(CodeValidation, "an operation without a name must stand alone")
+			return newProblem(CodeValidation, "an operation without a name must stand alone")
 		}
 		if seen[op.Name] {
-			return problem(CodeValidation, "there are two operations of the name %q", op.Name)
+			return newProblem(CodeValidation, "there are two operations of the name %q", op.Name)
 		}
 		seen[op.Name] = true
 	}
 	frags := map[string]bool{}
 	for _, f := range m.doc.Fragments {
 		if frags[f.Name] {
-			return problem(CodeValidation, "there are two fragments of the name %q", f.Name)
+			return newProblem(CodeValidation, "there are two fragments of the name %q", f.Name)
 		}
 		frags[f.Name] = true
 	}
 	return nil
 }
 
-func (m *measure) beyond(x extent) *Problem {
+func (m *extentMeasurer) checkLimits(x extent) *Problem {
 	for _, c := range []struct {
 		what    string
 		n, most int
-	}{{"fields within each other", x.depth, m.l.Depth}, {"fields", x.fields, m.l.Fields}, {"aliases", m.aliases, m.l.Aliases},
-		{"directives", m.directives, m.l.Directives}} {
+	}{{"fields within each other", x.depth, m.limits.Depth}, {"fields", x.fields, m.limits.Fields}, {"aliases", m.aliases, m.limits.Aliases},
+		{"directives", m.directives, m.limits.Directives}} {
 		if c.n > c.most {
-			return problem(CodeLimit, "%d %s, %d at most", c.n, c.what, c.most)
+			return newProblem(CodeLimit, "%d %s, %d at most", c.n, c.what, c.most)
 		}
 	}
 	return nil
 }
 
-func (m *measure) set(set ast.SelectionSet) (x extent, err error) {
+func (m *extentMeasurer) selectionSet(set ast.SelectionSet) (x extent, err error) {
 	for _, s := range set {
 		var of extent
 		switch s := s.(type) {
@@ -66,13 +66,13 @@
 			if s.Alias != "" && s.Alias != s.Name {
 				m.aliases++
 			}
-			if of, err = m.set(s.SelectionSet); err != nil {
+			if of, err = m.selectionSet(s.SelectionSet); err != nil {
 				return x, err
 			}
 			of.depth, of.fields = of.depth+1, of.fields+1
 		case *ast.InlineFragment:
 			m.directives += len(s.Directives)
-			if of, err = m.set(s.SelectionSet); err != nil {
+			if of, err = m.selectionSet(s.SelectionSet); err != nil {
 				return x, err
 			}
 		case *ast.FragmentSpread:
@@ -87,8 +87,8 @@
 	return x, nil
 }
 
-func (m *measure) fragment(name string) (extent, error) {
-	if x, begun := m.frags[name]; begun {
+func (m *extentMeasurer) fragment(name string) (extent, error) {
+	if x, begun := m.fragments[name]; begun {
 		if x == nil {
 			return extent{}, errCycle
 		}
@@ -98,13 +98,13 @@
 	if f == nil {
 		return extent{}, errors.New("there is no fragment " + name)
 	}
-	m.frags[name] = nil
+	m.fragments[name] = nil
 	m.directives += len(f.Directives)
-	x, err := m.set(f.SelectionSet)
+	x, err := m.selectionSet(f.SelectionSet)
 	if err != nil {
 		return x, err
 	}
-	m.frags[name] = &x
+	m.fragments[name] = &x
 	return x, nil
 }
 
--- a/internal/graphql/parameters.go
+++ b/internal/graphql/parameters.go
@@ -17,11 +17,11 @@
 	BadHash    bool           // it is of a version that nobody knows
 }
 
-// params are the specification's keys.
-var params = [...]string{"query", "operationName", "variables", "extensions"}
+// parameterNames are the specification's keys.
+var parameterNames = [...]string{"query", "operationName", "variables", "extensions"}
 
-// set takes a parameter over. null is as if it were absent.
-func (p *Params) set(name string, value jsontext.Value, l *Limits) *Problem {
+// setParameter takes a parameter over. null is as if it were absent.
+func (p *Params) setParameter(name string, value jsontext.Value, l *Limits) *Problem {
 	kind := value.Kind()
 	text := func(into *string) *Problem {
 		if kind == 'n' {
@@ -57,16 +57,16 @@
 		return text(&p.Operation)
 	case "variables":
 		if len(value) > l.Variables.Bytes() {
-			return problem(CodeLimit, "the variables have %d bytes, %d at most", len(value), l.Variables)
+			return newProblem(CodeLimit, "the variables have %d bytes, %d at most", len(value), l.Variables)
 		}
 		return object(&p.Variables)
 	case "extensions":
 		if bad := object(&p.Extensions); bad != nil || p.Extensions == nil {
 			return bad
 		}
-		return p.persisted()
+		return p.extractPersistedQuery()
 	}
-	for _, known := range params {
+	for _, known := range parameterNames {
 		if strings.EqualFold(name, known) {
 			return malformed("%q is written %q", name, known)
 		}
@@ -74,9 +74,9 @@
 	return malformed("%q is no parameter of a GraphQL request: what is added belongs into extensions", name)
 }
 
-// persisted takes persistedQuery out of the extensions: it is resolved here, and the node gets the text.
-func (p *Params) persisted() *Problem {
-	r := read(p.Extensions)
+// extractPersistedQuery takes persistedQuery out of the extensions: it is resolved here, and the node gets the text.
+func (p *Params) extractPersistedQuery() *Problem {
+	r := newReader(p.Extensions)
 	defer r.release()
 	rest := []byte{'{'}
 	_, _ = r.ReadToken() // it is an object
@@ -95,7 +95,7 @@
 			return notJSON(err)
 		}
 		if string(plain) == "persistedQuery" {
-			if bad := p.hash(value); bad != nil {
+			if bad := p.readHash(value); bad != nil {
 				return bad
 			}
 			continue
@@ -111,12 +111,12 @@
 	return nil
 }
 
-// hash reads {"version": 1, "sha256Hash": "..."}.
-func (p *Params) hash(value jsontext.Value) *Problem {
+// readHash reads {"version": 1, "sha256Hash": "..."}.
+func (p *Params) readHash(value jsontext.Value) *Problem {
 	if value.Kind() != '{' {
 		return malformed("persistedQuery is no object")
 	}
-	of := variables(value)
+	of := objectMembers(value)
 	hash, _ := scalar(of["sha256Hash"], "")
 	hash = strings.ToLower(hash)
 	version := string(of["version"])
--- a/internal/graphql/persisted.go
+++ b/internal/graphql/persisted.go
@@ -9,43 +9,43 @@
 	"github.com/go-json-experiment/json"
 )
 
-// text is the document that is meant, and whether it is a known one.
-func (e *Endpoint) text(p *Params) (text string, trusted bool, bad *Problem) {
+// resolveText is the document that is meant, and whether it is a known one.
+func (e *Endpoint) resolveText(p *Params) (text string, trusted bool, bad *Problem) {
 	switch {
 	case p.BadHash:
-		return "", false, problem(CodeRequest, "persistedQuery has version 1 and a sha256Hash")
+		return "", false, newProblem(CodeRequest, "persistedQuery has version 1 and a sha256Hash")
 	case p.Query == "" && p.Hash == "":
 		return "", false, malformed("there is no query")
 	}
-	switch e.o.Persist {
+	switch e.options.Persist {
 	case "known":
 		if p.Query == "" {
-			if text, ok := e.known[p.Hash]; ok {
+			if text, ok := e.knownTexts[p.Hash]; ok {
 				return text, true, nil
 			}
-		} else if e.inFull[p.Query] && (p.Hash == "" || e.known[p.Hash] == p.Query) {
+		} else if e.knownInFull[p.Query] && (p.Hash == "" || e.knownTexts[p.Hash] == p.Query) {
 			return p.Query, true, nil
 		}
-		return "", false, problem(CodeUnknown, "only known operations are served here")
+		return "", false, newProblem(CodeUnknown, "only known operations are served here")
 	case "automatic":
 		if p.Hash == "" {
 			return p.Query, false, nil
 		}
 		if p.Query == "" {
-			if text, ok := e.persist.get(p.Hash); ok {
+			if text, ok := e.persistedTexts.get(p.Hash); ok {
 				return text, false, nil
 			}
-			return "", false, problem(CodeNotPersisted, "PersistedQueryNotFound")
+			return "", false, newProblem(CodeNotPersisted, "PersistedQueryNotFound")
 		}
 		sum := sha256.Sum256([]byte(p.Query))
 		if hex.EncodeToString(sum[:]) != p.Hash {
-			return "", false, problem(CodeRequest, "provided sha does not match query")
+			return "", false, newProblem(CodeRequest, "provided sha does not match query")
 		}
-		e.persist.put(p.Hash, p.Query, len(p.Query)+len(p.Hash)+perEntry)
+		e.persistedTexts.put(p.Hash, p.Query, len(p.Query)+len(p.Hash)+bytesPerEntry)
 		return p.Query, false, nil
 	}
 	if p.Query == "" {
-		return "", false, problem(CodeNoPersisted, "PersistedQueryNotSupported")
+		return "", false, newProblem(CodeNoPersisted, "PersistedQueryNotSupported")
 	}
 	return p.Query, false, nil
 }
--- a/internal/graphql/problem.go
+++ b/internal/graphql/problem.go
@@ -38,7 +38,7 @@
 
 func (p *Problem) Error() string { return p.Message }
 
-func problem(code, format string, args ...any) *Problem {
+func newProblem(code, format string, args ...any) *Problem {
 	return &Problem{Status: http.StatusBadRequest, Formed: true, Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
--- a/internal/graphql/reader.go
+++ b/internal/graphql/reader.go
@@ -11,26 +11,26 @@
 // own way costs an answer more than all else.
 type reader struct {
 	*jsontext.Decoder
-	from bytes.Buffer
+	source bytes.Buffer
 }
 
 var readers = sync.Pool{New: func() any { return &reader{Decoder: new(jsontext.Decoder)} }}
 
-func read(text []byte) *reader {
+func newReader(text []byte) *reader {
 	r := readers.Get().(*reader)
-	r.from = *bytes.NewBuffer(text)
-	r.Reset(&r.from, jsontext.AllowDuplicateNames(true))
+	r.source = *bytes.NewBuffer(text)
+	r.Reset(&r.source, jsontext.AllowDuplicateNames(true))
 	return r
 }
 
 // release gives it back; what it has read stays good, as part of its text.
 func (r *reader) release() {
-	r.from = bytes.Buffer{}
+	r.source = bytes.Buffer{}
 	readers.Put(r)
 }
 
-// name reads an object's next key, or tells that there is none: the object ends, or is broken, which the next reading says.
-func (r *reader) name(scratch []byte) ([]byte, bool) {
+// nextName reads an object's next key, or tells that there is none: the object ends, or is broken, which the next reading says.
+func (r *reader) nextName(scratch []byte) ([]byte, bool) {
 	if r.PeekKind() != '"' {
 		return nil, false
 	}
@@ -42,16 +42,16 @@
 	return name, err == nil
 }
 
-// alone tells whether nothing but blanks is left of a text.
-func (r *reader) alone(text []byte) bool {
+// atEnd tells whether nothing but blanks is left of a text.
+func (r *reader) atEnd(text []byte) bool {
 	return len(bytes.TrimLeft(text[r.InputOffset():], " \t\r\n")) == 0
 }
 
 // maxNesting is how deep a request's JSON may nest.
 const maxNesting = 100
 
-// tooDeep tells whether a text nests deeper than maxNesting, whatever else may be wrong with it.
-func tooDeep(text []byte) bool {
+// nestsTooDeep tells whether a text nests deeper than maxNesting, whatever else may be wrong with it.
+func nestsTooDeep(text []byte) bool {
 	depth, quoted := 0, false
 	for i := 0; i < len(text); i++ {
 		switch c := text[i]; {
@@ -71,18 +71,18 @@
 	return false
 }
 
-// variables are an object's values, by name.
-func variables(raw jsontext.Value) map[string]jsontext.Value {
+// objectMembers are an object's values, by name.
+func objectMembers(raw jsontext.Value) map[string]jsontext.Value {
 	m := map[string]jsontext.Value{}
 	if raw.Kind() != '{' {
 		return m
 	}
-	r := read(raw)
+	r := newReader(raw)
 	defer r.release()
 	_, _ = r.ReadToken() // it is an object
 	var scratch [64]byte
 	for {
-		name, ok := r.name(scratch[:])
+		name, ok := r.nextName(scratch[:])
 		if !ok {
 			return m
 		}
--- a/internal/graphql/request.go
+++ b/internal/graphql/request.go
@@ -26,14 +26,14 @@
 	if bytes.HasPrefix(body, []byte("\xef\xbb\xbf")) {
 		return a, malformed("the body begins with a byte order mark")
 	}
-	if tooDeep(body) {
+	if nestsTooDeep(body) {
 		return a, malformed("the body nests deeper than %d", maxNesting)
 	}
-	r := read(body)
+	r := newReader(body)
 	defer r.release()
 	switch r.PeekKind() {
 	case '{':
-		p, bad := entry(r, l)
+		p, bad := readEntry(r, l)
 		if bad != nil {
 			return a, bad
 		}
@@ -52,8 +52,8 @@
 			if err != nil {
 				return a, notJSON(err)
 			}
-			of := read(value)
-			p, bad := entry(of, l)
+			of := newReader(value)
+			p, bad := readEntry(of, l)
 			of.release()
 			a.Params, a.Problems = append(a.Params, p), append(a.Problems, bad)
 		}
@@ -69,7 +69,7 @@
 		}
 		return a, malformed("the body is neither an object nor an array of them")
 	}
-	if !r.alone(body) {
+	if !r.atEnd(body) {
 		return a, malformed("something stands behind the body's JSON")
 	}
 	return a, nil
@@ -77,8 +77,8 @@
 
 func notJSON(err error) *Problem { return malformed("the body can't be read: %v", err) }
 
-// entry reads one object.
-func entry(r *reader, l *Limits) (p Params, bad *Problem) {
+// readEntry reads one object.
+func readEntry(r *reader, l *Limits) (p Params, bad *Problem) {
 	if r.PeekKind() != '{' {
 		return p, malformed("an entry is no object")
 	}
@@ -86,12 +86,12 @@
 	var scratch [16]byte
 	seen := 0
 	for {
-		name, more := r.name(scratch[:])
+		name, more := r.nextName(scratch[:])
 		if !more {
 			break
 		}
 		what := string(name)
-		if i := slices.Index(params[:], what); i >= 0 {
+		if i := slices.Index(parameterNames[:], what); i >= 0 {
 			if seen&(1<<i) != 0 {
 				return p, malformed("%q stands there twice", what)
 			}
@@ -101,7 +101,7 @@
 		if err != nil {
 			return p, notJSON(err)
 		}
-		if bad := p.set(what, value, l); bad != nil {
+		if bad := p.setParameter(what, value, l); bad != nil {
 			return p, bad
 		}
 	}
@@ -128,7 +128,7 @@
 			if err != nil {
 				return a, malformed("%s is no UTF-8", name)
 			}
-			if bad := p.set(name, quoted, l); bad != nil {
+			if bad := p.setParameter(name, quoted, l); bad != nil {
 				return a, bad
 			}
 			continue
@@ -145,7 +145,7 @@
 				value = value[1:]
 			}
 		}
-		if bad := p.set(name, value, l); bad != nil {
+		if bad := p.setParameter(name, value, l); bad != nil {
 			return a, bad
 		}
 	}
@@ -159,7 +159,7 @@
 		return false
 	}
 	for name := range values {
-		for _, known := range params {
+		for _, known := range parameterNames {
 			if strings.EqualFold(name, known) {
 				return false
 			}
