--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -64,7 +64,7 @@
 }
 
 // decide classifies the operations. An operation with a problem is not sent.
-func (c *graphqlCall) decide(asked *graphql.Asked) (operations []*operation, problems []*graphql.Problem) {
+func (c *graphqlCall) decide(asked *graphql.Request) (operations []*operation, problems []*graphql.Problem) {
 	c.entries = len(asked.Params)
 	header := c.r.Header
 	if asked.Batch { // its headers cannot belong to one operation
@@ -88,8 +88,8 @@
 }
 
 // readOperations parses the operations of the request.
-func (c *graphqlCall) readOperations(body []byte) (graphql.Asked, *graphql.Problem) {
-	media, ok := graphql.Media(c.r.Header.Values("Accept"))
+func (c *graphqlCall) readOperations(body []byte) (graphql.Request, *graphql.Problem) {
+	media, ok := graphql.NegotiateMedia(c.r.Header.Values("Accept"))
 	c.media = media
 	if !ok {
 		c.media = graphql.MediaResponse
@@ -101,22 +101,22 @@
 	limits := c.endpoint.Limits()
 	switch c.r.Method {
 	case http.MethodGet:
-		return graphql.URLQuery(c.r.URL.RawQuery, limits)
+		return graphql.ParseURLQuery(c.r.URL.RawQuery, limits)
 	case http.MethodPost:
 		if types := c.r.Header.Values("Content-Type"); len(types) != 1 || !graphql.IsJSON(types[0]) {
 			return badGraphQL(http.StatusUnsupportedMediaType, "a POST is "+graphql.MediaJSON)
 		}
-		if !graphql.Plain(c.r.URL.RawQuery) {
+		if !graphql.HasNoParameters(c.r.URL.RawQuery) {
 			return badGraphQL(http.StatusBadRequest, "a POST has its parameters in the body alone")
 		}
-		return graphql.Body(body, limits)
+		return graphql.ParseBody(body, limits)
 	}
-	return graphql.Asked{}, &graphql.Problem{Status: http.StatusMethodNotAllowed, Code: graphql.CodeRequest, Allow: graphql.Methods,
+	return graphql.Request{}, &graphql.Problem{Status: http.StatusMethodNotAllowed, Code: graphql.CodeRequest, Allow: graphql.AllowedMethods,
 		Message: "this is asked for with GET or POST"}
 }
 
-func badGraphQL(status int, message string) (graphql.Asked, *graphql.Problem) {
-	return graphql.Asked{}, &graphql.Problem{Status: status, Code: graphql.CodeRequest, Message: message}
+func badGraphQL(status int, message string) (graphql.Request, *graphql.Problem) {
+	return graphql.Request{}, &graphql.Problem{Status: status, Code: graphql.CodeRequest, Message: message}
 }
 
 // rejectProblem answers a request that is rejected. Its body has been read, so that the connection can be used again.
--- a/internal/daemon/graphql_batch.go
+++ b/internal/daemon/graphql_batch.go
@@ -35,7 +35,7 @@
 	if result.notSent > 0 && result.started == 0 {
 		return true
 	}
-	status := graphql.Status(result.outcomes, problems)
+	status := graphql.BatchStatus(result.outcomes, problems)
 	if status == http.StatusServiceUnavailable {
 		setRetryAfter(c.w.Header(), result.retryAfter)
 	}
@@ -69,7 +69,7 @@
 		for _, i := range drop {
 			result.outcomes[i] = graphql.NotRun
 			result.bodies[i] = graphql.ErrorBody("not sent: a mutation before it in the batch has no good end; trying again is harmless",
-				graphql.CodeNotSent, &graphql.Known{})
+				graphql.CodeNotSent, &graphql.FailureDetails{})
 		}
 		if b.Finished() {
 			return
@@ -98,7 +98,7 @@
 		end := o.end()
 		r.bytesLeft -= len(end.body)
 		if r.bytesLeft < 0 {
-			known := &graphql.Known{MayHaveRun: end.outcome == graphql.MayHaveRun}
+			known := &graphql.FailureDetails{MayHaveRun: end.outcome == graphql.MayHaveRun}
 			return end.outcome, graphql.ErrorBody("the batch's answers are too large", graphql.CodeTooLarge, known)
 		}
 		return end.outcome, end.body
@@ -108,10 +108,10 @@
 	case !graphql.IsAnswer(response.Body):
 		isClientError := response.Status/100 == 4
 		return graphql.Answered, graphql.ErrorBody("the upstream answered with status "+strconv.Itoa(response.Status), graphql.CodeAnswer,
-			&graphql.Known{MayHaveRun: !isClientError})
+			&graphql.FailureDetails{MayHaveRun: !isClientError})
 	case len(response.Body) > r.bytesLeft:
 		return graphql.Answered, graphql.ErrorBody("it was answered, and the batch's answers are too large", graphql.CodeTooLarge,
-			&graphql.Known{MayHaveRun: true})
+			&graphql.FailureDetails{MayHaveRun: true})
 	}
 	r.bytesLeft -= len(response.Body)
 	return graphql.Answered, response.Body
@@ -138,7 +138,7 @@
 func (c *graphqlCall) acquireParallel(operations int) (parallel int, release func()) {
 	parallel = 1
 	limit := c.daemon.shared.inFlight
-	for wanted := min(operations, c.endpoint.Parallel()); parallel < wanted; parallel++ {
+	for wanted := min(operations, c.endpoint.BatchParallelism()); parallel < wanted; parallel++ {
 		if limit != nil && !limit.TryAcquire(c.service.name, 1) {
 			break
 		}
--- a/internal/daemon/graphql_operation.go
+++ b/internal/daemon/graphql_operation.go
@@ -193,6 +193,6 @@
 }
 
 func (o *operation) ended(status int, outcome graphql.EntryOutcome, code, message string) operationEnd {
-	known := &graphql.Known{MayHaveRun: outcome == graphql.MayHaveRun, RetryAfter: o.answer.RetryAfter}
+	known := &graphql.FailureDetails{MayHaveRun: outcome == graphql.MayHaveRun, RetryAfter: o.answer.RetryAfter}
 	return operationEnd{status, outcome, graphql.ErrorBody(message, code, known)}
 }
--- a/internal/graphql/batch.go
+++ b/internal/graphql/batch.go
@@ -93,9 +93,9 @@
 // Finished tells whether every entry has ended.
 func (b *Batch) Finished() bool { return b.unfinished == 0 }
 
-// Status is the HTTP status of a batch's answer by its entries' ends: 200 where one of them has an answer or failed by its own
+// BatchStatus is the HTTP status of a batch's answer by its entries' ends: 200 where one of them has an answer or failed by its own
 // mistake, else 503 where none has run, else 502.
-func Status(ends []EntryOutcome, problems []*Problem) int {
+func BatchStatus(ends []EntryOutcome, problems []*Problem) int {
 	uncertain := false
 	for i, e := range ends {
 		if problems[i] != nil || e == Answered {
--- a/internal/graphql/endpoint.go
+++ b/internal/graphql/endpoint.go
@@ -173,7 +173,7 @@
 // Limits are the endpoint's.
 func (e *Endpoint) Limits() *Limits { return &e.options.Limits }
 
-// Parallel is how many entries of a batch are sent at once.
-func (e *Endpoint) Parallel() int { return e.options.Parallel }
+// BatchParallelism is how many entries of a batch are sent at once.
+func (e *Endpoint) BatchParallelism() int { return e.options.Parallel }
 
 func itoa(n int) string { return strconv.Itoa(n) }
--- a/internal/graphql/graphql_test.go
+++ b/internal/graphql/graphql_test.go
@@ -74,7 +74,7 @@
 
 // decide is a request's way through Body and Decide; its class, or its problem's code.
 func decide(e *Endpoint, body string) (Decision, string) {
-	a, bad := Body([]byte(body), e.Limits())
+	a, bad := ParseBody([]byte(body), e.Limits())
 	if bad == nil {
 		bad = a.Problems[0]
 	}
@@ -236,7 +236,7 @@
 		"query={seats}&variables=%7B%22a%22:1%7D": "search", "query={seats}&variables={": CodeRequest, "query={seats}&variables=": "search",
 		"variables={}": CodeRequest, "query={seats};x=1": CodeRequest,
 	} {
-		a, bad := URLQuery(raw, e.Limits())
+		a, bad := ParseURLQuery(raw, e.Limits())
 		got := ""
 		if bad == nil {
 			var d Decision
@@ -254,7 +254,7 @@
 		}
 	}
 	for raw, want := range map[string]bool{"": true, "a=1": true, "query=x": false, "QUERY=x": false, "extensions": false, "a;b": false} {
-		if Plain(raw) != want {
+		if HasNoParameters(raw) != want {
 			t.Errorf("%q is plain: %v", raw, !want)
 		}
 	}
@@ -409,7 +409,7 @@
 		if accept != "" {
 			list = []string{accept}
 		}
-		if got, ok := Media(list); got != want || ok != (want != "") {
+		if got, ok := NegotiateMedia(list); got != want || ok != (want != "") {
 			t.Errorf("%q: %q", accept, got)
 		}
 	}
@@ -497,7 +497,7 @@
 		problems []*Problem
 		want     int
 	}{{[]EntryOutcome{Answered, MayHaveRun}, none, 200}, {[]EntryOutcome{NotRun, NotRun}, none, 503}, {[]EntryOutcome{NotRun, MayHaveRun}, none, 502}, {[]EntryOutcome{NotRun, NotRun}, bad, 200}} {
-		if got := Status(c.ends, c.problems); got != c.want {
+		if got := BatchStatus(c.ends, c.problems); got != c.want {
 			t.Errorf("%v: %d", c.ends, got)
 		}
 	}
@@ -537,7 +537,7 @@
 	with, without := endpoint(f, schemaText, nil), endpoint(f, "", nil)
 	f.Fuzz(func(t *testing.T, body string) {
 		for _, e := range []*Endpoint{with, without} {
-			a, bad := Body([]byte(body), e.Limits())
+			a, bad := ParseBody([]byte(body), e.Limits())
 			if bad != nil {
 				if bad.Status < 400 || bad.Status > 499 || bad.Status == 429 {
 					t.Fatalf("status %d", bad.Status)
@@ -562,7 +562,7 @@
 			}
 		}
 		with.Classify(200, []byte(body), false)
-		if _, bad := URLQuery(body, with.Limits()); bad != nil && bad.Status/100 != 4 {
+		if _, bad := ParseURLQuery(body, with.Limits()); bad != nil && bad.Status/100 != 4 {
 			t.Fatalf("status %d", bad.Status)
 		}
 	})
--- a/internal/graphql/media.go
+++ b/internal/graphql/media.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Media picks the answer's media type by an Accept header; false: none of the two is wanted. Without a header it is the
+// NegotiateMedia picks the answer's media type by an Accept header; false: none of the two is wanted. Without a header it is the
 // specification's own, as that says since 2025. Of two types wanted alike the specification's own goes first.
-func Media(accept []string) (string, bool) {
+func NegotiateMedia(accept []string) (string, bool) {
 	if len(accept) == 0 {
 		return MediaResponse, true
 	}
--- a/internal/graphql/problem.go
+++ b/internal/graphql/problem.go
@@ -29,17 +29,17 @@
 
 // Problem is why a request is not taken. It is an error of the request, before anything is sent.
 type Problem struct {
-	Status  int    // by the specification's own media type: a 4xx, never 429
-	Formed  bool   // the request is well formed: application/json has 200 for it
-	Code    string // extensions.code
-	Message string
-	Allow   string // of 405
+	Status     int    // by the specification's own media type: a 4xx, never 429
+	WellFormed bool   // the request is well formed: application/json has 200 for it
+	Code       string // extensions.code
+	Message    string
+	Allow      string // of 405
 }
 
 func (p *Problem) Error() string { return p.Message }
 
 func newProblem(code, format string, args ...any) *Problem {
-	return &Problem{Status: http.StatusBadRequest, Formed: true, Code: code, Message: fmt.Sprintf(format, args...)}
+	return &Problem{Status: http.StatusBadRequest, WellFormed: true, Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
 func malformed(format string, args ...any) *Problem {
@@ -48,7 +48,7 @@
 
 // StatusFor is the status that a media type has for the problem.
 func (p *Problem) StatusFor(media string) int {
-	if p.Formed && media == MediaJSON {
+	if p.WellFormed && media == MediaJSON {
 		return http.StatusOK
 	}
 	return p.Status
@@ -57,14 +57,14 @@
 // Body is the problem as an answer.
 func (p *Problem) Body() []byte { return ErrorBody(p.Message, p.Code, nil) }
 
-// Known is what is known of an operation that has no answer, beside its error's code.
-type Known struct {
+// FailureDetails is what is known of an operation that has no answer, beside its error's code.
+type FailureDetails struct {
 	MayHaveRun bool
 	RetryAfter time.Duration // 0: nothing is said
 }
 
 // ErrorBody is an answer that is one error. known may be nil.
-func ErrorBody(message, code string, known *Known) []byte {
+func ErrorBody(message, code string, known *FailureDetails) []byte {
 	extensions := map[string]any{"code": code}
 	if known != nil {
 		extensions["mayHaveRun"] = known.MayHaveRun
--- a/internal/graphql/request.go
+++ b/internal/graphql/request.go
@@ -10,19 +10,19 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// Asked is what a request asks for. Of a batch an entry that can't be read has a Problem in its place.
-type Asked struct {
+// Request is what a request asks for. Of a batch an entry that can't be read has a Problem in its place.
+type Request struct {
 	Batch    bool
 	Params   []Params
 	Problems []*Problem // nil where Params holds
 }
 
-// Body reads a POST's body. Its problem is the whole request's.
+// ParseBody reads a POST's body. Its problem is the whole request's.
 //
 // What a node might read in another way than the one who decides here is turned down: two keys of one name, also where one
 // is escaped, a known key in other letters (Go's own decoder would take it), text that is no UTF-8, a byte order mark, more
 // than one value. Keys that the specification does not have are turned down as well: some nodes run what they name.
-func Body(body []byte, l *Limits) (a Asked, bad *Problem) {
+func ParseBody(body []byte, l *Limits) (a Request, bad *Problem) {
 	if bytes.HasPrefix(body, []byte("\xef\xbb\xbf")) {
 		return a, malformed("the body begins with a byte order mark")
 	}
@@ -111,8 +111,8 @@
 	return p, nil
 }
 
-// URLQuery reads a GET's parameters. They are for queries only, which Decide holds them to.
-func URLQuery(raw string, l *Limits) (a Asked, bad *Problem) {
+// ParseURLQuery reads a GET's parameters. They are for queries only, which Decide holds them to.
+func ParseURLQuery(raw string, l *Limits) (a Request, bad *Problem) {
 	values, err := url.ParseQuery(raw)
 	if err != nil {
 		return a, malformed("the URL's query can't be read: %v", err)
@@ -149,11 +149,11 @@
 			return a, bad
 		}
 	}
-	return Asked{Params: []Params{p}, Problems: []*Problem{nil}}, nil
+	return Request{Params: []Params{p}, Problems: []*Problem{nil}}, nil
 }
 
-// Plain tells whether a POST's URL is without parameters that some nodes read before the body.
-func Plain(raw string) bool {
+// HasNoParameters tells whether a POST's URL is without parameters that some nodes read before the body.
+func HasNoParameters(raw string) bool {
 	values, err := url.ParseQuery(raw)
 	if err != nil {
 		return false
@@ -168,5 +168,5 @@
 	return true
 }
 
-// Methods are the ones that an endpoint is for.
-const Methods = http.MethodGet + ", " + http.MethodPost
+// AllowedMethods are the ones that an endpoint is for.
+const AllowedMethods = http.MethodGet + ", " + http.MethodPost
--- a/internal/measure/graphql_documents.go
+++ b/internal/measure/graphql_documents.go
@@ -56,7 +56,7 @@
 		}
 		end := ""
 		ns, bytes, allocations := perRun(func() {
-			a, bad := graphql.Body([]byte(c.body), e.Limits())
+			a, bad := graphql.ParseBody([]byte(c.body), e.Limits())
 			if end = "taken"; bad == nil {
 				_, bad = e.Decide(&a.Params[0], false, nil)
 			}
