--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -1,265 +1,207 @@
 package routes
 
 import (
-	"cmp"
-	"fmt"
+	"net"
 	"net/http"
 	"slices"
 	"strings"
-)
+	"time"
 
-// Conflict is two patterns of which neither takes precedence, by their places in the list that the table was made of.
-type Conflict struct{ First, Second int }
+	"orchiddrift/balancer"
+	"orchiddrift/internal/httpheader"
+)
 
-// table finds the pattern of a request: a tree by host and segment, with what is declared for a path at its leaf. A
-// look-up goes down once in the usual case. Where literal and wildcard both lead on it may have to come back, and looks
-// at no node twice: its cost depends on the request's segments, and not on how many patterns there are.
-type table[T any] struct {
-	hosts map[string]*node[T] // "" for patterns without a host
-	size  int
+// Request is a request's head. ContentLength is -1 for a body of unknown length.
+type Request struct {
+	Method, Host, Target string
+	Header               http.Header
+	ContentLength        int64
 }
 
-type node[T any] struct {
-	children map[string]*node[T] // by literal
-	single   *node[T]
-	rest     []leaf[T] // what is left, whatever it is
-	end      []leaf[T] // after {$}
-	here     []leaf[T] // the path ends here
+// Decision is what a request is.
+type Decision struct {
+	Route          *Route
+	Class          *balancer.Class
+	ID             string // empty: the caller makes one
+	IdempotencyKey string // of a class that needs one
+	Tenant         string
+	CostHint       time.Duration // expected work; 0: unknown
+	Timeout        time.Duration // how long the client waits, at most the class's deadline
 }
 
-// leaf is one pattern, and what it stands for. Those of one path are sorted: more headers first, then a method before
-// any method, then HEAD before GET.
-type leaf[T any] struct {
-	p  *Pattern
-	to T
-}
+// Table is a set of routes. It is immutable and safe for concurrent use.
+type Table struct {
+	tree     *patternTree[*Route]
+	routes   []*Route
+	hasHosts bool // some route has a host
 
-func newTable[T any]() *table[T] { return &table[T]{hosts: map[string]*node[T]{}} }
+	decisiveHeaders    []string // headers that decide something: a request has each once at most, in one spelling
+	singleValueHeaders []string // those of them that must not hold a list
 
-func (t *table[T]) add(p *Pattern, to T) {
-	n := t.hosts[p.Host]
-	if n == nil {
-		n = &node[T]{}
-		t.hosts[p.Host] = n
+	// What the platform's rules add.
+	classInPath bool            // the path's first segment names a class, without encoding
+	classes     map[string]bool // the classes that a ClassHeader may name
+}
+
+// New makes a table, or returns the pairs of routes that conflict.
+func New(routes []*Route) (*Table, []Conflict) {
+	patterns := make([]*Pattern, len(routes))
+	for i, route := range routes {
+		patterns[i] = route.Pattern
 	}
-	put := func(list *[]leaf[T]) {
-		*list = append(*list, leaf[T]{p, to})
-		slices.SortStableFunc(*list, func(a, b leaf[T]) int {
-			return cmp.Or(cmp.Compare(len(b.p.Headers), len(a.p.Headers)), cmp.Compare(b.p.Method, a.p.Method))
-		})
+	if found := conflicts(patterns); len(found) > 0 {
+		return nil, found
 	}
-	t.size++
-	for _, s := range p.segments {
-		switch s.kind {
-		case rest:
-			put(&n.rest)
-			return
-		case end:
-			put(&n.end)
-			return
-		case single:
-			if n.single == nil {
-				n.single = &node[T]{}
-			}
-			n = n.single
-		case literal:
-			if n.children == nil {
-				n.children = map[string]*node[T]{}
-			}
-			if n.children[s.text] == nil {
-				n.children[s.text] = &node[T]{}
-			}
-			n = n.children[s.text]
-		}
+	t := &Table{
+		tree:               newPatternTree[*Route](),
+		routes:             routes,
+		decisiveHeaders:    slices.Clone(platformHeaders),
+		singleValueHeaders: []string{},
+		classes:            map[string]bool{},
+	}
+	for _, route := range routes {
+		t.add(route)
 	}
-	put(&n.here)
+	slices.Sort(t.singleValueHeaders)
+	t.singleValueHeaders = slices.Compact(t.singleValueHeaders)
+	return t, nil
 }
 
-// asked is a request, for a look-up.
-type asked struct {
-	method, path string
-	header       http.Header
+func (t *Table) add(route *Route) {
+	t.tree.add(route.Pattern, route)
+	t.hasHosts = t.hasHosts || route.Pattern.Host != ""
+	for _, source := range []Source{route.Key, route.Tenant, route.Cost, route.ID, route.Deadline} {
+		t.addDecisiveHeader(source.header())
+	}
+	for name := range route.Pattern.Headers {
+		t.addDecisiveHeader(name)
+		t.singleValueHeaders = append(t.singleValueHeaders, name)
+	}
+	if route.ClassHeader == "" {
+		return
+	}
+	t.addDecisiveHeader(route.ClassHeader)
+	t.singleValueHeaders = append(t.singleValueHeaders, route.ClassHeader)
+	t.classInPath = true
+	if route.Class != nil {
+		t.classes[route.Class.Name] = true
+	}
 }
 
-// find returns the most specific pattern that matches: with the request's host first, then without.
-func (t *table[T]) find(host string, q asked) (found leaf[T], ok bool) {
-	if host != "" {
-		if n := t.hosts[host]; n != nil {
-			if found, ok = n.find(q, q.path); ok {
-				return found, true
-			}
-		}
+func (t *Table) addDecisiveHeader(name string) {
+	if name != "" && !slices.Contains(t.decisiveHeaders, name) {
+		t.decisiveHeaders = append(t.decisiveHeaders, name)
 	}
-	if n := t.hosts[""]; n != nil {
-		return n.find(q, q.path)
-	}
-	return found, false
 }
 
-// find goes on from a node with what is left of the path, from a slash on.
-func (n *node[T]) find(q asked, left string) (found leaf[T], ok bool) {
-	if left == "" {
-		return pick(n.here, q)
+// Routes returns the routes in the order given to New.
+func (t *Table) Routes() []*Route { return t.routes }
+
+// Decide returns what a request is, or its rejection.
+func (t *Table) Decide(request Request) (Decision, *Rejection) {
+	path, err := targetPath(request.Target)
+	if err != nil {
+		return Decision{}, reject(http.StatusBadRequest, "%v", err)
 	}
-	next, after := cut(left)
-	if next != "" {
-		if child := n.children[next]; child != nil {
-			if found, ok = child.find(q, after); ok {
-				return found, true
-			}
-		}
-		if n.single != nil {
-			if found, ok = n.single.find(q, after); ok {
-				return found, true
-			}
-		}
-	} else if after == "" {
-		if found, ok = pick(n.end, q); ok {
-			return found, true
+	if problem := t.checkHeaders(request.Header); problem != "" {
+		return Decision{}, reject(http.StatusBadRequest, "%s", problem)
+	}
+	if t.classInPath {
+		if first, _ := cutSegment(path); strings.Contains(first, "%") {
+			return Decision{}, reject(http.StatusBadRequest, "the class stands in the path as it is, without encoding")
 		}
 	}
-	return pick(n.rest, q)
-}
-
-// cut takes the first segment, behind its slash, off a path.
-func cut(path string) (segment, after string) {
-	if i := strings.IndexByte(path[1:], '/'); i >= 0 {
-		return path[1 : i+1], path[i+1:]
+	host := ""
+	if t.hasHosts {
+		host = normalizeHost(request.Host)
 	}
-	return path[1:], ""
+	wanted := lookup{method: request.Method, path: path, header: request.Header}
+	var readings []string // none: but for its last slash the path has one reading
+	if !hasOneReading(path) {
+		readings = pathReadings(path)
+		wanted.path = readings[0]
+	}
+	found, ok := t.tree.find(host, wanted)
+	if !ok {
+		return Decision{}, t.rejectUnmatched(host, path, wanted)
+	}
+	route := found.value
+	d := Decision{Class: route.class(request.Method)}
+	if d.Class == nil {
+		return d, rejectMethod(found.pattern, route.allowed())
+	}
+	if rejection := t.checkReadings(d.Class, host, wanted, found, readings); rejection != nil {
+		return d, rejection
+	}
+	d.Route = route
+	return d, t.readFields(&d, wanted.path, request)
 }
 
-// pick returns the first of a path's leaves that takes the method and the headers.
-func pick[T any](list []leaf[T], q asked) (found leaf[T], ok bool) {
-	for _, l := range list {
-		if m := l.p.Method; m != "" && m != q.method && !(m == http.MethodGet && q.method == http.MethodHead) {
-			continue
-		}
-		if l.p.fits(q.header) {
-			return l, true
+// checkReadings rejects a request if any other reading of its path has a stricter class than the route found.
+func (t *Table) checkReadings(class *balancer.Class, host string, wanted lookup, found leaf[*Route], readings []string) *Rejection {
+	if len(readings) > 0 {
+		for _, reading := range readings[1:] {
+			if rejection := t.checkReading(class, host, wanted, found, reading, false); rejection != nil {
+				return rejection
+			}
+			if rejection := t.checkReading(class, host, wanted, found, toggleTrailingSlash(reading), true); rejection != nil {
+				return rejection
+			}
 		}
 	}
-	return found, false
+	return t.checkReading(class, host, wanted, found, toggleTrailingSlash(wanted.path), true)
 }
 
-func (p *Pattern) fits(header http.Header) bool {
-	for name, value := range p.Headers {
-		if !strings.EqualFold(header.Get(name), value) {
-			return false
-		}
+// checkReading rejects a request if one other reading of its path has a stricter class. If the reading differs by the last slash only
+// (slashOnly), a more specific pattern for the path as sent holds: the operator distinguishes the two.
+func (t *Table) checkReading(class *balancer.Class, host string, wanted lookup, found leaf[*Route], reading string, slashOnly bool) *Rejection {
+	sent := wanted.path
+	wanted.path = reading
+	other, ok := t.tree.find(host, wanted)
+	if !ok || other.value == found.value || slashOnly && found.pattern.compare(other.pattern) == moreSpecific {
+		return nil
+	}
+	if otherClass := other.value.class(wanted.method); otherClass != nil && lessStrict(class, otherClass) {
+		return reject(http.StatusBadRequest, "%s may be read as %s, which is for %s and stricter", sent, reading, other.pattern)
 	}
-	return true
+	return nil
 }
 
-// methods lists, sorted, those that would have found something for this request.
-func (t *table[T]) methods(host string, q asked) []string {
-	seen := map[string]bool{}
-	var walk func(n *node[T], left string)
-	note := func(list []leaf[T]) {
-		for _, l := range list {
-			if l.p.fits(q.header) {
-				seen[l.p.Method] = true
-				if l.p.Method == http.MethodGet {
-					seen[http.MethodHead] = true
-				}
-			}
+// rejectUnmatched returns why no route was found.
+func (t *Table) rejectUnmatched(host, path string, wanted lookup) *Rejection {
+	first, _ := cutSegment(wanted.path)
+	if t.classInPath {
+		if rejection := t.checkClassName(wanted.header.Get(httpheader.Class), first); rejection != nil {
+			return rejection
 		}
 	}
-	walk = func(n *node[T], left string) {
-		if n == nil {
-			return
-		}
-		if left == "" {
-			note(n.here)
-			return
-		}
-		next, after := cut(left)
-		if next != "" {
-			walk(n.children[next], after)
-			walk(n.single, after)
-		} else if after == "" {
-			note(n.end)
+	if methods := t.tree.methods(host, wanted); len(methods) > 0 {
+		if t.classInPath {
+			methods = slices.DeleteFunc(methods, func(method string) bool { return method == http.MethodHead })
 		}
-		note(n.rest)
+		return rejectMethod(nil, methods)
 	}
-	if host != "" {
-		walk(t.hosts[host], q.path)
+	if t.classInPath {
+		return rejectUnknownClass(first)
 	}
-	walk(t.hosts[""], q.path)
-	var out []string
-	for m := range seen {
-		if m != "" {
-			out = append(out, m)
-		}
-	}
-	slices.Sort(out)
-	return out
+	return reject(http.StatusNotFound, "no route is for %s", path)
 }
 
-// maxConflicts bounds how many are reported.
-const maxConflicts = 100
-
-// conflicts finds pairs of patterns of which neither takes precedence, the later against the earlier. Two patterns can
-// match the same path only if at each place they have the same literal or one of them a wildcard, so that a pattern is
-// held against those only that share its literal at the place where these are fewest.
-func conflicts(patterns []*Pattern) (out []Conflict) {
-	type place struct {
-		host, text string
-		at         int
-	}
-	literals := map[place][]int{} // patterns with this literal there
-	wild := map[place][]int{}     // with a wildcard for one segment there (text is empty)
-	rests := map[place][]int{}    // that end with a rest there
-	all := map[string][]int{}     // by host
-	for i, p := range patterns {
-		candidates, fewest := all[p.Host], len(all[p.Host])
-		var reach [][]int // the patterns whose rest begins there or before
-		for at, s := range p.segments {
-			reach = append(reach, rests[place{p.Host, "", at}])
-			if s.kind != literal {
-				continue
-			}
-			at := append(slices.Clone(reach), literals[place{p.Host, s.text, at}], wild[place{p.Host, "", at}])
-			n := 0
-			for _, list := range at {
-				n += len(list)
-			}
-			if n < fewest {
-				candidates, fewest = slices.Concat(at...), n
-			}
-		}
-		candidates = slices.Clone(candidates)
-		slices.Sort(candidates)
-		for _, j := range slices.Compact(candidates) {
-			if p.conflicts(patterns[j]) {
-				out = append(out, Conflict{j, i})
-				if len(out) == maxConflicts {
-					return out
-				}
-			}
-		}
-		for at, s := range p.segments {
-			switch s.kind {
-			case literal:
-				key := place{p.Host, s.text, at}
-				literals[key] = append(literals[key], i)
-			case rest:
-				key := place{p.Host, "", at}
-				rests[key] = append(rests[key], i)
-			default:
-				key := place{p.Host, "", at}
-				wild[key] = append(wild[key], i)
-			}
-		}
-		all[p.Host] = append(all[p.Host], i)
+// checkClassName rejects a class that a header names if it is not the one of the path; empty: the header names none.
+func (t *Table) checkClassName(named, inPath string) *Rejection {
+	switch {
+	case named == "" || named == inPath:
+		return nil
+	case !t.classes[named]:
+		return rejectUnknownClass(named)
 	}
-	return out
+	return reject(http.StatusBadRequest, "the header names class %q, the path %q", named, inPath)
 }
 
-// Describe says why two patterns conflict.
-func Describe(p, q *Pattern) string {
-	if p.compare(q) == equal {
-		return fmt.Sprintf("%s is for the same requests as %s", q, p)
+// normalizeHost returns a Host header in the form that patterns have.
+func normalizeHost(host string) string {
+	if name, _, err := net.SplitHostPort(host); err == nil {
+		host = name
 	}
-	return fmt.Sprintf("%s and %s both match some requests, and neither is the more specific", q, p)
+	return strings.ToLower(strings.TrimSuffix(host, "."))
 }
