--- a/internal/simulation/fleetsim/faults.go
+++ b/internal/simulation/fleetsim/faults.go
@@ -4,9 +4,6 @@
 	"slices"
 	"time"
 
-	hdr "github.com/HdrHistogram/hdrhistogram-go"
-
-	"orchiddrift/balancer"
 	"orchiddrift/internal/endpoints"
 )
 
@@ -41,45 +38,6 @@
 // Zonal tells whether a kind befalls a zone's nodes, and not a part of all.
 func (k FaultKind) Zonal() bool { return k == Cut || k == Lost }
 
-// Step is a rate from a time on, as a multiple of Run.Rate.
-type Step struct {
-	At   time.Duration
-	Rate float64
-}
-
-// Clients is what clients do on their own: they ask again where they were refused, or failed and it is safe.
-type Clients struct {
-	Tries int           // after the first
-	Wait  time.Duration // before each, doubled, where no time was named
-	Heed  bool          // they wait as long as a refusal says
-}
-
-// Point is what came in an interval of Run.Series.
-type Point struct {
-	At                             time.Duration
-	Asked, Served, Refused, Failed int // requests
-	Operations, Done               int // as clients see them: begun, and served after however many requests
-	Sends                          int
-	P50, P99                       time.Duration
-	Utilization                    float64 // mean of the nodes that are up
-	latencies                      *hdr.Histogram
-	busy                           time.Duration
-}
-
-const (
-	crashTold = 5 * time.Second // the list learns of a crash so late
-	answerDue = time.Second     // after a request's deadline
-	mostSaid  = 20
-)
-
-// broken notes that a rule that must always hold did not.
-func (s *sim) broken(what string) {
-	s.out.Violations++
-	if len(s.out.Broken) < mostSaid {
-		s.out.Broken = append(s.out.Broken, s.Since().String()+": "+what)
-	}
-}
-
 func (s *sim) faults() {
 	for _, f := range s.r.Faults {
 		if f.Kind == Kill {
@@ -125,11 +83,6 @@
 	return nil
 }
 
-// cut tells whether a sidecar does not reach a node.
-func (c *sidecar) cut(n *node) bool {
-	return c.zone != n.zone && (n.has(Cut) != nil || c.home.has(Cut) != nil)
-}
-
 func (s *sim) crash(n *node, away time.Duration, silent bool) {
 	if !n.up {
 		return
@@ -156,112 +109,39 @@
 	})
 }
 
-func (s *sim) start(n *node) {
-	if n.up || n.fallen {
+// restarts has a part of the nodes drain, go, and come back cold.
+func (s *sim) restarts() {
+	if s.r.RestartAt == 0 {
 		return
 	}
-	n.up, n.silent, n.started = true, false, s.Now()
-	s.announce(n, endpoints.StatusReady)
-}
-
-// rate is the multiple of Run.Rate now.
-func (s *sim) rate() float64 {
-	of := 1.0
-	for _, x := range s.r.Steps {
-		if x.At <= s.Since() {
-			of = x.Rate
-		}
-	}
-	return of
-}
-
-// point is the interval that goes on.
-func (s *sim) point() *Point {
-	if s.r.Series == 0 {
-		return &s.none
-	}
-	at := s.Since() / s.r.Series * s.r.Series
-	if n := len(s.out.Points); n == 0 || s.out.Points[n-1].At != at {
-		s.closePoint()
-		s.out.Points = append(s.out.Points, Point{At: at, latencies: hdr.New(1, int64(time.Hour/time.Microsecond), 3)})
-	}
-	return &s.out.Points[len(s.out.Points)-1]
-}
-
-func (s *sim) closePoint() {
-	if len(s.out.Points) == 0 {
-		return
-	}
-	p := &s.out.Points[len(s.out.Points)-1]
-	if p.latencies.TotalCount() > 0 {
-		p.P50, p.P99 = time.Duration(p.latencies.ValueAtPercentile(50))*time.Microsecond, time.Duration(p.latencies.ValueAtPercentile(99))*time.Microsecond
-	}
-	p.latencies = nil
-	up := 0
-	for _, n := range s.nodes {
-		if n.up {
-			up++
-		}
-	}
-	p.Utilization = p.busy.Seconds() / s.r.Series.Seconds() / max(1, float64(up))
-}
-
-// operation is what a client wants, over however many requests.
-type operation struct {
-	class int
-	work  time.Duration
-	came  time.Duration
-	tries int
-	wait  time.Duration
-}
-
-// ended tells a client of its request's end.
-func (s *sim) ended(c *sidecar, q *request, end *int, retryIn time.Duration) {
-	op := q.op
-	p := s.point()
-	switch end {
-	case &s.out.Served:
-		p.Served++
-		p.Done++
-		s.out.Done++
-		took := s.Now() - op.came
-		if p.latencies != nil {
-			_ = p.latencies.RecordValue(max(1, took.Microseconds())) // it is within the bounds
-		}
-		return
-	case &s.out.Refused:
-		p.Refused++
-	default:
-		p.Failed++
-	}
-	safe := s.r.Settings.Classes[op.class].Idempotency == balancer.Idempotent
-	if op.tries >= s.r.Clients.Tries || end != &s.out.Refused && !safe {
-		return
-	}
-	op.tries++
-	op.wait = max(s.r.Clients.Wait, 2*op.wait)
-	wait := op.wait
-	if s.r.Clients.Heed {
-		wait = max(wait, retryIn)
-	}
-	s.After(wait, func() { s.request(c, op) })
-}
-
-// hint is what the module is told of a request's work.
-func (s *sim) hint(q *request) time.Duration {
-	if s.r.Hints {
-		return q.work
-	}
-	return 0
-}
-
-// check looks for requests that have no answer though their time is over.
-func (s *sim) check() {
-	for _, c := range s.sidecars {
-		for _, q := range c.asked {
-			if s.Now() > q.expires+answerDue {
-				s.broken("a request has no answer")
-			}
+	for _, i := range s.rng.Perm(len(s.nodes))[:int(s.r.RestartPart*float64(len(s.nodes)))] {
+		n := s.nodes[i]
+		s.After(s.r.RestartAt+time.Duration(s.rng.Int64N(int64(s.r.RestartOver)+1)), func() {
+			n.restarted = true
+			s.announce(n, endpoints.StatusTerminating)
+			s.After(toldMost+time.Second, func() {
+				s.stop(n)
+				s.announce(n, endpoints.StatusGone)
+				s.After(s.r.Down, func() {
+					n.up, n.started = true, s.Now()
+					s.announce(n, endpoints.StatusReady)
+				})
+			})
+		})
+	}
+}
+
+// resize has the list lose its last nodes, or get them back.
+func (s *sim) resize(size int) {
+	for i, n := range s.nodes {
+		switch {
+		case i >= size && n.up:
+			n.restarted = true
+			s.announce(n, endpoints.StatusTerminating)
+			s.After(toldMost+time.Second, func() { s.stop(n); s.announce(n, endpoints.StatusGone) })
+		case i < size && !n.up && !n.fallen:
+			n.up, n.started = true, s.Now()
+			s.announce(n, endpoints.StatusReady)
 		}
 	}
 }
--- a/internal/simulation/fleetsim/probes.go
+++ b/internal/simulation/fleetsim/probes.go
@@ -63,10 +63,3 @@
 	sorted := slices.Sorted(slices.Values(c.seen))
 	return sorted[int(hotQuantile*float64(len(sorted)-1))]
 }
-
-func (n *node) inHand() int {
-	if n.busy {
-		return len(n.queue) + 1
-	}
-	return len(n.queue)
-}
