--- /dev/null
+++ b/internal/fakes/etcd_services.go
@@ -0,0 +1,238 @@
+package fakes
+
+import (
+	"cmp"
+	"context"
+	"sort"
+	"time"
+
+	"go.etcd.io/etcd/api/v3/etcdserverpb"
+	"go.etcd.io/etcd/api/v3/mvccpb"
+	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
+)
+
+type etcdKV struct {
+	*Etcd
+	etcdserverpb.UnimplementedKVServer
+}
+
+func (e etcdKV) Range(_ context.Context, q *etcdserverpb.RangeRequest) (*etcdserverpb.RangeResponse, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.read(q), nil
+}
+
+func (e etcdKV) Put(ctx context.Context, q *etcdserverpb.PutRequest) (r *etcdserverpb.PutResponse, err error) {
+	err = e.write(ctx, []int64{q.Lease}, func() {
+		e.revision++
+		e.put(q)
+		r = &etcdserverpb.PutResponse{Header: e.header()}
+	})
+	return r, err
+}
+
+func (e etcdKV) DeleteRange(ctx context.Context, q *etcdserverpb.DeleteRangeRequest) (r *etcdserverpb.DeleteRangeResponse, err error) {
+	err = e.write(ctx, nil, func() {
+		e.revision++
+		r = e.drop(q)
+	})
+	return r, err
+}
+
+// Txn does one branch. Its writes have one revision; a transaction in a transaction is not known here.
+func (e etcdKV) Txn(ctx context.Context, q *etcdserverpb.TxnRequest) (*etcdserverpb.TxnResponse, error) {
+	r := &etcdserverpb.TxnResponse{Succeeded: true}
+	var leases []int64
+	for _, op := range q.Success {
+		if p := op.GetRequestPut(); p != nil {
+			leases = append(leases, p.Lease)
+		}
+	}
+	err := e.write(ctx, leases, func() {
+		for _, c := range q.Compare {
+			r.Succeeded = r.Succeeded && e.holds(c)
+		}
+		ops := q.Failure
+		if r.Succeeded {
+			ops = q.Success
+		}
+		for _, op := range ops {
+			if op.GetRequestRange() == nil {
+				e.revision++
+				break
+			}
+		}
+		for _, op := range ops {
+			of := &etcdserverpb.ResponseOp{}
+			switch {
+			case op.GetRequestRange() != nil:
+				of.Response = &etcdserverpb.ResponseOp_ResponseRange{ResponseRange: e.read(op.GetRequestRange())}
+			case op.GetRequestPut() != nil:
+				e.put(op.GetRequestPut())
+				of.Response = &etcdserverpb.ResponseOp_ResponsePut{ResponsePut: &etcdserverpb.PutResponse{Header: e.header()}}
+			case op.GetRequestDeleteRange() != nil:
+				of.Response = &etcdserverpb.ResponseOp_ResponseDeleteRange{ResponseDeleteRange: e.drop(op.GetRequestDeleteRange())}
+			}
+			r.Responses = append(r.Responses, of)
+		}
+		r.Header = e.header()
+	})
+	return r, err
+}
+
+type etcdLeases struct {
+	*Etcd
+	etcdserverpb.UnimplementedLeaseServer
+}
+
+func (e etcdLeases) LeaseGrant(_ context.Context, q *etcdserverpb.LeaseGrantRequest) (*etcdserverpb.LeaseGrantResponse, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	id := q.ID
+	if id == 0 {
+		e.nextLease++
+		id = e.nextLease
+	}
+	ttl := time.Duration(max(1, q.TTL)) * time.Second
+	e.leases[id] = &etcdLease{ttl: ttl, keys: map[string]bool{}, ends: time.AfterFunc(ttl, func() {
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		e.Etcd.end(id)
+	})}
+	return &etcdserverpb.LeaseGrantResponse{Header: e.header(), ID: id, TTL: int64(ttl / time.Second)}, nil
+}
+
+func (e etcdLeases) LeaseRevoke(_ context.Context, q *etcdserverpb.LeaseRevokeRequest) (*etcdserverpb.LeaseRevokeResponse, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.leases[q.ID] == nil {
+		return nil, rpctypes.ErrGRPCLeaseNotFound
+	}
+	e.end(q.ID)
+	return &etcdserverpb.LeaseRevokeResponse{Header: e.header()}, nil
+}
+
+func (e etcdLeases) LeaseKeepAlive(stream etcdserverpb.Lease_LeaseKeepAliveServer) error {
+	for {
+		q, err := stream.Recv()
+		if err != nil {
+			return err
+		}
+		e.mu.Lock()
+		r := &etcdserverpb.LeaseKeepAliveResponse{Header: e.header(), ID: q.ID} // TTL 0: there is none
+		if l := e.leases[q.ID]; l != nil && l.ends.Reset(l.ttl) {
+			r.TTL = int64(l.ttl / time.Second)
+		}
+		e.mu.Unlock()
+		if err := stream.Send(r); err != nil {
+			return err
+		}
+	}
+}
+
+type etcdWatches struct {
+	*Etcd
+	etcdserverpb.UnimplementedWatchServer
+}
+
+type etcdWatch struct {
+	q    *etcdserverpb.WatchCreateRequest
+	next int64 // revision
+}
+
+// Watch serves a stream's watches one after another, whenever there are events.
+func (e etcdWatches) Watch(stream etcdserverpb.Watch_WatchServer) error {
+	asked := make(chan *etcdserverpb.WatchRequest)
+	go func() {
+		defer close(asked)
+		for {
+			q, err := stream.Recv()
+			if err != nil {
+				return
+			}
+			select {
+			case asked <- q:
+			case <-stream.Context().Done():
+				return
+			}
+		}
+	}()
+	watches := map[int64]*etcdWatch{}
+	last := int64(-1)
+	for {
+		e.mu.Lock()
+		changed := e.changed
+		var out []*etcdserverpb.WatchResponse
+		for id, w := range watches {
+			if w.next > 0 && w.next < e.compacted {
+				out = append(out, &etcdserverpb.WatchResponse{Header: e.header(), WatchId: id, Canceled: true, CompactRevision: e.compacted})
+				delete(watches, id)
+				continue
+			}
+			r := &etcdserverpb.WatchResponse{Header: e.header(), WatchId: id}
+			first := sort.Search(len(e.events), func(i int) bool { return e.events[i].Kv.ModRevision >= w.next })
+			for _, event := range e.events[first:] {
+				if inRange(string(event.Kv.Key), w.q.Key, w.q.RangeEnd) && w.wants(event) {
+					r.Events = append(r.Events, event)
+				}
+			}
+			w.next = e.revision + 1
+			if len(r.Events) > 0 {
+				out = append(out, r)
+			}
+		}
+		header := e.header()
+		e.mu.Unlock()
+		for _, r := range out {
+			if err := stream.Send(r); err != nil {
+				return err
+			}
+		}
+		select {
+		case q, ok := <-asked:
+			if !ok {
+				return nil
+			}
+			r := &etcdserverpb.WatchResponse{Header: header}
+			if c := q.GetCreateRequest(); c != nil {
+				last++
+				watches[last] = &etcdWatch{q: c, next: cmp.Or(c.StartRevision, header.Revision+1)}
+				r.WatchId, r.Created = last, true
+			} else if c := q.GetCancelRequest(); c != nil {
+				delete(watches, c.WatchId)
+				r.WatchId, r.Canceled = c.WatchId, true
+			}
+			if err := stream.Send(r); err != nil {
+				return err
+			}
+		case <-changed:
+		case <-stream.Context().Done():
+			return nil
+		}
+	}
+}
+
+func (w *etcdWatch) wants(event *mvccpb.Event) bool {
+	for _, f := range w.q.Filters {
+		if f == etcdserverpb.WatchCreateRequest_NOPUT && event.Type == mvccpb.Event_PUT ||
+			f == etcdserverpb.WatchCreateRequest_NODELETE && event.Type == mvccpb.Event_DELETE {
+			return false
+		}
+	}
+	return true
+}
+
+type etcdAuth struct {
+	*Etcd
+	etcdserverpb.UnimplementedAuthServer
+}
+
+func (e etcdAuth) Authenticate(_ context.Context, q *etcdserverpb.AuthenticateRequest) (*etcdserverpb.AuthenticateResponse, error) {
+	if e.o.User == "" {
+		return nil, rpctypes.ErrGRPCAuthNotEnabled
+	}
+	if q.Name != e.o.User || q.Password != e.o.Password {
+		return nil, rpctypes.ErrGRPCAuthFailed
+	}
+	return &etcdserverpb.AuthenticateResponse{Header: e.header(), Token: etcdToken}, nil
+}
--- /dev/null
+++ b/internal/fakes/etcd_store.go
@@ -0,0 +1,152 @@
+package fakes
+
+import (
+	"bytes"
+	"cmp"
+	"context"
+	"time"
+
+	"go.etcd.io/etcd/api/v3/etcdserverpb"
+	"go.etcd.io/etcd/api/v3/mvccpb"
+	"go.etcd.io/etcd/api/v3/v3rpc/rpctypes"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+)
+
+func inRange(key string, from, end []byte) bool {
+	if len(end) == 0 {
+		return key == string(from)
+	}
+	return key >= string(from) && (bytes.Equal(end, []byte{0}) || key < string(end))
+}
+
+func (e *Etcd) read(q *etcdserverpb.RangeRequest) *etcdserverpb.RangeResponse {
+	r := &etcdserverpb.RangeResponse{Header: e.header()}
+	if len(q.RangeEnd) == 0 {
+		if kv := e.kvs[string(q.Key)]; kv != nil {
+			r.Kvs = append(r.Kvs, kv)
+		}
+	} else {
+		for key, kv := range e.kvs {
+			if inRange(key, q.Key, q.RangeEnd) {
+				r.Kvs = append(r.Kvs, kv)
+			}
+		}
+	}
+	r.Count = int64(len(r.Kvs))
+	return r
+}
+
+func (e *Etcd) put(q *etcdserverpb.PutRequest) {
+	kv := &mvccpb.KeyValue{Key: q.Key, Value: q.Value, Lease: q.Lease, ModRevision: e.revision, CreateRevision: e.revision, Version: 1}
+	if was := e.kvs[string(q.Key)]; was != nil {
+		kv.CreateRevision, kv.Version = was.CreateRevision, was.Version+1
+		if l := e.leases[was.Lease]; l != nil {
+			delete(l.keys, string(q.Key))
+		}
+	}
+	if l := e.leases[q.Lease]; l != nil {
+		l.keys[string(q.Key)] = true
+	}
+	e.kvs[string(q.Key)] = kv
+	e.tell(&mvccpb.Event{Type: mvccpb.Event_PUT, Kv: kv})
+}
+
+func (e *Etcd) drop(q *etcdserverpb.DeleteRangeRequest) *etcdserverpb.DeleteRangeResponse {
+	r := &etcdserverpb.DeleteRangeResponse{}
+	for key := range e.kvs {
+		if inRange(key, q.Key, q.RangeEnd) {
+			e.remove(key)
+			r.Deleted++
+		}
+	}
+	r.Header = e.header()
+	return r
+}
+
+func (e *Etcd) holds(c *etcdserverpb.Compare) bool {
+	kv := e.kvs[string(c.Key)]
+	if kv == nil {
+		kv = &mvccpb.KeyValue{}
+	}
+	order := 0
+	switch c.Target {
+	case etcdserverpb.Compare_VERSION:
+		order = cmp.Compare(kv.Version, c.GetVersion())
+	case etcdserverpb.Compare_CREATE:
+		order = cmp.Compare(kv.CreateRevision, c.GetCreateRevision())
+	case etcdserverpb.Compare_MOD:
+		order = cmp.Compare(kv.ModRevision, c.GetModRevision())
+	case etcdserverpb.Compare_VALUE:
+		order = bytes.Compare(kv.Value, c.GetValue())
+	case etcdserverpb.Compare_LEASE:
+		order = cmp.Compare(kv.Lease, c.GetLease())
+	}
+	switch c.Result {
+	case etcdserverpb.Compare_EQUAL:
+		return order == 0
+	case etcdserverpb.Compare_GREATER:
+		return order > 0
+	case etcdserverpb.Compare_LESS:
+		return order < 0
+	}
+	return order != 0
+}
+
+// write makes a change, or has its fault.
+func (e *Etcd) write(ctx context.Context, leases []int64, do func()) error {
+	if e.o.Delay > 0 {
+		time.Sleep(e.o.Delay)
+	}
+	fault := EtcdFine
+	if e.o.Fault != nil {
+		fault = e.o.Fault()
+	}
+	apply := func() error {
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		for _, id := range leases {
+			if id != 0 && e.leases[id] == nil {
+				return rpctypes.ErrGRPCLeaseNotFound
+			}
+		}
+		e.writes++
+		do()
+		return nil
+	}
+	switch fault {
+	case EtcdRefuse:
+		return rpctypes.ErrGRPCNoLeader
+	case EtcdLose:
+		_ = apply() // nobody hears of it
+		return status.Error(codes.Unavailable, "the connection is lost")
+	case EtcdLate, EtcdHang:
+		<-ctx.Done()
+		if fault == EtcdLate {
+			time.AfterFunc(e.o.Late, func() { _ = apply() })
+		}
+		return ctx.Err()
+	}
+	return apply()
+}
+
+// remove takes a key out, at the present revision.
+func (e *Etcd) remove(key string) {
+	if kv := e.kvs[key]; kv != nil {
+		delete(e.kvs, key)
+		if l := e.leases[kv.Lease]; l != nil {
+			delete(l.keys, key)
+		}
+		e.tell(&mvccpb.Event{Type: mvccpb.Event_DELETE, Kv: &mvccpb.KeyValue{Key: []byte(key), ModRevision: e.revision}})
+	}
+}
+
+func (e *Etcd) tell(event *mvccpb.Event) {
+	if len(e.events) == etcdEvents {
+		e.compacted = e.events[etcdEvents/2].Kv.ModRevision
+		e.events = append([]*mvccpb.Event(nil), e.events[etcdEvents/2:]...)
+	}
+	e.events = append(e.events, event)
+	close(e.changed)
+	e.changed = make(chan struct{})
+}
--- /dev/null
+++ b/internal/fakes/eureka_document.go
@@ -0,0 +1,181 @@
+package fakes
+
+import (
+	"bytes"
+	"encoding/json"
+	"encoding/xml"
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// document makes the answer to a path.
+func (e *Eureka) document(part []string, asXML bool, fault EurekaFault) ([]byte, bool) {
+	var of []EurekaInstance
+	add := func(want func(*EurekaInstance) bool) {
+		for _, name := range slices.Sorted(maps.Keys(e.apps)) {
+			for _, id := range slices.Sorted(maps.Keys(e.apps[name])) {
+				if i := e.apps[name][id]; want(i) {
+					of = append(of, *i)
+				}
+			}
+		}
+	}
+	root := "applications"
+	switch {
+	case len(part) == 1 && part[0] == "apps":
+		add(func(*EurekaInstance) bool { return true })
+	case len(part) == 2 && part[0] == "apps" && part[1] == "delta":
+		for _, c := range e.queue {
+			if fault != EurekaLostDelta {
+				of = append(of, c.i)
+			}
+		}
+	case len(part) == 2 && part[0] == "apps":
+		root = "application"
+		add(func(i *EurekaInstance) bool { return i.App == strings.ToUpper(part[1]) })
+		if len(of) == 0 {
+			return nil, false
+		}
+	case len(part) == 2 && part[0] == "vips":
+		add(func(i *EurekaInstance) bool { return i.VIP == part[1] })
+		if len(of) == 0 {
+			return nil, false
+		}
+	default:
+		return nil, false
+	}
+	counts := map[string]int{}
+	for _, app := range e.apps {
+		for _, i := range app {
+			counts[i.Status]++
+		}
+	}
+	sum := ""
+	for _, status := range slices.Sorted(maps.Keys(counts)) {
+		sum += fmt.Sprintf("%s_%d_", status, counts[status])
+	}
+	if fault == EurekaWrongSum {
+		sum = "UP_1000000_"
+	}
+	type app struct {
+		name string
+		of   []EurekaInstance
+	}
+	var apps []app
+	for _, i := range of { // in the order that they came in
+		if n := len(apps); n == 0 || apps[n-1].name != i.App {
+			apps = append(apps, app{name: i.App})
+		}
+		apps[len(apps)-1].of = append(apps[len(apps)-1].of, i)
+	}
+	var b bytes.Buffer
+	if asXML {
+		if root == "applications" {
+			fmt.Fprintf(&b, "<applications>\n  <versions__delta>%d</versions__delta>\n  <apps__hashcode>%s</apps__hashcode>\n", e.version, sum)
+		}
+		for _, a := range apps {
+			fmt.Fprintf(&b, "<application><name>%s</name>\n", escaped(a.name))
+			for _, i := range a.of {
+				i.writeXML(&b)
+			}
+			b.WriteString("</application>\n")
+		}
+		if root == "applications" {
+			b.WriteString("</applications>\n")
+		}
+		return b.Bytes(), true
+	}
+	lone := func(list []any) any { // as XStream writes lists
+		switch len(list) {
+		case 0:
+			return nil
+		case 1:
+			return list[0]
+		}
+		return list
+	}
+	var all []any
+	for _, a := range apps {
+		var instances []any
+		for _, i := range a.of {
+			instances = append(instances, i.document(e.o.Texts))
+		}
+		all = append(all, map[string]any{"name": a.name, "instance": lone(instances)})
+	}
+	var doc any = map[string]any{"applications": map[string]any{"versions__delta": strconv.Itoa(e.version), "apps__hashcode": sum, "application": lone(all)}}
+	if root == "application" {
+		doc = map[string]any{"application": all[0]}
+	}
+	text, err := json.Marshal(doc)
+	return text, err == nil
+}
+
+func (i *EurekaInstance) document(texts bool) map[string]any {
+	n := func(v int64) any {
+		if texts {
+			return strconv.FormatInt(v, 10)
+		}
+		return v
+	}
+	onOff := func(on bool) string { return strconv.FormatBool(on) }
+	metadata := map[string]any{"@class": "java.util.Collections$EmptyMap"}
+	for k, v := range i.Metadata {
+		metadata[k] = v
+	}
+	return map[string]any{
+		"instanceId": i.ID, "hostName": i.Host, "app": i.App, "ipAddr": i.IP, "status": i.Status,
+		"overriddenStatus": i.Overridden, "vipAddress": i.VIP, "actionType": i.action, "countryId": 1,
+		"port":           map[string]any{"$": n(int64(i.Port)), "@enabled": onOff(!i.PortOff)},
+		"securePort":     map[string]any{"$": n(int64(i.SecurePort)), "@enabled": onOff(i.SecureOn)},
+		"dataCenterInfo": map[string]any{"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
+		"leaseInfo": map[string]any{"renewalIntervalInSecs": 30, "durationInSecs": n(int64(i.Lease.Seconds())),
+			"registrationTimestamp": n(i.registered.UnixMilli()), "lastRenewalTimestamp": n(i.renewed.UnixMilli()),
+			"evictionTimestamp": 0, "serviceUpTimestamp": n(max(0, i.Up.UnixMilli()))},
+		"metadata": metadata, "homePageUrl": "http://" + i.Host + "/", "isCoordinatingDiscoveryServer": "false",
+		"lastUpdatedTimestamp": strconv.FormatInt(i.renewed.UnixMilli(), 10),
+	}
+}
+
+func (i *EurekaInstance) writeXML(b *bytes.Buffer) {
+	fmt.Fprintf(b, "<instance><instanceId>%s</instanceId><hostName>%s</hostName><app>%s</app><ipAddr>%s</ipAddr><status>%s</status>"+
+		"<overriddenstatus>%s</overriddenstatus><port enabled=\"%t\">%d</port><securePort enabled=\"%t\">%d</securePort><countryId>1</countryId>"+
+		"<dataCenterInfo class=\"com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo\"><name>MyOwn</name></dataCenterInfo>"+
+		"<leaseInfo><registrationTimestamp>%d</registrationTimestamp><serviceUpTimestamp>%d</serviceUpTimestamp></leaseInfo><metadata>",
+		escaped(i.ID), escaped(i.Host), escaped(i.App), escaped(i.IP), i.Status, i.Overridden, !i.PortOff, i.Port, i.SecureOn, i.SecurePort,
+		i.registered.UnixMilli(), max(0, i.Up.UnixMilli()))
+	for _, k := range slices.Sorted(maps.Keys(i.Metadata)) {
+		fmt.Fprintf(b, "<%s>%s</%s>", k, escaped(i.Metadata[k]), k)
+	}
+	fmt.Fprintf(b, "</metadata><vipAddress>%s</vipAddress><actionType>%s</actionType></instance>\n", escaped(i.VIP), i.action)
+}
+
+func escaped(text string) string {
+	var b strings.Builder
+	_ = xml.EscapeText(&b, []byte(text)) // into memory
+	return b.String()
+}
+
+// readEurekaInstance reads what an instance registers with.
+func readEurekaInstance(from io.Reader) (EurekaInstance, error) {
+	var in struct {
+		Instance struct {
+			InstanceID, HostName, App, IPAddr, VIPAddress, Status string
+			Port                                                  struct {
+				Number int `json:"$"`
+			}
+			Metadata  map[string]string
+			LeaseInfo struct{ DurationInSecs int }
+		}
+	}
+	if err := json.NewDecoder(io.LimitReader(from, 1<<20)).Decode(&in); err != nil {
+		return EurekaInstance{}, err
+	}
+	i := in.Instance
+	return EurekaInstance{App: i.App, ID: i.InstanceID, Host: i.HostName, IP: i.IPAddr, VIP: i.VIPAddress, Status: i.Status,
+		Port: i.Port.Number, Metadata: i.Metadata, Lease: time.Duration(i.LeaseInfo.DurationInSecs) * time.Second}, nil
+}
--- /dev/null
+++ b/internal/fakes/eureka_registry.go
@@ -0,0 +1,132 @@
+package fakes
+
+import (
+	"strings"
+	"time"
+)
+
+// Put registers an instance, or registers it anew.
+func (e *Eureka) Put(i EurekaInstance) {
+	for _, p := range e.register(i) {
+		p.register(i)
+	}
+}
+
+func (e *Eureka) register(i EurekaInstance) []*Eureka {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	i.App = strings.ToUpper(i.App)
+	now := e.o.Now()
+	i.action, i.registered, i.renewed = "ADDED", now, now
+	if i.Lease == 0 {
+		i.Lease = 90 * time.Second
+	}
+	if i.Overridden == "" {
+		i.Overridden = "UNKNOWN"
+	}
+	if old := e.apps[i.App][i.ID]; old != nil && old.Overridden != "UNKNOWN" { // an override outlives a registration
+		i.Overridden, i.Status = old.Overridden, old.Overridden
+	}
+	if e.apps[i.App] == nil {
+		e.apps[i.App] = map[string]*EurekaInstance{}
+	}
+	e.apps[i.App][i.ID] = &i
+	e.changed(&i)
+	return e.peers
+}
+
+// SetStatus is what an instance says of itself.
+func (e *Eureka) SetStatus(app, id, status string) bool {
+	return e.change(app, id, func(i *EurekaInstance) { i.Status, i.action = status, "MODIFIED" })
+}
+
+// Override is an operator's word, until it is taken back with "".
+func (e *Eureka) Override(app, id, status string) bool {
+	return e.change(app, id, func(i *EurekaInstance) {
+		if i.action = "MODIFIED"; status == "" {
+			i.Overridden, i.Status = "UNKNOWN", "UP"
+			return
+		}
+		i.Overridden, i.Status = status, status
+	})
+}
+
+// Cancel ends a registration.
+func (e *Eureka) Cancel(app, id string) bool {
+	return e.change(app, id, func(i *EurekaInstance) { i.action = "DELETED" })
+}
+
+func (e *Eureka) change(app, id string, how func(*EurekaInstance)) bool {
+	there := false
+	e.mu.Lock()
+	if old := e.apps[strings.ToUpper(app)][id]; old != nil {
+		there = true
+		i := *old
+		how(&i)
+		e.store(&i)
+	}
+	peers := e.peers
+	e.mu.Unlock()
+	for _, p := range peers {
+		p.mu.Lock()
+		if old := p.apps[strings.ToUpper(app)][id]; old != nil {
+			i := *old
+			how(&i)
+			p.store(&i)
+		}
+		p.mu.Unlock()
+	}
+	return there
+}
+
+func (e *Eureka) store(i *EurekaInstance) {
+	if e.apps[i.App][i.ID] = i; i.action == "DELETED" {
+		if delete(e.apps[i.App], i.ID); len(e.apps[i.App]) == 0 {
+			delete(e.apps, i.App)
+		}
+	}
+	e.changed(i)
+}
+
+func (e *Eureka) changed(i *EurekaInstance) {
+	e.version++
+	e.queue = append(e.queue, eurekaChange{e.o.Now(), *i})
+	if e.o.CacheFor == 0 {
+		clear(e.cache)
+	}
+}
+
+// renew tells whether the instance is known.
+func (e *Eureka) renew(app, id string) bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	i := e.apps[strings.ToUpper(app)][id]
+	if i != nil {
+		i.renewed = e.o.Now()
+	}
+	return i != nil
+}
+
+// expire ends the leases that have run out.
+func (e *Eureka) expire(now time.Time) {
+	for len(e.queue) > 0 && now.Sub(e.queue[0].at) > e.o.KeepDelta {
+		e.queue = e.queue[1:]
+	}
+	var out []*EurekaInstance
+	all := 0
+	for _, app := range e.apps {
+		for _, i := range app {
+			if all++; now.Sub(i.renewed) > i.Lease {
+				out = append(out, i)
+			}
+		}
+	}
+	if e.o.Preserves && len(out)*100 > 15*all {
+		return
+	}
+	for _, old := range out {
+		i := *old
+		i.action = "DELETED"
+		e.store(&i)
+	}
+}
--- /dev/null
+++ b/internal/fakes/node_accept.go
@@ -0,0 +1,124 @@
+package fakes
+
+import (
+	"context"
+	"crypto/tls"
+	"fmt"
+	"net"
+	"time"
+)
+
+func (n *Node) listen(address string, serve func(net.Conn)) (string, error) {
+	l, err := net.Listen("tcp", address)
+	if err != nil {
+		return "", fmt.Errorf("node %s: %w", n.o.Name, err)
+	}
+	n.accept(l, serve)
+	return l.Addr().String(), nil
+}
+
+// accept serves what comes on a listener, until the node goes down.
+func (n *Node) accept(l net.Listener, serve func(net.Conn)) {
+	n.mu.Lock()
+	n.listeners = append(n.listeners, l)
+	n.mu.Unlock()
+	n.wg.Go(func() {
+		for {
+			c, err := l.Accept()
+			if err != nil {
+				return
+			}
+			n.mu.Lock()
+			down := n.down
+			if !down {
+				n.conns[c] = true
+				n.wg.Go(func() {
+					if n.o.TLS != nil {
+						serve(tls.Server(c, n.o.TLS))
+					} else {
+						serve(c)
+					}
+					c.Close()
+					n.mu.Lock()
+					delete(n.conns, c)
+					n.mu.Unlock()
+				})
+			}
+			n.mu.Unlock()
+			if down {
+				reset(c)
+			}
+		}
+	})
+}
+
+// reset ends a connection so that its peer sees it broken.
+func reset(c net.Conn) {
+	if t, ok := c.(*net.TCPConn); ok {
+		_ = t.SetLinger(0) // only how the end looks depends on it
+	}
+	c.Close()
+}
+
+// strikes tells whether a fault of that kind is on and strikes a request of the class, and gives its Factor.
+func (n *Node) strikes(kind FaultKind, class string) (float64, bool) {
+	t := time.Since(n.begun)
+	for i := range n.o.Faults {
+		f := &n.o.Faults[i]
+		if f.Kind != kind || f.Class != "" && f.Class != class {
+			continue
+		}
+		if on, _ := f.active(t); !on {
+			continue
+		}
+		if f.Share > 0 {
+			n.mu.Lock()
+			hit := n.rng.Float64() < f.Share
+			n.mu.Unlock()
+			if !hit {
+				continue
+			}
+		}
+		return f.Factor, true
+	}
+	return 0, false
+}
+
+// thaw waits until no freeze is on.
+func (n *Node) thaw(ctx context.Context) error {
+	for {
+		frozen := time.Duration(-1)
+		t := time.Since(n.begun)
+		for i := range n.o.Faults {
+			if f := &n.o.Faults[i]; f.Kind == Freeze {
+				if on, change := f.active(t); on {
+					frozen = change
+				}
+			}
+		}
+		switch {
+		case frozen < 0:
+			return ctx.Err()
+		case frozen == 0: // for ever
+			<-ctx.Done()
+			return ctx.Err()
+		}
+		if err := sleep(ctx, frozen-t); err != nil {
+			return err
+		}
+	}
+}
+
+func sleep(ctx context.Context, d time.Duration) error {
+	if d <= 0 {
+		return ctx.Err()
+	}
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
