--- a/internal/simulation/fleetsim/discovery.go
+++ b/internal/simulation/fleetsim/discovery.go
@@ -24,77 +24,77 @@
 	return d.DownFor > 0 && since >= d.DownAt && since < d.DownAt+d.DownFor
 }
 
-// discovery has it go down, if it does.
-func (s *sim) discovery() {
-	d := s.r.Discovery
+// scheduleDiscoveryOutage has it go down, if it does.
+func (s *simulation) scheduleDiscoveryOutage() {
+	d := s.run.Discovery
 	if d == nil || d.DownFor == 0 {
 		return
 	}
 	s.After(d.DownAt, func() {
-		for _, c := range s.sidecars {
-			if c.watches {
-				c.watches = false
-				s.unheard(c)
+		for _, sc := range s.sidecars {
+			if sc.watching {
+				sc.watching = false
+				s.discoveryFailed(sc)
 			}
 		}
 	})
 }
 
 // subscribe is a sidecar's call for the list.
-func (s *sim) subscribe(c *sidecar) {
-	d := s.r.Discovery
+func (s *simulation) subscribe(sc *sidecar) {
+	d := s.run.Discovery
 	if d == nil {
 		return
 	}
-	s.out.Calls++
-	if second := s.Since() / time.Second; second != s.callsIn {
-		s.callsIn, s.calls = second, 0
+	s.result.Calls++
+	if second := s.Since() / time.Second; second != s.callCountSecond {
+		s.callCountSecond, s.callsInSecond = second, 0
 	}
-	s.calls++
-	s.out.MostCalls = max(s.out.MostCalls, s.calls)
-	life := c.life
-	if d.down(s.Since()) || s.served-s.Now() > d.Timeout {
-		s.out.CallsTurnedAway++
-		s.After(wire, func() {
-			if c.life == life {
-				s.unheard(c)
+	s.callsInSecond++
+	s.result.MostCalls = max(s.result.MostCalls, s.callsInSecond)
+	life := sc.incarnation
+	if d.down(s.Since()) || s.discoveryBusyUntil-s.Now() > d.Timeout {
+		s.result.CallsTurnedAway++
+		s.After(networkRoundTrip, func() {
+			if sc.incarnation == life {
+				s.discoveryFailed(sc)
 			}
 		})
 		return
 	}
-	s.spend(d.CallLines + len(s.nodes))
-	s.At(s.served, func() {
+	s.chargeDiscovery(d.CallLines + len(s.nodes))
+	s.At(s.discoveryBusyUntil, func() {
 		switch {
-		case c.life != life:
+		case sc.incarnation != life:
 		case d.down(s.Since()):
-			s.unheard(c)
+			s.discoveryFailed(sc)
 		default:
-			c.watches = true
-			s.out.Listed = s.Since()
-			s.tell(c, s.list(), balancer.FullUpdate)
+			sc.watching = true
+			s.result.Listed = s.Since()
+			s.deliverList(sc, s.currentList(), balancer.FullUpdate)
 		}
 	})
 }
 
-// policyAsks is what a policy in place of the module waits before it asks again, jittered by half.
-const policyAsks = 2 * time.Second
+// policyPollInterval is what a policy in place of the module waits before it asks again, jittered by half.
+const policyPollInterval = 2 * time.Second
 
-// unheard tells a sidecar that its call was in vain, or its watch has ended.
-func (s *sim) unheard(c *sidecar) {
-	if c.p == nil {
-		s.module(c, balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
+// discoveryFailed tells a sidecar that its call was in vain, or its watch has ended.
+func (s *simulation) discoveryFailed(sc *sidecar) {
+	if sc.policy == nil {
+		s.handleEvent(sc, balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
 		return
 	}
-	life := c.life
-	s.After(policyAsks/2+time.Duration(c.rng.Int64N(int64(policyAsks))), func() {
-		if c.life == life {
-			s.subscribe(c)
+	life := sc.incarnation
+	s.After(policyPollInterval/2+time.Duration(sc.rng.Int64N(int64(policyPollInterval))), func() {
+		if sc.incarnation == life {
+			s.subscribe(sc)
 		}
 	})
 }
 
-// spend has discovery work through lines.
-func (s *sim) spend(lines int) {
-	cost := time.Duration(float64(lines) / s.r.Discovery.Lines * float64(time.Second))
-	s.served = max(s.served, s.Now()) + cost
+// chargeDiscovery has discovery work through lines.
+func (s *simulation) chargeDiscovery(lines int) {
+	cost := time.Duration(float64(lines) / s.run.Discovery.Lines * float64(time.Second))
+	s.discoveryBusyUntil = max(s.discoveryBusyUntil, s.Now()) + cost
 }
--- a/internal/simulation/fleetsim/faults.go
+++ b/internal/simulation/fleetsim/faults.go
@@ -38,16 +38,16 @@
 // Zonal tells whether a kind befalls a zone's nodes, and not a part of all.
 func (k FaultKind) Zonal() bool { return k == Cut || k == Lost }
 
-func (s *sim) faults() {
-	for _, f := range s.r.Faults {
+func (s *simulation) scheduleFaults() {
+	for _, f := range s.run.Faults {
 		if f.Kind == Kill {
-			s.kills(f)
+			s.scheduleKills(f)
 			continue
 		}
 		var of []*node
 		if f.Kind.Zonal() {
 			for _, n := range s.nodes {
-				if n.index%s.r.Zones == f.Zone {
+				if n.index%s.run.Zones == f.Zone {
 					of = append(of, n)
 				}
 			}
@@ -60,21 +60,21 @@
 			n.restarted = n.restarted || f.Kind == Crash || f.Kind == Deploy || f.Kind == Lost
 			switch f.Kind {
 			case Crash, Lost:
-				s.After(f.At, func() { s.crash(n, f.For, f.Kind == Lost) })
+				s.After(f.At, func() { s.crashNode(n, f.For, f.Kind == Lost) })
 			case Deploy:
-				s.After(f.At+f.For*time.Duration(i)/time.Duration(len(of)), func() { s.deploy(n) })
+				s.After(f.At+f.For*time.Duration(i)/time.Duration(len(of)), func() { s.redeployNode(n) })
 			default:
 				s.After(f.At, func() { n.faults = append(n.faults, &f) })
 				s.After(f.At+f.For, func() {
 					n.faults = slices.DeleteFunc(n.faults, func(x *Fault) bool { return x == &f })
-					s.work(n)
+					s.serveQueue(n)
 				})
 			}
 		}
 	}
 }
 
-func (n *node) has(k FaultKind) *Fault {
+func (n *node) fault(k FaultKind) *Fault {
 	for _, f := range n.faults {
 		if f.Kind == k {
 			return f
@@ -83,48 +83,48 @@
 	return nil
 }
 
-func (s *sim) crash(n *node, away time.Duration, silent bool) {
+func (s *simulation) crashNode(n *node, away time.Duration, silent bool) {
 	if !n.up {
 		return
 	}
 	n.silent = silent
-	s.stop(n)
-	s.After(crashTold, func() {
+	s.stopNode(n)
+	s.After(crashDetectionDelay, func() {
 		if !n.up {
-			s.announce(n, endpoints.StatusGone)
+			s.announceStatus(n, endpoints.StatusGone)
 		}
 	})
-	s.After(max(away, crashTold+toldMost), func() { s.start(n) })
+	s.After(max(away, crashDetectionDelay+maxListDelay), func() { s.startNode(n) })
 }
 
-func (s *sim) deploy(n *node) {
+func (s *simulation) redeployNode(n *node) {
 	if !n.up {
 		return
 	}
-	s.announce(n, endpoints.StatusTerminating)
-	s.After(toldMost+time.Second, func() {
-		s.stop(n)
-		s.announce(n, endpoints.StatusGone)
-		s.After(s.r.Down, func() { s.start(n) })
+	s.announceStatus(n, endpoints.StatusTerminating)
+	s.After(maxListDelay+time.Second, func() {
+		s.stopNode(n)
+		s.announceStatus(n, endpoints.StatusGone)
+		s.After(s.run.Down, func() { s.startNode(n) })
 	})
 }
 
-// restarts has a part of the nodes drain, go, and come back cold.
-func (s *sim) restarts() {
-	if s.r.RestartAt == 0 {
+// scheduleRestarts has a part of the nodes drain, go, and come back cold.
+func (s *simulation) scheduleRestarts() {
+	if s.run.RestartAt == 0 {
 		return
 	}
-	for _, i := range s.rng.Perm(len(s.nodes))[:int(s.r.RestartPart*float64(len(s.nodes)))] {
+	for _, i := range s.rng.Perm(len(s.nodes))[:int(s.run.RestartPart*float64(len(s.nodes)))] {
 		n := s.nodes[i]
-		s.After(s.r.RestartAt+time.Duration(s.rng.Int64N(int64(s.r.RestartOver)+1)), func() {
+		s.After(s.run.RestartAt+time.Duration(s.rng.Int64N(int64(s.run.RestartOver)+1)), func() {
 			n.restarted = true
-			s.announce(n, endpoints.StatusTerminating)
-			s.After(toldMost+time.Second, func() {
-				s.stop(n)
-				s.announce(n, endpoints.StatusGone)
-				s.After(s.r.Down, func() {
-					n.up, n.started = true, s.Now()
-					s.announce(n, endpoints.StatusReady)
+			s.announceStatus(n, endpoints.StatusTerminating)
+			s.After(maxListDelay+time.Second, func() {
+				s.stopNode(n)
+				s.announceStatus(n, endpoints.StatusGone)
+				s.After(s.run.Down, func() {
+					n.up, n.startedAt = true, s.Now()
+					s.announceStatus(n, endpoints.StatusReady)
 				})
 			})
 		})
@@ -132,16 +132,16 @@
 }
 
 // resize has the list lose its last nodes, or get them back.
-func (s *sim) resize(size int) {
+func (s *simulation) resize(size int) {
 	for i, n := range s.nodes {
 		switch {
 		case i >= size && n.up:
 			n.restarted = true
-			s.announce(n, endpoints.StatusTerminating)
-			s.After(toldMost+time.Second, func() { s.stop(n); s.announce(n, endpoints.StatusGone) })
-		case i < size && !n.up && !n.fallen:
-			n.up, n.started = true, s.Now()
-			s.announce(n, endpoints.StatusReady)
+			s.announceStatus(n, endpoints.StatusTerminating)
+			s.After(maxListDelay+time.Second, func() { s.stopNode(n); s.announceStatus(n, endpoints.StatusGone) })
+		case i < size && !n.up && !n.overloaded:
+			n.up, n.startedAt = true, s.Now()
+			s.announceStatus(n, endpoints.StatusReady)
 		}
 	}
 }
--- a/internal/simulation/fleetsim/load_probes.go
+++ b/internal/simulation/fleetsim/load_probes.go
@@ -6,30 +6,30 @@
 	"orchiddrift/balancer"
 )
 
-// probe asks nodes, and goes on once all have answered or patience has ended.
-func (s *sim) probe(c *sidecar, names []string, then func()) {
-	wait := wire
+// probeLoad asks nodes, and goes on once all have answered or patience has ended.
+func (s *simulation) probeLoad(sc *sidecar, names []string, then func()) {
+	wait := networkRoundTrip
 	for _, name := range names {
 		n := s.byName[name]
-		s.out.Probes++
+		s.result.Probes++
 		if !n.up {
-			wait = s.r.Ask.Timeout.D()
+			wait = s.run.Ask.Timeout.D()
 			continue
 		}
-		n.owed += probeWork
+		n.probeWork += probeServiceTime
 	}
 	s.After(wait, func() {
 		for _, name := range names {
 			n := s.byName[name]
-			c.probe.Answered(s.Now(), name, n.up)
+			sc.prober.Answered(s.Now(), name, n.up)
 			answer := balancer.ProbeResult{Upstream: name, Result: balancer.Timeout}
 			if n.up {
-				answer.Result, answer.InFlight = balancer.OK, n.inHand()
-				if !s.r.Latent {
-					answer.Latency = time.Duration(n.took * float64(time.Second))
+				answer.Result, answer.InFlight = balancer.OK, n.inFlight()
+				if !s.run.Latent {
+					answer.Latency = time.Duration(n.meanLatency * float64(time.Second))
 				}
 			}
-			s.module(c, answer)
+			s.handleEvent(sc, answer)
 		}
 		then()
 	})
--- a/internal/simulation/fleetsim/network.go
+++ b/internal/simulation/fleetsim/network.go
@@ -6,162 +6,162 @@
 	"orchiddrift/balancer"
 )
 
-type pool struct {
-	idle []time.Duration // since when, the newest last
-	out  int
+type connectionPool struct {
+	idleSince []time.Duration // since when, the newest last
+	inUse     int
 }
 
 type attempt struct {
-	of     *request
-	by     *sidecar
-	number int
-	node   *node
-	sent   time.Duration
-	ended  bool
-	conn   bool // it holds a connection
-	found  int  // in hand at its node
-	in     time.Duration
-	life   int // of its sidecar's process
+	request           *request
+	sidecar           *sidecar
+	number            int
+	node              *node
+	sentAt            time.Duration
+	ended             bool
+	hasConnection     bool // it holds a connection
+	inFlightAtArrival int  // in hand at its node
+	arrivedAt         time.Duration
+	incarnation       int // of its sidecar's process
 }
 
-func (c *sidecar) pool(n *node) *pool {
-	p := c.conns[n]
-	if p == nil {
-		p = &pool{}
-		c.conns[n] = p
+func (c *sidecar) pool(n *node) *connectionPool {
+	pool := c.pools[n]
+	if pool == nil {
+		pool = &connectionPool{}
+		c.pools[n] = pool
 	}
-	return p
+	return pool
 }
 
-// send has an attempt go out, on an idle connection or a new one.
-func (s *sim) send(c *sidecar, x balancer.Action) {
-	q := c.asked[x.ID]
-	if q == nil {
+// sendAttempt has an attempt go out, on an idle connection or a new one.
+func (s *simulation) sendAttempt(sc *sidecar, action balancer.Action) {
+	req := sc.pending[action.ID]
+	if req == nil {
 		return
 	}
-	n := s.byName[x.Upstream]
-	a := &attempt{of: q, by: c, number: len(q.attempts), node: n, sent: s.Now(), life: c.life}
-	q.attempts = append(q.attempts, a)
-	s.out.Sends++
-	s.point().Sends++
-	if c.leave[n.name] {
-		s.broken("sent to " + n.name + " after it was told to be leaving")
+	n := s.byName[action.Upstream]
+	a := &attempt{request: req, sidecar: sc, number: len(req.attempts), node: n, sentAt: s.Now(), incarnation: sc.incarnation}
+	req.attempts = append(req.attempts, a)
+	s.result.Sends++
+	s.currentPoint().Sends++
+	if sc.inactive[n.name] {
+		s.recordViolation("sent to " + n.name + " after it was told to be leaving")
 	}
-	limit := q.expires - s.Now()
-	if x.Timeout > 0 {
-		limit = min(limit, x.Timeout)
+	limit := req.deadline - s.Now()
+	if action.Timeout > 0 {
+		limit = min(limit, action.Timeout)
 	}
-	s.After(limit, func() { s.outcome(a, balancer.Timeout) })
-	if c.warm != nil {
-		c.warm.RecordUse(s.Now(), n.name)
+	s.After(limit, func() { s.attemptEnded(a, balancer.Timeout) })
+	if sc.prewarmer != nil {
+		sc.prewarmer.RecordUse(s.Now(), n.name)
 	}
-	p := c.pool(n)
+	pool := sc.pool(n)
 	delay := time.Duration(0)
-	if last := len(p.idle) - 1; last >= 0 {
-		p.idle = p.idle[:last]
+	if last := len(pool.idleSince) - 1; last >= 0 {
+		pool.idleSince = pool.idleSince[:last]
 	} else {
 		if !n.up {
-			wait := wire
+			wait := networkRoundTrip
 			if n.silent {
-				wait = max(wire, s.r.Settings.ConnectTimeout)
+				wait = max(networkRoundTrip, s.run.Settings.ConnectTimeout)
 			}
-			s.out.Unreached++
-			s.After(wait, func() { s.outcome(a, balancer.ConnectFailed) })
+			s.result.Unreached++
+			s.After(wait, func() { s.attemptEnded(a, balancer.ConnectFailed) })
 			return
 		}
-		delay = s.r.Connect
-		s.made(c, n)
+		delay = s.run.Connect
+		s.connectionOpened(sc, n)
 		if a.number == 0 {
-			s.out.Waited++
+			s.result.Waited++
 		}
 	}
-	p.out++
-	a.conn = true
-	s.After(delay+wire/2, func() { s.arrive(a) })
+	pool.inUse++
+	a.hasConnection = true
+	s.After(delay+networkRoundTrip/2, func() { s.attemptArrived(a) })
 }
 
-func (s *sim) outcome(a *attempt, r balancer.Result) {
-	if a.ended || a.life != a.by.life {
+func (s *simulation) attemptEnded(a *attempt, result balancer.Result) {
+	if a.ended || a.incarnation != a.sidecar.incarnation {
 		return
 	}
 	a.ended = true
-	c, q := a.by, a.of
-	if a.conn {
-		p := c.conns[a.node]
-		p.out--
-		if (r == balancer.OK || r == balancer.Rejected) && a.node.up {
-			p.idle = append(p.idle, s.Now())
+	sc, req := a.sidecar, a.request
+	if a.hasConnection {
+		pool := sc.pools[a.node]
+		pool.inUse--
+		if (result == balancer.OK || result == balancer.Rejected) && a.node.up {
+			pool.idleSince = append(pool.idleSince, s.Now())
 		} else {
-			s.close(c, a.node, 1)
+			s.connectionsClosed(sc, a.node, 1)
 		}
 	}
-	if r == balancer.OK && !q.done {
-		s.took = append(s.took, s.Now()-q.came)
-		s.answer(c, q.id, &s.out.Served, 0)
+	if result == balancer.OK && !req.done {
+		s.latencies = append(s.latencies, s.Now()-req.arrivedAt)
+		s.finishRequest(sc, req.id, &s.result.Served, 0)
 	}
-	if c.p != nil {
-		s.chosen(c, q, a, r)
+	if sc.policy != nil {
+		s.policyAttemptEnded(sc, req, a, result)
 		return
 	}
-	if s.r.Probes != nil {
-		if r != balancer.OK {
-			s.answer(c, q.id, &s.out.Failed, 0)
+	if s.run.Probes != nil {
+		if result != balancer.OK {
+			s.finishRequest(sc, req.id, &s.result.Failed, 0)
 		}
 		return
 	}
-	s.module(c, balancer.Outcome{ID: q.id, Attempt: a.number, Result: r, Elapsed: s.Now() - a.sent, Final: q.done})
+	s.handleEvent(sc, balancer.Outcome{ID: req.id, Attempt: a.number, Result: result, Elapsed: s.Now() - a.sentAt, Final: req.done})
 }
 
-// after has an answer come to a sidecar, unless a cut is between them then.
-func (s *sim) after(d time.Duration, a *attempt, r balancer.Result) {
+// respondAfter has an answer come to a sidecar, unless a cut is between them then.
+func (s *simulation) respondAfter(d time.Duration, a *attempt, result balancer.Result) {
 	s.After(d, func() {
-		if !a.by.cut(a.node) {
-			s.outcome(a, r)
+		if !a.sidecar.partitionedFrom(a.node) {
+			s.attemptEnded(a, result)
 		}
 	})
 }
 
-// cut tells whether a sidecar does not reach a node.
-func (c *sidecar) cut(n *node) bool {
-	return c.zone != n.zone && (n.has(Cut) != nil || c.home.has(Cut) != nil)
+// partitionedFrom tells whether a sidecar does not reach a node.
+func (c *sidecar) partitionedFrom(n *node) bool {
+	return c.zone != n.zone && (n.fault(Cut) != nil || c.zoneNode.fault(Cut) != nil)
 }
 
-// made counts a connection that is being made.
-func (s *sim) made(c *sidecar, n *node) {
-	c.open++
-	c.top = max(c.top, c.open)
-	n.open++
-	n.top = max(n.top, n.open)
-	s.out.Opened++
-	if s.Now()-n.madeFrom >= time.Second {
-		n.made, n.madeFrom = 0, s.Now()
+// connectionOpened counts a connection that is being made.
+func (s *simulation) connectionOpened(sc *sidecar, n *node) {
+	sc.openConnections++
+	sc.maxOpenConnections = max(sc.maxOpenConnections, sc.openConnections)
+	n.openConnections++
+	n.maxOpenConnections = max(n.maxOpenConnections, n.openConnections)
+	s.result.Opened++
+	if s.Now()-n.newConnectionsSince >= time.Second {
+		n.newConnections, n.newConnectionsSince = 0, s.Now()
 	}
-	n.made++
-	s.out.MostMade = max(s.out.MostMade, n.made)
+	n.newConnections++
+	s.result.MostMade = max(s.result.MostMade, n.newConnections)
 }
 
-func (s *sim) close(c *sidecar, n *node, count int) {
-	c.open -= count
-	n.open -= count
+func (s *simulation) connectionsClosed(sc *sidecar, n *node, count int) {
+	sc.openConnections -= count
+	n.openConnections -= count
 }
 
-// sweep closes what has stood idle, and has the subset follow the traffic and the time.
-func (s *sim) sweep(c *sidecar) {
-	for n, p := range c.conns {
+// sweepSidecar closes what has stood idle, and has the subset follow the traffic and the time.
+func (s *simulation) sweepSidecar(sc *sidecar) {
+	for n, pool := range sc.pools {
 		drop := 0
-		for drop < len(p.idle) && s.Now()-p.idle[drop] >= s.r.Idle {
+		for drop < len(pool.idleSince) && s.Now()-pool.idleSince[drop] >= s.run.Idle {
 			drop++
 		}
-		p.idle = p.idle[drop:]
-		s.close(c, n, drop)
-		if len(p.idle)+p.out == 0 {
-			delete(c.conns, n)
+		pool.idleSince = pool.idleSince[drop:]
+		s.connectionsClosed(sc, n, drop)
+		if len(pool.idleSince)+pool.inUse == 0 {
+			delete(sc.pools, n)
 		}
 	}
-	if c.s != nil {
-		c.rate += rateBlend * (float64(c.sent)/sweep.Seconds() - c.rate) // as discovery.SubsetSink does
-		c.sent = 0
-		s.members(c, c.s.Rate(s.at(s.Now()), c.rate), balancer.IncrementalUpdate)
+	if sc.subset != nil {
+		sc.requestRate += rateSmoothing * (float64(sc.requestsSinceSweep)/sweepPeriod.Seconds() - sc.requestRate) // as discovery.SubsetSink does
+		sc.requestsSinceSweep = 0
+		s.updateEndpoints(sc, sc.subset.Rate(s.wallTime(s.Now()), sc.requestRate), balancer.IncrementalUpdate)
 	}
-	s.After(sweep, func() { s.sweep(c) })
+	s.After(sweepPeriod, func() { s.sweepSidecar(sc) })
 }
--- a/internal/simulation/fleetsim/node_report.go
+++ b/internal/simulation/fleetsim/node_report.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// worked counts a node's work, for its reports and the interval.
-func (s *sim) worked(n *node, took time.Duration) {
-	s.point().busy += took
-	n.roll(s.Now())
-	n.busyTime += took
-	n.answers++
+// recordServiceTime counts a node's work, for its reports and the interval.
+func (s *simulation) recordServiceTime(n *node, took time.Duration) {
+	s.currentPoint().busy += took
+	n.rollReport(s.Now())
+	n.busyInReport += took
+	n.answersInReport++
 }
 
 // recent latencies of a number in hand.
-type recentLatencies struct {
-	last [latenciesKept]time.Duration
-	n    int
+type latencyRing struct {
+	last  [latencyRingSize]time.Duration
+	count int
 }
 
 const (
-	latenciesKept = 8
-	mostInHand    = 64 // beyond, as this
+	latencyRingSize  = 8
+	latencyRingCount = 64 // beyond, as this
 )
 
-// keepLatency notes how long a request took that found so many in hand.
-func (n *node) keepLatency(found int, took time.Duration) {
-	if n.latencies == nil {
-		n.latencies = make([]recentLatencies, mostInHand)
+// recordLatency notes how long a request took that found so many in hand.
+func (n *node) recordLatency(found int, took time.Duration) {
+	if n.latenciesByInFlight == nil {
+		n.latenciesByInFlight = make([]latencyRing, latencyRingCount)
 	}
-	r := &n.latencies[min(found, mostInHand-1)]
-	r.last[r.n%latenciesKept] = took
-	r.n++
+	r := &n.latenciesByInFlight[min(found, latencyRingCount-1)]
+	r.last[r.count%latencyRingSize] = took
+	r.count++
 }
 
-// latency is what a request takes with as many in hand as now, as Prequal's servers tell it: the median of the last ones that found as many, or
+// expectedLatency is what a request takes with as many in hand as now, as Prequal's servers tell it: the median of the last ones that found as many, or
 // nearly as many, there.
-func (n *node) latency() time.Duration {
-	now := min(n.inHand(), mostInHand-1)
-	for off := range len(n.latencies) {
+func (n *node) expectedLatency() time.Duration {
+	now := min(n.inFlight(), latencyRingCount-1)
+	for off := range len(n.latenciesByInFlight) {
 		for _, i := range []int{now - off, now + off} {
-			if i >= 0 && i < len(n.latencies) && n.latencies[i].n > 0 {
-				r := n.latencies[i]
-				x := slices.Sorted(slices.Values(r.last[:min(r.n, latenciesKept)]))
+			if i >= 0 && i < len(n.latenciesByInFlight) && n.latenciesByInFlight[i].count > 0 {
+				r := n.latenciesByInFlight[i]
+				x := slices.Sorted(slices.Values(r.last[:min(r.count, latencyRingSize)]))
 				return x[len(x)/2]
 			}
 		}
@@ -50,17 +50,17 @@
 	return 0
 }
 
-// roll takes a second's counts over into the report.
-func (n *node) roll(now time.Duration) {
-	if passed := now - n.busyFrom; passed >= time.Second {
-		n.util.Utilization, n.util.Rate = min(1, n.busyTime.Seconds()/passed.Seconds()), float64(n.answers)/passed.Seconds()
-		n.busyFrom, n.busyTime, n.answers = now, 0, 0
+// rollReport takes a second's counts over into the report.
+func (n *node) rollReport(now time.Duration) {
+	if passed := now - n.reportSince; passed >= time.Second {
+		n.lastReport.Utilization, n.lastReport.Rate = min(1, n.busyInReport.Seconds()/passed.Seconds()), float64(n.answersInReport)/passed.Seconds()
+		n.reportSince, n.busyInReport, n.answersInReport = now, 0, 0
 	}
 }
 
-func (n *node) report(now time.Duration) Report {
-	n.roll(now)
-	r := n.util
-	r.InHand = n.inHand()
+func (n *node) currentReport(now time.Duration) Report {
+	n.rollReport(now)
+	r := n.lastReport
+	r.InHand = n.inFlight()
 	return r
 }
--- a/internal/simulation/fleetsim/policies.go
+++ b/internal/simulation/fleetsim/policies.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// members are the names, and no more.
-type members struct {
+// upstreamSet are the names, and no more.
+type upstreamSet struct {
 	rng   *rand.Rand
 	names []string
 }
 
-func (m *members) Members(names []string) { m.names = slices.Clone(names) }
+func (m *upstreamSet) Members(names []string) { m.names = slices.Clone(names) }
 
-func (m *members) Sent(time.Duration, string) {}
+func (m *upstreamSet) Sent(time.Duration, string) {}
 
-func (m *members) Done(time.Duration, Done) {}
+func (m *upstreamSet) Done(time.Duration, Done) {}
 
-func (m *members) Probe() []string { return nil }
+func (m *upstreamSet) Probe() []string { return nil }
 
-func (m *members) Probed(time.Duration, ProbeReply) {}
+func (m *upstreamSet) Probed(time.Duration, ProbeReply) {}
 
-func (m *members) any() string {
+func (m *upstreamSet) randomName() string {
 	if len(m.names) == 0 {
 		return ""
 	}
@@ -31,13 +31,13 @@
 }
 
 // random picks any.
-type random struct{ members }
+type random struct{ upstreamSet }
 
-func (p *random) Pick(time.Duration) string { return p.any() }
+func (p *random) Pick(time.Duration) string { return p.randomName() }
 
 // roundRobin picks one after another, from a place of its own.
 type roundRobin struct {
-	members
+	upstreamSet
 	next int
 }
 
@@ -49,26 +49,26 @@
 	return p.names[p.next%len(p.names)]
 }
 
-// pending counts what is in hand.
-type pending struct {
-	members
-	out map[string]int
+// leastPending counts what is in hand.
+type leastPending struct {
+	upstreamSet
+	inFlight map[string]int
 }
 
-func (p *pending) Sent(_ time.Duration, name string) { p.out[name]++ }
+func (p *leastPending) Sent(_ time.Duration, name string) { p.inFlight[name]++ }
 
-func (p *pending) Done(_ time.Duration, x Done) {
-	if p.out[x.Name]--; p.out[x.Name] <= 0 {
-		delete(p.out, x.Name)
+func (p *leastPending) Done(_ time.Duration, x Done) {
+	if p.inFlight[x.Name]--; p.inFlight[x.Name] <= 0 {
+		delete(p.inFlight, x.Name)
 	}
 }
 
 // leastOfTwo picks the one of two with less in hand (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001).
-type leastOfTwo struct{ pending }
+type leastOfTwo struct{ leastPending }
 
 func (p *leastOfTwo) Pick(time.Duration) string {
-	a, b := p.any(), p.any()
-	if p.out[b] < p.out[a] {
+	a, b := p.randomName(), p.randomName()
+	if p.inFlight[b] < p.inFlight[a] {
 		return b
 	}
 	return a
@@ -76,47 +76,47 @@
 
 // peakEWMA is Finagle's: peak-sensitive EWMA of latency x (in hand + 1), the better of two. No penalty, no ejection: what fails fast looks fast.
 type peakEWMA struct {
-	pending
-	of map[string]*ewma
+	leastPending
+	costs map[string]*ewma
 }
 
 type ewma struct {
-	cost float64 // s
-	at   time.Duration
+	cost      float64 // s
+	updatedAt time.Duration
 }
 
 const peakDecay = 10 * time.Second // Finagle's
 
 func (p *peakEWMA) load(now time.Duration, name string) float64 {
-	e := p.of[name]
+	e := p.costs[name]
 	if e == nil {
-		if p.out[name] == 0 {
+		if p.inFlight[name] == 0 {
 			return 0
 		}
 		return math.MaxFloat32 // not known, and something is there: as in Finagle, by a penalty for a second one
 	}
-	w := math.Exp(-float64(now-e.at) / float64(peakDecay))
-	return e.cost * w * float64(p.out[name]+1)
+	w := math.Exp(-float64(now-e.updatedAt) / float64(peakDecay))
+	return e.cost * w * float64(p.inFlight[name]+1)
 }
 
 func (p *peakEWMA) Pick(now time.Duration) string {
-	a, b := p.any(), p.any()
+	a, b := p.randomName(), p.randomName()
 	if p.load(now, b) < p.load(now, a) {
 		return b
 	}
 	return a
 }
 
-func (p *peakEWMA) Done(now time.Duration, x Done) {
-	p.pending.Done(now, x)
-	e, took := p.of[x.Name], x.Took.Seconds()
+func (p *peakEWMA) Done(now time.Duration, outcome Done) {
+	p.leastPending.Done(now, outcome)
+	e, took := p.costs[outcome.Name], outcome.Took.Seconds()
 	switch {
 	case e == nil:
-		p.of[x.Name] = &ewma{took, now}
+		p.costs[outcome.Name] = &ewma{took, now}
 	case took > e.cost:
 		*e = ewma{took, now}
 	default:
-		w := math.Exp(-float64(now-e.at) / float64(peakDecay))
+		w := math.Exp(-float64(now-e.updatedAt) / float64(peakDecay))
 		*e = ewma{e.cost*w + took*(1-w), now}
 	}
 }
--- a/internal/simulation/fleetsim/policy.go
+++ b/internal/simulation/fleetsim/policy.go
@@ -42,58 +42,58 @@
 
 // Policies are those that experiments name, each made from a sidecar's own chance.
 var Policies = map[string]func(rng *rand.Rand) Policy{
-	"random":               func(rng *rand.Rand) Policy { return &random{members{rng: rng}} },
-	"round robin":          func(rng *rand.Rand) Policy { return &roundRobin{members{rng: rng}, rng.IntN(1 << 20)} },
-	"least of two":         func(rng *rand.Rand) Policy { return &leastOfTwo{pending{members{rng: rng}, map[string]int{}}} },
-	"weighted round robin": func(rng *rand.Rand) Policy { return &weighted{members: members{rng: rng}} },
+	"random":               func(rng *rand.Rand) Policy { return &random{upstreamSet{rng: rng}} },
+	"round robin":          func(rng *rand.Rand) Policy { return &roundRobin{upstreamSet{rng: rng}, rng.IntN(1 << 20)} },
+	"least of two":         func(rng *rand.Rand) Policy { return &leastOfTwo{leastPending{upstreamSet{rng: rng}, map[string]int{}}} },
+	"weighted round robin": func(rng *rand.Rand) Policy { return &weightedRoundRobin{upstreamSet: upstreamSet{rng: rng}} },
 	"peak ewma": func(rng *rand.Rand) Policy {
-		return &peakEWMA{pending{members{rng: rng}, map[string]int{}}, map[string]*ewma{}}
+		return &peakEWMA{leastPending{upstreamSet{rng: rng}, map[string]int{}}, map[string]*ewma{}}
 	},
-	"prequal": func(rng *rand.Rand) Policy { return &prequal{members: members{rng: rng}} },
+	"prequal": func(rng *rand.Rand) Policy { return &prequal{upstreamSet: upstreamSet{rng: rng}} },
 }
 
-// choose has a Policy pick a node for a request.
-func (s *sim) choose(c *sidecar, q *request) {
-	name := c.p.Pick(s.Now())
+// pickUpstream has a Policy pick a node for a request.
+func (s *simulation) pickUpstream(sc *sidecar, req *request) {
+	name := sc.policy.Pick(s.Now())
 	if name == "" || s.byName[name] == nil {
-		s.answer(c, q.id, &s.out.Refused, 0)
+		s.finishRequest(sc, req.id, &s.result.Refused, 0)
 		return
 	}
-	c.p.Sent(s.Now(), name)
-	s.send(c, balancer.Action{ID: q.id, Upstream: name})
-	for _, name := range c.p.Probe() {
+	sc.policy.Sent(s.Now(), name)
+	s.sendAttempt(sc, balancer.Action{ID: req.id, Upstream: name})
+	for _, name := range sc.policy.Probe() {
 		n := s.byName[name]
-		s.out.Probes++
-		if !n.up || c.cut(n) || n.has(Freeze) != nil {
+		s.result.Probes++
+		if !n.up || sc.partitionedFrom(n) || n.fault(Freeze) != nil {
 			continue
 		}
-		n.owed += probeWork
-		s.After(wire, func() {
+		n.probeWork += probeServiceTime
+		s.After(networkRoundTrip, func() {
 			if n.up {
-				c.p.Probed(s.Now(), ProbeReply{name, n.latency(), n.report(s.Now())})
+				sc.policy.Probed(s.Now(), ProbeReply{name, n.expectedLatency(), n.currentReport(s.Now())})
 			}
 		})
 	}
 }
 
-// chosen tells a Policy how a send ended, and tries again where that is harmless: alike for all policies.
-func (s *sim) chosen(c *sidecar, q *request, a *attempt, r balancer.Result) {
-	x := Done{Name: a.node.name, Took: s.Now() - a.sent, Result: r}
-	if r == balancer.OK {
-		x.Report = a.node.report(s.Now())
+// policyAttemptEnded tells a Policy how a send ended, and tries again where that is harmless: alike for all policies.
+func (s *simulation) policyAttemptEnded(sc *sidecar, req *request, a *attempt, result balancer.Result) {
+	outcome := Done{Name: a.node.name, Took: s.Now() - a.sentAt, Result: result}
+	if result == balancer.OK {
+		outcome.Report = a.node.currentReport(s.Now())
 	}
-	c.p.Done(s.Now(), x)
-	if q.done {
+	sc.policy.Done(s.Now(), outcome)
+	if req.done {
 		return
 	}
-	unrun := r == balancer.Rejected || r == balancer.ConnectFailed
-	safe := s.r.Settings.Classes[q.op.class].Idempotency == balancer.Idempotent
+	unrun := result == balancer.Rejected || result == balancer.ConnectFailed
+	safe := s.run.Settings.Classes[req.operation.class].Idempotency == balancer.Idempotent
 	switch {
-	case s.Now() < q.expires && len(q.attempts) < s.r.Tries && (unrun || safe):
-		s.choose(c, q)
-	case unrun && len(q.attempts) == 1:
-		s.answer(c, q.id, &s.out.Refused, 0)
+	case s.Now() < req.deadline && len(req.attempts) < s.run.Tries && (unrun || safe):
+		s.pickUpstream(sc, req)
+	case unrun && len(req.attempts) == 1:
+		s.finishRequest(sc, req.id, &s.result.Refused, 0)
 	default:
-		s.answer(c, q.id, &s.out.Failed, 0)
+		s.finishRequest(sc, req.id, &s.result.Failed, 0)
 	}
 }
--- a/internal/simulation/fleetsim/policy_prequal.go
+++ b/internal/simulation/fleetsim/policy_prequal.go
@@ -10,34 +10,34 @@
 // each request has three random nodes probed for requests in hand and latency; 16 answers at most are kept, for a second; the pick is the
 // cold one with the least latency, or if all are hot the one with the least in hand; the worst and the oldest leave in turn.
 type prequal struct {
-	members
-	pool  []kept
-	seen  []int // in hand, in the last answers
-	worst bool  // the next to leave is the worst
+	upstreamSet
+	pool            []pooledReply
+	inFlightSeen    []int // in hand, in the last answers
+	removeWorstNext bool  // the next to leave is the worst
 }
 
-type kept struct {
+type pooledReply struct {
 	ProbeReply
-	at   time.Duration
-	uses int
+	receivedAt time.Duration
+	uses       int
 }
 
 const (
-	prequalProbes = 3
-	prequalPool   = 16
-	prequalAge    = time.Second
-	prequalUses   = 2 // about what the paper's formula gives for this pool and these probes
+	prequalProbes   = 3
+	prequalPoolSize = 16
+	prequalMaxAge   = time.Second
+	prequalMaxUses  = 2 // about what the paper's formula gives for this pool and these probes
 )
 
 func (p *prequal) Members(names []string) {
-	p.members.Members(names)
-	p.pool = slices.DeleteFunc(p.pool, func(k kept) bool { return !slices.Contains(p.names, k.Name) })
+	p.upstreamSet.Members(names)
+	p.pool = slices.DeleteFunc(p.pool, func(k pooledReply) bool { return !slices.Contains(p.names, k.Name) })
 }
 
 func (p *prequal) Probe() []string {
 	var names []string
 	for range prequalProbes {
-		if name := p.any(); name != "" {
+		if name := p.randomName(); name != "" {
 			names = append(names, name)
 		}
 	}
@@ -48,16 +48,16 @@
 	if !slices.Contains(p.names, x.Name) {
 		return
 	}
-	p.seen = append(p.seen[max(0, len(p.seen)-seenProbes+1):], x.Report.InHand)
-	if len(p.pool) == prequalPool {
+	p.inFlightSeen = append(p.inFlightSeen[max(0, len(p.inFlightSeen)-hotWindow+1):], x.Report.InHand)
+	if len(p.pool) == prequalPoolSize {
 		p.pool = p.pool[1:]
 	}
-	p.pool = append(p.pool, kept{x, now, 0})
+	p.pool = append(p.pool, pooledReply{x, now, 0})
 }
 
 // worse orders by the hot-cold rule.
-func (p *prequal) worse(hot int) func(a, b kept) int {
-	return func(a, b kept) int {
+func (p *prequal) worse(hot int) func(a, b pooledReply) int {
+	return func(a, b pooledReply) int {
 		hotA, hotB := a.Report.InHand > hot, b.Report.InHand > hot
 		switch {
 		case hotA != hotB && hotA:
@@ -72,13 +72,13 @@
 }
 
 func (p *prequal) Pick(now time.Duration) string {
-	p.pool = slices.DeleteFunc(p.pool, func(k kept) bool { return now-k.at > prequalAge || k.uses >= prequalUses })
+	p.pool = slices.DeleteFunc(p.pool, func(k pooledReply) bool { return now-k.receivedAt > prequalMaxAge || k.uses >= prequalMaxUses })
 	if len(p.pool) < 2 {
-		return p.any()
+		return p.randomName()
 	}
 	hot := 0
-	if len(p.seen) > 0 {
-		sorted := slices.Sorted(slices.Values(p.seen))
+	if len(p.inFlightSeen) > 0 {
+		sorted := slices.Sorted(slices.Values(p.inFlightSeen))
 		hot = sorted[int(hotQuantile*float64(len(sorted)-1))]
 	}
 	best := 0
@@ -90,7 +90,7 @@
 	name := p.pool[best].Name
 	p.pool[best].uses++
 	p.pool[best].Report.InHand++ // the request itself
-	if p.worst = !p.worst; p.worst {
+	if p.removeWorstNext = !p.removeWorstNext; p.removeWorstNext {
 		at := 0
 		for i := range p.pool {
 			if p.worse(hot)(p.pool[i], p.pool[at]) > 0 {
--- a/internal/simulation/fleetsim/policy_weighted.go
+++ b/internal/simulation/fleetsim/policy_weighted.go
@@ -9,33 +9,33 @@
 	"orchiddrift/balancer"
 )
 
-// weighted is round robin by weights that nodes report: rate over utilization, with errors as more utilization, as in gRPC's proposal A58
+// weightedRoundRobin is round robin by weights that nodes report: rate over utilization, with errors as more utilization, as in gRPC's proposal A58
 // (weighted_round_robin). Weights are taken anew each second; a node without one has the mean; it is scheduled by earliest deadline.
-type weighted struct {
-	members
-	of   map[string]*weight
-	at   time.Duration
-	mean float64
+type weightedRoundRobin struct {
+	upstreamSet
+	weights    map[string]*weight
+	updatedAt  time.Duration
+	meanWeight float64
 }
 
 type weight struct {
-	w, next       float64
-	good, bad     float64
-	rate, utilize float64
+	value, nextDeadline float64
+	successes, failures float64
+	rate, utilization   float64
 }
 
 const (
-	weightEvery  = time.Second
-	errorPenalty = 1.0
+	weightUpdatePeriod = time.Second
+	errorPenalty       = 1.0
 )
 
-func (p *weighted) Members(names []string) {
-	p.members.Members(names)
-	old := p.of
-	p.of = map[string]*weight{}
+func (p *weightedRoundRobin) Members(names []string) {
+	p.upstreamSet.Members(names)
+	old := p.weights
+	p.weights = map[string]*weight{}
 	first := math.Inf(1) // a new one is not given what it missed
 	for _, w := range old {
-		first = min(first, w.next)
+		first = min(first, w.nextDeadline)
 	}
 	if len(old) == 0 {
 		first = 0
@@ -43,49 +43,49 @@
 	for _, name := range p.names {
 		w := old[name]
 		if w == nil {
-			w = &weight{next: first + p.rng.Float64()}
+			w = &weight{nextDeadline: first + p.rng.Float64()}
 		}
-		p.of[name] = w
+		p.weights[name] = w
 	}
 }
 
-func (p *weighted) Done(_ time.Duration, x Done) {
-	w := p.of[x.Name]
+func (p *weightedRoundRobin) Done(_ time.Duration, outcome Done) {
+	w := p.weights[outcome.Name]
 	if w == nil {
 		return
 	}
-	if x.Result == balancer.OK {
-		w.good++
-		w.rate, w.utilize = x.Report.Rate, x.Report.Utilization
+	if outcome.Result == balancer.OK {
+		w.successes++
+		w.rate, w.utilization = outcome.Report.Rate, outcome.Report.Utilization
 	} else {
-		w.bad++
+		w.failures++
 	}
 }
 
-func (p *weighted) Pick(now time.Duration) string {
+func (p *weightedRoundRobin) Pick(now time.Duration) string {
 	if len(p.names) == 0 {
 		return ""
 	}
-	if now-p.at >= weightEvery {
-		p.at = now
+	if now-p.updatedAt >= weightUpdatePeriod {
+		p.updatedAt = now
 		sum, n := 0.0, 0
 		for _, name := range p.names {
-			w := p.of[name]
-			if all := w.good + w.bad; all > 0 && w.rate > 0 && w.utilize > 0 {
-				w.w = w.rate / (w.utilize + errorPenalty*w.bad/all)
+			w := p.weights[name]
+			if all := w.successes + w.failures; all > 0 && w.rate > 0 && w.utilization > 0 {
+				w.value = w.rate / (w.utilization + errorPenalty*w.failures/all)
 			}
-			if w.good, w.bad = 0, 0; w.w > 0 {
-				sum, n = sum+w.w, n+1
+			if w.successes, w.failures = 0, 0; w.value > 0 {
+				sum, n = sum+w.value, n+1
 			}
 		}
-		p.mean = sum / max(1, float64(n))
+		p.meanWeight = sum / max(1, float64(n))
 	}
-	best := slices.MinFunc(p.names, func(a, b string) int { return cmp.Compare(p.of[a].next, p.of[b].next) })
-	w := p.of[best]
-	of := w.w
+	best := slices.MinFunc(p.names, func(a, b string) int { return cmp.Compare(p.weights[a].nextDeadline, p.weights[b].nextDeadline) })
+	w := p.weights[best]
+	of := w.value
 	if of == 0 {
-		of = max(p.mean, 1)
+		of = max(p.meanWeight, 1)
 	}
-	w.next += max(p.mean, 1) / of
+	w.nextDeadline += max(p.meanWeight, 1) / of
 	return best
 }
--- a/internal/simulation/fleetsim/prewarming.go
+++ b/internal/simulation/fleetsim/prewarming.go
@@ -1,34 +1,34 @@
 package fleetsim
 
-// keepWarm opens what the sidecar's warmer names, as upstream.Pool.Prewarm does.
-func (s *sim) keepWarm(c *sidecar) {
-	c.warm.SetMembers(s.Now(), c.ready)
+// prewarmConnections opens what the sidecar's warmer names, as upstream.Pool.Prewarm does.
+func (s *simulation) prewarmConnections(sc *sidecar) {
+	sc.prewarmer.SetMembers(s.Now(), sc.prewarmMembers)
 	open := func(name string) int {
-		p := c.conns[s.byName[name]]
-		if p == nil {
+		pool := sc.pools[s.byName[name]]
+		if pool == nil {
 			return 0
 		}
-		return len(p.idle) + p.out
+		return len(pool.idleSince) + pool.inUse
 	}
-	for _, name := range c.warm.Tick(s.Now(), open, c.open) {
-		n, process := s.byName[name], c.warm.Process(name)
+	for _, name := range sc.prewarmer.Tick(s.Now(), open, sc.openConnections) {
+		n, process := s.byName[name], sc.prewarmer.Process(name)
 		if !n.up {
-			s.After(wire, func() { c.warm.Connected(s.Now(), name, process, false) })
+			s.After(networkRoundTrip, func() { sc.prewarmer.Connected(s.Now(), name, process, false) })
 			continue
 		}
-		s.made(c, n)
-		s.out.Ahead++
-		epoch := n.epoch
-		s.After(s.r.Connect, func() {
-			ok := n.up && n.epoch == epoch
+		s.connectionOpened(sc, n)
+		s.result.Ahead++
+		epoch := n.incarnation
+		s.After(s.run.Connect, func() {
+			ok := n.up && n.incarnation == epoch
 			if ok {
-				p := c.pool(n)
-				p.idle = append(p.idle, s.Now())
+				pool := sc.pool(n)
+				pool.idleSince = append(pool.idleSince, s.Now())
 			} else {
-				s.close(c, n, 1)
+				s.connectionsClosed(sc, n, 1)
 			}
-			c.warm.Connected(s.Now(), name, process, ok)
+			sc.prewarmer.Connected(s.Now(), name, process, ok)
 		})
 	}
-	s.After(warmEvery, func() { s.keepWarm(c) })
+	s.After(prewarmPeriod, func() { s.prewarmConnections(sc) })
 }
--- a/internal/simulation/fleetsim/probes.go
+++ b/internal/simulation/fleetsim/probes.go
@@ -17,49 +17,49 @@
 }
 
 const (
-	hotQuantile = 0.84 // of requests in hand seen in answers; above it a node is hot
-	seenProbes  = 128  // answers that the quantile is of
-	tookBlend   = 0.1
+	hotQuantile      = 0.84 // of requests in hand seen in answers; above it a node is hot
+	hotWindow        = 128  // answers that the quantile is of
+	latencySmoothing = 0.1
 )
 
-// probed has a request choose by probes.
-func (s *sim) probed(c *sidecar, q *request) {
-	if len(c.own) == 0 {
-		s.answer(c, q.id, &s.out.Refused, 0)
+// pickByProbes has a request choose by probes.
+func (s *simulation) pickByProbes(sc *sidecar, req *request) {
+	if len(sc.activeUpstreams) == 0 {
+		s.finishRequest(sc, req.id, &s.result.Refused, 0)
 		return
 	}
-	s.After(wire, func() { // there and back
+	s.After(networkRoundTrip, func() { // there and back
 		var best *node
-		bestHot, hot := true, c.hot()
-		for range s.r.Probes.Each {
-			n := s.byName[c.own[c.rng.IntN(len(c.own))]]
+		bestHot, hot := true, sc.hotThreshold()
+		for range s.run.Probes.Each {
+			n := s.byName[sc.activeUpstreams[sc.rng.IntN(len(sc.activeUpstreams))]]
 			if !n.up {
 				continue
 			}
-			s.out.Probes++
-			n.owed += s.r.Probes.Cost
-			in := n.inHand()
-			c.seen = append(c.seen[max(0, len(c.seen)-seenProbes+1):], in)
+			s.result.Probes++
+			n.probeWork += s.run.Probes.Cost
+			in := n.inFlight()
+			sc.probedInFlight = append(sc.probedInFlight[max(0, len(sc.probedInFlight)-hotWindow+1):], in)
 			isHot := in > hot
 			switch {
 			case best == nil, bestHot && !isHot:
 				best, bestHot = n, isHot
-			case isHot && bestHot && in < best.inHand(), !isHot && !bestHot && n.took < best.took:
+			case isHot && bestHot && in < best.inFlight(), !isHot && !bestHot && n.meanLatency < best.meanLatency:
 				best = n
 			}
 		}
 		if best == nil {
-			best = s.byName[c.own[c.rng.IntN(len(c.own))]]
+			best = s.byName[sc.activeUpstreams[sc.rng.IntN(len(sc.activeUpstreams))]]
 		}
-		s.send(c, balancer.Action{ID: q.id, Upstream: best.name})
+		s.sendAttempt(sc, balancer.Action{ID: req.id, Upstream: best.name})
 	})
 }
 
-// hot is the number in hand above which a node is hot.
-func (c *sidecar) hot() int {
-	if len(c.seen) == 0 {
+// hotThreshold is the number in hand above which a node is hot.
+func (c *sidecar) hotThreshold() int {
+	if len(c.probedInFlight) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(c.seen))
+	sorted := slices.Sorted(slices.Values(c.probedInFlight))
 	return sorted[int(hotQuantile*float64(len(sorted)-1))]
 }
--- a/internal/simulation/fleetsim/result.go
+++ b/internal/simulation/fleetsim/result.go
@@ -44,36 +44,36 @@
 	busy                           time.Duration
 }
 
-// sum makes the result of what was counted.
-func (s *sim) sum() {
-	o := &s.out
+// summarize makes the result of what was counted.
+func (s *simulation) summarize() {
+	o := &s.result
 	most, total, up := time.Duration(0), time.Duration(0), 0
 	for _, n := range s.nodes {
-		if n.asked > 0 {
+		if n.attempts > 0 {
 			o.Asked++
 		}
-		o.MostNode = max(o.MostNode, float64(n.top))
-		if !n.restarted && !n.fallen {
-			most, total, up = max(most, n.work), total+n.work, up+1
+		o.MostNode = max(o.MostNode, float64(n.maxOpenConnections))
+		if !n.restarted && !n.overloaded {
+			most, total, up = max(most, n.servedTime), total+n.servedTime, up+1
 		}
 	}
 	if total > 0 {
 		o.Spread = float64(most) * float64(up) / float64(total)
 	}
-	if s.openN > 0 {
-		o.OpenNode = s.openSum / float64(s.openN)
+	if s.openConnectionSamples > 0 {
+		o.OpenNode = s.openConnectionSum / float64(s.openConnectionSamples)
 	}
-	for _, c := range s.sidecars {
-		o.OpenSidecar = max(o.OpenSidecar, c.top)
-		if c.s != nil {
-			own, _ := c.s.Size()
+	for _, sc := range s.sidecars {
+		o.OpenSidecar = max(o.OpenSidecar, sc.maxOpenConnections)
+		if sc.subset != nil {
+			own, _ := sc.subset.Size()
 			o.Own += float64(own) / float64(len(s.sidecars))
 		} else {
 			o.Own = float64(len(s.nodes))
 		}
 	}
-	slices.Sort(s.took)
-	if n := len(s.took); n > 0 {
-		o.P50, o.P99 = s.took[n/2], s.took[n*99/100]
+	slices.Sort(s.latencies)
+	if n := len(s.latencies); n > 0 {
+		o.P50, o.P99 = s.latencies[n/2], s.latencies[n*99/100]
 	}
 }
--- a/internal/simulation/fleetsim/simulation.go
+++ b/internal/simulation/fleetsim/simulation.go
@@ -8,33 +8,33 @@
 	"orchiddrift/internal/simulation/virtualtime"
 )
 
-type sim struct {
+type simulation struct {
 	*virtualtime.Time
-	r        Run
-	rng      *rand.Rand
-	wall     time.Time // at Origin
-	nodes    []*node
-	byName   map[string]*node
-	sidecars []*sidecar
-	out      Result
-	ids      int
-	took     []time.Duration
-	none     Point
-	openSum  float64
-	openN    int
-	served   time.Duration // when discovery has worked through its calls
-	callsIn  time.Duration // the second that calls are counted in
-	calls    int
+	run                   Run
+	rng                   *rand.Rand
+	wallClockOrigin       time.Time // at Origin
+	nodes                 []*node
+	byName                map[string]*node
+	sidecars              []*sidecar
+	result                Result
+	lastID                int
+	latencies             []time.Duration
+	discardedPoint        Point
+	openConnectionSum     float64
+	openConnectionSamples int
+	discoveryBusyUntil    time.Duration // when discovery has worked through its calls
+	callCountSecond       time.Duration // the second that calls are counted in
+	callsInSecond         int
 }
 
 const (
-	wire      = 300 * time.Microsecond // one way and back
-	toldMost  = 200 * time.Millisecond // a change of the list reaches every sidecar within this
-	sweep     = time.Second
-	rateBlend = 0.1
-	nodeQueue = 1000
-	warmEvery = 100 * time.Millisecond
-	probeWork = 200 * time.Microsecond // of a node's core
+	networkRoundTrip = 300 * time.Microsecond // one way and back
+	maxListDelay     = 200 * time.Millisecond // a change of the list reaches every sidecar within this
+	sweepPeriod      = time.Second
+	rateSmoothing    = 0.1
+	maxNodeQueue     = 1000
+	prewarmPeriod    = 100 * time.Millisecond
+	probeServiceTime = 200 * time.Microsecond // of a node's core
 )
 
 // Play plays a run.
@@ -48,7 +48,7 @@
 	if r.Descriptors == 0 {
 		r.Descriptors = 496
 	}
-	s := &sim{Time: virtualtime.New(), r: r, rng: rand.New(rand.NewPCG(r.Seed, 11)), wall: time.UnixMilli(1_800_000_000_000),
+	s := &simulation{Time: virtualtime.New(), run: r, rng: rand.New(rand.NewPCG(r.Seed, 11)), wallClockOrigin: time.UnixMilli(1_800_000_000_000),
 		byName: map[string]*node{}}
 	for i := range r.Nodes {
 		n := &node{name: fmt.Sprintf("node-%05d", i), index: i, zone: fmt.Sprint("z", i%r.Zones), up: true, listed: true, speed: 1}
@@ -67,27 +67,29 @@
 		total += share(i)
 	}
 	for i := range r.Sidecars {
-		c, err := s.sidecar(i)
+		sc, err := s.addSidecar(i)
 		if err != nil {
 			return nil, err
 		}
 		if rate := r.Rate * share(i) / total; rate > 0 {
-			s.traffic(c, rate)
+			s.startTraffic(sc, rate)
 		}
-		s.After(time.Duration(s.rng.Int64N(int64(sweep))), func() { s.sweep(c) })
+		s.After(time.Duration(s.rng.Int64N(int64(sweepPeriod))), func() { s.sweepSidecar(sc) })
 	}
-	s.restarts()
-	s.faults()
-	s.discovery()
+	s.scheduleRestarts()
+	s.scheduleFaults()
+	s.scheduleDiscoveryOutage()
 	for _, z := range r.Sizes {
 		s.At(virtualtime.Origin+z.At, func() { s.resize(z.Nodes) })
 	}
-	s.sample()
+	s.sampleOpenConnections()
 	s.Run(r.Length)
 	s.closePoint()
-	s.check()
-	s.sum()
-	return &s.out, nil
+	s.checkUnanswered()
+	s.summarize()
+	return &s.result, nil
 }
 
-func (s *sim) at(t time.Duration) time.Time { return s.wall.Add(t - virtualtime.Origin) }
+func (s *simulation) wallTime(t time.Duration) time.Time {
+	return s.wallClockOrigin.Add(t - virtualtime.Origin)
+}
--- a/internal/simulation/fleetsim/traffic.go
+++ b/internal/simulation/fleetsim/traffic.go
@@ -8,85 +8,85 @@
 )
 
 type request struct {
-	id       string
-	work     time.Duration
-	came     time.Duration
-	expires  time.Duration
-	attempts []*attempt
-	done     bool
-	op       *operation
-	ran      int // times that it ran to its end
+	id          string
+	serviceTime time.Duration
+	arrivedAt   time.Duration
+	deadline    time.Duration
+	attempts    []*attempt
+	done        bool
+	operation   *operation
+	executions  int // times that it ran to its end
 }
 
 // operation is what a client wants, over however many requests.
 type operation struct {
-	class int
-	work  time.Duration
-	came  time.Duration
-	tries int
-	wait  time.Duration
+	class       int
+	serviceTime time.Duration
+	startedAt   time.Duration
+	retries     int
+	backoff     time.Duration
 }
 
-func (s *sim) traffic(c *sidecar, rate float64) {
+func (s *simulation) startTraffic(sc *sidecar, rate float64) {
 	var next func()
 	next = func() {
-		now := s.rate()
+		now := s.rateMultiple()
 		if now > 0 {
-			s.ask(c)
+			s.beginOperation(sc)
 		}
-		s.After(time.Duration(c.rng.ExpFloat64()/rate/max(now, 0.01)*float64(time.Second)), next)
+		s.After(time.Duration(sc.rng.ExpFloat64()/rate/max(now, 0.01)*float64(time.Second)), next)
 	}
-	s.After(time.Duration(c.rng.ExpFloat64()/rate*float64(time.Second)), next)
+	s.After(time.Duration(sc.rng.ExpFloat64()/rate*float64(time.Second)), next)
 }
 
-func (s *sim) ask(c *sidecar) {
-	op := &operation{came: s.Now()}
-	if len(s.r.Mix) > 1 {
-		for x := c.rng.Float64(); op.class < len(s.r.Mix)-1; op.class++ {
-			if x -= s.r.Mix[op.class]; x < 0 {
+func (s *simulation) beginOperation(sc *sidecar) {
+	op := &operation{startedAt: s.Now()}
+	if len(s.run.Mix) > 1 {
+		for x := sc.rng.Float64(); op.class < len(s.run.Mix)-1; op.class++ {
+			if x -= s.run.Mix[op.class]; x < 0 {
 				break
 			}
 		}
 	}
-	op.work = time.Duration(c.rng.ExpFloat64() * float64(s.r.Work))
-	s.out.Operations++
-	s.point().Operations++
-	s.request(c, op)
+	op.serviceTime = time.Duration(sc.rng.ExpFloat64() * float64(s.run.Work))
+	s.result.Operations++
+	s.currentPoint().Operations++
+	s.sendRequest(sc, op)
 }
 
-// request is one of an operation's.
-func (s *sim) request(c *sidecar, op *operation) {
-	s.ids++
-	class := &s.r.Settings.Classes[op.class]
-	q := &request{id: strconv.Itoa(s.ids), work: op.work, came: s.Now(), expires: s.Now() + class.Deadline, op: op}
-	c.asked[q.id] = q
-	c.sent++
-	s.out.Requests++
-	s.point().Asked++
-	if c.p != nil {
-		s.choose(c, q)
+// sendRequest is one of an operation's.
+func (s *simulation) sendRequest(sc *sidecar, op *operation) {
+	s.lastID++
+	class := &s.run.Settings.Classes[op.class]
+	req := &request{id: strconv.Itoa(s.lastID), serviceTime: op.serviceTime, arrivedAt: s.Now(), deadline: s.Now() + class.Deadline, operation: op}
+	sc.pending[req.id] = req
+	sc.requestsSinceSweep++
+	s.result.Requests++
+	s.currentPoint().Asked++
+	if sc.policy != nil {
+		s.pickUpstream(sc, req)
 		return
 	}
-	if s.r.Probes != nil {
-		s.probed(c, q)
+	if s.run.Probes != nil {
+		s.pickByProbes(sc, req)
 		return
 	}
 	decide := func() {
-		s.module(c, balancer.Request{ID: q.id, Class: class.Name, Deadline: q.expires, CostHint: s.hint(q)})
+		s.handleEvent(sc, balancer.Request{ID: req.id, Class: class.Name, Deadline: req.deadline, CostHint: s.costHint(req)})
 	}
-	if c.probe != nil {
-		if names := c.probe.Targets(s.Now()); len(names) > 0 {
-			s.probe(c, names, decide)
+	if sc.prober != nil {
+		if names := sc.prober.Targets(s.Now()); len(names) > 0 {
+			s.probeLoad(sc, names, decide)
 			return
 		}
 	}
 	decide()
 }
 
-// rate is the multiple of Run.Rate now.
-func (s *sim) rate() float64 {
+// rateMultiple is the multiple of Run.Rate now.
+func (s *simulation) rateMultiple() float64 {
 	of := 1.0
-	for _, x := range s.r.Steps {
+	for _, x := range s.run.Steps {
 		if x.At <= s.Since() {
 			of = x.Rate
 		}
@@ -94,42 +94,42 @@
 	return of
 }
 
-// ended tells a client of its request's end.
-func (s *sim) ended(c *sidecar, q *request, end *int, retryIn time.Duration) {
-	op := q.op
-	p := s.point()
+// requestEnded tells a client of its request's end.
+func (s *simulation) requestEnded(sc *sidecar, req *request, end *int, retryIn time.Duration) {
+	op := req.operation
+	p := s.currentPoint()
 	switch end {
-	case &s.out.Served:
+	case &s.result.Served:
 		p.Served++
 		p.Done++
-		s.out.Done++
-		took := s.Now() - op.came
+		s.result.Done++
+		took := s.Now() - op.startedAt
 		if p.latencies != nil {
 			_ = p.latencies.RecordValue(max(1, took.Microseconds())) // it is within the bounds
 		}
 		return
-	case &s.out.Refused:
+	case &s.result.Refused:
 		p.Refused++
 	default:
 		p.Failed++
 	}
-	safe := s.r.Settings.Classes[op.class].Idempotency == balancer.Idempotent
-	if op.tries >= s.r.Clients.Tries || end != &s.out.Refused && !safe {
+	safe := s.run.Settings.Classes[op.class].Idempotency == balancer.Idempotent
+	if op.retries >= s.run.Clients.Tries || end != &s.result.Refused && !safe {
 		return
 	}
-	op.tries++
-	op.wait = max(s.r.Clients.Wait, 2*op.wait)
-	wait := op.wait
-	if s.r.Clients.Heed {
+	op.retries++
+	op.backoff = max(s.run.Clients.Wait, 2*op.backoff)
+	wait := op.backoff
+	if s.run.Clients.Heed {
 		wait = max(wait, retryIn)
 	}
-	s.After(wait, func() { s.request(c, op) })
+	s.After(wait, func() { s.sendRequest(sc, op) })
 }
 
-// hint is what the module is told of a request's work.
-func (s *sim) hint(q *request) time.Duration {
-	if s.r.Hints {
-		return q.work
+// costHint is what the module is told of a request's work.
+func (s *simulation) costHint(req *request) time.Duration {
+	if s.run.Hints {
+		return req.serviceTime
 	}
 	return 0
 }
