--- a/cmd/orchiddrift/lab.go
+++ b/cmd/orchiddrift/lab.go
@@ -47,7 +47,7 @@
 	n := experiment.Runner{Cores: cores, Limit: c.Limit, Version: version, Told: func(done, all int, l experiment.Line) {
 		word := l.Error
 		if l.Result != nil {
-			word = fmt.Sprintf("%d of %d served, p99 %v", l.Result.Done, l.Result.Operations, l.Result.P99.Round(100*time.Microsecond))
+			word = fmt.Sprintf("%d of %d served, p99 %v", l.Result.OperationsServed, l.Result.Operations, l.Result.P99.Round(100*time.Microsecond))
 		}
 		fmt.Fprintf(os.Stderr, "%d/%d  %s, seed %d: %s\n", done, all, l.Policy, l.Seed, word)
 	}}
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -26,8 +26,8 @@
 func fleetRun(sidecars int) fleetsim.Run {
 	o := subset.Default()
 	o.Enabled, o.MaxSize, o.RemoteZoneFraction, o.ShrinkDelay = true, 4096, 0, units.Duration(5*time.Second)
-	return fleetsim.Run{Sidecars: sidecars, Nodes: fleetNodes, Rate: fleetRate, Work: fleetWork, Length: 60 * time.Second, Seed: 1,
-		Subset: o, Known: true, Connect: 2 * time.Millisecond, Descriptors: 1 << 20,
+	return fleetsim.Run{Sidecars: sidecars, Nodes: fleetNodes, Rate: fleetRate, MeanServiceTime: fleetWork, Length: 60 * time.Second, Seed: 1,
+		Subset: o, IndexKnown: true, ConnectDelay: 2 * time.Millisecond, MaxConnections: 1 << 20,
 		Settings: balancer.Settings{MaxAttempts: 3, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: time.Second, ConnectTimeout: time.Second,
 			Tick: 5 * time.Millisecond, SlowStartMinCapacity: 0.2, SlowStartWindow: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
 			Classes: []balancer.Class{{Name: "search", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, LateValueFraction: 0.3}}}}
@@ -49,28 +49,28 @@
 		change(&r)
 		runs = append(runs, named{name, r})
 	}
-	add("200, index not known", 200, func(r *fleetsim.Run) { r.Known = false })
+	add("200, index not known", 200, func(r *fleetsim.Run) { r.IndexKnown = false })
 	add("200, no subsets", 200, func(r *fleetsim.Run) { r.Subset.Enabled = false })
 	add("10, no subsets", 10, func(r *fleetsim.Run) { r.Subset.Enabled = false })
-	add("200, by chance among all", 200, func(r *fleetsim.Run) { r.Subset.Enabled, r.Probes = false, &fleetsim.Probes{Each: 1} })
+	add("200, by chance among all", 200, func(r *fleetsim.Run) { r.Subset.Enabled, r.SyncProbes = false, &fleetsim.SyncProbes{PerRequest: 1} })
 	restart := func(r *fleetsim.Run) {
-		r.RestartAt, r.RestartOver, r.RestartPart, r.Down = 20*time.Second, 10*time.Second, 0.5, 3*time.Second
+		r.RestartAt, r.RestartOver, r.RestartFraction, r.RestartDowntime = 20*time.Second, 10*time.Second, 0.5, 3*time.Second
 		r.Rate, r.Settings.SlowStartMinCapacity, r.Settings.OverloadMultiple, r.Settings.OverloadWindow = 25_000, 0.1, 2, time.Second
 	}
 	add("200, half restart in 10 s at half busy", 200, restart)
-	add("the same, modules not told of cold ones", 200, func(r *fleetsim.Run) { restart(r); r.Blind = true })
+	add("the same, modules not told of cold ones", 200, func(r *fleetsim.Run) { restart(r); r.HideStartTimes = true })
 	dear := func(r *fleetsim.Run) {
-		r.Connect = 50 * time.Millisecond
-		r.RestartAt, r.RestartOver, r.RestartPart, r.Down = 20*time.Second, 10*time.Second, 0.5, 3*time.Second
+		r.ConnectDelay = 50 * time.Millisecond
+		r.RestartAt, r.RestartOver, r.RestartFraction, r.RestartDowntime = 20*time.Second, 10*time.Second, 0.5, 3*time.Second
 	}
 	add("200, half restart, a connection takes 50 ms", 200, dear)
-	add("the same, connections open ahead", 200, func(r *fleetsim.Run) { dear(r); r.Warm = prewarm.Default(); r.Warm.Enabled = true })
+	add("the same, connections open ahead", 200, func(r *fleetsim.Run) { dear(r); r.Prewarming = prewarm.Default(); r.Prewarming.Enabled = true })
 	add("200, the list shrinks to 50 and grows back", 200, func(r *fleetsim.Run) {
 		r.Rate = 100
-		r.Sizes = []fleetsim.Size{{At: 15 * time.Second, Nodes: 50}, {At: 35 * time.Second, Nodes: fleetNodes}}
+		r.ListSizes = []fleetsim.ListSize{{At: 15 * time.Second, Nodes: 50}, {At: 35 * time.Second, Nodes: fleetNodes}}
 	})
 	add("200, one with a thousand times the others' traffic", 200, func(r *fleetsim.Run) {
-		r.Share = func(i int) float64 {
+		r.TrafficWeight = func(i int) float64 {
 			if i == 0 {
 				return 1000
 			}
@@ -93,14 +93,14 @@
 	fmt.Fprintln(w, "fleet\tserved\tits own\tconnections a node\tmost\ta sidecar, most\tmade\tmost to one in 1 s\trequests that wait for one\tnodes asked\tmost/mean work\tfell over\tp50 ms\tp99 ms\tdecisions\t")
 	for i, r := range results {
 		fmt.Fprintf(w, "%s\t%.4f\t%.0f\t%.2f\t%.0f\t%d\t%d\t%d\t%.3f\t%d\t%.2f\t%d\t%.0f\t%.0f\t%d\t\n", runs[i].name, float64(r.Served)/float64(max(1, r.Requests)),
-			r.Own, r.OpenNode, r.MostNode, r.OpenSidecar, r.Opened, r.MostMade, float64(r.Waited)/float64(max(1, r.Requests)), r.Asked, r.Spread, r.Fell, r.P50.Seconds()*1e3, r.P99.Seconds()*1e3, r.Decisions)
+			r.MeanSubsetSize, r.MeanConnectionsPerNode, r.MaxConnectionsPerNode, r.MaxConnectionsPerSidecar, r.ConnectionsOpened, r.MaxConnectionsOpenedPerSecond, float64(r.RequestsDelayedByConnect)/float64(max(1, r.Requests)), r.NodesUsed, r.LoadSpread, r.NodesOverloaded, r.P50.Seconds()*1e3, r.P99.Seconds()*1e3, r.Decisions)
 	}
 	if err := w.Flush(); err != nil || plot == "" {
 		return err
 	}
 	open := make([]float64, len(sizes))
 	for i := range sizes {
-		open[i] = results[i].OpenNode
+		open[i] = results[i].MeanConnectionsPerNode
 	}
 	return os.WriteFile(plot, []byte(curve("connections a node, by sidecars (5,000 nodes, 10,000 requests a second)", sizes, open)), 0o644)
 }
--- a/internal/measure/probes.go
+++ b/internal/measure/probes.go
@@ -21,15 +21,15 @@
 	type row struct {
 		busy  float64
 		name  string
-		probe *fleetsim.Probes
+		probe *fleetsim.SyncProbes
 		ask   int
 		blind bool
 		seen  *fleetsim.Result
 	}
 	var rows []*row
 	for _, busy := range []float64{0.02, 0.1, 0.3, 0.5} {
-		rows = append(rows, &row{busy: busy, name: "module"}, &row{busy: busy, name: "2 probes", probe: &fleetsim.Probes{Each: 2, Cost: 200 * time.Microsecond}},
-			&row{busy: busy, name: "4 probes", probe: &fleetsim.Probes{Each: 4, Cost: 200 * time.Microsecond}},
+		rows = append(rows, &row{busy: busy, name: "module"}, &row{busy: busy, name: "2 probes", probe: &fleetsim.SyncProbes{PerRequest: 2, ServiceTime: 200 * time.Microsecond}},
+			&row{busy: busy, name: "4 probes", probe: &fleetsim.SyncProbes{PerRequest: 4, ServiceTime: 200 * time.Microsecond}},
 			&row{busy: busy, name: "module with 2", ask: 2}, &row{busy: busy, name: "module with 4", ask: 4},
 
 			&row{busy: busy, name: "module with 2, no latency told", ask: 2, blind: true}, &row{busy: busy, name: "module with 4, no latency told", ask: 4, blind: true})
@@ -40,12 +40,12 @@
 	for _, r := range rows {
 		g.Go(func() (err error) {
 			run := fleetRun(sidecars)
-			run.Nodes, run.Rate, run.Probes = nodes, rate(r), r.probe
+			run.Nodes, run.Rate, run.SyncProbes = nodes, rate(r), r.probe
 			if r.ask > 0 {
-				run.Ask, run.Latent = loadprobe.Default(), r.blind
-				run.Ask.Enabled, run.Ask.UpstreamsPerRequest, run.Ask.ProbesPerRequest = true, r.ask, float64(r.ask)
+				run.LoadProbes, run.HideProbeLatency = loadprobe.Default(), r.blind
+				run.LoadProbes.Enabled, run.LoadProbes.UpstreamsPerRequest, run.LoadProbes.ProbesPerRequest = true, r.ask, float64(r.ask)
 			}
-			run.Speed = func(i int) float64 {
+			run.NodeSpeed = func(i int) float64 {
 				if i%10 == 0 {
 					return 0.2
 				}
@@ -78,8 +78,8 @@
 	for i, m := range sizes {
 		g.Go(func() (err error) {
 			run := fleetRun(m)
-			run.Nodes, run.Rate, run.Ask = nodes, rate, loadprobe.Default()
-			run.Ask.Enabled = true
+			run.Nodes, run.Rate, run.LoadProbes = nodes, rate, loadprobe.Default()
+			run.LoadProbes.Enabled = true
 			seen[i], err = fleetsim.Play(run)
 			return err
 		})
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -249,13 +249,13 @@
 	if base == 0 {
 		base = 1 // Steps are multiples of it
 	}
-	r := fleetsim.Run{Sidecars: f.Sidecars, Nodes: f.Nodes, Zones: f.Zones, Rate: base * e.capacity(), Work: f.Work.D(), Length: e.Length.D(), Seed: uint64(seed),
-		Connect: f.Connect.D(), Down: f.Down.D(), Series: e.Series.D(), Tries: tries, Hints: f.Hints, Clients: fleetsim.Clients{Tries: e.Clients.Tries, Wait: e.Clients.Wait.D(), Heed: e.Clients.Heed},
-		Steps: []fleetsim.Step{{At: 0, Rate: e.Load.Busy / base}},
+	r := fleetsim.Run{Sidecars: f.Sidecars, Nodes: f.Nodes, Zones: f.Zones, Rate: base * e.capacity(), MeanServiceTime: f.Work.D(), Length: e.Length.D(), Seed: uint64(seed),
+		ConnectDelay: f.Connect.D(), RestartDowntime: f.Down.D(), Interval: e.Series.D(), MaxAttempts: tries, CostHints: f.Hints, Clients: fleetsim.Clients{MaxRetries: e.Clients.Tries, InitialBackoff: e.Clients.Wait.D(), HonorRetryAfter: e.Clients.Heed},
+		RateSteps: []fleetsim.RateStep{{At: 0, Multiple: e.Load.Busy / base}},
 		Settings: balancer.Settings{MaxAttempts: tries, HedgingAllowed: true, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 5 * time.Second, ConnectTimeout: 500 * time.Millisecond, CrossZonePrice: f.Price,
 			Tick: 5 * time.Millisecond, SlowStartMinCapacity: f.Cold, SlowStartWindow: f.WarmUp.D(), OverloadMultiple: f.Fall, OverloadWindow: 2 * time.Second}}
 	for _, s := range e.Load.Steps {
-		r.Steps = append(r.Steps, fleetsim.Step{At: s.At.D(), Rate: s.Busy / base})
+		r.RateSteps = append(r.RateSteps, fleetsim.RateStep{At: s.At.D(), Multiple: s.Busy / base})
 	}
 	classes := e.Classes
 	if len(classes) == 0 {
@@ -270,17 +270,17 @@
 		if c.Effect == "unsafe" {
 			of.Idempotency = balancer.NonIdempotent
 		}
-		r.Settings.Classes, r.Mix = append(r.Settings.Classes, of), append(r.Mix, c.Share/sum)
+		r.Settings.Classes, r.ClassFractions = append(r.Settings.Classes, of), append(r.ClassFractions, c.Share/sum)
 	}
 	if d := e.Discovery; d.AllCalls > 0 {
-		r.Discovery = &fleetsim.Discovery{Lines: float64(f.Sidecars*(f.Nodes+d.CallLines)) / d.AllCalls.D().Seconds(), CallLines: d.CallLines,
+		r.Discovery = &fleetsim.Discovery{LinesPerSecond: float64(f.Sidecars*(f.Nodes+d.CallLines)) / d.AllCalls.D().Seconds(), LinesPerCall: d.CallLines,
 			Timeout: d.Timeout.D(), DownAt: d.DownAt.D(), DownFor: d.DownFor.D()}
 	}
 	for _, x := range e.Faults {
-		r.Faults = append(r.Faults, fleetsim.Fault{Kind: fleetsim.FaultKind(x.Kind), At: x.At.D(), For: x.For.D(), Part: x.Part, Zone: x.Zone, Factor: x.Factor})
+		r.Faults = append(r.Faults, fleetsim.Fault{Kind: fleetsim.FaultKind(x.Kind), At: x.At.D(), Duration: x.For.D(), Fraction: x.Part, Zone: x.Zone, Factor: x.Factor})
 	}
 	if f.Subset {
-		r.Subset, r.Known = subset.Default(), true
+		r.Subset, r.IndexKnown = subset.Default(), true
 		r.Subset.Enabled = true
 	}
 	r.Settings.HedgingAllowed = policy != OursOneCopy
--- a/internal/simulation/experiment/lab_test.go
+++ b/internal/simulation/experiment/lab_test.go
@@ -100,8 +100,8 @@
 	free chan struct{}
 }
 
-func (p *stray) Members(names []string) {
-	p.Policy.Members(names)
+func (p *stray) SetUpstreams(names []string) {
+	p.Policy.SetUpstreams(names)
 	for _, n := range names {
 		if len(p.all) < 1000 {
 			p.all = append(p.all, n)
@@ -140,7 +140,7 @@
 			t.Errorf("%q is not told of:\n%s", want, got)
 		}
 	}
-	if strings.Contains(got, "ours") || lines[3].Result == nil || lines[3].Result.Done == 0 {
+	if strings.Contains(got, "ours") || lines[3].Result == nil || lines[3].Result.OperationsServed == 0 {
 		t.Errorf("ours did not go on: %s", got)
 	}
 	var out strings.Builder
@@ -160,7 +160,7 @@
 		}
 		return lines[0].Result
 	}
-	hurt := func(r *fleetsim.Result) int { return r.Operations - r.Done }
+	hurt := func(r *fleetsim.Result) int { return r.Operations - r.OperationsServed }
 	calm := play("random", "")
 	for kind, least := range map[string]float64{"slow": 0.01, "freeze": 0.02, "errors": 0.01, "turn away": 0.005, "crash": 0.005, "cut": 0.02} {
 		r := play("random", "[[fault]]\nkind = \""+kind+"\"\nat = \"2s\"\nfor = \"4s\"\npart = 0.34\nfactor = 20.0\n")
@@ -168,8 +168,8 @@
 			t.Errorf("%s: %d of %d are not served, %d without a fault", kind, hurt(r), r.Operations, hurt(calm))
 		}
 	}
-	if r := play("ours", "[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"4s\"\npart = 0.25\n"); part(r.Done, r.Operations) < 0.97 || r.Fell > 0 {
-		t.Errorf("a deploy: %d of %d, %d fell", r.Done, r.Operations, r.Fell)
+	if r := play("ours", "[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"4s\"\npart = 0.25\n"); part(r.OperationsServed, r.Operations) < 0.97 || r.NodesOverloaded > 0 {
+		t.Errorf("a deploy: %d of %d, %d fell", r.OperationsServed, r.Operations, r.NodesOverloaded)
 	}
 	over := "[[load.step]]\nat = \"2s\"\nbusy = 3.0\n[[load.step]]\nat = \"4s\"\nbusy = 0.2\n"
 	once, again := play("ours", over), play("ours", over+"[clients]\ntries = 3\n")
@@ -193,7 +193,7 @@
 			}
 			e.Policies, e.Seeds = []string{Ours}, 1
 			lines := runs(t, e, Runner{}, filepath.Join(t.TempDir(), "r"))
-			if trouble := Troubles(lines); len(trouble) > 0 || lines[0].Result.Done == 0 {
+			if trouble := Troubles(lines); len(trouble) > 0 || lines[0].Result.OperationsServed == 0 {
 				t.Errorf("%v", trouble)
 			}
 		})
@@ -240,7 +240,7 @@
 	lines := func(p99, spread float64) (all []Line) {
 		for seed := range 10 {
 			ms := p99 + spread*rng.NormFloat64()
-			all = append(all, Line{Policy: Ours, Seed: seed + 1, Result: &fleetsim.Result{Operations: 100, Done: 99, P99: time.Duration(ms * 1e6)}})
+			all = append(all, Line{Policy: Ours, Seed: seed + 1, Result: &fleetsim.Result{Operations: 100, OperationsServed: 99, P99: time.Duration(ms * 1e6)}})
 		}
 		return all
 	}
@@ -253,8 +253,8 @@
 	if s := Summarize([]float64{1, 2, 3, 4, 100}); s.Median != 3 || s.Low < 1 || s.Low > 3 || s.High < 3 || s.High > 100 {
 		t.Errorf("%+v", s)
 	}
-	points := []fleetsim.Point{{At: 0, Operations: 10, Done: 10}, {At: time.Second, Operations: 10, Done: 9}, {At: 2 * time.Second, Operations: 10, Done: 8},
-		{At: 3 * time.Second, Operations: 10, Done: 10}, {At: 4 * time.Second}}
+	points := []fleetsim.Point{{At: 0, Operations: 10, OperationsServed: 10}, {At: time.Second, Operations: 10, OperationsServed: 9}, {At: 2 * time.Second, Operations: 10, OperationsServed: 8},
+		{At: 3 * time.Second, Operations: 10, OperationsServed: 10}, {At: 4 * time.Second}}
 	if d := NotWell(points); d != 2*time.Second {
 		t.Errorf("not well for %v", d)
 	}
--- a/internal/simulation/experiment/report.go
+++ b/internal/simulation/experiment/report.go
@@ -21,14 +21,14 @@
 
 // Figures are all, in the order of tables. Times are in milliseconds, shares are of what clients wanted.
 var Figures = []Figure{
-	{"served", 1, func(r *fleetsim.Result) float64 { return part(r.Done, r.Operations) }, 4},
+	{"served", 1, func(r *fleetsim.Result) float64 { return part(r.OperationsServed, r.Operations) }, 4},
 	{"p50", -1, func(r *fleetsim.Result) float64 { return ms(r.P50) }, 1},
 	{"p99", -1, func(r *fleetsim.Result) float64 { return ms(r.P99) }, 1},
 	{"worst p99", -1, func(r *fleetsim.Result) float64 { return ms(worst(r.Points)) }, 1},
-	{"sends", -1, func(r *fleetsim.Result) float64 { return part(r.Sends, r.Operations) }, 3},
-	{"refused", -1, func(r *fleetsim.Result) float64 { return part(r.Refused, r.Operations) }, 4},
+	{"sends", -1, func(r *fleetsim.Result) float64 { return part(r.Attempts, r.Operations) }, 3},
+	{"refused", -1, func(r *fleetsim.Result) float64 { return part(r.Rejected, r.Operations) }, 4},
 	{"failed", -1, func(r *fleetsim.Result) float64 { return part(r.Failed, r.Operations) }, 4},
-	{"fell", -1, func(r *fleetsim.Result) float64 { return float64(r.Fell) }, 0},
+	{"fell", -1, func(r *fleetsim.Result) float64 { return float64(r.NodesOverloaded) }, 0},
 	{"not well", -1, func(r *fleetsim.Result) float64 { return NotWell(r.Points).Seconds() }, 1},
 }
 
@@ -51,7 +51,7 @@
 func NotWell(points []fleetsim.Point) (sum time.Duration) {
 	for i := range points {
 		p := &points[i]
-		if i+1 < len(points) && part(p.Done, p.Operations) < wellAt {
+		if i+1 < len(points) && part(p.OperationsServed, p.Operations) < wellAt {
 			sum += points[i+1].At - p.At
 		}
 	}
@@ -118,7 +118,7 @@
 			all = append(all, at+l.Error)
 		}
 		if l.Result != nil && l.Result.Violations > 0 {
-			all = append(all, fmt.Sprintf("%s%d times a rule was broken, as at %s", at, l.Result.Violations, l.Result.Broken[0]))
+			all = append(all, fmt.Sprintf("%s%d times a rule was broken, as at %s", at, l.Result.Violations, l.Result.ViolationTexts[0]))
 		}
 	}
 	return all
--- a/internal/simulation/fleetsim/discovery.go
+++ b/internal/simulation/fleetsim/discovery.go
@@ -9,11 +9,11 @@
 // Discovery is a service of fixed capacity that sidecars ask for the list, in place of a list that reaches all. It works
 // through calls in turn; one that would wait longer than Timeout is turned away at once.
 type Discovery struct {
-	Lines     float64 // that it works through in a second: a call's, and one for each change and sidecar that watches
-	CallLines int     // what a call costs beside a line for each node
-	Timeout   time.Duration
-	DownAt    time.Duration // from then on all watches have ended, and calls are turned away
-	DownFor   time.Duration
+	LinesPerSecond float64 // that it works through in a second: a call's, and one for each change and sidecar that watches
+	LinesPerCall   int     // what a call costs beside a line for each node
+	Timeout        time.Duration
+	DownAt         time.Duration // from then on all watches have ended, and calls are turned away
+	DownFor        time.Duration
 }
 
 // Kill is the kind of fault that befalls sidecars: Part of them are killed at once and start again with the list as they last had
@@ -46,15 +46,15 @@
 	if d == nil {
 		return
 	}
-	s.result.Calls++
+	s.result.ListCalls++
 	if second := s.Since() / time.Second; second != s.callCountSecond {
 		s.callCountSecond, s.callsInSecond = second, 0
 	}
 	s.callsInSecond++
-	s.result.MostCalls = max(s.result.MostCalls, s.callsInSecond)
+	s.result.MaxListCallsPerSecond = max(s.result.MaxListCallsPerSecond, s.callsInSecond)
 	life := sc.incarnation
 	if d.down(s.Since()) || s.discoveryBusyUntil-s.Now() > d.Timeout {
-		s.result.CallsTurnedAway++
+		s.result.ListCallsRejected++
 		s.After(networkRoundTrip, func() {
 			if sc.incarnation == life {
 				s.discoveryFailed(sc)
@@ -62,7 +62,7 @@
 		})
 		return
 	}
-	s.chargeDiscovery(d.CallLines + len(s.nodes))
+	s.chargeDiscovery(d.LinesPerCall + len(s.nodes))
 	s.At(s.discoveryBusyUntil, func() {
 		switch {
 		case sc.incarnation != life:
@@ -70,7 +70,7 @@
 			s.discoveryFailed(sc)
 		default:
 			sc.watching = true
-			s.result.Listed = s.Since()
+			s.result.LastFullListAt = s.Since()
 			s.deliverList(sc, s.currentList(), balancer.FullUpdate)
 		}
 	})
@@ -95,6 +95,6 @@
 
 // chargeDiscovery has discovery work through lines.
 func (s *simulation) chargeDiscovery(lines int) {
-	cost := time.Duration(float64(lines) / s.run.Discovery.Lines * float64(time.Second))
+	cost := time.Duration(float64(lines) / s.run.Discovery.LinesPerSecond * float64(time.Second))
 	s.discoveryBusyUntil = max(s.discoveryBusyUntil, s.Now()) + cost
 }
--- a/internal/simulation/fleetsim/endpoint_list.go
+++ b/internal/simulation/fleetsim/endpoint_list.go
@@ -44,7 +44,7 @@
 		case endpoints.StatusGone:
 			member.State = balancer.Removed
 		}
-		if e.StartedMs > 0 && !s.run.Blind {
+		if e.StartedMs > 0 && !s.run.HideStartTimes {
 			member.StartedAt = virtualtime.Origin + time.UnixMilli(int64(e.StartedMs)).Sub(s.wallClockOrigin)
 		}
 		update.Endpoints = append(update.Endpoints, member)
@@ -59,7 +59,7 @@
 			}
 		}
 		sc.inactive[e.Name] = member.State != balancer.Active
-		if s.run.Probes != nil || sc.policy != nil {
+		if s.run.SyncProbes != nil || sc.policy != nil {
 			sc.activeUpstreams = slices.DeleteFunc(sc.activeUpstreams, func(name string) bool { return name == e.Name })
 			if member.State == balancer.Active {
 				sc.activeUpstreams = append(sc.activeUpstreams, e.Name)
@@ -73,7 +73,7 @@
 		}
 	}
 	if sc.policy != nil {
-		sc.policy.Members(sc.activeUpstreams)
+		sc.policy.SetUpstreams(sc.activeUpstreams)
 		return
 	}
 	s.handleEvent(sc, update)
--- a/internal/simulation/fleetsim/faults.go
+++ b/internal/simulation/fleetsim/faults.go
@@ -12,31 +12,31 @@
 
 // The kinds.
 const (
-	Slow     FaultKind = "slow"      // work takes Factor times as long
-	Freeze   FaultKind = "freeze"    // nothing is worked on, nothing answered
-	Errors   FaultKind = "errors"    // an error at once: it ran
-	TurnAway FaultKind = "turn away" // turned away at once: it did not run
-	Crash    FaultKind = "crash"     // gone without a word, and back cold; the list tells late
-	Deploy   FaultKind = "deploy"    // drained one after another, and back cold
-	Cut      FaultKind = "cut"       // a zone reaches the others no more, nor they it
-	Lost     FaultKind = "lost"      // a zone's machines vanish and say nothing; back cold, and the list tells late of both
+	Slow       FaultKind = "slow"      // work takes Factor times as long
+	Freeze     FaultKind = "freeze"    // nothing is worked on, nothing answered
+	Errors     FaultKind = "errors"    // an error at once: it ran
+	Reject     FaultKind = "turn away" // turned away at once: it did not run
+	Crash      FaultKind = "crash"     // gone without a word, and back cold; the list tells late
+	Deploy     FaultKind = "deploy"    // drained one after another, and back cold
+	Partition  FaultKind = "cut"       // a zone reaches the others no more, nor they it
+	ZoneOutage FaultKind = "lost"      // a zone's machines vanish and say nothing; back cold, and the list tells late of both
 )
 
 // FaultKinds are all.
-var FaultKinds = []FaultKind{Slow, Freeze, Errors, TurnAway, Crash, Deploy, Cut, Lost, Kill}
+var FaultKinds = []FaultKind{Slow, Freeze, Errors, Reject, Crash, Deploy, Partition, ZoneOutage, Kill}
 
 // Fault is what befalls a part of the nodes for a time.
 type Fault struct {
-	Kind   FaultKind
-	At     time.Duration // since the run's begin
-	For    time.Duration // Deploy: in which all of them are drained; Crash: how long each is away
-	Part   float64       // of all nodes, drawn by chance; Cut, Lost: Zone's nodes
-	Zone   int
-	Factor float64 // of Slow
+	Kind     FaultKind
+	At       time.Duration // since the run's begin
+	Duration time.Duration // Deploy: in which all of them are drained; Crash: how long each is away
+	Fraction float64       // of all nodes, drawn by chance; Cut, Lost: Zone's nodes
+	Zone     int
+	Factor   float64 // of Slow
 }
 
 // Zonal tells whether a kind befalls a zone's nodes, and not a part of all.
-func (k FaultKind) Zonal() bool { return k == Cut || k == Lost }
+func (k FaultKind) Zonal() bool { return k == Partition || k == ZoneOutage }
 
 func (s *simulation) scheduleFaults() {
 	for _, f := range s.run.Faults {
@@ -52,20 +52,20 @@
 				}
 			}
 		} else {
-			for _, i := range s.rng.Perm(len(s.nodes))[:int(f.Part*float64(len(s.nodes))+0.5)] {
+			for _, i := range s.rng.Perm(len(s.nodes))[:int(f.Fraction*float64(len(s.nodes))+0.5)] {
 				of = append(of, s.nodes[i])
 			}
 		}
 		for i, n := range of {
-			n.restarted = n.restarted || f.Kind == Crash || f.Kind == Deploy || f.Kind == Lost
+			n.restarted = n.restarted || f.Kind == Crash || f.Kind == Deploy || f.Kind == ZoneOutage
 			switch f.Kind {
-			case Crash, Lost:
-				s.After(f.At, func() { s.crashNode(n, f.For, f.Kind == Lost) })
+			case Crash, ZoneOutage:
+				s.After(f.At, func() { s.crashNode(n, f.Duration, f.Kind == ZoneOutage) })
 			case Deploy:
-				s.After(f.At+f.For*time.Duration(i)/time.Duration(len(of)), func() { s.redeployNode(n) })
+				s.After(f.At+f.Duration*time.Duration(i)/time.Duration(len(of)), func() { s.redeployNode(n) })
 			default:
 				s.After(f.At, func() { n.faults = append(n.faults, &f) })
-				s.After(f.At+f.For, func() {
+				s.After(f.At+f.Duration, func() {
 					n.faults = slices.DeleteFunc(n.faults, func(x *Fault) bool { return x == &f })
 					s.serveQueue(n)
 				})
@@ -105,7 +105,7 @@
 	s.After(maxListDelay+time.Second, func() {
 		s.stopNode(n)
 		s.announceStatus(n, endpoints.StatusGone)
-		s.After(s.run.Down, func() { s.startNode(n) })
+		s.After(s.run.RestartDowntime, func() { s.startNode(n) })
 	})
 }
 
@@ -114,7 +114,7 @@
 	if s.run.RestartAt == 0 {
 		return
 	}
-	for _, i := range s.rng.Perm(len(s.nodes))[:int(s.run.RestartPart*float64(len(s.nodes)))] {
+	for _, i := range s.rng.Perm(len(s.nodes))[:int(s.run.RestartFraction*float64(len(s.nodes)))] {
 		n := s.nodes[i]
 		s.After(s.run.RestartAt+time.Duration(s.rng.Int64N(int64(s.run.RestartOver)+1)), func() {
 			n.restarted = true
@@ -122,7 +122,7 @@
 			s.After(maxListDelay+time.Second, func() {
 				s.stopNode(n)
 				s.announceStatus(n, endpoints.StatusGone)
-				s.After(s.run.Down, func() {
+				s.After(s.run.RestartDowntime, func() {
 					n.up, n.startedAt = true, s.Now()
 					s.announceStatus(n, endpoints.StatusReady)
 				})
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -14,8 +14,8 @@
 func run(sidecars, nodes int) Run {
 	o := subset.Default()
 	o.Enabled, o.MinSize, o.MaxSize, o.RemoteZoneFraction, o.ShrinkDelay = true, 8, 4096, 0, units.Duration(2*time.Second)
-	return Run{Sidecars: sidecars, Nodes: nodes, Rate: float64(nodes), Work: 100 * time.Millisecond, Length: 30 * time.Second, Seed: 3, Subset: o, Known: true,
-		Connect: 2 * time.Millisecond, Settings: balancer.Settings{MaxAttempts: 3, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: time.Second,
+	return Run{Sidecars: sidecars, Nodes: nodes, Rate: float64(nodes), MeanServiceTime: 100 * time.Millisecond, Length: 30 * time.Second, Seed: 3, Subset: o, IndexKnown: true,
+		ConnectDelay: 2 * time.Millisecond, Settings: balancer.Settings{MaxAttempts: 3, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: time.Second,
 			ConnectTimeout: time.Second, Tick: 5 * time.Millisecond, SlowStartMinCapacity: 0.2, SlowStartWindow: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
 			Classes: []balancer.Class{{Name: "search", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, LateValueFraction: 0.3}}}}
 }
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Served+got.Refused+got.Failed > got.Requests || float64(got.Served) < 0.98*float64(got.Requests) {
+	if got.Served+got.Rejected+got.Failed > got.Requests || float64(got.Served) < 0.98*float64(got.Requests) {
 		t.Errorf("%d sidecars: %+v", r.Sidecars, got)
 	}
 	return got
@@ -35,7 +35,7 @@
 // The same seed is the same run, to the last count.
 func TestSameSeed(t *testing.T) {
 	r := run(5, 50)
-	r.RestartAt, r.RestartOver, r.RestartPart, r.Down = 5*time.Second, 2*time.Second, 0.5, time.Second
+	r.RestartAt, r.RestartOver, r.RestartFraction, r.RestartDowntime = 5*time.Second, 2*time.Second, 0.5, time.Second
 	if a, b := play(t, r), play(t, r); !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v\n%+v", a, b)
 	}
@@ -46,13 +46,13 @@
 func TestFlat(t *testing.T) {
 	few, many := play(t, run(4, 200)), play(t, run(40, 200))
 	chance := run(40, 200)
-	chance.Subset.Enabled, chance.Probes = false, &Probes{Each: 1}
-	if whole := play(t, chance); many.OpenNode > 1.5*few.OpenNode || whole.OpenNode < 3*many.OpenNode {
-		t.Errorf("connections a node: %.2f of 4 sidecars, %.2f of 40, %.2f of 40 by chance", few.OpenNode, many.OpenNode, whole.OpenNode)
+	chance.Subset.Enabled, chance.SyncProbes = false, &SyncProbes{PerRequest: 1}
+	if whole := play(t, chance); many.MeanConnectionsPerNode > 1.5*few.MeanConnectionsPerNode || whole.MeanConnectionsPerNode < 3*many.MeanConnectionsPerNode {
+		t.Errorf("connections a node: %.2f of 4 sidecars, %.2f of 40, %.2f of 40 by chance", few.MeanConnectionsPerNode, many.MeanConnectionsPerNode, whole.MeanConnectionsPerNode)
 	}
 	for _, r := range []*Result{few, many} {
-		if r.Asked != 200 || r.Spread > 2 {
-			t.Errorf("%d nodes asked, spread %.2f", r.Asked, r.Spread)
+		if r.NodesUsed != 200 || r.LoadSpread > 2 {
+			t.Errorf("%d nodes asked, spread %.2f", r.NodesUsed, r.LoadSpread)
 		}
 	}
 }
@@ -63,13 +63,13 @@
 	r := run(20, 200)
 	r.Rate *= 5
 	r.Settings.SlowStartMinCapacity, r.Settings.OverloadMultiple, r.Settings.OverloadWindow = 0.1, 2, time.Second
-	r.RestartAt, r.RestartOver, r.RestartPart, r.Down = 8*time.Second, 2*time.Second, 0.5, 2*time.Second
+	r.RestartAt, r.RestartOver, r.RestartFraction, r.RestartDowntime = 8*time.Second, 2*time.Second, 0.5, 2*time.Second
 	got, err := Play(r)
-	if err != nil || got.Fell > 0 {
+	if err != nil || got.NodesOverloaded > 0 {
 		t.Errorf("%v; %+v", err, got)
 	}
-	r.Blind = true
-	if blind, err := Play(r); err != nil || blind.Fell == 0 || blind.Served > got.Served {
+	r.HideStartTimes = true
+	if blind, err := Play(r); err != nil || blind.NodesOverloaded == 0 || blind.Served > got.Served {
 		t.Errorf("%v; blind %+v: no restart to speak of", err, blind)
 	}
 }
@@ -79,18 +79,18 @@
 func TestUnevenFleets(t *testing.T) {
 	r := run(100, 2000)
 	r.Rate, r.Length = 100, 45*time.Second
-	r.Sizes = []Size{{10 * time.Second, 50}, {25 * time.Second, 2000}}
-	if got := play(t, r); float64(got.Refused+got.Failed) > 0.01*float64(got.Requests) {
+	r.ListSizes = []ListSize{{10 * time.Second, 50}, {25 * time.Second, 2000}}
+	if got := play(t, r); float64(got.Rejected+got.Failed) > 0.01*float64(got.Requests) {
 		t.Errorf("%+v", got)
 	}
 	r = run(20, 500)
-	r.Share = func(i int) float64 {
+	r.TrafficWeight = func(i int) float64 {
 		if i == 0 {
 			return 1000
 		}
 		return 1
 	}
-	if got := play(t, r); float64(got.Refused+got.Failed) > 0.03*float64(got.Requests) {
+	if got := play(t, r); float64(got.Rejected+got.Failed) > 0.03*float64(got.Requests) {
 		t.Errorf("%+v", got)
 	}
 }
@@ -99,15 +99,15 @@
 // connections a node; and what a node is met by is spread.
 func TestWarmConnections(t *testing.T) {
 	r := run(40, 200)
-	r.Connect = 50 * time.Millisecond
-	r.RestartAt, r.RestartOver, r.RestartPart, r.Down = 8*time.Second, time.Second, 0.5, time.Second
+	r.ConnectDelay = 50 * time.Millisecond
+	r.RestartAt, r.RestartOver, r.RestartFraction, r.RestartDowntime = 8*time.Second, time.Second, 0.5, time.Second
 	cold := play(t, r)
-	r.Warm = prewarm.Default()
-	r.Warm.Enabled = true
+	r.Prewarming = prewarm.Default()
+	r.Prewarming.Enabled = true
 	got := play(t, r)
-	if 2*got.Waited > cold.Waited || got.OpenNode > 1.5*cold.OpenNode+1 || got.MostMade > cold.MostMade+2 {
-		t.Errorf("%d of %d requests wait for a connection, %d without; %.2f and %.2f open a node, %d and %d made in a second", got.Waited, got.Requests,
-			cold.Waited, got.OpenNode, cold.OpenNode, got.MostMade, cold.MostMade)
+	if 2*got.RequestsDelayedByConnect > cold.RequestsDelayedByConnect || got.MeanConnectionsPerNode > 1.5*cold.MeanConnectionsPerNode+1 || got.MaxConnectionsOpenedPerSecond > cold.MaxConnectionsOpenedPerSecond+2 {
+		t.Errorf("%d of %d requests wait for a connection, %d without; %.2f and %.2f open a node, %d and %d made in a second", got.RequestsDelayedByConnect, got.Requests,
+			cold.RequestsDelayedByConnect, got.MeanConnectionsPerNode, cold.MeanConnectionsPerNode, got.MaxConnectionsOpenedPerSecond, cold.MaxConnectionsOpenedPerSecond)
 	}
 }
 
@@ -115,7 +115,7 @@
 func TestManyOfEach(t *testing.T) {
 	r := run(1024, 1024)
 	r.Length = 12 * time.Second
-	if got := play(t, r); got.Asked < 1000 {
-		t.Errorf("%d nodes of 1,024 are asked", got.Asked)
+	if got := play(t, r); got.NodesUsed < 1000 {
+		t.Errorf("%d nodes of 1,024 are asked", got.NodesUsed)
 	}
 }
--- a/internal/simulation/fleetsim/invariants.go
+++ b/internal/simulation/fleetsim/invariants.go
@@ -15,8 +15,8 @@
 // recordViolation notes that a rule that must always hold did not.
 func (s *simulation) recordViolation(what string) {
 	s.result.Violations++
-	if len(s.result.Broken) < maxViolationTexts {
-		s.result.Broken = append(s.result.Broken, s.Since().String()+": "+what)
+	if len(s.result.ViolationTexts) < maxViolationTexts {
+		s.result.ViolationTexts = append(s.result.ViolationTexts, s.Since().String()+": "+what)
 	}
 }
 
--- a/internal/simulation/fleetsim/load_probes.go
+++ b/internal/simulation/fleetsim/load_probes.go
@@ -13,7 +13,7 @@
 		n := s.byName[name]
 		s.result.Probes++
 		if !n.up {
-			wait = s.run.Ask.Timeout.D()
+			wait = s.run.LoadProbes.Timeout.D()
 			continue
 		}
 		n.probeWork += probeServiceTime
@@ -25,7 +25,7 @@
 			answer := balancer.ProbeResult{Upstream: name, Result: balancer.Timeout}
 			if n.up {
 				answer.Result, answer.InFlight = balancer.OK, n.inFlight()
-				if !s.run.Latent {
+				if !s.run.HideProbeLatency {
 					answer.Latency = time.Duration(n.meanLatency * float64(time.Second))
 				}
 			}
--- a/internal/simulation/fleetsim/network.go
+++ b/internal/simulation/fleetsim/network.go
@@ -42,8 +42,8 @@
 	n := s.byName[action.Upstream]
 	a := &attempt{request: req, sidecar: sc, number: len(req.attempts), node: n, sentAt: s.Now(), incarnation: sc.incarnation}
 	req.attempts = append(req.attempts, a)
-	s.result.Sends++
-	s.currentPoint().Sends++
+	s.result.Attempts++
+	s.currentPoint().Attempts++
 	if sc.inactive[n.name] {
 		s.recordViolation("sent to " + n.name + " after it was told to be leaving")
 	}
@@ -65,14 +65,14 @@
 			if n.silent {
 				wait = max(networkRoundTrip, s.run.Settings.ConnectTimeout)
 			}
-			s.result.Unreached++
+			s.result.ConnectFailures++
 			s.After(wait, func() { s.attemptEnded(a, balancer.ConnectFailed) })
 			return
 		}
-		delay = s.run.Connect
+		delay = s.run.ConnectDelay
 		s.connectionOpened(sc, n)
 		if a.number == 0 {
-			s.result.Waited++
+			s.result.RequestsDelayedByConnect++
 		}
 	}
 	pool.inUse++
@@ -103,7 +103,7 @@
 		s.policyAttemptEnded(sc, req, a, result)
 		return
 	}
-	if s.run.Probes != nil {
+	if s.run.SyncProbes != nil {
 		if result != balancer.OK {
 			s.finishRequest(sc, req.id, &s.result.Failed, 0)
 		}
@@ -123,7 +123,7 @@
 
 // partitionedFrom tells whether a sidecar does not reach a node.
 func (c *sidecar) partitionedFrom(n *node) bool {
-	return c.zone != n.zone && (n.fault(Cut) != nil || c.zoneNode.fault(Cut) != nil)
+	return c.zone != n.zone && (n.fault(Partition) != nil || c.zoneNode.fault(Partition) != nil)
 }
 
 // connectionOpened counts a connection that is being made.
@@ -132,12 +132,12 @@
 	sc.maxOpenConnections = max(sc.maxOpenConnections, sc.openConnections)
 	n.openConnections++
 	n.maxOpenConnections = max(n.maxOpenConnections, n.openConnections)
-	s.result.Opened++
+	s.result.ConnectionsOpened++
 	if s.Now()-n.newConnectionsSince >= time.Second {
 		n.newConnections, n.newConnectionsSince = 0, s.Now()
 	}
 	n.newConnections++
-	s.result.MostMade = max(s.result.MostMade, n.newConnections)
+	s.result.MaxConnectionsOpenedPerSecond = max(s.result.MaxConnectionsOpenedPerSecond, n.newConnections)
 }
 
 func (s *simulation) connectionsClosed(sc *sidecar, n *node, count int) {
@@ -149,7 +149,7 @@
 func (s *simulation) sweepSidecar(sc *sidecar) {
 	for n, pool := range sc.pools {
 		drop := 0
-		for drop < len(pool.idleSince) && s.Now()-pool.idleSince[drop] >= s.run.Idle {
+		for drop < len(pool.idleSince) && s.Now()-pool.idleSince[drop] >= s.run.IdleTimeout {
 			drop++
 		}
 		pool.idleSince = pool.idleSince[drop:]
--- a/internal/simulation/fleetsim/node.go
+++ b/internal/simulation/fleetsim/node.go
@@ -31,7 +31,7 @@
 	attempts                            int
 	openConnections, maxOpenConnections int
 	faults                              []*Fault
-	lastReport                          Report
+	lastReport                          LoadReport
 	latenciesByInFlight                 []latencyRing // by requests in hand that were found
 	reportSince                         time.Duration // of the second that util is counted in
 	busyInReport                        time.Duration
@@ -64,7 +64,7 @@
 	}
 	n.attempts++
 	switch {
-	case n.fault(TurnAway) != nil:
+	case n.fault(Reject) != nil:
 		s.respondAfter(networkRoundTrip/2, a, balancer.Rejected)
 		return
 	case n.fault(Errors) != nil:
@@ -102,7 +102,7 @@
 		n.overloadedSince = s.Now()
 	case s.Now()-n.overloadedSince >= set.OverloadWindow && !n.overloaded:
 		n.overloaded = true
-		s.result.Fell++
+		s.result.NodesOverloaded++
 		s.stopNode(n)
 	}
 }
@@ -128,7 +128,7 @@
 				return // it was reset
 			}
 			if f := n.fault(Freeze); f != nil {
-				s.At(max(s.Now()+time.Millisecond, virtualtime.Origin+f.At+f.For), over)
+				s.At(max(s.Now()+time.Millisecond, virtualtime.Origin+f.At+f.Duration), over)
 				return
 			}
 			s.recordServiceTime(n, took)
--- a/internal/simulation/fleetsim/node_report.go
+++ b/internal/simulation/fleetsim/node_report.go
@@ -7,7 +7,7 @@
 
 // recordServiceTime counts a node's work, for its reports and the interval.
 func (s *simulation) recordServiceTime(n *node, took time.Duration) {
-	s.currentPoint().busy += took
+	s.currentPoint().busyTime += took
 	n.rollReport(s.Now())
 	n.busyInReport += took
 	n.answersInReport++
@@ -58,9 +58,9 @@
 	}
 }
 
-func (n *node) currentReport(now time.Duration) Report {
+func (n *node) currentReport(now time.Duration) LoadReport {
 	n.rollReport(now)
 	r := n.lastReport
-	r.InHand = n.inFlight()
+	r.InFlight = n.inFlight()
 	return r
 }
--- a/internal/simulation/fleetsim/policies.go
+++ b/internal/simulation/fleetsim/policies.go
@@ -13,15 +13,15 @@
 	names []string
 }
 
-func (m *upstreamSet) Members(names []string) { m.names = slices.Clone(names) }
+func (m *upstreamSet) SetUpstreams(names []string) { m.names = slices.Clone(names) }
 
 func (m *upstreamSet) Sent(time.Duration, string) {}
 
-func (m *upstreamSet) Done(time.Duration, Done) {}
+func (m *upstreamSet) Done(time.Duration, AttemptResult) {}
 
-func (m *upstreamSet) Probe() []string { return nil }
+func (m *upstreamSet) ProbeTargets() []string { return nil }
 
-func (m *upstreamSet) Probed(time.Duration, ProbeReply) {}
+func (m *upstreamSet) ProbeAnswered(time.Duration, ProbeReply) {}
 
 func (m *upstreamSet) randomName() string {
 	if len(m.names) == 0 {
@@ -57,7 +57,7 @@
 
 func (p *leastPending) Sent(_ time.Duration, name string) { p.inFlight[name]++ }
 
-func (p *leastPending) Done(_ time.Duration, x Done) {
+func (p *leastPending) Done(_ time.Duration, x AttemptResult) {
 	if p.inFlight[x.Name]--; p.inFlight[x.Name] <= 0 {
 		delete(p.inFlight, x.Name)
 	}
@@ -107,9 +107,9 @@
 	return a
 }
 
-func (p *peakEWMA) Done(now time.Duration, outcome Done) {
+func (p *peakEWMA) Done(now time.Duration, outcome AttemptResult) {
 	p.leastPending.Done(now, outcome)
-	e, took := p.costs[outcome.Name], outcome.Took.Seconds()
+	e, took := p.costs[outcome.Name], outcome.Latency.Seconds()
 	switch {
 	case e == nil:
 		p.costs[outcome.Name] = &ewma{took, now}
--- a/internal/simulation/fleetsim/policy.go
+++ b/internal/simulation/fleetsim/policy.go
@@ -7,37 +7,37 @@
 	"orchiddrift/balancer"
 )
 
-// Report is what a node tells of itself with each answer.
-type Report struct {
-	InHand      int
+// LoadReport is what a node tells of itself with each answer.
+type LoadReport struct {
+	InFlight    int
 	Utilization float64 // of its core, over the last second
 	Rate        float64 // answers a second, over that
 }
 
 // Policy chooses nodes in place of the module, in comparisons. It retries nothing by itself: that is the simulation's, alike for all
-// (Run.Tries). It need not be safe for concurrent use.
+// (Run.MaxAttempts). It need not be safe for concurrent use.
 type Policy interface {
-	Members(names []string)                 // all that may be picked now
-	Pick(now time.Duration) string          // "": none
-	Sent(now time.Duration, name string)    // what was picked
-	Done(now time.Duration, x Done)         // each that was sent has one
-	Probe() []string                        // whom to ask for a Report now; most never do
-	Probed(now time.Duration, x ProbeReply) // what came of that
+	SetUpstreams(names []string)                   // all that may be picked now
+	Pick(now time.Duration) string                 // "": none
+	Sent(now time.Duration, name string)           // what was picked
+	Done(now time.Duration, x AttemptResult)       // each that was sent has one
+	ProbeTargets() []string                        // whom to ask for a Report now; most never do
+	ProbeAnswered(now time.Duration, x ProbeReply) // what came of that
 }
 
-// Done is how a send ended.
-type Done struct {
-	Name   string
-	Took   time.Duration
-	Result balancer.Result
-	Report Report // of OK
+// AttemptResult is how a send ended.
+type AttemptResult struct {
+	Name    string
+	Latency time.Duration
+	Result  balancer.Result
+	Report  LoadReport // of OK
 }
 
 // ProbeReply is a node's answer to a probe.
 type ProbeReply struct {
 	Name    string
 	Latency time.Duration // what requests take there now
-	Report  Report
+	Report  LoadReport
 }
 
 // Policies are those that experiments name, each made from a sidecar's own chance.
@@ -56,12 +56,12 @@
 func (s *simulation) pickUpstream(sc *sidecar, req *request) {
 	name := sc.policy.Pick(s.Now())
 	if name == "" || s.byName[name] == nil {
-		s.finishRequest(sc, req.id, &s.result.Refused, 0)
+		s.finishRequest(sc, req.id, &s.result.Rejected, 0)
 		return
 	}
 	sc.policy.Sent(s.Now(), name)
 	s.sendAttempt(sc, balancer.Action{ID: req.id, Upstream: name})
-	for _, name := range sc.policy.Probe() {
+	for _, name := range sc.policy.ProbeTargets() {
 		n := s.byName[name]
 		s.result.Probes++
 		if !n.up || sc.partitionedFrom(n) || n.fault(Freeze) != nil {
@@ -70,7 +70,7 @@
 		n.probeWork += probeServiceTime
 		s.After(networkRoundTrip, func() {
 			if n.up {
-				sc.policy.Probed(s.Now(), ProbeReply{name, n.expectedLatency(), n.currentReport(s.Now())})
+				sc.policy.ProbeAnswered(s.Now(), ProbeReply{name, n.expectedLatency(), n.currentReport(s.Now())})
 			}
 		})
 	}
@@ -78,7 +78,7 @@
 
 // policyAttemptEnded tells a Policy how a send ended, and tries again where that is harmless: alike for all policies.
 func (s *simulation) policyAttemptEnded(sc *sidecar, req *request, a *attempt, result balancer.Result) {
-	outcome := Done{Name: a.node.name, Took: s.Now() - a.sentAt, Result: result}
+	outcome := AttemptResult{Name: a.node.name, Latency: s.Now() - a.sentAt, Result: result}
 	if result == balancer.OK {
 		outcome.Report = a.node.currentReport(s.Now())
 	}
@@ -89,10 +89,10 @@
 	unrun := result == balancer.Rejected || result == balancer.ConnectFailed
 	safe := s.run.Settings.Classes[req.operation.class].Idempotency == balancer.Idempotent
 	switch {
-	case s.Now() < req.deadline && len(req.attempts) < s.run.Tries && (unrun || safe):
+	case s.Now() < req.deadline && len(req.attempts) < s.run.MaxAttempts && (unrun || safe):
 		s.pickUpstream(sc, req)
 	case unrun && len(req.attempts) == 1:
-		s.finishRequest(sc, req.id, &s.result.Refused, 0)
+		s.finishRequest(sc, req.id, &s.result.Rejected, 0)
 	default:
 		s.finishRequest(sc, req.id, &s.result.Failed, 0)
 	}
--- a/internal/simulation/fleetsim/policy_prequal.go
+++ b/internal/simulation/fleetsim/policy_prequal.go
@@ -29,12 +29,12 @@
 	prequalMaxUses  = 2 // about what the paper's formula gives for this pool and these probes
 )
 
-func (p *prequal) Members(names []string) {
-	p.upstreamSet.Members(names)
+func (p *prequal) SetUpstreams(names []string) {
+	p.upstreamSet.SetUpstreams(names)
 	p.pool = slices.DeleteFunc(p.pool, func(k pooledReply) bool { return !slices.Contains(p.names, k.Name) })
 }
 
-func (p *prequal) Probe() []string {
+func (p *prequal) ProbeTargets() []string {
 	var names []string
 	for range prequalProbes {
 		if name := p.randomName(); name != "" {
@@ -44,11 +44,11 @@
 	return names
 }
 
-func (p *prequal) Probed(now time.Duration, x ProbeReply) {
+func (p *prequal) ProbeAnswered(now time.Duration, x ProbeReply) {
 	if !slices.Contains(p.names, x.Name) {
 		return
 	}
-	p.inFlightSeen = append(p.inFlightSeen[max(0, len(p.inFlightSeen)-hotWindow+1):], x.Report.InHand)
+	p.inFlightSeen = append(p.inFlightSeen[max(0, len(p.inFlightSeen)-hotWindow+1):], x.Report.InFlight)
 	if len(p.pool) == prequalPoolSize {
 		p.pool = p.pool[1:]
 	}
@@ -58,14 +58,14 @@
 // worse orders by the hot-cold rule.
 func (p *prequal) worse(hot int) func(a, b pooledReply) int {
 	return func(a, b pooledReply) int {
-		hotA, hotB := a.Report.InHand > hot, b.Report.InHand > hot
+		hotA, hotB := a.Report.InFlight > hot, b.Report.InFlight > hot
 		switch {
 		case hotA != hotB && hotA:
 			return 1
 		case hotA != hotB:
 			return -1
 		case hotA:
-			return cmp.Compare(a.Report.InHand, b.Report.InHand)
+			return cmp.Compare(a.Report.InFlight, b.Report.InFlight)
 		}
 		return cmp.Compare(a.Latency, b.Latency)
 	}
@@ -89,7 +89,7 @@
 	}
 	name := p.pool[best].Name
 	p.pool[best].uses++
-	p.pool[best].Report.InHand++ // the request itself
+	p.pool[best].Report.InFlight++ // the request itself
 	if p.removeWorstNext = !p.removeWorstNext; p.removeWorstNext {
 		at := 0
 		for i := range p.pool {
--- a/internal/simulation/fleetsim/policy_weighted.go
+++ b/internal/simulation/fleetsim/policy_weighted.go
@@ -29,8 +29,8 @@
 	errorPenalty       = 1.0
 )
 
-func (p *weightedRoundRobin) Members(names []string) {
-	p.upstreamSet.Members(names)
+func (p *weightedRoundRobin) SetUpstreams(names []string) {
+	p.upstreamSet.SetUpstreams(names)
 	old := p.weights
 	p.weights = map[string]*weight{}
 	first := math.Inf(1) // a new one is not given what it missed
@@ -49,7 +49,7 @@
 	}
 }
 
-func (p *weightedRoundRobin) Done(_ time.Duration, outcome Done) {
+func (p *weightedRoundRobin) Done(_ time.Duration, outcome AttemptResult) {
 	w := p.weights[outcome.Name]
 	if w == nil {
 		return
--- a/internal/simulation/fleetsim/prewarming.go
+++ b/internal/simulation/fleetsim/prewarming.go
@@ -17,9 +17,9 @@
 			continue
 		}
 		s.connectionOpened(sc, n)
-		s.result.Ahead++
+		s.result.ConnectionsPrewarmed++
 		epoch := n.incarnation
-		s.After(s.run.Connect, func() {
+		s.After(s.run.ConnectDelay, func() {
 			ok := n.up && n.incarnation == epoch
 			if ok {
 				pool := sc.pool(n)
--- a/internal/simulation/fleetsim/probes.go
+++ b/internal/simulation/fleetsim/probes.go
@@ -7,13 +7,13 @@
 	"orchiddrift/balancer"
 )
 
-// Probes is what stands beside the module in measurements: each request first asks a few of the sidecar's nodes how much they
+// SyncProbes is what stands beside the module in measurements: each request first asks a few of the sidecar's nodes how much they
 // have in hand and how long they take, and goes to the best by Prequal's hot-cold rule (B. Wydrowski et al., "Load is not what
 // you should balance: Introducing Prequal", NSDI 2024), in its synchronous mode, which is the one for sidecars with little
 // traffic: a pool's probes would be old by the next request. It tries once.
-type Probes struct {
-	Each int           // nodes asked a request
-	Cost time.Duration // what a probe costs a node's core
+type SyncProbes struct {
+	PerRequest  int           // nodes asked a request
+	ServiceTime time.Duration // what a probe costs a node's core
 }
 
 const (
@@ -25,19 +25,19 @@
 // pickByProbes has a request choose by probes.
 func (s *simulation) pickByProbes(sc *sidecar, req *request) {
 	if len(sc.activeUpstreams) == 0 {
-		s.finishRequest(sc, req.id, &s.result.Refused, 0)
+		s.finishRequest(sc, req.id, &s.result.Rejected, 0)
 		return
 	}
 	s.After(networkRoundTrip, func() { // there and back
 		var best *node
 		bestHot, hot := true, sc.hotThreshold()
-		for range s.run.Probes.Each {
+		for range s.run.SyncProbes.PerRequest {
 			n := s.byName[sc.activeUpstreams[sc.rng.IntN(len(sc.activeUpstreams))]]
 			if !n.up {
 				continue
 			}
 			s.result.Probes++
-			n.probeWork += s.run.Probes.Cost
+			n.probeWork += s.run.SyncProbes.ServiceTime
 			in := n.inFlight()
 			sc.probedInFlight = append(sc.probedInFlight[max(0, len(sc.probedInFlight)-hotWindow+1):], in)
 			isHot := in > hot
--- a/internal/simulation/fleetsim/result.go
+++ b/internal/simulation/fleetsim/result.go
@@ -9,39 +9,53 @@
 
 // Result is what a run came to.
 type Result struct {
-	Requests, Served, Refused, Failed int
-	Spread                            float64       // the most loaded node's work over the mean of those that were up all the time
-	Asked                             int           // nodes that got a request
-	OpenNode, MostNode                float64       // connections a node, mean over time and nodes, and the most that one had
-	OpenSidecar                       int           // the most that one sidecar had
-	Opened                            int           // connections made
-	Ahead                             int           // of them before a request needed them
-	Waited                            int           // requests whose first send waited for a connection
-	MostMade                          int           // most connections made to one node within a second
-	Own                               float64       // mean number of a sidecar's own nodes, at the end
-	Fell                              int           // nodes that were pushed over
-	Decisions                         int           // calls of the modules
-	Probes                            int           // sent
-	Calls, MostCalls, CallsTurnedAway int           // for the list: all, within a second, in vain
-	Listed                            time.Duration // when a sidecar last got the whole list
-	Unreached                         int           // sends that found neither a connection nor a node
-	P50, P99                          time.Duration
-	Operations, Done, Sends           int // what clients wanted, what of it was served, and all that was sent to nodes
-	Points                            []Point
-	Violations                        int // of rules that must always hold, and the first of them
-	Broken                            []string
+	Requests                      int           `json:"Requests"`
+	Served                        int           `json:"Served"`
+	Rejected                      int           `json:"Refused"`
+	Failed                        int           `json:"Failed"`
+	LoadSpread                    float64       `json:"Spread"`          // the most loaded node's work over the mean of those that were up all the time
+	NodesUsed                     int           `json:"Asked"`           // nodes that got a request
+	MeanConnectionsPerNode        float64       `json:"OpenNode"`        // connections a node, mean over time and nodes, and the most that one had
+	MaxConnectionsPerNode         float64       `json:"MostNode"`        // connections a node, mean over time and nodes, and the most that one had
+	MaxConnectionsPerSidecar      int           `json:"OpenSidecar"`     // the most that one sidecar had
+	ConnectionsOpened             int           `json:"Opened"`          // connections made
+	ConnectionsPrewarmed          int           `json:"Ahead"`           // of them before a request needed them
+	RequestsDelayedByConnect      int           `json:"Waited"`          // requests whose first send waited for a connection
+	MaxConnectionsOpenedPerSecond int           `json:"MostMade"`        // most connections made to one node within a second
+	MeanSubsetSize                float64       `json:"Own"`             // mean number of a sidecar's own nodes, at the end
+	NodesOverloaded               int           `json:"Fell"`            // nodes that were pushed over
+	Decisions                     int           `json:"Decisions"`       // calls of the modules
+	Probes                        int           `json:"Probes"`          // sent
+	ListCalls                     int           `json:"Calls"`           // for the list: all, within a second, in vain
+	MaxListCallsPerSecond         int           `json:"MostCalls"`       // for the list: all, within a second, in vain
+	ListCallsRejected             int           `json:"CallsTurnedAway"` // for the list: all, within a second, in vain
+	LastFullListAt                time.Duration `json:"Listed"`          // when a sidecar last got the whole list
+	ConnectFailures               int           `json:"Unreached"`       // sends that found neither a connection nor a node
+	P50                           time.Duration `json:"P50"`
+	P99                           time.Duration `json:"P99"`
+	Operations                    int           `json:"Operations"` // what clients wanted, what of it was served, and all that was sent to nodes
+	OperationsServed              int           `json:"Done"`       // what clients wanted, what of it was served, and all that was sent to nodes
+	Attempts                      int           `json:"Sends"`      // what clients wanted, what of it was served, and all that was sent to nodes
+	Points                        []Point       `json:"Points"`
+	Violations                    int           `json:"Violations"` // of rules that must always hold, and the first of them
+	ViolationTexts                []string      `json:"Broken"`
 }
 
-// Point is what came in an interval of Run.Series.
+// Point is what came in an interval of Run.Interval.
 type Point struct {
-	At                             time.Duration
-	Asked, Served, Refused, Failed int // requests
-	Operations, Done               int // as clients see them: begun, and served after however many requests
-	Sends                          int
-	P50, P99                       time.Duration
-	Utilization                    float64 // mean of the nodes that are up
-	latencies                      *hdr.Histogram
-	busy                           time.Duration
+	At               time.Duration `json:"At"`
+	Requests         int           `json:"Asked"`      // requests
+	Served           int           `json:"Served"`     // requests
+	Rejected         int           `json:"Refused"`    // requests
+	Failed           int           `json:"Failed"`     // requests
+	Operations       int           `json:"Operations"` // as clients see them: begun, and served after however many requests
+	OperationsServed int           `json:"Done"`       // as clients see them: begun, and served after however many requests
+	Attempts         int           `json:"Sends"`
+	P50              time.Duration `json:"P50"`
+	P99              time.Duration `json:"P99"`
+	Utilization      float64       `json:"Utilization"` // mean of the nodes that are up
+	latencies        *hdr.Histogram
+	busyTime         time.Duration
 }
 
 // summarize makes the result of what was counted.
@@ -50,26 +64,26 @@
 	most, total, up := time.Duration(0), time.Duration(0), 0
 	for _, n := range s.nodes {
 		if n.attempts > 0 {
-			o.Asked++
+			o.NodesUsed++
 		}
-		o.MostNode = max(o.MostNode, float64(n.maxOpenConnections))
+		o.MaxConnectionsPerNode = max(o.MaxConnectionsPerNode, float64(n.maxOpenConnections))
 		if !n.restarted && !n.overloaded {
 			most, total, up = max(most, n.servedTime), total+n.servedTime, up+1
 		}
 	}
 	if total > 0 {
-		o.Spread = float64(most) * float64(up) / float64(total)
+		o.LoadSpread = float64(most) * float64(up) / float64(total)
 	}
 	if s.openConnectionSamples > 0 {
-		o.OpenNode = s.openConnectionSum / float64(s.openConnectionSamples)
+		o.MeanConnectionsPerNode = s.openConnectionSum / float64(s.openConnectionSamples)
 	}
 	for _, sc := range s.sidecars {
-		o.OpenSidecar = max(o.OpenSidecar, sc.maxOpenConnections)
+		o.MaxConnectionsPerSidecar = max(o.MaxConnectionsPerSidecar, sc.maxOpenConnections)
 		if sc.subset != nil {
 			own, _ := sc.subset.Size()
-			o.Own += float64(own) / float64(len(s.sidecars))
+			o.MeanSubsetSize += float64(own) / float64(len(s.sidecars))
 		} else {
-			o.Own = float64(len(s.nodes))
+			o.MeanSubsetSize = float64(len(s.nodes))
 		}
 	}
 	slices.Sort(s.latencies)
--- a/internal/simulation/fleetsim/run.go
+++ b/internal/simulation/fleetsim/run.go
@@ -15,56 +15,56 @@
 	Sidecars, Nodes int
 	Zones           int                 // absent: 1
 	Rate            float64             // requests a second, of all sidecars
-	Share           func(i int) float64 // of the traffic, relative to the others'; nil: all alike
-	Work            time.Duration       // mean, exponential
+	TrafficWeight   func(i int) float64 // of the traffic, relative to the others'; nil: all alike
+	MeanServiceTime time.Duration       // mean, exponential
 	Length          time.Duration
 	Seed            uint64
 	Subset          subset.Options // Sidecars and Index are filled in, where Known; not On: all know all
-	Known           bool           // each sidecar is told its index and how many there are
+	IndexKnown      bool           // each sidecar is told its index and how many there are
 	Settings        balancer.Settings
-	Idle            time.Duration   // connections are closed after so long; absent: 30 s
-	Connect         time.Duration   // what a new connection adds
-	Warm            prewarm.Options // not On: connections are made as requests need them
-	Descriptors     int             // connections that a sidecar may have, which bounds its subset; absent: 496
+	IdleTimeout     time.Duration   // connections are closed after so long; absent: 30 s
+	ConnectDelay    time.Duration   // what a new connection adds
+	Prewarming      prewarm.Options // not On: connections are made as requests need them
+	MaxConnections  int             // connections that a sidecar may have, which bounds its subset; absent: 496
 
-	Blind  bool                // modules are not told what cold nodes can take, nor which are cold
-	Speed  func(i int) float64 // of a node; nil: 1
-	Ask    loadprobe.Options   // probes beside the module, which decides
-	Latent bool                // answers to those tell no latency
-	Probes *Probes             // in place of the module; nil: the module chooses
+	HideStartTimes   bool                // modules are not told what cold nodes can take, nor which are cold
+	NodeSpeed        func(i int) float64 // of a node; nil: 1
+	LoadProbes       loadprobe.Options   // probes beside the module, which decides
+	HideProbeLatency bool                // answers to those tell no latency
+	SyncProbes       *SyncProbes         // in place of the module; nil: the module chooses
 
-	Policy  func(rng *rand.Rand) Policy // in place of the module; nil: the module chooses
-	Tries   int                         // of a Policy's request, on nodes that it picks anew, where it is proved not to have run or is safe
-	Faults  []Fault
-	Steps   []Step    // of the rate; none: Rate all the time
-	Hints   bool      // modules are told a request's work
-	Mix     []float64 // shares of Settings.Classes; absent: the first alone
-	Clients Clients
-	Series  time.Duration // what Result.Points are for; 0: there are none
+	Policy         func(rng *rand.Rand) Policy // in place of the module; nil: the module chooses
+	MaxAttempts    int                         // of a Policy's request, on nodes that it picks anew, where it is proved not to have run or is safe
+	Faults         []Fault
+	RateSteps      []RateStep // of the rate; none: Rate all the time
+	CostHints      bool       // modules are told a request's work
+	ClassFractions []float64  // shares of Settings.Classes; absent: the first alone
+	Clients        Clients
+	Interval       time.Duration // what Result.Points are for; 0: there are none
 
-	RestartAt   time.Duration // so that a part of the nodes restarts, spread over RestartOver; 0: none
-	RestartOver time.Duration
-	RestartPart float64
-	Down        time.Duration // a node is away so long
-	Discovery   *Discovery    // nil: the list reaches all by itself
-	Sizes       []Size        // of the list at times; the first Nodes names are listed before
+	RestartAt       time.Duration // so that a part of the nodes restarts, spread over RestartOver; 0: none
+	RestartOver     time.Duration
+	RestartFraction float64
+	RestartDowntime time.Duration // a node is away so long
+	Discovery       *Discovery    // nil: the list reaches all by itself
+	ListSizes       []ListSize    // of the list at times; the first Nodes names are listed before
 }
 
-// Size is how many nodes are listed from a time on.
-type Size struct {
+// ListSize is how many nodes are listed from a time on.
+type ListSize struct {
 	At    time.Duration
 	Nodes int
 }
 
-// Step is a rate from a time on, as a multiple of Run.Rate.
-type Step struct {
-	At   time.Duration
-	Rate float64
+// RateStep is a rate from a time on, as a multiple of Run.Rate.
+type RateStep struct {
+	At       time.Duration
+	Multiple float64
 }
 
 // Clients is what clients do on their own: they ask again where they were refused, or failed and it is safe.
 type Clients struct {
-	Tries int           // after the first
-	Wait  time.Duration // before each, doubled, where no time was named
-	Heed  bool          // they wait as long as a refusal says
+	MaxRetries      int           // after the first
+	InitialBackoff  time.Duration // before each, doubled, where no time was named
+	HonorRetryAfter bool          // they wait as long as a refusal says
 }
--- a/internal/simulation/fleetsim/sampling.go
+++ b/internal/simulation/fleetsim/sampling.go
@@ -21,10 +21,10 @@
 
 // currentPoint is the interval that goes on.
 func (s *simulation) currentPoint() *Point {
-	if s.run.Series == 0 {
+	if s.run.Interval == 0 {
 		return &s.discardedPoint
 	}
-	at := s.Since() / s.run.Series * s.run.Series
+	at := s.Since() / s.run.Interval * s.run.Interval
 	if n := len(s.result.Points); n == 0 || s.result.Points[n-1].At != at {
 		s.closePoint()
 		s.result.Points = append(s.result.Points, Point{At: at, latencies: hdr.New(1, int64(time.Hour/time.Microsecond), 3)})
@@ -47,5 +47,5 @@
 			up++
 		}
 	}
-	p.Utilization = p.busy.Seconds() / s.run.Series.Seconds() / max(1, float64(up))
+	p.Utilization = p.busyTime.Seconds() / s.run.Interval.Seconds() / max(1, float64(up))
 }
--- a/internal/simulation/fleetsim/sidecar.go
+++ b/internal/simulation/fleetsim/sidecar.go
@@ -45,7 +45,7 @@
 func (s *simulation) addSidecar(i int) (*sidecar, error) {
 	set := s.run.Settings
 	set.FleetSize = s.run.Sidecars
-	if s.run.Blind {
+	if s.run.HideStartTimes {
 		set.SlowStartMinCapacity, set.SlowStartWindow, set.OverloadMultiple, set.OverloadWindow = 0, 0, 0, 0
 	}
 	zone := fmt.Sprint("z", i%s.run.Zones)
@@ -62,17 +62,17 @@
 	}
 	if s.run.Subset.Enabled {
 		o := s.run.Subset
-		if o.Index = -1; s.run.Known {
+		if o.Index = -1; s.run.IndexKnown {
 			o.FleetSize, o.Index = s.run.Sidecars, i
 		}
-		sc.subset = subset.New(o, fmt.Sprint("sidecar-", i), zone, s.run.Descriptors)
+		sc.subset = subset.New(o, fmt.Sprint("sidecar-", i), zone, s.run.MaxConnections)
 	}
-	if s.run.Warm.Enabled {
-		sc.prewarmer, sc.prewarmMembers = prewarm.New(s.run.Warm, s.run.Descriptors, rand.New(rand.NewPCG(s.run.Seed, uint64(i)+1<<32))), map[string]uint64{}
+	if s.run.Prewarming.Enabled {
+		sc.prewarmer, sc.prewarmMembers = prewarm.New(s.run.Prewarming, s.run.MaxConnections, rand.New(rand.NewPCG(s.run.Seed, uint64(i)+1<<32))), map[string]uint64{}
 		s.After(time.Duration(s.rng.Int64N(int64(prewarmPeriod))), func() { s.prewarmConnections(sc) })
 	}
-	if s.run.Ask.Enabled {
-		sc.prober = loadprobe.New(s.run.Ask, rand.New(rand.NewPCG(s.run.Seed, uint64(i)+2<<32)))
+	if s.run.LoadProbes.Enabled {
+		sc.prober = loadprobe.New(s.run.LoadProbes, rand.New(rand.NewPCG(s.run.Seed, uint64(i)+2<<32)))
 	}
 	s.sidecars = append(s.sidecars, sc)
 	s.deliverFirstList(sc)
@@ -92,7 +92,7 @@
 				s.After(0, func() { s.attemptEnded(a, balancer.Cancelled) })
 			}
 		case balancer.Reject:
-			s.finishRequest(sc, action.ID, &s.result.Refused, action.RetryAfter)
+			s.finishRequest(sc, action.ID, &s.result.Rejected, action.RetryAfter)
 		case balancer.Fail:
 			s.finishRequest(sc, action.ID, &s.result.Failed, 0)
 		case balancer.Subscribe:
@@ -121,7 +121,7 @@
 
 // scheduleKills has a part of the sidecars be killed at once.
 func (s *simulation) scheduleKills(f Fault) {
-	of := s.rng.Perm(len(s.sidecars))[:int(f.Part*float64(len(s.sidecars))+0.5)]
+	of := s.rng.Perm(len(s.sidecars))[:int(f.Fraction*float64(len(s.sidecars))+0.5)]
 	slices.Sort(of)
 	s.After(f.At, func() {
 		for _, i := range of {
--- a/internal/simulation/fleetsim/simulation.go
+++ b/internal/simulation/fleetsim/simulation.go
@@ -42,24 +42,24 @@
 	if r.Zones == 0 {
 		r.Zones = 1
 	}
-	if r.Idle == 0 {
-		r.Idle = 30 * time.Second
+	if r.IdleTimeout == 0 {
+		r.IdleTimeout = 30 * time.Second
 	}
-	if r.Descriptors == 0 {
-		r.Descriptors = 496
+	if r.MaxConnections == 0 {
+		r.MaxConnections = 496
 	}
 	s := &simulation{Time: virtualtime.New(), run: r, rng: rand.New(rand.NewPCG(r.Seed, 11)), wallClockOrigin: time.UnixMilli(1_800_000_000_000),
 		byName: map[string]*node{}}
 	for i := range r.Nodes {
 		n := &node{name: fmt.Sprintf("node-%05d", i), index: i, zone: fmt.Sprint("z", i%r.Zones), up: true, listed: true, speed: 1}
-		if r.Speed != nil {
-			n.speed = r.Speed(i)
+		if r.NodeSpeed != nil {
+			n.speed = r.NodeSpeed(i)
 		}
 		s.nodes = append(s.nodes, n)
 		s.byName[n.name] = n
 	}
 	total := 0.0
-	share := r.Share
+	share := r.TrafficWeight
 	if share == nil {
 		share = func(int) float64 { return 1 }
 	}
@@ -79,7 +79,7 @@
 	s.scheduleRestarts()
 	s.scheduleFaults()
 	s.scheduleDiscoveryOutage()
-	for _, z := range r.Sizes {
+	for _, z := range r.ListSizes {
 		s.At(virtualtime.Origin+z.At, func() { s.resize(z.Nodes) })
 	}
 	s.sampleOpenConnections()
--- a/internal/simulation/fleetsim/traffic.go
+++ b/internal/simulation/fleetsim/traffic.go
@@ -41,14 +41,14 @@
 
 func (s *simulation) beginOperation(sc *sidecar) {
 	op := &operation{startedAt: s.Now()}
-	if len(s.run.Mix) > 1 {
-		for x := sc.rng.Float64(); op.class < len(s.run.Mix)-1; op.class++ {
-			if x -= s.run.Mix[op.class]; x < 0 {
+	if len(s.run.ClassFractions) > 1 {
+		for x := sc.rng.Float64(); op.class < len(s.run.ClassFractions)-1; op.class++ {
+			if x -= s.run.ClassFractions[op.class]; x < 0 {
 				break
 			}
 		}
 	}
-	op.serviceTime = time.Duration(sc.rng.ExpFloat64() * float64(s.run.Work))
+	op.serviceTime = time.Duration(sc.rng.ExpFloat64() * float64(s.run.MeanServiceTime))
 	s.result.Operations++
 	s.currentPoint().Operations++
 	s.sendRequest(sc, op)
@@ -62,12 +62,12 @@
 	sc.pending[req.id] = req
 	sc.requestsSinceSweep++
 	s.result.Requests++
-	s.currentPoint().Asked++
+	s.currentPoint().Requests++
 	if sc.policy != nil {
 		s.pickUpstream(sc, req)
 		return
 	}
-	if s.run.Probes != nil {
+	if s.run.SyncProbes != nil {
 		s.pickByProbes(sc, req)
 		return
 	}
@@ -86,9 +86,9 @@
 // rateMultiple is the multiple of Run.Rate now.
 func (s *simulation) rateMultiple() float64 {
 	of := 1.0
-	for _, x := range s.run.Steps {
+	for _, x := range s.run.RateSteps {
 		if x.At <= s.Since() {
-			of = x.Rate
+			of = x.Multiple
 		}
 	}
 	return of
@@ -101,26 +101,26 @@
 	switch end {
 	case &s.result.Served:
 		p.Served++
-		p.Done++
-		s.result.Done++
+		p.OperationsServed++
+		s.result.OperationsServed++
 		took := s.Now() - op.startedAt
 		if p.latencies != nil {
 			_ = p.latencies.RecordValue(max(1, took.Microseconds())) // it is within the bounds
 		}
 		return
-	case &s.result.Refused:
-		p.Refused++
+	case &s.result.Rejected:
+		p.Rejected++
 	default:
 		p.Failed++
 	}
 	safe := s.run.Settings.Classes[op.class].Idempotency == balancer.Idempotent
-	if op.retries >= s.run.Clients.Tries || end != &s.result.Refused && !safe {
+	if op.retries >= s.run.Clients.MaxRetries || end != &s.result.Rejected && !safe {
 		return
 	}
 	op.retries++
-	op.backoff = max(s.run.Clients.Wait, 2*op.backoff)
+	op.backoff = max(s.run.Clients.InitialBackoff, 2*op.backoff)
 	wait := op.backoff
-	if s.run.Clients.Heed {
+	if s.run.Clients.HonorRetryAfter {
 		wait = max(wait, retryIn)
 	}
 	s.After(wait, func() { s.sendRequest(sc, op) })
@@ -128,7 +128,7 @@
 
 // costHint is what the module is told of a request's work.
 func (s *simulation) costHint(req *request) time.Duration {
-	if s.run.Hints {
+	if s.run.CostHints {
 		return req.serviceTime
 	}
 	return 0
