--- a/internal/simulation/fleetsim/endpoint_list.go
+++ b/internal/simulation/fleetsim/endpoint_list.go
@@ -9,6 +9,7 @@
 	"orchiddrift/internal/simulation/virtualtime"
 )
 
+// endpoint is a node's entry in the endpoint list.
 func (s *simulation) endpoint(n *node, status string) endpoints.Endpoint {
 	e := endpoints.Endpoint{Name: n.name, Address: "127.0.0.1:1", Zone: n.zone, Status: status}
 	if n.startedAt > 0 {
@@ -17,7 +18,7 @@
 	return e
 }
 
-// deliverList brings a list, or a change, to a sidecar: through its subset, if it has one.
+// deliverList gives a list or a change to a sidecar, through its subset if it has one.
 func (s *simulation) deliverList(sc *sidecar, list *endpoints.List, kind balancer.UpdateKind) {
 	s.cacheList(sc, list)
 	if sc.subset != nil {
@@ -31,46 +32,16 @@
 	s.updateEndpoints(sc, list, kind)
 }
 
+// updateEndpoints gives the changes that passed the subset to everything in a sidecar that chooses or connects. list may be nil.
 func (s *simulation) updateEndpoints(sc *sidecar, list *endpoints.List, kind balancer.UpdateKind) {
 	if list == nil {
 		return
 	}
 	update := balancer.EndpointUpdate{Kind: kind}
 	for _, e := range list.Endpoints {
-		member := balancer.Endpoint{Name: e.Name, Zone: e.Zone}
-		switch e.Status {
-		case endpoints.StatusTerminating:
-			member.State = balancer.Draining
-		case endpoints.StatusGone:
-			member.State = balancer.Removed
-		}
-		if e.StartedMs > 0 && !s.run.HideStartTimes {
-			member.StartedAt = virtualtime.Origin + time.UnixMilli(int64(e.StartedMs)).Sub(s.wallClockOrigin)
-		}
+		member := s.balancerEndpoint(e)
 		update.Endpoints = append(update.Endpoints, member)
-		if sc.prewarmer != nil {
-			if delete(sc.prewarmMembers, e.Name); member.State == balancer.Active {
-				sc.prewarmMembers[e.Name] = uint64(e.StartedMs) + 1
-			}
-		}
-		if sc.prober != nil {
-			if sc.prober.Remove(e.Name); member.State == balancer.Active {
-				sc.prober.Add(e.Name)
-			}
-		}
-		sc.inactive[e.Name] = member.State != balancer.Active
-		if s.run.SyncProbes != nil || sc.policy != nil {
-			sc.activeUpstreams = slices.DeleteFunc(sc.activeUpstreams, func(name string) bool { return name == e.Name })
-			if member.State == balancer.Active {
-				sc.activeUpstreams = append(sc.activeUpstreams, e.Name)
-			}
-		}
-		if member.State != balancer.Active { // its connections are closed as they come back
-			if pool := sc.pools[s.byName[e.Name]]; pool != nil {
-				s.connectionsClosed(sc, s.byName[e.Name], len(pool.idleSince))
-				pool.idleSince = pool.idleSince[:0]
-			}
-		}
+		s.updateEndpoint(sc, e, member.State == balancer.Active)
 	}
 	if sc.policy != nil {
 		sc.policy.SetUpstreams(sc.activeUpstreams)
@@ -79,32 +50,73 @@
 	s.handleEvent(sc, update)
 }
 
-// announceStatus tells all sidecars of a node's state, each after a delay of its own.
+// balancerEndpoint is an entry of the list as the balancer takes it.
+func (s *simulation) balancerEndpoint(e endpoints.Endpoint) balancer.Endpoint {
+	member := balancer.Endpoint{Name: e.Name, Zone: e.Zone}
+	switch e.Status {
+	case endpoints.StatusTerminating:
+		member.State = balancer.Draining
+	case endpoints.StatusGone:
+		member.State = balancer.Removed
+	}
+	if e.StartedMs > 0 && !s.run.HideStartTimes {
+		member.StartedAt = virtualtime.Origin + time.UnixMilli(int64(e.StartedMs)).Sub(s.wallClockOrigin)
+	}
+	return member
+}
+
+// updateEndpoint updates what a sidecar knows of one endpoint beside the balancer.
+func (s *simulation) updateEndpoint(sc *sidecar, e endpoints.Endpoint, active bool) {
+	sc.inactive[e.Name] = !active
+	if sc.prewarmer != nil {
+		delete(sc.prewarmMembers, e.Name)
+		if active {
+			sc.prewarmMembers[e.Name] = uint64(e.StartedMs) + 1
+		}
+	}
+	if sc.prober != nil {
+		sc.prober.Remove(e.Name)
+		if active {
+			sc.prober.Add(e.Name)
+		}
+	}
+	if s.run.SyncProbes != nil || sc.policy != nil {
+		sc.activeUpstreams = slices.DeleteFunc(sc.activeUpstreams, func(name string) bool { return name == e.Name })
+		if active {
+			sc.activeUpstreams = append(sc.activeUpstreams, e.Name)
+		}
+	}
+	if !active { // connections in use are closed as their attempts end
+		s.closeIdle(sc, s.byName[e.Name])
+	}
+}
+
+// announceStatus notifies all sidecars of a node's status, each after a delay of its own.
 func (s *simulation) announceStatus(n *node, status string) {
 	e := s.endpoint(n, status)
 	n.listed = status == endpoints.StatusReady
 	for _, sc := range s.sidecars {
 		if s.run.Discovery != nil {
 			if !sc.watching {
-				continue // it gets the whole list when its call is taken
+				continue // it gets the full list when its call is answered
 			}
 			s.chargeDiscovery(1)
 		}
 		if sc.pendingUpdates = append(sc.pendingUpdates, e); len(sc.pendingUpdates) > 1 {
-			continue // they come together, as a poll or a watch brings them
+			continue // it is delivered together with the update before it
 		}
 		s.After(time.Duration(s.rng.Int64N(int64(maxListDelay))), func() {
-			news := sc.pendingUpdates
+			updates := sc.pendingUpdates
 			sc.pendingUpdates = nil
 			if s.run.Discovery != nil && !sc.watching {
 				return
 			}
-			s.deliverList(sc, &endpoints.List{Endpoints: news}, balancer.IncrementalUpdate)
+			s.deliverList(sc, &endpoints.List{Endpoints: updates}, balancer.IncrementalUpdate)
 		})
 	}
 }
 
-// currentList is what is listed now.
+// currentList is the full list as the discovery service has it.
 func (s *simulation) currentList() *endpoints.List {
 	list := &endpoints.List{Snapshot: true}
 	for _, n := range s.nodes {
@@ -115,7 +127,7 @@
 	return list
 }
 
-// cacheList keeps what a sidecar last had of the list.
+// cacheList keeps the list that a sidecar would start with after a kill.
 func (s *simulation) cacheList(sc *sidecar, list *endpoints.List) {
 	if s.run.Discovery == nil {
 		return
--- a/internal/simulation/fleetsim/faults.go
+++ b/internal/simulation/fleetsim/faults.go
@@ -102,7 +102,7 @@
 		return
 	}
 	s.announceStatus(n, endpoints.StatusTerminating)
-	s.After(maxListDelay+time.Second, func() {
+	s.After(maxListDelay+drainTime, func() {
 		s.stopNode(n)
 		s.announceStatus(n, endpoints.StatusGone)
 		s.After(s.run.RestartDowntime, func() { s.startNode(n) })
@@ -119,7 +119,7 @@
 		s.After(s.run.RestartAt+time.Duration(s.rng.Int64N(int64(s.run.RestartOver)+1)), func() {
 			n.restarted = true
 			s.announceStatus(n, endpoints.StatusTerminating)
-			s.After(maxListDelay+time.Second, func() {
+			s.After(maxListDelay+drainTime, func() {
 				s.stopNode(n)
 				s.announceStatus(n, endpoints.StatusGone)
 				s.After(s.run.RestartDowntime, func() {
@@ -138,7 +138,7 @@
 		case i >= size && n.up:
 			n.restarted = true
 			s.announceStatus(n, endpoints.StatusTerminating)
-			s.After(maxListDelay+time.Second, func() { s.stopNode(n); s.announceStatus(n, endpoints.StatusGone) })
+			s.After(maxListDelay+drainTime, func() { s.stopNode(n); s.announceStatus(n, endpoints.StatusGone) })
 		case i < size && !n.up && !n.overloaded:
 			n.up, n.startedAt = true, s.Now()
 			s.announceStatus(n, endpoints.StatusReady)
--- a/internal/simulation/fleetsim/network.go
+++ b/internal/simulation/fleetsim/network.go
@@ -6,24 +6,35 @@
 	"orchiddrift/balancer"
 )
 
+// connectionPool holds a sidecar's connections to one node.
 type connectionPool struct {
-	idleSince []time.Duration // since when, the newest last
+	idleSince []time.Duration // of each idle connection, the newest last
 	inUse     int
 }
 
+// closeIdle closes a sidecar's idle connections to a node.
+func (s *simulation) closeIdle(sc *sidecar, n *node) {
+	if pool := sc.pools[n]; pool != nil {
+		s.connectionsClosed(sc, n, len(pool.idleSince))
+		pool.idleSince = pool.idleSince[:0]
+	}
+}
+
+// attempt is one attempt of a request at a node.
 type attempt struct {
 	request           *request
 	sidecar           *sidecar
-	number            int
+	incarnation       int // of the sidecar
+	number            int // within the request, from 0
 	node              *node
 	sentAt            time.Duration
+	arrivedAt         time.Duration // at the node's queue
+	inFlightAtArrival int           // at the node
+	hasConnection     bool
 	ended             bool
-	hasConnection     bool // it holds a connection
-	inFlightAtArrival int  // in hand at its node
-	arrivedAt         time.Duration
-	incarnation       int // of its sidecar's process
 }
 
+// pool returns the connections to a node.
 func (c *sidecar) pool(n *node) *connectionPool {
 	pool := c.pools[n]
 	if pool == nil {
@@ -33,7 +44,7 @@
 	return pool
 }
 
-// sendAttempt has an attempt go out, on an idle connection or a new one.
+// sendAttempt sends an attempt, on an idle connection or a new one.
 func (s *simulation) sendAttempt(sc *sidecar, action balancer.Action) {
 	req := sc.pending[action.ID]
 	if req == nil {
@@ -61,12 +72,7 @@
 		pool.idleSince = pool.idleSince[:last]
 	} else {
 		if !n.up {
-			wait := networkRoundTrip
-			if n.silent {
-				wait = max(networkRoundTrip, s.run.Settings.ConnectTimeout)
-			}
-			s.result.ConnectFailures++
-			s.After(wait, func() { s.attemptEnded(a, balancer.ConnectFailed) })
+			s.connectFailed(a)
 			return
 		}
 		delay = s.run.ConnectDelay
@@ -80,6 +86,17 @@
 	s.After(delay+networkRoundTrip/2, func() { s.attemptArrived(a) })
 }
 
+// connectFailed ends an attempt whose node is down: at once where its machine refuses connections, else after ConnectTimeout.
+func (s *simulation) connectFailed(a *attempt) {
+	delay := networkRoundTrip
+	if a.node.silent {
+		delay = max(networkRoundTrip, s.run.Settings.ConnectTimeout)
+	}
+	s.result.ConnectFailures++
+	s.After(delay, func() { s.attemptEnded(a, balancer.ConnectFailed) })
+}
+
+// attemptEnded passes an attempt's first result to its sidecar, and returns its connection to the pool or closes it.
 func (s *simulation) attemptEnded(a *attempt, result balancer.Result) {
 	if a.ended || a.incarnation != a.sidecar.incarnation {
 		return
@@ -112,7 +129,7 @@
 	s.handleEvent(sc, balancer.Outcome{ID: req.id, Attempt: a.number, Result: result, Elapsed: s.Now() - a.sentAt, Final: req.done})
 }
 
-// respondAfter has an answer come to a sidecar, unless a cut is between them then.
+// respondAfter delivers an answer to a sidecar after a delay, unless a partition separates them by then.
 func (s *simulation) respondAfter(d time.Duration, a *attempt, result balancer.Result) {
 	s.After(d, func() {
 		if !a.sidecar.partitionedFrom(a.node) {
@@ -121,12 +138,12 @@
 	})
 }
 
-// partitionedFrom tells whether a sidecar does not reach a node.
+// partitionedFrom reports whether a partition separates a sidecar from a node.
 func (c *sidecar) partitionedFrom(n *node) bool {
 	return c.zone != n.zone && (n.fault(Partition) != nil || c.zoneNode.fault(Partition) != nil)
 }
 
-// connectionOpened counts a connection that is being made.
+// connectionOpened counts a connection that is being opened.
 func (s *simulation) connectionOpened(sc *sidecar, n *node) {
 	sc.openConnections++
 	sc.maxOpenConnections = max(sc.maxOpenConnections, sc.openConnections)
@@ -140,26 +157,27 @@
 	s.result.MaxConnectionsOpenedPerSecond = max(s.result.MaxConnectionsOpenedPerSecond, n.newConnections)
 }
 
+// connectionsClosed counts connections that are closed.
 func (s *simulation) connectionsClosed(sc *sidecar, n *node, count int) {
 	sc.openConnections -= count
 	n.openConnections -= count
 }
 
-// sweepSidecar closes what has stood idle, and has the subset follow the traffic and the time.
+// sweepSidecar closes connections past the idle timeout, and adapts the subset to the traffic and the time.
 func (s *simulation) sweepSidecar(sc *sidecar) {
 	for n, pool := range sc.pools {
-		drop := 0
-		for drop < len(pool.idleSince) && s.Now()-pool.idleSince[drop] >= s.run.IdleTimeout {
-			drop++
+		expired := 0
+		for expired < len(pool.idleSince) && s.Now()-pool.idleSince[expired] >= s.run.IdleTimeout {
+			expired++
 		}
-		pool.idleSince = pool.idleSince[drop:]
-		s.connectionsClosed(sc, n, drop)
+		pool.idleSince = pool.idleSince[expired:]
+		s.connectionsClosed(sc, n, expired)
 		if len(pool.idleSince)+pool.inUse == 0 {
 			delete(sc.pools, n)
 		}
 	}
 	if sc.subset != nil {
-		sc.requestRate += rateSmoothing * (float64(sc.requestsSinceSweep)/sweepPeriod.Seconds() - sc.requestRate) // as discovery.SubsetSink does
+		sc.requestRate += rateSmoothing * (float64(sc.requestsSinceSweep)/sweepPeriod.Seconds() - sc.requestRate)
 		sc.requestsSinceSweep = 0
 		s.updateEndpoints(sc, sc.subset.Rate(s.wallTime(s.Now()), sc.requestRate), balancer.IncrementalUpdate)
 	}
--- a/internal/simulation/fleetsim/node.go
+++ b/internal/simulation/fleetsim/node.go
@@ -8,49 +8,59 @@
 	"orchiddrift/internal/simulation/virtualtime"
 )
 
+// minFreezeRecheck is the least time between two looks at a frozen node.
+const minFreezeRecheck = time.Millisecond
+
+// node is a modelled upstream with one core and a queue.
 type node struct {
-	name                                string
-	index                               int
-	zone                                string
-	up                                  bool
-	listed                              bool
-	overloaded                          bool
-	silent                              bool // it is down and its machine with it: nothing is refused or reset
-	restarted                           bool
-	startedAt                           time.Duration // 0: long ago
-	queue                               []*attempt
-	busy                                bool
-	running                             *attempt
-	speed                               float64
-	newConnections                      int // connections since newConnectionsSince
-	newConnectionsSince                 time.Duration
-	meanLatency                         float64       // mean time here, s
-	probeWork                           time.Duration // work that probes have cost
-	incarnation                         int           // of its process: what it had before is lost
-	servedTime                          time.Duration
-	attempts                            int
-	openConnections, maxOpenConnections int
-	faults                              []*Fault
-	lastReport                          LoadReport
-	latenciesByInFlight                 []latencyRing // by requests in hand that were found
-	reportSince                         time.Duration // of the second that util is counted in
-	busyInReport                        time.Duration
-	answersInReport                     int
-	recentWork                          float64 // work that came, forgotten over FallTime, s
-	recentWorkAt                        time.Duration
-	overloadedSince                     time.Duration
+	name        string
+	index       int
+	zone        string
+	speed       float64 // factor on its service rate
+	up          bool
+	listed      bool          // as ready
+	silent      bool          // its machine is down: connections are neither refused nor reset
+	restarted   bool          // at some time of the run
+	overloaded  bool          // it stopped for good
+	startedAt   time.Duration // 0: before the run
+	incarnation int           // number of stops
+	faults      []*Fault      // in effect
+
+	queue     []*attempt
+	busy      bool
+	running   *attempt
+	probeWork time.Duration // cost of probes, added to the next attempt's service time
+
+	recentWork      float64       // service time of recent arrivals, decaying over OverloadWindow, s
+	recentWorkAt    time.Duration // when recentWork was last updated
+	overloadedSince time.Duration // 0: the recent work is within bounds
+
+	attempts            int           // received
+	servedTime          time.Duration // of completed attempts, on a warm node
+	meanLatency         float64       // exponentially weighted, s
+	openConnections     int
+	maxOpenConnections  int
+	newConnections      int // since newConnectionsSince
+	newConnectionsSince time.Duration
+
+	lastReport          LoadReport
+	reportSince         time.Duration // begin of the report's present interval
+	busyInReport        time.Duration
+	answersInReport     int
+	latenciesByInFlight []latencyRing // by the number in flight at arrival; nil: none recorded
 }
 
-// capacity is the part of a warm node's that a node has now.
+// capacity is a node's present capacity as a fraction of a warm node's: it grows linearly over SlowStartWindow.
 func (s *simulation) capacity(n *node) float64 {
-	set := &s.run.Settings
+	settings := &s.run.Settings
 	age := s.Now() - n.startedAt
-	if n.startedAt == 0 || set.SlowStartWindow == 0 || age >= set.SlowStartWindow || set.SlowStartMinCapacity == 0 {
+	if n.startedAt == 0 || settings.SlowStartWindow == 0 || age >= settings.SlowStartWindow || settings.SlowStartMinCapacity == 0 {
 		return 1
 	}
-	return set.SlowStartMinCapacity + (1-set.SlowStartMinCapacity)*float64(age)/float64(set.SlowStartWindow)
+	return settings.SlowStartMinCapacity + (1-settings.SlowStartMinCapacity)*float64(age)/float64(settings.SlowStartWindow)
 }
 
+// attemptArrived queues an attempt at its node, or answers it as the node's state and faults demand.
 func (s *simulation) attemptArrived(a *attempt) {
 	n := a.node
 	if a.ended || a.sidecar.partitionedFrom(n) {
@@ -82,31 +92,33 @@
 	s.serveQueue(n)
 }
 
-// recordOverload counts what comes to a cold node: more than FallMultiple of what it can do, kept up for FallTime, and it falls over.
-func (s *simulation) recordOverload(n *node, work time.Duration) {
-	set := &s.run.Settings
-	if set.OverloadMultiple == 0 || set.OverloadWindow == 0 || s.capacity(n) >= 1 {
+// recordOverload counts an arrival at a node in slow start. The node stops for good once the work that arrives has exceeded
+// OverloadMultiple times its capacity throughout OverloadWindow.
+func (s *simulation) recordOverload(n *node, serviceTime time.Duration) {
+	settings := &s.run.Settings
+	if settings.OverloadMultiple == 0 || settings.OverloadWindow == 0 || s.capacity(n) >= 1 {
 		n.recentWork, n.overloadedSince = 0, 0
 		return
 	}
-	window := set.OverloadWindow.Seconds()
+	window := settings.OverloadWindow.Seconds()
 	if passed := (s.Now() - n.recentWorkAt).Seconds(); passed > 0 {
 		n.recentWork *= max(0, 1-passed/window)
 	}
 	n.recentWorkAt = s.Now()
-	n.recentWork += work.Seconds()
-	switch over := n.recentWork/window > set.OverloadMultiple*s.capacity(n); {
+	n.recentWork += serviceTime.Seconds()
+	switch over := n.recentWork/window > settings.OverloadMultiple*s.capacity(n); {
 	case !over:
 		n.overloadedSince = 0
 	case n.overloadedSince == 0:
 		n.overloadedSince = s.Now()
-	case s.Now()-n.overloadedSince >= set.OverloadWindow && !n.overloaded:
+	case s.Now()-n.overloadedSince >= settings.OverloadWindow && !n.overloaded:
 		n.overloaded = true
 		s.result.NodesOverloaded++
 		s.stopNode(n)
 	}
 }
 
+// serveQueue starts the next attempt in the queue, if the core is free.
 func (s *simulation) serveQueue(n *node) {
 	for !n.busy && len(n.queue) > 0 && n.fault(Freeze) == nil {
 		a := n.queue[0]
@@ -115,38 +127,41 @@
 		if a.ended {
 			continue
 		}
-		took := time.Duration(float64(a.request.serviceTime+n.probeWork) / s.capacity(n) / n.speed)
+		duration := time.Duration(float64(a.request.serviceTime+n.probeWork) / s.capacity(n) / n.speed)
 		if f := n.fault(Slow); f != nil {
-			took = time.Duration(float64(took) * f.Factor)
+			duration = time.Duration(float64(duration) * f.Factor)
 		}
 		n.probeWork = 0
 		n.busy, n.running = true, a
-		epoch := n.incarnation
-		var over func()
-		over = func() {
-			if n.incarnation != epoch {
-				return // it was reset
-			}
-			if f := n.fault(Freeze); f != nil {
-				s.At(max(s.Now()+time.Millisecond, virtualtime.Origin+f.At+f.Duration), over)
-				return
-			}
-			s.recordServiceTime(n, took)
-			if s.run.Policy != nil {
-				n.recordLatency(a.inFlightAtArrival, s.Now()-a.arrivedAt)
-			}
-			s.recordExecution(a)
-			n.busy, n.running = false, nil
-			n.servedTime += a.request.serviceTime
-			n.meanLatency += ((s.Now() - a.sentAt).Seconds() - n.meanLatency) * latencySmoothing
-			s.respondAfter(networkRoundTrip/2, a, balancer.OK)
-			s.serveQueue(n)
-		}
-		s.After(took, over)
+		incarnation := n.incarnation
+		s.After(duration, func() { s.serviceEnded(n, a, duration, incarnation) })
 	}
 }
 
-// stopNode ends a node's process: what it has is reset.
+// serviceEnded answers an attempt that was served, and goes on with the queue. While the node is frozen it tries again later;
+// after a restart of the node it does nothing.
+func (s *simulation) serviceEnded(n *node, a *attempt, duration time.Duration, incarnation int) {
+	if n.incarnation != incarnation {
+		return
+	}
+	if f := n.fault(Freeze); f != nil {
+		thawedAt := virtualtime.Origin + f.At + f.Duration
+		s.At(max(s.Now()+minFreezeRecheck, thawedAt), func() { s.serviceEnded(n, a, duration, incarnation) })
+		return
+	}
+	s.recordServiceTime(n, duration)
+	if s.run.Policy != nil {
+		n.recordLatency(a.inFlightAtArrival, s.Now()-a.arrivedAt)
+	}
+	s.recordExecution(a)
+	n.busy, n.running = false, nil
+	n.servedTime += a.request.serviceTime
+	n.meanLatency += ((s.Now() - a.sentAt).Seconds() - n.meanLatency) * latencySmoothing
+	s.respondAfter(networkRoundTrip/2, a, balancer.OK)
+	s.serveQueue(n)
+}
+
+// stopNode ends a node's process. Its attempts are reset, unless its machine is silent; its connections close.
 func (s *simulation) stopNode(n *node) {
 	n.up, n.busy = false, false
 	n.incarnation++
@@ -156,19 +171,17 @@
 	}
 	n.queue, n.running = nil, nil
 	if n.silent {
-		lost = nil // their senders wait until they have had enough
+		lost = nil // they time out
 	}
 	for _, a := range lost {
 		s.After(networkRoundTrip/2, func() { s.attemptEnded(a, balancer.Reset) })
 	}
 	for _, sc := range s.sidecars {
-		if pool := sc.pools[n]; pool != nil {
-			s.connectionsClosed(sc, n, len(pool.idleSince))
-			pool.idleSince = pool.idleSince[:0]
-		}
+		s.closeIdle(sc, n)
 	}
 }
 
+// startNode starts a node again, in slow start. An overloaded node stays down.
 func (s *simulation) startNode(n *node) {
 	if n.up || n.overloaded {
 		return
@@ -177,6 +190,7 @@
 	s.announceStatus(n, endpoints.StatusReady)
 }
 
+// inFlight is the number of attempts that are queued or served.
 func (n *node) inFlight() int {
 	if n.busy {
 		return len(n.queue) + 1
--- a/internal/simulation/fleetsim/result.go
+++ b/internal/simulation/fleetsim/result.go
@@ -7,87 +7,102 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what a run came to.
+// Result is the outcome of a run. The JSON keys are part of the stored results of experiments.
 type Result struct {
-	Requests                      int           `json:"Requests"`
-	Served                        int           `json:"Served"`
-	Rejected                      int           `json:"Refused"`
-	Failed                        int           `json:"Failed"`
-	LoadSpread                    float64       `json:"Spread"`          // the most loaded node's work over the mean of those that were up all the time
-	NodesUsed                     int           `json:"Asked"`           // nodes that got a request
-	MeanConnectionsPerNode        float64       `json:"OpenNode"`        // connections a node, mean over time and nodes, and the most that one had
-	MaxConnectionsPerNode         float64       `json:"MostNode"`        // connections a node, mean over time and nodes, and the most that one had
-	MaxConnectionsPerSidecar      int           `json:"OpenSidecar"`     // the most that one sidecar had
-	ConnectionsOpened             int           `json:"Opened"`          // connections made
-	ConnectionsPrewarmed          int           `json:"Ahead"`           // of them before a request needed them
-	RequestsDelayedByConnect      int           `json:"Waited"`          // requests whose first send waited for a connection
-	MaxConnectionsOpenedPerSecond int           `json:"MostMade"`        // most connections made to one node within a second
-	MeanSubsetSize                float64       `json:"Own"`             // mean number of a sidecar's own nodes, at the end
-	NodesOverloaded               int           `json:"Fell"`            // nodes that were pushed over
-	Decisions                     int           `json:"Decisions"`       // calls of the modules
-	Probes                        int           `json:"Probes"`          // sent
-	ListCalls                     int           `json:"Calls"`           // for the list: all, within a second, in vain
-	MaxListCallsPerSecond         int           `json:"MostCalls"`       // for the list: all, within a second, in vain
-	ListCallsRejected             int           `json:"CallsTurnedAway"` // for the list: all, within a second, in vain
-	LastFullListAt                time.Duration `json:"Listed"`          // when a sidecar last got the whole list
-	ConnectFailures               int           `json:"Unreached"`       // sends that found neither a connection nor a node
-	P50                           time.Duration `json:"P50"`
+	Requests int `json:"Requests"` // first requests and clients' retries
+	Served   int `json:"Served"`
+	Rejected int `json:"Refused"`
+	Failed   int `json:"Failed"`
+
+	LoadSpread                    float64       `json:"Spread"`      // the most loaded node's service time over the mean of the nodes that never restarted
+	NodesUsed                     int           `json:"Asked"`       // nodes that received an attempt
+	MeanConnectionsPerNode        float64       `json:"OpenNode"`    // over the nodes and the second half of the run
+	MaxConnectionsPerNode         float64       `json:"MostNode"`    // the most that one node ever had open
+	MaxConnectionsPerSidecar      int           `json:"OpenSidecar"` // the most that one sidecar ever had open
+	ConnectionsOpened             int           `json:"Opened"`
+	ConnectionsPrewarmed          int           `json:"Ahead"`     // of ConnectionsOpened, those opened before a request needed them
+	RequestsDelayedByConnect      int           `json:"Waited"`    // requests whose first attempt had to open a connection
+	MaxConnectionsOpenedPerSecond int           `json:"MostMade"`  // to one node
+	MeanSubsetSize                float64       `json:"Own"`       // of the sidecars, at the end of the run
+	NodesOverloaded               int           `json:"Fell"`      // nodes that stopped for good from overload during slow start
+	Decisions                     int           `json:"Decisions"` // events handled by the balancers
+	Probes                        int           `json:"Probes"`    // probes sent
+	ListCalls                     int           `json:"Calls"`     // calls for the endpoint list
+	MaxListCallsPerSecond         int           `json:"MostCalls"`
+	ListCallsRejected             int           `json:"CallsTurnedAway"`
+	LastFullListAt                time.Duration `json:"Listed"`    // since the start, when a sidecar last received a full list
+	ConnectFailures               int           `json:"Unreached"` // attempts that found no idle connection and whose connect failed
+	P50                           time.Duration `json:"P50"`       // latency of served requests
 	P99                           time.Duration `json:"P99"`
-	Operations                    int           `json:"Operations"` // what clients wanted, what of it was served, and all that was sent to nodes
-	OperationsServed              int           `json:"Done"`       // what clients wanted, what of it was served, and all that was sent to nodes
-	Attempts                      int           `json:"Sends"`      // what clients wanted, what of it was served, and all that was sent to nodes
-	Points                        []Point       `json:"Points"`
-	Violations                    int           `json:"Violations"` // of rules that must always hold, and the first of them
-	ViolationTexts                []string      `json:"Broken"`
+
+	Operations       int      `json:"Operations"` // begun by clients; each is one request and its retries
+	OperationsServed int      `json:"Done"`
+	Attempts         int      `json:"Sends"` // sent to nodes
+	Points           []Point  `json:"Points"`
+	Violations       int      `json:"Violations"` // of invariants
+	ViolationTexts   []string `json:"Broken"`     // the first maxViolationTexts of them
 }
 
-// Point is what came in an interval of Run.Interval.
+// Point holds the counts of one interval of length Run.Interval.
 type Point struct {
-	At               time.Duration `json:"At"`
-	Requests         int           `json:"Asked"`      // requests
-	Served           int           `json:"Served"`     // requests
-	Rejected         int           `json:"Refused"`    // requests
-	Failed           int           `json:"Failed"`     // requests
-	Operations       int           `json:"Operations"` // as clients see them: begun, and served after however many requests
-	OperationsServed int           `json:"Done"`       // as clients see them: begun, and served after however many requests
+	At               time.Duration `json:"At"`    // start of the interval, since the start of the run
+	Requests         int           `json:"Asked"` // sent by clients
+	Served           int           `json:"Served"`
+	Rejected         int           `json:"Refused"`
+	Failed           int           `json:"Failed"`
+	Operations       int           `json:"Operations"` // begun
+	OperationsServed int           `json:"Done"`       // served, after however many requests
 	Attempts         int           `json:"Sends"`
-	P50              time.Duration `json:"P50"`
+	P50              time.Duration `json:"P50"` // latency of served operations
 	P99              time.Duration `json:"P99"`
-	Utilization      float64       `json:"Utilization"` // mean of the nodes that are up
-	latencies        *hdr.Histogram
-	busyTime         time.Duration
+	Utilization      float64       `json:"Utilization"` // mean of the nodes that are up at the end of the interval
+
+	latencies *hdr.Histogram // in microseconds; nil once the interval is closed
+	busyTime  time.Duration  // service time of all nodes
 }
 
-// summarize makes the result of what was counted.
+// summarize completes the result from the counters of nodes, sidecars and latencies.
 func (s *simulation) summarize() {
-	o := &s.result
-	most, total, up := time.Duration(0), time.Duration(0), 0
+	s.summarizeNodes()
+	s.summarizeSidecars()
+	if s.openConnectionSamples > 0 {
+		s.result.MeanConnectionsPerNode = s.openConnectionSum / float64(s.openConnectionSamples)
+	}
+	slices.Sort(s.latencies)
+	if n := len(s.latencies); n > 0 {
+		s.result.P50, s.result.P99 = s.latencies[n/2], s.latencies[n*99/100]
+	}
+}
+
+func (s *simulation) summarizeNodes() {
+	result := &s.result
+	var maxServed, totalServed time.Duration
+	undisturbed := 0 // nodes that were up all the time
 	for _, n := range s.nodes {
 		if n.attempts > 0 {
-			o.NodesUsed++
+			result.NodesUsed++
 		}
-		o.MaxConnectionsPerNode = max(o.MaxConnectionsPerNode, float64(n.maxOpenConnections))
+		result.MaxConnectionsPerNode = max(result.MaxConnectionsPerNode, float64(n.maxOpenConnections))
 		if !n.restarted && !n.overloaded {
-			most, total, up = max(most, n.servedTime), total+n.servedTime, up+1
+			maxServed = max(maxServed, n.servedTime)
+			totalServed += n.servedTime
+			undisturbed++
 		}
 	}
-	if total > 0 {
-		o.LoadSpread = float64(most) * float64(up) / float64(total)
-	}
-	if s.openConnectionSamples > 0 {
-		o.MeanConnectionsPerNode = s.openConnectionSum / float64(s.openConnectionSamples)
+	if totalServed > 0 {
+		result.LoadSpread = float64(maxServed) * float64(undisturbed) / float64(totalServed)
 	}
+}
+
+func (s *simulation) summarizeSidecars() {
+	result := &s.result
 	for _, sc := range s.sidecars {
-		o.MaxConnectionsPerSidecar = max(o.MaxConnectionsPerSidecar, sc.maxOpenConnections)
-		if sc.subset != nil {
-			own, _ := sc.subset.Size()
-			o.MeanSubsetSize += float64(own) / float64(len(s.sidecars))
-		} else {
-			o.MeanSubsetSize = float64(len(s.nodes))
+		result.MaxConnectionsPerSidecar = max(result.MaxConnectionsPerSidecar, sc.maxOpenConnections)
+		if sc.subset == nil {
+			result.MeanSubsetSize = float64(len(s.nodes))
+			continue
 		}
-	}
-	slices.Sort(s.latencies)
-	if n := len(s.latencies); n > 0 {
-		o.P50, o.P99 = s.latencies[n/2], s.latencies[n*99/100]
+		size, _ := sc.subset.Size()
+		result.MeanSubsetSize += float64(size) / float64(len(s.sidecars))
 	}
 }
--- a/internal/simulation/fleetsim/run.go
+++ b/internal/simulation/fleetsim/run.go
@@ -10,61 +10,62 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// Run is a run's parameters.
+// Run holds the parameters of a run.
 type Run struct {
 	Sidecars, Nodes int
-	Zones           int                 // absent: 1
-	Rate            float64             // requests a second, of all sidecars
-	TrafficWeight   func(i int) float64 // of the traffic, relative to the others'; nil: all alike
-	MeanServiceTime time.Duration       // mean, exponential
+	Zones           int                 // nodes and sidecars are assigned to zones in turn; 0: 1
+	Rate            float64             // requests per second, of all sidecars together
+	TrafficWeight   func(i int) float64 // a sidecar's weight in Rate; nil: equal weights
+	MeanServiceTime time.Duration       // of a request on a warm node, drawn from an exponential distribution
 	Length          time.Duration
 	Seed            uint64
-	Subset          subset.Options // Sidecars and Index are filled in, where Known; not On: all know all
-	IndexKnown      bool           // each sidecar is told its index and how many there are
 	Settings        balancer.Settings
-	IdleTimeout     time.Duration   // connections are closed after so long; absent: 30 s
-	ConnectDelay    time.Duration   // what a new connection adds
-	Prewarming      prewarm.Options // not On: connections are made as requests need them
-	MaxConnections  int             // connections that a sidecar may have, which bounds its subset; absent: 496
+	Clients         Clients
+	CostHints       bool          // the balancers know each request's service time
+	ClassFractions  []float64     // of the traffic, by index of Settings.Classes; empty: the first class only
+	RateSteps       []RateStep    // changes of Rate, in order of time
+	Interval        time.Duration // of Result.Points; 0: no points
 
-	HideStartTimes   bool                // modules are not told what cold nodes can take, nor which are cold
-	NodeSpeed        func(i int) float64 // of a node; nil: 1
-	LoadProbes       loadprobe.Options   // probes beside the module, which decides
-	HideProbeLatency bool                // answers to those tell no latency
-	SyncProbes       *SyncProbes         // in place of the module; nil: the module chooses
+	Subset         subset.Options  // FleetSize and Index are filled in if IndexKnown; not Enabled: every sidecar uses all nodes
+	IndexKnown     bool            // each sidecar knows its index and the number of sidecars
+	IdleTimeout    time.Duration   // of connections; 0: 30 s
+	ConnectDelay   time.Duration   // that opening a connection adds
+	Prewarming     prewarm.Options // not Enabled: connections are opened when a request needs them
+	MaxConnections int             // of a sidecar; it bounds the subset; 0: 496
 
-	Policy         func(rng *rand.Rand) Policy // in place of the module; nil: the module chooses
-	MaxAttempts    int                         // of a Policy's request, on nodes that it picks anew, where it is proved not to have run or is safe
-	Faults         []Fault
-	RateSteps      []RateStep // of the rate; none: Rate all the time
-	CostHints      bool       // modules are told a request's work
-	ClassFractions []float64  // shares of Settings.Classes; absent: the first alone
-	Clients        Clients
-	Interval       time.Duration // what Result.Points are for; 0: there are none
+	NodeSpeed        func(i int) float64 // factor on a node's service rate; nil: 1
+	HideStartTimes   bool                // the balancers know neither when a node started nor the slow start parameters
+	LoadProbes       loadprobe.Options   // probes whose answers go to the balancer
+	HideProbeLatency bool                // these answers hold no latency
+	SyncProbes       *SyncProbes         // chooses nodes in place of the balancer; nil: it does not
 
-	RestartAt       time.Duration // so that a part of the nodes restarts, spread over RestartOver; 0: none
-	RestartOver     time.Duration
-	RestartFraction float64
-	RestartDowntime time.Duration // a node is away so long
-	Discovery       *Discovery    // nil: the list reaches all by itself
-	ListSizes       []ListSize    // of the list at times; the first Nodes names are listed before
+	Policy      func(rng *rand.Rand) Policy // makes each sidecar's policy, which chooses in place of the balancer; nil: none
+	MaxAttempts int                         // of a Policy's request, where a retry is safe
+
+	Faults          []Fault
+	RestartAt       time.Duration // a fraction of the nodes restarts from then on; 0: none does
+	RestartOver     time.Duration // the restarts are spread over this time
+	RestartFraction float64       // of the nodes
+	RestartDowntime time.Duration // from a node's stop to its start
+	Discovery       *Discovery    // nil: list changes reach every sidecar by themselves
+	ListSizes       []ListSize    // changes of the number of listed nodes
 }
 
-// ListSize is how many nodes are listed from a time on.
+// ListSize is the number of listed nodes from a time on; the nodes with the highest indices leave first.
 type ListSize struct {
-	At    time.Duration
+	At    time.Duration // since the start
 	Nodes int
 }
 
-// RateStep is a rate from a time on, as a multiple of Run.Rate.
+// RateStep is a rate from a time on.
 type RateStep struct {
-	At       time.Duration
-	Multiple float64
+	At       time.Duration // since the start
+	Multiple float64       // of Run.Rate
 }
 
-// Clients is what clients do on their own: they ask again where they were refused, or failed and it is safe.
+// Clients is how clients retry requests that were rejected, or that failed and are idempotent.
 type Clients struct {
-	MaxRetries      int           // after the first
-	InitialBackoff  time.Duration // before each, doubled, where no time was named
-	HonorRetryAfter bool          // they wait as long as a refusal says
+	MaxRetries      int
+	InitialBackoff  time.Duration // before the first retry; it doubles with each further one
+	HonorRetryAfter bool          // they wait at least as long as Retry-After says
 }
--- a/internal/simulation/fleetsim/sidecar.go
+++ b/internal/simulation/fleetsim/sidecar.go
@@ -13,73 +13,94 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
+// sidecar is one sidecar: its balancer or policy, its endpoints and its connections.
 type sidecar struct {
-	index              int
-	zone               string
-	zoneNode           *node // of its zone: a cut is its own too
-	balancer           *balancer.Balancer
-	policy             Policy          // nil: the module chooses
-	inactive           map[string]bool // told to be leaving or gone
-	subset             *subset.Subset
-	pending            map[string]*request
+	index       int
+	zone        string
+	zoneNode    *node // a node of its zone: a partition of the zone is a fault of all its nodes
+	settings    balancer.Settings
+	balancer    *balancer.Balancer
+	policy      Policy // nil: the balancer chooses
+	rng         *rand.Rand
+	incarnation int                 // number of restarts
+	timerAt     time.Duration       // of the balancer; 0: none is set
+	pending     map[string]*request // without an answer, by ID
+
+	subset          *subset.Subset       // nil: it uses all nodes
+	inactive        map[string]bool      // nodes it knows to be draining or removed
+	activeUpstreams []string             // kept for policies and SyncProbes only
+	pendingUpdates  []endpoints.Endpoint // list changes on their way to it
+	watching        bool                 // the discovery service sends it changes
+	cachedList      []endpoints.Endpoint // the last list from the discovery service
+
 	pools              map[*node]*connectionPool
 	openConnections    int
 	maxOpenConnections int
-	timerAt            time.Duration
 	requestsSinceSweep int
-	requestRate        float64
-	rng                *rand.Rand
-	prewarmer          *prewarm.Prewarmer   // nil: there is none
-	prober             *loadprobe.Prober    // nil: there is none
-	prewarmMembers     map[string]uint64    // what the warmer is told of
-	activeUpstreams    []string             // active ones, where probes choose
-	probedInFlight     []int                // requests in hand, by the last probes
-	pendingUpdates     []endpoints.Endpoint // of the list, on its way
+	requestRate        float64 // requests per second, smoothed
 
-	settings    balancer.Settings
-	incarnation int // of its processes, the present one
-	watching    bool
-	cachedList  []endpoints.Endpoint
+	prewarmer      *prewarm.Prewarmer // nil: none
+	prewarmMembers map[string]uint64  // incarnations of active nodes, as the prewarmer takes them
+	prober         *loadprobe.Prober  // nil: none
+	probedInFlight []int              // numbers in flight in the last SyncProbes answers, the newest last
 }
 
+// addSidecar makes a sidecar and gives it its first list.
 func (s *simulation) addSidecar(i int) (*sidecar, error) {
-	set := s.run.Settings
-	set.FleetSize = s.run.Sidecars
+	settings := s.run.Settings
+	settings.FleetSize = s.run.Sidecars
 	if s.run.HideStartTimes {
-		set.SlowStartMinCapacity, set.SlowStartWindow, set.OverloadMultiple, set.OverloadWindow = 0, 0, 0, 0
+		settings.SlowStartMinCapacity, settings.SlowStartWindow = 0, 0
+		settings.OverloadMultiple, settings.OverloadWindow = 0, 0
 	}
-	zone := fmt.Sprint("z", i%s.run.Zones)
-	set.Zone = zone
-	set.MustSubscribe = s.run.Discovery != nil
-	b, err := balancer.New(set, s.run.Seed<<16+uint64(i))
+	settings.Zone = s.zone(i)
+	settings.MustSubscribe = s.run.Discovery != nil
+	b, err := balancer.New(settings, s.run.Seed<<16+uint64(i))
 	if err != nil {
 		return nil, err
 	}
-	sc := &sidecar{index: i, settings: set, zone: zone, balancer: b, pending: map[string]*request{}, pools: map[*node]*connectionPool{}, inactive: map[string]bool{}, zoneNode: s.nodes[i%s.run.Zones],
-		rng: rand.New(rand.NewPCG(s.run.Seed, uint64(i)))}
-	if s.run.Policy != nil {
-		sc.policy = s.run.Policy(rand.New(rand.NewPCG(s.run.Seed, uint64(i)+3<<32)))
+	sc := &sidecar{
+		index:    i,
+		settings: settings,
+		zone:     settings.Zone,
+		zoneNode: s.nodes[i%s.run.Zones],
+		balancer: b,
+		pending:  map[string]*request{},
+		pools:    map[*node]*connectionPool{},
+		inactive: map[string]bool{},
+		rng:      rand.New(rand.NewPCG(s.run.Seed, uint64(i))),
 	}
-	if s.run.Subset.Enabled {
-		o := s.run.Subset
-		if o.Index = -1; s.run.IndexKnown {
-			o.FleetSize, o.Index = s.run.Sidecars, i
-		}
-		sc.subset = subset.New(o, fmt.Sprint("sidecar-", i), zone, s.run.MaxConnections)
+	if s.run.Policy != nil {
+		sc.policy = s.run.Policy(rand.New(rand.NewPCG(s.run.Seed, uint64(i)+policyStreamOffset)))
 	}
+	s.addSubset(sc)
 	if s.run.Prewarming.Enabled {
-		sc.prewarmer, sc.prewarmMembers = prewarm.New(s.run.Prewarming, s.run.MaxConnections, rand.New(rand.NewPCG(s.run.Seed, uint64(i)+1<<32))), map[string]uint64{}
+		sc.prewarmer = prewarm.New(s.run.Prewarming, s.run.MaxConnections, rand.New(rand.NewPCG(s.run.Seed, uint64(i)+prewarmStreamOffset)))
+		sc.prewarmMembers = map[string]uint64{}
 		s.After(time.Duration(s.rng.Int64N(int64(prewarmPeriod))), func() { s.prewarmConnections(sc) })
 	}
 	if s.run.LoadProbes.Enabled {
-		sc.prober = loadprobe.New(s.run.LoadProbes, rand.New(rand.NewPCG(s.run.Seed, uint64(i)+2<<32)))
+		sc.prober = loadprobe.New(s.run.LoadProbes, rand.New(rand.NewPCG(s.run.Seed, uint64(i)+probeStreamOffset)))
 	}
 	s.sidecars = append(s.sidecars, sc)
 	s.deliverFirstList(sc)
 	return sc, nil
 }
 
-// handleEvent tells a sidecar's balancer, and does what it says.
+// addSubset gives a sidecar its subset, if the run has subsets.
+func (s *simulation) addSubset(sc *sidecar) {
+	if !s.run.Subset.Enabled {
+		return
+	}
+	options := s.run.Subset
+	options.Index = -1 // unknown
+	if s.run.IndexKnown {
+		options.FleetSize, options.Index = s.run.Sidecars, sc.index
+	}
+	sc.subset = subset.New(options, fmt.Sprint("sidecar-", sc.index), sc.zone, s.run.MaxConnections)
+}
+
+// handleEvent gives an event to a sidecar's balancer and executes the resulting actions.
 func (s *simulation) handleEvent(sc *sidecar, event balancer.Event) {
 	s.result.Decisions++
 	for _, action := range sc.balancer.Handle(s.Now(), event, nil) {
@@ -110,35 +131,36 @@
 	}
 }
 
-func (s *simulation) finishRequest(sc *sidecar, id string, count *int, retryIn time.Duration) {
+// finishRequest gives a request its final answer. count is the counter in s.result of that kind of answer.
+func (s *simulation) finishRequest(sc *sidecar, id string, count *int, retryAfter time.Duration) {
 	if req := sc.pending[id]; req != nil && !req.done {
 		req.done = true
 		*count++
 		delete(sc.pending, id)
-		s.requestEnded(sc, req, count, retryIn)
+		s.requestEnded(sc, req, count, retryAfter)
 	}
 }
 
-// scheduleKills has a part of the sidecars be killed at once.
+// scheduleKills draws a fraction of the sidecars, which are killed at the same moment.
 func (s *simulation) scheduleKills(f Fault) {
-	of := s.rng.Perm(len(s.sidecars))[:int(f.Fraction*float64(len(s.sidecars))+0.5)]
-	slices.Sort(of)
+	indices := s.rng.Perm(len(s.sidecars))[:int(f.Fraction*float64(len(s.sidecars))+0.5)]
+	slices.Sort(indices)
 	s.After(f.At, func() {
-		for _, i := range of {
+		for _, i := range indices {
 			s.restartSidecar(s.sidecars[i])
 		}
 	})
 }
 
-// restartSidecar ends a sidecar's process and starts it again: it knows its last list, and nothing else.
+// restartSidecar kills a sidecar's process and starts it again with the cached list and no other state. Pending requests fail.
 func (s *simulation) restartSidecar(sc *sidecar) {
 	sc.incarnation++
 	sc.watching, sc.timerAt = false, 0
-	held := make([]*request, 0, len(sc.pending))
+	failed := make([]*request, 0, len(sc.pending))
 	for _, req := range sc.pending {
-		held = append(held, req)
+		failed = append(failed, req)
 	}
-	slices.SortFunc(held, func(a, b *request) int { return int(a.arrivedAt - b.arrivedAt) })
+	slices.SortFunc(failed, func(a, b *request) int { return int(a.arrivedAt - b.arrivedAt) })
 	clear(sc.pending)
 	for n, pool := range sc.pools {
 		s.connectionsClosed(sc, n, len(pool.idleSince)+pool.inUse)
@@ -146,15 +168,15 @@
 	clear(sc.pools)
 	clear(sc.inactive)
 	b, err := balancer.New(sc.settings, s.run.Seed<<16+uint64(sc.index)+uint64(sc.incarnation)<<40)
-	if err != nil { // the same settings were taken before
-		panic(err)
+	if err != nil {
+		panic(err) // the same settings were accepted before
 	}
 	sc.balancer = b
 	if sc.policy != nil {
 		sc.policy = s.run.Policy(sc.rng)
 	}
 	s.deliverFirstList(sc)
-	for _, req := range held { // their clients come again, to the new process
+	for _, req := range failed { // after the restart: retries go to the new process
 		if !req.done {
 			req.done = true
 			s.result.Failed++
@@ -163,7 +185,7 @@
 	}
 }
 
-// deliverFirstList gives a sidecar's new process its first list.
+// deliverFirstList gives a sidecar's new process its first list: the cached one, where a discovery service has the full one.
 func (s *simulation) deliverFirstList(sc *sidecar) {
 	kind, list := balancer.FullUpdate, s.currentList()
 	if s.run.Discovery != nil {
--- a/internal/simulation/fleetsim/simulation.go
+++ b/internal/simulation/fleetsim/simulation.go
@@ -8,88 +8,126 @@
 	"orchiddrift/internal/simulation/virtualtime"
 )
 
+// simulation is a run under way.
 type simulation struct {
 	*virtualtime.Time
-	run                   Run
-	rng                   *rand.Rand
-	wallClockOrigin       time.Time // at Origin
-	nodes                 []*node
-	byName                map[string]*node
-	sidecars              []*sidecar
-	result                Result
-	lastID                int
-	latencies             []time.Duration
-	discardedPoint        Point
+	run             Run
+	rng             *rand.Rand
+	wallClockOrigin time.Time // the wall clock's time at virtualtime.Origin
+	nodes           []*node
+	byName          map[string]*node
+	sidecars        []*sidecar
+	result          Result
+	lastID          int             // of a request
+	latencies       []time.Duration // of served requests
+	discardedPoint  Point           // takes the counts where Run.Interval is 0
+
 	openConnectionSum     float64
 	openConnectionSamples int
-	discoveryBusyUntil    time.Duration // when discovery has worked through its calls
-	callCountSecond       time.Duration // the second that calls are counted in
-	callsInSecond         int
+
+	discoveryBusyUntil time.Duration // when the discovery service has worked off its calls
+	callCountSecond    time.Duration // the second that callsInSecond counts, since the start
+	callsInSecond      int
 }
 
 const (
-	networkRoundTrip = 300 * time.Microsecond // one way and back
-	maxListDelay     = 200 * time.Millisecond // a change of the list reaches every sidecar within this
-	sweepPeriod      = time.Second
-	rateSmoothing    = 0.1
-	maxNodeQueue     = 1000
-	prewarmPeriod    = 100 * time.Millisecond
-	probeServiceTime = 200 * time.Microsecond // of a node's core
+	networkRoundTrip      = 300 * time.Microsecond // between a sidecar and a node
+	maxListDelay          = 200 * time.Millisecond // from a change of the list until a sidecar learns of it
+	drainTime             = time.Second            // from the last sidecar's notification until a draining node stops
+	sweepPeriod           = time.Second            // of a sidecar's check for idle connections
+	rateSmoothing         = 0.1                    // weight of the last sweep in a sidecar's request rate, as in discovery.SubsetSink
+	maxNodeQueue          = 1000                   // requests that wait at a node
+	prewarmPeriod         = 100 * time.Millisecond // of a prewarmer's ticks
+	probeServiceTime      = 200 * time.Microsecond // that a load probe costs a node's core
+	defaultZones          = 1
+	defaultIdleTimeout    = 30 * time.Second
+	defaultMaxConnections = 496
+	wallClockOriginMs     = 1_800_000_000_000 // Unix time of virtualtime.Origin, in ms
+)
+
+// Streams of random numbers, all from Run.Seed. A sidecar's streams are its index plus an offset.
+const (
+	fleetStream         = 11
+	prewarmStreamOffset = 1 << 32
+	probeStreamOffset   = 2 << 32
+	policyStreamOffset  = 3 << 32
 )
 
-// Play plays a run.
+// Play plays a run. The error names a balancer setting that cannot be used.
 func Play(r Run) (*Result, error) {
 	if r.Zones == 0 {
-		r.Zones = 1
+		r.Zones = defaultZones
 	}
 	if r.IdleTimeout == 0 {
-		r.IdleTimeout = 30 * time.Second
+		r.IdleTimeout = defaultIdleTimeout
 	}
 	if r.MaxConnections == 0 {
-		r.MaxConnections = 496
+		r.MaxConnections = defaultMaxConnections
 	}
-	s := &simulation{Time: virtualtime.New(), run: r, rng: rand.New(rand.NewPCG(r.Seed, 11)), wallClockOrigin: time.UnixMilli(1_800_000_000_000),
-		byName: map[string]*node{}}
-	for i := range r.Nodes {
-		n := &node{name: fmt.Sprintf("node-%05d", i), index: i, zone: fmt.Sprint("z", i%r.Zones), up: true, listed: true, speed: 1}
-		if r.NodeSpeed != nil {
-			n.speed = r.NodeSpeed(i)
+	s := &simulation{
+		Time:            virtualtime.New(),
+		run:             r,
+		rng:             rand.New(rand.NewPCG(r.Seed, fleetStream)),
+		wallClockOrigin: time.UnixMilli(wallClockOriginMs),
+		byName:          map[string]*node{},
+	}
+	s.addNodes()
+	if err := s.addSidecars(); err != nil {
+		return nil, err
+	}
+	s.scheduleRestarts()
+	s.scheduleFaults()
+	s.scheduleDiscoveryOutage()
+	for _, size := range r.ListSizes {
+		s.At(virtualtime.Origin+size.At, func() { s.resize(size.Nodes) })
+	}
+	s.sampleOpenConnections()
+	s.Run(r.Length)
+	s.closePoint()
+	s.checkUnanswered()
+	s.summarize()
+	return &s.result, nil
+}
+
+// addNodes makes the nodes, all of them warm and listed.
+func (s *simulation) addNodes() {
+	for i := range s.run.Nodes {
+		n := &node{name: fmt.Sprintf("node-%05d", i), index: i, zone: s.zone(i), up: true, listed: true, speed: 1}
+		if s.run.NodeSpeed != nil {
+			n.speed = s.run.NodeSpeed(i)
 		}
 		s.nodes = append(s.nodes, n)
 		s.byName[n.name] = n
 	}
-	total := 0.0
-	share := r.TrafficWeight
-	if share == nil {
-		share = func(int) float64 { return 1 }
+}
+
+// addSidecars makes the sidecars and starts their traffic.
+func (s *simulation) addSidecars() error {
+	weight := s.run.TrafficWeight
+	if weight == nil {
+		weight = func(int) float64 { return 1 }
 	}
-	for i := range r.Sidecars {
-		total += share(i)
+	total := 0.0
+	for i := range s.run.Sidecars {
+		total += weight(i)
 	}
-	for i := range r.Sidecars {
+	for i := range s.run.Sidecars {
 		sc, err := s.addSidecar(i)
 		if err != nil {
-			return nil, err
+			return err
 		}
-		if rate := r.Rate * share(i) / total; rate > 0 {
+		if rate := s.run.Rate * weight(i) / total; rate > 0 {
 			s.startTraffic(sc, rate)
 		}
 		s.After(time.Duration(s.rng.Int64N(int64(sweepPeriod))), func() { s.sweepSidecar(sc) })
 	}
-	s.scheduleRestarts()
-	s.scheduleFaults()
-	s.scheduleDiscoveryOutage()
-	for _, z := range r.ListSizes {
-		s.At(virtualtime.Origin+z.At, func() { s.resize(z.Nodes) })
-	}
-	s.sampleOpenConnections()
-	s.Run(r.Length)
-	s.closePoint()
-	s.checkUnanswered()
-	s.summarize()
-	return &s.result, nil
+	return nil
 }
 
+// zone returns the zone of the node or sidecar with an index.
+func (s *simulation) zone(index int) string { return fmt.Sprint("z", index%s.run.Zones) }
+
+// wallTime returns the wall clock's time for a time of the run.
 func (s *simulation) wallTime(t time.Duration) time.Time {
 	return s.wallClockOrigin.Add(t - virtualtime.Origin)
 }
