--- a/internal/simulation/fleetsim/discovery.go
+++ b/internal/simulation/fleetsim/discovery.go
@@ -6,25 +6,26 @@
 	"orchiddrift/balancer"
 )
 
-// Discovery is a service of fixed capacity that sidecars ask for the list, in place of a list that reaches all. It works
-// through calls in turn; one that would wait longer than Timeout is turned away at once.
+// Discovery is a discovery service of fixed capacity. Each sidecar calls it for the list and then watches for changes. The
+// service answers calls in turn; a call that would wait longer than Timeout is rejected at once.
 type Discovery struct {
-	LinesPerSecond float64 // that it works through in a second: a call's, and one for each change and sidecar that watches
-	LinesPerCall   int     // what a call costs beside a line for each node
+	LinesPerSecond float64 // capacity; a change costs one line for each watching sidecar
+	LinesPerCall   int     // cost of a call, in addition to one line for each node
 	Timeout        time.Duration
-	DownAt         time.Duration // from then on all watches have ended, and calls are turned away
-	DownFor        time.Duration
+	DownAt         time.Duration // since the start; watches end and calls are rejected
+	DownFor        time.Duration // 0: it is never down
 }
 
-// Kill is the kind of fault that befalls sidecars: Part of them are killed at once and start again with the list as they last had
-// it. What they had in hand has failed.
+// Kill is the fault of sidecars: a fraction of them is killed at the same moment and restarts at once, with the cached list. Their
+// pending requests fail.
 const Kill FaultKind = "kill"
 
+// down reports whether the service is down at a time since the start.
 func (d *Discovery) down(since time.Duration) bool {
 	return d.DownFor > 0 && since >= d.DownAt && since < d.DownAt+d.DownFor
 }
 
-// scheduleDiscoveryOutage has it go down, if it does.
+// scheduleDiscoveryOutage ends all watches when the discovery service goes down.
 func (s *simulation) scheduleDiscoveryOutage() {
 	d := s.run.Discovery
 	if d == nil || d.DownFor == 0 {
@@ -40,7 +41,7 @@
 	})
 }
 
-// subscribe is a sidecar's call for the list.
+// subscribe is a sidecar's call for the list; when it is answered, a watch begins.
 func (s *simulation) subscribe(sc *sidecar) {
 	d := s.run.Discovery
 	if d == nil {
@@ -52,11 +53,11 @@
 	}
 	s.callsInSecond++
 	s.result.MaxListCallsPerSecond = max(s.result.MaxListCallsPerSecond, s.callsInSecond)
-	life := sc.incarnation
+	incarnation := sc.incarnation
 	if d.down(s.Since()) || s.discoveryBusyUntil-s.Now() > d.Timeout {
 		s.result.ListCallsRejected++
 		s.After(networkRoundTrip, func() {
-			if sc.incarnation == life {
+			if sc.incarnation == incarnation {
 				s.discoveryFailed(sc)
 			}
 		})
@@ -65,7 +66,7 @@
 	s.chargeDiscovery(d.LinesPerCall + len(s.nodes))
 	s.At(s.discoveryBusyUntil, func() {
 		switch {
-		case sc.incarnation != life:
+		case sc.incarnation != incarnation: // it was killed
 		case d.down(s.Since()):
 			s.discoveryFailed(sc)
 		default:
@@ -76,24 +77,24 @@
 	})
 }
 
-// policyPollInterval is what a policy in place of the module waits before it asks again, jittered by half.
+// policyPollInterval is the mean time until a sidecar with a Policy calls again, jittered by half.
 const policyPollInterval = 2 * time.Second
 
-// discoveryFailed tells a sidecar that its call was in vain, or its watch has ended.
+// discoveryFailed notifies a sidecar that its call failed or its watch ended.
 func (s *simulation) discoveryFailed(sc *sidecar) {
 	if sc.policy == nil {
 		s.handleEvent(sc, balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
 		return
 	}
-	life := sc.incarnation
+	incarnation := sc.incarnation
 	s.After(policyPollInterval/2+time.Duration(sc.rng.Int64N(int64(policyPollInterval))), func() {
-		if sc.incarnation == life {
+		if sc.incarnation == incarnation {
 			s.subscribe(sc)
 		}
 	})
 }
 
-// chargeDiscovery has discovery work through lines.
+// chargeDiscovery adds lines to the work that the discovery service has to do.
 func (s *simulation) chargeDiscovery(lines int) {
 	cost := time.Duration(float64(lines) / s.run.Discovery.LinesPerSecond * float64(time.Second))
 	s.discoveryBusyUntil = max(s.discoveryBusyUntil, s.Now()) + cost
--- a/internal/simulation/fleetsim/faults.go
+++ b/internal/simulation/fleetsim/faults.go
@@ -7,66 +7,58 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// FaultKind is what befalls nodes.
+// FaultKind is a kind of fault. Its values stand in experiment files.
 type FaultKind string
 
-// The kinds.
+// The kinds of faults.
 const (
-	Slow       FaultKind = "slow"      // work takes Factor times as long
-	Freeze     FaultKind = "freeze"    // nothing is worked on, nothing answered
-	Errors     FaultKind = "errors"    // an error at once: it ran
-	Reject     FaultKind = "turn away" // turned away at once: it did not run
-	Crash      FaultKind = "crash"     // gone without a word, and back cold; the list tells late
-	Deploy     FaultKind = "deploy"    // drained one after another, and back cold
-	Partition  FaultKind = "cut"       // a zone reaches the others no more, nor they it
-	ZoneOutage FaultKind = "lost"      // a zone's machines vanish and say nothing; back cold, and the list tells late of both
+	Slow       FaultKind = "slow"      // service times are multiplied by Factor
+	Freeze     FaultKind = "freeze"    // nothing is served or answered
+	Errors     FaultKind = "errors"    // every attempt fails at once, after it was executed
+	Reject     FaultKind = "turn away" // every attempt is rejected at once, without execution
+	Crash      FaultKind = "crash"     // the process dies and later restarts in slow start; the list follows after crashDetectionDelay
+	Deploy     FaultKind = "deploy"    // nodes are drained one after another and restart in slow start
+	Partition  FaultKind = "cut"       // a zone and the other zones cannot reach each other
+	ZoneOutage FaultKind = "lost"      // as Crash, but of a zone's machines: connections are neither refused nor reset
 )
 
-// FaultKinds are all.
+// FaultKinds lists all kinds.
 var FaultKinds = []FaultKind{Slow, Freeze, Errors, Reject, Crash, Deploy, Partition, ZoneOutage, Kill}
 
-// Fault is what befalls a part of the nodes for a time.
+// Fault is a fault of some nodes, or sidecars, for a time.
 type Fault struct {
 	Kind     FaultKind
-	At       time.Duration // since the run's begin
-	Duration time.Duration // Deploy: in which all of them are drained; Crash: how long each is away
-	Fraction float64       // of all nodes, drawn by chance; Cut, Lost: Zone's nodes
-	Zone     int
-	Factor   float64 // of Slow
+	At       time.Duration // since the start
+	Duration time.Duration // Deploy: over which the drains are spread; Crash: until the restart
+	Fraction float64       // of the nodes, or for Kill of the sidecars, drawn at random; unused if Zonal
+	Zone     int           // index, if Zonal
+	Factor   float64       // of Slow
 }
 
-// Zonal tells whether a kind befalls a zone's nodes, and not a part of all.
+// Zonal reports whether a kind affects the nodes of one zone rather than a fraction of all nodes.
 func (k FaultKind) Zonal() bool { return k == Partition || k == ZoneOutage }
 
+// scheduleFaults schedules the begin and end of each of the run's faults.
 func (s *simulation) scheduleFaults() {
 	for _, f := range s.run.Faults {
 		if f.Kind == Kill {
 			s.scheduleKills(f)
 			continue
 		}
-		var of []*node
-		if f.Kind.Zonal() {
-			for _, n := range s.nodes {
-				if n.index%s.run.Zones == f.Zone {
-					of = append(of, n)
-				}
-			}
-		} else {
-			for _, i := range s.rng.Perm(len(s.nodes))[:int(f.Fraction*float64(len(s.nodes))+0.5)] {
-				of = append(of, s.nodes[i])
-			}
-		}
-		for i, n := range of {
-			n.restarted = n.restarted || f.Kind == Crash || f.Kind == Deploy || f.Kind == ZoneOutage
+		affected := s.affectedNodes(f)
+		for i, n := range affected {
 			switch f.Kind {
 			case Crash, ZoneOutage:
+				n.restarted = true
 				s.After(f.At, func() { s.crashNode(n, f.Duration, f.Kind == ZoneOutage) })
 			case Deploy:
-				s.After(f.At+f.Duration*time.Duration(i)/time.Duration(len(of)), func() { s.redeployNode(n) })
+				n.restarted = true
+				delay := f.Duration * time.Duration(i) / time.Duration(len(affected))
+				s.After(f.At+delay, func() { s.redeployNode(n) })
 			default:
 				s.After(f.At, func() { n.faults = append(n.faults, &f) })
 				s.After(f.At+f.Duration, func() {
-					n.faults = slices.DeleteFunc(n.faults, func(x *Fault) bool { return x == &f })
+					n.faults = slices.DeleteFunc(n.faults, func(other *Fault) bool { return other == &f })
 					s.serveQueue(n)
 				})
 			}
@@ -74,16 +66,35 @@
 	}
 }
 
-func (n *node) fault(k FaultKind) *Fault {
+// affectedNodes are a zone's nodes, or a random fraction of all nodes.
+func (s *simulation) affectedNodes(f Fault) []*node {
+	var affected []*node
+	if f.Kind.Zonal() {
+		for _, n := range s.nodes {
+			if n.index%s.run.Zones == f.Zone {
+				affected = append(affected, n)
+			}
+		}
+		return affected
+	}
+	for _, i := range s.rng.Perm(len(s.nodes))[:int(f.Fraction*float64(len(s.nodes))+0.5)] {
+		affected = append(affected, s.nodes[i])
+	}
+	return affected
+}
+
+// fault returns a fault of a kind that is in effect, or nil.
+func (n *node) fault(kind FaultKind) *Fault {
 	for _, f := range n.faults {
-		if f.Kind == k {
+		if f.Kind == kind {
 			return f
 		}
 	}
 	return nil
 }
 
-func (s *simulation) crashNode(n *node, away time.Duration, silent bool) {
+// crashNode stops a node without a drain, and starts it again after a downtime. The list follows after crashDetectionDelay.
+func (s *simulation) crashNode(n *node, downtime time.Duration, silent bool) {
 	if !n.up {
 		return
 	}
@@ -94,9 +105,10 @@
 			s.announceStatus(n, endpoints.StatusGone)
 		}
 	})
-	s.After(max(away, crashDetectionDelay+maxListDelay), func() { s.startNode(n) })
+	s.After(max(downtime, crashDetectionDelay+maxListDelay), func() { s.startNode(n) })
 }
 
+// redeployNode drains a node, stops it and starts it again after RestartDowntime.
 func (s *simulation) redeployNode(n *node) {
 	if !n.up {
 		return
@@ -109,7 +121,7 @@
 	})
 }
 
-// scheduleRestarts has a part of the nodes drain, go, and come back cold.
+// scheduleRestarts draws RestartFraction of the nodes, which drain, stop and restart in slow start.
 func (s *simulation) scheduleRestarts() {
 	if s.run.RestartAt == 0 {
 		return
@@ -131,7 +143,7 @@
 	}
 }
 
-// resize has the list lose its last nodes, or get them back.
+// resize drains and stops all nodes from index size on, and starts those below it that are down.
 func (s *simulation) resize(size int) {
 	for i, n := range s.nodes {
 		switch {
--- a/internal/simulation/fleetsim/invariants.go
+++ b/internal/simulation/fleetsim/invariants.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	crashDetectionDelay = 5 * time.Second // the list learns of a crash so late
-	answerGrace         = time.Second     // after a request's deadline
-	maxViolationTexts   = 20
+	crashDetectionDelay = 5 * time.Second // from a crash until the list changes
+	answerGrace         = time.Second     // after a request's deadline, until it must have an answer
+	maxViolationTexts   = 20              // kept in a Result
 )
 
-// recordViolation notes that a rule that must always hold did not.
+// recordViolation records that an invariant was broken.
 func (s *simulation) recordViolation(what string) {
 	s.result.Violations++
 	if len(s.result.ViolationTexts) < maxViolationTexts {
@@ -20,7 +20,7 @@
 	}
 }
 
-// checkUnanswered looks for requests that have no answer though their time is over.
+// checkUnanswered records a violation for each request without an answer answerGrace after its deadline.
 func (s *simulation) checkUnanswered() {
 	for _, sc := range s.sidecars {
 		for _, req := range sc.pending {
@@ -31,9 +31,12 @@
 	}
 }
 
-// recordExecution counts that a request ran to its end.
+// recordExecution counts a request's execution. A second one of a non-idempotent request is a violation.
 func (s *simulation) recordExecution(a *attempt) {
-	if a.request.executions++; a.request.executions == 2 && s.run.Settings.Classes[a.request.operation.class].Idempotency == balancer.NonIdempotent {
+	req := a.request
+	req.executions++
+	class := &s.run.Settings.Classes[req.operation.class]
+	if req.executions == 2 && class.Idempotency == balancer.NonIdempotent {
 		s.recordViolation("an unsafe request ran twice")
 	}
 }
--- a/internal/simulation/fleetsim/load_probes.go
+++ b/internal/simulation/fleetsim/load_probes.go
@@ -6,7 +6,7 @@
 	"orchiddrift/balancer"
 )
 
-// probeLoad asks nodes, and goes on once all have answered or patience has ended.
+// probeLoad probes nodes, gives the answers to the balancer, and calls then once all have answered or timed out.
 func (s *simulation) probeLoad(sc *sidecar, names []string, then func()) {
 	wait := networkRoundTrip
 	for _, name := range names {
--- a/internal/simulation/fleetsim/node_report.go
+++ b/internal/simulation/fleetsim/node_report.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// recordServiceTime counts a node's work, for its reports and the interval.
+// recordServiceTime counts a completed attempt in the node's load report and in the present Point.
 func (s *simulation) recordServiceTime(n *node, took time.Duration) {
 	s.currentPoint().busyTime += took
 	n.rollReport(s.Now())
@@ -13,7 +13,7 @@
 	n.answersInReport++
 }
 
-// recent latencies of a number in hand.
+// latencyRing holds the last latencies of attempts that found one number in flight.
 type latencyRing struct {
 	last  [latencyRingSize]time.Duration
 	count int
@@ -21,10 +21,10 @@
 
 const (
 	latencyRingSize  = 8
-	latencyRingCount = 64 // beyond, as this
+	latencyRingCount = 64 // rings of a node; higher numbers in flight share the last ring
 )
 
-// recordLatency notes how long a request took that found so many in hand.
+// recordLatency records the latency of an attempt by the number in flight that it found.
 func (n *node) recordLatency(found int, took time.Duration) {
 	if n.latenciesByInFlight == nil {
 		n.latenciesByInFlight = make([]latencyRing, latencyRingCount)
@@ -34,8 +34,8 @@
 	r.count++
 }
 
-// expectedLatency is what a request takes with as many in hand as now, as Prequal's servers tell it: the median of the last ones that found as many, or
-// nearly as many, there.
+// expectedLatency is the latency that a Prequal server reports: the median of the last latencies at the present number in flight, or at
+// the nearest number that has any. 0 means none.
 func (n *node) expectedLatency() time.Duration {
 	now := min(n.inFlight(), latencyRingCount-1)
 	for off := range len(n.latenciesByInFlight) {
@@ -50,7 +50,7 @@
 	return 0
 }
 
-// rollReport takes a second's counts over into the report.
+// rollReport starts a new interval of the load report once a second.
 func (n *node) rollReport(now time.Duration) {
 	if passed := now - n.reportSince; passed >= time.Second {
 		n.lastReport.Utilization, n.lastReport.Rate = min(1, n.busyInReport.Seconds()/passed.Seconds()), float64(n.answersInReport)/passed.Seconds()
--- a/internal/simulation/fleetsim/policy.go
+++ b/internal/simulation/fleetsim/policy.go
@@ -7,40 +7,40 @@
 	"orchiddrift/balancer"
 )
 
-// LoadReport is what a node tells of itself with each answer.
+// LoadReport is the load report that a node sends with each answer.
 type LoadReport struct {
 	InFlight    int
 	Utilization float64 // of its core, over the last second
-	Rate        float64 // answers a second, over that
+	Rate        float64 // answers per second, over the last second
 }
 
-// Policy chooses nodes in place of the module, in comparisons. It retries nothing by itself: that is the simulation's, alike for all
-// (Run.MaxAttempts). It need not be safe for concurrent use.
+// Policy chooses nodes in place of the balancer, for comparison with it. The simulation retries, by the same rule for all policies
+// (Run.MaxAttempts). A Policy belongs to one sidecar and is called from the simulation's goroutine only.
 type Policy interface {
-	SetUpstreams(names []string)                   // all that may be picked now
-	Pick(now time.Duration) string                 // "": none
-	Sent(now time.Duration, name string)           // what was picked
-	Done(now time.Duration, x AttemptResult)       // each that was sent has one
-	ProbeTargets() []string                        // whom to ask for a Report now; most never do
-	ProbeAnswered(now time.Duration, x ProbeReply) // what came of that
+	SetUpstreams(names []string)                   // replaces the set of active nodes
+	Pick(now time.Duration) string                 // "" if there is none
+	Sent(now time.Duration, name string)           // an attempt is sent to the picked node
+	Done(now time.Duration, result AttemptResult)  // exactly once for each Sent
+	ProbeTargets() []string                        // nodes to probe after a pick; nil: none
+	ProbeAnswered(now time.Duration, r ProbeReply) // at most once for each probe
 }
 
-// AttemptResult is how a send ended.
+// AttemptResult is the result of an attempt.
 type AttemptResult struct {
 	Name    string
 	Latency time.Duration
 	Result  balancer.Result
-	Report  LoadReport // of OK
+	Report  LoadReport // if Result is balancer.OK
 }
 
 // ProbeReply is a node's answer to a probe.
 type ProbeReply struct {
 	Name    string
-	Latency time.Duration // what requests take there now
+	Latency time.Duration // expected at the present number in flight
 	Report  LoadReport
 }
 
-// Policies are those that experiments name, each made from a sidecar's own chance.
+// Policies are the policies by the names that experiments use. Each is made with its sidecar's source of random numbers.
 var Policies = map[string]func(rng *rand.Rand) Policy{
 	"random":               func(rng *rand.Rand) Policy { return &random{upstreamSet{rng: rng}} },
 	"round robin":          func(rng *rand.Rand) Policy { return &roundRobin{upstreamSet{rng: rng}, rng.IntN(1 << 20)} },
@@ -52,7 +52,7 @@
 	"prequal": func(rng *rand.Rand) Policy { return &prequal{upstreamSet: upstreamSet{rng: rng}} },
 }
 
-// pickUpstream has a Policy pick a node for a request.
+// pickUpstream sends a request's next attempt to the node that the sidecar's Policy picks, and probes the nodes that it names.
 func (s *simulation) pickUpstream(sc *sidecar, req *request) {
 	name := sc.policy.Pick(s.Now())
 	if name == "" || s.byName[name] == nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// policyAttemptEnded tells a Policy how a send ended, and tries again where that is harmless: alike for all policies.
+// policyAttemptEnded gives a Policy the result of an attempt, and retries where a second execution is impossible or harmless.
 func (s *simulation) policyAttemptEnded(sc *sidecar, req *request, a *attempt, result balancer.Result) {
 	outcome := AttemptResult{Name: a.node.name, Latency: s.Now() - a.sentAt, Result: result}
 	if result == balancer.OK {
@@ -86,12 +86,12 @@
 	if req.done {
 		return
 	}
-	unrun := result == balancer.Rejected || result == balancer.ConnectFailed
-	safe := s.run.Settings.Classes[req.operation.class].Idempotency == balancer.Idempotent
+	notExecuted := result == balancer.Rejected || result == balancer.ConnectFailed
+	idempotent := s.run.Settings.Classes[req.operation.class].Idempotency == balancer.Idempotent
 	switch {
-	case s.Now() < req.deadline && len(req.attempts) < s.run.MaxAttempts && (unrun || safe):
+	case s.Now() < req.deadline && len(req.attempts) < s.run.MaxAttempts && (notExecuted || idempotent):
 		s.pickUpstream(sc, req)
-	case unrun && len(req.attempts) == 1:
+	case notExecuted && len(req.attempts) == 1:
 		s.finishRequest(sc, req.id, &s.result.Rejected, 0)
 	default:
 		s.finishRequest(sc, req.id, &s.result.Failed, 0)
--- a/internal/simulation/fleetsim/prewarming.go
+++ b/internal/simulation/fleetsim/prewarming.go
@@ -1,6 +1,6 @@
 package fleetsim
 
-// prewarmConnections opens what the sidecar's warmer names, as upstream.Pool.Prewarm does.
+// prewarmConnections opens the connections that a sidecar's prewarmer asks for, as upstream.Pool.Prewarm does.
 func (s *simulation) prewarmConnections(sc *sidecar) {
 	sc.prewarmer.SetMembers(s.Now(), sc.prewarmMembers)
 	open := func(name string) int {
@@ -18,9 +18,9 @@
 		}
 		s.connectionOpened(sc, n)
 		s.result.ConnectionsPrewarmed++
-		epoch := n.incarnation
+		incarnation := n.incarnation
 		s.After(s.run.ConnectDelay, func() {
-			ok := n.up && n.incarnation == epoch
+			ok := n.up && n.incarnation == incarnation
 			if ok {
 				pool := sc.pool(n)
 				pool.idleSince = append(pool.idleSince, s.Now())
--- a/internal/simulation/fleetsim/probes.go
+++ b/internal/simulation/fleetsim/probes.go
@@ -7,28 +7,28 @@
 	"orchiddrift/balancer"
 )
 
-// SyncProbes is what stands beside the module in measurements: each request first asks a few of the sidecar's nodes how much they
-// have in hand and how long they take, and goes to the best by Prequal's hot-cold rule (B. Wydrowski et al., "Load is not what
-// you should balance: Introducing Prequal", NSDI 2024), in its synchronous mode, which is the one for sidecars with little
-// traffic: a pool's probes would be old by the next request. It tries once.
+// SyncProbes is Prequal's synchronous mode, for comparison with the balancer: each request first probes a few random nodes of the
+// sidecar for the number in flight and the latency, and goes to the best by Prequal's hot-cold rule (B. Wydrowski et al., "Load is not what
+// you should balance: Introducing Prequal", NSDI 2024). There are no
+// retries.
 type SyncProbes struct {
-	PerRequest  int           // nodes asked a request
-	ServiceTime time.Duration // what a probe costs a node's core
+	PerRequest  int           // nodes probed for a request
+	ServiceTime time.Duration // that a probe costs a node's core
 }
 
 const (
-	hotQuantile      = 0.84 // of requests in hand seen in answers; above it a node is hot
-	hotWindow        = 128  // answers that the quantile is of
+	hotQuantile      = 0.84 // of the numbers in flight in recent answers; a node above it is hot
+	hotWindow        = 128  // answers that hotQuantile is taken over
 	latencySmoothing = 0.1
 )
 
-// pickByProbes has a request choose by probes.
+// pickByProbes probes nodes and sends the request's only attempt to the best; to a random node if none answers.
 func (s *simulation) pickByProbes(sc *sidecar, req *request) {
 	if len(sc.activeUpstreams) == 0 {
 		s.finishRequest(sc, req.id, &s.result.Rejected, 0)
 		return
 	}
-	s.After(networkRoundTrip, func() { // there and back
+	s.After(networkRoundTrip, func() {
 		var best *node
 		bestHot, hot := true, sc.hotThreshold()
 		for range s.run.SyncProbes.PerRequest {
@@ -55,7 +55,7 @@
 	})
 }
 
-// hotThreshold is the number in hand above which a node is hot.
+// hotThreshold is the number in flight above which a node is hot.
 func (c *sidecar) hotThreshold() int {
 	if len(c.probedInFlight) == 0 {
 		return 0
--- a/internal/simulation/fleetsim/sampling.go
+++ b/internal/simulation/fleetsim/sampling.go
@@ -6,7 +6,7 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// sampleOpenConnections takes the mean of open connections over the second half.
+// sampleOpenConnections samples the nodes' open connections each sweepPeriod over the second half of the run.
 func (s *simulation) sampleOpenConnections() {
 	s.After(sweepPeriod, func() {
 		if s.Since() > s.run.Length/2 {
@@ -19,7 +19,7 @@
 	})
 }
 
-// currentPoint is the interval that goes on.
+// currentPoint is the Point of the present interval.
 func (s *simulation) currentPoint() *Point {
 	if s.run.Interval == 0 {
 		return &s.discardedPoint
--- a/internal/simulation/fleetsim/traffic.go
+++ b/internal/simulation/fleetsim/traffic.go
@@ -7,6 +7,7 @@
 	"orchiddrift/balancer"
 )
 
+// request is one request of an operation to a sidecar.
 type request struct {
 	id          string
 	serviceTime time.Duration
@@ -15,35 +16,40 @@
 	attempts    []*attempt
 	done        bool
 	operation   *operation
-	executions  int // times that it ran to its end
+	executions  int // times that a node served it to its end
 }
 
-// operation is what a client wants, over however many requests.
+// operation is what a client wants: one request and its retries.
 type operation struct {
-	class       int
+	class       int // index in Settings.Classes
 	serviceTime time.Duration
 	startedAt   time.Duration
 	retries     int
-	backoff     time.Duration
+	backoff     time.Duration // before the last retry
 }
 
+// minRateMultiple bounds the time until the next arrival is looked at while the rate is 0.
+const minRateMultiple = 0.01
+
+// startTraffic begins operations at a sidecar, as a Poisson process. rate is in operations per second.
 func (s *simulation) startTraffic(sc *sidecar, rate float64) {
 	var next func()
 	next = func() {
-		now := s.rateMultiple()
-		if now > 0 {
+		multiple := s.rateMultiple()
+		if multiple > 0 {
 			s.beginOperation(sc)
 		}
-		s.After(time.Duration(sc.rng.ExpFloat64()/rate/max(now, 0.01)*float64(time.Second)), next)
+		s.After(time.Duration(sc.rng.ExpFloat64()/rate/max(multiple, minRateMultiple)*float64(time.Second)), next)
 	}
 	s.After(time.Duration(sc.rng.ExpFloat64()/rate*float64(time.Second)), next)
 }
 
+// beginOperation draws an operation's class and service time and sends its first request.
 func (s *simulation) beginOperation(sc *sidecar) {
 	op := &operation{startedAt: s.Now()}
 	if len(s.run.ClassFractions) > 1 {
-		for x := sc.rng.Float64(); op.class < len(s.run.ClassFractions)-1; op.class++ {
-			if x -= s.run.ClassFractions[op.class]; x < 0 {
+		for remainder := sc.rng.Float64(); op.class < len(s.run.ClassFractions)-1; op.class++ {
+			if remainder -= s.run.ClassFractions[op.class]; remainder < 0 {
 				break
 			}
 		}
@@ -54,11 +60,17 @@
 	s.sendRequest(sc, op)
 }
 
-// sendRequest is one of an operation's.
+// sendRequest sends an operation's next request to a sidecar, which decides with its policy, by probes, or with its balancer.
 func (s *simulation) sendRequest(sc *sidecar, op *operation) {
 	s.lastID++
 	class := &s.run.Settings.Classes[op.class]
-	req := &request{id: strconv.Itoa(s.lastID), serviceTime: op.serviceTime, arrivedAt: s.Now(), deadline: s.Now() + class.Deadline, operation: op}
+	req := &request{
+		id:          strconv.Itoa(s.lastID),
+		serviceTime: op.serviceTime,
+		arrivedAt:   s.Now(),
+		deadline:    s.Now() + class.Deadline,
+		operation:   op,
+	}
 	sc.pending[req.id] = req
 	sc.requestsSinceSweep++
 	s.result.Requests++
@@ -83,50 +95,50 @@
 	decide()
 }
 
-// rateMultiple is the multiple of Run.Rate now.
+// rateMultiple is the present multiple of Run.Rate.
 func (s *simulation) rateMultiple() float64 {
-	of := 1.0
-	for _, x := range s.run.RateSteps {
-		if x.At <= s.Since() {
-			of = x.Multiple
+	multiple := 1.0
+	for _, step := range s.run.RateSteps {
+		if step.At <= s.Since() {
+			multiple = step.Multiple
 		}
 	}
-	return of
+	return multiple
 }
 
-// requestEnded tells a client of its request's end.
-func (s *simulation) requestEnded(sc *sidecar, req *request, end *int, retryIn time.Duration) {
+// requestEnded gives a client its request's final answer; the client may retry. counter is the one in s.result of that answer.
+func (s *simulation) requestEnded(sc *sidecar, req *request, counter *int, retryAfter time.Duration) {
 	op := req.operation
-	p := s.currentPoint()
-	switch end {
+	point := s.currentPoint()
+	switch counter {
 	case &s.result.Served:
-		p.Served++
-		p.OperationsServed++
+		point.Served++
+		point.OperationsServed++
 		s.result.OperationsServed++
-		took := s.Now() - op.startedAt
-		if p.latencies != nil {
-			_ = p.latencies.RecordValue(max(1, took.Microseconds())) // it is within the bounds
+		latency := s.Now() - op.startedAt
+		if point.latencies != nil {
+			_ = point.latencies.RecordValue(max(1, latency.Microseconds())) // always within the histogram's bounds
 		}
 		return
 	case &s.result.Rejected:
-		p.Rejected++
+		point.Rejected++
 	default:
-		p.Failed++
+		point.Failed++
 	}
-	safe := s.run.Settings.Classes[op.class].Idempotency == balancer.Idempotent
-	if op.retries >= s.run.Clients.MaxRetries || end != &s.result.Rejected && !safe {
+	idempotent := s.run.Settings.Classes[op.class].Idempotency == balancer.Idempotent
+	if op.retries >= s.run.Clients.MaxRetries || counter != &s.result.Rejected && !idempotent {
 		return
 	}
 	op.retries++
 	op.backoff = max(s.run.Clients.InitialBackoff, 2*op.backoff)
 	wait := op.backoff
 	if s.run.Clients.HonorRetryAfter {
-		wait = max(wait, retryIn)
+		wait = max(wait, retryAfter)
 	}
 	s.After(wait, func() { s.sendRequest(sc, op) })
 }
 
-// costHint is what the module is told of a request's work.
+// costHint is the hint that the balancer gets with a request; 0: none.
 func (s *simulation) costHint(req *request) time.Duration {
 	if s.run.CostHints {
 		return req.serviceTime
