--- a/cmd/orchiddrift/lab.go
+++ b/cmd/orchiddrift/lab.go
@@ -44,7 +44,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	n := experiment.Runner{Cores: cores, Limit: c.Limit, Version: version, Told: func(done, all int, l experiment.Line) {
+	n := experiment.Runner{Workers: cores, Timeout: c.Limit, Version: version, OnResult: func(done, all int, l experiment.RunResult) {
 		word := l.Error
 		if l.Result != nil {
 			word = fmt.Sprintf("%d of %d served, p99 %v", l.Result.OperationsServed, l.Result.Operations, l.Result.P99.Round(100*time.Microsecond))
@@ -69,7 +69,7 @@
 	if err := experiment.Report(os.Stdout, head, lines); err != nil {
 		return err
 	}
-	if t := experiment.Troubles(lines); len(t) > 0 {
+	if t := experiment.Failures(lines); len(t) > 0 {
 		return fmt.Errorf("%d runs failed or broke a rule", len(t))
 	}
 	return nil
@@ -111,19 +111,19 @@
 	all := experiment.Compare(before, after, a.Policies)
 	for _, d := range all {
 		word := "better"
-		if d.Worse > 0 {
+		if d.Regression > 0 {
 			word = "worse"
 		}
-		if d.Policy == experiment.Ours && d.Worse > c.Worse {
+		if d.Policy == experiment.BalancerPolicy && d.Regression > c.Worse {
 			bad, word = bad+1, "TOO MUCH WORSE"
 		}
-		fmt.Printf("%s, %s: %.4g, %.4g before (by %.4g to %.4g): %s\n", d.Policy, d.Figure, d.After, d.Before, d.Low, d.High, word)
+		fmt.Printf("%s, %s: %.4g, %.4g before (by %.4g to %.4g): %s\n", d.Policy, d.Metric, d.After, d.Before, d.Low, d.High, word)
 	}
 	if len(all) == 0 {
 		fmt.Println("nothing differs beyond chance")
 	}
 	if bad > 0 {
-		return fmt.Errorf("%d figures of %s are worse by more than %g", bad, experiment.Ours, c.Worse)
+		return fmt.Errorf("%d figures of %s are worse by more than %g", bad, experiment.BalancerPolicy, c.Worse)
 	}
 	return nil
 }
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -18,21 +18,21 @@
 	"orchiddrift/internal/units"
 )
 
-// Ours is the module, among the policies, and with a part of it switched off by its settings.
+// BalancerPolicy is the module, among the policies, and with a part of it switched off by its settings.
 const (
-	Ours        = "ours"
-	OursOneCopy = "ours, no second copies"
+	BalancerPolicy  = "ours"
+	NoHedgingPolicy = "ours, no second copies"
 )
 
-// isOurs tells whether a name is the module's.
-func isOurs(name string) bool { return name == Ours || name == OursOneCopy }
+// isBalancer tells whether a name is the module's.
+func isBalancer(name string) bool { return name == BalancerPolicy || name == NoHedgingPolicy }
 
 // Experiment is a file.
 type Experiment struct {
 	Name     string         `toml:"name" sample:"\"slow fifth\"" doc:"What it is called."`
 	Question string         `toml:"question" doc:"What it is to answer, for the report."`
 	Length   units.Duration `toml:"length" default:"60s" doc:"Virtual time."`
-	Series   units.Duration `toml:"series" default:"1s" doc:"An interval of the figures over time."`
+	Interval units.Duration `toml:"series" default:"1s" doc:"An interval of the figures over time."`
 	Seeds    int            `toml:"seeds" default:"5" doc:"Runs of each policy: seeds 1 and on."`
 	Policies []string       `toml:"policies" sample:"[\"ours\", \"random\"]" doc:"Absent: all."`
 	Fleet    Fleet          `toml:"fleet" doc:"The nodes and their clients' sidecars."`
@@ -48,74 +48,74 @@
 
 // Fleet is its part of the file.
 type Fleet struct {
-	Nodes    int            `toml:"nodes" default:"50" doc:"Of one core each."`
-	Sidecars int            `toml:"sidecars" default:"10" doc:"That choose for themselves."`
-	Zones    int            `toml:"zones" default:"1" doc:"Nodes and sidecars are dealt out to them in turn."`
-	Work     units.Duration `toml:"work" default:"20ms" doc:"Of a request, the mean; exponential."`
-	Cold     float64        `toml:"cold" default:"0.3" doc:"What a node that has just started can do, as a part."`
-	WarmUp   units.Duration `toml:"warm_up" default:"10s" doc:"Till it can do all."`
-	Fall     float64        `toml:"fall" default:"3.0" doc:"A cold node falls over at so many times what it can do; 0: never."`
-	Down     units.Duration `toml:"down" default:"2s" doc:"A node that is deployed anew is away so long."`
-	Connect  units.Duration `toml:"connect" default:"2ms" doc:"What a new connection adds."`
-	Price    float64        `toml:"cross_zone_price" default:"0.1" doc:"Of a request that leaves its zone, in parts of one that is served: ours weighs it, the others don't know zones."`
-	Hints    bool           `toml:"hints" doc:"Requests tell their work; ours heeds it."`
-	Subset   bool           `toml:"subset" doc:"Sidecars know a part of the nodes as their own."`
+	Nodes                int            `toml:"nodes" default:"50" doc:"Of one core each."`
+	Sidecars             int            `toml:"sidecars" default:"10" doc:"That choose for themselves."`
+	Zones                int            `toml:"zones" default:"1" doc:"Nodes and sidecars are dealt out to them in turn."`
+	MeanServiceTime      units.Duration `toml:"work" default:"20ms" doc:"Of a request, the mean; exponential."`
+	SlowStartMinCapacity float64        `toml:"cold" default:"0.3" doc:"What a node that has just started can do, as a part."`
+	SlowStartWindow      units.Duration `toml:"warm_up" default:"10s" doc:"Till it can do all."`
+	OverloadMultiple     float64        `toml:"fall" default:"3.0" doc:"A cold node falls over at so many times what it can do; 0: never."`
+	RestartDowntime      units.Duration `toml:"down" default:"2s" doc:"A node that is deployed anew is away so long."`
+	ConnectDelay         units.Duration `toml:"connect" default:"2ms" doc:"What a new connection adds."`
+	CrossZonePrice       float64        `toml:"cross_zone_price" default:"0.1" doc:"Of a request that leaves its zone, in parts of one that is served: ours weighs it, the others don't know zones."`
+	CostHints            bool           `toml:"hints" doc:"Requests tell their work; ours heeds it."`
+	Subset               bool           `toml:"subset" doc:"Sidecars know a part of the nodes as their own."`
 }
 
 // Load is its part of the file.
 type Load struct {
-	Busy  float64 `toml:"busy" default:"0.5" doc:"What comes, as a part of what all warm nodes can do."`
-	Steps []Step  `toml:"step" doc:"Changes of it."`
+	Utilization float64    `toml:"busy" default:"0.5" doc:"What comes, as a part of what all warm nodes can do."`
+	Steps       []LoadStep `toml:"step" doc:"Changes of it."`
 }
 
-// Step is a change of the load.
-type Step struct {
-	At   units.Duration `toml:"at" doc:"Since the begin."`
-	Busy float64        `toml:"busy" doc:"From then on."`
+// LoadStep is a change of the load.
+type LoadStep struct {
+	At          units.Duration `toml:"at" doc:"Since the begin."`
+	Utilization float64        `toml:"busy" doc:"From then on."`
 }
 
 // Clients is its part of the file.
 type Clients struct {
-	Tries int            `toml:"tries" doc:"After the first: where it was refused, or failed and is safe."`
-	Wait  units.Duration `toml:"wait" default:"500ms" doc:"Before each, doubled."`
-	Heed  bool           `toml:"heed" doc:"They wait at least as long as a refusal says."`
+	MaxRetries      int            `toml:"tries" doc:"After the first: where it was refused, or failed and is safe."`
+	InitialBackoff  units.Duration `toml:"wait" default:"500ms" doc:"Before each, doubled."`
+	HonorRetryAfter bool           `toml:"heed" doc:"They wait at least as long as a refusal says."`
 }
 
 // Class is a kind of requests.
 type Class struct {
-	Name     string         `toml:"name" doc:"What it is called."`
-	Share    float64        `toml:"share" default:"1.0" doc:"Beside the others'."`
-	Effect   string         `toml:"effect" default:"safe" oneof:"safe|unsafe" doc:"Whether it may run twice."`
-	Aim      units.Duration `toml:"aim" default:"400ms" doc:"By which it is worth all."`
-	Deadline units.Duration `toml:"deadline" default:"2s" doc:"By which it is worth anything."`
+	Name             string         `toml:"name" doc:"What it is called."`
+	Weight           float64        `toml:"share" default:"1.0" doc:"Beside the others'."`
+	Effect           string         `toml:"effect" default:"safe" oneof:"safe|unsafe" doc:"Whether it may run twice."`
+	LatencyObjective units.Duration `toml:"aim" default:"400ms" doc:"By which it is worth all."`
+	Deadline         units.Duration `toml:"deadline" default:"2s" doc:"By which it is worth anything."`
 }
 
 // Discovery is a service of fixed capacity.
 type Discovery struct {
-	AllCalls  units.Duration `toml:"all_calls" doc:"In which it can take one call from each sidecar; 0s: there is none."`
-	CallLines int            `toml:"call_lines" default:"30" doc:"Lines that a call costs beside one for each node."`
-	Timeout   units.Duration `toml:"timeout" default:"1s" doc:"A call that would wait longer is turned away."`
-	DownAt    units.Duration `toml:"down_at" doc:"From then on it takes none."`
-	DownFor   units.Duration `toml:"down_for" doc:"So long; 0s: it is never down."`
+	TimeForAllCalls units.Duration `toml:"all_calls" doc:"In which it can take one call from each sidecar; 0s: there is none."`
+	LinesPerCall    int            `toml:"call_lines" default:"30" doc:"Lines that a call costs beside one for each node."`
+	Timeout         units.Duration `toml:"timeout" default:"1s" doc:"A call that would wait longer is turned away."`
+	DownAt          units.Duration `toml:"down_at" doc:"From then on it takes none."`
+	DownFor         units.Duration `toml:"down_for" doc:"So long; 0s: it is never down."`
 }
 
 // Fault befalls nodes, or sidecars.
 type Fault struct {
-	Kind   string         `toml:"kind" oneof:"slow|freeze|errors|turn away|crash|deploy|cut|lost|kill" doc:"What befalls them."`
-	At     units.Duration `toml:"at" doc:"Since the begin."`
-	For    units.Duration `toml:"for" default:"10s" doc:"How long; deploy: in which all are."`
-	Part   float64        `toml:"part" default:"0.2" doc:"Of the nodes, or of the sidecars that are killed, drawn by the seed."`
-	Zone   int            `toml:"zone" doc:"That is cut off."`
-	Factor float64        `toml:"factor" default:"5.0" doc:"By which slow ones are slower."`
+	Kind     string         `toml:"kind" oneof:"slow|freeze|errors|turn away|crash|deploy|cut|lost|kill" doc:"What befalls them."`
+	At       units.Duration `toml:"at" doc:"Since the begin."`
+	Duration units.Duration `toml:"for" default:"10s" doc:"How long; deploy: in which all are."`
+	Fraction float64        `toml:"part" default:"0.2" doc:"Of the nodes, or of the sidecars that are killed, drawn by the seed."`
+	Zone     int            `toml:"zone" doc:"That is cut off."`
+	Factor   float64        `toml:"factor" default:"5.0" doc:"By which slow ones are slower."`
 }
 
 // Problems are all that is wrong with a file.
 type Problems struct {
-	Name     string
-	Mistakes []tomlfile.Problem
+	Name string
+	List []tomlfile.Problem
 }
 
-func (p *Problems) Error() string { return tomlfile.Text(p.Name, p.Mistakes) }
+func (p *Problems) Error() string { return tomlfile.Text(p.Name, p.List) }
 
 // LoadFile reads an experiment. Its error may be Problems.
 func LoadFile(path string) (*Experiment, error) {
@@ -130,7 +130,7 @@
 func Parse(name string, text []byte) (*Experiment, error) {
 	e := &Experiment{}
 	doc := tomlfile.Decode(text, e)
-	e.check(doc)
+	e.validate(doc)
 	if m := doc.Problems(); len(m) > 0 {
 		return nil, &Problems{name, m}
 	}
@@ -139,14 +139,14 @@
 }
 
 const (
-	mostNodes    = 5000
-	mostSidecars = 2000
-	mostRequests = 100_000_000
-	mostSeeds    = 1000
-	mostPoints   = 10_000
+	maxNodes    = 5000
+	maxSidecars = 2000
+	maxRequests = 100_000_000
+	maxSeeds    = 1000
+	maxPoints   = 10_000
 )
 
-func (e *Experiment) check(doc *tomlfile.Document) {
+func (e *Experiment) validate(doc *tomlfile.Document) {
 	if doc.Broken() {
 		return
 	}
@@ -158,35 +158,35 @@
 	if e.Name == "" {
 		doc.Report("name", "missing")
 	}
-	bounds("seeds", float64(e.Seeds), 1, mostSeeds)
-	bounds("fleet.nodes", float64(e.Fleet.Nodes), 1, mostNodes)
-	bounds("fleet.sidecars", float64(e.Fleet.Sidecars), 1, mostSidecars)
+	bounds("seeds", float64(e.Seeds), 1, maxSeeds)
+	bounds("fleet.nodes", float64(e.Fleet.Nodes), 1, maxNodes)
+	bounds("fleet.sidecars", float64(e.Fleet.Sidecars), 1, maxSidecars)
 	bounds("fleet.zones", float64(e.Fleet.Zones), 1, float64(max(1, e.Fleet.Nodes)))
-	bounds("fleet.cold", e.Fleet.Cold, 0, 1)
-	bounds("fleet.cross_zone_price", e.Fleet.Price, 0, 100)
-	bounds("fleet.fall", e.Fleet.Fall, 0, 1000)
-	bounds("load.busy", e.Load.Busy, 0, 100)
-	bounds("clients.tries", float64(e.Clients.Tries), 0, 100)
-	if e.Fleet.Work.D() < time.Microsecond || e.Length.D() < time.Second || e.Series.D() < time.Millisecond || e.Clients.Wait <= 0 {
+	bounds("fleet.cold", e.Fleet.SlowStartMinCapacity, 0, 1)
+	bounds("fleet.cross_zone_price", e.Fleet.CrossZonePrice, 0, 100)
+	bounds("fleet.fall", e.Fleet.OverloadMultiple, 0, 1000)
+	bounds("load.busy", e.Load.Utilization, 0, 100)
+	bounds("clients.tries", float64(e.Clients.MaxRetries), 0, 100)
+	if e.Fleet.MeanServiceTime.D() < time.Microsecond || e.Length.D() < time.Second || e.Interval.D() < time.Millisecond || e.Clients.InitialBackoff <= 0 {
 		doc.Report("", "length (1s), series (1ms), fleet.work (1us) and clients.wait need some time")
 		return
 	}
-	if e.Length.D()/e.Series.D() > mostPoints {
-		doc.Report("series", "%d intervals, %d at most", e.Length.D()/e.Series.D(), mostPoints)
+	if e.Length.D()/e.Interval.D() > maxPoints {
+		doc.Report("series", "%d intervals, %d at most", e.Length.D()/e.Interval.D(), maxPoints)
 	}
-	most := e.Load.Busy
+	most := e.Load.Utilization
 	for i, s := range e.Load.Steps {
-		bounds(fmt.Sprintf("load.step[%d].busy", i), s.Busy, 0, 100)
+		bounds(fmt.Sprintf("load.step[%d].busy", i), s.Utilization, 0, 100)
 		if i > 0 && s.At < e.Load.Steps[i-1].At {
 			doc.Report(fmt.Sprintf("load.step[%d].at", i), "it is before the one before it")
 		}
-		most = max(most, s.Busy)
+		most = max(most, s.Utilization)
 	}
-	if n := most * e.capacity() * e.Length.D().Seconds(); n > mostRequests {
-		doc.Report("length", "%.0f requests, %d at most", n, mostRequests)
+	if n := most * e.warmCapacity() * e.Length.D().Seconds(); n > maxRequests {
+		doc.Report("length", "%.0f requests, %d at most", n, maxRequests)
 	}
 	for i, name := range e.Policies {
-		if !isOurs(name) && fleetsim.Policies[name] == nil {
+		if !isBalancer(name) && fleetsim.Policies[name] == nil {
 			doc.Report("policies", "there is no policy %q", name)
 		}
 		if slices.Contains(e.Policies[:i], name) {
@@ -198,40 +198,42 @@
 		if c.Name == "" || slices.ContainsFunc(e.Classes[:i], func(b Class) bool { return b.Name == c.Name }) {
 			doc.Report(at+".name", "%q names no class of its own", c.Name)
 		}
-		bounds(at+".share", c.Share, 1e-9, 1e9)
-		if c.Aim <= 0 || c.Deadline < c.Aim {
-			doc.Report(at+".deadline", "%v is before aim, %v", c.Deadline, c.Aim)
+		bounds(at+".share", c.Weight, 1e-9, 1e9)
+		if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective {
+			doc.Report(at+".deadline", "%v is before aim, %v", c.Deadline, c.LatencyObjective)
 		}
 	}
-	if d := e.Discovery; d.AllCalls < 0 || d.Timeout < 0 || d.DownAt < 0 || d.DownFor < 0 {
+	if d := e.Discovery; d.TimeForAllCalls < 0 || d.Timeout < 0 || d.DownAt < 0 || d.DownFor < 0 {
 		doc.Report("discovery", "a time is negative")
 	}
-	bounds("discovery.call_lines", float64(e.Discovery.CallLines), 0, 1e6)
+	bounds("discovery.call_lines", float64(e.Discovery.LinesPerCall), 0, 1e6)
 	for i, f := range e.Faults {
 		at := fmt.Sprintf("fault[%d]", i)
 		if f.Kind == "" {
 			doc.Report(at+".kind", "missing")
 		}
-		bounds(at+".part", f.Part, 0, 1)
+		bounds(at+".part", f.Fraction, 0, 1)
 		bounds(at+".factor", f.Factor, 1, 1e6)
 		if fleetsim.FaultKind(f.Kind).Zonal() && (f.Zone < 0 || f.Zone >= e.Fleet.Zones) {
 			doc.Report(at+".zone", "there is no zone %d of %d", f.Zone, e.Fleet.Zones)
 		}
-		if f.At < 0 || f.For <= 0 {
+		if f.At < 0 || f.Duration <= 0 {
 			doc.Report(at+".for", "it has no time")
 		}
 	}
 }
 
-// capacity is requests a second that all warm nodes can do.
-func (e *Experiment) capacity() float64 { return float64(e.Fleet.Nodes) / e.Fleet.Work.D().Seconds() }
+// warmCapacity is requests a second that all warm nodes can do.
+func (e *Experiment) warmCapacity() float64 {
+	return float64(e.Fleet.Nodes) / e.Fleet.MeanServiceTime.D().Seconds()
+}
 
-// Names are the policies that it compares.
-func (e *Experiment) Names() []string {
+// PolicyNames are the policies that it compares.
+func (e *Experiment) PolicyNames() []string {
 	if len(e.Policies) > 0 {
 		return e.Policies
 	}
-	all := []string{Ours, OursOneCopy}
+	all := []string{BalancerPolicy, NoHedgingPolicy}
 	for name := range fleetsim.Policies {
 		all = append(all, name)
 	}
@@ -239,52 +241,52 @@
 	return all
 }
 
-// tries is how often a request may be sent in all, by every policy.
-const tries = 3
+// maxAttempts is how often a request may be sent in all, by every policy.
+const maxAttempts = 3
 
-// run is one policy's, with one seed.
-func (e *Experiment) run(policy string, seed int) (fleetsim.Run, error) {
+// fleetRun is one policy's, with one seed.
+func (e *Experiment) fleetRun(policy string, seed int) (fleetsim.Run, error) {
 	f := e.Fleet
-	base := e.Load.Busy
+	base := e.Load.Utilization
 	if base == 0 {
 		base = 1 // Steps are multiples of it
 	}
-	r := fleetsim.Run{Sidecars: f.Sidecars, Nodes: f.Nodes, Zones: f.Zones, Rate: base * e.capacity(), MeanServiceTime: f.Work.D(), Length: e.Length.D(), Seed: uint64(seed),
-		ConnectDelay: f.Connect.D(), RestartDowntime: f.Down.D(), Interval: e.Series.D(), MaxAttempts: tries, CostHints: f.Hints, Clients: fleetsim.Clients{MaxRetries: e.Clients.Tries, InitialBackoff: e.Clients.Wait.D(), HonorRetryAfter: e.Clients.Heed},
-		RateSteps: []fleetsim.RateStep{{At: 0, Multiple: e.Load.Busy / base}},
-		Settings: balancer.Settings{MaxAttempts: tries, HedgingAllowed: true, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 5 * time.Second, ConnectTimeout: 500 * time.Millisecond, CrossZonePrice: f.Price,
-			Tick: 5 * time.Millisecond, SlowStartMinCapacity: f.Cold, SlowStartWindow: f.WarmUp.D(), OverloadMultiple: f.Fall, OverloadWindow: 2 * time.Second}}
+	r := fleetsim.Run{Sidecars: f.Sidecars, Nodes: f.Nodes, Zones: f.Zones, Rate: base * e.warmCapacity(), MeanServiceTime: f.MeanServiceTime.D(), Length: e.Length.D(), Seed: uint64(seed),
+		ConnectDelay: f.ConnectDelay.D(), RestartDowntime: f.RestartDowntime.D(), Interval: e.Interval.D(), MaxAttempts: maxAttempts, CostHints: f.CostHints, Clients: fleetsim.Clients{MaxRetries: e.Clients.MaxRetries, InitialBackoff: e.Clients.InitialBackoff.D(), HonorRetryAfter: e.Clients.HonorRetryAfter},
+		RateSteps: []fleetsim.RateStep{{At: 0, Multiple: e.Load.Utilization / base}},
+		Settings: balancer.Settings{MaxAttempts: maxAttempts, HedgingAllowed: true, CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: 5 * time.Second, ConnectTimeout: 500 * time.Millisecond, CrossZonePrice: f.CrossZonePrice,
+			Tick: 5 * time.Millisecond, SlowStartMinCapacity: f.SlowStartMinCapacity, SlowStartWindow: f.SlowStartWindow.D(), OverloadMultiple: f.OverloadMultiple, OverloadWindow: 2 * time.Second}}
 	for _, s := range e.Load.Steps {
-		r.RateSteps = append(r.RateSteps, fleetsim.RateStep{At: s.At.D(), Multiple: s.Busy / base})
+		r.RateSteps = append(r.RateSteps, fleetsim.RateStep{At: s.At.D(), Multiple: s.Utilization / base})
 	}
 	classes := e.Classes
 	if len(classes) == 0 {
-		classes = []Class{{Name: "request", Share: 1, Effect: "safe", Aim: units.Duration(400 * time.Millisecond), Deadline: units.Duration(2 * time.Second)}}
+		classes = []Class{{Name: "request", Weight: 1, Effect: "safe", LatencyObjective: units.Duration(400 * time.Millisecond), Deadline: units.Duration(2 * time.Second)}}
 	}
 	sum := 0.0
 	for _, c := range classes {
-		sum += c.Share
+		sum += c.Weight
 	}
 	for _, c := range classes {
-		of := balancer.Class{Name: c.Name, LatencyObjective: c.Aim.D(), Deadline: c.Deadline.D(), PriorityWeight: 1, LateValueFraction: 0.5}
+		of := balancer.Class{Name: c.Name, LatencyObjective: c.LatencyObjective.D(), Deadline: c.Deadline.D(), PriorityWeight: 1, LateValueFraction: 0.5}
 		if c.Effect == "unsafe" {
 			of.Idempotency = balancer.NonIdempotent
 		}
-		r.Settings.Classes, r.ClassFractions = append(r.Settings.Classes, of), append(r.ClassFractions, c.Share/sum)
+		r.Settings.Classes, r.ClassFractions = append(r.Settings.Classes, of), append(r.ClassFractions, c.Weight/sum)
 	}
-	if d := e.Discovery; d.AllCalls > 0 {
-		r.Discovery = &fleetsim.Discovery{LinesPerSecond: float64(f.Sidecars*(f.Nodes+d.CallLines)) / d.AllCalls.D().Seconds(), LinesPerCall: d.CallLines,
+	if d := e.Discovery; d.TimeForAllCalls > 0 {
+		r.Discovery = &fleetsim.Discovery{LinesPerSecond: float64(f.Sidecars*(f.Nodes+d.LinesPerCall)) / d.TimeForAllCalls.D().Seconds(), LinesPerCall: d.LinesPerCall,
 			Timeout: d.Timeout.D(), DownAt: d.DownAt.D(), DownFor: d.DownFor.D()}
 	}
 	for _, x := range e.Faults {
-		r.Faults = append(r.Faults, fleetsim.Fault{Kind: fleetsim.FaultKind(x.Kind), At: x.At.D(), Duration: x.For.D(), Fraction: x.Part, Zone: x.Zone, Factor: x.Factor})
+		r.Faults = append(r.Faults, fleetsim.Fault{Kind: fleetsim.FaultKind(x.Kind), At: x.At.D(), Duration: x.Duration.D(), Fraction: x.Fraction, Zone: x.Zone, Factor: x.Factor})
 	}
 	if f.Subset {
 		r.Subset, r.IndexKnown = subset.Default(), true
 		r.Subset.Enabled = true
 	}
-	r.Settings.HedgingAllowed = policy != OursOneCopy
-	if !isOurs(policy) {
+	r.Settings.HedgingAllowed = policy != NoHedgingPolicy
+	if !isBalancer(policy) {
 		if r.Policy = fleetsim.Policies[policy]; r.Policy == nil {
 			return r, fmt.Errorf("there is no policy %q", policy)
 		}
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -37,13 +37,13 @@
 	return e
 }
 
-func runs(t *testing.T, e *Experiment, n Runner, path string) []Line {
+func runs(t *testing.T, e *Experiment, n Runner, path string) []RunResult {
 	t.Helper()
 	if err := n.Run(t.Context(), e, path); err != nil {
 		t.Fatal(err)
 	}
 	_, lines, err := Read(path)
-	if err != nil || len(lines) != len(e.Names())*e.Seeds {
+	if err != nil || len(lines) != len(e.PolicyNames())*e.Seeds {
 		t.Fatalf("%d lines, %v", len(lines), err)
 	}
 	return lines
@@ -55,14 +55,14 @@
 	e := parse(t, small+"[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"3s\"\npart = 0.5\n[[fault]]\nkind = \"cut\"\nat = \"5s\"\nfor = \"1s\"\nzone = 1\n")
 	dir := t.TempDir()
 	one, four, parts := filepath.Join(dir, "1"), filepath.Join(dir, "4"), filepath.Join(dir, "parts")
-	runs(t, e, Runner{Cores: 1}, one)
-	runs(t, e, Runner{Cores: 4}, four)
+	runs(t, e, Runner{Workers: 1}, one)
+	runs(t, e, Runner{Workers: 4}, four)
 	want, err := os.ReadFile(one)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	err = Runner{Cores: 2, Told: func(done, _ int, _ Line) {
+	err = Runner{Workers: 2, OnResult: func(done, _ int, _ RunResult) {
 		if done == 2 {
 			stop()
 		}
@@ -77,16 +77,16 @@
 	if err := os.WriteFile(parts, cut[:len(cut)-30], 0o600); err != nil { // in the middle of a line
 		t.Fatal(err)
 	}
-	runs(t, e, Runner{Cores: 2}, parts)
+	runs(t, e, Runner{Workers: 2}, parts)
 	for _, path := range []string{four, parts} {
 		if got, err := os.ReadFile(path); err != nil || !bytes.Equal(got, want) {
 			t.Errorf("%s: %v, %d bytes, %d with one core", path, err, len(got), len(want))
 		}
 	}
-	if err := (Runner{}).Run(t.Context(), parse(t, small), one); !errors.Is(err, ErrOther) {
+	if err := (Runner{}).Run(t.Context(), parse(t, small), one); !errors.Is(err, ErrMismatch) {
 		t.Errorf("another experiment: %v", err)
 	}
-	if err := (Runner{Version: "2"}).Run(t.Context(), e, one); !errors.Is(err, ErrOther) {
+	if err := (Runner{Version: "2"}).Run(t.Context(), e, one); !errors.Is(err, ErrMismatch) {
 		t.Errorf("another version: %v", err)
 	}
 }
@@ -132,9 +132,9 @@
 	}
 	text := strings.Replace(small, `"ours", "random", "prequal"`, `"panics", "hangs", "strays", "ours"`, 1)
 	e := parse(t, strings.Replace(text, "seeds = 2", "seeds = 1", 1)+"[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"3s\"\npart = 0.5\n")
-	lines := runs(t, e, Runner{Cores: 4, Limit: time.Second}, filepath.Join(t.TempDir(), "r"))
+	lines := runs(t, e, Runner{Workers: 4, Timeout: time.Second}, filepath.Join(t.TempDir(), "r"))
 	close(free)
-	got := strings.Join(Troubles(lines), "\n")
+	got := strings.Join(Failures(lines), "\n")
 	for _, want := range []string{"panics, seed 1: it panicked: no such node", "hangs, seed 1: it did not end within 1s", "strays, seed 1: ", "after it was told to be leaving"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("%q is not told of:\n%s", want, got)
@@ -144,7 +144,7 @@
 		t.Errorf("ours did not go on: %s", got)
 	}
 	var out strings.Builder
-	if err := Report(&out, Head{Experiment: "x", Policies: e.Names(), Seeds: 1}, lines); err != nil || strings.Count(out.String(), "TROUBLE") != 3 {
+	if err := Report(&out, Header{Experiment: "x", Policies: e.PolicyNames(), Seeds: 1}, lines); err != nil || strings.Count(out.String(), "TROUBLE") != 3 {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 }
@@ -155,7 +155,7 @@
 		t.Helper()
 		text := strings.Replace(small, `["ours", "random", "prequal"]`, `["`+policy+`"]`, 1) + fault
 		lines := runs(t, parse(t, strings.Replace(text, "seeds = 2", "seeds = 1", 1)), Runner{}, filepath.Join(t.TempDir(), "r"))
-		if trouble := Troubles(lines); len(trouble) > 0 {
+		if trouble := Failures(lines); len(trouble) > 0 {
 			t.Errorf("%s, %q: %v", policy, fault, trouble)
 		}
 		return lines[0].Result
@@ -168,7 +168,7 @@
 			t.Errorf("%s: %d of %d are not served, %d without a fault", kind, hurt(r), r.Operations, hurt(calm))
 		}
 	}
-	if r := play("ours", "[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"4s\"\npart = 0.25\n"); part(r.OperationsServed, r.Operations) < 0.97 || r.NodesOverloaded > 0 {
+	if r := play("ours", "[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"4s\"\npart = 0.25\n"); fraction(r.OperationsServed, r.Operations) < 0.97 || r.NodesOverloaded > 0 {
 		t.Errorf("a deploy: %d of %d, %d fell", r.OperationsServed, r.Operations, r.NodesOverloaded)
 	}
 	over := "[[load.step]]\nat = \"2s\"\nbusy = 3.0\n[[load.step]]\nat = \"4s\"\nbusy = 0.2\n"
@@ -191,9 +191,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			e.Policies, e.Seeds = []string{Ours}, 1
+			e.Policies, e.Seeds = []string{BalancerPolicy}, 1
 			lines := runs(t, e, Runner{}, filepath.Join(t.TempDir(), "r"))
-			if trouble := Troubles(lines); len(trouble) > 0 || lines[0].Result.OperationsServed == 0 {
+			if trouble := Failures(lines); len(trouble) > 0 || lines[0].Result.OperationsServed == 0 {
 				t.Errorf("%v", trouble)
 			}
 		})
@@ -237,16 +237,16 @@
 // What differs by chance is not told, what differs beyond it is, and which way.
 func TestCompare(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	lines := func(p99, spread float64) (all []Line) {
+	lines := func(p99, spread float64) (all []RunResult) {
 		for seed := range 10 {
 			ms := p99 + spread*rng.NormFloat64()
-			all = append(all, Line{Policy: Ours, Seed: seed + 1, Result: &fleetsim.Result{Operations: 100, OperationsServed: 99, P99: time.Duration(ms * 1e6)}})
+			all = append(all, RunResult{Policy: BalancerPolicy, Seed: seed + 1, Result: &fleetsim.Result{Operations: 100, OperationsServed: 99, P99: time.Duration(ms * 1e6)}})
 		}
 		return all
 	}
 	for _, c := range []struct{ before, after, spread, worse float64 }{{200, 200, 10, 0}, {200, 201, 10, 0}, {200, 250, 10, 0.25}, {200, 150, 10, -0.25}} {
-		all := Compare(lines(c.before, c.spread), lines(c.after, c.spread), []string{Ours})
-		if c.worse == 0 && len(all) > 0 || c.worse != 0 && (len(all) != 1 || all[0].Figure != "p99" || all[0].Worse < c.worse-0.1 || all[0].Worse > c.worse+0.1) {
+		all := Compare(lines(c.before, c.spread), lines(c.after, c.spread), []string{BalancerPolicy})
+		if c.worse == 0 && len(all) > 0 || c.worse != 0 && (len(all) != 1 || all[0].Metric != "p99" || all[0].Regression < c.worse-0.1 || all[0].Regression > c.worse+0.1) {
 			t.Errorf("%+v: %+v", c, all)
 		}
 	}
@@ -255,7 +255,7 @@
 	}
 	points := []fleetsim.Point{{At: 0, Operations: 10, OperationsServed: 10}, {At: time.Second, Operations: 10, OperationsServed: 9}, {At: 2 * time.Second, Operations: 10, OperationsServed: 8},
 		{At: 3 * time.Second, Operations: 10, OperationsServed: 10}, {At: 4 * time.Second}}
-	if d := NotWell(points); d != 2*time.Second {
+	if d := DegradedTime(points); d != 2*time.Second {
 		t.Errorf("not well for %v", d)
 	}
 }
--- a/internal/simulation/experiment/report.go
+++ b/internal/simulation/experiment/report.go
@@ -11,47 +11,47 @@
 	"orchiddrift/internal/simulation/fleetsim"
 )
 
-// Figure is one of a run's, for tables and comparisons.
-type Figure struct {
-	Name   string
-	Better int // 1: more is, -1: less is
-	Of     func(r *fleetsim.Result) float64
-	Digits int
+// Metric is one of a run's, for tables and comparisons.
+type Metric struct {
+	Name      string
+	Direction int // 1: more is, -1: less is
+	Value     func(r *fleetsim.Result) float64
+	Digits    int
 }
 
-// Figures are all, in the order of tables. Times are in milliseconds, shares are of what clients wanted.
-var Figures = []Figure{
-	{"served", 1, func(r *fleetsim.Result) float64 { return part(r.OperationsServed, r.Operations) }, 4},
-	{"p50", -1, func(r *fleetsim.Result) float64 { return ms(r.P50) }, 1},
-	{"p99", -1, func(r *fleetsim.Result) float64 { return ms(r.P99) }, 1},
-	{"worst p99", -1, func(r *fleetsim.Result) float64 { return ms(worst(r.Points)) }, 1},
-	{"sends", -1, func(r *fleetsim.Result) float64 { return part(r.Attempts, r.Operations) }, 3},
-	{"refused", -1, func(r *fleetsim.Result) float64 { return part(r.Rejected, r.Operations) }, 4},
-	{"failed", -1, func(r *fleetsim.Result) float64 { return part(r.Failed, r.Operations) }, 4},
+// Metrics are all, in the order of tables. Times are in milliseconds, shares are of what clients wanted.
+var Metrics = []Metric{
+	{"served", 1, func(r *fleetsim.Result) float64 { return fraction(r.OperationsServed, r.Operations) }, 4},
+	{"p50", -1, func(r *fleetsim.Result) float64 { return milliseconds(r.P50) }, 1},
+	{"p99", -1, func(r *fleetsim.Result) float64 { return milliseconds(r.P99) }, 1},
+	{"worst p99", -1, func(r *fleetsim.Result) float64 { return milliseconds(maxP99(r.Points)) }, 1},
+	{"sends", -1, func(r *fleetsim.Result) float64 { return fraction(r.Attempts, r.Operations) }, 3},
+	{"refused", -1, func(r *fleetsim.Result) float64 { return fraction(r.Rejected, r.Operations) }, 4},
+	{"failed", -1, func(r *fleetsim.Result) float64 { return fraction(r.Failed, r.Operations) }, 4},
 	{"fell", -1, func(r *fleetsim.Result) float64 { return float64(r.NodesOverloaded) }, 0},
-	{"not well", -1, func(r *fleetsim.Result) float64 { return NotWell(r.Points).Seconds() }, 1},
+	{"not well", -1, func(r *fleetsim.Result) float64 { return DegradedTime(r.Points).Seconds() }, 1},
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func part(n, of int) float64 { return float64(n) / float64(max(1, of)) }
+func fraction(n, of int) float64 { return float64(n) / float64(max(1, of)) }
 
-// worst is the highest p99 of an interval.
-func worst(points []fleetsim.Point) (most time.Duration) {
+// maxP99 is the highest p99 of an interval.
+func maxP99(points []fleetsim.Point) (most time.Duration) {
 	for _, p := range points {
 		most = max(most, p.P99)
 	}
 	return most
 }
 
-// wellAt is the part of what clients wanted that a fleet which is well serves.
-const wellAt = 0.95
+// healthyFraction is the part of what clients wanted that a fleet which is well serves.
+const healthyFraction = 0.95
 
-// NotWell is how much of the time less than wellAt of what was wanted was served: a fault's, and how long its effects outlasted it.
-func NotWell(points []fleetsim.Point) (sum time.Duration) {
+// DegradedTime is how much of the time less than healthyFraction of what was wanted was served: a fault's, and how long its effects outlasted it.
+func DegradedTime(points []fleetsim.Point) (sum time.Duration) {
 	for i := range points {
 		p := &points[i]
-		if i+1 < len(points) && part(p.OperationsServed, p.Operations) < wellAt {
+		if i+1 < len(points) && fraction(p.OperationsServed, p.Operations) < healthyFraction {
 			sum += points[i+1].At - p.At
 		}
 	}
@@ -67,7 +67,7 @@
 	confidence = 0.95
 )
 
-func medianOf(x []float64) float64 {
+func median(x []float64) float64 {
 	sorted := slices.Sorted(slices.Values(x))
 	if n := len(sorted); n%2 == 0 {
 		return (sorted[n/2-1] + sorted[n/2]) / 2
@@ -96,22 +96,22 @@
 
 // Summarize sums one figure up; there is at least one value.
 func Summarize(x []float64) Summary {
-	low, high := bootstrap(func(draw func([]float64) []float64) float64 { return medianOf(draw(x)) })
-	return Summary{medianOf(x), low, high}
+	low, high := bootstrap(func(draw func([]float64) []float64) float64 { return median(draw(x)) })
+	return Summary{median(x), low, high}
 }
 
-// values are a policy's figures over its runs that ended.
-func values(lines []Line, policy string, f Figure) (x []float64) {
+// metricValues are a policy's figures over its runs that ended.
+func metricValues(lines []RunResult, policy string, f Metric) (x []float64) {
 	for _, l := range lines {
 		if l.Policy == policy && l.Result != nil && l.Error == "" {
-			x = append(x, f.Of(l.Result))
+			x = append(x, f.Value(l.Result))
 		}
 	}
 	return x
 }
 
-// Troubles are what no run may have: errors, and rules that were broken.
-func Troubles(lines []Line) (all []string) {
+// Failures are what no run may have: errors, and rules that were broken.
+func Failures(lines []RunResult) (all []string) {
 	for _, l := range lines {
 		at := fmt.Sprintf("%s, seed %d: ", l.Policy, l.Seed)
 		if l.Error != "" {
@@ -126,21 +126,21 @@
 
 // Report writes a table: for each policy the medians over seeds, with their intervals. A star is at the best of a figure, and at those whose
 // intervals reach it.
-func Report(out io.Writer, head Head, lines []Line) error {
+func Report(out io.Writer, head Header, lines []RunResult) error {
 	fmt.Fprintf(out, "%s (%d of %d runs)\n", head.Experiment, len(lines), len(head.Policies)*head.Seeds)
 	if head.Question != "" {
 		fmt.Fprintln(out, head.Question)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "policy")
-	for _, f := range Figures {
+	for _, f := range Metrics {
 		fmt.Fprint(w, "\t", f.Name)
 	}
 	fmt.Fprintln(w, "\t")
 	sums := map[string][]Summary{}
 	for _, policy := range head.Policies {
-		for _, f := range Figures {
-			if x := values(lines, policy, f); len(x) > 0 {
+		for _, f := range Metrics {
+			if x := metricValues(lines, policy, f); len(x) > 0 {
 				sums[policy] = append(sums[policy], Summarize(x))
 			}
 		}
@@ -148,10 +148,10 @@
 	for _, policy := range head.Policies {
 		fmt.Fprint(w, policy)
 		for i, s := range sums[policy] {
-			f := Figures[i]
+			f := Metrics[i]
 			star := "*"
 			for _, other := range sums {
-				if f.Better > 0 && other[i].Low > s.High || f.Better < 0 && other[i].High < s.Low {
+				if f.Direction > 0 && other[i].Low > s.High || f.Direction < 0 && other[i].High < s.Low {
 					star = " "
 				}
 			}
@@ -163,8 +163,8 @@
 		return err
 	}
 	fmt.Fprintln(out, "median over seeds (95% interval); * no other is better beyond chance. Times in ms; sends, refused, failed an operation that clients wanted;")
-	_, err := fmt.Fprintf(out, "not well: seconds in which under %.0f%% of these were served; fell: nodes pushed over\n", 100*wellAt)
-	for _, t := range Troubles(lines) {
+	_, err := fmt.Fprintf(out, "not well: seconds in which under %.0f%% of these were served; fell: nodes pushed over\n", 100*healthyFraction)
+	for _, t := range Failures(lines) {
 		_, err = fmt.Fprintln(out, "TROUBLE:", t)
 	}
 	return err
@@ -173,26 +173,26 @@
 // Difference is a figure of a policy in two files that differs beyond chance: the interval of the difference of medians is above or
 // below 0.
 type Difference struct {
-	Policy, Figure string
+	Policy, Metric string
 	Before, After  float64
 	Low, High      float64 // of After - Before
-	Worse          float64 // by which part of Before it is worse; below 0: better
+	Regression     float64 // by which part of Before it is worse; below 0: better
 }
 
 // Compare finds what differs between two files of one experiment's results.
-func Compare(before, after []Line, policies []string) (all []Difference) {
+func Compare(before, after []RunResult, policies []string) (all []Difference) {
 	for _, policy := range policies {
-		for _, f := range Figures {
-			a, b := values(before, policy, f), values(after, policy, f)
+		for _, f := range Metrics {
+			a, b := metricValues(before, policy, f), metricValues(after, policy, f)
 			if len(a) == 0 || len(b) == 0 {
 				continue
 			}
-			low, high := bootstrap(func(draw func([]float64) []float64) float64 { return medianOf(draw(b)) - medianOf(draw(a)) })
+			low, high := bootstrap(func(draw func([]float64) []float64) float64 { return median(draw(b)) - median(draw(a)) })
 			if low <= 0 && high >= 0 {
 				continue
 			}
-			d := Difference{Policy: policy, Figure: f.Name, Before: medianOf(a), After: medianOf(b), Low: low, High: high}
-			d.Worse = float64(-f.Better) * (d.After - d.Before) / max(d.Before, 1e-9)
+			d := Difference{Policy: policy, Metric: f.Name, Before: median(a), After: median(b), Low: low, High: high}
+			d.Regression = float64(-f.Direction) * (d.After - d.Before) / max(d.Before, 1e-9)
 			all = append(all, d)
 		}
 	}
--- a/internal/simulation/experiment/run.go
+++ b/internal/simulation/experiment/run.go
@@ -14,8 +14,8 @@
 	"orchiddrift/internal/simulation/fleetsim"
 )
 
-// Head is the first line of a file of results: what they are of.
-type Head struct {
+// Header is the first line of a file of results: what they are of.
+type Header struct {
 	Experiment string   `json:"experiment"`
 	Question   string   `json:"question,omitempty"`
 	Hash       string   `json:"hash"` // of the experiment's file
@@ -24,8 +24,8 @@
 	Seeds      int      `json:"seeds"`
 }
 
-// Line is one run's result.
-type Line struct {
+// RunResult is one run's result.
+type RunResult struct {
 	Policy string           `json:"policy"`
 	Seed   int              `json:"seed"`
 	Error  string           `json:"error,omitempty"` // in place of figures
@@ -34,19 +34,19 @@
 
 // Runner plays an experiment's runs.
 type Runner struct {
-	Cores   int           // runs at once
-	Limit   time.Duration // for a run, by the wall: beyond it is given up, and reported; 0: none
-	Version string
-	Told    func(done, all int, l Line)
+	Workers  int           // runs at once
+	Timeout  time.Duration // for a run, by the wall: beyond it is given up, and reported; 0: none
+	Version  string
+	OnResult func(done, all int, l RunResult)
 }
 
-// ErrOther says that a file of results is of another experiment or version.
-var ErrOther = errors.New("the results are of another experiment, or of another version of it or of this program")
+// ErrMismatch says that a file of results is of another experiment or version.
+var ErrMismatch = errors.New("the results are of another experiment, or of another version of it or of this program")
 
 // Run plays all that path does not have yet, and adds to it, a line a run, in the order of policies and seeds whatever the number of
 // cores: the same file and version give the same bytes, in one go or several. It returns early when ctx ends; what is whole stays.
 func (n Runner) Run(ctx context.Context, e *Experiment, path string) error {
-	head := Head{e.Name, e.Question, e.hash, n.Version, e.Names(), e.Seeds}
+	head := Header{e.Name, e.Question, e.hash, n.Version, e.PolicyNames(), e.Seeds}
 	done, size, err := resume(path, head)
 	if err != nil {
 		return err
@@ -71,12 +71,12 @@
 	type job struct {
 		policy string
 		seed   int
-		line   chan Line
+		line   chan RunResult
 	}
 	var jobs []job
 	for _, policy := range head.Policies {
 		for seed := range e.Seeds {
-			jobs = append(jobs, job{policy, seed + 1, make(chan Line, 1)})
+			jobs = append(jobs, job{policy, seed + 1, make(chan RunResult, 1)})
 		}
 	}
 	todo := jobs[min(done, len(jobs)):]
@@ -85,10 +85,10 @@
 	defer workers.Wait()
 	stop, cancel := context.WithCancel(ctx)
 	defer cancel()
-	for range max(1, n.Cores) {
+	for range max(1, n.Workers) {
 		workers.Go(func() {
 			for j := range next {
-				j.line <- n.one(e, j.policy, j.seed)
+				j.line <- n.playOne(e, j.policy, j.seed)
 			}
 		})
 	}
@@ -108,8 +108,8 @@
 			if err := out.Encode(l); err != nil {
 				return err
 			}
-			if n.Told != nil {
-				n.Told(done+i+1, len(jobs), l)
+			if n.OnResult != nil {
+				n.OnResult(done+i+1, len(jobs), l)
 			}
 		case <-ctx.Done():
 			return ctx.Err()
@@ -118,17 +118,17 @@
 	return f.Sync()
 }
 
-// one plays a run, for as long as it may take.
-func (n Runner) one(e *Experiment, policy string, seed int) Line {
-	l := Line{Policy: policy, Seed: seed}
-	r, err := e.run(policy, seed)
+// playOne plays a run, for as long as it may take.
+func (n Runner) playOne(e *Experiment, policy string, seed int) RunResult {
+	l := RunResult{Policy: policy, Seed: seed}
+	r, err := e.fleetRun(policy, seed)
 	if err != nil {
 		l.Error = err.Error()
 		return l
 	}
-	ended := make(chan Line, 1)
+	ended := make(chan RunResult, 1)
 	go func() {
-		of := Line{Policy: policy, Seed: seed}
+		of := RunResult{Policy: policy, Seed: seed}
 		result, err := play(r)
 		if of.Result = result; err != nil {
 			of.Error = err.Error()
@@ -136,21 +136,21 @@
 		ended <- of
 	}()
 	var late <-chan time.Time
-	if n.Limit > 0 {
-		t := time.NewTimer(n.Limit)
+	if n.Timeout > 0 {
+		t := time.NewTimer(n.Timeout)
 		defer t.Stop()
 		late = t.C
 	}
 	select {
 	case l = <-ended:
 	case <-late: // it can't be ended from here; what it computes is not looked at
-		l.Error = fmt.Sprintf("it did not end within %v", n.Limit)
+		l.Error = fmt.Sprintf("it did not end within %v", n.Timeout)
 	}
 	return l
 }
 
 // resume counts the runs that a file has, and where the last whole line ends.
-func resume(path string, head Head) (done int, size int64, err error) {
+func resume(path string, head Header) (done int, size int64, err error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return 0, 0, nil
@@ -174,7 +174,7 @@
 				return 0, 0, err
 			}
 			if string(want)+"\n" != string(line) {
-				return 0, 0, fmt.Errorf("%s: %w", path, ErrOther)
+				return 0, 0, fmt.Errorf("%s: %w", path, ErrMismatch)
 			}
 		} else {
 			done++
@@ -184,7 +184,7 @@
 }
 
 // Read reads a file of results.
-func Read(path string) (head Head, lines []Line, err error) {
+func Read(path string) (head Header, lines []RunResult, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return head, nil, err
@@ -195,7 +195,7 @@
 		return head, nil, fmt.Errorf("%s: it holds no results: %w", path, errors.Join(err))
 	}
 	for {
-		var l Line
+		var l RunResult
 		if err := in.Decode(&l); errors.Is(err, io.EOF) {
 			return head, lines, nil
 		} else if err != nil {
