--- /dev/null
+++ b/internal/simulation/experiment/runner.go
@@ -0,0 +1,152 @@
+package experiment
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"sync"
+	"time"
+)
+
+// Runner plays an experiment's runs.
+type Runner struct {
+	Workers  int                                   // runs at the same time; below 1: 1
+	Timeout  time.Duration                         // of a run, by the wall clock; a run beyond it is reported as failed; 0: none
+	Version  string                                // of the program, for the results' header
+	OnResult func(done, all int, result RunResult) // called in order, after a result was written; may be nil
+}
+
+// job is one run to play.
+type job struct {
+	policy string
+	seed   int
+	result chan RunResult // of capacity 1
+}
+
+// Run plays all runs whose results are not in the file at path yet, and appends one line per run, in the order of policies
+// and seeds whatever the number of workers. The same experiment and version give the same bytes, at once or resumed. Run
+// returns early when ctx ends; complete lines stay. Its error may be ErrMismatch.
+func (r Runner) Run(ctx context.Context, e *Experiment, path string) error {
+	header := Header{
+		Experiment: e.Name,
+		Question:   e.Question,
+		Hash:       e.hash,
+		Version:    r.Version,
+		Policies:   e.PolicyNames(),
+		Seeds:      e.Seeds,
+	}
+	done, size, err := resume(path, header)
+	if err != nil {
+		return err
+	}
+	f, err := openResults(path, size)
+	if err != nil {
+		return err
+	}
+	defer f.Close()
+	out := json.NewEncoder(f)
+	if size == 0 {
+		if err := out.Encode(header); err != nil {
+			return err
+		}
+	}
+	var jobs []job
+	for _, policy := range header.Policies {
+		for seed := range e.Seeds {
+			jobs = append(jobs, job{policy, seed + 1, make(chan RunResult, 1)})
+		}
+	}
+	remaining := jobs[min(done, len(jobs)):]
+	var workers sync.WaitGroup
+	defer workers.Wait()
+	workersCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	r.startWorkers(workersCtx, &workers, e, remaining)
+	for i, j := range remaining {
+		select {
+		case result := <-j.result:
+			if err := out.Encode(result); err != nil {
+				return err
+			}
+			if r.OnResult != nil {
+				r.OnResult(done+i+1, len(jobs), result)
+			}
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+	}
+	return f.Sync()
+}
+
+// openResults opens a file of results for appending after its first size bytes; an incomplete line behind them is cut off.
+func openResults(path string, size int64) (*os.File, error) {
+	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY, 0o644)
+	if err != nil {
+		return nil, err
+	}
+	if err := f.Truncate(size); err != nil {
+		f.Close()
+		return nil, err
+	}
+	if _, err := f.Seek(size, io.SeekStart); err != nil {
+		f.Close()
+		return nil, err
+	}
+	return f, nil
+}
+
+// startWorkers starts goroutines that play jobs, in order, until ctx ends.
+func (r Runner) startWorkers(ctx context.Context, workers *sync.WaitGroup, e *Experiment, jobs []job) {
+	next := make(chan job)
+	for range max(1, r.Workers) {
+		workers.Go(func() {
+			for j := range next {
+				j.result <- r.playOne(e, j.policy, j.seed)
+			}
+		})
+	}
+	workers.Go(func() {
+		defer close(next)
+		for _, j := range jobs {
+			select {
+			case next <- j:
+			case <-ctx.Done():
+				return
+			}
+		}
+	})
+}
+
+// playOne plays one run. A run beyond Timeout cannot be stopped: its goroutine goes on, and its result is dropped.
+func (r Runner) playOne(e *Experiment, policy string, seed int) RunResult {
+	failed := RunResult{Policy: policy, Seed: seed}
+	run, err := e.fleetRun(policy, seed)
+	if err != nil {
+		failed.Error = err.Error()
+		return failed
+	}
+	ended := make(chan RunResult, 1)
+	go func() {
+		played, err := play(run)
+		result := RunResult{Policy: policy, Seed: seed, Result: played}
+		if err != nil {
+			result.Error = err.Error()
+		}
+		ended <- result
+	}()
+	var timeout <-chan time.Time
+	if r.Timeout > 0 {
+		timer := time.NewTimer(r.Timeout)
+		defer timer.Stop()
+		timeout = timer.C
+	}
+	select {
+	case result := <-ended:
+		return result
+	case <-timeout:
+		failed.Error = fmt.Sprintf("it did not end within %v", r.Timeout)
+		return failed
+	}
+}
