--- a/internal/fakes/node_test.go
+++ b/internal/fakes/node_test.go
@@ -16,9 +16,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Guards against a proof that can't fail: a cold node that is sent more than the multiple of what it can do falls over for
-// good; one that is sent less stands, and so does a warm one.
-func TestColdNodeFallsOver(t *testing.T) {
+// TestSlowStartNodeStopsOnOverload checks that a node in slow start stops for good when it receives more than the overload multiple, and that
+// less load, or the same load on a warm node, does not stop it.
+func TestSlowStartNodeStopsOnOverload(t *testing.T) {
 	for name, c := range map[string]struct {
 		share float64 // of its full capacity that is sent
 		cold  bool
@@ -50,9 +50,9 @@
 	}
 }
 
-// Guards against work that takes other than it says: speed, warmth, a slow phase and a freeze each stretch it, cores
-// bound what is worked on at once, the queue what waits, and work stops with its client.
-func TestWorkTakesItsTime(t *testing.T) {
+// TestServiceTimeAndCapacity checks how speed, slow start, a slow phase and a freeze change the service time, that cores and the queue bound the
+// requests in flight, and that work stops with its client.
+func TestServiceTimeAndCapacity(t *testing.T) {
 	const work = 100 * time.Millisecond
 	took := func(t *testing.T, o NodeOptions, before time.Duration) time.Duration {
 		n := NewNode(o)
@@ -101,8 +101,8 @@
 	})
 }
 
-// Guards against a ledger that misses a second run, or counts a repeat that was dropped as one.
-func TestLedgerAndKeys(t *testing.T) {
+// TestLedgerCountsExecutionsByKey checks that the ledger counts every second execution, and none for a stored answer.
+func TestLedgerCountsExecutionsByKey(t *testing.T) {
 	ledger, keys := NewLedger(), NewKeyMemory(time.Minute)
 	a := NewNode(NodeOptions{Name: "a", Ledger: ledger, Keys: keys})
 	defer a.Close()
@@ -120,8 +120,8 @@
 	}
 }
 
-// Guards against a discovery that says something else than its list.
-func TestDiscovery(t *testing.T) {
+// TestDiscoveryPollsAndWatches checks watches and polls through silence, outage and a move to another address.
+func TestDiscoveryPollsAndWatches(t *testing.T) {
 	d := NewDiscovery()
 	d.Beat = 10 * time.Millisecond
 	first, err := d.Listen("127.0.0.1:0")
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -49,9 +49,9 @@
 	return lines
 }
 
-// The same file gives the same bytes on any number of cores, in one go, and stopped and gone on with; another file's results are not
-// added to.
-func TestSameBytes(t *testing.T) {
+// TestResultsAreEqualToTheByte plays one experiment with one worker, with four, and interrupted and resumed: the files are equal. Results
+// of another experiment or version are not appended to.
+func TestResultsAreEqualToTheByte(t *testing.T) {
 	e := parse(t, small+"[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"3s\"\npart = 0.5\n[[fault]]\nkind = \"cut\"\nat = \"5s\"\nfor = \"1s\"\nzone = 1\n")
 	dir := t.TempDir()
 	one, four, parts := filepath.Join(dir, "1"), filepath.Join(dir, "4"), filepath.Join(dir, "parts")
@@ -91,42 +91,42 @@
 	}
 }
 
-// stray is random, but it may panic, hang, or keep to nodes that leave.
-type stray struct {
+// faultyPolicy chooses at random, but panics, hangs, or picks from all nodes that were ever listed.
+type faultyPolicy struct {
 	fleetsim.Policy
-	how  string
-	rng  *rand.Rand
-	all  []string
-	free chan struct{}
+	behavior   string
+	rng        *rand.Rand
+	everListed []string
+	unblock    chan struct{}
 }
 
-func (p *stray) SetUpstreams(names []string) {
+func (p *faultyPolicy) SetUpstreams(names []string) {
 	p.Policy.SetUpstreams(names)
 	for _, n := range names {
-		if len(p.all) < 1000 {
-			p.all = append(p.all, n)
+		if len(p.everListed) < 1000 {
+			p.everListed = append(p.everListed, n)
 		}
 	}
 }
 
-func (p *stray) Pick(now time.Duration) string {
-	switch p.how {
+func (p *faultyPolicy) Pick(now time.Duration) string {
+	switch p.behavior {
 	case "panics":
 		panic("no such node")
 	case "hangs":
-		<-p.free
+		<-p.unblock
 	case "strays":
-		return p.all[p.rng.IntN(len(p.all))]
+		return p.everListed[p.rng.IntN(len(p.everListed))]
 	}
 	return p.Policy.Pick(now)
 }
 
-// A policy that panics, never answers or sends to leaving nodes is told of, loudly; the others go on.
-func TestTroubles(t *testing.T) {
+// TestFailuresNameMisbehavingPolicies checks that a policy that panics, hangs or sends to draining nodes is reported while the others go on.
+func TestFailuresNameMisbehavingPolicies(t *testing.T) {
 	free, random := make(chan struct{}), fleetsim.Policies["random"]
 	for _, how := range []string{"panics", "hangs", "strays"} {
 		fleetsim.Policies[how] = func(rng *rand.Rand) fleetsim.Policy {
-			return &stray{Policy: random(rng), how: how, rng: rng, free: free}
+			return &faultyPolicy{Policy: random(rng), behavior: how, rng: rng, unblock: free}
 		}
 		defer delete(fleetsim.Policies, how)
 	}
@@ -149,8 +149,8 @@
 	}
 }
 
-// Each kind of fault hurts those who choose blindly, and no rule is broken by it; without one there is nothing to see.
-func TestFaults(t *testing.T) {
+// TestEachFaultLowersServedOperations checks that each kind of fault lowers what a random policy serves, without a violation.
+func TestEachFaultLowersServedOperations(t *testing.T) {
 	play := func(policy, fault string) *fleetsim.Result {
 		t.Helper()
 		text := strings.Replace(small, `["ours", "random", "prequal"]`, `["`+policy+`"]`, 1) + fault
@@ -178,8 +178,8 @@
 	}
 }
 
-// The library's experiments can be played, and the module breaks no rule in them.
-func TestLibrary(t *testing.T) {
+// TestLibraryExperimentsHaveNoFailures plays every experiment of the library with the balancer.
+func TestLibraryExperimentsHaveNoFailures(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/*.toml")
 	if err != nil || len(files) < 10 {
 		t.Fatalf("%d files, %v", len(files), err)
@@ -200,8 +200,8 @@
 	}
 }
 
-// What a file can't say is told with its line.
-func TestBadFiles(t *testing.T) {
+// TestParseRejectsInvalidFiles checks that each invalid file, and each file that holds no results, gives an error that names the problem.
+func TestParseRejectsInvalidFiles(t *testing.T) {
 	for text, want := range map[string]string{
 		"length = \"1s\"\n":                                                "name",
 		small + "[[fault]]\nat = \"1s\"\n":                                 "kind",
@@ -234,8 +234,8 @@
 	}
 }
 
-// What differs by chance is not told, what differs beyond it is, and which way.
-func TestCompare(t *testing.T) {
+// TestCompareFindsDifferencesBeyondChance checks that Compare reports differences beyond chance only, with their direction.
+func TestCompareFindsDifferencesBeyondChance(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	lines := func(p99, spread float64) (all []RunResult) {
 		for seed := range 10 {
--- a/internal/simulation/fleetsim/fleet_sizes_test.go
+++ b/internal/simulation/fleetsim/fleet_sizes_test.go
@@ -8,18 +8,18 @@
 	"orchiddrift/internal/upstream/loadprobe"
 )
 
-// thin is a fleet of 60 nodes in four zones before sidecars that send little each, all of them with the whole list.
-func thin(sidecars int) Run {
-	r := run(sidecars, 60)
+// lowTrafficRun is a fleet of 60 nodes in four zones whose sidecars have little traffic each and use all nodes.
+func lowTrafficRun(sidecars int) Run {
+	r := testRun(sidecars, 60)
 	r.Subset.Enabled, r.Zones, r.MeanServiceTime, r.Rate = false, 4, 25*time.Millisecond, 1200
 	r.Settings.ConnectTimeout, r.Settings.HedgingAllowed, r.Settings.SlowStartMinCapacity, r.Settings.SlowStartWindow = 250*time.Millisecond, true, 0.3, 9*time.Second
 	r.Settings.Classes = []balancer.Class{{Name: "search", LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1, LateValueFraction: 0.3}}
 	return r
 }
 
-// What 10, 80 and 320 sidecars do together, held to bounds on the sums: no cold node is pushed over, no rule broken, and most
-// is served.
-func TestFromFewToMany(t *testing.T) {
+// TestFaultsWithFewAndManySidecars bounds what 10, 80 and 320 sidecars do together: no node in slow start is overloaded, no invariant is broken
+// and most requests are served.
+func TestFaultsWithFewAndManySidecars(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		served  float64 // least, of the requests
@@ -47,7 +47,7 @@
 		}},
 	} {
 		for _, sidecars := range []int{10, 80, 320} {
-			r := thin(sidecars)
+			r := lowTrafficRun(sidecars)
 			r.RestartDowntime = 500 * time.Millisecond
 			c.shape(&r)
 			got, err := Play(r)
@@ -63,12 +63,12 @@
 	}
 }
 
-// Eight to forty-eight sidecars with five requests a second each, nine in ten of them killed at once in a release, and discovery takes
-// less than they ask of it: what they do beside requests adds up to no more a request or a sidecar where there are many of them, and no
-// node is met by more new connections in a second than there are sidecars.
-func TestThinSidecarsKilledAtOnce(t *testing.T) {
+// TestLowTrafficSidecarsKilledAtOnce kills nine in ten of 8 to 48 sidecars at the same moment while the discovery service cannot serve all calls.
+// Probes and connections per request and calls per sidecar are bounded by the same values for all sizes, and no node gets more new
+// connections in a second than there are sidecars.
+func TestLowTrafficSidecarsKilledAtOnce(t *testing.T) {
 	for _, sidecars := range []int{8, 24, 48} {
-		r := thin(sidecars)
+		r := lowTrafficRun(sidecars)
 		r.Nodes, r.Rate, r.Length, r.RestartDowntime = 16, float64(5*sidecars), 60*time.Second, 500*time.Millisecond
 		r.LoadProbes = loadprobe.Default()
 		r.LoadProbes.Enabled = true
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -11,7 +11,7 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-func run(sidecars, nodes int) Run {
+func testRun(sidecars, nodes int) Run {
 	o := subset.Default()
 	o.Enabled, o.MinSize, o.MaxSize, o.RemoteZoneFraction, o.ShrinkDelay = true, 8, 4096, 0, units.Duration(2*time.Second)
 	return Run{Sidecars: sidecars, Nodes: nodes, Rate: float64(nodes), MeanServiceTime: 100 * time.Millisecond, Length: 30 * time.Second, Seed: 3, Subset: o, IndexKnown: true,
@@ -32,20 +32,20 @@
 	return got
 }
 
-// The same seed is the same run, to the last count.
-func TestSameSeed(t *testing.T) {
-	r := run(5, 50)
+// TestSameSeedGivesSameResult checks that a run is deterministic.
+func TestSameSeedGivesSameResult(t *testing.T) {
+	r := testRun(5, 50)
 	r.RestartAt, r.RestartOver, r.RestartFraction, r.RestartDowntime = 5*time.Second, 2*time.Second, 0.5, time.Second
 	if a, b := play(t, r), play(t, r); !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v\n%+v", a, b)
 	}
 }
 
-// Connections a node stay nearly flat from few sidecars to many at the same traffic, no node is left out, and its load stays
-// even. Where each sidecar chooses among all nodes by chance they grow.
-func TestFlat(t *testing.T) {
-	few, many := play(t, run(4, 200)), play(t, run(40, 200))
-	chance := run(40, 200)
+// TestSubsetKeepsConnectionsPerNodeFlat checks that at the same traffic ten times the sidecars do not need many more connections per node,
+// that every node is used and that the load is even. Without subsets and with random choice connections grow.
+func TestSubsetKeepsConnectionsPerNodeFlat(t *testing.T) {
+	few, many := play(t, testRun(4, 200)), play(t, testRun(40, 200))
+	chance := testRun(40, 200)
 	chance.Subset.Enabled, chance.SyncProbes = false, &SyncProbes{PerRequest: 1}
 	if whole := play(t, chance); many.MeanConnectionsPerNode > 1.5*few.MeanConnectionsPerNode || whole.MeanConnectionsPerNode < 3*many.MeanConnectionsPerNode {
 		t.Errorf("connections a node: %.2f of 4 sidecars, %.2f of 40, %.2f of 40 by chance", few.MeanConnectionsPerNode, many.MeanConnectionsPerNode, whole.MeanConnectionsPerNode)
@@ -57,10 +57,10 @@
 	}
 }
 
-// Half of the nodes restart within two seconds, while the fleet is half busy: none is pushed over, and some are where modules are
-// not told which are cold.
-func TestHalfRestarts(t *testing.T) {
-	r := run(20, 200)
+// TestRestartOfHalfTheNodesOverloadsNone restarts half of the nodes within two seconds at half load: no node is overloaded. Some are where the
+// balancers do not know start times, which shows that the check can fail.
+func TestRestartOfHalfTheNodesOverloadsNone(t *testing.T) {
+	r := testRun(20, 200)
 	r.Rate *= 5
 	r.Settings.SlowStartMinCapacity, r.Settings.OverloadMultiple, r.Settings.OverloadWindow = 0.1, 2, time.Second
 	r.RestartAt, r.RestartOver, r.RestartFraction, r.RestartDowntime = 8*time.Second, 2*time.Second, 0.5, 2*time.Second
@@ -74,16 +74,16 @@
 	}
 }
 
-// The list shrinks to a fortieth and grows back in one moment, all of it cold: those who were warm carry on. And one sidecar
-// with a thousand times the others' traffic soon has as many upstreams as that needs.
-func TestUnevenFleets(t *testing.T) {
-	r := run(100, 2000)
+// TestShrinkingListAndUnevenTraffic shrinks the list to a fortieth and grows it back at one moment with nodes in slow start, and gives one
+// sidecar a thousand times the traffic of the others: few requests fail.
+func TestShrinkingListAndUnevenTraffic(t *testing.T) {
+	r := testRun(100, 2000)
 	r.Rate, r.Length = 100, 45*time.Second
 	r.ListSizes = []ListSize{{10 * time.Second, 50}, {25 * time.Second, 2000}}
 	if got := play(t, r); float64(got.Rejected+got.Failed) > 0.01*float64(got.Requests) {
 		t.Errorf("%+v", got)
 	}
-	r = run(20, 500)
+	r = testRun(20, 500)
 	r.TrafficWeight = func(i int) float64 {
 		if i == 0 {
 			return 1000
@@ -95,25 +95,25 @@
 	}
 }
 
-// With connections open ahead of use few requests wait for one, also where half of the nodes restart, at the same number of
-// connections a node; and what a node is met by is spread.
-func TestWarmConnections(t *testing.T) {
-	r := run(40, 200)
+// TestPrewarmingSparesConnectDelays checks that with prewarming few requests wait for a connection, also while half of the nodes restart, at
+// about the same number of connections per node and without bursts of new ones.
+func TestPrewarmingSparesConnectDelays(t *testing.T) {
+	r := testRun(40, 200)
 	r.ConnectDelay = 50 * time.Millisecond
 	r.RestartAt, r.RestartOver, r.RestartFraction, r.RestartDowntime = 8*time.Second, time.Second, 0.5, time.Second
-	cold := play(t, r)
+	withoutPrewarming := play(t, r)
 	r.Prewarming = prewarm.Default()
 	r.Prewarming.Enabled = true
 	got := play(t, r)
-	if 2*got.RequestsDelayedByConnect > cold.RequestsDelayedByConnect || got.MeanConnectionsPerNode > 1.5*cold.MeanConnectionsPerNode+1 || got.MaxConnectionsOpenedPerSecond > cold.MaxConnectionsOpenedPerSecond+2 {
+	if 2*got.RequestsDelayedByConnect > withoutPrewarming.RequestsDelayedByConnect || got.MeanConnectionsPerNode > 1.5*withoutPrewarming.MeanConnectionsPerNode+1 || got.MaxConnectionsOpenedPerSecond > withoutPrewarming.MaxConnectionsOpenedPerSecond+2 {
 		t.Errorf("%d of %d requests wait for a connection, %d without; %.2f and %.2f open a node, %d and %d made in a second", got.RequestsDelayedByConnect, got.Requests,
-			cold.RequestsDelayedByConnect, got.MeanConnectionsPerNode, cold.MeanConnectionsPerNode, got.MaxConnectionsOpenedPerSecond, cold.MaxConnectionsOpenedPerSecond)
+			withoutPrewarming.RequestsDelayedByConnect, got.MeanConnectionsPerNode, withoutPrewarming.MeanConnectionsPerNode, got.MaxConnectionsOpenedPerSecond, withoutPrewarming.MaxConnectionsOpenedPerSecond)
 	}
 }
 
-// Guards against a bound on fleets or on lists: 1,024 sidecars before 1,024 nodes.
-func TestManyOfEach(t *testing.T) {
-	r := run(1024, 1024)
+// TestManySidecarsAndNodes plays 1,024 sidecars with 1,024 nodes: nearly all nodes are used.
+func TestManySidecarsAndNodes(t *testing.T) {
+	r := testRun(1024, 1024)
 	r.Length = 12 * time.Second
 	if got := play(t, r); got.NodesUsed < 1000 {
 		t.Errorf("%d nodes of 1,024 are asked", got.NodesUsed)
