--- a/grpcbalancer/eureka_test.go
+++ b/grpcbalancer/eureka_test.go
@@ -31,7 +31,7 @@
 	names := []string{"n0", "n1", "n2", "n3", "n4"}
 	options := make([]fakes.NodeOptions, len(names))
 	for i, name := range names {
-		options[i] = fakes.NodeOptions{Name: name, Answer: func(fakes.Job) []byte { f.Came(name); return nil }}
+		options[i] = fakes.NodeOptions{Name: name, Answer: func(fakes.Job) []byte { f.RecordArrival(name); return nil }}
 	}
 	nodes := newFleet(t, options...)
 	for _, n := range nodes.endpoints {
--- a/grpcbalancer/gone_test.go
+++ b/grpcbalancer/gone_test.go
@@ -97,7 +97,7 @@
 		if _, err := ask(t.Context(), conn, confirm); err != nil {
 			t.Errorf("%s: a later call: %v", method, err)
 		}
-		if ran := f.ledger.Nodes()["n0"].Ran; ran != 1 {
+		if ran := f.ledger.Nodes()["n0"].Executed; ran != 1 {
 			t.Errorf("%s: %d calls ran, 1 was wanted", method, ran)
 		}
 	}
--- a/grpcbalancer/keys_test.go
+++ b/grpcbalancer/keys_test.go
@@ -55,7 +55,7 @@
 		if status.Code(err) != want || err != nil && grpcbalancer.MayHaveRun(err) {
 			t.Errorf("%q: %v", identity, err)
 		}
-		if n := f.ledger.Nodes()["node.example"].Ran; (n > 0) != (want == codes.OK) {
+		if n := f.ledger.Nodes()["node.example"].Executed; (n > 0) != (want == codes.OK) {
 			t.Errorf("%q: %d ran", identity, n)
 		}
 	}
--- a/grpcbalancer/stream_test.go
+++ b/grpcbalancer/stream_test.go
@@ -143,7 +143,7 @@
 	if _, err := drainStream(s); status.Code(err) != codes.Canceled {
 		t.Errorf("after its caller left: %v", err)
 	}
-	testutil.Eventually(t, "the node sees it end", func() bool { return f.nodes[0].InHand() == 0 })
+	testutil.Eventually(t, "the node sees it end", func() bool { return f.nodes[0].InFlight() == 0 })
 	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
 
 	ctx, cancel = context.WithTimeout(t.Context(), 200*time.Millisecond)
@@ -213,7 +213,7 @@
 	if _, err := drainStream(s); err == nil || !grpcbalancer.MayHaveRun(err) {
 		t.Errorf("%v", err)
 	}
-	if n := f.ledger.Nodes(); n["n0"].Ran+n["n1"].Ran != 1 {
+	if n := f.ledger.Nodes(); n["n0"].Executed+n["n1"].Executed != 1 {
 		t.Errorf("ran %+v", n)
 	}
 	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
--- a/grpcbalancer/trace_test.go
+++ b/grpcbalancer/trace_test.go
@@ -30,7 +30,7 @@
 		for i, faults := range [][]fakes.Fault{
 			nil,
 			{{Kind: fakes.Slow, Factor: 10, From: 2 * time.Second, To: 6 * time.Second}},
-			{{Kind: fakes.RefuseAtWire, From: 3 * time.Second, To: 4 * time.Second}},
+			{{Kind: fakes.RefuseStream, From: 3 * time.Second, To: 4 * time.Second}},
 			{{Kind: fakes.Freeze, From: time.Second, Every: 1500 * time.Millisecond, For: 300 * time.Millisecond}},
 		} {
 			name := fmt.Sprint("n", i)
@@ -38,7 +38,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			node := fakes.NewNode(fakes.NodeOptions{Name: name, Work: time.Duration(10+5*i) * time.Millisecond,
+			node := fakes.NewNode(fakes.NodeOptions{Name: name, DefaultServiceTime: time.Duration(10+5*i) * time.Millisecond,
 				Faults: faults, Seed: uint64(i), Answer: func(fakes.Job) []byte { return body }})
 			address := fmt.Sprintf("127.0.0.1:%d", i+1) // never dialled
 			listeners[address] = bufconn.Listen(1 << 16)
--- a/grpcbalancer/unary_test.go
+++ b/grpcbalancer/unary_test.go
@@ -37,15 +37,15 @@
 		unsafeSends, unsafeRun int
 		safeSends              int // at least
 	}{
-		{"turned away with the mark", fakes.TurnAway, refused, 5, 0, 5},
-		{"REFUSED_STREAM", fakes.RefuseAtWire, refused, 5, 0, 5},
+		{"turned away with the mark", fakes.Reject, refused, 5, 0, 5},
+		{"REFUSED_STREAM", fakes.RefuseStream, refused, 5, 0, 5},
 		{"GOAWAY below the stream", fakes.GoAway, refused, 5, 0, 5},
-		{"an error without the mark", fakes.FailUnrun, codes.Internal, 1, 0, 2},
+		{"an error without the mark", fakes.FailNotExecuted, codes.Internal, 1, 0, 2},
 		{"an error after it ran", fakes.Fail, codes.Internal, 1, 1, 2},
 		{"broken before it ran", fakes.ResetBefore, failed, 1, 0, 2},
 		{"broken after it ran", fakes.ResetAfter, failed, 1, 1, 2},
-		{"an answer that can't be read", fakes.Garble, codes.Internal, 1, 1, 2},
-		{"an answer cut short", fakes.Cut, failed, 1, 1, 2},
+		{"an answer that can't be read", fakes.Malformed, codes.Internal, 1, 1, 2},
+		{"an answer cut short", fakes.Truncate, failed, 1, 1, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, always(c.kind), always(c.kind))
@@ -62,7 +62,7 @@
 			for _, n := range f.ledger.Nodes() {
 				arrived += n.Arrived
 			}
-			if runs := len(f.ledger.Operation("op-unsafe").Runs); arrived != c.unsafeSends || runs != c.unsafeRun {
+			if runs := len(f.ledger.Operation("op-unsafe").Executions); arrived != c.unsafeSends || runs != c.unsafeRun {
 				t.Errorf("unsafe: arrived %d times, ran %d", arrived, runs)
 			}
 			if _, err = ask(t.Context(), conn, search); err == nil {
@@ -82,7 +82,7 @@
 
 // Guards against a refusal without the advice when to come back, and without the proof that it did not run.
 func TestRefusalCarriesRetryInfo(t *testing.T) {
-	conn, _ := newFleet(t, always(fakes.TurnAway)).dial(t, nil)
+	conn, _ := newFleet(t, always(fakes.Reject)).dial(t, nil)
 	_, err := ask(t.Context(), conn, confirm)
 	var retry time.Duration
 	var reason, sends string
@@ -109,7 +109,7 @@
 			t.Errorf("%q, %v", name, err)
 		}
 	}
-	if n := f.ledger.Nodes()["n0"].Ran; n != 20 {
+	if n := f.ledger.Nodes()["n0"].Executed; n != 20 {
 		t.Errorf("ran %d times", n)
 	}
 }
@@ -136,7 +136,7 @@
 // Guards against the patience for a connection that goes on once there is one: a first call whose answer takes longer than
 // a connection may is not cut off.
 func TestConnectTimeoutDoesNotBoundAnswers(t *testing.T) {
-	f := newFleet(t, fakes.NodeOptions{Work: 600 * time.Millisecond})
+	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 600 * time.Millisecond})
 	conn, _ := f.dial(t, func(o *grpcbalancer.Options) { o.Settings.ConnectTimeout = 200 * time.Millisecond })
 	if name, err := ask(t.Context(), conn, confirm); err != nil || name != "n0" {
 		t.Errorf("%q, %v", name, err)
@@ -154,7 +154,7 @@
 			t.Errorf("%s: %v", method, err)
 		}
 	}
-	if n := f.ledger.Nodes(); n["n0"].Ran+n["n1"].Ran != 3 {
+	if n := f.ledger.Nodes(); n["n0"].Executed+n["n1"].Executed != 3 {
 		t.Errorf("ran %+v", n)
 	}
 }
@@ -187,7 +187,7 @@
 			}
 			cancel()
 			testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
-			testutil.Eventually(t, "the nodes see it end", func() bool { return f.nodes[0].InHand()+f.nodes[1].InHand() == 0 })
+			testutil.Eventually(t, "the nodes see it end", func() bool { return f.nodes[0].InFlight()+f.nodes[1].InFlight() == 0 })
 		}
 	}
 }
@@ -222,7 +222,7 @@
 
 // Guards against a call that the module never heard of.
 func TestDuplicateRequestID(t *testing.T) {
-	f := newFleet(t, fakes.NodeOptions{Work: 200 * time.Millisecond})
+	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 200 * time.Millisecond})
 	conn, _ := f.dial(t, nil)
 	ctx := metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.RequestIDKey, "7")
 	ended := make(chan error, 1)
@@ -230,7 +230,7 @@
 		_, err := ask(ctx, conn, confirm)
 		ended <- err
 	}()
-	testutil.Eventually(t, "the first is at its node", func() bool { return f.nodes[0].InHand() == 1 })
+	testutil.Eventually(t, "the first is at its node", func() bool { return f.nodes[0].InFlight() == 1 })
 	if _, err := ask(ctx, conn, confirm); status.Code(err) != codes.AlreadyExists {
 		t.Errorf("the second: %v", err)
 	}
@@ -258,7 +258,7 @@
 	keys := map[string]string{}
 	for i := range 20 {
 		op := f.ledger.Operation(fmt.Sprint("r", i))
-		if len(op.Runs) == 0 {
+		if len(op.Executions) == 0 {
 			continue
 		}
 		if other, ok := keys[op.Key]; ok || op.Key == "" {
@@ -274,7 +274,7 @@
 // Guards against estimates kept for each connection: one engine serves any number of ClientConns, and what one call
 // learns of a node the others know. Of two nodes one is slow.
 func TestOneEngineForManyConns(t *testing.T) {
-	f := newFleet(t, fakes.NodeOptions{Work: 150 * time.Millisecond}, fakes.NodeOptions{Work: time.Millisecond})
+	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 150 * time.Millisecond}, fakes.NodeOptions{DefaultServiceTime: time.Millisecond})
 	_, plugin := f.dial(t, nil)
 	var wg sync.WaitGroup
 	for range 8 {
@@ -288,14 +288,14 @@
 		})
 	}
 	wg.Wait()
-	if slow := f.ledger.Nodes()["n0"].Ran; slow > 320/4 {
+	if slow := f.ledger.Nodes()["n0"].Executed; slow > 320/4 {
 		t.Errorf("the slow one got %d of 320", slow)
 	}
 }
 
 // Guards against sends to a node that has left the list: streams that stand finish, nothing new goes there.
 func TestDrainDuringCalls(t *testing.T) {
-	f := newFleet(t, fakes.NodeOptions{Work: 300 * time.Millisecond}, fakes.NodeOptions{Work: 300 * time.Millisecond})
+	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 300 * time.Millisecond}, fakes.NodeOptions{DefaultServiceTime: 300 * time.Millisecond})
 	conn, plugin := f.dial(t, nil)
 	var wg sync.WaitGroup
 	for range 8 {
@@ -305,7 +305,7 @@
 			}
 		})
 	}
-	testutil.Eventually(t, "both are at work", func() bool { return f.nodes[0].InHand() > 0 && f.nodes[0].InHand()+f.nodes[1].InHand() == 8 })
+	testutil.Eventually(t, "both are at work", func() bool { return f.nodes[0].InFlight() > 0 && f.nodes[0].InFlight()+f.nodes[1].InFlight() == 8 })
 	if err := plugin.SetEndpoints(f.endpoints[1:]); err != nil {
 		t.Fatal(err)
 	}
@@ -326,7 +326,7 @@
 // Guards against a send between the pick and the write: a call whose stream waits for the node's permission is sent
 // elsewhere once the node drains, and never there.
 func TestDrainWhileAStreamWaits(t *testing.T) {
-	f := newFleet(t, fakes.NodeOptions{Work: 500 * time.Millisecond, Streams: 1}, fakes.NodeOptions{})
+	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 500 * time.Millisecond, MaxConcurrentStreams: 1}, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, func(o *grpcbalancer.Options) { o.Endpoints = f.endpoints[:1] })
 	ended := make(chan string, 4)
 	for range 4 { // one is at work, the others wait in grpc-go
@@ -335,7 +335,7 @@
 			ended <- fmt.Sprint(name, err)
 		}()
 	}
-	testutil.Eventually(t, "one is at work, all are decided", func() bool { return f.nodes[0].InHand() == 1 && plugin.InHand() == 4 })
+	testutil.Eventually(t, "one is at work, all are decided", func() bool { return f.nodes[0].InFlight() == 1 && plugin.InHand() == 4 })
 	time.Sleep(20 * time.Millisecond) // where the others get a moment more to wait in, it is the same test
 	if err := plugin.SetEndpoints(f.endpoints[1:]); err != nil {
 		t.Fatal(err)
@@ -363,7 +363,7 @@
 	if status.Code(err) != codes.Unknown || !grpcbalancer.MayHaveRun(err) {
 		t.Errorf("%v", err)
 	}
-	if n := f.ledger.Nodes(); n["n0"].Ran+n["n1"].Ran != 1 {
+	if n := f.ledger.Nodes(); n["n0"].Executed+n["n1"].Executed != 1 {
 		t.Errorf("ran %+v", n)
 	}
 }
@@ -436,7 +436,7 @@
 		})
 		_, _ = ask(t.Context(), conn, c.method) // fails, after one send or more
 		n := f.ledger.Nodes()
-		if again := n["n0"].Ran+n["n1"].Ran > 1; again != c.again {
+		if again := n["n0"].Executed+n["n1"].Executed > 1; again != c.again {
 			t.Errorf("%s with %v: sent again is %v", c.method, c.mapping, again)
 		}
 	}
--- a/internal/daemon/eureka_test.go
+++ b/internal/daemon/eureka_test.go
@@ -259,7 +259,7 @@
 func TestNothingNewAfterAFlip(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	var f *fakes.Flipper
-	n := startNodes(t, func(name string) { f.Came(name) }, names...)
+	n := startNodes(t, func(name string) { f.RecordArrival(name) }, names...)
 	e := base.Eureka(t, fakes.EurekaOptions{})
 	for _, name := range names {
 		e.Put(n.instance(t, name, name, "UP"))
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -66,7 +66,7 @@
 	t.Helper()
 	r := &graphqlRig{ledger: fakes.NewLedger()}
 	var addresses []string
-	keys := fakes.NewKeyMemory(6 * time.Second)
+	keys := fakes.NewIdempotencyKeys(6 * time.Second)
 	for i, o := range nodes {
 		o.Name, o.Ledger, o.Keys, o.Seed = fmt.Sprint("n", i), r.ledger, keys, uint64(i+1)
 		n := fakes.NewNode(o)
@@ -185,7 +185,7 @@
 			t.Errorf("%s %s: no Allow", c.method, c.target)
 		}
 	}
-	if got := r.ledger.Operation("b").Runs; len(got) > 0 {
+	if got := r.ledger.Operation("b").Executions; len(got) > 0 {
 		t.Error("a mutation ran by GET")
 	}
 }
@@ -199,11 +199,11 @@
 		moves bool   // else it is answered by another
 	}{
 		"says nothing":    {fakes.LoseAnswer, "502 UPSTREAM_FAILED", false},
-		"no JSON":         {fakes.Garble, "502 UPSTREAM_FAILED", false},
+		"no JSON":         {fakes.Malformed, "502 UPSTREAM_FAILED", false},
 		"500":             {fakes.Fail, "502 UPSTREAM_FAILED", false},
-		"errors, failing": {fakes.ErrorRan, "502 SERVICE_UNAVAILABLE", false},
-		"errors, not run": {fakes.ErrorUnrun, "503 REFUSED", true},
-		"turned away":     {fakes.TurnAway, "503 REFUSED", true},
+		"errors, failing": {fakes.ErrorExecuted, "502 SERVICE_UNAVAILABLE", false},
+		"errors, not run": {fakes.ErrorNotExecuted, "503 REFUSED", true},
+		"turned away":     {fakes.Reject, "503 REFUSED", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -219,7 +219,7 @@
 			if status == 503 != (head.Get("Retry-After") != "") {
 				t.Errorf("%d with Retry-After %q", status, head.Get("Retry-After"))
 			}
-			if runs := len(alone.ledger.Operation("x").Runs); (runs > 0) == c.moves || runs > 1 {
+			if runs := len(alone.ledger.Operation("x").Executions); (runs > 0) == c.moves || runs > 1 {
 				t.Errorf("%d runs", runs)
 			}
 			if says := strings.Contains(body, `"mayHaveRun":true`); says != (c.want == "502 UPSTREAM_FAILED") {
@@ -235,7 +235,7 @@
 				if status, _, body := two.post(t.Context(), op(fmt.Sprintf(`mutation{confirm(id:%q)}`, id))); c.moves && status != 200 {
 					t.Errorf("mutation %d: %d %s", i, status, body)
 				}
-				if runs := len(two.ledger.Operation(id).Runs); runs > 1 {
+				if runs := len(two.ledger.Operation(id).Executions); runs > 1 {
 					t.Errorf("%s: %d runs", id, runs)
 				}
 			}
@@ -387,7 +387,7 @@
 
 // A query whose client leaves while its second copy runs leaves nothing behind.
 func TestGraphQLClientLeaves(t *testing.T) {
-	lost := fakes.NodeOptions{Cores: 4, Work: time.Millisecond, Faults: []fakes.Fault{{Kind: fakes.LoseAnswer, Class: "query", From: 300 * time.Millisecond}}}
+	lost := fakes.NodeOptions{Cores: 4, DefaultServiceTime: time.Millisecond, Faults: []fakes.Fault{{Kind: fakes.LoseAnswer, Class: "query", From: 300 * time.Millisecond}}}
 	r := startGraphQL(t, "20s", lost, lost, lost)
 	leaves, leave := context.WithCancel(t.Context())
 	defer leave()
@@ -452,7 +452,7 @@
 	var nodes []fakes.NodeOptions
 	for n := range 6 {
 		o := fakes.NodeOptions{Cores: 16}
-		for k := fakes.TurnAway; k <= fakes.GoAway; k++ {
+		for k := fakes.Reject; k <= fakes.GoAway; k++ {
 			share := 0.04
 			if k == fakes.LoseAnswer || k == fakes.Hang {
 				share = 0.01 // each costs its caller the whole deadline
@@ -522,7 +522,7 @@
 		})
 	}
 	wg.Wait()
-	if twice := r.ledger.Doubled("mutation"); len(twice) > 0 {
+	if twice := r.ledger.ExecutedTwice("mutation"); len(twice) > 0 {
 		t.Errorf("%d mutations ran twice: %v", len(twice), twice[:min(5, len(twice))])
 	}
 	if n := failures(); n < 10000 {
@@ -543,7 +543,7 @@
 // from the request, and count as well. A reload takes its endpoint and the store away while a node has it, then that node dies: the
 // operation is not decided anew by the new file, which knows nothing of its key.
 func TestGraphQLKeyedIsNotDecidedAnew(t *testing.T) {
-	busy := fakes.NodeOptions{Work: time.Hour}
+	busy := fakes.NodeOptions{DefaultServiceTime: time.Hour}
 	r := startGraphQL(t, "10s", busy, busy)
 	if err := r.reload(t, r.file+"[[repeats]]\nservice = \"seats\"\n"); err != nil {
 		t.Fatal(err)
--- a/internal/daemon/idempotency_shared_test.go
+++ b/internal/daemon/idempotency_shared_test.go
@@ -187,7 +187,7 @@
 				children[i] = startChild(t, rigs[i], files[i], "")
 			}
 			wg.Wait()
-			if twice := ledger.Doubled("record"); len(twice) > 0 {
+			if twice := ledger.ExecutedTwice("record"); len(twice) > 0 {
 				t.Errorf("%d payments are recorded twice: %v", len(twice), twice[:min(5, len(twice))])
 			}
 			if odd.Load() > 0 || served.Load() < wanted/4 {
--- a/internal/daemon/idempotency_test.go
+++ b/internal/daemon/idempotency_test.go
@@ -274,13 +274,13 @@
 // for twice the window that they promise: from the write on, what a node takes to come to a request is not the sidecar's.
 func payNodes(t *testing.T, window time.Duration) (*fakes.Ledger, string) {
 	ledger := fakes.NewLedger()
-	memories := map[string]*fakes.KeyMemory{"a": fakes.NewKeyMemory(2 * window), "b": fakes.NewKeyMemory(2 * window)}
+	memories := map[string]*fakes.IdempotencyKeys{"a": fakes.NewIdempotencyKeys(2 * window), "b": fakes.NewIdempotencyKeys(2 * window)}
 	list := ""
 	for i := range 6 {
 		zone := []string{"a", "b"}[i%2]
 		o := fakes.NodeOptions{Name: fmt.Sprint("n", i), Zone: zone, Keys: memories[zone], Ledger: ledger, Cores: 16, Seed: uint64(i + 1)}
-		for _, k := range []fakes.FaultKind{fakes.TurnAway, fakes.Fail, fakes.FailUnrun, fakes.ResetBefore, fakes.ResetAfter, fakes.LoseAnswer,
-			fakes.Hang, fakes.Garble, fakes.Cut} {
+		for _, k := range []fakes.FaultKind{fakes.Reject, fakes.Fail, fakes.FailNotExecuted, fakes.ResetBefore, fakes.ResetAfter, fakes.LoseAnswer,
+			fakes.Hang, fakes.Malformed, fakes.Truncate} {
 			share := 0.05
 			if k == fakes.LoseAnswer || k == fakes.Hang {
 				share = 0.02
@@ -342,7 +342,7 @@
 		})
 	}
 	wg.Wait()
-	if twice := ledger.Doubled("record"); len(twice) > 0 {
+	if twice := ledger.ExecutedTwice("record"); len(twice) > 0 {
 		t.Errorf("%d payments are recorded twice: %v", len(twice), twice[:min(5, len(twice))])
 	}
 	if odd.Load() > 0 {
--- a/internal/daemon/load_probing_test.go
+++ b/internal/daemon/load_probing_test.go
@@ -17,7 +17,7 @@
 	ledger := fakes.NewLedger()
 	var addresses []string
 	for i := range 6 {
-		o := fakes.NodeOptions{Name: fmt.Sprint("n", i), Ledger: ledger, Cores: 64, Work: time.Millisecond}
+		o := fakes.NodeOptions{Name: fmt.Sprint("n", i), Ledger: ledger, Cores: 64, DefaultServiceTime: time.Millisecond}
 		if i == 5 {
 			o.Faults = []fakes.Fault{{Kind: fakes.Freeze}}
 		}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -33,7 +33,7 @@
 			if strings.HasSuffix(name, ".new") {
 				replaced++
 			}
-			if n.Fell {
+			if n.Overloaded {
 				t.Errorf("%s: %s was pushed over", front, name)
 			}
 		}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -57,7 +57,7 @@
 	o         Options
 	grpc      bool
 	ledger    *fakes.Ledger
-	keys      *fakes.KeyMemory
+	keys      *fakes.IdempotencyKeys
 	discovery *fakes.Discovery
 
 	mu    sync.Mutex
@@ -65,7 +65,7 @@
 }
 
 func newFleet(o Options) (*fleet, error) {
-	f := &fleet{o: o, grpc: o.Front == "grpc", ledger: fakes.NewLedger(), keys: fakes.NewKeyMemory(6 * time.Second),
+	f := &fleet{o: o, grpc: o.Front == "grpc", ledger: fakes.NewLedger(), keys: fakes.NewIdempotencyKeys(6 * time.Second),
 		discovery: fakes.NewDiscovery()}
 	f.ledger.CountOnly = true
 	if _, err := f.discovery.Listen("127.0.0.1:0"); err != nil {
@@ -83,8 +83,8 @@
 // start starts the node at a place of the fleet, and lists it.
 func (f *fleet) start(place int, name string, since time.Time) error {
 	kind := kinds[place%len(kinds)]
-	n := fakes.NodeOptions{Name: name, Zone: "home", Type: kind.name, Cores: cores, Speed: kind.speed, Queue: 40,
-		Started: since, ColdFrom: coldFrom, WarmUp: warmUp, FallMultiple: fallMultiple, FallTime: fallTime,
+	n := fakes.NodeOptions{Name: name, Zone: "home", Type: kind.name, Cores: cores, ServiceRate: kind.speed, MaxQueue: 40,
+		Started: since, SlowStartMinCapacity: coldFrom, SlowStartWindow: warmUp, OverloadMultiple: fallMultiple, OverloadWindow: fallTime,
 		Keys: f.keys, Seed: f.o.Seed + uint64(place), Ledger: f.ledger}
 	if since.IsZero() { // the fleet of the beginning meets the script
 		at := func(share float64) time.Duration { return time.Duration(share * float64(f.o.For)) }
@@ -162,7 +162,7 @@
 // listed is the nodes that want requests, with their addresses.
 func (f *fleet) listed() map[string]string {
 	places := map[string]string{}
-	for _, e := range f.discovery.Listing().Endpoints {
+	for _, e := range f.discovery.List().Endpoints {
 		if e.Status == endpoints.StatusReady {
 			places[e.Name] = e.Address
 		}
--- a/internal/demo/fronts.go
+++ b/internal/demo/fronts.go
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	c := &config.Config{Name: "demo", Listen: l.Addr().String(), Discovery: f.discovery.Address(), Seed: seed,
-		CachedEndpoints: f.discovery.Listing(), Limits: config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
+		CachedEndpoints: f.discovery.List(), Limits: config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		Settings: settings.Settings{Settings: moduleSettings(), ConnIdleTimeout: 15 * time.Second}}
 	ctx, cancel := context.WithCancel(context.Background())
 	d := &daemonFront{address: l.Addr().String(), stop: cancel, ended: make(chan error, 1), client: newClient()}
@@ -131,7 +131,7 @@
 const methodPrefix = "/booking.Seats/"
 
 func newPlugin(f *fleet, seed uint64) (*pluginFront, error) {
-	l := f.discovery.Listing()
+	l := f.discovery.List()
 	o := grpcbalancer.Options{Settings: moduleSettings(), Seed: seed, Discovery: f.discovery.Address(), Version: *l.Index,
 		Methods: map[string]string{}}
 	for _, c := range classes {
--- a/internal/demo/table.go
+++ b/internal/demo/table.go
@@ -69,7 +69,7 @@
 	counts, others := a.fleet.outcome(), b.fleet.outcome()
 	beside := map[string]int{}
 	for _, n := range b.fleet.all() {
-		beside[n.Options().Name] = n.InHand()
+		beside[n.Options().Name] = n.InFlight()
 	}
 	for _, n := range a.fleet.all() {
 		name := n.Options().Name
@@ -89,8 +89,8 @@
 		if listed {
 			estimate, loaded = short(v.Latency).String(), fmt.Sprintf("%.3f", v.Load)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t\t%d\t%d\t\n", name, n.Options().Type, state, n.InHand(), counts[name].Ran,
-			estimate, loaded, beside[name], others[name].Ran)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t\t%d\t%d\t\n", name, n.Options().Type, state, n.InFlight(), counts[name].Executed,
+			estimate, loaded, beside[name], others[name].Executed)
 	}
 	w.Flush() // to a Builder: it can't fail
 	out.WriteString("\n")
@@ -127,13 +127,13 @@
 	}
 	fell := 0
 	for _, n := range s.Ours.Nodes {
-		if n.Fell {
+		if n.Overloaded {
 			fell++
 		}
 	}
 	fellRandom := 0
 	for _, n := range s.Random.Nodes {
-		if n.Fell {
+		if n.Overloaded {
 			fellRandom++
 		}
 	}
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -18,7 +18,7 @@
 // Discovery is a stand-in for the platform's discovery: it keeps a list and serves it, whole and as watches. Entries
 // can be set, drained and removed; the service can fall silent, break its watches, go down and move.
 type Discovery struct {
-	Beat time.Duration // an empty line so often while nothing changes; absent: 200 ms. Set before Listen.
+	Heartbeat time.Duration // an empty line so often while nothing changes; absent: 200 ms. Set before Listen.
 	// Rate is how many calls it works through in a second, one after another; one that would wait for longer than Timeout is turned
 	// away at once. Absent: all are answered at once. Set before Listen.
 	Rate    float64
@@ -28,26 +28,26 @@
 	// reader knows then. It must not call the stand-in. Set before Listen.
 	Wrote func(address string, version int64)
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	index   int64
-	entries map[string]versioned
-	silent  bool
-	down    bool
-	breaks  int // watches that began before this number end
-	muted   int // calls up to this number say nothing more
-	hold    time.Duration
-	free    time.Time // when it has worked through all calls so far
-	turned  int       // of the calls at each address, how many are turned away from now on
-	left    map[string]int
-	calls   []time.Time
-	current int // watches that have been told all
-	srv     *http.Server
-	joined  map[string]*http.Server // at further addresses
-	address string
-	serving sync.WaitGroup
-	closed  bool
-	told    map[string]time.Time // when a state was first written to a watch, by "name status"
+	mu             sync.Mutex
+	changed        *sync.Cond
+	index          int64
+	entries        map[string]versioned
+	silent         bool
+	down           bool
+	breaks         int // watches that began before this number end
+	muted          int // calls up to this number say nothing more
+	answerDelay    time.Duration
+	busyUntil      time.Time // when it has worked through all calls so far
+	rejections     int       // of the calls at each address, how many are turned away from now on
+	rejectionsLeft map[string]int
+	calls          []time.Time
+	current        int // watches that have been told all
+	srv            *http.Server
+	joined         map[string]*http.Server // at further addresses
+	address        string
+	serving        sync.WaitGroup
+	closed         bool
+	firstNotified  map[string]time.Time // when a state was first written to a watch, by "name status"
 }
 
 type versioned struct {
@@ -57,7 +57,7 @@
 
 // NewDiscovery returns one with these entries, at version 1; see Listen.
 func NewDiscovery(entries ...endpoints.Endpoint) *Discovery {
-	d := &Discovery{index: 1, entries: map[string]versioned{}, joined: map[string]*http.Server{}, Beat: 200 * time.Millisecond, told: map[string]time.Time{}}
+	d := &Discovery{index: 1, entries: map[string]versioned{}, joined: map[string]*http.Server{}, Heartbeat: 200 * time.Millisecond, firstNotified: map[string]time.Time{}}
 	d.changed = sync.NewCond(&d.mu)
 	for _, e := range entries {
 		d.entries[e.Name] = versioned{e, 1}
@@ -109,19 +109,19 @@
 	}
 }
 
-// TurnAway has the next n calls at each address answered 503 at once.
-func (d *Discovery) TurnAway(n int) {
-	d.change(func() { d.turned, d.left = n, map[string]int{} })
+// Reject has the next n calls at each address answered 503 at once.
+func (d *Discovery) RejectNext(n int) {
+	d.change(func() { d.rejections, d.rejectionsLeft = n, map[string]int{} })
 }
 
-// turnedAway tells whether a call at an address is answered 503 at once.
-func (d *Discovery) turnedAway(address string) bool {
+// takeRejection tells whether a call at an address is answered 503 at once.
+func (d *Discovery) takeRejection(address string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.left == nil || d.left[address] >= d.turned {
+	if d.rejectionsLeft == nil || d.rejectionsLeft[address] >= d.rejections {
 		return false
 	}
-	d.left[address]++
+	d.rejectionsLeft[address]++
 	return true
 }
 
@@ -188,8 +188,8 @@
 // Mute makes the calls and watches that are open now say nothing more, without ending them; later ones are answered.
 func (d *Discovery) Mute() { d.change(func() { d.muted = len(d.calls) }) }
 
-// Hold has the answers to calls made from now on come so much later.
-func (d *Discovery) Hold(by time.Duration) { d.change(func() { d.hold = by }) }
+// DelayAnswers has the answers to calls made from now on come so much later.
+func (d *Discovery) DelayAnswers(by time.Duration) { d.change(func() { d.answerDelay = by }) }
 
 // Calls is when each call came, whatever became of it.
 func (d *Discovery) Calls() []time.Time {
@@ -212,9 +212,9 @@
 	now := time.Now()
 	d.calls = append(d.calls, now)
 	if d.Rate <= 0 {
-		return len(d.calls), d.hold
+		return len(d.calls), d.answerDelay
 	}
-	free := d.free
+	free := d.busyUntil
 	if free.Before(now) {
 		free = now
 	}
@@ -222,8 +222,8 @@
 	if free.Sub(now) > d.Timeout {
 		return len(d.calls), -1
 	}
-	d.free = free
-	return len(d.calls), free.Sub(now) + d.hold
+	d.busyUntil = free
+	return len(d.calls), free.Sub(now) + d.answerDelay
 }
 
 func (d *Discovery) change(do func()) {
@@ -233,11 +233,11 @@
 	d.changed.Broadcast()
 }
 
-// Told is when a state of an upstream was first written to a watcher; false: not yet.
-func (d *Discovery) Told(name, status string) (time.Time, bool) {
+// FirstNotified is when a state of an upstream was first written to a watcher; false: not yet.
+func (d *Discovery) FirstNotified(name, status string) (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at, ok := d.told[name+" "+status]
+	at, ok := d.firstNotified[name+" "+status]
 	return at, ok
 }
 
@@ -248,8 +248,8 @@
 	return d.index
 }
 
-// Listing is the whole list, as a configuration's known list.
-func (d *Discovery) Listing() *endpoints.List {
+// List is the whole list, as a configuration's known list.
+func (d *Discovery) List() *endpoints.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.since(-1)
@@ -278,7 +278,7 @@
 	if local, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr); ok {
 		address = local.String()
 	}
-	if d.turnedAway(address) {
+	if d.takeRejection(address) {
 		wait = -1
 	}
 	if wait < 0 {
@@ -316,7 +316,7 @@
 		from = -1
 	}
 	breaks := d.breaks
-	beat := time.NewTicker(d.Beat)
+	beat := time.NewTicker(d.Heartbeat)
 	defer beat.Stop()
 	done := make(chan struct{})
 	defer close(done)
@@ -384,8 +384,8 @@
 		d.Wrote(address, *l.Index)
 	}
 	for _, e := range l.Endpoints {
-		if key := e.Name + " " + e.Status; d.told[key].IsZero() {
-			d.told[key] = now
+		if key := e.Name + " " + e.Status; d.firstNotified[key].IsZero() {
+			d.firstNotified[key] = now
 		}
 	}
 	return err
--- a/internal/fakes/etcd.go
+++ b/internal/fakes/etcd.go
@@ -41,7 +41,7 @@
 // leases that run out, watches from a revision on. Its one server is a cluster's leader as its clients see it; what it holds
 // outlasts Stop. It keeps all revisions of its life, till Forget, of 100,000 at most.
 type Etcd struct {
-	o EtcdOptions
+	options EtcdOptions
 
 	mu        sync.Mutex
 	address   *Reservation // from the first Start to Close
@@ -70,7 +70,7 @@
 
 // NewEtcd returns one that does not listen yet.
 func NewEtcd(o EtcdOptions) *Etcd {
-	return &Etcd{o: o, kvs: map[string]*mvccpb.KeyValue{}, leases: map[int64]*etcdLease{}, revision: 1, nextLease: 0x1000, changed: make(chan struct{})}
+	return &Etcd{options: o, kvs: map[string]*mvccpb.KeyValue{}, leases: map[int64]*etcdLease{}, revision: 1, nextLease: 0x1000, changed: make(chan struct{})}
 }
 
 // Start listens, again where it did before, and returns where.
@@ -89,13 +89,13 @@
 		return "", err
 	}
 	options := []grpc.ServerOption{grpc.UnaryInterceptor(func(ctx context.Context, q any, _ *grpc.UnaryServerInfo, do grpc.UnaryHandler) (any, error) {
-		if _, opens := q.(*etcdserverpb.AuthenticateRequest); !opens && !e.may(ctx) {
+		if _, opens := q.(*etcdserverpb.AuthenticateRequest); !opens && !e.authorized(ctx) {
 			return nil, rpctypes.ErrGRPCInvalidAuthToken
 		}
 		return do(ctx, q)
 	})}
-	if e.o.TLS != nil {
-		options = append(options, grpc.Creds(credentials.NewTLS(e.o.TLS)))
+	if e.options.TLS != nil {
+		options = append(options, grpc.Creds(credentials.NewTLS(e.options.TLS)))
 	}
 	srv := grpc.NewServer(options...)
 	e.srv = srv
@@ -138,30 +138,30 @@
 	defer e.mu.Unlock()
 	for id, l := range e.leases {
 		if l.ttl <= ttl {
-			e.end(id)
+			e.expireLease(id)
 		}
 	}
 }
 
-// Forget compacts: all revisions but the last are forgotten.
-func (e *Etcd) Forget() {
+// CompactHistory compacts: all revisions but the last are forgotten.
+func (e *Etcd) CompactHistory() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.compacted, e.events = e.revision, nil
 }
 
-func (e *Etcd) may(ctx context.Context) bool {
+func (e *Etcd) authorized(ctx context.Context) bool {
 	md, _ := metadata.FromIncomingContext(ctx)
 	token := md.Get(rpctypes.TokenFieldNameGRPC)
-	return e.o.User == "" || len(token) == 1 && token[0] == etcdToken
+	return e.options.User == "" || len(token) == 1 && token[0] == etcdToken
 }
 
 func (e *Etcd) header() *etcdserverpb.ResponseHeader {
 	return &etcdserverpb.ResponseHeader{ClusterId: 1, MemberId: 1, RaftTerm: 1, Revision: e.revision}
 }
 
-// end ends a lease with its keys. mu is held.
-func (e *Etcd) end(id int64) {
+// expireLease ends a lease with its keys. mu is held.
+func (e *Etcd) expireLease(id int64) {
 	l := e.leases[id]
 	if l == nil {
 		return
--- a/internal/fakes/etcd_services.go
+++ b/internal/fakes/etcd_services.go
@@ -34,7 +34,7 @@
 func (e etcdKV) DeleteRange(ctx context.Context, q *etcdserverpb.DeleteRangeRequest) (r *etcdserverpb.DeleteRangeResponse, err error) {
 	err = e.write(ctx, nil, func() {
 		e.revision++
-		r = e.drop(q)
+		r = e.deleteRange(q)
 	})
 	return r, err
 }
@@ -50,7 +50,7 @@
 	}
 	err := e.write(ctx, leases, func() {
 		for _, c := range q.Compare {
-			r.Succeeded = r.Succeeded && e.holds(c)
+			r.Succeeded = r.Succeeded && e.compare(c)
 		}
 		ops := q.Failure
 		if r.Succeeded {
@@ -71,7 +71,7 @@
 				e.put(op.GetRequestPut())
 				of.Response = &etcdserverpb.ResponseOp_ResponsePut{ResponsePut: &etcdserverpb.PutResponse{Header: e.header()}}
 			case op.GetRequestDeleteRange() != nil:
-				of.Response = &etcdserverpb.ResponseOp_ResponseDeleteRange{ResponseDeleteRange: e.drop(op.GetRequestDeleteRange())}
+				of.Response = &etcdserverpb.ResponseOp_ResponseDeleteRange{ResponseDeleteRange: e.deleteRange(op.GetRequestDeleteRange())}
 			}
 			r.Responses = append(r.Responses, of)
 		}
@@ -97,7 +97,7 @@
 	e.leases[id] = &etcdLease{ttl: ttl, keys: map[string]bool{}, ends: time.AfterFunc(ttl, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.Etcd.end(id)
+		e.Etcd.expireLease(id)
 	})}
 	return &etcdserverpb.LeaseGrantResponse{Header: e.header(), ID: id, TTL: int64(ttl / time.Second)}, nil
 }
@@ -108,7 +108,7 @@
 	if e.leases[q.ID] == nil {
 		return nil, rpctypes.ErrGRPCLeaseNotFound
 	}
-	e.end(q.ID)
+	e.expireLease(q.ID)
 	return &etcdserverpb.LeaseRevokeResponse{Header: e.header()}, nil
 }
 
@@ -228,10 +228,10 @@
 }
 
 func (e etcdAuth) Authenticate(_ context.Context, q *etcdserverpb.AuthenticateRequest) (*etcdserverpb.AuthenticateResponse, error) {
-	if e.o.User == "" {
+	if e.options.User == "" {
 		return nil, rpctypes.ErrGRPCAuthNotEnabled
 	}
-	if q.Name != e.o.User || q.Password != e.o.Password {
+	if q.Name != e.options.User || q.Password != e.options.Password {
 		return nil, rpctypes.ErrGRPCAuthFailed
 	}
 	return &etcdserverpb.AuthenticateResponse{Header: e.header(), Token: etcdToken}, nil
--- a/internal/fakes/etcd_store.go
+++ b/internal/fakes/etcd_store.go
@@ -49,10 +49,10 @@
 		l.keys[string(q.Key)] = true
 	}
 	e.kvs[string(q.Key)] = kv
-	e.tell(&mvccpb.Event{Type: mvccpb.Event_PUT, Kv: kv})
+	e.appendEvent(&mvccpb.Event{Type: mvccpb.Event_PUT, Kv: kv})
 }
 
-func (e *Etcd) drop(q *etcdserverpb.DeleteRangeRequest) *etcdserverpb.DeleteRangeResponse {
+func (e *Etcd) deleteRange(q *etcdserverpb.DeleteRangeRequest) *etcdserverpb.DeleteRangeResponse {
 	r := &etcdserverpb.DeleteRangeResponse{}
 	for key := range e.kvs {
 		if inRange(key, q.Key, q.RangeEnd) {
@@ -64,7 +64,7 @@
 	return r
 }
 
-func (e *Etcd) holds(c *etcdserverpb.Compare) bool {
+func (e *Etcd) compare(c *etcdserverpb.Compare) bool {
 	kv := e.kvs[string(c.Key)]
 	if kv == nil {
 		kv = &mvccpb.KeyValue{}
@@ -95,12 +95,12 @@
 
 // write makes a change, or has its fault.
 func (e *Etcd) write(ctx context.Context, leases []int64, do func()) error {
-	if e.o.Delay > 0 {
-		time.Sleep(e.o.Delay)
+	if e.options.Delay > 0 {
+		time.Sleep(e.options.Delay)
 	}
 	fault := EtcdFine
-	if e.o.Fault != nil {
-		fault = e.o.Fault()
+	if e.options.Fault != nil {
+		fault = e.options.Fault()
 	}
 	apply := func() error {
 		e.mu.Lock()
@@ -123,7 +123,7 @@
 	case EtcdLate, EtcdHang:
 		<-ctx.Done()
 		if fault == EtcdLate {
-			time.AfterFunc(e.o.Late, func() { _ = apply() })
+			time.AfterFunc(e.options.Late, func() { _ = apply() })
 		}
 		return ctx.Err()
 	}
@@ -137,11 +137,11 @@
 		if l := e.leases[kv.Lease]; l != nil {
 			delete(l.keys, key)
 		}
-		e.tell(&mvccpb.Event{Type: mvccpb.Event_DELETE, Kv: &mvccpb.KeyValue{Key: []byte(key), ModRevision: e.revision}})
+		e.appendEvent(&mvccpb.Event{Type: mvccpb.Event_DELETE, Kv: &mvccpb.KeyValue{Key: []byte(key), ModRevision: e.revision}})
 	}
 }
 
-func (e *Etcd) tell(event *mvccpb.Event) {
+func (e *Etcd) appendEvent(event *mvccpb.Event) {
 	if len(e.events) == etcdEvents {
 		e.compacted = e.events[etcdEvents/2].Kv.ModRevision
 		e.events = append([]*mvccpb.Event(nil), e.events[etcdEvents/2:]...)
--- a/internal/fakes/eureka.go
+++ b/internal/fakes/eureka.go
@@ -33,21 +33,21 @@
 type Eureka struct {
 	Base string // http://address/eureka
 
-	o    EurekaOptions
-	srv  *http.Server
-	done chan struct{}
+	options EurekaOptions
+	srv     *http.Server
+	done    chan struct{}
 
-	bytes   atomic.Int64 // of answers' bodies
-	mu      sync.Mutex
-	apps    map[string]map[string]*EurekaInstance
-	queue   []eurekaChange
-	version int
-	cache   map[string]eurekaAnswer
-	peers   []*Eureka
-	fault   func(path string) EurekaFault
-	calls   map[string]int
-	told    map[int]time.Time // by version: when the first answer that has it began to be written
-	last    int               // version told last
+	bytes         atomic.Int64 // of answers' bodies
+	mu            sync.Mutex
+	apps          map[string]map[string]*EurekaInstance
+	queue         []eurekaChange
+	version       int
+	cache         map[string]eurekaAnswer
+	peers         []*Eureka
+	fault         func(path string) EurekaFault
+	calls         map[string]int
+	firstNotified map[int]time.Time // by version: when the first answer that has it began to be written
+	lastNotified  int               // version told last
 }
 
 // EurekaInstance is one registration.
@@ -103,7 +103,7 @@
 	if o.KeepDelta == 0 {
 		o.KeepDelta = 3 * time.Minute
 	}
-	e := &Eureka{Base: "http://" + l.Addr().String() + "/eureka", o: o, done: make(chan struct{}), calls: map[string]int{}}
+	e := &Eureka{Base: "http://" + l.Addr().String() + "/eureka", options: o, done: make(chan struct{}), calls: map[string]int{}}
 	e.Restart()
 	e.srv = &http.Server{Handler: e, ReadHeaderTimeout: 10 * time.Second, ErrorLog: log.New(io.Discard, "", 0)}
 	go func() {
@@ -124,7 +124,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.apps, e.queue, e.version, e.cache = map[string]map[string]*EurekaInstance{}, nil, 0, map[string]eurekaAnswer{}
-	e.told, e.last = map[int]time.Time{}, 0
+	e.firstNotified, e.lastNotified = map[int]time.Time{}, 0
 }
 
 // Replicate has what is written here written to peers too.
@@ -154,7 +154,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	if user, password, _ := r.BasicAuth(); e.o.User != "" && (user != e.o.User || password != e.o.Password) {
+	if user, password, _ := r.BasicAuth(); e.options.User != "" && (user != e.options.User || password != e.options.Password) {
 		w.WriteHeader(http.StatusUnauthorized)
 		return
 	}
@@ -197,11 +197,11 @@
 	if e.fault != nil {
 		fault = e.fault(path)
 	}
-	now := e.o.Now()
+	now := e.options.Now()
 	asXML := !strings.Contains(r.Header.Get("Accept"), "json")
 	key := fmt.Sprint(path, asXML, fault == EurekaWrongSum, fault == EurekaLostDelta)
 	a, cached := e.cache[key]
-	if !cached || now.Sub(a.at) >= e.o.CacheFor {
+	if !cached || now.Sub(a.at) >= e.options.CacheFor {
 		e.expire(now)
 		body, ok := e.document(part, asXML, fault)
 		if !ok {
@@ -246,7 +246,7 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	e.bytes.Add(int64(len(body)))
 	if fault == EurekaFine {
-		e.tell(a.version)
+		e.recordNotified(a.version)
 	}
 	if fault == EurekaCut {
 		_, _ = w.Write(body[:len(body)/2])
@@ -265,18 +265,18 @@
 	return e.version
 }
 
-// Told is when a client was first told of a version, or a later one: right before the answer's first byte; zero: not yet.
-func (e *Eureka) Told(version int) time.Time {
+// FirstNotified is when a client was first told of a version, or a later one: right before the answer's first byte; zero: not yet.
+func (e *Eureka) FirstNotified(version int) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.told[version]
+	return e.firstNotified[version]
 }
 
-func (e *Eureka) tell(version int) {
+func (e *Eureka) recordNotified(version int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
-	for ; e.last < version; e.last++ {
-		e.told[e.last+1] = now
+	for ; e.lastNotified < version; e.lastNotified++ {
+		e.firstNotified[e.lastNotified+1] = now
 	}
 }
--- a/internal/fakes/eureka_document.go
+++ b/internal/fakes/eureka_document.go
@@ -103,7 +103,7 @@
 	for _, a := range apps {
 		var instances []any
 		for _, i := range a.of {
-			instances = append(instances, i.document(e.o.Texts))
+			instances = append(instances, i.document(e.options.Texts))
 		}
 		all = append(all, map[string]any{"name": a.name, "instance": lone(instances)})
 	}
--- a/internal/fakes/eureka_registry.go
+++ b/internal/fakes/eureka_registry.go
@@ -16,7 +16,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	i.App = strings.ToUpper(i.App)
-	now := e.o.Now()
+	now := e.options.Now()
 	i.action, i.registered, i.renewed = "ADDED", now, now
 	if i.Lease == 0 {
 		i.Lease = 90 * time.Second
@@ -90,8 +90,8 @@
 
 func (e *Eureka) changed(i *EurekaInstance) {
 	e.version++
-	e.queue = append(e.queue, eurekaChange{e.o.Now(), *i})
-	if e.o.CacheFor == 0 {
+	e.queue = append(e.queue, eurekaChange{e.options.Now(), *i})
+	if e.options.CacheFor == 0 {
 		clear(e.cache)
 	}
 }
@@ -102,14 +102,14 @@
 	defer e.mu.Unlock()
 	i := e.apps[strings.ToUpper(app)][id]
 	if i != nil {
-		i.renewed = e.o.Now()
+		i.renewed = e.options.Now()
 	}
 	return i != nil
 }
 
 // expire ends the leases that have run out.
 func (e *Eureka) expire(now time.Time) {
-	for len(e.queue) > 0 && now.Sub(e.queue[0].at) > e.o.KeepDelta {
+	for len(e.queue) > 0 && now.Sub(e.queue[0].at) > e.options.KeepDelta {
 		e.queue = e.queue[1:]
 	}
 	var out []*EurekaInstance
@@ -121,7 +121,7 @@
 			}
 		}
 	}
-	if e.o.Preserves && len(out)*100 > 15*all {
+	if e.options.Preserves && len(out)*100 > 15*all {
 		return
 	}
 	for _, old := range out {
--- a/internal/fakes/fault.go
+++ b/internal/fakes/fault.go
@@ -7,21 +7,21 @@
 
 // The faults. Those that a transport can't show in its own way are said for it in brackets.
 const (
-	Slow         FaultKind = iota // work takes Factor times as long
-	Freeze                        // nothing moves
-	TurnAway                      // full: turned away unseen, with the platform's mark
-	Fail                          // runs, then answers an error (500; INTERNAL)
-	FailUnrun                     // answers an error without a run and without the mark
-	ResetBefore                   // breaks the connection before it runs
-	ResetAfter                    // runs, then breaks the connection
-	LoseAnswer                    // runs, then says nothing
-	Hang                          // does not run, says nothing
-	Garble                        // runs, then answers what can't be read
-	Cut                           // runs, then breaks the connection within the answer
-	RefuseAtWire                  // gRPC: REFUSED_STREAM [HTTP: TurnAway]
-	ErrorUnrun                    // GraphQL: an error whose code says that it did not run [TurnAway]
-	ErrorRan                      // GraphQL: runs, then answers an error without data [Fail]
-	GoAway                        // gRPC: GOAWAY below the stream; the connection takes no more [HTTP: TurnAway, closes]
+	Slow             FaultKind = iota // work takes Factor times as long
+	Freeze                            // nothing moves
+	Reject                            // full: turned away unseen, with the platform's mark
+	Fail                              // runs, then answers an error (500; INTERNAL)
+	FailNotExecuted                   // answers an error without a run and without the mark
+	ResetBefore                       // breaks the connection before it runs
+	ResetAfter                        // runs, then breaks the connection
+	LoseAnswer                        // runs, then says nothing
+	Hang                              // does not run, says nothing
+	Malformed                         // runs, then answers what can't be read
+	Truncate                          // runs, then breaks the connection within the answer
+	RefuseStream                      // gRPC: REFUSED_STREAM [HTTP: Reject]
+	ErrorNotExecuted                  // GraphQL: an error whose code says that it did not run [Reject]
+	ErrorExecuted                     // GraphQL: runs, then answers an error without data [Fail]
+	GoAway                            // gRPC: GOAWAY below the stream; the connection takes no more [HTTP: Reject, closes]
 )
 
 // Fault is one line of a node's script. Times count from the node's start.
--- a/internal/fakes/flipper.go
+++ b/internal/fakes/flipper.go
@@ -66,8 +66,8 @@
 	n.version = f.Eureka.Version()
 }
 
-// Came says that something new reached an instance just now.
-func (f *Flipper) Came(id string) {
+// RecordArrival says that something new reached an instance just now.
+func (f *Flipper) RecordArrival(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := f.nodes[id]
@@ -75,7 +75,7 @@
 		return
 	}
 	n.last = time.Since(n.at)
-	if told := f.Eureka.Told(n.version); !told.IsZero() && time.Since(told) > f.Within {
+	if told := f.Eureka.FirstNotified(n.version); !told.IsZero() && time.Since(told) > f.Within {
 		f.wrong = append(f.wrong, time.Since(told))
 	}
 }
--- a/internal/fakes/grpc.go
+++ b/internal/fakes/grpc.go
@@ -79,8 +79,8 @@
 	h.encoder = hpack.NewEncoder(&h.head)
 	h.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	told := []http2.Setting{{ID: http2.SettingInitialWindowSize, Val: 1 << 20}}
-	if n.o.Streams > 0 {
-		told = append(told, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(n.o.Streams)})
+	if n.options.MaxConcurrentStreams > 0 {
+		told = append(told, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(n.options.MaxConcurrentStreams)})
 	}
 	h.write(func() error { return h.framer.WriteSettings(told...) })
 	h.write(func() error { return h.framer.WriteWindowUpdate(0, 1<<20) })
@@ -252,7 +252,7 @@
 		j.Payload = payload
 	}
 	v := h.n.serve(s.ctx, j)
-	if v.kind != refuseAtWire && v.kind != goAway {
+	if v.kind != refuseStream && v.kind != goAway {
 		h.mu.Lock()
 		h.floor = max(h.floor, s.id)
 		h.mu.Unlock()
@@ -263,19 +263,19 @@
 		h.expire(s)
 	case abandoned:
 		h.expire(s)
-	case turnAway, errorUnrun:
+	case rejected, errorNotExecuted:
 		h.trailers(s, 14, "full", map[string]string{"x-not-processed": "1"}) // UNAVAILABLE
-	case serverError, errorRan:
+	case serverError, errorExecuted:
 		h.trailers(s, 13, "broken", nil)
-	case garble:
+	case malformed:
 		h.message(s, []byte{0xff, 0xff, 0xff}, 0)
 		h.trailers(s, 0, "", nil)
-	case cut:
+	case truncated:
 		h.message(s, v.body, 10)
 		h.flushAndReset()
-	case breakOff:
+	case resetConnection:
 		reset(h.c)
-	case refuseAtWire:
+	case refuseStream:
 		h.refuse(s, false)
 	case goAway:
 		h.refuse(s, true)
@@ -290,4 +290,4 @@
 }
 
 // String names the node for logs.
-func (n *Node) String() string { return fmt.Sprintf("node %s (%s)", n.o.Name, n.o.Zone) }
+func (n *Node) String() string { return fmt.Sprintf("node %s (%s)", n.options.Name, n.options.Zone) }
--- a/internal/fakes/grpc_answer.go
+++ b/internal/fakes/grpc_answer.go
@@ -40,13 +40,13 @@
 		if !h.message(s, body, 0) {
 			return
 		}
-		if _, hit := h.n.strikes(ResetAfter, s.path+"/message"); hit && i == count/2 {
+		if _, hit := h.n.activeFault(ResetAfter, s.path+"/message"); hit && i == count/2 {
 			h.flushAndReset()
 			return
 		}
 	}
 	var report map[string]string
-	if h.n.o.Orca {
+	if h.n.options.LoadReports {
 		report = map[string]string{orcaTrailer: h.n.orcaReport()}
 	}
 	h.trailers(s, 0, "", report)
@@ -126,7 +126,7 @@
 // refuse proves on the wire that the stream was not processed. GOAWAY may be sent only below streams of which none
 // was: where a later one is in work already, this one is refused by itself.
 func (h *h2conn) refuse(s *h2stream, goAway bool) {
-	h.n.o.Ledger.count(h.n.o.Name, func(c *NodeCount) { c.Refused++ })
+	h.n.options.Ledger.count(h.n.options.Name, func(c *NodeCount) { c.StreamsRefused++ })
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !goAway || h.highest > s.id || h.floor > s.id {
--- a/internal/fakes/http1.go
+++ b/internal/fakes/http1.go
@@ -83,10 +83,10 @@
 func (n *Node) answerHTTP(ctx context.Context, c net.Conn, req *http.Request, read func(*http.Request, []byte) spoken) bool {
 	payload, _ := io.ReadAll(req.Body) // it is in memory
 	if req.URL.Path == "/-/load" {
-		if n.thaw(ctx) != nil {
+		if n.waitWhileFrozen(ctx) != nil {
 			return false
 		}
-		return say(c, "200 OK", "", n.load())
+		return say(c, "200 OK", "", n.loadReport())
 	}
 	s := read(req, payload)
 	if s.refusal != "" {
@@ -97,27 +97,27 @@
 		v.body = s.answer(v.body)
 	}
 	switch {
-	case v.kind == errorUnrun && s.unrunned != nil:
+	case v.kind == errorNotExecuted && s.unrunned != nil:
 		return say(c, "200 OK", s.headers, s.unrunned)
-	case v.kind == errorRan && s.failed != nil:
+	case v.kind == errorExecuted && s.failed != nil:
 		return say(c, "200 OK", s.headers, s.failed)
 	}
 	switch v.kind {
 	case answer:
 		return say(c, "200 OK", s.headers, v.body)
-	case turnAway, refuseAtWire, errorUnrun:
+	case rejected, refuseStream, errorNotExecuted:
 		return say(c, "503 Service Unavailable", "X-Not-Processed: 1\r\n", nil)
 	case goAway:
 		say(c, "503 Service Unavailable", "X-Not-Processed: 1\r\nConnection: close\r\n", nil)
-	case serverError, errorRan:
+	case serverError, errorExecuted:
 		return say(c, "500 Internal Server Error", "", nil)
-	case garble:
+	case malformed:
 		_, _ = io.WriteString(c, "\x16\x03\x01 no HTTP\r\n\r\n")
 		<-ctx.Done()
-	case cut:
+	case truncated:
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(v.body)+10, v.body)
 		reset(c)
-	case breakOff:
+	case resetConnection:
 		reset(c)
 	}
 	return false
--- a/internal/fakes/keys.go
+++ b/internal/fakes/keys.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// KeyMemory is how a group of nodes drops repeats of keyed requests: for Window after the first run, a repeat gets
+// IdempotencyKeys is how a group of nodes drops repeats of keyed requests: for Window after the first run, a repeat gets
 // that one's answer and does not run. It is safe for concurrent use; a nil one remembers nothing. It forgets what is
 // older than its window, looking through all at most twice a window.
-type KeyMemory struct {
+type IdempotencyKeys struct {
 	window time.Duration
 
 	mu    sync.Mutex
-	keys  map[string]kept
+	keys  map[string]storedAnswer
 	swept time.Time
 }
 
-type kept struct {
+type storedAnswer struct {
 	at   time.Time
 	body []byte
 }
 
-// NewKeyMemory returns an empty one.
-func NewKeyMemory(window time.Duration) *KeyMemory {
-	return &KeyMemory{window: window, keys: map[string]kept{}}
+// NewIdempotencyKeys returns an empty one.
+func NewIdempotencyKeys(window time.Duration) *IdempotencyKeys {
+	return &IdempotencyKeys{window: window, keys: map[string]storedAnswer{}}
 }
 
 // recall gives a key's answer, if it is remembered.
-func (m *KeyMemory) recall(key string) ([]byte, bool) {
+func (m *IdempotencyKeys) recall(key string) ([]byte, bool) {
 	if m == nil || key == "" {
 		return nil, false
 	}
@@ -38,7 +38,7 @@
 }
 
 // claim remembers a key's answer, or gives the one that is remembered.
-func (m *KeyMemory) claim(key string, body []byte) ([]byte, bool) {
+func (m *IdempotencyKeys) claim(key string, body []byte) ([]byte, bool) {
 	if m == nil || key == "" {
 		return nil, false
 	}
@@ -56,6 +56,6 @@
 			}
 		}
 	}
-	m.keys[key] = kept{now, body}
+	m.keys[key] = storedAnswer{now, body}
 	return body, false
 }
--- a/internal/fakes/ledger.go
+++ b/internal/fakes/ledger.go
@@ -19,14 +19,14 @@
 
 // Operation is what one request of a client did, over all nodes and all tries.
 type Operation struct {
-	ID    string // Job.Operation
-	Class string
-	Key   string
-	Runs  []Run // executions that began, oldest first
+	ID         string // Job.Operation
+	Class      string
+	Key        string
+	Executions []Execution // executions that began, oldest first
 }
 
-// Run is one execution.
-type Run struct {
+// Execution is one execution.
+type Execution struct {
 	Node  string
 	Group int
 	At    time.Time
@@ -34,18 +34,18 @@
 
 // NodeCount is what one node saw.
 type NodeCount struct {
-	Arrived    int           // requests that came whole, whatever became of them
-	Ran        int           // executions that began
-	TurnedAway int           // proved not to have run
-	Faults     int           // requests that a scripted fault struck; Slow and Freeze strike nobody in particular
-	Repeats    int           // keyed requests answered from memory
-	Work       time.Duration // asked for by what arrived, on a yardstick core
-	Most       int           // in hand at once
-	Fell       bool          // pushed over while cold
-	AfterDrain int           // arrived after Node.Drain
-	LastAfter  time.Duration // the longest after it
-	Probes     int           // requests for its load
-	Refused    int           // of them gRPC streams that were refused by the wire: REFUSED_STREAM, GOAWAY
+	Arrived        int           // requests that came whole, whatever became of them
+	Executed       int           // executions that began
+	Rejected       int           // proved not to have run
+	Faults         int           // requests that a scripted fault struck; Slow and Freeze strike nobody in particular
+	StoredAnswers  int           // keyed requests answered from memory
+	Work           time.Duration // asked for by what arrived, on a yardstick core
+	MaxInFlight    int           // in hand at once
+	Overloaded     bool          // pushed over while cold
+	AfterDrain     int           // arrived after Node.Drain
+	LastAfterDrain time.Duration // the longest after it
+	Probes         int           // requests for its load
+	StreamsRefused int           // of them gRPC streams that were refused by the wire: REFUSED_STREAM, GOAWAY
 }
 
 // NewLedger returns an empty one.
@@ -65,9 +65,9 @@
 	change(c)
 }
 
-// ran notes an execution that begins.
-func (l *Ledger) ran(n *Node, j Job) {
-	l.count(n.o.Name, func(c *NodeCount) { c.Ran++ })
+// recordExecution notes an execution that begins.
+func (l *Ledger) recordExecution(n *Node, j Job) {
+	l.count(n.options.Name, func(c *NodeCount) { c.Executed++ })
 	if l.CountOnly {
 		return
 	}
@@ -78,7 +78,7 @@
 		op = &Operation{ID: j.operation(), Class: j.Class, Key: j.Key}
 		l.ops[op.ID] = op
 	}
-	op.Runs = append(op.Runs, Run{n.o.Name, n.o.Group, time.Now()})
+	op.Executions = append(op.Executions, Execution{n.options.Name, n.options.Group, time.Now()})
 }
 
 // Operation is what an operation did; no Runs if none began.
@@ -87,18 +87,18 @@
 	defer l.mu.Unlock()
 	if op := l.ops[id]; op != nil {
 		c := *op
-		c.Runs = slices.Clone(op.Runs)
+		c.Executions = slices.Clone(op.Executions)
 		return c
 	}
 	return Operation{ID: id}
 }
 
-// Doubled is the operations of a class that ran more than once, sorted by ID.
-func (l *Ledger) Doubled(class string) (ids []string) {
+// ExecutedTwice is the operations of a class that ran more than once, sorted by ID.
+func (l *Ledger) ExecutedTwice(class string) (ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, op := range l.ops {
-		if op.Class == class && len(op.Runs) > 1 {
+		if op.Class == class && len(op.Executions) > 1 {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/fakes/node_accept.go
+++ b/internal/fakes/node_accept.go
@@ -11,7 +11,7 @@
 func (n *Node) listen(address string, serve func(net.Conn)) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return "", fmt.Errorf("node %s: %w", n.o.Name, err)
+		return "", fmt.Errorf("node %s: %w", n.options.Name, err)
 	}
 	n.accept(l, serve)
 	return l.Addr().String(), nil
@@ -33,8 +33,8 @@
 			if !down {
 				n.conns[c] = true
 				n.wg.Go(func() {
-					if n.o.TLS != nil {
-						serve(tls.Server(c, n.o.TLS))
+					if n.options.TLS != nil {
+						serve(tls.Server(c, n.options.TLS))
 					} else {
 						serve(c)
 					}
@@ -60,11 +60,11 @@
 	c.Close()
 }
 
-// strikes tells whether a fault of that kind is on and strikes a request of the class, and gives its Factor.
-func (n *Node) strikes(kind FaultKind, class string) (float64, bool) {
-	t := time.Since(n.begun)
-	for i := range n.o.Faults {
-		f := &n.o.Faults[i]
+// activeFault tells whether a fault of that kind is on and strikes a request of the class, and gives its Factor.
+func (n *Node) activeFault(kind FaultKind, class string) (float64, bool) {
+	t := time.Since(n.createdAt)
+	for i := range n.options.Faults {
+		f := &n.options.Faults[i]
 		if f.Kind != kind || f.Class != "" && f.Class != class {
 			continue
 		}
@@ -84,13 +84,13 @@
 	return 0, false
 }
 
-// thaw waits until no freeze is on.
-func (n *Node) thaw(ctx context.Context) error {
+// waitWhileFrozen waits until no freeze is on.
+func (n *Node) waitWhileFrozen(ctx context.Context) error {
 	for {
 		frozen := time.Duration(-1)
-		t := time.Since(n.begun)
-		for i := range n.o.Faults {
-			if f := &n.o.Faults[i]; f.Kind == Freeze {
+		t := time.Since(n.createdAt)
+		for i := range n.options.Faults {
+			if f := &n.options.Faults[i]; f.Kind == Freeze {
 				if on, change := f.active(t); on {
 					frozen = change
 				}
--- a/internal/fakes/node_test.go
+++ b/internal/fakes/node_test.go
@@ -29,7 +29,7 @@
 		"warm, the same": {1.5, false, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			o := NodeOptions{Name: "n", Cores: 4, Queue: 10000, ColdFrom: 0.3, WarmUp: 20 * time.Second, FallMultiple: 3, FallTime: 2 * time.Second}
+			o := NodeOptions{Name: "n", Cores: 4, MaxQueue: 10000, SlowStartMinCapacity: 0.3, SlowStartWindow: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second}
 			if c.cold {
 				o.Started = time.Now()
 			}
@@ -43,7 +43,7 @@
 				time.Sleep(gap)
 			}
 			wg.Wait()
-			if n.Down() != c.falls || n.Ledger().Nodes()["n"].Fell != c.falls {
+			if n.Down() != c.falls || n.Ledger().Nodes()["n"].Overloaded != c.falls {
 				t.Errorf("%s: fell over is %v", name, n.Down())
 			}
 		})
@@ -71,8 +71,8 @@
 			want   time.Duration
 		}{
 			"plain":  {NodeOptions{}, 0, work},
-			"fast":   {NodeOptions{Speed: 2}, 0, work / 2},
-			"cold":   {NodeOptions{Started: time.Now(), ColdFrom: 0.5, WarmUp: time.Hour}, 0, 2 * work},
+			"fast":   {NodeOptions{ServiceRate: 2}, 0, work / 2},
+			"cold":   {NodeOptions{Started: time.Now(), SlowStartMinCapacity: 0.5, SlowStartWindow: time.Hour}, 0, 2 * work},
 			"slow":   {NodeOptions{Faults: []Fault{{Kind: Slow, Factor: 4, From: time.Second}}}, time.Second, 4 * work},
 			"before": {NodeOptions{Faults: []Fault{{Kind: Slow, Factor: 4, From: time.Second}}}, 0, work},
 			"frozen": {NodeOptions{Faults: []Fault{{Kind: Freeze, Every: time.Second, For: 300 * time.Millisecond}}},
@@ -82,7 +82,7 @@
 				t.Errorf("%s: took %v, want %v", name, got, c.want)
 			}
 		}
-		n := NewNode(NodeOptions{Name: "n", Cores: 2, Queue: 2})
+		n := NewNode(NodeOptions{Name: "n", Cores: 2, MaxQueue: 2})
 		defer n.Close()
 		var wg sync.WaitGroup
 		ctx, leave := context.WithCancel(context.Background())
@@ -90,20 +90,20 @@
 			wg.Go(func() { n.serve(ctx, Job{ID: fmt.Sprint(i), Work: time.Hour}) })
 		}
 		synctest.Wait()
-		if c := n.Ledger().Nodes()["n"]; c.Ran != 2 || c.TurnedAway != 2 || n.InHand() != 4 {
-			t.Errorf("%+v, %d in hand", c, n.InHand())
+		if c := n.Ledger().Nodes()["n"]; c.Executed != 2 || c.Rejected != 2 || n.InFlight() != 4 {
+			t.Errorf("%+v, %d in hand", c, n.InFlight())
 		}
 		leave()
 		wg.Wait()
-		if n.InHand() != 0 {
-			t.Errorf("%d in hand after their client left", n.InHand())
+		if n.InFlight() != 0 {
+			t.Errorf("%d in hand after their client left", n.InFlight())
 		}
 	})
 }
 
 // TestLedgerCountsExecutionsByKey checks that the ledger counts every second execution, and none for a stored answer.
 func TestLedgerCountsExecutionsByKey(t *testing.T) {
-	ledger, keys := NewLedger(), NewKeyMemory(time.Minute)
+	ledger, keys := NewLedger(), NewIdempotencyKeys(time.Minute)
 	a := NewNode(NodeOptions{Name: "a", Ledger: ledger, Keys: keys})
 	defer a.Close()
 	b := NewNode(NodeOptions{Name: "b", Ledger: ledger, Keys: keys})
@@ -112,10 +112,10 @@
 		n.serve(t.Context(), Job{ID: "u", Class: "unsafe"})
 		n.serve(t.Context(), Job{ID: "k", Class: "keyed", Key: "key"})
 	}
-	if twice := ledger.Doubled("unsafe"); len(twice) != 1 || len(ledger.Operation("u").Runs) != 3 {
+	if twice := ledger.ExecutedTwice("unsafe"); len(twice) != 1 || len(ledger.Operation("u").Executions) != 3 {
 		t.Errorf("doubled %v, %+v", twice, ledger.Operation("u"))
 	}
-	if twice := ledger.Doubled("keyed"); len(twice) != 0 || ledger.Nodes()["a"].Repeats+ledger.Nodes()["b"].Repeats != 2 {
+	if twice := ledger.ExecutedTwice("keyed"); len(twice) != 0 || ledger.Nodes()["a"].StoredAnswers+ledger.Nodes()["b"].StoredAnswers != 2 {
 		t.Errorf("doubled %v, %+v", twice, ledger.Nodes())
 	}
 }
@@ -123,7 +123,7 @@
 // TestDiscoveryPollsAndWatches checks watches and polls through silence, outage and a move to another address.
 func TestDiscoveryPollsAndWatches(t *testing.T) {
 	d := NewDiscovery()
-	d.Beat = 10 * time.Millisecond
+	d.Heartbeat = 10 * time.Millisecond
 	first, err := d.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -144,7 +144,7 @@
 	if empty := lines.Scan(); !change || !empty || lines.Text() != "" {
 		t.Errorf("watched %q, %v", lines.Text(), lines.Err())
 	}
-	if _, ok := d.Told("a", "Terminating"); !ok {
+	if _, ok := d.FirstNotified("a", "Terminating"); !ok {
 		t.Error("the change was not told")
 	}
 	d.Silence(true)
--- a/internal/fakes/orca.go
+++ b/internal/fakes/orca.go
@@ -16,9 +16,9 @@
 func (n *Node) orcaReport() string {
 	n.mu.Lock()
 	now := time.Now()
-	n.served = n.served*math.Exp(-now.Sub(n.servedAt).Seconds()) + 1
-	n.servedAt = now
-	rate, busy := n.served, math.Max(0.01, float64(n.inHand)/float64(n.o.Cores))
+	n.recentAnswers = n.recentAnswers*math.Exp(-now.Sub(n.recentAnswersAt).Seconds()) + 1
+	n.recentAnswersAt = now
+	rate, busy := n.recentAnswers, math.Max(0.01, float64(n.inFlight)/float64(n.options.Cores))
 	n.mu.Unlock()
 	report := protowire.AppendTag(nil, 1, protowire.Fixed64Type)
 	report = protowire.AppendFixed64(report, math.Float64bits(busy))
--- a/internal/idempotency/etcdstore/proof_test.go
+++ b/internal/idempotency/etcdstore/proof_test.go
@@ -185,7 +185,7 @@
 				key := fmt.Sprintf("%d-%d", worker/2, n) // two clients send each payment
 				for try := range 5 {
 					if r.pay((worker+try)%len(r.processes), key, fmt.Sprint(worker, try)) && r.chance(0.02) {
-						r.etcd.Forget()
+						r.etcd.CompactHistory()
 					}
 				}
 			}
--- a/internal/measure/counters.go
+++ b/internal/measure/counters.go
@@ -227,7 +227,7 @@
 	ledger := fakes.NewLedger()
 	ledger.CountOnly = true
 	for i := range r.Nodes {
-		n := fakes.NewNode(fakes.NodeOptions{Name: fmt.Sprint("n", i), Cores: 1, Work: r.Work, Ledger: ledger, Seed: uint64(i)})
+		n := fakes.NewNode(fakes.NodeOptions{Name: fmt.Sprint("n", i), Cores: 1, DefaultServiceTime: r.Work, Ledger: ledger, Seed: uint64(i)})
 		defer n.Close()
 		address, err := n.ListenHTTP("127.0.0.1:0")
 		if err != nil {
--- a/internal/measure/eureka.go
+++ b/internal/measure/eureka.go
@@ -73,7 +73,7 @@
 	}
 	defer e.Close()
 	var f *fakes.Flipper
-	names, stopNodes, err := flipNodes(e, 12, func(name string) { f.Came(name) })
+	names, stopNodes, err := flipNodes(e, 12, func(name string) { f.RecordArrival(name) })
 	if err != nil {
 		return err
 	}
--- a/internal/measure/roles.go
+++ b/internal/measure/roles.go
@@ -160,7 +160,7 @@
 	ledger := fakes.NewLedger()
 	ledger.CountOnly = true
 	for i := range r.Nodes {
-		o := fakes.NodeOptions{Name: fmt.Sprint("n", i), Cores: 64, Work: r.Work, Ledger: ledger, Seed: uint64(i), Orca: r.GRPC}
+		o := fakes.NodeOptions{Name: fmt.Sprint("n", i), Cores: 64, DefaultServiceTime: r.Work, Ledger: ledger, Seed: uint64(i), LoadReports: r.GRPC}
 		if r.Slow > 0 && i%10 == 0 {
 			o.Faults = []fakes.Fault{{Kind: fakes.Slow, Factor: r.Slow}}
 		}
--- a/internal/testing/conformance/child_test.go
+++ b/internal/testing/conformance/child_test.go
@@ -82,7 +82,7 @@
 // configFile writes what a child is told.
 func configFile(t *testing.T, w *world, p protocol, listen string) string {
 	t.Helper()
-	return writeConfig(t, filepath.Join(t.TempDir(), "config.json"), w.discovery[p], p, listen, w.discovery[p].Listing())
+	return writeConfig(t, filepath.Join(t.TempDir(), "config.json"), w.discovery[p], p, listen, w.discovery[p].List())
 }
 
 // writeConfig is configFile at a path, with the list that the child is to know from before.
@@ -128,11 +128,11 @@
 func TestKilledInTheMiddleOfCalls(t *testing.T) {
 	for _, p := range protocols {
 		t.Run(string(p), func(t *testing.T) {
-			node := fakes.NodeOptions{Cores: 8, Work: 20 * time.Millisecond}
+			node := fakes.NodeOptions{Cores: 8, DefaultServiceTime: 20 * time.Millisecond}
 			w := newWorld(t, node, node, node)
 			inHand := func() (n int) {
 				for _, n1 := range w.nodes {
-					n += n1.InHand()
+					n += n1.InFlight()
 				}
 				return n
 			}
@@ -179,7 +179,7 @@
 				client.CloseIdleConnections()
 				testutil.Eventually(t, "the nodes see its calls end", func() bool { return inHand() == 0 })
 			}
-			if twice := w.ledger.Doubled(class); len(twice) > 0 {
+			if twice := w.ledger.ExecutedTwice(class); len(twice) > 0 {
 				t.Errorf("ran twice: %v", twice)
 			}
 		})
--- a/internal/testing/conformance/fronts_test.go
+++ b/internal/testing/conformance/fronts_test.go
@@ -89,17 +89,17 @@
 type world struct {
 	ledger    *fakes.Ledger
 	nodes     []*fakes.Node
-	keys      [2]*fakes.KeyMemory           // of the two zones
+	keys      [2]*fakes.IdempotencyKeys     // of the two zones
 	discovery map[protocol]*fakes.Discovery // the same list, with addresses of that protocol
 }
 
 func newWorld(t testing.TB, options ...fakes.NodeOptions) *world {
 	t.Helper()
-	w := &world{ledger: fakes.NewLedger(), keys: [2]*fakes.KeyMemory{fakes.NewKeyMemory(time.Minute),
-		fakes.NewKeyMemory(time.Minute)}, discovery: map[protocol]*fakes.Discovery{}}
+	w := &world{ledger: fakes.NewLedger(), keys: [2]*fakes.IdempotencyKeys{fakes.NewIdempotencyKeys(time.Minute),
+		fakes.NewIdempotencyKeys(time.Minute)}, discovery: map[protocol]*fakes.Discovery{}}
 	for _, p := range protocols {
 		d := fakes.NewDiscovery()
-		d.Beat = 500 * time.Millisecond
+		d.Heartbeat = 500 * time.Millisecond
 		if _, err := d.Listen("127.0.0.1:0"); err != nil {
 			t.Fatal(err)
 		}
@@ -178,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &config.Config{Name: "suite", Listen: l.Addr().String(), Discovery: d.Address(), Seed: 7, CachedEndpoints: d.Listing(),
+	c := &config.Config{Name: "suite", Listen: l.Addr().String(), Discovery: d.Address(), Seed: 7, CachedEndpoints: d.List(),
 		Limits:   config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		Settings: settings.Settings{Settings: set, ConnIdleTimeout: 15 * time.Second}}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -259,7 +259,7 @@
 
 func startPlugin(t testing.TB, d *fakes.Discovery, set balancer.Settings) *pluginFront {
 	t.Helper()
-	l := d.Listing()
+	l := d.List()
 	o := grpcbalancer.Options{Settings: set, Seed: 7, Discovery: d.Address(), Version: *l.Index, Methods: pluginMethods}
 	for _, e := range l.Endpoints {
 		since := time.Time{}
--- a/internal/testing/conformance/replace_test.go
+++ b/internal/testing/conformance/replace_test.go
@@ -39,7 +39,7 @@
 }
 
 func newReplaced(t *testing.T) *replaced {
-	r, _ := newReplacedWorld(t, fakes.NodeOptions{Cores: 8, Work: 5 * time.Millisecond})
+	r, _ := newReplacedWorld(t, fakes.NodeOptions{Cores: 8, DefaultServiceTime: 5 * time.Millisecond})
 	return r
 }
 
@@ -296,7 +296,7 @@
 	if _, err := r.discovery.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	writeConfig(t, r.config, r.discovery, overHTTP, r.listen, r.discovery.Listing())
+	writeConfig(t, r.config, r.discovery, overHTTP, r.listen, r.discovery.List())
 	_ = old.Process.Signal(syscall.SIGHUP)
 	r.wait(second)
 	_ = second.Process.Signal(syscall.SIGHUP) // before it is ready it would end it, as it does any program
@@ -336,8 +336,8 @@
 // Guards against a claim of "not run" that a replacement turns false: requests in hand stay with the old process, none of them is decided
 // by the new one, and what either says of them holds. Nodes break connections behind requests that they run, and turn others away.
 func TestNothingRunsTwiceThroughReplacements(t *testing.T) {
-	r, w := newReplacedWorld(t, fakes.NodeOptions{Cores: 8, Work: 5 * time.Millisecond, Faults: []fakes.Fault{
-		{Kind: fakes.ResetAfter, Class: "confirm", Share: 0.1}, {Kind: fakes.TurnAway, Class: "confirm", Share: 0.1}}})
+	r, w := newReplacedWorld(t, fakes.NodeOptions{Cores: 8, DefaultServiceTime: 5 * time.Millisecond, Faults: []fakes.Fault{
+		{Kind: fakes.ResetAfter, Class: "confirm", Share: 0.1}, {Kind: fakes.Reject, Class: "confirm", Share: 0.1}}})
 	process := r.start()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -357,7 +357,7 @@
 				_, _ = io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
 				asked.Add(1)
-				runs := len(w.ledger.Operation(req.Header.Get("X-Request-ID")).Runs)
+				runs := len(w.ledger.Operation(req.Header.Get("X-Request-ID")).Executions)
 				if runs > 1 || resp.StatusCode == http.StatusServiceUnavailable && runs > 0 || resp.StatusCode == http.StatusOK && runs != 1 {
 					t.Errorf("%s after %d runs", resp.Status, runs)
 				}
@@ -373,7 +373,7 @@
 	}
 	cancel()
 	clients.Wait()
-	if ids := w.ledger.Doubled("confirm"); len(ids) > 0 {
+	if ids := w.ledger.ExecutedTwice("confirm"); len(ids) > 0 {
 		t.Errorf("run twice: %v", ids)
 	}
 }
--- a/internal/testing/conformance/suite_test.go
+++ b/internal/testing/conformance/suite_test.go
@@ -56,7 +56,7 @@
 // docs/design/fronts.md derives it.
 func TestSameAnswersSameLoad(t *testing.T) {
 	node := func(faults ...fakes.Fault) fakes.NodeOptions {
-		return fakes.NodeOptions{Cores: 8, Work: 2 * time.Millisecond, Faults: faults}
+		return fakes.NodeOptions{Cores: 8, DefaultServiceTime: 2 * time.Millisecond, Faults: faults}
 	}
 	fault := func(k fakes.FaultKind) fakes.Fault { return fakes.Fault{Kind: k, Factor: 8} }
 	ok := node()
@@ -73,15 +73,15 @@
 		{"one slow", []fakes.NodeOptions{node(fault(fakes.Slow)), ok, ok, ok, ok}, true, 90, false},
 		{"one freezes", []fakes.NodeOptions{node(fakes.Fault{Kind: fakes.Freeze, Every: 400 * time.Millisecond,
 			For: 100 * time.Millisecond}), ok, ok, ok}, true, 90, false},
-		{"one turns away", []fakes.NodeOptions{node(fault(fakes.TurnAway)), ok, ok, ok}, true, 60, false},
-		{"one refuses at the wire", []fakes.NodeOptions{node(fault(fakes.RefuseAtWire)), ok, ok, ok}, true, 60, false},
+		{"one turns away", []fakes.NodeOptions{node(fault(fakes.Reject)), ok, ok, ok}, true, 60, false},
+		{"one refuses at the wire", []fakes.NodeOptions{node(fault(fakes.RefuseStream)), ok, ok, ok}, true, 60, false},
 		{"one sends GOAWAY", []fakes.NodeOptions{node(fault(fakes.GoAway)), ok, ok, ok}, true, 60, false},
-		{"all turn away", []fakes.NodeOptions{node(fault(fakes.TurnAway)), node(fault(fakes.TurnAway))}, true, 4, false},
+		{"all turn away", []fakes.NodeOptions{node(fault(fakes.Reject)), node(fault(fakes.Reject))}, true, 4, false},
 		{"all break before it runs", []fakes.NodeOptions{node(fault(fakes.ResetBefore)), node(fault(fakes.ResetBefore))}, false, 20, true},
 		{"one breaks after it ran", []fakes.NodeOptions{node(fault(fakes.ResetAfter)), ok, ok, ok}, false, 60, false},
 		{"one answers errors", []fakes.NodeOptions{node(fault(fakes.Fail)), ok, ok, ok}, false, 60, false},
-		{"one can't be read", []fakes.NodeOptions{node(fault(fakes.Garble)), ok, ok, ok}, false, 60, false},
-		{"one cuts its answers", []fakes.NodeOptions{node(fault(fakes.Cut)), ok, ok, ok}, false, 60, false},
+		{"one can't be read", []fakes.NodeOptions{node(fault(fakes.Malformed)), ok, ok, ok}, false, 60, false},
+		{"one cuts its answers", []fakes.NodeOptions{node(fault(fakes.Truncate)), ok, ok, ok}, false, 60, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			apart := map[string]*[3]int{} // by count: -1, 0 or 1 in each play
@@ -93,10 +93,10 @@
 					answers[p] = load{workers: 8, calls: c.calls, pause: time.Millisecond, classes: allClasses}.run(f, string(p))
 					f.close()
 					nodes[p] = w.ledger.Nodes()
-					if twice := w.ledger.Doubled("confirm"); len(twice) > 0 {
+					if twice := w.ledger.ExecutedTwice("confirm"); len(twice) > 0 {
 						t.Errorf("%s: ran twice: %v", p, twice)
 					}
-					if twice := w.ledger.Doubled("booking.Seats/confirm"); len(twice) > 0 {
+					if twice := w.ledger.ExecutedTwice("booking.Seats/confirm"); len(twice) > 0 {
 						t.Errorf("%s: ran twice: %v", p, twice)
 					}
 				}
@@ -150,7 +150,7 @@
 // the nodes when one of them starts anew. Each is told that there are two balancers. The node must not fall over, and
 // must be used.
 func TestColdNodeStandsBothFronts(t *testing.T) {
-	node := fakes.NodeOptions{Cores: 4, ColdFrom: 0.3, WarmUp: 8800 * time.Millisecond, FallMultiple: 3, FallTime: 2 * time.Second}
+	node := fakes.NodeOptions{Cores: 4, SlowStartMinCapacity: 0.3, SlowStartWindow: 8800 * time.Millisecond, OverloadMultiple: 3, OverloadWindow: 2 * time.Second}
 	w := newWorld(t, node, node, node)
 	set := suiteSettings(2 * time.Second)
 	set.FleetSize = 2
@@ -188,22 +188,22 @@
 	close(stop)
 	wg.Wait()
 	count := w.ledger.Nodes()["cold"]
-	if n.Down() || count.Fell {
+	if n.Down() || count.Overloaded {
 		t.Errorf("the cold node fell over after %d requests", count.Arrived)
 	}
-	if count.Ran == 0 {
+	if count.Executed == 0 {
 		t.Error("the cold node was never used")
 	}
 	if share := float64(good.Load()) / float64(calls.Load()); share < 0.9 {
 		t.Errorf("%d of %d served", good.Load(), calls.Load())
 	}
-	t.Logf("%d calls, %d served, %d at the cold node", calls.Load(), good.Load(), count.Ran)
+	t.Logf("%d calls, %d served, %d at the cold node", calls.Load(), good.Load(), count.Executed)
 }
 
 // Guards against sends to a node that drains: what it had is finished, and nothing comes later than 250 ms after the
 // front was told. Nodes drain and come back under load, in both fronts at once.
 func TestNothingNewAfterADrain(t *testing.T) {
-	node := fakes.NodeOptions{Cores: 32, Work: 3 * time.Millisecond}
+	node := fakes.NodeOptions{Cores: 32, DefaultServiceTime: 3 * time.Millisecond}
 	w := newWorld(t, node, node, node, node)
 	set := suiteSettings(2 * time.Second)
 	fronts := []front{w.start(t, overHTTP, set), w.start(t, overGRPC, set)}
@@ -232,27 +232,27 @@
 		time.Sleep(150 * time.Millisecond)
 		w.drain(w.nodes[round])
 		drains++
-		w.add(t, fakes.NodeOptions{Name: fmt.Sprint("r", round), Cores: 32, Work: 3 * time.Millisecond})
+		w.add(t, fakes.NodeOptions{Name: fmt.Sprint("r", round), Cores: 32, DefaultServiceTime: 3 * time.Millisecond})
 	}
 	time.Sleep(300 * time.Millisecond)
 	close(stop)
 	wg.Wait()
 	for name, c := range w.ledger.Nodes() {
-		if c.LastAfter > 250*time.Millisecond {
-			t.Errorf("%s: %d came after its drain, the last %v after it", name, c.AfterDrain, c.LastAfter)
+		if c.LastAfterDrain > 250*time.Millisecond {
+			t.Errorf("%s: %d came after its drain, the last %v after it", name, c.AfterDrain, c.LastAfterDrain)
 		}
 	}
 	if bad.Load() > 0 {
 		t.Errorf("%d requests were not served, though every drain left three nodes", bad.Load())
 	}
 	for _, class := range []string{"confirm", "booking.Seats/confirm"} {
-		if twice := w.ledger.Doubled(class); len(twice) > 0 {
+		if twice := w.ledger.ExecutedTwice(class); len(twice) > 0 {
 			t.Errorf("ran twice: %v", twice)
 		}
 	}
 	for p, d := range w.discovery {
 		for i := range drains {
-			if _, ok := d.Told(w.nodes[i].Options().Name, endpoints.StatusTerminating); !ok {
+			if _, ok := d.FirstNotified(w.nodes[i].Options().Name, endpoints.StatusTerminating); !ok {
 				t.Errorf("%s was never told of drain %d", p, i)
 			}
 		}
@@ -301,8 +301,8 @@
 // operation may run twice, no keyed one either, and every call has one answer.
 func TestNothingRunsTwice(t *testing.T) {
 	faults := func(n int) (f []fakes.Fault) {
-		for _, k := range []fakes.FaultKind{fakes.TurnAway, fakes.Fail, fakes.FailUnrun, fakes.ResetBefore,
-			fakes.ResetAfter, fakes.LoseAnswer, fakes.Hang, fakes.Garble, fakes.Cut, fakes.RefuseAtWire, fakes.GoAway} {
+		for _, k := range []fakes.FaultKind{fakes.Reject, fakes.Fail, fakes.FailNotExecuted, fakes.ResetBefore,
+			fakes.ResetAfter, fakes.LoseAnswer, fakes.Hang, fakes.Malformed, fakes.Truncate, fakes.RefuseStream, fakes.GoAway} {
 			share := 0.04
 			if k == fakes.LoseAnswer || k == fakes.Hang {
 				share = 0.01 // each costs its caller the whole deadline
@@ -360,10 +360,10 @@
 			if p == overGRPC {
 				prefix = "booking.Seats/"
 			}
-			if twice := w.ledger.Doubled(prefix + "confirm"); len(twice) > 0 {
+			if twice := w.ledger.ExecutedTwice(prefix + "confirm"); len(twice) > 0 {
 				t.Errorf("%d unsafe operations ran twice: %v", len(twice), twice[:min(5, len(twice))])
 			}
-			if twice := w.ledger.Doubled(prefix + "record"); len(twice) > 0 {
+			if twice := w.ledger.ExecutedTwice(prefix + "record"); len(twice) > 0 {
 				t.Errorf("%d keyed operations ran twice: %v", len(twice), twice[:min(5, len(twice))])
 			}
 			if wrong.Load() > 0 {
--- a/internal/testing/processes/crowded_test.go
+++ b/internal/testing/processes/crowded_test.go
@@ -48,7 +48,7 @@
 	f := watch(t, r, sidecars, upstreams, false, disco, 20)
 	disco.Down(true)
 	settled(time.Now().Add(outage))
-	disco.TurnAway(turnedAway)
+	disco.RejectNext(turnedAway)
 	drained := f.names[:upstreams/4]
 	disco.Drain(drained...)
 	begun := time.Now()
--- a/internal/testing/processes/leaving_test.go
+++ b/internal/testing/processes/leaving_test.go
@@ -74,7 +74,7 @@
 		f.names = append(f.names, name)
 		entries = append(entries, endpoints.Endpoint{Name: name, Address: l.Addr().String(), Zone: "a", MachineType: "m", Status: endpoints.StatusReady})
 	}
-	disco.Beat = 2 * time.Second // the protocol's
+	disco.Heartbeat = 2 * time.Second // the protocol's
 	address, err := disco.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -206,10 +206,10 @@
 				disco.Down(false)
 				due = time.Now().Add(6 * time.Second)
 			default:
-				disco.Hold(900 * time.Millisecond)
+				disco.DelayAnswers(900 * time.Millisecond)
 				disco.Break()
 				settled(time.Now().Add(1600*time.Millisecond + time.Duration(sidecars)*3*time.Millisecond)) // each calls again after 0.5 to 1.5 s, or 2.6 s
-				disco.Hold(0)
+				disco.DelayAnswers(0)
 				disco.Mute()
 				due = time.Now().Add(6 * time.Second)
 				settled(time.Now().Add(600 * time.Millisecond))
--- a/internal/testing/processes/restart_test.go
+++ b/internal/testing/processes/restart_test.go
@@ -95,7 +95,7 @@
 				disco.Down(true)
 				time.AfterFunc(4*time.Second, func() { disco.Down(false) })
 			case "slow":
-				disco.Hold(900 * time.Millisecond)
+				disco.DelayAnswers(900 * time.Millisecond)
 			}
 			before := len(disco.Calls())
 			took := make([]time.Duration, len(f.daemons))
--- a/internal/testing/soak/fleet.go
+++ b/internal/testing/soak/fleet.go
@@ -88,7 +88,7 @@
 		entries = append(entries, endpoints.Endpoint{Name: u.name, Address: u.address, Zone: "a", MachineType: "m", Status: endpoints.StatusReady})
 	}
 	f.discovery = fakes.NewDiscovery(entries...)
-	f.discovery.Beat = 2 * time.Second
+	f.discovery.Heartbeat = 2 * time.Second
 	f.discovery.Rate, f.discovery.Timeout = f.script.CallRate, f.script.CallLimit
 	f.discovery.Wrote = f.wrote
 	if _, err := f.discovery.Listen("127.0.0.1:0"); err != nil {
@@ -233,7 +233,7 @@
 	case DiscoveryDown:
 		f.outage(step.For)
 	case DiscoveryRefuses:
-		f.discovery.TurnAway(step.Count)
+		f.discovery.RejectNext(step.Count)
 	case WatchesReset:
 		f.discovery.Break()
 	case WatchesSilent:
