--- a/grpcbalancer/drain_test.go
+++ b/grpcbalancer/drain_test.go
@@ -14,7 +14,7 @@
 
 // When a node leaves the list, its calls in flight finish and no new one is sent there.
 func TestDrainDuringCalls(t *testing.T) {
-	f := newFleet(t, fakes.NodeOptions{Work: 300 * time.Millisecond}, fakes.NodeOptions{Work: 300 * time.Millisecond})
+	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 300 * time.Millisecond}, fakes.NodeOptions{DefaultServiceTime: 300 * time.Millisecond})
 	conn, plugin := f.dial(t, nil)
 	var wg sync.WaitGroup
 	for range 8 {
@@ -24,7 +24,7 @@
 			}
 		})
 	}
-	testutil.Eventually(t, "both have calls in flight", func() bool { return f.nodes[0].InHand() > 0 && f.nodes[0].InHand()+f.nodes[1].InHand() == 8 })
+	testutil.Eventually(t, "both have calls in flight", func() bool { return f.nodes[0].InFlight() > 0 && f.nodes[0].InFlight()+f.nodes[1].InFlight() == 8 })
 	if err := plugin.SetEndpoints(f.endpoints[1:]); err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 
 // Calls that wait for the node's stream limit are sent elsewhere once the node drains, and never there.
 func TestDrainWhileStreamsWait(t *testing.T) {
-	f := newFleet(t, fakes.NodeOptions{Work: 500 * time.Millisecond, Streams: 1}, fakes.NodeOptions{})
+	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 500 * time.Millisecond, MaxConcurrentStreams: 1}, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, func(o *grpcbalancer.Options) { o.Endpoints = f.endpoints[:1] })
 	ended := make(chan string, 4)
 	for range 4 { // one is in flight, the others wait in grpc-go
@@ -53,7 +53,7 @@
 			ended <- fmt.Sprint(name, err)
 		}()
 	}
-	testutil.Eventually(t, "one is in flight, all are decided", func() bool { return f.nodes[0].InHand() == 1 && plugin.InHand() == 4 })
+	testutil.Eventually(t, "one is in flight, all are decided", func() bool { return f.nodes[0].InFlight() == 1 && plugin.InHand() == 4 })
 	time.Sleep(20 * time.Millisecond) // where the others get a moment more to wait in, it is the same test
 	if err := plugin.SetEndpoints(f.endpoints[1:]); err != nil {
 		t.Fatal(err)
--- a/grpcbalancer/methods_test.go
+++ b/grpcbalancer/methods_test.go
@@ -34,7 +34,7 @@
 		})
 		_, _ = invoke(t.Context(), conn, c.method) // fails, after one send or more
 		n := f.ledger.Nodes()
-		if again := n["n0"].Ran+n["n1"].Ran > 1; again != c.again {
+		if again := n["n0"].Executed+n["n1"].Executed > 1; again != c.again {
 			t.Errorf("%s with %v: sent again is %v", c.method, c.mapping, again)
 		}
 	}
--- a/grpcbalancer/sources_test.go
+++ b/grpcbalancer/sources_test.go
@@ -73,7 +73,7 @@
 	t.Helper()
 	options := make([]fakes.NodeOptions, len(names))
 	for i, name := range names {
-		options[i] = fakes.NodeOptions{Name: name, Answer: func(fakes.Job) []byte { flipper.Came(name); return nil }}
+		options[i] = fakes.NodeOptions{Name: name, Answer: func(fakes.Job) []byte { flipper.RecordArrival(name); return nil }}
 	}
 	f := newFleet(t, options...)
 	for _, e := range f.endpoints {
--- a/grpcbalancer/unary_test.go
+++ b/grpcbalancer/unary_test.go
@@ -37,15 +37,15 @@
 		nonIdempotentSends, nonIdempotentRuns int
 		idempotentSends                       int // at least
 	}{
-		{"rejected with the trailer", fakes.TurnAway, refused, 5, 0, 5},
-		{"REFUSED_STREAM", fakes.RefuseAtWire, refused, 5, 0, 5},
+		{"rejected with the trailer", fakes.Reject, refused, 5, 0, 5},
+		{"REFUSED_STREAM", fakes.RefuseStream, refused, 5, 0, 5},
 		{"GOAWAY below the stream", fakes.GoAway, refused, 5, 0, 5},
-		{"an error without the trailer", fakes.FailUnrun, codes.Internal, 1, 0, 2},
+		{"an error without the trailer", fakes.FailNotExecuted, codes.Internal, 1, 0, 2},
 		{"an error after it ran", fakes.Fail, codes.Internal, 1, 1, 2},
 		{"broken before it ran", fakes.ResetBefore, failed, 1, 0, 2},
 		{"broken after it ran", fakes.ResetAfter, failed, 1, 1, 2},
-		{"an answer that can't be read", fakes.Garble, codes.Internal, 1, 1, 2},
-		{"an answer cut short", fakes.Cut, failed, 1, 1, 2},
+		{"an answer that can't be read", fakes.Malformed, codes.Internal, 1, 1, 2},
+		{"an answer cut short", fakes.Truncate, failed, 1, 1, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFleet(t, withFault(c.kind), withFault(c.kind))
@@ -62,7 +62,7 @@
 			for _, n := range f.ledger.Nodes() {
 				arrived += n.Arrived
 			}
-			if runs := len(f.ledger.Operation("op-non-idempotent").Runs); arrived != c.nonIdempotentSends || runs != c.nonIdempotentRuns {
+			if runs := len(f.ledger.Operation("op-non-idempotent").Executions); arrived != c.nonIdempotentSends || runs != c.nonIdempotentRuns {
 				t.Errorf("non-idempotent: arrived %d times, ran %d", arrived, runs)
 			}
 			if _, err = invoke(t.Context(), conn, search); err == nil {
@@ -82,7 +82,7 @@
 
 // A rejected call has a Retry-After and the reason that proves that it did not run.
 func TestRejectionCarriesRetryInfo(t *testing.T) {
-	conn, _ := newFleet(t, withFault(fakes.TurnAway)).dial(t, nil)
+	conn, _ := newFleet(t, withFault(fakes.Reject)).dial(t, nil)
 	_, err := invoke(t.Context(), conn, confirm)
 	var retry time.Duration
 	var reason, sends string
@@ -109,7 +109,7 @@
 			t.Errorf("%q, %v", name, err)
 		}
 	}
-	if n := f.ledger.Nodes()["n0"].Ran; n != 20 {
+	if n := f.ledger.Nodes()["n0"].Executed; n != 20 {
 		t.Errorf("ran %d times", n)
 	}
 }
@@ -135,7 +135,7 @@
 
 // The connect timer ends with the connection: the first call on a connection may take longer than the connect timeout.
 func TestConnectTimeoutDoesNotBoundAnswers(t *testing.T) {
-	f := newFleet(t, fakes.NodeOptions{Work: 600 * time.Millisecond})
+	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 600 * time.Millisecond})
 	conn, _ := f.dial(t, func(o *grpcbalancer.Options) { o.Settings.ConnectTimeout = 200 * time.Millisecond })
 	if name, err := invoke(t.Context(), conn, confirm); err != nil || name != "n0" {
 		t.Errorf("%q, %v", name, err)
@@ -153,7 +153,7 @@
 			t.Errorf("%s: %v", method, err)
 		}
 	}
-	if n := f.ledger.Nodes(); n["n0"].Ran+n["n1"].Ran != 3 {
+	if n := f.ledger.Nodes(); n["n0"].Executed+n["n1"].Executed != 3 {
 		t.Errorf("ran %+v", n)
 	}
 }
@@ -186,7 +186,7 @@
 			}
 			cancel()
 			testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
-			testutil.Eventually(t, "the nodes see it end", func() bool { return f.nodes[0].InHand()+f.nodes[1].InHand() == 0 })
+			testutil.Eventually(t, "the nodes see it end", func() bool { return f.nodes[0].InFlight()+f.nodes[1].InFlight() == 0 })
 		}
 	}
 }
@@ -221,7 +221,7 @@
 
 // A second call with the request id of a call in flight is rejected.
 func TestDuplicateRequestID(t *testing.T) {
-	f := newFleet(t, fakes.NodeOptions{Work: 200 * time.Millisecond})
+	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 200 * time.Millisecond})
 	conn, _ := f.dial(t, nil)
 	ctx := metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.RequestIDKey, "7")
 	ended := make(chan error, 1)
@@ -229,7 +229,7 @@
 		_, err := invoke(ctx, conn, confirm)
 		ended <- err
 	}()
-	testutil.Eventually(t, "the first is at its node", func() bool { return f.nodes[0].InHand() == 1 })
+	testutil.Eventually(t, "the first is at its node", func() bool { return f.nodes[0].InFlight() == 1 })
 	if _, err := invoke(ctx, conn, confirm); status.Code(err) != codes.AlreadyExists {
 		t.Errorf("the second: %v", err)
 	}
@@ -257,7 +257,7 @@
 	keys := map[string]string{}
 	for i := range 20 {
 		op := f.ledger.Operation(fmt.Sprint("r", i))
-		if len(op.Runs) == 0 {
+		if len(op.Executions) == 0 {
 			continue
 		}
 		if other, ok := keys[op.Key]; ok || op.Key == "" {
@@ -272,7 +272,7 @@
 
 // One engine serves any number of ClientConns: what one learns of a slow node, the others know.
 func TestClientConnsShareEstimates(t *testing.T) {
-	f := newFleet(t, fakes.NodeOptions{Work: 150 * time.Millisecond}, fakes.NodeOptions{Work: time.Millisecond})
+	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 150 * time.Millisecond}, fakes.NodeOptions{DefaultServiceTime: time.Millisecond})
 	_, plugin := f.dial(t, nil)
 	var wg sync.WaitGroup
 	for range 8 {
@@ -286,7 +286,7 @@
 		})
 	}
 	wg.Wait()
-	if slow := f.ledger.Nodes()["n0"].Ran; slow > 320/4 {
+	if slow := f.ledger.Nodes()["n0"].Executed; slow > 320/4 {
 		t.Errorf("the slow one got %d of 320", slow)
 	}
 }
@@ -301,7 +301,7 @@
 	if status.Code(err) != codes.Unknown || !grpcbalancer.MayHaveRun(err) {
 		t.Errorf("%v", err)
 	}
-	if n := f.ledger.Nodes(); n["n0"].Ran+n["n1"].Ran != 1 {
+	if n := f.ledger.Nodes(); n["n0"].Executed+n["n1"].Executed != 1 {
 		t.Errorf("ran %+v", n)
 	}
 }
--- a/internal/daemon/graphql_batch_test.go
+++ b/internal/daemon/graphql_batch_test.go
@@ -157,7 +157,7 @@
 
 // A query whose client leaves while its second copy runs leaves nothing behind.
 func TestGraphQLClientLeaves(t *testing.T) {
-	lost := fakes.NodeOptions{Cores: 4, Work: time.Millisecond, Faults: []fakes.Fault{{Kind: fakes.LoseAnswer, Class: "query", From: 300 * time.Millisecond}}}
+	lost := fakes.NodeOptions{Cores: 4, DefaultServiceTime: time.Millisecond, Faults: []fakes.Fault{{Kind: fakes.LoseAnswer, Class: "query", From: 300 * time.Millisecond}}}
 	r := startGraphQL(t, "20s", lost, lost, lost)
 	leaves, leave := context.WithCancel(t.Context())
 	defer leave()
--- a/internal/daemon/graphql_retry_test.go
+++ b/internal/daemon/graphql_retry_test.go
@@ -29,7 +29,7 @@
 	var nodes []fakes.NodeOptions
 	for n := range 6 {
 		o := fakes.NodeOptions{Cores: 16}
-		for k := fakes.TurnAway; k <= fakes.GoAway; k++ {
+		for k := fakes.Reject; k <= fakes.GoAway; k++ {
 			share := 0.04
 			if k == fakes.LoseAnswer || k == fakes.Hang {
 				share = 0.01 // each costs its caller the whole deadline
@@ -99,7 +99,7 @@
 		})
 	}
 	wg.Wait()
-	if twice := r.ledger.Doubled("mutation"); len(twice) > 0 {
+	if twice := r.ledger.ExecutedTwice("mutation"); len(twice) > 0 {
 		t.Errorf("%d mutations ran twice: %v", len(twice), twice[:min(5, len(twice))])
 	}
 	if n := failures(); n < 10000 {
@@ -120,7 +120,7 @@
 // from the request, and count as well. A reload takes its endpoint and the store away while a node has it, then that node dies: the
 // operation is not decided anew by the new file, which knows nothing of its key.
 func TestGraphQLKeyedIsNotDecidedAnew(t *testing.T) {
-	busy := fakes.NodeOptions{Work: time.Hour}
+	busy := fakes.NodeOptions{DefaultServiceTime: time.Hour}
 	r := startGraphQL(t, "10s", busy, busy)
 	if err := r.reload(t, r.file+"[[repeats]]\nservice = \"seats\"\n"); err != nil {
 		t.Fatal(err)
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -62,7 +62,7 @@
 	t.Helper()
 	r := &graphqlRig{ledger: fakes.NewLedger()}
 	var addresses []string
-	keys := fakes.NewKeyMemory(6 * time.Second)
+	keys := fakes.NewIdempotencyKeys(6 * time.Second)
 	for i, o := range nodes {
 		o.Name, o.Ledger, o.Keys, o.Seed = fmt.Sprint("n", i), r.ledger, keys, uint64(i+1)
 		n := fakes.NewNode(o)
@@ -181,7 +181,7 @@
 			t.Errorf("%s %s: no Allow", c.method, c.target)
 		}
 	}
-	if got := r.ledger.Operation("b").Runs; len(got) > 0 {
+	if got := r.ledger.Operation("b").Executions; len(got) > 0 {
 		t.Error("a mutation ran by GET")
 	}
 }
@@ -195,11 +195,11 @@
 		moves bool   // else it is answered by another
 	}{
 		"says nothing":    {fakes.LoseAnswer, "502 UPSTREAM_FAILED", false},
-		"no JSON":         {fakes.Garble, "502 UPSTREAM_FAILED", false},
+		"no JSON":         {fakes.Malformed, "502 UPSTREAM_FAILED", false},
 		"500":             {fakes.Fail, "502 UPSTREAM_FAILED", false},
-		"errors, failing": {fakes.ErrorRan, "502 SERVICE_UNAVAILABLE", false},
-		"errors, not run": {fakes.ErrorUnrun, "503 REFUSED", true},
-		"turned away":     {fakes.TurnAway, "503 REFUSED", true},
+		"errors, failing": {fakes.ErrorExecuted, "502 SERVICE_UNAVAILABLE", false},
+		"errors, not run": {fakes.ErrorNotExecuted, "503 REFUSED", true},
+		"turned away":     {fakes.Reject, "503 REFUSED", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -215,7 +215,7 @@
 			if status == 503 != (head.Get("Retry-After") != "") {
 				t.Errorf("%d with Retry-After %q", status, head.Get("Retry-After"))
 			}
-			if runs := len(alone.ledger.Operation("x").Runs); (runs > 0) == c.moves || runs > 1 {
+			if runs := len(alone.ledger.Operation("x").Executions); (runs > 0) == c.moves || runs > 1 {
 				t.Errorf("%d runs", runs)
 			}
 			if says := strings.Contains(body, `"mayHaveRun":true`); says != (c.want == "502 UPSTREAM_FAILED") {
@@ -231,7 +231,7 @@
 				if status, _, body := two.post(t.Context(), op(fmt.Sprintf(`mutation{confirm(id:%q)}`, id))); c.moves && status != 200 {
 					t.Errorf("mutation %d: %d %s", i, status, body)
 				}
-				if runs := len(two.ledger.Operation(id).Runs); runs > 1 {
+				if runs := len(two.ledger.Operation(id).Executions); runs > 1 {
 					t.Errorf("%s: %d runs", id, runs)
 				}
 			}
--- /dev/null
+++ b/internal/simulation/fleetsim/policy_prequal.go
@@ -0,0 +1,105 @@
+package fleetsim
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// prequal is Prequal in its asynchronous mode (B. Wydrowski et al., "Load is not what you should balance: Introducing Prequal", NSDI 2024):
+// each request has three random nodes probed for requests in hand and latency; 16 answers at most are kept, for a second; the pick is the
+// cold one with the least latency, or if all are hot the one with the least in hand; the worst and the oldest leave in turn.
+type prequal struct {
+	upstreamSet
+	pool            []pooledReply
+	inFlightSeen    []int // in hand, in the last answers
+	removeWorstNext bool  // the next to leave is the worst
+}
+
+type pooledReply struct {
+	ProbeReply
+	receivedAt time.Duration
+	uses       int
+}
+
+const (
+	prequalProbes   = 3
+	prequalPoolSize = 16
+	prequalMaxAge   = time.Second
+	prequalMaxUses  = 2 // about what the paper's formula gives for this pool and these probes
+)
+
+func (p *prequal) SetUpstreams(names []string) {
+	p.upstreamSet.SetUpstreams(names)
+	p.pool = slices.DeleteFunc(p.pool, func(k pooledReply) bool { return !slices.Contains(p.names, k.Name) })
+}
+
+func (p *prequal) ProbeTargets() []string {
+	var names []string
+	for range prequalProbes {
+		if name := p.randomName(); name != "" {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+func (p *prequal) ProbeAnswered(now time.Duration, x ProbeReply) {
+	if !slices.Contains(p.names, x.Name) {
+		return
+	}
+	p.inFlightSeen = append(p.inFlightSeen[max(0, len(p.inFlightSeen)-hotWindow+1):], x.Report.InFlight)
+	if len(p.pool) == prequalPoolSize {
+		p.pool = p.pool[1:]
+	}
+	p.pool = append(p.pool, pooledReply{x, now, 0})
+}
+
+// worse orders by the hot-cold rule.
+func (p *prequal) worse(hot int) func(a, b pooledReply) int {
+	return func(a, b pooledReply) int {
+		hotA, hotB := a.Report.InFlight > hot, b.Report.InFlight > hot
+		switch {
+		case hotA != hotB && hotA:
+			return 1
+		case hotA != hotB:
+			return -1
+		case hotA:
+			return cmp.Compare(a.Report.InFlight, b.Report.InFlight)
+		}
+		return cmp.Compare(a.Latency, b.Latency)
+	}
+}
+
+func (p *prequal) Pick(now time.Duration) string {
+	p.pool = slices.DeleteFunc(p.pool, func(k pooledReply) bool { return now-k.receivedAt > prequalMaxAge || k.uses >= prequalMaxUses })
+	if len(p.pool) < 2 {
+		return p.randomName()
+	}
+	hot := 0
+	if len(p.inFlightSeen) > 0 {
+		sorted := slices.Sorted(slices.Values(p.inFlightSeen))
+		hot = sorted[int(hotQuantile*float64(len(sorted)-1))]
+	}
+	best := 0
+	for i := range p.pool {
+		if p.worse(hot)(p.pool[i], p.pool[best]) < 0 {
+			best = i
+		}
+	}
+	name := p.pool[best].Name
+	p.pool[best].uses++
+	p.pool[best].Report.InFlight++ // the request itself
+	if p.removeWorstNext = !p.removeWorstNext; p.removeWorstNext {
+		at := 0
+		for i := range p.pool {
+			if p.worse(hot)(p.pool[i], p.pool[at]) > 0 {
+				at = i
+			}
+		}
+		p.pool = slices.Delete(p.pool, at, at+1)
+	} else {
+		p.pool = p.pool[1:] // the oldest
+	}
+	return name
+}
