--- a/grpcbalancer/stream_test.go
+++ b/grpcbalancer/stream_test.go
@@ -23,8 +23,8 @@
 var bidiStream = &grpc.StreamDesc{StreamName: "Search", ServerStreams: true, ClientStreams: true}
 var clientStream = &grpc.StreamDesc{StreamName: "Search", ClientStreams: true}
 
-// open starts a server stream of so many messages.
-func open(t *testing.T, ctx context.Context, conn *grpc.ClientConn, method string, messages int, gap time.Duration) grpc.ClientStream {
+// openServerStream starts a server stream whose response has a number of messages, sent with a gap between them.
+func openServerStream(t *testing.T, ctx context.Context, conn *grpc.ClientConn, method string, messages int, gap time.Duration) grpc.ClientStream {
 	t.Helper()
 	ctx = metadata.AppendToOutgoingContext(ctx, fakes.MessagesKey, fmt.Sprint(messages), fakes.GapKey, fmt.Sprint(gap.Microseconds()))
 	s, err := conn.NewStream(ctx, serverStream, method)
@@ -40,8 +40,8 @@
 	return s
 }
 
-// drainStream receives to the end.
-func drainStream(s grpc.ClientStream) (got []string, err error) {
+// receiveAll receives messages to the end of a stream.
+func receiveAll(s grpc.ClientStream) (got []string, err error) {
 	for {
 		m := &wrapperspb.StringValue{}
 		if err := s.RecvMsg(m); errors.Is(err, io.EOF) {
@@ -53,18 +53,18 @@
 	}
 }
 
-// Guards against messages lost, doubled or mixed from two attempts.
+// No message of a server stream is lost, doubled or from another attempt.
 func TestServerStream(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, nil)
 	for _, messages := range []int{0, 1, 200} {
-		s := open(t, t.Context(), conn, search, messages, 0)
+		s := openServerStream(t, t.Context(), conn, search, messages, 0)
 		if messages == 200 {
 			if h, err := s.Header(); err != nil || len(h["content-type"]) != 1 {
 				t.Errorf("header %v, %v", h, err)
 			}
 		}
-		got, err := drainStream(s)
+		got, err := receiveAll(s)
 		if err != nil || len(got) != messages {
 			t.Errorf("%d messages: got %d, %v", messages, len(got), err)
 		}
@@ -78,18 +78,17 @@
 		}
 	}
 	if n := plugin.InHand(); n != 0 {
-		t.Errorf("%d are left in hand", n)
+		t.Errorf("%d calls are in flight", n)
 	}
 }
 
-// Guards against a stream that is not sent again while that is harmless: up to its first message it is like a unary
-// call; and against one that is sent again after it.
-func TestServerStreamIsRepeatedUpToItsFirstMessage(t *testing.T) {
+// A server stream is retried like a unary call up to its first message, and never after it.
+func TestServerStreamIsRetriedUpToItsFirstMessage(t *testing.T) {
 	bad := fakes.NodeOptions{Name: "bad", Faults: []fakes.Fault{{Kind: fakes.ResetBefore}}}
 	f := newFleet(t, bad, fakes.NodeOptions{Name: "good"})
 	conn, _ := f.dial(t, nil)
 	for range 20 {
-		got, err := drainStream(open(t, t.Context(), conn, search, 3, 0))
+		got, err := receiveAll(openServerStream(t, t.Context(), conn, search, 3, 0))
 		if err != nil || len(got) != 3 || got[0] != "good" {
 			t.Errorf("%v, %v", got, err)
 		}
@@ -101,21 +100,21 @@
 	broken := fakes.NodeOptions{Faults: []fakes.Fault{{Kind: fakes.ResetAfter, Class: search[1:] + "/message"}}}
 	f = newFleet(t, broken, broken)
 	conn, plugin := f.dial(t, nil)
-	got, err := drainStream(open(t, t.Context(), conn, search, 10, time.Millisecond))
+	got, err := receiveAll(openServerStream(t, t.Context(), conn, search, 10, time.Millisecond))
 	if err == nil || len(got) == 0 || len(got) >= 10 || !grpcbalancer.MayHaveRun(err) || status.Code(err) == codes.Unavailable {
 		t.Errorf("%v, %v", got, err)
 	}
 	if n := f.ledger.Nodes(); n["n0"].Arrived+n["n1"].Arrived != 1 {
 		t.Errorf("sent %+v", n)
 	}
-	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 }
 
-// Guards against an unsafe stream that is sent twice before its first message.
-func TestUnsafeServerStream(t *testing.T) {
-	f := newFleet(t, always(fakes.ResetAfter), always(fakes.ResetAfter))
+// A non-idempotent server stream is not sent twice, even before its first message.
+func TestNonIdempotentServerStreamIsNotRetried(t *testing.T) {
+	f := newFleet(t, withFault(fakes.ResetAfter), withFault(fakes.ResetAfter))
 	conn, _ := f.dial(t, nil)
-	_, err := drainStream(open(t, t.Context(), conn, confirm, 3, 0))
+	_, err := receiveAll(openServerStream(t, t.Context(), conn, confirm, 3, 0))
 	if err == nil || !grpcbalancer.MayHaveRun(err) {
 		t.Errorf("%v", err)
 	}
@@ -124,37 +123,37 @@
 	}
 }
 
-// Guards against a stream cut off at its class's deadline once it has begun, and one that outlives its caller.
+// An open stream is not bounded by its class's deadline, and ends with its caller's context.
 func TestStreamLastsAsLongAsItsCaller(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, func(o *grpcbalancer.Options) {
 		o.Settings.Classes[0].LatencyObjective, o.Settings.Classes[0].Deadline = 300*time.Millisecond, 300*time.Millisecond
 	})
-	got, err := drainStream(open(t, t.Context(), conn, search, 8, 100*time.Millisecond))
+	got, err := receiveAll(openServerStream(t, t.Context(), conn, search, 8, 100*time.Millisecond))
 	if err != nil || len(got) != 8 {
 		t.Errorf("beyond the class's deadline: %d messages, %v", len(got), err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	s := open(t, ctx, conn, search, 1000, 50*time.Millisecond)
+	s := openServerStream(t, ctx, conn, search, 1000, 50*time.Millisecond)
 	if err := s.RecvMsg(&wrapperspb.StringValue{}); err != nil {
 		t.Fatal(err)
 	}
 	cancel()
-	if _, err := drainStream(s); status.Code(err) != codes.Canceled {
+	if _, err := receiveAll(s); status.Code(err) != codes.Canceled {
 		t.Errorf("after its caller left: %v", err)
 	}
-	testutil.Eventually(t, "the node sees it end", func() bool { return f.nodes[0].InHand() == 0 })
-	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "the node sees it end", func() bool { return f.nodes[0].InFlight() == 0 })
+	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 
 	ctx, cancel = context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
-	if _, err := drainStream(open(t, ctx, conn, search, 1000, 20*time.Millisecond)); status.Code(err) != codes.DeadlineExceeded {
+	if _, err := receiveAll(openServerStream(t, ctx, conn, search, 1000, 20*time.Millisecond)); status.Code(err) != codes.DeadlineExceeded {
 		t.Errorf("after its caller's deadline: %v", err)
 	}
-	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 }
 
-// Guards against a stream of the client's that is repeated, or that goes wrong where nothing does.
+// Streams on which the client sends work as with plain grpc-go.
 func TestClientAndBidiStreams(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, nil)
@@ -175,7 +174,7 @@
 	if err := s.CloseSend(); err != nil {
 		t.Fatal(err)
 	}
-	if rest, err := drainStream(s); err != nil || len(rest) != 0 {
+	if rest, err := receiveAll(s); err != nil || len(rest) != 0 {
 		t.Errorf("%v, %v", rest, err)
 	}
 
@@ -192,13 +191,12 @@
 	if err := s.RecvMsg(m); err != nil || m.GetValue() != "one" {
 		t.Errorf("answer %q, %v", m.GetValue(), err)
 	}
-	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 }
 
-// Guards against a client stream that is opened on a second node after its first broke, even of a safe class: messages
-// were written on it.
-func TestClientStreamIsNeverRepeated(t *testing.T) {
-	f := newFleet(t, always(fakes.ResetAfter), always(fakes.ResetAfter))
+// An open client stream is not retried after it broke, even of an idempotent class: messages were sent on it.
+func TestClientStreamIsNeverRetried(t *testing.T) {
+	f := newFleet(t, withFault(fakes.ResetAfter), withFault(fakes.ResetAfter))
 	conn, plugin := f.dial(t, nil)
 	ctx := metadata.AppendToOutgoingContext(t.Context(), fakes.EchoKey, "1")
 	s, err := conn.NewStream(ctx, bidiStream, search)
@@ -210,18 +208,17 @@
 			break
 		}
 	}
-	if _, err := drainStream(s); err == nil || !grpcbalancer.MayHaveRun(err) {
+	if _, err := receiveAll(s); err == nil || !grpcbalancer.MayHaveRun(err) {
 		t.Errorf("%v", err)
 	}
-	if n := f.ledger.Nodes(); n["n0"].Ran+n["n1"].Ran != 1 {
+	if n := f.ledger.Nodes(); n["n0"].Executed+n["n1"].Executed != 1 {
 		t.Errorf("ran %+v", n)
 	}
-	testutil.Eventually(t, "nothing is left in hand", func() bool { return plugin.InHand() == 0 })
+	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 }
 
-// Guards against a client stream given up on though its opening can be tried elsewhere: a connection that is refused
-// took nothing.
-func TestClientStreamOpensElsewhere(t *testing.T) {
+// The opening of a client stream is retried on another node if its connection was refused: nothing was sent.
+func TestClientStreamIsOpenedElsewhere(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{Name: "dead"}, fakes.NodeOptions{Name: "alive"})
 	f.nodes[0].Kill()
 	conn, _ := f.dial(t, nil)
@@ -234,7 +231,7 @@
 		if err := s.CloseSend(); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := drainStream(s); err != nil {
+		if _, err := receiveAll(s); err != nil {
 			t.Errorf("%v", err)
 		}
 	}
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -57,7 +57,7 @@
 	options   Options
 	grpc      bool
 	ledger    *fakes.Ledger
-	keys      *fakes.KeyMemory
+	keys      *fakes.IdempotencyKeys
 	discovery *fakes.Discovery
 
 	mu    sync.Mutex
@@ -65,7 +65,7 @@
 }
 
 func newFleet(o Options) (*fleet, error) {
-	f := &fleet{options: o, grpc: o.Front == "grpc", ledger: fakes.NewLedger(), keys: fakes.NewKeyMemory(6 * time.Second),
+	f := &fleet{options: o, grpc: o.Front == "grpc", ledger: fakes.NewLedger(), keys: fakes.NewIdempotencyKeys(6 * time.Second),
 		discovery: fakes.NewDiscovery()}
 	f.ledger.CountOnly = true
 	if _, err := f.discovery.Listen("127.0.0.1:0"); err != nil {
@@ -84,8 +84,8 @@
 // of the script.
 func (f *fleet) start(index int, name string, since time.Time) error {
 	kind := machineTypes[index%len(machineTypes)]
-	n := fakes.NodeOptions{Name: name, Zone: "home", Type: kind.name, Cores: cores, Speed: kind.speed, Queue: 40,
-		Started: since, ColdFrom: slowStartMinCapacity, WarmUp: slowStartWindow, FallMultiple: overloadMultiple, FallTime: overloadWindow,
+	n := fakes.NodeOptions{Name: name, Zone: "home", Type: kind.name, Cores: cores, ServiceRate: kind.speed, MaxQueue: 40,
+		Started: since, SlowStartMinCapacity: slowStartMinCapacity, SlowStartWindow: slowStartWindow, OverloadMultiple: overloadMultiple, OverloadWindow: overloadWindow,
 		Keys: f.keys, Seed: f.options.Seed + uint64(index), Ledger: f.ledger}
 	if since.IsZero() { // only the initial fleet gets faults
 		at := func(share float64) time.Duration { return time.Duration(share * float64(f.options.For)) }
@@ -163,7 +163,7 @@
 // readyNodes returns the addresses of the ready nodes by name.
 func (f *fleet) readyNodes() map[string]string {
 	addresses := map[string]string{}
-	for _, e := range f.discovery.Listing().Endpoints {
+	for _, e := range f.discovery.List().Endpoints {
 		if e.Status == endpoints.StatusReady {
 			addresses[e.Name] = e.Address
 		}
--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -1,9 +1,7 @@
 package graphql
 
 import (
-	"cmp"
 	"errors"
-	"math"
 	"slices"
 	"strings"
 
@@ -27,104 +25,104 @@
 // document is a text that has been parsed, held against the limits and, where there is a schema, validated. It is
 // immutable: requests at the same time share it.
 type document struct {
-	ops  []*operation
-	size int // bytes that it takes, about
+	operations []*operation
+	size       int // bytes that it takes, about
 }
 
 // operation is one of a document's.
 type operation struct {
-	name   string
-	kind   ast.Operation
-	roots  []root // of fragments too, whatever @skip and @include say: variables decide those
-	spread int    // fields, fragments spread out
-	signed string // the same for operations of the same root fields: what is learnt of one holds for the other
-	cost   []*costNode
-	fixed  float64 // the cost, where no variable changes it; below 0: some does
-	defs   ast.VariableDefinitionList
-}
-
-// root is a root field.
-type root struct {
+	name                string
+	kind                ast.Operation
+	roots               []rootField // of fragments too, whatever @skip and @include say: variables decide those
+	spread              int         // fields, fragments spread out
+	signature           string      // the same for operations of the same root fields: what is learnt of one holds for the other
+	costTree            []*costNode
+	fixedCost           float64 // the cost, where no variable changes it; below 0: some does
+	variableDefinitions ast.VariableDefinitionList
+}
+
+// rootField is a root field.
+type rootField struct {
 	name string
 	args ast.ArgumentList
 }
 
-// mostProblems is how many mistakes of a document are told.
-const mostProblems = 3
+// maxReportedProblems is how many mistakes of a document are told.
+const maxReportedProblems = 3
 
 // parse reads a text. What it costs is bounded by the limits: tokens are counted as they are read; depth, fields,
 // aliases and directives are counted, with each fragment looked at once, before the document is validated.
 func (e *Endpoint) parse(text string) (*document, *Problem) {
-	l := &e.o.Limits
+	l := &e.options.Limits
 	doc, err := parser.ParseQueryWithTokenLimit(&ast.Source{Input: text}, l.Tokens)
 	if err != nil {
 		code := CodeParse
 		if strings.Contains(err.Error(), "exceeded token limit") {
 			code = CodeLimit
 		}
-		return nil, problem(code, "%s", message(err))
+		return nil, newProblem(code, "%s", errorMessage(err))
 	}
 	if len(doc.Operations) == 0 {
-		return nil, problem(CodeValidation, "the document has no operation")
+		return nil, newProblem(CodeValidation, "the document has no operation")
 	}
-	m := &measure{doc: doc, l: l, frags: map[string]*extent{}}
-	if bad := m.names(); bad != nil {
+	m := &extentMeasurer{doc: doc, limits: l, fragments: map[string]*extent{}}
+	if bad := m.checkNames(); bad != nil {
 		return nil, bad
 	}
 	extents := make([]extent, len(doc.Operations))
 	for i, op := range doc.Operations {
 		m.directives += len(op.Directives)
-		if extents[i], err = m.set(op.SelectionSet); err != nil {
-			return nil, problem(CodeValidation, "%v", err)
+		if extents[i], err = m.selectionSet(op.SelectionSet); err != nil {
+			return nil, newProblem(CodeValidation, "%v", err)
 		}
 	}
 	for _, f := range doc.Fragments { // those that no operation has, too
 		if _, err := m.fragment(f.Name); err != nil {
-			return nil, problem(CodeValidation, "%v", err)
+			return nil, newProblem(CodeValidation, "%v", err)
 		}
 	}
 	for _, x := range extents {
-		if bad := m.beyond(x); bad != nil {
+		if bad := m.checkLimits(x); bad != nil {
 			return nil, bad
 		}
 	}
 	if e.schema != nil {
 		if errs := validator.ValidateWithRules(e.schema, doc, validation); len(errs) > 0 {
 			texts := []string{}
-			for _, err := range errs[:min(len(errs), mostProblems)] {
-				texts = append(texts, message(err))
+			for _, err := range errs[:min(len(errs), maxReportedProblems)] {
+				texts = append(texts, errorMessage(err))
 			}
-			return nil, problem(CodeValidation, "%s", strings.Join(texts, "; "))
+			return nil, newProblem(CodeValidation, "%s", strings.Join(texts, "; "))
 		}
 	}
-	d := &document{size: perDocument + len(text)*perByte}
-	c := &costing{o: &e.o, schema: e.schema, weights: e.weights, doc: doc, frags: map[string]*costNode{}}
+	d := &document{size: bytesPerDocument + len(text)*bytesPerTextByte}
+	c := &costBuilder{options: &e.options, schema: e.schema, weights: e.weights, doc: doc, fragments: map[string]*costNode{}}
 	for i, def := range doc.Operations {
-		op := &operation{name: def.Name, kind: def.Operation, spread: extents[i].fields, defs: def.VariableDefinitions, fixed: -1}
+		op := &operation{name: def.Name, kind: def.Operation, spread: extents[i].fields, variableDefinitions: def.VariableDefinitions, fixedCost: -1}
 		seen := map[string]bool{}
-		collect(doc, def.SelectionSet, seen, &op.roots)
+		collectRootFields(doc, def.SelectionSet, seen, &op.roots)
 		if len(op.roots) > l.Roots {
-			return nil, problem(CodeLimit, "%d root fields, %d at most", len(op.roots), l.Roots)
+			return nil, newProblem(CodeLimit, "%d root fields, %d at most", len(op.roots), l.Roots)
 		}
 		names := make([]string, len(op.roots))
 		for i, r := range op.roots {
 			names[i] = r.name
 		}
 		slices.Sort(names)
-		op.signed = string(op.kind) + " " + strings.Join(slices.Compact(names), " ")
-		op.cost = c.selection(def.SelectionSet, rootType(def.Operation))
-		if !byVariable(op.cost, map[*costNode]bool{}) {
-			op.fixed = (&estimator{memo: map[*costNode]float64{}}).group(op.cost, nil, 1)
+		op.signature = string(op.kind) + " " + strings.Join(slices.Compact(names), " ")
+		op.costTree = c.selection(def.SelectionSet, rootType(def.Operation))
+		if !dependsOnVariables(op.costTree, map[*costNode]bool{}) {
+			op.fixedCost = (&costEstimator{memo: map[*costNode]float64{}}).sum(op.costTree, nil, 1)
 		}
-		d.ops = append(d.ops, op)
+		d.operations = append(d.operations, op)
 	}
 	return d, nil
 }
 
 // What a parsed document takes beside its text, measured: about 100 bytes of it for one of the text.
 const (
-	perDocument = 2048
-	perByte     = 100
+	bytesPerDocument = 2048
+	bytesPerTextByte = 100
 )
 
 // validation is all of the specification's rules but one: whether fields of one name can be merged is a matter of the
@@ -146,8 +144,8 @@
 	return r
 }()
 
-// message is an error's text, with its place.
-func message(err error) string {
+// errorMessage is an error's text, with its place.
+func errorMessage(err error) string {
 	var g *gqlerror.Error
 	if !errors.As(err, &g) {
 		return err.Error()
@@ -169,204 +167,54 @@
 	return queryType
 }
 
-// collect adds the root fields of a selection, each fragment once.
-func collect(doc *ast.QueryDocument, set ast.SelectionSet, seen map[string]bool, into *[]root) {
+// collectRootFields adds the root fields of a selection, each fragment once.
+func collectRootFields(doc *ast.QueryDocument, set ast.SelectionSet, seen map[string]bool, into *[]rootField) {
 	for _, s := range set {
 		switch s := s.(type) {
 		case *ast.Field:
-			*into = append(*into, root{s.Name, s.Arguments})
+			*into = append(*into, rootField{s.Name, s.Arguments})
 		case *ast.InlineFragment:
-			collect(doc, s.SelectionSet, seen, into)
+			collectRootFields(doc, s.SelectionSet, seen, into)
 		case *ast.FragmentSpread:
 			if f := doc.Fragments.ForName(s.Name); f != nil && !seen[s.Name] {
 				seen[s.Name] = true
-				collect(doc, f.SelectionSet, seen, into)
+				collectRootFields(doc, f.SelectionSet, seen, into)
 			}
 		}
 	}
 }
 
-// byVariable tells whether some size depends on a variable.
-func byVariable(nodes []*costNode, seen map[*costNode]bool) bool {
+// dependsOnVariables tells whether some size depends on a variable.
+func dependsOnVariables(nodes []*costNode, seen map[*costNode]bool) bool {
 	for _, n := range nodes {
 		if n.spread != nil {
 			if !seen[n.spread] {
 				seen[n.spread] = true
-				if byVariable(n.spread.children, seen) {
+				if dependsOnVariables(n.spread.children, seen) {
 					return true
 				}
 			}
 			continue
 		}
-		if slices.ContainsFunc(n.slicing, func(v *ast.Value) bool { return v.Kind == ast.Variable }) || byVariable(n.children, seen) {
+		if slices.ContainsFunc(n.slicing, func(v *ast.Value) bool { return v.Kind == ast.Variable }) || dependsOnVariables(n.children, seen) {
 			return true
 		}
 	}
 	return false
 }
 
-// measure counts what a document has.
-type measure struct {
-	doc                 *ast.QueryDocument
-	l                   *Limits
-	frags               map[string]*extent // nil while a fragment is being looked at
-	aliases, directives int
-}
-
-// extent is how far a selection reaches, fragments spread out.
-type extent struct{ depth, fields int }
-
-var errCycle = errors.New("a fragment contains itself")
-
-// names finds what the text says twice or not at all, in a form of the parser's that goes by names.
-func (m *measure) names() *Problem {
-	seen := map[string]bool{}
-	for _, op := range m.doc.Operations {
-		if op.Name == "" && len(m.doc.Operations) > 1 {
-			return problem(CodeValidation, "an operation without a name must stand alone")
-		}
-		if seen[op.Name] {
-			return problem(CodeValidation, "there are two operations of the name %q", op.Name)
-		}
-		seen[op.Name] = true
-	}
-	frags := map[string]bool{}
-	for _, f := range m.doc.Fragments {
-		if frags[f.Name] {
-			return problem(CodeValidation, "there are two fragments of the name %q", f.Name)
-		}
-		frags[f.Name] = true
-	}
-	return nil
-}
-
-func (m *measure) beyond(x extent) *Problem {
-	for _, c := range []struct {
-		what    string
-		n, most int
-	}{{"fields within each other", x.depth, m.l.Depth}, {"fields", x.fields, m.l.Fields}, {"aliases", m.aliases, m.l.Aliases},
-		{"directives", m.directives, m.l.Directives}} {
-		if c.n > c.most {
-			return problem(CodeLimit, "%d %s, %d at most", c.n, c.what, c.most)
-		}
-	}
-	return nil
-}
-
-func (m *measure) set(set ast.SelectionSet) (x extent, err error) {
-	for _, s := range set {
-		var of extent
-		switch s := s.(type) {
-		case *ast.Field:
-			m.directives += len(s.Directives)
-			if s.Alias != "" && s.Alias != s.Name {
-				m.aliases++
-			}
-			if of, err = m.set(s.SelectionSet); err != nil {
-				return x, err
-			}
-			of.depth, of.fields = of.depth+1, of.fields+1
-		case *ast.InlineFragment:
-			m.directives += len(s.Directives)
-			if of, err = m.set(s.SelectionSet); err != nil {
-				return x, err
-			}
-		case *ast.FragmentSpread:
-			m.directives += len(s.Directives)
-			if of, err = m.fragment(s.Name); err != nil {
-				return x, err
-			}
-		}
-		x.depth = max(x.depth, of.depth)
-		x.fields = min(x.fields+of.fields, math.MaxInt32) // fragments double it
-	}
-	return x, nil
-}
-
-func (m *measure) fragment(name string) (extent, error) {
-	if x, begun := m.frags[name]; begun {
-		if x == nil {
-			return extent{}, errCycle
-		}
-		return *x, nil
-	}
-	f := m.doc.Fragments.ForName(name)
-	if f == nil {
-		return extent{}, errors.New("there is no fragment " + name)
-	}
-	m.frags[name] = nil
-	m.directives += len(f.Directives)
-	x, err := m.set(f.SelectionSet)
-	if err != nil {
-		return x, err
-	}
-	m.frags[name] = &x
-	return x, nil
-}
-
-// pick is the operation that a node runs.
-func (d *document) pick(name string) (*operation, *Problem) {
+// operation is the operation that a node runs.
+func (d *document) operation(name string) (*operation, *Problem) {
 	if name == "" {
-		if len(d.ops) > 1 {
-			return nil, problem(CodeOperation, "the document has %d operations: operationName says which is meant", len(d.ops))
+		if len(d.operations) > 1 {
+			return nil, newProblem(CodeOperation, "the document has %d operations: operationName says which is meant", len(d.operations))
 		}
-		return d.ops[0], nil
+		return d.operations[0], nil
 	}
-	for _, op := range d.ops {
+	for _, op := range d.operations {
 		if op.name == name {
 			return op, nil
 		}
 	}
-	return nil, problem(CodeOperation, "the document has no operation %q", name[:min(len(name), 100)])
-}
-
-// key reads the value of a root field's argument, parts of an input after dots; false: it has none. It is a text, a number or
-// an enum's name, at least one byte long.
-func (r *root) key(path string, vars func() valueOf, defs ast.VariableDefinitionList) (string, bool) {
-	first, rest, _ := strings.Cut(path, ".")
-	a := r.args.ForName(first)
-	if a == nil {
-		return "", false
-	}
-	v := a.Value
-	for {
-		if v.Kind == ast.Variable {
-			if given, ok := vars()[v.Raw]; ok {
-				return scalar(given, rest)
-			}
-			d := defs.ForName(v.Raw)
-			if d == nil || d.DefaultValue == nil {
-				return "", false
-			}
-			v = d.DefaultValue
-			continue
-		}
-		if rest == "" {
-			break
-		}
-		var part string
-		part, rest, _ = strings.Cut(rest, ".")
-		if v.Kind != ast.ObjectValue {
-			return "", false
-		}
-		if v = v.Children.ForName(part); v == nil {
-			return "", false
-		}
-	}
-	switch v.Kind {
-	case ast.IntValue, ast.FloatValue, ast.StringValue, ast.BlockValue, ast.EnumValue:
-		return v.Raw, v.Raw != "" && len(v.Raw) <= maxKey
-	}
-	return "", false
-}
-
-// maxKey is what a key may have, bytes.
-const maxKey = 256
-
-// strictest picks of an operation's classes the one whose Effect allows least; of those alike the one that is worth least, so
-// that a field more buys nothing, then the one with the later deadline.
-func strictest(all []*Class) *Class {
-	return slices.MinFunc(all, func(a, b *Class) int {
-		return cmp.Or(-cmp.Compare(a.Idempotency, b.Idempotency), cmp.Compare(a.PriorityWeight, b.PriorityWeight), -cmp.Compare(a.Deadline, b.Deadline))
-	})
+	return nil, newProblem(CodeOperation, "the document has no operation %q", name[:min(len(name), 100)])
 }
--- a/internal/measure/eureka.go
+++ b/internal/measure/eureka.go
@@ -123,7 +123,7 @@
 	}
 	defer e.Close()
 	var f *fakes.Flipper
-	names, stopNodes, err := startFlipNodes(e, 12, func(name string) { f.Came(name) })
+	names, stopNodes, err := startFlipNodes(e, 12, func(name string) { f.RecordArrival(name) })
 	if err != nil {
 		return err
 	}
--- a/internal/simulation/fleetsim/faults.go
+++ b/internal/simulation/fleetsim/faults.go
@@ -4,264 +4,156 @@
 	"slices"
 	"time"
 
-	hdr "github.com/HdrHistogram/hdrhistogram-go"
-
-	"orchiddrift/balancer"
 	"orchiddrift/internal/endpoints"
 )
 
-// FaultKind is what befalls nodes.
+// FaultKind is a kind of fault. Its values stand in experiment files.
 type FaultKind string
 
-// The kinds.
+// The kinds of faults.
 const (
-	Slow     FaultKind = "slow"      // work takes Factor times as long
-	Freeze   FaultKind = "freeze"    // nothing is worked on, nothing answered
-	Errors   FaultKind = "errors"    // an error at once: it ran
-	TurnAway FaultKind = "turn away" // turned away at once: it did not run
-	Crash    FaultKind = "crash"     // gone without a word, and back cold; the list tells late
-	Deploy   FaultKind = "deploy"    // drained one after another, and back cold
-	Cut      FaultKind = "cut"       // a zone reaches the others no more, nor they it
-	Lost     FaultKind = "lost"      // a zone's machines vanish and say nothing; back cold, and the list tells late of both
+	Slow       FaultKind = "slow"      // service times are multiplied by Factor
+	Freeze     FaultKind = "freeze"    // nothing is served or answered
+	Errors     FaultKind = "errors"    // every attempt fails at once, after it was executed
+	Reject     FaultKind = "turn away" // every attempt is rejected at once, without execution
+	Crash      FaultKind = "crash"     // the process dies and later restarts in slow start; the list follows after crashDetectionDelay
+	Deploy     FaultKind = "deploy"    // nodes are drained one after another and restart in slow start
+	Partition  FaultKind = "cut"       // a zone and the other zones cannot reach each other
+	ZoneOutage FaultKind = "lost"      // as Crash, but of a zone's machines: connections are neither refused nor reset
 )
 
-// FaultKinds are all.
-var FaultKinds = []FaultKind{Slow, Freeze, Errors, TurnAway, Crash, Deploy, Cut, Lost, Kill}
+// FaultKinds lists all kinds.
+var FaultKinds = []FaultKind{Slow, Freeze, Errors, Reject, Crash, Deploy, Partition, ZoneOutage, Kill}
 
-// Fault is what befalls a part of the nodes for a time.
+// Fault is a fault of some nodes, or sidecars, for a time.
 type Fault struct {
-	Kind   FaultKind
-	At     time.Duration // since the run's begin
-	For    time.Duration // Deploy: in which all of them are drained; Crash: how long each is away
-	Part   float64       // of all nodes, drawn by chance; Cut, Lost: Zone's nodes
-	Zone   int
-	Factor float64 // of Slow
-}
-
-// Zonal tells whether a kind befalls a zone's nodes, and not a part of all.
-func (k FaultKind) Zonal() bool { return k == Cut || k == Lost }
-
-// Step is a rate from a time on, as a multiple of Run.Rate.
-type Step struct {
-	At   time.Duration
-	Rate float64
-}
-
-// Clients is what clients do on their own: they ask again where they were refused, or failed and it is safe.
-type Clients struct {
-	Tries int           // after the first
-	Wait  time.Duration // before each, doubled, where no time was named
-	Heed  bool          // they wait as long as a refusal says
-}
-
-// Point is what came in an interval of Run.Series.
-type Point struct {
-	At                             time.Duration
-	Asked, Served, Refused, Failed int // requests
-	Operations, Done               int // as clients see them: begun, and served after however many requests
-	Sends                          int
-	P50, P99                       time.Duration
-	Utilization                    float64 // mean of the nodes that are up
-	latencies                      *hdr.Histogram
-	busy                           time.Duration
+	Kind     FaultKind
+	At       time.Duration // since the start
+	Duration time.Duration // Deploy: over which the drains are spread; Crash: until the restart
+	Fraction float64       // of the nodes, or for Kill of the sidecars, drawn at random; unused if Zonal
+	Zone     int           // index, if Zonal
+	Factor   float64       // of Slow
 }
 
-const (
-	crashTold = 5 * time.Second // the list learns of a crash so late
-	answerDue = time.Second     // after a request's deadline
-	mostSaid  = 20
-)
+// Zonal reports whether a kind affects the nodes of one zone rather than a fraction of all nodes.
+func (k FaultKind) Zonal() bool { return k == Partition || k == ZoneOutage }
 
-// broken notes that a rule that must always hold did not.
-func (s *sim) broken(what string) {
-	s.out.Violations++
-	if len(s.out.Broken) < mostSaid {
-		s.out.Broken = append(s.out.Broken, s.Since().String()+": "+what)
-	}
-}
-
-func (s *sim) faults() {
-	for _, f := range s.r.Faults {
+// scheduleFaults schedules the begin and end of each of the run's faults.
+func (s *simulation) scheduleFaults() {
+	for _, f := range s.run.Faults {
 		if f.Kind == Kill {
-			s.kills(f)
+			s.scheduleKills(f)
 			continue
 		}
-		var of []*node
-		if f.Kind.Zonal() {
-			for _, n := range s.nodes {
-				if n.index%s.r.Zones == f.Zone {
-					of = append(of, n)
-				}
-			}
-		} else {
-			for _, i := range s.rng.Perm(len(s.nodes))[:int(f.Part*float64(len(s.nodes))+0.5)] {
-				of = append(of, s.nodes[i])
-			}
-		}
-		for i, n := range of {
-			n.restarted = n.restarted || f.Kind == Crash || f.Kind == Deploy || f.Kind == Lost
+		affected := s.affectedNodes(f)
+		for i, n := range affected {
 			switch f.Kind {
-			case Crash, Lost:
-				s.After(f.At, func() { s.crash(n, f.For, f.Kind == Lost) })
+			case Crash, ZoneOutage:
+				n.restarted = true
+				s.After(f.At, func() { s.crashNode(n, f.Duration, f.Kind == ZoneOutage) })
 			case Deploy:
-				s.After(f.At+f.For*time.Duration(i)/time.Duration(len(of)), func() { s.deploy(n) })
+				n.restarted = true
+				delay := f.Duration * time.Duration(i) / time.Duration(len(affected))
+				s.After(f.At+delay, func() { s.redeployNode(n) })
 			default:
 				s.After(f.At, func() { n.faults = append(n.faults, &f) })
-				s.After(f.At+f.For, func() {
-					n.faults = slices.DeleteFunc(n.faults, func(x *Fault) bool { return x == &f })
-					s.work(n)
+				s.After(f.At+f.Duration, func() {
+					n.faults = slices.DeleteFunc(n.faults, func(other *Fault) bool { return other == &f })
+					s.serveQueue(n)
 				})
 			}
 		}
 	}
 }
 
-func (n *node) has(k FaultKind) *Fault {
+// affectedNodes are a zone's nodes, or a random fraction of all nodes.
+func (s *simulation) affectedNodes(f Fault) []*node {
+	var affected []*node
+	if f.Kind.Zonal() {
+		for _, n := range s.nodes {
+			if n.index%s.run.Zones == f.Zone {
+				affected = append(affected, n)
+			}
+		}
+		return affected
+	}
+	for _, i := range s.rng.Perm(len(s.nodes))[:int(f.Fraction*float64(len(s.nodes))+0.5)] {
+		affected = append(affected, s.nodes[i])
+	}
+	return affected
+}
+
+// fault returns a fault of a kind that is in effect, or nil.
+func (n *node) fault(kind FaultKind) *Fault {
 	for _, f := range n.faults {
-		if f.Kind == k {
+		if f.Kind == kind {
 			return f
 		}
 	}
 	return nil
 }
 
-// cut tells whether a sidecar does not reach a node.
-func (c *sidecar) cut(n *node) bool {
-	return c.zone != n.zone && (n.has(Cut) != nil || c.home.has(Cut) != nil)
-}
-
-func (s *sim) crash(n *node, away time.Duration, silent bool) {
+// crashNode stops a node without a drain, and starts it again after a downtime. The list follows after crashDetectionDelay.
+func (s *simulation) crashNode(n *node, downtime time.Duration, silent bool) {
 	if !n.up {
 		return
 	}
 	n.silent = silent
-	s.stop(n)
-	s.After(crashTold, func() {
+	s.stopNode(n)
+	s.After(crashDetectionDelay, func() {
 		if !n.up {
-			s.announce(n, endpoints.StatusGone)
+			s.announceStatus(n, endpoints.StatusGone)
 		}
 	})
-	s.After(max(away, crashTold+toldMost), func() { s.start(n) })
+	s.After(max(downtime, crashDetectionDelay+maxListDelay), func() { s.startNode(n) })
 }
 
-func (s *sim) deploy(n *node) {
+// redeployNode drains a node, stops it and starts it again after RestartDowntime.
+func (s *simulation) redeployNode(n *node) {
 	if !n.up {
 		return
 	}
-	s.announce(n, endpoints.StatusTerminating)
-	s.After(toldMost+time.Second, func() {
-		s.stop(n)
-		s.announce(n, endpoints.StatusGone)
-		s.After(s.r.Down, func() { s.start(n) })
+	s.announceStatus(n, endpoints.StatusTerminating)
+	s.After(maxListDelay+drainTime, func() {
+		s.stopNode(n)
+		s.announceStatus(n, endpoints.StatusGone)
+		s.After(s.run.RestartDowntime, func() { s.startNode(n) })
 	})
 }
 
-func (s *sim) start(n *node) {
-	if n.up || n.fallen {
-		return
-	}
-	n.up, n.silent, n.started = true, false, s.Now()
-	s.announce(n, endpoints.StatusReady)
-}
-
-// rate is the multiple of Run.Rate now.
-func (s *sim) rate() float64 {
-	of := 1.0
-	for _, x := range s.r.Steps {
-		if x.At <= s.Since() {
-			of = x.Rate
-		}
-	}
-	return of
-}
-
-// point is the interval that goes on.
-func (s *sim) point() *Point {
-	if s.r.Series == 0 {
-		return &s.none
-	}
-	at := s.Since() / s.r.Series * s.r.Series
-	if n := len(s.out.Points); n == 0 || s.out.Points[n-1].At != at {
-		s.closePoint()
-		s.out.Points = append(s.out.Points, Point{At: at, latencies: hdr.New(1, int64(time.Hour/time.Microsecond), 3)})
-	}
-	return &s.out.Points[len(s.out.Points)-1]
-}
-
-func (s *sim) closePoint() {
-	if len(s.out.Points) == 0 {
-		return
-	}
-	p := &s.out.Points[len(s.out.Points)-1]
-	if p.latencies.TotalCount() > 0 {
-		p.P50, p.P99 = time.Duration(p.latencies.ValueAtPercentile(50))*time.Microsecond, time.Duration(p.latencies.ValueAtPercentile(99))*time.Microsecond
-	}
-	p.latencies = nil
-	up := 0
-	for _, n := range s.nodes {
-		if n.up {
-			up++
-		}
-	}
-	p.Utilization = p.busy.Seconds() / s.r.Series.Seconds() / max(1, float64(up))
-}
-
-// operation is what a client wants, over however many requests.
-type operation struct {
-	class int
-	work  time.Duration
-	came  time.Duration
-	tries int
-	wait  time.Duration
-}
-
-// ended tells a client of its request's end.
-func (s *sim) ended(c *sidecar, q *request, end *int, retryIn time.Duration) {
-	op := q.op
-	p := s.point()
-	switch end {
-	case &s.out.Served:
-		p.Served++
-		p.Done++
-		s.out.Done++
-		took := s.Now() - op.came
-		if p.latencies != nil {
-			_ = p.latencies.RecordValue(max(1, took.Microseconds())) // it is within the bounds
-		}
+// scheduleRestarts draws RestartFraction of the nodes, which drain, stop and restart in slow start.
+func (s *simulation) scheduleRestarts() {
+	if s.run.RestartAt == 0 {
 		return
-	case &s.out.Refused:
-		p.Refused++
-	default:
-		p.Failed++
-	}
-	safe := s.r.Settings.Classes[op.class].Idempotency == balancer.Idempotent
-	if op.tries >= s.r.Clients.Tries || end != &s.out.Refused && !safe {
-		return
-	}
-	op.tries++
-	op.wait = max(s.r.Clients.Wait, 2*op.wait)
-	wait := op.wait
-	if s.r.Clients.Heed {
-		wait = max(wait, retryIn)
 	}
-	s.After(wait, func() { s.request(c, op) })
-}
-
-// hint is what the module is told of a request's work.
-func (s *sim) hint(q *request) time.Duration {
-	if s.r.Hints {
-		return q.work
-	}
-	return 0
-}
-
-// check looks for requests that have no answer though their time is over.
-func (s *sim) check() {
-	for _, c := range s.sidecars {
-		for _, q := range c.asked {
-			if s.Now() > q.expires+answerDue {
-				s.broken("a request has no answer")
-			}
+	for _, i := range s.rng.Perm(len(s.nodes))[:int(s.run.RestartFraction*float64(len(s.nodes)))] {
+		n := s.nodes[i]
+		s.After(s.run.RestartAt+time.Duration(s.rng.Int64N(int64(s.run.RestartOver)+1)), func() {
+			n.restarted = true
+			s.announceStatus(n, endpoints.StatusTerminating)
+			s.After(maxListDelay+drainTime, func() {
+				s.stopNode(n)
+				s.announceStatus(n, endpoints.StatusGone)
+				s.After(s.run.RestartDowntime, func() {
+					n.up, n.startedAt = true, s.Now()
+					s.announceStatus(n, endpoints.StatusReady)
+				})
+			})
+		})
+	}
+}
+
+// resize drains and stops all nodes from index size on, and starts those below it that are down.
+func (s *simulation) resize(size int) {
+	for i, n := range s.nodes {
+		switch {
+		case i >= size && n.up:
+			n.restarted = true
+			s.announceStatus(n, endpoints.StatusTerminating)
+			s.After(maxListDelay+drainTime, func() { s.stopNode(n); s.announceStatus(n, endpoints.StatusGone) })
+		case i < size && !n.up && !n.overloaded:
+			n.up, n.startedAt = true, s.Now()
+			s.announceStatus(n, endpoints.StatusReady)
 		}
 	}
 }
--- /dev/null
+++ b/internal/simulation/fleetsim/load_probes.go
@@ -0,0 +1,36 @@
+package fleetsim
+
+import (
+	"time"
+
+	"orchiddrift/balancer"
+)
+
+// probeLoad probes nodes, gives the answers to the balancer, and calls then once all have answered or timed out.
+func (s *simulation) probeLoad(sc *sidecar, names []string, then func()) {
+	wait := networkRoundTrip
+	for _, name := range names {
+		n := s.byName[name]
+		s.result.Probes++
+		if !n.up {
+			wait = s.run.LoadProbes.Timeout.D()
+			continue
+		}
+		n.probeWork += probeServiceTime
+	}
+	s.After(wait, func() {
+		for _, name := range names {
+			n := s.byName[name]
+			sc.prober.Answered(s.Now(), name, n.up)
+			answer := balancer.ProbeResult{Upstream: name, Result: balancer.Timeout}
+			if n.up {
+				answer.Result, answer.InFlight = balancer.OK, n.inFlight()
+				if !s.run.HideProbeLatency {
+					answer.Latency = time.Duration(n.meanLatency * float64(time.Second))
+				}
+			}
+			s.handleEvent(sc, answer)
+		}
+		then()
+	})
+}
--- /dev/null
+++ b/internal/simulation/fleetsim/network.go
@@ -0,0 +1,185 @@
+package fleetsim
+
+import (
+	"time"
+
+	"orchiddrift/balancer"
+)
+
+// connectionPool holds a sidecar's connections to one node.
+type connectionPool struct {
+	idleSince []time.Duration // of each idle connection, the newest last
+	inUse     int
+}
+
+// closeIdle closes a sidecar's idle connections to a node.
+func (s *simulation) closeIdle(sc *sidecar, n *node) {
+	if pool := sc.pools[n]; pool != nil {
+		s.connectionsClosed(sc, n, len(pool.idleSince))
+		pool.idleSince = pool.idleSince[:0]
+	}
+}
+
+// attempt is one attempt of a request at a node.
+type attempt struct {
+	request           *request
+	sidecar           *sidecar
+	incarnation       int // of the sidecar
+	number            int // within the request, from 0
+	node              *node
+	sentAt            time.Duration
+	arrivedAt         time.Duration // at the node's queue
+	inFlightAtArrival int           // at the node
+	hasConnection     bool
+	ended             bool
+}
+
+// pool returns the connections to a node.
+func (c *sidecar) pool(n *node) *connectionPool {
+	pool := c.pools[n]
+	if pool == nil {
+		pool = &connectionPool{}
+		c.pools[n] = pool
+	}
+	return pool
+}
+
+// sendAttempt sends an attempt, on an idle connection or a new one.
+func (s *simulation) sendAttempt(sc *sidecar, action balancer.Action) {
+	req := sc.pending[action.ID]
+	if req == nil {
+		return
+	}
+	n := s.byName[action.Upstream]
+	a := &attempt{request: req, sidecar: sc, number: len(req.attempts), node: n, sentAt: s.Now(), incarnation: sc.incarnation}
+	req.attempts = append(req.attempts, a)
+	s.result.Attempts++
+	s.currentPoint().Attempts++
+	if sc.inactive[n.name] {
+		s.recordViolation("sent to " + n.name + " after it was told to be leaving")
+	}
+	limit := req.deadline - s.Now()
+	if action.Timeout > 0 {
+		limit = min(limit, action.Timeout)
+	}
+	s.After(limit, func() { s.attemptEnded(a, balancer.Timeout) })
+	if sc.prewarmer != nil {
+		sc.prewarmer.RecordUse(s.Now(), n.name)
+	}
+	pool := sc.pool(n)
+	delay := time.Duration(0)
+	if last := len(pool.idleSince) - 1; last >= 0 {
+		pool.idleSince = pool.idleSince[:last]
+	} else {
+		if !n.up {
+			s.connectFailed(a)
+			return
+		}
+		delay = s.run.ConnectDelay
+		s.connectionOpened(sc, n)
+		if a.number == 0 {
+			s.result.RequestsDelayedByConnect++
+		}
+	}
+	pool.inUse++
+	a.hasConnection = true
+	s.After(delay+networkRoundTrip/2, func() { s.attemptArrived(a) })
+}
+
+// connectFailed ends an attempt whose node is down: at once where its machine refuses connections, else after ConnectTimeout.
+func (s *simulation) connectFailed(a *attempt) {
+	delay := networkRoundTrip
+	if a.node.silent {
+		delay = max(networkRoundTrip, s.run.Settings.ConnectTimeout)
+	}
+	s.result.ConnectFailures++
+	s.After(delay, func() { s.attemptEnded(a, balancer.ConnectFailed) })
+}
+
+// attemptEnded passes an attempt's first result to its sidecar, and returns its connection to the pool or closes it.
+func (s *simulation) attemptEnded(a *attempt, result balancer.Result) {
+	if a.ended || a.incarnation != a.sidecar.incarnation {
+		return
+	}
+	a.ended = true
+	sc, req := a.sidecar, a.request
+	if a.hasConnection {
+		pool := sc.pools[a.node]
+		pool.inUse--
+		if (result == balancer.OK || result == balancer.Rejected) && a.node.up {
+			pool.idleSince = append(pool.idleSince, s.Now())
+		} else {
+			s.connectionsClosed(sc, a.node, 1)
+		}
+	}
+	if result == balancer.OK && !req.done {
+		s.latencies = append(s.latencies, s.Now()-req.arrivedAt)
+		s.finishRequest(sc, req.id, &s.result.Served, 0)
+	}
+	if sc.policy != nil {
+		s.policyAttemptEnded(sc, req, a, result)
+		return
+	}
+	if s.run.SyncProbes != nil {
+		if result != balancer.OK {
+			s.finishRequest(sc, req.id, &s.result.Failed, 0)
+		}
+		return
+	}
+	s.handleEvent(sc, balancer.Outcome{ID: req.id, Attempt: a.number, Result: result, Elapsed: s.Now() - a.sentAt, Final: req.done})
+}
+
+// respondAfter delivers an answer to a sidecar after a delay, unless a partition separates them by then.
+func (s *simulation) respondAfter(d time.Duration, a *attempt, result balancer.Result) {
+	s.After(d, func() {
+		if !a.sidecar.partitionedFrom(a.node) {
+			s.attemptEnded(a, result)
+		}
+	})
+}
+
+// partitionedFrom reports whether a partition separates a sidecar from a node.
+func (c *sidecar) partitionedFrom(n *node) bool {
+	return c.zone != n.zone && (n.fault(Partition) != nil || c.zoneNode.fault(Partition) != nil)
+}
+
+// connectionOpened counts a connection that is being opened.
+func (s *simulation) connectionOpened(sc *sidecar, n *node) {
+	sc.openConnections++
+	sc.maxOpenConnections = max(sc.maxOpenConnections, sc.openConnections)
+	n.openConnections++
+	n.maxOpenConnections = max(n.maxOpenConnections, n.openConnections)
+	s.result.ConnectionsOpened++
+	if s.Now()-n.newConnectionsSince >= time.Second {
+		n.newConnections, n.newConnectionsSince = 0, s.Now()
+	}
+	n.newConnections++
+	s.result.MaxConnectionsOpenedPerSecond = max(s.result.MaxConnectionsOpenedPerSecond, n.newConnections)
+}
+
+// connectionsClosed counts connections that are closed.
+func (s *simulation) connectionsClosed(sc *sidecar, n *node, count int) {
+	sc.openConnections -= count
+	n.openConnections -= count
+}
+
+// sweepSidecar closes connections past the idle timeout, and adapts the subset to the traffic and the time.
+func (s *simulation) sweepSidecar(sc *sidecar) {
+	for n, pool := range sc.pools {
+		expired := 0
+		for expired < len(pool.idleSince) && s.Now()-pool.idleSince[expired] >= s.run.IdleTimeout {
+			expired++
+		}
+		pool.idleSince = pool.idleSince[expired:]
+		s.connectionsClosed(sc, n, expired)
+		if len(pool.idleSince)+pool.inUse == 0 {
+			delete(sc.pools, n)
+		}
+	}
+	if sc.subset != nil {
+		sc.requestRate += rateSmoothing * (float64(sc.requestsSinceSweep)/sweepPeriod.Seconds() - sc.requestRate)
+		sc.requestsSinceSweep = 0
+		s.updateEndpoints(sc, sc.subset.Rate(s.wallTime(s.Now()), sc.requestRate), balancer.IncrementalUpdate)
+	}
+	s.After(sweepPeriod, func() { s.sweepSidecar(sc) })
+}
--- a/internal/testing/conformance/suite_test.go
+++ b/internal/testing/conformance/suite_test.go
@@ -109,10 +109,10 @@
 		answers[p] = load{workers: comparisonWorkers, calls: c.calls, pause: time.Millisecond, classes: allClasses}.run(f, string(p))
 		f.close()
 		nodes[p] = w.ledger.Nodes()
-		if twice := w.ledger.Doubled("confirm"); len(twice) > 0 {
+		if twice := w.ledger.ExecutedTwice("confirm"); len(twice) > 0 {
 			t.Errorf("%s: ran twice: %v", p, twice)
 		}
-		if twice := w.ledger.Doubled("booking.Seats/confirm"); len(twice) > 0 {
+		if twice := w.ledger.ExecutedTwice("booking.Seats/confirm"); len(twice) > 0 {
 			t.Errorf("%s: ran twice: %v", p, twice)
 		}
 	}
@@ -148,7 +148,7 @@
 // docs/design/fronts.md derives it.
 func TestSameAnswersSameLoad(t *testing.T) {
 	node := func(faults ...fakes.Fault) fakes.NodeOptions {
-		return fakes.NodeOptions{Cores: 8, Work: 2 * time.Millisecond, Faults: faults}
+		return fakes.NodeOptions{Cores: 8, DefaultServiceTime: 2 * time.Millisecond, Faults: faults}
 	}
 	fault := func(k fakes.FaultKind) fakes.Fault { return fakes.Fault{Kind: k, Factor: 8} }
 	ok := node()
@@ -157,15 +157,15 @@
 		{"one slow", []fakes.NodeOptions{node(fault(fakes.Slow)), ok, ok, ok, ok}, true, 90, false},
 		{"one freezes", []fakes.NodeOptions{node(fakes.Fault{Kind: fakes.Freeze, Every: 400 * time.Millisecond,
 			For: 100 * time.Millisecond}), ok, ok, ok}, true, 90, false},
-		{"one turns away", []fakes.NodeOptions{node(fault(fakes.TurnAway)), ok, ok, ok}, true, 60, false},
-		{"one refuses at the wire", []fakes.NodeOptions{node(fault(fakes.RefuseAtWire)), ok, ok, ok}, true, 60, false},
+		{"one turns away", []fakes.NodeOptions{node(fault(fakes.Reject)), ok, ok, ok}, true, 60, false},
+		{"one refuses at the wire", []fakes.NodeOptions{node(fault(fakes.RefuseStream)), ok, ok, ok}, true, 60, false},
 		{"one sends GOAWAY", []fakes.NodeOptions{node(fault(fakes.GoAway)), ok, ok, ok}, true, 60, false},
-		{"all turn away", []fakes.NodeOptions{node(fault(fakes.TurnAway)), node(fault(fakes.TurnAway))}, true, 4, false},
+		{"all turn away", []fakes.NodeOptions{node(fault(fakes.Reject)), node(fault(fakes.Reject))}, true, 4, false},
 		{"all break before it runs", []fakes.NodeOptions{node(fault(fakes.ResetBefore)), node(fault(fakes.ResetBefore))}, false, 20, true},
 		{"one breaks after it ran", []fakes.NodeOptions{node(fault(fakes.ResetAfter)), ok, ok, ok}, false, 60, false},
 		{"one answers errors", []fakes.NodeOptions{node(fault(fakes.Fail)), ok, ok, ok}, false, 60, false},
-		{"one can't be read", []fakes.NodeOptions{node(fault(fakes.Garble)), ok, ok, ok}, false, 60, false},
-		{"one cuts its answers", []fakes.NodeOptions{node(fault(fakes.Cut)), ok, ok, ok}, false, 60, false},
+		{"one can't be read", []fakes.NodeOptions{node(fault(fakes.Malformed)), ok, ok, ok}, false, 60, false},
+		{"one cuts its answers", []fakes.NodeOptions{node(fault(fakes.Truncate)), ok, ok, ok}, false, 60, false},
 	} {
 		t.Run(c.name, func(t *testing.T) { c.compare(t) })
 	}
@@ -174,7 +174,7 @@
 // A node in slow start withstands two balancers that do not know of each other: a plug-in and a daemon both send to the nodes when one of
 // them restarts. Both are configured for two balancers. The node must not become overloaded, and must get requests.
 func TestRestartedNodeWithstandsBothAdapters(t *testing.T) {
-	node := fakes.NodeOptions{Cores: 4, ColdFrom: 0.3, WarmUp: 8800 * time.Millisecond, FallMultiple: 3, FallTime: 2 * time.Second}
+	node := fakes.NodeOptions{Cores: 4, SlowStartMinCapacity: 0.3, SlowStartWindow: 8800 * time.Millisecond, OverloadMultiple: 3, OverloadWindow: 2 * time.Second}
 	w := newWorld(t, node, node, node)
 	set := suiteSettings(2 * time.Second)
 	set.FleetSize = 2
@@ -212,22 +212,22 @@
 	close(stop)
 	wg.Wait()
 	count := w.ledger.Nodes()["restarted"]
-	if n.Down() || count.Fell {
+	if n.Down() || count.Overloaded {
 		t.Errorf("the restarted node was overloaded after %d requests", count.Arrived)
 	}
-	if count.Ran == 0 {
+	if count.Executed == 0 {
 		t.Error("the restarted node got no request")
 	}
 	if share := float64(good.Load()) / float64(calls.Load()); share < 0.9 {
 		t.Errorf("%d of %d served", good.Load(), calls.Load())
 	}
-	t.Logf("%d calls, %d served, %d at the restarted node", calls.Load(), good.Load(), count.Ran)
+	t.Logf("%d calls, %d served, %d at the restarted node", calls.Load(), good.Load(), count.Executed)
 }
 
 // A draining node finishes its requests, and gets no new ones later than 250 ms after the adapter was notified. Nodes drain and return under
 // load, with both adapters at once.
 func TestNothingNewAfterADrain(t *testing.T) {
-	node := fakes.NodeOptions{Cores: 32, Work: 3 * time.Millisecond}
+	node := fakes.NodeOptions{Cores: 32, DefaultServiceTime: 3 * time.Millisecond}
 	w := newWorld(t, node, node, node, node)
 	set := suiteSettings(2 * time.Second)
 	fronts := []front{w.start(t, overHTTP, set), w.start(t, overGRPC, set)}
@@ -256,27 +256,27 @@
 		time.Sleep(150 * time.Millisecond)
 		w.drain(w.nodes[round])
 		drains++
-		w.add(t, fakes.NodeOptions{Name: fmt.Sprint("r", round), Cores: 32, Work: 3 * time.Millisecond})
+		w.add(t, fakes.NodeOptions{Name: fmt.Sprint("r", round), Cores: 32, DefaultServiceTime: 3 * time.Millisecond})
 	}
 	time.Sleep(300 * time.Millisecond)
 	close(stop)
 	wg.Wait()
 	for name, c := range w.ledger.Nodes() {
-		if c.LastAfter > 250*time.Millisecond {
-			t.Errorf("%s: %d came after its drain, the last %v after it", name, c.AfterDrain, c.LastAfter)
+		if c.LastAfterDrain > 250*time.Millisecond {
+			t.Errorf("%s: %d came after its drain, the last %v after it", name, c.AfterDrain, c.LastAfterDrain)
 		}
 	}
 	if bad.Load() > 0 {
 		t.Errorf("%d requests were not served, though every drain left three nodes", bad.Load())
 	}
 	for _, class := range []string{"confirm", "booking.Seats/confirm"} {
-		if twice := w.ledger.Doubled(class); len(twice) > 0 {
+		if twice := w.ledger.ExecutedTwice(class); len(twice) > 0 {
 			t.Errorf("ran twice: %v", twice)
 		}
 	}
 	for p, d := range w.discovery {
 		for i := range drains {
-			if _, ok := d.Told(w.nodes[i].Options().Name, endpoints.StatusTerminating); !ok {
+			if _, ok := d.FirstNotified(w.nodes[i].Options().Name, endpoints.StatusTerminating); !ok {
 				t.Errorf("%s was never notified of drain %d", p, i)
 			}
 		}
@@ -321,8 +321,8 @@
 
 // allFaults returns the faults of the n-th node: every kind, at random.
 func allFaults(n int) (f []fakes.Fault) {
-	for _, k := range []fakes.FaultKind{fakes.TurnAway, fakes.Fail, fakes.FailUnrun, fakes.ResetBefore,
-		fakes.ResetAfter, fakes.LoseAnswer, fakes.Hang, fakes.Garble, fakes.Cut, fakes.RefuseAtWire, fakes.GoAway} {
+	for _, k := range []fakes.FaultKind{fakes.Reject, fakes.Fail, fakes.FailNotExecuted, fakes.ResetBefore,
+		fakes.ResetAfter, fakes.LoseAnswer, fakes.Hang, fakes.Malformed, fakes.Truncate, fakes.RefuseStream, fakes.GoAway} {
 		share := 0.04
 		if k == fakes.LoseAnswer || k == fakes.Hang {
 			share = 0.01 // each costs its caller the whole deadline
@@ -394,10 +394,10 @@
 			if p == overGRPC {
 				prefix = "booking.Seats/"
 			}
-			if twice := w.ledger.Doubled(prefix + "confirm"); len(twice) > 0 {
+			if twice := w.ledger.ExecutedTwice(prefix + "confirm"); len(twice) > 0 {
 				t.Errorf("%d unsafe operations ran twice: %v", len(twice), twice[:min(5, len(twice))])
 			}
-			if twice := w.ledger.Doubled(prefix + "record"); len(twice) > 0 {
+			if twice := w.ledger.ExecutedTwice(prefix + "record"); len(twice) > 0 {
 				t.Errorf("%d keyed operations ran twice: %v", len(twice), twice[:min(5, len(twice))])
 			}
 			if counts.unavailable.Load() > 0 {
