--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -34,7 +34,6 @@
 	name                string
 	kind                ast.Operation
 	roots               []rootField // of fragments too, whatever @skip and @include say: variables decide those
-	spread              int         // fields, fragments spread out
 	signature           string      // the same for operations of the same root fields: what is learnt of one holds for the other
 	costTree            []*costNode
 	fixedCost           float64 // the cost, where no variable changes it; below 0: some does
@@ -50,14 +49,13 @@
 // maxReportedProblems is how many mistakes of a document are told.
 const maxReportedProblems = 3
 
-// parse reads a text. What it costs is bounded by the limits: tokens are counted as they are read; depth, fields,
-// aliases and directives are counted, with each fragment looked at once, before the document is validated.
+// parse parses a text, checks it against the limits and validates it. The limits bound the cost: tokens are counted while the text is read;
+// depth, fields, aliases and directives are counted, with one visit to each fragment, before the document is validated.
 func (e *Endpoint) parse(text string) (*document, *Problem) {
-	l := &e.options.Limits
-	doc, err := parser.ParseQueryWithTokenLimit(&ast.Source{Input: text}, l.Tokens)
+	doc, err := parser.ParseQueryWithTokenLimit(&ast.Source{Input: text}, e.options.Limits.Tokens)
 	if err != nil {
 		code := CodeParse
-		if strings.Contains(err.Error(), "exceeded token limit") {
+		if strings.Contains(err.Error(), "exceeded token limit") { // the parser has no error type for it
 			code = CodeLimit
 		}
 		return nil, newProblem(code, "%s", errorMessage(err))
@@ -65,61 +63,63 @@
 	if len(doc.Operations) == 0 {
 		return nil, newProblem(CodeValidation, "the document has no operation")
 	}
-	m := &extentMeasurer{doc: doc, limits: l, fragments: map[string]*extent{}}
-	if bad := m.checkNames(); bad != nil {
-		return nil, bad
+	if problem := checkExtent(doc, &e.options.Limits); problem != nil {
+		return nil, problem
 	}
-	extents := make([]extent, len(doc.Operations))
-	for i, op := range doc.Operations {
-		m.directives += len(op.Directives)
-		if extents[i], err = m.selectionSet(op.SelectionSet); err != nil {
-			return nil, newProblem(CodeValidation, "%v", err)
-		}
-	}
-	for _, f := range doc.Fragments { // those that no operation has, too
-		if _, err := m.fragment(f.Name); err != nil {
-			return nil, newProblem(CodeValidation, "%v", err)
-		}
-	}
-	for _, x := range extents {
-		if bad := m.checkLimits(x); bad != nil {
-			return nil, bad
-		}
-	}
-	if e.schema != nil {
-		if errs := validator.ValidateWithRules(e.schema, doc, validation); len(errs) > 0 {
-			texts := []string{}
-			for _, err := range errs[:min(len(errs), maxReportedProblems)] {
-				texts = append(texts, errorMessage(err))
-			}
-			return nil, newProblem(CodeValidation, "%s", strings.Join(texts, "; "))
-		}
+	if problem := e.validate(doc); problem != nil {
+		return nil, problem
 	}
 	d := &document{size: bytesPerDocument + len(text)*bytesPerTextByte}
-	c := &costBuilder{options: &e.options, schema: e.schema, weights: e.weights, doc: doc, fragments: map[string]*costNode{}}
-	for i, def := range doc.Operations {
-		op := &operation{name: def.Name, kind: def.Operation, spread: extents[i].fields, variableDefinitions: def.VariableDefinitions, fixedCost: -1}
-		seen := map[string]bool{}
-		collectRootFields(doc, def.SelectionSet, seen, &op.roots)
-		if len(op.roots) > l.Roots {
-			return nil, newProblem(CodeLimit, "%d root fields, %d at most", len(op.roots), l.Roots)
-		}
-		names := make([]string, len(op.roots))
-		for i, r := range op.roots {
-			names[i] = r.name
-		}
-		slices.Sort(names)
-		op.signature = string(op.kind) + " " + strings.Join(slices.Compact(names), " ")
-		op.costTree = c.selection(def.SelectionSet, rootType(def.Operation))
-		if !dependsOnVariables(op.costTree, map[*costNode]bool{}) {
-			op.fixedCost = (&costEstimator{memo: map[*costNode]float64{}}).sum(op.costTree, nil, 1)
+	costs := &costBuilder{options: &e.options, schema: e.schema, weights: e.weights, doc: doc, fragments: map[string]*costNode{}}
+	for _, definition := range doc.Operations {
+		op, problem := newOperation(doc, definition, costs, e.options.Limits.Roots)
+		if problem != nil {
+			return nil, problem
 		}
 		d.operations = append(d.operations, op)
 	}
 	return d, nil
 }
 
-// What a parsed document takes beside its text, measured: about 100 bytes of it for one of the text.
+// validate checks a document against the schema, if there is one.
+func (e *Endpoint) validate(doc *ast.QueryDocument) *Problem {
+	if e.schema == nil {
+		return nil
+	}
+	found := validator.ValidateWithRules(e.schema, doc, validation)
+	if len(found) == 0 {
+		return nil
+	}
+	var texts []string
+	for _, err := range found[:min(len(found), maxReportedProblems)] {
+		texts = append(texts, errorMessage(err))
+	}
+	return newProblem(CodeValidation, "%s", strings.Join(texts, "; "))
+}
+
+// costUnknown is the fixedCost of an operation whose cost depends on variables.
+const costUnknown = -1
+
+func newOperation(doc *ast.QueryDocument, definition *ast.OperationDefinition, costs *costBuilder, maxRoots int) (*operation, *Problem) {
+	op := &operation{name: definition.Name, kind: definition.Operation, variableDefinitions: definition.VariableDefinitions, fixedCost: costUnknown}
+	collectRootFields(doc, definition.SelectionSet, map[string]bool{}, &op.roots)
+	if len(op.roots) > maxRoots {
+		return nil, newProblem(CodeLimit, "%d root fields, %d at most", len(op.roots), maxRoots)
+	}
+	names := make([]string, len(op.roots))
+	for i, field := range op.roots {
+		names[i] = field.name
+	}
+	slices.Sort(names)
+	op.signature = string(op.kind) + " " + strings.Join(slices.Compact(names), " ")
+	op.costTree = costs.selection(definition.SelectionSet, rootType(definition.Operation))
+	if !dependsOnVariables(op.costTree, map[*costNode]bool{}) {
+		op.fixedCost = (&costEstimator{memo: map[*costNode]float64{}}).sum(op.costTree, nil, 1)
+	}
+	return op, nil
+}
+
+// The estimated memory of a parsed document, in bytes: for itself and for each byte of its text.
 const (
 	bytesPerDocument = 2048
 	bytesPerTextByte = 100
--- a/internal/graphql/endpoint.go
+++ b/internal/graphql/endpoint.go
@@ -39,82 +39,137 @@
 	key   string // of a keyed class: the argument
 }
 
-// New makes an Endpoint. class finds a service's class by its name, nil: it has none; schema and known are the files' texts,
-// empty: there are none. Its errors are about what stands in them and in o, one at a time.
-func New(o Options, class func(string) *Class, schema, known string) (*Endpoint, error) {
-	e := &Endpoint{options: o, fieldRules: map[string]*fieldRule{}, operationClasses: map[string]*Class{}, weights: map[string]float64{},
-		documents: newLRU[*document](o.Cache.Bytes()), persistedTexts: newLRU[string](o.Stored.Bytes()), durations: newDurationEstimates()}
-	find := func(name, what string) (*Class, error) {
+// New makes an Endpoint. class returns the service's class of a name, or nil; schema and known are the texts of the files, empty if there
+// are none. An error is about the first mistake in them or in the options.
+func New(options Options, class func(string) *Class, schema, known string) (*Endpoint, error) {
+	e := &Endpoint{
+		options:          options,
+		fieldRules:       map[string]*fieldRule{},
+		operationClasses: map[string]*Class{},
+		weights:          map[string]float64{},
+		documents:        newLRU[*document](options.Cache.Bytes()),
+		persistedTexts:   newLRU[string](options.Stored.Bytes()),
+		durations:        newDurationEstimates(),
+	}
+	find := func(name, usedBy string) (*Class, error) {
 		c := class(name)
 		if c == nil {
-			return nil, fmt.Errorf("%s: the service has no class %q", what, name)
+			return nil, fmt.Errorf("%s: the service has no class %q", usedBy, name)
 		}
 		e.maxDeadline = max(e.maxDeadline, c.Deadline)
 		return c, nil
 	}
-	var err error
-	if e.classes[Query], err = find(o.Query, "query"); err != nil {
-		return nil, err
-	}
-	if e.classes[Mutation], err = find(o.Mutation, "mutation"); err != nil {
+	if err := e.setDefaultClasses(find); err != nil {
 		return nil, err
 	}
-	if e.classes[Mutation].Idempotency != balancer.NonIdempotent { // it is what holds for a mutation without a key
-		return nil, fmt.Errorf("mutation: class %q is %s: mutations in general must not run twice", o.Mutation, idempotencyName(e.classes[Mutation].Idempotency))
-	}
-	for _, f := range o.Fields {
-		if f.Weight >= 0 {
-			e.weights[f.Name] = f.Weight
-		}
-		if f.Class == "" {
-			continue
-		}
-		c, err := find(f.Class, f.Name)
-		switch {
-		case err != nil:
+	for i := range options.Fields {
+		if err := e.addField(&options.Fields[i], find); err != nil {
 			return nil, err
-		case c.Idempotency == balancer.IdempotentWithKey && f.Key == "":
-			return nil, fmt.Errorf("%s: class %q is keyed, and no key is named", f.Name, f.Class)
-		case c.Idempotency != balancer.IdempotentWithKey && f.Key != "":
-			return nil, fmt.Errorf("%s: class %q is not keyed", f.Name, f.Class)
-		case c.Idempotency == balancer.Idempotent && strings.HasPrefix(f.Name, mutationType+"."):
-			return nil, fmt.Errorf("%s: class %q may run any number of times, and a mutation must not", f.Name, f.Class)
 		}
-		e.fieldRules[f.Name] = &fieldRule{c, f.Key}
 	}
-	for _, n := range o.Named {
-		c, err := find(n.Class, "operation "+n.Name)
-		if err != nil {
+	for _, named := range options.Named {
+		if err := e.addOperation(named, find); err != nil {
 			return nil, err
 		}
-		if c.Idempotency == balancer.IdempotentWithKey {
-			return nil, fmt.Errorf("operation %s: a keyed class needs a root field's key", n.Name)
-		}
-		e.operationClasses[n.Name] = c
 	}
-	if schema != "" {
-		if e.schema, err = gqlparser.LoadSchema(costDirectives(schema), &ast.Source{Name: o.Schema, Input: schema}); err != nil {
-			return nil, fmt.Errorf("schema: %s", errorMessage(err))
-		}
-		for _, f := range o.Fields {
-			if err := e.checkInSchema(f.Name); err != nil {
-				return nil, err
-			}
-		}
+	if err := e.loadSchema(schema); err != nil {
+		return nil, err
+	}
+	if err := e.loadKnown(known); err != nil {
+		return nil, err
+	}
+	return e, nil
+}
+
+// classFinder returns the service's class of a name, or an error that says what uses it.
+type classFinder func(name, usedBy string) (*Class, error)
+
+// setDefaultClasses sets the classes of operations whose root fields have none.
+func (e *Endpoint) setDefaultClasses(find classFinder) error {
+	var err error
+	if e.classes[Query], err = find(e.options.Query, "query"); err != nil {
+		return err
+	}
+	if e.classes[Mutation], err = find(e.options.Mutation, "mutation"); err != nil {
+		return err
+	}
+	if idempotency := e.classes[Mutation].Idempotency; idempotency != balancer.NonIdempotent { // it applies to mutations without a key
+		return fmt.Errorf("mutation: class %q is %s: mutations in general must not run twice", e.options.Mutation, idempotencyName(idempotency))
+	}
+	return nil
+}
+
+// addField adds the weight of a field and, of a root field, its class and key.
+func (e *Endpoint) addField(f *Field, find classFinder) error {
+	if f.Weight >= 0 {
+		e.weights[f.Name] = f.Weight
+	}
+	if f.Class == "" {
+		return nil
+	}
+	class, err := find(f.Class, f.Name)
+	switch {
+	case err != nil:
+		return err
+	case class.Idempotency == balancer.IdempotentWithKey && f.Key == "":
+		return fmt.Errorf("%s: class %q is keyed, and no key is named", f.Name, f.Class)
+	case class.Idempotency != balancer.IdempotentWithKey && f.Key != "":
+		return fmt.Errorf("%s: class %q is not keyed", f.Name, f.Class)
+	case class.Idempotency == balancer.Idempotent && strings.HasPrefix(f.Name, mutationType+"."):
+		return fmt.Errorf("%s: class %q may run any number of times, and a mutation must not", f.Name, f.Class)
+	}
+	e.fieldRules[f.Name] = &fieldRule{class, f.Key}
+	return nil
+}
+
+// addOperation adds the class of operations of a name.
+func (e *Endpoint) addOperation(named Operation, find classFinder) error {
+	class, err := find(named.Class, "operation "+named.Name)
+	if err != nil {
+		return err
 	}
-	if known != "" {
-		if e.knownTexts, err = knownOperations(known); err != nil {
-			return nil, fmt.Errorf("known: %w", err)
+	if class.Idempotency == balancer.IdempotentWithKey {
+		return fmt.Errorf("operation %s: a keyed class needs a root field's key", named.Name)
+	}
+	e.operationClasses[named.Name] = class
+	return nil
+}
+
+// loadSchema parses a schema, and checks that it has the fields of the options; empty: there is none.
+func (e *Endpoint) loadSchema(text string) error {
+	if text == "" {
+		return nil
+	}
+	schema, err := gqlparser.LoadSchema(costDirectives(text), &ast.Source{Name: e.options.Schema, Input: text})
+	if err != nil {
+		return fmt.Errorf("schema: %s", errorMessage(err))
+	}
+	e.schema = schema
+	for _, f := range e.options.Fields {
+		if err := e.checkInSchema(f.Name); err != nil {
+			return err
 		}
-		e.knownInFull = make(map[string]bool, len(e.knownTexts))
-		for hash, text := range e.knownTexts {
-			e.knownInFull[text] = true
-			if _, bad := e.parse(text); bad != nil {
-				return nil, fmt.Errorf("known: operation %s: %s", hash, bad.Message)
-			}
+	}
+	return nil
+}
+
+// loadKnown reads the known operations, and checks that each is accepted; empty: there are none, and any operation may pass.
+func (e *Endpoint) loadKnown(text string) error {
+	if text == "" {
+		return nil
+	}
+	known, err := knownOperations(text)
+	if err != nil {
+		return fmt.Errorf("known: %w", err)
+	}
+	e.knownTexts, e.knownInFull = known, make(map[string]bool, len(known))
+	for hash, operation := range known {
+		e.knownInFull[operation] = true
+		if _, problem := e.parse(operation); problem != nil {
+			return fmt.Errorf("known: operation %s: %s", hash, problem.Message)
 		}
 	}
-	return e, nil
+	return nil
 }
 
 // costDirectives are IBM's two, where a schema uses them without defining them.
--- a/internal/graphql/limits.go
+++ b/internal/graphql/limits.go
@@ -22,6 +22,33 @@
 
 var errCycle = errors.New("a fragment contains itself")
 
+// checkExtent checks a document's names and fragments, and its extent against the limits. Fragments that no operation uses count too.
+func checkExtent(doc *ast.QueryDocument, limits *Limits) *Problem {
+	m := &extentMeasurer{doc: doc, limits: limits, fragments: map[string]*extent{}}
+	if problem := m.checkNames(); problem != nil {
+		return problem
+	}
+	extents := make([]extent, len(doc.Operations))
+	for i, op := range doc.Operations {
+		m.directives += len(op.Directives)
+		var err error
+		if extents[i], err = m.selectionSet(op.SelectionSet); err != nil {
+			return newProblem(CodeValidation, "%v", err)
+		}
+	}
+	for _, f := range doc.Fragments {
+		if _, err := m.fragment(f.Name); err != nil {
+			return newProblem(CodeValidation, "%v", err)
+		}
+	}
+	for _, x := range extents {
+		if problem := m.checkLimits(x); problem != nil {
+			return problem
+		}
+	}
+	return nil
+}
+
 // checkNames finds what the text says twice or not at all, in a form of the parser's that goes by names.
 func (m *extentMeasurer) checkNames() *Problem {
 	seen := map[string]bool{}
