--- a/internal/graphql/graphql_test.go
+++ b/internal/graphql/decide_test.go
@@ -5,25 +5,22 @@
 	"encoding/hex"
 	"fmt"
 	"net/http"
-	"slices"
 	"strings"
 	"testing"
 	"time"
 
-	"pgregory.net/rapid"
-
 	"orchiddrift/balancer"
 )
 
 var classes = map[string]*Class{
-	"read":    {Name: "read", Deadline: 10e9, PriorityWeight: 1},
-	"search":  {Name: "search", Deadline: 2e9, PriorityWeight: 3},
-	"map":     {Name: "map", Deadline: 3e9, PriorityWeight: 2},
-	"write":   {Name: "write", Deadline: 10e9, PriorityWeight: 1, Idempotency: balancer.NonIdempotent},
-	"confirm": {Name: "confirm", Deadline: 5e9, PriorityWeight: 10, Idempotency: balancer.NonIdempotent},
-	"record":  {Name: "record", Deadline: 6e9, PriorityWeight: 8, Idempotency: balancer.IdempotentWithKey, DedupWindow: 6e9},
-	"refund":  {Name: "refund", Deadline: 6e9, PriorityWeight: 8, Idempotency: balancer.IdempotentWithKey, DedupWindow: 9e9},
-	"audit":   {Name: "audit", Deadline: 6e9, PriorityWeight: 1, Idempotency: balancer.NonIdempotent},
+	"read":    {Name: "read", Deadline: 10 * time.Second, PriorityWeight: 1},
+	"search":  {Name: "search", Deadline: 2 * time.Second, PriorityWeight: 3},
+	"map":     {Name: "map", Deadline: 3 * time.Second, PriorityWeight: 2},
+	"write":   {Name: "write", Deadline: 10 * time.Second, PriorityWeight: 1, Idempotency: balancer.NonIdempotent},
+	"confirm": {Name: "confirm", Deadline: 5 * time.Second, PriorityWeight: 10, Idempotency: balancer.NonIdempotent},
+	"record":  {Name: "record", Deadline: 6 * time.Second, PriorityWeight: 8, Idempotency: balancer.IdempotentWithKey, DedupWindow: 6 * time.Second},
+	"refund":  {Name: "refund", Deadline: 6 * time.Second, PriorityWeight: 8, Idempotency: balancer.IdempotentWithKey, DedupWindow: 9 * time.Second},
+	"audit":   {Name: "audit", Deadline: 6 * time.Second, PriorityWeight: 1, Idempotency: balancer.NonIdempotent},
 }
 
 const schemaText = `
@@ -92,9 +89,8 @@
 	return fmt.Sprintf(`{"query":%q%s}`, query, strings.Join(append([]string{""}, more...), ","))
 }
 
-// Guards against an operation that runs as another than the one that it was classed as, and one whose name, alias, fragment or
-// second root field makes it less strict.
-func TestClass(t *testing.T) {
+// The class is that of the operation that an upstream runs; a name, an alias, a fragment or a second root field does not make it less strict.
+func TestDecideClass(t *testing.T) {
 	deep := strings.Repeat("{a", 25) + strings.Repeat("}", 25)
 	for _, c := range []struct{ body, with, without string }{
 		{asked(`{seats(from:"N"){id}}`), "search", "search"},
@@ -175,92 +171,7 @@
 	}
 }
 
-// Guards against a body that a node reads otherwise than the one who decides, and an answer 429 for any.
-func TestBody(t *testing.T) {
-	e := endpoint(t, "", nil)
-	hash := strings.Repeat("ab", 32)
-	for body, want := range map[string]string{
-		`{"query":"{seats}"}`:                                                         "search",
-		" \n{\"query\":\"{seats}\"}\n":                                                "search",
-		`{"query":"{seats}","query":"mutation{confirm}"}`:                             CodeRequest,
-		`{"query":"{seats}","qu\u0065ry":"mutation{x}"}`:                              CodeRequest,
-		`{"qu\u0065ry":"mutation{confirm}"}`:                                          "confirm",
-		`{"query":"{seats}","Query":"mutation{confirm}"}`:                             CodeRequest,
-		`{"query":"{seats}","id":"` + hash + `"}`:                                     CodeRequest,
-		"\xef\xbb\xbf" + `{"query":"{seats}"}`:                                        CodeRequest,
-		"{\"query\":\"{seats}\",\"operationName\":\"\xff\"}":                          CodeRequest,
-		`{"query":"{seats}","operationName":"\ud800"}`:                                CodeRequest,
-		`{"query":"{seats}"}{"query":"mutation{confirm}"}`:                            CodeRequest,
-		`{"query":"{seats}"} x`:                                                       CodeRequest,
-		`{"query":"{seats}"`:                                                          CodeRequest,
-		`{"query":["{seats}"]}`:                                                       CodeRequest,
-		`{"query":"{seats}","variables":[]}`:                                          CodeRequest,
-		`{"query":"{seats}","variables":{"a":{"b":1,"b":2}}}`:                         CodeRequest,
-		`{"query":"{seats}","variables":null,"operationName":null,"extensions":null}`: "search",
-		`{"query":"{seats}","variables":{"a":"` + strings.Repeat("x", 33<<10) + `"}}`: CodeLimit,
-		`{"query":"\ufeff{seats}"}`:                                                   "search", // the specification ignores it there
-		`{"query":"{ seats # }\n }"}`:                                                 "search",
-		`"{seats}"`:                                                                   CodeRequest,
-		``:                                                                            CodeRequest,
-		`[]`:                                                                          CodeRequest,
-		`{"extensions":{"persistedQuery":{"version":1,"sha256Hash":"` + hash + `"}}}`: CodeNoPersisted,
-		`{"extensions":{"persistedQuery":{"version":2,"sha256Hash":"` + hash + `"}}}`: CodeRequest,
-		`{"extensions":{"persistedQuery":7}}`:                                         CodeRequest,
-		strings.Repeat("{", 64<<10):                                                   CodeRequest,
-		strings.Repeat(`{"query":`, 7<<10):                                            CodeRequest, `{"query":"{seats}","variables":` + strings.Repeat(`{"a":`, 101) + "1" + strings.Repeat("}", 101) + "}": CodeRequest,
-		asked(strings.Repeat("{", 64<<10)):                                        CodeParse,
-		"[" + strings.Repeat(`{"query":"{seats}"},`, 10) + `{"query":"{seats}"}]`: CodeRequest,
-	} {
-		begun := time.Now()
-		if _, got := decide(e, body); got != want {
-			t.Errorf("%.120q is %s, want %s", body, got, want)
-		}
-		if took := time.Since(begun); took > 500*time.Millisecond { // 5 ms on a machine that does nothing else: cmd/measure
-			t.Errorf("%.60q takes %v", body, took)
-		}
-	}
-	// What goes on has one reading, whatever came.
-	d, _ := decide(e, `{"extensions":{"a":[1, 2],"persistedQuery":{"version":1,"sha256Hash":"`+hash+`"}},"variables":{"v":"\u0041"},"qu\u0065ry":"{seats}"}`)
-	if got, want := string(d.Body), `{"query":"{seats}","variables":{"v":"\u0041"},"extensions":{"a":[1, 2]}}`; got != want {
-		t.Errorf("%s goes on, want %s", got, want)
-	}
-}
-
-// Guards against a GET that changes something, or has parameters twice.
-func TestURL(t *testing.T) {
-	e := endpoint(t, "", nil)
-	for raw, want := range map[string]string{
-		"query={seats}": "search", "query=mutation{confirm}": "405", "query={seats}&query=mutation{confirm}": CodeRequest,
-		"query={seats}&Query=x": CodeRequest, "query=query+A{seats}mutation+B{confirm}&operationName=B": "405",
-		"query=query+A{seats}mutation+B{confirm}&operationName=A": "search", "query=%ff": CodeRequest, "query=%zz": CodeRequest,
-		"query={seats}&variables=%7B%22a%22:1%7D": "search", "query={seats}&variables={": CodeRequest, "query={seats}&variables=": "search",
-		"variables={}": CodeRequest, "query={seats};x=1": CodeRequest,
-	} {
-		a, bad := ParseURLQuery(raw, e.Limits())
-		got := ""
-		if bad == nil {
-			var d Decision
-			if d, bad = e.Decide(&a.Params[0], true, nil); bad == nil {
-				got = d.Class.Name
-			}
-		}
-		if bad != nil {
-			if got = bad.Code; bad.Status != 400 {
-				got = fmt.Sprint(bad.Status)
-			}
-		}
-		if got != want {
-			t.Errorf("%s is %s, want %s", raw, got, want)
-		}
-	}
-	for raw, want := range map[string]bool{"": true, "a=1": true, "query=x": false, "QUERY=x": false, "extensions": false, "a;b": false} {
-		if HasNoParameters(raw) != want {
-			t.Errorf("%q is plain: %v", raw, !want)
-		}
-	}
-}
-
-// Guards against estimates that spreads blow up, or that do not follow what the schema and the file say.
+// Estimates follow the schema and the options, and repeated fragments do not blow them up.
 func TestCost(t *testing.T) {
 	for _, c := range []struct {
 		query, vars string
@@ -318,8 +229,8 @@
 	}
 }
 
-// Guards against a hash that stands for another text, a store without end, and an operation that is not on the list.
-func TestPersisted(t *testing.T) {
+// A hash stands for its own text only, the store is bounded, and only listed operations are known.
+func TestPersistedQueries(t *testing.T) {
 	hashed := func(text string) string { sum := sha256.Sum256([]byte(text)); return hex.EncodeToString(sum[:]) }
 	by := func(hash string) string {
 		return `"extensions":{"persistedQuery":{"version":1,"sha256Hash":"` + hash + `"}}`
@@ -364,147 +275,8 @@
 	}
 }
 
-// Guards against a mutation's success out of noise, a fleet that one client's mistake ejects, and a repeat of what has run.
-func TestJudge(t *testing.T) {
-	e := endpoint(t, "", func(o *Options) { o.Failing, o.Unrun = []string{"GONE"}, []string{"FULL"} })
-	coded := func(codes ...string) string {
-		text := []string{}
-		for _, c := range codes {
-			text = append(text, fmt.Sprintf(`{"message":"m","extensions":{"code":%q}}`, c))
-		}
-		return `"errors":[` + strings.Join(text, ",") + `]`
-	}
-	for body, want := range map[string]Classification{
-		`{"data":{"a":1}}`: Served, ` {"data":{},"extensions":{}} `: Served, `{"data":null}`: Served,
-		`{"data":{"a":null},` + coded("GONE") + `}`: Served, `{"data":null,` + coded("GONE") + `}`: UpstreamFailed,
-		`{` + coded("GONE") + `}`: UpstreamFailed, `{` + coded("X", "GONE") + `}`: UpstreamFailed, `{` + coded("X") + `}`: Served,
-		`{` + coded("FULL") + `}`: NotExecuted, `{` + coded("FULL", "FULL") + `}`: NotExecuted, `{` + coded("FULL", "X") + `}`: UpstreamFailed,
-		`{"errors":[{"message":"m"},` + coded("FULL")[10:] + `}`: UpstreamFailed, `{"data":{"a":1},` + coded("FULL") + `}`: Served,
-		`{"errors":[{"message":"m"}]}`: Served, `{"errors":[]}`: Malformed, `{"errors":[{}]}`: Malformed, `{"errors":{}}`: Malformed,
-		`{"data":[]}`: Malformed, `{"data":1}`: Malformed, `{}`: Malformed, `[]`: Malformed, ``: Malformed, `ok`: Malformed, `{"data":{"a":1}`: Malformed,
-		`{"data":{"a":1}}{`: Malformed, `{"data":{},"data":{}}`: Malformed, "{\"data\":{\"a\":\"\xff\"}}": Malformed, `{"errors":[1]}`: Malformed,
-		"\x1f\x8b": Malformed,
-	} {
-		if got := e.Classify(200, []byte(body), false); got != want {
-			t.Errorf("%s is %v, want %v", body, got, want)
-		}
-		if other := e.Classify(401, []byte(body), false); want == Malformed && other != Served {
-			t.Errorf("401 with %s is %v", body, other)
-		}
-		if IsAnswer([]byte(body)) != (want != Malformed) {
-			t.Errorf("%s may stand in a batch: %v", body, want == Malformed)
-		}
-	}
-	if e.Classify(200, []byte(`{"data":{}}`), true) != Malformed {
-		t.Error("a packed answer is served")
-	}
-}
-
-func TestMedia(t *testing.T) {
-	for accept, want := range map[string]string{"": MediaResponse, "*/*": MediaResponse, "application/json": MediaJSON,
-		"application/graphql-response+json, application/json;q=0.9": MediaResponse, "application/*;q=0.1, application/json": MediaJSON,
-		"application/json;q=0.2,application/graphql-response+json;q=0.1": MediaJSON, "text/html": "", "application/json;q=0": "",
-		"application/json; charset=utf-8": MediaJSON, "application/json;q=x": "", "*/*, application/graphql-response+json;q=0": MediaJSON} {
-		var list []string
-		if accept != "" {
-			list = []string{accept}
-		}
-		if got, ok := NegotiateMedia(list); got != want || ok != (want != "") {
-			t.Errorf("%q: %q", accept, got)
-		}
-	}
-	for kind, want := range map[string]bool{"application/json": true, "application/JSON; charset=UTF-8": true, `application/json;charset="utf-8"`: true,
-		"application/json;charset=utf-16": false, "text/plain": false, "": false, "application/jsonp": false} {
-		if IsJSON(kind) != want {
-			t.Errorf("%q is JSON: %v", kind, !want)
-		}
-	}
-}
-
-// Any batch: each entry ends once, as many queries side by side as may, one mutation at a time in order, and none behind one
-// that has no good end.
-func TestBatch(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		n, parallel := rapid.IntRange(1, 12).Draw(t, "entries"), rapid.IntRange(1, 4).Draw(t, "parallel")
-		kinds, problems := make([]OperationKind, n), make([]*Problem, n)
-		for i := range n {
-			kinds[i] = OperationKind(rapid.IntRange(0, 1).Draw(t, "kind"))
-			if rapid.IntRange(0, 5).Draw(t, "problem") == 0 {
-				problems[i] = &Problem{}
-			}
-		}
-		b := NewBatch(kinds, problems, parallel)
-		var out, order []int
-		ends, got := map[int]EntryOutcome{}, map[int]int{}
-		for i, p := range problems {
-			if p != nil {
-				ends[i] = NotRun
-				got[i]++
-			}
-		}
-		for !b.Finished() {
-			send, drop := b.Next(nil, nil)
-			for _, i := range drop {
-				ends[i] = NotRun
-				got[i]++
-			}
-			out = append(out, send...)
-			mutations := 0
-			for _, i := range out {
-				if kinds[i] == Mutation {
-					mutations++
-				}
-			}
-			for _, i := range send {
-				if kinds[i] == Mutation {
-					order = append(order, i)
-					for j := range i {
-						if e, over := ends[j]; kinds[j] == Mutation && (!over || e != Answered) {
-							t.Fatalf("%d is sent, with %d before it: %v %v", i, j, over, e)
-						}
-					}
-				}
-			}
-			if len(out) > parallel || mutations > 1 || !b.Finished() && len(out) == 0 {
-				t.Fatalf("%v are out, %d mutations", out, mutations)
-			}
-			if len(out) == 0 {
-				break
-			}
-			at := rapid.IntRange(0, len(out)-1).Draw(t, "ends")
-			i := out[at]
-			out = slices.Delete(out, at, at+1)
-			ends[i] = EntryOutcome(rapid.IntRange(0, 2).Draw(t, "how"))
-			got[i]++
-			b.Done(i, ends[i])
-			b.Done(i, Answered) // counts once
-		}
-		if !slices.IsSorted(order) {
-			t.Fatalf("mutations went as %v", order)
-		}
-		for i := range n {
-			if got[i] != 1 {
-				t.Fatalf("entry %d ended %d times", i, got[i])
-			}
-		}
-	})
-}
-
-func TestStatusOfBatch(t *testing.T) {
-	none, bad := []*Problem{nil, nil}, []*Problem{nil, {}}
-	for _, c := range []struct {
-		ends     []EntryOutcome
-		problems []*Problem
-		want     int
-	}{{[]EntryOutcome{Answered, MayHaveRun}, none, 200}, {[]EntryOutcome{NotRun, NotRun}, none, 503}, {[]EntryOutcome{NotRun, MayHaveRun}, none, 502}, {[]EntryOutcome{NotRun, NotRun}, bad, 200}} {
-		if got := BatchStatus(c.ends, c.problems); got != c.want {
-			t.Errorf("%v: %d", c.ends, got)
-		}
-	}
-}
-
-// Guards against a file whose mistakes show only under load.
-func TestNewFindsMistakes(t *testing.T) {
+// New finds the mistakes of its options and files.
+func TestNewReportsMistakes(t *testing.T) {
 	for want, change := range map[string]func(*Options){
 		`no class "gone"`:           func(o *Options) { o.Query = "gone" },
 		"must not run twice":        func(o *Options) { o.Mutation = "record" },
--- /dev/null
+++ b/internal/graphql/request_test.go
@@ -0,0 +1,114 @@
+package graphql
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+// A body that an upstream may read otherwise is rejected, never with the status 429.
+func TestParseBody(t *testing.T) {
+	e := endpoint(t, "", nil)
+	hash := strings.Repeat("ab", 32)
+	for body, want := range map[string]string{
+		`{"query":"{seats}"}`:                                                         "search",
+		" \n{\"query\":\"{seats}\"}\n":                                                "search",
+		`{"query":"{seats}","query":"mutation{confirm}"}`:                             CodeRequest,
+		`{"query":"{seats}","qu\u0065ry":"mutation{x}"}`:                              CodeRequest,
+		`{"qu\u0065ry":"mutation{confirm}"}`:                                          "confirm",
+		`{"query":"{seats}","Query":"mutation{confirm}"}`:                             CodeRequest,
+		`{"query":"{seats}","id":"` + hash + `"}`:                                     CodeRequest,
+		"\xef\xbb\xbf" + `{"query":"{seats}"}`:                                        CodeRequest,
+		"{\"query\":\"{seats}\",\"operationName\":\"\xff\"}":                          CodeRequest,
+		`{"query":"{seats}","operationName":"\ud800"}`:                                CodeRequest,
+		`{"query":"{seats}"}{"query":"mutation{confirm}"}`:                            CodeRequest,
+		`{"query":"{seats}"} x`:                                                       CodeRequest,
+		`{"query":"{seats}"`:                                                          CodeRequest,
+		`{"query":["{seats}"]}`:                                                       CodeRequest,
+		`{"query":"{seats}","variables":[]}`:                                          CodeRequest,
+		`{"query":"{seats}","variables":{"a":{"b":1,"b":2}}}`:                         CodeRequest,
+		`{"query":"{seats}","variables":null,"operationName":null,"extensions":null}`: "search",
+		`{"query":"{seats}","variables":{"a":"` + strings.Repeat("x", 33<<10) + `"}}`: CodeLimit,
+		`{"query":"\ufeff{seats}"}`:                                                   "search", // the specification ignores it there
+		`{"query":"{ seats # }\n }"}`:                                                 "search",
+		`"{seats}"`:                                                                   CodeRequest,
+		``:                                                                            CodeRequest,
+		`[]`:                                                                          CodeRequest,
+		`{"extensions":{"persistedQuery":{"version":1,"sha256Hash":"` + hash + `"}}}`: CodeNoPersisted,
+		`{"extensions":{"persistedQuery":{"version":2,"sha256Hash":"` + hash + `"}}}`: CodeRequest,
+		`{"extensions":{"persistedQuery":7}}`:                                         CodeRequest,
+		strings.Repeat("{", 64<<10):                                                   CodeRequest,
+		strings.Repeat(`{"query":`, 7<<10):                                            CodeRequest, `{"query":"{seats}","variables":` + strings.Repeat(`{"a":`, 101) + "1" + strings.Repeat("}", 101) + "}": CodeRequest,
+		asked(strings.Repeat("{", 64<<10)):                                        CodeParse,
+		"[" + strings.Repeat(`{"query":"{seats}"},`, 10) + `{"query":"{seats}"}]`: CodeRequest,
+	} {
+		begun := time.Now()
+		if _, got := decide(e, body); got != want {
+			t.Errorf("%.120q is %s, want %s", body, got, want)
+		}
+		if took := time.Since(begun); took > 500*time.Millisecond { // 5 ms on a machine that does nothing else: cmd/measure
+			t.Errorf("%.60q takes %v", body, took)
+		}
+	}
+	// What goes on has one reading, whatever came.
+	d, _ := decide(e, `{"extensions":{"a":[1, 2],"persistedQuery":{"version":1,"sha256Hash":"`+hash+`"}},"variables":{"v":"\u0041"},"qu\u0065ry":"{seats}"}`)
+	if got, want := string(d.Body), `{"query":"{seats}","variables":{"v":"\u0041"},"extensions":{"a":[1, 2]}}`; got != want {
+		t.Errorf("%s goes on, want %s", got, want)
+	}
+}
+
+// A GET changes nothing and has no parameter twice.
+func TestParseURLQuery(t *testing.T) {
+	e := endpoint(t, "", nil)
+	for raw, want := range map[string]string{
+		"query={seats}": "search", "query=mutation{confirm}": "405", "query={seats}&query=mutation{confirm}": CodeRequest,
+		"query={seats}&Query=x": CodeRequest, "query=query+A{seats}mutation+B{confirm}&operationName=B": "405",
+		"query=query+A{seats}mutation+B{confirm}&operationName=A": "search", "query=%ff": CodeRequest, "query=%zz": CodeRequest,
+		"query={seats}&variables=%7B%22a%22:1%7D": "search", "query={seats}&variables={": CodeRequest, "query={seats}&variables=": "search",
+		"variables={}": CodeRequest, "query={seats};x=1": CodeRequest,
+	} {
+		a, bad := ParseURLQuery(raw, e.Limits())
+		got := ""
+		if bad == nil {
+			var d Decision
+			if d, bad = e.Decide(&a.Params[0], true, nil); bad == nil {
+				got = d.Class.Name
+			}
+		}
+		if bad != nil {
+			if got = bad.Code; bad.Status != 400 {
+				got = fmt.Sprint(bad.Status)
+			}
+		}
+		if got != want {
+			t.Errorf("%s is %s, want %s", raw, got, want)
+		}
+	}
+	for raw, want := range map[string]bool{"": true, "a=1": true, "query=x": false, "QUERY=x": false, "extensions": false, "a;b": false} {
+		if HasNoParameters(raw) != want {
+			t.Errorf("%q is plain: %v", raw, !want)
+		}
+	}
+}
+
+func TestNegotiateMedia(t *testing.T) {
+	for accept, want := range map[string]string{"": MediaResponse, "*/*": MediaResponse, "application/json": MediaJSON,
+		"application/graphql-response+json, application/json;q=0.9": MediaResponse, "application/*;q=0.1, application/json": MediaJSON,
+		"application/json;q=0.2,application/graphql-response+json;q=0.1": MediaJSON, "text/html": "", "application/json;q=0": "",
+		"application/json; charset=utf-8": MediaJSON, "application/json;q=x": "", "*/*, application/graphql-response+json;q=0": MediaJSON} {
+		var list []string
+		if accept != "" {
+			list = []string{accept}
+		}
+		if got, ok := NegotiateMedia(list); got != want || ok != (want != "") {
+			t.Errorf("%q: %q", accept, got)
+		}
+	}
+	for kind, want := range map[string]bool{"application/json": true, "application/JSON; charset=UTF-8": true, `application/json;charset="utf-8"`: true,
+		"application/json;charset=utf-16": false, "text/plain": false, "": false, "application/jsonp": false} {
+		if IsJSON(kind) != want {
+			t.Errorf("%q is JSON: %v", kind, !want)
+		}
+	}
+}
