--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -12,7 +12,7 @@
 	"sync"
 )
 
-// field is one declared key.
+// field is one key of a declaration.
 type field struct {
 	index                     []int
 	name, doc, preset, sample string
@@ -20,7 +20,7 @@
 	start, secret, hasPreset  bool
 }
 
-// fields lists a declaration's keys, in its order. Those of an embedded struct count as its own.
+// fields returns the keys of a declaration, in its order. The keys of an embedded struct count as its own.
 func fields(t reflect.Type) []field {
 	if out, ok := declarations.Load(t); ok {
 		return out.([]field)
@@ -30,7 +30,7 @@
 	return out
 }
 
-// declarations keeps what fields has read, one entry a type.
+// declarations caches the result of fields by type.
 var declarations sync.Map
 
 func readFields(t reflect.Type) []field {
@@ -63,7 +63,7 @@
 
 func isText(t reflect.Type) bool { return reflect.PointerTo(t).Implements(unmarshaler) }
 
-// isTable tells whether a type is a table, or an array of tables.
+// isTable reports whether a type is a table or an array of tables.
 func isTable(t reflect.Type) (table, array bool) {
 	if t.Kind() == reflect.Slice {
 		inner, _ := isTable(t.Elem())
@@ -72,7 +72,7 @@
 	return t.Kind() == reflect.Struct && !isText(t), false
 }
 
-// setDefaults fills in what the tags say. A default that its own field can't hold is a mistake of the program.
+// setDefaults sets the defaults of the tags. A default that its own field cannot hold is a mistake of the program, and panics.
 func setDefaults(v reflect.Value) {
 	for _, f := range fields(v.Type()) {
 		fv := v.FieldByIndex(f.index)
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// table decodes one table, and asks it what else is wrong.
+// table decodes one table, and calls its Check if it has one.
 func (d *Document) table(path string, tree map[string]any, v reflect.Value) {
 	declared := fields(v.Type())
 	for _, key := range slices.Sorted(maps.Keys(tree)) {
@@ -170,12 +170,12 @@
 		}
 	default:
 		set(v, raw, func(format string, args ...any) { d.Report(at, format, args...) })
-		d.words(at, f, v)
+		d.checkOneOf(at, f, v)
 	}
 }
 
-// words holds a string, or each of a list, against the words that there are.
-func (d *Document) words(at string, f field, v reflect.Value) {
+// checkOneOf reports a string, or the strings of a list, that are none of the values of the oneof tag.
+func (d *Document) checkOneOf(at string, f field, v reflect.Value) {
 	if f.oneof == nil {
 		return
 	}
@@ -192,77 +192,112 @@
 	}
 }
 
-// set puts a decoded value into a field of a simple type.
-func set(v reflect.Value, raw any, report func(format string, args ...any)) {
+// set stores a decoded value in a field that is no table.
+func set(v reflect.Value, raw any, report reporter) {
 	if isText(v.Type()) {
-		text, ok := raw.(string)
-		if !ok {
-			report("is %s, and not a string", kind(raw))
-			return
-		}
-		if err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(text)); err != nil {
-			report("%v", err)
-		}
+		setText(v, raw, report)
 		return
 	}
+	stored := false
 	switch v.Kind() {
 	case reflect.String:
-		if text, ok := raw.(string); ok {
+		var text string
+		if text, stored = raw.(string); stored {
 			v.SetString(text)
-			return
 		}
 	case reflect.Bool:
-		if on, ok := raw.(bool); ok {
+		var on bool
+		if on, stored = raw.(bool); stored {
 			v.SetBool(on)
-			return
 		}
 	case reflect.Int:
-		if n, ok := raw.(int64); ok {
-			if n < math.MinInt32 || n > math.MaxInt32 {
-				report("%d is out of range", n)
-			}
-			v.SetInt(n)
-			return
-		}
+		stored = setInt(v, raw, report)
 	case reflect.Float64:
-		switch n := raw.(type) {
-		case int64:
-			v.SetFloat(float64(n))
-			return
-		case float64:
-			if math.IsNaN(n) || math.IsInf(n, 0) {
-				report("%v is not usable", n)
-			}
-			v.SetFloat(n)
-			return
-		}
+		stored = setFloat(v, raw, report)
 	case reflect.Slice:
-		if list, ok := raw.([]any); ok {
-			v.Set(reflect.MakeSlice(v.Type(), len(list), len(list)))
-			for i, item := range list {
-				set(v.Index(i), item, func(format string, args ...any) {
-					report("item %d: %s", i+1, fmt.Sprintf(format, args...))
-				})
-			}
-			return
-		}
+		stored = setSlice(v, raw, report)
 	case reflect.Map:
-		if tree, ok := raw.(map[string]any); ok {
-			m := map[string]string{}
-			for key, item := range tree {
-				text, ok := item.(string)
-				if !ok {
-					report("%s is %s, and not a string", key, kind(item))
-				}
-				m[key] = text
-			}
-			v.Set(reflect.ValueOf(m))
-			return
+		stored = setMap(v, raw, report)
+	}
+	if !stored {
+		report("is %s, and not %s", kind(raw), wanted(v.Type()))
+	}
+}
+
+// reporter reports what is wrong with a value.
+type reporter func(format string, args ...any)
+
+func setText(v reflect.Value, raw any, report reporter) {
+	text, ok := raw.(string)
+	if !ok {
+		report("is %s, and not a string", kind(raw))
+		return
+	}
+	if err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(text)); err != nil {
+		report("%v", err)
+	}
+}
+
+// setInt stores an integer of 32 bits, and returns whether the value is an integer at all. So do the functions that follow for their types.
+func setInt(v reflect.Value, raw any, report reporter) bool {
+	n, ok := raw.(int64)
+	if !ok {
+		return false
+	}
+	if n < math.MinInt32 || n > math.MaxInt32 {
+		report("%d is out of range", n)
+	}
+	v.SetInt(n)
+	return true
+}
+
+func setFloat(v reflect.Value, raw any, report reporter) bool {
+	switch n := raw.(type) {
+	case int64:
+		v.SetFloat(float64(n))
+		return true
+	case float64:
+		if math.IsNaN(n) || math.IsInf(n, 0) {
+			report("%v is not usable", n)
 		}
+		v.SetFloat(n)
+		return true
 	}
-	report("is %s, and not %s", kind(raw), wanted(v.Type()))
+	return false
 }
 
+func setSlice(v reflect.Value, raw any, report reporter) bool {
+	list, ok := raw.([]any)
+	if !ok {
+		return false
+	}
+	v.Set(reflect.MakeSlice(v.Type(), len(list), len(list)))
+	for i, item := range list {
+		set(v.Index(i), item, func(format string, args ...any) {
+			report("item %d: %s", i+1, fmt.Sprintf(format, args...))
+		})
+	}
+	return true
+}
+
+func setMap(v reflect.Value, raw any, report reporter) bool {
+	table, ok := raw.(map[string]any)
+	if !ok {
+		return false
+	}
+	texts := map[string]string{}
+	for key, item := range table {
+		text, ok := item.(string)
+		if !ok {
+			report("%s is %s, and not a string", key, kind(item))
+		}
+		texts[key] = text
+	}
+	v.Set(reflect.ValueOf(texts))
+	return true
+}
+
+// wanted names the TOML type of a field.
 func wanted(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
@@ -299,7 +334,10 @@
 	return "a date or time"
 }
 
-// nearest names the declared key that an unknown one is closest to, if it is close.
+// maxCompared is the length of keys, in bytes, up to which they are compared.
+const maxCompared = 64
+
+// nearest names the declared key that an unknown one is closest to, if one is close.
 func nearest(key string, declared []field) string {
 	best, least := "", 1+len(key)/3
 	for _, f := range declared {
@@ -313,10 +351,10 @@
 	return fmt.Sprintf("; the nearest is %q", best)
 }
 
-// distance is how many letters have to be put in, taken out, changed or swapped with the next to get from a to b: the
-// optimal string alignment distance (Damerau 1964), in O(len(a) len(b)).
+// distance returns the optimal string alignment distance of two texts: how many bytes have to be inserted, deleted, replaced or swapped with
+// the next one. It takes O(len(a) len(b)); longer texts than maxCompared count as entirely different.
 func distance(a, b string) int {
-	if len(a) > 64 || len(b) > 64 {
+	if len(a) > maxCompared || len(b) > maxCompared {
 		return len(a) + len(b)
 	}
 	rows := make([][]int, len(a)+1)
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -31,7 +31,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Problem is one thing that is wrong. Line and Column count from 1; 0: it stands nowhere, as a key that is missing.
+// Problem is one mistake. Line and Column count from 1; they are 0 where no place is known, as of a missing key.
 type Problem struct {
 	Line, Column int
 	Key          string // its whole path: service[0].class[1].aim
@@ -45,13 +45,13 @@
 	return fmt.Sprintf("%d:%d: %s: %s", m.Line, m.Column, m.Key, m.Reason)
 }
 
-// Checker is a declaration that has more to say than the types of its fields.
+// Checker is a declaration with checks beyond the types of its fields.
 type Checker interface {
 	// Check reports what is wrong. key is the field's key within the declaration, "" for the whole of it.
 	Check(report func(key, format string, args ...any))
 }
 
-// Document is a decoded text, and where its keys stand.
+// Document is a decoded text with the places of its keys and its mistakes.
 type Document struct {
 	text     []byte
 	at       map[string]int // by path: where in the text
@@ -60,10 +60,10 @@
 	broken   bool
 }
 
-// Broken tells whether the text is no TOML, so that nothing of it could be read.
+// Broken reports whether the text is no TOML, so that nothing of it was read.
 func (d *Document) Broken() bool { return d.broken }
 
-// MaxBytes bounds a text.
+// MaxBytes is the largest text that is decoded.
 const MaxBytes = 8 << 20
 
 // Decode fills a pointer to a declaration, with defaults where the text has no key. The Document tells what is wrong
@@ -95,7 +95,7 @@
 	return d
 }
 
-// Report notes a mistake at a key's whole path; where that stands nowhere, at the nearest table round it.
+// Report adds a mistake at the full path of a key. If the key is not in the text, its place is that of the nearest enclosing table.
 func (d *Document) Report(path, format string, args ...any) {
 	m := Problem{Key: cmp.Or(path, "file"), Reason: oneLine(fmt.Sprintf(format, args...))}
 	m.Line, m.Column = d.position(path)
@@ -105,7 +105,7 @@
 	}
 }
 
-// Line is where a key stands, or the nearest table round it; 0: nowhere.
+// Line returns the line of a key, or else of the nearest enclosing table; 0: there is none.
 func (d *Document) Line(path string) int {
 	line, _ := d.position(path)
 	return line
@@ -127,13 +127,13 @@
 	}
 }
 
-// Has tells whether a key stands in the text.
+// Has reports whether a key is in the text.
 func (d *Document) Has(path string) bool {
 	_, ok := d.at[path]
 	return ok
 }
 
-// Problems is all that is wrong, in the order of the text; what stands nowhere comes last.
+// Problems returns all mistakes in the order of the text; those without a place come last.
 func (d *Document) Problems() []Problem {
 	out := slices.Clone(d.mistakes)
 	line := func(m Problem) int { return (m.Line - 1) & (1<<31 - 1) }
@@ -143,7 +143,7 @@
 	return out
 }
 
-// locate notes where each key stands. The text has been decoded once, so that it is well formed.
+// locate records the place of each key. The text has been decoded before, so it is well formed.
 func (d *Document) locate() {
 	var p unstable.Parser
 	p.Reset(d.text)
@@ -223,7 +223,7 @@
 	}
 }
 
-// oneLine is a text as one line, whatever stands in the file that it speaks of.
+// oneLine returns a text as one line. It may quote lines of the file.
 func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
 
 // Text writes Mistakes one a line, each behind the file's name.
