--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Guards against a new process taken for an old one: its age tells the module how warm it is. Also one that
-// started before this process did.
+// The start of an upstream is converted to the clock's time, also if it lies before the start of this process.
 func TestFromUnixMs(t *testing.T) {
 	c := New()
 	if got := c.FromUnixMs(0); got != 0 {
@@ -21,9 +20,8 @@
 	}
 }
 
-// Guards against an upstream that gets next to nothing: one whose start lies ahead, since the wall clock was stepped back or is another
-// machine's, has started now at the latest.
-func TestNothingStartsInTheFuture(t *testing.T) {
+// A start after now, by a wall clock that was stepped back or is another machine's, is now.
+func TestFromUnixMsIsNotAfterNow(t *testing.T) {
 	c := New()
 	for _, ahead := range []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour} {
 		if got, now := c.FromUnixMs(float64(time.Now().Add(ahead).UnixMilli())), c.Now(); got > now {
@@ -32,20 +30,20 @@
 	}
 }
 
-// Guards against a stepped wall clock: a start is never taken for earlier than it was, and for no later where one of the two readings is
-// right. The step may be of this machine's wall alone, or of all.
-func TestStartsAreKnownBehindAStep(t *testing.T) {
-	then := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
+// With a stepped wall clock a start is never taken for earlier than it was, and for later by the step at most. The step may be that of this
+// machine's wall clock alone, or of all.
+func TestFromUnixMsAcrossWallClockSteps(t *testing.T) {
+	created := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	const elapsed = 10 * time.Minute
 	for _, step := range []time.Duration{0, -2 * time.Second, 2 * time.Second, -time.Hour, time.Hour} {
 		for _, age := range []time.Duration{0, time.Second, 9 * time.Minute} {
 			for _, all := range []bool{false, true} {
-				now := then.Add(elapsed + step)
-				at := then.Add(elapsed - age) // as a wall that was not stepped tells it
+				now := created.Add(elapsed + step)
+				at := created.Add(elapsed - age) // by a wall clock that was not stepped
 				if all {
 					at = at.Add(step)
 				}
-				got := Start + elapsed - started(at, then, now, elapsed)
+				got := Start + elapsed - startTime(at, created, now, elapsed)
 				if got > age {
 					t.Errorf("stepped by %v (all: %v): a start %v ago is taken for %v ago", step, all, age, got)
 				}
--- a/internal/httpheader/httphead.go
+++ b/internal/httpheader/httpheader.go
@@ -1,4 +1,5 @@
-// Package httpheader names the platform's HTTP headers and tells which headers go from end to end.
+// Package httpheader names the platform's HTTP headers, returns the end-to-end headers of a message, and parses sets of HTTP statuses. It
+// keeps no state.
 package httpheader
 
 import (
@@ -17,30 +18,29 @@
 	RetryMarker    = "X-Retried"
 	IdempotencyKey = "Idempotency-Key"
 	LoadReport     = "X-Server-Load"   // a load report, on answers
-	NotProcessed   = "X-Not-Processed" // on answers: "1" says that the request never ran
+	NotProcessed   = "X-Not-Processed" // on answers: "1" means that the request was not processed
 )
 
-// MaxBytes bounds a head, of a request and of an answer.
+// MaxBytes is the largest head of a request or an answer.
 const MaxBytes = 16 << 10
 
-// hopByHop headers belong to one connection and do not go on.
+// hopByHop headers belong to one connection and are not forwarded.
 var hopByHop = [...]string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
 
-// EndToEnd copies the headers that go on: all but those of one connection, RFC 9110 section 7.6.1. The values are
-// shared with h.
+// EndToEnd returns a copy of the headers without those of one connection (RFC 9110, section 7.6.1). The values are shared with h.
 func EndToEnd(h http.Header) http.Header {
-	kept := make(http.Header, len(h)+1)
+	forwarded := make(http.Header, len(h)+1)
 	for name, values := range h {
-		kept[name] = values
+		forwarded[name] = values
 	}
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
-			kept.Del(strings.TrimSpace(name))
+			forwarded.Del(strings.TrimSpace(name))
 		}
 	}
 	for _, name := range hopByHop {
-		delete(kept, name)
+		delete(forwarded, name)
 	}
-	return kept
+	return forwarded
 }
--- a/internal/httpheader/httphead_test.go
+++ b/internal/httpheader/httpheader_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Guards against a peer's connection headers that reach the next hop, and against a copy that changes its source.
+// Headers of one connection are left out, and the source does not change.
 func TestEndToEnd(t *testing.T) {
 	h := http.Header{"Connection": {"X-Hop, close"}, "X-Hop": {"1"}, "Te": {"trailers"}, "Upgrade": {"h2c"},
 		"Content-Type": {"text/plain"}, "Via": {"a", "b"}}
--- a/internal/httpheader/statuses.go
+++ b/internal/httpheader/statuses.go
@@ -2,48 +2,65 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strconv"
 	"strings"
 )
 
+// The statuses of final answers.
+const (
+	minFinalStatus = 200
+	maxFinalStatus = 599
+)
+
 // Statuses is a set of HTTP statuses, from 200 to 599.
-type Statuses [600]bool
+type Statuses [maxFinalStatus + 1]bool
 
-// Only200 is the platform's: no other answer counts as served.
+// Only200 returns the platform's set of successes: only 200.
 func Only200() *Statuses {
 	s := &Statuses{}
-	s[200] = true
+	s[http.StatusOK] = true
 	return s
 }
 
-// Has tells whether a status is in it.
+// Has reports whether a status is in the set.
 func (s *Statuses) Has(status int) bool { return status >= 0 && status < len(s) && s[status] }
 
-// ParseStatuses reads statuses, "404", and classes of them, "2xx". 429 and 503 say that a request was turned away, and
-// are in no class.
+// ParseStatuses parses statuses, such as "404", and classes of them, such as "2xx". 429 and 503 mean that a request was rejected: they are in
+// no class, and are errors by themselves.
 func ParseStatuses(words []string) (*Statuses, error) {
 	s := &Statuses{}
 	for _, word := range words {
-		from, to := 0, 0
-		if class, ok := strings.CutSuffix(word, "xx"); ok {
-			n, err := strconv.Atoi(class)
-			if err != nil || n < 2 || n > 5 {
-				return nil, fmt.Errorf("%q is no class of statuses", word)
-			}
-			from, to = n*100, n*100+99
-		} else {
-			n, err := strconv.Atoi(word)
-			if err != nil || n < 200 || n > 599 {
-				return nil, fmt.Errorf("%q is no status of a final answer", word)
-			}
-			if n == 429 || n == 503 {
-				return nil, fmt.Errorf("%d says that a request was turned away, which is not an answer", n)
-			}
-			from, to = n, n
+		first, last, err := parseStatusRange(word)
+		if err != nil {
+			return nil, err
 		}
-		for n := from; n <= to; n++ {
-			s[n] = n != 429 && n != 503
+		for status := first; status <= last; status++ {
+			s[status] = !isRejection(status)
 		}
 	}
 	return s, nil
 }
+
+// parseStatusRange returns the first and the last status of a word.
+func parseStatusRange(word string) (first, last int, err error) {
+	if digit, ok := strings.CutSuffix(word, "xx"); ok {
+		class, err := strconv.Atoi(digit)
+		if err != nil || class < 2 || class > 5 {
+			return 0, 0, fmt.Errorf("%q is no class of statuses", word)
+		}
+		return class * 100, class*100 + 99, nil
+	}
+	status, err := strconv.Atoi(word)
+	if err != nil || status < minFinalStatus || status > maxFinalStatus {
+		return 0, 0, fmt.Errorf("%q is no status of a final answer", word)
+	}
+	if isRejection(status) {
+		return 0, 0, fmt.Errorf("%d says that a request was turned away, which is not an answer", status)
+	}
+	return status, status, nil
+}
+
+func isRejection(status int) bool {
+	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
+}
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,5 +1,5 @@
-// Package units holds the value types of the operator's file that TOML has none for: durations and sizes written with
-// their unit. Subsystems declare their settings with them.
+// Package units holds the types of values of the operator's file that TOML lacks: durations and sizes, written with their unit. The packages
+// that declare settings use them.
 package units
 
 import (
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Duration is written as Go writes durations: "250ms", "1.5s", "2m". Negative ones are not taken.
+// Duration is a time.Duration written as "250ms", "1.5s" or "2m". It cannot be negative.
 type Duration time.Duration
 
-// D is the same as a time.Duration.
+// D returns the duration as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
 func (d Duration) String() string {
-	s := time.Duration(d).String() // "1h0m0s", "2m0s": nobody writes those
+	s := time.Duration(d).String() // such as "1h0m0s", of which the zeros are cut
 	if strings.HasSuffix(s, "m0s") {
 		s = s[:len(s)-2]
 	}
@@ -27,16 +27,16 @@
 	return s
 }
 
-// MarshalText is String.
+// MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads it.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(text []byte) error {
-	v, err := time.ParseDuration(string(text))
-	if err != nil || v < 0 {
+	duration, err := time.ParseDuration(string(text))
+	if err != nil || duration < 0 {
 		return fmt.Errorf(`%q is no duration, such as "250ms" or "1.5s"`, text)
 	}
-	*d = Duration(v)
+	*d = Duration(duration)
 	return nil
 }
 
@@ -50,35 +50,36 @@
 	GiB Size = 1 << 30
 )
 
-var sizes = []struct {
-	name string
-	of   Size
+// sizeUnits are the units of sizes, the largest first.
+var sizeUnits = []struct {
+	name  string
+	bytes Size
 }{{"GiB", GiB}, {"MiB", MiB}, {"KiB", KiB}, {"B", 1}}
 
-// Bytes is the same as an int.
+// Bytes returns the size as an int.
 func (s Size) Bytes() int { return int(s) }
 
 func (s Size) String() string {
-	for _, u := range sizes {
-		if s >= u.of && s%u.of == 0 {
-			return strconv.FormatInt(int64(s/u.of), 10) + u.name
+	for _, u := range sizeUnits {
+		if s >= u.bytes && s%u.bytes == 0 {
+			return strconv.FormatInt(int64(s/u.bytes), 10) + u.name
 		}
 	}
 	return "0B"
 }
 
-// MarshalText is String.
+// MarshalText implements encoding.TextMarshaler.
 func (s Size) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads it. Parts of a unit are taken, "1.5MiB"; parts of a byte are cut off.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts fractions of a unit, such as "1.5MiB", and cuts off fractions of a byte.
 func (s *Size) UnmarshalText(text []byte) error {
-	for _, u := range sizes {
+	for _, u := range sizeUnits {
 		number, ok := strings.CutSuffix(string(text), u.name)
 		if !ok {
 			continue
 		}
-		v, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
-		if bytes := v * float64(u.of); err == nil && bytes >= 0 && bytes < math.MaxInt64 {
+		value, err := strconv.ParseFloat(strings.TrimSpace(number), 64)
+		if bytes := value * float64(u.bytes); err == nil && bytes >= 0 && bytes < math.MaxInt64 {
 			*s = Size(bytes)
 			return nil
 		}
