--- a/cmd/orchiddrift/config.go
+++ b/cmd/orchiddrift/config.go
@@ -16,6 +16,7 @@
 
 type configExampleCmd struct{}
 
+// Run is called by kong.
 func (configExampleCmd) Run() error { return config.Example(os.Stdout) }
 
 type configShowCmd struct {
@@ -23,6 +24,7 @@
 	Beside string `name:"platform" type:"path" help:"The platform's file that it stands beside."`
 }
 
+// Run is called by kong.
 func (c configShowCmd) Run() error {
 	files := config.Sources{Config: c.File}
 	if c.Beside != "" {
--- a/cmd/orchiddrift/demo.go
+++ b/cmd/orchiddrift/demo.go
@@ -21,6 +21,7 @@
 	Plain bool          `help:"Lines instead of a live table, as where there is no terminal."`
 }
 
+// Run is called by kong.
 func (d demoCmd) Run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/cmd/orchiddrift/lab.go
+++ b/cmd/orchiddrift/lab.go
@@ -28,7 +28,8 @@
 	Limit time.Duration `default:"10m" help:"For one run."`
 }
 
-// Run is kong's.
+// Run is called by kong.
+// Run is called by kong.
 func (c *labRunCmd) Run() error {
 	e, err := experiment.LoadFile(c.File)
 	if err != nil {
@@ -44,24 +45,24 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	n := experiment.Runner{Cores: cores, Limit: c.Limit, Version: version, Told: func(done, all int, l experiment.Line) {
-		word := l.Error
+	runner := experiment.Runner{Cores: cores, Limit: c.Limit, Version: version, Told: func(done, all int, l experiment.Line) {
+		outcome := l.Error
 		if l.Result != nil {
-			word = fmt.Sprintf("%d of %d served, p99 %v", l.Result.Done, l.Result.Operations, l.Result.P99.Round(100*time.Microsecond))
+			outcome = fmt.Sprintf("%d of %d served, p99 %v", l.Result.Done, l.Result.Operations, l.Result.P99.Round(100*time.Microsecond))
 		}
-		fmt.Fprintf(os.Stderr, "%d/%d  %s, seed %d: %s\n", done, all, l.Policy, l.Seed, word)
+		fmt.Fprintf(os.Stderr, "%d/%d  %s, seed %d: %s\n", done, all, l.Policy, l.Seed, outcome)
 	}}
-	if err := n.Run(ctx, e, path); err != nil {
+	if err := runner.Run(ctx, e, path); err != nil {
 		if errors.Is(err, context.Canceled) {
 			return fmt.Errorf("stopped; the same command goes on from what %s has", path)
 		}
 		return err
 	}
-	return report(path)
+	return printReport(path)
 }
 
-// report prints a file's table; what no run may have is an error.
-func report(path string) error {
+// printReport prints the table of a file of results. Runs that failed or broke a rule are an error.
+func printReport(path string) error {
 	head, lines, err := experiment.Read(path)
 	if err != nil {
 		return err
@@ -79,11 +80,12 @@
 	Results []string `arg:"" type:"existingfile" help:"Files of results."`
 }
 
-// Run is kong's.
+// Run is called by kong.
+// Run is called by kong.
 func (c *labReportCmd) Run() error {
 	var all error
 	for _, path := range c.Results {
-		all = errors.Join(all, report(path))
+		all = errors.Join(all, printReport(path))
 	}
 	return all
 }
@@ -94,7 +96,8 @@
 	Worse  float64 `default:"0.05" help:"The part by which a figure of ours may be worse."`
 }
 
-// Run is kong's.
+// Run is called by kong.
+// Run is called by kong.
 func (c *labCompareCmd) Run() error {
 	a, before, err := experiment.Read(c.Before)
 	if err != nil {
@@ -107,23 +110,23 @@
 	if a.Hash != b.Hash {
 		return fmt.Errorf("%s and %s are of different experiments", c.Before, c.After)
 	}
-	bad := 0
-	all := experiment.Compare(before, after, a.Policies)
-	for _, d := range all {
-		word := "better"
+	tooMuchWorse := 0
+	differences := experiment.Compare(before, after, a.Policies)
+	for _, d := range differences {
+		verdict := "better"
 		if d.Worse > 0 {
-			word = "worse"
+			verdict = "worse"
 		}
 		if d.Policy == experiment.Ours && d.Worse > c.Worse {
-			bad, word = bad+1, "TOO MUCH WORSE"
+			tooMuchWorse, verdict = tooMuchWorse+1, "TOO MUCH WORSE"
 		}
-		fmt.Printf("%s, %s: %.4g, %.4g before (by %.4g to %.4g): %s\n", d.Policy, d.Figure, d.After, d.Before, d.Low, d.High, word)
+		fmt.Printf("%s, %s: %.4g, %.4g before (by %.4g to %.4g): %s\n", d.Policy, d.Figure, d.After, d.Before, d.Low, d.High, verdict)
 	}
-	if len(all) == 0 {
+	if len(differences) == 0 {
 		fmt.Println("nothing differs beyond chance")
 	}
-	if bad > 0 {
-		return fmt.Errorf("%d figures of %s are worse by more than %g", bad, experiment.Ours, c.Worse)
+	if tooMuchWorse > 0 {
+		return fmt.Errorf("%d figures of %s are worse by more than %g", tooMuchWorse, experiment.Ours, c.Worse)
 	}
 	return nil
 }
--- a/cmd/orchiddrift/load.go
+++ b/cmd/orchiddrift/load.go
@@ -32,7 +32,7 @@
 	Quiet       bool          `help:"No progress."`
 }
 
-// Help is kong's.
+// Help is called by kong.
 func (loadCmd) Help() string {
 	return `Sends requests at a rate, whatever becomes of them. Latency counts from when a request was to be sent, so that what waits behind a server
 that stands still is counted too. The end says whether the server, the connections or this tool was the limit.
@@ -94,7 +94,8 @@
 	return nil
 }
 
-// Run is kong's.
+// Run is called by kong.
+// Run is called by kong.
 func (c *loadCmd) Run() error {
 	o, err := c.options()
 	if err != nil {
--- a/cmd/orchiddrift/main.go
+++ b/cmd/orchiddrift/main.go
@@ -1,5 +1,5 @@
-// Command orchiddrift balances a client's requests over upstreams. Without an argument it is the sidecar daemon;
-// "orchiddrift --help" lists what else it does.
+// Command orchiddrift balances a client's requests over upstreams. Without an argument it runs the sidecar daemon; "orchiddrift --help" lists
+// the other commands. Each command is a file of its own.
 package main
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// cli is the command line. Each command is a file of its own.
+// cli is the command line.
 type cli struct {
 	Serve   serveCmd   `cmd:"" default:"withargs" help:"Run the sidecar daemon, as the configuration tells (the default)."`
 	Check   checkCmd   `cmd:"" help:"Say whether a configuration can be used, and all that is wrong with it."`
--- a/cmd/orchiddrift/serve.go
+++ b/cmd/orchiddrift/serve.go
@@ -17,12 +17,12 @@
 	Control string `env:"GW_CONTROL" placeholder:"ADDRESS" help:"Where operators call, where no file says so."`
 }
 
+// Run is called by kong.
 func (s serveCmd) Run() error {
-	// Signals are ours to the process's end: one that comes as the daemon has just ended would else end the process by itself, as if it
-	// had crashed.
+	// stop is not called: a signal that arrives after the daemon has ended must not end the process as if it had crashed.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	_ = stop
-	reload := make(chan os.Signal, 1) // one that waits stands for all: the file is read after it
+	reload := make(chan os.Signal, 1) // one pending signal stands for all: the file is read after it
 	signal.Notify(reload, syscall.SIGHUP)
 	return daemon.Run(ctx, config.Sources{Config: s.Config, Beside: s.Beside, Control: s.Control}, reload)
 }
--- a/cmd/orchiddrift/version.go
+++ b/cmd/orchiddrift/version.go
@@ -6,17 +6,21 @@
 	"runtime/debug"
 )
 
-// version is the release that CHANGELOG.md tells of.
+// version is the release that CHANGELOG.md describes.
 const version = "0.2.0-dev"
 
+// commitDigits is how much of the commit's hash is printed.
+const commitDigits = 12
+
 type versionCmd struct{}
 
+// Run is called by kong.
 func (versionCmd) Run() error {
 	commit := ""
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" && len(s.Value) >= 12 {
-				commit = " " + s.Value[:12]
+			if s.Key == "vcs.revision" && len(s.Value) >= commitDigits {
+				commit = " " + s.Value[:commitDigits]
 			}
 		}
 	}
