--- a/cmd/orchiddrift/check_test.go
+++ b/cmd/orchiddrift/check_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Guards against a check that stops at the first mistake, or that finds fault where the daemon finds none.
+// The check reports every mistake, and none where the daemon finds none.
 func TestCheck(t *testing.T) {
 	look := func(text string) (string, error) {
 		t.Helper()
--- a/cmd/orchiddrift/main_test.go
+++ b/cmd/orchiddrift/main_test.go
@@ -28,8 +28,7 @@
 const settings = `{"Discovery":"ask","TickMs":5,"Classes":[{"Name":"search","Semantics":"retryable",
 	"AimMs":1000,"DeadlineMs":2000}]}`
 
-// Guards against a planned restart that looks like a crash: SIGTERM ends the program with 0. Its address is free
-// again at once.
+// SIGTERM ends the program with 0, so that a planned restart does not look like a crash, and its address is free at once.
 func TestTermEndsWithZero(t *testing.T) {
 	address := base.FreeAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -70,7 +69,7 @@
 	}
 }
 
-// Guards against a start that fails without saying why, or seems to succeed.
+// A start with a malformed configuration fails with one line that says why.
 func TestMalformedConfigIsOneLineAndNonZero(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(bad, []byte(`{"name":"n1","listen":"nowhere"}`), 0o600); err != nil {
--- a/cmd/orchiddrift/newcomer_test.go
+++ b/cmd/orchiddrift/newcomer_test.go
@@ -17,37 +17,18 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Guards against a README that does not work: its operator's file, but for the ports, which are free ones here, balances
-// over three servers that know nothing of this program.
+// The operator's file of the README, but for its ports, balances over three servers that know nothing of this program, and a reload of it
+// with a bad file changes nothing.
 func TestNewcomersFile(t *testing.T) {
-	readme, err := os.ReadFile("../../README.md")
-	if err != nil {
-		t.Fatal(err)
-	}
-	m := regexp.MustCompile("(?s)```toml\n(.*?)```").FindSubmatch(readme)
-	if m == nil {
-		t.Fatal("the README shows no operator's file")
-	}
-	text := string(m[1])
-	if n := strings.Count(text, "\n"); n > 15 {
-		t.Errorf("%d lines, 15 at most", n)
-	}
-	address := base.FreeAddress(t)
-	text = strings.ReplaceAll(text, "127.0.0.1:8080", address)
-	for i := range 3 {
-		name := fmt.Sprint("server ", i)
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, name) }))
-		defer s.Close()
-		port := fmt.Sprintf("127.0.0.1:900%d", i+1)
-		if !strings.Contains(text, port) {
-			t.Fatalf("no server at %s in\n%s", port, text)
-		}
-		text = strings.ReplaceAll(text, port, s.Listener.Addr().String())
-	}
+	text, address := newcomersFile(t)
 	path := filepath.Join(t.TempDir(), "web.toml")
-	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
+	write := func(text string) {
+		t.Helper()
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
 	}
+	write(text)
 	cmd := exec.Command(os.Args[0], "--config", path)
 	cmd.Env = append(os.Environ(), "ORCHIDDRIFT_MAIN=1", "GW_CONFIG=", "ORCHIDDRIFT_FILE=")
 	cmd.Stderr = os.Stderr
@@ -55,41 +36,21 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = cmd.Process.Kill() }() // only if the test ends early
-	answers := func(want func(seen map[string]int) bool) {
-		t.Helper()
-		seen := map[string]int{}
-		for end := time.Now().Add(20 * time.Second); !want(seen); {
-			resp, err := http.Get("http://" + address + "/any/path?q=1")
-			if err == nil {
-				body, _ := io.ReadAll(resp.Body)
-				resp.Body.Close()
-				if resp.StatusCode != http.StatusOK {
-					t.Errorf("%s: %s", resp.Status, body)
-				}
-				seen[string(body)]++
-			}
-			if time.Now().After(end) {
-				t.Fatalf("%v, %v", seen, err)
-			}
-		}
-	}
-	answers(func(seen map[string]int) bool { return len(seen) == 3 })
-	// SIGHUP with a bad file changes nothing; with another list, that one is taken.
-	other := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "another") }))
+	allThree := func(seen map[string]int) bool { return len(seen) == 3 }
+	awaitAnswers(t, address, allThree)
+	other := httptest.NewServer(answerWith("another"))
 	defer other.Close()
 	moved := regexp.MustCompile(`addresses = \[[^\]]*\]`).ReplaceAllString(text, fmt.Sprintf("addresses = [%q]", other.Listener.Addr()))
 	for _, text := range []string{"[[", moved} {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		write(text)
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 		if text != moved {
-			answers(func(seen map[string]int) bool { return len(seen) == 3 })
+			awaitAnswers(t, address, allThree)
 		}
 	}
-	answers(func(seen map[string]int) bool { return seen["another"] > 0 })
+	awaitAnswers(t, address, func(seen map[string]int) bool { return seen["another"] > 0 })
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -97,3 +58,56 @@
 		t.Errorf("SIGTERM ended it with %v", err)
 	}
 }
+
+// newcomersFile returns the README's operator's file with the addresses of servers that run, and the address where it listens.
+func newcomersFile(t *testing.T) (text, address string) {
+	t.Helper()
+	readme, err := os.ReadFile("../../README.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := regexp.MustCompile("(?s)```toml\n(.*?)```").FindSubmatch(readme)
+	if m == nil {
+		t.Fatal("the README shows no operator's file")
+	}
+	text = string(m[1])
+	if n := strings.Count(text, "\n"); n > 15 {
+		t.Errorf("%d lines, 15 at most", n)
+	}
+	address = base.FreeAddress(t)
+	text = strings.ReplaceAll(text, "127.0.0.1:8080", address)
+	for i := range 3 {
+		s := httptest.NewServer(answerWith(fmt.Sprint("server ", i)))
+		t.Cleanup(s.Close)
+		port := fmt.Sprintf("127.0.0.1:900%d", i+1)
+		if !strings.Contains(text, port) {
+			t.Fatalf("no server at %s in\n%s", port, text)
+		}
+		text = strings.ReplaceAll(text, port, s.Listener.Addr().String())
+	}
+	return text, address
+}
+
+func answerWith(body string) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) })
+}
+
+// awaitAnswers sends requests until the answers seen, counted by body, are those wanted. Each must have the status 200.
+func awaitAnswers(t *testing.T, address string, wanted func(seen map[string]int) bool) {
+	t.Helper()
+	seen := map[string]int{}
+	for end := time.Now().Add(20 * time.Second); !wanted(seen); {
+		resp, err := http.Get("http://" + address + "/any/path?q=1")
+		if err == nil {
+			body, _ := io.ReadAll(resp.Body)
+			resp.Body.Close()
+			if resp.StatusCode != http.StatusOK {
+				t.Errorf("%s: %s", resp.Status, body)
+			}
+			seen[string(body)]++
+		}
+		if time.Now().After(end) {
+			t.Fatalf("%v, %v", seen, err)
+		}
+	}
+}
--- a/internal/graphql/answer.go
+++ b/internal/graphql/answer.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Classification is what a node's answer is for the balancer.
+// Classification is what an upstream's answer means to the balancer.
 type Classification int
 
-// The verdicts.
+// The classifications.
 const (
-	Served         Classification = iota // the client's answer, errors of its own mistakes included
-	UpstreamFailed                       // the node has failed; the operation may have run
-	NotExecuted                          // the node says that it has not run it
-	Malformed                            // no GraphQL answer; it may have run
+	Served         Classification = iota // an answer for the client, errors of its own mistakes included
+	UpstreamFailed                       // the upstream has failed; the operation may have run
+	NotExecuted                          // the upstream says that it has not run the operation
+	Malformed                            // no GraphQL answer; the operation may have run
 )
 
 // Classify says what an answer is that came with a status which the service takes for an answer.
@@ -50,7 +50,7 @@
 	return Served
 }
 
-// IsAnswer tells whether a body is a GraphQL answer, so that it may stand in a batch's array.
+// IsAnswer reports whether a body is a GraphQL answer, so that it may be an item of a batch's answer.
 func IsAnswer(body []byte) bool {
 	_, ok := readAnswer(body)
 	return ok
@@ -71,7 +71,7 @@
 	if r.PeekKind() != '{' {
 		return a, false
 	}
-	_, _ = r.ReadToken() // it has been seen
+	_, _ = r.ReadToken() // peeked above
 	var scratch [16]byte
 	data, errors := false, false
 	for {
@@ -94,7 +94,7 @@
 				return a, false
 			}
 			errors = true
-			_, _ = r.ReadToken() // it has been seen
+			_, _ = r.ReadToken() // peeked above
 			for r.PeekKind() == '{' {
 				code, good := readError(r)
 				if !good {
--- a/internal/graphql/batch.go
+++ b/internal/graphql/batch.go
@@ -1,13 +1,15 @@
 package graphql
 
-// EntryOutcome is how an entry of a batch has ended.
+import "net/http"
+
+// EntryOutcome is how an entry of a batch ended.
 type EntryOutcome int
 
-// The ends.
+// The outcomes.
 const (
-	Answered   EntryOutcome = iota // a node's answer stands for it, errors or not
-	NotRun                         // refused, or turned down: nothing of it has run
-	MayHaveRun                     // no answer: it may have run, or may yet
+	Answered   EntryOutcome = iota // an upstream answered, with errors or without
+	NotRun                         // rejected: nothing of it has run
+	MayHaveRun                     // no answer: it may have run, or may still run
 )
 
 // Batch says which entries of a batch are to be sent, and when. It is a state machine without clock: Next after the start
@@ -78,7 +80,7 @@
 	return send, drop
 }
 
-// Done tells that an entry that was sent has ended.
+// Done records the outcome of an entry that was sent. Later calls for the same entry have no effect.
 func (b *Batch) Done(i int, end EntryOutcome) {
 	if b.state[i] != sent {
 		return
@@ -90,7 +92,7 @@
 	b.finish(i, end == Answered)
 }
 
-// Finished tells whether every entry has ended.
+// Finished reports whether every entry has ended.
 func (b *Batch) Finished() bool { return b.unfinished == 0 }
 
 // BatchStatus is the HTTP status of a batch's answer by its entries' ends: 200 where one of them has an answer or failed by its own
@@ -99,12 +101,12 @@
 	uncertain := false
 	for i, e := range ends {
 		if problems[i] != nil || e == Answered {
-			return 200
+			return http.StatusOK
 		}
 		uncertain = uncertain || e == MayHaveRun
 	}
 	if uncertain {
-		return 502
+		return http.StatusBadGateway
 	}
-	return 503
+	return http.StatusServiceUnavailable
 }
--- a/internal/graphql/decide.go
+++ b/internal/graphql/decide.go
@@ -28,8 +28,8 @@
 
 type valueOf = map[string]jsontext.Value
 
-// Decide says what an operation is, or why it is not taken. get: it was asked for by GET, which is for queries. header is the
-// request's, for keys that stand there; nil: an entry of a batch, whose header says nothing of it alone.
+// Decide returns what an operation is, or why it is rejected. get says that the request's method is GET, which is for queries only. header
+// is the request's, for keys in it; nil for an entry of a batch, since a header is of the batch.
 func (e *Endpoint) Decide(p *Params, get bool, header http.Header) (Decision, *Problem) {
 	text, trusted, bad := e.resolveText(p)
 	if bad != nil {
@@ -126,7 +126,7 @@
 	return c, key
 }
 
-// RecordDuration tells how long an operation that was answered took.
+// RecordDuration records how long an operation that was answered took.
 func (e *Endpoint) RecordDuration(d *Decision, took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -46,7 +46,7 @@
 	args ast.ArgumentList
 }
 
-// maxReportedProblems is how many mistakes of a document are told.
+// maxReportedProblems is how many mistakes of a document are reported at most.
 const maxReportedProblems = 3
 
 // parse parses a text, checks it against the limits and validates it. The limits bound the cost: tokens are counted while the text is read;
@@ -184,7 +184,7 @@
 	}
 }
 
-// dependsOnVariables tells whether some size depends on a variable.
+// dependsOnVariables reports whether the size of a list depends on a variable.
 func dependsOnVariables(nodes []*costNode, seen map[*costNode]bool) bool {
 	for _, n := range nodes {
 		if n.spread != nil {
--- a/internal/graphql/endpoint.go
+++ b/internal/graphql/endpoint.go
@@ -204,7 +204,7 @@
 	return [...]string{"safe", "keyed", "unsafe"}[e]
 }
 
-// String tells in a line how operations are told apart.
+// String returns in one line how operations are classified.
 func (e *Endpoint) String() string {
 	text := fmt.Sprintf("GraphQL: queries %s, mutations %s", e.classes[Query].Name, e.classes[Mutation].Name)
 	if n := len(e.fieldRules); n > 0 {
--- a/internal/graphql/media.go
+++ b/internal/graphql/media.go
@@ -52,7 +52,7 @@
 	return MediaResponse, true
 }
 
-// IsJSON tells whether a Content-Type is application/json in UTF-8.
+// IsJSON reports whether a Content-Type is application/json in UTF-8.
 func IsJSON(contentType string) bool {
 	name, params, _ := strings.Cut(contentType, ";")
 	if !strings.EqualFold(strings.TrimSpace(name), MediaJSON) {
--- a/internal/graphql/reader.go
+++ b/internal/graphql/reader.go
@@ -23,7 +23,7 @@
 	return r
 }
 
-// release gives it back; what it has read stays good, as part of its text.
+// release returns the reader to the pool. Values that it has read stay valid: they are parts of the text.
 func (r *reader) release() {
 	r.source = bytes.Buffer{}
 	readers.Put(r)
@@ -42,7 +42,7 @@
 	return name, err == nil
 }
 
-// atEnd tells whether nothing but blanks is left of a text.
+// atEnd reports whether nothing but blanks is left of a text.
 func (r *reader) atEnd(text []byte) bool {
 	return len(bytes.TrimLeft(text[r.InputOffset():], " \t\r\n")) == 0
 }
@@ -50,7 +50,7 @@
 // maxNesting is how deep a request's JSON may nest.
 const maxNesting = 100
 
-// nestsTooDeep tells whether a text nests deeper than maxNesting, whatever else may be wrong with it.
+// nestsTooDeep reports whether a text nests deeper than maxNesting, whatever else may be wrong with it.
 func nestsTooDeep(text []byte) bool {
 	depth, quoted := 0, false
 	for i := 0; i < len(text); i++ {
--- a/internal/graphql/request.go
+++ b/internal/graphql/request.go
@@ -152,7 +152,7 @@
 	return Request{Params: []Params{p}, Problems: []*Problem{nil}}, nil
 }
 
-// HasNoParameters tells whether a POST's URL is without parameters that some nodes read before the body.
+// HasNoParameters reports whether a POST's URL has none of the parameters that some upstreams read in preference to the body.
 func HasNoParameters(raw string) bool {
 	values, err := url.ParseQuery(raw)
 	if err != nil {
