--- a/internal/fakes/ca.go
+++ b/internal/fakes/ca.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// CA is a stand-in for an authority that issues certificates.
+// CA is a fake certificate authority.
 type CA struct {
 	PEM  []byte // its own certificate
 	cert *x509.Certificate
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -15,7 +15,7 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// Discovery is a stand-in for the platform's discovery: it keeps a list and serves it, whole and as watches. Entries
+// Discovery is a fake of the platform's discovery service: it keeps a list and serves polls and watches. Entries
 // can be set, drained and removed; the service can fall silent, break its watches, go down and move.
 type Discovery struct {
 	Heartbeat time.Duration // an empty line so often while nothing changes; absent: 200 ms. Set before Listen.
@@ -24,8 +24,8 @@
 	Rate    float64
 	Timeout time.Duration
 	Indent  bool // lists are written on many lines. Set before Listen
-	// Wrote is told of each message with entries or a version once it is written: at which address of the stand-in, and which version its
-	// reader knows then. It must not call the stand-in. Set before Listen.
+	// Wrote is called after each message with entries or a version was written, with the address that served it and the version that
+	// its reader has then. It must not call the Discovery. Set before Listen.
 	Wrote func(address string, version int64)
 
 	mu             sync.Mutex
@@ -41,7 +41,7 @@
 	rejections     int       // of the calls at each address, how many are turned away from now on
 	rejectionsLeft map[string]int
 	calls          []time.Time
-	current        int // watches that have been told all
+	current        int // watches that are up to date
 	srv            *http.Server
 	joined         map[string]*http.Server // at further addresses
 	address        string
@@ -198,7 +198,7 @@
 	return slices.Clone(d.calls)
 }
 
-// Current is how many watches have been told all that there is.
+// Current is the number of watches that are up to date.
 func (d *Discovery) Current() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -248,14 +248,14 @@
 	return d.index
 }
 
-// List is the whole list, as a configuration's known list.
+// List is the full list, as a configuration's known list.
 func (d *Discovery) List() *endpoints.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.since(-1)
 }
 
-// since is what changed after a version; below 0 the whole list. The caller holds mu.
+// since is what changed after a version; below 0 the full list. The caller holds mu.
 func (d *Discovery) since(from int64) *endpoints.List {
 	index := d.index
 	l := &endpoints.List{Index: &index, Snapshot: from < 0, Endpoints: []endpoints.Endpoint{}}
--- a/internal/fakes/eureka.go
+++ b/internal/fakes/eureka.go
@@ -47,7 +47,7 @@
 	fault         func(path string) EurekaFault
 	calls         map[string]int
 	firstNotified map[int]time.Time // by version: when the first answer that has it began to be written
-	lastNotified  int               // version told last
+	lastNotified  int               // the last version sent to a client
 }
 
 // EurekaInstance is one registration.
@@ -265,7 +265,7 @@
 	return e.version
 }
 
-// FirstNotified is when a client was first told of a version, or a later one: right before the answer's first byte; zero: not yet.
+// FirstNotified is the time right before the first byte of the first answer with a version or a later one; zero: there was none.
 func (e *Eureka) FirstNotified(version int) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fakes/flipper.go
+++ b/internal/fakes/flipper.go
@@ -8,16 +8,16 @@
 )
 
 // Flipper flips instances of a registry between up and out of service at random, and holds what reaches them against what
-// the registry's clients had been told by then.
+// the registry's clients had been notified of by then.
 type Flipper struct {
 	Eureka *Eureka
 	App    string
-	Within time.Duration // nothing new may come later than this after a client was told
+	Within time.Duration // nothing new may come later than this after a client was notified
 
 	mu    sync.Mutex
 	nodes map[string]*flipped
 	late  []time.Duration // of each flip that anything came after: from the flip to the last that came
-	wrong []time.Duration // from when a client was told to what came later than Within
+	wrong []time.Duration // from the notification of a client to what came later than Within
 	flips int
 }
 
@@ -75,8 +75,8 @@
 		return
 	}
 	n.last = time.Since(n.at)
-	if told := f.Eureka.FirstNotified(n.version); !told.IsZero() && time.Since(told) > f.Within {
-		f.wrong = append(f.wrong, time.Since(told))
+	if notified := f.Eureka.FirstNotified(n.version); !notified.IsZero() && time.Since(notified) > f.Within {
+		f.wrong = append(f.wrong, time.Since(notified))
 	}
 }
 
--- a/internal/fakes/graphql.go
+++ b/internal/fakes/graphql.go
@@ -11,7 +11,7 @@
 	"github.com/vektah/gqlparser/v2/parser"
 )
 
-// Codes of a stand-in GraphQL node's errors.
+// Codes of errors of a fake GraphQL node.
 const (
 	GraphQLUnrun  = "OVERLOADED"          // it has not run
 	GraphQLFailed = "SERVICE_UNAVAILABLE" // it has failed
--- a/internal/fakes/grpc.go
+++ b/internal/fakes/grpc.go
@@ -16,7 +16,7 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Metadata keys by which a client tells a node what its answer is to be. Only stand-ins use them.
+// Metadata keys by which a client tells a node what its answer is to be. Only fakes use them.
 const (
 	MessagesKey = "x-messages" // a server stream of so many messages
 	GapKey      = "x-gap-us"   // and so long between two of them, in microseconds
@@ -27,7 +27,7 @@
 
 // ListenGRPC makes the node serve gRPC over HTTP/2 without TLS at address, and returns where. It is written on the
 // frames, not with a server library: only so can a test say when a stream is refused, and what the wire proves.
-// Method paths are /service/Method; the class of a Job is the whole path without its first slash.
+// Method paths are /service/Method; the class of a Job is the path without its first slash.
 func (n *Node) ListenGRPC(address string) (string, error) { return n.listen(address, n.serveGRPC) }
 
 // ServeGRPC is ListenGRPC on a listener at hand, which need not be a socket's.
@@ -78,11 +78,11 @@
 	h.room = sync.NewCond(&h.mu)
 	h.encoder = hpack.NewEncoder(&h.head)
 	h.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	told := []http2.Setting{{ID: http2.SettingInitialWindowSize, Val: 1 << 20}}
+	settings := []http2.Setting{{ID: http2.SettingInitialWindowSize, Val: 1 << 20}}
 	if n.options.MaxConcurrentStreams > 0 {
-		told = append(told, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(n.options.MaxConcurrentStreams)})
+		settings = append(settings, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: uint32(n.options.MaxConcurrentStreams)})
 	}
-	h.write(func() error { return h.framer.WriteSettings(told...) })
+	h.write(func() error { return h.framer.WriteSettings(settings...) })
 	h.write(func() error { return h.framer.WriteWindowUpdate(0, 1<<20) })
 	var serving sync.WaitGroup
 	for h.read(&serving) == nil {
--- a/internal/fakes/http1.go
+++ b/internal/fakes/http1.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// OperationHeader names the client's operation to a node, as a metadata key too. Only stand-ins use it.
+// OperationHeader names the client's operation to a node, as a metadata key too. Only fakes use it.
 const OperationHeader = "X-Operation"
 
 // ListenHTTP makes the node serve the platform's HTTP/1.1 at address ("127.0.0.1:0": a free port), and returns where.
--- a/internal/fakes/ledger.go
+++ b/internal/fakes/ledger.go
@@ -34,7 +34,7 @@
 
 // NodeCount is what one node saw.
 type NodeCount struct {
-	Arrived        int           // requests that came whole, whatever became of them
+	Arrived        int           // complete requests, whatever their result
 	Executed       int           // executions that began
 	Rejected       int           // proved not to have run
 	Faults         int           // requests that a scripted fault struck; Slow and Freeze strike nobody in particular
--- a/internal/fakes/node.go
+++ b/internal/fakes/node.go
@@ -10,37 +10,37 @@
 	"time"
 )
 
-// NodeOptions are a node's parameters. What is absent (zero) is harmless: instant work, no limit, warm, no fault.
+// NodeOptions are a node's parameters. The zero value is a warm node without service time, limits and faults.
 type NodeOptions struct {
 	Name, Zone, Type string
 	Group            int
 	TLS              *tls.Config // absent: connections are not encrypted
 
-	Cores              int           // requests worked on at once; absent: 1
-	ServiceRate        float64       // absent: 1, the yardstick
-	MaxQueue           int           // requests that wait beside them; absent: 1000
-	DefaultServiceTime time.Duration // of a request that brings no cost
+	Cores              int           // requests served at the same time; 0: 1
+	ServiceRate        float64       // service times are divided by it; 0: 1
+	MaxQueue           int           // requests that wait for a core; 0: 1000
+	DefaultServiceTime time.Duration // of a request without a cost
 
-	Started              time.Time     // of a cold start; zero: long ago
-	SlowStartMinCapacity float64       // share of its capacity at the start
-	SlowStartWindow      time.Duration // and full after this
-	OverloadMultiple     float64       // sent more than this many times what it can do at that moment
-	OverloadWindow       time.Duration // for this long, it falls over for good
+	Started              time.Time     // begin of slow start; zero: it is warm
+	SlowStartMinCapacity float64       // fraction of its capacity at the start
+	SlowStartWindow      time.Duration // until full capacity
+	OverloadMultiple     float64       // it stops for good when it receives more than this many times its present capacity
+	OverloadWindow       time.Duration // over this window
 
-	Keys                 *IdempotencyKeys // where repeats of a key are found; the nodes of a group share one. Absent: none are
+	Keys                 *IdempotencyKeys // shared by the nodes of a deduplication group; nil: none
 	Faults               []Fault
 	Seed                 uint64
-	Ledger               *Ledger            // absent: one of its own
-	Answer               func(j Job) []byte // the body; absent: the node's name
-	LoadReports          bool               // gRPC: tell utilization and rate with each answer, as ORCA load reports
-	MaxConcurrentStreams int                // gRPC: streams that a connection may have open at once, MAX_CONCURRENT_STREAMS; absent: not told
+	Ledger               *Ledger            // nil: one of its own
+	Answer               func(j Job) []byte // the body; nil: the node's name
+	LoadReports          bool               // gRPC: send an ORCA load report with each answer
+	MaxConcurrentStreams int                // gRPC: SETTINGS_MAX_CONCURRENT_STREAMS; 0: not sent
 }
 
 // Job is a request as a node's core sees it.
 type Job struct {
 	ID, Class, Key string
-	Op             string        // the client's operation, the same over its own tries; empty: ID
-	Work           time.Duration // on a yardstick core; 0: the node's
+	Op             string        // the client's operation, the same for all its retries; empty: ID
+	Work           time.Duration // service time at ServiceRate 1; 0: the node's default
 	Payload        []byte
 }
 
@@ -74,7 +74,7 @@
 	abandoned // the client has left
 )
 
-// Node is a stand-in server. It is safe for concurrent use.
+// Node is a fake upstream. It is safe for concurrent use.
 type Node struct {
 	options   NodeOptions
 	createdAt time.Time
@@ -131,7 +131,7 @@
 // Ledger is where the node writes.
 func (n *Node) Ledger() *Ledger { return n.options.Ledger }
 
-// Drain makes it turn away what comes from now on. It finishes what it has.
+// Drain makes the node reject new requests. It finishes those in flight.
 func (n *Node) Drain() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -160,7 +160,7 @@
 	n.wg.Wait()
 }
 
-// Down tells whether it was killed or fell over.
+// Down reports whether the node was killed or stopped from overload.
 func (n *Node) Down() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -182,7 +182,7 @@
 	return fmt.Appendf(nil, "TEXT inflight=%d, queue=%d", n.inFlight, max(0, n.inFlight-n.options.Cores))
 }
 
-// Capacity is the share of its capacity that it has now.
+// Capacity is the present fraction of full capacity.
 func (n *Node) Capacity() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -197,8 +197,8 @@
 	return min(1, n.options.SlowStartMinCapacity+(1-n.options.SlowStartMinCapacity)*max(0, age))
 }
 
-// serve is the core: it decides what becomes of a request that came whole, works on it, and says how to answer.
-// Work stops when ctx ends.
+// serve handles a complete request, whatever its transport: it waits for a core and for the service time, and returns how the
+// transport has to respond. It stops when ctx ends.
 func (n *Node) serve(ctx context.Context, j Job) response {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -206,42 +206,18 @@
 	if j.Work == 0 {
 		j.Work = n.options.DefaultServiceTime
 	}
-	if fell := n.recordArrival(j); fell {
+	if overloaded := n.recordArrival(j); overloaded {
 		return response{kind: resetConnection}
 	}
-	for _, f := range []struct {
-		kind FaultKind
-		then responseKind
-	}{{RefuseStream, refuseStream}, {GoAway, goAway}, {Reject, rejected}, {ErrorNotExecuted, errorNotExecuted}, {FailNotExecuted, serverError},
-		{ResetBefore, resetConnection}, {Hang, noAnswer}} {
-		if _, hit := n.activeFault(f.kind, j.Class); hit {
-			n.options.Ledger.count(n.options.Name, func(c *NodeCount) { c.Faults++ })
-			if f.then == rejected || f.then == refuseStream || f.then == goAway || f.then == errorNotExecuted {
-				n.options.Ledger.count(n.options.Name, func(c *NodeCount) { c.Rejected++ })
-			}
-			if f.then == noAnswer {
-				<-ctx.Done()
-			}
-			return response{kind: f.then}
+	if r, hit := n.faultResponse(j, faultsBeforeExecution, nil); hit {
+		if r.kind == rejected || r.kind == refuseStream || r.kind == goAway || r.kind == errorNotExecuted {
+			n.options.Ledger.count(n.options.Name, func(c *NodeCount) { c.Rejected++ })
 		}
+		return respond(ctx, r)
 	}
-	n.mu.Lock()
-	full := !n.drainedAt.IsZero() || n.inFlight >= n.options.Cores+n.options.MaxQueue
-	kept, repeat := n.options.Keys.recall(j.Key)
-	if !full && !repeat {
-		n.inFlight++
-	}
-	most := n.inFlight
-	n.mu.Unlock()
-	switch {
-	case full:
-		n.options.Ledger.count(n.options.Name, func(c *NodeCount) { c.Rejected++ })
-		return response{kind: rejected}
-	case repeat:
-		n.options.Ledger.count(n.options.Name, func(c *NodeCount) { c.StoredAnswers++ })
-		return response{kind: answer, body: kept}
+	if r, admitted := n.admit(j); !admitted {
+		return r
 	}
-	n.options.Ledger.count(n.options.Name, func(c *NodeCount) { c.MaxInFlight = max(c.MaxInFlight, most) })
 	defer func() {
 		n.mu.Lock()
 		n.inFlight--
@@ -257,26 +233,86 @@
 		return response{kind: abandoned}
 	}
 	body := n.execute(j)
-	took := float64(j.Work) / (n.options.ServiceRate * n.Capacity())
+	serviceTime := float64(j.Work) / (n.options.ServiceRate * n.Capacity())
 	if factor, slow := n.activeFault(Slow, j.Class); slow {
-		took *= factor
+		serviceTime *= factor
 	}
-	if sleep(ctx, time.Duration(took)) != nil || n.waitWhileFrozen(ctx) != nil {
+	if sleep(ctx, time.Duration(serviceTime)) != nil || n.waitWhileFrozen(ctx) != nil {
 		return response{kind: abandoned}
 	}
-	for _, f := range []struct {
-		kind FaultKind
-		then responseKind
-	}{{Fail, serverError}, {ErrorExecuted, errorExecuted}, {ResetAfter, resetConnection}, {LoseAnswer, noAnswer}, {Malformed, malformed}, {Truncate, truncated}} {
-		if _, hit := n.activeFault(f.kind, j.Class); hit {
+	if r, hit := n.faultResponse(j, faultsAfterExecution, body); hit {
+		return respond(ctx, r)
+	}
+	return response{answer, body}
+}
+
+// faultEffect is how a node responds while a fault is active.
+type faultEffect struct {
+	fault    FaultKind
+	response responseKind
+}
+
+// Faults in the order in which they are looked for; the first active one decides.
+var (
+	faultsBeforeExecution = []faultEffect{
+		{RefuseStream, refuseStream},
+		{GoAway, goAway},
+		{Reject, rejected},
+		{ErrorNotExecuted, errorNotExecuted},
+		{FailNotExecuted, serverError},
+		{ResetBefore, resetConnection},
+		{Hang, noAnswer},
+	}
+	faultsAfterExecution = []faultEffect{
+		{Fail, serverError},
+		{ErrorExecuted, errorExecuted},
+		{ResetAfter, resetConnection},
+		{LoseAnswer, noAnswer},
+		{Malformed, malformed},
+		{Truncate, truncated},
+	}
+)
+
+// faultResponse returns the response of the first active fault, if there is one, and counts it.
+func (n *Node) faultResponse(j Job, effects []faultEffect, body []byte) (r response, hit bool) {
+	for _, effect := range effects {
+		if _, hit := n.activeFault(effect.fault, j.Class); hit {
 			n.options.Ledger.count(n.options.Name, func(c *NodeCount) { c.Faults++ })
-			if f.then == noAnswer {
-				<-ctx.Done()
-			}
-			return response{f.then, body}
+			return response{effect.response, body}, true
 		}
 	}
-	return response{answer, body}
+	return response{}, false
+}
+
+// respond returns a fault's response; noAnswer only once ctx has ended.
+func respond(ctx context.Context, r response) response {
+	if r.kind == noAnswer {
+		<-ctx.Done()
+	}
+	return r
+}
+
+// admit counts a request as in flight. If the node is full or draining, or has the answer stored under the request's
+// idempotency key, it returns the response instead.
+func (n *Node) admit(j Job) (r response, admitted bool) {
+	n.mu.Lock()
+	full := !n.drainedAt.IsZero() || n.inFlight >= n.options.Cores+n.options.MaxQueue
+	stored, found := n.options.Keys.recall(j.Key)
+	if !full && !found {
+		n.inFlight++
+	}
+	inFlight := n.inFlight
+	n.mu.Unlock()
+	switch {
+	case full:
+		n.options.Ledger.count(n.options.Name, func(c *NodeCount) { c.Rejected++ })
+		return response{kind: rejected}, false
+	case found:
+		n.options.Ledger.count(n.options.Name, func(c *NodeCount) { c.StoredAnswers++ })
+		return response{kind: answer, body: stored}, false
+	}
+	n.options.Ledger.count(n.options.Name, func(c *NodeCount) { c.MaxInFlight = max(c.MaxInFlight, inFlight) })
+	return response{}, true
 }
 
 // execute begins the execution: from here on it counts as run. A key is claimed in the same moment: a repeat that comes
@@ -305,8 +341,8 @@
 			c.LastAfterDrain = max(c.LastAfterDrain, now.Sub(n.drainedAt))
 		}
 	})
-	warmth := n.capacity(now)
-	if warmth >= 1 || n.options.OverloadMultiple <= 0 || n.down {
+	present := n.capacity(now)
+	if present >= 1 || n.options.OverloadMultiple <= 0 || n.down {
 		n.recentArrivals = nil
 		return n.down
 	}
@@ -320,7 +356,7 @@
 		}
 	}
 	n.recentArrivals = append(keep, arrival{now, j.Work})
-	capacity := float64(n.options.Cores) * n.options.ServiceRate * warmth * float64(n.options.OverloadWindow)
+	capacity := float64(n.options.Cores) * n.options.ServiceRate * present * float64(n.options.OverloadWindow)
 	if float64(sum) <= n.options.OverloadMultiple*capacity+2*float64(largest) {
 		return false
 	}
--- a/internal/fakes/raw.go
+++ b/internal/fakes/raw.go
@@ -18,7 +18,7 @@
 	Conn           int // which connection brought it, from 1
 }
 
-// Raw is an HTTP/1.1 upstream that answers each request with whatever bytes a function writes: the stand-in for
+// Raw is an HTTP/1.1 upstream that answers each request with whatever bytes a function writes: the fake of
 // peers that break the protocol. A Node is the one for peers that keep it.
 type Raw struct {
 	Address string
@@ -112,7 +112,7 @@
 	}
 }
 
-// OK200 is the text of a whole answer.
+// OK200 is the text of a complete answer.
 func OK200(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
--- a/internal/fakes/script.go
+++ b/internal/fakes/script.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// ScriptedDiscovery serves whatever lines a script sends: the stand-in for a discovery that breaks the protocol or
+// ScriptedDiscovery serves whatever lines a script sends: the fake of a discovery service that breaks the protocol or
 // says a thing at a stated moment. A Discovery is the one that keeps a list.
 type ScriptedDiscovery struct {
 	Address string
@@ -51,7 +51,7 @@
 	return d, nil
 }
 
-// Calls is the version that each call asked from; empty: the whole list.
+// Calls is the version that each call asked from; empty: the full list.
 func (d *ScriptedDiscovery) Calls() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
