--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -3,12 +3,10 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
 	"maps"
 	"net"
 	"net/http"
 	"slices"
-	"strconv"
 	"sync"
 	"time"
 
@@ -109,12 +107,12 @@
 	}
 }
 
-// Reject has the next n calls at each address answered 503 at once.
+// RejectNext makes the next n calls at each address fail with 503 at once.
 func (d *Discovery) RejectNext(n int) {
 	d.change(func() { d.rejections, d.rejectionsLeft = n, map[string]int{} })
 }
 
-// takeRejection tells whether a call at an address is answered 503 at once.
+// takeRejection reports whether a call at an address is rejected, and counts it against RejectNext.
 func (d *Discovery) takeRejection(address string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -267,7 +265,7 @@
 	return l
 }
 
-// ServeHTTP is the service itself.
+// ServeHTTP answers polls and watches.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/api/targets" {
 		http.NotFound(w, r)
@@ -311,62 +309,7 @@
 		_ = d.write(w, address, d.since(-1))
 		return
 	}
-	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
-	if err != nil || from > d.index {
-		from = -1
-	}
-	breaks := d.breaks
-	beat := time.NewTicker(d.Heartbeat)
-	defer beat.Stop()
-	done := make(chan struct{})
-	defer close(done)
-	beats := 0
-	go func() {
-		for {
-			select {
-			case <-beat.C:
-				d.mu.Lock()
-				beats++
-				d.changed.Broadcast()
-				d.mu.Unlock()
-			case <-done:
-				return
-			}
-		}
-	}()
-	told := false // all that there is
-	tell := func(all bool) {
-		if all != told {
-			told = all
-			if d.current--; all {
-				d.current += 2
-			}
-		}
-	}
-	defer func() { tell(false) }()
-	for first, seen := true, 0; ; first = false {
-		if d.closed || d.down || d.breaks != breaks || r.Context().Err() != nil {
-			return
-		}
-		tell(!first && from == d.index)
-		switch {
-		case d.silent || call <= d.muted:
-		case first || from < d.index:
-			l := d.since(from)
-			from = d.index
-			if d.write(w, address, l) != nil {
-				return
-			}
-			tell(true)
-		case beats > seen:
-			seen = beats
-			if _, err := fmt.Fprintln(w); err != nil {
-				return
-			}
-			_ = http.NewResponseController(w).Flush()
-		}
-		d.changed.Wait()
-	}
+	d.serveWatch(w, r, call, address)
 }
 
 // write sends a message; the caller holds mu, so that Told is never earlier than the write.
--- a/internal/fakes/etcd.go
+++ b/internal/fakes/etcd.go
@@ -127,10 +127,19 @@
 	e.address.Release()
 }
 
-// Keys is how many it holds, and Writes how many there were.
-func (e *Etcd) Keys() int { e.mu.Lock(); defer e.mu.Unlock(); return len(e.kvs) }
+// Keys is the number of keys.
+func (e *Etcd) Keys() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return len(e.kvs)
+}
 
-func (e *Etcd) Writes() int { e.mu.Lock(); defer e.mu.Unlock(); return e.writes }
+// Writes is the number of writes so far.
+func (e *Etcd) Writes() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.writes
+}
 
 // Expire ends all leases of at most ttl, as if their owners had been gone for so long.
 func (e *Etcd) Expire(ttl time.Duration) {
--- a/internal/fakes/eureka.go
+++ b/internal/fakes/eureka.go
@@ -191,6 +191,7 @@
 	}
 }
 
+// get answers a GET from the response cache or anew, with the scripted fault.
 func (e *Eureka) get(w http.ResponseWriter, r *http.Request, path string, part []string) {
 	e.mu.Lock()
 	fault := EurekaFine
@@ -236,12 +237,8 @@
 		w.Header().Set("Content-Type", "application/xml")
 	}
 	if strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
-		var packed bytes.Buffer
-		z := gzip.NewWriter(&packed)
-		_, _ = z.Write(body) // into memory
-		_ = z.Close()
+		body = compressed(body)
 		w.Header().Set("Content-Encoding", "gzip")
-		body = packed.Bytes()
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	e.bytes.Add(int64(len(body)))
@@ -255,6 +252,15 @@
 	_, _ = w.Write(body)
 }
 
+// compressed returns a body in gzip.
+func compressed(body []byte) []byte {
+	var packed bytes.Buffer
+	z := gzip.NewWriter(&packed)
+	_, _ = z.Write(body) // into memory: it cannot fail
+	_ = z.Close()
+	return packed.Bytes()
+}
+
 // Bytes is what the bodies of all answers came to.
 func (e *Eureka) Bytes() int64 { return e.bytes.Load() }
 
