--- a/internal/fakes/etcd_services.go
+++ b/internal/fakes/etcd_services.go
@@ -162,25 +162,7 @@
 	for {
 		e.mu.Lock()
 		changed := e.changed
-		var out []*etcdserverpb.WatchResponse
-		for id, w := range watches {
-			if w.next > 0 && w.next < e.compacted {
-				out = append(out, &etcdserverpb.WatchResponse{Header: e.header(), WatchId: id, Canceled: true, CompactRevision: e.compacted})
-				delete(watches, id)
-				continue
-			}
-			r := &etcdserverpb.WatchResponse{Header: e.header(), WatchId: id}
-			first := sort.Search(len(e.events), func(i int) bool { return e.events[i].Kv.ModRevision >= w.next })
-			for _, event := range e.events[first:] {
-				if inRange(string(event.Kv.Key), w.q.Key, w.q.RangeEnd) && w.wants(event) {
-					r.Events = append(r.Events, event)
-				}
-			}
-			w.next = e.revision + 1
-			if len(r.Events) > 0 {
-				out = append(out, r)
-			}
-		}
+		out := e.pendingResponses(watches)
 		header := e.header()
 		e.mu.Unlock()
 		for _, r := range out {
@@ -212,6 +194,31 @@
 	}
 }
 
+// pendingResponses are the events that watches have not got yet. Watches from a compacted revision are cancelled and deleted. The
+// caller holds mu.
+func (e *Etcd) pendingResponses(watches map[int64]*etcdWatch) []*etcdserverpb.WatchResponse {
+	var out []*etcdserverpb.WatchResponse
+	for id, w := range watches {
+		if w.next > 0 && w.next < e.compacted {
+			out = append(out, &etcdserverpb.WatchResponse{Header: e.header(), WatchId: id, Canceled: true, CompactRevision: e.compacted})
+			delete(watches, id)
+			continue
+		}
+		r := &etcdserverpb.WatchResponse{Header: e.header(), WatchId: id}
+		first := sort.Search(len(e.events), func(i int) bool { return e.events[i].Kv.ModRevision >= w.next })
+		for _, event := range e.events[first:] {
+			if inRange(string(event.Kv.Key), w.q.Key, w.q.RangeEnd) && w.wants(event) {
+				r.Events = append(r.Events, event)
+			}
+		}
+		w.next = e.revision + 1
+		if len(r.Events) > 0 {
+			out = append(out, r)
+		}
+	}
+	return out
+}
+
 func (w *etcdWatch) wants(event *mvccpb.Event) bool {
 	for _, f := range w.q.Filters {
 		if f == etcdserverpb.WatchCreateRequest_NOPUT && event.Type == mvccpb.Event_PUT ||
--- a/internal/fakes/eureka_document.go
+++ b/internal/fakes/eureka_document.go
@@ -13,14 +13,14 @@
 	"time"
 )
 
-// document makes the answer to a path.
+// document makes the answer to a GET of a path; false if there is none. The caller holds mu.
 func (e *Eureka) document(part []string, asXML bool, fault EurekaFault) ([]byte, bool) {
-	var of []EurekaInstance
+	var instances []EurekaInstance
 	add := func(want func(*EurekaInstance) bool) {
 		for _, name := range slices.Sorted(maps.Keys(e.apps)) {
 			for _, id := range slices.Sorted(maps.Keys(e.apps[name])) {
 				if i := e.apps[name][id]; want(i) {
-					of = append(of, *i)
+					instances = append(instances, *i)
 				}
 			}
 		}
@@ -32,82 +32,97 @@
 	case len(part) == 2 && part[0] == "apps" && part[1] == "delta":
 		for _, c := range e.queue {
 			if fault != EurekaLostDelta {
-				of = append(of, c.i)
+				instances = append(instances, c.i)
 			}
 		}
 	case len(part) == 2 && part[0] == "apps":
 		root = "application"
 		add(func(i *EurekaInstance) bool { return i.App == strings.ToUpper(part[1]) })
-		if len(of) == 0 {
+		if len(instances) == 0 {
 			return nil, false
 		}
 	case len(part) == 2 && part[0] == "vips":
 		add(func(i *EurekaInstance) bool { return i.VIP == part[1] })
-		if len(of) == 0 {
+		if len(instances) == 0 {
 			return nil, false
 		}
 	default:
 		return nil, false
 	}
+	hash := e.hashCode()
+	if fault == EurekaWrongSum {
+		hash = "UP_1000000_"
+	}
+	apps := groupByApplication(instances)
+	if asXML {
+		return e.xmlDocument(root, apps, hash), true
+	}
+	return e.jsonDocument(root, apps, hash)
+}
+
+// eurekaApplication is an application with its instances, as documents list them.
+type eurekaApplication struct {
+	name      string
+	instances []EurekaInstance
+}
+
+// hashCode is the apps__hashcode: the number of instances by status. The caller holds mu.
+func (e *Eureka) hashCode() string {
 	counts := map[string]int{}
 	for _, app := range e.apps {
 		for _, i := range app {
 			counts[i.Status]++
 		}
 	}
-	sum := ""
+	hash := ""
 	for _, status := range slices.Sorted(maps.Keys(counts)) {
-		sum += fmt.Sprintf("%s_%d_", status, counts[status])
-	}
-	if fault == EurekaWrongSum {
-		sum = "UP_1000000_"
-	}
-	type app struct {
-		name string
-		of   []EurekaInstance
+		hash += fmt.Sprintf("%s_%d_", status, counts[status])
 	}
-	var apps []app
-	for _, i := range of { // in the order that they came in
+	return hash
+}
+
+// groupByApplication groups consecutive instances of one application, and keeps their order.
+func groupByApplication(instances []EurekaInstance) []eurekaApplication {
+	var apps []eurekaApplication
+	for _, i := range instances {
 		if n := len(apps); n == 0 || apps[n-1].name != i.App {
-			apps = append(apps, app{name: i.App})
+			apps = append(apps, eurekaApplication{name: i.App})
 		}
-		apps[len(apps)-1].of = append(apps[len(apps)-1].of, i)
+		apps[len(apps)-1].instances = append(apps[len(apps)-1].instances, i)
 	}
+	return apps
+}
+
+// xmlDocument is the document in XML. The caller holds mu.
+func (e *Eureka) xmlDocument(root string, apps []eurekaApplication, hash string) []byte {
 	var b bytes.Buffer
-	if asXML {
-		if root == "applications" {
-			fmt.Fprintf(&b, "<applications>\n  <versions__delta>%d</versions__delta>\n  <apps__hashcode>%s</apps__hashcode>\n", e.version, sum)
-		}
-		for _, a := range apps {
-			fmt.Fprintf(&b, "<application><name>%s</name>\n", escaped(a.name))
-			for _, i := range a.of {
-				i.writeXML(&b)
-			}
-			b.WriteString("</application>\n")
-		}
-		if root == "applications" {
-			b.WriteString("</applications>\n")
-		}
-		return b.Bytes(), true
-	}
-	lone := func(list []any) any { // as XStream writes lists
-		switch len(list) {
-		case 0:
-			return nil
-		case 1:
-			return list[0]
+	if root == "applications" {
+		fmt.Fprintf(&b, "<applications>\n  <versions__delta>%d</versions__delta>\n  <apps__hashcode>%s</apps__hashcode>\n", e.version, hash)
+	}
+	for _, a := range apps {
+		fmt.Fprintf(&b, "<application><name>%s</name>\n", escaped(a.name))
+		for _, i := range a.instances {
+			i.writeXML(&b)
 		}
-		return list
+		b.WriteString("</application>\n")
+	}
+	if root == "applications" {
+		b.WriteString("</applications>\n")
 	}
+	return b.Bytes()
+}
+
+// jsonDocument is the document in JSON, with lists as XStream writes them. The caller holds mu.
+func (e *Eureka) jsonDocument(root string, apps []eurekaApplication, hash string) ([]byte, bool) {
 	var all []any
 	for _, a := range apps {
 		var instances []any
-		for _, i := range a.of {
+		for _, i := range a.instances {
 			instances = append(instances, i.document(e.options.Texts))
 		}
-		all = append(all, map[string]any{"name": a.name, "instance": lone(instances)})
+		all = append(all, map[string]any{"name": a.name, "instance": xstreamList(instances)})
 	}
-	var doc any = map[string]any{"applications": map[string]any{"versions__delta": strconv.Itoa(e.version), "apps__hashcode": sum, "application": lone(all)}}
+	var doc any = map[string]any{"applications": map[string]any{"versions__delta": strconv.Itoa(e.version), "apps__hashcode": hash, "application": xstreamList(all)}}
 	if root == "application" {
 		doc = map[string]any{"application": all[0]}
 	}
@@ -115,6 +130,17 @@
 	return text, err == nil
 }
 
+// xstreamList is a list as XStream writes it to JSON: null if empty, and the element itself if there is one.
+func xstreamList(list []any) any {
+	switch len(list) {
+	case 0:
+		return nil
+	case 1:
+		return list[0]
+	}
+	return list
+}
+
 func (i *EurekaInstance) document(texts bool) map[string]any {
 	n := func(v int64) any {
 		if texts {
