--- a/internal/simulation/fleetsim/policies.go
+++ b/internal/simulation/fleetsim/policies.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// upstreamSet are the names, and no more.
+// upstreamSet keeps the names of the active nodes. It implements all of Policy but Pick, for policies to embed.
 type upstreamSet struct {
 	rng   *rand.Rand
 	names []string
@@ -30,12 +30,12 @@
 	return m.names[m.rng.IntN(len(m.names))]
 }
 
-// random picks any.
+// random picks a random node.
 type random struct{ upstreamSet }
 
 func (p *random) Pick(time.Duration) string { return p.randomName() }
 
-// roundRobin picks one after another, from a place of its own.
+// roundRobin picks one node after another, from a random start.
 type roundRobin struct {
 	upstreamSet
 	next int
@@ -49,7 +49,7 @@
 	return p.names[p.next%len(p.names)]
 }
 
-// leastPending counts what is in hand.
+// leastPending counts the attempts in flight by node.
 type leastPending struct {
 	upstreamSet
 	inFlight map[string]int
@@ -63,7 +63,7 @@
 	}
 }
 
-// leastOfTwo picks the one of two with less in hand (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001).
+// leastOfTwo picks the one of two random nodes with fewer attempts in flight (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001).
 type leastOfTwo struct{ leastPending }
 
 func (p *leastOfTwo) Pick(time.Duration) string {
@@ -74,7 +74,8 @@
 	return a
 }
 
-// peakEWMA is Finagle's: peak-sensitive EWMA of latency x (in hand + 1), the better of two. No penalty, no ejection: what fails fast looks fast.
+// peakEWMA is Finagle's policy: of two random nodes the one with the lower peak-sensitive EWMA of the latency times (in flight + 1). It
+// neither penalizes nor ejects failing nodes, so that fast failures look like low latency.
 type peakEWMA struct {
 	leastPending
 	costs map[string]*ewma
@@ -85,7 +86,7 @@
 	updatedAt time.Duration
 }
 
-const peakDecay = 10 * time.Second // Finagle's
+const peakDecay = 10 * time.Second // time constant of the average, as in Finagle
 
 func (p *peakEWMA) load(now time.Duration, name string) float64 {
 	e := p.costs[name]
@@ -93,7 +94,7 @@
 		if p.inFlight[name] == 0 {
 			return 0
 		}
-		return math.MaxFloat32 // not known, and something is there: as in Finagle, by a penalty for a second one
+		return math.MaxFloat32 // unknown latency with an attempt in flight: avoided, as in Finagle
 	}
 	w := math.Exp(-float64(now-e.updatedAt) / float64(peakDecay))
 	return e.cost * w * float64(p.inFlight[name]+1)
--- a/internal/simulation/fleetsim/policy_prequal.go
+++ b/internal/simulation/fleetsim/policy_prequal.go
@@ -7,13 +7,14 @@
 )
 
 // prequal is Prequal in its asynchronous mode (B. Wydrowski et al., "Load is not what you should balance: Introducing Prequal", NSDI 2024):
-// each request has three random nodes probed for requests in hand and latency; 16 answers at most are kept, for a second; the pick is the
-// cold one with the least latency, or if all are hot the one with the least in hand; the worst and the oldest leave in turn.
+// each request probes three random nodes for the number in flight and the latency. At most 16 answers are kept, for a second. The pick is
+// the node with the lowest latency that is not hot, or if all are hot the one with the fewest in flight. The worst and the oldest answer
+// are removed in turn.
 type prequal struct {
 	upstreamSet
 	pool            []pooledReply
-	inFlightSeen    []int // in hand, in the last answers
-	removeWorstNext bool  // the next to leave is the worst
+	inFlightSeen    []int // numbers in flight in the last answers
+	removeWorstNext bool  // the worst answer is removed next, else the oldest
 }
 
 type pooledReply struct {
@@ -55,7 +56,7 @@
 	p.pool = append(p.pool, pooledReply{x, now, 0})
 }
 
-// worse orders by the hot-cold rule.
+// worse orders answers by the hot-cold rule, the best first.
 func (p *prequal) worse(hot int) func(a, b pooledReply) int {
 	return func(a, b pooledReply) int {
 		hotA, hotB := a.Report.InFlight > hot, b.Report.InFlight > hot
--- a/internal/simulation/fleetsim/policy_weighted.go
+++ b/internal/simulation/fleetsim/policy_weighted.go
@@ -10,7 +10,7 @@
 )
 
 // weightedRoundRobin is round robin by weights that nodes report: rate over utilization, with errors as more utilization, as in gRPC's proposal A58
-// (weighted_round_robin). Weights are taken anew each second; a node without one has the mean; it is scheduled by earliest deadline.
+// (weighted_round_robin). Weights are updated each second; a node without a weight gets the mean. Picks are scheduled by earliest deadline.
 type weightedRoundRobin struct {
 	upstreamSet
 	weights    map[string]*weight
@@ -33,7 +33,7 @@
 	p.upstreamSet.SetUpstreams(names)
 	old := p.weights
 	p.weights = map[string]*weight{}
-	first := math.Inf(1) // a new one is not given what it missed
+	first := math.Inf(1) // new nodes start there and do not catch up
 	for _, w := range old {
 		first = min(first, w.nextDeadline)
 	}
