--- /dev/null
+++ b/internal/routes/route.go
@@ -0,0 +1,76 @@
+package routes
+
+import (
+	"net/http"
+	"slices"
+
+	"orchiddrift/balancer"
+)
+
+// Route says what the requests that match a pattern are.
+type Route struct {
+	Pattern *Pattern
+	Service string
+
+	// Class is the class of the requests; nil: the method decides, Read for GET, HEAD and OPTIONS and Write for all others.
+	Class       *balancer.Class
+	Read, Write *balancer.Class
+
+	Key, Tenant, Cost, ID, Deadline Source
+
+	// Repeats are methods that HTTP calls unsafe and that may all the same reach an idempotent class.
+	Repeats []string
+	MaxBody int64 // bytes
+
+	// Endpoint names what decides on the requests' classes by their bodies, in place of the route; empty: the route does.
+	Endpoint string
+
+	// What the platform's rules add, see Platform.
+	ClassHeader  string // header that repeats the class, if it is given
+	NeedID       bool   // a request without ID is rejected; otherwise one is made
+	StrictKey    bool   // a key on a class that needs none is rejected
+	GetOnly      bool   // GET does not include HEAD
+	CompleteOnly bool   // only complete answers are successes: headers that ask for others are not forwarded
+}
+
+// class returns the class of requests of a method; nil: the route is not for the method.
+func (r *Route) class(method string) *balancer.Class {
+	reads := method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
+	switch {
+	case method == http.MethodConnect || method == http.MethodTrace:
+		return nil
+	case r.GetOnly && method == http.MethodHead:
+		return nil
+	case r.Class == nil && reads:
+		return r.Read
+	case r.Class == nil:
+		return r.Write
+	case r.Class.Idempotency == balancer.Idempotent && !reads && !slices.Contains(r.Repeats, method):
+		return nil // an unsafe method is retried only if the operator lists it
+	}
+	return r.Class
+}
+
+// listedMethods are the methods that an Allow header may list, beside a route's Repeats.
+var listedMethods = []string{http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPost, http.MethodPut, http.MethodPatch,
+	http.MethodDelete}
+
+// allowed returns the methods that the route is for, of listedMethods and Repeats.
+func (r *Route) allowed() []string {
+	var methods []string
+	for _, method := range slices.Concat(listedMethods, r.Repeats) {
+		if r.Pattern.matchesMethod(method) && r.class(method) != nil && !slices.Contains(methods, method) {
+			methods = append(methods, method)
+		}
+	}
+	return methods
+}
+
+// Unreachable returns why the route's class cannot be reached by the one method that its pattern is for; empty: it can.
+func (r *Route) Unreachable() string {
+	method := r.Pattern.Method
+	if method == "" || r.class(method) != nil {
+		return ""
+	}
+	return "class " + r.Class.Name + " may be repeated, and " + method + " is not safe by HTTP: say repeats = [\"" + method + "\"] if it is"
+}
