--- a/grpcbalancer/trace_test.go
+++ b/grpcbalancer/determinism_test.go
@@ -20,9 +20,9 @@
 	"orchiddrift/internal/fakes"
 )
 
-// trace plays 150 calls, one after another, in virtual time: the whole plug-in with grpc-go and nodes, over connections in
-// memory. Nodes differ in speed, one turns slow, one refuses streams, one freezes.
-func trace(t *testing.T, seed uint64) string {
+// playTrace makes 150 calls one after another in virtual time, by a Plugin with grpc-go and nodes over connections in memory, and returns
+// who answered which call when. Nodes differ in speed; one turns slow, one refuses streams, and one freezes.
+func playTrace(t *testing.T, seed uint64) string {
 	var out strings.Builder
 	synctest.Test(t, func(t *testing.T) {
 		listeners := map[string]*bufconn.Listener{}
@@ -30,7 +30,7 @@
 		for i, faults := range [][]fakes.Fault{
 			nil,
 			{{Kind: fakes.Slow, Factor: 10, From: 2 * time.Second, To: 6 * time.Second}},
-			{{Kind: fakes.RefuseAtWire, From: 3 * time.Second, To: 4 * time.Second}},
+			{{Kind: fakes.RefuseStream, From: 3 * time.Second, To: 4 * time.Second}},
 			{{Kind: fakes.Freeze, From: time.Second, Every: 1500 * time.Millisecond, For: 300 * time.Millisecond}},
 		} {
 			name := fmt.Sprint("n", i)
@@ -38,7 +38,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			node := fakes.NewNode(fakes.NodeOptions{Name: name, Work: time.Duration(10+5*i) * time.Millisecond,
+			node := fakes.NewNode(fakes.NodeOptions{Name: name, DefaultServiceTime: time.Duration(10+5*i) * time.Millisecond,
 				Faults: faults, Seed: uint64(i), Answer: func(fakes.Job) []byte { return body }})
 			address := fmt.Sprintf("127.0.0.1:%d", i+1) // never dialled
 			listeners[address] = bufconn.Listen(1 << 16)
@@ -61,7 +61,7 @@
 		defer conn.Close()
 		begun := time.Now()
 		for i := range 150 {
-			name, err := ask(t.Context(), conn, []string{search, record, confirm}[i%3])
+			name, err := invoke(t.Context(), conn, []string{search, record, confirm}[i%3])
 			fmt.Fprintf(&out, "%v %s %v\n", time.Since(begun).Round(time.Millisecond), name, status.Code(err))
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -69,10 +69,10 @@
 	return out.String()
 }
 
-// Guards against decisions that depend on anything but the seed and what happened: the same script gives the same nodes,
-// answers and times, to the millisecond of virtual time. Another seed gives others.
+// Decisions depend on nothing but the seed and what happened: the same script gives the same nodes, answers and times, to the millisecond of
+// virtual time. Another seed gives others.
 func TestSameSeedSameTrace(t *testing.T) {
-	first, second, other := trace(t, 1), trace(t, 1), trace(t, 2)
+	first, second, other := playTrace(t, 1), playTrace(t, 1), playTrace(t, 2)
 	if first != second {
 		a, b := strings.Split(first, "\n"), strings.Split(second, "\n")
 		for i := range a {
--- /dev/null
+++ b/grpcbalancer/methods_test.go
@@ -0,0 +1,41 @@
+package grpcbalancer_test
+
+import (
+	"testing"
+
+	"orchiddrift/balancer"
+	"orchiddrift/grpcbalancer"
+	"orchiddrift/internal/fakes"
+)
+
+// The mapping of a method comes before its descriptor, and a method of which nothing is known is not retried.
+func TestMethodsMapToClasses(t *testing.T) {
+	for _, c := range []struct {
+		method  string
+		mapping map[string]string
+		classes []balancer.Class // absent: all
+		again   bool
+	}{
+		{search, nil, nil, true},
+		{confirm, nil, nil, false},
+		{"/other.Service/Get", nil, nil, false},
+		{"/booking.Seats/Unheard", nil, nil, false},
+		{"/other.Service/Get", map[string]string{"/other.Service/*": "search"}, nil, true},
+		{"/other.Service/Put", map[string]string{"/other.Service/*": "search", "/other.Service/Put": "confirm"}, nil, false},
+		{search, map[string]string{search: "confirm"}, nil, false},
+		{confirm, nil, settings().Classes[:1], false}, // there is no non-idempotent class, so one is added
+	} {
+		f := newFleet(t, withFault(fakes.Fail), withFault(fakes.Fail))
+		conn, _ := f.dial(t, func(o *grpcbalancer.Options) {
+			o.Methods = c.mapping
+			if c.classes != nil {
+				o.Settings.Classes = c.classes
+			}
+		})
+		_, _ = invoke(t.Context(), conn, c.method) // fails, after one send or more
+		n := f.ledger.Nodes()
+		if again := n["n0"].Executed+n["n1"].Executed > 1; again != c.again {
+			t.Errorf("%s with %v: sent again is %v", c.method, c.mapping, again)
+		}
+	}
+}
--- /dev/null
+++ b/internal/admission/concurrency_limit.go
@@ -0,0 +1,231 @@
+package admission
+
+import (
+	"math"
+	"time"
+)
+
+// limiter finds the concurrency limit: enough requests in flight to keep the upstreams busy, and few enough that requests
+// wait in the queue, where their order is fair, rather than at the upstreams.
+//
+// It works in rounds, as TCP Vegas does (L. Brakmo, L. Peterson, "TCP Vegas: End to End Congestion Avoidance on a Global
+// Internet", 1995). The ratio of a round is the mean time in flight over the base time, that of requests which do not
+// wait for each other. While the limit is saturated it grows in rounds of a low ratio and shrinks in rounds of a high one.
+//
+// Vegas can't tell slower upstreams from overloaded ones; the effect of a smaller limit can. By Little's law the time in
+// flight falls in proportion to the limit where requests wait for each other, and does not where they don't: then the
+// present mean becomes the base time, and the limit returns to what it was. The same test, by halving the limit, finds
+// the base time at a start under load, and repeats it at intervals, since a base time learned under load would keep the
+// limit too high for good.
+//
+// docs/design/door.md compares it with AIMD, gradients, the rate-delay product and Vegas.
+type limiter struct {
+	limit        float64
+	min, max     float64
+	baseTime     float64 // s; 0: unknown
+	longTermTime float64 // mean of all requests over minutes, s; 0: unknown
+
+	// The present round.
+	roundStart time.Duration
+	samples    int
+	rejected   int     // of the samples, by the balancer
+	timeSum    float64 // of the other samples, as if all were of the mean class, s
+	saturated  bool    // a request had to wait for the limit
+	halfUsed   bool    // more than half of the limit was in flight
+
+	phase           limiterPhase
+	decreases       int           // rounds in a row in which the limit was decreased
+	limitBefore     float64       // the limit before the decreases, or before the base probe
+	meanBefore      float64       // the mean time in flight then, s
+	lastBaseProbe   time.Duration // when the base time was last tested; 0: no request has ended yet
+	slowdownFoundAt time.Duration // when upstreams were last found to be slower
+}
+
+type limiterPhase int8
+
+const (
+	steady         limiterPhase = iota
+	probeSettling               // the limit has been halved to find the base time: the round's requests began before that
+	probeMeasuring              // the round's requests began after that
+)
+
+const (
+	initialLimit     = 64 // requests
+	minRoundDuration = 50 * time.Millisecond
+	minRoundSamples  = 32 // requests; also one and a half times the limit, so that most have begun within the round
+	maxRoundSamples  = 512
+
+	// Ratios of the mean time in flight to the base time.
+	fasterRatio = 0.8 // below: the base time is too high
+	growRatio   = 1.7 // below: the limit grows
+	shrinkRatio = 2.6 // above: the limit shrinks
+
+	// Factors of the limit.
+	growFactor   = 1.15 // of a round
+	shrinkFactor = 0.85 // of a round
+	probeFactor  = 2    // divisor, of a base probe
+
+	maxRejectedFraction    = 0.05 // of a round's samples: the limit shrinks above it
+	minElasticity          = 0.4  // the time in flight must follow the limit by at least this power, or the upstreams are slower
+	decreasesBeforeJudging = 5    // rounds: the first ones still measure requests that began before the decrease
+
+	baseProbeInterval   = 30 * time.Second
+	firstBaseProbeDelay = 500 * time.Millisecond // after the first request has ended: earlier times are those of idle upstreams
+	slowdownGrace       = 3 * time.Second        // after a slowdown was found the balancer's rejections do not shrink the limit
+
+	baseSmoothing     = 0.2   // weight of an unsaturated round in the base time
+	longTermSmoothing = 0.002 // weight of a request in the long-term means
+)
+
+func newLimiter(minLimit, maxLimit int) limiter {
+	low, high := float64(minLimit), float64(maxLimit)
+	return limiter{limit: max(low, min(initialLimit, high)), min: low, max: high}
+}
+
+// current is the limit in requests.
+func (l *limiter) current() int { return int(l.limit) }
+
+func (l *limiter) setLimit(limit float64) { l.limit = min(l.max, max(l.min, limit)) }
+
+// observe brings a request that has ended: its cost in seconds, how many were in flight with it, and whether the balancer
+// rejected it. The last sample of a round adapts the limit.
+func (l *limiter) observe(now time.Duration, class *classStats, cost float64, inFlight int, rejected bool) {
+	if l.lastBaseProbe == 0 {
+		l.lastBaseProbe = now
+	}
+	l.samples++
+	l.halfUsed = l.halfUsed || float64(inFlight) > l.limit/2
+	if rejected {
+		l.rejected++
+	} else {
+		l.addTime(class, cost)
+	}
+	needed := max(minRoundSamples, min(maxRoundSamples, l.current()*3/2))
+	if l.samples < needed || now-l.roundStart < minRoundDuration {
+		return
+	}
+	l.endRound(now)
+	l.roundStart, l.samples, l.timeSum, l.rejected, l.saturated, l.halfUsed = now, 0, 0, 0, false, false
+}
+
+// addTime adds a request's cost to the round, scaled by the long-term means of all requests and of its class, so that
+// another mixture of classes does not look like a change of latency.
+func (l *limiter) addTime(class *classStats, cost float64) {
+	if class.longTermCost == 0 {
+		class.longTermCost = cost
+	}
+	if l.longTermTime == 0 {
+		l.longTermTime = cost
+	}
+	class.longTermCost += (cost - class.longTermCost) * longTermSmoothing
+	l.longTermTime += (cost - l.longTermTime) * longTermSmoothing
+	l.timeSum += cost * l.longTermTime / max(class.longTermCost, minCost)
+}
+
+// endRound adapts the limit and the base time to a round.
+func (l *limiter) endRound(now time.Duration) {
+	completed := l.samples - l.rejected
+	if completed == 0 {
+		l.phase, l.decreases = steady, 0
+		l.setLimit(l.limit * shrinkFactor)
+		return
+	}
+	mean := l.timeSum / float64(completed)
+	manyRejected := float64(l.rejected) > maxRejectedFraction*float64(l.samples)
+	switch {
+	case manyRejected && l.phase != steady:
+		l.phase = steady
+		l.setLimit(l.limitBefore)
+	case manyRejected && now-l.slowdownFoundAt > slowdownGrace:
+		l.decrease(now, mean)
+	case l.phase == probeSettling:
+		l.phase = probeMeasuring
+	case l.phase == probeMeasuring:
+		l.finishBaseProbe(now, mean)
+	case !l.saturated:
+		l.updateBaseTime(mean)
+	case l.decreases == 0 && l.baseProbeDue(now):
+		l.startBaseProbe(mean)
+	case l.baseTime == 0:
+		// Nothing to compare with before the first base probe.
+	default:
+		l.adapt(now, mean)
+	}
+}
+
+// adapt changes the limit by the ratio of a saturated round.
+func (l *limiter) adapt(now time.Duration, mean float64) {
+	ratio := mean / l.baseTime
+	if ratio > shrinkRatio {
+		l.decrease(now, mean)
+		return
+	}
+	l.decreases = 0
+	if ratio < fasterRatio {
+		l.baseTime = mean
+	}
+	if ratio < growRatio {
+		l.setLimit(l.limit * growFactor)
+	}
+}
+
+// updateBaseTime learns the base time from a round that was not saturated.
+func (l *limiter) updateBaseTime(mean float64) {
+	l.decreases = 0
+	switch {
+	case l.baseTime == 0 && !l.halfUsed:
+		l.baseTime = mean
+	case !l.halfUsed || mean < l.baseTime:
+		l.baseTime += (mean - l.baseTime) * baseSmoothing
+	}
+}
+
+// decrease shrinks the limit by one round's factor. After some rounds it restores the limit if that had no effect: the
+// upstreams are slower.
+func (l *limiter) decrease(now time.Duration, mean float64) {
+	if l.decreases == 0 {
+		l.limitBefore, l.meanBefore = l.limit, mean
+	}
+	l.decreases++
+	if l.decreases > decreasesBeforeJudging && !l.timeFollowedLimit(mean) {
+		l.decreases, l.baseTime, l.lastBaseProbe, l.slowdownFoundAt = 0, mean, now, now
+		l.setLimit(l.limitBefore)
+		return
+	}
+	l.setLimit(l.limit * shrinkFactor)
+}
+
+// timeFollowedLimit reports whether the mean time in flight has fallen with the limit. At the minimum limit there was no
+// change to follow.
+func (l *limiter) timeFollowedLimit(mean float64) bool {
+	down := math.Log(l.limitBefore / l.limit)
+	return down > 0 && math.Log(l.meanBefore/mean) > minElasticity*down
+}
+
+// baseProbeDue reports whether the base time is to be tested.
+func (l *limiter) baseProbeDue(now time.Duration) bool {
+	since := now - l.lastBaseProbe
+	return since > baseProbeInterval || l.baseTime == 0 && since > firstBaseProbeDelay
+}
+
+// startBaseProbe halves the limit.
+func (l *limiter) startBaseProbe(mean float64) {
+	l.limitBefore, l.meanBefore, l.phase, l.decreases = l.limit, mean, probeSettling, 0
+	l.setLimit(l.limit / probeFactor)
+}
+
+// finishBaseProbe judges a halved limit. If the time in flight has not fallen with it, requests did not wait for each
+// other: the present mean is the base time, and the limit is restored. Otherwise the limit is halved again, or kept if
+// the mean is still high by the known base time.
+func (l *limiter) finishBaseProbe(now time.Duration, mean float64) {
+	if l.limit <= l.min || !l.timeFollowedLimit(mean) {
+		l.phase, l.lastBaseProbe, l.baseTime = steady, now, mean
+		l.setLimit(l.limitBefore)
+		return
+	}
+	if l.baseTime > 0 && mean > l.baseTime*growRatio {
+		l.phase, l.lastBaseProbe = steady, now
+		return
+	}
+	l.startBaseProbe(mean)
+}
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -10,7 +10,8 @@
 	"orchiddrift/internal/units"
 )
 
-// Options are a Door's parameters. With Service and By they are its part of the operator's file.
+// Options are a Queue's parameters. With Service, PrincipalSources and RetryHeader they are a [[door]] of the operator's
+// file.
 type Options struct {
 	Service          string     `toml:"service" doc:"Whose door it is: a service's name, or \"platform\" beside the platform's file."`
 	PrincipalSources []string   `toml:"by" default:"tenant" doc:"Between whom it is fair: one or two of \"tenant\" (as the route reads it), \"header:NAME\", \"certificate\" (the client's) and \"address\" (the peer's; IPv6 by /64). Of two, the second is fair within each of the first."`
@@ -25,39 +26,54 @@
 	RetryRatio       float64    `toml:"repeats" default:"0.2" doc:"While requests wait: repeats of clients as a part of first requests, of each principal and of all together."`
 	RetryHeader      string     `toml:"repeat_header" default:"X-Retried" doc:"The header by which clients mark their repeats, with any value but \"0\"."`
 
-	MaxRetryAfter time.Duration // that a refused client is told to stay away; 0: DefaultMaxRetryAfter. It is the service's retry_after
+	// MaxRetryAfter is the longest time that a rejected client is told to stay away: the service's retry_after.
+	// 0: DefaultMaxRetryAfter.
+	MaxRetryAfter time.Duration
 }
 
-// Weight is a principal's.
+// Weight is the weight of one principal.
 type Weight struct {
 	Name   string  `toml:"name" doc:"The principal."`
 	Weight float64 `toml:"weight" default:"1" doc:"Its share is in proportion. 0: it gets only what the others leave."`
 }
 
-// Default is what holds where nothing is said.
+// Default returns the options that apply where nothing is configured.
 func Default() Options {
-	return Options{PrincipalSources: []string{"tenant"}, DefaultWeight: 1, MaxQueued: 256, MaxQueuedBytes: 4 * units.MiB, MaxPrincipals: 16384, MaxReservations: 16384,
-		MinLimit: 8, MaxLimit: 1024, RetryRatio: 0.2, RetryHeader: "X-Retried"}
+	return Options{
+		PrincipalSources: []string{"tenant"},
+		DefaultWeight:    1,
+		MaxQueued:        256,
+		MaxQueuedBytes:   4 * units.MiB,
+		MaxPrincipals:    16384,
+		MaxReservations:  16384,
+		MinLimit:         8,
+		MaxLimit:         1024,
+		RetryRatio:       0.2,
+		RetryHeader:      "X-Retried",
+	}
 }
 
-// Bounds of the options themselves.
+// Bounds of the options.
 const (
-	maxWeight   = 1e6
-	maxWaiting  = 65_536
-	maxKnown    = 1 << 20
-	maxLimit    = 65_536
-	longestWait = time.Hour
+	maxWeight              = 1e6 // and 1/maxWeight is the least weight above 0
+	queuedUpperBound       = 65_536
+	principalsLowerBound   = 16
+	principalsUpperBound   = 1 << 20
+	reservationsUpperBound = 1 << 20
+	limitUpperBound        = 65_536
+	retryRatioUpperBound   = 100
+	retryAfterUpperBound   = time.Hour
 )
 
-// DefaultMaxRetryAfter is the longest time to stay away where none is set.
+// DefaultMaxRetryAfter is the longest time to stay away where none is configured.
 const DefaultMaxRetryAfter = 5 * time.Second
 
-// longest is Longest within what the calendar can hold.
-func (o *Options) longest() time.Duration {
-	return min(longestWait, max(calendarStep, cmp.Or(o.MaxRetryAfter, DefaultMaxRetryAfter)))
+// maxRetryAfter is MaxRetryAfter within what the calendar can hold.
+func (o *Options) maxRetryAfter() time.Duration {
+	return min(retryAfterUpperBound, max(minCalendarStep, cmp.Or(o.MaxRetryAfter, DefaultMaxRetryAfter)))
 }
 
-// Check is tomlfile.Checker's.
+// Check reports options that cannot be used, by their keys. It implements tomlfile.Checker.
 func (o *Options) Check(report func(key, format string, args ...any)) {
 	if o.Service == "" {
 		report("service", "missing")
@@ -86,27 +102,27 @@
 			report(key, "%d is not from %d to %d", n, least, most)
 		}
 	}
-	between("waiting", o.MaxQueued, 1, maxWaiting)
-	between("principals", o.MaxPrincipals, 16, maxKnown)
-	between("promises", o.MaxReservations, 0, maxKnown)
+	between("waiting", o.MaxQueued, 1, queuedUpperBound)
+	between("principals", o.MaxPrincipals, principalsLowerBound, principalsUpperBound)
+	between("promises", o.MaxReservations, 0, reservationsUpperBound)
 	between("limit_least", o.MinLimit, 1, o.MaxLimit)
-	between("limit_most", o.MaxLimit, 1, maxLimit)
+	between("limit_most", o.MaxLimit, 1, limitUpperBound)
 	if o.RetryHeader != "" && !httpguts.ValidHeaderFieldName(o.RetryHeader) {
 		report("repeat_header", "%q is no header's name", o.RetryHeader)
 	}
 	if o.MaxQueuedBytes < 0 {
 		report("bytes", "%v is negative", o.MaxQueuedBytes)
 	}
-	if !(o.RetryRatio >= 0) || math.IsInf(o.RetryRatio, 0) || o.RetryRatio > 100 {
+	if !(o.RetryRatio >= 0) || math.IsInf(o.RetryRatio, 0) || o.RetryRatio > retryRatioUpperBound {
 		report("repeats", "%v is not a part of the first requests", o.RetryRatio)
 	}
 }
 
-// weights are by name.
-func (o *Options) weights() map[string]float64 {
+// weightsByName returns the configured weights by the names that requests are known by.
+func (o *Options) weightsByName() map[string]float64 {
 	m := make(map[string]float64, len(o.Weights))
 	for _, w := range o.Weights {
-		m[bounded(w.Name)] = w.Weight
+		m[boundedName(w.Name)] = w.Weight
 	}
 	return m
 }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return fmt.Errorf("tasks: %w", err)
 	}
-	leases, err := raftgroup.NewClient(fleet.Name, raftgroup.PeersOf(fleet))
+	leases, err := raftgroup.NewClient(fleet.Name, raftgroup.DeclaredPeers(fleet))
 	if err != nil {
 		return fmt.Errorf("tasks: %w", err)
 	}
@@ -88,7 +88,7 @@
 }
 
 func (d *daemon) runFleetMember(ctx context.Context, fleet *lease.Declaration, listener net.Listener) error {
-	member, err := raftgroup.New(ctx, raftgroup.Options{Fleet: fleet.Name, Name: fleet.Member, Peers: raftgroup.PeersOf(fleet), File: fleet.File,
+	member, err := raftgroup.New(ctx, raftgroup.Options{Fleet: fleet.Name, Name: fleet.Member, Peers: raftgroup.DeclaredPeers(fleet), File: fleet.File,
 		Limits: fleet.Limits(), Drift: fleet.Drift, Tick: fleet.Tick.D(), Log: d.log})
 	if err != nil {
 		listener.Close()
--- /dev/null
+++ b/internal/endpoints/registry_test.go
@@ -0,0 +1,42 @@
+package endpoints
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"orchiddrift/internal/clock"
+)
+
+// An instance's start stays as it was first converted, whatever the wall clock says when the next list comes: the balancer forgets what
+// it learnt of an endpoint whose start changes.
+func TestStartTimeIsConvertedOnce(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		registry := New(clock.New(), nil)
+		version := int64(1)
+		startedMs := float64(time.Now().Add(time.Hour).UnixMilli()) // ahead: converted again, it would move
+		apply := func(snapshot bool, startedMs float64, status string) time.Duration {
+			l := &List{Index: &version, Snapshot: snapshot, Endpoints: []Endpoint{{Name: "a", Address: "127.0.0.2:1", StartedMs: startedMs, Status: status}}}
+			return registry.Apply(l).Endpoints[0].StartedAt
+		}
+		first := apply(true, startedMs, StatusReady)
+		time.Sleep(2 * time.Millisecond) // of virtual time
+		for _, c := range []struct {
+			name     string
+			snapshot bool
+			status   string
+		}{
+			{"a change", false, StatusReady},
+			{"a snapshot", true, StatusReady},
+			{"a drain", false, StatusTerminating},
+			{"ready again", false, StatusReady},
+		} {
+			if got := apply(c.snapshot, startedMs, c.status); got != first {
+				t.Errorf("%s: started at %v, want %v", c.name, got, first)
+			}
+		}
+		if next := apply(false, startedMs+5000, StatusReady); next == first {
+			t.Error("another instance has the same start")
+		}
+	})
+}
--- /dev/null
+++ b/internal/simulation/admissionsim/simulation.go
@@ -0,0 +1,154 @@
+package admissionsim
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"orchiddrift/balancer"
+	"orchiddrift/internal/admission"
+	"orchiddrift/internal/simulation/virtualtime"
+)
+
+// AdmissionControl decides what becomes of requests, as *admission.Queue does.
+type AdmissionControl interface {
+	Arrive(now time.Duration, a admission.Arrival, actions []admission.Action) (admission.Ticket, []admission.Action)
+	Done(now time.Duration, t admission.Ticket, outcome admission.Outcome, actions []admission.Action) []admission.Action
+	Wake(now time.Duration, actions []admission.Action) []admission.Action
+	Next() (time.Duration, bool)
+}
+
+// Client is one principal and its traffic.
+type Client struct {
+	Group, Flow      string
+	Class            string
+	MeanServiceTime  time.Duration // of its requests, drawn from an exponential distribution
+	HintFactor       float64       // the cost hint over the service time; 0: no hints
+	Rate             float64       // first requests per second, as a Poisson process; 0: none
+	ClosedLoops      int           // loops that send the next request once the last is answered, in addition
+	ThinkTime        time.Duration // of a closed loop after an answer
+	MaxAttempts      int           // of one request; 0: 1
+	HonorsRetryAfter bool          // it comes back when it is told to, and not at once
+	MarksRetries     bool          // its retries are marked
+	From, To         time.Duration // since the start, when it sends; To 0: to the end
+	FlowPerRequest   bool          // each attempt comes from another flow
+}
+
+// Run is a run's parameters.
+type Run struct {
+	Nodes        int
+	Slowdown     func(t time.Duration) float64 // factor on all service times, by the time since the start; nil: 1
+	MaxNodeQueue int                           // requests that wait at a node; 0: 1000
+	Classes      []balancer.Class
+	Settings     balancer.Settings // with Classes in place of its own
+	Clients      []Client
+	Length       time.Duration
+	Seed         uint64
+	Interval     time.Duration // of the series in the results; 0: 1 s
+}
+
+const (
+	defaultMaxNodeQueue = 1000 // requests
+	defaultInterval     = time.Second
+	samplingPeriod      = 10 * time.Millisecond  // of the number in flight
+	networkDelay        = 300 * time.Microsecond // from a node back to the sidecar
+	origin              = virtualtime.Origin
+	trafficStream       = 7 // selects the clients' stream of random numbers
+)
+
+// simulation is a run under way.
+type simulation struct {
+	*virtualtime.Time
+	run      Run
+	control  AdmissionControl
+	balancer *balancer.Balancer
+	rng      *rand.Rand
+	nodes    map[string]*node
+	result   Result
+
+	inFlight        map[string]*clientAttempt // admitted, by ID
+	byTicket        map[admission.Ticket]*clientAttempt
+	inFlightCount   int
+	lastID          int
+	lastFingerprint uint64
+	controlWakeAt   time.Duration // 0: no wake is set
+	balancerTimerAt time.Duration
+	actionBuffer    []admission.Action
+
+	serviceTime time.Duration // of all nodes
+	wastedTime  time.Duration // of that, for answers that were late or that nobody waited for
+}
+
+// Play plays a run through an admission control. The error names a balancer setting that cannot be used.
+func Play(r Run, control AdmissionControl) (*Result, error) {
+	if r.MaxNodeQueue == 0 {
+		r.MaxNodeQueue = defaultMaxNodeQueue
+	}
+	if r.Interval == 0 {
+		r.Interval = defaultInterval
+	}
+	r.Settings.Classes = r.Classes
+	policy, err := balancer.New(r.Settings, r.Seed)
+	if err != nil {
+		return nil, err
+	}
+	s := &simulation{
+		Time:     virtualtime.New(),
+		run:      r,
+		control:  control,
+		balancer: policy,
+		rng:      rand.New(rand.NewPCG(r.Seed, trafficStream)),
+		nodes:    map[string]*node{},
+		inFlight: map[string]*clientAttempt{},
+		byTicket: map[admission.Ticket]*clientAttempt{},
+	}
+	intervals := int(r.Length/r.Interval) + 2
+	s.result.Clients = make([]ClientResult, len(r.Clients))
+	s.result.InFlightByInterval = make([]float64, intervals)
+	s.addNodes()
+	for i := range r.Clients {
+		s.result.Clients[i].WithinObjectiveByInterval = make([]float64, intervals)
+		s.startTraffic(i)
+	}
+	s.sampleInFlight()
+	s.Run(r.Length)
+	capacity := float64(r.Length * time.Duration(r.Nodes))
+	s.result.Utilization, s.result.Wasted = float64(s.serviceTime)/capacity, float64(s.wastedTime)/capacity
+	return &s.result, nil
+}
+
+// addNodes makes the nodes, and gives the balancer their list.
+func (s *simulation) addNodes() {
+	var list []balancer.Endpoint
+	for i := range s.run.Nodes {
+		n := &node{name: fmt.Sprintf("n%03d", i)}
+		s.nodes[n.name] = n
+		list = append(list, balancer.Endpoint{Name: n.name})
+	}
+	s.handleEvent(balancer.EndpointUpdate{Kind: balancer.FullUpdate, Endpoints: list})
+}
+
+// sampleInFlight records the number in flight throughout the run.
+func (s *simulation) sampleInFlight() {
+	samplesPerInterval := float64(s.run.Interval / samplingPeriod)
+	for t := time.Duration(0); t < s.run.Length; t += samplingPeriod {
+		s.At(origin+t, func() {
+			s.result.InFlightByInterval[s.interval()] += float64(s.inFlightCount) / samplesPerInterval
+		})
+	}
+}
+
+// interval is the index of the present interval.
+func (s *simulation) interval() int {
+	return min(len(s.result.InFlightByInterval)-1, int((s.Now()-origin)/s.run.Interval))
+}
+
+// class returns a client's class; the first one, if its own is unknown.
+func (s *simulation) class(c *Client) *balancer.Class {
+	for i := range s.run.Classes {
+		if s.run.Classes[i].Name == c.Class {
+			return &s.run.Classes[i]
+		}
+	}
+	return &s.run.Classes[0]
+}
--- a/internal/simulation/fleetsim/probes.go
+++ b/internal/simulation/fleetsim/probes.go
@@ -7,66 +7,59 @@
 	"orchiddrift/balancer"
 )
 
-// Probes is what stands beside the module in measurements: each request first asks a few of the sidecar's nodes how much they
-// have in hand and how long they take, and goes to the best by Prequal's hot-cold rule (B. Wydrowski et al., "Load is not what
-// you should balance: Introducing Prequal", NSDI 2024), in its synchronous mode, which is the one for sidecars with little
-// traffic: a pool's probes would be old by the next request. It tries once.
-type Probes struct {
-	Each int           // nodes asked a request
-	Cost time.Duration // what a probe costs a node's core
+// SyncProbes is Prequal's synchronous mode, for comparison with the balancer: each request first probes a few random nodes of the
+// sidecar for the number in flight and the latency, and goes to the best by Prequal's hot-cold rule (B. Wydrowski et al., "Load is not what
+// you should balance: Introducing Prequal", NSDI 2024). There are no
+// retries.
+type SyncProbes struct {
+	PerRequest  int           // nodes probed for a request
+	ServiceTime time.Duration // that a probe costs a node's core
 }
 
 const (
-	hotQuantile = 0.84 // of requests in hand seen in answers; above it a node is hot
-	seenProbes  = 128  // answers that the quantile is of
-	tookBlend   = 0.1
+	hotQuantile      = 0.84 // of the numbers in flight in recent answers; a node above it is hot
+	hotWindow        = 128  // answers that hotQuantile is taken over
+	latencySmoothing = 0.1
 )
 
-// probed has a request choose by probes.
-func (s *sim) probed(c *sidecar, q *request) {
-	if len(c.own) == 0 {
-		s.answer(c, q.id, &s.out.Refused, 0)
+// pickByProbes probes nodes and sends the request's only attempt to the best; to a random node if none answers.
+func (s *simulation) pickByProbes(sc *sidecar, req *request) {
+	if len(sc.activeUpstreams) == 0 {
+		s.finishRequest(sc, req.id, &s.result.Rejected, 0)
 		return
 	}
-	s.After(wire, func() { // there and back
+	s.After(networkRoundTrip, func() {
 		var best *node
-		bestHot, hot := true, c.hot()
-		for range s.r.Probes.Each {
-			n := s.byName[c.own[c.rng.IntN(len(c.own))]]
+		bestHot, hot := true, sc.hotThreshold()
+		for range s.run.SyncProbes.PerRequest {
+			n := s.byName[sc.activeUpstreams[sc.rng.IntN(len(sc.activeUpstreams))]]
 			if !n.up {
 				continue
 			}
-			s.out.Probes++
-			n.owed += s.r.Probes.Cost
-			in := n.inHand()
-			c.seen = append(c.seen[max(0, len(c.seen)-seenProbes+1):], in)
+			s.result.Probes++
+			n.probeWork += s.run.SyncProbes.ServiceTime
+			in := n.inFlight()
+			sc.probedInFlight = append(sc.probedInFlight[max(0, len(sc.probedInFlight)-hotWindow+1):], in)
 			isHot := in > hot
 			switch {
 			case best == nil, bestHot && !isHot:
 				best, bestHot = n, isHot
-			case isHot && bestHot && in < best.inHand(), !isHot && !bestHot && n.took < best.took:
+			case isHot && bestHot && in < best.inFlight(), !isHot && !bestHot && n.meanLatency < best.meanLatency:
 				best = n
 			}
 		}
 		if best == nil {
-			best = s.byName[c.own[c.rng.IntN(len(c.own))]]
+			best = s.byName[sc.activeUpstreams[sc.rng.IntN(len(sc.activeUpstreams))]]
 		}
-		s.send(c, balancer.Action{ID: q.id, Upstream: best.name})
+		s.sendAttempt(sc, balancer.Action{ID: req.id, Upstream: best.name})
 	})
 }
 
-// hot is the number in hand above which a node is hot.
-func (c *sidecar) hot() int {
-	if len(c.seen) == 0 {
+// hotThreshold is the number in flight above which a node is hot.
+func (c *sidecar) hotThreshold() int {
+	if len(c.probedInFlight) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(c.seen))
+	sorted := slices.Sorted(slices.Values(c.probedInFlight))
 	return sorted[int(hotQuantile*float64(len(sorted)-1))]
 }
-
-func (n *node) inHand() int {
-	if n.busy {
-		return len(n.queue) + 1
-	}
-	return len(n.queue)
-}
