--- a/internal/graphql/decide.go
+++ b/internal/graphql/decide.go
@@ -52,7 +52,7 @@
 		return d, newProblem(CodeSubscription, "subscriptions are not served here")
 	case ast.Mutation:
 		if d.Kind = Mutation; get {
-			return d, &Problem{Status: 405, Code: CodeRequest, Message: "a mutation is asked for with POST", Allow: "POST"}
+			return d, &Problem{Status: http.StatusMethodNotAllowed, Code: CodeRequest, Message: "a mutation is asked for with POST", Allow: http.MethodPost}
 		}
 	}
 	var vars valueOf
--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -46,6 +46,12 @@
 	args ast.ArgumentList
 }
 
+// The largest quotes of a document in errors, in bytes.
+const (
+	maxMessageBytes = 300 // of a parser's or validator's error
+	maxQuotedBytes  = 100 // of a name
+)
+
 // maxReportedProblems is how many mistakes of a document are reported at most.
 const maxReportedProblems = 3
 
@@ -151,8 +157,8 @@
 		return err.Error()
 	}
 	text := g.Message
-	if len(text) > 300 {
-		text = strings.ToValidUTF8(text[:300], "") + "..."
+	if len(text) > maxMessageBytes {
+		text = strings.ToValidUTF8(text[:maxMessageBytes], "") + "..."
 	}
 	if len(g.Locations) > 0 {
 		text += " (line " + itoa(g.Locations[0].Line) + ", column " + itoa(g.Locations[0].Column) + ")"
@@ -216,5 +222,5 @@
 			return op, nil
 		}
 	}
-	return nil, newProblem(CodeOperation, "the document has no operation %q", name[:min(len(name), 100)])
+	return nil, newProblem(CodeOperation, "the document has no operation %q", name[:min(len(name), maxQuotedBytes)])
 }
--- a/internal/graphql/limits.go
+++ b/internal/graphql/limits.go
@@ -149,18 +149,18 @@
 	Answers    units.Size `toml:"batch_answers" default:"1MiB" doc:"The answers of a batch together."`
 }
 
-// DefaultLimits are those of a file that says nothing.
+// DefaultLimits returns the limits of a file that sets none.
 func DefaultLimits() Limits {
 	return Limits{Tokens: 1500, Depth: 20, Fields: 5000, Roots: 20, Aliases: 50, Directives: 50, Batch: 10,
 		Variables: 32 * units.KiB, Answers: units.MiB}
 }
 
-// Check is tomlfile.Checker's.
+// Check implements tomlfile.Checker.
 func (l *Limits) Check(report func(key, format string, args ...any)) {
 	for _, x := range []struct {
 		key     string
 		n, most int
-	}{{"tokens", l.Tokens, maxTokens}, {"depth", l.Depth, 1000}, {"fields", l.Fields, 1e6}, {"root_fields", l.Roots, maxTokens},
+	}{{"tokens", l.Tokens, maxTokens}, {"depth", l.Depth, maxDepth}, {"fields", l.Fields, maxFields}, {"root_fields", l.Roots, maxTokens},
 		{"aliases", l.Aliases, maxTokens}, {"directives", l.Directives, maxTokens}, {"batch", l.Batch, maxBatch}} {
 		least := 1
 		if x.key == "aliases" || x.key == "directives" {
--- a/internal/graphql/options.go
+++ b/internal/graphql/options.go
@@ -13,7 +13,7 @@
 	"orchiddrift/internal/units"
 )
 
-// Options are an endpoint's part of the operator's file.
+// Options is the part of an endpoint in the operator's file.
 type Options struct {
 	Match    string        `toml:"match" sample:"\"/graphql\"" doc:"Where it is: [HOST]/PATH, without a method: POST, and GET for queries."`
 	Service  string        `toml:"service" sample:"\"seats\"" doc:"Whose upstreams answer. Absent: the only service."`
@@ -39,7 +39,7 @@
 	MaxBody  units.Size    `toml:"max_body" default:"64KiB" doc:"What a body may have."`
 }
 
-// Field is what the operator says of a field.
+// Field is the class, key and weight of a field.
 type Field struct {
 	Name   string  `toml:"name" sample:"\"Mutation.confirm\"" doc:"TYPE.FIELD; of root fields Query.FIELD and Mutation.FIELD, whatever the schema calls these types. Without a schema only root fields are known."`
 	Class  string  `toml:"class" doc:"Of a root field: its class. Of several the strictest counts."`
@@ -47,13 +47,13 @@
 	Weight float64 `toml:"weight" default:"-1" doc:"Its cost beside a field of weight 1. Below 0: by @cost in the schema, else 1 with a selection and 0 without."`
 }
 
-// Operation is a name's class.
+// Operation is the class of operations of a name.
 type Operation struct {
 	Name  string `toml:"name" sample:"\"SeatSearch\"" doc:"The operation's name."`
 	Class string `toml:"class" doc:"Its class."`
 }
 
-// Default is what holds where nothing is said.
+// Default returns the options of a file that sets none.
 func Default() Options {
 	return Options{Query: "read", Mutation: "write", Persist: "off", Stored: units.MiB, Cache: 2 * units.MiB, Limits: DefaultLimits(),
 		Sizes: []string{"first", "last", "limit"}, Assumed: 10, Parallel: 4, MaxBody: 64 * units.KiB,
@@ -73,10 +73,10 @@
 		Deadline: o.Deadline, MaxBody: int64(o.MaxBody), Endpoint: fingerprint}, nil
 }
 
-// maxMaxBody bounds max_body: a body is held whole, to be read.
+// maxMaxBody is the largest max_body: a body is buffered completely before it is parsed.
 const maxMaxBody = 16 * units.MiB
 
-// Check is tomlfile.Checker's.
+// Check implements tomlfile.Checker.
 func (o *Options) Check(report func(key, format string, args ...any)) {
 	if p, err := routes.ParsePattern(o.Match, nil); err != nil {
 		report("match", "%v", err)
@@ -99,7 +99,7 @@
 			report(key, "%d is not from %d to %d", n, least, most)
 		}
 	}
-	between("assumed_size", o.Assumed, 0, 1e6)
+	between("assumed_size", o.Assumed, 0, maxAssumedSize)
 	between("batch_parallel", o.Parallel, 1, maxBatch)
 	named := map[string]bool{}
 	for _, f := range o.Fields {
@@ -115,7 +115,7 @@
 			report("field", "%q: a key belongs to a mutation's root field with a class", f.Name)
 		case f.Class != "" && typ != queryType && typ != mutationType:
 			report("field", "%q: a class belongs to a root field, %s.NAME or %s.NAME", f.Name, queryType, mutationType)
-		case math.IsNaN(f.Weight) || f.Weight > 1e6:
+		case math.IsNaN(f.Weight) || f.Weight > maxFieldWeight:
 			report("field", "%q: %v is no usable weight", f.Name, f.Weight)
 		}
 		named[f.Name] = true
@@ -127,17 +127,21 @@
 	}
 }
 
-// The names of the root types in the operator's file.
+// The names of the root types in the operator's file, whatever the schema calls them.
 const (
 	queryType    = "Query"
 	mutationType = "Mutation"
 )
 
-// headerKey is how a key that a header brings is written.
+// headerKey is the prefix of a key that is read from a header.
 const headerKey = "header:"
 
 // Bounds of the options themselves.
 const (
-	maxBatch  = 1000
-	maxTokens = 100_000
+	maxBatch       = 1000
+	maxTokens      = 100_000
+	maxDepth       = 1000
+	maxFields      = 1_000_000
+	maxAssumedSize = 1_000_000
+	maxFieldWeight = 1_000_000
 )
