--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -3,19 +3,17 @@
 import (
 	"context"
 	"encoding/json"
-	"fmt"
 	"maps"
 	"net"
 	"net/http"
 	"slices"
-	"strconv"
 	"sync"
 	"time"
 
 	"orchiddrift/internal/endpoints"
 )
 
-// Discovery is a stand-in for the platform's discovery: it keeps a list and serves it, whole and as watches. Entries
+// Discovery is a fake of the platform's discovery service: it keeps a list and serves polls and watches. Entries
 // can be set, drained and removed; the service can fall silent, break its watches, go down and move.
 type Discovery struct {
 	Heartbeat time.Duration // an empty line so often while nothing changes; absent: 200 ms. Set before Listen.
@@ -24,8 +22,8 @@
 	Rate    float64
 	Timeout time.Duration
 	Indent  bool // lists are written on many lines. Set before Listen
-	// Wrote is told of each message with entries or a version once it is written: at which address of the stand-in, and which version its
-	// reader knows then. It must not call the stand-in. Set before Listen.
+	// Wrote is called after each message with entries or a version was written, with the address that served it and the version that
+	// its reader has then. It must not call the Discovery. Set before Listen.
 	Wrote func(address string, version int64)
 
 	mu             sync.Mutex
@@ -41,7 +39,7 @@
 	rejections     int       // of the calls at each address, how many are turned away from now on
 	rejectionsLeft map[string]int
 	calls          []time.Time
-	current        int // watches that have been told all
+	current        int // watches that are up to date
 	srv            *http.Server
 	joined         map[string]*http.Server // at further addresses
 	address        string
@@ -109,12 +107,12 @@
 	}
 }
 
-// Reject has the next n calls at each address answered 503 at once.
+// RejectNext makes the next n calls at each address fail with 503 at once.
 func (d *Discovery) RejectNext(n int) {
 	d.change(func() { d.rejections, d.rejectionsLeft = n, map[string]int{} })
 }
 
-// takeRejection tells whether a call at an address is answered 503 at once.
+// takeRejection reports whether a call at an address is rejected, and counts it against RejectNext.
 func (d *Discovery) takeRejection(address string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -198,7 +196,7 @@
 	return slices.Clone(d.calls)
 }
 
-// Current is how many watches have been told all that there is.
+// Current is the number of watches that are up to date.
 func (d *Discovery) Current() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -248,14 +246,14 @@
 	return d.index
 }
 
-// List is the whole list, as a configuration's known list.
+// List is the full list, as a configuration's known list.
 func (d *Discovery) List() *endpoints.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.since(-1)
 }
 
-// since is what changed after a version; below 0 the whole list. The caller holds mu.
+// since is what changed after a version; below 0 the full list. The caller holds mu.
 func (d *Discovery) since(from int64) *endpoints.List {
 	index := d.index
 	l := &endpoints.List{Index: &index, Snapshot: from < 0, Endpoints: []endpoints.Endpoint{}}
@@ -267,7 +265,7 @@
 	return l
 }
 
-// ServeHTTP is the service itself.
+// ServeHTTP answers polls and watches.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/api/targets" {
 		http.NotFound(w, r)
@@ -311,62 +309,7 @@
 		_ = d.write(w, address, d.since(-1))
 		return
 	}
-	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
-	if err != nil || from > d.index {
-		from = -1
-	}
-	breaks := d.breaks
-	beat := time.NewTicker(d.Heartbeat)
-	defer beat.Stop()
-	done := make(chan struct{})
-	defer close(done)
-	beats := 0
-	go func() {
-		for {
-			select {
-			case <-beat.C:
-				d.mu.Lock()
-				beats++
-				d.changed.Broadcast()
-				d.mu.Unlock()
-			case <-done:
-				return
-			}
-		}
-	}()
-	told := false // all that there is
-	tell := func(all bool) {
-		if all != told {
-			told = all
-			if d.current--; all {
-				d.current += 2
-			}
-		}
-	}
-	defer func() { tell(false) }()
-	for first, seen := true, 0; ; first = false {
-		if d.closed || d.down || d.breaks != breaks || r.Context().Err() != nil {
-			return
-		}
-		tell(!first && from == d.index)
-		switch {
-		case d.silent || call <= d.muted:
-		case first || from < d.index:
-			l := d.since(from)
-			from = d.index
-			if d.write(w, address, l) != nil {
-				return
-			}
-			tell(true)
-		case beats > seen:
-			seen = beats
-			if _, err := fmt.Fprintln(w); err != nil {
-				return
-			}
-			_ = http.NewResponseController(w).Flush()
-		}
-		d.changed.Wait()
-	}
+	d.serveWatch(w, r, call, address)
 }
 
 // write sends a message; the caller holds mu, so that Told is never earlier than the write.
--- a/internal/graphql/limits.go
+++ b/internal/graphql/limits.go
@@ -22,6 +22,33 @@
 
 var errCycle = errors.New("a fragment contains itself")
 
+// checkExtent checks a document's names and fragments, and its extent against the limits. Fragments that no operation uses count too.
+func checkExtent(doc *ast.QueryDocument, limits *Limits) *Problem {
+	m := &extentMeasurer{doc: doc, limits: limits, fragments: map[string]*extent{}}
+	if problem := m.checkNames(); problem != nil {
+		return problem
+	}
+	extents := make([]extent, len(doc.Operations))
+	for i, op := range doc.Operations {
+		m.directives += len(op.Directives)
+		var err error
+		if extents[i], err = m.selectionSet(op.SelectionSet); err != nil {
+			return newProblem(CodeValidation, "%v", err)
+		}
+	}
+	for _, f := range doc.Fragments {
+		if _, err := m.fragment(f.Name); err != nil {
+			return newProblem(CodeValidation, "%v", err)
+		}
+	}
+	for _, x := range extents {
+		if problem := m.checkLimits(x); problem != nil {
+			return problem
+		}
+	}
+	return nil
+}
+
 // checkNames finds what the text says twice or not at all, in a form of the parser's that goes by names.
 func (m *extentMeasurer) checkNames() *Problem {
 	seen := map[string]bool{}
@@ -122,18 +149,18 @@
 	Answers    units.Size `toml:"batch_answers" default:"1MiB" doc:"The answers of a batch together."`
 }
 
-// DefaultLimits are those of a file that says nothing.
+// DefaultLimits returns the limits of a file that sets none.
 func DefaultLimits() Limits {
 	return Limits{Tokens: 1500, Depth: 20, Fields: 5000, Roots: 20, Aliases: 50, Directives: 50, Batch: 10,
 		Variables: 32 * units.KiB, Answers: units.MiB}
 }
 
-// Check is tomlfile.Checker's.
+// Check implements tomlfile.Checker.
 func (l *Limits) Check(report func(key, format string, args ...any)) {
 	for _, x := range []struct {
 		key     string
 		n, most int
-	}{{"tokens", l.Tokens, maxTokens}, {"depth", l.Depth, 1000}, {"fields", l.Fields, 1e6}, {"root_fields", l.Roots, maxTokens},
+	}{{"tokens", l.Tokens, maxTokens}, {"depth", l.Depth, maxDepth}, {"fields", l.Fields, maxFields}, {"root_fields", l.Roots, maxTokens},
 		{"aliases", l.Aliases, maxTokens}, {"directives", l.Directives, maxTokens}, {"batch", l.Batch, maxBatch}} {
 		least := 1
 		if x.key == "aliases" || x.key == "directives" {
