--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -22,7 +22,7 @@
 
 	classes   map[string]*class
 	upstreams map[string]*upstream
-	shuffled  []*upstream // the active upstreams in an order drawn by this sidecar; see subsetSize
+	shuffled  []*upstream // the active upstreams in an order drawn by this sidecar; see candidateSetSize
 	zones     map[string]*zoneState
 	requests  map[string]*request
 
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -51,8 +51,8 @@
 		}
 	}
 	u.active, u.zone, u.cell, u.zoneState = true, e.Zone, e.Cell, b.zoneStateFor(e.Zone)
-	if z := u.zoneState; z.ejections > 0 && e.StartedAt > z.firstFailureAt { // a new process in an ejected zone
-		z.ejections, z.ejectedUntil, z.failedUpstreams = 0, 0, 0
+	if z := u.zoneState; z.consecutiveEjections > 0 && e.StartedAt > z.firstFailureAt { // a new process in an ejected zone
+		z.consecutiveEjections, z.ejectedUntil, z.failedUpstreams = 0, 0, 0
 	}
 }
 
--- a/balancer/hedging.go
+++ b/balancer/hedging.go
@@ -67,7 +67,8 @@
 // a late request is mostly a costly one, whose hedge costs as much again: it is hedged only if its cost is
 // known from a hint and hedging has paid lately.
 func (b *Balancer) hedgingPays(r *request, u *upstream, sentAt time.Duration) bool {
-	hung := u.lastAnswerAt <= sentAt && (len(u.inFlight) >= hungUpstreamAttempts || u.zoneState.ejections > 0)
+	stuck := len(u.inFlight) >= hungUpstreamAttempts || u.zoneState.consecutiveEjections > 0
+	hung := u.lastAnswerAt <= sentAt && stuck
 	if hung {
 		return true
 	}
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -42,7 +42,7 @@
 // sidecar of little traffic keeps an estimate until it chooses the upstream again.
 func (b *Balancer) updateLatencyDecay() {
 	offered := b.offeredRate.perSecond(b.now)
-	interval := min(float64(len(b.shuffled))/max(offered, minRatePerSecond), subsetSampleInterval.Seconds())
+	interval := min(float64(len(b.shuffled))/max(offered, minRatePerSecond), candidateSampleInterval.Seconds())
 	b.latency.decay = durationFromSeconds(max(latencyDecayObjectives*b.meanObjective,
 		latencyDecayIntervals*interval))
 }
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -108,7 +108,7 @@
 	for _, c := range []struct {
 		rate int
 		want time.Duration
-	}{{2, durationFromSeconds(latencyDecayIntervals * subsetSampleInterval.Seconds())}, {200, 4 * 200 * ms}} {
+	}{{2, durationFromSeconds(latencyDecayIntervals * candidateSampleInterval.Seconds())}, {200, 4 * 200 * ms}} {
 		r := newHarness(t, testSettings())
 		r.addUpstreams(12)
 		for i := range 10 * c.rate {
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -33,7 +33,7 @@
 		return nearest
 	}
 	for _, u := range local {
-		if b.subsetSize() >= len(b.shuffled) && b.load(u) < b.load(nearest) {
+		if b.candidateSetSize() >= len(b.shuffled) && b.load(u) < b.load(nearest) {
 			nearest = u
 		}
 	}
@@ -46,7 +46,7 @@
 // delayNextTrial keeps an ejected zone from getting another trial before until, by when the one just sent
 // should have an answer.
 func (z *zoneState) delayNextTrial(until time.Duration) {
-	if z.ejections > 0 {
+	if z.consecutiveEjections > 0 {
 		z.ejectedUntil = max(z.ejectedUntil, until)
 	}
 }
@@ -54,11 +54,11 @@
 // recordZoneAnswer ends the outage of u's zone: u has answered.
 func (b *Balancer) recordZoneAnswer(u *upstream) {
 	z := u.zoneState
-	if z.ejections > 0 {
+	if z.consecutiveEjections > 0 {
 		b.logUpstreamEvent(u, "zone %s answers again", u.zone)
 	}
 	z.lastAnswerAt = b.now
-	z.failedUpstreams, z.ejections, z.ejectedUntil = 0, 0, 0
+	z.failedUpstreams, z.consecutiveEjections, z.ejectedUntil = 0, 0, 0
 	z.failureEpoch++
 }
 
@@ -76,7 +76,7 @@
 // Detecting the outage of a zone at once saves the attempts that detecting it for each upstream would cost.
 func (b *Balancer) recordZoneFailure(u *upstream, a *attempt) {
 	z := u.zoneState
-	if a.sentAt <= z.lastAnswerAt || z.ejections > 0 && a.sentAt <= z.ejectedAt {
+	if a.sentAt <= z.lastAnswerAt || z.consecutiveEjections > 0 && a.sentAt <= z.ejectedAt {
 		return
 	}
 	if u.outlier.countedInEpoch != z.failureEpoch {
@@ -90,10 +90,10 @@
 		return
 	}
 	z.ejectedAt = b.now
-	ejectedFor := ejectionTime(z.ejections) / zoneEjectionParts
+	ejectedFor := ejectionTime(z.consecutiveEjections) / zoneEjectionParts
 	z.ejectedUntil = b.now + b.jitter(ejectedFor, ejectionJitterMin, ejectionJitterMax)
-	z.ejections++
-	if z.ejections > 1 {
+	z.consecutiveEjections++
+	if z.consecutiveEjections > 1 {
 		return
 	}
 	b.logUpstreamEvent(u, "zone %s is silent: %d of its upstreams fail", u.zone, z.failedUpstreams)
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -149,12 +149,12 @@
 	})
 	w.run(10*time.Second, 20)
 	z := w.balancer.zones["c"]
-	if z.ejections == 0 {
+	if z.consecutiveEjections == 0 {
 		t.Fatalf("log %q", w.logs)
 	}
 	w.updateEndpoints(IncrementalUpdate, Endpoint{Name: "c2", Zone: "c", StartedAt: w.now})
-	if z.ejections != 0 || w.now < z.ejectedUntil {
-		t.Errorf("left out %d times, until %v, at %v", z.ejections, z.ejectedUntil, w.now)
+	if z.consecutiveEjections != 0 || w.now < z.ejectedUntil {
+		t.Errorf("left out %d times, until %v, at %v", z.consecutiveEjections, z.ejectedUntil, w.now)
 	}
 }
 
--- a/balancer/outlier_detection.go
+++ b/balancer/outlier_detection.go
@@ -34,7 +34,7 @@
 	if b.now < u.outlier.ejectedUntil || b.now < u.zoneState.ejectedUntil {
 		return false
 	}
-	if u.outlier.ejections == 0 && u.zoneState.ejections == 0 {
+	if u.outlier.consecutiveEjections == 0 && u.zoneState.consecutiveEjections == 0 {
 		return true
 	}
 	return len(u.inFlight) == 0 && r.class.Idempotency != NonIdempotent
@@ -76,14 +76,14 @@
 	b.recordAnswer(u)
 	o := &u.outlier
 	o.errorRatio -= errorRatioWeight * o.errorRatio
-	if o.ejections > 0 {
+	if o.consecutiveEjections > 0 {
 		o.errorRatio /= 1 + errorRatioWeight
 		if o.errorRatio > errorRatioReturn {
 			return
 		}
-		b.logUpstreamEvent(u, "return %s after %d ejections", u.name, o.ejections)
+		b.logUpstreamEvent(u, "return %s after %d ejections", u.name, o.consecutiveEjections)
 	}
-	o.consecutiveFailures, o.consecutiveErrors, o.ejections, o.ejectedUntil = 0, 0, 0, 0
+	o.consecutiveFailures, o.consecutiveErrors, o.consecutiveEjections, o.ejectedUntil = 0, 0, 0, 0
 }
 
 // recordAnswer notes that u has answered, whatever the answer was.
@@ -109,7 +109,7 @@
 		result == ConnectFailed && elapsed < b.settings.ConnectTimeout/fastConnectParts
 	silent := (b.now - o.firstFailureSentAt).Seconds() > silenceObjectives*b.meanObjective
 	failing := o.consecutiveFailures >= failuresBeforeEjection && (refused || silent)
-	if (failing || o.ejections > 0) && b.now >= o.ejectedUntil {
+	if (failing || o.consecutiveEjections > 0) && b.now >= o.ejectedUntil {
 		b.eject(u)
 	}
 }
@@ -126,10 +126,10 @@
 // eject keeps u from getting attempts for its ejection time.
 func (b *Balancer) eject(u *upstream) {
 	o := &u.outlier
-	ejectedFor := b.jitter(ejectionTime(o.ejections), ejectionJitterMin, ejectionJitterMax)
-	o.ejections++
+	ejectedFor := b.jitter(ejectionTime(o.consecutiveEjections), ejectionJitterMin, ejectionJitterMax)
+	o.consecutiveEjections++
 	o.ejectedUntil = b.now + ejectedFor
-	if o.ejections == 1 {
+	if o.consecutiveEjections == 1 {
 		b.logUpstreamEvent(u, "eject %s: %d failures unheard, %d errors in a row",
 			u.name, o.consecutiveFailures, o.consecutiveErrors)
 	}
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// subsetSampleInterval is how often each upstream of the subset should get a request, so that its
-	// estimate stays current.
-	subsetSampleInterval = 2 * time.Second
-	subsetSizeMin        = 4 // the least number of upstreams to choose among: two to compare, and spares
+	// candidateSampleInterval is how often each candidate should get a request, so that its estimate stays
+	// current.
+	candidateSampleInterval = 2 * time.Second
+	candidateSetSizeMin     = 4 // the least number of upstreams to choose among: two to compare, and spares
 )
 
-// subsetSize returns how many upstreams this sidecar chooses among: as many as its offered rate, in requests
-// a second, can sample at subsetSampleInterval. They are the first available ones of its shuffled list. A
-// sidecar of little traffic thus has few connections and current estimates; a busy one uses all upstreams.
-func (b *Balancer) subsetSize() int {
-	perInterval := b.offeredRate.perSecond(b.now) * subsetSampleInterval.Seconds()
-	return max(subsetSizeMin, int(math.Ceil(perInterval)))
+// candidateSetSize returns how many upstreams this sidecar chooses among: as many as its offered rate, in
+// requests a second, can sample at candidateSampleInterval. They are the first available ones of its shuffled
+// list. A sidecar of little traffic thus has few connections and current estimates; a busy one uses them all.
+func (b *Balancer) candidateSetSize() int {
+	perInterval := b.offeredRate.perSecond(b.now) * candidateSampleInterval.Seconds()
+	return max(candidateSetSizeMin, int(math.Ceil(perInterval)))
 }
 
 // pick returns the upstream for r's next attempt, or nil if none may get it. It takes the best by load
@@ -42,11 +42,11 @@
 	return b.pickZone(local, remote)
 }
 
-// candidates returns the first upstreams that accept takes and r may be sent to, at most subsetSize in this
-// sidecar's zone and as many in the others. The slices are valid until the next call.
+// candidates returns the first upstreams that accept takes and r may be sent to, at most candidateSetSize in
+// this sidecar's zone and as many in the others. The slices are valid until the next call.
 func (b *Balancer) candidates(r *request, accept func(*upstream) bool) (local, remote []*upstream) {
 	local, remote = b.scratchLocal[:0], b.scratchRemote[:0]
-	size := b.subsetSize()
+	size := b.candidateSetSize()
 	for _, u := range b.shuffled {
 		group := &remote
 		if u.zone == b.settings.Zone {
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -86,7 +86,7 @@
 			r.outcome(id, 0, OK, 20*ms)
 			r.advance(time.Second)
 		}
-		if len(met) > subsetSizeMin+2 {
+		if len(met) > candidateSetSizeMin+2 {
 			t.Fatalf("one request a second met %d upstreams", len(met))
 		}
 		for u := range met {
@@ -100,7 +100,7 @@
 	}
 	r := newHarness(t, testSettings())
 	r.addUpstreams(fleet)
-	for _, u := range r.balancer.shuffled[:subsetSizeMin] {
+	for _, u := range r.balancer.shuffled[:candidateSetSizeMin] {
 		u.outlier.ejectedUntil = r.now + time.Hour
 	}
 	r.wantSend(r.request("x", "c", time.Second))
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -57,7 +57,7 @@
 	if !u.slowStart.active {
 		return true
 	}
-	size := min(len(b.shuffled), b.subsetSize())
+	size := min(len(b.shuffled), b.candidateSetSize())
 	if !slices.Contains(b.shuffled[:size], u) {
 		return false
 	}
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -104,7 +104,7 @@
 	r := newHarness(t, testSettings())
 	r.addUpstreams(2)
 	u := r.balancer.upstreams["u0"]
-	u.outlier.ejections, u.outlier.ejectedUntil = 3, r.now+10*ms
+	u.outlier.consecutiveEjections, u.outlier.ejectedUntil = 3, r.now+10*ms
 	r.now += 20 * ms
 	n := map[string]int{}
 	for i := range 5 {
@@ -116,7 +116,7 @@
 	for i := range 5 {
 		r.outcome(string(rune('a'+i)), 0, OK, 20*ms)
 	}
-	if u.slowStart.active || u.outlier.ejections != 0 {
+	if u.slowStart.active || u.outlier.consecutiveEjections != 0 {
 		t.Errorf("after its return: %+v", u)
 	}
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -110,7 +110,7 @@
 		ErrorRatio:          u.outlier.errorRatio,
 		ConsecutiveErrors:   u.outlier.consecutiveErrors,
 		ConsecutiveFailures: u.outlier.consecutiveFailures,
-		Ejections:           u.outlier.ejections,
+		Ejections:           u.outlier.consecutiveEjections,
 		EjectedFor:          max(0, u.outlier.ejectedUntil-now),
 	}
 	if u.startedAt > 0 {
@@ -177,7 +177,7 @@
 	u.outlier.errorRatio = s.ErrorRatio
 	u.outlier.consecutiveErrors = s.ConsecutiveErrors
 	u.outlier.consecutiveFailures = s.ConsecutiveFailures
-	u.outlier.ejections = s.Ejections
+	u.outlier.consecutiveEjections = s.Ejections
 	if s.ConsecutiveFailures > 0 {
 		u.outlier.firstFailureSentAt = now
 	}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -92,13 +92,13 @@
 	for name, u := range old.balancer.upstreams {
 		v := next.balancer.upstreams[name]
 		sameEstimate := v.latency.value == u.latency.value && next.now-v.latency.updatedAt == old.now-u.latency.updatedAt
-		sameEjection := v.outlier.ejections == u.outlier.ejections &&
+		sameEjection := v.outlier.consecutiveEjections == u.outlier.consecutiveEjections &&
 			max(0, v.outlier.ejectedUntil-next.now) == max(0, u.outlier.ejectedUntil-old.now)
 		if !sameEstimate || !sameEjection || v.outlier.errorRatio != u.outlier.errorRatio {
 			t.Errorf("%s: %+v, was %+v", name, v, u)
 		}
 	}
-	if next.balancer.upstreams["bad"].outlier.ejections == 0 {
+	if next.balancer.upstreams["bad"].outlier.consecutiveEjections == 0 {
 		t.Error("the failing one was not left out")
 	}
 	if next.balancer.upstreams["new"].latency != fresh {
@@ -130,7 +130,7 @@
 	again.updateEndpoints(CachedUpdate, Endpoint{Name: "bad", Zone: "a", StartedAt: again.now - time.Millisecond})
 	before := *again.balancer.upstreams["bad"]
 	again.balancer.Restore(again.now, snapshot)
-	if u := again.balancer.upstreams["bad"]; u.outlier.ejections != 0 || u.latency != before.latency {
+	if u := again.balancer.upstreams["bad"]; u.outlier.consecutiveEjections != 0 || u.latency != before.latency {
 		t.Errorf("restored %+v, was %+v", *u, before)
 	}
 }
--- a/balancer/upstream.go
+++ b/balancer/upstream.go
@@ -30,13 +30,13 @@
 
 // outlierState is what outlier detection keeps of an upstream. An ejection ends with a good answer.
 type outlierState struct {
-	consecutiveFailures int           // attempts without an answer (connect failed, reset, timeout) in a row
-	firstFailureSentAt  time.Duration // clock time at which the first of these was sent
-	consecutiveErrors   int           // error answers in a row
-	errorRatio          float64       // moving share of error answers, 0 to 1
-	ejections           int           // ejections without a good answer since the first; 0: not ejected
-	ejectedUntil        time.Duration // clock time before which it gets no attempt
-	countedInEpoch      int           // the zone's failure epoch in which it was last counted as failed
+	consecutiveFailures  int           // attempts without an answer (connect failed, reset, timeout) in a row
+	firstFailureSentAt   time.Duration // clock time at which the first of these was sent
+	consecutiveErrors    int           // error answers in a row
+	errorRatio           float64       // moving share of error answers, 0 to 1
+	consecutiveEjections int           // ejections without a good answer since the first; 0: not ejected
+	ejectedUntil         time.Duration // clock time before which it gets no attempt
+	countedInEpoch       int           // the zone's failure epoch in which it was last counted as failed
 }
 
 // slowStartState is the token bucket that holds back an upstream that has just started.
@@ -56,13 +56,13 @@
 
 // zoneState is what outage detection keeps of a zone.
 type zoneState struct {
-	lastAnswerAt    time.Duration // clock time of the latest answer from one of its upstreams
-	failureEpoch    int           // number of the period since that answer; starts at 1
-	failedUpstreams int           // upstreams that failed in this period
-	firstFailureAt  time.Duration // clock time of the first of these failures
-	ejections       int           // ejections without an answer since the first; 0: not ejected
-	ejectedAt       time.Duration // clock time of the latest ejection
-	ejectedUntil    time.Duration // clock time before which its upstreams get no attempt
+	lastAnswerAt         time.Duration // clock time of the latest answer from one of its upstreams
+	failureEpoch         int           // number of the period since that answer; starts at 1
+	failedUpstreams      int           // upstreams that failed in this period
+	firstFailureAt       time.Duration // clock time of the first of these failures
+	consecutiveEjections int           // ejections without an answer since the first; 0: not ejected
+	ejectedAt            time.Duration // clock time of the latest ejection
+	ejectedUntil         time.Duration // clock time before which its upstreams get no attempt
 }
 
 func (u *upstream) removeInFlight(a *attempt) {
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -45,6 +45,6 @@
 
 // trialOnly reports whether u or its zone is ejected, or waits for the trial that ends an ejection.
 func (b *Balancer) trialOnly(u *upstream) bool {
-	return u.outlier.ejections > 0 || u.zoneState.ejections > 0 ||
+	return u.outlier.consecutiveEjections > 0 || u.zoneState.consecutiveEjections > 0 ||
 		b.now < u.outlier.ejectedUntil || b.now < u.zoneState.ejectedUntil
 }
