--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -53,6 +53,7 @@
 //     sent do not count.
 //   - Each Reject passes mayReject: it promises that repeating the request does no harm.
 //   - An upstream in slow start gets an attempt only while its token bucket holds a token.
+//   - Retries after a possible execution are bound by the retry budget (handleOutcome in requests.go).
 //
 // # Units
 //
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -8,7 +8,7 @@
 	"unicode/utf8"
 )
 
-// The policy files named in the deploy file stay short enough to be read: 900 lines, blank ones aside, of 110.
+// The policy files named in the deploy file stay short enough to be read: 1200 lines, blank ones aside, of 110 characters.
 func TestPolicyFileLimits(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
--- a/balancer/outlier_detection.go
+++ b/balancer/outlier_detection.go
@@ -3,7 +3,8 @@
 import "time"
 
 const (
-	// ejectionBase is the first ejection time. It doubles with each trial that fails, up to ejectionMax.
+	// ejectionBase is the first ejection time. It doubles with each trial that fails, up to ejectionMax. Both
+	// are before the jitter.
 	ejectionBase = time.Second
 	ejectionMax  = 8 * time.Second
 
@@ -11,7 +12,7 @@
 	// their trials at once.
 	ejectionJitterMin    = 0.75
 	ejectionJitterMax    = 1.25
-	maxConsecutiveErrors = 3    // the number of error answers in a row that ejects
+	maxConsecutiveErrors = 3    // error answers in a row that eject; two ServerErrors do so by their ratio
 	errorRatioWeight     = 0.25 // weight of one answer in the error ratio
 
 	// errorRatioEject is the error ratio above which an upstream is ejected: the second error in about four
@@ -70,8 +71,8 @@
 	}
 }
 
-// recordGoodAnswer ends an ejection, unless the error ratio is still high. The ratio of an ejected upstream
-// falls faster, so that two good answers in a row end its ejection.
+// recordGoodAnswer ends an ejection at once where connections failed, and with the second good answer in a
+// row where the error ratio is high, which falls faster while ejected. A Rejected answer counts as good.
 func (b *Balancer) recordGoodAnswer(u *upstream) {
 	b.recordAnswer(u)
 	o := &u.outlier
@@ -123,14 +124,14 @@
 	return result == Timeout && answeredSince || result == Cancelled && (answeredSince || !late)
 }
 
-// eject keeps u from getting attempts for its ejection time.
+// eject keeps u from getting attempts for its ejection time, unless there is no other upstream (see pick).
 func (b *Balancer) eject(u *upstream) {
 	o := &u.outlier
 	ejectedFor := b.jitter(ejectionTime(o.consecutiveEjections), ejectionJitterMin, ejectionJitterMax)
 	o.consecutiveEjections++
 	o.ejectedUntil = b.now + ejectedFor
 	if o.consecutiveEjections == 1 {
-		b.logUpstreamEvent(u, "eject %s: %d failures unheard, %d errors in a row",
+		b.logUpstreamEvent(u, "eject %s: %d failures without an answer, %d error answers in a row",
 			u.name, o.consecutiveFailures, o.consecutiveErrors)
 	}
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -7,7 +7,7 @@
 // The retry budget, in attempts. Every first attempt earns a part of a retry, so that retries and hedged
 // requests can't multiply the load when many attempts fail.
 const (
-	retryTokensPerRequest = 0.25 // retries and hedged requests per request, over time
+	retryTokensPerRequest = 0.25 // tokens earned by a first attempt; each further attempt spends one
 	retryTokensBurst      = 10.0 // attempts at once: without it a sidecar of little traffic could not retry
 )
 
@@ -31,7 +31,7 @@
 
 // mayAttempt reports whether r may be sent to u now. Every attempt passes it. It holds what must never be
 // violated: the endpoint list, MaxAttempts, idempotency and its scope and window, one attempt at a time
-// where hedging is ruled out, and the slow start budget.
+// where hedging is ruled out, and slow start. handleOutcome holds the retry budget, dispatch the time left.
 func (b *Balancer) mayAttempt(r *request, u *upstream) bool {
 	if r.finished || r.responseStarted || r.bodyConsumed || b.attemptsExhausted(r) ||
 		b.now >= r.timing.deadline || !u.active {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -53,7 +53,7 @@
 	Tick          time.Duration // least time between two calls of Handle; absent: 1 ms
 
 	MaxAttempts         int  // attempts of one request, the first included; absent: 1
-	HedgingAllowed      bool // two attempts of one request may be in flight
+	HedgingAllowed      bool // several attempts of one request may be in flight, up to MaxAttempts
 	CancellationAllowed bool
 	ProbingAllowed      bool // no decision depends on it
 	RetryAfterAllowed   bool // a Reject may carry RetryAfter
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -44,14 +44,13 @@
 	return min(1, least+(1-least)*age)
 }
 
-// slowStartAllows reports whether u's token bucket has a token for an attempt; send takes it. An upstream
-// that is not in slow start always allows.
+// slowStartAllows refills u's token bucket up to now and reports whether it holds a token for an attempt.
+// send takes as many as the attempt's cost, so the bucket may fall below 0. Outside slow start it is true.
 //
-// The bucket fills at this sidecar's mean load of an upstream (offered rate in mean requests a second,
-// divided by the subset size) times a share: the present capacity, and a fraction of OverloadMultiple of it.
-// As every sidecar keeps to its share, the sum over all stays below what overloads the upstream. A machine
-// type faster or slower than the mean has a capacity as much larger or smaller. Only upstreams of the subset
-// get attempts in slow start: otherwise, with many starting, every sidecar would send to each of them.
+// Tokens a second: the offered rate, in mean requests a second, divided by the candidate set's size, times
+// the present capacity; with OverloadMultiple also times slowStartOverloadFraction, OverloadMultiple and the
+// speed of the machine type. As every sidecar keeps to its share, the sum stays below what overloads the
+// upstream. Only candidates get attempts: otherwise, with many starting, every sidecar would send to each.
 func (b *Balancer) slowStartAllows(u *upstream) bool {
 	share := b.slowStartCapacity(u)
 	if !u.slowStart.active {
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -4,7 +4,7 @@
 
 const (
 	// subscribeBackoffBase is the pause before the first new subscription after a failure. It doubles with
-	// each further failure, up to subscribeBackoffMax.
+	// each further failure, up to subscribeBackoffMax before the jitter.
 	subscribeBackoffBase = time.Second
 	subscribeBackoffMax  = 8 * time.Second
 
@@ -13,7 +13,8 @@
 	subscribeJitterMax = 1.5
 )
 
-// handleUpdateFailed schedules a new subscription with exponential backoff and jitter.
+// handleUpdateFailed schedules a new subscription with exponential backoff and jitter. Only drivers without
+// retries of their own report UpdateFailed; in the daemon and the plug-in package staleness retries.
 func (b *Balancer) handleUpdateFailed() {
 	s := &b.subscription
 	if s.connected || s.failures == 0 {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -236,7 +236,7 @@
 	return nil
 }
 
-// abort fails all requests in flight: the process is about to be killed.
+// abort ends what is unanswered when the grace is over: what waits in an admission queue is rejected (503), what is in flight fails (502).
 func (d *daemon) abort() {
 	d.shared.abortExecutors()
 	for _, s := range d.routing.Load().services {
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -233,7 +233,7 @@
 	s.close()
 }
 
-// abort fails all requests in flight: the process is about to be killed.
+// abort rejects what waits in the admission queue, and fails what is in flight.
 func (s *service) abort() {
 	if queue := s.admission.Load(); queue != nil {
 		queue.Close()
--- a/internal/discovery/staleness/redirect.go
+++ b/internal/discovery/staleness/redirect.go
@@ -10,7 +10,7 @@
 //
 // The calls to earlier addresses are superseded. They go on until the watch at the new address delivers, and for redirectDeadline at
 // most, so that no change falls between two addresses and no place in a server's queue is given up. What they deliver is newer than the
-// list in use.
+// list in use until the new address has answered; after that only their withdrawals count (see Watcher).
 func (m *Machine) Redirect(now time.Duration) []Action {
 	if !m.started {
 		return nil
--- a/internal/discovery/staleness/timing.go
+++ b/internal/discovery/staleness/timing.go
@@ -64,7 +64,7 @@
 	maxCountedSidecars         = 1000 // a larger fleet backs off as this one
 )
 
-// Polling of a stale list. The interval does not grow.
+// Calls for a stale list. The interval between them does not grow.
 const (
 	minStalePollInterval        = 150 * time.Millisecond  // before the jitter
 	stalePollIntervalPerSidecar = 7500 * time.Microsecond // or this, where it is more: 133 calls a second from a fleet
