--- a/internal/loadgen/attempt.go
+++ b/internal/loadgen/attempt.go
@@ -45,7 +45,6 @@
 
 // serve makes one attempt, then settles the request or schedules a retry. Each worker calls it with a sender of its own.
 func (r *run) serve(s sender, x attempt) {
-	r.idle.Add(-1)
 	result := s.send(x.request, r.options.Timeout)
 	now := time.Since(r.started)
 	x.sent++
--- a/internal/loadgen/dispatch.go
+++ b/internal/loadgen/dispatch.go
@@ -124,6 +124,7 @@
 	offered := time.Now()
 	select {
 	case work <- x:
+		d.idle.Add(-1) // here, since the worker may run later than the next attempt is due
 	case <-ctx.Done():
 		d.unsettled.Add(-1)
 		return false
