--- a/internal/admission/calendar.go
+++ b/internal/admission/calendar.go
@@ -7,27 +7,27 @@
 
 const (
 	minCalendarStep  = 10 * time.Millisecond
-	maxCalendarSteps = 1024 // longer times have longer steps
-	minStepCapacity  = 1e-6 // reservations per step: bounds how many steps one reservation takes
-	maxRunDivisor    = 4    // one reservation takes this fraction of all steps at most, and one step
+	maxCalendarSteps = 1024 // a longer calendar has longer steps
+	minStepCapacity  = 1e-6 // reservations per step; it bounds how many steps one reservation takes
+	maxRunDivisor    = 4    // one reservation takes at most one step more than all steps divided by this
 )
 
-// calendar counts reservations by steps of time from now to its end, so that no step has more of them than can be
-// served.
+// calendar counts the reservations in each time step from now to its end, so that no step has more reservations than
+// can be served.
 type calendar struct {
 	step      time.Duration
-	counts    []uint32 // reservations by step, a ring
-	firstStep int64    // the step that the present lies in
+	counts    []uint32 // reservations by step, a ring buffer
+	firstStep int64    // the step that contains the current time
 	rng       *rand.Rand
 }
 
-// newCalendar returns a calendar for times up to length ahead.
+// newCalendar returns a calendar that covers the given length of time from now on.
 func newCalendar(length time.Duration, rng *rand.Rand) calendar {
 	step := max(minCalendarStep, (length+maxCalendarSteps-1)/maxCalendarSteps)
 	return calendar{step: step, counts: make([]uint32, int(length/step)+2), rng: rng}
 }
 
-// advance forgets the steps that have passed.
+// advance clears the steps that have passed.
 func (c *calendar) advance(now time.Duration) {
 	current := int64(now / c.step)
 	if current-c.firstStep >= int64(len(c.counts)) {
@@ -40,15 +40,15 @@
 }
 
 // reserve takes the first step from earliest on that has fewer than stepCapacity reservations, and returns a random
-// moment in it; false: no such step ends by latest. A capacity under one makes a reservation take several empty steps in
-// a row. All steps are looked at once, at most.
+// time in it. It returns false if no such step ends by latest. With a capacity below 1, a reservation takes several
+// consecutive empty steps. Each step is visited at most once.
 func (c *calendar) reserve(now, earliest, latest time.Duration, stepCapacity float64) (time.Duration, bool) {
 	c.advance(now)
-	needed := 1 // steps in a row
+	needed := 1 // consecutive steps
 	if stepCapacity < 1 {
 		needed = int(min(1/max(stepCapacity, minStepCapacity), float64(len(c.counts)/maxRunDivisor))) + 1
 	}
-	maxCount := uint32(max(0, stepCapacity-1)) // of a step that takes another reservation
+	maxCount := uint32(max(0, stepCapacity-1)) // of a step that can take another reservation
 	size, run := int64(len(c.counts)), 0
 	for step := max(c.firstStep, int64(earliest/c.step)); step < c.firstStep+size && c.start(step+1) <= latest; step++ {
 		if count := c.counts[step%size]; needed > 1 && count > 0 || count > maxCount {
@@ -69,5 +69,5 @@
 	return 0, false
 }
 
-// start is when a step begins.
+// start returns when a step begins.
 func (c *calendar) start(step int64) time.Duration { return time.Duration(step) * c.step }
--- a/internal/admission/concurrency_limit.go
+++ b/internal/admission/concurrency_limit.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// limiter finds the concurrency limit: enough requests in flight to keep the upstreams busy, and few enough that requests
-// wait in the queue, where their order is fair, rather than at the upstreams.
+// limiter finds the concurrency limit: enough requests in flight to keep the upstreams busy, and few enough that
+// requests wait in the queue, where their order is fair, rather than at the upstreams.
 //
-// It works in rounds, as TCP Vegas does (L. Brakmo, L. Peterson, "TCP Vegas: End to End Congestion Avoidance on a Global
-// Internet", 1995). The ratio of a round is the mean time in flight over the base time, that of requests which do not
-// wait for each other. While the limit is saturated it grows in rounds of a low ratio and shrinks in rounds of a high one.
+// It works in rounds, as TCP Vegas does (L. Brakmo, L. Peterson, "TCP Vegas: End to End Congestion Avoidance on a
+// Global Internet", 1995). The ratio of a round is its mean time in flight over the base time, which is the time in
+// flight of requests that do not wait for each other. While the limit is saturated, it grows after a round with a low
+// ratio and shrinks after a round with a high one.
 //
-// Vegas can't tell slower upstreams from overloaded ones; the effect of a smaller limit can. By Little's law the time in
-// flight falls in proportion to the limit where requests wait for each other, and does not where they don't: then the
-// present mean becomes the base time, and the limit returns to what it was. The same test, by halving the limit, finds
-// the base time at a start under load, and repeats it at intervals, since a base time learned under load would keep the
-// limit too high for good.
+// Vegas cannot tell slower upstreams from overloaded ones, but the effect of a smaller limit can. By Little's law, the
+// time in flight falls in proportion to the limit if requests wait for each other. If it does not fall, the upstreams
+// are slower: the present mean becomes the base time, and the limit is restored. The base probe is the same test by
+// halving the limit. It finds the base time after a start under load, and is repeated at intervals, because a base time
+// learned under load would keep the limit too high permanently.
 //
-// docs/design/door.md compares it with AIMD, gradients, the rate-delay product and Vegas.
+// docs/design/door.md compares the limiter with AIMD, gradients, the rate-delay product and Vegas.
 type limiter struct {
 	limit        float64
 	min, max     float64
 	baseTime     float64 // s; 0: unknown
 	longTermTime float64 // mean of all requests over minutes, s; 0: unknown
 
-	// The present round.
+	// State of the present round.
 	roundStart time.Duration
 	samples    int
-	rejected   int     // of the samples, by the balancer
-	timeSum    float64 // of the other samples, as if all were of the mean class, s
+	rejected   int     // samples that the balancer rejected
+	timeSum    float64 // times in flight of the other samples, scaled by addTime, s
 	saturated  bool    // a request had to wait for the limit
 	halfUsed   bool    // more than half of the limit was in flight
 
 	phase           limiterPhase
-	decreases       int           // rounds in a row in which the limit was decreased
-	limitBefore     float64       // the limit before the decreases, or before the base probe
-	meanBefore      float64       // the mean time in flight then, s
+	decreases       int           // consecutive rounds in which the limit was decreased
+	limitBefore     float64       // the limit before the decreases or the base probe
+	meanBefore      float64       // the mean time in flight at limitBefore, s
 	lastBaseProbe   time.Duration // when the base time was last tested; 0: no request has ended yet
 	slowdownFoundAt time.Duration // when upstreams were last found to be slower
 }
@@ -44,15 +45,15 @@
 type limiterPhase int8
 
 const (
-	steady         limiterPhase = iota
-	probeSettling               // the limit has been halved to find the base time: the round's requests began before that
-	probeMeasuring              // the round's requests began after that
+	steady         limiterPhase = iota // no base probe is running
+	probeSettling                      // the limit has been halved to find the base time; the round's requests began before that
+	probeMeasuring                     // the round's requests began after the limit was halved
 )
 
 const (
 	initialLimit     = 64 // requests
 	minRoundDuration = 50 * time.Millisecond
-	minRoundSamples  = 32 // requests; also one and a half times the limit, so that most have begun within the round
+	minRoundSamples  = 32 // requests; a round also needs 1.5 times the limit, so that most requests began within it
 	maxRoundSamples  = 512
 
 	// Ratios of the mean time in flight to the base time.
@@ -61,17 +62,17 @@
 	shrinkRatio = 2.6 // above: the limit shrinks
 
 	// Factors of the limit.
-	growFactor   = 1.15 // of a round
-	shrinkFactor = 0.85 // of a round
-	probeFactor  = 2    // divisor, of a base probe
+	growFactor   = 1.15 // per round
+	shrinkFactor = 0.85 // per round
+	probeFactor  = 2    // divisor of the limit in a base probe
 
-	maxRejectedFraction    = 0.05 // of a round's samples: the limit shrinks above it
-	minElasticity          = 0.4  // the time in flight must follow the limit by at least this power, or the upstreams are slower
-	decreasesBeforeJudging = 5    // rounds: the first ones still measure requests that began before the decrease
+	maxRejectedFraction  = 0.05 // of a round's samples; the limit shrinks above it
+	minElasticity        = 0.4  // the time in flight follows the limit by at least this power, unless the upstreams are slower
+	decreasesBeforeCheck = 5    // rounds; the first ones still measure requests that began before the decrease
 
 	baseProbeInterval   = 30 * time.Second
-	firstBaseProbeDelay = 500 * time.Millisecond // after the first request has ended: earlier times are those of idle upstreams
-	slowdownGrace       = 3 * time.Second        // after a slowdown was found the balancer's rejections do not shrink the limit
+	firstBaseProbeDelay = 500 * time.Millisecond // after the first request has ended; earlier requests find the upstreams idle
+	slowdownGrace       = 3 * time.Second        // time after a slowdown in which rejections by the balancer do not shrink the limit
 
 	baseSmoothing     = 0.2   // weight of an unsaturated round in the base time
 	longTermSmoothing = 0.002 // weight of a request in the long-term means
@@ -82,13 +83,13 @@
 	return limiter{limit: max(low, min(initialLimit, high)), min: low, max: high}
 }
 
-// current is the limit in requests.
+// current returns the limit in requests.
 func (l *limiter) current() int { return int(l.limit) }
 
 func (l *limiter) setLimit(limit float64) { l.limit = min(l.max, max(l.min, limit)) }
 
-// observe brings a request that has ended: its cost in seconds, how many were in flight with it, and whether the balancer
-// rejected it. The last sample of a round adapts the limit.
+// observe records a request that has ended: its cost in seconds, the number of requests that were in flight, itself
+// included, and whether the balancer rejected it. The last sample of a round adapts the limit.
 func (l *limiter) observe(now time.Duration, class *classStats, cost float64, inFlight int, rejected bool) {
 	if l.lastBaseProbe == 0 {
 		l.lastBaseProbe = now
@@ -122,7 +123,7 @@
 	l.timeSum += cost * l.longTermTime / max(class.longTermCost, minCost)
 }
 
-// endRound adapts the limit and the base time to a round.
+// endRound adapts the limit and the base time at the end of a round.
 func (l *limiter) endRound(now time.Duration) {
 	completed := l.samples - l.rejected
 	if completed == 0 {
@@ -147,7 +148,7 @@
 	case l.decreases == 0 && l.baseProbeDue(now):
 		l.startBaseProbe(mean)
 	case l.baseTime == 0:
-		// Nothing to compare with before the first base probe.
+		// Before the first base probe, there is no base time to compare with.
 	default:
 		l.adapt(now, mean)
 	}
@@ -180,14 +181,14 @@
 	}
 }
 
-// decrease shrinks the limit by one round's factor. After some rounds it restores the limit if that had no effect: the
-// upstreams are slower.
+// decrease shrinks the limit by one round's factor. If the time in flight has not fallen after several such rounds, the
+// upstreams are slower: the mean becomes the base time, and the limit is restored.
 func (l *limiter) decrease(now time.Duration, mean float64) {
 	if l.decreases == 0 {
 		l.limitBefore, l.meanBefore = l.limit, mean
 	}
 	l.decreases++
-	if l.decreases > decreasesBeforeJudging && !l.timeFollowedLimit(mean) {
+	if l.decreases > decreasesBeforeCheck && !l.timeFollowedLimit(mean) {
 		l.decreases, l.baseTime, l.lastBaseProbe, l.slowdownFoundAt = 0, mean, now, now
 		l.setLimit(l.limitBefore)
 		return
@@ -195,28 +196,29 @@
 	l.setLimit(l.limit * shrinkFactor)
 }
 
-// timeFollowedLimit reports whether the mean time in flight has fallen with the limit. At the minimum limit there was no
-// change to follow.
+// timeFollowedLimit reports whether the mean time in flight has fallen with the limit. It returns false if the limit
+// could not be reduced because it was at its minimum.
 func (l *limiter) timeFollowedLimit(mean float64) bool {
 	down := math.Log(l.limitBefore / l.limit)
 	return down > 0 && math.Log(l.meanBefore/mean) > minElasticity*down
 }
 
-// baseProbeDue reports whether the base time is to be tested.
+// baseProbeDue reports whether a base probe is due.
 func (l *limiter) baseProbeDue(now time.Duration) bool {
 	since := now - l.lastBaseProbe
 	return since > baseProbeInterval || l.baseTime == 0 && since > firstBaseProbeDelay
 }
 
-// startBaseProbe halves the limit.
+// startBaseProbe halves the limit to test the base time.
 func (l *limiter) startBaseProbe(mean float64) {
 	l.limitBefore, l.meanBefore, l.phase, l.decreases = l.limit, mean, probeSettling, 0
 	l.setLimit(l.limit / probeFactor)
 }
 
-// finishBaseProbe judges a halved limit. If the time in flight has not fallen with it, requests did not wait for each
-// other: the present mean is the base time, and the limit is restored. Otherwise the limit is halved again, or kept if
-// the mean is still high by the known base time.
+// finishBaseProbe evaluates a halved limit. If the time in flight has not fallen with it, requests did not wait for
+// each other. Then, or if the limit is at its minimum, the present mean becomes the base time, and the limit is
+// restored. Otherwise the limit is halved again, or stays halved if the mean is still high compared with the known base
+// time.
 func (l *limiter) finishBaseProbe(now time.Duration, mean float64) {
 	if l.limit <= l.min || !l.timeFollowedLimit(mean) {
 		l.phase, l.lastBaseProbe, l.baseTime = steady, now, mean
--- a/internal/admission/cost.go
+++ b/internal/admission/cost.go
@@ -10,9 +10,9 @@
 // A request's cost is the time that it is in flight, in seconds. It is estimated before the request is dispatched, and
 // the difference is charged after it has ended (sfqScheduler.correctCost).
 const (
-	initialCost     = 0.02  // s: mean of a class that nothing is known of
+	initialCost     = 0.02  // s: mean of a class before its first completed request
 	minCost         = 1e-6  // s: no request is free
-	maxHintFactor   = 8.0   // an estimate is at most this factor away from its class's mean
+	maxHintFactor   = 8.0   // an estimate is within this factor of its class's mean, both ways
 	costSmoothing   = 0.05  // weight of one request in the means
 	hintSmoothing   = 0.05  // weight of one hint in the mean hint and in a group's hint accuracy
 	minHintAccuracy = 0.125 // bounds of one observed accuracy
@@ -20,17 +20,17 @@
 	boundDeviations = 2 // mean deviations above the mean, in costBound
 )
 
-// classStats is a class of requests and what has been learned of their cost, in seconds.
+// classStats is a class of requests with the observed statistics of their costs, in seconds.
 type classStats struct {
 	balancer.Class
 	meanCost      float64
 	meanDeviation float64 // mean absolute deviation from meanCost
-	longTermCost  float64 // mean over minutes, kept by the limiter; 0: unknown
-	meanHint      float64 // of the hints that came with requests; 0: none came
+	longTermCost  float64 // mean over minutes, updated by the limiter; 0: unknown
+	meanHint      float64 // mean of the hints that requests carried; 0: there has been none
 }
 
-// estimateCost is the estimated cost of a request, in seconds: its class's mean, scaled by its hint over the mean hint
-// and by the accuracy of its group's earlier hints.
+// estimateCost returns the estimated cost of a request, in seconds: its class's mean, scaled by its hint over the mean
+// hint and by the accuracy of its group's earlier hints.
 func (c *classStats) estimateCost(hint time.Duration, accuracy float64) float64 {
 	cost := c.meanCost
 	if hint > 0 && c.meanHint > 0 {
@@ -39,7 +39,7 @@
 	return max(minCost, cost)
 }
 
-// costBound is a cost that most requests stay under: the mean and a multiple of the mean deviation, as in TCP's
+// costBound returns a cost that most requests stay below: the mean plus a multiple of the mean deviation, as in TCP's
 // retransmission timer (V. Jacobson, "Congestion Avoidance and Control", SIGCOMM 1988).
 func (c *classStats) costBound() time.Duration {
 	return seconds(c.meanCost + boundDeviations*c.meanDeviation)
@@ -65,7 +65,8 @@
 }
 
 // updateHintAccuracy moves a group's hint accuracy towards that of a completed request: its cost over its class's mean,
-// divided by its hint over the mean hint. The hints of a group that always states ten times too much soon count a tenth.
+// divided by its hint over the mean hint. If a group always overstates its costs, its hints soon count for less, down
+// to minHintAccuracy of what they state.
 func (c *classStats) updateHintAccuracy(accuracy float64, hint time.Duration, cost float64) float64 {
 	if hint <= 0 || c.meanHint == 0 || c.meanCost <= 0 {
 		return accuracy
--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -3,7 +3,7 @@
 // members returns an entry's flow and group, in this order.
 func (e *entry) members() [2]*member { return [2]*member{&e.flow.member, &e.flow.group.member} }
 
-// levelOf returns the level that a member shares with its like.
+// levelOf returns the level of a member: all groups, or the flows of its group.
 func (q *Queue) levelOf(m *member) *level {
 	if m.flow == nil {
 		return &q.groupLevel
@@ -40,7 +40,8 @@
 	q.timeouts.Set(e, float64(e.timeoutAt), uint64(e.index))
 }
 
-// dequeue removes a request from everything that counts queued ones, except its members' places in their schedulers.
+// dequeue removes a request from its flow's queue and from the counts of queued requests. Its flow and group keep their
+// positions in their schedulers.
 func (q *Queue) dequeue(e *entry) {
 	q.timeouts.Remove(e)
 	e.flow.remove(e)
@@ -56,7 +57,7 @@
 		m.queuedBytes -= e.bytes
 		m.backlog -= e.estimatedCost
 		if m.queued == 0 {
-			m.backlog = 0 // without the rounding errors of the sum
+			m.backlog = 0 // discards the rounding errors of the sum
 			l.byLoad.Remove(m)
 		} else {
 			l.byLoad.Set(m, -q.load(m), 0)
@@ -64,7 +65,7 @@
 	}
 }
 
-// removeQueued removes a queued request that is not admitted.
+// removeQueued removes a queued request that will not be admitted.
 func (q *Queue) removeQueued(e *entry) {
 	q.dequeue(e)
 	for _, m := range e.members() {
@@ -76,8 +77,8 @@
 	}
 }
 
-// deactivateIfIdle is called when a request of a member has ended. A member whose finish tag is ahead of virtual time
-// is remembered as indebted.
+// deactivateIfIdle deactivates a member that has nothing queued or in flight. A member whose finish tag is ahead of
+// virtual time is kept as indebted.
 func (q *Queue) deactivateIfIdle(l *level, m *member) {
 	if m.active() {
 		return
@@ -95,7 +96,7 @@
 		q.dequeue(e)
 		for _, m := range e.members() {
 			l := q.levelOf(m)
-			l.schedulerOf(m).dispatch(m, e.estimatedCost, !q.lastFromLane, m.queued > 0)
+			l.schedulerOf(m).dispatch(m, e.estimatedCost, !q.lastFromReservedLane, m.queued > 0)
 			m.inFlight++
 		}
 		e.state, e.admittedAt = entryAdmitted, q.now
@@ -111,17 +112,17 @@
 }
 
 // nextEntry returns the request to admit next. It alternates between the reserved lane and the fair order, so that
-// reservations made before the upstreams slowed down cannot stop all others.
+// reservations made before the upstreams slowed down cannot block all other requests.
 func (q *Queue) nextEntry() *entry {
-	if first := q.reservedLane.nextReserved; first != &q.reservedLane && !q.lastFromLane {
-		q.lastFromLane = true
+	if first := q.reservedLane.nextReserved; first != &q.reservedLane && !q.lastFromReservedLane {
+		q.lastFromReservedLane = true
 		return first
 	}
-	q.lastFromLane = false
+	q.lastFromReservedLane = false
 	return q.groupLevel.next().group.flowLevel.next().flow.lists[0].first
 }
 
-// forgetSettled forgets the indebted members of a level that virtual time has caught up with.
+// forgetSettled removes the indebted members of a level whose finish tags virtual time has reached.
 func (q *Queue) forgetSettled(l *level) {
 	for _, s := range l.schedulers() {
 		for s != nil && s.indebted.Len() > 0 && !s.isAhead(s.indebted.First()) {
--- a/internal/admission/entry.go
+++ b/internal/admission/entry.go
@@ -5,23 +5,23 @@
 type entryState int8
 
 const (
-	entryFree     entryState = iota // unused, or its request is being decided on
-	entryQueued                     // waits
+	entryFree     entryState = iota // unused, or Arrive has not decided on its request yet
+	entryQueued                     // waits in its flow
 	entryAdmitted                   // in flight
 )
 
 // entry is a request between its arrival and its end. Entries are reused.
 type entry struct {
-	index, generation uint32 // position in Queue.entries, and how often it has been reused: together the ticket
+	index, generation uint32 // position in Queue.entries and number of its use; together they are the ticket
 	state             entryState
 	reserved          bool // its client came back at its reserved time
-	pastObjective     bool // its latency objective had passed on arrival, or did while it waited
+	pastObjective     bool // its latency objective passed before it arrived or while it waited
 	flow              *flow
 	class             *classStats
 
 	costHint       time.Duration
 	estimatedCost  float64 // s
-	priorityWeight float64 // its class's, lowered once its objective has passed
+	priorityWeight float64 // that of its class, lowered once the latency objective has passed
 	bytes          int64
 	fingerprint    uint64
 
@@ -29,7 +29,7 @@
 	admittedAt  time.Duration
 	objectiveAt time.Duration // when its latency objective passes
 	deadline    time.Duration
-	timeoutAt   time.Duration // when Queue.advance looks at it again
+	timeoutAt   time.Duration // when Queue.advance demotes or rejects it
 
 	prev, next                 *entry // in its entryList
 	prevReserved, nextReserved *entry // in Queue.reservedLane
@@ -38,11 +38,12 @@
 
 func (e *entry) ticket() Ticket { return Ticket(e.generation)<<32 | Ticket(e.index) }
 
-// expectedServiceTime is the mean time in flight of requests of its class.
+// expectedServiceTime returns the mean time in flight of requests of its class.
 func (e *entry) expectedServiceTime() time.Duration { return seconds(e.class.meanCost) }
 
-// latestStart is when a queued request must be admitted to meet its latency objective or, once that has passed, its
-// deadline. The expected service time counts for half of the total time at most.
+// latestStart returns when a queued request must be admitted to meet its latency objective or, once that has passed,
+// its deadline. The expected service time counts for at most half of the time between arrival and objective or
+// deadline.
 func (e *entry) latestStart() time.Duration {
 	if e.pastObjective {
 		return e.deadline - min(e.expectedServiceTime(), (e.deadline-e.arrivedAt)/2)
@@ -63,7 +64,7 @@
 	return e
 }
 
-// releaseEntry makes an entry free for reuse, and its ticket invalid.
+// releaseEntry frees an entry for reuse and invalidates its ticket.
 func (q *Queue) releaseEntry(e *entry) {
 	f := e.flow
 	if e.state == entryFree { // its request was rejected on arrival
--- a/internal/admission/entry_list.go
+++ b/internal/admission/entry_list.go
@@ -6,8 +6,8 @@
 	first, last    *entry
 }
 
-// reservedPriority is added to the priority weight of requests that came back at their reserved time: it exceeds every
-// weight of a class.
+// reservedPriority is added to the priority weight of requests that came back at their reserved time. It exceeds the
+// priority weight of every class.
 const reservedPriority = 1e18
 
 // insert adds a request to the list of its priority weight. The lists are in descending order of weight.
@@ -35,7 +35,7 @@
 	list.last = e
 }
 
-// remove takes a request out of its list, and an empty list out of the flow.
+// remove removes a request from its list, and the list from the flow if it is empty then.
 func (f *flow) remove(e *entry) {
 	for i := range f.lists {
 		list := &f.lists[i]
--- a/internal/admission/eviction.go
+++ b/internal/admission/eviction.go
@@ -1,8 +1,8 @@
 package admission
 
-// makeSpace evicts queued requests until a request that arrives fits into the queue, and reports whether it fits. If the
-// request itself is the one to reject, or would be after some evictions, it does not. A request that can be admitted at
-// once needs no space.
+// makeSpace evicts queued requests until an arriving request fits into the queue, and reports whether it fits. It does
+// not fit if selectVictim selects the request itself, at first or after some evictions. A request that can be admitted
+// at once needs no space.
 func (q *Queue) makeSpace(e *entry, actions []Action) (_ []Action, fits bool) {
 	maxBytes := int64(q.options.MaxQueuedBytes)
 	full := q.queued >= q.options.MaxQueued || q.queuedBytes+e.bytes > maxBytes
@@ -22,9 +22,9 @@
 	}
 }
 
-// selectVictim returns the request to reject when a request that arrives finds the queue full: of the group with the
-// highest load, and in it of the flow with the highest load, the request of the lowest priority weight, and of those the
-// newest. The arriving request counts as queued, and may be the victim itself.
+// selectVictim returns the request to reject when an arriving request finds the queue full. In the group with the
+// highest load, it takes the flow with the highest load, and of that flow the newest request of the lowest priority
+// weight. The arriving request counts as queued, and may be the victim itself.
 func (q *Queue) selectVictim(e *entry) *entry {
 	f, g := e.flow, e.flow.group
 	if q.queued == 0 {
@@ -53,13 +53,13 @@
 	return e
 }
 
-// newestOfLowestPriority is the queued request of a flow that is evicted first.
+// newestOfLowestPriority returns the queued request of a flow that is evicted first.
 func (f *flow) newestOfLowestPriority() *entry { return f.lists[len(f.lists)-1].last }
 
-// load is the fraction of the queue that a member holds, divided by its weight.
+// load returns the sum of a member's fractions of the bounds on requests and bytes, divided by its weight.
 func (q *Queue) load(m *member) float64 { return q.loadWith(m, 0, 0) }
 
-// loadWith is the load of a member with further requests and bytes.
+// loadWith returns the load that a member would have with further requests and bytes.
 func (q *Queue) loadWith(m *member, requests int, bytes int64) float64 {
 	held := float64(m.queued+requests)/float64(q.options.MaxQueued) + float64(m.queuedBytes+bytes)/float64(max(1, q.options.MaxQueuedBytes))
 	if m.weight <= 0 {
@@ -68,7 +68,7 @@
 	return held / m.weight
 }
 
-// updateLoads orders a group and its flows by their loads again, after a change of the bounds or weights.
+// updateLoads reorders a group and its flows by their loads, after a change of the bounds or weights.
 func (q *Queue) updateLoads(g *group) {
 	if g.loadIndex >= 0 {
 		q.groupLevel.byLoad.Set(&g.member, -q.load(&g.member), 0)
--- a/internal/admission/fair_queueing.go
+++ b/internal/admission/fair_queueing.go
@@ -2,13 +2,13 @@
 
 import "orchiddrift/internal/priorityqueue"
 
-// member is a party to the fair queueing of one level: a group among groups, or a flow among those of its group. Tags
-// are in virtual time: cost (seconds in flight) divided by weight.
+// member takes part in the fair queueing of one level: a group among all groups, or a flow among the flows of its
+// group. Tags are in virtual time, which is cost (seconds in flight) divided by weight.
 type member struct {
 	weight     float64 // 0: best effort
 	startTag   float64 // of its next request
 	finishTag  float64 // of the request that it dispatched last
-	readyOrder uint64  // breaks ties of equal start tags: the longest wait first
+	readyOrder uint64  // orders equal start tags: the member that has waited longest goes first
 
 	readyIndex    int // in sfqScheduler.ready; -1: nothing is queued
 	indebtedIndex int // in sfqScheduler.indebted; -1: not in it
@@ -18,7 +18,7 @@
 	inFlight    int
 	queuedBytes int64
 	backlog     float64 // estimated cost of its queued requests, s
-	arriving    bool    // a request of it is being decided on: it is not forgotten
+	arriving    bool    // Arrive is deciding on a request of it, and it must not be forgotten
 
 	group *group
 	flow  *flow // nil: the member is the group itself
@@ -31,7 +31,7 @@
 // active reports whether a member has a request queued or in flight.
 func (m *member) active() bool { return m.queued+m.inFlight > 0 }
 
-// effectiveWeight is the weight that costs are divided by: best-effort members are equal among themselves.
+// effectiveWeight returns the weight that costs are divided by. It is the same for all best-effort members.
 func (m *member) effectiveWeight() float64 {
 	if m.weight > 0 {
 		return m.weight
@@ -43,14 +43,15 @@
 // "Start-time Fair Queuing" (SIGCOMM 1996); W. Jin, J. Chase, J. Kaur, "Interposed Proportional Sharing for a Storage
 // Service Utility" (SIGMETRICS 2004) for the depth D, here the concurrency limit.
 //
-// A member that begins to queue gets the start tag max(virtual time, its finish tag). The least start tag is dispatched
-// next, and virtual time is the start tag that was dispatched last. A request's cost is known only when it has ended:
-// the difference to the estimate moves the member's tags then, so that over time shares are of the actual cost.
+// A member that had nothing queued gets the start tag max(virtual time, its finish tag). The member with the smallest
+// start tag is dispatched next, and virtual time is the start tag of the last dispatch. A request's cost is known only
+// when it has ended. Its difference from the estimate moves the member's tags then, so that over time the members get
+// their shares of the actual cost.
 type sfqScheduler struct {
 	virtualTime  float64
 	maxFinishTag float64
 	ready        priorityqueue.Queue[*member] // members with queued requests, by start tag
-	indebted     priorityqueue.Queue[*member] // idle members that are ahead of virtual time, by finish tag: not forgotten until it catches up
+	indebted     priorityqueue.Queue[*member] // idle members, by finish tag; they are not forgotten until virtual time catches up
 	nextOrder    uint64
 }
 
@@ -67,22 +68,23 @@
 	s.setReady(m, max(s.virtualTime, m.finishTag))
 }
 
-// setReady gives a member a start tag, behind members of the same tag.
+// setReady gives a member a start tag and its position after members of the same tag.
 func (s *sfqScheduler) setReady(m *member, startTag float64) {
 	s.nextOrder++
 	m.startTag, m.readyOrder = startTag, s.nextOrder
 	s.ready.Set(m, m.startTag, m.readyOrder)
 }
 
-// dispatch charges a member for a request of the given estimated cost. inOrder says that it was dispatched by its start
-// tag, which moves virtual time, and not from the reserved lane; more, that the member has further queued requests.
-func (s *sfqScheduler) dispatch(m *member, cost float64, inOrder, more bool) {
+// dispatch charges a member for a request of the given estimated cost. inOrder reports that the request was selected by
+// the member's start tag, which moves virtual time, and not from the reserved lane. moreQueued reports that the member
+// has further queued requests.
+func (s *sfqScheduler) dispatch(m *member, cost float64, inOrder, moreQueued bool) {
 	if inOrder {
 		s.virtualTime = max(s.virtualTime, m.startTag)
 	}
 	m.finishTag = m.startTag + cost/m.effectiveWeight()
 	s.maxFinishTag = max(s.maxFinishTag, m.finishTag)
-	if !more {
+	if !moreQueued {
 		s.ready.Remove(m)
 		return
 	}
@@ -111,5 +113,6 @@
 // isAhead reports whether a member has been served more than its share up to virtual time.
 func (s *sfqScheduler) isAhead(m *member) bool { return m.finishTag > s.virtualTime }
 
-// endBusyPeriod moves virtual time past all finish tags, when no member is active: none is ahead any more.
+// endBusyPeriod moves virtual time to the largest finish tag when no member is active, so that no member is ahead of
+// it.
 func (s *sfqScheduler) endBusyPeriod() { s.virtualTime = max(s.virtualTime, s.maxFinishTag) }
--- a/internal/admission/harness_test.go
+++ b/internal/admission/harness_test.go
@@ -14,15 +14,14 @@
 	{Name: "pay", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 5},
 }
 
-// harness is a Queue with everything that is known of its requests from outside. It checks the queue's invariants after
-// each event.
+// harness drives a Queue and keeps its own record of the requests. It checks the queue's invariants after each event.
 type harness struct {
 	queue      *Queue
 	now        time.Duration
 	state      map[Ticket]entryState
 	bytes      map[Ticket]int64
 	admittedAt map[Ticket]time.Duration
-	admitted   []Ticket // in order
+	admitted   []Ticket // in the order of admission
 	retryAfter map[Ticket]time.Duration
 }
 
@@ -37,7 +36,7 @@
 	return o
 }
 
-// withoutTimeLimit keeps a request from being rejected for its time.
+// withoutTimeLimit returns an arrival whose latency objective and deadline lie too far ahead to matter.
 func withoutTimeLimit(a Arrival) Arrival {
 	a.ArrivedAt, a.Deadline = 100*time.Hour, 200*time.Hour
 	return a
@@ -50,15 +49,15 @@
 	}
 }
 
-// apply records actions. Each request must be queued when it is admitted or rejected, which happens once.
+// apply records actions. Each request must be queued when it is admitted or rejected, and is so only once.
 func (h *harness) apply(actions []Action) error {
 	for _, action := range actions {
 		if h.state[action.Ticket] != entryQueued {
-			return fmt.Errorf("%v for ticket %x, which is %v", action.Kind, action.Ticket, h.state[action.Ticket])
+			return fmt.Errorf("action of kind %v for ticket %x, whose state is %v and not queued", action.Kind, action.Ticket, h.state[action.Ticket])
 		}
 		if action.Kind == Reject {
 			if action.RetryAfter < 0 || action.RetryAfter > h.queue.options.maxRetryAfter() {
-				return fmt.Errorf("Retry-After is %v", action.RetryAfter)
+				return fmt.Errorf("Retry-After is %v, which is negative or over the maximum", action.RetryAfter)
 			}
 			h.state[action.Ticket], h.retryAfter[action.Ticket] = entryFree, action.RetryAfter
 			continue
@@ -84,7 +83,7 @@
 	return t, h.apply(actions)
 }
 
-// arriveMany brings n requests, and returns those that were neither admitted nor rejected.
+// arriveMany lets n requests arrive, and returns those that were neither admitted nor rejected.
 func (h *harness) arriveMany(t testing.TB, n int, a Arrival) (queued []Ticket) {
 	t.Helper()
 	for range n {
@@ -113,7 +112,7 @@
 
 func (h *harness) wake() error { return h.apply(h.queue.Wake(h.now, nil)) }
 
-// checkInvariants compares the queue with its bounds, with what is known from outside, and with its own counts.
+// checkInvariants compares the queue with its bounds, with the harness's record, and with its own counts.
 func (h *harness) checkInvariants() error {
 	if err := h.checkStats(); err != nil {
 		return err
@@ -133,15 +132,15 @@
 		reservations += held
 	}
 	if requests != stats.Queued+stats.InFlight {
-		return fmt.Errorf("%d requests belong to known groups, stats are %+v", requests, stats)
+		return fmt.Errorf("%d requests belong to known groups, but stats are %+v", requests, stats)
 	}
 	if known != stats.Principals || reservations != stats.Reservations {
-		return fmt.Errorf("%d known principals, %d reservations, stats are %+v", known, reservations, stats)
+		return fmt.Errorf("%d principals are known and %d reservations are held, but stats are %+v", known, reservations, stats)
 	}
 	return nil
 }
 
-// checkStats compares the statistics with the bounds and with what is known from outside.
+// checkStats compares the queue's counts with the bounds and with the harness's record.
 func (h *harness) checkStats() error {
 	queued, inFlight, bytes := 0, 0, int64(0)
 	for t, s := range h.state {
@@ -161,11 +160,11 @@
 	case stats.Queued != queued || stats.InFlight != inFlight || stats.QueuedBytes != bytes:
 		return fmt.Errorf("stats are %+v, but %d are queued with %d bytes, and %d in flight", stats, queued, bytes, inFlight)
 	case stats.Queued > o.MaxQueued || stats.QueuedBytes > int64(o.MaxQueuedBytes) || stats.Principals > o.MaxPrincipals || stats.Reservations > o.MaxReservations:
-		return fmt.Errorf("over a bound: %+v", stats)
+		return fmt.Errorf("stats exceed a bound of the options: %+v", stats)
 	case stats.Queued > 0 && stats.InFlight < stats.Limit:
-		return fmt.Errorf("%d are queued while only %d of %d are in flight", stats.Queued, stats.InFlight, stats.Limit)
+		return fmt.Errorf("%d requests are queued while only %d of %d are in flight", stats.Queued, stats.InFlight, stats.Limit)
 	case stats.Limit < o.MinLimit || stats.Limit > o.MaxLimit:
-		return fmt.Errorf("limit %d", stats.Limit)
+		return fmt.Errorf("limit %d is outside the bounds of the options", stats.Limit)
 	}
 	return nil
 }
@@ -173,7 +172,7 @@
 // checkGroup compares a group's counts with those of its flows, and returns the number of its reservations.
 func (q *Queue) checkGroup(g *group) (reservations int, _ error) {
 	if len(g.flows) > max(1, q.options.MaxPrincipals/groupFlowDivisor) {
-		return 0, fmt.Errorf("%d flows", len(g.flows))
+		return 0, fmt.Errorf("%d flows exceed the bound for a group", len(g.flows))
 	}
 	flows := []*flow{&g.sharedFlow}
 	for _, f := range g.flows {
@@ -192,39 +191,40 @@
 		}
 	}
 	if queued != g.queued || inFlight != g.inFlight || active != g.flowLevel.activeMembers || (g.queued > 0) != (g.readyIndex >= 0) {
-		return 0, fmt.Errorf("%d queued, %d in flight, %d active; %+v", queued, inFlight, active, g.member)
+		return 0, fmt.Errorf("the flows have %d requests queued, %d in flight, and %d of them are active, unlike the group: %+v",
+			queued, inFlight, active, g.member)
 	}
 	if bytes != g.queuedBytes || math.Abs(backlog-g.backlog) > backlogTolerance {
-		return 0, fmt.Errorf("flows hold %d bytes and a backlog of %v s; %+v", bytes, backlog, g.member)
+		return 0, fmt.Errorf("the flows hold %d bytes and a backlog of %v s, unlike the group: %+v", bytes, backlog, g.member)
 	}
 	if !g.active() && len(g.flows) == 0 && len(g.sharedFlow.reservations) == 0 && !q.groupLevel.schedulerOf(&g.member).isAhead(&g.member) {
-		return 0, fmt.Errorf("known without a reason")
+		return 0, fmt.Errorf("the group is known without requests, flows, reservations or debt")
 	}
 	return reservations, nil
 }
 
-// backlogTolerance is for the rounding errors of sums, in seconds.
+// backlogTolerance allows for the rounding errors of sums, in seconds.
 const backlogTolerance = 1e-9
 
-// check compares a flow's lists, counts and places in the priority queues.
+// check compares a flow's lists, counts and positions in the priority queues.
 func (f *flow) check() error {
 	n, bytes, backlog := 0, int64(0), 0.0
 	for _, list := range f.lists {
 		for e := list.first; e != nil; e = e.next {
 			if e.flow != f || e.state != entryQueued || e.next == nil && list.last != e {
-				return fmt.Errorf("a request is not linked correctly")
+				return fmt.Errorf("a request in a list has a wrong flow, state or link")
 			}
 			n, bytes, backlog = n+1, bytes+e.bytes, backlog+e.estimatedCost
 		}
 	}
 	if bytes != f.queuedBytes || math.Abs(backlog-f.backlog) > backlogTolerance {
-		return fmt.Errorf("lists hold %d bytes and a backlog of %v s, %+v", bytes, backlog, f.member)
+		return fmt.Errorf("the lists hold %d bytes and a backlog of %v s, unlike the flow: %+v", bytes, backlog, f.member)
 	}
 	if n != f.queued || (f.queued > 0) != (f.readyIndex >= 0) || (f.queued > 0) != (f.loadIndex >= 0) || len(f.reservations) > maxFlowReservations {
-		return fmt.Errorf("%d requests in its lists, %+v", n, f.member)
+		return fmt.Errorf("%d requests in the lists, or its reservations, do not agree with its counts and positions: %+v", n, f.member)
 	}
 	if (len(f.reservations) > 0) != (f.expiryIndex >= 0) || math.IsNaN(f.finishTag) || f.readyIndex >= 0 && f.indebtedIndex >= 0 {
-		return fmt.Errorf("%+v", f)
+		return fmt.Errorf("wrong position for its reservations, invalid finish tag, or both ready and indebted: %+v", f)
 	}
 	return nil
 }
--- a/internal/admission/level.go
+++ b/internal/admission/level.go
@@ -2,10 +2,10 @@
 
 import "orchiddrift/internal/priorityqueue"
 
-// level is the members of one parent: all groups, or the flows of a group.
+// level holds the members that share one capacity: all groups, or the flows of one group.
 type level struct {
 	weighted      sfqScheduler
-	bestEffort    *sfqScheduler // members of weight 0, which get the capacity that others leave; nil: there was none yet
+	bestEffort    *sfqScheduler // members of weight 0, which get the capacity that others leave; nil: there has been no such member
 	activeWeight  float64       // sum over active members
 	activeMembers int
 	byLoad        priorityqueue.Queue[*member] // members with queued requests, the highest load first
@@ -33,7 +33,7 @@
 // schedulers returns both schedulers; the second one may be nil.
 func (l *level) schedulers() [2]*sfqScheduler { return [2]*sfqScheduler{&l.weighted, l.bestEffort} }
 
-// next returns the member to dispatch next; nil: nothing is queued.
+// next returns the member whose request is dispatched next, or nil if nothing is queued.
 func (l *level) next() *member {
 	switch {
 	case l.weighted.ready.Len() > 0:
@@ -44,7 +44,8 @@
 	return nil
 }
 
-// capacityShare is a member's fraction of the level's capacity while all members that are active now remain active.
+// capacityShare returns a member's fraction of the level's capacity while all members that are active now remain
+// active.
 func (l *level) capacityShare(m *member) float64 {
 	if m.weight <= 0 {
 		return 0
@@ -62,14 +63,14 @@
 	l.activeWeight += m.weight
 }
 
-// deactivate undoes activate. Without active members a busy period ends.
+// deactivate undoes activate. The busy period ends when no member is active any more.
 func (l *level) deactivate(m *member) {
 	l.activeMembers--
 	l.activeWeight -= m.weight
 	if l.activeMembers > 0 {
 		return
 	}
-	l.activeWeight = 0 // without the rounding errors of the sum
+	l.activeWeight = 0 // discards the rounding errors of the sum
 	l.weighted.endBusyPeriod()
 	if l.bestEffort != nil {
 		l.bestEffort.endBusyPeriod()
@@ -81,7 +82,7 @@
 	l.weighted.virtualTime, l.weighted.maxFinishTag, l.bestEffort = 0, 0, nil
 }
 
-// setWeight changes a member's weight. Tags that it has keep the old weight until they are used up.
+// setWeight changes a member's weight. Its present tags still reflect the old weight; new tags use the new one.
 func (l *level) setWeight(m *member, weight float64) {
 	if weight == m.weight {
 		return
@@ -95,7 +96,7 @@
 	before.indebted.Remove(m)
 	m.weight = weight
 	after := l.schedulerOf(m)
-	if after != before { // whose virtual time is another one
+	if after != before { // the two schedulers have different virtual times
 		m.finishTag = after.virtualTime
 		indebted = false
 	}
--- a/internal/admission/memory_test.go
+++ b/internal/admission/memory_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// The memory that the package comment states.
+// Bounds on memory that the package comment states.
 const (
 	principalBytes = 700 // of each known principal
 	fixedBytes     = 1 << 20
 )
 
-// Thousands of principals with one request each, beside one with as many, take no more memory than the package comment
-// states, within the bound on principals and beyond it.
+// TestMemory guards against memory use over the bounds of the package comment. Thousands of principals send one request
+// each and one principal sends as many, within the bound on principals and beyond it.
 func TestMemory(t *testing.T) {
 	if testing.Short() {
 		t.Skip("reads the heap")
@@ -38,7 +38,7 @@
 		var actions []Action
 		now := time.Hour
 		for i := range n {
-			name := "client-" + strings.Repeat("x", 50) + fmt.Sprintf("%07d", i) // as long as a name may be
+			name := "client-" + strings.Repeat("x", 50) + fmt.Sprintf("%07d", i) // maxNameLength bytes long
 			flow := ""
 			if tt.flows {
 				flow = name + "f"
@@ -50,10 +50,10 @@
 		used := heap() - before
 		t.Logf("%d KB for %+v", used>>10, stats)
 		if limit := int64(stats.Principals)*principalBytes + fixedBytes; used > limit {
-			t.Errorf("%d bytes for %d principals, of %d", used, stats.Principals, limit)
+			t.Errorf("%d bytes are used for %d principals, want at most %d", used, stats.Principals, limit)
 		}
 		if stats.Principals < min(n, o.MaxPrincipals)-1 {
-			t.Errorf("only %d are known", stats.Principals)
+			t.Errorf("only %d principals are known", stats.Principals)
 		}
 		runtime.KeepAlive(q)
 	}
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -16,14 +16,14 @@
 	return o
 }
 
-// script sends a harness random events. draw returns a number from 0 to n-1.
+// script runs random events on a harness. draw returns a random number from 0 to n-1.
 type script struct {
 	*harness
 	draw func(n int) int
-	open []Ticket // tickets that no event but Arrive has named yet
+	open []Ticket // tickets that neither Cancel nor Done has been called with
 }
 
-// play runs random events, then lets everything end: nothing may be left.
+// play runs random events, then completes all requests and checks that the queue is empty.
 func (s *script) play(steps int) error {
 	for i := range steps {
 		if err := s.step(); err != nil {
@@ -101,13 +101,13 @@
 		return err
 	}
 	if stats := s.queue.Stats(); stats.Principals != 0 || stats.Reservations != 0 || len(s.queue.groups) != 0 {
-		return fmt.Errorf("at the end %+v and %d groups are left", stats, len(s.queue.groups))
+		return fmt.Errorf("after all requests and reservations have ended, stats are %+v and %d groups are left", stats, len(s.queue.groups))
 	}
 	return nil
 }
 
-// Any order of events keeps the bounds and counts, gives each request one fate, leaves no capacity unused, and leaves
-// nothing behind.
+// In any order of events, the queue must keep its bounds and counts, admit or reject each request only once, use the
+// whole limit while requests wait, and hold nothing after the last request and reservation.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &script{harness: newHarness(smallOptions()), draw: func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }}
@@ -117,6 +117,7 @@
 	})
 }
 
+// FuzzDoor checks the same invariants with events that the fuzzer chooses.
 func FuzzDoor(f *testing.F) {
 	f.Add([]byte("a flood of names that come once, and a clock that stands"))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -138,12 +139,12 @@
 	})
 }
 
-// backlogged keeps requests of several principals queued, and adds up their actual costs.
+// backlogged is a harness in which several principals always have requests queued. It adds up their actual costs.
 type backlogged struct {
 	*harness
 	principal map[Ticket]int
 	running   []runningRequest
-	started   int // of harness.admitted
+	started   int // number of harness.admitted that are in running or have ended
 	cost      []float64
 	maxCost   float64 // s
 }
@@ -153,6 +154,7 @@
 	endsAt time.Duration
 }
 
+// feed lets a request of a principal arrive.
 func (b *backlogged) feed(t *rapid.T, principal int) {
 	ticket, err := b.arrive(Arrival{Group: fmt.Sprint(principal), Deadline: b.now + 100*time.Hour, ArrivedAt: b.now + time.Hour})
 	if err != nil {
@@ -161,7 +163,7 @@
 	b.principal[ticket] = principal
 }
 
-// completeNext completes the request that ends first, and has its principal send another one.
+// completeNext completes the request that ends first, and lets another one of its principal arrive.
 func (b *backlogged) completeNext(t *rapid.T) {
 	for ; b.started < len(b.admitted); b.started++ {
 		cost := time.Duration(rapid.IntRange(1, 60).Draw(t, "ms")) * time.Millisecond
@@ -186,9 +188,9 @@
 	b.feed(t, principal)
 }
 
-// Among members that always have something queued, the actual costs differ from the shares by no more than SFQ(D) allows
-// (Jin et al. 2004, theorem 1): D+1 of the largest requests of both, and the error of the estimates. The reference is the
-// sum of the actual costs alone.
+// TestFairnessBound guards against unfairness beyond the bound of SFQ(D) (Jin et al. 2004, theorem 1). Between two
+// principals that always have requests queued, actual cost over weight may differ by D+1 of the largest requests of
+// both and by the error of the estimates. The reference is the sum of the actual costs alone.
 func TestFairnessBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Default()
@@ -214,8 +216,8 @@
 				difference := math.Abs(b.cost[i]/weights[i] - b.cost[j]/weights[j])
 				bound := float64(limit+2) * 2 * b.maxCost * (1/weights[i] + 1/weights[j])
 				if difference > bound {
-					t.Fatalf("%d and %d: %.3f and %.3f s at weights %v and %v, %.3f apart, bound %.3f", i, j, b.cost[i], b.cost[j],
-						weights[i], weights[j], difference, bound)
+					t.Fatalf("principals %d and %d were served %.3f and %.3f s at weights %v and %v: %.3f s apart for their weights, want at most %.3f",
+						i, j, b.cost[i], b.cost[j], weights[i], weights[j], difference, bound)
 				}
 			}
 		}
--- a/internal/admission/principal.go
+++ b/internal/admission/principal.go
@@ -11,16 +11,16 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// Client is what a protocol adapter knows of a request's sender. A client can forge what it states itself (Tenant,
-// Header), but not a certificate, and an address only as far as its network lets it.
+// Client is what a protocol adapter knows about a request's sender. A client can forge what it states itself (Tenant
+// and Header), but not a certificate. It can forge an address only as far as its network allows.
 type Client struct {
 	Tenant      string
 	Header      func(name string) string // nil: no headers
-	Certificate func() string            // the name in the client's certificate; empty: it presented none. Nil: none can
+	Certificate func() string            // name in the client's certificate; empty: it presented none. Nil: clients cannot present one
 	Peer        func() netip.Addr        // nil: unknown
 }
 
-// PrincipalSources are the sources of a request's group and, if there are two, of its flow.
+// PrincipalSources are the source that names a request's group and, if there are two, the one that names its flow.
 type PrincipalSources []source
 
 type source struct {
@@ -28,7 +28,7 @@
 	header string // of fromHeader, in canonical form
 }
 
-// sourceKind is a kind of source, as Options.PrincipalSources spells it.
+// sourceKind is a kind of source, in the spelling of Options.PrincipalSources.
 type sourceKind string
 
 const (
@@ -38,10 +38,10 @@
 	fromHeader      sourceKind = "header" // followed by a colon and the header's name
 )
 
-// ParsePrincipalSources parses Options.PrincipalSources: one or two sources. The error names the one that is wrong.
+// ParsePrincipalSources parses Options.PrincipalSources: one or two sources. The error names the invalid source.
 func ParsePrincipalSources(specs []string) (PrincipalSources, error) {
 	if len(specs) < 1 || len(specs) > 2 {
-		return nil, fmt.Errorf("%d are given: one or two are needed", len(specs))
+		return nil, fmt.Errorf("%d principal sources are given: one or two are needed", len(specs))
 	}
 	sources := make(PrincipalSources, len(specs))
 	for i, spec := range specs {
@@ -51,7 +51,7 @@
 		}
 		sources[i] = parsed
 		if i > 0 && sources[i] == sources[0] {
-			return nil, fmt.Errorf("%q is given twice", spec)
+			return nil, fmt.Errorf("principal source %q is given twice", spec)
 		}
 	}
 	return sources, nil
@@ -66,11 +66,11 @@
 	case hasHeader && kind == fromHeader && httpguts.ValidHeaderFieldName(header):
 		return source{kind: kind, header: textproto.CanonicalMIMEHeaderKey(header)}, nil
 	}
-	return source{}, fmt.Errorf(`%q is none of "tenant", "header:NAME", "certificate" and "address"`, spec)
+	return source{}, fmt.Errorf(`principal source %q is none of "tenant", "header:NAME", "certificate" and "address"`, spec)
 }
 
 // Names returns a request's principals: its group, and its flow within the group, which is empty with one source. A
-// request that lacks a source belongs to the principal "".
+// request for which a source has no value belongs to that source's principal "".
 func (s PrincipalSources) Names(c Client) (group, flow string) {
 	if len(s) > 1 {
 		flow = s[1].name(c)
@@ -78,7 +78,7 @@
 	return s[0].name(c), flow
 }
 
-// name returns a request's principal by one source.
+// name returns the name of a request's principal by one source.
 func (s source) name(c Client) string {
 	var name string
 	switch s.kind {
@@ -100,10 +100,10 @@
 	return boundedName(name)
 }
 
-// maxNameLength is the longest name of a principal, in bytes. A longer one is known by its hash.
+// maxNameLength is the maximum length of a principal's name, in bytes. A longer name is replaced by its hash.
 const maxNameLength = 64
 
-// boundedName returns a name of at most maxNameLength bytes, and none that names an overflow group.
+// boundedName returns a name, or its hash if it is longer than maxNameLength or could be the name of an overflow group.
 func boundedName(name string) string {
 	if len(name) > maxNameLength || strings.HasPrefix(name, overflowPrefix) {
 		sum := sha256.Sum256([]byte(name))
@@ -112,10 +112,10 @@
 	return name
 }
 
-// ipv6PrefixBits is the length of the network that an IPv6 host may choose its addresses from.
+// ipv6PrefixBits is the prefix length of the network in which an IPv6 host may choose its addresses.
 const ipv6PrefixBits = 64
 
-// networkName returns the part of an address that stands for one party: all of an IPv4 address, and the network of an
+// networkName returns the part of an address that identifies one client: all of an IPv4 address, and the network of an
 // IPv6 address.
 func networkName(a netip.Addr) string {
 	a = a.Unmap()
--- a/internal/admission/principal_test.go
+++ b/internal/admission/principal_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// Requests get their principals from the configured sources, and no name is longer than maxNameLength.
+// Requests must get their principals from the configured sources, and no name may be longer than maxNameLength.
 func TestPrincipalNames(t *testing.T) {
 	peer := func(a string) func() netip.Addr { return func() netip.Addr { return netip.MustParseAddr(a) } }
 	header := func(string) string { return strings.Repeat("h", 100) }
 	for _, tt := range []struct {
 		sources     string
 		client      Client
-		group, flow string
+		group, flow string // group "*": any name of maxNameLength bytes
 	}{
 		{"tenant", Client{Tenant: "acme"}, "acme", ""},
 		{"tenant", Client{}, "", ""},
@@ -33,12 +33,12 @@
 			tt.group = group
 		}
 		if group != tt.group || flow != tt.flow {
-			t.Errorf("%s: %q, %q", tt.sources, group, flow)
+			t.Errorf("sources %s: got group %q and flow %q", tt.sources, group, flow)
 		}
 	}
 	for _, bad := range []string{"", "tenant tenant", "tenant address certificate", "header:", "header:a b", "name", "tenant:x"} {
 		if _, err := ParsePrincipalSources(strings.Fields(bad)); err == nil {
-			t.Errorf("%q is accepted", bad)
+			t.Errorf("the invalid sources %q are accepted", bad)
 		}
 	}
 }
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -8,12 +8,12 @@
 	"orchiddrift/internal/priorityqueue"
 )
 
-// Queue is the state machine of the package comment. Make one with New.
+// Queue is the state machine that the package comment describes. New creates one.
 type Queue struct {
 	options      Options
-	weights      map[string]float64 // of Options.Weights, by principal
+	weights      map[string]float64 // Options.Weights by principal name
 	classes      map[string]*classStats
-	defaultClass *classStats // of requests of an unknown class
+	defaultClass *classStats // for requests of an unknown class
 	now          time.Duration
 	seed         uint64
 	rng          *rand.Rand
@@ -23,29 +23,29 @@
 	knownPrincipals int // groups and flows, without overflow groups and shared flows
 	limiter         limiter
 	inFlight        int
-	retryBudget     retryBudget // of all groups together
-	meanCost        float64     // of all requests, s
+	retryBudget     retryBudget // shared by all groups
+	meanCost        float64     // mean cost of all requests, s
 
-	entries      []*entry // by index
-	freeEntries  []uint32
-	queued       int
-	queuedBytes  int64
-	timeouts     priorityqueue.Queue[*entry] // queued requests by timeoutAt
-	reservedLane entry                       // root of the ring of queued requests that came back at their reserved time
-	lastFromLane bool                        // the last request was dispatched from the reserved lane
+	entries              []*entry // indexed by entry.index
+	freeEntries          []uint32
+	queued               int
+	queuedBytes          int64
+	timeouts             priorityqueue.Queue[*entry] // queued requests by timeoutAt
+	reservedLane         entry                       // sentinel of the ring of queued requests that came back at their reserved time
+	lastFromReservedLane bool                        // the last request was dispatched from the reserved lane
 
 	calendar            calendar
 	reservations        int
 	reservationExpiries priorityqueue.Queue[*flow] // flows by nextExpiry
-	spareGroups         []*group                   // for reuse
+	spareGroups         []*group                   // forgotten groups, kept for reuse
 	spareFlows          []*flow
 }
 
-// randomStream selects the queue's stream of random numbers ("door" in ASCII): another one than that of other users of
+// randomStream is the queue's stream of random numbers ("door" in ASCII). It differs from the streams of other users of
 // the same seed.
 const randomStream = 0x646f6f72
 
-// New returns a Queue for a service's classes. The options have passed Options.Check.
+// New returns a Queue for the classes of a service. The options must have passed Options.Check.
 func New(o Options, classes []balancer.Class, seed uint64) *Queue {
 	q := &Queue{
 		options:      o,
@@ -77,8 +77,8 @@
 	return q
 }
 
-// Configure replaces the options. Weights count for what is dispatched from now on; lower bounds reject nothing that
-// waits already.
+// Configure replaces the options. New weights apply to requests that are dispatched from now on. Lower bounds do not
+// reject requests that are already queued.
 func (q *Queue) Configure(now time.Duration, o Options) {
 	q.advanceClock(now)
 	if o.maxRetryAfter() != q.options.maxRetryAfter() {
@@ -94,11 +94,11 @@
 	}
 }
 
-// advanceClock sets the time. A clock that goes back is taken as one that stands still.
+// advanceClock sets the current time. A time before the current one is ignored.
 func (q *Queue) advanceClock(now time.Duration) { q.now = max(q.now, now) }
 
-// Arrive brings a request. The returned ticket names it in the actions, those of this call and of later ones; other
-// requests may have actions too.
+// Arrive decides on a request that has arrived. The returned ticket identifies the request in the actions of this call
+// and of later ones. The actions may also concern other requests.
 func (q *Queue) Arrive(now time.Duration, a Arrival, actions []Action) (Ticket, []Action) {
 	actions = q.advance(now, actions)
 	class := q.classes[a.Class]
@@ -107,7 +107,7 @@
 	}
 	class.observeHint(a.CostHint)
 	f := q.flowFor(a.Group, a.Flow)
-	f.arriving, f.group.arriving = true, true // not to be forgotten with the last request that this one evicts
+	f.arriving, f.group.arriving = true, true // keeps both known if their last queued request is evicted
 	e := q.entryFor(&a, class, f)
 	if q.redeemReservation(f, a.Fingerprint) {
 		e.reserved = true
@@ -122,7 +122,7 @@
 	return e.ticket(), q.dispatch(actions)
 }
 
-// entryFor returns the entry of a request that has arrived.
+// entryFor returns a new entry for a request that has arrived.
 func (q *Queue) entryFor(a *Arrival, class *classStats, f *flow) *entry {
 	e := q.newEntry()
 	e.flow, e.class, e.costHint, e.arrivedAt, e.bytes, e.fingerprint = f, class, a.CostHint, q.now, a.Bytes, a.Fingerprint
@@ -140,8 +140,9 @@
 	return e
 }
 
-// mayWait reports whether a request without a reservation may join the queue, or else why not. It deposits first
-// requests into the retry budgets, and withdraws retries that may wait. While nothing is saturated every request may.
+// mayWait reports whether a request without a reservation may join the queue, and if not, the reason for its rejection.
+// A first request adds to the retry budgets, and a retry that may wait takes a token from them. While the limit is not
+// saturated, every request may join.
 func (q *Queue) mayWait(e *entry, retry bool) (Reason, bool) {
 	g := e.flow.group
 	if !retry {
@@ -170,7 +171,7 @@
 // saturated reports whether a request that arrives now has to wait.
 func (q *Queue) saturated() bool { return q.queued > 0 || q.inFlight >= q.limiter.current() }
 
-// Cancel removes a queued request whose client has disconnected. For any other request it does nothing.
+// Cancel removes a queued request whose client has disconnected. It ignores the ticket of any other request.
 func (q *Queue) Cancel(now time.Duration, t Ticket, actions []Action) []Action {
 	q.advanceClock(now)
 	if e := q.lookup(t, entryQueued); e != nil {
@@ -180,7 +181,7 @@
 	return q.dispatch(q.advance(now, actions))
 }
 
-// Done ends an admitted request, and learns from its cost.
+// Done ends an admitted request, and updates the cost estimates and the concurrency limit with its actual cost.
 func (q *Queue) Done(now time.Duration, t Ticket, outcome Outcome, actions []Action) []Action {
 	actions = q.advance(now, actions)
 	e := q.lookup(t, entryAdmitted)
@@ -214,7 +215,7 @@
 	return q.dispatch(q.advance(now, actions))
 }
 
-// Next returns when Wake must be called at the latest; false: not at all, as things are.
+// Next returns the latest time at which Wake must be called. It returns false if no request is queued.
 func (q *Queue) Next() (time.Duration, bool) {
 	if q.timeouts.Len() == 0 {
 		return 0, false
@@ -222,7 +223,8 @@
 	return q.timeouts.First().timeoutAt, true
 }
 
-// advance sets the time, rejects queued requests that can no longer be answered in time, and lets reservations expire.
+// advance sets the current time, rejects queued requests that can no longer be answered in time, and removes expired
+// reservations.
 func (q *Queue) advance(now time.Duration, actions []Action) []Action {
 	q.advanceClock(now)
 	for q.timeouts.Len() > 0 && q.timeouts.First().timeoutAt <= q.now {
@@ -237,8 +239,8 @@
 	return actions
 }
 
-// demote lowers the priority weight of a queued request that will miss its latency objective, if its class gives a late
-// answer any value. It reports whether the request may go on waiting, until it would miss its deadline.
+// demote lowers the priority weight of a queued request that will miss its latency objective, if late answers still
+// have value in its class. It reports whether the request may go on waiting for an answer before its deadline.
 func (q *Queue) demote(e *entry) bool {
 	if e.pastObjective || e.class.LateValueFraction <= 0 || e.deadline <= e.objectiveAt {
 		return false
@@ -263,14 +265,14 @@
 	return actions
 }
 
-// Stats is what a queue holds.
+// Stats are the counts of what a Queue holds.
 type Stats struct {
 	Queued, InFlight, Limit  int
 	QueuedBytes              int64
 	Principals, Reservations int
 }
 
-// Stats returns what the queue holds now.
+// Stats returns the current counts.
 func (q *Queue) Stats() Stats {
 	return Stats{Queued: q.queued, InFlight: q.inFlight, Limit: q.limiter.current(), QueuedBytes: q.queuedBytes,
 		Principals: q.knownPrincipals, Reservations: q.reservations}
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -11,11 +11,11 @@
 	"orchiddrift/internal/units"
 )
 
-// repeated returns n arrivals that are alike.
+// repeated returns n copies of an arrival.
 func repeated(n int, a Arrival) []Arrival { return slices.Repeat([]Arrival{a}, n) }
 
-// A full queue evicts from the group and flow with the highest load for its weight, the lowest priority weight first and
-// of those the newest. Within a byte bound a large request counts more.
+// A full queue must evict from the group and flow with the highest load for its weight, and there the newest request of
+// the lowest priority weight. A bound on bytes makes large requests count more.
 func TestEvictionVictim(t *testing.T) {
 	a, f, pay := Arrival{Group: "a"}, Arrival{Group: "f"}, Arrival{Group: "f", Class: "pay"}
 	big, bestEffort := Arrival{Group: "big"}, Arrival{Group: "best-effort"}
@@ -27,7 +27,7 @@
 		name     string
 		queued   []Arrival
 		arrives  Arrival
-		victim   int   // index in queued; -1: the one that arrives
+		victim   int   // index in queued; -1: the request that arrives
 		maxBytes int64 // 0: the default
 	}{
 		{name: "the newest of a flood", queued: slices.Concat([]Arrival{a}, repeated(9, f)), arrives: Arrival{Group: "b"}, victim: 9},
@@ -52,22 +52,22 @@
 				tickets = append(tickets, h.arriveMany(t, 1, withoutTimeLimit(a))...)
 			}
 			if len(tickets) != len(tt.queued) {
-				t.Fatalf("%d of %d are queued", len(tickets), len(tt.queued))
+				t.Fatalf("%d of %d requests are queued before the last one arrives", len(tickets), len(tt.queued))
 			}
 			last, err := h.arrive(withoutTimeLimit(tt.arrives))
 			mustSucceed(t, err)
 			for i, ticket := range append(tickets, last) {
 				isVictim := i == tt.victim || tt.victim < 0 && i == len(tickets)
 				if evicted := h.state[ticket] != entryQueued; evicted != isVictim {
-					t.Errorf("number %d: evicted %v", i, evicted)
+					t.Errorf("request %d: evicted is %v, want the opposite", i, evicted)
 				}
 			}
 		})
 	}
 }
 
-// What can't be answered in time is rejected at once: on arrival where its principal's own backlog is too long, in the
-// queue when its time is up. Others of the same moment go on waiting.
+// A request that cannot be answered in time must be rejected at once: on arrival if its principal's own backlog is too
+// long, and in the queue when its timeout has passed. Requests with more time must go on waiting.
 func TestRejectsWhatCannotBeServedInTime(t *testing.T) {
 	h := newHarness(fixedLimitOptions(2, 200))
 	for range 50 { // each is in flight for 50 ms
@@ -77,31 +77,32 @@
 		mustSucceed(t, h.complete(ticket, Completed))
 	}
 	if c := h.queue.classes["search"]; c.meanCost < 0.03 {
-		t.Fatalf("learned %v s of 50 ms", c.meanCost)
+		t.Fatalf("the mean cost is %v s after requests of 50 ms, want at least 0.03 s", c.meanCost)
 	}
 	h.arriveMany(t, 2, Arrival{Group: "busy"})
 	flood := h.arriveMany(t, 40, Arrival{Group: "flood"})
 	if n := len(flood); n < 7 || n > 24 { // 400 ms at half of a limit of two
-		t.Errorf("%d of the flood are queued", n)
+		t.Errorf("%d requests of the flood are queued, want 7 to 24", n)
 	}
 	quiet := h.arriveMany(t, 1, Arrival{Group: "quiet"})
 	if len(quiet) != 1 {
-		t.Fatal("a quiet principal is not queued")
+		t.Fatal("the request of the quiet principal is not queued")
 	}
 	next, ok := h.queue.Next()
 	if !ok || next > h.now+400*time.Millisecond {
-		t.Errorf("next timeout in %v", next-h.now)
+		t.Errorf("the next timeout is in %v, want at most 400 ms", next-h.now)
 	}
 	h.now += 100 * time.Millisecond
 	pay := h.arriveMany(t, 1, Arrival{Group: "pay", Class: "pay", Deadline: h.now + 2*time.Second})
 	h.now += 880 * time.Millisecond
 	mustSucceed(t, h.wake())
 	if h.state[quiet[0]] == entryQueued || h.state[pay[0]] != entryQueued {
-		t.Errorf("after 0.98 s: quiet %v, pay %v", h.state[quiet[0]], h.state[pay[0]])
+		t.Errorf("after 0.98 s the request of quiet has state %v, want not queued, and that of pay has state %v, want queued",
+			h.state[quiet[0]], h.state[pay[0]])
 	}
 }
 
-// A request that has waited past its latency objective goes behind one that has not.
+// A request that has waited past its latency objective must be admitted after one that has not.
 func TestRequestsPastObjectiveYield(t *testing.T) {
 	h := newHarness(fixedLimitOptions(1, 200))
 	first, err := h.arrive(Arrival{Group: "x"})
@@ -112,12 +113,12 @@
 	fresh := h.arriveMany(t, 1, Arrival{Group: "a"})
 	mustSucceed(t, h.complete(first, Completed))
 	if h.state[fresh[0]] != entryAdmitted || h.state[late[0]] != entryQueued {
-		t.Errorf("fresh %v, late %v", h.state[fresh[0]], h.state[late[0]])
+		t.Errorf("the fresh request has state %v, want admitted, and the late one has state %v, want queued", h.state[fresh[0]], h.state[late[0]])
 	}
 }
 
-// A principal that floods, changes its name, sends the largest bodies or false hints does not delay a quiet one: that is
-// among the next two to be admitted.
+// A principal that floods, changes its name, or sends large bodies or false hints must not delay a quiet principal,
+// whose request must be among the next two that are admitted.
 func TestQuietPrincipalBesideFlood(t *testing.T) {
 	for name, flood := range map[string]func(i int) Arrival{
 		"one name":     func(int) Arrival { return Arrival{Group: "flood"} },
@@ -138,7 +139,7 @@
 			}
 			quiet := h.arriveMany(t, 1, Arrival{Group: "quiet", CostHint: 10 * time.Millisecond})
 			if len(quiet) == 0 {
-				t.Fatal("the quiet principal is not queued")
+				t.Fatal("the request of the quiet principal is not queued")
 			}
 			for range 2 {
 				h.now += 20 * time.Millisecond
@@ -146,13 +147,13 @@
 				h.admitted = h.admitted[1:]
 			}
 			if h.state[quiet[0]] != entryAdmitted {
-				t.Error("the quiet principal still waits")
+				t.Error("the request of the quiet principal is not admitted after two others have completed")
 			}
 		})
 	}
 }
 
-// A flood of names does not evict a principal that is known, nor its requests, and stays within the bound on principals.
+// A flood of names must not evict a known principal or its requests, and must stay within the bound on principals.
 func TestKnownPrincipalsSurviveFloodOfNames(t *testing.T) {
 	o := fixedLimitOptions(1, 20)
 	o.MaxPrincipals = 64
@@ -171,19 +172,19 @@
 		}
 	}
 	if stats := h.queue.Stats(); stats.Principals > 64 {
-		t.Errorf("%d principals are known", stats.Principals)
+		t.Errorf("%d principals are known, want at most 64", stats.Principals)
 	}
 }
 
-// Retries are bounded to a fraction of first requests, of each group and of all together, and not at all while nothing
-// waits.
+// Retries must be bounded to a fraction of first requests, for each group and for all together. They must not be
+// bounded while the limit is not saturated.
 func TestRetryBudget(t *testing.T) {
 	h := newHarness(fixedLimitOptions(1, 1000))
 	for range 50 {
 		ticket, err := h.arrive(Arrival{Group: "a", Retry: true})
 		mustSucceed(t, err)
 		if h.state[ticket] != entryAdmitted {
-			t.Fatal("a retry waits while nothing is saturated")
+			t.Fatal("a retry is not admitted while the limit is not saturated")
 		}
 		h.now += time.Millisecond
 		mustSucceed(t, h.complete(ticket, Completed))
@@ -193,23 +194,23 @@
 		return len(h.arriveMany(t, 100, withoutTimeLimit(Arrival{Group: group, Retry: true})))
 	}
 	if n := retries("a"); n != 1 {
-		t.Errorf("%d retries are queued after no first request", n)
+		t.Errorf("%d retries are queued after no first request, want 1", n)
 	}
 	h.arriveMany(t, 100, withoutTimeLimit(Arrival{Group: "a"}))
 	if n := retries("a"); n != groupRetryBurst {
-		t.Errorf("%d retries are queued after 100 first requests", n)
+		t.Errorf("%d retries are queued after 100 first requests, want the burst of a group", n)
 	}
 	h.arriveMany(t, 50, withoutTimeLimit(Arrival{Group: "b"}))
 	for i := range 100 { // groups without first requests do not use up the tokens of others
 		retries(fmt.Sprint("name", i))
 	}
 	if n := retries("b"); n != groupRetryBurst {
-		t.Errorf("%d retries of another group are queued after its 50 first requests", n)
+		t.Errorf("%d retries of another group are queued after its 50 first requests, want the burst of a group", n)
 	}
 }
 
-// A latency objective that stretches with the hint lets a request wait longer, and a weight applies to a name that is
-// known by its hash.
+// A latency objective that stretches with the hint must let a request wait longer, and a weight must apply to a name
+// that is replaced by its hash.
 func TestObjectiveStretchAndLongNames(t *testing.T) {
 	long := strings.Repeat("n", maxNameLength+1)
 	o := fixedLimitOptions(1, 100)
@@ -223,9 +224,9 @@
 		q.Arrive(now, Arrival{Group: group, Class: "search", CostHint: hint, ArrivedAt: now, Deadline: now + 5*time.Second}, nil)
 	}
 	if at, ok := q.Next(); !ok || at < now+time.Second {
-		t.Errorf("an objective of 0.1 s, stretched by twice a hint of 1 s, times out in %v", at-now)
+		t.Errorf("a request with an objective of 0.1 s, stretched by twice its hint of 1 s, times out in %v, want at least 1 s", at-now)
 	}
 	if w := q.groups[group].weight; w != 0 {
-		t.Errorf("the long name has weight %v", w)
+		t.Errorf("the group with the long name has weight %v, want 0", w)
 	}
 }
--- a/internal/admission/registry.go
+++ b/internal/admission/registry.go
@@ -6,27 +6,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// group is a principal of the first source.
+// group is a principal that the first of Options.PrincipalSources names.
 type group struct {
 	member
 	name         string
 	flowLevel    level
 	flows        map[string]*flow
-	sharedFlow   flow    // of requests without a second source, and of flows beyond the bound
-	hintAccuracy float64 // what its requests cost over what their hints say; 1: as stated
+	sharedFlow   flow    // for requests without a second source, and for flows beyond the bound
+	hintAccuracy float64 // ratio of its requests' costs to their hints; 1: the hints are exact
 	retryBudget  retryBudget
-	overflow     bool // one of overflowGroups
+	overflow     bool // it is one of the overflow groups
 	forgotten    bool // removed from Queue.groups, and possibly kept for reuse
 }
 
-// flow is a principal of the second source, within its group.
+// flow is a principal that the second of Options.PrincipalSources names, within its group.
 type flow struct {
 	member
 	name         string
-	lists        []entryList   // what is queued, by descending priority weight
-	reservations []reservation // the earliest first
-	reservedCost float64       // of all reservations, s
-	nextExpiry   time.Duration // of the first reservation
+	lists        []entryList   // queued requests, by descending priority weight
+	reservations []reservation // by time, the earliest first
+	reservedCost float64       // sum over its reservations, s
+	nextExpiry   time.Duration // when the first reservation expires
 	expiryIndex  int           // in Queue.reservationExpiries; -1: not in it
 }
 
@@ -37,8 +37,8 @@
 	maxSpares        = 64     // groups, and flows, that are kept for reuse
 )
 
-// flowFor returns the flow of a request, and makes its group and flow if they are not known. Beyond the bounds a group
-// is one of the overflow groups, by its name's hash, and a flow is its group's shared flow.
+// flowFor returns the flow of a request, and creates its group and flow if they are not known. Beyond the bounds, the
+// hash of the group's name selects one of the overflow groups, and the group's shared flow stands in for a new flow.
 func (q *Queue) flowFor(groupName, flowName string) *flow {
 	g := q.groups[groupName]
 	if g == nil {
@@ -63,16 +63,16 @@
 	return q.newFlow(g, flowName)
 }
 
-// overflowName is the name of the overflow group that a principal belongs to.
+// overflowName returns the name of the overflow group that a principal belongs to.
 func (q *Queue) overflowName(name string) string {
 	h := xxhash.NewWithSeed(q.seed)
 	_, _ = h.WriteString(name) // never fails
 	return overflowPrefix + string(rune('a'+h.Sum64()%overflowGroups))
 }
 
-// groupWeight is the configured weight of a group.
+// groupWeight returns the configured weight of a group. Overflow groups have the default weight.
 func (q *Queue) groupWeight(g *group) float64 {
-	if w, named := q.weights[g.name]; named && !g.overflow {
+	if w, configured := q.weights[g.name]; configured && !g.overflow {
 		return w
 	}
 	return q.options.DefaultWeight
@@ -119,8 +119,8 @@
 	*f = flow{member: newMember(g, f, 1), name: name, lists: f.lists[:0], reservations: f.reservations[:0], expiryIndex: -1}
 }
 
-// forgetFlow forgets a flow that nothing refers to any more, and then its group. An indebted flow is forgotten later, by
-// forgetSettled.
+// forgetFlow removes a flow that has no requests and no reservations, and then its group if that is unused too. An
+// indebted flow is removed later, by forgetSettled.
 func (q *Queue) forgetFlow(f *flow) {
 	g := f.group
 	if f.active() || f.arriving || len(f.reservations) > 0 {
@@ -141,7 +141,7 @@
 	q.forgetGroup(g)
 }
 
-// forgetGroup forgets a group that nothing refers to any more.
+// forgetGroup removes a group that has no requests, flows or reservations and is not indebted.
 func (q *Queue) forgetGroup(g *group) {
 	if g.active() || g.arriving || g.forgotten {
 		return
@@ -163,8 +163,8 @@
 	}
 }
 
-// forgetIndebtedFlows forgets the indebted flows of a group that has nothing queued or in flight: there is no other flow
-// that was served less.
+// forgetIndebtedFlows removes the indebted flows of a group that has nothing queued or in flight. Their debt has no
+// effect there, because no other flow competes with them.
 func (q *Queue) forgetIndebtedFlows(g *group) {
 	for _, s := range g.flowLevel.schedulers() {
 		for s != nil && s.indebted.Len() > 0 {
--- a/internal/admission/reservation.go
+++ b/internal/admission/reservation.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	reservableFraction  = 0.5  // of the service rate, for clients that come back; the rest is for first requests
-	reservationHorizon  = 0.75 // of the maximum Retry-After: later times are not reserved
-	maxFlowReservations = 256  // of one flow
+	reservableFraction  = 0.5  // of the service rate is for clients that come back; the rest is for first requests
+	reservationHorizon  = 0.75 // of the maximum Retry-After; later times are not reserved
+	maxFlowReservations = 256  // per flow
 
-	earlyTolerance = 10 * time.Millisecond // a client may come before its reserved time, at most
+	earlyTolerance = 10 * time.Millisecond // how much earlier than its reserved time a client may come
 	minGrace       = 250 * time.Millisecond
 	maxGrace       = 2 * time.Second
-	graceFraction  = 0.25 // of the Retry-After: how much later than reserved a client may come
+	graceFraction  = 0.25 // of the Retry-After; how much later than its reserved time a client may come
 
-	smallReservationSlice = 8 // reservations: slices of this capacity are never shrunk
-	maxReservationSlack   = 4 // capacity over length above which a larger slice is shrunk
+	smallReservationSlice = 8 // reservations; slices of up to this capacity are never shrunk
+	maxReservationSlack   = 4 // ratio of capacity to length above which a larger slice is shrunk
 )
 
 // reservation is a time at which a rejected request of a flow may come back.
@@ -23,7 +23,7 @@
 	fingerprint uint64  // of the rejected request
 }
 
-// addReservation remembers a reservation, the earliest first.
+// addReservation inserts a reservation in order of time.
 func (f *flow) addReservation(r reservation) {
 	i := len(f.reservations)
 	for i > 0 && f.reservations[i-1].at > r.at {
@@ -35,20 +35,20 @@
 	f.reservedCost += r.cost
 }
 
-// dropReservation forgets the i-th reservation.
+// dropReservation removes the i-th reservation.
 func (f *flow) dropReservation(i int) {
 	f.reservedCost -= f.reservations[i].cost
 	f.reservations = append(f.reservations[:i], f.reservations[i+1:]...)
 	if len(f.reservations) == 0 {
-		f.reservedCost = 0 // without the rounding errors of the sum
+		f.reservedCost = 0 // discards the rounding errors of the sum
 	}
-	if c := cap(f.reservations); c > smallReservationSlice && c > maxReservationSlack*len(f.reservations) { // memory follows the reservations held
+	if c := cap(f.reservations); c > smallReservationSlice && c > maxReservationSlack*len(f.reservations) { // keeps memory in proportion to the reservations
 		f.reservations = append(make([]reservation, 0, 2*len(f.reservations)), f.reservations...)
 	}
 }
 
-// redeemReservation uses up the earliest reservation of a flow that is valid now and was made for the same request. A
-// request with another fingerprint can neither use nor lose it.
+// redeemReservation uses up the earliest reservation of a flow that is valid now and was made for a request of the same
+// fingerprint, and reports whether there was one. A request with another fingerprint cannot use up the reservation.
 func (q *Queue) redeemReservation(f *flow, fingerprint uint64) bool {
 	for i := range f.reservations {
 		r := f.reservations[i]
@@ -65,8 +65,8 @@
 	return false
 }
 
-// reserve returns when a rejected request is to come back, and whether that time is reserved. Reserved times lie within
-// reservationHorizon of the maximum Retry-After; others are spread over the rest of it.
+// reserve returns after which time a rejected request is to come back, and whether that time is reserved. Reserved
+// times lie within reservationHorizon of the maximum Retry-After; the others are spread at random over the rest of it.
 func (q *Queue) reserve(e *entry) (retryAfter time.Duration, reserved bool) {
 	f := e.flow
 	longest := q.options.maxRetryAfter()
@@ -89,8 +89,8 @@
 	return horizon + time.Duration(q.rng.Int64N(int64(longest-horizon)+1)), false
 }
 
-// updateExpiry keeps a flow in the order of nextExpiry. A later reservation may end a little before the first: it expires
-// with that one.
+// updateExpiry sets a flow's position in reservationExpiries by the end of its first reservation. A later reservation
+// may end slightly earlier, and expires together with the first one.
 func (q *Queue) updateExpiry(f *flow) {
 	if len(f.reservations) == 0 {
 		q.reservationExpiries.Remove(f)
@@ -100,7 +100,7 @@
 	q.reservationExpiries.Set(f, float64(f.nextExpiry), 0)
 }
 
-// expireReservations forgets the reservations that were not redeemed in time.
+// expireReservations removes the reservations that were not redeemed in time.
 func (q *Queue) expireReservations() {
 	for q.reservationExpiries.Len() > 0 && q.reservationExpiries.First().nextExpiry < q.now {
 		f := q.reservationExpiries.First()
--- a/internal/admission/reservation_test.go
+++ b/internal/admission/reservation_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// returningClient is a rejected client that will come back.
+// returningClient is a client that comes back after its request was rejected.
 type returningClient struct {
 	at    time.Duration
 	group string
 	early bool // before its reserved time
 }
 
-// returnHarness is a harness whose rejected clients come back. It counts what becomes of them.
+// returnHarness is a harness whose rejected clients come back. It counts how their requests end.
 type returnHarness struct {
 	*harness
 	groups               map[Ticket]string
@@ -27,7 +27,7 @@
 func (h *returnHarness) arriveOne(t *testing.T, group string) (_ Ticket, redeemed bool) {
 	t.Helper()
 	mustSucceed(t, h.wake())
-	before := h.queue.Stats().Reservations // without those that have expired
+	before := h.queue.Stats().Reservations // wake has removed the expired ones
 	ticket, err := h.arrive(Arrival{Group: group, Deadline: h.now + time.Second})
 	mustSucceed(t, err)
 	h.groups[ticket] = group
@@ -50,13 +50,13 @@
 	}
 }
 
-// returningClients lists the clients that have been rejected, by the time of their return. A quarter return early.
+// returningClients lists the clients whose requests were rejected, by the time of their return. A quarter return early.
 func (h *returnHarness) returningClients(rng *rand.Rand) (clients []returningClient) {
 	for _, ticket := range slices.Sorted(maps.Keys(h.retryAfter)) {
 		retryAfter := h.retryAfter[ticket]
 		early := rng.IntN(4) == 0
 		if retryAfter < 50*time.Millisecond {
-			early = false // half of it may be within the tolerance
+			early = false // half of it may be within earlyTolerance
 		}
 		client := returningClient{at: h.now + retryAfter, group: h.groups[ticket], early: early}
 		if early {
@@ -68,8 +68,8 @@
 	return clients
 }
 
-// Rejected clients come back spread over time, no more of them at once than can be served. Those that come at their
-// reserved time are mostly served, beside a flood; coming early does not redeem a reservation.
+// Rejected clients must come back spread over time, with no more of them at once than can be served. Those that come at
+// their reserved time must mostly be served, even during a flood. Coming early must not redeem a reservation.
 func TestReservations(t *testing.T) {
 	const limit, clients = 4, 400
 	const cost = 20 * time.Millisecond
@@ -88,7 +88,7 @@
 	}
 	for interval, n := range byInterval { // a limit of 4 at 20 ms serves 20 in 100 ms, half of which may be reserved
 		if n > 14 {
-			t.Errorf("%d are to come in the tenth of a second %v", n, interval)
+			t.Errorf("%d clients are to come back in interval %v of 100 ms, want at most 14", n, interval)
 		}
 	}
 	ends := map[Ticket]time.Duration{}
@@ -114,9 +114,9 @@
 		mustSucceed(t, h.wake())
 	}
 	if served := float64(h.servedOnTime) / float64(h.onTime); served < 0.95 {
-		t.Errorf("of %d that came at their reserved time %d were served", h.onTime, h.servedOnTime)
+		t.Errorf("of %d clients that came at their reserved time %d were served, want at least 0.95 of them", h.onTime, h.servedOnTime)
 	}
 	if h.early < 20 || h.redeemedEarly > 0 {
-		t.Errorf("of %d that came early %d redeemed their reservation", h.early, h.redeemedEarly)
+		t.Errorf("%d clients came early, want at least 20, and %d of them redeemed their reservation, want none", h.early, h.redeemedEarly)
 	}
 }
--- a/internal/admission/wait_estimate.go
+++ b/internal/admission/wait_estimate.go
@@ -6,8 +6,8 @@
 const maxWaitEstimate = 3600
 
 // waitTooLong reports whether a request that arrives would be admitted too late to meet its latency objective or, if
-// that has passed, its deadline. A request within its objective with nothing before it may always wait, and so may one of
-// weight 0: it waits for the capacity that others leave.
+// that has passed, its deadline. A request within its objective with nothing ahead of it may always wait. So may a
+// request of a principal of weight 0, which waits for the capacity that others leave.
 func (q *Queue) waitTooLong(e *entry) bool {
 	rate := q.serviceRate(e.flow)
 	if rate <= 0 {
@@ -22,8 +22,8 @@
 	return start+e.class.costBound() > latest && (e.pastObjective || ahead > 0)
 }
 
-// costAhead is the cost that is served before another request of a flow, in seconds: its backlog and, where the flow or
-// its group has nothing queued, what each has been served beyond its share.
+// costAhead returns the cost that is served before another request of a flow, in seconds: the flow's backlog and, where
+// the flow or its group has nothing queued, the cost that it has been served beyond its share.
 func (q *Queue) costAhead(f *flow) float64 {
 	g := f.group
 	cost := f.backlog
@@ -36,7 +36,7 @@
 	return cost
 }
 
-// serviceRate is the cost per second that a flow is served while all members that are active now remain active.
+// serviceRate returns the cost per second that a flow is served while all members that are active now remain active.
 func (q *Queue) serviceRate(f *flow) float64 {
 	share := q.groupLevel.capacityShare(&f.group.member)
 	if inner := f.group.flowLevel.capacityShare(&f.member); inner > 0 {
@@ -45,8 +45,8 @@
 	return share * q.limiter.limit
 }
 
-// costUnderLoad is the mean cost of requests while the limit is saturated, in seconds: the observed mean, or if that is
-// lower, the middle of the range that the limiter keeps.
+// costUnderLoad returns the mean cost of requests while the limit is saturated, in seconds: the observed mean, or if
+// that is lower, the middle of the range in which the limiter keeps the time in flight.
 func (q *Queue) costUnderLoad() float64 {
 	return max(minCost, q.meanCost, q.limiter.baseTime*(growRatio+shrinkRatio)/2)
 }
