--- a/internal/admission/controller/acquire.go
+++ b/internal/admission/controller/acquire.go
@@ -8,17 +8,17 @@
 	"orchiddrift/internal/engine"
 )
 
-// Verdict is what became of a request.
+// Verdict is the result of Acquire for a request.
 type Verdict int
 
 // The verdicts.
 const (
-	Admitted   Verdict = iota // Permit.Done must be called when the request has its answer
-	Rejected                  // not executed: a retry does no harm
+	Admitted   Verdict = iota // Permit.Done must be called when the request has ended
+	Rejected                  // the request was not executed, so a retry is safe
 	ClientLeft                // the client disconnected while the request waited
 )
 
-// Permit is an admitted request. Its zero value is a request that no queue counts.
+// Permit stands for an admitted request. Its zero value is for a request that was admitted without the queue.
 type Permit struct {
 	controller *Controller
 	ticket     admission.Ticket
@@ -37,7 +37,7 @@
 	c.unlock()
 }
 
-// OutcomeOf returns what the engine's final answer means to the queue.
+// OutcomeOf converts the engine's final answer to the outcome that the queue learns from.
 func OutcomeOf(a engine.Answer) admission.Outcome {
 	switch a.Kind {
 	case engine.Rejected:
@@ -48,8 +48,9 @@
 	return admission.Completed
 }
 
-// Acquire blocks until a request is admitted or rejected, or ctx has ended. The Group and Flow of the arrival are filled
-// in from the client. A rejected client should come back after retryAfter; 0: it gets no advice.
+// Acquire blocks until a request is admitted or rejected, or ctx has ended. It fills in the Group and Flow of the
+// arrival from the client. The client of a rejected request should come back after retryAfter; 0: it gets no
+// Retry-After.
 func (c *Controller) Acquire(ctx context.Context, client admission.Client, a admission.Arrival) (p Permit, v Verdict, retryAfter time.Duration) {
 	c.mu.Lock()
 	if c.bypassed {
@@ -77,10 +78,10 @@
 	if c.cancel(ticket) {
 		return Permit{}, ClientLeft, 0
 	}
-	return c.verdictOf(<-waiter) // decided in the same moment: the caller finds its client gone
+	return c.verdictOf(<-waiter) // decided just before cancel: the caller finds its client gone
 }
 
-// cancel withdraws a request that waits, and reports whether it still did.
+// cancel withdraws a waiting request, and reports whether it was still waiting.
 func (c *Controller) cancel(ticket admission.Ticket) bool {
 	c.mu.Lock()
 	defer c.unlock()
@@ -92,7 +93,7 @@
 	return true
 }
 
-// verdictOf returns Acquire's results for a request's action. An Admit without a ticket is AdmitAll's.
+// verdictOf returns Acquire's results for a request's action. An Admit action without a ticket comes from AdmitAll.
 func (c *Controller) verdictOf(action admission.Action) (Permit, Verdict, time.Duration) {
 	switch {
 	case action.Kind == admission.Reject:
--- a/internal/admission/controller/controller.go
+++ b/internal/admission/controller/controller.go
@@ -10,7 +10,7 @@
 	"orchiddrift/internal/clock"
 )
 
-// Controller admits requests through an admission.Queue. Make one with New.
+// Controller admits requests through an admission.Queue. New creates one.
 type Controller struct {
 	clock          clock.Clock
 	log            *slog.Logger
@@ -24,27 +24,27 @@
 	waiters          map[admission.Ticket]chan admission.Action
 	actionBuffer     []admission.Action
 	timer            *time.Timer   // wakes the queue
-	timerAt          time.Duration // when it fires; 0: it is not set
+	timerAt          time.Duration // when the timer fires; 0: it is not set
 
-	rejections    int           // since the log last reported them
-	lastRejection time.Duration // when the last one was
+	rejections    int           // since the last log line on the end of rejections
+	lastRejection time.Duration // when the last rejection was
 	logLines      []logLine     // written by unlock
 }
 
-// unsetTimer is the duration of a timer that is stopped before it can fire.
-const unsetTimer = time.Hour
+// initialTimerDelay is the delay of a new timer, which New stops long before it fires.
+const initialTimerDelay = time.Hour
 
 // Options are a Controller's parameters.
 type Options struct {
-	Queue          admission.Options // has passed Check
+	Queue          admission.Options // must have passed Check
 	Classes        []balancer.Class
-	Seed           uint64 // of the queue's random draws
+	Seed           uint64 // of the queue's random numbers
 	Clock          clock.Clock
-	SendRetryAfter bool         // rejected clients are told when to come back
-	Log            *slog.Logger // nil: lines are dropped
+	SendRetryAfter bool         // rejected clients get a Retry-After
+	Log            *slog.Logger // nil: nothing is logged
 }
 
-// New returns a Controller. The error names a principal source that cannot be used. Close ends the controller.
+// New returns a Controller, or an error that names an invalid principal source. Close stops the controller.
 func New(o Options) (*Controller, error) {
 	sources, err := admission.ParsePrincipalSources(o.Queue.PrincipalSources)
 	if err != nil {
@@ -62,7 +62,7 @@
 		retryHeader:      o.Queue.RetryHeader,
 		waiters:          map[admission.Ticket]chan admission.Action{},
 	}
-	c.timer = time.AfterFunc(unsetTimer, c.wake)
+	c.timer = time.AfterFunc(initialTimerDelay, c.wake)
 	c.timer.Stop()
 	return c, nil
 }
@@ -74,8 +74,8 @@
 	return c.retryHeader
 }
 
-// Configure replaces the queue's options, see admission.Queue.Configure. The error names a principal source that cannot
-// be used; then nothing changes.
+// Configure replaces the queue's options, see admission.Queue.Configure. If a principal source is invalid, it changes
+// nothing and returns an error that names the source.
 func (c *Controller) Configure(o admission.Options) error {
 	sources, err := admission.ParsePrincipalSources(o.PrincipalSources)
 	if err != nil {
@@ -92,14 +92,14 @@
 	return nil
 }
 
-// AdmitAll admits every request that waits or comes from now on: the service has no admission control any more.
+// AdmitAll admits all waiting and all later requests. It is for a service that has no admission control any more.
 func (c *Controller) AdmitAll() { c.bypass(admission.Action{Kind: admission.Admit}) }
 
-// Close rejects every request that waits: the process is about to be killed. Requests that come later are admitted, and
-// are answered by what is behind the controller.
+// Close rejects all waiting requests. It is for a process that is about to be killed. Later requests are admitted, and
+// the components behind the controller answer them.
 func (c *Controller) Close() { c.bypass(admission.Action{Kind: admission.Reject}) }
 
-// bypass ends the use of the queue, and sends all waiting requests one action.
+// bypass ends the use of the queue, and sends the same action to all waiting requests.
 func (c *Controller) bypass(action admission.Action) {
 	c.mu.Lock()
 	defer c.unlock()
@@ -111,14 +111,14 @@
 	}
 }
 
-// Stats returns what the queue holds now.
+// Stats returns the queue's current counts.
 func (c *Controller) Stats() admission.Stats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.queue.Stats()
 }
 
-// wake is the timer's.
+// wake runs when the timer fires.
 func (c *Controller) wake() {
 	c.mu.Lock()
 	defer c.unlock()
@@ -128,8 +128,8 @@
 	}
 }
 
-// execute passes the queue's actions to the requests that wait, and sets the timer. The lock is held. Each waiter's
-// channel has space for its one action.
+// execute passes the queue's actions to the waiting requests, and sets the timer. The caller holds the lock. Sending
+// does not block, because each waiter's channel has space for its one action.
 func (c *Controller) execute(actions []admission.Action) {
 	now := c.clock.Now()
 	for _, action := range actions {
@@ -142,7 +142,7 @@
 		}
 	}
 	c.actionBuffer = actions[:0]
-	c.noteQuiet(now)
+	c.noteRejectionsEnded(now)
 	if at, ok := c.queue.Next(); ok && at != c.timerAt {
 		c.timerAt = at
 		c.timer.Reset(at - now)
--- a/internal/admission/controller/controller_test.go
+++ b/internal/admission/controller/controller_test.go
@@ -42,8 +42,8 @@
 	return admission.Arrival{Class: "search", ArrivedAt: now, Deadline: now + timeout}
 }
 
-// A waiting request is rejected at the moment at which it can't be answered in time any more, a client that disconnects
-// is gone at once, free capacity goes to the next request, and the log says when rejections begin and end.
+// A waiting request must be rejected as soon as it cannot be answered in time any more, and withdrawn as soon as its
+// client disconnects. Free capacity must go to the next request, and the log must say when rejections begin and end.
 func TestAcquireInVirtualTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log strings.Builder
@@ -79,19 +79,19 @@
 		time.Sleep(100 * time.Millisecond)
 		disconnect()
 		if r := <-results; r.client != "disconnects" || r.verdict != ClientLeft || r.at != 100*time.Millisecond {
-			t.Errorf("%+v", r)
+			t.Errorf("first result is %+v, want ClientLeft for client disconnects after 100 ms", r)
 		}
 		if r := <-results; r.client != "short" || r.verdict != Rejected || r.retryAfter <= 0 || r.at < 250*time.Millisecond || r.at > 300*time.Millisecond {
-			t.Errorf("%+v", r)
+			t.Errorf("second result is %+v, want Rejected with a Retry-After for client short after 250 to 300 ms", r)
 		}
 		held[0].Done(admission.Completed)
 		held[0].Done(admission.Completed) // counts once
 		r := <-results
 		if r.client != "waits" || r.verdict != Admitted {
-			t.Errorf("%+v", r)
+			t.Errorf("third result is %+v, want Admitted for client waits", r)
 		}
 		if stats := c.Stats(); stats.InFlight != 2 || stats.Queued != 0 {
-			t.Errorf("%+v", stats)
+			t.Errorf("stats are %+v, want 2 requests in flight and none queued", stats)
 		}
 		time.Sleep(2 * time.Second)
 		held[1].Done(admission.Completed)
@@ -102,8 +102,8 @@
 	})
 }
 
-// Concurrent requests, some of whose clients disconnect, while options change: each gets one verdict, nothing is in flight
-// in the end, and nothing waits after AdmitAll or Close.
+// Concurrent requests must get one verdict each while options change and some of their clients disconnect. At the end
+// nothing may be in flight, and nothing may wait after AdmitAll or Close.
 func TestConcurrentAcquire(t *testing.T) {
 	for name, end := range map[string]func(*Controller){"admit all": (*Controller).AdmitAll, "close": (*Controller).Close, "neither": nil} {
 		t.Run(name, func(t *testing.T) {
@@ -123,7 +123,7 @@
 						case Admitted:
 							admitted.Add(1)
 							if rng.IntN(8) == 0 {
-								time.Sleep(100 * time.Microsecond) // the work
+								time.Sleep(100 * time.Microsecond) // simulates the upstream's work
 							}
 							p.Done(admission.Outcome(rng.IntN(3)))
 						case Rejected:
@@ -148,10 +148,10 @@
 			}
 			wg.Wait()
 			if sum := admitted.Load() + rejected.Load() + disconnected.Load(); sum != 5000 || admitted.Load() == 0 {
-				t.Errorf("%d verdicts, %d of them admitted", sum, admitted.Load())
+				t.Errorf("%d verdicts, %d of them Admitted, want 5000 and at least one", sum, admitted.Load())
 			}
 			if stats := c.Stats(); end == nil && stats.Queued+stats.InFlight != 0 || len(c.waiters) != 0 {
-				t.Errorf("%+v, %d waiting", stats, len(c.waiters))
+				t.Errorf("after all requests have ended, stats are %+v and %d requests wait, want none", stats, len(c.waiters))
 			}
 		})
 	}
--- a/internal/admission/controller/log.go
+++ b/internal/admission/controller/log.go
@@ -11,11 +11,11 @@
 	attrs []any
 }
 
-// rejectionsQuietAfter is how long after the last rejection the log says that rejections have ended.
-const rejectionsQuietAfter = time.Second
+// rejectionQuietPeriod is the time after the last rejection until a log line reports that rejections have ended.
+const rejectionQuietPeriod = time.Second
 
-// noteRejection logs the first rejection of a series, with the state of the queue. The lock is held. docs/operate/door.md
-// explains the lines.
+// noteRejection counts a rejection, and adds a log line with the state of the queue for the first one of a series. The
+// caller holds the lock. docs/operate/door.md explains the log lines.
 func (c *Controller) noteRejection(now time.Duration, action admission.Action) {
 	c.rejections++
 	c.lastRejection = now
@@ -27,15 +27,16 @@
 		"in_hand", stats.InFlight, "limit", stats.Limit, "principals", stats.Principals}})
 }
 
-// noteQuiet logs the end of a series of rejections and their number. The lock is held.
-func (c *Controller) noteQuiet(now time.Duration) {
-	if c.rejections > 0 && now-c.lastRejection > rejectionsQuietAfter {
+// noteRejectionsEnded adds a log line for the end of a series of rejections, with their number. The caller holds the
+// lock.
+func (c *Controller) noteRejectionsEnded(now time.Duration) {
+	if c.rejections > 0 && now-c.lastRejection > rejectionQuietPeriod {
 		c.logLines = append(c.logLines, logLine{"the door: refusals have ended", []any{"refused", c.rejections}})
 		c.rejections = 0
 	}
 }
 
-// unlock releases the lock, then writes the log lines that were noted under it.
+// unlock releases the lock, then writes the log lines that were added under it.
 func (c *Controller) unlock() {
 	lines := c.logLines
 	c.logLines = nil
