--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// ActionKind says what an Action asks for.
+// ActionKind says what the driver has to do.
 type ActionKind int
 
-// What a driver can be asked to do.
+// The kinds of Action.
 const (
 	Send      ActionKind = iota // start the request's next attempt at Upstream, and end it after Timeout
 	Cancel                      // stop waiting for attempt number Attempt
-	Reject                      // final answer: not executed, or repeating it does no harm; RetryAfter is advice
+	Reject                      // final answer: the request did not run, or repeating it does no harm; RetryAfter is a hint
 	Fail                        // final answer: the request may have run
-	SetTimer                    // report TimerFired at FireAt; an earlier SetTimer may be dropped
-	Subscribe                   // ask for the endpoint list and its changes
-	Log                         // write Text to the operators' log; it is about Upstream if that is set
+	SetTimer                    // report TimerFired at FireAt; the driver may drop an earlier SetTimer
+	Subscribe                   // request the endpoint list and its changes
+	Log                         // write Text to the operators' log; Text is about Upstream if Upstream is set
 )
 
-// Action is one thing to do. Only the fields that belong to its Kind are set.
+// Action is one instruction to the driver. Only the fields that belong to its Kind are set.
 type Action struct {
 	Kind       ActionKind
 	ID         string
 	Upstream   string
-	Zone       string // of Upstream, with Send
-	Cell       int    // of Upstream, with Send
+	Zone       string // with Send: zone of Upstream
+	Cell       int    // with Send: cell of Upstream
 	Attempt    int
 	Timeout    time.Duration
-	SendBy     time.Duration // clock time, with Send: its last byte is written by then, or it is NotSent; 0: no bound
+	SendBy     time.Duration // with Send: clock time; an attempt whose last byte is not written by then is NotSent; 0: no limit
 	RetryAfter time.Duration
 	FireAt     time.Duration // clock time
 	Text       string
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -6,7 +6,7 @@
 // ClientDisconnected, TimerFired, ProbeResult or PeerMessage.
 type Event interface{ event() }
 
-// EndpointState is an upstream's state in the endpoint list.
+// EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState int
 
 // The states of an endpoint.
@@ -19,69 +19,69 @@
 // Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	Name, Zone  string
-	MachineType string // absent: all machines are alike
+	MachineType string // empty: all machines are taken to be alike
 	Cell        int
 	State       EndpointState
-	StartedAt   time.Duration // clock time of its latest start; 0: long ago
+	StartedAt   time.Duration // clock time of the endpoint's latest start; 0: long ago
 }
 
-// UpdateKind says how an EndpointUpdate is to be read.
+// UpdateKind says what the Endpoints of an EndpointUpdate are.
 type UpdateKind int
 
 // The kinds of EndpointUpdate.
 const (
 	FullUpdate        UpdateKind = iota // all endpoints
-	IncrementalUpdate                   // only those that changed
-	CachedUpdate                        // all endpoints as last known; may be stale
-	UpdateFailed                        // a subscription failed or broke; there are no endpoints
+	IncrementalUpdate                   // only the endpoints that changed
+	CachedUpdate                        // all endpoints as last known; they may be stale
+	UpdateFailed                        // a subscription failed or broke; Endpoints is empty
 )
 
-// EndpointUpdate brings the endpoint list, changes of it, or the failure to get it.
+// EndpointUpdate carries the endpoint list, changes to it, or the failure to get it.
 type EndpointUpdate struct {
 	Kind      UpdateKind
 	Endpoints []Endpoint
 }
 
-// Request is a client's request. It is to be answered exactly once before Deadline.
+// Request is a client's request. It must be answered exactly once, before Deadline.
 type Request struct {
 	ID, Class, Tenant string
 	Deadline          time.Duration    // clock time
 	CostHint          time.Duration    // expected work; 0: unknown
-	EarlierAttempts   []EarlierAttempt // of the same idempotency key
-	StreamedBody      bool             // forwarded as it arrives: see UploadDone and Outcome.BodyConsumed
+	EarlierAttempts   []EarlierAttempt // of requests with the same idempotency key
+	StreamedBody      bool             // the body is forwarded as it arrives: see UploadDone and Outcome.BodyConsumed
 }
 
-// EarlierAttempt is an attempt of an earlier request of the same idempotency key that may have run. It counts
-// as an attempt of this request.
+// EarlierAttempt is an attempt of an earlier request with the same idempotency key that may have run. It
+// counts as an attempt of this request, except towards MaxAttempts.
 type EarlierAttempt struct {
 	Zone   string
 	Cell   int
 	SentAt time.Duration // clock time
 }
 
-// UploadDone says that the last byte of a streamed body has been written. The time of its request begins
-// now.
+// UploadDone reports that the last byte of a streamed body has been written. The request's latency and
+// latency objective are measured from now on.
 type UploadDone struct {
 	ID       string
 	Attempt  int
-	Deadline time.Duration // replaces the request's, which bounds the time that the body may take
+	Deadline time.Duration // replaces the request's deadline, which until now limited the time of the upload
 }
 
-// FirstByte says that a streamed answer has begun.
+// FirstByte reports that a streamed answer has begun.
 type FirstByte struct {
 	ID          string
 	Attempt     int
-	PassThrough bool // the rest is only passed on: the upstream no longer works on it
+	PassThrough bool // the upstream has finished its work: the rest of the answer is only forwarded
 }
 
 // Result is how an attempt or a load probe ended.
 type Result int
 
-// The results.
+// The results of an attempt or a load probe.
 const (
 	OK            Result = iota
 	ServerError          // error answer; may have run
-	Rejected             // refused before execution (queue full, draining): did not run
+	Rejected             // rejected by the upstream before execution (queue full, draining): did not run
 	Timeout              // no answer in time; may have run
 	ConnectFailed        // did not run
 	Reset                // the connection broke; may have run
@@ -90,29 +90,30 @@
 	Malformed            // unreadable answer; may have run
 )
 
-// Outcome ends an attempt. Each Send has exactly one.
+// Outcome reports the end of an attempt. Each Send has exactly one Outcome.
 type Outcome struct {
 	ID           string
 	Attempt      int
 	Result       Result
 	Elapsed      time.Duration // since the Send
 	Final        bool          // the request has its final answer
-	BodyConsumed bool          // the body of a streamed request can't be had again
+	BodyConsumed bool          // the body of a streamed request can't be sent again
 }
 
-// ClientDisconnected says that no answer to the request is expected any more.
+// ClientDisconnected reports that the client no longer waits for an answer to the request.
 type ClientDisconnected struct{ ID string }
 
-// TimerFired reports that the time of a SetTimer has come.
+// TimerFired reports that the FireAt time of a SetTimer action has come.
 type TimerFired struct{}
 
-// ProbeResult ends a load probe. The package sends no probes itself; internal/upstream/loadprobe does.
+// ProbeResult reports the end of a load probe. This package sends no probes itself;
+// internal/upstream/loadprobe does.
 type ProbeResult struct {
 	Upstream string
 	Result   Result
 	Elapsed  time.Duration
-	InFlight int           // of OK: requests that it has, queued ones included
-	Latency  time.Duration // of OK: latency of its recent requests; 0: not reported
+	InFlight int           // with OK: requests at the upstream, queued ones included
+	Latency  time.Duration // with OK: latency of the upstream's recent requests; 0: not reported
 }
 
 // PeerMessage is a message from another sidecar. It is ignored.
--- a/balancer/hedging.go
+++ b/balancer/hedging.go
@@ -5,30 +5,30 @@
 const (
 	lateAttemptQuantile = 0.8 // the quantile of normalized latency beyond which an attempt is late
 
-	// hedgingMaxPressure is the load pressure above which no late attempt is acted on: hedged requests take
+	// hedgingMaxPressure is the load pressure above which late attempts are left alone: hedged requests take
 	// capacity that first attempts need.
 	hedgingMaxPressure = 0.7
 
-	// hedgingMinSuccessRatio is the share of hedged requests whose hedge answers first and in time, from which
-	// hedging pays.
+	// hedgingMinSuccessRatio is the least success ratio at which hedging pays: the share of hedged requests
+	// that answer first and in time.
 	hedgingMinSuccessRatio = 0.3
 
 	// hedgingTrialProbability is the share of late attempts that are hedged although hedging does not pay, to
-	// learn when it does.
+	// learn when it pays again.
 	hedgingTrialProbability = 0.02
 	hedgingSuccessWeight    = 0.05 // weight of one result in the success ratio
-	hungUpstreamAttempts    = 2    // how many unanswered attempts at an upstream make it look hung
+	hungUpstreamAttempts    = 2    // unanswered attempts that make an upstream look hung
 )
 
-// medianLatency returns the median latency of requests of r's cost.
+// medianLatency returns the median latency of requests with the cost of r.
 func (b *Balancer) medianLatency(r *request) time.Duration {
 	return durationFromSeconds(b.latency.median.value * r.cost)
 }
 
-// lateAttemptDelay returns after what time an attempt is late: at the late quantile for the request's cost,
-// doubled for each attempt beyond the first that is in flight. Without hedging a late attempt is cancelled
-// and loses its place in the upstream's queue: it then waits as long as leaves the median latency for
-// another attempt.
+// lateAttemptDelay returns the time after which an attempt is late: the late quantile for the request's
+// cost, doubled for each attempt in flight beyond the first. Without hedging, a late attempt is cancelled
+// and loses its place in the upstream's queue, so it is given at least the time left, less the median
+// latency that another attempt needs.
 func (b *Balancer) lateAttemptDelay(r *request) time.Duration {
 	doublings := max(r.inFlight-1, 0)
 	delay := durationFromSeconds(b.latency.late.value * r.cost * float64(int(1)<<doublings))
@@ -39,8 +39,8 @@
 }
 
 // handleLateAttempt acts on a request whose latest attempt is late, if the retry budget and the load
-// pressure allow it: it sends a hedged request or, where hedging is not allowed, cancels the attempt to
-// send another if the upstream has not answered anything since.
+// pressure allow it. It sends a hedged request. Where hedging is not allowed, it cancels the attempt so
+// that another is sent, if the upstream has not answered anything since the attempt was sent.
 func (b *Balancer) handleLateAttempt(r *request) {
 	if r.inFlight == 0 || b.now < r.timing.attemptLateAt || b.retryTokens < 1 ||
 		b.loadPressure() > hedgingMaxPressure {
@@ -63,9 +63,9 @@
 }
 
 // hedgingPays reports whether to hedge a late attempt that was sent to u at sentAt. It does where the
-// upstream looks hung: no answer since, and more than one attempt unanswered or its zone ejected. Elsewhere
-// a late request is mostly a costly one, whose hedge costs as much again: it is hedged only if its cost is
-// known from a hint and hedging has paid lately.
+// upstream looks hung: no answer since then, and more than one attempt unanswered or its zone ejected.
+// Otherwise a late request is mostly an expensive one, and hedging it costs as much again: it is hedged
+// only if its cost is known from a hint and hedging has paid recently.
 func (b *Balancer) hedgingPays(r *request, u *upstream, sentAt time.Duration) bool {
 	stuck := len(u.inFlight) >= hungUpstreamAttempts || u.zoneState.consecutiveEjections > 0
 	hung := u.lastAnswerAt <= sentAt && stuck
@@ -78,8 +78,8 @@
 	return !(b.hedgingSuccessRatio < hedgingMinSuccessRatio && b.random.Float64() > hedgingTrialProbability)
 }
 
-// recordHedgingResult notes which of two concurrent attempts gave the final answer: a success is one of the
-// later attempts that answered within the latency objective.
+// recordHedgingResult updates the success ratio when winner gave the final answer while another attempt was
+// in flight. A success is a winner other than the first attempt that answered within the latency objective.
 func (b *Balancer) recordHedgingResult(winner *attempt) {
 	success := 0.0
 	if winner.number > 0 && b.now < winner.request.timing.objectiveAt {
--- a/balancer/load_shedding.go
+++ b/balancer/load_shedding.go
@@ -11,16 +11,16 @@
 
 	// sheddingEndsAfter is how long after the latest rejection load shedding is logged as ended.
 	sheddingEndsAfter = servedRateMemory
-	priorityWindow    = 64 // how many arrivals a new request's priority is ranked among
+	priorityWindow    = 64 // recent arrivals among which a new request's priority is ranked
 	pressureAdmitAll  = 1  // the load pressure up to which every request is admitted
 
-	// priorityRankPressure is how much more pressure the request of highest rank endures than the lowest.
+	// priorityRankPressure is how much more load pressure it takes to reject the highest rank than the lowest.
 	priorityRankPressure = 0.5
 )
 
-// admit decides whether a new request is sent at all, from the load pressure and its priority's rank among
-// recent arrivals, 0 to 1. Above a pressure of 1 the lowest ranks are rejected first, and at 1.5 the highest
-// too. Rejecting early is cheaper than answering late.
+// admit reports whether a new request may be sent at all. It compares the load pressure with the rank of
+// the request's priority among recent arrivals, 0 to 1: above a pressure of 1 the lowest ranks are rejected
+// first, and at 1.5 the highest too. Rejecting early is cheaper than answering late.
 func (b *Balancer) admit(r *request) bool {
 	rank, known := b.priorityRank(b.priority(r))
 	if !known {
@@ -32,7 +32,7 @@
 }
 
 // priorityRank returns the share of recent arrivals whose priority is below the given one; ties are broken
-// at random. It adds the priority to them. It reports false if there are none.
+// at random. It then adds the priority to the recent arrivals. known is false if there were none.
 func (b *Balancer) priorityRank(priority float64) (rank float64, known bool) {
 	s := &b.shedding
 	size := min(s.priorityCount, priorityWindow)
@@ -52,7 +52,7 @@
 	return (lower + equal*b.random.Float64()) / float64(size), true
 }
 
-// recordAdmission logs the begin and the end of load shedding.
+// recordAdmission logs the beginning and the end of load shedding.
 func (b *Balancer) recordAdmission(admitted bool) {
 	s := &b.shedding
 	if !admitted {
@@ -69,8 +69,8 @@
 	}
 }
 
-// priority returns the value of an answer to r for each unit of its work: the priority weight divided by the
-// cost, reduced for a late retry and for a tenant beyond its quota.
+// priority returns the value of an answer to r per unit of its work: the priority weight divided by the
+// cost, reduced for a stale retry and for a tenant over its quota.
 func (b *Balancer) priority(r *request) float64 {
 	priority := r.class.PriorityWeight
 	if !b.settings.WeightPerWork {
@@ -85,8 +85,8 @@
 	return priority
 }
 
-// overQuota counts a tenant's request, and reports whether it is beyond the tenant's quota. Of the requests
-// of a tenant that uses more than its quota, a random part is: the part by which it exceeds the quota.
+// overQuota counts a tenant's request, and reports whether it is over the tenant's quota. If the tenant uses
+// more than its quota, a random part of its requests is over it: the part by which the use exceeds the quota.
 func (b *Balancer) overQuota(tenant int) bool {
 	own := &b.tenantRates[tenant]
 	own.add(1, b.now)
@@ -100,25 +100,26 @@
 
 const (
 	// pressureWaitingMin is the number of waiting requests below which the served rate is too uncertain to
-	// compare with.
+	// compute the pressure from it.
 	pressureWaitingMin = 12.0
 
 	// pressureFullAge is the mean age of the waiting requests, as a share of their latency objective, from
 	// which the pressure counts in full.
 	pressureFullAge = 0.25
-	loadPressureMax = 2.0 // bounds the pressure: after a lull the served rate is too low
+	loadPressureMax = 2.0 // limits the pressure: after a time of little traffic the served rate is too low
 )
 
-// loadPressure compares the load with what the upstreams serve, without a unit; above 1 requests are
+// loadPressure returns the load relative to what the upstreams serve, without a unit; above 1 requests are
 // rejected.
 //
-// By Little's law, requests that wait for a share of their latency objective number that share times the
-// objective times the served rate. The pressure is the number that wait, each weighted by 1/objective in
-// seconds, divided by the queueing limit times the served rate in answers a second. Requests that came only
-// just now weigh less, so that a burst is admitted.
+// By Little's law, the number of requests that wait for a given share of their latency objective is that
+// share times the objective times the served rate. The pressure is the number of waiting requests, each
+// weighted by 1/objective in seconds, divided by the queueing limit times the served rate in answers a
+// second. Requests that have only just arrived weigh less, so that a burst is admitted.
 //
-// It is 0 while less than one request waits for each upstream of this sidecar's share of them. With few
-// waiting the served rate is noise; there the pressure follows from recent attempts.
+// The pressure is 0 while fewer requests wait than this sidecar's share of the upstreams, which is their
+// number divided by FleetSize. With less than pressureWaitingMin waiting, the served rate is too noisy, and
+// the pressure follows from recent attempts.
 func (b *Balancer) loadPressure() float64 {
 	w := &b.waiting
 	count := float64(w.count)
@@ -137,23 +138,23 @@
 const (
 	objectiveUseWeight = 0.04 // weight of one attempt in the objective use
 
-	// objectiveUseMemory is the time constant with which the objective use fades without attempts, so that
-	// rejecting all requests can't go on for ever.
+	// objectiveUseMemory is the time constant with which the objective use decays while there are no
+	// attempts, so that rejecting all requests can't go on for ever.
 	objectiveUseMemory = 10 * time.Second
 
 	// objectiveUseMax bounds the objective use of one attempt: a hung upstream is not an overloaded one.
 	objectiveUseMax   = 1.5
-	objectiveUseFull  = 0.33 // the objective use that is a pressure of 1
-	objectiveUseSlope = 0.5  // how much of the objective use above it counts, as it is uncertain
+	objectiveUseFull  = 0.33 // the objective use that corresponds to a pressure of 1
+	objectiveUseSlope = 0.5  // factor on the pressure above 1, as the objective use is uncertain
 
-	// objectiveUsePressureMax bounds the pressure by objective use: a fifth of the requests is still admitted
-	// and shows when the overload ends.
+	// objectiveUsePressureMax limits the pressure from the objective use: a fifth of the requests is still
+	// admitted, and shows when the overload ends.
 	objectiveUsePressureMax = 1.4
 )
 
 // observeObjectiveUse feeds an attempt's latency, in seconds, into the objective use: the moving share of
-// their latency objective that attempts take. A rejection by the upstream counts as the most. An attempt
-// that was cancelled took at least its time.
+// their latency objective that attempts take. A rejection by the upstream counts as objectiveUseMax. The
+// latency of a cancelled attempt is a lower bound, and counts only if it raises the objective use.
 func (b *Balancer) observeObjectiveUse(r *request, result Result, latency float64) {
 	s := &b.shedding
 	use := min(latency/(r.timing.objectiveAt-r.timing.startedAt).Seconds(), objectiveUseMax)
@@ -167,9 +168,9 @@
 	s.objectiveUseAt = b.now
 }
 
-// objectiveUsePressure returns the load pressure that the objective use of recent attempts shows. It tells
-// of an overload later than the waiting requests do, so the pressure rises in proportion instead of with a
-// step.
+// objectiveUsePressure returns the load pressure that follows from the objective use of recent attempts.
+// The objective use shows an overload later than the waiting requests do, so the pressure rises in
+// proportion instead of in a step.
 func (b *Balancer) objectiveUsePressure() float64 {
 	s := &b.shedding
 	faded := s.objectiveUse * math.Exp(-float64(b.now-s.objectiveUseAt)/float64(objectiveUseMemory))
@@ -178,23 +179,23 @@
 }
 
 const (
-	// The queueing limit is the mean share of their latency objective that requests may wait. It begins at its
+	// The queueing limit is the mean share of their latency objective that requests may wait. It starts at its
 	// maximum.
 	queueingLimitMax  = 0.65
 	queueingLimitMin  = 0.33
 	queueingLimitStep = 0.06 // the relative step down for a request that was late under pressure
 
-	// allowedLateFraction is the part of that step up for a request in time: the limit is steady when such a
-	// share of the requests is late.
+	// allowedLateFraction times queueingLimitStep is the relative step up for a request in time: the limit is
+	// steady when this share of the requests is late.
 	allowedLateFraction = 0.05
 
-	// objectiveMarginTicks, in ticks, is how long before its latency objective a request ends in time.
+	// objectiveMarginTicks, in ticks, is how long before its latency objective a request must end to be in time.
 	objectiveMarginTicks = 2
 )
 
 // adjustQueueingLimit raises the queueing limit for a request that ends in time and lowers it for one that
-// is late under pressure: upstreams that slow down when they are full have to be kept less full. An upstream
-// that has answered nothing since is hung, not full.
+// is late under pressure: upstreams that slow down under load need shorter queues. An upstream that has
+// answered nothing since the attempt was sent is hung, not overloaded, and does not lower the limit.
 func (b *Balancer) adjustQueueingLimit(r *request) {
 	if len(r.attempts) == 0 {
 		return
@@ -208,13 +209,13 @@
 	}
 }
 
-// retryAfterParts: a client that can come back in time is advised to wait for the time left until the latency
+// retryAfterParts: a client that can retry in time gets a Retry-After of the time left until its latency
 // objective divided by this.
 const retryAfterParts = 2
 
-// retryAfter returns the Retry-After of a rejection; 0: none. A client should stay away for the longest time
-// that is allowed. If that ends before its deadline and late answers have a value, it would come back late
-// and still cost work: it is advised to come back in time instead.
+// retryAfter returns the Retry-After of a rejection; 0: none. It is the longest that is allowed, to keep
+// the client away. If that ends before the client's deadline and late answers have a value, the client
+// would return late and still cause work: it is told to retry in time instead.
 func (b *Balancer) retryAfter(r *request) time.Duration {
 	if !b.settings.RetryAfterAllowed {
 		return 0
--- a/balancer/request_state.go
+++ b/balancer/request_state.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// attempt is one sending of a request to an upstream.
+// attempt is one transmission of a request to an upstream.
 type attempt struct {
 	request     *request
 	number      int // position among the request's attempts, from 0
 	upstream    *upstream
-	zone        string // of the upstream when it was sent; a new list may name another
+	zone        string // zone of the upstream at the time of sending; a later endpoint list may give another
 	cell        int
-	sentAt      time.Duration // clock time; of a streamed body: of its last byte
-	inFlight    bool          // its Outcome is still to come
-	mayHaveRun  bool          // not proved that the upstream never executed it
+	sentAt      time.Duration // clock time; with a streamed body: when its last byte was sent
+	inFlight    bool          // its Outcome has not been reported yet
+	mayHaveRun  bool          // it is not certain that the upstream never executed it
 	streaming   bool          // its response has begun, or its request body is still being sent
-	passThrough bool          // streaming, and the upstream does not work on it: the bytes are only passed on
+	passThrough bool          // streaming, and the upstream does not work on it: bytes are only forwarded
 }
 
 // request is a client's request from its arrival until its last attempt has ended.
 type request struct {
 	id              string
 	class           *class
-	tenantIndex     int     // in Settings.Tenants; -1: none of them
+	tenantIndex     int     // index in Settings.Tenants; -1: not a tenant of that list
 	cost            float64 // expected work, relative to the mean request
-	hasCostHint     bool    // the client announced its work: an attempt that is late is not merely costly
-	staleRetry      bool    // a client's retry that came after the latency objective of its first attempt
+	hasCostHint     bool    // the client gave a cost hint: a late attempt is not merely one of unknown high cost
+	staleRetry      bool    // a client's retry that arrived after the latency objective of its first attempt
 	earlierAttempts []EarlierAttempt
 	timing          requestTiming
 
 	attempts []*attempt
-	inFlight int // attempts whose Outcome is still to come
+	inFlight int // attempts whose Outcome has not been reported yet
 	notSent  int // attempts that ended as NotSent
 
-	uploading        bool // a streamed body whose last byte has not been sent
-	bodyConsumed     bool // the body can't be had again: there is no further attempt
+	uploading        bool // its streamed body is being sent: the last byte is still missing
+	bodyConsumed     bool // the body can't be sent again: no further attempt is possible
 	responseStarted  bool // the client has the first byte of its answer
-	finished         bool // it has its final answer, or its client disconnected
+	finished         bool // it has its final answer, or its client has disconnected
 	countedAsWaiting bool // counted in Balancer.waiting
 }
 
-// requestTiming holds a request's points in time, as clock times.
+// requestTiming holds the points in time of a request, as clock times.
 type requestTiming struct {
-	startedAt          time.Duration // arrival; of a streamed body: when its last byte was sent
-	objectiveAt        time.Duration // an answer after it is late
+	startedAt          time.Duration // arrival; with a streamed body: when its last byte was sent
+	objectiveAt        time.Duration // an answer after this time is late
 	giveUpAt           time.Duration // the balancer ends the request itself at this time
-	deadline           time.Duration // the client's
-	attemptLateAt      time.Duration // the latest attempt is late from then on
-	objectiveExtension time.Duration // a length: how much longer the objective is for the request's own work
+	deadline           time.Duration // the client's deadline
+	attemptLateAt      time.Duration // from then on the latest attempt is late
+	objectiveExtension time.Duration // a duration: by how much the cost hint extends the latency objective
 }
 
 func (b *Balancer) newAttempt(r *request, u *upstream) *attempt {
@@ -70,8 +70,9 @@
 	return r.attempts[number]
 }
 
-// handleUploadDone begins the time of a request with a streamed body. What its client took to send the body
-// counts neither as latency of the upstream nor as waiting.
+// handleUploadDone starts the timing of a request with a streamed body, whose last byte has now been sent.
+// The time that the client took to send the body counts neither as latency of the upstream nor as waiting
+// time.
 func (b *Balancer) handleUploadDone(e UploadDone) {
 	a := b.attemptInFlight(e.ID, e.Attempt)
 	if a == nil || a.request.finished || !a.request.uploading {
@@ -90,8 +91,9 @@
 	b.schedule(r.timing.giveUpAt, timerGiveUp, r)
 }
 
-// handleFirstByte hands the request to its client. The time to the first byte is the latency; how long the
-// stream goes on after it says nothing about the upstream.
+// handleFirstByte records that the client begins to receive the answer, and cancels the request's other
+// attempts. The time to the first byte is the latency; how long the stream lasts after it says nothing
+// about the upstream.
 func (b *Balancer) handleFirstByte(e FirstByte) {
 	a := b.attemptInFlight(e.ID, e.Attempt)
 	if a == nil || a.request.finished || a.request.responseStarted {
@@ -134,7 +136,8 @@
 // noAttempt is a number that no attempt has.
 const noAttempt = -1
 
-// cancelAttemptsExcept cancels the request's attempts in flight, other than number keep.
+// cancelAttemptsExcept cancels the request's attempts in flight, except attempt number keep, where
+// cancellation is allowed.
 func (b *Balancer) cancelAttemptsExcept(r *request, keep int) {
 	for _, a := range r.attempts {
 		if a.inFlight && a.number != keep && b.settings.CancellationAllowed {
@@ -153,14 +156,14 @@
 	b.removeIfComplete(r)
 }
 
-// removeIfComplete removes a finished request once no Outcome of it is to come.
+// removeIfComplete removes a finished request once the Outcomes of all its attempts have been reported.
 func (b *Balancer) removeIfComplete(r *request) {
 	if r.finished && r.inFlight == 0 {
 		delete(b.requests, r.id)
 	}
 }
 
-// setWaiting counts r among the waiting requests, or no longer.
+// setWaiting adds r to the sums over the waiting requests, or removes it from them.
 func (b *Balancer) setWaiting(r *request, waiting bool) {
 	if r.countedAsWaiting == waiting {
 		return
@@ -175,6 +178,6 @@
 	w.startSum += time.Duration(change) * r.timing.startedAt
 	w.requiredRate += float64(change) / (r.timing.objectiveAt - r.timing.startedAt).Seconds()
 	if w.count == 0 {
-		w.requiredRate = 0 // removes what rounding has left
+		w.requiredRate = 0 // removes accumulated rounding errors
 	}
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	// giveUpMarginTicks, in ticks, is how long before its deadline a request is given up, so that the answer
-	// is out in time even if the driver's next events come a tick late.
+	// giveUpMarginTicks, in ticks, is how long before its deadline the balancer ends a request, so that the
+	// client gets the answer in time even if the driver's next events come a tick late.
 	giveUpMarginTicks = 2
 
-	// lateMarginTicks, in ticks, is how long before it becomes worthless a request is given up.
+	// lateMarginTicks, in ticks, is how long before its answer loses all value the balancer ends a request.
 	lateMarginTicks = 1
 
-	// dispatchRetryTicks, in ticks, is the pause until a request that no upstream is available for is tried
-	// again.
+	// dispatchRetryTicks, in ticks, is the pause before a request for which no upstream was available is
+	// dispatched again.
 	dispatchRetryTicks = 2
 )
 
-// handleRequest admits a new request and sends it, or gives it its final answer at once.
+// handleRequest admits a new request and dispatches it, or gives it its final answer at once.
 func (b *Balancer) handleRequest(e Request) {
 	if b.requests[e.ID] != nil {
 		return
 	}
 	c := b.classes[e.Class]
-	if c == nil { // nothing has run, so a client may safely repeat it
+	if c == nil { // the request has not run, so its client may safely repeat it
 		b.emit(Action{Kind: Reject, ID: e.ID})
 		return
 	}
@@ -38,12 +38,12 @@
 		b.rejectOrFail(r)
 		return
 	}
-	b.offeredRate.add(r.cost, b.now) // not what is rejected: the retries of its client would count again
+	b.offeredRate.add(r.cost, b.now) // rejected requests would count again with their clients' retries
 	b.updateLatencyDecay()
 	b.dispatch(r)
 }
 
-// newRequest returns the state of a request that arrives now, with its cost and its points in time.
+// newRequest returns the state of a request that arrives now, with its cost and its times.
 func (b *Balancer) newRequest(c *class, e Request) *request {
 	r := &request{
 		id:              e.ID,
@@ -67,10 +67,10 @@
 	return r
 }
 
-// giveUpAt returns the clock time at which a request ends without an answer: shortly before its deadline, or
-// before valuableUntil if a late answer to its class is worth nothing and going on would only load the
-// upstreams. The time of a streamed body begins when its last byte is sent: until then only its deadline
-// counts.
+// giveUpAt returns the clock time at which the balancer ends a request that has no answer: shortly before
+// its deadline or, if that is earlier and late answers of its class have no value, shortly before
+// valuableUntil, as going on would only load the upstreams. The time of a streamed body begins when its
+// last byte is sent: until then only the deadline counts.
 func (b *Balancer) giveUpAt(r *request, valuableUntil time.Duration) time.Duration {
 	at := r.timing.deadline - giveUpMarginTicks*b.settings.Tick
 	if r.class.LateValueFraction == 0 && !r.uploading {
@@ -84,9 +84,9 @@
 	return b.now + min(r.class.LatencyObjective+r.timing.objectiveExtension, r.class.Deadline)
 }
 
-// dispatch moves on a request that has no attempt in flight: it sends an attempt, ends the request, or tries
-// again after a pause. A further attempt is not worth sending when the median latency no longer fits into
-// the time left.
+// dispatch handles a request that has no attempt in flight: it sends an attempt, ends the request, or
+// schedules another dispatch. It sends no further attempt when the median latency exceeds the time left, as
+// the answer would come too late.
 func (b *Balancer) dispatch(r *request) {
 	if b.now+b.medianLatency(r) > r.timing.giveUpAt && len(r.attempts) > 0 {
 		b.rejectOrFail(r)
@@ -110,7 +110,7 @@
 	b.updateRetryTokens(a)
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
-	if r.uploading { // the upstream begins to work on it with the last byte
+	if r.uploading { // the upstream begins its work when it has the last byte
 		a.streaming, a.passThrough = true, true
 	} else {
 		u.inFlight = append(u.inFlight, a)
@@ -133,8 +133,8 @@
 	}
 }
 
-// handleOutcome ends an attempt. A final answer ends its request too; after a failure the request is sent
-// again within the retry budget. An attempt that certainly was not sent costs no budget.
+// handleOutcome ends an attempt. A final answer also ends its request. After a failure the request is sent
+// again within the retry budget; an attempt that certainly was not sent may be retried without budget.
 func (b *Balancer) handleOutcome(e Outcome) {
 	a := b.attemptInFlight(e.ID, e.Attempt)
 	if a == nil {
@@ -142,7 +142,7 @@
 	}
 	b.endAttempt(a, e)
 	r := a.request
-	if e.Final && !r.finished && (!r.responseStarted || a.streaming) { // else it lost against the stream
+	if e.Final && !r.finished && (!r.responseStarted || a.streaming) { // otherwise another attempt is streaming
 		if r.inFlight > 0 {
 			b.recordHedgingResult(a)
 		}
@@ -164,7 +164,7 @@
 	b.dispatch(r)
 }
 
-// rejectOrFail ends a request without an answer from an upstream.
+// rejectOrFail ends a request without an answer from an upstream: with Reject if mayReject, else with Fail.
 func (b *Balancer) rejectOrFail(r *request) {
 	if r.finished {
 		return
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -4,16 +4,16 @@
 	"time"
 )
 
-// The retry budget, in attempts. Every first attempt earns a part of a retry, so that retries and hedged
-// requests can't multiply the load when many attempts fail.
+// The retry budget is a token bucket; one token is one attempt. Every first attempt earns a part of a token,
+// so that retries and hedged requests can't multiply the load when many attempts fail.
 const (
 	retryTokensPerRequest = 0.25 // tokens earned by a first attempt; each further attempt spends one
-	retryTokensBurst      = 10.0 // attempts at once: without it a sidecar of little traffic could not retry
+	retryTokensBurst      = 10.0 // attempts at once; without a burst, a low-traffic sidecar could not retry
 )
 
-// updateRetryTokens earns or spends for an attempt about to be sent. The bucket holds retryTokensBurst, or
-// what a second of the offered rate earns if that is more. A retry that the budget does not bind (see
-// handleOutcome) does not overdraw it.
+// updateRetryTokens earns or spends tokens for an attempt about to be sent. The bucket holds at most
+// retryTokensBurst, or what the offered rate earns in a second if that is more. A retry that needs no token
+// (see handleOutcome) does not overdraw it.
 func (b *Balancer) updateRetryTokens(a *attempt) {
 	if a.number == 0 {
 		limit := max(retryTokensBurst, retryTokensPerRequest*b.offeredRate.perSecond(b.now))
@@ -23,15 +23,16 @@
 	}
 }
 
-// attemptsExhausted reports whether MaxAttempts are used. An attempt that was not sent uses none, up to as
-// many again: otherwise requests would end where the endpoint list changes faster than attempts are sent.
+// attemptsExhausted reports whether r has used MaxAttempts. Up to MaxAttempts attempts that were not sent
+// do not count: otherwise requests would end where the endpoint list changes faster than attempts are sent.
 func (b *Balancer) attemptsExhausted(r *request) bool {
 	return len(r.attempts)-min(r.notSent, b.settings.MaxAttempts) >= b.settings.MaxAttempts
 }
 
-// mayAttempt reports whether r may be sent to u now. Every attempt passes it. It holds what must never be
-// violated: the endpoint list, MaxAttempts, idempotency and its scope and window, one attempt at a time
-// where hedging is ruled out, and slow start. handleOutcome holds the retry budget, dispatch the time left.
+// mayAttempt reports whether r may be sent to u now. Every attempt must pass it. It enforces what must
+// never be violated: the endpoint list, MaxAttempts, idempotency with its deduplication scope and window,
+// one attempt at a time where hedging is not allowed, and slow start. handleOutcome enforces the retry
+// budget, and dispatch the time left.
 func (b *Balancer) mayAttempt(r *request, u *upstream) bool {
 	if r.finished || r.responseStarted || r.bodyConsumed || b.attemptsExhausted(r) ||
 		b.now >= r.timing.deadline || !u.active {
@@ -57,8 +58,8 @@
 	return b.slowStartAllows(u)
 }
 
-// outsideDedupScope reports whether u would execute again what was sent to zone and cell, because the two do
-// not share their deduplication.
+// outsideDedupScope reports whether u would execute again a request that was sent to an upstream of zone
+// and cell, because the two upstreams do not share their deduplication.
 func (c *class) outsideDedupScope(zone string, cell int, u *upstream) bool {
 	if c.Idempotency != IdempotentWithKey {
 		return false
@@ -66,8 +67,8 @@
 	return c.DedupScope == ScopeZone && zone != u.zone || c.DedupScope == ScopeCell && cell != u.cell
 }
 
-// retryForbidden reports whether an attempt may have run after which no other may follow: of a
-// non-idempotent request, or of one with an idempotency key whose deduplication window ends.
+// retryForbidden reports whether no attempt may follow one that may have run: the request is non-idempotent,
+// or the deduplication window of its idempotency key is over or within dedupMarginTicks of its end.
 func (b *Balancer) retryForbidden(r *request) bool {
 	since, mayHaveRun := r.firstPossibleExecution()
 	if !mayHaveRun {
@@ -83,8 +84,8 @@
 	}
 }
 
-// firstPossibleExecution returns when the first of the attempts that may have run was sent, a clock time,
-// and whether there is one.
+// firstPossibleExecution returns the clock time at which the earliest attempt that may have run was sent,
+// and whether there is such an attempt.
 func (r *request) firstPossibleExecution() (since time.Duration, found bool) {
 	consider := func(sentAt time.Duration) {
 		if !found || sentAt < since {
@@ -111,8 +112,8 @@
 	return since + r.class.DedupWindow - dedupMarginTicks*b.settings.Tick
 }
 
-// retrySendBy returns the clock time by which the next attempt's last byte has to be sent; 0: at any time.
-// It keeps a retry that waits for a connection from arriving after the deduplication window.
+// retrySendBy returns the clock time by which the next attempt's last byte has to be sent; 0: no limit. The
+// limit keeps a retry that waits for a connection from arriving after the deduplication window.
 func (b *Balancer) retrySendBy(r *request) time.Duration {
 	since, mayHaveRun := r.firstPossibleExecution()
 	if !mayHaveRun || r.class.Idempotency != IdempotentWithKey {
@@ -122,7 +123,7 @@
 }
 
 // mayReject reports whether a request may end with Reject, which tells its client that repeating it does no
-// harm: it certainly did not run, or a repeat is recognized wherever it is sent.
+// harm: it is idempotent, certainly did not run, or has an idempotency key that all upstreams recognize.
 func mayReject(r *request) bool {
 	c := r.class
 	if c.Idempotency == Idempotent || c.Idempotency == IdempotentWithKey && c.DedupScope == ScopeAll {
@@ -133,19 +134,20 @@
 }
 
 const (
-	// usualTimeLeftVotesMax bounds the votes for a usual time left, so that another value can win later. With
-	// more than usualTimeLeftVotesTrusted the value is relied on.
+	// usualTimeLeftVotesMax limits the votes for the usual time left, so that another value can win later.
+	// The value is used once it has more than usualTimeLeftVotesTrusted votes.
 	usualTimeLeftVotesMax     = 20
 	usualTimeLeftVotesTrusted = usualTimeLeftVotesMax / 2
 
-	// timeLeftToleranceTicks, in ticks, is how far from the usual a time left may be and still count as it.
+	// timeLeftToleranceTicks, in ticks, is how far a time left may be from the usual one and still match it.
 	timeLeftToleranceTicks = 2
 )
 
-// firstAttemptTime returns when a client first sent the request that arrives now, a clock time; now, if it
-// is taken as the first attempt of its client. A client's retry is recognized by its time left until
-// deadline: first attempts of a class mostly have the same, while a retry's ends with all the client's
-// retries, one class Deadline after the first attempt. The usual time left is learnt by majority vote.
+// firstAttemptTime returns the clock time at which a client first sent the request that arrives now; that is
+// now if the request is taken for a first attempt. A client's retry is recognized by its time left until
+// deadline. Most first attempts of a class have the same time left, while a retry's ends with all the
+// client's retries, one class Deadline after the first attempt. The usual time left is learnt by majority
+// vote.
 func (c *class) firstAttemptTime(now, deadline, tick time.Duration) time.Duration {
 	left := deadline - now
 	if (left - c.usualTimeLeft).Abs() <= timeLeftToleranceTicks*tick {
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Snapshot is what a Balancer has learnt, for the process that replaces it. Its points in time are ages at
-// the moment of the snapshot, as the clocks of two processes differ. The JSON names are a stored form.
+// Snapshot holds what a Balancer has learnt, for the process that replaces it. Points in time are given as
+// ages at the moment of the snapshot, as the clocks of two processes differ. The JSON names are a stored
+// format and must not change.
 type Snapshot struct {
 	Upstreams             map[string]UpstreamSnapshot `json:"Upstreams"`
 	MeanLatency           float64                     `json:"Mean"`     // seconds
 	MeanNormalizedLatency float64                     `json:"Fleet"`    // seconds
 	MedianLatency         float64                     `json:"Mid"`      // normalized, seconds
-	LateLatency           float64                     `json:"Late"`     // normalized, seconds: an attempt is late after it
+	LateLatency           float64                     `json:"Late"`     // normalized, seconds; a slower attempt is late
 	MeanCostHint          float64                     `json:"HintMean"` // seconds
 	Classes               map[string]float64          `json:"Classes"`  // mean latency by class, seconds
 	MachineTypes          map[string]float64          `json:"Kinds"`    // mean normalized latency by machine type, seconds
@@ -22,27 +23,27 @@
 	OfferedRate           float64                     `json:"Offered"`  // work a second, in mean requests
 }
 
-// UpstreamSnapshot is what is known of one upstream.
+// UpstreamSnapshot holds what a Balancer has learnt of one upstream.
 type UpstreamSnapshot struct {
-	Uptime              time.Duration `json:"CameUp"`   // 0: it started long ago
+	Uptime              time.Duration `json:"CameUp"`   // 0: the upstream started long ago
 	Estimate            float64       `json:"Estimate"` // normalized latency, seconds
 	Age                 time.Duration `json:"Age"`      // of Estimate
 	ErrorRatio          float64       `json:"Wrong"`
 	ConsecutiveErrors   int           `json:"Errors"`
 	ConsecutiveFailures int           `json:"Fails"`
 	Ejections           int           `json:"Ejections"`
-	EjectedFor          time.Duration `json:"Out"` // how much longer
+	EjectedFor          time.Duration `json:"Out"` // remaining ejection time
 }
 
 const (
 	// snapshotValueMax bounds every latency and rate of a valid snapshot: seconds, or per second.
 	snapshotValueMax = 1e6
 
-	// snapshotEjectionFactor: a valid ejection is at most ejectionMax times this.
+	// snapshotEjectionFactor times ejectionMax is the longest ejection of a valid snapshot.
 	snapshotEjectionFactor = 2
 )
 
-var errOutOfRange = errors.New("a number is out of range")
+var errOutOfRange = errors.New("a latency, rate, count or duration is out of range")
 
 // Validate returns an error if the snapshot holds a number that Restore can't use.
 func (s *Snapshot) Validate() error {
@@ -119,9 +120,10 @@
 	return s
 }
 
-// Restore takes over a predecessor's valid snapshot at now, a clock time. It is called on a Balancer that
-// has seen nothing but an endpoint list. What the snapshot says of upstreams that are not listed, or that
-// have started again since, is ignored. The slow start of an upstream begins with a new random draw.
+// Restore loads a valid snapshot of the predecessor process at now, a clock time. It may be called only on
+// a Balancer that has handled nothing but an endpoint list. Entries of upstreams that are not listed, or
+// that have restarted since the snapshot, are ignored. The slow start of an upstream begins with a new
+// random part of a token.
 func (b *Balancer) Restore(now time.Duration, s *Snapshot) {
 	restoreMean(&b.latency.mean, s.MeanLatency)
 	restoreMean(&b.latency.normalizedMean, s.MeanNormalizedLatency)
@@ -131,7 +133,7 @@
 	if s.QueueingLimit > 0 {
 		b.shedding.queueingLimit = min(queueingLimitMax, max(queueingLimitMin, s.QueueingLimit))
 	}
-	// All requests of the predecessor come here: without the rates they would look like an overload.
+	// This process gets all requests of its predecessor: without the rates they would look like an overload.
 	b.servedRate.restore(s.ServedRate, now)
 	b.offeredRate.restore(s.OfferedRate, now)
 	for name, mean := range s.Classes {
@@ -151,18 +153,19 @@
 	}
 }
 
-// restoreMean takes over a mean that the predecessor knew.
+// restoreMean sets mean to the predecessor's value, if the predecessor had one.
 func restoreMean(mean *float64, restored float64) {
 	if restored > 0 {
 		*mean = restored
 	}
 }
 
-// startTimeTolerance is how far apart two processes may take the start of one upstream to be, as their
-// clocks do not begin at exactly the same time.
+// startTimeTolerance is the largest difference between two processes' start times of one upstream that
+// still counts as the same start, as their clocks do not begin at exactly the same time.
 const startTimeTolerance = 100 * time.Millisecond
 
-// sameIncarnation reports whether a predecessor's snapshot is of the process that runs now.
+// sameIncarnation reports whether a predecessor's snapshot, taken when the upstream had the given uptime,
+// describes the incarnation that runs now.
 func (u *upstream) sameIncarnation(now, uptime time.Duration) bool {
 	if startedLongAgo := u.startedAt <= 0; startedLongAgo || uptime == 0 {
 		return startedLongAgo && uptime == 0
