--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -7,7 +7,8 @@
 	"orchiddrift/balancer"
 )
 
-// A sidecar embeds the module: it reports what happens, with its own clock, and carries out the actions.
+// A driver reports each event with the time of its own clock, and carries out the actions that Handle
+// returns.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Zone:        "east",
@@ -18,17 +19,17 @@
 		fmt.Println(err)
 		return
 	}
-	var acts []balancer.Action
+	var actions []balancer.Action
 	report := func(now time.Duration, e balancer.Event) {
-		acts = b.Handle(now, e, acts[:0])
-		for _, a := range acts {
+		actions = b.Handle(now, e, actions[:0])
+		for _, a := range actions {
 			switch a.Kind {
 			case balancer.Send:
 				fmt.Println("send", a.ID, "to", a.Upstream)
 			case balancer.Reject, balancer.Fail:
 				fmt.Println("answer", a.ID)
 			case balancer.SetTimer:
-				// arrange for report(a.At, balancer.TimerFired{})
+				// call report(a.FireAt, balancer.TimerFired{}) when the clock shows a.FireAt
 			}
 		}
 	}
--- a/balancer/hedging_test.go
+++ b/balancer/hedging_test.go
@@ -12,18 +12,19 @@
 	r.wantSend(r.request("1", "k", time.Second))
 	var cancelled bool
 	for range 80 {
-		acts := r.advance(5 * ms)
-		if len(ofKind(acts, Send)) > 0 {
-			t.Fatal("second attempt beside the first")
+		actions := r.advance(5 * ms)
+		if len(ofKind(actions, Send)) > 0 {
+			t.Fatal("second attempt was sent while the first was in flight, although hedging is not allowed")
 		}
-		cancelled = cancelled || len(ofKind(acts, Cancel)) > 0
+		cancelled = cancelled || len(ofKind(actions, Cancel)) > 0
 	}
 	if !cancelled {
-		t.Fatal("the silent attempt was never ended")
+		t.Fatal("the unanswered attempt was never cancelled")
 	}
 }
 
-// Hedged requests cover a pause that is too short for outlier detection.
+// Hedged requests must keep requests succeeding while an upstream pauses too briefly to be ejected by
+// outlier detection.
 func TestHedgingCoversPause(t *testing.T) {
 	var w *scriptedFleet
 	w = newScriptedFleet(t, testSettings(), func(u string) (Result, time.Duration) {
@@ -35,11 +36,11 @@
 	w.addUpstreams(4)
 	w.run(20*time.Second, 100)
 	if float64(w.succeeded) < 0.99*float64(w.requests-5) {
-		t.Errorf("%d of %d served", w.succeeded, w.requests)
+		t.Errorf("only %d of %d requests succeeded while one upstream paused again and again", w.succeeded, w.requests)
 	}
 }
 
-// Hedging stops before requests are rejected.
+// Hedging must stop at a lower load than the one at which requests are rejected.
 func TestNoHedgingNearQueueingLimit(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -66,18 +67,19 @@
 			hedges += len(ofKind(r.advance(5*ms), Send))
 		}
 		if hedges > 0 != c.hedged {
-			t.Errorf("%s: %d hedges with %d waiting, pressure %.2f", c.name, hedges, c.waiting, r.balancer.loadPressure())
+			t.Errorf("%s: %d hedged requests with %d requests waiting, load pressure %.2f",
+				c.name, hedges, c.waiting, r.balancer.loadPressure())
 		}
 	}
 }
 
 // A late request is hedged only if its upstream looks hung, or if its cost is known and hedging has paid
-// lately.
+// recently.
 func TestHedgingOnlyOfHungUpstreams(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		unanswered bool // another attempt at the upstream has no answer either
-		paid       bool // hedging has paid lately
+		unanswered bool // another attempt at the upstream is unanswered too
+		paid       bool // hedging has paid recently
 		costHint   time.Duration
 		hedged     bool
 	}{
@@ -105,12 +107,13 @@
 		}
 		r.updateEndpoints(IncrementalUpdate, Endpoint{Name: "other", Zone: "a"})
 		if got := len(ofKind(r.advance(60*ms), Send)) > 0; got != c.hedged {
-			t.Errorf("%s: hedged %v", c.name, got)
+			t.Errorf("%s: late request hedged: %v, want the opposite", c.name, got)
 		}
 	}
 }
 
-// Whether hedging pays is learnt from the hedged requests: it does where upstreams pause.
+// Whether hedging pays is learnt from the results of hedged requests. It pays where upstreams pause one
+// at a time, and not where all are slow together.
 func TestHedgingFollowsItsSuccess(t *testing.T) {
 	for _, pauses := range []bool{false, true} {
 		var w *scriptedFleet
@@ -119,7 +122,7 @@
 				return OK, 300*ms - phase + 20*ms
 			}
 			if !pauses && w.now%(4*time.Second) < 400*ms {
-				return OK, 150 * ms // everywhere: the hedge takes as long
+				return OK, 150 * ms // at all upstreams: the hedged request takes as long
 			}
 			return OK, 20 * ms
 		})
@@ -128,7 +131,8 @@
 		hedges := w.attempts() - w.requests
 		pays := w.balancer.hedgingSuccessRatio > hedgingMinSuccessRatio
 		if pauses != pays || !pauses && hedges > w.requests/20 {
-			t.Errorf("pauses %v: %d hedges of %d, success ratio %.2f", pauses, hedges, w.requests, w.balancer.hedgingSuccessRatio)
+			t.Errorf("upstreams pause: %v; %d hedged requests for %d requests, hedging success ratio %.2f",
+				pauses, hedges, w.requests, w.balancer.hedgingSuccessRatio)
 		}
 	}
 }
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -39,87 +39,89 @@
 	timers   []time.Duration
 }
 
-func (f *ruleChecker) checkAction(a Action) {
-	f.t.Helper()
-	q := f.requests[a.ID]
-	if q == nil && a.Kind <= Fail {
-		f.t.Fatalf("action for unknown request: %+v", a)
+func (checker *ruleChecker) checkAction(a Action) {
+	checker.t.Helper()
+	request := checker.requests[a.ID]
+	if request == nil && a.Kind <= Fail {
+		checker.t.Fatalf("action for unknown request: %+v", a)
 	}
 	switch a.Kind {
 	case Send:
-		f.checkSend(a, q)
+		checker.checkSend(a, request)
 	case Cancel:
-		if !f.settings.CancellationAllowed {
-			f.t.Fatal("cancellation is not allowed")
+		if !checker.settings.CancellationAllowed {
+			checker.t.Fatal("an attempt was cancelled although cancellation is not allowed")
 		}
-		if a.Attempt < 0 || a.Attempt >= len(q.attempts) {
-			f.t.Fatalf("cancel of attempt %d, never made", a.Attempt)
+		if a.Attempt < 0 || a.Attempt >= len(request.attempts) {
+			checker.t.Fatalf("attempt %d was cancelled but never sent", a.Attempt)
 		}
 	case Reject, Fail:
-		if a.Kind == Reject && !(q.class.Idempotency == Idempotent || q.class.Idempotency == IdempotentWithKey && q.class.DedupScope == ScopeAll) &&
-			slices.ContainsFunc(q.attempts, func(x *observedAttempt) bool { return x.mayHaveRun }) {
-			f.t.Fatalf("rejected %s, which may have run", a.ID)
+		if a.Kind == Reject && !(request.class.Idempotency == Idempotent || request.class.Idempotency == IdempotentWithKey && request.class.DedupScope == ScopeAll) &&
+			slices.ContainsFunc(request.attempts, func(attempt *observedAttempt) bool { return attempt.mayHaveRun }) {
+			checker.t.Fatalf("request %s may have run and must not run again, but ended with Reject", a.ID)
 		}
-		if q.answered {
-			f.t.Fatalf("second answer to %s", a.ID)
+		if request.answered {
+			checker.t.Fatalf("request %s got a second final answer", a.ID)
 		}
-		q.answers, q.answered = q.answers+1, true
+		request.answers, request.answered = request.answers+1, true
 	case SetTimer:
-		f.timers = append(f.timers, a.FireAt)
+		checker.timers = append(checker.timers, a.FireAt)
 	}
 }
 
-func (f *ruleChecker) checkSend(a Action, q *observedRequest) {
-	f.t.Helper()
-	m, listed := f.active[a.Upstream]
+func (checker *ruleChecker) checkSend(a Action, request *observedRequest) {
+	checker.t.Helper()
+	endpoint, listed := checker.active[a.Upstream]
 	switch {
-	case q.answered:
-		f.t.Fatalf("%s: attempt after its end", a.ID)
-	case f.now >= q.deadline:
-		f.t.Fatalf("%s: attempt after its time", a.ID)
+	case request.answered:
+		checker.t.Fatalf("request %s: attempt after its final answer", a.ID)
+	case checker.now >= request.deadline:
+		checker.t.Fatalf("request %s: attempt after its deadline", a.ID)
 	case !listed:
-		f.t.Fatalf("%s: attempt to %s, which is draining or removed", a.ID, a.Upstream)
-	case len(q.attempts)-min(q.notSent, f.settings.MaxAttempts) >= f.settings.MaxAttempts:
-		f.t.Fatalf("%s: attempt %d of %d, %d of them not sent", a.ID, len(q.attempts)+1, f.settings.MaxAttempts, q.notSent)
+		checker.t.Fatalf("request %s: attempt to upstream %s, which is draining or removed", a.ID, a.Upstream)
+	case len(request.attempts)-min(request.notSent, checker.settings.MaxAttempts) >= checker.settings.MaxAttempts:
+		checker.t.Fatalf("request %s: attempt %d with MaxAttempts of %d, %d of the earlier ones not sent",
+			a.ID, len(request.attempts)+1, checker.settings.MaxAttempts, request.notSent)
 	}
-	for _, x := range q.attempts {
-		if x.inFlight && !f.settings.HedgingAllowed {
-			f.t.Fatalf("%s: two attempts in flight", a.ID)
+	for _, attempt := range request.attempts {
+		if attempt.inFlight && !checker.settings.HedgingAllowed {
+			checker.t.Fatalf("request %s: two attempts in flight although hedging is not allowed", a.ID)
 		}
-		if !x.mayHaveRun {
+		if !attempt.mayHaveRun {
 			continue
 		}
-		c := q.class
+		c := request.class
 		if c.Idempotency == NonIdempotent {
-			f.t.Fatalf("%s: non-idempotent, and sent again", a.ID)
+			checker.t.Fatalf("request %s is non-idempotent and may have run, but was sent again", a.ID)
 		}
-		if c.Idempotency == IdempotentWithKey && (f.now-x.sentAt > c.DedupWindow || c.DedupScope == ScopeZone && x.zone != m.Zone ||
-			c.DedupScope == ScopeCell && x.cell != m.Cell) {
-			f.t.Fatalf("%s: with an idempotency key, and sent outside its scope or window", a.ID)
+		if c.Idempotency == IdempotentWithKey && (checker.now-attempt.sentAt > c.DedupWindow || c.DedupScope == ScopeZone && attempt.zone != endpoint.Zone ||
+			c.DedupScope == ScopeCell && attempt.cell != endpoint.Cell) {
+			checker.t.Fatalf("request %s has an idempotency key and may have run, but was sent outside its deduplication scope or window",
+				a.ID)
 		}
 	}
-	limit := q.deadline
+	limit := request.deadline
 	if a.Timeout != 0 {
-		limit = min(limit, f.now+a.Timeout)
+		limit = min(limit, checker.now+a.Timeout)
 	}
-	q.attempts = append(q.attempts, &observedAttempt{a.Upstream, m.Zone, m.Cell, f.now, limit, true, true})
+	request.attempts = append(request.attempts, &observedAttempt{a.Upstream, endpoint.Zone, endpoint.Cell, checker.now, limit, true, true})
 }
 
-func randomSettings(g *rand.Rand) Settings {
+func randomSettings(random *rand.Rand) Settings {
 	s := testSettings()
-	s.HedgingAllowed, s.CancellationAllowed, s.RetryAfterAllowed = g.IntN(2) == 0, g.IntN(2) == 0, g.IntN(2) == 0
-	s.MustSubscribe = g.IntN(2) == 0
-	s.MaxAttempts = 1 + g.IntN(5)
-	s.CrossZonePrice = []float64{0, 0.01, 0.2}[g.IntN(3)]
-	s.OverloadMultiple = float64(g.IntN(4))
-	s.Tenants = []Tenant{{Name: "t", Quota: 0.5}, {Name: "v", Quota: 0.5}}[:g.IntN(3)]
+	s.HedgingAllowed, s.CancellationAllowed, s.RetryAfterAllowed = random.IntN(2) == 0, random.IntN(2) == 0, random.IntN(2) == 0
+	s.MustSubscribe = random.IntN(2) == 0
+	s.MaxAttempts = 1 + random.IntN(5)
+	s.CrossZonePrice = []float64{0, 0.01, 0.2}[random.IntN(3)]
+	s.OverloadMultiple = float64(random.IntN(4))
+	s.Tenants = []Tenant{{Name: "t", Quota: 0.5}, {Name: "v", Quota: 0.5}}[:random.IntN(3)]
 	s.Classes = nil
-	for e := Idempotent; e <= NonIdempotent; e++ {
-		for group := ScopeAll; group <= ScopeCell; group++ {
-			objective := time.Duration(50+g.IntN(400)) * ms
-			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(e, group), LatencyObjective: objective, Deadline: objective * 2, Idempotency: e,
-				DedupScope: group, DedupWindow: time.Duration(20+g.IntN(800)) * ms, LateValueFraction: float64(g.IntN(2)) / 2,
-				PriorityWeight: float64(1 + g.IntN(9)), ObjectiveStretch: float64(g.IntN(2)), Streaming: g.IntN(4) == 0})
+	for idempotency := Idempotent; idempotency <= NonIdempotent; idempotency++ {
+		for scope := ScopeAll; scope <= ScopeCell; scope++ {
+			objective := time.Duration(50+random.IntN(400)) * ms
+			s.Classes = append(s.Classes, Class{Name: fmt.Sprint(idempotency, scope), LatencyObjective: objective, Deadline: objective * 2, Idempotency: idempotency,
+				DedupScope: scope, DedupWindow: time.Duration(20+random.IntN(800)) * ms, LateValueFraction: float64(random.IntN(2)) / 2,
+				PriorityWeight: float64(1 + random.IntN(9)), ObjectiveStretch: float64(random.IntN(2)), Streaming: random.IntN(4) == 0})
 		}
 	}
 	return s
@@ -127,157 +129,159 @@
 
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(150) {
-		g := rand.New(rand.NewPCG(seed, 7))
-		s := randomSettings(g)
+		random := rand.New(rand.NewPCG(seed, 7))
+		s := randomSettings(random)
 		b, err := New(s, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &ruleChecker{t: t, settings: s, now: time.Hour, requests: map[string]*observedRequest{}, active: map[string]Endpoint{}}
-		deal := func(e Event) {
-			for _, a := range b.Handle(f.now, e, nil) {
-				f.checkAction(a)
+		checker := &ruleChecker{t: t, settings: s, now: time.Hour, requests: map[string]*observedRequest{}, active: map[string]Endpoint{}}
+		deliver := func(e Event) {
+			for _, a := range b.Handle(checker.now, e, nil) {
+				checker.checkAction(a)
 			}
 		}
-		playRandomEvents(f, g, deal, 1200)
+		playRandomEvents(checker, random, deliver, 1200)
 		if n := len(b.requests); n != 0 {
-			t.Fatalf("seed %d: %d requests kept after all have ended", seed, n)
+			t.Fatalf("seed %d: %d requests still stored after all have ended", seed, n)
 		}
 	}
 }
 
-// playRandomEvents plays ticks with random events, then lets all that is open end.
-func playRandomEvents(f *ruleChecker, g *rand.Rand, deal func(Event), ticks int) {
-	deal(EndpointUpdate{Kind: CachedUpdate})
+// playRandomEvents plays random events for a number of ticks, then more ticks until all requests have
+// ended.
+func playRandomEvents(checker *ruleChecker, random *rand.Rand, deliver func(Event), ticks int) {
+	deliver(EndpointUpdate{Kind: CachedUpdate})
 	for i := range ticks + 1000 {
-		f.now += f.settings.Tick + time.Duration(g.IntN(2000))*time.Microsecond
+		checker.now += checker.settings.Tick + time.Duration(random.IntN(2000))*time.Microsecond
 		if i < ticks {
-			f.deliverRandomUpdate(g, deal)
-			for range g.IntN(4) {
-				f.deliverRandomRequest(g, deal, i)
+			checker.deliverRandomUpdate(random, deliver)
+			for range random.IntN(4) {
+				checker.deliverRandomRequest(random, deliver, i)
 			}
-			f.deliverNoise(g, deal)
+			checker.deliverIrrelevantEvents(random, deliver)
 		}
-		f.fireDueTimers(deal)
-		f.deliverOutcomes(g, deal)
+		checker.fireDueTimers(deliver)
+		checker.deliverOutcomes(random, deliver)
 	}
-	for id, q := range f.requests {
-		if !q.answered {
-			f.t.Fatalf("%s never answered", id)
+	for id, request := range checker.requests {
+		if !request.answered {
+			checker.t.Fatalf("request %s was never answered", id)
 		}
 	}
 }
 
-func (f *ruleChecker) deliverRandomUpdate(g *rand.Rand, deal func(Event)) {
-	if g.IntN(20) > 0 {
+func (checker *ruleChecker) deliverRandomUpdate(random *rand.Rand, deliver func(Event)) {
+	if random.IntN(20) > 0 {
 		return
 	}
-	if g.IntN(6) == 0 {
-		deal(EndpointUpdate{Kind: UpdateFailed})
+	if random.IntN(6) == 0 {
+		deliver(EndpointUpdate{Kind: UpdateFailed})
 		return
 	}
-	var entries []Endpoint
+	var endpoints []Endpoint
 	kind := IncrementalUpdate
-	if g.IntN(5) == 0 {
+	if random.IntN(5) == 0 {
 		kind = FullUpdate
-		clear(f.active)
+		clear(checker.active)
 	}
-	for range g.IntN(8) {
-		n := g.IntN(10)
-		m := Endpoint{Name: fmt.Sprint("u", n), Zone: []string{"a", "b"}[n%2], Cell: n % 4, State: EndpointState(g.IntN(3))}
-		if g.IntN(2) == 0 {
-			m.State = Active
+	for range random.IntN(8) {
+		n := random.IntN(10)
+		endpoint := Endpoint{Name: fmt.Sprint("u", n), Zone: []string{"a", "b"}[n%2], Cell: n % 4, State: EndpointState(random.IntN(3))}
+		if random.IntN(2) == 0 {
+			endpoint.State = Active
 		}
-		if g.IntN(3) == 0 {
-			m.StartedAt = f.now - time.Duration(g.IntN(12000))*ms
+		if random.IntN(3) == 0 {
+			endpoint.StartedAt = checker.now - time.Duration(random.IntN(12000))*ms
 		}
-		delete(f.active, m.Name)
-		if m.State == Active {
-			f.active[m.Name] = m
+		delete(checker.active, endpoint.Name)
+		if endpoint.State == Active {
+			checker.active[endpoint.Name] = endpoint
 		}
-		entries = append(entries, m)
+		endpoints = append(endpoints, endpoint)
 	}
-	deal(EndpointUpdate{Kind: kind, Endpoints: entries})
+	deliver(EndpointUpdate{Kind: kind, Endpoints: endpoints})
 }
 
-func (f *ruleChecker) deliverRandomRequest(g *rand.Rand, deal func(Event), i int) {
-	c := f.settings.Classes[g.IntN(len(f.settings.Classes))]
-	id := fmt.Sprint(i, "-", g.Uint32())
-	q := &observedRequest{class: c, deadline: f.now + time.Duration(1+g.IntN(int(c.Deadline/ms)))*ms}
-	f.requests[id], f.order = q, append(f.order, id)
-	deal(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[g.IntN(3)], Deadline: q.deadline,
-		CostHint: time.Duration(g.IntN(3)*g.IntN(100)) * ms})
-	if g.IntN(50) == 0 && !q.answered {
-		q.answered, q.disconnected = true, true
-		deal(ClientDisconnected{ID: id})
+func (checker *ruleChecker) deliverRandomRequest(random *rand.Rand, deliver func(Event), tick int) {
+	c := checker.settings.Classes[random.IntN(len(checker.settings.Classes))]
+	id := fmt.Sprint(tick, "-", random.Uint32())
+	request := &observedRequest{class: c, deadline: checker.now + time.Duration(1+random.IntN(int(c.Deadline/ms)))*ms}
+	checker.requests[id], checker.order = request, append(checker.order, id)
+	deliver(Request{ID: id, Class: c.Name, Tenant: []string{"t", "v", "?"}[random.IntN(3)], Deadline: request.deadline,
+		CostHint: time.Duration(random.IntN(3)*random.IntN(100)) * ms})
+	if random.IntN(50) == 0 && !request.answered {
+		request.answered, request.disconnected = true, true
+		deliver(ClientDisconnected{ID: id})
 	}
 }
 
-// deliverNoise is what must change nothing: strangers, repeats, stale timers, messages.
-func (f *ruleChecker) deliverNoise(g *rand.Rand, deal func(Event)) {
-	switch g.IntN(12) {
+// deliverIrrelevantEvents delivers events that must not lead to a violation: reports on unknown requests
+// and attempts, timers that are not due, load probes and messages.
+func (checker *ruleChecker) deliverIrrelevantEvents(random *rand.Rand, deliver func(Event)) {
+	switch random.IntN(12) {
 	case 0:
-		deal(Outcome{ID: "nobody", Result: OK, Final: true})
+		deliver(Outcome{ID: "nobody", Result: OK, Final: true})
 	case 1:
-		if n := len(f.order); n > 0 {
-			id := f.order[g.IntN(n)]
-			deal(Outcome{ID: id, Attempt: len(f.requests[id].attempts) + g.IntN(3) - 1 + 1, Result: OK, Final: true})
+		if n := len(checker.order); n > 0 {
+			id := checker.order[random.IntN(n)]
+			deliver(Outcome{ID: id, Attempt: len(checker.requests[id].attempts) + random.IntN(3) - 1 + 1, Result: OK, Final: true})
 		}
 	case 2:
-		deal(TimerFired{})
+		deliver(TimerFired{})
 	case 3:
-		deal(ClientDisconnected{ID: "nobody"})
-		deal(FirstByte{ID: "nobody"})
-		deal(ProbeResult{Upstream: "u0"})
-		deal(PeerMessage{Message: "hi"})
+		deliver(ClientDisconnected{ID: "nobody"})
+		deliver(FirstByte{ID: "nobody"})
+		deliver(ProbeResult{Upstream: "u0"})
+		deliver(PeerMessage{Message: "hi"})
 	}
 }
 
-func (f *ruleChecker) fireDueTimers(deal func(Event)) {
+func (checker *ruleChecker) fireDueTimers(deliver func(Event)) {
 	due := 0
-	f.timers = slices.DeleteFunc(f.timers, func(at time.Duration) bool {
-		if at <= f.now {
+	checker.timers = slices.DeleteFunc(checker.timers, func(at time.Duration) bool {
+		if at <= checker.now {
 			due++
 		}
-		return at <= f.now
+		return at <= checker.now
 	})
 	for range due {
-		deal(TimerFired{})
+		deliver(TimerFired{})
 	}
 }
 
-func (f *ruleChecker) deliverOutcomes(g *rand.Rand, deal func(Event)) {
-	for _, id := range f.order {
-		q := f.requests[id]
-		for n := 0; n < len(q.attempts); n++ {
-			x := q.attempts[n]
-			if !x.inFlight || f.now < x.endsBy && g.IntN(12) > 0 {
+func (checker *ruleChecker) deliverOutcomes(random *rand.Rand, deliver func(Event)) {
+	for _, id := range checker.order {
+		request := checker.requests[id]
+		for number := 0; number < len(request.attempts); number++ {
+			attempt := request.attempts[number]
+			if !attempt.inFlight || checker.now < attempt.endsBy && random.IntN(12) > 0 {
 				continue
 			}
-			res := Result(g.IntN(int(NotSent) + 1))
-			if f.now >= x.endsBy {
-				res = Timeout
+			result := Result(random.IntN(int(NotSent) + 1))
+			if checker.now >= attempt.endsBy {
+				result = Timeout
 			}
-			x.inFlight = false
-			x.mayHaveRun = res != Rejected && res != ConnectFailed && res != NotSent
-			if res == NotSent {
-				q.notSent++
+			attempt.inFlight = false
+			attempt.mayHaveRun = result != Rejected && result != ConnectFailed && result != NotSent
+			if result == NotSent {
+				request.notSent++
 			}
-			if res == OK {
-				q.answered = true
+			if result == OK {
+				request.answered = true
 			}
-			e := Outcome{ID: id, Attempt: n, Result: res, Elapsed: f.now - x.sentAt, Final: q.answered}
-			deal(e)
-			if g.IntN(10) == 0 {
-				deal(e) // the same again
+			outcome := Outcome{ID: id, Attempt: number, Result: result, Elapsed: checker.now - attempt.sentAt, Final: request.answered}
+			deliver(outcome)
+			if random.IntN(10) == 0 {
+				deliver(outcome) // a duplicate report
 			}
 		}
-		if !q.answered && f.now > q.deadline+20*ms {
-			f.t.Fatalf("%s: no answer %v after its time", id, f.now-q.deadline)
+		if !request.answered && checker.now > request.deadline+20*ms {
+			checker.t.Fatalf("request %s has no answer %v after its deadline", id, checker.now-request.deadline)
 		}
 	}
-	f.order = slices.DeleteFunc(f.order, func(id string) bool {
-		q := f.requests[id]
-		return q.answered && !slices.ContainsFunc(q.attempts, func(x *observedAttempt) bool { return x.inFlight })
+	checker.order = slices.DeleteFunc(checker.order, func(id string) bool {
+		request := checker.requests[id]
+		return request.answered && !slices.ContainsFunc(request.attempts, func(attempt *observedAttempt) bool { return attempt.inFlight })
 	})
 }
--- a/balancer/load_shedding_test.go
+++ b/balancer/load_shedding_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// While every answer is late, most requests are rejected early, also beside a slow upstream. Load shedding
-// ends with its cause.
+// While every answer is late, most requests must be rejected early, also if one upstream is slower than the
+// others. Load shedding must end with the overload.
 func TestOverloadIsShedEarlyAndEnds(t *testing.T) {
 	latency := 20 * ms
 	w := newScriptedFleet(t, testSettings(), func(u string) (Result, time.Duration) {
@@ -19,24 +19,24 @@
 	w.addUpstreams(4)
 	w.run(5*time.Second, 200)
 	if w.finalAnswers[Reject] > 10 {
-		t.Errorf("%d rejected without load", w.finalAnswers[Reject])
+		t.Errorf("%d requests rejected without an overload", w.finalAnswers[Reject])
 	}
 	latency = 250 * ms
 	w.run(2*time.Second, 200)
-	sent, n := w.attempts(), w.requests
+	attemptsBefore, requestsBefore := w.attempts(), w.requests
 	w.run(3*time.Second, 200)
-	if got := w.attempts() - sent; got > (w.requests-n)*3/10 {
-		t.Errorf("%d attempts for %d requests that cannot be served", got, w.requests-n)
+	if got := w.attempts() - attemptsBefore; got > (w.requests-requestsBefore)*3/10 {
+		t.Errorf("%d attempts for %d requests that cannot be answered in time, want at most three tenths", got, w.requests-requestsBefore)
 	}
 	latency = 20 * ms
 	w.run(3*time.Second, 200)
-	ok, n := w.succeeded, w.requests
+	succeededBefore, requestsBefore := w.succeeded, w.requests
 	w.run(3*time.Second, 200)
-	if got := w.succeeded - ok; float64(got) < 0.95*float64(w.requests-n) {
-		t.Errorf("%d of %d served after the overload", got, w.requests-n)
+	if got := w.succeeded - succeededBefore; float64(got) < 0.95*float64(w.requests-requestsBefore) {
+		t.Errorf("only %d of %d requests succeeded after the overload", got, w.requests-requestsBefore)
 	}
 	if !w.logged("shedding begins") || !w.logged("shedding ended") {
-		t.Errorf("log %q", w.logs)
+		t.Errorf("the beginning or the end of load shedding is missing in the log %q", w.logs)
 	}
 }
 
@@ -47,7 +47,7 @@
 	r := newHarness(t, s)
 	r.addUpstreams(4)
 	rejected := map[string]int{}
-	var open []string // answered in order, each 155 ms after it came: a little more than may wait
+	var open []string // IDs in order of arrival; each is answered after 155 ms, so that a few more wait than the limit allows
 	for i := range 600 {
 		id, class := fmt.Sprint(i), []string{"c", "important"}[i%2]
 		if len(ofKind(r.request(id, class, time.Second), Send)) == 0 {
@@ -63,11 +63,11 @@
 		r.now += 5 * ms
 	}
 	if rejected["c"] < 10 || rejected["important"] > rejected["c"]/2 {
-		t.Errorf("rejected %v", rejected)
+		t.Errorf("rejected requests by class: %v, want at least 10 of c and at most half as many of important", rejected)
 	}
 }
 
-// The part of a tenant's requests that is beyond its quota has a lower priority.
+// The part of a tenant's requests that is over its quota must get a lower priority.
 func TestOverQuotaLowersPriority(t *testing.T) {
 	s := testSettings()
 	s.Tenants = []Tenant{{Name: "big", Quota: 0.5}, {Name: "small", Quota: 0.5}}
@@ -76,17 +76,17 @@
 	low := map[int]int{}
 	for i := range 1000 {
 		r.balancer.now += ms
-		q := &request{class: r.balancer.classes["c"], cost: 1, tenantIndex: min(i%10/9, 1)} // nine of ten are the first's
+		q := &request{class: r.balancer.classes["c"], cost: 1, tenantIndex: min(i%10/9, 1)} // nine of ten are of tenant big
 		if r.balancer.priority(q) < 1 {
 			low[q.tenantIndex]++
 		}
 	}
 	if low[1] != 0 || low[0] < 300 || low[0] > 500 { // (0.9-0.5)/0.9 of 900
-		t.Errorf("counted low: %v", low)
+		t.Errorf("requests with lowered priority by tenant index: %v, want 300 to 500 of the first and none of the second", low)
 	}
 }
 
-// The sums over waiting requests stay exact in a process that runs for long.
+// The sums over waiting requests must stay exact in a process that runs for a long time.
 func TestWaitingSumsDoNotDrift(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.now = 400 * 24 * time.Hour
@@ -98,18 +98,19 @@
 		r.outcome(id, 0, OK, ms)
 	}
 	if b := r.balancer; b.waiting.count != 1 || b.waiting.startSum != r.now || b.waiting.requiredRate < 4.999 || b.waiting.requiredRate > 5.001 {
-		t.Errorf("waiting %d, %v, %v", b.waiting.count, b.waiting.startSum, b.waiting.requiredRate)
+		t.Errorf("with one request waiting, the sums are: count %d, start times %v, required rate %v",
+			b.waiting.count, b.waiting.startSum, b.waiting.requiredRate)
 	}
 }
 
 // Late answers of upstreams that go on answering lower the queueing limit to its minimum, and answers in
-// time raise it again. What waits at a hung upstream does not lower it.
+// time raise it again. Requests that wait at a hung upstream must not lower it.
 func TestQueueingLimitFollowsLateAnswers(t *testing.T) {
-	n, overloaded := 0, true
+	answers, overloaded := 0, true
 	s := testSettings()
 	s.HedgingAllowed = false
 	reply := func(string) (Result, time.Duration) {
-		if n++; overloaded && n%2 == 0 {
+		if answers++; overloaded && answers%2 == 0 {
 			return OK, 230 * ms
 		}
 		return OK, 90 * ms
@@ -118,12 +119,12 @@
 	w.addUpstreams(4)
 	w.run(5*time.Second, 400)
 	if w.balancer.shedding.queueingLimit > queueingLimitMin*1.2 {
-		t.Errorf("limit %.2f with half of all answers late", w.balancer.shedding.queueingLimit)
+		t.Errorf("queueing limit is %.2f with half of all answers late, want almost its minimum", w.balancer.shedding.queueingLimit)
 	}
 	overloaded = false
 	w.run(10*time.Second, 100)
 	if w.balancer.shedding.queueingLimit < queueingLimitMax {
-		t.Errorf("limit %.2f long after", w.balancer.shedding.queueingLimit)
+		t.Errorf("queueing limit is %.2f long after the overload, want its maximum", w.balancer.shedding.queueingLimit)
 	}
 	w = newScriptedFleet(t, s, func(u string) (Result, time.Duration) {
 		if u < "u2" {
@@ -134,24 +135,25 @@
 	w.addUpstreams(4)
 	w.run(2*time.Second, 400)
 	if w.finalAnswers[Reject] == 0 || w.balancer.shedding.queueingLimit < queueingLimitMax*0.9 {
-		t.Errorf("%d rejected; limit %.2f with upstreams hung, not overloaded", w.finalAnswers[Reject], w.balancer.shedding.queueingLimit)
+		t.Errorf("with half of the upstreams hung: %d requests rejected, want some; queueing limit %.2f, want almost its maximum",
+			w.finalAnswers[Reject], w.balancer.shedding.queueingLimit)
 	}
 }
 
-// Load pressure rises with the age of the waiting requests: a burst after a lull is admitted, more than can
-// be served is not.
+// The load pressure rises with the age of the waiting requests: a burst after a time of little traffic is
+// admitted, and more requests than can be served are not.
 func TestLoadPressureRisesWithAge(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		waiting, answered int
 		age               time.Duration
-		over              bool
+		over              bool // the load pressure is above 1
 	}{
 		{name: "burst", waiting: 100, answered: 400, age: 10 * ms},
 		{name: "too many, older", waiting: 100, answered: 400, age: 35 * ms, over: true},
 		{name: "too many, old", waiting: 100, answered: 400, age: 100 * ms, over: true},
 		{name: "few enough", waiting: 20, answered: 400, age: 35 * ms},
-		{name: "burst after a lull", waiting: 20, answered: 1, age: 15 * ms},
+		{name: "burst after little traffic", waiting: 20, answered: 1, age: 15 * ms},
 		{name: "no answers", waiting: 20, answered: 0, age: 150 * ms, over: true},
 	} {
 		r := newHarness(t, testSettings())
@@ -166,17 +168,18 @@
 		}
 		r.now += c.age
 		r.handle(TimerFired{})
-		if p := r.balancer.loadPressure(); p > 1 != c.over {
-			t.Errorf("%s: %d waiting for %v, %d answered: pressure %.2f", c.name, c.waiting, c.age, c.answered, p)
+		if pressure := r.balancer.loadPressure(); pressure > 1 != c.over {
+			t.Errorf("%s: %d requests waiting for %v, %d answered in 2 s: load pressure %.2f is on the wrong side of 1",
+				c.name, c.waiting, c.age, c.answered, pressure)
 		}
 	}
 }
 
-// Two or three waiting requests are no overload, however few answers there have been.
+// Two or three waiting requests must not count as an overload, however few answers there have been.
 func TestFewWaitingRequestsAreNoOverload(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(10)
-	for i := range 60 { // three at once every second, each answered in half its objective
+	for i := range 60 { // three at once every second, each answered in half its latency objective
 		for j := range 3 {
 			r.wantSend(r.request(fmt.Sprint(i, "-", j), "c", time.Second))
 			r.advance(25 * ms)
@@ -187,31 +190,32 @@
 		r.advance(900 * ms)
 	}
 	if len(r.logs) > 0 {
-		t.Errorf("log %q", r.logs)
+		t.Errorf("want no load shedding with at most three requests waiting, got the log %q", r.logs)
 	}
 }
 
-// A sidecar that never has more than one request waiting sheds load while attempts take their latency
-// objective or longer, and admits again soon after.
+// A sidecar that never has more than one request waiting must shed load while attempts take their latency
+// objective or longer, and must admit requests again soon after.
 func TestLowTrafficSidecarShedsInOverload(t *testing.T) {
 	latency := 240 * ms
 	w := newScriptedFleet(t, testSettings(), func(string) (Result, time.Duration) { return OK, latency })
 	w.addUpstreams(10)
 	w.run(20*time.Second, 3)
 	if w.finalAnswers[Reject] < 20 {
-		t.Errorf("%d of %d rejected while all took longer than their objective", w.finalAnswers[Reject], w.requests)
+		t.Errorf("only %d of %d requests rejected while all attempts took longer than their latency objective",
+			w.finalAnswers[Reject], w.requests)
 	}
 	latency = 20 * ms
 	w.run(10*time.Second, 3)
 	rejected := w.finalAnswers[Reject]
 	w.run(10*time.Second, 3)
 	if w.finalAnswers[Reject] != rejected {
-		t.Error("still shedding long after")
+		t.Error("requests are still rejected long after the overload has ended")
 	}
 }
 
-// A rejected client is advised to stay away as long as possible. Where that ends before its deadline and a
-// late answer has a value, it is advised to be back in time.
+// A rejected client gets the longest Retry-After that is allowed. Where that ends before its deadline and a
+// late answer has a value, it gets one that lets it retry in time.
 func TestRetryAfterOfRejection(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -228,27 +232,27 @@
 		s.MaxRetryAfter, s.Classes[0].LateValueFraction = c.longest, c.lateValue
 		r := newHarness(t, s)
 		r.addUpstreams(4)
-		r.balancer.shedding.objectiveUse, r.balancer.shedding.objectiveUseAt = 10, r.now // half is rejected
-		var acts []Action
-		for i := 0; i < 40 && len(finalAnswers(acts)) == 0; i++ {
-			acts = r.request(fmt.Sprint(i), "c", time.Second)
+		r.balancer.shedding.objectiveUse, r.balancer.shedding.objectiveUseAt = 10, r.now // four fifths of the requests are rejected
+		var actions []Action
+		for i := 0; i < 40 && len(finalAnswers(actions)) == 0; i++ {
+			actions = r.request(fmt.Sprint(i), "c", time.Second)
 		}
-		r.wantFinal(acts, Reject)
-		if got := finalAnswers(acts)[0].RetryAfter; got != c.want {
-			t.Errorf("%s: advised %v, want %v", c.name, got, c.want)
+		r.wantFinal(actions, Reject)
+		if got := finalAnswers(actions)[0].RetryAfter; got != c.want {
+			t.Errorf("%s: Retry-After is %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// With few waiting requests, a burst or a few late answers reject nothing. A lasting overload rejects the
-// lowest priority first, in proportion, and never all requests.
+// With few waiting requests, a burst or a few late answers must not cause rejections. A lasting overload
+// must reject the lowest priority first, in proportion to the overload, and never all requests.
 func TestLowTrafficSidecarShedsInProportion(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		use         float64 // share of their objective that answers take
-		answers     int
-		least, most float64 // share of the lowest priority that is rejected
-		better      float64 // most of the higher priority
+		name                     string
+		answerTime               float64 // of an answer, as a share of the latency objective
+		answers                  int
+		minRejected, maxRejected float64 // bounds of the share of the low-priority requests that is rejected
+		maxHighRejected          float64 // largest share of the high-priority requests that is rejected
 	}{
 		{"a burst", 0.3, 100, 0, 0, 0},
 		{"a few late answers", 0.95, 4, 0, 0.02, 0},
@@ -257,19 +261,19 @@
 	} {
 		s := testSettings()
 		s.FleetSize = 80
-		s.Classes = append(s.Classes, Class{Name: "better", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 3})
+		s.Classes = append(s.Classes, Class{Name: "high", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 3})
 		r := newHarness(t, s)
 		r.addUpstreams(60)
 		r.balancer.shedding.objectiveUse = 0.2
-		for i := range priorityWindow { // half has the higher priority
+		for i := range priorityWindow { // half of them have the higher priority
 			r.balancer.shedding.recentPriorities[i] = float64(1 + i%2*2)
 		}
 		r.balancer.shedding.priorityCount = priorityWindow
 		for range c.answers {
-			r.balancer.shedding.objectiveUse += objectiveUseWeight * (c.use - r.balancer.shedding.objectiveUse)
+			r.balancer.shedding.objectiveUse += objectiveUseWeight * (c.answerTime - r.balancer.shedding.objectiveUse)
 			r.balancer.shedding.objectiveUseAt = r.now
 		}
-		for i := range 5 { // waiting, five times what is usual at ten a second
+		for i := range 5 { // waiting requests, five times as many as is usual at ten requests a second
 			r.balancer.setWaiting(&request{id: fmt.Sprint(i), timing: requestTiming{startedAt: r.now - 60*ms, objectiveAt: r.now + 140*ms}}, true)
 		}
 		const requests = 200
@@ -284,8 +288,9 @@
 			}
 			r.balancer.shedding.objectiveUseAt = r.now
 		}
-		if share := float64(rejected["c"]) / requests; share < c.least || share > c.most || float64(rejected["better"]) > c.better*requests {
-			t.Errorf("%s: %.2f of the lowest priority rejected, %d of %d of the higher", c.name, share, rejected["better"], requests)
+		if share := float64(rejected["c"]) / requests; share < c.minRejected || share > c.maxRejected || float64(rejected["high"]) > c.maxHighRejected*requests {
+			t.Errorf("%s: share %.2f of the low-priority requests rejected, and %d of %d of the high-priority ones",
+				c.name, share, rejected["high"], requests)
 		}
 	}
 }
--- a/balancer/requests_test.go
+++ b/balancer/requests_test.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// The request's own deadline counts, often much sooner than its class's.
+// A request must be answered before its own deadline, which is often much sooner than its class's.
 func TestAnswerBeforeRequestDeadline(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LateValueFraction = 0.5
 	r := newHarness(t, s)
 	r.addUpstreams(2)
 	r.request("1", "c", 60*ms)
-	end := r.now + 60*ms
-	var got []Action
-	for r.now < end && len(finalAnswers(got)) == 0 {
-		got = r.advance(5 * ms)
+	deadline := r.now + 60*ms
+	var actions []Action
+	for r.now < deadline && len(finalAnswers(actions)) == 0 {
+		actions = r.advance(5 * ms)
 	}
-	if len(finalAnswers(got)) != 1 || r.now > end {
-		t.Fatalf("no answer by the request's end: %+v", got)
+	if len(finalAnswers(actions)) != 1 || r.now > deadline {
+		t.Fatalf("request was not answered once by its own deadline; latest actions: %+v", actions)
 	}
 }
 
 func TestRequestWithoutUpstreamIsRejectedInTime(t *testing.T) {
 	r := newHarness(t, testSettings())
-	r.wantNothing(r.request("1", "c", 100*ms)) // no upstream at all: held
+	r.wantNothing(r.request("1", "c", 100*ms)) // no upstream at all: the request waits
 	r.wantFinal(r.advance(95*ms), Reject)
 }
 
@@ -35,7 +35,7 @@
 	r.wantSend(r.advance(20 * ms))
 }
 
-// A timeout at the deadline still leads to a final answer.
+// An attempt that times out exactly at the request's deadline must still lead to a final answer.
 func TestTimeoutAtDeadlineIsAnswered(t *testing.T) {
 	r := newHarness(t, nonIdempotentSettings())
 	r.addUpstreams(2)
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-func keyedSettings(group DedupScope) Settings {
+func keyedSettings(scope DedupScope) Settings {
 	s := testSettings()
 	s.HedgingAllowed = false
-	s.Classes = []Class{{Name: "k", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Idempotency: IdempotentWithKey, DedupScope: group, DedupWindow: time.Second}}
+	s.Classes = []Class{{Name: "k", LatencyObjective: 400 * ms, Deadline: 1500 * ms, Idempotency: IdempotentWithKey, DedupScope: scope, DedupWindow: time.Second}}
 	return s
 }
 
@@ -22,16 +22,16 @@
 }
 
 func TestNonIdempotentIsRetriedOnlyIfNotRun(t *testing.T) {
-	for res, again := range map[Result]bool{Rejected: true, ConnectFailed: true, NotSent: true,
+	for result, retried := range map[Result]bool{Rejected: true, ConnectFailed: true, NotSent: true,
 		ServerError: false, Timeout: false, Reset: false, Cancelled: false} {
 		r := newHarness(t, nonIdempotentSettings())
 		r.addUpstreams(3)
 		r.wantSend(r.request("1", "x", time.Second))
-		acts := r.outcome("1", 0, res, 10*ms)
-		if again {
-			r.wantSend(acts)
+		actions := r.outcome("1", 0, result, 10*ms)
+		if retried {
+			r.wantSend(actions)
 		} else {
-			r.wantFinal(acts, Fail)
+			r.wantFinal(actions, Fail)
 		}
 	}
 }
@@ -40,8 +40,8 @@
 	r := newHarness(t, nonIdempotentSettings())
 	r.addUpstreams(3)
 	r.wantSend(r.request("1", "x", time.Second))
-	if s := ofKind(r.advance(900*ms), Send); len(s) > 0 {
-		t.Fatalf("hedge of a non-idempotent request: %+v", s)
+	if sends := ofKind(r.advance(900*ms), Send); len(sends) > 0 {
+		t.Fatalf("non-idempotent request was hedged: %+v", sends)
 	}
 }
 
@@ -54,7 +54,8 @@
 	r.wantFinal(r.outcome("1", 0, ConnectFailed, ms), Reject)
 }
 
-// An attempt that was not sent uses up neither MaxAttempts nor the retry budget, up to as many again.
+// Up to MaxAttempts attempts that were not sent count neither towards MaxAttempts nor towards the retry
+// budget.
 func TestNotSentAttemptsDoNotCount(t *testing.T) {
 	for notSent, final := range map[int]bool{1: false, 2: false, 3: true} {
 		s := nonIdempotentSettings()
@@ -62,53 +63,54 @@
 		r := newHarness(t, s)
 		r.addUpstreams(3)
 		r.balancer.retryTokens = 0
-		acts := r.request("1", "x", time.Second)
+		actions := r.request("1", "x", time.Second)
 		for n := range notSent {
-			r.wantSend(acts)
-			acts = r.outcome("1", n, NotSent, ms)
+			r.wantSend(actions)
+			actions = r.outcome("1", n, NotSent, ms)
 		}
-		r.wantSend(acts)
-		if acts = r.outcome("1", notSent, ConnectFailed, ms); final {
-			r.wantFinal(acts, Reject)
+		r.wantSend(actions)
+		if actions = r.outcome("1", notSent, ConnectFailed, ms); final {
+			r.wantFinal(actions, Reject)
 		} else {
-			r.wantSend(acts)
+			r.wantSend(actions)
 		}
 	}
 }
 
-// Once it may have run, a request with an idempotency key stays in its deduplication scope.
+// A request with an idempotency key that may have run must be retried only within its deduplication
+// scope: other upstreams would execute it again.
 func TestRetryWithKeyStaysInDedupScope(t *testing.T) {
-	for group, same := range map[DedupScope]func(a, b Endpoint) bool{
+	for scope, inScope := range map[DedupScope]func(a, b Endpoint) bool{
 		ScopeAll:  func(a, b Endpoint) bool { return true },
 		ScopeZone: func(a, b Endpoint) bool { return a.Zone == b.Zone },
 		ScopeCell: func(a, b Endpoint) bool { return a.Cell == b.Cell },
 	} {
-		list := map[string]Endpoint{}
-		var entries []Endpoint
-		for i, m := range []Endpoint{{Zone: "a", Cell: 0}, {Zone: "a", Cell: 1}, {Zone: "b", Cell: 2},
+		byName := map[string]Endpoint{}
+		var endpoints []Endpoint
+		for i, endpoint := range []Endpoint{{Zone: "a", Cell: 0}, {Zone: "a", Cell: 1}, {Zone: "b", Cell: 2},
 			{Zone: "b", Cell: 2}, {Zone: "a", Cell: 0}, {Zone: "b", Cell: 3}} {
-			m.Name = string(rune('p' + i))
-			list[m.Name] = m
-			entries = append(entries, m)
+			endpoint.Name = string(rune('p' + i))
+			byName[endpoint.Name] = endpoint
+			endpoints = append(endpoints, endpoint)
 		}
-		for n := range 40 {
-			r := newHarness(t, keyedSettings(group))
+		for draws := range 40 {
+			r := newHarness(t, keyedSettings(scope))
 			r.balancer.random.Uint64() // other random draws each time
-			for range n {
+			for range draws {
 				r.balancer.random.Uint64()
 			}
-			r.updateEndpoints(FullUpdate, entries...)
-			first := list[r.wantSend(r.request("1", "k", time.Second))]
+			r.updateEndpoints(FullUpdate, endpoints...)
+			first := byName[r.wantSend(r.request("1", "k", time.Second))]
 			for _, a := range ofKind(r.outcome("1", 0, ServerError, 10*ms), Send) {
-				if !same(first, list[a.Upstream]) {
-					t.Fatalf("group %d: %+v then %+v", group, first, list[a.Upstream])
+				if !inScope(first, byName[a.Upstream]) {
+					t.Fatalf("scope %d: sent to %+v, then retried outside of its scope at %+v", scope, first, byName[a.Upstream])
 				}
 			}
 		}
 	}
 }
 
-// The window counts from the sending of the attempt that may have run.
+// The deduplication window begins when the attempt that may have run is sent.
 func TestNoRetryAfterDedupWindow(t *testing.T) {
 	s := keyedSettings(ScopeAll)
 	s.Classes[0].DedupWindow = 100 * ms
@@ -121,8 +123,8 @@
 }
 
 func TestRejectWithKeyOnlyInScopeAll(t *testing.T) {
-	for group, want := range map[DedupScope]ActionKind{ScopeAll: Reject, ScopeZone: Fail, ScopeCell: Fail} {
-		s := keyedSettings(group)
+	for scope, want := range map[DedupScope]ActionKind{ScopeAll: Reject, ScopeZone: Fail, ScopeCell: Fail} {
+		s := keyedSettings(scope)
 		s.MaxAttempts = 1
 		r := newHarness(t, s)
 		r.addUpstreams(3)
@@ -131,26 +133,27 @@
 	}
 }
 
-// A client's retry whose latency objective has passed is rejected at once: its time left tells when the
-// first attempt came. An early retry is served.
+// A client's retry that arrives after the latency objective of its first attempt is rejected at once,
+// and an earlier retry is served. The time left until the deadline shows when the first attempt arrived.
 func TestStaleRetryIsRejected(t *testing.T) {
 	r := newHarness(t, testSettings()) // objective 200 ms, deadline 1 s
 	r.addUpstreams(3)
-	for i := range 20 { // first tries have 600 ms
+	for i := range 20 { // first attempts have 600 ms left
 		id := time.Duration(i).String()
 		r.wantSend(r.request(id, "c", 600*ms))
 		r.outcome(id, 0, OK, 10*ms)
 		r.advance(10 * ms)
 	}
-	r.wantFinal(r.request("stale", "c", 550*ms), Reject)     // the first came 450 ms ago
-	r.wantSend(r.request("early", "c", 900*ms))              // the first came 100 ms ago
-	if f := finalAnswers(r.advance(105 * ms)); len(f) != 1 { // it ends when its objective does
-		t.Errorf("still open after its objective: %+v", f)
+	r.wantFinal(r.request("stale", "c", 550*ms), Reject)     // its first attempt arrived 450 ms ago
+	r.wantSend(r.request("early", "c", 900*ms))              // its first attempt arrived 100 ms ago
+	if f := finalAnswers(r.advance(105 * ms)); len(f) != 1 { // it ends with its latency objective
+		t.Errorf("early retry has no single final answer at the end of its latency objective: %+v", f)
 	}
 	r.wantSend(r.request("first", "c", 601*ms))
 }
 
-// Attempts of earlier requests of the same key count as this request's.
+// Attempts of earlier requests with the same idempotency key restrict this request's upstreams like
+// attempts of its own.
 func TestEarlierAttemptsBindDedupScope(t *testing.T) {
 	s := testSettings()
 	s.Classes = []Class{{
@@ -163,8 +166,8 @@
 	for _, c := range []struct {
 		name    string
 		earlier []EarlierAttempt
-		want    string // zones that it may be sent to; "": none
-		fails   bool   // it gets its final answer at once
+		want    string // zones that the request may be sent to; "": none
+		fails   bool   // the request gets its final answer at once
 	}{
 		{"no earlier attempt", nil, "ab", false},
 		{"in b, after the window", []EarlierAttempt{inZone("b", 50*time.Second)}, "", true},
@@ -177,11 +180,11 @@
 			r := newHarness(t, s)
 			r.balancer.random = rand.New(rand.NewPCG(uint64(i), 1))
 			r.updateEndpoints(FullUpdate, Endpoint{Name: "x", Zone: "a"}, Endpoint{Name: "y", Zone: "b"})
-			acts := r.handle(Request{ID: "1", Class: "c", Deadline: r.now + 5*time.Second, EarlierAttempts: c.earlier})
-			if sends := ofKind(acts, Send); len(sends) == 1 {
+			actions := r.handle(Request{ID: "1", Class: "c", Deadline: r.now + 5*time.Second, EarlierAttempts: c.earlier})
+			if sends := ofKind(actions, Send); len(sends) == 1 {
 				got[sends[0].Zone] = true
-			} else if len(ofKind(acts, Reject)) > 0 || c.fails && len(ofKind(acts, Fail)) != 1 {
-				t.Errorf("%s: %+v", c.name, acts)
+			} else if len(ofKind(actions, Reject)) > 0 || c.fails && len(ofKind(actions, Fail)) != 1 {
+				t.Errorf("%s: request was not sent and got unexpected actions %+v", c.name, actions)
 			}
 		}
 		want := map[string]bool{}
@@ -194,54 +197,57 @@
 	}
 }
 
-// Only a retry with an idempotency key, after an attempt that may have run, carries the time by which to
-// send it.
+// Only a retry of a request with an idempotency key, after an attempt that may have run, carries the
+// time by which it has to be sent.
 func TestRetryCarriesSendBy(t *testing.T) {
-	for effect, bound := range map[Idempotency]bool{IdempotentWithKey: true, Idempotent: false} {
+	for idempotency, limited := range map[Idempotency]bool{IdempotentWithKey: true, Idempotent: false} {
 		s := testSettings()
 		class := &s.Classes[0]
-		class.Idempotency, class.Deadline = effect, time.Minute
+		class.Idempotency, class.Deadline = idempotency, time.Minute
 		class.DedupScope, class.DedupWindow = ScopeAll, 5*time.Second
 		r := newHarness(t, s)
 		r.addUpstreams(3)
-		sent := r.now
+		firstSentAt := r.now
 		first := ofKind(r.request("1", "c", time.Minute), Send)
 		r.now += 30 * ms
-		unrun := ofKind(r.outcome("1", 0, ConnectFailed, 30*ms), Send)
-		second := r.now
+		afterConnectFailed := ofKind(r.outcome("1", 0, ConnectFailed, 30*ms), Send)
+		secondSentAt := r.now
 		r.now += 10 * ms
-		repeat := ofKind(r.outcome("1", 1, Reset, 10*ms), Send)
-		if len(first) != 1 || len(unrun) != 1 || len(repeat) != 1 || first[0].SendBy != 0 || unrun[0].SendBy != 0 {
-			t.Fatalf("%+v, %+v, %+v", first, unrun, repeat)
+		afterReset := ofKind(r.outcome("1", 1, Reset, 10*ms), Send)
+		if len(first) != 1 || len(afterConnectFailed) != 1 || len(afterReset) != 1 || first[0].SendBy != 0 || afterConnectFailed[0].SendBy != 0 {
+			t.Fatalf("got attempts %+v, %+v and %+v; want one each, the first two without SendBy", first, afterConnectFailed, afterReset)
 		}
-		if want := second + 5*time.Second - 2*s.Tick; bound != (repeat[0].SendBy == want) || !bound && repeat[0].SendBy != 0 {
-			t.Errorf("sent at %v and %v, the repeat by %v, want %v", sent, second, repeat[0].SendBy, want)
+		if want := secondSentAt + 5*time.Second - 2*s.Tick; limited != (afterReset[0].SendBy == want) || !limited && afterReset[0].SendBy != 0 {
+			t.Errorf("attempts sent at %v and %v: the retry after the Reset has SendBy %v, want %v with an idempotency key and 0 without",
+				firstSentAt, secondSentAt, afterReset[0].SendBy, want)
 		}
 	}
 }
 
-// Retries and hedged requests have a budget relative to first attempts.
+// Retries and hedged requests stay within a budget relative to first attempts: without it, they would
+// multiply the load when many attempts fail.
 func TestRetryBudget(t *testing.T) {
 	w := newScriptedFleet(t, testSettings(), func(string) (Result, time.Duration) { return ServerError, 5 * ms })
 	w.addUpstreams(8)
 	w.run(20*time.Second, 100)
 	total := w.attempts()
 	if limit := float64(w.requests)*(1+retryTokensPerRequest) + retryTokensBurst; float64(total) > limit {
-		t.Errorf("%d attempts for %d requests", total, w.requests)
+		t.Errorf("%d attempts for %d requests exceed the retry budget", total, w.requests)
 	}
 }
 
-// Failed connects are retried without regard to the budget, and do not use up what hedging needs later.
+// Failed connects are retried without regard to the retry budget, and must not use up the tokens that
+// hedging needs later.
 func TestFailedConnectsDoNotOverdrawRetryBudget(t *testing.T) {
 	w := newScriptedFleet(t, testSettings(), func(u string) (Result, time.Duration) { return ConnectFailed, 0 })
 	w.addUpstreams(4)
 	w.run(5*time.Second, 100)
 	if w.balancer.retryTokens < 0 {
-		t.Errorf("budget %v", w.balancer.retryTokens)
+		t.Errorf("retry budget is overdrawn: %v tokens", w.balancer.retryTokens)
 	}
 }
 
-// The budget is relative to first attempts: a rejected request earns nothing.
+// The retry budget is relative to first attempts: a rejected request must earn no tokens.
 func TestRejectedRequestsEarnNoRetryTokens(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(4)
@@ -250,13 +256,13 @@
 		r.wantSend(r.request(fmt.Sprint(i), "c", time.Second))
 	}
 	if r.balancer.retryTokens != 20*retryTokensPerRequest {
-		t.Errorf("budget %.2f after twenty first attempts", r.balancer.retryTokens)
+		t.Errorf("retry budget is %.2f tokens after twenty first attempts", r.balancer.retryTokens)
 	}
-	r.now += 150 * ms // and no answer: every request is rejected now
+	r.now += 150 * ms // no attempt is answered: every request is rejected from now on
 	for i := range 100 {
 		r.wantFinal(r.request(fmt.Sprint("late", i), "c", time.Second), Reject)
 	}
 	if r.balancer.retryTokens != 20*retryTokensPerRequest {
-		t.Errorf("budget %.2f after a hundred refusals", r.balancer.retryTokens)
+		t.Errorf("retry budget changed to %.2f tokens after a hundred rejected requests", r.balancer.retryTokens)
 	}
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -10,7 +10,8 @@
 	"orchiddrift/internal/testing/golden"
 )
 
-// A snapshot is written and read byte for byte as by the release before.
+// The JSON form of a snapshot must stay the same byte for byte: a process may read the snapshot of a
+// predecessor of the previous release.
 func TestSnapshotGolden(t *testing.T) {
 	want := Snapshot{
 		Upstreams: map[string]UpstreamSnapshot{
@@ -32,11 +33,11 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, want %+v", got, want)
+		t.Errorf("snapshot read from JSON is %+v, want %+v", got, want)
 	}
 }
 
-// trainedHarness is a Balancer that has learnt of a fast, a slow and a failing upstream.
+// trainedHarness returns a harness whose Balancer has learnt of a fast, a slow and a failing upstream.
 func trainedHarness(t *testing.T) *harness {
 	t.Helper()
 	r := newHarness(t, testSettings())
@@ -46,22 +47,22 @@
 		id := string(rune('a'+i%26)) + string(rune('a'+i/26))
 		r.now += 10 * ms
 		for _, a := range ofKind(r.request(id, "c", time.Second), Send) {
-			took, res := 20*ms, OK
+			elapsed, result := 20*ms, OK
 			switch a.Upstream {
 			case "slow":
-				took = 80 * ms
+				elapsed = 80 * ms
 			case "bad":
-				took, res = ms, ServerError
+				elapsed, result = ms, ServerError
 			}
-			r.outcome(id, 0, res, took)
+			r.outcome(id, 0, result, elapsed)
 			r.handle(ClientDisconnected{ID: id})
 		}
 	}
 	return r
 }
 
-// passOn returns a snapshot as the successor process reads it.
-func (r *harness) passOn() *Snapshot {
+// snapshotAsRead returns a snapshot as the successor process reads it.
+func (r *harness) snapshotAsRead() *Snapshot {
 	r.t.Helper()
 	text, err := json.Marshal(r.balancer.Snapshot(r.now))
 	if err != nil {
@@ -77,80 +78,80 @@
 	return &snapshot
 }
 
-// A restored Balancer goes on with its predecessor's estimates, ejections and rates. Upstreams that have
-// started since are new.
+// A restored Balancer must go on with its predecessor's estimates, ejections and rates. An upstream that
+// the snapshot does not have starts without them.
 func TestSnapshotRestores(t *testing.T) {
-	old := trainedHarness(t)
-	snapshot := old.passOn()
-	// Its clock began an hour before, and one upstream has started anew meanwhile.
-	next := newHarness(t, testSettings())
-	next.now = time.Hour
-	next.updateEndpoints(CachedUpdate, Endpoint{Name: "fast", Zone: "a", MachineType: "new"}, Endpoint{Name: "slow", Zone: "a", MachineType: "old"},
-		Endpoint{Name: "bad", Zone: "a", StartedAt: next.now - (old.now - old.balancer.upstreams["bad"].startedAt)}, Endpoint{Name: "new", Zone: "a"})
-	fresh := next.balancer.upstreams["new"].latency
-	next.balancer.Restore(next.now, snapshot)
-	for name, u := range old.balancer.upstreams {
-		v := next.balancer.upstreams[name]
-		sameEstimate := v.latency.value == u.latency.value && next.now-v.latency.updatedAt == old.now-u.latency.updatedAt
+	predecessor := trainedHarness(t)
+	snapshot := predecessor.snapshotAsRead()
+	// The successor's clock shows another time, and one upstream has been added in the meantime.
+	successor := newHarness(t, testSettings())
+	successor.now = time.Hour
+	successor.updateEndpoints(CachedUpdate, Endpoint{Name: "fast", Zone: "a", MachineType: "new"}, Endpoint{Name: "slow", Zone: "a", MachineType: "old"},
+		Endpoint{Name: "bad", Zone: "a", StartedAt: successor.now - (predecessor.now - predecessor.balancer.upstreams["bad"].startedAt)}, Endpoint{Name: "new", Zone: "a"})
+	initialLatency := successor.balancer.upstreams["new"].latency
+	successor.balancer.Restore(successor.now, snapshot)
+	for name, u := range predecessor.balancer.upstreams {
+		v := successor.balancer.upstreams[name]
+		sameEstimate := v.latency.value == u.latency.value && successor.now-v.latency.updatedAt == predecessor.now-u.latency.updatedAt
 		sameEjection := v.outlier.consecutiveEjections == u.outlier.consecutiveEjections &&
-			max(0, v.outlier.ejectedUntil-next.now) == max(0, u.outlier.ejectedUntil-old.now)
+			max(0, v.outlier.ejectedUntil-successor.now) == max(0, u.outlier.ejectedUntil-predecessor.now)
 		if !sameEstimate || !sameEjection || v.outlier.errorRatio != u.outlier.errorRatio {
-			t.Errorf("%s: %+v, was %+v", name, v, u)
+			t.Errorf("upstream %s: restored as %+v, was %+v", name, v, u)
 		}
 	}
-	if next.balancer.upstreams["bad"].outlier.consecutiveEjections == 0 {
-		t.Error("the failing one was not left out")
+	if successor.balancer.upstreams["bad"].outlier.consecutiveEjections == 0 {
+		t.Error("the ejection of the failing upstream was not restored")
 	}
-	if next.balancer.upstreams["new"].latency != fresh {
-		t.Error("one that nothing is known of has an estimate")
+	if successor.balancer.upstreams["new"].latency != initialLatency {
+		t.Error("Restore changed the latency estimate of an upstream that is not in the snapshot")
 	}
-	was, is := old.balancer, next.balancer
+	original, restored := predecessor.balancer, successor.balancer
 	for _, c := range []struct {
-		name    string
-		is, was float64
+		name               string
+		restored, original float64
 	}{
-		{"served rate", is.servedRate.perSecond(next.now), was.servedRate.perSecond(old.now)},
-		{"offered rate", is.offeredRate.perSecond(next.now), was.offeredRate.perSecond(old.now)},
-		{"median latency", is.latency.median.value, was.latency.median.value},
-		{"class latency", is.classes["c"].meanLatency, was.classes["c"].meanLatency},
-		{"queueing limit", is.shedding.queueingLimit, was.shedding.queueingLimit},
+		{"served rate", restored.servedRate.perSecond(successor.now), original.servedRate.perSecond(predecessor.now)},
+		{"offered rate", restored.offeredRate.perSecond(successor.now), original.offeredRate.perSecond(predecessor.now)},
+		{"median latency", restored.latency.median.value, original.latency.median.value},
+		{"class latency", restored.classes["c"].meanLatency, original.classes["c"].meanLatency},
+		{"queueing limit", restored.shedding.queueingLimit, original.shedding.queueingLimit},
 	} {
-		if math.Abs(c.is-c.was) > 1e-6*c.was {
-			t.Errorf("%s: %v, was %v", c.name, c.is, c.was)
+		if math.Abs(c.restored-c.original) > 1e-6*c.original {
+			t.Errorf("%s: restored as %v, was %v", c.name, c.restored, c.original)
 		}
 	}
 }
 
-// What was known of an upstream's earlier process does not count for one that has started since.
+// What the predecessor learnt of an upstream must not be restored if the upstream has restarted since.
 func TestSnapshotIsNotRestoredAfterRestart(t *testing.T) {
-	old := trainedHarness(t)
-	snapshot := old.passOn()
-	again := newHarness(t, testSettings())
-	again.now = time.Hour
-	again.updateEndpoints(CachedUpdate, Endpoint{Name: "bad", Zone: "a", StartedAt: again.now - time.Millisecond})
-	before := *again.balancer.upstreams["bad"]
-	again.balancer.Restore(again.now, snapshot)
-	if u := again.balancer.upstreams["bad"]; u.outlier.consecutiveEjections != 0 || u.latency != before.latency {
-		t.Errorf("restored %+v, was %+v", *u, before)
+	predecessor := trainedHarness(t)
+	snapshot := predecessor.snapshotAsRead()
+	successor := newHarness(t, testSettings())
+	successor.now = time.Hour
+	successor.updateEndpoints(CachedUpdate, Endpoint{Name: "bad", Zone: "a", StartedAt: successor.now - time.Millisecond})
+	before := *successor.balancer.upstreams["bad"]
+	successor.balancer.Restore(successor.now, snapshot)
+	if u := successor.balancer.upstreams["bad"]; u.outlier.consecutiveEjections != 0 || u.latency != before.latency {
+		t.Errorf("state of the earlier incarnation was restored: %+v, was %+v before Restore", *u, before)
 	}
 }
 
-// Numbers that would break the estimates are rejected.
+// Numbers that would break the estimates must be rejected.
 func TestSnapshotValidateRejects(t *testing.T) {
-	for name, spoil := range map[string]func(*Snapshot){
-		"negative":            func(k *Snapshot) { k.MeanLatency = -1 },
-		"too large":           func(k *Snapshot) { k.Classes["c"] = 1e300 },
-		"NaN":                 func(k *Snapshot) { k.LateLatency = math.NaN() },
-		"negative age":        func(k *Snapshot) { k.Upstreams["x"] = UpstreamSnapshot{Age: -1} },
-		"ejection too long":   func(k *Snapshot) { k.Upstreams["x"] = UpstreamSnapshot{Ejections: 1, EjectedFor: time.Hour} },
-		"error ratio above 1": func(k *Snapshot) { k.Upstreams["x"] = UpstreamSnapshot{ErrorRatio: 2} },
+	for name, corrupt := range map[string]func(*Snapshot){
+		"negative":            func(s *Snapshot) { s.MeanLatency = -1 },
+		"too large":           func(s *Snapshot) { s.Classes["c"] = 1e300 },
+		"NaN":                 func(s *Snapshot) { s.LateLatency = math.NaN() },
+		"negative age":        func(s *Snapshot) { s.Upstreams["x"] = UpstreamSnapshot{Age: -1} },
+		"ejection too long":   func(s *Snapshot) { s.Upstreams["x"] = UpstreamSnapshot{Ejections: 1, EjectedFor: time.Hour} },
+		"error ratio above 1": func(s *Snapshot) { s.Upstreams["x"] = UpstreamSnapshot{ErrorRatio: 2} },
 	} {
-		k := trainedHarness(t).balancer.Snapshot(time.Hour)
-		if err := k.Validate(); err != nil {
+		s := trainedHarness(t).balancer.Snapshot(time.Hour)
+		if err := s.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		if spoil(k); k.Validate() == nil {
-			t.Errorf("%s: it is accepted", name)
+		if corrupt(s); s.Validate() == nil {
+			t.Errorf("%s: Validate accepted the snapshot", name)
 		}
 	}
 }
--- a/balancer/streaming_test.go
+++ b/balancer/streaming_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The time to the first byte is the latency: a stream that goes on neither makes its upstream look slow nor
-// counts as waiting.
+// The time to the first byte is the latency: a stream that lasts long must neither make its upstream look
+// slow nor count as waiting.
 func TestLongStreamsDoNotLookSlow(t *testing.T) {
 	s := testSettings()
 	b, err := New(s, 1)
@@ -15,53 +15,54 @@
 		t.Fatal(err)
 	}
 	now := time.Hour
-	do := func(e Event) []Action { return b.Handle(now, e, nil) }
-	do(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{Name: "a", Zone: s.Zone}, {Name: "b", Zone: s.Zone}}})
+	handle := func(e Event) []Action { return b.Handle(now, e, nil) }
+	handle(EndpointUpdate{Kind: FullUpdate, Endpoints: []Endpoint{{Name: "a", Zone: s.Zone}, {Name: "b", Zone: s.Zone}}})
 	class := s.Classes[0]
-	ask := func(id string) string {
-		for _, a := range do(Request{ID: id, Class: class.Name, Deadline: now + class.Deadline}) {
+	sendRequest := func(id string) string {
+		for _, a := range handle(Request{ID: id, Class: class.Name, Deadline: now + class.Deadline}) {
 			if a.Kind == Send {
 				return a.Upstream
 			}
 		}
-		t.Fatalf("%s was not sent", id)
+		t.Fatalf("request %s was not sent", id)
 		return ""
 	}
 	for i := range 8 { // streams that begin soon and go on for long
 		id := string(rune('A' + i))
-		ask(id)
+		sendRequest(id)
 		now += 5 * time.Millisecond
-		do(FirstByte{ID: id, Attempt: 0})
+		handle(FirstByte{ID: id, Attempt: 0})
 	}
 	now += 10 * time.Minute
 	if b.waiting.count != 0 || b.loadPressure() != 0 {
-		t.Errorf("%d requests wait, pressure %v", b.waiting.count, b.loadPressure())
+		t.Errorf("with streams only: %d requests wait, load pressure is %v; want none", b.waiting.count, b.loadPressure())
 	}
 	for i := range 40 {
 		id := string(rune('a'+i%26)) + string(rune('0'+i/26))
-		ask(id)
+		sendRequest(id)
 		now += 5 * time.Millisecond
-		do(Outcome{ID: id, Attempt: 0, Result: OK, Elapsed: 5 * time.Millisecond, Final: true})
+		handle(Outcome{ID: id, Attempt: 0, Result: OK, Elapsed: 5 * time.Millisecond, Final: true})
 	}
 	for _, u := range b.shuffled {
 		if l := b.load(u); l > 1 {
-			t.Errorf("%s looks like %v s with %d streams", u.name, l, u.activeStreams)
+			t.Errorf("upstream %s has a load of %v s with %d streams, want at most 1 s", u.name, l, u.activeStreams)
 		}
 	}
 	for i := range 8 {
-		do(Outcome{ID: string(rune('A' + i)), Attempt: 0, Result: OK, Elapsed: 10 * time.Minute, Final: true})
+		handle(Outcome{ID: string(rune('A' + i)), Attempt: 0, Result: OK, Elapsed: 10 * time.Minute, Final: true})
 	}
 	for _, u := range b.shuffled {
 		if u.activeStreams != 0 || len(u.inFlight) != 0 {
-			t.Errorf("%s: %d streams, %d in flight", u.name, u.activeStreams, len(u.inFlight))
+			t.Errorf("upstream %s has %d streams and %d attempts in flight after all have ended", u.name, u.activeStreams, len(u.inFlight))
 		}
 	}
 	if len(b.requests) != 0 {
-		t.Errorf("%d requests are not removed", len(b.requests))
+		t.Errorf("%d requests are still stored after all have ended", len(b.requests))
 	}
 }
 
-// The Outcome of a hedged attempt that lost, which comes after the first byte, does not end the stream.
+// The Outcome of a hedged request that lost comes after the first byte of the winner, and must not end its
+// stream.
 func TestLosingHedgeDoesNotEndStream(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(4)
@@ -71,25 +72,26 @@
 	if other == q.attempts[0].upstream {
 		other = r.balancer.shuffled[1]
 	}
-	r.balancer.send(q, other) // a hedge
+	r.balancer.send(q, other) // a hedged request
 	r.now += 5 * ms
-	if c := ofKind(r.handle(FirstByte{ID: "q", Attempt: 0}), Cancel); len(c) != 1 || c[0].Attempt != 1 {
-		t.Fatalf("the hedge is not cancelled: %+v", c)
+	if cancels := ofKind(r.handle(FirstByte{ID: "q", Attempt: 0}), Cancel); len(cancels) != 1 || cancels[0].Attempt != 1 {
+		t.Fatalf("first byte did not cancel exactly the hedged request: %+v", cancels)
 	}
-	acts := r.handle(Outcome{ID: "q", Attempt: 1, Result: Cancelled, Elapsed: 5 * ms, Final: true})
-	if len(ofKind(acts, Cancel))+len(finalAnswers(acts)) > 0 {
-		t.Errorf("the end of the hedge: %+v", acts)
+	actions := r.handle(Outcome{ID: "q", Attempt: 1, Result: Cancelled, Elapsed: 5 * ms, Final: true})
+	if len(ofKind(actions, Cancel))+len(finalAnswers(actions)) > 0 {
+		t.Errorf("Outcome of the cancelled hedged request led to a cancellation or a final answer: %+v", actions)
 	}
 	r.now += time.Minute
-	if acts := r.handle(Outcome{ID: "q", Attempt: 0, Result: OK, Elapsed: 5 * ms, Final: true}); len(finalAnswers(acts)) > 0 {
-		t.Errorf("the stream's end: %+v", acts)
+	if actions := r.handle(Outcome{ID: "q", Attempt: 0, Result: OK, Elapsed: 5 * ms, Final: true}); len(finalAnswers(actions)) > 0 {
+		t.Errorf("end of the stream led to another final answer: %+v", actions)
 	}
 	if len(r.balancer.requests) != 0 || q.attempts[0].upstream.activeStreams != 0 {
-		t.Errorf("%d requests are left, %d streams", len(r.balancer.requests), q.attempts[0].upstream.activeStreams)
+		t.Errorf("%d requests and %d streams are still stored after all have ended",
+			len(r.balancer.requests), q.attempts[0].upstream.activeStreams)
 	}
 }
 
-// newUploadHarness has sent request q with a streamed body.
+// newUploadHarness returns a harness that has sent request q, which has a streamed body.
 func newUploadHarness(t *testing.T, idempotency Idempotency) *harness {
 	t.Helper()
 	s := testSettings()
@@ -100,7 +102,7 @@
 	return r
 }
 
-// A response that is only passed on is no load of its upstream; one that it still works on is.
+// An answer that is only forwarded is no load of its upstream; one that the upstream still works on is.
 func TestPassThroughIsNoLoad(t *testing.T) {
 	for _, passThrough := range []bool{true, false} {
 		s := testSettings()
@@ -120,47 +122,50 @@
 		}
 		last, left := r.balancer.load(u), len(r.balancer.requests)
 		if passThrough != (first == last) || u.activeStreams != 0 || left != 0 {
-			t.Errorf("pass through %v: load %v with five of them, %v with none; %d streams, %d requests left",
+			t.Errorf("pass-through %v: load is %v with five streams and %v with none; %d streams and %d requests left at the end",
 				passThrough, first, last, u.activeStreams, left)
 		}
 	}
 }
 
-// The time of an upload counts neither as the request's, nor as its upstream's, nor as waiting.
+// The duration of an upload must count neither towards the request's latency objective, nor as latency of
+// its upstream, nor as waiting time.
 func TestUploadTimeDoesNotCount(t *testing.T) {
 	r := newUploadHarness(t, Idempotent)
 	q := r.balancer.requests["q"]
 	u := q.attempts[0].upstream
 	idle := r.balancer.load(u)
-	if all := r.advance(20 * time.Second); len(finalAnswers(all))+len(ofKind(all, Send)) > 0 {
-		t.Fatalf("during the upload: %+v", all)
+	if actions := r.advance(20 * time.Second); len(finalAnswers(actions))+len(ofKind(actions, Send)) > 0 {
+		t.Fatalf("request was sent again or answered during its upload: %+v", actions)
 	}
 	if r.balancer.waiting.count != 0 || r.balancer.load(u) > idle {
-		t.Errorf("%d waiting, load %v, was %v", r.balancer.waiting.count, r.balancer.load(u), idle)
+		t.Errorf("during the upload: %d requests waiting, want 0; load %v, was %v before",
+			r.balancer.waiting.count, r.balancer.load(u), idle)
 	}
 	r.handle(UploadDone{ID: "q", Attempt: 0, Deadline: r.now + time.Second})
 	if r.balancer.waiting.count != 1 || u.activeStreams != 0 || len(u.inFlight) != 1 {
-		t.Errorf("%d waiting, %d streams, %d in flight", r.balancer.waiting.count, u.activeStreams, len(u.inFlight))
+		t.Errorf("after the upload: %d requests waiting, %d streams, %d attempts in flight; want 1, 0 and 1",
+			r.balancer.waiting.count, u.activeStreams, len(u.inFlight))
 	}
-	acts := r.advance(190 * ms)
-	if len(ofKind(acts, Send))+len(finalAnswers(acts)) > 0 {
-		t.Errorf("it is hedged, or ended before its objective: %+v", acts)
+	laterActions := r.advance(190 * ms)
+	if len(ofKind(laterActions, Send))+len(finalAnswers(laterActions)) > 0 {
+		t.Errorf("request was sent again or answered before its latency objective: %+v", laterActions)
 	}
-	ends := finalAnswers(r.advance(time.Second))
-	if len(ends) != 1 || ends[0].Kind != Reject { // idempotent
-		t.Errorf("after its time: %+v", ends)
+	answers := finalAnswers(r.advance(time.Second))
+	if len(answers) != 1 || answers[0].Kind != Reject { // as the request is idempotent
+		t.Errorf("final answers after the deadline are %+v, want one Reject", answers)
 	}
 	r.outcome("q", 0, Cancelled, time.Second)
 	if r.balancer.waiting.count != 0 || len(r.balancer.requests) != 0 {
-		t.Errorf("%d waiting, %d known", r.balancer.waiting.count, len(r.balancer.requests))
+		t.Errorf("after the last Outcome: %d requests waiting, %d stored; want none", r.balancer.waiting.count, len(r.balancer.requests))
 	}
 }
 
-// What follows a failed attempt of an upload, by idempotency, by whether its body is consumed, and by
-// whether it was complete.
+// After a failed attempt, a request with a streamed body is sent again only if its body can be sent again,
+// its upload was not complete, and its idempotency allows a retry.
 func TestFailedUploads(t *testing.T) {
 	for _, idempotency := range []Idempotency{Idempotent, IdempotentWithKey, NonIdempotent} {
-		for _, res := range []Result{ServerError, Rejected, ConnectFailed, Reset, NotSent, Malformed} {
+		for _, result := range []Result{ServerError, Rejected, ConnectFailed, Reset, NotSent, Malformed} {
 			for _, consumed := range []bool{false, true} {
 				for _, complete := range []bool{false, true} {
 					r := newUploadHarness(t, idempotency)
@@ -168,25 +173,27 @@
 						r.handle(UploadDone{ID: "q", Attempt: 0, Deadline: r.now + time.Second})
 					}
 					r.now += 5 * ms
-					acts := r.handle(Outcome{ID: "q", Attempt: 0, Result: res, Elapsed: 5 * ms, BodyConsumed: consumed})
-					unrun := res == Rejected || res == ConnectFailed || res == NotSent
-					sends, ends := len(ofKind(acts, Send)), finalAnswers(acts)
+					actions := r.handle(Outcome{ID: "q", Attempt: 0, Result: result, Elapsed: 5 * ms, BodyConsumed: consumed})
+					didNotRun := result == Rejected || result == ConnectFailed || result == NotSent
+					sends, answers := len(ofKind(actions, Send)), finalAnswers(actions)
 					switch {
-					case consumed || complete: // nothing is left to send
+					case consumed || complete: // the body can't be sent again
 						want := Fail
-						if unrun || idempotency != NonIdempotent { // all zones are one group here
+						if didNotRun || idempotency != NonIdempotent { // ScopeAll: every upstream recognizes a repeat
 							want = Reject
 						}
-						if sends > 0 || len(ends) != 1 || ends[0].Kind != want {
-							t.Errorf("idempotency %d, result %d, consumed %v, complete %v: %+v", idempotency, res, consumed, complete, acts)
+						if sends > 0 || len(answers) != 1 || answers[0].Kind != want {
+							t.Errorf("idempotency %d, result %d, consumed %v, complete %v: got actions %+v, want one final answer and no attempt",
+								idempotency, result, consumed, complete, actions)
 						}
-					case idempotency == NonIdempotent && !unrun:
-						if sends > 0 || len(ends) != 1 || ends[0].Kind != Fail {
-							t.Errorf("idempotency %d, result %d: %+v", idempotency, res, acts)
+					case idempotency == NonIdempotent && !didNotRun:
+						if sends > 0 || len(answers) != 1 || answers[0].Kind != Fail {
+							t.Errorf("idempotency %d, result %d: got actions %+v, want one Fail and no attempt",
+								idempotency, result, actions)
 						}
-					case sends+len(ends) == 0: // it waits for a ready one, or is sent again
+					case sends+len(answers) == 0: // no upstream was available: the request is sent again soon
 						if len(ofKind(r.advance(100*ms), Send)) != 1 {
-							t.Errorf("idempotency %d, result %d: it is not sent again", idempotency, res)
+							t.Errorf("idempotency %d, result %d: request was not sent again within 100 ms", idempotency, result)
 						}
 					}
 				}
