--- a/grpcbalancer/idempotency.go
+++ b/grpcbalancer/idempotency.go
@@ -148,7 +148,7 @@
 	result := t.unaryCall.RoundTrip(ctx, a)
 	switch result.Result {
 	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
-		t.recorder.AttemptNotSent(attempt)
+		t.recorder.AttemptNotExecuted(attempt)
 	}
 	return result
 }
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -83,7 +83,7 @@
 }
 
 // New starts a Plugin. Call Close to end it, after its ClientConns. It reads the files that the options name, and waits up to
-// executor.StartTimeout for an idempotency file that another process has locked. It does not wait for upstreams or for Discovery.
+// executor.StartLockTimeout for an idempotency file that another process has locked. It does not wait for upstreams or for Discovery.
 func New(o Options) (*Plugin, error) {
 	checked, err := checkOptions(o)
 	if err != nil {
@@ -185,7 +185,7 @@
 	}
 	if o.file.Idempotency != nil {
 		options := executor.Options{Clock: p.clock, Log: log, OwnGoroutine: true}
-		p.executor, err = executor.Open(context.Background(), *o.file.Idempotency, p.service, &o.settings, executor.StartTimeout, options)
+		p.executor, err = executor.Open(context.Background(), *o.file.Idempotency, p.service, &o.settings, executor.StartLockTimeout, options)
 		if err != nil {
 			return fmt.Errorf("repeats: %w", err)
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -161,7 +161,7 @@
 // files locked for as long as it runs.
 func (d *daemon) startServices(ctx context.Context, hasPredecessor bool) error {
 	if !hasPredecessor {
-		d.shared.filesCtx, d.shared.fileLockTimeout = ctx, executor.StartTimeout
+		d.shared.filesCtx, d.shared.fileLockTimeout = ctx, executor.StartLockTimeout
 	}
 	if err := d.apply(d.plan); err != nil {
 		return err
--- a/internal/daemon/idempotency.go
+++ b/internal/daemon/idempotency.go
@@ -98,7 +98,7 @@
 	result := t.Transport.RoundTrip(ctx, a)
 	switch result.Result {
 	case balancer.Rejected, balancer.ConnectFailed, balancer.NotSent:
-		t.recorder.AttemptNotSent(attempt)
+		t.recorder.AttemptNotExecuted(attempt)
 		t.mayHaveRun.Add(-1)
 	}
 	return result
--- a/internal/idempotency/executor/declaration.go
+++ b/internal/idempotency/executor/declaration.go
@@ -45,9 +45,9 @@
 	return func(class string) time.Duration { return windows[class] }
 }
 
-// StartTimeout is how long a starting process waits for a file that another process has locked. The system may hold the lock of a killed
+// StartLockTimeout is how long a starting process waits for a file that another process has locked. The system may hold the lock of a killed
 // process for seconds. It leaves a third of the 30 s within which a start must succeed or fail.
-const StartTimeout = 20 * time.Second
+const StartLockTimeout = 20 * time.Second
 
 // Open returns the Executor of a service, with the file or the shared store of its declaration. It fills in the corresponding fields of
 // options. It waits up to lockTimeout, or until ctx ends, for a file that another process has locked.
--- a/internal/idempotency/executor/execution.go
+++ b/internal/idempotency/executor/execution.go
@@ -218,10 +218,10 @@
 	r.executor.step(StepSent)
 }
 
-// AttemptNotSent implements AttemptRecorder.
-func (r attemptRecorder) AttemptNotSent(attempt idempotency.Attempt) {
+// AttemptNotExecuted implements AttemptRecorder.
+func (r attemptRecorder) AttemptNotExecuted(attempt idempotency.Attempt) {
 	r.executor.mu.Lock()
 	defer r.executor.mu.Unlock()
 	attempt.SentAt += r.executor.clockOffset
-	r.executor.store.AttemptNotSent(r.id, attempt)
+	r.executor.store.AttemptNotExecuted(r.id, attempt)
 }
--- a/internal/idempotency/executor/executor.go
+++ b/internal/idempotency/executor/executor.go
@@ -14,8 +14,8 @@
 
 // AttemptRecorder receives the attempts of an execution.
 type AttemptRecorder interface {
-	AttemptStarted(attempt idempotency.Attempt) // called before the attempt's first byte is sent
-	AttemptNotSent(attempt idempotency.Attempt) // the attempt is proved not to have been executed
+	AttemptStarted(attempt idempotency.Attempt)     // called before the attempt's first byte is sent
+	AttemptNotExecuted(attempt idempotency.Attempt) // the attempt is proved not to have been executed
 }
 
 // RunFunc executes a request and returns its outcome. It must end by itself, not with the client that caused it: other clients may wait
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -173,8 +173,8 @@
 	s.grow(e, attemptBytes)
 }
 
-// AttemptNotSent takes back an attempt of a running request that is proved not to have been executed.
-func (s *Store) AttemptNotSent(id ID, attempt Attempt) {
+// AttemptNotExecuted takes back an attempt of a running request that is proved not to have been executed.
+func (s *Store) AttemptNotExecuted(id ID, attempt Attempt) {
 	e := s.entries[id]
 	if e == nil || e.state != running {
 		return
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -126,7 +126,7 @@
 
 func (m *reference) takeBackAttempt(id ID, key *referenceKey) {
 	attempt := key.attempts[len(key.attempts)-1]
-	m.store.AttemptNotSent(id, attempt)
+	m.store.AttemptNotExecuted(id, attempt)
 	for i := range key.attempts {
 		if key.attempts[i] == attempt {
 			key.attempts = append(key.attempts[:i:i], key.attempts[i+1:]...)
