--- a/balancer/backoff.go
+++ b/balancer/backoff.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// backoffDoublingsMax keeps a backoff from overflowing. It is far above what reaches any backoff's limit.
+// backoffDoublingsMax keeps a backoff from overflowing. Every backoff reaches its limit with far fewer
+// doublings.
 const backoffDoublingsMax = 10
 
-// exponentialBackoff returns base doubled as many times, and at most limit.
+// exponentialBackoff returns base after the given number of doublings, and at most limit.
 func exponentialBackoff(base, limit time.Duration, doublings int) time.Duration {
 	return min(base<<min(doublings, backoffDoublingsMax), limit)
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// class is a Class with what was learnt of it.
+// class is a Class with its learnt statistics.
 type class struct {
 	Class
 	meanLatency        float64       // mean time of an answer, in seconds
 	usualTimeLeft      time.Duration // time to the deadline that most first attempts have on arrival
-	usualTimeLeftVotes int           // how many arrivals speak for it, less those against
+	usualTimeLeftVotes int           // arrivals that matched usualTimeLeft, minus those that did not
 }
 
 // Balancer makes one sidecar's decisions. It is not safe for concurrent use.
@@ -18,11 +18,11 @@
 	settings Settings
 	random   *rand.Rand
 	now      time.Duration // clock time of the latest event; never goes back
-	actions  []Action      // what the present event has led to so far
+	actions  []Action      // actions emitted for the current event so far
 
 	classes   map[string]*class
 	upstreams map[string]*upstream
-	shuffled  []*upstream // the active upstreams in an order drawn by this sidecar; see candidateSetSize
+	shuffled  []*upstream // the active upstreams, in this sidecar's random order; see candidateSetSize
 	zones     map[string]*zoneState
 	requests  map[string]*request
 
@@ -32,17 +32,17 @@
 
 	meanObjective float64 // mean latency objective over the classes, in seconds
 	latency       latencyStatistics
-	servedRate    rate   // good answers a second
-	offeredRate   rate   // work that arrives and is admitted, in mean requests a second
-	tenantRates   []rate // requests that arrive a second, by index in Settings.Tenants
+	servedRate    rate   // answers with result OK, per second
+	offeredRate   rate   // work of admitted requests, in mean requests per second
+	tenantRates   []rate // arriving requests per second, by index in Settings.Tenants
 
-	retryTokens         float64 // what is left of the retry budget, in attempts
-	hedgingSuccessRatio float64 // moving share of hedged requests whose hedge answered first and in time
+	retryTokens         float64 // remaining retry budget, in attempts
+	hedgingSuccessRatio float64 // moving share of hedged requests won in time by the hedge, 0 to 1
 
 	waiting  waitingRequests
 	shedding sheddingState
 
-	reportingUpstreams []*upstream // those with a load report, the latest last
+	reportingUpstreams []*upstream // upstreams with a load report, the latest report last
 	scratchLocal       []*upstream // reused by pick
 	scratchRemote      []*upstream // reused by pick
 }
@@ -50,15 +50,15 @@
 // subscription is the state of the subscription to the endpoint list.
 type subscription struct {
 	connected bool
-	pending   bool // asked for, and neither an update nor a failure has come
-	failures  int  // in a row
+	pending   bool // requested; neither an update nor a failure has arrived
+	failures  int  // failed subscriptions in a row
 }
 
 // latencyStatistics are the latencies over all upstreams, in seconds. A normalized latency is divided by the
 // work expected of its request, relative to the mean request.
 type latencyStatistics struct {
 	mean           float64 // not normalized
-	meanCostHint   float64 // mean work that clients announce; 0: none has yet
+	meanCostHint   float64 // mean cost hint, in seconds of work; 0: no request has had one
 	normalizedMean float64
 	byMachineType  map[string]*float64 // normalized means
 	median         quantileEstimate    // of the normalized latency
@@ -66,25 +66,25 @@
 	decay          time.Duration       // time constant with which an upstream's estimate loses its weight
 }
 
-// waitingRequests sums up the requests that wait for an answer of which no byte has come.
+// waitingRequests aggregates the requests whose answer has not begun.
 type waitingRequests struct {
 	count        int
 	requiredRate float64       // sum of 1/(latency objective in seconds): answers a second to serve them in time
-	startSum     time.Duration // sum of their start times; it may overflow, as only a difference of it is used
+	startSum     time.Duration // sum of their start times; it may overflow, as only differences are used
 }
 
-// sheddingState is what load shedding has learnt.
+// sheddingState is the learnt state of load shedding.
 type sheddingState struct {
-	queueingLimit    float64                 // share of its latency objective that a request may wait, on average
-	objectiveUse     float64                 // moving share of their latency objective that attempts took
-	objectiveUseAt   time.Duration           // clock time of the latest of them
-	recentPriorities [priorityWindow]float64 // ring buffer of arrivals' priorities
-	priorityCount    int                     // arrivals so far; the next is put at priorityCount modulo its size
+	queueingLimit    float64                 // mean share of its latency objective that a request may wait
+	objectiveUse     float64                 // moving mean of latency / latency objective over attempts
+	objectiveUseAt   time.Duration           // clock time of the latest sample in objectiveUse
+	recentPriorities [priorityWindow]float64 // ring buffer of the arrivals' priorities
+	priorityCount    int                     // arrivals so far; modulo priorityWindow, the next one's index
 	lastRejectionAt  time.Duration           // clock time of the latest rejection for load; 0: shedding has ended
 }
 
-// Before the first answers, a mean answer is taken to need this share of its latency objective, and a late
-// one that.
+// Before the first answers, the mean latency and the latency beyond which an attempt is late are assumed to
+// be these shares of the latency objective.
 const (
 	initialMeanShare = 0.25
 	initialLateShare = 0.5
@@ -133,7 +133,7 @@
 	return b, nil
 }
 
-// Handle takes an event that happened at now, a clock time, and appends the actions that answer it to
+// Handle processes an event that happened at now, a clock time, and appends the resulting actions to
 // actions. A clock time before the latest one counts as the latest one.
 func (b *Balancer) Handle(now time.Duration, e Event, actions []Action) []Action {
 	b.now = max(now, b.now)
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// handleEndpointUpdate applies an endpoint list or its changes. The known upstreams stay in use while the
-// list can't be had.
+// handleEndpointUpdate applies an endpoint list or its changes. While the list is unavailable, the known
+// upstreams stay in use.
 func (b *Balancer) handleEndpointUpdate(e EndpointUpdate) {
 	if e.Kind == UpdateFailed {
 		b.handleUpdateFailed()
@@ -29,9 +29,9 @@
 	}
 }
 
-// applyEndpoint brings one upstream up to date. One that is new, or whose start time has changed, is another
-// process: nothing learnt of an earlier one counts for it. It takes that one's place in the shuffled list;
-// any other gets a random place.
+// applyEndpoint updates the upstream of one endpoint. An endpoint that is new, or whose start time has
+// changed, is a new process: it begins without learnt state. A restarted endpoint keeps its place in the
+// shuffled list; any other new one gets a random place.
 func (b *Balancer) applyEndpoint(e Endpoint) {
 	u := b.upstreams[e.Name]
 	if e.State != Active {
@@ -51,13 +51,13 @@
 		}
 	}
 	u.active, u.zone, u.cell, u.zoneState = true, e.Zone, e.Cell, b.zoneStateFor(e.Zone)
-	if z := u.zoneState; z.consecutiveEjections > 0 && e.StartedAt > z.firstFailureAt { // a new process in an ejected zone
+	if z := u.zoneState; z.consecutiveEjections > 0 && e.StartedAt > z.firstFailureAt { // a restart ends it
 		z.consecutiveEjections, z.ejectedUntil, z.failedUpstreams = 0, 0, 0
 	}
 }
 
-// newUpstream returns the state of an upstream that nothing is known of: it is taken to be as fast as its
-// machine type.
+// newUpstream returns the state of an upstream without learnt state. Its latency is assumed to be the mean
+// of its machine type.
 func (b *Balancer) newUpstream(e Endpoint) *upstream {
 	byMachineType := b.latency.byMachineType
 	if byMachineType[e.MachineType] == nil {
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -12,13 +12,13 @@
 	updatedAt time.Duration // clock time
 }
 
-// weight returns what weight the value still has at now, 0 to 1.
+// weight returns the weight that the value still has at now, 0 to 1.
 func (e *peakEWMA) weight(now, decay time.Duration) float64 {
 	return math.Exp(-float64(now-e.updatedAt) / float64(decay))
 }
 
-// add takes in a sample, in seconds. One above the decayed value replaces it; any other is averaged in. A
-// sample older than the latest is dropped.
+// add adds a sample, in seconds. A sample above the decayed value replaces the value; any other is averaged
+// in. A sample older than the latest is dropped.
 func (e *peakEWMA) add(sample float64, now, decay time.Duration) {
 	if now < e.updatedAt {
 		return
@@ -32,14 +32,14 @@
 	e.updatedAt = now
 }
 
-// The time constant of the upstreams' estimates: the longer of the two.
+// The time constant of the upstreams' latency estimates is the longer of these two.
 const (
 	latencyDecayObjectives = 4.0  // in mean latency objectives
 	latencyDecayIntervals  = 1.25 // in mean times between two requests to one upstream
 )
 
-// updateLatencyDecay sets the time constant of the estimates from the offered rate, in requests a second. A
-// sidecar of little traffic keeps an estimate until it chooses the upstream again.
+// updateLatencyDecay sets the time constant of the estimates from the offered rate, in requests per second.
+// A sidecar with little traffic keeps an estimate until it chooses the upstream again.
 func (b *Balancer) updateLatencyDecay() {
 	offered := b.offeredRate.perSecond(b.now)
 	interval := min(float64(len(b.shuffled))/max(offered, minRatePerSecond), candidateSampleInterval.Seconds())
@@ -48,17 +48,17 @@
 }
 
 const (
-	meanSampleWeight        = 0.02 // weight of one sample in the plain means
-	machineTypeSampleWeight = 0.05 // weight of one sample in a machine type's mean, which gets fewer
+	meanSampleWeight        = 0.02 // weight of one sample in the means of classes and of all requests
+	machineTypeSampleWeight = 0.05 // weight of one sample in a machine type's mean, which gets fewer samples
 
 	// errorPenaltyObjectives is the least latency that an error answer counts as, in mean latency objectives:
 	// a fast error must not make its upstream look fast.
 	errorPenaltyObjectives = 1.0
 )
 
-// observeLatency feeds an attempt's result after elapsed into the latency estimates. Samples are normalized
-// by the request's cost, so that a costly request does not make its upstream look slow. The elapsed time of
-// an attempt without an answer is a lower bound: it counts only where it is above what is known.
+// observeLatency updates the latency estimates with an attempt that ended with result after elapsed. Samples
+// are normalized by the request's cost, so that a costly request does not make its upstream look slow. The
+// elapsed time of an attempt without an answer is a lower bound: it counts only above what is known.
 func (b *Balancer) observeLatency(a *attempt, result Result, elapsed time.Duration) {
 	latency := elapsed.Seconds()
 	normalized := latency / a.request.cost
@@ -96,8 +96,8 @@
 	requestCostMax = 8
 )
 
-// normalizedCost returns the work expected of a request relative to the mean request: from its cost hint and
-// the mean hint, or without a hint from the mean latencies of its class and of all classes.
+// normalizedCost returns a request's expected work relative to the mean request: its cost hint divided by the
+// mean hint or, without a hint, the mean latency of its class divided by that of all requests.
 func (b *Balancer) normalizedCost(c *class, hint time.Duration) float64 {
 	cost := c.meanLatency / b.latency.mean
 	if hint > 0 {
--- a/balancer/load_report.go
+++ b/balancer/load_report.go
@@ -7,11 +7,11 @@
 
 const (
 	loadReportTTL     = 60 * time.Millisecond // how long a load report is used
-	loadReportsMax    = 16                    // how many upstreams with a load report are kept, the latest
-	loadReportChoices = 2                     // fresh load reports that it takes to choose by them
+	loadReportsMax    = 16                    // how many load reports are kept: the latest ones
+	loadReportChoices = 2                     // the least number of fresh load reports to choose by
 )
 
-// handleProbeResult keeps the load report of an answered probe; a failed probe removes the report.
+// handleProbeResult stores the load report of an answered probe. A failed probe removes the report.
 func (b *Balancer) handleProbeResult(e ProbeResult) {
 	u := b.upstreams[e.Upstream]
 	if u == nil {
@@ -35,9 +35,9 @@
 	return u.report.receivedAt > 0 && b.now-u.report.receivedAt < loadReportTTL
 }
 
-// pickByLoadReport returns the upstream of lowest load among those with a fresh load report that are
-// available, for a first attempt. Load is in seconds; one in another zone has the cross-zone cost added. It
-// returns nil if there are not at least two to compare: the random choice is better informed then.
+// pickByLoadReport returns the least loaded of the available upstreams with a fresh load report, for a first
+// attempt. An upstream in another zone has the cross-zone cost, in seconds, added to its load. It returns
+// nil if there are not at least two upstreams to compare: the random choice is better informed then.
 func (b *Balancer) pickByLoadReport(r *request) *upstream {
 	if len(b.reportingUpstreams) == 0 || len(r.attempts) > 0 {
 		return nil
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -3,13 +3,13 @@
 import "time"
 
 const (
-	// crossZoneObjectives converts CrossZonePrice, in points of service, to latency: the price times so many
-	// mean latency objectives.
+	// crossZoneObjectives converts CrossZonePrice, in points of service, to latency: the price times this
+	// many mean latency objectives.
 	crossZoneObjectives = 3.5
 	crossZoneMinShare   = 0.25 // share of the mean latency below which the cross-zone cost is ignored
 )
 
-// crossZoneCost returns the latency that a cross-zone attempt is taken to cost in addition, in seconds.
+// crossZoneCost returns the extra latency that a cross-zone attempt counts as, in seconds.
 func (b *Balancer) crossZoneCost() float64 {
 	return b.settings.CrossZonePrice * crossZoneObjectives * b.meanObjective
 }
@@ -19,39 +19,39 @@
 	return crossZoneCost >= b.latency.normalizedMean*crossZoneMinShare
 }
 
-// pickZone chooses between candidates of this sidecar's zone and of others, each by the power of two
-// choices. Where crossing costs, the local one is taken unless its load exceeds the remote one's by more
-// than the cross-zone cost, in seconds. If the subset covers all upstreams, every local candidate is
-// compared before a request crosses: both of a random pair may have an estimate raised by one failure.
+// pickZone compares one candidate of this sidecar's zone with one of another zone, each found by the power
+// of two choices. Where crossing costs, the local one is taken unless its load exceeds the remote one's by
+// more than the cross-zone cost, in seconds. If the candidate set covers all upstreams, every local one is
+// compared before a request crosses: a failure may have raised both estimates in a random pair.
 func (b *Balancer) pickZone(local, remote []*upstream) *upstream {
 	crossZoneCost := b.crossZoneCost()
 	if len(local) == 0 || len(remote) == 0 || !b.prefersLocal(crossZoneCost) {
 		return b.powerOfTwoChoices(append(local, remote...))
 	}
-	nearest, farther := b.powerOfTwoChoices(local), b.powerOfTwoChoices(remote)
-	if b.load(farther)+crossZoneCost >= b.load(nearest) {
-		return nearest
+	localChoice, remoteChoice := b.powerOfTwoChoices(local), b.powerOfTwoChoices(remote)
+	if b.load(remoteChoice)+crossZoneCost >= b.load(localChoice) {
+		return localChoice
 	}
 	for _, u := range local {
-		if b.candidateSetSize() >= len(b.shuffled) && b.load(u) < b.load(nearest) {
-			nearest = u
+		if b.candidateSetSize() >= len(b.shuffled) && b.load(u) < b.load(localChoice) {
+			localChoice = u
 		}
 	}
-	if b.load(farther)+crossZoneCost < b.load(nearest) {
-		return farther
+	if b.load(remoteChoice)+crossZoneCost < b.load(localChoice) {
+		return remoteChoice
 	}
-	return nearest
+	return localChoice
 }
 
-// delayNextTrial keeps an ejected zone from getting another trial before until, by when the one just sent
-// should have an answer.
+// delayNextTrial keeps an ejected zone from getting another trial before until, the time by which the attempt
+// just sent should have an answer.
 func (z *zoneState) delayNextTrial(until time.Duration) {
 	if z.consecutiveEjections > 0 {
 		z.ejectedUntil = max(z.ejectedUntil, until)
 	}
 }
 
-// recordZoneAnswer ends the outage of u's zone: u has answered.
+// recordZoneAnswer notes that u has answered, which ends an outage of its zone.
 func (b *Balancer) recordZoneAnswer(u *upstream) {
 	z := u.zoneState
 	if z.consecutiveEjections > 0 {
@@ -63,7 +63,8 @@
 }
 
 const (
-	// zoneOutageUpstreams is how many upstreams of a zone have to fail, with no answer from it, for an outage.
+	// zoneOutageUpstreams is how many upstreams of a zone must fail, with no answer from the zone, to show an
+	// outage.
 	zoneOutageUpstreams = 3
 
 	// zoneEjectionParts: a zone is ejected for an upstream's ejection time divided by this.
@@ -72,8 +73,8 @@
 
 // recordZoneFailure notes that attempt a at u ended without an answer, and ejects the zone when that shows
 // an outage: zoneOutageUpstreams failed, none of them answered what was sent since the zone's latest answer,
-// and another zone did answer. An ejected zone gets one trial at a time, after a time that doubles.
-// Detecting the outage of a zone at once saves the attempts that detecting it for each upstream would cost.
+// and another zone did answer. An ejected zone gets one trial at a time, after a time that doubles. Ejecting
+// the zone as a whole saves the attempts that it would cost to eject each of its upstreams.
 func (b *Balancer) recordZoneFailure(u *upstream, a *attempt) {
 	z := u.zoneState
 	if a.sentAt <= z.lastAnswerAt || z.consecutiveEjections > 0 && a.sentAt <= z.ejectedAt {
@@ -100,7 +101,7 @@
 	b.expireAttempts(z)
 }
 
-// expireAttempts makes the attempts in flight at a zone late now, so that their requests go elsewhere.
+// expireAttempts makes the attempts in flight at a zone late now, so that their requests go to other zones.
 func (b *Balancer) expireAttempts(z *zoneState) {
 	for _, u := range b.shuffled {
 		for _, a := range u.inFlight {
--- a/balancer/outlier_detection.go
+++ b/balancer/outlier_detection.go
@@ -4,7 +4,7 @@
 
 const (
 	// ejectionBase is the first ejection time. It doubles with each trial that fails, up to ejectionMax. Both
-	// are before the jitter.
+	// apply before the jitter.
 	ejectionBase = time.Second
 	ejectionMax  = 8 * time.Second
 
@@ -15,22 +15,22 @@
 	maxConsecutiveErrors = 3    // error answers in a row that eject; two ServerErrors do so by their ratio
 	errorRatioWeight     = 0.25 // weight of one answer in the error ratio
 
-	// errorRatioEject is the error ratio above which an upstream is ejected: the second error in about four
-	// answers.
+	// errorRatioEject is the error ratio above which an upstream is ejected: a second error within about four
+	// answers exceeds it.
 	errorRatioEject  = 0.35
-	errorRatioReturn = 0.25 // error ratio above which an ejected upstream stays so after a good answer
+	errorRatioReturn = 0.25 // error ratio above which an upstream stays ejected after a good answer
 
 	// silenceObjectives is how long an upstream with failures may go without an answer, in mean latency
 	// objectives.
 	silenceObjectives      = 3.0
 	failuresBeforeEjection = 2 // failures in a row that eject: one connection may break by chance
 
-	// fastConnectParts: a connect that failed within ConnectTimeout divided by this was refused.
+	// fastConnectParts: a connect that fails within ConnectTimeout divided by this counts as refused.
 	fastConnectParts = 2
 )
 
 // available reports whether u is not ejected, or may get r as its trial: the ejection time is over, nothing
-// is in flight at it, and r could be sent again.
+// is in flight at it, and r may be sent twice.
 func (b *Balancer) available(u *upstream, r *request) bool {
 	if b.now < u.outlier.ejectedUntil || b.now < u.zoneState.ejectedUntil {
 		return false
@@ -41,9 +41,9 @@
 	return len(u.inFlight) == 0 && r.class.Idempotency != NonIdempotent
 }
 
-// updateOutlierState takes in an attempt's result after elapsed. It ejects an upstream that refuses or
-// breaks connections, answers with errors, or stays silent: failures that end at once would make it look
-// fast.
+// updateOutlierState processes an attempt that ended with result after elapsed. It ejects an upstream that
+// refuses or breaks connections, answers with errors, or does not answer: failures that end at once would
+// make it look fast.
 func (b *Balancer) updateOutlierState(a *attempt, result Result, elapsed time.Duration) {
 	switch result {
 	case ServerError, Malformed:
@@ -55,8 +55,8 @@
 	}
 }
 
-// recordErrorAnswer ejects an upstream by errors in a row or by its error ratio. A malformed answer leaves
-// the ratio alone: it may have been damaged on its way from any upstream.
+// recordErrorAnswer ejects an upstream for errors in a row or for its error ratio. A malformed answer does
+// not change the ratio: an answer of any upstream may be damaged on its way.
 func (b *Balancer) recordErrorAnswer(u *upstream, result Result) {
 	b.recordAnswer(u)
 	o := &u.outlier
@@ -72,7 +72,7 @@
 }
 
 // recordGoodAnswer ends an ejection at once where connections failed, and with the second good answer in a
-// row where the error ratio is high, which falls faster while ejected. A Rejected answer counts as good.
+// row where the error ratio is high. The ratio falls faster during an ejection. Rejected counts as good.
 func (b *Balancer) recordGoodAnswer(u *upstream) {
 	b.recordAnswer(u)
 	o := &u.outlier
@@ -94,7 +94,7 @@
 }
 
 // recordFailure ejects an upstream that fails without an answer: after two failures in a row if connections
-// are refused or reset or it has been silent for long, and at any failed trial.
+// are refused or reset or it has not answered for long, and after any failed trial.
 func (b *Balancer) recordFailure(a *attempt, result Result, elapsed time.Duration) {
 	u := a.upstream
 	if b.merelySlow(a, result, elapsed) {
@@ -117,7 +117,7 @@
 
 // merelySlow reports whether an attempt without an answer says nothing about its upstream: the upstream has
 // answered others since, or the attempt was cancelled before it was late. Without hedging, a cancelled
-// attempt may only have been moved off a long queue.
+// attempt may only have been moved away from a long queue.
 func (b *Balancer) merelySlow(a *attempt, result Result, elapsed time.Duration) bool {
 	answeredSince := a.sentAt < a.upstream.lastAnswerAt
 	late := b.settings.HedgingAllowed && elapsed.Seconds() >= b.latency.late.value*a.request.cost
@@ -136,7 +136,7 @@
 	}
 }
 
-// ejectionTime returns the ejection time after a number of failed trials, without jitter.
+// ejectionTime returns the ejection time after the given number of failed trials, without jitter.
 func ejectionTime(failedTrials int) time.Duration {
 	return exponentialBackoff(ejectionBase, ejectionMax, failedTrials)
 }
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -15,15 +15,15 @@
 
 // candidateSetSize returns how many upstreams this sidecar chooses among: as many as its offered rate, in
 // requests a second, can sample at candidateSampleInterval. They are the first available ones of its shuffled
-// list. A sidecar of little traffic thus has few connections and current estimates; a busy one uses them all.
+// list. A sidecar with little traffic thus has few connections and current estimates; a busy one uses all.
 func (b *Balancer) candidateSetSize() int {
 	perInterval := b.offeredRate.perSecond(b.now) * candidateSampleInterval.Seconds()
 	return max(candidateSetSizeMin, int(math.Ceil(perInterval)))
 }
 
-// pick returns the upstream for r's next attempt, or nil if none may get it. It takes the best by load
-// report if there are reports, and else chooses at random between available upstreams. It prefers those that
-// r has not tried. A request without an attempt in flight goes to an ejected upstream rather than to none.
+// pick returns the upstream for r's next attempt, or nil if none may get it. It takes the least loaded by
+// load report if there are enough reports, and otherwise chooses at random between available upstreams. It
+// prefers upstreams that r has not tried. If r has no attempt in flight, an ejected one is better than none.
 func (b *Balancer) pick(r *request) *upstream {
 	if u := b.pickByLoadReport(r); u != nil {
 		return u
@@ -42,8 +42,8 @@
 	return b.pickZone(local, remote)
 }
 
-// candidates returns the first upstreams that accept takes and r may be sent to, at most candidateSetSize in
-// this sidecar's zone and as many in the others. The slices are valid until the next call.
+// candidates returns the first upstreams that accept and mayAttempt allow for r: at most candidateSetSize in
+// this sidecar's zone and as many in all other zones. The slices are valid until the next call.
 func (b *Balancer) candidates(r *request, accept func(*upstream) bool) (local, remote []*upstream) {
 	local, remote = b.scratchLocal[:0], b.scratchRemote[:0]
 	size := b.candidateSetSize()
@@ -55,7 +55,7 @@
 		if len(*group) < size && accept(u) && b.mayAttempt(r, u) {
 			*group = append(*group, u)
 		}
-		if len(local) == size && len(remote) == size { // the cost does not grow with the list
+		if len(local) == size && len(remote) == size { // the cost of a pick does not grow with the list
 			break
 		}
 	}
@@ -63,8 +63,8 @@
 	return local, remote
 }
 
-// powerOfTwoChoices returns the one of lower load of two distinct random candidates, or nil if there is
-// none.
+// powerOfTwoChoices returns the less loaded of two distinct random candidates, the only candidate, or nil if
+// there is none.
 func (b *Balancer) powerOfTwoChoices(candidates []*upstream) *upstream {
 	switch len(candidates) {
 	case 0:
@@ -83,12 +83,12 @@
 	return candidates[first]
 }
 
-// load returns what upstreams are compared by, in seconds: latency x (pending + 1).
+// load returns the value by which upstreams are compared, in seconds: latency x (pending + 1).
 //
 // The latency is the upstream's estimate. As the estimate ages it fades into the mean of the machine type,
-// since no requests do not mean that it is fast. The age of the oldest attempt without an answer, divided by
-// its cost, is a lower bound. A fresh load report raises latency and pending, as it includes the requests of
-// other sidecars.
+// since an upstream without requests need not be fast. The age of the oldest attempt without an answer,
+// divided by its cost, is a lower bound of the latency. A fresh load report may raise latency and pending,
+// as it includes the requests of other sidecars.
 func (b *Balancer) load(u *upstream) float64 {
 	weight := u.latency.weight(b.now, b.latency.decay)
 	latency := u.latency.value*weight + *u.machineTypeLatency*(1-weight)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -31,7 +31,7 @@
 	PriorityWeight    float64       // value of an answer in time, relative to other classes; absent: 1
 	LateValueFraction float64       // share of the priority weight that a late answer still earns, 0 to 1
 	Idempotency       Idempotency
-	DedupScope        DedupScope    // of IdempotentWithKey
+	DedupScope        DedupScope    // of IdempotentWithKey: which upstreams drop repeats
 	DedupWindow       time.Duration // of IdempotentWithKey: how long repeats are dropped
 	Streaming         bool          // its answers are streams; no decision depends on it
 }
@@ -42,9 +42,9 @@
 	Quota float64 // its share of all requests, 0 to 1
 }
 
-// Settings configures a Balancer. A feature whose setting is absent (zero) is off, and a price is nil.
+// Settings configures a Balancer. A feature whose setting is absent (zero) is off, and an absent price is 0.
 type Settings struct {
-	FleetSize int    // sidecars of this tier in all; absent: 1
+	FleetSize int    // number of sidecars of this tier; absent: 1
 	Zone      string // this sidecar's zone
 	Classes   []Class
 	Tenants   []Tenant
@@ -65,7 +65,7 @@
 	WeightPerWork   bool    // PriorityWeight counts per unit of work instead of per request
 
 	SlowStartMinCapacity float64       // least share of its capacity that a started upstream has; absent: 1
-	SlowStartWindow      time.Duration // after it, at most, an upstream has its full capacity
-	OverloadMultiple     float64       // multiple of the present capacity that overloads; absent: no such rule
-	OverloadWindow       time.Duration // when it is kept up for this long
+	SlowStartWindow      time.Duration // time after its start by which an upstream has full capacity
+	OverloadMultiple     float64       // multiple of present capacity that overloads; absent: no such rule
+	OverloadWindow       time.Duration // how long that load has to last to overload an upstream
 }
--- a/balancer/settings_validation.go
+++ b/balancer/settings_validation.go
@@ -16,15 +16,15 @@
 // Problems names every setting that can't be used, in a fixed order. New accepts settings without any.
 func (s Settings) Problems() []Problem { return s.normalize() }
 
-// normalize fills in the defaults of absent settings and returns all that can't be used. It copies the
-// classes before it changes them.
+// normalize fills in the defaults of absent settings and returns a Problem for each setting that can't be
+// used. It copies the classes before it changes them.
 func (s *Settings) normalize() []Problem {
 	problems := s.valueProblems()
 	s.setDefaults()
 	return append(problems, s.classProblems()...)
 }
 
-// valueProblems checks what does not belong to one class.
+// valueProblems checks the settings that do not belong to a class.
 func (s *Settings) valueProblems() (problems []Problem) {
 	add := func(key, format string, args ...any) {
 		problems = append(problems, Problem{key, fmt.Sprintf(format, args...)})
@@ -40,7 +40,7 @@
 		{"FallTime", s.OverloadWindow},
 	} {
 		if setting.value < 0 {
-			add(setting.key, "negative")
+			add(setting.key, "must not be negative")
 		}
 	}
 	for _, setting := range []struct {
@@ -53,22 +53,22 @@
 		{"FallMultiple", s.OverloadMultiple},
 	} {
 		if setting.value < 0 || math.IsNaN(setting.value) || math.IsInf(setting.value, 0) {
-			add(setting.key, "%v is not usable", setting.value)
+			add(setting.key, "%v is negative or not finite", setting.value)
 		}
 	}
 	if !isFraction(s.SlowStartMinCapacity) {
-		add("ColdFrom", "%v is not a share", s.SlowStartMinCapacity)
+		add("ColdFrom", "%v is not between 0 and 1", s.SlowStartMinCapacity)
 	}
 	if !isFraction(s.OverQuotaWeight) {
-		add("OverShareWorth", "%v is not a share", s.OverQuotaWeight)
+		add("OverShareWorth", "%v is not between 0 and 1", s.OverQuotaWeight)
 	}
 	for _, tenant := range s.Tenants {
 		if !isFraction(tenant.Quota) {
-			add("Tenants", "%s: Fraction %v is not a share", tenant.Name, tenant.Quota)
+			add("Tenants", "%s: Fraction %v is not between 0 and 1", tenant.Name, tenant.Quota)
 		}
 	}
 	if len(s.Classes) == 0 {
-		add("Classes", "none given")
+		add("Classes", "no class is given")
 	}
 	return problems
 }
@@ -95,11 +95,11 @@
 	for i := range s.Classes {
 		class := &s.Classes[i]
 		if class.Name == "" || seen[class.Name] {
-			add("Name %q empty or repeated", class.Name)
+			add("Name %q is empty or repeated", class.Name)
 		}
 		seen[class.Name] = true
 		if field := class.unusableField(); field != "" {
-			add("%s: %s is not usable", class.Name, field)
+			add("%s: %s is out of range", class.Name, field)
 		}
 	}
 	return problems
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -3,26 +3,26 @@
 import "slices"
 
 const (
-	slowStartOverloadFraction = 0.8 // the part used of the load that would overload a starting upstream
+	slowStartOverloadFraction = 0.8 // share of the overloading load that a starting upstream may get
 
 	// slowStartInitialLatency is the first estimate of a starting upstream, as a factor on the mean of its
-	// machine type. Below 1, so that it is chosen and the token bucket, not the estimate, holds it back.
+	// machine type. It is below 1, so that the upstream is chosen and only the token bucket limits it.
 	slowStartInitialLatency = 0.9
 
-	// slowStartCapacityRatioMax bounds, upward and by its inverse downward, the capacity of a machine type
-	// relative to the mean.
+	// slowStartCapacityRatioMax is the upper bound, and its inverse the lower bound, of a machine type's
+	// capacity relative to the mean.
 	slowStartCapacityRatioMax = 1.6
 
-	// slowStartBurstParts: the token bucket holds the tokens of OverloadWindow divided by this, at least one.
+	// slowStartBurstParts: the bucket holds the tokens of OverloadWindow divided by this, and at least one.
 	slowStartBurstParts = 10
 
-	// slowStartLapseParts: a token that is not used for OverloadWindow divided by this lapses, if the bucket
-	// gets less than one in that time.
+	// slowStartLapseParts: a token that is unused for OverloadWindow divided by this lapses, if the bucket
+	// gets less than one token in that time.
 	slowStartLapseParts = 2
 )
 
-// beginSlowStart holds back an upstream that started at u.startedAt, within SlowStartWindow. The bucket
-// begins with a random part of a token, so that the sidecars' first requests do not arrive together.
+// beginSlowStart limits an upstream that started at u.startedAt, within SlowStartWindow. The bucket begins
+// with a random fraction of a token, so that the sidecars' first requests do not arrive together.
 func (b *Balancer) beginSlowStart(u *upstream) {
 	u.slowStart = slowStartState{
 		active:     true,
@@ -33,8 +33,8 @@
 	u.latency = peakEWMA{slowStartInitialLatency * *u.machineTypeLatency, b.now}
 }
 
-// slowStartCapacity returns the least share of its capacity that u has by now, 0 to 1. It grows linearly
-// from SlowStartMinCapacity to 1 over SlowStartWindow, and ends the slow start after it.
+// slowStartCapacity returns the least share of its full capacity that u has by now, 0 to 1. The share grows
+// linearly from SlowStartMinCapacity to 1 over SlowStartWindow, after which the function ends the slow start.
 func (b *Balancer) slowStartCapacity(u *upstream) float64 {
 	s := &u.slowStart
 	if s.active && b.now-s.startedAt >= b.settings.SlowStartWindow {
@@ -49,13 +49,14 @@
 }
 
 // slowStartAllows refills u's token bucket up to now and reports whether it holds a token for an attempt.
-// send takes as many as the attempt's cost, at least one, so the bucket may fall below 0. Outside slow start
-// it is true.
+// send takes as many tokens as the attempt's cost, at least one, so the bucket may fall below 0. Outside
+// slow start, every attempt is allowed.
 //
 // Tokens a second: the offered rate, in mean requests a second, divided by the candidate set's size, times
 // the present capacity; with OverloadMultiple also times slowStartOverloadFraction, OverloadMultiple and the
-// speed of the machine type. As every sidecar keeps to its share, the sum stays below what overloads the
-// upstream. Only candidates get attempts: otherwise, with many starting, every sidecar would send to each.
+// speed of the machine type. As every sidecar keeps to its share, the sum stays below the load that overloads
+// the upstream. Only upstreams in the candidate set get attempts: otherwise, with many upstreams starting,
+// every sidecar would send to each of them.
 func (b *Balancer) slowStartAllows(u *upstream) bool {
 	share := b.slowStartCapacity(u)
 	if !u.slowStart.active {
--- a/balancer/slow_start_tokens.go
+++ b/balancer/slow_start_tokens.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// refill adds the tokens of the time since the latest refill, at a rate of perSecond.
+// refill adds the tokens for the time since the latest refill, at a rate of perSecond.
 //
-// The buckets of all sidecars must not be full at once after a lull in the traffic: with many sidecars the
-// sum of their single tokens is a multiple of what an upstream withstands within a window. A bucket that gets
-// few tokens therefore does not hold one for long: one that is not used in time lapses, and the next one
-// comes as late as if it had been used. So at any moment only the sidecars whose turn it is hold one.
+// The buckets of all sidecars must not be full at once after a lull in the traffic: with many sidecars, one
+// token each adds up to a multiple of the load that overloads an upstream within a window. Tokens of a bucket
+// with a low refill rate therefore lapse if they are not used in time, and the next token arrives as late as
+// if the lapsed one had been used. So at any moment only a few of the sidecars hold a token.
 func (s *slowStartState) refill(now time.Duration, perSecond float64, window time.Duration) {
 	s.tokens += perSecond * (now - s.refilledAt).Seconds()
 	s.refilledAt = now
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// quantileStep is how far one sample moves a quantileEstimate, in natural logarithm.
+// quantileStep is how far one sample moves a quantileEstimate, on a natural logarithmic scale.
 const quantileStep = 0.1
 
-// quantileEstimate follows a quantile of the samples that it is given, by steps and without storing them.
+// quantileEstimate estimates a quantile of its samples in steps, without storing the samples.
 type quantileEstimate struct {
 	probability float64 // which quantile, 0 to 1
 	value       float64 // in the samples' unit
@@ -25,16 +25,16 @@
 // rate is an exponentially weighted rate of events.
 type rate struct {
 	memory    time.Duration // time constant
-	sum       float64       // weighted amount
+	sum       float64       // exponentially weighted amount of events
 	updatedAt time.Duration // clock time to which sum is weighted
 	startedAt time.Duration // clock time of the first event
 	started   bool
 }
 
 const (
-	rateMinAgeParts  = 20   // a rate is taken to be at least its memory divided by this old
-	restoredRateAge  = 100  // in memories: how long a restored rate counts as having been measured
-	minRatePerSecond = 1e-3 // per second: least rate that something is divided by
+	rateMinAgeParts  = 20   // the age of a rate counts as at least its memory divided by this
+	restoredRateAge  = 100  // age that a restored rate counts as having, in multiples of its memory
+	minRatePerSecond = 1e-3 // least rate used as a divisor, per second
 )
 
 func (r *rate) add(amount float64, now time.Duration) {
@@ -45,15 +45,15 @@
 	r.updatedAt = now
 }
 
-// perSecond returns the rate at now. While the rate is younger than its memory, the missing past is left out
-// of the mean.
+// perSecond returns the rate at now. While the rate is younger than its memory, the time before its first
+// event is left out of the mean.
 func (r *rate) perSecond(now time.Duration) float64 {
 	age := max(now-r.startedAt, r.memory/rateMinAgeParts)
 	sum := r.sum * math.Exp(-float64(now-r.updatedAt)/float64(r.memory))
 	return sum / (r.memory.Seconds() * (1 - math.Exp(-float64(age)/float64(r.memory))))
 }
 
-// restore sets the rate to one that has been perSecond for long.
+// restore sets the rate to perSecond, as if it had been measured for a long time.
 func (r *rate) restore(perSecond float64, now time.Duration) {
 	r.started = true
 	r.sum = perSecond * r.memory.Seconds()
--- a/balancer/subscription.go
+++ b/balancer/subscription.go
@@ -8,13 +8,13 @@
 	subscribeBackoffBase = time.Second
 	subscribeBackoffMax  = 8 * time.Second
 
-	// The pause is multiplied by a random factor between these, so that sidecars do not subscribe in step.
+	// The pause is multiplied by a random factor between these, so that sidecars do not subscribe all at once.
 	subscribeJitterMin = 0.5
 	subscribeJitterMax = 1.5
 )
 
 // handleUpdateFailed schedules a new subscription with exponential backoff and jitter. Only drivers without
-// retries of their own report UpdateFailed; in the daemon and the plug-in package staleness retries.
+// retries of their own report UpdateFailed; the daemon and the gRPC plug-in retry in package staleness.
 func (b *Balancer) handleUpdateFailed() {
 	s := &b.subscription
 	if s.connected || s.failures == 0 {
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -11,8 +11,8 @@
 
 const (
 	timerGiveUp        timerKind = iota // ends the request without an answer
-	timerAttemptLate                    // its latest attempt is late
-	timerRetryDispatch                  // no upstream was available: tries again to send it
+	timerAttemptLate                    // treats the request's latest attempt as late
+	timerRetryDispatch                  // dispatches a request again for which no upstream was available
 	timerSubscribe                      // subscribes to the endpoint list again
 )
 
@@ -28,7 +28,7 @@
 type timerHeap struct {
 	timers        []timer
 	sequence      int
-	nextPruneSize int // not pruned before it has grown to this
+	nextPruneSize int // the heap is not pruned while it is shorter than this
 }
 
 func (h *timerHeap) Len() int { return len(h.timers) }
@@ -44,12 +44,13 @@
 	return last
 }
 
-// Most requests end long before their timers are due, and each timer keeps its request in memory. The heap
-// is pruned of timers of finished requests when it exceeds both limits.
+// Most requests end long before their timers are due, and each timer keeps its request in memory. Timers of
+// finished requests are pruned when the heap exceeds both limits and has grown by timersPruneGrowth since the
+// latest pruning.
 const (
 	timersPerRequestMax = 8   // timers, per open request
 	timersPruneMin      = 256 // timers
-	timersPruneGrowth   = 2   // and it has grown by this factor since it was last pruned
+	timersPruneGrowth   = 2   // factor on the length after the latest pruning
 )
 
 // schedule sets a timer of kind for r at the clock time at.
@@ -64,7 +65,7 @@
 	heap.Push(h, timer{at, h.sequence, kind, r})
 }
 
-// handleTimers does what is due by now.
+// handleTimers handles the timers that are due by now.
 func (b *Balancer) handleTimers() {
 	if b.now >= b.timerArmedFor {
 		b.timerArmedFor = 0
@@ -87,7 +88,7 @@
 	}
 	switch t.kind {
 	case timerGiveUp:
-		if b.now >= r.timing.giveUpAt { // the end of an upload may have moved it
+		if b.now >= r.timing.giveUpAt { // the end of an upload may have moved giveUpAt
 			b.rejectOrFail(r)
 		}
 	case timerAttemptLate:
--- a/balancer/upstream.go
+++ b/balancer/upstream.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// upstream is what is known of one incarnation of an endpoint. A restart of the endpoint, which the endpoint
-// list shows as another start time, begins a new one.
+// upstream is the state of one incarnation of an endpoint. A restart of the endpoint, which the endpoint
+// list shows as another start time, begins a new incarnation.
 type upstream struct {
 	name      string
 	zone      string
@@ -16,51 +16,51 @@
 	startedAt time.Duration // clock time of its start as the endpoint list gives it; 0: long ago
 	zoneState *zoneState
 
-	machineTypeLatency *float64 // mean normalized latency of its machine type, in seconds; shared with its likes
+	machineTypeLatency *float64 // mean normalized latency, in seconds, shared by its machine type's upstreams
 	latency            peakEWMA // normalized latency, in seconds
 	report             loadReport
 
 	inFlight      []*attempt    // attempts without an answer, oldest first
-	activeStreams int           // attempts whose response has begun and on which it still works
+	activeStreams int           // attempts whose response has begun and on which the upstream still works
 	lastAnswerAt  time.Duration // clock time of its latest answer of any kind
 
 	outlier   outlierState
 	slowStart slowStartState
 }
 
-// outlierState is what outlier detection keeps of an upstream. An ejection ends with a good answer.
+// outlierState is the state of outlier detection for an upstream. A good answer ends an ejection.
 type outlierState struct {
 	consecutiveFailures  int           // attempts without an answer (connect failed, reset, timeout) in a row
-	firstFailureSentAt   time.Duration // clock time at which the first of these was sent
+	firstFailureSentAt   time.Duration // clock time at which the first of these attempts was sent
 	consecutiveErrors    int           // error answers in a row
-	errorRatio           float64       // moving share of error answers, 0 to 1
-	consecutiveEjections int           // ejections without a good answer since the first; 0: not ejected
+	errorRatio           float64       // moving average of the share of error answers, 0 to 1
+	consecutiveEjections int           // ejections since its latest return; 0: not ejected
 	ejectedUntil         time.Duration // clock time before which it gets no attempt
-	countedInEpoch       int           // the zone's failure epoch in which it was last counted as failed
+	countedInEpoch       int           // zoneState.failureEpoch in which it was last counted as failed
 }
 
 // slowStartState is the token bucket that holds back an upstream that has just started.
 type slowStartState struct {
 	active     bool
 	startedAt  time.Duration // clock time at which the slow start window began
-	tokens     float64       // what may be sent now, in mean requests
+	tokens     float64       // work that may be sent now, in mean requests
 	refilledAt time.Duration // clock time of the latest refill
 }
 
-// loadReport is what an upstream said of its load in the latest answer to a load probe.
+// loadReport is the load that an upstream reported in its latest answer to a load probe.
 type loadReport struct {
-	receivedAt time.Duration // clock time; 0: there is none
-	inFlight   int           // requests that it has, and what this sidecar has sent since
-	latency    time.Duration // of its recent requests; 0: not reported
+	receivedAt time.Duration // clock time; 0: there is no report
+	inFlight   int           // requests at the upstream, plus attempts that this sidecar has sent since
+	latency    time.Duration // latency of the upstream's recent requests; 0: not reported
 }
 
-// zoneState is what outage detection keeps of a zone.
+// zoneState is the state of outage detection for a zone.
 type zoneState struct {
 	lastAnswerAt         time.Duration // clock time of the latest answer from one of its upstreams
-	failureEpoch         int           // number of the period since that answer; starts at 1
+	failureEpoch         int           // number of the period since that answer, from 1
 	failedUpstreams      int           // upstreams that failed in this period
 	firstFailureAt       time.Duration // clock time of the first of these failures
-	consecutiveEjections int           // ejections without an answer since the first; 0: not ejected
+	consecutiveEjections int           // ejections since the latest answer; 0: not ejected
 	ejectedAt            time.Duration // clock time of the latest ejection
 	ejectedUntil         time.Duration // clock time before which its upstreams get no attempt
 }
@@ -69,10 +69,11 @@
 	u.inFlight = slices.DeleteFunc(u.inFlight, func(other *attempt) bool { return other == a })
 }
 
-// pending returns how many attempts it works on.
+// pending returns the number of attempts that the upstream works on.
 func (u *upstream) pending() int { return len(u.inFlight) + u.activeStreams }
 
-// spareZoneStatesMax is how many more zones than upstreams are kept before unused ones are removed.
+// spareZoneStatesMax is how many zone states beyond the number of upstreams are kept before the unused ones
+// are removed.
 const spareZoneStatesMax = 16
 
 // zoneStateFor returns the state of the named zone, and creates it if there is none.
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// UpstreamView is what a Balancer knows of an upstream, for operators. No decision depends on it.
+// UpstreamView is the state of an upstream as shown to operators. No decision depends on it.
 type UpstreamView struct {
 	Name, Zone        string
-	Latency           time.Duration // that upstreams are compared by, of a mean request
-	Pending           int           // attempts without an answer, and streams that it works on
+	Latency           time.Duration // of a mean request, as used in Load
+	Pending           int           // attempts without an answer, and streams that the upstream works on
 	Load              float64       // Latency x (Pending + 1), in seconds
-	EjectedFor        time.Duration // how much longer it gets no attempts; 0: it is not ejected
-	TrialOnly         bool          // it gets at most one attempt at a time, as the trial that ends its ejection
-	SlowStartCapacity float64       // the least share of its capacity that it is taken to have, 0 to 1
+	EjectedFor        time.Duration // remaining ejection time; 0: over, or not ejected
+	TrialOnly         bool          // ejected: it gets at most one attempt at a time, as a trial
+	SlowStartCapacity float64       // the least share of its full capacity that it has by now, 0 to 1
 }
 
 // View returns every active upstream, in this sidecar's shuffled order. It changes no state. Like Handle it
