--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The same endpoint list again changes nothing that is known.
+// A repeated endpoint list must not discard the learnt state of its upstreams.
 func TestRepeatedEndpointListKeepsState(t *testing.T) {
 	r := newHarness(t, testSettings())
 	entries := []Endpoint{{Name: "a", MachineType: "m"}, {Name: "b", MachineType: "m"}}
@@ -14,12 +14,12 @@
 	r.now += 50 * ms
 	r.outcome("1", 0, OK, 50*ms)
 	before := []*upstream{r.balancer.shuffled[0], r.balancer.shuffled[1]}
-	known := []upstream{*before[0], *before[1]}
+	copies := []upstream{*before[0], *before[1]}
 	r.updateEndpoints(FullUpdate, entries...)
 	r.updateEndpoints(CachedUpdate, entries...)
 	for i, u := range before {
-		if r.balancer.shuffled[i] != u || u.latency != known[i].latency || u.slowStart.active || u.lastAnswerAt != known[i].lastAnswerAt {
-			t.Errorf("changed: %+v, was %+v", *r.balancer.shuffled[i], known[i])
+		if r.balancer.shuffled[i] != u || u.latency != copies[i].latency || u.slowStart.active || u.lastAnswerAt != copies[i].lastAnswerAt {
+			t.Errorf("state after the repeated list: %+v, want %+v", *r.balancer.shuffled[i], copies[i])
 		}
 	}
 }
@@ -30,16 +30,16 @@
 	r.updateEndpoints(IncrementalUpdate, Endpoint{Name: "u0", State: Draining}, Endpoint{Name: "u1", State: Removed})
 	for i := range 30 {
 		if u := r.wantSend(r.request(string(rune('A'+i)), "c", time.Second)); u != "u2" {
-			t.Fatalf("sent to %s", u)
+			t.Fatalf("sent to %s, want the only active upstream u2", u)
 		}
 		r.outcome(string(rune('A'+i)), 0, OK, 10*ms)
 		r.now += 10 * ms
 	}
-	r.updateEndpoints(FullUpdate) // nothing is left
+	r.updateEndpoints(FullUpdate) // an empty list: no upstream is left
 	r.wantNothing(r.request("z", "c", time.Second))
 }
 
-// A restart discards what was learnt of the old process, and begins a slow start.
+// A restart discards the learnt state of the earlier process, and begins a slow start.
 func TestRestartedUpstreamStartsAnew(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(2)
@@ -48,6 +48,6 @@
 	r.updateEndpoints(IncrementalUpdate, Endpoint{Name: "u0", Zone: "a", StartedAt: r.now - time.Second})
 	u := r.balancer.upstreams["u0"]
 	if u.latency.value > 1 || u.outlier.ejectedUntil != 0 || !u.slowStart.active || len(r.balancer.shuffled) != 2 {
-		t.Errorf("still known: %+v", u)
+		t.Errorf("state of the earlier process after a restart: %+v", u)
 	}
 }
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -8,16 +8,17 @@
 
 const ms = time.Millisecond
 
-// harness drives a Balancer by hand.
+// harness passes events to a Balancer at the times of its own clock, and collects the log.
 type harness struct {
 	t        *testing.T
 	balancer *Balancer
 	now      time.Duration
-	actions  []Action // of the last call
+	actions  []Action // of the latest event
 	logs     []string
 }
 
-// testSettings have one idempotent class, hedging and cancellation allowed, and endpoint lists without subscription.
+// testSettings returns settings with one idempotent class, where hedging and cancellation are allowed and endpoint
+// lists come without a subscription.
 func testSettings() Settings {
 	return Settings{
 		FleetSize: 2, Zone: "a", Tick: 5 * ms, MaxAttempts: 4, HedgingAllowed: true, CancellationAllowed: true,
@@ -67,8 +68,8 @@
 	r.updateEndpoints(FullUpdate, list...)
 }
 
-func (r *harness) request(id, class string, left time.Duration) []Action {
-	return r.handle(Request{ID: id, Class: class, Deadline: r.now + left})
+func (r *harness) request(id, class string, timeLeft time.Duration) []Action {
+	return r.handle(Request{ID: id, Class: class, Deadline: r.now + timeLeft})
 }
 
 func (r *harness) outcome(id string, n int, res Result, elapsed time.Duration) []Action {
@@ -88,27 +89,27 @@
 // finalAnswers returns the final answers among acts.
 func finalAnswers(acts []Action) []Action { return append(ofKind(acts, Reject), ofKind(acts, Fail)...) }
 
-// wantSend fails the test unless acts hold exactly one attempt, and returns its upstream.
+// wantSend fails the test unless acts contain exactly one Send, and returns its upstream.
 func (r *harness) wantSend(acts []Action) string {
 	r.t.Helper()
 	s := ofKind(acts, Send)
 	if len(s) != 1 {
-		r.t.Fatalf("want one attempt, got %+v", acts)
+		r.t.Fatalf("want exactly one attempt, got actions %+v", acts)
 	}
 	return s[0].Upstream
 }
 
-// wantFinal fails the test unless acts hold exactly one final answer of kind k and no attempt.
+// wantFinal fails the test unless acts contain exactly one final answer, of kind k, and no attempt.
 func (r *harness) wantFinal(acts []Action, k ActionKind) {
 	r.t.Helper()
 	if f := finalAnswers(acts); len(f) != 1 || f[0].Kind != k || len(ofKind(acts, Send)) > 0 {
-		r.t.Fatalf("want one final answer of kind %d and no attempt, got %+v", k, acts)
+		r.t.Fatalf("want one final answer of kind %d and no attempt, got actions %+v", k, acts)
 	}
 }
 
 func (r *harness) wantNothing(acts []Action) {
 	r.t.Helper()
 	if len(finalAnswers(acts)) > 0 || len(ofKind(acts, Send)) > 0 {
-		r.t.Fatalf("want no attempt and no answer, got %+v", acts)
+		r.t.Fatalf("want no attempt and no final answer, got actions %+v", acts)
 	}
 }
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -22,12 +22,12 @@
 		wantNow time.Duration
 	}{
 		{"above the estimate: replaces it", peakEWMA{0.1, 0}, 0.3, half, 0.3, half},
-		{"above its projection only: replaces it", peakEWMA{0.1, 0}, 0.06, half, 0.06, half},
-		{"below the projection: blended in", peakEWMA{0.1, 0}, 0.02, half, 0.1*0.5 + 0.02*0.5, half},
-		{"at the projection: stays there", peakEWMA{0.1, 0}, 0.05, half, 0.05, half},
-		{"same moment, lower: no weight", peakEWMA{0.1, half}, 0.02, half, 0.1, half},
-		{"same moment, higher: a peak all the same", peakEWMA{0.1, half}, 0.2, half, 0.2, half},
-		{"earlier than the last: dropped", peakEWMA{0.1, half}, 0.9, half - 1, 0.1, half},
+		{"above the decayed value only: replaces it", peakEWMA{0.1, 0}, 0.06, half, 0.06, half},
+		{"below the decayed value: averaged in", peakEWMA{0.1, 0}, 0.02, half, 0.1*0.5 + 0.02*0.5, half},
+		{"equal to the decayed value: keeps it", peakEWMA{0.1, 0}, 0.05, half, 0.05, half},
+		{"at the same time, lower: has no weight", peakEWMA{0.1, half}, 0.02, half, 0.1, half},
+		{"at the same time, higher: replaces it", peakEWMA{0.1, half}, 0.2, half, 0.2, half},
+		{"earlier than the latest: dropped", peakEWMA{0.1, half}, 0.9, half - 1, 0.1, half},
 	} {
 		c.e.add(c.sample, c.now, decay)
 		if math.Abs(c.e.value-c.want) > 1e-6 || c.e.updatedAt != c.wantNow {
@@ -36,7 +36,8 @@
 	}
 }
 
-// A good answer counts its latency, an error answer at least the penalty, any other result its elapsed time.
+// An OK answer counts with its latency, an error answer with at least the penalty, any other result with its
+// elapsed time.
 func TestLatencySampleByResult(t *testing.T) {
 	for _, c := range []struct {
 		res     Result
@@ -71,22 +72,22 @@
 	r.balancer.latency.normalizedMean = 0.033
 	r.addUpstreams(1)
 	if got := r.balancer.shuffled[0].latency; got.value != 0.033 || got.updatedAt != r.now {
-		t.Errorf("first estimate %+v", got)
+		t.Errorf("first estimate %+v, want the mean 0.033 as of now", got)
 	}
 }
 
-// An idle upstream's estimate fades to the mean of all, not to zero.
+// An idle upstream's estimate fades to the mean of all upstreams, not to zero.
 func TestIdleEstimateFadesToMean(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(2)
 	r.balancer.shuffled[0].latency = peakEWMA{0.5, r.now}
 	r.balancer.now = r.now + time.Hour
 	if got := r.balancer.load(r.balancer.shuffled[0]); !almostEqual(got, r.balancer.latency.normalizedMean) {
-		t.Errorf("idle for long: %v, want the mean %v", got, r.balancer.latency.normalizedMean)
+		t.Errorf("load after an hour without requests: %v, want the mean %v", got, r.balancer.latency.normalizedMean)
 	}
 }
 
-// An upstream without requests counts as its machine type does: the types differ in speed.
+// A new upstream is assumed to be as fast as its machine type, because machine types differ in speed.
 func TestNewUpstreamHasLatencyOfMachineType(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.updateEndpoints(FullUpdate, Endpoint{Name: "f0", MachineType: "fast"}, Endpoint{Name: "s0", MachineType: "slow"})
@@ -99,11 +100,11 @@
 	}
 	r.updateEndpoints(IncrementalUpdate, Endpoint{Name: "f1", MachineType: "fast"}, Endpoint{Name: "s1", MachineType: "slow"})
 	if f, s := r.balancer.load(r.balancer.upstreams["f1"]), r.balancer.load(r.balancer.upstreams["s1"]); s < 2*f {
-		t.Errorf("new: fast %.3f, slow %.3f", f, s)
+		t.Errorf("load of a new upstream: %.3f s of the fast type, %.3f s of the slow type, want at least twice as much", f, s)
 	}
 }
 
-// An estimate outlasts the time until its upstream is chosen again: at a low rate it fades more slowly.
+// An estimate lasts until its upstream is chosen again: at a low rate it fades more slowly.
 func TestLatencyDecayFollowsOfferedRate(t *testing.T) {
 	for _, c := range []struct {
 		rate int
@@ -118,7 +119,7 @@
 			r.advance(time.Second / time.Duration(c.rate))
 		}
 		if r.balancer.latency.decay != c.want {
-			t.Errorf("%d a second: estimates last %v, want %v", c.rate, r.balancer.latency.decay, c.want)
+			t.Errorf("%d requests per second: decay %v, want %v", c.rate, r.balancer.latency.decay, c.want)
 		}
 	}
 }
@@ -127,7 +128,7 @@
 func TestCostlyRequestDoesNotRaiseLatency(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(1)
-	for i := range 200 { // a mean of 20 ms of work, all answered in 20 ms
+	for i := range 200 { // each with a cost hint of 20 ms, answered in 20 ms
 		id := fmt.Sprint(i)
 		r.handle(Request{ID: id, Class: "c", Deadline: r.now + time.Second, CostHint: 20 * ms})
 		r.outcome(id, 0, OK, 20*ms)
@@ -138,6 +139,6 @@
 	r.now += 10 * ms
 	r.outcome("big", 0, OK, 120*ms)
 	if after := r.balancer.shuffled[0].latency.value; after > 1.5*before {
-		t.Errorf("estimate %v, %v after six times the work in six times the time", before, after)
+		t.Errorf("estimate %v rose to %v after a request with six times the work took six times as long", before, after)
 	}
 }
--- a/balancer/limits_test.go
+++ b/balancer/limits_test.go
@@ -8,7 +8,8 @@
 	"unicode/utf8"
 )
 
-// The policy files named in the deploy file stay short enough to be read: 1200 lines, blank ones aside, of 110 characters.
+// The policy files named in the deploy file must stay short enough to read: at most 1200 lines that are not blank, of
+// at most 110 characters each.
 func TestPolicyFileLimits(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -16,11 +17,11 @@
 	}
 	m := regexp.MustCompile(`(?m)^policy = \[(.*?)\]`).FindSubmatch(deploy)
 	if m == nil {
-		t.Fatal("no policy in the deploy file")
+		t.Fatal("deploy/balancer.toml has no list of policy files")
 	}
 	files := regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(m[1], -1)
 	if len(files) == 0 {
-		t.Fatal("policy names no file")
+		t.Fatal("the policy list in deploy/balancer.toml names no file")
 	}
 	lines := 0
 	for _, f := range files {
@@ -33,11 +34,11 @@
 				lines++
 			}
 			if n := utf8.RuneCountInString(l); n > 110 {
-				t.Errorf("%s:%d: %d characters", f[1], i+1, n)
+				t.Errorf("%s:%d: the line has %d characters, want at most 110", f[1], i+1, n)
 			}
 		}
 	}
 	if lines > 1200 {
-		t.Errorf("%d lines of policy, 1200 at most", lines)
+		t.Errorf("the policy files have %d lines that are not blank, want at most 1200", lines)
 	}
 }
--- a/balancer/load_report_test.go
+++ b/balancer/load_report_test.go
@@ -10,7 +10,7 @@
 	return ProbeResult{Upstream: upstream, InFlight: inFlight, Latency: latency}
 }
 
-// Load reports decide a first attempt only while they are fresh and of two available upstreams.
+// Load reports decide a first attempt only while at least two available upstreams have a fresh one.
 func TestPickByLoadReport(t *testing.T) {
 	const byRandomChoice = ""
 	update := func(name string, state EndpointState) func(*harness) {
@@ -23,7 +23,7 @@
 		name    string
 		reports []ProbeResult
 		age     time.Duration
-		then    func(*harness)
+		change  func(*harness)
 		want    string
 	}{
 		{"fewer in flight", []ProbeResult{okReport("u7", 3, 0), okReport("u8", 0, 0)}, 0, nil, "u8"},
@@ -40,20 +40,20 @@
 		{"removed", threeReports, 0, update("u8", Removed), "u6"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, plain := newHarness(t, testSettings()), newHarness(t, testSettings())
+			r, withoutReports := newHarness(t, testSettings()), newHarness(t, testSettings())
 			r.addUpstreams(40)
-			plain.addUpstreams(40)
+			withoutReports.addUpstreams(40)
 			for _, e := range c.reports {
 				r.handle(e)
 			}
-			if c.then != nil {
-				c.then(r)
+			if c.change != nil {
+				c.change(r)
 			}
 			r.now += c.age
-			plain.now += c.age
+			withoutReports.now += c.age
 			want := c.want
 			if want == byRandomChoice {
-				want = plain.wantSend(plain.request("a", "c", time.Second))
+				want = withoutReports.wantSend(withoutReports.request("a", "c", time.Second))
 			}
 			if got := r.wantSend(r.request("a", "c", time.Second)); got != want {
 				t.Errorf("sent to %s, want %s", got, want)
@@ -62,7 +62,8 @@
 	}
 }
 
-// What is sent after a load report counts as in flight, and the number of reports kept is bounded.
+// Attempts sent after a load report add to its requests in flight. The number of stored reports is
+// bounded.
 func TestAttemptsAfterLoadReportsCount(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(40)
@@ -74,12 +75,12 @@
 		got[r.wantSend(r.request(fmt.Sprint(i), "c", time.Second))]++
 	}
 	if got["u1"] != 10 || got["u2"] != 10 || got["u3"] != 10 {
-		t.Errorf("sent as %v", got)
+		t.Errorf("attempts by upstream: %v, want 10 at each of u1, u2 and u3", got)
 	}
 	for i := range 40 {
 		r.handle(okReport(fmt.Sprint("u", i), 0, 0))
 	}
 	if len(r.balancer.reportingUpstreams) != loadReportsMax {
-		t.Errorf("%d reports are kept", len(r.balancer.reportingUpstreams))
+		t.Errorf("%d load reports are stored, want 16", len(r.balancer.reportingUpstreams))
 	}
 }
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Load is latency x (pending + 1).
+// Load is latency x (pending + 1), and the age of a hung attempt is a lower bound of the latency.
 func TestLoadIsLatencyTimesPending(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(1)
@@ -14,20 +14,20 @@
 	u.latency = peakEWMA{0.04, r.now}
 	r.balancer.now = r.now
 	if got := r.balancer.load(u); !almostEqual(got, 0.04) {
-		t.Errorf("idle: %v", got)
+		t.Errorf("load of an idle upstream: %v, want 0.04", got)
 	}
 	r.balancer.send(&request{id: "x", class: r.balancer.classes["c"], cost: 1, timing: requestTiming{deadline: r.now + time.Second}}, u)
 	if got := r.balancer.load(u); !almostEqual(got, 0.08) {
-		t.Errorf("one pending: %v", got)
+		t.Errorf("load with one pending attempt: %v, want 0.08", got)
 	}
-	// A hung attempt's age is a lower bound of the latency.
+	// The attempt's age of 100 ms exceeds the estimate of 40 ms.
 	r.balancer.now += 100 * ms
 	if got := r.balancer.load(u); !almostEqual(got, 0.2) {
-		t.Errorf("one pending for 100 ms: %v", got)
+		t.Errorf("load with one attempt pending for 100 ms: %v, want 0.2", got)
 	}
 }
 
-// Of two available upstreams the one of lower load is picked, every time.
+// Of two available upstreams, the one with the lower load is always picked.
 func TestPickTakesLowerLoadOfTwo(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(2)
@@ -41,12 +41,12 @@
 		}
 		got = r.wantSend(r.request(string(rune('a'+i)), "c", time.Second))
 		if got != want {
-			t.Fatalf("pick %d: %s, want %s", i, got, want)
+			t.Fatalf("pick %d: sent to %s, want %s", i, got, want)
 		}
 	}
 }
 
-// Over many picks each upstream is compared, and the worst never wins.
+// Over many picks, every pair of upstreams is compared equally often, and the most loaded one never wins.
 func TestPowerOfTwoChoicesPairIsRandomAndDistinct(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(4)
@@ -66,11 +66,11 @@
 	}
 }
 
-// A sidecar of little traffic uses a subset of its own draw, so that all sidecars together use each upstream
-// alike. The next upstream takes the place of an ejected one.
+// A sidecar with little traffic uses a random subset of the upstreams, so that all sidecars together use each
+// upstream about equally. The next upstream of the sidecar's order replaces an ejected one.
 func TestLowTrafficSidecarUsesSubset(t *testing.T) {
 	const sidecars, fleet = 300, 50
-	owners := map[string]int{}
+	sidecarsUsing := map[string]int{}
 	for i := range sidecars {
 		b, err := New(testSettings(), uint64(i))
 		if err != nil {
@@ -78,24 +78,24 @@
 		}
 		r := &harness{t: t, balancer: b, now: time.Minute}
 		r.addUpstreams(fleet)
-		met := map[string]bool{}
-		for n := range 60 { // one request a second
+		used := map[string]bool{}
+		for n := range 60 { // one request per second
 			id := fmt.Sprint(n)
 			u := r.wantSend(r.request(id, "c", time.Second))
-			met[u] = true
+			used[u] = true
 			r.outcome(id, 0, OK, 20*ms)
 			r.advance(time.Second)
 		}
-		if len(met) > candidateSetSizeMin+2 {
-			t.Fatalf("one request a second met %d upstreams", len(met))
+		if len(used) > candidateSetSizeMin+2 {
+			t.Fatalf("a sidecar with one request per second used %d upstreams, want at most 6", len(used))
 		}
-		for u := range met {
-			owners[u]++
+		for u := range used {
+			sidecarsUsing[u]++
 		}
 	}
 	for i := range fleet { // about 24 each
-		if n := owners[fmt.Sprint("u", i)]; n < 8 || n > 50 {
-			t.Errorf("u%d is met by %d of %d sidecars", i, n, sidecars)
+		if n := sidecarsUsing[fmt.Sprint("u", i)]; n < 8 || n > 50 {
+			t.Errorf("u%d is used by %d of %d sidecars, want 8 to 50", i, n, sidecars)
 		}
 	}
 	r := newHarness(t, testSettings())
@@ -106,13 +106,13 @@
 	r.wantSend(r.request("x", "c", time.Second))
 }
 
-// The subset of a busy sidecar covers all upstreams.
+// A busy sidecar's candidate set covers all upstreams.
 func TestBusySidecarUsesAllUpstreams(t *testing.T) {
 	w := newScriptedFleet(t, testSettings(), answerInTime)
 	w.addUpstreams(30)
 	w.run(5*time.Second, 100)
 	if len(w.attemptsAt) != 30 {
-		t.Errorf("100 requests a second met %d of 30 upstreams", len(w.attemptsAt))
+		t.Errorf("a sidecar with 100 requests per second used %d of 30 upstreams, want all", len(w.attemptsAt))
 	}
 }
 
@@ -124,7 +124,7 @@
 		list = append(list, Endpoint{Name: fmt.Sprint("u", i), Zone: "ab"[i%2 : i%2+1]})
 	}
 	r.updateEndpoints(FullUpdate, list...)
-	clear(r.balancer.shuffled[100:]) // a look at one of them panics
+	clear(r.balancer.shuffled[100:]) // visiting one of these nil upstreams panics
 	r.wantSend(r.request("1", "c", time.Second))
 }
 
@@ -138,6 +138,6 @@
 	w.addUpstreams(4)
 	w.run(10*time.Second, 100)
 	if w.attemptsAt["u0"] > w.attemptsAt["u1"]/2 {
-		t.Errorf("slow %d, others %d", w.attemptsAt["u0"], w.attemptsAt["u1"])
+		t.Errorf("attempts at the slow upstream: %d, want at most half of the %d at a fast one", w.attemptsAt["u0"], w.attemptsAt["u1"])
 	}
 }
--- a/balancer/scripted_fleet_test.go
+++ b/balancer/scripted_fleet_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// scriptedFleet answers attempts as a script says, tick by tick.
+// scriptedFleet sends requests to a Balancer and answers its attempts as the function reply says.
 type scriptedFleet struct {
 	*harness
-	reply        func(u string) (Result, time.Duration) // and after what time; negative: never
+	reply        func(u string) (Result, time.Duration) // result at u, and the time until it; negative: never
 	inFlight     []scriptedAttempt
 	attemptsAt   map[string]int // by upstream
 	finalAnswers map[ActionKind]int
@@ -37,16 +37,17 @@
 	}
 }
 
-func (w *scriptedFleet) execute(acts []Action, tries map[string]int) {
+// execute carries out acts. attemptCounts holds the number of attempts so far by request.
+func (w *scriptedFleet) execute(acts []Action, attemptCounts map[string]int) {
 	for _, a := range acts {
 		switch a.Kind {
 		case Send:
 			res, d := w.reply(a.Upstream)
-			f := scriptedAttempt{action: a, number: tries[a.ID], sentAt: w.now, endsAt: w.now + d, result: res}
+			f := scriptedAttempt{action: a, number: attemptCounts[a.ID], sentAt: w.now, endsAt: w.now + d, result: res}
 			if d < 0 || d > a.Timeout {
 				f.endsAt, f.result = w.now+a.Timeout, Timeout
 			}
-			tries[a.ID]++
+			attemptCounts[a.ID]++
 			w.attemptsAt[a.Upstream]++
 			w.inFlight = append(w.inFlight, f)
 		case Cancel:
@@ -61,18 +62,18 @@
 	}
 }
 
-// run plays d with perSec requests a second, spread evenly.
-func (w *scriptedFleet) run(d time.Duration, perSec int) {
-	tries := map[string]int{}
+// run runs the fleet for d with perSecond requests per second, spread evenly.
+func (w *scriptedFleet) run(d time.Duration, perSecond int) {
+	attemptCounts := map[string]int{}
 	tick := w.balancer.settings.Tick
 	due := 0.0
 	for end := w.now + d; w.now < end; {
 		w.now += tick
-		w.execute(w.handle(TimerFired{}), tries)
-		for due += float64(perSec) * tick.Seconds(); due >= 1; due-- {
+		w.execute(w.handle(TimerFired{}), attemptCounts)
+		for due += float64(perSecond) * tick.Seconds(); due >= 1; due-- {
 			w.requests++
 			w.execute(w.handle(Request{ID: fmt.Sprint("r", w.requests), Class: w.balancer.settings.Classes[0].Name,
-				Deadline: w.now + w.balancer.settings.Classes[0].Deadline}), tries)
+				Deadline: w.now + w.balancer.settings.Classes[0].Deadline}), attemptCounts)
 		}
 		for i := 0; i < len(w.inFlight); i++ {
 			f := w.inFlight[i]
@@ -85,7 +86,7 @@
 				w.succeeded++
 			}
 			w.execute(w.handle(Outcome{ID: f.action.ID, Attempt: f.number, Result: f.result, Elapsed: w.now - f.sentAt,
-				Final: f.result == OK}), tries)
+				Final: f.result == OK}), attemptCounts)
 		}
 	}
 }
@@ -96,15 +97,15 @@
 
 func answerInTime(string) (Result, time.Duration) { return OK, 20 * ms }
 
-func (w *scriptedFleet) attempts() (n int) {
-	for _, k := range w.attemptsAt {
-		n += k
+func (w *scriptedFleet) attempts() (total int) {
+	for _, n := range w.attemptsAt {
+		total += n
 	}
-	return n
+	return total
 }
 
-// newZonedFleet is a world of one sidecar in zone a that sends little, before perZone upstreams in each of three
-// zones.
+// newZonedFleet returns a fleet with one of 80 sidecars, in zone a, and perZone upstreams in each of the zones a, b
+// and c.
 func newZonedFleet(t *testing.T, perZone int, reply func(u string) (Result, time.Duration)) *scriptedFleet {
 	s := testSettings()
 	s.FleetSize = 80
@@ -118,11 +119,11 @@
 	return w
 }
 
-func (w *scriptedFleet) attemptsInZone(zone string) (n int) {
-	for u, k := range w.attemptsAt {
+func (w *scriptedFleet) attemptsInZone(zone string) (total int) {
+	for u, n := range w.attemptsAt {
 		if u[:1] == zone {
-			n += k
+			total += n
 		}
 	}
-	return n
+	return total
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -35,15 +35,15 @@
 		s := testSettings()
 		change(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: error %v", want, err)
+			t.Errorf("New with an unusable %s: error %v, want one that names the setting", want, err)
 		}
 	}
 	if _, err := New(Settings{Classes: []Class{{Name: "c", Deadline: time.Second}}}, 1); err != nil {
-		t.Errorf("absent settings have defaults: %v", err)
+		t.Errorf("New with only a class and its deadline: error %v, want nil", err)
 	}
 }
 
-// With nothing set but a class, a request is sent and answered.
+// A class is enough as settings: a request is sent, and nothing more happens once it is answered.
 func TestMinimalSettings(t *testing.T) {
 	r := newHarness(t, Settings{Classes: []Class{{Name: "c", Deadline: time.Second}}})
 	r.addUpstreams(1)
--- a/balancer/slow_start_scenario_test.go
+++ b/balancer/slow_start_scenario_test.go
@@ -11,28 +11,28 @@
 	"pgregory.net/rapid"
 )
 
-// slowStartScenario is a fleet of sidecars that share nothing. Some of its upstreams start at one moment, of which all
-// sidecars learn at once.
+// slowStartScenario describes a fleet of sidecars without shared state. Some of its upstreams start at the same time, and
+// all sidecars learn of the start at once.
 type slowStartScenario struct {
-	processes, upstreams int
+	processes, upstreams int                               // processes: the sidecars
 	starting             int                               // upstreams that start
 	capacity             float64                           // mean requests that an upstream can serve in a second
-	load                 float64                           // share of all upstreams' capacity that is requested
+	load                 float64                           // offered load, as a share of the capacity of all upstreams
 	traffic              func(since time.Duration) float64 // factor on the mean traffic since the start; nil: 1
 	restarts             bool                              // some sidecars restart during the slow start
-	errorRatio           float64                           // share of attempts that end with an error, and are retried
+	errorRatio           float64                           // share of attempts that end with an error and are retried
 	hasCostHints         bool                              // requests have cost hints, from a quarter to four times the mean
 
-	// Settings of the rule; absent: those of testSettings.
+	// Slow start settings; if absent, those of testSettings apply.
 	overloadMultiple, minCapacity   float64
 	overloadWindow, slowStartWindow time.Duration
 }
 
-// slowStartResult is what the starting upstreams got.
+// slowStartResult is the load that the starting upstreams got.
 type slowStartResult struct {
-	highestLoad  float64 // most requests in a window, as a multiple of what is allowed
-	overloaded   int     // upstreams that got more than is allowed in some window
-	usedCapacity float64 // share of the capacity that they had during the slow start
+	highestLoad  float64 // most requests in a window, as a multiple of the allowed number
+	overloaded   int     // upstreams that got more requests than allowed in some window
+	usedCapacity float64 // used share of their capacity during the slow start
 }
 
 type pendingOutcome struct {
@@ -53,7 +53,7 @@
 	return x
 }
 
-// slowStartRun is a scenario while it is played.
+// slowStartRun is the state of a running scenario.
 type slowStartRun struct {
 	slowStartScenario
 	t        interface{ Fatal(...any) }
@@ -67,14 +67,14 @@
 	timers    []time.Duration // by sidecar; 0: none
 	weights   []float64       // by sidecar: share of the traffic
 	outcomes  outcomeHeap
-	attempts  [][]time.Duration // by starting upstream: when they were sent
+	attempts  [][]time.Duration // by starting upstream: the times of its attempts
 
 	requests  int
-	owed      float64 // requests due by now, less those sent
-	restarted int     // sidecars
+	due       float64 // requests due by now, minus those sent
+	restarted int     // number of restarted sidecars
 }
 
-func (s slowStartScenario) play(t interface{ Fatal(...any) }, seed uint64) slowStartResult {
+func (s slowStartScenario) run(t interface{ Fatal(...any) }, seed uint64) slowStartResult {
 	r := s.newRun(t, seed)
 	for i := range r.sidecars {
 		r.startSidecar(i)
@@ -86,8 +86,8 @@
 		}
 		r.restartSidecar()
 		for len(r.outcomes) > 0 && r.outcomes[0].at <= r.now {
-			due := heap.Pop(&r.outcomes).(pendingOutcome)
-			r.handle(due.sidecar, due.outcome)
+			pending := heap.Pop(&r.outcomes).(pendingOutcome)
+			r.handle(pending.sidecar, pending.outcome)
 		}
 		r.sendRequests()
 		for i, at := range r.timers {
@@ -122,7 +122,7 @@
 	for i := range s.upstreams {
 		r.endpoints = append(r.endpoints, Endpoint{Name: fmt.Sprint("u", i), Zone: "a", MachineType: "m"})
 	}
-	for i := range r.weights { // some have several times the mean
+	for i := range r.weights { // some sidecars have several times the mean traffic
 		r.weights[i] = math.Exp(0.9 * r.random.NormFloat64())
 	}
 	return r
@@ -145,7 +145,7 @@
 	}
 }
 
-// restartSidecar restarts the next of every fourth sidecar when it is due: evenly spread over the slow start.
+// restartSidecar restarts the next sidecar if that is due. Every fourth one restarts, evenly spread over the slow start.
 func (r *slowStartRun) restartSidecar() {
 	pause := time.Duration(r.restarted+1) * r.settings.SlowStartWindow / time.Duration(r.processes/4+1)
 	if !r.restarts || r.now <= r.startAt || r.restarted >= r.processes/4 || r.now <= r.startAt+pause {
@@ -153,7 +153,7 @@
 	}
 	i := r.restarted * 4
 	r.restarted++
-	for j := len(r.outcomes) - 1; j >= 0; j-- { // they are another process's
+	for j := len(r.outcomes) - 1; j >= 0; j-- { // the outcomes belong to the earlier process
 		if r.outcomes[j].sidecar == i {
 			heap.Remove(&r.outcomes, j)
 		}
@@ -162,14 +162,14 @@
 	r.handle(i, EndpointUpdate{Kind: FullUpdate, Endpoints: r.endpoints})
 }
 
-// sendRequests sends what is due by now, at random intervals and to random sidecars.
+// sendRequests sends the requests that are due by now, at random intervals and to random sidecars.
 func (r *slowStartRun) sendRequests() {
 	mean := r.load * r.capacity * float64(r.upstreams)
 	factor := 1.0
 	if r.traffic != nil && r.now >= r.startAt {
 		factor = r.traffic(r.now - r.startAt)
 	}
-	for r.owed += mean * factor / 1000; r.owed > 0; r.owed -= r.random.ExpFloat64() {
+	for r.due += mean * factor / 1000; r.due > 0; r.due -= r.random.ExpFloat64() {
 		r.requests++
 		i := r.randomSidecar()
 		e := Request{ID: fmt.Sprint(r.requests), Class: "c", Deadline: r.now + 8*time.Second}
@@ -205,8 +205,8 @@
 	}
 }
 
-// send answers an attempt later. The upstreams that do not start are full: each request would be better off at one that
-// starts.
+// send schedules the outcome of an attempt. The upstreams that do not start are heavily loaded: a starting upstream would
+// answer each request faster.
 func (r *slowStartRun) send(sidecar int, a Action) {
 	var u int
 	_, _ = fmt.Sscanf(a.Upstream, "u%d", &u)
@@ -224,8 +224,8 @@
 	heap.Push(&r.outcomes, pendingOutcome{r.now + outcome.Elapsed, sidecar, outcome})
 }
 
-// result compares what each starting upstream got in every window with what is allowed at the window's end: N, by
-// 2 x root of N + 2.
+// result compares the requests that each starting upstream got in every window with the number N that is allowed at the
+// window's end, with a tolerance of 2 x root of N + 2.
 func (r *slowStartRun) result() (result slowStartResult) {
 	s := r.settings
 	for _, times := range r.attempts {
@@ -276,7 +276,7 @@
 	{"300 processes, most in slow start", slowStartScenario{processes: 300, upstreams: 60, starting: 40, capacity: 8, load: 0.6}},
 }
 
-// The same as TestSlowStartSumStaysBelowOverload over random sizes, traffic and settings.
+// The check of TestSlowStartSumStaysBelowOverload holds for random sizes, traffic and settings, too.
 func TestSlowStartSumInRandomScenarios(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -286,20 +286,20 @@
 			overloadMultiple: rapid.Float64Range(2, 4).Draw(t, "overloadMultiple"), minCapacity: rapid.Float64Range(0.2, 0.6).Draw(t, "minCapacity"),
 			overloadWindow: time.Duration(rapid.IntRange(500, 2000).Draw(t, "overloadWindow")) * ms, slowStartWindow: time.Duration(rapid.IntRange(4000, 10000).Draw(t, "slowStartWindow")) * ms}
 		r.starting = max(1, r.upstreams/rapid.IntRange(2, 5).Draw(t, "starting"))
-		every, quiet := time.Duration(rapid.IntRange(200, 6000).Draw(t, "every"))*ms, rapid.Float64Range(0, 0.9).Draw(t, "quiet")
+		period, lullShare := time.Duration(rapid.IntRange(200, 6000).Draw(t, "period"))*ms, rapid.Float64Range(0, 0.9).Draw(t, "lullShare")
 		r.traffic = func(since time.Duration) float64 {
-			if float64(since%every) < quiet*float64(every) {
+			if float64(since%period) < lullShare*float64(period) {
 				return 0.02
 			}
 			return 1.5
 		}
-		if p := r.play(t, rapid.Uint64().Draw(t, "seed")); p.overloaded > 0 {
-			t.Fatalf("%d of %d starting upstreams got up to %.2f of what is allowed", p.overloaded, r.starting, p.highestLoad)
+		if result := r.run(t, rapid.Uint64().Draw(t, "seed")); result.overloaded > 0 {
+			t.Fatalf("%d of %d starting upstreams got too many requests in a window, up to %.2f of the allowed number", result.overloaded, r.starting, result.highestLoad)
 		}
 	})
 }
 
-// lullsAndBursts has hardly any traffic but in bursts.
+// lullsAndBursts returns traffic that alternates between 3 s of hardly any and a burst of 2 s.
 func lullsAndBursts(since time.Duration) float64 {
 	if since%(5*time.Second) < 3*time.Second {
 		return 0.02
@@ -307,22 +307,22 @@
 	return 1.5
 }
 
-// The sum of what all sidecars send to a starting upstream stays within what the settings allow, N, by 2 x
-// root of N + 2 in every window. Traffic is uneven, each sidecar's part is often well below one request, and
-// all learn of the start at once.
+// The requests of all sidecars to a starting upstream add up, in every window, to no more than the number N that
+// the settings allow, with a tolerance of 2 x root of N + 2. Traffic is uneven, each sidecar's share is often
+// well below one request, and all sidecars learn of the start at once.
 func TestSlowStartSumStaysBelowOverload(t *testing.T) {
 	for _, c := range slowStartScenarios {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			var worst, work float64
-			over, plays := 0, 3
-			for seed := range uint64(plays) {
-				p := c.play(t, seed)
-				worst, work, over = max(worst, p.highestLoad), work+p.usedCapacity/float64(plays), over+p.overloaded
+			var worstLoad, meanUse float64
+			failures, runs := 0, 3
+			for seed := range uint64(runs) {
+				result := c.run(t, seed)
+				worstLoad, meanUse, failures = max(worstLoad, result.highestLoad), meanUse+result.usedCapacity/float64(runs), failures+result.overloaded
 			}
-			t.Logf("at most %.2f of what a window may bring, %d of %d over; %.2f of the work that they could do", worst, over, plays*c.starting, work)
-			if over > 0 {
-				t.Errorf("%d of %d starting upstreams got up to %.2f of what is allowed", over, plays*c.starting, worst)
+			t.Logf("at most %.2f of the requests allowed in a window, %d of %d upstreams above it; %.2f of their capacity used", worstLoad, failures, runs*c.starting, meanUse)
+			if failures > 0 {
+				t.Errorf("%d of %d starting upstreams got too many requests in a window, up to %.2f of the allowed number", failures, runs*c.starting, worstLoad)
 			}
 		})
 	}
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// An upstream in slow start gets at most its share of the mean load, of first attempts, retries and panic
-// picks.
+// An upstream in slow start gets at most its share of the mean load, counting first attempts, retries and the
+// attempts that are made when no upstream is available.
 func TestSlowStartBudget(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(10)
 	n := map[string]int{}
 	id := 0
-	second := func() {
-		for range 200 { // 200 requests a second, answered at once
+	runSecond := func() {
+		for range 200 { // 200 requests per second, answered at once
 			id++
 			name := string(rune('a'+id%26)) + time.Duration(id).String()
 			for _, a := range ofKind(r.request(name, "c", time.Second), Send) {
@@ -26,34 +26,34 @@
 		}
 	}
 	for range 10 {
-		second()
+		runSecond()
 	}
 	for i := range 9 { // nearly all upstreams restart
 		r.updateEndpoints(IncrementalUpdate, Endpoint{Name: "u" + string(rune('0'+i)), Zone: "a", StartedAt: r.now})
 	}
 	clear(n)
-	second()
+	runSecond()
 	for i := range 9 {
 		u := "u" + string(rune('0'+i))
-		// 20 a second is the mean, and three times the 0.2 to 0.28 of it that is there in this second pushes it
-		// over.
+		// The mean is 20 per second. In this second the capacity is 0.2 to 0.28 of that, and three times the
+		// capacity overloads the upstream.
 		if n[u] > 13 {
-			t.Errorf("%d requests to starting %s in its first second", n[u], u)
+			t.Errorf("%d requests to starting %s in its first second, want at most 13", n[u], u)
 		}
 	}
 	for range 4 {
-		second()
+		runSecond()
 	}
 	if len(n) < 10 {
-		t.Errorf("in five seconds only %d upstreams got a request", len(n))
+		t.Errorf("only %d of 10 upstreams got a request in five seconds", len(n))
 	}
 }
 
-// The budget of a starting upstream is used while the others are full: its first estimate is no worse than
-// theirs.
+// Starting upstreams use their budget while the others are heavily loaded, because their first latency estimate is not
+// above that of the others.
 func TestSlowStartBudgetIsUsed(t *testing.T) {
 	s := testSettings()
-	s.FleetSize, s.Classes[0].LatencyObjective = 80, time.Second // aims long enough that nothing is shed
+	s.FleetSize, s.Classes[0].LatencyObjective = 80, time.Second // a latency objective that is long enough for no load shedding
 	w := newScriptedFleet(t, s, func(u string) (Result, time.Duration) {
 		if u < "u4" {
 			return OK, 200 * ms
@@ -68,13 +68,14 @@
 	clear(w.attemptsAt)
 	w.run(4*time.Second, 20)
 	starting := w.attemptsAt["u4"] + w.attemptsAt["u5"] + w.attemptsAt["u6"] + w.attemptsAt["u7"]
-	// 2.5 a second is the mean, of which 0.8 x 3 x 0.2 to 0.52 may go: 34 in all.
+	// The mean is 2.5 per second, of which each may get 0.8 x 3 x 0.2 to 0.52: 34 in all.
 	if starting < 20 || starting > 40 {
-		t.Errorf("%d sent to four starting upstreams in 4 s beside full ones", starting)
+		t.Errorf("%d requests to four starting upstreams in 4 s, want 20 to 40", starting)
 	}
 }
 
-// With all upstreams in slow start, requests wait or are rejected: a panic pick keeps to the budget.
+// With all upstreams in slow start, requests wait or are rejected: attempts keep to the budget even when no upstream is
+// available.
 func TestAllUpstreamsInSlowStart(t *testing.T) {
 	r := newHarness(t, testSettings())
 	var list []Endpoint
@@ -92,14 +93,14 @@
 		}
 		ended += len(finalAnswers(acts))
 	}
-	// 200 a second over 4 starting upstreams, each with 0.2 to 0.36 of its share: 0.8 of three times that is 112 a
-	// second.
+	// 200 per second are due to 4 starting upstreams, each with 0.2 to 0.36 of its capacity: 0.8 of three times that
+	// is 112 per second.
 	if sent > 224 || sent < 80 || ended == 0 {
-		t.Errorf("%d sent, %d ended unsent", sent, ended)
+		t.Errorf("%d requests sent, want 80 to 224; %d rejected or failed, want some", sent, ended)
 	}
 }
 
-// Only the endpoint list tells of a restart: a return from ejection is no slow start.
+// Only the endpoint list shows a restart: a return from ejection begins no slow start.
 func TestReturnFromEjectionIsNoSlowStart(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(2)
@@ -111,17 +112,17 @@
 		n[r.wantSend(r.request(string(rune('a'+i)), "c", time.Second))]++
 	}
 	if n["u0"] != 1 {
-		t.Errorf("%d trials at once, want 1", n["u0"])
+		t.Errorf("%d trials of the ejected upstream at once, want 1", n["u0"])
 	}
 	for i := range 5 {
 		r.outcome(string(rune('a'+i)), 0, OK, 20*ms)
 	}
 	if u.slowStart.active || u.outlier.consecutiveEjections != 0 {
-		t.Errorf("after its return: %+v", u)
+		t.Errorf("still ejected or in slow start after its return: %+v", u)
 	}
 }
 
-// lowTrafficFleet is many sidecars that share nothing, each with two requests a second that are answered at once.
+// lowTrafficFleet has many sidecars without shared state, each with two requests per second that are answered at once.
 type lowTrafficFleet struct {
 	now       time.Duration
 	random    *rand.Rand
@@ -153,7 +154,7 @@
 	return ofKind(b.Handle(f.now, e, nil), Send)
 }
 
-// start starts the first upstreams anew.
+// start restarts the first upstreams.
 func (f *lowTrafficFleet) start(upstreams int) {
 	for i := range upstreams {
 		f.endpoints[i].StartedAt = f.now
@@ -163,7 +164,7 @@
 	}
 }
 
-// runSecond returns the attempts of one second by upstream.
+// runSecond runs the fleet for one second and returns the number of attempts by upstream.
 func (f *lowTrafficFleet) runSecond() map[string]int {
 	attempts := map[string]int{}
 	for range 100 {
@@ -181,12 +182,12 @@
 	return attempts
 }
 
-// Many sidecars of little traffic, and most upstreams have just started: together they stay below what overloads a
-// starting upstream, and still use it. Its capacity begins at 0.2 and is full after 10 s; three times the capacity for
-// 2 s overloads it.
+// Many sidecars with little traffic and most upstreams in slow start: the sidecars together stay below the load that
+// overloads a starting upstream, and still use it. Its capacity grows from 0.2 to 1 within 10 s; three times the
+// capacity for 2 s overloads it.
 func TestManyLowTrafficSidecarsInSlowStart(t *testing.T) {
 	const sidecars, upstreams, starting = 400, 40, 36
-	const mean = float64(sidecars) * 2 / upstreams // requests a second for each upstream, below its capacity
+	const mean = float64(sidecars) * 2 / upstreams // requests per second for each upstream, below its capacity
 	for seed := range uint64(5) {
 		f := newLowTrafficFleet(t, sidecars, upstreams, seed)
 		for range 10 {
@@ -202,17 +203,17 @@
 				total += got
 				limit := 3 * 2 * mean * (0.2 + 0.8*float64(2*period)/10)
 				if period < 5 && float64(got) > limit {
-					t.Errorf("seed %d: %d sent to starting %s in 2 s, %.0f overload it", seed, got, name, limit)
+					t.Errorf("seed %d: %d requests to starting %s in 2 s, want at most %.0f, which overload it", seed, got, name, limit)
 				}
 			}
 		}
 		if float64(total) < starting*mean*16/8 {
-			t.Errorf("seed %d: %d requests to %d upstreams in 16 s, during and after slow start", seed, total, starting)
+			t.Errorf("seed %d: too few requests, %d to %d upstreams, in the 16 s during and after slow start", seed, total, starting)
 		}
 	}
 }
 
-// Half the upstreams in slow start and one crashed: the starting ones stay within their budget.
+// With half the upstreams in slow start and one crashed, the starting ones stay within their budget.
 func TestCrashDuringDeploy(t *testing.T) {
 	w := newScriptedFleet(t, testSettings(), func(u string) (Result, time.Duration) {
 		if u == "u0" {
@@ -233,26 +234,26 @@
 		return OK, 20 * ms
 	}
 	clear(w.attemptsAt)
-	ok, n := w.succeeded, w.requests
+	succeededBefore, requestsBefore := w.succeeded, w.requests
 	w.run(2*time.Second, 200)
-	if got := w.succeeded - ok; float64(got) < 0.95*float64(w.requests-n) {
-		t.Errorf("%d of %d served", got, w.requests-n)
+	if got := w.succeeded - succeededBefore; float64(got) < 0.95*float64(w.requests-requestsBefore) {
+		t.Errorf("%d of %d requests served, want at least 95 percent", got, w.requests-requestsBefore)
 	}
 	for i := 4; i < 8; i++ {
-		// The fall rule: 3 times 0.2 to 0.36 of the capacity; 25 a second each is the mean load.
+		// Overload begins at 3 times 0.2 to 0.36 of the capacity; the mean load is 25 per second for each upstream.
 		if got := w.attemptsAt[fmt.Sprint("u", i)]; got > 40 {
-			t.Errorf("u%d, in slow start: %d in 2 s", i, got)
+			t.Errorf("u%d, in slow start, got %d requests in 2 s, want at most 40", i, got)
 		}
 	}
 }
 
-// TestSlowStartTokensLapse guards against buckets that are all full after a lull: of many sidecars with a small share each, only those
-// whose turn it is hold a token at one moment.
+// TestSlowStartTokensLapse guards against buckets that are all full after a lull: of many sidecars with a small share
+// each, only a few hold a token at the same time.
 func TestSlowStartTokensLapse(t *testing.T) {
 	const (
 		sidecars  = 200
 		window    = 2 * time.Second
-		perSecond = 0.02 // of each
+		perSecond = 0.02 // tokens, for each sidecar
 	)
 	random := rand.New(rand.NewPCG(1, 2))
 	buckets := make([]slowStartState, sidecars)
@@ -269,14 +270,14 @@
 				holding++
 			}
 		}
-		// Each holds one for half a window of the 50 s between two: 4 in the mean.
+		// Each sidecar holds a token for half a window, 1 s, of the 50 s between two tokens: the mean is 4 sidecars.
 		if holding > 14 {
-			t.Fatalf("after %v %d of %d sidecars hold a token", now, holding, sidecars)
+			t.Fatalf("after %v, %d of %d sidecars hold a token, want at most 14", now, holding, sidecars)
 		}
 	}
 }
 
-// TestSlowStartTokenOfASmallRequest guards against small requests of which one token sends several.
+// TestSlowStartTokenOfASmallRequest guards against one token being enough for several small requests.
 func TestSlowStartTokenOfASmallRequest(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(1)
@@ -284,6 +285,6 @@
 	u.slowStart = slowStartState{active: true, startedAt: r.now, refilledAt: r.now, tokens: 1}
 	r.balancer.send(&request{id: "small", cost: 0.25, class: r.balancer.classes["c"]}, u)
 	if u.slowStart.tokens != 0 {
-		t.Errorf("%v tokens are left", u.slowStart.tokens)
+		t.Errorf("%v tokens are left after a small request, want 0", u.slowStart.tokens)
 	}
 }
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -8,14 +8,14 @@
 // registryScenario is a fleet of sidecars whose endpoint registry rejects calls.
 type registryScenario struct {
 	now, startedAt time.Duration
-	rejectsFor     time.Duration // every call from the start on; after that it takes one a second
+	rejectsFor     time.Duration // how long the registry rejects every call; after that it accepts one per second
 	endpoints      []Endpoint
 	sidecars       []*Balancer
 	timers         []time.Duration // by sidecar; 0: none
-	calls          []int           // sidecars whose call is to be answered
+	calls          []int           // sidecars that wait for the reply to a call
 	callsInSecond  []int
-	lastAcceptedIn time.Duration // second
-	subscribed     int           // sidecars
+	lastAcceptedIn time.Duration // second since startedAt in which the latest call was accepted
+	subscribed     int           // number of subscribed sidecars
 }
 
 func newRegistryScenario(t *testing.T, sidecars int, rejectsFor, length time.Duration) *registryScenario {
@@ -77,8 +77,8 @@
 	r.now += 50 * ms
 }
 
-// All sidecars of a release start at the same moment. The registry rejects every call for 10 s and then takes one a
-// second: the calls do not go on in step, and no sidecar gives up.
+// All sidecars of a release start at the same time. The registry rejects every call for 10 s and then accepts one per
+// second: the calls spread out over time, and every sidecar subscribes in the end.
 func TestManySidecarsSubscribeToOverloadedRegistry(t *testing.T) {
 	const rejectsFor, length = 10 * time.Second, 420 * time.Second
 	for _, sidecars := range []int{10, 80, 320} {
@@ -86,18 +86,18 @@
 		for r.now < r.startedAt+length && r.subscribed < sidecars {
 			r.step()
 		}
-		early, most := 0, 0
+		early, highest := 0, 0
 		for second, calls := range r.callsInSecond {
 			if second < int(rejectsFor/time.Second) {
 				early += calls
 			} else {
-				most = max(most, calls)
+				highest = max(highest, calls)
 			}
 		}
-		t.Logf("%d sidecars: %d calls in the first 10 s, up to %d in a second after, %d are subscribed after %v",
-			sidecars, early, most, r.subscribed, r.now-r.startedAt)
-		if early > 5*sidecars || most > sidecars/4+4 {
-			t.Errorf("%d sidecars: %d calls in the first 10 s, up to %d in a second after", sidecars, early, most)
+		t.Logf("%d sidecars: %d calls in the first 10 s, up to %d per second after that, %d are subscribed after %v",
+			sidecars, early, highest, r.subscribed, r.now-r.startedAt)
+		if early > 5*sidecars || highest > sidecars/4+4 {
+			t.Errorf("%d sidecars: too many calls, %d in the first 10 s or %d in a later second", sidecars, early, highest)
 		}
 		if r.subscribed < sidecars {
 			t.Errorf("%d of %d sidecars are subscribed after %v", r.subscribed, sidecars, length)
@@ -105,13 +105,13 @@
 	}
 }
 
-// A failed subscription is followed by another, each time after a longer pause; a success ends that.
+// A failed subscription is retried, each time after a longer pause, until one succeeds.
 func TestSubscribesAgainWithBackoff(t *testing.T) {
 	s := testSettings()
 	s.MustSubscribe = true
 	r := newHarness(t, s)
 	if n := len(ofKind(r.updateEndpoints(CachedUpdate, Endpoint{Name: "u0"}), Subscribe)); n != 1 {
-		t.Fatalf("%d calls at the start", n)
+		t.Fatalf("%d Subscribe actions for the cached list, want 1", n)
 	}
 	var pauses []time.Duration
 	for range 4 {
@@ -119,20 +119,20 @@
 		r.handle(EndpointUpdate{Kind: UpdateFailed})
 		for len(ofKind(r.advance(5*ms), Subscribe)) == 0 {
 			if r.now-failedAt > 20*time.Second {
-				t.Fatal("never subscribed again")
+				t.Fatal("no new subscription within 20 s after a failure")
 			}
 		}
 		pauses = append(pauses, r.now-failedAt)
 	}
 	if pauses[0] < subscribeBackoffBase/2 || pauses[3] < 2*pauses[0] {
-		t.Errorf("pauses %v do not grow", pauses)
+		t.Errorf("pauses %v between subscriptions are too short or do not grow", pauses)
 	}
 	r.updateEndpoints(IncrementalUpdate)
 	if n := len(ofKind(r.advance(20*time.Second), Subscribe)); n != 0 {
-		t.Errorf("%d calls while subscribed", n)
+		t.Errorf("%d Subscribe actions while subscribed, want 0", n)
 	}
 	r.handle(EndpointUpdate{Kind: UpdateFailed}) // the subscription broke
 	if n := len(ofKind(r.advance(2*time.Second), Subscribe)); n != 1 {
-		t.Errorf("%d calls after the subscription broke", n)
+		t.Errorf("%d Subscribe actions after the subscription broke, want 1", n)
 	}
 }
