--- a/balancer/outlier_detection_test.go
+++ b/balancer/outlier_detection_test.go
@@ -61,7 +61,7 @@
 		}
 		t.Logf("%s: %d attempts at faulty upstreams, %d of %d requests served", c.name, faultyAttempts, w.succeeded, w.requests)
 		if float64(faultyAttempts) > c.attempts*float64(w.requests) || float64(w.succeeded) < c.served*float64(w.requests) {
-			t.Errorf("%s: %d attempts at faulty upstreams, %d of %d requests served", c.name, faultyAttempts, w.succeeded, w.requests)
+			t.Errorf("%s: too many attempts at faulty upstreams, %d, or too few requests served, %d of %d", c.name, faultyAttempts, w.succeeded, w.requests)
 		}
 	}
 }
--- a/balancer/picker.go
+++ b/balancer/picker.go
@@ -23,7 +23,7 @@
 
 // pick returns the upstream for r's next attempt, or nil if none may get it. It takes the least loaded by
 // load report if there are enough reports, and otherwise chooses at random between available upstreams. It
-// prefers upstreams that r has not tried. If r has no attempt in flight, an ejected one is better than none.
+// prefers untried upstreams. If none is available and r has no attempt in flight, it takes an ejected one.
 func (b *Balancer) pick(r *request) *upstream {
 	if u := b.pickByLoadReport(r); u != nil {
 		return u
--- a/balancer/slow_start_scenario_test.go
+++ b/balancer/slow_start_scenario_test.go
@@ -299,7 +299,7 @@
 	})
 }
 
-// lullsAndBursts returns traffic that alternates between 3 s of hardly any and a burst of 2 s.
+// lullsAndBursts returns a factor on the mean traffic: 0.02 for 3 s, then 1.5 for 2 s.
 func lullsAndBursts(since time.Duration) float64 {
 	if since%(5*time.Second) < 3*time.Second {
 		return 0.02
