--- a/internal/boltfile/boltfile_test.go
+++ b/internal/boltfile/boltfile_test.go
@@ -22,7 +22,7 @@
 	return path, func() { db.Close() }
 }
 
-// TestOpenWaitsForLock checks that Open waits for the lock of another process, calls OnWaiting each second, and has the file then.
+// TestOpenWaitsForLock checks that Open waits while the file is locked, calls OnWaiting every second, and succeeds after the unlock.
 func TestOpenWaitsForLock(t *testing.T) {
 	path, release := lockedFile(t)
 	notified := 0
@@ -35,21 +35,21 @@
 		t.Fatal(err)
 	}
 	if notified < 3 {
-		t.Errorf("opened after %d notifications", notified)
+		t.Errorf("Open returned after %d calls of OnWaiting, want at least 3", notified)
 	}
 	if err := db.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestOpenGivesUp checks that Open ends at its timeout, and with its context.
+// TestOpenGivesUp checks that Open returns at its timeout, and when its context is canceled, while the file stays locked.
 func TestOpenGivesUp(t *testing.T) {
 	path, _ := lockedFile(t)
 	if _, err := Open(t.Context(), path, LockWait{Timeout: 50 * time.Millisecond}); !errors.Is(err, ErrLocked) {
-		t.Errorf("%v", err)
+		t.Errorf("Open with a timeout returned %v, want ErrLocked", err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	if _, err := Open(ctx, path, LockWait{OnWaiting: func(time.Duration) { cancel() }}); !errors.Is(err, context.Canceled) {
-		t.Errorf("%v", err)
+		t.Errorf("Open with a canceled context returned %v, want context.Canceled", err)
 	}
 }
--- a/internal/idempotency/boltstore/golden_test.go
+++ b/internal/idempotency/boltstore/golden_test.go
@@ -24,7 +24,8 @@
 		Attempts: []idempotency.Attempt{{Zone: "dc1", Cell: 1, SentAt: time.Second}}, UpdatedAt: 2 * time.Second},
 }
 
-// TestFileGolden checks that a file's buckets, keys and values are written as by the previous release, and that its file is read.
+// TestFileGolden checks that buckets, keys and values are written exactly as the previous release wrote them, and that a file of that
+// release can be read.
 func TestFileGolden(t *testing.T) {
 	text := dumpFile(t, goldenRecords)
 	golden.Match(t, "file.txt", text)
@@ -38,13 +39,13 @@
 	var got []idempotency.Record
 	err = s.Load(func(now time.Duration, r idempotency.Record) error {
 		if now != 2*time.Second {
-			t.Errorf("the process's clock is read as %v", now)
+			t.Errorf("Load passed the clock %v, want 2s", now)
 		}
 		got = append(got, r)
 		return nil
 	})
 	if err != nil || !reflect.DeepEqual(got, goldenRecords) {
-		t.Errorf("read %+v, %v; want %+v", got, err, goldenRecords)
+		t.Errorf("Load passed the records %+v and returned %v; want %+v", got, err, goldenRecords)
 	}
 }
 
@@ -78,7 +79,7 @@
 	return text.Bytes()
 }
 
-// createFile writes a bbolt file from lines "bucket key value", without this package's own code.
+// createFile writes a bbolt file from lines "bucket key value", using bbolt directly and not the code under test.
 func createFile(t *testing.T, path, text string) {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, nil)
@@ -87,16 +88,16 @@
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
 		for line := range strings.Lines(text) {
-			part := strings.Fields(line)
-			bucket, err := tx.CreateBucketIfNotExists([]byte(part[0]))
+			fields := strings.Fields(line)
+			bucket, err := tx.CreateBucketIfNotExists([]byte(fields[0]))
 			if err != nil {
 				return err
 			}
-			key, err := hex.DecodeString(part[1])
+			key, err := hex.DecodeString(fields[1])
 			if err != nil {
 				return err
 			}
-			value, err := hex.DecodeString(part[2])
+			value, err := hex.DecodeString(fields[2])
 			if err != nil {
 				return err
 			}
--- a/internal/idempotency/boltstore/store.go
+++ b/internal/idempotency/boltstore/store.go
@@ -1,9 +1,9 @@
-// Package boltstore keeps idempotency records durably in a bbolt file. It implements executor.RecordStore; the executor calls it, from
-// several goroutines. A record is synced to the disk when Put returns; concurrent Puts share a sync. docs/design/repeats.md compares it
-// with a log of the project's own.
+// Package boltstore stores idempotency records durably in a bbolt file. It implements executor.RecordStore, whose methods the executor
+// calls from several goroutines. A record is synced to the disk when Put returns; concurrent Puts share a sync. docs/design/repeats.md
+// compares bbolt with a custom log file.
 //
-// The file has two buckets: "keys" holds the encoded records by tenant, class and key, separated by zero bytes; "meta" holds under "now"
-// the clock of the process that wrote last, in nanoseconds, 8 bytes big-endian.
+// The file has two buckets. "keys" maps tenant, class and key, separated by zero bytes, to the encoded record. "meta" holds under "now" the
+// clock of the process that wrote last, in nanoseconds, as 8 bytes big-endian.
 package boltstore
 
 import (
@@ -22,7 +22,7 @@
 // Store is an open file of records. It is safe for concurrent use.
 type Store struct{ db *bbolt.DB }
 
-// The names of the buckets, and of the clock's entry.
+// The names of the buckets and the key of the clock in metaBucket.
 var (
 	recordsBucket = []byte("keys")
 	metaBucket    = []byte("meta")
@@ -30,13 +30,13 @@
 )
 
 const (
-	maxBatchDelay   = 2 * time.Millisecond // for which a Put waits for others to share its sync
-	maxBatchRecords = 50_000               // records per transaction of PutAll
-	clockBytes      = 8                    // length of the clock's entry
+	maxBatchDelay   = 2 * time.Millisecond // how long a Put waits for others to share its sync
+	maxBatchRecords = 50_000               // most records in a transaction of PutAll
+	clockBytes      = 8                    // length of the stored clock
 )
 
-// Open opens a file, or creates it; wait says how long to wait for another process's lock. A file that is truncated, corrupt or
-// another program's is an error and is left as it is, since it may hold keys that must not be executed again.
+// Open opens a file, or creates it; wait configures how long to wait for another process's lock. If the file is truncated, corrupt or
+// from another program, Open returns an error and leaves it unchanged, since it may hold keys whose requests must not be executed again.
 func Open(ctx context.Context, path string, wait boltfile.LockWait) (s *Store, err error) {
 	defer recoverPageFault(path, &err)()
 	if err := checkComplete(path); err != nil {
@@ -44,7 +44,7 @@
 	}
 	db, err := boltfile.Open(ctx, path, wait)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, fmt.Errorf("open record file %s: %w", path, err)
 	}
 	db.MaxBatchDelay = maxBatchDelay
 	if err := db.Update(createBuckets); err != nil {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// Load calls do for each record, with the time that the last process's clock had reached.
+// Load calls do for each record, and passes as now the last time that the previous process's clock is known to have reached.
 func (s *Store) Load(do func(now time.Duration, record idempotency.Record) error) (err error) {
 	defer recoverPageFault(s.db.Path(), &err)()
 	err = s.db.View(func(tx *bbolt.Tx) error {
@@ -79,12 +79,12 @@
 		})
 	})
 	if err != nil {
-		return fmt.Errorf("%s: %w", s.db.Path(), err)
+		return fmt.Errorf("load records from %s: %w", s.db.Path(), err)
 	}
 	return nil
 }
 
-// Put writes record, if it is not nil, deletes expired records and advances the stored clock to now. It returns once that is durable.
+// Put writes record, if it is not nil, deletes expired records and advances the stored clock to now. It returns once this is durable.
 func (s *Store) Put(record *idempotency.Record, expired []idempotency.ID, now time.Duration) error {
 	var value []byte
 	if record != nil {
@@ -102,14 +102,14 @@
 				return err
 			}
 		}
-		if stored, found := readClock(tx); found && stored >= now { // concurrent Puts are not in order
+		if stored, found := readClock(tx); found && stored >= now { // concurrent Puts may commit out of order
 			return nil
 		}
 		return writeClock(tx, now)
 	})
 }
 
-// PutAll writes many records in order, with a sync for each maxBatchRecords of them, and sets the stored clock to now.
+// PutAll writes many records in order, with one sync for every maxBatchRecords records, and sets the stored clock to now.
 func (s *Store) PutAll(records []idempotency.Record, now time.Duration) error {
 	for len(records) > 0 {
 		batch := records[:min(maxBatchRecords, len(records))]
@@ -138,7 +138,7 @@
 	return []byte(id.Tenant + "\x00" + id.Class + "\x00" + id.Key)
 }
 
-// readClock returns the stored clock; false if there is none.
+// readClock returns the stored clock, or false if none is stored.
 func readClock(tx *bbolt.Tx) (time.Duration, bool) {
 	value := tx.Bucket(metaBucket).Get(clockKey)
 	if len(value) != clockBytes {
--- a/internal/idempotency/boltstore/store_test.go
+++ b/internal/idempotency/boltstore/store_test.go
@@ -14,8 +14,7 @@
 	"orchiddrift/internal/idempotency/recordcodec"
 )
 
-// TestRecordsSurviveReopen checks that the records of any sequence of Puts are loaded after each reopening of the file, without those that
-// have expired.
+// TestRecordsSurviveReopen checks that, after any sequence of Puts, reopening the file loads all records except those deleted as expired.
 func TestRecordsSurviveReopen(t *testing.T) {
 	files := 0
 	dir := t.TempDir()
@@ -57,7 +56,7 @@
 	got, clock := map[idempotency.ID]idempotency.Record{}, wantClock
 	err := s.Load(func(now time.Duration, r idempotency.Record) error { clock, got[r.ID] = now, r; return nil })
 	if err != nil || clock != wantClock || !reflect.DeepEqual(got, want) {
-		t.Fatalf("%v, %v (%v):\n%+v\nwant\n%+v", err, clock, wantClock, got, want)
+		t.Fatalf("Load returned %v, passed the clock %v (want %v) and the records\n%+v\nwant\n%+v", err, clock, wantClock, got, want)
 	}
 }
 
@@ -87,7 +86,7 @@
 	return r
 }
 
-// TestNoiseInPlaceOfRecord checks that no bytes in place of a record make decoding panic.
+// TestNoiseInPlaceOfRecord checks that decoding arbitrary bytes, as a corrupt file may contain, never panics.
 func TestNoiseInPlaceOfRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		_, _ = recordcodec.DecodeShared(rapid.SliceOf(rapid.Byte()).Draw(t, "noise"))
--- a/internal/idempotency/recordcodec/codec.go
+++ b/internal/idempotency/recordcodec/codec.go
@@ -1,7 +1,7 @@
 // Package recordcodec encodes idempotency records as protobuf messages, for a file or a store that several processes share, and decodes
 // them. It is pure: no I/O and no state.
 //
-// The schema; unknown fields are skipped, so that later versions can add some:
+// Decoding skips unknown fields, so that later versions can add fields. The schema:
 //
 //	message Record {
 //	  bytes  tenant = 1;
@@ -29,7 +29,7 @@
 )
 
 // ErrMalformed is returned for bytes that are not an encoded record.
-var ErrMalformed = errors.New("malformed record")
+var ErrMalformed = errors.New("malformed idempotency record")
 
 // The fields of a Record.
 const (
--- a/internal/idempotency/recordcodec/decode.go
+++ b/internal/idempotency/recordcodec/decode.go
@@ -10,8 +10,8 @@
 	"orchiddrift/internal/idempotency"
 )
 
-// Decode decodes a record, which does not alias b. previous is a record decoded before, or an empty one: the texts that most records of a
-// tenant have in common are shared with it, to save memory.
+// Decode decodes a record, which does not alias b. previous is a record decoded before, or an empty one. The result shares equal tenant and
+// class strings with previous, to save memory.
 func Decode(b []byte, previous *idempotency.Record) (idempotency.Record, error) {
 	var r idempotency.Record
 	err := forEachField(b, func(f field) error { return decodeRecordField(f, &r, previous) })
@@ -125,7 +125,7 @@
 	return attempt, err
 }
 
-// reuse returns text as a string, which is previous if they are equal.
+// reuse returns text as a string, without an allocation if it equals previous.
 func reuse(text []byte, previous string) string {
 	if string(text) == previous {
 		return previous
@@ -133,7 +133,7 @@
 	return string(text)
 }
 
-// field is a field of a message: bytes is its value if it has the wire type bytes, and integer if it is a varint in zigzag encoding. Both
+// field is a field of a message. bytes is the value of a field of wire type bytes, and integer that of a varint in zigzag encoding. Both
 // are zero for other wire types.
 type field struct {
 	number  protowire.Number
--- a/internal/idempotency/recordcodec/encode.go
+++ b/internal/idempotency/recordcodec/encode.go
@@ -59,12 +59,12 @@
 	return appendInt(b, attemptSentAt, int64(attempt.SentAt))
 }
 
-// appendBytes appends a field of type bytes, also an empty one.
+// appendBytes appends a field of type bytes, even if value is empty.
 func appendBytes(b []byte, number protowire.Number, value []byte) []byte {
 	return protowire.AppendBytes(protowire.AppendTag(b, number, protowire.BytesType), value)
 }
 
-// appendInt appends a field of type sint64, also a zero.
+// appendInt appends a field of type sint64, even if value is zero.
 func appendInt(b []byte, number protowire.Number, value int64) []byte {
 	return protowire.AppendVarint(protowire.AppendTag(b, number, protowire.VarintType), protowire.EncodeZigZag(value))
 }
