--- a/internal/idempotency/decision.go
+++ b/internal/idempotency/decision.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// ID identifies an idempotency key within its scope.
+// ID identifies an idempotency key within its scope, a tenant and a class.
 type ID struct{ Tenant, Class, Key string }
 
-// maxIDBytes is the largest accepted length of an ID's three texts together, in bytes.
+// maxIDBytes is the largest accepted length of an ID's three strings together, in bytes.
 const maxIDBytes = 1024
 
-// bytes returns the length of the ID's three texts together.
+// bytes returns the length of the ID's three strings together.
 func (id ID) bytes() int { return len(id.Tenant) + len(id.Class) + len(id.Key) }
 
-// Fingerprint tells the requests of one key apart: the first bytes of a cryptographic hash of method, path and body.
+// Fingerprint distinguishes requests that use the same key. It is the first bytes of a cryptographic hash of method, path and body.
 type Fingerprint [16]byte
 
-// Attempt is a send that may have been executed, with the group of upstreams that deduplicates it.
+// Attempt is a request sent to an upstream that may have executed it. Zone and Cell identify the upstreams that deduplicate it.
 type Attempt struct {
 	Zone   string
 	Cell   int
 	SentAt time.Duration // on the Store's clock, unless the type that holds the attempt says otherwise
 }
 
-// Answer is a stored answer. It must not be modified.
+// Answer is an answer that is stored for replay. It must not be modified.
 type Answer struct {
 	Status int
 	Header map[string][]string
 	Body   []byte
 }
 
-// Estimated memory that an answer's header takes beside its texts, in bytes.
+// Estimated memory that an answer's header takes in addition to its names and values, in bytes.
 const (
 	headerNameOverheadBytes  = 64 // per name: its map slot and its slice
 	headerValueOverheadBytes = 16 // per value: its string header
@@ -46,34 +46,34 @@
 	return size
 }
 
-// Verdict is what becomes of an arriving request.
+// Verdict says how an arriving request is handled.
 type Verdict int
 
 // The verdicts.
 const (
-	Execute         Verdict = iota // execute it, deduplicated against EarlierAttempts; Store.Finish must follow
-	Wait                           // wait for the running request of the key; Store.StopWaiting follows if the client leaves first
+	Execute         Verdict = iota // execute the request, deduplicated against EarlierAttempts; call Store.Finish when it ends
+	Wait                           // wait for the running request of the key; call Store.StopWaiting if the client disconnects first
 	Replay                         // return the stored Answer
-	Conflict                       // the key belongs to another request
-	Reject                         // not executed; a retry after RetryAfter is harmless
-	Fail                           // an earlier attempt may have been executed, and it is too late for another one
-	AnswerNotStored                // an earlier request was answered, but its answer was too large to be stored
+	Conflict                       // the key was used for a different request
+	Reject                         // do not execute the request; a retry after RetryAfter is safe
+	Fail                           // an earlier attempt may have been executed, and upstreams may no longer deduplicate another one
+	AnswerNotStored                // an earlier request was answered, but its answer was too large to store
 )
 
 // Decision is a verdict with the values that belong to it.
 type Decision struct {
 	Verdict         Verdict
-	Answer          *Answer       // of Replay
-	EarlierAttempts []Attempt     // of Execute
-	RetryAfter      time.Duration // of Reject
+	Answer          *Answer       // set for Replay
+	EarlierAttempts []Attempt     // set for Execute
+	RetryAfter      time.Duration // set for Reject
 }
 
-// Outcome is how an executed request ended. Its numbers are stored in records.
+// Outcome is how an executed request ended. Records store its numeric values.
 type Outcome int
 
 // The outcomes.
 const (
 	Answered    Outcome = iota
-	NotExecuted         // proved: the key becomes unknown again, unless an earlier attempt may have been executed
-	MayHaveRun          // it may have been executed
+	NotExecuted         // certainly not executed: the key is forgotten, unless an earlier attempt may have been executed
+	MayHaveRun          // the request may have been executed
 )
--- a/internal/idempotency/executor/declaration.go
+++ b/internal/idempotency/executor/declaration.go
@@ -12,31 +12,32 @@
 	"orchiddrift/internal/units"
 )
 
-// Declaration is a store of keys in the configuration file.
+// Declaration is a store of idempotency keys as declared in the configuration file.
 type Declaration struct {
 	idempotency.Options
-	Shared etcdstore.Declaration `toml:"shared" reload:"start" doc:"Keys that all sidecars of the service share, in an etcd."`
+	Shared etcdstore.Declaration `toml:"shared" reload:"start" doc:"An etcd through which all sidecars of the service share their keys."`
 }
 
-// maxSharedAnswerBytes is the largest answer that a shared store takes: etcd accepts requests of at most 1.5 MiB.
+// maxSharedAnswerBytes is the largest answer that a shared store accepts: etcd accepts requests of at most 1.5 MiB.
 const maxSharedAnswerBytes = units.MiB
 
 // Check implements tomlfile.Checker.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
 	d.Options.Check(report)
 	if d.Shared.Enabled() && d.File != "" {
-		report("file", "stands in place of [repeats.shared], not beside it")
+		report("file", "can't be combined with [repeats.shared]")
 	}
 	if d.Shared.Enabled() && d.MaxAnswerBytes > maxSharedAnswerBytes {
-		report("answer", "%v is over %v, which a shared store takes", d.MaxAnswerBytes, maxSharedAnswerBytes)
+		report("answer", "%v exceeds %v, the maximum with a shared store", d.MaxAnswerBytes, maxSharedAnswerBytes)
 	}
 }
 
-// dedupWindowMarginTicks is by how many scheduler ticks a deduplication window is shortened: a decision and the send that follows it take
-// at most one tick each.
+// dedupWindowMarginTicks is the number of scheduler ticks by which a deduplication window is shortened: a decision and the send that
+// follows it take at most one tick each.
 const dedupWindowMarginTicks = 2
 
-// DedupWindows returns the time for which upstreams drop repeated attempts of a class, less the time from a decision to its send.
+// DedupWindows returns a function that reports how long upstreams drop repeated attempts of a class, less the time from a decision to the
+// send that follows it.
 func DedupWindows(settings *balancer.Settings) func(class string) time.Duration {
 	windows := map[string]time.Duration{}
 	for _, class := range settings.Classes {
@@ -45,8 +46,8 @@
 	return func(class string) time.Duration { return windows[class] }
 }
 
-// StartLockTimeout is how long a starting process waits for a file that another process has locked. The system may hold the lock of a killed
-// process for seconds. It leaves a third of the 30 s within which a start must succeed or fail.
+// StartLockTimeout is how long a starting process waits for a file that another process has locked. The operating system may hold the lock
+// of a killed process for seconds. The timeout leaves a third of the 30 s within which a start must succeed or fail.
 const StartLockTimeout = 20 * time.Second
 
 // Open returns the Executor of a service, with the file or the shared store of its declaration. It fills in the corresponding fields of
--- a/internal/idempotency/options.go
+++ b/internal/idempotency/options.go
@@ -6,18 +6,18 @@
 	"orchiddrift/internal/units"
 )
 
-// Options are a Store's parameters and its part of the configuration file.
+// Options are a Store's parameters and their keys in the configuration file.
 type Options struct {
-	Service        string         `toml:"service" doc:"Whose keyed requests: a service's name, or \"platform\" beside the platform's file."`
-	Retention      units.Duration `toml:"keep" default:"10m" doc:"How long a key is known after its last event. A client must not send it again later."`
-	MaxKeys        int            `toml:"entries" default:"100000" doc:"Keys known at once, at most. New ones are refused beyond."`
-	MaxBytes       units.Size     `toml:"bytes" default:"16MiB" doc:"What keys and kept answers may take, at most. New ones are refused beyond."`
-	TenantFraction float64        `toml:"tenant_part" default:"0.5" doc:"The part of both that one tenant's keys may take."`
-	MaxAnswerBytes units.Size     `toml:"answer" default:"16KiB" doc:"An answer that is larger is not kept: its repeats are told that it was answered."`
-	MaxRunning     int            `toml:"running" default:"256" doc:"Keyed requests that run at once, at most, whether or not their clients are still there."`
-	File           string         `toml:"file" reload:"start" sample:"\"/var/lib/orchiddrift/payments.db\"" doc:"Where keys last longer than the process, on a disk that does: a keyed request is sent once its record is synced. Absent: a new process knows no keys."`
-	DiskError      string         `toml:"disk_error" default:"refuse" oneof:"refuse|go on" doc:"What becomes of keyed requests while the file can't be written."`
-	MaxWaiting     int            `toml:"waiting" default:"16" doc:"Repeats of one key that wait for its answer, at most."`
+	Service        string         `toml:"service" doc:"Name of the service whose keyed requests the store handles; platform for the service of the platform's file."`
+	Retention      units.Duration `toml:"keep" default:"10m" doc:"How long a key is stored after its last event. A client must not send the key again later than that."`
+	MaxKeys        int            `toml:"entries" default:"100000" doc:"Maximum number of stored keys. Requests with new keys are rejected beyond it."`
+	MaxBytes       units.Size     `toml:"bytes" default:"16MiB" doc:"Maximum memory for keys and stored answers. Requests with new keys are rejected beyond it."`
+	TenantFraction float64        `toml:"tenant_part" default:"0.5" doc:"Fraction of entries and bytes that one tenant's keys may take."`
+	MaxAnswerBytes units.Size     `toml:"answer" default:"16KiB" doc:"A larger answer is not stored; repeated requests are only told that the first one was answered."`
+	MaxRunning     int            `toml:"running" default:"256" doc:"Maximum number of keyed requests that run at once, including those whose clients have disconnected."`
+	File           string         `toml:"file" reload:"start" sample:"\"/var/lib/orchiddrift/payments.db\"" doc:"A file, on a persistent disk, that preserves keys across restarts: a keyed request is sent only after its record is synced. Absent: a new process knows no keys."`
+	DiskError      string         `toml:"disk_error" default:"refuse" oneof:"refuse|go on" doc:"How keyed requests are handled while the file can't be written: rejected, or sent without a record."`
+	MaxWaiting     int            `toml:"waiting" default:"16" doc:"Maximum number of repeated requests that wait for the answer of one key."`
 }
 
 // The ranges that Options.Check accepts.
@@ -25,7 +25,7 @@
 	minRetention       = time.Second
 	maxRetention       = 30 * 24 * time.Hour
 	maxKeysLimit       = 1 << 24 // keys
-	maxConcurrentLimit = 1 << 16 // requests that run at once, and requests that wait for one key
+	maxConcurrentLimit = 1 << 16 // requests that run at once, or that wait for one key
 )
 
 // Default returns the options that apply where the configuration file sets none.
@@ -63,9 +63,9 @@
 		}
 	}
 	if o.MaxBytes < entryOverheadBytes || o.MaxAnswerBytes < 0 {
-		report("bytes", "%v holds no key", o.MaxBytes)
+		report("bytes", "%v is too small to hold a key", o.MaxBytes)
 	}
 	if !(o.TenantFraction > 0 && o.TenantFraction <= 1) {
-		report("tenant_part", "%v is not a part, above 0", o.TenantFraction)
+		report("tenant_part", "%v is not above 0 and at most 1", o.TenantFraction)
 	}
 }
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Record is a key's entry in durable form. A record that is Running belongs to a request that had not finished when it was written:
-// if its process ended, the request may have been executed anywhere, and is never executed again.
+// Record is the durable form of a key's entry. A record with Running set belongs to a request that had not finished when the record was
+// written. If its process has ended, any upstream may have executed the request, so the request is never executed again.
 type Record struct {
 	ID              ID
 	Fingerprint     Fingerprint
 	Running         bool
 	Outcome         Outcome // Answered or MayHaveRun, unless Running
-	Answer          *Answer // of Answered; nil: it was too large to be stored
+	Answer          *Answer // set for Answered; nil if the answer was too large to store
 	Attempts        []Attempt
-	AttemptsUnknown bool          // Attempts is incomplete: the key is never executed again
+	AttemptsUnknown bool          // Attempts is incomplete, so the request is never executed again
 	UpdatedAt       time.Duration // when the record was written
 }
 
-// ErrStoreFull is returned by Load when a record does not fit: the limits are smaller than they were.
-var ErrStoreFull = errors.New("repeats: more keys are on record than may be held")
+// ErrStoreFull is returned by Load when a record does not fit because the limits are lower than when it was written.
+var ErrStoreFull = errors.New("repeats: the stored records exceed the configured entries or bytes")
 
-// Load adds a record that an earlier process wrote. now is the time up to which that process's clock went on; records past their
-// retention are skipped. Attempts that may have been executed are not retried, since the deduplication windows of the upstreams went on
-// while no process ran.
+// Load adds a record that an earlier process wrote. now is the last time that process's clock is known to have reached; records past their
+// retention are skipped. Requests that may have been executed are not executed again, since the deduplication windows of the upstreams
+// continued while no process ran.
 func (s *Store) Load(now time.Duration, r Record) error {
 	size := entryOverheadBytes + r.ID.bytes() + len(r.Attempts)*attemptBytes
 	if r.Answer != nil {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// Record returns the record of a key as it is now; false if the key is not known.
+// Record returns the current record of a key, or false if the key is unknown.
 func (s *Store) Record(now time.Duration, id ID) (Record, bool) {
 	e := s.entries[id]
 	if e == nil {
--- a/internal/idempotency/shared_record.go
+++ b/internal/idempotency/shared_record.go
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// SharedRecord is a Record in a store that several processes share. Its attempts' SentAt are wall-clock times of the process that wrote
-// it, since the Unix epoch; UpdatedAt is not used.
+// SharedRecord is a Record in a store that several processes share. SentAt of its attempts is the time since the Unix epoch on the wall
+// clock of the process that wrote the record. UpdatedAt is not used.
 type SharedRecord struct {
 	Record
-	Owner string // the session of the process that wrote it last: a Running request runs only while that session lives
-	Claim string // the name of the claim that it was written under; see ClaimName
+	Owner string // session of the process that wrote the record last; a Running request runs only while that session lives
+	Claim string // name of the claim under which the record was written; see ClaimName
 }
 
-// ClaimName returns the name of a process's nth claim. The shared store assigns process names so that none is used twice.
+// ClaimName returns the name of a process's nth claim. The shared store assigns each process a name that no other process ever gets.
 func ClaimName(process, n string) string { return process + "/" + n }
 
-// SharedRequest is a request that this process would execute and must claim in the shared store first.
+// SharedRequest is a request that this process must claim in the shared store before it may execute the request.
 type SharedRequest struct {
 	ID              ID
 	Fingerprint     Fingerprint
 	Process         string
 	EarlierAttempts []Attempt     // the attempts known to this process; SentAt is their age
-	DedupWindow     time.Duration // for which upstreams drop repeated attempts
-	MaxClockSkew    time.Duration // bound on the difference of two processes' wall clocks plus a message's delay; 0: unknown
+	DedupWindow     time.Duration // how long upstreams drop repeated attempts
+	MaxClockSkew    time.Duration // upper bound on the difference between two processes' wall clocks plus a message's delay; 0: unknown
 }
 
-// Resolve decides on a request whose key has a record already. ownerAlive reports whether the session of the record's owner
-// lives, wall is the wall-clock time since the Unix epoch. Execute means that the request may replace that very record by its own claim;
-// EarlierAttempts then holds attempts whose SentAt is their age, at most.
+// Resolve decides on a request whose key already has a record. ownerAlive reports whether the session of the record's owner lives; wall is
+// the wall-clock time since the Unix epoch. Execute means that the request may replace exactly this record with its own claim; SentAt in
+// EarlierAttempts is then an upper bound on the attempt's age.
 //
-// A request that another process runs is waited for. If that process's session has ended, the request may have been executed anywhere
-// and is never executed again. A request of uncertain outcome is executed again only if the ages of its attempts are known: by the
-// process that sent them all, or by another one if MaxClockSkew bounds the difference of their clocks.
+// Resolve returns Wait for a request that another process runs. If that process's session has ended, any upstream may have executed the
+// request, which is never executed again. A request of uncertain outcome is executed again only if the ages of its attempts are known: by
+// the process that sent all of them, or by another process if MaxClockSkew bounds the difference between their clocks.
 func (r *SharedRequest) Resolve(record *SharedRecord, ownerAlive bool, wall time.Duration) Decision {
 	own := strings.HasPrefix(record.Claim, ClaimName(r.Process, ""))
 	finished := !record.Running && record.Outcome == Answered
@@ -46,7 +46,7 @@
 		return Decision{Verdict: AnswerNotStored}
 	case finished:
 		return Decision{Verdict: Replay, Answer: record.Answer}
-	case own && r.knowsAll(record.Attempts): // no other process has claimed it since
+	case own && r.knowsAll(record.Attempts): // no other process has claimed the key since
 		return Decision{Verdict: Execute, EarlierAttempts: r.EarlierAttempts}
 	case record.Running || record.AttemptsUnknown || r.MaxClockSkew <= 0 || len(record.Attempts) == 0:
 		return Decision{Verdict: Fail}
@@ -68,8 +68,8 @@
 	return Decision{Verdict: Execute, EarlierAttempts: aged}
 }
 
-// knowsAll reports whether this process knows all attempts of a record. Their times are on different clocks, so it compares their
-// groups of upstreams and their number.
+// knowsAll reports whether this process knows all attempts of a record. The two lists' times are on different clocks, so knowsAll compares
+// the zones and cells of the attempts, and their number.
 func (r *SharedRequest) knowsAll(attempts []Attempt) bool {
 	for _, attempt := range attempts {
 		known := slices.ContainsFunc(r.EarlierAttempts, func(own Attempt) bool {
--- a/internal/idempotency/shared_record_test.go
+++ b/internal/idempotency/shared_record_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestResolve checks the decision on each kind of record: nothing is executed that may be running, or that may have been executed
-// where that can't be determined.
+// TestResolve checks the decision on each kind of record. It guards against executing a request that may still be running, or whose earlier
+// attempts may have been executed and can't be deduplicated any more.
 func TestResolve(t *testing.T) {
 	const wall = 1000 * time.Hour
 	sentAgo := func(ages ...time.Duration) (attempts []Attempt) {
@@ -60,7 +60,7 @@
 				ages = append(ages, attempt.SentAt)
 			}
 			if d.Verdict != c.want || !slices.Equal(ages, c.wantAges) || d.Verdict == Replay && d.Answer != answer {
-				t.Errorf("%+v", d)
+				t.Errorf("Resolve returned %+v, which is not this case's verdict, answer or ages", d)
 			}
 			checkConflicts(t, request, record, c.ownerAlive, wall)
 		})
@@ -75,7 +75,7 @@
 	otherKey.ID.Key = "other"
 	for _, other := range []*SharedRecord{&otherFingerprint, &otherKey} {
 		if d := request.Resolve(other, ownerAlive, wall); d.Verdict != Conflict {
-			t.Errorf("record %+v: %+v", other, d)
+			t.Errorf("Resolve with the record %+v of another request returned %+v, want Conflict", other, d)
 		}
 	}
 }
@@ -88,16 +88,16 @@
 	before := s.Bytes()
 	s.AdoptAttempts(id, []Attempt{{Zone: "a"}, {Zone: "a", SentAt: time.Second}})
 	if s.Bytes() != before+2*attemptBytes {
-		t.Errorf("%d bytes, %d before", s.Bytes(), before)
+		t.Errorf("Store takes %d bytes after adopting two attempts, %d before", s.Bytes(), before)
 	}
 	if outcome := s.Finish(2*time.Second, id, NotExecuted, nil); outcome != MayHaveRun {
-		t.Errorf("it finished as %v", outcome)
+		t.Errorf("request with adopted attempts finished as %v, want MayHaveRun", outcome)
 	}
 	if d := s.Arrive(3*time.Second, id, Fingerprint{}); d.Verdict != Execute || len(d.EarlierAttempts) != 2 {
-		t.Errorf("%+v", d)
+		t.Errorf("repeated request: %+v, want Execute with the two adopted attempts", d)
 	}
 	s.AdoptAttempts(id, nil)
 	if s.Bytes() != before || s.Finish(4*time.Second, id, NotExecuted, nil) != NotExecuted || s.Len() != 0 {
-		t.Errorf("%d bytes, %d keys", s.Bytes(), s.Len())
+		t.Errorf("after adopting no attempts and finishing as NotExecuted: %d bytes, %d keys; want an empty Store", s.Bytes(), s.Len())
 	}
 }
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -6,14 +6,14 @@
 	"orchiddrift/internal/priorityqueue"
 )
 
-// Sizes that the Store accounts for. Memory is estimated, in bytes.
+// Sizes with which the Store estimates its memory, in bytes, and the bound on remembered attempts.
 const (
-	entryOverheadBytes = 700 // an entry beside its ID and its answer
+	entryOverheadBytes = 700 // one entry without its ID, attempts and answer
 	attemptBytes       = 40  // one attempt
-	maxAttempts        = 16  // attempts remembered per key; with more the key is never executed again
+	maxAttempts        = 16  // attempts remembered per key; a request with more attempts is never executed again
 )
 
-// minRetryAfter is the shortest RetryAfter of a Reject: time for requests that run at the same moment to finish.
+// minRetryAfter is the shortest RetryAfter of a Reject. It gives running requests time to finish.
 const minRetryAfter = 250 * time.Millisecond
 
 // state is the state of a known key; the package comment shows the transitions.
@@ -25,21 +25,21 @@
 	uncertain
 )
 
-// entry is a known key.
+// entry holds what the Store knows of a key.
 type entry struct {
 	id              ID
 	fingerprint     Fingerprint
 	state           state
-	answer          *Answer   // of state answered; nil: it was too large to be stored
-	attempts        []Attempt // that may have been executed
-	attemptsUnknown bool      // attempts is incomplete: the key is never executed again
-	waiting         int       // requests that wait for the running one
+	answer          *Answer   // set in state answered; nil if the answer was too large to store
+	attempts        []Attempt // attempts that may have been executed
+	attemptsUnknown bool      // attempts is incomplete, so the request is never executed again
+	waiting         int       // number of requests that wait for the running one
 	bytes           int       // estimated memory
 	expiresAt       time.Duration
 	queueIndex      int // in Store.expiry; -1 while the entry is running
 }
 
-// tenantUsage is what one tenant's keys take.
+// tenantUsage is the number of one tenant's keys and their estimated memory in bytes.
 type tenantUsage struct{ keys, bytes int }
 
 // Store is the state machine of all keys of a service. It is not safe for concurrent use.
@@ -54,7 +54,7 @@
 	tenants        map[string]*tenantUsage
 }
 
-// New returns an empty Store. dedupWindow returns for how long upstreams drop repeated attempts of a class, counted from the oldest.
+// New returns an empty Store. dedupWindow returns how long after the oldest attempt upstreams drop repeated attempts of a class.
 func New(options Options, dedupWindow func(class string) time.Duration) *Store {
 	return &Store{
 		options:     options,
@@ -113,7 +113,7 @@
 	case id.bytes() > maxIDBytes:
 		return Decision{Verdict: Conflict} // no retry would succeed
 	case full && s.expiry.Len() > 0:
-		// If the tenant's own quota is exhausted, its first key may expire later than the store's first one.
+		// If only the tenant's quota is exhausted, the tenant's own first key may expire later than this.
 		return Decision{Verdict: Reject, RetryAfter: max(minRetryAfter, s.expiry.First().expiresAt-now)}
 	case full || s.running >= s.options.MaxRunning:
 		return Decision{Verdict: Reject, RetryAfter: minRetryAfter}
@@ -123,8 +123,8 @@
 	return Decision{Verdict: Execute}
 }
 
-// full reports whether another key of the tenant, of that size in bytes, would exceed the store's limits or the tenant's quota. A tenant
-// without keys is always within its quota, so that a small quota can't exclude it.
+// full reports whether another key of the tenant, of size bytes, would exceed the store's limits or the tenant's quota. A tenant's first
+// key is always within its quota, so that a small quota can't exclude the tenant.
 func (s *Store) full(tenant string, size int) bool {
 	var usage tenantUsage
 	if known := s.tenants[tenant]; known != nil {
@@ -138,8 +138,8 @@
 	return float64(usage.keys+1) > max(1, keyQuota) || float64(usage.bytes+size) > max(float64(size), byteQuota)
 }
 
-// arriveUncertain decides on a request whose earlier attempts may have been executed. It may be executed only while the upstreams
-// would drop it as a repeat of each of them.
+// arriveUncertain decides on a request whose earlier attempts may have been executed. The request may be executed only while upstreams
+// would drop it as a repeat of each of these attempts.
 func (s *Store) arriveUncertain(now time.Duration, e *entry) Decision {
 	if e.attemptsUnknown {
 		return Decision{Verdict: Fail}
@@ -173,7 +173,7 @@
 	s.grow(e, attemptBytes)
 }
 
-// AttemptNotExecuted takes back an attempt of a running request that is proved not to have been executed.
+// AttemptNotExecuted removes an attempt of a running request. The attempt must be proved not to have been executed.
 func (s *Store) AttemptNotExecuted(id ID, attempt Attempt) {
 	e := s.entries[id]
 	if e == nil || e.state != running {
@@ -188,7 +188,7 @@
 	}
 }
 
-// AdoptAttempts replaces a running request's earlier attempts by those that a shared store knows, which include them.
+// AdoptAttempts replaces a running request's earlier attempts with those in a shared store, which include the earlier ones.
 func (s *Store) AdoptAttempts(id ID, attempts []Attempt) {
 	e := s.entries[id]
 	if e == nil || e.state != running {
@@ -198,8 +198,8 @@
 	e.attempts = append([]Attempt(nil), attempts...)
 }
 
-// Finish ends a running request and all that wait for it. answer belongs to Answered. NotExecuted becomes MayHaveRun if an earlier
-// attempt may have been executed. Finish returns the outcome that it recorded.
+// Finish records the outcome of a running request and ends all waits for it. answer is used only for Answered. NotExecuted becomes
+// MayHaveRun if an earlier attempt may have been executed. Finish returns the outcome that it recorded.
 func (s *Store) Finish(now time.Duration, id ID, outcome Outcome, answer *Answer) Outcome {
 	e := s.entries[id]
 	if e == nil || e.state != running {
@@ -229,20 +229,20 @@
 	return outcome
 }
 
-// canStoreAnswer reports whether an answer of that size, in bytes, fits into the limits and the tenant's quota.
+// canStoreAnswer reports whether an answer of size bytes is within the limits and the tenant's quota.
 func (s *Store) canStoreAnswer(tenant string, size int) bool {
 	return size <= s.options.MaxAnswerBytes.Bytes() && s.bytes+size <= s.options.MaxBytes.Bytes() &&
 		float64(s.tenants[tenant].bytes+size) <= s.options.TenantFraction*float64(s.options.MaxBytes)
 }
 
-// StopWaiting records that a request that waited, by the verdict Wait, has left before the running one finished.
+// StopWaiting records that the client of a request with the verdict Wait has disconnected before the running request finished.
 func (s *Store) StopWaiting(id ID) {
 	if e := s.entries[id]; e != nil && e.waiting > 0 {
 		e.waiting--
 	}
 }
 
-// Expire removes the keys whose last event is Options.Retention ago or longer, and returns their IDs.
+// Expire removes the keys whose last event was at least Options.Retention ago, and returns their IDs.
 func (s *Store) Expire(now time.Duration) (expired []ID) {
 	for s.expiry.Len() > 0 && s.expiry.First().expiresAt <= now {
 		e := s.expiry.First()
@@ -252,7 +252,7 @@
 	return expired
 }
 
-// insert adds an entry of that size in bytes.
+// insert adds an entry of size bytes.
 func (s *Store) insert(e *entry, size int) {
 	s.entries[e.id] = e
 	usage := s.tenants[e.id.Tenant]
@@ -278,7 +278,7 @@
 	s.expiry.Set(e, float64(e.expiresAt), s.expirySequence)
 }
 
-// remove deletes an entry.
+// remove deletes an entry and subtracts it from all totals.
 func (s *Store) remove(e *entry) {
 	s.expiry.Remove(e)
 	delete(s.entries, e.id)
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -19,7 +19,7 @@
 	return o
 }
 
-// referenceKey is what the reference knows of a key: everything that ever happened to it.
+// referenceKey is the reference model's state of one key.
 type referenceKey struct {
 	fingerprint Fingerprint
 	running     bool
@@ -29,7 +29,8 @@
 	waiting     int
 }
 
-// reference is a model of a Store that evicts nothing by itself; check and the methods for each call compare the Store with it.
+// reference is a model of a Store. It removes a key only when the Store reports the key as expired. Its methods make a call to the Store
+// and compare the result with the model.
 type reference struct {
 	t       *rapid.T
 	options Options
@@ -50,32 +51,32 @@
 func (m *reference) expire() {
 	for _, id := range m.store.Expire(m.now) {
 		if key := m.keys[id]; key == nil || key.running || m.now-key.lastEvent < m.options.Retention.D() {
-			m.t.Fatalf("%v expired: %+v at %v", id, key, m.now)
+			m.t.Fatalf("Expire returned key %v, which is unknown, running or within its retention: %+v at %v", id, key, m.now)
 		}
 		delete(m.keys, id)
 	}
 }
 
 func (m *reference) arrive(id ID, key *referenceKey) {
-	fingerprint := Fingerprint{byte(rapid.IntRange(0, 5).Draw(m.t, "print") / 5)}
+	fingerprint := Fingerprint{byte(rapid.IntRange(0, 5).Draw(m.t, "fingerprint") / 5)}
 	d := m.store.Arrive(m.now, id, fingerprint)
 	switch {
 	case key == nil:
 		m.checkUnknown(d)
 	case key.fingerprint != fingerprint:
 		if d.Verdict != Conflict {
-			m.t.Fatalf("another request: %+v", d)
+			m.t.Fatalf("different request with a known key: %+v, want Conflict", d)
 		}
 	case key.running:
 		if d.Verdict != Wait && !(d.Verdict == Reject && key.waiting >= m.options.MaxWaiting) {
-			m.t.Fatalf("while it is running: %+v", d)
+			m.t.Fatalf("repeated request while the first one runs: %+v, want Wait, or Reject beyond MaxWaiting", d)
 		}
 		if d.Verdict == Wait {
 			key.waiting++
 		}
 	case key.answer != nil:
 		if d.Verdict != Replay && d.Verdict != AnswerNotStored || d.Verdict == Replay && d.Answer != key.answer {
-			m.t.Fatalf("after its answer: %+v", d)
+			m.t.Fatalf("repeated request after the answer: %+v, want Replay of that answer or AnswerNotStored", d)
 		}
 	default:
 		m.checkUncertain(key, d)
@@ -84,7 +85,7 @@
 		return
 	}
 	if m.runningKeys() >= m.options.MaxRunning {
-		m.t.Fatal("more than MaxRunning are running")
+		m.t.Fatal("Arrive returned Execute while MaxRunning requests were running")
 	}
 	if key == nil {
 		key = &referenceKey{fingerprint: fingerprint}
@@ -95,10 +96,10 @@
 
 func (m *reference) checkUnknown(d Decision) {
 	if d.Verdict != Execute && d.Verdict != Reject || d.Verdict == Execute && len(d.EarlierAttempts) > 0 {
-		m.t.Fatalf("a new key: %+v", d)
+		m.t.Fatalf("request with a new key: %+v, want Execute without earlier attempts, or Reject", d)
 	}
 	if d.Verdict == Reject && d.RetryAfter <= 0 {
-		m.t.Fatal("rejected without RetryAfter")
+		m.t.Fatal("request with a new key was rejected without RetryAfter")
 	}
 }
 
@@ -109,12 +110,12 @@
 	}
 	if m.now-oldest >= testDedupWindow("") {
 		if d.Verdict != Fail {
-			m.t.Fatalf("sent at %v, now %v: %+v", oldest, m.now, d)
+			m.t.Fatalf("oldest attempt sent at %v, now %v, which is outside the window: %+v, want Fail", oldest, m.now, d)
 		}
 		return
 	}
 	if d.Verdict != Reject && !(d.Verdict == Execute && fmt.Sprint(d.EarlierAttempts) == fmt.Sprint(key.attempts)) {
-		m.t.Fatalf("within the window: %+v, attempts %v", d, key.attempts)
+		m.t.Fatalf("repeated request within the window: %+v, want Reject, or Execute with the attempts %v", d, key.attempts)
 	}
 }
 
@@ -124,7 +125,7 @@
 	key.attempts = append(key.attempts, attempt)
 }
 
-func (m *reference) takeBackAttempt(id ID, key *referenceKey) {
+func (m *reference) removeAttempt(id ID, key *referenceKey) {
 	attempt := key.attempts[len(key.attempts)-1]
 	m.store.AttemptNotExecuted(id, attempt)
 	for i := range key.attempts {
@@ -137,10 +138,10 @@
 
 func (m *reference) finish(id ID, key *referenceKey) {
 	answer := &Answer{Status: 200, Body: make([]byte, rapid.IntRange(0, 500).Draw(m.t, "body"))}
-	outcome := Outcome(rapid.IntRange(0, 2).Draw(m.t, "end"))
+	outcome := Outcome(rapid.IntRange(0, 2).Draw(m.t, "outcome"))
 	got := m.store.Finish(m.now, id, outcome, answer)
 	if outcome == NotExecuted && len(key.attempts) > 0 && got != MayHaveRun {
-		m.t.Fatalf("it finished as %v", got)
+		m.t.Fatalf("request with attempts finished as %v, want MayHaveRun", got)
 	}
 	key.running, key.waiting, key.lastEvent = false, 0, m.now
 	switch got {
@@ -154,22 +155,22 @@
 func (m *reference) checkLimits() {
 	s, maxBytes := m.store, m.options.MaxBytes.Bytes()+m.options.MaxRunning*maxAttempts*attemptBytes
 	if s.Len() != len(m.keys) || s.Len() > m.options.MaxKeys || s.Running() != m.runningKeys() || s.Bytes() > maxBytes {
-		m.t.Fatalf("%d keys (%d), %d running (%d), %d bytes", s.Len(), len(m.keys), s.Running(), m.runningKeys(), s.Bytes())
+		m.t.Fatalf("Store has %d keys (model: %d), %d running (model: %d), %d bytes: not as the model, or over a limit", s.Len(), len(m.keys), s.Running(), m.runningKeys(), s.Bytes())
 	}
 }
 
-// checkReload loads all records into a new Store, which must know the same, except that what was running is never executed again.
+// checkReload loads all records into a new Store. It must replay the same answers and must not execute requests that were running.
 func (m *reference) checkReload() {
 	reloaded := New(m.options, testDedupWindow)
 	for id, key := range m.keys {
 		r, ok := m.store.Record(m.now, id)
 		if !ok || reloaded.Load(m.now, r) != nil {
-			m.t.Fatalf("%v can't be loaded", id)
+			m.t.Fatalf("record of key %v can't be loaded into a new Store", id)
 		}
 		d := reloaded.Arrive(m.now, id, key.fingerprint)
 		switch {
 		case key.running && d.Verdict != Fail, !key.running && key.answer != nil && d.Verdict != Replay && d.Verdict != AnswerNotStored:
-			m.t.Fatalf("after a restart: %+v of %+v", d, key)
+			m.t.Fatalf("after a restart: wrong decision %+v for the key %+v", d, key)
 		}
 		if d.Verdict == Execute {
 			reloaded.Finish(m.now, id, MayHaveRun, nil)
@@ -177,8 +178,8 @@
 	}
 }
 
-// TestStoreAgainstReference compares any history with a reference that evicts nothing: no key expires early, none is executed where an
-// earlier attempt may have been executed outside its window, no answer belongs to another request, and all limits hold.
+// TestStoreAgainstReference makes random calls and compares the Store with a reference model. It guards against keys that expire early,
+// requests that are executed again after the deduplication window of an earlier attempt, answers of other requests, and exceeded limits.
 func TestStoreAgainstReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		options := testOptions()
@@ -195,7 +196,7 @@
 			case call == 3:
 				m.startAttempt(id, key)
 			case call == 4 && len(key.attempts) > 0:
-				m.takeBackAttempt(id, key)
+				m.removeAttempt(id, key)
 			case call == 5 && key.waiting > 0:
 				m.store.StopWaiting(id)
 				key.waiting--
@@ -208,8 +209,8 @@
 	})
 }
 
-// TestFullStoreRejectsNewKeys checks that a full store rejects new keys and evicts none, that one tenant's flood leaves capacity to
-// others, and that RetryAfter is the time at which the next key expires.
+// TestFullStoreRejectsNewKeys checks that a full store rejects new keys and evicts none, that one tenant with many keys leaves capacity for
+// others, and that RetryAfter is the time until the next key expires.
 func TestFullStoreRejectsNewKeys(t *testing.T) {
 	o := testOptions()
 	o.MaxRunning = 100
@@ -223,7 +224,7 @@
 			executed["flood"]++
 			s.Finish(time.Hour, ID{"flood", "c", fmt.Sprint(i)}, Answered, &Answer{Status: 200})
 		} else if d.Verdict != Reject || d.RetryAfter != o.Retention.D() {
-			t.Errorf("%+v", d)
+			t.Errorf("key beyond the tenant's quota: %+v, want Reject until the first key expires", d)
 		}
 	}
 	for i := range 3 {
@@ -232,18 +233,18 @@
 		}
 	}
 	if executed["flood"] != 6 || executed["quiet"] != 3 {
-		t.Errorf("executed: %v", executed)
+		t.Errorf("requests executed per tenant: %v, want 6 of flood and 3 of quiet", executed)
 	}
 	for i := range executed["flood"] {
 		if d := arrive("flood", i); d.Verdict != Replay {
-			t.Errorf("key %d: %+v", i, d)
+			t.Errorf("answered key %d in a full store: %+v, want Replay", i, d)
 		}
 	}
 	if expired := s.Expire(time.Hour + o.Retention.D()); len(expired) != 6 || s.Running() != 3 {
-		t.Errorf("%v expired, %d are running", expired, s.Running())
+		t.Errorf("expired keys: %v, running requests: %d; want 6 expired and 3 running", expired, s.Running())
 	}
 	if d := s.Arrive(time.Hour, ID{Key: strings.Repeat("x", maxIDBytes+1)}, Fingerprint{}); d.Verdict != Conflict {
-		t.Errorf("a key of %d bytes: %+v", maxIDBytes+1, d)
+		t.Errorf("key of %d bytes, over the limit: %+v, want Conflict", maxIDBytes+1, d)
 	}
 }
 
@@ -256,10 +257,10 @@
 		age  time.Duration // of the oldest attempt
 		want Verdict
 	}{
-		{"at once", time.Second, Execute},
-		{"just before it closes", window - 1, Execute},
-		{"as it closes", window, Fail},
-		{"later", 2 * window, Fail},
+		{"well before the window closes", time.Second, Execute},
+		{"just before the window closes", window - 1, Execute},
+		{"when the window closes", window, Fail},
+		{"long after the window", 2 * window, Fail},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s, id := New(testOptions(), testDedupWindow), ID{"t", "c", "k"}
@@ -268,13 +269,13 @@
 			s.AttemptStarted(id, Attempt{Zone: "b", SentAt: time.Second})
 			s.Finish(time.Second, id, MayHaveRun, nil)
 			if d := s.Arrive(c.age, id, Fingerprint{}); d.Verdict != c.want || d.Verdict == Execute && len(d.EarlierAttempts) != 2 {
-				t.Errorf("%+v", d)
+				t.Errorf("repeated request: %+v, want this case's verdict, and both attempts with Execute", d)
 			}
 		})
 	}
 }
 
-// BenchmarkKey is the life of a request with a key: its arrival, an attempt, its answer and a replay.
+// BenchmarkKey measures one request with a key: its arrival, an attempt, its answer and a replay.
 func BenchmarkKey(b *testing.B) {
 	o := Default()
 	o.Retention = units.Duration(time.Second)
