--- a/internal/idempotency/etcdstore/attempts.go
+++ b/internal/idempotency/etcdstore/attempts.go
@@ -7,22 +7,22 @@
 	"orchiddrift/internal/idempotency"
 )
 
-// agedAttempts are attempts whose SentAt was their age at a moment.
+// agedAttempts are attempts whose SentAt is their age at the time measuredAt.
 type agedAttempts struct {
-	attempts []idempotency.Attempt
-	at       time.Time
+	attempts   []idempotency.Attempt
+	measuredAt time.Time
 }
 
-// ages returns the attempts with their ages now.
+// ages returns the attempts with their current ages as SentAt.
 func (a agedAttempts) ages() []idempotency.Attempt {
 	aged := slices.Clone(a.attempts)
 	for i := range aged {
-		aged[i].SentAt += time.Since(a.at)
+		aged[i].SentAt += time.Since(a.measuredAt)
 	}
 	return aged
 }
 
-// wallTimes returns the attempts with their wall-clock times since the Unix epoch, as records have them.
+// wallTimes returns the attempts with SentAt as wall-clock time since the Unix epoch, the form stored in records.
 func (a agedAttempts) wallTimes() []idempotency.Attempt {
 	timed := a.ages()
 	now := sinceEpoch(time.Now())
@@ -32,5 +32,5 @@
 	return timed
 }
 
-// sinceEpoch returns a wall-clock time as records have it.
+// sinceEpoch returns a wall-clock time in the form stored in records.
 func sinceEpoch(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
--- a/internal/idempotency/etcdstore/claim.go
+++ b/internal/idempotency/etcdstore/claim.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// recordPollInterval is how long a request waits at most for a watch event of another process's record before it reads the record again.
+	// recordPollInterval is the longest time that a request waits for a watch event of another process's record before it reads the record
+	// again.
 	recordPollInterval = time.Second
-	// watchBackoff is the pause after a watch that was canceled by the server.
+	// watchBackoff is the pause after the server canceled a watch.
 	watchBackoff = 100 * time.Millisecond
 )
 
-// Claim is the decision on a request. If its verdict is Execute, the request is claimed, and Store.Settle must follow.
+// Claim is the decision on a request. If its verdict is Execute, the request is claimed, and the caller must call Store.Settle.
 type Claim struct {
 	idempotency.Decision
 	name     string
-	revision int64 // of the claim's record; 0: not known
+	revision int64 // etcd revision of the claim's record; 0: unknown
 }
 
-// Claim claims a request, or returns what else becomes of it. While another process runs it, Claim waits until the deadline of ctx, where
-// the verdict is Fail. It fills in request.Process and request.MaxClockSkew.
+// Claim claims a request, or returns another verdict on it. While another process runs the request, Claim waits; at the deadline of ctx it
+// returns the verdict Fail. It fills in request.Process and request.MaxClockSkew.
 //
-// Claim calls confirmKey once the key is known to belong to this very request and not to another one of the same key, since it may wait
-// for long after that. An error means that etcd is not available and the request must not be executed on its behalf.
+// Claim calls confirmKey once the key is known to belong to this request and not to a different one with the same key, since it may wait
+// for a long time after that. An error means that the request is not claimed, in most cases because etcd is unavailable.
 func (s *Store) Claim(ctx context.Context, request idempotency.SharedRequest, confirmKey func()) (Claim, error) {
 	if err := s.settlePending(ctx, request.ID); err != nil {
 		return Claim{}, err
@@ -55,31 +56,31 @@
 	request    idempotency.SharedRequest
 	key        string // in etcd
 	confirmKey func()
-	own        agedAttempts // known to this process
+	own        agedAttempts // earlier attempts known to this process
 
-	// What the next transaction does: it writes a record with these earlier attempts if the present record has this revision.
+	// The next transaction writes a record with these earlier attempts if the present record has this revision.
 	earlier  agedAttempts
-	revision int64               // 0: there must be no record
+	revision int64               // 0: no record may exist
 	replaced *idempotency.Record // the record of that revision; nil: none
 }
 
 // expectNoRecord makes the next transaction create the record.
 func (c *claimer) expectNoRecord() { c.earlier, c.revision, c.replaced = c.own, 0, nil }
 
-// try runs one transaction. It returns true if the claim is decided on, and false if it has to be tried again.
+// try runs one transaction. It returns true if the claim is decided, and false if another transaction is needed.
 func (c *claimer) try(ctx context.Context) (Claim, bool, error) {
 	s := c.store
-	at, err := s.ensureSession(ctx)
+	current, err := s.ensureSession(ctx)
 	if err != nil {
 		return Claim{}, false, err
 	}
-	c.request.Process = at.process
-	name := s.nextClaimName(at.process)
-	response, err := c.commit(ctx, at, name)
+	c.request.Process = current.process
+	name := s.nextClaimName(current.process)
+	response, err := c.commit(ctx, current, name)
 	switch {
 	case errors.Is(err, rpctypes.ErrLeaseNotFound):
 		return Claim{}, false, nil
-	case err != nil: // it may have been committed, or may still be
+	case err != nil: // the transaction may have been committed, or may still be committed later
 		s.addSettlement(&settlement{
 			id:             c.request.ID,
 			claim:          name,
@@ -93,18 +94,18 @@
 	}
 	records := response.Responses[0].GetResponseRange().Kvs
 	if len(records) == 0 {
-		if c.revision == 0 { // there is no record, so it is the session that has ended
-			s.dropSession(at.lease)
+		if c.revision == 0 { // no record exists, so the failed condition is that the session lives
+			s.dropSession(current.lease)
 		}
 		c.expectNoRecord()
 		return Claim{}, false, nil
 	}
-	return c.resolve(ctx, at, name, records[0], response.Header.Revision)
+	return c.resolve(ctx, current, name, records[0], response.Header.Revision)
 }
 
-// commit runs the transaction of a claim. Where its conditions do not hold it returns the present record.
-func (c *claimer) commit(ctx context.Context, at session, name string) (*clientv3.TxnResponse, error) {
-	owner := leaseName(at.lease)
+// commit runs the transaction of a claim. If its conditions do not hold, the response contains the present record.
+func (c *claimer) commit(ctx context.Context, current session, name string) (*clientv3.TxnResponse, error) {
+	owner := leaseName(current.lease)
 	value := recordcodec.EncodeShared(&idempotency.SharedRecord{
 		Owner: owner,
 		Claim: name,
@@ -119,29 +120,29 @@
 		clientv3.Compare(clientv3.ModRevision(c.key), "=", c.revision),
 		clientv3.Compare(clientv3.CreateRevision(c.store.ownerKey(owner)), ">", 0),
 	}
-	return c.store.commit(ctx, at, conditions, clientv3.OpPut(c.key, string(value), clientv3.WithLease(at.recordLease)), clientv3.OpGet(c.key))
+	return c.store.commit(ctx, current, conditions, clientv3.OpPut(c.key, string(value), clientv3.WithLease(current.recordLease)), clientv3.OpGet(c.key))
 }
 
-// claimed returns the claim that a transaction of that revision has made.
+// claimed returns the claim that was committed at revision.
 func (c *claimer) claimed(name string, revision int64) Claim {
 	decision := idempotency.Decision{Verdict: idempotency.Execute, EarlierAttempts: c.earlier.ages()}
 	return Claim{Decision: decision, name: name, revision: revision}
 }
 
-// resolve decides on a request whose key has a record, as of that revision of etcd. Its results are those of try.
-func (c *claimer) resolve(ctx context.Context, at session, name string, kv *mvccpb.KeyValue, revision int64) (Claim, bool, error) {
+// resolve decides on a request whose key has the record kv, read at the given revision of etcd. Its results are those of try.
+func (c *claimer) resolve(ctx context.Context, current session, name string, kv *mvccpb.KeyValue, revision int64) (Claim, bool, error) {
 	s := c.store
 	record, err := recordcodec.DecodeShared(kv.Value)
 	if err != nil {
 		return Claim{}, false, s.trackAvailability(err)
 	}
-	if record.Claim == name { // the client library sent the transaction twice
+	if record.Claim == name { // the etcd client sent the transaction twice
 		return c.claimed(name, kv.ModRevision), true, nil
 	}
 	owner := s.ownerKey(record.Owner)
 	ownerAlive := false
 	if record.Running {
-		response, err := s.get(ctx, at, owner)
+		response, err := s.get(ctx, current, owner)
 		if err != nil {
 			return Claim{}, false, err
 		}
@@ -156,7 +157,7 @@
 		return Claim{}, false, nil
 	case idempotency.Wait:
 		c.confirmKey()
-		if !s.waitForChange(ctx, at, c.key, owner, revision+1) {
+		if !s.waitForChange(ctx, current, c.key, owner, revision+1) {
 			return Claim{Decision: idempotency.Decision{Verdict: idempotency.Fail}}, true, nil
 		}
 		c.expectNoRecord()
@@ -166,7 +167,7 @@
 	}
 }
 
-// nextClaimName returns a name that no other claim has.
+// nextClaimName returns a unique name for a claim.
 func (s *Store) nextClaimName(process string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,17 +175,17 @@
 	return idempotency.ClaimName(process, strconv.FormatUint(s.claims, 36))
 }
 
-// waitForChange returns true when a record may have changed since that revision, or its owner's session may have ended; false if ctx or the
-// Store has ended.
-func (s *Store) waitForChange(ctx context.Context, at session, recordKey, ownerKey string, revision int64) bool {
+// waitForChange waits until a record may have changed since the given revision, or its owner's session may have ended, and returns true. It
+// returns false if ctx ends or the Store is closed.
+func (s *Store) waitForChange(ctx context.Context, current session, recordKey, ownerKey string, revision int64) bool {
 	ctx, cancel := context.WithCancel(clientv3.WithRequireLeader(ctx))
 	defer cancel()
 	poll := time.NewTimer(recordPollInterval)
 	defer poll.Stop()
 	var response clientv3.WatchResponse
 	select {
-	case response = <-at.client.Watch(ctx, recordKey, clientv3.WithRev(revision)):
-	case response = <-at.client.Watch(ctx, ownerKey, clientv3.WithRev(revision), clientv3.WithFilterPut()):
+	case response = <-current.client.Watch(ctx, recordKey, clientv3.WithRev(revision)):
+	case response = <-current.client.Watch(ctx, ownerKey, clientv3.WithRev(revision), clientv3.WithFilterPut()):
 	case <-poll.C:
 		return true
 	case <-ctx.Done():
@@ -192,7 +193,7 @@
 	case <-s.ctx.Done():
 		return false
 	}
-	if len(response.Events) == 0 { // the watch was canceled
+	if len(response.Events) == 0 { // the server canceled the watch
 		select {
 		case <-time.After(watchBackoff):
 		case <-ctx.Done():
@@ -201,14 +202,14 @@
 	return ctx.Err() == nil && s.ctx.Err() == nil
 }
 
-// Lookup returns the stored outcome of a request that this process must not execute, or Fail if there is none.
+// Lookup returns the decision from the stored answer of a request that this process must not execute, or Fail if no answer is stored.
 func (s *Store) Lookup(ctx context.Context, request idempotency.SharedRequest) (idempotency.Decision, error) {
 	fail := idempotency.Decision{Verdict: idempotency.Fail}
-	at, err := s.ensureSession(ctx)
+	current, err := s.ensureSession(ctx)
 	if err != nil {
 		return fail, err
 	}
-	response, err := s.get(ctx, at, s.recordKey(request.ID))
+	response, err := s.get(ctx, current, s.recordKey(request.ID))
 	if err != nil || len(response.Kvs) == 0 {
 		return fail, err
 	}
--- a/internal/idempotency/etcdstore/claim_test.go
+++ b/internal/idempotency/etcdstore/claim_test.go
@@ -41,14 +41,14 @@
 	return idempotency.SharedRequest{ID: testID(key), Fingerprint: idempotency.Fingerprint{1}, DedupWindow: 6 * time.Second}
 }
 
-// mustClaim claims a request, and fails the test unless the verdict is want.
+// mustClaim calls Claim for a request and fails the test unless the verdict is want.
 func mustClaim(t *testing.T, s *Store, request idempotency.SharedRequest, want idempotency.Verdict) Claim {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 	defer cancel()
 	c, err := s.Claim(ctx, request, func() {})
 	if err != nil || c.Verdict != want {
-		t.Fatalf("%v: %+v, %v", request.ID, c, err)
+		t.Fatalf("Claim of %v returned %+v and error %v, not the expected verdict", request.ID, c, err)
 	}
 	return c
 }
@@ -61,9 +61,9 @@
 	return &idempotency.Record{ID: request.ID, Fingerprint: request.Fingerprint, Outcome: idempotency.MayHaveRun, Attempts: attempts}
 }
 
-// TestClaimOfAnotherProcess checks that a process waits for a request that another one runs, and acts on its outcome: an answer, that it
-// was not executed, that it may have been executed, or that the process has ended. Another request of the key is a conflict, also at
-// another process.
+// TestClaimOfAnotherProcess checks that a process waits for a request that another process runs, and makes the right decision for each
+// outcome: the request was answered, was not executed, or may have been executed, or its process ended. A different request with the same
+// key must be a conflict in the other process too.
 func TestClaimOfAnotherProcess(t *testing.T) {
 	etcd, address := base.Etcd(t, fakes.EtcdOptions{})
 	first := openStore(t, address, nil)
@@ -76,7 +76,7 @@
 		name  string
 		end   func(Claim, idempotency.SharedRequest)
 		want  idempotency.Verdict // at the second process
-		again idempotency.Verdict // at the first process, after the second; Wait: the second one runs it
+		again idempotency.Verdict // at the first process after the second one's claim; Wait: the second process runs the request
 	}{
 		{"answered", settle(func(r idempotency.SharedRequest) *idempotency.Record { return answeredRecord(r, "paid") }), idempotency.Replay, idempotency.Replay},
 		{"not executed", settle(func(idempotency.SharedRequest) *idempotency.Record { return nil }), idempotency.Execute, idempotency.Wait},
@@ -105,7 +105,7 @@
 				checkSkewedAttempt(t, got)
 			}
 			if c.want == idempotency.Replay && string(got.Answer.Body) != "paid" {
-				t.Errorf("%+v", got.Answer)
+				t.Errorf("replayed answer: %+v, want the body paid", got.Answer)
 			}
 			if c.again == idempotency.Wait {
 				second.Settle(got, request.ID, answeredRecord(request, "late"))
@@ -123,24 +123,24 @@
 	go func() { claims <- mustClaim(t, s, request, want) }()
 	select {
 	case got := <-claims:
-		t.Fatalf("it did not wait: %+v", got)
-	case <-time.After(30 * time.Millisecond): // a claim that does not wait mostly takes less
+		t.Fatalf("Claim did not wait while another process ran the request: %+v", got)
+	case <-time.After(30 * time.Millisecond): // a claim that does not wait usually takes less time
 	}
 	end()
 	return <-claims
 }
 
-// checkSkewedAttempt checks the one earlier attempt of a claim, 2 s old when it was settled, plus a skew of 1 s.
+// checkSkewedAttempt checks that a claim has one earlier attempt, whose age is the 2 s at its settlement plus a clock skew of 1 s.
 func checkSkewedAttempt(t *testing.T, claim Claim) {
 	t.Helper()
 	got := claim.EarlierAttempts
 	if len(got) != 1 || got[0].Zone != "z" || got[0].Cell != 2 || got[0].SentAt < 3*time.Second || got[0].SentAt > 4*time.Second {
-		t.Errorf("earlier attempts, with the skew: %+v", got)
+		t.Errorf("earlier attempts: %+v, want one with an age from 3 s to 4 s, clock skew included", got)
 	}
 }
 
-// TestUnknownClockSkew checks that without a bound on clock skew a request of uncertain outcome is executed again only by the process that
-// sent it, and that a waiting claim fails at its deadline.
+// TestUnknownClockSkew checks that, without a bound on the clock skew, a request of uncertain outcome is executed again only by the process
+// that sent its attempts, and that a waiting claim fails at its deadline.
 func TestUnknownClockSkew(t *testing.T) {
 	_, address := base.Etcd(t, fakes.EtcdOptions{})
 	first, second := openStore(t, address, nil), openStore(t, address, nil)
@@ -150,11 +150,11 @@
 	request.EarlierAttempts = []idempotency.Attempt{{Zone: "z", SentAt: time.Second}}
 	c := mustClaim(t, first, request, idempotency.Execute)
 	if len(c.EarlierAttempts) != 1 || c.EarlierAttempts[0].SentAt < time.Second {
-		t.Errorf("%+v", c.EarlierAttempts)
+		t.Errorf("earlier attempts: %+v, want one that is at least 1 s old", c.EarlierAttempts)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
 	if c, err := second.Claim(ctx, request, func() {}); err != nil || c.Verdict != idempotency.Fail {
-		t.Errorf("waiting until its deadline: %+v, %v", c, err)
+		t.Errorf("Claim that waited until its deadline returned %+v, error %v; want Fail", c, err)
 	}
 }
--- a/internal/idempotency/etcdstore/golden_test.go
+++ b/internal/idempotency/etcdstore/golden_test.go
@@ -9,7 +9,8 @@
 	"orchiddrift/internal/testing/golden"
 )
 
-// TestNamesGolden checks that keys and claims are named as by the previous release: processes of different releases share records.
+// TestNamesGolden checks that etcd keys and claims have the same names as in the previous release, since processes of different releases
+// share records.
 func TestNamesGolden(t *testing.T) {
 	s := &Store{prefix: "orchiddrift/payments/"}
 	var out strings.Builder
--- a/internal/idempotency/etcdstore/proof_test.go
+++ b/internal/idempotency/etcdstore/proof_test.go
@@ -16,8 +16,8 @@
 	"orchiddrift/internal/units"
 )
 
-// fakeNode is an upstream that executes payments: it drops repeats within its window and counts what it executed.
-type fakeNode struct {
+// fakeUpstream is an upstream that executes payments. It drops repeated payments within its window and counts the executions of each key.
+type fakeUpstream struct {
 	window time.Duration
 
 	mu       sync.Mutex
@@ -25,42 +25,42 @@
 	executed map[string]int
 }
 
-// pay receives an attempt, which is not sent if windowPassed returns true at the time of the write, as the balancer has it.
-func (n *fakeNode) pay(key string, windowPassed func() bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// pay handles an attempt. If windowPassed returns true at the time of the write, the attempt is not sent, as in the balancer.
+func (u *fakeUpstream) pay(key string, windowPassed func() bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	if windowPassed() {
 		return
 	}
-	if at, ok := n.first[key]; ok && time.Since(at) < n.window {
+	if firstAt, ok := u.first[key]; ok && time.Since(firstAt) < u.window {
 		return
 	}
-	n.first[key] = time.Now()
-	n.executed[key]++
+	u.first[key] = time.Now()
+	u.executed[key]++
 }
 
-// paymentRig is four processes that share an etcd with faults, and the node that they pay at.
+// paymentRig consists of four processes that share an etcd with faults, and the upstream to which they send payments.
 type paymentRig struct {
 	t         *testing.T
 	etcd      *fakes.Etcd
 	address   string
-	node      *fakeNode
+	upstream  *fakeUpstream
 	processes [4]atomic.Pointer[Store]
 
 	mu      sync.Mutex
 	rng     *rand.Rand
 	answers map[string]string // by key
 
-	tries, replays, uncertain atomic.Int64
+	requests, replays, uncertain atomic.Int64
 }
 
 func newPaymentRig(t *testing.T, window time.Duration) *paymentRig {
 	t.Helper()
 	r := &paymentRig{
-		t:       t,
-		node:    &fakeNode{window: window, first: map[string]time.Time{}, executed: map[string]int{}},
-		rng:     rand.New(rand.NewPCG(1, 2)),
-		answers: map[string]string{},
+		t:        t,
+		upstream: &fakeUpstream{window: window, first: map[string]time.Time{}, executed: map[string]int{}},
+		rng:      rand.New(rand.NewPCG(1, 2)),
+		answers:  map[string]string{},
 	}
 	faults := []fakes.EtcdFault{fakes.EtcdRefuse, fakes.EtcdLose, fakes.EtcdLose, fakes.EtcdLate}
 	r.etcd, r.address = base.Etcd(t, fakes.EtcdOptions{Late: 20 * time.Millisecond, Fault: func() fakes.EtcdFault {
@@ -90,12 +90,12 @@
 	return r.rng.Float64() < p
 }
 
-// pay is one client's try to pay at a process. It returns true if the process was free to execute the payment and did not run out of time.
+// pay sends one client's payment request to a process. It returns true if the process could claim the payment and did not run out of time.
 func (r *paymentRig) pay(process int, key, body string) bool {
-	r.tries.Add(1)
+	r.requests.Add(1)
 	s := r.processes[process].Load()
 	request := testRequest(key)
-	request.DedupWindow = r.node.window
+	request.DedupWindow = r.upstream.window
 	ctx, cancel := context.WithTimeout(r.t.Context(), 150*time.Millisecond)
 	claim, err := s.Claim(ctx, request, func() {})
 	cancel()
@@ -107,7 +107,7 @@
 		r.checkReplay(key, string(claim.Answer.Body))
 		return false
 	case claim.Verdict != idempotency.Execute:
-		r.t.Errorf("%s: %+v", key, claim)
+		r.t.Errorf("payment %s: unexpected verdict of the claim %+v", key, claim)
 		return false
 	}
 	return r.execute(process, s, request, claim, body)
@@ -117,7 +117,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if answer, ok := r.answers[key]; ok && answer != body {
-		r.t.Errorf("%s: %s, then %s", key, answer, body)
+		r.t.Errorf("payment %s: the answer was %s, and a replay returned %s", key, answer, body)
 	}
 	r.replays.Add(1)
 }
@@ -127,18 +127,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if answer, ok := r.answers[key]; ok {
-		r.t.Errorf("%s: executed again after its answer %s", key, answer)
+		r.t.Errorf("payment %s was executed again after its answer %s", key, answer)
 	}
 	r.answers[key] = body
 }
 
-// execute executes a claimed payment, with faults of the node and of the process. It returns false if it ran out of time.
+// execute executes a claimed payment, with random faults of the upstream and of the process. It returns false if it ran out of time.
 func (r *paymentRig) execute(process int, s *Store, request idempotency.SharedRequest, claim Claim, body string) bool {
 	started := time.Now()
 	windowPassed := func() bool {
-		return slices.ContainsFunc(claim.EarlierAttempts, func(a idempotency.Attempt) bool { return a.SentAt+time.Since(started) >= r.node.window })
+		return slices.ContainsFunc(claim.EarlierAttempts, func(a idempotency.Attempt) bool { return a.SentAt+time.Since(started) >= r.upstream.window })
 	}
-	uncertain := func(attempts ...idempotency.Attempt) *idempotency.Record { // SentAt are ages at started
+	uncertain := func(attempts ...idempotency.Attempt) *idempotency.Record { // SentAt of each attempt is its age at started
 		attempts = append(attempts, claim.EarlierAttempts...)
 		for i := range attempts {
 			attempts[i].SentAt += time.Since(started)
@@ -150,21 +150,21 @@
 	switch {
 	case windowPassed():
 		s.Settle(claim, request.ID, attemptsUnknown)
-	case r.chance(0.1): // rejected by the node
-		if record := uncertain(); len(record.Attempts) > 0 { // an earlier attempt may have been executed all the same
+	case r.chance(0.1): // the upstream rejects the payment
+		if record := uncertain(); len(record.Attempts) > 0 { // an earlier attempt may still have been executed
 			s.Settle(claim, request.ID, record)
 		} else {
 			s.Settle(claim, request.ID, nil)
 		}
-	case r.chance(0.15): // executed, and the answer is lost
-		r.node.pay(request.ID.Key, windowPassed)
+	case r.chance(0.15): // the payment is executed, but its answer is lost
+		r.upstream.pay(request.ID.Key, windowPassed)
 		s.Settle(claim, request.ID, uncertain(idempotency.Attempt{}))
 	case r.chance(0.05): // the process crashes
-		r.node.pay(request.ID.Key, windowPassed)
+		r.upstream.pay(request.ID.Key, windowPassed)
 		s.Abort()
 		r.startProcess(process)
 	default:
-		if r.node.pay(request.ID.Key, windowPassed); windowPassed() { // it may not have been sent
+		if r.upstream.pay(request.ID.Key, windowPassed); windowPassed() { // the payment may not have been sent
 			s.Settle(claim, request.ID, attemptsUnknown)
 			return false
 		}
@@ -174,8 +174,8 @@
 	return true
 }
 
-// TestNothingExecutedTwice runs processes that crash, an etcd with all kinds of faults, and a node that remembers for a short time. No
-// payment may be executed twice, and once an answer is known every process must return that one.
+// TestNothingExecutedTwice runs processes that crash, an etcd with many kinds of faults, and an upstream with a short deduplication window.
+// It guards against executing a payment twice, and against a process that returns another answer than the known one.
 func TestNothingExecutedTwice(t *testing.T) {
 	r := newPaymentRig(t, 250*time.Millisecond)
 	var workers sync.WaitGroup
@@ -183,8 +183,8 @@
 		workers.Go(func() {
 			for n := range 40 {
 				key := fmt.Sprintf("%d-%d", worker/2, n) // two clients send each payment
-				for try := range 5 {
-					if r.pay((worker+try)%len(r.processes), key, fmt.Sprint(worker, try)) && r.chance(0.02) {
+				for attempt := range 5 {
+					if r.pay((worker+attempt)%len(r.processes), key, fmt.Sprint(worker, attempt)) && r.chance(0.02) {
 						r.etcd.CompactHistory()
 					}
 				}
@@ -192,13 +192,13 @@
 		})
 	}
 	workers.Wait()
-	for key, n := range r.node.executed {
+	for key, n := range r.upstream.executed {
 		if n > 1 {
-			t.Errorf("%s: executed %d times", key, n)
+			t.Errorf("payment %s was executed %d times", key, n)
 		}
 	}
-	if r.replays.Load() < 300 || len(r.node.executed) < 300 {
-		t.Errorf("too few to be conclusive: %d replays, %d executed", r.replays.Load(), len(r.node.executed))
+	if r.replays.Load() < 300 || len(r.upstream.executed) < 300 {
+		t.Errorf("too few events for the test to be conclusive: %d replays, %d payments executed; want 300 of each", r.replays.Load(), len(r.upstream.executed))
 	}
-	t.Logf("%d tries, %d executed, %d replays, %d uncertain", r.tries.Load(), len(r.node.executed), r.replays.Load(), r.uncertain.Load())
+	t.Logf("%d requests, %d payments executed, %d replays, %d uncertain outcomes", r.requests.Load(), len(r.upstream.executed), r.replays.Load(), r.uncertain.Load())
 }
--- a/internal/idempotency/etcdstore/session.go
+++ b/internal/idempotency/etcdstore/session.go
@@ -13,24 +13,24 @@
 	"orchiddrift/internal/tlscredentials"
 )
 
-// session is a connection with its leases.
+// session is a connection to etcd with its leases.
 type session struct {
 	client      *clientv3.Client // nil: not connected yet
 	lease       clientv3.LeaseID // of the owner key, kept alive; 0: none
-	recordLease clientv3.LeaseID // of the records that are written now; 0: none
+	recordLease clientv3.LeaseID // attached to the records that are written now; 0: none
 	process     string           // the name of the process's first session
 }
 
-// Records are attached to a few leases instead of one each: all records that a process writes within Retention/recordLeaseSlots share a
-// lease, which expires Retention after that period.
+// Records are attached to a few leases instead of one each. All records that a process writes within Retention/recordLeaseSlots share a
+// lease, which expires Retention after the end of that period.
 const (
 	recordLeaseSlots = 8
-	// lateCommitTimeout is how long after its client gave up on a transaction a server may still commit it, at most. A record's lease lasts
-	// that much longer, and a claim that failed is withdrawn for that long.
+	// lateCommitTimeout is the longest time for which a server may still commit a transaction after its client gave up on it. A record's
+	// lease lasts that much longer, and a failed claim is withdrawn if it is committed within that time.
 	lateCommitTimeout = 10 * time.Second
 )
 
-// currentSession returns the session as it is; false if it has to be completed by ensureSession.
+// currentSession returns the session, and false if ensureSession must complete it first.
 func (s *Store) currentSession() (session, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +39,7 @@
 	return current, complete && time.Since(s.recordLeaseSince) < s.options.Retention/recordLeaseSlots
 }
 
-// ensureSession returns a complete session, connecting and granting leases where needed. Concurrent calls share one try.
+// ensureSession returns a complete session, connecting and granting leases where needed. Concurrent calls share one attempt.
 func (s *Store) ensureSession(ctx context.Context) (session, error) {
 	if current, ok := s.currentSession(); ok {
 		return current, nil
@@ -81,7 +81,7 @@
 	return current, s.trackAvailability(err)
 }
 
-// connect makes the client, which connects to etcd in the background and reconnects by itself.
+// connect creates the client, which connects to etcd in the background and reconnects by itself.
 func (s *Store) connect() (*clientv3.Client, error) {
 	client, err := s.newClient()
 	if err != nil {
@@ -93,7 +93,7 @@
 		s.session.client = client
 	}
 	s.mu.Unlock()
-	if closed != nil { // Store.Close does not know this client
+	if closed != nil { // Store.Close has not seen this client and does not close it
 		client.Close()
 		return nil, closed
 	}
@@ -107,7 +107,7 @@
 	}
 	servers := make([]string, len(s.options.Servers))
 	for i, server := range s.options.Servers {
-		servers[i] = "http://" + server // TLS is the dialer's
+		servers[i] = "http://" + server // the dialer does TLS
 	}
 	timeout := s.options.Timeout.D()
 	return clientv3.New(clientv3.Config{
@@ -123,7 +123,7 @@
 	})
 }
 
-// dialer returns the function that opens connections to etcd, encrypted if the declaration says so.
+// dialer returns the function that opens connections to etcd, with TLS if it is declared.
 func (s *Store) dialer() func(ctx context.Context, address string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: s.options.Timeout.D()}
 	if s.credentials == nil {
@@ -166,14 +166,14 @@
 	}
 	s.mu.Unlock()
 	s.start(func() {
-		for range keepAlives { // closed once the client takes the lease for expired
+		for range keepAlives { // the channel is closed once the client considers the lease expired
 		}
 		s.dropSession(grant.ID)
 	})
 	return nil
 }
 
-// grantRecordLease grants the lease of the records that are written from now on. It outlasts the last of them by Retention.
+// grantRecordLease grants the lease for the records that are written from now on. The lease outlasts the last of them by Retention.
 func (s *Store) grantRecordLease(ctx context.Context, client *clientv3.Client) error {
 	granted := time.Now()
 	ttl := int64((s.options.Retention+s.options.Retention/recordLeaseSlots)/time.Second) + int64(lateCommitTimeout/time.Second)
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// dropSession gives up a session whose lease has expired, if it is still the current one. The next ensureSession starts another.
+// dropSession discards a session whose lease has expired, if it is still the current one. The next ensureSession starts another.
 func (s *Store) dropSession(lease clientv3.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/idempotency/etcdstore/settlement.go
+++ b/internal/idempotency/etcdstore/settlement.go
@@ -12,25 +12,25 @@
 	"orchiddrift/internal/idempotency/recordcodec"
 )
 
-// settleRetryInterval is the pause between two tries to write a settlement.
+// settleRetryInterval is the pause between two attempts to write a settlement.
 const settleRetryInterval = time.Second
 
-// settlement is the outcome of a claim that is yet to be written to etcd, or the withdrawal of a claim whose transaction failed and may have
-// been committed.
+// settlement is the outcome of a claim that is yet to be written to etcd, or the withdrawal of a claim whose transaction failed but may
+// have been committed.
 type settlement struct {
 	id             idempotency.ID
 	claim          string
-	record         *idempotency.Record // to be written, with wall-clock times; nil: the claim's record is deleted
+	record         *idempotency.Record // record to write, with wall-clock times; nil: the claim's record is deleted
 	withdrawal     bool                // record is the one that the claim replaced
-	mayCommitUntil time.Time           // of a withdrawal: the claim may still be committed until then
+	mayCommitUntil time.Time           // set for a withdrawal: the claim may still be committed until then
 
 	lock     chan struct{} // of capacity 1: held by the goroutine that writes the settlement; guards the fields below
-	revision int64         // of the claim's record; 0: not known
+	revision int64         // etcd revision of the claim's record; 0: unknown
 	done     bool
 }
 
-// Settle ends a claim with a record, whose attempts' SentAt are ages, or with nil if the request was not executed. It returns at once:
-// the record is written in the background, and the next Claim of the key waits for that.
+// Settle ends a claim with a record, or with nil if the request was not executed. SentAt of the record's attempts is their age. Settle
+// returns at once: the record is written in the background, and the next Claim of the key waits for the write.
 func (s *Store) Settle(claim Claim, id idempotency.ID, record *idempotency.Record) {
 	if claim.name == "" {
 		return
@@ -44,8 +44,8 @@
 	s.addSettlement(p)
 }
 
-// addSettlement starts writing a settlement. Once the Store is closed, or beyond MaxPending withdrawals, it does nothing: the record then
-// stays running and its request is not executed again.
+// addSettlement starts writing a settlement. It does nothing once the Store is closed, or for a withdrawal beyond MaxPending: the record
+// then stays running, and its request is not executed again.
 func (s *Store) addSettlement(p *settlement) {
 	p.lock = make(chan struct{}, 1)
 	s.mu.Lock()
@@ -57,14 +57,14 @@
 	s.running.Go(func() { s.settleUntilDone(p) })
 }
 
-// pendingSettlements returns the number of settlements that are yet to be written.
+// pendingSettlements returns the number of settlements that are not yet written.
 func (s *Store) pendingSettlements() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.pending)
 }
 
-// settleUntilDone tries to write a settlement until it is done or the Store is closed.
+// settleUntilDone retries writing a settlement until it is done or the Store is closed.
 func (s *Store) settleUntilDone(p *settlement) {
 	for {
 		select {
@@ -72,7 +72,7 @@
 		case <-s.ctx.Done():
 			return
 		}
-		done, _ := s.settle(s.ctx, p) // its error has been logged
+		done, _ := s.settle(s.ctx, p) // trackAvailability has logged the error
 		<-s.settling
 		if done {
 			return
@@ -85,7 +85,7 @@
 	}
 }
 
-// settlePending tries to write the pending settlement of a key, before the key is claimed anew.
+// settlePending tries to write the pending settlement of a key before the key is claimed again.
 func (s *Store) settlePending(ctx context.Context, id idempotency.ID) error {
 	s.mu.Lock()
 	p := s.pending[id]
@@ -120,22 +120,22 @@
 	return done, err
 }
 
-// writeSettlement replaces or deletes the record of a claim, if it is still the claim's. Its results are those of settle.
+// writeSettlement replaces or deletes the record of a claim, unless another claim has replaced it. Its results are those of settle.
 func (s *Store) writeSettlement(ctx context.Context, p *settlement) (done bool, err error) {
 	revisionKnown := p.revision != 0
 	for range maxTransactionAttempts {
-		at, err := s.ensureSession(ctx)
+		current, err := s.ensureSession(ctx)
 		if err != nil {
 			return false, err
 		}
 		if !revisionKnown {
-			if needed, done, err := s.findClaim(ctx, at, p); !needed {
+			if needed, done, err := s.findClaim(ctx, current, p); !needed {
 				return done, err
 			}
 		}
-		response, err := s.commitSettlement(ctx, at, p)
+		response, err := s.commitSettlement(ctx, current, p)
 		switch {
-		case errors.Is(err, rpctypes.ErrLeaseNotFound): // with a new session
+		case errors.Is(err, rpctypes.ErrLeaseNotFound): // retry with a new session
 		case err != nil:
 			return false, err
 		case response.Succeeded:
@@ -147,10 +147,10 @@
 	return false, errContended
 }
 
-// findClaim reads the revision of a claim's record. It returns needed if there is something to write at that revision; else done, which is
-// false while the claim may still be committed. A settlement that has a record to write and finds none creates it, at revision 0.
-func (s *Store) findClaim(ctx context.Context, at session, p *settlement) (needed, done bool, err error) {
-	response, err := s.get(ctx, at, s.recordKey(p.id))
+// findClaim reads the revision of a claim's record. needed reports whether the settlement must be written at that revision. If not, done is
+// false while the claim may still be committed. A settlement with a record to write that finds no record creates it, at revision 0.
+func (s *Store) findClaim(ctx context.Context, current session, p *settlement) (needed, done bool, err error) {
+	response, err := s.get(ctx, current, s.recordKey(p.id))
 	if err != nil {
 		return false, false, err
 	}
@@ -165,7 +165,7 @@
 	if err != nil {
 		return false, true, s.trackAvailability(err)
 	}
-	if record.Claim != p.claim { // another claim has replaced it, or it was never committed
+	if record.Claim != p.claim { // another claim has replaced this one, or this one was never committed
 		return false, p.commitImpossible(), nil
 	}
 	p.revision = response.Kvs[0].ModRevision
@@ -176,13 +176,13 @@
 func (p *settlement) commitImpossible() bool { return time.Now().After(p.mayCommitUntil) }
 
 // commitSettlement runs the transaction of a settlement.
-func (s *Store) commitSettlement(ctx context.Context, at session, p *settlement) (*clientv3.TxnResponse, error) {
+func (s *Store) commitSettlement(ctx context.Context, current session, p *settlement) (*clientv3.TxnResponse, error) {
 	key := s.recordKey(p.id)
 	write := clientv3.OpDelete(key)
 	if p.record != nil {
-		value := recordcodec.EncodeShared(&idempotency.SharedRecord{Record: *p.record, Owner: leaseName(at.lease), Claim: p.claim})
-		write = clientv3.OpPut(key, string(value), clientv3.WithLease(at.recordLease))
+		value := recordcodec.EncodeShared(&idempotency.SharedRecord{Record: *p.record, Owner: leaseName(current.lease), Claim: p.claim})
+		write = clientv3.OpPut(key, string(value), clientv3.WithLease(current.recordLease))
 	}
 	conditions := []clientv3.Cmp{clientv3.Compare(clientv3.ModRevision(key), "=", p.revision)}
-	return s.commit(ctx, at, conditions, write, clientv3.OpGet(key))
+	return s.commit(ctx, current, conditions, write, clientv3.OpGet(key))
 }
--- a/internal/idempotency/etcdstore/store.go
+++ b/internal/idempotency/etcdstore/store.go
@@ -21,10 +21,10 @@
 
 // Options are a Store's parameters.
 type Options struct {
-	Declaration               // checked
+	Declaration               // must have passed Check
 	Service     string        // services do not share keys
 	Retention   time.Duration // how long a record is kept after it was written, at least
-	MaxPending  int           // pending settlements beyond which claims of unknown result are not withdrawn: their keys stay running
+	MaxPending  int           // number of pending settlements beyond which claims of unknown result are not withdrawn; their keys stay running
 	Log         *slog.Logger
 }
 
@@ -37,15 +37,15 @@
 	closePollInterval = time.Millisecond
 )
 
-// errContended is returned when a record changed between each read and the transaction that followed.
-var errContended = errors.New("the record changed in each try")
+// errContended is returned after maxTransactionAttempts, when the record changed between each read and the transaction that followed.
+var errContended = errors.New("the record in etcd changed before every transaction")
 
 // Store is a connection to the shared store. It is safe for concurrent use.
 type Store struct {
 	options     Options
 	prefix      string
 	credentials *tlscredentials.Store // nil: no TLS
-	ctx         context.Context       // ends with Abort or Close
+	ctx         context.Context       // canceled by Abort or Close
 	cancel      context.CancelFunc
 	connecting  singleflight.Group
 	settling    chan struct{} // semaphore of maxConcurrentSettlements
@@ -54,7 +54,7 @@
 	mu               sync.Mutex // also serializes cancel with the start of goroutines
 	session          session
 	recordLeaseSince time.Time
-	claims           uint64 // made by this process
+	claims           uint64 // number of claims made by this process
 	pending          map[idempotency.ID]*settlement
 	unavailable      bool // the last request to etcd failed
 }
@@ -79,7 +79,7 @@
 	if s.credentials != nil {
 		s.running.Go(func() { s.credentials.Run(s.ctx) })
 	}
-	// The first request need not wait for the connection. It gets the same error, if there is one.
+	// Connecting here saves the first request the wait. If connecting fails, the first request returns the error.
 	s.running.Go(func() { _, _ = s.ensureSession(s.ctx) })
 	return s, nil
 }
@@ -90,7 +90,7 @@
 // recordKey returns the etcd key of an idempotency key's record.
 func (s *Store) recordKey(id idempotency.ID) string {
 	h := sha256.New()
-	fmt.Fprintf(h, "%d\x00%s%d\x00%s%s", len(id.Tenant), id.Tenant, len(id.Class), id.Class, id.Key) // a hash accepts every write
+	fmt.Fprintf(h, "%d\x00%s%d\x00%s%s", len(id.Tenant), id.Tenant, len(id.Class), id.Class, id.Key) // writes to a hash never fail
 	return s.prefix + "key/" + hex.EncodeToString(h.Sum(nil))
 }
 
@@ -98,26 +98,26 @@
 func leaseName(id clientv3.LeaseID) string { return strconv.FormatInt(int64(id), 16) }
 
 // get reads a key, within Declaration.Timeout.
-func (s *Store) get(ctx context.Context, at session, key string) (*clientv3.GetResponse, error) {
+func (s *Store) get(ctx context.Context, current session, key string) (*clientv3.GetResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Timeout.D())
 	defer cancel()
-	response, err := at.client.Get(ctx, key)
+	response, err := current.client.Get(ctx, key)
 	return response, s.trackAvailability(err)
 }
 
-// commit runs a transaction, within Declaration.Timeout. After rpctypes.ErrLeaseNotFound a new session is made for the next call.
-func (s *Store) commit(ctx context.Context, at session, conditions []clientv3.Cmp, then, otherwise clientv3.Op) (*clientv3.TxnResponse, error) {
+// commit runs a transaction, within Declaration.Timeout. After rpctypes.ErrLeaseNotFound the next ensureSession starts a new session.
+func (s *Store) commit(ctx context.Context, current session, conditions []clientv3.Cmp, then, otherwise clientv3.Op) (*clientv3.TxnResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Timeout.D())
 	defer cancel()
-	response, err := at.client.Txn(ctx).If(conditions...).Then(then).Else(otherwise).Commit()
+	response, err := current.client.Txn(ctx).If(conditions...).Then(then).Else(otherwise).Commit()
 	if errors.Is(err, rpctypes.ErrLeaseNotFound) {
-		s.dropSession(at.lease)
+		s.dropSession(current.lease)
 		return nil, err
 	}
 	return response, s.trackAvailability(err)
 }
 
-// trackAvailability logs when etcd becomes unavailable, and available again, by the result of a request. It returns err.
+// trackAvailability logs when the result of a request shows that etcd has become unavailable or available again. It returns err.
 func (s *Store) trackAvailability(err error) error {
 	if s.ctx.Err() != nil {
 		return err
@@ -151,23 +151,23 @@
 }
 
 // Close writes pending settlements, for at most Declaration.Timeout, and ends the session, so that other processes need not wait for its
-// lease to expire. Claims that are still running count as perhaps executed from then on.
+// lease to expire. Other processes then treat requests whose claims are still running as possibly executed.
 func (s *Store) Close() {
 	deadline := time.Now().Add(s.options.Timeout.D())
 	for s.pendingSettlements() > 0 && time.Now().Before(deadline) && s.ctx.Err() == nil {
 		time.Sleep(closePollInterval)
 	}
-	at, _ := s.currentSession()
-	if at.client != nil {
+	current, _ := s.currentSession()
+	if current.client != nil {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(s.ctx), s.options.Timeout.D())
 		defer cancel()
-		if at.lease != 0 && s.ctx.Err() == nil {
-			_, _ = at.client.Revoke(ctx, at.lease) // it expires by itself
+		if current.lease != 0 && s.ctx.Err() == nil {
+			_, _ = current.client.Revoke(ctx, current.lease) // if this fails, the lease expires by itself
 		}
 	}
 	s.Abort()
-	if at, _ = s.currentSession(); at.client != nil {
-		at.client.Close()
+	if current, _ = s.currentSession(); current.client != nil {
+		current.client.Close()
 	}
 	s.running.Wait()
 }
--- a/internal/idempotency/etcdstore/store_test.go
+++ b/internal/idempotency/etcdstore/store_test.go
@@ -11,8 +11,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// TestStoreUnavailable checks that nothing is claimed while etcd is not available; that settlements are written once it is available
-// again; and that a claim that failed does not block its key for good, even if its transaction is committed late.
+// TestStoreUnavailable checks that nothing is claimed while etcd is unavailable, that settlements are written once it is available again,
+// and that a failed claim does not block its key forever, even if its transaction is committed late.
 func TestStoreUnavailable(t *testing.T) {
 	var fault atomic.Int32
 	etcd, address := base.Etcd(t, fakes.EtcdOptions{Fault: func() fakes.EtcdFault { return fakes.EtcdFault(fault.Load()) }, Late: 200 * time.Millisecond})
@@ -26,7 +26,7 @@
 	for i, f := range faults {
 		fault.Store(int32(f))
 		if c, err := first.Claim(t.Context(), testRequest(i), func() {}); err == nil {
-			t.Errorf("fault %d: %+v", f, c)
+			t.Errorf("Claim succeeded despite etcd fault %d: %+v", f, c)
 		}
 	}
 	first.Settle(answeredClaim, answered.ID, answeredRecord(answered, "paid"))
@@ -34,7 +34,7 @@
 	etcd.Stop()
 	fault.Store(0)
 	if _, err := first.Claim(t.Context(), testRequest(9), func() {}); err == nil {
-		t.Error("claimed without etcd")
+		t.Error("Claim succeeded while etcd was stopped")
 	}
 	if _, err := etcd.Start(); err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 	base.Eventually(t, "a request that was not executed can be executed", func() bool {
 		c, err := first.Claim(t.Context(), notExecuted, func() {})
 		if err == nil && c.Verdict != idempotency.Execute {
-			t.Fatalf("claimed before its settlement was written: %+v", c)
+			t.Fatalf("request was claimed before its settlement was written: %+v", c)
 		}
 		return err == nil
 	})
@@ -60,10 +60,10 @@
 	}
 }
 
-// TestConnections checks that connections are encrypted and authenticated, that nothing is claimed where either fails, and that a new
-// session with new leases is started after one was lost.
+// TestConnections checks that connections are encrypted and authenticated, that nothing is claimed if either fails, and that a new session
+// with new leases is started after the leases were lost.
 func TestConnections(t *testing.T) {
-	ca, otherCA := base.CA(t, "etcd"), base.CA(t, "strange")
+	ca, otherCA := base.CA(t, "etcd"), base.CA(t, "other")
 	etcd, address := base.Etcd(t, fakes.EtcdOptions{User: "pay", Password: "secret", TLS: base.ServerTLS(t, base.Issue(t, ca, "127.0.0.1"))})
 	openWith := func(ca *fakes.CA, password string) *Store {
 		return openStore(t, address, func(o *Options) {
@@ -75,11 +75,11 @@
 	mustClaim(t, s, testRequest(0), idempotency.Execute)
 	for name, s := range map[string]*Store{"another authority": openWith(otherCA, "secret"), "another password": openWith(ca, "guess")} {
 		if c, err := s.Claim(t.Context(), testRequest(name), func() {}); err == nil {
-			t.Errorf("%s: %+v", name, c)
+			t.Errorf("Claim succeeded with %s: %+v", name, c)
 		}
 	}
 	for i := range 3 {
-		etcd.Expire(time.Hour) // all leases, those of records too
+		etcd.Expire(time.Hour) // all leases, including those of records
 		mustClaim(t, s, testRequest(i), idempotency.Execute)
 	}
 }
