--- a/internal/idempotency/executor/doc.go
+++ b/internal/idempotency/executor/doc.go
@@ -1,9 +1,10 @@
-// Package executor drives an idempotency.Store: it executes requests that bear an idempotency key, lets repeats of a running one wait for
-// its outcome, and returns stored answers. It owns the Store, the running executions, the durable records (a RecordStore) and the claims
-// in a store that several processes share (a SharedStore).
+// Package executor executes requests with an idempotency key, makes repeated requests wait for the outcome of the running one, and returns
+// stored answers. An idempotency.Store makes the decisions. Package executor owns that Store, the running executions, the durable records
+// (a RecordStore) and the claims in a store that several processes share (a SharedStore).
 //
-// An execution runs on the goroutine of the client that arrived first, or on its own one with Options.OwnGoroutine. It goes on when that
-// client disconnects, since others may wait for it and its answer is stored for repeats. Its context is canceled once no client waits.
+// An execution runs on the goroutine of the client that arrived first, or with Options.OwnGoroutine on a goroutine of its own. It continues
+// when that client disconnects, since other clients may wait for it and its answer is stored for repeated requests. Its context is canceled
+// once no client waits.
 //
 // The steps of an execution, and what a crash between them leaves behind:
 //
--- a/internal/idempotency/executor/execution.go
+++ b/internal/idempotency/executor/execution.go
@@ -9,8 +9,8 @@
 	"orchiddrift/internal/idempotency/etcdstore"
 )
 
-// ProceedOnError is the value of the settings disk_error and error for which requests are executed without a record or a claim while the
-// store is not available.
+// ProceedOnError is a value of the settings disk_error and error: requests are executed without a record or a claim while the store is
+// unavailable.
 const ProceedOnError = "go on"
 
 // storeErrorRetryAfter is the RetryAfter of requests that are rejected because their record or claim can't be written.
@@ -22,13 +22,13 @@
 	cancel  context.CancelFunc
 	waiters int // clients that wait for the outcome; guarded by Executor.mu
 
-	// keyConfirmed is closed once the key is known to be this request's in the shared store too; nil without a shared store.
+	// keyConfirmed is closed once the key is known to belong to this request in the shared store too; nil without a shared store.
 	keyConfirmed chan struct{}
 	confirmKey   func() // closes keyConfirmed; may be called repeatedly
 
 	done             chan struct{}
 	outcome          Outcome
-	decidedElsewhere bool // the outcome is that of another process
+	decidedElsewhere bool // another process decided on the outcome
 }
 
 // newExecution returns an execution that one client waits for.
@@ -42,7 +42,7 @@
 	return x
 }
 
-// isKeyConfirmed reports whether the key is known to be this request's everywhere.
+// isKeyConfirmed reports whether the key is known to belong to this request in all processes.
 func (x *execution) isKeyConfirmed() bool {
 	if x.keyConfirmed == nil {
 		return true
@@ -55,8 +55,8 @@
 	}
 }
 
-// execute runs a request once it is recorded and claimed, and hands its outcome to all clients that wait. The outcome is recorded after
-// that: if the process ends in between, the record still says running, and a repeat is not executed.
+// execute records, claims and runs a request, and passes its outcome to all waiting clients. The outcome is recorded after that: if the
+// process ends in between, the record still says running, and a repeated request is not executed.
 func (e *Executor) execute(ctx context.Context, request idempotency.SharedRequest, x *execution, run RunFunc) {
 	e.step(StepArrived)
 	claim, err := e.prepare(ctx, request, x)
@@ -85,15 +85,15 @@
 		return
 	}
 	e.running.Add(1)
-	go func() { // the client need not wait for the disk
+	go func() { // the client does not wait for the disk
 		defer e.running.Done()
-		_ = e.writeRecord(request.ID) // it logs its error; the older record, which says running, is the stricter one
+		_ = e.writeRecord(request.ID) // logged by writeRecord; the older record says running, which prevents another execution
 		e.step(StepStored)
 	}()
 }
 
-// prepare writes the record of a request that is about to be executed and claims it in the shared store. An error means that it must not
-// be executed.
+// prepare writes the record of a request that is about to be executed and claims the request in the shared store. An error means that the
+// request must not be executed.
 func (e *Executor) prepare(ctx context.Context, request idempotency.SharedRequest, x *execution) (etcdstore.Claim, error) {
 	if err := e.writeRecord(request.ID); err != nil && e.options.Limits.DiskError != ProceedOnError {
 		return etcdstore.Claim{}, err
@@ -105,8 +105,9 @@
 	return claim, nil
 }
 
-// claim claims a request in the shared store, until the deadline of ctx but also if its client leaves. The claim's attempts are on the
-// durable clock. With an error, or without a shared store, it returns a claim of verdict Execute that Settle ignores.
+// claim claims a request in the shared store. It stops at the deadline of ctx, but not when the client disconnects. The times of the
+// claim's attempts are on the durable clock. With an error, or without a shared store, it returns a claim with the verdict Execute that
+// Settle ignores.
 func (e *Executor) claim(ctx context.Context, request idempotency.SharedRequest, confirmKey func()) (etcdstore.Claim, error) {
 	local := etcdstore.Claim{Decision: idempotency.Decision{Verdict: idempotency.Execute, EarlierAttempts: request.EarlierAttempts}}
 	if e.options.Shared == nil {
@@ -118,12 +119,12 @@
 		claimCtx, cancel = context.WithDeadline(claimCtx, deadline)
 		defer cancel()
 	}
-	request.EarlierAttempts = swapAges(e.now(), request.EarlierAttempts)
+	request.EarlierAttempts = swapAgesAndTimes(e.now(), request.EarlierAttempts)
 	claim, err := e.options.Shared.Claim(claimCtx, request, confirmKey)
 	if err != nil {
 		return local, err
 	}
-	claim.EarlierAttempts = swapAges(e.now(), claim.EarlierAttempts)
+	claim.EarlierAttempts = swapAgesAndTimes(e.now(), claim.EarlierAttempts)
 	e.mu.Lock()
 	e.store.AdoptAttempts(request.ID, claim.EarlierAttempts)
 	e.mu.Unlock()
@@ -149,19 +150,19 @@
 	delete(e.executions, id)
 }
 
-// settle writes the outcome of a claim to the shared store. e.mu is held.
+// settle writes the outcome of a claim to the shared store. The caller holds e.mu.
 func (e *Executor) settle(now time.Duration, claim etcdstore.Claim, id idempotency.ID) {
 	record, ok := e.store.Record(now, id)
 	if !ok {
 		e.options.Shared.Settle(claim, id, nil)
 		return
 	}
-	record.Attempts = swapAges(now, record.Attempts)
+	record.Attempts = swapAgesAndTimes(now, record.Attempts)
 	e.options.Shared.Settle(claim, id, &record)
 }
 
-// swapAges returns attempts whose SentAt are ages at now in place of times, or times in place of ages.
-func swapAges(now time.Duration, attempts []idempotency.Attempt) []idempotency.Attempt {
+// swapAgesAndTimes returns a copy of attempts in which SentAt is the age at now instead of the time, or the time instead of the age.
+func swapAgesAndTimes(now time.Duration, attempts []idempotency.Attempt) []idempotency.Attempt {
 	swapped := append([]idempotency.Attempt(nil), attempts...)
 	for i := range swapped {
 		swapped[i].SentAt = now - swapped[i].SentAt
@@ -169,7 +170,7 @@
 	return swapped
 }
 
-// writeRecord makes a key's present record durable, or its absence, and deletes expired records with it. It logs an error.
+// writeRecord stores a key's current record durably, or deletes it if the key is unknown, together with expired records. It logs errors.
 func (e *Executor) writeRecord(id idempotency.ID) error {
 	if e.options.Records == nil {
 		return nil
@@ -190,20 +191,20 @@
 	if err != nil {
 		e.options.Log.Error("repeats: writing a record failed", "reason", err)
 		e.mu.Lock()
-		e.expired = append(e.expired, expired...) // for the next Put
+		e.expired = append(e.expired, expired...) // for the next Put to delete
 		e.mu.Unlock()
 	}
 	return err
 }
 
-// step calls Options.Step.
+// step calls Options.Step, if it is set.
 func (e *Executor) step(step string) {
 	if e.options.Step != nil {
 		e.options.Step(step)
 	}
 }
 
-// attemptRecorder records the attempts of one execution in the Store. Their times are on Options.Clock.
+// attemptRecorder records the attempts of one execution in the Store. Its methods expect times on Options.Clock.
 type attemptRecorder struct {
 	executor *Executor
 	id       idempotency.ID
--- a/internal/idempotency/executor/executor.go
+++ b/internal/idempotency/executor/executor.go
@@ -18,36 +18,36 @@
 	AttemptNotExecuted(attempt idempotency.Attempt) // the attempt is proved not to have been executed
 }
 
-// RunFunc executes a request and returns its outcome. It must end by itself, not with the client that caused it: other clients may wait
-// for the outcome. wanted is canceled once no client waits; earlier are attempts that may have been executed, which the request must be
-// deduplicated against. It must report its own attempts to recorder.
+// RunFunc executes a request and returns its outcome. It must not stop when the client that started it disconnects, since other clients may
+// wait for the outcome, but it must finish by itself. wanted is canceled once no client waits. earlier are the attempts that may have been
+// executed and against which the request must be deduplicated. RunFunc must report its own attempts to recorder.
 type RunFunc func(wanted context.Context, earlier []idempotency.Attempt, recorder AttemptRecorder) Outcome
 
 // Outcome is how an execution ended, as its clients see it.
 type Outcome struct {
-	Verdict    idempotency.Verdict // of a RunFunc: Replay, Reject or Fail
-	Answer     *idempotency.Answer // of Replay
-	RetryAfter time.Duration       // of Reject
+	Verdict    idempotency.Verdict // from a RunFunc: Replay, Reject or Fail
+	Answer     *idempotency.Answer // set for Replay
+	RetryAfter time.Duration       // set for Reject
 }
 
-// Result is what a client gets.
+// Result is the result of a request for one client.
 type Result struct {
 	Outcome
 	Executed   bool // the request was executed for this client
-	ClientLeft bool // the client's context was canceled first; there is no Outcome
+	ClientLeft bool // the client's context was canceled before the outcome was known; Outcome is empty
 }
 
 // Options are an Executor's parameters.
 type Options struct {
-	Limits               idempotency.Options // checked
+	Limits               idempotency.Options // must have passed Check
 	DedupWindow          func(class string) time.Duration
 	Clock                clock.Clock
 	Log                  *slog.Logger
-	OwnGoroutine         bool        // executions have goroutines of their own, so that a client can leave at any time
+	OwnGoroutine         bool        // executions have their own goroutines, so that Do can return when its client disconnects
 	Records              RecordStore // nil: records do not outlive the process
 	Shared               SharedStore // nil: keys are not shared with other processes
 	ProceedOnSharedError bool        // execute new keys without a claim while Shared is not available
-	// Step, if not nil, is called as an execution reaches each of Steps. Tests end the process there.
+	// Step, if not nil, is called when an execution reaches one of Steps. Tests use it to end the process at that step.
 	Step func(step string)
 }
 
@@ -64,16 +64,16 @@
 // Steps are the steps of an execution in order.
 var Steps = []string{StepArrived, StepRecorded, StepSent, StepAnswered, StepNotified, StepStored}
 
-// RecordStore keeps records durably.
+// RecordStore stores records durably.
 type RecordStore interface {
-	// Load calls do for each record, with the time that the last process's clock had reached.
+	// Load calls do for each record, and passes as now the last time that the previous process's clock is known to have reached.
 	Load(do func(now time.Duration, record idempotency.Record) error) error
-	// Put writes record, if it is not nil, and deletes expired ones. It returns once both are durable.
+	// Put writes record, if it is not nil, and deletes expired records. It returns once both are durable.
 	Put(record *idempotency.Record, expired []idempotency.ID, now time.Duration) error
 	Close() error
 }
 
-// SharedStore is a store of keys that several processes share, implemented by etcdstore.Store. SentAt of all attempts are ages.
+// SharedStore is a store of keys that several processes share, implemented by etcdstore.Store. SentAt of each attempt is its age.
 type SharedStore interface {
 	Claim(ctx context.Context, request idempotency.SharedRequest, confirmKey func()) (etcdstore.Claim, error)
 	Lookup(ctx context.Context, request idempotency.SharedRequest) (idempotency.Decision, error)
@@ -93,7 +93,7 @@
 	dedupWindow func(class string) time.Duration
 	executions  map[idempotency.ID]*execution
 	closed      bool
-	expired     []idempotency.ID // keys whose records are to be deleted with the next Put
+	expired     []idempotency.ID // keys whose records the next Put deletes
 	rejections  rejectionLog
 }
 
@@ -114,14 +114,14 @@
 		return e.store.Load(now, record)
 	})
 	if err != nil {
-		_ = options.Records.Close() // Load's error says more
+		_ = options.Records.Close() // the error of Load is the cause
 		return nil, err
 	}
 	return e, nil
 }
 
-// now returns the time on the durable clock, which goes on from process to process and stands still in between. The Store and its records
-// use it.
+// now returns the time on the durable clock, which continues in the next process and stops while no process runs. The Store and its records
+// use this clock.
 func (e *Executor) now() time.Duration { return e.clockOffset + e.options.Clock.Now() }
 
 // Configure replaces the limits and deduplication windows. Known keys stay, even if they exceed the new limits.
@@ -132,8 +132,8 @@
 	e.dedupWindow = dedupWindow
 }
 
-// Do returns the outcome of a request with an idempotency key. It executes the request by run, waits for a running one, or returns the
-// stored answer. It blocks until then, or until ctx ends: with the verdict Fail at its deadline, and ClientLeft if it is canceled.
+// Do returns the outcome of a request with an idempotency key. It executes the request with run, waits for a running one, or returns the
+// stored answer. If ctx ends while Do waits for an execution, Do returns the verdict Fail at a deadline, and ClientLeft otherwise.
 func (e *Executor) Do(ctx context.Context, id idempotency.ID, fingerprint idempotency.Fingerprint, run RunFunc) Result {
 	for {
 		result, keyConfirmed := e.tryDo(ctx, id, fingerprint, run)
@@ -148,7 +148,7 @@
 	}
 }
 
-// tryDo is Do, except that it returns a channel instead of a Result if the decision has to be made again once that is closed.
+// tryDo is one attempt at Do. It returns a channel instead of a Result if the decision must be made again once that channel is closed.
 func (e *Executor) tryDo(ctx context.Context, id idempotency.ID, fingerprint idempotency.Fingerprint, run RunFunc) (Result, <-chan struct{}) {
 	a := e.arrive(id, fingerprint)
 	if a.keyConfirmed != nil {
@@ -180,17 +180,17 @@
 	return e.wait(ctx, id, a.execution, executes), nil
 }
 
-// arrival is the Store's decision on a request.
+// arrival is the Store's decision on a request and the execution that belongs to it.
 type arrival struct {
 	decision    idempotency.Decision
 	dedupWindow time.Duration
-	execution   *execution // of Execute and Wait
-	// keyConfirmed is not nil if another request runs under the key here, and it is not yet known whether the key is that request's in the
-	// shared store too. The decision has to be made again once it is closed.
+	execution   *execution // set for Execute and Wait
+	// keyConfirmed is not nil if a different request with the same key runs in this process and it is not yet known whether the key belongs
+	// to that request in the shared store too. The decision must be made again once the channel is closed.
 	keyConfirmed <-chan struct{}
 }
 
-// arrive asks the Store for a decision and registers the execution that it leads to.
+// arrive gets a decision from the Store. It registers a new execution for Execute, or a waiting client for Wait.
 func (e *Executor) arrive(id idempotency.ID, fingerprint idempotency.Fingerprint) arrival {
 	now := e.now()
 	e.mu.Lock()
@@ -220,7 +220,7 @@
 	return a
 }
 
-// wait waits for an execution until ctx ends. executes reports whether it runs for this client.
+// wait waits for an execution until ctx ends. executes says whether the execution was started for this client.
 func (e *Executor) wait(ctx context.Context, id idempotency.ID, x *execution, executes bool) Result {
 	select {
 	case <-x.done:
@@ -230,7 +230,7 @@
 	e.leave(x)
 	if !executes {
 		e.mu.Lock()
-		if e.executions[id] == x { // it is still running
+		if e.executions[id] == x { // the execution is still running
 			e.store.StopWaiting(id)
 		}
 		e.mu.Unlock()
@@ -259,7 +259,7 @@
 	loggedAt time.Duration
 }
 
-// logRejection counts a rejected request, and logs the count at most once per rejectionLogInterval. e.mu is held.
+// logRejection counts a rejected request, and logs the count at most once per rejectionLogInterval. The caller holds e.mu.
 func (e *Executor) logRejection(now time.Duration) {
 	r := &e.rejections
 	if r.count++; r.count > 1 && now-r.loggedAt < rejectionLogInterval {
@@ -284,8 +284,8 @@
 	}
 }
 
-// Close rejects new requests, waits for running executions and closes the stores. The engines that execute requests must have been
-// closed before.
+// Close rejects new requests, waits for running executions and closes the stores. The engines that execute requests must be closed before
+// the Executor.
 func (e *Executor) Close() {
 	e.mu.Lock()
 	e.closed = true
--- a/internal/idempotency/executor/executor_test.go
+++ b/internal/idempotency/executor/executor_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeDisk is a RecordStore that can be full.
+// fakeDisk is a RecordStore in memory. Its Put fails while full is set.
 type fakeDisk struct {
 	mu      sync.Mutex
 	full    bool
@@ -73,9 +73,8 @@
 
 func testID(n int) idempotency.ID { return idempotency.ID{Tenant: "t", Class: "c", Key: fmt.Sprint(n)} }
 
-// TestFullDisk checks that requests are rejected and not executed while the disk is full, or executed without a record, as DiskError
-// says; that stored answers are replayed meanwhile; and that once the disk has capacity again records are written and expired ones
-// deleted.
+// TestFullDisk checks that, while the disk is full, requests are rejected or executed without a record, depending on DiskError, and stored
+// answers are replayed. Once the disk has space again, records must be written and expired records deleted.
 func TestFullDisk(t *testing.T) {
 	for _, onError := range []string{"refuse", ProceedOnError} {
 		t.Run(onError, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { testFullDisk(t, onError) }) })
@@ -97,11 +96,11 @@
 	}
 	for range 3 {
 		if got := do(2); got != want {
-			t.Errorf("a new key: %v", got)
+			t.Errorf("verdict %v for a new key while the disk is full, which DiskError does not allow", got)
 		}
 	}
 	if got := do(1); got != idempotency.Replay {
-		t.Errorf("an answered key: %v", got)
+		t.Errorf("verdict %v for an answered key while the disk is full, want Replay", got)
 	}
 	time.Sleep(2 * time.Minute)
 	do(3) // expires keys 1 and 2
@@ -110,18 +109,18 @@
 	do(4)
 	synctest.Wait()
 	if _, found := disk.records[testID(1)]; found || len(disk.records) == 0 {
-		t.Errorf("records on the disk: %v", disk.records)
+		t.Errorf("records on the disk: %v; want some, but not that of the expired key 1", disk.records)
 	}
 	e.Close()
 	restarted := newTestExecutor(t, disk, nil)
 	if r := restarted.Do(t.Context(), testID(4), idempotency.Fingerprint{}, nil); r.Verdict != idempotency.Replay || string(r.Answer.Body) != "paid" {
-		t.Errorf("after a restart: %+v", r)
+		t.Errorf("answered key after a restart: %+v, want Replay of its answer", r)
 	}
 	restarted.Close()
 }
 
-// TestWaitingClients checks that each of many waiting clients gets the one outcome, or leaves by itself: with Fail at its deadline, else
-// with ClientLeft; that nothing remains of them; and that nothing is executed after Close.
+// TestWaitingClients checks that all clients that wait for one execution get its outcome, that a client gets Fail at its deadline, or
+// ClientLeft when its context is canceled, that no state remains afterwards, and that nothing is executed after Close.
 func TestWaitingClients(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestExecutor(t, nil, nil)
@@ -144,29 +143,29 @@
 		}
 		leave()
 		if r := <-results; !r.ClientLeft {
-			t.Errorf("the client that left: %+v", r)
+			t.Errorf("client whose context was canceled: %+v, want ClientLeft", r)
 		}
 		if r := <-results; r.Verdict != idempotency.Fail || r.ClientLeft {
-			t.Errorf("at its deadline: %+v", r)
+			t.Errorf("client at its deadline: %+v, want Fail", r)
 		}
 		outcome <- Outcome{Verdict: idempotency.Reject, RetryAfter: time.Second}
 		for range 4 {
 			if r := <-results; r.Verdict != idempotency.Reject || r.RetryAfter != time.Second {
-				t.Errorf("%+v", r)
+				t.Errorf("client that waited for the outcome: %+v, want Reject with RetryAfter 1s", r)
 			}
 		}
 		if keys, bytes, running := e.Stats(); keys+bytes+running != 0 {
-			t.Errorf("%d keys of %d bytes remain, %d running", keys, bytes, running)
+			t.Errorf("%d keys of %d bytes remain, %d requests running; want none", keys, bytes, running)
 		}
 		e.Close()
 		if r := e.Do(t.Context(), testID(2), idempotency.Fingerprint{}, nil); r.Verdict != idempotency.Reject {
-			t.Errorf("after Close: %+v", r)
+			t.Errorf("request after Close: %+v, want Reject", r)
 		}
 	})
 }
 
-// TestManyKeys checks at 100,000 distinct keys a minute that the number of known keys follows the retention, within the limits, and that
-// none is rejected while there is capacity.
+// TestManyKeys checks, at 100,000 distinct keys a minute, that the number of known keys follows the retention, stays within the limits, and
+// that no request is rejected while there is capacity.
 func TestManyKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestExecutor(t, nil, func(o *idempotency.Options) { o.Retention = units.Duration(5 * time.Second) })
@@ -181,12 +180,12 @@
 				keys, bytes, _ := e.Stats()
 				maxKeys = max(maxKeys, keys)
 				if bytes > 16<<20 {
-					t.Fatalf("%d bytes", bytes)
+					t.Fatalf("keys take %d bytes, over the limit of 16 MiB", bytes)
 				}
 			}
 		}
 		if rejected > 0 || maxKeys > 8400 || maxKeys < 8000 { // 5 s at 1,667 keys a second
-			t.Errorf("%d rejected, %d keys at most", rejected, maxKeys)
+			t.Errorf("%d requests rejected, want 0; %d keys known at the same time, want 8000 to 8400", rejected, maxKeys)
 		}
 	})
 }
