--- a/internal/engine/answer.go
+++ b/internal/engine/answer.go
@@ -6,7 +6,7 @@
 	"orchiddrift/balancer"
 )
 
-// AnswerKind tells final answers apart.
+// AnswerKind classifies final answers.
 type AnswerKind int
 
 // The final answers.
@@ -14,26 +14,26 @@
 	Served       AnswerKind = iota // an attempt succeeded, or its streamed answer has begun
 	Rejected                       // not executed: the caller may retry
 	Failed                         // may have been executed
-	Duplicate                      // another call with this ID is in flight; nothing was done for this one
+	Duplicate                      // another call with this ID is in flight; this call was not processed
 	ClientGone                     // the caller's context ended first
-	EngineClosed                   // the engine is closed; nothing was done
+	EngineClosed                   // the engine is closed; the call was not processed
 )
 
 // Answer is the final answer to a call.
 type Answer struct {
 	Kind       AnswerKind
-	RetryAfter time.Duration // Rejected: when to retry; 0: no advice
-	Value      any           // Served: AttemptResult.Value of the successful attempt
-	Attempts   int           // attempts started up to the answer
+	RetryAfter time.Duration // if Rejected: how long to wait before a retry; 0: no advice
+	Value      any           // if Served: AttemptResult.Value of the successful attempt
+	Attempts   int           // number of attempts started before the answer
 
-	// Of a streamed answer; nil otherwise.
+	// Set for a streamed answer only; see EndStream.
 	engine  *Engine
 	call    *callState
 	attempt *attempt
 }
 
-// EndStream reports how a streamed answer ended (AttemptResult.Streaming). Only the first call counts; for any other
-// answer it does nothing. It may be called from any goroutine.
+// EndStream reports how a streamed answer (see AttemptResult.Streaming) ended. Only the first call has an effect; for
+// an answer that is not streamed no call has. It may be called from any goroutine.
 func (a Answer) EndStream(result balancer.Result) {
 	if a.attempt == nil {
 		return
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -16,51 +16,53 @@
 	RoundTrip(ctx context.Context, a Attempt) AttemptResult
 }
 
-// Attempt is one send that the balancer has decided on.
+// Attempt describes one attempt that the balancer has decided on.
 type Attempt struct {
-	ID       string // the call's
-	Number   int    // from 0, in the order of the decisions
+	ID       string // Call.ID of the call
+	Number   int    // from 0, in the order of the balancer's decisions
 	Upstream string
-	Zone     string // the upstream's
-	Cell     int    // the upstream's
+	Zone     string // zone of the upstream
+	Cell     int    // cell of the upstream
 
 	Deadline time.Time // when the attempt's context ends
-	// SendBy is when the last byte must have been written. An attempt that cannot meet it ends as balancer.NotSent: its
-	// deduplication scope may have forgotten the earlier attempts by then. Zero: at any time.
+	// SendBy is the time by which the last byte of the request must have been written; zero means no limit. An attempt
+	// that cannot meet it ends as balancer.NotSent, since its deduplication scope may no longer remember the earlier
+	// attempts after that time.
 	SendBy time.Time
 
-	OnCallerGoroutine bool // carried out by the goroutine in Do, which does not return before the attempt has ended
+	OnCallerGoroutine bool // runs on the goroutine that called Do, which does not return before the attempt has ended
 	Cancel            context.CancelCauseFunc
-	Caller            context.Context // ends when nobody waits for the answer: an attempt not begun by then ends as balancer.NotSent
+	Caller            context.Context // done once no caller waits for the answer; an attempt not started by then ends as balancer.NotSent
 }
 
-// AttemptResult is how an attempt ended. Value is the protocol adapter's own, and belongs to the caller of Do if this
-// attempt is the answer.
+// AttemptResult describes how an attempt ended. Value is opaque to the engine: the protocol adapter sets it, and the
+// caller of Do owns it if this attempt provides the answer.
 type AttemptResult struct {
 	Result balancer.Result
 	Value  any
 
-	// Streaming says that an answer has begun and continues; Result does not count yet. The attempt's context then loses
-	// its timeout, and whoever gets the Answer must call Answer.EndStream.
+	// Streaming means that the answer has begun and is still arriving; Result is ignored then. The attempt's context
+	// has no timeout from then on, and the receiver of the Answer must call Answer.EndStream.
 	Streaming    bool
-	PassThrough  bool // with Streaming: the upstream has finished its work, and only bytes are still forwarded
-	BodyConsumed bool // of a streamed call: its body can't be read again
+	PassThrough  bool // if Streaming: the upstream has finished its work, and only bytes are still forwarded
+	BodyConsumed bool // if Call.StreamedBody: the body can't be read again
 }
 
-// attempt is one send and the context under which it is carried out. It is a context itself, which saves an allocation
-// for each call. Context, info and cancel do not change once it has started; the other fields are guarded by Engine.mu.
+// attempt is the engine's state of an attempt. It is also the context.Context under which the attempt runs, which saves
+// one allocation per call. Context, info and cancel do not change once the attempt has started; the other fields are
+// guarded by Engine.mu.
 type attempt struct {
-	context.Context // ends with cancel
+	context.Context // done once cancel is called
 	info            Attempt
 	cancel          context.CancelCauseFunc
 	timer           *time.Timer   // ends the context with context.DeadlineExceeded
-	startedAt       time.Duration // when it was decided on; for a streamed body, when the upload was done
-	streamStartedAt time.Duration // when its streamed answer began; 0: it has not
+	startedAt       time.Duration // when the balancer decided on it; for a streamed body, when the upload was done
+	streamStartedAt time.Duration // when its streamed answer began; 0 before that
 	ended           bool          // its outcome has been reported
 }
 
-// Deadline implements context.Context. The engine enforces it with attempt.timer rather than with a context of its own,
-// so that a streamed answer can outlast it.
+// Deadline implements context.Context. The engine enforces the deadline with attempt.timer rather than with
+// context.WithDeadline, so that a streamed answer can outlast it.
 func (a *attempt) Deadline() (time.Time, bool) { return a.info.Deadline, true }
 
 // Err implements context.Context.
@@ -74,7 +76,8 @@
 
 func (a *attempt) expire() { a.cancel(context.DeadlineExceeded) }
 
-// startAttempt starts an attempt: on the goroutine in Do if that is free, otherwise on one of its own. The lock is held.
+// startAttempt starts an attempt on the goroutine that called Do if that is free, and otherwise on a new one. e.mu must
+// be held.
 func (e *Engine) startAttempt(send *balancer.Action) {
 	call := e.calls[send.ID]
 	if call == nil {
@@ -96,7 +99,7 @@
 	})
 }
 
-// newAttempt adds an attempt to a call and starts its timer. The lock is held.
+// newAttempt adds an attempt to a call and starts its timer. e.mu must be held.
 func (e *Engine) newAttempt(call *callState, send *balancer.Action) *attempt {
 	now := e.clock.Now()
 	timeout := call.request.Deadline - now
@@ -135,8 +138,8 @@
 	return a
 }
 
-// runAttempt carries out an attempt, without the lock. A panic of the Transport is logged and counts as Reset, since the
-// attempt may have run.
+// runAttempt carries out an attempt. e.mu must not be held. A panic of the Transport is logged and counts as
+// balancer.Reset, since the upstream may have executed the request.
 func (e *Engine) runAttempt(call *callState, a *attempt) (result AttemptResult) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -154,8 +157,9 @@
 	return result
 }
 
-// endAttempt reports an attempt's one outcome to the balancer; further results of it are ignored. The first success is
-// the call's final answer, even if its caller was thought to have left. The lock is held.
+// endAttempt reports the outcome of an attempt to the balancer. It ignores the results of an attempt that has ended.
+// The first successful attempt provides the call's final answer, even after the caller's context has ended. e.mu must
+// be held.
 func (e *Engine) endAttempt(call *callState, a *attempt, result AttemptResult) {
 	if a.ended {
 		return
@@ -170,7 +174,7 @@
 	a.ended = true
 	call.runningAttempts--
 	endedAt := e.clock.Now()
-	if a.streamStartedAt > 0 { // the length of a stream says nothing of its upstream's latency
+	if a.streamStartedAt > 0 { // the duration of a stream is no measure of the upstream's latency
 		endedAt = a.streamStartedAt
 	}
 	a.cancel(context.Canceled)
@@ -188,9 +192,9 @@
 	e.removeIfComplete(call)
 }
 
-// beginStream makes an attempt whose streamed answer has begun the answer of its call, and reports whether it did.
-// Otherwise the attempt ends with the result that is returned: the call is closed, or the attempt's context ended just
-// as the answer began, so that its connection is being closed and the answer would be cut short. The lock is held.
+// beginStream answers a call with the streamed answer that an attempt has begun, and reports whether it did. It does
+// not if the call is closed, or if the attempt's context ended just as the answer began: the connection is being closed
+// then, and the answer would be truncated. In these cases the attempt ends with the returned result. e.mu must be held.
 func (e *Engine) beginStream(call *callState, a *attempt, result AttemptResult, expired bool) (AttemptResult, bool) {
 	switch {
 	case call.closed:
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -7,21 +7,22 @@
 	"orchiddrift/balancer"
 )
 
-// Call is a request as the balancer sees it.
+// Call describes a request by the properties that the balancer's decisions depend on.
 type Call struct {
 	ID              string // unique among the calls in flight
 	Class           string
 	Tenant          string
-	Deadline        time.Duration // on the engine's clock: when the caller stops waiting
+	Deadline        time.Duration // time on the engine's clock at which the caller stops waiting
 	CostHint        time.Duration // expected work; 0: unknown
 	EarlierAttempts []balancer.EarlierAttempt
 
-	// StreamedBody says that the body is forwarded as it arrives. Deadline then bounds the upload, and Engine.UploadDone
-	// sets the deadline of the answer. Such a call is not hedged, and not retried after AttemptResult.BodyConsumed.
+	// StreamedBody means that the body is forwarded as it arrives. Deadline then bounds the upload, and
+	// Engine.UploadDone sets the deadline of the answer. Such a call is not hedged, and not retried after
+	// AttemptResult.BodyConsumed.
 	StreamedBody bool
 
-	// Interest ends once nobody waits for the answer: no attempt starts after that, and attempts that have started run
-	// on, whatever Options.CancelWithCaller says. Nil: the context of Do alone counts.
+	// Interest is done once no client waits for the answer. No attempt starts after that, and attempts that have
+	// started continue, regardless of Options.CancelWithCaller. If it is nil, only the context passed to Do counts.
 	Interest context.Context
 }
 
@@ -30,25 +31,25 @@
 type callState struct {
 	request   Call
 	transport Transport
-	ctx       context.Context // the caller's
+	ctx       context.Context // passed to Do
 
-	attempts        []*attempt // in the order of their numbers
-	firstAttempt    attempt    // storage of attempts[0]: most calls need no other
-	attemptBuffer   [2]*attempt
-	runningAttempts int // started and not yet ended
+	attempts        []*attempt  // in the order of their numbers
+	firstAttempt    attempt     // storage of attempts[0], since most calls need one attempt only
+	attemptBuffer   [2]*attempt // initial storage of attempts
+	runningAttempts int         // started and not yet ended
 
-	closed   bool // answered, or its caller has disconnected: the balancer owes it nothing more
+	closed   bool // answered, or its caller has disconnected: no further attempt starts
 	answered bool
 	answer   Answer // valid if answered
 
-	callerBusy    bool          // the goroutine in Do carries out an attempt
-	callerAttempt *attempt      // the attempt that it carries out next
-	wake          chan struct{} // wakes it; made when it first waits
+	callerBusy    bool          // the goroutine that called Do carries out an attempt
+	callerAttempt *attempt      // the attempt that the goroutine carries out next
+	wake          chan struct{} // wakes the goroutine; created when it first waits
 }
 
-// Do gives a call its final answer, before Call.Deadline. When ctx ends, the caller has disconnected: the
-// balancer is notified, and no further attempt starts. Do carries out attempts on the calling goroutine, and returns
-// only after those have ended.
+// Do carries out a call and returns its final answer, before Call.Deadline. The end of ctx means that the caller has
+// disconnected: the balancer is notified, and no further attempt starts. Do carries out attempts on the calling
+// goroutine, and returns only after those have ended.
 func (e *Engine) Do(ctx context.Context, request Call, transport Transport) Answer {
 	if ctx.Err() != nil {
 		return Answer{Kind: ClientGone}
@@ -65,14 +66,14 @@
 		return Answer{Kind: Duplicate}
 	}
 	e.begin(call)
-	// With cancelWithCaller the attempts end with ctx, and the goroutine in Do notices by itself.
+	// With cancelWithCaller the attempts end with ctx, and this goroutine detects the end of ctx itself.
 	if !call.closed && !e.cancelWithCaller && ctx.Done() != nil {
 		defer context.AfterFunc(ctx, func() { e.disconnect(call) })()
 	}
 	if !call.closed && request.Interest != nil {
 		defer context.AfterFunc(request.Interest, func() { e.disconnect(call) })()
 	}
-	for !call.closed { // tested first: an attempt decided on before the end is not carried out after it
+	for !call.closed { // checked first: once the call is closed, a waiting attempt must not start
 		if call.callerAttempt != nil {
 			e.runCallerAttempt(call)
 		} else {
@@ -84,7 +85,7 @@
 	return answer
 }
 
-// begin registers a call and asks the balancer for its first decision. The lock is held.
+// begin registers a call and asks the balancer for its first decision. e.mu must be held.
 func (e *Engine) begin(call *callState) {
 	request := &call.request
 	e.calls[request.ID] = call
@@ -99,8 +100,8 @@
 	})
 }
 
-// runCallerAttempt carries out the attempt that waits for the goroutine in Do, which calls this. The lock is held on
-// entry and on return, and released during the attempt.
+// runCallerAttempt carries out call.callerAttempt. It is called by the goroutine that called Do, with e.mu held, which
+// is released during the attempt and held again on return.
 func (e *Engine) runCallerAttempt(call *callState) {
 	a := call.callerAttempt
 	call.callerAttempt, call.callerBusy = nil, true
@@ -114,8 +115,8 @@
 	e.endAttempt(call, a, result)
 }
 
-// waitForWake blocks the goroutine in Do until there is an attempt for it to carry out or the call is closed. The lock
-// is held on entry and on return, and released meanwhile.
+// waitForWake blocks the goroutine that called Do until there is an attempt for it to carry out or the call is closed.
+// e.mu must be held; it is released during the wait and held again on return.
 func (e *Engine) waitForWake(call *callState) {
 	if call.wake == nil {
 		call.wake = make(chan struct{}, 1)
@@ -135,8 +136,8 @@
 	}
 }
 
-// closeCall returns the final answer of a closed call. An attempt that is still waiting for the goroutine in Do was
-// never handed to the Transport: it ends as NotSent. The lock is held.
+// closeCall returns the final answer of a closed call. An attempt that is still waiting for the goroutine that called
+// Do was never passed to the Transport: it ends as balancer.NotSent. e.mu must be held.
 func (e *Engine) closeCall(call *callState) Answer {
 	if call.callerAttempt != nil {
 		e.endAttempt(call, call.callerAttempt, AttemptResult{Result: balancer.NotSent})
@@ -148,13 +149,15 @@
 	return call.answer
 }
 
-// disconnect notifies the balancer that a call's caller has left. It runs on a goroutine of the ended context's.
+// disconnect notifies the balancer that the caller of a call has disconnected. It runs on a goroutine of its own, which
+// context.AfterFunc starts.
 func (e *Engine) disconnect(call *callState) {
 	e.lock()
 	defer e.unlock()
 	e.disconnectLocked(call)
 }
 
+// disconnectLocked is disconnect with e.mu held.
 func (e *Engine) disconnectLocked(call *callState) {
 	if call.closed {
 		return
@@ -165,7 +168,8 @@
 	call.wakeCaller()
 }
 
-// answerCall sets a call's final answer, unless it has one. The lock is held. A nil call is one that is not in flight.
+// answerCall sets a call's final answer, unless it has one. It ignores a nil call: the balancer's decision was about a
+// call that is no longer in flight. e.mu must be held.
 func (e *Engine) answerCall(call *callState, answer Answer) {
 	if call == nil || call.answered {
 		return
@@ -175,14 +179,14 @@
 	call.wakeCaller()
 }
 
-// removeIfComplete forgets a call that is closed and has no running attempt. The lock is held.
+// removeIfComplete removes a call that is closed and has no running attempt from e.calls. e.mu must be held.
 func (e *Engine) removeIfComplete(call *callState) {
 	if call.closed && call.runningAttempts == 0 && e.calls[call.request.ID] == call {
 		delete(e.calls, call.request.ID)
 	}
 }
 
-// wakeCaller wakes the goroutine in Do, if it waits. The lock is held.
+// wakeCaller wakes the goroutine that called Do, if it waits. Engine.mu must be held.
 func (c *callState) wakeCaller() {
 	if c.wake == nil {
 		return
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -12,35 +12,35 @@
 	"orchiddrift/internal/clock"
 )
 
-// Engine drives a balancer for calls. It is safe for concurrent use. What it holds is bounded by the calls in Do, and by
-// their attempts that have not ended.
+// Engine drives a balancer for calls. It is safe for concurrent use. Its memory use is bounded by the number of calls
+// in Do and of their attempts that have not ended.
 type Engine struct {
 	clock              clock.Clock
 	subscribe          func()
 	waitForUpdates     func()
 	log                *slog.Logger
-	callerRunsAttempts bool // the goroutine in Do carries out attempts: they can be cancelled for another one's answer
+	callerRunsAttempts bool // attempts may run on the goroutine that called Do, since they can be cancelled when another one succeeds
 	cancelWithCaller   bool
 
 	mu           sync.Mutex // see the package comment for the lock order
 	balancer     *balancer.Balancer
 	calls        map[string]*callState // by ID
 	actionBuffer []balancer.Action     // reused by handle; nil while it is in use
-	logActions   []balancer.Action     // written by unlock
-	timer        *time.Timer           // the balancer's
+	logActions   []balancer.Action     // log lines that unlock writes
+	timer        *time.Timer           // set by balancer.SetTimer
 	closed       bool
 
 	attemptGoroutines sync.WaitGroup
 
 	updatesMu      sync.Mutex
-	updates        []balancer.EndpointUpdate // queued by Update, oldest first: at most one for each of its callers
-	updatesPending atomic.Bool               // updates is not empty; read without updatesMu
+	updates        []balancer.EndpointUpdate // queued by Update, oldest first; at most one per running Update
+	updatesPending atomic.Bool               // whether updates is not empty; read without updatesMu
 }
 
-// unsetTimer is the duration of a timer that is stopped before it can fire.
+// unsetTimer is the initial duration of Engine.timer, which is stopped before it can fire.
 const unsetTimer = time.Hour
 
-// New starts an engine. The error names a setting that cannot be used. Close ends the engine.
+// New starts an engine, which Close ends. The error names the setting that is invalid.
 func New(options Options) (*Engine, error) {
 	policy, err := balancer.New(options.Settings, options.Seed)
 	if err != nil {
@@ -67,14 +67,14 @@
 // Clock returns the clock that Call.Deadline refers to.
 func (e *Engine) Clock() clock.Clock { return e.clock }
 
-// Update brings an endpoint update. No decision that begins after the call of Update goes against it, and it has been
-// handled when Update returns.
+// Update applies an endpoint update before it returns. Every decision that begins after Update was called takes the
+// endpoint update into account.
 func (e *Engine) Update(update balancer.EndpointUpdate) {
 	e.updatesMu.Lock()
 	e.updates = append(e.updates, update)
 	e.updatesPending.Store(true)
 	e.updatesMu.Unlock()
-	e.lock() // handles it, unless another goroutine has
+	e.lock() // handles the update, unless another goroutine has done so
 	e.unlock()
 }
 
@@ -118,8 +118,8 @@
 	}
 }
 
-// Close aborts the calls in flight, stops the timer, and waits for the attempts on goroutines of their own. Calls of Do
-// that follow are answered EngineClosed.
+// Close aborts the calls in flight, stops the timer, and waits for the attempts on goroutines of their own. Later calls
+// of Do return EngineClosed.
 func (e *Engine) Close() {
 	e.Abort()
 	e.lock()
@@ -150,14 +150,14 @@
 	return e.balancer.Snapshot(e.clock.Now())
 }
 
-// Restore gives the balancer what the replaced process had learned. It is called before the first Do.
+// Restore gives the balancer what the replaced process had learned. It must be called before the first Do.
 func (e *Engine) Restore(snapshot *balancer.Snapshot) {
 	e.lock()
 	defer e.unlock()
 	e.balancer.Restore(e.clock.Now(), snapshot)
 }
 
-// lock takes mu, and handles the endpoint updates that have been queued before anything else.
+// lock acquires mu and handles the queued endpoint updates before anything else.
 func (e *Engine) lock() {
 	e.mu.Lock()
 	if !e.updatesPending.Load() {
@@ -201,10 +201,10 @@
 	}
 }
 
-// handle has the balancer decide on an event, and executes its actions. The lock is held.
+// handle passes an event to the balancer and executes the resulting actions. e.mu must be held.
 //
-// A panic ends the process, on another goroutine: a server that recovers panics (net/http does) would keep running with
-// the lock held and the balancer's state unknown.
+// A panic of the balancer is raised again on another goroutine, which ends the process: a server that recovers panics,
+// such as net/http, would otherwise keep running with e.mu held and the balancer in an unknown state.
 func (e *Engine) handle(event balancer.Event) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -213,7 +213,7 @@
 		}
 	}()
 	actions := e.balancer.Handle(e.clock.Now(), event, e.actionBuffer[:0])
-	e.actionBuffer = nil // executing an action may bring another event
+	e.actionBuffer = nil // executing an action may call handle again
 	for i := range actions {
 		e.execute(&actions[i])
 	}
@@ -221,7 +221,7 @@
 	e.actionBuffer = actions[:0]
 }
 
-// execute does what the balancer decided. The lock is held.
+// execute executes one action of the balancer. e.mu must be held.
 func (e *Engine) execute(action *balancer.Action) {
 	switch action.Kind {
 	case balancer.Send:
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -16,17 +16,17 @@
 	"orchiddrift/internal/logging"
 )
 
-// New reports a setting that cannot be used, by its name.
+// New rejects an invalid setting with an error that names it.
 func TestNewRejectsInvalidSettings(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Deadline = -1
 	if _, err := New(Options{Settings: s, Clock: clock.New()}); err == nil || !strings.Contains(err.Error(), "Deadline") {
-		t.Errorf("error %v", err)
+		t.Errorf("New with a negative deadline: error %v, want one that names Deadline", err)
 	}
 }
 
-// However many requests wait for the lock, an update is handled before any decision that begins after Update was called:
-// none is sent to an endpoint that it says is draining.
+// An endpoint update is handled before all decisions that begin after Update was called, however many requests wait for
+// the lock: no request is sent to an endpoint that the update marks as draining.
 func TestUpdatesAreHandledBeforeRequests(t *testing.T) {
 	e := testEngine(t, nil, "draining", "active")
 	e.mu.Lock() // all goroutines below wait for it
@@ -51,11 +51,11 @@
 	e.mu.Unlock()
 	wg.Wait()
 	if _, ok := sent.Load("draining"); ok {
-		t.Error("sent to the draining endpoint")
+		t.Error("a request was sent to the endpoint that the update marks as draining")
 	}
 }
 
-// A call that Abort has failed keeps that answer when an attempt succeeds late, and is forgotten once the attempt has
+// A call that Abort has failed keeps that answer when an attempt succeeds later, and is removed once the attempt has
 // ended.
 func TestAbortGivesOneFinalAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -64,13 +64,13 @@
 			time.Sleep(time.Second)
 			e.Abort()
 		}()
-		begun := time.Now()
+		start := time.Now()
 		a := e.Do(t.Context(), e.newTestCall("1", "search"), transportFunc(func(ctx context.Context, _ Attempt) AttemptResult {
 			<-ctx.Done()
 			return AttemptResult{Result: balancer.OK, Value: "late"}
 		}))
-		if a.Kind != Failed || time.Since(begun) != time.Second {
-			t.Errorf("answered %+v after %v", a, time.Since(begun))
+		if a.Kind != Failed || time.Since(start) != time.Second {
+			t.Errorf("Do returned %+v after %v, want Failed as soon as Abort is called after 1 s", a, time.Since(start))
 		}
 		if n := e.InFlight(); n != 0 {
 			t.Errorf("%d calls are still in flight", n)
@@ -78,12 +78,12 @@
 	})
 }
 
-// A call whose attempts all hang is answered before its deadline, and no attempt outlasts it.
+// A call whose attempts all hang is answered before its deadline, and all its attempts have ended by then.
 func TestAnsweredBeforeDeadline(t *testing.T) {
 	for _, class := range []string{"search", "record", "confirm"} {
 		synctest.Test(t, func(t *testing.T) {
 			e := testEngine(t, nil, "s", "u")
-			begun := time.Now()
+			start := time.Now()
 			a := e.Do(t.Context(), e.newTestCall("1", class), transportFunc(func(ctx context.Context, _ Attempt) AttemptResult {
 				<-ctx.Done()
 				if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
@@ -91,24 +91,24 @@
 				}
 				return AttemptResult{Result: balancer.Cancelled}
 			}))
-			took := time.Since(begun)
+			took := time.Since(start)
 			if a.Kind == Served || a.Kind == Rejected && class != "search" || took > 3*time.Second || took < 2*time.Second {
-				t.Errorf("%s: answered %+v after %v", class, a, took)
+				t.Errorf("class %s: Do returned %+v after %v, want an unsuccessful answer after 2 s to 3 s", class, a, took)
 			}
 			if n := e.InFlight(); n != 0 {
-				t.Errorf("%s: %d calls are still in flight", class, n)
+				t.Errorf("class %s: %d calls are still in flight after the answer", class, n)
 			}
 		})
 	}
 }
 
-// Attempts that follow one another run on the goroutine in Do, one at a time.
+// Successive attempts of a call run on the goroutine that called Do, one at a time.
 func TestAttemptsRunOnCallerGoroutine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := testEngine(t, nil, "s", "u")
-		var running, most, sends atomic.Int32
+		var running, maxRunning, sends atomic.Int32
 		a := e.Do(t.Context(), e.newTestCall("1", "search"), transportFunc(func(ctx context.Context, a Attempt) AttemptResult {
-			most.Store(max(most.Load(), running.Add(1)))
+			maxRunning.Store(max(maxRunning.Load(), running.Add(1)))
 			defer running.Add(-1)
 			sends.Add(1)
 			switch a.Number {
@@ -119,22 +119,22 @@
 			}
 			return AttemptResult{Result: balancer.OK, Value: a.Number}
 		}))
-		if a.Kind != Served || a.Value != 2 || most.Load() != 1 || sends.Load() != 3 || a.Attempts != 3 {
-			t.Errorf("answered %+v, %d at once, %d sends", a, most.Load(), sends.Load())
+		if a.Kind != Served || a.Value != 2 || maxRunning.Load() != 1 || sends.Load() != 3 || a.Attempts != 3 {
+			t.Errorf("Do returned %+v with %d attempts at once and %d sends, want the third attempt to succeed alone", a, maxRunning.Load(), sends.Load())
 		}
 	})
 }
 
-// The answer of a hedged request does not wait for the attempt beside it: that is cancelled.
+// When a hedged request is answered, Do does not wait for the call's other attempt, which is cancelled.
 func TestHedgedRequestWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hedgesWon := atomic.Int32{}
 		for seed := range uint64(20) {
 			e := testEngine(t, func(o *Options) { o.Seed = seed }, "hangs", "answers")
 			var wg sync.WaitGroup
-			for i := range 3 { // two unanswered requests at one upstream are a reason to hedge
+			for i := range 3 { // two unanswered requests at one upstream make the balancer hedge
 				wg.Go(func() {
-					begun := time.Now()
+					start := time.Now()
 					a := e.Do(t.Context(), e.newTestCall(fmt.Sprint(i), "search"),
 						transportFunc(func(ctx context.Context, a Attempt) AttemptResult {
 							if a.Upstream == "hangs" {
@@ -146,8 +146,8 @@
 						}))
 					if a.Kind == Served && a.Attempts > 1 {
 						hedgesWon.Add(1)
-						if took := time.Since(begun); took > 2500*time.Millisecond {
-							t.Errorf("answered %+v after %v", a, took)
+						if took := time.Since(start); took > 2500*time.Millisecond {
+							t.Errorf("Do returned %+v of a hedged request after %v, want at most 2.5 s", a, took)
 						}
 					}
 				})
@@ -158,30 +158,30 @@
 			}
 		}
 		if hedgesWon.Load() == 0 {
-			t.Error("no hedged request ever won")
+			t.Error("no hedged request was answered")
 		}
 	})
 }
 
-// A caller that disconnects gets no further attempt, and its call is forgotten. Its attempt is cancelled with
-// CancelWithCaller, and otherwise runs on until it times out.
+// When a caller disconnects, its call gets no further attempt and is removed. The running attempt is cancelled with
+// CancelWithCaller, and otherwise continues until it times out.
 func TestCallerDisconnects(t *testing.T) {
 	for _, cancels := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			e := testEngine(t, func(o *Options) { o.CancelWithCaller = cancels }, "s", "u")
 			ctx, disconnect := context.WithTimeout(t.Context(), time.Second)
 			defer disconnect()
-			begun, sends := time.Now(), 0
+			start, sends := time.Now(), 0
 			a := e.Do(ctx, e.newTestCall("1", "search"), transportFunc(func(ctx context.Context, _ Attempt) AttemptResult {
 				sends++
 				<-ctx.Done()
 				return AttemptResult{Result: balancer.Cancelled}
 			}))
 			if a.Kind != ClientGone || sends != 1 {
-				t.Errorf("answered %+v after %d sends", a, sends)
+				t.Errorf("Do returned %+v after %d sends, want ClientGone after 1", a, sends)
 			}
-			if ended := time.Since(begun) == time.Second; ended != cancels {
-				t.Errorf("cancelled with its caller: %v, want %v", ended, cancels)
+			if ended := time.Since(start) == time.Second; ended != cancels {
+				t.Errorf("the attempt was cancelled when its caller disconnected: %v, want %v", ended, cancels)
 			}
 			if n := e.InFlight(); n != 0 {
 				t.Errorf("%d calls are still in flight", n)
@@ -192,14 +192,14 @@
 	ctx, disconnect := context.WithCancel(t.Context())
 	disconnect()
 	if a := e.Do(ctx, e.newTestCall("1", "search"), transportFunc(func(context.Context, Attempt) AttemptResult {
-		t.Error("sent for a caller that had disconnected")
+		t.Error("a request was sent for a caller that had already disconnected")
 		return AttemptResult{}
 	})); a.Kind != ClientGone {
-		t.Errorf("answered %+v", a)
+		t.Errorf("Do for a caller that had already disconnected returned %+v, want ClientGone", a)
 	}
 }
 
-// An attempt that succeeds after its caller's context has ended is still the answer.
+// An attempt that succeeds after its caller's context has ended still provides the answer.
 func TestServedAfterDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := testEngine(t, nil, "s")
@@ -210,12 +210,12 @@
 			return AttemptResult{Result: balancer.OK, Value: "answer"}
 		}))
 		if a.Kind != Served || a.Value != "answer" {
-			t.Errorf("answered %+v", a)
+			t.Errorf("Do returned %+v, want the answer of the attempt that succeeded", a)
 		}
 	})
 }
 
-// A second call with the ID of a call in flight is answered at once, and does not disturb the first.
+// A second call with the ID of a call in flight is answered at once, and does not affect the first.
 func TestDuplicateCallID(t *testing.T) {
 	e := testEngine(t, nil, "s")
 	inner := Answer{}
@@ -224,7 +224,7 @@
 		return AttemptResult{Result: balancer.OK}
 	}))
 	if a.Kind != Served || inner.Kind != Duplicate {
-		t.Errorf("answered %+v, the second %+v", a, inner)
+		t.Errorf("Do returned %+v, want Served; a second call with the same ID returned %+v, want Duplicate", a, inner)
 	}
 }
 
@@ -238,14 +238,14 @@
 		panic("boom")
 	}))
 	if a.Kind != Failed || sends != 1 || !strings.Contains(logged, "boom") {
-		t.Errorf("answered %+v after %d sends, said %q", a, sends, logged)
+		t.Errorf("Do returned %+v after %d sends and logged %q, want Failed after 1 and a log line with the panic", a, sends, logged)
 	}
 	if n := e.InFlight(); n != 0 {
 		t.Errorf("%d calls are still in flight", n)
 	}
 }
 
-// Close fails the calls in flight, and a closed engine takes no further ones.
+// Close fails the calls in flight, and a closed engine accepts no further calls.
 func TestClose(t *testing.T) {
 	e := testEngine(t, nil, "s")
 	go e.Close()
@@ -254,16 +254,16 @@
 		return AttemptResult{Result: balancer.Cancelled}
 	}))
 	if a.Kind != Failed && a.Kind != EngineClosed {
-		t.Errorf("answered %+v", a)
+		t.Errorf("Do returned %+v while Close was called, want Failed or EngineClosed", a)
 	}
 	e.Close()
 	if a := e.Do(t.Context(), e.newTestCall("2", "search"), nil); a.Kind != EngineClosed {
-		t.Errorf("answered %+v", a)
+		t.Errorf("Do returned %+v after Close, want EngineClosed", a)
 	}
 	e.Update(balancer.EndpointUpdate{Kind: balancer.FullUpdate})
 }
 
-// The same seed and the same script give the same attempts and answers.
+// The same seed, calls and attempt results give the same sequence of attempts and answers.
 func TestSameSeedSameTrace(t *testing.T) {
 	trace := func() (out string) {
 		synctest.Test(t, func(t *testing.T) {
@@ -282,11 +282,12 @@
 		return out
 	}
 	if a, b := trace(), trace(); a != b {
-		t.Errorf("two traces:\n%s\n%s", a, b)
+		t.Errorf("two runs with the same seed differ:\n%s\n%s", a, b)
 	}
 }
 
-// Concurrent calls with every kind of end get one answer each, and none stays in flight. The race detector watches.
+// Concurrent calls that end in all possible ways get one answer each, and none stays in flight. With -race, the test
+// also checks the engine for data races.
 func TestConcurrentCalls(t *testing.T) {
 	e := testEngine(t, nil, "s", "u", "v")
 	var wg sync.WaitGroup
@@ -321,6 +322,6 @@
 		t.Errorf("%d calls are still in flight", n)
 	}
 	if answersByKind[Served].Load() == 0 || answersByKind[Duplicate].Load() != 0 {
-		t.Errorf("answers by kind: %v", []int32{answersByKind[0].Load(), answersByKind[1].Load(), answersByKind[2].Load(), answersByKind[3].Load()})
+		t.Errorf("numbers of Served, Rejected, Failed and Duplicate answers: %v, want some Served and no Duplicate", []int32{answersByKind[0].Load(), answersByKind[1].Load(), answersByKind[2].Load(), answersByKind[3].Load()})
 	}
 }
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -13,10 +13,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// transportFunc is a Transport made of a function.
+// transportFunc is a function that implements Transport.
 type transportFunc func(ctx context.Context, a Attempt) AttemptResult
 
-func (c transportFunc) RoundTrip(ctx context.Context, a Attempt) AttemptResult { return c(ctx, a) }
+func (f transportFunc) RoundTrip(ctx context.Context, a Attempt) AttemptResult { return f(ctx, a) }
 
 func testSettings() balancer.Settings {
 	class := func(name string, idempotency balancer.Idempotency) balancer.Class {
--- a/internal/engine/owner_bench_test.go
+++ b/internal/engine/owner_bench_test.go
@@ -11,8 +11,8 @@
 	"orchiddrift/internal/clock"
 )
 
-// goroutineEngine is the alternative to Engine's mutex: one goroutine owns the balancer and reads events from a channel,
-// and each attempt has a goroutine. BenchmarkOwner compares the two; what the benchmark does not need is left out.
+// goroutineEngine is an alternative to Engine without a mutex: one goroutine owns the balancer and reads events from a
+// channel, and each attempt has a goroutine. It implements only what BenchmarkOwner needs to compare the two.
 type goroutineEngine struct {
 	clock    clock.Clock
 	balancer *balancer.Balancer
@@ -41,17 +41,17 @@
 }
 
 func newGoroutineEngine(b *balancer.Balancer, c clock.Clock) *goroutineEngine {
-	l := &goroutineEngine{clock: c, balancer: b, events: make(chan any, 256), stop: make(chan struct{}),
+	e := &goroutineEngine{clock: c, balancer: b, events: make(chan any, 256), stop: make(chan struct{}),
 		calls: map[string]*goroutineCall{}, timer: time.NewTimer(time.Hour)}
-	go l.run()
-	return l
+	go e.run()
+	return e
 }
 
-func (l *goroutineEngine) Do(ctx context.Context, request Call, transport Transport) Answer {
+func (e *goroutineEngine) Do(ctx context.Context, request Call, transport Transport) Answer {
 	call := &goroutineCall{request: request, transport: transport, answer: make(chan Answer, 1)}
 	select {
-	case l.events <- call:
-	case <-l.stop:
+	case e.events <- call:
+	case <-e.stop:
 		return Answer{Kind: EngineClosed}
 	}
 	select {
@@ -62,40 +62,40 @@
 	}
 }
 
-func (l *goroutineEngine) run() {
+func (e *goroutineEngine) run() {
 	for {
 		select {
-		case ev := <-l.events:
+		case ev := <-e.events:
 			switch ev := ev.(type) {
 			case *goroutineCall:
-				l.calls[ev.request.ID] = ev
-				l.handle(balancer.Request{ID: ev.request.ID, Class: ev.request.Class, Deadline: ev.request.Deadline})
-				l.forget(ev)
+				e.calls[ev.request.ID] = ev
+				e.handle(balancer.Request{ID: ev.request.ID, Class: ev.request.Class, Deadline: ev.request.Deadline})
+				e.removeIfComplete(ev)
 			case goroutineOutcome:
 				ev.call.runningAttempts--
 				ev.call.cancel[ev.attempt]()
 				if ev.result.Result == balancer.OK {
-					l.finish(ev.call, Answer{Kind: Served, Value: ev.result.Value})
+					e.finish(ev.call, Answer{Kind: Served, Value: ev.result.Value})
 				}
-				l.handle(balancer.Outcome{ID: ev.call.request.ID, Attempt: ev.attempt, Result: ev.result.Result,
+				e.handle(balancer.Outcome{ID: ev.call.request.ID, Attempt: ev.attempt, Result: ev.result.Result,
 					Elapsed: ev.endedAt - ev.call.startedAt[ev.attempt], Final: ev.call.answered})
-				l.forget(ev.call)
+				e.removeIfComplete(ev.call)
 			}
-		case <-l.timer.C:
-			l.handle(balancer.TimerFired{})
-		case <-l.stop:
+		case <-e.timer.C:
+			e.handle(balancer.TimerFired{})
+		case <-e.stop:
 			return
 		}
 	}
 }
 
-func (l *goroutineEngine) handle(event balancer.Event) {
-	l.actions = l.balancer.Handle(l.clock.Now(), event, l.actions[:0])
-	for i := range l.actions {
-		a := &l.actions[i]
-		switch call := l.calls[a.ID]; a.Kind {
+func (e *goroutineEngine) handle(event balancer.Event) {
+	e.actions = e.balancer.Handle(e.clock.Now(), event, e.actions[:0])
+	for i := range e.actions {
+		a := &e.actions[i]
+		switch call := e.calls[a.ID]; a.Kind {
 		case balancer.Send:
-			now := l.clock.Now()
+			now := e.clock.Now()
 			ctx, cancel := context.WithTimeout(context.Background(), min(call.request.Deadline-now, a.Timeout))
 			number := len(call.startedAt)
 			call.startedAt, call.cancel = append(call.startedAt, now), append(call.cancel, cancel)
@@ -104,48 +104,49 @@
 			go func() {
 				r := call.transport.RoundTrip(ctx, info)
 				select {
-				case l.events <- goroutineOutcome{call, number, l.clock.Now(), r}:
-				case <-l.stop:
+				case e.events <- goroutineOutcome{call, number, e.clock.Now(), r}:
+				case <-e.stop:
 				}
 			}()
 		case balancer.Cancel:
 			call.cancel[a.Attempt]()
 		case balancer.Reject:
-			l.finish(call, Answer{Kind: Rejected})
+			e.finish(call, Answer{Kind: Rejected})
 		case balancer.Fail:
-			l.finish(call, Answer{Kind: Failed})
+			e.finish(call, Answer{Kind: Failed})
 		case balancer.SetTimer:
-			l.timer.Reset(a.FireAt - l.clock.Now())
+			e.timer.Reset(a.FireAt - e.clock.Now())
 		}
 	}
 }
 
-func (l *goroutineEngine) finish(call *goroutineCall, a Answer) {
+func (e *goroutineEngine) finish(call *goroutineCall, a Answer) {
 	if !call.answered {
 		call.answered = true
 		call.answer <- a
 	}
 }
 
-func (l *goroutineEngine) forget(call *goroutineCall) {
+func (e *goroutineEngine) removeIfComplete(call *goroutineCall) {
 	if call.answered && call.runningAttempts == 0 {
-		delete(l.calls, call.request.ID)
+		delete(e.calls, call.request.ID)
 	}
 }
 
-// BenchmarkOwner measures a call whose attempt costs nothing, by what owns the balancer. From the repository's root:
+// BenchmarkOwner measures a call whose attempt returns at once, with Engine's mutex and with goroutineEngine. Run it in
+// the root of the repository:
 //
 //	go test -run '^$' -bench Owner -benchmem -count 6 -cpu 1,4 ./internal/engine
 func BenchmarkOwner(b *testing.B) {
 	served := transportFunc(func(context.Context, Attempt) AttemptResult { return AttemptResult{Result: balancer.OK} })
-	var names []balancer.Endpoint
+	var endpoints []balancer.Endpoint
 	for i := range 12 {
-		names = append(names, testEndpoint(fmt.Sprint(i), balancer.Active))
+		endpoints = append(endpoints, testEndpoint(fmt.Sprint(i), balancer.Active))
 	}
 	for _, owner := range []string{"mutex", "goroutine"} {
 		b.Run(owner, func(b *testing.B) {
 			clk := clock.New()
-			e, err := New(Options{Settings: testSettings(), Seed: 1, Clock: clk, CachedEndpoints: names})
+			e, err := New(Options{Settings: testSettings(), Seed: 1, Clock: clk, CachedEndpoints: endpoints})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -156,7 +157,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				bal.Handle(clk.Now(), balancer.EndpointUpdate{Kind: balancer.CachedUpdate, Endpoints: names}, nil)
+				bal.Handle(clk.Now(), balancer.EndpointUpdate{Kind: balancer.CachedUpdate, Endpoints: endpoints}, nil)
 				l := newGoroutineEngine(bal, clk)
 				defer close(l.stop)
 				do = l.Do
@@ -169,7 +170,7 @@
 				for pb.Next() {
 					c := Call{ID: fmt.Sprint(id.Add(1)), Class: "confirm", Deadline: clk.Now() + time.Second}
 					if a := do(ctx, c, served); a.Kind != Served && a.Kind != Rejected {
-						b.Fatalf("answered %+v", a)
+						b.Fatalf("Do returned %+v, want Served or Rejected", a)
 					}
 				}
 			})
@@ -177,7 +178,8 @@
 	}
 }
 
-// BenchmarkMembers measures a call whose attempt costs nothing, by the length of the endpoint list.
+// BenchmarkMembers measures a call whose attempt returns at once, for endpoint lists of several lengths. Run it in the
+// root of the repository:
 //
 //	go test -run '^$' -bench Members -benchmem -count 5 -cpu 1 ./internal/engine
 func BenchmarkMembers(b *testing.B) {
@@ -192,7 +194,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if a := e.Do(context.Background(), e.newTestCall(fmt.Sprint(i), "search"), served); a.Kind != Served && a.Kind != Rejected {
-					b.Fatalf("answered %+v", a)
+					b.Fatalf("Do returned %+v, want Served or Rejected", a)
 				}
 			}
 		})
