--- a/internal/bulkhead/bulkhead.go
+++ b/internal/bulkhead/bulkhead.go
@@ -1,14 +1,14 @@
-// Package bulkhead divides one limit among services, so that no service under load can take what another one needs: the bulkhead
-// pattern. bulkhead.go is the rule, free of locks, I/O and clocks; semaphore.go waits by it.
+// Package bulkhead divides one limit among services, so that a service under load cannot exhaust the capacity that another one needs (the
+// bulkhead pattern). Limiter applies the rule below, without locks, I/O and clocks; Semaphore adds locking and waiting.
 //
-// The rule. Of a limit L, the fraction p is guaranteed and divided by weight: service i is guaranteed
+// The rule: the fraction p of a limit L is guaranteed to the services, divided by weight. Service i is guaranteed
 //
 //	g_i = floor(L·p·w_i / Σw)
 //
-// but 1 at least. The rest, C = L − Σ g_i, is common capacity. A service that uses u_i takes max(0, u_i − g_i) of it, and may acquire n
-// more as long as the sum of that over all services stays at most C. So each service can always use its g_i, whatever the others use:
-// Σ u_i ≤ Σ g_i + C = L. When weights change, a service that uses more than its new guarantee keeps it until it releases it. The sum may
-// exceed C meanwhile; no service can acquire common capacity then.
+// but at least 1. The rest, C = L − Σ g_i, is common capacity. A service that uses u_i takes max(0, u_i − g_i) of the common capacity. It
+// may acquire more as long as the services together take at most C. So each service can always use its g_i, whatever the others use:
+// Σ u_i ≤ Σ g_i + C = L. When weights change, a service that uses more than its new guarantee keeps the excess until it releases it.
+// Meanwhile the services may together take more than C; then no service can acquire common capacity.
 package bulkhead
 
 import (
@@ -18,13 +18,13 @@
 	"slices"
 )
 
-// Share is the share of one service.
+// Share is the weight of one service in the division of the guaranteed fraction.
 type Share struct {
 	Name   string
 	Weight float64 // above 0
 }
 
-// Limiter applies the rule. It is not safe for concurrent use.
+// Limiter applies the rule of the package comment. It is not safe for concurrent use.
 type Limiter struct {
 	limit      int64
 	guaranteed float64 // the fraction of limit that is guaranteed
@@ -34,23 +34,23 @@
 	services   map[string]*usage
 }
 
-// usage is what one service is guaranteed and uses.
+// usage holds what one service is guaranteed and uses.
 type usage struct {
 	guaranteed int64
 	used       int64
-	removed    bool // it has no share any more, but still uses something
+	removed    bool // it has no share any more, but still uses some capacity
 }
 
-// common is how much of the common capacity a service uses.
+// common returns how much of the common capacity a service uses.
 func (u *usage) common() int64 { return max(0, u.used-u.guaranteed) }
 
-// New returns a Limiter of which a fraction, from 0 to 1, is guaranteed to the services.
+// New returns a Limiter. The fraction guaranteed of its limit, from 0 to 1, is guaranteed to the services.
 func New(limit int64, guaranteed float64, shares []Share) (*Limiter, error) {
 	l := &Limiter{limit: limit, services: map[string]*usage{}}
 	return l, l.Set(guaranteed, shares)
 }
 
-// Set changes the guaranteed fraction and the shares. What is used stays in use. An error leaves everything as it was.
+// Set changes the guaranteed fraction and the shares. Capacity in use stays in use. If Set returns an error, it has changed nothing.
 func (l *Limiter) Set(guaranteed float64, shares []Share) error {
 	byService, total, err := guarantees(l.limit, guaranteed, shares)
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 	l.common, l.guaranteed, l.shares = l.limit-total, guaranteed, slices.Clone(shares)
 	for name, u := range l.services {
-		if _, stays := byService[name]; stays {
+		if _, hasShare := byService[name]; hasShare {
 			continue
 		}
 		u.guaranteed, u.removed = 0, true
@@ -81,33 +81,33 @@
 	return nil
 }
 
-// guarantees divides a fraction of the limit by weight.
+// guarantees divides a fraction of the limit among services by weight.
 func guarantees(limit int64, fraction float64, shares []Share) (byService map[string]int64, total int64, err error) {
 	if !(fraction >= 0 && fraction <= 1) {
-		return nil, 0, fmt.Errorf("%v is not a part of the limit", fraction)
+		return nil, 0, fmt.Errorf("guaranteed fraction %v is not from 0 to 1", fraction)
 	}
 	weights := 0.0
 	for _, s := range shares {
 		if !(s.Weight > 0) || math.IsInf(s.Weight, 0) {
-			return nil, 0, fmt.Errorf("share of %s: %v is not usable", s.Name, s.Weight)
+			return nil, 0, fmt.Errorf("share of service %s: weight %v is not a positive finite number", s.Name, s.Weight)
 		}
 		weights += s.Weight
 	}
 	byService = make(map[string]int64, len(shares))
 	for _, s := range shares {
-		if _, twice := byService[s.Name]; twice {
-			return nil, 0, fmt.Errorf("%s has two shares", s.Name)
+		if _, duplicate := byService[s.Name]; duplicate {
+			return nil, 0, fmt.Errorf("service %s has more than one share", s.Name)
 		}
 		byService[s.Name] = max(1, int64(float64(limit)*fraction*s.Weight/weights))
 		total += byService[s.Name]
 	}
 	if total > limit {
-		return nil, 0, errors.New("the limit is too low for so many services")
+		return nil, 0, errors.New("the limit is less than the sum of the guarantees, each of which is at least 1")
 	}
 	return byService, total, nil
 }
 
-// Resize changes the limit. What is used stays in use, even beyond it. An error leaves everything as it was.
+// Resize changes the limit. Capacity in use stays in use, even if it exceeds the limit. If Resize returns an error, it has changed nothing.
 func (l *Limiter) Resize(limit int64) error {
 	before := l.limit
 	l.limit = limit
@@ -118,7 +118,7 @@
 	return err
 }
 
-// Total is what all services use.
+// Total returns how much all services use together.
 func (l *Limiter) Total() (n int64) {
 	for _, u := range l.services {
 		n += u.used
@@ -126,7 +126,7 @@
 	return n
 }
 
-// TryAcquire takes n for a service, or nothing. A service without a share gets nothing.
+// TryAcquire acquires n for a service, or nothing, and reports whether it did. A service without a share gets nothing.
 func (l *Limiter) TryAcquire(name string, n int64) bool {
 	u := l.services[name]
 	if u == nil || n < 0 || u.removed {
@@ -142,11 +142,11 @@
 	return true
 }
 
-// Release returns n. It panics if the service uses less than n, since that is an error of the program.
+// Release releases n that a service has acquired. It panics if the service uses less than n, which is a programming error.
 func (l *Limiter) Release(name string, n int64) {
 	u := l.services[name]
 	if u == nil || n < 0 || n > u.used {
-		panic(fmt.Sprintf("bulkhead: %s releases %d", name, n))
+		panic(fmt.Sprintf("bulkhead: service %s releases %d, which is negative or more than it uses", name, n))
 	}
 	before := u.common()
 	u.used -= n
@@ -156,7 +156,7 @@
 	}
 }
 
-// Guaranteed is what a service is guaranteed.
+// Guaranteed returns how much a service is guaranteed; 0 for a service without a share.
 func (l *Limiter) Guaranteed(name string) int64 {
 	if u := l.services[name]; u != nil {
 		return u.guaranteed
@@ -164,7 +164,7 @@
 	return 0
 }
 
-// Used is what a service uses.
+// Used returns how much a service uses.
 func (l *Limiter) Used(name string) int64 {
 	if u := l.services[name]; u != nil {
 		return u.used
@@ -172,7 +172,7 @@
 	return 0
 }
 
-// OverGuarantee lists the services that use common capacity, in no order.
+// OverGuarantee lists the services that use common capacity, in no particular order.
 func (l *Limiter) OverGuarantee() (names []string) {
 	for name, u := range l.services {
 		if u.common() > 0 {
--- a/internal/bulkhead/bulkhead_test.go
+++ b/internal/bulkhead/bulkhead_test.go
@@ -15,13 +15,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// limiterModel is a Limiter beside the rule in its plainest form: what each service holds.
+// limiterModel checks a Limiter against a model, which records how much each service uses and applies the rule
+// directly.
 type limiterModel struct {
 	limiter *Limiter
 	limit   int64
 	shares  []Share
 	used    map[string]int64
-	changed bool // the shares were set anew: the limit may be exceeded until enough is released
+	changed bool // the shares were changed: the limit may be exceeded until enough is released
 }
 
 var modelServices = []string{"a", "b", "c"}
@@ -31,19 +32,19 @@
 	for _, name := range modelServices[:rapid.IntRange(1, 3).Draw(t, "services")] {
 		shares = append(shares, Share{name, rapid.Float64Range(0.1, 10).Draw(t, "weight")})
 	}
-	return rapid.Float64Range(0, 1).Draw(t, "part"), shares
+	return rapid.Float64Range(0, 1).Draw(t, "guaranteed fraction"), shares
 }
 
-// sums returns what is held, what of it is beyond guarantees, and what is guaranteed to all.
-func (m *limiterModel) sums() (held, beyond, guaranteed int64) {
+// sums returns how much all services use, how much of that exceeds guarantees, and how much is guaranteed.
+func (m *limiterModel) sums() (inUse, overGuarantee, guaranteed int64) {
 	for _, name := range modelServices {
-		held += m.used[name]
-		beyond += max(0, m.used[name]-m.limiter.Guaranteed(name))
+		inUse += m.used[name]
+		overGuarantee += max(0, m.used[name]-m.limiter.Guaranteed(name))
 	}
 	for _, s := range m.shares {
 		guaranteed += m.limiter.Guaranteed(s.Name)
 	}
-	return held, beyond, guaranteed
+	return inUse, overGuarantee, guaranteed
 }
 
 func (m *limiterModel) hasShare(name string) bool {
@@ -63,16 +64,18 @@
 	}
 }
 
-// tryAcquire holds TryAcquire against the rule: within the guarantee, or with room in the common part.
+// tryAcquire checks TryAcquire against the rule: the service stays within its guarantee, or the common capacity
+// suffices.
 func (m *limiterModel) tryAcquire(t *rapid.T, name string, n int64) {
-	_, beyond, guaranteed := m.sums()
+	_, overGuarantee, guaranteed := m.sums()
 	common := m.limit - guaranteed
-	own := m.limiter.Guaranteed(name)
-	more := max(0, m.used[name]+n-own) - max(0, m.used[name]-own)
-	want := m.hasShare(name) && (more == 0 || beyond+more <= common)
+	guarantee := m.limiter.Guaranteed(name)
+	more := max(0, m.used[name]+n-guarantee) - max(0, m.used[name]-guarantee)
+	want := m.hasShare(name) && (more == 0 || overGuarantee+more <= common)
 	got := m.limiter.TryAcquire(name, n)
 	if got != want {
-		t.Fatalf("%s takes %d of %v, own %d, beyond %d of %d: %v", name, n, m.used, own, beyond, common, got)
+		t.Fatalf("service %s acquires %d: used %v, guarantee %d, %d of %d common capacity used: TryAcquire returned the wrong result %v",
+			name, n, m.used, guarantee, overGuarantee, common, got)
 	}
 	if got {
 		m.used[name] += n
@@ -80,28 +83,28 @@
 }
 
 func (m *limiterModel) check(t *rapid.T) {
-	held, _, guaranteed := m.sums()
-	if !m.changed && held > m.limit || guaranteed > m.limit {
-		t.Fatalf("%d held and %d guaranteed of %d", held, guaranteed, m.limit)
+	inUse, _, guaranteed := m.sums()
+	if !m.changed && inUse > m.limit || guaranteed > m.limit {
+		t.Fatalf("%d in use and %d guaranteed, at least one of which exceeds the limit %d", inUse, guaranteed, m.limit)
 	}
 	for _, name := range modelServices {
 		if m.limiter.Used(name) != m.used[name] {
-			t.Fatalf("%s holds %d, want %d", name, m.limiter.Used(name), m.used[name])
+			t.Fatalf("service %s uses %d, want %d", name, m.limiter.Used(name), m.used[name])
 		}
 	}
 }
 
-// checkGuarantees takes what is left of each guarantee, whatever the other services hold.
+// checkGuarantees checks that each service can acquire the rest of its guarantee, whatever the other services use.
 func (m *limiterModel) checkGuarantees(t *rapid.T) {
 	for _, s := range m.shares {
 		if n := m.limiter.Guaranteed(s.Name) - m.used[s.Name]; n > 0 && !m.limiter.TryAcquire(s.Name, n) {
-			t.Fatalf("%s can't take its own %d", s.Name, n)
+			t.Fatalf("service %s can't acquire the remaining %d of its guarantee", s.Name, n)
 		}
 	}
 }
 
-// TestRule holds the Limiter against the rule's own words, whatever is acquired, released and set: the limit is never
-// exceeded while shares stay as they are, and each service can always take what it is guaranteed.
+// TestRule checks the Limiter against the rule for random calls of TryAcquire, Release and Set: the limit is never
+// exceeded while the shares do not change, and each service can always acquire what it is guaranteed.
 func TestRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.Int64Range(3, 60).Draw(t, "limit")
@@ -114,7 +117,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := rapid.SampledFrom(modelServices).Draw(t, "name")
 			n := rapid.Int64Range(0, 8).Draw(t, "n")
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "action") {
 			case 0:
 				model.setShares(t)
 			case 1, 2, 3:
@@ -128,48 +131,48 @@
 	})
 }
 
-// Guards against a wait that never ends, or that the wrong service holds up: what is given back goes to who may have it,
-// in the order of coming, and an idle one of the common part is asked for.
+// Guards against calls of Acquire that wait forever or behind a waiter of another service. Released capacity goes to
+// the waiters that may acquire it, in order of arrival, and a waiting call reclaims idle common capacity.
 func TestSemaphoreWaits(t *testing.T) {
 	s, err := NewSemaphore(4, 0.5, []Share{{"a", 1}, {"b", 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 3 { // its own, and all that is common
+	for range 3 { // its guarantee of 1, and the common capacity of 2
 		if !s.TryAcquire("a", 1) {
-			t.Fatal("not given")
+			t.Fatal("a could not acquire its guarantee and the common capacity")
 		}
 	}
 	if s.TryAcquire("a", 1) {
-		t.Fatal("another's own is given away")
+		t.Fatal("a acquired what is guaranteed to b")
 	}
 	if !s.TryAcquire("b", 1) {
-		t.Fatal("b's own is not given")
+		t.Fatal("b could not acquire its guarantee")
 	}
-	asked := make(chan string, 4)
-	give := func(name string, has bool) func() bool {
+	reclaimCalls := make(chan string, 4)
+	reclaimer := func(name string, idle bool) func() bool {
 		return func() bool {
-			asked <- name
-			if has {
+			reclaimCalls <- name
+			if idle {
 				s.Release(name, 1)
 			}
-			return has
+			return idle
 		}
 	}
-	s.OnContention("a", give("a", true))
-	s.OnContention("b", give("b", false))
-	if err := s.Acquire(t.Context(), "b", 1); err != nil { // from a, that holds of the common part
+	s.OnContention("a", reclaimer("a", true))
+	s.OnContention("b", reclaimer("b", false))
+	if err := s.Acquire(t.Context(), "b", 1); err != nil { // reclaimed from a, which uses common capacity
 		t.Fatal(err)
 	}
-	if first, second := <-asked, <-asked; first != "b" || second != "a" || s.Used("a") != 2 || s.Used("b") != 2 {
-		t.Errorf("asked %s and %s; a holds %d, b %d", first, second, s.Used("a"), s.Used("b"))
+	if first, second := <-reclaimCalls, <-reclaimCalls; first != "b" || second != "a" || s.Used("a") != 2 || s.Used("b") != 2 {
+		t.Errorf("reclaimed from %s, then %s, want b, then a; a uses %d, b %d, want 2 each", first, second, s.Used("a"), s.Used("b"))
 	}
 	s.OnContention("a", nil)
 	s.OnContention("b", nil)
 	short, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
 	if err := s.Acquire(short, "a", 1); err == nil || s.Waiting("a") != 0 {
-		t.Errorf("%v, %d wait", err, s.Waiting("a"))
+		t.Errorf("Acquire whose context ended: error %v, want one; %d calls still wait, want 0", err, s.Waiting("a"))
 	}
 	var all sync.WaitGroup
 	for _, name := range []string{"a", "b"} {
@@ -178,7 +181,7 @@
 				t.Error(err)
 			}
 		})
-		base.Eventually(t, "it waits", func() bool { return s.Waiting(name) == 1 })
+		base.Eventually(t, "a call of Acquire waits", func() bool { return s.Waiting(name) == 1 })
 	}
 	s.Release("b", 1)
 	s.Release("a", 1)
--- a/internal/bulkhead/semaphore.go
+++ b/internal/bulkhead/semaphore.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Semaphore is a Limiter with waiting. It is safe for concurrent use. It holds one entry for each waiter.
+// Semaphore is a Limiter whose Acquire waits. It is safe for concurrent use. Its memory grows with the number of waiting calls.
 type Semaphore struct {
 	mu      sync.Mutex
 	limiter *Limiter
@@ -14,11 +14,11 @@
 	reclaim map[string]func() bool // by service, see OnContention
 }
 
-// waiter is a call of Acquire that waits.
+// waiter is a waiting call of Acquire.
 type waiter struct {
 	service  string
 	n        int64
-	acquired chan struct{} // closed once n is the waiter's
+	acquired chan struct{} // closed once n has been acquired for the waiter
 }
 
 // NewSemaphore returns a Semaphore; see New for the arguments.
@@ -27,7 +27,7 @@
 	return &Semaphore{limiter: limiter, reclaim: map[string]func() bool{}}, err
 }
 
-// Set is Limiter.Set.
+// Set is Limiter.Set. It also grants waiting calls of Acquire.
 func (s *Semaphore) Set(guaranteed float64, shares []Share) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,7 +36,7 @@
 	return err
 }
 
-// Resize is Limiter.Resize.
+// Resize is Limiter.Resize. It also grants waiting calls of Acquire.
 func (s *Semaphore) Resize(limit int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,9 +52,9 @@
 	return s.limiter.Total()
 }
 
-// OnContention sets the function that releases one unit that a service does not need, and reports whether it did; nil removes it. It is
-// called without the lock when an Acquire has to wait: that of the waiting service first, then those of services that use common
-// capacity, until one has released something.
+// OnContention sets the reclaim function of a service; nil removes it. The function releases one unit that the service has acquired and
+// does not need, and reports whether it did. When an Acquire has to wait, it calls reclaim functions without the lock until one of them has
+// released a unit: first that of the waiting service, then those of the services that use common capacity.
 func (s *Semaphore) OnContention(service string, reclaim func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,14 +65,14 @@
 	s.reclaim[service] = reclaim
 }
 
-// TryAcquire takes n for a service, or nothing.
+// TryAcquire is Limiter.TryAcquire.
 func (s *Semaphore) TryAcquire(service string, n int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.limiter.TryAcquire(service, n)
 }
 
-// Acquire takes n for a service. It waits until ctx ends, and returns ctx's error then.
+// Acquire acquires n for a service, and waits until that is possible. If ctx ends first, Acquire returns ctx's error.
 func (s *Semaphore) Acquire(ctx context.Context, service string, n int64) error {
 	s.mu.Lock()
 	if s.limiter.TryAcquire(service, n) {
@@ -96,7 +96,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-w.acquired: // in the same moment as the end of ctx
+	case <-w.acquired: // acquired at the same moment as ctx ended
 		return nil
 	default:
 	}
@@ -104,7 +104,7 @@
 	return ctx.Err()
 }
 
-// reclaimersLocked lists who may release something for a service, in the order in which they are called. s.mu is held.
+// reclaimersLocked returns the reclaim functions to call when a service waits, in the order of the calls. s.mu must be held.
 func (s *Semaphore) reclaimersLocked(service string) (candidates []func() bool) {
 	if own := s.reclaim[service]; own != nil {
 		candidates = append(candidates, own)
@@ -117,7 +117,7 @@
 	return candidates
 }
 
-// Release returns n.
+// Release is Limiter.Release. It also grants waiting calls of Acquire.
 func (s *Semaphore) Release(service string, n int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,8 +125,8 @@
 	s.grantLocked()
 }
 
-// grantLocked gives to all waiters that may acquire, in order of arrival. A waiter that may not holds up later ones of its service only.
-// s.mu is held.
+// grantLocked acquires for all waiters that may acquire, in order of arrival. A waiter that may not blocks only later waiters of the same
+// service. s.mu must be held.
 func (s *Semaphore) grantLocked() {
 	if len(s.waiters) == 0 {
 		return
@@ -142,14 +142,14 @@
 	})
 }
 
-// Used is what a service uses.
+// Used is Limiter.Used.
 func (s *Semaphore) Used(service string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.limiter.Used(service)
 }
 
-// Waiting is the number of calls of Acquire that wait for a service.
+// Waiting returns the number of calls of Acquire that wait for a service.
 func (s *Semaphore) Waiting(service string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,15 +1,15 @@
-// Package clock is the clock of a process: monotonic time since its start, as the balancer counts it. It also converts the start times of
-// upstreams, which other machines' wall clocks give. A Clock is immutable.
+// Package clock provides the clock of a process, on which the balancer bases its times: the monotonic time since the process started. It
+// also converts the start times of upstreams, which are given by the wall clocks of other machines.
 package clock
 
 import "time"
 
-// Start is the time of a new Clock. It is late enough that upstreams which started shortly before this process have a time above 0, which
-// means long ago.
+// Start is the time of a new Clock. It is large enough that upstreams that started shortly before this process have a start time above
+// 0. A start time of 0 means that the upstream started long ago.
 const Start = time.Hour
 
-// Clock is the time since it was made, plus Start. It follows time.Now, and so the time of a testing/synctest bubble. It is safe for
-// concurrent use.
+// Clock counts the time since it was created, plus Start. It follows time.Now, and so the time of a testing/synctest bubble. It is
+// immutable and safe for concurrent use.
 type Clock struct{ start time.Time }
 
 // New returns a Clock whose time is Start.
@@ -18,15 +18,16 @@
 // Now returns the clock's time.
 func (c Clock) Now() time.Duration { return Start + time.Since(c.start) }
 
-// At converts a time of time.Now to the clock's time.
+// At converts a result of time.Now to the clock's time.
 func (c Clock) At(t time.Time) time.Duration { return Start + t.Sub(c.start) }
 
 // FromUnixMs converts the time at which an upstream started, in milliseconds since 1970, to the clock's time. The result is not after now;
-// it is 0 for 0 and for what lies before the clock's time 0.
+// it is 0 if ms is 0 or the start lies before the clock's time 0.
 //
-// The wall clock may have been stepped since the Clock was made, on this machine or on the one that reports the start. So the start is
-// converted by the wall clock at the Clock's creation and by that of now, and the later result counts: an upstream that is taken for younger
-// than it is gets less for a while, one that is taken for warmed up may be overloaded. A result after now is that of a wrong wall clock.
+// The wall clock may have been stepped since the Clock was created, on this machine or on the one that reports the start. So the start is
+// converted by the wall clock at the Clock's creation and by that of now, and the later result counts: a result that is too late only
+// reduces the upstream's traffic for a while, but one that is too early may overload an upstream that has not warmed up yet. A result after
+// now comes from a wrong wall clock and does not count.
 func (c Clock) FromUnixMs(ms float64) time.Duration {
 	if !(ms > 0) {
 		return 0
@@ -38,8 +39,8 @@
 // maxUnixMs bounds the times that are converted, in milliseconds since 1970, so that the conversion to an integer cannot overflow.
 const maxUnixMs = 1e15
 
-// startTime converts a start at a time of the wall clock to the time of a Clock. The wall clock was at created when the Clock was made, and is
-// at now after the time elapsed.
+// startTime converts a start at a time of the wall clock to the time of a Clock. The wall clock showed created when the Clock was created,
+// and shows now after the time elapsed.
 func startTime(at, created, now time.Time, elapsed time.Duration) time.Duration {
 	present := Start + elapsed
 	byCreated := Start + at.Sub(created)
@@ -53,5 +54,6 @@
 	return max(0, byCreated, byNow)
 }
 
-// minStep is the least difference between two readings of the wall clock that counts as a step; less comes from its synchronization.
+// minStep is the smallest difference between the two conversions that counts as a step of the wall clock; less comes from its
+// synchronization.
 const minStep = 250 * time.Millisecond
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// The start of an upstream is converted to the clock's time, also if it lies before the start of this process.
+// The start of an upstream is converted to the clock's time, even if it lies before the start of this process.
 func TestFromUnixMs(t *testing.T) {
 	c := New()
 	if got := c.FromUnixMs(0); got != 0 {
-		t.Errorf("long ago is %v", got)
+		t.Errorf("start time 0, which means long ago, is converted to %v, want 0", got)
 	}
-	since := float64(c.start.Add(-3 * time.Second).UnixMilli())
-	if got := c.FromUnixMs(since) - Start; got > -2900*time.Millisecond || got < -3100*time.Millisecond {
-		t.Errorf("3 s before the start is %v", got)
+	startMs := float64(c.start.Add(-3 * time.Second).UnixMilli())
+	if got := c.FromUnixMs(startMs) - Start; got > -2900*time.Millisecond || got < -3100*time.Millisecond {
+		t.Errorf("a start 3 s before the clock's creation is converted to %v after it, want -3s within 100 ms", got)
 	}
 	if got := c.FromUnixMs(1); got != 0 {
-		t.Errorf("1970 is %v", got)
+		t.Errorf("a start in 1970 is converted to %v, want 0", got)
 	}
 }
 
-// A start after now, by a wall clock that was stepped back or is another machine's, is now.
+// A start after now, given by a wall clock that was stepped back or by that of another machine, is converted to a time that is not after now.
 func TestFromUnixMsIsNotAfterNow(t *testing.T) {
 	c := New()
 	for _, ahead := range []time.Duration{10 * time.Second, time.Hour, 24 * time.Hour} {
 		if got, now := c.FromUnixMs(float64(time.Now().Add(ahead).UnixMilli())), c.Now(); got > now {
-			t.Errorf("a start %v ahead is %v, %v ahead", ahead, got, got-now)
+			t.Errorf("a start %v after now is converted to %v, which is %v after now, want no later than now", ahead, got, got-now)
 		}
 	}
 }
 
-// With a stepped wall clock a start is never taken for earlier than it was, and for later by the step at most. The step may be that of this
-// machine's wall clock alone, or of all.
+// When the wall clock was stepped, the converted start is never earlier than the actual one, and later by the step at most. The step may
+// have happened on this machine alone or on all machines.
 func TestFromUnixMsAcrossWallClockSteps(t *testing.T) {
 	created := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	const elapsed = 10 * time.Minute
 	for _, step := range []time.Duration{0, -2 * time.Second, 2 * time.Second, -time.Hour, time.Hour} {
 		for _, age := range []time.Duration{0, time.Second, 9 * time.Minute} {
-			for _, all := range []bool{false, true} {
+			for _, allStepped := range []bool{false, true} {
 				now := created.Add(elapsed + step)
 				at := created.Add(elapsed - age) // by a wall clock that was not stepped
-				if all {
+				if allStepped {
 					at = at.Add(step)
 				}
 				got := Start + elapsed - startTime(at, created, now, elapsed)
 				if got > age {
-					t.Errorf("stepped by %v (all: %v): a start %v ago is taken for %v ago", step, all, age, got)
+					t.Errorf("wall clock stepped by %v (on all machines: %v): a start %v ago is taken for %v ago, which is too early", step, allStepped, age, got)
 				}
 				if late := max(step, -step); age-got > late {
-					t.Errorf("stepped by %v (all: %v): a start %v ago is taken for %v ago", step, all, age, got)
+					t.Errorf("wall clock stepped by %v (on all machines: %v): a start %v ago is taken for %v ago, which is too late", step, allStepped, age, got)
 				}
 			}
 		}
--- a/internal/priorityqueue/queue.go
+++ b/internal/priorityqueue/queue.go
@@ -13,13 +13,14 @@
 // queue. With a nil index items can only be pushed and popped.
 func New[T any](index func(T) *int) Queue[T] { return Queue[T]{index: index} }
 
+// entry is an item with its position in the order.
 type entry[T any] struct {
 	key  float64
 	tie  uint64 // orders entries of equal keys, the lowest first
 	item T
 }
 
-const arity = 4 // children of an entry
+const arity = 4 // maximum number of an entry's children
 
 // Len returns the number of items.
 func (q *Queue[T]) Len() int { return len(q.entries) }
@@ -37,7 +38,7 @@
 	}
 }
 
-// Push adds an item. Of equal keys the lowest tie goes first.
+// Push adds an item. Among items of equal keys, the one with the lowest tie comes first.
 func (q *Queue[T]) Push(item T, key float64, tie uint64) {
 	q.entries = append(q.entries, entry[T]{})
 	q.place(len(q.entries)-1, entry[T]{key, tie, item})
@@ -77,7 +78,7 @@
 	return e.key < other.key || e.key == other.key && e.tie < other.tie
 }
 
-// removeAt fills the i-th place with the last entry.
+// removeAt removes the entry at index i and fills the gap with the last entry.
 func (q *Queue[T]) removeAt(i int) {
 	last := len(q.entries) - 1
 	moved := q.entries[last]
@@ -88,7 +89,8 @@
 	}
 }
 
-// place puts an entry into the free place i, after moving that up or down the tree to where the entry belongs.
+// place inserts an entry. It starts at index i, which is free, and moves that gap up or down the tree to where the
+// entry belongs.
 func (q *Queue[T]) place(i int, e entry[T]) {
 	for i > 0 {
 		parent := (i - 1) / arity
@@ -109,7 +111,7 @@
 	}
 }
 
-// firstChild returns the index of the first of an entry's children; -1: it has none.
+// firstChild returns the index of the entry's child that comes first in the order; -1 if the entry has no children.
 func (q *Queue[T]) firstChild(i int) int {
 	first := -1
 	for child := arity*i + 1; child <= arity*i+arity && child < len(q.entries); child++ {
--- a/internal/priorityqueue/queue_test.go
+++ b/internal/priorityqueue/queue_test.go
@@ -9,7 +9,8 @@
 
 type item struct{ key, id, index int }
 
-// Any order of calls gives what a sorted slice gives, and items know their indices.
+// In any sequence of calls, Pop returns the item that comes first in the order, and each item's index is that of its
+// entry.
 func TestQueueMatchesSortedSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(func(x *item) *int { return &x.index })
@@ -22,13 +23,13 @@
 				model = append(model, x)
 				q.Set(x, float64(key), uint64(i))
 			case kind == 2:
-				x := model[rapid.IntRange(0, len(model)-1).Draw(t, "which")]
+				x := model[rapid.IntRange(0, len(model)-1).Draw(t, "item")]
 				x.key = key
 				q.Set(x, float64(key), uint64(x.id))
 			case kind == 3:
-				n := rapid.IntRange(0, len(model)-1).Draw(t, "which")
+				n := rapid.IntRange(0, len(model)-1).Draw(t, "item")
 				q.Remove(model[n])
-				q.Remove(model[n]) // is out already
+				q.Remove(model[n]) // has no effect: the item is no longer in the queue
 				model = slices.Delete(model, n, n+1)
 			default:
 				x := q.Pop()
@@ -36,17 +37,17 @@
 				if x.index != -1 || slices.ContainsFunc(model, func(other *item) bool {
 					return other.key < x.key || other.key == x.key && other.id < x.id
 				}) {
-					t.Fatalf("%v is not the first", x)
+					t.Fatalf("Pop returned %v, which does not come first in the order or still has an index", x)
 				}
 			}
 			seen := 0
 			q.All(func(x *item) {
 				if seen++; q.entries[x.index].item != x {
-					t.Fatalf("%v is not at its index", x)
+					t.Fatalf("item %v is not at its index", x)
 				}
 			})
 			if seen != len(model) || q.Len() != len(model) {
-				t.Fatalf("%d items, want %d", seen, len(model))
+				t.Fatalf("the queue has %d items, want %d", seen, len(model))
 			}
 		}
 	})
