--- a/internal/logging/declaration.go
+++ b/internal/logging/declaration.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// Declaration is the log in the configuration file.
+// Declaration is the log section of the configuration file.
 type Declaration struct {
-	Level     string `toml:"level" default:"info" oneof:"debug|info|warn|error" doc:"The least that is written."`
-	Format    string `toml:"format" default:"text" oneof:"text|json" reload:"start" doc:"text: key=value. json: an object a line."`
-	PerSecond int    `toml:"per_second" default:"50" doc:"Lines a second at most, on average and at once; the rest is counted."`
+	Level     string `toml:"level" default:"info" oneof:"debug|info|warn|error" doc:"The lowest level of lines that are written."`
+	Format    string `toml:"format" default:"text" oneof:"text|json" reload:"start" doc:"text: key=value pairs. json: one object per line."`
+	PerSecond int    `toml:"per_second" default:"50" doc:"Maximum number of lines per second, on average and in a burst. Further lines are only counted."`
 }
 
 // maxPerSecond is the largest accepted rate limit, in lines per second.
@@ -22,7 +22,7 @@
 	}
 }
 
-// level returns the declared level; info if the declaration was not checked and has none.
+// level returns the declared level. It returns info if the level is not valid, which is possible if the declaration was not checked.
 func (d *Declaration) level() slog.Level {
 	var level slog.Level
 	if level.UnmarshalText([]byte(strings.ToUpper(d.Level))) != nil {
--- a/internal/logging/func.go
+++ b/internal/logging/func.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// NewFunc returns a log that passes each line to write as msg=... key=value, without time, level and a final newline. With a nil write it
-// is Discard.
+// NewFunc returns a logger that passes each line to write as msg=... key=value, without time, level and a final newline. If write is nil,
+// it returns Discard.
 func NewFunc(write func(line string)) *slog.Logger {
 	if write == nil {
 		return Discard()
@@ -14,7 +14,7 @@
 	return slog.New(slog.NewTextHandler(lineWriter(write), &slog.HandlerOptions{ReplaceAttr: dropTimeAndLevel}))
 }
 
-// Discard returns a log that writes nothing.
+// Discard returns a logger that writes nothing.
 func Discard() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 func dropTimeAndLevel(groups []string, attr slog.Attr) slog.Attr {
@@ -24,7 +24,7 @@
 	return attr
 }
 
-// lineWriter is an io.Writer for a slog.Handler, which writes one line per call.
+// lineWriter is an io.Writer for a slog.Handler, which calls Write once per line.
 type lineWriter func(line string)
 
 // Write implements io.Writer.
--- a/internal/logging/handler.go
+++ b/internal/logging/handler.go
@@ -8,15 +8,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// handler is a slog.Handler that passes the lines allowed by its core's limiter to another one. Lines are equal if their level, message,
-// fields and groups are.
+// handler is a slog.Handler that passes the lines allowed by its core's limiter to another handler. Two lines count as equal if their
+// levels, messages, fields and groups are equal.
 type handler struct {
 	core       *core
 	next       slog.Handler
 	fieldsHash uint64 // of the fields and groups of the logger
 }
 
-// Separators in the hashed text of a line.
+// Separators between the parts of a line in the text that is hashed.
 const (
 	fieldSeparator = "\x00"
 	groupSeparator = "\x01"
--- a/internal/logging/limiter.go
+++ b/internal/logging/limiter.go
@@ -5,12 +5,13 @@
 const (
 	// repeatWindow is the time after a line was written for which equal lines are counted instead of written.
 	repeatWindow = 10 * time.Second
-	// maxCountedLines is how many different lines are counted at a time. Lines beyond are written as they come, within the rate limit.
+	// maxCountedLines is the maximum number of different lines whose repeats are counted at a time. Repeats of any other line are written,
+	// within the rate limit.
 	maxCountedLines = 256
 )
 
-// limiter decides which lines are written: it suppresses repeats within repeatWindow and limits the rate by a token bucket. It is given
-// the time, which may stand still, and does no I/O. It is not safe for concurrent use.
+// limiter decides which lines are written: it suppresses repeats within repeatWindow and limits the rate by a token bucket. Its callers
+// pass the current time, which may be the same in several calls. It does no I/O. It is not safe for concurrent use.
 type limiter[L any] struct {
 	perSecond  float64 // tokens added per second, and the bucket's size
 	tokens     float64 // lines that may be written now
@@ -21,12 +22,12 @@
 
 // countedLine is a line that was written, within its window.
 type countedLine[L any] struct {
-	latest  L // the latest repeat
-	until   time.Time
-	repeats int // since it was written
+	latest  L         // the latest repeat
+	until   time.Time // end of the window
+	repeats int       // since the line was written
 }
 
-// repeatedLine is a line to be written in place of its repeats.
+// repeatedLine is a line that is written once for all its repeats.
 type repeatedLine[L any] struct {
 	line    L
 	repeats int
@@ -43,7 +44,7 @@
 	l.tokens = min(l.tokens, l.perSecond)
 }
 
-// allow reports whether a line is to be written now. Otherwise it counts it as a repeat or as dropped.
+// allow reports whether a line is to be written now. If not, it counts the line as a repeat or as dropped.
 func (l *limiter[L]) allow(now time.Time, hash uint64, line L) bool {
 	if c := l.counted[hash]; c != nil {
 		c.latest = line
@@ -75,7 +76,7 @@
 	return true
 }
 
-// flush ends the windows that are over, or all of them. It returns the lines that were repeated within them, and the number of lines
+// flush ends the windows that have expired, or all of them. It returns the lines that were repeated within them, and the number of lines
 // dropped since the last flush. These lines are not subject to the rate limit, since there are at most maxCountedLines per window.
 func (l *limiter[L]) flush(now time.Time, all bool) (repeated []repeatedLine[L], dropped int) {
 	for hash, c := range l.counted {
--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -1,5 +1,5 @@
 // Package logging provides the program's log: log/slog with a rate limit. A line that is repeated within ten seconds is written once and
-// counted, and no more than a configured number of lines is written per second, so that a failure can't fill the disk.
+// its repeats are counted, and no more than a configured number of lines is written per second, so that a failure can't fill the disk.
 //
 // The keys of fields are the same in all packages: service, upstream, class, attempt, file, key, reason.
 package logging
@@ -21,7 +21,7 @@
 	core *core
 }
 
-// New returns a Logger that writes to w, one line per call. Run has to run for counted lines to be written.
+// New returns a Logger that writes to w, one line per call of Write. Lines that were counted are only written while Run runs.
 func New(w io.Writer, d Declaration) *Logger {
 	c := &core{limiter: newLimiter[pendingLine](d.PerSecond)}
 	c.level.Set(d.level())
@@ -33,7 +33,7 @@
 	return &Logger{slog.New(&handler{core: c, next: c.root}), c}
 }
 
-// Set applies another declaration's level and rate limit. A change of the format needs a restart.
+// Set applies another declaration's level and rate limit. A change of the format takes effect after a restart only.
 func (l *Logger) Set(d Declaration) {
 	l.core.level.Set(d.level())
 	l.core.mu.Lock()
@@ -41,7 +41,7 @@
 	l.core.limiter.setRate(d.PerSecond)
 }
 
-// Run writes counted lines at the end of their window until ctx ends, and then all that are left.
+// Run writes counted lines at the end of their window until ctx ends, and then all remaining ones.
 func (l *Logger) Run(ctx context.Context) {
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
@@ -83,7 +83,7 @@
 		_ = r.line.next.Handle(ctx, record)
 	}
 	if dropped > 0 {
-		record := slog.NewRecord(now, slog.LevelWarn, "lines left out", 0)
+		record := slog.NewRecord(now, slog.LevelWarn, "lines dropped by the rate limit", 0)
 		record.AddAttrs(slog.Int("lines", dropped))
 		_ = c.root.Handle(ctx, record)
 	}
--- a/internal/logging/logger_test.go
+++ b/internal/logging/logger_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRepeatsAndRateLimit checks, in both formats, that a repeated line is written once and counted, that lines with other fields are not
-// taken for repeats, and that lines beyond the rate limit are counted.
+// TestRepeatsAndRateLimit checks, in both formats, that a repeated line is written once and its repeats are counted, that lines with other
+// fields do not count as repeats, and that lines beyond the rate limit are counted.
 func TestRepeatsAndRateLimit(t *testing.T) {
 	for _, format := range []string{"text", "json"} {
 		t.Run(format, func(t *testing.T) { synctest.Test(t, func(t *testing.T) { testRepeatsAndRateLimit(t, format) }) })
@@ -31,18 +31,18 @@
 	ofService := l.With("service", "seats")
 	for range 1000 {
 		ofService.Warn("gone", "upstream", "n1")
-		l.Warn("gone", "upstream", "n1") // another line: it has no service
+		l.Warn("gone", "upstream", "n1") // not a repeat of the line above: it has no service
 	}
 	l.Debug("below the level")
 	time.Sleep(11 * time.Second)
 	synctest.Wait()
 	if n := strings.Count(out.String(), "gone"); n != 4 || strings.Count(out.String(), "999") != 2 {
-		t.Errorf("%d lines:\n%s", n, &out)
+		t.Errorf("%d lines about the upstream, want 4: each of 2 lines once at first and once with its 999 repeats:\n%s", n, &out)
 	}
 	if format == "json" {
 		for line := range strings.Lines(out.String()) {
 			if !json.Valid([]byte(line)) {
-				t.Errorf("not JSON: %s", line)
+				t.Errorf("line is not valid JSON: %s", line)
 			}
 		}
 	}
@@ -56,8 +56,8 @@
 	stop()
 	run.Wait()
 	text := out.String()
-	if n := strings.Count(text, "line "); n != 20 || !strings.Contains(text, "lines left out") || !strings.Contains(text, "80") || !strings.Contains(text, "now") {
-		t.Errorf("%d lines:\n%s", n, text)
+	if n := strings.Count(text, "line "); n != 20 || !strings.Contains(text, "lines dropped by the rate limit") || !strings.Contains(text, "80") || !strings.Contains(text, "now") {
+		t.Errorf("%d lines written, want 20, a count of the 80 dropped ones, and the debug line after Set:\n%s", n, text)
 	}
 }
 
@@ -87,20 +87,20 @@
 				flush(false)
 			}
 			if len(l.counted) > maxCountedLines {
-				t.Fatalf("%d lines are counted at a time", len(l.counted))
+				t.Fatalf("repeats of %d lines are counted at a time, want at most maxCountedLines", len(l.counted))
 			}
 		}
 		flush(true)
 		if written+counted != lines {
-			t.Fatalf("of %d lines %d were written and %d counted", lines, written, counted)
+			t.Fatalf("of %d lines, %d were written and %d counted, want a sum of all lines", lines, written, counted)
 		}
 		if limit := float64(perSecond)*(now.Sub(start).Seconds()+1) + 1; float64(written) > limit {
-			t.Fatalf("%d lines in %v", written, now.Sub(start))
+			t.Fatalf("%d lines written in %v, which exceeds the rate limit", written, now.Sub(start))
 		}
 	})
 }
 
-// TestNewFunc checks that lines have all fields, and that a nil function is not called.
+// TestNewFunc checks that the function gets each line with all fields, and that a nil function is not called.
 func TestNewFunc(t *testing.T) {
 	var got []string
 	NewFunc(func(line string) { got = append(got, line) }).With("service", "a").Error("boom", "upstream", "n 1")
