--- a/internal/filewatch/filewatch.go
+++ b/internal/filewatch/filewatch.go
@@ -1,5 +1,5 @@
-// Package filewatch follows the content of files by polling, which works on every file system, through symbolic links that are switched,
-// and where a file is replaced by renaming. Callers decide what a content means; the package owns no goroutine.
+// Package filewatch detects changes of files by polling. That works on every file system, also when a symbolic link is switched to another
+// file and when a file is replaced by renaming. Callers interpret the content; the package starts no goroutine.
 package filewatch
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultInterval is the polling interval of files without a setting of their own.
+// DefaultInterval is the polling interval of files for which no interval is configured.
 const DefaultInterval = 100 * time.Millisecond
 
 // timestampGranularity is the longest interval in which a file system may give two writes the same modification time. A file modified
@@ -30,10 +30,10 @@
 	path     string
 	maxBytes int64
 
-	metadata  metadata // when the content was last read
-	hash      uint64   // of the last content
-	hasRead   bool
-	lastError string // of the last Read; "" if it succeeded
+	metadata  metadata // of the file when its content was last read
+	hash      uint64   // of the content last read
+	hasRead   bool     // whether a content has been read
+	lastError string   // error of the last Read; "" if it succeeded
 }
 
 // metadata tells two versions of a file apart without reading them.
@@ -48,7 +48,7 @@
 	return m.size == other.size && m.modified.Equal(other.modified) && os.SameFile(m.info, other.info)
 }
 
-// NewReader returns a Reader for a file of at most maxBytes. A larger one is an error of Read.
+// NewReader returns a Reader for a file of at most maxBytes. Read returns an error for a larger file.
 func NewReader(path string, maxBytes int) *Reader {
 	return &Reader{path: path, maxBytes: int64(maxBytes)}
 }
@@ -56,12 +56,12 @@
 // Path returns the path of the file.
 func (r *Reader) Path() string { return r.path }
 
-// Read returns the file's content, or the error of reading it, and true if that differs from the Read before. A file whose metadata have not
-// changed for longer than timestampGranularity is not read.
+// Read returns the file's content, or the error of reading it, and true if the result differs from that of the previous Read. It does not
+// read a file whose metadata have not changed for longer than timestampGranularity.
 func (r *Reader) Read() (c Content, changed bool) {
 	info, err := os.Stat(r.path)
 	if err == nil && !info.Mode().IsRegular() {
-		err = fmt.Errorf("%s is not a file", r.path)
+		err = fmt.Errorf("%s is not a regular file", r.path)
 	}
 	if err != nil {
 		return r.fail(err)
@@ -84,7 +84,7 @@
 	return Content{Text: text}, true
 }
 
-// fail reports an error once, until it is another one.
+// fail returns an error as a change, unless the previous Read failed with the same error.
 func (r *Reader) fail(err error) (Content, bool) {
 	if r.lastError == err.Error() {
 		return Content{}, false
@@ -101,7 +101,7 @@
 	defer f.Close()
 	text, err := io.ReadAll(io.LimitReader(f, maxBytes+1))
 	if err == nil && int64(len(text)) > maxBytes {
-		err = fmt.Errorf("%s has over %d bytes", path, maxBytes)
+		err = fmt.Errorf("%s is larger than the limit of %d bytes", path, maxBytes)
 	}
 	return text, err
 }
--- a/internal/filewatch/filewatch_test.go
+++ b/internal/filewatch/filewatch_test.go
@@ -42,9 +42,9 @@
 		{"still missing", func() {}, false, ""},
 		{"created", func() { replaceFile(t, path, "one") }, true, "one"},
 		{"unchanged", func() {}, false, ""},
-		{"replaced by the same", func() { replaceFile(t, path, "one") }, false, ""},
-		{"replaced by another", func() { replaceFile(t, path, "two") }, true, "two"},
-		{"written within the time's granularity", func() {
+		{"replaced by a file with the same content", func() { replaceFile(t, path, "one") }, false, ""},
+		{"replaced by a file with another content", func() { replaceFile(t, path, "two") }, true, "two"},
+		{"written without a change of the modification time", func() {
 			info, err := os.Stat(path)
 			if err != nil {
 				t.Fatal(err)
@@ -54,11 +54,11 @@
 			}
 			setModified(t, path, info.ModTime())
 		}, true, "six"},
-		{"an older one", func() { replaceFile(t, path, "old"); setModified(t, path, old) }, true, "old"},
-		{"unchanged for long", func() {}, false, ""},
+		{"replaced by an older file", func() { replaceFile(t, path, "old"); setModified(t, path, old) }, true, "old"},
+		{"unchanged for a long time", func() {}, false, ""},
 		{"too large", func() { replaceFile(t, path, "more than 10") }, true, ""},
-		{"as before it was too large", func() { replaceFile(t, path, "old") }, true, "old"},
-		{"a folder in its place", func() {
+		{"replaced by the content before the file was too large", func() { replaceFile(t, path, "old") }, true, "old"},
+		{"replaced by a directory", func() {
 			if err := os.Remove(path); err != nil {
 				t.Fatal(err)
 			}
@@ -70,7 +70,7 @@
 		step.change()
 		c, changed := r.Read()
 		if changed != step.changed || string(c.Text) != step.text || (c.Err != nil) != (step.changed && step.text == "") {
-			t.Errorf("%s: %q, %v, changed %v", step.name, c.Text, c.Err, changed)
+			t.Errorf("file %s: Read returned content %q, error %v, changed %v", step.name, c.Text, c.Err, changed)
 		}
 	}
 }
--- a/internal/metrics/reading.go
+++ b/internal/metrics/reading.go
@@ -10,33 +10,33 @@
 	Pending  int64
 }
 
-// Reading holds all counts at a moment.
+// Reading holds all counts at one moment.
 type Reading struct {
 	Classes       []ClassReading // by name
 	Pending       int64          // of all classes
 	AttemptsSent  int64
-	Reloads       int64 // of the configuration, that succeeded
-	ReloadsFailed int64
+	Reloads       int64 // successful reloads of the configuration
+	ReloadsFailed int64 // failed reloads of the configuration
 
 	Members     int64 // upstreams of all services
 	Unavailable int64 // members that are ejected or draining
 
-	// ListAge is the time since the oldest endpoint list was known to be current, in milliseconds. It is negative if no list is followed;
-	// the fields below have no meaning then.
+	// ListAge is the age of the oldest endpoint list, in milliseconds: the time since the list was last known to be current. It is negative
+	// if no list is followed; the fields below have no meaning then.
 	ListAge         int64
 	Overdue         int64 // lists past their staleness deadline
 	ListCalls       int64 // polls and watches of the lists
 	ListCallsFailed int64 // of ListCalls: rejected, failed, or canceled by the discovery server
 }
 
-// Initial capacity of a reading's text, for typical names of classes.
+// Estimates of the length of a reading's text, for its initial capacity.
 const (
 	typicalLineBytes = 64
 	linesPerClass    = int(outcomesEnd)
 	otherLines       = 8
 )
 
-// Text formats a reading for operators: a line "name=value" for each metric.
+// Text formats a reading for operators, with a line "name=value" for each metric.
 func (r Reading) Text() string {
 	out := make([]byte, 0, typicalLineBytes*(linesPerClass*len(r.Classes)+otherLines))
 	line := func(value int64, name ...string) {
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -1,5 +1,5 @@
 // Package metrics counts requests and attempts, and formats the counts for operators. A request is counted when it starts and when it
-// finishes, an attempt when its last byte has been written. The package owns the counters only; all callers may be concurrent.
+// finishes, an attempt when its last byte has been written. The package keeps only the counters; a Registry may be used concurrently.
 package metrics
 
 import (
@@ -10,22 +10,22 @@
 	"sync/atomic"
 )
 
-// Outcome is how a request finished.
+// Outcome says how a request finished.
 type Outcome int
 
 // The outcomes.
 const (
 	Completed   Outcome = iota // answered
-	Rejected                   // not executed: a retry is harmless
+	Rejected                   // not executed: a retry is safe
 	Failed                     // anything else
 	outcomesEnd                // the number of outcomes
 )
 
-// outcomeNames are the outcomes in names of metrics.
+// outcomeNames are the parts of metric names that stand for the outcomes.
 var outcomeNames = [outcomesEnd]string{"completed", "rejected", "failed"}
 
-// Registry holds all counters, from the start of the process on. It keeps the counters of every class that it was given, also when the
-// class is no longer configured. It is safe for concurrent use.
+// Registry holds all counters since the start of the process. It keeps the counters of every class that it was given, even when the class
+// is no longer configured. It is safe for concurrent use.
 type Registry struct {
 	attemptsSent  atomic.Int64
 	reloads       atomic.Int64
@@ -62,11 +62,12 @@
 	r.classes.Store(&next)
 }
 
-// Request is a request that was counted as started, until Finish. The zero Request counts nothing. It is not safe for concurrent use.
+// Request is a request that was counted as started and that Finish counts as finished. The zero Request counts nothing. It is not safe for
+// concurrent use.
 type Request struct{ counters *classCounters }
 
-// Start counts a request of a class as started. It adds an unknown class; the number of classes is bounded since they come from
-// configurations.
+// Start counts a request of a class as started. It adds an unknown class; the number of classes is bounded, since they all come from the
+// configuration.
 func (r *Registry) Start(class string) Request {
 	counters := (*r.classes.Load())[class]
 	if counters == nil {
@@ -100,7 +101,7 @@
 	}
 }
 
-// Read reads all counters. The fields of Reading on members and endpoint lists are the caller's to fill in.
+// Read reads all counters. The caller fills in the fields of Reading on members and endpoint lists.
 func (r *Registry) Read() Reading {
 	reading := Reading{
 		ListAge:       -1,
@@ -117,7 +118,7 @@
 	return reading
 }
 
-// read reads the finished requests before the started ones, so that Pending is never negative.
+// read reads the counters of one class. It reads the finished requests before the started ones, so that Pending is never negative.
 func (c *classCounters) read(name string) ClassReading {
 	class := ClassReading{Class: name}
 	var finished int64
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -39,31 +39,32 @@
 		before = reading
 	}
 	if reading := r.Read(); reading.Pending != 0 || reading.AttemptsSent != 80000 {
-		t.Errorf("at rest: %+v", reading)
+		t.Errorf("after all requests have finished: %+v, want 0 pending and 80000 attempts sent", reading)
 	}
 }
 
+// checkConservation checks one reading, and that its counts are not below those of the reading before.
 func checkConservation(t *testing.T, before, reading Reading) {
 	t.Helper()
 	pending := int64(0)
 	for _, class := range reading.Classes {
 		finished := class.Finished[Completed] + class.Finished[Rejected] + class.Finished[Failed]
 		if class.Pending < 0 || class.Started != finished+class.Pending {
-			t.Fatalf("%+v", class)
+			t.Fatalf("the finished and pending requests of a class do not add up to its started ones: %+v", class)
 		}
-		for _, was := range before.Classes {
-			if was.Class == class.Class && (class.Started < was.Started || class.Finished[Failed] < was.Finished[Failed]) {
-				t.Fatalf("%+v after %+v", class, was)
+		for _, previous := range before.Classes {
+			if previous.Class == class.Class && (class.Started < previous.Started || class.Finished[Failed] < previous.Finished[Failed]) {
+				t.Fatalf("the counts of a class decreased: %+v after %+v", class, previous)
 			}
 		}
 		pending += class.Pending
 	}
 	if reading.Pending != pending || reading.AttemptsSent < before.AttemptsSent {
-		t.Fatalf("%+v", reading)
+		t.Fatalf("the pending requests of the classes do not add up, or the attempts decreased: %+v", reading)
 	}
 }
 
-// TestText checks the text of a reading, with all metrics of each class, also before its first request.
+// TestText checks the text of a reading, which has all metrics of each class even before the first request of the class.
 func TestText(t *testing.T) {
 	r := New("seat-search")
 	r.Add("confirm")
@@ -90,14 +91,14 @@
 config_reload_errors=1
 `
 	if got := reading.Text(); got != want {
-		t.Errorf("%s", got)
+		t.Errorf("unexpected text of a reading:\n%s", got)
 	}
 	if strings.Count(New("x").Read().Text(), "\n") != 9 {
-		t.Error("a class has no metrics before its first request")
+		t.Error("a class does not have all metrics before its first request")
 	}
 }
 
-// BenchmarkRead reads after a million requests; that costs the same as before them.
+// BenchmarkRead measures reading after a million requests, which takes as long as before the first one.
 func BenchmarkRead(b *testing.B) {
 	r := New("a", "b", "c", "d")
 	for range 1_000_000 {
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,5 +1,5 @@
-// Package units holds the types of values of the operator's file that TOML lacks: durations and sizes, written with their unit. The packages
-// that declare settings use them.
+// Package units provides types for settings that TOML has no types for: durations and sizes, which the operator's configuration file gives
+// with their units.
 package units
 
 import (
@@ -17,7 +17,7 @@
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
 func (d Duration) String() string {
-	s := time.Duration(d).String() // such as "1h0m0s", of which the zeros are cut
+	s := time.Duration(d).String() // such as "1h0m0s", which is shortened to "1h"
 	if strings.HasSuffix(s, "m0s") {
 		s = s[:len(s)-2]
 	}
