--- a/internal/endpoints/list.go
+++ b/internal/endpoints/list.go
@@ -8,40 +8,40 @@
 	"strconv"
 )
 
-// List is one message of a discovery: a snapshot of the whole list, or the endpoints that changed.
+// List is one message of a discovery service: a snapshot of the endpoint list, or only the endpoints that changed.
 type List struct {
-	Index     *int64     `json:"index"` // version of the list after this message
+	Index     *int64     `json:"index"` // version of the endpoint list after this message
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
 // Endpoint is one entry of a List.
 type Endpoint struct {
-	Name        string  `json:"name"` // the same at every sidecar
+	Name        string  `json:"name"` // the same in every sidecar
 	Address     string  `json:"address"`
 	Zone        string  `json:"zone"`
 	MachineType string  `json:"type"`
 	Cell        int     `json:"group"`
 	Status      string  `json:"status"`
-	StartedMs   float64 `json:"since_ms"` // when it last started, Unix time in milliseconds; 0: long ago
-	// TLSIdentity is the name in its certificate, a DNS name or a URI, where connections are encrypted. Empty: the service's. The
-	// platform's lists have none.
+	StartedMs   float64 `json:"since_ms"` // when the endpoint last started, Unix time in milliseconds; 0: long ago
+	// TLSIdentity is the name that the endpoint's certificate must have for TLS connections: a DNS name or a URI. If it is empty, the
+	// service's name applies. Lists of the platform's discovery service do not set it.
 	TLSIdentity string `json:"identity,omitempty"`
 }
 
-// The values of Endpoint.Status; any other counts as StatusGone.
+// The values of Endpoint.Status; any other value counts as StatusGone.
 const (
 	StatusReady       = "Ready"
-	StatusTerminating = "Terminating" // drains: finishes its requests, and takes no new ones
+	StatusTerminating = "Terminating" // draining: completes its requests and accepts no new ones
 	StatusGone        = "Gone"        // removed
 )
 
 var (
-	errNoIndex            = errors.New("no index")
-	errIncompleteEndpoint = errors.New("an endpoint without name or status")
+	errNoIndex            = errors.New("the list's index is missing")
+	errIncompleteEndpoint = errors.New("an endpoint's name or status is missing")
 )
 
-// ParseList parses a message. It rejects an incomplete one, so that it does not replace a good list.
+// ParseList parses a message. It rejects an incomplete message, which would otherwise replace a valid list.
 func ParseList(text []byte) (*List, error) {
 	l := &List{}
 	if err := json.Unmarshal(text, l); err != nil {
@@ -63,8 +63,8 @@
 	return l, nil
 }
 
-// CheckAddress returns an error for an address that is not an IP address and a port. There are no name look-ups, and an empty host would
-// listen everywhere.
+// CheckAddress returns an error unless address is an IP address and a port. Host names are not resolved, and an empty host is rejected
+// because listening on it would accept connections on all interfaces.
 func CheckAddress(address string) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -74,7 +74,7 @@
 		return fmt.Errorf("%q: the host is not an IP address", address)
 	}
 	if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-		return fmt.Errorf("%q: the port is not a number up to 65535", address)
+		return fmt.Errorf("%q: the port is not a number from 0 to 65535", address)
 	}
 	return nil
 }
--- a/internal/endpoints/registry.go
+++ b/internal/endpoints/registry.go
@@ -11,8 +11,8 @@
 	"orchiddrift/internal/clock"
 )
 
-// Registry holds the endpoints that are listed, with an instance for each that is ready. See the package comment for who writes it. It is
-// safe for concurrent use.
+// Registry holds the listed endpoints, with an instance for each ready one. The package comment says who may write to it. It is safe for
+// concurrent use.
 type Registry struct {
 	clock         clock.Clock
 	onInstanceEnd func(name string)
@@ -20,10 +20,10 @@
 	mu       sync.RWMutex
 	ready    map[string]Instance  // by name
 	draining map[string]bool      // by name
-	started  map[string]startTime // of both
+	started  map[string]startTime // of ready and draining endpoints, by name
 }
 
-// Instance is one incarnation of an upstream: connections to another one are of no use.
+// Instance is one incarnation of an upstream. Connections to an earlier incarnation cannot be reused.
 type Instance struct {
 	Address     string
 	StartedMs   float64 // Unix time in milliseconds; 0: long ago
@@ -35,14 +35,14 @@
 	return xxhash.Sum64String(i.Address+"\x00"+i.TLSIdentity) ^ uint64(i.StartedMs)
 }
 
-// startTime is when an instance started, as listed and on the clock.
+// startTime is when an instance started, as the list gives it and on the Registry's clock.
 type startTime struct {
 	listedMs float64
 	at       time.Duration
 }
 
-// New returns an empty Registry. It calls onInstanceEnd, outside its lock, with the name of each endpoint whose instance changed, so that
-// connections to the one before can be closed. onInstanceEnd may be nil.
+// New returns an empty Registry. The Registry calls onInstanceEnd, outside its lock, with the name of each endpoint whose instance changed,
+// so that connections to the previous instance can be closed. onInstanceEnd may be nil.
 func New(c clock.Clock, onInstanceEnd func(name string)) *Registry {
 	if onInstanceEnd == nil {
 		onInstanceEnd = func(string) {}
@@ -50,7 +50,7 @@
 	return &Registry{clock: c, onInstanceEnd: onInstanceEnd, ready: map[string]Instance{}, draining: map[string]bool{}, started: map[string]startTime{}}
 }
 
-// Apply applies a list or a change, and returns it as the update for the balancer.
+// Apply applies a snapshot or an incremental change, and returns the corresponding update for the balancer.
 func (r *Registry) Apply(l *List) balancer.EndpointUpdate {
 	update, changed := r.apply(l)
 	for _, name := range changed {
@@ -59,7 +59,7 @@
 	return update
 }
 
-// apply also returns the names of the endpoints whose instances changed.
+// apply does the work of Apply under the lock, and also returns the names of the endpoints whose instances changed.
 func (r *Registry) apply(l *List) (update balancer.EndpointUpdate, changed []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,10 +85,11 @@
 	return update, changed
 }
 
-// instancesBefore returns the instances that a list may change; the zero Instance for an endpoint that is not ready. The caller holds mu.
+// instancesBefore returns the present instances that l may change, with the zero Instance for an endpoint that is not ready. The caller
+// holds mu.
 func (r *Registry) instancesBefore(l *List) map[string]Instance {
 	if l.Snapshot {
-		return r.ready // it is replaced
+		return r.ready // apply replaces the map for a snapshot and does not change this one
 	}
 	before := make(map[string]Instance, len(l.Endpoints))
 	for _, e := range l.Endpoints {
@@ -97,7 +98,7 @@
 	return before
 }
 
-// set takes the state of one endpoint. The caller holds mu.
+// set records the status of one endpoint and returns it as the balancer's state. The caller holds mu.
 func (r *Registry) set(e Endpoint) balancer.EndpointState {
 	delete(r.draining, e.Name)
 	switch e.Status {
@@ -113,8 +114,8 @@
 	return balancer.Removed
 }
 
-// startedAt returns when an endpoint's instance started, on the clock. It is converted once for each instance, since the wall clock by
-// which it is listed may be stepped. The caller holds mu.
+// startedAt returns when an endpoint's instance started, on the Registry's clock. The listed wall-clock time is converted only once
+// for each instance, since a step of the wall clock would change the result. The caller holds mu.
 func (r *Registry) startedAt(e Endpoint) time.Duration {
 	start, known := r.started[e.Name]
 	if !known || start.listedMs != e.StartedMs {
@@ -128,10 +129,10 @@
 	return start.at
 }
 
-// forgetUnlistedStarts forgets the starts of endpoints that a snapshot does not list. The caller holds mu.
+// forgetUnlistedStarts removes the start times of endpoints that a snapshot does not list. The caller holds mu.
 func (r *Registry) forgetUnlistedStarts(l *List) {
 	if len(r.started) <= len(l.Endpoints) {
-		return // each that is listed has one
+		return // every listed endpoint has a start time, so no other endpoint has one
 	}
 	listed := make(map[string]bool, len(l.Endpoints))
 	for _, e := range l.Endpoints {
@@ -140,7 +141,7 @@
 	maps.DeleteFunc(r.started, func(name string, _ startTime) bool { return !listed[name] })
 }
 
-// Instance returns the instance that takes an endpoint's requests now; false while it drains or is not listed.
+// Instance returns the instance that accepts an endpoint's requests at present, or false while the endpoint is draining or not listed.
 func (r *Registry) Instance(name string) (Instance, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -148,27 +149,27 @@
 	return instance, ok
 }
 
-// Ready reports whether an endpoint takes requests, and still does so at that instance.
+// Ready reports whether an endpoint accepts requests and is still that instance.
 func (r *Registry) Ready(name string, instance Instance) bool {
 	now, ok := r.Instance(name)
 	return ok && now == instance
 }
 
-// Instances returns a copy of all ready instances, by name.
+// Instances returns a copy of all ready instances, by endpoint name.
 func (r *Registry) Instances() map[string]Instance {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return maps.Clone(r.ready)
 }
 
-// ReadyCount returns how many endpoints take requests.
+// ReadyCount returns how many endpoints accept requests.
 func (r *Registry) ReadyCount() int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return len(r.ready)
 }
 
-// DrainingCount returns how many endpoints are listed and drain.
+// DrainingCount returns how many listed endpoints are draining.
 func (r *Registry) DrainingCount() int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/internal/endpoints/source.go
+++ b/internal/endpoints/source.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// DrainGrace is how long requests may still be sent to an endpoint after a Source was notified that it drains.
+// DrainGrace is how long requests may still be sent to an endpoint after a Source was notified that the endpoint is draining.
 const DrainGrace = 250 * time.Millisecond
 
-// Source follows one endpoint list, wherever that is kept.
+// Source follows one endpoint list, such as that of a discovery service or a file.
 type Source interface {
-	// Run follows the list until ctx ends, and reports to sink. It is called once.
+	// Run follows the list until ctx is done and reports to sink. It is called at most once.
 	Run(ctx context.Context, sink Sink)
-	// Refresh requests the list again, once the balancer was notified that it is lost. It does not block.
+	// Refresh requests the list again. It is called after the balancer was notified that the list is lost, and does not block.
 	Refresh()
 }
 
-// Sink takes what a Source reports. A Source calls it from one goroutine at a time. The methods must not block for long, since the
-// notification of a drain may wait behind them.
+// Sink receives the reports of a Source, which calls it from one goroutine at a time. The methods must not block for long, since a
+// blocked call delays the notification of the next draining endpoint.
 type Sink interface {
-	// Update applies a list or a change. When it returns, no request is sent any more that contradicts it.
+	// Update applies a snapshot or an incremental change. Once it has returned, no request is sent to an
+	// instance that the list no longer has as ready.
 	Update(*List)
-	// Current reports that the source is healthy, and that there is no change since the last version.
+	// Current reports that the source is healthy and that the list has not changed since the last version.
 	Current()
-	// Lost reports that the source is silent or broken, so that its last list may be old. Where retries is false the source waits for
-	// Refresh; otherwise it retries by itself.
+	// Lost reports that the source is silent or has failed, so that its last list may be out of date. If retries is false, the source waits
+	// for Refresh; otherwise it retries by itself.
 	Lost(err error, retries bool)
 }
