--- a/internal/discovery/listfile/listfile.go
+++ b/internal/discovery/listfile/listfile.go
@@ -1,7 +1,8 @@
-// Package listfile parses list files, which are JSON or TOML by their extension, and defines the same entries for the operator's file.
+// Package listfile parses list files, which contain the endpoint list of a service as JSON or TOML, depending on the file extension. It
+// also defines the entries for upstreams in the operator's file.
 //
-// A list file has the whole list: an upstream that is missing from it is removed. discovery.FileSource follows such a file, and package
-// config uses Entry, Validate and ListOf for the operator's file.
+// A list file always contains the complete list: an upstream that is missing from it is removed. discovery.FileSource follows such a file,
+// and package config uses Entry, Validate and ListOf for the operator's file.
 //
 // The package has no state and reads no files. It may import internal/endpoints and internal/tomlfile.
 package listfile
@@ -19,7 +20,7 @@
 	"orchiddrift/internal/tomlfile"
 )
 
-// The bounds of a list file.
+// Limits of a list file.
 const (
 	MaxBytes   = 8 << 20
 	MaxEntries = 20_000
@@ -28,30 +29,30 @@
 )
 
 var (
-	errEmptyFile   = errors.New("the file is empty")
-	errTrailing    = errors.New("something stands behind the list")
-	errNoUpstreams = errors.New("no upstream is listed")
+	errEmptyFile   = errors.New("the list file is empty")
+	errTrailing    = errors.New("unexpected content after the endpoint list")
+	errNoUpstreams = errors.New("the endpoint list has no upstreams")
 )
 
-// Entry is one upstream of a list file or the operator's file.
+// Entry is one upstream in a list file or in the operator's file.
 type Entry struct {
-	Name        string `toml:"name" json:"name" doc:"The upstream's name: the same as long as it is the same process. Absent: its address."`
+	Name        string `toml:"name" json:"name" doc:"Name of the upstream, which stays the same for the lifetime of its process. If absent, the address is the name."`
 	Address     string `toml:"address" json:"address" sample:"\"127.0.0.1:9001\"" doc:"IP address and port."`
-	Zone        string `toml:"zone" json:"zone" doc:"Where it stands; the service's own zone is preferred where crossing has a price."`
-	MachineType string `toml:"type" json:"type" doc:"What kind of machine it is: those of one kind are taken to be equally fast until they are known better."`
-	Cell        int    `toml:"group" json:"group" doc:"Upstreams of one group share their memory of keys, for classes whose group is \"cell\"."`
-	Status      string `toml:"status" json:"status" default:"Ready" oneof:"Ready|Terminating|Gone" doc:"Ready takes requests; Terminating finishes what it has."`
-	StartedAt   string `toml:"since" json:"since" doc:"When it last started, as in RFC 3339, for the care that a cold upstream gets. Absent: long ago."`
-	TLSIdentity string `toml:"identity" json:"identity" doc:"The name that its certificate has to bear where the service has TLS: a DNS name or a URI. Absent: the service's."`
+	Zone        string `toml:"zone" json:"zone" doc:"Zone of the upstream. The service's own zone is preferred where traffic between zones has a price."`
+	MachineType string `toml:"type" json:"type" doc:"Machine type of the upstream. Upstreams of one type are assumed to be equally fast until their own latencies are known."`
+	Cell        int    `toml:"group" json:"group" doc:"Cell of the upstream. Upstreams of one cell share their records of idempotency keys, for classes whose group is cell."`
+	Status      string `toml:"status" json:"status" default:"Ready" oneof:"Ready|Terminating|Gone" doc:"Ready upstreams accept requests; Terminating upstreams only complete those in flight."`
+	StartedAt   string `toml:"since" json:"since" doc:"When the upstream last started, in RFC 3339 format. It determines the slow start. If absent: long ago."`
+	TLSIdentity string `toml:"identity" json:"identity" doc:"Name that the upstream's certificate must have if the service uses TLS: a DNS name or a URI. If absent, the service's name applies."`
 }
 
-// Check reports what is wrong with an entry, and sets the name of one that has none. It implements tomlfile.Checker.
+// Check reports the errors of an entry, and sets an absent name to the address. It implements tomlfile.Checker.
 func (e *Entry) Check(report func(key, format string, args ...any)) {
 	if e.Name == "" {
 		e.Name = e.Address
 	}
 	if e.Name == "" {
-		report("", "neither name nor address is given")
+		report("", "the entry has neither a name nor an address")
 		return
 	}
 	if e.Address == "" && e.Status == endpoints.StatusReady {
@@ -63,12 +64,12 @@
 	}
 	if e.StartedAt != "" {
 		if _, err := time.Parse(time.RFC3339, e.StartedAt); err != nil {
-			report("since", "%q is no time, such as \"2026-12-01T06:00:00Z\"", e.StartedAt)
+			report("since", "%q is not a time in RFC 3339 format, such as \"2026-12-01T06:00:00Z\"", e.StartedAt)
 		}
 	}
 }
 
-// endpoint returns the entry as lists have it.
+// endpoint converts the entry to an endpoint of a list. A malformed start time, which Check reports, counts as long ago.
 func (e *Entry) endpoint() endpoints.Endpoint {
 	out := endpoints.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell, Status: e.Status,
 		TLSIdentity: e.TLSIdentity}
@@ -78,7 +79,7 @@
 	return out
 }
 
-// ListOf returns a snapshot with these entries.
+// ListOf returns a snapshot of the given version that contains entries.
 func ListOf(version int64, entries []Entry) *endpoints.List {
 	l := &endpoints.List{Index: &version, Snapshot: true, Endpoints: make([]endpoints.Endpoint, len(entries))}
 	for i := range entries {
@@ -89,11 +90,12 @@
 
 // file is the content of a list file.
 type file struct {
-	Count     int     `toml:"count" json:"count" default:"-1" doc:"How many upstreams follow. TOML needs it: a file cut off between two entries would look whole."`
+	Count     int     `toml:"count" json:"count" default:"-1" doc:"Number of upstreams in the file. TOML requires it, since a file truncated between two entries would look complete."`
 	Endpoints []Entry `toml:"endpoint" json:"endpoints" doc:"The upstreams."`
 }
 
-// Parse returns the entries of a list file. The extension of its name tells the format: TOML for .toml, JSON otherwise.
+// Parse returns the entries of the list file with the given name and text. The file extension determines the format: TOML for .toml, JSON
+// otherwise.
 func Parse(name string, text []byte) ([]Entry, error) {
 	if len(bytes.TrimSpace(text)) == 0 {
 		return nil, errEmptyFile
@@ -112,7 +114,7 @@
 		problems = append(problems, err.Error())
 	}
 	if f.Count >= 0 && f.Count != len(f.Endpoints) {
-		problems = append(problems, fmt.Sprintf("count says %d, and %d follow", f.Count, len(f.Endpoints)))
+		problems = append(problems, fmt.Sprintf("count is %d, but the number of upstreams in the file is %d", f.Count, len(f.Endpoints)))
 	}
 	if len(problems) > 0 {
 		return nil, errors.New(strings.Join(problems[:min(len(problems), maxReportedProblems)], "; "))
@@ -153,14 +155,14 @@
 	return f, problems, nil
 }
 
-// Validate returns what is wrong with a list as a whole. An empty list is an error: to have nothing sent at all, the upstreams are marked
-// Terminating.
+// Validate returns an error if the list is empty or too long, or lists a name twice. An operator who wants no
+// requests to be sent marks all upstreams Terminating instead of emptying the list.
 func Validate(entries []Entry) error {
 	switch {
 	case len(entries) == 0:
 		return errNoUpstreams
 	case len(entries) > MaxEntries:
-		return fmt.Errorf("%d upstreams are listed, %d at most", len(entries), MaxEntries)
+		return fmt.Errorf("the list has %d upstreams, the limit is %d", len(entries), MaxEntries)
 	}
 	names := make(map[string]bool, len(entries))
 	for _, e := range entries {
--- a/internal/discovery/listfile/listfile_test.go
+++ b/internal/discovery/listfile/listfile_test.go
@@ -8,7 +8,7 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// Parse takes both formats and the defaults of an entry.
+// Guards against a file that Parse reads in the wrong format, and against an entry that lacks the default of an absent key.
 func TestParse(t *testing.T) {
 	want := []Entry{
 		{Name: "n1", Address: "127.0.0.2:1", Zone: "z", Status: endpoints.StatusReady, StartedAt: "2026-12-01T06:00:00Z"},
@@ -25,35 +25,35 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, err := Parse(c.name, []byte(c.text))
 			if err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Fatalf("%+v, %v", got, err)
+				t.Fatalf("parsed entries %+v, error %v", got, err)
 			}
 			l := ListOf(7, got)
 			if *l.Index != 7 || !l.Snapshot || len(l.Endpoints) != 2 || l.Endpoints[0].StartedMs != 1_796_104_800_000 {
-				t.Errorf("%+v", l)
+				t.Errorf("ListOf returned %+v; want version 7, a snapshot, 2 endpoints and the start time of the first one", l)
 			}
 		})
 	}
 }
 
-// A file that is incomplete or wrong is rejected as a whole, with what is wrong.
+// Guards against an incomplete or malformed file that replaces a valid list. The error must say what is wrong with the file.
 func TestParseRejects(t *testing.T) {
 	const ready = `{"name": "n1", "address": "127.0.0.2:1"}`
 	for _, c := range []struct{ name, file, text, want string }{
-		{"empty", "l.json", " \n", "the file is empty"},
+		{"empty", "l.json", " \n", "the list file is empty"},
 		{"cut off", "l.json", `{"endpoints": [` + ready, "unexpected EOF"},
-		{"text behind the list", "l.json", `{"endpoints": [` + ready + `]} {}`, "something stands behind the list"},
+		{"content after the list", "l.json", `{"endpoints": [` + ready + `]} {}`, "unexpected content after the endpoint list"},
 		{"unknown key", "l.json", `{"endpoints": [` + ready + `], "more": 1}`, "unknown field"},
-		{"no upstreams", "l.json", `{"endpoints": []}`, "no upstream is listed"},
+		{"no upstreams", "l.json", `{"endpoints": []}`, "the endpoint list has no upstreams"},
 		{"listed twice", "l.json", `{"endpoints": [` + ready + `, ` + ready + `]}`, `"n1" is listed twice`},
-		{"another count", "l.json", `{"count": 2, "endpoints": [` + ready + `]}`, "count says 2, and 1 follow"},
+		{"wrong count", "l.json", `{"count": 2, "endpoints": [` + ready + `]}`, "count is 2, but the number of upstreams in the file is 1"},
 		{"no address", "l.json", `{"endpoints": [{"name": "n1"}]}`, "endpoints[0].address: missing"},
 		{"a host name", "l.json", `{"endpoints": [{"address": "node.example:1"}]}`, "endpoints[0].address"},
-		{"no time", "l.json", `{"endpoints": [{"address": "127.0.0.2:1", "since": "yesterday"}]}`, "endpoints[0].since"},
+		{"malformed start time", "l.json", `{"endpoints": [{"address": "127.0.0.2:1", "since": "yesterday"}]}`, "endpoints[0].since"},
 		{"no count in TOML", "l.toml", "[[endpoint]]\naddress = \"127.0.0.2:1\"\n", "count: missing"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if entries, err := Parse(c.file, []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%v, %v; want %q", entries, err, c.want)
+				t.Errorf("parsed entries %v, error %v; want an error with %q", entries, err, c.want)
 			}
 		})
 	}
