--- a/grpcbalancer/sources.go
+++ b/grpcbalancer/sources.go
@@ -21,7 +21,7 @@
 func (p *Plugin) openSource(o checkedOptions, log *slog.Logger) (endpoints.Source, *endpoints.List, error) {
 	var primary endpoints.Source
 	if o.Discovery != "" {
-		primary = discovery.New(discovery.Options{
+		primary = discovery.NewWatcher(discovery.WatcherOptions{
 			Address:        o.Discovery,
 			Index:          o.Version,
 			ConnectTimeout: p.connectTimeout,
--- a/internal/daemon/service_source.go
+++ b/internal/daemon/service_source.go
@@ -64,7 +64,7 @@
 		if list != nil {
 			index = *list.Index
 		}
-		return list, discovery.New(discovery.Options{Address: plan.Discovery, Index: index, ConnectTimeout: plan.Settings.ConnectTimeout,
+		return list, discovery.NewWatcher(discovery.WatcherOptions{Address: plan.Discovery, Index: index, ConnectTimeout: plan.Settings.ConnectTimeout,
 			Staleness: plan.Staleness(), Seed: s.shared.seed ^ xxhash.Sum64String(listStream+plan.Name), Log: log}), nil
 	case plan.ListFile != "":
 		source := discovery.NewFileSource(plan.ListFile, filewatch.DefaultInterval, log)
--- a/internal/discovery/virtual_test.go
+++ b/internal/discovery/virtual_test.go
@@ -83,7 +83,7 @@
 		network := pipeNetwork{conns, sync.OnceFunc(func() { close(conns) })}
 		shutdown := serveScript(network, script)
 		w := &virtualWatcher{registry: endpoints.New(clock.New(), nil), startedAt: time.Now()}
-		w.Watcher = New(Options{Address: "127.0.0.1:1", Index: 1, Staleness: o, Log: logging.NewFunc(w.log.add)})
+		w.Watcher = NewWatcher(WatcherOptions{Address: "127.0.0.1:1", Index: 1, Staleness: o, Log: logging.NewFunc(w.log.add)})
 		w.client.Transport.(*http.Transport).DialContext = network.dial
 		sink := NewRegistrySink(w.registry, func(balancer.EndpointUpdate) {})
 		sink.Apply(testutil.EndpointList(t, 1, true, testutil.Entry("a", "127.0.0.2:1", "Ready")))
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -28,8 +28,8 @@
 	errSilent = errors.New("discovery is silent")
 )
 
-// Options are the parameters of a Watcher.
-type Options struct {
+// WatcherOptions are the parameters of a Watcher.
+type WatcherOptions struct {
 	Address        string
 	Index          int64 // version of the list that is known already
 	ConnectTimeout time.Duration
@@ -64,8 +64,8 @@
 
 var _ Source = (*Watcher)(nil)
 
-// New returns a Watcher. Run makes it work.
-func New(o Options) *Watcher {
+// NewWatcher returns a Watcher, which does nothing until Run is called.
+func NewWatcher(o WatcherOptions) *Watcher {
 	return &Watcher{
 		log:       cmp.Or(o.Log, slog.New(slog.DiscardHandler)),
 		client:    newClient(o.ConnectTimeout),
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -26,7 +26,7 @@
 func startWatcher(t *testing.T, address string, pushed bool, known ...string) *runningWatcher {
 	t.Helper()
 	w := &runningWatcher{registry: endpoints.New(clock.New(), nil), updates: make(chan balancer.EndpointUpdate, 64)}
-	w.Watcher = New(Options{Address: address, Index: 1, ConnectTimeout: 2 * time.Second, Staleness: staleness.Options{Pushed: pushed},
+	w.Watcher = NewWatcher(WatcherOptions{Address: address, Index: 1, ConnectTimeout: 2 * time.Second, Staleness: staleness.Options{Pushed: pushed},
 		Log: logging.NewFunc(func(line string) { t.Log(line) })})
 	sink := NewRegistrySink(w.registry, func(u balancer.EndpointUpdate) { w.updates <- u })
 	sink.Apply(testutil.EndpointList(t, 1, true, known...))
