--- a/internal/discovery/calls.go
+++ b/internal/discovery/calls.go
@@ -15,31 +15,31 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// errEnded is the reason of a watch whose body ended without an error.
+// errEnded is the error of a watch whose response body ended without an error.
 var errEnded = errors.New("discovery ended it")
 
-// initialMessageBuffer is the buffer of a watch in bytes; it grows up to maxMessageBytes.
+// initialMessageBuffer is the initial buffer size of a watch in bytes. The buffer grows up to maxMessageBytes.
 const initialMessageBuffer = 4 << 10
 
-// listServer is an address that serves the list. Versions of one address mean nothing at another.
+// listServer is an address that serves the list. Versions from different addresses cannot be compared.
 type listServer struct {
 	address string
-	version int64 // of the list that was last received from it
-	isNew   bool  // nothing was received from it yet
+	version int64 // of the list that was last received from the address
+	isNew   bool  // no list was received from the address yet
 }
 
-// listCall is a call that has not ended. Its fields other than cancel belong to the call's goroutine.
+// listCall is a call that has not ended. Only the call's goroutine uses its fields, except cancel.
 type listCall struct {
 	id       staleness.CallID
 	request  staleness.Request
 	server   *listServer
 	cancel   context.CancelCauseFunc
 	openedAt time.Time
-	version  int64 // that it has reached
-	answered bool
+	version  int64 // of the list after the last message of the call
+	answered bool  // the call has received a message
 }
 
-// open opens a call in a goroutine; the caller holds mu.
+// open starts a call in a goroutine; the caller holds mu.
 func (w *Watcher) open(a staleness.Action) {
 	ctx, cancel := context.WithCancelCause(w.ctx)
 	c := &listCall{id: a.Call, request: a.Request, server: w.server, cancel: cancel, openedAt: time.Now(), version: w.server.version}
@@ -49,7 +49,7 @@
 	w.running.Go(func() { w.run(ctx, c) })
 }
 
-// run carries out one call and reports its end to the machine.
+// run executes one call and reports to the state machine if the call ended by itself.
 func (w *Watcher) run(ctx context.Context, c *listCall) {
 	err := w.receive(ctx, c)
 	w.mu.Lock()
@@ -57,13 +57,13 @@
 	delete(w.calls, c.id)
 	cause := context.Cause(ctx)
 	c.cancel(nil)
-	if w.sink == nil || w.ctx.Err() != nil { // Run ends
+	if w.sink == nil || w.ctx.Err() != nil { // Run is returning
 		return
 	}
 	if cause != nil {
 		err = cause
 	}
-	if err == nil { // a poll that was answered
+	if err == nil { // the call was a poll and received its answer
 		return
 	}
 	lasted := time.Since(c.openedAt).Round(time.Millisecond)
@@ -77,7 +77,8 @@
 	w.carryOut(actions)
 }
 
-// logFailure logs that a call ended by itself, once the machine knows of it; the caller holds mu.
+// logFailure logs that a call ended by itself. It is called after CallEnded, so that the logged failure count includes the call. The caller
+// holds mu.
 func (w *Watcher) logFailure(c *listCall, reason error, lasted time.Duration) {
 	now := w.now()
 	failures := w.machine.Failures()
@@ -86,20 +87,21 @@
 		"next", max(0, w.machine.Next()-now).Round(time.Millisecond))
 }
 
-// Consecutive failures that are logged as warnings: the first ones, and then one in so many. The others are logged as debug.
+// Of consecutive failures, the first warnedFailures are logged as warnings, and after these one in warningInterval. The others are logged
+// at debug level.
 const (
-	warnedFailures = 8
-	warnedOneIn    = 16
+	warnedFailures  = 8
+	warningInterval = 16
 )
 
 func failureLevel(failures int) slog.Level {
-	if failures <= warnedFailures || failures%warnedOneIn == 0 {
+	if failures <= warnedFailures || failures%warningInterval == 0 {
 		return slog.LevelWarn
 	}
 	return slog.LevelDebug
 }
 
-// receive sends the request of a call and handles what arrives until it ends. It returns nil for a poll that was answered.
+// receive sends the request of a call and handles its messages until the call ends. It returns nil for a poll that received its answer.
 func (w *Watcher) receive(ctx context.Context, c *listCall) error {
 	url := fmt.Sprintf("http://%s/api/targets", c.server.address)
 	if c.request == staleness.FetchList {
@@ -108,7 +110,7 @@
 	return w.receiveChanges(ctx, c, fmt.Sprintf("%s?watch=1&from=%d", url, c.version))
 }
 
-// receiveChanges follows a watch to its end, which is an error.
+// receiveChanges handles the messages of a watch until it ends. It never returns nil, since the end of a watch is an error.
 func (w *Watcher) receiveChanges(ctx context.Context, c *listCall, url string) error {
 	body, err := w.get(ctx, url)
 	if err != nil {
@@ -126,7 +128,7 @@
 	return cmp.Or(messages.Err(), errEnded)
 }
 
-// receiveList polls for the whole list.
+// receiveList polls for the complete list.
 func (w *Watcher) receiveList(ctx context.Context, c *listCall, url string) error {
 	body, err := w.get(ctx, url)
 	if err != nil {
@@ -143,7 +145,7 @@
 	return w.handle(ctx, c, text)
 }
 
-// get sends a request to discovery; the caller closes the body.
+// get sends a request to the discovery service. The caller closes the returned body.
 func (w *Watcher) get(ctx context.Context, url string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -160,8 +162,8 @@
 	return response.Body, nil
 }
 
-// handle applies a message of a call, unless the call was closed meanwhile; an empty one is a heartbeat. After a malformed message the
-// last good list stays, and the next call continues from its version.
+// handle applies a message of a call, unless the call was closed in the meantime. An empty message is a heartbeat. A malformed message is
+// an error that ends the call: the last valid list stays in use, and the next call continues from its version.
 func (w *Watcher) handle(ctx context.Context, c *listCall, message []byte) error {
 	var list *endpoints.List
 	if len(message) > 0 {
@@ -183,7 +185,7 @@
 	withdrawn := false
 	switch {
 	case list == nil:
-		if isReconnect || w.refreshWanted.Load() {
+		if isReconnect || w.refreshRequested.Load() {
 			w.sink.Current()
 		}
 	case superseded:
@@ -193,7 +195,7 @@
 			return err
 		}
 	}
-	w.refreshWanted.Store(false)
+	w.refreshRequested.Store(false)
 	w.logFirstAnswer(c, list != nil)
 	w.carryOut(w.machine.CallActive(w.now(), c.id))
 	if withdrawn {
@@ -202,7 +204,7 @@
 	return nil
 }
 
-// logFirstAnswer logs the first message of a call; the caller holds mu.
+// logFirstAnswer logs the first message of a call and ignores later ones; the caller holds mu.
 func (w *Watcher) logFirstAnswer(c *listCall, hasList bool) {
 	if c.answered {
 		return
@@ -212,26 +214,25 @@
 		"news", hasList, "took", time.Since(c.openedAt).Round(time.Millisecond), "age", w.age())
 }
 
-// apply hands a list or a change to the sink, unless it is older than what is known; the caller holds mu.
+// apply passes a snapshot or an incremental change to the sink, unless it is older than the known list. The caller holds mu.
 func (w *Watcher) apply(c *listCall, l *endpoints.List) error {
 	version, server := *l.Index, c.server
-	startedAnew := l.Snapshot && c.version == server.version // a lower version on the call that brought the latest one
+	versionsRestarted := l.Snapshot && c.version == server.version // versions may restart on the call that delivered the latest list
 	switch {
-	case server.isNew, version >= server.version, startedAnew:
+	case server.isNew, version >= server.version, versionsRestarted:
 		server.version, server.isNew = version, false
 		w.sink.Update(l)
 	case c.version == server.version:
-		return fmt.Errorf("malformed list: changes of version %d, and %d is known", version, c.version)
-	default: // written before what another call has brought since: it must not bring back an upstream that drains
+		return fmt.Errorf("malformed list: changes have version %d, which is older than the known version %d", version, c.version)
+	default: // older than the list that another call delivered: it could make a draining upstream ready again
 		w.log.Info("older list passed over", "call", c.id, "request", c.request.String(), "version", version, "known", server.version)
 	}
 	c.version = version
 	return nil
 }
 
-// applyWithdrawals applies from a superseded call's list or change only the endpoints that drain or are removed, since the present
-// address's list may have been written ahead of it. It reports whether anything may have been withdrawn, so that the present address is
-// to be polled again. The caller holds mu.
+// applyWithdrawals applies only the draining and removed endpoints of a superseded call's list, since the list of the present address may be
+// newer. It reports whether endpoints may have been withdrawn, in which case the present address must be polled again. The caller holds mu.
 func (w *Watcher) applyWithdrawals(l *endpoints.List) bool {
 	var withdrawn []endpoints.Endpoint
 	for _, e := range l.Endpoints {
@@ -243,5 +244,5 @@
 		version := w.server.version
 		w.sink.Update(&endpoints.List{Index: &version, Endpoints: withdrawn})
 	}
-	return len(withdrawn) > 0 || l.Snapshot // what a snapshot leaves out is removed there
+	return len(withdrawn) > 0 || l.Snapshot // endpoints that a snapshot lacks were removed at the superseded address
 }
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,26 +1,26 @@
-// Package discovery follows endpoint lists and carries their changes to the endpoint registry and the balancer.
+// Package discovery follows endpoint lists and passes their changes to the endpoint registry and the balancer.
 //
 // # Sources
 //
-// A Source reads one list, wherever that is kept, and reports it to a Sink:
+// A Source reads one list, such as that of a discovery service or a file, and reports it to a Sink:
 //
-//   - Watcher follows the platform's discovery over HTTP, with the calls that package staleness schedules;
+//   - Watcher follows the list of the platform's discovery service over HTTP, with the calls that package staleness schedules;
 //   - FileSource follows a list file;
-//   - package eureka has a Source for Eureka registries;
-//   - MergedSource follows several of these and merges them with package membership.
+//   - package eureka provides a Source for Eureka registries;
+//   - MergedSource follows several sources and merges their lists with package membership.
 //
 // # Sinks
 //
-// SubsetSink passes on the endpoints that package subset chooses for this process. RegistrySink is the end of the chain.
+// SubsetSink forwards only the endpoints that package subset chooses for this process. RegistrySink is the last Sink of the chain.
 //
 //	Watcher, FileSource, eureka.Source -> [MergedSource] -> [SubsetSink] -> RegistrySink -> endpoints.Registry, then the balancer
 //
 // # Who may write the endpoint list
 //
-// Only RegistrySink writes to a service's endpoints.Registry, one list after another: by Update while the service runs, and by Apply
-// for the list that it starts with. Everyone else reads the registry.
+// Only RegistrySink writes to a service's endpoints.Registry, one list after another: Update applies lists while the service runs, and
+// Apply applies the initial list. All other code only reads the registry.
 //
-// The package decides nothing itself: it owns connections, timers and goroutines, and the state of a list as it was last received. It
-// may import the packages of decisions named above, endpoints, filewatch and the balancer's types, but not the engine or a protocol
+// The package owns connections, timers, goroutines and the last received state of a list. The decisions are made in packages staleness,
+// membership and subset. The package may import these, endpoints, filewatch and the balancer's types, but not the engine or a protocol
 // adapter.
 package discovery
--- a/internal/discovery/filesource.go
+++ b/internal/discovery/filesource.go
@@ -13,11 +13,11 @@
 	"orchiddrift/internal/filewatch"
 )
 
-// errUnchanged is returned by Load where the file was read before.
-var errUnchanged = errors.New("unchanged")
+// errUnchanged is returned by Load if the file has not changed since it was last read.
+var errUnchanged = errors.New("list file has not changed since it was last read")
 
-// FileSource is a Source that follows a list file, as package listfile reads it. The file is replaced by renaming a new one to its name;
-// where it is caught half-written, or can't be used, the last good list stays.
+// FileSource is a Source that follows a list file in the format of package listfile. The file should be replaced atomically, by renaming a
+// new file to its name. If the file is incomplete or invalid, the last valid list stays in use.
 type FileSource struct {
 	reader   *filewatch.Reader
 	interval time.Duration
@@ -28,12 +28,12 @@
 
 var _ Source = (*FileSource)(nil)
 
-// NewFileSource returns a FileSource that looks at the file every interval. Load reads the file for the first time, Run follows it.
+// NewFileSource returns a FileSource that checks the file once per interval. Load reads the file for the first time, and Run follows it.
 func NewFileSource(path string, interval time.Duration, log *slog.Logger) *FileSource {
 	return &FileSource{reader: filewatch.NewReader(path, listfile.MaxBytes), interval: interval, log: log}
 }
 
-// Load reads the file. It is called before Run.
+// Load reads the file and returns its list. It is called before Run.
 func (s *FileSource) Load() (*endpoints.List, error) {
 	content, changed := s.reader.Read()
 	switch {
@@ -49,7 +49,7 @@
 	return list, nil
 }
 
-// Run follows the file until ctx ends.
+// Run follows the file until ctx is done.
 func (s *FileSource) Run(ctx context.Context, sink Sink) {
 	filewatch.Watch(ctx, s.interval, func() {
 		s.poll(sink)
@@ -57,7 +57,7 @@
 	})
 }
 
-// poll reports the file's list to sink where the file has changed.
+// poll reports the file's list to sink if the file has changed.
 func (s *FileSource) poll(sink Sink) {
 	content, changed := s.reader.Read()
 	if !changed {
@@ -75,7 +75,7 @@
 	sink.Update(list)
 }
 
-// parse returns the list that a file's text has.
+// parse returns a file's text as a list with the next version.
 func (s *FileSource) parse(text []byte) (*endpoints.List, error) {
 	entries, err := listfile.Parse(s.reader.Path(), text)
 	if err != nil {
@@ -85,8 +85,8 @@
 	return listfile.ListOf(s.version, entries), nil
 }
 
-// Refresh does nothing: the file is looked at anyway.
+// Refresh does nothing, since Run checks the file at every interval.
 func (s *FileSource) Refresh() {}
 
-// Polls returns how often the file has been looked at since Run, and what was new in it reported.
+// Polls returns how many checks of the file Run has completed. A completed check has also reported any change to the sink.
 func (s *FileSource) Polls() int64 { return s.polls.Load() }
--- a/internal/discovery/mergedsource.go
+++ b/internal/discovery/mergedsource.go
@@ -11,45 +11,45 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// maxLoggedChanges bounds the changes that are logged for one input.
+// maxLoggedChanges is the maximum number of changes that are logged for one input of the merge.
 const maxLoggedChanges = 16
 
-// NamedSource is one source of a MergedSource.
+// NamedSource is one source of a MergedSource, with its name and rank.
 type NamedSource struct {
 	Name    string          // for the log
-	Source  Source          // nil: its lists come by MergedSource.Update
-	Initial *endpoints.List // that it is known to have to begin with; nil: none
-	Primary bool            // ranked first, and its signs of life and its loss are passed on, as with a source alone
+	Source  Source          // nil: MergedSource.Update provides the lists
+	Initial *endpoints.List // list to start with; nil: none
+	Primary bool            // ranked first; only a primary source's Current and Lost reports are forwarded to the sink
 }
 
-// MergedSource is a Source that follows several and reports the merged list of package membership. Its methods are safe for concurrent
-// use, but for Add, Remove and Replace, which come one after another.
+// MergedSource is a Source that follows several sources and reports the list that package membership merges from theirs. Its methods are
+// safe for concurrent use, except that calls of Add, Remove and Replace must not overlap.
 type MergedSource struct {
 	log *slog.Logger
 	now func() time.Time
 
-	mu      sync.Mutex // one input after another, through the merge and to the sink
+	mu      sync.Mutex // held from an input of the merge until its output was reported to the sink
 	merge   *membership.Merge
-	sink    Sink            // nil: before Attach and Run
-	pending *endpoints.List // for the sink once there is one
+	sink    Sink            // nil before Attach or Run
+	pending *endpoints.List // to be reported once there is a sink
 	version int64           // of the merged list
-	timer   *time.Timer     // of merge
+	timer   *time.Timer     // calls tick when merge.Next is due
 	sources map[string]*followedSource
-	ctx     context.Context // of Run; nil before
+	ctx     context.Context // of Run; nil before Run
 	stopped bool
 	running sync.WaitGroup
 }
 
 var _ Source = (*MergedSource)(nil)
 
-// followedSource is a source and, once it runs, the means to stop it.
+// followedSource is a source and, while it runs, the functions to stop it and to wait for its end.
 type followedSource struct {
 	NamedSource
 	cancel context.CancelFunc
 	ended  chan struct{}
 }
 
-// NewMergedSource returns a MergedSource that follows sources, ranked in this order.
+// NewMergedSource returns a MergedSource that follows sources. They are ranked in the given order, with primary ones first.
 func NewMergedSource(o membership.Options, log *slog.Logger, sources ...NamedSource) (*MergedSource, error) {
 	m := &MergedSource{log: cmp.Or(log, slog.New(slog.DiscardHandler)), merge: membership.New(o), now: time.Now, sources: map[string]*followedSource{}}
 	m.timer = time.AfterFunc(time.Hour, m.tick)
@@ -62,7 +62,7 @@
 	return m, nil
 }
 
-// Load returns the merged list that is known to begin with. It is not reported again.
+// Load returns the merged list of the initial lists. The list is not reported to the sink as well.
 func (m *MergedSource) Load() *endpoints.List {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -70,13 +70,13 @@
 	return m.snapshot()
 }
 
-// snapshot returns the whole merged list; the caller holds mu.
+// snapshot returns the complete merged list; the caller holds mu.
 func (m *MergedSource) snapshot() *endpoints.List {
 	version := m.version
 	return &endpoints.List{Index: &version, Snapshot: true, Endpoints: m.merge.List()}
 }
 
-// Add follows another source.
+// Add adds a source and, while Run is running, follows it.
 func (m *MergedSource) Add(s NamedSource) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// Remove stops a source. What only it listed is removed when Remove returns.
+// Remove stops and removes a source. When Remove returns, the endpoints that only this source listed are removed from the merged list.
 func (m *MergedSource) Remove(name string) {
 	if m.stop(name) == nil {
 		return
@@ -105,7 +105,7 @@
 	m.publish(m.merge.RemoveSource(m.now(), name))
 }
 
-// Replace follows another source in place of the one of that name, whose last list stands until the new one reports.
+// Replace replaces the source of the given name. The previous source's last list stays in use until the new source reports one.
 func (m *MergedSource) Replace(name string, source Source) {
 	f := m.stop(name)
 	if f == nil {
@@ -121,7 +121,7 @@
 	}
 }
 
-// Source returns the source of that name; nil: there is none.
+// Source returns the source of the given name, or nil if there is none.
 func (m *MergedSource) Source(name string) Source {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// Update takes a list for a source that does not run, such as the entries of the operator's file.
+// Update merges a list for the source of the given name. It is for sources without a Source, such as the entries of the operator's file.
 func (m *MergedSource) Update(name string, l *endpoints.List) {
 	(&sourceSink{merged: m, name: name}).Update(l)
 }
@@ -143,7 +143,7 @@
 	m.merge.Configure(o)
 }
 
-// Refresh refreshes the primary sources.
+// Refresh calls Refresh of the primary sources.
 func (m *MergedSource) Refresh() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -154,7 +154,7 @@
 	}
 }
 
-// Attach has sink hear of lists that come before Run, which is to be called with the same sink.
+// Attach sets the sink for lists that arrive before Run. Run must be called with the same sink.
 func (m *MergedSource) Attach(sink Sink) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -169,7 +169,7 @@
 	}
 }
 
-// Run follows all sources until ctx ends.
+// Run follows all sources until ctx is done.
 func (m *MergedSource) Run(ctx context.Context, sink Sink) {
 	m.mu.Lock()
 	m.ctx = ctx
@@ -200,7 +200,7 @@
 	})
 }
 
-// stop stops a source, waits for its end and returns it; nil: there is none of that name.
+// stop stops a source, waits for its end and returns it. It returns nil if there is no source of the given name.
 func (m *MergedSource) stop(name string) *followedSource {
 	m.mu.Lock()
 	f := m.sources[name]
@@ -222,7 +222,7 @@
 	m.setTimer()
 }
 
-// report passes changes on to the sink. Before there is one, the whole list is kept for it.
+// report reports changes to the sink. Before there is a sink, it stores the complete list for it. The caller holds mu.
 func (m *MergedSource) report(changes []membership.Change) {
 	if m.sink == nil {
 		m.pending = m.snapshot()
@@ -242,7 +242,7 @@
 	}
 	for i, c := range o.Changes {
 		if i == maxLoggedChanges {
-			m.log.Info("membership: more changes", "upstreams", len(o.Changes)-maxLoggedChanges)
+			m.log.Info("membership: further changes are not logged", "upstreams", len(o.Changes)-maxLoggedChanges)
 			break
 		}
 		if c.Status != endpoints.StatusReady {
@@ -251,7 +251,7 @@
 	}
 }
 
-// setTimer sets the timer of the merge while Run follows the sources; the caller holds mu.
+// setTimer sets the timer to the merge's next due time while Run is running. The caller holds mu.
 func (m *MergedSource) setTimer() {
 	if m.stopped || m.ctx == nil {
 		return
@@ -269,14 +269,15 @@
 	}
 }
 
-// sourceSink is the Sink of one source.
+// sourceSink is the Sink of one source of a MergedSource.
 type sourceSink struct {
 	merged  *MergedSource
 	name    string
 	primary bool
 }
 
-// Update merges a list or a change. The primary source's list is current also where that changes nothing.
+// Update merges a snapshot or an incremental change. For a primary source it also reports to the sink that the list is current, even if the
+// merged list does not change.
 func (s *sourceSink) Update(l *endpoints.List) {
 	m := s.merged
 	m.mu.Lock()
@@ -290,7 +291,7 @@
 	}
 }
 
-// Current merges that the source is current.
+// Current notifies the merge that the source is current, and the sink as well if the source is primary.
 func (s *sourceSink) Current() {
 	m := s.merged
 	m.mu.Lock()
@@ -301,7 +302,7 @@
 	}
 }
 
-// Lost merges that the source is lost.
+// Lost notifies the merge that the source is lost, and the sink as well if the source is primary.
 func (s *sourceSink) Lost(err error, retries bool) {
 	m := s.merged
 	m.mu.Lock()
--- a/internal/discovery/messages.go
+++ b/internal/discovery/messages.go
@@ -5,29 +5,29 @@
 	"errors"
 )
 
-// maxMessageBytes bounds one message: 20,000 upstreams of 800 bytes. The buffer grows to what arrives.
+// maxMessageBytes is the maximum size of one message. It is enough for 20,000 upstreams of 800 bytes each.
 const maxMessageBytes = 16 << 20
 
 var (
-	errNotAnObject = errors.New("malformed list: not an object")
-	errTruncated   = errors.New("malformed list: cut short")
+	errNotAnObject = errors.New("malformed list: not a JSON object")
+	errTruncated   = errors.New("malformed list: truncated message")
 )
 
 // messageSplitter splits the body of a watch into messages. A message is a JSON object, on any number of lines, or an empty line, which
-// is a heartbeat. Only the beginning and the end of objects are looked for.
+// is a heartbeat. The splitter only finds the beginning and the end of objects and does not validate them.
 //
-// An empty line within an object means that the rest of the object is missing: no JSON encoder writes one, and without the check the
-// next message would be swallowed.
+// An empty line within an object means that the rest of the object is missing: JSON encoders do not write empty lines, and without the
+// check the next message would be read as part of the truncated one.
 type messageSplitter struct {
-	offset         int // bytes of the present message that were scanned
-	depth          int // open braces and brackets
+	offset         int // number of scanned bytes of the current message
+	depth          int // number of open braces and brackets
 	inObject       bool
 	inString       bool
-	escaped        bool // the byte before is a backslash within a string
+	escaped        bool // the previous byte is an escaping backslash within a string
 	lineHasContent bool
 }
 
-// split is a bufio.SplitFunc. The token is the object, or empty for a heartbeat.
+// split is a bufio.SplitFunc. The token is an object, or empty for a heartbeat.
 func (s *messageSplitter) split(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	for ; s.offset < len(data); s.offset++ {
 		c := data[s.offset]
@@ -61,7 +61,7 @@
 	return 0, nil, nil
 }
 
-// scanString takes a byte within a string.
+// scanString processes a byte within a string.
 func (s *messageSplitter) scanString(c byte) {
 	switch {
 	case s.escaped:
@@ -73,7 +73,7 @@
 	}
 }
 
-// scanContent takes a byte of an object, other than white space and the content of strings.
+// scanContent processes a byte of an object outside its strings, other than white space.
 func (s *messageSplitter) scanContent(c byte) {
 	s.inObject, s.lineHasContent = true, true
 	switch c {
@@ -86,14 +86,14 @@
 	}
 }
 
-// endHeartbeat ends an empty line at the present offset.
+// endHeartbeat returns the heartbeat whose empty line ends at the current offset.
 func (s *messageSplitter) endHeartbeat(data []byte) (advance int, token []byte, err error) {
 	end := s.offset + 1
 	*s = messageSplitter{}
 	return end, data[:0], nil
 }
 
-// endObject ends an object at the present offset; the end of its line belongs to it.
+// endObject returns the object that ends at the current offset. It also consumes the line end that follows, which is not a heartbeat.
 func (s *messageSplitter) endObject(data []byte) (advance int, token []byte, err error) {
 	end := s.offset + 1
 	*s = messageSplitter{}
--- a/internal/discovery/registrysink.go
+++ b/internal/discovery/registrysink.go
@@ -10,16 +10,16 @@
 // Source follows one endpoint list; see endpoints.Source.
 type Source = endpoints.Source
 
-// Sink takes what a Source reports; see endpoints.Sink.
+// Sink receives the reports of a Source; see endpoints.Sink.
 type Sink = endpoints.Sink
 
 // RegistrySink is the Sink that writes to a service's endpoint registry and then reports to its balancer. It is the only writer of that
-// registry, and keeps the list as last received. It is safe for concurrent use.
+// registry, and stores the list as last received. It is safe for concurrent use.
 type RegistrySink struct {
 	registry *endpoints.Registry
 	report   func(balancer.EndpointUpdate)
 
-	updating sync.Mutex // from when the registry has an update until the balancer has it
+	updating sync.Mutex // held from the update of the registry until the balancer has the update too
 
 	mu   sync.Mutex
 	list receivedList
@@ -27,30 +27,30 @@
 
 var _ Sink = (*RegistrySink)(nil)
 
-// NewRegistrySink returns a RegistrySink; report hands an update to the balancer.
+// NewRegistrySink returns a RegistrySink that writes to registry and passes updates to the balancer with report.
 func NewRegistrySink(registry *endpoints.Registry, report func(balancer.EndpointUpdate)) *RegistrySink {
 	return &RegistrySink{registry: registry, report: report}
 }
 
-// Update applies a list or a change to the registry, then reports it to the balancer.
+// Update applies a snapshot or an incremental change to the registry, and then reports it to the balancer.
 func (s *RegistrySink) Update(l *endpoints.List) {
 	s.updating.Lock()
 	defer s.updating.Unlock()
 	s.report(s.Apply(l))
 }
 
-// WaitForUpdates waits until the balancer has what the registry has. An attempt that the registry stopped is reported to the balancer
-// after that: with the list before, it would choose among endpoints that have just been removed.
+// WaitForUpdates waits until the balancer has all updates that the registry has. The engine calls it before it reports to the balancer
+// an attempt that the registry stopped: otherwise the balancer would choose by the previous list, which has the removed endpoints.
 func (s *RegistrySink) WaitForUpdates() {
 	s.updating.Lock()
 	defer s.updating.Unlock()
 }
 
-// Apply applies a list or a change to the registry alone, and returns the update for the balancer. It is for the list that a service
-// starts with.
+// Apply applies a snapshot or an incremental change to the registry alone, and returns the update for the balancer. A service uses it for
+// its initial list.
 func (s *RegistrySink) Apply(l *endpoints.List) balancer.EndpointUpdate {
 	s.mu.Lock()
-	defer s.mu.Unlock() // the registry gets the lists in the same order
+	defer s.mu.Unlock() // after registry.Apply, so that both apply lists in the same order
 	s.list.apply(l)
 	return s.registry.Apply(l)
 }
@@ -58,7 +58,7 @@
 // Current reports to the balancer that the list is current.
 func (s *RegistrySink) Current() { s.report(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate}) }
 
-// Lost reports to the balancer that the list is lost, where the source waits for the balancer to refresh it.
+// Lost reports to the balancer that the list is lost if the source does not retry by itself, so that the balancer requests a refresh.
 func (s *RegistrySink) Lost(_ error, retries bool) {
 	if !retries {
 		s.report(balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
@@ -72,13 +72,13 @@
 	return s.list.snapshot()
 }
 
-// receivedList is a list as last received: a snapshot and the changes since. It has an entry for each endpoint that is ready or draining.
+// receivedList is a list as last received: a snapshot with the later changes applied. It has an entry for each ready or draining endpoint.
 type receivedList struct {
 	version int64
 	entries map[string]endpoints.Endpoint
 }
 
-// apply takes a snapshot or a change.
+// apply applies a snapshot or an incremental change.
 func (r *receivedList) apply(l *endpoints.List) {
 	if l.Snapshot || r.entries == nil {
 		r.entries = make(map[string]endpoints.Endpoint, len(l.Endpoints))
@@ -95,7 +95,7 @@
 	}
 }
 
-// snapshot returns the whole list.
+// snapshot returns the complete list.
 func (r *receivedList) snapshot() *endpoints.List {
 	version := r.version
 	l := &endpoints.List{Index: &version, Snapshot: true, Endpoints: make([]endpoints.Endpoint, 0, len(r.entries))}
--- a/internal/discovery/subsetsink.go
+++ b/internal/discovery/subsetsink.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	rateInterval = time.Second      // between two samples of the request rate
-	rateWindow   = 10 * time.Second // time constant of its moving average
+	rateInterval = time.Second      // time between two samples of the request rate
+	rateWindow   = 10 * time.Second // time constant of the rate's moving average
 )
 
-// SubsetSink is the Sink before a RegistrySink that passes on only this process's subset of the endpoints. It keeps the whole list. It is
-// safe for concurrent use; Run follows the request rate, which the size of the subset depends on.
+// SubsetSink is a Sink that forwards only this process's subset of the endpoints to a RegistrySink. It stores the complete list. Run
+// measures the request rate, which determines the size of the subset. SubsetSink is safe for concurrent use.
 type SubsetSink struct {
 	next     *RegistrySink
-	requests func() int64 // sent so far
+	requests func() int64 // returns the number of requests sent so far
 
 	mu      sync.Mutex
 	subset  *subset.Subset
 	list    receivedList
-	timer   *time.Timer // of subset
+	timer   *time.Timer // calls tick when subset.Next is due
 	stopped bool
 }
 
 var _ Sink = (*SubsetSink)(nil)
 
-// NewSubsetSink returns a SubsetSink; requests counts the requests sent so far.
+// NewSubsetSink returns a SubsetSink. The function requests returns the number of requests sent so far.
 func NewSubsetSink(s *subset.Subset, next *RegistrySink, requests func() int64) *SubsetSink {
 	sink := &SubsetSink{next: next, requests: requests, subset: s}
 	sink.timer = time.AfterFunc(time.Hour, sink.tick)
@@ -38,7 +38,7 @@
 	return sink
 }
 
-// Load takes the first list and returns this process's subset of it, which is not passed on.
+// Load applies the initial list and returns this process's subset of it. The subset is not forwarded as well.
 func (s *SubsetSink) Load(l *endpoints.List) *endpoints.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,37 +51,38 @@
 	return own
 }
 
-// Last returns the whole list as last received, as a snapshot.
+// Last returns the complete list as last received, as a snapshot.
 func (s *SubsetSink) Last() *endpoints.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list.snapshot()
 }
 
-// Size returns how many endpoints are in this process's subset, and how many are listed.
+// Size returns the number of endpoints in this process's subset, and the number of listed endpoints.
 func (s *SubsetSink) Size() (own, listed int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.subset.Size()
 }
 
-// Update takes a list or a change and passes on what changes in the subset. The list is current also where that is nothing.
+// Update applies a snapshot or an incremental change and forwards the changes of the subset. It also reports that the list is current, even
+// if the subset does not change.
 func (s *SubsetSink) Update(l *endpoints.List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list.apply(l)
-	s.pass(s.subset.Update(time.Now(), l))
+	s.forward(s.subset.Update(time.Now(), l))
 	s.next.Current()
 }
 
-// Current passes on that the list is current.
+// Current forwards the report that the list is current.
 func (s *SubsetSink) Current() { s.next.Current() }
 
-// Lost passes on that the list is lost.
+// Lost forwards the report that the list is lost.
 func (s *SubsetSink) Lost(err error, retries bool) { s.next.Lost(err, retries) }
 
-// pass passes on a change of the subset, if there is one, and sets the timer; the caller holds mu.
-func (s *SubsetSink) pass(change *endpoints.List) {
+// forward reports a change of the subset, which may be nil, to the next sink and sets the timer; the caller holds mu.
+func (s *SubsetSink) forward(change *endpoints.List) {
 	if change != nil {
 		version := s.list.version
 		change.Index = &version
@@ -96,17 +97,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.stopped {
-		s.pass(s.subset.Tick(time.Now()))
+		s.forward(s.subset.Tick(time.Now()))
 	}
 }
 
-// Run follows the request rate until ctx ends.
+// Run measures the request rate and adjusts the size of the subset to it until ctx is done.
 func (s *SubsetSink) Run(ctx context.Context) {
 	ticker := time.NewTicker(rateInterval)
 	defer ticker.Stop()
 	rate, last, sampledAt := 0.0, s.requests(), time.Now()
 	s.mu.Lock()
-	s.pass(nil) // sets the timer
+	s.forward(nil) // only sets the timer
 	s.mu.Unlock()
 	for {
 		select {
@@ -121,7 +122,7 @@
 		rate += weight * (float64(requests-last)/elapsed.Seconds() - rate)
 		last, sampledAt = requests, now
 		s.mu.Lock()
-		s.pass(s.subset.Rate(now, rate))
+		s.forward(s.subset.Rate(now, rate))
 		s.mu.Unlock()
 	}
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -17,49 +17,49 @@
 
 const (
 	maxResponseHeaderBytes = 16 << 10
-	minConnectTimeout      = time.Second // a discovery may take longer to accept a connection than an upstream may
-	jitterStream           = 0x6c697374  // selects the stream of random numbers of a seed
+	minConnectTimeout      = time.Second // a discovery service may take longer than an upstream to accept a connection
+	jitterStream           = 0x6c697374  // selects the random number stream of the seed
 )
 
 var (
-	// errReplaced closes a call that a later one replaced, or whose address is no longer followed.
-	errReplaced = errors.New("another call has taken its place")
-	// errSilent is the reason of Sink.Lost.
-	errSilent = errors.New("discovery is silent")
+	// errReplaced is the cause with which the Watcher cancels a call that the state machine closed.
+	errReplaced = errors.New("the list call was replaced by a later call")
+	// errSilent is the error that the Watcher passes to Sink.Lost.
+	errSilent = errors.New("the discovery service sends no messages")
 )
 
 // WatcherOptions are the parameters of a Watcher.
 type WatcherOptions struct {
 	Address        string
-	Index          int64 // version of the list that is known already
+	Index          int64 // version of the list that is already known
 	ConnectTimeout time.Duration
 	Staleness      staleness.Options
-	Seed           uint64       // of the jitter
+	Seed           uint64       // seed of the jitter
 	Log            *slog.Logger // nil: nothing is logged
 }
 
-// Watcher is a Source that follows the platform's discovery over HTTP. Package staleness decides when a call is opened and closed;
-// the Watcher carries the calls out, each on a connection and in a goroutine of its own, so that the HTTP client does not retry.
+// Watcher is a Source that follows the list of the platform's discovery service over HTTP. Package staleness decides when a call is opened
+// and closed. The Watcher executes each call in its own goroutine, and on its own connection so that the HTTP client does not retry.
 //
 // Its methods are safe for concurrent use.
 type Watcher struct {
-	log           *slog.Logger
-	client        *http.Client
-	startedAt     time.Time   // zero of the machine's clock
-	refreshWanted atomic.Bool // the sink is notified of the next sign of life
-	running       sync.WaitGroup
+	log              *slog.Logger
+	client           *http.Client
+	startedAt        time.Time   // time 0 on the state machine's clock
+	refreshRequested atomic.Bool // the next message is reported to the sink, even a heartbeat
+	running          sync.WaitGroup
 
 	mu        sync.Mutex
 	machine   *staleness.Machine
-	sink      Sink // of Run; nil: it does not run. It must not call the Watcher, other than Refresh
+	sink      Sink // of Run; nil while Run is not running. The sink must not call methods of the Watcher except Refresh
 	timer     *time.Timer
 	ctx       context.Context // of Run
 	calls     map[staleness.CallID]*listCall
-	server    *listServer // that is followed now
-	opened    int64       // calls
-	failed    int64       // calls that ended or failed by themselves
-	connected bool        // Sink.Lost was not called since a watch delivered
-	stale     bool        // it was logged that the list may be too old
+	server    *listServer // that is followed at present
+	opened    int64       // number of opened calls
+	failed    int64       // number of calls that ended by themselves, other than answered polls
+	connected bool        // Sink.Lost was not called since a watch was last connected
+	stale     bool        // the log says that the list may be too old
 }
 
 var _ Source = (*Watcher)(nil)
@@ -86,10 +86,10 @@
 	}}
 }
 
-// Refresh has the sink notified of the next sign of life, also where there is no change. It does not block.
-func (w *Watcher) Refresh() { w.refreshWanted.Store(true) }
+// Refresh requests that the next message is reported to the sink, even if it is a heartbeat. It does not block.
+func (w *Watcher) Refresh() { w.refreshRequested.Store(true) }
 
-// Run follows the list until ctx ends.
+// Run follows the list until ctx is done.
 func (w *Watcher) Run(ctx context.Context, sink Sink) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -106,7 +106,7 @@
 	w.running.Wait()
 }
 
-// Redirect follows the list at another address. The calls to earlier addresses go on as long as the machine wants.
+// Redirect follows the list at another address. Calls to earlier addresses continue until the state machine closes them.
 func (w *Watcher) Redirect(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,7 +118,7 @@
 	w.carryOut(w.machine.Redirect(w.now()))
 }
 
-// Age returns how long ago the list was last known to be current, and whether it is stale. Before Run it is 0.
+// Age returns how long ago the list was last known to be current, and whether it is stale. The age is 0 while Run is not running.
 func (w *Watcher) Age() (age time.Duration, stale bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -129,17 +129,18 @@
 	return now - w.machine.CurrentAt(), now >= w.machine.Deadline()
 }
 
-// Calls returns how many calls were opened, and how many of these were rejected, failed or ended other than by the Watcher itself.
+// Calls returns how many calls were opened, and how many of these ended without the Watcher closing them: because the server rejected the
+// call or ended the watch, or because of an error.
 func (w *Watcher) Calls() (opened, failed int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.opened, w.failed
 }
 
-// now returns the time on the machine's clock.
+// now returns the time on the state machine's clock.
 func (w *Watcher) now() time.Duration { return time.Since(w.startedAt) }
 
-// age returns how long ago the list was last known to be current, for the log; the caller holds mu.
+// age returns how long ago the list was last known to be current, rounded for the log; the caller holds mu.
 func (w *Watcher) age() time.Duration {
 	return (w.now() - w.machine.CurrentAt()).Round(time.Millisecond)
 }
@@ -152,7 +153,8 @@
 	}
 }
 
-// carryOut does what the machine wants, reports what follows from its state and sets the timer; the caller holds mu.
+// carryOut executes the actions of the state machine, reports its changes of connection and staleness, and sets the timer. The caller
+// holds mu.
 func (w *Watcher) carryOut(actions []staleness.Action) {
 	if w.sink == nil {
 		return
@@ -172,12 +174,12 @@
 	w.reportConnection(now)
 	w.reportStaleness(now)
 	if !w.stale {
-		next = min(next, w.machine.Deadline()) // to report it then
+		next = min(next, w.machine.Deadline()) // so that staleness is reported at the deadline
 	}
 	w.timer.Reset(max(0, next-now))
 }
 
-// reportConnection notifies the sink once when no watch delivers any more; the caller holds mu.
+// reportConnection notifies the sink once when no healthy watch is left; the caller holds mu.
 func (w *Watcher) reportConnection(now time.Duration) {
 	connected := w.machine.Connected(now)
 	switch {
