--- a/internal/discovery/calls.go
+++ b/internal/discovery/calls.go
@@ -231,8 +231,9 @@
 	return nil
 }
 
-// applyWithdrawals applies only the draining and removed endpoints of a superseded call's list, since the list of the present address may be
-// newer. It reports whether endpoints may have been withdrawn, in which case the present address must be polled again. The caller holds mu.
+// applyWithdrawals applies only the draining and removed endpoints of a superseded call's list, since the list of the present address may
+// be newer. It reports whether endpoints may have been withdrawn, in which case the present address must be polled again. The caller holds
+// mu.
 func (w *Watcher) applyWithdrawals(l *endpoints.List) bool {
 	var withdrawn []endpoints.Endpoint
 	for _, e := range l.Endpoints {
--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -11,21 +11,21 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// Messages of the scripted discoveries.
+// Messages of the scripted discovery services, and the longest time from the silence of a watch until the Watcher must notice a drain.
 var (
-	drainMessage   = testutil.List(7, false, testutil.Entry("a", "127.0.0.2:1", "Terminating")) + "\n"
-	noChange       = testutil.List(6, false) + "\n"
-	notificationBy = 6*time.Second + 200*time.Millisecond // after the silence: the protocol's deadline and most of the grace
+	drainMessage      = testutil.List(7, false, testutil.Entry("a", "127.0.0.2:1", "Terminating")) + "\n"
+	noChange          = testutil.List(6, false) + "\n"
+	notificationLimit = 6*time.Second + 200*time.Millisecond // the notification deadline and most of the drain grace of 250 ms
 )
 
-// silenceCases are the ways in which a watch falls silent. Each discovery drains endpoint a.
+// silenceCases are ways in which a watch falls silent. Each scripted discovery service reports that endpoint a is draining.
 var silenceCases = []struct {
 	name     string
 	options  staleness.Options
-	silentAt time.Duration // from the start
+	silentAt time.Duration // when the watch falls silent, from the start
 	script   callScript
 }{
-	{"before the first byte, behind a call that failed", staleness.Options{FleetSize: 6}, 500 * time.Millisecond,
+	{"before the first byte, after a failed call", staleness.Options{FleetSize: 6}, 500 * time.Millisecond,
 		func(n int, after time.Duration, r *http.Request, send func(string)) {
 			switch {
 			case n == 1:
@@ -37,7 +37,7 @@
 				<-r.Context().Done()
 			}
 		}},
-	{"after a heartbeat, the next call refused twice", staleness.Options{FleetSize: 350}, 2 * time.Second,
+	{"after a heartbeat, and the next two calls fail", staleness.Options{FleetSize: 350}, 2 * time.Second,
 		func(n int, _ time.Duration, r *http.Request, send func(string)) {
 			switch n {
 			case 1:
@@ -51,7 +51,7 @@
 			}
 			<-r.Context().Done()
 		}},
-	{"in the middle of a line that goes on for ever", staleness.Options{FleetSize: 350}, 0,
+	{"in the middle of a message that never ends", staleness.Options{FleetSize: 350}, 0,
 		func(n int, _ time.Duration, r *http.Request, send func(string)) {
 			if n > 1 {
 				send(drainMessage)
@@ -64,7 +64,7 @@
 				send(" ")
 			}
 		}},
-	{"the next call late and silent again", staleness.Options{FleetSize: 350}, 0,
+	{"after a message, the next call silent too and the third one late", staleness.Options{FleetSize: 350}, 0,
 		func(n int, _ time.Duration, r *http.Request, send func(string)) {
 			switch n {
 			case 1:
@@ -75,7 +75,7 @@
 			}
 			<-r.Context().Done()
 		}},
-	{"pushed, the agent's first call silent", staleness.Options{Pushed: true}, -6 * time.Second,
+	{"pushed list, and the first call to the agent silent", staleness.Options{Pushed: true}, -6 * time.Second,
 		func(n int, _ time.Duration, r *http.Request, send func(string)) {
 			if n > 1 {
 				send(drainMessage)
@@ -84,20 +84,22 @@
 		}},
 }
 
-// What a silent call misses counts as notified 6 s after it fell silent, and requests may be sent for 250 ms more.
+// Guards against a drain that is noticed too late because the watch that should report it is silent. A missed change counts as notified 6 s
+// after the watch fell silent, and requests may be sent to the endpoint for 250 ms more.
 func TestChangeIsNoticedInTimeAfterSilence(t *testing.T) {
 	for _, c := range silenceCases {
 		t.Run(c.name, func(t *testing.T) {
 			runVirtual(t, c.options, c.script, func(t *testing.T, w *virtualWatcher) {
-				if took := w.waitForDrain(t); took > c.silentAt+notificationBy {
-					t.Errorf("the drain is noticed %v after the silence", took-c.silentAt)
+				if took := w.waitForDrain(t); took > c.silentAt+notificationLimit {
+					t.Errorf("the drain was noticed %v after the watch fell silent, which is too late", took-c.silentAt)
 				}
 			})
 		})
 	}
 }
 
-// An answer that was written before an endpoint's drain and is read after it does not bring the endpoint back.
+// Guards against a draining endpoint that becomes ready again because the Watcher reads a list after the drain that the server wrote before
+// it.
 func TestOlderAnswerDoesNotBringEndpointBack(t *testing.T) {
 	runVirtual(t, staleness.Options{}, func(n int, _ time.Duration, r *http.Request, send func(string)) {
 		switch n {
@@ -116,18 +118,18 @@
 		w.waitForDrain(t)
 		for !w.isReady("b") {
 			if w.isReady("a") {
-				t.Fatalf("it is back %v after the start", time.Since(w.startedAt))
+				t.Fatalf("draining endpoint a was ready again %v after the start", time.Since(w.startedAt))
 			}
 			time.Sleep(time.Millisecond)
 		}
 		if w.isReady("a") {
-			t.Error("it is back")
+			t.Error("draining endpoint a was ready again after the change of endpoint b")
 		}
 	})
 }
 
-// The age of a list is reported, and logged once when it becomes stale and once when it is current again. A snapshot with a lower version
-// is applied.
+// Guards against a wrong age of the list, against repeated or missing log lines about a stale list, and against a snapshot that is not
+// applied because its version is lower than the known one.
 func TestAgeAndStalenessAreReported(t *testing.T) {
 	runVirtual(t, staleness.Options{}, func(n int, after time.Duration, r *http.Request, send func(string)) {
 		switch {
@@ -140,29 +142,30 @@
 	}, func(t *testing.T, w *virtualWatcher) {
 		time.Sleep(5 * time.Second)
 		if age, stale := w.Age(); age < 4*time.Second || stale {
-			t.Errorf("after 5 s: age %v, stale %v", age, stale)
+			t.Errorf("after 5 s: age %v, stale %v; want at least 4s, false", age, stale)
 		}
 		time.Sleep(20 * time.Second)
 		if age, stale := w.Age(); age < 24*time.Second || !stale {
-			t.Errorf("after 25 s: age %v, stale %v", age, stale)
+			t.Errorf("after 25 s: age %v, stale %v; want at least 24s, true", age, stale)
 		}
 		for !w.isReady("c") {
 			time.Sleep(time.Millisecond)
 		}
 		if age, stale := w.Age(); age > 100*time.Millisecond || stale || w.isReady("a") {
-			t.Errorf("age %v, stale %v, a listed %v", age, stale, w.isReady("a"))
+			t.Errorf("after the new snapshot: age %v, stale %v, a ready %v; want at most 100ms, false, false", age, stale, w.isReady("a"))
 		}
 		log := w.log.String()
 		for _, line := range []string{"the list may be too old", "the list is current again"} {
 			if count := strings.Count(log, line); count != 1 {
-				t.Errorf("%q is logged %d times", line, count)
+				t.Errorf("%q was logged %d times, want 1", line, count)
 			}
 		}
 	})
 }
 
-// A drain that the watch at the earlier address delivers after an older list of the new address was read is applied, and that list is
-// fetched again. Of what the earlier address has only withdrawals are applied then.
+// Guards against a drain that is lost in a redirect: the watch at the earlier address delivers it after the Watcher read a list of the new
+// address that does not have it yet. The drain must be applied and the list of the new address fetched again. Ready endpoints from the
+// earlier address must not be applied any more.
 func TestDrainFromSupersededWatchAfterNewList(t *testing.T) {
 	const before, after = "127.0.0.1:1", "127.0.0.1:2"
 	a, b := testutil.Entry("a", "127.0.0.2:1", "Ready"), testutil.Entry("b", "127.0.0.2:2", "Ready")
@@ -176,7 +179,7 @@
 			time.Sleep(2 * time.Second)
 			send(testutil.List(6, false, testutil.Entry("a", "127.0.0.2:1", "Terminating"), testutil.Entry("c", "127.0.0.2:3", "Ready")) + "\n")
 		case !r.URL.Query().Has("watch"):
-			time.Sleep(time.Second) // so that its watch is delayed
+			time.Sleep(time.Second) // a slow answer, which makes the Watcher delay the watch
 			if lists.Add(1) == 1 {
 				send(testutil.List(5, true, a, b))
 			} else {
@@ -191,14 +194,14 @@
 		time.Sleep(2900 * time.Millisecond)
 		w.Redirect(after)
 		if took := w.waitForDrain(t); took > 4010*time.Millisecond {
-			t.Errorf("the drain is noticed after %v", took)
+			t.Errorf("the drain was noticed after %v, want at most 4.01s", took)
 		}
 		if !w.isReady("b") || w.isReady("c") {
-			t.Errorf("b %v, c %v: only the drain is to be applied", w.isReady("b"), w.isReady("c"))
+			t.Errorf("b ready %v, c ready %v; want true, false: only the drain may be applied", w.isReady("b"), w.isReady("c"))
 		}
 		time.Sleep(5 * time.Second)
 		if lists.Load() != 2 || w.openCalls() != 1 || w.isReady("a") || !w.isReady("b") {
-			t.Errorf("%d lists, %d calls open, a %v, b %v", lists.Load(), w.openCalls(), w.isReady("a"), w.isReady("b"))
+			t.Errorf("%d lists fetched, %d calls open, a ready %v, b ready %v; want 2, 1, false, true", lists.Load(), w.openCalls(), w.isReady("a"), w.isReady("b"))
 		}
 	})
 }
--- a/internal/discovery/mergedsource_test.go
+++ b/internal/discovery/mergedsource_test.go
@@ -16,7 +16,7 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// scriptedSource is a Source that a test reports for.
+// scriptedSource is a Source whose reports the test makes, through its sink.
 type scriptedSource struct {
 	running   chan struct{} // closed by Run
 	sink      Sink          // of Run
@@ -33,7 +33,7 @@
 
 func (s *scriptedSource) Refresh() { s.refreshes++ }
 
-// snapshotOf returns a list of entries "n1 Ready".
+// snapshotOf returns a snapshot of entries such as "n1 Ready".
 func snapshotOf(entries ...string) *endpoints.List {
 	l := &endpoints.List{Index: new(int64), Snapshot: true}
 	for _, e := range entries {
@@ -43,7 +43,7 @@
 	return l
 }
 
-// mergedHarness is a MergedSource that runs in virtual time: the primary source "list" knows n1, and "eureka" is beside it.
+// mergedHarness is a MergedSource that runs in virtual time. Its primary source "list" starts with n1, and its other source is "eureka".
 type mergedHarness struct {
 	*MergedSource
 	primary, eureka *scriptedSource
@@ -51,7 +51,7 @@
 	stop            func() // ends Run and waits for it
 
 	mu       sync.Mutex
-	failures int // reported to the balancer
+	failures int // number of UpdateFailed reports to the balancer
 }
 
 func startMerged(t *testing.T) *mergedHarness {
@@ -92,18 +92,18 @@
 		got = append(got, name)
 	}
 	if slices.Sort(got); !slices.Equal(got, want) {
-		t.Errorf("%s: %v are ready, want %v", step, got, want)
+		t.Errorf("step %q: %v are ready, want %v", step, got, want)
 	}
 }
 
-// The merged list outlives a registry's outage, changes as time passes, and keeps what other sources list when a source is replaced or
-// removed.
+// Guards against endpoints that the merged list loses when the Eureka registry is unreachable for long, removes all its endpoints at once,
+// or is replaced or removed, and against due changes that no timer reports.
 func TestMergedSourceThroughOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := startMerged(t)
-		h.wantReady(t, "known", "n1")
+		h.wantReady(t, "initial list", "n1")
 		h.eureka.sink.Update(snapshotOf("n1 Ready", "n2 Ready", "n3 Ready", "n4 Ready"))
-		h.wantReady(t, "all", "n1", "n2", "n3", "n4")
+		h.wantReady(t, "both sources report", "n1", "n2", "n3", "n4")
 		outageOfRegistry(t, h)
 		massRemovalByRegistry(t, h)
 		next := replaceRegistry(t, h)
@@ -111,19 +111,19 @@
 		h.primary.sink.Lost(errors.New("broken"), false)
 		synctest.Wait()
 		if h.primary.refreshes != 1 || next.refreshes != 0 || h.failures != 1 {
-			t.Errorf("%d and %d refreshes, %d failures reported", h.primary.refreshes, next.refreshes, h.failures)
+			t.Errorf("%d refreshes of the primary source, %d of the other, %d failures reported; want 1, 0, 1", h.primary.refreshes, next.refreshes, h.failures)
 		}
 		h.Update("list", snapshotOf("n5 Ready"))
-		h.wantReady(t, "updated in the source's place", "n4", "n5")
+		h.wantReady(t, "list of the primary source updated by Update", "n4", "n5")
 		h.Remove("eureka")
-		h.wantReady(t, "the registry is removed", "n5")
+		h.wantReady(t, "Eureka registry removed", "n5")
 		h.stop()
 		h.Update("list", snapshotOf("n6 Ready"))
-		h.wantReady(t, "after the end", "n5")
+		h.wantReady(t, "update after Run returned", "n5")
 	})
 }
 
-// outageOfRegistry has the registry lost for longer than SilentSourceHold, and its endpoints withdrawn one at a time.
+// outageOfRegistry keeps the Eureka registry lost for longer than SilentSourceHold, after which its endpoints are withdrawn one at a time.
 func outageOfRegistry(t *testing.T, h *mergedHarness) {
 	t.Helper()
 	for range 60 { // ten minutes
@@ -131,38 +131,38 @@
 		h.primary.sink.Current()
 		time.Sleep(10 * time.Second)
 	}
-	h.wantReady(t, "lost for ten minutes", "n1", "n2", "n3", "n4")
+	h.wantReady(t, "Eureka registry lost for ten minutes", "n1", "n2", "n3", "n4")
 	h.primary.sink.Update(snapshotOf("n1 Terminating"))
-	h.wantReady(t, "a drain meanwhile", "n2", "n3", "n4")
+	h.wantReady(t, "n1 draining during the outage", "n2", "n3", "n4")
 	time.Sleep(6 * time.Minute)
-	h.wantReady(t, "aged, and no other source has a ready one", "n2", "n3", "n4")
+	h.wantReady(t, "hold expired, and no other source lists a ready endpoint", "n2", "n3", "n4")
 	h.primary.sink.Update(snapshotOf("n1 Terminating", "n5 Ready"))
 	time.Sleep(100 * time.Second)
-	h.wantReady(t, "aged: one is withdrawn at a time", "n3", "n4", "n5")
+	h.wantReady(t, "hold expired: one endpoint withdrawn at a time", "n3", "n4", "n5")
 }
 
-// massRemovalByRegistry has lists that lack all endpoints doubted for a minute.
+// massRemovalByRegistry checks that removals of all endpoints at once take effect only after MassRemovalHold, which is a minute.
 func massRemovalByRegistry(t *testing.T, h *mergedHarness) {
 	t.Helper()
 	h.primary.sink.Update(snapshotOf("n1 Terminating"))
-	time.Sleep(2 * time.Minute) // all that it had: doubted for a minute
+	time.Sleep(2 * time.Minute) // longer than MassRemovalHold, since the list no longer has n5, its only ready endpoint
 	h.eureka.sink.Update(snapshotOf("n2 Ready", "n3 Ready", "n4 Ready"))
-	h.wantReady(t, "back, without n1", "n2", "n3", "n4")
+	h.wantReady(t, "Eureka registry reports again, without n1", "n2", "n3", "n4")
 	h.eureka.sink.Update(snapshotOf())
 	time.Sleep(59 * time.Second)
-	h.wantReady(t, "empty, and doubted", "n2", "n3", "n4")
+	h.wantReady(t, "empty list of the Eureka registry within MassRemovalHold", "n2", "n3", "n4")
 }
 
-// replaceRegistry follows another server under the registry's name.
+// replaceRegistry replaces the source of the Eureka registry and returns the new one.
 func replaceRegistry(t *testing.T, h *mergedHarness) *scriptedSource {
 	t.Helper()
 	next := newScriptedSource()
 	h.Replace("eureka", next)
 	<-next.running
-	h.wantReady(t, "another server, nothing reported yet", "n2", "n3", "n4")
+	h.wantReady(t, "source replaced, and the new one has not reported yet", "n2", "n3", "n4")
 	time.Sleep(2 * time.Second)
-	h.wantReady(t, "empty for a minute: believed")
+	h.wantReady(t, "empty list after MassRemovalHold")
 	next.sink.Update(snapshotOf("n4 Ready"))
-	h.wantReady(t, "and filled", "n4")
+	h.wantReady(t, "list of the new source", "n4")
 	return next
 }
--- a/internal/discovery/messages_test.go
+++ b/internal/discovery/messages_test.go
@@ -25,8 +25,8 @@
 	return messages, scanner.Err()
 }
 
-// Messages may be on many lines, arrive byte by byte, and have braces and line ends in their strings. What is truncated or no object is
-// an error at once.
+// Guards against messages that are split in the wrong place because they have several lines, arrive byte by byte, or have braces and line
+// ends in their strings, and against truncated or malformed messages that are not reported at once.
 func TestMessageSplitter(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -36,10 +36,10 @@
 	}{
 		{"objects and a heartbeat", "{\"a\":1}\n\n{\"b\":[2]}\n", []string{`{"a":1}`, "", `{"b":[2]}`}, nil},
 		{"carriage returns", "\r\n \t\n{\"a\":1}\r\n", []string{"", "", `{"a":1}`}, nil},
-		{"on many lines", "  {\n  \"a\": [\n    {}\n  ]\n}\n\n", []string{"{\n  \"a\": [\n    {}\n  ]\n}", ""}, nil},
+		{"object on several lines", "  {\n  \"a\": [\n    {}\n  ]\n}\n\n", []string{"{\n  \"a\": [\n    {}\n  ]\n}", ""}, nil},
 		{"braces in strings", `{"a":"}\"]{\\"}{"b":"` + "\n" + `"}`, []string{`{"a":"}\"]{\\"}`, `{"b":"` + "\n" + `"}`}, nil},
 		{"empty line in an object", "{\"a\":\n\n{\"b\":2}\n", nil, errTruncated},
-		{"end in an object", "{\"a\":[1,", nil, errTruncated},
+		{"end of the body in an object", "{\"a\":[1,", nil, errTruncated},
 		{"a list", "[1]\n", nil, errNotAnObject},
 		{"text", "HTTP\n", nil, errNotAnObject},
 		{"a closing brace", "}\n", nil, errNotAnObject},
@@ -47,12 +47,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, err := splitMessages(strings.NewReader(c.text))
 			if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", c.want) || err != c.err {
-				t.Errorf("%q and %v, want %q and %v", got, err, c.want, c.err)
+				t.Errorf("got messages %q and error %v, want %q and %v", got, err, c.want, c.err)
 			}
 			got, err = splitMessages(iotest.OneByteReader(strings.NewReader(c.text)))
-			got, want := withoutHeartbeats(got), withoutHeartbeats(c.want) // a line end that comes late is a heartbeat of its own
+			got, want := withoutHeartbeats(got), withoutHeartbeats(c.want) // a line end that arrives separately is a heartbeat
 			if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || err != c.err {
-				t.Errorf("byte by byte: %q and %v, want %q and %v", got, err, want, c.err)
+				t.Errorf("byte by byte: got messages %q and error %v, want %q and %v", got, err, want, c.err)
 			}
 		})
 	}
@@ -62,7 +62,7 @@
 	return slices.DeleteFunc(slices.Clone(messages), func(m string) bool { return m == "" })
 }
 
-// A list of 1,024 long entries, indented and byte by byte, is one message.
+// Guards against a long message that is split or rejected: 1,024 long entries, indented, that arrive byte by byte.
 func TestMessageSplitterOnLongList(t *testing.T) {
 	const entryCount = 1024
 	var entries []string
@@ -75,9 +75,9 @@
 	}
 	messages, err := splitMessages(iotest.OneByteReader(&text))
 	if err != nil || len(messages) != 1 {
-		t.Fatalf("%d messages, %v", len(messages), err)
+		t.Fatalf("got %d messages and error %v, want 1 message", len(messages), err)
 	}
 	if l, err := endpoints.ParseList([]byte(messages[0])); err != nil || len(l.Endpoints) != entryCount {
-		t.Errorf("%v", err)
+		t.Errorf("the message has a wrong number of endpoints, or parsing it failed with error %v", err)
 	}
 }
--- a/internal/discovery/virtual_test.go
+++ b/internal/discovery/virtual_test.go
@@ -64,10 +64,11 @@
 	return l.lines.String()
 }
 
-// callScript is what a discovery does with its n-th call, from 1 up, opened so long after the start. The call ends when it returns.
+// callScript handles the n-th call to a scripted discovery service, counted from 1. The parameter after is the time from the start until
+// the call. The call ends when the script returns.
 type callScript func(n int, after time.Duration, r *http.Request, send func(string))
 
-// virtualWatcher is a Watcher that runs in virtual time and knows endpoint a at the start.
+// virtualWatcher is a Watcher that runs in virtual time and starts with endpoint a as ready.
 type virtualWatcher struct {
 	*Watcher
 	registry  *endpoints.Registry
@@ -75,7 +76,7 @@
 	log       lockedLog
 }
 
-// runVirtual runs a Watcher against a scripted discovery in virtual time, until check returns.
+// runVirtual runs a Watcher against a scripted discovery service in virtual time until check returns.
 func runVirtual(t *testing.T, o staleness.Options, script callScript, check func(t *testing.T, w *virtualWatcher)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -97,7 +98,7 @@
 	})
 }
 
-// serveScript serves a scripted discovery. The function that it returns closes the server and waits for its calls.
+// serveScript serves a scripted discovery service. The returned function closes the server and waits for its calls.
 func serveScript(network pipeNetwork, script callScript) (shutdown func()) {
 	var (
 		mu     sync.Mutex
@@ -106,7 +107,7 @@
 	)
 	start := time.Now()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		served.Add(1) // before that of Serve is done
+		served.Add(1) // while served.Go still counts Serve, so that the counter cannot reach 0 before
 		defer served.Done()
 		mu.Lock()
 		calls++
@@ -124,21 +125,21 @@
 	}
 }
 
-// isReady reports whether an endpoint takes requests.
+// isReady reports whether an endpoint accepts requests.
 func isReady(registry *endpoints.Registry, name string) bool {
 	_, ok := registry.Instance(name)
 	return ok
 }
 
-// isReady reports whether an endpoint takes requests.
+// isReady reports whether an endpoint accepts requests.
 func (w *virtualWatcher) isReady(name string) bool { return isReady(w.registry, name) }
 
-// waitForDrain waits until endpoint a drains, and returns how long after the start that was.
+// waitForDrain waits until endpoint a is not ready any more, and returns the time since the start.
 func (w *virtualWatcher) waitForDrain(t *testing.T) time.Duration {
 	t.Helper()
 	for w.isReady("a") {
 		if time.Since(w.startedAt) > time.Minute {
-			t.Fatal("the drain is never noticed")
+			t.Fatal("the Watcher did not notice the drain of endpoint a within one minute")
 		}
 		time.Sleep(time.Millisecond) // of virtual time
 	}
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -19,10 +19,10 @@
 type runningWatcher struct {
 	*Watcher
 	registry *endpoints.Registry
-	updates  chan balancer.EndpointUpdate // that the balancer got
+	updates  chan balancer.EndpointUpdate // that the balancer received
 }
 
-// startWatcher starts a Watcher that knows endpoints at version 1.
+// startWatcher starts a Watcher whose initial list has version 1 and the known endpoints.
 func startWatcher(t *testing.T, address string, pushed bool, known ...string) *runningWatcher {
 	t.Helper()
 	w := &runningWatcher{registry: endpoints.New(clock.New(), nil), updates: make(chan balancer.EndpointUpdate, 64)}
@@ -32,7 +32,7 @@
 	sink.Apply(testutil.EndpointList(t, 1, true, known...))
 	done := make(chan struct{})
 	go func() {
-		w.Run(t.Context(), sink) // ends before the cleanups
+		w.Run(t.Context(), sink) // returns before the cleanups, since t.Context is canceled before them
 		close(done)
 	}()
 	t.Cleanup(func() { <-done })
@@ -41,19 +41,19 @@
 
 func (w *runningWatcher) isReady(name string) bool { return isReady(w.registry, name) }
 
-// nextUpdate waits for an update of the balancer.
+// nextUpdate waits for the next update to the balancer.
 func (w *runningWatcher) nextUpdate(t *testing.T) balancer.EndpointUpdate {
 	t.Helper()
 	select {
 	case u := <-w.updates:
 		return u
 	case <-time.After(testutil.Timeout):
-		t.Fatal("nothing was reported")
+		t.Fatal("the balancer received no update before the timeout")
 		panic("unreachable")
 	}
 }
 
-// Changes apply to the list that is known, and a snapshot replaces it.
+// Guards against incremental changes that do not apply to the known list, and against a snapshot that does not replace it.
 func TestWatchAppliesChangesAndSnapshots(t *testing.T) {
 	d := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send(testutil.List(5, false, testutil.Entry("b", "127.0.0.2:2", "Ready"), testutil.Entry("a", "127.0.0.2:1", "Terminating")))
@@ -65,31 +65,31 @@
 	u := w.nextUpdate(t)
 	if u.Kind != balancer.IncrementalUpdate || len(u.Endpoints) != 2 || u.Endpoints[0].State != balancer.Active ||
 		u.Endpoints[1].State != balancer.Draining || u.Endpoints[0].MachineType != "m" || u.Endpoints[0].Zone != "a" {
-		t.Errorf("changes reported as %+v", u)
+		t.Errorf("wrong update for the incremental changes: %+v", u)
 	}
 	if u = w.nextUpdate(t); u.Kind != balancer.FullUpdate || len(u.Endpoints) != 1 {
-		t.Errorf("snapshot reported as %+v", u)
+		t.Errorf("wrong update for the snapshot: %+v", u)
 	}
 	for name, want := range map[string]bool{"a": false, "b": false, "c": true} {
 		if got := w.isReady(name); got != want {
-			t.Errorf("%s is ready: %v", name, got)
+			t.Errorf("endpoint %s has the wrong state after the snapshot: ready %v", name, got)
 		}
 	}
 	if versions := d.Calls(); !slices.Equal(versions, []string{"1"}) {
-		t.Errorf("watches from versions %v", versions)
+		t.Errorf("watches were opened from versions %v, want one from version 1", versions)
 	}
 }
 
-// After a malformed message the last good list stays, and the next watch continues from its version.
+// Guards against a malformed message that replaces the last valid list. The next watch must continue from the version of that list.
 func TestMalformedMessageKeepsLastGoodList(t *testing.T) {
 	for name, malformed := range map[string]string{
 		"not JSON":   `{"index":}`,
-		"cut":        `{"index":8,` + "\n",
-		"no object":  `[8]`,
+		"truncated":  `{"index":8,` + "\n",
+		"not object": `[8]`,
 		"no index":   `{"snapshot":true,"endpoints":[]}`,
 		"no name":    testutil.List(8, true, testutil.Entry("", "127.0.0.2:2", "Ready")),
 		"no address": testutil.List(8, true, testutil.Entry("b", "", "Ready")),
-		"a host":     testutil.List(8, true, testutil.Entry("b", "elsewhere.example:80", "Ready")),
+		"host name":  testutil.List(8, true, testutil.Entry("b", "elsewhere.example:80", "Ready")),
 		"too long":   testutil.List(8, true, testutil.Entry(strings.Repeat("b", maxMessageBytes), "127.0.0.2:2", "Ready")),
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -102,20 +102,20 @@
 			})
 			w := startWatcher(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
 			if u := w.nextUpdate(t); u.Kind != balancer.IncrementalUpdate {
-				t.Errorf("reported %+v", u)
+				t.Errorf("update before the malformed message is %+v, want an incremental one", u)
 			}
-			testutil.Eventually(t, "another call", func() bool { return len(d.Calls()) == 2 })
+			testutil.Eventually(t, "the watch is opened again after the malformed message", func() bool { return len(d.Calls()) == 2 })
 			if versions := d.Calls(); versions[1] != "7" {
-				t.Errorf("the next watch is from version %s", versions[1])
+				t.Errorf("the next watch is from version %s, want 7", versions[1])
 			}
 			if !w.isReady("a") {
-				t.Error("the good list is lost")
+				t.Error("endpoint a of the last valid list is not ready any more")
 			}
 		})
 	}
 }
 
-// The first heartbeat reports that the known list is current; later ones report nothing.
+// Guards against a first heartbeat that does not report the known list as current, and against later heartbeats that report it again.
 func TestHeartbeatReportsCurrentList(t *testing.T) {
 	d := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send("")
@@ -126,18 +126,18 @@
 	w := startWatcher(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
 	for range 2 { // the first heartbeat and the change
 		if u := w.nextUpdate(t); u.Kind != balancer.IncrementalUpdate || len(u.Endpoints) != 0 {
-			t.Errorf("reported %+v", u)
+			t.Errorf("update is %+v, want an incremental one without endpoints", u)
 		}
 	}
 	if len(w.updates) != 0 {
-		t.Errorf("reported %+v too", <-w.updates)
+		t.Errorf("unexpected third update %+v", <-w.updates)
 	}
 	if !w.isReady("a") {
-		t.Error("the known list is lost")
+		t.Error("endpoint a of the known list is not ready any more")
 	}
 }
 
-// A watch that ended is opened again, from the version that it reached.
+// Guards against a watch that is not opened again after it ended, or is opened from a version before the last received one.
 func TestEndedWatchIsReopenedFromLastVersion(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		d := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
@@ -149,17 +149,17 @@
 		w := startWatcher(t, d.Address, pushed)
 		for range 2 {
 			if u := w.nextUpdate(t); u.Kind != balancer.IncrementalUpdate {
-				t.Errorf("reported %+v", u)
+				t.Errorf("update is %+v, want an incremental one", u)
 			}
 		}
 		if versions := d.Calls(); !slices.Equal(versions, []string{"1", "7"}) {
-			t.Errorf("pushed %v: watches from versions %v", pushed, versions)
+			t.Errorf("pushed list %v: watches were opened from versions %v, want 1 and 7", pushed, versions)
 		}
 	}
 }
 
-// A new address is polled for the whole list at once, again soon where that fails, and then watched. Refresh has the balancer notified of the
-// next heartbeat.
+// Guards against a redirect after which the Watcher does not fetch the complete list of the new address, does not retry failed polls, or
+// does not watch the list afterwards. After Refresh the next heartbeat must be reported to the balancer.
 func TestRedirectFetchesListAndRetries(t *testing.T) {
 	d := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
 		if n == 3 {
@@ -177,16 +177,17 @@
 	w := startWatcher(t, "127.0.0.1:1", false)
 	w.Redirect(d.Address)
 	if u := w.nextUpdate(t); u.Kind != balancer.FullUpdate {
-		t.Errorf("reported %+v", u)
+		t.Errorf("update after the redirect is %+v, want a full one", u)
 	}
-	testutil.Eventually(t, "a watch after the list", func() bool { return len(d.Calls()) == 4 })
+	testutil.Eventually(t, "a watch is opened after the list was fetched", func() bool { return len(d.Calls()) == 4 })
 	w.Refresh()
 	if u := w.nextUpdate(t); u.Kind != balancer.IncrementalUpdate || len(u.Endpoints) != 0 {
-		t.Errorf("reported %+v", u)
+		t.Errorf("update after Refresh is %+v, want an incremental one without endpoints", u)
 	}
 }
 
-// What the watch at the earlier address delivers counts until the new one has answered, and not afterwards.
+// Guards against a drain that is lost during a redirect: changes from the watch at the earlier address must be applied until the new
+// address has answered, and the watch must be closed afterwards.
 func TestSupersededWatchIsFollowedAfterRedirect(t *testing.T) {
 	redirected := make(chan struct{})
 	before := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
@@ -210,28 +211,28 @@
 	w.Redirect(after.Address)
 	close(redirected)
 	if w.nextUpdate(t); w.isReady("a") || !w.isReady("b") {
-		t.Error("the drain at the earlier address is not noticed")
+		t.Error("the drain from the earlier address was not applied, or b is not ready any more")
 	}
 	close(answer)
 	if u := w.nextUpdate(t); u.Kind != balancer.FullUpdate || w.isReady("b") || !w.isReady("c") {
-		t.Errorf("the new address's list was reported as %+v", u)
+		t.Errorf("the new address's list was not applied as a snapshot; the update is %+v", u)
 	}
-	testutil.Eventually(t, "the earlier watch ends", func() bool {
+	testutil.Eventually(t, "the watch at the earlier address is closed and only the new one is open", func() bool {
 		opened, failed := w.Calls()
 		return opened == 3 && failed == 0 && w.openCalls() == 1
 	})
 }
 
-// Of many consecutive failures some are warnings, and the others are logged as debug.
+// Guards against a log that fills with warnings during a long outage: of many consecutive failures, at most 40 may be warnings.
 func TestConsecutiveFailuresAreLoggedSparingly(t *testing.T) {
-	const minuteOfFailures = 400
+	const failuresInMinute = 400
 	warned := 0
-	for failures := 1; failures <= minuteOfFailures; failures++ {
+	for failures := 1; failures <= failuresInMinute; failures++ {
 		if failureLevel(failures) == slog.LevelWarn {
 			warned++
 		}
 	}
 	if failureLevel(1) != slog.LevelWarn || warned > 40 {
-		t.Errorf("%d of %d are warnings", warned, minuteOfFailures)
+		t.Errorf("%d of %d consecutive failures are logged as warnings, want the first one and at most 40", warned, failuresInMinute)
 	}
 }
