--- a/internal/discovery/membership/bench_test.go
+++ b/internal/discovery/membership/bench_test.go
@@ -8,9 +8,9 @@
 	"orchiddrift/internal/endpoints"
 )
 
-const benchmarkEntries = 5000 // of each of two sources
+const benchmarkEntries = 5000 // per source; there are two sources
 
-// BenchmarkMerge measures the first two lists, a whole list that is the same as before, and one changed entry.
+// BenchmarkMerge measures the first lists of two sources, a snapshot that equals the one before, and a change of one entry.
 //
 //	go test -run '^$' -bench Merge -benchmem ./internal/discovery/membership
 func BenchmarkMerge(b *testing.B) {
--- a/internal/discovery/membership/describe.go
+++ b/internal/discovery/membership/describe.go
@@ -7,15 +7,15 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// describe returns the address and the properties of an upstream: those of the first effective record, but for a later start and what
-// it leaves out.
+// describe returns the address and the properties of an upstream. They come from the first effective record. Later records supply the
+// properties that it lacks, a later start time, and the address if theirs is preferred.
 func (m *Merge) describe(effective []*record) endpoints.Endpoint {
 	listed := slices.DeleteFunc(slices.Clone(effective), func(r *record) bool { return r.state == Removed })
 	if len(listed) == 0 {
 		listed = effective
 	}
 	e := listed[0].endpoint
-	located := listed[0] // that has the address
+	addressRecord := listed[0] // the record whose address is used
 	for _, r := range listed[1:] {
 		o := &r.endpoint
 		if e.StartedMs == 0 || o.StartedMs > e.StartedMs+m.startToleranceMs() {
@@ -25,16 +25,16 @@
 		e.MachineType = cmp.Or(e.MachineType, o.MachineType)
 		e.TLSIdentity = cmp.Or(e.TLSIdentity, o.TLSIdentity)
 		e.Cell = cmp.Or(e.Cell, o.Cell)
-		if o.Address != located.endpoint.Address && o.Address != "" && m.hasPreferredAddress(r, located) {
-			located = r
+		if o.Address != addressRecord.endpoint.Address && o.Address != "" && m.hasPreferredAddress(r, addressRecord) {
+			addressRecord = r
 		}
 	}
-	e.Address = located.endpoint.Address
+	e.Address = addressRecord.endpoint.Address
 	return e
 }
 
-// hasPreferredAddress reports whether of two addresses of one name the first is the present one: not one that another name has taken,
-// then that of the later start, then the one that was listed last.
+// hasPreferredAddress reports whether the address of record a is preferred to that of b, where both have the same name. An address that
+// no other name has taken is preferred, then that of the later start time, then the one that was listed last.
 func (m *Merge) hasPreferredAddress(a, b *record) bool {
 	return cmp.Or(cmp.Compare(m.addressTaken(b), m.addressTaken(a)), cmp.Compare(a.endpoint.StartedMs, b.endpoint.StartedMs),
 		cmp.Compare(a.sequence, b.sequence)) > 0
@@ -50,7 +50,7 @@
 	return 0
 }
 
-// nameFor returns the name of the first effective record.
+// nameFor returns the name of the first effective record that is not removed, or of the first record if all are removed.
 func nameFor(effective []*record) string {
 	for _, r := range effective {
 		if r.state != Removed {
@@ -60,7 +60,7 @@
 	return effective[0].endpoint.Name
 }
 
-// isSameStart reports whether two start times, in milliseconds, may be those of one instance.
+// isSameStart reports whether two start times, in milliseconds, are close enough to belong to one instance.
 func (m *Merge) isSameStart(a, b float64) bool {
 	d := a - b
 	return max(d, -d) <= m.startToleranceMs()
--- a/internal/discovery/membership/doc.go
+++ b/internal/discovery/membership/doc.go
@@ -1,19 +1,20 @@
 // Package membership merges the endpoint lists of several sources into one.
 //
-// A Merge is a state machine. It is driven by the sources' lists, their losses and recoveries, and time, and returns the changes of the
-// merged list, each with a reason. It owns what each source reports of each endpoint (a record) and the merged upstreams.
-// discovery.MergedSource drives it.
+// A Merge is a state machine. Its inputs are the sources' lists, the loss and recovery of sources, and the passing of time. Its output is
+// the changes of the merged list, each with a reason. It owns the merged upstreams and, for each source and endpoint, a record of what
+// the source reports. discovery.MergedSource drives it.
 //
-// An input changes records and marks them dirty. At its end the dirty records are grouped by upstream (group.go), each group's states are
-// combined by precedence (state.go), and what differs from the merged list is returned (upstream.go). The rules by time:
+// An input changes records and marks them dirty. At the end of the input the dirty records are grouped by upstream (group.go), each
+// group's states are combined by precedence (state.go), and the differences from the merged list are returned (upstream.go). These rules
+// depend on time:
 //
-//   - the last list of a lost source counts in full for SilentSourceHold; then it is withdrawn step by step (source.go);
-//   - a source that lacks most of its endpoints at once is doubted for MassRemovalHold (removal.go);
-//   - a removal outweighs another source's up for RemovalHold (removal.go);
-//   - an upstream that flaps is held back for FlapHold (flapping.go).
+//   - The last list of a lost source counts in full for SilentSourceHold. Then it is withdrawn step by step (source.go).
+//   - If a source removes most of its endpoints at once, the removals are doubted (not applied) for MassRemovalHold (removal.go).
+//   - A removal by one source outweighs another source's report that the upstream is up for RemovalHold (removal.go).
+//   - An upstream that flaps is held back (listed as draining) for FlapHold (flapping.go).
 //
-// Besides the statuses of package endpoints a source's list may have those of this package. docs/design/membership.md has the table of
-// all pairs of states.
+// A source's list may use the statuses of this package besides those of package endpoints. docs/design/membership.md has the table of all
+// pairs of states.
 //
-// The package has no I/O and no clock. It may import internal/endpoints and internal/units.
+// The package does no I/O and reads no clock. It may import internal/endpoints and internal/units.
 package membership
--- a/internal/discovery/membership/flapping.go
+++ b/internal/discovery/membership/flapping.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	maxFlapsCounted = 64 // times at which an upstream stopped being ready that are remembered
-	heldBackDivisor = 4  // at most one upstream in so many is held back
+	maxFlapsCounted = 64 // how many times of no longer being ready are remembered for an upstream
+	heldBackDivisor = 4  // at most one in heldBackDivisor upstreams is held back
 )
 
-// holdBackIfFlapping holds an upstream back that comes up, if it has stopped being ready MaxFlaps times within FlapWindow, until FlapHold
-// after the last time. No more than a quarter of the upstreams are held back, and never the only one. It returns the reason for the
-// upstream's status.
+// holdBackIfFlapping holds back an upstream that comes up, if it has stopped being ready at least MaxFlaps times within FlapWindow. The
+// hold ends FlapHold after the last of these times. No more than a quarter of the upstreams are held back, and never the only one. The
+// result is the reason for the upstream's status.
 func (m *Merge) holdBackIfFlapping(u *upstream, reason string) string {
 	holdIsOver := u.heldBack && !u.heldUntil.IsZero() && !u.heldUntil.After(m.now)
 	if m.options.MaxFlaps == 0 || u.readyCounted || holdIsOver {
@@ -34,12 +34,12 @@
 	return reason + ", but it flaps: held back for " + m.options.FlapHold.String()
 }
 
-// tooManyHeld reports whether no further upstream may be held back.
+// tooManyHeld reports whether the limit on upstreams that are held back at the same time has been reached.
 func (m *Merge) tooManyHeld() bool {
 	return m.heldCount > 0 && heldBackDivisor*(m.heldCount+1) > m.readyCount+m.heldCount || m.readyCount == 0
 }
 
-// countReady counts an upstream as ready or not, and remembers when it stopped being ready.
+// countReady updates the number of ready upstreams for u, and remembers the time at which u stops being ready.
 func (m *Merge) countReady(u *upstream, isReady bool) {
 	if u.readyCounted == isReady {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// countHeld counts an upstream as held back or not.
+// countHeld updates the number of upstreams that are held back for u.
 func (m *Merge) countHeld(u *upstream) {
 	switch {
 	case u.heldBack && !u.heldCounted:
--- a/internal/discovery/membership/group.go
+++ b/internal/discovery/membership/group.go
@@ -8,21 +8,21 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// mergeDirty merges the dirty records anew and returns what changes in the merged list.
+// mergeDirty merges the dirty records again and returns the changes of the merged list.
 func (m *Merge) mergeDirty() []Change {
 	if len(m.dirty) == 0 && len(m.touched) == 0 {
 		return nil
 	}
-	work := m.affectedRecords()
-	for _, r := range work {
+	affected := m.affectedRecords()
+	for _, r := range affected {
 		r.previous = r.upstream
 		r.detach()
 	}
 	merged := map[*upstream]bool{}
 	var changes []Change
-	for _, r := range work {
+	for _, r := range affected {
 		if !m.dirty[r] {
-			continue // of a group before
+			continue // merged with a previous group
 		}
 		u, change := m.mergeGroup(m.takeGroup(r))
 		if u != nil {
@@ -42,21 +42,21 @@
 	return changes
 }
 
-// affectedRecords returns the dirty records and all that were, or will be, merged with one of them, by rank and name. They are dirty then
-// and their upstreams touched.
+// affectedRecords returns the dirty records and all records that were, or will be, merged with one of them, sorted by rank and name. It
+// marks the returned records as dirty and their upstreams as touched.
 func (m *Merge) affectedRecords() []*record {
-	work := make([]*record, 0, len(m.dirty))
+	affected := make([]*record, 0, len(m.dirty))
 	for r := range m.dirty {
-		work = append(work, r)
+		affected = append(affected, r)
 	}
 	add := func(r *record) {
 		if !m.dirty[r] {
 			m.dirty[r] = true
-			work = append(work, r)
+			affected = append(affected, r)
 		}
 	}
-	for i := 0; i < len(work); i++ {
-		r := work[i]
+	for i := 0; i < len(affected); i++ {
+		r := affected[i]
 		if r.upstream != nil {
 			m.touched[r.upstream] = true
 			for other := range r.upstream.records {
@@ -65,13 +65,13 @@
 		}
 		m.visitNeighbours(r, add)
 	}
-	slices.SortFunc(work, func(a, b *record) int {
+	slices.SortFunc(affected, func(a, b *record) int {
 		return cmp.Or(cmp.Compare(a.source.rank, b.source.rank), cmp.Compare(a.endpoint.Name, b.endpoint.Name))
 	})
-	return work
+	return affected
 }
 
-// takeGroup returns the dirty records of the same upstream as r, which are not dirty any more.
+// takeGroup returns r and the other dirty records of its upstream, and clears their dirty marks.
 func (m *Merge) takeGroup(r *record) []*record {
 	group := []*record{r}
 	delete(m.dirty, r)
@@ -86,8 +86,8 @@
 	return group
 }
 
-// visitNeighbours visits the other records of the same upstream: those of the same name, and those at the same address, unless some
-// source lists both names at different addresses.
+// visitNeighbours calls visit for the other records that directly belong to the same upstream as r. These are the records with the same
+// name, and those with the same address unless a source lists the two names at different addresses.
 func (m *Merge) visitNeighbours(r *record, visit func(*record)) {
 	for _, other := range m.recordsByName[r.endpoint.Name] {
 		if other != r {
@@ -104,7 +104,7 @@
 	}
 }
 
-// areDistinct reports whether a source lists two names at different addresses.
+// areDistinct reports whether some source lists the names a and b at different addresses.
 func (m *Merge) areDistinct(a, b string) bool {
 	for _, x := range m.recordsByName[a] {
 		y := x.source.records[b]
@@ -115,8 +115,8 @@
 	return false
 }
 
-// mergeGroup merges the records of one upstream. It returns the upstream, or nil if it was never listed and is not now, and its change,
-// or nil.
+// mergeGroup merges the records of one upstream. It returns the upstream, which is nil if it was never listed and is not listed now, and
+// the change of the merged list, which is nil if there is none.
 func (m *Merge) mergeGroup(group []*record) (*upstream, *Change) {
 	effective := effectiveRecords(group)
 	if len(effective) == 0 {
@@ -148,7 +148,8 @@
 	return u, m.publish(u, e, reason)
 }
 
-// effectiveRecords returns the records of a group that count, by rank: for each source and address the one of the latest instance.
+// effectiveRecords returns the records of a group that determine the result, sorted by rank. For each source and address this is the
+// record of the latest instance.
 func effectiveRecords(group []*record) []*record {
 	effective := make([]*record, 0, MaxSources)
 	for _, r := range group {
@@ -169,7 +170,7 @@
 	return effective
 }
 
-// isLaterInstance reports whether of two records of one source the first is of the instance that runs now.
+// isLaterInstance reports whether record a describes a later instance than record b of the same source and address.
 func isLaterInstance(a, b *record) bool {
 	if (a.state == Removed) != (b.state == Removed) {
 		return b.state == Removed
@@ -177,7 +178,7 @@
 	return cmp.Or(cmp.Compare(a.endpoint.StartedMs, b.endpoint.StartedMs), cmp.Compare(a.sequence, b.sequence)) > 0
 }
 
-// reports returns what each source reports. What it reported of an instance that has been replaced does not count.
+// reports returns the state that each effective record reports. The state is Absent if the reported instance has been replaced.
 func (m *Merge) reports(effective []*record) []report {
 	reports := make([]report, len(effective))
 	for i, r := range effective {
@@ -189,8 +190,8 @@
 	return reports
 }
 
-// isOfReplacedInstance reports whether a record that wants no requests is about an instance that has been replaced: another name came up
-// at its address later than that by more than StartTimeTolerance.
+// isOfReplacedInstance reports whether a record that is draining, out of service, down or removed describes an instance that has been
+// replaced. This is so if another name is up at its address that started more than StartTimeTolerance after the record got its state.
 func (m *Merge) isOfReplacedInstance(r *record, effective []*record) bool {
 	if r.state == Up || r.state == Starting || r.state == Unknown {
 		return false
--- a/internal/discovery/membership/harness_test.go
+++ b/internal/discovery/membership/harness_test.go
@@ -15,10 +15,10 @@
 	removed  = endpoints.StatusGone
 )
 
-// epochMs is when the harness's time begins, and the start times of its endpoints are counted from.
+// epochMs is the time at which the harness begins, in milliseconds. The start times of its endpoints are relative to it.
 const epochMs = 1e12
 
-// harness drives a Merge and keeps the merged list by its changes alone.
+// harness drives a Merge and keeps a copy of the merged list that it builds from the returned changes alone.
 type harness struct {
 	t interface {
 		Helper()
@@ -41,13 +41,13 @@
 	return h
 }
 
-// take takes an output, and checks that the changes so far come to the merged list.
-func (h *harness) take(o Output) {
+// apply applies the changes of an output to the harness's list, and checks that this list equals the merged list.
+func (h *harness) apply(o Output) {
 	h.t.Helper()
 	h.notes = append(h.notes, o.Notes...)
 	for _, c := range o.Changes {
 		if c.Reason == "" {
-			h.t.Errorf("%s is %s for no reason", c.Name, c.Status)
+			h.t.Errorf("change of %s to %s has no reason", c.Name, c.Status)
 		}
 		if c.Status == endpoints.StatusGone {
 			delete(h.list, c.Name)
@@ -57,40 +57,40 @@
 	}
 	list := h.List()
 	if len(list) != len(h.list) {
-		h.t.Fatalf("the changes come to %v, the list is %v", h.list, list)
+		h.t.Fatalf("the changes add up to the list %v, but List returns %v", h.list, list)
 	}
 	for _, e := range list {
 		if h.list[e.Name].Endpoint != e {
-			h.t.Fatalf("by the changes %+v, in the list %+v", h.list[e.Name].Endpoint, e)
+			h.t.Fatalf("the changes add up to the endpoint %+v, but List returns %+v", h.list[e.Name].Endpoint, e)
 		}
 	}
 }
 
 func (h *harness) snapshot(source string, entries ...endpoints.Endpoint) {
 	h.t.Helper()
-	h.take(h.Update(h.now, source, &endpoints.List{Snapshot: true, Endpoints: entries}))
+	h.apply(h.Update(h.now, source, &endpoints.List{Snapshot: true, Endpoints: entries}))
 }
 
 func (h *harness) change(source string, entries ...endpoints.Endpoint) {
 	h.t.Helper()
-	h.take(h.Update(h.now, source, &endpoints.List{Endpoints: entries}))
+	h.apply(h.Update(h.now, source, &endpoints.List{Endpoints: entries}))
 }
 
-// pass lets time pass, with each timer at its time.
-func (h *harness) pass(d time.Duration) {
+// advance advances the time by d, and calls Tick at the time of each timer.
+func (h *harness) advance(d time.Duration) {
 	h.t.Helper()
 	end := h.now.Add(d)
 	for next := h.Next(); !next.IsZero() && !next.After(end); next = h.Next() {
 		if next.After(h.now) {
 			h.now = next
 		}
-		h.take(h.Tick(h.now))
+		h.apply(h.Tick(h.now))
 	}
 	h.now = end
-	h.take(h.Tick(h.now))
+	h.apply(h.Tick(h.now))
 }
 
-// listText returns the merged list as "name@address status", in order.
+// listText returns the merged list as "name@address status", sorted by name. The address is without its prefix 10.0.0.
 func (h *harness) listText() string {
 	var out []string
 	for _, e := range h.List() {
@@ -102,15 +102,15 @@
 func (h *harness) want(step, list string) {
 	h.t.Helper()
 	if got := h.listText(); got != list {
-		h.t.Errorf("%s: %q, want %q", step, got, list)
+		h.t.Errorf("%s: merged list is %q, want %q", step, got, list)
 	}
 }
 
-// wantCounts checks how many upstreams of the merged list are ready and draining.
+// wantCounts checks how many upstreams of the merged list are ready and how many are draining.
 func (h *harness) wantCounts(step string, wantReady, wantDraining int) {
 	h.t.Helper()
-	if a, b := h.count(ready), h.count(draining); a != wantReady || b != wantDraining {
-		h.t.Errorf("%s: %d ready and %d draining, want %d and %d; notes %q", step, a, b, wantReady, wantDraining, h.notes)
+	if gotReady, gotDraining := h.count(ready), h.count(draining); gotReady != wantReady || gotDraining != wantDraining {
+		h.t.Errorf("%s: %d ready and %d draining, want %d and %d; notes %q", step, gotReady, gotDraining, wantReady, wantDraining, h.notes)
 	}
 }
 
@@ -123,7 +123,7 @@
 	return n
 }
 
-// entry returns an endpoint by its name, the end of its address, its status, and its start in minutes.
+// entry returns an endpoint with the given name, last byte of its address and status. Its start, if given, is in minutes after epochMs.
 func entry(name string, address int, status string, startMinutes ...int) endpoints.Endpoint {
 	e := endpoints.Endpoint{Name: name, Address: fmt.Sprintf("10.0.0.%d", address), Status: status}
 	if len(startMinutes) > 0 {
@@ -132,7 +132,7 @@
 	return e
 }
 
-// fleet returns endpoints n00, n01, ... of one status.
+// fleet returns count endpoints n00, n01, ... with one status.
 func fleet(count int, status string) (all []endpoints.Endpoint) {
 	for i := range count {
 		all = append(all, entry(fmt.Sprintf("n%02d", i), i, status, 1))
--- a/internal/discovery/membership/history_test.go
+++ b/internal/discovery/membership/history_test.go
@@ -20,8 +20,8 @@
 	})
 )
 
-// After any history the changes come to the list, nothing is ready that a source of its own name wants drained, and nothing is left
-// behind at the end.
+// Random sequences of inputs must keep three properties: the returned changes add up to the merged list, no upstream is ready that a
+// source reports as draining, out of service or down under the same name, and no entry leaks once all sources are removed.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Default()
@@ -35,11 +35,11 @@
 			h.checkReady(t)
 		}
 		for _, s := range historySources {
-			h.take(h.RemoveSource(h.now, s))
+			h.apply(h.RemoveSource(h.now, s))
 		}
-		h.pass(time.Hour)
+		h.advance(time.Hour)
 		if n := h.entriesHeld(); n != 0 || h.readyCount != 0 || h.heldCount != 0 {
-			t.Fatalf("%d entries are held, %d ready, %d held back", n, h.readyCount, h.heldCount)
+			t.Fatalf("all sources are removed, but %d entries, %d ready and %d held back remain", n, h.readyCount, h.heldCount)
 		}
 	})
 }
@@ -48,13 +48,13 @@
 	source := rapid.SampledFrom(historySources).Draw(t, "source")
 	switch rapid.IntRange(0, 9).Draw(t, "kind") {
 	case 0:
-		h.take(h.Lost(h.now, source))
+		h.apply(h.Lost(h.now, source))
 	case 1:
-		h.take(h.Current(h.now, source))
+		h.apply(h.Current(h.now, source))
 	case 2:
-		h.pass(time.Duration(rapid.IntRange(1, 2000).Draw(t, "seconds")) * time.Second)
+		h.advance(time.Duration(rapid.IntRange(1, 2000).Draw(t, "seconds")) * time.Second)
 	case 3:
-		h.take(h.RemoveSource(h.now, source))
+		h.apply(h.RemoveSource(h.now, source))
 		_ = h.AddSource(source, false)
 	case 4, 5:
 		h.snapshot(source, rapid.SliceOfNDistinct(historyEntry, 0, 5, func(e endpoints.Endpoint) string { return e.Name }).Draw(t, "list")...)
@@ -63,7 +63,7 @@
 	}
 }
 
-// checkReady checks the ready upstreams against the records that they are merged from, and their count.
+// checkReady checks the ready upstreams against the records that they are merged from, and checks Merge.readyCount.
 func (h *harness) checkReady(t *rapid.T) {
 	count := 0
 	for _, u := range h.upstreams {
@@ -74,16 +74,17 @@
 		for _, r := range h.recordsByName[u.name] {
 			wantsDrain := r.state == Draining || r.state == OutOfService || r.state == Down
 			if wantsDrain && r.endpoint.Address == u.endpoint.Address && !h.isAged(r.source) && u.records[r] && !h.isReplaced(r) {
-				t.Fatalf("%s is ready, and %s says %v", u.name, r.source.name, r.state)
+				t.Fatalf("%s is ready although source %s reports it as %v", u.name, r.source.name, r.state)
 			}
 		}
 	}
 	if count != h.readyCount {
-		t.Fatalf("%d are ready, %d counted", count, h.readyCount)
+		t.Fatalf("%d upstreams are ready, but readyCount is %d", count, h.readyCount)
 	}
 }
 
-// isReplaced reports whether a later instance at a record's address, in the same list or by another name, counts in its place.
+// isReplaced reports whether a record under another name at the same address may count in place of r: one of the same source, of a later
+// start, or that is up.
 func (h *harness) isReplaced(r *record) bool {
 	return slices.ContainsFunc(h.recordsByAddress[r.endpoint.Address], func(o *record) bool {
 		return o != r && o.endpoint.Name != r.endpoint.Name &&
--- a/internal/discovery/membership/merge.go
+++ b/internal/discovery/membership/merge.go
@@ -9,41 +9,41 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// The bounds of a Merge.
+// The limits of a Merge.
 const (
 	MaxSources = 8
-	MaxEntries = 20_000 // of a source; further ones are left out, and counted in a note
-	maxNotes   = 16     // of one input; further ones are counted
+	MaxEntries = 20_000 // per source; further entries are left out, and a note gives their number
+	maxNotes   = 16     // per input; further notes are only counted
 )
 
-// Change is a change of the merged list. Its status is one of package endpoints.
+// Change is a change of the merged list. Its status is one of those of package endpoints.
 type Change struct {
 	endpoints.Endpoint
 	Reason string
 }
 
-// Output is the result of an input.
+// Output is the result of an input of a Merge.
 type Output struct {
-	Changes []Change // in the order of the names
-	Notes   []string // for the log: about sources, and decisions that changed nothing
+	Changes []Change // sorted by name
+	Notes   []string // log messages about sources, and about decisions that do not change the merged list
 }
 
-// Merge merges the lists of its sources. It is not safe for concurrent use. Time must not go back.
+// Merge merges the endpoint lists of its sources. It is not safe for concurrent use. The time passed to it must not go back.
 type Merge struct {
 	options  Options
 	now      time.Time
-	sequence uint64 // of the changes of records
+	sequence uint64 // number of the last change of a record
 
-	sources       []*source // ranked: the first one's description of an upstream counts
+	sources       []*source // by rank: the properties of an upstream come from the first source that lists it
 	sourcesByName map[string]*source
 
 	recordsByName    map[string][]*record
 	recordsByAddress map[string][]*record
-	dirty            map[*record]bool // to be merged anew
+	dirty            map[*record]bool // to be merged again
 
-	upstreams  map[string]*upstream // by name; those that were removed are remembered for FlapWindow
-	touched    map[*upstream]bool   // that had a dirty record
-	readyCount int                  // upstreams
+	upstreams  map[string]*upstream // by name; removed upstreams are remembered for FlapWindow
+	touched    map[*upstream]bool   // upstreams that a dirty record was merged into
+	readyCount int                  // upstreams that are ready
 	heldCount  int                  // upstreams that are held back for flapping
 
 	timers       timerHeap
@@ -64,13 +64,13 @@
 	}
 }
 
-// AddSource adds a source that lists nothing yet, ranked behind the others, or before them where first is set.
+// AddSource adds a source with an empty list. It is ranked behind the other sources, or before them if first is set.
 func (m *Merge) AddSource(name string, first bool) error {
 	if m.sourcesByName[name] != nil {
-		return fmt.Errorf("source %q is there already", name)
+		return fmt.Errorf("adding source: name %q is already in use", name)
 	}
 	if len(m.sources) >= MaxSources {
-		return fmt.Errorf("%d sources at most", MaxSources)
+		return fmt.Errorf("adding source: the limit of %d sources is reached", MaxSources)
 	}
 	s := &source{name: name, records: map[string]*record{}}
 	m.sourcesByName[name] = s
@@ -83,10 +83,10 @@
 	return nil
 }
 
-// Configure changes the options. What has been decided stands until it is merged anew.
+// Configure replaces the options. They apply to an upstream when it is merged the next time.
 func (m *Merge) Configure(o Options) { m.options = o }
 
-// RemoveSource forgets a source. What only it listed is removed at once, since an operator wants that.
+// RemoveSource removes a source. Upstreams that only this source listed are removed immediately, because an operator asked for it.
 func (m *Merge) RemoveSource(now time.Time, name string) Output {
 	s := m.begin(now, name)
 	if s == nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-// Update takes a source's list or change.
+// Update applies a source's snapshot or changes.
 func (m *Merge) Update(now time.Time, name string, l *endpoints.List) Output {
 	s := m.begin(now, name)
 	if s == nil {
@@ -149,7 +149,7 @@
 	return m.end()
 }
 
-// Current reports that a source is healthy and has no change.
+// Current records that a source is healthy and has no changes.
 func (m *Merge) Current(now time.Time, name string) Output {
 	if s := m.begin(now, name); s != nil {
 		m.recoverSource(s)
@@ -157,7 +157,7 @@
 	return m.end()
 }
 
-// Lost reports that a source is silent or broken.
+// Lost records that a source is silent or broken.
 func (m *Merge) Lost(now time.Time, name string) Output {
 	if s := m.begin(now, name); s != nil && !s.isLost() {
 		m.loseSource(s)
@@ -165,13 +165,13 @@
 	return m.end()
 }
 
-// Tick takes the time. It is to be called at Next, and may be called at any time.
+// Tick advances the time. It is to be called at the time that Next returns, and may be called at any time.
 func (m *Merge) Tick(now time.Time) Output {
 	m.begin(now, "")
 	return m.end()
 }
 
-// Next returns when Tick is due; zero: time changes nothing.
+// Next returns the time at which Tick is due, or the zero time if no timer is set.
 func (m *Merge) Next() time.Time {
 	if len(m.timers) == 0 {
 		return time.Time{}
@@ -179,7 +179,7 @@
 	return m.timers[0].at
 }
 
-// List returns the merged list in the order of the names.
+// List returns the merged list, sorted by name.
 func (m *Merge) List() []endpoints.Endpoint {
 	list := make([]endpoints.Endpoint, 0, len(m.upstreams))
 	for _, u := range m.upstreams {
@@ -191,7 +191,7 @@
 	return list
 }
 
-// begin begins an input: it takes the time, and returns the source of that name, or nil.
+// begin starts an input. It advances the time, fires the timers that are due, and returns the source of that name, or nil.
 func (m *Merge) begin(now time.Time, name string) *source {
 	if now.After(m.now) {
 		m.now = now
@@ -200,11 +200,11 @@
 	return m.sourcesByName[name]
 }
 
-// end ends an input: it merges the dirty records anew.
+// end finishes an input. It merges the dirty records again and returns the output.
 func (m *Merge) end() Output {
 	out := Output{Changes: m.mergeDirty(), Notes: m.notes}
 	if m.omittedNotes > 0 {
-		out.Notes = append(out.Notes, fmt.Sprintf("and %d more", m.omittedNotes))
+		out.Notes = append(out.Notes, fmt.Sprintf("and %d more notes", m.omittedNotes))
 	}
 	m.notes, m.omittedNotes = nil, 0
 	return out
--- a/internal/discovery/membership/record.go
+++ b/internal/discovery/membership/record.go
@@ -10,21 +10,21 @@
 // record is what one source reports of one endpoint.
 type record struct {
 	source     *source
-	endpoint   endpoints.Endpoint // as listed
+	endpoint   endpoints.Endpoint // as the source listed it
 	state      State
 	stateSince time.Time // when the source first reported this state
-	sequence   uint64    // of the last change
-	doubted    bool      // the source lacks it since a mass removal; the state is still Up
-	withdrawn  bool      // the source is aged, and no other has it
-	until      time.Time // of a removed one: how long it counts; of a doubted one: how long it is doubted
+	sequence   uint64    // Merge.sequence at the last change
+	doubted    bool      // removed in a mass removal that is not applied yet; the state is still Up
+	withdrawn  bool      // the source is aged, and no other source lists the endpoint
+	holdUntil  time.Time // end of RemovalHold for a removed record, of MassRemovalHold for a doubted one
 	timerAt    time.Time // zero: no timer is set
-	forgotten  bool
+	forgotten  bool      // no longer part of the Merge
 
-	upstream *upstream // that it is merged into; nil: none
-	previous *upstream // while it is merged anew: upstream before
+	upstream *upstream // the upstream that it is merged into; nil: none
+	previous *upstream // the value of upstream before the current merge
 }
 
-// setRecord takes what a source reports of an endpoint that it lists; r is nil for a new one.
+// setRecord stores what a source reports of an endpoint that it lists. r is nil if the source has no record of the endpoint yet.
 func (m *Merge) setRecord(s *source, r *record, e *endpoints.Endpoint, state State) {
 	if r != nil && !r.doubted && !r.withdrawn && r.state == state && r.endpoint == *e {
 		return
@@ -49,7 +49,7 @@
 	r := &record{source: s, endpoint: *e, state: Absent}
 	s.records[e.Name] = r
 	m.index(r)
-	if u := m.upstreams[e.Name]; u != nil { // of an instance that kept the name, which is claimed now
+	if u := m.upstreams[e.Name]; u != nil { // an instance that kept this name may have to give it up now
 		for other := range u.records {
 			m.dirty[other] = true
 		}
@@ -57,7 +57,7 @@
 	return r
 }
 
-// setState changes the state, and the source's count of records that are up.
+// setState changes a record's state and updates the source's number of records that are up.
 func (m *Merge) setState(r *record, state State) {
 	if r.state == state {
 		return
@@ -68,10 +68,10 @@
 	if state == Up {
 		r.source.upCount++
 	}
-	r.state, r.stateSince, r.until = state, m.now, time.Time{}
+	r.state, r.stateSince, r.holdUntil = state, m.now, time.Time{}
 }
 
-// forgetRecord forgets what a source reported of an endpoint.
+// forgetRecord removes a record from the Merge.
 func (m *Merge) forgetRecord(r *record) {
 	m.touch(r)
 	if r.state == Up {
@@ -87,7 +87,7 @@
 	r.detach()
 }
 
-// detach takes a record out of its upstream.
+// detach removes a record from its upstream.
 func (r *record) detach() {
 	if r.upstream != nil {
 		delete(r.upstream.records, r)
@@ -95,7 +95,7 @@
 	}
 }
 
-// touch has all that was merged with a record merged anew.
+// touch marks the other records of r's upstream as dirty, so that they are merged again.
 func (m *Merge) touch(r *record) {
 	if r.upstream == nil {
 		return
@@ -123,10 +123,10 @@
 }
 
 func removeFrom(index map[string][]*record, key string, r *record) {
-	left := slices.DeleteFunc(index[key], func(x *record) bool { return x == r })
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(index[key], func(x *record) bool { return x == r })
+	if len(remaining) == 0 {
 		delete(index, key)
 		return
 	}
-	index[key] = left
+	index[key] = remaining
 }
--- a/internal/discovery/membership/removal.go
+++ b/internal/discovery/membership/removal.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// removal is an endpoint that a source has just removed.
+// removal is a recent removal of an endpoint by a source.
 type removal struct {
 	at     time.Time
 	record *record
 }
 
-// applyRemovals takes the endpoints that a source lacks now.
+// applyRemovals applies the removal of endpoints that a source no longer lists.
 //
-// Where those are most of what it had within MassRemovalWindow, or all, they are doubted for MassRemovalHold, together with those that
-// were removed just before: a registry that has just started, or is cut off from its instances, knows few. A status
-// that is listed, such as a drain, is never doubted, and where another source has removed an endpoint too that counts at once.
+// If all of the source's endpoints, or more than MassRemovalFraction of them within MassRemovalWindow, are removed, these removals are
+// doubted for MassRemovalHold: a registry that has just started, or that is cut off from its instances, lists few of them. A listed
+// status, such as draining, is never doubted. If another source has removed the endpoint too, the doubt has no effect and it is removed
+// immediately.
 func (m *Merge) applyRemovals(s *source, removed []*record) {
 	s.recentRemovals = slices.DeleteFunc(s.recentRemovals, func(x removal) bool {
 		return m.now.Sub(x.at) > m.options.MassRemovalWindow.D() || x.record.forgotten || x.record.state != Removed
@@ -23,7 +24,7 @@
 	isMass := m.isMassRemoval(s, removed)
 	for _, r := range removed {
 		switch {
-		case r.doubted: // as before
+		case r.doubted: // stays doubted until its hold ends
 		case isMass && r.state == Up:
 			m.doubt(r)
 		default:
@@ -35,8 +36,8 @@
 	}
 }
 
-// isMassRemoval reports whether removed, with the recent removals and the doubted records, is more than MassRemovalFraction of what the
-// source had. The recent removals are doubted then.
+// isMassRemoval reports whether the records in removed, together with the recent removals and the doubted records, are all of the
+// source's endpoints or more than MassRemovalFraction of them. If so, it marks the recent removals as doubted, too.
 func (m *Merge) isMassRemoval(s *source, removed []*record) bool {
 	lost := 0
 	for _, r := range removed {
@@ -52,7 +53,7 @@
 	if remaining != 0 && !(missing > 1 && float64(missing) > m.options.MassRemovalFraction*float64(remaining+missing)) {
 		return false
 	}
-	m.note("source %s lacks %d of %d upstreams at once: not believed for %v", s.name, missing, remaining+missing, m.options.MassRemovalHold.D())
+	m.note("source %s removed %d of %d upstreams at once: removals ignored for %v", s.name, missing, remaining+missing, m.options.MassRemovalHold.D())
 	for _, x := range s.recentRemovals {
 		m.setState(x.record, Up)
 		m.doubt(x.record)
@@ -61,16 +62,16 @@
 	return true
 }
 
-// doubt keeps a record for MassRemovalHold that its source lacks.
+// doubt keeps a record that its source has removed for MassRemovalHold.
 func (m *Merge) doubt(r *record) {
 	r.doubted = true
 	r.source.doubtedCount++
-	r.until = m.now.Add(m.options.MassRemovalHold.D())
+	r.holdUntil = m.now.Add(m.options.MassRemovalHold.D())
 	m.dirty[r] = true
-	m.setRecordTimer(r.until, r)
+	m.setRecordTimer(r.holdUntil, r)
 }
 
-// endDoubt ends the doubt about a record.
+// endDoubt marks a record as no longer doubted.
 func (m *Merge) endDoubt(r *record) {
 	if r.doubted {
 		r.source.doubtedCount--
@@ -78,25 +79,25 @@
 	}
 }
 
-// removeRecord takes a record for removed. That outweighs another source's up for RemovalHold.
+// removeRecord marks a record as removed. For RemovalHold this outweighs another source's report that the endpoint is up.
 func (m *Merge) removeRecord(r *record) {
 	m.endDoubt(r)
 	m.sequence++
 	r.sequence = m.sequence
 	m.setState(r, Removed)
-	r.until = m.now.Add(m.options.RemovalHold.D())
+	r.holdUntil = m.now.Add(m.options.RemovalHold.D())
 	m.dirty[r] = true
-	m.setRecordTimer(r.until, r)
+	m.setRecordTimer(r.holdUntil, r)
 }
 
-// recordDue is the timer of a record that is doubted or removed.
-func (m *Merge) recordDue(r *record) {
+// onRecordTimer handles the timer of a record that is doubted or removed.
+func (m *Merge) onRecordTimer(r *record) {
 	switch {
-	case r.forgotten || r.until.IsZero():
-	case r.until.After(m.now):
-		m.setRecordTimer(r.until, r)
+	case r.forgotten || r.holdUntil.IsZero():
+	case r.holdUntil.After(m.now):
+		m.setRecordTimer(r.holdUntil, r)
 	case r.doubted:
-		m.note("source %s still lacks %s: believed", r.source.name, r.endpoint.Name)
+		m.note("source %s still does not list %s: the removal is applied", r.source.name, r.endpoint.Name)
 		m.removeRecord(r)
 	case r.state == Removed:
 		m.forgetRecord(r)
--- a/internal/discovery/membership/state.go
+++ b/internal/discovery/membership/state.go
@@ -2,34 +2,34 @@
 
 import "orchiddrift/internal/endpoints"
 
-// Statuses of a source's endpoint besides those of package endpoints. They are not used in the merged list.
+// Statuses that a source's list may use besides those of package endpoints. The merged list does not use them.
 const (
 	StatusStarting     = "Starting"     // not ready yet
-	StatusUnknown      = "Unknown"      // the source does not know
+	StatusUnknown      = "Unknown"      // the source does not know the status
 	StatusOutOfService = "OutOfService" // taken out by an operator
-	StatusDown         = "Down"         // its health check fails
+	StatusDown         = "Down"         // the health check of the endpoint fails
 )
 
 // State is what a source reports of an endpoint.
 type State int
 
-// The states.
+// The states that a source reports.
 const (
-	Absent State = iota // nothing, ever
+	Absent State = iota // never listed
 	Up
 	Starting
 	Unknown
 	Draining
 	OutOfService
 	Down
-	Removed // it was listed, and is no longer
+	Removed // was listed, and no longer is
 )
 
 var stateNames = [...]string{"absent", "up", "starting", "unknown", "draining", "out of service", "down", "gone"}
 
 func (s State) String() string { return stateNames[s] }
 
-// stateOf returns the state for a listed status. An unknown status counts as removed, as in the endpoint registry.
+// stateOf returns the state for a listed status. An unrecognized status counts as removed, as in endpoints.Registry.
 func stateOf(status string) State {
 	switch status {
 	case endpoints.StatusReady:
@@ -52,14 +52,15 @@
 type report struct {
 	source string
 	state  State
-	aged   bool // the source has been lost for too long: it counts where no other does
+	aged   bool // the source has been lost for longer than SilentSourceHold
 }
 
-// precedence orders the states. Of two reports the one with the higher precedence counts: no new requests (draining, out of service,
-// down), then removed, then not ready yet, then up.
+// precedence orders the states: of two reports the one with the higher precedence counts. The states that stop new requests come first
+// (draining, out of service, down), then removed, then starting, then up, then unknown.
 var precedence = [...]int{Absent: 0, Unknown: 1, Up: 2, Starting: 3, Removed: 4, Down: 5, OutOfService: 6, Draining: 7}
 
-// combine returns the merged state, and the source that it comes from. The state does not depend on the order of the reports.
+// combine returns the merged state and the name of the source that reports it. The report of an aged source counts only if all
+// other reports are aged, absent or unknown. The state does not depend on the order of the reports.
 func combine(reports []report) (State, string) {
 	hasFresh := false
 	for _, r := range reports {
@@ -74,7 +75,8 @@
 	return best.state, best.source
 }
 
-// mergedStatus returns the status of a merged state in the merged list. An upstream that is not ready and was never listed is not listed.
+// mergedStatus returns the status in the merged list for a merged state. An upstream whose state is starting or unknown is listed only if
+// it is listed already.
 func mergedStatus(s State, listed bool) string {
 	switch s {
 	case Up:
--- a/internal/discovery/membership/state_test.go
+++ b/internal/discovery/membership/state_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// statusOf is the status for a state as the design note's table names it.
+// statusOf maps the names of states in the design note's table to statuses.
 var statusOf = map[string]string{"up": ready, "starting": StatusStarting, "unknown": StatusUnknown, "draining": draining,
 	"out of service": StatusOutOfService, "down": StatusDown, "gone": removed}
 
-// stateTable reads the design note's table of two sources' states: a row for each state, without the header.
+// stateTable reads the design note's table of the states of two sources. It returns the header and a row for each state.
 func stateTable(t *testing.T) (columns []string, rows [][]string) {
 	t.Helper()
 	text, err := os.ReadFile("../../../docs/design/membership.md")
@@ -36,14 +36,15 @@
 	return columns, rows
 }
 
-// mergedState returns what two sources' states come to: "none", "ready" or "ends". With wasReady each source says up first.
+// mergedState returns the result of merging the states of two sources: "none", "ready" or "ends" (draining). With wasReady each source
+// reports the upstream as up first.
 func mergedState(t *testing.T, sources [2]string, first, second string, wasReady bool) string {
 	t.Helper()
 	o := Default()
-	o.MassRemovalHold = 0 // one upstream is all that there is
+	o.MassRemovalHold = 0 // the removal of the only upstream would be a mass removal
 	h := newHarness(t, o, "a", "b")
 	states := []string{first, second}
-	if first == "up" { // said last: it can't have been ready before
+	if first == "up" { // reported last, so that the upstream has not been ready before
 		slices.Reverse(states)
 	}
 	for i, state := range states {
@@ -58,8 +59,8 @@
 	return map[string]string{"": "none", "n@1 " + ready: "ready", "n@1 " + draining: "ends"}[h.listText()]
 }
 
-// Each pair of states is merged as the design note's table says, in either order of the sources, whether the upstream was ready before or
-// not.
+// The merged state of each pair of states must be that of the design note's table, in either order of the sources, and whether or not the
+// upstream was ready before.
 func TestEveryPairOfStates(t *testing.T) {
 	cells := 0
 	columns, rows := stateTable(t)
@@ -77,13 +78,13 @@
 						continue
 					}
 					if got := mergedState(t, sources, first, second, wasReady); got != want {
-						t.Errorf("%s/%s, ready before: %v: %s, want %s", first, second, wasReady, got, want)
+						t.Errorf("states %s and %s, ready before: %v: merged to %s, want %s", first, second, wasReady, got, want)
 					}
 				}
 			}
 		}
 	}
 	if cells != 8*8*4 {
-		t.Errorf("%d cells were tried", cells)
+		t.Errorf("%d cells of the table were checked, want 8 rows of 8 columns, 4 times each", cells)
 	}
 }
--- a/internal/discovery/membership/timer.go
+++ b/internal/discovery/membership/timer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// timer is due for one of source, record and upstream.
+// timer is a timer of one source, record or upstream; the other two fields are nil.
 type timer struct {
 	at       time.Time
 	source   *source
@@ -13,7 +13,7 @@
 	upstream *upstream
 }
 
-// timerHeap is a heap of timers by time.
+// timerHeap is a heap of timers, ordered by time.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -35,22 +35,23 @@
 	heap.Push(&m.timers, timer{at: at, source: s})
 }
 
-// setRecordTimer sets a record's timer, unless an earlier one is set; that one is set again when it comes too early.
+// setRecordTimer sets a record's timer, unless an earlier one is set. When the earlier one fires, onRecordTimer sets the timer again if
+// the record is not due yet.
 func (m *Merge) setRecordTimer(at time.Time, r *record) {
-	if isEarlier(at, &r.timerAt) {
+	if setIfEarlier(at, &r.timerAt) {
 		heap.Push(&m.timers, timer{at: at, record: r})
 	}
 }
 
-// setUpstreamTimer sets an upstream's timer, as setRecordTimer does.
+// setUpstreamTimer sets an upstream's timer in the same way as setRecordTimer.
 func (m *Merge) setUpstreamTimer(at time.Time, u *upstream) {
-	if isEarlier(at, &u.timerAt) {
+	if setIfEarlier(at, &u.timerAt) {
 		heap.Push(&m.timers, timer{at: at, upstream: u})
 	}
 }
 
-// isEarlier reports whether at is before the timer that is set, and takes it then.
-func isEarlier(at time.Time, timerAt *time.Time) bool {
+// setIfEarlier sets *timerAt to at if no timer is set or at is earlier, and reports whether it did.
+func setIfEarlier(at time.Time, timerAt *time.Time) bool {
 	if !timerAt.IsZero() && !at.Before(*timerAt) {
 		return false
 	}
@@ -58,19 +59,19 @@
 	return true
 }
 
-// fireTimers does what is due.
+// fireTimers handles all timers that are due.
 func (m *Merge) fireTimers() {
 	for len(m.timers) > 0 && !m.timers[0].at.After(m.now) {
 		t := heap.Pop(&m.timers).(timer)
 		switch {
 		case t.source != nil:
-			m.ageSource(t.source)
+			m.onSourceTimer(t.source)
 		case t.record != nil && t.record.timerAt.Equal(t.at):
 			t.record.timerAt = time.Time{}
-			m.recordDue(t.record)
+			m.onRecordTimer(t.record)
 		case t.upstream != nil && t.upstream.timerAt.Equal(t.at):
 			t.upstream.timerAt = time.Time{}
-			m.upstreamDue(t.upstream)
+			m.onUpstreamTimer(t.upstream)
 		}
 	}
 }
--- a/internal/discovery/membership/upstream.go
+++ b/internal/discovery/membership/upstream.go
@@ -7,32 +7,33 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// upstream is an entry of the merged list. One that was removed is remembered for FlapWindow.
+// upstream is an entry of the merged list. A removed upstream is remembered for FlapWindow.
 type upstream struct {
 	name     string
-	endpoint endpoints.Endpoint // as last returned
-	records  map[*record]bool   // that it is merged from
-	listed   bool               // it is in the merged list, ready or draining
-	removed  time.Time          // when it was last removed from the merged list
+	endpoint endpoints.Endpoint // as returned last
+	records  map[*record]bool   // the records that it is merged from
+	listed   bool               // whether it is in the merged list, ready or draining
+	removed  time.Time          // time of the last removal from the merged list
 	timerAt  time.Time          // zero: no timer is set
 
-	readyCounted bool // in Merge.readyCount
+	readyCounted bool // whether Merge.readyCount includes it
 
-	lostReady   []time.Time // when it stopped being ready, within FlapWindow and maxFlapsCounted at most
-	heldUntil   time.Time   // it flaps: not ready before
-	heldBack    bool        // it would be ready, but for heldUntil
-	heldCounted bool        // in Merge.heldCount
+	lostReady   []time.Time // when it stopped being ready: within FlapWindow, at most maxFlapsCounted times
+	heldUntil   time.Time   // because of flapping it is not ready before this time
+	heldBack    bool        // it would be ready if heldUntil had passed
+	heldCounted bool        // whether Merge.heldCount includes it
 }
 
-// newUpstream adds an upstream that is not listed yet.
+// newUpstream adds an upstream that is not listed yet to m.
 func (m *Merge) newUpstream(name string) *upstream {
 	u := &upstream{name: name, records: map[*record]bool{}}
 	m.upstreams[name] = u
 	return u
 }
 
-// upstreamFor returns the upstream that a group is listed as; nil: none. Where the source of the name is gone, an instance keeps the name
-// as long as no other group claims it, so that no connection and no statistics are lost.
+// upstreamFor returns the upstream that a group of records is merged into, or nil if there is none yet. If the source that gave an
+// instance its name no longer lists it, the instance keeps the name as long as no other group uses it, so that its connections and
+// statistics are not lost.
 func (m *Merge) upstreamFor(group, effective []*record, e *endpoints.Endpoint) *upstream {
 	if u := m.upstreams[nameFor(effective)]; u != nil {
 		return u
@@ -52,10 +53,10 @@
 	return nil
 }
 
-// publish sets what the merged list has of an upstream, and returns the change; nil: there is none.
+// publish sets an upstream's entry in the merged list and returns the change, or nil if nothing changed.
 func (m *Merge) publish(u *upstream, e endpoints.Endpoint, reason string) *Change {
 	if u.listed && m.isSameStart(u.endpoint.StartedMs, e.StartedMs) && u.endpoint.StartedMs != 0 && u.endpoint.Address == e.Address {
-		e.StartedMs = u.endpoint.StartedMs // sources differ a little, and connections are tied to it
+		e.StartedMs = u.endpoint.StartedMs // sources differ slightly, and a changed start time would close connections
 	}
 	m.countHeld(u)
 	m.countReady(u, e.Status == endpoints.StatusReady)
@@ -76,7 +77,7 @@
 	return &Change{e, reason}
 }
 
-// removeUpstream removes an upstream from the merged list.
+// removeUpstream removes an upstream from the merged list and returns the change.
 func (m *Merge) removeUpstream(u *upstream, reason string) Change {
 	if u.readyCounted {
 		u.readyCounted = false
@@ -91,14 +92,14 @@
 	return Change{u.endpoint, reason}
 }
 
-// rememberRemoved has an upstream that is not listed forgotten after FlapWindow.
+// rememberRemoved sets a timer so that an upstream that is not listed is forgotten after FlapWindow.
 func (m *Merge) rememberRemoved(u *upstream) {
 	u.removed = m.now
 	m.setUpstreamTimer(m.now.Add(m.options.FlapWindow.D()), u)
 }
 
-// upstreamDue is the timer of an upstream that is held back or not listed.
-func (m *Merge) upstreamDue(u *upstream) {
+// onUpstreamTimer handles the timer of an upstream that is held back or not listed.
+func (m *Merge) onUpstreamTimer(u *upstream) {
 	switch {
 	case m.upstreams[u.name] != u:
 	case !u.heldUntil.IsZero() && u.heldUntil.After(m.now):
