--- a/internal/discovery/eureka/cache.go
+++ b/internal/discovery/eureka/cache.go
@@ -9,22 +9,22 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// instanceCache is the client's copy of the registry's instances. It takes documents and returns the changes of the endpoints. It has no
-// I/O.
+// instanceCache is the client's copy of the registry's instances. It applies documents and returns the changes of the endpoints. It does
+// no I/O.
 type instanceCache struct {
 	mapping      Mapping
-	applications map[string]bool // that are wanted, in capitals; empty: all
+	applications map[string]bool // wanted applications, in upper case; empty: all
 	instances    map[string]cachedInstance
-	statusCounts map[string]int // instances by status, for hash
-	unusable     int            // wanted instances without a usable address
-	reported     map[string]endpoints.Endpoint
+	statusCounts map[string]int                // number of instances by status, for hash
+	unusable     int                           // wanted instances without a usable address
+	reported     map[string]endpoints.Endpoint // by name, as returned by changes
 }
 
-// cachedInstance is an instance in the cache. Of one that is not wanted only the status counts.
+// cachedInstance is an instance in the cache. Of an instance of an unwanted application only the status is used, for hash.
 type cachedInstance struct {
 	status   string
 	isWanted bool
-	endpoint endpoints.Endpoint // without a name: it is unusable
+	endpoint endpoints.Endpoint // without a name if the instance has no usable address
 }
 
 func newInstanceCache(m Mapping, applications []string) *instanceCache {
@@ -36,12 +36,13 @@
 	return c
 }
 
-// clear forgets all instances, but not what was reported.
+// clear removes all instances. The endpoints that were reported stay in c.reported.
 func (c *instanceCache) clear() {
 	c.instances, c.statusCounts, c.unusable = map[string]cachedInstance{}, map[string]int{}, 0
 }
 
-// put takes an instance of a whole document, or an action of a delta. Its error is always nil; it is a document's visit.
+// put stores an instance of a full document, or applies an instance of a delta. Its error is always nil, so that it can be used as a
+// document's visit function.
 func (c *instanceCache) put(i *instance) error {
 	key := strings.ToUpper(i.application) + "\x00" + i.key()
 	c.remove(key)
@@ -75,7 +76,7 @@
 	delete(c.instances, key)
 }
 
-// hash returns the registry's checksum over its instances: each status in order with its count, DOWN_1_UP_7_.
+// hash returns the checksum that the registry computes over its instances: the sorted statuses with their counts, such as DOWN_1_UP_7_.
 func (c *instanceCache) hash() string {
 	var b strings.Builder
 	for _, status := range slices.Sorted(maps.Keys(c.statusCounts)) {
@@ -84,8 +85,8 @@
 	return b.String()
 }
 
-// changes returns what changed since the last call, or with snapshot all endpoints. With partial the cache may lack instances: what is
-// missing from it stays.
+// changes returns the endpoints that changed since the last call, or all endpoints if snapshot is set. If partial is set the cache may
+// lack instances, so endpoints that are missing from it are not reported as gone.
 func (c *instanceCache) changes(snapshot, partial bool) *endpoints.List {
 	l := &endpoints.List{Snapshot: snapshot}
 	present := make(map[string]bool, len(c.reported))
--- a/internal/discovery/eureka/client.go
+++ b/internal/discovery/eureka/client.go
@@ -18,41 +18,41 @@
 )
 
 const (
-	maxKeptBufferBytes = 1 << 20  // of the buffer that is kept between answers
-	maxDrainedBytes    = 64 << 10 // of an answer that is read so that its connection can be reused
+	maxReusedBufferBytes = 1 << 20  // a larger response buffer is not reused
+	maxDrainedBytes      = 64 << 10 // read at most of a response body so that its connection can be reused
 )
 
 var (
-	// errUnchanged is returned for an answer that is the one that was decoded last.
-	errUnchanged    = errors.New("unchanged")
-	errAnswerTooBig = errors.New("the answer is larger than max_answer")
+	// errUnchanged is returned if a response equals the one that was decoded last.
+	errUnchanged        = errors.New("response unchanged")
+	errResponseTooLarge = errors.New("response is larger than max_answer")
 )
 
-// client calls the servers of one registry. Calls go one after the other; the server that answered last is tried first.
+// client calls the servers of one registry. It makes one call at a time, and tries the server that answered last first.
 type client struct {
-	servers        []string // base addresses, without a slash at the end
-	http           *http.Client
-	timeout        time.Duration // of a whole call to one server
-	maxAnswerBytes int64         // as it arrives, and uncompressed
-	accept         string        // media type
-	user           string        // for basic authentication; empty: none
-	password       func() string
-
-	current atomic.Int64 // index of the server that answered last
-	answer  bytes.Buffer // as it arrived
-	decoded answerSum    // of the answer that was decoded last; zero: none
-
-	requests, bytes atomic.Int64 // so far; bytes of answers as they arrived
+	servers          []string // base URLs, without a trailing slash
+	http             *http.Client
+	timeout          time.Duration // of a complete call to one server
+	maxResponseBytes int64         // limit for the response as received and for its uncompressed content
+	accept           string        // media type requested
+	user             string        // for basic authentication; empty: none
+	password         func() string
+
+	current     atomic.Int64   // index of the server that answered last
+	received    bytes.Buffer   // body of the last response, before decompression
+	lastDecoded responseDigest // digest of the response that was decoded last; zero: none
+
+	requests, bytes atomic.Int64 // requests sent so far, and bytes of responses received, before decompression
 }
 
-// answerSum identifies an answer.
-type answerSum struct {
+// responseDigest identifies a response by its path and content.
+type responseDigest struct {
 	path  string
 	hash  uint64
 	bytes int64
 }
 
-// statusError is an answer with another status than the one wanted.
+// statusError reports a response with an unexpected status code.
 type statusError struct{ code int }
 
 // Error implements error.
@@ -60,14 +60,14 @@
 	return fmt.Sprintf("answered %d %s", e.code, http.StatusText(e.code))
 }
 
-// isStatus reports whether an error is an answer with one of these status codes.
+// isStatus reports whether err is a statusError with one of these status codes.
 func isStatus(err error, codes ...int) bool {
 	var s statusError
 	return errors.As(err, &s) && slices.Contains(codes, s.code)
 }
 
-// tryServers calls servers one after the other until one answers, and returns all errors if none does. A server that does not know the
-// path has answered.
+// tryServers calls the servers in turn until one answers, and returns all errors if none does. A response with status 404 counts as an
+// answer.
 func (c *client) tryServers(ctx context.Context, call func(server string) error) error {
 	first := int(c.current.Load())
 	var failures []error
@@ -86,20 +86,20 @@
 	return errors.Join(failures...)
 }
 
-// get decodes a document from the first server that has one. It calls reset before each attempt, and returns errUnchanged where the
-// document is the one that was decoded last.
+// get decodes a document from the first server that answers. It calls reset before each attempt, and returns errUnchanged if the document
+// equals the one that was decoded last.
 func (c *client) get(ctx context.Context, path string, d *document, reset func()) error {
 	return c.tryServers(ctx, func(server string) error {
 		reset()
 		err := c.getFrom(ctx, server, path, d)
 		if err != nil && !errors.Is(err, errUnchanged) && !isStatus(err, http.StatusNotFound) {
-			c.decoded = answerSum{}
+			c.lastDecoded = responseDigest{}
 		}
 		return err
 	})
 }
 
-// getFrom decodes a document of one server. Most answers are the same as before, since servers answer out of a cache: these are not
+// getFrom decodes a document from one server. Most responses equal the previous one, since servers answer from a cache. These are not
 // decoded again.
 func (c *client) getFrom(ctx context.Context, server, path string, d *document) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -112,38 +112,38 @@
 	if response.StatusCode != http.StatusOK {
 		return statusError{response.StatusCode}
 	}
-	c.answer.Reset()
-	n, err := io.Copy(&c.answer, &boundedReader{response.Body, c.maxAnswerBytes})
+	c.received.Reset()
+	n, err := io.Copy(&c.received, &boundedReader{response.Body, c.maxResponseBytes})
 	c.bytes.Add(n)
 	if err != nil {
 		return err
 	}
-	sum := answerSum{path, xxhash.Sum64(c.answer.Bytes()), n}
-	if c.decoded == sum {
+	sum := responseDigest{path, xxhash.Sum64(c.received.Bytes()), n}
+	if c.lastDecoded == sum {
 		return errUnchanged
 	}
-	var body io.Reader = &c.answer
+	var body io.Reader = &c.received
 	if strings.EqualFold(response.Header.Get("Content-Encoding"), "gzip") {
 		if body, err = gzip.NewReader(body); err != nil {
-			return fmt.Errorf("unpacking: %w", err)
+			return fmt.Errorf("decompressing response: %w", err)
 		}
 	}
-	if err := d.decode(response.Header.Get("Content-Type"), &boundedReader{body, c.maxAnswerBytes}); err != nil {
+	if err := d.decode(response.Header.Get("Content-Type"), &boundedReader{body, c.maxResponseBytes}); err != nil {
 		return err
 	}
-	c.decoded = sum
-	if c.answer.Cap() > maxKeptBufferBytes {
-		c.answer = bytes.Buffer{}
+	c.lastDecoded = sum
+	if c.received.Cap() > maxReusedBufferBytes {
+		c.received = bytes.Buffer{}
 	}
 	return nil
 }
 
-// post sends a request whose answer has no content that matters to the first server that takes it.
-func (c *client) post(ctx context.Context, method, path, body string) error {
-	return c.tryServers(ctx, func(server string) error { return c.postTo(ctx, server, method, path, body) })
+// execute sends a request to the servers in turn until one accepts it. The content of the response is discarded.
+func (c *client) execute(ctx context.Context, method, path, body string) error {
+	return c.tryServers(ctx, func(server string) error { return c.executeOn(ctx, server, method, path, body) })
 }
 
-func (c *client) postTo(ctx context.Context, server, method, path, body string) error {
+func (c *client) executeOn(ctx context.Context, server, method, path, body string) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	response, err := c.send(ctx, method, server+path, body)
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// send sends one request. Its error is without the address, which may have a password.
+// send sends one request. The URL is left out of its error, since it may contain a password.
 func (c *client) send(ctx context.Context, method, target, body string) (*http.Response, error) {
 	var content io.Reader
 	if body != "" {
@@ -185,26 +185,26 @@
 	return response, err
 }
 
-// redacted returns an address without its password.
+// redacted returns a server's URL without its password.
 func redacted(server string) string {
 	if u, err := url.Parse(server); err == nil {
 		return u.Redacted()
 	}
-	return "a server"
+	return "server with an invalid URL"
 }
 
-// boundedReader fails at its bound, so that an answer that is cut there is not taken for a complete one.
+// boundedReader returns an error at its limit, so that a truncated response is not taken for a complete one.
 type boundedReader struct {
 	io.Reader
-	left int64
+	remaining int64
 }
 
 // Read implements io.Reader.
 func (b *boundedReader) Read(p []byte) (int, error) {
-	if b.left <= 0 {
-		return 0, errAnswerTooBig
+	if b.remaining <= 0 {
+		return 0, errResponseTooLarge
 	}
-	n, err := b.Reader.Read(p[:min(int64(len(p)), b.left)])
-	b.left -= int64(n)
+	n, err := b.Reader.Read(p[:min(int64(len(p)), b.remaining)])
+	b.remaining -= int64(n)
 	return n, err
 }
--- a/internal/discovery/eureka/doc.go
+++ b/internal/discovery/eureka/doc.go
@@ -1,11 +1,12 @@
-// Package eureka is a client of Netflix's Eureka: version 2 of its REST operations, as Spring Cloud serves them too.
+// Package eureka is a client of Netflix's service registry Eureka. It uses version 2 of the REST operations, which Spring Cloud serves
+// too.
 //
-// A Source follows the instances of applications as endpoints, for package membership to merge. A Registration makes this process known
-// in the registry.
+// A Source reports the instances of applications as endpoints, for package membership to merge. A Registration registers this process in
+// the registry.
 //
-// Decisions are apart from the calls: pollState decides what is polled next and when, instanceCache holds the registry's instances and
-// says what changed, and lease decides what a registered instance sends next. They have no I/O and are driven by Source and Registration,
-// which own a goroutine and an HTTP client each. The documents are decoded one instance at a time (document.go, json.go, xml.go).
+// Decisions are separate from the calls: pollState decides what is polled next and when, instanceCache holds the registry's instances and
+// computes what changed, and lease decides which call a registered instance makes next. They do no I/O. Source and Registration drive
+// them, and each own a goroutine and an HTTP client. Documents are decoded one instance at a time (document.go, json.go, xml.go).
 //
 // The package may import endpoints, membership's statuses, tlscredentials and units.
 package eureka
--- a/internal/discovery/eureka/document.go
+++ b/internal/discovery/eureka/document.go
@@ -7,35 +7,35 @@
 	"strings"
 )
 
-// Keys of an instance's data centre and lease.
+// Keys of an instance's data centre metadata and lease.
 const (
 	dataCenterZoneKey    = "availability-zone"
 	leaseServiceUpKey    = "serviceUpTimestamp"
 	leaseRegistrationKey = "registrationTimestamp"
 )
 
-// MaxInstances bounds the instances of a document.
+// MaxInstances is the largest number of instances in a document.
 const MaxInstances = 20_000
 
 var (
-	errNoApplications   = errors.New("no applications in the answer")
+	errNoApplications   = errors.New("the document has no applications")
 	errTrailingContent  = errors.New("trailing content after the document")
-	errUnnamedInstance  = errors.New("an instance without id and host")
-	errTooManyInstances = fmt.Errorf("more than %d instances", MaxInstances)
+	errUnnamedInstance  = errors.New("the document has an instance without id and host name")
+	errTooManyInstances = fmt.Errorf("the document has more than %d instances", MaxInstances)
 )
 
-// document decodes an answer of a registry. Its instances are passed to visit one by one, so that a large document is never held as a
-// whole. An instance that was visited does not count if decode fails.
+// document decodes a response of a registry. It passes the instances to visit one by one, so that the decoded instances of a large
+// document need not be in memory together. If decode fails, the instances visited so far must be discarded.
 type document struct {
-	hash      string // apps__hashcode; empty: there is none
-	instances int    // visited so far
+	hash      string // apps__hashcode; empty: the document has none
+	instances int    // number visited so far
 	visit     func(*instance) error
 }
 
-// reset prepares for another answer.
+// reset prepares the document for decoding another response.
 func (d *document) reset() { d.hash, d.instances = "", 0 }
 
-// decode reads a document by its media type. It fails on what is not one complete document.
+// decode reads a document in the format of its media type. It fails unless the input is exactly one complete document.
 func (d *document) decode(mediaType string, from io.Reader) error {
 	kind, _, _ := strings.Cut(mediaType, ";")
 	kind = strings.ToLower(strings.TrimSpace(kind))
@@ -45,10 +45,10 @@
 	case strings.HasSuffix(kind, "/xml"), strings.HasSuffix(kind, "+xml"):
 		return d.decodeXML(from)
 	}
-	return fmt.Errorf("the answer is %q, neither JSON nor XML", kind)
+	return fmt.Errorf("the response has media type %q, which is neither JSON nor XML", kind)
 }
 
-// add visits an instance.
+// add passes an instance to visit, after checking its key and the number of instances.
 func (d *document) add(i *instance) error {
 	if i.key() == "" {
 		return errUnnamedInstance
--- a/internal/discovery/eureka/document_test.go
+++ b/internal/discovery/eureka/document_test.go
@@ -12,7 +12,7 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Known deviations of documents decode to what is expected; "": it is no document.
+// Documents that deviate in known ways must decode to the endpoint given here, "none" for no endpoint, or "" for a decoding error.
 func TestDecodeDeviations(t *testing.T) {
 	jsonInstance := func(port, more string) string {
 		return `{"applications":{"application":[{"name":"A","instance":[{"instanceId":"i","ipAddr":"127.0.0.2","status":"UP","port":` + port + more + `}]}]}}`
@@ -42,7 +42,7 @@
 		`{"error":"no"}`:                                   "",
 		`{"applications":{}}{}`:                            "",
 		`{"applications":{"application":[{"instance":[{}]`: "",
-		`{"applications":{"application":{"instance":{}}}}`: "", // neither id nor host
+		`{"applications":{"application":{"instance":{}}}}`: "", // instance with neither id nor host
 		``: "",
 		xmlInstance(`<port enabled="true"> 80 </port>`):                                                                 "127.0.0.2@127.0.0.2:80 Ready",
 		xmlInstance(`<port>80</port><overriddenstatus>DOWN</overriddenstatus>`):                                         "127.0.0.2@127.0.0.2:80 Down",
@@ -66,12 +66,13 @@
 			}
 		}
 		if got != want {
-			t.Errorf("%s: %q, want %q", text, got, want)
+			t.Errorf("document %s decodes to %q, want %q", text, got, want)
 		}
 	}
 }
 
-// FuzzDecode checks that no document crashes the decoders, or is accepted without its end.
+// FuzzDecode checks that no document makes a decoder panic or yields an unusable endpoint, and that a truncated JSON document is
+// rejected.
 func FuzzDecode(f *testing.F) {
 	for _, asXML := range []bool{true, false} {
 		for _, text := range []string{
@@ -95,12 +96,12 @@
 		}
 		for _, e := range cache.changes(true, false).Endpoints {
 			if err := endpoints.CheckAddress(e.Address); err != nil || e.Name == "" {
-				t.Errorf("%+v: %v", e, err)
+				t.Errorf("accepted endpoint %+v without a name or with an invalid address: %v", e, err)
 			}
 		}
 		if trimmed := strings.TrimRight(text, " \t\r\n"); len(trimmed) > 0 && !asXML {
 			if (&document{visit: cache.put}).decode(mediaType, strings.NewReader(trimmed[:len(trimmed)-1])) == nil {
-				t.Errorf("accepted without its end: %q", text)
+				t.Errorf("document is accepted although its last byte is missing: %q", text)
 			}
 		}
 	})
--- a/internal/discovery/eureka/harness_test.go
+++ b/internal/discovery/eureka/harness_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// recordingSink is a Sink that keeps the list, the number of losses, and the log.
+// recordingSink is a Sink that records the list and the number of losses. It also records log lines.
 type recordingSink struct {
 	mu       sync.Mutex
 	list     map[string]endpoints.Endpoint
@@ -61,7 +61,7 @@
 	return s.list[name]
 }
 
-// listText returns the list as "name status", in order.
+// listText returns the list as "name status", sorted by name.
 func (s *recordingSink) listText() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +72,7 @@
 	return strings.Join(out, ", ")
 }
 
-// waitFor waits until the list is as listText would return it.
+// waitFor waits until listText returns list.
 func (s *recordingSink) waitFor(t *testing.T, step, list string) {
 	t.Helper()
 	base.Eventually(t, step+": "+list, func() bool { return s.listText() == list })
@@ -84,7 +84,7 @@
 	s.logLines = append(s.logLines, line)
 }
 
-// logCount returns the number of log lines with a text.
+// logCount returns the number of log lines that contain text.
 func (s *recordingSink) logCount(text string) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,7 +96,7 @@
 	return n
 }
 
-// testDeclaration declares servers that are polled every 5 ms.
+// testDeclaration returns a declaration of servers that are polled every 5 ms.
 func testDeclaration(servers ...*fakes.Eureka) Declaration {
 	d := Declaration{Service: "s", Name: "eureka", Poll: units.Duration(5 * time.Millisecond), Timeout: units.Duration(300 * time.Millisecond),
 		Backoff: units.Duration(20 * time.Millisecond), MaxAnswer: 16 * units.MiB, ZoneKey: "zone", TypeKey: "type", GroupKey: "group"}
--- a/internal/discovery/eureka/instance.go
+++ b/internal/discovery/eureka/instance.go
@@ -21,7 +21,7 @@
 // actionDeleted is the action of a delta that removes an instance; the others add or change it.
 const actionDeleted = "DELETED"
 
-// endpointStatus is the endpoint's status for an instance's; any other is unknown.
+// endpointStatus maps the status of an instance to that of its endpoint. Other statuses become StatusUnknown.
 var endpointStatus = map[string]string{
 	statusUp:           endpoints.StatusReady,
 	statusDown:         membership.StatusDown,
@@ -30,7 +30,7 @@
 	statusUnknown:      membership.StatusUnknown,
 }
 
-// instance is an instance of a document.
+// instance is an application instance in a document.
 type instance struct {
 	application    string
 	id             string
@@ -41,8 +41,8 @@
 	securePort     port
 	metadata       map[string]string
 	dataCenterZone string
-	upMs           int64  // when it came up, Unix time in milliseconds; 0: not known
-	registeredMs   int64  // when it registered
+	upMs           int64  // when it came up, in Unix milliseconds; 0: unknown
+	registeredMs   int64  // when it registered, in Unix milliseconds; 0: unknown
 	action         string // in a delta: ADDED, MODIFIED, DELETED
 }
 
@@ -51,7 +51,8 @@
 	isEnabled bool
 }
 
-// key returns what tells instances of an application apart: the host where there is no id, as in old documents.
+// key returns the identifier of the instance within its application. This is the id, or the host in documents of old versions without
+// ids.
 func (i *instance) key() string {
 	if i.id != "" {
 		return i.id
@@ -59,8 +60,8 @@
 	return i.host
 }
 
-// effectiveStatus returns the status that counts. An override that takes the instance out wins over a status that says otherwise, as it
-// will on the registry's other replicas.
+// effectiveStatus returns the status that applies to the instance. An operator's override that takes the instance out of service takes
+// precedence over the reported status, as it will on the registry's other replicas.
 func (i *instance) effectiveStatus() string {
 	switch i.overridden {
 	case statusOutOfService, statusDown:
@@ -71,17 +72,17 @@
 	return i.status
 }
 
-// Mapping says how an instance becomes an endpoint.
+// Mapping describes how an instance is converted to an endpoint.
 type Mapping struct {
-	Secure      bool   // the secure port is used
-	ZoneKey     string // of the metadata; so are the other keys
+	Secure      bool   // use the secure port
+	ZoneKey     string // metadata key, like the other keys
 	TypeKey     string
 	GroupKey    string
 	IdentityKey string
-	WithApp     bool // names include the application, where there are several
+	WithApp     bool // prefix names with the application, since there may be several
 }
 
-// endpoint returns an instance as an endpoint; false: it has no usable address.
+// endpoint converts an instance to an endpoint. It returns false if the instance has no key or no usable address.
 func (m Mapping) endpoint(i *instance) (endpoints.Endpoint, bool) {
 	status, known := endpointStatus[i.effectiveStatus()]
 	if !known {
@@ -93,14 +94,14 @@
 	}
 	host := i.ip
 	if net.ParseIP(host) == nil {
-		host = i.host // some have the address there; there are no name look-ups
+		host = i.host // some instances have the IP address here; host names are not resolved
 	}
 	e := endpoints.Endpoint{Name: i.key(), Address: net.JoinHostPort(host, strconv.Itoa(p.number)), Status: status,
 		Zone: i.metadata[m.ZoneKey], MachineType: i.metadata[m.TypeKey], TLSIdentity: i.metadata[m.IdentityKey]}
 	if e.Zone == "" {
 		e.Zone = i.dataCenterZone
 	}
-	e.Cell, _ = strconv.Atoi(i.metadata[m.GroupKey]) // 0 where it is no number
+	e.Cell, _ = strconv.Atoi(i.metadata[m.GroupKey]) // 0 if it is not a number
 	if m.WithApp {
 		e.Name = i.application + "/" + e.Name
 	}
@@ -111,10 +112,10 @@
 	return e, isUsable
 }
 
-// maxFloatNumber bounds the numbers that are read from a floating point text, such as 1.7e12.
+// maxFloatNumber is the limit for numbers that are parsed from floating-point notation, such as 1.7e12.
 const maxFloatNumber = 1e18
 
-// parseNumber returns the number in a text; 0: there is none.
+// parseNumber returns the number that text contains, or 0 if it is not a number.
 func parseNumber(text string) int64 {
 	text = strings.TrimSpace(text)
 	if n, err := strconv.ParseInt(text, 10, 64); err == nil {
@@ -126,7 +127,7 @@
 	return 0
 }
 
-// parsePort returns the port number in a text; 0: there is none.
+// parsePort returns the port number that text contains, or 0 if it is not a valid port.
 func parsePort(text string) int {
 	if n := parseNumber(text); n > 0 && n < 1<<16 {
 		return int(n)
--- a/internal/discovery/eureka/json.go
+++ b/internal/discovery/eureka/json.go
@@ -6,8 +6,8 @@
 	"io"
 )
 
-// The JSON is what XStream makes of XML: a list of one is a lone object, an empty one may be null or absent, numbers and truth values may
-// be strings, and {"$":8080,"@enabled":"true"} is an element with an attribute.
+// The JSON documents are in the form to which XStream converts XML: a list of one element is a single object, an empty list may be null
+// or absent, numbers and booleans may be strings, and {"$":8080,"@enabled":"true"} is an element with an attribute.
 
 func (d *document) decodeJSON(from io.Reader) error {
 	r := jsonReader{json.NewDecoder(from)}
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// applications reads the fields of the applications.
+// applications reads the fields of the object applications. Its opening brace has been read.
 func (d *document) applications(r jsonReader) error {
 	return r.fields(func(key string) (err error) {
 		switch key {
@@ -50,7 +50,8 @@
 	})
 }
 
-// application reads the fields of an application. Instances that come before its name wait for it.
+// application reads the fields of an application, whose opening brace has been read. Instances that precede the application's name are
+// added at the end.
 func (d *document) application(r jsonReader) error {
 	name := ""
 	var unnamed []*instance
@@ -87,7 +88,7 @@
 // jsonReader reads JSON token by token.
 type jsonReader struct{ *json.Decoder }
 
-// object reads an object.
+// object reads an object. It calls field for each key, and field reads the value.
 func (r jsonReader) object(field func(key string) error) error {
 	if err := r.openObject(); err != nil {
 		return err
@@ -102,7 +103,7 @@
 		return err
 	}
 	if t != json.Delim('{') {
-		return fmt.Errorf("%v where an object is expected", t)
+		return fmt.Errorf("document has %v where an object is expected", t)
 	}
 	return nil
 }
@@ -114,7 +115,7 @@
 		if err != nil {
 			return err
 		}
-		key, _ := t.(string) // by the grammar it is one
+		key, _ := t.(string) // the decoder only returns strings as keys
 		if err := field(key); err != nil {
 			return err
 		}
@@ -123,7 +124,8 @@
 	return err
 }
 
-// openList reads the beginning of a list, of a lone object, or of nothing in place of a list.
+// openList reads the opening bracket of a list, the opening brace of a single object in place of a list, or null or an empty string in
+// place of an empty list.
 func (r jsonReader) openList() (isList, isObject bool, err error) {
 	t, err := r.Token()
 	switch {
@@ -134,18 +136,19 @@
 	case t == json.Delim('{'):
 		return false, true, nil
 	case t != json.Delim('['):
-		return false, false, fmt.Errorf("%v where a list is expected", t)
+		return false, false, fmt.Errorf("document has %v where a list is expected", t)
 	}
 	return true, false, nil
 }
 
-// closeList reads the end of a list.
+// closeList reads the closing bracket of a list.
 func (r jsonReader) closeList() error {
 	_, err := r.Token()
 	return err
 }
 
-// objects calls read for each object of a list, or for a lone one. The opening brace has been read.
+// objects calls read for each object of a list, or for a single object in place of a list. The opening brace has been read when read is
+// called.
 func (r jsonReader) objects(read func() error) error {
 	isList, isObject, err := r.openList()
 	switch {
@@ -167,7 +170,7 @@
 	return r.closeList()
 }
 
-// instances calls visit for each instance of a list, or for a lone one.
+// instances calls visit for each instance of a list, or for a single instance in place of a list.
 func (r jsonReader) instances(visit func(*instance) error) error {
 	isList, isObject, err := r.openList()
 	switch {
@@ -194,7 +197,8 @@
 	return r.closeList()
 }
 
-// loneInstance reads an instance whose opening brace has been read; it is put together again for the decoder.
+// loneInstance reads an instance whose opening brace has been read. It collects the fields and encodes them again as one object, which
+// the decoder can read.
 func (r jsonReader) loneInstance() (*instance, error) {
 	fields := map[string]json.RawMessage{}
 	err := r.fields(func(key string) error {
@@ -217,13 +221,13 @@
 	return j.instance(), nil
 }
 
-// skip reads a value of any kind.
+// skip reads and discards a value of any kind.
 func (r jsonReader) skip() error {
 	var raw json.RawMessage
 	return r.Decode(&raw)
 }
 
-// text reads a jsonText.
+// text reads a value as jsonText.
 func (r jsonReader) text() (string, error) {
 	var t jsonText
 	err := r.Decode(&t)
--- a/internal/discovery/eureka/jsonvalue.go
+++ b/internal/discovery/eureka/jsonvalue.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// jsonInstance is an instance in JSON. Field names are matched without regard to case, so that overriddenstatus is read too.
+// jsonInstance is an instance in JSON. The decoder ignores the case of field names, so that overriddenstatus is read, too.
 type jsonInstance struct {
 	App              jsonText  `json:"app"`
 	InstanceID       jsonText  `json:"instanceId"`
@@ -45,7 +45,7 @@
 	}
 }
 
-// jsonText is a string, a number, a truth value, null, or an element with attributes. Anything else is empty.
+// jsonText is the text of a string, a number, a boolean, or an element with attributes. It is empty for null and any other value.
 type jsonText string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// jsonTexts is an object of jsonText values. Empty ones and attributes are left out, and what is no object is empty.
+// jsonTexts is an object with jsonText values. It leaves out empty values and attributes. It is empty if the value is not an object.
 type jsonTexts map[string]string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// lenient is an object, or the zero value where something else stands in its place.
+// lenient is an object, or the zero value if the JSON value is not an object.
 type lenient[T any] struct{ value T }
 
 // UnmarshalJSON implements json.Unmarshaler.
--- a/internal/discovery/eureka/lease.go
+++ b/internal/discovery/eureka/lease.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	initialLeaseBackoff = 250 * time.Millisecond // after a first failure; it doubles up to the renewal interval
+	initialLeaseBackoff = 250 * time.Millisecond // after the first failure; it doubles up to the renewal interval
 
-	// A renewal is due after nine to ten tenths of the interval, so that many instances do not renew together.
+	// A renewal is due after nine to ten tenths of the interval, so that many instances do not renew at the same time.
 	renewalEarliestTenths = 9
 	tenths                = 10
 )
 
-// leaseCall is a call of a lease to the registry.
+// leaseCall is a kind of call to the registry for a lease.
 type leaseCall int
 
 const (
@@ -21,7 +21,7 @@
 	callCancel
 )
 
-// leaseOutcome is how a leaseCall ended.
+// leaseOutcome is the outcome of a leaseCall.
 type leaseOutcome int
 
 const (
@@ -30,16 +30,17 @@
 	outcomeFailed
 )
 
-// lease decides which calls this process's instance makes to the registry, and when: register, renew until the end, out of service once
-// it drains, and cancel. It has no I/O and no clock. The outcome of a call is reported before the next one is asked for.
+// lease decides which calls this process's instance makes to the registry, and when. The calls are to register, to renew the lease, to
+// set the status out of service while the process drains, and to cancel the lease at its end. lease does no I/O and reads no clock. The
+// caller has to report the outcome of a call by done before it calls next again.
 type lease struct {
 	renewInterval    time.Duration
 	registered       bool
-	draining         bool // it is to be out of service
+	draining         bool // the instance has to be out of service
 	outOfServiceSent bool
-	ending           bool // it is to be cancelled
-	ended            bool
-	dueAt            time.Time     // of the next call
+	ending           bool          // the lease has to be cancelled
+	ended            bool          // no further calls are made
+	dueAt            time.Time     // when the next call is due
 	backoff          time.Duration // after the next failure
 }
 
@@ -47,21 +48,22 @@
 	return &lease{renewInterval: renewInterval, dueAt: now, backoff: min(initialLeaseBackoff, renewInterval)}
 }
 
-// drain has the instance out of service at once.
+// drain makes the call that sets the status out of service due now.
 func (l *lease) drain(now time.Time) {
 	if !l.draining {
 		l.draining, l.dueAt = true, now
 	}
 }
 
-// end has the registration cancelled at once.
+// end makes the call that cancels the lease due now.
 func (l *lease) end(now time.Time) {
 	if !l.ending {
 		l.ending, l.dueAt = true, now
 	}
 }
 
-// next returns the call that is due now, or callNone and when the next one is; zero: there is none ever again.
+// next returns the call that is due now. If none is due it returns callNone and the time of the next call, which is zero if there are no
+// further calls.
 func (l *lease) next(now time.Time) (leaseCall, time.Time) {
 	switch {
 	case l.ended || l.ending && !l.registered:
@@ -79,20 +81,20 @@
 	return callRenew, l.dueAt
 }
 
-// done takes the outcome of a call. spread, from 0 to 1, moves the next one. A failed call is retried after a backoff that doubles, but
-// for a cancellation, since the lease expires by itself.
-func (l *lease) done(now time.Time, call leaseCall, outcome leaseOutcome, spread float64) {
+// done records the outcome of a call. jitter, from 0 to 1, delays the next call. A failed call is retried after a backoff that doubles. A
+// cancellation is not retried, since the lease expires by itself.
+func (l *lease) done(now time.Time, call leaseCall, outcome leaseOutcome, jitter float64) {
 	if outcome == outcomeFailed && call != callCancel {
-		l.dueAt = now.Add(l.backoff/2 + time.Duration(spread*float64(l.backoff/2)))
+		l.dueAt = now.Add(l.backoff/2 + time.Duration(jitter*float64(l.backoff/2)))
 		l.backoff = min(2*l.backoff, l.renewInterval)
 		return
 	}
 	l.backoff = min(initialLeaseBackoff, l.renewInterval)
-	l.dueAt = now.Add(l.renewInterval*renewalEarliestTenths/tenths + time.Duration(spread*float64(l.renewInterval/tenths)))
+	l.dueAt = now.Add(l.renewInterval*renewalEarliestTenths/tenths + time.Duration(jitter*float64(l.renewInterval/tenths)))
 	switch {
 	case call == callCancel:
 		l.ended = true
-	case outcome == outcomeUnknown: // it expired, or the registry has restarted
+	case outcome == outcomeUnknown: // the lease has expired, or the registry has restarted
 		l.registered, l.outOfServiceSent, l.dueAt = false, false, now
 	case call == callRegister:
 		l.registered = true
--- a/internal/discovery/eureka/lease_test.go
+++ b/internal/discovery/eureka/lease_test.go
@@ -7,16 +7,16 @@
 	"pgregory.net/rapid"
 )
 
-// leaseWorld is a registry, and the state of the instance whose lease is tested.
-type leaseWorld struct {
-	lease         *lease
-	now           time.Time
-	lastCall      time.Time // whatever came of it
-	callsAtOnce   int
-	known         bool // by the registry
-	draining      bool
-	ending        bool
-	cancellations int
+// leaseModel models a registry and the instance whose lease is tested.
+type leaseModel struct {
+	lease           *lease
+	now             time.Time
+	lastCall        time.Time // with any outcome
+	callsAtOnce     int       // calls since time last passed
+	knownToRegistry bool
+	draining        bool
+	ending          bool
+	cancellations   int
 }
 
 const (
@@ -24,11 +24,11 @@
 	maxCallsAtOnce    = 6
 )
 
-// A lease is renewed in time and cancelled once, and makes no calls without end, whatever their outcomes.
+// For any outcomes of its calls a lease must be renewed in time, be cancelled at most once, and not make an endless series of calls.
 func TestLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.UnixMilli(1e12)
-		w := &leaseWorld{lease: newLease(start, leaseTestInterval), now: start, lastCall: start}
+		w := &leaseModel{lease: newLease(start, leaseTestInterval), now: start, lastCall: start}
 		for range 200 {
 			call, dueAt := w.lease.next(w.now)
 			if call != callNone {
@@ -41,15 +41,15 @@
 			w.pass(t, dueAt)
 		}
 		if w.cancellations > 1 {
-			t.Fatalf("cancelled %d times", w.cancellations)
+			t.Fatalf("lease was cancelled %d times, want at most once", w.cancellations)
 		}
 	})
 }
 
-// pass lets time pass until the next call is due, or something else happens.
-func (w *leaseWorld) pass(t *rapid.T, dueAt time.Time) {
+// pass advances the time to the next call, or makes the process drain or end before it.
+func (w *leaseModel) pass(t *rapid.T, dueAt time.Time) {
 	if dueAt.After(w.lastCall.Add(leaseTestInterval)) {
-		t.Fatalf("called at %v, and next at %v", w.lastCall, dueAt)
+		t.Fatalf("last call was at %v, and the next one is due at %v, later than one renewal interval", w.lastCall, dueAt)
 	}
 	switch step := rapid.IntRange(0, 20).Draw(t, "step"); step {
 	case 0:
@@ -59,7 +59,7 @@
 		w.lease.end(w.now)
 		w.ending = true
 	case 2:
-		w.known = false // the registry forgets
+		w.knownToRegistry = false // the registry has forgotten the instance
 		w.now = dueAt
 	default:
 		w.now = dueAt
@@ -67,25 +67,25 @@
 	w.callsAtOnce = 0
 }
 
-// makeCall checks a call and draws its outcome.
-func (w *leaseWorld) makeCall(t *rapid.T, call leaseCall) {
+// makeCall checks that a call is allowed and draws its outcome.
+func (w *leaseModel) makeCall(t *rapid.T, call leaseCall) {
 	w.lastCall = w.now
 	if w.callsAtOnce++; w.callsAtOnce > maxCallsAtOnce {
-		t.Fatalf("%d calls at once", w.callsAtOnce)
+		t.Fatalf("%d calls without time passing in between", w.callsAtOnce)
 	}
 	outcome := rapid.SampledFrom([]leaseOutcome{outcomeDone, outcomeDone, outcomeFailed}).Draw(t, "outcome")
-	if outcome == outcomeDone && call != callRegister && !w.known {
+	if outcome == outcomeDone && call != callRegister && !w.knownToRegistry {
 		outcome = outcomeUnknown
 	}
 	switch {
 	case call == callCancel:
 		w.cancellations++
 	case w.ending:
-		t.Fatalf("call %d after the end", call)
+		t.Fatalf("call of kind %d after the process has ended", call)
 	case call == callOutOfService && !w.draining:
-		t.Fatal("out of service though it does not drain")
+		t.Fatal("status set out of service though the process does not drain")
 	case outcome == outcomeDone:
-		w.known = true
+		w.knownToRegistry = true
 	}
-	w.lease.done(w.now, call, outcome, rapid.Float64Range(0, 1).Draw(t, "spread"))
+	w.lease.done(w.now, call, outcome, rapid.Float64Range(0, 1).Draw(t, "jitter"))
 }
--- a/internal/discovery/eureka/pollstate.go
+++ b/internal/discovery/eureka/pollstate.go
@@ -3,39 +3,39 @@
 import "time"
 
 const (
-	// maxMismatches is after how many checksums in a row that do not match deltas are no longer polled.
+	// maxMismatches is the number of consecutive checksum mismatches after which deltas are no longer polled.
 	maxMismatches = 3
-	// maxBackoffDoublings bounds the shift of the poll interval.
+	// maxBackoffDoublings limits the left shift of the poll interval, so that it does not overflow.
 	maxBackoffDoublings = 20
 )
 
-// pollState decides what is polled next, a delta or everything, and when. It has no I/O and no clock.
+// pollState decides what is polled next, a delta or the full registry, and when. It does no I/O and reads no clock.
 type pollState struct {
-	wantsDelta      bool // as long as the registry has deltas
-	isComplete      bool // the cache is as the registry's: a delta can be applied to it
-	mismatches      int  // in a row
-	deltaUnreliable bool // checksums do not match: everything is polled until one does
-	failures        int  // in a row
+	wantsDelta      bool // deltas are wanted, and the registry is not known to lack them
+	isComplete      bool // the cache matches the registry, so that a delta can be applied to it
+	mismatches      int  // consecutive checksum mismatches
+	deltaUnreliable bool // maxMismatches was reached: deltas are not polled
+	failures        int  // consecutive failed polls
 }
 
-// useDelta reports whether a delta is polled next, rather than everything.
+// useDelta reports whether the next poll is a delta rather than a full poll.
 func (p *pollState) useDelta() bool { return p.wantsDelta && p.isComplete && !p.deltaUnreliable }
 
-// wait returns how long until the next poll: the interval, or after failures a backoff that doubles from the interval up to maxBackoff, of
-// which half is spread by spread, from 0 to 1.
+// wait returns the time until the next poll. This is the interval, or after failures a backoff that doubles from the interval up to
+// maxBackoff. The second half of the backoff is multiplied by jitter, which is from 0 to 1.
 //
-// After three polls that fail, the fourth is answered within the 6 s in which a change has to be noticed: with the default options the
-// sum is a timeout, three backoffs of maxBackoff at most, and a timeout.
-func (p *pollState) wait(interval, maxBackoff time.Duration, spread float64) time.Duration {
+// A change has to be noticed within 6 s. With the default options that holds even after three failed polls: the fourth is answered after
+// at most one timeout, three waits of at most maxBackoff, and another timeout.
+func (p *pollState) wait(interval, maxBackoff time.Duration, jitter float64) time.Duration {
 	if p.failures == 0 {
 		return interval
 	}
 	backoff := min(interval<<min(p.failures-1, maxBackoffDoublings), maxBackoff)
-	return backoff/2 + time.Duration(spread*float64(backoff/2))
+	return backoff/2 + time.Duration(jitter*float64(backoff/2))
 }
 
-// checked takes whether the cache matches the checksum of a delta.
-func (p *pollState) checked(matches bool) {
+// recordChecksumResult records whether the cache matches the checksum of a delta.
+func (p *pollState) recordChecksumResult(matches bool) {
 	if matches {
 		p.mismatches, p.deltaUnreliable = 0, false
 		return
--- a/internal/discovery/eureka/pollstate_test.go
+++ b/internal/discovery/eureka/pollstate_test.go
@@ -8,30 +8,30 @@
 	"orchiddrift/internal/units"
 )
 
-// notificationDeadline is by when a change counts as notified that the registry had and could be reached for.
+// notificationDeadline is the time within which a change must be noticed once the registry has it and can be reached.
 const notificationDeadline = 6 * time.Second
 
-// With the default options a poll that just missed the registry's return, two more that it rejects, and the one that it answers fit into
-// the notification deadline.
+// Wrong default options would notice a change too late after an outage. A poll that just missed the registry's return, two more that
+// fail, and the one that succeeds must fit into the notification deadline.
 func TestPollsAfterOutageMeetDeadline(t *testing.T) {
 	interval, timeout, maxBackoff := defaultOf(t, "Poll"), defaultOf(t, "Timeout"), defaultOf(t, "Backoff")
 	p := pollState{failures: 100}
-	sum := timeout // of the poll that just missed it
+	sum := timeout // of the poll that just missed the registry's return
 	for range 3 {
 		sum += p.wait(interval, maxBackoff, 1)
 		p.failures++
 	}
 	if sum += timeout; sum > notificationDeadline {
-		t.Errorf("the third poll behind the registry's return is answered after %v", sum)
+		t.Errorf("the third poll after the registry's return is answered after %v, later than the notification deadline", sum)
 	}
 }
 
-// defaultOf returns the default of a duration of Declaration.
+// defaultOf returns the default of a field of Declaration that is a duration.
 func defaultOf(t *testing.T, name string) time.Duration {
 	t.Helper()
 	field, ok := reflect.TypeFor[Declaration]().FieldByName(name)
 	if !ok {
-		t.Fatalf("no %s", name)
+		t.Fatalf("Declaration has no field %s", name)
 	}
 	var d units.Duration
 	if err := d.UnmarshalText([]byte(field.Tag.Get("default"))); err != nil {
--- a/internal/discovery/eureka/registration.go
+++ b/internal/discovery/eureka/registration.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	deregisterTimeout      = 500 * time.Millisecond // for which the registration's end may hold up the process's
-	leaseDurationIntervals = 3                      // a lease expires after so many renewal intervals
+	deregisterTimeout      = 500 * time.Millisecond // how long deregistering may delay the end of the process
+	leaseDurationIntervals = 3                      // a lease expires after this number of renewal intervals
 	unusedSecurePort       = 443
-	registrationStream     = 0x7265676973746572 // selects the stream of random numbers of a seed
+	registrationStream     = 0x7265676973746572 // selects the random number stream of the seed
 )
 
-// Registration makes this process known in a registry as long as it runs.
+// Registration keeps this process registered in a registry while Run runs.
 type Registration struct {
 	declaration Declaration
 	client      *client
-	credentials *tlscredentials.Store // nil: no server of https
+	credentials *tlscredentials.Store // nil: no TLS configured
 	log         *slog.Logger
 	rng         *rand.Rand
 	application string
@@ -39,7 +39,7 @@
 	drain       chan struct{}
 }
 
-// NewRegistration returns the registration of a process of that name that listens at an address. Run makes it work.
+// NewRegistration returns the registration of the process with that name and listen address. It does not register before Run is called.
 func NewRegistration(d Declaration, name, listen string, connectTimeout time.Duration, seed uint64, log *slog.Logger) (*Registration, error) {
 	r := &Registration{
 		declaration: d,
@@ -54,14 +54,14 @@
 		return nil, fmt.Errorf("eureka %s: register: %w", d.Name, err)
 	}
 	if ip := net.ParseIP(r.host); ip == nil || ip.IsUnspecified() {
-		return nil, fmt.Errorf("eureka %s: register.address: %s can't be reached from elsewhere", d.Name, address)
+		return nil, fmt.Errorf("eureka %s: register.address: %s is not an IP address that other hosts can connect to", d.Name, address)
 	}
 	r.id = cmp.Or(d.Register.ID, strings.Trim(name+":"+address, ":"))
 	r.client, r.credentials, err = newClient(d, connectTimeout, r.log)
 	return r, err
 }
 
-// Drain has the registry notified that the process wants no new requests. It does not block.
+// Drain notifies the registry that the process wants no new requests. It does not block.
 func (r *Registration) Drain() {
 	select {
 	case r.drain <- struct{}{}:
@@ -69,15 +69,15 @@
 	}
 }
 
-// Run registers, renews, and cancels the registration when ctx ends.
+// Run registers the process, renews the lease, and cancels it when ctx ends.
 func (r *Registration) Run(ctx context.Context) {
 	defer r.client.http.CloseIdleConnections()
-	afterEnd, stop := context.WithCancel(context.WithoutCancel(ctx))
+	cleanupCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	if r.credentials != nil {
-		ended := make(chan struct{})
-		go func() { defer close(ended); r.credentials.Run(afterEnd) }()
-		defer func() { stop(); <-ended }()
+		credentialsDone := make(chan struct{})
+		go func() { defer close(credentialsDone); r.credentials.Run(cleanupCtx) }()
+		defer func() { stop(); <-credentialsDone }()
 	}
 	l := newLease(time.Now(), r.declaration.Register.Renew.D())
 	timer := time.NewTimer(0)
@@ -89,7 +89,7 @@
 			l.drain(time.Now())
 		case <-ctx.Done():
 			l.end(time.Now())
-			r.cancel(afterEnd, l)
+			r.cancel(cleanupCtx, l)
 			return
 		}
 		if dueAt, ok := r.makeDueCalls(ctx, l); ok {
@@ -98,7 +98,7 @@
 	}
 }
 
-// makeDueCalls makes the calls that are due, and returns when the next one is. It returns false once ctx has ended.
+// makeDueCalls makes the calls that are due, and returns the time at which the next one is due. It returns false if ctx has ended.
 func (r *Registration) makeDueCalls(ctx context.Context, l *lease) (dueAt time.Time, ok bool) {
 	for {
 		call, dueAt := l.next(time.Now())
@@ -112,7 +112,7 @@
 	}
 }
 
-// cancel makes the calls of a lease that ends.
+// cancel makes the remaining calls of a lease that ends.
 func (r *Registration) cancel(ctx context.Context, l *lease) {
 	ctx, stop := context.WithTimeout(ctx, deregisterTimeout)
 	defer stop()
@@ -134,7 +134,7 @@
 		outcome = outcomeUnknown
 	case err != nil:
 		outcome = outcomeFailed
-		r.log.Warn("registering failed", "registry", r.declaration.Name, "id", r.id, "reason", err)
+		r.log.Warn("registration call failed", "registry", r.declaration.Name, "id", r.id, "reason", err)
 	case call == callRegister:
 		r.log.Info("registered", "registry", r.declaration.Name, "id", r.id)
 	}
@@ -150,19 +150,19 @@
 		if err != nil {
 			return err
 		}
-		return r.client.post(ctx, http.MethodPost, applicationPath, string(body))
+		return r.client.execute(ctx, http.MethodPost, applicationPath, string(body))
 	case callOutOfService:
-		return r.client.post(ctx, http.MethodPut, instancePath+"/status?value="+statusOutOfService, "")
+		return r.client.execute(ctx, http.MethodPut, instancePath+"/status?value="+statusOutOfService, "")
 	case callCancel:
-		return r.client.post(ctx, http.MethodDelete, instancePath, "")
+		return r.client.execute(ctx, http.MethodDelete, instancePath, "")
 	}
-	return r.client.post(ctx, http.MethodPut, instancePath, "")
+	return r.client.execute(ctx, http.MethodPut, instancePath, "")
 }
 
-// instanceDocument returns this process's instance as the registry expects it.
+// instanceDocument returns this process's instance in the form that the registry expects.
 func (r *Registration) instanceDocument() map[string]any {
 	register := &r.declaration.Register
-	port, _ := strconv.Atoi(r.port) // of an address that is listened at
+	port, _ := strconv.Atoi(r.port) // valid, since the process listens at this address
 	renewSeconds := int(register.Renew.D().Seconds())
 	metadata := map[string]string{"product": "orchiddrift"}
 	maps.Copy(metadata, register.Metadata)
--- a/internal/discovery/eureka/registration_test.go
+++ b/internal/discovery/eureka/registration_test.go
@@ -10,13 +10,14 @@
 	"orchiddrift/internal/units"
 )
 
-// A process is found in the registry, also after the registry's restart, is out of service once it drains, and is gone after its end.
+// A process must be listed in the registry, also after the registry has restarted. It must be out of service while it drains, and no
+// longer be listed after its end.
 func TestRegistration(t *testing.T) {
 	e := base.Eureka(t, fakes.EurekaOptions{})
 	d := testDeclaration(e)
 	d.Register = Register{Application: "drift", Renew: units.Duration(time.Second), Metadata: map[string]string{"zone": "z"}}
 	if _, err := NewRegistration(d, "n", "0.0.0.0:80", 0, 1, nil); err == nil {
-		t.Error("registered at 0.0.0.0")
+		t.Error("registration at the unspecified address 0.0.0.0 was accepted")
 	}
 	r, err := NewRegistration(d, "sidecar", "127.0.0.3:8080", 0, 1, nil)
 	if err != nil {
@@ -29,7 +30,7 @@
 	watching.Applications = []string{"DRIFT"}
 	sink, _ := startSource(t, watching)
 	const id = "sidecar:127.0.0.3:8080"
-	sink.waitFor(t, "found", id+" Ready")
+	sink.waitFor(t, "registered", id+" Ready")
 	e.Restart()
 	base.Eventually(t, "registered again after 404", func() bool { return e.Calls("POST /apps/DRIFT") == 2 })
 	r.Drain()
--- a/internal/discovery/eureka/source.go
+++ b/internal/discovery/eureka/source.go
@@ -17,30 +17,30 @@
 
 const (
 	maxLoggedReasons = 4              // different failures of one outage that are logged
-	sourceStream     = 0x657572656b61 // selects the stream of random numbers of a seed
+	sourceStream     = 0x657572656b61 // selects the random number stream of the seed
 )
 
 // Source is an endpoints.Source that polls a registry. Its endpoints have the statuses of package membership.
 type Source struct {
 	declaration Declaration
 	client      *client
-	credentials *tlscredentials.Store // nil: no server of https
+	credentials *tlscredentials.Store // nil: no TLS configured
 	log         *slog.Logger
 	rng         *rand.Rand
 	polls       atomic.Int64
 
-	// Of the goroutine in Run.
+	// The goroutine in Run owns the fields below.
 	cache            *instanceCache
 	state            pollState
 	partial          bool     // the cache may lack instances
-	snapshotReported bool     // the sink has had the whole list
-	loggedReasons    []string // since the last outage's end, maxLoggedReasons at most
-	loggedUnusable   int      // instances without a usable address, as logged last
+	snapshotReported bool     // the sink has received the complete list
+	loggedReasons    []string // failures logged in the present outage, at most maxLoggedReasons
+	loggedUnusable   int      // number of instances without a usable address that was logged last
 }
 
 var _ endpoints.Source = (*Source)(nil)
 
-// New returns a Source. Run makes it work. The spread of its polls is drawn from seed.
+// New returns a Source. It polls only while Run runs. The jitter of its polls is drawn from seed.
 func New(d Declaration, connectTimeout time.Duration, seed uint64, log *slog.Logger) (*Source, error) {
 	s := &Source{
 		declaration: d,
@@ -56,23 +56,23 @@
 	return s, nil
 }
 
-// Refresh does nothing: the registry is polled anyway.
+// Refresh does nothing, since the registry is polled at short intervals.
 func (s *Source) Refresh() {}
 
-// Polls returns how often the registry has been polled, and the answer reported.
+// Polls returns the number of polls whose result has been reported to the sink.
 func (s *Source) Polls() int64 { return s.polls.Load() }
 
-// Traffic returns the requests sent so far, and the bytes of their answers as they arrived.
+// Traffic returns the number of requests sent so far, and the bytes of their responses before decompression.
 func (s *Source) Traffic() (requests, bytes int64) {
 	return s.client.requests.Load(), s.client.bytes.Load()
 }
 
-// Run polls the registry until ctx ends, and reports to sink.
+// Run polls the registry until ctx ends, and reports the results to sink.
 func (s *Source) Run(ctx context.Context, sink endpoints.Sink) {
 	if s.credentials != nil {
-		ended := make(chan struct{})
-		go func() { defer close(ended); s.credentials.Run(ctx) }()
-		defer func() { <-ended }()
+		credentialsDone := make(chan struct{})
+		go func() { defer close(credentialsDone); s.credentials.Run(ctx) }()
+		defer func() { <-credentialsDone }()
 	}
 	defer s.client.http.CloseIdleConnections()
 	timer := time.NewTimer(0)
@@ -95,7 +95,7 @@
 	}
 }
 
-// report reports the result of a poll. The whole list is reported once, as soon as an answer is not partial.
+// report passes the result of a poll to the sink. The first result that is not partial is reported as a snapshot, later ones as changes.
 func (s *Source) report(sink endpoints.Sink, partial bool, err error) {
 	if err != nil {
 		s.state.failures++
@@ -118,7 +118,7 @@
 	s.logUnusable()
 }
 
-// logFailure logs a failure once an outage, so that servers that fail in turn, each in its own way, do not fill the log.
+// logFailure logs each different failure once per outage, so that servers that fail alternately in different ways do not fill the log.
 func (s *Source) logFailure(err error) {
 	if len(s.loggedReasons) >= maxLoggedReasons || slices.Contains(s.loggedReasons, err.Error()) {
 		return
@@ -135,7 +135,7 @@
 	}
 }
 
-// logUnusable logs the number of instances without a usable address when it changes.
+// logUnusable logs the number of instances without a usable address if it has changed.
 func (s *Source) logUnusable() {
 	if n := s.cache.unusable; n != s.loggedUnusable {
 		s.loggedUnusable = n
@@ -143,30 +143,30 @@
 	}
 }
 
-// poll brings the cache up to date. It returns whether the cache may lack instances: an answer that does not match its own checksum is
-// believed in what it has, and not in what it lacks.
+// poll updates the cache. partial reports that the cache may lack instances, because the response does not match its own checksum. The
+// instances in such a response are used, but missing ones are not taken for removed.
 func (s *Source) poll(ctx context.Context) (partial bool, err error) {
 	if !s.state.useDelta() {
-		return s.pollEverything(ctx)
+		return s.pollFull(ctx)
 	}
 	matches, err := s.pollDelta(ctx)
 	switch {
 	case isStatus(err, http.StatusNotFound, http.StatusForbidden, http.StatusMethodNotAllowed):
-		s.log.Info("the registry has no deltas: everything is polled", "registry", s.declaration.Name)
+		s.log.Info("the registry has no deltas: the full registry is polled", "registry", s.declaration.Name)
 		s.state.wantsDelta = false
 	case err != nil:
 		s.state.isComplete = false // part of the delta may have been lost
 		return false, err
 	default:
-		s.state.checked(matches)
+		s.state.recordChecksumResult(matches)
 		if matches {
 			return false, nil
 		}
 	}
-	return s.pollEverything(ctx)
+	return s.pollFull(ctx)
 }
 
-// pollDelta applies a delta, and returns whether the cache matches the checksum that comes with it.
+// pollDelta polls a delta and applies it, and reports whether the cache then matches the delta's checksum.
 func (s *Source) pollDelta(ctx context.Context) (matches bool, err error) {
 	var changed []*instance
 	d := &document{visit: func(i *instance) error {
@@ -178,7 +178,7 @@
 		d.reset()
 	})
 	if errors.Is(err, errUnchanged) {
-		return true, nil // it matched when it was applied, or everything would have been polled
+		return true, nil // this delta matched when it was applied, else a full poll would have followed
 	}
 	if err != nil {
 		return false, err
@@ -189,8 +189,8 @@
 	return d.hash == s.cache.hash(), nil
 }
 
-// pollEverything replaces the cache.
-func (s *Source) pollEverything(ctx context.Context) (partial bool, err error) {
+// pollFull polls all instances of the declared path and replaces the cache.
+func (s *Source) pollFull(ctx context.Context) (partial bool, err error) {
 	path := s.declaration.path()
 	next := newInstanceCache(s.declaration.mapping(), s.declaration.Applications)
 	d := &document{visit: next.put}
@@ -203,8 +203,8 @@
 		return s.partial, nil
 	}
 	if isStatus(err, http.StatusNotFound) && path != allApplicationsPath {
-		s.client.decoded = answerSum{}
-		next.clear() // the registry knows no such application now
+		s.client.lastDecoded = responseDigest{}
+		next.clear() // the registry no longer has this application or virtual address
 		err = nil
 	}
 	if err != nil {
@@ -214,7 +214,7 @@
 	s.cache = next
 	s.state.isComplete = true
 	if d.hash != "" && path == allApplicationsPath && d.hash != next.hash() {
-		s.logFailure(errors.New("the registry's answer does not match its own checksum: " + d.hash + ", counted " + next.hash()))
+		s.logFailure(errors.New("the registry's response does not match its own checksum: " + d.hash + ", counted " + next.hash()))
 		s.partial = true
 	}
 	return s.partial, nil
--- a/internal/discovery/eureka/source_test.go
+++ b/internal/discovery/eureka/source_test.go
@@ -13,7 +13,7 @@
 	"orchiddrift/internal/units"
 )
 
-// pollCases are the ways of polling, and the forms of the registry's answers. Servers[0] is what follows the base address.
+// pollCases are the ways of polling and the forms of the registry's responses. Servers[0] is appended to the base address.
 var pollCases = []struct {
 	name      string
 	configure func(*Declaration, *fakes.EurekaOptions)
@@ -35,7 +35,7 @@
 	}},
 }
 
-// Statuses, overrides, ends and starts of instances are followed, in each way of polling.
+// With each way of polling a Source must report changes of status, overrides, starts and ends of instances.
 func TestSourceFollowsRegistry(t *testing.T) {
 	for _, c := range pollCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -54,16 +54,16 @@
 			checkEndpoint(t, sink, d.Secure)
 			changeInstances(t, e, sink)
 			if d.Delta && e.Calls("GET /apps") > 1 {
-				t.Errorf("everything was polled %d times", e.Calls("GET /apps"))
+				t.Errorf("the full registry was polled %d times, want once", e.Calls("GET /apps"))
 			}
 			if requests, bytes := s.Traffic(); requests == 0 || bytes == 0 {
-				t.Error("the traffic is not counted")
+				t.Error("Traffic counts no requests or no bytes")
 			}
 		})
 	}
 }
 
-// checkEndpoint checks all properties of endpoint a.
+// checkEndpoint checks all properties of the endpoint a.
 func checkEndpoint(t *testing.T, sink *recordingSink, isSecure bool) {
 	t.Helper()
 	port := 81
@@ -73,11 +73,11 @@
 	want := endpoints.Endpoint{Name: "a", Address: fmt.Sprint("127.0.0.2:", port), Zone: "upper-hill", MachineType: "large",
 		Cell: 3, Status: endpoints.StatusReady, StartedMs: 1_700_000_000_000}
 	if got := sink.endpoint("a"); got != want {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("endpoint a is %+v, want %+v", got, want)
 	}
 }
 
-// changeInstances takes instances a and b through all statuses.
+// changeInstances takes the instances a and b through all statuses, and waits until each change is reported.
 func changeInstances(t *testing.T, e *fakes.Eureka, sink *recordingSink) {
 	t.Helper()
 	e.Put(testInstance("SEATS", "b", 82, "STARTING"))
@@ -97,7 +97,7 @@
 	sink.waitFor(t, "a is back", "a Ready")
 }
 
-// A bad answer does not cost the list, is logged once, and does not end the following.
+// A bad response must not change the list, must be logged only once, and must not stop the Source from polling.
 func TestBadAnswersKeepLastGoodList(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		for name, fault := range map[string]fakes.EurekaFault{"down": fakes.EurekaDown, "cut": fakes.EurekaCut, "html": fakes.EurekaHTML,
@@ -107,30 +107,30 @@
 				d := testDeclaration(e)
 				d.Applications, d.Delta, d.MaxAnswer = []string{"SEATS"}, delta, units.MiB
 				if name != "hangs" {
-					d.Timeout = units.Duration(30 * time.Second) // 20 MB take a slow machine their time
+					d.Timeout = units.Duration(30 * time.Second) // a slow machine needs long for the 20 MB of a huge response
 				}
 				e.Put(testInstance("SEATS", "a", 81, "UP"))
 				e.Put(testInstance("SEATS", "b", 82, "UP"))
 				sink, _ := startSource(t, d)
-				sink.waitFor(t, "the list", "a Ready, b Ready")
+				sink.waitFor(t, "first list", "a Ready, b Ready")
 				e.Fault(func(string) fakes.EurekaFault { return fault })
-				base.Eventually(t, "it is lost", func() bool { return sink.lossCount() >= 4 })
+				base.Eventually(t, "four losses are reported", func() bool { return sink.lossCount() >= 4 })
 				e.Cancel("SEATS", "b")
 				if got := sink.listText(); got != "a Ready, b Ready" {
-					t.Errorf("the list is %q", got)
+					t.Errorf("list is %q after bad responses, want the last good one", got)
 				}
-				if n := sink.logCount("the last good list stays"); n != 1 && !(delta && n <= 2) { // the delta, then everything
-					t.Errorf("logged %d times: %q", n, sink.logLines)
+				if n := sink.logCount("the last good list stays"); n != 1 && !(delta && n <= 2) { // one for the delta, one for the full poll
+					t.Errorf("the failure was logged %d times: %q", n, sink.logLines)
 				}
 				e.Fault(nil)
-				sink.waitFor(t, "what happened meanwhile", "a Ready")
-				base.Eventually(t, "the end is logged", func() bool { return sink.logCount("can be used again") == 1 })
+				sink.waitFor(t, "a change during the outage", "a Ready")
+				base.Eventually(t, "the end of the outage is logged", func() bool { return sink.logCount("can be used again") == 1 })
 			})
 		}
 	}
 }
 
-// Failures that take turns are not logged with every poll.
+// Failures that alternate must be logged once per outage, not with every poll.
 func TestAlternatingFailuresAreLoggedOnce(t *testing.T) {
 	sink := &recordingSink{}
 	s := &Source{log: logging.NewFunc(sink.log)}
@@ -145,7 +145,7 @@
 	}
 }
 
-// startDelta runs a Source that polls deltas of a registry, behind other servers, with instance a.
+// startDelta runs a Source that polls deltas. It returns its last server, which like the others has instance a.
 func startDelta(t *testing.T, others ...*fakes.Eureka) (*fakes.Eureka, *recordingSink) {
 	t.Helper()
 	e := base.Eureka(t, fakes.EurekaOptions{})
@@ -156,7 +156,7 @@
 		s.Put(testInstance("SEATS", "a", 81, "UP"))
 	}
 	sink, _ := startSource(t, d)
-	sink.waitFor(t, "the list", "a Ready")
+	sink.waitFor(t, "first list", "a Ready")
 	return e, sink
 }
 
@@ -164,36 +164,37 @@
 	e, sink := startDelta(t)
 	e.Fault(func(string) fakes.EurekaFault { return fakes.EurekaLostDelta })
 	e.Put(testInstance("SEATS", "b", 82, "UP"))
-	sink.waitFor(t, "by everything", "a Ready, b Ready")
+	sink.waitFor(t, "list of the full poll", "a Ready, b Ready")
 }
 
-// Where checksums never match, deltas are left aside, and an answer is believed in what it has and not in what it lacks.
+// If checksums never match, the Source must stop polling deltas. It must use the instances in a response, and not take missing ones for
+// removed.
 func TestChecksumThatNeverMatches(t *testing.T) {
 	e, sink := startDelta(t)
 	e.Put(testInstance("SEATS", "b", 82, "UP"))
-	sink.waitFor(t, "two", "a Ready, b Ready")
+	sink.waitFor(t, "two instances", "a Ready, b Ready")
 	e.Fault(func(string) fakes.EurekaFault { return fakes.EurekaWrongSum })
 	e.Override("SEATS", "a", "OUT_OF_SERVICE")
 	e.Cancel("SEATS", "b")
-	sink.waitFor(t, "believed in what it has, not in what it lacks", "a OutOfService, b Ready")
-	base.Eventually(t, "no deltas are polled", func() bool {
+	sink.waitFor(t, "a has changed, and b, which is missing, stays", "a OutOfService, b Ready")
+	base.Eventually(t, "no deltas are polled any more", func() bool {
 		before := e.Calls("GET /apps/delta")
 		all := e.Calls("GET /apps")
-		base.Eventually(t, "polls", func() bool { return e.Calls("GET /apps") > all+3 })
+		base.Eventually(t, "full polls", func() bool { return e.Calls("GET /apps") > all+3 })
 		return e.Calls("GET /apps/delta") == before
 	})
 	if n := sink.logCount("does not match its own checksum"); n != 1 {
-		t.Errorf("logged %d times", n)
+		t.Errorf("the checksum mismatch was logged %d times, want once", n)
 	}
 	e.Fault(nil)
-	sink.waitFor(t, "it matches again", "a OutOfService")
+	sink.waitFor(t, "the checksum matches again", "a OutOfService")
 }
 
 func TestRegistryWithoutDeltas(t *testing.T) {
 	e, sink := startDelta(t)
 	e.Fault(func(string) fakes.EurekaFault { return fakes.EurekaNoDelta })
 	e.Put(testInstance("SEATS", "b", 82, "UP"))
-	sink.waitFor(t, "by everything", "a Ready, b Ready")
+	sink.waitFor(t, "list of the full poll", "a Ready, b Ready")
 }
 
 func TestFirstServerGoesAway(t *testing.T) {
@@ -204,23 +205,23 @@
 	e, sink := startDelta(t, first)
 	first.Close()
 	e.Put(testInstance("SEATS", "b", 82, "UP"))
-	sink.waitFor(t, "by the second", "a Ready, b Ready")
+	sink.waitFor(t, "list of the second server", "a Ready, b Ready")
 }
 
 func TestRegistryRestartsEmpty(t *testing.T) {
 	e, sink := startDelta(t)
 	e.Restart()
-	sink.waitFor(t, "empty, for membership to doubt", "")
+	sink.waitFor(t, "empty list, which package membership doubts", "")
 	e.Put(testInstance("SEATS", "a", 81, "UP"))
-	sink.waitFor(t, "filled", "a Ready")
+	sink.waitFor(t, "instance registered again", "a Ready")
 }
 
-// Leases that expire are followed, unless the registry preserves them, and a replica that is cut off keeps what it has.
+// Instances whose leases expire must be reported as gone, unless the registry preserves them. A replica that is cut off keeps its list.
 func TestLeasesAndReplicas(t *testing.T) {
 	for _, preserves := range []bool{false, true} {
 		t.Run(fmt.Sprint("self-preservation ", preserves), func(t *testing.T) {
-			var ahead atomic.Int64
-			now := func() time.Time { return time.Now().Add(time.Duration(ahead.Load())) }
+			var clockOffset atomic.Int64
+			now := func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) }
 			e := base.Eureka(t, fakes.EurekaOptions{Preserves: preserves, Now: now})
 			replica := base.Eureka(t, fakes.EurekaOptions{Now: now})
 			e.Replicate(replica)
@@ -236,19 +237,19 @@
 			}
 			e.Replicate()
 			e.SetStatus("SEATS", "a", "DOWN")
-			sink.waitFor(t, "one knows", "a Down, b Ready")
+			sink.waitFor(t, "one replica has the change", "a Down, b Ready")
 			if got := replicaSink.listText(); got != "a Ready, b Ready" {
-				t.Errorf("a replica that is cut off has %q", got)
+				t.Errorf("list of the replica that is cut off is %q, want it unchanged", got)
 			}
-			ahead.Store(int64(2 * time.Minute))
+			clockOffset.Store(int64(2 * time.Minute))
 			if !preserves {
-				sink.waitFor(t, "expired", "")
+				sink.waitFor(t, "leases expired", "")
 				return
 			}
 			calls := e.Calls("GET /apps/SEATS")
 			base.Eventually(t, "polls", func() bool { return e.Calls("GET /apps/SEATS") > calls+3 })
 			if got := sink.listText(); got != "a Down, b Ready" {
-				t.Errorf("%q in spite of self-preservation", got)
+				t.Errorf("list is %q in spite of self-preservation, want it unchanged", got)
 			}
 		})
 	}
--- a/internal/discovery/eureka/transport.go
+++ b/internal/discovery/eureka/transport.go
@@ -18,11 +18,11 @@
 	defaultConnectTimeout  = time.Second
 	idleConnectionTimeout  = 90 * time.Second
 	maxResponseHeaderBytes = 16 << 10
-	maxIdleConnections     = 1 // of a server; calls go one after the other
-	maxConnections         = 2 // of a server
+	maxIdleConnections     = 1 // per server; the client makes one call at a time
+	maxConnections         = 2 // per server
 )
 
-// newClient returns a client of the declared servers, with the credentials for those of https; nil: there are none.
+// newClient returns a client of the declared servers, and the credentials for https servers, which are nil if no TLS is configured.
 func newClient(d Declaration, connectTimeout time.Duration, log *slog.Logger) (*client, *tlscredentials.Store, error) {
 	transport := &http.Transport{
 		DialContext:            (&net.Dialer{Timeout: cmp.Or(connectTimeout, defaultConnectTimeout)}).DialContext,
@@ -42,13 +42,13 @@
 		transport.DialTLSContext = dialTLS(transport.DialContext, tlscredentials.NewClient(credentials, d.TLS))
 	}
 	c := &client{
-		servers:        make([]string, len(d.Servers)),
-		http:           &http.Client{Transport: transport, CheckRedirect: rejectRedirect},
-		timeout:        d.Timeout.D(),
-		maxAnswerBytes: int64(d.MaxAnswer),
-		accept:         "application/" + cmp.Or(d.Format, "json"),
-		user:           d.User,
-		password:       d.password,
+		servers:          make([]string, len(d.Servers)),
+		http:             &http.Client{Transport: transport, CheckRedirect: rejectRedirect},
+		timeout:          d.Timeout.D(),
+		maxResponseBytes: int64(d.MaxAnswer),
+		accept:           "application/" + cmp.Or(d.Format, "json"),
+		user:             d.User,
+		password:         d.password,
 	}
 	for i, server := range d.Servers {
 		c.servers[i] = strings.TrimRight(server, "/")
@@ -56,23 +56,23 @@
 	return c, credentials, nil
 }
 
-// rejectRedirect has a redirect taken for the answer.
+// rejectRedirect makes the client return a redirect as the response instead of following it.
 func rejectRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// dialTLS returns a function that dials a server of https.
+// dialTLS returns a function that dials an https server.
 func dialTLS(dial dialFunc, secure *tlscredentials.Client) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		secured, err := secure.Handshake(ctx, conn, endpoints.Instance{Address: address})
+		tlsConn, err := secure.Handshake(ctx, conn, endpoints.Instance{Address: address})
 		if err != nil {
 			conn.Close()
 			return nil, err
 		}
-		return secured, nil
+		return tlsConn, nil
 	}
 }
--- a/internal/discovery/eureka/xml.go
+++ b/internal/discovery/eureka/xml.go
@@ -15,7 +15,7 @@
 	IP               string  `xml:"ipAddr"`
 	Status           string  `xml:"status"`
 	Overridden       string  `xml:"overriddenstatus"`
-	OverriddenStatus string  `xml:"overriddenStatus"` // of other versions
+	OverriddenStatus string  `xml:"overriddenStatus"` // spelling of other versions
 	Action           string  `xml:"actionType"`
 	Port             xmlPort `xml:"port"`
 	SecurePort       xmlPort `xml:"securePort"`
@@ -60,7 +60,7 @@
 	return port{number: parsePort(p.Number), isEnabled: p.Number != "" && (p.Enabled == nil || isTrue(*p.Enabled))}
 }
 
-// xmlMap is an element whose children are keys.
+// xmlMap is an element whose children have keys as names and values as text.
 type xmlMap map[string]string
 
 // UnmarshalXML implements xml.Unmarshaler.
@@ -90,8 +90,8 @@
 type xmlReader struct {
 	*xml.Decoder
 	document    *document
-	depth       int    // open applications and application elements
-	application string // name of the present one
+	depth       int    // number of open applications and application elements
+	application string // name of the present application
 }
 
 func (d *document) decodeXML(from io.Reader) error {
@@ -120,11 +120,11 @@
 	}
 }
 
-// startElement reads an element, or only its start where it has instances within it.
+// startElement reads an element. Of an element that contains instances it reads only the start tag.
 func (r *xmlReader) startElement(t xml.StartElement) (err error) {
 	name := t.Name.Local
 	if r.depth == 0 && name != "applications" && name != "application" {
-		return fmt.Errorf("<%s> where applications are expected", name)
+		return fmt.Errorf("document has <%s> where applications are expected", name)
 	}
 	switch name {
 	case "applications", "application":
@@ -145,14 +145,14 @@
 	return err
 }
 
-// text reads an element of text.
+// text reads an element and returns its text.
 func (r *xmlReader) text(t xml.StartElement) (string, error) {
 	var text string
 	err := r.DecodeElement(&text, &t)
 	return strings.TrimSpace(text), err
 }
 
-// checkEnd checks that only white space and comments follow.
+// checkEnd returns an error unless only white space and comments follow.
 func (r *xmlReader) checkEnd() error {
 	for {
 		t, err := r.Token()
