--- a/internal/discovery/staleness/baseline_test.go
+++ b/internal/discovery/staleness/baseline_test.go
@@ -6,7 +6,7 @@
 )
 
 // baseline is a policy without a deadline: fixed timeouts for silence and the first byte, and a backoff that grows by failures alone.
-// The tests hold that it misses deadlines, so that the world is known to find a policy that does.
+// The tests require that it misses deadlines, which shows that the simulated world detects a policy that does.
 type baseline struct {
 	rng           *rand.Rand
 	pushed        bool
@@ -18,27 +18,27 @@
 }
 
 const (
-	baselineSilence       = 3500 * ms
-	baselineFirstByte     = 5 * second
-	baselinePushedBackoff = 250 * ms
-	baselinePushedMax     = 4 * second
-	baselineBackoff       = second
-	baselineMax           = 8 * second
+	baselineSilenceTimeout       = 3500 * ms
+	baselineFirstByteTimeout     = 5 * second
+	baselinePushedInitialBackoff = 250 * ms
+	baselinePushedMaxBackoff     = 4 * second
+	baselineInitialBackoff       = second
+	baselineMaxBackoff           = 8 * second
 )
 
 func (b *baseline) open(now time.Duration) []Action {
 	b.lastID++
-	b.timeoutAt, b.nextCallAt = now+baselineFirstByte, never
+	b.timeoutAt, b.nextCallAt = now+baselineFirstByteTimeout, never
 	return []Action{{Kind: OpenCall, Call: b.lastID}}
 }
 
 func (b *baseline) Start(now time.Duration) []Action {
-	b.pushedBackoff = baselinePushedBackoff
+	b.pushedBackoff = baselinePushedInitialBackoff
 	return b.open(now)
 }
 
 func (b *baseline) CallActive(now time.Duration, _ CallID) []Action {
-	b.timeoutAt, b.failures, b.pushedBackoff = now+baselineSilence, 0, baselinePushedBackoff
+	b.timeoutAt, b.failures, b.pushedBackoff = now+baselineSilenceTimeout, 0, baselinePushedInitialBackoff
 	return nil
 }
 
@@ -46,12 +46,12 @@
 	b.timeoutAt = never
 	if b.pushed {
 		b.nextCallAt = now + b.pushedBackoff
-		b.pushedBackoff = min(2*b.pushedBackoff, baselinePushedMax)
+		b.pushedBackoff = min(2*b.pushedBackoff, baselinePushedMaxBackoff)
 		return nil
 	}
 	b.failures++
-	d := min(baselineBackoff<<min(b.failures-1, 10), baselineMax)
-	b.nextCallAt = now + time.Duration(float64(d)*(0.5+b.rng.Float64()))
+	wait := min(baselineInitialBackoff<<min(b.failures-1, 10), baselineMaxBackoff)
+	b.nextCallAt = now + time.Duration(float64(wait)*(0.5+b.rng.Float64()))
 	return nil
 }
 
--- a/internal/discovery/staleness/call.go
+++ b/internal/discovery/staleness/call.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// CallID identifies a call of one Machine. IDs count up from 1.
+// CallID identifies a call of one Machine. The first call has ID 1, and each further call the next number.
 type CallID uint64
 
-// ActionKind says what the driver does for an Action.
+// ActionKind is what the driver does for an Action.
 type ActionKind int
 
-// The kinds of an Action.
+// The kinds of actions.
 const (
 	OpenCall  ActionKind = iota // open a call
-	CloseCall                   // close it; what it delivers from now on is ignored
+	CloseCall                   // close a call; messages that it delivers from now on are ignored
 )
 
 // Request is what a call asks the discovery service for.
 type Request int
 
-// The requests.
+// The requests of list calls.
 const (
 	WatchChanges Request = iota // a stream of changes since the known version
-	FetchList                   // the whole list; the call is over with the answer
+	FetchList                   // the complete list; the answer ends the call
 )
 
 func (r Request) String() string {
@@ -33,11 +33,11 @@
 	return "watch"
 }
 
-// Action is a step that the driver carries out.
+// Action is an operation on a call that the driver carries out.
 type Action struct {
 	Kind    ActionKind
 	Call    CallID
-	Request Request // of OpenCall
+	Request Request // set for OpenCall only
 }
 
 // call is a call that has not ended. All times are on the driver's clock.
@@ -45,15 +45,15 @@
 	id        CallID
 	request   Request
 	openedAt  time.Duration
-	connected bool // a watch that has delivered its first byte
+	connected bool // the call is a watch that has delivered its first message
 
 	firstByteTimeout time.Duration // from openedAt to the first byte
-	lastActive       time.Duration // when it last delivered something
+	lastActive       time.Duration // when the call last delivered a message
 	silenceSpread    time.Duration // added to silenceTimeout
 	closeAt          time.Duration // of a superseded call: when it is closed at the latest
 }
 
-// timeoutAt returns when the call counts as timed out if it delivers nothing more.
+// timeoutAt returns when the call times out if it delivers no further message.
 func (c *call) timeoutAt() time.Duration {
 	if c.connected {
 		return c.lastActive + silenceTimeout + c.silenceSpread
@@ -61,7 +61,7 @@
 	return c.openedAt + c.firstByteTimeout
 }
 
-// healthy reports whether the call is a watch that delivers and is not silent for too long.
+// healthy reports whether the call is a connected watch whose last message is not too long ago.
 func (c *call) healthy(now time.Duration) bool {
 	return c.connected && now < c.timeoutAt()
 }
@@ -79,12 +79,12 @@
 	return slices.ContainsFunc(s, func(c call) bool { return c.healthy(now) })
 }
 
-// remove forgets a call that has ended by itself.
+// remove drops call i, which has ended by itself.
 func (s *callSet) remove(i int) {
 	*s = slices.Delete(*s, i, i+1)
 }
 
-// close forgets a call and returns the action that closes it.
+// close drops call i and returns the action that closes it.
 func (s *callSet) close(i int) Action {
 	id := (*s)[i].id
 	s.remove(i)
--- a/internal/discovery/staleness/deadline_test.go
+++ b/internal/discovery/staleness/deadline_test.go
@@ -11,46 +11,46 @@
 )
 
 const (
-	worldEnd       = 160 * second
-	latestNotice   = grace - 50*ms // after the deadline: what is left is for the sockets
-	baselineMisses = 3             // cases at least in which the baseline misses the deadline
+	worldEnd          = 160 * second
+	maxNoticeDelay    = drainGrace - 50*ms // after the deadline; the remaining 50 ms are for the network
+	minBaselineMisses = 3                  // the baseline policy must miss the deadline in at least this many cases
 )
 
-// faultCases are lists with the faults that the protocol names. Changes are made so often that each moment of a fault is tried.
+// faultCases are the faults that the protocol names. The list changes so often that changes fall into every phase of a fault.
 var faultCases = []struct {
 	name   string
 	pushed bool
 	faults []fault
 }{
 	{"a watch falls silent", false, []fault{{7 * second, silentFault, 0}}},
-	{"a call falls silent before its first byte", false, []fault{{0, lateFault, second}, {500 * ms, silentFault, 0}}},
-	{"silent, and the next call is late", false, []fault{{7 * second, silentFault, 0}, {8 * second, lateFault, 900 * ms}}},
-	{"silent, and the next call falls silent too", false, []fault{{7 * second, silentFault, 0}, {8 * second, lateFault, 900 * ms}, {10 * second, silentFault, 0}}},
+	{"a call falls silent before its first byte", false, []fault{{0, slowFault, second}, {500 * ms, silentFault, 0}}},
+	{"silent, and the next call is late", false, []fault{{7 * second, silentFault, 0}, {8 * second, slowFault, 900 * ms}}},
+	{"silent, and the next call falls silent too", false, []fault{{7 * second, silentFault, 0}, {8 * second, slowFault, 900 * ms}, {10 * second, silentFault, 0}}},
 	{"silent, and calls are refused", false, []fault{{7 * second, silentFault, 0}, {9 * second, refuseFault, 3 * second}}},
-	{"refused, then silent before the first byte", false, []fault{{0, refuseFault, 10 * ms}, {20 * ms, lateFault, second}, {1600 * ms, silentFault, 0}}},
+	{"refused, then silent before the first byte", false, []fault{{0, refuseFault, 10 * ms}, {20 * ms, slowFault, second}, {1600 * ms, silentFault, 0}}},
 	{"reset", false, []fault{{7 * second, resetFault, 0}}},
 	{"reset, and calls are refused", false, []fault{{7 * second, resetFault, 0}, {7 * second, refuseFault, 3 * second}}},
 	{"down", false, []fault{{7 * second, downFault, 8 * second}}},
 	{"down for long", false, []fault{{7 * second, downFault, 2 * time.Minute}}},
-	{"down, and calls at its return are late", false, []fault{{7 * second, downFault, 33 * second}, {40 * second, lateFault, second}}},
-	{"cut off", false, []fault{{7 * second, cutFault, 20 * second}, {27 * second, lateFault, second}}},
-	{"down, then refused", false, []fault{{7 * second, downFault, 5 * second}, {12 * second, refuseFault, 20 * second}, {32 * second, lateFault, second}}},
+	{"down, and calls at its return are late", false, []fault{{7 * second, downFault, 33 * second}, {40 * second, slowFault, second}}},
+	{"network partition", false, []fault{{7 * second, partitionFault, 20 * second}, {27 * second, slowFault, second}}},
+	{"down, then refused", false, []fault{{7 * second, downFault, 5 * second}, {12 * second, refuseFault, 20 * second}, {32 * second, slowFault, second}}},
 	{"pushed: a watch falls silent", true, []fault{{7 * second, silentFault, 0}}},
 	{"pushed: silent twice", true, []fault{{7 * second, silentFault, 0}, {9600 * ms, silentFault, 0}}},
 	{"pushed: reset", true, []fault{{7 * second, resetFault, 0}}},
 	{"pushed: reset again and again", true, []fault{{7 * second, resetFault, 0}, {7020 * ms, resetFault, 0}, {7100 * ms, resetFault, 0}, {7300 * ms, resetFault, 0}}},
-	{"pushed: the agent is gone for a while", true, []fault{{7 * second, refuseFault, 3100 * ms}}},
+	{"pushed: the agent is down for 3.1 s", true, []fault{{7 * second, refuseFault, 3100 * ms}}},
 	{"pushed: down", true, []fault{{7 * second, downFault, 8 * second}}},
 	{"pushed: down, then reset", true, []fault{{7 * second, downFault, 20 * second}, {27050 * ms, resetFault, 0}}},
 }
 
-// No change is noticed later than its deadline, whatever befalls the list. The baseline policy misses some of the deadlines, so that
-// the check is known to be able to fail.
+// TestChangesMeetDeadline checks that no fault delays the notice of a change beyond its deadline. The baseline policy must miss some of
+// the deadlines, which shows that the check can fail.
 func TestChangesMeetDeadline(t *testing.T) {
 	var missed atomic.Int32
 	t.Cleanup(func() {
-		if n := missed.Load(); n < baselineMisses {
-			t.Errorf("the baseline policy misses the deadline in %d cases, at least %d are expected", n, baselineMisses)
+		if n := missed.Load(); n < minBaselineMisses {
+			t.Errorf("the baseline policy misses the deadline in %d cases, want at least %d", n, minBaselineMisses)
 		}
 	})
 	for _, c := range faultCases {
@@ -67,18 +67,18 @@
 					worst[name] = max(worst[name], w.worst)
 				}
 			}
-			t.Logf("latest notice %v after the deadline; with the baseline policy %v", worst["machine"], worst["baseline"])
-			if worst["machine"] > latestNotice {
-				t.Errorf("a change is noticed %v after its deadline", worst["machine"])
+			t.Logf("latest change noticed %v after its deadline; with the baseline policy %v", worst["machine"], worst["baseline"])
+			if worst["machine"] > maxNoticeDelay {
+				t.Errorf("a change was noticed %v after its deadline, later than allowed", worst["machine"])
 			}
-			if worst["baseline"] > grace {
+			if worst["baseline"] > drainGrace {
 				missed.Add(1)
 			}
 		})
 	}
 }
 
-// The backoffs of a pushed list follow the settings' DrainGrace where that is less than usual.
+// TestPushedListKeepsShortGrace guards against backoffs of a pushed list that are longer than a short DrainGrace.
 func TestPushedListKeepsShortGrace(t *testing.T) {
 	for _, grace := range []time.Duration{80 * ms, 120 * ms, 200 * ms, 400 * ms} {
 		worst := time.Duration(0)
@@ -92,26 +92,26 @@
 			}
 		}
 		if worst > grace {
-			t.Errorf("with a grace of %v a change is noticed after %v", grace, worst)
+			t.Errorf("with a drain grace of %v a change was noticed %v after its deadline", grace, worst)
 		}
 	}
 }
 
-// The same in random orders of faults. A list can't be had where all calls fail until the deadline, so that there is no more than one
-// silence or one outage at a time, with calls late by up to 1 s.
+// TestChangesMeetDeadlineInRandomFaultOrders checks the deadline under random sequences of faults. No policy can fetch a list while all
+// calls fail until the deadline, so there is at most one silence or one outage at a time, and calls are delayed by 1 s at most.
 func TestChangesMeetDeadlineInRandomFaultOrders(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		pushed := rapid.Bool().Draw(t, "pushed")
 		faults := drawFaults(t)
-		if pushed { // the agent is local, and answers at once
-			faults = slices.DeleteFunc(faults, func(f fault) bool { return f.kind == lateFault || f.kind == cutFault })
+		if pushed { // the agent is local and answers at once
+			faults = slices.DeleteFunc(faults, func(f fault) bool { return f.kind == slowFault || f.kind == partitionFault })
 		}
 		w := &world{policy: New(Options{Pushed: pushed, FleetSize: rapid.IntRange(1, 400).Draw(t, "sidecars")}, newRand(rapid.Uint64().Draw(t, "seed"))),
 			pushed: pushed, faults: faults, changes: changesEvery(151*ms, worldEnd-40*second)}
 		w.run(worldEnd)
-		if w.worst > latestNotice {
-			t.Fatalf("a change is noticed %v after its deadline: %v", w.worst, faults)
+		if w.worst > maxNoticeDelay {
+			t.Fatalf("a change was noticed %v after its deadline, later than allowed; faults: %v", w.worst, faults)
 		}
 	})
 }
@@ -120,33 +120,34 @@
 	var faults []fault
 	for at := second; at < 100*second; {
 		at += time.Duration(rapid.IntRange(0, 12000).Draw(t, "after")) * ms
-		kind := rapid.SampledFrom([]string{"silent", "reset", "down", "late silent", "refused", "cut"}).Draw(t, "fault")
+		kind := rapid.SampledFrom([]string{"silent", "reset", "down", "slow then silent", "refused", "partition"}).Draw(t, "fault")
 		length := time.Duration(rapid.IntRange(1, 1000).Draw(t, "ms")) * ms
 		switch kind {
 		case "silent":
 			faults = append(faults, fault{at, silentFault, 0})
-			at += missedAt
+			at += missedChangeDeadline
 		case "reset":
 			faults = append(faults, fault{at, resetFault, 0})
-			at += missedAt
-		case "late silent":
-			faults = append(faults, fault{at, lateFault, length}, fault{at + length, silentFault, 0})
-			at += missedAt + length
+			at += missedChangeDeadline
+		case "slow then silent":
+			faults = append(faults, fault{at, slowFault, length}, fault{at + length, silentFault, 0})
+			at += missedChangeDeadline + length
 		case "refused":
 			faults = append(faults, fault{at, silentFault, 0}, fault{at, refuseFault, 3 * length})
-			at += missedAt
+			at += missedChangeDeadline
 		case "down":
 			faults = append(faults, fault{at, downFault, 10 * length})
-			at += 10*length + missedAt
-		case "cut":
-			faults = append(faults, fault{at, cutFault, 10 * length})
-			at += 10*length + missedAt
+			at += 10*length + missedChangeDeadline
+		case "partition":
+			faults = append(faults, fault{at, partitionFault, 10 * length})
+			at += 10*length + missedChangeDeadline
 		}
 	}
 	return faults
 }
 
-// There is one call as long as all is well, few while discovery is down, and no more than maxOpenCalls at a time.
+// TestCallRateIsBounded guards against sidecars that flood discovery with calls: one call is opened while there is no fault, few calls are
+// opened while discovery is down, and at most maxOpenCalls are open at a time.
 func TestCallRateIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
@@ -154,15 +155,15 @@
 		faults                  []fault
 		maxOpened, maxPerSecond int
 	}{
-		{"all is well", false, nil, 1, 1},
-		{"pushed, all is well", true, nil, 1, 1},
+		{"no fault", false, nil, 1, 1},
+		{"pushed, no fault", true, nil, 1, 1},
 		{"a watch falls silent", false, []fault{{7 * second, silentFault, 0}}, 2, 1},
 		{"reset", false, []fault{{7 * second, resetFault, 0}}, 2, 1},
 		{"silent, and calls are refused", false, []fault{{7 * second, silentFault, 0}, {9 * second, refuseFault, 3 * second}}, 12, 6},
 		{"silent, and calls are refused for long", false, []fault{{7 * second, silentFault, 0}, {9 * second, refuseFault, 2 * time.Minute}}, 70, 6},
 		{"down for two minutes", false, []fault{{7 * second, downFault, 2 * time.Minute}}, 66, 2},
-		{"cut off for two minutes", false, []fault{{7 * second, cutFault, 2 * time.Minute}}, 66, 2},
-		{"first answers take 1 s", false, []fault{{0, lateFault, second}}, 1, 1},
+		{"network partition for two minutes", false, []fault{{7 * second, partitionFault, 2 * time.Minute}}, 66, 2},
+		{"first answers take 1 s", false, []fault{{0, slowFault, second}}, 1, 1},
 		{"pushed, down for two minutes", true, []fault{{7 * second, downFault, 2 * time.Minute}}, 260, 4},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -170,14 +171,15 @@
 				w := &world{policy: New(Options{Pushed: c.pushed, FleetSize: 300}, newRand(seed)), pushed: c.pushed, faults: c.faults}
 				w.run(worldEnd)
 				if w.opened > c.maxOpened || w.maxPerSecond > c.maxPerSecond || len(w.calls) > maxOpenCalls {
-					t.Fatalf("%d calls, %d in a second, %d open; at most %d and %d are wanted", w.opened, w.maxPerSecond, len(w.calls), c.maxOpened, c.maxPerSecond)
+					t.Fatalf("%d calls opened, %d of them in one second, %d open now; want at most %d opened and %d in one second", w.opened, w.maxPerSecond, len(w.calls), c.maxOpened, c.maxPerSecond)
 				}
 			}
 		})
 	}
 }
 
-// A small fleet calls soon after its watches ended, and a large one spreads its calls.
+// TestFirstBackoffAfterWatchEnds checks that a small fleet opens its calls soon after its watches ended, and that a large fleet spreads
+// its calls.
 func TestFirstBackoffAfterWatchEnds(t *testing.T) {
 	for sidecars, longest := range map[int]time.Duration{0: 600 * ms, 1: 600 * ms, 6: 600 * ms, 50: 600 * ms, 100: 750 * ms, 300: 2250 * ms} {
 		for seed := range uint64(100) {
@@ -186,13 +188,13 @@
 			m.CallActive(10*ms, 1)
 			m.CallEnded(second, 1)
 			if wait := m.Next() - second; wait > longest || wait < longest/3 {
-				t.Errorf("%d sidecars: the next call %v after the end, at most %v is wanted", sidecars, wait, longest)
+				t.Errorf("%d sidecars: the next call is opened %v after the watch ended, want at most %v and at least a third of that", sidecars, wait, longest)
 			}
 		}
 	}
 }
 
-// Deadline and Connected follow the calls.
+// TestDeadlineAndConnected checks that Deadline and Connected follow the events of the calls.
 func TestDeadlineAndConnected(t *testing.T) {
 	m := New(Options{MaxPollAge: 3 * second}, newRand(1))
 	m.Start(0)
@@ -207,8 +209,8 @@
 		{"silent at 3.5 s", func() { m.Tick(3500 * ms) }, 7 * second, false},
 		{"the next call fails", func() { m.CallEnded(4*second, 2) }, 7 * second, false},
 		{"the silent watch delivers", func() { m.CallActive(5*second, 1) }, 11 * second, true},
-		{"it ends", func() { m.CallEnded(6*second, 1) }, 11 * second, false},
-		{"another address", func() { m.Redirect(6100 * ms) }, 10100 * ms, false},
+		{"the watch ends", func() { m.CallEnded(6*second, 1) }, 11 * second, false},
+		{"redirect", func() { m.Redirect(6100 * ms) }, 10100 * ms, false},
 	}
 	for _, s := range steps {
 		s.do()
@@ -217,10 +219,10 @@
 			t.Errorf("%s: deadline %v, want %v", s.name, m.Deadline(), s.deadline)
 		}
 		if got := m.Connected(max(now, s.deadline-notificationDeadline+silenceTimeout-ms)); s.connected && !got {
-			t.Errorf("%s: not connected", s.name)
+			t.Errorf("%s: Connected() = false, want true", s.name)
 		}
 	}
 	if got := fmt.Sprint(m.CallActive(7*second, 1)); got != "[]" || m.Accepts(1) {
-		t.Errorf("a call that ended is accepted: %v", got)
+		t.Errorf("a message of a call that ended is accepted, or causes actions: %v", got)
 	}
 }
--- a/internal/discovery/staleness/doc.go
+++ b/internal/discovery/staleness/doc.go
@@ -1,15 +1,15 @@
 // Package staleness schedules the list calls to a discovery service, so that no change of an endpoint list is noticed later than its
 // notification deadline.
 //
-// It decides when a call is opened, when it is closed, when the next one follows a failure, and from when on the list counts as stale.
-// It is driven by discovery.Watcher, which reports what happened to each call and carries out the returned actions. The only state is
-// the Machine: the open calls, the deadline and a few counters. The package has no I/O, no clock and no goroutine, and imports the
-// standard library alone.
+// A Machine decides when a call is opened and closed, how long to wait after a failed call, and from when on the list counts as stale.
+// discovery.Watcher drives it: it reports what happened to each call and carries out the returned actions. The Machine holds all of
+// the state: the open calls, the deadline and a few counters. The package has no I/O, no clock and no goroutine, and imports only the
+// standard library.
 //
 // # Calls
 //
-// A call is either a poll (FetchList: the whole list, then the call is over) or a watch (WatchChanges: a stream of changes, with a
-// heartbeat where there are none). The list is current as long as a watch delivers. The states of a call:
+// A call is either a poll (FetchList: the answer is the complete list and ends the call) or a watch (WatchChanges: a stream of changes,
+// with heartbeats while nothing changes). The list is current as long as a watch delivers messages. The states of a call:
 //
 //	            first message (watch)
 //	waiting --------------------------> connected --+
@@ -22,19 +22,20 @@
 //	  v  v
 //	ended: the answer to a poll, an error, the end of the stream, or CloseCall
 //
-// Only complete messages count: the first byte timeout runs until the first one, and part of a message is no sign of life.
+// Only complete messages count: the first byte timeout runs until the first complete message, and part of a message does not show
+// that the call is alive.
 //
-// A call that timed out stays open beside its successor, since it may still wait for its turn at a server that works through its calls
-// one after another. It is closed once a newer call has delivered.
+// A call that timed out stays open beside its successor, since it may still be queued at a server that handles its calls one after
+// another. It is closed once a newer call has delivered a message.
 //
 // # Deadline
 //
-// A call that ends or times out leaves it open whether a change was missed. From then on there is one deadline, Machine.Deadline, at
-// which a missed change counts as notified. All timeouts and backoffs are derived from the time that remains until then; the
-// constants and the sums behind them are in timing.go, the formulas in schedule.go.
+// When a call ends or times out, a change may have been missed. The platform counts such a change as notified at one deadline,
+// Machine.Deadline. All timeouts and backoffs are derived from the time that remains until the deadline: timing.go has the constants
+// and their sums, schedule.go the formulas.
 //
-// # Another address
+// # Redirects
 //
-// After Redirect nothing is known of the versions at the new address: the whole list is fetched first, then watched. The calls to
-// earlier addresses are superseded, and go on until the watch at the new address delivers; see redirect.go.
+// After Redirect the list's version at the new address is unknown: the complete list is fetched first, then watched. The calls to
+// earlier addresses are superseded, and stay open until the watch at the new address delivers a message; see redirect.go.
 package staleness
--- a/internal/discovery/staleness/fleet_queue_test.go
+++ b/internal/discovery/staleness/fleet_queue_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestLongQueueAfterWatchReset guards against a fleet that spends the server's time on calls which are given up: the server resets all
-// watches, lets a call queue for 3 s, and needs 8 to 12 s for a call of each sidecar. What changes once it had that time is noticed by all
-// within the deadline.
+// TestLongQueueAfterWatchReset guards against a fleet that spends the server's time on calls which the sidecars then close. The server
+// resets all watches, lets a call queue for 3 s, and needs 8 to 12 s to answer one call of each sidecar. All sidecars must notice a
+// change after that time within the deadline.
 func TestLongQueueAfterWatchReset(t *testing.T) {
 	const (
 		runs    = 100
@@ -22,22 +22,22 @@
 		{32, 380 * ms},
 		{12, 700 * ms},
 	} {
-		late, worst, calls := 0, time.Duration(0), 0
+		lateRuns, worst, calls := 0, time.Duration(0), 0
 		for seed := range uint64(runs) {
 			scenario := fleetScenario{sidecars: load.sidecars, serviceTime: load.serviceTime, queueLimit: 3 * second,
 				outageBegins: resetAt, outageEnds: resetAt + ms, changedAt: 11800 * ms}
-			f := playFleet(scenario, seed, end)
+			f := simulateFleet(scenario, seed, end)
 			latest := f.latestNotice(end)
-			if latest > notificationDeadline+latestNotice {
-				late++
+			if latest > notificationDeadline+maxNoticeDelay {
+				lateRuns++
 			}
 			worst = max(worst, latest)
 			calls += f.opened()
 		}
-		t.Logf("%d sidecars, %v a call: %d of %d runs late, noticed after %v at worst, %.1f calls a sidecar", load.sidecars, load.serviceTime,
-			late, runs, worst, float64(calls)/runs/float64(load.sidecars))
-		if late > 0 {
-			t.Errorf("%d sidecars, %v a call: one misses the deadline in %d of %d runs", load.sidecars, load.serviceTime, late, runs)
+		t.Logf("%d sidecars, %v service time per call: %d of %d runs late, change noticed after %v at most, %.1f calls per sidecar", load.sidecars, load.serviceTime,
+			lateRuns, runs, worst, float64(calls)/runs/float64(load.sidecars))
+		if lateRuns > 0 {
+			t.Errorf("%d sidecars, %v service time per call: a sidecar misses the notification deadline in %d of %d runs, want 0", load.sidecars, load.serviceTime, lateRuns, runs)
 		}
 	}
 }
--- a/internal/discovery/staleness/fleet_test.go
+++ b/internal/discovery/staleness/fleet_test.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// fleetScenario is what happens to a fleet of Machines that share one discovery.
+// fleetScenario describes a fleet of Machines that share one discovery service, and what happens to the fleet.
 type fleetScenario struct {
 	sidecars     int
-	serviceTime  time.Duration // of discovery, for a call
+	serviceTime  time.Duration // that discovery needs for a call
 	queueLimit   time.Duration // the longest that a call may queue
 	outageBegins time.Duration
 	outageEnds   time.Duration
 	changedAt    time.Duration     // when the list changes
-	redirects    [][]time.Duration // of each sidecar
-	lossRate     float64           // of answers, and of watch events, in whose place the call ends
+	redirects    [][]time.Duration // when each sidecar is redirected
+	lossRate     float64           // fraction of answers and watch events that are lost; the call ends instead
 }
 
 type fleetEvent struct {
 	at    time.Duration
-	order int // of scheduling, where times are equal
+	order int // order in which events were scheduled; decides between equal times
 	run   func()
 }
 
@@ -44,42 +44,43 @@
 
 type fleetCall struct {
 	request  Request
-	watching bool // it was answered, and waits for changes
+	watching bool // the call was answered, and receives changes
 }
 
 type fleetSidecar struct {
 	machine   *Machine
 	calls     map[CallID]*fleetCall
-	noticedAt time.Duration // when it first had the change; -1: it does not
-	timer     int           // number of the timer that is set
-	opened    int           // calls
+	noticedAt time.Duration // when the sidecar first had the change; -1: not yet
+	timer     int           // number of the current timer; earlier timers are ignored
+	opened    int           // number of calls opened
 }
 
-// openCalls returns its calls in the order in which they were opened.
+// openCalls returns the sidecar's calls in the order in which they were opened.
 func (s *fleetSidecar) openCalls() []CallID {
 	return slices.Sorted(maps.Keys(s.calls))
 }
 
-// fleet is a number of sidecars and their discovery in virtual time. Discovery serves calls one after another and rejects a call at once
-// that would queue for too long. A call that the sidecar has closed keeps its place in the queue. An address that was replaced ends its
-// calls some time after the redirect.
+// fleet simulates sidecars and their discovery service in virtual time. Discovery serves calls one after another and rejects a call at
+// once that would queue for too long. A call that the sidecar has closed keeps its place in the queue. After a redirect the old address
+// ends its calls with a delay.
 type fleet struct {
 	scenario fleetScenario
 	rng      *rand.Rand
 	now      time.Duration
 	events   fleetEvents
 	order    int
-	idleAt   time.Duration // when discovery has worked through its queue
+	idleAt   time.Duration // when discovery's queue is empty
 	sidecars []*fleetSidecar
 }
 
 const (
-	fleetOneWayDelay    = 3 * ms // between a sidecar and discovery
-	fleetStartInterval  = ms
-	fleetRedirectedLife = 1500 * ms // from a redirect until the address before ends its calls
+	fleetOneWayDelay        = 3 * ms // between a sidecar and discovery
+	fleetStartInterval      = ms
+	fleetOldAddressLifetime = 1500 * ms // from a redirect until the old address ends its calls
 )
 
-func playFleet(scenario fleetScenario, seed uint64, until time.Duration) *fleet {
+// simulateFleet runs a scenario until a time and returns the fleet as it is then.
+func simulateFleet(scenario fleetScenario, seed uint64, until time.Duration) *fleet {
 	f := &fleet{scenario: scenario, rng: rand.New(rand.NewPCG(seed, 7))}
 	for i := range scenario.sidecars {
 		s := &fleetSidecar{machine: New(Options{FleetSize: scenario.sidecars}, newRand(seed*1000+uint64(i))), calls: map[CallID]*fleetCall{}, noticedAt: -1}
@@ -110,7 +111,7 @@
 	return f.now >= f.scenario.outageBegins && f.now < f.scenario.outageEnds
 }
 
-// carryOut does what a sidecar's machine wants, and sets its timer.
+// carryOut executes the actions of a sidecar's machine, and sets its timer.
 func (f *fleet) carryOut(s *fleetSidecar, actions []Action) {
 	for _, a := range actions {
 		if a.Kind == CloseCall {
@@ -133,7 +134,7 @@
 	}
 }
 
-// enqueue puts a call into discovery's queue.
+// enqueue sends a call to discovery, which queues or rejects it.
 func (f *fleet) enqueue(s *fleetSidecar, id CallID, call *fleetCall) {
 	f.schedule(f.now+fleetOneWayDelay, func() {
 		servedAt := max(f.idleAt, f.now)
@@ -154,7 +155,7 @@
 		f.end(s, id)
 		return
 	}
-	f.notice(s)
+	f.recordNotice(s)
 	if call.request == FetchList {
 		delete(s.calls, id)
 		f.carryOut(s, s.machine.CallActive(f.now, id))
@@ -165,8 +166,8 @@
 	f.scheduleHeartbeat(s, id, call)
 }
 
-// notice notes that a sidecar has the list as it is now.
-func (f *fleet) notice(s *fleetSidecar) {
+// recordNotice records that a sidecar has received the current list.
+func (f *fleet) recordNotice(s *fleetSidecar) {
 	if f.now >= f.scenario.changedAt && s.noticedAt < 0 {
 		s.noticedAt = f.now
 	}
@@ -181,7 +182,7 @@
 	})
 }
 
-// notifyWatches writes the change to the watches that there are; some end in place of it.
+// notifyWatches sends the change to all watches; a lost change ends its watch instead.
 func (f *fleet) notifyWatches() {
 	for _, s := range f.sidecars {
 		for _, id := range s.openCalls() {
@@ -192,7 +193,7 @@
 				f.end(s, id)
 				continue
 			}
-			f.notice(s)
+			f.recordNotice(s)
 			f.carryOut(s, s.machine.CallActive(f.now, id))
 		}
 	}
@@ -215,12 +216,12 @@
 
 func (f *fleet) redirect(s *fleetSidecar) {
 	for _, id := range s.openCalls() {
-		f.schedule(f.now+fleetRedirectedLife, func() { f.end(s, id) })
+		f.schedule(f.now+fleetOldAddressLifetime, func() { f.end(s, id) })
 	}
 	f.carryOut(s, s.machine.Redirect(f.now))
 }
 
-// latestNotice returns how long after the change the last sidecar had it.
+// latestNotice returns how long after the change the last sidecar noticed it. A sidecar that has not noticed it counts as until.
 func (f *fleet) latestNotice(until time.Duration) time.Duration {
 	latest := time.Duration(0)
 	for _, s := range f.sidecars {
@@ -252,39 +253,39 @@
 	return all
 }
 
-// Sidecars with a current list leave discovery's queue to those without: discovery was down, serves the calls of the whole fleet in some
-// time from then on, and rejects what would queue for longer than 1 s. The list changes, each sidecar is redirected four times, and one
-// answer in seven is lost.
+// TestCrowdedFleetMeetsDeadline guards against sidecars with a current list that take places in discovery's queue from sidecars without
+// one. Discovery was down, then needs 1.5 or 2 s to answer one call of each sidecar, and rejects calls that would queue for longer than
+// 1 s. The list changes, each sidecar is redirected four times, and one answer in seven is lost.
 func TestCrowdedFleetMeetsDeadline(t *testing.T) {
 	const (
 		runs = 200
 		end  = 60 * second
 	)
 	for _, load := range []struct {
-		callOfEach time.Duration // discovery's service time for a call of each sidecar
-		maxLate    int
+		fleetServiceTime time.Duration // that discovery needs for one call of each sidecar
+		maxLate          int
 	}{
 		{1500 * ms, 0},
-		{2 * second, runs / 100}, // two answers in a row are lost
+		{2 * second, runs / 100}, // where two consecutive answers are lost
 	} {
 		for _, sidecars := range []int{6, 12, 30, 80} {
-			late, worst, calls := 0, time.Duration(0), 0
+			lateRuns, worst, calls := 0, time.Duration(0), 0
 			for seed := range uint64(runs) {
-				scenario := fleetScenario{sidecars: sidecars, serviceTime: load.callOfEach / time.Duration(sidecars), queueLimit: second,
+				scenario := fleetScenario{sidecars: sidecars, serviceTime: load.fleetServiceTime / time.Duration(sidecars), queueLimit: second,
 					outageBegins: 10 * second, outageEnds: 23 * second, changedAt: 26800 * ms, lossRate: 0.15,
 					redirects: redirectsInSeries(sidecars, 26400*ms, 2400*ms/time.Duration(sidecars))}
-				f := playFleet(scenario, seed, end)
+				f := simulateFleet(scenario, seed, end)
 				latest := f.latestNotice(end)
-				if latest > notificationDeadline+latestNotice {
-					late++
+				if latest > notificationDeadline+maxNoticeDelay {
+					lateRuns++
 				}
 				worst = max(worst, latest)
 				calls += f.opened()
 			}
-			t.Logf("%d sidecars, %v for a call of each: %d of %d runs late, noticed after %v at worst, %.1f calls a sidecar", sidecars, load.callOfEach,
-				late, runs, worst, float64(calls)/runs/float64(sidecars))
-			if late > load.maxLate {
-				t.Errorf("%d sidecars, %v for a call of each: one misses the deadline in %d of %d runs", sidecars, load.callOfEach, late, runs)
+			t.Logf("%d sidecars, %v for one call of each: %d of %d runs late, change noticed after %v at most, %.1f calls per sidecar", sidecars, load.fleetServiceTime,
+				lateRuns, runs, worst, float64(calls)/runs/float64(sidecars))
+			if lateRuns > load.maxLate {
+				t.Errorf("%d sidecars, %v for one call of each: a sidecar misses the notification deadline in %d of %d runs, which is too many", sidecars, load.fleetServiceTime, lateRuns, runs)
 			}
 		}
 	}
--- a/internal/discovery/staleness/machine.go
+++ b/internal/discovery/staleness/machine.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// never is a time that does not come.
+// never is later than any time on the driver's clock.
 const never = time.Duration(1<<63 - 1)
 
 // Machine schedules the calls for one list. It is not safe for concurrent use. All times are on one monotonic clock of the driver.
 //
-// At most maxOpenCalls calls are open at the present address, and maxSupersededCalls at earlier ones.
+// At most maxOpenCalls calls are open at the current address, and maxSupersededCalls at earlier addresses.
 type Machine struct {
 	options Options
 	rng     *rand.Rand
 	started bool
 
-	calls        callSet // to the present address
+	calls        callSet // to the current address
 	superseded   callSet // to earlier addresses; see Redirect
 	lastID       CallID
 	lastOpenedAt time.Duration
-	nextCallAt   time.Duration // no call is opened before; 0: no backoff runs
-	needList     bool          // the next call fetches the list: nothing is known of the present address
-	watchDelayed bool          // the list was fetched, and the watch behind it waits for nextCallAt
+	nextCallAt   time.Duration // no call is opened before this time; 0: no backoff applies
+	needList     bool          // the next call fetches the list: the version at the current address is unknown
+	watchDelayed bool          // the list was fetched, and the watch that follows is opened at nextCallAt
 
-	everCurrent   bool          // a call has delivered since the start
+	everCurrent   bool          // a call has delivered a message since the start
 	currentAt     time.Duration // when the list was last known to be current
-	deadline      time.Duration // from when on the list counts as stale
-	mayHaveMissed bool          // deadline is that of a change which may have been missed
+	deadline      time.Duration // when the list becomes stale
+	mayHaveMissed bool          // a change may have been missed, and deadline is its notification deadline
 
-	consecutiveFailures int // calls that ended since one delivered
+	consecutiveFailures int // calls that ended since a call last delivered a message
 	consecutiveTimeouts int // calls in a row that were replaced before their first byte
 
-	redirects    int // in the present series
-	redirectedAt time.Duration
+	redirects      int // in the current series
+	lastRedirectAt time.Duration
 }
 
-// New returns a Machine that has not started. It draws the jitter from rng.
+// New returns a Machine that has not started. The jitter comes from rng.
 func New(o Options, rng *rand.Rand) *Machine {
 	return &Machine{options: o, rng: rng, deadline: never}
 }
@@ -49,7 +49,7 @@
 	return m.openCall(now)
 }
 
-// CallActive reports that a call delivered something: the list, a change, or a heartbeat. Part of a message does not count.
+// CallActive reports that a call delivered a complete message: the list, a change, or a heartbeat.
 func (m *Machine) CallActive(now time.Duration, id CallID) []Action {
 	if i := m.superseded.find(id); i >= 0 {
 		m.supersededActive(now, i)
@@ -69,26 +69,27 @@
 	c.connected, c.lastActive = true, now
 	m.markCurrent(now)
 	actions := m.superseded.closeAll()
-	return append(actions, m.calls.closeOldest(i)...) // the older calls have nothing that this one lacks
+	return append(actions, m.calls.closeOldest(i)...) // the older calls cannot deliver anything that this call lacks
 }
 
-// listFetched takes the answer to call i, which is over with it, and opens the watch that follows.
+// listFetched handles the answer to poll i, which ends the call, and opens the watch that follows, or delays it where the server is
+// overloaded.
 func (m *Machine) listFetched(now time.Duration, i int) []Action {
 	fetchDuration := now - m.calls[i].openedAt
-	crowded := m.consecutiveFailures > 0 || fetchDuration > crowdedLatency
+	overloaded := m.consecutiveFailures > 0 || fetchDuration > overloadLatency
 	m.calls.remove(i)
 	m.markCurrent(now)
 	m.needList = false
 	actions := m.calls.closeAll()
 	delay := watchDelay(fetchDuration)
-	if crowded && !m.options.Pushed && delay > 0 {
+	if overloaded && !m.options.Pushed && delay > 0 {
 		m.nextCallAt, m.watchDelayed = now+m.jitter(delay), true
 		return actions
 	}
 	return append(actions, m.openCall(now)...)
 }
 
-// markCurrent notes that the list is current, which ends any backoff and moves the deadline.
+// markCurrent records that the list is current. This ends any backoff and moves the deadline.
 func (m *Machine) markCurrent(now time.Duration) {
 	m.consecutiveFailures, m.consecutiveTimeouts = 0, 0
 	m.nextCallAt = 0
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// callTimedOut sets the deadline for a change that may have been missed since a call last delivered, or was opened.
+// callTimedOut sets the deadline for a change that may have been missed since call c last delivered a message, or was opened.
 func (m *Machine) callTimedOut(now time.Duration, c *call) {
 	m.mayHaveMissed = true
 	if m.options.Pushed {
@@ -125,7 +126,7 @@
 	m.deadline = min(m.deadline, max(c.openedAt, c.lastActive)+notificationDeadline)
 }
 
-// Tick opens and closes what is due. It is to be called at Next, and may be called at any time.
+// Tick opens and closes the calls that are due. It must be called at the time that Next returns, and may be called at any other time.
 func (m *Machine) Tick(now time.Duration) []Action {
 	actions := m.closeExpired(now)
 	if len(m.calls) == 0 {
@@ -137,13 +138,13 @@
 	for now >= m.timeoutAt() {
 		youngest := len(m.calls) - 1
 		if m.calls.anyHealthy(now) && !m.calls[youngest].connected {
-			actions = append(actions, m.calls.close(youngest)) // the watch before it delivers again
+			actions = append(actions, m.calls.close(youngest)) // the earlier watch delivers messages again
 			continue
 		}
 		if !m.mayHaveMissed {
 			m.callTimedOut(now, &m.calls[youngest])
 		}
-		if now < m.nextCallAt { // a call beside this one was rejected
+		if now < m.nextCallAt { // a call opened beside this one ended, and its backoff applies
 			break
 		}
 		actions = append(actions, m.replaceTimedOut(now)...)
@@ -151,7 +152,7 @@
 	return actions
 }
 
-// replaceTimedOut opens a call beside the youngest one, which timed out. Where too many are open the oldest is closed.
+// replaceTimedOut opens a call beside the youngest one, which timed out. It closes the oldest call where maxOpenCalls are open.
 func (m *Machine) replaceTimedOut(now time.Duration) []Action {
 	if !m.calls[len(m.calls)-1].connected {
 		m.consecutiveTimeouts++
@@ -163,7 +164,7 @@
 	return append(actions, m.openCall(now)...)
 }
 
-// timeoutAt returns when the youngest call at the present address times out.
+// timeoutAt returns when the youngest call at the current address times out.
 func (m *Machine) timeoutAt() time.Duration {
 	if len(m.calls) == 0 {
 		return never
@@ -185,27 +186,27 @@
 	return min(next, m.nextExpiry())
 }
 
-// Deadline returns when a change that may have been missed counts as notified; from then on the list is stale.
+// Deadline returns when a change that may have been missed counts as notified. From then on the list is stale.
 func (m *Machine) Deadline() time.Duration { return m.deadline }
 
 // CurrentAt returns when the list was last known to be current.
 func (m *Machine) CurrentAt() time.Duration { return m.currentAt }
 
-// Failures returns how many calls have ended since one delivered.
+// Failures returns how many calls have ended since a call last delivered a message.
 func (m *Machine) Failures() int { return m.consecutiveFailures }
 
-// Connected reports whether a watch delivers, or the list was fetched and the watch behind it is still to be opened.
+// Connected reports whether a watch is healthy, or the list was fetched and the watch that follows is delayed.
 func (m *Machine) Connected(now time.Duration) bool { return m.anyHealthy(now) || m.watchDelayed }
 
-// Accepts reports whether what a call delivers is to be used.
+// Accepts reports whether messages of a call are to be used: the call is open, at the current or an earlier address.
 func (m *Machine) Accepts(id CallID) bool { return m.calls.find(id) >= 0 || m.superseded.find(id) >= 0 }
 
-// anyHealthy reports whether a watch at any address delivers.
+// anyHealthy reports whether a watch at any address is healthy.
 func (m *Machine) anyHealthy(now time.Duration) bool {
 	return m.calls.anyHealthy(now) || m.superseded.anyHealthy(now)
 }
 
-// openCall opens a call at the present address.
+// openCall opens a call at the current address: a poll if the list is needed, otherwise a watch.
 func (m *Machine) openCall(now time.Duration) []Action {
 	m.lastID++
 	m.lastOpenedAt, m.watchDelayed = now, false
--- a/internal/discovery/staleness/options.go
+++ b/internal/discovery/staleness/options.go
@@ -7,13 +7,13 @@
 
 // Options are the parameters of a Machine.
 type Options struct {
-	Pushed     bool          // the list is pushed to a local agent: calls cost nothing, and a change counts as notified when the agent has it
-	MaxPollAge time.Duration // how long a list holds after a poll, without a watch; 0: 10 s
-	FleetSize  int           // sidecars that follow the same list
-	DrainGrace time.Duration // how long requests may be sent after a change counts as notified; 0: the longest that is used, 250 ms
+	Pushed     bool          // the list is pushed to a local agent: calls are cheap, and a change counts as notified when the agent has it
+	MaxPollAge time.Duration // how long a polled list is valid without a watch; 0: 10 s
+	FleetSize  int           // number of sidecars that follow the same list
+	DrainGrace time.Duration // how long requests may be sent after a change counts as notified; 0: 250 ms, the longest that is used
 }
 
-// Describe returns the timeouts that apply to a list, for `orchiddrift check`.
+// Describe returns the timeouts that apply to a list as text, for `orchiddrift check`.
 func (o Options) Describe() string {
 	if o.Pushed {
 		return fmt.Sprintf("pushed: a watch that breaks is opened again within %v, one that is silent doubted after %v",
@@ -30,7 +30,7 @@
 	return defaultMaxPollAge
 }
 
-// grace returns the part of DrainGrace that is used for a pushed list.
+// grace returns DrainGrace for a pushed list: maxPushedGrace at most, and maxPushedGrace where DrainGrace is 0.
 func (o *Options) grace() time.Duration {
 	if o.DrainGrace > 0 {
 		return min(o.DrainGrace, maxPushedGrace)
@@ -42,7 +42,7 @@
 	return o.grace() * time.Duration(percent) / 100
 }
 
-// perSidecar returns a time for each sidecar of the fleet.
+// perSidecar returns each multiplied by the fleet size, of which maxCountedSidecars count at most.
 func (o *Options) perSidecar(each time.Duration) time.Duration {
 	return time.Duration(min(o.FleetSize, maxCountedSidecars)) * each
 }
@@ -52,7 +52,7 @@
 	return min(max(minStalePollInterval, o.perSidecar(stalePollIntervalPerSidecar)), maxBackoff)
 }
 
-// backoffLimit returns the longest backoff before its jitter: with the jitter it is within MaxPollAge.
+// backoffLimit returns the longest backoff before its jitter. With the jitter it is shorter than MaxPollAge.
 func (o *Options) backoffLimit() time.Duration {
 	return min(maxBackoff, o.maxPollAge()*maxPollAgeNumerator/maxPollAgeDenominator)
 }
--- a/internal/discovery/staleness/redirect.go
+++ b/internal/discovery/staleness/redirect.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// Redirect reports that the list is served at another address from now on. The list is fetched there at once; in a series of redirects
-// the fetch is held for a moment, so that not each of them takes a place in the server's queue.
+// Redirect reports that the list is served at another address from now on. The list is fetched there at once. In a series of redirects
+// the fetch is delayed, so that not every redirect takes a place in the server's queue.
 //
-// The calls to earlier addresses are superseded. They go on until the watch at the new address delivers, and for redirectDeadline at
-// most, so that no change falls between two addresses and no place in a server's queue is given up. What they deliver is newer than the
-// list in use until the new address has answered; after that only their withdrawals count (see Watcher).
+// The calls to earlier addresses are superseded. They stay open until the watch at the new address delivers a message, and for
+// redirectDeadline at most, so that no change is lost between two addresses and no place in a server's queue is given up. Until the new
+// address has answered, their messages are newer than the list in use. After that discovery.Watcher applies only the draining and the
+// removed endpoints in them.
 func (m *Machine) Redirect(now time.Duration) []Action {
 	if !m.started {
 		return nil
 	}
 	actions := m.supersedeCalls(now)
-	inSeries := m.redirects > 0 && now < m.redirectedAt+redirectSeriesGap
+	inSeries := m.redirects > 0 && now < m.lastRedirectAt+redirectSeriesGap
 	m.redirects++
 	if !inSeries {
 		m.redirects = 1
 	}
-	m.redirectedAt = now
+	m.lastRedirectAt = now
 	m.needList, m.watchDelayed = true, false
 	m.consecutiveFailures, m.consecutiveTimeouts = 0, 0
 	m.mayHaveMissed, m.deadline = true, min(m.deadline, now+redirectDeadline)
 	m.nextCallAt = now
 	if inSeries && !m.options.Pushed {
-		m.nextCallAt = m.redirectHold(now)
+		m.nextCallAt = m.redirectFetchAt(now)
 	}
 	if now < m.nextCallAt {
 		return actions
@@ -35,7 +36,8 @@
 	return append(actions, m.openCall(now)...)
 }
 
-// supersedeCalls moves the open calls to the superseded ones. Of too many the oldest that is not healthy is closed.
+// supersedeCalls moves the open calls to the superseded ones. While there are more than maxSupersededCalls it closes the oldest that is
+// not healthy, or else the oldest.
 func (m *Machine) supersedeCalls(now time.Duration) []Action {
 	for _, c := range m.calls {
 		c.closeAt = now + redirectDeadline
@@ -50,8 +52,8 @@
 	return actions
 }
 
-// supersededActive takes a sign of life of superseded call i. It keeps the list current until that of the new address is there, whose
-// own age counts from then on.
+// supersededActive handles a message of superseded call i. The message keeps the list current until the list of the new address has been
+// fetched. From then on the age of that list counts.
 func (m *Machine) supersededActive(now time.Duration, i int) {
 	c := &m.superseded[i]
 	c.connected, c.lastActive = c.request == WatchChanges, now
@@ -61,13 +63,13 @@
 			m.deadline = now + notificationDeadline
 		}
 	}
-	if c.request == FetchList { // it is over with its answer
+	if c.request == FetchList { // the answer ends the call
 		m.superseded.remove(i)
 	}
 }
 
-// Recheck reports that a superseded call has delivered a change which the list of the present address may lack: the list is fetched
-// again, unless a watch at the present address delivers.
+// Recheck reports that a superseded call has delivered a change which the list of the current address may lack. The list is fetched
+// again, unless a watch at the current address is healthy.
 func (m *Machine) Recheck(now time.Duration) []Action {
 	if m.needList || m.calls.anyHealthy(now) {
 		return nil
@@ -76,7 +78,7 @@
 	return append(m.calls.closeAll(), m.openCall(now)...)
 }
 
-// closeExpired closes the superseded calls whose time is over.
+// closeExpired closes the superseded calls whose closeAt has come.
 func (m *Machine) closeExpired(now time.Duration) []Action {
 	var actions []Action
 	for now >= m.nextExpiry() {
--- a/internal/discovery/staleness/redirect_test.go
+++ b/internal/discovery/staleness/redirect_test.go
@@ -12,14 +12,15 @@
 
 func closeAction(id CallID) Action { return Action{Kind: CloseCall, Call: id} }
 
-// startedMachine returns a machine in a fleet of 6 that has opened call 1 at 0.
+// startedMachine returns a machine in a fleet of 6 that has opened call 1 at time 0.
 func startedMachine(seed uint64) *Machine {
 	m := New(Options{FleetSize: 6}, newRand(seed))
 	m.Start(0)
 	return m
 }
 
-// What an earlier address delivers counts until the watch at the new one delivers, or until redirectDeadline.
+// TestSupersededCallsGoOnAfterRedirect checks that calls to an earlier address stay open until the watch at the new address delivers a
+// message, or until redirectDeadline.
 func TestSupersededCallsGoOnAfterRedirect(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -41,30 +42,30 @@
 			m.nextCallAt = never
 			return [][]Action{first, m.Tick(second + redirectDeadline - ms), m.Tick(second + redirectDeadline)}
 		}, [][]Action{{openAction(2, FetchList)}, nil, {closeAction(1)}}},
-		{"all of them through a series", func(m *Machine) [][]Action {
+		{"all of them in a series of redirects", func(m *Machine) [][]Action {
 			m.CallActive(0, 1)
 			return [][]Action{m.Redirect(second), m.Redirect(1300 * ms), m.Redirect(1700 * ms), m.CallActive(1800*ms, 1), m.CallActive(1900*ms, 2)}
 		}, [][]Action{{openAction(2, FetchList)}, nil, nil, nil, nil}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := fmt.Sprint(c.do(startedMachine(1))); got != fmt.Sprint(c.want) {
-				t.Errorf("%s, want %v", got, c.want)
+				t.Errorf("actions %s, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// Redirects without an end do not keep the list from being fetched.
+// TestRedirectSeriesStillFetchesList guards against an endless series of redirects that keeps delaying the fetch of the list.
 func TestRedirectSeriesStillFetchesList(t *testing.T) {
 	for _, interval := range []time.Duration{50 * ms, 300 * ms, 900 * ms, 1900 * ms} {
 		for seed := range uint64(50) {
 			m := startedMachine(seed)
 			m.CallEnded(ms, 1)
-			last, longest := time.Duration(0), time.Duration(0)
+			lastCallAt, longestGap := time.Duration(0), time.Duration(0)
 			failCalls := func(now time.Duration, actions []Action) {
 				for _, a := range actions {
 					if a.Kind == OpenCall {
-						longest, last = max(longest, now-last), now
+						longestGap, lastCallAt = max(longestGap, now-lastCallAt), now
 						m.CallEnded(now, a.Call)
 					}
 				}
@@ -75,14 +76,15 @@
 				}
 				failCalls(now, m.Tick(now))
 			}
-			if longest > redirectSeriesGap+interval {
-				t.Fatalf("redirects %v apart: no call for %v", interval, longest)
+			if longestGap > redirectSeriesGap+interval {
+				t.Fatalf("redirects %v apart: no call was opened for %v, longer than allowed", interval, longestGap)
 			}
 		}
 	}
 }
 
-// A watch at an earlier address, however healthy, does not close a call to the new one that waits for its first byte.
+// TestHealthySupersededWatchDoesNotCloseNewCall guards against a healthy watch at an earlier address that has a call to the new address
+// closed while the call waits for its first byte.
 func TestHealthySupersededWatchDoesNotCloseNewCall(t *testing.T) {
 	m := startedMachine(1)
 	m.CallActive(0, 1)
@@ -91,14 +93,14 @@
 		m.CallActive(now, 1)
 		for _, a := range m.Tick(now) {
 			if a.Kind == CloseCall && a.Call == 2 {
-				t.Fatalf("the first call to the new address is closed %v after the redirect", now-second)
+				t.Fatalf("the first call to the new address was closed %v after the redirect, before it was answered", now-second)
 			}
 		}
 	}
 }
 
-// The watch behind a slow fetch is opened early enough that it is connected before the list's deadline, even where it takes half as
-// long again as the fetch did.
+// TestWatchAfterSlowFetchMeetsDeadline checks that the watch after a slow fetch is opened early enough to be connected before the list's
+// deadline, even if connecting takes 1.5 times as long as the fetch.
 func TestWatchAfterSlowFetchMeetsDeadline(t *testing.T) {
 	for fetchDuration := 300 * ms; fetchDuration < 2900*ms; fetchDuration += 100 * ms {
 		for seed := range uint64(50) {
@@ -108,73 +110,75 @@
 			fetchedAt := second + fetchDuration
 			m.CallActive(fetchedAt, 2)
 			if connectedAt := max(m.Next(), fetchedAt) + fetchDuration + fetchDuration/2; connectedAt > fetchedAt+notificationDeadline {
-				t.Errorf("a fetch that took %v: its watch is connected %v behind it", fetchDuration, connectedAt-fetchedAt)
+				t.Errorf("a fetch that took %v: the watch is connected %v after it, past the notification deadline", fetchDuration, connectedAt-fetchedAt)
 				break
 			}
 		}
 	}
 }
 
-// The watch at the earlier address goes on behind the fetched list until the new watch delivers. What it delivers meanwhile has the list
-// fetched again at once.
+// TestSupersededWatchGoesOnAfterFetch checks that the watch at the earlier address stays open after the list was fetched, until the new
+// watch delivers a message. A change that it delivers meanwhile causes the list to be fetched again at once.
 func TestSupersededWatchGoesOnAfterFetch(t *testing.T) {
 	m := startedMachine(1)
 	m.CallActive(0, 1)
 	m.Redirect(second)
-	if actions := m.CallActive(2*second, 2); len(actions) != 0 { // the fetch took long: the watch behind it is delayed
-		t.Errorf("behind a list that took 1 s: %v", actions)
+	if actions := m.CallActive(2*second, 2); len(actions) != 0 { // after a slow fetch the watch is delayed
+		t.Errorf("actions after a fetch that took 1 s: %v, want none", actions)
 	}
 	if !m.Accepts(1) || !m.Connected(2*second) {
-		t.Error("the watch at the earlier address is no longer followed")
+		t.Error("the watch at the earlier address is no longer accepted, or does not count as connected")
 	}
 	m.CallActive(2100*ms, 1)
 	if got := fmt.Sprint(m.Recheck(2100 * ms)); got != fmt.Sprint([]Action{openAction(3, FetchList)}) {
-		t.Errorf("behind a change at the earlier address: %s", got)
+		t.Errorf("actions after a change from the earlier address: %s, want only a new fetch as call 3", got)
 	}
 	m.CallActive(2110*ms, 3)
 	if got := fmt.Sprint(m.CallActive(2120*ms, 4)); got != fmt.Sprint([]Action{closeAction(1)}) {
-		t.Errorf("behind the new address's watch: %s", got)
+		t.Errorf("actions after the first message of the new watch: %s, want only that call 1 is closed", got)
 	}
 }
 
-// A call that may be about to be answered is not closed by a redirect, and the number of superseded calls is bounded.
+// TestRedirectKeepsWaitingCalls guards against a redirect that closes a call which may be about to be answered, and against an unbounded
+// number of superseded calls.
 func TestRedirectKeepsWaitingCalls(t *testing.T) {
 	m := startedMachine(1)
 	m.CallEnded(0, 1)
-	m.Redirect(second) // call 2 is silent; another is opened beside it
-	var beside CallID
-	for now := second; beside == 0; now += 100 * ms {
+	m.Redirect(second) // call 2 is silent, and a second call is opened beside it
+	var secondCall CallID
+	for now := second; secondCall == 0; now += 100 * ms {
 		for _, a := range m.Tick(now) {
-			beside = a.Call
+			secondCall = a.Call
 		}
 	}
-	if actions := m.Redirect(5 * second); len(actions) != 1 || actions[0].Kind != OpenCall || !m.Accepts(2) || !m.Accepts(beside) {
-		t.Errorf("%v; call 2 counts: %v, call %d: %v", actions, m.Accepts(2), beside, m.Accepts(beside))
+	if actions := m.Redirect(5 * second); len(actions) != 1 || actions[0].Kind != OpenCall || !m.Accepts(2) || !m.Accepts(secondCall) {
+		t.Errorf("actions of a redirect: %v, want one opened call; call 2 accepted: %v, call %d accepted: %v, want both", actions, m.Accepts(2), secondCall, m.Accepts(secondCall))
 	}
 	for range 2 * maxSupersededCalls {
 		m.Redirect(20 * second)
 		m.openCall(20 * second)
 	}
 	if len(m.superseded) > maxSupersededCalls {
-		t.Errorf("%d superseded calls", len(m.superseded))
+		t.Errorf("%d superseded calls are open, more than maxSupersededCalls", len(m.superseded))
 	}
 }
 
-// A stale list is fetched at once at each address, also in a series of redirects.
+// TestStaleListIsFetchedAtOnceInRedirectSeries guards against a series of redirects that delays the fetch of a stale list.
 func TestStaleListIsFetchedAtOnceInRedirectSeries(t *testing.T) {
 	m := startedMachine(1)
 	m.CallEnded(0, 1)
 	for _, at := range []time.Duration{10 * second, 10300 * ms, 10700 * ms, 11600 * ms} {
 		actions := m.Redirect(at)
 		if len(actions) != 1 || actions[0].Kind != OpenCall || actions[0].Request != FetchList {
-			t.Fatalf("at %v: %v", at, actions)
+			t.Fatalf("redirect at %v: actions %v, want a fetch to be opened at once", at, actions)
 		}
 		m.CallEnded(at+ms, actions[0].Call)
 	}
 }
 
-// Once a silent call of a stale list timed out and the call beside it was rejected, the next one follows as soon as behind any rejected
-// call.
+// TestRejectedCallBesideSilentOneIsRetriedSoon guards against a long wait after a rejected call while a silent call is still open. The
+// list is stale, the silent call timed out, and the call opened beside it was rejected: the next call follows as soon as after any
+// rejection.
 func TestRejectedCallBesideSilentOneIsRetriedSoon(t *testing.T) {
 	for seed := range uint64(50) {
 		m := startedMachine(seed)
@@ -182,13 +186,13 @@
 		now := m.Next()
 		m.Tick(now) // the call opened here stays silent
 		now = m.Next()
-		beside := m.Tick(now)
-		if len(beside) != 1 || beside[0].Kind != OpenCall {
-			t.Fatalf("beside a silent call: %v", beside)
+		actions := m.Tick(now)
+		if len(actions) != 1 || actions[0].Kind != OpenCall {
+			t.Fatalf("actions after a silent call timed out: %v, want one opened call", actions)
 		}
-		m.CallEnded(now, beside[0].Call)
+		m.CallEnded(now, actions[0].Call)
 		if wait := m.Next() - now; wait > 2*minStalePollInterval {
-			t.Fatalf("the next call %v behind one that was rejected", wait)
+			t.Fatalf("the next call is opened %v after a rejected one, later than allowed", wait)
 		}
 	}
 }
--- a/internal/discovery/staleness/world_test.go
+++ b/internal/discovery/staleness/world_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// policy is what the world below tries: a Machine, or the baseline policy.
+// policy schedules the calls in a world: a Machine, or the baseline policy.
 type policy interface {
 	Start(now time.Duration) []Action
 	CallActive(now time.Duration, id CallID) []Action
@@ -20,63 +20,66 @@
 	ms     = time.Millisecond
 	second = time.Second
 
-	grace     = 250 * ms   // DrainGrace of the settings
-	callDelay = 5 * ms     // from opening a call to its first byte
-	missedAt  = 6 * second // the protocol's deadline for what a silent watch missed, or after discovery could be reached again
+	drainGrace           = 250 * ms   // Options.DrainGrace
+	callDelay            = 5 * ms     // from opening a call to its first byte
+	missedChangeDeadline = 6 * second // the protocol's deadline after a watch fell silent or discovery became reachable again
 )
 
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 1)) }
 
-// faultKind is a fault of a discovery, or of the way to it.
+// faultKind is a kind of fault of the discovery service, or of the network between it and the sidecar.
 type faultKind int
 
 const (
-	silentFault faultKind = iota // open calls fall silent
-	resetFault                   // open calls end
-	downFault                    // open calls end and new ones fail; a pushed list's agent accepts calls and has nothing to deliver
-	refuseFault                  // new calls fail; a pushed list's open calls end
-	lateFault                    // calls opened within slowPeriod have their first byte later
-	cutFault                     // open calls fall silent, and new ones fail after 1 s
+	silentFault    faultKind = iota // open calls fall silent
+	resetFault                      // open calls end
+	downFault                       // open calls end and new ones fail; a pushed list's agent accepts calls and has nothing to deliver
+	refuseFault                     // new calls fail; a pushed list's open calls end
+	slowFault                       // the first byte of calls opened within slowPeriod is delayed
+	partitionFault                  // open calls fall silent, and new ones fail after 1 s
 )
 
 // fault is one fault of a list.
 type fault struct {
 	at       time.Duration
 	kind     faultKind
-	duration time.Duration // of down, refuse and cut: how long it lasts; of late: the delay of the first byte
+	duration time.Duration // for down, refuse and partition: how long the fault lasts; for slow: the delay of the first byte
 }
 
 const (
-	slowPeriod     = 5 * second
-	refusalDelay   = 2 * ms
-	cutFailureTime = second
+	slowPeriod           = 5 * second
+	refusalDelay         = 2 * ms
+	partitionFailureTime = second
 )
 
-// world is one discovery in virtual time and one sidecar that follows its list. It computes, independently of the policy, by when the
-// platform's protocol has each change count as notified: what is written to a healthy watch is notified at once; what a silent call
-// misses counts missedAt after it fell silent; without a call the list holds for defaultMaxPollAge. Where the list is pushed a change
-// counts at once, except for a silent call.
+// world simulates, in virtual time, one discovery service and one sidecar that follows its list. Independently of the policy it computes
+// when each change counts as notified by the platform's protocol:
+//
+//   - a change that is sent to a healthy watch: at once;
+//   - a change that a silent call misses: missedChangeDeadline after the call fell silent;
+//   - a change without an open call: after defaultMaxPollAge, for which the list is valid;
+//   - a change of a pushed list: at once, except with a silent call.
 type world struct {
 	policy  policy
 	pushed  bool
 	faults  []fault
-	changes []time.Duration // when each is made; change i is version i+1
+	changes []time.Duration // when each change is made; change i is version i+1
 
 	now    time.Duration
 	events []worldEvent
 	calls  map[CallID]*worldCall
 
-	knownVersion   int           // of the sidecar
-	silentSince    time.Duration // when the call that the list came from fell silent; -1: it did not
-	disconnectedAt time.Duration // when the last watch ended, or the last call failed; -1: there is one
-	listHoldsFor   time.Duration // from disconnectedAt
+	knownVersion   int           // latest version that the sidecar has
+	silentSince    time.Duration // when the call that delivered the list fell silent; -1: it is not silent
+	disconnectedAt time.Duration // when the last watch ended, or the last call failed; -1: a watch is connected
+	listValidFor   time.Duration // how long the list is valid from disconnectedAt on
 	noticedAt      []time.Duration
 	deadlines      []time.Duration // when each change counts as notified; -1: not known yet
 
-	opened       int // calls
+	opened       int // number of calls opened
 	perSecond    map[time.Duration]int
 	maxPerSecond int
-	worst        time.Duration // the latest that a change was noticed after its deadline
+	worst        time.Duration // longest time from a change's deadline until the change was noticed
 }
 
 type worldCall struct {
@@ -95,7 +98,7 @@
 	w.events = append(w.events, worldEvent{at, run})
 }
 
-// activeFault returns the fault of a kind that lasts at a time.
+// activeFault returns the fault of a kind that is active at time t.
 func (w *world) activeFault(t time.Duration, kind faultKind) (fault, bool) {
 	for _, f := range w.faults {
 		if f.kind == kind && t >= f.at && t < f.at+f.duration {
@@ -105,22 +108,22 @@
 	return fault{}, false
 }
 
-func (w *world) isActive(t time.Duration, kind faultKind) bool {
+func (w *world) isFaultActive(t time.Duration, kind faultKind) bool {
 	_, active := w.activeFault(t, kind)
 	return active
 }
 
-// firstByteDelay returns how long a call opened at t takes to its first byte.
+// firstByteDelay returns the time from opening a call at t until its first byte.
 func (w *world) firstByteDelay(t time.Duration) time.Duration {
 	for _, f := range w.faults {
-		if f.kind == lateFault && t >= f.at && t < f.at+slowPeriod {
+		if f.kind == slowFault && t >= f.at && t < f.at+slowPeriod {
 			return f.duration
 		}
 	}
 	return callDelay
 }
 
-// carryOut does what the policy wants.
+// carryOut executes the actions of the policy.
 func (w *world) carryOut(actions []Action) {
 	for _, a := range actions {
 		if a.Kind == CloseCall {
@@ -137,16 +140,16 @@
 	w.perSecond[w.now/second]++
 	w.maxPerSecond = max(w.maxPerSecond, w.perSecond[w.now/second])
 	switch {
-	case w.isActive(w.now, refuseFault), w.isActive(w.now, downFault) && !w.pushed:
+	case w.isFaultActive(w.now, refuseFault), w.isFaultActive(w.now, downFault) && !w.pushed:
 		w.schedule(w.now+refusalDelay, func() { w.end(id, true) })
-	case w.isActive(w.now, cutFault):
-		w.schedule(w.now+cutFailureTime, func() { w.end(id, true) })
+	case w.isFaultActive(w.now, partitionFault):
+		w.schedule(w.now+partitionFailureTime, func() { w.end(id, true) })
 	default:
 		w.schedule(w.now+w.firstByteDelay(w.now), func() { w.answer(id) })
 	}
 }
 
-// answer delivers a call's first message; an agent whose discovery is down has none until that is back.
+// answer delivers a call's first message. While discovery is down, the agent of a pushed list has no message until discovery is back.
 func (w *world) answer(id CallID) {
 	c := w.calls[id]
 	if f, down := w.activeFault(w.now, downFault); down {
@@ -165,7 +168,7 @@
 	w.scheduleHeartbeat(id)
 }
 
-// deliver writes all that is new to a call.
+// deliver sends all changes that the sidecar lacks on a call.
 func (w *world) deliver(id CallID) {
 	c := w.calls[id]
 	if c == nil || !c.healthy() {
@@ -183,7 +186,7 @@
 
 func (w *world) scheduleHeartbeat(id CallID) {
 	w.schedule(w.now+heartbeatInterval, func() {
-		down := w.isActive(w.now, downFault)
+		down := w.isFaultActive(w.now, downFault)
 		if w.calls[id] == nil || w.calls[id].silent || down && !w.pushed {
 			return
 		}
@@ -194,16 +197,16 @@
 	})
 }
 
-// end ends a call; failed tells whether it failed, or a watch was ended.
+// end ends a call. failed reports whether the call failed; otherwise discovery reset it.
 func (w *world) end(id CallID, failed bool) {
 	if w.calls[id] == nil {
 		return
 	}
 	delete(w.calls, id)
 	if !w.anyHealthy() {
-		w.disconnectedAt, w.listHoldsFor = w.now, defaultMaxPollAge
+		w.disconnectedAt, w.listValidFor = w.now, defaultMaxPollAge
 		if failed {
-			w.listHoldsFor = 4 * defaultMaxPollAge
+			w.listValidFor = 4 * defaultMaxPollAge
 		}
 	}
 	w.carryOut(w.policy.CallEnded(w.now, id))
@@ -218,16 +221,16 @@
 	return false
 }
 
-// ids returns the open calls in the order in which they were opened.
-func (w *world) ids() []CallID {
+// openCalls returns the open calls in the order in which they were opened.
+func (w *world) openCalls() []CallID {
 	return slices.Sorted(maps.Keys(w.calls))
 }
 
-// reachableFrom returns when a call opened from t on is answered: discovery has the change, and can be reached.
+// reachableFrom returns the earliest time from t on at which discovery is up and reachable, so that a call is answered.
 func (w *world) reachableFrom(t time.Duration) time.Duration {
 	for range len(w.faults) + 1 {
 		for _, f := range w.faults {
-			if (f.kind == downFault || f.kind == refuseFault || f.kind == cutFault) && t >= f.at && t < f.at+f.duration {
+			if (f.kind == downFault || f.kind == refuseFault || f.kind == partitionFault) && t >= f.at && t < f.at+f.duration {
 				t = f.at + f.duration
 			}
 		}
@@ -235,16 +238,16 @@
 	return t
 }
 
-// updateDeadlines sets by when each change that was not noticed yet counts as notified. Whatever the settings allow after calls that
-// failed, were refused or closed, that is missedAt after discovery had the change and could be reached.
+// updateDeadlines sets when each change that has not been noticed yet counts as notified. Whatever the settings allow after calls that
+// failed, were refused or were closed, this is at most missedChangeDeadline after discovery has the change and is reachable.
 func (w *world) updateDeadlines() {
 	if w.anyHealthy() {
 		return
 	}
 	for i := w.knownVersion; i < len(w.changes) && w.changes[i] <= w.now; i++ {
 		deadline := w.deadlineOf(w.changes[i])
-		if strict := w.reachableFrom(w.changes[i]) + missedAt; deadline < 0 || strict < deadline {
-			deadline = strict
+		if latestAllowed := w.reachableFrom(w.changes[i]) + missedChangeDeadline; deadline < 0 || latestAllowed < deadline {
+			deadline = latestAllowed
 		}
 		if deadline >= 0 && (w.deadlines[i] < 0 || deadline < w.deadlines[i]) {
 			w.deadlines[i] = deadline
@@ -252,21 +255,21 @@
 	}
 }
 
-// deadlineOf returns when a change made at changedAt counts as notified by the state of the calls; -1: that does not say.
+// deadlineOf returns when a change made at changedAt counts as notified, as far as the state of the calls determines it; -1: it does not.
 func (w *world) deadlineOf(changedAt time.Duration) time.Duration {
 	outage, down := w.activeFault(changedAt, downFault)
-	if f, gone := w.activeFault(changedAt, refuseFault); gone && w.pushed { // the agent itself
+	if f, agentDown := w.activeFault(changedAt, refuseFault); agentDown && w.pushed { // the agent itself is down
 		outage, down = f, true
 	}
 	switch {
 	case w.silentSince >= 0:
-		missed := w.silentSince + missedAt
-		for _, f := range w.faults { // it could not be reached
-			if f.kind == cutFault && f.at <= missed && f.at+f.duration > w.silentSince {
-				missed = max(missed, f.at+f.duration+missedAt)
+		deadline := w.silentSince + missedChangeDeadline
+		for _, f := range w.faults { // discovery was not reachable
+			if f.kind == partitionFault && f.at <= deadline && f.at+f.duration > w.silentSince {
+				deadline = max(deadline, f.at+f.duration+missedChangeDeadline)
 			}
 		}
-		return max(changedAt, missed)
+		return max(changedAt, deadline)
 	case w.pushed && down:
 		return outage.at + outage.duration
 	case w.pushed:
@@ -274,12 +277,12 @@
 	case w.disconnectedAt >= 0 && down:
 		return w.reachableFrom(changedAt) + defaultMaxPollAge
 	case w.disconnectedAt >= 0:
-		return changedAt + w.listHoldsFor
+		return changedAt + w.listValidFor
 	}
 	return -1
 }
 
-// run plays until end, and sets worst.
+// run simulates the world until end, and sets worst.
 func (w *world) run(end time.Duration) {
 	w.calls, w.perSecond = map[CallID]*worldCall{}, map[time.Duration]int{}
 	w.silentSince, w.disconnectedAt = -1, -1
@@ -301,12 +304,12 @@
 	}
 }
 
-// scheduleFault schedules what a fault does to the calls that are open when it begins, and what its end does.
+// scheduleFault schedules the effects of a fault: on the open calls when it begins, and on a pushed list when it ends.
 func (w *world) scheduleFault(f fault) {
 	switch f.kind {
-	case silentFault, cutFault:
+	case silentFault, partitionFault:
 		w.schedule(f.at, func() {
-			for _, id := range w.ids() {
+			for _, id := range w.openCalls() {
 				w.calls[id].silent = true
 				if w.silentSince < 0 {
 					w.silentSince = w.now
@@ -318,25 +321,25 @@
 			return
 		}
 		w.schedule(f.at, func() {
-			for _, id := range w.ids() {
+			for _, id := range w.openCalls() {
 				if f.kind != downFault || !w.pushed {
 					w.end(id, f.kind == downFault)
 				}
 			}
 		})
-		if f.kind == downFault && w.pushed { // the agent has it all at the return
+		if f.kind == downFault && w.pushed { // the agent receives all changes when discovery returns
 			w.schedule(f.at+f.duration, w.deliverToAll)
 		}
 	}
 }
 
 func (w *world) deliverToAll() {
-	for _, id := range w.ids() {
+	for _, id := range w.openCalls() {
 		w.deliver(id)
 	}
 }
 
-// play runs events, changes of the list and the policy's timer in the order of their times until end.
+// play runs the events, the changes of the list and the policy's timer in order of time until end.
 func (w *world) play(end time.Duration) {
 	for nextChange := 0; w.now < end; {
 		next := w.policy.Next()
@@ -363,7 +366,7 @@
 	}
 }
 
-// firstEvent returns the index of the earliest event up to a time; -1: there is none.
+// firstEvent returns the index of the earliest event up to a time, or -1 if there is none.
 func (w *world) firstEvent(until time.Duration) int {
 	first := -1
 	for i, e := range w.events {
