--- a/internal/discovery/subset/choose.go
+++ b/internal/discovery/subset/choose.go
@@ -10,14 +10,14 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// choose picks the members anew and returns what changes; nil: nothing.
+// choose picks the members again and returns the changes of the subset; nil: no change.
 func (s *Subset) choose(now time.Time) *endpoints.List {
 	s.next = time.Time{}
 	picked := s.pickMembers(now)
 	var changes []endpoints.Endpoint
 	for name := range picked {
 		e := s.listed[name]
-		if was, ok := s.members[name]; !ok || was != e {
+		if previous, ok := s.members[name]; !ok || previous != e {
 			changes = append(changes, e)
 			s.members[name] = e
 		}
@@ -38,8 +38,8 @@
 	return &endpoints.List{Endpoints: changes}
 }
 
-// pickMembers returns the names of the members. RemoteZoneFraction of the size is in other zones; where there are too few endpoints in
-// the sidecar's zone or in the others, the rest makes up for them.
+// pickMembers returns the names of the members. RemoteZoneFraction of the size is in other zones. Where the sidecar's zone or the other
+// zones have too few endpoints, more are picked from the other side.
 func (s *Subset) pickMembers(now time.Time) map[string]bool {
 	remote := int(math.Ceil(float64(s.size) * s.options.RemoteZoneFraction))
 	local := s.size - remote
@@ -56,25 +56,25 @@
 	return picked
 }
 
-// pickFrom picks this sidecar's share of a ring. Where more than half of it is warming up, warm endpoints from further along the ring are
-// borrowed, half as many as the share at most: when many restart at once, the warm ones carry the load, and the others get what the
-// balancer's slow start admits.
+// pickFrom picks this sidecar's share of a ring. Where more than half of the share is warming up, warm endpoints from further along the
+// ring are borrowed, half as many as the share at most. When many endpoints restart at once, the warm ones thus carry the load, and the
+// others get the requests that the balancer's slow start allows.
 func (s *Subset) pickFrom(now time.Time, r *ring, want int, picked map[string]bool) {
-	names, own := r.share(s.options.Index, s.options.FleetSize, want, want)
-	own = min(own, max(0, s.maxSize-len(picked)))
+	names, shareSize := r.share(s.options.Index, s.options.FleetSize, want, want)
+	shareSize = min(shareSize, max(0, s.maxSize-len(picked)))
 	warm, borrowed := 0, 0
 	for i, name := range names {
 		warmAt, isWarming := s.warming(now, name)
-		if i < own {
+		if i < shareSize {
 			picked[name] = true
 			if isWarming {
-				s.wakeAt(warmAt)
+				s.scheduleTick(warmAt)
 			} else {
 				warm++
 			}
 			continue
 		}
-		if 2*(warm+borrowed) >= own || borrowed >= (own+1)/2 || len(picked) >= s.maxSize {
+		if 2*(warm+borrowed) >= shareSize || borrowed >= (shareSize+1)/2 || len(picked) >= s.maxSize {
 			return
 		}
 		if !isWarming {
@@ -84,8 +84,8 @@
 	}
 }
 
-// keepWarmMembers keeps members that are warm while more than half of what was picked is warming up: after a fleet has grown many times
-// over at once there is hardly a warm endpoint on the ring to be borrowed.
+// keepWarmMembers keeps warm members while more than half of the picked endpoints are warming up: after the number of endpoints has grown
+// many times over at once, the ring has hardly any warm endpoint to borrow.
 func (s *Subset) keepWarmMembers(now time.Time, picked map[string]bool) {
 	warm := 0
 	for name := range picked {
@@ -109,17 +109,18 @@
 	}
 }
 
-// warming reports whether an endpoint started less than SlowStartWindow ago, and when that is over.
+// warming reports whether an endpoint started less than SlowStartWindow ago, and when it will be warm.
 func (s *Subset) warming(now time.Time, name string) (warmAt time.Time, isWarming bool) {
 	startedMs := s.listed[name].StartedMs
 	warmAt = time.UnixMilli(int64(startedMs)).Add(s.options.SlowStartWindow.D())
 	return warmAt, startedMs > 0 && warmAt.After(now)
 }
 
-// release takes a member that was not picked one step further, and returns its change if there is one: it drains for RemovedGrace and is
-// removed then. One that drains by the list does so as long as it is listed, and one that is not listed is removed at once.
+// release advances the removal of a member that was not picked, and returns the member's change if there is one. The member drains for
+// RemovedGrace and is then removed. A member that the list marks as draining drains as long as it is listed, and a member that is no
+// longer listed is removed at once.
 func (s *Subset) release(now time.Time, name string) (change endpoints.Endpoint, changed bool) {
-	was := s.members[name]
+	previous := s.members[name]
 	e, isListed := s.listed[name]
 	removeAt, isReleasing := s.releasing[name]
 	switch {
@@ -128,21 +129,21 @@
 	case e.Status == endpoints.StatusTerminating:
 		delete(s.releasing, name)
 		s.members[name] = e
-		return e, was != e
+		return e, previous != e
 	case !isReleasing:
 		s.releasing[name] = now.Add(RemovedGrace)
-		s.wakeAt(now.Add(RemovedGrace))
+		s.scheduleTick(now.Add(RemovedGrace))
 		e.Status = endpoints.StatusTerminating
 		s.members[name] = e
 		return e, true
 	case !removeAt.After(now):
 		return s.removeMember(name), true
 	}
-	s.wakeAt(removeAt)
+	s.scheduleTick(removeAt)
 	return endpoints.Endpoint{}, false
 }
 
-// removeMember forgets a member and returns its removal.
+// removeMember deletes a member and returns its removal as a change.
 func (s *Subset) removeMember(name string) endpoints.Endpoint {
 	e := s.members[name]
 	e.Status = endpoints.StatusGone
--- a/internal/discovery/subset/ring.go
+++ b/internal/discovery/subset/ring.go
@@ -7,15 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxInsertions is how many added positions are inserted one by one; more are sorted in together.
+// maxInsertions is how many added positions are inserted one by one. If there are more, the whole ring is sorted once instead.
 const maxInsertions = 32
 
-// ring holds the ready endpoints of one zone, or of all others, in an order that follows from their names alone and is therefore the same
-// at every sidecar.
+// ring holds the ready endpoints of the sidecar's zone, or of all other zones, in an order that follows from their names alone and is
+// therefore the same in every sidecar.
 type ring struct {
 	sorted      []position
-	added       []position // not sorted in yet
-	sidecarHash uint64     // of the sidecar's own name, for rendezvous hashing
+	added       []position // not yet in sorted
+	sidecarHash uint64     // hash of the sidecar's name, for rendezvous hashing
 }
 
 // position is an endpoint's place on the ring.
@@ -34,15 +34,15 @@
 
 // size returns the number of endpoints.
 func (r *ring) size() int {
-	r.sortIn()
+	r.mergeAdded()
 	return len(r.sorted)
 }
 
-// add adds an endpoint that is not there. It and remove cost a look-up and a move of memory.
+// add adds an endpoint that is not on the ring. Like remove, it costs a binary search and a move of memory.
 func (r *ring) add(name string) { r.added = append(r.added, positionOf(name)) }
 
-// sortIn sorts the added endpoints in.
-func (r *ring) sortIn() {
+// mergeAdded moves the added positions to their places in sorted.
+func (r *ring) mergeAdded() {
 	if len(r.added) > maxInsertions {
 		r.sorted = append(r.sorted, r.added...)
 		slices.SortFunc(r.sorted, comparePositions)
@@ -55,25 +55,25 @@
 	r.added = r.added[:0]
 }
 
-// remove removes an endpoint, if it is there.
+// remove removes an endpoint, if it is on the ring.
 func (r *ring) remove(name string) {
-	r.sortIn()
+	r.mergeAdded()
 	if i, found := slices.BinarySearchFunc(r.sorted, positionOf(name), comparePositions); found {
 		r.sorted = slices.Delete(r.sorted, i, i+1)
 	}
 }
 
-// share returns a sidecar's endpoints in the order of preference: own of them are its share, at least want as far as there are any, and
-// up to extra endpoints follow that it may borrow.
+// share returns a sidecar's endpoints in order of preference. The first shareSize of them are its share: at least want, as far as the
+// ring has that many. Up to extra endpoints follow that the sidecar may borrow.
 //
 // With a known index, n endpoints and m sidecars, the ring is cut at the bounds b(j) = floor(j n / m), and sidecar i has the endpoints
 // from b(i) to b(i+c), with c = ceil(want m / n). Each endpoint lies between two neighbouring bounds and is in the share of exactly c
-// sidecars, whatever n and m are. An endpoint more or less moves a bound by one at most; a sidecar more moves it by n/m at most, which is
-// a c-th of a share.
+// sidecars, for any n and m. Adding or removing an endpoint moves a bound by one at most; adding a sidecar moves it by n/m at most, which
+// is a c-th of a share.
 //
-// Without an index a sidecar has the endpoints whose hash combined with its own is lowest (rendezvous hashing). The number of sidecars of
-// an endpoint is binomial then.
-func (r *ring) share(index, fleetSize, want, extra int) (names []string, own int) {
+// Without an index a sidecar has the endpoints whose hash combined with the sidecar's is lowest (rendezvous hashing). The number of
+// sidecars that use an endpoint is then binomially distributed.
+func (r *ring) share(index, fleetSize, want, extra int) (names []string, shareSize int) {
 	n := r.size()
 	switch {
 	case want <= 0 || n == 0:
@@ -85,11 +85,11 @@
 	}
 	segments := (want*fleetSize + n - 1) / n
 	begin, end := index*n/fleetSize, (index+segments)*n/fleetSize
-	own = min(n, max(1, end-begin))
-	return r.arc(begin, min(n, own+extra)), own
+	shareSize = min(n, max(1, end-begin))
+	return r.arc(begin, min(n, shareSize+extra)), shareSize
 }
 
-// arc returns count endpoints from begin on, round the ring.
+// arc returns count consecutive endpoints from begin on, and continues at the start of the ring after its end.
 func (r *ring) arc(begin, count int) []string {
 	names := make([]string, count)
 	for i := range names {
--- a/internal/discovery/subset/size.go
+++ b/internal/discovery/subset/size.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// connectionsPerMember is how many connections each member may have on average: the bound on connections allows so many times fewer
-	// members.
+	// connectionsPerMember is how many connections each member may have on average. The size is at most the maximum number of connections
+	// divided by it.
 	connectionsPerMember = 5
-	// startupPeriod is how long after the first list a larger size is taken at once, since the request rate was not known before.
+	// startupPeriod is how long after the first list the subset grows without GrowDelay, since the request rate was not known before.
 	startupPeriod = 10 * time.Second
 )
 
@@ -19,11 +19,11 @@
 	return max(1, min(o.MaxSize, maxConnections/connectionsPerMember))
 }
 
-// Rate takes the request rate and returns what changes in the subset; nil: nothing.
+// Rate updates the request rate and returns the changes of the subset; nil: no change.
 //
-// The size is MinSize, doubled while the requests within SampleInterval are more, so that each member is used about that often and
-// sidecars with similar rates have the same size. Another size is taken once it has been called for during GrowDelay, or ShrinkDelay for
-// a smaller one; a larger one at once during startupPeriod.
+// The size is MinSize, doubled while it is below the number of requests within SampleInterval, so that each member is used about once in
+// SampleInterval and sidecars with similar rates have the same size. The subset grows once the rate has called for a larger size during
+// GrowDelay, and shrinks after ShrinkDelay. During startupPeriod it grows at once.
 func (s *Subset) Rate(now time.Time, requestsPerSecond float64) *endpoints.List {
 	wanted := s.sizeFor(requestsPerSecond)
 	if wanted == s.size {
@@ -50,7 +50,7 @@
 	return min(size, s.maxSize)
 }
 
-// resizeDelay returns how long wantedSize has to be called for until it is taken.
+// resizeDelay returns how long the request rate has to call for wantedSize before the size changes.
 func (s *Subset) resizeDelay(now time.Time) time.Duration {
 	switch {
 	case s.wantedSize < s.size:
--- a/internal/discovery/subset/subset.go
+++ b/internal/discovery/subset/subset.go
@@ -8,7 +8,7 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// RemovedGrace is how long an endpoint that is no longer a member drains before it is removed.
+// RemovedGrace is how long an endpoint that is no longer picked drains before it is removed from the subset.
 const RemovedGrace = 10 * time.Second
 
 // Subset chooses the members among the listed endpoints. It is not safe for concurrent use.
@@ -17,21 +17,21 @@
 	zone    string
 	maxSize int
 
-	listed    map[string]endpoints.Endpoint // ready and draining, by name
-	local     *ring                         // the ready ones of the sidecar's zone
-	remote    *ring                         // and of the others
-	members   map[string]endpoints.Endpoint // as returned, by name
-	releasing map[string]time.Time          // members that drain since they are not picked any more: when each is removed
+	listed    map[string]endpoints.Endpoint // ready and draining endpoints, by name
+	local     *ring                         // ready endpoints of the sidecar's zone
+	remote    *ring                         // ready endpoints of other zones
+	members   map[string]endpoints.Endpoint // as last returned, by name
+	releasing map[string]time.Time          // members that drain since they are no longer picked: when each is removed
 
-	size        int       // members that are picked
-	wantedSize  int       // by the last request rate
+	size        int       // number of members to pick
+	wantedSize  int       // the size that the latest request rate calls for
 	wantedSince time.Time // when wantedSize began to differ from size in this direction
 	firstListAt time.Time
-	next        time.Time // when time alone changes something; zero: never
+	next        time.Time // when Tick is due; zero: time alone changes nothing
 }
 
-// New returns a Subset without endpoints for a sidecar in a zone. sidecarName tells sidecars apart whose index is not known.
-// maxConnections bounds the connections to all members.
+// New returns a Subset without endpoints for a sidecar in a zone. sidecarName distinguishes sidecars whose index is not known.
+// maxConnections is the bound on the connections to all members together.
 func New(o Options, sidecarName, zone string, maxConnections int) *Subset {
 	hash := xxhash.Sum64String(sidecarName)
 	limit := maxSize(o, maxConnections)
@@ -50,7 +50,7 @@
 	}
 }
 
-// Update takes a list or a change and returns what changes in the subset; nil: nothing.
+// Update applies a snapshot or a change of the endpoint list and returns the changes of the subset; nil: no change.
 func (s *Subset) Update(now time.Time, l *endpoints.List) *endpoints.List {
 	if s.firstListAt.IsZero() {
 		s.firstListAt = now
@@ -77,15 +77,15 @@
 	}
 }
 
-// set takes one endpoint of a list.
+// set updates one endpoint in listed and on its ring.
 func (s *Subset) set(e endpoints.Endpoint) {
-	was, known := s.listed[e.Name]
-	if known && was.Status == endpoints.StatusReady {
-		if e.Status == endpoints.StatusReady && s.ringOf(was) == s.ringOf(e) {
+	previous, known := s.listed[e.Name]
+	if known && previous.Status == endpoints.StatusReady {
+		if e.Status == endpoints.StatusReady && s.ringOf(previous) == s.ringOf(e) {
 			s.listed[e.Name] = e
 			return
 		}
-		s.ringOf(was).remove(e.Name)
+		s.ringOf(previous).remove(e.Name)
 	}
 	switch e.Status {
 	case endpoints.StatusReady:
@@ -105,7 +105,8 @@
 	return s.remote
 }
 
-// Tick returns what changes by the time; nil: nothing. It is to be called at Next, and may be called at any time.
+// Tick returns the changes of the subset that are due; nil: no change. It must be called at the time that Next returns, and may be
+// called at any other time.
 func (s *Subset) Tick(now time.Time) *endpoints.List {
 	if s.next.IsZero() || now.Before(s.next) {
 		return nil
@@ -116,12 +117,12 @@
 // Next returns when Tick is due; zero: time changes nothing.
 func (s *Subset) Next() time.Time { return s.next }
 
-// wakeAt has Tick called at a time, or before.
-func (s *Subset) wakeAt(at time.Time) {
+// scheduleTick makes Tick due at a time, or earlier.
+func (s *Subset) scheduleTick(at time.Time) {
 	if s.next.IsZero() || at.Before(s.next) {
 		s.next = at
 	}
 }
 
-// Size returns how many endpoints are members, those that are being released included, and how many are listed.
+// Size returns the number of members, including those that drain before their removal, and the number of listed endpoints.
 func (s *Subset) Size() (members, listed int) { return len(s.members), len(s.listed) }
--- a/internal/discovery/subset/subset_test.go
+++ b/internal/discovery/subset/subset_test.go
@@ -41,7 +41,7 @@
 	return l
 }
 
-// newFleet returns the subsets of all sidecars of a zone, with the same list.
+// newFleet returns the subsets of all sidecars of a zone. All of them have the same list.
 func newFleet(t testing.TB, sidecars, count, size int, indexKnown bool) []*Subset {
 	t.Helper()
 	fleet, list := make([]*Subset, sidecars), snapshot(count)
@@ -57,15 +57,15 @@
 	return fleet
 }
 
-// zonedOptions are those of one of ten sidecars in zone a.
+// zonedOptions returns the options of one of ten sidecars in zone a.
 func zonedOptions() Options {
 	o := Default()
 	o.FleetSize, o.Index = 10, 3
 	return o
 }
 
-// newZoned returns the subset of a sidecar in zone a.
-func newZoned(l *endpoints.List) *Subset {
+// newZonedSubset returns the subset of a sidecar in zone a.
+func newZonedSubset(l *endpoints.List) *Subset {
 	s := New(zonedOptions(), "x", "a", 1000)
 	s.Update(start, l)
 	return s
@@ -92,7 +92,7 @@
 	return count
 }
 
-// loads returns the load of each endpoint where every sidecar spreads one unit over its members.
+// loads returns the load of each endpoint if every sidecar spreads one unit of load evenly over its members.
 func loads(fleet []*Subset) map[string]float64 {
 	load := map[string]float64{}
 	for _, s := range fleet {
@@ -104,7 +104,8 @@
 	return load
 }
 
-// Every endpoint is a member of some sidecar, none has much more load than the mean, and connections do not grow with the fleet.
+// TestLoadIsEven checks that every endpoint is a member in some sidecar, that no endpoint has much more load than the mean, and that the
+// number of sidecars per endpoint does not grow with the fleet.
 func TestLoadIsEven(t *testing.T) {
 	for _, c := range []struct{ sidecars, endpoints, size int }{{10, 5000, 1000}, {50, 2000, 150}, {200, 5000, 25}, {40, 40, 20}, {7, 40, 12}, {3, 10, 4}} {
 		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
@@ -119,19 +120,19 @@
 			}
 			mean := float64(c.sidecars) / float64(c.endpoints)
 			if len(load) != c.endpoints || highest > 1.3*mean {
-				t.Errorf("%d endpoints are members, max/mean %.2f", len(load), highest/mean)
+				t.Errorf("%d endpoints are members of a subset, highest load is %.2f times the mean; want all endpoints and at most 1.3", len(load), highest/mean)
 			}
 			if each := float64(members) / float64(c.endpoints); each > 1.5*float64(c.size*c.sidecars)/float64(c.endpoints)+1 {
-				t.Errorf("%.1f sidecars an endpoint", each)
+				t.Errorf("%.1f sidecars use each endpoint on average, more than allowed", each)
 			}
 		})
 	}
 }
 
-// An endpoint that is replaced moves at most a few members of each sidecar.
+// TestReplacedEndpointMovesFewMembers guards against a replaced endpoint that changes more than a few members of a sidecar.
 func TestReplacedEndpointMovesFewMembers(t *testing.T) {
 	for _, indexKnown := range []bool{true, false} {
-		most := 0
+		mostMoved := 0
 		for _, s := range newFleet(t, 50, 2000, 120, indexKnown) {
 			before := readyMembers(s)
 			s.Update(start, &endpoints.List{Endpoints: []endpoints.Endpoint{{Name: "n77", Status: endpoints.StatusGone}, endpoint(5000, "")}})
@@ -141,27 +142,27 @@
 					moved++
 				}
 			}
-			most = max(most, moved)
+			mostMoved = max(mostMoved, moved)
 		}
-		if most > 3 {
-			t.Errorf("index known: %v: one endpoint moved %d members of a sidecar", indexKnown, most)
+		if mostMoved > 3 {
+			t.Errorf("index known: %v: one replaced endpoint changed %d members of a sidecar, want at most 3", indexKnown, mostMoved)
 		}
 	}
 }
 
-// A zone with too few endpoints is made up for by the others.
+// TestZonesShareMembers checks that endpoints of the other zone are used where a zone has too few.
 func TestZonesShareMembers(t *testing.T) {
 	for _, c := range []struct{ inA, inB, wantA, wantB int }{{100, 100, 9, 3}, {1, 100, 1, 11}, {0, 100, 0, 12}, {100, 0, 12, 0}, {100, 1, 11, 1}, {3, 2, 3, 2}} {
-		s := newZoned(zonedSnapshot(c.inA, c.inB, 0))
+		s := newZonedSubset(zonedSnapshot(c.inA, c.inB, 0))
 		if a, b := readyIn(s, "a"), readyIn(s, "b"); a < c.wantA || b < c.wantB || a+b > 2*(c.wantA+c.wantB)+2 {
-			t.Errorf("%+v: %d and %d", c, a, b)
+			t.Errorf("%+v: %d members in zone a and %d in zone b, too few or too many", c, a, b)
 		}
 	}
 }
 
-// The size follows the request rate, and not its short bursts.
+// TestSizeFollowsRequestRate checks that the size follows the request rate, but not short bursts.
 func TestSizeFollowsRequestRate(t *testing.T) {
-	s, now := newZoned(zonedSnapshot(400, 0, 0)), start.Add(time.Minute)
+	s, now := newZonedSubset(zonedSnapshot(400, 0, 0)), start.Add(time.Minute)
 	before := len(readyMembers(s))
 	requestRate := func(seconds int, rate float64) {
 		for range seconds {
@@ -174,24 +175,25 @@
 		requestRate(2, 1)
 	}
 	if n := len(readyMembers(s)); n != before {
-		t.Errorf("%d after short bursts, %d before", n, before)
+		t.Errorf("%d members after short bursts, want %d as before", n, before)
 	}
 	requestRate(4, 1000)
 	if n := len(readyMembers(s)); n <= 2*before || n > s.options.MaxSize {
-		t.Errorf("%d with a thousand requests a second", n)
+		t.Errorf("%d members with 1000 requests a second, too few or more than MaxSize", n)
 	}
 	requestRate(60, 1.0/60)
 	if n := len(readyMembers(s)); n > 2*before || n < s.options.MinSize {
-		t.Errorf("%d with one request a minute", n)
+		t.Errorf("%d members with one request a minute, too many or fewer than MinSize", n)
 	}
 	if len(New(s.options, "x", "a", 25).members) != 0 {
-		t.Error("a new subset has members")
+		t.Error("a new subset has members before its first list")
 	}
 }
 
-// Where all members restart, warm endpoints are borrowed until they are warm again.
+// TestWarmEndpointsAreBorrowed checks that warm endpoints are borrowed after all members have restarted, until the members are
+// warm again.
 func TestWarmEndpointsAreBorrowed(t *testing.T) {
-	s := newZoned(zonedSnapshot(400, 0, 0))
+	s := newZonedSubset(zonedSnapshot(400, 0, 0))
 	before := readyMembers(s)
 	restarts := &endpoints.List{}
 	for name := range before {
@@ -201,53 +203,54 @@
 	}
 	s.Update(start, restarts)
 	if n := len(readyMembers(s)); n <= len(before) || n > len(before)*3/2+1 {
-		t.Errorf("%d members beside %d that warm up", n-len(before), len(before))
+		t.Errorf("%d endpoints are borrowed while %d members warm up, want at least 1 and about half as many at most", n-len(before), len(before))
 	}
 	s.Tick(s.Next())
 	if !maps.Equal(readyMembers(s), before) {
-		t.Errorf("%d members when all are warm, %d before", len(readyMembers(s)), len(before))
+		t.Errorf("%d ready members once all are warm again, not the same %d as before", len(readyMembers(s)), len(before))
 	}
 	if s.Tick(s.Next()); len(s.members) != len(before) {
-		t.Errorf("%d members once the borrowed ones are removed, %d before", len(s.members), len(before))
+		t.Errorf("%d members once the borrowed endpoints are removed, want %d as before", len(s.members), len(before))
 	}
 }
 
-// Where the fleet grows many times over at once, the warm members stay.
+// TestWarmMembersStayWhenFleetGrows guards against warm members that are replaced by endpoints that are warming up, when the number of
+// endpoints grows many times over at once.
 func TestWarmMembersStayWhenFleetGrows(t *testing.T) {
-	s := newZoned(zonedSnapshot(20, 0, 0))
+	s := newZonedSubset(zonedSnapshot(20, 0, 0))
 	before := readyMembers(s)
 	growth := zonedSnapshot(400, 0, float64(start.UnixMilli()))
 	growth.Snapshot = false
 	growth.Endpoints = slices.DeleteFunc(growth.Endpoints, func(e endpoints.Endpoint) bool { return s.listed[e.Name].Name != "" })
 	s.Update(start, growth)
-	kept := 0
+	remaining := 0
 	for name := range readyMembers(s) {
 		if before[name] {
-			kept++
+			remaining++
 		}
 	}
-	if n := len(readyMembers(s)); kept < len(before) || n > s.options.MaxSize {
-		t.Errorf("of %d only %d stay among %d", len(before), kept, n)
+	if n := len(readyMembers(s)); remaining < len(before) || n > s.options.MaxSize {
+		t.Errorf("of %d warm members %d remain, among %d members; want all of them, and at most MaxSize members", len(before), remaining, n)
 	}
 }
 
-// The size is bounded by the connections that there may be.
+// TestSizeIsBoundedByConnections checks that the maximum number of connections bounds the size.
 func TestSizeIsBoundedByConnections(t *testing.T) {
 	s := New(zonedOptions(), "x", "a", 25)
 	s.Update(start, zonedSnapshot(100, 100, 0))
 	s.Rate(start, 1e6)
 	if n := len(readyMembers(s)); n == 0 || n > 5 {
-		t.Errorf("%d members for 25 connections", n)
+		t.Errorf("%d members with at most 25 connections, want 1 to 5", n)
 	}
 }
 
-// reportedList is what the lists received and the changes returned by a Subset amount to.
+// reportedList accumulates the lists that a Subset received and the changes that it returned.
 type reportedList struct {
 	listed   map[string]endpoints.Endpoint
 	reported map[string]endpoints.Endpoint
 }
 
-// step draws one input of a Subset and takes its result.
+// step passes one random input to a Subset and applies the changes that it returns.
 func (r *reportedList) step(t *rapid.T, s *Subset, now *time.Time) {
 	var change *endpoints.List
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
@@ -284,7 +287,7 @@
 	}
 }
 
-// check holds that the ready members are as listed, and enough of them.
+// check fails the test unless the ready members are as listed and their number is right.
 func (r *reportedList) check(t *rapid.T, s *Subset) {
 	ready, readyMembers := 0, 0
 	for _, e := range r.listed {
@@ -301,11 +304,12 @@
 		}
 	}
 	if readyMembers > s.options.MaxSize || readyMembers < min(ready, 1) || ready <= s.size && readyMembers < min(ready, s.size) {
-		t.Fatalf("%d of %d ready ones are reported, %d are wanted", readyMembers, ready, s.size)
+		t.Fatalf("%d of %d ready endpoints are reported as ready members; the size is %d", readyMembers, ready, s.size)
 	}
 }
 
-// After any history of lists, changes, rates and time the changes returned add up to members that are listed.
+// TestAnyHistory checks that after any sequence of lists, changes, request rates and times the returned changes add up to members that
+// are listed.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Default()
@@ -320,7 +324,7 @@
 			r.check(t, s)
 		}
 		if len(s.releasing) > len(s.members) {
-			t.Fatalf("%d are being released, %d are members", len(s.releasing), len(s.members))
+			t.Fatalf("%d members drain before their removal, more than the %d members", len(s.releasing), len(s.members))
 		}
 	})
 }
