--- a/internal/discovery/staleness/world_test.go
+++ b/internal/discovery/staleness/world_test.go
@@ -168,7 +168,7 @@
 	w.scheduleHeartbeat(id)
 }
 
-// deliver sends all changes that the sidecar lacks on a call.
+// deliver sends, on one call, all changes that the sidecar lacks.
 func (w *world) deliver(id CallID) {
 	c := w.calls[id]
 	if c == nil || !c.healthy() {
