--- a/cmd/orchiddrift/lease_test.go
+++ b/cmd/orchiddrift/lease_test.go
@@ -25,7 +25,7 @@
 		{"no members", fleet, "list", "fleet.members: 0;", 1},
 		{"not a member", fleet + "member = \"b\"\nfile = \"x\"\n" + members, "list", `fleet.member: "b" is not one of members`, 1},
 		{"no file", fleet + "member = \"a\"\n" + members, "list", "fleet.file: missing", 1},
-		{"not loopback", fleet + "[[fleet.members]]\nname = \"a\"\naddress = \"10.0.0.1:1\"\n", "list", "no address on this machine", 1},
+		{"not loopback", fleet + "[[fleet.members]]\nname = \"a\"\naddress = \"10.0.0.1:1\"\n", "list", "is not a loopback IP address and port", 1},
 		{"a term under four margins", fleet + members, "run x --term 1s -- true", "is under four times the margin", 1},
 		{"list without a leader", fleet + members, "list", "nobody leads the group", exitUnreachable},
 		{"revoke without a leader", fleet + members, "revoke x", "no member answers", exitUnreachable},
--- a/internal/lease/expirations.go
+++ b/internal/lease/expirations.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// reproposalDelay is how long an expiry that was proposed may take to be applied before it is proposed again: the proposal may have been lost.
+// reproposalDelay is the time after which a proposed expiry that is not applied yet is proposed again: the proposal may have been lost.
 const reproposalDelay = time.Second
 
-// Expirations is the leader's knowledge beside the Table: when each grant and each wait expires by the leader's clock. It is not replicated; a new
-// leader makes its own and restarts every timer. It is not safe for concurrent use.
+// Expirations is the leader's own state beside the Table: when each grant and each wait expires by the leader's clock. It is not replicated: a
+// new leader creates its own and restarts every timer. It is not safe for concurrent use.
 //
 // The states of a timer:
 //
 //	running ── the holder renews, the waiter repeats its Acquire ──▶ running, for another duration
-//	running ── its deadline passes: Expired proposes the end ──────▶ proposed
+//	running ── the deadline passes: Expired proposes the end ──────▶ proposed
 //	proposed ── the proposal is applied ───────────────────────────▶ removed, or running for the next holder
 //	proposed ── reproposalDelay passes ────────────────────────────▶ proposed again
 //
@@ -26,8 +26,8 @@
 	queue  timerQueue // the same timers, by deadline
 }
 
-// NewExpirations begins to lead at now: the timer of each grant and of each wait in the table starts anew. drift is the largest relative error
-// of a process's clock rate.
+// NewExpirations returns the Expirations of a leader that begins to lead at now: the timer of each grant and of each wait in the table starts
+// anew. drift is the largest relative error of a process's clock rate.
 func NewExpirations(now time.Duration, table *Table, drift float64) *Expirations {
 	x := &Expirations{table: table, drift: drift, timers: map[string]*expiryTimer{}}
 	for _, entry := range table.entries {
@@ -39,8 +39,8 @@
 	return x
 }
 
-// Applied follows a request that the table has applied with this outcome, and returns the reply that its client may get. A repeated Acquire
-// of a holder whose expiry was proposed is answered with NotHeld.
+// Applied updates the timers after the table has applied a request with this outcome, and returns the reply for the request's client. A repeated
+// Acquire of a holder whose expiry was proposed is answered with NotHeld.
 func (x *Expirations) Applied(now time.Duration, request Request, reply Reply, granted *Entry) Reply {
 	entry := x.table.entries[request.Name]
 	switch {
@@ -67,7 +67,7 @@
 }
 
 // Renew answers a holder that wants its grant extended. The caller must have confirmed, after the request arrived, that it still leads, and must
-// have applied everything that was committed before. Nothing is written: a new leader restarts the timer anyway.
+// have applied everything that was committed before. Nothing is written to the log: a new leader restarts the timer anyway.
 func (x *Expirations) Renew(now time.Duration, request Request) Reply {
 	entry, timer := x.table.entries[request.Name], x.timers[timerKey(request.Name, "")]
 	if !entry.isHeldBy(request.Client, request.Token) || timer == nil || entry.Revoked || timer.proposed {
@@ -77,9 +77,9 @@
 	return entry.GrantedReply(request)
 }
 
-// AnswerRepeated answers an Acquire that changes nothing in the record, and so need not be proposed: that of a waiter, whose timer restarts, or of
-// a holder that has not received its grant. ok is false if the request has to be proposed. The caller must have confirmed its leadership as for
-// Renew.
+// AnswerRepeated answers a repeated Acquire, which changes nothing in the record and need not be proposed: that of a waiter, whose timer
+// restarts, or that of a holder that has not received its grant. ok is false if the request has to be proposed. The caller must have confirmed
+// its leadership as for Renew.
 func (x *Expirations) AnswerRepeated(now time.Duration, request Request) (reply Reply, ok bool) {
 	entry := x.table.entries[request.Name]
 	if request.Kind != Acquire || entry == nil {
@@ -100,8 +100,8 @@
 	return entry.waitingReply(request, i), true
 }
 
-// Expired returns the requests that end what has expired. The leader proposes them; they must be applied only in the raft term in which it
-// led.
+// Expired returns the requests that end the grants and waits whose deadlines have passed. The leader proposes these requests; they must be
+// applied only in the raft term in which it led.
 func (x *Expirations) Expired(now time.Duration) (requests []Request) {
 	for len(x.queue) > 0 && x.queue[0].deadline <= now {
 		timer := x.queue[0]
@@ -116,7 +116,7 @@
 	return requests
 }
 
-// Next returns when Expired may have something to return; false if no timer runs.
+// Next returns the earliest time at which Expired may return requests; false if there is no timer.
 func (x *Expirations) Next() (time.Duration, bool) {
 	if len(x.queue) == 0 {
 		return 0, false
@@ -142,7 +142,7 @@
 	x.restart(now, expiryTimer{name: name, client: waiter.Client, sequence: waiter.Sequence}, waiter.Duration)
 }
 
-// restart starts a timer in place of the one with the same key.
+// restart starts a timer, which replaces the timer with the same key.
 func (x *Expirations) restart(now time.Duration, started expiryTimer, duration time.Duration) {
 	key := timerKey(started.name, started.client)
 	timer := x.timers[key]
@@ -156,7 +156,7 @@
 	heap.Fix(&x.queue, timer.index)
 }
 
-// withDrift is how long the leader counts for a duration, so that a holder with a slow clock has stopped by then.
+// withDrift returns how long the leader waits for a duration to pass by its own clock, so that a holder with a slow clock has stopped by then.
 func (x *Expirations) withDrift(duration time.Duration) time.Duration {
 	return duration + time.Duration(float64(duration)*x.drift)
 }
--- a/internal/lease/fingerprint_test.go
+++ b/internal/lease/fingerprint_test.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// encoder writes a world's state as bytes: two worlds that behave alike from now on have the same ones. Times count from now.
+// encoder encodes a world's state as bytes. Worlds that will behave alike have the same encoding: times are relative to now.
 type encoder struct{ bytes []byte }
 
 func (e *encoder) numbers(values ...int64) {
@@ -59,7 +59,7 @@
 	}
 	e.text(entry.Holder)
 	e.numbers(int64(entry.Sequence), int64(entry.Token), flags, int64(len(entry.Waiters)))
-	grant := Waiter{} // its timer has an empty client
+	grant := Waiter{} // the key of its timer has an empty client
 	for _, waiter := range append([]Waiter{grant}, entry.Waiters...) {
 		e.text(waiter.Client)
 		e.numbers(int64(waiter.Sequence))
@@ -72,7 +72,7 @@
 	}
 }
 
-// holder writes what counts in a holder's state.
+// holder writes the part of a holder's state on which its behaviour depends.
 func (e *encoder) holder(w *world, i int) {
 	h, now := w.holders[i], w.now(i)
 	e.numbers(int64(h.state), int64(h.sequence), int64(h.token), int64(len(h.transferTo)), int64(h.sendNumber))
@@ -92,7 +92,7 @@
 	}
 }
 
-// messages writes the messages in transit, whose order does not count.
+// messages writes the messages in transit, sorted, because they may arrive in any order.
 func (e *encoder) messages(messages []message) {
 	start := len(e.bytes)
 	encoded := make([]string, len(messages))
--- a/internal/lease/golden_test.go
+++ b/internal/lease/golden_test.go
@@ -10,7 +10,7 @@
 	"orchiddrift/internal/testing/golden"
 )
 
-// jsonLines encodes values as JSON, one a line.
+// jsonLines encodes values as JSON, one value per line.
 func jsonLines[T any](t *testing.T, values []T) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -24,7 +24,7 @@
 	return out.Bytes()
 }
 
-// goldenLines checks that values are encoded as the golden file's lines, and that these are decoded to the values.
+// goldenLines checks that values are encoded as the golden file's lines, and that these lines are decoded to the values.
 func goldenLines[T any](t *testing.T, name string, want []T) {
 	t.Helper()
 	text := jsonLines(t, want)
@@ -41,8 +41,8 @@
 	}
 }
 
-// Requests are stored in the raft log, entries in its snapshots, and replies are sent between releases: their encoding, and the numbers of their
-// kinds and statuses, stay as earlier releases wrote them.
+// Guards against a change that earlier releases cannot read: requests are stored in the raft log, entries in its snapshots, and replies are sent
+// between releases. Their encoding and the numbers of their kinds and statuses must stay the same.
 func TestRecordsGolden(t *testing.T) {
 	var requests []Request
 	for _, kind := range []RequestKind{Acquire, Renew, Release, Transfer, Revoke, Expire, RemoveWaiter, WriteNote, ReadNote} {
--- a/internal/lease/harness_test.go
+++ b/internal/lease/harness_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// testLimits are small enough to be reached.
+// testLimits are low, so that tests can reach them.
 var testLimits = Limits{MaxNames: 2, MaxWaiters: 2, MaxNameBytes: 20, MinDuration: time.Second, MaxDuration: time.Minute}
 
 const (
-	testName     = "x" // of the lease, where a request has no other
+	testName     = "x" // the lease of a request that has no name
 	testDuration = 10 * time.Second
 	testDrift    = 0.1
 )
 
-// harness is a Table with its leader's Expirations, on a clock of its own.
+// harness is a Table with its leader's Expirations and a simulated clock.
 type harness struct {
 	t           *testing.T
 	now         time.Duration
@@ -29,7 +29,7 @@
 	return h
 }
 
-// apply answers a request as the leader's driver does.
+// apply handles a request in the way in which the leader's driver does, and returns the reply.
 func (h *harness) apply(request Request) Reply {
 	h.sendNumber++
 	request.SendNumber = h.sendNumber
@@ -49,7 +49,7 @@
 	return h.expirations.Applied(h.now, request, reply, granted)
 }
 
-// advance lets time pass, and applies the expiries that the leader proposes.
+// advance moves the clock forward and applies the expiries that the leader then proposes.
 func (h *harness) advance(d time.Duration) {
 	h.now += d
 	for _, request := range h.expirations.Expired(h.now) {
@@ -58,20 +58,20 @@
 	}
 }
 
-// want applies a request and checks its status, and that testName is then held by a client under a token; an empty holder: it is free.
+// want applies a request and checks its status, and that holder then holds testName with token. An empty holder means that testName is free.
 func (h *harness) want(request Request, status Status, holder string, token Token) {
 	h.t.Helper()
 	reply := h.apply(request)
 	if reply.Status != status || status == Granted && (reply.Holder != holder || reply.Token != token) {
-		h.t.Errorf("%+v: %+v, want %d %s %d", request, reply, status, holder, token)
+		h.t.Errorf("reply to %+v: %+v, want status %d, holder %s, token %d", request, reply, status, holder, token)
 	}
 	entry := h.table.Entry(testName)
 	if holder == "" && entry != nil || holder != "" && (entry == nil || entry.Holder != holder || entry.Token != token) {
-		h.t.Errorf("%+v: the record has %+v, want %s %d", request, entry, holder, token)
+		h.t.Errorf("after %+v the entry is %+v, want holder %s, token %d", request, entry, holder, token)
 	}
 }
 
-// acquire is a request to hold the lease or wait for it.
+// acquire returns a request to hold the lease or wait for it.
 func acquire(client string, sequence uint64) Request {
 	return Request{Kind: Acquire, Client: client, Sequence: sequence, Wait: true}
 }
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -3,24 +3,24 @@
 import "time"
 
 const (
-	// renewalsPerLease is how often a holder asks for renewal within one lease duration: two more attempts fit in after a lost one.
+	// renewalsPerLease is the number of renewal requests within one lease duration: after a lost request there is time for two more.
 	renewalsPerLease = 3
-	// maxTrackedSends bounds the requests whose send time is remembered. The reply to an older one is ignored.
+	// maxTrackedSends is the number of requests whose send time is remembered. The reply to an older request is ignored.
 	maxTrackedSends = 16
 )
 
 // HolderOptions are a Holder's parameters.
 type HolderOptions struct {
 	Name          string        // of the lease
-	Client        string        // names one incarnation of one process and is never used again
+	Client        string        // identifies one incarnation of one process and is never reused
 	Duration      time.Duration // requested lease duration
 	Wait          bool          // join the waiter queue if the lease is held
 	Drift         float64       // largest relative error of a process's clock rate
-	Margin        time.Duration // how long the work takes to end once it has been asked to stop
+	Margin        time.Duration // longest time that the work takes to end after ActionStopWork
 	RetryInterval time.Duration // between two sends while no reply comes, and after a rejection
 }
 
-// Action is what the driver of a Holder has to do.
+// Action is an instruction to the driver of a Holder.
 type Action struct {
 	Kind    ActionKind
 	Request Request       // ActionSend
@@ -34,20 +34,20 @@
 
 // The kinds of actions.
 const (
-	ActionSend            ActionKind = iota + 1 // send Request to the record; it may be lost
+	ActionSend            ActionKind = iota + 1 // send Request to the group; the message may be lost
 	ActionStartWork                             // the lease is held: start the work under Token
 	ActionStopWork                              // stop the work within Margin, then call WorkStopped
-	ActionReportRejection                       // the lease was rejected; the Holder asks again by itself
+	ActionReportRejection                       // the request was rejected; the Holder repeats it by itself
 )
 
-// Reason says why work has to stop, or why a request was rejected. 0 is none.
+// Reason says why work has to stop, or why a request was rejected. 0 means no reason.
 type Reason uint8
 
 // The reasons. The first four stop the work, the last two come with a rejection.
 const (
 	ReasonReleased   Reason = iota + 1 // the holder released the lease
 	ReasonExpired                      // the grant expired and no renewal was confirmed
-	ReasonRevoked                      // the record says that the grant is not held any more
+	ReasonRevoked                      // the grant has ended in the record, or is not renewed any more
 	ReasonReplaced                     // the record has granted the lease again, under another token
 	ReasonBusy                         // another client holds the lease
 	ReasonNoCapacity                   // the record is full
@@ -57,14 +57,14 @@
 type holderState uint8
 
 const (
-	idle      holderState = iota // nothing is wanted
+	idle      holderState = iota // the lease is neither held nor requested
 	acquiring                    // an Acquire was sent; the Holder repeats it
 	holding                      // the work may go on until validUntil
 	stopping                     // the work must stop, and WorkStopped has not been called yet
 )
 
-// Holder is the client's side of one lease. Its driver calls it with the time of a clock that goes on while the machine sleeps, and carries out
-// the actions that it returns. It is not safe for concurrent use.
+// Holder is the client's side of one lease. Its driver passes it the time of a clock that keeps running while the machine is suspended, and
+// carries out the actions that it returns. It is not safe for concurrent use.
 //
 //	          Acquire                 Granted
 //	idle ───────────────▶ acquiring ───────────▶ holding
@@ -80,16 +80,16 @@
 	wanted     bool
 	transferTo string // the client that is to hold the lease next; empty: the first waiter
 	sequence   uint64 // of this acquisition
-	sendNumber uint64 // of the last send
-	token      Token  // of the grant that is held, or was held last
+	sendNumber uint64 // of the last request sent
+	token      Token  // of the grant that is held or was held last
 
 	validUntil  time.Duration            // the work may go on until then
-	nextSend    time.Duration            // the request is repeated, or renewed, then
-	grantSentAt time.Duration            // when the request was sent from which the grant counts
+	nextSend    time.Duration            // the Acquire is repeated, or the grant renewed, then
+	grantSentAt time.Duration            // when the request that confirmed the grant last was sent
 	sentAt      map[uint64]time.Duration // when each request of this acquisition was sent, by send number
 }
 
-// NewHolder returns a Holder that wants nothing yet.
+// NewHolder returns a Holder that does not want the lease yet.
 func NewHolder(options HolderOptions) *Holder {
 	return &Holder{options: options, sentAt: map[uint64]time.Duration{}}
 }
@@ -106,8 +106,8 @@
 	return h.startAcquire(now)
 }
 
-// Release makes the Holder give the lease up: to the client transferTo, or, if that is empty, to the first waiter. Work that goes on has to
-// stop first.
+// Release makes the Holder release the lease, to the client transferTo or, if transferTo is empty, to the first waiter. If the work is in
+// progress it has to stop first.
 func (h *Holder) Release(_ time.Duration, transferTo string) []Action {
 	h.wanted, h.transferTo = false, transferTo
 	switch h.state {
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// WorkStopped says that the work has ended after ActionStopWork. The lease is released, and acquired again if it is still wanted.
+// WorkStopped is to be called when the work has ended after ActionStopWork. The lease is released, and acquired again if it is still wanted.
 func (h *Holder) WorkStopped(now time.Duration) []Action {
 	if h.state != stopping {
 		return nil
@@ -137,9 +137,9 @@
 	return actions
 }
 
-// HandleReply handles a reply of the record, which may be late or repeated.
+// HandleReply handles a reply from the group. The reply may be late or a duplicate.
 func (h *Holder) HandleReply(now time.Duration, reply Reply) []Action {
-	if h.state == holding && now >= h.validUntil { // expired by the own clock, whatever the record says
+	if h.state == holding && now >= h.validUntil { // expired by the holder's own clock, whatever the reply is
 		return h.stopWork(ReasonExpired)
 	}
 	if reply.Status == Granted && (reply.Sequence != h.sequence || h.state == idle) {
@@ -173,7 +173,7 @@
 	return []Action{h.releaseOf(reply.Sequence, reply.Token)}
 }
 
-// handleGrant starts or extends the work by a grant of a request that was sent at sent.
+// handleGrant starts the work, or extends the time until which it may go on. sent is when the granted request was sent.
 func (h *Holder) handleGrant(now, sent time.Duration, reply Reply) []Action {
 	validUntil := sent + reply.Duration - time.Duration(float64(reply.Duration)*h.options.Drift) - h.options.Margin
 	switch {
@@ -188,17 +188,17 @@
 	case h.state == holding && validUntil > h.validUntil:
 		h.extend(sent, validUntil, reply.Duration)
 	}
-	return nil // a grant that came too late is asked for again by the next send
+	return nil // a grant that arrived too late to be of use: the next send requests it again
 }
 
-// extend makes the grant of a request that was sent at sent the current one.
+// extend sets the end of the grant, which counts from sent, when the granted request was sent.
 func (h *Holder) extend(sent, validUntil, duration time.Duration) {
 	h.validUntil, h.grantSentAt = validUntil, sent
 	h.nextSend = sent + duration/renewalsPerLease
 }
 
-// handleRejection handles an acquisition that was not granted. A waiter repeats its request as planned, since the record may hold the reply
-// back; otherwise a full RetryInterval passes first.
+// handleRejection handles an acquisition that was not granted. A waiter repeats its request as planned, since the group may delay its reply;
+// any other client waits for a full RetryInterval first.
 func (h *Holder) handleRejection(now time.Duration, status Status) []Action {
 	if h.state != acquiring || status == Waiting {
 		return nil
@@ -211,7 +211,8 @@
 	return []Action{{Kind: ActionReportRejection, Reason: reason}}
 }
 
-// Tick lets time pass: it expires the grant, or repeats or renews the request. It is to be called when Next says so.
+// Tick does what is due at now: it ends an expired grant, renews the grant or repeats an Acquire. It is to be called at the time that Next
+// returns.
 func (h *Holder) Tick(now time.Duration) []Action {
 	switch {
 	case h.state == holding && now >= h.validUntil:
@@ -224,7 +225,7 @@
 	return nil
 }
 
-// Next returns when Tick has something to do; false if only another event makes it so.
+// Next returns the time of the next Tick; false if none is needed before another event.
 func (h *Holder) Next() (time.Duration, bool) {
 	switch h.state {
 	case holding:
@@ -251,7 +252,7 @@
 	return h.send(now, Acquire)
 }
 
-// send sends an Acquire or a Renew and remembers when.
+// send sends an Acquire or a Renew and records the send time.
 func (h *Holder) send(now time.Duration, kind RequestKind) []Action {
 	h.sendNumber++
 	h.sentAt[h.sendNumber] = now
@@ -271,7 +272,7 @@
 	return []Action{{Kind: ActionStopWork, Token: h.token, Reason: reason}}
 }
 
-// releaseOf is the action that gives a grant back.
+// releaseOf returns the action that releases a grant.
 func (h *Holder) releaseOf(sequence uint64, token Token) Action {
 	return Action{Kind: ActionSend, Request: Request{Kind: Release, Name: h.options.Name, Client: h.options.Client, Sequence: sequence, Token: token}}
 }
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -12,21 +12,21 @@
 	"pgregory.net/rapid"
 )
 
-var maxStates = flag.Int("states", 30_000, "how many states TestModel visits at most, for each of its bounds")
+var maxStates = flag.Int("states", 30_000, "the largest number of states that TestModel visits for each of its bounds")
 
-// recoveryCheckInterval is how many states the search visits for each check of recovery, which is slow.
+// recoveryCheckInterval is the number of visited states per check of recovery, which is slow.
 const recoveryCheckInterval = 64
 
-const notRecovered = "nobody ever holds it again"
+const notRecovered = "a name is not held again after all faults have ended"
 
-// path is a world with the steps that led to it.
+// path is a world with the last step that led to it and the path before that step.
 type path struct {
 	world    *world
 	step     string
 	previous *path
 }
 
-// trace returns the steps that led to a path's end, and what is wrong there.
+// trace returns the steps that led to the end of a path, followed by the violation there.
 func (p *path) trace(violation string) []string {
 	trace := []string{violation}
 	for ; p != nil; p = p.previous {
@@ -36,8 +36,8 @@
 	return trace
 }
 
-// search visits each state within the bounds once, depth first, up to limit states. It returns the trace to a violation, nil if there is none, and
-// whether it has visited all states.
+// search visits each state within the bounds once, depth first, up to limit states. It returns the number of visited states, the trace to a
+// violation (nil if there is none), and whether it has visited all states.
 func search(bounds searchBounds, limit int) (states int, trace []string, exhaustive bool) {
 	seed := maphash.MakeSeed()
 	var encoded []byte
@@ -66,13 +66,14 @@
 			step.apply(next)
 			stack = append(stack, &path{next, step.name, current})
 		}
-		current.world = nil // its successors need only its step
+		current.world = nil // the paths that continue it need only its step
 	}
 	return len(seen), nil, true
 }
 
-// Every order of a few steps is tried: messages that are lost, late or duplicated, clocks at both limits of their drift, holders that are stopped,
-// and leaders that change with or without their proposals. Two holders never act on one name, and from no state is it lost for good.
+// Guards against two holders that act on one name at once, and against a name that can never be held again. Every order of a few steps is tried:
+// messages are lost, late or duplicated, clocks run at both limits of their drift, holders pause, and the leader changes with or without its
+// proposals.
 func TestModel(t *testing.T) {
 	for name, bounds := range map[string]searchBounds{
 		"slow holders and a fast leader":      {holders: 2, names: 1, rates: []time.Duration{3, 3}, leaderRate: 5, quanta: 7, inTransit: 2, acquisitions: 1, faults: 1},
@@ -85,17 +86,17 @@
 			t.Parallel()
 			states, trace, exhaustive := search(bounds, *maxStates)
 			if trace != nil {
-				t.Errorf("after %d states:\n%s", states, strings.Join(trace, "\n"))
+				t.Errorf("violation found after %d states, by these steps:\n%s", states, strings.Join(trace, "\n"))
 			}
-			t.Logf("%d states, all of them: %v", states, exhaustive)
+			t.Logf("visited %d states; these are all states: %v", states, exhaustive)
 		})
 	}
 }
 
-// faultOdds is how many ordinary steps a walk takes for each fault, on average, where both are possible.
+// faultOdds sets the probability of a fault: where both are possible, one step in faultOdds is a fault, on average.
 const faultOdds = 12
 
-// walk takes steps that draw chooses, and returns the trace to a violation; nil if there is none.
+// walk takes steps that draw chooses, and returns the trace to a violation, nil if there is none.
 func walk(bounds *searchBounds, draw func(label string, n int) int, steps int) (trace []string) {
 	w := newWorld(bounds)
 	for range steps {
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// A longer search at random: more steps, more faults, three holders of two names. A violation is shrunk.
+// Extends TestModel by longer, random walks, with more steps and faults and three holders of two names. rapid shrinks the walk to a violation.
 func TestModelAtRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]time.Duration{3, 4, 5})
@@ -140,13 +141,13 @@
 	})
 }
 
-// Each rule that is left out leads to two holders, and the random search finds it.
+// Guards against a model that cannot detect violations: whichever rule of the lease is omitted, the random search finds two holders of one name.
 func TestModelBites(t *testing.T) {
 	const walks = 200_000
 	for _, c := range []struct {
 		omitted      omittedRule
 		acquisitions uint64
-		firstSeed    uint64 // a search from 0 finds a violation too, in about a minute
+		firstSeed    uint64 // a search from seed 0 finds a violation too, but takes about a minute
 	}{
 		{omitted: countFromSend, acquisitions: 1},
 		{omitted: subtractDrift, acquisitions: 1},
@@ -164,7 +165,7 @@
 					return
 				}
 			}
-			t.Error("no violation was found")
+			t.Error("the search found no violation although a rule is omitted")
 		})
 	}
 }
--- a/internal/lease/notes.go
+++ b/internal/lease/notes.go
@@ -5,8 +5,8 @@
 // MaxNoteBytes is the largest length of a note, in bytes. The Table keeps at most Limits.MaxNames notes.
 const MaxNoteBytes = 512
 
-// applyNote writes or reads the note of a name. Only the holder of the current token may, and requests are applied in the order of the log: so
-// a holder that was replaced is refused, whatever it believes about the time.
+// applyNote writes or reads the note of a name, for the holder of the current token alone. Requests are applied in the order of the log, so a
+// holder that was replaced is rejected even if its own clock says that its grant is still valid.
 func (t *Table) applyNote(request Request, entry *Entry) Reply {
 	if !entry.isHeldBy(request.Client, request.Token) {
 		return request.Reply(NotHeld)
--- a/internal/lease/notes_test.go
+++ b/internal/lease/notes_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Only the holder of the current token writes a note; a note outlives the lease and is part of a snapshot; notes are bounded.
+// Only the holder of the current token can write a note. A note outlives the grant and is part of a snapshot. The number and length of
+// notes are bounded.
 func TestNotes(t *testing.T) {
 	table := NewTable(Limits{MaxNames: 2, MaxWaiters: 2, MaxNameBytes: 100, MinDuration: 1, MaxDuration: time.Hour})
 	apply := func(kind RequestKind, client string, token Token, value string) Reply {
@@ -31,24 +32,24 @@
 		{"the first holder is still refused", apply(WriteNote, "a", first, "late"), NotHeld, ""},
 	} {
 		if c.reply.Status != c.want || c.reply.Value != c.value {
-			t.Errorf("%s: %+v", c.name, c.reply)
+			t.Errorf("%s: wrong reply %+v", c.name, c.reply)
 		}
 	}
 	restored := NewTable(table.limits)
 	restored.Restore(table.LastToken(), table.List())
 	restored.RestoreNotes(table.Notes())
 	if reply, _ := restored.Apply(Request{Kind: ReadNote, Name: "n", Client: "b", Token: table.LastToken()}); reply.Value != "one" {
-		t.Errorf("restored: %+v", reply)
+		t.Errorf("reading the note from a restored Table: %+v, want the value one", reply)
 	}
 	for _, name := range []string{"o", "p"} {
 		table.Apply(Request{Kind: Release, Name: "n", Client: "b", Token: table.LastToken()})
 		reply, _ := table.Apply(Request{Kind: Acquire, Name: name, Client: "c", Sequence: 9, Duration: time.Second})
 		reply, _ = table.Apply(Request{Kind: WriteNote, Name: name, Client: "c", Token: reply.Token, Value: "x"})
 		if want := map[string]Status{"o": Done, "p": TableFull}[name]; reply.Status != want {
-			t.Errorf("%s: %+v", name, reply)
+			t.Errorf("writing the note of %s, beside one other note: wrong reply %+v", name, reply)
 		}
 	}
 	if reply := apply(WriteNote, "b", table.LastToken(), ""); reply.Status == Done {
-		t.Errorf("nobody holds it: %+v", reply)
+		t.Errorf("a note was written for a name that is free: %+v", reply)
 	}
 }
--- a/internal/lease/steps_test.go
+++ b/internal/lease/steps_test.go
@@ -6,10 +6,10 @@
 type modelStep struct {
 	name  string
 	fault bool
-	apply func(w *world) // to the world that the step was found in, or to a copy
+	apply func(w *world) // applied to the world whose steps it is one of, or to a copy of it
 }
 
-// stepList collects the steps of a world.
+// stepList collects the steps that are possible in a world.
 type stepList struct {
 	world *world
 	steps []modelStep
@@ -19,14 +19,14 @@
 	l.steps = append(l.steps, modelStep{name, false, apply})
 }
 
-// addFault adds a step that is a fault, unless the bound of faults is reached.
+// addFault adds a step that is a fault, unless the world has had the largest allowed number of faults.
 func (l *stepList) addFault(name string, apply func(w *world)) {
 	if l.world.faults < l.world.bounds.faults {
 		l.steps = append(l.steps, modelStep{name, true, func(w *world) { w.faults++; apply(w) }})
 	}
 }
 
-// steps returns the steps that may follow. Their order is fixed: a seed of the random search means the same walk.
+// steps returns the possible next steps. Their order is fixed, so that a seed of the random search always results in the same walk.
 func (w *world) steps() []modelStep {
 	l := &stepList{world: w}
 	if w.quanta < w.bounds.quanta {
@@ -43,7 +43,7 @@
 	return l.steps
 }
 
-// addMessages lets messages arrive, get lost or be duplicated.
+// addMessages adds the steps in which a message arrives, is lost or is duplicated.
 func (l *stepList) addMessages() {
 	for i, m := range l.world.inTransit {
 		l.add("a message arrives", func(w *world) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// addRecord applies and proposes requests, and changes the leader.
+// addRecord adds the steps in which requests are proposed or applied, or the leader changes.
 func (l *stepList) addRecord() {
 	w := l.world
 	if len(w.proposals) > 0 {
@@ -64,17 +64,18 @@
 	if next, ok := w.expirations.Next(); ok && next <= w.leaderClock && len(w.proposals) < maxProposals {
 		l.add("expiries are proposed", func(w *world) { w.proposals = append(w.proposals, w.expirations.Expired(w.leaderClock)...) })
 	}
-	for kept := range len(w.proposals) + 1 {
-		l.addFault("the leader changes", func(w *world) { w.changeLeader(kept) })
+	for replicated := range len(w.proposals) + 1 {
+		l.addFault("the leader changes", func(w *world) { w.changeLeader(replicated) })
 	}
 }
 
-// addHolder lets a holder look at its clock, acquire, release and transfer. A holder that does not look is one that is stopped.
+// addHolder adds the steps in which a holder checks its clock, acquires, releases or transfers. A holder whose next check is
+// delayed stands for a paused process.
 func (l *stepList) addHolder(i int) {
 	w, h := l.world, l.world.holders[i]
 	now, client := w.now(i), h.options.Client
 	if next, ok := h.Next(); ok && next <= now {
-		l.add(client+" looks at its clock", func(w *world) { w.perform(i, w.holders[i].Tick(now)) })
+		l.add(client+" checks its clock", func(w *world) { w.perform(i, w.holders[i].Tick(now)) })
 	}
 	switch {
 	case !h.wanted && w.acquisitions[i] < w.bounds.acquisitions:
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -9,9 +9,9 @@
 
 // Limits bound a Table. An entry takes about 400 bytes and a waiter about 150, beside the names themselves.
 type Limits struct {
-	MaxNames     int           // names that are held at once, and notes
+	MaxNames     int           // names that are held at once; also the number of stored notes
 	MaxWaiters   int           // waiters for one name
-	MaxNameBytes int           // length of a lease's and of a client's name
+	MaxNameBytes int           // length of a lease's or a client's name
 	MinDuration  time.Duration // shortest lease duration; a shorter request gets this one
 	MaxDuration  time.Duration // longest lease duration; a longer request gets this one
 }
@@ -24,7 +24,7 @@
 	Token           Token         `json:"Token"`
 	Duration        time.Duration `json:"Term"`
 	Revoked         bool          `json:"Revoked"` // the grant is not renewed any more
-	TransferPending bool          `json:"Heir"`    // the lease was transferred to Holder, which has not asked for it yet
+	TransferPending bool          `json:"Heir"`    // the lease was transferred to Holder, which has not requested it yet
 	Waiters         []Waiter      `json:"Waiters"` // in the order of arrival
 }
 
@@ -35,15 +35,15 @@
 	Duration time.Duration `json:"Term"`
 }
 
-// Table is the replicated record of leases: a deterministic state machine. The same requests in the same order make the same Table. It is not
-// safe for concurrent use.
+// Table is the replicated record of leases: a deterministic state machine. The same requests in the same order result in the same Table. It is
+// not safe for concurrent use.
 //
-// The states of a name, and the requests that move it:
+// The states of a name, and the requests that change them:
 //
 //	free ── Acquire ──────────────────────────────▶ held
-//	held ── Release, Expire; nobody waits ────────▶ free
-//	held ── Release, Expire; somebody waits ──────▶ held by the first waiter, with the next token
-//	held ── Transfer ─────────────────────────────▶ held by To, with the next token; transfer pending if To did not wait
+//	held ── Release, Expire; no waiters ──────────▶ free
+//	held ── Release, Expire; waiters ─────────────▶ held by the first waiter, with the next token
+//	held ── Transfer ─────────────────────────────▶ held by To, with the next token; transfer pending if To was not a waiter
 //	held, transfer pending ── Acquire by To ──────▶ held
 //	held ── Revoke ───────────────────────────────▶ held, revoked: renewals get NotHeld until the holder releases or expires
 //	held ── Acquire by the holder, new sequence ──▶ held by the first waiter, or by the same client with the next token
@@ -51,7 +51,7 @@
 	limits    Limits
 	entries   map[string]*Entry
 	notes     map[string]string // by name; a note outlives the grant under which it was written
-	lastToken Token             // issued last, for any name
+	lastToken Token             // the last token issued, for any name
 }
 
 // NewTable returns an empty Table.
@@ -59,8 +59,8 @@
 	return &Table{limits: limits, entries: map[string]*Entry{}, notes: map[string]string{}}
 }
 
-// Apply applies a request of the log and returns its reply. granted is the entry that has a new holder, nil if none has. Renew changes nothing
-// in the record and is answered by Expirations.Renew.
+// Apply applies a request from the log and returns its reply. granted is the entry that was granted to a new holder, nil if there is none. Renew
+// changes nothing in the record and is answered by Expirations.Renew.
 func (t *Table) Apply(request Request) (reply Reply, granted *Entry) {
 	entry := t.entries[request.Name]
 	switch request.Kind {
@@ -91,7 +91,7 @@
 	return request.Reply(NotHeld), nil
 }
 
-// applyAcquire grants a free name, repeats the grant of its holder, or has the client wait.
+// applyAcquire grants a free name, repeats the reply to the name's holder, or adds the client to the waiter queue.
 func (t *Table) applyAcquire(request Request, entry *Entry) (Reply, *Entry) {
 	client := Waiter{request.Client, request.Sequence, min(max(request.Duration, t.limits.MinDuration), t.limits.MaxDuration)}
 	switch {
@@ -104,10 +104,10 @@
 		return entry.GrantedReply(request), entry
 	case entry.Holder != request.Client:
 		return t.enqueue(request, entry, client)
-	case entry.TransferPending: // the client takes over what was transferred to it
+	case entry.TransferPending: // the client takes over the lease that was transferred to it
 		entry.Sequence, entry.TransferPending = request.Sequence, false
 		return entry.GrantedReply(request), nil
-	case request.Sequence < entry.Sequence: // of an earlier acquisition
+	case request.Sequence < entry.Sequence: // belongs to an earlier acquisition
 		return request.Reply(NotHeld), nil
 	case request.Sequence == entry.Sequence: // repeated
 		if entry.Revoked {
@@ -118,7 +118,8 @@
 	return t.reacquire(request, entry, client)
 }
 
-// reacquire handles a holder that asks with a new sequence, which says that it does not act on its grant: it goes behind the waiters.
+// reacquire handles an Acquire of the holder with a new sequence, which means that it does not use its grant: it goes to the end of the waiter
+// queue.
 func (t *Table) reacquire(request Request, entry *Entry, client Waiter) (Reply, *Entry) {
 	if len(entry.Waiters) == 0 {
 		t.grant(entry, client)
@@ -129,7 +130,7 @@
 	return reply, granted
 }
 
-// applyTransfer gives the lease to request.To, past the other waiters. Where To is no usable name it is a Release.
+// applyTransfer grants the lease to request.To ahead of the waiters. If To is not a valid name, the request has the effect of a Release.
 func (t *Table) applyTransfer(request Request, entry *Entry) (Reply, *Entry) {
 	if !entry.isHeldBy(request.Client, request.Token) {
 		return request.Reply(NotHeld), nil
@@ -148,7 +149,7 @@
 	return request.Reply(Done), entry
 }
 
-// applyRevoke marks a grant as revoked; a request without a token means the current one.
+// applyRevoke marks a grant as revoked: the one with the request's token, or the current one if the request has no token.
 func applyRevoke(request Request, entry *Entry) Reply {
 	if entry == nil || request.Token != 0 && entry.Token != request.Token {
 		return request.Reply(NotHeld)
@@ -159,11 +160,11 @@
 	return reply
 }
 
-// enqueue puts a client into the waiter queue, or updates its place there.
+// enqueue adds a client to the waiter queue, or updates its entry there.
 func (t *Table) enqueue(request Request, entry *Entry, client Waiter) (Reply, *Entry) {
 	i := entry.waiterIndex(request.Client)
 	switch {
-	case i >= 0 && request.Sequence < entry.Waiters[i].Sequence: // of an earlier acquisition
+	case i >= 0 && request.Sequence < entry.Waiters[i].Sequence: // belongs to an earlier acquisition
 		return request.Reply(NotHeld), nil
 	case i >= 0:
 		entry.Waiters[i] = client
@@ -180,14 +181,14 @@
 	return entry.waitingReply(request, i), nil
 }
 
-// grant makes a client the holder, under a token that no grant had before. No other code issues tokens.
+// grant makes a client the holder, with a token that no grant had before. No other code issues tokens.
 func (t *Table) grant(entry *Entry, client Waiter) {
 	t.lastToken++
 	entry.Holder, entry.Sequence, entry.Duration = client.Client, client.Sequence, client.Duration
 	entry.Token, entry.Revoked, entry.TransferPending = t.lastToken, false, false
 }
 
-// grantNextWaiter grants the lease to the first waiter and returns its entry. If nobody waits it frees the name and returns nil.
+// grantNextWaiter grants the lease to the first waiter and returns the entry. If there are no waiters it frees the name and returns nil.
 func (t *Table) grantNextWaiter(entry *Entry) *Entry {
 	if len(entry.Waiters) == 0 {
 		delete(t.entries, entry.Name)
@@ -201,12 +202,12 @@
 
 func (t *Table) validName(name string) bool { return name != "" && len(name) <= t.limits.MaxNameBytes }
 
-// isHeldBy reports whether a client holds the name under a token. A nil Entry is a free name.
+// isHeldBy reports whether a client holds the name with this token. A nil Entry is a free name.
 func (e *Entry) isHeldBy(client string, token Token) bool {
 	return e != nil && e.Token == token && e.Holder == client
 }
 
-// waiterIndex returns a client's index in the waiter queue, -1 if it does not wait.
+// waiterIndex returns a client's index in the waiter queue, -1 if the client is not there.
 func (e *Entry) waiterIndex(client string) int {
 	return slices.IndexFunc(e.Waiters, func(w Waiter) bool { return w.Client == client })
 }
@@ -218,7 +219,7 @@
 	return reply
 }
 
-// waitingReply is the reply to the waiter at an index of the queue.
+// waitingReply returns the reply to the waiter at an index of the queue.
 func (e *Entry) waitingReply(request Request, index int) Reply {
 	reply := request.Reply(Waiting)
 	reply.Position, reply.Holder = index+1, e.Holder
@@ -228,7 +229,7 @@
 // Entry returns the entry of a name, nil if the name is free. The caller must not change it.
 func (t *Table) Entry(name string) *Entry { return t.entries[name] }
 
-// LastToken returns the token that was issued last.
+// LastToken returns the last token that was issued.
 func (t *Table) LastToken() Token { return t.lastToken }
 
 // List returns copies of all entries, sorted by name.
@@ -243,7 +244,7 @@
 	return list
 }
 
-// Restore fills an empty Table from a snapshot: what LastToken and List returned.
+// Restore fills an empty Table from a snapshot, which holds the results of LastToken and List.
 func (t *Table) Restore(lastToken Token, entries []Entry) {
 	t.lastToken = lastToken
 	for _, entry := range entries {
--- a/internal/lease/table_test.go
+++ b/internal/lease/table_test.go
@@ -7,30 +7,32 @@
 	"time"
 )
 
-// A lease goes to the waiters in the order of their arrival. Its token rises with each grant, also where nobody held it in between.
+// A lease is granted to the waiters in the order of their arrival. Its token increases with each grant, even if the name was free in
+// between.
 func TestQueue(t *testing.T) {
 	h := newHarness(t)
 	h.want(acquire("a", 1), Granted, "a", 1)
 	h.want(acquire("a", 1), Granted, "a", 1) // repeated
 	h.want(acquire("b", 1), Waiting, "a", 1)
 	h.want(acquire("c", 1), Waiting, "a", 1)
-	h.want(acquire("b", 1), Waiting, "a", 1) // it keeps its position
+	h.want(acquire("b", 1), Waiting, "a", 1) // b keeps its position
 	h.want(acquire("d", 1), TableFull, "a", 1)
 	h.want(Request{Kind: Acquire, Client: "d", Sequence: 1}, HeldByOther, "a", 1)
-	h.want(Request{Kind: Release, Client: "b", Token: 1}, NotHeld, "a", 1) // of another client
+	h.want(Request{Kind: Release, Client: "b", Token: 1}, NotHeld, "a", 1) // the token is that of another client
 	h.want(Request{Kind: Release, Client: "a", Token: 1}, Done, "b", 2)
-	h.want(Request{Kind: Release, Client: "a", Token: 1}, NotHeld, "b", 2) // duplicated
+	h.want(Request{Kind: Release, Client: "a", Token: 1}, NotHeld, "b", 2) // duplicate
 	h.want(Request{Kind: Renew, Client: "a", Token: 1}, NotHeld, "b", 2)
-	h.want(acquire("b", 2), Waiting, "c", 3) // a new acquisition goes behind the waiter
-	h.want(acquire("b", 1), NotHeld, "c", 3) // of the earlier acquisition
+	h.want(acquire("b", 2), Waiting, "c", 3) // a new acquisition goes to the end of the queue
+	h.want(acquire("b", 1), NotHeld, "c", 3) // belongs to the earlier acquisition
 	h.want(Request{Kind: RemoveWaiter, Client: "b", Sequence: 1}, Done, "c", 3)
 	h.want(Request{Kind: Release, Client: "c", Token: 3}, Done, "b", 4)
 	h.want(Request{Kind: Release, Client: "b", Token: 4}, Done, "", 0)
 	h.want(acquire("a", 2), Granted, "a", 5)
-	h.want(acquire("a", 3), Granted, "a", 6) // a new acquisition while nobody waits
+	h.want(acquire("a", 3), Granted, "a", 6) // a new acquisition while there are no waiters
 }
 
-// A lease is transferred to a waiter, past the others; to a client that does not wait yet, until the grant expires; to no unusable name.
+// A lease can be transferred to a waiter, ahead of the other waiters, or to a client that has not requested it yet, for which it is
+// reserved until the grant expires. A transfer to an invalid name releases the lease.
 func TestTransfer(t *testing.T) {
 	h := newHarness(t)
 	h.want(acquire("a", 1), Granted, "a", 1)
@@ -45,15 +47,15 @@
 	h.want(acquire("b", 1), Waiting, "gone", 4)
 	h.advance(3 * time.Second)
 	h.want(acquire("b", 1), Granted, "b", 5)
-	h.want(Request{Kind: Transfer, Client: "b", Token: 5, To: "one whose name is far too long"}, Done, "", 0)
+	h.want(Request{Kind: Transfer, Client: "b", Token: 5, To: "a client name that is too long"}, Done, "", 0)
 }
 
-// Names, waiters and the length of names are bounded; durations are held within their limits; a snapshot restores the same Table.
+// The number and length of names are bounded, durations are kept within their limits, and a snapshot restores the same Table.
 func TestBounds(t *testing.T) {
 	h := newHarness(t)
 	for i, want := range []Status{Granted, Granted, TableFull} {
 		if reply := h.apply(Request{Kind: Acquire, Name: fmt.Sprint("n", i), Client: "a", Sequence: 1}); reply.Status != want {
-			t.Errorf("name %d: %+v", i, reply)
+			t.Errorf("acquiring name number %d: wrong reply %+v", i, reply)
 		}
 	}
 	if reply := h.apply(Request{Kind: Release, Name: "n0", Client: "a", Token: 1}); reply.Status != Done {
@@ -62,7 +64,7 @@
 	for duration, want := range map[time.Duration]time.Duration{1: time.Second, time.Hour: time.Minute} {
 		reply := h.apply(Request{Kind: Acquire, Name: "n2", Client: "a", Sequence: 1, Duration: duration})
 		if reply.Status != Granted || reply.Duration != want {
-			t.Errorf("a duration of %v: %+v", duration, reply)
+			t.Errorf("acquiring for a duration of %v: wrong reply %+v", duration, reply)
 		}
 		h.apply(Request{Kind: Release, Name: "n2", Client: "a", Token: reply.Token})
 	}
@@ -72,6 +74,6 @@
 	restored := NewTable(testLimits)
 	restored.Restore(h.table.LastToken(), h.table.List())
 	if !reflect.DeepEqual(restored, h.table) {
-		t.Errorf("%+v, restored as %+v", h.table, restored)
+		t.Errorf("table %+v was restored as %+v", h.table, restored)
 	}
 }
--- a/internal/lease/timer_queue.go
+++ b/internal/lease/timer_queue.go
@@ -5,18 +5,18 @@
 // expiryTimer is the timer of a grant or of a wait.
 type expiryTimer struct {
 	name     string // of the lease
-	client   string // of the waiter; empty: the timer is the grant's
-	sequence uint64 // of the waiter
+	client   string // the waiter; empty if the timer is that of the grant
+	sequence uint64 // of the waiter's acquisition
 	token    Token  // of the grant
 	deadline time.Duration
-	proposed bool // its end was proposed
+	proposed bool // the request that ends the grant or wait was proposed
 	index    int  // in the timerQueue
 }
 
 // timerKey identifies a timer: there is one for each grant (client is empty) and one for each waiter.
 func timerKey(name, client string) string { return name + "\x00" + client }
 
-// timerQueue is a heap of timers by deadline, for container/heap.
+// timerQueue is a heap of timers, ordered by deadline, for container/heap.
 type timerQueue []*expiryTimer
 
 func (q timerQueue) Len() int           { return len(q) }
@@ -26,14 +26,14 @@
 	q[i].index, q[j].index = i, j
 }
 
-// Push is heap.Interface's.
+// Push implements heap.Interface.
 func (q *timerQueue) Push(x any) {
 	timer := x.(*expiryTimer)
 	timer.index = len(*q)
 	*q = append(*q, timer)
 }
 
-// Pop is heap.Interface's.
+// Pop implements heap.Interface.
 func (q *timerQueue) Pop() any {
 	old := *q
 	timer := old[len(old)-1]
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// The model has a record with a leader, holders, and messages between them. Time passes in quanta, in each of which a clock advances by its rate
-// in units: modelQuantum is true time, 3 the slow and 5 the fast limit of driftLimit.
+// The model consists of the record of leases with its leader, holders, and messages between them. Time passes in quanta. In each quantum a clock
+// advances by its rate in units: 4 (modelQuantum) is an exact clock, 3 and 5 are the slowest and the fastest clock within driftLimit.
 const (
 	modelQuantum       = 4
 	modelDuration      = 4 * modelQuantum // of a lease
 	driftLimit         = 0.25
-	maxProposals       = 3   // that are not applied yet
-	recoveryQuanta     = 200 // after which a name must be held again once all faults have ended
-	recoverySteps      = 100 // within one quantum
-	recoveryInTransit  = 100 // messages at once
+	maxProposals       = 3   // proposals that are not applied yet
+	recoveryQuanta     = 200 // quanta within which each name must be held again once all faults have ended
+	recoverySteps      = 100 // largest number of steps of settle within one quantum
+	recoveryInTransit  = 100 // messages in transit at once while recovery is checked
 	unboundedDuration  = 1 << 20
 	modelNameBytes     = 100
 	modelTableCapacity = 4
@@ -25,7 +25,7 @@
 
 var modelNames, modelClients = []string{"l0", "l1"}, []string{"c0", "c1", "c2"}
 
-// omittedRule is a rule that the model leaves out, to show that the search finds the fault; empty: none is left out.
+// omittedRule is a rule that the model leaves out, to check that the search finds the violation. If it is empty no rule is left out.
 type omittedRule string
 
 const (
@@ -35,23 +35,23 @@
 	noGrantAfterProposal omittedRule = "a grant whose expiry was proposed is not confirmed"
 )
 
-// searchBounds bound what the searches look at.
+// searchBounds bound the states that the searches visit.
 type searchBounds struct {
 	holders, names int
 	rates          []time.Duration // of the holders' clocks, in units per quantum
 	leaderRate     time.Duration   // of the leader's clock, in units per quantum
 	quanta         int
-	inTransit      int    // messages at once
+	inTransit      int    // messages in transit at once
 	acquisitions   uint64 // of each holder
-	faults         int    // messages that are lost or duplicated, releases, transfers and changes of the leader, in all
+	faults         int    // total number of lost or duplicated messages, releases, transfers and changes of the leader
 	omitted        omittedRule
 }
 
-// message is a request to the record or a reply to a holder.
+// message is a request to the record of leases or a reply to a holder.
 type message struct {
 	request Request
 	reply   Reply
-	to      int // index of a holder; toRecord: the record
+	to      int // index of a holder, or toRecord for the record
 }
 
 const toRecord = -1
@@ -68,7 +68,7 @@
 	holders      []*Holder // by process, then by name
 	acquisitions []uint64  // by holder
 	inTransit    []message
-	proposals    []Request // that are not applied yet
+	proposals    []Request // not applied yet
 }
 
 func newWorld(bounds *searchBounds) *world {
@@ -114,7 +114,7 @@
 	return &c
 }
 
-// now is the time by a holder's clock.
+// now returns the time by a holder's clock.
 func (w *world) now(holder int) time.Duration { return w.clocks[holder/w.bounds.names] }
 
 // advance lets a quantum pass.
@@ -125,7 +125,7 @@
 	w.leaderClock += w.bounds.leaderRate
 }
 
-// perform carries out a holder's actions. Its work ends at once.
+// perform carries out a holder's actions. Work that has to stop ends at once.
 func (w *world) perform(holder int, actions []Action) {
 	for _, action := range actions {
 		switch action.Kind {
@@ -137,14 +137,14 @@
 	}
 }
 
-// transmit puts a message on its way. It is lost if too many are.
+// transmit sends a message. It is lost if there are too many messages in transit.
 func (w *world) transmit(m message) {
 	if len(w.inTransit) < w.bounds.inTransit {
 		w.inTransit = append(w.inTransit, m)
 	}
 }
 
-// deliver lets a message arrive.
+// deliver hands a message to its recipient.
 func (w *world) deliver(m message) {
 	if m.to == toRecord {
 		w.receive(m.request)
@@ -159,7 +159,7 @@
 	w.perform(m.to, h.HandleReply(w.now(m.to), m.reply))
 }
 
-// receive handles a request as the leader's driver does.
+// receive handles a request in the way in which the leader's driver does.
 func (w *world) receive(request Request) {
 	if request.Kind == Renew {
 		w.answer(w.expirations.Renew(w.leaderClock, request))
@@ -196,9 +196,9 @@
 	}
 }
 
-// changeLeader makes another member the leader; of the proposals it has the first kept in its log.
-func (w *world) changeLeader(kept int) {
-	for _, request := range w.proposals[:kept] {
+// changeLeader makes another member the leader. Its log contains the first replicated proposals; the others are lost.
+func (w *world) changeLeader(replicated int) {
+	for _, request := range w.proposals[:replicated] {
 		w.table.Apply(request)
 	}
 	w.proposals = nil
@@ -216,7 +216,7 @@
 	heap.Init(&w.expirations.queue)
 }
 
-// violation describes what must not be: two holders that may act on one name. It is empty if all is well.
+// violation describes a violation of the safety property: two holders that may act on one name. It is empty if there is none.
 func (w *world) violation() string {
 	for n := range w.bounds.names {
 		var holders []int
@@ -226,13 +226,13 @@
 			}
 		}
 		if len(holders) > 1 {
-			return fmt.Sprintf("%v hold one name", holders)
+			return fmt.Sprintf("processes %v hold one name at the same time", holders)
 		}
 	}
 	return ""
 }
 
-// recovers reports whether each name comes to be held again once all faults have ended.
+// recovers reports whether each name is held again within recoveryQuanta if there are no more faults.
 func (w *world) recovers() bool {
 	c := w.clone()
 	bounds := *w.bounds
@@ -252,7 +252,7 @@
 	return false
 }
 
-// settle does all that can be done without time passing, and notes which names are held.
+// settle takes all steps that are possible without time passing, and records in held the names that are held.
 func (w *world) settle(held []bool) {
 	for range recoverySteps {
 		switch {
