--- a/internal/handover/doc.go
+++ b/internal/handover/doc.go
@@ -1,5 +1,5 @@
-// Package handover passes what a process has to its successor in a binary upgrade: the clients' listening socket, and a snapshot of its
-// state. Both processes are of one sidecar, of one user and on one machine. Package daemon drives both ends.
+// Package handover passes two things from a process to its successor in a binary upgrade: the socket on which it listens for clients, and a
+// snapshot of its state. Both processes belong to one sidecar and one user and run on one machine. Package daemon drives both ends.
 //
 // The predecessor listens on a Unix socket (Listen, Offer.Next), the successor connects to it (Request). Their messages:
 //
@@ -7,8 +7,9 @@
 //	    | -- Hello (Identity, JSON) ---------> |
 //	    | <- Welcome (State, JSON; socket) --- |   the socket comes with the first byte, as SCM_RIGHTS
 //	    | -- Ready --------------------------> |   the successor serves
-//	    | <- DescriptorsHeld ----------------- |   repeatedly, while the predecessor finishes its requests
-//	    | <- Drain, Undrain -----------------> |   an operator's call to either process, executed by both
+//	    | <- DescriptorsHeld ----------------- |   repeatedly, while the predecessor completes its requests
+//	    | <- Drain, Undrain -----------------> |   an operator's request to either process, carried out by both
 //
-// frame.go frames messages and state.go encodes and validates the state, both without I/O. link.go, request.go and offer.go carry them.
+// frame.go encodes messages, and state.go encodes and validates the state; neither opens connections. link.go, request.go and offer.go
+// exchange messages over the Unix socket.
 package handover
--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -11,21 +11,21 @@
 // Version is the version of the protocol. Processes of other versions are rejected.
 const Version = 1
 
-// MaxPayload is the largest payload of a message, in bytes. The state of 5,000 upstreams takes less.
+// MaxPayload is the largest payload of a message, in bytes. The state of 5,000 upstreams is smaller.
 const MaxPayload = 1 << 20
 
-// MessageKind is the kind of a message. Its numbers are sent.
+// MessageKind is the kind of a message. Its number is sent in the header.
 type MessageKind uint8
 
 // The kinds of messages.
 const (
-	Hello           MessageKind = iota + 1 // a successor is there
-	Welcome                                // the reply: the state, and the listening socket with its first byte
+	Hello           MessageKind = iota + 1 // the successor's Identity
+	Welcome                                // the predecessor's reply to Hello: its State, with the listening socket attached to the first byte
 	Ready                                  // the successor serves
 	Drain                                  // the sidecar is to drain; sent by either process to the other
 	Undrain                                // the sidecar is to serve again; sent by either process to the other
-	DescriptorsHeld                        // the number of descriptors that the predecessor still holds: 4 bytes, big-endian
-	kindsEnd                               // the first number that is not a kind
+	DescriptorsHeld                        // the number of descriptors that the predecessor still has open: 4 bytes, big-endian
+	kindsEnd                               // one more than the highest kind
 )
 
 // The header of a message, big-endian; the payload follows.
@@ -44,9 +44,9 @@
 )
 
 // ErrProtocol is returned for bytes that are not a message of this protocol and version, and for an unexpected message.
-var ErrProtocol = errors.New("not a message of this program's version")
+var ErrProtocol = errors.New("message does not follow this version of the hand-over protocol")
 
-// Append appends a message to out.
+// Append appends the encoding of a message to out.
 func Append(out []byte, kind MessageKind, payload []byte) []byte {
 	out = append(out, magic[:]...)
 	out = append(out, Version, byte(kind))
@@ -55,7 +55,7 @@
 	return append(out, payload...)
 }
 
-// Read reads one message. It allocates memory as the payload arrives, not by the length that the header claims.
+// Read reads one message. It allocates memory as the payload arrives, not for the length that the header states.
 func Read(in io.Reader) (MessageKind, []byte, error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
@@ -67,7 +67,7 @@
 	}
 	length := binary.BigEndian.Uint32(header[lengthOffset:])
 	if length > MaxPayload {
-		return 0, nil, fmt.Errorf("%w: a payload of %d bytes, %d at most", ErrProtocol, length, MaxPayload)
+		return 0, nil, fmt.Errorf("%w: payload of %d bytes exceeds the limit of %d bytes", ErrProtocol, length, MaxPayload)
 	}
 	payload, err := io.ReadAll(io.LimitReader(in, int64(length)))
 	switch {
@@ -76,7 +76,7 @@
 	case len(payload) < int(length):
 		return 0, nil, io.ErrUnexpectedEOF
 	case crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(header[checksumOffset:]):
-		return 0, nil, fmt.Errorf("%w: wrong checksum", ErrProtocol)
+		return 0, nil, fmt.Errorf("%w: wrong payload checksum", ErrProtocol)
 	}
 	return kind, payload, nil
 }
--- a/internal/handover/frame_test.go
+++ b/internal/handover/frame_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestFrames checks that messages are read as they were written, one after another; that a truncated one is not read; and that a changed
-// bit is noticed.
+// TestFrames checks that messages are read in the order and form in which they were written, that a truncated message is an error, and that
+// a changed bit is detected.
 func TestFrames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := MessageKind(rapid.IntRange(1, int(kindsEnd)-1).Draw(t, "kind"))
@@ -16,21 +16,21 @@
 		message := Append(nil, kind, payload)
 		in := bytes.NewReader(Append(message, Ready, nil))
 		if k, got, err := Read(in); err != nil || k != kind || !bytes.Equal(got, payload) {
-			t.Fatalf("%v %v %v", k, got, err)
+			t.Fatalf("the first message was read as kind %v, payload %v, error %v", k, got, err)
 		}
 		if k, _, err := Read(in); err != nil || k != Ready {
-			t.Fatalf("the next: %v %v", k, err)
+			t.Fatalf("the second message was read as kind %v, error %v; want Ready", k, err)
 		}
 		length := rapid.IntRange(0, len(message)-1).Draw(t, "length")
 		if _, _, err := Read(bytes.NewReader(message[:length])); err == nil {
-			t.Fatalf("read from %d of %d bytes", length, len(message))
+			t.Fatalf("a message was read from its first %d of %d bytes, want an error", length, len(message))
 		}
 		changed := bytes.Clone(message)
 		at := rapid.IntRange(0, len(changed)-1).Draw(t, "at")
 		changed[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
 		k, got, err := Read(bytes.NewReader(changed))
-		if err == nil && (at != kindOffset || k == kind || !bytes.Equal(got, payload)) { // both ends check the kind
-			t.Fatalf("read with a change at %d: %v", at, k)
+		if err == nil && (at != kindOffset || k == kind || !bytes.Equal(got, payload)) { // another valid kind is read; its receiver checks it
+			t.Fatalf("a message with a changed bit in byte %d was read as kind %v, want an error", at, k)
 		}
 	})
 }
@@ -46,7 +46,7 @@
 			return
 		}
 		if again := Append(nil, kind, payload); !bytes.Equal(again, b[:len(b)-in.Len()]) {
-			t.Errorf("%q is read as %q", b, again)
+			t.Errorf("message %q was read, but is encoded again as %q", b, again)
 		}
 		_, _ = Decode(payload, Identity{}) // must not panic
 	})
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -14,8 +14,8 @@
 	"orchiddrift/internal/testing/golden"
 )
 
-// TestStateGolden checks that the payloads of Welcome and Hello are encoded byte for byte as by the previous release, and that its bytes
-// are decoded: processes of both replace each other.
+// TestStateGolden checks that the payloads of Welcome and Hello have the same bytes as those of the previous release and that those bytes
+// are decoded, because processes of the two releases replace each other.
 func TestStateGolden(t *testing.T) {
 	index := int64(41)
 	own := Identity{Name: "n3", Listen: "127.0.0.1:9000"}
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read %+v, want %+v", got, want)
+		t.Errorf("the state was decoded as %+v, want %+v", got, want)
 	}
 	hello, err := json.Marshal(own)
 	if err != nil {
@@ -50,7 +50,7 @@
 	golden.Match(t, "hello.json", hello)
 }
 
-// TestFramesGolden checks that frames, the numbers of their kinds and the socket's path are those of the previous release.
+// TestFramesGolden checks that frames, the numbers of message kinds and the socket's path are the same as in the previous release.
 func TestFramesGolden(t *testing.T) {
 	var out strings.Builder
 	for _, message := range []struct {
@@ -61,7 +61,7 @@
 		fmt.Fprintf(&out, "%s %s\n", message.name, hex.EncodeToString(frame))
 		kind, payload, err := Read(strings.NewReader(string(frame)))
 		if err != nil || kind != message.kind || string(payload) != "payload" {
-			t.Errorf("%s: read %v %q, %v", message.name, kind, payload, err)
+			t.Errorf("%s: frame was read as kind %v, payload %q, error %v", message.name, kind, payload, err)
 		}
 	}
 	fmt.Fprintf(&out, "socket %s\n", SocketPath("folder", Identity{Name: "n3", Listen: "127.0.0.1:9000"}))
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// stepTimeout bounds each step of a hand-over. Both processes are on one machine.
+	// stepTimeout bounds each step of a hand-over. It is short because both processes are on one machine.
 	stepTimeout = time.Second
 	// maxSocketPath is the longest path of a Unix socket, in bytes: sockaddr_un has 108, one of them for the terminating zero.
 	maxSocketPath = 107
-	// descriptorsHeldSize is the length of a DescriptorsHeld's payload, in bytes.
+	// descriptorsHeldSize is the length of the payload of DescriptorsHeld, in bytes.
 	descriptorsHeldSize = 4
 )
 
-// SocketPath returns the path at which a sidecar's process waits for a successor, in a folder that both share.
+// SocketPath returns the path of the Unix socket at which a sidecar's process waits for its successor, in a folder that both can access.
 func SocketPath(folder string, own Identity) string {
 	return filepath.Join(folder, fmt.Sprintf("orchiddrift-%016x.sock", xxhash.Sum64String(own.Name+"\x00"+own.Listen)))
 }
@@ -33,7 +33,7 @@
 // Send sends a message without payload.
 func (l *Link) Send(kind MessageKind) error { return l.send(kind, nil) }
 
-// SendDescriptorsHeld tells the successor how many descriptors this process still holds.
+// SendDescriptorsHeld sends the successor the number of descriptors that this process still has open.
 func (l *Link) SendDescriptorsHeld(held int) error {
 	return l.send(DescriptorsHeld, binary.BigEndian.AppendUint32(nil, uint32(held)))
 }
@@ -46,8 +46,8 @@
 	return err
 }
 
-// Next waits for the next message; held is the number of a DescriptorsHeld. Any error means that the other process has ended or does not
-// follow the protocol.
+// Next waits for the next message. held is the number in a DescriptorsHeld message. Any error means that the other process has ended or
+// does not follow the protocol.
 func (l *Link) Next() (kind MessageKind, held int, err error) {
 	kind, payload, err := Read(l.conn)
 	switch {
@@ -64,7 +64,7 @@
 // Close closes the connection.
 func (l *Link) Close() error { return l.conn.Close() }
 
-// checkSameUser returns an error if the other process is of another user.
+// checkSameUser returns an error if the other process belongs to another user.
 func (l *Link) checkSameUser() error {
 	raw, err := l.conn.SyscallConn()
 	if err != nil {
@@ -81,7 +81,7 @@
 		return err
 	}
 	if int(peer.Uid) != os.Getuid() {
-		return errors.New("the other process belongs to another user")
+		return errors.New("the process at the other end of the hand-over socket belongs to another user")
 	}
 	return nil
 }
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -14,10 +14,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// startOffer starts a process that waits for successors, until the test ends. It returns its clients' socket and the links to successors.
+// startOffer waits for successors in the role of a predecessor, until the test ends. It returns the predecessor's listening socket for
+// clients and the links to successors.
 func startOffer(t *testing.T, path string, own Identity) (net.Listener, <-chan *Link) {
 	t.Helper()
-	clients, err := net.Listen("tcp", "127.0.0.1:0")
+	clientListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +31,7 @@
 	go func() {
 		defer close(done)
 		for {
-			link, err := offer.Next(own, clients, func() State { return stateOf(own) })
+			link, err := offer.Next(own, clientListener, func() State { return stateOf(own) })
 			if errors.Is(err, ErrNoSuccessor) {
 				continue
 			}
@@ -43,9 +44,9 @@
 	t.Cleanup(func() {
 		offer.Close()
 		<-done
-		clients.Close()
+		clientListener.Close()
 	})
-	return clients, links
+	return clientListener, links
 }
 
 func stateOf(own Identity) State {
@@ -54,37 +55,39 @@
 	return s
 }
 
-// TestQueuedConnectionsSurvive checks that connections in the accept queue of the old process are accepted by the successor, which has the
-// same socket. It logs how many are where both have sockets of their own with SO_REUSEPORT.
+// TestQueuedConnectionsSurvive guards against connections that are reset in an upgrade: those in the accept queue of the old process are
+// accepted by the successor, which has the same socket. For comparison it logs how many are accepted if both processes have their own
+// socket with SO_REUSEPORT.
 func TestQueuedConnectionsSurvive(t *testing.T) {
 	path, own := filepath.Join(t.TempDir(), "a.sock"), Identity{"n1", "127.0.0.1:0"}
-	clients, links := startOffer(t, path, own)
+	clientListener, links := startOffer(t, path, own)
 	state, listener, link, err := Request(path, own)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer link.Close()
 	defer listener.Close()
-	if !state.Draining || state.Services["platform"].Discovery != "127.0.0.1:8500" || listener.Addr().String() != clients.Addr().String() {
-		t.Errorf("%+v at %v", state, listener.Addr())
+	if !state.Draining || state.Services["platform"].Discovery != "127.0.0.1:8500" || listener.Addr().String() != clientListener.Addr().String() {
+		t.Errorf("the successor received state %+v and a socket at %v, want those of the predecessor", state, listener.Addr())
 	}
-	if n := countAnswered(t, clients, func() net.Listener { return listener }); n != queuedConnections {
-		t.Errorf("%d of %d are answered", n, queuedConnections)
+	if n := countAnswered(t, clientListener, func() net.Listener { return listener }); n != queuedConnections {
+		t.Errorf("the successor answered %d of %d queued connections, want all", n, queuedConnections)
 	}
 	old := listenReusePort(t, "127.0.0.1:0")
 	var next net.Listener
 	n := countAnswered(t, old, func() net.Listener { next = listenReusePort(t, old.Addr().String()); return next })
 	next.Close()
-	t.Logf("behind SO_REUSEPORT alone %d of %d are answered", n, queuedConnections)
+	t.Logf("with SO_REUSEPORT instead of a passed socket, %d of %d queued connections are answered", n, queuedConnections)
 	if link := <-links; link.Close() != nil {
-		t.Error("the link was closed")
+		t.Error("closing the predecessor's link failed")
 	}
 }
 
-// queuedConnections is how many connections wait in the accept queue when the old process closes its socket.
+// queuedConnections is the number of connections in the accept queue when the old process closes its socket.
 const queuedConnections = 20
 
-// countAnswered opens connections to old, closes it, and returns how many of them the process that has next's socket answers.
+// countAnswered opens connections to old, closes old, accepts connections from the listener that next returns, and returns how many of the
+// opened connections are answered.
 func countAnswered(t *testing.T, old net.Listener, next func() net.Listener) (answered int) {
 	t.Helper()
 	address := old.Addr().String()
@@ -131,42 +134,43 @@
 	return listener
 }
 
-// TestRequestWithoutPredecessor checks the errors where no process waits, and where a dead one has left its path.
+// TestRequestWithoutPredecessor checks the errors of Request if no process waits, and if a process that has ended left its socket's path.
 func TestRequestWithoutPredecessor(t *testing.T) {
 	dir, own := t.TempDir(), Identity{"n1", "127.0.0.1:9"}
 	if _, _, _, err := Request(filepath.Join(dir, "none.sock"), own); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("no process: %v", err)
+		t.Errorf("request without a socket: error %v, want os.ErrNotExist", err)
 	}
-	left := filepath.Join(dir, "left.sock")
-	offer, err := Listen(left)
+	stalePath := filepath.Join(dir, "left.sock")
+	offer, err := Listen(stalePath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	offer.Close()
-	if _, _, _, err := Request(left, own); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a dead process: %v", err)
+	if _, _, _, err := Request(stalePath, own); !errors.Is(err, syscall.ECONNREFUSED) {
+		t.Errorf("request to a process that has ended: error %v, want ECONNREFUSED", err)
 	}
 }
 
-// TestOfferSurvivesStrangers checks that an offer takes over the path of a dead process, gives nothing to other sidecars and to what does
-// not follow the protocol, and serves a successor after them; and the messages of both ends up to the successor's end.
+// TestOfferSurvivesStrangers guards against an offer that passes the socket to other sidecars or to clients that do not follow the
+// protocol, or that fails because of them. It takes over the path of a process that has ended, rejects such clients, and then checks the
+// messages between the predecessor and a successor until the successor ends.
 func TestOfferSurvivesStrangers(t *testing.T) {
 	path, own := filepath.Join(t.TempDir(), "left.sock"), Identity{"n1", "127.0.0.1:9"}
-	dead, err := Listen(path)
+	ended, err := Listen(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead.Close()
+	ended.Close()
 	_, links := startOffer(t, path, own)
 	if _, _, _, err := Request(path, Identity{"n2", own.Listen}); err == nil {
-		t.Error("another sidecar got the socket")
+		t.Error("a process with the identity of another sidecar received the socket")
 	}
-	for _, noise := range []string{"", "GET / HTTP/1.1\r\n\r\n", string(Append(nil, Ready, nil)), string(Append(nil, Hello, []byte("{}")))} {
+	for _, input := range []string{"", "GET / HTTP/1.1\r\n\r\n", string(Append(nil, Ready, nil)), string(Append(nil, Hello, []byte("{}")))} {
 		conn, err := net.Dial("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = io.WriteString(conn, noise)
+		_, _ = io.WriteString(conn, input)
 		conn.Close()
 	}
 	_, listener, successor, err := Request(path, own)
@@ -179,23 +183,23 @@
 	}
 	predecessor := <-links
 	if kind, _, err := predecessor.Next(); err != nil || kind != Ready {
-		t.Errorf("%v, %v", kind, err)
+		t.Errorf("the predecessor received kind %v, error %v; want Ready", kind, err)
 	}
 	if err := predecessor.SendDescriptorsHeld(77); err != nil {
 		t.Error(err)
 	}
 	if kind, held, err := successor.Next(); err != nil || kind != DescriptorsHeld || held != 77 {
-		t.Errorf("%v, %v, %v", kind, held, err)
+		t.Errorf("the successor received kind %v, number %v, error %v; want DescriptorsHeld with 77", kind, held, err)
 	}
 	successor.Close()
 	if _, _, err := predecessor.Next(); err == nil {
-		t.Error("the successor's end is not noticed")
+		t.Error("the predecessor's Next returned no error after the successor closed the connection")
 	}
 	predecessor.Close()
 }
 
-// TestRequestOfBrokenPredecessor checks that a successor takes nothing from a process that ends in the middle or does not follow the
-// protocol.
+// TestRequestOfBrokenPredecessor checks that a successor rejects the hand-over of a process that ends before its message is complete or
+// does not follow the protocol.
 func TestRequestOfBrokenPredecessor(t *testing.T) {
 	own := Identity{"n1", "127.0.0.1:9"}
 	for _, c := range []struct{ name, reply string }{
@@ -221,15 +225,15 @@
 				conn.Close()
 			}()
 			if _, _, _, err := Request(path, own); err == nil {
-				t.Error("accepted")
+				t.Error("the request succeeded, want an error")
 			}
 		})
 	}
 }
 
-// TestListenPathTooLong checks that a path longer than a Unix socket's may be is an error.
+// TestListenPathTooLong checks that Listen returns an error for a path that is too long for a Unix socket.
 func TestListenPathTooLong(t *testing.T) {
 	if _, err := Listen(filepath.Join(t.TempDir(), strings.Repeat("x", 120)+".sock")); err == nil {
-		t.Error("a path beyond what a socket's may have")
+		t.Error("Listen accepted a path that is too long for a Unix socket")
 	}
 }
--- a/internal/handover/offer.go
+++ b/internal/handover/offer.go
@@ -10,35 +10,35 @@
 	"time"
 )
 
-// ErrNoSuccessor is returned by Offer.Next when what connected is not a successor, or did not complete the hand-over.
+// ErrNoSuccessor is returned by Offer.Next if the process that connected is not a successor or did not complete the hand-over.
 var ErrNoSuccessor = errors.New("no successor")
 
 const (
-	// temporaryPathReserve is how many bytes the temporary path of a socket may be longer than its path.
+	// temporaryPathReserve is the number of bytes by which the temporary path of a socket may exceed its final path.
 	temporaryPathReserve = 4
-	// temporaryPathNumbers bounds the number in a temporary path, for its length.
+	// temporaryPathNumbers bounds the number in a temporary path, and thereby its length.
 	temporaryPathNumbers = 100_000
 
 	socketSuffix               = ".sock"
 	socketFileMode os.FileMode = 0o600
 )
 
-// Offer waits for successors at a path.
+// Offer waits for successors at the path of a Unix socket.
 type Offer struct{ listener *net.UnixListener }
 
-// Listen takes over path, also from a process that waits there: that one's successor connects to this process from then on. The path ends
-// in ".sock"; the socket is made under a temporary name and renamed, so that there is always one to connect to.
+// Listen starts to wait for successors at path, which must end in ".sock". If another process waits there, successors connect to this
+// process instead from then on. The socket is created under a temporary name and renamed, so that there always is a socket at path.
 func Listen(path string) (*Offer, error) {
 	if len(path)+temporaryPathReserve > maxSocketPath {
-		return nil, fmt.Errorf("%s is too long for a socket", path)
+		return nil, fmt.Errorf("the path %s is too long for a Unix socket", path)
 	}
 	temporary := fmt.Sprintf("%s.%d", path[:len(path)-len(socketSuffix)], os.Getpid()%temporaryPathNumbers)
-	_ = os.Remove(temporary) // left by a process of the same number that crashed
+	_ = os.Remove(temporary) // left by a process with the same number that crashed
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	listener.SetUnlinkOnClose(false) // the path may be a successor's by then
+	listener.SetUnlinkOnClose(false) // by then the path may belong to a successor
 	if err := errors.Join(os.Chmod(temporary, socketFileMode), os.Rename(temporary, path)); err != nil {
 		listener.Close()
 		_ = os.Remove(temporary)
@@ -47,26 +47,27 @@
 	return &Offer{listener}, nil
 }
 
-// Next waits for a successor, passes it state and the socket of clients, and returns the link to it. An error that is ErrNoSuccessor
-// concerns one connection, and Next may be called again; any other one ends the offer.
-func (o *Offer) Next(own Identity, clients net.Listener, state func() State) (*Link, error) {
+// Next waits for a successor, passes it the state and the socket of clientListener, and returns the link to it. ErrNoSuccessor concerns
+// only one connection, and Next may be called again; any other error ends the offer.
+func (o *Offer) Next(own Identity, clientListener net.Listener, state func() State) (*Link, error) {
 	conn, err := o.listener.AcceptUnix()
 	if err != nil {
 		return nil, err
 	}
 	link := &Link{conn}
-	if err := link.welcome(own, clients, state); err != nil {
+	if err := link.welcome(own, clientListener, state); err != nil {
 		link.Close()
 		return nil, fmt.Errorf("%w: %w", ErrNoSuccessor, err)
 	}
 	return link, nil
 }
 
-// Close ends the offer. It leaves the path, which may be a successor's; nobody answers there otherwise.
+// Close ends the offer. It does not remove the socket's path, which may belong to a successor by then; otherwise connections to
+// it are refused.
 func (o *Offer) Close() error { return o.listener.Close() }
 
 // welcome receives Hello and sends Welcome, within stepTimeout.
-func (l *Link) welcome(own Identity, clients net.Listener, state func() State) error {
+func (l *Link) welcome(own Identity, clientListener net.Listener, state func() State) error {
 	if err := errors.Join(l.checkSameUser(), l.conn.SetDeadline(time.Now().Add(stepTimeout))); err != nil {
 		return err
 	}
@@ -82,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	if err := l.sendWithSocket(Append(nil, Welcome, encoded), clients); err != nil {
+	if err := l.sendWithSocket(Append(nil, Welcome, encoded), clientListener); err != nil {
 		return err
 	}
 	return l.conn.SetDeadline(time.Time{})
@@ -92,7 +93,7 @@
 func (l *Link) sendWithSocket(message []byte, socket net.Listener) error {
 	tcp, ok := socket.(*net.TCPListener)
 	if !ok {
-		return errors.New("the clients' socket can't be passed on")
+		return errors.New("the listening socket for clients is not a TCP socket and cannot be passed to a successor")
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
--- a/internal/handover/request.go
+++ b/internal/handover/request.go
@@ -12,11 +12,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Request asks the process that waits at path for its state and its listening socket. The error is os.ErrNotExist if there is no process,
-// and syscall.ECONNREFUSED if there is none any more and its path remains.
+// Request requests the state and the listening socket of the process that waits at path. The error is os.ErrNotExist if path does not
+// exist, and syscall.ECONNREFUSED if the process that created the socket at path has ended.
 func Request(path string, own Identity) (State, net.Listener, *Link, error) {
 	if len(path) > maxSocketPath {
-		return State{}, nil, nil, fmt.Errorf("%s is too long for a socket", path)
+		return State{}, nil, nil, fmt.Errorf("the path %s is too long for a Unix socket", path)
 	}
 	conn, err := net.DialTimeout("unix", path, stepTimeout)
 	if err != nil {
@@ -66,13 +66,14 @@
 	return state, listener, l.conn.SetReadDeadline(time.Time{})
 }
 
-// maxReceivedDescriptors is how many descriptors one read can receive. The protocol passes one; the system closes those beyond.
+// maxReceivedDescriptors is the number of descriptors that one read can receive. The protocol passes one; the kernel closes any beyond the
+// limit.
 const maxReceivedDescriptors = 4
 
 // descriptorSize is the size of a descriptor in a control message, in bytes.
 const descriptorSize = 4
 
-// socketReceiver reads from a Unix socket, and collects the descriptors that come with the bytes.
+// socketReceiver reads from a Unix socket and collects the descriptors that are attached to the bytes.
 type socketReceiver struct {
 	conn        *net.UnixConn
 	descriptors []int
@@ -94,7 +95,7 @@
 		}
 	}
 	if n == 0 && err == nil {
-		err = errors.New("the predecessor has ended")
+		err = errors.New("the predecessor closed the connection before the hand-over was complete")
 	}
 	return n, err
 }
@@ -102,7 +103,7 @@
 // listener returns the listening socket that was received.
 func (r *socketReceiver) listener() (net.Listener, error) {
 	if len(r.descriptors) != 1 {
-		return nil, fmt.Errorf("received %d sockets", len(r.descriptors))
+		return nil, fmt.Errorf("received %d listening sockets instead of one", len(r.descriptors))
 	}
 	syscall.CloseOnExec(r.descriptors[0])
 	f := os.NewFile(uintptr(r.descriptors[0]), "clients")
@@ -111,7 +112,7 @@
 	return net.FileListener(f)
 }
 
-// closeUnused closes the descriptors that listener has not taken.
+// closeUnused closes the descriptors that listener has not used.
 func (r *socketReceiver) closeUnused() {
 	for _, descriptor := range r.descriptors {
 		syscall.Close(descriptor)
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -9,29 +9,29 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// Identity identifies a sidecar. A successor must have its predecessor's.
+// Identity identifies a sidecar. A successor must have the same Identity as its predecessor.
 type Identity struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
 }
 
-// State is what a process passes on to its successor, beside the listening socket.
+// State is the state that a process passes to its successor together with the listening socket.
 type State struct {
 	Identity
 	Draining    bool               `json:"draining"`
-	Descriptors int                `json:"held"` // file descriptors that the predecessor holds
+	Descriptors int                `json:"held"` // number of file descriptors that the predecessor has open
 	Services    map[string]Service `json:"services"`
 }
 
 // Service is the state of one service.
 type Service struct {
-	Discovery string             `json:"discovery,omitempty"` // the address that List came from; List is of use only with the same one
+	Discovery string             `json:"discovery,omitempty"` // the address that List came from; a successor with another address ignores List
 	List      *endpoints.List    `json:"list,omitempty"`
 	Snapshot  *balancer.Snapshot `json:"learnt,omitempty"`
 }
 
-// Encode returns the payload of a Welcome. If it would exceed MaxPayload it is encoded without the balancers' snapshots, and then without
-// the endpoint lists, which the successor can get again.
+// Encode returns the payload of a Welcome message. If it exceeds MaxPayload, Encode leaves out the balancers' snapshots, and if that is not
+// enough also the endpoint lists, which the successor can get again.
 func (s State) Encode() ([]byte, error) {
 	reductions := []func(*Service){
 		func(*Service) {},
@@ -50,21 +50,20 @@
 			return payload, err
 		}
 	}
-	return nil, errors.New("the state exceeds a message: too many services")
+	return nil, errors.New("the state is larger than a message may be: too many services")
 }
 
-// Decode decodes and validates the payload of a Welcome. It returns an error for the state of another sidecar, and for one that a
-// successor could not use.
+// Decode decodes and validates the payload of a Welcome message. It returns an error if the state belongs to another sidecar or is invalid.
 func Decode(payload []byte, own Identity) (State, error) {
 	var s State
 	if err := json.Unmarshal(payload, &s); err != nil {
 		return State{}, fmt.Errorf("decoding the state: %w", err)
 	}
 	if s.Descriptors < 0 {
-		return State{}, fmt.Errorf("the state holds %d descriptors", s.Descriptors)
+		return State{}, fmt.Errorf("the number of descriptors in the state is negative: %d", s.Descriptors)
 	}
 	if s.Identity != own {
-		return State{}, fmt.Errorf("the state is that of %q at %s", s.Name, s.Listen)
+		return State{}, fmt.Errorf("the state belongs to another sidecar: %q at %s", s.Name, s.Listen)
 	}
 	for name, service := range s.Services {
 		if err := service.validate(); err != nil {
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -26,21 +26,21 @@
 	return payload
 }
 
-// TestDecode checks that a state is decoded as it was, and that one of another sidecar or with an invalid part is rejected.
+// TestDecode checks that decoding restores a state, and that the state of another sidecar and a state with an invalid part are rejected.
 func TestDecode(t *testing.T) {
 	s := testState()
 	payload := mustEncode(t, s)
 	got, err := Decode(payload, s.Identity)
 	again, _ := json.Marshal(got)
 	if err != nil || string(again) != string(payload) {
-		t.Errorf("%s, %v", again, err)
+		t.Errorf("the state was decoded and encoded again as %s, error %v", again, err)
 	}
 	if _, err := Decode(payload, Identity{"n2", "127.0.0.1:9000"}); err == nil {
-		t.Error("accepted another sidecar's state")
+		t.Error("Decode accepted the state of another sidecar")
 	}
 	for _, c := range []struct {
-		name  string
-		spoil func(*Service)
+		name    string
+		corrupt func(*Service)
 	}{
 		{"endpoint list without index", func(s *Service) { s.List.Index = nil }},
 		{"invalid address", func(s *Service) { s.List.Endpoints[0].Address = "nowhere" }},
@@ -49,16 +49,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := testState()
 			service := s.Services["platform"]
-			c.spoil(&service)
+			c.corrupt(&service)
 			s.Services["platform"] = service
 			if _, err := Decode(mustEncode(t, s), s.Identity); err == nil {
-				t.Error("accepted")
+				t.Error("Decode accepted the invalid state")
 			}
 		})
 	}
 }
 
-// TestLargeStateIsReduced checks that a state beyond MaxPayload is encoded without the parts that a successor can do without.
+// TestLargeStateIsReduced guards against upgrades that fail because the state exceeds MaxPayload: it is encoded without the parts that a
+// successor does not need.
 func TestLargeStateIsReduced(t *testing.T) {
 	s := testState()
 	service := s.Services["platform"]
@@ -67,10 +68,10 @@
 	}
 	payload, err := s.Encode()
 	if err != nil || len(payload) > MaxPayload {
-		t.Fatalf("%d bytes, %v", len(payload), err)
+		t.Fatalf("the payload has %d bytes, error %v; want at most MaxPayload", len(payload), err)
 	}
 	got, err := Decode(payload, s.Identity)
 	if err != nil || got.Services["platform"].List == nil || got.Services["platform"].Snapshot != nil || !got.Draining {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded state %+v, error %v; want the endpoint list without the snapshot", got, err)
 	}
 }
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -1,6 +1,6 @@
-// Package lifecycle decides what a serving process does at its end: serve, drain, leave its clients to a successor, or stop. It is a pure
-// state machine without I/O, goroutines or a clock: operators' calls, signals and the time go in; whether the process is ready, whether
-// answers are the last of their connection and which idle connections are to be closed come out. Package daemon drives it.
+// Package lifecycle decides how a serving process ends: whether it serves, drains, is replaced by a successor, or stops. It is a pure state
+// machine without I/O, goroutines or a clock. Its inputs are operators' requests, signals and the time. Its outputs are whether the process
+// is ready, whether responses are the last of their connection, and which idle connections are to be closed. Package daemon drives it.
 //
 //	            Drain                    Stop
 //	Serving <----------> Draining ----------------> Stopping   Accepts: for acceptPeriod; then ends
@@ -8,8 +8,8 @@
 //	    |                   |       Stop(successor)
 //	    '-------------------+---------------------> Replaced   accepts nothing; ends
 //
-// Stop leads from Serving to Stopping as well. Stopping and Replaced are final: the process finishes the requests that it has, and after
-// the grace period Abort fails those that are unanswered.
+// Stop leads from Serving to Stopping as well. Stopping and Replaced are final: the process completes its requests, and after the grace
+// period Abort reports that the requests still unanswered are to be failed.
 package lifecycle
 
 import "time"
@@ -20,35 +20,36 @@
 // The states.
 const (
 	Serving  State = iota
-	Draining       // not ready: clients are asked to leave; may serve again
-	Replaced       // a successor serves: finishes the requests that it has, then ends
-	Stopping       // no successor: accepts connections for a while, finishes the requests that it has, then ends
+	Draining       // not ready: clients are asked to disconnect; may return to Serving
+	Replaced       // a successor serves: completes its requests, then ends
+	Stopping       // no successor: accepts connections for acceptPeriod, completes its requests, then ends
 )
 
-// String returns the state's name in logs and on the control address.
+// String returns the state's name, as it is logged and reported at the control address.
 func (s State) String() string {
 	return [...]string{"serving", "draining", "replaced", "stopping"}[s]
 }
 
-// When idle connections are closed. Load balancers in front poll readiness every 100 ms and send new connections for 200 ms more, so
-// clients leave by themselves first. The longer a connection has been idle, the less likely is a request that crosses its close.
+// Times that determine when idle connections are closed. Load balancers in front of the process poll its readiness every 100 ms and send
+// new connections for 200 ms more, so clients disconnect by themselves first. The longer a connection has been idle, the less
+// likely a request arrives while the connection is being closed.
 const (
 	// drainClosePeriod is the time from the start of Draining or Replaced after which connections idle for longIdle are closed.
 	drainClosePeriod = 600 * time.Millisecond
 	// drainCloseAllPeriod is the time from the start of Draining after which connections idle for shortIdle are closed.
 	drainCloseAllPeriod = 2500 * time.Millisecond
-	// replacedCloseAllLead is the time before the end of the grace period from which Replaced closes connections idle for shortIdle.
+	// replacedCloseAllLead is how long before the end of the grace period Replaced begins to close connections idle for shortIdle.
 	replacedCloseAllLead = 400 * time.Millisecond
 
 	longIdle  = time.Second
-	shortIdle = 50 * time.Millisecond // spares new connections that are about to send their first request
+	shortIdle = 50 * time.Millisecond // keeps new connections open that are about to send their first request
 
 	// stopClosePeriod is the time from the start of Stopping after which connections idle for shortIdle are closed.
 	stopClosePeriod = 450 * time.Millisecond
-	// acceptPeriod is the time from the start of Stopping after which no connections are accepted and all idle ones are closed.
+	// acceptPeriod is the time from the start of Stopping after which no connections are accepted and all idle connections are closed.
 	acceptPeriod = 600 * time.Millisecond
 
-	// idleCheckInterval is the time between two checks for idle connections while they are closed.
+	// idleCheckInterval is the time between two checks for idle connections while they are being closed.
 	idleCheckInterval = 100 * time.Millisecond
 )
 
@@ -56,16 +57,16 @@
 type Machine struct {
 	gracePeriod time.Duration // from Replaced or Stopping to Abort
 	state       State
-	since       time.Duration // when state began
+	since       time.Duration // start of state
 }
 
 // New returns a Machine in state Serving. Unanswered requests are failed a grace period after Stop.
 func New(gracePeriod time.Duration) *Machine { return &Machine{gracePeriod: gracePeriod} }
 
-// State returns the state.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Drain asks clients to leave. It returns false if the process is ending.
+// Drain starts Draining, in which clients are asked to disconnect. It returns false if the process is ending.
 func (m *Machine) Drain(now time.Duration) bool {
 	if m.state == Serving {
 		m.state, m.since = Draining, now
@@ -73,7 +74,7 @@
 	return m.state == Draining
 }
 
-// Undrain serves clients again. It returns false if the process is ending.
+// Undrain ends Draining and returns to Serving. It returns false if the process is ending.
 func (m *Machine) Undrain(now time.Duration) bool {
 	if m.state == Draining {
 		m.state, m.since = Serving, now
@@ -81,7 +82,7 @@
 	return m.state == Serving
 }
 
-// Stop ends the process, in favour of a successor that serves or without one. Only the first call has an effect.
+// Stop ends the process. successor says whether a successor serves in its place. Only the first call has an effect.
 func (m *Machine) Stop(now time.Duration, successor bool) {
 	if m.Ending() {
 		return
@@ -95,10 +96,11 @@
 // Ending reports whether the process is ending.
 func (m *Machine) Ending() bool { return m.state == Replaced || m.state == Stopping }
 
-// Ready reports whether clients should connect to this address. A replaced process answers for its successor, which has the same one.
+// Ready reports whether clients should connect to this process's address. A replaced process is ready because its successor has the same
+// address.
 func (m *Machine) Ready() bool { return m.state == Serving || m.state == Replaced }
 
-// CloseAfterAnswer reports whether each answer is the last of its connection.
+// CloseAfterAnswer reports whether each connection is closed after its next response.
 func (m *Machine) CloseAfterAnswer() bool { return m.state != Serving }
 
 // Accepts reports whether this process accepts new connections.
@@ -113,8 +115,8 @@
 	}
 }
 
-// IdleTimeout returns the idle time from which connections are closed now, and when to ask again. If closing is false none is closed now;
-// if next is 0 too there is nothing to ask before the next change of state.
+// IdleTimeout returns the idle time from which connections are closed now, and the time next until IdleTimeout is to be called again. If
+// closing is false no connection is closed now; if next is 0 too, no call is needed before the next change of state.
 func (m *Machine) IdleTimeout(now time.Duration) (idle, next time.Duration, closing bool) {
 	age := now - m.since
 	switch m.state {
@@ -129,8 +131,8 @@
 	}
 }
 
-// closeGradually is IdleTimeout for a process whose clients have another one to go to, at an age of its state: first only connections that
-// have been idle for long are closed, and after closeAllPeriod nearly all.
+// closeGradually returns the results of IdleTimeout for a process whose clients can connect to another one. age is the time since the state
+// began. First only connections that have been idle for longIdle are closed, and after closeAllPeriod those idle for shortIdle.
 func closeGradually(age, closeAllPeriod time.Duration) (idle, next time.Duration, closing bool) {
 	switch {
 	case age < drainClosePeriod:
@@ -142,7 +144,7 @@
 	}
 }
 
-// closeAtStop is IdleTimeout for a process that stops without a successor, at an age of its state.
+// closeAtStop returns the results of IdleTimeout for a process that stops without a successor. age is the time since it began to stop.
 func closeAtStop(age time.Duration) (idle, next time.Duration, closing bool) {
 	switch {
 	case age < stopClosePeriod:
@@ -154,8 +156,8 @@
 	}
 }
 
-// Abort reports whether unanswered requests are to be failed now, and otherwise the time left. It is always false, with no time left,
-// unless the process is ending.
+// Abort reports whether unanswered requests are to be failed now, and otherwise the time left until then. If the process is not ending, it
+// returns 0 and false.
 func (m *Machine) Abort(now time.Duration) (left time.Duration, abort bool) {
 	if !m.Ending() {
 		return 0, false
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -9,7 +9,7 @@
 
 const testGracePeriod = 3550 * time.Millisecond
 
-// events are all events of a process; they return whether the event was accepted.
+// events are the events of a process. Each function returns whether the machine accepted the event.
 var events = map[string]func(*Machine, time.Duration) bool{
 	"drain":    (*Machine).Drain,
 	"undrain":  (*Machine).Undrain,
@@ -17,12 +17,12 @@
 	"replaced": func(m *Machine, now time.Duration) bool { m.Stop(now, true); return true },
 }
 
-// TestEveryPairOfEvents checks the state after each pair of events: an end is final, a second event of the same kind does not restart its
-// periods, and a drain can be taken back.
+// TestEveryPairOfEvents checks the state after each pair of events: Stopping and Replaced are final, a second event of the same kind does
+// not restart the periods of the state, and Undrain reverts Drain.
 func TestEveryPairOfEvents(t *testing.T) {
 	type want struct {
 		state    State
-		accepted bool // the second event
+		accepted bool // whether the second event is accepted
 	}
 	table := map[string]map[string]want{
 		"drain": {"drain": {Draining, true}, "undrain": {Serving, true}, "stop": {Stopping, true}, "replaced": {Replaced, true}},
@@ -39,26 +39,27 @@
 			events[first](m, time.Second)
 			accepted := events[second](m, 3*time.Second)
 			if w := table[first][second]; m.State() != w.state || accepted != w.accepted {
-				t.Errorf("%s, %s: %v, %v; want %v, %v", first, second, m.State(), accepted, w.state, w.accepted)
+				t.Errorf("after %s and %s: state %v, second event accepted %v; want state %v, accepted %v", first, second, m.State(), accepted,
+					w.state, w.accepted)
 			}
 			if first == second && m.since != time.Second && first != "undrain" {
-				t.Errorf("%s twice restarts its periods", first)
+				t.Errorf("a second %s restarted the periods of the state", first)
 			}
 		}
 	}
 }
 
-// TestOutputsOfEachState checks all outputs by the state and its age.
+// TestOutputsOfEachState checks the outputs of each state at different times after its start.
 func TestOutputsOfEachState(t *testing.T) {
 	const none = -1 // no idle connection is closed
 	for _, c := range []struct {
-		event      string
-		age        time.Duration // of the state after the event
-		ready      bool
-		lastAnswer bool
-		accepts    bool
-		idle       time.Duration
-		abort      bool
+		event            string
+		age              time.Duration // since the event
+		ready            bool
+		closeAfterAnswer bool
+		accepts          bool
+		idle             time.Duration
+		abort            bool
 	}{
 		{"undrain", time.Hour, true, false, true, none, false},
 		{"drain", 0, false, true, true, none, false},
@@ -85,15 +86,16 @@
 			idle = none
 		}
 		_, abort := m.Abort(now)
-		if m.Ready() != c.ready || m.CloseAfterAnswer() != c.lastAnswer || m.Accepts(now) != c.accepts || idle != c.idle || abort != c.abort {
-			t.Errorf("%s and %v: ready %v, last answers %v, accepts %v, idle timeout %v, aborts %v", c.event, c.age, m.Ready(),
+		if m.Ready() != c.ready || m.CloseAfterAnswer() != c.closeAfterAnswer || m.Accepts(now) != c.accepts || idle != c.idle || abort != c.abort {
+			t.Errorf("%s and %v later: ready %v, close after answer %v, accepts %v, idle timeout %v, abort %v", c.event, c.age, m.Ready(),
 				m.CloseAfterAnswer(), m.Accepts(now), idle, abort)
 		}
 	}
 }
 
-// TestAnySequenceOfEvents checks that an end is final and comes in time; that a draining process closes all connections that are not in
-// use well within 4 s; and that the time at which IdleTimeout is to be asked again lies in the future, and not behind a change.
+// TestAnySequenceOfEvents checks that Stopping and Replaced are final and abort at the end of the grace period; that a draining process
+// closes all unused connections within 4 s; and that IdleTimeout asks for its next call in the future, and not later than its result
+// changes.
 func TestAnySequenceOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, now := New(testGracePeriod), time.Duration(0)
@@ -102,7 +104,7 @@
 			name := rapid.SampledFrom([]string{"drain", "undrain", "stop", "replaced"}).Draw(t, "event")
 			events[name](m, now)
 			if (before == Stopping || before == Replaced) && (m.State() != before || m.since != since) {
-				t.Fatalf("%s takes the end back: %v after %v", name, m.State(), before)
+				t.Fatalf("%s changed a final state: state %v after %v", name, m.State(), before)
 			}
 			for range rapid.IntRange(0, 8).Draw(t, "checks") {
 				if m.State() == Serving {
@@ -115,21 +117,21 @@
 	})
 }
 
-// checkIdleTimeout checks the outputs of a process that does not serve, and returns when to ask again.
+// checkIdleTimeout checks the outputs of a process that does not serve, and returns the time until the next call of IdleTimeout.
 func checkIdleTimeout(t *rapid.T, m *Machine, now time.Duration) (next time.Duration) {
 	t.Helper()
 	idle, next, closing := m.IdleTimeout(now)
 	if next <= 0 {
-		t.Fatalf("%v: again in %v", m.State(), next)
+		t.Fatalf("%v: IdleTimeout is to be called again in %v, want a positive time", m.State(), next)
 	}
 	if before, _, _ := m.IdleTimeout(now + next - 1); before != idle {
-		t.Fatalf("%v at %v: the idle timeout changes before %v have passed", m.State(), now-m.since, next)
+		t.Fatalf("%v at %v: the idle timeout changes before its next call in %v", m.State(), now-m.since, next)
 	}
 	if m.State() == Draining && now-m.since >= 3*time.Second && (!closing || idle > shortIdle) {
-		t.Fatalf("%v after %v: idle connections stay", m.State(), now-m.since)
+		t.Fatalf("%v after %v: idle connections are not closed", m.State(), now-m.since)
 	}
 	if left, abort := m.Abort(now); m.Ending() && abort != (now-m.since >= testGracePeriod) || !abort && left > testGracePeriod {
-		t.Fatalf("%v: abort %v, left %v", now-m.since, abort, left)
+		t.Fatalf("%v after the start of the state: abort %v, time left %v", now-m.since, abort, left)
 	}
 	return next
 }
