--- a/internal/lease/doc.go
+++ b/internal/lease/doc.go
@@ -23,7 +23,7 @@
 //  4. A new leader restarts every timer from the moment at which it begins to lead, which is later than anything that its predecessor
 //     confirmed. A renewal is confirmed only by a leader that has made sure, after the request arrived, that it still leads.
 //
-// # How a fencing token is kept from going back
+// # Why fencing tokens never decrease
 //
 // Clocks cannot protect against a holder that is paused between reading its clock and its write. Therefore each grant carries a Token, and the
 // system that the holder writes to rejects a token lower than one that it has seen.
