--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -217,7 +217,7 @@
 		strings.Replace(small, "nodes = 12", "nodes = 100000", 1):          "nodes",
 		strings.Replace(small, "8s", "100000h", 1):                         "requests",
 		strings.Replace(small, "8s", "1ns", 1):                             "need some time",
-		small + "[clients]\nwait = \"-1s\"\n":                              "no duration",
+		small + "[clients]\nwait = \"-1s\"\n":                              "not a duration",
 	} {
 		if _, err := Parse("x.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
