--- a/internal/lease/raftgroup/apply.go
+++ b/internal/lease/raftgroup/apply.go
@@ -17,7 +17,7 @@
 		return m.applyConfChange(entry)
 	case pb.EntryNormal:
 		m.startLeading(entry.GetTerm())
-		if len(entry.GetData()) == 0 { // a new leader's first entry
+		if len(entry.GetData()) == 0 { // every new leader appends an empty entry first
 			return nil
 		}
 		return m.applyProposal(entry)
@@ -25,11 +25,11 @@
 	return nil
 }
 
-// applyProposal applies a proposal to the record and answers its request, if this member leads.
+// applyProposal applies a proposal to the lease table. If this member leads, it also answers the pending request.
 func (m *Member) applyProposal(entry *pb.Entry) error {
 	var p proposal
 	if err := json.Unmarshal(entry.GetData(), &p); err != nil {
-		return fmt.Errorf("entry %d of the group's log: %w", entry.GetIndex(), err)
+		return fmt.Errorf("decoding entry %d of the raft log: %w", entry.GetIndex(), err)
 	}
 	pending := m.takeProposal(&p)
 	if p.LeaderTerm != anyLeaderTerm && p.LeaderTerm != entry.GetTerm() {
@@ -45,8 +45,8 @@
 	}
 	switch {
 	case pending == nil:
-	case reply.Status == lease.Waiting && pending.holdUntil > m.options.Now():
-		m.holdBack(pending, reply)
+	case reply.Status == lease.Waiting && pending.delayUntil > m.options.Now():
+		m.delayReply(pending, reply)
 	default:
 		pending.reply(reply)
 	}
--- a/internal/lease/raftgroup/bootstrap.go
+++ b/internal/lease/raftgroup/bootstrap.go
@@ -13,13 +13,13 @@
 
 // bootstrap makes this process a member of a group:
 //
-//   - One whose file says that it was a member goes on as that member.
-//   - One that another member counts as a member already, by its raft id, starts empty and is sent a snapshot.
-//   - One whose file is empty forms a new group, but only together with all other members, whose files must be empty too.
-//   - Otherwise its file was lost, or it comes later than the others: it asks the leader to join as a new member, in place of the member of
-//     the same name.
+//   - If the process's file shows that it was a member, it continues as that member.
+//   - If another member already lists the process's raft id, the process starts with an empty log, and the leader sends it a snapshot.
+//   - If the files of all members are empty, the process forms a new group, once every other member has answered.
+//   - Otherwise the process has lost its file or joins an existing group. It asks the leader to add it as a new member, in place of the
+//     member of the same name.
 //
-// It returns once the member can take part, or with ctx's error.
+// It returns when the member can take part, or with ctx's error.
 func (m *Member) bootstrap(ctx context.Context) error {
 	if m.storage.bootstrapped {
 		return nil
@@ -45,14 +45,14 @@
 	}
 }
 
-// discovery is what the other members say of the group.
+// discovery is what the other members report about the group.
 type discovery struct {
-	exists     bool              // some member is or was in a group
-	members    map[uint64]string // the group, if this process counts as a member of it already; else nil
-	newMembers map[uint64]string // the members that have answered and this one: names by raft id
+	exists     bool              // at least one other member is or was in a group
+	members    map[uint64]string // names of the group's members by raft id, if this process is already one of them; else nil
+	newMembers map[uint64]string // names by raft id of this process and of the members that have answered
 }
 
-// discoverGroup asks every other member for its Info, and its leader to let this process join.
+// discoverGroup asks every other member for its Info. If one of them leads a group, discoverGroup asks it to add this process.
 func (m *Member) discoverGroup(ctx context.Context) discovery {
 	found := discovery{newMembers: map[uint64]string{m.storage.id: m.options.Name}}
 	for _, peer := range m.options.Peers {
@@ -69,7 +69,7 @@
 		}
 		found.exists = found.exists || info.Bootstrapped
 		if info.IsLeader {
-			// A later Info says whether it has become a member.
+			// The next Info call shows whether the leader has added this process.
 			_, err := callMember[empty](ctx, m, peer, methodJoin, joinCall{m.header()})
 			m.options.Log.Info("fleet: asked to join the group", "leader", peer.Name, "answer", err)
 		}
@@ -78,22 +78,22 @@
 	return found
 }
 
-// formGroup writes the first snapshot of a group, the same in each of its members.
+// formGroup writes the first snapshot of a new group. Every member writes the same one.
 func (m *Member) formGroup(members map[uint64]string) error {
-	data, err := json.Marshal(recordSnapshot{Version: protocolVersion, Members: members})
+	data, err := json.Marshal(snapshotData{Version: protocolVersion, Members: members})
 	if err != nil {
-		return fmt.Errorf("the first snapshot: %w", err)
+		return fmt.Errorf("encoding the group's first snapshot: %w", err)
 	}
 	m.options.Log.Info("fleet: group formed", "members", len(members))
 	return m.storage.bootstrap(&pb.ConfState{Voters: slices.Sorted(maps.Keys(members))}, data)
 }
 
-// callMember calls another member, for as long as a leader may be silent.
+// callMember calls a method of another member and waits for its answer for at most callTimeout.
 func callMember[A any](ctx context.Context, m *Member, peer Peer, method string, c any) (A, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.callTimeout())
 	defer cancel()
 	return call[A](ctx, m.conns[peer.Address], method, c)
 }
 
-// callTimeout bounds a call to another member.
+// callTimeout bounds a call to another member. It is as long as a leader may be silent before it is replaced.
 func (m *Member) callTimeout() time.Duration { return electionTicks * m.options.Tick }
--- a/internal/lease/raftgroup/client.go
+++ b/internal/lease/raftgroup/client.go
@@ -12,7 +12,7 @@
 	"orchiddrift/internal/lease"
 )
 
-// Client sends requests to a group. It is safe for concurrent use.
+// Client sends lease requests to a raft group. It is safe for concurrent use.
 type Client struct {
 	fleet string
 	peers []Peer
@@ -22,13 +22,13 @@
 	leader int // index of the member to ask first
 }
 
-// NewClient returns a client of a group. It connects with its first request.
+// NewClient returns a client of a group. The client connects to a member with its first request to it.
 func NewClient(fleet string, peers []Peer) (*Client, error) {
 	c := &Client{fleet: fleet, peers: peers}
 	for _, peer := range peers {
 		conn, err := dial(peer.Address)
 		if err != nil {
-			return nil, errors.Join(fmt.Errorf("member %s: %w", peer.Name, err), c.Close())
+			return nil, errors.Join(fmt.Errorf("creating the connection to member %s: %w", peer.Name, err), c.Close())
 		}
 		c.conns = append(c.conns, conn)
 	}
@@ -43,12 +43,13 @@
 	return err
 }
 
-// Request implements Requester. It asks the member that answered last, then the leader that this one names, or each of the others in turn.
-func (c *Client) Request(ctx context.Context, request lease.Request, hold, timeout time.Duration) (lease.Reply, error) {
+// Request implements Requester. It starts with the member that answered the last request. A member that does not lead names the leader, which
+// is asked next; without such a name the next member of the list is asked.
+func (c *Client) Request(ctx context.Context, request lease.Request, longPoll, timeout time.Duration) (lease.Reply, error) {
 	var lastErr error = ErrNoLeader
 	member := c.firstMember()
 	for range len(c.peers) + 1 {
-		answer, err := c.requestFrom(ctx, member, request, hold, timeout)
+		answer, err := c.requestFrom(ctx, member, request, longPoll, timeout)
 		if err == nil && answer.Reply.Status != 0 {
 			c.setFirstMember(member)
 			return answer.Reply, nil
@@ -65,14 +66,14 @@
 	return lease.Reply{}, fmt.Errorf("no member answers for the group: %w", lastErr)
 }
 
-// requestFrom asks one member.
-func (c *Client) requestFrom(ctx context.Context, member int, request lease.Request, hold, timeout time.Duration) (requestAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, hold+timeout)
+// requestFrom sends the request to one member.
+func (c *Client) requestFrom(ctx context.Context, member int, request lease.Request, longPoll, timeout time.Duration) (requestAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, longPoll+timeout)
 	defer cancel()
-	return call[requestAnswer](ctx, c.conns[member], methodAsk, requestCall{c.header(), request, hold})
+	return call[requestAnswer](ctx, c.conns[member], methodAsk, requestCall{c.header(), request, longPoll})
 }
 
-// nextMember returns the member to ask after another: the leader that it named, or the next in the list.
+// nextMember returns the index of the member to ask after another one: the leader that it named, or the next member in the list.
 func (c *Client) nextMember(member int, leader string) int {
 	for i, peer := range c.peers {
 		if peer.Name == leader && i != member {
@@ -96,7 +97,7 @@
 
 func (c *Client) header() callHeader { return callHeader{Version: protocolVersion, Fleet: c.fleet} }
 
-// Info returns what each member reports, in the order of the peers; nil for one that does not answer.
+// Info returns the report of each member, in the order of the peers. The entry of a member that does not answer is nil.
 func (c *Client) Info(ctx context.Context) []*Info {
 	infos := make([]*Info, len(c.peers))
 	var calls sync.WaitGroup
@@ -111,7 +112,7 @@
 	return infos
 }
 
-// Revoke revokes the grant of a lease: its holder gets no renewal. timeout bounds what one member takes.
+// Revoke revokes the current grant of a lease, so that its holder cannot renew it. timeout bounds the call to each member.
 func Revoke(ctx context.Context, requester Requester, name string, timeout time.Duration) (lease.Reply, error) {
 	return requester.Request(ctx, lease.Request{Kind: lease.Revoke, Name: name, Client: NewClientID(), SendNumber: 1}, 0, timeout)
 }
--- a/internal/lease/raftgroup/command.go
+++ b/internal/lease/raftgroup/command.go
@@ -13,10 +13,10 @@
 	"orchiddrift/internal/lease"
 )
 
-// The environment variables of a command.
+// Environment variables that a Command sets for the command that it runs.
 const (
-	TokenVariable = "ORCHIDDRIFT_LEASE_TOKEN" // the fencing token of its lease
-	NameVariable  = "ORCHIDDRIFT_LEASE"       // the name of its lease
+	TokenVariable = "ORCHIDDRIFT_LEASE_TOKEN" // the fencing token of the lease
+	NameVariable  = "ORCHIDDRIFT_LEASE"       // the name of the lease
 )
 
 // exitCodeUnknown is the exit code of a command that could not be started or was killed.
@@ -24,38 +24,39 @@
 
 // Command is a Work that runs a command while the lease is held.
 //
-// The command runs under a guard (see Guard), a process of its own between this one and the command. Each covers for another that fails:
+// The command runs under a guard (see Guard), a separate process whose parent is this process and whose child is the command. When one of these
+// processes fails or is stopped by a signal, another one ends the command:
 //
-//	this process is stopped          the guard ends the command when the grant expires
-//	this process dies                the guard's standard input ends, and it ends the command
-//	the guard is stopped             this process kills the command's process group
-//	the guard is killed              the kernel kills the command
-//	this process and guard stopped   nothing ends the command: only its fencing token keeps it from doing harm
+//	this process is stopped               the guard ends the command when the grant expires
+//	this process dies                     the guard reads the end of its standard input and ends the command
+//	the guard is stopped                  this process kills the command's process group
+//	the guard is killed                   the kernel kills the command
+//	this process and guard are stopped    nothing ends the command; only a check of its fencing token rejects its writes
 type Command struct {
 	Guard  []string                            // command line of the guard, to which the margin and the command are added
-	Name   string                              // of the lease
+	Name   string                              // name of the lease
 	Argv   []string                            // command line of the command
 	Margin time.Duration                       // how long the command may take to end after SIGTERM
-	Env    []string                            // for the command, beside this process's environment
-	OnExit func(code int, reason lease.Reason) // the command has ended; reason is 0 if it ended by itself
+	Env    []string                            // environment variables of the command, added to those of this process
+	OnExit func(code int, reason lease.Reason) // called when the command has ended; reason is 0 if it ended by itself
 	Log    func(text string)
 
 	mu         sync.Mutex
-	run        *commandRun // the current one; nil: none was started
+	run        *commandRun // the current run; nil if no command was started
 	token      lease.Token
-	until      time.Duration
-	stopReason lease.Reason // 0: the command was not told to stop
+	until      time.Duration // the end of the grant by BootTime
+	stopReason lease.Reason  // the reason given to Stop; 0 if Stop was not called
 }
 
 // commandRun is one run of the command under its guard.
 type commandRun struct {
 	guard   *exec.Cmd
 	control io.WriteCloser // the guard's standard input
-	ended   chan struct{}  // closed when the guard has ended, and the command with it
+	ended   chan struct{}  // closed when the guard and the command have ended
 
-	pid      int           // of the command; 0: not known yet. Command.mu protects it
-	statusIn chan struct{} // closed when the guard has written all of its status
-	late     bool          // the guard ended the command because its grant had expired; read after statusIn is closed
+	pid        int           // process id of the command, 0 until the guard has written it; protected by Command.mu
+	statusRead chan struct{} // closed when readStatus has returned
+	expired    bool          // the guard ended the command because its grant had expired; read after statusRead is closed
 }
 
 var _ Work = (*Command)(nil)
@@ -91,14 +92,14 @@
 		return ended
 	}
 	c.controlLocked(controlEnd)
-	time.AfterFunc(c.Margin, func() { c.kill(run) }) // in case the guard is stopped
+	time.AfterFunc(c.Margin, func() { c.kill(run) }) // for a guard that was stopped by a signal
 	return run.ended
 }
 
 // Rejected implements Work.
 func (c *Command) Rejected(reason lease.Reason) {
 	if reason == lease.ReasonNoCapacity {
-		c.Log("the record of leases is full")
+		c.Log("the lease table is full")
 	}
 }
 
@@ -109,7 +110,7 @@
 func (c *Command) launchLocked() error {
 	statusReader, statusWriter, err := os.Pipe()
 	if err != nil {
-		return fmt.Errorf("the guard's status pipe: %w", err)
+		return fmt.Errorf("creating the guard's status pipe: %w", err)
 	}
 	guard := c.guardCommand()
 	guard.ExtraFiles = []*os.File{statusWriter}
@@ -122,18 +123,18 @@
 		statusReader.Close()
 		return fmt.Errorf("starting the guard: %w", err)
 	}
-	run := &commandRun{guard: guard, control: control, ended: make(chan struct{}), statusIn: make(chan struct{})}
+	run := &commandRun{guard: guard, control: control, ended: make(chan struct{}), statusRead: make(chan struct{})}
 	c.run = run
 	go c.readStatus(run, statusReader)
 	go func() {
 		_ = guard.Wait() // ProcessState has its exit code
-		<-run.statusIn
+		<-run.statusRead
 		c.runEnded(run)
 	}()
 	return nil
 }
 
-// guardCommand is the guard's process, in a process group of its own.
+// guardCommand returns the guard's command line and environment. The guard gets its own process group.
 func (c *Command) guardCommand() *exec.Cmd {
 	argv := append([]string{}, c.Guard...)
 	argv = append(argv, "--margin", c.Margin.String(), "--until", strconv.FormatInt(int64(c.until), 10), "--")
@@ -145,9 +146,9 @@
 	return guard
 }
 
-// readStatus reads what the guard writes: the command's process id and, if it ends it because its grant has expired, statusLate.
+// readStatus reads the guard's status: the command's process id and, if the guard ends the command because its grant has expired, statusExpired.
 func (c *Command) readStatus(run *commandRun, status io.ReadCloser) {
-	defer close(run.statusIn)
+	defer close(run.statusRead)
 	defer status.Close()
 	var pid int
 	if _, err := fmt.Fscan(status, &pid); err != nil {
@@ -158,11 +159,11 @@
 	c.mu.Unlock()
 	var text string
 	_, err := fmt.Fscan(status, &text)
-	run.late = err == nil && text == statusLate
+	run.expired = err == nil && text == statusExpired
 }
 
-// runEnded handles the end of a run. If the guard has ended it because an extension came too late, and the lease is still held, the command is
-// started again: nobody else has the lease.
+// runEnded handles the end of a run. The guard may have ended the command because an extension of the grant reached the guard too late. If the
+// lease is still held then, the command is started again, since no other client can have the lease.
 func (c *Command) runEnded(run *commandRun) {
 	c.mu.Lock()
 	close(run.ended)
@@ -170,7 +171,7 @@
 	if code < 0 {
 		code = exitCodeUnknown
 	}
-	if reason == 0 && run.late {
+	if reason == 0 && run.expired {
 		if BootTime() < c.until && c.launchLocked() == nil {
 			c.mu.Unlock()
 			return
@@ -197,8 +198,8 @@
 	_ = run.guard.Process.Kill()
 }
 
-// controlLocked writes a line to the guard. An error means that it has ended. It does not block: a pipe has room for more than is ever written.
-// c.mu is held.
+// controlLocked writes a control line to the guard. A write error is ignored: it means that the guard has ended. The write does not block,
+// because the pipe's buffer is larger than all lines of a run. c.mu is held.
 func (c *Command) controlLocked(line string) {
 	if c.run != nil {
 		_, _ = io.WriteString(c.run.control, line+"\n")
--- a/internal/lease/raftgroup/doc.go
+++ b/internal/lease/raftgroup/doc.go
@@ -1,29 +1,30 @@
-// Package raftgroup keeps the record of leases in a small raft group and runs work while a lease is held. It drives the pure state machines of
-// package lease on go.etcd.io/raft, bbolt and gRPC.
+// Package raftgroup replicates the lease table in a small raft group, and runs work while a lease is held. It drives the state machines of
+// package lease, which do no I/O, with go.etcd.io/raft, bbolt and gRPC.
 //
 // # A member
 //
-// Member is one process of the group. All its state belongs to the goroutine of Run, which handles one event after the other (run.go). gRPC
-// handlers and the senders of raft messages run on goroutines of their own and reach it through channels.
+// Member is one process of the group. The goroutine of Run owns all of its state and handles one event at a time (run.go). gRPC handlers and
+// the senders of raft messages run on their own goroutines and communicate with that goroutine through channels.
 //
 //	member.go       Options, Member, New, Run
-//	run.go          the loop, and raft's Ready in its order: write, send, apply
+//	run.go          the event loop, and the steps of raft's Ready in their order: write, send, apply
 //	bootstrap.go    how a new member forms a group with others, or joins one
-//	membership.go   conf changes
+//	membership.go   raft configuration changes: a member is added or removed
 //	transport.go    raft messages to and from other members
-//	requests.go     requests of clients, and replies that are held back while a client waits
-//	reads.go        read index: a leader confirms that it leads before it answers from its own state
-//	proposals.go    proposals to the log, also of expiries
-//	apply.go        committed entries
-//	leadership.go   what begins and ends with leadership
-//	snapshots.go    the record as a snapshot
-//	storage.go      log, hard state and snapshot on the disk
-//	messages.go     what members and clients send each other; service.go is its gRPC service
+//	requests.go     client requests, and replies that are delayed while a client waits for a lease (long polling)
+//	reads.go        read index: a leader confirms that it still leads before it answers from its own state
+//	proposals.go    proposals to the raft log: client requests and expiries
+//	apply.go        committed log entries
+//	leadership.go   the start and the end of leadership
+//	snapshots.go    snapshots of the lease table
+//	storage.go      raft log, hard state and snapshot on disk
+//	messages.go     the messages between members and clients
+//	service.go      the gRPC service that carries these messages
 //
 // # A client
 //
 // Client sends requests to the group and follows its leader (client.go). RunWhileHeld drives a lease.Holder and its Work (holder_driver.go).
 // Command is a Work that runs a command under a guard process (command.go, guard.go).
 //
-// Nothing here decides who holds a lease, and no request of the data path waits for it.
+// This package does not decide who holds a lease: package lease does. No request of the load balancer's data path waits for this package.
 package raftgroup
--- a/internal/lease/raftgroup/errors.go
+++ b/internal/lease/raftgroup/errors.go
@@ -2,18 +2,19 @@
 
 import "errors"
 
-// Errors. The texts of those that a member answers with are sent to the caller.
+// Errors of a member and its storage. A member sends the texts of ErrNoLeader, ErrNotAMember, errRemovalProposed and errAdditionProposed to
+// other processes.
 var (
-	// ErrNoLeader is returned where no leader can answer: this member does not lead, is overloaded, or has ended.
+	// ErrNoLeader is returned when no leader can answer: this member does not lead, is overloaded, or has ended.
 	ErrNoLeader = errors.New("the group has no leader that could answer")
 	// ErrOtherFleet is returned for a file that belongs to another fleet.
-	ErrOtherFleet = errors.New("the file is of another fleet")
+	ErrOtherFleet = errors.New("the file belongs to another fleet")
 	// ErrNotAMember is returned for a name that the operator's file does not list.
 	ErrNotAMember = errors.New("is not one of the group's members")
-	// ErrCorrupted is returned where the pages of a file are damaged.
+	// ErrCorrupted is returned when pages of a storage file are damaged.
 	ErrCorrupted = errors.New("the file is damaged")
-	// errRemovalProposed answers a join: the earlier member of the same name is removed first.
+	// errRemovalProposed answers a join request when the leader has proposed to remove the earlier member of the same name first.
 	errRemovalProposed = errors.New("the one of its name is taken out first")
-	// errAdditionProposed answers a join: the conf change that adds the member was proposed.
+	// errAdditionProposed answers a join request when the leader has proposed to add the member.
 	errAdditionProposed = errors.New("it is being taken in")
 )
--- a/internal/lease/raftgroup/fleet_test.go
+++ b/internal/lease/raftgroup/fleet_test.go
@@ -105,7 +105,7 @@
 	if err := f.rig.StartAll(testContext(f.t), f.all()...); err != nil {
 		f.t.Fatal(err)
 	}
-	f.eventually("the first line", func(lines []sinkLine) bool { return len(lines) > 0 })
+	f.awaitSink("the first line", func(lines []sinkLine) bool { return len(lines) > 0 })
 }
 
 // process returns a process by its name.
@@ -169,8 +169,8 @@
 	}
 }
 
-// eventually waits until the sink has what is wanted.
-func (f *fleet) eventually(what string, ok func(lines []sinkLine) bool) {
+// awaitSink waits until the sink has what is wanted.
+func (f *fleet) awaitSink(what string, ok func(lines []sinkLine) bool) {
 	f.t.Helper()
 	for end := time.Now().Add(processes.Patience); ; time.Sleep(5 * time.Millisecond) {
 		if ok(f.readSink()) {
@@ -182,13 +182,13 @@
 	}
 }
 
-// linesAfter waits for lines that come once no earlier grant is left. How many come in a time depends on the machine.
-func (f *fleet) linesAfter(what string, grants time.Duration) {
+// awaitLinesAfter waits for lines that come once no earlier grant is left. How many come in a time depends on the machine.
+func (f *fleet) awaitLinesAfter(what string, grants time.Duration) {
 	f.t.Helper()
 	start := time.Now()
-	f.eventually(what, func([]sinkLine) bool { return time.Since(start) > grants })
+	f.awaitSink(what, func([]sinkLine) bool { return time.Since(start) > grants })
 	n := len(f.readSink())
-	f.eventually(what, func(lines []sinkLine) bool { return len(lines) > n })
+	f.awaitSink(what, func(lines []sinkLine) bool { return len(lines) > n })
 }
 
 // testContext ends before the test would hang.
--- a/internal/lease/raftgroup/golden_test.go
+++ b/internal/lease/raftgroup/golden_test.go
@@ -46,9 +46,9 @@
 	entry := lease.Entry{Name: "report", Holder: "c1", Sequence: 1, Token: 9, Duration: time.Second, Waiters: []lease.Waiter{{Client: "c2", Sequence: 1, Duration: time.Second}}}
 	header := callHeader{Version: protocolVersion, Fleet: "bookings", From: 77, Name: "a"}
 	goldenJSON(t, "command.json", proposal{Proposer: 77, ID: 5, LeaderTerm: 3, Request: request})
-	goldenJSON(t, "snapshot.json", recordSnapshot{Version: protocolVersion, LastToken: 9, Entries: []lease.Entry{entry}, Notes: map[string]string{"report": "text"}, Members: map[uint64]string{77: "a"}})
+	goldenJSON(t, "snapshot.json", snapshotData{Version: protocolVersion, LastToken: 9, Entries: []lease.Entry{entry}, Notes: map[string]string{"report": "text"}, Members: map[uint64]string{77: "a"}})
 	goldenJSON(t, "step.json", messageCall{header, []byte("message")})
-	goldenJSON(t, "ask.json", requestCall{callHeader: header, Request: request, Hold: time.Second})
+	goldenJSON(t, "ask.json", requestCall{callHeader: header, Request: request, LongPoll: time.Second})
 	goldenJSON(t, "answer.json", requestAnswer{Reply: lease.Reply{Status: lease.Granted, Client: "c1", Name: "report", Sequence: 1, SendNumber: 2, Token: 9, Duration: time.Second}, Leader: "b"})
 	goldenJSON(t, "info.json", Info{ID: 77, Name: "a", Bootstrapped: true, IsLeader: true, Leader: "a", Members: map[uint64]string{77: "a"}, LastToken: 9, Leases: []lease.Entry{entry},
 		RemainingMs: []int64{250}, Notes: map[string]string{"report": "text"}})
--- a/internal/lease/raftgroup/guard.go
+++ b/internal/lease/raftgroup/guard.go
@@ -13,31 +13,31 @@
 	"time"
 )
 
-// The lines between a Command and its guard. The Command writes control lines to the guard's standard input, and the guard writes its status to
-// file descriptor 3: the command's process id on the first line, 0 if it was not started.
+// Lines that a Command and its guard exchange. The Command writes control lines to the guard's standard input. The guard writes its status to
+// file descriptor 3; the first line is the command's process id, or 0 if the command was not started.
 const (
-	controlUntil = "until " // and the end of the grant by BootTime, in nanoseconds
-	controlEnd   = "end"    // end the command now
-	statusLate   = "late"   // the command is ended, or was not started, because its grant has expired
+	controlUntil  = "until " // prefix of the new end of the grant by BootTime, in nanoseconds
+	controlEnd    = "end"    // end the command now
+	statusExpired = "late"   // the grant expired: the guard ends the command, or did not start it
 )
 
-// The guard looks at the clock and at the command this often: by timers alone it would not notice that the machine slept.
+// The guard compares the clock with the end of the grant this often. A single timer would not notice that the machine slept.
 const (
 	guardChecksPerMargin  = 8
 	minGuardCheckInterval = 5 * time.Millisecond
 )
 
-// exitCodeNotStarted is the guard's exit code for a command that could not be started, as a shell's.
+// exitCodeNotStarted is the guard's exit code for a command that could not be started. Shells use the same one.
 const exitCodeNotStarted = 127
 
-var errGrantExpired = errors.New("the lease's term was over before its command began")
+var errGrantExpired = errors.New("the lease's grant expired before its command was started")
 
-// Guard runs a command for as long as its grant lasts, and returns its exit code. The grant ends at until by BootTime; lines of control move that
-// or end the command. When the grant expires, on controlEnd, or at the end of control, the command's process group gets SIGTERM, and SIGKILL
-// a margin later.
+// Guard runs a command for as long as its grant lasts, and returns the command's exit code. The grant ends at until by BootTime. Lines read from
+// control extend the grant or end the command. When the grant expires, on controlEnd, or at the end of control, the command's process group gets
+// SIGTERM, and SIGKILL a margin later.
 func Guard(control io.Reader, status io.WriteCloser, until, margin time.Duration, argv []string) (int, error) {
-	if BootTime() >= until { // a busy machine started the guard too late; the grant may have been extended meanwhile
-		_, _ = fmt.Fprintf(status, "0\n%s\n", statusLate)
+	if BootTime() >= until { // the guard started too late, as on a busy machine; the grant may have been extended meanwhile
+		_, _ = fmt.Fprintf(status, "0\n%s\n", statusExpired)
 		return exitCodeUnknown, errors.Join(errGrantExpired, status.Close())
 	}
 	cmd := exec.Command(argv[0], argv[1:]...)
@@ -47,7 +47,7 @@
 		return exitCodeNotStarted, err
 	}
 	defer status.Close()
-	_, _ = fmt.Fprintln(status, cmd.Process.Pid) // if nobody reads it, control ends too
+	_, _ = fmt.Fprintln(status, cmd.Process.Pid) // if its reader has ended, control ends too
 	g := &guard{cmd: cmd, status: status, until: until, margin: margin, exited: make(chan struct{}), extensions: make(chan time.Duration), end: make(chan struct{})}
 	go func() {
 		defer close(g.exited)
@@ -57,18 +57,18 @@
 	return g.supervise(), nil
 }
 
-// guard supervises a command that runs.
+// guard supervises a running command.
 type guard struct {
 	cmd        *exec.Cmd
 	status     io.Writer
 	until      time.Duration // the end of the grant
 	margin     time.Duration
 	exited     chan struct{}      // closed when the command has exited
-	extensions chan time.Duration // new ends of the grant
+	extensions chan time.Duration // new end times of the grant
 	end        chan struct{}      // closed when the command must end
 }
 
-// readControl reads control lines until the command must end.
+// readControl reads control lines and sends extensions to supervise. It returns when the command must end or has exited.
 func (g *guard) readControl(control io.Reader) {
 	defer close(g.end)
 	for lines := bufio.NewScanner(control); lines.Scan(); {
@@ -85,7 +85,7 @@
 	}
 }
 
-// supervise waits for the command's end, and brings it about when its grant has expired.
+// supervise waits until the command has exited. It terminates the command when the grant has expired or the command must end.
 func (g *guard) supervise() (exitCode int) {
 	ticker := time.NewTicker(max(g.margin/guardChecksPerMargin, minGuardCheckInterval))
 	defer ticker.Stop()
@@ -97,7 +97,7 @@
 			g.until = max(g.until, until)
 		case <-ticker.C:
 			if BootTime() >= g.until {
-				_, _ = fmt.Fprintln(g.status, statusLate)
+				_, _ = fmt.Fprintln(g.status, statusExpired)
 				return g.terminate(ticker.C)
 			}
 		case <-g.end:
@@ -106,7 +106,8 @@
 	}
 }
 
-// terminate ends the command's process group: with SIGTERM, and with SIGKILL when the margin is over or the command has left processes behind.
+// terminate ends the command's process group with SIGTERM, and waits until the command has exited or the margin is over. Then SIGKILL ends
+// the processes that are left.
 func (g *guard) terminate(tick <-chan time.Time) (exitCode int) {
 	group := -g.cmd.Process.Pid
 	_ = syscall.Kill(group, syscall.SIGTERM)
--- a/internal/lease/raftgroup/guard_test.go
+++ b/internal/lease/raftgroup/guard_test.go
@@ -23,7 +23,7 @@
 	statusWriter.Close() // the guard has closed it, where it wrote its status
 	status := make([]byte, 64)
 	n, _ := statusReader.Read(status)
-	if got := string(status[:n]); got != "0\n"+statusLate+"\n" {
+	if got := string(status[:n]); got != "0\n"+statusExpired+"\n" {
 		t.Errorf("its status is %q", got)
 	}
 }
--- a/internal/lease/raftgroup/holder_driver.go
+++ b/internal/lease/raftgroup/holder_driver.go
@@ -10,7 +10,7 @@
 const (
 	maxUnreadReplies   = 16 // replies, and errors, that wait for the driver
 	maxTrackedReleases = 9  // requests that give the lease back, which the driver waits for at its end
-	holdTenths         = 9  // tenths of the retry interval for which a waiter's reply may be held back: it repeats its request soon after
+	longPollTenths     = 9  // tenths of the retry interval for which a waiter's reply may be held back: it repeats its request soon after
 )
 
 // RunWhileHeld acquires a lease, does the work while it is held, and acquires it again when it was lost, until ctx ends. It returns when the
@@ -95,9 +95,9 @@
 
 // send sends a request on a goroutine of its own, so that one that hangs delays no other.
 func (d *holderDriver) send(request lease.Request) {
-	hold := time.Duration(0)
+	longPoll := time.Duration(0)
 	if request.Kind == lease.Acquire && request.Wait {
-		hold = d.options.RetryInterval * holdTenths / 10
+		longPoll = d.options.RetryInterval * longPollTenths / 10
 	}
 	answered := make(chan struct{})
 	if request.Kind != lease.Acquire && request.Kind != lease.Renew {
@@ -105,7 +105,7 @@
 	}
 	go func() {
 		defer close(answered)
-		reply, err := d.requester.Request(d.ctx, request, hold, d.options.RetryInterval)
+		reply, err := d.requester.Request(d.ctx, request, longPoll, d.options.RetryInterval)
 		if err != nil {
 			select {
 			case d.errors <- err:
--- a/internal/lease/raftgroup/leadership.go
+++ b/internal/lease/raftgroup/leadership.go
@@ -32,9 +32,9 @@
 	for _, pending := range m.proposals {
 		m.redirect(pending)
 	}
-	for _, pending := range m.heldBack {
+	for _, pending := range m.delayed {
 		m.redirect(pending)
 	}
 	clear(m.proposals)
-	clear(m.heldBack)
+	clear(m.delayed)
 }
--- a/internal/lease/raftgroup/lease_model_test.go
+++ b/internal/lease/raftgroup/lease_model_test.go
@@ -15,8 +15,8 @@
 		reply lease.Reply
 		known bool // there was a reply
 	}
-	// oneLease is the state of leaseModel: who holds the name under which token.
-	oneLease struct {
+	// leaseState is the state of leaseModel: who holds the name under which token.
+	leaseState struct {
 		holder string
 		token  lease.Token
 	}
@@ -25,12 +25,12 @@
 // leaseModel is what the record promises of one name: the token rises with each grant, the holder alone renews and releases, and a grant may expire
 // at any time.
 var leaseModel = porcupine.NondeterministicModel{
-	Init: func() []any { return []any{oneLease{}} },
+	Init: func() []any { return []any{leaseState{}} },
 	Step: func(state, input, output any) (next []any) {
 		request, result := input.(lease.Request), output.(outcome)
-		states := []oneLease{state.(oneLease)}
+		states := []leaseState{state.(leaseState)}
 		if states[0].holder != "" { // the grant may have expired meanwhile
-			states = append(states, oneLease{token: states[0].token})
+			states = append(states, leaseState{token: states[0].token})
 		}
 		for _, s := range states {
 			if result.known {
@@ -45,33 +45,33 @@
 }
 
 // isHeldBy reports whether the request is the holder's under its token.
-func (s oneLease) isHeldBy(request lease.Request) bool {
+func (s leaseState) isHeldBy(request lease.Request) bool {
 	return s.holder == request.Client && s.token == request.Token
 }
 
 // afterNoReply returns the states that may follow a request without a reply: it may have been applied or not.
-func (s oneLease) afterNoReply(request lease.Request) (next []any) {
+func (s leaseState) afterNoReply(request lease.Request) (next []any) {
 	next = append(next, s)
 	switch {
 	case request.Kind == lease.Acquire && s.holder == "":
-		next = append(next, oneLease{request.Client, s.token + 1})
+		next = append(next, leaseState{request.Client, s.token + 1})
 	case request.Kind == lease.Release && s.isHeldBy(request):
-		next = append(next, oneLease{token: s.token})
+		next = append(next, leaseState{token: s.token})
 	}
 	return next
 }
 
 // afterReply returns the state that follows a request with its reply; none if the reply is not possible.
-func (s oneLease) afterReply(request lease.Request, reply lease.Reply) (next []any) {
+func (s leaseState) afterReply(request lease.Request, reply lease.Reply) (next []any) {
 	switch status := reply.Status; {
 	case request.Kind == lease.Acquire && status == lease.Granted && s.holder == "" && reply.Token > s.token:
-		next = append(next, oneLease{request.Client, reply.Token})
+		next = append(next, leaseState{request.Client, reply.Token})
 	case request.Kind == lease.Acquire && status == lease.HeldByOther && s.holder != "" && s.holder != request.Client,
 		request.Kind == lease.Renew && status == lease.Granted && s.isHeldBy(request),
 		request.Kind != lease.Acquire && status == lease.NotHeld && !s.isHeldBy(request):
 		next = append(next, s)
 	case request.Kind == lease.Release && status == lease.Done && s.isHeldBy(request):
-		next = append(next, oneLease{token: s.token})
+		next = append(next, leaseState{token: s.token})
 	}
 	return next
 }
--- a/internal/lease/raftgroup/linearizability_test.go
+++ b/internal/lease/raftgroup/linearizability_test.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// disturb drops, delays, resets and heals links until stop is closed.
-func (g *testGroup) disturb(stop <-chan struct{}) {
+// injectFaults drops, delays, resets and heals links until stop is closed.
+func (g *testGroup) injectFaults(stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(9, 9))
 	for {
 		select {
@@ -103,7 +103,7 @@
 		clients.Go(func() { recorder.runClient(t, client, id) })
 	}
 	stop := make(chan struct{})
-	faults.Go(func() { g.disturb(stop) })
+	faults.Go(func() { g.injectFaults(stop) })
 	clients.Wait()
 	close(stop)
 	faults.Wait()
--- a/internal/lease/raftgroup/member.go
+++ b/internal/lease/raftgroup/member.go
@@ -95,7 +95,7 @@
 	expirations *lease.Expirations // nil: it does not lead, or has not applied an entry of its own term yet
 	leaderTerm  uint64             // the raft term in which it leads; 0: it does not lead
 	proposals   map[uint64]*pendingRequest
-	heldBack    map[string]*pendingRequest // waiters whose reply is held back, by name and client
+	delayed     map[string]*pendingRequest // waiters whose reply is held back, by name and client
 	reads       readQueue
 }
 
@@ -118,7 +118,7 @@
 		messages: make(chan *pb.Message, maxReceivedMessages), requests: make(chan *pendingRequest, maxPendingRequests),
 		infoRequests: make(chan chan Info), joinRequests: make(chan joinRequest), sendOutcomes: make(chan sendOutcome),
 		members: map[uint64]string{}, senders: map[uint64]chan *pb.Message{},
-		table: lease.NewTable(options.Limits), proposals: map[uint64]*pendingRequest{}, heldBack: map[string]*pendingRequest{}}
+		table: lease.NewTable(options.Limits), proposals: map[uint64]*pendingRequest{}, delayed: map[string]*pendingRequest{}}
 	for _, peer := range options.Peers {
 		conn, err := dial(peer.Address)
 		if err != nil {
--- a/internal/lease/raftgroup/messages.go
+++ b/internal/lease/raftgroup/messages.go
@@ -27,8 +27,8 @@
 type requestCall struct {
 	callHeader
 	Request lease.Request `json:"ask"`
-	// Hold is how long the reply may be held back while its status would be lease.Waiting.
-	Hold time.Duration `json:"hold,omitempty"`
+	// LongPoll is how long the reply may be held back while its status would be lease.Waiting.
+	LongPoll time.Duration `json:"hold,omitempty"`
 }
 
 // requestAnswer answers a requestCall.
--- a/internal/lease/raftgroup/processes_test.go
+++ b/internal/lease/raftgroup/processes_test.go
@@ -37,7 +37,7 @@
 				t.Fatal(err)
 			}
 			before := len(f.readSink())
-			f.eventually("a line after the last fault", func(lines []sinkLine) bool { return len(lines) > before })
+			f.awaitSink("a line after the last fault", func(lines []sinkLine) bool { return len(lines) > before })
 			f.checkSink(f.sink)
 			lines := f.readSink()
 			tokens := map[uint64]bool{}
@@ -84,7 +84,7 @@
 	if err := f.rig.StartAll(testContext(t), f.members...); err != nil {
 		t.Fatal(err)
 	}
-	f.linesAfter("lines under the restarted members", 2*time.Second)
+	f.awaitLinesAfter("lines under the restarted members", 2*time.Second)
 	f.checkSink(f.sink)
 	logged := func(p *processes.Process, text string) func(e processes.Event) bool {
 		return func(e processes.Event) bool {
@@ -110,7 +110,7 @@
 	}
 	time.Sleep(100 * time.Millisecond) // any time will do
 	_ = f.members[3].Signal(syscall.SIGCONT)
-	f.linesAfter("lines with the new member's vote", 2*time.Second)
+	f.awaitLinesAfter("lines with the new member's vote", 2*time.Second)
 	f.checkSink(f.sink)
 }
 
@@ -128,7 +128,7 @@
 		t.Fatal(err)
 	}
 	defer syscall.Kill(guards[0], syscall.SIGCONT) // so that it sees its end
-	f.eventually("lines of both", func(lines []sinkLine) bool { return len(violations(lines)) > 10 })
+	f.awaitSink("lines of both", func(lines []sinkLine) bool { return len(violations(lines)) > 10 })
 	f.checkSink(f.fencedSink)
 }
 
@@ -151,7 +151,7 @@
 			t.Fatal(err)
 		}
 		start := time.Now()
-		f.eventually("the next holder's line", func(lines []sinkLine) bool { return lines[len(lines)-1].token > last.token })
+		f.awaitSink("the next holder's line", func(lines []sinkLine) bool { return lines[len(lines)-1].token > last.token })
 		*delays = append(*delays, time.Since(start))
 		if err := errors.Join(holder.Await(testContext(t)), holder.Start(testContext(t), nil)); err != nil {
 			t.Fatal(err)
@@ -190,7 +190,7 @@
 		if err := leader.Start(testContext(t), nil); err != nil {
 			t.Fatal(err)
 		}
-		f.linesAfter("the work goes on", 500*time.Millisecond)
+		f.awaitLinesAfter("the work goes on", 500*time.Millisecond)
 	}
 	if lines := f.readSink(); lines[len(lines)-1] != first {
 		t.Errorf("it was held by %+v, and is by %+v", first, lines[len(lines)-1])
--- a/internal/lease/raftgroup/proposals.go
+++ b/internal/lease/raftgroup/proposals.go
@@ -60,7 +60,7 @@
 	}
 	now := m.options.Now()
 	m.proposeExpiries(now)
-	m.answerHeldBack(now)
+	m.answerDelayed(now)
 }
 
 // proposeExpiries proposes to end the grants and waits that have expired.
--- a/internal/lease/raftgroup/reads.go
+++ b/internal/lease/raftgroup/reads.go
@@ -83,8 +83,8 @@
 		switch {
 		case !ok:
 			m.propose(pending, anyLeaderTerm)
-		case reply.Status == lease.Waiting && pending.holdUntil > now:
-			m.holdBack(pending, reply)
+		case reply.Status == lease.Waiting && pending.delayUntil > now:
+			m.delayReply(pending, reply)
 		default:
 			pending.reply(reply)
 		}
--- a/internal/lease/raftgroup/requests.go
+++ b/internal/lease/raftgroup/requests.go
@@ -11,13 +11,13 @@
 //
 //	received ── Acquire, Renew ──▶ waits for a read index (reads.go) ──▶ answered, held back or proposed
 //	received ── other kinds ─────▶ proposed (proposals.go) ──▶ applied (apply.go) ──▶ answered or held back
-//	held back: a waiter's reply ─▶ answered when the lease is granted to it, or at holdUntil
+//	held back: a waiter's reply ─▶ answered when the lease is granted to it, or at delayUntil
 //
 // When the member stops leading, all of them are answered with the new leader's name.
 type pendingRequest struct {
-	request   lease.Request
-	holdUntil time.Duration      // a reply with lease.Waiting may be held back until then
-	answer    chan requestAnswer // has room for one; a further answer is dropped
+	request    lease.Request
+	delayUntil time.Duration      // a reply with lease.Waiting may be held back until then
+	answer     chan requestAnswer // has room for one; a further answer is dropped
 }
 
 func newPendingRequest(request lease.Request) *pendingRequest {
@@ -37,12 +37,12 @@
 	}
 }
 
-// request answers a client's request. While its status would be lease.Waiting, the answer is held back for at most hold. It is the Ask method of
+// request answers a client's request. While its status would be lease.Waiting, the answer is held back for at most longPoll. It is the Ask method of
 // the service.
-func (m *Member) request(ctx context.Context, request lease.Request, hold time.Duration) (requestAnswer, error) {
+func (m *Member) request(ctx context.Context, request lease.Request, longPoll time.Duration) (requestAnswer, error) {
 	pending := newPendingRequest(request)
-	if hold > 0 {
-		pending.holdUntil = m.options.Now() + hold
+	if longPoll > 0 {
+		pending.delayUntil = m.options.Now() + longPoll
 	}
 	select {
 	case m.requests <- pending:
@@ -77,35 +77,35 @@
 
 func (m *Member) redirect(pending *pendingRequest) { pending.redirect(m.members[m.leaderID]) }
 
-// heldBackKey identifies a waiter: one request of a client for a name is held back at a time.
-func heldBackKey(name, client string) string { return name + "\x00" + client }
+// delayedKey identifies a waiter: one request of a client for a name is held back at a time.
+func delayedKey(name, client string) string { return name + "\x00" + client }
 
-// holdBack holds a waiter's reply back. An earlier request of the same waiter is answered.
-func (m *Member) holdBack(pending *pendingRequest, reply lease.Reply) {
-	key := heldBackKey(pending.request.Name, pending.request.Client)
-	if earlier := m.heldBack[key]; earlier != nil {
+// delayReply holds a waiter's reply back. An earlier request of the same waiter is answered.
+func (m *Member) delayReply(pending *pendingRequest, reply lease.Reply) {
+	key := delayedKey(pending.request.Name, pending.request.Client)
+	if earlier := m.delayed[key]; earlier != nil {
 		reply.SendNumber = earlier.request.SendNumber
 		earlier.reply(reply)
 	}
-	m.heldBack[key] = pending
+	m.delayed[key] = pending
 }
 
 // answerGranted answers a waiter at once that the lease was granted to it. The grant counts from its request, which is earlier.
 func (m *Member) answerGranted(entry *lease.Entry) {
-	key := heldBackKey(entry.Name, entry.Holder)
-	if pending := m.heldBack[key]; pending != nil && pending.request.Sequence == entry.Sequence {
-		delete(m.heldBack, key)
+	key := delayedKey(entry.Name, entry.Holder)
+	if pending := m.delayed[key]; pending != nil && pending.request.Sequence == entry.Sequence {
+		delete(m.delayed, key)
 		pending.reply(entry.GrantedReply(pending.request))
 	}
 }
 
-// answerHeldBack answers the waiters whose replies were held back for long enough.
-func (m *Member) answerHeldBack(now time.Duration) {
-	for key, pending := range m.heldBack {
-		if now < pending.holdUntil {
+// answerDelayed answers the waiters whose replies were held back for long enough.
+func (m *Member) answerDelayed(now time.Duration) {
+	for key, pending := range m.delayed {
+		if now < pending.delayUntil {
 			continue
 		}
-		delete(m.heldBack, key)
+		delete(m.delayed, key)
 		reply, ok := m.expirations.AnswerRepeated(now, pending.request)
 		if !ok {
 			reply = pending.request.Reply(lease.NotHeld)
--- a/internal/lease/raftgroup/service.go
+++ b/internal/lease/raftgroup/service.go
@@ -38,7 +38,7 @@
 		if err := m.checkHeader(c.callHeader); err != nil {
 			return requestAnswer{}, err
 		}
-		return m.request(ctx, c.Request, c.Hold)
+		return m.request(ctx, c.Request, c.LongPoll)
 	}),
 	method(methodInfo, func(m *Member, ctx context.Context, c *callHeader) (Info, error) {
 		if err := m.checkHeader(*c); err != nil {
--- a/internal/lease/raftgroup/snapshots.go
+++ b/internal/lease/raftgroup/snapshots.go
@@ -12,8 +12,8 @@
 // snapshotInterval is how many entries the log grows by before a snapshot is written and the log is compacted.
 const snapshotInterval = 2000
 
-// recordSnapshot is the record in a raft snapshot.
-type recordSnapshot struct {
+// snapshotData is the record in a raft snapshot.
+type snapshotData struct {
 	Version   int               `json:"version"`
 	LastToken lease.Token       `json:"last"` // tokens go on from here: see package lease on fencing tokens
 	Entries   []lease.Entry     `json:"entries"`
@@ -28,7 +28,7 @@
 		return nil
 	}
 	m.confChanged = false
-	data, err := json.Marshal(recordSnapshot{Version: protocolVersion, LastToken: m.table.LastToken(), Entries: m.table.List(),
+	data, err := json.Marshal(snapshotData{Version: protocolVersion, LastToken: m.table.LastToken(), Entries: m.table.List(),
 		Notes: m.table.Notes(), Members: m.members})
 	if err != nil {
 		return fmt.Errorf("the group's snapshot: %w", err)
@@ -38,7 +38,7 @@
 
 // restoreSnapshot replaces the record by that of a snapshot.
 func (m *Member) restoreSnapshot(snapshot *pb.Snapshot) error {
-	var record recordSnapshot
+	var record snapshotData
 	if err := json.Unmarshal(snapshot.GetData(), &record); err != nil {
 		return fmt.Errorf("the group's snapshot: %w", err)
 	}
--- a/internal/lease/raftgroup/storage_test.go
+++ b/internal/lease/raftgroup/storage_test.go
@@ -38,7 +38,7 @@
 	if s.bootstrapped || id == 0 {
 		t.Errorf("a new file: bootstrapped %v, id %d", s.bootstrapped, id)
 	}
-	data, err := json.Marshal(recordSnapshot{Version: protocolVersion, Members: map[uint64]string{id: "a"}})
+	data, err := json.Marshal(snapshotData{Version: protocolVersion, Members: map[uint64]string{id: "a"}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lease/raftgroup/work.go
+++ b/internal/lease/raftgroup/work.go
@@ -13,9 +13,9 @@
 
 // Requester sends requests to the record of leases. Client implements it.
 type Requester interface {
-	// Request returns the record's reply. The reply may be held back for hold while its status would be lease.Waiting; timeout bounds what one member
+	// Request returns the record's reply. The reply may be held back for longPoll while its status would be lease.Waiting; timeout bounds what one member
 	// takes beside that.
-	Request(ctx context.Context, request lease.Request, hold, timeout time.Duration) (lease.Reply, error)
+	Request(ctx context.Context, request lease.Request, longPoll, timeout time.Duration) (lease.Reply, error)
 }
 
 // Work is what is done while a lease is held. RunWhileHeld calls its methods from one goroutine; they must return at once. Times are by BootTime.
