--- a/internal/lease/raftgroup/client.go
+++ b/internal/lease/raftgroup/client.go
@@ -18,8 +18,8 @@
 	peers []Peer
 	conns []*grpc.ClientConn // by index of peers
 
-	mu     sync.Mutex
-	leader int // index of the member to ask first
+	mu    sync.Mutex
+	first int // index of the member to ask first
 }
 
 // NewClient returns a client of a group. The client connects to a member with its first request to it.
@@ -43,8 +43,8 @@
 	return err
 }
 
-// Request implements Requester. It starts with the member that answered the last request. A member that does not lead names the leader, which
-// is asked next; without such a name the next member of the list is asked.
+// Request implements Requester. It first asks the member that answered the last request. A member that does not lead answers with the name of
+// the leader, if it knows one: the leader is asked next, otherwise the next member of the list.
 func (c *Client) Request(ctx context.Context, request lease.Request, longPoll, timeout time.Duration) (lease.Reply, error) {
 	var lastErr error = ErrNoLeader
 	member := c.firstMember()
@@ -86,13 +86,13 @@
 func (c *Client) firstMember() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.leader
+	return c.first
 }
 
 func (c *Client) setFirstMember(member int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leader = member
+	c.first = member
 }
 
 func (c *Client) header() callHeader { return callHeader{Version: protocolVersion, Fleet: c.fleet} }
--- a/internal/lease/raftgroup/command.go
+++ b/internal/lease/raftgroup/command.go
@@ -24,8 +24,8 @@
 
 // Command is a Work that runs a command while the lease is held.
 //
-// The command runs under a guard (see Guard), a separate process whose parent is this process and whose child is the command. When one of these
-// processes fails or is stopped by a signal, another one ends the command:
+// The command runs under a guard (see Guard), a separate process whose parent is this process and whose child is the command. The table shows how
+// the command ends when this process or the guard fails or is stopped by a signal:
 //
 //	this process is stopped               the guard ends the command when the grant expires
 //	this process dies                     the guard reads the end of its standard input and ends the command
--- a/internal/lease/raftgroup/errors.go
+++ b/internal/lease/raftgroup/errors.go
@@ -9,7 +9,7 @@
 	ErrNoLeader = errors.New("the group has no leader that could answer")
 	// ErrOtherFleet is returned for a file that belongs to another fleet.
 	ErrOtherFleet = errors.New("the file belongs to another fleet")
-	// ErrNotAMember is returned for a name that the operator's file does not list.
+	// ErrNotAMember is returned for a name that the configuration file does not list as a member.
 	ErrNotAMember = errors.New("is not one of the group's members")
 	// ErrCorrupted is returned when pages of a storage file are damaged.
 	ErrCorrupted = errors.New("the file is damaged")
--- a/internal/lease/raftgroup/golden_test.go
+++ b/internal/lease/raftgroup/golden_test.go
@@ -22,7 +22,7 @@
 	"orchiddrift/internal/testing/golden"
 )
 
-// goldenJSON checks that a value is encoded as the golden file, and that this is decoded to the value.
+// goldenJSON checks that a value is encoded as the text of the golden file, and that this text is decoded to the value.
 func goldenJSON[T any](t *testing.T, name string, want T) {
 	t.Helper()
 	text, err := json.Marshal(want)
@@ -39,8 +39,8 @@
 	}
 }
 
-// The entries of the raft log, the record in its snapshots, and the messages between members and clients of different releases are encoded as
-// earlier releases did.
+// Members and clients of different releases must understand each other: the entries of the raft log, the data of its snapshots and the messages
+// must be encoded as in earlier releases.
 func TestMessagesGolden(t *testing.T) {
 	request := lease.Request{Kind: lease.Acquire, Name: "report", Client: "c1", Sequence: 1, SendNumber: 2, Duration: time.Second}
 	entry := lease.Entry{Name: "report", Holder: "c1", Sequence: 1, Token: 9, Duration: time.Second, Waiters: []lease.Waiter{{Client: "c2", Sequence: 1, Duration: time.Second}}}
@@ -60,10 +60,10 @@
 	golden.Match(t, "methods.txt", []byte(methods.String()))
 }
 
-// storageID is the id key's value in a file that the tests write: a real one is drawn.
+// storageID is the raft id in files that writeFile creates. Real files have a random one.
 const storageID = 77
 
-// dumpFile writes a file's contents by bucket and key, without the drawn id.
+// dumpFile returns a file's contents as text, one line for each key of each bucket. It leaves out the random raft id.
 func dumpFile(t *testing.T, db *bbolt.DB) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -88,7 +88,7 @@
 	return out.Bytes()
 }
 
-// writeFile makes a file of a dump alone and returns its path.
+// writeFile creates a file from a dump and returns its path.
 func writeFile(t *testing.T, dump []byte) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "old.db")
@@ -110,7 +110,7 @@
 	return path
 }
 
-// putDumpLine writes one key of a dump.
+// putDumpLine writes the key and the value of one line of a dump.
 func putDumpLine(tx *bbolt.Tx, line string) error {
 	fields := strings.SplitN(line, " ", 3)
 	bucket, err := tx.CreateBucketIfNotExists([]byte(fields[0]))
@@ -131,7 +131,8 @@
 	return bucket.Put(key, value)
 }
 
-// A member's file is written as earlier releases did, in buckets, keys and values, and one that an earlier release wrote is read.
+// A new release must read the file that an earlier release wrote: the buckets, keys and values of a member's file must be the same as in earlier
+// releases.
 func TestDiskGolden(t *testing.T) {
 	hard := &pb.HardState{Term: proto.Uint64(3), Vote: proto.Uint64(77), Commit: proto.Uint64(2)}
 	entries := []*pb.Entry{{Term: proto.Uint64(2), Index: proto.Uint64(2), Data: []byte("first")}, {Term: proto.Uint64(3), Index: proto.Uint64(3), Data: []byte("second")}}
@@ -154,18 +155,18 @@
 	}
 	defer old.close()
 	if old.id != storageID || !old.bootstrapped {
-		t.Errorf("id %d, bootstrapped %t", old.id, old.bootstrapped)
+		t.Errorf("the earlier release's file has id %d and bootstrapped %t", old.id, old.bootstrapped)
 	}
 	state, conf, err := old.memory.InitialState()
 	if err != nil || !proto.Equal(state, hard) || !reflect.DeepEqual(conf.Voters, []uint64{77}) {
-		t.Errorf("hard state %v, conf state %v, %v", state, conf, err)
+		t.Errorf("the earlier release's file has hard state %v and conf state %v, error %v", state, conf, err)
 	}
 	got, err := old.memory.Entries(2, 4, 1<<20)
 	if err != nil || len(got) != 2 || string(got[0].Data) != "first" || string(got[1].Data) != "second" {
-		t.Errorf("entries %v, %v", got, err)
+		t.Errorf("the earlier release's file has log entries %v, error %v", got, err)
 	}
 	snapshot, err := old.memory.Snapshot()
 	if err != nil || string(snapshot.GetData()) != "record" {
-		t.Errorf("snapshot %v, %v", snapshot, err)
+		t.Errorf("the earlier release's file has snapshot %v, error %v", snapshot, err)
 	}
 }
--- a/internal/lease/raftgroup/group_test.go
+++ b/internal/lease/raftgroup/group_test.go
@@ -17,17 +17,17 @@
 
 var testLimits = lease.Limits{MaxNames: 10, MaxWaiters: 100, MaxNameBytes: 100, MinDuration: 50 * time.Millisecond, MaxDuration: time.Minute}
 
-// testGroup is a group of members in this process. Each reaches the others, and each client the members, over links of its own.
+// testGroup is a group of members in the test's process. Each member reaches the others over its own network links, and so does each client.
 type testGroup struct {
 	t     *testing.T
 	rig   *processes.Rig
 	names []string
 	links []*processes.Link
-	dir   string // of the members' files
+	dir   string // directory of the members' files
 
 	mu        sync.Mutex
-	addresses map[string]string // where each member listens
-	stops     map[string]func()
+	addresses map[string]string // listening address of each member, by name
+	stops     map[string]func() // stop a member and wait for its end, by name
 }
 
 func newTestGroup(t *testing.T, seed uint64) *testGroup {
@@ -43,7 +43,7 @@
 	return g
 }
 
-// peers returns the members as a member or a client reaches them, over new links.
+// peers returns the members, each at the address of a new link from the member or client from.
 func (g *testGroup) peers(from string) (peers []Peer) {
 	for _, to := range g.names {
 		link, err := g.rig.Link(from, to, func() string {
@@ -60,14 +60,14 @@
 	return peers
 }
 
-// heal ends the faults of all links.
+// heal removes the faults of all links.
 func (g *testGroup) heal() {
 	for _, link := range g.links {
 		link.Heal()
 	}
 }
 
-// start starts a member.
+// start starts the member name, which reaches the others at the addresses of peers.
 func (g *testGroup) start(name string, peers []Peer) {
 	member, err := New(context.Background(), Options{Fleet: "f", Name: name, Peers: peers, File: filepath.Join(g.dir, name), Limits: testLimits, Drift: 0.01, Tick: testTick})
 	if err != nil {
--- a/internal/lease/raftgroup/guard_test.go
+++ b/internal/lease/raftgroup/guard_test.go
@@ -10,7 +10,7 @@
 	"orchiddrift/internal/lease"
 )
 
-// A guard that starts after the grant has expired does not run the command and says so.
+// A guard that starts after the grant has expired must not run the command, and must report the expiry in its status.
 func TestGuardStartsTooLate(t *testing.T) {
 	statusReader, statusWriter, err := os.Pipe()
 	if err != nil {
@@ -18,22 +18,22 @@
 	}
 	defer statusReader.Close()
 	if _, err := Guard(strings.NewReader(""), statusWriter, BootTime()-time.Second, time.Second, []string{"true"}); !errors.Is(err, errGrantExpired) {
-		t.Errorf("it runs the command: %v", err)
+		t.Errorf("a guard that started after the grant had expired returned %v, want errGrantExpired", err)
 	}
-	statusWriter.Close() // the guard has closed it, where it wrote its status
+	statusWriter.Close() // already closed if the guard has reported the expiry
 	status := make([]byte, 64)
 	n, _ := statusReader.Read(status)
 	if got := string(status[:n]); got != "0\n"+statusExpired+"\n" {
-		t.Errorf("its status is %q", got)
+		t.Errorf("the guard's status is %q, want process id 0 and the expiry", got)
 	}
 }
 
-// A command whose guard was late is started again if the lease is still held; otherwise the lease is lost. A command that never ran must not be
-// reported as ended by itself: a task's run would count as done.
+// If a guard starts too late to run its command, the command is started again if the lease is still held; otherwise the lease is lost. A command
+// that never ran must not be reported as one that ended by itself, since a task's run would then count as done.
 func TestCommandAfterALateGuard(t *testing.T) {
 	for _, held := range []bool{false, true} {
 		ended := make(chan lease.Reason, 1)
-		// A guard that is late once, and runs well the next time.
+		// The first guard reports that the grant has expired; the second one runs the command.
 		mark := t.TempDir() + "/mark"
 		guard := "if [ -e " + mark + " ]; then echo 1 >&3; exit 0; fi; touch " + mark + "; sleep 0.2; printf '0\\nlate\\n' >&3; exit 1"
 		c := &Command{Guard: []string{"sh", "-c", guard}, Argv: []string{"true"}, Margin: time.Second, Log: func(string) {},
@@ -47,7 +47,7 @@
 			want = 0
 		}
 		if reason := <-ended; reason != want {
-			t.Errorf("held %v: ended with reason %d, want %d", held, reason, want)
+			t.Errorf("lease held %v: the command ended with reason %d, want %d", held, reason, want)
 		}
 	}
 }
--- a/internal/lease/raftgroup/holder_driver.go
+++ b/internal/lease/raftgroup/holder_driver.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	maxUnreadReplies   = 16 // replies, and errors, that wait for the driver
-	maxTrackedReleases = 9  // requests that give the lease back, which the driver waits for at its end
-	longPollTenths     = 9  // tenths of the retry interval for which a waiter's reply may be held back: it repeats its request soon after
+	maxUnreadReplies   = 16 // replies, and likewise errors, that the driver has not read yet
+	maxTrackedReleases = 9  // requests that end a lease or a wait, whose answers the driver awaits before it returns
+	longPollTenths     = 9  // tenths of the retry interval for which a waiter's reply may be delayed; the waiter repeats its request soon after
 )
 
-// RunWhileHeld acquires a lease, does the work while it is held, and acquires it again when it was lost, until ctx ends. It returns when the
-// work has ended and the lease has been released, or after one retry interval without a reply to that.
+// RunWhileHeld acquires a lease, runs the work while the lease is held, and acquires it again after it was lost, until ctx ends. It returns when
+// the work has ended and the lease has been released, or when the release got no reply within one retry interval.
 func RunWhileHeld(ctx context.Context, requester Requester, options lease.HolderOptions, work Work) {
-	// Requests outlive ctx: the lease is released after it has ended.
+	// The context of the requests outlives ctx, because the lease is released after ctx has ended.
 	requestCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	d := &holderDriver{ctx: requestCtx, options: options, requester: requester, work: work, holder: lease.NewHolder(options),
@@ -24,19 +24,19 @@
 	d.run(ctx.Done())
 }
 
-// holderDriver drives a lease.Holder. All but send's goroutines runs on the goroutine of RunWhileHeld.
+// holderDriver drives a lease.Holder. Its methods run on the goroutine of RunWhileHeld; send starts one more goroutine for each request.
 type holderDriver struct {
-	ctx       context.Context // of requests
+	ctx       context.Context // context of the requests
 	options   lease.HolderOptions
 	requester Requester
 	work      Work
 	holder    *lease.Holder
 	replies   chan lease.Reply
 	errors    chan error
-	stopped   <-chan struct{} // closed when the work has ended that is to stop; nil: no work is to stop
-	token     lease.Token     // under which the work was started
-	until     time.Duration   // that the work was last notified of
-	releases  []chan struct{} // each closed when a request that gives the lease back was answered
+	stopped   <-chan struct{} // closed when stopping work has ended; nil if no work is stopping
+	token     lease.Token     // the token under which the work was started
+	until     time.Duration   // the end of the grant of which the work was last notified
+	releases  []chan struct{} // one for each request that ends a lease or a wait, closed when it was answered or failed
 }
 
 // run drives the holder until done is closed and the work has ended.
@@ -93,7 +93,7 @@
 	}
 }
 
-// send sends a request on a goroutine of its own, so that one that hangs delays no other.
+// send sends a request on its own goroutine, so that a request that hangs does not delay others.
 func (d *holderDriver) send(request lease.Request) {
 	longPoll := time.Duration(0)
 	if request.Kind == lease.Acquire && request.Wait {
@@ -120,7 +120,7 @@
 	}()
 }
 
-// awaitReleases waits until the last requests that give the lease back were answered, for one retry interval at most.
+// awaitReleases waits until the requests in releases were answered, for at most one retry interval.
 func (d *holderDriver) awaitReleases() {
 	timeout := time.After(d.options.RetryInterval)
 	for _, answered := range d.releases {
@@ -128,7 +128,7 @@
 			select {
 			case <-answered:
 				waiting = false
-			case <-d.replies: // drained, so that no request waits for room
+			case <-d.replies: // read and dropped, so that the goroutines of send do not block
 			case <-d.errors:
 			case <-timeout:
 				return
--- a/internal/lease/raftgroup/leadership.go
+++ b/internal/lease/raftgroup/leadership.go
@@ -6,11 +6,12 @@
 	"orchiddrift/internal/lease"
 )
 
-// isLeading reports whether this member answers requests. Raft may have elected it a moment before.
+// isLeading reports whether this member answers requests as the leader. It becomes true shortly after raft has elected the member: see
+// startLeading.
 func (m *Member) isLeading() bool { return m.expirations != nil }
 
-// startLeading begins to lead when the first entry of the member's own raft term is applied: all that earlier leaders confirmed has been applied by
-// then. Every timer starts at this moment.
+// startLeading makes this member answer requests once it has applied the first entry of its own raft term. By then it has applied everything that
+// earlier leaders confirmed. All expiration timers start at this moment.
 func (m *Member) startLeading(term uint64) {
 	status := m.node.BasicStatus()
 	if m.isLeading() || status.RaftState != raft.StateLeader || status.HardState.GetTerm() != term {
@@ -20,7 +21,7 @@
 	m.options.Log.Info("fleet: became leader", "term", term)
 }
 
-// stopLeading answers all pending requests with the new leader's name, if it is known.
+// stopLeading ends this member's leadership and answers all pending requests with the new leader's name, if it is known.
 func (m *Member) stopLeading() {
 	if m.isLeading() {
 		m.options.Log.Info("fleet: stopped leading", "term", m.leaderTerm)
--- a/internal/lease/raftgroup/lease_model_test.go
+++ b/internal/lease/raftgroup/lease_model_test.go
@@ -10,26 +10,26 @@
 )
 
 type (
-	// outcome is what a client learns of a request.
+	// outcome is the reply to a client's request, if the client got one.
 	outcome struct {
 		reply lease.Reply
-		known bool // there was a reply
+		known bool // the client got a reply
 	}
-	// leaseState is the state of leaseModel: who holds the name under which token.
+	// leaseState is the state of leaseModel: the holder of the lease, and the token of the current or last grant.
 	leaseState struct {
 		holder string
 		token  lease.Token
 	}
 )
 
-// leaseModel is what the record promises of one name: the token rises with each grant, the holder alone renews and releases, and a grant may expire
-// at any time.
+// leaseModel specifies how the lease table behaves for one lease: the token rises with each grant, only the holder can renew and release, and a
+// grant may expire at any time.
 var leaseModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{leaseState{}} },
 	Step: func(state, input, output any) (next []any) {
 		request, result := input.(lease.Request), output.(outcome)
 		states := []leaseState{state.(leaseState)}
-		if states[0].holder != "" { // the grant may have expired meanwhile
+		if states[0].holder != "" { // the grant may have expired before this step
 			states = append(states, leaseState{token: states[0].token})
 		}
 		for _, s := range states {
@@ -44,12 +44,12 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// isHeldBy reports whether the request is the holder's under its token.
+// isHeldBy reports whether the request comes from the holder and has the token of its grant.
 func (s leaseState) isHeldBy(request lease.Request) bool {
 	return s.holder == request.Client && s.token == request.Token
 }
 
-// afterNoReply returns the states that may follow a request without a reply: it may have been applied or not.
+// afterNoReply returns the states that may follow a request without a reply, which may or may not have been applied.
 func (s leaseState) afterNoReply(request lease.Request) (next []any) {
 	next = append(next, s)
 	switch {
@@ -61,7 +61,7 @@
 	return next
 }
 
-// afterReply returns the state that follows a request with its reply; none if the reply is not possible.
+// afterReply returns the state that follows a request with its reply, or no state if the model does not allow the reply.
 func (s leaseState) afterReply(request lease.Request, reply lease.Reply) (next []any) {
 	switch status := reply.Status; {
 	case request.Kind == lease.Acquire && status == lease.Granted && s.holder == "" && reply.Token > s.token:
@@ -76,7 +76,8 @@
 	return next
 }
 
-// The model accepts what one record can reply, and nothing else.
+// leaseModel must accept the replies that one lease table can give, and reject all others. A model that accepts everything would make
+// TestLinearizable pass with any history.
 func TestModelOfTheRecordBites(t *testing.T) {
 	acquire := func(client string) lease.Request { return lease.Request{Kind: lease.Acquire, Client: client} }
 	renew := func(client string, token lease.Token) lease.Request {
@@ -87,7 +88,7 @@
 	}
 	status := func(status lease.Status) outcome { return outcome{lease.Reply{Status: status}, true} }
 	for name, c := range map[string]struct {
-		operations []any // requests and outcomes in turn, one after the other
+		operations []any // requests, each followed by its outcome; no two overlap
 		want       porcupine.CheckResult
 	}{
 		"a grant that expired":           {[]any{acquire("a"), granted(1), acquire("b"), granted(2)}, porcupine.Ok},
@@ -103,7 +104,7 @@
 			history = append(history, porcupine.Operation{Input: c.operations[i], Output: c.operations[i+1], Call: int64(2 * i), Return: int64(2*i + 1)})
 		}
 		if got := porcupine.CheckOperationsTimeout(leaseModel.ToModel(), history, processes.Patience); got != c.want {
-			t.Errorf("%s: %s", name, got)
+			t.Errorf("history %q is judged %s", name, got)
 		}
 	}
 }
--- a/internal/lease/raftgroup/linearizability_test.go
+++ b/internal/lease/raftgroup/linearizability_test.go
@@ -16,12 +16,12 @@
 const (
 	linearizableSeed     = 8
 	linearizableClients  = 5
-	linearizableRequests = 60 // of each client
-	// minGrants is how many grants a history must have to tell anything.
+	linearizableRequests = 60 // requests of each client
+	// minGrants is how many grants a history must have for its check to be meaningful.
 	minGrants = 20
 )
 
-// historyRecorder collects the operations of several clients. It is safe for concurrent use.
+// historyRecorder records the requests of several clients and their outcomes. It is safe for concurrent use.
 type historyRecorder struct {
 	start time.Time
 
@@ -29,7 +29,8 @@
 	history []porcupine.Operation
 }
 
-// request sends a request and records it. One without a reply may be applied at any time.
+// request sends a request and records it. A request without a reply may still be applied later, so its operation is recorded with a return far in
+// the future.
 func (r *historyRecorder) request(t *testing.T, client *Client, id int, request lease.Request) (lease.Reply, error) {
 	operation := porcupine.Operation{ClientId: id, Input: request, Call: int64(time.Since(r.start))}
 	reply, err := client.Request(t.Context(), request, 0, 150*time.Millisecond)
@@ -43,7 +44,7 @@
 	return reply, err
 }
 
-// runClient acquires, renews and releases one name. Each Acquire is of a client of its own: one whose reply was lost is not repeated.
+// runClient acquires, renews and releases one lease. Each Acquire uses a new client name, so that an Acquire whose reply was lost is not repeated.
 func (r *historyRecorder) runClient(t *testing.T, client *Client, id int) {
 	rng := rand.New(rand.NewPCG(linearizableSeed, uint64(id)))
 	token, holder := lease.Token(0), ""
@@ -66,7 +67,7 @@
 	}
 }
 
-// injectFaults drops, delays, resets and heals links until stop is closed.
+// injectFaults makes links drop and delay data, resets their connections and heals them, until stop is closed.
 func (g *testGroup) injectFaults(stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(9, 9))
 	for {
@@ -89,7 +90,8 @@
 	}
 }
 
-// The record is linearizable: the replies to clients over links that are dropped, delayed and reset fit one order of one record.
+// The lease table must be linearizable. Clients send requests over links that drop, delay and reset their connections; some sequential order of
+// the requests on a single lease table must explain all replies.
 func TestLinearizable(t *testing.T) {
 	g := newTestGroup(t, linearizableSeed)
 	recorder := &historyRecorder{start: time.Now()}
@@ -117,11 +119,11 @@
 	}
 	t.Logf("%d requests, %d granted, %d without a reply", len(recorder.history), granted, unknown)
 	if granted < minGrants {
-		t.Error("too few are granted to tell anything")
+		t.Error("too few requests were granted to check the history")
 	}
 	if result := porcupine.CheckOperationsTimeout(leaseModel.ToModel(), recorder.history, processes.Patience); result == porcupine.Illegal {
-		t.Error("the history is not that of one record")
+		t.Error("the history is not linearizable: no order of the requests on one lease table explains the replies")
 	} else if result != porcupine.Ok {
-		t.Log("too many requests without a reply to tell in time")
+		t.Log("the check of the history timed out: too many requests without a reply")
 	}
 }
--- a/internal/lease/raftgroup/logger.go
+++ b/internal/lease/raftgroup/logger.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// discardLogger drops what the raft library logs: the member logs what an operator needs. A fatal error is a panic.
+// discardLogger drops the log lines of the raft library, since Member itself logs what an operator needs. Fatal and Panic lines become panics.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)              {}
--- a/internal/lease/raftgroup/member.go
+++ b/internal/lease/raftgroup/member.go
@@ -19,30 +19,30 @@
 	"orchiddrift/internal/lease"
 )
 
-// Bounds of what a member holds in memory and sends at once.
+// Limits on the memory of a member and on the size of its messages.
 const (
-	maxPendingRequests  = 4096                // requests of clients that wait for the loop, and again that wait for a read index
-	maxReceivedMessages = 4096                // raft messages of other members that wait for the loop
-	maxMessageBytes     = 1 << 20             // of a raft message
-	maxGRPCMessageBytes = 2 * maxMessageBytes // a raft message in base64, with its header
-	maxAppendBytes      = maxMessageBytes / 4 // entries in one append message
+	maxPendingRequests  = 4096                // client requests queued for the loop, and as many queued for a read index
+	maxReceivedMessages = 4096                // raft messages of other members queued for the loop
+	maxMessageBytes     = 1 << 20             // size of a raft message
+	maxGRPCMessageBytes = 2 * maxMessageBytes // size of a raft message in base64, with its header
+	maxAppendBytes      = maxMessageBytes / 4 // size of the entries in one append message
 	maxInflightAppends  = 64                  // append messages to one member that it has not acknowledged
-	maxUncommittedBytes = 16 << 20            // of proposals
+	maxUncommittedBytes = 16 << 20            // size of the proposals that are not committed yet
 )
 
-// minKeepaliveInterval is how often a client may send keepalive pings.
+// minKeepaliveInterval is the shortest interval between the keepalive pings of a client.
 const minKeepaliveInterval = time.Second
 
 // electionTicks is how many ticks a leader may be silent before it is replaced. A call between members may take as long.
 const electionTicks = 10
 
-// Peer is a member of the group as the operator's file lists it.
+// Peer is a member of the group as the configuration file lists it.
 type Peer struct {
 	Name    string
 	Address string // IP address and port
 }
 
-// DeclaredPeers returns the members that the operator's file lists.
+// DeclaredPeers returns the members that the configuration file lists.
 func DeclaredPeers(d *lease.Declaration) (peers []Peer) {
 	for _, m := range d.Members {
 		peers = append(peers, Peer(m))
@@ -52,54 +52,54 @@
 
 // Options are a Member's parameters.
 type Options struct {
-	Fleet  string // calls and files of another fleet are rejected
-	Name   string // one of Peers
-	Peers  []Peer // all members, this one included
-	File   string // its storage
+	Fleet  string // name of the fleet; calls and files of another fleet are rejected
+	Name   string // name of this member, one of Peers
+	Peers  []Peer // all members, including this one
+	File   string // path of this member's storage file
 	Limits lease.Limits
 	Drift  float64              // largest relative error of a process's clock rate
 	Tick   time.Duration        // raft heartbeat interval
-	Log    *slog.Logger         // nil: nothing is logged
-	Now    func() time.Duration // nil: BootTime
+	Log    *slog.Logger         // if nil, nothing is logged
+	Now    func() time.Duration // clock; if nil, BootTime
 }
 
-// Member is a member of the raft group that keeps the record of leases. Its methods are safe for concurrent use; the fields of the loop belong to
-// the goroutine of Run.
+// Member is a member of the raft group that replicates the lease table. Its methods are safe for concurrent use. Only the goroutine of Run uses
+// the fields of the loop.
 type Member struct {
 	options       Options
 	storage       *storage
 	server        *grpc.Server
 	conns         map[string]*grpc.ClientConn // by address
 	ended         chan struct{}               // closed when Run's loop has ended
-	bootstrapping atomic.Bool                 // the loop has not begun
+	bootstrapping atomic.Bool                 // bootstrap waits for other members, and the loop has not started
 	rejections    rejectionLog
 
-	// To the loop.
+	// Events for the loop.
 	messages     chan *pb.Message
 	requests     chan *pendingRequest
 	infoRequests chan chan Info
 	joinRequests chan joinRequest
 	sendOutcomes chan sendOutcome
 
-	// Of the loop: raft.
+	// Raft state of the loop.
 	node         *raft.RawNode
 	members      map[uint64]string // names by raft id
 	confState    *pb.ConfState
-	confChanged  bool // since the last snapshot: a new member rejects a snapshot without itself
+	confChanged  bool // the members have changed since the last snapshot; a new member rejects a snapshot that does not list it
 	appliedIndex uint64
 	leaderID     uint64
-	senders      map[uint64]chan *pb.Message // to the other members, by raft id
+	senders      map[uint64]chan *pb.Message // queues of messages to the other members, by raft id
 
-	// Of the loop: the record.
+	// Lease state of the loop.
 	table       *lease.Table
-	expirations *lease.Expirations // nil: it does not lead, or has not applied an entry of its own term yet
-	leaderTerm  uint64             // the raft term in which it leads; 0: it does not lead
-	proposals   map[uint64]*pendingRequest
-	delayed     map[string]*pendingRequest // waiters whose reply is held back, by name and client
+	expirations *lease.Expirations         // nil if this member does not lead, or has not applied an entry of its own raft term yet
+	leaderTerm  uint64                     // the raft term in which this member leads; 0 if it does not lead
+	proposals   map[uint64]*pendingRequest // requests that were proposed, by proposal ID
+	delayed     map[string]*pendingRequest // requests of waiters whose reply is delayed, by delayedKey
 	reads       readQueue
 }
 
-// New opens a member's file and waits while another process has it open. Run makes the member take part.
+// New opens a member's file, and waits while another process has it open. The member takes part in the group once Run is called.
 func New(ctx context.Context, options Options) (*Member, error) {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
@@ -122,7 +122,7 @@
 	for _, peer := range options.Peers {
 		conn, err := dial(peer.Address)
 		if err != nil {
-			return nil, errors.Join(fmt.Errorf("member %s: %w", peer.Name, err), m.closeConns(), storage.close())
+			return nil, errors.Join(fmt.Errorf("creating the connection to member %s: %w", peer.Name, err), m.closeConns(), storage.close())
 		}
 		m.conns[peer.Address] = conn
 	}
@@ -132,7 +132,7 @@
 	return m, nil
 }
 
-// openFile opens the file that options name, and logs while it waits for it.
+// openFile opens the storage file of options, and logs a warning while another process holds it.
 func openFile(ctx context.Context, options *Options) (s *storage, err error) {
 	wait := boltfile.LockWait{OnWaiting: func(since time.Duration) {
 		options.Log.Warn("fleet: another process holds the group's file: waiting for it", "file", options.File, "since", since.Round(time.Millisecond).String())
@@ -143,24 +143,25 @@
 		return err
 	})
 	if err != nil {
-		return nil, fmt.Errorf("the group's file %s: %w", options.File, err)
+		return nil, fmt.Errorf("opening the group's file %s: %w", options.File, err)
 	}
 	return s, nil
 }
 
-// isDeclared reports whether a member of that name is listed.
+// isDeclared reports whether peers lists a member of that name.
 func isDeclared(peers []Peer, name string) bool {
 	return slices.ContainsFunc(peers, func(p Peer) bool { return p.Name == name })
 }
 
-// Run takes part in the group until ctx ends, which is no error, or the storage fails. It serves the listener and closes it.
+// Run takes part in the group until ctx ends or the storage fails. It serves the group's calls on the listener and closes it. The end of ctx is
+// not an error.
 func (m *Member) Run(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		_ = m.server.Serve(listener) // it ends with Stop
+		_ = m.server.Serve(listener) // returns after Stop
 	}()
 	err := recoverStorageFault(func() error {
 		if err := m.bootstrap(ctx); err != nil {
@@ -174,7 +175,7 @@
 	close(m.ended)
 	m.server.Stop()
 	<-served
-	_ = m.closeConns() // nothing is sent any more
+	_ = m.closeConns() // an error does not matter, since nothing is sent any more
 	return errors.Join(err, recoverStorageFault(m.storage.close))
 }
 
@@ -185,9 +186,9 @@
 	return err
 }
 
-// Info returns what the member knows of itself and of the record.
+// Info returns the member's report of itself, the group and the lease table.
 func (m *Member) Info(ctx context.Context) (Info, error) {
-	if m.bootstrapping.Load() { // other members ask while this one waits for them
+	if m.bootstrapping.Load() { // the loop does not run yet, while other members call Info to form a group with this one
 		return Info{ID: m.storage.id, Name: m.options.Name}, nil
 	}
 	answer := make(chan Info, 1)
@@ -201,7 +202,7 @@
 	}
 }
 
-// info is Info in the loop.
+// info builds the answer to Info. It runs in the loop.
 func (m *Member) info() Info {
 	info := Info{ID: m.storage.id, Name: m.options.Name, Bootstrapped: true, IsLeader: m.isLeading(), Leader: m.members[m.leaderID],
 		Members: m.memberNames(), LastToken: m.table.LastToken(), Leases: m.table.List(), Notes: m.table.Notes()}
--- a/internal/lease/raftgroup/membership.go
+++ b/internal/lease/raftgroup/membership.go
@@ -9,14 +9,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// joinRequest is a process that asks to become a member.
+// joinRequest is the request of a process to become a member.
 type joinRequest struct {
-	id   uint64
+	id   uint64 // raft id of the process
 	name string
-	done chan error // has room for one
+	done chan error // receives the result; its capacity is 1
 }
 
-// join asks the loop to make a process a member. nil says that it is one.
+// join asks the loop to make a process a member. It returns nil if the process is a member already.
 func (m *Member) join(ctx context.Context, id uint64, name string) error {
 	request := joinRequest{id, name, make(chan error, 1)}
 	select {
@@ -29,8 +29,9 @@
 	}
 }
 
-// proposeJoin proposes the next conf change that makes a process a member: first the earlier member of the same name is removed, since it has lost
-// its file and must not vote any more; then the process is added. The process asks again until nil says that it is a member.
+// proposeJoin proposes the next raft configuration change on a process's way to membership. The first change removes the earlier member of the
+// same name, which has lost its file and must not vote any more. The second change adds the process. The process repeats its request until
+// proposeJoin returns nil, which means that the process is a member.
 func (m *Member) proposeJoin(request joinRequest) error {
 	if !m.isLeading() {
 		return ErrNoLeader
@@ -61,11 +62,11 @@
 		Changes: []*pb.ConfChangeSingle{{Type: kind.Enum(), NodeId: proto.Uint64(id)}}})
 }
 
-// applyConfChange applies a committed conf change.
+// applyConfChange applies a committed raft configuration change.
 func (m *Member) applyConfChange(entry *pb.Entry) error {
 	var change pb.ConfChangeV2
 	if err := proto.Unmarshal(entry.GetData(), &change); err != nil {
-		return fmt.Errorf("conf change %d of the group's log: %w", entry.GetIndex(), err)
+		return fmt.Errorf("decoding configuration change %d of the raft log: %w", entry.GetIndex(), err)
 	}
 	m.confState, m.confChanged = m.node.ApplyConfChange(&change), true
 	for _, single := range change.Changes {
--- a/internal/lease/raftgroup/messages.go
+++ b/internal/lease/raftgroup/messages.go
@@ -6,15 +6,15 @@
 	"orchiddrift/internal/lease"
 )
 
-// protocolVersion is the version of all messages and of the snapshot. Another one is rejected.
+// protocolVersion is the version of all messages and of the snapshot. Messages and snapshots of another version are rejected.
 const protocolVersion = 1
 
-// callHeader begins every call.
+// callHeader is part of every call.
 type callHeader struct {
 	Version int    `json:"version"`
 	Fleet   string `json:"fleet"`
-	From    uint64 `json:"from,omitempty"` // raft id of the calling member; 0: a client
-	Name    string `json:"name,omitempty"` // of the calling member
+	From    uint64 `json:"from,omitempty"` // raft id of the calling member; 0 for a client
+	Name    string `json:"name,omitempty"` // name of the calling member
 }
 
 // messageCall carries a raft message.
@@ -27,14 +27,14 @@
 type requestCall struct {
 	callHeader
 	Request lease.Request `json:"ask"`
-	// LongPoll is how long the reply may be held back while its status would be lease.Waiting.
+	// LongPoll is how long the member may delay the reply while its status would be lease.Waiting.
 	LongPoll time.Duration `json:"hold,omitempty"`
 }
 
 // requestAnswer answers a requestCall.
 type requestAnswer struct {
 	Reply  lease.Reply `json:"reply"`
-	Leader string      `json:"leader,omitempty"` // the member to ask instead, where Reply has no status
+	Leader string      `json:"leader,omitempty"` // the member to ask instead, if Reply has no status
 }
 
 // joinCall asks the leader to make the caller a member.
@@ -42,19 +42,20 @@
 	callHeader
 }
 
-// empty is the answer to a call that has none.
+// empty is the answer of a method that returns nothing.
 type empty struct{}
 
-// Info is what a member reports of itself and of the record.
+// Info is a member's report of itself, the group and the lease table. Members, Leases and Notes are as of the last log entry that the member has
+// applied; only the leader's are current.
 type Info struct {
 	ID           uint64            `json:"id"` // raft id
 	Name         string            `json:"name"`
-	Bootstrapped bool              `json:"formed"` // it is or was a member of a group
+	Bootstrapped bool              `json:"formed"` // the member is or was in a group
 	IsLeader     bool              `json:"leads"`
-	Leader       string            `json:"leader"` // empty: it knows of none
-	Members      map[uint64]string `json:"peers"`  // names of the group's members by raft id, as far as it has applied the log
-	LastToken    lease.Token       `json:"last"`
-	Leases       []lease.Entry     `json:"leases"`          // as far as it has applied the log: current at the leader alone
-	RemainingMs  []int64           `json:"left"`            // of each of Leases, in milliseconds; at the leader alone
-	Notes        map[string]string `json:"notes,omitempty"` // by the name of their lease
+	Leader       string            `json:"leader"` // name of the leader; empty if the member knows of none
+	Members      map[uint64]string `json:"peers"`  // names of the group's members by raft id
+	LastToken    lease.Token       `json:"last"`   // the last fencing token that was issued
+	Leases       []lease.Entry     `json:"leases"`
+	RemainingMs  []int64           `json:"left"`            // time until each of Leases expires, in milliseconds; only the leader reports it
+	Notes        map[string]string `json:"notes,omitempty"` // by lease name
 }
--- a/internal/lease/raftgroup/processes_test.go
+++ b/internal/lease/raftgroup/processes_test.go
@@ -16,10 +16,11 @@
 	"orchiddrift/internal/testing/processes"
 )
 
-var faultDuration = flag.Duration("for", 6*time.Second, "how long faults go on in TestNoTwoAct")
+var faultDuration = flag.Duration("for", 6*time.Second, "how long TestNoTwoAct injects faults")
 
-// Three members and three contenders are killed, stopped for longer and shorter than a lease duration, cut off one way and both, delayed and hung: no
-// line comes after one with a higher token, and once all is well lines come again.
+// At most one client may act as the holder of a lease, whatever faults occur. Three members and three clients are killed, and stopped for longer
+// and shorter than a lease duration; their links are cut in one and in both directions, delayed and hung. No line may follow one with a higher
+// token, and lines must appear again after the last fault.
 func TestNoTwoAct(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -44,12 +45,12 @@
 			for _, line := range lines {
 				tokens[line.token] = true
 			}
-			t.Logf("%d steps, %d lines under %d tokens", len(script), len(lines), len(tokens))
+			t.Logf("%d fault steps, %d lines under %d tokens", len(script), len(lines), len(tokens))
 		})
 	}
 }
 
-// crash kills all members at once, damages the file of the first and deletes that of the second.
+// crash kills all members at once, truncates the file of the first and deletes the file of the second.
 func (f *fleet) crash() (damaged, lost *processes.Process) {
 	f.t.Helper()
 	for _, p := range f.members {
@@ -74,8 +75,8 @@
 	return damaged, lost
 }
 
-// Five members are killed at once and started again with one file damaged and one lost: the one with the damaged file serves its clients and takes no
-// part, the one without a file joins as a new member, and work goes on.
+// A group must survive the crash of all five members that damages one member's file and deletes another's. The member with the damaged file must
+// serve its HTTP clients without taking part in the group, the member without a file must join as a new member, and the work must go on.
 func TestDisksAfterACrash(t *testing.T) {
 	f := newFleet(t, 3, 5, 1, time.Second, 200*time.Millisecond)
 	f.startAll()
@@ -84,7 +85,7 @@
 	if err := f.rig.StartAll(testContext(t), f.members...); err != nil {
 		t.Fatal(err)
 	}
-	f.awaitLinesAfter("lines under the restarted members", 2*time.Second)
+	f.awaitLinesAfter("lines after the restart of the members", 2*time.Second)
 	f.checkSink(f.sink)
 	logged := func(p *processes.Process, text string) func(e processes.Event) bool {
 		return func(e processes.Event) bool {
@@ -102,38 +103,38 @@
 	}
 	response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		t.Errorf("the clients of the one with the damaged file: %s", response.Status)
+		t.Errorf("GET /-/ready on the process with the damaged file: %s, want 200", response.Status)
 	}
-	// Two more are stopped, and one goes on: the lease can be renewed only with the new member's vote.
+	// The last two members are stopped and one of them is resumed. Three members are left, so that every renewal needs the new member's vote.
 	for _, p := range f.members[3:] {
 		_ = p.Signal(syscall.SIGSTOP)
 	}
-	time.Sleep(100 * time.Millisecond) // any time will do
+	time.Sleep(100 * time.Millisecond) // the test does not depend on this duration
 	_ = f.members[3].Signal(syscall.SIGCONT)
 	f.awaitLinesAfter("lines with the new member's vote", 2*time.Second)
 	f.checkSink(f.sink)
 }
 
-// Where a holder and its guard are both stopped, their command goes on while the next holder's works too: the check finds that, and a sink that
-// compares fencing tokens refuses the old one.
+// Two commands run at once if a holder and its guard are both stopped: their command goes on while the next holder's command runs. The unfenced
+// sink must show violations then, which proves that violations finds them, and the check of fencing tokens must keep the fenced sink without any.
 func TestWhatIsLeft(t *testing.T) {
 	f := newFleet(t, 5, 3, 2, time.Second, 200*time.Millisecond)
 	f.startAll()
 	holder := f.process(f.readSink()[0].client)
 	guards := holder.Children()
 	if len(guards) != 1 {
-		t.Fatalf("%d guards", len(guards))
+		t.Fatalf("the holder has %d child processes, want 1 guard", len(guards))
 	}
 	if err := errors.Join(holder.Signal(syscall.SIGSTOP), syscall.Kill(guards[0], syscall.SIGSTOP)); err != nil {
 		t.Fatal(err)
 	}
-	defer syscall.Kill(guards[0], syscall.SIGCONT) // so that it sees its end
-	f.awaitSink("lines of both", func(lines []sinkLine) bool { return len(violations(lines)) > 10 })
+	defer syscall.Kill(guards[0], syscall.SIGCONT) // so that it can end
+	f.awaitSink("violations by the commands of both holders", func(lines []sinkLine) bool { return len(violations(lines)) > 10 })
 	f.checkSink(f.fencedSink)
 }
 
-// The next holder's work begins within three lease durations after a holder was killed. With -v the test logs how long it takes, after a kill and
-// after a release.
+// The next holder's work must begin within three lease durations after the holder was killed. With -v the test logs how long this takes after a
+// kill and after a release.
 func TestNextHolder(t *testing.T) {
 	const duration = time.Second
 	f := newFleet(t, 6, 3, 3, duration, 200*time.Millisecond)
@@ -144,7 +145,7 @@
 		last := lines[len(lines)-1]
 		holder := f.process(last.client)
 		signal, delays := syscall.SIGKILL, &afterKill
-		if i%2 == 1 { // it releases the lease
+		if i%2 == 1 { // on SIGTERM the holder releases the lease
 			signal, delays = syscall.SIGTERM, &afterRelease
 		}
 		if err := holder.Signal(signal); err != nil {
@@ -160,14 +161,14 @@
 	f.checkSink(f.sink)
 	slices.Sort(afterKill)
 	slices.Sort(afterRelease)
-	t.Logf("after a kill %.2f lease durations (at most %.2f), after a release %v (at most %v)", afterKill[len(afterKill)/2].Seconds()/duration.Seconds(),
+	t.Logf("time to the next holder's line: after a kill median %.2f lease durations (maximum %.2f), after a release median %v (maximum %v)", afterKill[len(afterKill)/2].Seconds()/duration.Seconds(),
 		afterKill[len(afterKill)-1].Seconds()/duration.Seconds(), afterRelease[len(afterRelease)/2].Round(time.Millisecond), afterRelease[len(afterRelease)-1].Round(time.Millisecond))
 	if afterKill[0] > 3*duration {
-		t.Errorf("the next holder's line comes %v after a kill", afterKill[0])
+		t.Errorf("after a kill the next holder's line came after at least %v, want at most three lease durations", afterKill[0])
 	}
 }
 
-// The leader is killed, three times: a healthy holder keeps its lease and its token.
+// A healthy holder must keep its lease and its token while the group changes its leader. The leader is killed three times.
 func TestLeaderIsKilled(t *testing.T) {
 	f := newFleet(t, 7, 3, 2, 3*time.Second, 300*time.Millisecond)
 	f.startAll()
@@ -184,15 +185,15 @@
 		if err := leader.Kill(testContext(t)); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := f.rig.History.Wait(testContext(t), position, becameLeader); err != nil { // another one
+		if _, _, err := f.rig.History.Wait(testContext(t), position, becameLeader); err != nil { // another member became leader
 			t.Fatal(err)
 		}
 		if err := leader.Start(testContext(t), nil); err != nil {
 			t.Fatal(err)
 		}
-		f.awaitLinesAfter("the work goes on", 500*time.Millisecond)
+		f.awaitLinesAfter("lines after the change of leader", 500*time.Millisecond)
 	}
 	if lines := f.readSink(); lines[len(lines)-1] != first {
-		t.Errorf("it was held by %+v, and is by %+v", first, lines[len(lines)-1])
+		t.Errorf("the first line was %+v, and after three changes of leader it is %+v, want the same client and token", first, lines[len(lines)-1])
 	}
 }
--- a/internal/lease/raftgroup/proposals.go
+++ b/internal/lease/raftgroup/proposals.go
@@ -7,25 +7,26 @@
 	"orchiddrift/internal/lease"
 )
 
-// proposal is an entry of the raft log.
+// proposal is the data of an entry of the raft log.
 type proposal struct {
-	Proposer   uint64        `json:"node"` // raft id of the member that proposed it
-	ID         uint64        `json:"id"`   // of the proposer's proposals
+	Proposer   uint64        `json:"node"` // raft id of the member that proposed the entry
+	ID         uint64        `json:"id"`   // identifies the proposal among those of its proposer
 	LeaderTerm uint64        `json:"epoch,omitempty"`
 	Request    lease.Request `json:"ask"`
 }
 
-// anyLeaderTerm is the LeaderTerm of a client's request. An expiry has the raft term of the leader that proposed it, and is applied only if it
-// was committed in that term: a new leader restarts all timers.
+// anyLeaderTerm is the LeaderTerm of a client's request. The LeaderTerm of an expiry is the raft term of the leader that proposed it. An expiry
+// is applied only if its entry has that term, because a new leader restarts all timers.
 const anyLeaderTerm = 0
 
-// A proposal's ID is the time in nanoseconds, shifted, with the number of pending proposals below: that of no earlier incarnation.
+// A proposal's ID has the time in nanoseconds in its upper bits and the number of pending proposals in its lower bits. The time keeps the ID apart
+// from those of earlier incarnations of the member.
 const (
 	proposalTimeShift = 16
 	proposalCountMask = 1<<proposalTimeShift - 1
 )
 
-// propose proposes a request to the log. It is answered when it has been applied.
+// propose proposes a request to the raft log. The request is answered when its entry has been applied.
 func (m *Member) propose(pending *pendingRequest, leaderTerm uint64) {
 	id := uint64(m.options.Now())<<proposalTimeShift | uint64(len(m.proposals))&proposalCountMask
 	for m.proposals[id] != nil {
@@ -35,15 +36,15 @@
 	if err == nil {
 		err = m.node.Propose(data)
 	}
-	if err != nil { // it does not lead any more, or too many proposals are uncommitted
+	if err != nil { // this member does not lead any more, or maxUncommittedBytes is reached
 		m.redirect(pending)
 		return
 	}
 	m.proposals[id] = pending
 }
 
-// takeProposal removes and returns the pending request of a proposal that was applied; nil: another member or an earlier incarnation
-// proposed it.
+// takeProposal removes and returns the pending request of a proposal that was committed. It returns nil if another member or an earlier
+// incarnation of this one proposed it.
 func (m *Member) takeProposal(p *proposal) *pendingRequest {
 	if p.Proposer != m.storage.id {
 		return nil
@@ -53,7 +54,7 @@
 	return pending
 }
 
-// handleTick does what a leader does on each tick.
+// handleTick proposes expiries and answers delayed requests, if this member leads. It is called on each tick.
 func (m *Member) handleTick() {
 	if !m.isLeading() {
 		return
@@ -63,7 +64,7 @@
 	m.answerDelayed(now)
 }
 
-// proposeExpiries proposes to end the grants and waits that have expired.
+// proposeExpiries proposes to end the grants and the waits that have expired.
 func (m *Member) proposeExpiries(now time.Duration) {
 	for _, request := range m.expirations.Expired(now) {
 		m.propose(newPendingRequest(request), m.leaderTerm)
--- a/internal/lease/raftgroup/reads.go
+++ b/internal/lease/raftgroup/reads.go
@@ -8,22 +8,24 @@
 	"orchiddrift/internal/lease"
 )
 
-// readQueue has the requests that a leader answers from its own state. Before that a majority must have confirmed, after the request arrived, that
-// it still leads, and it must have applied the log up to the read index of that moment: else a deposed leader could extend a grant that its
-// successor has given away. One read index is asked for at a time, for all requests that arrived before.
+// readQueue holds the requests that a leader answers from its own state. Before it answers one, a majority must have confirmed, after the request
+// arrived, that it still leads, and it must have applied the log up to the read index of that confirmation. Otherwise a deposed leader could
+// extend a grant although its successor has granted the lease to another client. One read index is requested at a time, for all requests that
+// arrived before.
 type readQueue struct {
-	waiting    []*pendingRequest // arrived after the last read index was asked for
-	confirming []*pendingRequest // arrived before
-	lastID     uint64            // of the read index that was asked for last
-	readIndex  uint64            // the log must be applied up to it; 0: not confirmed yet
+	waiting    []*pendingRequest // requests that arrived after the last read index was requested
+	confirming []*pendingRequest // requests for which the last read index was requested
+	lastID     uint64            // id of the last read index that was requested
+	readIndex  uint64            // log index that must be applied before confirming is answered; 0 if it is not confirmed yet
 }
 
-// isFull reports whether no more requests may wait.
+// isFull reports whether the queue takes no more requests.
 func (q *readQueue) isFull() bool { return len(q.waiting) >= maxPendingRequests }
 
 func (q *readQueue) add(pending *pendingRequest) { q.waiting = append(q.waiting, pending) }
 
-// nextBatch begins to confirm the waiting requests and returns the id of the read index to ask for; false: there is nothing to ask for now.
+// nextBatch moves the waiting requests to confirming and returns the id of the read index to request for them. ok is false if no request waits or
+// an earlier batch is being confirmed.
 func (q *readQueue) nextBatch() (id []byte, ok bool) {
 	if len(q.confirming) > 0 || len(q.waiting) == 0 {
 		return nil, false
@@ -33,7 +35,7 @@
 	return binary.BigEndian.AppendUint64(nil, q.lastID), true
 }
 
-// confirm takes a read index that a majority has confirmed. One of an earlier batch is ignored.
+// confirm stores a read index that a majority has confirmed. The read index of an earlier batch is ignored.
 func (q *readQueue) confirm(state raft.ReadState) {
 	const idBytes = 8
 	if len(state.RequestCtx) == idBytes && binary.BigEndian.Uint64(state.RequestCtx) == q.lastID {
@@ -41,7 +43,7 @@
 	}
 }
 
-// takeConfirmed returns the requests whose read index is confirmed and applied.
+// takeConfirmed removes and returns the requests whose read index is confirmed and applied.
 func (q *readQueue) takeConfirmed(appliedIndex uint64) []*pendingRequest {
 	if q.readIndex == 0 || appliedIndex < q.readIndex {
 		return nil
@@ -58,7 +60,7 @@
 	return all
 }
 
-// advanceReads answers the requests that are confirmed, and asks for the next read index.
+// advanceReads answers the confirmed requests and requests the next read index.
 func (m *Member) advanceReads() {
 	if !m.isLeading() {
 		return
@@ -71,7 +73,7 @@
 	}
 }
 
-// answerConfirmed answers requests from the leader's state, and proposes those that change the record.
+// answerConfirmed answers confirmed requests from the leader's state, and proposes those that change the lease table.
 func (m *Member) answerConfirmed(confirmed []*pendingRequest) {
 	now := m.options.Now()
 	for _, pending := range confirmed {
--- a/internal/lease/raftgroup/rejoin_test.go
+++ b/internal/lease/raftgroup/rejoin_test.go
@@ -13,7 +13,7 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// leaderInfo returns what the leader reports, nil if there is none.
+// leaderInfo returns the leader's Info; nil if no member leads.
 func leaderInfo(t *testing.T, client *Client) *Info {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -41,8 +41,8 @@
 	return name, id
 }
 
-// A member joins without its file while no message reaches it at first: the snapshot that it needs is sent again. A leader that waits for ever for the
-// outcome of a lost snapshot would keep a member that counts and never votes.
+// The leader must send a lost snapshot again. A member that has lost its file joins while its incoming messages are dropped, so that the snapshot
+// is lost. If the leader waited forever for the outcome of that snapshot, the member would count towards the majority but never vote.
 func TestSnapshotIsSentAgain(t *testing.T) {
 	g := newTestGroup(t, 10)
 	client, err := NewClient("f", g.peers("c"))
@@ -56,13 +56,13 @@
 	}
 	testutil.Eventually(t, "a grant", func() bool { return acquire(1) })
 	lost, oldID := g.loseFile(client)
-	for _, link := range g.links { // messages to it are lost, its own get through
+	for _, link := range g.links { // messages to the lost member are dropped, but its own are delivered
 		if strings.HasSuffix(link.Name(), ">"+lost) {
 			link.Set(processes.Fault{Drop: true}, processes.Fault{})
 		}
 	}
 	g.start(lost, g.peers(lost))
-	testutil.Eventually(t, "it is a member", func() bool {
+	testutil.Eventually(t, "the member that lost its file to join under a new raft id", func() bool {
 		if leader := leaderInfo(t, client); leader != nil {
 			for id, name := range leader.Members {
 				if name == lost && id != oldID {
@@ -72,14 +72,14 @@
 		}
 		return false
 	})
-	time.Sleep(2 * electionTicks * testTick) // longer than a message may take: the snapshot has been lost
+	time.Sleep(2 * electionTicks * testTick) // longer than the timeout of a call, so that the snapshot is lost
 	g.heal()
-	// With the third member stopped, only the new one makes a majority.
+	// With the third member stopped, the leader needs the new member's vote for a majority.
 	leader := leaderInfo(t, client)
 	for _, name := range g.names {
 		if name != lost && (leader == nil || name != leader.Name) {
 			g.stop(name)
-			defer g.start(name, g.peers(name)) // so that it can be stopped again
+			defer g.start(name, g.peers(name)) // so that the cleanup of the group can stop it again
 		}
 	}
 	testutil.Eventually(t, "a grant with the new member's vote", func() bool { return acquire(2) })
--- a/internal/lease/raftgroup/requests.go
+++ b/internal/lease/raftgroup/requests.go
@@ -7,27 +7,27 @@
 	"orchiddrift/internal/lease"
 )
 
-// pendingRequest is a request of a client that has not been answered. Its life:
+// pendingRequest is a client's request that has not been answered. It goes through these steps:
 //
-//	received ── Acquire, Renew ──▶ waits for a read index (reads.go) ──▶ answered, held back or proposed
-//	received ── other kinds ─────▶ proposed (proposals.go) ──▶ applied (apply.go) ──▶ answered or held back
-//	held back: a waiter's reply ─▶ answered when the lease is granted to it, or at delayUntil
+//	received ── Acquire, Renew ──▶ waits for a read index (reads.go) ──▶ answered, delayed or proposed
+//	received ── other kinds ─────▶ proposed (proposals.go) ──▶ applied (apply.go) ──▶ answered or delayed
+//	delayed: a waiter's reply ───▶ answered when the lease is granted to the waiter, or at delayUntil
 //
-// When the member stops leading, all of them are answered with the new leader's name.
+// When the member stops leading, all pending requests are answered with the new leader's name.
 type pendingRequest struct {
 	request    lease.Request
-	delayUntil time.Duration      // a reply with lease.Waiting may be held back until then
-	answer     chan requestAnswer // has room for one; a further answer is dropped
+	delayUntil time.Duration      // a reply with status lease.Waiting may be delayed until then
+	answer     chan requestAnswer // its capacity is 1; a second answer is dropped
 }
 
 func newPendingRequest(request lease.Request) *pendingRequest {
 	return &pendingRequest{request: request, answer: make(chan requestAnswer, 1)}
 }
 
-// reply answers the request, unless it has an answer.
+// reply answers the request, unless it has been answered.
 func (p *pendingRequest) reply(reply lease.Reply) { p.send(requestAnswer{Reply: reply}) }
 
-// redirect answers that another member leads; an empty name: none is known to.
+// redirect answers with the name of the leader to ask instead; the name is empty if the leader is not known.
 func (p *pendingRequest) redirect(leader string) { p.send(requestAnswer{Leader: leader}) }
 
 func (p *pendingRequest) send(answer requestAnswer) {
@@ -37,8 +37,8 @@
 	}
 }
 
-// request answers a client's request. While its status would be lease.Waiting, the answer is held back for at most longPoll. It is the Ask method of
-// the service.
+// request answers a client's request. While the reply's status would be lease.Waiting, the answer is delayed for at most longPoll. It implements
+// the Ask method of the service.
 func (m *Member) request(ctx context.Context, request lease.Request, longPoll time.Duration) (requestAnswer, error) {
 	pending := newPendingRequest(request)
 	if longPoll > 0 {
@@ -48,7 +48,7 @@
 	case m.requests <- pending:
 	case <-m.ended:
 		return requestAnswer{}, ErrNoLeader
-	default: // overloaded
+	default: // overloaded: the queue of the loop is full
 		return requestAnswer{}, ErrNoLeader
 	}
 	select {
@@ -61,14 +61,14 @@
 	}
 }
 
-// handleRequest handles a request in the loop.
+// handleRequest starts to process a request. It runs in the loop.
 func (m *Member) handleRequest(pending *pendingRequest) {
 	switch {
 	case !m.isLeading() || m.reads.isFull():
 		m.redirect(pending)
 	case pending.request.Kind == lease.Acquire || pending.request.Kind == lease.Renew:
 		m.reads.add(pending)
-	case pending.request.Kind == lease.Expire: // the leader's own alone
+	case pending.request.Kind == lease.Expire: // only the leader itself may propose an expiry
 		pending.reply(pending.request.Reply(lease.NotHeld))
 	default:
 		m.propose(pending, anyLeaderTerm)
@@ -77,10 +77,10 @@
 
 func (m *Member) redirect(pending *pendingRequest) { pending.redirect(m.members[m.leaderID]) }
 
-// delayedKey identifies a waiter: one request of a client for a name is held back at a time.
+// delayedKey identifies a waiter. At most one request of a client for a lease is delayed at a time.
 func delayedKey(name, client string) string { return name + "\x00" + client }
 
-// delayReply holds a waiter's reply back. An earlier request of the same waiter is answered.
+// delayReply delays a waiter's reply. An earlier delayed request of the same waiter is answered at once.
 func (m *Member) delayReply(pending *pendingRequest, reply lease.Reply) {
 	key := delayedKey(pending.request.Name, pending.request.Client)
 	if earlier := m.delayed[key]; earlier != nil {
@@ -90,7 +90,8 @@
 	m.delayed[key] = pending
 }
 
-// answerGranted answers a waiter at once that the lease was granted to it. The grant counts from its request, which is earlier.
+// answerGranted answers the delayed request of a waiter to which a lease was granted. The grant's duration counts from when the waiter sent that
+// request, which was earlier.
 func (m *Member) answerGranted(entry *lease.Entry) {
 	key := delayedKey(entry.Name, entry.Holder)
 	if pending := m.delayed[key]; pending != nil && pending.request.Sequence == entry.Sequence {
@@ -99,7 +100,7 @@
 	}
 }
 
-// answerDelayed answers the waiters whose replies were held back for long enough.
+// answerDelayed answers the waiters whose replies were delayed until their delayUntil.
 func (m *Member) answerDelayed(now time.Duration) {
 	for key, pending := range m.delayed {
 		if now < pending.delayUntil {
@@ -110,7 +111,7 @@
 		if !ok {
 			reply = pending.request.Reply(lease.NotHeld)
 		}
-		if reply.Status == lease.Granted { // leadership was not confirmed for this request: the client has to ask again
+		if reply.Status == lease.Granted { // leadership was not confirmed for this request: the client must repeat it
 			reply.Status = lease.Waiting
 		}
 		pending.reply(reply)
--- a/internal/lease/raftgroup/run.go
+++ b/internal/lease/raftgroup/run.go
@@ -9,7 +9,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// loop runs the raft node. It handles one event after the other, and returns ctx's error or that of the storage.
+// loop runs the raft node. It handles one event at a time, and returns when ctx ends or the storage fails, with that error.
 func (m *Member) loop(ctx context.Context) error {
 	if err := m.startNode(); err != nil {
 		return err
@@ -31,7 +31,7 @@
 			m.node.Tick()
 			m.handleTick()
 		case message := <-m.messages:
-			_ = m.node.Step(message) // raft drops a message that is not for it
+			_ = m.node.Step(message) // raft returns an error for a message that it ignores
 		case request := <-m.requests:
 			m.handleRequest(request)
 		case answer := <-m.infoRequests:
@@ -44,13 +44,13 @@
 	}
 }
 
-// startNode restores the record from the snapshot and makes the raft node.
+// startNode restores the lease table from the snapshot and creates the raft node.
 func (m *Member) startNode() error {
 	snapshot, err := m.storage.memory.Snapshot()
 	if err != nil {
 		return err
 	}
-	if raft.IsEmptySnap(snapshot) { // a member that joins: the leader sends one
+	if raft.IsEmptySnap(snapshot) { // this member joins a group: the leader will send a snapshot
 		m.confState = &pb.ConfState{}
 	} else if err := m.restoreSnapshot(snapshot); err != nil {
 		return err
@@ -61,7 +61,7 @@
 	return err
 }
 
-// handleReady carries out what raft wants, in raft's order: what is written stands on the disk before anything is sent.
+// handleReady carries out the steps that raft's Ready lists, in the order that raft prescribes: state is on disk before messages are sent.
 func (m *Member) handleReady(ctx context.Context) error {
 	ready := m.node.Ready()
 	if err := m.storage.save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
--- a/internal/lease/raftgroup/service.go
+++ b/internal/lease/raftgroup/service.go
@@ -13,15 +13,15 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-// serviceName is the gRPC service of a member.
+// serviceName is the name of a member's gRPC service.
 const serviceName = "orchiddrift.fleet.Group"
 
-// The methods of the service. A request and its answer are JSON in a protobuf BytesValue.
+// The methods of the service. Each call and its answer are JSON in a protobuf BytesValue.
 const (
-	methodStep = "Step" // a raft message
-	methodAsk  = "Ask"  // a client's request
-	methodInfo = "Info"
-	methodJoin = "Join"
+	methodStep = "Step" // delivers a raft message
+	methodAsk  = "Ask"  // answers a client's request
+	methodInfo = "Info" // returns the member's Info
+	methodJoin = "Join" // adds the calling process to the group
 )
 
 // rejectionLogInterval is the shortest time between two log lines about rejected calls.
@@ -54,7 +54,7 @@
 	}),
 }}
 
-// method makes a unary gRPC method of a function.
+// method returns the description of a unary gRPC method that decodes a call, runs handle and encodes its answer.
 func method[C, A any](name string, handle func(m *Member, ctx context.Context, c *C) (A, error)) grpc.MethodDesc {
 	return grpc.MethodDesc{MethodName: name, Handler: func(server any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		in := &wrapperspb.BytesValue{}
@@ -74,7 +74,7 @@
 	}}
 }
 
-// call calls a method of the service.
+// call calls a method of the service with c as its argument.
 func call[A any](ctx context.Context, conn *grpc.ClientConn, name string, c any) (answer A, err error) {
 	in, err := json.Marshal(c)
 	if err != nil {
@@ -85,17 +85,17 @@
 		return answer, err
 	}
 	if err := json.Unmarshal(out.Value, &answer); err != nil {
-		return answer, fmt.Errorf("the answer to %s: %w", name, err)
+		return answer, fmt.Errorf("decoding the answer to %s: %w", name, err)
 	}
 	return answer, nil
 }
 
-// header begins this member's calls.
+// header returns the header of this member's calls.
 func (m *Member) header() callHeader {
 	return callHeader{Version: protocolVersion, Fleet: m.options.Fleet, From: m.storage.id, Name: m.options.Name}
 }
 
-// checkHeader rejects a call of another version or fleet, and logs that at most once in rejectionLogInterval.
+// checkHeader rejects a call of another version or fleet. It logs at most one rejection in rejectionLogInterval.
 func (m *Member) checkHeader(h callHeader) error {
 	var err error
 	switch {
--- a/internal/lease/raftgroup/snapshots.go
+++ b/internal/lease/raftgroup/snapshots.go
@@ -12,10 +12,10 @@
 // snapshotInterval is how many entries the log grows by before a snapshot is written and the log is compacted.
 const snapshotInterval = 2000
 
-// snapshotData is the record in a raft snapshot.
+// snapshotData is the data of a raft snapshot: the lease table and the group's members.
 type snapshotData struct {
 	Version   int               `json:"version"`
-	LastToken lease.Token       `json:"last"` // tokens go on from here: see package lease on fencing tokens
+	LastToken lease.Token       `json:"last"` // the next fencing token is higher; see package lease on fencing tokens
 	Entries   []lease.Entry     `json:"entries"`
 	Notes     map[string]string `json:"notes,omitempty"`
 	Members   map[uint64]string `json:"peers"` // names by raft id
@@ -31,24 +31,24 @@
 	data, err := json.Marshal(snapshotData{Version: protocolVersion, LastToken: m.table.LastToken(), Entries: m.table.List(),
 		Notes: m.table.Notes(), Members: m.members})
 	if err != nil {
-		return fmt.Errorf("the group's snapshot: %w", err)
+		return fmt.Errorf("encoding the group's snapshot: %w", err)
 	}
 	return m.storage.saveSnapshot(m.appliedIndex, m.confState, data)
 }
 
-// restoreSnapshot replaces the record by that of a snapshot.
+// restoreSnapshot replaces the lease table and the members by those of a snapshot.
 func (m *Member) restoreSnapshot(snapshot *pb.Snapshot) error {
-	var record snapshotData
-	if err := json.Unmarshal(snapshot.GetData(), &record); err != nil {
-		return fmt.Errorf("the group's snapshot: %w", err)
+	var data snapshotData
+	if err := json.Unmarshal(snapshot.GetData(), &data); err != nil {
+		return fmt.Errorf("decoding the group's snapshot: %w", err)
 	}
-	if record.Version != protocolVersion {
-		return fmt.Errorf("the group's snapshot is of version %d, and not %d", record.Version, protocolVersion)
+	if data.Version != protocolVersion {
+		return fmt.Errorf("the group's snapshot has version %d, want %d", data.Version, protocolVersion)
 	}
 	m.table = lease.NewTable(m.options.Limits)
-	m.table.Restore(record.LastToken, record.Entries)
-	m.table.RestoreNotes(record.Notes)
+	m.table.Restore(data.LastToken, data.Entries)
+	m.table.RestoreNotes(data.Notes)
 	metadata := snapshot.GetMetadata()
-	m.members, m.confState, m.appliedIndex = record.Members, metadata.GetConfState(), metadata.GetIndex()
+	m.members, m.confState, m.appliedIndex = data.Members, metadata.GetConfState(), metadata.GetIndex()
 	return nil
 }
--- a/internal/lease/raftgroup/storage.go
+++ b/internal/lease/raftgroup/storage.go
@@ -17,10 +17,10 @@
 	"orchiddrift/internal/boltfile"
 )
 
-// snapshotCatchUpEntries is how many entries the log keeps behind a snapshot, so that a slow follower can catch up without one.
+// snapshotCatchUpEntries is how many entries before a snapshot stay in the log, so that a slow follower can catch up without a snapshot.
 const snapshotCatchUpEntries = 200
 
-// The buckets of a member's file, and the keys of stateBucket. The keys of logBucket are indexes, big-endian.
+// The buckets of a member's file, and the keys of stateBucket. The keys of logBucket are log indexes, 8 bytes, big-endian.
 var (
 	logBucket   = []byte("log")
 	stateBucket = []byte("state")
@@ -31,18 +31,18 @@
 	snapshotKey  = []byte("snapshot") // pb.Snapshot
 )
 
-// storage is a member's log, hard state and snapshot: a bbolt file, and a copy in memory that raft reads. It is not safe for concurrent use.
+// storage keeps a member's raft log, hard state and snapshot in a bbolt file, with a copy in memory that raft reads. It is not safe for concurrent
+// use.
 //
-// What save was given stands on the disk when it returns: a member that crashed after it had answered for a vote or an entry must not have
-// forgotten it.
+// The arguments of save are on disk when it returns: a member that crashes after it has sent a vote or acknowledged an entry must not forget it.
 type storage struct {
 	db           *bbolt.DB
 	memory       *raft.MemoryStorage
-	id           uint64 // raft id, drawn when the file was made: a member whose file was lost is another member
-	bootstrapped bool   // it is or was a member of a group
+	id           uint64 // raft id, drawn at random when the file is created; a member that has lost its file gets a new one
+	bootstrapped bool   // the member is or was in a group
 }
 
-// openStorage opens a member's file, or makes it. A damaged file is an error: it may lack a vote.
+// openStorage opens a member's file, or creates it. A damaged file is an error, because a vote may be missing from it.
 func openStorage(ctx context.Context, path, fleet string, wait boltfile.LockWait) (*storage, error) {
 	db, err := boltfile.Open(ctx, path, wait)
 	if err != nil {
@@ -76,7 +76,7 @@
 	})
 }
 
-// checkPages checks all pages of the file before any is used.
+// checkPages checks all pages of the file before any of them is used.
 func (s *storage) checkPages() error {
 	return s.db.View(func(tx *bbolt.Tx) error {
 		var first error
@@ -93,7 +93,7 @@
 	})
 }
 
-// initialize makes the buckets of a new file and draws its id.
+// initialize creates the buckets of a new file, and stores its fleet and a random raft id.
 func initialize(tx *bbolt.Tx, fleet string) error {
 	for _, name := range [][]byte{logBucket, stateBucket} {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -105,10 +105,10 @@
 		return nil
 	}
 	var id [8]byte
-	if _, err := rand.Read(id[:]); err != nil { // not from the configured seed: a process that starts again must not draw the same id
+	if _, err := rand.Read(id[:]); err != nil { // not from the configured seed, with which a restarted process would draw the same id again
 		return err
 	}
-	id[len(id)-1] |= 1 // raft's 0 is no member
+	id[len(id)-1] |= 1 // raft does not allow the id 0
 	return errors.Join(state.Put(idKey, id[:]), state.Put(fleetKey, []byte(fleet)))
 }
 
@@ -117,7 +117,7 @@
 	if data := state.Get(snapshotKey); data != nil {
 		snapshot := &pb.Snapshot{}
 		if err := proto.Unmarshal(data, snapshot); err != nil {
-			return fmt.Errorf("reading the snapshot: %w", err)
+			return fmt.Errorf("decoding the snapshot: %w", err)
 		}
 		if err := s.memory.ApplySnapshot(snapshot); err != nil {
 			return err
@@ -127,7 +127,7 @@
 	if data := state.Get(hardStateKey); data != nil {
 		hard := &pb.HardState{}
 		if err := proto.Unmarshal(data, hard); err != nil {
-			return fmt.Errorf("reading the hard state: %w", err)
+			return fmt.Errorf("decoding the hard state: %w", err)
 		}
 		if err := s.memory.SetHardState(hard); err != nil {
 			return err
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// loadLog reads the entries behind the snapshot.
+// loadLog reads the log entries after the snapshot.
 func (s *storage) loadLog(log *bbolt.Bucket) error {
 	first, err := s.memory.FirstIndex()
 	if err != nil {
@@ -150,7 +150,7 @@
 		}
 		entry := &pb.Entry{}
 		if err := proto.Unmarshal(value, entry); err != nil {
-			return fmt.Errorf("reading entry %d: %w", binary.BigEndian.Uint64(key), err)
+			return fmt.Errorf("decoding log entry %d: %w", binary.BigEndian.Uint64(key), err)
 		}
 		entries = append(entries, entry)
 		return nil
@@ -161,14 +161,14 @@
 	return s.memory.Append(entries)
 }
 
-// bootstrap writes the first snapshot and hard state of a new group. They are the same in each member's file.
+// bootstrap writes the first snapshot and hard state of a new group. They are the same in every member's file.
 func (s *storage) bootstrap(conf *pb.ConfState, data []byte) error {
 	const firstIndex, firstTerm = 1, 1
 	snapshot := &pb.Snapshot{Data: data, Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: proto.Uint64(firstIndex), Term: proto.Uint64(firstTerm)}}
 	return s.save(&pb.HardState{Term: proto.Uint64(firstTerm), Commit: proto.Uint64(firstIndex)}, nil, snapshot)
 }
 
-// save writes what raft requires to be on the disk before it sends its messages.
+// save writes the state that raft requires to be on disk before its messages are sent.
 func (s *storage) save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	hasSnapshot, hasHardState := !raft.IsEmptySnap(snapshot), !raft.IsEmptyHardState(hard)
 	if !hasSnapshot && !hasHardState && len(entries) == 0 {
@@ -208,7 +208,7 @@
 	return s.memory.Append(entries)
 }
 
-// saveSnapshot makes a snapshot of the state that was applied up to an index, and compacts the log.
+// saveSnapshot writes a snapshot of the state as of the applied index, and compacts the log.
 func (s *storage) saveSnapshot(index uint64, conf *pb.ConfState, data []byte) error {
 	snapshot, err := s.memory.CreateSnapshot(index, conf, data)
 	if err != nil {
@@ -232,10 +232,10 @@
 
 func (s *storage) close() error { return s.db.Close() }
 
-// logKey is the key of an entry.
+// logKey returns the key of a log entry.
 func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// putEntries writes entries in place of those from the first one's index on, which another leader had sent.
+// putEntries writes entries to the log. They replace all entries from the index of the first one on, which an earlier leader had sent.
 func putEntries(log *bbolt.Bucket, entries []*pb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -251,7 +251,7 @@
 	return nil
 }
 
-// deleteEntries deletes the entries from an index on, up to but not including another.
+// deleteEntries deletes the log entries with an index of at least from and less than to.
 func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
 	cursor := log.Cursor()
 	for key, _ := cursor.Seek(logKey(from)); key != nil && binary.BigEndian.Uint64(key) < to; key, _ = cursor.Seek(logKey(from)) {
@@ -270,13 +270,13 @@
 	return bucket.Put(key, data)
 }
 
-// recoverStorageFault turns a panic or a memory fault in use into an error, so that a damaged file ends the member alone and not its process. bbolt
-// panics on some damaged pages, and reading a mapped page that the file has lost is a memory fault.
+// recoverStorageFault turns a panic or a memory fault in use into an error, so that a damaged file ends only the member and not its process. bbolt
+// panics on some damaged pages, and a read of a mapped page beyond the end of a truncated file is a memory fault.
 func recoverStorageFault(use func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("%w, or the program is wrong: %v", ErrCorrupted, p)
+			err = fmt.Errorf("%w, or the code that uses it has a bug: %v", ErrCorrupted, p)
 		}
 	}()
 	return use()
--- a/internal/lease/raftgroup/storage_test.go
+++ b/internal/lease/raftgroup/storage_test.go
@@ -21,8 +21,8 @@
 	return out
 }
 
-// What save was given stands in the file: votes, entries, and those that another leader has sent in their place. A snapshot replaces the entries before
-// it. A file of another fleet is not opened.
+// A member that restarts must not forget a vote or an entry: everything passed to save must be in the file, and entries of a later leader must replace
+// those at the same indexes. A snapshot replaces the entries before it. A file of another fleet must not be opened.
 func TestDisk(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.db")
 	open := func() *storage {
@@ -36,7 +36,7 @@
 	s := open()
 	id := s.id
 	if s.bootstrapped || id == 0 {
-		t.Errorf("a new file: bootstrapped %v, id %d", s.bootstrapped, id)
+		t.Errorf("a new file has bootstrapped %v and id %d, want false and an id", s.bootstrapped, id)
 	}
 	data, err := json.Marshal(snapshotData{Version: protocolVersion, Members: map[uint64]string{id: "a"}})
 	if err != nil {
@@ -56,32 +56,32 @@
 	hard, conf, err := s.memory.InitialState()
 	check(err)
 	if s.id != id || !s.bootstrapped || hard.GetTerm() != 3 || hard.GetVote() != id || len(conf.GetVoters()) != 1 {
-		t.Errorf("%d bootstrapped %v, %v, %v", s.id, s.bootstrapped, hard, conf)
+		t.Errorf("the reopened file has id %d, bootstrapped %v, hard state %v, conf state %v", s.id, s.bootstrapped, hard, conf)
 	}
 	last, _ := s.memory.LastIndex()
 	term, _ := s.memory.Term(5)
 	if last != 5 || term != 3 {
-		t.Errorf("its log ends at %d of term %d", last, term)
+		t.Errorf("the reopened log ends at index %d with term %d, want index 5 with term 3", last, term)
 	}
 	check(s.saveSnapshot(4, conf, data))
 	check(s.close())
 	s = open()
 	if snap, err := s.memory.Snapshot(); err != nil || snap.GetMetadata().GetIndex() != 4 {
-		t.Errorf("%v %v", snap, err)
+		t.Errorf("the snapshot is %v, error %v, want index 4", snap, err)
 	}
 	if all, err := s.memory.Entries(5, 6, 1<<20); err != nil || len(all) != 1 || all[0].GetTerm() != 3 {
-		t.Errorf("%v %v", all, err)
+		t.Errorf("the entries after the snapshot are %v, error %v, want one of term 3", all, err)
 	}
 	if _, err := s.memory.Term(2); !errors.Is(err, raft.ErrCompacted) {
-		t.Errorf("an entry before the snapshot: %v", err)
+		t.Errorf("reading an entry before the snapshot: error %v, want raft.ErrCompacted", err)
 	}
 	check(s.close())
 	if _, err := openStorage(t.Context(), path, "other", boltfile.LockWait{Timeout: 1}); !errors.Is(err, ErrOtherFleet) {
-		t.Errorf("of another fleet: %v", err)
+		t.Errorf("opening the file of another fleet: error %v, want ErrOtherFleet", err)
 	}
 }
 
-// A damaged file is an error, wherever it is damaged, and never a crash: it may lack a vote.
+// Opening a damaged file must fail, because a vote may be missing from it, and must not crash the process, wherever the damage is.
 func TestTornDisk(t *testing.T) {
 	intact := filepath.Join(t.TempDir(), "intact.db")
 	s, err := openStorage(t.Context(), intact, "f", boltfile.LockWait{Timeout: 1})
@@ -102,12 +102,12 @@
 	}
 	page := os.Getpagesize()
 	for name, damage := range map[string]func(b []byte) []byte{
-		"cut":              func(b []byte) []byte { return b[:len(b)/3/page*page] },
-		"cut in a page":    func(b []byte) []byte { return b[:2*page+100] },
-		"empty but there":  func(b []byte) []byte { return b[:100] },
-		"both metas":       func(b []byte) []byte { clear(b[:2*page]); return b },
-		"all behind metas": func(b []byte) []byte { clear(b[2*page:]); return b },
-		"noise in its tree": func(b []byte) []byte {
+		"truncated after a page":                func(b []byte) []byte { return b[:len(b)/3/page*page] },
+		"truncated within a page":               func(b []byte) []byte { return b[:2*page+100] },
+		"only the first 100 bytes":              func(b []byte) []byte { return b[:100] },
+		"both meta pages zeroed":                func(b []byte) []byte { clear(b[:2*page]); return b },
+		"all pages after the meta pages zeroed": func(b []byte) []byte { clear(b[2*page:]); return b },
+		"bytes changed in the pages after the meta pages": func(b []byte) []byte {
 			for i := 2 * page; i < len(b); i += 7 {
 				b[i] ^= byte(i)
 			}
@@ -125,7 +125,7 @@
 			}
 			return err
 		}); err == nil {
-			t.Errorf("%s: it is opened", name)
+			t.Errorf("%s: the damaged file was opened without an error", name)
 		}
 	}
 }
--- a/internal/lease/raftgroup/transport.go
+++ b/internal/lease/raftgroup/transport.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	maxUnsentMessages = 256 // raft messages to one member that wait to be sent
+	maxUnsentMessages = 256 // raft messages queued for one member
 	connectTimeout    = time.Second
-	keepaliveInterval = 10 * time.Second // between pings on an idle connection
-	keepaliveTimeout  = 2 * time.Second  // without an answer to a ping the connection is closed
+	keepaliveInterval = 10 * time.Second // time between pings on an idle connection
+	keepaliveTimeout  = 2 * time.Second  // time without an answer to a ping after which the connection is closed
 )
 
-// reconnectBackoff is the backoff of a broken connection to a member.
+// reconnectBackoff is the delay between attempts to reconnect to a member.
 var reconnectBackoff = backoff.Config{BaseDelay: 20 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}
 
-// dial makes a connection to a member. It connects when it is first used.
+// dial returns a connection to a member, which is established when it is first used.
 func dial(address string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableServiceConfig(),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: connectTimeout, Backoff: reconnectBackoff}))
 }
 
-// receiveMessage hands a raft message of another member to the loop. It is the Step method of the service.
+// receiveMessage passes a raft message of another member to the loop. It implements the Step method of the service.
 func (m *Member) receiveMessage(ctx context.Context, data []byte) error {
 	message := &pb.Message{}
 	if err := proto.Unmarshal(data, message); err != nil {
 		return err
 	}
-	if message.GetTo() != m.storage.id { // to the member that this process was before it lost its file
+	if message.GetTo() != m.storage.id { // the message is for the raft id that this process had before it lost its file
 		return ErrNoLeader
 	}
 	select {
@@ -49,8 +49,8 @@
 	}
 }
 
-// sendMessage queues a raft message for its member, whose messages are sent in order. A message that finds the queue full is lost: raft sends
-// what it needs again.
+// sendMessage queues a raft message for the member that is to receive it. The messages of a queue are sent in order. If the queue is full, the
+// message is dropped; raft sends what is still needed again.
 func (m *Member) sendMessage(ctx context.Context, message *pb.Message) {
 	to := message.GetTo()
 	queue := m.senders[to]
@@ -70,7 +70,7 @@
 	}
 }
 
-// addressOf returns a member's address; empty: the operator's file does not list it.
+// addressOf returns a member's address, which is empty if the configuration file does not list the member.
 func (m *Member) addressOf(id uint64) (address string) {
 	for _, peer := range m.options.Peers {
 		if peer.Name == m.members[id] {
@@ -80,16 +80,16 @@
 	return address
 }
 
-// sendOutcome is what became of a raft message.
+// sendOutcome reports whether a raft message was delivered.
 type sendOutcome struct {
-	to       uint64
-	snapshot bool // the message carried a snapshot
-	ok       bool
+	to       uint64 // raft id of the receiving member
+	snapshot bool   // the message carried a snapshot
+	ok       bool   // the member has received the message
 }
 
 func isSnapshot(message *pb.Message) bool { return message.GetType() == pb.MsgSnap }
 
-// sendMessages sends the messages of a queue to one member until ctx ends, and reports to the loop what raft has to know.
+// sendMessages sends the messages of a queue to one member until ctx ends. It reports failures, and every outcome of a snapshot, to the loop.
 func (m *Member) sendMessages(ctx context.Context, conn *grpc.ClientConn, queue <-chan *pb.Message) {
 	for {
 		select {
@@ -114,8 +114,8 @@
 	}
 }
 
-// reportSend reports to raft what became of a message. While a snapshot is on its way to a member, raft sends it nothing else until it hears of
-// that.
+// reportSend reports the outcome of a message to raft. After raft has sent a snapshot to a member, it sends that member no log entries until it
+// gets this report.
 func (m *Member) reportSend(outcome sendOutcome) {
 	switch {
 	case outcome.snapshot && outcome.ok:
--- a/internal/lease/raftgroup/work.go
+++ b/internal/lease/raftgroup/work.go
@@ -11,34 +11,35 @@
 	"orchiddrift/internal/lease"
 )
 
-// Requester sends requests to the record of leases. Client implements it.
+// Requester sends requests to the group that replicates the lease table. Client implements it.
 type Requester interface {
-	// Request returns the record's reply. The reply may be held back for longPoll while its status would be lease.Waiting; timeout bounds what one member
-	// takes beside that.
+	// Request returns the group's reply. A member may delay the reply for longPoll while its status would be lease.Waiting. A call to one member
+	// takes at most longPoll plus timeout.
 	Request(ctx context.Context, request lease.Request, longPoll, timeout time.Duration) (lease.Reply, error)
 }
 
-// Work is what is done while a lease is held. RunWhileHeld calls its methods from one goroutine; they must return at once. Times are by BootTime.
+// Work is the work that RunWhileHeld runs while a lease is held. RunWhileHeld calls its methods from one goroutine, and they must not block. Times
+// are by BootTime.
 type Work interface {
-	// Start starts the work under a token. It must have ended by until, unless Extend moves that.
+	// Start starts the work under a fencing token. The work must have ended by until, unless Extend sets a later time.
 	Start(token lease.Token, until time.Duration)
-	// Extend moves the end of the grant.
+	// Extend sets a later end of the grant.
 	Extend(until time.Duration)
-	// Stop makes the work end within the margin. The channel is closed once it has ended.
+	// Stop makes the work end within the margin. The channel is closed when the work has ended.
 	Stop(reason lease.Reason) <-chan struct{}
-	// Rejected reports that the lease is not to be had now. RunWhileHeld asks again.
+	// Rejected reports that the lease was not granted. RunWhileHeld repeats the request.
 	Rejected(reason lease.Reason)
-	// Unreachable reports that a request got no reply. RunWhileHeld asks again.
+	// Unreachable reports that a request got no reply. RunWhileHeld repeats it.
 	Unreachable(err error)
 }
 
-// maxHostNameLength is how much of the host's name a client id has, in characters.
+// maxHostNameLength is the number of characters of the host's name that a client id contains at most.
 const maxHostNameLength = 64
 
-// NewClientID returns the name of a client, for one incarnation of one process. It never returns the same name again.
+// NewClientID returns a client id for one incarnation of a process. Its random part makes it different from every other one.
 func NewClientID() string {
 	var random [8]byte
-	_, _ = rand.Read(random[:]) // it never fails
+	_, _ = rand.Read(random[:]) // crypto/rand.Read never returns an error
 	host, err := os.Hostname()
 	if err != nil {
 		host = "?"
