--- a/internal/daemon/client_gone_test.go
+++ b/internal/daemon/client_gone_test.go
@@ -133,7 +133,7 @@
 		}()
 		testutil.Eventually(t, "the attempt waits for its connection", func() bool { return pending(e) == 1 })
 	}
-	testutil.Eventually(t, "the second one waits too", func() bool { return r.d.lifecycle.connections.Open() == 2 })
+	testutil.Eventually(t, "the second one waits too", func() bool { return r.d.lifecycle.connections.Count() == 2 })
 	leave[0]()
 	<-ended
 	if pending(e) != 1 {
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -37,17 +37,17 @@
 	d.backgroundTasks.Go(func() {
 		defer leases.Close()
 		err := runner.Run(ctx, runner.Options{
-			Name:     p.Name,
-			Tasks:    p.File.Tasks,
-			Leases:   leases,
-			Drift:    fleet.Drift,
-			Guard:    []string{executable, "lease", "--file", file, "guard"},
-			Listen:   func() string { return d.listener.Addr().String() },
-			MaxRuns:  fleet.MaxTasks,
-			Seed:     p.Seed ^ xxhash.Sum64String(taskStream),
-			Draining: func() bool { return d.lifecycle.stopping.Load() || !d.lifecycle.ready.Load() },
-			Now:      time.Now,
-			Log:      d.log,
+			Name:          p.Name,
+			Tasks:         p.File.Tasks,
+			Leases:        leases,
+			Drift:         fleet.Drift,
+			Guard:         []string{executable, "lease", "--file", file, "guard"},
+			ListenAddress: func() string { return d.listener.Addr().String() },
+			MaxRuns:       fleet.MaxTasks,
+			Seed:          p.Seed ^ xxhash.Sum64String(taskStream),
+			Draining:      func() bool { return d.lifecycle.stopping.Load() || !d.lifecycle.ready.Load() },
+			Now:           time.Now,
+			Log:           d.log,
 		})
 		if err != nil {
 			d.log.Error("tasks: this process runs none", "reason", err)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -283,6 +283,6 @@
 		d.stopCredentials = stop
 		d.backgroundTasks.Go(func() { store.Run(ctx) })
 		d.credentials.Store(store)
-		d.tlsConfig.Store(tlscredentials.Server(store, p.TLS))
+		d.tlsConfig.Store(tlscredentials.ServerConfig(store, p.TLS))
 	}, nil
 }
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -341,7 +341,7 @@
 
 // descriptorsHeld is how many descriptors the process holds, and may open without asking.
 func (d *daemon) descriptorsHeld() int {
-	clients := max(minConnections, d.lifecycle.connections.Open())
+	clients := max(minConnections, d.lifecycle.connections.Count())
 	upstreams := max(minConnections, int(d.shared.connectionSlots.Total()))
 	return reservedDescriptors + clients + upstreams
 }
--- a/internal/server/downstream/checker_test.go
+++ b/internal/server/downstream/checker_test.go
@@ -181,7 +181,7 @@
 		t.Error("a paused one takes a third")
 	case <-time.After(50 * time.Millisecond):
 	}
-	if n := c.Open(); n != 2 {
+	if n := c.Count(); n != 2 {
 		t.Errorf("%d are open", n)
 	}
 	c.Pause(false) // there is room for two: the one that is needed least gives way
--- a/internal/server/downstream/connections.go
+++ b/internal/server/downstream/connections.go
@@ -169,8 +169,8 @@
 	c.changed.Broadcast()
 }
 
-// Open is the number of connections.
-func (c *Connections) Open() int {
+// Count returns the number of connections that have not ended.
+func (c *Connections) Count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns)
--- a/internal/task/runner/execution.go
+++ b/internal/task/runner/execution.go
@@ -44,7 +44,7 @@
 	if declaration.Call != "" {
 		method, path, _ := strings.Cut(declaration.Call, " ")
 		ctx, cancel := context.WithCancel(context.Background())
-		return &callExecution{method: method, url: "http://" + c.runner.options.Listen() + path, idempotencyKey: c.task.leaseName() + "/" + due,
+		return &callExecution{method: method, url: "http://" + c.runner.options.ListenAddress() + path, idempotencyKey: c.task.leaseName() + "/" + due,
 			exited: exited, ctx: ctx, cancel: cancel, ended: make(chan struct{})}
 	}
 	return &commandExecution{raftgroup.Command{Guard: c.runner.options.Guard, Name: c.task.leaseName(), Argv: declaration.Command,
--- a/internal/task/runner/runner.go
+++ b/internal/task/runner/runner.go
@@ -39,17 +39,17 @@
 
 // Options are Run's parameters.
 type Options struct {
-	Name     string // of the process
-	Tasks    []task.Declaration
-	Leases   raftgroup.Requester
-	Drift    float64       // largest relative error of a process's clock rate
-	Guard    []string      // command line of the guard
-	Listen   func() string // address of the daemon's listener, for calls
-	MaxRuns  int           // at once
-	Seed     uint64
-	Draining func() bool // a draining process starts no run
-	Now      func() time.Time
-	Log      *slog.Logger
+	Name          string // of the process
+	Tasks         []task.Declaration
+	Leases        raftgroup.Requester
+	Drift         float64       // largest relative error of a process's clock rate
+	Guard         []string      // command line of the guard
+	ListenAddress func() string // address of the daemon's listener, for calls
+	MaxRuns       int           // at once
+	Seed          uint64
+	Draining      func() bool // a draining process starts no run
+	Now           func() time.Time
+	Log           *slog.Logger
 }
 
 // declaredTask is a task with its rules.
@@ -121,7 +121,7 @@
 func (r *runner) due() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.scheduler.Drain(r.options.Draining())
+	r.scheduler.SetDraining(r.options.Draining())
 	return r.scheduler.Due(r.options.Now())
 }
 
--- a/internal/task/scheduler.go
+++ b/internal/task/scheduler.go
@@ -49,8 +49,8 @@
 	slices.SortStableFunc(s.tasks, func(a, b *scheduledTask) int { return cmp.Compare(b.priority, a.priority) })
 }
 
-// Drain makes Due return nothing, or, with false, everything that is due again.
-func (s *Scheduler) Drain(on bool) { s.draining = on }
+// SetDraining makes Due return nothing, or, with false, everything that is due again.
+func (s *Scheduler) SetDraining(on bool) { s.draining = on }
 
 // Due claims and returns the tasks whose leases are to be acquired now.
 func (s *Scheduler) Due(now time.Time) (names []string) {
--- a/internal/task/scheduler_test.go
+++ b/internal/task/scheduler_test.go
@@ -14,11 +14,11 @@
 		s.Add(start, name, []int{1, 3, 2}[i])
 	}
 	now := start.Add(200 * time.Millisecond)
-	s.Drain(true)
+	s.SetDraining(true)
 	if names := s.Due(now); len(names) != 0 {
 		t.Errorf("it is draining and claims %v", names)
 	}
-	s.Drain(false)
+	s.SetDraining(false)
 	if names := fmt.Sprint(s.Due(now)); names != "[high middle]" {
 		t.Errorf("claims %s", names)
 	}
--- a/internal/tlscredentials/server.go
+++ b/internal/tlscredentials/server.go
@@ -16,9 +16,9 @@
 // alpnHTTP1 is the ALPN name of HTTP/1.1.
 const alpnHTTP1 = "http/1.1"
 
-// Server returns the configuration of the clients' listener. Each handshake uses the credentials of its moment; connections that are
+// ServerConfig returns the configuration of the clients' listener. Each handshake uses the credentials of its moment; connections that are
 // established are not affected by later ones.
-func Server(s *Store, d ListenerTLS) *tls.Config {
+func ServerConfig(s *Store, d ListenerTLS) *tls.Config {
 	config := &tls.Config{MinVersion: version(d.MinVersion), NextProtos: []string{alpnHTTP1}}
 	config.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.Current().Pair, nil }
 	if d.Clients == clientsNone {
