--- a/internal/upstream/body_pump.go
+++ b/internal/upstream/body_pump.go
@@ -6,17 +6,17 @@
 	"sync"
 )
 
-var errBodyUnwanted = errors.New("nothing more of the body is wanted")
+var errBodyPumpEnded = errors.New("reading of the request body has ended")
 
-// bodyPump reads a client's body on a goroutine of its own, one piece at a time: the next piece is read once the one before has been
-// consumed. An attempt that ends while the client is silent leaves the pending read to the next attempt. Interrupting the read instead
+// bodyPump reads a client's body on its own goroutine, one piece at a time: it reads the next piece once the previous one has been
+// consumed. If an attempt ends while the client sends nothing, the next attempt takes over the pending read. Interrupting the read instead
 // would end the request: net/http cancels a request's context on any read error (connReader.handleReadErrorLocked), and a chunked body
-// cannot be read after one.
+// cannot be read after a read error.
 type bodyPump struct {
 	startOnce sync.Once
 	endOnce   sync.Once
 	pieces    chan []byte
-	consumed  chan struct{} // a receiver is done with its piece
+	consumed  chan struct{} // receives once the piece that was handed out has been consumed
 	ending    chan struct{} // closed by end
 	done      chan struct{} // closed once the goroutine has ended; err is set by then
 	err       error
@@ -26,31 +26,31 @@
 	return &bodyPump{pieces: make(chan []byte), consumed: make(chan struct{}), ending: make(chan struct{}), done: make(chan struct{})}
 }
 
-// run reads until the body ends, fails or is no longer wanted.
+// run reads until the body ends, a read fails, or end is called.
 func (p *bodyPump) run(from io.Reader) {
 	defer close(p.done)
 	buffer := make([]byte, uploadPieceBytes)
 	for p.err == nil {
 		n, err := from.Read(buffer)
 		if n > 0 && !p.offer(buffer[:n]) {
-			err = errBodyUnwanted
+			err = errBodyPumpEnded
 		}
 		select {
 		case <-p.ending: // the read may have been interrupted
-			p.err = errBodyUnwanted
+			p.err = errBodyPumpEnded
 		default:
 			p.err = err
 		}
 	}
 }
 
-// skip takes the place of run where nothing was ever read.
+// skip takes the place of run if the body has not been read at all.
 func (p *bodyPump) skip() {
-	p.err = errBodyUnwanted
+	p.err = errBodyPumpEnded
 	close(p.done)
 }
 
-// offer hands out a piece and waits until it has been consumed. It returns false once the pump is ending.
+// offer hands out a piece and waits until it has been consumed. It returns false if end is called first.
 func (p *bodyPump) offer(piece []byte) bool {
 	select {
 	case p.pieces <- piece:
@@ -65,8 +65,8 @@
 	return true
 }
 
-// next waits for a piece, which belongs to the caller until it calls next again, or until stop is closed. It is called by one goroutine
-// at a time. again says that the caller has consumed the piece before.
+// next waits for a piece until stop is closed. The piece belongs to the caller until its next call. next is called by one goroutine at a
+// time. again says that the caller has consumed the previous piece.
 func (p *bodyPump) next(from io.Reader, again bool, stop <-chan struct{}) ([]byte, error) {
 	p.startOnce.Do(func() { go p.run(from) })
 	if again {
@@ -77,7 +77,7 @@
 		}
 	}
 	select {
-	case <-stop: // before a piece is taken for nothing
+	case <-stop: // checked first: a piece that is taken now would be lost
 		return nil, errUploadStopped
 	default:
 	}
@@ -91,12 +91,12 @@
 	}
 }
 
-// drain reads and drops the rest, until the body ends or cannot be read.
+// drain reads and discards the rest, until the body ends or cannot be read.
 func (p *bodyPump) drain() {
 	p.startOnce.Do(p.skip)
 	for {
 		select {
-		case p.consumed <- struct{}{}: // of a piece that an attempt has left
+		case p.consumed <- struct{}{}: // for a piece that an attempt has received and not confirmed
 		case <-p.pieces:
 		case <-p.done:
 			return
@@ -104,7 +104,7 @@
 	}
 }
 
-// end ends the pump and returns once nothing is read any more; interrupt makes a pending read return.
+// end ends the pump and returns once no read is in progress; interrupt makes a pending read return.
 func (p *bodyPump) end(interrupt func()) {
 	p.startOnce.Do(p.skip)
 	p.endOnce.Do(func() { close(p.ending) })
--- a/internal/upstream/body_pump_test.go
+++ b/internal/upstream/body_pump_test.go
@@ -48,7 +48,7 @@
 		u.End() // the source is open, and silent
 		u.End()
 		<-drained
-		if _, err := u.pump.next(u.Body, false, nil); err != errBodyUnwanted {
+		if _, err := u.pump.next(u.Body, false, nil); err != errBodyPumpEnded {
 			t.Errorf("after the end: %v", err)
 		}
 	})
@@ -67,7 +67,7 @@
 		unread := &Upload{Body: bytes.NewReader([]byte("x")), pump: newBodyPump(), Interrupt: func() { t.Error("interrupted though nothing is read") }}
 		unread.Drain()
 		unread.End()
-		if _, err := unread.pump.next(unread.Body, false, nil); err != errBodyUnwanted {
+		if _, err := unread.pump.next(unread.Body, false, nil); err != errBodyPumpEnded {
 			t.Error(err)
 		}
 	})
--- a/internal/upstream/cancellation.go
+++ b/internal/upstream/cancellation.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// A cancelled attempt on an encrypted connection keeps the connection for a moment, since a handshake costs both sides more than a short
-// response that nobody waits for. Without encryption the connection is closed at once.
+// After a cancelled attempt an encrypted connection stays open for a short time so that it can be used again: a new handshake costs both
+// sides more than a short response that nobody waits for. A connection without encryption is closed at once.
 const (
-	cancelledAnswerTimeout = 20 * time.Millisecond // for the response to a cancelled attempt
-	maxCancelledAnswer     = 64 << 10              // bytes of its body
+	cancelledResponseTimeout  = 20 * time.Millisecond // for the response to a cancelled attempt
+	maxCancelledResponseBytes = 64 << 10              // bytes of its body
 )
 
-// past is a deadline that interrupts a read at once.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline in the past: it makes a pending read or write return at once.
+var expiredDeadline = time.Unix(1, 0)
 
-// interruptOnDone interrupts the reading of a connection when ctx ends. The returned function stops that, and reports whether the
+// interruptOnDone interrupts reads of a connection when ctx ends. The returned function ends this watch, and reports whether the
 // connection can still be read.
 func interruptOnDone(ctx context.Context, conn *pooledConn) (detach func() bool) {
 	var interrupted chan struct{} // closed once interruptRead has returned
@@ -33,24 +33,25 @@
 	return func() bool { return stop() || conn.tlsConn != nil && conn.resumeRead(ctx, interrupted) }
 }
 
-// interruptRead ends the reading of a connection: it closes the socket, or, where the connection is encrypted and the attempt was
-// cancelled, only makes the read return, so that drainCancelled may go on with the connection.
+// interruptRead makes a pending read of a connection return. It closes the socket, except on an encrypted connection whose attempt was
+// cancelled: there it only sets a read deadline in the past, so that drainCancelled can keep the connection.
 func (c *pooledConn) interruptRead(cause error) {
-	if c.tlsConn == nil || errors.Is(cause, context.DeadlineExceeded) || c.tlsConn.SetReadDeadline(past) != nil {
+	if c.tlsConn == nil || errors.Is(cause, context.DeadlineExceeded) || c.tlsConn.SetReadDeadline(expiredDeadline) != nil {
 		c.closeSocket()
 	}
 }
 
-// resumeRead undoes interruptRead on an encrypted connection whose response had arrived completely meanwhile. It returns false if the
-// connection is closed.
+// resumeRead undoes interruptRead on an encrypted connection whose complete response arrived before the interruption. It returns false if
+// the connection is closed.
 func (c *pooledConn) resumeRead(ctx context.Context, interrupted <-chan struct{}) bool {
-	<-interrupted // it does not block
+	<-interrupted // closed as soon as interruptRead returns, which does not block
 	return !errors.Is(context.Cause(ctx), context.DeadlineExceeded) && c.SetReadDeadline(time.Time{}) == nil
 }
 
-// drainCancelled reads the response to a cancelled attempt for a moment, so that its connection can carry another request.
+// drainCancelled reads the response to a cancelled attempt for up to cancelledResponseTimeout, so that its connection can carry another
+// request.
 func (p *Pool) drainCancelled(conn *pooledConn, r *Request) {
-	if conn.SetReadDeadline(time.Now().Add(cancelledAnswerTimeout)) == nil && drainResponse(conn, r) &&
+	if conn.SetReadDeadline(time.Now().Add(cancelledResponseTimeout)) == nil && drainResponse(conn, r) &&
 		conn.SetReadDeadline(time.Time{}) == nil {
 		p.putIdle(conn)
 		return
@@ -58,7 +59,7 @@
 	p.discard(conn)
 }
 
-// drainResponse reads and drops a response. It reports whether nothing of it is left on the connection.
+// drainResponse reads and discards a response. It reports whether the connection has no unread bytes left.
 func drainResponse(conn *pooledConn, r *Request) bool {
 	reader := newResponseReader(conn)
 	defer reader.release()
@@ -69,11 +70,11 @@
 	if r.expectsNoBody(message) {
 		return reader.Buffered() == 0
 	}
-	delimited := message.ContentLength >= 0 && message.ContentLength <= maxCancelledAnswer || len(message.TransferEncoding) > 0
+	delimited := message.ContentLength >= 0 && message.ContentLength <= maxCancelledResponseBytes || len(message.TransferEncoding) > 0
 	if !delimited {
 		return false
 	}
-	if _, err := reader.body(message, maxCancelledAnswer); err != nil {
+	if _, err := reader.body(message, maxCancelledResponseBytes); err != nil {
 		return false
 	}
 	return reader.Buffered() == 0
--- a/internal/upstream/connect_timeout.go
+++ b/internal/upstream/connect_timeout.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// connectTimesKept is how many recent connects are remembered.
+	// connectTimesKept is the number of recent connects whose durations are kept.
 	connectTimesKept = 64
-	// connectTimesNeeded connects have to be known before they bound the next one.
+	// connectTimesNeeded is the number of recorded connects from which on the timeout is derived from them.
 	connectTimesNeeded = 8
-	// connectTimeoutFactor times the slowest recent connect is the timeout of the next one.
+	// connectTimeoutFactor times the duration of the slowest recent connect is the timeout of the next one.
 	connectTimeoutFactor = 10
-	// minConnectTimeout covers a machine that is held up for a moment.
+	// minConnectTimeout leaves time for short pauses of either machine.
 	minConnectTimeout = 40 * time.Millisecond
 )
 
-// connectTimes derives the connect timeout from how long recent connects have taken. A lost SYN is sent again after a second (RFC 6298),
-// while a reachable instance answers within a few round trips: waiting longer only delays a request that could go elsewhere, and a
-// connection that was never made proves that nothing ran. It is safe for concurrent use.
+// connectTimes derives the connect timeout from the durations of recent connects. A lost SYN is retransmitted after a second (RFC 6298),
+// while a reachable instance answers within a few round trips: waiting longer only delays a request that could go to another instance. A
+// retry there is safe, since nothing can have run on a connection that was never made. It is safe for concurrent use.
 type connectTimes struct {
 	mu     sync.Mutex
-	recent [connectTimesKept]time.Duration // a ring
-	count  int                             // of connects recorded
+	recent [connectTimesKept]time.Duration // ring buffer
+	count  int                             // connects recorded in all
 }
 
-// record notes how long a connect took.
+// record adds the duration of a connect.
 func (c *connectTimes) record(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,7 +33,7 @@
 	c.count++
 }
 
-// timeout is how long the next connect may take, at most configured.
+// timeout returns how long the next connect may take, at most configured.
 func (c *connectTimes) timeout(configured time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -14,23 +14,24 @@
 
 // TLSClient encrypts connections. tlscredentials.Client implements it.
 type TLSClient interface {
-	// Handshake makes a new connection an encrypted one to an instance, and verifies that it is that instance. It ends with ctx.
+	// Handshake performs the TLS handshake on a new connection to an instance and verifies that the peer is that instance. The end of
+	// ctx ends it.
 	Handshake(ctx context.Context, conn net.Conn, instance endpoints.Instance) (*tls.Conn, error)
-	// StillTrusted reports whether a connection made earlier would still be made now.
+	// StillTrusted reports whether a connection that was made earlier would also be accepted now.
 	StillTrusted(conn *tls.Conn, instance endpoints.Instance) bool
 }
 
-// pooledConn is one connection to an instance of an upstream. Nothing reads from it between exchanges, so that isIdle can tell whether
-// anything has arrived.
+// pooledConn is one connection to an instance of an upstream. Nothing reads from it between exchanges, so that isIdle can detect unexpected
+// bytes.
 type pooledConn struct {
-	net.Conn                  // what requests are written to: the socket, or tlsConn
+	net.Conn                  // requests are written to it: the socket, or tlsConn
 	rawSocket syscall.RawConn // of the socket
-	tlsConn   *tls.Conn       // nil: not encrypted
-	tlsSocket *countingConn   // what tlsConn writes to
+	tlsConn   *tls.Conn       // nil: the connection is not encrypted
+	tlsSocket *countingConn   // the socket below tlsConn
 	name      string          // of the upstream
 	instance  endpoints.Instance
 	idleSince time.Time
-	prewarmed bool // it was opened ahead, and has not carried a request
+	prewarmed bool // opened ahead of use, and has not carried a request yet
 }
 
 // isIdle reports whether the connection is open and has received nothing since its last response.
@@ -46,10 +47,10 @@
 	return c.tlsConn == nil || c.tlsBufferEmpty()
 }
 
-// tlsBufferEmpty reports whether crypto/tls holds no decrypted bytes: what arrived in one record with the last response is no longer
-// on the socket.
+// tlsBufferEmpty reports whether crypto/tls holds no decrypted bytes. Bytes that arrived in one record with the last response are no longer
+// on the socket, so that isIdle can't see them there.
 func (c *pooledConn) tlsBufferEmpty() bool {
-	if c.tlsConn.SetReadDeadline(past) != nil {
+	if c.tlsConn.SetReadDeadline(expiredDeadline) != nil {
 		return false
 	}
 	n, err := c.tlsConn.Read(make([]byte, 1))
@@ -59,7 +60,7 @@
 	return c.tlsConn.SetReadDeadline(time.Time{}) == nil
 }
 
-// closeSocket closes the socket without a TLS alert, which could block on a peer that does not read.
+// closeSocket closes the socket without sending a TLS alert: writing the alert could block if the peer does not read.
 func (c *pooledConn) closeSocket() {
 	if c.tlsConn != nil {
 		c.tlsConn.NetConn().Close()
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -10,15 +10,15 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// handshakeGrace is how long the making of an encrypted connection goes on after its attempt was cancelled: most of its cost is paid by
-// then, and later requests can use it.
+// handshakeGrace is how long a TLS connection may still be established after its attempt was cancelled: most of its cost has been paid by
+// then, and later requests can use the connection.
 const handshakeGrace = 100 * time.Millisecond
 
-// errSaturated is returned where no connection slot, descriptor or port became free in time. It says nothing of the upstream.
-var errSaturated = errors.New("all upstream connections that the limits allow are busy")
+// errSaturated says that no connection slot, file descriptor or port became free in time. It says nothing about the upstream.
+var errSaturated = errors.New("no connection slot, file descriptor or port became free in time")
 
-// connection returns an idle connection to an upstream, or a new one. It waits for a connection slot until ctx ends, or until caller does
-// (nil: there is none).
+// connection returns an idle connection to an upstream, or a new one. It waits for a connection slot until ctx or caller ends; caller may
+// be nil.
 func (p *Pool) connection(ctx, caller context.Context, name string, instance endpoints.Instance) (conn *pooledConn, reused bool, err error) {
 	if conn = p.takeIdle(name, instance); conn != nil {
 		return conn, true, nil
@@ -38,7 +38,7 @@
 	return conn, false, nil
 }
 
-// acquireSlot takes a connection slot, and waits for one until ctx ends.
+// acquireSlot acquires a connection slot, and waits for one until ctx ends.
 func (p *Pool) acquireSlot(ctx context.Context) error {
 	if p.connectionSlots.TryAcquire(p.service, 1) {
 		return nil
@@ -61,14 +61,14 @@
 	return conn, err
 }
 
-// dialResult is what a dial on a goroutine of its own has come to.
+// dialResult is the result of a dial that runs on its own goroutine.
 type dialResult struct {
 	conn *pooledConn
 	err  error
 }
 
-// connectTLS is connect for an encrypted connection. Where ctx ends first, the dial goes on for handshakeGrace, and its connection goes
-// to the pool.
+// connectTLS is connect for an encrypted connection. If ctx ends first, the dial may go on for handshakeGrace, and its connection goes to
+// the pool.
 func (p *Pool) connectTLS(ctx context.Context, name string, instance endpoints.Instance) (*pooledConn, error) {
 	detached, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	done := make(chan dialResult, 1)
@@ -98,17 +98,17 @@
 	return nil, ctx.Err()
 }
 
-// dial makes a connection, with its TLS handshake. Nothing of a request has been sent before it returns.
+// dial opens a connection and performs its TLS handshake. No byte of a request is sent before it returns.
 func (p *Pool) dial(ctx context.Context, name string, instance endpoints.Instance) (*pooledConn, error) {
-	total, cancel := context.WithTimeout(ctx, p.connectTimeout)
+	connectCtx, cancel := context.WithTimeout(ctx, p.connectTimeout)
 	defer cancel()
-	socket, err := p.dialSocket(total, instance.Address)
+	socket, err := p.dialSocket(connectCtx, instance.Address)
 	if err != nil {
 		return nil, err
 	}
 	conn := &pooledConn{Conn: socket, name: name, instance: instance}
 	p.prewarming.count(name, 1)
-	if err := p.secure(total, conn, socket); err != nil {
+	if err := p.secure(connectCtx, conn, socket); err != nil {
 		socket.Close()
 		p.prewarming.count(name, -1)
 		return nil, err
@@ -116,8 +116,8 @@
 	return conn, nil
 }
 
-// dialSocket makes a TCP connection within the time that connections have taken lately. It dials again where this machine lacked
-// resources.
+// dialSocket opens a TCP connection within the timeout that connectTimes derives from recent connects. It retries with backoff if this
+// machine lacked resources.
 func (p *Pool) dialSocket(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimes.timeout(p.connectTimeout))
 	defer cancel()
@@ -137,7 +137,7 @@
 	return socket, nil
 }
 
-// secure makes the TLS handshake, where there is one, and sets the fields of conn that belong to the socket.
+// secure performs the TLS handshake if the pool encrypts its connections, and sets the fields of conn that belong to the socket.
 func (p *Pool) secure(ctx context.Context, conn *pooledConn, socket net.Conn) (err error) {
 	if conn.rawSocket, err = socket.(*net.TCPConn).SyscallConn(); err != nil || p.tlsClient == nil {
 		return err
--- a/internal/upstream/eviction.go
+++ b/internal/upstream/eviction.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// evict closes the connection that is of least use, and reports whether there was one. It is called when all slots are taken and a
+// evict closes the connection that evictLocked selects, and reports whether there was one. It is called when all slots are in use and a
 // request waits for one.
 func (p *Pool) evict() bool {
 	p.mu.Lock()
@@ -13,7 +13,7 @@
 	return p.evictLocked()
 }
 
-// evictLocked closes, in this order of preference, a connection that was opened ahead and never used, the one that has been idle for
+// evictLocked closes one connection, in this order of preference: one that was opened ahead and never used, the one that has been idle for
 // longest, or one whose request nobody waits for. p.mu is held.
 func (p *Pool) evictLocked() bool {
 	var candidate *pooledConn
@@ -35,7 +35,7 @@
 	return false
 }
 
-// evictBefore orders idle connections for eviction.
+// evictBefore reports whether idle connection a is evicted before b.
 func evictBefore(a, b *pooledConn) bool {
 	if a.prewarmed != b.prewarmed {
 		return a.prewarmed
@@ -43,7 +43,8 @@
 	return a.idleSince.Before(b.idleSince)
 }
 
-// watchCaller lets an attempt be evicted once its caller is gone. The returned function ends that when the attempt has ended.
+// watchCaller makes an attempt a candidate for eviction once its caller is gone. The returned function is called when the attempt has ended,
+// and ends the watch.
 func (p *Pool) watchCaller(attempt *AttemptOptions) (end func()) {
 	stop := context.AfterFunc(attempt.Caller, func() {
 		p.mu.Lock()
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -12,20 +12,20 @@
 	"orchiddrift/internal/httpheader"
 )
 
-// connectionUse says what becomes of a connection after an exchange.
+// connectionUse says what happens to a connection after an exchange.
 type connectionUse int
 
 const (
 	closeConnection connectionUse = iota
-	reuseConnection               // nothing is left of the exchange
-	connectionOwned               // by the Response's Remainder, or by drainCancelled
+	reuseConnection               // the exchange left no unread bytes
+	connectionOwned               // the Response's Remainder or drainCancelled owns the connection
 )
 
-// requestBuffers hold what is written at once: a request's head and body.
+// requestBuffers hold the bytes that one write sends: a request's head and body.
 var requestBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// exchange is one request on one connection. Nothing else reads or writes the connection meanwhile, so it is known to the byte what was
-// written and what has arrived.
+// exchange is one request on one connection. Nothing else reads or writes the connection meanwhile, so that the numbers of bytes written
+// and received are known exactly.
 type exchange struct {
 	pool    *Pool
 	ctx     context.Context
@@ -33,16 +33,16 @@
 	request *Request
 	options AttemptOptions
 	reader  *responseReader
-	upload  *uploadWriter // nil: the request was written before the response is read
-	detach  func() bool   // stops ctx from closing the connection; false: ctx has closed it
+	upload  *uploadWriter // nil: the whole request is written before the response is read
+	detach  func() bool   // stops ctx from interrupting reads; false: the connection is closed
 }
 
-// exchange writes a request and reads its response. The second result says whether the connection can carry another request.
+// exchange writes a request and reads its response. The second result says what happens to the connection.
 func (p *Pool) exchange(ctx context.Context, conn *pooledConn, r *Request, options AttemptOptions) (response Response, after connectionUse) {
 	x := &exchange{pool: p, ctx: ctx, conn: conn, request: r, options: options, detach: interruptOnDone(ctx, conn)}
 	defer func() {
 		if response.Remainder == nil && !x.detach() && after == reuseConnection {
-			after = closeConnection // cancelled as its response arrived
+			after = closeConnection // cancelled while the response arrived
 		}
 	}()
 	buffer := requestBuffers.Get().(*[]byte)
@@ -71,7 +71,7 @@
 	return x.readResponse()
 }
 
-// closeIfUnowned closes a connection that would be reused.
+// closeIfUnowned returns closeConnection in place of reuseConnection, and any other value unchanged.
 func closeIfUnowned(after connectionUse) connectionUse {
 	if after == reuseConnection {
 		return closeConnection
@@ -79,8 +79,9 @@
 	return after
 }
 
-// enter makes the checks that an attempt has to pass at the moment of its write: it may have waited for its connection since it was
-// decided on. Where it may not be written, the second result says what becomes of the connection.
+// enter enters the request's Gate after the checks that an attempt has to pass right before its write: since the balancer chose the
+// upstream, the attempt may have waited for its connection. If it may not be written, the second result says what happens to the
+// connection.
 func (x *exchange) enter() (mayWrite bool, unwritten connectionUse) {
 	if !x.pool.registry.Ready(x.conn.name, x.conn.instance) { // draining or removed meanwhile
 		return false, closeConnection
@@ -94,18 +95,18 @@
 	return true, reuseConnection
 }
 
-// write writes a request whose body is at hand. failed: the attempt has ended with failure.
+// write writes a request whose complete body is in memory. If failed is true, the attempt has ended with failure.
 func (x *exchange) write(request []byte) (failure Response, failed bool) {
 	bounded := !x.options.SendBy.IsZero()
 	if bounded {
-		_ = x.conn.SetWriteDeadline(x.options.SendBy) // an error shows in the write
+		_ = x.conn.SetWriteDeadline(x.options.SendBy) // if this fails, the write fails too
 	}
 	written, err := x.conn.send(request)
 	if x.request.Gate != nil {
 		x.request.Gate.Leave()
 	}
 	switch {
-	case err != nil && written == len(request): // the upstream may have all of it, whatever the write returned
+	case err != nil && written == len(request): // despite the error the upstream may have received the complete request
 		return x.failure(balancer.Reset), true
 	case err != nil && x.options.pastSendBy():
 		return Response{Result: balancer.NotSent}, true
@@ -140,32 +141,32 @@
 	return x.failure(x.reader.failure()), closeConnection
 }
 
-// bodyConsumed reports whether an uploaded body cannot be sent again.
+// bodyConsumed reports whether the request has an upload whose body cannot be sent again.
 func (x *exchange) bodyConsumed() bool {
 	return x.request.Upload != nil && x.request.Upload.Consumed()
 }
 
-// endUpload ends the writing of a streamed body once the response's head has arrived or failed. ended: the request was not written
-// completely, and the attempt has ended with early.
+// endUpload ends the writing of a streamed body once the response's head has arrived or could not be read. If ended is true, the request
+// was not written completely, and the attempt has ended with early.
 func (x *exchange) endUpload(message *http.Response, err error) (early Response, ended bool) {
 	successful := err == nil && x.pool.successStatuses.Has(message.StatusCode)
 	var complete bool
 	if successful {
-		complete = x.upload.wait() // it answers before it has read all; the rest is owed to it
+		complete = x.upload.wait() // the upstream responded before it had read the complete request: send the rest
 	} else {
 		complete = x.upload.stop()
 	}
 	if complete || rejectedUnprocessed(message, err) {
 		return Response{}, false
 	}
-	if x.reader.isUntouched() { // its last byte was never written, and nothing came back
+	if x.reader.isUntouched() { // the last byte was never written, and no byte of a response has arrived
 		result := balancer.ConnectFailed
 		if x.ctx.Err() != nil || x.options.pastSendBy() {
 			result = balancer.NotSent
 		}
 		return x.request.notSentResponse(result), true
 	}
-	early = Response{Result: x.reader.failure(), BodyConsumed: x.bodyConsumed()} // who answers may have begun, whatever it has read
+	early = Response{Result: x.reader.failure(), BodyConsumed: x.bodyConsumed()} // an upstream that responds may have begun the request
 	switch {
 	case successful:
 		early.Result = balancer.Reset
@@ -175,8 +176,8 @@
 	return early, true
 }
 
-// readBody reads the body of a response, or its first part where the rest is passed through. The body is not closed, since that would
-// first read what is left of it.
+// readBody reads the body of a response, or its first part if the rest is passed through. It does not close the body, since closing would
+// first read the rest of it.
 func (x *exchange) readBody(message *http.Response) (response Response, after connectionUse) {
 	status := message.StatusCode
 	successful := x.pool.successStatuses.Has(status)
@@ -192,7 +193,7 @@
 		return x.passThrough(message)
 	case final && delimited && message.ContentLength <= int64(x.pool.maxAnswerBytes):
 		var available bool
-		if reserved, available = x.pool.reserveAnswer(message); !available { // this process's limit: nothing is known of the upstream
+		if reserved, available = x.pool.reserveBody(message); !available { // the limit is this process's own, and says nothing about the upstream
 			return Response{Result: balancer.Cancelled}, closeConnection
 		}
 		defer func() {
@@ -214,7 +215,7 @@
 	switch {
 	case rejectedUnprocessed(message, nil):
 		return Response{Result: balancer.Rejected}, after
-	case successful && !complete: // it has no end or is too large: no part of it is served
+	case successful && !complete: // the end of the body is unknown or it is too large: no part of it is served
 		return Response{Result: balancer.Malformed}, closeConnection
 	case successful:
 		return Response{Result: balancer.OK, Status: status, Header: forwardedHeader(message), Body: body, ReservedBytes: reserved}, after
@@ -222,18 +223,18 @@
 	return Response{Result: balancer.ServerError}, after
 }
 
-// passesThrough reports whether the body is too long, or of unknown length, to be read before any of it is forwarded.
+// passesThrough reports whether the body is forwarded as it arrives, since it is long or of unknown length.
 func (x *exchange) passesThrough(message *http.Response) bool {
 	if x.request.CompleteOnly {
 		return false
 	}
 	length := message.ContentLength
-	return length < 0 || length > maxBufferedAnswer && length <= MaxPassThroughBytes
+	return length < 0 || length > maxBufferedBodyBytes && length <= MaxPassThroughBytes
 }
 
 // passThrough begins a response whose body is forwarded as it arrives.
 func (x *exchange) passThrough(message *http.Response) (response Response, after connectionUse) {
-	reserved, available := x.pool.reserve(maxBufferedAnswer)
+	reserved, available := x.pool.reserve(maxBufferedBodyBytes)
 	if !available {
 		return Response{Result: balancer.Cancelled}, closeConnection
 	}
@@ -253,7 +254,7 @@
 	return response, closeConnection
 }
 
-// failure is the response to an attempt that was cut short: by its context, or else as otherwise says.
+// failure returns the Response of an attempt that ended early: with the result that the end of its context gives, or else otherwise.
 func (x *exchange) failure(otherwise balancer.Result) Response {
 	switch {
 	case errors.Is(context.Cause(x.ctx), context.DeadlineExceeded):
@@ -264,7 +265,7 @@
 	return Response{Result: otherwise}
 }
 
-// forwardedHeader returns the headers that go on to the client: load reports are for the balancer alone.
+// forwardedHeader returns the headers that are forwarded to the client. Load reports are left out: they are for the balancer alone.
 func forwardedHeader(message *http.Response) http.Header {
 	header := httpheader.EndToEnd(message.Header)
 	delete(header, httpheader.LoadReport)
@@ -276,7 +277,7 @@
 	return r.isHead || message.StatusCode == http.StatusNoContent || message.StatusCode == http.StatusNotModified
 }
 
-// rejectedUnprocessed reports whether the upstream says that it has not begun the request.
+// rejectedUnprocessed reports whether the upstream rejected the request and states that it has not begun it.
 func rejectedUnprocessed(message *http.Response, err error) bool {
 	if err != nil {
 		return false
--- a/internal/upstream/load_probe.go
+++ b/internal/upstream/load_probe.go
@@ -13,14 +13,14 @@
 	"orchiddrift/internal/httpheader"
 )
 
-// Bounds of what an upstream may report of itself.
+// Upper bounds of the values in a load report.
 const (
 	maxReportedInFlight = 1 << 20
 	maxReportedLatency  = time.Hour
 )
 
-// Probe asks an upstream for its load at a path, until ctx ends. It never waits for a connection slot that requests wait for, and is not
-// sent to an upstream that is draining.
+// Probe requests an upstream's load at path, until ctx ends. It does not compete with requests for a connection slot: if any of them waits
+// for one, no probe is sent. No probe is sent to an upstream that is draining.
 func (p *Pool) Probe(ctx context.Context, name, path string) balancer.ProbeResult {
 	result := balancer.ProbeResult{Upstream: name, Result: balancer.NotSent}
 	instance, ok := p.registry.Instance(name)
@@ -41,8 +41,9 @@
 	return result
 }
 
-// parseLoadReport reads a load report in the form of X-Server-Load, "TEXT inflight=7, queue=2, util=0.61", with latency_ms (milliseconds)
-// beside. It needs inflight or queue, in requests, of which the larger counts. Unknown items are ignored.
+// parseLoadReport parses a load report in the format of X-Server-Load, "TEXT inflight=7, queue=2, util=0.61", which may also contain
+// latency_ms, in milliseconds. inflight or queue is required, as a number of requests; the larger of both counts. Unknown items are ignored.
+// It reports whether the report is valid.
 func parseLoadReport(result *balancer.ProbeResult, report []byte) bool {
 	report = bytes.TrimSpace(report)
 	report = bytes.TrimPrefix(report, []byte("TEXT "))
--- a/internal/upstream/loadprobe/loadprobe.go
+++ b/internal/upstream/loadprobe/loadprobe.go
@@ -1,13 +1,13 @@
-// Package loadprobe decides which upstreams are asked for their load before a request is decided on: a sidecar that sends little traffic
-// learns of each upstream too rarely to know its state, and may probe a few instead. It is a state machine: members, requests and answers
-// in, upstreams to probe out; no I/O, no clock. Its random numbers come from its caller. Package balancer decides what the answers mean:
-// among upstreams that were probed just now it prefers the one of lowest load.
+// Package loadprobe selects the upstreams that are probed for their load before a request is balanced. A sidecar that sends little traffic
+// hears from each upstream too rarely to know its load, and may probe a few upstreams instead. The package is a state machine without I/O
+// or a clock: its inputs are members, requests and answers, its output is the upstreams to probe. Its random numbers come from its caller.
+// Package balancer interprets the answers: among upstreams that were probed just now it prefers the one with the lowest load.
 //
-// The form is that of Prequal (B. Wydrowski et al., "Load is not what you should balance: Introducing Prequal", NSDI 2024) in its
-// synchronous mode with a short pool: an answer younger than Options.MaxAge is used again. Three bounds hold: Options.ProbesPerRequest
-// over time, Options.Rate a second, and no probes at all while the sidecar's own requests reach each of its upstreams more often than
-// every Options.SampleInterval. So an upstream is probed at most ProbesPerRequest times as often as it gets requests in all, however many
-// sidecars there are.
+// The method is that of Prequal (B. Wydrowski et al., "Load is not what you should balance: Introducing Prequal", NSDI 2024) in its
+// synchronous mode with a short pool: an answer younger than Options.MaxAge is reused. Three bounds hold: Options.ProbesPerRequest
+// on average, Options.Rate per second, and no probes at all while the sidecar's own requests reach each of its upstreams more often than
+// every Options.SampleInterval. So all sidecars together probe an upstream at most ProbesPerRequest times as often as they send it
+// requests.
 package loadprobe
 
 import (
@@ -18,19 +18,19 @@
 	"orchiddrift/internal/units"
 )
 
-// Options are the parameters of a Prober, and its section of the operator's file.
+// Options are the parameters of a Prober, and its section of the configuration file.
 type Options struct {
-	Enabled             bool           `toml:"on" doc:"Asks a few upstreams for their load before a request, while it sends little."`
-	UpstreamsPerRequest int            `toml:"each" default:"4" doc:"Upstreams that a request is to know of."`
-	ProbesPerRequest    float64        `toml:"share" default:"4" doc:"Probes a request, at most over time."`
-	Rate                float64        `toml:"rate" default:"500" doc:"Probes a second, at most."`
-	Timeout             units.Duration `toml:"patience" default:"5ms" doc:"A request waits for answers for so long at most. An upstream that does not answer in it is not preferred."`
-	MaxAge              units.Duration `toml:"fresh" default:"50ms" doc:"An answer that is younger is taken again."`
-	SampleInterval      units.Duration `toml:"heard" default:"250ms" doc:"Nobody is asked while requests reach each upstream of its own more often than this."`
-	Path                string         `toml:"path" default:"/-/load" doc:"What is asked for, with GET. The answer is 200 with inflight=N or queue=N, and latency_ms=X if it is known, as X-Server-Load has them: in that header or as the body."`
+	Enabled             bool           `toml:"on" doc:"Probes a few upstreams for their load before a request is balanced, while this process sends little traffic."`
+	UpstreamsPerRequest int            `toml:"each" default:"4" doc:"Number of upstreams whose load should be known for each request."`
+	ProbesPerRequest    float64        `toml:"share" default:"4" doc:"Maximum number of probes per request, on average."`
+	Rate                float64        `toml:"rate" default:"500" doc:"Maximum number of probes per second."`
+	Timeout             units.Duration `toml:"patience" default:"5ms" doc:"Maximum time that a request waits for answers to its probes. An upstream that does not answer in time is not preferred."`
+	MaxAge              units.Duration `toml:"fresh" default:"50ms" doc:"An answer younger than this is used for further requests."`
+	SampleInterval      units.Duration `toml:"heard" default:"250ms" doc:"No probes are sent while requests reach each upstream of the subset more often than this."`
+	Path                string         `toml:"path" default:"/-/load" doc:"Path of the probes, which use GET. The answer has status 200 and reports inflight=N or queue=N, and latency_ms=X if known, in the format of X-Server-Load: in that header or as the body."`
 }
 
-// Default returns the options where the file sets none.
+// Default returns the options that apply if the file does not set them.
 func Default() Options {
 	return Options{UpstreamsPerRequest: 4, ProbesPerRequest: 4, Rate: 500, Timeout: units.Duration(5 * time.Millisecond), MaxAge: units.Duration(50 * time.Millisecond),
 		SampleInterval: units.Duration(250 * time.Millisecond), Path: "/-/load"}
@@ -39,13 +39,14 @@
 const (
 	// maxPerRequest bounds Options.UpstreamsPerRequest and Options.ProbesPerRequest.
 	maxPerRequest = 16
-	// maxAnswerAge is how long the balancer uses an answer.
+	// maxAnswerAge is the age up to which the balancer uses an answer.
 	maxAnswerAge = 50 * time.Millisecond
-	// A burstsPerSecond-th part of Options.Rate may be sent at once.
+	// burstsPerSecond divides Options.Rate: the quotient is the number of probes that may be sent at once.
 	burstsPerSecond = 10
-	// savedRequests is for how many requests unused probes are kept.
+	// savedRequests is the number of requests whose unused probes may accumulate.
 	savedRequests = 4
-	// drawsPerUpstream bounds the random draws of a request: those that hit a known upstream cost nothing.
+	// drawsPerUpstream times Options.UpstreamsPerRequest bounds the random draws per request. A draw of an upstream whose load is known, or
+	// that is being probed, costs no probe.
 	drawsPerUpstream = 2
 	// rateWindow is the time over which requests are counted for the request rate.
 	rateWindow = 5 * time.Second
@@ -66,10 +67,10 @@
 		report("fresh", "%v is not from 0s to %v", o.MaxAge, maxAnswerAge)
 	}
 	if o.Timeout <= 0 || o.Timeout.D() > maxAnswerAge {
-		report("patience", "%v is not above 0s and up to %v: what is older counts for nothing", o.Timeout, maxAnswerAge)
+		report("patience", "%v is not above 0s and up to %v: the balancer does not use older answers", o.Timeout, maxAnswerAge)
 	}
 	if !strings.HasPrefix(o.Path, "/") || strings.ContainsAny(o.Path, " \r\n") {
-		report("path", "%q is no path", o.Path)
+		report("path", "%q is not a path that begins with / and has no spaces or line breaks", o.Path)
 	}
 }
 
@@ -78,20 +79,20 @@
 	options       Options
 	rng           *rand.Rand
 	members       map[string]*member
-	names         []string      // of the members, in no order
-	requestTokens float64       // probes that requests have paid for
-	rateTokens    float64       // probes that the time has paid for
+	names         []string      // of the members, in no particular order
+	requestTokens float64       // probes that Options.ProbesPerRequest allows now
+	rateTokens    float64       // probes that Options.Rate allows now
 	refilledAt    time.Duration // when rateTokens were last added
-	requestRate   float64       // requests a second over rateWindow
+	requestRate   float64       // requests per second, averaged over rateWindow
 	lastRequest   time.Duration
-	inFlight      int // probes
+	inFlight      int // probes in flight
 }
 
 // member is an upstream that may be probed.
 type member struct {
 	index      int           // in names
-	answeredAt time.Duration // of its latest probe
-	answered   bool          // that one had an answer
+	answeredAt time.Duration // when its latest probe ended
+	answered   bool          // its latest probe got an answer
 	probing    bool          // a probe is in flight
 }
 
@@ -100,10 +101,10 @@
 	return &Prober{options: o, rng: rng, members: map[string]*member{}, rateTokens: o.burst()}
 }
 
-// burst is how many probes may be sent at once.
+// burst returns the number of probes that may be sent at once.
 func (o *Options) burst() float64 { return max(float64(o.UpstreamsPerRequest), o.Rate/burstsPerSecond) }
 
-// Add makes an upstream a member.
+// Add makes an upstream a member, so that it may be probed.
 func (p *Prober) Add(name string) {
 	if p.members[name] == nil {
 		p.members[name] = &member{index: len(p.names)}
@@ -129,15 +130,15 @@
 	p.names = p.names[:last]
 }
 
-// Len is the number of members.
+// Len returns the number of members.
 func (p *Prober) Len() int { return len(p.names) }
 
-// Targets is called for each request, before it is decided on. It names the upstreams to probe now; Answered follows for each that is
-// still a member, with or without an answer. If it names none the request goes on at once.
+// Targets is called for each request before the request is balanced. It returns the upstreams to probe now. The caller calls Answered for
+// each of them that is still a member, with or without an answer. If Targets returns none, the request does not wait.
 func (p *Prober) Targets(now time.Duration) (names []string) {
 	p.countRequest(now)
-	known := float64(len(p.names)) < p.requestRate*p.options.SampleInterval.D().Seconds()
-	if len(p.names) < 2 || known {
+	sampledByTraffic := float64(len(p.names)) < p.requestRate*p.options.SampleInterval.D().Seconds()
+	if len(p.names) < 2 || sampledByTraffic {
 		return nil
 	}
 	wanted := min(p.options.UpstreamsPerRequest, len(p.names))
@@ -163,7 +164,7 @@
 	return names
 }
 
-// countRequest updates the request rate and adds the probes that the request and the time pay for.
+// countRequest updates the request rate, and adds the tokens for the request and for the time that has passed.
 func (p *Prober) countRequest(now time.Duration) {
 	window := rateWindow.Seconds()
 	passed := max(0, now-p.lastRequest).Seconds()
@@ -173,7 +174,7 @@
 	p.requestTokens = min(float64(savedRequests*p.options.UpstreamsPerRequest), p.requestTokens+p.options.ProbesPerRequest)
 }
 
-// Answered ends a probe.
+// Answered records the end of a probe; ok says whether the upstream answered.
 func (p *Prober) Answered(now time.Duration, name string, ok bool) {
 	m := p.members[name]
 	if m == nil || !m.probing {
@@ -183,5 +184,5 @@
 	p.inFlight--
 }
 
-// InFlight is the number of probes in flight.
+// InFlight returns the number of probes in flight.
 func (p *Prober) InFlight() int { return p.inFlight }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	// idleTimeoutFraction of the time after which upstreams close idle connections is how long one is kept here.
+	// idleTimeoutFraction of the time after which upstreams close idle connections is the idle timeout of the pool.
 	idleTimeoutFraction = 0.6
-	// sweepFraction of that time is the interval at which idle connections are checked.
+	// sweepFraction of the upstreams' idle timeout is the interval at which idle connections are checked.
 	sweepFraction = 0.1
-	// defaultRestTime is how long a connection rests after a response: bytes that an upstream sends behind a response may arrive a moment
-	// later, and would be read as the response to the next request.
+	// defaultRestTime is how long a connection is not used after a response: unexpected bytes that an upstream sends after a response may
+	// arrive somewhat later, and would be read as the response to the next request.
 	defaultRestTime = 5 * time.Millisecond
 )
 
 // Options are the parameters of a Pool.
 type Options struct {
-	Registry       *endpoints.Registry // nil: SetRegistry follows
-	ConnectTimeout time.Duration       // of a new connection, its TLS handshake included
-	IdleTimeout    time.Duration       // after which upstreams close idle connections
-	MaxConnections int                 // open at once; not used with ConnectionSlots
-	MaxAnswerBytes int                 // of a response's body that is read completely
+	Registry       *endpoints.Registry // nil: the owner calls SetRegistry
+	ConnectTimeout time.Duration       // for a new connection and its TLS handshake
+	IdleTimeout    time.Duration       // time after which upstreams close idle connections
+	MaxConnections int                 // open at once; ignored if ConnectionSlots is set
+	MaxAnswerBytes int                 // of a response body that is read completely
 
 	// ConnectionSlots bound the open connections of all services; nil: MaxConnections bounds those of this one.
 	ConnectionSlots *bulkhead.Semaphore
 	// Service is the name under which this pool holds ConnectionSlots and AnswerBytes.
 	Service string
-	// AnswerBytes bound the response bodies in memory, over all services; nil: they are not bounded.
+	// AnswerBytes bound the bytes of response bodies in memory, over all services; nil: they are not bounded.
 	AnswerBytes *bulkhead.Semaphore
-	// SuccessStatuses are the statuses that count as a successful attempt; nil: 200 alone.
+	// SuccessStatuses are the response statuses that count as success; nil: 200 alone.
 	SuccessStatuses *httpheader.Statuses
 	// TLS encrypts connections; nil: they are not encrypted.
 	TLS TLSClient
-	// Prewarmer decides which connections Prewarm opens ahead of use; nil: none.
+	// Prewarmer decides which connections Prewarm opens ahead of use; nil: Prewarm opens none.
 	Prewarmer *prewarm.Prewarmer
 }
 
@@ -60,15 +60,15 @@
 	tlsClient       TLSClient
 	connectTimes    connectTimes
 	dialTCP         func(ctx context.Context, address string) (net.Conn, error)
-	prewarming      *prewarming // nil: nothing is opened ahead
+	prewarming      *prewarming // nil: no connection is opened ahead
 
 	mu        sync.Mutex
-	idle      map[string][]*pooledConn // by upstream, the longest idle first
+	idle      map[string][]*pooledConn // by upstream, the one idle for longest first
 	abandoned map[*AttemptOptions]bool // attempts under way whose callers are gone
 	closed    bool
 }
 
-// New returns an empty Pool. The owner of the Registry reports upstreams whose connections are no longer wanted by CloseUpstream.
+// New returns an empty Pool. The owner of the Registry calls CloseUpstream for each upstream whose connections are no longer needed.
 func New(o Options) *Pool {
 	p := &Pool{
 		registry:        o.Registry,
@@ -98,7 +98,7 @@
 		var err error
 		shares := []bulkhead.Share{{Name: o.Service, Weight: 1}}
 		p.connectionSlots, err = bulkhead.NewSemaphore(int64(max(1, o.MaxConnections)), 1, shares)
-		if err != nil { // one service gets all slots: the arguments are valid
+		if err != nil { // impossible: a single service with at least one slot is valid
 			panic(err)
 		}
 	}
@@ -106,12 +106,12 @@
 	return p
 }
 
-// EvictOnContention makes this pool the one that gives up idle connections of its service when another service waits for a slot. It
+// EvictOnContention registers this pool as the one that closes idle connections of its service when another service waits for a slot. It
 // replaces an earlier pool of the same service name.
 func (p *Pool) EvictOnContention() { p.connectionSlots.OnContention(p.service, p.evict) }
 
-// Close closes all idle connections; those in use are closed when their exchanges end. Nothing may be sent after it: the owner has
-// emptied the Registry or closed the Gates of its requests.
+// Close closes all idle connections; those in use are closed when their exchanges end. Before the call the owner empties the Registry or
+// closes the Gates of its requests, so that nothing is sent after it.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,20 +124,20 @@
 	}
 }
 
-// SetRegistry sets the Registry where it is made after the Pool. It is called before the first attempt.
+// SetRegistry sets the Registry if it is created after the Pool. It is called before the first attempt.
 func (p *Pool) SetRegistry(r *endpoints.Registry) { p.registry = r }
 
 // setIdleLocked replaces the idle connections of an upstream. p.mu is held.
 func (p *Pool) setIdleLocked(name string, idle []*pooledConn) {
 	if len(idle) == 0 {
-		delete(p.idle, name) // names of upstreams are not used again: the map must not grow
+		delete(p.idle, name) // names of upstreams are not reused: empty entries would accumulate
 		return
 	}
 	p.idle[name] = idle
 }
 
-// takeIdle returns the most recently used idle connection to an instance that has rested, or nil. A connection that has received
-// anything since its last response is closed: the bytes would be read as the response to the next request.
+// takeIdle returns the most recently used connection to an instance that has been idle for at least restTime, or nil. A connection that
+// has received any bytes since its last response is closed: they would be read as the response to the next request.
 func (p *Pool) takeIdle(name string, instance endpoints.Instance) *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +147,7 @@
 	now := time.Now()
 	for i := len(idle) - 1; i >= 0; i-- {
 		conn := idle[i]
-		rested := now.Sub(conn.idleSince) >= p.restTime || conn.prewarmed // nothing can follow a response that there was not
+		rested := now.Sub(conn.idleSince) >= p.restTime || conn.prewarmed // a prewarmed connection has had no response whose late bytes could follow
 		if !rested {
 			continue
 		}
@@ -161,7 +161,7 @@
 	return nil
 }
 
-// putIdle returns a connection to the pool, or closes it where it is no longer wanted or another request waits for its slot.
+// putIdle returns a connection to the pool, or closes it if it is no longer needed or a request waits for a slot.
 func (p *Pool) putIdle(conn *pooledConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -180,12 +180,12 @@
 	p.connectionSlots.Release(p.service, 1)
 }
 
-// trusted reports whether the connection would still be made: the authority that vouched for its certificate may have been withdrawn.
+// trusted reports whether the connection would still be accepted: the authority that signed its certificate may have been removed.
 func (p *Pool) trusted(conn *pooledConn) bool {
 	return conn.tlsConn == nil || p.tlsClient.StillTrusted(conn.tlsConn, conn.instance)
 }
 
-// IdleCount is the number of connections that are open and not in use.
+// IdleCount returns the number of connections that are open and not in use.
 func (p *Pool) IdleCount() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -205,8 +205,8 @@
 	delete(p.idle, name)
 }
 
-// Sweep closes idle connections until ctx ends: those that upstreams are about to close, and those that have ended or received bytes.
-// It blocks; the owner runs it on a goroutine of its own.
+// Sweep closes idle connections until ctx ends: those that upstreams are about to close, and those that were closed, are no longer trusted
+// or have received bytes. It blocks; the owner runs it on its own goroutine.
 func (p *Pool) Sweep(ctx context.Context) {
 	ticker := time.NewTicker(p.sweepInterval)
 	defer ticker.Stop()
--- a/internal/upstream/prewarm/prewarm.go
+++ b/internal/upstream/prewarm/prewarm.go
@@ -1,12 +1,12 @@
 // Package prewarm decides which connections to upstreams are opened before a request needs them, and how fast, so that the first request to
-// a new upstream does not wait for a connection, and a fleet that restarts does not open all its connections at once. It is a state
-// machine: members, uses and results in, names of upstreams to connect to out; no I/O, no clock. upstream.Pool.Prewarm drives it. Its
-// random numbers come from its caller.
+// a new upstream does not wait for a connection, and a fleet that restarts does not open all its connections at once. The package is a
+// state machine without I/O or a clock: its inputs are members, uses and results of connects, its output is the names of upstreams to
+// connect to. upstream.Pool.Prewarm drives it. Its random numbers come from its caller.
 //
-// A connection to a member is opened when the member is new, at a random time within Options.Spread, and again while it was used within
-// Options.IdleAfter and has fewer than Options.ConnectionsPerUpstream connections. Three bounds hold: Options.Rate a second,
-// Options.MaxFraction of all connections, and a backoff that doubles up to maxBackoff for a member that cannot be connected to. So an
-// upstream that is in the subsets of M sidecars gets at most M x ConnectionsPerUpstream connections ahead of use, spread over
+// A new member gets its first connection at a random time within Options.Spread. After that, connections to a member are opened while it was
+// used within Options.IdleAfter and has fewer than Options.ConnectionsPerUpstream connections. Three bounds hold: Options.Rate per second,
+// Options.MaxFraction of the maximum number of connections, and a backoff that doubles up to maxBackoff for a member whose connects fail.
+// So an upstream that is in the subsets of M sidecars gets at most M x ConnectionsPerUpstream connections ahead of use, spread over
 // Options.Spread when it starts.
 package prewarm
 
@@ -20,17 +20,17 @@
 	"orchiddrift/internal/units"
 )
 
-// Options are the parameters of a Prewarmer, and its section of the operator's file.
+// Options are the parameters of a Prewarmer, and its section of the configuration file.
 type Options struct {
-	Enabled                bool           `toml:"on" doc:"Opens connections to its own upstreams before requests need them."`
-	ConnectionsPerUpstream int            `toml:"each" default:"1" doc:"Connections that each upstream of its own is to have open, idle or in use."`
-	Rate                   float64        `toml:"rate" default:"20" doc:"Connections opened ahead a second, at most."`
-	Spread                 units.Duration `toml:"spread" default:"2s" doc:"An upstream that is new is connected to at a random moment within this."`
-	IdleAfter              units.Duration `toml:"recent" default:"1m" doc:"An upstream that was not asked for so long is not connected to again."`
-	MaxFraction            float64        `toml:"part" default:"0.25" doc:"Nothing is opened ahead once this part of the connections that there may be is open."`
+	Enabled                bool           `toml:"on" doc:"Opens connections to the upstreams of the subset before requests need them."`
+	ConnectionsPerUpstream int            `toml:"each" default:"1" doc:"Number of connections that each upstream of the subset should have open, idle or in use."`
+	Rate                   float64        `toml:"rate" default:"20" doc:"Maximum number of connections opened ahead of use per second."`
+	Spread                 units.Duration `toml:"spread" default:"2s" doc:"The first connection to a new upstream is opened at a random time within this period."`
+	IdleAfter              units.Duration `toml:"recent" default:"1m" doc:"No further connections are opened ahead of use to an upstream that has received no request for this long."`
+	MaxFraction            float64        `toml:"part" default:"0.25" doc:"No connections are opened ahead of use once this fraction of the maximum number of connections is open."`
 }
 
-// Default returns the options where the file sets none.
+// Default returns the options that apply if the file does not set them.
 func Default() Options {
 	return Options{ConnectionsPerUpstream: 1, Rate: 20, Spread: units.Duration(2 * time.Second), IdleAfter: units.Duration(time.Minute), MaxFraction: 0.25}
 }
@@ -44,41 +44,42 @@
 		report("rate", "%v is not from 0.1 to 10000", o.Rate)
 	}
 	if !(o.MaxFraction > 0 && o.MaxFraction <= 1) {
-		report("part", "%v is not a part, above 0", o.MaxFraction)
+		report("part", "%v is not above 0 and up to 1", o.MaxFraction)
 	}
 }
 
 const (
-	// recheckInterval is when a member that needs no connection is looked at again.
+	// recheckInterval is the time after which a member is checked again for whether it needs a connection.
 	recheckInterval = time.Second
-	// minBackoff after a failed connect doubles with each further one, maxBackoffDoublings times at most, up to maxBackoff.
+	// minBackoff is the backoff after a failed connect. It doubles with each further failure, maxBackoffDoublings times at most, up to
+	// maxBackoff.
 	minBackoff          = 500 * time.Millisecond
 	maxBackoff          = 30 * time.Second
 	maxBackoffDoublings = 10
-	// burstSeconds of Options.Rate may be opened at once.
+	// burstSeconds times Options.Rate is the number of connections that may be opened at once.
 	burstSeconds = 0.1
 )
 
 // Prewarmer is the state machine. It holds one entry for each member. It is not safe for concurrent use.
 type Prewarmer struct {
 	options    Options
-	maxOpen    int // connections in all beyond which nothing is opened ahead
+	maxOpen    int // number of open connections from which on none is opened ahead of use
 	rng        *rand.Rand
 	members    map[string]*member
 	due        priorityqueue.Queue[*member]
 	sequence   uint64        // orders members that are due at the same time
-	tokens     float64       // connections that may be opened now, of Options.Rate
+	tokens     float64       // connections that Options.Rate allows to be opened now
 	refilledAt time.Duration // when tokens were last added
 }
 
-// member is an upstream of the subset that takes requests.
+// member is an upstream of the subset that accepts requests.
 type member struct {
 	name        string
-	process     uint64        // the incarnation of the upstream
-	heapIndex   int           // in due
-	dueAt       time.Duration // when it is looked at again
-	usedAt      time.Duration // its latest request; 0: none
-	neverOpened bool          // no connection has been opened to it
+	process     uint64        // number of the upstream's incarnation
+	heapIndex   int           // position in Prewarmer.due
+	dueAt       time.Duration // when Tick checks it next
+	usedAt      time.Duration // time of its latest request; 0: none
+	neverOpened bool          // no connection to it has been open yet
 	opening     int           // connects in progress
 	failures    int           // consecutive failed connects
 }
@@ -95,7 +96,7 @@
 	}
 }
 
-// SetMembers brings the upstreams that take requests, each with a number of its incarnation.
+// SetMembers sets the upstreams that accept requests, each with the number of its incarnation.
 func (p *Prewarmer) SetMembers(now time.Duration, ready map[string]uint64) {
 	for name, m := range p.members {
 		if process, stays := ready[name]; !stays || process != m.process {
@@ -109,7 +110,7 @@
 			added = append(added, name)
 		}
 	}
-	slices.Sort(added) // the same seed gives them the same times
+	slices.Sort(added) // so that the same seed gives the same times
 	for _, name := range added {
 		m := &member{name: name, process: ready[name], heapIndex: -1, neverOpened: true}
 		p.members[name] = m
@@ -128,15 +129,15 @@
 	p.due.Set(m, float64(at), p.sequence)
 }
 
-// RecordUse notes that a request was sent to a member.
+// RecordUse records that a request was sent to a member.
 func (p *Prewarmer) RecordUse(now time.Duration, name string) {
 	if m := p.members[name]; m != nil {
 		m.usedAt = now
 	}
 }
 
-// Tick names the members to open a connection to now; Connected follows for each. open is the number of open connections of a member,
-// total that of all.
+// Tick returns the members to open a connection to now; the caller calls Connected for each of them. open returns the number of open
+// connections of a member, total is the number of all open connections.
 func (p *Prewarmer) Tick(now time.Duration, open func(name string) int, total int) (names []string) {
 	p.refill(now)
 	for p.due.Len() > 0 && p.due.First().dueAt <= now {
@@ -151,7 +152,7 @@
 			continue
 		}
 		if p.tokens < 1 {
-			return names // the member keeps its turn
+			return names // the member stays first in the queue
 		}
 		p.tokens--
 		m.opening++
@@ -161,14 +162,14 @@
 	return names
 }
 
-// refill adds the tokens of the time that has passed.
+// refill adds the tokens for the time that has passed.
 func (p *Prewarmer) refill(now time.Duration) {
 	burst := max(1, p.options.Rate*burstSeconds)
 	p.tokens = min(burst, p.tokens+p.options.Rate*max(0, now-p.refilledAt).Seconds())
 	p.refilledAt = max(p.refilledAt, now)
 }
 
-// needsConnection reports whether a connection is to be opened to a member that has so many.
+// needsConnection reports whether a member that has open connections needs another one.
 func (p *Prewarmer) needsConnection(m *member, now time.Duration, open int) bool {
 	recentlyUsed := m.usedAt > 0 && now-m.usedAt <= p.options.IdleAfter.D()
 	if !m.neverOpened && !recentlyUsed {
@@ -177,7 +178,7 @@
 	return open+m.opening < p.options.ConnectionsPerUpstream
 }
 
-// Connected ends what Tick began: a connection is open, or could not be made.
+// Connected records the result of a connect that Tick requested: ok says whether the connection is open.
 func (p *Prewarmer) Connected(now time.Duration, name string, process uint64, ok bool) {
 	m := p.members[name]
 	if m == nil || m.process != process || m.opening == 0 {
@@ -195,7 +196,7 @@
 	p.schedule(m, now+backoff/2+p.randomUpTo(backoff))
 }
 
-// Process is the number by which a member's process is known; 0: it is no member.
+// Process returns the number of a member's incarnation, or 0 if there is no such member.
 func (p *Prewarmer) Process(name string) uint64 {
 	if m := p.members[name]; m != nil {
 		return m.process
@@ -203,7 +204,7 @@
 	return 0
 }
 
-// Next is the earliest time at which Tick has something to do; false: there is no member.
+// Next returns the earliest time at which Tick may have a member to check. It returns false if there are no members.
 func (p *Prewarmer) Next(now time.Duration) (time.Duration, bool) {
 	if p.due.Len() == 0 {
 		return 0, false
--- a/internal/upstream/prewarming.go
+++ b/internal/upstream/prewarming.go
@@ -10,16 +10,16 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// prewarmInterval is how often Prewarm looks at the endpoint registry and at the connections that were used.
+// prewarmInterval is the interval at which Prewarm reads the endpoint registry and the upstreams used since.
 const prewarmInterval = 100 * time.Millisecond
 
-// prewarming counts the connections of a pool that opens some ahead of use. The methods of a nil prewarming do nothing.
+// prewarming counts the connections of a pool that opens some ahead of use. count and markUsed do nothing on a nil prewarming.
 type prewarming struct {
 	prewarmer *prewarm.Prewarmer // used by Prewarm's goroutine alone
 
 	mu   sync.Mutex
 	open map[string]int  // connections by upstream
-	used map[string]bool // upstreams that were sent to since the last snapshot
+	used map[string]bool // upstreams that requests were sent to since the last snapshot
 }
 
 // count adds change to the open connections of an upstream.
@@ -31,11 +31,11 @@
 	defer w.mu.Unlock()
 	w.open[name] += change
 	if w.open[name] <= 0 {
-		delete(w.open, name) // names of upstreams are not used again: the map must not grow
+		delete(w.open, name) // names of upstreams are not reused: empty entries would accumulate
 	}
 }
 
-// markUsed notes that a request goes to an upstream.
+// markUsed records that a request goes to an upstream.
 func (w *prewarming) markUsed(name string) {
 	if w == nil {
 		return
@@ -58,15 +58,15 @@
 	return open, total, used
 }
 
-// prewarmResult is what the opening of one connection has come to.
+// prewarmResult is the result of opening one connection.
 type prewarmResult struct {
 	name    string
-	process uint64 // of the instance, see endpoints.Instance.ProcessID
+	process uint64 // incarnation of the instance: endpoints.Instance.ProcessID
 	ok      bool
 }
 
-// Prewarm opens connections as Options.Prewarmer decides, until ctx ends. It never waits for a connection slot, so that requests go
-// first. It blocks; the owner runs it on a goroutine of its own.
+// Prewarm opens connections as Options.Prewarmer decides, until ctx ends. It never waits for a connection slot, so that requests take
+// precedence. It blocks; the owner runs it on its own goroutine.
 func (p *Pool) Prewarm(ctx context.Context, clock clock.Clock) {
 	if p.prewarming == nil {
 		return
@@ -88,7 +88,7 @@
 	}
 }
 
-// prewarmOnce starts the openings that are due.
+// prewarmOnce starts to open the connections that are due.
 func (p *Pool) prewarmOnce(ctx context.Context, now time.Duration, running *sync.WaitGroup, results chan<- prewarmResult) {
 	prewarmer := p.prewarming.prewarmer
 	instances := p.registry.Instances()
@@ -112,7 +112,7 @@
 	}
 }
 
-// openAhead opens one connection if a slot is free, and reports whether it did.
+// openAhead opens one connection if a slot is free, and reports whether the connection is open.
 func (p *Pool) openAhead(ctx context.Context, name string, instance endpoints.Instance) bool {
 	if p.connectionSlots.Waiting(p.service) > 0 || !p.connectionSlots.TryAcquire(p.service, 1) {
 		return false
--- a/internal/upstream/remainder.go
+++ b/internal/upstream/remainder.go
@@ -12,21 +12,22 @@
 	"orchiddrift/balancer"
 )
 
-// Sizes of response bodies, in bytes.
+// Sizes of bodies, in bytes.
 const (
-	// maxBufferedAnswer is read completely before any of it is forwarded.
-	maxBufferedAnswer = 64 << 10
-	// MaxPassThroughBytes is the most that a response may announce; a longer one counts as malformed.
+	// maxBufferedBodyBytes is the longest response body that is read completely before any of it is forwarded. A longer request body is
+	// written while the response is read.
+	maxBufferedBodyBytes = 64 << 10
+	// MaxPassThroughBytes is the longest response body that is passed through; a response with a longer one counts as malformed.
 	MaxPassThroughBytes = 64 << 20
-	// firstPartBytes of a longer body are read before it is forwarded, at most.
+	// firstPartBytes is the most that is read of a longer body of known length before it is forwarded.
 	firstPartBytes = 16 << 10
 )
 
-// readIdleTimeout is how long an upstream may send nothing of a body that is being forwarded.
+// readIdleTimeout is how long an upstream may send no byte of a body that is being forwarded.
 const readIdleTimeout = 10 * time.Second
 
 // ErrTruncated says that a response ended before it was complete.
-var ErrTruncated = errors.New("the answer is cut")
+var ErrTruncated = errors.New("upstream response truncated")
 
 // Remainder is the rest of a body that is forwarded as it arrives. It is used by one goroutine; End may be called from any.
 type Remainder struct {
@@ -37,15 +38,16 @@
 	reader     *responseReader
 	body       io.Reader
 	ctx        context.Context
-	detach     func() bool // see exchange
-	closeAfter bool        // the connection ends with the response
+	detach     func() bool // see exchange.detach
+	closeAfter bool        // the connection cannot be reused after this response
 	complete   bool        // all of the body has been read
 
 	err   error // of the last Read
 	ended atomic.Bool
 }
 
-// Read reads on. It returns io.EOF at the end of a complete body, and an error that wraps ErrTruncated where the rest cannot be had.
+// Read reads the next bytes of the body. It returns io.EOF at the end of a complete body, and an error that wraps ErrTruncated if the rest
+// cannot be read.
 func (r *Remainder) Read(p []byte) (int, error) {
 	if r.err != nil {
 		return 0, r.err
@@ -53,7 +55,7 @@
 	if err := r.conn.SetReadDeadline(time.Now().Add(readIdleTimeout)); err != nil {
 		return 0, r.fail(err)
 	}
-	if r.ctx.Err() != nil { // checked after the deadline was set, which a cancellation sets too where the connection is encrypted
+	if r.ctx.Err() != nil { // checked after the deadline is set, since a cancellation sets it too on an encrypted connection
 		return 0, r.fail(context.Cause(r.ctx))
 	}
 	n, err := r.body.Read(p)
@@ -69,16 +71,17 @@
 	return 0, r.err
 }
 
-// fail notes why the rest cannot be had.
+// fail records why the rest of the body cannot be read, and returns the error of all further Reads.
 func (r *Remainder) fail(cause error) error {
 	r.err = fmt.Errorf("%w: %w", ErrTruncated, cause)
 	return r.err
 }
 
-// Buffered is how many bytes can be read without waiting.
+// Buffered returns the number of bytes that can be read without waiting.
 func (r *Remainder) Buffered() int { return r.reader.Buffered() }
 
-// Result is how the attempt ended, once reading has: reset where the upstream broke off, cancelled where nobody read to the end.
+// Result returns how the attempt ended. It is called once reading has ended: the result is Reset if the upstream closed the connection
+// early, and Cancelled if nobody read the body to its end.
 func (r *Remainder) Result() balancer.Result {
 	switch {
 	case r.complete:
@@ -104,21 +107,21 @@
 	}
 }
 
-// readFirstPart reads the beginning of a body that is forwarded as it arrives: one longer than maxBufferedAnswer, or of unknown length.
-// A nil Remainder says that first is the complete body.
+// readFirstPart reads the beginning of a body that is forwarded as it arrives: one longer than maxBufferedBodyBytes, or of unknown
+// length. A nil Remainder says that first is the complete body.
 func (x *exchange) readFirstPart(message *http.Response) (first []byte, remainder *Remainder, err error) {
 	if message.ContentLength >= 0 {
 		x.reader.limit.remaining = int(message.ContentLength) + x.reader.Size()
 		first = make([]byte, firstPartBytes)
-		n, err := io.ReadAtLeast(message.Body, first, 1) // a head alone is not yet an answer
+		n, err := io.ReadAtLeast(message.Body, first, 1) // a response counts as begun only once its body has begun
 		if err != nil {
 			return nil, nil, err
 		}
 		first = first[:n]
 	} else {
 		x.reader.limit.remaining = withChunkOverhead(MaxPassThroughBytes)
-		first, err = io.ReadAll(io.LimitReader(message.Body, maxBufferedAnswer+1))
-		if err != nil || len(first) <= maxBufferedAnswer {
+		first, err = io.ReadAll(io.LimitReader(message.Body, maxBufferedBodyBytes+1))
+		if err != nil || len(first) <= maxBufferedBodyBytes {
 			return first, nil, err
 		}
 	}
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -10,35 +10,35 @@
 	"orchiddrift/internal/httpheader"
 )
 
-// Request is what goes to an upstream. Each attempt writes the same bytes, except for the time that is left.
+// Request is a request to an upstream. Each attempt writes the same bytes, except for the timeout header.
 type Request struct {
-	head   []byte // request line and headers, without those of the attempt
+	head   []byte // request line and headers, without the timeout header of an attempt
 	body   []byte
 	isHead bool // the method is HEAD: the response has no body
-	// Upload brings the part of the body behind body; nil: there is none.
+	// Upload is the part of the body that follows the field body; nil: body is the complete body.
 	Upload *Upload
 	// Gate is entered before the first byte of each attempt is written; nil: attempts are always allowed.
 	Gate Gate
-	// Written is called once the last byte of an attempt has been written; nil: nothing is.
+	// Written is called once the last byte of an attempt has been written; nil: it is not called.
 	Written func()
-	// CompleteOnly makes each response be read completely, up to Options.MaxAnswerBytes. Otherwise the body of a long response is left
-	// to be read from Response.Remainder.
+	// CompleteOnly requests that each response is read completely, up to Options.MaxAnswerBytes. Otherwise the rest of a long response's
+	// body is read from Response.Remainder.
 	CompleteOnly bool
 }
 
-// Gate allows attempts to begin while it is open. Whoever closes it may wait for the writes that have entered.
+// Gate allows attempts to begin while it is open. After closing it, its owner can wait for the writes that have entered.
 type Gate interface {
 	// Enter returns false if the gate is closed; nothing may be written then.
 	Enter() bool
-	// Leave ends what Enter allowed: the first bytes have been written.
+	// Leave is called after a successful Enter, once the first bytes have been written or their write has failed.
 	Leave()
 }
 
-// rewrittenHeaders are not copied: they are written from the fields of a Request.
+// rewrittenHeaders are not copied from the client's request: they are written from the parameters of the new one, or left out.
 var rewrittenHeaders = []string{"Host", "Content-Length", "Transfer-Encoding", "Trailer", "Expect", httpheader.Timeout}
 
-// NewRequest keeps method, target and body byte for byte. The caller passes the end-to-end headers only (httpheader.EndToEnd). All values
-// come from a request that a server has parsed, so none of them contains a line end.
+// NewRequest returns a request that keeps method, target and body byte for byte. The caller passes the end-to-end headers only
+// (httpheader.EndToEnd). All values come from a request that a server has parsed, so none of them contains a line break.
 func NewRequest(method, target, host string, header http.Header, body []byte) *Request {
 	const expectedHeadBytes = 512
 	head := make([]byte, 0, expectedHeadBytes)
@@ -61,7 +61,7 @@
 	return &Request{head: head, body: body, isHead: method == http.MethodHead}
 }
 
-// NewUpload is NewRequest for a body that is forwarded as it arrives; first is the part that has arrived.
+// NewUpload is NewRequest for a body that is forwarded as it arrives; first is the part that has arrived already.
 func NewUpload(method, target, host string, header http.Header, first []byte, rest *Upload) *Request {
 	r := NewRequest(method, target, host, header, nil)
 	if method != http.MethodGet { // NewRequest has written a length of zero
@@ -89,8 +89,8 @@
 	return append(head, "\r\n"...)
 }
 
-// appendTo appends the request as an attempt writes it that ends at deadline (zero: no deadline is sent). A body that is written beside
-// the reading of the response is left out.
+// appendTo appends the bytes of the request for an attempt with the given deadline (zero: no deadline is sent). It leaves out a body that
+// is written while the response is read.
 func (r *Request) appendTo(out []byte, deadline time.Time) []byte {
 	out = append(out, r.head...)
 	if !deadline.IsZero() {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -6,30 +6,30 @@
 	"orchiddrift/balancer"
 )
 
-// Response is how an attempt ended. The fields behind Result are set for balancer.OK only, except BodyConsumed.
+// Response is the outcome of an attempt. The fields after Result are set for balancer.OK only, except BodyConsumed.
 type Response struct {
 	Result balancer.Result
 	Status int
 	Header http.Header
 	Body   []byte
-	// ReservedBytes are held of Options.AnswerBytes; the owner of the Response returns them by Pool.Free.
+	// ReservedBytes are reserved of Options.AnswerBytes; the owner of the Response releases them with Pool.Free.
 	ReservedBytes int64
-	// Remainder is what follows Body; its owner calls End. nil: Body is complete.
+	// Remainder is the part of the body that follows Body; its owner calls End. nil: Body is complete.
 	Remainder *Remainder
 	// BodyConsumed reports that the request's body cannot be sent again.
 	BodyConsumed bool
 }
 
-// Free returns the bytes that a Response has reserved.
+// Free releases the bytes that a Response has reserved.
 func (p *Pool) Free(r Response) {
 	if r.ReservedBytes > 0 {
 		p.answerBytes.Release(p.service, r.ReservedBytes)
 	}
 }
 
-// reserveAnswer reserves the bytes of a response's body: its length, or the most that it may have where none is given. It returns false
-// if they are not available.
-func (p *Pool) reserveAnswer(message *http.Response) (reserved int64, ok bool) {
+// reserveBody reserves the bytes of a response's body: its length, or the most that it may have if the length is unknown. It returns
+// false if they are not available.
+func (p *Pool) reserveBody(message *http.Response) (reserved int64, ok bool) {
 	length := message.ContentLength
 	if length < 0 {
 		length = int64(p.maxAnswerBytes)
@@ -37,7 +37,7 @@
 	return p.reserve(length)
 }
 
-// reserve takes bytes out of the budget that services share.
+// reserve reserves bytes of the budget that all services share, and reports whether they are available.
 func (p *Pool) reserve(bytes int64) (reserved int64, ok bool) {
 	if p.answerBytes == nil {
 		return 0, true
--- a/internal/upstream/response_reader.go
+++ b/internal/upstream/response_reader.go
@@ -11,15 +11,15 @@
 	"orchiddrift/internal/httpheader"
 )
 
-// maxInformational is how many 1xx responses may come ahead of the final one.
+// maxInformational is the maximum number of 1xx responses before the final one.
 const maxInformational = 5
 
-var errTooLarge = errors.New("the answer is too large")
+var errTooLarge = errors.New("upstream response too large")
 
-// headRequest tells net/http that a response has no body.
+// headRequest makes net/http parse a response to a HEAD request, which has no body.
 var headRequest = &http.Request{Method: http.MethodHead}
 
-// responseReader reads one response, and never more bytes than a response may have.
+// responseReader reads one response, and never more bytes than its limit allows.
 type responseReader struct {
 	*bufio.Reader
 	limit limitedReader
@@ -74,7 +74,7 @@
 	return nil, errTooLarge
 }
 
-// body reads a body to its end; maxBytes bounds one of unknown length.
+// body reads a body to its end; maxBytes bounds a body of unknown length.
 func (r *responseReader) body(message *http.Response, maxBytes int) ([]byte, error) {
 	r.limit.remaining = withChunkOverhead(maxBytes) + httpheader.MaxBytes
 	if message.ContentLength >= 0 {
@@ -89,11 +89,11 @@
 	return body, err
 }
 
-// withChunkOverhead is how many bytes a body of so many may take on the connection: chunks have headers of their own.
+// withChunkOverhead returns the maximum size on the connection of a body with so many bytes: chunked encoding adds a size line to each chunk.
 func withChunkOverhead(bytes int) int { return bytes + bytes/4 }
 
-// failure is the result where no complete response could be read: the request may have run. An upstream that sends what cannot be parsed
-// is alive.
+// failure returns the result of an attempt whose response could not be read completely: the request may have run. It is Malformed if the
+// connection has not failed, since an upstream that sends an unreadable response is alive.
 func (r *responseReader) failure() balancer.Result {
 	if r.limit.broken {
 		return balancer.Reset
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -12,64 +12,64 @@
 )
 
 const (
-	// uploadPieceBytes of a body are read before they are written, at most.
+	// uploadPieceBytes is the most that is read of a body before it is written.
 	uploadPieceBytes = 32 << 10
-	// chunkOverheadBytes is what the size line and the line ends of a chunk may take.
+	// chunkOverheadBytes is the maximum size of the size line and the line ends of a chunk.
 	chunkOverheadBytes = 32
-	// writeIdleTimeout is how long an upstream may take none of a body.
+	// writeIdleTimeout is how long an upstream may accept no byte of a body.
 	writeIdleTimeout = readIdleTimeout
-	// lastChunk ends a chunked body: its first line tells the upstream that nothing more of the body follows.
+	// lastChunk ends a chunked body. Its first line, lastChunkSize, tells the upstream that the body is complete.
 	lastChunk     = "0\r\n\r\n"
 	lastChunkSize = "0\r\n"
 )
 
 var errUploadStopped = errors.New("the upload was stopped")
 
-// Upload is the part of a request's body that is forwarded as it arrives, behind Request.body. It can be read once: an attempt that ends
-// before it has taken any of it leaves all of it to the next attempt. Its owner calls End.
+// Upload is the part of a request's body that is forwarded as it arrives, after Request.body. It can be read once: an attempt that ends
+// before it has taken any byte of it leaves all of it to the next attempt. Its owner calls End.
 type Upload struct {
 	Body    io.Reader
 	Length  int64         // of the whole body, in bytes; -1: unknown, the body is forwarded in chunks
-	Timeout time.Duration // how long the client waits after the last byte of its body
-	// Interrupt makes a Read of Body return that is waiting. End calls it.
+	Timeout time.Duration // how long the client waits for a response after the last byte of its body
+	// Interrupt makes a pending Read of Body return. End calls it.
 	Interrupt func()
-	// Done is called once the last byte has been written; nil: nothing is.
+	// Done is called once the last byte has been written; nil: it is not called.
 	Done func()
 
 	pump    *bodyPump
-	started atomic.Bool // some of Body was taken: it cannot be had again
-	broken  atomic.Bool // the client broke off: no attempt can be complete
+	started atomic.Bool // an attempt has taken a part of Body, which cannot be read again
+	broken  atomic.Bool // the client aborted the body: no attempt can send a complete request
 }
 
-// Drain reads and drops the rest of the body, until it ends or Body fails, so that a client that is still writing can read an early
-// response. Nothing may be sent after it.
+// Drain reads and discards the rest of the body, until it ends or Body fails, so that a client that is still writing can read an early
+// response. No attempt may be made after it.
 func (u *Upload) Drain() { u.pump.drain() }
 
-// End ends the reading. Body is not read any more once it returns. It may be called more than once.
+// End ends the reading of Body: once it returns, Body is no longer read. It may be called more than once.
 func (u *Upload) End() { u.pump.end(u.Interrupt) }
 
-// Consumed reports whether the body cannot be had again.
+// Consumed reports whether the body cannot be sent by another attempt.
 func (u *Upload) Consumed() bool { return u.started.Load() || u.broken.Load() }
 
-// Broken reports whether the client broke off.
+// Broken reports whether the client aborted the body.
 func (u *Upload) Broken() bool { return u.broken.Load() }
 
-// streamsBody reports whether the body is written beside the reading of the response.
-func (r *Request) streamsBody() bool { return r.Upload != nil || len(r.body) > maxBufferedAnswer }
+// streamsBody reports whether the body is written while the response is read.
+func (r *Request) streamsBody() bool { return r.Upload != nil || len(r.body) > maxBufferedBodyBytes }
 
-// uploadWriter writes a long body on a goroutine of its own while the response is read: an upstream may reject a request before it has
-// read all of it, and then reads no more. It is ended by stop or wait before anything else is done with the connection.
+// uploadWriter writes a long body on its own goroutine while the response is read: an upstream may reject a request before it has read all
+// of it, and then reads no more. Its owner calls stop or wait before it uses the connection for anything else.
 type uploadWriter struct {
 	conn     *pooledConn
 	request  *Request
-	sendBy   time.Time     // the last byte is written before; zero: any time
+	sendBy   time.Time     // time before which the last byte is written; zero: no limit
 	done     chan struct{} // closed once the goroutine has ended
 	complete atomic.Bool   // the last byte may have left this process: see writePiece
 	stopped  atomic.Bool
 	stopping chan struct{} // closed by stop
 }
 
-// startUpload begins to write the head and the body behind it.
+// startUpload begins to write the head and then the body.
 func (r *Request) startUpload(conn *pooledConn, head []byte, sendBy time.Time) *uploadWriter {
 	w := &uploadWriter{conn: conn, request: r, sendBy: sendBy, done: make(chan struct{}), stopping: make(chan struct{})}
 	go w.run(head)
@@ -88,7 +88,7 @@
 		err = w.writeBody()
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) && !w.stopped.Load() {
-		w.conn.closeSocket() // the upstream takes nothing, and may send no response either
+		w.conn.closeSocket() // ends the read of the response too: an upstream that accepts no bytes may not respond either
 	}
 	if !w.complete.Load() {
 		return
@@ -101,7 +101,7 @@
 	}
 }
 
-// lastByteIn returns the end argument of writePiece for a piece that holds the last byte of the request, or does not.
+// lastByteIn returns the end argument of writePiece: last says whether piece ends with the last byte of the request.
 func lastByteIn(piece []byte, last bool) int {
 	if last {
 		return len(piece)
@@ -110,11 +110,11 @@
 }
 
 // writePiece writes a part of the request. end is the number of its bytes after which the upstream knows that the request is complete;
-// 0: more follows. Whether the request may have been received completely is decided as the write of that byte begins, and taken back only
-// if the count that the write returns shows that the byte was not taken: an upstream can run the request, respond and close before the
-// write returns here.
+// 0: more follows. The request counts as complete as soon as the write of that byte begins, since an upstream can run the request, respond
+// and close the connection before the write returns here. This is undone only if the count that the write returns shows that the system
+// did not accept the byte.
 func (w *uploadWriter) writePiece(piece []byte, end int) error {
-	for len(piece) > 0 { // an upstream that takes some of it gets more time
+	for len(piece) > 0 { // progress extends the deadline
 		deadline := time.Now().Add(writeIdleTimeout)
 		if !w.sendBy.IsZero() && w.sendBy.Before(deadline) {
 			deadline = w.sendBy
@@ -122,7 +122,7 @@
 		if err := w.conn.SetWriteDeadline(deadline); err != nil {
 			return err
 		}
-		if w.stopped.Load() { // checked after the deadline was set, which stop sets too
+		if w.stopped.Load() { // checked after the deadline is set, since stop sets the deadline too
 			return errUploadStopped
 		}
 		part := piece[:min(len(piece), uploadPieceBytes)]
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// writeBody writes the body: what is at hand, then what arrives.
+// writeBody writes the body: first the part in memory, then the rest as it arrives.
 func (w *uploadWriter) writeBody() error {
 	upload := w.request.Upload
 	if upload == nil {
@@ -162,7 +162,7 @@
 func (w *uploadWriter) forwardUpload(upload *Upload, framer *bodyFramer) error {
 	for again := false; ; again = true {
 		piece, err := upload.pump.next(upload.Body, again, w.stopping)
-		if w.complete.Load() { // the source was read once more for its end alone
+		if w.complete.Load() { // all bytes are written: this read was only for the end of the source
 			return nil
 		}
 		if err == nil {
@@ -175,19 +175,19 @@
 		if err == io.EOF && framer.chunked {
 			return w.writePiece([]byte(lastChunk), len(lastChunkSize))
 		}
-		if err != errUploadStopped && err != errBodyUnwanted { // the client broke off
+		if err != errUploadStopped && err != errBodyPumpEnded { // the client aborted the body
 			upload.broken.Store(true)
-			w.conn.closeSocket() // the reader of the response waits for nothing more
+			w.conn.closeSocket() // ends the read of the response: the upstream will never have a complete request
 		}
 		return err
 	}
 }
 
-// bodyFramer writes pieces of a body with a known length, or as chunks.
+// bodyFramer writes the pieces of a body: unchanged if the body's length is known, or else as chunks.
 type bodyFramer struct {
 	writer    *uploadWriter
 	chunked   bool
-	remaining int64  // bytes of a body with a known length
+	remaining int64  // bytes still to be written of a body with a known length
 	chunk     []byte // buffer
 }
 
@@ -214,20 +214,20 @@
 	select {
 	case <-w.done:
 	default:
-		_ = w.conn.SetWriteDeadline(past) // the connection may be closed already
+		_ = w.conn.SetWriteDeadline(expiredDeadline) // the connection may be closed already
 		<-w.done
 	}
 	return w.complete.Load()
 }
 
-// wait waits until the body is written or cannot be. It reports what stop does.
+// wait waits until the body has been written or its write has failed. Like stop it reports whether the last byte may have left this process.
 func (w *uploadWriter) wait() bool {
 	<-w.done
 	return w.complete.Load()
 }
 
-// notSentResponse is the end of an attempt whose last byte was never written and to which nothing came back: the upstream has not begun
-// it. Where the client broke off, that says nothing of the upstream.
+// notSentResponse returns the Response of an attempt whose last byte was never written and that got no byte of a response: the upstream has
+// not begun the request. If the client aborted the body, the result says nothing about the upstream.
 func (r *Request) notSentResponse(result balancer.Result) Response {
 	if r.Upload == nil {
 		return Response{Result: result}
--- a/internal/upstream/write_count.go
+++ b/internal/upstream/write_count.go
@@ -5,12 +5,12 @@
 	"sync/atomic"
 )
 
-// That an upstream cannot have received a complete request is proved only by the number of bytes that the system has taken, and by
-// nothing that is learnt later: the upstream may run the request before the write returns.
+// Only the number of bytes that the operating system has accepted can prove that an upstream did not receive a complete request. Nothing that
+// happens later can: the upstream may run the request before the write returns.
 
-// send writes b and returns how much of it may have left this process. An error does not count against bytes that the system has taken.
-// On an encrypted connection the count of crypto/tls leaves out a record whose write failed; that record may have left unless the socket
-// took less than all of it.
+// send writes b and returns how many of its bytes may have left this process. Bytes that the system has accepted count despite an error. On an
+// encrypted connection the count of crypto/tls leaves out a record whose write failed; that record may have left this process unless the
+// socket accepted only a part of it.
 func (c *pooledConn) send(b []byte) (sent int, err error) {
 	if c.tlsConn == nil {
 		return c.Write(b)
@@ -23,8 +23,8 @@
 	return n, err
 }
 
-// countingConn is a socket that notes whether its last write was taken completely. crypto/tls writes from more than one goroutine: a
-// write of another one may make a request count as possibly sent, which is the safe side.
+// countingConn is a socket that records whether its last write was accepted completely. crypto/tls writes from more than one goroutine: a
+// write by another goroutine can make a request count as possibly sent, which is the safe direction.
 type countingConn struct {
 	net.Conn
 	wroteAll atomic.Bool
