--- a/internal/upstream/remainder.go
+++ b/internal/upstream/remainder.go
@@ -31,7 +31,7 @@
 
 // Remainder is the rest of a body that is forwarded as it arrives. It is used by one goroutine; End may be called from any.
 type Remainder struct {
-	Length int64 // of the whole body, in bytes; -1: unknown
+	Length int64 // length of the complete body in bytes; -1: unknown
 
 	pool       *Pool
 	conn       *pooledConn
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -29,7 +29,7 @@
 // before it has taken any byte of it leaves all of it to the next attempt. Its owner calls End.
 type Upload struct {
 	Body    io.Reader
-	Length  int64         // of the whole body, in bytes; -1: unknown, the body is forwarded in chunks
+	Length  int64         // length of the complete body in bytes; -1: unknown, the body is forwarded in chunks
 	Timeout time.Duration // how long the client waits for a response after the last byte of its body
 	// Interrupt makes a pending Read of Body return. End calls it.
 	Interrupt func()
