--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -13,8 +13,8 @@
 	"orchiddrift/internal/server/downstream"
 )
 
-// awaitAdmission makes a request wait until it is admitted, if its service queues requests. rejected is the final answer of a request that
-// is not: nothing of it was sent.
+// awaitAdmission waits until the service's admission queue, if there is one, admits the request. rejected is the final answer to a request
+// that is not admitted; nothing of such a request was sent.
 func (s *server) awaitAdmission(r *http.Request, service *service, req *downstream.Request, startedAt time.Duration,
 	bodyBytes int) (permit controller.Permit, rejected *engine.Answer) {
 	queue := service.admission.Load()
@@ -40,18 +40,18 @@
 	return permit, nil
 }
 
-// fingerprint distinguishes requests by method, target and key, which a client's retry repeats.
+// fingerprint identifies a request by method, target and idempotency key, which are the same in a client's retry.
 func fingerprint(req *downstream.Request) uint64 {
 	var h xxhash.Digest
 	h.Reset()
 	for _, part := range [3]string{req.Method, req.Target, req.IdempotencyKey} {
-		_, _ = h.WriteString(part) // it never fails
+		_, _ = h.WriteString(part) // a write to a hash never fails
 		_, _ = h.WriteString("\x00")
 	}
 	return h.Sum64()
 }
 
-// clientOf is what is known of a request's sender.
+// clientOf describes the sender of a request to the admission queue.
 func clientOf(r *http.Request, tenant string) admission.Client {
 	return admission.Client{
 		Tenant:      tenant,
@@ -63,13 +63,13 @@
 
 func peerAddress(r *http.Request) netip.Addr {
 	address, err := netip.ParseAddrPort(r.RemoteAddr)
-	if err != nil { // net/http writes it
+	if err != nil { // cannot happen: net/http sets RemoteAddr
 		return netip.Addr{}
 	}
 	return address.Addr()
 }
 
-// certificateName is the name in a client's certificate: its first URI, else its first DNS name, else its common name.
+// certificateName returns the name in a client's certificate: its first URI, else its first DNS name, else its common name.
 func certificateName(r *http.Request) string {
 	if r.TLS == nil || len(r.TLS.PeerCertificates) == 0 {
 		return ""
--- a/internal/daemon/body.go
+++ b/internal/daemon/body.go
@@ -15,35 +15,36 @@
 )
 
 const (
-	// alwaysBufferedBytes of a body are read before it is decided on, whatever else is in flight.
+	// alwaysBufferedBytes of each body are read before the request is forwarded, whatever other bodies take.
 	alwaysBufferedBytes = 64 << 10
-	// Longer bodies are buffered as long as all of them together take at most a spoolMemoryFraction-th of the memory limit, and each at most
-	// a maxSpoolFraction-th of that.
+	// Longer bodies are buffered in a spool of 1/spoolMemoryFraction of the memory limit. A body that need not be complete is streamed once
+	// it takes more than 1/maxSpoolFraction of the spool.
 	spoolMemoryFraction = 8
 	maxSpoolFraction    = 4
-	// minClientRate is how fast a client has to send its body, in bytes a second.
+	// minClientRate is the lowest rate at which a client may send its body, in bytes per second.
 	minClientRate = 32 << 10
-	// uploadSlack is what upstreams may add to the time that a body takes.
+	// uploadSlack is added to the deadline of a streamed request, beyond the time that its body may take.
 	uploadSlack = time.Minute
 	// Sizes of the first buffer of a body, in bytes.
 	minBodyBuffer = 512
 	maxBodyBuffer = 4 << 10
 )
 
-// past is a deadline that interrupts a read at once.
-var past = time.Unix(1, 0)
+// expiredDeadline is a deadline in the past, which interrupts a read at once.
+var expiredDeadline = time.Unix(1, 0)
 
 var errBodyTooLarge = errors.New("the body is too large")
 
-// clientBody reads a client's body. The client has timeLeft, which grows with each byte by minClientRate; time between reads does not count.
+// clientBody reads a client's body, which has to arrive at minClientRate or faster. Reads use up timeLeft, and each byte that arrives extends
+// it; time between reads does not count.
 type clientBody struct {
 	body        io.Reader
-	conn        *http.ResponseController
+	controller  *http.ResponseController
 	timeLeft    time.Duration
-	bytesLeft   int64       // that may still arrive
+	bytesLeft   int64       // may still arrive; below 0, the body is too large
 	failure     error       // why the body cannot be read completely
-	started     bool        // something was read: net/http has written 100 Continue if it was due
-	onRead      func(n int) // is called after each read
+	started     bool        // a read has begun; net/http writes 100 Continue, if it is due, in the first one
+	onRead      func(n int) // called after each read
 	interruptAt atomic.Pointer[time.Time]
 }
 
@@ -54,13 +55,13 @@
 	}
 	startedAt := time.Now()
 	deadline := startedAt.Add(b.timeLeft)
-	_ = b.conn.SetReadDeadline(deadline) // it cannot fail on a server's own connections; if it did, the read would show it
+	_ = b.controller.SetReadDeadline(deadline) // cannot fail on a server's connection; if it did, the read would fail too
 	if !b.started {
 		b.started = true
-		_ = b.conn.SetWriteDeadline(deadline)
+		_ = b.controller.SetWriteDeadline(deadline)
 	}
-	if at := b.interruptAt.Load(); at != nil && at.Before(deadline) { // checked after the deadline was set, which interruptBy sets too
-		_ = b.conn.SetReadDeadline(*at)
+	if at := b.interruptAt.Load(); at != nil && at.Before(deadline) { // checked after the deadline is set, which may replace interruptBy's
+		_ = b.controller.SetReadDeadline(*at)
 	}
 	n, err := b.body.Read(p)
 	b.timeLeft += time.Duration(n)*time.Second/minClientRate - time.Since(startedAt)
@@ -75,16 +76,16 @@
 	return n, err
 }
 
-// interruptBy ends reads at a time, including one that is waiting.
+// interruptBy makes reads fail at time t at the latest, including one in progress.
 func (b *clientBody) interruptBy(t time.Time) {
 	b.interruptAt.Store(&t)
-	_ = b.conn.SetReadDeadline(t) // see Read
+	_ = b.controller.SetReadDeadline(t) // see Read
 }
 
-// interrupt makes a Read return that is waiting.
-func (b *clientBody) interrupt() { b.interruptBy(past) }
+// interrupt makes reads fail at once, including one in progress.
+func (b *clientBody) interrupt() { b.interruptBy(expiredDeadline) }
 
-// bodyRejection is the answer to a request whose body could not be read.
+// bodyRejection returns the answer to a request whose body could not be read.
 func bodyRejection(err error) *downstream.Rejection {
 	switch {
 	case errors.Is(err, errBodyTooLarge):
@@ -95,14 +96,15 @@
 	return &downstream.Rejection{Status: http.StatusBadRequest, Text: fmt.Sprintf("reading the body: %v", err)}
 }
 
-// readBody reads the request's body: completely, or if that takes too much memory and complete is not asked for, its beginning. Memory is
-// taken as the body arrives, since the head may be all that does.
+// readBody reads the request's body. Of a body that would take too much memory it reads the beginning, and leaves the rest to be streamed;
+// if complete is set, it rejects a body for which the spool has no space. Memory is allocated as the body arrives, since some clients send
+// no more than the head.
 func (c *clientRequest) readBody(req *downstream.Request, timeout time.Duration, complete bool) *downstream.Rejection {
 	length := c.r.ContentLength
 	if length == 0 {
 		return nil
 	}
-	c.bodyReader = &clientBody{body: c.r.Body, conn: http.NewResponseController(c.w), timeLeft: timeout, bytesLeft: req.Route.MaxBody,
+	c.bodyReader = &clientBody{body: c.r.Body, controller: http.NewResponseController(c.w), timeLeft: timeout, bytesLeft: req.Route.MaxBody,
 		onRead: c.daemon.shared.yieldAfter}
 	c.body = make([]byte, 0, min(max(length, minBodyBuffer), maxBodyBuffer))
 	for {
@@ -117,7 +119,7 @@
 		c.body = c.body[:len(c.body)+n]
 		switch {
 		case err == io.EOF, err == nil && length > 0 && int64(len(c.body)) == length:
-			_ = c.bodyReader.conn.SetReadDeadline(time.Time{})
+			_ = c.bodyReader.controller.SetReadDeadline(time.Time{})
 			return nil
 		case err != nil:
 			return bodyRejection(err)
@@ -125,7 +127,7 @@
 	}
 }
 
-// makeSpace grows the buffer of a body. It returns false if the rest of the body has to be streamed or rejected.
+// makeSpace grows the body's buffer. It returns false if the rest of the body has to be streamed or rejected.
 func (c *clientRequest) makeSpace(length int64, complete bool) bool {
 	buffered := int64(len(c.body))
 	limit := c.daemon.shared.spoolSize / maxSpoolFraction
@@ -135,7 +137,7 @@
 	return c.growBody(length)
 }
 
-// growBody doubles the buffer, up to the body's length, or -1 if that is unknown. It returns false if the spool is full.
+// growBody doubles the buffer, up to length, the length of the body (-1: unknown). It returns false if the spool is full.
 func (c *clientRequest) growBody(length int64) bool {
 	size := int64(cap(c.body))
 	grown := 2 * size
@@ -155,7 +157,7 @@
 	return true
 }
 
-// releaseSpool gives back what the body holds of the spool.
+// releaseSpool returns the body's bytes to the spool.
 func (c *clientRequest) releaseSpool() {
 	if c.spooled > 0 {
 		c.daemon.shared.bodySpool.Release(c.spooled)
@@ -163,7 +165,8 @@
 	}
 }
 
-// upload makes the request that forwards the rest of the body as it arrives, and extends the deadline of its call.
+// upload creates the upstream request that streams the rest of the body as it arrives. It extends the deadline of the call by the longest
+// time that the body may take.
 func (c *clientRequest) upload(req *downstream.Request, call *engine.Call) *upstream.Request {
 	length := c.r.ContentLength
 	maxLength := length
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -7,14 +7,14 @@
 	"orchiddrift/internal/server/control"
 )
 
-// Methods of the operators' calls, as the Allow header names them.
+// Values of the Allow header in answers to operators.
 const (
 	allowRead  = "GET, HEAD"
 	allowWrite = "POST"
 )
 
-// handleControl answers an operator's call. It waits for no traffic: metrics are counters, and the engine's lock is held for one decision at
-// a time.
+// handleControl answers an operator's request. It never waits for client traffic: metrics are counters, and the engine's lock is held for
+// one decision at a time.
 func (d *daemon) handleControl(c control.Call) control.Answer {
 	read := c.Method == http.MethodGet || c.Method == http.MethodHead
 	write := c.Method == http.MethodPost
@@ -50,6 +50,7 @@
 	return control.Answer{Status: http.StatusMethodNotAllowed, Allow: allow, Body: "asked for with " + allow}
 }
 
+// yesOrNo answers 200 with the text yes, or 503 with the text no.
 func yesOrNo(ok bool, yes, no string) control.Answer {
 	if ok {
 		return control.Answer{Status: http.StatusOK, Body: yes}
@@ -57,7 +58,7 @@
 	return control.Answer{Status: http.StatusServiceUnavailable, Body: no}
 }
 
-// notReadyReason says what keeps the process from serving.
+// notReadyReason returns why the process does not serve.
 func (d *daemon) notReadyReason() string {
 	switch {
 	case d.lifecycle.stopping.Load():
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -33,16 +33,16 @@
 	clientIdleTimeout = 30 * time.Second
 	// fileLockTimeout is how long a reload, or a successor whose predecessor runs, waits for a file that another process has locked.
 	fileLockTimeout = time.Second
-	// finalWriteTimeout is how long responses to requests that have just been failed may take to be written.
+	// finalWriteTimeout is how long a process that ends waits until its last answers are written.
 	finalWriteTimeout = 100 * time.Millisecond
 )
 
-// daemon is a running daemon.
+// daemon is a running sidecar process.
 type daemon struct {
-	plan      *config.Plan // as it runs: what takes effect at the next start is as it was
+	plan      *config.Plan // the running plan; settings that need a restart have the values of the start
 	limits    config.Limits
 	listener  net.Listener
-	logger    *logging.Logger // nil: the program's default
+	logger    *logging.Logger // nil: the default logger of the process is used
 	log       *slog.Logger
 	shared    *sharedResources
 	routing   atomic.Pointer[routing]
@@ -50,21 +50,21 @@
 	lifecycle *lifecycleDriver
 	upgrade   *upgrade
 
-	credentials     atomic.Pointer[tlscredentials.Store] // of the clients' listener; nil: not encrypted
+	credentials     atomic.Pointer[tlscredentials.Store] // of the clients' listener; nil: TLS is off
 	tlsConfig       atomic.Pointer[tls.Config]
 	stopCredentials context.CancelFunc
 
 	background      context.Context // of backgroundTasks; ends with the daemon
 	backgroundTasks sync.WaitGroup
 
-	reloadMu         sync.Mutex // of plan, retiringServices, the shares and ended
-	ended            bool       // no plan is applied any more
+	reloadMu         sync.Mutex // guards plan, retiringServices, the shares and ended
+	ended            bool       // no further plan is applied
 	retiringServices map[*service]bool
-	retirements      sync.WaitGroup // services that only finish what they have
+	retirements      sync.WaitGroup // waits until the retiring services are closed
 }
 
-// Run serves as the files say until ctx ends, then finishes what it has accepted. Whenever reload delivers a signal it reads the files
-// again, see followReloads.
+// Run serves as the configuration files say until ctx ends, then finishes the requests that it has accepted. Each signal on reload makes
+// it read the files again, see followReloads.
 func Run(ctx context.Context, files config.Sources, reload <-chan os.Signal) error {
 	p, err := config.LoadPlan(files)
 	if err != nil {
@@ -72,26 +72,26 @@
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Limits.Cores))))
 	LimitMemory(p)
-	listener, from, err := takeOver(p, handoverFolder())
+	listener, received, err := takeOver(p, handoverFolder())
 	if err != nil {
 		slog.Warn("hand-over: the address is opened beside the process that has it", "reason", err)
 	}
 	if listener == nil {
 		if listener, err = listen(p.Listen); err != nil {
-			return fmt.Errorf("listening: %w", err)
+			return fmt.Errorf("listening for clients: %w", err)
 		}
 	}
-	return serve(ctx, p, listener, from, files, reload, func(*daemon) {})
+	return serve(ctx, p, listener, received, files, reload, func(*daemon) {})
 }
 
-// Serve is ServePlan for the platform's file alone, which path names.
+// Serve is ServePlan for the platform's configuration c. Reloads read it from the file at path.
 func Serve(ctx context.Context, c *config.Config, listener net.Listener, path string, reload <-chan os.Signal,
 	observe func(*engine.Engine)) error {
 	return ServePlan(ctx, c.Plan(), listener, config.Sources{Config: path}, reload, observe)
 }
 
-// ServePlan is Run with a plan and a listener, which it closes. If observe is not nil it is called with the first service's engine before
-// the first request.
+// ServePlan is Run for a plan that has been loaded and a listener that is open. It closes the listener. If observe is not nil, it is called
+// with the first service's engine before the first request.
 func ServePlan(ctx context.Context, p *config.Plan, listener net.Listener, files config.Sources, reload <-chan os.Signal,
 	observe func(*engine.Engine)) error {
 	return serve(ctx, p, listener, nil, files, reload, func(d *daemon) {
@@ -101,9 +101,10 @@
 	})
 }
 
-// serve runs a daemon from its start to its end. from is what a predecessor has handed over; nil: there is none.
-func serve(ctx context.Context, p *config.Plan, listener net.Listener, from *inheritance, files config.Sources, reload <-chan os.Signal,
-	started func(*daemon)) error {
+// serve runs a daemon until the process ends. received is the hand-over from a predecessor; nil: there is none. started is called once the
+// services have been started.
+func serve(ctx context.Context, p *config.Plan, listener net.Listener, received *receivedHandover, files config.Sources,
+	reload <-chan os.Signal, started func(*daemon)) error {
 	defer listener.Close()
 	background, stop := context.WithCancel(context.Background())
 	d := &daemon{plan: p, limits: p.Limits, listener: listener, log: slog.Default(), background: background,
@@ -115,15 +116,15 @@
 		return err
 	}
 	defer d.endServices()
-	if err := d.startServices(ctx, from != nil); err != nil {
+	if err := d.startServices(ctx, received != nil); err != nil {
 		if ctx.Err() != nil {
-			return nil // it was ended before it had started
+			return nil // ended during the start
 		}
 		return err
 	}
 	started(d)
 	server, connections := d.newServer(p)
-	closeControl, err := d.startControl(p, from)
+	closeControl, err := d.startControl(p, received)
 	if err != nil {
 		return err
 	}
@@ -145,7 +146,7 @@
 	return d.runUntilEnd(ctx, server, served, registered)
 }
 
-// startLogging opens the operator's log, if the plan has one.
+// startLogging starts the logger that the operator's file configures, if the plan has such a file.
 func (d *daemon) startLogging() {
 	if d.plan.File != nil {
 		d.logger = logging.New(os.Stderr, d.plan.Log)
@@ -157,8 +158,8 @@
 	}
 }
 
-// startServices applies the first plan. A process without a predecessor waits for locked files until ctx ends; a predecessor keeps its
-// files locked for as long as it runs.
+// startServices applies the first plan. A process without a predecessor waits long for locked files, unless ctx ends. With a predecessor
+// that would not help: the predecessor keeps its files locked for as long as it runs.
 func (d *daemon) startServices(ctx context.Context, hasPredecessor bool) error {
 	if !hasPredecessor {
 		d.shared.filesCtx, d.shared.fileLockTimeout = ctx, executor.StartTimeout
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// newServer makes the HTTP server and the listener of its clients, as the first plan p says: a reload may replace d.plan meanwhile.
+// newServer creates the HTTP server and its listener from the first plan p. It does not use d.plan, which a reload may replace meanwhile.
 func (d *daemon) newServer(p *config.Plan) (*http.Server, *downstream.Connections) {
 	var secure *downstream.TLS
 	if p.TLS.Enabled() {
@@ -191,9 +192,9 @@
 	}, connections
 }
 
-// startControl opens the operators' address, if the first plan p has one, and begins the hand-over protocol. A reload may replace d.plan
-// meanwhile.
-func (d *daemon) startControl(p *config.Plan, from *inheritance) (closeControl func(), err error) {
+// startControl listens on the operators' address, if the first plan p has one, and starts the hand-over protocol. It does not use d.plan,
+// which a reload may replace meanwhile.
+func (d *daemon) startControl(p *config.Plan, received *receivedHandover) (closeControl func(), err error) {
 	operators := ""
 	closeControl = func() {}
 	if p.Control != "" {
@@ -203,11 +204,11 @@
 		}
 		closeControl, operators = c.Close, c.Addr().String()
 		d.backgroundTasks.Go(c.Run)
-		if from != nil {
+		if received != nil {
 			d.lifecycle.connections.SetShared(true)
-			d.restore(from)
+			d.restore(received)
 		}
-		d.backgroundTasks.Go(func() { d.runUpgrade(d.background, from, handoverFolder(), d.listener) })
+		d.backgroundTasks.Go(func() { d.runUpgrade(d.background, received, handoverFolder(), d.listener) })
 	}
 	if p.File != nil {
 		d.log.Info("listening", "clients", d.listener.Addr().String(), "operators", operators)
@@ -215,7 +216,7 @@
 	return closeControl, nil
 }
 
-// runUntilEnd serves until ctx ends, and then until everything that was accepted has its answer or has been failed.
+// runUntilEnd serves until ctx ends, and then until every accepted request has been answered or aborted.
 func (d *daemon) runUntilEnd(ctx context.Context, server *http.Server, served <-chan error, registered *registrations) error {
 	finished := make(chan struct{})
 	go func() {
@@ -226,18 +227,19 @@
 	case err := <-served:
 		d.lifecycle.abandon()
 		<-finished
-		return fmt.Errorf("serving: %w", err)
+		return fmt.Errorf("serving clients: %w", err)
 	case <-ctx.Done():
 	}
 	registered.drain()
 	d.lifecycle.stop(d.upgrade.hasSuccessor())
 	<-finished
 	d.lifecycle.awaitConnections(finalWriteTimeout)
-	_ = server.Close() // its listener is closed
+	_ = server.Close() // an error says that its listener has been closed before
 	return nil
 }
 
-// abort ends what is unanswered when the grace is over: what waits in an admission queue is rejected (503), what is in flight fails (502).
+// abort ends the unanswered requests when the grace period is over: those in an admission queue are rejected (503), those in flight fail
+// (502).
 func (d *daemon) abort() {
 	d.shared.abortExecutors()
 	for _, s := range d.routing.Load().services {
@@ -245,8 +247,8 @@
 	}
 }
 
-// endServices ends all services. It waits for a reload in progress, and prevents further ones: they would start services that nobody
-// ends.
+// endServices closes all services. It waits for a reload in progress, and prevents further ones: the services that they start would never
+// be closed.
 func (d *daemon) endServices() {
 	d.reloadMu.Lock()
 	d.ended = true
@@ -263,7 +265,7 @@
 	d.shared.closeExecutors()
 }
 
-// ready reports whether a service has an upstream.
+// ready reports whether at least one service has an upstream that is ready.
 func (d *daemon) ready() bool {
 	for _, s := range d.routing.Load().services {
 		if s.registry.ReadyCount() > 0 {
--- a/internal/daemon/file_test.go
+++ b/internal/daemon/file_test.go
@@ -192,7 +192,7 @@
 	if strings.Contains(said, "body_timeout") || d.plan.Limits != limits || d.routing.Load().bodyTimeout != 7*time.Second {
 		t.Errorf("limits %+v, body time-out %v, said\n%s", d.plan.Limits, d.routing.Load().bodyTimeout, said)
 	}
-	if err := reload("[tls]\ncertificate = \"/c\"\nkey = \"/k\"\n" + text); err == nil || !strings.Contains(err.Error(), "needs a new start") {
+	if err := reload("[tls]\ncertificate = \"/c\"\nkey = \"/k\"\n" + text); err == nil || !strings.Contains(err.Error(), "needs a restart") {
 		t.Errorf("tls is switched on: %v", err)
 	}
 }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -17,10 +17,10 @@
 	"orchiddrift/internal/task/runner"
 )
 
-// taskStream tells the random numbers of tasks from others of the same seed.
+// taskStream separates the random numbers of tasks from those that other parts derive from the same seed.
 const taskStream = "tasks"
 
-// runTasks starts the process's part in the fleet's tasks. Requests never wait for it.
+// runTasks starts the runner of the fleet's tasks, if the operator's file lets this process run any. Requests never wait for it.
 func (d *daemon) runTasks(ctx context.Context, p *config.Plan, file string) error {
 	if p.File == nil || len(p.File.Tasks) == 0 || p.File.Fleet.MaxTasks == 0 {
 		return nil
@@ -28,11 +28,11 @@
 	fleet := &p.File.Fleet
 	executable, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("tasks: %w", err)
+		return fmt.Errorf("tasks: finding the executable of this process: %w", err)
 	}
 	leases, err := raftgroup.NewClient(fleet.Name, raftgroup.DeclaredPeers(fleet))
 	if err != nil {
-		return fmt.Errorf("tasks: %w", err)
+		return fmt.Errorf("tasks: creating the client for leases: %w", err)
 	}
 	d.backgroundTasks.Go(func() {
 		defer leases.Close()
@@ -50,14 +50,14 @@
 			Log:      d.log,
 		})
 		if err != nil {
-			d.log.Error("tasks: this process runs none", "reason", err)
+			d.log.Error("tasks: this process runs no tasks", "reason", err)
 		}
 	})
 	return nil
 }
 
-// joinFleet starts the process's part in the fleet's raft group, if the operator's file gives it one. A failure later, such as a torn file,
-// ends that part alone: requests are served all the same, and none waits for it.
+// joinFleet starts this process's member of the fleet's raft group, if the operator's file declares one. A later failure, such as that of a
+// corrupt file, ends the member alone: requests are served all the same, and none waits for it.
 func (d *daemon) joinFleet(ctx context.Context, p *config.Plan) error {
 	if p.File == nil || p.File.Fleet.Member == "" {
 		return nil
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// memberAddress is where this process listens for the group: its own setting, or else its address in the group.
+// memberAddress returns the address on which this process listens for its group: its listen setting, or else its address in the group.
 func memberAddress(fleet *lease.Declaration) string {
 	address := fleet.Listen
 	for _, m := range fleet.Members {
--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -19,35 +19,36 @@
 	*server
 	w            http.ResponseWriter
 	r            *http.Request
-	cancel       context.CancelFunc // see clientRequest
+	cancel       context.CancelFunc // see clientRequest.cancel
 	service      *service
 	req          downstream.Request
 	id           string
 	endpoint     *graphql.Endpoint
 	gate         *routeGate
 	startedAt    time.Duration
-	media        string // of the answer
-	entries      int
-	entryMetrics *[]metrics.Request // kept if the request is decided anew
+	media        string             // media type of the answer
+	entries      int                // operations in the request
+	entryMetrics *[]metrics.Request // kept if the request is routed again
 }
 
-// serve answers the request. retry: it is to be decided anew, since its route was removed before anything was sent.
-func (c *graphqlCall) serve(body []byte) (retry bool) {
-	asked, problem := c.readOperations(body)
+// serve answers the request. If reroute is true it has not: the route was removed before anything was sent, and the request has to be routed
+// again.
+func (c *graphqlCall) serve(body []byte) (reroute bool) {
+	parsed, problem := c.readOperations(body)
 	if problem != nil {
 		c.rejectProblem(problem)
 		return false
 	}
-	operations, problems := c.decide(&asked)
+	operations, problems := c.decide(&parsed)
 	defer func() {
 		for _, o := range operations {
 			o.release()
-			if !retry {
+			if !reroute {
 				o.metric.Finish(metricOutcome(o.answer.Kind))
 			}
 		}
 	}()
-	if asked.Batch {
+	if parsed.Batch {
 		return c.batch(operations, problems)
 	}
 	if problems[0] != nil {
@@ -64,23 +65,23 @@
 }
 
 // decide classifies the operations. An operation with a problem is not sent.
-func (c *graphqlCall) decide(asked *graphql.Request) (operations []*operation, problems []*graphql.Problem) {
-	c.entries = len(asked.Params)
+func (c *graphqlCall) decide(parsed *graphql.Request) (operations []*operation, problems []*graphql.Problem) {
+	c.entries = len(parsed.Params)
 	header := c.r.Header
-	if asked.Batch { // its headers cannot belong to one operation
+	if parsed.Batch { // the headers of a batch belong to none of its operations alone
 		header = nil
 	}
 	if len(*c.entryMetrics) != c.entries {
 		*c.entryMetrics = make([]metrics.Request, c.entries)
 	}
-	operations, problems = make([]*operation, c.entries), asked.Problems
+	operations, problems = make([]*operation, c.entries), parsed.Problems
 	for i := range operations {
 		o := &operation{call: c, id: c.id, metric: &(*c.entryMetrics)[i]}
-		if asked.Batch {
+		if parsed.Batch {
 			o.id += "." + strconv.Itoa(i)
 		}
 		if problems[i] == nil {
-			o.decision, problems[i] = c.endpoint.Decide(&asked.Params[i], c.r.Method == http.MethodGet, header)
+			o.decision, problems[i] = c.endpoint.Decide(&parsed.Params[i], c.r.Method == http.MethodGet, header)
 		}
 		operations[i] = o
 	}
@@ -119,7 +120,7 @@
 	return graphql.Request{}, &graphql.Problem{Status: status, Code: graphql.CodeRequest, Message: message}
 }
 
-// rejectProblem answers a request that is rejected. Its body has been read, so that the connection can be used again.
+// rejectProblem rejects the request with a problem. The body has been read, so that the connection can be reused.
 func (c *graphqlCall) rejectProblem(p *graphql.Problem) {
 	if p.Allow != "" {
 		c.w.Header().Set("Allow", p.Allow)
@@ -138,12 +139,12 @@
 		c.writeAnswer(c.w, o.answer)
 		return
 	}
-	end := o.end()
+	failure := o.failure()
 	if o.answer.Kind == engine.Rejected {
 		setRetryAfter(c.w.Header(), o.answer.RetryAfter)
 	}
-	if o.answer.Kind == engine.ClientGone { // should the client still be there, it is notified
+	if o.answer.Kind == engine.ClientGone { // a client that is still connected learns that the connection ends
 		c.w.Header().Set("Connection", "close")
 	}
-	c.writeBody(end.status, end.body)
+	c.writeBody(failure.status, failure.body)
 }
--- a/internal/daemon/graphql_batch.go
+++ b/internal/daemon/graphql_batch.go
@@ -14,14 +14,14 @@
 type batchResult struct {
 	outcomes   []graphql.EntryOutcome
 	bodies     [][]byte
-	notSent    int // operations whose route was removed before anything was sent
+	notSent    int // operations of which nothing was sent, since the route was removed
 	started    int // attempts that may have sent something
 	retryAfter time.Duration
-	bytesLeft  int // for further answers
+	bytesLeft  int // that further answers may take
 }
 
-// batch answers several operations in one array, in their order. retry: see serve.
-func (c *graphqlCall) batch(operations []*operation, problems []*graphql.Problem) (retry bool) {
+// batch answers the operations in one array, in their order. For reroute, see serve.
+func (c *graphqlCall) batch(operations []*operation, problems []*graphql.Problem) (reroute bool) {
 	parallel, release := c.acquireParallel(len(operations))
 	defer release()
 	result := &batchResult{outcomes: make([]graphql.EntryOutcome, len(operations)), bodies: make([][]byte, len(operations)),
@@ -43,7 +43,7 @@
 	return false
 }
 
-// operationKinds are the kinds by which a batch is ordered. What could not be parsed might be a mutation.
+// operationKinds returns the kinds by which a batch is ordered. An operation that could not be parsed counts as a mutation.
 func operationKinds(operations []*operation, problems []*graphql.Problem) []graphql.OperationKind {
 	kinds := make([]graphql.OperationKind, len(operations))
 	for i, o := range operations {
@@ -80,7 +80,7 @@
 	}
 }
 
-// add takes the answer of an operation that has ended.
+// add records the answer of an operation that has ended.
 func (r *batchResult) add(i int, o *operation) {
 	if o.notSent {
 		r.notSent++
@@ -92,16 +92,16 @@
 	}
 }
 
-// entry is what stands in the answer for an operation, as long as the answers are not too large.
+// entry returns the outcome of an operation and its element of the answer, which is an error once the answers together are too large.
 func (r *batchResult) entry(o *operation) (graphql.EntryOutcome, []byte) {
 	if o.answer.Kind != engine.Served {
-		end := o.end()
-		r.bytesLeft -= len(end.body)
+		failure := o.failure()
+		r.bytesLeft -= len(failure.body)
 		if r.bytesLeft < 0 {
-			known := &graphql.FailureDetails{MayHaveRun: end.outcome == graphql.MayHaveRun}
-			return end.outcome, graphql.ErrorBody("the batch's answers are too large", graphql.CodeTooLarge, known)
+			details := &graphql.FailureDetails{MayHaveRun: failure.outcome == graphql.MayHaveRun}
+			return failure.outcome, graphql.ErrorBody("the batch's answers are too large", graphql.CodeTooLarge, details)
 		}
-		return end.outcome, end.body
+		return failure.outcome, failure.body
 	}
 	response := o.answer.Value.(*upstream.Response)
 	switch {
@@ -117,7 +117,7 @@
 	return graphql.Answered, response.Body
 }
 
-// joinArray makes a JSON array of bodies.
+// joinArray joins bodies to a JSON array.
 func joinArray(bodies [][]byte) []byte {
 	size := len("[]")
 	for _, body := range bodies {
@@ -133,8 +133,8 @@
 	return append(out, ']')
 }
 
-// acquireParallel reserves capacity for operations that run at once. The request itself has one place in the bulkhead; further ones are
-// taken as far as they are free.
+// acquireParallel reserves capacity for operations that run concurrently. The request itself holds one slot of the bulkhead; further slots
+// are taken as far as they are free.
 func (c *graphqlCall) acquireParallel(operations int) (parallel int, release func()) {
 	parallel = 1
 	limit := c.daemon.shared.inFlight
--- a/internal/daemon/graphql_operation.go
+++ b/internal/daemon/graphql_operation.go
@@ -30,15 +30,15 @@
 	id       string
 	decision graphql.Decision
 	answer   engine.Answer
-	conflict int  // HTTP status of its idempotency key's conflict; 0: there is none
-	notSent  bool // its route was removed, and nothing was sent
+	conflict int  // HTTP status if the idempotency key conflicts; 0: it does not
+	notSent  bool // nothing was sent, since the route was removed
 	metric   *metrics.Request
 
 	failedMu       sync.Mutex
 	failedResponse *upstream.Response // of the latest attempt, if the upstream reported a failure in it
 }
 
-// run has the operation admitted and answered.
+// run waits until the operation is admitted, and has an upstream answer it.
 func (o *operation) run() {
 	c, d := o.call, &o.decision
 	if !o.metric.Open() {
@@ -56,9 +56,9 @@
 		return
 	}
 	call := engine.Call{ID: o.id, Class: req.Class.Name, Tenant: req.Tenant, CostHint: req.CostHint, Deadline: c.startedAt + req.Timeout}
-	if x := c.service.executorFor(d.Class, d.Key); x != nil {
-		o.started.Add(1) // its attempts, and those of others with its key, are counted elsewhere: any may run
-		o.answer, o.conflict = answerFor(c.service.executeOnce(c.r.Context(), keyedRequest{executor: x, call: call, key: d.Key,
+	if keyExecutor := c.service.executorFor(d.Class, d.Key); keyExecutor != nil {
+		o.started.Add(1) // attempts for the key, also by other requests, are counted elsewhere: one may have been sent
+		o.answer, o.conflict = answerFor(c.service.executeOnce(c.r.Context(), keyedRequest{executor: keyExecutor, call: call, key: d.Key,
 			method: req.Method, target: req.Target, body: d.Body, newTransport: o.newTransport}))
 		permit.Done(controller.OutcomeOf(o.answer))
 		return
@@ -69,13 +69,13 @@
 	o.checkNotSent()
 }
 
-// newTransport makes what carries out the attempts of an operation with an idempotency key, apart from its client.
+// newTransport creates the transport of an operation with an idempotency key. It does not depend on the client, which may disconnect.
 func (o *operation) newTransport() (engine.Transport, func()) {
 	detached := &operation{transport: transport{pool: o.pool, request: o.request}, call: o.call, decision: o.decision}
 	return detached, detached.release
 }
 
-// checkNotSent notes whether the operation can be decided anew.
+// checkNotSent records whether the operation can be routed again: its route was removed and nothing was sent.
 func (o *operation) checkNotSent() {
 	c := o.call
 	switch o.answer.Kind {
@@ -84,7 +84,7 @@
 	}
 }
 
-// upstreamRequest is the operation as it is sent: a POST of its own.
+// upstreamRequest returns the operation as it is sent to an upstream: a POST of this operation alone.
 func (o *operation) upstreamRequest() downstream.Request {
 	c, d := o.call, &o.decision
 	req := c.req
@@ -93,7 +93,7 @@
 		req.CostHint = d.CostHint
 	}
 	req.Method = http.MethodPost
-	if c.entries > 1 { // the operations of a batch differ in it
+	if c.entries > 1 { // the operations of a batch have different headers
 		req.Header = maps.Clone(req.Header)
 	}
 	for _, name := range [...]string{"Accept", "Accept-Encoding", "Content-Encoding", "Content-Type"} {
@@ -107,7 +107,7 @@
 	if c.r.Method == http.MethodGet {
 		req.Target, _, _ = strings.Cut(req.Target, "?")
 	}
-	if c.service.admission.Load() != nil { // its reservations go by the fingerprint: all operations have one path
+	if c.service.admission.Load() != nil { // the queue finds reservations by the fingerprint, and all operations have the same path
 		req.IdempotencyKey = strconv.FormatUint(xxhash.Sum64(d.Body), 16)
 	}
 	return req
@@ -127,14 +127,14 @@
 		if response.Status == http.StatusOK {
 			endpoint.RecordDuration(&o.decision, time.Since(started))
 		}
-		o.keep(response)
+		o.retain(response)
 		return engine.AttemptResult{Result: balancer.OK, Value: &response}
 	case graphql.NotExecuted:
 		o.pool.Free(response)
 		o.setFailed(nil)
 		return engine.AttemptResult{Result: balancer.Rejected}
 	case graphql.UpstreamFailed:
-		o.keep(response)
+		o.retain(response)
 		o.setFailed(&response)
 		return engine.AttemptResult{Result: balancer.ServerError}
 	}
@@ -149,7 +149,7 @@
 	o.failedResponse = response
 }
 
-// upstreamFailure is the upstream's report of its failure, if the operation ended with it.
+// upstreamFailure returns the upstream's answer that reports its failure, if the operation ended with one.
 func (o *operation) upstreamFailure() *upstream.Response {
 	o.failedMu.Lock()
 	defer o.failedMu.Unlock()
@@ -159,40 +159,40 @@
 	return o.failedResponse
 }
 
-// operationEnd is how an operation ended that has no answer of an upstream.
-type operationEnd struct {
+// operationFailure is the outcome of an operation that was not served, and the body that reports it.
+type operationFailure struct {
 	status  int
 	outcome graphql.EntryOutcome
 	body    []byte
 }
 
-// end describes the end of an operation that was not served.
-func (o *operation) end() operationEnd {
+// failure describes how an operation that was not served ended.
+func (o *operation) failure() operationFailure {
 	switch o.answer.Kind {
 	case engine.Rejected:
 		if o.decision.Class.Idempotency == balancer.IdempotentWithKey && o.started.Load() > 0 { // a retry reaches upstreams that recognise its key
-			return o.ended(http.StatusServiceUnavailable, graphql.MayHaveRun, graphql.CodeRefused, "refused: it may have run; trying again with the same key is harmless")
+			return o.newFailure(http.StatusServiceUnavailable, graphql.MayHaveRun, graphql.CodeRefused, "refused: it may have run; trying again with the same key is harmless")
 		}
-		return o.ended(http.StatusServiceUnavailable, graphql.NotRun, graphql.CodeRefused, "refused: not done, trying again is harmless")
+		return o.newFailure(http.StatusServiceUnavailable, graphql.NotRun, graphql.CodeRefused, "refused: not done, trying again is harmless")
 	case engine.Duplicate:
 		if o.conflict != 0 {
-			return o.ended(o.conflict, graphql.NotRun, graphql.CodeKey, conflictText(o.conflict))
+			return o.newFailure(o.conflict, graphql.NotRun, graphql.CodeKey, conflictText(o.conflict))
 		}
-		return o.ended(http.StatusConflict, graphql.NotRun, graphql.CodeDuplicate, "a request of this id is in hand")
+		return o.newFailure(http.StatusConflict, graphql.NotRun, graphql.CodeDuplicate, "a request of this id is in hand")
 	case engine.EngineClosed:
-		return o.ended(http.StatusInternalServerError, graphql.NotRun, graphql.CodeFailed, "stopped")
+		return o.newFailure(http.StatusInternalServerError, graphql.NotRun, graphql.CodeFailed, "stopped")
 	case engine.ClientGone:
 		if o.started.Load() == 0 {
-			return o.ended(http.StatusBadGateway, graphql.NotRun, graphql.CodeFailed, "the client has left")
+			return o.newFailure(http.StatusBadGateway, graphql.NotRun, graphql.CodeFailed, "the client has left")
 		}
 	}
 	if response := o.upstreamFailure(); response != nil {
-		return operationEnd{http.StatusBadGateway, graphql.MayHaveRun, response.Body}
+		return operationFailure{http.StatusBadGateway, graphql.MayHaveRun, response.Body}
 	}
-	return o.ended(http.StatusBadGateway, graphql.MayHaveRun, graphql.CodeFailed, "failed: it may have run")
+	return o.newFailure(http.StatusBadGateway, graphql.MayHaveRun, graphql.CodeFailed, "failed: it may have run")
 }
 
-func (o *operation) ended(status int, outcome graphql.EntryOutcome, code, message string) operationEnd {
-	known := &graphql.FailureDetails{MayHaveRun: outcome == graphql.MayHaveRun, RetryAfter: o.answer.RetryAfter}
-	return operationEnd{status, outcome, graphql.ErrorBody(message, code, known)}
+func (o *operation) newFailure(status int, outcome graphql.EntryOutcome, code, message string) operationFailure {
+	details := &graphql.FailureDetails{MayHaveRun: outcome == graphql.MayHaveRun, RetryAfter: o.answer.RetryAfter}
+	return operationFailure{status, outcome, graphql.ErrorBody(message, code, details)}
 }
--- a/internal/daemon/idempotency.go
+++ b/internal/daemon/idempotency.go
@@ -16,25 +16,25 @@
 	"orchiddrift/internal/upstream"
 )
 
-// replayedHeader marks an answer that an earlier request of the same key has had.
+// replayedHeader marks an answer that was stored for an earlier request of the same key.
 const replayedHeader = "Idempotent-Replayed"
 
 // executorStep is set by tests: see executor.Options.Step.
 var executorStep func(step string)
 
-// openExecutor returns the executor of a service's idempotency keys, and makes it if there is none. It outlives the service: a service that
-// a reload starts anew, or removes for a while, finds its keys again.
+// openExecutor returns the executor of a service's idempotency keys, and opens it if there is none. It outlives the service, so that the
+// keys survive a reload that replaces the service, or removes it for a while.
 func (sh *sharedResources) openExecutor(plan config.ServicePlan) (*executor.Executor, error) {
 	if plan.Idempotency == nil {
 		return nil, nil
 	}
 	sh.executorsMu.Lock()
 	defer sh.executorsMu.Unlock()
-	if x := sh.executors[plan.Name]; x != nil {
-		x.Configure(plan.Idempotency.Options, executor.DedupWindows(&plan.Settings.Settings))
-		return x, nil
+	if keyExecutor := sh.executors[plan.Name]; keyExecutor != nil {
+		keyExecutor.Configure(plan.Idempotency.Options, executor.DedupWindows(&plan.Settings.Settings))
+		return keyExecutor, nil
 	}
-	x, err := executor.Open(sh.filesCtx, *plan.Idempotency, plan.Name, &plan.Settings.Settings, sh.fileLockTimeout,
+	keyExecutor, err := executor.Open(sh.filesCtx, *plan.Idempotency, plan.Name, &plan.Settings.Settings, sh.fileLockTimeout,
 		executor.Options{Clock: sh.clock, Log: sh.log.With("service", plan.Name), Step: executorStep})
 	if err != nil {
 		return nil, fmt.Errorf("repeats: %w", err)
@@ -42,11 +42,11 @@
 	if sh.executors == nil {
 		sh.executors = map[string]*executor.Executor{}
 	}
-	sh.executors[plan.Name] = x
-	return x, nil
+	sh.executors[plan.Name] = keyExecutor
+	return keyExecutor, nil
 }
 
-// abortExecutors ends what waits for other processes.
+// abortExecutors makes all executors stop waiting for other processes.
 func (sh *sharedResources) abortExecutors() {
 	sh.executorsMu.Lock()
 	defer sh.executorsMu.Unlock()
@@ -55,7 +55,7 @@
 	}
 }
 
-// closeExecutors ends all executors, after the engines of their services.
+// closeExecutors closes all executors. The engines of their services have been closed before.
 func (sh *sharedResources) closeExecutors() {
 	sh.executorsMu.Lock()
 	defer sh.executorsMu.Unlock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// setExecutor applies what a plan says of idempotency keys.
+// setExecutor applies a plan's settings for idempotency keys.
 func (s *service) setExecutor(plan config.ServicePlan) error {
 	x, err := s.shared.openExecutor(plan)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// executorFor returns the executor of a request's key; nil: retries of it are not recognised.
+// executorFor returns the executor for a request with the key; nil: retries of the request are not recognised.
 func (s *service) executorFor(class *balancer.Class, key string) *executor.Executor {
 	if class.Idempotency != balancer.IdempotentWithKey || key == "" {
 		return nil
@@ -82,12 +82,12 @@
 	return s.executor.Load()
 }
 
-// idempotentTransport records attempts of a request with a key before they are sent.
+// idempotentTransport records the attempts of a request with a key before it sends them.
 type idempotentTransport struct {
 	engine.Transport
 	service    *service
 	recorder   executor.AttemptRecorder
-	mayHaveRun *atomic.Int64 // attempts
+	mayHaveRun *atomic.Int64 // attempts that may have been executed
 }
 
 // RoundTrip implements engine.Transport.
@@ -111,39 +111,40 @@
 	key            string
 	method, target string
 	body           []byte
-	// newTransport makes what carries out the attempts; release gives back what they held.
+	// newTransport creates the transport of the attempts; release frees their responses.
 	newTransport func() (t engine.Transport, release func())
 }
 
-func (q *keyedRequest) id() idempotency.ID {
-	return idempotency.ID{Tenant: q.call.Tenant, Class: q.call.Class, Key: q.key}
+func (r *keyedRequest) id() idempotency.ID {
+	return idempotency.ID{Tenant: r.call.Tenant, Class: r.call.Class, Key: r.key}
 }
 
-// fingerprint tells different requests of one key apart.
-func (q *keyedRequest) fingerprint() (f idempotency.Fingerprint) {
+// fingerprint distinguishes different requests with the same key.
+func (r *keyedRequest) fingerprint() (f idempotency.Fingerprint) {
 	h := sha256.New()
-	fmt.Fprintf(h, "%s\x00%s\x00", q.method, q.target) // a hash never fails
-	h.Write(q.body)
+	fmt.Fprintf(h, "%s\x00%s\x00", r.method, r.target) // a hash never fails
+	h.Write(r.body)
 	copy(f[:], h.Sum(nil))
 	return f
 }
 
-// executeOnce gives a request with a key the outcome of the first request of its key. If it is the first it runs apart from its client, which
-// may disconnect while others wait.
-func (s *service) executeOnce(ctx context.Context, q keyedRequest) executor.Result {
-	ctx, cancel := context.WithTimeout(ctx, q.call.Deadline-s.shared.clock.Now())
+// executeOnce returns the outcome of the first request with the key. If the request itself is the first, it runs independently of its
+// client, which may disconnect while other clients wait for the outcome.
+func (s *service) executeOnce(ctx context.Context, request keyedRequest) executor.Result {
+	ctx, cancel := context.WithTimeout(ctx, request.call.Deadline-s.shared.clock.Now())
 	defer cancel()
-	return q.executor.Do(ctx, q.id(), q.fingerprint(),
+	return request.executor.Do(ctx, request.id(), request.fingerprint(),
 		func(interest context.Context, earlier []idempotency.Attempt, recorder executor.AttemptRecorder) executor.Outcome {
-			return s.execute(q, interest, earlier, recorder)
+			return s.execute(request, interest, earlier, recorder)
 		})
 }
 
-// execute runs a request with a key. interest ends once no client waits for it; earlier are attempts of its key that may have run.
-func (s *service) execute(q keyedRequest, interest context.Context, earlier []idempotency.Attempt, recorder executor.AttemptRecorder) executor.Outcome {
-	transport, release := q.newTransport()
+// execute runs a request with a key. interest ends once no client waits for it; earlier has the attempts with its key that may have run.
+func (s *service) execute(request keyedRequest, interest context.Context, earlier []idempotency.Attempt,
+	recorder executor.AttemptRecorder) executor.Outcome {
+	transport, release := request.newTransport()
 	defer release()
-	call := q.call
+	call := request.call
 	for _, a := range earlier {
 		call.EarlierAttempts = append(call.EarlierAttempts, balancer.EarlierAttempt{Zone: a.Zone, Cell: a.Cell, SentAt: a.SentAt})
 	}
@@ -165,8 +166,8 @@
 	return executor.Outcome{Verdict: idempotency.Fail}
 }
 
-// answerFor translates a Result into an answer of the engine. conflict is the HTTP status of a key that stands against the request; 0: it
-// does not.
+// answerFor translates a Result into an answer of the engine. conflict is the HTTP status if the key conflicts with the request; 0: it does
+// not.
 func answerFor(r executor.Result) (answer engine.Answer, conflict int) {
 	switch {
 	case r.ClientLeft:
@@ -183,7 +184,7 @@
 	return engine.Answer{Kind: engine.Failed}, 0
 }
 
-// storedResponse is the answer of a Result, marked if an earlier request has had it.
+// storedResponse returns the answer of a Result. It has replayedHeader if this request was not executed itself.
 func storedResponse(r executor.Result) *upstream.Response {
 	response := &upstream.Response{Status: r.Answer.Status, Header: r.Answer.Header, Body: r.Answer.Body}
 	if r.Executed {
@@ -197,7 +198,7 @@
 	return response
 }
 
-// conflictText says why a key stands against a request.
+// conflictText returns why a key conflicts with a request.
 func conflictText(status int) string {
 	if status == http.StatusUnprocessableEntity {
 		return "the key was used for another request"
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// drainPollInterval is how often the end of the clients' connections is checked once nothing new is accepted.
+	// drainPollInterval is how often it is checked whether all clients' connections have ended, once no new ones are accepted.
 	drainPollInterval = 10 * time.Millisecond
-	// idleInterval is the wait where nothing is due.
+	// idleInterval is how long run waits if nothing is due.
 	idleInterval = time.Hour
 )
 
-// lifecycleDriver drives package lifecycle: it closes the connections that are to be closed, and ends once the process has nothing left to
-// do. It is safe for concurrent use.
+// lifecycleDriver carries out what a lifecycle.Machine decides: it closes connections of clients, and its run ends once the process may end.
+// It is safe for concurrent use.
 type lifecycleDriver struct {
 	clock       clock.Clock
 	connections *downstream.Connections
 
-	// What requests look at, as the machine says.
-	ready            atomic.Bool // clients are wanted here
+	// Copies of the machine's state, which requests read without mu.
+	ready            atomic.Bool // new clients should connect to this address
 	closeAfterAnswer atomic.Bool // each answer is the last of its connection
 	stopping         atomic.Bool // the process is ending
-	aborted          atomic.Bool // what was unanswered has been failed, and nothing more is sent
+	aborted          atomic.Bool // the unanswered requests have failed, and no more are sent upstream
 
 	mu           sync.Mutex
 	machine      *lifecycle.Machine
-	abandoned    bool          // run ends at once
-	stateChanged chan struct{} // wakes run; it holds one
+	abandoned    bool          // run returns at once
+	stateChanged chan struct{} // wakes run; buffers one signal
 }
 
 func newLifecycleDriver(c clock.Clock, grace time.Duration, connections *downstream.Connections) *lifecycleDriver {
@@ -41,7 +41,7 @@
 	return l
 }
 
-// change applies a change of state, and publishes what requests look at.
+// change applies a change of state, and updates the copies that requests read.
 func (l *lifecycleDriver) change(apply func(*lifecycle.Machine, time.Duration) bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +59,7 @@
 func (l *lifecycleDriver) drain() bool   { return l.change((*lifecycle.Machine).Drain) }
 func (l *lifecycleDriver) undrain() bool { return l.change((*lifecycle.Machine).Undrain) }
 
-// stop ends the process; successor says that another one has taken its place.
+// stop begins the end of the process; successor says that another process serves in its place.
 func (l *lifecycleDriver) stop(successor bool) {
 	l.change(func(m *lifecycle.Machine, now time.Duration) bool {
 		m.Stop(now, successor)
@@ -67,7 +67,7 @@
 	})
 }
 
-// abandon ends run at once.
+// abandon makes run return at once.
 func (l *lifecycleDriver) abandon() {
 	l.change(func(*lifecycle.Machine, time.Duration) bool {
 		l.abandoned = true
@@ -89,16 +89,16 @@
 	l.connections.CloseAll()
 }
 
-// lifecycleStep is what the machine asks for at one time.
+// lifecycleStep is what the machine requires at one moment.
 type lifecycleStep struct {
 	closeIdle   bool          // close connections that have been idle for idleTimeout
 	idleTimeout time.Duration // see closeIdle
-	again       time.Duration // until the machine is asked again; 0: at its next change
+	recheckIn   time.Duration // until the next step; 0: at the machine's next change of state
 	accepts     bool          // new connections are accepted
 	ending      bool
 	abandoned   bool
-	abort       bool          // fail what is unanswered
-	untilAbort  time.Duration // of an ending process
+	abort       bool          // fail the unanswered requests
+	untilAbort  time.Duration // set if the process is ending
 }
 
 func (l *lifecycleDriver) step() lifecycleStep {
@@ -106,13 +106,13 @@
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	var s lifecycleStep
-	s.idleTimeout, s.again, s.closeIdle = l.machine.IdleTimeout(now)
+	s.idleTimeout, s.recheckIn, s.closeIdle = l.machine.IdleTimeout(now)
 	s.accepts, s.ending, s.abandoned = l.machine.Accepts(now), l.machine.Ending(), l.abandoned
 	s.untilAbort, s.abort = l.machine.Abort(now)
 	return s
 }
 
-// run returns once the process is ending and all connections of clients have ended, or what is unanswered has been failed by abort.
+// run returns once the process is ending and all connections of clients have ended, or abort has failed the unanswered requests.
 func (l *lifecycleDriver) run(abort func()) {
 	timer := time.NewTimer(idleInterval)
 	defer timer.Stop()
@@ -124,7 +124,7 @@
 		}
 		if accepting && !s.accepts {
 			accepting = false
-			l.connections.Close() // an error says that it was closed
+			l.connections.Close() // an error says that it has been closed before
 		}
 		if s.closeIdle {
 			l.connections.CloseIdle(s.idleTimeout)
@@ -145,17 +145,17 @@
 	}
 }
 
-// wait is how long nothing is due.
+// wait returns how long nothing is due.
 func (s *lifecycleStep) wait(accepting bool) time.Duration {
-	again := s.again
+	recheckIn := s.recheckIn
 	switch {
-	case !s.ending && again == 0:
-		again = idleInterval
+	case !s.ending && recheckIn == 0:
+		recheckIn = idleInterval
 	case s.ending && !accepting:
-		again = min(again, drainPollInterval)
+		recheckIn = min(recheckIn, drainPollInterval)
 	}
 	if s.ending {
-		again = min(again, s.untilAbort)
+		recheckIn = min(recheckIn, s.untilAbort)
 	}
-	return again
+	return recheckIn
 }
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -12,14 +12,14 @@
 func listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var err error
-		failed := raw.Control(func(fd uintptr) {
+		controlErr := raw.Control(func(fd uintptr) {
 			err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 		})
-		if failed != nil {
-			return failed
+		if controlErr != nil {
+			return controlErr
 		}
 		return err
 	}}
-	config.SetMultipathTCP(false) // such a socket takes no filter, see acceptor.Listener.RejectConnects
+	config.SetMultipathTCP(false) // a multipath socket takes no filter, see acceptor.Listener.RejectConnects
 	return config.Listen(context.Background(), "tcp", address)
 }
--- a/internal/daemon/load_probing.go
+++ b/internal/daemon/load_probing.go
@@ -11,8 +11,8 @@
 	"orchiddrift/internal/upstream/loadprobe"
 )
 
-// memberSyncInterval is how often the members are brought to what is listed. An upstream that is removed is not probed before, since the
-// pool checks the registry at each write.
+// memberSyncInterval is how often the prober's members are synchronized with the registry. An upstream that has been removed is not probed
+// in between, since the pool checks the registry at each write.
 const memberSyncInterval = 250 * time.Millisecond
 
 // loadProbing probes upstreams of a service for their load as package loadprobe decides, and reports the answers to the engine. It is safe
@@ -33,8 +33,8 @@
 	return &loadProbing{service: s, options: o, prober: loadprobe.New(o, rng), members: map[string]bool{}, syncedAt: -memberSyncInterval}
 }
 
-// beforeRequest sends the probes that are due before a request. It returns once all but one have an answer, or their timeout is over, so
-// that one upstream that hangs holds up no request. Later answers are reported too.
+// beforeRequest sends the probes that are due before a request. It waits for one or two probes until they have an answer or time out; of
+// more, it does not wait for the last, so that one upstream that hangs delays no request. Later answers are reported too.
 func (p *loadProbing) beforeRequest(ctx context.Context) {
 	if p == nil {
 		return
@@ -63,7 +63,7 @@
 	}
 }
 
-// targets names the upstreams to probe now, and counts them as in flight.
+// targets returns the names of the upstreams to probe now, and counts the probes as in flight.
 func (p *loadProbing) targets() []string {
 	now := p.service.shared.clock.Now()
 	p.mu.Lock()
@@ -89,7 +89,7 @@
 	p.service.engine.ReportProbe(result)
 }
 
-// close sends no further probes, and waits for those in flight.
+// close prevents further probes, and waits for those in flight.
 func (p *loadProbing) close() {
 	if p == nil {
 		return
@@ -100,7 +100,7 @@
 	p.inFlight.Wait()
 }
 
-// syncMembers makes the upstreams that are ready the prober's members. p.mu is held.
+// syncMembers makes the upstreams that are ready the prober's members. The caller holds p.mu.
 func (p *loadProbing) syncMembers() {
 	instances := p.service.registry.Instances()
 	for name := range p.members {
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -5,8 +5,8 @@
 	"orchiddrift/internal/metrics"
 )
 
-// readMetrics reads all metrics. The upstreams are those of all services; unavailable are those that the balancer avoids and those that
-// are draining.
+// readMetrics reads all metrics. Members counts the upstreams of all services; Unavailable counts those that the balancer avoids and those
+// that are draining.
 func (d *daemon) readMetrics() metrics.Reading {
 	reading := d.metrics.Read()
 	for _, s := range d.routing.Load().services {
@@ -15,7 +15,7 @@
 	return reading
 }
 
-// addTo adds a service's upstreams and lists to a reading.
+// addTo adds the figures of a service's upstreams and endpoint list to a reading.
 func (s *service) addTo(reading *metrics.Reading) {
 	draining := int64(s.registry.DrainingCount())
 	upstreams := s.engine.View()
@@ -40,7 +40,7 @@
 	reading.ListCallsFailed += failed
 }
 
-// metricOutcome is how a final answer is counted.
+// metricOutcome returns the outcome as which a final answer is counted.
 func metricOutcome(kind engine.AnswerKind) metrics.Outcome {
 	switch kind {
 	case engine.Served:
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -18,12 +18,12 @@
 const retireSlack = time.Second
 
 var (
-	errEnding      = errors.New("the process is ending")
-	errStartNeeded = errors.New("a change between the platform's file and the operator's, or of tls between on and off, needs a new start")
+	errEnding        = errors.New("no further configuration is applied: the process is ending")
+	errRestartNeeded = errors.New("a change between the platform's file and the operator's, or of tls between on and off, needs a restart")
 )
 
-// followReloads reads the files again each time reload delivers a signal. What can change while the process runs is applied together; a file
-// that cannot be used, or asks for what cannot be had, changes nothing. It blocks until ctx ends.
+// followReloads reads the files again at each signal on reload. All changes that need no restart are applied together; if a file is invalid
+// or a change is impossible, nothing changes. It blocks until ctx ends.
 func (d *daemon) followReloads(ctx context.Context, files config.Sources, reload <-chan os.Signal) {
 	for {
 		select {
@@ -39,8 +39,8 @@
 	}
 }
 
-// reload applies what the files say now. When it returns, nothing more is sent by a route or to a service that they no longer have in the
-// same form.
+// reload applies the files' present content. Once it returns, no request is sent any more by a route, or to a service, that the files have
+// removed or changed.
 func (d *daemon) reload(files config.Sources) error {
 	next, err := config.LoadPlan(files)
 	if err != nil {
@@ -48,16 +48,16 @@
 	}
 	current := d.plan
 	if current.File != nil && next.File != nil {
-		d.logStartOnly(current.File, next.File)
+		d.logRestartOnly(current.File, next.File)
 	}
 	if current.File == nil && next.File == nil {
-		d.log.Info("reload", "discovery", next.Services[0].Discovery)
+		d.log.Info("reload: the platform's file has been read", "discovery", next.Services[0].Discovery)
 		d.keepPlatformSettings(current, next)
 	}
 	if (current.File == nil) != (next.File == nil) || current.TLS.Enabled() != next.TLS.Enabled() {
-		return errStartNeeded
+		return errRestartNeeded
 	}
-	keepStartOnly(current, next)
+	keepRestartOnly(current, next)
 	if err := d.apply(next); err != nil {
 		return err
 	}
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// logStartOnly logs the keys whose changes take effect at the next start.
-func (d *daemon) logStartOnly(current, next *config.File) {
+// logRestartOnly logs the keys whose changes take effect at the next start.
+func (d *daemon) logRestartOnly(current, next *config.File) {
 	for _, change := range tomlfile.Diff(current, next) {
 		if change.Start {
 			d.log.Warn("reload: counts from the next start", "key", change.Key)
@@ -77,7 +77,7 @@
 	}
 }
 
-// keepPlatformSettings keeps what the platform's file may change at the next start only: everything but discovery.
+// keepPlatformSettings keeps the running values of what the platform's file can change by a restart only: everything but discovery.
 func (d *daemon) keepPlatformSettings(current, next *config.Plan) {
 	sameProcess := next.Name == current.Name && next.Listen == current.Listen && next.Limits == current.Limits
 	if sameProcess && reflect.DeepEqual(next.Services[0].Settings, current.Services[0].Settings) {
@@ -87,25 +87,25 @@
 	next.Services[0].Settings, next.Table = current.Services[0].Settings, current.Table
 }
 
-// keepStartOnly keeps what takes effect at the next start.
-func keepStartOnly(current, next *config.Plan) {
+// keepRestartOnly keeps the running values of the settings that take effect at the next start.
+func keepRestartOnly(current, next *config.Plan) {
 	next.Name, next.Listen, next.Control = current.Name, current.Listen, current.Control
 	next.Seed, next.SeedDrawn = current.Seed, current.SeedDrawn
 	next.Limits, next.HeadTimeout, next.Grace = current.Limits, current.HeadTimeout, current.Grace
 }
 
-// planChange is the transition from the running plan to another. Everything that can fail is done by prepare; commit cannot fail.
+// planChange replaces the running plan by another one. prepare does everything that can fail; commit cannot fail.
 type planChange struct {
-	daemon   *daemon
-	next     *config.Plan
-	current  *routing            // nil: the first plan
-	services map[string]*service // of the next plan, by name
-	started  []*service          // for the next plan
-	moves    []func()            // changes of services that stay
-	takeKeys func()              // uses the listener's next credentials
+	daemon         *daemon
+	next           *config.Plan
+	current        *routing            // nil: the first plan
+	services       map[string]*service // of the next plan, by name
+	started        []*service          // for the next plan
+	updates        []func()            // changes to services that stay
+	useCredentials func()              // makes the listener use its next credentials
 }
 
-// apply makes a plan the running one, all of it or nothing.
+// apply makes a plan the running one, completely or not at all.
 func (d *daemon) apply(p *config.Plan) error {
 	d.reloadMu.Lock()
 	defer d.reloadMu.Unlock()
@@ -121,15 +121,15 @@
 	return nil
 }
 
-// prepare moves or starts the services of the next plan.
+// prepare prepares the changes to services that stay, starts the other services of the next plan, and opens the listener's credentials.
 func (c *planChange) prepare() error {
 	var fresh []config.ServicePlan
 	for _, plan := range c.next.Services {
-		moved, err := c.prepareMove(plan)
+		reused, err := c.prepareSourceChange(plan)
 		if err != nil {
 			return err
 		}
-		if !moved {
+		if !reused {
 			fresh = append(fresh, plan)
 		}
 	}
@@ -145,12 +145,12 @@
 		c.services[plan.Name] = s
 	}
 	var err error
-	c.takeKeys, err = c.daemon.prepareCredentials(c.next)
+	c.useCredentials, err = c.daemon.prepareCredentials(c.next)
 	return err
 }
 
-// prepareMove keeps the running service of a plan, if it can be changed to it.
-func (c *planChange) prepareMove(plan config.ServicePlan) (moved bool, err error) {
+// prepareSourceChange prepares the running service of the plan's name to follow the plan, and reports whether it can be reused.
+func (c *planChange) prepareSourceChange(plan config.ServicePlan) (reused bool, err error) {
 	if c.current == nil {
 		return false, nil
 	}
@@ -158,33 +158,33 @@
 	if s == nil || !s.plan.Same(&plan) {
 		return false, nil
 	}
-	move, err := s.prepareMove(plan)
+	update, err := s.prepareSourceChange(plan)
 	if err != nil {
-		if s.plan.ListFile == plan.ListFile || plan.Discovery == "" { // the next list cannot be had
+		if s.plan.ListFile == plan.ListFile || plan.Discovery == "" { // the next list cannot be opened
 			return false, err
 		}
-		return false, nil // a new service can have it
+		return false, nil // a new service can open it
 	}
 	c.services[plan.Name] = s
-	if move != nil {
-		c.moves = append(c.moves, move)
+	if update != nil {
+		c.updates = append(c.updates, update)
 	}
-	c.moves = append(c.moves, func() { c.daemon.reconfigure(s, plan) })
+	c.updates = append(c.updates, func() { c.daemon.reconfigure(s, plan) })
 	return true, nil
 }
 
 // reconfigure changes the admission and the idempotency store of a service that stays.
 func (d *daemon) reconfigure(s *service, plan config.ServicePlan) {
-	if err := s.setAdmission(plan); err != nil { // the check of the file has tried it
-		d.log.Error("reload", "service", plan.Name, "reason", err)
+	if err := s.setAdmission(plan); err != nil { // cannot happen: the check of the file has tried it
+		d.log.Error("reload: the admission settings stay", "service", plan.Name, "reason", err)
 	}
 	if err := s.setExecutor(plan); err != nil {
-		d.log.Error("reload", "service", plan.Name, "reason", err)
+		d.log.Error("reload: the idempotency settings stay", "service", plan.Name, "reason", err)
 	}
 	s.plan.Admission, s.plan.Idempotency = plan.Admission, plan.Idempotency
 }
 
-// servicesOfBoth are the services of the next plan and those that it removes: they go on until the routing is replaced.
+// servicesOfBoth returns the services of the next plan and those that it removes, which serve until the routing is replaced.
 func (c *planChange) servicesOfBoth() []config.ServicePlan {
 	both := slices.Clone(c.next.Services)
 	if c.current == nil {
@@ -198,7 +198,7 @@
 	return both
 }
 
-// undo ends what prepare has started, and restores the shares.
+// undo closes the services that prepare has started, and restores the shares.
 func (c *planChange) undo() {
 	for _, s := range c.started {
 		s.close()
@@ -206,13 +206,13 @@
 	if c.current == nil {
 		return
 	}
-	_ = c.daemon.setShares(c.daemon.plan.Guaranteed, c.daemon.plan.Services) // they have been set before
+	_ = c.daemon.setShares(c.daemon.plan.Guaranteed, c.daemon.plan.Services) // cannot fail: they have been set before
 	for _, s := range c.current.services {
 		s.pool.EvictOnContention()
 	}
 }
 
-// commit makes the next plan the running one, and retires the services that it does not have.
+// commit makes the next plan the running one, and retires the services that the plan does not have.
 func (c *planChange) commit() {
 	d := c.daemon
 	for _, plan := range c.next.Services {
@@ -221,10 +221,10 @@
 		}
 	}
 	next, closing := c.current.next(c.next.Table, c.services, c.next.Endpoints, c.next.BodyTimeout)
-	for _, move := range c.moves {
-		move()
+	for _, update := range c.updates {
+		update()
 	}
-	c.takeKeys()
+	c.useCredentials()
 	d.routing.Store(next)
 	closeGates(closing)
 	if c.current != nil {
@@ -237,7 +237,7 @@
 	d.plan = c.next
 }
 
-// retireService lets a removed service finish what it has in flight. It keeps its share until then. d.reloadMu is held.
+// retireService closes a removed service once its requests in flight have ended. It keeps its share until then. The caller holds d.reloadMu.
 func (d *daemon) retireService(s *service) {
 	if d.retiringServices == nil {
 		d.retiringServices = map[*service]bool{}
@@ -252,7 +252,7 @@
 		if d.routing.Load().services[s.name] == nil {
 			d.shared.connectionSlots.OnContention(s.name, nil)
 		}
-		_ = d.setShares(d.plan.Guaranteed, d.plan.Services) // it cannot fail: there are fewer services than before
+		_ = d.setShares(d.plan.Guaranteed, d.plan.Services) // cannot fail: there are fewer services than before
 	})
 }
 
@@ -265,7 +265,7 @@
 	return longest
 }
 
-// prepareCredentials reads the credentials of the clients' listener, if they are others; the returned function uses them from then on.
+// prepareCredentials opens the credentials of the clients' listener, if its TLS settings have changed. use makes the listener use them.
 func (d *daemon) prepareCredentials(p *config.Plan) (use func(), err error) {
 	if !p.TLS.Enabled() || d.credentials.Load() != nil && reflect.DeepEqual(p.TLS, d.plan.TLS) {
 		return func() {}, nil
@@ -273,7 +273,7 @@
 	files := tlscredentials.Files{Certificate: p.TLS.Certificate, Key: p.TLS.Key, CA: p.TLS.ClientCA}
 	store, err := tlscredentials.Open(files, p.TLS.WarnBefore.D(), d.log)
 	if err != nil {
-		return nil, fmt.Errorf("tls: %w", err)
+		return nil, fmt.Errorf("tls of the clients' listener: %w", err)
 	}
 	return func() {
 		if d.stopCredentials != nil {
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -15,37 +15,37 @@
 	"orchiddrift/internal/upstream"
 )
 
-// clientRequest is one request of a client, on its way to its answer. It is used by the goroutine of its connection.
+// clientRequest is one request of a client until it is answered. Only the goroutine of its connection uses it.
 type clientRequest struct {
 	*server
 	w         http.ResponseWriter
 	r         *http.Request
 	cancel    context.CancelFunc // ends r's context: the client has disconnected
-	startedAt time.Duration      // when its last byte arrived; before that, its head
+	startedAt time.Duration      // when its last byte arrived; until then, when its head arrived
 
 	bodyRead    bool   // the body, or its beginning, has been read
-	body        []byte // that has been read
-	bodyStreams bool   // more of it follows
+	body        []byte // the part of the body that has been read
+	bodyStreams bool   // the rest of the body is streamed
 	bodyReader  *clientBody
-	spooled     int64 // bytes that body holds of the spool
+	spooled     int64 // bytes of the body spool that body takes
 
 	metric       metrics.Request
 	entryMetrics []metrics.Request // of a GraphQL request's operations
-	truncated    bool              // its answer cannot be sent completely, and its client has to notice
+	truncated    bool              // the answer broke off; its connection is reset, so that the client notices
 }
 
-// resolved is a request with the routing and the service that it is decided by.
-type resolved struct {
+// routedRequest is a request with the routing that was applied to it, and the service that it was routed to.
+type routedRequest struct {
 	downstream.Request
 	routing  *routing
 	service  *service
 	gate     *routeGate
 	id       string
-	endpoint *graphql.Endpoint  // nil: it is no GraphQL request
-	executor *executor.Executor // nil: it has no idempotency key, or its service keeps none
+	endpoint *graphql.Endpoint  // nil: not a GraphQL request
+	executor *executor.Executor // nil: the request has no idempotency key, or its service stores none
 }
 
-// serve answers the request. A reload may retire its route or service before anything was sent: it is decided anew then.
+// serve answers the request. If a reload retires its route or service before anything was sent, the request is routed again.
 func (c *clientRequest) serve() {
 	for {
 		routing := c.daemon.routing.Load()
@@ -55,58 +55,59 @@
 			return
 		}
 		service := routing.services[request.Route.Service]
-		if !service.acquire() { // a reload has just retired it: the routing is another one by now
+		if !service.acquire() { // a reload has just retired it, and has replaced the routing
 			continue
 		}
-		q := &resolved{Request: request, routing: routing, service: service, gate: routing.gates[request.Route]}
-		retry := c.serveResolved(q)
+		routed := &routedRequest{Request: request, routing: routing, service: service, gate: routing.gates[request.Route]}
+		reroute := c.serveRouted(routed)
 		service.release()
-		if !retry {
+		if !reroute {
 			return
 		}
 	}
 }
 
-// serveResolved answers a request by its service. retry: it is to be decided anew.
-func (c *clientRequest) serveResolved(q *resolved) (retry bool) {
-	releaseCapacity, ok, retry := c.acquireCapacity(q)
+// serveRouted has the service answer the request. If reroute is true it has not, and the request has to be routed again.
+func (c *clientRequest) serveRouted(routed *routedRequest) (reroute bool) {
+	releaseCapacity, ok, reroute := c.acquireCapacity(routed)
 	if !ok {
-		return retry
+		return reroute
 	}
 	defer releaseCapacity()
-	q.endpoint = q.routing.graphql[q.Route.Endpoint]
-	q.executor = q.service.executorFor(q.Class, q.IdempotencyKey)
-	if rejection := c.receiveBody(q); rejection != nil {
+	routed.endpoint = routed.routing.graphql[routed.Route.Endpoint]
+	routed.executor = routed.service.executorFor(routed.Class, routed.IdempotencyKey)
+	if rejection := c.receiveBody(routed); rejection != nil {
 		c.reject(c.w, rejection)
 		return false
 	}
-	c.assignID(q)
-	if q.endpoint != nil { // each of its operations is counted
-		return c.serveGraphQL(q)
+	c.assignID(routed)
+	if routed.endpoint != nil { // each of its operations is counted
+		return c.serveGraphQL(routed)
 	}
 	if !c.metric.Open() {
-		c.metric = c.daemon.metrics.Start(q.Class.Name)
+		c.metric = c.daemon.metrics.Start(routed.Class.Name)
 	}
-	return c.forward(q)
+	return c.forward(routed)
 }
 
-// acquireCapacity reserves what the request may hold while it is in flight. If ok is false it has its answer, or is to be decided anew.
-func (c *clientRequest) acquireCapacity(q *resolved) (release func(), ok, retry bool) {
-	shared, name := c.daemon.shared, q.service.name
+// acquireCapacity reserves the request's part of the service's limits for as long as it is in flight. If ok is false, the request has been
+// rejected, or has to be routed again if reroute is true.
+func (c *clientRequest) acquireCapacity(routed *routedRequest) (release func(), ok, reroute bool) {
+	shared, name := c.daemon.shared, routed.service.name
 	if shared.inFlight == nil {
 		return func() {}, true, false
 	}
 	if !shared.inFlight.TryAcquire(name, 1) {
-		return nil, false, c.rejectOverloaded(q, "requests")
+		return nil, false, c.rejectOverloaded(routed, "requests")
 	}
 	bytes := min(c.r.ContentLength, alwaysBufferedBytes)
 	if bytes < 0 { // unknown
 		bytes = alwaysBufferedBytes
 	}
 	if bytes > 0 && !shared.bodyBytes.TryAcquire(name, bytes) {
-		retry := c.rejectOverloaded(q, "bytes")
+		reroute := c.rejectOverloaded(routed, "bytes")
 		shared.inFlight.Release(name, 1)
-		return nil, false, retry
+		return nil, false, reroute
 	}
 	return func() {
 		if bytes > 0 {
@@ -116,13 +117,13 @@
 	}, true, false
 }
 
-// receiveBody reads the body, or its beginning, unless an earlier decision on the request has.
-func (c *clientRequest) receiveBody(q *resolved) *downstream.Rejection {
+// receiveBody reads the body, or its beginning, unless that was done before the request was routed again.
+func (c *clientRequest) receiveBody(routed *routedRequest) *downstream.Rejection {
 	if c.bodyRead {
 		return nil
 	}
-	complete := q.endpoint != nil || q.executor != nil
-	if rejection := c.readBody(&q.Request, q.routing.bodyTimeout, complete); rejection != nil {
+	complete := routed.endpoint != nil || routed.executor != nil
+	if rejection := c.readBody(&routed.Request, routed.routing.bodyTimeout, complete); rejection != nil {
 		return rejection
 	}
 	c.bodyRead = true
@@ -133,59 +134,60 @@
 	return nil
 }
 
-// assignID gives the request an ID, which goes on to its upstream.
-func (c *clientRequest) assignID(q *resolved) {
-	q.id = q.ID
-	if q.id != "" {
+// assignID gives the request an ID if it has none, and forwards the ID to the upstream unless the header has another one.
+func (c *clientRequest) assignID(routed *routedRequest) {
+	routed.id = routed.ID
+	if routed.id != "" {
 		return
 	}
-	q.id = c.ids.next()
-	if len(q.Header[httpheader.RequestID]) == 0 {
-		q.Header[httpheader.RequestID] = []string{q.id}
+	routed.id = c.ids.next()
+	if len(routed.Header[httpheader.RequestID]) == 0 {
+		routed.Header[httpheader.RequestID] = []string{routed.id}
 	}
 }
 
 // serveGraphQL answers a request to a GraphQL endpoint.
-func (c *clientRequest) serveGraphQL(q *resolved) (retry bool) {
-	call := &graphqlCall{server: c.server, w: c.w, r: c.r, cancel: c.cancel, service: q.service, req: q.Request, id: q.id,
-		endpoint: q.endpoint, gate: q.gate, startedAt: c.startedAt, entryMetrics: &c.entryMetrics}
+func (c *clientRequest) serveGraphQL(routed *routedRequest) (reroute bool) {
+	call := &graphqlCall{server: c.server, w: c.w, r: c.r, cancel: c.cancel, service: routed.service, req: routed.Request, id: routed.id,
+		endpoint: routed.endpoint, gate: routed.gate, startedAt: c.startedAt, entryMetrics: &c.entryMetrics}
 	return call.serve(c.body)
 }
 
-// forward has the request admitted and answered by an upstream.
-func (c *clientRequest) forward(q *resolved) (retry bool) {
-	call := engine.Call{ID: q.id, Class: q.Class.Name, Tenant: q.Tenant, CostHint: q.CostHint, Deadline: c.startedAt + q.Timeout}
+// forward waits until the request is admitted, and has an upstream answer it.
+func (c *clientRequest) forward(routed *routedRequest) (reroute bool) {
+	call := engine.Call{ID: routed.id, Class: routed.Class.Name, Tenant: routed.Tenant, CostHint: routed.CostHint,
+		Deadline: c.startedAt + routed.Timeout}
 	var out *upstream.Request
 	if c.bodyStreams {
-		out = c.upload(&q.Request, &call)
+		out = c.upload(&routed.Request, &call)
 		defer out.Upload.End()
 	} else {
-		out = upstream.NewRequest(q.Method, q.Target, q.Host, q.Header, c.body)
+		out = upstream.NewRequest(routed.Method, routed.Target, routed.Host, routed.Header, c.body)
 	}
-	out.Gate = &clientGate{routeGate: q.gate, ctx: c.r.Context(), cancel: c.cancel}
+	out.Gate = &clientGate{routeGate: routed.gate, ctx: c.r.Context(), cancel: c.cancel}
 	out.Written = c.daemon.metrics.AttemptSent
-	attempts := &transport{pool: q.service.pool, request: out, engine: q.service.engine}
+	attempts := &transport{pool: routed.service.pool, request: out, engine: routed.service.engine}
 	defer attempts.release()
-	permit, rejected := c.awaitAdmission(c.r, q.service, &q.Request, c.startedAt, len(c.body))
+	permit, rejected := c.awaitAdmission(c.r, routed.service, &routed.Request, c.startedAt, len(c.body))
 	if rejected != nil {
-		if rejected.Kind == engine.Rejected && q.gate.closed.Load() && !c.stopping.Load() {
+		if rejected.Kind == engine.Rejected && routed.gate.closed.Load() && !c.stopping.Load() {
 			return true // its new route may have capacity
 		}
 		c.answerEarly(*rejected, out.Upload)
 		return false
 	}
-	if q.executor != nil {
-		c.forwardOnce(q, call, out, permit)
+	if routed.executor != nil {
+		c.forwardOnce(routed, call, out, permit)
 		return false
 	}
-	q.service.loadProbing.beforeRequest(c.r.Context())
-	answer := q.service.engine.Do(c.r.Context(), call, attempts)
+	routed.service.loadProbing.beforeRequest(c.r.Context())
+	answer := routed.service.engine.Do(c.r.Context(), call, attempts)
 	permit.Done(controller.OutcomeOf(answer))
 	if c.bodyStreams && answer.Kind != engine.Served {
 		c.answerEarly(answer, out.Upload)
 		return false
 	}
-	if c.mayDecideAnew(answer, q.gate, attempts) {
+	if c.mayReroute(answer, routed.gate, attempts) {
 		return true
 	}
 	c.closeIfGone(answer)
@@ -193,16 +195,16 @@
 	return false
 }
 
-// forwardOnce forwards a request with an idempotency key, unless one of its key has been answered or is in flight.
-func (c *clientRequest) forwardOnce(q *resolved, call engine.Call, out *upstream.Request, permit controller.Permit) {
+// forwardOnce forwards a request with an idempotency key, unless another one with the key has been answered or is in flight.
+func (c *clientRequest) forwardOnce(routed *routedRequest, call engine.Call, out *upstream.Request, permit controller.Permit) {
 	out.CompleteOnly = true // the answer is stored for retries
 	newTransport := func() (engine.Transport, func()) {
-		attempts := &transport{pool: q.service.pool, request: out}
+		attempts := &transport{pool: routed.service.pool, request: out}
 		return attempts, attempts.release
 	}
-	once := keyedRequest{executor: q.executor, call: call, key: q.IdempotencyKey, method: q.Method, target: q.Target, body: c.body,
-		newTransport: newTransport}
-	answer, conflict := answerFor(q.service.executeOnce(c.r.Context(), once))
+	once := keyedRequest{executor: routed.executor, call: call, key: routed.IdempotencyKey, method: routed.Method, target: routed.Target,
+		body: c.body, newTransport: newTransport}
+	answer, conflict := answerFor(routed.service.executeOnce(c.r.Context(), once))
 	permit.Done(controller.OutcomeOf(answer))
 	if conflict != 0 {
 		c.writeText(c.w, conflict, conflictText(conflict))
@@ -212,8 +214,8 @@
 	c.answer(answer)
 }
 
-// mayDecideAnew reports whether a request that was not served can be decided again: its route was removed and nothing was sent.
-func (c *clientRequest) mayDecideAnew(answer engine.Answer, gate *routeGate, attempts *transport) bool {
+// mayReroute reports whether a request that was not served can be routed again: its route was removed and nothing was sent.
+func (c *clientRequest) mayReroute(answer engine.Answer, gate *routeGate, attempts *transport) bool {
 	switch answer.Kind {
 	case engine.Rejected, engine.Failed, engine.EngineClosed:
 		return gate.closed.Load() && attempts.started.Load() == 0 && c.r.Context().Err() == nil && !c.stopping.Load()
@@ -221,36 +223,37 @@
 	return false
 }
 
-// closeIfGone ends the connection of a client that has disconnected. Should it still be there, it is notified.
+// closeIfGone announces the end of the connection if the client counts as disconnected, in case it is still there.
 func (c *clientRequest) closeIfGone(answer engine.Answer) {
 	if answer.Kind == engine.ClientGone {
 		c.w.Header().Set("Connection", "close")
 	}
 }
 
-// rejectOverloaded answers a request whose service has reached its share of the limits. The balancer has not seen it, so that it does not
-// count as rejected by it. retry: a reload has just changed the services.
-func (c *clientRequest) rejectOverloaded(q *resolved, resource string) (retry bool) {
-	if c.daemon.routing.Load() != q.routing {
+// rejectOverloaded rejects a request whose service has reached its share of the limits. The balancer has not seen the request, and does not
+// count it as rejected. If reroute is true it has not been rejected: a reload has just changed the services.
+func (c *clientRequest) rejectOverloaded(routed *routedRequest, resource string) (reroute bool) {
+	if c.daemon.routing.Load() != routed.routing {
 		return true
 	}
 	if !c.metric.Open() {
-		c.metric = c.daemon.metrics.Start(q.Class.Name)
+		c.metric = c.daemon.metrics.Start(routed.Class.Name)
 	}
-	c.daemon.log.Warn("bulkhead", "service", q.service.plan.Name, "reason", "no more "+resource+" in hand")
+	c.daemon.log.Warn("bulkhead: request rejected", "service", routed.service.plan.Name,
+		"reason", "the share of "+resource+" in flight is used up")
 	c.w.Header().Set("Connection", "close")
 	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(rejectedReadTime))
 	c.writeText(c.w, http.StatusInternalServerError, "not done: the service has all that it may hold in hand")
 	return false
 }
 
-// answerEarly gives its final answer to a request whose body may not have arrived completely, and that was not served; upload is nil if
-// it has. What the client still sends is read for a while, so that a reset does not destroy the answer.
+// answerEarly gives the final answer to a request that was not served, and whose body may not have arrived completely; upload is nil if it
+// has. What the client still sends is read for a while, so that a reset of the connection does not destroy the answer.
 func (c *clientRequest) answerEarly(answer engine.Answer, upload *upstream.Upload) {
 	switch {
 	case upload == nil:
 		c.answer(answer)
-	case upload.Broken(): // no upstream has begun it
+	case upload.Broken(): // the client's body broke off before an upstream answered
 		c.reject(c.w, bodyRejection(c.bodyReader.failure))
 	default:
 		c.releaseSpool()
--- a/internal/daemon/resources.go
+++ b/internal/daemon/resources.go
@@ -20,30 +20,30 @@
 
 // How the limits of the process are divided.
 const (
-	// reservedDescriptors are neither a client's nor an upstream's.
+	// reservedDescriptors are file descriptors for anything but connections to clients and upstreams.
 	reservedDescriptors = 32
-	// heapFraction of the memory limit may be used by the heap.
+	// heapFraction is the part of the memory limit that the heap may use.
 	heapFraction = 0.75
 	// gcBaseMB is the memory limit up to which the garbage collector runs at Go's default pace, see GCPercent.
 	gcBaseMB     = 32
 	maxGCPercent = 400
-	// One answer may take a maxAnswerFraction-th of the memory limit, since many are in flight at once.
+	// An answer may take at most 1/maxAnswerFraction of the memory limit, since many are in flight at once.
 	maxAnswerFraction = 64
-	// All bodies in flight may take a bodyBytesFraction-th, where services share the process.
+	// All bodies in flight together may take 1/bodyBytesFraction of the memory limit, if services share the process.
 	bodyBytesFraction = 4
-	// An idleConnectionFraction-th of the clients' connections never carries requests in flight.
+	// Requests in flight are limited to the number of clients' connections less 1/idleConnectionFraction of it.
 	idleConnectionFraction = 8
 )
 
 const bytesPerMB = 1 << 20
 
-// sharedResources are what the services of a daemon have in common.
+// sharedResources holds what the services of a daemon share.
 type sharedResources struct {
 	clock           clock.Clock
 	log             *slog.Logger
 	connectionSlots *bulkhead.Semaphore // connections to upstreams
-	inFlight        *bulkhead.Semaphore // requests; nil: only the clients' connections bound them
-	bodyBytes       *bulkhead.Semaphore // of request and response bodies; nil: not bounded
+	inFlight        *bulkhead.Semaphore // requests; nil: limited by the clients' connections alone
+	bodyBytes       *bulkhead.Semaphore // bytes of request and response bodies; nil: not limited
 	bodySpool       *semaphore.Weighted // bytes of request bodies beyond alwaysBufferedBytes
 	spoolSize       int64
 	maxAnswerBytes  int
@@ -55,19 +55,19 @@
 	executorsMu sync.Mutex
 	executors   map[string]*executor.Executor // by service; they outlive their services
 
-	// How long files that another process has locked are waited for. They change before the first reload only.
+	// Limits of the wait for files that another process has locked. They change before the first reload only.
 	filesCtx        context.Context
 	fileLockTimeout time.Duration
 }
 
-// yieldAfter notes n bytes of a long transfer, and pauses it if that is due.
+// yieldAfter counts n bytes of a long transfer, and pauses the transfer if package yielding requires it.
 func (sh *sharedResources) yieldAfter(n int) {
 	if d := sh.yielder.Transferred(sh.clock.Now(), n); d > 0 {
 		time.Sleep(d)
 	}
 }
 
-// newSharedResources makes what services share.
+// newSharedResources creates the resources that services share.
 func (d *daemon) newSharedResources(connections int) error {
 	p := d.plan
 	memory := p.Limits.MemoryMB * bytesPerMB
@@ -99,8 +99,8 @@
 	return err
 }
 
-// setShares sets the services' shares of everything that is shared. A service that takes another one's place uses that one's share, under
-// the same name. d.reloadMu is held, or the daemon has not started.
+// setShares sets the services' shares of all shared limits. A service that replaces another one of the same name uses the same share. The
+// caller holds d.reloadMu, or the daemon has not started.
 func (d *daemon) setShares(guaranteed float64, services []config.ServicePlan) error {
 	var shares []bulkhead.Share
 	named := map[string]bool{}
@@ -121,13 +121,13 @@
 			continue
 		}
 		if err := limit.Set(guaranteed, shares); err != nil {
-			return fmt.Errorf("shares: %w", err)
+			return fmt.Errorf("setting the services' shares: %w", err)
 		}
 	}
 	return nil
 }
 
-// connectionLimit is how many connections there may be to clients, and as many to upstreams.
+// connectionLimit returns how many connections to clients may be open, and as many to upstreams.
 func connectionLimit(l config.Limits) int { return max(1, (l.Sockets-reservedDescriptors)/2) }
 
 // LimitMemory makes the garbage collector keep to the plan's memory limit.
@@ -136,8 +136,8 @@
 	debug.SetGCPercent(GCPercent(p.Limits.MemoryMB))
 }
 
-// GCPercent is how far the heap may grow over the live heap, in percent, for a memory limit in MB. The live heap is a few MB whatever the
-// limit, so that with more memory the collector can run less often.
+// GCPercent returns how far the heap may grow over the live heap, in percent, for a memory limit in MB. The live heap is a few MB whatever
+// the limit, so that with more memory the collector can run less often.
 func GCPercent(memoryMB float64) int {
 	return int(min(maxGCPercent, max(100, 100*memoryMB/gcBaseMB)))
 }
--- a/internal/daemon/response.go
+++ b/internal/daemon/response.go
@@ -18,11 +18,11 @@
 const (
 	// writeTimeout is how long a client may take for its answer.
 	writeTimeout = 5 * time.Second
-	// passThroughTimeout is how long a client may take nothing of an answer that is forwarded as it arrives.
+	// passThroughTimeout is how long a client may read nothing of an answer that is forwarded as it arrives.
 	passThroughTimeout = 10 * time.Second
 	// rejectedReadTime is how long the rest of a rejected request is read, so that a reset does not destroy the answer.
 	rejectedReadTime = 900 * time.Millisecond
-	// passThroughBuffer is the size of the pieces of an answer that is forwarded as it arrives, in bytes.
+	// passThroughBuffer is the largest chunk of an answer that is forwarded as it arrives, in bytes.
 	passThroughBuffer = 32 << 10
 )
 
@@ -47,7 +47,7 @@
 	}
 }
 
-// setRetryAfter sets the header in seconds, with decimals; 0: no advice is given.
+// setRetryAfter sets Retry-After in seconds, with decimals, unless retryAfter is 0.
 func setRetryAfter(header http.Header, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
@@ -64,7 +64,7 @@
 	s.writeText(w, rejection.Status, rejection.Text)
 }
 
-// writeText writes a line of the sidecar's own.
+// writeText writes an answer of the sidecar itself, which is a line of text.
 func (s *server) writeText(w http.ResponseWriter, status int, line string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	s.write(w, status, []byte(line+"\n"))
@@ -72,10 +72,10 @@
 
 // write writes a complete answer.
 func (s *server) write(w http.ResponseWriter, status int, body []byte) {
-	// Deadlines cannot fail on a server's own connections; if one did, the write would show it.
+	// Setting a deadline cannot fail on a server's connection; if it did, the write would fail too.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	s.prepareHeader(w.Header())
-	switch { // an answer to HEAD, or without a body, keeps the length that it came with
+	switch { // an answer to HEAD, or without a body, keeps the upstream's Content-Length
 	case status == http.StatusNoContent || status == http.StatusNotModified:
 		w.Header().Del("Content-Length")
 	case len(body) > 0 || w.Header().Get("Content-Length") == "":
@@ -85,7 +85,7 @@
 	_, _ = w.Write(body) // a client that does not take its answer has disconnected
 }
 
-// prepareHeader announces the end of the connection where the process is ending, and keeps net/http from guessing a content type.
+// prepareHeader announces the end of the connection if the process drains or ends, and keeps net/http from guessing a content type.
 func (s *server) prepareHeader(header http.Header) {
 	if s.closeAfterAnswer.Load() {
 		header.Set("Connection", "close")
@@ -95,7 +95,7 @@
 	}
 }
 
-// passThrough forwards an answer as it arrives, no faster than the client takes it. If the answer breaks off the client's connection is
+// passThrough forwards an answer as it arrives, no faster than the client reads it. If the answer breaks off, the client's connection is
 // reset, so that the client notices.
 func (c *clientRequest) passThrough(answer engine.Answer, response *upstream.Response) {
 	header := c.w.Header()
@@ -117,9 +117,9 @@
 	c.metric.Finish(metrics.Completed)
 }
 
-// copyBody forwards a body until it ends (io.EOF), breaks off, or the client does not take it.
+// copyBody forwards a body until it ends (io.EOF), breaks off, or the client does not read it in time.
 func (c *clientRequest) copyBody(response *upstream.Response) error {
-	if err := c.writePiece(response.Body, false); err != nil {
+	if err := c.writeChunk(response.Body, false); err != nil {
 		return err
 	}
 	buffer := passThroughBuffers.Get().(*[passThroughBuffer]byte)
@@ -127,7 +127,7 @@
 	for {
 		n, readErr := response.Remainder.Read(buffer[:])
 		if n > 0 {
-			if err := c.writePiece(buffer[:n], response.Remainder.Buffered() > 0); err != nil {
+			if err := c.writeChunk(buffer[:n], response.Remainder.Buffered() > 0); err != nil {
 				return err
 			}
 			c.daemon.shared.yieldAfter(n)
@@ -138,11 +138,11 @@
 	}
 }
 
-// writePiece writes a piece of a body, and flushes it unless more is at hand.
-func (c *clientRequest) writePiece(piece []byte, more bool) error {
+// writeChunk writes a chunk of a body, and flushes it unless more has arrived already.
+func (c *clientRequest) writeChunk(chunk []byte, more bool) error {
 	controller := http.NewResponseController(c.w)
 	_ = controller.SetWriteDeadline(time.Now().Add(passThroughTimeout)) // see write
-	if _, err := c.w.Write(piece); err != nil || more {
+	if _, err := c.w.Write(chunk); err != nil || more {
 		return err
 	}
 	return controller.Flush()
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// gateDrainTimeout bounds how long the closing of a gate waits for requests that are being written: their first bytes were written
-	// before.
+	// gateDrainTimeout is how long closeGates waits for requests that are being written. Those that take longer have been written in part
+	// before the gates closed.
 	gateDrainTimeout = 250 * time.Millisecond
-	// gatePollInterval is how often these are looked at.
+	// gatePollInterval is how often closeGates checks for such requests.
 	gatePollInterval = 100 * time.Microsecond
 )
 
-// routing is what requests are decided by at one time. It is immutable; a reload replaces it.
+// routing is the state by which requests are routed. It is immutable; a reload replaces it.
 type routing struct {
 	checker     *downstream.Checker
 	table       *routes.Table
@@ -38,8 +38,8 @@
 	_ upstream.Gate = (*clientGate)(nil)
 )
 
-// routeGate is a route's right to send. A reload that removes or changes a route closes its gate: nothing is sent by that route once the
-// reload has returned. It is safe for concurrent use.
+// routeGate decides whether requests of a route may still be sent. A reload that removes or changes a route closes its gate: nothing is sent
+// by that route once the reload has returned. It is safe for concurrent use.
 type routeGate struct {
 	closed  atomic.Bool
 	writing atomic.Int64 // attempts whose request is being written
@@ -58,7 +58,7 @@
 // Leave implements upstream.Gate.
 func (g *routeGate) Leave() { g.writing.Add(-1) }
 
-// clientGate is a routeGate for one request: an attempt begins only while its client is not known to have disconnected.
+// clientGate is a routeGate for one request: no attempt begins once its client is known to have disconnected.
 type clientGate struct {
 	*routeGate
 	ctx        context.Context // of the request
@@ -66,8 +66,8 @@
 	clientGone atomic.Bool
 }
 
-// Enter implements upstream.Gate. It checks the connection, since its reader does not see an end behind a pipelined request. Where others
-// wait for the same answer the disconnect counts once, and attempts go on for them.
+// Enter implements upstream.Gate. It checks the client's connection, whose reader does not see its end behind a pipelined request. Only the
+// first check that finds the client gone returns false: later attempts serve other clients that wait for the same answer.
 func (g *clientGate) Enter() bool {
 	if !g.clientGone.Load() && downstream.ClientGone(g.ctx) {
 		g.clientGone.Store(true)
@@ -90,13 +90,13 @@
 	}
 }
 
-// next makes the routing for a table and its services. A route that is unchanged, to a service that stays, keeps its gate; closing are the
-// gates of the others. r is nil for the first routing.
+// next returns the routing for a table and its services. An unchanged route to a service that stays keeps its gate; closing has the gates of
+// all other routes of r, which is nil for the first routing.
 func (r *routing) next(table *routes.Table, services map[string]*service, endpoints map[string]*graphql.Endpoint,
 	bodyTimeout time.Duration) (n *routing, closing []*routeGate) {
 	n = &routing{checker: downstream.NewChecker(table), table: table, services: services, bodyTimeout: bodyTimeout,
 		gates: make(map[*routes.Route]*routeGate, len(table.Routes())), graphql: maps.Clone(endpoints)}
-	before := map[string]*routes.Route{}
+	previous := map[string]*routes.Route{}
 	if r != nil {
 		for fingerprint := range n.graphql { // endpoints that stay keep what they have cached
 			if r.graphql[fingerprint] != nil {
@@ -104,22 +104,22 @@
 			}
 		}
 		for _, old := range r.table.Routes() {
-			before[routeKey(old)] = old
+			previous[routeKey(old)] = old
 		}
 	}
-	kept := map[*routeGate]bool{}
+	reusedGates := map[*routeGate]bool{}
 	for _, route := range table.Routes() {
-		old := before[routeKey(route)]
+		old := previous[routeKey(route)]
 		if old != nil && r.services[old.Service] == services[route.Service] && sameRoute(old, route) {
 			n.gates[route] = r.gates[old]
-			kept[r.gates[old]] = true
+			reusedGates[r.gates[old]] = true
 			continue
 		}
 		n.gates[route] = &routeGate{}
 	}
 	if r != nil {
 		for _, gate := range r.gates {
-			if !kept[gate] {
+			if !reusedGates[gate] {
 				closing = append(closing, gate)
 			}
 		}
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -25,7 +25,7 @@
 
 // ServeHTTP answers one request, on net/http's goroutine of its connection.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !downstream.StartRequest(r.Context()) { // it arrived as its connection was shut: its client sends it again
+	if !downstream.StartRequest(r.Context()) { // it arrived while its connection was being closed: its client sends it again
 		panic(http.ErrAbortHandler)
 	}
 	if s.aborted.Load() {
@@ -60,7 +60,7 @@
 	}
 }
 
-// finishMetrics counts what has no outcome yet as failed.
+// finishMetrics counts the requests that have no outcome yet as failed.
 func (c *clientRequest) finishMetrics() {
 	c.metric.Finish(metrics.Failed)
 	for i := range c.entryMetrics {
@@ -68,10 +68,10 @@
 	}
 }
 
-// requestIDStream tells the random numbers of request IDs from others of the same seed.
+// requestIDStream separates the random numbers of request IDs from those that other parts derive from the same seed.
 const requestIDStream = 0x6f72636869646964
 
-// requestIDs makes IDs for requests that bring none. It is safe for concurrent use.
+// requestIDs generates IDs for requests that have none. It is safe for concurrent use.
 type requestIDs struct {
 	mu  sync.Mutex
 	rng *rand.Rand
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -25,29 +25,29 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// service is one service's engine, endpoint list and connections. Requests use it between acquire and release; retire ends it once none
-// does.
+// service is one service's engine, endpoint list and connections. Requests use it between acquire and release; retire closes it once no
+// request uses it.
 type service struct {
 	plan         config.ServicePlan
 	shared       *sharedResources
-	name         string // under which it holds shared resources; a service that replaces another has its name
+	name         string // of its shares of the limits; a service that replaces another has the same name
 	engine       *engine.Engine
 	pool         *upstream.Pool
 	registry     *endpoints.Registry
 	registrySink *discovery.RegistrySink
-	subsetSink   *discovery.SubsetSink // before registrySink; nil: all upstreams are used
-	requests     atomic.Int64          // so far
+	subsetSink   *discovery.SubsetSink // passes its subset on to registrySink; nil: all upstreams are used
+	requestCount atomic.Int64          // number of requests so far
 	loadProbing  *loadProbing          // nil: no upstream is probed
 	credentials  *tlscredentials.Store // nil: connections are not encrypted
 	executor     atomic.Pointer[executor.Executor]
 	admission    atomic.Pointer[controller.Controller] // nil: requests are not queued
 
-	stop    context.CancelFunc // of what runs beside requests
+	stop    context.CancelFunc // ends the goroutines that startBackground starts
 	running sync.WaitGroup
 
-	mu            sync.Mutex // of the source
+	mu            sync.Mutex // guards source, refreshWanted, stopSource and sourceDone
 	source        discovery.Source
-	refreshWanted bool // the engine has asked for the list before there was a source
+	refreshWanted bool // the engine has requested the list before there was a source
 	stopSource    context.CancelFunc
 	sourceDone    chan struct{}
 
@@ -56,7 +56,7 @@
 	released chan struct{} // receives when inFlight may have become 0 after retired
 }
 
-// Names of the streams of random numbers that are drawn from the process's seed.
+// Names of the streams of random numbers that are derived from the process's seed. Each is followed by the service's name.
 const (
 	prewarmStream   = "warm/"
 	probeStream     = "probe/"
@@ -64,8 +64,8 @@
 	listStream      = "list/"
 )
 
-// startService starts a service whose shares have been set. known is a list from an earlier service; nil: there is none.
-func startService(plan config.ServicePlan, sh *sharedResources, known *endpoints.List) (*service, error) {
+// startService starts a service whose shares have been set. last is the last list of an earlier service; nil: there is none.
+func startService(plan config.ServicePlan, sh *sharedResources, last *endpoints.List) (*service, error) {
 	s := &service{plan: plan, shared: sh, name: plan.Name, released: make(chan struct{}, 1)}
 	log := sh.log
 	if plan.Name != config.Platform {
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("service %s: %w", plan.Name, err)
 	}
-	list, source, err := s.openSource(plan, known, log)
+	list, source, err := s.openSource(plan, last, log)
 	if err != nil {
 		return nil, fmt.Errorf("service %s: %w", plan.Name, err)
 	}
@@ -99,12 +99,12 @@
 	return s, nil
 }
 
-// random returns the random numbers of one of the service's streams.
+// random returns the generator of one of the service's streams of random numbers.
 func (s *service) random(stream string) *rand.Rand {
 	return rand.New(rand.NewPCG(s.shared.seed, xxhash.Sum64String(stream+s.plan.Name)))
 }
 
-// poolOptions opens the credentials, if connections are encrypted.
+// poolOptions returns the options of the pool of connections. If connections are encrypted, it opens the credentials.
 func (s *service) poolOptions(log *slog.Logger) (upstream.Options, error) {
 	plan, sh := &s.plan, s.shared
 	o := upstream.Options{
@@ -130,13 +130,14 @@
 	return o, nil
 }
 
-// startEngine makes the engine, with the list that is known to begin with, and the sinks through which it gets further ones.
+// startEngine creates the engine with its first list, and the sinks through which it gets later lists.
 func (s *service) startEngine(list *endpoints.List, log *slog.Logger) (err error) {
 	plan, sh := &s.plan, s.shared
 	s.registrySink = discovery.NewRegistrySink(s.registry, func(update balancer.EndpointUpdate) { s.engine.Update(update) })
 	if plan.Subset.Enabled {
 		self := fmt.Sprintf("%s/%016x", sh.name, sh.seed)
-		s.subsetSink = discovery.NewSubsetSink(subset.New(plan.Subset, self, plan.Settings.Zone, sh.connections), s.registrySink, s.requests.Load)
+		s.subsetSink = discovery.NewSubsetSink(subset.New(plan.Subset, self, plan.Settings.Zone, sh.connections), s.registrySink,
+			s.requestCount.Load)
 		if list != nil {
 			list = s.subsetSink.Load(list)
 		}
@@ -154,7 +155,7 @@
 	return err
 }
 
-// startBackground starts what runs beside requests until close.
+// startBackground starts the goroutines that run until close.
 func (s *service) startBackground() {
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
@@ -168,7 +169,7 @@
 	}
 }
 
-// setAdmission applies what a plan says of admission. Other options keep the queue; without options all that wait are admitted.
+// setAdmission applies a plan's options for admission. Changed options keep the queue; without options all waiting requests are admitted.
 func (s *service) setAdmission(plan config.ServicePlan) error {
 	current := s.admission.Load()
 	if plan.Admission == nil {
@@ -179,7 +180,7 @@
 		return nil
 	}
 	options := *plan.Admission
-	// The queue has to reject before the bulkhead does, which knows no tenants.
+	// The queue has to reject before the bulkhead, which does not distinguish tenants.
 	requests := max(1, (s.shared.connections-s.shared.connections/idleConnectionFraction)/2)
 	options.MaxQueued, options.MaxLimit = min(options.MaxQueued, requests), min(options.MaxLimit, requests)
 	options.MinLimit = min(options.MinLimit, options.MaxLimit)
@@ -196,10 +197,10 @@
 	return nil
 }
 
-// acquire uses the service for a request. It returns false if the service has been retired.
+// acquire begins a request's use of the service. It returns false if the service has been retired.
 func (s *service) acquire() bool {
 	s.inFlight.Add(1)
-	s.requests.Add(1)
+	s.requestCount.Add(1)
 	if s.retired.Load() {
 		s.release()
 		return false
@@ -207,7 +208,7 @@
 	return true
 }
 
-// release ends the use by a request.
+// release ends a request's use of the service.
 func (s *service) release() {
 	if s.inFlight.Add(-1) == 0 && s.retired.Load() {
 		select {
@@ -217,7 +218,7 @@
 	}
 }
 
-// retire ends the service once no request uses it, or after timeout.
+// retire closes the service once no request uses it, or after timeout.
 func (s *service) retire(timeout time.Duration) {
 	s.retired.Store(true)
 	timer := time.NewTimer(timeout)
@@ -233,7 +234,7 @@
 	s.close()
 }
 
-// abort rejects what waits in the admission queue, and fails what is in flight.
+// abort rejects the requests in the admission queue, and fails those in flight.
 func (s *service) abort() {
 	if queue := s.admission.Load(); queue != nil {
 		queue.Close()
@@ -241,7 +242,7 @@
 	s.engine.Abort()
 }
 
-// close fails what is in flight and waits for all goroutines of the service.
+// close fails the requests in flight and waits for all goroutines of the service.
 func (s *service) close() {
 	s.retired.Store(true)
 	s.follow(nil)
--- a/internal/daemon/service_source.go
+++ b/internal/daemon/service_source.go
@@ -17,16 +17,16 @@
 	"orchiddrift/internal/filewatch"
 )
 
-// ownList is the name of a service's own list beside those of registries.
+// ownList is the name of a service's own list in a merged source.
 const ownList = "list"
 
-// errNewServiceNeeded says that a service cannot be moved to another kind of list.
-var errNewServiceNeeded = errors.New("a change between kinds of lists needs a new service")
+// errNewServiceNeeded says that a running service cannot change to another kind of list.
+var errNewServiceNeeded = errors.New("a change to another kind of endpoint list needs a new service")
 
-// openSource opens the source of a plan's endpoint list, and returns the list to begin with. A nil source says that the plan has the whole
-// list. Where registries list upstreams too, it is the source of the merged list.
-func (s *service) openSource(plan config.ServicePlan, known *endpoints.List, log *slog.Logger) (*endpoints.List, discovery.Source, error) {
-	list, own, err := s.openOwnSource(plan, known, log)
+// openSource opens the source of a plan's endpoint list, and returns the first list. A nil source says that the plan contains the complete
+// list. If the plan has registries, the source merges their lists with the service's own.
+func (s *service) openSource(plan config.ServicePlan, last *endpoints.List, log *slog.Logger) (*endpoints.List, discovery.Source, error) {
+	list, own, err := s.openOwnSource(plan, last, log)
 	if err != nil || len(plan.Registries) == 0 {
 		return list, own, err
 	}
@@ -52,13 +52,13 @@
 	return eureka.New(r, plan.Settings.ConnectTimeout, s.shared.seed^xxhash.Sum64String(r.Name), log)
 }
 
-// openOwnSource is openSource for the list that is no registry's.
-func (s *service) openOwnSource(plan config.ServicePlan, known *endpoints.List, log *slog.Logger) (*endpoints.List, discovery.Source, error) {
+// openOwnSource is openSource for the service's own list, without those of registries.
+func (s *service) openOwnSource(plan config.ServicePlan, last *endpoints.List, log *slog.Logger) (*endpoints.List, discovery.Source, error) {
 	switch {
 	case plan.Discovery != "":
 		list := plan.InitialEndpoints
-		if known != nil {
-			list = known
+		if last != nil {
+			list = last
 		}
 		var index int64
 		if list != nil {
@@ -74,7 +74,7 @@
 	return plan.InitialEndpoints, nil, nil
 }
 
-// follow follows a source in place of the one before; nil: none.
+// follow replaces the source that the service follows; nil: it follows none.
 func (s *service) follow(source discovery.Source) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,7 @@
 	if source == nil {
 		return
 	}
-	if s.refreshWanted { // the engine asks as it is made, before there is a source
+	if s.refreshWanted { // a new engine requests the list before there is a source
 		s.refreshWanted = false
 		source.Refresh()
 	}
@@ -100,7 +100,7 @@
 	}()
 }
 
-// sink is where lists go.
+// sink returns the sink of the lists that the source delivers.
 func (s *service) sink() endpoints.Sink {
 	if s.subsetSink != nil {
 		return s.subsetSink
@@ -108,7 +108,7 @@
 	return s.registrySink
 }
 
-// watcher returns what follows the service's list at discovery; nil: it is not followed there.
+// watcher returns the watcher of the service's list at discovery; nil: the list does not come from discovery.
 func (s *service) watcher() *discovery.Watcher {
 	s.mu.Lock()
 	source := s.source
@@ -120,7 +120,7 @@
 	return watcher
 }
 
-// requestRefresh asks the source for the list. The engine calls it: it must not block, while follow may hold the lock for a moment.
+// requestRefresh requests the list from the source. The engine calls it, so it must not block; follow may hold the lock for a moment.
 func (s *service) requestRefresh() {
 	go func() {
 		s.mu.Lock()
@@ -132,7 +132,7 @@
 	}()
 }
 
-// lastList is the complete list as last received.
+// lastList returns the complete list that was received last.
 func (s *service) lastList() *endpoints.List {
 	if s.subsetSink != nil {
 		return s.subsetSink.Last()
@@ -140,9 +140,9 @@
 	return s.registrySink.Last()
 }
 
-// prepareMove prepares the service to follow another list; the returned function makes the change and cannot fail. It is nil if the lists
-// are the same. errNewServiceNeeded: the list is of another kind.
-func (s *service) prepareMove(plan config.ServicePlan) (move func(), err error) {
+// prepareSourceChange prepares the service to follow the list of another plan; the returned function makes the change and cannot fail. It is
+// nil if the lists are the same. The error is errNewServiceNeeded if the list is of another kind.
+func (s *service) prepareSourceChange(plan config.ServicePlan) (change func(), err error) {
 	before := &s.plan
 	sameOwn := sameOwnList(before, &plan)
 	sameRegistries := reflect.DeepEqual(before.Registries, plan.Registries) && before.Membership == plan.Membership
@@ -150,7 +150,7 @@
 		return nil, nil
 	}
 	if merged, ok := s.source.(*discovery.MergedSource); ok && (len(plan.Registries) > 0 || plan.Discovery != "") {
-		return s.prepareMergedMove(merged, plan, sameOwn)
+		return s.prepareMergedSourceChange(merged, plan, sameOwn)
 	}
 	if len(before.Registries)+len(plan.Registries) == 0 && before.Discovery != "" && plan.Discovery != "" {
 		return func() {
@@ -163,11 +163,11 @@
 	if plan.Discovery != "" && before.Discovery != plan.Discovery {
 		return nil, errNewServiceNeeded
 	}
-	var known *endpoints.List
-	if plan.Discovery != "" { // registries are added beside it
-		known = s.lastList()
+	var last *endpoints.List
+	if plan.Discovery != "" { // registries are added to the list of discovery
+		last = s.lastList()
 	}
-	list, source, err := s.openSource(plan, known, s.shared.log)
+	list, source, err := s.openSource(plan, last, s.shared.log)
 	if err != nil {
 		return nil, fmt.Errorf("service %s: %w", plan.Name, err)
 	}
@@ -181,7 +181,7 @@
 	}, nil
 }
 
-// sameOwnList reports whether two plans have the same list beside their registries.
+// sameOwnList reports whether two plans have the same list, apart from their registries.
 func sameOwnList(a, b *config.ServicePlan) bool {
 	if a.Discovery != b.Discovery || a.ListFile != b.ListFile {
 		return false
@@ -189,13 +189,13 @@
 	return b.Discovery != "" || b.ListFile != "" || reflect.DeepEqual(a.InitialEndpoints, b.InitialEndpoints)
 }
 
-// hasOwnList reports whether a plan has a list beside its registries.
+// hasOwnList reports whether a plan has a list, apart from its registries.
 func hasOwnList(plan *config.ServicePlan) bool {
 	return plan.Discovery != "" || plan.ListFile != "" || plan.InitialEndpoints != nil
 }
 
-// mergedMove collects the steps by which a merged source changes. Removals come last, so that no upstream is missing in between.
-type mergedMove struct {
+// mergedSourceChange collects the steps that change a merged source. Removals come last, so that no upstream is missing in between.
+type mergedSourceChange struct {
 	service  *service
 	merged   *discovery.MergedSource
 	plan     config.ServicePlan
@@ -203,9 +203,9 @@
 	removals []func()
 }
 
-// prepareMergedMove is prepareMove where registries stay, or come and go beside the service's own list.
-func (s *service) prepareMergedMove(merged *discovery.MergedSource, plan config.ServicePlan, sameOwn bool) (func(), error) {
-	m := &mergedMove{service: s, merged: merged, plan: plan}
+// prepareMergedSourceChange is prepareSourceChange for a merged source that stays in use, even if only the list of discovery remains in it.
+func (s *service) prepareMergedSourceChange(merged *discovery.MergedSource, plan config.ServicePlan, sameOwn bool) (func(), error) {
+	m := &mergedSourceChange{service: s, merged: merged, plan: plan}
 	m.steps = append(m.steps, func() { merged.Configure(plan.Membership) })
 	if !sameOwn {
 		if err := m.changeOwnList(); err != nil {
@@ -223,16 +223,16 @@
 	}, nil
 }
 
-func (m *mergedMove) add(source discovery.NamedSource) {
+func (m *mergedSourceChange) add(source discovery.NamedSource) {
 	m.steps = append(m.steps, func() {
-		if err := m.merged.Add(source); err != nil { // the check of the file bounds the number of sources
+		if err := m.merged.Add(source); err != nil { // cannot happen: the check of the file limits the number of sources
 			m.service.shared.log.Error("membership", "reason", err)
 		}
 	})
 }
 
 // changeOwnList replaces, adds or removes the service's own list.
-func (m *mergedMove) changeOwnList() error {
+func (m *mergedSourceChange) changeOwnList() error {
 	s, before := m.service, &m.service.plan
 	if before.Discovery != "" && m.plan.Discovery != "" {
 		m.steps = append(m.steps, func() { m.merged.Source(ownList).(*discovery.Watcher).Redirect(m.plan.Discovery) })
@@ -259,8 +259,8 @@
 	return nil
 }
 
-// changeRegistries replaces, adds and removes registries. One that is unchanged goes on.
-func (m *mergedMove) changeRegistries() error {
+// changeRegistries replaces, adds and removes registries. It leaves unchanged ones alone.
+func (m *mergedSourceChange) changeRegistries() error {
 	before := m.service.plan.Registries
 	for _, r := range before {
 		if !hasRegistry(m.plan.Registries, r.Name) {
@@ -288,7 +288,7 @@
 	return slices.ContainsFunc(registries, func(r eureka.Declaration) bool { return r.Name == name })
 }
 
-// sameRegistry reports whether a registry is followed as before. How the process registers itself does not matter.
+// sameRegistry reports whether a registry is followed in the same way. How the process registers itself does not matter.
 func sameRegistry(a, b eureka.Declaration) bool {
 	a.Register, b.Register = eureka.Register{}, eureka.Register{}
 	return reflect.DeepEqual(a, b)
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -21,7 +21,7 @@
 
 	mu        sync.Mutex
 	released  bool                // the request has its answer
-	responses []upstream.Response // of its attempts, to be released with it
+	responses []upstream.Response // of its attempts, freed by release
 }
 
 // RoundTrip implements engine.Transport.
@@ -33,13 +33,13 @@
 	if response.Result != balancer.OK {
 		return engine.AttemptResult{Result: response.Result, BodyConsumed: response.BodyConsumed}
 	}
-	t.keep(response)
+	t.retain(response)
 	return engine.AttemptResult{Result: balancer.OK, Value: &response, Streaming: response.Remainder != nil, PassThrough: true,
 		BodyConsumed: response.BodyConsumed}
 }
 
-// attempt sends the request once. It counts before anything can be sent, and no longer once it is proved that nothing was: a count of 0
-// while another attempt is in flight would make a request that may run look like one that was never sent.
+// attempt sends the request once. It counts itself in started before it can send anything, and only takes that back if it has sent nothing:
+// a count of 0 with another attempt in flight would make a request that may have been sent look like one that was not.
 func (t *transport) attempt(ctx context.Context, a engine.Attempt) upstream.Response {
 	t.started.Add(1)
 	options := upstream.AttemptOptions{Deadline: a.Deadline, SendBy: a.SendBy, Caller: a.Caller, Cancel: a.Cancel}
@@ -50,8 +50,8 @@
 	return response
 }
 
-// keep holds an attempt's response until the request is released.
-func (t *transport) keep(r upstream.Response) {
+// retain keeps an attempt's response until release.
+func (t *transport) retain(r upstream.Response) {
 	if r.ReservedBytes == 0 && r.Remainder == nil {
 		return
 	}
@@ -64,7 +64,7 @@
 	t.responses = append(t.responses, r)
 }
 
-// release gives back what the responses hold.
+// release frees the memory and the connections that the responses hold.
 func (t *transport) release() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -21,39 +21,39 @@
 const (
 	// readyPollInterval is how often a process that starts checks whether it can serve.
 	readyPollInterval = 20 * time.Millisecond
-	// establishedAfter is how long a successor waits for its predecessor's confirmation that it knows of it.
-	establishedAfter = 500 * time.Millisecond
-	// minConnections of each side may be open in a process with a successor, whatever is left of the limits.
+	// establishedTimeout is how long a successor waits until its predecessor acknowledges that the successor serves.
+	establishedTimeout = 500 * time.Millisecond
+	// minConnections to clients, and as many to upstreams, may be open in a process with a successor, whatever the limits leave.
 	minConnections = 4
-	// descriptorReportInterval is how often a predecessor reports the descriptors that it holds.
+	// descriptorReportInterval is how often a predecessor reports how many descriptors it holds.
 	descriptorReportInterval = 100 * time.Millisecond
 )
 
-var errOtherAddress = errors.New("the socket that was passed on listens elsewhere")
+var errOtherAddress = errors.New("the predecessor's socket listens on another address than the configured one")
 
-// upgrade is a process's place between its predecessor and its successor. During a hand-over two processes of one sidecar run and share its
-// limits; a drain of either is a drain of both. It is safe for concurrent use.
+// upgrade holds a process's links to its predecessor and its successor. During a hand-over two processes of one sidecar run and share its
+// limits, and draining one of them drains both. It is safe for concurrent use.
 type upgrade struct {
 	identity handover.Identity
 
 	mu             sync.Mutex
-	predecessor    *handover.Link // nil: none runs any more
+	predecessor    *handover.Link // nil: none is running
 	successor      *handover.Link
 	successorReady bool // the successor serves
 	offer          *handover.Offer
 
-	established atomic.Bool // the predecessor knows that this process serves, or there is none: the predecessor may be ended
+	established atomic.Bool // the predecessor knows that this process serves, or there is none: the predecessor may be stopped
 }
 
-// inheritance is what a process got from its predecessor.
-type inheritance struct {
+// receivedHandover is what a process received from its predecessor.
+type receivedHandover struct {
 	state handover.State
 	link  *handover.Link
 }
 
-// takeOver asks a running process of this sidecar for its listening socket and its state. Without an error it returns nil, nil if there is
-// none; the address is then opened beside it.
-func takeOver(p *config.Plan, folder string) (net.Listener, *inheritance, error) {
+// takeOver requests the listening socket and the state of a running process of this sidecar. If there is none it returns nil, nil, nil, and
+// the caller opens the address itself.
+func takeOver(p *config.Plan, folder string) (net.Listener, *receivedHandover, error) {
 	if p.Control == "" { // operators could not tell when this process serves
 		return nil, nil, nil
 	}
@@ -68,14 +68,14 @@
 	if listener.Addr().String() != p.Listen && !config.AnyPort(p.Listen) {
 		return nil, nil, errors.Join(errOtherAddress, listener.Close(), link.Close())
 	}
-	_ = acceptor.AllowConnects(listener) // where the system can't, the predecessor has not rejected them
+	_ = acceptor.AllowConnects(listener) // on a system without support for this, the predecessor has not rejected any
 	for i := range p.Services {
 		useHandedOverList(&p.Services[i], state.Services[p.Services[i].Name])
 	}
-	return listener, &inheritance{state, link}, nil
+	return listener, &receivedHandover{state, link}, nil
 }
 
-// useHandedOverList begins with the predecessor's list if both follow the same discovery and it is not older.
+// useHandedOverList makes the predecessor's list the first one, if both processes use the same discovery address and the list is not older.
 func useHandedOverList(plan *config.ServicePlan, from handover.Service) {
 	if from.List == nil || plan.Discovery == "" || from.Discovery != plan.Discovery {
 		return
@@ -89,34 +89,34 @@
 	return b == nil || b.Index == nil || *a.Index >= *b.Index
 }
 
-// restore gives the engines the snapshots of the predecessor's, and takes over its draining.
-func (d *daemon) restore(from *inheritance) {
+// restore gives the engines the snapshots of the predecessor's engines, and drains if the predecessor does.
+func (d *daemon) restore(received *receivedHandover) {
 	for name, s := range d.routing.Load().services {
-		if handedOver := from.state.Services[name]; handedOver.Snapshot != nil {
+		if handedOver := received.state.Services[name]; handedOver.Snapshot != nil {
 			s.engine.Restore(handedOver.Snapshot)
 		}
 	}
-	if from.state.Draining {
+	if received.state.Draining {
 		d.lifecycle.drain()
 	}
 }
 
-// handoverState is what a successor gets, beside the clients' socket.
+// handoverState returns the state that a successor receives with the clients' socket.
 func (d *daemon) handoverState() handover.State {
 	d.lifecycle.connections.SetShared(true) // before the successor has the socket
 	state := handover.State{Identity: d.upgrade.identity, Draining: d.lifecycle.state() == lifecycle.Draining,
 		Descriptors: d.descriptorsHeld(), Services: map[string]handover.Service{}}
 	for name, s := range d.routing.Load().services {
-		one := handover.Service{Snapshot: s.engine.Snapshot()}
+		serviceState := handover.Service{Snapshot: s.engine.Snapshot()}
 		if discovery, list := s.handoverList(); discovery != "" {
-			one.Discovery, one.List = discovery, list
+			serviceState.Discovery, serviceState.List = discovery, list
 		}
-		state.Services[name] = one
+		state.Services[name] = serviceState
 	}
 	return state
 }
 
-// handoverList returns the discovery that a service follows alone, and its list; empty: it has other sources.
+// handoverList returns a service's discovery address and its list. The address is empty if the service has other sources.
 func (s *service) handoverList() (string, *endpoints.List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,33 +127,33 @@
 }
 
 // runUpgrade notifies the predecessor once this process serves, and then offers the hand-over to successors. It blocks until ctx ends.
-func (d *daemon) runUpgrade(ctx context.Context, from *inheritance, folder string, clients net.Listener) {
-	if from != nil {
+func (d *daemon) runUpgrade(ctx context.Context, received *receivedHandover, folder string, clients net.Listener) {
+	if received != nil {
 		d.halveMemory()
-		d.limitBesidePredecessor(from.state.Descriptors)
-		d.backgroundTasks.Go(func() { d.followPeer(from.link, true) })
-		stop := context.AfterFunc(ctx, func() { from.link.Close() })
+		d.limitConnectionsBesidePredecessor(received.state.Descriptors)
+		d.backgroundTasks.Go(func() { d.followPeer(received.link, true) })
+		stop := context.AfterFunc(ctx, func() { received.link.Close() })
 		defer stop()
 	}
 	if !d.awaitReady(ctx) {
 		return
 	}
-	if from != nil {
-		if err := from.link.Send(handover.Ready); err != nil {
-			d.log.Warn("hand-over: the predecessor has gone", "reason", err)
+	if received != nil {
+		if err := received.link.Send(handover.Ready); err != nil {
+			d.log.Warn("hand-over: the predecessor was not notified that this process serves", "reason", err)
 		}
-		defer time.AfterFunc(establishedAfter, func() { d.upgrade.established.Store(true) }).Stop()
+		defer time.AfterFunc(establishedTimeout, func() { d.upgrade.established.Store(true) }).Stop()
 	}
 	defer context.AfterFunc(ctx, d.upgrade.closeOffer)()
 	for ctx.Err() == nil {
 		offer, err := handover.Listen(handover.SocketPath(folder, d.upgrade.identity))
 		if err != nil {
-			d.log.Warn("hand-over: no successor can ask here; it will open the address beside this process", "reason", err)
+			d.log.Warn("hand-over: cannot listen for a successor; it will open the clients' address beside this process", "reason", err)
 			d.upgrade.established.Store(true)
 			return
 		}
 		d.upgrade.setOffer(offer)
-		if from == nil { // there is no predecessor, and a successor can ask from now on
+		if received == nil { // there is no predecessor, and a successor can connect from now on
 			d.upgrade.established.Store(true)
 		}
 		if ctx.Err() != nil { // closeOffer may have run before setOffer
@@ -164,7 +164,7 @@
 	}
 }
 
-// awaitReady waits until the process can serve. It returns false if ctx ends before.
+// awaitReady waits until the process can serve. It returns false if ctx ends earlier.
 func (d *daemon) awaitReady(ctx context.Context) bool {
 	for !d.ready() {
 		select {
@@ -182,14 +182,14 @@
 		link, err := offer.Next(d.upgrade.identity, clients, d.handoverState)
 		switch {
 		case errors.Is(err, handover.ErrNoSuccessor):
-			d.log.Warn("hand-over", "reason", err)
+			d.log.Warn("hand-over: failed", "reason", err)
 			d.unshareIfAlone()
 			continue
 		case err != nil:
 			return
 		}
-		if before := d.upgrade.setSuccessor(link); before != nil { // it never became ready, or was given up
-			before.Close()
+		if previous := d.upgrade.setSuccessor(link); previous != nil { // the previous successor did not become ready, or was abandoned
+			previous.Close()
 		}
 		d.log.Info("hand-over: a successor has the clients' socket")
 		stop := context.AfterFunc(ctx, func() { link.Close() })
@@ -206,7 +206,7 @@
 	u.offer = offer
 }
 
-// closeOffer ends the current offer; a process that goes on makes another one.
+// closeOffer closes the current offer; runUpgrade makes another one unless its context has ended.
 func (u *upgrade) closeOffer() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -216,12 +216,12 @@
 }
 
 // setSuccessor returns the successor that the new one replaces.
-func (u *upgrade) setSuccessor(link *handover.Link) (before *handover.Link) {
+func (u *upgrade) setSuccessor(link *handover.Link) (previous *handover.Link) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	before = u.successor
+	previous = u.successor
 	u.successor, u.successorReady = link, false
-	return before
+	return previous
 }
 
 func (u *upgrade) setPredecessor(link *handover.Link) {
@@ -230,7 +230,7 @@
 	u.predecessor = link
 }
 
-// markReady notes that a successor serves, and reports whether it is the current one and did so for the first time.
+// markReady records that a successor serves, and reports whether it is the current one and this is its first such message.
 func (u *upgrade) markReady(link *handover.Link) (first bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -251,15 +251,15 @@
 			break
 		}
 		switch message {
-		case handover.DescriptorsHeld: // the first one answers Ready
+		case handover.DescriptorsHeld: // the first one acknowledges Ready
 			if predecessor {
-				d.limitBesidePredecessor(descriptors)
+				d.limitConnectionsBesidePredecessor(descriptors)
 				d.upgrade.established.Store(true)
 			}
 		case handover.Ready:
 			if d.upgrade.markReady(link) {
 				d.log.Info("hand-over: the successor serves")
-				d.lifecycle.connections.Pause(true) // it has the socket too
+				d.lifecycle.connections.Pause(true) // the successor accepts connections from the same socket
 				d.halveMemory()
 				d.backgroundTasks.Go(func() { d.reportDescriptors(link) })
 			}
@@ -272,7 +272,7 @@
 	d.forgetPeer(link)
 }
 
-// forgetPeer notes that the other process has gone. A process that is alone uses all of the limits, and accepts connections.
+// forgetPeer records that the other process has ended. A process that is alone uses all of the limits, and accepts connections.
 func (d *daemon) forgetPeer(link *handover.Link) {
 	u := d.upgrade
 	u.mu.Lock()
@@ -283,7 +283,7 @@
 		u.established.Store(true)
 	case u.successor:
 		u.successor, u.successorReady = nil, false
-		if u.offer != nil { // the one that has gone may have replaced the socket: the next successor has to find one of this process
+		if u.offer != nil { // the successor may have replaced the hand-over socket: this process has to listen again
 			u.offer.Close()
 		}
 	}
@@ -295,7 +295,7 @@
 	}
 }
 
-// unshareIfAlone notes that a successor did not take the clients' socket over.
+// unshareIfAlone records, after a hand-over that failed, that the clients' socket is not shared unless another process has it.
 func (d *daemon) unshareIfAlone() {
 	u := d.upgrade
 	u.mu.Lock()
@@ -312,7 +312,7 @@
 	u.mu.Unlock()
 	for _, link := range links {
 		if link != nil {
-			_ = link.Send(message) // one that has gone needs no message
+			_ = link.Send(message) // a process that has ended needs no message
 		}
 	}
 }
@@ -324,22 +324,23 @@
 	return u.successorReady
 }
 
-// halveMemory makes the garbage collector keep to half of the limit: the other process has the other half.
+// halveMemory makes the garbage collector keep to half of the memory limit: the other process has the other half.
 func (d *daemon) halveMemory() {
 	limits := d.limits
 	limits.MemoryMB /= 2
 	LimitMemory(&config.Plan{Limits: limits})
 }
 
-// limitBesidePredecessor makes a successor keep to what its predecessor, which holds so many descriptors, leaves of the limits.
-func (d *daemon) limitBesidePredecessor(descriptors int) {
+// limitConnectionsBesidePredecessor limits a successor's connections to the descriptors that its predecessor leaves, which holds this many
+// of them.
+func (d *daemon) limitConnectionsBesidePredecessor(descriptors int) {
 	limits := d.limits
 	limits.Sockets -= descriptors
 	connections := connectionLimit(limits)
 	d.resize(connections, connections)
 }
 
-// descriptorsHeld is how many descriptors the process holds, and may open without asking.
+// descriptorsHeld returns how many descriptors the process holds, including those that it may open at any time.
 func (d *daemon) descriptorsHeld() int {
 	clients := max(minConnections, d.lifecycle.connections.Open())
 	upstreams := max(minConnections, int(d.shared.connectionSlots.Total()))
@@ -350,7 +351,7 @@
 func (d *daemon) reportDescriptors(link *handover.Link) {
 	ticker := time.NewTicker(descriptorReportInterval)
 	defer ticker.Stop()
-	for d.shrink() {
+	for d.freezeUpstreamConnections() {
 		if link.SendDescriptorsHeld(d.descriptorsHeld()) != nil {
 			return
 		}
@@ -358,9 +359,9 @@
 	}
 }
 
-// shrink makes a process with a successor open no further connections to upstreams. It returns false if the successor has gone: all of the
-// limits are this process's again.
-func (d *daemon) shrink() bool {
+// freezeUpstreamConnections limits the upstream connections of a process with a successor to those that are open. It returns false if the
+// successor has ended: this process then uses all of the limits again.
+func (d *daemon) freezeUpstreamConnections() bool {
 	d.upgrade.mu.Lock()
 	defer d.upgrade.mu.Unlock()
 	if !d.upgrade.successorReady {
@@ -370,13 +371,13 @@
 	return true
 }
 
-// resize sets how many connections there may be to clients and upstreams.
+// resize sets how many connections to clients and upstreams may be open.
 func (d *daemon) resize(clients, upstreams int) {
 	d.lifecycle.connections.Resize(clients)
 	if err := d.shared.connectionSlots.Resize(int64(upstreams)); err != nil { // fewer than there are services: nothing changes
-		d.log.Warn("hand-over", "reason", err)
+		d.log.Warn("hand-over: the limit of connections to upstreams stays", "reason", err)
 	}
 }
 
-// handoverFolder is where the processes of one sidecar find each other.
+// handoverFolder returns the directory in which the processes of one sidecar find each other's hand-over socket.
 func handoverFolder() string { return os.TempDir() }
