--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -31,7 +31,7 @@
 	entryMetrics *[]metrics.Request // kept if the request is routed again
 }
 
-// serve answers the request. If reroute is true it has not: the route was removed before anything was sent, and the request has to be routed
+// serve answers the request, unless the route was removed before anything was sent. reroute is true then, and the request has to be routed
 // again.
 func (c *graphqlCall) serve(body []byte) (reroute bool) {
 	parsed, problem := c.readOperations(body)
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// serveRouted has the service answer the request. If reroute is true it has not, and the request has to be routed again.
+// serveRouted has the service answer the request, unless reroute is true: the request has to be routed again then.
 func (c *clientRequest) serveRouted(routed *routedRequest) (reroute bool) {
 	releaseCapacity, ok, reroute := c.acquireCapacity(routed)
 	if !ok {
@@ -91,7 +91,7 @@
 }
 
 // acquireCapacity reserves the request's part of the service's limits for as long as it is in flight. If ok is false, the request has been
-// rejected, or has to be routed again if reroute is true.
+// rejected or, if reroute is true, has to be routed again.
 func (c *clientRequest) acquireCapacity(routed *routedRequest) (release func(), ok, reroute bool) {
 	shared, name := c.daemon.shared, routed.service.name
 	if shared.inFlight == nil {
@@ -231,7 +231,7 @@
 }
 
 // rejectOverloaded rejects a request whose service has reached its share of the limits. The balancer has not seen the request, and does not
-// count it as rejected. If reroute is true it has not been rejected: a reload has just changed the services.
+// count it as rejected. If a reload has just changed the services, it returns true instead: the request has to be routed again.
 func (c *clientRequest) rejectOverloaded(routed *routedRequest, resource string) (reroute bool) {
 	if c.daemon.routing.Load() != routed.routing {
 		return true
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -54,7 +54,7 @@
 // takeOver requests the listening socket and the state of a running process of this sidecar. If there is none it returns nil, nil, nil, and
 // the caller opens the address itself.
 func takeOver(p *config.Plan, folder string) (net.Listener, *receivedHandover, error) {
-	if p.Control == "" { // operators could not tell when this process serves
+	if p.Control == "" { // without this address, operators cannot tell when this process serves
 		return nil, nil, nil
 	}
 	identity := handover.Identity{Name: p.Name, Listen: p.Listen}
@@ -130,7 +130,7 @@
 func (d *daemon) runUpgrade(ctx context.Context, received *receivedHandover, folder string, clients net.Listener) {
 	if received != nil {
 		d.halveMemory()
-		d.limitConnectionsBesidePredecessor(received.state.Descriptors)
+		d.limitConnections(received.state.Descriptors)
 		d.backgroundTasks.Go(func() { d.followPeer(received.link, true) })
 		stop := context.AfterFunc(ctx, func() { received.link.Close() })
 		defer stop()
@@ -206,7 +206,7 @@
 	u.offer = offer
 }
 
-// closeOffer closes the current offer; runUpgrade makes another one unless its context has ended.
+// closeOffer closes the current offer; runUpgrade creates another one unless its context has ended.
 func (u *upgrade) closeOffer() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -253,7 +253,7 @@
 		switch message {
 		case handover.DescriptorsHeld: // the first one acknowledges Ready
 			if predecessor {
-				d.limitConnectionsBesidePredecessor(descriptors)
+				d.limitConnections(descriptors)
 				d.upgrade.established.Store(true)
 			}
 		case handover.Ready:
@@ -331,11 +331,10 @@
 	LimitMemory(&config.Plan{Limits: limits})
 }
 
-// limitConnectionsBesidePredecessor limits a successor's connections to the descriptors that its predecessor leaves, which holds this many
-// of them.
-func (d *daemon) limitConnectionsBesidePredecessor(descriptors int) {
+// limitConnections limits a successor's connections to what the limit on sockets leaves besides the descriptors that its predecessor holds.
+func (d *daemon) limitConnections(predecessorDescriptors int) {
 	limits := d.limits
-	limits.Sockets -= descriptors
+	limits.Sockets -= predecessorDescriptors
 	connections := connectionLimit(limits)
 	d.resize(connections, connections)
 }
