--- a/internal/simulation/experiment/compare.go
+++ b/internal/simulation/experiment/compare.go
@@ -1,7 +1,7 @@
 package experiment
 
-// Difference is a metric of a policy that differs between two files beyond chance: the confidence interval of the difference of the
-// medians does not hold 0.
+// Difference is a statistically significant change of a policy's metric between two sets of results: the confidence interval of the
+// difference of the medians does not contain 0.
 type Difference struct {
 	Policy, Metric string
 	Before, After  float64
@@ -9,22 +9,24 @@
 	Regression     float64 // fraction of Before by which After is worse; negative: better
 }
 
-// Compare returns the differences between two files of results of one experiment.
-func Compare(before, after []RunResult, policies []string) (all []Difference) {
+// Compare returns the statistically significant differences between two sets of results of the same experiment.
+func Compare(before, after []RunResult, policies []string) (differences []Difference) {
 	for _, policy := range policies {
-		for _, f := range Metrics {
-			a, b := metricValues(before, policy, f), metricValues(after, policy, f)
-			if len(a) == 0 || len(b) == 0 {
+		for _, metric := range Metrics {
+			beforeValues, afterValues := metricValues(before, policy, metric), metricValues(after, policy, metric)
+			if len(beforeValues) == 0 || len(afterValues) == 0 {
 				continue
 			}
-			low, high := bootstrap(func(draw func([]float64) []float64) float64 { return median(draw(b)) - median(draw(a)) })
+			low, high := bootstrap(func(draw func([]float64) []float64) float64 {
+				return median(draw(afterValues)) - median(draw(beforeValues))
+			})
 			if low <= 0 && high >= 0 {
 				continue
 			}
-			d := Difference{Policy: policy, Metric: f.Name, Before: median(a), After: median(b), Low: low, High: high}
-			d.Regression = float64(-f.Direction) * (d.After - d.Before) / max(d.Before, 1e-9)
-			all = append(all, d)
+			difference := Difference{Policy: policy, Metric: metric.Name, Before: median(beforeValues), After: median(afterValues), Low: low, High: high}
+			difference.Regression = float64(-metric.Direction) * (difference.After - difference.Before) / max(difference.Before, 1e-9)
+			differences = append(differences, difference)
 		}
 	}
-	return all
+	return differences
 }
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -10,7 +10,7 @@
 	"orchiddrift/internal/units"
 )
 
-// The names of the real balancer among the policies: with all its functions, and without hedged requests.
+// The policy names of the real balancer: with all features, and without hedged requests.
 const (
 	BalancerPolicy  = "ours"
 	NoHedgingPolicy = "ours, no second copies"
@@ -19,89 +19,89 @@
 // isBalancer reports whether a policy is the real balancer.
 func isBalancer(name string) bool { return name == BalancerPolicy || name == NoHedgingPolicy }
 
-// Experiment is an experiment file.
+// Experiment holds the contents of an experiment file.
 type Experiment struct {
-	Name     string         `toml:"name" sample:"\"slow fifth\"" doc:"What it is called."`
-	Question string         `toml:"question" doc:"What it is to answer, for the report."`
-	Length   units.Duration `toml:"length" default:"60s" doc:"Virtual time."`
-	Interval units.Duration `toml:"series" default:"1s" doc:"An interval of the figures over time."`
-	Seeds    int            `toml:"seeds" default:"5" doc:"Runs of each policy: seeds 1 and on."`
-	Policies []string       `toml:"policies" sample:"[\"ours\", \"random\"]" doc:"Absent: all."`
-	Fleet    Fleet          `toml:"fleet" doc:"The nodes and their clients' sidecars."`
-	Load     Load           `toml:"load" doc:"What comes."`
-	Clients  Clients        `toml:"clients" doc:"What clients do on their own."`
-	Classes  []Class        `toml:"class" doc:"Kinds of requests. Absent: one, safe."`
-	Faults   []Fault        `toml:"fault" doc:"What befalls the nodes, or the sidecars."`
-
-	Discovery Discovery `toml:"discovery" doc:"What sidecars ask for the list. Absent: it reaches all by itself."`
+	Name     string         `toml:"name" sample:"\"slow fifth\"" doc:"Name of the experiment."`
+	Question string         `toml:"question" doc:"Question that the experiment answers; the report prints it."`
+	Length   units.Duration `toml:"length" default:"60s" doc:"Length of a run in virtual time."`
+	Interval units.Duration `toml:"series" default:"1s" doc:"Length of one interval of the time series in the results."`
+	Seeds    int            `toml:"seeds" default:"5" doc:"Number of runs of each policy; their seeds count from 1."`
+	Policies []string       `toml:"policies" sample:"[\"ours\", \"random\"]" doc:"Policies to compare. Absent: all."`
+	Fleet    Fleet          `toml:"fleet" doc:"The nodes and the sidecars in front of them."`
+	Load     Load           `toml:"load" doc:"The traffic."`
+	Clients  Clients        `toml:"clients" doc:"How clients retry."`
+	Classes  []Class        `toml:"class" doc:"Classes of requests. Absent: one class of idempotent requests."`
+	Faults   []Fault        `toml:"fault" doc:"Faults of nodes or sidecars."`
+
+	Discovery Discovery `toml:"discovery" doc:"The discovery service that sidecars call for the endpoint list. Absent: list changes reach all sidecars by themselves."`
 
 	hash string
 }
 
-// Fleet is the table of the fleet.
+// Fleet is the [fleet] table: the nodes and the sidecars in front of them.
 type Fleet struct {
-	Nodes                int            `toml:"nodes" default:"50" doc:"Of one core each."`
-	Sidecars             int            `toml:"sidecars" default:"10" doc:"That choose for themselves."`
-	Zones                int            `toml:"zones" default:"1" doc:"Nodes and sidecars are dealt out to them in turn."`
-	MeanServiceTime      units.Duration `toml:"work" default:"20ms" doc:"Of a request, the mean; exponential."`
-	SlowStartMinCapacity float64        `toml:"cold" default:"0.3" doc:"What a node that has just started can do, as a part."`
-	SlowStartWindow      units.Duration `toml:"warm_up" default:"10s" doc:"Till it can do all."`
-	OverloadMultiple     float64        `toml:"fall" default:"3.0" doc:"A cold node falls over at so many times what it can do; 0: never."`
-	RestartDowntime      units.Duration `toml:"down" default:"2s" doc:"A node that is deployed anew is away so long."`
-	ConnectDelay         units.Duration `toml:"connect" default:"2ms" doc:"What a new connection adds."`
-	CrossZonePrice       float64        `toml:"cross_zone_price" default:"0.1" doc:"Of a request that leaves its zone, in parts of one that is served: ours weighs it, the others don't know zones."`
-	CostHints            bool           `toml:"hints" doc:"Requests tell their work; ours heeds it."`
-	Subset               bool           `toml:"subset" doc:"Sidecars know a part of the nodes as their own."`
+	Nodes                int            `toml:"nodes" default:"50" doc:"Number of nodes, each with one core."`
+	Sidecars             int            `toml:"sidecars" default:"10" doc:"Number of sidecars; each balances independently."`
+	Zones                int            `toml:"zones" default:"1" doc:"Number of zones; nodes and sidecars are assigned to them in turn."`
+	MeanServiceTime      units.Duration `toml:"work" default:"20ms" doc:"Mean service time of a request; it is exponentially distributed."`
+	SlowStartMinCapacity float64        `toml:"cold" default:"0.3" doc:"Capacity of a node that has just started, as a fraction of the capacity of a warm node."`
+	SlowStartWindow      units.Duration `toml:"warm_up" default:"10s" doc:"Time from the start of a node until it has its full capacity."`
+	OverloadMultiple     float64        `toml:"fall" default:"3.0" doc:"A node in slow start stops for good when its load stays above this multiple of its capacity; 0: never."`
+	RestartDowntime      units.Duration `toml:"down" default:"2s" doc:"Time from the stop to the start of a node that is deployed."`
+	ConnectDelay         units.Duration `toml:"connect" default:"2ms" doc:"Time that opening a connection adds."`
+	CrossZonePrice       float64        `toml:"cross_zone_price" default:"0.1" doc:"Price of a request that leaves its zone, as a fraction of the value of a served one. Only the policy ours takes zones into account."`
+	CostHints            bool           `toml:"hints" doc:"Requests carry their service time as a hint, which only the policy ours uses."`
+	Subset               bool           `toml:"subset" doc:"Each sidecar uses a subset of the nodes."`
 }
 
-// Load is the table of the load.
+// Load is the [load] table: the traffic of all clients.
 type Load struct {
-	Utilization float64    `toml:"busy" default:"0.5" doc:"What comes, as a part of what all warm nodes can do."`
-	Steps       []LoadStep `toml:"step" doc:"Changes of it."`
+	Utilization float64    `toml:"busy" default:"0.5" doc:"Load as a fraction of the capacity of all warm nodes."`
+	Steps       []LoadStep `toml:"step" doc:"Changes of the load."`
 }
 
-// LoadStep is a change of the load.
+// LoadStep is a [[load.step]] table: a change of the load.
 type LoadStep struct {
-	At          units.Duration `toml:"at" doc:"Since the begin."`
-	Utilization float64        `toml:"busy" doc:"From then on."`
+	At          units.Duration `toml:"at" doc:"Time since the start of the run."`
+	Utilization float64        `toml:"busy" doc:"Load from then on, as a fraction of the capacity of all warm nodes."`
 }
 
-// Clients is the table of the clients' retries.
+// Clients is the [clients] table: how clients retry.
 type Clients struct {
-	MaxRetries      int            `toml:"tries" doc:"After the first: where it was refused, or failed and is safe."`
-	InitialBackoff  units.Duration `toml:"wait" default:"500ms" doc:"Before each, doubled."`
-	HonorRetryAfter bool           `toml:"heed" doc:"They wait at least as long as a refusal says."`
+	MaxRetries      int            `toml:"tries" doc:"Retries of a request that was rejected, or that failed and is idempotent."`
+	InitialBackoff  units.Duration `toml:"wait" default:"500ms" doc:"Backoff before the first retry; it doubles with each further one."`
+	HonorRetryAfter bool           `toml:"heed" doc:"Clients wait at least as long as Retry-After says."`
 }
 
-// Class is a class of requests.
+// Class is a [[class]] table: a class of requests.
 type Class struct {
-	Name             string         `toml:"name" doc:"What it is called."`
-	Weight           float64        `toml:"share" default:"1.0" doc:"Beside the others'."`
-	Effect           string         `toml:"effect" default:"safe" oneof:"safe|unsafe" doc:"Whether it may run twice."`
-	LatencyObjective units.Duration `toml:"aim" default:"400ms" doc:"By which it is worth all."`
-	Deadline         units.Duration `toml:"deadline" default:"2s" doc:"By which it is worth anything."`
+	Name             string         `toml:"name" doc:"Name of the class."`
+	Weight           float64        `toml:"share" default:"1.0" doc:"Weight of the class in the traffic, relative to the other classes."`
+	Effect           string         `toml:"effect" default:"safe" oneof:"safe|unsafe" doc:"Whether a second execution is harmless: safe means idempotent."`
+	LatencyObjective units.Duration `toml:"aim" default:"400ms" doc:"Latency objective, within which an answer has its full value."`
+	Deadline         units.Duration `toml:"deadline" default:"2s" doc:"Deadline, after which an answer has no value."`
 }
 
-// Discovery is the table of the discovery service, as fleetsim.Discovery.
+// Discovery is the [discovery] table: the capacity and the outage of the discovery service, as in fleetsim.Discovery.
 type Discovery struct {
-	TimeForAllCalls units.Duration `toml:"all_calls" doc:"In which it can take one call from each sidecar; 0s: there is none."`
-	LinesPerCall    int            `toml:"call_lines" default:"30" doc:"Lines that a call costs beside one for each node."`
-	Timeout         units.Duration `toml:"timeout" default:"1s" doc:"A call that would wait longer is turned away."`
-	DownAt          units.Duration `toml:"down_at" doc:"From then on it takes none."`
-	DownFor         units.Duration `toml:"down_for" doc:"So long; 0s: it is never down."`
+	TimeForAllCalls units.Duration `toml:"all_calls" doc:"Time in which the service can answer one call from each sidecar; 0s: there is no discovery service."`
+	LinesPerCall    int            `toml:"call_lines" default:"30" doc:"Cost of a call in lines, in addition to one line for each node."`
+	Timeout         units.Duration `toml:"timeout" default:"1s" doc:"A call that would wait longer is rejected."`
+	DownAt          units.Duration `toml:"down_at" doc:"Start of an outage, since the start of the run."`
+	DownFor         units.Duration `toml:"down_for" doc:"Length of the outage; 0s: there is none."`
 }
 
-// Fault is a fault of nodes or sidecars, as fleetsim.Fault.
+// Fault is a [[fault]] table: a fault of nodes or sidecars, as in fleetsim.Fault.
 type Fault struct {
-	Kind     string         `toml:"kind" oneof:"slow|freeze|errors|turn away|crash|deploy|cut|lost|kill" doc:"What befalls them."`
-	At       units.Duration `toml:"at" doc:"Since the begin."`
-	Duration units.Duration `toml:"for" default:"10s" doc:"How long; deploy: in which all are."`
-	Fraction float64        `toml:"part" default:"0.2" doc:"Of the nodes, or of the sidecars that are killed, drawn by the seed."`
-	Zone     int            `toml:"zone" doc:"That is cut off."`
-	Factor   float64        `toml:"factor" default:"5.0" doc:"By which slow ones are slower."`
+	Kind     string         `toml:"kind" oneof:"slow|freeze|errors|turn away|crash|deploy|cut|lost|kill" doc:"Kind of the fault."`
+	At       units.Duration `toml:"at" doc:"Time since the start of the run."`
+	Duration units.Duration `toml:"for" default:"10s" doc:"Duration of the fault; for deploy, the time over which the restarts are spread."`
+	Fraction float64        `toml:"part" default:"0.2" doc:"Fraction of the nodes, or for kill of the sidecars, that the fault affects; the seed selects them."`
+	Zone     int            `toml:"zone" doc:"Index of the zone that cut or lost affects."`
+	Factor   float64        `toml:"factor" default:"5.0" doc:"Factor on the service times, for slow."`
 }
 
-// LoadFile reads and validates an experiment. Its error may be *Problems.
+// LoadFile reads and validates an experiment file. An invalid file gives a *Problems error.
 func LoadFile(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -110,13 +110,13 @@
 	return Parse(path, text)
 }
 
-// Parse parses and validates the text of an experiment. name stands in errors.
+// Parse parses and validates the text of an experiment file. Errors contain name as the file's name.
 func Parse(name string, text []byte) (*Experiment, error) {
 	e := &Experiment{}
 	doc := tomlfile.Decode(text, e)
 	e.validate(doc)
-	if m := doc.Problems(); len(m) > 0 {
-		return nil, &Problems{name, m}
+	if problems := doc.Problems(); len(problems) > 0 {
+		return nil, &Problems{name, problems}
 	}
 	e.hash = fmt.Sprintf("%016x", xxhash.Sum64(text))
 	return e, nil
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const small = `name = "small"
+const smallExperiment = `name = "small"
 length = "8s"
 seeds = 2
 policies = ["ours", "random", "prequal"]
@@ -37,61 +37,62 @@
 	return e
 }
 
-func runs(t *testing.T, e *Experiment, n Runner, path string) []RunResult {
+func runExperiment(t *testing.T, e *Experiment, runner Runner, path string) []RunResult {
 	t.Helper()
-	if err := n.Run(t.Context(), e, path); err != nil {
+	if err := runner.Run(t.Context(), e, path); err != nil {
 		t.Fatal(err)
 	}
-	_, lines, err := Read(path)
-	if err != nil || len(lines) != len(e.PolicyNames())*e.Seeds {
-		t.Fatalf("%d lines, %v", len(lines), err)
+	_, results, err := Read(path)
+	if err != nil || len(results) != len(e.PolicyNames())*e.Seeds {
+		t.Fatalf("results file has %d runs (error %v), want one for each policy and seed", len(results), err)
 	}
-	return lines
+	return results
 }
 
-// TestResultsAreEqualToTheByte plays one experiment with one worker, with four, and interrupted and resumed: the files are equal. Results
-// of another experiment or version are not appended to.
+// TestResultsAreEqualToTheByte guards against results that depend on the order in which workers finish, or on an interruption: one
+// worker, four workers, and a run that is interrupted in the middle of a line and resumed give byte-identical files. Results of another
+// experiment or version are not appended to.
 func TestResultsAreEqualToTheByte(t *testing.T) {
-	e := parse(t, small+"[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"3s\"\npart = 0.5\n[[fault]]\nkind = \"cut\"\nat = \"5s\"\nfor = \"1s\"\nzone = 1\n")
+	e := parse(t, smallExperiment+"[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"3s\"\npart = 0.5\n[[fault]]\nkind = \"cut\"\nat = \"5s\"\nfor = \"1s\"\nzone = 1\n")
 	dir := t.TempDir()
-	one, four, parts := filepath.Join(dir, "1"), filepath.Join(dir, "4"), filepath.Join(dir, "parts")
-	runs(t, e, Runner{Workers: 1}, one)
-	runs(t, e, Runner{Workers: 4}, four)
-	want, err := os.ReadFile(one)
+	oneWorker, fourWorkers, resumed := filepath.Join(dir, "1"), filepath.Join(dir, "4"), filepath.Join(dir, "parts")
+	runExperiment(t, e, Runner{Workers: 1}, oneWorker)
+	runExperiment(t, e, Runner{Workers: 4}, fourWorkers)
+	want, err := os.ReadFile(oneWorker)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, stop := context.WithCancel(t.Context())
+	ctx, cancel := context.WithCancel(t.Context())
 	err = Runner{Workers: 2, OnResult: func(done, _ int, _ RunResult) {
 		if done == 2 {
-			stop()
+			cancel()
 		}
-	}}.Run(ctx, e, parts)
+	}}.Run(ctx, e, resumed)
 	if err != nil && !errors.Is(err, context.Canceled) {
 		t.Fatal(err)
 	}
-	cut, err := os.ReadFile(parts)
-	if err != nil || len(cut) == len(want) {
-		t.Fatalf("it was not stopped: %v", err)
+	partial, err := os.ReadFile(resumed)
+	if err != nil || len(partial) == len(want) {
+		t.Fatalf("the interrupted run wrote a complete results file, or none: %v", err)
 	}
-	if err := os.WriteFile(parts, cut[:len(cut)-30], 0o600); err != nil { // in the middle of a line
+	if err := os.WriteFile(resumed, partial[:len(partial)-30], 0o600); err != nil { // in the middle of a line
 		t.Fatal(err)
 	}
-	runs(t, e, Runner{Workers: 2}, parts)
-	for _, path := range []string{four, parts} {
+	runExperiment(t, e, Runner{Workers: 2}, resumed)
+	for _, path := range []string{fourWorkers, resumed} {
 		if got, err := os.ReadFile(path); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s: %v, %d bytes, %d with one core", path, err, len(got), len(want))
+			t.Errorf("%s differs from the results of one worker: read error %v, got %d bytes, want %d", path, err, len(got), len(want))
 		}
 	}
-	if err := (Runner{}).Run(t.Context(), parse(t, small), one); !errors.Is(err, ErrMismatch) {
-		t.Errorf("another experiment: %v", err)
+	if err := (Runner{}).Run(t.Context(), parse(t, smallExperiment), oneWorker); !errors.Is(err, ErrMismatch) {
+		t.Errorf("running another experiment into the same file: got error %v, want ErrMismatch", err)
 	}
-	if err := (Runner{Version: "2"}).Run(t.Context(), e, one); !errors.Is(err, ErrMismatch) {
-		t.Errorf("another version: %v", err)
+	if err := (Runner{Version: "2"}).Run(t.Context(), e, oneWorker); !errors.Is(err, ErrMismatch) {
+		t.Errorf("running another version into the same file: got error %v, want ErrMismatch", err)
 	}
 }
 
-// faultyPolicy chooses at random, but panics, hangs, or picks from all nodes that were ever listed.
+// faultyPolicy wraps another policy. By its behavior it panics, hangs, or picks from all nodes that were ever listed.
 type faultyPolicy struct {
 	fleetsim.Policy
 	behavior   string
@@ -121,68 +122,70 @@
 	return p.Policy.Pick(now)
 }
 
-// TestFailuresNameMisbehavingPolicies checks that a policy that panics, hangs or sends to draining nodes is reported while the others go on.
+// TestFailuresNameMisbehavingPolicies checks that a policy that panics, hangs or sends to draining nodes is reported, and that the runs
+// of the other policies continue.
 func TestFailuresNameMisbehavingPolicies(t *testing.T) {
-	free, random := make(chan struct{}), fleetsim.Policies["random"]
-	for _, how := range []string{"panics", "hangs", "strays"} {
-		fleetsim.Policies[how] = func(rng *rand.Rand) fleetsim.Policy {
-			return &faultyPolicy{Policy: random(rng), behavior: how, rng: rng, unblock: free}
+	unblock, newRandom := make(chan struct{}), fleetsim.Policies["random"]
+	for _, misbehavior := range []string{"panics", "hangs", "strays"} {
+		fleetsim.Policies[misbehavior] = func(rng *rand.Rand) fleetsim.Policy {
+			return &faultyPolicy{Policy: newRandom(rng), behavior: misbehavior, rng: rng, unblock: unblock}
 		}
-		defer delete(fleetsim.Policies, how)
+		defer delete(fleetsim.Policies, misbehavior)
 	}
-	text := strings.Replace(small, `"ours", "random", "prequal"`, `"panics", "hangs", "strays", "ours"`, 1)
+	text := strings.Replace(smallExperiment, `"ours", "random", "prequal"`, `"panics", "hangs", "strays", "ours"`, 1)
 	e := parse(t, strings.Replace(text, "seeds = 2", "seeds = 1", 1)+"[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"3s\"\npart = 0.5\n")
-	lines := runs(t, e, Runner{Workers: 4, Timeout: time.Second}, filepath.Join(t.TempDir(), "r"))
-	close(free)
-	got := strings.Join(Failures(lines), "\n")
+	results := runExperiment(t, e, Runner{Workers: 4, Timeout: time.Second}, filepath.Join(t.TempDir(), "r"))
+	close(unblock)
+	got := strings.Join(Failures(results), "\n")
 	for _, want := range []string{"panics, seed 1: it panicked: no such node", "hangs, seed 1: it did not end within 1s", "strays, seed 1: ", "after it was told to be leaving"} {
 		if !strings.Contains(got, want) {
-			t.Errorf("%q is not told of:\n%s", want, got)
+			t.Errorf("the failures do not mention %q:\n%s", want, got)
 		}
 	}
-	if strings.Contains(got, "ours") || lines[3].Result == nil || lines[3].Result.OperationsServed == 0 {
-		t.Errorf("ours did not go on: %s", got)
+	if strings.Contains(got, "ours") || results[3].Result == nil || results[3].Result.OperationsServed == 0 {
+		t.Errorf("the policy ours failed, or served nothing beside the faulty policies: %s", got)
 	}
 	var out strings.Builder
-	if err := Report(&out, Header{Experiment: "x", Policies: e.PolicyNames(), Seeds: 1}, lines); err != nil || strings.Count(out.String(), "TROUBLE") != 3 {
-		t.Errorf("%v\n%s", err, out.String())
+	if err := Report(&out, Header{Experiment: "x", Policies: e.PolicyNames(), Seeds: 1}, results); err != nil || strings.Count(out.String(), "TROUBLE") != 3 {
+		t.Errorf("the report does not list 3 failures (error %v):\n%s", err, out.String())
 	}
 }
 
-// TestEachFaultLowersServedOperations checks that each kind of fault lowers what a random policy serves, without a violation.
+// TestEachFaultLowersServedOperations guards against faults without an effect: each kind lowers the number of operations that a random
+// policy serves, without a violation. The balancer serves most operations during a deployment, and clients' retries add requests.
 func TestEachFaultLowersServedOperations(t *testing.T) {
 	play := func(policy, fault string) *fleetsim.Result {
 		t.Helper()
-		text := strings.Replace(small, `["ours", "random", "prequal"]`, `["`+policy+`"]`, 1) + fault
-		lines := runs(t, parse(t, strings.Replace(text, "seeds = 2", "seeds = 1", 1)), Runner{}, filepath.Join(t.TempDir(), "r"))
-		if trouble := Failures(lines); len(trouble) > 0 {
-			t.Errorf("%s, %q: %v", policy, fault, trouble)
+		text := strings.Replace(smallExperiment, `["ours", "random", "prequal"]`, `["`+policy+`"]`, 1) + fault
+		results := runExperiment(t, parse(t, strings.Replace(text, "seeds = 2", "seeds = 1", 1)), Runner{}, filepath.Join(t.TempDir(), "r"))
+		if failures := Failures(results); len(failures) > 0 {
+			t.Errorf("policy %s with fault %q: unexpected failures %v", policy, fault, failures)
 		}
-		return lines[0].Result
+		return results[0].Result
 	}
-	hurt := func(r *fleetsim.Result) int { return r.Operations - r.OperationsServed }
-	calm := play("random", "")
-	for kind, least := range map[string]float64{"slow": 0.01, "freeze": 0.02, "errors": 0.01, "turn away": 0.005, "crash": 0.005, "cut": 0.02} {
-		r := play("random", "[[fault]]\nkind = \""+kind+"\"\nat = \"2s\"\nfor = \"4s\"\npart = 0.34\nfactor = 20.0\n")
-		if float64(hurt(r)-hurt(calm)) < least*float64(r.Operations) {
-			t.Errorf("%s: %d of %d are not served, %d without a fault", kind, hurt(r), r.Operations, hurt(calm))
+	unserved := func(result *fleetsim.Result) int { return result.Operations - result.OperationsServed }
+	withoutFault := play("random", "")
+	for kind, minDrop := range map[string]float64{"slow": 0.01, "freeze": 0.02, "errors": 0.01, "turn away": 0.005, "crash": 0.005, "cut": 0.02} {
+		result := play("random", "[[fault]]\nkind = \""+kind+"\"\nat = \"2s\"\nfor = \"4s\"\npart = 0.34\nfactor = 20.0\n")
+		if float64(unserved(result)-unserved(withoutFault)) < minDrop*float64(result.Operations) {
+			t.Errorf("fault %s: %d of %d operations were not served, %d without a fault; the fault has too little effect", kind, unserved(result), result.Operations, unserved(withoutFault))
 		}
 	}
-	if r := play("ours", "[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"4s\"\npart = 0.25\n"); fraction(r.OperationsServed, r.Operations) < 0.97 || r.NodesOverloaded > 0 {
-		t.Errorf("a deploy: %d of %d, %d fell", r.OperationsServed, r.Operations, r.NodesOverloaded)
+	if result := play("ours", "[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"4s\"\npart = 0.25\n"); fraction(result.OperationsServed, result.Operations) < 0.97 || result.NodesOverloaded > 0 {
+		t.Errorf("deploy: served %d of %d operations, %d nodes were overloaded; want at least 0.97 of them and no overloaded node", result.OperationsServed, result.Operations, result.NodesOverloaded)
 	}
-	over := "[[load.step]]\nat = \"2s\"\nbusy = 3.0\n[[load.step]]\nat = \"4s\"\nbusy = 0.2\n"
-	once, again := play("ours", over), play("ours", over+"[clients]\ntries = 3\n")
-	if once.Requests != once.Operations || again.Requests <= again.Operations || again.Operations < 3*calm.Operations/2 {
-		t.Errorf("%d requests of %d; with tries %d of %d; %d in calm", once.Requests, once.Operations, again.Requests, again.Operations, calm.Operations)
+	overload := "[[load.step]]\nat = \"2s\"\nbusy = 3.0\n[[load.step]]\nat = \"4s\"\nbusy = 0.2\n"
+	withoutRetries, withRetries := play("ours", overload), play("ours", overload+"[clients]\ntries = 3\n")
+	if withoutRetries.Requests != withoutRetries.Operations || withRetries.Requests <= withRetries.Operations || withRetries.Operations < 3*withoutFault.Operations/2 {
+		t.Errorf("overload: %d requests for %d operations without retries, %d for %d with retries; %d operations at normal load", withoutRetries.Requests, withoutRetries.Operations, withRetries.Requests, withRetries.Operations, withoutFault.Operations)
 	}
 }
 
-// TestLibraryExperimentsHaveNoFailures plays every experiment of the library with the balancer.
+// TestLibraryExperimentsHaveNoFailures runs every experiment in lab/ with the balancer.
 func TestLibraryExperimentsHaveNoFailures(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/*.toml")
 	if err != nil || len(files) < 10 {
-		t.Fatalf("%d files, %v", len(files), err)
+		t.Fatalf("found %d experiment files (error %v), want at least 10", len(files), err)
 	}
 	for _, path := range files {
 		t.Run(filepath.Base(path), func(t *testing.T) {
@@ -192,35 +195,36 @@
 				t.Fatal(err)
 			}
 			e.Policies, e.Seeds = []string{BalancerPolicy}, 1
-			lines := runs(t, e, Runner{}, filepath.Join(t.TempDir(), "r"))
-			if trouble := Failures(lines); len(trouble) > 0 || lines[0].Result.OperationsServed == 0 {
-				t.Errorf("%v", trouble)
+			results := runExperiment(t, e, Runner{}, filepath.Join(t.TempDir(), "r"))
+			if failures := Failures(results); len(failures) > 0 || results[0].Result.OperationsServed == 0 {
+				t.Errorf("the run failed or served no operation: %v", failures)
 			}
 		})
 	}
 }
 
-// TestParseRejectsInvalidFiles checks that each invalid file, and each file that holds no results, gives an error that names the problem.
+// TestParseRejectsInvalidFiles checks that each invalid experiment file gives an error that names the problem, and that a file without
+// results gives an error.
 func TestParseRejectsInvalidFiles(t *testing.T) {
 	for text, want := range map[string]string{
-		"length = \"1s\"\n":                                                "name",
-		small + "[[fault]]\nat = \"1s\"\n":                                 "kind",
-		small + "[[fault]]\nkind = \"earthquake\"":                         "kind",
-		small + "[[fault]]\nkind = \"cut\"\nzone = 3\n":                    "there is no zone 3",
-		small + "[load]\nbusy = -1.0\n":                                    "busy",
-		small + "[load]\nbusy = 1e9\n":                                     "busy",
-		small + "[[load.step]]\nat = \"2s\"\n[[load.step]]\nat = \"1s\"\n": "before the one before",
-		small + "[[class]]\nname = \"a\"\n[[class]]\nname = \"a\"\n":       "names no class of its own",
-		small + "[[class]]\nname = \"a\"\ndeadline = \"1ms\"\n":            "before aim",
-		strings.Replace(small, "random", "best", 1):                        "no policy \"best\"",
-		strings.Replace(small, "random", "ours", 1):                        "twice",
-		strings.Replace(small, "nodes = 12", "nodes = 100000", 1):          "nodes",
-		strings.Replace(small, "8s", "100000h", 1):                         "requests",
-		strings.Replace(small, "8s", "1ns", 1):                             "need some time",
-		small + "[clients]\nwait = \"-1s\"\n":                              "not a duration",
+		"length = \"1s\"\n":                                                          "name",
+		smallExperiment + "[[fault]]\nat = \"1s\"\n":                                 "kind",
+		smallExperiment + "[[fault]]\nkind = \"earthquake\"":                         "kind",
+		smallExperiment + "[[fault]]\nkind = \"cut\"\nzone = 3\n":                    "there is no zone 3",
+		smallExperiment + "[load]\nbusy = -1.0\n":                                    "busy",
+		smallExperiment + "[load]\nbusy = 1e9\n":                                     "busy",
+		smallExperiment + "[[load.step]]\nat = \"2s\"\n[[load.step]]\nat = \"1s\"\n": "before the one before",
+		smallExperiment + "[[class]]\nname = \"a\"\n[[class]]\nname = \"a\"\n":       "names no class of its own",
+		smallExperiment + "[[class]]\nname = \"a\"\ndeadline = \"1ms\"\n":            "before aim",
+		strings.Replace(smallExperiment, "random", "best", 1):                        "no policy \"best\"",
+		strings.Replace(smallExperiment, "random", "ours", 1):                        "twice",
+		strings.Replace(smallExperiment, "nodes = 12", "nodes = 100000", 1):          "nodes",
+		strings.Replace(smallExperiment, "8s", "100000h", 1):                         "requests",
+		strings.Replace(smallExperiment, "8s", "1ns", 1):                             "need some time",
+		smallExperiment + "[clients]\nwait = \"-1s\"\n":                              "not a duration",
 	} {
 		if _, err := Parse("x.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("Parse of %q: got error %v, which does not name the problem", text, err)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "r")
@@ -229,15 +233,16 @@
 			t.Fatal(err)
 		}
 		if _, _, err := Read(path); err == nil {
-			t.Errorf("%q is read", text)
+			t.Errorf("Read accepted %q, which holds no results", text)
 		}
 	}
 }
 
-// TestCompareFindsDifferencesBeyondChance checks that Compare reports differences beyond chance only, with their direction.
+// TestCompareFindsDifferencesBeyondChance checks that Compare reports only statistically significant differences, with their direction,
+// and that Summarize and DegradedTime compute the expected values.
 func TestCompareFindsDifferencesBeyondChance(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	lines := func(p99, spread float64) (all []RunResult) {
+	resultsWith := func(p99, spread float64) (all []RunResult) {
 		for seed := range 10 {
 			ms := p99 + spread*rng.NormFloat64()
 			all = append(all, RunResult{Policy: BalancerPolicy, Seed: seed + 1, Result: &fleetsim.Result{Operations: 100, OperationsServed: 99, P99: time.Duration(ms * 1e6)}})
@@ -245,17 +250,17 @@
 		return all
 	}
 	for _, c := range []struct{ before, after, spread, worse float64 }{{200, 200, 10, 0}, {200, 201, 10, 0}, {200, 250, 10, 0.25}, {200, 150, 10, -0.25}} {
-		all := Compare(lines(c.before, c.spread), lines(c.after, c.spread), []string{BalancerPolicy})
+		all := Compare(resultsWith(c.before, c.spread), resultsWith(c.after, c.spread), []string{BalancerPolicy})
 		if c.worse == 0 && len(all) > 0 || c.worse != 0 && (len(all) != 1 || all[0].Metric != "p99" || all[0].Regression < c.worse-0.1 || all[0].Regression > c.worse+0.1) {
-			t.Errorf("%+v: %+v", c, all)
+			t.Errorf("medians of p99 %+v: got differences %+v", c, all)
 		}
 	}
-	if s := Summarize([]float64{1, 2, 3, 4, 100}); s.Median != 3 || s.Low < 1 || s.Low > 3 || s.High < 3 || s.High > 100 {
-		t.Errorf("%+v", s)
+	if summary := Summarize([]float64{1, 2, 3, 4, 100}); summary.Median != 3 || summary.Low < 1 || summary.Low > 3 || summary.High < 3 || summary.High > 100 {
+		t.Errorf("summary of 1, 2, 3, 4, 100: got %+v", summary)
 	}
 	points := []fleetsim.Point{{At: 0, Operations: 10, OperationsServed: 10}, {At: time.Second, Operations: 10, OperationsServed: 9}, {At: 2 * time.Second, Operations: 10, OperationsServed: 8},
 		{At: 3 * time.Second, Operations: 10, OperationsServed: 10}, {At: 4 * time.Second}}
 	if d := DegradedTime(points); d != 2*time.Second {
-		t.Errorf("not well for %v", d)
+		t.Errorf("degraded time is %v, want 2s", d)
 	}
 }
--- a/internal/simulation/experiment/fleet_run.go
+++ b/internal/simulation/experiment/fleet_run.go
@@ -12,24 +12,24 @@
 	"orchiddrift/internal/units"
 )
 
-// Parameters of every run that experiments do not set.
+// Parameters of every run that an experiment file cannot set.
 const (
-	maxAttempts              = 3 // of a request, by every policy
+	maxAttempts              = 3 // of a request, under every policy
 	maxRetryAfter            = 5 * time.Second
 	connectTimeout           = 500 * time.Millisecond
 	balancerTick             = 5 * time.Millisecond
 	overloadWindow           = 2 * time.Second
-	lateValueFraction        = 0.5                    // of an answer after the latency objective
+	lateValueFraction        = 0.5                    // value of an answer after the latency objective, relative to one within it
 	defaultLatencyObjective  = 400 * time.Millisecond // of the class of a file without classes
 	defaultDeadline          = 2 * time.Second        // of that class
 	effectSafe, effectUnsafe = "safe", "unsafe"       // values of Class.Effect
 )
 
-// fleetRun returns the parameters of the run of a policy with a seed.
+// fleetRun returns the parameters of a policy's run with a seed.
 func (e *Experiment) fleetRun(policy string, seed int) (fleetsim.Run, error) {
 	baseUtilization := e.Load.Utilization
 	if baseUtilization == 0 {
-		baseUtilization = 1 // the steps are multiples of it
+		baseUtilization = 1 // avoids dividing the steps by 0
 	}
 	run := fleetsim.Run{
 		Sidecars:        e.Fleet.Sidecars,
@@ -70,7 +70,7 @@
 	return run, nil
 }
 
-// balancerSettings are the balancers' settings, without classes.
+// balancerSettings returns the balancers' settings, without the classes.
 func (e *Experiment) balancerSettings(policy string) balancer.Settings {
 	return balancer.Settings{
 		MaxAttempts:          maxAttempts,
@@ -88,7 +88,7 @@
 	}
 }
 
-// classes returns the classes and the fractions of the traffic that they have.
+// classes returns the classes and the fraction of the traffic that each of them has.
 func (e *Experiment) classes() (classes []balancer.Class, fractions []float64) {
 	declared := e.Classes
 	if len(declared) == 0 {
@@ -144,12 +144,12 @@
 	return faults
 }
 
-// warmCapacity is the rate that all nodes can serve when warm, in requests per second.
+// warmCapacity returns the rate that all nodes together can serve when warm, in requests per second.
 func (e *Experiment) warmCapacity() float64 {
 	return float64(e.Fleet.Nodes) / e.Fleet.MeanServiceTime.D().Seconds()
 }
 
-// PolicyNames returns the policies that the experiment compares; all of them, if the file names none.
+// PolicyNames returns the policies that the experiment compares: all policies if the file names none.
 func (e *Experiment) PolicyNames() []string {
 	if len(e.Policies) > 0 {
 		return e.Policies
@@ -165,7 +165,7 @@
 // errPanic is the error of a run whose policy panicked.
 var errPanic = errors.New("it panicked")
 
-// play plays a run. A panic of its policy becomes an error, so that the other runs go on.
+// play simulates a run. It returns a panic of the run's policy as an error, so that the other runs continue.
 func play(r fleetsim.Run) (result *fleetsim.Result, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/simulation/experiment/metrics.go
+++ b/internal/simulation/experiment/metrics.go
@@ -8,7 +8,7 @@
 	"orchiddrift/internal/simulation/fleetsim"
 )
 
-// Metric is a figure of a run, for tables and comparisons.
+// Metric is a number computed from the result of a run, for tables and comparisons.
 type Metric struct {
 	Name      string
 	Direction int // 1: higher is better; -1: lower is better
@@ -16,7 +16,8 @@
 	Digits    int // after the decimal point, in tables
 }
 
-// Metrics lists all metrics in the order of tables. Times are in milliseconds, counts are per operation of the clients.
+// Metrics lists all metrics in the order of the table's columns. Latencies are in milliseconds, "fell" is a number of nodes, "not well" is in
+// seconds, and the others are per operation of the clients.
 var Metrics = []Metric{
 	{"served", 1, func(r *fleetsim.Result) float64 { return fraction(r.OperationsServed, r.Operations) }, 4},
 	{"p50", -1, func(r *fleetsim.Result) float64 { return milliseconds(r.P50) }, 1},
@@ -33,19 +34,19 @@
 
 func fraction(n, of int) float64 { return float64(n) / float64(max(1, of)) }
 
-// maxP99 is the highest p99 of any interval.
-func maxP99(points []fleetsim.Point) (most time.Duration) {
+// maxP99 returns the highest p99 of all intervals.
+func maxP99(points []fleetsim.Point) (highest time.Duration) {
 	for _, p := range points {
-		most = max(most, p.P99)
+		highest = max(highest, p.P99)
 	}
-	return most
+	return highest
 }
 
-// healthyFraction is the least fraction of the operations begun in an interval that a healthy fleet serves in it.
+// healthyFraction is the lowest ratio of operations served to operations begun in an interval at which a fleet counts as healthy.
 const healthyFraction = 0.95
 
-// DegradedTime is the length of all intervals in which less than healthyFraction of the operations was served: the time of a fault and
-// of its after-effects.
+// DegradedTime returns the total length of the intervals in which less than healthyFraction of the operations was served: the duration
+// of a fault and of its after-effects. The last interval does not count, because points do not tell when it ends.
 func DegradedTime(points []fleetsim.Point) (sum time.Duration) {
 	for i := range points {
 		p := &points[i]
@@ -56,55 +57,56 @@
 	return sum
 }
 
-// Summary is a metric of a policy over all seeds: the median and its 95% confidence interval, by the bootstrap (B. Efron, "Bootstrap Methods", 1979).
+// Summary is the median of a policy's metric over all seeds, with its 95% confidence interval from bootstrapping (B. Efron, "Bootstrap Methods", 1979).
 type Summary struct{ Median, Low, High float64 }
 
 const (
-	resamples       = 2000 // of a bootstrap
+	resamples       = 2000 // per confidence interval
 	confidence      = 0.95
 	bootstrapSeed   = 1979
 	bootstrapStream = 95
 )
 
-func median(x []float64) float64 {
-	sorted := slices.Sorted(slices.Values(x))
+func median(values []float64) float64 {
+	sorted := slices.Sorted(slices.Values(values))
 	if n := len(sorted); n%2 == 0 {
 		return (sorted[n/2-1] + sorted[n/2]) / 2
 	}
 	return sorted[len(sorted)/2]
 }
 
-// bootstrap returns the confidence interval of a statistic that is computed on resampled values. The draws are the same each time.
+// bootstrap returns the confidence interval of a statistic by computing it on resampled values. The seed is fixed, so that the same values
+// always give the same interval.
 func bootstrap(statistic func(draw func([]float64) []float64) float64) (low, high float64) {
 	rng := rand.New(rand.NewPCG(bootstrapSeed, bootstrapStream))
-	draw := func(x []float64) []float64 {
-		of := make([]float64, len(x))
-		for i := range of {
-			of[i] = x[rng.IntN(len(x))]
+	draw := func(values []float64) []float64 {
+		sample := make([]float64, len(values))
+		for i := range sample {
+			sample[i] = values[rng.IntN(len(values))]
 		}
-		return of
+		return sample
 	}
-	all := make([]float64, resamples)
-	for i := range all {
-		all[i] = statistic(draw)
+	statistics := make([]float64, resamples)
+	for i := range statistics {
+		statistics[i] = statistic(draw)
 	}
-	slices.Sort(all)
+	slices.Sort(statistics)
 	tail := (1 - confidence) / 2
-	return all[int(tail*resamples)], all[int((1-tail)*resamples)-1]
+	return statistics[int(tail*resamples)], statistics[int((1-tail)*resamples)-1]
 }
 
-// Summarize returns the summary of at least one value.
-func Summarize(x []float64) Summary {
-	low, high := bootstrap(func(draw func([]float64) []float64) float64 { return median(draw(x)) })
-	return Summary{median(x), low, high}
+// Summarize returns the summary of the values, of which there must be at least one.
+func Summarize(values []float64) Summary {
+	low, high := bootstrap(func(draw func([]float64) []float64) float64 { return median(draw(values)) })
+	return Summary{median(values), low, high}
 }
 
-// metricValues are the values of a metric over a policy's successful runs.
-func metricValues(lines []RunResult, policy string, f Metric) (x []float64) {
-	for _, l := range lines {
-		if l.Policy == policy && l.Result != nil && l.Error == "" {
-			x = append(x, f.Value(l.Result))
+// metricValues returns the values of a metric in a policy's successful runs.
+func metricValues(runs []RunResult, policy string, metric Metric) (values []float64) {
+	for _, run := range runs {
+		if run.Policy == policy && run.Result != nil && run.Error == "" {
+			values = append(values, metric.Value(run.Result))
 		}
 	}
-	return x
+	return values
 }
--- a/internal/simulation/experiment/report.go
+++ b/internal/simulation/experiment/report.go
@@ -6,62 +6,62 @@
 	"text/tabwriter"
 )
 
-// Failures describes the runs that failed and those with violations of invariants.
-func Failures(lines []RunResult) (all []string) {
-	for _, l := range lines {
-		at := fmt.Sprintf("%s, seed %d: ", l.Policy, l.Seed)
-		if l.Error != "" {
-			all = append(all, at+l.Error)
+// Failures returns a description of each run that failed or violated an invariant.
+func Failures(runs []RunResult) (failures []string) {
+	for _, run := range runs {
+		prefix := fmt.Sprintf("%s, seed %d: ", run.Policy, run.Seed)
+		if run.Error != "" {
+			failures = append(failures, prefix+run.Error)
 		}
-		if l.Result != nil && l.Result.Violations > 0 {
-			all = append(all, fmt.Sprintf("%s%d times a rule was broken, as at %s", at, l.Result.Violations, l.Result.ViolationTexts[0]))
+		if run.Result != nil && run.Result.Violations > 0 {
+			failures = append(failures, fmt.Sprintf("%s%d times a rule was broken, as at %s", prefix, run.Result.Violations, run.Result.ViolationTexts[0]))
 		}
 	}
-	return all
+	return failures
 }
 
-// Report writes a table: for each policy the medians over the seeds with their confidence intervals. A star marks the policies that no
-// other one surpasses beyond chance.
-func Report(out io.Writer, head Header, lines []RunResult) error {
-	fmt.Fprintf(out, "%s (%d of %d runs)\n", head.Experiment, len(lines), len(head.Policies)*head.Seeds)
+// Report writes a table of each policy's medians over the seeds with their confidence intervals, followed by the failures. A star marks
+// a value that no other policy improves on by a statistically significant margin.
+func Report(out io.Writer, head Header, runs []RunResult) error {
+	fmt.Fprintf(out, "%s (%d of %d runs)\n", head.Experiment, len(runs), len(head.Policies)*head.Seeds)
 	if head.Question != "" {
 		fmt.Fprintln(out, head.Question)
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprint(w, "policy")
-	for _, f := range Metrics {
-		fmt.Fprint(w, "\t", f.Name)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprint(table, "policy")
+	for _, metric := range Metrics {
+		fmt.Fprint(table, "\t", metric.Name)
 	}
-	fmt.Fprintln(w, "\t")
-	sums := map[string][]Summary{}
+	fmt.Fprintln(table, "\t")
+	summaries := map[string][]Summary{}
 	for _, policy := range head.Policies {
-		for _, f := range Metrics {
-			if x := metricValues(lines, policy, f); len(x) > 0 {
-				sums[policy] = append(sums[policy], Summarize(x))
+		for _, metric := range Metrics {
+			if values := metricValues(runs, policy, metric); len(values) > 0 {
+				summaries[policy] = append(summaries[policy], Summarize(values))
 			}
 		}
 	}
 	for _, policy := range head.Policies {
-		fmt.Fprint(w, policy)
-		for i, s := range sums[policy] {
-			f := Metrics[i]
-			star := "*"
-			for _, other := range sums {
-				if f.Direction > 0 && other[i].Low > s.High || f.Direction < 0 && other[i].High < s.Low {
-					star = " "
+		fmt.Fprint(table, policy)
+		for i, summary := range summaries[policy] {
+			metric := Metrics[i]
+			marker := "*"
+			for _, other := range summaries {
+				if metric.Direction > 0 && other[i].Low > summary.High || metric.Direction < 0 && other[i].High < summary.Low {
+					marker = " "
 				}
 			}
-			fmt.Fprintf(w, "\t%.*f (%.*f-%.*f)%s", f.Digits, s.Median, f.Digits, s.Low, f.Digits, s.High, star)
+			fmt.Fprintf(table, "\t%.*f (%.*f-%.*f)%s", metric.Digits, summary.Median, metric.Digits, summary.Low, metric.Digits, summary.High, marker)
 		}
-		fmt.Fprintln(w, "\t")
+		fmt.Fprintln(table, "\t")
 	}
-	if err := w.Flush(); err != nil {
+	if err := table.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintln(out, "median over seeds (95% interval); * no other is better beyond chance. Times in ms; sends, refused, failed an operation that clients wanted;")
 	_, err := fmt.Fprintf(out, "not well: seconds in which under %.0f%% of these were served; fell: nodes pushed over\n", 100*healthyFraction)
-	for _, t := range Failures(lines) {
-		_, err = fmt.Fprintln(out, "TROUBLE:", t)
+	for _, failure := range Failures(runs) {
+		_, err = fmt.Fprintln(out, "TROUBLE:", failure)
 	}
 	return err
 }
--- a/internal/simulation/experiment/results.go
+++ b/internal/simulation/experiment/results.go
@@ -11,29 +11,29 @@
 	"orchiddrift/internal/simulation/fleetsim"
 )
 
-// Header is the first line of a file of results and identifies the experiment.
+// Header is the first line of a results file and identifies the experiment.
 type Header struct {
 	Experiment string   `json:"experiment"`
 	Question   string   `json:"question,omitempty"`
-	Hash       string   `json:"hash"` // of the experiment's file
+	Hash       string   `json:"hash"` // of the experiment file
 	Version    string   `json:"version"`
 	Policies   []string `json:"policies"`
 	Seeds      int      `json:"seeds"`
 }
 
-// RunResult is the result of one run, a line of a file of results.
+// RunResult is the result of one run: one line of a results file after the header.
 type RunResult struct {
 	Policy string           `json:"policy"`
 	Seed   int              `json:"seed"`
-	Error  string           `json:"error,omitempty"` // why the run failed; empty: it did not
+	Error  string           `json:"error,omitempty"` // why the run failed; empty if it did not
 	Result *fleetsim.Result `json:"result,omitempty"`
 }
 
-// ErrMismatch means that a file holds results of another experiment or version.
+// ErrMismatch means that a results file belongs to another experiment, another version of it or another version of the program.
 var ErrMismatch = errors.New("the results are of another experiment, or of another version of it or of this program")
 
-// resume returns the number of runs in a file of results and the size of its complete lines in bytes. A missing file has none.
-func resume(path string, head Header) (done int, size int64, err error) {
+// readProgress returns the number of runs in a results file and the size of its complete lines in bytes. Both are 0 if there is no file.
+func readProgress(path string, head Header) (done int, size int64, err error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return 0, 0, nil
@@ -46,7 +46,7 @@
 	for first := true; ; first = false {
 		line, err := in.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
-			return done, size, nil // an incomplete line is dropped
+			return done, size, nil // an incomplete line, from an interrupted write, does not count
 		}
 		if err != nil {
 			return 0, 0, err
@@ -66,8 +66,8 @@
 	}
 }
 
-// Read reads a file of results. On an error it returns the results before it.
-func Read(path string) (head Header, lines []RunResult, err error) {
+// Read reads a results file. On an error it also returns the results before the faulty line.
+func Read(path string) (head Header, runs []RunResult, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return head, nil, err
@@ -78,12 +78,12 @@
 		return head, nil, fmt.Errorf("%s: it holds no results: %w", path, errors.Join(err))
 	}
 	for {
-		var l RunResult
-		if err := in.Decode(&l); errors.Is(err, io.EOF) {
-			return head, lines, nil
+		var run RunResult
+		if err := in.Decode(&run); errors.Is(err, io.EOF) {
+			return head, runs, nil
 		} else if err != nil {
-			return head, lines, fmt.Errorf("%s: line %d: %w", path, len(lines)+2, err)
+			return head, runs, fmt.Errorf("%s: line %d: %w", path, len(runs)+2, err)
 		}
-		lines = append(lines, l)
+		runs = append(runs, run)
 	}
 }
--- a/internal/simulation/experiment/runner.go
+++ b/internal/simulation/experiment/runner.go
@@ -10,24 +10,25 @@
 	"time"
 )
 
-// Runner plays an experiment's runs.
+// Runner executes an experiment's runs.
 type Runner struct {
-	Workers  int                                   // runs at the same time; below 1: 1
-	Timeout  time.Duration                         // of a run, by the wall clock; a run beyond it is reported as failed; 0: none
-	Version  string                                // of the program, for the results' header
-	OnResult func(done, all int, result RunResult) // called in order, after a result was written; may be nil
+	Workers  int                                   // number of concurrent runs; below 1: 1
+	Timeout  time.Duration                         // wall-clock limit of a run; a run that exceeds it is reported as failed; 0: none
+	Version  string                                // of the program, for the header of the results
+	OnResult func(done, all int, result RunResult) // called in the order of the runs, after each result was written; may be nil
 }
 
-// job is one run to play.
+// job is one run to execute.
 type job struct {
 	policy string
 	seed   int
 	result chan RunResult // of capacity 1
 }
 
-// Run plays all runs whose results are not in the file at path yet, and appends one line per run, in the order of policies
-// and seeds whatever the number of workers. The same experiment and version give the same bytes, at once or resumed. Run
-// returns early when ctx ends; complete lines stay. Its error may be ErrMismatch.
+// Run executes all runs whose results are not in the file at path yet, and appends one line per run, in the order of
+// policies and seeds whatever the number of workers. The same experiment and version give the same bytes, also if Run was
+// interrupted and resumed. Run returns early when ctx is done; the lines written so far stay. If the file belongs to
+// another experiment or version, the error is ErrMismatch.
 func (r Runner) Run(ctx context.Context, e *Experiment, path string) error {
 	header := Header{
 		Experiment: e.Name,
@@ -37,7 +38,7 @@
 		Policies:   e.PolicyNames(),
 		Seeds:      e.Seeds,
 	}
-	done, size, err := resume(path, header)
+	done, size, err := readProgress(path, header)
 	if err != nil {
 		return err
 	}
@@ -80,7 +81,7 @@
 	return f.Sync()
 }
 
-// openResults opens a file of results for appending after its first size bytes; an incomplete line behind them is cut off.
+// openResults opens a results file for appending after its first size bytes; an incomplete line behind them is truncated.
 func openResults(path string, size int64) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -97,13 +98,13 @@
 	return f, nil
 }
 
-// startWorkers starts goroutines that play jobs, in order, until ctx ends.
+// startWorkers starts goroutines that execute jobs, in order, until ctx is done.
 func (r Runner) startWorkers(ctx context.Context, workers *sync.WaitGroup, e *Experiment, jobs []job) {
 	next := make(chan job)
 	for range max(1, r.Workers) {
 		workers.Go(func() {
 			for j := range next {
-				j.result <- r.playOne(e, j.policy, j.seed)
+				j.result <- r.executeRun(e, j.policy, j.seed)
 			}
 		})
 	}
@@ -119,8 +120,9 @@
 	})
 }
 
-// playOne plays one run. A run beyond Timeout cannot be stopped: its goroutine goes on, and its result is dropped.
-func (r Runner) playOne(e *Experiment, policy string, seed int) RunResult {
+// executeRun executes one run. A run that exceeds Timeout cannot be stopped: its goroutine continues, and its result is
+// discarded.
+func (r Runner) executeRun(e *Experiment, policy string, seed int) RunResult {
 	failed := RunResult{Policy: policy, Seed: seed}
 	run, err := e.fleetRun(policy, seed)
 	if err != nil {
--- a/internal/simulation/experiment/validate.go
+++ b/internal/simulation/experiment/validate.go
@@ -9,7 +9,7 @@
 	"orchiddrift/internal/tomlfile"
 )
 
-// Problems is the error of an experiment file that cannot be used. It holds all problems, with their lines.
+// Problems is the error for an invalid experiment file. It holds every problem with its line.
 type Problems struct {
 	Name string
 	List []tomlfile.Problem
@@ -17,16 +17,16 @@
 
 func (p *Problems) Error() string { return tomlfile.Text(p.Name, p.List) }
 
-// Bounds on an experiment.
+// Upper bounds on an experiment.
 const (
 	maxNodes    = 5000
 	maxSidecars = 2000
-	maxRequests = 100_000_000
+	maxRequests = 100_000_000 // of a run
 	maxSeeds    = 1000
 	maxPoints   = 10_000 // intervals of a run
 )
 
-// validate reports everything in the file that cannot be played.
+// validate reports every invalid value of the experiment to doc.
 func (e *Experiment) validate(doc *tomlfile.Document) {
 	if doc.Broken() {
 		return
@@ -42,7 +42,7 @@
 	e.validateFaults(doc)
 }
 
-// reportOutside reports a value outside [lowest, highest], or NaN.
+// reportOutside reports a value that is NaN or outside [lowest, highest].
 func reportOutside(doc *tomlfile.Document, key string, value, lowest, highest float64) {
 	if !(value >= lowest && value <= highest) {
 		doc.Report(key, "%v is not from %v to %v", value, lowest, highest)
@@ -64,7 +64,7 @@
 	reportOutside(doc, "clients.tries", float64(e.Clients.MaxRetries), 0, 100)
 }
 
-// validateTimes reports whether all times are long enough for the other checks.
+// validateTimes reports invalid lengths and intervals. It returns false if one is too short for the checks that follow.
 func (e *Experiment) validateTimes(doc *tomlfile.Document) bool {
 	if e.Fleet.MeanServiceTime.D() < time.Microsecond || e.Length.D() < time.Second || e.Interval.D() < time.Millisecond || e.Clients.InitialBackoff <= 0 {
 		doc.Report("", "length (1s), series (1ms), fleet.work (1us) and clients.wait need some time")
@@ -103,13 +103,13 @@
 
 func (e *Experiment) validateClasses(doc *tomlfile.Document) {
 	for i, c := range e.Classes {
-		at := fmt.Sprintf("class[%d]", i)
-		if c.Name == "" || slices.ContainsFunc(e.Classes[:i], func(b Class) bool { return b.Name == c.Name }) {
-			doc.Report(at+".name", "%q names no class of its own", c.Name)
+		prefix := fmt.Sprintf("class[%d]", i)
+		if c.Name == "" || slices.ContainsFunc(e.Classes[:i], func(other Class) bool { return other.Name == c.Name }) {
+			doc.Report(prefix+".name", "%q names no class of its own", c.Name)
 		}
-		reportOutside(doc, at+".share", c.Weight, 1e-9, 1e9)
+		reportOutside(doc, prefix+".share", c.Weight, 1e-9, 1e9)
 		if c.LatencyObjective <= 0 || c.Deadline < c.LatencyObjective {
-			doc.Report(at+".deadline", "%v is before aim, %v", c.Deadline, c.LatencyObjective)
+			doc.Report(prefix+".deadline", "%v is before aim, %v", c.Deadline, c.LatencyObjective)
 		}
 	}
 }
@@ -123,17 +123,17 @@
 
 func (e *Experiment) validateFaults(doc *tomlfile.Document) {
 	for i, f := range e.Faults {
-		at := fmt.Sprintf("fault[%d]", i)
+		prefix := fmt.Sprintf("fault[%d]", i)
 		if f.Kind == "" {
-			doc.Report(at+".kind", "missing")
+			doc.Report(prefix+".kind", "missing")
 		}
-		reportOutside(doc, at+".part", f.Fraction, 0, 1)
-		reportOutside(doc, at+".factor", f.Factor, 1, 1e6)
+		reportOutside(doc, prefix+".part", f.Fraction, 0, 1)
+		reportOutside(doc, prefix+".factor", f.Factor, 1, 1e6)
 		if fleetsim.FaultKind(f.Kind).Zonal() && (f.Zone < 0 || f.Zone >= e.Fleet.Zones) {
-			doc.Report(at+".zone", "there is no zone %d of %d", f.Zone, e.Fleet.Zones)
+			doc.Report(prefix+".zone", "there is no zone %d of %d", f.Zone, e.Fleet.Zones)
 		}
 		if f.At < 0 || f.Duration <= 0 {
-			doc.Report(at+".for", "it has no time")
+			doc.Report(prefix+".for", "it has no time")
 		}
 	}
 }
