--- a/internal/simulation/admissionsim/admission.go
+++ b/internal/simulation/admissionsim/admission.go
@@ -5,7 +5,7 @@
 	"orchiddrift/internal/admission"
 )
 
-// execute does what the admission control decided, and schedules its next wake.
+// execute carries out the actions of the admission control and schedules its next Wake call.
 func (s *simulation) execute(actions []admission.Action) {
 	for _, action := range actions {
 		a := s.byTicket[action.Ticket]
@@ -26,14 +26,14 @@
 	}
 	s.controlWakeAt = at
 	s.At(at, func() {
-		if s.controlWakeAt == at { // no other wake has been set since
+		if s.controlWakeAt == at { // no other Wake call has been scheduled since
 			s.controlWakeAt = 0
 			s.execute(s.control.Wake(s.Now(), nil))
 		}
 	})
 }
 
-// admit passes an attempt on to the balancer.
+// admit forwards an admitted attempt to the balancer.
 func (s *simulation) admit(a *clientAttempt) {
 	switch result := &s.result.Clients[a.client]; {
 	case a.number == 1:
--- a/internal/simulation/admissionsim/disciplines.go
+++ b/internal/simulation/admissionsim/disciplines.go
@@ -42,8 +42,8 @@
 }
 
 // codel is one queue under CoDel (K. Nichols, V. Jacobson, 2012; for requests as in Facebook's wangle and B. Maurer's
-// "Fail at Scale") with adaptive LIFO: once the queue has not been empty for an interval, the newest request goes first,
-// and what has waited longer than the target is dropped.
+// "Fail at Scale") with adaptive LIFO: once the queue has not been empty for an interval, the newest request is dequeued
+// first, and requests that have waited longer than the target are dropped.
 type codel struct {
 	queue     []*queuedRequest
 	lastEmpty time.Duration
@@ -76,7 +76,7 @@
 	}
 	if now-oldest.arrivedAt > c.target && len(c.queue) > 1 {
 		c.setQueue(now, c.queue[1:])
-		oldest.arrival.Deadline = 0 // has Queue reject it
+		oldest.arrival.Deadline = 0 // so that Queue rejects it
 		return oldest
 	}
 	newest := c.queue[len(c.queue)-1]
@@ -91,8 +91,8 @@
 	}
 }
 
-// drr is deficit round robin (M. Shreedhar, G. Varghese, 1995) by principal. A request's cost is estimated by the mean of
-// its principal's earlier ones.
+// drr is deficit round robin (M. Shreedhar, G. Varghese, 1995) by principal. The estimated cost of a request is the
+// mean of its principal's earlier requests.
 type drr struct {
 	quantum float64 // s
 	flows   map[string]*drrFlow
@@ -111,7 +111,7 @@
 	drrMaxRounds     = 1024 // bounds the search for a flow with a sufficient deficit
 )
 
-// NewDRR returns deficit round robin with a quantum of 20 ms in flight.
+// NewDRR returns deficit round robin with a quantum of 20 ms of time in flight.
 func NewDRR() discipline { return &drr{quantum: drrQuantum, flows: map[string]*drrFlow{}} }
 
 func (d *drr) enqueue(r *queuedRequest) {
@@ -139,7 +139,7 @@
 			longest = f
 		}
 	}
-	if len(longest.queue) <= 1 { // an emptied flow would have to leave the active ones
+	if len(longest.queue) <= 1 { // emptying the flow would require its removal from active
 		return arriving
 	}
 	newest := longest.queue[len(longest.queue)-1]
@@ -171,9 +171,9 @@
 	f.meanCost += (cost - f.meanCost) * drrCostSmoothing
 }
 
-// shuffleSharded is Kubernetes' API priority and fairness (KEP-1040) at one priority level. A principal is dealt a hand of
-// shards by its name's hash; the shortest shard of the hand takes the request, and the shard with the least finish tag is
-// dispatched next. With a hand of one it is stochastic fair queueing (P. McKenney, 1990).
+// shuffleSharded is Kubernetes' API priority and fairness (KEP-1040) at one priority level. The hash of a
+// principal's name selects its hand, a few of the shards. A request joins the shortest shard of the hand, and the shard with
+// the lowest finish tag is dispatched next. With a hand of one this is stochastic fair queueing (P. McKenney, 1990).
 type shuffleSharded struct {
 	shards      []shard
 	handSize    int
@@ -188,10 +188,10 @@
 
 const (
 	shardCostSmoothing = 0.05 // weight of one request in the mean cost
-	shardCapacity      = 3    // times the even part of all queued requests: most shards are empty
+	shardCapacity      = 3    // multiple of an equal share of maxQueued that a shard may hold: most shards are empty
 )
 
-// NewShuffleSharded returns shuffle sharding over so many shards, with hands of handSize.
+// NewShuffleSharded returns shuffle sharding over a number of shards, with hands of handSize shards.
 func NewShuffleSharded(shards, handSize int) discipline {
 	return &shuffleSharded{shards: make([]shard, shards), handSize: handSize, meanCost: initialCost}
 }
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// shardFor is the shortest shard of a principal's hand.
+// shardFor returns the index of the shortest shard in the hand of a request's principal.
 func (s *shuffleSharded) shardFor(r *queuedRequest) int {
 	rng := rand.New(rand.NewPCG(xxhash.Sum64String(r.principal()), 1))
 	shortest, length := 0, math.MaxInt
--- a/internal/simulation/admissionsim/limits.go
+++ b/internal/simulation/admissionsim/limits.go
@@ -21,7 +21,7 @@
 	maxLimit     = 1024
 )
 
-// adaptiveLimit is a limit that changes within its bounds.
+// adaptiveLimit is a limit that changes between minLimit and maxLimit.
 type adaptiveLimit struct{ limit float64 }
 
 // Current implements Limit.
@@ -34,23 +34,23 @@
 
 func (l *adaptiveLimit) setLimit(limit float64) { l.limit = max(minLimit, min(maxLimit, limit)) }
 
-// minWindowSamples is the number of requests in a window, at least.
+// minWindowSamples is the minimum number of requests in a window.
 const minWindowSamples = 32
 
-// window gathers samples until a minimum duration and number is reached.
+// window collects latency samples until it has a minimum duration and a minimum number of samples.
 type window struct {
 	start, latencySum    time.Duration
 	samples, maxInFlight int
 }
 
-// windowStats is what a window gathered.
+// windowStats holds the statistics of a complete window.
 type windowStats struct {
 	meanLatency float64 // s
 	rate        float64 // requests ended per second
 	maxInFlight int
 }
 
-// add adds a sample. It returns the statistics when the window has ended, and then begins the next one.
+// add adds a sample. If the window is complete, add returns its statistics and starts the next window.
 func (w *window) add(now, latency time.Duration, inFlight int, minDuration time.Duration) (_ windowStats, ended bool) {
 	if w.start == 0 {
 		w.start = now
@@ -70,8 +70,8 @@
 	return stats, true
 }
 
-// AIMD adds one request for a limit's worth of answers in time, and takes 2% for each answer later than MaxLatency and
-// each rejection.
+// AIMD is additive increase, multiplicative decrease: the limit grows by one request for each limit's worth of timely
+// answers, and shrinks by 2% for each rejection and each answer later than MaxLatency.
 type AIMD struct {
 	MaxLatency time.Duration
 	adaptiveLimit
@@ -88,8 +88,8 @@
 	}
 }
 
-// Gradient is Gradient2 behind a WindowedLimit, of Netflix's concurrency-limits: the long-term mean latency over that of
-// a window, and space for a queue.
+// Gradient is Gradient2 with a WindowedLimit from Netflix's library concurrency-limits. It multiplies the limit by the
+// ratio of the long-term mean latency to the mean latency of a window, and adds space for a queue.
 type Gradient struct {
 	adaptiveLimit
 	window
@@ -101,7 +101,7 @@
 	const (
 		minDuration = 100 * time.Millisecond
 		longWindow  = 600  // windows in the long-term mean
-		driftRatio  = 2    // a long-term mean above this multiple of a window's decays
+		driftRatio  = 2    // a long-term mean above this multiple of the window's mean decays
 		driftDecay  = 0.95 // per window
 		tolerance   = 1.5  // of latency over the long-term mean
 		minGradient = 0.5
@@ -128,8 +128,8 @@
 	l.setLimit(l.limit*(1-smoothing) + next*smoothing)
 }
 
-// RateDelay is BBR's model for requests: the highest recent rate of answers, times the lowest recent mean latency, times
-// a gain.
+// RateDelay applies the model of BBR to requests: the limit is the highest recent rate of answers times the lowest recent
+// mean latency times a gain.
 type RateDelay struct {
 	adaptiveLimit
 	window
@@ -141,8 +141,8 @@
 func (l *RateDelay) Observe(now, latency time.Duration, inFlight int, rejected bool) {
 	const (
 		minDuration  = 100 * time.Millisecond
-		delayWindows = 50 // of which the lowest latency counts
-		rateWindows  = 10 // of which the highest rate counts
+		delayWindows = 50 // the lowest mean latency of this many windows is used
+		rateWindows  = 10 // the highest rate of this many windows is used
 		gain         = 1.25
 	)
 	if rejected {
@@ -160,8 +160,8 @@
 	l.setLimit(gain * slices.Max(recent) * slices.Min(l.delays))
 }
 
-// Vegas is the rule of TCP Vegas for requests, by rounds: it estimates how many of the limit are waiting from the lowest
-// mean latency ever observed.
+// Vegas applies the rule of TCP Vegas to requests, once per window: it estimates how many requests are waiting from the
+// lowest mean latency ever observed.
 type Vegas struct {
 	adaptiveLimit
 	window
@@ -172,7 +172,7 @@
 func (l *Vegas) Observe(now, latency time.Duration, inFlight int, _ bool) {
 	const (
 		minDuration = 50 * time.Millisecond
-		usedEnough  = 0.8 // of the limit, or it does not grow
+		minUsage    = 0.8 // the limit grows only if more than this fraction of it was used
 		growth      = 1.15
 		decrease    = 0.85
 	)
@@ -184,12 +184,12 @@
 		l.baseLatency = stats.meanLatency
 	}
 	waiting := l.limit * (1 - l.baseLatency/stats.meanLatency)
-	alpha := 3*math.Log10(l.limit) + l.limit/4 // Vegas' thresholds, in requests
+	alpha := 3*math.Log10(l.limit) + l.limit/4 // the thresholds of Vegas, in requests
 	beta := 6*math.Log10(l.limit) + l.limit/2
 	switch {
 	case waiting > beta:
 		l.setLimit(l.limit * decrease)
-	case waiting < alpha && float64(stats.maxInFlight) > l.limit*usedEnough:
+	case waiting < alpha && float64(stats.maxInFlight) > l.limit*minUsage:
 		l.setLimit(l.limit * growth)
 	}
 }
--- a/internal/simulation/admissionsim/queue.go
+++ b/internal/simulation/admissionsim/queue.go
@@ -8,26 +8,26 @@
 
 // Limit is the concurrency limit of a Queue.
 type Limit interface {
-	// Current is the limit in requests.
+	// Current returns the limit in requests.
 	Current() int
-	// Observe brings a request that has ended: its latency, how many were in flight with it, and whether the balancer
-	// rejected it.
+	// Observe reports a request that has ended: its latency, the number of requests in flight including it, and whether the
+	// balancer rejected it.
 	Observe(now, latency time.Duration, inFlight int, rejected bool)
 }
 
 // discipline orders the requests that a Queue holds.
 type discipline interface {
 	enqueue(r *queuedRequest)
-	// dequeue returns the next request; nil: none.
+	// dequeue removes and returns the next request, or nil if there is none.
 	dequeue(now time.Duration) *queuedRequest
-	// observeCost brings the cost of an admitted request that has ended, in seconds.
+	// observeCost reports the cost, in seconds, of an admitted request that has ended.
 	observeCost(r *queuedRequest, cost float64)
 	// evict makes space for an arriving request. It removes and returns the request to reject, which may be the arriving
 	// one; nil: there is space.
 	evict(arriving *queuedRequest, queued, maxQueued int) *queuedRequest
 }
 
-// queuedRequest is a request of a Queue, until it has its answer.
+// queuedRequest is a request in a Queue, from its arrival until its answer.
 type queuedRequest struct {
 	ticket      admission.Ticket
 	arrival     admission.Arrival
@@ -37,11 +37,11 @@
 	chargedCost float64 // of shuffleSharded, s
 }
 
-// principal names a request's principal.
+// principal returns the name of a request's principal.
 func (r *queuedRequest) principal() string { return r.arrival.Group + "\x00" + r.arrival.Flow }
 
-// Queue is an AdmissionControl made of a discipline and a limit. It rejects what arrives at a full queue, and what has
-// waited until its deadline. It gives no Retry-After.
+// Queue is an AdmissionControl made of a discipline and a limit. If it is full, it rejects the request
+// that its discipline chooses. It also rejects requests that have waited until their deadline. It sends no Retry-After.
 type Queue struct {
 	discipline discipline
 	limit      Limit
@@ -52,7 +52,7 @@
 	requests   map[admission.Ticket]*queuedRequest
 }
 
-// NewQueue returns a Queue of at most maxQueued waiting requests.
+// NewQueue returns a Queue that holds at most maxQueued waiting requests.
 func NewQueue(d discipline, limit Limit, maxQueued int) *Queue {
 	return &Queue{discipline: d, limit: limit, maxQueued: maxQueued, requests: map[admission.Ticket]*queuedRequest{}}
 }
@@ -75,7 +75,7 @@
 	return r.ticket, q.dispatch(now, actions)
 }
 
-// dispatch admits requests up to the limit.
+// dispatch admits waiting requests up to the limit, and rejects those past their deadline.
 func (q *Queue) dispatch(now time.Duration, actions []admission.Action) []admission.Action {
 	for q.queued > 0 && q.inFlight < q.limit.Current() {
 		r := q.discipline.dequeue(now)
@@ -114,5 +114,5 @@
 	return q.dispatch(now, actions)
 }
 
-// Next implements AdmissionControl: no wake is needed.
+// Next implements AdmissionControl. A Queue needs no Wake call.
 func (q *Queue) Next() (time.Duration, bool) { return 0, false }
--- a/internal/simulation/admissionsim/result.go
+++ b/internal/simulation/admissionsim/result.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ClientResult is what one client experienced. Counts are of requests, unless they say attempts.
+// ClientResult is the outcome of one client's traffic. Counts are of requests, unless they say attempts.
 type ClientResult struct {
 	FirstRequests   int // requests, without retries
 	WithinObjective int // answered within the latency objective
@@ -14,17 +14,17 @@
 	Failed          int
 	Attempts        int
 
-	// Attempts that were sent when a reserved Retry-After had passed, and those of them that were answered.
+	// Attempts that were sent after waiting for a Retry-After with a reservation, and those of them that were answered.
 	ReservedReturns, ReservedServed int
 
 	AdmittedFirst   int // first attempts that were admitted
 	AdmittedRetries int // retries that were admitted without having waited for Retry-After
 
-	// Attempts that were sent when an unreserved Retry-After had passed, and those of them that were answered.
+	// Attempts that were sent after waiting for a Retry-After without a reservation, and those of them that were answered.
 	UnreservedReturns, UnreservedServed int
 
 	Latencies   []time.Duration // of answered requests, from their first attempt
-	ServiceTime time.Duration   // of all nodes, for this client
+	ServiceTime time.Duration   // that the nodes spent on this client's requests
 
 	WithinObjectiveByInterval []float64 // answers within the latency objective, by the time of the answer
 }
@@ -41,12 +41,12 @@
 // Result is the result of a run.
 type Result struct {
 	Clients            []ClientResult // in the order of Run.Clients
-	Utilization        float64        // fraction of the nodes' time that they served requests
-	Wasted             float64        // fraction of the nodes' time for answers that were late or that nobody waited for
-	InFlightByInterval []float64      // mean number of requests in flight
+	Utilization        float64        // fraction of the nodes' time in which they served requests
+	Wasted             float64        // fraction of the nodes' time spent on late answers and on attempts that had already ended
+	InFlightByInterval []float64      // mean number of requests in flight in each interval
 }
 
-// Jain is R. Jain's fairness index (1984): 1 where all values are equal, 1/n where one of n has everything.
+// Jain returns R. Jain's fairness index (1984): 1 where all values are equal, 1/n where one of n has everything.
 func Jain(values []float64) float64 {
 	sum, squares := 0.0, 0.0
 	for _, v := range values {
@@ -58,7 +58,7 @@
 	return sum * sum / (float64(len(values)) * squares)
 }
 
-// RelativeTo returns a share over that of the same client alone; 1 if that was 0.
+// RelativeTo returns a client's share divided by the share that it has without other clients; 1 if the latter is 0.
 func RelativeTo(share, alone float64) float64 {
 	if alone == 0 {
 		return 1
--- a/internal/simulation/admissionsim/simulation.go
+++ b/internal/simulation/admissionsim/simulation.go
@@ -10,7 +10,7 @@
 	"orchiddrift/internal/simulation/virtualtime"
 )
 
-// AdmissionControl decides what becomes of requests, as *admission.Queue does.
+// AdmissionControl admits, queues and rejects requests. *admission.Queue implements it.
 type AdmissionControl interface {
 	Arrive(now time.Duration, a admission.Arrival, actions []admission.Action) (admission.Ticket, []admission.Action)
 	Done(now time.Duration, t admission.Ticket, outcome admission.Outcome, actions []admission.Action) []admission.Action
@@ -18,33 +18,33 @@
 	Next() (time.Duration, bool)
 }
 
-// Client is one principal and its traffic.
+// Client is the traffic of one principal.
 type Client struct {
 	Group, Flow      string
 	Class            string
 	MeanServiceTime  time.Duration // of its requests, drawn from an exponential distribution
 	HintFactor       float64       // the cost hint over the service time; 0: no hints
 	Rate             float64       // first requests per second, as a Poisson process; 0: none
-	ClosedLoops      int           // loops that send the next request once the last is answered, in addition
+	ClosedLoops      int           // in addition to Rate: loops that send a request once the previous one is answered
 	ThinkTime        time.Duration // of a closed loop after an answer
 	MaxAttempts      int           // of one request; 0: 1
-	HonorsRetryAfter bool          // it comes back when it is told to, and not at once
-	MarksRetries     bool          // its retries are marked
-	From, To         time.Duration // since the start, when it sends; To 0: to the end
-	FlowPerRequest   bool          // each attempt comes from another flow
+	HonorsRetryAfter bool          // it retries after the Retry-After time, and not at once
+	MarksRetries     bool          // its retries are marked as retries
+	From, To         time.Duration // when it sends, since the start; To 0: until the end
+	FlowPerRequest   bool          // each attempt has a flow of its own, in place of Flow
 }
 
 // Run is a run's parameters.
 type Run struct {
 	Nodes        int
 	Slowdown     func(t time.Duration) float64 // factor on all service times, by the time since the start; nil: 1
-	MaxNodeQueue int                           // requests that wait at a node; 0: 1000
+	MaxNodeQueue int                           // maximum number of requests that wait at a node; 0: 1000
 	Classes      []balancer.Class
-	Settings     balancer.Settings // with Classes in place of its own
+	Settings     balancer.Settings // its Classes are replaced by those above
 	Clients      []Client
 	Length       time.Duration
 	Seed         uint64
-	Interval     time.Duration // of the series in the results; 0: 1 s
+	Interval     time.Duration // of the time series in the results; 0: 1 s
 }
 
 const (
@@ -56,7 +56,7 @@
 	trafficStream       = 7 // selects the clients' stream of random numbers
 )
 
-// simulation is a run under way.
+// simulation is the state of a run.
 type simulation struct {
 	*virtualtime.Time
 	run      Run
@@ -71,15 +71,15 @@
 	inFlightCount   int
 	lastID          int
 	lastFingerprint uint64
-	controlWakeAt   time.Duration // 0: no wake is set
+	controlWakeAt   time.Duration // when the next Wake call is scheduled; 0: none is
 	balancerTimerAt time.Duration
 	actionBuffer    []admission.Action
 
 	serviceTime time.Duration // of all nodes
-	wastedTime  time.Duration // of that, for answers that were late or that nobody waited for
+	wastedTime  time.Duration // the part of serviceTime that was spent on late answers and on attempts that had already ended
 }
 
-// Play plays a run through an admission control. The error names a balancer setting that cannot be used.
+// Play simulates a run with an admission control. The error names an invalid balancer setting.
 func Play(r Run, control AdmissionControl) (*Result, error) {
 	if r.MaxNodeQueue == 0 {
 		r.MaxNodeQueue = defaultMaxNodeQueue
@@ -117,7 +117,7 @@
 	return &s.result, nil
 }
 
-// addNodes makes the nodes, and gives the balancer their list.
+// addNodes creates the nodes and passes their list to the balancer.
 func (s *simulation) addNodes() {
 	var list []balancer.Endpoint
 	for i := range s.run.Nodes {
@@ -128,7 +128,7 @@
 	s.handleEvent(balancer.EndpointUpdate{Kind: balancer.FullUpdate, Endpoints: list})
 }
 
-// sampleInFlight records the number in flight throughout the run.
+// sampleInFlight schedules samples of the number of requests in flight throughout the run.
 func (s *simulation) sampleInFlight() {
 	samplesPerInterval := float64(s.run.Interval / samplingPeriod)
 	for t := time.Duration(0); t < s.run.Length; t += samplingPeriod {
@@ -138,12 +138,12 @@
 	}
 }
 
-// interval is the index of the present interval.
+// interval returns the index of the current interval.
 func (s *simulation) interval() int {
 	return min(len(s.result.InFlightByInterval)-1, int((s.Now()-origin)/s.run.Interval))
 }
 
-// class returns a client's class; the first one, if its own is unknown.
+// class returns a client's class, or the first class if the client's is unknown.
 func (s *simulation) class(c *Client) *balancer.Class {
 	for i := range s.run.Classes {
 		if s.run.Classes[i].Name == c.Class {
--- a/internal/simulation/admissionsim/simulation_test.go
+++ b/internal/simulation/admissionsim/simulation_test.go
@@ -29,22 +29,22 @@
 }
 
 func newAdmissionQueue(configure func(*admission.Options)) *admission.Queue {
-	o := admission.Default()
+	options := admission.Default()
 	if configure != nil {
-		configure(&o)
+		configure(&options)
 	}
-	return admission.New(o, classes, 5)
+	return admission.New(options, classes, 5)
 }
 
-// quietClients are n clients that send rate requests per second each, and come back as told.
-func quietClients(n int, rate float64) (c []Client) {
+// quietClients returns n clients that send rate requests per second each and honor Retry-After.
+func quietClients(n int, rate float64) (clients []Client) {
 	for i := range n {
-		c = append(c, Client{Group: fmt.Sprint("quiet-", i), Class: "search", MeanServiceTime: meanServiceTime, Rate: rate, MaxAttempts: 3, HonorsRetryAfter: true})
+		clients = append(clients, Client{Group: fmt.Sprint("quiet-", i), Class: "search", MeanServiceTime: meanServiceTime, Rate: rate, MaxAttempts: 3, HonorsRetryAfter: true})
 	}
-	return c
+	return clients
 }
 
-// shareWithinObjective is the fraction of the first requests of some clients that was answered within the objective.
+// shareWithinObjective returns the fraction of the clients' requests that was answered within the latency objective.
 func shareWithinObjective(clients []ClientResult) float64 {
 	within, first := 0, 0
 	for _, c := range clients {
@@ -53,7 +53,7 @@
 	return float64(within) / float64(max(1, first))
 }
 
-// goodput is the mean number of answers within the objective per second, from one second to another.
+// goodput returns the mean number of answers within the latency objective per second, between two seconds of the run.
 func (r *Result) goodput(from, to int) (sum float64) {
 	for _, c := range r.Clients {
 		for _, v := range c.WithinObjectiveByInterval[from:to] {
@@ -63,43 +63,44 @@
 	return sum / float64(to-from)
 }
 
-// Quiet clients beside a script that floods, in each of its shapes, get at least 0.98 of the answers within the objective
-// that they get alone. Behind a FIFO queue they do not, which shows that the load does harm.
+// TestQuietClientsBesideFlood guards against one client that starves the others by its rate, its flows, its retries or wrong
+// cost hints. The quiet clients get at least 0.98 of the answers within the latency objective that they get alone. Behind a
+// FIFO queue they get less, which shows that the flood is strong enough.
 func TestQuietClientsBesideFlood(t *testing.T) {
 	const n = 20
-	script := Client{Group: "script", Class: "search", MeanServiceTime: meanServiceTime, Rate: 50 * capacity / (n + 1), ClosedLoops: 200, MaxAttempts: 3}
-	shape := func(configure func(*Client)) Client {
-		c := script
-		configure(&c)
-		return c
+	flood := Client{Group: "script", Class: "search", MeanServiceTime: meanServiceTime, Rate: 50 * capacity / (n + 1), ClosedLoops: 200, MaxAttempts: 3}
+	variant := func(configure func(*Client)) Client {
+		client := flood
+		configure(&client)
+		return client
 	}
 	alone := shareWithinObjective(play(t, 10, quietClients(n, 20), nil, newAdmissionQueue(nil)).Clients[:n])
 	if alone < 0.97 {
-		t.Fatalf("alone %.3f", alone)
-	}
-	for name, c := range map[string]Client{
-		"one name":           script,
-		"a flow each time":   shape(func(c *Client) { c.FlowPerRequest = true }),
-		"retries on and on":  shape(func(c *Client) { c.MaxAttempts = 30 }),
-		"hints a hundredth":  shape(func(c *Client) { c.HintFactor = 0.01 }),
-		"costs three times":  shape(func(c *Client) { c.MeanServiceTime, c.Rate = 3*meanServiceTime, c.Rate/3 }),
-		"comes back as told": shape(func(c *Client) { c.HonorsRetryAfter, c.MaxAttempts = true, 10 }),
+		t.Fatalf("quiet clients alone got %.3f of their answers within the objective, want at least 0.97", alone)
+	}
+	for name, client := range map[string]Client{
+		"one flow":                      flood,
+		"a flow per attempt":            variant(func(client *Client) { client.FlowPerRequest = true }),
+		"30 attempts per request":       variant(func(client *Client) { client.MaxAttempts = 30 }),
+		"hints a hundredth of the cost": variant(func(client *Client) { client.HintFactor = 0.01 }),
+		"triple service time":           variant(func(client *Client) { client.MeanServiceTime, client.Rate = 3*meanServiceTime, client.Rate/3 }),
+		"honors Retry-After":            variant(func(client *Client) { client.HonorsRetryAfter, client.MaxAttempts = true, 10 }),
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := play(t, 10, append(quietClients(n, 20), c), nil, newAdmissionQueue(nil))
-			if got := shareWithinObjective(r.Clients[:n]); got < 0.98*alone {
-				t.Errorf("quiet clients get %.3f, alone %.3f", got, alone)
+			result := play(t, 10, append(quietClients(n, 20), client), nil, newAdmissionQueue(nil))
+			if got := shareWithinObjective(result.Clients[:n]); got < 0.98*alone {
+				t.Errorf("quiet clients got %.3f of their answers within the objective beside the flood, %.3f alone; want at least 0.98 of that", got, alone)
 			}
 		})
 	}
-	fifo := play(t, 10, append(quietClients(n, 20), script), nil, NewQueue(NewFIFO(), Fixed(2*nodeCount), 256))
+	fifo := play(t, 10, append(quietClients(n, 20), flood), nil, NewQueue(NewFIFO(), Fixed(2*nodeCount), 256))
 	if got := shareWithinObjective(fifo.Clients[:n]); got > 0.5 {
-		t.Errorf("behind a FIFO queue the quiet clients get %.3f: no flood", got)
+		t.Errorf("behind a FIFO queue the quiet clients got %.3f of their answers within the objective, want at most 0.5: the flood is too weak", got)
 	}
 }
 
-// Equal demand above capacity is shared equally, and by weight once a weight changes under load. Clients that come at
-// their reserved time are served.
+// TestFairShares checks that clients with equal demand above capacity get equal shares, that the shares follow a weight that
+// changes under load, and that retries at their reserved time are served.
 func TestFairShares(t *testing.T) {
 	const n = 10
 	r := play(t, 10, quietClients(n, 240), nil, newAdmissionQueue(nil))
@@ -109,32 +110,32 @@
 		got = append(got, float64(c.WithinObjective))
 		returns, served = returns+c.ReservedReturns, served+c.ReservedServed
 	}
-	if j := Jain(got); j < 0.98 {
-		t.Errorf("Jain's index %.3f of %v", j, got)
+	if index := Jain(got); index < 0.98 {
+		t.Errorf("Jain's fairness index is %.3f for answers by client %v, want at least 0.98", index, got)
 	}
 	if returns < 1000 || float64(served) < 0.9*float64(returns) {
-		t.Errorf("%d of %d that came at their reserved time were served", served, returns)
+		t.Errorf("%d of %d retries at their reserved time were served, want at least 1000 retries and 0.9 of them served", served, returns)
 	}
 	r = play(t, 10, quietClients(n, 240), nil, &reweighedQueue{Queue: newAdmissionQueue(nil), at: origin + 5*time.Second})
 	ratio := func(from, to int) float64 {
-		mine, others := 0.0, 0.0
+		first, others := 0.0, 0.0
 		for i, c := range r.Clients {
 			for _, v := range c.WithinObjectiveByInterval[from:to] {
 				if i == 0 {
-					mine += v
+					first += v
 				} else {
 					others += v / (n - 1)
 				}
 			}
 		}
-		return mine / others
+		return first / others
 	}
 	if before, after := ratio(1, 5), ratio(6, 10); before < 0.9 || before > 1.1 || after < 1.7 || after > 2.3 {
-		t.Errorf("one client gets %.2f of another before its weight is doubled, %.2f after", before, after)
+		t.Errorf("a client got %.2f times the answers of another before its weight was doubled, %.2f times after; want about 1 and 2", before, after)
 	}
 }
 
-// reweighedQueue doubles the first client's weight at a time.
+// reweighedQueue doubles the first client's weight at the first arrival after a time.
 type reweighedQueue struct {
 	*admission.Queue
 	at   time.Duration
@@ -151,8 +152,8 @@
 	return q.Queue.Arrive(now, a, actions)
 }
 
-// All nodes are eight times slower for a while: the limit does not collapse, the remaining capacity is used, and the
-// former goodput is back within two seconds.
+// TestUpstreamsSlowDownEightfold guards against a concurrency limit that collapses while all nodes are eight times slower.
+// The remaining capacity is used, and the former goodput is back within two seconds.
 func TestUpstreamsSlowDownEightfold(t *testing.T) {
 	slowdown := func(at time.Duration) float64 {
 		if at >= 8*time.Second && at < 16*time.Second {
@@ -162,17 +163,17 @@
 	}
 	r := play(t, 24, quietClients(10, 240), slowdown, newAdmissionQueue(nil))
 	before, during, after := r.goodput(3, 8), r.goodput(11, 16), r.goodput(18, 24)
-	if inFlight := r.InFlightByInterval[6]; inFlight < nodeCount || inFlight > 5*nodeCount { // the base time is found at a start under load
-		t.Errorf("%.0f in flight before", inFlight)
+	if inFlight := r.InFlightByInterval[6]; inFlight < nodeCount || inFlight > 5*nodeCount { // the limit finds the base latency although the run starts under load
+		t.Errorf("%.0f requests in flight before the slowdown, want one to five for each of 24 nodes", inFlight)
 	}
-	t.Logf("%.0f a second before, %.0f during, %.0f after two seconds", before, during, after)
+	t.Logf("goodput per second: %.0f before the slowdown, %.0f during it, %.0f from two seconds after it", before, during, after)
 	if before < 850 || during < 0.3*capacity/8 || after < 0.9*before {
-		t.Errorf("%.0f a second before, %.0f during, %.0f after two seconds", before, during, after)
+		t.Errorf("goodput per second: %.0f before the slowdown, %.0f during it, %.0f from two seconds after it; want more", before, during, after)
 	}
 }
 
-// After a storm of clients that retry at once, and mark it, the former goodput is back, and retries are a smaller part of
-// the admitted attempts than without a budget.
+// TestRetryStorm guards against clients that keep a service overloaded by retrying at once, with marked retries. The former
+// goodput is back within a second after the storm, and a retry budget lowers the ratio of admitted retries to first attempts.
 func TestRetryStorm(t *testing.T) {
 	clients := quietClients(20, 42)
 	for i := range clients {
@@ -184,7 +185,7 @@
 	retriesAdmitted := func(budget float64) float64 {
 		r := play(t, 18, clients, nil, newAdmissionQueue(func(o *admission.Options) { o.RetryRatio = budget }))
 		if before, during, after := r.goodput(1, 5), r.goodput(6, 12), r.goodput(13, 18); during < before || after < 0.95*before {
-			t.Errorf("%.0f a second before, %.0f in the storm, %.0f from a second after it", before, during, after)
+			t.Errorf("goodput per second: %.0f before the storm, %.0f in it, %.0f from a second after it; want no loss", before, during, after)
 		}
 		first, retries := 0, 0
 		for _, c := range r.Clients {
@@ -193,11 +194,12 @@
 		return float64(retries) / float64(first)
 	}
 	if with, without := retriesAdmitted(0.05), retriesAdmitted(100); with > 0.8*without {
-		t.Errorf("admitted retries: %.3f of first attempts with a budget of 0.05, %.3f without one", with, without)
+		t.Errorf("admitted retries per admitted first attempt: %.3f with a budget of 0.05, %.3f without one; want at most 0.8 of that", with, without)
 	}
 }
 
-// A thousand clients that are rejected in one moment, and come back as told, do not come back together, and are served.
+// TestReturnsAreSpread guards against a burst of retries: a thousand clients that are rejected in one moment and honor
+// Retry-After come back spread over time, and are served.
 func TestReturnsAreSpread(t *testing.T) {
 	clients := []Client{{Group: "quiet", Class: "search", MeanServiceTime: meanServiceTime, Rate: 500}}
 	for i := range 1000 {
@@ -210,6 +212,6 @@
 		first, returns, served = first+c.FirstRequests, returns+c.ReservedReturns, served+c.ReservedServed
 	}
 	if first < 1000 || returns < first/3 || float64(served) < 0.9*float64(returns) {
-		t.Errorf("of %d requests in one moment %d came back at their reserved time, %d of them were served", first, returns, served)
+		t.Errorf("of %d requests in one moment %d were retried at their reserved time and %d of these were served; want a third and 0.9 of them", first, returns, served)
 	}
 }
--- a/internal/simulation/admissionsim/traffic.go
+++ b/internal/simulation/admissionsim/traffic.go
@@ -9,11 +9,11 @@
 
 const (
 	requestBytes     = 512                   // of a request's body
-	loopStartSpread  = time.Millisecond      // closed loops start within it
-	loopDelay        = time.Millisecond      // of a closed loop after an answer, beside its think time
+	loopStartSpread  = time.Millisecond      // within which closed loops start at random
+	loopDelay        = time.Millisecond      // of a closed loop after an answer, in addition to its think time
 	minRetryDelay    = time.Millisecond      // of a client that retries at once
-	retryDelaySpread = 20 * time.Millisecond // added to it at random
-	returnSpread     = 5 * time.Millisecond  // added to Retry-After at random
+	retryDelaySpread = 20 * time.Millisecond // maximum random addition to minRetryDelay
+	returnSpread     = 5 * time.Millisecond  // maximum random addition to Retry-After
 )
 
 // clientAttempt is one attempt of a client's request.
@@ -23,7 +23,7 @@
 	closedLoop  bool
 	serviceTime time.Duration
 	firstSentAt time.Duration // when the first attempt was sent
-	sentAt      time.Duration // when this one was
+	sentAt      time.Duration // when this attempt was sent
 	deadline    time.Duration
 	number      int // from 1
 	fingerprint uint64
@@ -31,14 +31,14 @@
 
 	answered          bool
 	attempts          []*upstreamAttempt
-	honoredRetryAfter bool // it was sent when its Retry-After had passed
-	reserved          bool // which was reserved
+	honoredRetryAfter bool // it was sent after waiting for Retry-After
+	reserved          bool // capacity was reserved for it at that time
 }
 
 // sends reports whether a client sends new requests now.
 func (s *simulation) sends(c *Client) bool {
-	t := s.Now() - origin
-	return t >= c.From && (c.To == 0 || t < c.To)
+	elapsed := s.Now() - origin
+	return elapsed >= c.From && (c.To == 0 || elapsed < c.To)
 }
 
 // startTraffic schedules a client's first requests.
@@ -51,15 +51,15 @@
 		return
 	}
 	pause := func() time.Duration { return time.Duration(s.rng.ExpFloat64() / c.Rate * float64(time.Second)) }
-	var next func()
-	next = func() {
+	var sendNext func()
+	sendNext = func() {
 		if c.To > 0 && s.Now()-origin >= c.To {
 			return
 		}
 		s.sendRequest(i, false)
-		s.At(s.Now()+pause(), next)
+		s.At(s.Now()+pause(), sendNext)
 	}
-	s.At(origin+c.From+pause(), next)
+	s.At(origin+c.From+pause(), sendNext)
 }
 
 // sendRequest sends a client's next request.
@@ -81,7 +81,7 @@
 	}
 }
 
-// send has an attempt arrive at the admission control.
+// send passes an attempt to the admission control.
 func (s *simulation) send(a *clientAttempt) {
 	c := &s.run.Clients[a.client]
 	s.result.Clients[a.client].Attempts++
@@ -109,12 +109,12 @@
 	s.execute(actions)
 }
 
-// costHint is what a client says of an attempt's cost.
+// costHint returns the cost hint that a client sends with an attempt.
 func (s *simulation) costHint(a *clientAttempt) time.Duration {
 	return time.Duration(s.run.Clients[a.client].HintFactor * float64(a.serviceTime))
 }
 
-// handleRejection has a client retry, or give up.
+// handleRejection schedules a client's retry, unless the request has used up its attempts.
 func (s *simulation) handleRejection(a *clientAttempt, retryAfter time.Duration, reserved bool) {
 	c := &s.run.Clients[a.client]
 	s.countReturn(a, false)
@@ -133,18 +133,18 @@
 	s.At(s.Now()+delay, func() { s.send(retry) })
 }
 
-// countReturn counts how an attempt ended that was sent when its Retry-After had passed.
+// countReturn counts the outcome of an attempt that was sent after waiting for Retry-After.
 func (s *simulation) countReturn(a *clientAttempt, served bool) {
-	result, n := &s.result.Clients[a.client], 0
+	result, servedCount := &s.result.Clients[a.client], 0
 	if served {
-		n = 1
+		servedCount = 1
 	}
 	switch {
 	case a.reserved:
 		result.ReservedReturns++
-		result.ReservedServed += n
+		result.ReservedServed += servedCount
 	case a.honoredRetryAfter:
 		result.UnreservedReturns++
-		result.UnreservedServed += n
+		result.UnreservedServed += servedCount
 	}
 }
--- a/internal/simulation/admissionsim/upstreams.go
+++ b/internal/simulation/admissionsim/upstreams.go
@@ -14,7 +14,7 @@
 	busy  bool
 }
 
-// upstreamAttempt is one attempt of the balancer's, of a client's attempt that was admitted.
+// upstreamAttempt is one attempt of the balancer to have a node serve an admitted attempt of a client.
 type upstreamAttempt struct {
 	request   *clientAttempt
 	number    int
@@ -22,7 +22,7 @@
 	ended     bool
 }
 
-// handleEvent has the balancer decide on an event, and does what it decided.
+// handleEvent passes an event to the balancer and carries out the resulting actions.
 func (s *simulation) handleEvent(event balancer.Event) {
 	for _, action := range s.balancer.Handle(s.Now(), event, nil) {
 		switch action.Kind {
@@ -66,7 +66,8 @@
 	s.serveNext(n)
 }
 
-// serveNext has an idle node serve its next attempt. One that has ended is skipped: its connection is closed.
+// serveNext starts the next attempt in the queue of an idle node. It skips attempts that have ended: their connections are
+// closed.
 func (s *simulation) serveNext(n *node) {
 	for !n.busy && len(n.queue) > 0 {
 		a := n.queue[0]
@@ -99,7 +100,7 @@
 	}
 }
 
-// endAttempt brings the balancer an attempt's outcome; only the first one counts.
+// endAttempt reports an attempt's outcome to the balancer. Outcomes after the first one are ignored.
 func (s *simulation) endAttempt(a *upstreamAttempt, result balancer.Result) {
 	if a.ended {
 		return
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -125,17 +125,17 @@
 // TestFailuresNameMisbehavingPolicies checks that a policy that panics, hangs or sends to draining nodes is reported, and that the runs
 // of the other policies continue.
 func TestFailuresNameMisbehavingPolicies(t *testing.T) {
-	unblock, newRandom := make(chan struct{}), fleetsim.Policies["random"]
+	release, newRandom := make(chan struct{}), fleetsim.Policies["random"]
 	for _, misbehavior := range []string{"panics", "hangs", "strays"} {
 		fleetsim.Policies[misbehavior] = func(rng *rand.Rand) fleetsim.Policy {
-			return &faultyPolicy{Policy: newRandom(rng), behavior: misbehavior, rng: rng, unblock: unblock}
+			return &faultyPolicy{Policy: newRandom(rng), behavior: misbehavior, rng: rng, unblock: release}
 		}
 		defer delete(fleetsim.Policies, misbehavior)
 	}
 	text := strings.Replace(smallExperiment, `"ours", "random", "prequal"`, `"panics", "hangs", "strays", "ours"`, 1)
 	e := parse(t, strings.Replace(text, "seeds = 2", "seeds = 1", 1)+"[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"3s\"\npart = 0.5\n")
 	results := runExperiment(t, e, Runner{Workers: 4, Timeout: time.Second}, filepath.Join(t.TempDir(), "r"))
-	close(unblock)
+	close(release)
 	got := strings.Join(Failures(results), "\n")
 	for _, want := range []string{"panics, seed 1: it panicked: no such node", "hangs, seed 1: it did not end within 1s", "strays, seed 1: ", "after it was told to be leaving"} {
 		if !strings.Contains(got, want) {
--- a/internal/simulation/virtualtime/time.go
+++ b/internal/simulation/virtualtime/time.go
@@ -1,5 +1,5 @@
-// Package virtualtime is time for simulations: a clock that moves from one scheduled event to the next. Events run in the
-// order of their times, and those of one time in the order in which they were scheduled.
+// Package virtualtime provides a clock for simulations that advances from one scheduled event to the next. Events run in
+// the order of their times, and events of the same time in the order in which they were scheduled.
 package virtualtime
 
 import (
@@ -8,7 +8,7 @@
 	"orchiddrift/internal/priorityqueue"
 )
 
-// Origin is when a Time begins. It is late enough that earlier times, down to 0, were long ago.
+// Origin is the time at which a Time starts. It is far above 0, so that the zero value of a time lies in the distant past.
 const Origin = time.Hour
 
 // Time is a clock and its scheduled events. Times are exact in nanoseconds for 104 days, up to which a float64 holds them.
@@ -28,17 +28,16 @@
 // Since returns the time since Origin.
 func (t *Time) Since() time.Duration { return t.now - Origin }
 
-// At schedules do for a time; one that has passed counts as now.
+// At schedules do for a time. A time in the past counts as the current time.
 func (t *Time) At(at time.Duration, do func()) {
 	t.seq++
 	t.events.Push(do, float64(max(at, t.now)), t.seq)
 }
 
-// After schedules do for a time from now.
+// After schedules do for a duration from now.
 func (t *Time) After(d time.Duration, do func()) { t.At(t.now+d, do) }
 
-// Run runs the events that are scheduled up to length after Origin, also those that they schedule, and leaves the clock
-// there.
+// Run runs all events up to length after Origin, including those that events schedule, and leaves the clock at that time.
 func (t *Time) Run(length time.Duration) {
 	end := Origin + length
 	for t.events.Len() > 0 && time.Duration(t.events.FirstKey()) <= end {
--- a/internal/simulation/virtualtime/time_test.go
+++ b/internal/simulation/virtualtime/time_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Events run in the order of their times, then of scheduling; one scheduled for the past runs now; what lies beyond the
-// end waits for the next Run.
+// TestEventsRunInOrder checks that events run in the order of their times, then of scheduling, that an event scheduled for
+// the past runs at the current time, and that an event beyond the end of Run waits for the next Run.
 func TestEventsRunInOrder(t *testing.T) {
 	clock := New()
 	var ran []string
@@ -32,10 +32,10 @@
 		t.Errorf("ran %q, want %q", ran, want)
 	}
 	if clock.Since() != 3*time.Second {
-		t.Errorf("the run ended at %v", clock.Since())
+		t.Errorf("the first Run ended at %v, want 3s", clock.Since())
 	}
 	clock.Run(4 * time.Second)
 	if ran[len(ran)-1] != "beyond" || clock.Now() != Origin+4*time.Second {
-		t.Errorf("then ran %q until %v", ran[len(ran)-1], clock.Since())
+		t.Errorf("the second Run ran %q last and ended at %v, want \"beyond\" and 4s", ran[len(ran)-1], clock.Since())
 	}
 }
