--- a/internal/simulation/fleetsim/discovery.go
+++ b/internal/simulation/fleetsim/discovery.go
@@ -16,8 +16,8 @@
 	DownFor        time.Duration // 0: it is never down
 }
 
-// Kill is the fault of sidecars: a fraction of them is killed at the same moment and restarts at once, with the cached list. Their
-// pending requests fail.
+// Kill is a fault of sidecars: a fraction of them is killed at the same moment and restarts at once with the cached list. Their pending
+// requests fail.
 const Kill FaultKind = "kill"
 
 // down reports whether the service is down at a time since the start.
@@ -41,7 +41,7 @@
 	})
 }
 
-// subscribe is a sidecar's call for the list; when it is answered, a watch begins.
+// subscribe calls the discovery service for a sidecar. The answer is the full list, and a watch for changes begins with it.
 func (s *simulation) subscribe(sc *sidecar) {
 	d := s.run.Discovery
 	if d == nil {
@@ -66,7 +66,7 @@
 	s.chargeDiscovery(d.LinesPerCall + len(s.nodes))
 	s.At(s.discoveryBusyUntil, func() {
 		switch {
-		case sc.incarnation != incarnation: // it was killed
+		case sc.incarnation != incarnation: // the sidecar was killed
 		case d.down(s.Since()):
 			s.discoveryFailed(sc)
 		default:
@@ -77,10 +77,11 @@
 	})
 }
 
-// policyPollInterval is the mean time until a sidecar with a Policy calls again, jittered by half.
+// policyPollInterval is the mean time until a sidecar with a Policy calls again after a failure. Jitter varies it by up to half.
 const policyPollInterval = 2 * time.Second
 
-// discoveryFailed notifies a sidecar that its call failed or its watch ended.
+// discoveryFailed notifies a sidecar that its call failed or its watch ended. The balancer decides when to call again; a sidecar with a
+// Policy calls again after about policyPollInterval.
 func (s *simulation) discoveryFailed(sc *sidecar) {
 	if sc.policy == nil {
 		s.handleEvent(sc, balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
@@ -94,7 +95,7 @@
 	})
 }
 
-// chargeDiscovery adds lines to the work that the discovery service has to do.
+// chargeDiscovery adds a number of lines to the work of the discovery service.
 func (s *simulation) chargeDiscovery(lines int) {
 	cost := time.Duration(float64(lines) / s.run.Discovery.LinesPerSecond * float64(time.Second))
 	s.discoveryBusyUntil = max(s.discoveryBusyUntil, s.Now()) + cost
--- a/internal/simulation/fleetsim/endpoint_list.go
+++ b/internal/simulation/fleetsim/endpoint_list.go
@@ -9,7 +9,7 @@
 	"orchiddrift/internal/simulation/virtualtime"
 )
 
-// endpoint is a node's entry in the endpoint list.
+// endpoint returns a node's entry in the endpoint list.
 func (s *simulation) endpoint(n *node, status string) endpoints.Endpoint {
 	e := endpoints.Endpoint{Name: n.name, Address: "127.0.0.1:1", Zone: n.zone, Status: status}
 	if n.startedAt > 0 {
@@ -18,7 +18,7 @@
 	return e
 }
 
-// deliverList gives a list or a change to a sidecar, through its subset if it has one.
+// deliverList delivers a full list or changes of it to a sidecar, through the sidecar's subset if it has one.
 func (s *simulation) deliverList(sc *sidecar, list *endpoints.List, kind balancer.UpdateKind) {
 	s.cacheList(sc, list)
 	if sc.subset != nil {
@@ -32,16 +32,16 @@
 	s.updateEndpoints(sc, list, kind)
 }
 
-// updateEndpoints gives the changes that passed the subset to everything in a sidecar that chooses or connects. list may be nil.
+// updateEndpoints passes changes that concern the subset to the sidecar's balancer, policy, prewarmer and prober. list may be nil.
 func (s *simulation) updateEndpoints(sc *sidecar, list *endpoints.List, kind balancer.UpdateKind) {
 	if list == nil {
 		return
 	}
 	update := balancer.EndpointUpdate{Kind: kind}
 	for _, e := range list.Endpoints {
-		member := s.balancerEndpoint(e)
-		update.Endpoints = append(update.Endpoints, member)
-		s.updateEndpoint(sc, e, member.State == balancer.Active)
+		endpoint := s.balancerEndpoint(e)
+		update.Endpoints = append(update.Endpoints, endpoint)
+		s.updateEndpoint(sc, e, endpoint.State == balancer.Active)
 	}
 	if sc.policy != nil {
 		sc.policy.SetUpstreams(sc.activeUpstreams)
@@ -50,22 +50,22 @@
 	s.handleEvent(sc, update)
 }
 
-// balancerEndpoint is an entry of the list as the balancer takes it.
+// balancerEndpoint converts an entry of the list for the balancer.
 func (s *simulation) balancerEndpoint(e endpoints.Endpoint) balancer.Endpoint {
-	member := balancer.Endpoint{Name: e.Name, Zone: e.Zone}
+	endpoint := balancer.Endpoint{Name: e.Name, Zone: e.Zone}
 	switch e.Status {
 	case endpoints.StatusTerminating:
-		member.State = balancer.Draining
+		endpoint.State = balancer.Draining
 	case endpoints.StatusGone:
-		member.State = balancer.Removed
+		endpoint.State = balancer.Removed
 	}
 	if e.StartedMs > 0 && !s.run.HideStartTimes {
-		member.StartedAt = virtualtime.Origin + time.UnixMilli(int64(e.StartedMs)).Sub(s.wallClockOrigin)
+		endpoint.StartedAt = virtualtime.Origin + time.UnixMilli(int64(e.StartedMs)).Sub(s.wallClockOrigin)
 	}
-	return member
+	return endpoint
 }
 
-// updateEndpoint updates what a sidecar knows of one endpoint beside the balancer.
+// updateEndpoint updates the state of one endpoint in a sidecar, except in its balancer or policy.
 func (s *simulation) updateEndpoint(sc *sidecar, e endpoints.Endpoint, active bool) {
 	sc.inactive[e.Name] = !active
 	if sc.prewarmer != nil {
@@ -98,12 +98,12 @@
 	for _, sc := range s.sidecars {
 		if s.run.Discovery != nil {
 			if !sc.watching {
-				continue // it gets the full list when its call is answered
+				continue // the sidecar gets the full list when its call is answered
 			}
 			s.chargeDiscovery(1)
 		}
 		if sc.pendingUpdates = append(sc.pendingUpdates, e); len(sc.pendingUpdates) > 1 {
-			continue // it is delivered together with the update before it
+			continue // delivered together with the updates that wait already
 		}
 		s.After(time.Duration(s.rng.Int64N(int64(maxListDelay))), func() {
 			updates := sc.pendingUpdates
@@ -116,7 +116,7 @@
 	}
 }
 
-// currentList is the full list as the discovery service has it.
+// currentList returns the current full list of the discovery service.
 func (s *simulation) currentList() *endpoints.List {
 	list := &endpoints.List{Snapshot: true}
 	for _, n := range s.nodes {
@@ -127,7 +127,7 @@
 	return list
 }
 
-// cacheList keeps the list that a sidecar would start with after a kill.
+// cacheList updates the list that a sidecar starts with after it was killed.
 func (s *simulation) cacheList(sc *sidecar, list *endpoints.List) {
 	if s.run.Discovery == nil {
 		return
@@ -136,7 +136,7 @@
 		sc.cachedList = sc.cachedList[:0]
 	}
 	for _, e := range list.Endpoints {
-		sc.cachedList = slices.DeleteFunc(sc.cachedList, func(x endpoints.Endpoint) bool { return x.Name == e.Name })
+		sc.cachedList = slices.DeleteFunc(sc.cachedList, func(cached endpoints.Endpoint) bool { return cached.Name == e.Name })
 		if e.Status == endpoints.StatusReady {
 			sc.cachedList = append(sc.cachedList, e)
 		}
--- a/internal/simulation/fleetsim/faults.go
+++ b/internal/simulation/fleetsim/faults.go
@@ -7,7 +7,7 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// FaultKind is a kind of fault. Its values stand in experiment files.
+// FaultKind is a kind of fault. Experiment files contain its values.
 type FaultKind string
 
 // The kinds of faults.
@@ -16,21 +16,21 @@
 	Freeze     FaultKind = "freeze"    // nothing is served or answered
 	Errors     FaultKind = "errors"    // every attempt fails at once, after it was executed
 	Reject     FaultKind = "turn away" // every attempt is rejected at once, without execution
-	Crash      FaultKind = "crash"     // the process dies and later restarts in slow start; the list follows after crashDetectionDelay
+	Crash      FaultKind = "crash"     // the process dies and later restarts in slow start; the endpoint list changes after crashDetectionDelay
 	Deploy     FaultKind = "deploy"    // nodes are drained one after another and restart in slow start
 	Partition  FaultKind = "cut"       // a zone and the other zones cannot reach each other
-	ZoneOutage FaultKind = "lost"      // as Crash, but of a zone's machines: connections are neither refused nor reset
+	ZoneOutage FaultKind = "lost"      // like Crash, but of the machines of a zone: connections get no response at all
 )
 
-// FaultKinds lists all kinds.
+// FaultKinds lists all kinds of faults.
 var FaultKinds = []FaultKind{Slow, Freeze, Errors, Reject, Crash, Deploy, Partition, ZoneOutage, Kill}
 
-// Fault is a fault of some nodes, or sidecars, for a time.
+// Fault is a fault that affects some nodes or sidecars for a time.
 type Fault struct {
 	Kind     FaultKind
 	At       time.Duration // since the start
 	Duration time.Duration // Deploy: over which the drains are spread; Crash: until the restart
-	Fraction float64       // of the nodes, or for Kill of the sidecars, drawn at random; unused if Zonal
+	Fraction float64       // of the nodes, or for Kill of the sidecars, selected at random; unused if Zonal
 	Zone     int           // index, if Zonal
 	Factor   float64       // of Slow
 }
@@ -38,7 +38,7 @@
 // Zonal reports whether a kind affects the nodes of one zone rather than a fraction of all nodes.
 func (k FaultKind) Zonal() bool { return k == Partition || k == ZoneOutage }
 
-// scheduleFaults schedules the begin and end of each of the run's faults.
+// scheduleFaults schedules the start and end of each of the run's faults.
 func (s *simulation) scheduleFaults() {
 	for _, f := range s.run.Faults {
 		if f.Kind == Kill {
@@ -66,7 +66,7 @@
 	}
 }
 
-// affectedNodes are a zone's nodes, or a random fraction of all nodes.
+// affectedNodes returns the nodes of the fault's zone if it is Zonal, else a random fraction of all nodes.
 func (s *simulation) affectedNodes(f Fault) []*node {
 	var affected []*node
 	if f.Kind.Zonal() {
@@ -83,7 +83,7 @@
 	return affected
 }
 
-// fault returns a fault of a kind that is in effect, or nil.
+// fault returns the node's fault of a kind that is in effect, or nil if there is none.
 func (n *node) fault(kind FaultKind) *Fault {
 	for _, f := range n.faults {
 		if f.Kind == kind {
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// crashNode stops a node without a drain, and starts it again after a downtime. The list follows after crashDetectionDelay.
+// crashNode stops a node without draining it, and starts it again after a downtime. The endpoint list changes after crashDetectionDelay.
 func (s *simulation) crashNode(n *node, downtime time.Duration, silent bool) {
 	if !n.up {
 		return
@@ -121,7 +121,7 @@
 	})
 }
 
-// scheduleRestarts draws RestartFraction of the nodes, which drain, stop and restart in slow start.
+// scheduleRestarts selects a random RestartFraction of the nodes, which drain, stop and restart in slow start.
 func (s *simulation) scheduleRestarts() {
 	if s.run.RestartAt == 0 {
 		return
--- a/internal/simulation/fleetsim/invariants.go
+++ b/internal/simulation/fleetsim/invariants.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	crashDetectionDelay = 5 * time.Second // from a crash until the list changes
-	answerGrace         = time.Second     // after a request's deadline, until it must have an answer
-	maxViolationTexts   = 20              // kept in a Result
+	crashDetectionDelay = 5 * time.Second // from a crash until the endpoint list changes
+	answerGrace         = time.Second     // after a request's deadline, within which it must get its answer
+	maxViolationTexts   = 20              // in a Result
 )
 
 // recordViolation records that an invariant was broken.
-func (s *simulation) recordViolation(what string) {
+func (s *simulation) recordViolation(text string) {
 	s.result.Violations++
 	if len(s.result.ViolationTexts) < maxViolationTexts {
-		s.result.ViolationTexts = append(s.result.ViolationTexts, s.Since().String()+": "+what)
+		s.result.ViolationTexts = append(s.result.ViolationTexts, s.Since().String()+": "+text)
 	}
 }
 
--- a/internal/simulation/fleetsim/load_probes.go
+++ b/internal/simulation/fleetsim/load_probes.go
@@ -6,8 +6,8 @@
 	"orchiddrift/balancer"
 )
 
-// probeLoad probes nodes, gives the answers to the balancer, and calls then once all have answered or timed out.
-func (s *simulation) probeLoad(sc *sidecar, names []string, then func()) {
+// probeLoad probes nodes and waits until all have answered or timed out. It then passes the answers to the balancer and calls done.
+func (s *simulation) probeLoad(sc *sidecar, names []string, done func()) {
 	wait := networkRoundTrip
 	for _, name := range names {
 		n := s.byName[name]
@@ -31,6 +31,6 @@
 			}
 			s.handleEvent(sc, answer)
 		}
-		then()
+		done()
 	})
 }
--- a/internal/simulation/fleetsim/network.go
+++ b/internal/simulation/fleetsim/network.go
@@ -34,7 +34,7 @@
 	ended             bool
 }
 
-// pool returns the connections to a node.
+// pool returns the pool of connections to a node, and creates it if there is none.
 func (c *sidecar) pool(n *node) *connectionPool {
 	pool := c.pools[n]
 	if pool == nil {
@@ -58,18 +58,18 @@
 	if sc.inactive[n.name] {
 		s.recordViolation("sent to " + n.name + " after it was told to be leaving")
 	}
-	limit := req.deadline - s.Now()
+	timeout := req.deadline - s.Now()
 	if action.Timeout > 0 {
-		limit = min(limit, action.Timeout)
+		timeout = min(timeout, action.Timeout)
 	}
-	s.After(limit, func() { s.attemptEnded(a, balancer.Timeout) })
+	s.After(timeout, func() { s.attemptEnded(a, balancer.Timeout) })
 	if sc.prewarmer != nil {
 		sc.prewarmer.RecordUse(s.Now(), n.name)
 	}
 	pool := sc.pool(n)
 	delay := time.Duration(0)
-	if last := len(pool.idleSince) - 1; last >= 0 {
-		pool.idleSince = pool.idleSince[:last]
+	if newest := len(pool.idleSince) - 1; newest >= 0 {
+		pool.idleSince = pool.idleSince[:newest]
 	} else {
 		if !n.up {
 			s.connectFailed(a)
@@ -86,7 +86,8 @@
 	s.After(delay+networkRoundTrip/2, func() { s.attemptArrived(a) })
 }
 
-// connectFailed ends an attempt whose node is down: at once where its machine refuses connections, else after ConnectTimeout.
+// connectFailed ends an attempt whose node is down: after a round trip if the node's machine refuses connections, else after
+// ConnectTimeout.
 func (s *simulation) connectFailed(a *attempt) {
 	delay := networkRoundTrip
 	if a.node.silent {
@@ -96,7 +97,7 @@
 	s.After(delay, func() { s.attemptEnded(a, balancer.ConnectFailed) })
 }
 
-// attemptEnded passes an attempt's first result to its sidecar, and returns its connection to the pool or closes it.
+// attemptEnded passes an attempt's first result to its sidecar, and returns the attempt's connection to the pool or closes it.
 func (s *simulation) attemptEnded(a *attempt, result balancer.Result) {
 	if a.ended || a.incarnation != a.sidecar.incarnation {
 		return
@@ -163,7 +164,8 @@
 	n.openConnections -= count
 }
 
-// sweepSidecar closes connections past the idle timeout, and adapts the subset to the traffic and the time.
+// sweepSidecar closes connections past the idle timeout, and updates the subset for the current request rate and time. It runs every
+// sweepPeriod.
 func (s *simulation) sweepSidecar(sc *sidecar) {
 	for n, pool := range sc.pools {
 		expired := 0
--- a/internal/simulation/fleetsim/node.go
+++ b/internal/simulation/fleetsim/node.go
@@ -8,7 +8,7 @@
 	"orchiddrift/internal/simulation/virtualtime"
 )
 
-// minFreezeRecheck is the least time between two looks at a frozen node.
+// minFreezeRecheck is the minimum time between two checks whether a node is still frozen.
 const minFreezeRecheck = time.Millisecond
 
 // node is a modelled upstream with one core and a queue.
@@ -16,12 +16,12 @@
 	name        string
 	index       int
 	zone        string
-	speed       float64 // factor on its service rate
+	speed       float64 // multiplies its service rate
 	up          bool
-	listed      bool          // as ready
-	silent      bool          // its machine is down: connections are neither refused nor reset
-	restarted   bool          // at some time of the run
-	overloaded  bool          // it stopped for good
+	listed      bool          // in the endpoint list, as ready
+	silent      bool          // its machine is down: connections get no response at all
+	restarted   bool          // at least once in the run
+	overloaded  bool          // it was overloaded and stopped for good
 	startedAt   time.Duration // 0: before the run
 	incarnation int           // number of stops
 	faults      []*Fault      // in effect
@@ -44,13 +44,13 @@
 	newConnectionsSince time.Duration
 
 	lastReport          LoadReport
-	reportSince         time.Duration // begin of the report's present interval
+	reportSince         time.Duration // start of the report's current interval
 	busyInReport        time.Duration
 	answersInReport     int
 	latenciesByInFlight []latencyRing // by the number in flight at arrival; nil: none recorded
 }
 
-// capacity is a node's present capacity as a fraction of a warm node's: it grows linearly over SlowStartWindow.
+// capacity returns a node's current capacity as a fraction of a warm node's. It grows linearly over SlowStartWindow.
 func (s *simulation) capacity(n *node) float64 {
 	settings := &s.run.Settings
 	age := s.Now() - n.startedAt
@@ -60,7 +60,7 @@
 	return settings.SlowStartMinCapacity + (1-settings.SlowStartMinCapacity)*float64(age)/float64(settings.SlowStartWindow)
 }
 
-// attemptArrived queues an attempt at its node, or answers it as the node's state and faults demand.
+// attemptArrived handles an attempt that reaches its node: the node queues it, or answers it according to its state and faults.
 func (s *simulation) attemptArrived(a *attempt) {
 	n := a.node
 	if a.ended || a.sidecar.partitionedFrom(n) {
@@ -101,13 +101,13 @@
 		return
 	}
 	window := settings.OverloadWindow.Seconds()
-	if passed := (s.Now() - n.recentWorkAt).Seconds(); passed > 0 {
-		n.recentWork *= max(0, 1-passed/window)
+	if elapsed := (s.Now() - n.recentWorkAt).Seconds(); elapsed > 0 {
+		n.recentWork *= max(0, 1-elapsed/window)
 	}
 	n.recentWorkAt = s.Now()
 	n.recentWork += serviceTime.Seconds()
-	switch over := n.recentWork/window > settings.OverloadMultiple*s.capacity(n); {
-	case !over:
+	switch exceeded := n.recentWork/window > settings.OverloadMultiple*s.capacity(n); {
+	case !exceeded:
 		n.overloadedSince = 0
 	case n.overloadedSince == 0:
 		n.overloadedSince = s.Now()
@@ -118,7 +118,7 @@
 	}
 }
 
-// serveQueue starts the next attempt in the queue, if the core is free.
+// serveQueue starts serving the next attempt in the queue, if the node's core is free.
 func (s *simulation) serveQueue(n *node) {
 	for !n.busy && len(n.queue) > 0 && n.fault(Freeze) == nil {
 		a := n.queue[0]
@@ -138,8 +138,8 @@
 	}
 }
 
-// serviceEnded answers an attempt that was served, and goes on with the queue. While the node is frozen it tries again later;
-// after a restart of the node it does nothing.
+// serviceEnded answers an attempt that was served, and continues with the queue. While the node is frozen, serviceEnded reschedules
+// itself. It does nothing if the node has stopped since, which a changed incarnation shows.
 func (s *simulation) serviceEnded(n *node, a *attempt, duration time.Duration, incarnation int) {
 	if n.incarnation != incarnation {
 		return
@@ -171,7 +171,7 @@
 	}
 	n.queue, n.running = nil, nil
 	if n.silent {
-		lost = nil // they time out
+		lost = nil // the attempts time out
 	}
 	for _, a := range lost {
 		s.After(networkRoundTrip/2, func() { s.attemptEnded(a, balancer.Reset) })
@@ -190,7 +190,7 @@
 	s.announceStatus(n, endpoints.StatusReady)
 }
 
-// inFlight is the number of attempts that are queued or served.
+// inFlight returns the number of attempts that are queued or being served.
 func (n *node) inFlight() int {
 	if n.busy {
 		return len(n.queue) + 1
--- a/internal/simulation/fleetsim/node_report.go
+++ b/internal/simulation/fleetsim/node_report.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// recordServiceTime counts a completed attempt in the node's load report and in the present Point.
-func (s *simulation) recordServiceTime(n *node, took time.Duration) {
-	s.currentPoint().busyTime += took
+// recordServiceTime counts a completed attempt in the node's load report and in the current Point.
+func (s *simulation) recordServiceTime(n *node, serviceTime time.Duration) {
+	s.currentPoint().busyTime += serviceTime
 	n.rollReport(s.Now())
-	n.busyInReport += took
+	n.busyInReport += serviceTime
 	n.answersInReport++
 }
 
-// latencyRing holds the last latencies of attempts that found one number in flight.
+// latencyRing holds the latest latencies of attempts that arrived at the same number in flight.
 type latencyRing struct {
 	last  [latencyRingSize]time.Duration
 	count int
@@ -24,26 +24,26 @@
 	latencyRingCount = 64 // rings of a node; higher numbers in flight share the last ring
 )
 
-// recordLatency records the latency of an attempt by the number in flight that it found.
-func (n *node) recordLatency(found int, took time.Duration) {
+// recordLatency records the latency of an attempt by the number in flight at its arrival.
+func (n *node) recordLatency(inFlight int, latency time.Duration) {
 	if n.latenciesByInFlight == nil {
 		n.latenciesByInFlight = make([]latencyRing, latencyRingCount)
 	}
-	r := &n.latenciesByInFlight[min(found, latencyRingCount-1)]
-	r.last[r.count%latencyRingSize] = took
+	r := &n.latenciesByInFlight[min(inFlight, latencyRingCount-1)]
+	r.last[r.count%latencyRingSize] = latency
 	r.count++
 }
 
-// expectedLatency is the latency that a Prequal server reports: the median of the last latencies at the present number in flight, or at
-// the nearest number that has any. 0 means none.
+// expectedLatency returns the latency that a Prequal server reports: the median of the last latencies at the current number in flight, or at
+// the nearest number with recorded latencies; 0 if there are none.
 func (n *node) expectedLatency() time.Duration {
-	now := min(n.inFlight(), latencyRingCount-1)
-	for off := range len(n.latenciesByInFlight) {
-		for _, i := range []int{now - off, now + off} {
+	current := min(n.inFlight(), latencyRingCount-1)
+	for distance := range len(n.latenciesByInFlight) {
+		for _, i := range []int{current - distance, current + distance} {
 			if i >= 0 && i < len(n.latenciesByInFlight) && n.latenciesByInFlight[i].count > 0 {
-				r := n.latenciesByInFlight[i]
-				x := slices.Sorted(slices.Values(r.last[:min(r.count, latencyRingSize)]))
-				return x[len(x)/2]
+				ring := n.latenciesByInFlight[i]
+				sorted := slices.Sorted(slices.Values(ring.last[:min(ring.count, latencyRingSize)]))
+				return sorted[len(sorted)/2]
 			}
 		}
 	}
@@ -52,15 +52,16 @@
 
 // rollReport starts a new interval of the load report once a second.
 func (n *node) rollReport(now time.Duration) {
-	if passed := now - n.reportSince; passed >= time.Second {
-		n.lastReport.Utilization, n.lastReport.Rate = min(1, n.busyInReport.Seconds()/passed.Seconds()), float64(n.answersInReport)/passed.Seconds()
+	if elapsed := now - n.reportSince; elapsed >= time.Second {
+		n.lastReport.Utilization, n.lastReport.Rate = min(1, n.busyInReport.Seconds()/elapsed.Seconds()), float64(n.answersInReport)/elapsed.Seconds()
 		n.reportSince, n.busyInReport, n.answersInReport = now, 0, 0
 	}
 }
 
+// currentReport returns the node's load report with the current number in flight.
 func (n *node) currentReport(now time.Duration) LoadReport {
 	n.rollReport(now)
-	r := n.lastReport
-	r.InFlight = n.inFlight()
-	return r
+	report := n.lastReport
+	report.InFlight = n.inFlight()
+	return report
 }
--- a/internal/simulation/fleetsim/policies.go
+++ b/internal/simulation/fleetsim/policies.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// upstreamSet keeps the names of the active nodes. It implements all of Policy but Pick, for policies to embed.
+// upstreamSet holds the names of the active nodes. It implements all methods of Policy except Pick, and policies embed it.
 type upstreamSet struct {
 	rng   *rand.Rand
 	names []string
 }
 
-func (m *upstreamSet) SetUpstreams(names []string) { m.names = slices.Clone(names) }
+func (u *upstreamSet) SetUpstreams(names []string) { u.names = slices.Clone(names) }
 
-func (m *upstreamSet) Sent(time.Duration, string) {}
+func (u *upstreamSet) Sent(time.Duration, string) {}
 
-func (m *upstreamSet) Done(time.Duration, AttemptResult) {}
+func (u *upstreamSet) Done(time.Duration, AttemptResult) {}
 
-func (m *upstreamSet) ProbeTargets() []string { return nil }
+func (u *upstreamSet) ProbeTargets() []string { return nil }
 
-func (m *upstreamSet) ProbeAnswered(time.Duration, ProbeReply) {}
+func (u *upstreamSet) ProbeAnswered(time.Duration, ProbeReply) {}
 
-func (m *upstreamSet) randomName() string {
-	if len(m.names) == 0 {
+func (u *upstreamSet) randomName() string {
+	if len(u.names) == 0 {
 		return ""
 	}
-	return m.names[m.rng.IntN(len(m.names))]
+	return u.names[u.rng.IntN(len(u.names))]
 }
 
 // random picks a random node.
@@ -49,7 +49,7 @@
 	return p.names[p.next%len(p.names)]
 }
 
-// leastPending counts the attempts in flight by node.
+// leastPending counts the attempts in flight by node, for policies to embed.
 type leastPending struct {
 	upstreamSet
 	inFlight map[string]int
@@ -57,13 +57,13 @@
 
 func (p *leastPending) Sent(_ time.Duration, name string) { p.inFlight[name]++ }
 
-func (p *leastPending) Done(_ time.Duration, x AttemptResult) {
-	if p.inFlight[x.Name]--; p.inFlight[x.Name] <= 0 {
-		delete(p.inFlight, x.Name)
+func (p *leastPending) Done(_ time.Duration, result AttemptResult) {
+	if p.inFlight[result.Name]--; p.inFlight[result.Name] <= 0 {
+		delete(p.inFlight, result.Name)
 	}
 }
 
-// leastOfTwo picks the one of two random nodes with fewer attempts in flight (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001).
+// leastOfTwo picks the one with fewer attempts in flight of two random nodes (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001).
 type leastOfTwo struct{ leastPending }
 
 func (p *leastOfTwo) Pick(time.Duration) string {
@@ -75,7 +75,7 @@
 }
 
 // peakEWMA is Finagle's policy: of two random nodes the one with the lower peak-sensitive EWMA of the latency times (in flight + 1). It
-// neither penalizes nor ejects failing nodes, so that fast failures look like low latency.
+// neither penalizes nor ejects failing nodes: fast failures look like low latency.
 type peakEWMA struct {
 	leastPending
 	costs map[string]*ewma
@@ -96,8 +96,8 @@
 		}
 		return math.MaxFloat32 // unknown latency with an attempt in flight: avoided, as in Finagle
 	}
-	w := math.Exp(-float64(now-e.updatedAt) / float64(peakDecay))
-	return e.cost * w * float64(p.inFlight[name]+1)
+	decay := math.Exp(-float64(now-e.updatedAt) / float64(peakDecay))
+	return e.cost * decay * float64(p.inFlight[name]+1)
 }
 
 func (p *peakEWMA) Pick(now time.Duration) string {
@@ -110,14 +110,14 @@
 
 func (p *peakEWMA) Done(now time.Duration, outcome AttemptResult) {
 	p.leastPending.Done(now, outcome)
-	e, took := p.costs[outcome.Name], outcome.Latency.Seconds()
+	e, latency := p.costs[outcome.Name], outcome.Latency.Seconds()
 	switch {
 	case e == nil:
-		p.costs[outcome.Name] = &ewma{took, now}
-	case took > e.cost:
-		*e = ewma{took, now}
+		p.costs[outcome.Name] = &ewma{latency, now}
+	case latency > e.cost:
+		*e = ewma{latency, now}
 	default:
-		w := math.Exp(-float64(now-e.updatedAt) / float64(peakDecay))
-		*e = ewma{e.cost*w + took*(1-w), now}
+		decay := math.Exp(-float64(now-e.updatedAt) / float64(peakDecay))
+		*e = ewma{e.cost*decay + latency*(1-decay), now}
 	}
 }
--- a/internal/simulation/fleetsim/policy.go
+++ b/internal/simulation/fleetsim/policy.go
@@ -14,11 +14,11 @@
 	Rate        float64 // answers per second, over the last second
 }
 
-// Policy chooses nodes in place of the balancer, for comparison with it. The simulation retries, by the same rule for all policies
-// (Run.MaxAttempts). A Policy belongs to one sidecar and is called from the simulation's goroutine only.
+// Policy chooses nodes in place of the balancer, for comparison with it. The simulation itself retries, by the same rule for all policies
+// (Run.MaxAttempts). A Policy belongs to one sidecar and is called only from the simulation's goroutine.
 type Policy interface {
 	SetUpstreams(names []string)                   // replaces the set of active nodes
-	Pick(now time.Duration) string                 // "" if there is none
+	Pick(now time.Duration) string                 // returns "" if there is no node
 	Sent(now time.Duration, name string)           // an attempt is sent to the picked node
 	Done(now time.Duration, result AttemptResult)  // exactly once for each Sent
 	ProbeTargets() []string                        // nodes to probe after a pick; nil: none
@@ -36,11 +36,11 @@
 // ProbeReply is a node's answer to a probe.
 type ProbeReply struct {
 	Name    string
-	Latency time.Duration // expected at the present number in flight
+	Latency time.Duration // expected at the current number in flight
 	Report  LoadReport
 }
 
-// Policies are the policies by the names that experiments use. Each is made with its sidecar's source of random numbers.
+// Policies maps the names that experiments use to constructors of policies. A constructor takes the sidecar's source of random numbers.
 var Policies = map[string]func(rng *rand.Rand) Policy{
 	"random":               func(rng *rand.Rand) Policy { return &random{upstreamSet{rng: rng}} },
 	"round robin":          func(rng *rand.Rand) Policy { return &roundRobin{upstreamSet{rng: rng}, rng.IntN(1 << 20)} },
@@ -52,7 +52,8 @@
 	"prequal": func(rng *rand.Rand) Policy { return &prequal{upstreamSet: upstreamSet{rng: rng}} },
 }
 
-// pickUpstream sends a request's next attempt to the node that the sidecar's Policy picks, and probes the nodes that it names.
+// pickUpstream sends a request's next attempt to the node that the sidecar's Policy picks, and then probes the nodes that the Policy
+// wants probed.
 func (s *simulation) pickUpstream(sc *sidecar, req *request) {
 	name := sc.policy.Pick(s.Now())
 	if name == "" || s.byName[name] == nil {
@@ -76,7 +77,8 @@
 	}
 }
 
-// policyAttemptEnded gives a Policy the result of an attempt, and retries where a second execution is impossible or harmless.
+// policyAttemptEnded passes the result of an attempt to a Policy. It retries if the attempt was not executed or the request is
+// idempotent.
 func (s *simulation) policyAttemptEnded(sc *sidecar, req *request, a *attempt, result balancer.Result) {
 	outcome := AttemptResult{Name: a.node.name, Latency: s.Now() - a.sentAt, Result: result}
 	if result == balancer.OK {
--- a/internal/simulation/fleetsim/policy_prequal.go
+++ b/internal/simulation/fleetsim/policy_prequal.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// prequal is Prequal in its asynchronous mode (B. Wydrowski et al., "Load is not what you should balance: Introducing Prequal", NSDI 2024):
+// prequal implements the asynchronous mode of Prequal (B. Wydrowski et al., "Load is not what you should balance: Introducing Prequal", NSDI 2024):
 // each request probes three random nodes for the number in flight and the latency. At most 16 answers are kept, for a second. The pick is
 // the node with the lowest latency that is not hot, or if all are hot the one with the fewest in flight. The worst and the oldest answer
 // are removed in turn.
@@ -27,12 +27,12 @@
 	prequalProbes   = 3
 	prequalPoolSize = 16
 	prequalMaxAge   = time.Second
-	prequalMaxUses  = 2 // about what the paper's formula gives for this pool and these probes
+	prequalMaxUses  = 2 // about the result of the paper's formula for this pool size and number of probes
 )
 
 func (p *prequal) SetUpstreams(names []string) {
 	p.upstreamSet.SetUpstreams(names)
-	p.pool = slices.DeleteFunc(p.pool, func(k pooledReply) bool { return !slices.Contains(p.names, k.Name) })
+	p.pool = slices.DeleteFunc(p.pool, func(reply pooledReply) bool { return !slices.Contains(p.names, reply.Name) })
 }
 
 func (p *prequal) ProbeTargets() []string {
@@ -45,19 +45,20 @@
 	return names
 }
 
-func (p *prequal) ProbeAnswered(now time.Duration, x ProbeReply) {
-	if !slices.Contains(p.names, x.Name) {
+func (p *prequal) ProbeAnswered(now time.Duration, reply ProbeReply) {
+	if !slices.Contains(p.names, reply.Name) {
 		return
 	}
-	p.inFlightSeen = append(p.inFlightSeen[max(0, len(p.inFlightSeen)-hotWindow+1):], x.Report.InFlight)
+	p.inFlightSeen = append(p.inFlightSeen[max(0, len(p.inFlightSeen)-hotWindow+1):], reply.Report.InFlight)
 	if len(p.pool) == prequalPoolSize {
 		p.pool = p.pool[1:]
 	}
-	p.pool = append(p.pool, pooledReply{x, now, 0})
+	p.pool = append(p.pool, pooledReply{reply, now, 0})
 }
 
-// worse orders answers by the hot-cold rule, the best first.
-func (p *prequal) worse(hot int) func(a, b pooledReply) int {
+// compare returns a function that orders answers by the hot-cold rule, the best first. hot is the number in flight above which a node is
+// hot.
+func (p *prequal) compare(hot int) func(a, b pooledReply) int {
 	return func(a, b pooledReply) int {
 		hotA, hotB := a.Report.InFlight > hot, b.Report.InFlight > hot
 		switch {
@@ -73,7 +74,9 @@
 }
 
 func (p *prequal) Pick(now time.Duration) string {
-	p.pool = slices.DeleteFunc(p.pool, func(k pooledReply) bool { return now-k.receivedAt > prequalMaxAge || k.uses >= prequalMaxUses })
+	p.pool = slices.DeleteFunc(p.pool, func(reply pooledReply) bool {
+		return now-reply.receivedAt > prequalMaxAge || reply.uses >= prequalMaxUses
+	})
 	if len(p.pool) < 2 {
 		return p.randomName()
 	}
@@ -84,21 +87,21 @@
 	}
 	best := 0
 	for i := range p.pool {
-		if p.worse(hot)(p.pool[i], p.pool[best]) < 0 {
+		if p.compare(hot)(p.pool[i], p.pool[best]) < 0 {
 			best = i
 		}
 	}
 	name := p.pool[best].Name
 	p.pool[best].uses++
-	p.pool[best].Report.InFlight++ // the request itself
+	p.pool[best].Report.InFlight++ // counts the request itself
 	if p.removeWorstNext = !p.removeWorstNext; p.removeWorstNext {
-		at := 0
+		worst := 0
 		for i := range p.pool {
-			if p.worse(hot)(p.pool[i], p.pool[at]) > 0 {
-				at = i
+			if p.compare(hot)(p.pool[i], p.pool[worst]) > 0 {
+				worst = i
 			}
 		}
-		p.pool = slices.Delete(p.pool, at, at+1)
+		p.pool = slices.Delete(p.pool, worst, worst+1)
 	} else {
 		p.pool = p.pool[1:] // the oldest
 	}
--- a/internal/simulation/fleetsim/policy_weighted.go
+++ b/internal/simulation/fleetsim/policy_weighted.go
@@ -9,8 +9,8 @@
 	"orchiddrift/balancer"
 )
 
-// weightedRoundRobin is round robin by weights that nodes report: rate over utilization, with errors as more utilization, as in gRPC's proposal A58
-// (weighted_round_robin). Weights are updated each second; a node without a weight gets the mean. Picks are scheduled by earliest deadline.
+// weightedRoundRobin is gRPC's weighted_round_robin (proposal A58). A node's weight is its reported rate divided by its reported utilization,
+// to which errors add a penalty. Weights are updated each second; a node without a weight gets the mean. Picks go to the earliest deadline.
 type weightedRoundRobin struct {
 	upstreamSet
 	weights    map[string]*weight
@@ -26,24 +26,24 @@
 
 const (
 	weightUpdatePeriod = time.Second
-	errorPenalty       = 1.0
+	errorPenalty       = 1.0 // added to the utilization of a node whose attempts all fail
 )
 
 func (p *weightedRoundRobin) SetUpstreams(names []string) {
 	p.upstreamSet.SetUpstreams(names)
 	old := p.weights
 	p.weights = map[string]*weight{}
-	first := math.Inf(1) // new nodes start there and do not catch up
+	earliest := math.Inf(1) // new nodes start at the earliest deadline, so that they do not catch up on earlier picks
 	for _, w := range old {
-		first = min(first, w.nextDeadline)
+		earliest = min(earliest, w.nextDeadline)
 	}
 	if len(old) == 0 {
-		first = 0
+		earliest = 0
 	}
 	for _, name := range p.names {
 		w := old[name]
 		if w == nil {
-			w = &weight{nextDeadline: first + p.rng.Float64()}
+			w = &weight{nextDeadline: earliest + p.rng.Float64()}
 		}
 		p.weights[name] = w
 	}
@@ -68,24 +68,24 @@
 	}
 	if now-p.updatedAt >= weightUpdatePeriod {
 		p.updatedAt = now
-		sum, n := 0.0, 0
+		sum, weighted := 0.0, 0
 		for _, name := range p.names {
 			w := p.weights[name]
-			if all := w.successes + w.failures; all > 0 && w.rate > 0 && w.utilization > 0 {
-				w.value = w.rate / (w.utilization + errorPenalty*w.failures/all)
+			if total := w.successes + w.failures; total > 0 && w.rate > 0 && w.utilization > 0 {
+				w.value = w.rate / (w.utilization + errorPenalty*w.failures/total)
 			}
 			if w.successes, w.failures = 0, 0; w.value > 0 {
-				sum, n = sum+w.value, n+1
+				sum, weighted = sum+w.value, weighted+1
 			}
 		}
-		p.meanWeight = sum / max(1, float64(n))
+		p.meanWeight = sum / max(1, float64(weighted))
 	}
-	best := slices.MinFunc(p.names, func(a, b string) int { return cmp.Compare(p.weights[a].nextDeadline, p.weights[b].nextDeadline) })
-	w := p.weights[best]
-	of := w.value
-	if of == 0 {
-		of = max(p.meanWeight, 1)
+	next := slices.MinFunc(p.names, func(a, b string) int { return cmp.Compare(p.weights[a].nextDeadline, p.weights[b].nextDeadline) })
+	w := p.weights[next]
+	effective := w.value
+	if effective == 0 {
+		effective = max(p.meanWeight, 1)
 	}
-	w.nextDeadline += max(p.meanWeight, 1) / of
-	return best
+	w.nextDeadline += max(p.meanWeight, 1) / effective
+	return next
 }
--- a/internal/simulation/fleetsim/prewarming.go
+++ b/internal/simulation/fleetsim/prewarming.go
@@ -3,14 +3,14 @@
 // prewarmConnections opens the connections that a sidecar's prewarmer asks for, as upstream.Pool.Prewarm does.
 func (s *simulation) prewarmConnections(sc *sidecar) {
 	sc.prewarmer.SetMembers(s.Now(), sc.prewarmMembers)
-	open := func(name string) int {
+	countConnections := func(name string) int {
 		pool := sc.pools[s.byName[name]]
 		if pool == nil {
 			return 0
 		}
 		return len(pool.idleSince) + pool.inUse
 	}
-	for _, name := range sc.prewarmer.Tick(s.Now(), open, sc.openConnections) {
+	for _, name := range sc.prewarmer.Tick(s.Now(), countConnections, sc.openConnections) {
 		n, process := s.byName[name], sc.prewarmer.Process(name)
 		if !n.up {
 			s.After(networkRoundTrip, func() { sc.prewarmer.Connected(s.Now(), name, process, false) })
@@ -20,14 +20,14 @@
 		s.result.ConnectionsPrewarmed++
 		incarnation := n.incarnation
 		s.After(s.run.ConnectDelay, func() {
-			ok := n.up && n.incarnation == incarnation
-			if ok {
+			connected := n.up && n.incarnation == incarnation
+			if connected {
 				pool := sc.pool(n)
 				pool.idleSince = append(pool.idleSince, s.Now())
 			} else {
 				s.connectionsClosed(sc, n, 1)
 			}
-			sc.prewarmer.Connected(s.Now(), name, process, ok)
+			sc.prewarmer.Connected(s.Now(), name, process, connected)
 		})
 	}
 	s.After(prewarmPeriod, func() { s.prewarmConnections(sc) })
--- a/internal/simulation/fleetsim/result.go
+++ b/internal/simulation/fleetsim/result.go
@@ -7,7 +7,7 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is the outcome of a run. The JSON keys are part of the stored results of experiments.
+// Result is the outcome of a run. Its JSON keys are part of the stored results of experiments.
 type Result struct {
 	Requests int `json:"Requests"` // first requests and clients' retries
 	Served   int `json:"Served"`
@@ -35,7 +35,7 @@
 	P50                           time.Duration `json:"P50"`       // latency of served requests
 	P99                           time.Duration `json:"P99"`
 
-	Operations       int      `json:"Operations"` // begun by clients; each is one request and its retries
+	Operations       int      `json:"Operations"` // begun by clients; each is a request and its retries
 	OperationsServed int      `json:"Done"`
 	Attempts         int      `json:"Sends"` // sent to nodes
 	Points           []Point  `json:"Points"`
@@ -51,7 +51,7 @@
 	Rejected         int           `json:"Refused"`
 	Failed           int           `json:"Failed"`
 	Operations       int           `json:"Operations"` // begun
-	OperationsServed int           `json:"Done"`       // served, after however many requests
+	OperationsServed int           `json:"Done"`       // served, after any number of requests
 	Attempts         int           `json:"Sends"`
 	P50              time.Duration `json:"P50"` // latency of served operations
 	P99              time.Duration `json:"P99"`
@@ -61,7 +61,7 @@
 	busyTime  time.Duration  // service time of all nodes
 }
 
-// summarize completes the result from the counters of nodes, sidecars and latencies.
+// summarize completes the result from the counters of the nodes and sidecars and from the recorded latencies.
 func (s *simulation) summarize() {
 	s.summarizeNodes()
 	s.summarizeSidecars()
@@ -77,7 +77,7 @@
 func (s *simulation) summarizeNodes() {
 	result := &s.result
 	var maxServed, totalServed time.Duration
-	undisturbed := 0 // nodes that were up all the time
+	stableNodes := 0 // nodes that neither restarted nor were overloaded
 	for _, n := range s.nodes {
 		if n.attempts > 0 {
 			result.NodesUsed++
@@ -86,11 +86,11 @@
 		if !n.restarted && !n.overloaded {
 			maxServed = max(maxServed, n.servedTime)
 			totalServed += n.servedTime
-			undisturbed++
+			stableNodes++
 		}
 	}
 	if totalServed > 0 {
-		result.LoadSpread = float64(maxServed) * float64(undisturbed) / float64(totalServed)
+		result.LoadSpread = float64(maxServed) * float64(stableNodes) / float64(totalServed)
 	}
 }
 
--- a/internal/simulation/fleetsim/run.go
+++ b/internal/simulation/fleetsim/run.go
@@ -31,27 +31,27 @@
 	IdleTimeout    time.Duration   // of connections; 0: 30 s
 	ConnectDelay   time.Duration   // that opening a connection adds
 	Prewarming     prewarm.Options // not Enabled: connections are opened when a request needs them
-	MaxConnections int             // of a sidecar; it bounds the subset; 0: 496
+	MaxConnections int             // of a sidecar; limits the size of its subset; 0: 496
 
-	NodeSpeed        func(i int) float64 // factor on a node's service rate; nil: 1
-	HideStartTimes   bool                // the balancers know neither when a node started nor the slow start parameters
+	NodeSpeed        func(i int) float64 // multiplies a node's service rate; nil: 1
+	HideStartTimes   bool                // the balancers know neither the nodes' start times nor the slow start settings
 	LoadProbes       loadprobe.Options   // probes whose answers go to the balancer
-	HideProbeLatency bool                // these answers hold no latency
-	SyncProbes       *SyncProbes         // chooses nodes in place of the balancer; nil: it does not
+	HideProbeLatency bool                // answers of load probes contain no latency
+	SyncProbes       *SyncProbes         // if not nil, probes choose nodes in place of the balancer
 
-	Policy      func(rng *rand.Rand) Policy // makes each sidecar's policy, which chooses in place of the balancer; nil: none
-	MaxAttempts int                         // of a Policy's request, where a retry is safe
+	Policy      func(rng *rand.Rand) Policy // creates each sidecar's policy, which chooses nodes in place of the balancer; nil: the balancer chooses
+	MaxAttempts int                         // of a Policy's request, if retrying it is safe
 
 	Faults          []Fault
-	RestartAt       time.Duration // a fraction of the nodes restarts from then on; 0: none does
+	RestartAt       time.Duration // when the restarts of RestartFraction of the nodes begin; 0: no restarts
 	RestartOver     time.Duration // the restarts are spread over this time
 	RestartFraction float64       // of the nodes
 	RestartDowntime time.Duration // from a node's stop to its start
-	Discovery       *Discovery    // nil: list changes reach every sidecar by themselves
+	Discovery       *Discovery    // nil: list changes reach every sidecar without a call
 	ListSizes       []ListSize    // changes of the number of listed nodes
 }
 
-// ListSize is the number of listed nodes from a time on; the nodes with the highest indices leave first.
+// ListSize is the number of listed nodes from a time on. The nodes with the highest indices are removed first.
 type ListSize struct {
 	At    time.Duration // since the start
 	Nodes int
--- a/internal/simulation/fleetsim/sampling.go
+++ b/internal/simulation/fleetsim/sampling.go
@@ -6,7 +6,7 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// sampleOpenConnections samples the nodes' open connections each sweepPeriod over the second half of the run.
+// sampleOpenConnections samples the nodes' open connections every sweepPeriod during the second half of the run.
 func (s *simulation) sampleOpenConnections() {
 	s.After(sweepPeriod, func() {
 		if s.Since() > s.run.Length/2 {
@@ -19,7 +19,7 @@
 	})
 }
 
-// currentPoint is the Point of the present interval.
+// currentPoint returns the Point of the current interval, and completes the Point before it when a new interval begins.
 func (s *simulation) currentPoint() *Point {
 	if s.run.Interval == 0 {
 		return &s.discardedPoint
@@ -32,6 +32,7 @@
 	return &s.result.Points[len(s.result.Points)-1]
 }
 
+// closePoint computes the latencies and the utilization of the last Point.
 func (s *simulation) closePoint() {
 	if len(s.result.Points) == 0 {
 		return
--- a/internal/simulation/fleetsim/sidecar.go
+++ b/internal/simulation/fleetsim/sidecar.go
@@ -13,7 +13,7 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// sidecar is one sidecar: its balancer or policy, its endpoints and its connections.
+// sidecar is the state of one sidecar: its balancer or policy, its endpoints and its connections.
 type sidecar struct {
 	index       int
 	zone        string
@@ -28,8 +28,8 @@
 
 	subset          *subset.Subset       // nil: it uses all nodes
 	inactive        map[string]bool      // nodes it knows to be draining or removed
-	activeUpstreams []string             // kept for policies and SyncProbes only
-	pendingUpdates  []endpoints.Endpoint // list changes on their way to it
+	activeUpstreams []string             // maintained for policies and SyncProbes only
+	pendingUpdates  []endpoints.Endpoint // list changes that have not reached it yet
 	watching        bool                 // the discovery service sends it changes
 	cachedList      []endpoints.Endpoint // the last list from the discovery service
 
@@ -45,7 +45,7 @@
 	probedInFlight []int              // numbers in flight in the last SyncProbes answers, the newest last
 }
 
-// addSidecar makes a sidecar and gives it its first list.
+// addSidecar creates a sidecar and delivers its first list.
 func (s *simulation) addSidecar(i int) (*sidecar, error) {
 	settings := s.run.Settings
 	settings.FleetSize = s.run.Sidecars
@@ -87,7 +87,7 @@
 	return sc, nil
 }
 
-// addSubset gives a sidecar its subset, if the run has subsets.
+// addSubset sets a sidecar's subset, if the run has subsets.
 func (s *simulation) addSubset(sc *sidecar) {
 	if !s.run.Subset.Enabled {
 		return
@@ -100,7 +100,7 @@
 	sc.subset = subset.New(options, fmt.Sprint("sidecar-", sc.index), sc.zone, s.run.MaxConnections)
 }
 
-// handleEvent gives an event to a sidecar's balancer and executes the resulting actions.
+// handleEvent passes an event to a sidecar's balancer and carries out the resulting actions.
 func (s *simulation) handleEvent(sc *sidecar, event balancer.Event) {
 	s.result.Decisions++
 	for _, action := range sc.balancer.Handle(s.Now(), event, nil) {
@@ -131,17 +131,17 @@
 	}
 }
 
-// finishRequest gives a request its final answer. count is the counter in s.result of that kind of answer.
-func (s *simulation) finishRequest(sc *sidecar, id string, count *int, retryAfter time.Duration) {
+// finishRequest gives a request its final answer. counter points to the count of that kind of answer in s.result.
+func (s *simulation) finishRequest(sc *sidecar, id string, counter *int, retryAfter time.Duration) {
 	if req := sc.pending[id]; req != nil && !req.done {
 		req.done = true
-		*count++
+		*counter++
 		delete(sc.pending, id)
-		s.requestEnded(sc, req, count, retryAfter)
+		s.requestEnded(sc, req, counter, retryAfter)
 	}
 }
 
-// scheduleKills draws a fraction of the sidecars, which are killed at the same moment.
+// scheduleKills selects a random fraction of the sidecars, which are killed at the same moment.
 func (s *simulation) scheduleKills(f Fault) {
 	indices := s.rng.Perm(len(s.sidecars))[:int(f.Fraction*float64(len(s.sidecars))+0.5)]
 	slices.Sort(indices)
@@ -185,7 +185,8 @@
 	}
 }
 
-// deliverFirstList gives a sidecar's new process its first list: the cached one, where a discovery service has the full one.
+// deliverFirstList gives a sidecar's new process its first list. Where the run has a discovery service this is a cached list, after a
+// restart the last list of the previous process; otherwise it is the full list.
 func (s *simulation) deliverFirstList(sc *sidecar) {
 	kind, list := balancer.FullUpdate, s.currentList()
 	if s.run.Discovery != nil {
--- a/internal/simulation/fleetsim/simulation.go
+++ b/internal/simulation/fleetsim/simulation.go
@@ -8,7 +8,7 @@
 	"orchiddrift/internal/simulation/virtualtime"
 )
 
-// simulation is a run under way.
+// simulation is the state of a run.
 type simulation struct {
 	*virtualtime.Time
 	run             Run
@@ -18,27 +18,27 @@
 	byName          map[string]*node
 	sidecars        []*sidecar
 	result          Result
-	lastID          int             // of a request
+	lastID          int             // of the latest request
 	latencies       []time.Duration // of served requests
-	discardedPoint  Point           // takes the counts where Run.Interval is 0
+	discardedPoint  Point           // takes the counts if Run.Interval is 0
 
 	openConnectionSum     float64
 	openConnectionSamples int
 
-	discoveryBusyUntil time.Duration // when the discovery service has worked off its calls
+	discoveryBusyUntil time.Duration // when the discovery service will have finished its accepted work
 	callCountSecond    time.Duration // the second that callsInSecond counts, since the start
 	callsInSecond      int
 }
 
 const (
 	networkRoundTrip      = 300 * time.Microsecond // between a sidecar and a node
-	maxListDelay          = 200 * time.Millisecond // from a change of the list until a sidecar learns of it
-	drainTime             = time.Second            // from the last sidecar's notification until a draining node stops
-	sweepPeriod           = time.Second            // of a sidecar's check for idle connections
+	maxListDelay          = 200 * time.Millisecond // maximum time from a change of the list until a sidecar receives it
+	drainTime             = time.Second            // from the notification of the last sidecar until a draining node stops
+	sweepPeriod           = time.Second            // between a sidecar's checks for idle connections
 	rateSmoothing         = 0.1                    // weight of the last sweep in a sidecar's request rate, as in discovery.SubsetSink
-	maxNodeQueue          = 1000                   // requests that wait at a node
+	maxNodeQueue          = 1000                   // maximum number of requests that wait at a node
 	prewarmPeriod         = 100 * time.Millisecond // of a prewarmer's ticks
-	probeServiceTime      = 200 * time.Microsecond // that a load probe costs a node's core
+	probeServiceTime      = 200 * time.Microsecond // CPU time that a load probe costs a node
 	defaultZones          = 1
 	defaultIdleTimeout    = 30 * time.Second
 	defaultMaxConnections = 496
@@ -53,7 +53,7 @@
 	policyStreamOffset  = 3 << 32
 )
 
-// Play plays a run. The error names a balancer setting that cannot be used.
+// Play simulates a run. The error names an invalid balancer setting.
 func Play(r Run) (*Result, error) {
 	if r.Zones == 0 {
 		r.Zones = defaultZones
@@ -89,7 +89,7 @@
 	return &s.result, nil
 }
 
-// addNodes makes the nodes, all of them warm and listed.
+// addNodes creates the nodes, all of them warm and listed.
 func (s *simulation) addNodes() {
 	for i := range s.run.Nodes {
 		n := &node{name: fmt.Sprintf("node-%05d", i), index: i, zone: s.zone(i), up: true, listed: true, speed: 1}
@@ -101,7 +101,7 @@
 	}
 }
 
-// addSidecars makes the sidecars and starts their traffic.
+// addSidecars creates the sidecars and starts their traffic.
 func (s *simulation) addSidecars() error {
 	weight := s.run.TrafficWeight
 	if weight == nil {
--- a/internal/simulation/fleetsim/traffic.go
+++ b/internal/simulation/fleetsim/traffic.go
@@ -16,7 +16,7 @@
 	attempts    []*attempt
 	done        bool
 	operation   *operation
-	executions  int // times that a node served it to its end
+	executions  int // number of times that a node executed it
 }
 
 // operation is what a client wants: one request and its retries.
@@ -28,20 +28,20 @@
 	backoff     time.Duration // before the last retry
 }
 
-// minRateMultiple bounds the time until the next arrival is looked at while the rate is 0.
+// minRateMultiple limits the time between arrivals: while the rate is 0, no operation begins, but the rate is checked again.
 const minRateMultiple = 0.01
 
-// startTraffic begins operations at a sidecar, as a Poisson process. rate is in operations per second.
+// startTraffic schedules operations at a sidecar as a Poisson process. rate is in operations per second.
 func (s *simulation) startTraffic(sc *sidecar, rate float64) {
-	var next func()
-	next = func() {
+	var beginNext func()
+	beginNext = func() {
 		multiple := s.rateMultiple()
 		if multiple > 0 {
 			s.beginOperation(sc)
 		}
-		s.After(time.Duration(sc.rng.ExpFloat64()/rate/max(multiple, minRateMultiple)*float64(time.Second)), next)
+		s.After(time.Duration(sc.rng.ExpFloat64()/rate/max(multiple, minRateMultiple)*float64(time.Second)), beginNext)
 	}
-	s.After(time.Duration(sc.rng.ExpFloat64()/rate*float64(time.Second)), next)
+	s.After(time.Duration(sc.rng.ExpFloat64()/rate*float64(time.Second)), beginNext)
 }
 
 // beginOperation draws an operation's class and service time and sends its first request.
@@ -60,7 +60,7 @@
 	s.sendRequest(sc, op)
 }
 
-// sendRequest sends an operation's next request to a sidecar, which decides with its policy, by probes, or with its balancer.
+// sendRequest sends an operation's next request to a sidecar, which chooses a node by its policy, by synchronous probes or by its balancer.
 func (s *simulation) sendRequest(sc *sidecar, op *operation) {
 	s.lastID++
 	class := &s.run.Settings.Classes[op.class]
@@ -95,7 +95,7 @@
 	decide()
 }
 
-// rateMultiple is the present multiple of Run.Rate.
+// rateMultiple returns the current multiple of Run.Rate.
 func (s *simulation) rateMultiple() float64 {
 	multiple := 1.0
 	for _, step := range s.run.RateSteps {
@@ -106,7 +106,8 @@
 	return multiple
 }
 
-// requestEnded gives a client its request's final answer; the client may retry. counter is the one in s.result of that answer.
+// requestEnded gives a client its request's final answer; the client may retry. counter points to the count of that kind of answer in
+// s.result.
 func (s *simulation) requestEnded(sc *sidecar, req *request, counter *int, retryAfter time.Duration) {
 	op := req.operation
 	point := s.currentPoint()
@@ -131,14 +132,14 @@
 	}
 	op.retries++
 	op.backoff = max(s.run.Clients.InitialBackoff, 2*op.backoff)
-	wait := op.backoff
+	delay := op.backoff
 	if s.run.Clients.HonorRetryAfter {
-		wait = max(wait, retryAfter)
+		delay = max(delay, retryAfter)
 	}
-	s.After(wait, func() { s.sendRequest(sc, op) })
+	s.After(delay, func() { s.sendRequest(sc, op) })
 }
 
-// costHint is the hint that the balancer gets with a request; 0: none.
+// costHint returns the cost hint that the balancer gets with a request; 0 means none.
 func (s *simulation) costHint(req *request) time.Duration {
 	if s.run.CostHints {
 		return req.serviceTime
