--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,4 +1,7 @@
-// Package simwire translates between the simulator's wire and package balancer. It makes no decisions.
+// Package simwire translates between the simulator's protocol of JSON lines and package balancer. It makes no decisions.
+//
+// Each line from the simulator is a batch of events for numbered instances of the balancer, and each reply line holds the
+// resulting actions.
 package simwire
 
 import (
@@ -12,22 +15,23 @@
 	"orchiddrift/internal/settings"
 )
 
-// timerID marks the one timer that an instance keeps.
+// timerID identifies the only timer that an instance has.
 const timerID = "w"
 
+// batch is one line from the simulator: events that happen at the same time.
 type batch struct {
 	TimeMs float64           `json:"TsMs"`
 	Events []json.RawMessage `json:"in"`
 }
 
-// event holds the fields of every verb that is read here.
+// event is one event of any verb that the adapter knows. Each verb uses some of the fields.
 type event struct {
 	Verb       string          `json:"verb"`
 	Instance   int             `json:"I"`
 	Seed       json.Number     `json:"Prng"`
 	Settings   json.RawMessage `json:"Env"`
 	List       int             `json:"Table"`
-	Endpoints  []entry         `json:"MembersList"`
+	Endpoints  []endpointEntry `json:"MembersList"`
 	Scope      string          `json:"Scope"`
 	ID         string          `json:"Id"`
 	Class      string          `json:"Type"`
@@ -44,7 +48,8 @@
 	Message    string          `json:"Contents"`
 }
 
-type entry struct {
+// endpointEntry is an entry of an endpoint list.
+type endpointEntry struct {
 	Zone        string  `json:"RackZone"`
 	Cell        int     `json:"Cell"`
 	State       string  `json:"StageState"`
@@ -53,7 +58,7 @@
 	StartedAtMs float64 `json:"CameUpMs"`
 }
 
-// action is any action on the wire.
+// action is one action of any verb in a reply. Each verb uses some of the fields.
 type action struct {
 	Verb         string  `json:"verb"`
 	Instance     int     `json:"I"`
@@ -68,42 +73,43 @@
 	Text         string  `json:"ReasonText,omitempty"`
 }
 
-// hintValid is the bit of Bits that says CostHintMs may be used.
+// hintValid is the bit of event.Flags that marks CostHintMs as valid.
 const hintValid = 1
 
-// host is the table of instances in this process, and the numbered lists they share as messages.
-type host struct {
+// adapter holds the balancer instances and the endpoint lists, both by the numbers that the simulator gives them.
+type adapter struct {
 	instances map[int]*balancer.Balancer
-	tables    map[int][]balancer.Endpoint
-	acts      []balancer.Action
+	lists     map[int][]balancer.Endpoint
+	actions   []balancer.Action
 }
 
-// Serve answers batches from in on out until in ends. Its error names the line that could not be handled.
+// Serve reads batches from in and writes a reply to each of them to out, until in ends. Its error names the line that could
+// not be handled.
 func Serve(in io.Reader, out io.Writer) error {
-	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	h := &host{instances: map[int]*balancer.Balancer{}, tables: map[int][]balancer.Endpoint{}}
+	reader, writer := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
+	a := &adapter{instances: map[int]*balancer.Balancer{}, lists: map[int][]balancer.Endpoint{}}
 	for line := 1; ; line++ {
-		text, err := readLine(r)
+		text, err := readLine(reader)
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return fmt.Errorf("line %d: %w", line, err)
 		}
-		reply, err := h.batch(text)
+		reply, err := a.batch(text)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", line, err)
 		}
-		if err := json.NewEncoder(w).Encode(map[string][]action{"outbox": reply}); err != nil {
+		if err := json.NewEncoder(writer).Encode(map[string][]action{"outbox": reply}); err != nil {
 			return fmt.Errorf("line %d: writing the reply: %w", line, err)
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return fmt.Errorf("line %d: writing the reply: %w", line, err)
 		}
 	}
 }
 
-// readLine returns the next line; io.EOF only where nothing is left.
+// readLine returns the next line, and io.EOF only if no bytes are left: the last line may lack its line end.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	text, err := r.ReadBytes('\n')
 	if err == io.EOF && len(text) > 0 {
@@ -112,10 +118,11 @@
 	return text, err
 }
 
-func (h *host) batch(text []byte) ([]action, error) {
+// batch applies the events of one line in order and returns the actions.
+func (a *adapter) batch(text []byte) ([]action, error) {
 	var b batch
 	if err := json.Unmarshal(text, &b); err != nil {
-		return nil, fmt.Errorf("not a batch: %w", err)
+		return nil, fmt.Errorf("not a JSON batch of events: %w", err)
 	}
 	reply := []action{}
 	now := duration(b.TimeMs)
@@ -125,64 +132,66 @@
 			return nil, fmt.Errorf("event %d: %w", n, err)
 		}
 		var err error
-		if reply, err = h.event(now, &e, reply); err != nil {
+		if reply, err = a.event(now, &e, reply); err != nil {
 			return nil, fmt.Errorf("event %d (%s): %w", n, e.Verb, err)
 		}
 	}
 	return reply, nil
 }
 
-func (h *host) event(now time.Duration, e *event, reply []action) ([]action, error) {
+// event applies one event and appends the resulting actions to reply.
+func (a *adapter) event(now time.Duration, e *event, reply []action) ([]action, error) {
 	switch e.Verb {
 	case "Inventory":
-		h.tables[e.List] = members(e.Endpoints)
+		a.lists[e.List] = decodeEndpoints(e.Endpoints)
 		return reply, nil
 	case "PowerOn":
 		if len(e.Settings) == 0 {
-			return nil, fmt.Errorf("no Env")
+			return nil, fmt.Errorf("the settings (Env) are missing")
 		}
-		set, err := settings.Decode(e.Settings)
+		decoded, err := settings.Decode(e.Settings)
 		if err != nil {
 			return nil, err
 		}
-		b, err := balancer.New(set.Settings, seed(e.Seed))
+		instance, err := balancer.New(decoded.Settings, seed(e.Seed))
 		if err != nil {
 			return nil, err
 		}
-		h.instances[e.Instance] = b
+		a.instances[e.Instance] = instance
 		return reply, nil
 	}
-	translated := h.translate(e)
+	translated := a.translate(e)
 	if translated == nil && e.Verb != "Teardown" {
-		return reply, nil // a verb that this adapter does not know
+		return reply, nil // unknown verbs are ignored
 	}
-	b := h.instances[e.Instance]
-	if b == nil {
+	instance := a.instances[e.Instance]
+	if instance == nil {
 		return nil, fmt.Errorf("instance %d was never started", e.Instance)
 	}
 	if e.Verb == "Teardown" {
-		delete(h.instances, e.Instance)
+		delete(a.instances, e.Instance)
 		return reply, nil
 	}
-	return h.decide(b, now, e.Instance, translated, reply), nil
+	return a.decide(instance, now, e.Instance, translated, reply), nil
 }
 
-// decide runs one decision; a panic in it becomes a BailOut with its text.
-func (h *host) decide(b *balancer.Balancer, now time.Duration, inst int, e balancer.Event, reply []action) (out []action) {
+// decide has a balancer handle one event and appends the resulting actions to reply. A panic becomes a BailOut action with
+// the panic's text.
+func (a *adapter) decide(b *balancer.Balancer, now time.Duration, instance int, e balancer.Event, reply []action) (out []action) {
 	defer func() {
 		if p := recover(); p != nil {
-			out = append(reply, action{Verb: "BailOut", Instance: inst, Text: fmt.Sprint(p)})
+			out = append(reply, action{Verb: "BailOut", Instance: instance, Text: fmt.Sprint(p)})
 		}
 	}()
-	h.acts = b.Handle(now, e, h.acts[:0])
-	for i := range h.acts {
-		reply = append(reply, encode(inst, &h.acts[i]))
+	a.actions = b.Handle(now, e, a.actions[:0])
+	for i := range a.actions {
+		reply = append(reply, encodeAction(instance, &a.actions[i]))
 	}
 	return reply
 }
 
-// translate gives nil for verbs that it does not know.
-func (h *host) translate(e *event) balancer.Event {
+// translate converts an event for the balancer. It returns nil for unknown verbs and unknown kinds of list updates.
+func (a *adapter) translate(e *event) balancer.Event {
 	switch e.Verb {
 	case "Topology":
 		kinds := map[string]balancer.UpdateKind{"INCREMENTAL": balancer.IncrementalUpdate, "FULL": balancer.FullUpdate,
@@ -194,7 +203,7 @@
 		if kind == balancer.UpdateFailed {
 			return balancer.EndpointUpdate{Kind: kind}
 		}
-		return balancer.EndpointUpdate{Kind: kind, Endpoints: h.tables[e.List]}
+		return balancer.EndpointUpdate{Kind: kind, Endpoints: a.lists[e.List]}
 	case "Order":
 		r := balancer.Request{ID: e.ID, Class: e.Class, Deadline: duration(e.DeadlineMs)}
 		r.Tenant, _ = e.Tenant.(string)
@@ -219,28 +228,30 @@
 	return nil
 }
 
-func encode(inst int, a *balancer.Action) action {
+// encodeAction converts an action of the balancer for the simulator.
+func encodeAction(instance int, a *balancer.Action) action {
 	switch a.Kind {
 	case balancer.Send:
-		return action{Verb: "Try", Instance: inst, ID: a.ID, Upstream: a.Upstream, TimeoutMs: millis(a.Timeout)}
+		return action{Verb: "Try", Instance: instance, ID: a.ID, Upstream: a.Upstream, TimeoutMs: millis(a.Timeout)}
 	case balancer.Cancel:
 		hop := a.Attempt
-		return action{Verb: "Retract", Instance: inst, ID: a.ID, Attempt: &hop}
+		return action{Verb: "Retract", Instance: instance, ID: a.ID, Attempt: &hop}
 	case balancer.Reject:
-		return action{Verb: "Refuse", Instance: inst, ID: a.ID, RetryAfterMs: millis(a.RetryAfter)}
+		return action{Verb: "Refuse", Instance: instance, ID: a.ID, RetryAfterMs: millis(a.RetryAfter)}
 	case balancer.Fail:
-		return action{Verb: "Error", Instance: inst, ID: a.ID}
+		return action{Verb: "Error", Instance: instance, ID: a.ID}
 	case balancer.SetTimer:
-		return action{Verb: "Defer", Instance: inst, FireAtMs: millis(a.FireAt), TimerID: timerID}
+		return action{Verb: "Defer", Instance: instance, FireAtMs: millis(a.FireAt), TimerID: timerID}
 	case balancer.Subscribe:
-		return action{Verb: "Watch", Instance: inst, Enable: true}
+		return action{Verb: "Watch", Instance: instance, Enable: true}
 	case balancer.Log:
-		return action{Verb: "Emit", Instance: inst, Text: a.Text}
+		return action{Verb: "Emit", Instance: instance, Text: a.Text}
 	}
 	panic(fmt.Sprintf("no wire form for action kind %d", a.Kind))
 }
 
-// result maps completion codes; one that is unknown may have run, so it counts as an error answer.
+// result converts the simulator's completion code. An unknown code counts as a server error, because the attempt may have been
+// executed.
 func result(code int) balancer.Result {
 	switch code {
 	case 200:
@@ -261,13 +272,14 @@
 	return balancer.ServerError
 }
 
-func members(entries []entry) []balancer.Endpoint {
+// decodeEndpoints converts the entries of an endpoint list.
+func decodeEndpoints(entries []endpointEntry) []balancer.Endpoint {
 	states := map[string]balancer.EndpointState{"active": balancer.Active, "leaving": balancer.Draining}
 	list := make([]balancer.Endpoint, len(entries))
 	for i, e := range entries {
 		state, known := states[e.State]
 		if !known {
-			state = balancer.Removed // gone, or in a state that promises nothing
+			state = balancer.Removed // not in the list any more, or in an unknown state
 		}
 		list[i] = balancer.Endpoint{Name: e.Upstream, Zone: e.Zone, Cell: e.Cell, MachineType: e.MachineType,
 			State: state, StartedAt: duration(e.StartedAtMs)}
@@ -275,7 +287,7 @@
 	return list
 }
 
-// seed folds whatever integer the wire brings, signed or not, into the module's seed.
+// seed converts any integer of 64 bits, signed or unsigned, to the balancer's seed.
 func seed(n json.Number) uint64 {
 	var u uint64
 	if _, err := fmt.Sscan(n.String(), &u); err == nil {
@@ -285,9 +297,10 @@
 	return uint64(i)
 }
 
-// The simulator counts microseconds, as the settings do.
+// duration converts the simulator's milliseconds, with the precision of microseconds that the settings have.
 func duration(ms float64) time.Duration { return settings.Milliseconds(ms) }
 
+// millis converts a duration to the simulator's milliseconds, with a precision of microseconds.
 func millis(d time.Duration) float64 {
 	return float64(d/time.Microsecond) / 1000
 }
