--- a/grpcbalancer/admission.go
+++ b/grpcbalancer/admission.go
@@ -27,8 +27,8 @@
 	})
 }
 
-// execute waits until the call is admitted, where calls queue, and has the engine answer it. It blocks until the final answer; a stream
-// keeps its permit until it has been opened.
+// execute waits for admission, if admission control is configured, and then has the engine carry out the call. It blocks until the final
+// answer. A stream keeps its permit only until it is open.
 func (c *call) execute(ctx context.Context, transport engine.Transport) engine.Answer {
 	if c.plugin.admission == nil {
 		return c.plugin.engine.Do(ctx, c.Call, transport)
@@ -42,14 +42,15 @@
 	return answer
 }
 
-// awaitAdmission blocks until the call is admitted. rejected is the final answer of a call that is not: nothing of it was sent.
+// awaitAdmission blocks until the call is admitted or rejected, or its caller leaves. rejected is nil if the call is admitted; otherwise it
+// is the final answer, and no attempt was sent.
 func (c *call) awaitAdmission(ctx context.Context) (permit controller.Permit, rejected *engine.Answer) {
 	queue := c.plugin.admission
 	md, _ := metadata.FromOutgoingContext(ctx)
 	header := func(name string) string { return firstValue(md, strings.ToLower(name)) }
 	waitCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	if c.Interest != nil { // the callers that wait for an idempotency key's answer
+	if c.Interest != nil { // done once no caller waits for the answer of the idempotency key
 		defer context.AfterFunc(c.Interest, cancel)()
 	}
 	retryMarker := header(queue.RetryHeader())
--- a/grpcbalancer/attempt.go
+++ b/grpcbalancer/attempt.go
@@ -12,28 +12,29 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// attempt is one attempt that the engine decided on. It is the context of the attempt's RPC: the picker finds it there by its Value. The
-// goroutine that runs the RPC creates and finishes it; in between, Pick, DoneInfo and the connect timer write its evidence.
+// attempt is one attempt of a call, to the upstream that the engine decided on. It is also the context of the attempt's RPC, in which the
+// picker finds it with attemptFromContext. The goroutine that runs the RPC creates and finishes the attempt; in between, the picker,
+// streamDone and the connect timer record its evidence.
 type attempt struct {
-	context.Context // the engine's, of the attempt
+	context.Context // the engine's context of the attempt
 
 	plugin   *Plugin
 	upstream string
 	instance endpoints.Instance
-	sendBy   time.Time               // no pick succeeds from then on; zero: no limit
-	caller   context.Context         // no pick succeeds once it has ended
+	sendBy   time.Time               // picks fail from this time on; zero: no limit
+	caller   context.Context         // the callers' context; picks fail once it has ended
 	cancel   context.CancelCauseFunc // ends the RPC
 
 	mu           sync.Mutex
 	evidence     evidence
-	closed       bool        // no pick succeeds any more
-	picked       bool        // a connection was handed out, and grpc-go has not reported that it could not be used
+	closed       bool        // picks fail from now on
+	picked       bool        // a pick returned a connection, and grpc-go has not reported it as unusable
 	connectTimer *time.Timer // bounds the wait for a connection; started by the first pick that found none
 }
 
 type attemptContextKey struct{}
 
-// Value implements context.Context: it returns the attempt itself for its key, and the values of the engine's context otherwise.
+// Value implements context.Context. It returns the attempt itself for attemptContextKey, and the engine's context's value for other keys.
 func (a *attempt) Value(key any) any {
 	if key == (attemptContextKey{}) {
 		return a
@@ -41,13 +42,13 @@
 	return a.Context.Value(key)
 }
 
-// attemptFromContext returns the attempt of an RPC's context, nil if the RPC did not come through the Plugin's interceptors.
+// attemptFromContext returns the attempt of an RPC's context, or nil if the RPC did not come through the Plugin's interceptors.
 func attemptFromContext(ctx context.Context) *attempt {
 	a, _ := ctx.Value(attemptContextKey{}).(*attempt)
 	return a
 }
 
-// Errors of picks. As status errors they make grpc-go end the RPC at once.
+// Errors that end an RPC. They are status errors, because grpc-go may repeat a pick that fails with another error.
 var (
 	errNotDecided         = status.Error(codes.FailedPrecondition, "orchidgrpc: the call did not come through the plug-in's interceptor")
 	errStreamNotProcessed = status.Error(codes.Unavailable, "orchidgrpc: the upstream did not process the stream")
@@ -55,10 +56,11 @@
 	errConnectFailed      = status.Error(codes.Unavailable, "orchidgrpc: no connection to the upstream")
 )
 
-// checkPick returns the error that ends the RPC where the attempt may not be sent. Pick calls it before each stream that grpc-go opens.
+// checkPick returns an error that ends the RPC if the attempt may not be sent. Pick calls it before each stream that grpc-go opens.
 //
-// Once the request's headers were handed to a connection, another pick is grpc-go's transparent retry. It proves that the first stream was
-// not processed, but would be an attempt that the engine knows nothing of: it is denied, and the engine decides on a retry.
+// A pick after the request's headers were handed to a connection is a transparent retry by grpc-go. It proves that the upstream did not
+// process the first stream. checkPick denies it, because the engine would not know of this attempt, and the engine decides on a retry
+// instead.
 func (a *attempt) checkPick() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -70,14 +72,14 @@
 		return errConnectFailed
 	case !a.plugin.registry.Ready(a.upstream, a.instance), // draining or removed since the decision
 		!a.sendBy.IsZero() && !time.Now().Before(a.sendBy), // a retry past its deduplication window
-		a.caller.Err() != nil:                              // nobody waits for the answer
+		a.caller.Err() != nil:                              // no caller waits for the answer
 		a.closed, a.evidence.notSent = true, true
 		return errUpstreamRemoved
 	}
 	return nil
 }
 
-// claimConnection records that a pick hands out a connection. It returns false if the attempt was closed since checkPick.
+// claimConnection records that a pick returns a connection. It returns false if the attempt has been closed since checkPick.
 func (a *attempt) claimConnection() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -93,7 +95,7 @@
 	return true
 }
 
-// connectFailed closes the attempt as its upstream cannot be reached, and returns the error that ends the RPC.
+// connectFailed closes the attempt because its upstream cannot be reached, and returns the error that ends the RPC.
 func (a *attempt) connectFailed() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -103,7 +105,8 @@
 	return errConnectFailed
 }
 
-// startConnectTimer bounds the wait for a connection by the Plugin's connect timeout, counted from the first pick that found none.
+// startConnectTimer bounds the wait for a connection by the Plugin's connect timeout. The timer starts at the first pick that finds no
+// connection; later calls do nothing.
 func (a *attempt) startConnectTimer() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -112,7 +115,7 @@
 	}
 }
 
-// connectTimedOut ends the RPC if it has no connection. It runs in the timer's goroutine.
+// connectTimedOut ends the RPC if no pick has returned a connection. It runs in the timer's goroutine.
 func (a *attempt) connectTimedOut() {
 	a.mu.Lock()
 	waiting := !a.picked && !a.closed
@@ -125,8 +128,8 @@
 	}
 }
 
-// streamDone is the PickResult.Done of the attempt's picks. grpc-go calls it when a stream has ended, before the RPC returns and before
-// another pick. BytesSent says that the stream got an id on its connection: its headers were handed over.
+// streamDone is the PickResult.Done callback of the attempt's picks. grpc-go calls it when a stream has ended, before the RPC returns and
+// before another pick. info.BytesSent is true if the stream got an id on its connection, that is, if its headers were handed over.
 func (a *attempt) streamDone(info balancer.DoneInfo) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/grpcbalancer/balancer.go
+++ b/grpcbalancer/balancer.go
@@ -10,8 +10,8 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// policyName is the load balancing policy that a ClientConn of a Plugin uses. The policy makes no decision: it keeps a SubConn for each
-// upstream in the list, and its picker returns the one that the engine decided on.
+// policyName is the name of the load balancing policy that a Plugin's ClientConns use. The policy makes no decision: it keeps a SubConn for
+// each upstream in the endpoint list, and its picker returns the SubConn to the upstream that the engine decided on.
 const policyName = "orchidgrpc_decided"
 
 func init() { balancer.Register(balancerBuilder{}) }
@@ -27,10 +27,10 @@
 }
 
 // subConnBalancer implements balancer.Balancer: it keeps the SubConns of one ClientConn, one for each upstream. grpc-go calls the methods
-// of balancer.Balancer one at a time. Pick, connect, removeSubConn and replaceSubConnsTo are called from any goroutine.
+// of balancer.Balancer one at a time. The picker's Pick, connect, removeSubConn and replaceSubConnsTo are called from any goroutine.
 type subConnBalancer struct {
 	cc     balancer.ClientConn
-	plugin *Plugin // nil until the resolver's first state
+	plugin *Plugin // nil until the resolver reports its first state
 
 	mu       sync.RWMutex
 	subConns map[string]*subConn // by the upstream's name
@@ -44,7 +44,7 @@
 	state    connectivity.State
 }
 
-// UpdateClientConnState implements balancer.Balancer: it makes the SubConns those of the resolver's list.
+// UpdateClientConnState implements balancer.Balancer: it creates and shuts down SubConns so that they match the resolver's list.
 func (b *subConnBalancer) UpdateClientConnState(s balancer.ClientConnState) error {
 	if plugin, ok := s.ResolverState.Attributes.Value(pluginKey{}).(*Plugin); ok && b.plugin == nil {
 		b.plugin = plugin
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// ensureSubConn makes a SubConn to an instance unless there is one. The SubConn connects with its first pick, or when it is prewarmed.
+// ensureSubConn creates a SubConn to an instance unless there is one already. The SubConn connects at its first pick, or when it is
+// prewarmed.
 func (b *subConnBalancer) ensureSubConn(name string, instance endpoints.Instance, address resolver.Address) {
 	b.mu.RLock()
 	old := b.subConns[name]
@@ -82,17 +83,17 @@
 	b.replaceSubConn(name, instance, address, old)
 }
 
-// replaceSubConn replaces old, which is nil where the upstream has no SubConn, by a new SubConn. It does nothing if the upstream's SubConn
-// is no longer old. Open streams of old finish.
+// replaceSubConn replaces old, which is nil if the upstream has no SubConn, with a new SubConn. It does nothing if old is no longer the
+// upstream's SubConn. Open streams on old run to their end.
 func (b *subConnBalancer) replaceSubConn(name string, instance endpoints.Instance, address resolver.Address, old *subConn) {
 	s := &subConn{instance: instance, address: address, state: connectivity.Idle}
-	//lint:ignore SA1019 each has one address; only several are deprecated
+	//lint:ignore SA1019 only a SubConn with several addresses is deprecated, and this one has a single address
 	conn, err := b.cc.NewSubConn([]resolver.Address{address}, balancer.NewSubConnOptions{
 		StateListener: func(state balancer.SubConnState) {
 			b.mu.Lock()
 			s.state = state.ConnectivityState
 			b.mu.Unlock()
-			b.updatePicker() // grpc-go repeats the picks that wait
+			b.updatePicker() // makes grpc-go repeat the waiting picks
 		},
 	})
 	if err != nil { // the ClientConn is closing
@@ -100,7 +101,7 @@
 	}
 	s.conn = conn
 	b.mu.Lock()
-	outdated := b.subConns[name] != old // removeSubConn came first
+	outdated := b.subConns[name] != old // another goroutine has removed or replaced old
 	if !outdated {
 		b.subConns[name] = s
 	}
@@ -114,7 +115,7 @@
 	}
 }
 
-// replaceSubConnsTo replaces the SubConns to the given instances: open streams finish, new ones use a new connection.
+// replaceSubConnsTo replaces the SubConns to the given instances: open streams run to their end, and new streams use a new connection.
 func (b *subConnBalancer) replaceSubConnsTo(instances map[endpoints.Instance]bool) {
 	outdated := map[string]*subConn{}
 	b.mu.RLock()
@@ -132,8 +133,9 @@
 	}
 }
 
-// removeSubConn shuts down the SubConn to an upstream that is draining or removed, or whose incarnation is no longer current. Open streams
-// finish, and no new one is opened, not even one that waits for the upstream's stream limit.
+// removeSubConn shuts down an upstream's SubConn if the upstream is draining or removed (ready is false), or if the SubConn leads to
+// another incarnation than current. Open streams run to their end. No new stream is opened, not even one that already waits for the
+// upstream's stream limit.
 func (b *subConnBalancer) removeSubConn(name string, current endpoints.Instance, ready bool) {
 	b.mu.Lock()
 	s := b.subConns[name]
@@ -145,17 +147,17 @@
 	b.mu.Unlock()
 	if s != nil {
 		s.conn.Shutdown()
-		b.updatePicker() // ends the picks that wait for it
+		b.updatePicker() // the picks that wait for this SubConn are repeated, and fail
 	}
 }
 
-// connect makes the SubConn to an upstream connect, if it is idle. It does not block.
+// connect starts to connect the SubConn to an upstream, if it is idle. It does not block.
 func (b *subConnBalancer) connect(name string) {
 	b.mu.Lock()
 	s := b.subConns[name]
 	idle := s != nil && s.state == connectivity.Idle
 	if idle {
-		s.state = connectivity.Connecting // until the StateListener reports: prewarming must not take it for a failed connection
+		s.state = connectivity.Connecting // until the StateListener reports a state; prewarming takes idle for a failed connection
 	}
 	b.mu.Unlock()
 	if idle {
@@ -163,8 +165,8 @@
 	}
 }
 
-// updatePicker makes grpc-go repeat the picks that wait. The state is always READY: each attempt finds out whether its upstream can be
-// reached, and reports that to the engine.
+// updatePicker makes grpc-go repeat the waiting picks. It always reports READY: each attempt finds out whether its upstream can be reached,
+// and reports that to the engine.
 func (b *subConnBalancer) updatePicker() {
 	b.cc.UpdateState(balancer.State{ConnectivityState: connectivity.Ready, Picker: picker{b}})
 }
--- a/grpcbalancer/call.go
+++ b/grpcbalancer/call.go
@@ -19,17 +19,18 @@
 const (
 	microsPerSecond = 1e6
 
-	requestIDWords      = 1 // of 64 random bits, in a generated request id
-	idempotencyKeyWords = 2 // of 64 random bits, in a generated idempotency key
+	requestIDWords      = 1 // 64-bit random words in a generated request id
+	idempotencyKeyWords = 2 // 64-bit random words in a generated idempotency key
 
-	// deadlineTicks is how many ticks of the engine before its deadline a call counts as past it: the engine ends calls by its ticks.
+	// deadlineTicks is the tolerance for a call's deadline, in ticks of the engine: a call that ends within so many ticks before its
+	// deadline counts as past it, because the engine ends calls on its ticks.
 	deadlineTicks = 4
 )
 
-// errUnknownAnswer is for an answer whose value has an unexpected type, which no transport of this package returns.
+// errUnknownAnswer is returned for an answer whose value has an unexpected type. No transport of this package returns such an answer.
 var errUnknownAnswer = status.Error(codes.Internal, "orchidgrpc: an answer of no known form")
 
-// call is one call of the application's, unary or a stream. Its attempts, which may run at the same time, share it.
+// call is one unary or streaming call of the application. Its attempts share it and may run at the same time.
 type call struct {
 	plugin *Plugin
 	method string
@@ -39,14 +40,14 @@
 	*lastStatus
 }
 
-// lastStatus is the status of the attempt that was the last to end without an answer. It is safe for concurrent use.
+// lastStatus holds the status of the attempt that was the last to end without an answer; mu guards it.
 type lastStatus struct {
 	mu   sync.Mutex
 	last *status.Status
 }
 
-// newCall reads the engine's view of a call from the caller's context. The returned context carries a request id and, for a class that
-// needs one, an idempotency key, generated where the caller has set none.
+// newCall returns the call that the caller's context and outgoing metadata describe. The returned context carries a request id and, if the
+// class needs one, an idempotency key; newCall generates those that the caller has not set.
 func (p *Plugin) newCall(ctx context.Context, method string) (context.Context, *call) {
 	p.callCount.Add(1)
 	class := p.methods.class(method)
@@ -62,7 +63,7 @@
 			Deadline: p.engine.Clock().Now() + class.Deadline,
 		},
 	}
-	if p.admission != nil { // before a key is generated, which would differ in a client's retry
+	if p.admission != nil { // before a key is generated: a client's retry would get another one
 		c.fingerprint = xxhash.Sum64String(method + "\x00" + firstValue(md, IdempotencyKey))
 	}
 	if c.ID == "" {
@@ -79,7 +80,7 @@
 	return ctx, c
 }
 
-// costHint returns the expected work that the caller states in CostKey; 0 where it is absent, malformed or out of range.
+// costHint returns the expected work that the caller states in CostKey; 0 if it is absent, malformed or out of range.
 func costHint(md metadata.MD) time.Duration {
 	micros, err := strconv.ParseFloat(firstValue(md, CostKey), 64)
 	if err == nil && micros > 0 && micros < maxCostHint.Seconds()*microsPerSecond {
@@ -88,7 +89,7 @@
 	return 0
 }
 
-// firstValue returns the first value of a metadata key in lower case, "" if there is none.
+// firstValue returns the first value of key, which must be in lower case, or "" if md has no such key.
 func firstValue(md metadata.MD, key string) string {
 	if values := md[key]; len(values) > 0 {
 		return values[0]
@@ -96,7 +97,8 @@
 	return ""
 }
 
-// newAttempt returns the context of an attempt's RPC; nil if the upstream is no longer in the list and nothing is to be sent.
+// newAttempt returns the attempt that the engine decided on, with ctx as the engine's context. It returns nil if the upstream is no longer
+// in the endpoint list and nothing is to be sent.
 func (c *call) newAttempt(ctx context.Context, a engine.Attempt) *attempt {
 	instance, ok := c.plugin.registry.Instance(a.Upstream)
 	if !ok {
@@ -113,7 +115,8 @@
 	}
 }
 
-// finishAttempt classifies an attempt whose RPC has ended with err. A status that is the application's answer counts as served.
+// finishAttempt finishes an attempt whose RPC has ended with err, and returns its result for the engine. A status that is the application's
+// answer counts as served.
 func (c *call) finishAttempt(a *attempt, err error) balancer.Result {
 	if err == io.EOF {
 		err = nil
@@ -127,7 +130,7 @@
 	return result
 }
 
-// finalError returns the caller's error for an answer that is not a served one.
+// finalError returns the error that the caller gets for an answer of another kind than engine.Served.
 func (c *call) finalError(ctx context.Context, answer engine.Answer) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/grpcbalancer/call_options.go
+++ b/grpcbalancer/call_options.go
@@ -6,14 +6,14 @@
 	"google.golang.org/grpc/peer"
 )
 
-// callOutputs holds what grpc-go writes through call options. Attempts of one call may run at the same time, so each writes to outputs of
-// its own, and those of the attempt that answers the call are copied to the caller's.
+// callOutputs holds the values that grpc-go writes through call options. Attempts of one call may run at the same time, so each attempt has
+// callOutputs of its own, and those of the attempt that answers the call are copied to the caller's variables.
 type callOutputs struct {
 	header, trailer metadata.MD
 	peer            peer.Peer
 }
 
-// splitOptions separates the call options through which grpc-go writes to the caller from the others.
+// splitOptions separates the output options, by which grpc-go writes to the caller's variables or calls the caller back, from the others.
 func splitOptions(options []grpc.CallOption) (plain, outputOptions []grpc.CallOption) {
 	for i, option := range options {
 		switch option.(type) {
@@ -34,7 +34,8 @@
 	return plain, outputOptions
 }
 
-// options returns the call options of an attempt: the plain ones, and those that write to out in place of the caller's variables.
+// options returns the call options of an attempt: the plain ones, and output options that write to out in place of the caller's variables.
+// OnFinish functions are left out, since writeTo calls them.
 func (out *callOutputs) options(plain, outputOptions []grpc.CallOption) []grpc.CallOption {
 	if len(outputOptions) == 0 {
 		return plain
--- a/grpcbalancer/clientconns.go
+++ b/grpcbalancer/clientconns.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// removeSubConns shuts down the SubConns to an upstream that is draining or removed. The registry calls it at once: the way through the
-// resolvers takes longer, and picks in the meantime could still use the SubConns.
+// removeSubConns shuts down the SubConns to an upstream that is draining or removed. The registry calls it directly, because the update
+// through the resolvers takes longer, and picks could use the SubConns until then.
 func (p *Plugin) removeSubConns(name string) {
 	instance, ready := p.registry.Instance(name)
 	for _, b := range p.currentBalancers() {
@@ -28,14 +28,14 @@
 	}
 }
 
-// currentBalancers returns the balancers of the open ClientConns, in no order.
+// currentBalancers returns the balancers of the open ClientConns, in no particular order.
 func (p *Plugin) currentBalancers() []*subConnBalancer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Collect(maps.Keys(p.balancers))
 }
 
-// currentResolvers returns the resolvers of the open ClientConns, in no order.
+// currentResolvers returns the resolvers of the open ClientConns, in no particular order.
 func (p *Plugin) currentResolvers() []*listResolver {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/grpcbalancer/config.go
+++ b/grpcbalancer/config.go
@@ -15,9 +15,9 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// LoadOptions reads Options from a file of the daemon's form: "settings", "seed", "known" and "discovery" mean the same, "listen" and "limits"
-// are not needed, and "grpc" holds "service", "methods", "answers", "tls" and "file". Its error names the file and the first mistake;
-// "orchiddrift check FILE" lists all.
+// LoadOptions reads Options from a configuration file in the daemon's format. The keys "settings", "seed", "known" and "discovery" have the
+// same meaning as for the daemon, "listen" and "limits" are not needed, and "grpc" holds "service", "methods", "answers", "tls" and "file".
+// The error names the file and the first mistake; "orchiddrift check FILE" lists all mistakes.
 func LoadOptions(path string) (Options, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -36,14 +36,14 @@
 	return c, err
 }
 
-// parseOptions translates a configuration to Options. Where the configuration has mistakes, its error is of type config.Problems.
+// parseOptions translates a configuration to Options. If the configuration has mistakes, the error is of type config.Problems.
 func parseOptions(text []byte) (Options, *config.Config, error) {
 	c, err := config.ParsePlugin(text)
 	var problems config.Problems
 	if err != nil && !errors.As(err, &problems) {
 		return Options{}, nil, err
 	}
-	if c == nil { // check the sections that can be read all the same
+	if c == nil { // the file was rejected; the section that can still be read is checked
 		c = parseSections(text)
 	}
 	if c.GRPC == nil {
@@ -74,7 +74,7 @@
 	return &config.Config{GRPC: file.GRPC}
 }
 
-// optionsOf translates and checks the section "grpc".
+// optionsOf translates a parsed configuration to Options, and checks its section "grpc".
 func optionsOf(c *config.Config) (Options, config.Problems) {
 	o := Options{
 		Service:   c.GRPC.Service,
@@ -93,7 +93,7 @@
 	if t := c.GRPC.TLS; t != nil {
 		o.TLS = &TLS{CA: t.CA, Name: t.Name, Certificate: t.Certificate, Key: t.Key}
 		if t.CA == "" || (t.Certificate == "") != (t.Key == "") {
-			problems = append(problems, config.Problem{Key: "grpc.tls", Reason: "ca is needed, and certificate and key belong together"})
+			problems = append(problems, config.Problem{Key: "grpc.tls", Reason: "ca is required, and certificate and key must be set together"})
 		}
 	}
 	for _, name := range c.GRPC.Answers {
@@ -107,22 +107,23 @@
 	return o, problems
 }
 
-// parseApplicationCode parses the name of a status code that may count as the application's answer. problem is empty if it may.
+// parseApplicationCode parses the name of a status code that is to count as the application's answer. problem says why the code is
+// unusable, and is empty if it is usable.
 func parseApplicationCode(name string) (code codes.Code, problem string) {
 	quoted, err := json.Marshal(name)
 	if err == nil {
 		err = code.UnmarshalJSON(quoted)
 	}
 	if err != nil {
-		return 0, fmt.Sprintf("%q is no status code", name)
+		return 0, fmt.Sprintf("%q is not a gRPC status code", name)
 	}
 	if code == codes.OK || code == codes.Unavailable {
-		return 0, name + " can't be the application's answer"
+		return 0, name + " cannot count as the application's answer"
 	}
 	return code, ""
 }
 
-// readyEndpoints returns the ready endpoints of a cached list, in the order of their names.
+// readyEndpoints returns the ready endpoints of a cached list, sorted by name.
 func readyEndpoints(list []endpoints.Endpoint) []Endpoint {
 	var ready []Endpoint
 	for _, e := range list {
--- a/grpcbalancer/credentials.go
+++ b/grpcbalancer/credentials.go
@@ -17,22 +17,22 @@
 	"orchiddrift/internal/tlscredentials"
 )
 
-// TLS configures the encryption of connections to upstreams, with TLS 1.3. The files are watched: replaced files are loaded without
-// breaking open streams, and files that cannot be used leave the credentials as they are.
+// TLS configures TLS 1.3 on connections to upstreams. The files are watched: replaced files are loaded without breaking open streams, and
+// the previous credentials stay in use while the files are unusable.
 type TLS struct {
-	CA          string // PEM file of the authorities that upstreams' certificates have to be signed by
-	Name        string // DNS name or URI required in a certificate where its Endpoint has no Identity; absent: the address
-	Certificate string // PEM file of the certificate shown to upstreams; absent: none
+	CA          string // PEM file of the certificate authorities that must have signed the upstreams' certificates
+	Name        string // DNS name or URI that the certificate of an Endpoint without Identity must have; empty: the address
+	Certificate string // PEM file of the client certificate presented to upstreams; empty: none
 	Key         string // PEM file of its private key
 }
 
 const (
-	filePollInterval = 250 * time.Millisecond // between two checks of the files
-	expiryWarning    = 7 * 24 * time.Hour     // before a certificate expires, a warning is logged
+	filePollInterval = 250 * time.Millisecond // time between two checks of the files for changes
+	expiryWarning    = 7 * 24 * time.Hour     // a warning is logged this long before a certificate expires
 )
 
-// transportCredentials implements credentials.TransportCredentials for all ClientConns of a Plugin and tracks the open connections made
-// with them, to find those that a replaced authority no longer covers. It is safe for concurrent use.
+// transportCredentials implements credentials.TransportCredentials for all ClientConns of a Plugin. It tracks their open connections, to
+// find those whose certificates are no longer trusted after the authorities were replaced. It is safe for concurrent use.
 type transportCredentials struct {
 	store  *tlscredentials.Store
 	client *tlscredentials.Client
@@ -48,13 +48,13 @@
 	instance    endpoints.Instance
 }
 
-// newTransportCredentials loads the files; it fails if one of them is missing or cannot be used.
+// newTransportCredentials loads the files. It fails if one of them is missing or unusable.
 func newTransportCredentials(t TLS, log *slog.Logger) (*transportCredentials, error) {
 	if t.CA == "" {
-		return nil, errors.New("TLS: there is no CA")
+		return nil, errors.New("TLS: CA is required")
 	}
 	if (t.Certificate == "") != (t.Key == "") {
-		return nil, errors.New("TLS: Certificate and Key belong together")
+		return nil, errors.New("TLS: Certificate and Key must be set together")
 	}
 	files := tlscredentials.Files{Certificate: t.Certificate, Key: t.Key, CA: t.CA}
 	store, err := tlscredentials.Open(files, expiryWarning, log)
@@ -69,8 +69,8 @@
 	}, nil
 }
 
-// watchFiles reloads the files when they change, until ctx ends. After a change it calls replace with the instances that have connections
-// which the new authorities do not cover. It runs in a goroutine of the Plugin.
+// watchFiles reloads the files when they change, until ctx ends. After a change it calls replace with the instances whose open connections
+// the new authorities do not trust. It runs in a goroutine of the Plugin.
 func (c *transportCredentials) watchFiles(ctx context.Context, replace func(map[endpoints.Instance]bool)) {
 	generation := c.store.Current().Generation
 	filewatch.Watch(ctx, filePollInterval, func() {
@@ -86,7 +86,7 @@
 	})
 }
 
-// untrustedInstances returns the instances of open connections that the current authorities do not cover.
+// untrustedInstances returns the instances of the open connections that the current authorities do not trust.
 func (c *transportCredentials) untrustedInstances() map[endpoints.Instance]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 	state := tlsConn.ConnectionState()
 	if state.NegotiatedProtocol != "h2" {
-		return nil, nil, errors.New("the upstream does not speak HTTP/2")
+		return nil, nil, errors.New("TLS handshake: the upstream did not negotiate HTTP/2")
 	}
 	conn := &trackedConn{Conn: tlsConn, credentials: c, instance: instance}
 	c.mu.Lock()
@@ -136,7 +136,7 @@
 
 // ServerHandshake implements credentials.TransportCredentials. It always fails: the credentials are for clients.
 func (c *transportCredentials) ServerHandshake(net.Conn) (net.Conn, credentials.AuthInfo, error) {
-	return nil, nil, errors.New("orchidgrpc: these credentials are for clients")
+	return nil, nil, errors.New("orchidgrpc: server handshake: these credentials are for clients only")
 }
 
 // Info implements credentials.TransportCredentials.
@@ -145,13 +145,14 @@
 	return credentials.ProtocolInfo{SecurityProtocol: "tls", SecurityVersion: "1.3"}
 }
 
-// Clone implements credentials.TransportCredentials. ClientConns share the credentials: they hold no state of a ClientConn.
+// Clone implements credentials.TransportCredentials. It returns c itself: the credentials hold no state of a single ClientConn.
 func (c *transportCredentials) Clone() credentials.TransportCredentials { return c }
 
-// OverrideServerName implements credentials.TransportCredentials. It changes nothing: the endpoint list says which names count.
+// OverrideServerName implements credentials.TransportCredentials. It does nothing: TLS and the endpoint list determine the names that
+// certificates must have.
 func (c *transportCredentials) OverrideServerName(string) error { return nil }
 
-// replaceSubConns makes every ClientConn connect anew to the given instances, whose connections are no longer trusted.
+// replaceSubConns makes every ClientConn open new connections to the given instances, whose present connections are no longer trusted.
 func (p *Plugin) replaceSubConns(untrusted map[endpoints.Instance]bool) {
 	for _, b := range p.currentBalancers() {
 		b.replaceSubConnsTo(untrusted)
--- a/grpcbalancer/credentials_test.go
+++ b/grpcbalancer/credentials_test.go
@@ -71,10 +71,10 @@
 // After an authority is replaced, no new call uses a connection made under the old one, and open streams finish.
 func TestReplacedAuthority(t *testing.T) {
 	ca, next := base.CA(t, "one"), base.CA(t, "two")
-	var taken atomic.Int64
+	var reloads atomic.Int64
 	_, conn, trusted := newEncryptedFleet(t, ca, "", func(line string) {
 		if contains(line, "taken over") {
-			taken.Add(1)
+			reloads.Add(1)
 		}
 	}, "node.example")
 	if _, err := invoke(t.Context(), conn, search); err != nil {
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	base.Replace(t, trusted, next.PEM)
-	testutil.Eventually(t, "the new authority", func() bool { return taken.Load() > 0 })
+	testutil.Eventually(t, "the new authority", func() bool { return reloads.Load() > 0 })
 	testutil.Eventually(t, "no call goes by the old connection", func() bool {
 		_, err := invoke(t.Context(), conn, confirm)
 		return status.Code(err) == codes.Unavailable && !grpcbalancer.MayHaveRun(err)
--- a/grpcbalancer/determinism_test.go
+++ b/grpcbalancer/determinism_test.go
@@ -20,9 +20,9 @@
 	"orchiddrift/internal/fakes"
 )
 
-// playTrace makes 150 calls one after another in virtual time, by a Plugin with grpc-go and nodes over connections in memory, and returns
+// recordTrace makes 150 calls one after another in virtual time, by a Plugin with grpc-go and nodes over connections in memory, and returns
 // who answered which call when. Nodes differ in speed; one turns slow, one refuses streams, and one freezes.
-func playTrace(t *testing.T, seed uint64) string {
+func recordTrace(t *testing.T, seed uint64) string {
 	var out strings.Builder
 	synctest.Test(t, func(t *testing.T) {
 		listeners := map[string]*bufconn.Listener{}
@@ -72,7 +72,7 @@
 // Decisions depend on nothing but the seed and what happened: the same script gives the same nodes, answers and times, to the millisecond of
 // virtual time. Another seed gives others.
 func TestSameSeedSameTrace(t *testing.T) {
-	first, second, other := playTrace(t, 1), playTrace(t, 1), playTrace(t, 2)
+	first, second, other := recordTrace(t, 1), recordTrace(t, 1), recordTrace(t, 2)
 	if first != second {
 		a, b := strings.Split(first, "\n"), strings.Split(second, "\n")
 		for i := range a {
--- a/grpcbalancer/fleet_test.go
+++ b/grpcbalancer/fleet_test.go
@@ -54,8 +54,8 @@
 
 // settings returns settings with one class of each idempotency.
 func settings() balancer.Settings {
-	class := func(name string, e balancer.Idempotency) balancer.Class {
-		return balancer.Class{Name: name, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, LateValueFraction: 0.5, Idempotency: e,
+	class := func(name string, idempotency balancer.Idempotency) balancer.Class {
+		return balancer.Class{Name: name, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, LateValueFraction: 0.5, Idempotency: idempotency,
 			DedupScope: balancer.ScopeAll, DedupWindow: 6 * time.Second}
 	}
 	return balancer.Settings{Zone: "a", Classes: []balancer.Class{class("search", balancer.Idempotent),
@@ -80,10 +80,10 @@
 			o.Name = fmt.Sprint("n", i)
 		}
 		o.Ledger, o.Zone, o.Cores, o.Seed = f.ledger, "a", max(o.Cores, 64), uint64(i)
-		came := o.Answer
+		onRequest := o.Answer
 		o.Answer = func(j fakes.Job) []byte {
-			if came != nil {
-				came(j)
+			if onRequest != nil {
+				onRequest(j)
 			}
 			body, err := proto.Marshal(wrapperspb.String(o.Name))
 			if err != nil {
--- a/grpcbalancer/idempotency.go
+++ b/grpcbalancer/idempotency.go
@@ -16,11 +16,11 @@
 	"orchiddrift/internal/idempotency/executor"
 )
 
-// fingerprintBytes is the length of a call's fingerprint, which tells apart different calls that use one key.
+// fingerprintBytes is the length of a call's fingerprint, which distinguishes different calls that use the same key.
 const fingerprintBytes = 16
 
-// callerIdempotencyKey returns the key by which retries of a call are recognised: the caller's own, of a class that is idempotent with a
-// key. It is empty where there is no executor; generated keys do not count, as they differ from call to call.
+// callerIdempotencyKey returns the idempotency key by which the caller's retries of a call are recognised. It is empty if there is no
+// executor, if the method's class is not idempotent with a key, or if the caller has set none: a generated key differs from call to call.
 func (p *Plugin) callerIdempotencyKey(ctx context.Context, method string) string {
 	if p.executor == nil || p.methods.class(method).Idempotency != balancer.IdempotentWithKey {
 		return ""
@@ -29,9 +29,9 @@
 	return firstValue(md, IdempotencyKey)
 }
 
-// invokeOnce answers a call with the result of the first call of its key, and sends it if it is the first. It blocks until the result or
-// the end of ctx. The attempts run in the executor's goroutine: other callers may wait for the result when this one has left. Headers and
-// trailers are not stored, so the caller's options get none.
+// invokeOnce answers a call with the result of the first call that has its key, and sends the call if it is the first. It blocks until the
+// result is known or ctx ends. The attempts run in the executor's goroutine, because other callers may still wait for the result when this
+// one has left. Headers and trailers are not stored, so the caller's output options receive none.
 func (u *unaryCall) invokeOnce(ctx context.Context, key string) error {
 	request, ok := u.req.(proto.Message)
 	reply, replyOK := u.reply.(proto.Message)
@@ -66,8 +66,8 @@
 	return idempotency.Fingerprint(hash.Sum(nil)[:fingerprintBytes]), nil
 }
 
-// detach returns a copy of the call, with Interest and EarlierAttempts of its own, that shares no message with the caller: the caller may
-// return before the attempts of the copy end.
+// detach returns a copy of the call that has its own Interest and EarlierAttempts and shares no message with the caller, because the caller
+// may return before the attempts of the copy end.
 func (u *unaryCall) detach(request proto.Message) *unaryCall {
 	copied := *u.call
 	return &unaryCall{
@@ -96,7 +96,7 @@
 	return executor.Outcome{Verdict: idempotency.Fail}
 }
 
-// finish writes a stored answer to the caller's reply, or returns the caller's error.
+// finish writes the answer that result holds to the caller's reply, or returns the error that the caller gets.
 func (u *unaryCall) finish(ctx context.Context, result executor.Result, reply proto.Message) error {
 	if result.ClientLeft {
 		return status.FromContextError(ctx.Err()).Err()
@@ -120,7 +120,7 @@
 	return u.finalError(ctx, engine.Answer{Kind: engine.Failed})
 }
 
-// storedOutcome returns an answer in its stored form: a message's bytes, or the application's status. An answer that cannot be encoded
+// storedOutcome returns an answer in its stored form: the encoded message, or the application's status. An answer that cannot be encoded
 // counts as failed, since the call has run.
 func storedOutcome(result *unaryResult) executor.Outcome {
 	if result.err != nil {
--- a/grpcbalancer/idempotency_test.go
+++ b/grpcbalancer/idempotency_test.go
@@ -33,17 +33,17 @@
 	calls.start(ctx, "k")
 	calls.awaitArrival(t)
 	leave()
-	if end := <-calls.ends; status.Code(end.err) != codes.Canceled {
-		t.Errorf("the caller that left: %v", end.err)
+	if result := <-calls.results; status.Code(result.err) != codes.Canceled {
+		t.Errorf("the caller that left: %v", result.err)
 	}
 	calls.start(t.Context(), "k")
 	calls.start(t.Context(), "k")
 	calls.release <- true
-	first := <-calls.ends
+	first := <-calls.results
 	calls.start(t.Context(), "k")
 	for range 2 {
-		if end := <-calls.ends; end != first || end.err != nil || end.node == "" {
-			t.Errorf("%v, and then %v", first, end)
+		if result := <-calls.results; result != first || result.err != nil || result.node == "" {
+			t.Errorf("%v, and then %v", first, result)
 		}
 	}
 	other := metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.IdempotencyKey, "k")
@@ -59,8 +59,8 @@
 	for range 2 {
 		calls.awaitArrival(t)
 		calls.release <- true
-		if end := <-calls.ends; end.err != nil {
-			t.Error(end.err)
+		if result := <-calls.results; result.err != nil {
+			t.Error(result.err)
 		}
 	}
 }
@@ -71,11 +71,11 @@
 	started int
 	arrived chan string // ids of requests
 	release chan bool
-	ends    chan keyedEnd
+	results chan keyedResult
 }
 
-// keyedEnd is what a caller got.
-type keyedEnd struct {
+// keyedResult is what a caller got.
+type keyedResult struct {
 	node string
 	err  error
 }
@@ -83,7 +83,7 @@
 // newKeyedCalls starts Plugins with the given lines in their section [[repeats]].
 func newKeyedCalls(t *testing.T, plugins int, lines string) *keyedCalls {
 	t.Helper()
-	calls := &keyedCalls{arrived: make(chan string, 100), release: make(chan bool, 100), ends: make(chan keyedEnd, 10)}
+	calls := &keyedCalls{arrived: make(chan string, 100), release: make(chan bool, 100), results: make(chan keyedResult, 10)}
 	node := fakes.NodeOptions{Answer: func(j fakes.Job) []byte { calls.arrived <- j.ID; <-calls.release; return nil }}
 	f := newFleet(t, node, node)
 	file := base.File(t, "o.toml", []byte("[[repeats]]\nservice = \"service\"\ntenant_part = 1.0\n"+lines))
@@ -109,7 +109,7 @@
 	}
 	go func() {
 		node, err := invoke(ctx, conn, record)
-		c.ends <- keyedEnd{node, err}
+		c.results <- keyedResult{node, err}
 	}()
 }
 
--- a/grpcbalancer/message.go
+++ b/grpcbalancer/message.go
@@ -7,11 +7,11 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// messageType creates messages of the type of a caller's message. It is determined before the call begins: while one attempt writes to the
-// caller's message, another may need a new one.
+// messageType creates messages of the same type as a caller's message. It is determined before the call begins, because one attempt may
+// write to the caller's message while another attempt needs a new message.
 type messageType struct {
 	proto protoreflect.MessageType // nil: not a protobuf message
-	plain reflect.Type             // of what the message points to, where proto is nil
+	plain reflect.Type             // the type that the message points to, if proto is nil
 }
 
 // messageTypeOf returns the type of message, which is a protobuf message or a pointer.
--- a/grpcbalancer/methods.go
+++ b/grpcbalancer/methods.go
@@ -15,8 +15,8 @@
 	"orchiddrift/balancer"
 )
 
-// UnsafeClass is the class that is added to settings without a non-idempotent class: methods of which nothing is known get it, and are never
-// sent again unless it is proved that they did not run. Its deadline is the longest of the other classes.
+// UnsafeClass is the name of the class that is added to settings without a non-idempotent class. Methods of unknown idempotency get it:
+// their calls are retried only if it is proved that they did not run. Its deadline is the longest deadline of the other classes.
 const UnsafeClass = "orchidgrpc.unsafe"
 
 // maxCachedMethods bounds methods.cached; the classes of further methods are looked up for each call.
@@ -54,7 +54,8 @@
 	return m, nil
 }
 
-// addClasses takes over the classes of settings; the first class of each idempotency is the one of methods that are not mapped.
+// addClasses adds the classes of settings, and UnsafeClass if none of them is non-idempotent. A method without a mapping gets the first
+// class of its idempotency.
 func (m *methods) addClasses(settings *balancer.Settings) {
 	var longest time.Duration
 	for _, class := range settings.Classes {
@@ -90,8 +91,8 @@
 	return nil
 }
 
-// class returns the class of a full method name. The mapping of the method comes first, then that of its service, then the first class of
-// the idempotency that its proto states. Where nothing is known, it is the first non-idempotent class.
+// class returns the class of a full method name. The mapping of the method takes precedence, then the mapping of its service, then the
+// first class of the idempotency that the method's proto states. Without any of these, it is the first non-idempotent class.
 func (m *methods) class(method string) balancer.Class {
 	m.mu.RLock()
 	class, ok := m.cached[method]
@@ -114,7 +115,8 @@
 	return class
 }
 
-// idempotency returns what a method's idempotency_level in its proto stands for; NonIdempotent if nothing is known.
+// idempotency returns the idempotency that a method's idempotency_level in its proto states, or NonIdempotent if the method or its level is
+// unknown.
 func (m *methods) idempotency(service, method string) balancer.Idempotency {
 	descriptor, err := m.files.FindDescriptorByName(protoreflect.FullName(service))
 	if err != nil {
--- a/grpcbalancer/methods_test.go
+++ b/grpcbalancer/methods_test.go
@@ -14,7 +14,7 @@
 		method  string
 		mapping map[string]string
 		classes []balancer.Class // absent: all
-		again   bool
+		retried bool
 	}{
 		{search, nil, nil, true},
 		{confirm, nil, nil, false},
@@ -34,8 +34,8 @@
 		})
 		_, _ = invoke(t.Context(), conn, c.method) // fails, after one send or more
 		n := f.ledger.Nodes()
-		if again := n["n0"].Executed+n["n1"].Executed > 1; again != c.again {
-			t.Errorf("%s with %v: sent again is %v", c.method, c.mapping, again)
+		if retried := n["n0"].Executed+n["n1"].Executed > 1; retried != c.retried {
+			t.Errorf("%s with %v: sent again is %v", c.method, c.mapping, retried)
 		}
 	}
 }
--- a/grpcbalancer/options.go
+++ b/grpcbalancer/options.go
@@ -9,56 +9,56 @@
 	"orchiddrift/balancer"
 )
 
-// Options are a Plugin's parameters. At least one of Discovery, Endpoints and a File with registries is needed.
+// Options are a Plugin's parameters. At least one of Discovery, Endpoints and a File with registries must be set.
 type Options struct {
-	Service   string            // names the service in targets and as the calls' authority; absent: "service"
-	Settings  balancer.Settings // as the daemon's; LoadOptions reads both from one form of file
-	Seed      uint64            // of all random numbers; a new one for each start
-	Discovery string            // address of the platform's discovery; absent: the list is Endpoints
-	Endpoints []Endpoint        // the list as last known
-	Version   int64             // of that list at Discovery
+	Service   string            // name of the service in targets and in the calls' authority; empty: "service"
+	Settings  balancer.Settings // the daemon's settings, which LoadOptions reads from the same file format
+	Seed      uint64            // seed of all random numbers; use a new one for each start
+	Discovery string            // address of the platform's discovery service; empty: Endpoints is the list
+	Endpoints []Endpoint        // the endpoint list as last known
+	Version   int64             // Discovery's version of Endpoints
 
-	// Methods maps "/package.Service/Method" and "/package.Service/*" to classes of Settings. A method that is not mapped is classified
-	// by the idempotency_level of its proto: NO_SIDE_EFFECTS is the first idempotent class, IDEMPOTENT the first one that is idempotent
-	// with an idempotency key. All others are non-idempotent: they are sent again only if it is proved that they did not run.
+	// Methods maps "/package.Service/Method" and "/package.Service/*" to classes of Settings. A method that is not mapped is classified by
+	// the idempotency_level of its proto: NO_SIDE_EFFECTS selects the first idempotent class, IDEMPOTENT the first class that is idempotent
+	// with an idempotency key. All other methods are non-idempotent: they are retried only if it is proved that they did not run.
 	Methods map[string]string
-	// Answers are the status codes that count as the application's answer and not as a failure of the upstream; absent: those that
-	// concern the request (INVALID_ARGUMENT, NOT_FOUND, ...; not UNAVAILABLE, INTERNAL, UNKNOWN and the like).
+	// Answers are the status codes that count as the application's answer and not as a failure of the upstream; nil: those that concern the
+	// request (INVALID_ARGUMENT, NOT_FOUND, ...; not UNAVAILABLE, INTERNAL, UNKNOWN and the like).
 	Answers []codes.Code
-	Files   *protoregistry.Files // where idempotency levels are looked up; absent: protoregistry.GlobalFiles
-	Log     func(string)         // receives each log line; absent: log lines are dropped
-	// File names an operator's file in the daemon's form. The sections of this service that count are:
-	//   - [[eureka]]: registries that list upstreams beside Discovery or Endpoints, or alone, merged as [membership] says
-	//   - [[door]]: admission in an order that is fair between tenants or clients, told apart by metadata
+	Files   *protoregistry.Files // where idempotency levels are looked up; nil: protoregistry.GlobalFiles
+	Log     func(string)         // receives each log line; nil: log lines are dropped
+	// File is the path of an operator's file in the daemon's format. The Plugin uses these sections of its service:
+	//   - [[eureka]]: registries that list upstreams, alone or merged with Discovery or Endpoints as [membership] configures
+	//   - [[door]]: admission control that is fair between tenants or clients, which are identified by metadata
 	//   - [service.subset]: the process uses a subset of the upstreams
 	//   - [service.warm]: connections are opened before calls need them, once a ClientConn has been used
-	//   - [[repeats]]: a unary call with an idempotency key of its caller's that is repeated gets the first one's answer
+	//   - [[repeats]]: a repeat of a unary call with the caller's idempotency key gets the answer of the first call
 	File string
-	// TLS encrypts connections; absent: the caller adds credentials. If it is present, DialOptions include the credentials.
+	// TLS configures encrypted connections, and DialOptions then include the credentials; nil: the caller adds credentials.
 	TLS *TLS
 }
 
-// Endpoint is an upstream.
+// Endpoint is an upstream in the endpoint list.
 type Endpoint struct {
-	Name    string // the same in every process
+	Name    string // unique in the list, and the same in every client process
 	Address string // IP address and port
 	Zone    string
-	Type    string    // the kind of machine
-	Group   int       // the cell
-	Since   time.Time // when it last started; zero: long ago
-	// Identity is the name that its certificate has to bear, a DNS name or a URI; absent: TLS.Name.
+	Type    string    // machine type
+	Group   int       // number of the upstream's cell
+	Since   time.Time // time of the upstream's last start; zero: long ago
+	// Identity is the DNS name or URI that the upstream's certificate must have; empty: TLS.Name.
 	Identity string
 }
 
-// Metadata keys that are sent with each attempt. Values that the caller sets are kept.
+// Metadata keys of a call, which are sent with each attempt. Values that the caller sets stay as they are.
 const (
-	RequestIDKey   = "x-request-id"    // of the call, the same for all its attempts; generated where the caller sets none
-	IdempotencyKey = "idempotency-key" // of a call that is idempotent with a key; generated where the caller sets none
-	TenantKey      = "x-tenant-id"     // read only
-	CostKey        = "x-cost"          // read only: expected work in microseconds
+	RequestIDKey   = "x-request-id"    // id of the call, the same for all its attempts; generated if the caller sets none
+	IdempotencyKey = "idempotency-key" // for classes that are idempotent with a key; generated if the caller sets none
+	TenantKey      = "x-tenant-id"     // tenant of the call; never generated
+	CostKey        = "x-cost"          // expected work in microseconds; never generated
 )
 
-// notProcessedKey is the trailer by which an upstream states that the request never ran: its value is "1" then.
+// notProcessedKey is the trailer by which an upstream states that it did not run the request; its value is then "1".
 const notProcessedKey = "x-not-processed"
 
 const (
@@ -73,10 +73,11 @@
 	reconnectMultiplier = 1.6
 	reconnectJitter     = 0.2
 
-	maxSubConns = 4096 // of one ClientConn; prewarming uses its configured part of them
+	maxSubConns = 4096 // maximum SubConns of a ClientConn, as assumed by prewarming, which uses a configured share of them
 )
 
-// Labels that Options.Seed is combined with for independent random numbers. They are part of what a seed means and must not change.
+// Labels that are combined with Options.Seed to get independent random numbers. They must not change, since a seed would then lead to other
+// decisions.
 const (
 	admissionSeedLabel = "door"
 	prewarmSeedLabel   = "warm"
--- a/grpcbalancer/outcome.go
+++ b/grpcbalancer/outcome.go
@@ -11,17 +11,17 @@
 
 // evidence is what is known of an attempt when its RPC has ended.
 type evidence struct {
-	notSent            bool       // a pick was denied: the upstream was draining or removed, or nobody waited for the answer any more
+	notSent            bool       // a pick was denied: the upstream was draining or removed, the time to send was over, or no caller waited
 	connectFailed      bool       // no connection came up, or not within the connect timeout
 	headersSent        bool       // the request's headers were handed to a connection
 	streamNotProcessed bool       // HTTP/2 proves that the upstream did not process the stream: REFUSED_STREAM, or GOAWAY with a lower id
-	markedNotProcessed bool       // the trailers say that the request never ran (notProcessedKey)
+	markedNotProcessed bool       // the trailers state that the request did not run (notProcessedKey)
 	code               codes.Code // the RPC's status
-	contextCause       error      // why the attempt's context ended; nil: it has not
+	contextCause       error      // cause of the end of the attempt's context; nil: it has not ended, or the connect timer ended it
 }
 
 // result classifies the attempt for the engine. applicationCodes are the codes that count as answered (Options.Answers). Only
-// ConnectFailed, Rejected and NotSent claim that the request did not run; docs/design/grpc.md gives the reasons status by status.
+// ConnectFailed, Rejected and NotSent state that the request did not run; docs/design/grpc.md gives the reason for each status.
 func (e evidence) result(applicationCodes map[codes.Code]bool) balancer.Result {
 	switch {
 	case e.notSent:
@@ -38,7 +38,7 @@
 		return balancer.Rejected
 	case e.code == codes.OK || applicationCodes[e.code]:
 		return balancer.OK
-	case errors.Is(e.contextCause, context.DeadlineExceeded), e.code == codes.DeadlineExceeded: // the upstream's own status included
+	case errors.Is(e.contextCause, context.DeadlineExceeded), e.code == codes.DeadlineExceeded: // also if the upstream returned this status
 		return balancer.Timeout
 	case e.contextCause != nil:
 		return balancer.Cancelled
--- a/grpcbalancer/picker.go
+++ b/grpcbalancer/picker.go
@@ -10,7 +10,7 @@
 
 // Pick implements balancer.Picker. grpc-go calls it from the RPC's goroutine. It does not block: ErrNoSubConnAvailable makes grpc-go pick
 // again after the next updatePicker, and any other error ends the RPC.
-func (k picker) Pick(info balancer.PickInfo) (balancer.PickResult, error) {
+func (p picker) Pick(info balancer.PickInfo) (balancer.PickResult, error) {
 	a := attemptFromContext(info.Ctx)
 	if a == nil {
 		return balancer.PickResult{}, errNotDecided
@@ -18,13 +18,13 @@
 	if err := a.checkPick(); err != nil {
 		return balancer.PickResult{}, err
 	}
-	k.balancer.mu.RLock()
-	s := k.balancer.subConns[a.upstream]
-	state := connectivity.Connecting // until the resolver has passed on the list that the engine decided by
+	p.balancer.mu.RLock()
+	s := p.balancer.subConns[a.upstream]
+	state := connectivity.Connecting // until the resolver has passed on the endpoint list that the engine used
 	if s != nil && s.instance == a.instance {
 		state = s.state
 	}
-	k.balancer.mu.RUnlock()
+	p.balancer.mu.RUnlock()
 	switch state {
 	case connectivity.Ready:
 		if !a.claimConnection() {
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -32,7 +32,7 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// Plugin balances the calls of its ClientConns over the upstreams of one service. New starts it, and Close ends it. It is safe for
+// Plugin balances the calls of its ClientConns over the upstreams of one service. New starts it, and Close stops it. It is safe for
 // concurrent use.
 type Plugin struct {
 	service          string
@@ -46,9 +46,9 @@
 
 	registry       *endpoints.Registry
 	registrySink   *discovery.RegistrySink
-	subsetSink     *discovery.SubsetSink   // before registrySink; nil: all upstreams are used
-	sink           endpoints.Sink          // the first of the two: sources deliver their lists to it
-	mergedSource   *discovery.MergedSource // nil: there is one source
+	subsetSink     *discovery.SubsetSink   // passes a subset of each list to registrySink; nil: all upstreams are used
+	sink           endpoints.Sink          // receives the lists of the sources: subsetSink, or registrySink if that is nil
+	mergedSource   *discovery.MergedSource // nil: there is at most one source
 	listFromCaller bool                    // the list is given with SetEndpoints, not by Discovery
 
 	credentials *transportCredentials  // nil: the caller adds credentials
@@ -60,12 +60,12 @@
 	background sync.WaitGroup
 
 	rngMu sync.Mutex
-	rng   *rand.Rand // of request ids and idempotency keys
+	rng   *rand.Rand // generates request ids and idempotency keys
 
 	setEndpointsMu sync.Mutex // held while SetEndpoints delivers a list
 	resolverMu     sync.Mutex // held while a resolver passes a list on
 
-	mu        sync.Mutex // guards the two maps
+	mu        sync.Mutex // guards balancers and resolvers
 	balancers map[*subConnBalancer]bool
 	resolvers map[*listResolver]bool
 }
@@ -73,16 +73,16 @@
 // idStream is the PCG stream of the random numbers that request ids and idempotency keys are generated from.
 const idStream = 0x6f72636869646772
 
-// checkedOptions are Options whose own checks have passed, with what was read on the way.
+// checkedOptions are Options that have passed checkOptions, with the values that it has read and derived from them.
 type checkedOptions struct {
 	Options
-	settings    balancer.Settings // those of Options, and UnsafeClass where there was no non-idempotent class
+	settings    balancer.Settings // Options.Settings, with UnsafeClass added if no class is non-idempotent
 	methods     *methods
 	file        config.PluginFile
 	initialList *endpoints.List
 }
 
-// New starts a Plugin. Call Close to end it, after its ClientConns. It reads the files that the options name, and waits up to
+// New starts a Plugin. Call Close to stop it, after closing its ClientConns. New reads the files that the options name, and waits up to
 // executor.StartLockTimeout for an idempotency file that another process has locked. It does not wait for upstreams or for Discovery.
 func New(o Options) (*Plugin, error) {
 	checked, err := checkOptions(o)
@@ -105,7 +105,7 @@
 	return p, nil
 }
 
-// checkOptions checks what can be checked without starting anything, and reads the operator's file.
+// checkOptions makes the checks that need no started Plugin, and reads the operator's file.
 func checkOptions(o Options) (checkedOptions, error) {
 	checked := checkedOptions{Options: o, settings: o.Settings}
 	var err error
@@ -251,7 +251,7 @@
 	}
 }
 
-// Close fails the calls in flight and ends the Plugin. It blocks until its goroutines have ended. Close its ClientConns first.
+// Close fails the calls in flight and stops the Plugin. It blocks until the Plugin's goroutines have ended. Close its ClientConns first.
 func (p *Plugin) Close() {
 	p.stop()
 	p.background.Wait()
@@ -267,8 +267,8 @@
 // Target returns the target to pass to grpc.NewClient, together with DialOptions.
 func (p *Plugin) Target() string { return Scheme + ":///" + p.service }
 
-// DialOptions returns the options that make a ClientConn leave its decisions to the Plugin. The caller adds credentials, unless Options.TLS
-// is set. Further interceptors that stand before these options see calls, those after them see attempts.
+// DialOptions returns the options with which a ClientConn uses the Plugin. The caller adds credentials, unless Options.TLS is set. An
+// interceptor that is added before these options sees calls; one that is added after them sees attempts.
 func (p *Plugin) DialOptions() []grpc.DialOption {
 	options := []grpc.DialOption{
 		grpc.WithResolvers(resolverBuilder{p}),
@@ -304,7 +304,7 @@
 	hexDigitsPerWord = 16 // of a 64-bit word
 )
 
-// newID returns as many random 64-bit words as hexadecimal digits.
+// newID returns the given number of random 64-bit words in hexadecimal digits.
 func (p *Plugin) newID(words int) string {
 	id := make([]byte, 0, idempotencyKeyWords*hexDigitsPerWord)
 	p.rngMu.Lock()
--- a/grpcbalancer/prewarm.go
+++ b/grpcbalancer/prewarm.go
@@ -18,7 +18,7 @@
 type prewarming struct {
 	// Used by the goroutine of runPrewarming alone.
 	prewarmer  *prewarm.Prewarmer
-	connecting map[string]uint64 // process ids of the upstreams whose connections have been started and have not come up or failed
+	connecting map[string]uint64 // process ids of the upstreams whose started connections have neither come up nor failed
 
 	mu   sync.Mutex
 	used map[string]bool // upstreams that attempts were sent to since the last step
@@ -28,7 +28,7 @@
 	return &prewarming{prewarmer: prewarmer, connecting: map[string]uint64{}, used: map[string]bool{}}
 }
 
-// recordUse notes that an attempt is sent to an upstream. It is called by picks from any goroutine; a nil prewarming ignores it.
+// recordUse records that an attempt is sent to an upstream. Picks call it from any goroutine. It does nothing if w is nil.
 func (w *prewarming) recordUse(name string) {
 	if w == nil {
 		return
@@ -57,14 +57,14 @@
 			return
 		case <-ticker.C:
 		}
-		if balancers := p.currentBalancers(); len(balancers) > 0 { // no ClientConn has been used before
+		if balancers := p.currentBalancers(); len(balancers) > 0 { // there is none before a ClientConn has been used
 			p.prewarmStep(balancers)
 		}
 	}
 }
 
-// prewarmStep tells the prewarmer of the upstreams, of connections that came up or failed and of those in use, and starts the connections
-// that it decides on.
+// prewarmStep reports to the prewarmer the upstreams, the connections that came up or failed, and the upstreams in use. It then starts the
+// connections that the prewarmer decides on.
 func (p *Plugin) prewarmStep(balancers []*subConnBalancer) {
 	w := p.prewarming
 	now, instances := p.clock.Now(), p.registry.Instances()
@@ -98,7 +98,7 @@
 	}
 }
 
-// reportConnected tells the prewarmer which of the connections it started have come up or failed.
+// reportConnected reports to the prewarmer which of the connections that it started have come up or failed.
 func (w *prewarming) reportConnected(now time.Duration, processes map[string]uint64, states map[string]connectivity.State) {
 	for name, process := range w.connecting {
 		state := states[name]
--- a/grpcbalancer/prewarm_test.go
+++ b/grpcbalancer/prewarm_test.go
@@ -17,25 +17,25 @@
 // With [service.warm], upstreams that no call was sent to are connected to as well, and so is a restarted one.
 func TestPrewarming(t *testing.T) {
 	f := newFleet(t, make([]fakes.NodeOptions, 6)...)
-	counted := make([]*countingProxy, len(f.endpoints))
+	proxies := make([]*countingProxy, len(f.endpoints))
 	for i, e := range f.endpoints {
-		counted[i] = newCountingProxy(t, e.Address)
-		f.endpoints[i].Address = counted[i].address
+		proxies[i] = newCountingProxy(t, e.Address)
+		f.endpoints[i].Address = proxies[i].address
 	}
 	file := base.File(t, "o.toml", []byte("[[service]]\nname = \"service\"\n[service.warm]\non = true\nspread = \"100ms\"\n"))
 	conn, p := f.dial(t, func(o *grpcbalancer.Options) { o.File = file })
 	if _, err := invoke(t.Context(), conn, search); err != nil {
 		t.Fatal(err)
 	}
-	for i, c := range counted {
+	for i, c := range proxies {
 		base.Eventually(t, fmt.Sprint("a connection to ", i), func() bool { return c.open.Load() == 1 })
 	}
 	f.endpoints[0].Since = time.Now()
 	if err := p.SetEndpoints(f.endpoints); err != nil {
 		t.Fatal(err)
 	}
-	base.Eventually(t, "one to the new process", func() bool { return counted[0].made.Load() == 2 && counted[0].open.Load() == 1 })
-	for i, c := range counted[1:] {
+	base.Eventually(t, "one to the new process", func() bool { return proxies[0].made.Load() == 2 && proxies[0].open.Load() == 1 })
+	for i, c := range proxies[1:] {
 		if n := c.made.Load(); n != 1 {
 			t.Errorf("%d connections were made to %d", n, i+1)
 		}
--- a/grpcbalancer/resolver.go
+++ b/grpcbalancer/resolver.go
@@ -37,15 +37,15 @@
 	cc     resolver.ClientConn
 }
 
-// updateState passes on the current list. It is called from any goroutine and never passes on an older list after a newer one. The
-// ClientConn's error is dropped: it would ask for another resolution, which would return the same list.
+// updateState passes on the current list. It is called from any goroutine and never passes on an older list after a newer one. It ignores
+// the ClientConn's error, which asks for another resolution: that would return the same list.
 func (r *listResolver) updateState() {
 	r.plugin.resolverMu.Lock()
 	defer r.plugin.resolverMu.Unlock()
 	_ = r.cc.UpdateState(resolverState(r.plugin, r.plugin.registry.Instances()))
 }
 
-// ResolveNow implements resolver.Resolver. It does nothing: updates of the list are passed on as they come.
+// ResolveNow implements resolver.Resolver. It does nothing: updates of the list are passed on as they arrive.
 func (r *listResolver) ResolveNow(resolver.ResolveNowOptions) {}
 
 // Close implements resolver.Resolver.
--- a/grpcbalancer/sources.go
+++ b/grpcbalancer/sources.go
@@ -13,11 +13,11 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// primarySourceName names the list of Discovery or SetEndpoints among the sources that are merged.
+// primarySourceName is the name of the source with the list of Discovery or SetEndpoints among the merged sources.
 const primarySourceName = "list"
 
-// openSource returns the source of the endpoint list and the list to begin with. The source is nil where the list is given with
-// SetEndpoints alone. With registries, it is p.mergedSource.
+// openSource returns the source of the endpoint list and the initial list. The source is nil if the list is given with SetEndpoints alone.
+// With registries, it is p.mergedSource.
 func (p *Plugin) openSource(o checkedOptions, log *slog.Logger) (endpoints.Source, *endpoints.List, error) {
 	var primary endpoints.Source
 	if o.Discovery != "" {
@@ -49,17 +49,17 @@
 	return merged, merged.Load(), nil
 }
 
-// SetEndpoints replaces the endpoint list, if it does not come from Discovery. When it returns, nothing new is sent to an upstream that the
-// list does not contain. A list that is invalid changes nothing.
+// SetEndpoints replaces the endpoint list. When it returns, no new attempt is sent to an upstream that the list does not contain. It fails
+// and changes nothing if the list comes from Discovery or if the new list is invalid.
 func (p *Plugin) SetEndpoints(list []Endpoint) error {
 	if !p.listFromCaller {
-		return errors.New("orchidgrpc: the list is Discovery's")
+		return errors.New("orchidgrpc: SetEndpoints: the endpoint list comes from Discovery")
 	}
 	p.setEndpointsMu.Lock()
 	defer p.setEndpointsMu.Unlock()
 	l, err := endpointList(list, 0)
 	if err != nil {
-		return fmt.Errorf("orchidgrpc: %w", err)
+		return fmt.Errorf("orchidgrpc: SetEndpoints: %w", err)
 	}
 	if p.mergedSource != nil {
 		p.mergedSource.Update(primarySourceName, l)
@@ -75,11 +75,11 @@
 	names := map[string]bool{}
 	for _, e := range list {
 		if e.Name == "" || names[e.Name] {
-			return nil, fmt.Errorf("name %q is empty or repeated", e.Name)
+			return nil, fmt.Errorf("endpoint name %q is empty or occurs twice", e.Name)
 		}
 		names[e.Name] = true
 		if err := endpoints.CheckAddress(e.Address); err != nil {
-			return nil, fmt.Errorf("%s: %w", e.Name, err)
+			return nil, fmt.Errorf("endpoint %s: %w", e.Name, err)
 		}
 		startedMs := 0.0
 		if !e.Since.IsZero() {
--- a/grpcbalancer/status.go
+++ b/grpcbalancer/status.go
@@ -13,18 +13,18 @@
 	"orchiddrift/internal/engine"
 )
 
-// Values of the ErrorInfo that errors of a Plugin carry.
+// Domain and reasons in the ErrorInfo detail of a Plugin's errors.
 const (
 	Domain           = "orchiddrift"
-	ReasonRefused    = "REFUSED"      // the call did not run, or may run again: retrying is harmless
+	ReasonRefused    = "REFUSED"      // the call did not run, or running it again is harmless
 	ReasonMayHaveRun = "MAY_HAVE_RUN" // it is not known whether the call ran
 )
 
-// attemptsKey is the ErrorInfo's metadata key of the number of attempts.
+// attemptsKey is the key of the number of attempts in the ErrorInfo's metadata.
 const attemptsKey = "sends"
 
-// MayHaveRun reports whether a call that ended with err may have run. It is false only for an error of a Plugin with ReasonRefused; errors
-// from elsewhere make no statement, so that true is the safe answer for them.
+// MayHaveRun reports whether a call that ended with err may have run. It is false only for an error of a Plugin with ReasonRefused. Other
+// errors do not state whether the call ran, so that true is the safe answer for them.
 func MayHaveRun(err error) bool {
 	if err == nil {
 		return true
@@ -37,8 +37,8 @@
 	return true
 }
 
-// answerError returns the caller's error for a final answer that is not a served one. last is the status of the last attempt that ended
-// without an answer, nil if there was none; pastDeadline says that the call's deadline has passed.
+// answerError returns the error that the caller gets for a final answer of another kind than engine.Served. last is the status of the last
+// attempt that ended without an answer, nil if there was none; pastDeadline means that the call's deadline has passed.
 func answerError(ctx context.Context, answer engine.Answer, last *status.Status, pastDeadline bool) error {
 	switch answer.Kind {
 	case engine.ClientGone:
--- a/grpcbalancer/stream.go
+++ b/grpcbalancer/stream.go
@@ -18,9 +18,9 @@
 
 // interceptStream is the grpc.StreamClientInterceptor.
 //
-// A server stream (one request message, many response messages) is decided like a unary call up to its first response message: until then
-// it may be sent again as its class allows. It is sent by the first RecvMsg or Header. A stream on which the client goes on sending is
-// decided once, when it is opened: interceptStream blocks for that, and nothing is retried once the stream is open.
+// A server stream (one request message, many response messages) is handled like a unary call up to its first response message: until then
+// it may be retried as its class allows. The first RecvMsg or Header sends it. A client stream or bidirectional stream is opened by
+// interceptStream, which blocks until the stream is open; from then on, nothing is retried.
 func (p *Plugin) interceptStream(ctx context.Context, desc *grpc.StreamDesc, cc *grpc.ClientConn, method string,
 	streamer grpc.Streamer, options ...grpc.CallOption) (grpc.ClientStream, error) {
 	ctx, c := p.newCall(ctx, method)
@@ -29,7 +29,7 @@
 	if !desc.ClientStreams {
 		return s, nil
 	}
-	return s, s.start(waitForStream{})
+	return s, s.start(openCondition{})
 }
 
 // clientStream implements grpc.ClientStream for the caller. As grpc-go allows, one goroutine may send while another one receives.
@@ -41,10 +41,10 @@
 	streamer                    grpc.Streamer
 	plainOptions, outputOptions []grpc.CallOption
 
-	request any // the one message of a server stream
+	request any // the only request message of a server stream
 
 	startOnce sync.Once
-	started   atomic.Bool // the start is over: result or startErr is set and no longer changes
+	started   atomic.Bool // start has ended: result or startErr is set and no longer changes
 	result    *streamResult
 	startErr  error
 	answer    engine.Answer
@@ -53,9 +53,9 @@
 	endOnce             sync.Once
 }
 
-// start has the engine open the stream. Only the first call does so, and blocks until the stream is open as far as wait says or has failed;
-// later calls return its error.
-func (s *clientStream) start(wait waitForStream) error {
+// start has the engine open the stream. Only the first call does so, and blocks until the stream meets the condition wait or has failed;
+// later calls return the same error.
+func (s *clientStream) start(wait openCondition) error {
 	s.startOnce.Do(func() {
 		defer s.started.Store(true)
 		s.answer = s.execute(s.ctx, &streamTransport{stream: s, wait: wait})
@@ -75,7 +75,7 @@
 }
 
 // reportEnd reports the end of an open stream to the engine and to the caller's options, once. It is called from the receiving goroutine
-// and, when the caller's context ends, from the goroutine of the watch.
+// and, when the caller's context ends, from the goroutine that watches the context.
 func (s *clientStream) reportEnd(result balancer.Result, err error) {
 	s.endOnce.Do(func() {
 		s.answer.EndStream(result)
@@ -86,13 +86,13 @@
 	})
 }
 
-// SendMsg implements grpc.ClientStream. The message of a server stream is kept until the stream is started.
+// SendMsg implements grpc.ClientStream. It stores the message of a server stream until the stream is started.
 func (s *clientStream) SendMsg(message any) error {
 	if !s.desc.ClientStreams {
 		s.request = message
 		return nil
 	}
-	if err := s.start(waitForStream{}); err != nil {
+	if err := s.start(openCondition{}); err != nil {
 		return err
 	}
 	return s.result.stream.SendMsg(message) // after io.EOF, RecvMsg returns the status
@@ -103,7 +103,7 @@
 	if !s.desc.ClientStreams {
 		return nil
 	}
-	if err := s.start(waitForStream{}); err != nil {
+	if err := s.start(openCondition{}); err != nil {
 		return err
 	}
 	return s.result.stream.CloseSend()
@@ -113,7 +113,7 @@
 func (s *clientStream) RecvMsg(message any) error {
 	if !s.started.Load() {
 		firstMessageType := messageTypeOf(message)
-		if err := s.start(waitForStream{firstMessageType: &firstMessageType}); err != nil {
+		if err := s.start(openCondition{firstMessageType: &firstMessageType}); err != nil {
 			return err
 		}
 	}
@@ -135,7 +135,7 @@
 	return s.end(err) // nil for the one response of a client stream
 }
 
-// end classifies what ended an open stream, reports it, and returns the error for the caller: nil and io.EOF stay as they are.
+// end classifies the end of an open stream, reports it, and returns the error for the caller: nil and io.EOF stay as they are.
 func (s *clientStream) end(err error) error {
 	if s.ctx.Err() != nil && err != nil && err != io.EOF {
 		s.reportEnd(balancer.Cancelled, s.ctx.Err())
@@ -165,7 +165,7 @@
 
 // Header implements grpc.ClientStream. It starts a server stream and blocks until the header or the end of the stream.
 func (s *clientStream) Header() (metadata.MD, error) {
-	if err := s.start(waitForStream{header: true}); err != nil {
+	if err := s.start(openCondition{header: true}); err != nil {
 		return nil, err
 	}
 	if s.result.stream == nil {
@@ -190,30 +190,30 @@
 	return s.ctx
 }
 
-// streamResult is an attempt whose stream is open, or has ended with an answer.
+// streamResult is an attempt whose stream is open or has ended with an answer.
 type streamResult struct {
 	callOutputs
 	attempt      *attempt
 	stream       grpc.ClientStream
-	firstMessage any   // of the response, if an attempt waited for it; nil once it has been passed to the caller
+	firstMessage any   // of the response, if the attempt waited for it; nil once it has been passed to the caller
 	err          error // in place of the first message: io.EOF or the application's status
 	ended        bool  // the response is complete
 }
 
-// waitForStream says how far the stream of an attempt has to be open for the attempt to count as served. The zero value waits for neither
-// header nor message.
-type waitForStream struct {
-	firstMessageType *messageType // waits for the first response message, which has this type; nil: does not
-	header           bool         // waits for the header, where firstMessageType is nil
+// openCondition is the condition under which the stream of an attempt counts as open, and the attempt as served. The zero value waits for
+// neither header nor message.
+type openCondition struct {
+	firstMessageType *messageType // type of the first response message, which is waited for; nil: no wait for a message
+	header           bool         // wait for the header, if firstMessageType is nil
 }
 
 // streamTransport implements engine.Transport for the attempts to open a stream.
 type streamTransport struct {
 	stream *clientStream
-	wait   waitForStream
+	wait   openCondition
 }
 
-// RoundTrip implements engine.Transport: it opens the stream of an attempt and blocks as long as wait says.
+// RoundTrip implements engine.Transport: it opens the stream of an attempt and blocks until the stream meets the condition t.wait.
 func (t *streamTransport) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
 	s := t.stream
 	attempt := s.newAttempt(streamContext{ctx, s.ctx}, a)
@@ -236,7 +236,8 @@
 	return engine.AttemptResult{Result: result, Value: opened}
 }
 
-// open opens the stream of opened.attempt, sends the request of a server stream and waits. Its error is what ended the stream.
+// open opens the stream of opened.attempt, sends the request of a server stream and waits as t.wait requires. It returns the error that
+// ended the stream.
 func (t *streamTransport) open(opened *streamResult) error {
 	s := t.stream
 	options := opened.options(s.plainOptions, s.outputOptions)
@@ -261,8 +262,8 @@
 	return err
 }
 
-// streamContext is the context of an attempt with the caller's deadline, which is the one that the upstream is sent. The class's deadline
-// bounds the wait for the first message only, and the stream goes on after it.
+// streamContext is the context of an attempt with the caller's deadline, which grpc-go sends to the upstream. The class's deadline bounds
+// only the wait for the first message, so that the stream may last longer.
 type streamContext struct {
 	context.Context
 	caller context.Context
--- a/grpcbalancer/unary.go
+++ b/grpcbalancer/unary.go
@@ -12,7 +12,7 @@
 // interceptUnary is the grpc.UnaryClientInterceptor. It runs in the caller's goroutine and blocks until the call's final answer.
 func (p *Plugin) interceptUnary(ctx context.Context, method string, req, reply any, cc *grpc.ClientConn,
 	invoker grpc.UnaryInvoker, options ...grpc.CallOption) error {
-	key := p.callerIdempotencyKey(ctx, method) // newCall may add a generated one
+	key := p.callerIdempotencyKey(ctx, method) // before newCall, which may add a generated key
 	ctx, c := p.newCall(ctx, method)
 	u := &unaryCall{call: c, req: req, reply: reply, replyType: messageTypeOf(reply), cc: cc, invoker: invoker}
 	u.plainOptions, u.outputOptions = splitOptions(options)
@@ -44,7 +44,7 @@
 	cc           *grpc.ClientConn
 	invoker      grpc.UnaryInvoker
 	plainOptions []grpc.CallOption
-	// outputOptions write to the caller; see callOutputs.
+	// outputOptions write to the caller's variables or call the caller back; see callOutputs.
 	outputOptions []grpc.CallOption
 }
 
@@ -55,8 +55,8 @@
 	err   error
 }
 
-// RoundTrip implements engine.Transport: it sends an attempt as an RPC of its own and blocks until the RPC has ended. The engine calls it
-// from the caller's goroutine or from one of its own.
+// RoundTrip implements engine.Transport: it sends an attempt as a separate RPC and blocks until the RPC has ended. The engine calls it from
+// the caller's goroutine or from one of its own.
 func (u *unaryCall) RoundTrip(ctx context.Context, a engine.Attempt) engine.AttemptResult {
 	attempt := u.newAttempt(ctx, a)
 	if attempt == nil {
--- a/grpcbalancer/unary_test.go
+++ b/grpcbalancer/unary_test.go
@@ -31,11 +31,11 @@
 func TestResultByEndOfAttempt(t *testing.T) {
 	const refused, failed = codes.Unavailable, codes.Unknown
 	for _, c := range []struct {
-		name                                  string
-		kind                                  fakes.FaultKind
-		nonIdempotent                         codes.Code // of a call that must not run twice
-		nonIdempotentSends, nonIdempotentRuns int
-		idempotentSends                       int // at least
+		name                                     string
+		kind                                     fakes.FaultKind
+		nonIdempotent                            codes.Code // of a call that must not run twice
+		nonIdempotentAttempts, nonIdempotentRuns int
+		minIdempotentAttempts                    int // at least
 	}{
 		{"rejected with the trailer", fakes.Reject, refused, 5, 0, 5},
 		{"REFUSED_STREAM", fakes.RefuseStream, refused, 5, 0, 5},
@@ -55,14 +55,14 @@
 			if got := status.Code(err); got != c.nonIdempotent {
 				t.Errorf("non-idempotent: %v, want %v", err, c.nonIdempotent)
 			}
-			if may := grpcbalancer.MayHaveRun(err); may != (c.nonIdempotent != refused) {
-				t.Errorf("non-idempotent: may have run is %v: %v", may, err)
+			if mayHaveRun := grpcbalancer.MayHaveRun(err); mayHaveRun != (c.nonIdempotent != refused) {
+				t.Errorf("non-idempotent: may have run is %v: %v", mayHaveRun, err)
 			}
 			arrived := 0
 			for _, n := range f.ledger.Nodes() {
 				arrived += n.Arrived
 			}
-			if runs := len(f.ledger.Operation("op-non-idempotent").Executions); arrived != c.nonIdempotentSends || runs != c.nonIdempotentRuns {
+			if runs := len(f.ledger.Operation("op-non-idempotent").Executions); arrived != c.nonIdempotentAttempts || runs != c.nonIdempotentRuns {
 				t.Errorf("non-idempotent: arrived %d times, ran %d", arrived, runs)
 			}
 			if _, err = invoke(t.Context(), conn, search); err == nil {
@@ -72,7 +72,7 @@
 			for _, n := range f.ledger.Nodes() {
 				after += n.Arrived
 			}
-			if after-arrived < c.idempotentSends {
+			if after-arrived < c.minIdempotentAttempts {
 				t.Errorf("idempotent: sent %d times, %v", after-arrived, err)
 			}
 			testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
@@ -85,17 +85,17 @@
 	conn, _ := newFleet(t, withFault(fakes.Reject)).dial(t, nil)
 	_, err := invoke(t.Context(), conn, confirm)
 	var retry time.Duration
-	var reason, sends string
+	var reason, attempts string
 	for _, d := range status.Convert(err).Details() {
 		switch d := d.(type) {
 		case *errdetails.RetryInfo:
 			retry = d.RetryDelay.AsDuration()
 		case *errdetails.ErrorInfo:
-			reason, sends = d.Reason, d.Metadata["sends"]
+			reason, attempts = d.Reason, d.Metadata["sends"]
 		}
 	}
-	if status.Code(err) != codes.Unavailable || retry <= 0 || reason != grpcbalancer.ReasonRefused || sends != "5" {
-		t.Errorf("%v: retry in %v, reason %q, sends %q", err, retry, reason, sends)
+	if status.Code(err) != codes.Unavailable || retry <= 0 || reason != grpcbalancer.ReasonRefused || attempts != "5" {
+		t.Errorf("%v: retry in %v, reason %q, sends %q", err, retry, reason, attempts)
 	}
 }
 
