--- a/grpcbalancer/admission_test.go
+++ b/grpcbalancer/admission_test.go
@@ -19,8 +19,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// A flood of one tenant's calls does not delay another tenant's call: the flood's newest calls are rejected with a Retry-After, and a
-// waiting call whose caller leaves is never sent.
+// A flood of calls from one tenant does not delay another tenant's call: the newest calls of the flood are rejected with a Retry-After, and
+// a waiting call whose caller leaves is never sent.
 func TestAdmissionIsFairBetweenTenants(t *testing.T) {
 	arrived, release := make(chan string, 100), make(chan bool, 100)
 	calls := newQueuedCalls(t, arrived, release)
@@ -30,13 +30,13 @@
 	if id := <-arrived; id != "0" {
 		t.Fatal(id)
 	}
-	for i := range 8 { // three of them wait
+	for i := range 8 { // three of them wait, and five are rejected
 		calls.start(t.Context(), "flood", fmt.Sprint("f", i))
 	}
 	calls.awaitCount(t, 5)
 	calls.checkAllRejected(t, 5)
 	calls.start(t.Context(), "quiet", "q")
-	calls.awaitCount(t, 6) // one of the flood gives way
+	calls.awaitCount(t, 6) // a waiting call of the flood is rejected in its place
 	ctx, leave := context.WithCancel(t.Context())
 	calls.start(ctx, "leaves", "l")
 	calls.awaitCount(t, 7)
@@ -47,11 +47,11 @@
 
 	release <- true
 	if id := <-arrived; id != "q" {
-		t.Errorf("%s is sent before the other tenant's call", id)
+		t.Errorf("request %s was sent before the call of the tenant quiet", id)
 	}
 	release <- true
 	if id := <-arrived; id[0] != 'f' {
-		t.Errorf("%s is sent third", id)
+		t.Errorf("request %s was sent third, want a call of the tenant flood", id)
 	}
 	release <- true
 	if err := errors.Join(calls.awaitEnd(t, "0"), calls.awaitEnd(t, "q")); err != nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-// queuedCalls makes calls on a ClientConn whose calls queue, one at a time to one node, with three waiting.
+// queuedCalls makes calls on a ClientConn with admission control, which sends one call at a time to the only node and lets three wait.
 type queuedCalls struct {
 	conn    *grpc.ClientConn
 	running sync.WaitGroup
@@ -68,7 +68,7 @@
 	errors map[string]error // of calls that have ended, by id
 }
 
-// newQueuedCalls starts a node that reports the ids of requests on arrived and answers one for each value of release.
+// newQueuedCalls starts a node that sends the ids of its requests to arrived, and answers one request for each value from release.
 func newQueuedCalls(t *testing.T, arrived chan<- string, release <-chan bool) *queuedCalls {
 	t.Helper()
 	f := newFleet(t, fakes.NodeOptions{Answer: func(j fakes.Job) []byte { arrived <- j.ID; <-release; return nil }})
@@ -84,6 +84,7 @@
 	return &queuedCalls{conn: conn, errors: map[string]error{}}
 }
 
+// start makes a call in a goroutine of its own.
 func (c *queuedCalls) start(ctx context.Context, tenant, id string) {
 	c.running.Go(func() {
 		ctx := metadata.AppendToOutgoingContext(ctx, grpcbalancer.TenantKey, tenant, grpcbalancer.RequestIDKey, id)
@@ -94,7 +95,7 @@
 	})
 }
 
-// awaitCount waits until as many calls have ended.
+// awaitCount waits until the given number of calls have ended.
 func (c *queuedCalls) awaitCount(t *testing.T, calls int) {
 	t.Helper()
 	base.Eventually(t, fmt.Sprint(calls, " calls have ended"), func() bool {
@@ -116,7 +117,7 @@
 	return err
 }
 
-// checkAllRejected checks that as many calls have ended, and that all of them were rejected with a Retry-After.
+// checkAllRejected checks that the given number of calls have ended, and that all of them were rejected with a Retry-After.
 func (c *queuedCalls) checkAllRejected(t *testing.T, calls int) {
 	t.Helper()
 	c.mu.Lock()
@@ -126,7 +127,7 @@
 	}
 	for id, err := range c.errors {
 		if status.Code(err) != codes.Unavailable || grpcbalancer.MayHaveRun(err) || retryDelay(err) <= 0 {
-			t.Errorf("%s: %v, retry in %v", id, err, retryDelay(err))
+			t.Errorf("call %s: got error %v with a Retry-After of %v, want a rejection with a Retry-After", id, err, retryDelay(err))
 		}
 	}
 }
--- a/grpcbalancer/cancellation_test.go
+++ b/grpcbalancer/cancellation_test.go
@@ -16,7 +16,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// delayedNode accepts connections for a node and forwards nothing before release is called: until then no connection to the node is ready.
+// delayedNode starts a proxy that accepts connections to a node, and forwards nothing until release is called. Until then, no connection to
+// the node becomes ready.
 func delayedNode(t *testing.T, node string) (address string, release func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,15 +54,15 @@
 			conns = append(conns, in, out)
 			mu.Unlock()
 			end := sync.OnceFunc(func() { in.Close(); out.Close() })
-			serving.Go(func() { <-released; _, _ = io.Copy(in, out); end() }) // both end with either
+			serving.Go(func() { <-released; _, _ = io.Copy(in, out); end() }) // when one direction ends, both connections are closed
 			serving.Go(func() { <-released; _, _ = io.Copy(out, in); end() })
 		}
 	})
 	return l.Addr().String(), release
 }
 
-// A call whose caller disconnects while it waits for a connection is never sent, also where its attempts run apart from the caller because
-// other callers may wait for the answer of its idempotency key.
+// A call whose caller leaves while it waits for a connection is never sent. This includes calls with an idempotency key, whose attempts do
+// not run in the caller's goroutine because other callers may wait for the answer.
 func TestCallersDisconnectWhileConnecting(t *testing.T) {
 	for _, method := range []string{search, confirm, record} {
 		f := newFleet(t, fakes.NodeOptions{})
@@ -83,22 +84,23 @@
 		for range callers {
 			calls.Go(func() {
 				if _, err := invoke(ctx, conn, method); err == nil {
-					t.Errorf("%s: answered", method)
+					t.Errorf("%s: a call whose caller left was answered", method)
 				}
 			})
 		}
 		testutil.Eventually(t, "the calls are in flight", func() bool { return plugin.InHand() == callers || method == record && plugin.InHand() == 1 })
 		leave()
 		calls.Wait()
-		for end := time.Now().Add(500 * time.Millisecond); plugin.InHand() > 0 && time.Now().Before(end); { // or long enough for the fault to show
+		// If calls stay in flight for longer, they are sent after release, and the check of the executed calls fails.
+		for end := time.Now().Add(500 * time.Millisecond); plugin.InHand() > 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 		release()
 		if _, err := invoke(t.Context(), conn, confirm); err != nil {
-			t.Errorf("%s: a later call: %v", method, err)
+			t.Errorf("%s: the call after release failed: %v", method, err)
 		}
 		if ran := f.ledger.Nodes()["n0"].Executed; ran != 1 {
-			t.Errorf("%s: %d calls ran, 1 was wanted", method, ran)
+			t.Errorf("%s: %d calls ran on the node, want 1: the call after release", method, ran)
 		}
 	}
 }
--- a/grpcbalancer/config_test.go
+++ b/grpcbalancer/config_test.go
@@ -13,7 +13,7 @@
 
 const example = "../deploy/grpc.example.json"
 
-// The example configuration means the same as the corresponding Go options, and can be used.
+// LoadOptions reads all keys of the example configuration, and New accepts the resulting options.
 func TestLoadOptions(t *testing.T) {
 	o, err := grpcbalancer.LoadOptions(example)
 	if err != nil {
@@ -21,7 +21,7 @@
 	}
 	if o.Service != "seats" || o.Discovery != "127.0.0.1:8500" || len(o.Endpoints) != 2 || o.Version != 41 ||
 		o.Seed != 0x8c1f30d27a5be964 || len(o.Settings.Classes) != 3 || len(o.Methods) != 3 || len(o.Answers) != 9 {
-		t.Errorf("%+v", o)
+		t.Errorf("the options do not match the example configuration: %+v", o)
 	}
 	p, err := grpcbalancer.New(o)
 	if err != nil {
@@ -30,7 +30,7 @@
 	p.Close()
 }
 
-// CheckConfig reports mistakes by their key, and LoadOptions in one line with the path of the file.
+// CheckConfig reports each mistake with its key. LoadOptions reports it in one line with the path of the file.
 func TestCheckConfigReportsMistakes(t *testing.T) {
 	good, err := os.ReadFile(example)
 	if err != nil {
@@ -48,22 +48,22 @@
 	} {
 		text := strings.Replace(string(good), c[0], c[1], 1)
 		if text == string(good) {
-			t.Fatalf("%s: nothing changed", name)
+			t.Fatalf("%s: the replacement did not change the configuration", name)
 		}
 		_, err := grpcbalancer.CheckConfig([]byte(text))
 		var bad config.Problems
 		if !errors.As(err, &bad) || !strings.Contains(bad[0].Error(), c[2]) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: CheckConfig did not report the mistake with its key: %v", name, err)
 		}
 		path := filepath.Join(t.TempDir(), "c.json")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := grpcbalancer.LoadOptions(path); err == nil || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), path) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: LoadOptions did not report the mistake in one line with the path: %v", name, err)
 		}
 	}
 	if _, err := grpcbalancer.LoadOptions(filepath.Join(t.TempDir(), "missing")); err == nil {
-		t.Error("a missing file is accepted")
+		t.Error("LoadOptions accepted a missing file")
 	}
 }
--- a/grpcbalancer/credentials_test.go
+++ b/grpcbalancer/credentials_test.go
@@ -17,7 +17,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// newEncryptedFleet starts nodes with a certificate of an authority and a Plugin that trusts the authority by a file, whose path it returns.
+// newEncryptedFleet starts nodes with certificates of an authority, and a ClientConn of a Plugin that trusts the authority. It returns the
+// path of the Plugin's CA file.
 func newEncryptedFleet(t *testing.T, ca *fakes.CA, identity string, log func(string), names ...string) (*fleet, *grpc.ClientConn, string) {
 	t.Helper()
 	var options []fakes.NodeOptions
@@ -46,24 +47,23 @@
 	return f, conn, trusted
 }
 
-// A certificate has to bear the identity of its endpoint; a failed handshake counts as a call that did not run. Invalid TLS options are
-// rejected.
+// A node's certificate must have the identity of its endpoint; a call whose handshake fails did not run. New rejects invalid TLS options.
 func TestEncryptedCalls(t *testing.T) {
 	ca := base.CA(t, "one")
 	for identity, want := range map[string]codes.Code{"": codes.OK, "node.example": codes.OK, "other.example": codes.Unavailable} {
 		f, conn, _ := newEncryptedFleet(t, ca, identity, nil, "node.example")
 		_, err := invoke(t.Context(), conn, confirm)
 		if status.Code(err) != want || err != nil && grpcbalancer.MayHaveRun(err) {
-			t.Errorf("%q: %v", identity, err)
+			t.Errorf("identity %q: the call has the wrong status, or may have run in spite of a failed handshake: %v", identity, err)
 		}
 		if n := f.ledger.Nodes()["node.example"].Executed; (n > 0) != (want == codes.OK) {
-			t.Errorf("%q: %d ran", identity, n)
+			t.Errorf("identity %q: %d calls ran on the node, want one exactly if the certificate has the identity", identity, n)
 		}
 	}
 	for _, bad := range []grpcbalancer.TLS{{}, {CA: "/nonexistent"}, {CA: "/nonexistent", Certificate: "/c"}} {
 		if _, err := grpcbalancer.New(grpcbalancer.Options{Settings: settings(), Endpoints: []grpcbalancer.Endpoint{{Name: "a",
 			Address: "127.0.0.1:1"}}, TLS: &bad}); err == nil {
-			t.Errorf("%+v is accepted", bad)
+			t.Errorf("New accepted the invalid TLS options %+v", bad)
 		}
 	}
 }
@@ -85,16 +85,16 @@
 		t.Fatal(err)
 	}
 	base.Replace(t, trusted, next.PEM)
-	testutil.Eventually(t, "the new authority", func() bool { return reloads.Load() > 0 })
-	testutil.Eventually(t, "no call goes by the old connection", func() bool {
+	testutil.Eventually(t, "the new authority is loaded", func() bool { return reloads.Load() > 0 })
+	testutil.Eventually(t, "no call uses the old connection", func() bool {
 		_, err := invoke(t.Context(), conn, confirm)
 		return status.Code(err) == codes.Unavailable && !grpcbalancer.MayHaveRun(err)
 	})
 	if got, err := receiveAll(running); err != nil || len(got) != 99 {
-		t.Errorf("%d messages of the stream that ran, %v", len(got), err)
+		t.Errorf("the stream that was open got %d more messages, want 99; error %v", len(got), err)
 	}
 	base.Replace(t, trusted, append(append([]byte{}, next.PEM...), ca.PEM...))
-	testutil.Eventually(t, "served again by overlap", func() bool {
+	testutil.Eventually(t, "calls are served when both authorities are trusted", func() bool {
 		_, err := invoke(t.Context(), conn, search)
 		return err == nil
 	})
--- a/grpcbalancer/determinism_test.go
+++ b/grpcbalancer/determinism_test.go
@@ -20,8 +20,9 @@
 	"orchiddrift/internal/fakes"
 )
 
-// recordTrace makes 150 calls one after another in virtual time, by a Plugin with grpc-go and nodes over connections in memory, and returns
-// who answered which call when. Nodes differ in speed; one turns slow, one refuses streams, and one freezes.
+// recordTrace makes 150 calls one after another in virtual time, with a Plugin, grpc-go, and nodes that it reaches over in-memory
+// connections. It returns the time, the answering node and the status code of each call. The nodes differ in speed; one becomes slow for a
+// time, one refuses streams, and one freezes.
 func recordTrace(t *testing.T, seed uint64) string {
 	var out strings.Builder
 	synctest.Test(t, func(t *testing.T) {
@@ -69,15 +70,15 @@
 	return out.String()
 }
 
-// Decisions depend on nothing but the seed and what happened: the same script gives the same nodes, answers and times, to the millisecond of
-// virtual time. Another seed gives others.
+// Decisions depend only on the seed and on the events: two runs with the same seed give the same nodes, answers and times, to the
+// millisecond of virtual time. Another seed gives a different trace.
 func TestSameSeedSameTrace(t *testing.T) {
 	first, second, other := recordTrace(t, 1), recordTrace(t, 1), recordTrace(t, 2)
 	if first != second {
 		a, b := strings.Split(first, "\n"), strings.Split(second, "\n")
 		for i := range a {
 			if i >= len(b) || a[i] != b[i] {
-				t.Fatalf("call %d: %q, then %q", i, a[i], b[i])
+				t.Fatalf("call %d differs between two runs with the same seed: %q, then %q", i, a[i], b[i])
 			}
 		}
 	}
--- a/grpcbalancer/drain_test.go
+++ b/grpcbalancer/drain_test.go
@@ -12,7 +12,7 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// When a node leaves the list, its calls in flight finish and no new one is sent there.
+// When a node leaves the endpoint list, its calls in flight finish, and no new call is sent to it.
 func TestDrainDuringCalls(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 300 * time.Millisecond}, fakes.NodeOptions{DefaultServiceTime: 300 * time.Millisecond})
 	conn, plugin := f.dial(t, nil)
@@ -20,11 +20,11 @@
 	for range 8 {
 		wg.Go(func() {
 			if _, err := invoke(context.Background(), conn, confirm); err != nil {
-				t.Errorf("in flight as it drained: %v", err)
+				t.Errorf("a call that was in flight when the node drained failed: %v", err)
 			}
 		})
 	}
-	testutil.Eventually(t, "both have calls in flight", func() bool { return f.nodes[0].InFlight() > 0 && f.nodes[0].InFlight()+f.nodes[1].InFlight() == 8 })
+	testutil.Eventually(t, "all calls are in flight, some at n0", func() bool { return f.nodes[0].InFlight() > 0 && f.nodes[0].InFlight()+f.nodes[1].InFlight() == 8 })
 	if err := plugin.SetEndpoints(f.endpoints[1:]); err != nil {
 		t.Fatal(err)
 	}
@@ -32,17 +32,18 @@
 	for range 20 {
 		wg.Go(func() {
 			if name, err := invoke(context.Background(), conn, confirm); err != nil || name != "n1" {
-				t.Errorf("after the drain: %q, %v", name, err)
+				t.Errorf("call after the drain: answered by %q with error %v, want n1", name, err)
 			}
 		})
 	}
 	wg.Wait()
 	if n := f.ledger.Nodes()["n0"].AfterDrain; n != 0 {
-		t.Errorf("%d came after the drain", n)
+		t.Errorf("%d requests reached n0 after its drain, want 0", n)
 	}
 }
 
-// Calls that wait for the node's stream limit are sent elsewhere once the node drains, and never there.
+// Calls that wait because a node has reached its stream limit are sent to another node once the node drains, and never to the draining
+// node.
 func TestDrainWhileStreamsWait(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 500 * time.Millisecond, MaxConcurrentStreams: 1}, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, func(o *grpcbalancer.Options) { o.Endpoints = f.endpoints[:1] })
@@ -53,8 +54,8 @@
 			ended <- fmt.Sprint(name, err)
 		}()
 	}
-	testutil.Eventually(t, "one is in flight, all are decided", func() bool { return f.nodes[0].InFlight() == 1 && plugin.InHand() == 4 })
-	time.Sleep(20 * time.Millisecond) // where the others get a moment more to wait in, it is the same test
+	testutil.Eventually(t, "one call is at n0, all are in flight", func() bool { return f.nodes[0].InFlight() == 1 && plugin.InHand() == 4 })
+	time.Sleep(20 * time.Millisecond) // gives the other calls time to wait in grpc-go; the result must be the same without it
 	if err := plugin.SetEndpoints(f.endpoints[1:]); err != nil {
 		t.Fatal(err)
 	}
@@ -64,9 +65,9 @@
 		got[<-ended]++
 	}
 	if got["n0<nil>"] != 1 || got["n1<nil>"] != 3 {
-		t.Errorf("answers %v", got)
+		t.Errorf("answers by node and error: %v, want 1 from n0 and 3 from n1", got)
 	}
 	if n := f.ledger.Nodes()["n0"]; n.Arrived != 1 || n.AfterDrain != 0 {
-		t.Errorf("the one that drains: %+v", n)
+		t.Errorf("requests to the draining node n0: %+v, want 1 arrival, before the drain", n)
 	}
 }
--- a/grpcbalancer/example_test.go
+++ b/grpcbalancer/example_test.go
@@ -15,9 +15,9 @@
 	"orchiddrift/internal/fakes"
 )
 
-// A client whose calls are balanced over a list that is given in Go. LoadOptions reads the same from a file.
+// This client balances its calls over an endpoint list that is given in Go. LoadOptions reads the same options from a file.
 func Example() {
-	// A fake booking node; in production, the list comes from discovery.
+	// Starts a fake booking node. In production, the endpoint list comes from discovery.
 	node := fakes.NewNode(fakes.NodeOptions{Name: "s-1", Answer: func(fakes.Job) []byte {
 		seat, _ := proto.Marshal(wrapperspb.String("coach 4, seat 17"))
 		return seat
--- a/grpcbalancer/fleet_test.go
+++ b/grpcbalancer/fleet_test.go
@@ -23,14 +23,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// The methods of the test's service, by the idempotency level in its descriptor.
+// Methods of the test service, with the idempotency level in its descriptor.
 const (
 	search  = "/booking.Seats/Search"  // NO_SIDE_EFFECTS
 	record  = "/booking.Seats/Record"  // IDEMPOTENT
-	confirm = "/booking.Seats/Confirm" // unknown
+	confirm = "/booking.Seats/Confirm" // IDEMPOTENCY_UNKNOWN
 )
 
-// files returns the descriptors of the test's service.
+// files returns the descriptors of the test service.
 func files(t testing.TB) *protoregistry.Files {
 	t.Helper()
 	method := func(name string, level descriptorpb.MethodOptions_IdempotencyLevel) *descriptorpb.MethodDescriptorProto {
@@ -55,8 +55,8 @@
 // settings returns settings with one class of each idempotency.
 func settings() balancer.Settings {
 	class := func(name string, idempotency balancer.Idempotency) balancer.Class {
-		return balancer.Class{Name: name, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, LateValueFraction: 0.5, Idempotency: idempotency,
-			DedupScope: balancer.ScopeAll, DedupWindow: 6 * time.Second}
+		return balancer.Class{Name: name, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, LateValueFraction: 0.5,
+			Idempotency: idempotency, DedupScope: balancer.ScopeAll, DedupWindow: 6 * time.Second}
 	}
 	return balancer.Settings{Zone: "a", Classes: []balancer.Class{class("search", balancer.Idempotent),
 		class("record", balancer.IdempotentWithKey), class("confirm", balancer.NonIdempotent)}, Tick: 5 * time.Millisecond, MaxAttempts: 5,
@@ -71,7 +71,7 @@
 	endpoints []grpcbalancer.Endpoint
 }
 
-// newFleet starts a node for each of options, which it completes. Nodes answer with their names.
+// newFleet starts a node for each of options, and sets the options that the nodes have in common. Each node answers with its name.
 func newFleet(t testing.TB, options ...fakes.NodeOptions) *fleet {
 	t.Helper()
 	f := &fleet{ledger: fakes.NewLedger()}
--- a/grpcbalancer/idempotency_test.go
+++ b/grpcbalancer/idempotency_test.go
@@ -17,9 +17,9 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// A repeated call with the caller's idempotency key gets the first one's answer: while the first runs, after it, and also if the first
-// caller has left. Another call under the key is rejected as a conflict, and calls without a key of their own are all sent. Two Plugins
-// that share a store behave as one.
+// A repeated call with the caller's idempotency key gets the answer of the first call: while the first call runs, after it has ended, and
+// also if its caller has left. A different request with the same key is rejected as a conflict, and calls without a caller's key are all
+// sent. Two Plugins that share a store behave like one.
 func TestRepeatedIdempotencyKey(t *testing.T) {
 	t.Run("one plug-in", func(t *testing.T) { testRepeatedIdempotencyKey(t, newKeyedCalls(t, 1, "")) })
 	t.Run("two plug-ins with a shared store", func(t *testing.T) {
@@ -34,7 +34,7 @@
 	calls.awaitArrival(t)
 	leave()
 	if result := <-calls.results; status.Code(result.err) != codes.Canceled {
-		t.Errorf("the caller that left: %v", result.err)
+		t.Errorf("call whose caller left: got %v, want CANCELED", result.err)
 	}
 	calls.start(t.Context(), "k")
 	calls.start(t.Context(), "k")
@@ -43,16 +43,16 @@
 	calls.start(t.Context(), "k")
 	for range 2 {
 		if result := <-calls.results; result != first || result.err != nil || result.node == "" {
-			t.Errorf("%v, and then %v", first, result)
+			t.Errorf("the first call got %v and a repeated call got %v, want the same answer", first, result)
 		}
 	}
 	other := metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.IdempotencyKey, "k")
 	err := calls.conns[0].Invoke(other, record, wrapperspb.String("another seat"), &wrapperspb.StringValue{})
 	if status.Code(err) != codes.InvalidArgument {
-		t.Errorf("another call under the key: %v", err)
+		t.Errorf("different request with the same key: got %v, want INVALID_ARGUMENT", err)
 	}
 	if len(calls.arrived) > 0 {
-		t.Error("a repeated call was sent")
+		t.Error("a repeated call was sent to a node")
 	}
 	calls.start(t.Context(), "")
 	calls.start(t.Context(), "")
@@ -74,7 +74,7 @@
 	results chan keyedResult
 }
 
-// keyedResult is what a caller got.
+// keyedResult is the answering node's name and the error that a caller got.
 type keyedResult struct {
 	node string
 	err  error
--- a/grpcbalancer/methods_test.go
+++ b/grpcbalancer/methods_test.go
@@ -8,12 +8,12 @@
 	"orchiddrift/internal/fakes"
 )
 
-// The mapping of a method comes before its descriptor, and a method of which nothing is known is not retried.
+// The mapping of a method takes precedence over its descriptor, and calls of an unknown method are not retried.
 func TestMethodsMapToClasses(t *testing.T) {
 	for _, c := range []struct {
 		method  string
 		mapping map[string]string
-		classes []balancer.Class // absent: all
+		classes []balancer.Class // nil: the classes of settings
 		retried bool
 	}{
 		{search, nil, nil, true},
@@ -32,10 +32,10 @@
 				o.Settings.Classes = c.classes
 			}
 		})
-		_, _ = invoke(t.Context(), conn, c.method) // fails, after one send or more
+		_, _ = invoke(t.Context(), conn, c.method) // fails after one attempt or more
 		n := f.ledger.Nodes()
 		if retried := n["n0"].Executed+n["n1"].Executed > 1; retried != c.retried {
-			t.Errorf("%s with %v: sent again is %v", c.method, c.mapping, retried)
+			t.Errorf("%s with the mapping %v: retried is %v, want the opposite", c.method, c.mapping, retried)
 		}
 	}
 }
--- a/grpcbalancer/options_test.go
+++ b/grpcbalancer/options_test.go
@@ -7,7 +7,7 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Invalid options fail in New and not when calls are made.
+// New rejects invalid options, so that they do not fail later when calls are made.
 func TestOptions(t *testing.T) {
 	good := grpcbalancer.Options{Settings: settings(), Endpoints: []grpcbalancer.Endpoint{{Name: "a", Address: "127.0.0.1:1"}}}
 	for want, change := range map[string]func(*grpcbalancer.Options){
@@ -23,10 +23,10 @@
 		o := good
 		change(&o)
 		if p, err := grpcbalancer.New(o); err == nil {
-			t.Errorf("%s: accepted", want)
+			t.Errorf("New accepted invalid options; want an error with the text %s", want)
 			p.Close()
 		} else if !contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("New: want an error with the text %s, got %v", want, err)
 		}
 	}
 	watching := good
@@ -37,7 +37,7 @@
 	}
 	defer w.Close()
 	if err := w.SetEndpoints(good.Endpoints); err == nil {
-		t.Error("a list is accepted beside discovery's")
+		t.Error("SetEndpoints accepted a list although the list comes from Discovery")
 	}
 	p, err := grpcbalancer.New(good)
 	if err != nil {
@@ -45,22 +45,22 @@
 	}
 	defer p.Close()
 	if err := p.SetEndpoints([]grpcbalancer.Endpoint{{Name: "a", Address: "127.0.0.1:1"}, {Name: "a", Address: "127.0.0.1:2"}}); err == nil {
-		t.Error("a list with two of a name is accepted")
+		t.Error("SetEndpoints accepted a list in which two endpoints have the same name")
 	}
 }
 
-// An invalid section [[door]] fails in New.
+// New rejects an operator's file with an invalid section [[door]].
 func TestInvalidAdmissionOptions(t *testing.T) {
 	for name, text := range map[string]string{
-		"none of this service": "[[door]]\nservice = \"other\"\n",
-		"by the peer":          "[[door]]\nservice = \"service\"\nby = [\"address\"]\n",
-		"no such source":       "[[door]]\nservice = \"service\"\nby = [\"shop\"]\n",
+		"another service":       "[[door]]\nservice = \"other\"\n",
+		"by the peer's address": "[[door]]\nservice = \"service\"\nby = [\"address\"]\n",
+		"unknown source":        "[[door]]\nservice = \"service\"\nby = [\"shop\"]\n",
 	} {
 		o := grpcbalancer.Options{Settings: settings(), Seed: 7, Endpoints: []grpcbalancer.Endpoint{{Name: "a", Address: "127.0.0.1:1"}},
 			Files: files(t), File: base.File(t, "o.toml", []byte(text))}
 		if p, err := grpcbalancer.New(o); err == nil {
 			p.Close()
-			t.Errorf("%s: accepted", name)
+			t.Errorf("New accepted an invalid section [[door]]: %s", name)
 		}
 	}
 }
--- a/grpcbalancer/prewarm_test.go
+++ b/grpcbalancer/prewarm_test.go
@@ -14,7 +14,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// With [service.warm], upstreams that no call was sent to are connected to as well, and so is a restarted one.
+// With [service.warm], the Plugin also connects to upstreams that no call has been sent to, and connects again to an upstream that
+// restarted.
 func TestPrewarming(t *testing.T) {
 	f := newFleet(t, make([]fakes.NodeOptions, 6)...)
 	proxies := make([]*countingProxy, len(f.endpoints))
@@ -28,16 +29,16 @@
 		t.Fatal(err)
 	}
 	for i, c := range proxies {
-		base.Eventually(t, fmt.Sprint("a connection to ", i), func() bool { return c.open.Load() == 1 })
+		base.Eventually(t, fmt.Sprint("one connection is open to node ", i), func() bool { return c.open.Load() == 1 })
 	}
 	f.endpoints[0].Since = time.Now()
 	if err := p.SetEndpoints(f.endpoints); err != nil {
 		t.Fatal(err)
 	}
-	base.Eventually(t, "one to the new process", func() bool { return proxies[0].made.Load() == 2 && proxies[0].open.Load() == 1 })
+	base.Eventually(t, "node 0 has only a new connection", func() bool { return proxies[0].made.Load() == 2 && proxies[0].open.Load() == 1 })
 	for i, c := range proxies[1:] {
 		if n := c.made.Load(); n != 1 {
-			t.Errorf("%d connections were made to %d", n, i+1)
+			t.Errorf("%d connections were made to node %d, want 1", n, i+1)
 		}
 	}
 }
@@ -72,7 +73,7 @@
 			c.made.Add(1)
 			c.open.Add(1)
 			end := sync.OnceFunc(func() { in.Close(); out.Close(); c.open.Add(-1) })
-			wg.Go(func() { _, _ = io.Copy(in, out); end() }) // both end with either
+			wg.Go(func() { _, _ = io.Copy(in, out); end() }) // when one direction ends, both connections are closed
 			wg.Go(func() { _, _ = io.Copy(out, in); end() })
 		}
 	})
--- a/grpcbalancer/sources_test.go
+++ b/grpcbalancer/sources_test.go
@@ -24,8 +24,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Registries list upstreams beside the Plugin's own list: no call reaches a node later than the drain grace after a registry reported it out
-// of service, and the registry's status outweighs the list's.
+// Registries list upstreams in addition to the Plugin's own list. No call reaches a node later than the drain grace after a registry has
+// reported it out of service, and the registry's status takes precedence over the list's.
 func TestRegistriesBesideTheList(t *testing.T) {
 	registry := base.Eureka(t, fakes.EurekaOptions{})
 	names := []string{"n0", "n1", "n2", "n3", "n4"}
@@ -34,17 +34,17 @@
 	conn, p := f.dial(t, func(o *grpcbalancer.Options) {
 		o.File, o.Endpoints = registryFile(t, registry), f.endpoints[:1]
 	})
-	base.Eventually(t, "all serve", func() bool { return len(answeringNodes(t, conn, 250)) == len(names) })
+	base.Eventually(t, "all nodes answer calls", func() bool { return len(answeringNodes(t, conn, 250)) == len(names) })
 
 	served := flipUnderLoad(t, conn, flipper, 500)
 	if flips, last, wrong := flipper.Result(); len(wrong) > 0 || len(last) < 20 || served < 500 {
-		t.Errorf("%d flips, %d served, %d flips seen, late: %v", flips, served, len(last), wrong)
+		t.Errorf("%d flips, %d calls served, %d flips with calls after them; calls later than the drain grace: %v", flips, served, len(last), wrong)
 	}
 
 	for _, name := range names {
 		registry.Override("SEATS", name, "OUT_OF_SERVICE")
 	}
-	base.Eventually(t, "none takes calls", func() bool {
+	base.Eventually(t, "no node answers calls", func() bool {
 		short, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
 		_, err := invoke(short, conn, search)
@@ -55,20 +55,20 @@
 		t.Fatal(err)
 	}
 	if _, err := invoke(t.Context(), conn, search); err == nil {
-		t.Error("the list's status outweighs the registry's out of service")
+		t.Error("a call was served by an upstream that the registry reports out of service")
 	}
 }
 
-// A file that is missing is a mistake in the configuration.
+// CheckConfig reports a missing operator's file as a mistake in the configuration.
 func TestCheckConfigReportsMissingFile(t *testing.T) {
 	var problems config.Problems
 	_, err := grpcbalancer.CheckConfig([]byte(`{"grpc": {"file": "/nowhere"}}`))
 	if !errors.As(err, &problems) || !slices.ContainsFunc(problems, func(p config.Problem) bool { return p.Key == "grpc.file" }) {
-		t.Errorf("%v", err)
+		t.Errorf("missing operator's file: want a problem with the key grpc.file, got %v", err)
 	}
 }
 
-// newRegisteredFleet starts nodes that are listed in a registry and report arriving requests to the flipper.
+// newRegisteredFleet starts nodes that are listed in a registry and report their requests to the flipper.
 func newRegisteredFleet(t *testing.T, registry *fakes.Eureka, flipper *fakes.Flipper, names []string) *fleet {
 	t.Helper()
 	options := make([]fakes.NodeOptions, len(names))
@@ -111,7 +111,7 @@
 }
 
 // flipUnderLoad flips the nodes' status in the registry while four callers make calls, and returns how many calls were served. Calls may be
-// rejected, but not fail.
+// rejected, but must not fail.
 func flipUnderLoad(t *testing.T, conn *grpc.ClientConn, flipper *fakes.Flipper, flips int) int64 {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
--- a/grpcbalancer/stream_test.go
+++ b/grpcbalancer/stream_test.go
@@ -23,7 +23,7 @@
 var bidiStream = &grpc.StreamDesc{StreamName: "Search", ServerStreams: true, ClientStreams: true}
 var clientStream = &grpc.StreamDesc{StreamName: "Search", ClientStreams: true}
 
-// openServerStream starts a server stream whose response has a number of messages, sent with a gap between them.
+// openServerStream starts a server stream whose response has the given number of messages, sent with a gap between them.
 func openServerStream(t *testing.T, ctx context.Context, conn *grpc.ClientConn, method string, messages int, gap time.Duration) grpc.ClientStream {
 	t.Helper()
 	ctx = metadata.AppendToOutgoingContext(ctx, fakes.MessagesKey, fmt.Sprint(messages), fakes.GapKey, fmt.Sprint(gap.Microseconds()))
@@ -53,7 +53,7 @@
 	}
 }
 
-// No message of a server stream is lost, doubled or from another attempt.
+// No message of a server stream is lost, duplicated or from another attempt.
 func TestServerStream(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, nil)
@@ -61,24 +61,24 @@
 		s := openServerStream(t, t.Context(), conn, search, messages, 0)
 		if messages == 200 {
 			if h, err := s.Header(); err != nil || len(h["content-type"]) != 1 {
-				t.Errorf("header %v, %v", h, err)
+				t.Errorf("server stream: got header %v, error %v", h, err)
 			}
 		}
 		got, err := receiveAll(s)
 		if err != nil || len(got) != messages {
-			t.Errorf("%d messages: got %d, %v", messages, len(got), err)
+			t.Errorf("server stream with %d messages: got %d, error %v", messages, len(got), err)
 		}
 		for _, name := range got {
 			if name != got[0] {
-				t.Errorf("messages of %s and %s in one stream", got[0], name)
+				t.Errorf("one stream has messages from the nodes %s and %s", got[0], name)
 			}
 		}
 		if err := s.RecvMsg(&wrapperspb.StringValue{}); messages == 0 && !errors.Is(err, io.EOF) {
-			t.Errorf("after the end: %v", err)
+			t.Errorf("RecvMsg after the end of the stream: got %v, want io.EOF", err)
 		}
 	}
 	if n := plugin.InHand(); n != 0 {
-		t.Errorf("%d calls are in flight", n)
+		t.Errorf("%d calls are in flight after all streams ended, want 0", n)
 	}
 }
 
@@ -90,11 +90,11 @@
 	for range 20 {
 		got, err := receiveAll(openServerStream(t, t.Context(), conn, search, 3, 0))
 		if err != nil || len(got) != 3 || got[0] != "good" {
-			t.Errorf("%v, %v", got, err)
+			t.Errorf("got messages %v and error %v, want 3 messages from the node good", got, err)
 		}
 	}
 	if f.ledger.Nodes()["bad"].Arrived == 0 {
-		t.Error("the bad one was never tried")
+		t.Error("no attempt reached the node bad, so nothing was retried")
 	}
 
 	broken := fakes.NodeOptions{Faults: []fakes.Fault{{Kind: fakes.ResetAfter, Class: search[1:] + "/message"}}}
@@ -102,24 +102,24 @@
 	conn, plugin := f.dial(t, nil)
 	got, err := receiveAll(openServerStream(t, t.Context(), conn, search, 10, time.Millisecond))
 	if err == nil || len(got) == 0 || len(got) >= 10 || !grpcbalancer.MayHaveRun(err) || status.Code(err) == codes.Unavailable {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("stream that broke after its first message: got messages %v and error %v", got, err)
 	}
 	if n := f.ledger.Nodes(); n["n0"].Arrived+n["n1"].Arrived != 1 {
-		t.Errorf("sent %+v", n)
+		t.Errorf("the stream was not sent exactly once; requests by node: %+v", n)
 	}
 	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 }
 
-// A non-idempotent server stream is not sent twice, even before its first message.
+// A non-idempotent server stream is not retried, even before its first message.
 func TestNonIdempotentServerStreamIsNotRetried(t *testing.T) {
 	f := newFleet(t, withFault(fakes.ResetAfter), withFault(fakes.ResetAfter))
 	conn, _ := f.dial(t, nil)
 	_, err := receiveAll(openServerStream(t, t.Context(), conn, confirm, 3, 0))
 	if err == nil || !grpcbalancer.MayHaveRun(err) {
-		t.Errorf("%v", err)
+		t.Errorf("broken server stream: got %v, want an error of a call that may have run", err)
 	}
 	if n := f.ledger.Nodes(); n["n0"].Arrived+n["n1"].Arrived != 1 {
-		t.Errorf("sent %+v", n)
+		t.Errorf("the stream was not sent exactly once; requests by node: %+v", n)
 	}
 }
 
@@ -131,7 +131,7 @@
 	})
 	got, err := receiveAll(openServerStream(t, t.Context(), conn, search, 8, 100*time.Millisecond))
 	if err != nil || len(got) != 8 {
-		t.Errorf("beyond the class's deadline: %d messages, %v", len(got), err)
+		t.Errorf("stream longer than its class's deadline: got %d messages, want 8; error %v", len(got), err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	s := openServerStream(t, ctx, conn, search, 1000, 50*time.Millisecond)
@@ -140,15 +140,15 @@
 	}
 	cancel()
 	if _, err := receiveAll(s); status.Code(err) != codes.Canceled {
-		t.Errorf("after its caller left: %v", err)
+		t.Errorf("stream after its caller left: got %v, want CANCELED", err)
 	}
-	testutil.Eventually(t, "the node sees it end", func() bool { return f.nodes[0].InFlight() == 0 })
+	testutil.Eventually(t, "the stream ends at the node", func() bool { return f.nodes[0].InFlight() == 0 })
 	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 
 	ctx, cancel = context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	if _, err := receiveAll(openServerStream(t, ctx, conn, search, 1000, 20*time.Millisecond)); status.Code(err) != codes.DeadlineExceeded {
-		t.Errorf("after its caller's deadline: %v", err)
+		t.Errorf("stream after its caller's deadline: got %v, want DEADLINE_EXCEEDED", err)
 	}
 	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 }
@@ -168,14 +168,14 @@
 		}
 		m := &wrapperspb.StringValue{}
 		if err := s.RecvMsg(m); err != nil || m.GetValue() != fmt.Sprint(i) {
-			t.Fatalf("echo %q, %v", m.GetValue(), err)
+			t.Fatalf("echoed message: got %q, error %v", m.GetValue(), err)
 		}
 	}
 	if err := s.CloseSend(); err != nil {
 		t.Fatal(err)
 	}
 	if rest, err := receiveAll(s); err != nil || len(rest) != 0 {
-		t.Errorf("%v, %v", rest, err)
+		t.Errorf("after CloseSend: got messages %v, error %v, want none", rest, err)
 	}
 
 	if s, err = conn.NewStream(ctx, clientStream, search); err != nil {
@@ -189,12 +189,12 @@
 	}
 	m := &wrapperspb.StringValue{}
 	if err := s.RecvMsg(m); err != nil || m.GetValue() != "one" {
-		t.Errorf("answer %q, %v", m.GetValue(), err)
+		t.Errorf("answer of the client stream: got %q, error %v", m.GetValue(), err)
 	}
 	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 }
 
-// An open client stream is not retried after it broke, even of an idempotent class: messages were sent on it.
+// A client stream that breaks when it is open is not retried, even if its class is idempotent: messages were sent on it.
 func TestClientStreamIsNeverRetried(t *testing.T) {
 	f := newFleet(t, withFault(fakes.ResetAfter), withFault(fakes.ResetAfter))
 	conn, plugin := f.dial(t, nil)
@@ -203,21 +203,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 100 { // fewer than fill a window: a sender would wait for one that breaks in the meantime
+	for range 100 { // too few to fill the flow-control window; SendMsg blocks on a full window
 		if s.SendMsg(wrapperspb.String("x")) != nil {
 			break
 		}
 	}
 	if _, err := receiveAll(s); err == nil || !grpcbalancer.MayHaveRun(err) {
-		t.Errorf("%v", err)
+		t.Errorf("broken client stream: got %v, want an error of a call that may have run", err)
 	}
 	if n := f.ledger.Nodes(); n["n0"].Executed+n["n1"].Executed != 1 {
-		t.Errorf("ran %+v", n)
+		t.Errorf("the stream did not run exactly once; requests by node: %+v", n)
 	}
 	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 }
 
-// The opening of a client stream is retried on another node if its connection was refused: nothing was sent.
+// The opening of a client stream is retried on another node if the connection is refused, since nothing was sent.
 func TestClientStreamIsOpenedElsewhere(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{Name: "dead"}, fakes.NodeOptions{Name: "alive"})
 	f.nodes[0].Kill()
@@ -232,7 +232,7 @@
 			t.Fatal(err)
 		}
 		if _, err := receiveAll(s); err != nil {
-			t.Errorf("%v", err)
+			t.Errorf("stream with a dead node in the list: %v", err)
 		}
 	}
 }
--- a/grpcbalancer/subset_test.go
+++ b/grpcbalancer/subset_test.go
@@ -8,7 +8,7 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// With [service.subset], calls go to a subset of the endpoints alone, also after another list was set.
+// With [service.subset], calls go only to a subset of the endpoints, also after another list is set.
 func TestSubset(t *testing.T) {
 	options := make([]fakes.NodeOptions, 24)
 	f := newFleet(t, options...)
@@ -27,7 +27,7 @@
 	}
 	first := callNodes()
 	if len(first) < 2 || len(first) > 4 {
-		t.Errorf("%d nodes got calls", len(first))
+		t.Errorf("%d nodes got calls, want 2 to 4", len(first))
 	}
 	rest := f.endpoints[:0:0]
 	for _, e := range f.endpoints {
@@ -41,10 +41,10 @@
 	second := callNodes()
 	for name := range second {
 		if first[name] {
-			t.Errorf("%s gets calls, and is not listed", name)
+			t.Errorf("node %s gets calls although it is no longer listed", name)
 		}
 	}
 	if len(second) < 2 || len(second) > 4 {
-		t.Errorf("%d nodes of another list got calls", len(second))
+		t.Errorf("%d nodes of the second list got calls, want 2 to 4", len(second))
 	}
 }
--- a/grpcbalancer/unary_test.go
+++ b/grpcbalancer/unary_test.go
@@ -26,16 +26,16 @@
 	return fakes.NodeOptions{Faults: []fakes.Fault{{Kind: kind, Factor: 1}}}
 }
 
-// For each way in which an attempt ends: the status of the caller, whether it claims that the call did not run, and how often calls are sent.
-// Every node has the same fault, so that no retry helps.
+// For each way in which an attempt fails, the test checks the caller's status, whether it states that the call did not run, and how often
+// calls are sent. Every node has the same fault, so that no retry succeeds.
 func TestResultByEndOfAttempt(t *testing.T) {
 	const refused, failed = codes.Unavailable, codes.Unknown
 	for _, c := range []struct {
 		name                                     string
 		kind                                     fakes.FaultKind
-		nonIdempotent                            codes.Code // of a call that must not run twice
+		nonIdempotent                            codes.Code // of a call of a non-idempotent method
 		nonIdempotentAttempts, nonIdempotentRuns int
-		minIdempotentAttempts                    int // at least
+		minIdempotentAttempts                    int // of a call of an idempotent method
 	}{
 		{"rejected with the trailer", fakes.Reject, refused, 5, 0, 5},
 		{"REFUSED_STREAM", fakes.RefuseStream, refused, 5, 0, 5},
@@ -53,34 +53,34 @@
 			ctx := metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.RequestIDKey, "op-non-idempotent")
 			_, err := invoke(ctx, conn, confirm)
 			if got := status.Code(err); got != c.nonIdempotent {
-				t.Errorf("non-idempotent: %v, want %v", err, c.nonIdempotent)
+				t.Errorf("non-idempotent call: got %v, want the code %v", err, c.nonIdempotent)
 			}
 			if mayHaveRun := grpcbalancer.MayHaveRun(err); mayHaveRun != (c.nonIdempotent != refused) {
-				t.Errorf("non-idempotent: may have run is %v: %v", mayHaveRun, err)
+				t.Errorf("non-idempotent call: MayHaveRun is %v for the error %v", mayHaveRun, err)
 			}
 			arrived := 0
 			for _, n := range f.ledger.Nodes() {
 				arrived += n.Arrived
 			}
 			if runs := len(f.ledger.Operation("op-non-idempotent").Executions); arrived != c.nonIdempotentAttempts || runs != c.nonIdempotentRuns {
-				t.Errorf("non-idempotent: arrived %d times, ran %d", arrived, runs)
+				t.Errorf("non-idempotent call: arrived %d times and ran %d times", arrived, runs)
 			}
 			if _, err = invoke(t.Context(), conn, search); err == nil {
-				t.Error("idempotent: served")
+				t.Error("idempotent call: served although every node has the fault")
 			}
 			after := 0
 			for _, n := range f.ledger.Nodes() {
 				after += n.Arrived
 			}
 			if after-arrived < c.minIdempotentAttempts {
-				t.Errorf("idempotent: sent %d times, %v", after-arrived, err)
+				t.Errorf("idempotent call: sent only %d times, error %v", after-arrived, err)
 			}
 			testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 		})
 	}
 }
 
-// A rejected call has a Retry-After and the reason that proves that it did not run.
+// The error of a rejected call has a Retry-After and the reason that states that the call did not run.
 func TestRejectionCarriesRetryInfo(t *testing.T) {
 	conn, _ := newFleet(t, withFault(fakes.Reject)).dial(t, nil)
 	_, err := invoke(t.Context(), conn, confirm)
@@ -95,27 +95,27 @@
 		}
 	}
 	if status.Code(err) != codes.Unavailable || retry <= 0 || reason != grpcbalancer.ReasonRefused || attempts != "5" {
-		t.Errorf("%v: retry in %v, reason %q, sends %q", err, retry, reason, attempts)
+		t.Errorf("rejected call: got error %v with Retry-After %v, reason %q and %q attempts", err, retry, reason, attempts)
 	}
 }
 
-// A refused connection does not count as a call that may have run: a non-idempotent call is sent elsewhere.
+// A call whose connection is refused did not run: even a non-idempotent call is retried on another node.
 func TestRefusedConnectionIsRetriedElsewhere(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{})
 	f.endpoints = append(f.endpoints, grpcbalancer.Endpoint{Name: "dead", Address: base.FreeAddress(t), Zone: "a"})
 	conn, _ := f.dial(t, nil)
 	for range 20 {
 		if name, err := invoke(t.Context(), conn, confirm); err != nil || name != "n0" {
-			t.Errorf("%q, %v", name, err)
+			t.Errorf("call answered by %q with error %v, want n0", name, err)
 		}
 	}
 	if n := f.ledger.Nodes()["n0"].Executed; n != 20 {
-		t.Errorf("ran %d times", n)
+		t.Errorf("node n0 ran %d calls, want 20", n)
 	}
 }
 
-// The connect timeout is the settings', not grpc-go's: an upstream that accepts connections and never answers the handshake costs that
-// long, and then the call goes elsewhere, since it was never sent.
+// The connect timeout of the settings applies, not grpc-go's. If an upstream accepts connections and never answers the handshake, the call
+// is retried on another node after this timeout, since it was never sent.
 func TestConnectTimeoutOfSilentUpstream(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -128,21 +128,21 @@
 	for range 10 {
 		begun := time.Now()
 		if name, err := invoke(t.Context(), conn, confirm); err != nil || name != "n0" || time.Since(begun) > 3*time.Second {
-			t.Errorf("%q, %v after %v", name, err, time.Since(begun))
+			t.Errorf("call answered by %q with error %v after %v, want n0 within 3 s", name, err, time.Since(begun))
 		}
 	}
 }
 
-// The connect timer ends with the connection: the first call on a connection may take longer than the connect timeout.
+// The connect timer stops when the connection is ready: the first call on a connection may take longer than the connect timeout.
 func TestConnectTimeoutDoesNotBoundAnswers(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 600 * time.Millisecond})
 	conn, _ := f.dial(t, func(o *grpcbalancer.Options) { o.Settings.ConnectTimeout = 200 * time.Millisecond })
 	if name, err := invoke(t.Context(), conn, confirm); err != nil || name != "n0" {
-		t.Errorf("%q, %v", name, err)
+		t.Errorf("call longer than the connect timeout: answered by %q with error %v, want n0", name, err)
 	}
 }
 
-// Statuses of the application are the caller's answer and not retried.
+// A status of the application is the caller's answer and is not retried.
 func TestApplicationStatusIsTheAnswer(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, _ := f.dial(t, nil)
@@ -150,15 +150,15 @@
 	for _, method := range []string{search, record, confirm} {
 		_, err := invoke(ctx, conn, method)
 		if status.Code(err) != codes.NotFound || status.Convert(err).Message() != "said by the application" {
-			t.Errorf("%s: %v", method, err)
+			t.Errorf("%s: got %v, want the application's status NOT_FOUND", method, err)
 		}
 	}
 	if n := f.ledger.Nodes(); n["n0"].Executed+n["n1"].Executed != 3 {
-		t.Errorf("ran %+v", n)
+		t.Errorf("the calls did not run exactly 3 times; requests by node: %+v", n)
 	}
 }
 
-// The caller's own cancellation and deadline keep their codes, and its call ends with them.
+// A call ends with its caller's cancellation or deadline, and with the corresponding code.
 func TestCallersContextKeepsItsCode(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(context.Context) (context.Context, context.CancelFunc)
@@ -179,19 +179,19 @@
 			ctx, cancel := c.end(t.Context())
 			begun := time.Now()
 			if _, err := invoke(ctx, conn, method); status.Code(err) != c.want {
-				t.Errorf("%s %s: %v", name, method, err)
+				t.Errorf("caller's context ends by %s, method %s: wrong code: %v", name, method, err)
 			}
 			if took := time.Since(begun); took > 2*time.Second {
-				t.Errorf("%s %s: took %v", name, method, took)
+				t.Errorf("caller's context ends by %s, method %s: the call took %v", name, method, took)
 			}
 			cancel()
 			testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
-			testutil.Eventually(t, "the nodes see it end", func() bool { return f.nodes[0].InFlight()+f.nodes[1].InFlight() == 0 })
+			testutil.Eventually(t, "the call ends at the nodes", func() bool { return f.nodes[0].InFlight()+f.nodes[1].InFlight() == 0 })
 		}
 	}
 }
 
-// A call without a deadline ends at its class's.
+// A call without a deadline of its own ends at the deadline of its class.
 func TestClassDeadlineBoundsCallWithoutDeadline(t *testing.T) {
 	conn, _ := newFleet(t, withFault(fakes.Hang)).dial(t, func(o *grpcbalancer.Options) {
 		o.Settings.Classes[2].LatencyObjective, o.Settings.Classes[2].Deadline = 300*time.Millisecond, 300*time.Millisecond
@@ -199,11 +199,11 @@
 	begun := time.Now()
 	_, err := invoke(context.Background(), conn, confirm)
 	if took := time.Since(begun); err == nil || !grpcbalancer.MayHaveRun(err) || took > 3*time.Second {
-		t.Errorf("%v after %v", err, took)
+		t.Errorf("call without a deadline: got error %v after %v, want an error of a call that may have run within 3 s", err, took)
 	}
 }
 
-// Header, Trailer, Peer and OnFinish work, once for each call.
+// The call options Header, Trailer and Peer are filled in, and OnFinish is called once for each call.
 func TestCallOptions(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{})
 	conn, _ := f.dial(t, nil)
@@ -215,7 +215,7 @@
 		t.Fatal(err)
 	}
 	if len(header["content-type"]) != 1 || trailer == nil || from.Addr == nil || from.Addr.String() != f.endpoints[0].Address || finished != 1 {
-		t.Errorf("header %v, trailer %v, peer %v, finished %d times", header, trailer, from, finished)
+		t.Errorf("call options: header %v, trailer %v, peer %v, OnFinish called %d times", header, trailer, from, finished)
 	}
 }
 
@@ -229,12 +229,12 @@
 		_, err := invoke(ctx, conn, confirm)
 		ended <- err
 	}()
-	testutil.Eventually(t, "the first is at its node", func() bool { return f.nodes[0].InFlight() == 1 })
+	testutil.Eventually(t, "the first call is at its node", func() bool { return f.nodes[0].InFlight() == 1 })
 	if _, err := invoke(ctx, conn, confirm); status.Code(err) != codes.AlreadyExists {
-		t.Errorf("the second: %v", err)
+		t.Errorf("second call with the same request id: got %v, want ALREADY_EXISTS", err)
 	}
 	if err := <-ended; err != nil {
-		t.Errorf("the first: %v", err)
+		t.Errorf("first call with the request id: %v", err)
 	}
 }
 
@@ -250,7 +250,7 @@
 	for i := range 20 {
 		wg.Go(func() {
 			ctx := metadata.AppendToOutgoingContext(context.Background(), grpcbalancer.RequestIDKey, fmt.Sprint("r", i))
-			_, _ = invoke(ctx, conn, record) // some fail: their answers are lost
+			_, _ = invoke(ctx, conn, record) // some calls fail because their answers are lost
 		})
 	}
 	wg.Wait()
@@ -261,16 +261,16 @@
 			continue
 		}
 		if other, ok := keys[op.Key]; ok || op.Key == "" {
-			t.Errorf("%s and %s have the key %q", op.ID, other, op.Key)
+			t.Errorf("the calls %s and %s have the idempotency key %q, want different keys that are not empty", op.ID, other, op.Key)
 		}
 		keys[op.Key] = op.ID
 	}
 	if len(keys) == 0 {
-		t.Error("nothing ran")
+		t.Error("no call ran")
 	}
 }
 
-// One engine serves any number of ClientConns: what one learns of a slow node, the others know.
+// All ClientConns of a Plugin share one engine and its estimates: each of them avoids a node that is slow.
 func TestClientConnsShareEstimates(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 150 * time.Millisecond}, fakes.NodeOptions{DefaultServiceTime: time.Millisecond})
 	_, plugin := f.dial(t, nil)
@@ -287,21 +287,21 @@
 	}
 	wg.Wait()
 	if slow := f.ledger.Nodes()["n0"].Executed; slow > 320/4 {
-		t.Errorf("the slow one got %d of 320", slow)
+		t.Errorf("the slow node got %d of 320 calls, want at most 80", slow)
 	}
 }
 
-// UNAVAILABLE does not prove that a call did not run, whoever sends it: a non-idempotent call that gets it is not retried, and its caller
-// gets another code, since clients retry on UNAVAILABLE.
+// UNAVAILABLE does not prove that a call did not run, even if the upstream returns it. A non-idempotent call that gets it is not retried,
+// and its caller gets another code, since clients retry on UNAVAILABLE.
 func TestUnavailableAloneProvesNothing(t *testing.T) {
 	f := newFleet(t, fakes.NodeOptions{}, fakes.NodeOptions{})
 	conn, _ := f.dial(t, nil)
 	ctx := metadata.AppendToOutgoingContext(t.Context(), fakes.StatusKey, fmt.Sprint(uint32(codes.Unavailable)))
 	_, err := invoke(ctx, conn, confirm)
 	if status.Code(err) != codes.Unknown || !grpcbalancer.MayHaveRun(err) {
-		t.Errorf("%v", err)
+		t.Errorf("call with the answer UNAVAILABLE: got %v, want UNKNOWN for a call that may have run", err)
 	}
 	if n := f.ledger.Nodes(); n["n0"].Executed+n["n1"].Executed != 1 {
-		t.Errorf("ran %+v", n)
+		t.Errorf("the call did not run exactly once; requests by node: %+v", n)
 	}
 }
