--- a/grpcbalancer/fleet_test.go
+++ b/grpcbalancer/fleet_test.go
@@ -23,14 +23,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// The methods of the test's service, by the idempotency level in its descriptor.
+// Methods of the test service, with the idempotency level in its descriptor.
 const (
 	search  = "/booking.Seats/Search"  // NO_SIDE_EFFECTS
 	record  = "/booking.Seats/Record"  // IDEMPOTENT
-	confirm = "/booking.Seats/Confirm" // unknown
+	confirm = "/booking.Seats/Confirm" // IDEMPOTENCY_UNKNOWN
 )
 
-// files returns the descriptors of the test's service.
+// files returns the descriptors of the test service.
 func files(t testing.TB) *protoregistry.Files {
 	t.Helper()
 	method := func(name string, level descriptorpb.MethodOptions_IdempotencyLevel) *descriptorpb.MethodDescriptorProto {
@@ -54,9 +54,9 @@
 
 // settings returns settings with one class of each idempotency.
 func settings() balancer.Settings {
-	class := func(name string, e balancer.Idempotency) balancer.Class {
-		return balancer.Class{Name: name, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, LateValueFraction: 0.5, Idempotency: e,
-			DedupScope: balancer.ScopeAll, DedupWindow: 6 * time.Second}
+	class := func(name string, idempotency balancer.Idempotency) balancer.Class {
+		return balancer.Class{Name: name, LatencyObjective: 2 * time.Second, Deadline: 4 * time.Second, LateValueFraction: 0.5,
+			Idempotency: idempotency, DedupScope: balancer.ScopeAll, DedupWindow: 6 * time.Second}
 	}
 	return balancer.Settings{Zone: "a", Classes: []balancer.Class{class("search", balancer.Idempotent),
 		class("record", balancer.IdempotentWithKey), class("confirm", balancer.NonIdempotent)}, Tick: 5 * time.Millisecond, MaxAttempts: 5,
@@ -71,7 +71,7 @@
 	endpoints []grpcbalancer.Endpoint
 }
 
-// newFleet starts a node for each of options, which it completes. Nodes answer with their names.
+// newFleet starts a node for each of options, and sets the options that the nodes have in common. Each node answers with its name.
 func newFleet(t testing.TB, options ...fakes.NodeOptions) *fleet {
 	t.Helper()
 	f := &fleet{ledger: fakes.NewLedger()}
@@ -80,10 +80,10 @@
 			o.Name = fmt.Sprint("n", i)
 		}
 		o.Ledger, o.Zone, o.Cores, o.Seed = f.ledger, "a", max(o.Cores, 64), uint64(i)
-		came := o.Answer
+		onRequest := o.Answer
 		o.Answer = func(j fakes.Job) []byte {
-			if came != nil {
-				came(j)
+			if onRequest != nil {
+				onRequest(j)
 			}
 			body, err := proto.Marshal(wrapperspb.String(o.Name))
 			if err != nil {
--- a/grpcbalancer/idempotency_test.go
+++ b/grpcbalancer/idempotency_test.go
@@ -17,9 +17,9 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// A repeated call with the caller's idempotency key gets the first one's answer: while the first runs, after it, and also if the first
-// caller has left. Another call under the key is rejected as a conflict, and calls without a key of their own are all sent. Two Plugins
-// that share a store behave as one.
+// A repeated call with the caller's idempotency key gets the answer of the first call: while the first call runs, after it has ended, and
+// also if its caller has left. A different request with the same key is rejected as a conflict, and calls without a caller's key are all
+// sent. Two Plugins that share a store behave like one.
 func TestRepeatedIdempotencyKey(t *testing.T) {
 	t.Run("one plug-in", func(t *testing.T) { testRepeatedIdempotencyKey(t, newKeyedCalls(t, 1, "")) })
 	t.Run("two plug-ins with a shared store", func(t *testing.T) {
@@ -33,34 +33,34 @@
 	calls.start(ctx, "k")
 	calls.awaitArrival(t)
 	leave()
-	if end := <-calls.ends; status.Code(end.err) != codes.Canceled {
-		t.Errorf("the caller that left: %v", end.err)
+	if result := <-calls.results; status.Code(result.err) != codes.Canceled {
+		t.Errorf("call whose caller left: got %v, want CANCELED", result.err)
 	}
 	calls.start(t.Context(), "k")
 	calls.start(t.Context(), "k")
 	calls.release <- true
-	first := <-calls.ends
+	first := <-calls.results
 	calls.start(t.Context(), "k")
 	for range 2 {
-		if end := <-calls.ends; end != first || end.err != nil || end.node == "" {
-			t.Errorf("%v, and then %v", first, end)
+		if result := <-calls.results; result != first || result.err != nil || result.node == "" {
+			t.Errorf("the first call got %v and a repeated call got %v, want the same answer", first, result)
 		}
 	}
 	other := metadata.AppendToOutgoingContext(t.Context(), grpcbalancer.IdempotencyKey, "k")
 	err := calls.conns[0].Invoke(other, record, wrapperspb.String("another seat"), &wrapperspb.StringValue{})
 	if status.Code(err) != codes.InvalidArgument {
-		t.Errorf("another call under the key: %v", err)
+		t.Errorf("different request with the same key: got %v, want INVALID_ARGUMENT", err)
 	}
 	if len(calls.arrived) > 0 {
-		t.Error("a repeated call was sent")
+		t.Error("a repeated call was sent to a node")
 	}
 	calls.start(t.Context(), "")
 	calls.start(t.Context(), "")
 	for range 2 {
 		calls.awaitArrival(t)
 		calls.release <- true
-		if end := <-calls.ends; end.err != nil {
-			t.Error(end.err)
+		if result := <-calls.results; result.err != nil {
+			t.Error(result.err)
 		}
 	}
 }
@@ -71,11 +71,11 @@
 	started int
 	arrived chan string // ids of requests
 	release chan bool
-	ends    chan keyedEnd
+	results chan keyedResult
 }
 
-// keyedEnd is what a caller got.
-type keyedEnd struct {
+// keyedResult is the answering node's name and the error that a caller got.
+type keyedResult struct {
 	node string
 	err  error
 }
@@ -83,7 +83,7 @@
 // newKeyedCalls starts Plugins with the given lines in their section [[repeats]].
 func newKeyedCalls(t *testing.T, plugins int, lines string) *keyedCalls {
 	t.Helper()
-	calls := &keyedCalls{arrived: make(chan string, 100), release: make(chan bool, 100), ends: make(chan keyedEnd, 10)}
+	calls := &keyedCalls{arrived: make(chan string, 100), release: make(chan bool, 100), results: make(chan keyedResult, 10)}
 	node := fakes.NodeOptions{Answer: func(j fakes.Job) []byte { calls.arrived <- j.ID; <-calls.release; return nil }}
 	f := newFleet(t, node, node)
 	file := base.File(t, "o.toml", []byte("[[repeats]]\nservice = \"service\"\ntenant_part = 1.0\n"+lines))
@@ -109,7 +109,7 @@
 	}
 	go func() {
 		node, err := invoke(ctx, conn, record)
-		c.ends <- keyedEnd{node, err}
+		c.results <- keyedResult{node, err}
 	}()
 }
 
