--- a/internal/task/decide.go
+++ b/internal/task/decide.go
@@ -6,22 +6,22 @@
 	"orchiddrift/internal/lease"
 )
 
-// Schedule returns when runs are due: the first moment after t, the zero time if there is none. The schedules of github.com/robfig/cron
-// implement it.
+// Schedule computes when runs are due. Next returns the first due time after t, or the zero time if there is none. The schedules of
+// github.com/robfig/cron implement it.
 type Schedule interface {
 	Next(t time.Time) time.Time
 }
 
-// Rules are the rules of one task.
+// Rules determine when the runs of one task start and how often a run is attempted.
 type Rules struct {
 	Schedule Schedule
-	// AtLeastOnce starts a run again whose process was lost, up to MaxAttempts starts in all. Without it a run is started at most once, and one
-	// whose process was lost counts as lost.
+	// AtLeastOnce starts a run again if its process was lost, up to MaxAttempts starts in all. Without it a run is started at most once, and is
+	// recorded as lost if its process was lost.
 	AtLeastOnce bool
 	MaxAttempts int
-	// MaxDelay is how long after its due time a run may start; after that it was missed.
+	// MaxDelay is how long after its due time a run may start. A run that has not started by then is missed.
 	MaxDelay time.Duration
-	// RunMissed starts the latest run that was missed all the same. Without it missed runs are skipped.
+	// RunMissed starts the latest of the missed runs late. Without it missed runs are skipped.
 	RunMissed bool
 }
 
@@ -35,20 +35,19 @@
 	StartRun                    // store Step.Record, then start the run
 )
 
-// Step is what the holder of a task's lease does next.
+// Step is the next action of the process that holds a task's lease.
 type Step struct {
 	Kind   StepKind
-	At     time.Time // Wait; zero: nothing is due any more
-	Record Record    // WriteRecord, StartRun
+	At     time.Time // of Wait: when the next run is due; zero: never
+	Record Record    // of WriteRecord and StartRun: the record to store
 }
 
-// maxMissedRuns bounds how many missed runs are counted to find the latest one. Beyond it a later one is found by the next decision.
+// maxMissedRuns bounds how many missed runs one decision passes over to find the latest one. The next decision continues from there.
 const maxMissedRuns = 10_000
 
-// Decide returns the next step of the process by, which holds the task's lease under token. last is the record that is stored, nil if there is
-// none.
+// Decide returns the next step of the process by, which holds the task's lease under token. last is the stored record, nil if there is none.
 func (r *Rules) Decide(now time.Time, last *Record, token lease.Token, by string) Step {
-	if last == nil { // runs are due from now on
+	if last == nil { // the task is new: its first run is due after now
 		return Step{Kind: WriteRecord, Record: Record{Due: now, Phase: Skipped, Token: token, By: by}}
 	}
 	if last.Phase == Begun {
@@ -67,10 +66,10 @@
 	return Step{Kind: StartRun, Record: record}
 }
 
-// decideOnBegun decides on a run that is stored as begun while its lease is held anew: its process was lost.
+// decideOnBegun decides on a run that is stored as begun although the lease was acquired again: the run's process was lost.
 func (r *Rules) decideOnBegun(run Record, token lease.Token, by string) Step {
 	switch {
-	case run.Token == token: // stored under this grant: only the reply was lost, and the run has not started
+	case run.Token == token: // stored under this grant, but the reply was lost: the run has not started
 		return Step{Kind: StartRun, Record: run}
 	case r.AtLeastOnce && run.Attempts < r.MaxAttempts:
 		run.Token, run.By, run.Attempts = token, by, run.Attempts+1
@@ -80,7 +79,7 @@
 	return Step{Kind: WriteRecord, Record: run}
 }
 
-// latestDue returns the latest due time up to now; due is the first one.
+// latestDue returns the latest due time up to now. due is the earliest one.
 func (r *Rules) latestDue(now, due time.Time) time.Time {
 	for range maxMissedRuns {
 		later := r.Schedule.Next(due)
--- a/internal/task/declaration.go
+++ b/internal/task/declaration.go
@@ -18,37 +18,37 @@
 	runLatest   = "latest"
 )
 
-// The bounds that Declaration.Check sets.
+// Limits that Declaration.Check enforces.
 const (
-	maxNameBytes    = 100
-	maxAttempts     = 1000
-	minTimeout      = time.Millisecond
-	marginsPerLease = 4 // a lease duration is at least so many margins
+	maxNameBytes       = 100
+	maxAttempts        = 1000
+	minTimeout         = time.Millisecond
+	minMarginsPerLease = 4 // lowest ratio of the lease duration to the margin
 )
 
-// Declaration is a [[task]] of the operator's file.
+// Declaration is a [[task]] section of the operator's configuration file.
 type Declaration struct {
 	Name          string         `toml:"name" reload:"start" sample:"\"nightly\"" doc:"The task's name, the same in every process. Its lease is task/NAME."`
-	Schedule      string         `toml:"schedule" reload:"start" sample:"\"30 2 * * *\"" doc:"When it is due: minute, hour, day, month, weekday, or \"@every 90s\", \"@hourly\" and the like; with \"CRON_TZ=Africa/Nairobi \" before it in that zone."`
-	Command       []string       `toml:"command" reload:"start" sample:"[\"/usr/local/bin/nightly.sh\"]" doc:"What is run. It finds ORCHIDDRIFT_TASK_DUE and ORCHIDDRIFT_LEASE_TOKEN in its environment."`
-	Call          string         `toml:"call" reload:"start" sample:"\"POST /sweep/all\"" doc:"Or a call through this daemon: method and path. It bears the token as X-Lease-Token and the run as Idempotency-Key."`
-	Delivery      string         `toml:"promise" default:"at-most-once" reload:"start" doc:"\"at-most-once\": a run whose process was lost is not begun again; \"at-least-once\": it is."`
-	MaxAttempts   int            `toml:"tries" default:"5" reload:"start" doc:"With at-least-once a run begins no more than so often."`
-	MaxDelay      units.Duration `toml:"late" default:"1m" reload:"start" doc:"A run that could not begin for so long was missed."`
-	OnMissed      string         `toml:"missed" default:"skip" reload:"start" doc:"\"skip\": runs that were missed are left out; \"latest\": the latest of them runs."`
-	Timeout       units.Duration `toml:"limit" default:"10m" reload:"start" doc:"A run is ended after so long. One that is due meanwhile waits, and is missed after late."`
-	Priority      int            `toml:"priority" reload:"start" doc:"Where a process has no room for all, higher ones go first."`
-	LeaseDuration units.Duration `toml:"term" default:"10s" reload:"start" doc:"How long the task's lease outlasts a process that nobody hears of."`
-	Margin        units.Duration `toml:"margin" default:"1s" reload:"start" doc:"What a command may take to end after SIGTERM; then it gets SIGKILL."`
+	Schedule      string         `toml:"schedule" reload:"start" sample:"\"30 2 * * *\"" doc:"When runs are due: minute, hour, day, month and weekday as in cron, or a descriptor such as @hourly or @every 90s. A prefix such as CRON_TZ=Africa/Nairobi, followed by a space, sets the time zone."`
+	Command       []string       `toml:"command" reload:"start" sample:"[\"/usr/local/bin/nightly.sh\"]" doc:"The command that a run executes. Its environment contains ORCHIDDRIFT_TASK_DUE and ORCHIDDRIFT_LEASE_TOKEN."`
+	Call          string         `toml:"call" reload:"start" sample:"\"POST /sweep/all\"" doc:"Instead of command: a call through this daemon, given as method and path. It carries the lease token in X-Lease-Token and identifies the run in Idempotency-Key."`
+	Delivery      string         `toml:"promise" default:"at-most-once" reload:"start" doc:"With at-most-once a run whose process was lost is not started again; with at-least-once it is."`
+	MaxAttempts   int            `toml:"tries" default:"5" reload:"start" doc:"Maximum number of starts of one run with at-least-once."`
+	MaxDelay      units.Duration `toml:"late" default:"1m" reload:"start" doc:"A run that has not started this long after its due time is missed."`
+	OnMissed      string         `toml:"missed" default:"skip" reload:"start" doc:"With skip missed runs are left out; with latest the latest of them is started."`
+	Timeout       units.Duration `toml:"limit" default:"10m" reload:"start" doc:"A run is stopped after this long. A run that becomes due meanwhile waits, and is missed after the time set by late."`
+	Priority      int            `toml:"priority" reload:"start" doc:"If a process has no capacity for all due tasks, those of higher priority start first."`
+	LeaseDuration units.Duration `toml:"term" default:"10s" reload:"start" doc:"How long the task's lease remains held after its process stops responding."`
+	Margin        units.Duration `toml:"margin" default:"1s" reload:"start" doc:"How long a command may take to end after SIGTERM before it gets SIGKILL."`
 }
 
-// parser parses schedules as the usual cron does.
+// parser parses schedules of cron's five fields, and descriptors such as @hourly.
 var parser = cron.NewParser(cron.Minute | cron.Hour | cron.Dom | cron.Month | cron.Dow | cron.Descriptor)
 
 // Check implements tomlfile.Checker.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
 	if d.Name == "" || len(d.Name) > maxNameBytes || strings.ContainsAny(d.Name, "/ \t\r\n") {
-		report("name", "%q is no name of at most %d bytes without slashes and spaces", d.Name, maxNameBytes)
+		report("name", "%q is not a name of 1 to %d bytes without slashes and whitespace", d.Name, maxNameBytes)
 	}
 	if _, err := parser.Parse(d.Schedule); err != nil {
 		report("schedule", "%q: %v", d.Schedule, err)
@@ -71,14 +71,14 @@
 		report("tries", "%d is not from 1 to %d", d.MaxAttempts, maxAttempts)
 	}
 	if d.MaxDelay < 0 || d.Timeout.D() < minTimeout {
-		report("limit", "late %v, limit %v", d.MaxDelay, d.Timeout)
+		report("limit", "late (%v) must not be negative, and limit (%v) must be at least 1ms", d.MaxDelay, d.Timeout)
 	}
-	if d.Margin <= 0 || d.LeaseDuration < marginsPerLease*d.Margin {
+	if d.Margin <= 0 || d.LeaseDuration < minMarginsPerLease*d.Margin {
 		report("term", "%v is under four times the margin, %v", d.LeaseDuration, d.Margin)
 	}
 }
 
-// Rules returns the rules of a Declaration that has been checked.
+// Rules returns the Rules of the task. The Declaration must have passed Check.
 func (d *Declaration) Rules() (Rules, error) {
 	schedule, err := parser.Parse(d.Schedule)
 	if err != nil {
--- a/internal/task/golden_test.go
+++ b/internal/task/golden_test.go
@@ -9,7 +9,8 @@
 	"orchiddrift/internal/testing/golden"
 )
 
-// A task's record is encoded as earlier releases did, and what they encoded is decoded.
+// A task's record is encoded as by earlier releases, and records that they encoded are decoded. Otherwise a fleet that runs two releases at once
+// could not read its own records.
 func TestRecordGolden(t *testing.T) {
 	due := time.Date(2026, 12, 3, 4, 30, 0, 0, time.UTC)
 	var want []Record
@@ -26,7 +27,7 @@
 	for i, line := range lines {
 		got, err := DecodeRecord(line)
 		if err != nil || !reflect.DeepEqual(*got, want[i]) {
-			t.Errorf("%s is decoded as %+v, %v; want %+v", line, got, err, want[i])
+			t.Errorf("%s is decoded as %+v, error %v; want %+v", line, got, err, want[i])
 		}
 	}
 }
--- a/internal/task/record.go
+++ b/internal/task/record.go
@@ -11,29 +11,29 @@
 // Phase is the phase of a run. Its text is stored.
 type Phase string
 
-// The phases.
+// The phases of a run.
 const (
 	Begun   Phase = "begun"
-	Ended   Phase = "ended"   // by itself or by its timeout: the exit code tells
+	Ended   Phase = "ended"   // it ended by itself or by its timeout; Record.ExitCode tells which
 	Lost    Phase = "lost"    // its process was lost before the run ended
 	Skipped Phase = "skipped" // no process could start it in time
 )
 
-// Record is what is stored of a task's latest run.
+// Record describes a task's latest run. It is stored with the task's lease.
 type Record struct {
 	Due      time.Time   `json:"due"`
 	Phase    Phase       `json:"phase"`
-	Token    lease.Token `json:"token"` // under which the run was started
-	By       string      `json:"by,omitempty"`
+	Token    lease.Token `json:"token"`           // of the grant under which the run was started
+	By       string      `json:"by,omitempty"`    // the process that started the run
 	Attempts int         `json:"tries,omitempty"` // how often the run was started
-	ExitCode int         `json:"code,omitempty"`  // of a command
+	ExitCode int         `json:"code,omitempty"`  // of the command, or 1 for a call that failed
 }
 
 // Encode returns the record as it is stored in the note of the task's lease.
 func (r Record) Encode() string {
 	text, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // its fields can all be encoded
+		panic(err) // cannot happen: every field can be encoded
 	}
 	return string(text)
 }
@@ -45,11 +45,11 @@
 	}
 	var r Record
 	if err := json.Unmarshal([]byte(note), &r); err != nil {
-		return nil, fmt.Errorf("the record of the task: %w", err)
+		return nil, fmt.Errorf("decode task record: %w", err)
 	}
 	switch r.Phase {
 	case Begun, Ended, Lost, Skipped:
 		return &r, nil
 	}
-	return nil, fmt.Errorf("the record of the task: %q is no phase", r.Phase)
+	return nil, fmt.Errorf("decode task record: unknown phase %q", r.Phase)
 }
--- a/internal/task/runner/claim.go
+++ b/internal/task/runner/claim.go
@@ -13,24 +13,24 @@
 )
 
 var (
-	// errLeaseLost is returned where the record says that the lease is not held any more.
+	// errLeaseLost is returned if the lease group replies that this claim does not hold the lease any more.
 	errLeaseLost = errors.New("the lease is lost")
-	// errNoCapacity is returned where the record has no room for a task's note.
-	errNoCapacity = errors.New("the record has no room for the task's note")
+	// errNoCapacity is returned if the lease table is too full for a task's note.
+	errNoCapacity = errors.New("the lease table is full: the task's note was not stored")
 )
 
-// reasonTimeout is why a run was stopped that took longer than its timeout: it counts as ended. It is no reason of package lease.
+// reasonTimeout is the reason for stopping a run that exceeded its timeout. Such a run counts as ended. Package lease does not use this value.
 const reasonTimeout lease.Reason = 100
 
-// claim is one attempt at a task: it is the raftgroup.Work that is done while the task's lease is held. cancel ends the attempt, and the lease
-// is released.
+// claim is one attempt to acquire a task's lease and to do what is due. It is the raftgroup.Work that is done while the lease is held. cancel ends
+// the attempt, and the lease is released.
 //
 //	the lease is granted ──────────────────▶ decide
 //	decide ── nothing is due ──────────────▶ the attempt ends
 //	decide ── WriteRecord is stored ───────▶ decide
 //	decide ── StartRun's record is stored ─▶ run
 //	run ── it ends, and that is stored ────▶ the attempt ends
-//	run ── it is cut off ──────────────────▶ the attempt ends, and the record stays begun
+//	run ── it is interrupted ──────────────▶ the attempt ends, and the record stays begun
 type claim struct {
 	runner *runner
 	task   *declaredTask
@@ -39,12 +39,12 @@
 	cancel context.CancelFunc
 
 	mu        sync.Mutex
-	token     lease.Token // 0: the lease was not granted yet
-	until     time.Duration
-	stopped   bool       // no run may start any more
-	execution execution  // of the run; nil: none was started
-	nextDue   *time.Time // when the task is due next; nil: not known, zero: never
-	err       error      // why the attempt failed; nil: it did not, or the lease is held elsewhere
+	token     lease.Token   // 0: the lease has not been granted yet
+	until     time.Duration // when the grant expires
+	stopped   bool          // no run may start any more
+	execution execution     // of the run; nil: none has started
+	nextDue   *time.Time    // when the task is due next; nil: unknown; zero: never
+	err       error         // why the attempt failed; nil: it did not, or another process holds the lease
 }
 
 var _ raftgroup.Work = (*claim)(nil)
@@ -66,7 +66,7 @@
 	}
 }
 
-// Stop implements raftgroup.Work. A lease that was lost is not acquired again by the same attempt.
+// Stop implements raftgroup.Work. An attempt that has lost the lease does not acquire it again.
 func (c *claim) Stop(reason lease.Reason) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,7 +85,7 @@
 // Rejected implements raftgroup.Work.
 func (c *claim) Rejected(lease.Reason) { c.cancel() }
 
-// Unreachable implements raftgroup.Work. Without the lease the attempt ends; with it there is time until the grant expires.
+// Unreachable implements raftgroup.Work. An attempt without the lease ends. One that holds the lease goes on until the grant expires.
 func (c *claim) Unreachable(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// result returns when the task is due next, nil if that is not known, and why the attempt failed.
+// result returns when the task is due next, nil if that is unknown, and why the attempt failed.
 func (c *claim) result() (nextDue *time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,7 +126,7 @@
 	c.cancel()
 }
 
-// followRules reports whether a run has started.
+// followRules takes the steps that the task's rules decide on. It reports whether a run has started.
 func (c *claim) followRules(token lease.Token) (running bool, err error) {
 	note, err := c.request(token, lease.ReadNote, "")
 	if err != nil {
@@ -151,7 +151,8 @@
 	}
 }
 
-// request reads or writes the task's note under the token, returns the note that is kept then, and repeats that until it is answered or the attempt ends.
+// request reads or writes the task's note under the token and returns the note that is stored then. It retries until the lease group replies or the
+// attempt ends.
 func (c *claim) request(token lease.Token, kind lease.RequestKind, value string) (string, error) {
 	request := lease.Request{Kind: kind, Name: c.task.leaseName(), Client: c.client, Token: token, Value: value}
 	for {
@@ -172,7 +173,7 @@
 	}
 }
 
-// startRun starts the run whose record was stored, unless the lease has to be released. It reports whether the run has started.
+// startRun starts the run whose record was stored, unless the claim has been stopped. It reports whether the run has started.
 func (c *claim) startRun(token lease.Token, record task.Record) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -187,20 +188,20 @@
 	})
 	c.execution = run
 	c.runner.started(name)
-	log.Info("task: begins", "task", name, "due", formatDue(record), "token", uint64(token), "try", record.Attempts)
+	log.Info("task: run started", "task", name, "due", formatDue(record), "token", uint64(token), "try", record.Attempts)
 	timeout = time.AfterFunc(limit, func() {
-		log.Warn("task: timeout", "task", name, "limit", limit)
+		log.Warn("task: run exceeded its limit", "task", name, "limit", limit)
 		run.stop(reasonTimeout)
 	})
 	run.start(token, c.until)
 	return true
 }
 
-// runEnded stores the end of a run before its lease is released. A run that was cut off stays begun in the record: the next holder decides on it.
+// runEnded stores the end of a run before its lease is released. The record of an interrupted run stays begun: the next holder decides on it.
 func (c *claim) runEnded(token lease.Token, record task.Record, code int, reason lease.Reason) {
-	cutOff := reason != 0 && reason != reasonTimeout
-	c.runner.options.Log.Info("task: ended", "task", c.task.name(), "due", formatDue(record), "token", uint64(token), "code", code, "cut", cutOff)
-	if cutOff {
+	interrupted := reason != 0 && reason != reasonTimeout
+	c.runner.options.Log.Info("task: run ended", "task", c.task.name(), "due", formatDue(record), "token", uint64(token), "code", code, "cut", interrupted)
+	if interrupted {
 		c.cancel()
 		return
 	}
@@ -212,7 +213,7 @@
 func (c *claim) storeEnd(token lease.Token, record task.Record) {
 	defer c.cancel()
 	if _, err := c.request(token, lease.WriteNote, record.Encode()); err != nil {
-		c.setError(fmt.Errorf("the end of a run is not noted: %w", err))
+		c.setError(fmt.Errorf("store the end of the run: %w", err))
 		return
 	}
 	if step := c.task.rules.Decide(c.runner.options.Now(), &record, token, c.runner.options.Name); step.Kind == task.Wait {
--- a/internal/task/runner/execution.go
+++ b/internal/task/runner/execution.go
@@ -15,26 +15,27 @@
 )
 
 const (
-	// DueVariable is the environment variable in which a command finds when its run was due.
+	// DueVariable is the environment variable that tells a command the due time of its run.
 	DueVariable = "ORCHIDDRIFT_TASK_DUE"
-	// TokenHeader is the header in which a call carries the fencing token.
+	// TokenHeader is the request header that carries the fencing token of a call.
 	TokenHeader = "X-Lease-Token"
-	// idempotencyKeyHeader is the header in which a call carries its run: the same in each attempt.
+	// idempotencyKeyHeader is the request header that identifies the run of a call. Its value is the same in each attempt.
 	idempotencyKeyHeader = "Idempotency-Key"
 )
 
-// exitCodeCallFailed is the exit code of a call that failed or was not answered with success.
+// exitCodeCallFailed is the exit code recorded for a call that failed or got a status of 300 or above.
 const exitCodeCallFailed = 1
 
-// execution is a run that is carried out: a command or a call.
+// execution executes a run: a command or a call.
 type execution interface {
 	start(token lease.Token, until time.Duration)
+	// extend moves the expiry of the run's grant.
 	extend(until time.Duration)
-	// stop makes the run end. The channel is closed once it has.
+	// stop ends the run. The channel is closed once the run has ended.
 	stop(reason lease.Reason) <-chan struct{}
 }
 
-// onExit is called when a run has ended; reason is 0 if it ended by itself.
+// onExit is called when a run has ended. reason is 0 if it ended by itself.
 type onExit func(code int, reason lease.Reason)
 
 // newExecution returns the execution of a run.
@@ -49,7 +50,9 @@
 	}
 	return &commandExecution{raftgroup.Command{Guard: c.runner.options.Guard, Name: c.task.leaseName(), Argv: declaration.Command,
 		Margin: declaration.Margin.D(), Env: []string{DueVariable + "=" + due}, OnExit: exited,
-		Log: func(text string) { log.Warn("task: command", "task", declaration.Name, "reason", text) }}}
+		Log: func(text string) {
+			log.Warn("task: command could not be started", "task", declaration.Name, "reason", text)
+		}}}
 }
 
 // commandExecution runs a command under a guard.
@@ -61,8 +64,8 @@
 func (e *commandExecution) extend(until time.Duration)               { e.command.Extend(until) }
 func (e *commandExecution) stop(reason lease.Reason) <-chan struct{} { return e.command.Stop(reason) }
 
-// callExecution makes a call through the daemon. It is canceled when it has to stop; only the fencing token keeps what the upstream does after
-// that from doing harm.
+// callExecution makes a call through the daemon. stop cancels the call, but the upstream may go on processing it: only the fencing token protects
+// against its effects.
 type callExecution struct {
 	method, url    string
 	idempotencyKey string
@@ -70,7 +73,7 @@
 	ctx            context.Context
 	cancel         context.CancelFunc
 	ended          chan struct{}
-	reason         lease.Reason // why it was stopped; read after ctx has ended
+	reason         lease.Reason // why the call was stopped; read after ctx has ended
 }
 
 func (e *callExecution) start(token lease.Token, _ time.Duration) {
@@ -98,7 +101,7 @@
 	return e.ended
 }
 
-// call makes the call and reads its answer.
+// call sends the request and reads its response.
 func (e *callExecution) call(token lease.Token) error {
 	request, err := http.NewRequestWithContext(e.ctx, e.method, e.url, nil)
 	if err != nil {
@@ -115,7 +118,7 @@
 		return err
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return fmt.Errorf("answered %s", response.Status)
+		return fmt.Errorf("the task's call got status %s", response.Status)
 	}
 	return nil
 }
--- a/internal/task/runner/fleet_test.go
+++ b/internal/task/runner/fleet_test.go
@@ -16,13 +16,14 @@
 
 func TestMain(m *testing.M) { os.Exit(processes.Main(m)) }
 
-// The tasks of a fleet are named by their delivery.
+// The tasks of a fleet are named after their delivery guarantee.
 const (
 	atMostOnce  = "at-most-once"
 	atLeastOnce = "at-least-once"
 )
 
-// fleet is a group of daemons that share two tasks, due every second, one of each delivery. Each run writes its begin and its end into a sink.
+// fleet is a group of daemons that share two tasks, due every second, one of each delivery guarantee. Each run appends a line at its begin and at its
+// end to a common file, the sink.
 type fleet struct {
 	t       *testing.T
 	rig     *processes.Rig
@@ -31,7 +32,7 @@
 	sink    string
 }
 
-// newFleet starts the processes.
+// newFleet starts the daemons.
 func newFleet(t *testing.T, seed uint64) *fleet {
 	f := &fleet{t: t, rig: processes.New(t, seed), sink: filepath.Join(t.TempDir(), "sink")}
 	names := []string{"a", "b", "c"}
@@ -45,7 +46,7 @@
 	return f
 }
 
-// file is the operator's file of a member, which reaches the others over new links.
+// file returns a member's configuration file. The member reaches the others over new links.
 func (f *fleet) file(name string, members []string) string {
 	var file strings.Builder
 	fmt.Fprintf(&file, "[daemon]\nname = %q\nlisten = \"127.0.0.1:0\"\ncontrol = \"127.0.0.1:0\"\n[log]\nformat = \"json\"\n[[service]]\nname = \"web\"\n"+
@@ -69,7 +70,7 @@
 	return file.String()
 }
 
-// listenAddress is where a member's present process listens for the group.
+// listenAddress returns the address on which a member's current process listens for the group.
 func (f *fleet) listenAddress(member string) (address string) {
 	for _, e := range f.rig.History.Events(0) {
 		if e.Who == member && e.What == "fleet: listening" {
@@ -82,14 +83,14 @@
 	return address
 }
 
-// testContext ends before the test would hang.
+// testContext returns a context that bounds each wait of a test.
 func testContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), 4*processes.Patience)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// sinkLine is a line of the sink: a run's begin or its end.
+// sinkLine is a line of the sink, for a run's begin or its end.
 type sinkLine struct {
 	task, due, phase, process string
 	token                     uint64
@@ -111,39 +112,39 @@
 	for scanner := bufio.NewScanner(file); scanner.Scan(); {
 		var line sinkLine
 		if _, err := fmt.Sscan(scanner.Text(), &line.task, &line.due, &line.phase, &line.process, &line.token); err != nil {
-			f.t.Errorf("the sink has %q", scanner.Text())
+			f.t.Errorf("malformed line in the sink: %q", scanner.Text())
 		}
 		lines = append(lines, line)
 	}
 	return lines
 }
 
-// eventually waits until the sink has what is wanted.
+// eventually waits until ok accepts the lines of the sink. what describes them.
 func (f *fleet) eventually(what string, ok func(lines []sinkLine) bool) {
 	f.t.Helper()
 	for end := time.Now().Add(2 * processes.Patience); !ok(f.readSink()); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Fatalf("waited in vain: %s", what)
+			f.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// checkSink fails the test where runs break their promise.
+// checkSink fails the test if runs violate their delivery guarantee.
 func (f *fleet) checkSink() {
 	f.t.Helper()
 	if found := violations(f.readSink()); len(found) > 0 {
-		f.t.Errorf("%d violations, such as\n%s", len(found), strings.Join(found[:min(5, len(found))], "\n"))
+		f.t.Errorf("%d violations of the delivery guarantees, such as\n%s", len(found), strings.Join(found[:min(5, len(found))], "\n"))
 	}
 }
 
-// violations are lines with a token lower than that of an earlier line of their task, runs of the at-most-once task that begin twice, and runs of the
-// at-least-once task that begin and never end.
+// violations returns the lines with a token lower than that of an earlier line of their task, the runs of the at-most-once task that begin twice, and
+// the runs of the at-least-once task that begin and never end.
 func violations(lines []sinkLine) (found []string) {
 	begins, ends, highest := map[string]int{}, map[string]bool{}, map[string]uint64{}
 	var repeatable []string // begun runs of the at-least-once task, in order
 	for i, line := range lines {
 		if line.token < highest[line.task] {
-			found = append(found, fmt.Sprintf("line %d: token %d of %s after %d", i, line.token, line.run(), highest[line.task]))
+			found = append(found, fmt.Sprintf("line %d: token %d of %s follows the higher token %d", i, line.token, line.run(), highest[line.task]))
 		}
 		highest[line.task] = max(highest[line.task], line.token)
 		if !line.isBegin() {
@@ -155,12 +156,12 @@
 			repeatable = append(repeatable, line.run())
 		}
 		if begins[line.run()] > 1 && line.isOf(atMostOnce) {
-			found = append(found, fmt.Sprintf("line %d: %s begins for the %d. time", i, line.run(), begins[line.run()]))
+			found = append(found, fmt.Sprintf("line %d: %s begins for time number %d", i, line.run(), begins[line.run()]))
 		}
 	}
-	for _, run := range repeatable[:max(0, len(repeatable)-1)] { // the last one may go on yet
+	for _, run := range repeatable[:max(0, len(repeatable)-1)] { // the last one may still be in progress
 		if !ends[run] {
-			found = append(found, run+" was begun and never ended")
+			found = append(found, run+" began and never ended")
 		}
 	}
 	return found
--- a/internal/task/runner/processes_test.go
+++ b/internal/task/runner/processes_test.go
@@ -36,14 +36,14 @@
 	return len(begins), repeats
 }
 
-// Runs keep their promises while members are killed, stopped for longer and shorter than a lease duration, cut off one way and both, and hung. Once all is
-// well, runs go on. The check finds a run that begins twice.
+// Checks that runs keep their delivery guarantees while members are killed, paused for longer and shorter than a lease duration, disconnected from
+// the others in one direction or both, and hung; that runs continue after the last fault; and that the check detects a run that begins twice.
 func TestRunsThroughFaults(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, seed)
-			f.eventually("the first runs", func(lines []sinkLine) bool { return len(lines) >= 6 })
+			f.eventually("the first six lines", func(lines []sinkLine) bool { return len(lines) >= 6 })
 			script := processes.Draw(seed, processes.Mix{Processes: []string{"a", "b", "c"}, Links: f.links, Length: *faultDuration, Every: 200 * time.Millisecond,
 				Shortest: 50 * time.Millisecond, Longest: 2500 * time.Millisecond, Down: 1, Weights: map[processes.StepKind]float64{processes.Kill: 4, processes.Pause: 4,
 					processes.DropBoth: 1, processes.DropOut: 1, processes.DropBack: 1, processes.Slow: 1, processes.Hang: 1, processes.CutOut: 1}})
@@ -63,20 +63,20 @@
 			f.checkSink()
 			lines := f.readSink()
 			runs, repeats := countRepeats(lines)
-			t.Logf("%d steps, %d runs, %d begun again", len(script), runs, repeats)
+			t.Logf("%d fault steps, %d runs, %d repeated", len(script), runs, repeats)
 			first := slices.IndexFunc(lines, func(l sinkLine) bool { return l.isOf(atMostOnce) })
 			if len(violations(append(lines, lines[first]))) == 0 {
-				t.Error("a run that begins twice is not found")
+				t.Error("the check does not detect a run that begins twice")
 			}
 		})
 	}
 }
 
-// Runs are spread over the processes; those of a process that ends are done by the others; a run whose process was killed is done again, within two
-// lease durations as -v shows.
+// Checks that runs spread over the processes, that the others take over the runs of a process that shuts down, and that a run whose process was killed
+// is repeated. The test logs how long that takes, which is within two lease durations.
 func TestRunsMoveAway(t *testing.T) {
 	f := newFleet(t, 3)
-	f.eventually("runs by all", func(lines []sinkLine) bool {
+	f.eventually("runs by all members", func(lines []sinkLine) bool {
 		seen := map[string]bool{}
 		for _, line := range lines {
 			seen[line.process] = true
@@ -88,30 +88,30 @@
 		t.Fatal(err)
 	}
 	n := len(f.readSink())
-	f.eventually("runs by the others", func(lines []sinkLine) bool { return len(lines) > n+8 })
+	f.eventually("runs by the other members", func(lines []sinkLine) bool { return len(lines) > n+8 })
 	for _, line := range f.readSink()[n:] {
 		if line.process == ending.Name() {
-			t.Errorf("%+v after its process has ended", line)
+			t.Errorf("sink line %+v was written after its process had ended", line)
 		}
 	}
-	f.eventually("a run that goes on", func(lines []sinkLine) bool {
+	f.eventually("a run in progress", func(lines []sinkLine) bool {
 		last := lines[len(lines)-1]
 		return last.isOf(atLeastOnce) && last.isBegin()
 	})
 	lines := f.readSink()
-	cutOff := lines[len(lines)-1]
+	interrupted := lines[len(lines)-1]
 	for _, p := range f.members[1:] {
-		if p.Name() != cutOff.process {
+		if p.Name() != interrupted.process {
 			continue
 		}
-		if err := errors.Join(p.Kill(testContext(t)), p.Start(testContext(t), nil)); err != nil { // two of three make a majority
+		if err := errors.Join(p.Kill(testContext(t)), p.Start(testContext(t), nil)); err != nil { // restarted, since two of three members make a majority
 			t.Fatal(err)
 		}
 	}
 	start := time.Now()
-	f.eventually("its end, by any process", func(lines []sinkLine) bool {
-		return slices.ContainsFunc(lines, func(l sinkLine) bool { return l.run() == cutOff.run() && !l.isBegin() })
+	f.eventually("the end of the interrupted run, by any process", func(lines []sinkLine) bool {
+		return slices.ContainsFunc(lines, func(l sinkLine) bool { return l.run() == interrupted.run() && !l.isBegin() })
 	})
-	t.Logf("the run was done %v after its process was killed", time.Since(start).Round(time.Millisecond))
+	t.Logf("the run was completed %v after its process was killed", time.Since(start).Round(time.Millisecond))
 	f.checkSink()
 }
--- a/internal/task/runner/runner.go
+++ b/internal/task/runner/runner.go
@@ -1,8 +1,9 @@
-// Package runner runs the fleet's tasks in one process. It drives package task: when the Scheduler says so it acquires a task's lease, stores the
-// run's record before the run starts and after it ends, and carries the run out: a command under a guard process, or a call through the daemon.
+// Package runner runs the fleet's tasks in one process. It carries out the decisions of package task: when the Scheduler claims a task, it acquires
+// the task's lease, stores the run's record before the run starts and after it ends, and executes the run. A run is a command under a guard process,
+// or a call through the daemon.
 //
-// Goroutines: Run's own asks the Scheduler; each claim of a task has one, which RunWhileHeld drives, and others while it stores records. Run waits
-// for them all.
+// Goroutines: the one that calls Run polls the Scheduler. Each claim of a task has one that runs raftgroup.RunWhileHeld, and others while it reads
+// and stores records. Run waits for all of them.
 package runner
 
 import (
@@ -20,21 +21,21 @@
 // LeasePrefix is the prefix of the name of a task's lease, before the task's name.
 const LeasePrefix = "task/"
 
-// Rhythm of a process. Runs are due by the minute, or by the second at most.
+// Intervals of a process. Runs are due once a second at most, and usually by the minute.
 const (
 	claimSpread        = 300 * time.Millisecond // see task.SchedulerOptions.Spread
 	maxRecheckInterval = 15 * time.Second       // see task.SchedulerOptions.RecheckInterval; half of the shortest lease duration if that is less
-	pollInterval       = 100 * time.Millisecond // between two looks at what is due, and whether the process is draining
+	pollInterval       = 100 * time.Millisecond // between two polls of the Scheduler and of Options.Draining
 )
 
-// Parts of a lease duration.
+// Intervals, as the number of them in a lease duration.
 const (
-	rechecksPerLease = 2  // of a task that another process holds
-	requestsPerLease = 5  // of the lease while no reply comes; also the timeout of a request
-	recordsPerLease  = 20 // attempts to read or store the record while no reply comes
+	rechecksPerLease = 2  // requests for a lease that another process holds
+	requestsPerLease = 5  // retries of a lease request without a reply; also the timeout of a request
+	recordsPerLease  = 20 // retries of reading or storing the record without a reply
 )
 
-// seedStream keeps the Scheduler's draws apart from those of other users of the same seed.
+// seedStream separates the Scheduler's random numbers from those of other users of the same seed. It spells task in ASCII.
 const seedStream = 0x7461736b
 
 // Options are Run's parameters.
@@ -45,9 +46,9 @@
 	Drift         float64       // largest relative error of a process's clock rate
 	Guard         []string      // command line of the guard
 	ListenAddress func() string // address of the daemon's listener, for calls
-	MaxRuns       int           // at once
+	MaxRuns       int           // maximum number of runs at once
 	Seed          uint64
-	Draining      func() bool // a draining process starts no run
+	Draining      func() bool // reports whether the process is draining; it starts no run then
 	Now           func() time.Time
 	Log           *slog.Logger
 }
@@ -69,14 +70,14 @@
 	options Options
 	tasks   map[string]*declaredTask
 	work    sync.WaitGroup
-	wake    chan struct{} // has room for one: the Scheduler may have something due
+	wake    chan struct{} // has a buffer of one; signals that the Scheduler may have a task due
 
 	mu        sync.Mutex
 	scheduler *task.Scheduler
 }
 
-// Run takes part in the fleet's tasks until ctx ends. Runs that go on are stopped then, and it returns when they have ended. An error means that a
-// schedule is wrong.
+// Run executes the fleet's tasks in this process until ctx ends. Then it stops the runs in progress and returns when they have ended. It returns an
+// error only if a task's schedule is invalid.
 func Run(ctx context.Context, options Options) error {
 	r, err := newRunner(options)
 	if err != nil {
@@ -117,7 +118,7 @@
 	return r, nil
 }
 
-// due returns the tasks to claim now.
+// due returns the names of the tasks to claim now.
 func (r *runner) due() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +126,7 @@
 	return r.scheduler.Due(r.options.Now())
 }
 
-// claimTask acquires a task's lease once, does what is due, and reports to the Scheduler when to try again.
+// claimTask makes one attempt to acquire a task's lease, does what is due under it, and reports to the Scheduler when to try again.
 func (r *runner) claimTask(ctx context.Context, t *declaredTask) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -149,7 +150,7 @@
 	}
 }
 
-// started reports to the Scheduler that a task runs here.
+// started reports to the Scheduler that a task's run has started in this process.
 func (r *runner) started(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/task/scheduler.go
+++ b/internal/task/scheduler.go
@@ -9,12 +9,12 @@
 
 // SchedulerOptions are a Scheduler's parameters.
 type SchedulerOptions struct {
-	MaxRuns         int           // tasks that are claimed at once
-	Spread          time.Duration // each process delays its claim of a due task at random by up to this, and by this for each run that goes on here
-	RecheckInterval time.Duration // mean time until a task that another process holds is tried again: that process may be lost
+	MaxRuns         int           // maximum number of tasks claimed at once
+	Spread          time.Duration // a claim is delayed at random by up to Spread after the due time, and by Spread more for each run in this process
+	RecheckInterval time.Duration // mean time until the lease of a task that another process holds is requested again: that process may be lost
 }
 
-// Scheduler decides when one process tries to acquire the lease of which task. It is not safe for concurrent use.
+// Scheduler decides when this process tries to acquire the lease of each task. It is not safe for concurrent use.
 //
 //	idle ── Due, at its next attempt ────────▶ claimed: its lease is being acquired
 //	claimed ── Started ──────────────────────▶ claimed, running
@@ -23,13 +23,13 @@
 type Scheduler struct {
 	options  SchedulerOptions
 	rng      *rand.Rand
-	tasks    []*scheduledTask // by falling priority
+	tasks    []*scheduledTask // in order of descending priority
 	claimed  int
 	running  int
 	draining bool
 }
 
-// scheduledTask is a task as a Scheduler sees it.
+// scheduledTask is the Scheduler's state of a task.
 type scheduledTask struct {
 	name        string
 	priority    int
@@ -43,13 +43,13 @@
 	return &Scheduler{options: options, rng: rng}
 }
 
-// Add adds a task. Where there is no capacity for all due tasks, a higher priority goes first.
+// Add adds a task. If there is no capacity for all due tasks, those of higher priority are claimed first.
 func (s *Scheduler) Add(now time.Time, name string, priority int) {
 	s.tasks = append(s.tasks, &scheduledTask{name: name, priority: priority, nextAttempt: now.Add(s.claimDelay())})
 	slices.SortStableFunc(s.tasks, func(a, b *scheduledTask) int { return cmp.Compare(b.priority, a.priority) })
 }
 
-// SetDraining makes Due return nothing, or, with false, everything that is due again.
+// SetDraining says whether the process is draining. While it is, Due returns no tasks.
 func (s *Scheduler) SetDraining(on bool) { s.draining = on }
 
 // Due claims and returns the tasks whose leases are to be acquired now.
@@ -67,7 +67,7 @@
 	return names
 }
 
-// Next returns when Due may have something to return; false if only another event makes it so.
+// Next returns when Due may next return a task, or false if that depends on another event.
 func (s *Scheduler) Next() (time.Time, bool) {
 	var next time.Time
 	if !s.hasCapacity() {
@@ -81,7 +81,7 @@
 	return next, !next.IsZero()
 }
 
-// Started says that a claimed task runs here.
+// Started records that the run of a claimed task has started in this process.
 func (s *Scheduler) Started(name string) {
 	if t := s.findClaimed(name); t != nil && !t.running {
 		t.running = true
@@ -89,7 +89,7 @@
 	}
 }
 
-// Waiting says that a claimed task is not due before at; zero: never again.
+// Waiting ends the claim of a task that is not due before at. If at is zero, the task is never due again.
 func (s *Scheduler) Waiting(name string, at time.Time) {
 	if t := s.unclaim(name); t != nil {
 		if t.nextAttempt = at; !at.IsZero() {
@@ -98,15 +98,16 @@
 	}
 }
 
-// HeldElsewhere says that another process holds a claimed task's lease, or that the group did not answer.
+// HeldElsewhere ends the claim of a task whose lease another process holds, or for which the lease group did not reply.
 func (s *Scheduler) HeldElsewhere(now time.Time, name string) {
 	if t := s.unclaim(name); t != nil {
-		// At random around the interval, so that processes do not ask together.
+		// The time is randomized around the interval, so that processes do not request the lease at the same time.
 		t.nextAttempt = now.Add(s.options.RecheckInterval/2 + time.Duration(s.rng.Int64N(int64(s.options.RecheckInterval))))
 	}
 }
 
-// claimDelay draws how long after its due time a task is claimed here. A process that runs others comes later, so that runs spread.
+// claimDelay returns a random delay of a task's claim after its due time. A process with more runs in progress waits longer, so that the runs
+// spread over the processes.
 func (s *Scheduler) claimDelay() time.Duration {
 	delay := time.Duration(s.running) * s.options.Spread
 	if s.options.Spread > 0 {
@@ -118,10 +119,10 @@
 // hasCapacity reports whether another task may be claimed.
 func (s *Scheduler) hasCapacity() bool { return !s.draining && s.claimed < s.options.MaxRuns }
 
-// isPending reports whether a task is to be claimed at its next attempt.
+// isPending reports whether a task is to be claimed at its nextAttempt.
 func (t *scheduledTask) isPending() bool { return !t.claimed && !t.nextAttempt.IsZero() }
 
-// findClaimed returns a task that is claimed, nil if it is not.
+// findClaimed returns the task if it is claimed, nil otherwise.
 func (s *Scheduler) findClaimed(name string) *scheduledTask {
 	for _, t := range s.tasks {
 		if t.name == name && t.claimed {
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// unclaim ends a task's claim and returns the task, nil if it was not claimed.
+// unclaim ends a task's claim and returns the task. It returns nil if the task was not claimed.
 func (s *Scheduler) unclaim(name string) *scheduledTask {
 	t := s.findClaimed(name)
 	if t == nil {
--- a/internal/task/scheduler_test.go
+++ b/internal/task/scheduler_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A process claims no more than it has capacity for, the most urgent first, and nothing while it is draining; it forgets no task.
+// Guards against a process that claims more tasks than it has capacity for, claims them in another order than by priority, claims a task while it
+// is draining, or never claims a task again.
 func TestScheduler(t *testing.T) {
 	s := NewScheduler(SchedulerOptions{MaxRuns: 2, Spread: 100 * time.Millisecond, RecheckInterval: time.Second}, rand.New(rand.NewPCG(1, 1)))
 	for i, name := range []string{"low", "high", "middle"} {
@@ -16,30 +17,30 @@
 	now := start.Add(200 * time.Millisecond)
 	s.SetDraining(true)
 	if names := s.Due(now); len(names) != 0 {
-		t.Errorf("it is draining and claims %v", names)
+		t.Errorf("the draining process claims %v, want none", names)
 	}
 	s.SetDraining(false)
 	if names := fmt.Sprint(s.Due(now)); names != "[high middle]" {
-		t.Errorf("claims %s", names)
+		t.Errorf("the first two claims are %s, want [high middle]", names)
 	}
 	if _, ok := s.Next(); ok || len(s.Due(now)) != 0 {
-		t.Error("it claims more than its capacity")
+		t.Error("the process claims more tasks than its capacity of 2")
 	}
 	s.Started("high")
 	s.Waiting("middle", now.Add(time.Minute))
 	if names := fmt.Sprint(s.Due(now)); names != "[low]" {
-		t.Errorf("claims %s", names)
+		t.Errorf("after one claim has ended, claims %s, want [low]", names)
 	}
 	s.HeldElsewhere(now, "low")
 	next, ok := s.Next()
 	if !ok || next.Before(now.Add(500*time.Millisecond)) || next.After(now.Add(1500*time.Millisecond)) {
-		t.Errorf("it tries again after %v", next.Sub(now))
+		t.Errorf("a lease held elsewhere is requested again after %v, want 0.5 s to 1.5 s", next.Sub(now))
 	}
-	s.Waiting("high", time.Time{}) // never again
+	s.Waiting("high", time.Time{}) // never due again
 	for range 2 {
-		s.Waiting("high", now) // it is not claimed any more
+		s.Waiting("high", now) // has no effect: the task is not claimed any more
 	}
 	if names := fmt.Sprint(s.Due(now.Add(time.Hour))); names != "[middle low]" {
-		t.Errorf("claims %s", names)
+		t.Errorf("one hour later, claims %s, want [middle low]", names)
 	}
 }
