--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -77,7 +77,7 @@
 		{"[log]\nlevle = \"info\"\nformat = \"xml\"\nper_second = 0\n" + web,
 			[]string{`2: log.levle: no such key; the nearest is "level"`, `3: log.format: "xml" is none of text, json`, "4: log.per_second"}},
 		{"[shares]\nguaranteed = 2\n" + web, []string{"2: shares.guaranteed"}},
-		{"[tls]\ncertificate = \"/c\"\nclients = \"wanted\"\n" + web, []string{"2: tls.certificate: stands there without a key", "3: tls.clients: there is no client_ca"}},
+		{"[tls]\ncertificate = \"/c\"\nclients = \"wanted\"\n" + web, []string{"2: tls.certificate: is set without a key", "3: tls.clients: there is no client_ca"}},
 		{web + "list_file = \"/l\"\nidle = \"0s\"\nanswers = [\"2xx\", \"503\"]\nshare = 0\n",
 			[]string{"1: service[0]: upstreams come from one of", "5: service[0].idle", "6: service[0].answers: 503 says", "7: service[0].share"}},
 		{web + web, []string{`5: service[1].name: "web" is taken`}},
--- a/internal/httpheader/httpheader.go
+++ b/internal/httpheader/httpheader.go
@@ -17,18 +17,18 @@
 	Attributes     = "X-Attrs"
 	RetryMarker    = "X-Retried"
 	IdempotencyKey = "Idempotency-Key"
-	LoadReport     = "X-Server-Load"   // a load report, on answers
-	NotProcessed   = "X-Not-Processed" // on answers: "1" means that the request was not processed
+	LoadReport     = "X-Server-Load"   // in responses: a load report
+	NotProcessed   = "X-Not-Processed" // in responses: "1" means that the request was not processed
 )
 
-// MaxBytes is the largest head of a request or an answer.
+// MaxBytes is the largest size of the head of a request or response.
 const MaxBytes = 16 << 10
 
-// hopByHop headers belong to one connection and are not forwarded.
+// hopByHop lists headers that belong to one connection and are not forwarded.
 var hopByHop = [...]string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect"}
 
-// EndToEnd returns a copy of the headers without those of one connection (RFC 9110, section 7.6.1). The values are shared with h.
+// EndToEnd returns a copy of the headers without the hop-by-hop ones (RFC 9110, section 7.6.1). The values are shared with h.
 func EndToEnd(h http.Header) http.Header {
 	forwarded := make(http.Header, len(h)+1)
 	for name, values := range h {
--- a/internal/httpheader/statuses.go
+++ b/internal/httpheader/statuses.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The statuses of final answers.
+// The range of the statuses of final responses.
 const (
 	minFinalStatus = 200
 	maxFinalStatus = 599
@@ -16,7 +16,7 @@
 // Statuses is a set of HTTP statuses, from 200 to 599.
 type Statuses [maxFinalStatus + 1]bool
 
-// Only200 returns the platform's set of successes: only 200.
+// Only200 returns the set that contains 200 alone, the platform's only success status.
 func Only200() *Statuses {
 	s := &Statuses{}
 	s[http.StatusOK] = true
@@ -26,8 +26,8 @@
 // Has reports whether a status is in the set.
 func (s *Statuses) Has(status int) bool { return status >= 0 && status < len(s) && s[status] }
 
-// ParseStatuses parses statuses, such as "404", and classes of them, such as "2xx". 429 and 503 mean that a request was rejected: they are in
-// no class, and are errors by themselves.
+// ParseStatuses parses statuses, such as "404", and classes of them, such as "2xx". 429 and 503 mean that a request was rejected: a
+// class does not contain them, and ParseStatuses returns an error if they are given as single statuses.
 func ParseStatuses(words []string) (*Statuses, error) {
 	s := &Statuses{}
 	for _, word := range words {
@@ -42,21 +42,21 @@
 	return s, nil
 }
 
-// parseStatusRange returns the first and the last status of a word.
+// parseStatusRange returns the first and the last status that a word means.
 func parseStatusRange(word string) (first, last int, err error) {
 	if digit, ok := strings.CutSuffix(word, "xx"); ok {
 		class, err := strconv.Atoi(digit)
 		if err != nil || class < 2 || class > 5 {
-			return 0, 0, fmt.Errorf("%q is no class of statuses", word)
+			return 0, 0, fmt.Errorf("%q is not a class of statuses from 2xx to 5xx", word)
 		}
 		return class * 100, class*100 + 99, nil
 	}
 	status, err := strconv.Atoi(word)
 	if err != nil || status < minFinalStatus || status > maxFinalStatus {
-		return 0, 0, fmt.Errorf("%q is no status of a final answer", word)
+		return 0, 0, fmt.Errorf("%q is not the status of a final response", word)
 	}
 	if isRejection(status) {
-		return 0, 0, fmt.Errorf("%d says that a request was turned away, which is not an answer", status)
+		return 0, 0, fmt.Errorf("%d says that a request was rejected, and cannot be given here", status)
 	}
 	return status, status, nil
 }
--- a/internal/tlscredentials/client.go
+++ b/internal/tlscredentials/client.go
@@ -23,7 +23,7 @@
 // Client encrypts connections to upstreams. It implements upstream.TLSClient and is safe for concurrent use.
 type Client struct {
 	store    *Store
-	identity string // which certificates must have if the endpoint names none; "": the endpoint's address
+	identity string // expected in certificates if the endpoint names none; "": the endpoint's address
 	base     *tls.Config
 	sessions tls.ClientSessionCache
 
@@ -37,7 +37,8 @@
 	c.base = &tls.Config{
 		MinVersion: version(d.MinVersion),
 		NextProtos: []string{alpnHTTP1},
-		// crypto/tls can't verify URIs, or authorities that change: Config's VerifyConnection does, at each handshake and resumption.
+		// crypto/tls cannot verify URIs, or use CA certificates that change. The VerifyConnection that Config sets does both, at each
+		// handshake and resumption.
 		InsecureSkipVerify: true,
 	}
 	if d.Certificate != "" {
@@ -46,18 +47,18 @@
 	return c
 }
 
-// Config returns the configuration of connections to an upstream, for callers that make the connections themselves.
+// Config returns the TLS configuration of connections to an upstream, for callers that make the connections themselves.
 func (c *Client) Config(at endpoints.Instance) *tls.Config {
 	config := c.base.Clone()
 	identity := c.expectedIdentity(at)
 	config.ClientSessionCache = upstreamSessions{c.sessions, at.Address + " " + at.TLSIdentity + " "}
-	config.ServerName, _, _ = net.SplitHostPort(at.Address) // crypto/tls does not send an IP address
+	config.ServerName, _, _ = net.SplitHostPort(at.Address) // crypto/tls does not send a name that is an IP address
 	if identity != "" && !isURI(identity) {
 		config.ServerName = identity
 	}
 	config.VerifyConnection = func(state tls.ConnectionState) error {
 		if len(state.PeerCertificates) == 0 {
-			return errors.New("the upstream shows no certificate")
+			return errors.New("the upstream presented no certificate")
 		}
 		if err := verifyChain(state.PeerCertificates, c.store.Current().CA, x509.ExtKeyUsageServerAuth); err != nil {
 			return err
@@ -67,7 +68,8 @@
 	return config
 }
 
-// upstreamSessions is the part of a session cache that belongs to one upstream: a session is only resumed with the same one.
+// upstreamSessions is the part of a session cache that belongs to one upstream. A session is resumed only with the upstream that it was
+// established with.
 type upstreamSessions struct {
 	tls.ClientSessionCache
 	prefix string
@@ -94,7 +96,7 @@
 // isURI reports whether an identity is a URI and not a DNS name.
 func isURI(identity string) bool { return strings.Contains(identity, "://") }
 
-// verifyIdentity verifies that a certificate is for an identity, or for the host of address if there is none.
+// verifyIdentity verifies that a certificate is valid for the identity, or for the host of address if the identity is empty.
 func verifyIdentity(leaf *x509.Certificate, identity, address string) error {
 	switch {
 	case identity == "":
@@ -109,18 +111,18 @@
 				return nil
 			}
 		}
-		return fmt.Errorf("the certificate is not for %s", identity)
+		return fmt.Errorf("the upstream's certificate is not valid for %s", identity)
 	default:
 		return leaf.VerifyHostname(identity)
 	}
 }
 
-// Handshake encrypts a new connection for HTTP/1.1.
+// Handshake performs the TLS handshake on a new connection, for HTTP/1.1.
 func (c *Client) Handshake(ctx context.Context, conn net.Conn, at endpoints.Instance) (*tls.Conn, error) {
 	return c.HandshakeALPN(ctx, conn, at, alpnHTTP1)
 }
 
-// HandshakeALPN encrypts a new connection for another protocol, by its ALPN name.
+// HandshakeALPN performs the TLS handshake on a new connection, for the protocol with this ALPN name.
 func (c *Client) HandshakeALPN(ctx context.Context, conn net.Conn, at endpoints.Instance, protocol string) (*tls.Conn, error) {
 	config := c.Config(at)
 	config.NextProtos = []string{protocol}
@@ -131,8 +133,8 @@
 	return encrypted, nil
 }
 
-// StillTrusted reports whether a connection made earlier would also be made now, with the present authorities and the present identity of
-// the upstream.
+// StillTrusted reports whether the certificates of an established connection would be accepted now, with the current CA certificates and
+// the current identity of the upstream.
 func (c *Client) StillTrusted(conn *tls.Conn, at endpoints.Instance) bool {
 	material := c.store.Current()
 	chain := conn.ConnectionState().PeerCertificates
--- a/internal/tlscredentials/client_test.go
+++ b/internal/tlscredentials/client_test.go
@@ -14,7 +14,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// startTLSServer accepts handshakes until the test ends, and returns its address. With a nil config it stalls after the ClientHello.
+// startTLSServer starts a server that accepts handshakes until the test ends, and returns its address. With a nil config the server does
+// not respond to the ClientHello.
 func startTLSServer(t *testing.T, config *tls.Config) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,7 +51,7 @@
 	return l.Addr().String()
 }
 
-// connect makes one connection, and reads the byte that a server sends once it has accepted the client.
+// connect makes one connection, and reads the byte that the server sends once it has accepted the client.
 func connect(ctx context.Context, c *Client, at endpoints.Instance) (*tls.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", at.Address)
 	if err != nil {
@@ -68,8 +69,8 @@
 	return encrypted, nil
 }
 
-// TestHandshakes checks which upstreams are accepted, by identity (DNS name, URI or address), authority and version of TLS, and which accept
-// the client's certificate.
+// TestHandshakes checks which upstreams are accepted, by identity (DNS name, URI or address), CA and version of TLS, and which upstreams
+// accept the client's certificate.
 func TestHandshakes(t *testing.T) {
 	ca, other := base.CA(t, "one"), base.CA(t, "two")
 	const uri = "spiffe://orchid.example/node/7"
@@ -96,24 +97,24 @@
 		{"by the service's name", node, "node7.example", "", UpstreamTLS{}, true},
 		{"by the endpoint's name", node, "wrong.example", "node7.example", UpstreamTLS{}, true},
 		{"by URI", node, "", uri, UpstreamTLS{}, true},
-		{"another's name", node, "", "node8.example", UpstreamTLS{}, false},
-		{"another's URI", node, "", uri + "0", UpstreamTLS{}, false},
-		{"another authority", foreign, "node7.example", "", UpstreamTLS{}, false},
+		{"another upstream's name", node, "", "node8.example", UpstreamTLS{}, false},
+		{"another upstream's URI", node, "", uri + "0", UpstreamTLS{}, false},
+		{"another CA", foreign, "node7.example", "", UpstreamTLS{}, false},
 		{"an old version", old, "", "", UpstreamTLS{MinVersion: "1.3"}, false},
 		{"an old version, allowed", old, "", "", UpstreamTLS{MinVersion: "1.2"}, true},
-		{"it requires a certificate", requiring(ca), "", "", UpstreamTLS{Certificate: "y"}, true},
-		{"it requires one, and gets none", requiring(ca), "", "", UpstreamTLS{}, false},
-		{"it requires another authority's", requiring(other), "", "", UpstreamTLS{Certificate: "y"}, false},
+		{"upstream requires a certificate", requiring(ca), "", "", UpstreamTLS{Certificate: "y"}, true},
+		{"upstream requires a certificate and gets none", requiring(ca), "", "", UpstreamTLS{}, false},
+		{"upstream requires a certificate of another CA", requiring(other), "", "", UpstreamTLS{Certificate: "y"}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newStoreRig(t, own, ca.PEM)
 			c.declaration.Name = c.serviceName
 			client := NewClient(r.Store, c.declaration)
 			at := endpoints.Instance{Address: startTLSServer(t, c.server), TLSIdentity: c.identity}
-			for range 2 { // the second resumes the session, if there is one
+			for range 2 { // the second connection resumes the session of the first, if there is one
 				conn, err := connect(t.Context(), client, at)
 				if (err == nil) != c.accepted {
-					t.Errorf("%v", err)
+					t.Errorf("connecting ended with error %v, want the opposite outcome", err)
 				}
 				if err == nil {
 					conn.NetConn().Close()
@@ -123,7 +124,7 @@
 	}
 }
 
-// TestHandshakeThatStalls checks that a handshake that stalls after the ClientHello ends with its context.
+// TestHandshakeThatStalls guards against a handshake that outlasts its context because the server does not respond to the ClientHello.
 func TestHandshakeThatStalls(t *testing.T) {
 	ca := base.CA(t, "one")
 	r := newStoreRig(t, base.Issue(t, ca, "a"), ca.PEM)
@@ -134,8 +135,8 @@
 	}
 }
 
-// TestAuthorityRotation checks the rotation of authorities with an overlap (old, both, new): connections stay trusted while their authority
-// is, and none is made or resumed under a withdrawn one.
+// TestAuthorityRotation checks the rotation of CA certificates with an overlap (old, both, new): a connection stays trusted while its CA
+// is, and no connection is made or resumed under a CA that has been removed.
 func TestAuthorityRotation(t *testing.T) {
 	oldCA, newCA := base.CA(t, "old"), base.CA(t, "new")
 	r := newStoreRig(t, base.Issue(t, oldCA, "a"), oldCA.PEM)
@@ -157,17 +158,17 @@
 	newConn := mustConnect(newServer)
 	mustConnect(oldServer)
 	if !client.StillTrusted(oldConn, oldServer) || !client.StillTrusted(newConn, newServer) {
-		t.Error("a connection is not trusted while both authorities are")
+		t.Error("a connection is not trusted although both CAs are")
 	}
 	base.Replace(t, r.files.CA, newCA.PEM)
 	r.Reload()
-	for range 2 { // the second answer is cached
+	for range 2 { // the second result is cached
 		if client.StillTrusted(oldConn, oldServer) || !client.StillTrusted(newConn, newServer) {
-			t.Error("a withdrawn authority is trusted, or the other one is not")
+			t.Error("a connection under the removed CA is trusted, or one under the remaining CA is not")
 		}
 	}
-	if conn, err := connect(t.Context(), client, oldServer); err == nil { // its session could be resumed
+	if conn, err := connect(t.Context(), client, oldServer); err == nil { // without verification the cached session would be resumed
 		conn.NetConn().Close()
-		t.Error("connected under a withdrawn authority")
+		t.Error("connected to an upstream whose CA has been removed")
 	}
 }
--- a/internal/tlscredentials/server.go
+++ b/internal/tlscredentials/server.go
@@ -16,8 +16,8 @@
 // alpnHTTP1 is the ALPN name of HTTP/1.1.
 const alpnHTTP1 = "http/1.1"
 
-// ServerConfig returns the configuration of the clients' listener. Each handshake uses the credentials of its moment; connections that are
-// established are not affected by later ones.
+// ServerConfig returns the TLS configuration of the clients' listener. Each handshake uses the credentials that are current then. A later
+// change of credentials does not affect connections that are established.
 func ServerConfig(s *Store, d ListenerTLS) *tls.Config {
 	config := &tls.Config{MinVersion: version(d.MinVersion), NextProtos: []string{alpnHTTP1}}
 	config.GetCertificate = func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.Current().Pair, nil }
@@ -27,11 +27,11 @@
 	if config.ClientAuth = tls.RequireAnyClientCert; d.Clients == clientsWanted {
 		config.ClientAuth = tls.RequestClientCert
 	}
-	// The authorities may have changed between a handshake and a resumption, so both are verified here.
+	// The CA certificates may have changed between a handshake and its resumption. This function verifies both.
 	config.VerifyConnection = func(state tls.ConnectionState) error {
 		if len(state.PeerCertificates) == 0 {
 			if d.Clients == clientsRequired {
-				return errors.New("no client certificate")
+				return errors.New("the client presented no certificate")
 			}
 			return nil
 		}
@@ -40,7 +40,7 @@
 	return config
 }
 
-// verifyChain verifies a peer's certificates against authorities, for a use of the first one.
+// verifyChain verifies a peer's certificate chain against the CA certificates, and that its first certificate allows the usage.
 func verifyChain(chain []*x509.Certificate, ca *x509.CertPool, usage x509.ExtKeyUsage) error {
 	intermediates := x509.NewCertPool()
 	for _, certificate := range chain[1:] {
--- a/internal/tlscredentials/store.go
+++ b/internal/tlscredentials/store.go
@@ -1,6 +1,6 @@
-// Package tlscredentials loads certificates, private keys and authorities from files and follows their changes. A Store replaces its
-// credentials once new ones are complete and valid, and keeps the ones that it has otherwise. server.go and client.go make crypto/tls
-// configurations of it. Private keys are never logged.
+// Package tlscredentials loads certificates, private keys and CA certificates from files, and reloads files that change. A Store replaces
+// its credentials only if the new ones are complete and valid. server.go and client.go build crypto/tls configurations from a Store.
+// Private keys are never logged.
 package tlscredentials
 
 import (
@@ -27,10 +27,10 @@
 	expiryWarningInterval = time.Hour
 )
 
-// Files are the paths of a Store's files, PEM. An empty path means that there is no such file.
+// Files holds the paths of a Store's PEM files. An empty path means that there is no such file.
 type Files struct{ Certificate, Key, CA string }
 
-// Material holds the credentials at a moment. It is immutable.
+// Material is an immutable snapshot of a Store's credentials.
 type Material struct {
 	Pair       *tls.Certificate // nil: none
 	CA         *x509.CertPool   // nil: none
@@ -40,7 +40,7 @@
 // Store holds the credentials of a set of files. It is safe for concurrent use.
 type Store struct {
 	files      Files
-	warnBefore time.Duration // before a certificate expires
+	warnBefore time.Duration // how long before a certificate expires warnings begin
 	log        *slog.Logger
 	now        func() time.Time
 
@@ -48,12 +48,12 @@
 
 	mu                               sync.Mutex // guards the fields below, and changes of current
 	certificateFile, keyFile, caFile *filewatch.Reader
-	certificateText, keyText         []byte // the latest content of the files, whether or not it is valid
-	loggedError                      string // the last one that was logged
+	certificateText, keyText         []byte // the latest content of the files, valid or not
+	loggedError                      string // the error that was logged last, not to be logged again
 	warnedAt                         time.Time
 }
 
-// Open returns a Store with the files' credentials. Credentials that are not valid are an error here. Run follows the files.
+// Open returns a Store with the credentials in the files, or an error if they are not valid. Run reloads files that change.
 func Open(files Files, warnBefore time.Duration, log *slog.Logger) (*Store, error) {
 	s := &Store{
 		files:           files,
@@ -84,10 +84,10 @@
 // Current returns the credentials in use.
 func (s *Store) Current() *Material { return s.current.Load() }
 
-// Run follows the files until ctx ends.
+// Run reloads files that change, until ctx ends.
 func (s *Store) Run(ctx context.Context) { filewatch.Watch(ctx, pollInterval, s.Reload) }
 
-// Reload reads the files now. Errors are logged, and leave the credentials in use.
+// Reload reads the files now. If they cannot be read or are not valid it logs the error, and the credentials in use stay.
 func (s *Store) Reload() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +100,7 @@
 }
 
 // reloadPair replaces the certificate and its key if they have changed and are valid. The two files are replaced one after the other: until
-// they fit together the old pair stays in use.
+// they match, the old pair stays in use.
 func (s *Store) reloadPair() error {
 	if s.certificateFile == nil {
 		return nil
@@ -141,28 +141,28 @@
 	return changed, nil
 }
 
-// parsePair parses the certificate and its key, which must fit together and be valid now.
+// parsePair parses the certificate and its key, which must match and be valid now.
 func (s *Store) parsePair() (*tls.Certificate, error) {
 	pair, err := tls.X509KeyPair(s.certificateText, s.keyText)
 	if err != nil {
-		return nil, fmt.Errorf("%s and %s: %w", s.files.Certificate, s.files.Key, err)
+		return nil, fmt.Errorf("parse certificate %s and key %s: %w", s.files.Certificate, s.files.Key, err)
 	}
 	if pair.Leaf == nil {
 		if pair.Leaf, err = x509.ParseCertificate(pair.Certificate[0]); err != nil {
-			return nil, fmt.Errorf("%s: %w", s.files.Certificate, err)
+			return nil, fmt.Errorf("parse certificate %s: %w", s.files.Certificate, err)
 		}
 	}
 	now := s.now()
 	switch {
 	case now.After(pair.Leaf.NotAfter):
-		return nil, fmt.Errorf("%s has ended on %s", s.files.Certificate, pair.Leaf.NotAfter.UTC().Format(time.RFC3339))
+		return nil, fmt.Errorf("certificate %s expired on %s", s.files.Certificate, pair.Leaf.NotAfter.UTC().Format(time.RFC3339))
 	case now.Before(pair.Leaf.NotBefore):
-		return nil, fmt.Errorf("%s begins on %s only", s.files.Certificate, pair.Leaf.NotBefore.UTC().Format(time.RFC3339))
+		return nil, fmt.Errorf("certificate %s is not valid before %s", s.files.Certificate, pair.Leaf.NotBefore.UTC().Format(time.RFC3339))
 	}
 	return &pair, nil
 }
 
-// reloadCA replaces the authorities if they have changed and there is at least one.
+// reloadCA replaces the CA certificates if their file has changed and contains at least one.
 func (s *Store) reloadCA() error {
 	if s.caFile == nil {
 		return nil
@@ -173,7 +173,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(bytes.TrimSpace(content.Text)) {
-		return fmt.Errorf("%s holds no certificate of an authority", s.files.CA)
+		return fmt.Errorf("%s contains no CA certificate", s.files.CA)
 	}
 	m := *s.Current()
 	first := m.CA == nil
@@ -200,7 +200,7 @@
 	}
 	s.warnedAt = now
 	if now.After(expiry) {
-		s.log.Error("keys: the certificate has ended, and there is no new one", "file", s.files.Certificate, "until", expiry.UTC())
+		s.log.Error("keys: the certificate has expired, and there is no new one", "file", s.files.Certificate, "until", expiry.UTC())
 		return
 	}
 	s.log.Warn("keys: the certificate ends soon", "file", s.files.Certificate, "until", expiry.UTC())
--- a/internal/tlscredentials/store_test.go
+++ b/internal/tlscredentials/store_test.go
@@ -80,8 +80,8 @@
 	return leaf.SerialNumber.String()
 }
 
-// TestInvalidFilesAreNotUsed checks that files that are not valid or do not fit together leave the credentials in use, are logged, and do
-// not prevent a return to valid files; and that no key is logged.
+// TestInvalidFilesAreNotUsed checks that files that are not valid or do not match leave the credentials in use, that an error is logged,
+// that valid files are used afterwards, and that no key is logged.
 func TestInvalidFilesAreNotUsed(t *testing.T) {
 	ca := base.CA(t, "one")
 	first, second := base.Issue(t, ca, "a.example"), base.Issue(t, ca, "a.example")
@@ -110,27 +110,27 @@
 		c.change()
 		r.Reload()
 		if r.Current().Pair != before.Pair || r.Current().CA != before.CA {
-			t.Errorf("%s: used", c.name)
+			t.Errorf("%s: the invalid file replaced the credentials in use", c.name)
 		}
 		r.write(first, ca.PEM)
 		r.Reload()
 		if r.serial() != serialOf(t, first) {
-			t.Errorf("after %s: not the first pair", c.name)
+			t.Errorf("after %s: the valid first pair is not in use", c.name)
 		}
 	}
 	if r.countLogged("what is in use stays") < len(cases) {
-		t.Errorf("logged %q", r.lines)
+		t.Errorf("not every invalid file was logged: %q", r.lines)
 	}
 	if r.countLogged("PRIVATE") > 0 {
-		t.Errorf("a key in the log: %q", r.lines)
+		t.Errorf("a private key was logged: %q", r.lines)
 	}
 	if _, err := Open(Files{r.files.CA, r.files.Key, ""}, 0, logging.NewFunc(r.log)); err == nil {
-		t.Error("opened with a pair that does not fit together")
+		t.Error("Open accepts a certificate and a key that do not match")
 	}
 }
 
-// TestPairIsReplacedAndExpires checks that a new pair is used once both of its files are there, and that its end is logged ahead, once, and
-// when it has come, while the pair stays in use.
+// TestPairIsReplacedAndExpires checks that a new pair is used once both of its files are there, that one warning is logged before the
+// pair expires and another one afterwards, and that an expired pair stays in use.
 func TestPairIsReplacedAndExpires(t *testing.T) {
 	ca := base.CA(t, "one")
 	first, second := base.Issue(t, ca, "a.example"), base.Issue(t, ca, "a.example")
@@ -146,11 +146,11 @@
 	r.Reload()
 	r.Reload()
 	if n := r.countLogged("ends soon"); n != 1 {
-		t.Errorf("%d warnings ahead of the end", n)
+		t.Errorf("got %d warnings before the certificate expires, want 1", n)
 	}
 	r.now = func() time.Time { return time.Now().Add(3 * time.Hour) }
 	r.Reload()
-	if r.countLogged("has ended") == 0 || r.serial() != serialOf(t, second) {
-		t.Error("the end was not logged, or the pair is not in use any more")
+	if r.countLogged("has expired") == 0 || r.serial() != serialOf(t, second) {
+		t.Error("the expiry was not logged, or the expired pair is not in use any more")
 	}
 }
