--- a/internal/server/acceptor/acceptor.go
+++ b/internal/server/acceptor/acceptor.go
@@ -1,5 +1,5 @@
-// Package acceptor keeps a server accepting connections when accept(2) fails. net/http and grpc-go end a server, with all its requests in
-// flight, on errors that do not report themselves as temporary, and wait for up to a second after the others.
+// Package acceptor keeps a server accepting connections when accept(2) fails. net/http and grpc-go stop a server, with all its requests in
+// flight, on an error that does not report itself as temporary, and wait for up to a second after a temporary one.
 package acceptor
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Backoff after an accept that failed. It doubles from the first to the second.
+// Backoff after a failed accept. It doubles with each failure, from minBackoff to maxBackoff.
 const (
 	minBackoff = time.Millisecond
 	maxBackoff = 32 * time.Millisecond
@@ -22,7 +22,7 @@
 	net.Listener
 	log      *slog.Logger
 	failures atomic.Int64
-	backoff  time.Duration // after the last failure; 0: the last accept did not fail
+	backoff  time.Duration // after the latest failure; 0: the latest accept did not fail
 	deadline atomic.Pointer[time.Time]
 	queue    drainState
 }
@@ -35,8 +35,8 @@
 	return &Listener{Listener: l, log: log}
 }
 
-// Accept waits for the next connection, whatever the system's failures. It returns net.ErrClosed, also once
-// the listener is drained, or os.ErrDeadlineExceeded.
+// Accept waits for the next connection, and retries if accept(2) fails. The only errors that it returns are net.ErrClosed, also once the
+// listener is drained, and os.ErrDeadlineExceeded.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -57,18 +57,18 @@
 	}
 }
 
-// deadlinePassed reports whether the deadline is over, also where accepts that fail hide that.
+// deadlinePassed reports whether the deadline has passed. An accept that fails for another reason does not report it.
 func (l *Listener) deadlinePassed() bool {
 	deadline := l.deadline.Load()
 	return deadline != nil && !time.Now().Before(*deadline)
 }
 
-// Failures is the number of accepts that have failed.
+// Failures returns the number of accepts that have failed.
 func (l *Listener) Failures() int64 { return l.failures.Load() }
 
-// SetDeadline sets the time until which Accept waits, if the listener below supports one.
+// SetDeadline sets the time until which Accept waits, if the underlying listener supports deadlines.
 func (l *Listener) SetDeadline(t time.Time) error {
-	below, ok := l.Listener.(deadlineSetter)
+	underlying, ok := l.Listener.(deadlineSetter)
 	if !ok {
 		return errors.ErrUnsupported
 	}
@@ -76,7 +76,7 @@
 	if !t.IsZero() {
 		l.deadline.Store(&t)
 	}
-	return below.SetDeadline(t)
+	return underlying.SetDeadline(t)
 }
 
 func (l *Listener) backOff(err error) {
--- a/internal/server/acceptor/drain.go
+++ b/internal/server/acceptor/drain.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// A listener that is drained accepts what the system's accept queue holds until nothing has come for queueQuiet. Connects are rejected
-// meanwhile; where the system can't do that, the drain ends after maxOpenDrain, since clients may come more often than each queueQuiet.
+// A draining listener accepts the connections in the system's accept queue until none has arrived for queueQuiet. New connects are rejected
+// meanwhile. If the system cannot reject them, the drain ends after maxOpenDrain, since clients may connect more often than once in
+// queueQuiet.
 const (
 	queueQuiet   = 5 * time.Millisecond
 	maxOpenDrain = 100 * time.Millisecond
-	// MaxDrain is how long a drain takes at most, where the caller of Accept waits before it takes the next connection.
+	// MaxDrain is how long a drain takes at most if the caller of Accept waits before it accepts the next connection.
 	MaxDrain = time.Second
 )
 
@@ -20,9 +21,9 @@
 type drainState struct {
 	mu       sync.Mutex
 	draining bool
-	until    time.Time // then the last wait begins
-	last     bool      // the last wait has begun
-	quiet    bool      // no connection has come since the last wait began
+	until    time.Time // from then on one last wait may begin
+	lastWait bool      // the last wait has begun
+	quiet    bool      // no connection has been accepted since the latest wait began
 }
 
 func (d *drainState) accepted() {
@@ -31,14 +32,14 @@
 	d.quiet = false
 }
 
-// waitAgain reports whether the queue is to be waited for once more. That is so at least once, however late the caller is.
+// waitAgain reports whether Accept has to wait for the queue once more. The first call returns true, however late it comes.
 func (d *drainState) waitAgain() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.quiet || d.last {
+	if d.quiet || d.lastWait {
 		return false
 	}
-	d.quiet, d.last = true, !time.Now().Before(d.until)
+	d.quiet, d.lastWait = true, !time.Now().Before(d.until)
 	return true
 }
 
@@ -48,8 +49,9 @@
 	return d.draining
 }
 
-// Drain ends the listener without resetting the connections that wait in its accept queue, as Close would: connects are rejected, and
-// Accept returns what waits. Then it closes the listener and returns net.ErrClosed. No other process may have the socket.
+// Drain ends the listener without resetting the connections in its accept queue, as Close would. New connects are rejected, and Accept
+// returns the connections in the queue. Then Accept closes the listener and returns net.ErrClosed. No other process may have the socket
+// open.
 func (l *Listener) Drain() error {
 	wait := MaxDrain
 	if l.RejectConnects() != nil {
@@ -61,7 +63,7 @@
 	return l.SetDeadline(time.Now()) // interrupts Accept
 }
 
-// deadlineExceeded is called by Accept at its deadline. It returns nil if the queue of a listener that is drained is to be waited for.
+// deadlineExceeded is called by Accept at its deadline. It returns nil if Accept has to wait for the queue of a draining listener.
 // The deadline that Drain sets only interrupts the wait for new connections: it may have passed before Accept was called.
 func (l *Listener) deadlineExceeded() error {
 	if !l.queue.isDraining() {
@@ -84,7 +86,7 @@
 	return l.Listener.Close()
 }
 
-// reportResetLocked logs how many connections the system has accepted and resets now. l.queue.mu is held.
+// reportResetLocked logs how many connections in the accept queue the system resets now. l.queue.mu is held.
 func (l *Listener) reportResetLocked() {
 	l.queue.draining = false
 	if n, err := l.QueueLength(); err == nil && n > 0 {
--- a/internal/server/acceptor/queue.go
+++ b/internal/server/acceptor/queue.go
@@ -8,29 +8,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// A socket filter sees the TCP header first. Its byte tcpFlags has the flags; a SYN without ACK begins a connection.
+// Constants of the socket filter, which sees a segment from its TCP header on. The byte at tcpFlagsOffset has the flags. A segment with SYN
+// and without ACK begins a connection.
 const (
-	tcpFlags   = 13
-	tcpSyn     = 0x02
-	tcpAck     = 0x10
-	passWhole  = 0xffffffff
-	dropWhole  = 0
-	skipToPass = 1
+	tcpFlagsOffset = 13
+	tcpSyn         = 0x02
+	tcpAck         = 0x10
+	passSegment    = 0xffffffff
+	dropSegment    = 0
+	skipToPass     = 1
 )
 
-// dropFirstSegments is a classic BPF program that drops the first segment of each new connection and passes all others: handshakes that
-// have begun come to their end.
+// dropFirstSegments is a classic BPF program that drops the first segment of each new connection and passes all others, so that
+// handshakes that have begun are completed.
 var dropFirstSegments = []unix.SockFilter{
-	{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: tcpFlags},
+	{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: tcpFlagsOffset},
 	{Code: unix.BPF_ALU | unix.BPF_AND | unix.BPF_K, K: tcpSyn | tcpAck},
 	{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: tcpSyn, Jf: skipToPass},
-	{Code: unix.BPF_RET | unix.BPF_K, K: dropWhole},
-	{Code: unix.BPF_RET | unix.BPF_K, K: passWhole},
+	{Code: unix.BPF_RET | unix.BPF_K, K: dropSegment},
+	{Code: unix.BPF_RET | unix.BPF_K, K: passSegment},
 }
 
-// RejectConnects makes the system drop what would begin a new connection, so that the accept queue can be emptied before the listener is
-// closed: closing it resets what waits there. A client whose first segment was dropped is refused at its retransmission, about 1 s later,
-// if the listener is closed by then. Multipath TCP supports no filter. The filter is the socket's: it holds in every process that has it.
+// RejectConnects makes the system drop the first segment of each new connection, so that the accept queue can be emptied before the
+// listener is closed: closing it resets the connections in the queue. A client whose first segment was dropped is refused at its
+// retransmission, about 1 s later, if the listener is closed by then. Multipath TCP supports no filter. The filter belongs to the socket
+// and so applies to every process that has the socket open.
 func (l *Listener) RejectConnects() error {
 	program := unix.SockFprog{Len: uint16(len(dropFirstSegments)), Filter: &dropFirstSegments[0]}
 	return control(l.Listener, func(fd int) error {
@@ -38,13 +40,13 @@
 	})
 }
 
-// AllowConnects takes back RejectConnects, also that of another process that has or had the socket.
+// AllowConnects reverts RejectConnects, also if another process that has or had the socket open called it.
 func (l *Listener) AllowConnects() error { return AllowConnects(l.Listener) }
 
-// AllowConnects is Listener.AllowConnects for a listener that comes from another process.
+// AllowConnects does the same as Listener.AllowConnects, for a listener that was received from another process.
 func AllowConnects(l net.Listener) error {
 	err := control(l, func(fd int) error { return unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_DETACH_FILTER, 0) })
-	if errors.Is(err, unix.ENOENT) { // it has no filter
+	if errors.Is(err, unix.ENOENT) { // the socket has no filter
 		return nil
 	}
 	return err
@@ -63,7 +65,7 @@
 	return n, err
 }
 
-// control calls f with a listener's descriptor.
+// control calls f with the file descriptor of a listener.
 func control(l net.Listener, f func(fd int) error) error {
 	socket, ok := l.(syscall.Conn)
 	if !ok {
--- a/internal/server/acceptor/queue_test.go
+++ b/internal/server/acceptor/queue_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// listening returns a listener and a function that begins a connection to it, with a short wait.
-func listening(t *testing.T) (l *Listener, connect func() error) {
+// startListener returns a listener and a function that connects to it, with a time-out of 100 ms.
+func startListener(t *testing.T) (l *Listener, connect func() error) {
 	t.Helper()
 	var config net.ListenConfig
 	config.SetMultipathTCP(false)
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestRejectConnects guards against a filter that lets new connections come up, cuts those that are there, or stays.
+// TestRejectConnects guards against a filter that admits new connections, breaks established ones, or stays after AllowConnects.
 func TestRejectConnects(t *testing.T) {
-	l, connect := listening(t)
+	l, connect := startListener(t)
 	if err := errors.Join(connect(), connect()); err != nil {
 		t.Fatal(err)
 	}
@@ -38,11 +38,11 @@
 		t.Fatal(err)
 	}
 	if err := connect(); !os.IsTimeout(err) {
-		t.Errorf("a connect: %v", err)
+		t.Errorf("connecting while connects are rejected returned %v, want a time-out", err)
 	}
 	for want := 2; want > 0; want-- {
 		if n, err := l.QueueLength(); n != want || err != nil {
-			t.Errorf("%d connections in the queue, %v; want %d", n, err, want)
+			t.Errorf("%d connections in the queue, error %v; want %d", n, err, want)
 		}
 		conn, err := l.Accept()
 		if err != nil {
@@ -57,6 +57,6 @@
 		t.Fatal(err)
 	}
 	if err := connect(); err != nil {
-		t.Errorf("a connect after AllowConnects: %v", err)
+		t.Errorf("connecting after AllowConnects: %v", err)
 	}
 }
--- a/internal/server/control/call.go
+++ b/internal/server/control/call.go
@@ -1,5 +1,5 @@
-// Package control serves the operators' address: one HTTP/1.1 call on a connection, which is answered at once whatever clients and other
-// callers do. call.go parses a call, without I/O; server.go holds the connections.
+// Package control serves the address for operators. A connection carries one HTTP/1.1 call, which is answered at once whatever clients and
+// other callers do. call.go parses calls and does no I/O. server.go handles the connections.
 package control
 
 import (
@@ -19,7 +19,7 @@
 	MaxBody = 4 << 10
 )
 
-// Call is an operator's call.
+// Call is a request of an operator.
 type Call struct {
 	Method, Path string
 	Query        string
@@ -29,7 +29,7 @@
 type Answer struct {
 	Status int
 	Body   string
-	Allow  string // the methods of the path, if the call's is not one of them
+	Allow  string // the methods of the path, if the call's method is not one of them
 }
 
 // ParseState says how far a call has been parsed.
@@ -42,7 +42,7 @@
 	Invalid // the bytes cannot become a call; the Answer says why
 )
 
-// ParseCall parses a call from all bytes of a connection so far. Bytes behind a complete call are ignored.
+// ParseCall parses a call from all bytes that a connection has received so far. Bytes after a complete call are ignored.
 func ParseCall(b []byte) (Call, ParseState, Answer) {
 	end := headEnd(b)
 	if end < 0 {
@@ -57,7 +57,7 @@
 	if end > MaxHead {
 		return Call{}, Invalid, Answer{Status: http.StatusRequestHeaderFieldsTooLarge, Body: "the head is too large"}
 	}
-	from := bufio.NewReaderSize(bytes.NewReader(b), len(b)) // all of b fits its buffer
+	from := bufio.NewReaderSize(bytes.NewReader(b), len(b)) // its buffer holds all of b
 	r, err := http.ReadRequest(from)
 	if err != nil {
 		return Call{}, Invalid, malformed("the head can't be read")
@@ -74,12 +74,12 @@
 	body := io.LimitReader(from, max(r.ContentLength, 0))
 	chunked := len(r.TransferEncoding) > 0
 	if chunked {
-		body = httputil.NewChunkedReader(from) // up to the last chunk; the library's Body can't tell a trailer's end from its lack
+		body = httputil.NewChunkedReader(from) // reads up to the last chunk; net/http's Body does not tell a complete trailer from a missing one
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(body, MaxBody+1))
-	rest, _ := from.Peek(from.Buffered()) // what is buffered can be had
+	rest, _ := from.Peek(from.Buffered()) // cannot fail for bytes that are buffered
 	switch {
-	case n > MaxBody || chunked && len(b) > end+2*MaxBody: // of what frames chunks, too
+	case n > MaxBody || chunked && len(b) > end+2*MaxBody: // also limits the bytes that frame chunks
 		return Call{}, Invalid, tooLarge
 	case err != nil && !errors.Is(err, io.ErrUnexpectedEOF):
 		return Call{}, Invalid, malformed("the body can't be read")
@@ -93,7 +93,7 @@
 
 var tooLarge = Answer{Status: http.StatusRequestEntityTooLarge, Body: "the body is too large"}
 
-// headEnd is the index behind the empty line that ends the head, or -1. Like net/http it accepts bare line feeds.
+// headEnd returns the index after the empty line that ends the head, or -1 if there is none. Like net/http it accepts bare line feeds.
 func headEnd(b []byte) int {
 	for i := 0; ; {
 		n := bytes.IndexByte(b[i:], '\n')
@@ -110,8 +110,8 @@
 
 // invalidRequestLine reports whether the first line, as far as it has arrived, cannot begin a request.
 func invalidRequestLine(b []byte) bool {
-	line, _, whole := bytes.Cut(b, []byte{'\n'})
-	if whole {
+	line, _, complete := bytes.Cut(b, []byte{'\n'})
+	if complete {
 		line = bytes.TrimSuffix(line, []byte{'\r'})
 		if bytes.Count(line, []byte{' '}) != 2 || !bytes.Contains(line, []byte(" HTTP/")) {
 			return true
@@ -125,7 +125,7 @@
 	return false
 }
 
-// appendTo appends the answer in its wire form. A HEAD call gets no body.
+// appendTo appends the encoded answer to out. The answer to a HEAD call has no body.
 func (a Answer) appendTo(out []byte, method string) []byte {
 	body := a.Body
 	if body != "" && !strings.HasSuffix(body, "\n") {
--- a/internal/server/control/close_test.go
+++ b/internal/server/control/close_test.go
@@ -9,8 +9,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// TestCloseAnswersWhatWasAccepted guards against calls that are cut as the server closes: one in the accept queue, and one whose last bytes
-// are on their way. An operator could not tell whether a drain was begun.
+// TestCloseAnswersWhatWasAccepted guards against calls that get no answer because the server closes: calls in the accept queue, and a call
+// whose last bytes are on their way. Without an answer an operator does not know whether a drain has begun.
 func TestCloseAnswersWhatWasAccepted(t *testing.T) {
 	called := make(chan struct{})
 	release := make(chan struct{})
@@ -50,8 +50,8 @@
 		}
 	}()
 	for i, c := range calls {
-		if got := status(t, c); got != http.StatusOK {
-			t.Errorf("call %d: %d", i, got)
+		if got := readStatus(t, c); got != http.StatusOK {
+			t.Errorf("call %d got status %d, want 200", i, got)
 		}
 	}
 	<-closed
--- a/internal/server/control/control_test.go
+++ b/internal/server/control/control_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func start(t *testing.T, answer Handler) (*Server, string) {
+func startServer(t *testing.T, answer Handler) (*Server, string) {
 	t.Helper()
 	s, err := Listen("127.0.0.1:0", answer, logging.Discard())
 	if err != nil {
@@ -37,9 +37,9 @@
 	return s, s.Addr().String()
 }
 
-func yes(Call) Answer { return Answer{Status: http.StatusOK, Body: "yes"} }
+func answerYes(Call) Answer { return Answer{Status: http.StatusOK, Body: "yes"} }
 
-func status(t *testing.T, c net.Conn) int {
+func readStatus(t *testing.T, c net.Conn) int {
 	t.Helper()
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -53,28 +53,28 @@
 
 const get = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n"
 
-// What is made of the bytes so far, cut anywhere. Guards against calls that are taken before they are whole, and against waiting for
-// what can't become one.
+// Checks the result for each prefix of valid calls. Guards against calls that are accepted before they are complete, and against valid
+// calls that are rejected or never complete.
 func TestReadOfEveryBeginning(t *testing.T) {
 	for name, text := range map[string]string{
 		"plain":    get,
 		"a body":   "POST /drain HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\n\r\nhello",
 		"chunks":   "POST /drain HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n\r\n5;x=y\r\nhello\r\n0\r\nT: 1\r\n\r\n",
-		"old":      "GET /ready HTTP/1.0\r\n\r\n",
+		"HTTP/1.0": "GET /ready HTTP/1.0\r\n\r\n",
 		"bare LFs": "GET /ready HTTP/1.1\nHost: s\n\n",
 		"a query":  "GET /ready?a=b HTTP/1.1\r\nHost: s\r\n\r\n",
 	} {
 		for n := range text {
 			if _, p, bad := ParseCall([]byte(text[:n])); p != Incomplete {
-				t.Errorf("%s, %q: %v %+v", name, text[:n], p, bad)
+				t.Errorf("%s, prefix %q: state %v, answer %+v; want Incomplete", name, text[:n], p, bad)
 			}
 		}
 		call, p, bad := ParseCall([]byte(text))
 		if p != Complete || call.Path != "/ready" && call.Path != "/drain" {
-			t.Errorf("%s: %v %+v %+v", name, p, call, bad)
+			t.Errorf("%s: state %v, call %+v, answer %+v; want a complete call", name, p, call, bad)
 		}
 		if _, p, _ := ParseCall([]byte(text + "and more")); p != Complete {
-			t.Errorf("%s and more: %v", name, p)
+			t.Errorf("%s, followed by more bytes: state %v, want Complete", name, p)
 		}
 	}
 }
@@ -96,15 +96,15 @@
 		"GET /ready HTTP/1.1\r\nX: " + strings.Repeat("x", MaxHead) + "\r\n\r\n":                                    431,
 	} {
 		if _, p, bad := ParseCall([]byte(text)); p != Invalid || bad.Status != want {
-			t.Errorf("%.60q: %v %d, want %d", text, p, bad.Status, want)
+			t.Errorf("%.60q: state %v, status %d; want Invalid and status %d", text, p, bad.Status, want)
 		}
 	}
 }
 
-// Guards against an answer that waits for callers who hold a connection and say nothing, half a call, or a byte now and then: each is
-// timed, and descriptors stay bounded.
+// Guards against an answer that has to wait for callers that hold a connection and send nothing, half a call, or single bytes at intervals:
+// each such connection has a time-out, and the number of descriptors stays bounded.
 func TestAnswersBesideHundredsOfHolders(t *testing.T) {
-	_, address := start(t, yes)
+	_, address := startServer(t, answerYes)
 	stop := make(chan struct{})
 	defer close(stop)
 	for i := range 300 {
@@ -130,42 +130,43 @@
 			begun := time.Now()
 			own := base.Dial(t, address)
 			_, _ = io.WriteString(own, get)
-			if got := status(t, own); got != 200 {
-				t.Errorf("answered %d", got)
+			if got := readStatus(t, own); got != 200 {
+				t.Errorf("got status %d, want 200", got)
 			}
 			if took := time.Since(begun); took > time.Second {
-				t.Errorf("beside %d holders: %v", i, took)
+				t.Errorf("with %d incomplete calls open an answer took %v, want at most 1 s", i, took)
 			}
 		}
 	}
 }
 
-// Guards against a table that grows with callers: at most Most connections are held, and the one that has waited longest gives way.
+// Guards against a number of waiting connections that grows with the callers: at most MaxWaiting connections wait, and beyond that the one
+// that has waited longest is closed.
 func TestTheOldestGivesWay(t *testing.T) {
-	s, address := start(t, yes)
+	s, address := startServer(t, answerYes)
 	oldest := base.Dial(t, address)
-	held := func() int {
+	countWaiting := func() int {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return len(s.waiting)
 	}
-	base.Eventually(t, "the first is held", func() bool { return held() == 1 })
+	base.Eventually(t, "the first connection waits", func() bool { return countWaiting() == 1 })
 	for range 3 * MaxWaiting {
 		base.Dial(t, address)
-		if n := held(); n > MaxWaiting {
-			t.Fatalf("%d are held", n)
+		if n := countWaiting(); n > MaxWaiting {
+			t.Fatalf("%d connections wait, more than MaxWaiting", n)
 		}
 	}
 	if _, err := oldest.Read(make([]byte, 1)); err == nil {
-		t.Error("the oldest was told something")
+		t.Error("the connection that has waited longest got bytes, want it closed")
 	}
-	base.Eventually(t, "the table is full", func() bool { return held() == MaxWaiting })
+	base.Eventually(t, "MaxWaiting connections wait", func() bool { return countWaiting() == MaxWaiting })
 }
 
-// Guards against calls that are lost because they come in pieces, and answers that are lost to a reset because not all was read.
+// Guards against calls that are lost because they arrive in pieces, and answers that are lost to a reset because not all bytes were read.
 func TestPiecesAndExcess(t *testing.T) {
 	var calls atomic.Int64
-	_, address := start(t, func(c Call) Answer {
+	_, address := startServer(t, func(c Call) Answer {
 		calls.Add(1)
 		return Answer{Status: http.StatusOK, Body: c.Method + " " + c.Path}
 	})
@@ -175,38 +176,38 @@
 			t.Fatal(err)
 		}
 	}
-	if got := status(t, slow); got != 200 {
-		t.Errorf("in pieces: %d", got)
+	if got := readStatus(t, slow); got != 200 {
+		t.Errorf("a call in pieces got status %d, want 200", got)
 	}
 	large := base.Dial(t, address)
 	go func() { _, _ = large.Write(bytes.Repeat([]byte("x"), 1<<20)) }()
-	if got := status(t, large); got != 431 && got != 400 {
-		t.Errorf("a megabyte: %d", got)
+	if got := readStatus(t, large); got != 431 && got != 400 {
+		t.Errorf("a megabyte of bytes got status %d, want 431 or 400", got)
 	}
 	half := base.Dial(t, address)
 	_, _ = io.WriteString(half, "GET /ready HTTP/1.1\r\n")
 	_ = half.(*net.TCPConn).CloseWrite()
-	if got := status(t, half); got != 400 {
-		t.Errorf("half a call: %d", got)
+	if got := readStatus(t, half); got != 400 {
+		t.Errorf("half a call got status %d, want 400", got)
 	}
 	if n := calls.Load(); n != 1 {
-		t.Errorf("%d calls", n)
+		t.Errorf("the handler got %d calls, want 1", n)
 	}
 }
 
-// HEAD is told the length of a body that does not come.
+// Checks that the answer to HEAD states the length of the body and has no body.
 func TestHead(t *testing.T) {
-	_, address := start(t, yes)
+	_, address := startServer(t, answerYes)
 	c := base.Dial(t, address)
 	_, _ = io.WriteString(c, "HEAD /ready HTTP/1.1\r\nHost: s\r\n\r\n")
 	all, err := io.ReadAll(c)
 	if err != nil || !strings.Contains(string(all), "Content-Length: 4\r\n") || !strings.HasSuffix(string(all), "\r\n\r\n") {
-		t.Errorf("%q, %v", all, err)
+		t.Errorf("the answer to HEAD is %q, error %v; want Content-Length 4 and no body", all, err)
 	}
 }
 
-// FuzzRead: no bytes make it panic, and what it says of a beginning it does not take back: what is whole stays whole, what is bad
-// stays bad, whatever follows.
+// FuzzRead checks that no bytes make ParseCall panic, and that its result for a prefix is final: a complete call stays complete and an
+// invalid one stays invalid, whatever bytes follow.
 func FuzzRead(f *testing.F) {
 	for _, seed := range []string{get, "POST /drain HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\n\r\nhello",
 		"POST /x HTTP/1.1\r\nHost: s\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", "\r\n\r\n", "GET", "\x00"} {
@@ -216,20 +217,20 @@
 		if cut < 0 || cut > len(b) {
 			return
 		}
-		begun, p, bad := ParseCall(b[:cut])
-		whole, q, _ := ParseCall(b)
+		prefixCall, prefixState, bad := ParseCall(b[:cut])
+		fullCall, fullState, _ := ParseCall(b)
 		switch {
-		case p == Complete && (q != Complete || whole != begun):
-			t.Errorf("%q is whole and then %v", b[:cut], q)
-		case p == Invalid && q != Invalid:
-			t.Errorf("%q is bad (%d) and then %v", b[:cut], bad.Status, q)
-		case p == Invalid && (bad.Status < 400 || bad.Status > 505 || bad.Body == ""):
-			t.Errorf("%q is told %+v", b[:cut], bad)
+		case prefixState == Complete && (fullState != Complete || fullCall != prefixCall):
+			t.Errorf("%q is complete, and with more bytes its state is %v or it is another call", b[:cut], fullState)
+		case prefixState == Invalid && fullState != Invalid:
+			t.Errorf("%q is invalid (status %d), and with more bytes its state is %v", b[:cut], bad.Status, fullState)
+		case prefixState == Invalid && (bad.Status < 400 || bad.Status > 505 || bad.Body == ""):
+			t.Errorf("%q gets the answer %+v, which has no error status or no body", b[:cut], bad)
 		}
-		if q == Invalid {
+		if fullState == Invalid {
 			resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(bad.appendTo(nil, ""))), nil)
-			if p == Invalid && (err != nil || resp.StatusCode != bad.Status) {
-				t.Errorf("the answer can't be read: %v", err)
+			if prefixState == Invalid && (err != nil || resp.StatusCode != bad.Status) {
+				t.Errorf("the answer cannot be parsed or has another status: %v", err)
 			}
 		}
 	})
--- a/internal/server/control/server.go
+++ b/internal/server/control/server.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// MaxWaiting is how many connections may wait for the rest of their calls. The kernel's queue holds more.
+	// MaxWaiting is how many connections may wait for the rest of their calls. The kernel's accept queue holds more.
 	MaxWaiting = 12
-	// callTimeout is how long the rest of a call may take.
+	// callTimeout is how long the rest of a call may take to arrive.
 	callTimeout = 5 * time.Second
 	// lingerTimeout is how long a caller that has sent more than was read may take to read its answer.
 	lingerTimeout = 500 * time.Millisecond
 	writeTimeout  = time.Second
-	// closeTimeout is how long calls whose bytes are on their way may take as the server is closed.
+	// closeTimeout is how long calls may take to become complete while the server closes.
 	closeTimeout = 100 * time.Millisecond
 )
 
@@ -29,7 +29,8 @@
 type Handler func(Call) Answer
 
 // Server answers calls on a listener. A call that has arrived completely when its connection is accepted is answered by the accepting
-// goroutine, whatever others wait for. Otherwise the connection waits for the rest; if MaxWaiting wait, the longest waiting is closed.
+// goroutine, whatever other connections wait for. Otherwise the connection waits for the rest of its call. If MaxWaiting connections wait
+// already, the one that has waited longest is closed.
 type Server struct {
 	listener *acceptor.Listener
 	handler  Handler
@@ -40,13 +41,13 @@
 	closed  bool
 	running sync.WaitGroup
 
-	accepting sync.WaitGroup // Run
+	accepting sync.WaitGroup // of Run
 }
 
 // Listen opens the address. Run serves it.
 func Listen(address string, answer Handler, log *slog.Logger) (*Server, error) {
 	var config net.ListenConfig
-	config.SetMultipathTCP(false) // such a socket takes no filter, see acceptor.Listener.RejectConnects
+	config.SetMultipathTCP(false) // Multipath TCP supports no filter, see acceptor.Listener.RejectConnects
 	l, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
@@ -54,7 +55,7 @@
 	return &Server{listener: acceptor.New(l, log), handler: answer, log: log}, nil
 }
 
-// Addr is the address on which the server listens.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
 // Run serves until Close. It blocks.
@@ -71,20 +72,20 @@
 	}
 }
 
-// Close answers the calls that wait in the accept queue, and ends the server and all its connections. It waits for their goroutines. Calls
-// that are not complete after closeTimeout are not answered.
+// Close answers the calls in the accept queue, closes the server and all its connections, and waits for their goroutines. Calls that are not
+// complete after closeTimeout are not answered.
 func (s *Server) Close() {
 	if s.listener.Drain() != nil {
 		s.listener.Close()
 	}
 	s.accepting.Wait()
-	late := time.AfterFunc(closeTimeout, s.closeWaiting)
-	defer late.Stop()
+	timer := time.AfterFunc(closeTimeout, s.closeWaiting)
+	defer timer.Stop()
 	s.running.Wait()
 	s.closeWaiting()
 }
 
-// closeWaiting closes the connections that wait for the rest of their calls, and all that would.
+// closeWaiting closes the connections that wait for the rest of their calls, and has handle close those that would wait from now on.
 func (s *Server) closeWaiting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +118,7 @@
 		s.waiting = s.waiting[1:]
 	}
 	s.waiting = append(s.waiting, c)
-	begun := append(make([]byte, 0, n+512), buffer[:n]...)
+	received := append(make([]byte, 0, n+512), buffer[:n]...)
 	s.running.Go(func() {
 		defer s.forget(c)
 		if progress == Invalid {
@@ -125,7 +126,7 @@
 			s.linger(c)
 			return
 		}
-		s.readRest(c, begun)
+		s.readRest(c, received)
 	})
 }
 
@@ -176,7 +177,7 @@
 			s.respond(c, "", bad)
 			s.linger(c)
 			return
-		case errors.Is(err, net.ErrClosed): // another connection took its place
+		case errors.Is(err, net.ErrClosed): // a newer connection took its place, or the server closes
 			return
 		case err != nil:
 			status := http.StatusBadRequest
@@ -190,11 +191,11 @@
 }
 
 func (s *Server) respond(c *net.TCPConn, method string, a Answer) {
-	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout)) // an error shows in the write
-	_, _ = c.Write(a.appendTo(nil, method))              // a caller that has disconnected gets none
+	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout)) // the write returns the error
+	_, _ = c.Write(a.appendTo(nil, method))              // the caller may have disconnected
 }
 
-// linger lets the caller read its answer: closing a connection with unread bytes would reset it.
+// linger gives the caller time to read its answer: closing a connection with unread bytes would reset it.
 func (s *Server) linger(c *net.TCPConn) {
 	_ = c.CloseWrite() // the caller may have disconnected
 	if c.SetReadDeadline(time.Now().Add(lingerTimeout)) != nil {
@@ -208,12 +209,13 @@
 	}
 }
 
+// forget closes a connection and removes it from those that wait.
 func (s *Server) forget(c *net.TCPConn) {
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, w := range s.waiting {
-		if w == c {
+	for i, other := range s.waiting {
+		if other == c {
 			s.waiting = append(s.waiting[:i:i], s.waiting[i+1:]...)
 			return
 		}
--- a/internal/server/downstream/checker.go
+++ b/internal/server/downstream/checker.go
@@ -1,10 +1,10 @@
-// Package downstream is the side of the daemon that faces its clients: it bounds their connections, follows the life of each, and checks
-// requests.
+// Package downstream is the clients' side of the daemon: it bounds the number of their connections, tracks the state of each connection,
+// and checks requests.
 //
 // Connections is the listener: it bounds the number of connections and evicts those that are needed least (connections.go). A connection
-// notices a client that disconnects while its request is in flight, is closed only where no request can get lost, and lingers so that the
-// last response is not reset (connection.go, read_ahead.go). Checker rejects requests whose framing can be read in two ways, and lets
-// package routes decide what a request is (checker.go); it does no I/O.
+// detects that its client disconnects while a request is in flight, is closed only when no request can get lost, and lingers so that the
+// client can read the last response (connection.go, read_ahead.go). Checker rejects requests whose framing can be read in two ways, and
+// has package routes classify the others (checker.go). It does no I/O.
 package downstream
 
 import (
@@ -18,7 +18,7 @@
 type Request struct {
 	routes.Decision
 	Method, Target, Host string
-	Header               http.Header // that is forwarded; X-Timeout is written by each attempt
+	Header               http.Header // to forward; each attempt sets X-Timeout
 	Body                 []byte
 }
 
@@ -35,26 +35,26 @@
 func NewPlatformChecker(classes []balancer.Class) *Checker {
 	t, conflicts := routes.New(routes.Platform("", classes))
 	if len(conflicts) > 0 {
-		panic("downstream: two classes of one name") // the settings' check finds them
+		panic("downstream: two classes have the same name") // the check of the settings reports this first
 	}
 	return NewChecker(t)
 }
 
-// Check decides on a request's head. The body is still unread: it may have r.ContentLength bytes, or if that is -1 as many as its route
-// allows. chunks says that a chunked body is known to be framed in no other way.
-func (c *Checker) Check(r *http.Request, chunks bool) (Request, *Rejection) {
-	// A body that is framed in two ways may hide a request; of two framings net/http shows the chunks only.
-	if len(r.TransferEncoding) > 0 && !chunks {
+// Check accepts or rejects a request by its head. The body is still unread: it may have r.ContentLength bytes, or, if that is -1, as many as
+// its route allows. unambiguous says that a chunked body is known to be framed in no other way.
+func (c *Checker) Check(r *http.Request, unambiguous bool) (Request, *Rejection) {
+	// A body that is framed in two ways may hide a request. If a head has both framings, net/http reports only the chunked one.
+	if len(r.TransferEncoding) > 0 && !unambiguous {
 		return Request{}, &Rejection{Status: http.StatusLengthRequired,
 			Text: "the body needs a Content-Length, without Transfer-Encoding"}
 	}
-	if !r.ProtoAtLeast(1, 1) { // net/http ignores Transfer-Encoding there, and others may not
+	if !r.ProtoAtLeast(1, 1) { // net/http ignores Transfer-Encoding of HTTP/1.0, and upstreams may not
 		return Request{}, &Rejection{Status: http.StatusHTTPVersionNotSupported, Text: "HTTP/1.1 is needed"}
 	}
-	d, bad := c.table.Decide(routes.Request{Method: r.Method, Host: r.Host, Target: r.RequestURI, Header: r.Header,
+	decision, rejection := c.table.Decide(routes.Request{Method: r.Method, Host: r.Host, Target: r.RequestURI, Header: r.Header,
 		ContentLength: r.ContentLength})
-	if bad != nil {
-		return Request{}, bad
+	if rejection != nil {
+		return Request{}, rejection
 	}
-	return Request{Decision: d, Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: d.Forward(r.Header)}, nil
+	return Request{Decision: decision, Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: decision.Forward(r.Header)}, nil
 }
--- a/internal/server/downstream/checker_test.go
+++ b/internal/server/downstream/checker_test.go
@@ -22,8 +22,8 @@
 		class("confirm-booking", balancer.NonIdempotent)})
 }
 
-// read parses a request as the server does.
-func read(t testing.TB, lines ...string) *http.Request {
+// readRequest parses a request as the server does.
+func readRequest(t testing.TB, lines ...string) *http.Request {
 	t.Helper()
 	text := strings.Join(lines, "\r\n") + "\r\nHost: s\r\n\r\n"
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
@@ -35,8 +35,8 @@
 
 const id = "X-Request-ID: 1"
 
-// Guards against a class that is not the one that an upstream reads. The first two were found by probing: both were
-// taken as the safe class and passed on as written.
+// Guards against targets that an upstream may read as another class than the Checker does. The first two were actual
+// faults: the Checker took both for the idempotent class and they were forwarded unchanged.
 func TestTargetsThatReadInTwoWays(t *testing.T) {
 	for _, target := range []string{
 		"/seat-search/../confirm-booking/1",
@@ -45,8 +45,8 @@
 		"/seat-search/1/..",
 		"/seat-search/%2e%2e/confirm-booking/1",
 		"/seat-search/.%2E/confirm-booking/1",
-		"/seat-search/%252e%252e/confirm-booking/1", // for two decodings
-		"/seat-search/..;x=1/confirm-booking/1",     // path parameters come off first in some servers
+		"/seat-search/%252e%252e/confirm-booking/1", // for servers that decode twice
+		"/seat-search/..;x=1/confirm-booking/1",     // some servers remove path parameters first
 		"/seat-search/..%3bx/confirm-booking/1",
 		"/seat-search/a%2f..%2f..%2fconfirm-booking",
 		"/seat-search/a%2Fb",
@@ -62,87 +62,89 @@
 		"//seat-search/1",
 		"/seat-search/1?a=\\",
 	} {
-		r := read(t, "GET "+target+" HTTP/1.1", id)
+		r := readRequest(t, "GET "+target+" HTTP/1.1", id)
 		if req, bad := testChecker().Check(r, false); bad == nil || bad.Status != http.StatusBadRequest {
-			t.Errorf("%s: taken as %+v, %+v", target, req.Class, bad)
+			t.Errorf("%s: classified as %+v, rejection %+v; want status 400", target, req.Class, bad)
 		}
 	}
 	for _, target := range []string{"/seat-search", "/seat-search/", "/seat-search/a.b", "/seat-search/...",
 		"/seat-search/a%20b", "/seat-search/100%25", "/seat-search/z%C3%BCg?x=%2F..%2f&y=a/../b", "/seat-search/a;b=1",
 		"/seat-search//1"} {
-		r := read(t, "GET "+target+" HTTP/1.1", id)
+		r := readRequest(t, "GET "+target+" HTTP/1.1", id)
 		if req, bad := testChecker().Check(r, false); bad != nil || req.Class.Name != "seat-search" || req.Target != target {
-			t.Errorf("%s: %+v, %+v", target, req, bad)
+			t.Errorf("%s: got request %+v, rejection %+v; want class seat-search and an unchanged target", target, req, bad)
 		}
 	}
 }
 
-// Guards against the same by headers: what stands there twice, in a list or under a spelling that some servers take for
-// it; headers that make a server read another method or path; and a Connection header that takes the key off on
-// the way, so that upstreams can't drop repeats. The first was found by probing.
+// Guards against headers that an upstream may read in another way than the Checker does: a header that is given twice, as
+// a list, or in a spelling that some servers treat as the same name; headers that make a server use another method or
+// path; and a Connection header that removes the idempotency key on the way, so that upstreams cannot drop repeated
+// requests. The first case was an actual fault.
 func TestHeadersThatReadInTwoWays(t *testing.T) {
 	get, post := "GET /seat-search/1 HTTP/1.1", "POST /confirm-booking/1 HTTP/1.1"
 	keyed := "POST /payment-record/1 HTTP/1.1"
 	for name, lines := range map[string][]string{
-		"two classes":          {get, id, "X-Priority-Class: seat-search", "X-Priority-Class: confirm-booking"},
-		"the same class twice": {get, id, "X-Priority-Class: seat-search", "X-Priority-Class: seat-search"},
-		"a list of classes":    {get, id, "X-Priority-Class: seat-search, confirm-booking"},
-		"class by underscore":  {get, id, "X_Priority_Class: confirm-booking"},
-		"id by underscore":     {get, id, "X-Request_ID: 2"},
-		"key by underscore":    {post, id, "Idempotency_Key: 2"},
-		"length by underscore": {post, id, "Content_Length: 5"},
-		"two ids":              {get, id, "x-request-id: 1"},
-		"empty id":             {get, "X-Request-ID:"},
-		"two keys":             {keyed, id, "Idempotency-Key: a", "Idempotency-Key: b"},
-		"a list of keys":       {keyed, id, "Idempotency-Key: a, b"},
-		"empty and a key":      {keyed, id, "Idempotency-Key:", "Idempotency-Key: b"},
-		"empty key":            {keyed, id, "Idempotency-Key:"},
-		"half a quoted key":    {keyed, id, `Idempotency-Key: "a`},
-		"two quoted keys":      {keyed, id, `Idempotency-Key: "a", "b"`},
-		"empty key, unsafe":    {post, id, "Idempotency-Key:"},
-		"two time-outs":        {get, id, "X-Timeout: 1m", "X-Timeout: 1000m"},
-		"a list of time-outs":  {get, id, "X-Timeout: 1m, 1000m"},
-		"two tenants":          {get, id, "X-Tenant-Id: a", "X-Tenant-Id: b"},
-		"two costs":            {get, id, "X-Cost: 1", "X-Cost: 2"},
-		"method override":      {get, id, "X-HTTP-Method-Override: POST"},
-		"override, underscore": {get, id, "X_HTTP_Method_Override: POST"},
-		"another path":         {get, id, "X-Original-URL: /confirm-booking/1"},
-		"key taken off":        {keyed, id, "Idempotency-Key: a", "Connection: idempotency-key"},
-		"id taken off":         {post, id, "Connection: close, X-Request-ID"},
-		"precondition":         {post, id, "If-Match: \"1\""},
+		"two classes":               {get, id, "X-Priority-Class: seat-search", "X-Priority-Class: confirm-booking"},
+		"the same class twice":      {get, id, "X-Priority-Class: seat-search", "X-Priority-Class: seat-search"},
+		"a list of classes":         {get, id, "X-Priority-Class: seat-search, confirm-booking"},
+		"class by underscore":       {get, id, "X_Priority_Class: confirm-booking"},
+		"id by underscore":          {get, id, "X-Request_ID: 2"},
+		"key by underscore":         {post, id, "Idempotency_Key: 2"},
+		"length by underscore":      {post, id, "Content_Length: 5"},
+		"two ids":                   {get, id, "x-request-id: 1"},
+		"empty id":                  {get, "X-Request-ID:"},
+		"two keys":                  {keyed, id, "Idempotency-Key: a", "Idempotency-Key: b"},
+		"a list of keys":            {keyed, id, "Idempotency-Key: a, b"},
+		"empty and a key":           {keyed, id, "Idempotency-Key:", "Idempotency-Key: b"},
+		"empty key":                 {keyed, id, "Idempotency-Key:"},
+		"half a quoted key":         {keyed, id, `Idempotency-Key: "a`},
+		"two quoted keys":           {keyed, id, `Idempotency-Key: "a", "b"`},
+		"empty key, not idempotent": {post, id, "Idempotency-Key:"},
+		"two time-outs":             {get, id, "X-Timeout: 1m", "X-Timeout: 1000m"},
+		"a list of time-outs":       {get, id, "X-Timeout: 1m, 1000m"},
+		"two tenants":               {get, id, "X-Tenant-Id: a", "X-Tenant-Id: b"},
+		"two costs":                 {get, id, "X-Cost: 1", "X-Cost: 2"},
+		"method override":           {get, id, "X-HTTP-Method-Override: POST"},
+		"override, underscore":      {get, id, "X_HTTP_Method_Override: POST"},
+		"another path":              {get, id, "X-Original-URL: /confirm-booking/1"},
+		"key removed":               {keyed, id, "Idempotency-Key: a", "Connection: idempotency-key"},
+		"id removed":                {post, id, "Connection: close, X-Request-ID"},
+		"precondition":              {post, id, "If-Match: \"1\""},
 	} {
-		if req, bad := testChecker().Check(read(t, lines...), false); bad == nil || bad.Status != http.StatusBadRequest {
-			t.Errorf("%s: %+v, %+v", name, req, bad)
+		if req, bad := testChecker().Check(readRequest(t, lines...), false); bad == nil || bad.Status != http.StatusBadRequest {
+			t.Errorf("%s: got request %+v, rejection %+v; want status 400", name, req, bad)
 		}
 	}
 }
 
-// Guards against clients that have upstreams ejected: what asks for less than the whole answer does not go on.
+// Guards against clients that cause upstreams to be ejected: headers that ask for a partial or conditional response, whose
+// status is not 200, are not forwarded.
 func TestPartialAnswersAreNotAskedFor(t *testing.T) {
-	req, bad := testChecker().Check(read(t, "GET /seat-search/1 HTTP/1.1", id, "Range: bytes=0-1", "If-None-Match: *",
+	req, bad := testChecker().Check(readRequest(t, "GET /seat-search/1 HTTP/1.1", id, "Range: bytes=0-1", "If-None-Match: *",
 		"If-Modified-Since: x", "Accept: text/plain", "X-Timeout: 250m"), false)
 	if bad != nil || len(req.Header) != 2 || req.Header.Get("Accept") == "" || req.Timeout != 250*time.Millisecond {
-		t.Errorf("%+v, %+v", req, bad)
+		t.Errorf("got request %+v, rejection %+v; want only the Accept header and a time-out of 250 ms", req, bad)
 	}
 }
 
-// Guards against what the module and upstreams are told wrongly of a good request.
+// Guards against wrong values in the Request that the balancer and the upstreams get for a valid request.
 func TestTaken(t *testing.T) {
-	req, bad := testChecker().Check(read(t, "POST /payment-record/7f3a HTTP/1.1", "X-Request-ID: 9b1f", "X-Tenant-Id: acme",
+	req, bad := testChecker().Check(readRequest(t, "POST /payment-record/7f3a HTTP/1.1", "X-Request-ID: 9b1f", "X-Tenant-Id: acme",
 		`Idempotency-Key: "5c0f, 6e"`, "X-Timeout: 90000m", "X-Cost: 1500.5", "Connection: close, X-Hop", "X-Hop: 1",
 		"Content-Length: 0"), false)
 	if bad != nil {
-		t.Fatalf("%+v", bad)
+		t.Fatalf("a valid request is rejected: %+v", bad)
 	}
 	if req.ID != "9b1f" || req.Class.Name != "payment-record" || req.Tenant != "acme" || req.IdempotencyKey != `"5c0f, 6e"` ||
 		req.Class.Idempotency != balancer.IdempotentWithKey || req.Timeout != 4*time.Second || req.CostHint != 1500500 || req.Method != "POST" ||
 		req.Host != "s" || req.Header.Get("X-Hop") != "" || req.Header.Get(httpheader.Timeout) != "" ||
 		req.Header.Get(httpheader.IdempotencyKey) == "" {
-		t.Errorf("%+v", req)
+		t.Errorf("wrong field in the request %+v", req)
 	}
 }
 
-// Guards against a paused listener that takes a connection, or closes those that there are, and against one that stays paused.
+// Guards against a paused listener that accepts a connection or closes open ones, and against one that stays paused.
 func TestPausedConnsLeaveTheQueueAlone(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -150,7 +152,7 @@
 	}
 	c := NewConnections(l, 2, nil)
 	defer c.Close()
-	took := make(chan net.Conn, 4)
+	accepted := make(chan net.Conn, 4)
 	go func() {
 		for {
 			conn, err := c.Accept()
@@ -159,7 +161,7 @@
 			}
 			c.State(conn, http.StateNew)
 			c.State(conn, http.StateIdle)
-			took <- conn
+			accepted <- conn
 		}
 	}()
 	dial := func() net.Conn {
@@ -170,31 +172,31 @@
 		return conn
 	}
 	defer dial().Close()
-	<-took
+	<-accepted
 	c.Pause(true)
-	defer dial().Close() // the Accept that waits already takes this one
-	<-took
+	defer dial().Close() // accepted by the call of Accept that is waiting already
+	<-accepted
 	third := dial()
 	defer third.Close()
 	select {
-	case <-took:
-		t.Error("a paused one takes a third")
+	case <-accepted:
+		t.Error("a paused listener accepts a third connection")
 	case <-time.After(50 * time.Millisecond):
 	}
 	if n := c.Count(); n != 2 {
-		t.Errorf("%d are open", n)
+		t.Errorf("%d connections are open, want 2", n)
 	}
-	c.Pause(false) // there is room for two: the one that is needed least gives way
-	base.Eventually(t, "one gives way", func() bool {
+	c.Pause(false) // the limit is two: the connection that is needed least is evicted
+	base.Eventually(t, "one connection is evicted", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for conn, is := range c.conns {
-			if is.closing {
+		for conn, info := range c.conns {
+			if info.closing {
 				go c.State(conn, http.StateClosed)
 				return true
 			}
 		}
 		return false
 	})
-	<-took
+	<-accepted
 }
--- a/internal/server/downstream/close.go
+++ b/internal/server/downstream/close.go
@@ -13,7 +13,7 @@
 	AllowConnects() error
 }
 
-// Close ends the listener. Connections that wait in its queue are still accepted, unless they are left to another process.
+// Close ends the listener. Connections in its accept queue are still accepted, unless another process accepts them.
 func (c *Connections) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -25,7 +25,7 @@
 	if l, ok := c.Listener.(drainer); ok && !c.paused && !c.shared && l.Drain() == nil {
 		c.drainUntil = time.Now().Add(acceptor.MaxDrain)
 		time.AfterFunc(acceptor.MaxDrain, c.changed.Broadcast)
-		return nil // Accept closes it
+		return nil // Accept closes the listener
 	}
 	return c.stopLocked()
 }
@@ -36,7 +36,7 @@
 	return c.Listener.Close()
 }
 
-// acceptFailedLocked ends a closed listener. c.mu is held.
+// acceptFailedLocked returns the error for an Accept that failed with err. It stops the listener if Close was called. c.mu is held.
 func (c *Connections) acceptFailedLocked(err error) error {
 	if !c.closed {
 		return err
@@ -45,35 +45,36 @@
 	return net.ErrClosed
 }
 
-// SetShared says whether another process has the listener's socket too. Closing it here resets nothing then, and connects are not
-// rejected. Once it is no longer shared, a rejection of connects by the other process is taken back.
+// SetShared says whether another process has the listener's socket open too. While it has, closing the socket here resets no connections,
+// and Close does not reject connects. Once the socket is no longer shared, connects that the other process rejected are allowed again.
 func (c *Connections) SetShared(shared bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	wasShared := c.shared
 	c.shared = shared
 	if l, ok := c.Listener.(drainer); ok && wasShared && !shared && !c.closed {
-		_ = l.AllowConnects() // where the system can't, none are rejected
+		_ = l.AllowConnects() // if the system does not support it, no connects are rejected
 	}
 }
 
-// CloseIdle closes the connections that have carried no request for at least quiet, and on which no bytes wait: see conn.closeIdle. One
-// that is new has firstRequestTime for its first request.
-func (c *Connections) CloseIdle(quiet time.Duration) {
-	for _, client := range c.idleFor(quiet) {
+// CloseIdle closes the connections that have been idle for at least minIdle and have no unread bytes, see conn.closeIdle. A new connection
+// has at least firstRequestTime for its first request.
+func (c *Connections) CloseIdle(minIdle time.Duration) {
+	for _, client := range c.idleFor(minIdle) {
 		client.closeIdle()
 	}
 }
 
-func (c *Connections) idleFor(quiet time.Duration) (idle []*conn) {
+// idleFor returns the connections that CloseIdle may close.
+func (c *Connections) idleFor(minIdle time.Duration) (idle []*conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for client, info := range c.conns {
-		needed := quiet
+		required := minIdle
 		if !info.hasRequested {
-			needed = max(quiet, firstRequestTime)
+			required = max(minIdle, firstRequestTime)
 		}
-		if client.currentPhase() == phaseIdle && time.Since(info.quietSince) >= needed {
+		if client.currentPhase() == phaseIdle && time.Since(info.idleSince) >= required {
 			idle = append(idle, client)
 		}
 	}
--- a/internal/server/downstream/close_test.go
+++ b/internal/server/downstream/close_test.go
@@ -11,7 +11,7 @@
 	"orchiddrift/internal/server/acceptor"
 )
 
-// plainListener listens on a socket that takes a filter.
+// plainListener returns a listener whose socket supports filters, which Multipath TCP does not.
 func plainListener(t *testing.T) net.Listener {
 	t.Helper()
 	var config net.ListenConfig
@@ -24,7 +24,7 @@
 	return acceptor.New(l, slog.New(slog.DiscardHandler))
 }
 
-// connect opens a connection and leaves it in the queue.
+// connect opens a connection and leaves it in the accept queue.
 func connect(t *testing.T, l net.Listener) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", l.Addr().String())
@@ -48,13 +48,13 @@
 	return client
 }
 
-// TestCloseIdleSparesNewConnections guards against a close that a first request crosses: a connection that has just been accepted has
-// time for it, whatever idle time is closed.
+// TestCloseIdleSparesNewConnections guards against closing a connection whose first request is on its way: a connection that has just been
+// accepted has firstRequestTime for it, whatever the argument of CloseIdle.
 func TestCloseIdleSparesNewConnections(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		age    time.Duration
-		served bool // it has had a request
+		served bool // the connection has had a request
 		closed bool
 	}{
 		{"new", 0, false, false},
@@ -70,17 +70,17 @@
 				connections.State(client, http.StateActive)
 				connections.State(client, http.StateIdle)
 			}
-			connections.conns[client].quietSince = time.Now().Add(-c.age)
+			connections.conns[client].idleSince = time.Now().Add(-c.age)
 			connections.CloseIdle(0)
 			if closed := client.currentPhase() == phaseShut; closed != c.closed {
-				t.Errorf("closed: %v", closed)
+				t.Errorf("the connection was closed: %v, want the opposite", closed)
 			}
 		})
 	}
 }
 
-// TestCloseAcceptsTheQueue guards against connections that the system has accepted and that are reset as the listener closes, also where
-// they have to wait for capacity.
+// TestCloseAcceptsTheQueue guards against a reset of connections in the accept queue when the listener closes, also if they have to wait
+// for capacity.
 func TestCloseAcceptsTheQueue(t *testing.T) {
 	l := plainListener(t)
 	connections := NewConnections(l, 1, nil)
@@ -102,14 +102,14 @@
 		connections.State(conn, http.StateClosed)
 	}
 	if _, err := connections.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("after the queue: %v", err)
+		t.Errorf("Accept with an empty queue returned %v, want net.ErrClosed", err)
 	}
 	if !connections.Drained() {
-		t.Error("not drained")
+		t.Error("Drained returns false although all connections have ended")
 	}
 }
 
-// TestCloseWithoutCapacity guards against a process that never ends since the connections in its queue wait for capacity.
+// TestCloseWithoutCapacity guards against a process that never ends because the connections in its accept queue wait for capacity.
 func TestCloseWithoutCapacity(t *testing.T) {
 	l := plainListener(t)
 	connections := NewConnections(l, 1, nil)
@@ -124,6 +124,6 @@
 		t.Fatal(err)
 	}
 	if _, err := connections.Accept(); !errors.Is(err, net.ErrClosed) || time.Since(begun) > 2*acceptor.MaxDrain {
-		t.Errorf("%v after %v", err, time.Since(begun))
+		t.Errorf("Accept returned %v after %v, want net.ErrClosed within twice MaxDrain", err, time.Since(begun))
 	}
 }
--- a/internal/server/downstream/connection.go
+++ b/internal/server/downstream/connection.go
@@ -15,19 +15,19 @@
 	"orchiddrift/internal/server/framing"
 )
 
-// The phases of a client's connection. A change is made by compare-and-swap, so that one of two that happen at once comes first: a
-// request that is read after its connection was shut is not processed, and a connection on which one was read is not shut.
+// The phases of a client's connection. They are changed by compare-and-swap, so that of two concurrent changes one comes first: a request
+// that is read after its connection was shut is not processed, and a connection on which a request was read is not shut.
 const (
 	phaseIdle   int32 = iota // nothing of a request has been read
 	phaseActive              // a request is being read, or is in flight
-	phaseShut                // this side is shut: nothing that arrives is processed
+	phaseShut                // shut by this side: no request that arrives is processed
 )
 
 // Bounds of the lingering close. Closing a socket with unread bytes resets the connection, and may destroy a response that is still on
 // its way.
 const (
 	lingerTimeout  = 500 * time.Millisecond
-	lingerMaxBytes = 1 << 20 // that are read and dropped
+	lingerMaxBytes = 1 << 20 // largest number of bytes that are read and discarded
 )
 
 // past is a deadline that interrupts a read at once.
@@ -38,22 +38,22 @@
 
 // conn is a connection of a client.
 type conn struct {
-	net.Conn                 // what requests are read from and responses written to
-	socket   net.Conn        // the same, or what is below the encryption
-	raw      syscall.RawConn // of socket; nil: it has none
+	net.Conn                 // requests are read from it, and responses written to it
+	socket   net.Conn        // the same, or the TCP connection below TLS
+	raw      syscall.RawConn // of socket; nil: not available
 
 	framing   framing.Detector // used by the reader; net/http has one reader at a time
 	ambiguous atomic.Bool      // see framing.Detector.Ambiguous
 
 	phase        atomic.Int32
-	pipelined    atomic.Bool // bytes arrived behind the request in flight, which has been read completely
-	clientGone   atomic.Bool // the end of the client's side, or a reset, was read
+	pipelined    atomic.Bool // bytes arrived after the request in flight, which has been read completely
+	clientGone   atomic.Bool // a read reported the end of the client's stream or a reset
 	closed       atomic.Bool
-	onClientGone atomic.Pointer[func()] // of the request in flight, which has been read completely; nil: there is none
+	onClientGone atomic.Pointer[func()] // of the request in flight, if it has been read completely; nil: there is none
 
-	mu              sync.Mutex // of the following fields
-	readDeadline    time.Time  // as the server has set it
-	shutDeadline    time.Time  // shut: nothing is read after it
+	mu              sync.Mutex // guards the following fields
+	readDeadline    time.Time  // as set by the server
+	shutDeadline    time.Time  // of a connection that was shut: nothing is read after it
 	readAheadBuffer *readAheadBuffer
 }
 
@@ -69,13 +69,13 @@
 
 func (c *conn) currentPhase() int32 { return c.phase.Load() }
 
-// tryActivate notes that a request arrives or is processed. It returns false if the connection was shut before: the request is not
-// processed, and its client finds an end of the connection without a response, which tells it that the request was not read.
+// tryActivate records that a request arrives or is processed. It returns false if the connection was shut before. The request is not
+// processed then: its client sees the connection end without a response, which tells it that the request was not read.
 func (c *conn) tryActivate() bool {
 	return c.phase.CompareAndSwap(phaseIdle, phaseActive) || c.phase.Load() == phaseActive
 }
 
-// requestEnded notes that the request in flight has its response. The connection is not idle if a part of the next request was read.
+// requestEnded records that the request in flight got its response. The connection becomes idle unless a part of the next request was read.
 func (c *conn) requestEnded() {
 	c.onClientGone.Store(nil)
 	if !c.pipelined.Swap(false) {
@@ -105,7 +105,7 @@
 	return n, err
 }
 
-// SetReadDeadline implements net.Conn. A connection that was shut is not read beyond its shutDeadline.
+// SetReadDeadline implements net.Conn. A connection that was shut is not read after its shutDeadline.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +125,7 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// markClientGone notes that the client has disconnected, and notifies the request in flight.
+// markClientGone records that the client has disconnected, and notifies the request in flight.
 func (c *conn) markClientGone() {
 	c.clientGone.Store(true)
 	if notify := c.onClientGone.Load(); notify != nil {
@@ -133,7 +133,7 @@
 	}
 }
 
-// watchClient sets what is called if the client disconnects while its request, which has been read completely, is in flight.
+// watchClient sets the function to call if the client disconnects while its request, which has been read completely, is in flight.
 func (c *conn) watchClient(notify func()) {
 	c.onClientGone.Store(&notify)
 	if c.clientGone.Load() {
@@ -159,16 +159,16 @@
 	}
 }
 
-// closeIdle half-closes an idle connection; the server reads on, and closes it once the client does or lingerTimeout is over. If bytes
-// wait to be read it does nothing, since they are a request.
+// closeIdle half-closes an idle connection. The server reads on, and closes the connection once the client does or lingerTimeout is over.
+// If there are unread bytes closeIdle does nothing, since they belong to a request.
 func (c *conn) closeIdle() {
 	if !c.hasUnreadBytes() && c.phase.CompareAndSwap(phaseIdle, phaseShut) {
 		c.shutWrite()
 	}
 }
 
-// closeUnlessActive closes a connection at once that has no request in flight, or whose client is gone. It returns false if a request
-// has begun.
+// closeUnlessActive closes the connection at once if it has no request in flight or its client has disconnected. Otherwise it returns
+// false.
 func (c *conn) closeUnlessActive() bool {
 	if !c.clientGone.Load() && !c.phase.CompareAndSwap(phaseIdle, phaseShut) && c.phase.Load() != phaseShut {
 		return false
@@ -218,8 +218,8 @@
 	return unread
 }
 
-// checkClientGone reports whether the client has disconnected. It asks the system where more unread bytes stand before the end of the
-// connection than are read ahead.
+// checkClientGone reports whether the client has disconnected. After pipelined bytes it polls the socket, since more of them may precede
+// the end of the connection than are read ahead.
 func (c *conn) checkClientGone() bool {
 	if c.clientGone.Load() || !c.pipelined.Load() || c.raw == nil {
 		return c.clientGone.Load()
--- a/internal/server/downstream/connections.go
+++ b/internal/server/downstream/connections.go
@@ -10,38 +10,39 @@
 const (
 	// requestGap is how long a client may take between two requests on a connection before the connection counts as unused.
 	requestGap = 2 * time.Second
-	// firstRequestTime is how long a new connection may take to bring its first request before others are preferred.
+	// firstRequestTime is how long the client of a new connection may take to send its first request before other connections are
+	// preferred.
 	firstRequestTime = 500 * time.Millisecond
 )
 
-// Connections is the listener for clients. It bounds the number of their connections: one that comes beyond the limit evicts the one
-// that is needed least. Where all are in use it is accepted, but no further one until there is capacity. A connection counts from its
-// accept until its socket is closed. It is safe for concurrent use.
+// Connections is the listener for clients. It bounds the number of their connections: a connection beyond the limit evicts the one that is
+// needed least. If all are in use, one connection beyond the limit is accepted, and no further one until there is capacity. A connection
+// counts from its accept until its socket is closed. Connections is safe for concurrent use.
 type Connections struct {
 	net.Listener
 	tls *TLS // nil: connections are not encrypted
 
 	mu         sync.Mutex
-	changed    *sync.Cond // some of the following fields
+	changed    *sync.Cond // signals changes of the following fields
 	limit      int        // of connections
-	paused     bool       // new connections are left to another process that has the listener too
-	shared     bool       // another process has the listener too
+	paused     bool       // new connections are left to another process that has the listener's socket too
+	shared     bool       // another process has the listener's socket too
 	closed     bool
 	stopped    bool      // nothing more is accepted
-	drainUntil time.Time // closed: until when connections in the queue wait for capacity
+	drainUntil time.Time // of a closed listener: until when connections in its queue wait for capacity
 	conns      map[*conn]*connInfo
-	closing    int   // connections whose sockets are closed and which the server has not ended yet
-	newest     *conn // accepted last: it is not evicted before its first request has had its time
+	closing    int   // connections whose sockets are closed and that the server has not ended yet
+	newest     *conn // accepted last: not evicted until it is older than firstRequestTime or has had a request
 }
 
-// connInfo is what Connections knows of a connection.
+// connInfo is the state that Connections keeps for a connection.
 type connInfo struct {
-	quietSince   time.Time // the end of its latest request, or its accept
+	idleSince    time.Time // the end of its latest request, or its accept
 	hasRequested bool
 	closing      bool
 }
 
-// NewConnections bounds the connections of l to limit. They are encrypted if secure is not nil.
+// NewConnections returns a Connections that accepts from l and bounds the connections to limit. They are encrypted if secure is not nil.
 func NewConnections(l net.Listener, limit int, secure *TLS) *Connections {
 	c := &Connections{Listener: l, limit: limit, tls: secure, conns: map[*conn]*connInfo{}}
 	c.changed = sync.NewCond(&c.mu)
@@ -61,7 +62,7 @@
 		return nil, c.acceptFailedLocked(err)
 	}
 	client := newConn(accepted)
-	c.conns[client] = &connInfo{quietSince: time.Now()}
+	c.conns[client] = &connInfo{idleSince: time.Now()}
 	c.newest = client
 	if c.openLocked() > c.limit { // no connection is evicted before another one needs its place
 		c.evictLocked(client)
@@ -72,11 +73,11 @@
 	return client, nil
 }
 
-// openLocked is the number of connections that hold a descriptor. c.mu is held.
+// openLocked returns the number of connections that hold a file descriptor. c.mu is held.
 func (c *Connections) openLocked() int { return len(c.conns) - c.closing }
 
-// awaitCapacity waits until another connection may be accepted. It returns false if the listener was closed, and there is no capacity for
-// what waits in its queue.
+// awaitCapacity waits until another connection may be accepted. It returns false if the listener was closed and there was no capacity for
+// the connections in its queue until drainUntil.
 func (c *Connections) awaitCapacity() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,19 +98,19 @@
 
 const (
 	rankNeeded         evictionRank = iota
-	rankNewSilent                   // it has brought no request yet, but is new
+	rankNewSilent                   // it has had no request yet, but is new
 	rankRecentlyUsed                // its latest request ended within requestGap
 	rankUnused                      // its latest request ended before that
-	rankNeverRequested              // it never brought a request
-	rankShut                        // it has its last response
-	rankClientGone                  // nobody waits for what is in flight on it
+	rankNeverRequested              // it never had a request
+	rankShut                        // it was shut after its last response
+	rankClientGone                  // the client has disconnected and waits for no response
 )
 
-// evictionRank ranks a connection. One that never brought a request goes before one that did, since clients that connect by hundreds and
-// stay silent must not displace those that send requests. except is not evicted while it is new.
+// evictionRank returns the rank of a connection. A connection that never had a request is evicted before one that had, since clients that
+// open hundreds of connections and send nothing must not displace those that send requests. except is not evicted while it is new.
 func (i *connInfo) evictionRank(client, except *conn, now time.Time) evictionRank {
-	quiet := now.Sub(i.quietSince)
-	isNew := !i.hasRequested && quiet < firstRequestTime
+	idleTime := now.Sub(i.idleSince)
+	isNew := !i.hasRequested && idleTime < firstRequestTime
 	switch {
 	case i.closing || client == except && isNew:
 		return rankNeeded
@@ -121,7 +122,7 @@
 		return rankShut
 	case isNew:
 		return rankNewSilent
-	case i.hasRequested && quiet < requestGap:
+	case i.hasRequested && idleTime < requestGap:
 		return rankRecentlyUsed
 	case i.hasRequested:
 		return rankUnused
@@ -129,16 +130,16 @@
 	return rankNeverRequested
 }
 
-// evictLocked closes the connection that is needed least, and reports whether there was one. Of one rank the longest quiet goes first.
-// c.mu is held.
+// evictLocked closes the connection that is needed least, and reports whether there was one. Of several connections of the same rank it
+// closes the one that has been idle longest. c.mu is held.
 func (c *Connections) evictLocked(except *conn) bool {
 	now := time.Now()
-	for { // the candidate may begin a request as it is chosen
+	for { // repeated if the candidate begins a request meanwhile
 		var candidate *conn
 		highest := rankNeeded
 		for client, info := range c.conns {
 			rank := info.evictionRank(client, except, now)
-			if rank > highest || rank > rankNeeded && rank == highest && info.quietSince.Before(c.conns[candidate].quietSince) {
+			if rank > highest || rank > rankNeeded && rank == highest && info.idleSince.Before(c.conns[candidate].idleSince) {
 				candidate, highest = client, rank
 			}
 		}
@@ -161,7 +162,7 @@
 	c.changed.Broadcast()
 }
 
-// Pause leaves new connections to another process that has the listener too, or accepts them again.
+// Pause leaves new connections to another process that has the listener's socket too. With false they are accepted here again.
 func (c *Connections) Pause(paused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,7 +193,7 @@
 	}
 }
 
-// State follows the server's connections: it is http.Server.ConnState.
+// State tracks the states of the server's connections. It is used as http.Server.ConnState.
 func (c *Connections) State(of net.Conn, s http.ConnState) {
 	client := connOf(of)
 	c.mu.Lock()
@@ -203,7 +204,7 @@
 	}
 	switch s {
 	case http.StateIdle:
-		info.quietSince, info.hasRequested = time.Now(), true
+		info.idleSince, info.hasRequested = time.Now(), true
 		client.requestEnded()
 	case http.StateActive:
 		info.hasRequested = true
--- a/internal/server/downstream/context.go
+++ b/internal/server/downstream/context.go
@@ -5,10 +5,10 @@
 	"net"
 )
 
-// connKey is the key of a request context's value that holds its connection.
+// connKey is the key of the connection in a request's context.
 type connKey struct{}
 
-// connOf returns the connection behind what the server holds; nil: it is not one of this package.
+// connOf returns the conn of a connection that the server holds, nil if the connection is not of this package.
 func connOf(c net.Conn) *conn {
 	switch c := c.(type) {
 	case *conn:
@@ -25,7 +25,7 @@
 	return c, ok
 }
 
-// Context keeps the connection in the contexts of its requests: it is http.Server.ConnContext.
+// Context adds the connection to the contexts of its requests. It is used as http.Server.ConnContext.
 func (c *Connections) Context(ctx context.Context, of net.Conn) context.Context {
 	if client := connOf(of); client != nil {
 		return context.WithValue(ctx, connKey{}, client)
@@ -39,23 +39,23 @@
 	return ok && !c.ambiguous.Load()
 }
 
-// StartRequest begins the processing of a request. It returns false if the connection was shut before the request was read: it can have
-// no response.
+// StartRequest begins the processing of a request. It returns false if the connection was shut before the request was read: the request
+// cannot get a response.
 func StartRequest(ctx context.Context) bool {
 	c, ok := connFrom(ctx)
 	return !ok || c.tryActivate()
 }
 
-// OnClientGone is called once a request has been read to its last byte: what arrives now belongs to a later request. notify is called if
-// the client disconnects, even where that can only be seen behind pipelined requests.
+// OnClientGone has notify called if the client disconnects, even if pipelined requests precede the end of the connection. It must be called
+// once a request has been read to its last byte: bytes that arrive afterwards belong to a later request.
 func OnClientGone(ctx context.Context, notify func()) {
 	if c, ok := connFrom(ctx); ok {
 		c.watchClient(notify)
 	}
 }
 
-// ClientGone reports whether a request's client is known to have disconnected. It checks the connection where the context alone would not
-// tell.
+// ClientGone reports whether a request's client is known to have disconnected. It polls the socket if
+// reads may not have reached the end of the connection yet.
 func ClientGone(ctx context.Context) bool {
 	c, ok := connFrom(ctx)
 	return ok && c.checkClientGone()
--- a/internal/server/downstream/read_ahead.go
+++ b/internal/server/downstream/read_ahead.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Bounds of reading ahead, in bytes. Memory is taken as bytes arrive.
+// Bounds of reading ahead, in bytes. Memory is allocated as bytes arrive.
 const (
-	maxReadAhead  = 32 << 10 // of a connection in all
+	maxReadAhead  = 32 << 10 // of one connection
 	readAheadStep = 4 << 10  // of one read
 )
 
-// readAheadBuffer reads what arrives behind the request in flight, for the server's later reads. The server itself reads one byte behind a
-// request, and no more before the response, so that it would not see a client disconnect whose end stands behind pipelined requests.
+// readAheadBuffer holds bytes that arrive after the request in flight, for the server's later reads. The server itself reads one byte after a
+// request and no more before the response. So it would not detect that a client disconnects after it has sent pipelined requests.
 type readAheadBuffer struct {
-	done   chan struct{} // closed once nothing is read ahead any more; the other fields are set by then
+	done   chan struct{} // closed once reading ahead has stopped; the other fields may be used then
 	unread []byte
 	err    error // of the connection
 }
@@ -25,7 +25,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	buffer := &readAheadBuffer{done: make(chan struct{})}
-	if before := c.readAheadBuffer; before != nil { // the server has not used up what was read before
+	if before := c.readAheadBuffer; before != nil { // the server has not read all of the previous buffer
 		buffer.unread, buffer.err = before.unread, before.err
 	}
 	c.readAheadBuffer = buffer
@@ -54,14 +54,14 @@
 	}
 }
 
-// grow makes place for one more read.
+// grow makes space for one more read.
 func (b *readAheadBuffer) grow() {
 	if cap(b.unread)-len(b.unread) < readAheadStep {
 		b.unread = append(make([]byte, 0, 2*cap(b.unread)+readAheadStep), b.unread...)
 	}
 }
 
-// readNext is a read of the server: bytes that were read ahead come first.
+// readNext reads for the server. It returns the bytes that were read ahead first.
 func (c *conn) readNext(p []byte) (int, error) {
 	n, err := c.readBuffered(p)
 	if n > 0 || err != nil {
@@ -70,7 +70,7 @@
 	return c.Conn.Read(p)
 }
 
-// readBuffered stops reading ahead and returns what was read; 0, nil: nothing is buffered.
+// readBuffered stops reading ahead and copies the bytes that were read to p. It returns 0 and nil if nothing is buffered.
 func (c *conn) readBuffered(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/server/downstream/tls.go
+++ b/internal/server/downstream/tls.go
@@ -11,14 +11,14 @@
 // plainTextResponse is sent to a client that does not begin a TLS handshake.
 const plainTextResponse = "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 26\r\n\r\nthis address speaks HTTPS\n"
 
-// TLS says how clients' connections are encrypted.
+// TLS configures the encryption of clients' connections.
 type TLS struct {
 	Config           *tls.Config
 	HandshakeTimeout time.Duration
 }
 
-// tlsConn is an encrypted connection; the framing of the decrypted requests is followed. net/http takes it for a plain connection, except
-// that it calls ConnectionState.
+// tlsConn is an encrypted connection. Its conn checks the framing of the decrypted requests. net/http treats it as a plain connection,
+// except that it calls ConnectionState.
 type tlsConn struct {
 	*conn
 	tls              *tls.Conn
@@ -31,8 +31,8 @@
 	return &tlsConn{c, encrypted, t.HandshakeTimeout}
 }
 
-// ConnectionState makes the handshake on net/http's goroutine of the connection, before a request is read. A failure shows in the first
-// read.
+// ConnectionState performs the handshake. net/http calls it on the connection's goroutine before it reads a request. The first read returns
+// the error of a handshake that failed.
 func (c *tlsConn) ConnectionState() tls.ConnectionState {
 	ctx, cancel := context.WithTimeout(context.Background(), c.handshakeTimeout)
 	defer cancel()
--- a/internal/server/framing/framing.go
+++ b/internal/server/framing/framing.go
@@ -1,7 +1,7 @@
 // Package framing follows the requests on a client's connection, byte by byte, to detect a request head that frames its body in two ways
 // (Content-Length and Transfer-Encoding), which enables request smuggling. net/http drops one of the two silently (transfer.go:
-// fixLength), while a proxy before or behind may follow the other and find a second request in the body. The package does no I/O, keeps
-// at most one line, and parses as net/http does: what net/http rejects it need not understand.
+// fixLength), while a proxy before or after the daemon may use the other and find a second request in the body. The package does no I/O,
+// keeps at most one line, and parses as net/http does. It need not understand requests that net/http rejects.
 package framing
 
 import (
@@ -9,8 +9,8 @@
 	"strconv"
 )
 
-// maxLine is how many bytes are kept of a line; no framing header is longer.
-const maxLine = 256
+// maxLineBytes is the number of bytes that are kept of a line. No framing header is longer.
+const maxLineBytes = 256
 
 // maxLengthBits bounds the lengths of bodies and chunks, as net/http does.
 const maxLengthBits = 62
@@ -23,8 +23,8 @@
 	inBody                   // remaining bytes of a body
 	inChunkSize              // the line with a chunk's size
 	inChunkData              // remaining bytes of a chunk
-	afterChunk               // the line end behind a chunk
-	inTrailer                // lines behind the last chunk
+	afterChunk               // the line end after a chunk
+	inTrailer                // lines after the last chunk
 	unknown                  // the requests can no longer be followed
 )
 
@@ -38,7 +38,7 @@
 	state     state
 	remaining int64 // bytes of the body or chunk
 
-	line        [maxLine]byte
+	line        [maxLineBytes]byte
 	lineLength  int
 	lineTooLong bool // the line has more bytes than are kept
 
@@ -49,11 +49,11 @@
 	ambiguous       bool
 }
 
-// Ambiguous reports whether a head so far framed its body in two ways, or the requests could not be followed. A chunked request must not
-// be trusted then.
+// Ambiguous reports whether a request head so far framed its body in two ways, or the requests can no longer be followed. A chunked
+// request must not be trusted then.
 func (d *Detector) Ambiguous() bool { return d.ambiguous || d.state == unknown }
 
-// Feed takes the next bytes of the connection.
+// Feed processes the next bytes of the connection.
 func (d *Detector) Feed(b []byte) {
 	for len(b) > 0 {
 		switch d.state {
@@ -74,7 +74,7 @@
 	}
 }
 
-// skipData passes over the bytes of a body or chunk, and returns what follows them.
+// skipData skips the bytes of a body or chunk, and returns the bytes that follow.
 func (d *Detector) skipData(b []byte) []byte {
 	n := min(int64(len(b)), d.remaining)
 	d.remaining -= n
@@ -161,7 +161,7 @@
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimSpace(value)
 	switch {
-	case line[0] == ' ' || line[0] == '\t': // it continues the line before, which may have been a framing header
+	case line[0] == ' ' || line[0] == '\t': // it continues the previous line, which may be a framing header
 		d.ambiguous = d.ambiguous || d.hasLength || d.chunked
 	case bytes.EqualFold(name, contentLength):
 		n, err := strconv.ParseUint(string(value), 10, maxLengthBits)
--- a/internal/server/yielding/yielding.go
+++ b/internal/server/yielding/yielding.go
@@ -1,8 +1,9 @@
-// Package yielding makes long transfers pause together now and then, so that small requests get the processor.
+// Package yielding makes long transfers pause together at intervals, so that small requests get processor time.
 //
 // With one processor and transfers that never block, Go's scheduler does not poll the network: runnable goroutines, including those that
-// yield, come first (runtime, findRunnable: own queue, global queue, then netpoll), and the monitor polls only once in 10 ms, behind
-// them. A transfer that pauses alone changes nothing while another one is runnable; if all pause at once the run queues become empty.
+// yield, come first (runtime, findRunnable: own queue, global queue, then netpoll). The runtime's monitor polls only once in 10 ms, and
+// queues what it finds behind them. The pause of a single transfer has no effect while another one is runnable. If all transfers pause at
+// once, the run queues become empty and the scheduler polls the network.
 package yielding
 
 import (
@@ -11,10 +12,10 @@
 )
 
 const (
-	// BytesPerYield are transferred by all transfers together between two pauses.
+	// BytesPerYield is the number of bytes that all transfers together transfer between two pauses.
 	BytesPerYield = 2 << 20
-	// YieldDuration of a pause lets all transfers come to the end of a piece. It is at most a twentieth of the time that one core takes
-	// for BytesPerYield.
+	// YieldDuration is the length of a pause. All transfers finish their current pieces within it. It is at most a twentieth of the time
+	// that one core takes to transfer BytesPerYield.
 	YieldDuration = 100 * time.Microsecond
 )
 
@@ -24,7 +25,7 @@
 	yieldUntil atomic.Int64 // end of that pause, on the caller's clock
 }
 
-// Transferred notes n bytes at now, and returns how long the caller has to pause.
+// Transferred records n bytes transferred at now, and returns how long the caller has to pause.
 func (y *Yielder) Transferred(now time.Duration, n int) time.Duration {
 	total := y.sinceYield.Add(int64(n))
 	if total >= BytesPerYield && y.sinceYield.CompareAndSwap(total, 0) {
