--- a/internal/config/file_graphql.go
+++ b/internal/config/file_graphql.go
@@ -74,8 +74,8 @@
 		}
 		return text
 	}
-	files.schema = read(".schema", options.Schema)
-	files.known = read(".known", options.Known)
+	files.schema = read(".schema", options.SchemaFile)
+	files.known = read(".known", options.KnownFile)
 	return files, ok
 }
 
--- a/internal/daemon/graphql_batch.go
+++ b/internal/daemon/graphql_batch.go
@@ -107,7 +107,7 @@
 	switch {
 	case !graphql.IsAnswer(response.Body):
 		isClientError := response.Status/100 == 4
-		return graphql.Answered, graphql.ErrorBody("the upstream answered with status "+strconv.Itoa(response.Status), graphql.CodeAnswer,
+		return graphql.Answered, graphql.ErrorBody("the upstream answered with status "+strconv.Itoa(response.Status), graphql.CodeUnusableAnswer,
 			&graphql.FailureDetails{MayHaveRun: !isClientError})
 	case len(response.Body) > r.bytesLeft:
 		return graphql.Answered, graphql.ErrorBody("it was answered, and the batch's answers are too large", graphql.CodeTooLarge,
--- a/internal/daemon/graphql_operation.go
+++ b/internal/daemon/graphql_operation.go
@@ -176,7 +176,7 @@
 		return o.newFailure(http.StatusServiceUnavailable, graphql.NotRun, graphql.CodeRefused, "refused: not done, trying again is harmless")
 	case engine.Duplicate:
 		if o.conflict != 0 {
-			return o.newFailure(o.conflict, graphql.NotRun, graphql.CodeKey, conflictText(o.conflict))
+			return o.newFailure(o.conflict, graphql.NotRun, graphql.CodeKeyConflict, conflictText(o.conflict))
 		}
 		return o.newFailure(http.StatusConflict, graphql.NotRun, graphql.CodeDuplicate, "a request of this id is in hand")
 	case engine.EngineClosed:
--- a/internal/graphql/answer.go
+++ b/internal/graphql/answer.go
@@ -35,15 +35,15 @@
 		return Served
 	}
 	for _, code := range a.codes {
-		if slices.Contains(e.options.Unrun, code) {
-			if len(a.codes) == a.errors && !slices.ContainsFunc(a.codes, func(c string) bool { return !slices.Contains(e.options.Unrun, c) }) {
+		if slices.Contains(e.options.NotRunCodes, code) {
+			if len(a.codes) == a.errors && !slices.ContainsFunc(a.codes, func(c string) bool { return !slices.Contains(e.options.NotRunCodes, c) }) {
 				return NotExecuted // every error says so
 			}
 			return UpstreamFailed
 		}
 	}
 	for _, code := range a.codes {
-		if slices.Contains(e.options.Failing, code) {
+		if slices.Contains(e.options.FailingCodes, code) {
 			return UpstreamFailed
 		}
 	}
--- a/internal/graphql/answer_test.go
+++ b/internal/graphql/answer_test.go
@@ -8,7 +8,7 @@
 
 // An error is a failure of the upstream only by the codes that the operator names.
 func TestClassify(t *testing.T) {
-	e := endpoint(t, "", func(o *Options) { o.Failing, o.Unrun = []string{"GONE"}, []string{"FULL"} })
+	e := endpoint(t, "", func(o *Options) { o.FailingCodes, o.NotRunCodes = []string{"GONE"}, []string{"FULL"} })
 	coded := func(codes ...string) string {
 		text := []string{}
 		for _, c := range codes {
--- a/internal/graphql/cost.go
+++ b/internal/graphql/cost.go
@@ -147,7 +147,7 @@
 }
 
 func (c *costBuilder) field(f *ast.Field, typ string) *costNode {
-	n := &costNode{name: f.Name, assumed: float64(c.options.Assumed)}
+	n := &costNode{name: f.Name, assumed: float64(c.options.AssumedSize)}
 	if len(f.SelectionSet) > 0 {
 		n.weight = 1
 	}
@@ -168,7 +168,7 @@
 	if w, ok := c.weights[typ+"."+f.Name]; ok {
 		n.weight = w
 	}
-	names := c.options.Sizes
+	names := c.options.SizeArguments
 	if size != nil {
 		if a := size.Arguments.ForName("assumedSize"); a != nil {
 			if x, err := strconv.ParseFloat(a.Value.Raw, 64); err == nil {
--- a/internal/graphql/decide_test.go
+++ b/internal/graphql/decide_test.go
@@ -47,7 +47,7 @@
 		{Name: "Query.audit", Class: "audit", Weight: -1},
 		{Name: "Mutation.confirm", Class: "confirm", Weight: -1}, {Name: "Mutation.record", Class: "record", Key: "input.requestId", Weight: 5},
 		{Name: "Mutation.refund", Class: "refund", Key: "input.requestId", Weight: -1}}
-	o.Named = []Operation{{"Cheap", "search"}, {"Careful", "audit"}}
+	o.Operations = []Operation{{"Cheap", "search"}, {"Careful", "audit"}}
 	return o
 }
 
@@ -58,8 +58,8 @@
 	if change != nil {
 		change(&o)
 	}
-	if o.Persist == "known" {
-		known, o.Known = o.Known, "known.json"
+	if o.PersistedQueries == "known" {
+		known, o.KnownFile = o.KnownFile, "known.json"
 	}
 	o.Check(func(key, format string, args ...any) { t.Fatalf("%s: "+format, append([]any{key}, args...)...) })
 	e, err := New(o, func(n string) *Class { return classes[n] }, schema, known)
@@ -236,11 +236,11 @@
 		return `"extensions":{"persistedQuery":{"version":1,"sha256Hash":"` + hash + `"}}`
 	}
 	search, change := `{seats{id}}`, `mutation{confirm{id}}`
-	e := endpoint(t, "", func(o *Options) { o.Persist, o.Stored = "automatic", 3000 })
+	e := endpoint(t, "", func(o *Options) { o.PersistedQueries, o.PersistedBytes = "automatic", 3000 })
 	for i, c := range []struct{ body, want string }{
-		{"{" + by(hashed(change)) + "}", CodeNotPersisted},
+		{"{" + by(hashed(change)) + "}", CodePersistedNotFound},
 		{asked(search, by(hashed(change))), CodeRequest},
-		{"{" + by(hashed(change)) + "}", CodeNotPersisted},
+		{"{" + by(hashed(change)) + "}", CodePersistedNotFound},
 		{asked(change, by(strings.ToUpper(hashed(change)))), "confirm"},
 		{"{" + by(hashed(change)) + "}", "confirm"}, // hidden in a hash it is what it is
 		{asked(search), "search"},
@@ -256,14 +256,14 @@
 	if bytes, n := e.persistedTexts.size(); bytes > 3000 || n < 5 {
 		t.Errorf("%d bytes in %d entries", bytes, n)
 	}
-	if bytes, n := e.documents.size(); bytes > e.options.Cache.Bytes() || n < 100 {
+	if bytes, n := e.documents.size(); bytes > e.options.CacheBytes.Bytes() || n < 100 {
 		t.Errorf("%d bytes in %d documents", bytes, n)
 	}
 	for _, file := range []string{fmt.Sprintf(`{%q:%q,"cheap":"query Cheap{audit}"}`, hashed(search), search),
 		fmt.Sprintf(`{"format":"apollo-persisted-query-manifest","operations":[{"id":%q,"body":%q},{"id":"cheap","body":"query Cheap{audit}"}]}`, hashed(search), search)} {
-		e = endpoint(t, "", func(o *Options) { o.Persist, o.Known = "known", file })
+		e = endpoint(t, "", func(o *Options) { o.PersistedQueries, o.KnownFile = "known", file })
 		for body, want := range map[string]string{"{" + by(hashed(search)) + "}": "search", asked(search): "search",
-			asked(search, by("cheap")): CodeUnknown, asked(change): CodeUnknown, "{" + by(hashed(change)) + "}": CodeUnknown,
+			asked(search, by("cheap")): CodeUnknownOperation, asked(change): CodeUnknownOperation, "{" + by(hashed(change)) + "}": CodeUnknownOperation,
 			"{" + by("cheap") + "}": "search"} { // a known one's name is believed
 			if _, got := decide(e, body); got != want {
 				t.Errorf("%s is %s, want %s", body, got, want)
@@ -283,7 +283,7 @@
 		"no key is named":           func(o *Options) { o.Fields[4].Key = "" },
 		"is not keyed":              func(o *Options) { o.Fields[3].Key = "id" },
 		"and a mutation must not":   func(o *Options) { o.Fields[3].Class = "search" },
-		"needs a root field's key":  func(o *Options) { o.Named[0].Class = "record" },
+		"needs a root field's key":  func(o *Options) { o.Operations[0].Class = "record" },
 		"the schema has no Query.x": func(o *Options) { o.Fields[0].Name = "Query.x" },
 	} {
 		o := options()
--- a/internal/graphql/endpoint.go
+++ b/internal/graphql/endpoint.go
@@ -17,7 +17,7 @@
 type Class = balancer.Class
 
 // Endpoint decides for one GraphQL endpoint. It is safe for concurrent use. What it holds is bounded: parsed documents and
-// their texts by Options.Cache, persisted texts by Options.Stored, what operations took by maxOperationKinds.
+// their texts by Options.CacheBytes, persisted texts by Options.PersistedBytes, what operations took by maxOperationKinds.
 type Endpoint struct {
 	options          Options
 	schema           *ast.Schema // nil: there is none
@@ -47,8 +47,8 @@
 		fieldRules:       map[string]*fieldRule{},
 		operationClasses: map[string]*Class{},
 		weights:          map[string]float64{},
-		documents:        newLRU[*document](options.Cache.Bytes()),
-		persistedTexts:   newLRU[string](options.Stored.Bytes()),
+		documents:        newLRU[*document](options.CacheBytes.Bytes()),
+		persistedTexts:   newLRU[string](options.PersistedBytes.Bytes()),
 		durations:        newDurationEstimates(),
 	}
 	find := func(name, usedBy string) (*Class, error) {
@@ -67,7 +67,7 @@
 			return nil, err
 		}
 	}
-	for _, named := range options.Named {
+	for _, named := range options.Operations {
 		if err := e.addOperation(named, find); err != nil {
 			return nil, err
 		}
@@ -140,7 +140,7 @@
 	if text == "" {
 		return nil
 	}
-	schema, err := gqlparser.LoadSchema(costDirectives(text), &ast.Source{Name: e.options.Schema, Input: text})
+	schema, err := gqlparser.LoadSchema(costDirectives(text), &ast.Source{Name: e.options.SchemaFile, Input: text})
 	if err != nil {
 		return fmt.Errorf("schema: %s", errorMessage(err))
 	}
@@ -213,7 +213,7 @@
 	if e.schema != nil {
 		text += ", held against a schema"
 	}
-	switch e.options.Persist {
+	switch e.options.PersistedQueries {
 	case "known":
 		text += fmt.Sprintf(", %d known operations alone", len(e.knownTexts))
 	case "automatic":
@@ -229,6 +229,6 @@
 func (e *Endpoint) Limits() *Limits { return &e.options.Limits }
 
 // BatchParallelism is how many entries of a batch are sent at once.
-func (e *Endpoint) BatchParallelism() int { return e.options.Parallel }
+func (e *Endpoint) BatchParallelism() int { return e.options.BatchParallelism }
 
 func itoa(n int) string { return strconv.Itoa(n) }
--- a/internal/graphql/options.go
+++ b/internal/graphql/options.go
@@ -15,28 +15,28 @@
 
 // Options is the part of an endpoint in the operator's file.
 type Options struct {
-	Match    string        `toml:"match" sample:"\"/graphql\"" doc:"Where it is: [HOST]/PATH, without a method: POST, and GET for queries."`
-	Service  string        `toml:"service" sample:"\"seats\"" doc:"Whose upstreams answer. Absent: the only service."`
-	Query    string        `toml:"query" default:"read" doc:"The class of queries whose root fields have none."`
-	Mutation string        `toml:"mutation" default:"write" doc:"The class of mutations whose root fields have none."`
-	Schema   string        `toml:"schema" sample:"\"/etc/orchiddrift/seats.graphql\"" doc:"The schema's file, in GraphQL's own language: operations are held against it before anything is sent. Absent: they are told apart by their kind and their root fields' names."`
-	Fields   []Field       `toml:"field" doc:"What is to be known of a field."`
-	Named    []Operation   `toml:"operation" doc:"The class of operations of a name. Names are the client's: such a class counts where it is at least as strict as the root fields', or the operation is a known one."`
-	Persist  string        `toml:"persisted" default:"off" oneof:"off|automatic|known" doc:"automatic: a client may send a query's SHA-256 in its place, once one has sent both. known: only the operations in known pass, by hash or in full."`
-	Known    string        `toml:"known" sample:"\"/etc/orchiddrift/operations.json\"" doc:"The known operations' file, JSON: {\"HASH\": \"TEXT\"}, or a manifest with operations of id and body."`
-	Stored   units.Size    `toml:"persisted_bytes" default:"1MiB" doc:"Texts that automatic persisted queries may take, at most; the ones longest unused go first."`
-	Cache    units.Size    `toml:"cache_bytes" default:"2MiB" doc:"Texts and parsed forms of documents that are kept, at most."`
-	Failing  []string      `toml:"failing_codes" sample:"[\"SERVICE_UNAVAILABLE\"]" doc:"extensions.code of errors that come of a failing upstream, where there is no data: such an answer is a failure that may have run. All others are answers."`
-	Unrun    []string      `toml:"not_run_codes" sample:"[\"OVERLOADED\"]" doc:"extensions.code by which upstreams say that they have not run the operation, where there is no data: it may be sent to another, a mutation too."`
-	Limits   Limits        `toml:"limits" doc:"What an operation may have at most."`
-	Sizes    []string      `toml:"size_arguments" default:"first, last, limit" doc:"Arguments that say how long a list is, where the schema has no @listSize."`
-	Assumed  int           `toml:"assumed_size" default:"10" doc:"How long a list is that nothing tells the length of."`
-	Parallel int           `toml:"batch_parallel" default:"4" doc:"Entries of one batch that are sent at once. Its mutations go one at a time."`
-	Tenant   routes.Source `toml:"tenant" default:"header:X-Tenant-Id" doc:"As of a route."`
-	Cost     routes.Source `toml:"cost" default:"header:X-Cost" doc:"As of a route: it goes before the estimate made here."`
-	ID       routes.Source `toml:"id" default:"header:X-Request-ID" doc:"As of a route. An entry of a batch has it with a dot and its number behind."`
-	Deadline routes.Source `toml:"deadline" default:"header:X-Timeout" doc:"As of a route. The entries of a batch share it."`
-	MaxBody  units.Size    `toml:"max_body" default:"64KiB" doc:"What a body may have."`
+	Match            string        `toml:"match" sample:"\"/graphql\"" doc:"Where it is: [HOST]/PATH, without a method: POST, and GET for queries."`
+	Service          string        `toml:"service" sample:"\"seats\"" doc:"Whose upstreams answer. Absent: the only service."`
+	Query            string        `toml:"query" default:"read" doc:"The class of queries whose root fields have none."`
+	Mutation         string        `toml:"mutation" default:"write" doc:"The class of mutations whose root fields have none."`
+	SchemaFile       string        `toml:"schema" sample:"\"/etc/orchiddrift/seats.graphql\"" doc:"The schema's file, in GraphQL's own language: operations are held against it before anything is sent. Absent: they are told apart by their kind and their root fields' names."`
+	Fields           []Field       `toml:"field" doc:"What is to be known of a field."`
+	Operations       []Operation   `toml:"operation" doc:"The class of operations of a name. Names are the client's: such a class counts where it is at least as strict as the root fields', or the operation is a known one."`
+	PersistedQueries string        `toml:"persisted" default:"off" oneof:"off|automatic|known" doc:"automatic: a client may send a query's SHA-256 in its place, once one has sent both. known: only the operations in known pass, by hash or in full."`
+	KnownFile        string        `toml:"known" sample:"\"/etc/orchiddrift/operations.json\"" doc:"The known operations' file, JSON: {\"HASH\": \"TEXT\"}, or a manifest with operations of id and body."`
+	PersistedBytes   units.Size    `toml:"persisted_bytes" default:"1MiB" doc:"Texts that automatic persisted queries may take, at most; the ones longest unused go first."`
+	CacheBytes       units.Size    `toml:"cache_bytes" default:"2MiB" doc:"Texts and parsed forms of documents that are kept, at most."`
+	FailingCodes     []string      `toml:"failing_codes" sample:"[\"SERVICE_UNAVAILABLE\"]" doc:"extensions.code of errors that come of a failing upstream, where there is no data: such an answer is a failure that may have run. All others are answers."`
+	NotRunCodes      []string      `toml:"not_run_codes" sample:"[\"OVERLOADED\"]" doc:"extensions.code by which upstreams say that they have not run the operation, where there is no data: it may be sent to another, a mutation too."`
+	Limits           Limits        `toml:"limits" doc:"What an operation may have at most."`
+	SizeArguments    []string      `toml:"size_arguments" default:"first, last, limit" doc:"Arguments that say how long a list is, where the schema has no @listSize."`
+	AssumedSize      int           `toml:"assumed_size" default:"10" doc:"How long a list is that nothing tells the length of."`
+	BatchParallelism int           `toml:"batch_parallel" default:"4" doc:"Entries of one batch that are sent at once. Its mutations go one at a time."`
+	Tenant           routes.Source `toml:"tenant" default:"header:X-Tenant-Id" doc:"As of a route."`
+	Cost             routes.Source `toml:"cost" default:"header:X-Cost" doc:"As of a route: it goes before the estimate made here."`
+	ID               routes.Source `toml:"id" default:"header:X-Request-ID" doc:"As of a route. An entry of a batch has it with a dot and its number behind."`
+	Deadline         routes.Source `toml:"deadline" default:"header:X-Timeout" doc:"As of a route. The entries of a batch share it."`
+	MaxBody          units.Size    `toml:"max_body" default:"64KiB" doc:"What a body may have."`
 }
 
 // Field is the class, key and weight of a field.
@@ -55,8 +55,8 @@
 
 // Default returns the options of a file that sets none.
 func Default() Options {
-	return Options{Query: "read", Mutation: "write", Persist: "off", Stored: units.MiB, Cache: 2 * units.MiB, Limits: DefaultLimits(),
-		Sizes: []string{"first", "last", "limit"}, Assumed: 10, Parallel: 4, MaxBody: 64 * units.KiB,
+	return Options{Query: "read", Mutation: "write", PersistedQueries: "off", PersistedBytes: units.MiB, CacheBytes: 2 * units.MiB, Limits: DefaultLimits(),
+		SizeArguments: []string{"first", "last", "limit"}, AssumedSize: 10, BatchParallelism: 4, MaxBody: 64 * units.KiB,
 		Tenant: routes.Header(httpheader.Tenant), Cost: routes.Header(httpheader.Cost), ID: routes.Header(httpheader.RequestID),
 		Deadline: routes.Header(httpheader.Timeout)}
 }
@@ -88,10 +88,10 @@
 	if o.MaxBody > maxMaxBody {
 		report("max_body", "%v is over %v", o.MaxBody, maxMaxBody)
 	}
-	if (o.Known != "") != (o.Persist == "known") {
+	if (o.KnownFile != "") != (o.PersistedQueries == "known") {
 		report("known", "it belongs to persisted = \"known\"")
 	}
-	if o.Stored < 0 || o.Cache < 0 {
+	if o.PersistedBytes < 0 || o.CacheBytes < 0 {
 		report("cache_bytes", "less than nothing can't be kept")
 	}
 	between := func(key string, n, least, most int) {
@@ -99,8 +99,8 @@
 			report(key, "%d is not from %d to %d", n, least, most)
 		}
 	}
-	between("assumed_size", o.Assumed, 0, maxAssumedSize)
-	between("batch_parallel", o.Parallel, 1, maxBatch)
+	between("assumed_size", o.AssumedSize, 0, maxAssumedSize)
+	between("batch_parallel", o.BatchParallelism, 1, maxBatch)
 	named := map[string]bool{}
 	for _, f := range o.Fields {
 		typ, field, ok := strings.Cut(f.Name, ".")
@@ -120,7 +120,7 @@
 		}
 		named[f.Name] = true
 	}
-	for _, n := range o.Named {
+	for _, n := range o.Operations {
 		if n.Name == "" || n.Class == "" {
 			report("operation", "an operation needs its name and its class")
 		}
--- a/internal/graphql/persisted.go
+++ b/internal/graphql/persisted.go
@@ -17,7 +17,7 @@
 	case p.Query == "" && p.Hash == "":
 		return "", false, malformed("there is no query")
 	}
-	switch e.options.Persist {
+	switch e.options.PersistedQueries {
 	case "known":
 		if p.Query == "" {
 			if text, ok := e.knownTexts[p.Hash]; ok {
@@ -26,7 +26,7 @@
 		} else if e.knownInFull[p.Query] && (p.Hash == "" || e.knownTexts[p.Hash] == p.Query) {
 			return p.Query, true, nil
 		}
-		return "", false, newProblem(CodeUnknown, "only known operations are served here")
+		return "", false, newProblem(CodeUnknownOperation, "only known operations are served here")
 	case "automatic":
 		if p.Hash == "" {
 			return p.Query, false, nil
@@ -35,7 +35,7 @@
 			if text, ok := e.persistedTexts.get(p.Hash); ok {
 				return text, false, nil
 			}
-			return "", false, newProblem(CodeNotPersisted, "PersistedQueryNotFound")
+			return "", false, newProblem(CodePersistedNotFound, "PersistedQueryNotFound")
 		}
 		sum := sha256.Sum256([]byte(p.Query))
 		if hex.EncodeToString(sum[:]) != p.Hash {
@@ -45,7 +45,7 @@
 		return p.Query, false, nil
 	}
 	if p.Query == "" {
-		return "", false, newProblem(CodeNoPersisted, "PersistedQueryNotSupported")
+		return "", false, newProblem(CodePersistedNotSupported, "PersistedQueryNotSupported")
 	}
 	return p.Query, false, nil
 }
--- a/internal/graphql/problem.go
+++ b/internal/graphql/problem.go
@@ -9,22 +9,22 @@
 
 // Codes of the sidecar's own errors, as extensions.code. The first ones are those that other servers use as well.
 const (
-	CodeParse        = "GRAPHQL_PARSE_FAILED"
-	CodeValidation   = "GRAPHQL_VALIDATION_FAILED"
-	CodeRequest      = "BAD_REQUEST"
-	CodeOperation    = "OPERATION_RESOLUTION_FAILURE"
-	CodeNotPersisted = "PERSISTED_QUERY_NOT_FOUND"
-	CodeNoPersisted  = "PERSISTED_QUERY_NOT_SUPPORTED"
-	CodeLimit        = "OPERATION_TOO_LARGE"
-	CodeSubscription = "SUBSCRIPTION_NOT_SUPPORTED"
-	CodeUnknown      = "OPERATION_NOT_KNOWN"
-	CodeRefused      = "REFUSED"         // not run, trying again is harmless
-	CodeFailed       = "UPSTREAM_FAILED" // no promise: it may have run
-	CodeNotSent      = "NOT_SENT"        // an earlier mutation of the batch has no good end: not run
-	CodeDuplicate    = "REQUEST_IN_HAND" // another request of this id is in hand; this one was not run
-	CodeKey          = "IDEMPOTENCY_KEY_CONFLICT"
-	CodeTooLarge     = "ANSWER_TOO_LARGE"
-	CodeAnswer       = "UPSTREAM_ANSWER" // what came is no answer that can stand in a batch
+	CodeParse                 = "GRAPHQL_PARSE_FAILED"
+	CodeValidation            = "GRAPHQL_VALIDATION_FAILED"
+	CodeRequest               = "BAD_REQUEST"
+	CodeOperation             = "OPERATION_RESOLUTION_FAILURE"
+	CodePersistedNotFound     = "PERSISTED_QUERY_NOT_FOUND"
+	CodePersistedNotSupported = "PERSISTED_QUERY_NOT_SUPPORTED"
+	CodeLimit                 = "OPERATION_TOO_LARGE"
+	CodeSubscription          = "SUBSCRIPTION_NOT_SUPPORTED"
+	CodeUnknownOperation      = "OPERATION_NOT_KNOWN"
+	CodeRefused               = "REFUSED"         // not run, trying again is harmless
+	CodeFailed                = "UPSTREAM_FAILED" // no promise: it may have run
+	CodeNotSent               = "NOT_SENT"        // an earlier mutation of the batch has no good end: not run
+	CodeDuplicate             = "REQUEST_IN_HAND" // another request of this id is in hand; this one was not run
+	CodeKeyConflict           = "IDEMPOTENCY_KEY_CONFLICT"
+	CodeTooLarge              = "ANSWER_TOO_LARGE"
+	CodeUnusableAnswer        = "UPSTREAM_ANSWER" // what came is no answer that can stand in a batch
 )
 
 // Problem is why a request is not taken. It is an error of the request, before anything is sent.
--- a/internal/graphql/request_test.go
+++ b/internal/graphql/request_test.go
@@ -35,7 +35,7 @@
 		`"{seats}"`:                                                                   CodeRequest,
 		``:                                                                            CodeRequest,
 		`[]`:                                                                          CodeRequest,
-		`{"extensions":{"persistedQuery":{"version":1,"sha256Hash":"` + hash + `"}}}`: CodeNoPersisted,
+		`{"extensions":{"persistedQuery":{"version":1,"sha256Hash":"` + hash + `"}}}`: CodePersistedNotSupported,
 		`{"extensions":{"persistedQuery":{"version":2,"sha256Hash":"` + hash + `"}}}`: CodeRequest,
 		`{"extensions":{"persistedQuery":7}}`:                                         CodeRequest,
 		strings.Repeat("{", 64<<10):                                                   CodeRequest,
--- a/internal/measure/graphql_documents.go
+++ b/internal/measure/graphql_documents.go
@@ -47,7 +47,7 @@
 			schema = graphqlSchema
 		}
 		if !c.known {
-			o.Cache = 0
+			o.CacheBytes = 0
 		}
 		class := &balancer.Class{Deadline: 1e9, Idempotency: balancer.NonIdempotent}
 		e, err := graphql.New(o, func(string) *balancer.Class { return class }, schema, "")
