--- a/internal/graphql/answer.go
+++ b/internal/graphql/answer.go
@@ -96,8 +96,8 @@
 			errors = true
 			_, _ = r.ReadToken() // peeked above
 			for r.PeekKind() == '{' {
-				code, good := readError(r)
-				if !good {
+				code, valid := readError(r)
+				if !valid {
 					return a, false
 				}
 				if a.errors++; code != "" {
@@ -122,29 +122,29 @@
 // readError reads one error's code.
 func readError(r *reader) (code string, ok bool) {
 	_, _ = r.ReadToken() // its brace has been seen
-	has := false
+	hasMessage := false
 	var scratch [16]byte
 	for {
 		name, more := r.nextName(scratch[:])
 		if !more {
 			break
 		}
-		what := string(name)
+		key := string(name)
 		value, err := r.ReadValue()
 		if err != nil {
 			return "", false
 		}
 		switch kind := value.Kind(); {
-		case what == "message":
-			if has = kind == '"'; !has {
+		case key == "message":
+			if hasMessage = kind == '"'; !hasMessage {
 				return "", false
 			}
-		case what == "extensions" && kind == '{':
-			if c, there := objectMembers(value)["code"]; there {
+		case key == "extensions" && kind == '{':
+			if c, found := objectMembers(value)["code"]; found {
 				code, _ = scalar(c, "")
 			}
 		}
 	}
 	end, err := r.ReadToken()
-	return code, has && err == nil && end.Kind() == '}'
+	return code, hasMessage && err == nil && end.Kind() == '}'
 }
--- a/internal/graphql/batch.go
+++ b/internal/graphql/batch.go
@@ -49,9 +49,9 @@
 	return b
 }
 
-func (b *Batch) finish(i int, well bool) {
+func (b *Batch) finish(i int, succeeded bool) {
 	b.unfinished--
-	if b.state[i] = ended; b.kinds[i] == Mutation && !well {
+	if b.state[i] = ended; b.kinds[i] == Mutation && !succeeded {
 		b.state[i] = failedMutation
 	}
 }
@@ -81,7 +81,7 @@
 }
 
 // Done records the outcome of an entry that was sent. Later calls for the same entry have no effect.
-func (b *Batch) Done(i int, end EntryOutcome) {
+func (b *Batch) Done(i int, outcome EntryOutcome) {
 	if b.state[i] != sent {
 		return
 	}
@@ -89,7 +89,7 @@
 	if b.kinds[i] == Mutation {
 		b.mutationInFlight = false
 	}
-	b.finish(i, end == Answered)
+	b.finish(i, outcome == Answered)
 }
 
 // Finished reports whether every entry has ended.
@@ -97,13 +97,13 @@
 
 // BatchStatus is the HTTP status of a batch's answer by its entries' ends: 200 where one of them has an answer or failed by its own
 // mistake, else 503 where none has run, else 502.
-func BatchStatus(ends []EntryOutcome, problems []*Problem) int {
+func BatchStatus(outcomes []EntryOutcome, problems []*Problem) int {
 	uncertain := false
-	for i, e := range ends {
-		if problems[i] != nil || e == Answered {
+	for i, outcome := range outcomes {
+		if problems[i] != nil || outcome == Answered {
 			return http.StatusOK
 		}
-		uncertain = uncertain || e == MayHaveRun
+		uncertain = uncertain || outcome == MayHaveRun
 	}
 	if uncertain {
 		return http.StatusBadGateway
--- a/internal/graphql/batch_test.go
+++ b/internal/graphql/batch_test.go
@@ -83,8 +83,8 @@
 		}
 		r.mutations = append(r.mutations, i)
 		for j := range i {
-			if outcome, over := r.outcomes[j]; r.kinds[j] == Mutation && (!over || outcome != Answered) {
-				t.Fatalf("%d is sent, with %d before it: %v %v", i, j, over, outcome)
+			if outcome, finished := r.outcomes[j]; r.kinds[j] == Mutation && (!finished || outcome != Answered) {
+				t.Fatalf("%d is sent, with %d before it: %v %v", i, j, finished, outcome)
 			}
 		}
 	}
@@ -104,14 +104,14 @@
 }
 
 func TestBatchStatus(t *testing.T) {
-	none, bad := []*Problem{nil, nil}, []*Problem{nil, {}}
+	noProblems, oneProblem := []*Problem{nil, nil}, []*Problem{nil, {}}
 	for _, c := range []struct {
-		ends     []EntryOutcome
+		outcomes []EntryOutcome
 		problems []*Problem
 		want     int
-	}{{[]EntryOutcome{Answered, MayHaveRun}, none, 200}, {[]EntryOutcome{NotRun, NotRun}, none, 503}, {[]EntryOutcome{NotRun, MayHaveRun}, none, 502}, {[]EntryOutcome{NotRun, NotRun}, bad, 200}} {
-		if got := BatchStatus(c.ends, c.problems); got != c.want {
-			t.Errorf("%v: %d", c.ends, got)
+	}{{[]EntryOutcome{Answered, MayHaveRun}, noProblems, 200}, {[]EntryOutcome{NotRun, NotRun}, noProblems, 503}, {[]EntryOutcome{NotRun, MayHaveRun}, noProblems, 502}, {[]EntryOutcome{NotRun, NotRun}, oneProblem, 200}} {
+		if got := BatchStatus(c.outcomes, c.problems); got != c.want {
+			t.Errorf("%v: %d", c.outcomes, got)
 		}
 	}
 }
--- a/internal/graphql/cost.go
+++ b/internal/graphql/cost.go
@@ -20,14 +20,14 @@
 
 // costNode is a field or a group of them, made once a document.
 type costNode struct {
-	weight   float64
-	list     bool
-	assumed  float64
-	slicing  []*ast.Value // arguments that tell its size
-	sized    []string     // fields below that have the size in its place
-	name     string
-	children []*costNode
-	spread   *costNode // of a fragment
+	weight        float64
+	list          bool
+	assumedSize   float64
+	slicingValues []*ast.Value // arguments that tell its size
+	sizedFields   []string     // fields below that have the size in its place
+	name          string
+	children      []*costNode
+	spread        *costNode // of a fragment
 }
 
 const maxCost = 1e15
@@ -39,18 +39,18 @@
 	memo map[*costNode]float64
 }
 
-func (e *costEstimator) sum(nodes []*costNode, sized []string, size float64) (sum float64) {
+func (e *costEstimator) sum(nodes []*costNode, sizedFields []string, size float64) (sum float64) {
 	for _, n := range nodes {
-		sum = min(maxCost, sum+e.nodeCost(n, sized, size))
+		sum = min(maxCost, sum+e.nodeCost(n, sizedFields, size))
 	}
 	return sum
 }
 
 // nodeCost is a field's cost; sized and size are what the field above hands down.
-func (e *costEstimator) nodeCost(n *costNode, sized []string, size float64) float64 {
+func (e *costEstimator) nodeCost(n *costNode, sizedFields []string, size float64) float64 {
 	if n.spread != nil {
-		if len(sized) > 0 { // the same fragment may stand below another size
-			return e.sum(n.spread.children, sized, size)
+		if len(sizedFields) > 0 { // the same fragment may stand below another size
+			return e.sum(n.spread.children, sizedFields, size)
 		}
 		if c, ok := e.memo[n.spread]; ok {
 			return c
@@ -59,28 +59,28 @@
 		e.memo[n.spread] = c
 		return c
 	}
-	own := 1.0
-	if n.list || len(n.sized) > 0 {
-		own = n.assumed
+	listSize := 1.0
+	if n.list || len(n.sizedFields) > 0 {
+		listSize = n.assumedSize
 		given := false
-		for _, v := range n.slicing {
+		for _, v := range n.slicingValues {
 			if x, ok := e.number(v); ok {
 				if !given {
-					own, given = 0, true
+					listSize, given = 0, true
 				}
-				own = max(own, x)
+				listSize = max(listSize, x)
 			}
 		}
 	}
-	for _, name := range sized {
+	for _, name := range sizedFields {
 		if name == n.name {
-			own = size
+			listSize = size
 		}
 	}
-	if len(n.sized) > 0 {
-		return min(maxCost, n.weight+e.sum(n.children, n.sized, own))
+	if len(n.sizedFields) > 0 {
+		return min(maxCost, n.weight+e.sum(n.children, n.sizedFields, listSize))
 	}
-	return min(maxCost, n.weight+own*e.sum(n.children, nil, 1))
+	return min(maxCost, n.weight+listSize*e.sum(n.children, nil, 1))
 }
 
 // number is an argument's, if it is one, at least 0.
@@ -121,11 +121,11 @@
 		case *ast.Field:
 			out = append(out, c.field(s, typ))
 		case *ast.InlineFragment:
-			below := typ
+			innerType := typ
 			if s.TypeCondition != "" && c.schema != nil {
-				below = s.TypeCondition
+				innerType = s.TypeCondition
 			}
-			out = append(out, c.selection(s.SelectionSet, below)...)
+			out = append(out, c.selection(s.SelectionSet, innerType)...)
 		case *ast.FragmentSpread:
 			out = append(out, &costNode{spread: c.fragment(s.Name)})
 		}
@@ -147,18 +147,18 @@
 }
 
 func (c *costBuilder) field(f *ast.Field, typ string) *costNode {
-	n := &costNode{name: f.Name, assumed: float64(c.options.AssumedSize)}
+	n := &costNode{name: f.Name, assumedSize: float64(c.options.AssumedSize)}
 	if len(f.SelectionSet) > 0 {
 		n.weight = 1
 	}
-	below := ""
+	fieldType := ""
 	var size *ast.Directive
 	if d := f.Definition; d != nil {
-		below = d.Type.Name()
+		fieldType = d.Type.Name()
 		n.list = isList(d.Type)
 		if w, ok := weightOf(d.Directives); ok {
 			n.weight = w
-		} else if t := c.schema.Types[below]; t != nil {
+		} else if t := c.schema.Types[fieldType]; t != nil {
 			if w, ok := weightOf(t.Directives); ok {
 				n.weight = w
 			}
@@ -172,21 +172,21 @@
 	if size != nil {
 		if a := size.Arguments.ForName("assumedSize"); a != nil {
 			if x, err := strconv.ParseFloat(a.Value.Raw, 64); err == nil {
-				n.assumed = max(0, x)
+				n.assumedSize = max(0, x)
 			}
 		}
 		names = stringList(size.Arguments.ForName("slicingArguments"))
-		n.sized = stringList(size.Arguments.ForName("sizedFields"))
+		n.sizedFields = stringList(size.Arguments.ForName("sizedFields"))
 	}
 	for _, name := range names {
 		if a := f.Arguments.ForName(name); a != nil {
-			n.slicing = append(n.slicing, a.Value)
+			n.slicingValues = append(n.slicingValues, a.Value)
 		}
 	}
-	if c.schema == nil && len(n.slicing) > 0 {
+	if c.schema == nil && len(n.slicingValues) > 0 {
 		n.list = true
 	}
-	n.children = c.selection(f.SelectionSet, below)
+	n.children = c.selection(f.SelectionSet, fieldType)
 	return n
 }
 
--- a/internal/graphql/decide.go
+++ b/internal/graphql/decide.go
@@ -31,20 +31,20 @@
 // Decide returns what an operation is, or why it is rejected. get says that the request's method is GET, which is for queries only. header
 // is the request's, for keys in it; nil for an entry of a batch, since a header is of the batch.
 func (e *Endpoint) Decide(p *Params, get bool, header http.Header) (Decision, *Problem) {
-	text, trusted, bad := e.resolveText(p)
-	if bad != nil {
-		return Decision{}, bad
+	text, trusted, problem := e.resolveText(p)
+	if problem != nil {
+		return Decision{}, problem
 	}
 	doc, ok := e.documents.get(text)
 	if !ok {
-		if doc, bad = e.parse(text); bad != nil {
-			return Decision{}, bad
+		if doc, problem = e.parse(text); problem != nil {
+			return Decision{}, problem
 		}
 		e.documents.put(text, doc, doc.size)
 	}
-	op, bad := doc.operation(p.Operation)
-	if bad != nil {
-		return Decision{}, bad
+	op, problem := doc.operation(p.Operation)
+	if problem != nil {
+		return Decision{}, problem
 	}
 	d := Decision{Name: op.name, signature: op.signature}
 	switch op.kind {
@@ -56,22 +56,22 @@
 		}
 	}
 	var vars valueOf
-	lazily := func() valueOf {
+	variables := func() valueOf {
 		if vars == nil {
 			vars = objectMembers(p.Variables)
 		}
 		return vars
 	}
-	d.Class, d.Key = e.classify(op, d.Kind, lazily, header)
+	d.Class, d.Key = e.classify(op, d.Kind, variables, header)
 	if named := e.operationClasses[op.name]; named != nil && op.name != "" && (trusted || named.Idempotency >= d.Class.Idempotency) &&
 		(d.Kind == Query || named.Idempotency == balancer.NonIdempotent) {
 		d.Class, d.Key = named, ""
 	}
 	if d.Cost = op.fixedCost; d.Cost < 0 {
-		d.Cost = (&costEstimator{vars: lazily(), defs: op.variableDefinitions, memo: map[*costNode]float64{}}).sum(op.costTree, nil, 1)
+		d.Cost = (&costEstimator{vars: variables(), defs: op.variableDefinitions, memo: map[*costNode]float64{}}).sum(op.costTree, nil, 1)
 	}
-	if most := e.options.Limits.Cost; most > 0 && d.Cost > most {
-		return d, newProblem(CodeLimit, "the operation's cost is %.4g, %.4g at most", d.Cost, most)
+	if limit := e.options.Limits.Cost; limit > 0 && d.Cost > limit {
+		return d, newProblem(CodeLimit, "the operation's cost is %.4g, %.4g at most", d.Cost, limit)
 	}
 	e.mu.Lock()
 	d.CostHint = e.durations.estimate(op.signature, d.Cost)
@@ -86,40 +86,40 @@
 // classify is an operation's, by its kind and its root fields.
 func (e *Endpoint) classify(op *operation, kind OperationKind, vars func() valueOf, header http.Header) (*Class, string) {
 	typ := rootType(op.kind)
-	all := make([]*Class, 0, 4)
+	candidates := make([]*Class, 0, 4)
 	var keyed *Class
-	key, byHeader := "", 0
+	key, headerKeys := "", 0
 	for i := range op.roots {
-		r := &op.roots[i]
-		rule := e.fieldRules[typ+"."+r.name]
+		field := &op.roots[i]
+		rule := e.fieldRules[typ+"."+field.name]
 		switch {
-		case r.name == "__typename" && len(op.roots) > 1: // it does nothing
+		case field.name == "__typename" && len(op.roots) > 1: // it does nothing
 		case rule == nil:
-			all = append(all, e.classes[kind])
+			candidates = append(candidates, e.classes[kind])
 		case rule.key == "":
-			all = append(all, rule.class)
+			candidates = append(candidates, rule.class)
 		default:
-			k, ok := "", false
-			if name, is := strings.CutPrefix(rule.key, headerKey); is {
-				byHeader++ // one key can't be that of two fields: a node would drop the second as the first one's repeat
-				if v := header.Values(name); len(v) == 1 && byHeader == 1 {
-					k, ok = v[0], v[0] != "" && len(v[0]) <= maxKey
+			fieldKey, ok := "", false
+			if name, inHeader := strings.CutPrefix(rule.key, headerKey); inHeader {
+				headerKeys++ // one key can't be that of two fields: a node would drop the second as the first one's repeat
+				if v := header.Values(name); len(v) == 1 && headerKeys == 1 {
+					fieldKey, ok = v[0], v[0] != "" && len(v[0]) <= maxKey
 				}
 			} else {
-				k, ok = r.keyOf(rule.key, vars, op.variableDefinitions)
+				fieldKey, ok = field.keyOf(rule.key, vars, op.variableDefinitions)
 			}
 			if !ok || keyed != nil && keyed != rule.class { // of two classes no group of nodes drops the repeats of both
-				all = append(all, e.classes[kind])
+				candidates = append(candidates, e.classes[kind])
 				break
 			}
-			keyed, key = rule.class, k
-			all = append(all, rule.class)
+			keyed, key = rule.class, fieldKey
+			candidates = append(candidates, rule.class)
 		}
 	}
-	if len(all) == 0 {
+	if len(candidates) == 0 {
 		return e.classes[kind], ""
 	}
-	c := strictest(all)
+	c := strictest(candidates)
 	if c.Idempotency != balancer.IdempotentWithKey {
 		key = ""
 	}
@@ -135,8 +135,8 @@
 
 // strictest picks of an operation's classes the one whose Effect allows least; of those alike the one that is worth least, so
 // that a field more buys nothing, then the one with the later deadline.
-func strictest(all []*Class) *Class {
-	return slices.MinFunc(all, func(a, b *Class) int {
+func strictest(classes []*Class) *Class {
+	return slices.MinFunc(classes, func(a, b *Class) int {
 		return cmp.Or(-cmp.Compare(a.Idempotency, b.Idempotency), cmp.Compare(a.PriorityWeight, b.PriorityWeight), -cmp.Compare(a.Deadline, b.Deadline))
 	})
 }
--- a/internal/graphql/decide_test.go
+++ b/internal/graphql/decide_test.go
@@ -71,77 +71,77 @@
 
 // decide is a request's way through Body and Decide; its class, or its problem's code.
 func decide(e *Endpoint, body string) (Decision, string) {
-	a, bad := ParseBody([]byte(body), e.Limits())
-	if bad == nil {
-		bad = a.Problems[0]
+	request, problem := ParseBody([]byte(body), e.Limits())
+	if problem == nil {
+		problem = request.Problems[0]
 	}
-	if bad != nil {
-		return Decision{}, bad.Code
+	if problem != nil {
+		return Decision{}, problem.Code
 	}
-	d, bad := e.Decide(&a.Params[0], false, nil)
-	if bad != nil {
-		return d, bad.Code
+	d, problem := e.Decide(&request.Params[0], false, nil)
+	if problem != nil {
+		return d, problem.Code
 	}
 	return d, d.Class.Name
 }
 
-func asked(query string, more ...string) string {
+func requestBody(query string, more ...string) string {
 	return fmt.Sprintf(`{"query":%q%s}`, query, strings.Join(append([]string{""}, more...), ","))
 }
 
 // The class is that of the operation that an upstream runs; a name, an alias, a fragment or a second root field does not make it less strict.
 func TestDecideClass(t *testing.T) {
 	deep := strings.Repeat("{a", 25) + strings.Repeat("}", 25)
-	for _, c := range []struct{ body, with, without string }{
-		{asked(`{seats(from:"N"){id}}`), "search", "search"},
-		{asked(`{coach(id:1){name}}`), "map", "map"},
-		{asked(`{__typename}`), "read", "read"},
-		{asked(`{__typename seats(from:"N"){id}}`), "search", "search"},
-		{asked(`{seats(from:"N"){id} coach(id:1){name}}`), "map", "map"}, // worth less
-		{asked(`{seats(from:"N"){id} audit}`), "audit", "audit"},
-		{asked(`{x:audit}`), "audit", "audit"},
-		{asked(`{...on Ask{...F}} fragment F on Ask{x:audit}`), "audit", "audit"},
-		{asked(`query($b:Boolean!){audit@include(if:$b) seats(from:"N"){id}}`, `"variables":{"b":false}`), "audit", "audit"},
-		{asked(`mutation{confirm(id:1){id}}`), "confirm", "confirm"},
-		{asked(`mutation Cheap{confirm(id:1){id}}`), "confirm", "confirm"},
-		{asked(`mutation Careful{confirm(id:1){id}}`), "audit", "audit"},
-		{asked(`mutation Careful{record(input:{requestId:"k"})}`), "audit", "audit"},
-		{asked(`query Cheap{audit}`), "audit", "audit"},
-		{asked(`query Cheap{coach(id:1){id}}`), "search", "search"},
-		{asked(`mutation{record(input:{requestId:"k"})}`), "record", "record"},
-		{asked(`mutation($i:Pay!){record(input:$i)}`, `"variables":{"i":{"requestId":"k"}}`), "record", "record"},
-		{asked(`mutation($k:String!){record(input:{requestId:$k})}`, `"variables":{"k":"k"}`), "record", "record"},
-		{asked(`mutation($k:String="d"){record(input:{requestId:$k})}`), "record", "record"},
-		{asked(`mutation($k:String!="d"){record(input:{requestId:$k})}`), "record", "record"},
-		{asked(`mutation($k:String!){record(input:{requestId:$k})}`, `"variables":{"k":""}`), "write", "write"},
-		{asked(`mutation($k:String!){record(input:{requestId:$k})}`, `"variables":{"k":{"a":1}}`), "write", "write"},
-		{asked(`mutation($k:String!){record(input:{requestId:$k})}`), "write", "write"},
-		{asked(`mutation{a:record(input:{requestId:"k"}) b:record(input:{requestId:"l"})}`), "record", "record"},
-		{asked(`mutation{a:record(input:{requestId:"k"}) b:refund(input:{requestId:"l"})}`), "write", "write"},
-		{asked(`mutation{a:record(input:{requestId:"k"}) b:confirm(id:1){id} c:record(input:{requestId:"l"})}`), "confirm", "confirm"},
-		{asked(`query A{seats(from:"N"){id}} mutation B{confirm(id:1){id}}`, `"operationName":"A"`), "search", "search"},
-		{asked(`query A{seats(from:"N"){id}} mutation B{confirm(id:1){id}}`, `"operationName":"B"`), "confirm", "confirm"},
-		{asked(`query A{seats(from:"N"){id}} mutation B{confirm(id:1){id}}`), CodeOperation, CodeOperation},
-		{asked(`query A{seats(from:"N"){id}}`, `"operationName":"a"`), CodeOperation, CodeOperation},
-		{asked(`query A{seats(from:"N"){id}} mutation A{confirm(id:1){id}}`, `"operationName":"A"`), CodeValidation, CodeValidation},
-		{asked(`{seats(from:"N"){id}} mutation{confirm(id:1){id}}`), CodeValidation, CodeValidation},
-		{asked(`subscription{changed{id}}`), CodeSubscription, CodeSubscription},
-		{asked(`{nothing}`), CodeValidation, "read"},
-		{asked(`{seats(from:"N")`), CodeParse, CodeParse},
-		{asked(`{...F} fragment F on Ask{...G} fragment G on Ask{...F}`), CodeValidation, CodeValidation},
-		{asked(`{seats(from:"N"){id}} fragment F on Ask{...F}`), CodeValidation, CodeValidation},
-		{asked(`{...F}`), CodeValidation, CodeValidation},
-		{asked(`fragment F on Ask{audit}`), CodeValidation, CodeValidation},
-		{asked(deep), CodeLimit, CodeLimit},
-		{asked("{" + strings.Repeat("x:audit ", 60) + "}"), CodeLimit, CodeLimit},
-		{asked("{" + strings.Repeat("audit ", 21) + "}"), CodeLimit, CodeLimit},
-		{asked("{audit " + strings.Repeat("@skip(if:false)", 51) + "}"), CodeLimit, CodeLimit},
-		{asked("{" + strings.Repeat("audit ", 2500) + "}"), CodeLimit, CodeLimit},
-		{asked(""), CodeRequest, CodeRequest},
-		{asked("#"), CodeValidation, CodeValidation},
+	for _, c := range []struct{ body, withSchema, withoutSchema string }{
+		{requestBody(`{seats(from:"N"){id}}`), "search", "search"},
+		{requestBody(`{coach(id:1){name}}`), "map", "map"},
+		{requestBody(`{__typename}`), "read", "read"},
+		{requestBody(`{__typename seats(from:"N"){id}}`), "search", "search"},
+		{requestBody(`{seats(from:"N"){id} coach(id:1){name}}`), "map", "map"}, // worth less
+		{requestBody(`{seats(from:"N"){id} audit}`), "audit", "audit"},
+		{requestBody(`{x:audit}`), "audit", "audit"},
+		{requestBody(`{...on Ask{...F}} fragment F on Ask{x:audit}`), "audit", "audit"},
+		{requestBody(`query($b:Boolean!){audit@include(if:$b) seats(from:"N"){id}}`, `"variables":{"b":false}`), "audit", "audit"},
+		{requestBody(`mutation{confirm(id:1){id}}`), "confirm", "confirm"},
+		{requestBody(`mutation Cheap{confirm(id:1){id}}`), "confirm", "confirm"},
+		{requestBody(`mutation Careful{confirm(id:1){id}}`), "audit", "audit"},
+		{requestBody(`mutation Careful{record(input:{requestId:"k"})}`), "audit", "audit"},
+		{requestBody(`query Cheap{audit}`), "audit", "audit"},
+		{requestBody(`query Cheap{coach(id:1){id}}`), "search", "search"},
+		{requestBody(`mutation{record(input:{requestId:"k"})}`), "record", "record"},
+		{requestBody(`mutation($i:Pay!){record(input:$i)}`, `"variables":{"i":{"requestId":"k"}}`), "record", "record"},
+		{requestBody(`mutation($k:String!){record(input:{requestId:$k})}`, `"variables":{"k":"k"}`), "record", "record"},
+		{requestBody(`mutation($k:String="d"){record(input:{requestId:$k})}`), "record", "record"},
+		{requestBody(`mutation($k:String!="d"){record(input:{requestId:$k})}`), "record", "record"},
+		{requestBody(`mutation($k:String!){record(input:{requestId:$k})}`, `"variables":{"k":""}`), "write", "write"},
+		{requestBody(`mutation($k:String!){record(input:{requestId:$k})}`, `"variables":{"k":{"a":1}}`), "write", "write"},
+		{requestBody(`mutation($k:String!){record(input:{requestId:$k})}`), "write", "write"},
+		{requestBody(`mutation{a:record(input:{requestId:"k"}) b:record(input:{requestId:"l"})}`), "record", "record"},
+		{requestBody(`mutation{a:record(input:{requestId:"k"}) b:refund(input:{requestId:"l"})}`), "write", "write"},
+		{requestBody(`mutation{a:record(input:{requestId:"k"}) b:confirm(id:1){id} c:record(input:{requestId:"l"})}`), "confirm", "confirm"},
+		{requestBody(`query A{seats(from:"N"){id}} mutation B{confirm(id:1){id}}`, `"operationName":"A"`), "search", "search"},
+		{requestBody(`query A{seats(from:"N"){id}} mutation B{confirm(id:1){id}}`, `"operationName":"B"`), "confirm", "confirm"},
+		{requestBody(`query A{seats(from:"N"){id}} mutation B{confirm(id:1){id}}`), CodeOperation, CodeOperation},
+		{requestBody(`query A{seats(from:"N"){id}}`, `"operationName":"a"`), CodeOperation, CodeOperation},
+		{requestBody(`query A{seats(from:"N"){id}} mutation A{confirm(id:1){id}}`, `"operationName":"A"`), CodeValidation, CodeValidation},
+		{requestBody(`{seats(from:"N"){id}} mutation{confirm(id:1){id}}`), CodeValidation, CodeValidation},
+		{requestBody(`subscription{changed{id}}`), CodeSubscription, CodeSubscription},
+		{requestBody(`{nothing}`), CodeValidation, "read"},
+		{requestBody(`{seats(from:"N")`), CodeParse, CodeParse},
+		{requestBody(`{...F} fragment F on Ask{...G} fragment G on Ask{...F}`), CodeValidation, CodeValidation},
+		{requestBody(`{seats(from:"N"){id}} fragment F on Ask{...F}`), CodeValidation, CodeValidation},
+		{requestBody(`{...F}`), CodeValidation, CodeValidation},
+		{requestBody(`fragment F on Ask{audit}`), CodeValidation, CodeValidation},
+		{requestBody(deep), CodeLimit, CodeLimit},
+		{requestBody("{" + strings.Repeat("x:audit ", 60) + "}"), CodeLimit, CodeLimit},
+		{requestBody("{" + strings.Repeat("audit ", 21) + "}"), CodeLimit, CodeLimit},
+		{requestBody("{audit " + strings.Repeat("@skip(if:false)", 51) + "}"), CodeLimit, CodeLimit},
+		{requestBody("{" + strings.Repeat("audit ", 2500) + "}"), CodeLimit, CodeLimit},
+		{requestBody(""), CodeRequest, CodeRequest},
+		{requestBody("#"), CodeValidation, CodeValidation},
 	} {
 		for i, schema := range []string{schemaText, ""} {
-			want := []string{c.with, c.without}[i]
+			want := []string{c.withSchema, c.withoutSchema}[i]
 			d, got := decide(endpoint(t, schema, nil), c.body)
 			if got != want {
 				t.Errorf("schema %v: %.200s is %s, want %s", i == 0, c.body, got, want)
@@ -164,9 +164,9 @@
 	}{{`mutation{record}`, one, "record k"}, {`mutation{record}`, two, "write "}, {`mutation{record}`, nil, "write "},
 		{`mutation{a:record b:record}`, one, "write "}, {`mutation{record refund(input:{requestId:"x"})}`, one, "write "},
 		{`mutation{record confirm}`, one, "confirm "}, {`{seats}`, one, "search "}} {
-		d, bad := e.Decide(&Params{Query: c.query}, false, c.header)
-		if bad != nil || d.Class.Name+" "+d.Key != c.want {
-			t.Errorf("%s %v: %v %q %v, want %s", c.query, c.header, d.Class, d.Key, bad, c.want)
+		d, problem := e.Decide(&Params{Query: c.query}, false, c.header)
+		if problem != nil || d.Class.Name+" "+d.Key != c.want {
+			t.Errorf("%s %v: %v %q %v, want %s", c.query, c.header, d.Class, d.Key, problem, c.want)
 		}
 	}
 }
@@ -192,9 +192,9 @@
 	} {
 		for i, schema := range []string{schemaText, ""} {
 			p := Params{Query: c.query, Variables: []byte(c.vars)}
-			d, bad := endpoint(t, schema, nil).Decide(&p, false, nil)
-			if want := []float64{c.want, c.without}[i]; bad != nil || d.Cost != want {
-				t.Errorf("schema %v: %s costs %v (%v), want %v", i == 0, c.query, d.Cost, bad, want)
+			d, problem := endpoint(t, schema, nil).Decide(&p, false, nil)
+			if want := []float64{c.want, c.without}[i]; problem != nil || d.Cost != want {
+				t.Errorf("schema %v: %s costs %v (%v), want %v", i == 0, c.query, d.Cost, problem, want)
 			}
 		}
 	}
@@ -202,26 +202,26 @@
 	for i := range 60 {
 		text += fmt.Sprintf("fragment F%d on Ask{...F%d ...F%d}", i, i+1, i+1)
 	}
-	if _, got := decide(endpoint(t, "", nil), asked(text+"fragment F60 on Ask{audit}")); got != CodeLimit {
+	if _, got := decide(endpoint(t, "", nil), requestBody(text+"fragment F60 on Ask{audit}")); got != CodeLimit {
 		t.Errorf("2^60 fields are %s", got)
 	}
 	e := endpoint(t, "", func(o *Options) { o.Limits.Cost = 5 })
-	if _, got := decide(e, asked(`{seats(first:100){coach{id}}}`)); got != CodeLimit {
+	if _, got := decide(e, requestBody(`{seats(first:100){coach{id}}}`)); got != CodeLimit {
 		t.Errorf("beyond the cost's bound: %s", got)
 	}
 	// What operations took makes the hint, by kind of operation; who changes names changes nothing.
 	e = endpoint(t, "", nil)
-	ask := func(q string) Decision { d, _ := decide(e, asked(q)); return d }
-	if h := ask(`{seats{id}}`).CostHint; h != 0 {
-		t.Errorf("%v is expected of nothing", h)
+	decideQuery := func(q string) Decision { d, _ := decide(e, requestBody(q)); return d }
+	if hint := decideQuery(`{seats{id}}`).CostHint; hint != 0 {
+		t.Errorf("%v is expected of nothing", hint)
 	}
 	for i := range 3000 {
-		d := ask(fmt.Sprintf(`query N%d{seats(first:4){coach{id}}}`, i))
+		d := decideQuery(fmt.Sprintf(`query N%d{seats(first:4){coach{id}}}`, i))
 		e.RecordDuration(&d, 60*time.Millisecond)
-		d = ask(fmt.Sprintf(`query{n%d}`, i))
+		d = decideQuery(fmt.Sprintf(`query{n%d}`, i))
 		e.RecordDuration(&d, time.Millisecond)
 	}
-	if d := ask(`{seats(first:9){coach{id}}}`); d.CostHint.Round(time.Millisecond) != 110*time.Millisecond {
+	if d := decideQuery(`{seats(first:9){coach{id}}}`); d.CostHint.Round(time.Millisecond) != 110*time.Millisecond {
 		t.Errorf("hint %v, want 110ms: 6 units took 60 ms, this has 11", d.CostHint)
 	}
 	if n := e.durations.kinds.Len(); n != maxOperationKinds {
@@ -231,19 +231,19 @@
 
 // A hash stands for its own text only, the store is bounded, and only listed operations are known.
 func TestPersistedQueries(t *testing.T) {
-	hashed := func(text string) string { sum := sha256.Sum256([]byte(text)); return hex.EncodeToString(sum[:]) }
-	by := func(hash string) string {
+	sha256Hex := func(text string) string { sum := sha256.Sum256([]byte(text)); return hex.EncodeToString(sum[:]) }
+	persistedQuery := func(hash string) string {
 		return `"extensions":{"persistedQuery":{"version":1,"sha256Hash":"` + hash + `"}}`
 	}
-	search, change := `{seats{id}}`, `mutation{confirm{id}}`
+	query, mutation := `{seats{id}}`, `mutation{confirm{id}}`
 	e := endpoint(t, "", func(o *Options) { o.PersistedQueries, o.PersistedBytes = "automatic", 3000 })
 	for i, c := range []struct{ body, want string }{
-		{"{" + by(hashed(change)) + "}", CodePersistedNotFound},
-		{asked(search, by(hashed(change))), CodeRequest},
-		{"{" + by(hashed(change)) + "}", CodePersistedNotFound},
-		{asked(change, by(strings.ToUpper(hashed(change)))), "confirm"},
-		{"{" + by(hashed(change)) + "}", "confirm"}, // hidden in a hash it is what it is
-		{asked(search), "search"},
+		{"{" + persistedQuery(sha256Hex(mutation)) + "}", CodePersistedNotFound},
+		{requestBody(query, persistedQuery(sha256Hex(mutation))), CodeRequest},
+		{"{" + persistedQuery(sha256Hex(mutation)) + "}", CodePersistedNotFound},
+		{requestBody(mutation, persistedQuery(strings.ToUpper(sha256Hex(mutation)))), "confirm"},
+		{"{" + persistedQuery(sha256Hex(mutation)) + "}", "confirm"}, // hidden in a hash it is what it is
+		{requestBody(query), "search"},
 	} {
 		if _, got := decide(e, c.body); got != c.want {
 			t.Errorf("%d: %s is %s, want %s", i, c.body, got, c.want)
@@ -251,7 +251,7 @@
 	}
 	for i := range 1000 {
 		text := fmt.Sprintf(`{seats{id%d}}`, i)
-		decide(e, asked(text, by(hashed(text))))
+		decide(e, requestBody(text, persistedQuery(sha256Hex(text))))
 	}
 	if bytes, n := e.persistedTexts.size(); bytes > 3000 || n < 5 {
 		t.Errorf("%d bytes in %d entries", bytes, n)
@@ -259,18 +259,18 @@
 	if bytes, n := e.documents.size(); bytes > e.options.CacheBytes.Bytes() || n < 100 {
 		t.Errorf("%d bytes in %d documents", bytes, n)
 	}
-	for _, file := range []string{fmt.Sprintf(`{%q:%q,"cheap":"query Cheap{audit}"}`, hashed(search), search),
-		fmt.Sprintf(`{"format":"apollo-persisted-query-manifest","operations":[{"id":%q,"body":%q},{"id":"cheap","body":"query Cheap{audit}"}]}`, hashed(search), search)} {
+	for _, file := range []string{fmt.Sprintf(`{%q:%q,"cheap":"query Cheap{audit}"}`, sha256Hex(query), query),
+		fmt.Sprintf(`{"format":"apollo-persisted-query-manifest","operations":[{"id":%q,"body":%q},{"id":"cheap","body":"query Cheap{audit}"}]}`, sha256Hex(query), query)} {
 		e = endpoint(t, "", func(o *Options) { o.PersistedQueries, o.KnownFile = "known", file })
-		for body, want := range map[string]string{"{" + by(hashed(search)) + "}": "search", asked(search): "search",
-			asked(search, by("cheap")): CodeUnknownOperation, asked(change): CodeUnknownOperation, "{" + by(hashed(change)) + "}": CodeUnknownOperation,
-			"{" + by("cheap") + "}": "search"} { // a known one's name is believed
+		for body, want := range map[string]string{"{" + persistedQuery(sha256Hex(query)) + "}": "search", requestBody(query): "search",
+			requestBody(query, persistedQuery("cheap")): CodeUnknownOperation, requestBody(mutation): CodeUnknownOperation, "{" + persistedQuery(sha256Hex(mutation)) + "}": CodeUnknownOperation,
+			"{" + persistedQuery("cheap") + "}": "search"} { // a known one's name is believed
 			if _, got := decide(e, body); got != want {
 				t.Errorf("%s is %s, want %s", body, got, want)
 			}
 		}
 	}
-	if _, err := knownOperations(fmt.Sprintf(`{%q:%q}`, hashed(search), change)); err == nil {
+	if _, err := knownOperations(fmt.Sprintf(`{%q:%q}`, sha256Hex(query), mutation)); err == nil {
 		t.Error("a list with another text's hash is taken")
 	}
 }
@@ -302,40 +302,40 @@
 // The class that is decided on is at least as strict as what a plain reading of the text, without any of the rules here, finds a
 // node would run.
 func FuzzDecide(f *testing.F) {
-	f.Add(asked(`{seats(from:"N"){id}}`))
-	f.Add(asked(`query A{seats(from:"N"){id}} mutation B{...F} fragment F on Change{x:confirm(id:1){id}}`, `"operationName":"B"`))
-	f.Add(asked(`mutation($k:String!){record(input:{requestId:$k})}`, `"variables":{"k":"k"}`))
+	f.Add(requestBody(`{seats(from:"N"){id}}`))
+	f.Add(requestBody(`query A{seats(from:"N"){id}} mutation B{...F} fragment F on Change{x:confirm(id:1){id}}`, `"operationName":"B"`))
+	f.Add(requestBody(`mutation($k:String!){record(input:{requestId:$k})}`, `"variables":{"k":"k"}`))
 	f.Add(`[{"query":"{audit}"},{"query":"mutation{confirm(id:1){id}}"}]`)
-	with, without := endpoint(f, schemaText, nil), endpoint(f, "", nil)
+	withSchema, withoutSchema := endpoint(f, schemaText, nil), endpoint(f, "", nil)
 	f.Fuzz(func(t *testing.T, body string) {
-		for _, e := range []*Endpoint{with, without} {
-			a, bad := ParseBody([]byte(body), e.Limits())
-			if bad != nil {
-				if bad.Status < 400 || bad.Status > 499 || bad.Status == 429 {
-					t.Fatalf("status %d", bad.Status)
+		for _, e := range []*Endpoint{withSchema, withoutSchema} {
+			request, problem := ParseBody([]byte(body), e.Limits())
+			if problem != nil {
+				if problem.Status < 400 || problem.Status > 499 || problem.Status == 429 {
+					t.Fatalf("status %d", problem.Status)
 				}
 				continue
 			}
-			for i := range a.Params {
-				if a.Problems[i] != nil {
+			for i := range request.Params {
+				if request.Problems[i] != nil {
 					continue
 				}
-				d, bad := e.Decide(&a.Params[i], false, nil)
-				if bad != nil {
+				d, problem := e.Decide(&request.Params[i], false, nil)
+				if problem != nil {
 					continue
 				}
-				effect, err := reference(d.Body)
+				idempotency, err := referenceIdempotency(d.Body)
 				if err != nil {
 					t.Fatalf("%q goes on, which is no request: %v", d.Body, err)
 				}
-				if d.Class.Idempotency < effect || d.Class.Idempotency == balancer.IdempotentWithKey && d.Key == "" {
-					t.Fatalf("%q is taken as %v, a node runs %v", d.Body, d.Class.Idempotency, effect)
+				if d.Class.Idempotency < idempotency || d.Class.Idempotency == balancer.IdempotentWithKey && d.Key == "" {
+					t.Fatalf("%q is taken as %v, a node runs %v", d.Body, d.Class.Idempotency, idempotency)
 				}
 			}
 		}
-		with.Classify(200, []byte(body), false)
-		if _, bad := ParseURLQuery(body, with.Limits()); bad != nil && bad.Status/100 != 4 {
-			t.Fatalf("status %d", bad.Status)
+		withSchema.Classify(200, []byte(body), false)
+		if _, problem := ParseURLQuery(body, withSchema.Limits()); problem != nil && problem.Status/100 != 4 {
+			t.Fatalf("status %d", problem.Status)
 		}
 	})
 }
--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -92,12 +92,12 @@
 	if e.schema == nil {
 		return nil
 	}
-	found := validator.ValidateWithRules(e.schema, doc, validation)
-	if len(found) == 0 {
+	violations := validator.ValidateWithRules(e.schema, doc, validation)
+	if len(violations) == 0 {
 		return nil
 	}
 	var texts []string
-	for _, err := range found[:min(len(found), maxReportedProblems)] {
+	for _, err := range violations[:min(len(violations), maxReportedProblems)] {
 		texts = append(texts, errorMessage(err))
 	}
 	return newProblem(CodeValidation, "%s", strings.Join(texts, "; "))
@@ -138,14 +138,14 @@
 var validation = func() *rules.Rules {
 	r := rules.NewDefaultRules()
 	r.RemoveRule(rules.OverlappingFieldsCanBeMergedRule.Name)
-	for _, plain := range []struct{ was, is core.Rule }{
+	for _, pair := range []struct{ original, replacement core.Rule }{
 		{rules.FieldsOnCorrectTypeRule, rules.FieldsOnCorrectTypeRuleWithoutSuggestions},
 		{rules.KnownArgumentNamesRule, rules.KnownArgumentNamesRuleWithoutSuggestions},
 		{rules.KnownTypeNamesRule, rules.KnownTypeNamesRuleWithoutSuggestions},
 		{rules.ScalarLeafsRule, rules.ScalarLeafsRuleWithoutSuggestions},
 		{rules.ValuesOfCorrectTypeRule, rules.ValuesOfCorrectTypeRuleWithoutSuggestions},
 	} {
-		r.ReplaceRule(plain.was.Name, plain.is.RuleFunc)
+		r.ReplaceRule(pair.original.Name, pair.replacement.RuleFunc)
 	}
 	return r
 }()
@@ -202,7 +202,7 @@
 			}
 			continue
 		}
-		if slices.ContainsFunc(n.slicing, func(v *ast.Value) bool { return v.Kind == ast.Variable }) || dependsOnVariables(n.children, seen) {
+		if slices.ContainsFunc(n.slicingValues, func(v *ast.Value) bool { return v.Kind == ast.Variable }) || dependsOnVariables(n.children, seen) {
 			return true
 		}
 	}
--- a/internal/graphql/durations.go
+++ b/internal/graphql/durations.go
@@ -29,37 +29,37 @@
 )
 
 func newDurationEstimates() *durationEstimates {
-	l := &durationEstimates{}
-	l.kinds, _ = simplelru.NewLRU[string, *rate](maxOperationKinds, nil) // it refuses only sizes under 1
-	return l
+	d := &durationEstimates{}
+	d.kinds, _ = simplelru.NewLRU[string, *rate](maxOperationKinds, nil) // it refuses only sizes under 1
+	return d
 }
 
-func (r *rate) add(per float64) {
+func (r *rate) add(newValue float64) {
 	r.samples++
-	r.secondsPerUnit += max(minSampleWeight, 1/float64(r.samples)) * (per - r.secondsPerUnit)
+	r.secondsPerUnit += max(minSampleWeight, 1/float64(r.samples)) * (newValue - r.secondsPerUnit)
 }
 
 // costUnits keeps the cost of operations that cost next to nothing from blowing the rate up.
 func costUnits(cost float64) float64 { return 1 + cost }
 
-func (l *durationEstimates) add(kind string, cost float64, took time.Duration) {
-	per := max(0, took.Seconds()) / costUnits(cost)
-	l.all.add(per)
-	r, ok := l.kinds.Get(kind)
+func (d *durationEstimates) add(kind string, cost float64, took time.Duration) {
+	secondsPerUnit := max(0, took.Seconds()) / costUnits(cost)
+	d.all.add(secondsPerUnit)
+	r, ok := d.kinds.Get(kind)
 	if !ok {
 		r = &rate{}
-		l.kinds.Add(kind, r)
+		d.kinds.Add(kind, r)
 	}
-	r.add(per)
+	r.add(secondsPerUnit)
 }
 
 // maxDurationEstimate bounds what an operation is expected to take.
 const maxDurationEstimate = time.Hour
 
-func (l *durationEstimates) estimate(kind string, cost float64) time.Duration {
-	r, ok := l.kinds.Get(kind)
+func (d *durationEstimates) estimate(kind string, cost float64) time.Duration {
+	r, ok := d.kinds.Get(kind)
 	if !ok || r.samples < minSamples {
-		if r = &l.all; r.samples < minSamples {
+		if r = &d.all; r.samples < minSamples {
 			return 0
 		}
 	}
--- a/internal/graphql/limits.go
+++ b/internal/graphql/limits.go
@@ -51,34 +51,34 @@
 
 // checkNames finds what the text says twice or not at all, in a form of the parser's that goes by names.
 func (m *extentMeasurer) checkNames() *Problem {
-	seen := map[string]bool{}
+	operationNames := map[string]bool{}
 	for _, op := range m.doc.Operations {
 		if op.Name == "" && len(m.doc.Operations) > 1 {
 			return newProblem(CodeValidation, "an operation without a name must stand alone")
 		}
-		if seen[op.Name] {
+		if operationNames[op.Name] {
 			return newProblem(CodeValidation, "there are two operations of the name %q", op.Name)
 		}
-		seen[op.Name] = true
+		operationNames[op.Name] = true
 	}
-	frags := map[string]bool{}
+	fragmentNames := map[string]bool{}
 	for _, f := range m.doc.Fragments {
-		if frags[f.Name] {
+		if fragmentNames[f.Name] {
 			return newProblem(CodeValidation, "there are two fragments of the name %q", f.Name)
 		}
-		frags[f.Name] = true
+		fragmentNames[f.Name] = true
 	}
 	return nil
 }
 
 func (m *extentMeasurer) checkLimits(x extent) *Problem {
 	for _, c := range []struct {
-		what    string
-		n, most int
+		name     string
+		n, limit int
 	}{{"fields within each other", x.depth, m.limits.Depth}, {"fields", x.fields, m.limits.Fields}, {"aliases", m.aliases, m.limits.Aliases},
 		{"directives", m.directives, m.limits.Directives}} {
-		if c.n > c.most {
-			return newProblem(CodeLimit, "%d %s, %d at most", c.n, c.what, c.most)
+		if c.n > c.limit {
+			return newProblem(CodeLimit, "%d %s, %d at most", c.n, c.name, c.limit)
 		}
 	}
 	return nil
@@ -86,36 +86,36 @@
 
 func (m *extentMeasurer) selectionSet(set ast.SelectionSet) (x extent, err error) {
 	for _, s := range set {
-		var of extent
+		var inner extent
 		switch s := s.(type) {
 		case *ast.Field:
 			m.directives += len(s.Directives)
 			if s.Alias != "" && s.Alias != s.Name {
 				m.aliases++
 			}
-			if of, err = m.selectionSet(s.SelectionSet); err != nil {
+			if inner, err = m.selectionSet(s.SelectionSet); err != nil {
 				return x, err
 			}
-			of.depth, of.fields = of.depth+1, of.fields+1
+			inner.depth, inner.fields = inner.depth+1, inner.fields+1
 		case *ast.InlineFragment:
 			m.directives += len(s.Directives)
-			if of, err = m.selectionSet(s.SelectionSet); err != nil {
+			if inner, err = m.selectionSet(s.SelectionSet); err != nil {
 				return x, err
 			}
 		case *ast.FragmentSpread:
 			m.directives += len(s.Directives)
-			if of, err = m.fragment(s.Name); err != nil {
+			if inner, err = m.fragment(s.Name); err != nil {
 				return x, err
 			}
 		}
-		x.depth = max(x.depth, of.depth)
-		x.fields = min(x.fields+of.fields, math.MaxInt32) // fragments double it
+		x.depth = max(x.depth, inner.depth)
+		x.fields = min(x.fields+inner.fields, math.MaxInt32) // fragments double it
 	}
 	return x, nil
 }
 
 func (m *extentMeasurer) fragment(name string) (extent, error) {
-	if x, begun := m.fragments[name]; begun {
+	if x, visited := m.fragments[name]; visited {
 		if x == nil {
 			return extent{}, errCycle
 		}
@@ -158,16 +158,16 @@
 // Check implements tomlfile.Checker.
 func (l *Limits) Check(report func(key, format string, args ...any)) {
 	for _, x := range []struct {
-		key     string
-		n, most int
+		key      string
+		n, limit int
 	}{{"tokens", l.Tokens, maxTokens}, {"depth", l.Depth, maxDepth}, {"fields", l.Fields, maxFields}, {"root_fields", l.Roots, maxTokens},
 		{"aliases", l.Aliases, maxTokens}, {"directives", l.Directives, maxTokens}, {"batch", l.Batch, maxBatch}} {
-		least := 1
+		minimum := 1
 		if x.key == "aliases" || x.key == "directives" {
-			least = 0
+			minimum = 0
 		}
-		if x.n < least || x.n > x.most {
-			report(x.key, "%d is not from %d to %d", x.n, least, x.most)
+		if x.n < minimum || x.n > x.limit {
+			report(x.key, "%d is not from %d to %d", x.n, minimum, x.limit)
 		}
 	}
 	if !(l.Cost >= 0) || math.IsInf(l.Cost, 0) {
--- a/internal/graphql/lru.go
+++ b/internal/graphql/lru.go
@@ -23,8 +23,8 @@
 // bytesPerEntry is what an entry takes beside its content, about.
 const bytesPerEntry = 200
 
-func newLRU[V any](most int) *lru[V] {
-	l := &lru[V]{maxBytes: most}
+func newLRU[V any](capacity int) *lru[V] {
+	l := &lru[V]{maxBytes: capacity}
 	// It refuses only sizes under 1: bytes bound it, not a number.
 	l.entries, _ = simplelru.NewLRU(math.MaxInt32, func(_ string, s sizedValue[V]) { l.bytes -= s.size })
 	return l
--- a/internal/graphql/media.go
+++ b/internal/graphql/media.go
@@ -11,22 +11,22 @@
 	if len(accept) == 0 {
 		return MediaResponse, true
 	}
-	weight := func(media string) float64 {
-		best, exact := 0.0, -1
+	quality := func(media string) float64 {
+		bestQuality, bestPrecision := 0.0, -1
 		for _, line := range accept {
 			for _, item := range strings.Split(line, ",") {
 				parts := strings.Split(item, ";")
 				name := strings.ToLower(strings.TrimSpace(parts[0]))
-				how := -1
+				precision := -1
 				switch name {
 				case media:
-					how = 2
+					precision = 2
 				case "application/*":
-					how = 1
+					precision = 1
 				case "*/*":
-					how = 0
+					precision = 0
 				}
-				if how < exact || how < 0 {
+				if precision < bestPrecision || precision < 0 {
 					continue
 				}
 				q := 1.0
@@ -37,16 +37,16 @@
 						}
 					}
 				}
-				best, exact = q, how
+				bestQuality, bestPrecision = q, precision
 			}
 		}
-		return best
+		return bestQuality
 	}
-	own, plain := weight(MediaResponse), weight(MediaJSON)
+	responseQuality, jsonQuality := quality(MediaResponse), quality(MediaJSON)
 	switch {
-	case own == 0 && plain == 0:
+	case responseQuality == 0 && jsonQuality == 0:
 		return "", false
-	case plain > own:
+	case jsonQuality > responseQuality:
 		return MediaJSON, true
 	}
 	return MediaResponse, true
--- a/internal/graphql/options.go
+++ b/internal/graphql/options.go
@@ -94,9 +94,9 @@
 	if o.PersistedBytes < 0 || o.CacheBytes < 0 {
 		report("cache_bytes", "less than nothing can't be kept")
 	}
-	between := func(key string, n, least, most int) {
-		if n < least || n > most {
-			report(key, "%d is not from %d to %d", n, least, most)
+	between := func(key string, n, minimum, maximum int) {
+		if n < minimum || n > maximum {
+			report(key, "%d is not from %d to %d", n, minimum, maximum)
 		}
 	}
 	between("assumed_size", o.AssumedSize, 0, maxAssumedSize)
--- a/internal/graphql/parameters.go
+++ b/internal/graphql/parameters.go
@@ -61,8 +61,8 @@
 		}
 		return object(&p.Variables)
 	case "extensions":
-		if bad := object(&p.Extensions); bad != nil || p.Extensions == nil {
-			return bad
+		if problem := object(&p.Extensions); problem != nil || p.Extensions == nil {
+			return problem
 		}
 		return p.extractPersistedQuery()
 	}
@@ -81,29 +81,29 @@
 	rest := []byte{'{'}
 	_, _ = r.ReadToken() // it is an object
 	for r.PeekKind() == '"' {
-		name, err := r.ReadValue()
+		quotedName, err := r.ReadValue()
 		if err != nil {
 			return notJSON(err)
 		}
-		plain, err := jsontext.AppendUnquote(nil, name)
+		name, err := jsontext.AppendUnquote(nil, quotedName)
 		if err != nil {
 			return notJSON(err)
 		}
-		name = name.Clone()
+		quotedName = quotedName.Clone()
 		value, err := r.ReadValue()
 		if err != nil {
 			return notJSON(err)
 		}
-		if string(plain) == "persistedQuery" {
-			if bad := p.readHash(value); bad != nil {
-				return bad
+		if string(name) == "persistedQuery" {
+			if problem := p.readHash(value); problem != nil {
+				return problem
 			}
 			continue
 		}
 		if len(rest) > 1 {
 			rest = append(rest, ',')
 		}
-		rest = append(append(append(rest, name...), ':'), value...)
+		rest = append(append(append(rest, quotedName...), ':'), value...)
 	}
 	if p.Extensions = append(rest, '}'); len(rest) == 1 {
 		p.Extensions = nil
@@ -116,10 +116,10 @@
 	if value.Kind() != '{' {
 		return malformed("persistedQuery is no object")
 	}
-	of := objectMembers(value)
-	hash, _ := scalar(of["sha256Hash"], "")
+	members := objectMembers(value)
+	hash, _ := scalar(members["sha256Hash"], "")
 	hash = strings.ToLower(hash)
-	version := string(of["version"])
+	version := string(members["version"])
 	if version != "1" || hash == "" {
 		p.BadHash = true
 	}
--- a/internal/graphql/persisted.go
+++ b/internal/graphql/persisted.go
@@ -10,7 +10,7 @@
 )
 
 // resolveText is the document that is meant, and whether it is a known one.
-func (e *Endpoint) resolveText(p *Params) (text string, trusted bool, bad *Problem) {
+func (e *Endpoint) resolveText(p *Params) (text string, trusted bool, problem *Problem) {
 	switch {
 	case p.BadHash:
 		return "", false, newProblem(CodeRequest, "persistedQuery has version 1 and a sha256Hash")
@@ -65,11 +65,11 @@
 			known[strings.ToLower(op.ID)] = op.Body
 		}
 	} else {
-		var plain map[string]string
-		if err := json.Unmarshal([]byte(text), &plain); err != nil {
+		var textsByID map[string]string
+		if err := json.Unmarshal([]byte(text), &textsByID); err != nil {
 			return nil, err
 		}
-		for id, body := range plain {
+		for id, body := range textsByID {
 			known[strings.ToLower(id)] = body
 		}
 	}
--- a/internal/graphql/problem.go
+++ b/internal/graphql/problem.go
@@ -64,12 +64,12 @@
 }
 
 // ErrorBody is an answer that is one error. known may be nil.
-func ErrorBody(message, code string, known *FailureDetails) []byte {
+func ErrorBody(message, code string, details *FailureDetails) []byte {
 	extensions := map[string]any{"code": code}
-	if known != nil {
-		extensions["mayHaveRun"] = known.MayHaveRun
-		if known.RetryAfter > 0 {
-			extensions["retryAfter"] = known.RetryAfter.Seconds()
+	if details != nil {
+		extensions["mayHaveRun"] = details.MayHaveRun
+		if details.RetryAfter > 0 {
+			extensions["retryAfter"] = details.RetryAfter.Seconds()
 		}
 	}
 	// Strings, numbers and truth values can be written.
--- a/internal/graphql/reference_test.go
+++ b/internal/graphql/reference_test.go
@@ -12,7 +12,7 @@
 
 // reference is the least strict effect that a request may have by what a node reads with the standard library and executes as
 // the specification's GetOperation and CollectFields say.
-func reference(body []byte) (balancer.Idempotency, error) {
+func referenceIdempotency(body []byte) (balancer.Idempotency, error) {
 	var r struct{ Query, OperationName string }
 	if err := stdjson.Unmarshal(body, &r); err != nil {
 		return 0, err
--- a/internal/graphql/request.go
+++ b/internal/graphql/request.go
@@ -22,63 +22,63 @@
 // What a node might read in another way than the one who decides here is turned down: two keys of one name, also where one
 // is escaped, a known key in other letters (Go's own decoder would take it), text that is no UTF-8, a byte order mark, more
 // than one value. Keys that the specification does not have are turned down as well: some nodes run what they name.
-func ParseBody(body []byte, l *Limits) (a Request, bad *Problem) {
+func ParseBody(body []byte, l *Limits) (request Request, problem *Problem) {
 	if bytes.HasPrefix(body, []byte("\xef\xbb\xbf")) {
-		return a, malformed("the body begins with a byte order mark")
+		return request, malformed("the body begins with a byte order mark")
 	}
 	if nestsTooDeep(body) {
-		return a, malformed("the body nests deeper than %d", maxNesting)
+		return request, malformed("the body nests deeper than %d", maxNesting)
 	}
 	r := newReader(body)
 	defer r.release()
 	switch r.PeekKind() {
 	case '{':
-		p, bad := readEntry(r, l)
-		if bad != nil {
-			return a, bad
+		p, problem := readEntry(r, l)
+		if problem != nil {
+			return request, problem
 		}
-		a.Params, a.Problems = []Params{p}, []*Problem{nil}
+		request.Params, request.Problems = []Params{p}, []*Problem{nil}
 	case '[':
 		if l.Batch < 2 {
-			return a, malformed("there are no batches here")
+			return request, malformed("there are no batches here")
 		}
-		a.Batch = true
+		request.Batch = true
 		_, _ = r.ReadToken() // it has been seen
 		for r.PeekKind() != ']' {
-			if len(a.Params) == l.Batch {
-				return a, malformed("a batch has %d entries at most", l.Batch)
+			if len(request.Params) == l.Batch {
+				return request, malformed("a batch has %d entries at most", l.Batch)
 			}
 			value, err := r.ReadValue()
 			if err != nil {
-				return a, notJSON(err)
+				return request, notJSON(err)
 			}
-			of := newReader(value)
-			p, bad := readEntry(of, l)
-			of.release()
-			a.Params, a.Problems = append(a.Params, p), append(a.Problems, bad)
+			entryReader := newReader(value)
+			p, problem := readEntry(entryReader, l)
+			entryReader.release()
+			request.Params, request.Problems = append(request.Params, p), append(request.Problems, problem)
 		}
 		if _, err := r.ReadToken(); err != nil {
-			return a, notJSON(err)
+			return request, notJSON(err)
 		}
-		if len(a.Params) == 0 {
-			return a, malformed("the batch is empty")
+		if len(request.Params) == 0 {
+			return request, malformed("the batch is empty")
 		}
 	default:
 		if _, err := r.ReadValue(); err != nil {
-			return a, notJSON(err)
+			return request, notJSON(err)
 		}
-		return a, malformed("the body is neither an object nor an array of them")
+		return request, malformed("the body is neither an object nor an array of them")
 	}
 	if !r.atEnd(body) {
-		return a, malformed("something stands behind the body's JSON")
+		return request, malformed("something stands behind the body's JSON")
 	}
-	return a, nil
+	return request, nil
 }
 
 func notJSON(err error) *Problem { return malformed("the body can't be read: %v", err) }
 
 // readEntry reads one object.
-func readEntry(r *reader, l *Limits) (p Params, bad *Problem) {
+func readEntry(r *reader, l *Limits) (p Params, problem *Problem) {
 	if r.PeekKind() != '{' {
 		return p, malformed("an entry is no object")
 	}
@@ -90,10 +90,10 @@
 		if !more {
 			break
 		}
-		what := string(name)
-		if i := slices.Index(parameterNames[:], what); i >= 0 {
+		key := string(name)
+		if i := slices.Index(parameterNames[:], key); i >= 0 {
 			if seen&(1<<i) != 0 {
-				return p, malformed("%q stands there twice", what)
+				return p, malformed("%q stands there twice", key)
 			}
 			seen |= 1 << i
 		}
@@ -101,8 +101,8 @@
 		if err != nil {
 			return p, notJSON(err)
 		}
-		if bad := p.setParameter(what, value, l); bad != nil {
-			return p, bad
+		if problem := p.setParameter(key, value, l); problem != nil {
+			return p, problem
 		}
 	}
 	if _, err := r.ReadToken(); err != nil {
@@ -112,24 +112,24 @@
 }
 
 // ParseURLQuery reads a GET's parameters. They are for queries only, which Decide holds them to.
-func ParseURLQuery(raw string, l *Limits) (a Request, bad *Problem) {
+func ParseURLQuery(raw string, l *Limits) (request Request, problem *Problem) {
 	values, err := url.ParseQuery(raw)
 	if err != nil {
-		return a, malformed("the URL's query can't be read: %v", err)
+		return request, malformed("the URL's query can't be read: %v", err)
 	}
 	var p Params
-	for name, all := range values {
-		if len(all) > 1 {
-			return a, malformed("%q stands there twice", name)
+	for name, given := range values {
+		if len(given) > 1 {
+			return request, malformed("%q stands there twice", name)
 		}
-		v := all[0]
+		v := given[0]
 		if name == "query" || name == "operationName" {
 			quoted, err := jsontext.AppendQuote(nil, v)
 			if err != nil {
-				return a, malformed("%s is no UTF-8", name)
+				return request, malformed("%s is no UTF-8", name)
 			}
-			if bad := p.setParameter(name, quoted, l); bad != nil {
-				return a, bad
+			if problem := p.setParameter(name, quoted, l); problem != nil {
+				return request, problem
 			}
 			continue
 		}
@@ -139,14 +139,14 @@
 				continue
 			}
 			if !value.IsValid() {
-				return a, malformed("%s is no JSON", name)
+				return request, malformed("%s is no JSON", name)
 			}
 			for len(value) > 0 && strings.IndexByte(" \t\r\n", value[0]) >= 0 {
 				value = value[1:]
 			}
 		}
-		if bad := p.setParameter(name, value, l); bad != nil {
-			return a, bad
+		if problem := p.setParameter(name, value, l); problem != nil {
+			return request, problem
 		}
 	}
 	return Request{Params: []Params{p}, Problems: []*Problem{nil}}, nil
--- a/internal/graphql/request_test.go
+++ b/internal/graphql/request_test.go
@@ -40,7 +40,7 @@
 		`{"extensions":{"persistedQuery":7}}`:                                         CodeRequest,
 		strings.Repeat("{", 64<<10):                                                   CodeRequest,
 		strings.Repeat(`{"query":`, 7<<10):                                            CodeRequest, `{"query":"{seats}","variables":` + strings.Repeat(`{"a":`, 101) + "1" + strings.Repeat("}", 101) + "}": CodeRequest,
-		asked(strings.Repeat("{", 64<<10)):                                        CodeParse,
+		requestBody(strings.Repeat("{", 64<<10)):                                  CodeParse,
 		"[" + strings.Repeat(`{"query":"{seats}"},`, 10) + `{"query":"{seats}"}]`: CodeRequest,
 	} {
 		begun := time.Now()
@@ -68,17 +68,17 @@
 		"query={seats}&variables=%7B%22a%22:1%7D": "search", "query={seats}&variables={": CodeRequest, "query={seats}&variables=": "search",
 		"variables={}": CodeRequest, "query={seats};x=1": CodeRequest,
 	} {
-		a, bad := ParseURLQuery(raw, e.Limits())
+		request, problem := ParseURLQuery(raw, e.Limits())
 		got := ""
-		if bad == nil {
+		if problem == nil {
 			var d Decision
-			if d, bad = e.Decide(&a.Params[0], true, nil); bad == nil {
+			if d, problem = e.Decide(&request.Params[0], true, nil); problem == nil {
 				got = d.Class.Name
 			}
 		}
-		if bad != nil {
-			if got = bad.Code; bad.Status != 400 {
-				got = fmt.Sprint(bad.Status)
+		if problem != nil {
+			if got = problem.Code; problem.Status != 400 {
+				got = fmt.Sprint(problem.Status)
 			}
 		}
 		if got != want {
