--- a/internal/graphql/answer.go
+++ b/internal/graphql/answer.go
@@ -2,30 +2,30 @@
 
 import "slices"
 
-// Classification is what an upstream's answer means to the balancer.
+// Classification is the meaning of an upstream's answer for the balancer.
 type Classification int
 
 // The classifications.
 const (
-	Served         Classification = iota // an answer for the client, errors of its own mistakes included
-	UpstreamFailed                       // the upstream has failed; the operation may have run
-	NotExecuted                          // the upstream says that it has not run the operation
-	Malformed                            // no GraphQL answer; the operation may have run
+	Served         Classification = iota // an answer for the client, which may report errors in the client's request
+	UpstreamFailed                       // the upstream reports a failure of its own; the operation may have run
+	NotExecuted                          // the upstream reports that it has not run the operation
+	Malformed                            // not a GraphQL answer; the operation may have run
 )
 
-// Classify says what an answer is that came with a status which the service takes for an answer.
+// Classify classifies an answer whose HTTP status is one that the service serves. encoded: it has a content encoding.
 //
-// Weighed were: that errors without data are a failure, as an HTTP 500 is; that they never are; and by their codes. The
-// first lets one client's wrong operation, sent to node after node, eject a fleet; the second serves what a node answers
-// whose own back end has gone, for as long as it is the fastest one. So codes tell, and only those that the operator names:
-// the specification has none, and INTERNAL_SERVER_ERROR, which most servers give for any exception, is as often the
-// operation's as the node's. An answer with data is served whatever errors stand beside it.
+// An answer with errors and without data is classified by its error codes. If it always were a failure, as an HTTP 500 is,
+// one client's faulty operation, retried on one upstream after another, would eject them all. If it never were, an upstream
+// whose own back end is down would get requests for as long as it answers fastest. Only the codes that the operator names
+// count: the specification defines none, and INTERNAL_SERVER_ERROR, which most servers return for any exception, is as
+// often caused by the operation as by the upstream. An answer with data is served whatever errors it has.
 //
-// With a status of 200 a body has to be a GraphQL answer. With any other one that the service serves, it may be anything:
-// what stands before a node says 401 or 413 in words of its own.
+// With a 2xx status the body has to be a GraphQL answer. With any other status that the service serves, the body may be
+// anything: a proxy before the upstream answers 401 or 413 in a format of its own.
 func (e *Endpoint) Classify(status int, body []byte, encoded bool) Classification {
 	if encoded {
-		return Malformed // nobody asked for it, and what stands in it can't be told
+		return Malformed // no request accepts an encoding, and the content cannot be inspected
 	}
 	a, ok := readAnswer(body)
 	switch {
@@ -37,7 +37,7 @@
 	for _, code := range a.codes {
 		if slices.Contains(e.options.NotRunCodes, code) {
 			if len(a.codes) == a.errors && !slices.ContainsFunc(a.codes, func(c string) bool { return !slices.Contains(e.options.NotRunCodes, c) }) {
-				return NotExecuted // every error says so
+				return NotExecuted // every error has such a code
 			}
 			return UpstreamFailed
 		}
@@ -50,21 +50,22 @@
 	return Served
 }
 
-// IsAnswer reports whether a body is a GraphQL answer, so that it may be an item of a batch's answer.
+// IsAnswer reports whether a body is a GraphQL answer. Only then may it be an entry of the answer to a batch.
 func IsAnswer(body []byte) bool {
 	_, ok := readAnswer(body)
 	return ok
 }
 
-// answerContent is what an answer has.
+// answerContent is the part of an answer that Classify uses.
 type answerContent struct {
-	data   bool // and it is not null
-	errors int
-	codes  []string // of the errors that have one
+	data   bool     // there is data other than null
+	errors int      // number of errors
+	codes  []string // extensions.code of the errors that have one
 }
 
-// readAnswer reads an answer as the specification has it: an object with data, errors or both, each once; errors are a list
-// that is not empty, of objects with a message. Every byte is read: one that is cut or has more than one value is none.
+// readAnswer reads an answer in the form of the specification: an object with data, errors or both, each at most once, where
+// errors is a non-empty list of objects with a message. It reads every byte: a truncated text or one with more than one JSON
+// value is not an answer.
 func readAnswer(body []byte) (a answerContent, ok bool) {
 	r := newReader(body)
 	defer r.release()
@@ -119,9 +120,9 @@
 	return a, (data || errors) && r.atEnd(body)
 }
 
-// readError reads one error's code.
+// readError reads an error and returns its code, empty if it has none; false: it is not an error of the specification's form.
 func readError(r *reader) (code string, ok bool) {
-	_, _ = r.ReadToken() // its brace has been seen
+	_, _ = r.ReadToken() // the opening brace, peeked by the caller
 	hasMessage := false
 	var scratch [16]byte
 	for {
--- a/internal/graphql/answer_test.go
+++ b/internal/graphql/answer_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// An error is a failure of the upstream only by the codes that the operator names.
+// Guards against answers that are classified as failures of the upstream although none of their error codes is configured as one, and against
+// texts that are taken for GraphQL answers although they are malformed.
 func TestClassify(t *testing.T) {
 	e := endpoint(t, "", func(o *Options) { o.FailingCodes, o.NotRunCodes = []string{"GONE"}, []string{"FULL"} })
 	coded := func(codes ...string) string {
@@ -28,16 +29,16 @@
 		"\x1f\x8b": Malformed,
 	} {
 		if got := e.Classify(200, []byte(body), false); got != want {
-			t.Errorf("%s is %v, want %v", body, got, want)
+			t.Errorf("answer %s is classified as %v, want %v", body, got, want)
 		}
 		if other := e.Classify(401, []byte(body), false); want == Malformed && other != Served {
-			t.Errorf("401 with %s is %v", body, other)
+			t.Errorf("answer with status 401 and body %s is classified as %v, want Served", body, other)
 		}
 		if IsAnswer([]byte(body)) != (want != Malformed) {
-			t.Errorf("%s may stand in a batch: %v", body, want == Malformed)
+			t.Errorf("body %s: IsAnswer is %v, which differs from Classify", body, want == Malformed)
 		}
 	}
 	if e.Classify(200, []byte(`{"data":{}}`), true) != Malformed {
-		t.Error("a packed answer is served")
+		t.Error("an answer with a content encoding is not classified as Malformed")
 	}
 }
--- a/internal/graphql/batch.go
+++ b/internal/graphql/batch.go
@@ -2,43 +2,46 @@
 
 import "net/http"
 
-// EntryOutcome is how an entry of a batch ended.
+// EntryOutcome is the outcome of an entry of a batch.
 type EntryOutcome int
 
 // The outcomes.
 const (
-	Answered   EntryOutcome = iota // an upstream answered, with errors or without
-	NotRun                         // rejected: nothing of it has run
-	MayHaveRun                     // no answer: it may have run, or may still run
+	Answered   EntryOutcome = iota // an upstream answered, with or without errors
+	NotRun                         // rejected before any part of it ran
+	MayHaveRun                     // no answer: it may have run, or may still be running
 )
 
-// Batch says which entries of a batch are to be sent, and when. It is a state machine without clock: Next after the start
-// and after each Done. Queries go side by side, at most so many at once; mutations go one at a time in their order, beside
-// the queries: each entry is a request of its own, and nothing says that one is to see what another did, but for the
-// order of mutations, which the specification has within one operation and clients expect of a list.
+// Batch decides which entries of a batch are sent, and when. It is a state machine without a clock: Next is called at the
+// start and after each Done. A bounded number of entries is in flight at once. Mutations are sent one at a time in their
+// order, and queries alongside them: each entry is a request of its own, and no specification requires that one sees the
+// effects of another. Mutations have an order because the specification requires it within one operation, and clients
+// expect it of a list.
 //
-// A mutation whose end is uncertain may still be running, and one that was not run leaves a gap: what stands behind either is
-// not sent, so that a client that sends it again gets the order that it asked for. An entry that was not taken leaves a gap if it
-// is a mutation or its kind could not be told.
+// A mutation with an uncertain outcome may still be running, and one that did not run leaves a gap in the order. The mutations
+// after either are not sent, so that a client that sends them again gets the order that it asked for. A rejected entry leaves a
+// gap if it is a mutation or its kind is not known.
 type Batch struct {
 	kinds            []OperationKind
 	state            []entryState
 	parallel         int
-	inFlight         int  // sent and not ended
-	mutationInFlight bool // one of them is a mutation
+	inFlight         int  // entries that are sent and have not ended
+	mutationInFlight bool // one of the entries in flight is a mutation
 	unfinished       int  // entries that have not ended
 }
 
+// entryState is the state of an entry within a Batch.
 type entryState int8
 
 const (
 	waiting entryState = iota
 	sent
 	ended
-	failedMutation // ended, and no mutation behind it is sent
+	failedMutation // ended, and no mutation after it is sent
 )
 
-// NewBatch begins a batch of these entries. Those that have a problem are not sent; their kind is Mutation if it is not known.
+// NewBatch creates a Batch with an entry for each kind. Entries with a problem are not sent. The kind of an entry is Mutation if it is
+// not known.
 func NewBatch(kinds []OperationKind, problems []*Problem, parallel int) *Batch {
 	b := &Batch{kinds: kinds, state: make([]entryState, len(kinds)), parallel: max(1, parallel), unfinished: len(kinds)}
 	for i, p := range problems {
@@ -49,6 +52,7 @@
 	return b
 }
 
+// finish ends an entry. A mutation that has not succeeded stops those after it.
 func (b *Batch) finish(i int, succeeded bool) {
 	b.unfinished--
 	if b.state[i] = ended; b.kinds[i] == Mutation && !succeeded {
@@ -56,9 +60,9 @@
 	}
 }
 
-// Next appends the entries that are to be sent now to send, and those that end without being sent to drop.
+// Next appends the entries that are to be sent now to send, and the mutations that end without being sent to drop.
 func (b *Batch) Next(send, drop []int) (_, _ []int) {
-	mutationBlocked, mutationFailed := b.mutationInFlight, false // for the mutations behind
+	mutationBlocked, mutationFailed := b.mutationInFlight, false // hold for the mutations after entry i
 	for i, kind := range b.kinds {
 		mutationFailed = mutationFailed || b.state[i] == failedMutation
 		mutation := kind == Mutation
@@ -95,8 +99,8 @@
 // Finished reports whether every entry has ended.
 func (b *Batch) Finished() bool { return b.unfinished == 0 }
 
-// BatchStatus is the HTTP status of a batch's answer by its entries' ends: 200 where one of them has an answer or failed by its own
-// mistake, else 503 where none has run, else 502.
+// BatchStatus returns the HTTP status of the answer to a batch: 200 if an entry has an answer or was rejected for a problem of its
+// own, else 503 if no entry has run, else 502.
 func BatchStatus(outcomes []EntryOutcome, problems []*Problem) int {
 	uncertain := false
 	for i, outcome := range outcomes {
--- a/internal/graphql/batch_test.go
+++ b/internal/graphql/batch_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Any batch: each entry ends once, as many queries side by side as may, one mutation at a time in order, and none behind one
-// that has no good end.
+// In a random batch each entry must end once, at most the configured number of entries may be in flight, and mutations must be sent one
+// at a time in order. No mutation may be sent after one that was not answered.
 func TestBatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newBatchRun(t)
@@ -20,17 +20,17 @@
 			r.finishOne(t)
 		}
 		if !slices.IsSorted(r.mutations) {
-			t.Fatalf("mutations went as %v", r.mutations)
+			t.Fatalf("mutations were sent in the order %v, want ascending", r.mutations)
 		}
 		for i := range r.kinds {
 			if r.ended[i] != 1 {
-				t.Fatalf("entry %d ended %d times", i, r.ended[i])
+				t.Fatalf("entry %d ended %d times, want once", i, r.ended[i])
 			}
 		}
 	})
 }
 
-// batchRun is a batch of random entries and what became of them.
+// batchRun runs a batch of random entries and records their outcomes.
 type batchRun struct {
 	batch     *Batch
 	kinds     []OperationKind
@@ -38,7 +38,7 @@
 	inFlight  []int
 	mutations []int // in the order in which they were sent
 	outcomes  map[int]EntryOutcome
-	ended     map[int]int // how often, by entry
+	ended     map[int]int // number of ends, by entry
 }
 
 func newBatchRun(t *rapid.T) *batchRun {
@@ -64,7 +64,7 @@
 	r.ended[i]++
 }
 
-// next sends what is to be sent, and checks that it may be.
+// next sends the entries that the batch returns, and checks that they may be sent.
 func (r *batchRun) next(t *rapid.T) {
 	send, drop := r.batch.Next(nil, nil)
 	for _, i := range drop {
@@ -84,12 +84,12 @@
 		r.mutations = append(r.mutations, i)
 		for j := range i {
 			if outcome, finished := r.outcomes[j]; r.kinds[j] == Mutation && (!finished || outcome != Answered) {
-				t.Fatalf("%d is sent, with %d before it: %v %v", i, j, finished, outcome)
+				t.Fatalf("mutation %d was sent before mutation %d was answered: ended %v, outcome %v", i, j, finished, outcome)
 			}
 		}
 	}
 	if len(r.inFlight) > r.parallel || mutations > 1 || !r.batch.Finished() && len(r.inFlight) == 0 {
-		t.Fatalf("%v are in flight, %d mutations", r.inFlight, mutations)
+		t.Fatalf("entries %v are in flight, %d of them mutations: too many, or none although the batch has not finished", r.inFlight, mutations)
 	}
 }
 
@@ -100,7 +100,7 @@
 	r.inFlight = slices.Delete(r.inFlight, at, at+1)
 	r.end(i, EntryOutcome(rapid.IntRange(0, 2).Draw(t, "how")))
 	r.batch.Done(i, r.outcomes[i])
-	r.batch.Done(i, Answered) // counts once
+	r.batch.Done(i, Answered) // a second call has no effect
 }
 
 func TestBatchStatus(t *testing.T) {
@@ -109,9 +109,10 @@
 		outcomes []EntryOutcome
 		problems []*Problem
 		want     int
-	}{{[]EntryOutcome{Answered, MayHaveRun}, noProblems, 200}, {[]EntryOutcome{NotRun, NotRun}, noProblems, 503}, {[]EntryOutcome{NotRun, MayHaveRun}, noProblems, 502}, {[]EntryOutcome{NotRun, NotRun}, oneProblem, 200}} {
+	}{{[]EntryOutcome{Answered, MayHaveRun}, noProblems, 200}, {[]EntryOutcome{NotRun, NotRun}, noProblems, 503},
+		{[]EntryOutcome{NotRun, MayHaveRun}, noProblems, 502}, {[]EntryOutcome{NotRun, NotRun}, oneProblem, 200}} {
 		if got := BatchStatus(c.outcomes, c.problems); got != c.want {
-			t.Errorf("%v: %d", c.outcomes, got)
+			t.Errorf("BatchStatus of outcomes %v is %d", c.outcomes, got)
 		}
 	}
 }
--- a/internal/graphql/cost.go
+++ b/internal/graphql/cost.go
@@ -8,31 +8,34 @@
 	"github.com/vektah/gqlparser/v2/ast"
 )
 
-// The cost of an operation is the sum of its root fields', and a field's is
+// The cost of an operation is the sum of the costs of its root fields. The cost of a field is
 //
 //	cost(field) = weight(field) + size(field) x sum of cost(selected)
 //
-// with weight by the operator's file, else @cost(weight) of the field or its type, else 1 with a selection and 0 without,
-// and size 1 but for lists: the largest of @listSize(slicingArguments) that is given, else its assumedSize, else the
-// arguments that the file names, else the file's assumed size. sizedFields moves the size from a field to the fields
-// below it that it names. It is the type cost of the IBM specification with field weights added; input weights are not
-// counted. A fragment's cost is computed once a request, so that spreads within spreads cost no more than their text.
-
-// costNode is a field or a group of them, made once a document.
+// The weight is that of the operator's file, else @cost(weight) of the field or its type, else 1 for a field with a
+// selection and 0 for one without. The size is 1, except for lists. With @listSize, the size of a list is the largest of
+// its slicingArguments that the operation gives, else its assumedSize. Without @listSize, the arguments that the
+// operator's file names take the place of slicingArguments. Without any of these, the size is the file's assumed size.
+// sizedFields moves the size from a field to those fields of its selection that it names. This is the type cost of the
+// IBM specification with field weights added; input weights are not counted. The cost of a fragment is computed once for
+// each request, so that fragments that spread each other many times do not multiply the work.
+
+// costNode is a field or a fragment spread. The nodes are built once for each document.
 type costNode struct {
 	weight        float64
 	list          bool
 	assumedSize   float64
-	slicingValues []*ast.Value // arguments that tell its size
-	sizedFields   []string     // fields below that have the size in its place
+	slicingValues []*ast.Value // values of the arguments that give the list's size
+	sizedFields   []string     // fields of the selection that the size applies to instead
 	name          string
 	children      []*costNode
-	spread        *costNode // of a fragment
+	spread        *costNode // the fragment; nil: the node is a field
 }
 
+// maxCost bounds costs, weights and list sizes.
 const maxCost = 1e15
 
-// costEstimator evaluates costs under variables.
+// costEstimator computes costs for the variables of one request.
 type costEstimator struct {
 	vars map[string]jsontext.Value
 	defs ast.VariableDefinitionList
@@ -46,10 +49,10 @@
 	return sum
 }
 
-// nodeCost is a field's cost; sized and size are what the field above hands down.
+// nodeCost returns the cost of a node. size is that of the field above, and applies to the fields in sizedFields.
 func (e *costEstimator) nodeCost(n *costNode, sizedFields []string, size float64) float64 {
 	if n.spread != nil {
-		if len(sizedFields) > 0 { // the same fragment may stand below another size
+		if len(sizedFields) > 0 { // the fragment's cost depends on the size here, so it is not memoized
 			return e.sum(n.spread.children, sizedFields, size)
 		}
 		if c, ok := e.memo[n.spread]; ok {
@@ -83,7 +86,7 @@
 	return min(maxCost, n.weight+listSize*e.sum(n.children, nil, 1))
 }
 
-// number is an argument's, if it is one, at least 0.
+// number returns the numeric value of an argument, from 0 to maxCost; false: it has none.
 func (e *costEstimator) number(v *ast.Value) (float64, bool) {
 	raw := v.Raw
 	if v.Kind == ast.Variable {
@@ -106,7 +109,7 @@
 	return min(max(x, 0), maxCost), true
 }
 
-// costBuilder makes costNodes for one document.
+// costBuilder builds the costNodes of one document.
 type costBuilder struct {
 	options   *Options
 	schema    *ast.Schema
@@ -133,7 +136,7 @@
 	return out
 }
 
-// fragment is made once; cycles have been ruled out.
+// fragment returns the node of a fragment, which is built once. checkExtent has rejected cycles.
 func (c *costBuilder) fragment(name string) *costNode {
 	if n := c.fragments[name]; n != nil {
 		return n
@@ -192,7 +195,7 @@
 
 func isList(t *ast.Type) bool { return t != nil && t.NamedType == "" }
 
-// weightOf is @cost(weight: "2.5") or @cost(weight: 2).
+// weightOf returns the weight of a @cost directive, which is written as a string, @cost(weight: "2.5"), or a number.
 func weightOf(list ast.DirectiveList) (float64, bool) {
 	d := list.ForName("cost")
 	if d == nil {
@@ -209,7 +212,7 @@
 	return min(max(x, 0), maxCost), true
 }
 
-// stringList is an argument's list of strings, or the one that it is.
+// stringList returns the strings of an argument that is a list of strings or a single string.
 func stringList(a *ast.Argument) (out []string) {
 	if a == nil {
 		return nil
--- a/internal/graphql/decide.go
+++ b/internal/graphql/decide.go
@@ -13,23 +13,24 @@
 	"orchiddrift/balancer"
 )
 
-// Decision is what an operation is.
+// Decision is the classification of an operation, and the request that is forwarded for it.
 type Decision struct {
 	Kind     OperationKind
 	Class    *Class
-	Key      string        // of a keyed class
-	Cost     float64       // the static estimate
-	CostHint time.Duration // what such an operation is expected to take; 0: nothing is known yet
-	Body     []byte        // what goes on to a node, by POST
-	Name     string        // the operation's; it is the client's word
+	Key      string        // idempotency key; empty unless the class is keyed
+	Cost     float64       // static estimate, in units of field weight
+	CostHint time.Duration // expected duration by earlier operations of this kind; 0: unknown
+	Body     []byte        // body of the POST to the upstream
+	Name     string        // of the operation, as chosen by the client
 
 	signature string
 }
 
+// valueOf is the JSON values of an operation's variables, by name.
 type valueOf = map[string]jsontext.Value
 
-// Decide returns what an operation is, or why it is rejected. get says that the request's method is GET, which is for queries only. header
-// is the request's, for keys in it; nil for an entry of a batch, since a header is of the batch.
+// Decide classifies an operation, or returns the problem for which it is rejected. get: the request's method is GET, which is for queries
+// only. header is the request's, in which keys are looked up; it is nil for an entry of a batch, since the headers belong to all entries.
 func (e *Endpoint) Decide(p *Params, get bool, header http.Header) (Decision, *Problem) {
 	text, trusted, problem := e.resolveText(p)
 	if problem != nil {
@@ -83,7 +84,7 @@
 	return d, nil
 }
 
-// classify is an operation's, by its kind and its root fields.
+// classify returns the class and the idempotency key of an operation, by its kind and its root fields.
 func (e *Endpoint) classify(op *operation, kind OperationKind, vars func() valueOf, header http.Header) (*Class, string) {
 	typ := rootType(op.kind)
 	candidates := make([]*Class, 0, 4)
@@ -93,7 +94,7 @@
 		field := &op.roots[i]
 		rule := e.fieldRules[typ+"."+field.name]
 		switch {
-		case field.name == "__typename" && len(op.roots) > 1: // it does nothing
+		case field.name == "__typename" && len(op.roots) > 1: // it has no effect
 		case rule == nil:
 			candidates = append(candidates, e.classes[kind])
 		case rule.key == "":
@@ -101,14 +102,14 @@
 		default:
 			fieldKey, ok := "", false
 			if name, inHeader := strings.CutPrefix(rule.key, headerKey); inHeader {
-				headerKeys++ // one key can't be that of two fields: a node would drop the second as the first one's repeat
+				headerKeys++ // two fields cannot share a key: an upstream would drop the second as a duplicate of the first
 				if v := header.Values(name); len(v) == 1 && headerKeys == 1 {
 					fieldKey, ok = v[0], v[0] != "" && len(v[0]) <= maxKey
 				}
 			} else {
 				fieldKey, ok = field.keyOf(rule.key, vars, op.variableDefinitions)
 			}
-			if !ok || keyed != nil && keyed != rule.class { // of two classes no group of nodes drops the repeats of both
+			if !ok || keyed != nil && keyed != rule.class { // no group of upstreams detects duplicates for two classes
 				candidates = append(candidates, e.classes[kind])
 				break
 			}
@@ -126,15 +127,15 @@
 	return c, key
 }
 
-// RecordDuration records how long an operation that was answered took.
+// RecordDuration records how long an upstream took to answer an operation. CostHint is estimated from these durations.
 func (e *Endpoint) RecordDuration(d *Decision, took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.durations.add(d.signature, d.Cost, took)
 }
 
-// strictest picks of an operation's classes the one whose Effect allows least; of those alike the one that is worth least, so
-// that a field more buys nothing, then the one with the later deadline.
+// strictest returns the class with the strictest Idempotency. Among equals it returns the one with the lowest PriorityWeight,
+// so that a client gains no priority by adding a field, and then the one with the longest deadline.
 func strictest(classes []*Class) *Class {
 	return slices.MinFunc(classes, func(a, b *Class) int {
 		return cmp.Or(-cmp.Compare(a.Idempotency, b.Idempotency), cmp.Compare(a.PriorityWeight, b.PriorityWeight), -cmp.Compare(a.Deadline, b.Deadline))
--- a/internal/graphql/decide_test.go
+++ b/internal/graphql/decide_test.go
@@ -51,6 +51,8 @@
 	return o
 }
 
+// endpoint creates an Endpoint with the options of options, after change. With persisted = "known", change sets KnownFile to the text of
+// the file in place of its path.
 func endpoint(t testing.TB, schema string, change func(*Options)) *Endpoint {
 	t.Helper()
 	o := options()
@@ -69,7 +71,7 @@
 	return e
 }
 
-// decide is a request's way through Body and Decide; its class, or its problem's code.
+// decide passes a body through ParseBody and Decide. It returns the decision and its class's name, or the problem's code.
 func decide(e *Endpoint, body string) (Decision, string) {
 	request, problem := ParseBody([]byte(body), e.Limits())
 	if problem == nil {
@@ -85,11 +87,13 @@
 	return d, d.Class.Name
 }
 
+// requestBody returns the JSON body for a query. more are further members of the object.
 func requestBody(query string, more ...string) string {
 	return fmt.Sprintf(`{"query":%q%s}`, query, strings.Join(append([]string{""}, more...), ","))
 }
 
-// The class is that of the operation that an upstream runs; a name, an alias, a fragment or a second root field does not make it less strict.
+// The class must be that of the operation that an upstream runs. A name, an alias, a fragment or a second root field must not make it less
+// strict.
 func TestDecideClass(t *testing.T) {
 	deep := strings.Repeat("{a", 25) + strings.Repeat("}", 25)
 	for _, c := range []struct{ body, withSchema, withoutSchema string }{
@@ -97,7 +101,7 @@
 		{requestBody(`{coach(id:1){name}}`), "map", "map"},
 		{requestBody(`{__typename}`), "read", "read"},
 		{requestBody(`{__typename seats(from:"N"){id}}`), "search", "search"},
-		{requestBody(`{seats(from:"N"){id} coach(id:1){name}}`), "map", "map"}, // worth less
+		{requestBody(`{seats(from:"N"){id} coach(id:1){name}}`), "map", "map"}, // the lower priority weight
 		{requestBody(`{seats(from:"N"){id} audit}`), "audit", "audit"},
 		{requestBody(`{x:audit}`), "audit", "audit"},
 		{requestBody(`{...on Ask{...F}} fragment F on Ask{x:audit}`), "audit", "audit"},
@@ -144,16 +148,17 @@
 			want := []string{c.withSchema, c.withoutSchema}[i]
 			d, got := decide(endpoint(t, schema, nil), c.body)
 			if got != want {
-				t.Errorf("schema %v: %.200s is %s, want %s", i == 0, c.body, got, want)
+				t.Errorf("with schema %v: body %.200s: got %s, want %s", i == 0, c.body, got, want)
 			}
 			if keyed := d.Class != nil && d.Class.Idempotency == balancer.IdempotentWithKey; keyed != (d.Key != "") {
-				t.Errorf("%.200s: key %q", c.body, d.Key)
+				t.Errorf("body %.200s: key is %q, but only a keyed class must have a key", c.body, d.Key)
 			}
 		}
 	}
 }
 
-// A key that a header brings is one field's: of two, of a batch, or of two values there is none.
+// A key in a header must be used for one field only: two fields, two values of the header or a batch must lead to no key. Otherwise an
+// upstream would drop the second field as a duplicate of the first.
 func TestHeaderKey(t *testing.T) {
 	e := endpoint(t, "", func(o *Options) { o.Fields[4].Key = "header:Idempotency-Key" })
 	one, two := http.Header{"Idempotency-Key": {"k"}}, http.Header{"Idempotency-Key": {"k", "l"}}
@@ -166,12 +171,12 @@
 		{`mutation{record confirm}`, one, "confirm "}, {`{seats}`, one, "search "}} {
 		d, problem := e.Decide(&Params{Query: c.query}, false, c.header)
 		if problem != nil || d.Class.Name+" "+d.Key != c.want {
-			t.Errorf("%s %v: %v %q %v, want %s", c.query, c.header, d.Class, d.Key, problem, c.want)
+			t.Errorf("query %s with header %v: class %v, key %q, problem %v, want %s", c.query, c.header, d.Class, d.Key, problem, c.want)
 		}
 	}
 }
 
-// Estimates follow the schema and the options, and repeated fragments do not blow them up.
+// The estimated cost must follow the schema and the options. Fragments that spread each other must be rejected without exponential work.
 func TestCost(t *testing.T) {
 	for _, c := range []struct {
 		query, vars string
@@ -194,7 +199,7 @@
 			p := Params{Query: c.query, Variables: []byte(c.vars)}
 			d, problem := endpoint(t, schema, nil).Decide(&p, false, nil)
 			if want := []float64{c.want, c.without}[i]; problem != nil || d.Cost != want {
-				t.Errorf("schema %v: %s costs %v (%v), want %v", i == 0, c.query, d.Cost, problem, want)
+				t.Errorf("with schema %v: query %s costs %v (problem %v), want %v", i == 0, c.query, d.Cost, problem, want)
 			}
 		}
 	}
@@ -203,17 +208,17 @@
 		text += fmt.Sprintf("fragment F%d on Ask{...F%d ...F%d}", i, i+1, i+1)
 	}
 	if _, got := decide(endpoint(t, "", nil), requestBody(text+"fragment F60 on Ask{audit}")); got != CodeLimit {
-		t.Errorf("2^60 fields are %s", got)
+		t.Errorf("a document with 2^60 fields: got %s, want OPERATION_TOO_LARGE", got)
 	}
 	e := endpoint(t, "", func(o *Options) { o.Limits.Cost = 5 })
 	if _, got := decide(e, requestBody(`{seats(first:100){coach{id}}}`)); got != CodeLimit {
-		t.Errorf("beyond the cost's bound: %s", got)
+		t.Errorf("a query above the cost limit: got %s, want OPERATION_TOO_LARGE", got)
 	}
-	// What operations took makes the hint, by kind of operation; who changes names changes nothing.
+	// The hint follows the durations recorded for the kind of operation. Other operation names must not make new kinds.
 	e = endpoint(t, "", nil)
 	decideQuery := func(q string) Decision { d, _ := decide(e, requestBody(q)); return d }
 	if hint := decideQuery(`{seats{id}}`).CostHint; hint != 0 {
-		t.Errorf("%v is expected of nothing", hint)
+		t.Errorf("hint is %v before any recorded duration, want 0", hint)
 	}
 	for i := range 3000 {
 		d := decideQuery(fmt.Sprintf(`query N%d{seats(first:4){coach{id}}}`, i))
@@ -222,14 +227,14 @@
 		e.RecordDuration(&d, time.Millisecond)
 	}
 	if d := decideQuery(`{seats(first:9){coach{id}}}`); d.CostHint.Round(time.Millisecond) != 110*time.Millisecond {
-		t.Errorf("hint %v, want 110ms: 6 units took 60 ms, this has 11", d.CostHint)
+		t.Errorf("hint is %v, want 110ms: operations of 6 units took 60 ms, and this one has 11 units", d.CostHint)
 	}
 	if n := e.durations.kinds.Len(); n != maxOperationKinds {
-		t.Errorf("%d kinds are remembered", n)
+		t.Errorf("durations of %d kinds of operations are kept, want maxOperationKinds", n)
 	}
 }
 
-// A hash stands for its own text only, the store is bounded, and only listed operations are known.
+// A hash must stand only for its own text, the stored texts must stay within their limit, and only listed operations may count as known.
 func TestPersistedQueries(t *testing.T) {
 	sha256Hex := func(text string) string { sum := sha256.Sum256([]byte(text)); return hex.EncodeToString(sum[:]) }
 	persistedQuery := func(hash string) string {
@@ -242,11 +247,11 @@
 		{requestBody(query, persistedQuery(sha256Hex(mutation))), CodeRequest},
 		{"{" + persistedQuery(sha256Hex(mutation)) + "}", CodePersistedNotFound},
 		{requestBody(mutation, persistedQuery(strings.ToUpper(sha256Hex(mutation)))), "confirm"},
-		{"{" + persistedQuery(sha256Hex(mutation)) + "}", "confirm"}, // hidden in a hash it is what it is
+		{"{" + persistedQuery(sha256Hex(mutation)) + "}", "confirm"}, // a hash must not hide that the operation is a mutation
 		{requestBody(query), "search"},
 	} {
 		if _, got := decide(e, c.body); got != c.want {
-			t.Errorf("%d: %s is %s, want %s", i, c.body, got, c.want)
+			t.Errorf("request %d, body %s: got %s, want %s", i, c.body, got, c.want)
 		}
 	}
 	for i := range 1000 {
@@ -254,53 +259,53 @@
 		decide(e, requestBody(text, persistedQuery(sha256Hex(text))))
 	}
 	if bytes, n := e.persistedTexts.size(); bytes > 3000 || n < 5 {
-		t.Errorf("%d bytes in %d entries", bytes, n)
+		t.Errorf("persisted texts: %d bytes in %d entries, want at most 3000 bytes and at least 5 entries", bytes, n)
 	}
 	if bytes, n := e.documents.size(); bytes > e.options.CacheBytes.Bytes() || n < 100 {
-		t.Errorf("%d bytes in %d documents", bytes, n)
+		t.Errorf("document cache: %d bytes in %d documents, want at most CacheBytes and at least 100 documents", bytes, n)
 	}
 	for _, file := range []string{fmt.Sprintf(`{%q:%q,"cheap":"query Cheap{audit}"}`, sha256Hex(query), query),
 		fmt.Sprintf(`{"format":"apollo-persisted-query-manifest","operations":[{"id":%q,"body":%q},{"id":"cheap","body":"query Cheap{audit}"}]}`, sha256Hex(query), query)} {
 		e = endpoint(t, "", func(o *Options) { o.PersistedQueries, o.KnownFile = "known", file })
 		for body, want := range map[string]string{"{" + persistedQuery(sha256Hex(query)) + "}": "search", requestBody(query): "search",
-			requestBody(query, persistedQuery("cheap")): CodeUnknownOperation, requestBody(mutation): CodeUnknownOperation, "{" + persistedQuery(sha256Hex(mutation)) + "}": CodeUnknownOperation,
-			"{" + persistedQuery("cheap") + "}": "search"} { // a known one's name is believed
+			requestBody(query, persistedQuery("cheap")): CodeUnknownOperation, requestBody(mutation): CodeUnknownOperation,
+			"{" + persistedQuery(sha256Hex(mutation)) + "}": CodeUnknownOperation,
+			"{" + persistedQuery("cheap") + "}":             "search"} { // the name of a known operation is trusted
 			if _, got := decide(e, body); got != want {
-				t.Errorf("%s is %s, want %s", body, got, want)
+				t.Errorf("body %s: got %s, want %s", body, got, want)
 			}
 		}
 	}
 	if _, err := knownOperations(fmt.Sprintf(`{%q:%q}`, sha256Hex(query), mutation)); err == nil {
-		t.Error("a list with another text's hash is taken")
+		t.Error("a file of known operations with the hash of another text was accepted")
 	}
 }
 
-// New finds the mistakes of its options and files.
+// New must report mistakes in its options and files.
 func TestNewReportsMistakes(t *testing.T) {
 	for want, change := range map[string]func(*Options){
-		`no class "gone"`:           func(o *Options) { o.Query = "gone" },
-		"must not run twice":        func(o *Options) { o.Mutation = "record" },
-		"no key is named":           func(o *Options) { o.Fields[4].Key = "" },
-		"is not keyed":              func(o *Options) { o.Fields[3].Key = "id" },
-		"and a mutation must not":   func(o *Options) { o.Fields[3].Class = "search" },
-		"needs a root field's key":  func(o *Options) { o.Operations[0].Class = "record" },
-		"the schema has no Query.x": func(o *Options) { o.Fields[0].Name = "Query.x" },
+		`no class "gone"`:             func(o *Options) { o.Query = "gone" },
+		"must not run twice":          func(o *Options) { o.Mutation = "record" },
+		"names no key":                func(o *Options) { o.Fields[4].Key = "" },
+		"is not keyed":                func(o *Options) { o.Fields[3].Key = "id" },
+		"and a mutation must not":     func(o *Options) { o.Fields[3].Class = "search" },
+		"only be set on a root field": func(o *Options) { o.Operations[0].Class = "record" },
+		"schema has no field Query.x": func(o *Options) { o.Fields[0].Name = "Query.x" },
 	} {
 		o := options()
 		change(&o)
 		if _, err := New(o, func(n string) *Class { return classes[n] }, schemaText, ""); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("New returned error %v, want one with %s", err, want)
 		}
 	}
 	for text, want := range map[string]string{"type Query { a: Nothing }": "schema: ", "{": "schema: "} {
 		if _, err := New(Options{Query: "read", Mutation: "write"}, func(n string) *Class { return classes[n] }, text, ""); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %s", err, want)
+			t.Errorf("New returned error %v, want one with %s", err, want)
 		}
 	}
 }
 
-// The class that is decided on is at least as strict as what a plain reading of the text, without any of the rules here, finds a
-// node would run.
+// The class must be at least as strict as that of referenceIdempotency, which reads the forwarded body without any rule of this package.
 func FuzzDecide(f *testing.F) {
 	f.Add(requestBody(`{seats(from:"N"){id}}`))
 	f.Add(requestBody(`query A{seats(from:"N"){id}} mutation B{...F} fragment F on Change{x:confirm(id:1){id}}`, `"operationName":"B"`))
@@ -312,7 +317,7 @@
 			request, problem := ParseBody([]byte(body), e.Limits())
 			if problem != nil {
 				if problem.Status < 400 || problem.Status > 499 || problem.Status == 429 {
-					t.Fatalf("status %d", problem.Status)
+					t.Fatalf("ParseBody returned a problem with status %d, want 4xx other than 429", problem.Status)
 				}
 				continue
 			}
@@ -326,16 +331,16 @@
 				}
 				idempotency, err := referenceIdempotency(d.Body)
 				if err != nil {
-					t.Fatalf("%q goes on, which is no request: %v", d.Body, err)
+					t.Fatalf("forwarded body %q is not a valid request: %v", d.Body, err)
 				}
 				if d.Class.Idempotency < idempotency || d.Class.Idempotency == balancer.IdempotentWithKey && d.Key == "" {
-					t.Fatalf("%q is taken as %v, a node runs %v", d.Body, d.Class.Idempotency, idempotency)
+					t.Fatalf("forwarded body %q is classified as %v, an upstream runs it as %v", d.Body, d.Class.Idempotency, idempotency)
 				}
 			}
 		}
 		withSchema.Classify(200, []byte(body), false)
 		if _, problem := ParseURLQuery(body, withSchema.Limits()); problem != nil && problem.Status/100 != 4 {
-			t.Fatalf("status %d", problem.Status)
+			t.Fatalf("ParseURLQuery returned a problem with status %d, want 4xx", problem.Status)
 		}
 	})
 }
--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -13,55 +13,55 @@
 	"github.com/vektah/gqlparser/v2/validator/rules"
 )
 
-// OperationKind is an operation's.
+// OperationKind tells queries from mutations.
 type OperationKind int
 
-// The kinds that are sent on.
+// The kinds of operations that are forwarded.
 const (
 	Query OperationKind = iota
 	Mutation
 )
 
-// document is a text that has been parsed, held against the limits and, where there is a schema, validated. It is
-// immutable: requests at the same time share it.
+// document is a GraphQL document that has been parsed, checked against the limits and, if there is a schema, validated. It is
+// immutable, since concurrent requests share it.
 type document struct {
 	operations []*operation
-	size       int // bytes that it takes, about
+	size       int // approximate memory, in bytes
 }
 
-// operation is one of a document's.
+// operation is one operation of a document.
 type operation struct {
 	name                string
 	kind                ast.Operation
-	roots               []rootField // of fragments too, whatever @skip and @include say: variables decide those
-	signature           string      // the same for operations of the same root fields: what is learnt of one holds for the other
+	roots               []rootField // also those in fragments and under @skip or @include, which may depend on variables
+	signature           string      // kind and root fields; durations are recorded by signature
 	costTree            []*costNode
-	fixedCost           float64 // the cost, where no variable changes it; below 0: some does
+	fixedCost           float64 // the cost; costUnknown if it depends on variables
 	variableDefinitions ast.VariableDefinitionList
 }
 
-// rootField is a root field.
+// rootField is a root field with its arguments.
 type rootField struct {
 	name string
 	args ast.ArgumentList
 }
 
-// The largest quotes of a document in errors, in bytes.
+// The longest parts of a document that errors quote, in bytes.
 const (
-	maxMessageBytes = 300 // of a parser's or validator's error
-	maxQuotedBytes  = 100 // of a name
+	maxMessageBytes = 300 // of a message of the parser or validator
+	maxQuotedBytes  = 100 // of an operation's name
 )
 
-// maxReportedProblems is how many mistakes of a document are reported at most.
+// maxReportedProblems is the largest number of validation errors in one answer.
 const maxReportedProblems = 3
 
-// parse parses a text, checks it against the limits and validates it. The limits bound the cost: tokens are counted while the text is read;
-// depth, fields, aliases and directives are counted, with one visit to each fragment, before the document is validated.
+// parse parses a document, checks it against the limits and validates it. The limits bound the work: tokens are counted while the text is
+// read; depth, fields, aliases and directives are counted before the validation, with one visit to each fragment.
 func (e *Endpoint) parse(text string) (*document, *Problem) {
 	doc, err := parser.ParseQueryWithTokenLimit(&ast.Source{Input: text}, e.options.Limits.Tokens)
 	if err != nil {
 		code := CodeParse
-		if strings.Contains(err.Error(), "exceeded token limit") { // the parser has no error type for it
+		if strings.Contains(err.Error(), "exceeded token limit") { // the parser has no error type for this
 			code = CodeLimit
 		}
 		return nil, newProblem(code, "%s", errorMessage(err))
@@ -125,16 +125,16 @@
 	return op, nil
 }
 
-// The estimated memory of a parsed document, in bytes: for itself and for each byte of its text.
+// The estimated memory of a parsed document, in bytes: a fixed part, and a part for each byte of its text.
 const (
 	bytesPerDocument = 2048
 	bytesPerTextByte = 100
 )
 
-// validation is all of the specification's rules but one: whether fields of one name can be merged is a matter of the
-// answer's shape, costs most, and is the node's to say.
+// validation has all validation rules of the specification but one: the rule that fields of one name can be merged concerns
+// only the shape of the answer and is the most expensive one, so that check is left to the upstream.
 //
-// Nor do mistakes come with suggestions: to look for words alike costs a document of wrong ones milliseconds.
+// Errors contain no suggestions: the search for similar names takes milliseconds for a document with many wrong names.
 var validation = func() *rules.Rules {
 	r := rules.NewDefaultRules()
 	r.RemoveRule(rules.OverlappingFieldsCanBeMergedRule.Name)
@@ -150,7 +150,7 @@
 	return r
 }()
 
-// errorMessage is an error's text, with its place.
+// errorMessage returns the text of an error, with its position in the document if there is one.
 func errorMessage(err error) string {
 	var g *gqlerror.Error
 	if !errors.As(err, &g) {
@@ -173,7 +173,7 @@
 	return queryType
 }
 
-// collectRootFields adds the root fields of a selection, each fragment once.
+// collectRootFields appends the root fields of a selection. It visits each fragment once.
 func collectRootFields(doc *ast.QueryDocument, set ast.SelectionSet, seen map[string]bool, into *[]rootField) {
 	for _, s := range set {
 		switch s := s.(type) {
@@ -209,7 +209,7 @@
 	return false
 }
 
-// operation is the operation that a node runs.
+// operation returns the operation that an upstream runs for an operationName, which may be empty.
 func (d *document) operation(name string) (*operation, *Problem) {
 	if name == "" {
 		if len(d.operations) > 1 {
--- a/internal/graphql/durations.go
+++ b/internal/graphql/durations.go
@@ -6,31 +6,31 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// maxOperationKinds is how many kinds of operations are remembered by what they took. Kinds are told apart by their root fields, not
-// by names, which are the client's.
+// maxOperationKinds is the number of kinds of operations whose durations are kept. A kind is a set of root fields. It does not depend
+// on the operation's name, which the client chooses.
 const maxOperationKinds = 512
 
-// durationEstimates is what a unit of cost took, in all and by kind of operation: the static estimate says how large an operation is
-// beside others of its kind, and this how long that takes.
+// durationEstimates holds the mean duration for each unit of cost, over all operations and by kind of operation. The static cost
+// compares an operation with others of its kind; these rates turn the cost into an expected duration.
 type durationEstimates struct {
 	all   rate
 	kinds *simplelru.LRU[string, *rate]
 }
 
-// rate is a mean that forgets, of seconds for a unit of cost.
+// rate is an exponentially weighted moving average of the seconds for each unit of cost.
 type rate struct {
 	secondsPerUnit float64
 	samples        int
 }
 
 const (
-	minSampleWeight = 1.0 / 16
-	minSamples      = 4 // answers of a kind before its own rate counts
+	minSampleWeight = 1.0 / 16 // of a new sample in the average
+	minSamples      = 4        // below this number of samples a rate is not used
 )
 
 func newDurationEstimates() *durationEstimates {
 	d := &durationEstimates{}
-	d.kinds, _ = simplelru.NewLRU[string, *rate](maxOperationKinds, nil) // it refuses only sizes under 1
+	d.kinds, _ = simplelru.NewLRU[string, *rate](maxOperationKinds, nil) // its only error is a size below 1
 	return d
 }
 
@@ -39,7 +39,7 @@
 	r.secondsPerUnit += max(minSampleWeight, 1/float64(r.samples)) * (newValue - r.secondsPerUnit)
 }
 
-// costUnits keeps the cost of operations that cost next to nothing from blowing the rate up.
+// costUnits adds 1 to a cost, so that operations with a cost near 0 do not lead to an extreme rate.
 func costUnits(cost float64) float64 { return 1 + cost }
 
 func (d *durationEstimates) add(kind string, cost float64, took time.Duration) {
@@ -53,9 +53,10 @@
 	r.add(secondsPerUnit)
 }
 
-// maxDurationEstimate bounds what an operation is expected to take.
+// maxDurationEstimate bounds the expected duration of an operation.
 const maxDurationEstimate = time.Hour
 
+// estimate returns the expected duration of an operation; 0: too few samples.
 func (d *durationEstimates) estimate(kind string, cost float64) time.Duration {
 	r, ok := d.kinds.Get(kind)
 	if !ok || r.samples < minSamples {
--- a/internal/graphql/endpoint.go
+++ b/internal/graphql/endpoint.go
@@ -13,34 +13,35 @@
 	"orchiddrift/balancer"
 )
 
-// Class is a service's.
+// Class is a request class of a service.
 type Class = balancer.Class
 
-// Endpoint decides for one GraphQL endpoint. It is safe for concurrent use. What it holds is bounded: parsed documents and
-// their texts by Options.CacheBytes, persisted texts by Options.PersistedBytes, what operations took by maxOperationKinds.
+// Endpoint classifies the operations and answers of one GraphQL endpoint. It is safe for concurrent use. Its memory is
+// bounded: parsed documents and their texts by Options.CacheBytes, persisted texts by Options.PersistedBytes, and the
+// durations of operations by maxOperationKinds.
 type Endpoint struct {
 	options          Options
-	schema           *ast.Schema // nil: there is none
-	classes          [2]*Class   // by Kind
+	schema           *ast.Schema // nil: the endpoint has no schema
+	classes          [2]*Class   // default classes by OperationKind
 	fieldRules       map[string]*fieldRule
 	operationClasses map[string]*Class
 	weights          map[string]float64
-	knownTexts       map[string]string // by hash; nil: any operation may pass
-	knownInFull      map[string]bool   // the known texts
+	knownTexts       map[string]string // by hash or id; nil: any operation is accepted
+	knownInFull      map[string]bool   // the texts of the known operations
 	documents        *lru[*document]
 	persistedTexts   *lru[string]
-	mu               sync.Mutex // of learnt
+	mu               sync.Mutex // guards durations
 	durations        *durationEstimates
-	maxDeadline      time.Duration // deadline of any class that it may decide on
+	maxDeadline      time.Duration // the longest deadline of a class that Decide may return
 }
 
 type fieldRule struct {
 	class *Class
-	key   string // of a keyed class: the argument
+	key   string // for a keyed class: the argument or header that holds the key
 }
 
-// New makes an Endpoint. class returns the service's class of a name, or nil; schema and known are the texts of the files, empty if there
-// are none. An error is about the first mistake in them or in the options.
+// New creates an Endpoint. class returns the service's class with a given name, or nil. schema and known are the contents of the files in
+// the options, empty if no file is configured. The error describes the first mistake in the files or the options.
 func New(options Options, class func(string) *Class, schema, known string) (*Endpoint, error) {
 	e := &Endpoint{
 		options:          options,
@@ -81,10 +82,10 @@
 	return e, nil
 }
 
-// classFinder returns the service's class of a name, or an error that says what uses it.
+// classFinder returns the service's class with a given name, or an error that names the setting that uses it.
 type classFinder func(name, usedBy string) (*Class, error)
 
-// setDefaultClasses sets the classes of operations whose root fields have none.
+// setDefaultClasses sets the classes of operations whose root fields have no class of their own.
 func (e *Endpoint) setDefaultClasses(find classFinder) error {
 	var err error
 	if e.classes[Query], err = find(e.options.Query, "query"); err != nil {
@@ -93,13 +94,13 @@
 	if e.classes[Mutation], err = find(e.options.Mutation, "mutation"); err != nil {
 		return err
 	}
-	if idempotency := e.classes[Mutation].Idempotency; idempotency != balancer.NonIdempotent { // it applies to mutations without a key
-		return fmt.Errorf("mutation: class %q is %s: mutations in general must not run twice", e.options.Mutation, idempotencyName(idempotency))
+	if idempotency := e.classes[Mutation].Idempotency; idempotency != balancer.NonIdempotent { // the class applies to mutations without a key
+		return fmt.Errorf("mutation: class %q is %s; the default class of mutations has to be unsafe: they must not run twice", e.options.Mutation, idempotencyName(idempotency))
 	}
 	return nil
 }
 
-// addField adds the weight of a field and, of a root field, its class and key.
+// addField adds the weight of a field and, for a root field, its class and key.
 func (e *Endpoint) addField(f *Field, find classFinder) error {
 	if f.Weight >= 0 {
 		e.weights[f.Name] = f.Weight
@@ -112,30 +113,30 @@
 	case err != nil:
 		return err
 	case class.Idempotency == balancer.IdempotentWithKey && f.Key == "":
-		return fmt.Errorf("%s: class %q is keyed, and no key is named", f.Name, f.Class)
+		return fmt.Errorf("%s: class %q is keyed, and the field names no key", f.Name, f.Class)
 	case class.Idempotency != balancer.IdempotentWithKey && f.Key != "":
-		return fmt.Errorf("%s: class %q is not keyed", f.Name, f.Class)
+		return fmt.Errorf("%s: the field names a key, and class %q is not keyed", f.Name, f.Class)
 	case class.Idempotency == balancer.Idempotent && strings.HasPrefix(f.Name, mutationType+"."):
-		return fmt.Errorf("%s: class %q may run any number of times, and a mutation must not", f.Name, f.Class)
+		return fmt.Errorf("%s: requests of class %q may run any number of times, and a mutation must not run twice", f.Name, f.Class)
 	}
 	e.fieldRules[f.Name] = &fieldRule{class, f.Key}
 	return nil
 }
 
-// addOperation adds the class of operations of a name.
+// addOperation adds the class of operations with a given name.
 func (e *Endpoint) addOperation(named Operation, find classFinder) error {
 	class, err := find(named.Class, "operation "+named.Name)
 	if err != nil {
 		return err
 	}
 	if class.Idempotency == balancer.IdempotentWithKey {
-		return fmt.Errorf("operation %s: a keyed class needs a root field's key", named.Name)
+		return fmt.Errorf("operation %s: a keyed class can only be set on a root field, which names its key", named.Name)
 	}
 	e.operationClasses[named.Name] = class
 	return nil
 }
 
-// loadSchema parses a schema, and checks that it has the fields of the options; empty: there is none.
+// loadSchema parses a schema, and checks that it has the fields of the options. An empty text means no schema.
 func (e *Endpoint) loadSchema(text string) error {
 	if text == "" {
 		return nil
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// loadKnown reads the known operations, and checks that each is accepted; empty: there are none, and any operation may pass.
+// loadKnown reads the known operations, and checks that each is accepted. An empty text means that any operation is accepted.
 func (e *Endpoint) loadKnown(text string) error {
 	if text == "" {
 		return nil
@@ -172,7 +173,7 @@
 	return nil
 }
 
-// costDirectives are IBM's two, where a schema uses them without defining them.
+// costDirectives returns the definitions of the directives of IBM's cost specification that a schema does not define itself.
 func costDirectives(schema string) *ast.Source {
 	text := ""
 	if !strings.Contains(schema, "directive @cost") {
@@ -184,7 +185,7 @@
 	return &ast.Source{Name: "directives", Input: text, BuiltIn: true}
 }
 
-// checkInSchema tells what is wrong with a field's name.
+// checkInSchema returns an error if the schema does not have the field TYPE.FIELD.
 func (e *Endpoint) checkInSchema(name string) error {
 	typ, field, _ := strings.Cut(name, ".")
 	def := e.schema.Types[typ]
@@ -195,7 +196,7 @@
 		def = e.schema.Mutation
 	}
 	if def == nil || def.Fields.ForName(field) == nil {
-		return fmt.Errorf("field: the schema has no %s", name)
+		return fmt.Errorf("field: the schema has no field %s", name)
 	}
 	return nil
 }
@@ -204,7 +205,7 @@
 	return [...]string{"safe", "keyed", "unsafe"}[e]
 }
 
-// String returns in one line how operations are classified.
+// String returns a one-line description of how operations are classified.
 func (e *Endpoint) String() string {
 	text := fmt.Sprintf("GraphQL: queries %s, mutations %s", e.classes[Query].Name, e.classes[Mutation].Name)
 	if n := len(e.fieldRules); n > 0 {
@@ -222,13 +223,13 @@
 	return text
 }
 
-// MaxDeadline is the longest deadline of a class that the endpoint may decide on.
+// MaxDeadline returns the longest deadline of any class that Decide may return.
 func (e *Endpoint) MaxDeadline() time.Duration { return e.maxDeadline }
 
-// Limits are the endpoint's.
+// Limits returns the endpoint's limits on requests.
 func (e *Endpoint) Limits() *Limits { return &e.options.Limits }
 
-// BatchParallelism is how many entries of a batch are sent at once.
+// BatchParallelism returns how many entries of a batch may be in flight at once.
 func (e *Endpoint) BatchParallelism() int { return e.options.BatchParallelism }
 
 func itoa(n int) string { return strconv.Itoa(n) }
--- a/internal/graphql/key.go
+++ b/internal/graphql/key.go
@@ -7,7 +7,8 @@
 	"github.com/vektah/gqlparser/v2/ast"
 )
 
-// scalar reads a part of a JSON value as a key.
+// scalar returns the string or number at a dotted path in a JSON value, as an idempotency key; false: there is none of 1 to
+// maxKey bytes.
 func scalar(v jsontext.Value, path string) (string, bool) {
 	for path != "" {
 		var part string
@@ -28,8 +29,8 @@
 	return "", false
 }
 
-// keyOf reads the value of a root field's argument, parts of an input after dots; false: it has none. It is a text, a number or
-// an enum's name, at least one byte long.
+// keyOf returns the idempotency key in an argument of a root field; false: it has none. path is the argument's name and, after
+// dots, parts of an input. The key is a string, a number or an enum value of 1 to maxKey bytes.
 func (r *rootField) keyOf(path string, vars func() valueOf, defs ast.VariableDefinitionList) (string, bool) {
 	first, rest, _ := strings.Cut(path, ".")
 	a := r.args.ForName(first)
@@ -68,5 +69,5 @@
 	return "", false
 }
 
-// maxKey is what a key may have, bytes.
+// maxKey is the longest idempotency key, in bytes.
 const maxKey = 256
--- a/internal/graphql/limits.go
+++ b/internal/graphql/limits.go
@@ -9,20 +9,20 @@
 	"orchiddrift/internal/units"
 )
 
-// extentMeasurer counts what a document has.
+// extentMeasurer counts the aliases and directives of a document, and the depth and fields of its selections.
 type extentMeasurer struct {
 	doc                 *ast.QueryDocument
 	limits              *Limits
-	fragments           map[string]*extent // nil while a fragment is being looked at
+	fragments           map[string]*extent // an entry is nil while its fragment is being measured
 	aliases, directives int
 }
 
-// extent is how far a selection reaches, fragments spread out.
+// extent is the nesting depth and the number of fields of a selection, with fragments expanded.
 type extent struct{ depth, fields int }
 
 var errCycle = errors.New("a fragment contains itself")
 
-// checkExtent checks a document's names and fragments, and its extent against the limits. Fragments that no operation uses count too.
+// checkExtent checks a document's names and fragments, and its extent against the limits. Fragments that no operation uses count as well.
 func checkExtent(doc *ast.QueryDocument, limits *Limits) *Problem {
 	m := &extentMeasurer{doc: doc, limits: limits, fragments: map[string]*extent{}}
 	if problem := m.checkNames(); problem != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// checkNames finds what the text says twice or not at all, in a form of the parser's that goes by names.
+// checkNames rejects names that occur twice and operations whose name is missing: the parser's result is looked up by name.
 func (m *extentMeasurer) checkNames() *Problem {
 	operationNames := map[string]bool{}
 	for _, op := range m.doc.Operations {
@@ -109,7 +109,7 @@
 			}
 		}
 		x.depth = max(x.depth, inner.depth)
-		x.fields = min(x.fields+inner.fields, math.MaxInt32) // fragments double it
+		x.fields = min(x.fields+inner.fields, math.MaxInt32) // nested fragments can double the number at each level
 	}
 	return x, nil
 }
@@ -135,21 +135,21 @@
 	return x, nil
 }
 
-// Limits bound documents and what they ask for. A document that is beyond one is refused before it is validated.
+// Limits bound requests and documents. Tokens, depth, fields, aliases and directives are checked before a document is validated.
 type Limits struct {
 	Tokens     int        `toml:"tokens" default:"1500" doc:"Tokens of a document."`
-	Depth      int        `toml:"depth" default:"20" doc:"Fields within each other, fragments spread out."`
-	Fields     int        `toml:"fields" default:"5000" doc:"Fields, fragments spread out."`
-	Roots      int        `toml:"root_fields" default:"20" doc:"Root fields."`
+	Depth      int        `toml:"depth" default:"20" doc:"Nesting depth of fields, with fragments expanded."`
+	Fields     int        `toml:"fields" default:"5000" doc:"Fields of an operation, with fragments expanded."`
+	Roots      int        `toml:"root_fields" default:"20" doc:"Root fields of an operation."`
 	Aliases    int        `toml:"aliases" default:"50" doc:"Aliases of a document."`
 	Directives int        `toml:"directives" default:"50" doc:"Directives of a document."`
-	Batch      int        `toml:"batch" default:"10" doc:"Entries of a batch; 1: there are no batches."`
-	Variables  units.Size `toml:"variables" default:"32KiB" doc:"Variables of an operation, as JSON."`
-	Cost       float64    `toml:"cost" doc:"The estimate of an operation's cost; 0: any."`
-	Answers    units.Size `toml:"batch_answers" default:"1MiB" doc:"The answers of a batch together."`
+	Batch      int        `toml:"batch" default:"10" doc:"Entries of a batch; 1: batches are rejected."`
+	Variables  units.Size `toml:"variables" default:"32KiB" doc:"Size of the variables of an operation, as JSON."`
+	Cost       float64    `toml:"cost" doc:"Estimated cost of an operation; 0: no limit."`
+	Answers    units.Size `toml:"batch_answers" default:"1MiB" doc:"Size of the answers of a batch together."`
 }
 
-// DefaultLimits returns the limits of a file that sets none.
+// DefaultLimits returns the default limits.
 func DefaultLimits() Limits {
 	return Limits{Tokens: 1500, Depth: 20, Fields: 5000, Roots: 20, Aliases: 50, Directives: 50, Batch: 10,
 		Variables: 32 * units.KiB, Answers: units.MiB}
@@ -171,9 +171,9 @@
 		}
 	}
 	if !(l.Cost >= 0) || math.IsInf(l.Cost, 0) {
-		report("cost", "%v is no usable bound", l.Cost)
+		report("cost", "%v is not a finite number of at least 0", l.Cost)
 	}
 	if l.Variables < 0 || l.Answers <= 0 {
-		report("batch_answers", "answers need some room")
+		report("batch_answers", "batch_answers has to be above 0, and variables at least 0")
 	}
 }
--- a/internal/graphql/lru.go
+++ b/internal/graphql/lru.go
@@ -7,7 +7,8 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// lru keeps what was used last, within a number of bytes. It is safe for concurrent use.
+// lru is a least-recently-used cache that is bounded by the size of its entries in bytes. It is safe for
+// concurrent use.
 type lru[V any] struct {
 	mu       sync.Mutex
 	maxBytes int
@@ -20,12 +21,12 @@
 	size  int
 }
 
-// bytesPerEntry is what an entry takes beside its content, about.
+// bytesPerEntry is the approximate overhead of an entry.
 const bytesPerEntry = 200
 
 func newLRU[V any](capacity int) *lru[V] {
 	l := &lru[V]{maxBytes: capacity}
-	// It refuses only sizes under 1: bytes bound it, not a number.
+	// Its only error is a size below 1. The cache is bounded by bytes, not by the number of entries.
 	l.entries, _ = simplelru.NewLRU(math.MaxInt32, func(_ string, s sizedValue[V]) { l.bytes -= s.size })
 	return l
 }
@@ -37,7 +38,7 @@
 	return s.value, ok
 }
 
-// put keeps a value; one that is larger than all that may be kept is not.
+// put adds or replaces a value. A value larger than the whole cache is not added.
 func (l *lru[V]) put(key string, v V, size int) {
 	if size > l.maxBytes {
 		return
@@ -51,7 +52,7 @@
 	}
 }
 
-// size is the bytes and the entries kept.
+// size returns the size of all entries in bytes, and their number.
 func (l *lru[V]) size() (bytes, entries int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/graphql/media.go
+++ b/internal/graphql/media.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// NegotiateMedia picks the answer's media type by an Accept header; false: none of the two is wanted. Without a header it is the
-// specification's own, as that says since 2025. Of two types wanted alike the specification's own goes first.
+// NegotiateMedia returns the answer's media type for an Accept header; false: the client accepts neither type. Without a header it
+// is MediaResponse, as the specification says since 2025. MediaResponse is also chosen if both types have the same quality.
 func NegotiateMedia(accept []string) (string, bool) {
 	if len(accept) == 0 {
 		return MediaResponse, true
@@ -52,7 +52,7 @@
 	return MediaResponse, true
 }
 
-// IsJSON reports whether a Content-Type is application/json in UTF-8.
+// IsJSON reports whether a Content-Type is application/json with UTF-8 as its charset, or without a charset.
 func IsJSON(contentType string) bool {
 	name, params, _ := strings.Cut(contentType, ";")
 	if !strings.EqualFold(strings.TrimSpace(name), MediaJSON) {
--- a/internal/graphql/parameters.go
+++ b/internal/graphql/parameters.go
@@ -6,21 +6,21 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// Params is one operation as a client asks for it. All of it has one reading: no key stands twice, none is spelled in
-// another way, all text is UTF-8.
+// Params is one operation as requested by a client. It has only one reading: no key occurs twice or in another spelling,
+// and all text is UTF-8.
 type Params struct {
 	Query      string
-	Operation  string         // operationName; empty: the only one
-	Variables  jsontext.Value // an object; nil: none
-	Extensions jsontext.Value // an object without persistedQuery; nil: none
-	Hash       string         // SHA-256 of the text that is meant, in hexadecimal; empty: none is named
-	BadHash    bool           // it is of a version that nobody knows
+	Operation  string         // operationName; empty: the document's only operation
+	Variables  jsontext.Value // a JSON object; nil: none
+	Extensions jsontext.Value // a JSON object, without persistedQuery; nil: none
+	Hash       string         // SHA-256 of the text, in hexadecimal, or id of a known operation; empty: none
+	BadHash    bool           // persistedQuery has an unknown version or no hash
 }
 
-// parameterNames are the specification's keys.
+// parameterNames are the keys that the specification defines.
 var parameterNames = [...]string{"query", "operationName", "variables", "extensions"}
 
-// setParameter takes a parameter over. null is as if it were absent.
+// setParameter sets a parameter to a JSON value. null means that the parameter is absent.
 func (p *Params) setParameter(name string, value jsontext.Value, l *Limits) *Problem {
 	kind := value.Kind()
 	text := func(into *string) *Problem {
@@ -44,7 +44,7 @@
 		if kind != '{' {
 			return malformed("%s is no object", name)
 		}
-		if !value.IsValid() { // by the library's own rule: no key stands twice in any object of it
+		if !value.IsValid() { // also false for a key that occurs twice, in any object of the value
 			return malformed("%s has a key twice", name)
 		}
 		*into = value.Clone()
@@ -74,12 +74,13 @@
 	return malformed("%q is no parameter of a GraphQL request: what is added belongs into extensions", name)
 }
 
-// extractPersistedQuery takes persistedQuery out of the extensions: it is resolved here, and the node gets the text.
+// extractPersistedQuery moves persistedQuery from the extensions to Hash: the sidecar resolves it, and the upstream gets
+// the text.
 func (p *Params) extractPersistedQuery() *Problem {
 	r := newReader(p.Extensions)
 	defer r.release()
 	rest := []byte{'{'}
-	_, _ = r.ReadToken() // it is an object
+	_, _ = r.ReadToken() // the opening brace: extensions is an object
 	for r.PeekKind() == '"' {
 		quotedName, err := r.ReadValue()
 		if err != nil {
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// readHash reads {"version": 1, "sha256Hash": "..."}.
+// readHash reads the value of persistedQuery: {"version": 1, "sha256Hash": "..."}.
 func (p *Params) readHash(value jsontext.Value) *Problem {
 	if value.Kind() != '{' {
 		return malformed("persistedQuery is no object")
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// encode is the one form in which operations go on: whatever the client's was, it has one reading.
+// encode returns the body in which the operation is forwarded. It has one reading, whatever form the client's body had.
 func (p *Params) encode(query string) ([]byte, error) {
 	out := make([]byte, 0, len(query)+len(query)/8+len(p.Operation)+len(p.Variables)+len(p.Extensions)+64)
 	out, err := jsontext.AppendQuote(append(out, `{"query":`...), query)
--- a/internal/graphql/persisted.go
+++ b/internal/graphql/persisted.go
@@ -9,7 +9,7 @@
 	"github.com/go-json-experiment/json"
 )
 
-// resolveText is the document that is meant, and whether it is a known one.
+// resolveText returns the text of the requested document. trusted: it is a known operation.
 func (e *Endpoint) resolveText(p *Params) (text string, trusted bool, problem *Problem) {
 	switch {
 	case p.BadHash:
@@ -50,8 +50,8 @@
 	return p.Query, false, nil
 }
 
-// knownOperations reads a file of them: hash to text, or a manifest whose operations have id and body. A SHA-256 that does
-// not fit its text is a mistake; other ids are taken as they are.
+// knownOperations parses a file of known operations: an object from hash to text, or a manifest whose operations have an id
+// and a body. An id that is a SHA-256 has to be that of its text; other ids are not checked.
 func knownOperations(text string) (map[string]string, error) {
 	var manifest struct {
 		Operations []struct {
@@ -74,12 +74,12 @@
 		}
 	}
 	if len(known) == 0 {
-		return nil, fmt.Errorf("there are no operations")
+		return nil, fmt.Errorf("the file has no operations")
 	}
 	for id, body := range known {
 		if raw, err := hex.DecodeString(id); err == nil && len(raw) == sha256.Size {
 			if sum := sha256.Sum256([]byte(body)); string(raw) != string(sum[:]) {
-				return nil, fmt.Errorf("operation %s: its text has another SHA-256", id)
+				return nil, fmt.Errorf("operation %s: its text has a different SHA-256", id)
 			}
 		}
 	}
--- a/internal/graphql/reader.go
+++ b/internal/graphql/reader.go
@@ -7,8 +7,8 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// reader reads one JSON text. Keys that stand twice are not looked for: that is done where it matters, since the decoder's
-// own way costs an answer more than all else.
+// reader reads one JSON text. It accepts duplicate keys: the decoder's check for them would be the largest part of reading an
+// answer, so callers check for duplicates where they matter.
 type reader struct {
 	*jsontext.Decoder
 	source bytes.Buffer
@@ -23,13 +23,13 @@
 	return r
 }
 
-// release returns the reader to the pool. Values that it has read stay valid: they are parts of the text.
+// release returns the reader to the pool. Values that it has returned stay valid, since they are slices of the text.
 func (r *reader) release() {
 	r.source = bytes.Buffer{}
 	readers.Put(r)
 }
 
-// nextName reads an object's next key, or tells that there is none: the object ends, or is broken, which the next reading says.
+// nextName reads an object's next key; false: the object ends or is malformed, which the next read reports.
 func (r *reader) nextName(scratch []byte) ([]byte, bool) {
 	if r.PeekKind() != '"' {
 		return nil, false
@@ -42,15 +42,15 @@
 	return name, err == nil
 }
 
-// atEnd reports whether nothing but blanks is left of a text.
+// atEnd reports whether only white space is left of the text.
 func (r *reader) atEnd(text []byte) bool {
 	return len(bytes.TrimLeft(text[r.InputOffset():], " \t\r\n")) == 0
 }
 
-// maxNesting is how deep a request's JSON may nest.
+// maxNesting is the largest nesting depth of a request's JSON.
 const maxNesting = 100
 
-// nestsTooDeep reports whether a text nests deeper than maxNesting, whatever else may be wrong with it.
+// nestsTooDeep reports whether a text nests deeper than maxNesting. The text need not be valid JSON.
 func nestsTooDeep(text []byte) bool {
 	depth, quoted := 0, false
 	for i := 0; i < len(text); i++ {
@@ -71,7 +71,7 @@
 	return false
 }
 
-// objectMembers are an object's values, by name.
+// objectMembers returns the values of an object by key. It is empty for any other JSON value.
 func objectMembers(raw jsontext.Value) map[string]jsontext.Value {
 	m := map[string]jsontext.Value{}
 	if raw.Kind() != '{' {
@@ -79,7 +79,7 @@
 	}
 	r := newReader(raw)
 	defer r.release()
-	_, _ = r.ReadToken() // it is an object
+	_, _ = r.ReadToken() // the opening brace
 	var scratch [64]byte
 	for {
 		name, ok := r.nextName(scratch[:])
--- a/internal/graphql/reference_test.go
+++ b/internal/graphql/reference_test.go
@@ -10,8 +10,8 @@
 	"orchiddrift/balancer"
 )
 
-// reference is the least strict effect that a request may have by what a node reads with the standard library and executes as
-// the specification's GetOperation and CollectFields say.
+// referenceIdempotency returns the least strict class that a request may have. It reads the request as an upstream with the
+// standard library does, and selects the operation and its fields by the specification's GetOperation and CollectFields.
 func referenceIdempotency(body []byte) (balancer.Idempotency, error) {
 	var r struct{ Query, OperationName string }
 	if err := stdjson.Unmarshal(body, &r); err != nil {
@@ -23,7 +23,7 @@
 	}
 	op := doc.Operations.ForName(r.OperationName)
 	if op == nil {
-		return 0, errors.New("no such operation")
+		return 0, errors.New("the document has no operation of this operationName")
 	}
 	if op.Operation == ast.Query {
 		for _, name := range rootNames(doc, op.SelectionSet, 0) {
@@ -46,6 +46,7 @@
 	return balancer.IdempotentWithKey, nil
 }
 
+// rootNames returns the names of the root fields of a selection, also of those in fragments.
 func rootNames(doc *ast.QueryDocument, set ast.SelectionSet, depth int) (names []string) {
 	if depth > 100 {
 		return nil
--- a/internal/graphql/request.go
+++ b/internal/graphql/request.go
@@ -10,18 +10,19 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// Request is what a request asks for. Of a batch an entry that can't be read has a Problem in its place.
+// Request has the operations of an HTTP request. Problems has an element for each of Params.
 type Request struct {
 	Batch    bool
 	Params   []Params
-	Problems []*Problem // nil where Params holds
+	Problems []*Problem // why an entry of a batch cannot be read; nil: it can
 }
 
-// ParseBody reads a POST's body. Its problem is the whole request's.
+// ParseBody reads the body of a POST. The returned Problem concerns the whole request.
 //
-// What a node might read in another way than the one who decides here is turned down: two keys of one name, also where one
-// is escaped, a known key in other letters (Go's own decoder would take it), text that is no UTF-8, a byte order mark, more
-// than one value. Keys that the specification does not have are turned down as well: some nodes run what they name.
+// It rejects everything that an upstream might read in another way than the sidecar: duplicate keys, also where one is
+// escaped; a known key with other upper- and lower-case letters (encoding/json accepts it); text that is not UTF-8; a byte
+// order mark; more than one JSON value. It also rejects keys that the specification does not define, since some servers
+// run the operation that such a key names.
 func ParseBody(body []byte, l *Limits) (request Request, problem *Problem) {
 	if bytes.HasPrefix(body, []byte("\xef\xbb\xbf")) {
 		return request, malformed("the body begins with a byte order mark")
@@ -43,7 +44,7 @@
 			return request, malformed("there are no batches here")
 		}
 		request.Batch = true
-		_, _ = r.ReadToken() // it has been seen
+		_, _ = r.ReadToken() // peeked above
 		for r.PeekKind() != ']' {
 			if len(request.Params) == l.Batch {
 				return request, malformed("a batch has %d entries at most", l.Batch)
@@ -77,12 +78,12 @@
 
 func notJSON(err error) *Problem { return malformed("the body can't be read: %v", err) }
 
-// readEntry reads one object.
+// readEntry reads the object of one operation.
 func readEntry(r *reader, l *Limits) (p Params, problem *Problem) {
 	if r.PeekKind() != '{' {
 		return p, malformed("an entry is no object")
 	}
-	_, _ = r.ReadToken() // it has been seen
+	_, _ = r.ReadToken() // peeked above
 	var scratch [16]byte
 	seen := 0
 	for {
@@ -111,7 +112,7 @@
 	return p, nil
 }
 
-// ParseURLQuery reads a GET's parameters. They are for queries only, which Decide holds them to.
+// ParseURLQuery reads the parameters of a GET from the URL's query. Decide rejects mutations by GET.
 func ParseURLQuery(raw string, l *Limits) (request Request, problem *Problem) {
 	values, err := url.ParseQuery(raw)
 	if err != nil {
@@ -152,7 +153,7 @@
 	return Request{Params: []Params{p}, Problems: []*Problem{nil}}, nil
 }
 
-// HasNoParameters reports whether a POST's URL has none of the parameters that some upstreams read in preference to the body.
+// HasNoParameters reports whether the URL of a POST has no GraphQL parameters. Some upstreams prefer those to the body.
 func HasNoParameters(raw string) bool {
 	values, err := url.ParseQuery(raw)
 	if err != nil {
@@ -168,5 +169,5 @@
 	return true
 }
 
-// AllowedMethods are the ones that an endpoint is for.
+// AllowedMethods are the HTTP methods that an endpoint accepts.
 const AllowedMethods = http.MethodGet + ", " + http.MethodPost
--- a/internal/graphql/request_test.go
+++ b/internal/graphql/request_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A body that an upstream may read otherwise is rejected, never with the status 429.
+// Guards against forwarding a body that an upstream may read in another way than the sidecar: such bodies must be rejected. No body may
+// take long to reject.
 func TestParseBody(t *testing.T) {
 	e := endpoint(t, "", nil)
 	hash := strings.Repeat("ab", 32)
@@ -30,7 +31,7 @@
 		`{"query":"{seats}","variables":{"a":{"b":1,"b":2}}}`:                         CodeRequest,
 		`{"query":"{seats}","variables":null,"operationName":null,"extensions":null}`: "search",
 		`{"query":"{seats}","variables":{"a":"` + strings.Repeat("x", 33<<10) + `"}}`: CodeLimit,
-		`{"query":"\ufeff{seats}"}`:                                                   "search", // the specification ignores it there
+		`{"query":"\ufeff{seats}"}`:                                                   "search", // the specification ignores a byte order mark in the document
 		`{"query":"{ seats # }\n }"}`:                                                 "search",
 		`"{seats}"`:                                                                   CodeRequest,
 		``:                                                                            CodeRequest,
@@ -45,20 +46,20 @@
 	} {
 		begun := time.Now()
 		if _, got := decide(e, body); got != want {
-			t.Errorf("%.120q is %s, want %s", body, got, want)
+			t.Errorf("body %.120q: got %s, want %s", body, got, want)
 		}
-		if took := time.Since(begun); took > 500*time.Millisecond { // 5 ms on a machine that does nothing else: cmd/measure
-			t.Errorf("%.60q takes %v", body, took)
+		if took := time.Since(begun); took > 500*time.Millisecond { // 5 ms on an idle machine, by cmd/measure
+			t.Errorf("body %.60q took %v to decide", body, took)
 		}
 	}
-	// What goes on has one reading, whatever came.
+	// The forwarded body has one form, whatever form the client sent.
 	d, _ := decide(e, `{"extensions":{"a":[1, 2],"persistedQuery":{"version":1,"sha256Hash":"`+hash+`"}},"variables":{"v":"\u0041"},"qu\u0065ry":"{seats}"}`)
 	if got, want := string(d.Body), `{"query":"{seats}","variables":{"v":"\u0041"},"extensions":{"a":[1, 2]}}`; got != want {
-		t.Errorf("%s goes on, want %s", got, want)
+		t.Errorf("forwarded body is %s, want %s", got, want)
 	}
 }
 
-// A GET changes nothing and has no parameter twice.
+// Guards against a mutation by GET, and against a parameter that occurs twice, of which upstreams may use either.
 func TestParseURLQuery(t *testing.T) {
 	e := endpoint(t, "", nil)
 	for raw, want := range map[string]string{
@@ -82,12 +83,12 @@
 			}
 		}
 		if got != want {
-			t.Errorf("%s is %s, want %s", raw, got, want)
+			t.Errorf("URL query %s: got %s, want %s", raw, got, want)
 		}
 	}
 	for raw, want := range map[string]bool{"": true, "a=1": true, "query=x": false, "QUERY=x": false, "extensions": false, "a;b": false} {
 		if HasNoParameters(raw) != want {
-			t.Errorf("%q is plain: %v", raw, !want)
+			t.Errorf("HasNoParameters(%q) is %v", raw, !want)
 		}
 	}
 }
@@ -102,13 +103,13 @@
 			list = []string{accept}
 		}
 		if got, ok := NegotiateMedia(list); got != want || ok != (want != "") {
-			t.Errorf("%q: %q", accept, got)
+			t.Errorf("NegotiateMedia of Accept %q is %q", accept, got)
 		}
 	}
 	for kind, want := range map[string]bool{"application/json": true, "application/JSON; charset=UTF-8": true, `application/json;charset="utf-8"`: true,
 		"application/json;charset=utf-16": false, "text/plain": false, "": false, "application/jsonp": false} {
 		if IsJSON(kind) != want {
-			t.Errorf("%q is JSON: %v", kind, !want)
+			t.Errorf("IsJSON(%q) is %v", kind, !want)
 		}
 	}
 }
