--- a/internal/graphql/batch.go
+++ b/internal/graphql/batch.go
@@ -40,8 +40,8 @@
 	failedMutation // ended, and no mutation after it is sent
 )
 
-// NewBatch creates a Batch with an entry for each kind. Entries with a problem are not sent. The kind of an entry is Mutation if it is
-// not known.
+// NewBatch creates a Batch with an entry for each kind. Entries with a problem are not sent. The kind of an entry is Mutation if it
+// is not known.
 func NewBatch(kinds []OperationKind, problems []*Problem, parallel int) *Batch {
 	b := &Batch{kinds: kinds, state: make([]entryState, len(kinds)), parallel: max(1, parallel), unfinished: len(kinds)}
 	for i, p := range problems {
--- a/internal/graphql/durations.go
+++ b/internal/graphql/durations.go
@@ -6,8 +6,8 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// maxOperationKinds is the number of kinds of operations whose durations are kept. A kind is a set of root fields. It does not depend
-// on the operation's name, which the client chooses.
+// maxOperationKinds is the number of kinds of operations whose durations are kept. A kind is a set of root fields. It does not
+// depend on the operation's name, which the client chooses.
 const maxOperationKinds = 512
 
 // durationEstimates holds the mean duration for each unit of cost, over all operations and by kind of operation. The static cost
--- a/internal/graphql/parameters.go
+++ b/internal/graphql/parameters.go
@@ -6,8 +6,8 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// Params is one operation as requested by a client. It has only one reading: no key occurs twice or in another spelling,
-// and all text is UTF-8.
+// Params is one operation as requested by a client. It has only one reading: no key occurs twice or in another
+// spelling, and all text is UTF-8.
 type Params struct {
 	Query      string
 	Operation  string         // operationName; empty: the document's only operation
@@ -74,8 +74,8 @@
 	return malformed("%q is no parameter of a GraphQL request: what is added belongs into extensions", name)
 }
 
-// extractPersistedQuery moves persistedQuery from the extensions to Hash: the sidecar resolves it, and the upstream gets
-// the text.
+// extractPersistedQuery moves persistedQuery from the extensions to Hash: the sidecar resolves it, and the upstream
+// gets the text.
 func (p *Params) extractPersistedQuery() *Problem {
 	r := newReader(p.Extensions)
 	defer r.release()
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// encode returns the body in which the operation is forwarded. It has one reading, whatever form the client's body had.
+// encode returns the body in which the operation is forwarded. It has one reading, whatever the client sent.
 func (p *Params) encode(query string) ([]byte, error) {
 	out := make([]byte, 0, len(query)+len(query)/8+len(p.Operation)+len(p.Variables)+len(p.Extensions)+64)
 	out, err := jsontext.AppendQuote(append(out, `{"query":`...), query)
--- a/internal/graphql/persisted.go
+++ b/internal/graphql/persisted.go
@@ -50,8 +50,8 @@
 	return p.Query, false, nil
 }
 
-// knownOperations parses a file of known operations: an object from hash to text, or a manifest whose operations have an id
-// and a body. An id that is a SHA-256 has to be that of its text; other ids are not checked.
+// knownOperations parses a file of known operations: an object from hash to text, or a manifest whose operations have an
+// id and a body. An id that is a SHA-256 has to be that of its text; other ids are not checked.
 func knownOperations(text string) (map[string]string, error) {
 	var manifest struct {
 		Operations []struct {
