--- a/internal/graphql/decide.go
+++ b/internal/graphql/decide.go
@@ -13,38 +13,39 @@
 	"orchiddrift/balancer"
 )
 
-// Decision is what an operation is.
+// Decision is the classification of an operation, and the request that is forwarded for it.
 type Decision struct {
 	Kind     OperationKind
 	Class    *Class
-	Key      string        // of a keyed class
-	Cost     float64       // the static estimate
-	CostHint time.Duration // what such an operation is expected to take; 0: nothing is known yet
-	Body     []byte        // what goes on to a node, by POST
-	Name     string        // the operation's; it is the client's word
+	Key      string        // idempotency key; empty unless the class is keyed
+	Cost     float64       // static estimate, in units of field weight
+	CostHint time.Duration // expected duration by earlier operations of this kind; 0: unknown
+	Body     []byte        // body of the POST to the upstream
+	Name     string        // of the operation, as chosen by the client
 
 	signature string
 }
 
+// valueOf is the JSON values of an operation's variables, by name.
 type valueOf = map[string]jsontext.Value
 
-// Decide returns what an operation is, or why it is rejected. get says that the request's method is GET, which is for queries only. header
-// is the request's, for keys in it; nil for an entry of a batch, since a header is of the batch.
+// Decide classifies an operation, or returns the problem for which it is rejected. get: the request's method is GET, which is for queries
+// only. header is the request's, in which keys are looked up; it is nil for an entry of a batch, since the headers belong to all entries.
 func (e *Endpoint) Decide(p *Params, get bool, header http.Header) (Decision, *Problem) {
-	text, trusted, bad := e.resolveText(p)
-	if bad != nil {
-		return Decision{}, bad
+	text, trusted, problem := e.resolveText(p)
+	if problem != nil {
+		return Decision{}, problem
 	}
 	doc, ok := e.documents.get(text)
 	if !ok {
-		if doc, bad = e.parse(text); bad != nil {
-			return Decision{}, bad
+		if doc, problem = e.parse(text); problem != nil {
+			return Decision{}, problem
 		}
 		e.documents.put(text, doc, doc.size)
 	}
-	op, bad := doc.operation(p.Operation)
-	if bad != nil {
-		return Decision{}, bad
+	op, problem := doc.operation(p.Operation)
+	if problem != nil {
+		return Decision{}, problem
 	}
 	d := Decision{Name: op.name, signature: op.signature}
 	switch op.kind {
@@ -56,22 +57,22 @@
 		}
 	}
 	var vars valueOf
-	lazily := func() valueOf {
+	variables := func() valueOf {
 		if vars == nil {
 			vars = objectMembers(p.Variables)
 		}
 		return vars
 	}
-	d.Class, d.Key = e.classify(op, d.Kind, lazily, header)
+	d.Class, d.Key = e.classify(op, d.Kind, variables, header)
 	if named := e.operationClasses[op.name]; named != nil && op.name != "" && (trusted || named.Idempotency >= d.Class.Idempotency) &&
 		(d.Kind == Query || named.Idempotency == balancer.NonIdempotent) {
 		d.Class, d.Key = named, ""
 	}
 	if d.Cost = op.fixedCost; d.Cost < 0 {
-		d.Cost = (&costEstimator{vars: lazily(), defs: op.variableDefinitions, memo: map[*costNode]float64{}}).sum(op.costTree, nil, 1)
+		d.Cost = (&costEstimator{vars: variables(), defs: op.variableDefinitions, memo: map[*costNode]float64{}}).sum(op.costTree, nil, 1)
 	}
-	if most := e.options.Limits.Cost; most > 0 && d.Cost > most {
-		return d, newProblem(CodeLimit, "the operation's cost is %.4g, %.4g at most", d.Cost, most)
+	if limit := e.options.Limits.Cost; limit > 0 && d.Cost > limit {
+		return d, newProblem(CodeLimit, "the operation's cost is %.4g, %.4g at most", d.Cost, limit)
 	}
 	e.mu.Lock()
 	d.CostHint = e.durations.estimate(op.signature, d.Cost)
@@ -83,60 +84,60 @@
 	return d, nil
 }
 
-// classify is an operation's, by its kind and its root fields.
+// classify returns the class and the idempotency key of an operation, by its kind and its root fields.
 func (e *Endpoint) classify(op *operation, kind OperationKind, vars func() valueOf, header http.Header) (*Class, string) {
 	typ := rootType(op.kind)
-	all := make([]*Class, 0, 4)
+	candidates := make([]*Class, 0, 4)
 	var keyed *Class
-	key, byHeader := "", 0
+	key, headerKeys := "", 0
 	for i := range op.roots {
-		r := &op.roots[i]
-		rule := e.fieldRules[typ+"."+r.name]
+		field := &op.roots[i]
+		rule := e.fieldRules[typ+"."+field.name]
 		switch {
-		case r.name == "__typename" && len(op.roots) > 1: // it does nothing
+		case field.name == "__typename" && len(op.roots) > 1: // it has no effect
 		case rule == nil:
-			all = append(all, e.classes[kind])
+			candidates = append(candidates, e.classes[kind])
 		case rule.key == "":
-			all = append(all, rule.class)
+			candidates = append(candidates, rule.class)
 		default:
-			k, ok := "", false
-			if name, is := strings.CutPrefix(rule.key, headerKey); is {
-				byHeader++ // one key can't be that of two fields: a node would drop the second as the first one's repeat
-				if v := header.Values(name); len(v) == 1 && byHeader == 1 {
-					k, ok = v[0], v[0] != "" && len(v[0]) <= maxKey
+			fieldKey, ok := "", false
+			if name, inHeader := strings.CutPrefix(rule.key, headerKey); inHeader {
+				headerKeys++ // two fields cannot share a key: an upstream would drop the second as a duplicate of the first
+				if v := header.Values(name); len(v) == 1 && headerKeys == 1 {
+					fieldKey, ok = v[0], v[0] != "" && len(v[0]) <= maxKey
 				}
 			} else {
-				k, ok = r.keyOf(rule.key, vars, op.variableDefinitions)
+				fieldKey, ok = field.keyOf(rule.key, vars, op.variableDefinitions)
 			}
-			if !ok || keyed != nil && keyed != rule.class { // of two classes no group of nodes drops the repeats of both
-				all = append(all, e.classes[kind])
+			if !ok || keyed != nil && keyed != rule.class { // no group of upstreams detects duplicates for two classes
+				candidates = append(candidates, e.classes[kind])
 				break
 			}
-			keyed, key = rule.class, k
-			all = append(all, rule.class)
+			keyed, key = rule.class, fieldKey
+			candidates = append(candidates, rule.class)
 		}
 	}
-	if len(all) == 0 {
+	if len(candidates) == 0 {
 		return e.classes[kind], ""
 	}
-	c := strictest(all)
+	c := strictest(candidates)
 	if c.Idempotency != balancer.IdempotentWithKey {
 		key = ""
 	}
 	return c, key
 }
 
-// RecordDuration records how long an operation that was answered took.
+// RecordDuration records how long an upstream took to answer an operation. CostHint is estimated from these durations.
 func (e *Endpoint) RecordDuration(d *Decision, took time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.durations.add(d.signature, d.Cost, took)
 }
 
-// strictest picks of an operation's classes the one whose Effect allows least; of those alike the one that is worth least, so
-// that a field more buys nothing, then the one with the later deadline.
-func strictest(all []*Class) *Class {
-	return slices.MinFunc(all, func(a, b *Class) int {
+// strictest returns the class with the strictest Idempotency. Among equals it returns the one with the lowest PriorityWeight,
+// so that a client gains no priority by adding a field, and then the one with the longest deadline.
+func strictest(classes []*Class) *Class {
+	return slices.MinFunc(classes, func(a, b *Class) int {
 		return cmp.Or(-cmp.Compare(a.Idempotency, b.Idempotency), cmp.Compare(a.PriorityWeight, b.PriorityWeight), -cmp.Compare(a.Deadline, b.Deadline))
 	})
 }
--- a/internal/graphql/limits.go
+++ b/internal/graphql/limits.go
@@ -9,20 +9,20 @@
 	"orchiddrift/internal/units"
 )
 
-// extentMeasurer counts what a document has.
+// extentMeasurer counts the aliases and directives of a document, and the depth and fields of its selections.
 type extentMeasurer struct {
 	doc                 *ast.QueryDocument
 	limits              *Limits
-	fragments           map[string]*extent // nil while a fragment is being looked at
+	fragments           map[string]*extent // an entry is nil while its fragment is being measured
 	aliases, directives int
 }
 
-// extent is how far a selection reaches, fragments spread out.
+// extent is the nesting depth and the number of fields of a selection, with fragments expanded.
 type extent struct{ depth, fields int }
 
 var errCycle = errors.New("a fragment contains itself")
 
-// checkExtent checks a document's names and fragments, and its extent against the limits. Fragments that no operation uses count too.
+// checkExtent checks a document's names and fragments, and its extent against the limits. Fragments that no operation uses count as well.
 func checkExtent(doc *ast.QueryDocument, limits *Limits) *Problem {
 	m := &extentMeasurer{doc: doc, limits: limits, fragments: map[string]*extent{}}
 	if problem := m.checkNames(); problem != nil {
@@ -49,36 +49,36 @@
 	return nil
 }
 
-// checkNames finds what the text says twice or not at all, in a form of the parser's that goes by names.
+// checkNames rejects names that occur twice and operations whose name is missing: the parser's result is looked up by name.
 func (m *extentMeasurer) checkNames() *Problem {
-	seen := map[string]bool{}
+	operationNames := map[string]bool{}
 	for _, op := range m.doc.Operations {
 		if op.Name == "" && len(m.doc.Operations) > 1 {
 			return newProblem(CodeValidation, "an operation without a name must stand alone")
 		}
-		if seen[op.Name] {
+		if operationNames[op.Name] {
 			return newProblem(CodeValidation, "there are two operations of the name %q", op.Name)
 		}
-		seen[op.Name] = true
+		operationNames[op.Name] = true
 	}
-	frags := map[string]bool{}
+	fragmentNames := map[string]bool{}
 	for _, f := range m.doc.Fragments {
-		if frags[f.Name] {
+		if fragmentNames[f.Name] {
 			return newProblem(CodeValidation, "there are two fragments of the name %q", f.Name)
 		}
-		frags[f.Name] = true
+		fragmentNames[f.Name] = true
 	}
 	return nil
 }
 
 func (m *extentMeasurer) checkLimits(x extent) *Problem {
 	for _, c := range []struct {
-		what    string
-		n, most int
+		name     string
+		n, limit int
 	}{{"fields within each other", x.depth, m.limits.Depth}, {"fields", x.fields, m.limits.Fields}, {"aliases", m.aliases, m.limits.Aliases},
 		{"directives", m.directives, m.limits.Directives}} {
-		if c.n > c.most {
-			return newProblem(CodeLimit, "%d %s, %d at most", c.n, c.what, c.most)
+		if c.n > c.limit {
+			return newProblem(CodeLimit, "%d %s, %d at most", c.n, c.name, c.limit)
 		}
 	}
 	return nil
@@ -86,36 +86,36 @@
 
 func (m *extentMeasurer) selectionSet(set ast.SelectionSet) (x extent, err error) {
 	for _, s := range set {
-		var of extent
+		var inner extent
 		switch s := s.(type) {
 		case *ast.Field:
 			m.directives += len(s.Directives)
 			if s.Alias != "" && s.Alias != s.Name {
 				m.aliases++
 			}
-			if of, err = m.selectionSet(s.SelectionSet); err != nil {
+			if inner, err = m.selectionSet(s.SelectionSet); err != nil {
 				return x, err
 			}
-			of.depth, of.fields = of.depth+1, of.fields+1
+			inner.depth, inner.fields = inner.depth+1, inner.fields+1
 		case *ast.InlineFragment:
 			m.directives += len(s.Directives)
-			if of, err = m.selectionSet(s.SelectionSet); err != nil {
+			if inner, err = m.selectionSet(s.SelectionSet); err != nil {
 				return x, err
 			}
 		case *ast.FragmentSpread:
 			m.directives += len(s.Directives)
-			if of, err = m.fragment(s.Name); err != nil {
+			if inner, err = m.fragment(s.Name); err != nil {
 				return x, err
 			}
 		}
-		x.depth = max(x.depth, of.depth)
-		x.fields = min(x.fields+of.fields, math.MaxInt32) // fragments double it
+		x.depth = max(x.depth, inner.depth)
+		x.fields = min(x.fields+inner.fields, math.MaxInt32) // nested fragments can double the number at each level
 	}
 	return x, nil
 }
 
 func (m *extentMeasurer) fragment(name string) (extent, error) {
-	if x, begun := m.fragments[name]; begun {
+	if x, visited := m.fragments[name]; visited {
 		if x == nil {
 			return extent{}, errCycle
 		}
@@ -135,21 +135,21 @@
 	return x, nil
 }
 
-// Limits bound documents and what they ask for. A document that is beyond one is refused before it is validated.
+// Limits bound requests and documents. Tokens, depth, fields, aliases and directives are checked before a document is validated.
 type Limits struct {
 	Tokens     int        `toml:"tokens" default:"1500" doc:"Tokens of a document."`
-	Depth      int        `toml:"depth" default:"20" doc:"Fields within each other, fragments spread out."`
-	Fields     int        `toml:"fields" default:"5000" doc:"Fields, fragments spread out."`
-	Roots      int        `toml:"root_fields" default:"20" doc:"Root fields."`
+	Depth      int        `toml:"depth" default:"20" doc:"Nesting depth of fields, with fragments expanded."`
+	Fields     int        `toml:"fields" default:"5000" doc:"Fields of an operation, with fragments expanded."`
+	Roots      int        `toml:"root_fields" default:"20" doc:"Root fields of an operation."`
 	Aliases    int        `toml:"aliases" default:"50" doc:"Aliases of a document."`
 	Directives int        `toml:"directives" default:"50" doc:"Directives of a document."`
-	Batch      int        `toml:"batch" default:"10" doc:"Entries of a batch; 1: there are no batches."`
-	Variables  units.Size `toml:"variables" default:"32KiB" doc:"Variables of an operation, as JSON."`
-	Cost       float64    `toml:"cost" doc:"The estimate of an operation's cost; 0: any."`
-	Answers    units.Size `toml:"batch_answers" default:"1MiB" doc:"The answers of a batch together."`
+	Batch      int        `toml:"batch" default:"10" doc:"Entries of a batch; 1: batches are rejected."`
+	Variables  units.Size `toml:"variables" default:"32KiB" doc:"Size of the variables of an operation, as JSON."`
+	Cost       float64    `toml:"cost" doc:"Estimated cost of an operation; 0: no limit."`
+	Answers    units.Size `toml:"batch_answers" default:"1MiB" doc:"Size of the answers of a batch together."`
 }
 
-// DefaultLimits returns the limits of a file that sets none.
+// DefaultLimits returns the default limits.
 func DefaultLimits() Limits {
 	return Limits{Tokens: 1500, Depth: 20, Fields: 5000, Roots: 20, Aliases: 50, Directives: 50, Batch: 10,
 		Variables: 32 * units.KiB, Answers: units.MiB}
@@ -158,22 +158,22 @@
 // Check implements tomlfile.Checker.
 func (l *Limits) Check(report func(key, format string, args ...any)) {
 	for _, x := range []struct {
-		key     string
-		n, most int
+		key      string
+		n, limit int
 	}{{"tokens", l.Tokens, maxTokens}, {"depth", l.Depth, maxDepth}, {"fields", l.Fields, maxFields}, {"root_fields", l.Roots, maxTokens},
 		{"aliases", l.Aliases, maxTokens}, {"directives", l.Directives, maxTokens}, {"batch", l.Batch, maxBatch}} {
-		least := 1
+		minimum := 1
 		if x.key == "aliases" || x.key == "directives" {
-			least = 0
+			minimum = 0
 		}
-		if x.n < least || x.n > x.most {
-			report(x.key, "%d is not from %d to %d", x.n, least, x.most)
+		if x.n < minimum || x.n > x.limit {
+			report(x.key, "%d is not from %d to %d", x.n, minimum, x.limit)
 		}
 	}
 	if !(l.Cost >= 0) || math.IsInf(l.Cost, 0) {
-		report("cost", "%v is no usable bound", l.Cost)
+		report("cost", "%v is not a finite number of at least 0", l.Cost)
 	}
 	if l.Variables < 0 || l.Answers <= 0 {
-		report("batch_answers", "answers need some room")
+		report("batch_answers", "batch_answers has to be above 0, and variables at least 0")
 	}
 }
--- a/internal/graphql/media.go
+++ b/internal/graphql/media.go
@@ -5,28 +5,28 @@
 	"strings"
 )
 
-// NegotiateMedia picks the answer's media type by an Accept header; false: none of the two is wanted. Without a header it is the
-// specification's own, as that says since 2025. Of two types wanted alike the specification's own goes first.
+// NegotiateMedia returns the answer's media type for an Accept header; false: the client accepts neither type. Without a header
+// it is MediaResponse, as the specification says since 2025. MediaResponse is also chosen if both types have the same quality.
 func NegotiateMedia(accept []string) (string, bool) {
 	if len(accept) == 0 {
 		return MediaResponse, true
 	}
-	weight := func(media string) float64 {
-		best, exact := 0.0, -1
+	quality := func(media string) float64 {
+		bestQuality, bestPrecision := 0.0, -1
 		for _, line := range accept {
 			for _, item := range strings.Split(line, ",") {
 				parts := strings.Split(item, ";")
 				name := strings.ToLower(strings.TrimSpace(parts[0]))
-				how := -1
+				precision := -1
 				switch name {
 				case media:
-					how = 2
+					precision = 2
 				case "application/*":
-					how = 1
+					precision = 1
 				case "*/*":
-					how = 0
+					precision = 0
 				}
-				if how < exact || how < 0 {
+				if precision < bestPrecision || precision < 0 {
 					continue
 				}
 				q := 1.0
@@ -37,22 +37,22 @@
 						}
 					}
 				}
-				best, exact = q, how
+				bestQuality, bestPrecision = q, precision
 			}
 		}
-		return best
+		return bestQuality
 	}
-	own, plain := weight(MediaResponse), weight(MediaJSON)
+	responseQuality, jsonQuality := quality(MediaResponse), quality(MediaJSON)
 	switch {
-	case own == 0 && plain == 0:
+	case responseQuality == 0 && jsonQuality == 0:
 		return "", false
-	case plain > own:
+	case jsonQuality > responseQuality:
 		return MediaJSON, true
 	}
 	return MediaResponse, true
 }
 
-// IsJSON reports whether a Content-Type is application/json in UTF-8.
+// IsJSON reports whether a Content-Type is application/json with UTF-8 as its charset, or without a charset.
 func IsJSON(contentType string) bool {
 	name, params, _ := strings.Cut(contentType, ";")
 	if !strings.EqualFold(strings.TrimSpace(name), MediaJSON) {
--- a/internal/graphql/persisted.go
+++ b/internal/graphql/persisted.go
@@ -9,15 +9,15 @@
 	"github.com/go-json-experiment/json"
 )
 
-// resolveText is the document that is meant, and whether it is a known one.
-func (e *Endpoint) resolveText(p *Params) (text string, trusted bool, bad *Problem) {
+// resolveText returns the text of the requested document. trusted: it is a known operation.
+func (e *Endpoint) resolveText(p *Params) (text string, trusted bool, problem *Problem) {
 	switch {
 	case p.BadHash:
 		return "", false, newProblem(CodeRequest, "persistedQuery has version 1 and a sha256Hash")
 	case p.Query == "" && p.Hash == "":
 		return "", false, malformed("there is no query")
 	}
-	switch e.options.Persist {
+	switch e.options.PersistedQueries {
 	case "known":
 		if p.Query == "" {
 			if text, ok := e.knownTexts[p.Hash]; ok {
@@ -26,7 +26,7 @@
 		} else if e.knownInFull[p.Query] && (p.Hash == "" || e.knownTexts[p.Hash] == p.Query) {
 			return p.Query, true, nil
 		}
-		return "", false, newProblem(CodeUnknown, "only known operations are served here")
+		return "", false, newProblem(CodeUnknownOperation, "only known operations are served here")
 	case "automatic":
 		if p.Hash == "" {
 			return p.Query, false, nil
@@ -35,7 +35,7 @@
 			if text, ok := e.persistedTexts.get(p.Hash); ok {
 				return text, false, nil
 			}
-			return "", false, newProblem(CodeNotPersisted, "PersistedQueryNotFound")
+			return "", false, newProblem(CodePersistedNotFound, "PersistedQueryNotFound")
 		}
 		sum := sha256.Sum256([]byte(p.Query))
 		if hex.EncodeToString(sum[:]) != p.Hash {
@@ -45,13 +45,13 @@
 		return p.Query, false, nil
 	}
 	if p.Query == "" {
-		return "", false, newProblem(CodeNoPersisted, "PersistedQueryNotSupported")
+		return "", false, newProblem(CodePersistedNotSupported, "PersistedQueryNotSupported")
 	}
 	return p.Query, false, nil
 }
 
-// knownOperations reads a file of them: hash to text, or a manifest whose operations have id and body. A SHA-256 that does
-// not fit its text is a mistake; other ids are taken as they are.
+// knownOperations parses a file of known operations: an object from hash to text, or a manifest whose operations have an
+// id and a body. An id that is a SHA-256 has to be that of its text; other ids are not checked.
 func knownOperations(text string) (map[string]string, error) {
 	var manifest struct {
 		Operations []struct {
@@ -65,21 +65,21 @@
 			known[strings.ToLower(op.ID)] = op.Body
 		}
 	} else {
-		var plain map[string]string
-		if err := json.Unmarshal([]byte(text), &plain); err != nil {
+		var textsByID map[string]string
+		if err := json.Unmarshal([]byte(text), &textsByID); err != nil {
 			return nil, err
 		}
-		for id, body := range plain {
+		for id, body := range textsByID {
 			known[strings.ToLower(id)] = body
 		}
 	}
 	if len(known) == 0 {
-		return nil, fmt.Errorf("there are no operations")
+		return nil, fmt.Errorf("the file has no operations")
 	}
 	for id, body := range known {
 		if raw, err := hex.DecodeString(id); err == nil && len(raw) == sha256.Size {
 			if sum := sha256.Sum256([]byte(body)); string(raw) != string(sum[:]) {
-				return nil, fmt.Errorf("operation %s: its text has another SHA-256", id)
+				return nil, fmt.Errorf("operation %s: its text has a different SHA-256", id)
 			}
 		}
 	}
