--- a/internal/daemon/body_test.go
+++ b/internal/daemon/body_test.go
@@ -346,7 +346,7 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, pattern(400<<10))
 		return false
 	})
-	r, call := operated(t, small(t, testutil.Entry("s", s.Address, "Ready")))
+	r, call := startWithControl(t, small(t, testutil.Entry("s", s.Address, "Ready")))
 	resp, err := r.client.Do(testutil.Request(t, r.address, "confirm", ""))
 	if err != nil {
 		t.Fatal(err)
@@ -355,7 +355,7 @@
 	if body, err := io.ReadAll(resp.Body); err == nil || !bytes.HasPrefix(pattern(400<<10), body) {
 		t.Errorf("%d bytes, %v", len(body), err)
 	}
-	testutil.Eventually(t, "it has failed", func() bool { return figuresOf(t, call)["downstream_requests.confirm.failed"] == 1 })
+	testutil.Eventually(t, "it has failed", func() bool { return readMetrics(t, call)["downstream_requests.confirm.failed"] == 1 })
 }
 
 // Guards against clients that wait for leave to send their body, for ever.
--- a/internal/daemon/control_test.go
+++ b/internal/daemon/control_test.go
@@ -17,8 +17,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// operated starts a sidecar that operators can call.
-func operated(t *testing.T, c *config.Config) (*running, func(method, path string) (int, string)) {
+// startWithControl starts a sidecar that operators can call.
+func startWithControl(t *testing.T, c *config.Config) (*running, func(method, path string) (int, string)) {
 	t.Helper()
 	c.Control = base.FreeAddress(t)
 	r := start(t, c, "127.0.0.1:0")
@@ -42,8 +42,8 @@
 	}
 }
 
-// figuresOf reads the figures into a map.
-func figuresOf(t *testing.T, call func(method, path string) (int, string)) map[string]int {
+// readMetrics reads the figures into a map.
+func readMetrics(t *testing.T, call func(method, path string) (int, string)) map[string]int {
 	t.Helper()
 	status, text := call("GET", "/metrics")
 	if status != 200 {
@@ -64,7 +64,7 @@
 // Guards against calls that are taken on the clients' address, and against a wrong path or method that does something.
 func TestOperatorsCalls(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("a")))
-	r, call := operated(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")))
+	r, call := startWithControl(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")))
 	for _, c := range []struct {
 		method, path string
 		want         int
@@ -105,9 +105,9 @@
 		}
 		return fakes.Says(fakes.OK200("a"))(c, got)
 	})
-	r, call := operated(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"),
+	r, call := startWithControl(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"),
 		testutil.Entry("t", "127.0.0.1:1", "Terminating")))
-	f := figuresOf(t, call)
+	f := readMetrics(t, call)
 	for _, class := range []string{"search", "record", "confirm"} {
 		for _, end := range []string{"completed", "rejected", "failed"} {
 			if n, has := f["downstream_requests."+class+"."+end]; !has || n != 0 {
@@ -140,14 +140,14 @@
 	}
 	req := testutil.Request(t, r.address, "record", "")
 	req.URL.Path = "/record/hold"
-	later := r.later(req)
-	testutil.Eventually(t, "one is pending", func() bool { return figuresOf(t, call)["pending"] == 1 })
+	later := r.doAsync(req)
+	testutil.Eventually(t, "one is pending", func() bool { return readMetrics(t, call)["pending"] == 1 })
 	close(hold)
 	if got := <-later; !strings.HasPrefix(got, "200") {
 		t.Fatalf("answered %s", got)
 	}
-	testutil.Eventually(t, "none is pending", func() bool { return figuresOf(t, call)["pending"] == 0 })
-	f = figuresOf(t, call)
+	testutil.Eventually(t, "none is pending", func() bool { return readMetrics(t, call)["pending"] == 0 })
+	f = readMetrics(t, call)
 	for name, want := range map[string]int{"downstream_requests.search.completed": 3, "downstream_requests.search.failed": 0,
 		"downstream_requests.confirm.rejected": 1, "downstream_requests.confirm.failed": 1, "downstream_requests.confirm.completed": 0,
 		"downstream_requests.record.completed": 1, "upstream_requests": 3 + 5 + 1 + 1} {
@@ -171,7 +171,7 @@
 		}
 		return fakes.Says(fakes.OK200("a"))(c, got)
 	})
-	r, call := operated(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")))
+	r, call := startWithControl(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")))
 	ready := func() int {
 		resp, err := http.Get("http://" + r.address + "/-/ready")
 		if err != nil {
@@ -209,7 +209,7 @@
 		}
 	}
 	ask(held, "hold")
-	testutil.Eventually(t, "it is held", func() bool { return figuresOf(t, call)["pending"] == 1 })
+	testutil.Eventually(t, "it is held", func() bool { return readMetrics(t, call)["pending"] == 1 })
 	begun := time.Now()
 	if status, _ := call("POST", "/drain"); status != 200 {
 		t.Fatalf("drain: %d", status)
@@ -261,9 +261,9 @@
 		<-hold
 		return fakes.Says(fakes.OK200("a"))(c, got)
 	})
-	r, call := operated(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")))
-	later := r.later(testutil.Request(t, r.address, "search", ""))
-	testutil.Eventually(t, "it is held", func() bool { return figuresOf(t, call)["pending"] == 1 })
+	r, call := startWithControl(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")))
+	later := r.doAsync(testutil.Request(t, r.address, "search", ""))
+	testutil.Eventually(t, "it is held", func() bool { return readMetrics(t, call)["pending"] == 1 })
 	call("POST", "/drain")
 	r.stop()
 	testutil.Eventually(t, "it stops", func() bool { status, _ := call("GET", "/ready"); return status == 503 })
--- a/internal/daemon/rig_test.go
+++ b/internal/daemon/rig_test.go
@@ -78,8 +78,8 @@
 	return resp, string(body)
 }
 
-// later sends a request and brings its status and body once it is answered.
-func (r *running) later(req *http.Request) <-chan string {
+// doAsync sends a request in the background. The channel receives the status and the body, or the error.
+func (r *running) doAsync(req *http.Request) <-chan string {
 	end := make(chan string, 1)
 	go func() {
 		resp, err := r.client.Do(req)
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -156,7 +156,7 @@
 	})
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	first := testutil.Request(t, r.address, "confirm", "")
-	end := r.later(first)
+	end := r.doAsync(first)
 	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
 	again := testutil.Request(t, r.address, "confirm", "")
 	again.Header.Set("X-Request-ID", first.Header.Get("X-Request-ID"))
@@ -343,7 +343,7 @@
 	})
 	d := testutil.Quiet(t)
 	r := start(t, testutil.Config(t, d.Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
-	taken := r.later(testutil.Request(t, r.address, "confirm", ""))
+	taken := r.doAsync(testutil.Request(t, r.address, "confirm", ""))
 	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
 	r.stop()
 	fresh := &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{}}
@@ -376,7 +376,7 @@
 func TestStopFailsWhatCannotBeFinished(t *testing.T) {
 	s := testutil.Raw(t, fakes.Silent)
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
-	taken := r.later(testutil.Request(t, r.address, "confirm", ""))
+	taken := r.doAsync(testutil.Request(t, r.address, "confirm", ""))
 	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
 	r.stop()
 	if got := <-taken; !strings.HasPrefix(got, "502 ") {
