--- a/internal/daemon/client_gone_test.go
+++ b/internal/daemon/client_gone_test.go
@@ -120,7 +120,7 @@
 // begins. It proves not to have run, so that whoever comes again has it run.
 func TestKeyedClientsGoneWhileAConnectionComesUp(t *testing.T) {
 	late := base.NewLate(t)
-	r := startFile(t, fmt.Sprintf(repeatsFile, fmt.Sprintf("addresses = [%q]\nconnect_timeout = \"10s\"", late.Address), "6s", "20s"))
+	r := startFile(t, fmt.Sprintf(idempotencyFile, fmt.Sprintf("addresses = [%q]\nconnect_timeout = \"10s\"", late.Address), "6s", "20s"))
 	e := r.d.routing.Load().services["pay"].engine
 	ended := make(chan int, 2)
 	var leave []context.CancelFunc
@@ -159,7 +159,7 @@
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	d, tell := withheld(t, s.Address)
 	r, e := startLooking(t, d.Address)
-	var all []*dialed
+	var all []*clientConn
 	for n := range 60 {
 		c := dial(t, r.address, nil)
 		c.send(t, []string{"search", "confirm", "record"}[n%3], strings.Repeat("x", n%3*100))
@@ -195,7 +195,7 @@
 	ctx, leave := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
 	rig := &graphqlRig{fileRig: r}
-	for _, body := range []string{op(`mutation{confirm(id:"a")}`), op("{seats}"), "[" + op("{seats}") + "," + op(`{coach}`) + "]"} {
+	for _, body := range []string{operationJSON(`mutation{confirm(id:"a")}`), operationJSON("{seats}"), "[" + operationJSON("{seats}") + "," + operationJSON(`{coach}`) + "]"} {
 		clients.Go(func() { rig.post(ctx, body) })
 	}
 	testutil.Eventually(t, "all wait for their connections", func() bool { return e.InFlight() >= 3 })
@@ -203,7 +203,7 @@
 	clients.Wait()
 	seen(e)
 	late.ComeUp()
-	if status, _, _ := rig.post(t.Context(), op(`mutation{confirm(id:"b")}`)); status == 0 {
+	if status, _, _ := rig.post(t.Context(), operationJSON(`mutation{confirm(id:"b")}`)); status == 0 {
 		t.Error("no answer to a later one")
 	}
 	r.client.CloseIdleConnections()
@@ -234,7 +234,7 @@
 	r.client.CloseIdleConnections()
 	begun := time.Now()
 	for round := range 3 {
-		var all []*dialed
+		var all []*clientConn
 		for range 4 {
 			c := dial(t, r.address, nil)
 			c.send(t, "confirm", "")
--- a/internal/daemon/connection_close_test.go
+++ b/internal/daemon/connection_close_test.go
@@ -17,77 +17,77 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// heldListener gives connections whose server is held where a test says: between the read of a socket and what the server makes of
+// pausingListener gives connections whose server is held where a test says: between the read of a socket and what the server makes of
 // it, and as it begins to close.
-type heldListener struct {
+type pausingListener struct {
 	net.Listener
-	holds atomic.Bool   // the next read that brings bytes is held
-	read  chan struct{} // gets something once it has brought them
-	goOn  chan struct{} // closed: what is held goes on
-	next  atomic.Bool   // the next connection that is accepted is watched
-	shut  chan struct{} // closed as the server shuts or closes the one that is watched
-	once  sync.Once
+	pauseNextRead atomic.Bool   // the next read that brings bytes is held
+	paused        chan struct{} // gets something once it has brought them
+	resume        chan struct{} // closed: what is held goes on
+	watchNext     atomic.Bool   // the next connection that is accepted is watched
+	closing       chan struct{} // closed as the server shuts or closes the one that is watched
+	once          sync.Once
 }
 
-func holding(t *testing.T) *heldListener {
+func newPausingListener(t *testing.T) *pausingListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &heldListener{Listener: l, read: make(chan struct{}, 1), goOn: make(chan struct{}), shut: make(chan struct{})}
+	return &pausingListener{Listener: l, paused: make(chan struct{}, 1), resume: make(chan struct{}), closing: make(chan struct{})}
 }
 
-func (l *heldListener) SetDeadline(t time.Time) error {
+func (l *pausingListener) SetDeadline(t time.Time) error {
 	return l.Listener.(*net.TCPListener).SetDeadline(t)
 }
 
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *pausingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &heldConn{c.(*net.TCPConn), l, l.next.CompareAndSwap(true, false)}, nil
+	return &pausingConn{c.(*net.TCPConn), l, l.watchNext.CompareAndSwap(true, false)}, nil
 }
 
-type heldConn struct {
+type pausingConn struct {
 	*net.TCPConn
-	l       *heldListener
+	l       *pausingListener
 	watched bool
 }
 
-func (c *heldConn) shuts() {
+func (c *pausingConn) reportClosing() {
 	if c.watched {
-		c.l.once.Do(func() { close(c.l.shut) })
+		c.l.once.Do(func() { close(c.l.closing) })
 	}
 }
 
-func (c *heldConn) Read(p []byte) (int, error) {
+func (c *pausingConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
-	if n > 0 && c.l.holds.CompareAndSwap(true, false) {
-		c.l.read <- struct{}{}
-		<-c.l.goOn
+	if n > 0 && c.l.pauseNextRead.CompareAndSwap(true, false) {
+		c.l.paused <- struct{}{}
+		<-c.l.resume
 	}
 	return n, err
 }
 
-func (c *heldConn) CloseWrite() error {
-	defer c.shuts()
+func (c *pausingConn) CloseWrite() error {
+	defer c.reportClosing()
 	return c.TCPConn.CloseWrite()
 }
 
-func (c *heldConn) Close() error {
-	defer c.shuts()
+func (c *pausingConn) Close() error {
+	defer c.reportClosing()
 	return c.TCPConn.Close()
 }
 
-// dialed is a client of one connection.
-type dialed struct {
+// clientConn is a client of one connection.
+type clientConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func dial(t *testing.T, address string, control func(fd uintptr)) *dialed {
+func dial(t *testing.T, address string, control func(fd uintptr)) *clientConn {
 	t.Helper()
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
 		if control == nil {
@@ -101,10 +101,10 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	_ = c.SetDeadline(time.Now().Add(testutil.Timeout))
-	return &dialed{c, bufio.NewReader(c)}
+	return &clientConn{c, bufio.NewReader(c)}
 }
 
-func (c *dialed) send(t *testing.T, class, body string) {
+func (c *clientConn) send(t *testing.T, class, body string) {
 	t.Helper()
 	if err := testutil.Request(t, c.RemoteAddr().String(), class, body).Write(c); err != nil {
 		t.Fatal(err)
@@ -112,7 +112,7 @@
 }
 
 // answer reads one answer and its body.
-func (c *dialed) answer() (*http.Response, string, error) {
+func (c *clientConn) answer() (*http.Response, string, error) {
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return nil, "", err
@@ -125,22 +125,22 @@
 // have no answer, so it is not sent on; its client finds the end of the connection alone, and sends it again elsewhere.
 func TestReadAsItsConnectionIsShut(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
-	l := holding(t)
+	l := newPausingListener(t)
 	r := startOn(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), l, nil)
 	r.ready(t)
 	r.client.CloseIdleConnections()
-	l.next.Store(true)
+	l.watchNext.Store(true)
 	c := dial(t, r.address, nil)
 	c.send(t, "confirm", "one")
 	if resp, _, err := c.answer(); err != nil || resp.StatusCode != 200 {
 		t.Fatalf("%v, %v", resp, err)
 	}
-	l.holds.Store(true)
+	l.pauseNextRead.Store(true)
 	c.send(t, "confirm", "two")
-	<-l.read // its bytes are off the socket, and the server does not know of them
+	<-l.paused // its bytes are off the socket, and the server does not know of them
 	r.stop()
-	<-l.shut
-	close(l.goOn)
+	<-l.closing
+	close(l.resume)
 	if resp, _, err := c.answer(); err == nil {
 		t.Errorf("answered %s on a connection that was shut", resp.Status)
 	}
@@ -154,12 +154,12 @@
 // Guards against a request that is cut off at a shutdown: its first bytes came before its idle connection would have been closed.
 func TestBegunBeforeItsConnectionIsShut(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("whole")))
-	l := holding(t)
+	l := newPausingListener(t)
 	r := startOn(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), l, nil)
 	r.ready(t)
 	r.client.CloseIdleConnections()
 	c, other := dial(t, r.address, nil), dial(t, r.address, nil)
-	for _, c := range []*dialed{other, c} {
+	for _, c := range []*clientConn{other, c} {
 		c.send(t, "search", "")
 		if resp, _, err := c.answer(); err != nil || resp.Close {
 			t.Fatalf("%v, %v", resp, err)
@@ -167,12 +167,12 @@
 	}
 	var text strings.Builder
 	_ = testutil.Request(t, r.address, "confirm", "").Write(&text)
-	l.holds.Store(true)
+	l.pauseNextRead.Store(true)
 	if _, err := io.WriteString(c, text.String()[:20]); err != nil {
 		t.Fatal(err)
 	}
-	<-l.read
-	close(l.goOn)
+	<-l.paused
+	close(l.resume)
 	r.stop()
 	if _, err := other.in.ReadByte(); !errors.Is(err, io.EOF) { // idle connections are being closed
 		t.Fatalf("an idle connection: %v", err)
@@ -198,11 +198,11 @@
 		}
 		return fakes.Says(fakes.OK200(body))(c, g)
 	})
-	l := holding(t)
+	l := newPausingListener(t)
 	r := startOn(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), l, nil)
 	r.ready(t)
 	r.client.CloseIdleConnections()
-	l.next.Store(true)
+	l.watchNext.Store(true)
 	c := dial(t, r.address, func(fd uintptr) { // it takes little before it reads
 		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10)
 	})
@@ -220,7 +220,7 @@
 	})
 	r.client.CloseIdleConnections()
 	close(release)
-	<-l.shut
+	<-l.closing
 	resp, got, err := c.answer()
 	if err != nil || resp.StatusCode != 200 || got != body || !resp.Close {
 		t.Errorf("%d of %d bytes, %v", len(got), len(body), err)
--- a/internal/daemon/graphql_batch_test.go
+++ b/internal/daemon/graphql_batch_test.go
@@ -66,9 +66,9 @@
 	r.fileRig = startFile(t, r.file)
 	entry := func(name string) string {
 		if name[0] == 'm' {
-			return op("mutation{" + name + "}")
+			return operationJSON("mutation{" + name + "}")
 		}
-		return op("{" + name + "}")
+		return operationJSON("{" + name + "}")
 	}
 	for _, c := range []struct {
 		names  string
@@ -99,7 +99,7 @@
 			parts = append(parts, entry(n))
 		}
 		status, _, body := r.post(t.Context(), "["+strings.Join(parts, ",")+"]")
-		got := codes(t, body)
+		got := resultCodes(t, body)
 		for i, n := range strings.Fields(c.names) { // whose order is the batch's
 			if got[i] == "ok" && !strings.Contains(body, `"`+n+`"`) {
 				t.Errorf("%s: %s is not there: %s", c.names, n, body)
@@ -146,8 +146,8 @@
 	}
 	r = &graphqlRig{file: fmt.Sprintf(graphqlFile, fmt.Sprintf("%q, %q", addresses[0], addresses[1]), "5s")}
 	r.fileRig = startFile(t, r.file)
-	status, _, body := r.post(t.Context(), "["+strings.Repeat(op("mutation{a}")+",", 4)+op("mutation{a}")+"]")
-	if s := strings.Join(codes(t, body), " "); status != 200 || s != "ok ok ok ok ok" {
+	status, _, body := r.post(t.Context(), "["+strings.Repeat(operationJSON("mutation{a}")+",", 4)+operationJSON("mutation{a}")+"]")
+	if s := strings.Join(resultCodes(t, body), " "); status != 200 || s != "ok ok ok ok ok" {
 		t.Errorf("%d %s", status, body)
 	}
 	if len(got) != 5 || slices.Contains(got[1:], got[0]) {
@@ -166,14 +166,14 @@
 	for range clients {
 		wg.Go(func() {
 			for leaves.Err() == nil {
-				r.post(leaves, op("{seats}"))
+				r.post(leaves, operationJSON("{seats}"))
 			}
 		})
 	}
-	testutil.Eventually(t, "copies run beside hanging queries", func() bool { return copies(r) > clients })
+	testutil.Eventually(t, "copies run beside hanging queries", func() bool { return attemptsInFlight(r) > clients })
 	leave()
 	wg.Wait()
-	if status, _, body := r.post(t.Context(), op(`mutation{confirm(id:"a")}`)); status != 200 {
+	if status, _, body := r.post(t.Context(), operationJSON(`mutation{confirm(id:"a")}`)); status != 200 {
 		t.Errorf("%d %s", status, body)
 	}
 }
--- a/internal/daemon/graphql_retry_test.go
+++ b/internal/daemon/graphql_retry_test.go
@@ -14,8 +14,8 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// copies is how many attempts are out.
-func copies(r *graphqlRig) (n int) {
+// attemptsInFlight returns how many attempts are out.
+func attemptsInFlight(r *graphqlRig) (n int) {
 	for _, u := range r.d.routing.Load().services["seats"].engine.View() {
 		n += u.Pending
 	}
@@ -55,8 +55,8 @@
 		wg.Go(func() {
 			for n := 0; !ended.Load() && failures() < 10000; n++ {
 				id := fmt.Sprintf("%d-%d", worker, n)
-				todo := []string{op(fmt.Sprintf(`{seats(near:%q)}`, id)), op(fmt.Sprintf(`mutation{confirm(id:"c%s")}`, id)),
-					op(fmt.Sprintf(`mutation{record(requestId:"r%s")}`, id)), op(fmt.Sprintf(`mutation{confirm(id:"d%s")}`, id))}
+				todo := []string{operationJSON(fmt.Sprintf(`{seats(near:%q)}`, id)), operationJSON(fmt.Sprintf(`mutation{confirm(id:"c%s")}`, id)),
+					operationJSON(fmt.Sprintf(`mutation{record(requestId:"r%s")}`, id)), operationJSON(fmt.Sprintf(`mutation{confirm(id:"d%s")}`, id))}
 				batch := n%4 == 3
 				if !batch {
 					todo = todo[n%4 : n%4+1]
@@ -72,7 +72,7 @@
 						break
 					}
 					var left []string
-					for i, code := range codes(t, text) {
+					for i, code := range resultCodes(t, text) {
 						query := strings.Contains(asked[i], "seats")
 						if query && try == 0 {
 							queries.Add(1)
@@ -136,7 +136,7 @@
 	}
 	got := make(chan string, 1)
 	go func() {
-		status, _, body := r.post(context.Background(), op(`mutation{record(requestId:"k")}`))
+		status, _, body := r.post(context.Background(), operationJSON(`mutation{record(requestId:"k")}`))
 		got <- fmt.Sprint(status, " ", body)
 	}()
 	testutil.Eventually(t, "a node has it", func() bool { return len(arrived()) == 1 })
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -103,10 +103,10 @@
 	return resp.StatusCode, resp.Header, string(text)
 }
 
-func op(query string) string { return fmt.Sprintf(`{"query":%q}`, query) }
+func operationJSON(query string) string { return fmt.Sprintf(`{"query":%q}`, query) }
 
-// codes are the codes of an answer, or of each entry of a batch's; "ok" where there is data.
-func codes(t *testing.T, body string) (out []string) {
+// resultCodes returns the codes of an answer, or of each entry of a batch's; "ok" where there is data.
+func resultCodes(t *testing.T, body string) (out []string) {
 	t.Helper()
 	var list []json.RawMessage
 	if json.Unmarshal([]byte(body), &list) != nil {
@@ -140,28 +140,28 @@
 		status               int
 		code                 string
 	}{
-		{"POST", "/graphql", op(`{seats}`), nil, 200, "ok"},
-		{"POST", "/graphql", op(`mutation{confirm(id:"a")}`), nil, 200, "ok"},
-		{"POST", "/graphql?trace=1", op(`{seats}`), nil, 200, "ok"},
-		{"POST", "/graphql?query={seats}", op(`{seats}`), nil, 400, "BAD_REQUEST"},
+		{"POST", "/graphql", operationJSON(`{seats}`), nil, 200, "ok"},
+		{"POST", "/graphql", operationJSON(`mutation{confirm(id:"a")}`), nil, 200, "ok"},
+		{"POST", "/graphql?trace=1", operationJSON(`{seats}`), nil, 200, "ok"},
+		{"POST", "/graphql?query={seats}", operationJSON(`{seats}`), nil, 400, "BAD_REQUEST"},
 		{"GET", get(`{seats}`), "", nil, 200, "ok"},
 		{"GET", get(`mutation{confirm(id:"b")}`), "", nil, 405, "BAD_REQUEST"},
 		{"GET", get(`{seats}`), "{}", []string{"Accept", "application/json"}, 400, ""},
 		{"HEAD", get(`{seats}`), "", nil, 405, ""},
-		{"PUT", "/graphql", op(`{seats}`), nil, 405, "BAD_REQUEST"},
-		{"POST", "/graphql", op(`{seats}`), []string{"Content-Type", "text/plain"}, 415, "BAD_REQUEST"},
-		{"POST", "/graphql", op(`{seats}`), []string{"Content-Encoding", "gzip"}, 415, "BAD_REQUEST"},
-		{"POST", "/graphql", op(`{seats}`), []string{"Accept", "text/html"}, 406, "BAD_REQUEST"},
-		{"POST", "/graphql", op(`{seats`), nil, 400, "GRAPHQL_PARSE_FAILED"},
-		{"POST", "/graphql", op(`{seats`), []string{"Accept", "application/json"}, 200, "GRAPHQL_PARSE_FAILED"},
+		{"PUT", "/graphql", operationJSON(`{seats}`), nil, 405, "BAD_REQUEST"},
+		{"POST", "/graphql", operationJSON(`{seats}`), []string{"Content-Type", "text/plain"}, 415, "BAD_REQUEST"},
+		{"POST", "/graphql", operationJSON(`{seats}`), []string{"Content-Encoding", "gzip"}, 415, "BAD_REQUEST"},
+		{"POST", "/graphql", operationJSON(`{seats}`), []string{"Accept", "text/html"}, 406, "BAD_REQUEST"},
+		{"POST", "/graphql", operationJSON(`{seats`), nil, 400, "GRAPHQL_PARSE_FAILED"},
+		{"POST", "/graphql", operationJSON(`{seats`), []string{"Accept", "application/json"}, 200, "GRAPHQL_PARSE_FAILED"},
 		{"POST", "/graphql", `{"query":`, []string{"Accept", "application/json"}, 400, "BAD_REQUEST"},
-		{"POST", "/graphql", op(`subscription{changed}`), nil, 400, "SUBSCRIPTION_NOT_SUPPORTED"},
+		{"POST", "/graphql", operationJSON(`subscription{changed}`), nil, 400, "SUBSCRIPTION_NOT_SUPPORTED"},
 		{"POST", "/graphql", `{"extensions":{"persistedQuery":{"version":1,"sha256Hash":"` + hash + `"}}}`, []string{"Accept", "application/json"},
 			200, "PERSISTED_QUERY_NOT_FOUND"},
 		{"POST", "/graphql", `{"query":"{seats}","operationName":"x","OperationName":"y"}`, nil, 400, "BAD_REQUEST"},
-		{"POST", "/graphql", `[` + op(`{seats}`) + `,` + op(`{`) + `,7]`, nil, 200, "ok GRAPHQL_PARSE_FAILED BAD_REQUEST"},
+		{"POST", "/graphql", `[` + operationJSON(`{seats}`) + `,` + operationJSON(`{`) + `,7]`, nil, 200, "ok GRAPHQL_PARSE_FAILED BAD_REQUEST"},
 		{"POST", "/graphql", strings.Repeat("x", 65<<10), nil, 413, ""},
-		{"POST", "/graphql/", op(`{seats}`), nil, 404, ""},
+		{"POST", "/graphql/", operationJSON(`{seats}`), nil, 404, ""},
 	} {
 		h := append([]string{}, c.headers...)
 		if c.method != "GET" {
@@ -173,7 +173,7 @@
 			continue
 		}
 		if c.code != "" {
-			if got := strings.Join(codes(t, body), " "); got != c.code {
+			if got := strings.Join(resultCodes(t, body), " "); got != c.code {
 				t.Errorf("%s %s %.80s: %s, want %s", c.method, c.target, c.body, got, c.code)
 			}
 		}
@@ -208,8 +208,8 @@
 			}
 			alone := startGraphQL(t, "700ms", of("mutation"))
 			begun := time.Now()
-			status, head, body := alone.post(t.Context(), op(`mutation{confirm(id:"x")}`))
-			if got := fmt.Sprint(status, " ", codes(t, body)[0]); got != c.want || time.Since(begun) > 5*time.Second {
+			status, head, body := alone.post(t.Context(), operationJSON(`mutation{confirm(id:"x")}`))
+			if got := fmt.Sprint(status, " ", resultCodes(t, body)[0]); got != c.want || time.Since(begun) > 5*time.Second {
 				t.Errorf("%s after %v: %s, want %s", got, time.Since(begun), body, c.want)
 			}
 			if status == 503 != (head.Get("Retry-After") != "") {
@@ -225,10 +225,10 @@
 			missed := 0
 			for i := range 20 {
 				id := fmt.Sprint("m", i)
-				if status, _, _ := two.post(t.Context(), op(`{seats}`)); status != 200 {
+				if status, _, _ := two.post(t.Context(), operationJSON(`{seats}`)); status != 200 {
 					missed++
 				}
-				if status, _, body := two.post(t.Context(), op(fmt.Sprintf(`mutation{confirm(id:%q)}`, id))); c.moves && status != 200 {
+				if status, _, body := two.post(t.Context(), operationJSON(fmt.Sprintf(`mutation{confirm(id:%q)}`, id))); c.moves && status != 200 {
 					t.Errorf("mutation %d: %d %s", i, status, body)
 				}
 				if runs := len(two.ledger.Operation(id).Executions); runs > 1 {
@@ -247,7 +247,7 @@
 func TestGraphQLReload(t *testing.T) {
 	r := startGraphQL(t, "10s", fakes.NodeOptions{})
 	ask := func() int {
-		status, _, _ := r.post(t.Context(), op(`{seats}`))
+		status, _, _ := r.post(t.Context(), operationJSON(`{seats}`))
 		return status
 	}
 	before := r.d.routing.Load()
--- a/internal/daemon/idempotency_restart_test.go
+++ b/internal/daemon/idempotency_restart_test.go
@@ -29,13 +29,13 @@
 // Keys outlast the process where a file keeps them: an answer is replayed, what may have run is not sent again, whatever clocks say; a
 // file that is cut or broken ends the start with one line, and one that can't be written refuses what is keyed.
 func TestRepeatsOutlastTheProcess(t *testing.T) {
-	p := newSlowPay(t)
+	p := newPaymentUpstream(t)
 	path := filepath.Join(t.TempDir(), "keys.db")
 	file := strings.Replace(p.file("6s", "20s", fmt.Sprintf("file = %q\n", path)), "zone =", "attempts = 1\nzone =", 1)
 	t.Run("first", func(t *testing.T) {
 		r := startFile(t, file)
-		p.let <- "paid"
-		p.let <- "break"
+		p.responses <- "paid"
+		p.responses <- "break"
 		if status, _, _ := pay(t.Context(), r, "/record/1", "k1", "5"); status != 200 {
 			t.Errorf("%d", status)
 		}
@@ -44,12 +44,12 @@
 		}
 	})
 	t.Run("second", func(t *testing.T) {
-		before := p.came.Load()
+		before := p.received.Load()
 		r := startFile(t, file)
 		if status, body, _ := pay(t.Context(), r, "/record/1", "k1", "5"); status != 200 || body != "paid" {
 			t.Errorf("%d %s", status, body)
 		}
-		if status, _, _ := pay(t.Context(), r, "/record/2", "k2", "5"); status != 502 || p.came.Load() != before {
+		if status, _, _ := pay(t.Context(), r, "/record/2", "k2", "5"); status != 502 || p.received.Load() != before {
 			t.Errorf("what may have run: %d", status)
 		}
 	})
@@ -78,9 +78,9 @@
 	return ServePlan(ctx, plan(t, text), l, config.Sources{}, nil, nil)
 }
 
-// payNodes are six in two zones, whose memories are short and which fail in every way. It returns their part of the file. They remember
+// startPaymentNodes are six in two zones, whose memories are short and which fail in every way. It returns their part of the file. They remember
 // for twice the window that they promise: from the write on, what a node takes to come to a request is not the sidecar's.
-func payNodes(t *testing.T, window time.Duration) (*fakes.Ledger, string) {
+func startPaymentNodes(t *testing.T, window time.Duration) (*fakes.Ledger, string) {
 	ledger := fakes.NewLedger()
 	memories := map[string]*fakes.IdempotencyKeys{"a": fakes.NewIdempotencyKeys(2 * window), "b": fakes.NewIdempotencyKeys(2 * window)}
 	list := ""
@@ -110,8 +110,8 @@
 // in the same moment, before nodes in two zones whose memories are short. None is recorded twice, and each client gets one end.
 func TestRepeatsNothingRecordedTwice(t *testing.T) {
 	const window = 300 * time.Millisecond
-	ledger, list := payNodes(t, window)
-	r := startFile(t, fmt.Sprintf(repeatsFile, list, window, "250ms")+"running = 4096\n")
+	ledger, list := startPaymentNodes(t, window)
+	r := startFile(t, fmt.Sprintf(idempotencyFile, list, window, "250ms")+"running = 4096\n")
 	r.client.Transport.(*http.Transport).MaxIdleConnsPerHost = 128
 	var tries, odd, served atomic.Int64
 	var wg sync.WaitGroup
@@ -164,17 +164,17 @@
 
 // TestRepeatsChild is a process of TestRepeatsKilled's, and else nothing.
 func TestRepeatsChild(t *testing.T) {
-	path := os.Getenv(childFile)
+	path := os.Getenv(childFileEnv)
 	if path == "" {
 		t.Skip("it is run by TestRepeatsKilled")
 	}
 	executorStep = func(step string) {
-		if step == os.Getenv(childStep) {
+		if step == os.Getenv(childStepEnv) {
 			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // nothing comes after it
 			select {}
 		}
 	}
-	if size := os.Getenv(childSize); size != "" {
+	if size := os.Getenv(childSizeEnv); size != "" {
 		most, _ := strconv.ParseUint(size, 10, 64) // the test's own
 		signal.Ignore(syscall.SIGXFSZ)             // a write beyond is an error, as on a full disk
 		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: most, Max: most}); err != nil {
@@ -190,7 +190,7 @@
 func startChild(t *testing.T, r *fileRig, file, step string, env ...string) *exec.Cmd {
 	t.Helper()
 	c := exec.Command(os.Args[0], "-test.run=^TestRepeatsChild$")
-	c.Env = append(append(os.Environ(), childFile+"="+file, childStep+"="+step), env...)
+	c.Env = append(append(os.Environ(), childFileEnv+"="+file, childStepEnv+"="+step), env...)
 	var said bytes.Buffer
 	c.Stdout, c.Stderr = &said, &said
 	if err := c.Start(); err != nil {
@@ -225,7 +225,7 @@
 				_, _ = fmt.Fprintf(w, "paid %d", runs.Add(1))
 			})
 			address := base.FreeAddress(t)
-			file := base.File(t, "o.toml", fmt.Appendf(nil, "[daemon]\nlisten = %q\n"+strings.TrimPrefix(repeatsFile, "\n")+"file = %q\n", address,
+			file := base.File(t, "o.toml", fmt.Appendf(nil, "[daemon]\nlisten = %q\n"+strings.TrimPrefix(idempotencyFile, "\n")+"file = %q\n", address,
 				fmt.Sprintf("addresses = [%q]", upstream), "6s", "5s", filepath.Join(t.TempDir(), "keys.db")))
 			r := &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}}}
 			first := startChild(t, r, file, step)
--- a/internal/daemon/idempotency_shared_test.go
+++ b/internal/daemon/idempotency_shared_test.go
@@ -18,14 +18,14 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-const sharedPart = "\n[repeats.shared]\nservers = [%q]\nsession = \"3s\"\ntimeout = \"300ms\"\n"
+const sharedStoreTable = "\n[repeats.shared]\nservers = [%q]\nsession = \"3s\"\ntimeout = \"300ms\"\n"
 
 // Two daemons share their keys: what one runs the other waits for, and gives the one answer, marked; another request under the key is a
 // conflict there too; while the store is away new keys are refused, or go on, and what is known here is still replayed.
 func TestRepeatsShared(t *testing.T) {
-	p := newSlowPay(t)
+	p := newPaymentUpstream(t)
 	e, at := base.Etcd(t, fakes.EtcdOptions{})
-	file := p.file("6s", "20s", fmt.Sprintf(sharedPart, at))
+	file := p.file("6s", "20s", fmt.Sprintf(sharedStoreTable, at))
 	a, b := startFile(t, file), startFile(t, strings.Replace(file, "timeout =", "error = \"go on\"\ntimeout =", 1))
 	ends := make(chan string, 10)
 	for i, r := range []*fileRig{a, b, b, a} {
@@ -34,36 +34,36 @@
 			ends <- fmt.Sprint(status, body, head.Get(replayedHeader))
 		}()
 		if i == 0 {
-			testutil.Eventually(t, "it runs", func() bool { return p.came.Load() == 1 })
+			testutil.Eventually(t, "it runs", func() bool { return p.received.Load() == 1 })
 		}
 	}
 	if status, _, _ := pay(t.Context(), b, "/record/1", "k1", "6"); status != 422 {
 		t.Errorf("another body at the other one: %d", status)
 	}
-	p.let <- "paid"
+	p.responses <- "paid"
 	got := map[string]int{}
 	for range 4 {
 		got[<-ends]++
 	}
-	if got["200paid"] != 1 || got["200paidtrue"] != 3 || p.came.Load() != 1 {
-		t.Errorf("%v of %d runs", got, p.came.Load())
+	if got["200paid"] != 1 || got["200paidtrue"] != 3 || p.received.Load() != 1 {
+		t.Errorf("%v of %d runs", got, p.received.Load())
 	}
-	p.let <- "break" // the last of its attempts: clocks are not trusted, and so the other one does not send it again
+	p.responses <- "break" // the last of its attempts: clocks are not trusted, and so the other one does not send it again
 	for range 4 {
-		p.let <- "break"
+		p.responses <- "break"
 	}
 	if status, _, _ := pay(t.Context(), a, "/record/2", "k2", "5"); status != 502 {
 		t.Errorf("broken: %d", status)
 	}
-	before := p.came.Load()
-	if status, _, _ := pay(t.Context(), b, "/record/2", "k2", "5"); status != 502 || p.came.Load() != before {
+	before := p.received.Load()
+	if status, _, _ := pay(t.Context(), b, "/record/2", "k2", "5"); status != 502 || p.received.Load() != before {
 		t.Errorf("at the other one: %d", status)
 	}
-	for len(p.let) > 0 {
-		<-p.let
+	for len(p.responses) > 0 {
+		<-p.responses
 	}
 	e.Stop()
-	p.let <- "on"
+	p.responses <- "on"
 	for _, c := range []struct {
 		r    *fileRig
 		key  string
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	testutil.Eventually(t, "new keys run again", func() bool {
-		p.let <- "back"
+		p.responses <- "back"
 		status, _, _ := pay(t.Context(), a, "/record/1", "k4", "5")
 		return status == 200
 	})
@@ -88,9 +88,9 @@
 func TestRepeatsDrain(t *testing.T) {
 	for _, where := range []string{"here", "elsewhere"} {
 		t.Run(where, func(t *testing.T) {
-			p := newSlowPay(t)
+			p := newPaymentUpstream(t)
 			_, at := base.Etcd(t, fakes.EtcdOptions{})
-			file := p.file("6s", "20s", fmt.Sprintf(sharedPart, at))
+			file := p.file("6s", "20s", fmt.Sprintf(sharedStoreTable, at))
 			a := startFile(t, file)
 			b := a
 			if where == "elsewhere" {
@@ -102,13 +102,13 @@
 				ends <- fmt.Sprint(status, body)
 			}
 			go try(a)
-			testutil.Eventually(t, "it runs", func() bool { return p.came.Load() == 1 })
+			testutil.Eventually(t, "it runs", func() bool { return p.received.Load() == 1 })
 			for range 5 {
 				go try(b)
 			}
 			testutil.Eventually(t, "its repeats are in hand", func() bool { return b.d.routing.Load().services["pay"].inFlight.Load() >= 5 })
 			b.stop()
-			time.AfterFunc(100*time.Millisecond, func() { p.let <- "paid" })
+			time.AfterFunc(100*time.Millisecond, func() { p.responses <- "paid" })
 			for range 6 {
 				if got := <-ends; got != "200paid" {
 					t.Errorf("%s", got)
@@ -119,8 +119,8 @@
 			case <-time.After(testutil.Timeout):
 				t.Fatal("it does not end")
 			}
-			if b.err != nil || p.came.Load() != 1 {
-				t.Errorf("%v, %d runs", b.err, p.came.Load())
+			if b.err != nil || p.received.Load() != 1 {
+				t.Errorf("%v, %d runs", b.err, p.received.Load())
 			}
 		})
 	}
@@ -133,7 +133,7 @@
 	for name, n := range map[string]int{"file": 1, "shared": 2} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ledger, list := payNodes(t, window)
+			ledger, list := startPaymentNodes(t, window)
 			rng := rand.New(rand.NewPCG(7, uint64(n)))
 			var mu sync.Mutex
 			e, at := base.Etcd(t, fakes.EtcdOptions{Late: 20 * time.Millisecond, Fault: func() fakes.EtcdFault {
@@ -143,12 +143,12 @@
 			}})
 			more := fmt.Sprintf("file = %q\n", filepath.Join(t.TempDir(), "keys.db"))
 			if n > 1 {
-				more = fmt.Sprintf(sharedPart+"clock_skew = \"1ms\"\n", at)
+				more = fmt.Sprintf(sharedStoreTable+"clock_skew = \"1ms\"\n", at)
 			}
 			rigs, files, children := make([]*fileRig, n), make([]string, n), make([]*exec.Cmd, n)
 			for i := range n {
 				address := base.FreeAddress(t)
-				files[i] = base.File(t, "o.toml", fmt.Appendf(nil, "[daemon]\nlisten = %q\n"+strings.TrimPrefix(repeatsFile, "\n")+"running = 1024\n%s",
+				files[i] = base.File(t, "o.toml", fmt.Appendf(nil, "[daemon]\nlisten = %q\n"+strings.TrimPrefix(idempotencyFile, "\n")+"running = 1024\n%s",
 					address, list, window, "250ms", more))
 				rigs[i] = &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}}
 				t.Cleanup(rigs[i].client.CloseIdleConnections)
@@ -211,10 +211,10 @@
 				_, _ = w.Write(make([]byte, 8000))
 			})
 			address := base.FreeAddress(t)
-			file := base.File(t, "o.toml", fmt.Appendf(nil, "[daemon]\nlisten = %q\n"+strings.TrimPrefix(repeatsFile, "\n")+"file = %q\ndisk_error = %q\n", address,
+			file := base.File(t, "o.toml", fmt.Appendf(nil, "[daemon]\nlisten = %q\n"+strings.TrimPrefix(idempotencyFile, "\n")+"file = %q\ndisk_error = %q\n", address,
 				fmt.Sprintf("addresses = [%q]", upstream), "6s", "5s", filepath.Join(t.TempDir(), "keys.db"), how))
 			r := &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}}}
-			c := startChild(t, r, file, "", childSize+"=1048576")
+			c := startChild(t, r, file, "", childSizeEnv+"=1048576")
 			taken, refused := 0, 0
 			for n := range 300 {
 				switch status, _, _ := pay(t.Context(), r, "/record/1", fmt.Sprint(n), "5"); status {
--- a/internal/daemon/idempotency_test.go
+++ b/internal/daemon/idempotency_test.go
@@ -15,7 +15,7 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-const repeatsFile = `
+const idempotencyFile = `
 [log]
 level = "error"
 [limits]
@@ -65,21 +65,21 @@
 	return resp.StatusCode, string(text), resp.Header
 }
 
-// slowPay is an upstream that answers when it is let, and counts.
-type slowPay struct {
-	address string
-	came    atomic.Int64
-	let     chan string // "break", "lose", or what it answers
+// paymentUpstream is an upstream that answers when it is let, and counts.
+type paymentUpstream struct {
+	address   string
+	received  atomic.Int64
+	responses chan string // "break", "lose", or what it answers
 }
 
-func newSlowPay(t *testing.T) *slowPay {
-	p := &slowPay{let: make(chan string, 100)}
+func newPaymentUpstream(t *testing.T) *paymentUpstream {
+	p := &paymentUpstream{responses: make(chan string, 100)}
 	end := make(chan struct{})
 	p.address = base.HTTP(t, nil, func(w http.ResponseWriter, q *http.Request) {
 		_, _ = io.Copy(io.Discard, q.Body)
-		p.came.Add(1)
+		p.received.Add(1)
 		select {
-		case how := <-p.let:
+		case how := <-p.responses:
 			switch how {
 			case "break":
 				panic(http.ErrAbortHandler)
@@ -96,14 +96,14 @@
 	return p
 }
 
-func (p *slowPay) file(window, deadline, more string) string {
-	return fmt.Sprintf(repeatsFile, fmt.Sprintf("addresses = [%q]", p.address), window, deadline) + more
+func (p *paymentUpstream) file(window, deadline, more string) string {
+	return fmt.Sprintf(idempotencyFile, fmt.Sprintf("addresses = [%q]", p.address), window, deadline) + more
 }
 
 // Two copies in one instant are one run; its first client's leaving ends nothing; who comes later gets the kept answer; another
 // request under the key is a conflict; a full store refuses and knows what it knew, also after a reload that starts the service anew.
 func TestRepeats(t *testing.T) {
-	p := newSlowPay(t)
+	p := newPaymentUpstream(t)
 	file := p.file("6s", "20s", "entries = 2\ntenant_part = 1.0\nanswer = \"1KiB\"\n")
 	r := startFile(t, file)
 	type end struct {
@@ -116,7 +116,7 @@
 		status, body, _ := pay(leaves, r, "/record/1", "k1", "5")
 		ends <- end{status, body}
 	}()
-	testutil.Eventually(t, "it runs", func() bool { return p.came.Load() == 1 })
+	testutil.Eventually(t, "it runs", func() bool { return p.received.Load() == 1 })
 	for range 3 {
 		go func() {
 			status, body, _ := pay(t.Context(), r, "/record/1", "k1", "5")
@@ -130,20 +130,20 @@
 	if status, _, _ := pay(t.Context(), r, "/record/1", "k1", "6"); status != 422 {
 		t.Errorf("another body: %d", status)
 	}
-	p.let <- "paid"
+	p.responses <- "paid"
 	for range 3 {
 		if e := <-ends; e != (end{200, "paid"}) {
 			t.Errorf("a repeat got %v", e)
 		}
 	}
 	status, body, head := pay(t.Context(), r, "/record/1", "k1", "5")
-	if status != 200 || body != "paid" || head.Get("Idempotent-Replayed") != "true" || p.came.Load() != 1 {
-		t.Errorf("%d %s %v, %d runs", status, body, head, p.came.Load())
+	if status != 200 || body != "paid" || head.Get("Idempotent-Replayed") != "true" || p.received.Load() != 1 {
+		t.Errorf("%d %s %v, %d runs", status, body, head, p.received.Load())
 	}
 	if status, _, _ := pay(t.Context(), r, "/record/2", "k1", "5"); status != 422 {
 		t.Errorf("another path: %d", status)
 	}
-	p.let <- strings.Repeat("x", 2000)
+	p.responses <- strings.Repeat("x", 2000)
 	if status, body, _ := pay(t.Context(), r, "/record/2", "k2", "5"); status != 200 || len(body) != 2000 {
 		t.Errorf("a large answer: %d", status)
 	}
@@ -152,8 +152,8 @@
 	}
 	for range 2 {
 		status, _, head = pay(t.Context(), r, "/record/3", "k3", "5")
-		if status != 503 || head.Get("Retry-After") == "" || p.came.Load() != 2 {
-			t.Errorf("beyond the bound: %d, %d runs", status, p.came.Load())
+		if status != 503 || head.Get("Retry-After") == "" || p.received.Load() != 2 {
+			t.Errorf("beyond the bound: %d, %d runs", status, p.received.Load())
 		}
 		if err := r.reload(t, strings.Replace(file, "deadline = \"20s\"", "deadline = \"19s\"", 1)); err != nil { // a new engine
 			t.Fatal(err)
@@ -167,11 +167,11 @@
 // What may have run is sent again within the window, to the nodes of its zone, and never after it; what is proved not to have run
 // is as new.
 func TestRepeatsAfterFailures(t *testing.T) {
-	home, away := newSlowPay(t), newSlowPay(t)
+	home, away := newPaymentUpstream(t), newPaymentUpstream(t)
 	list := fmt.Sprintf("[[service.endpoint]]\nname = \"h\"\naddress = %q\nzone = \"a\"\n[[service.endpoint]]\nname = \"w\"\naddress = %q\nzone = \"b\"\n", home.address, away.address)
-	r := startFile(t, fmt.Sprintf(repeatsFile, "attempts = 1\ncross_zone_price = 50.0\n"+list, "1500ms", "20s"))
+	r := startFile(t, fmt.Sprintf(idempotencyFile, "attempts = 1\ncross_zone_price = 50.0\n"+list, "1500ms", "20s"))
 	try := func(key, how string) (int, string) {
-		home.let <- how
+		home.responses <- how
 		status, body, _ := pay(t.Context(), r, "/record/1", key, "5")
 		return status, body
 	}
@@ -186,17 +186,17 @@
 			t.Errorf("within the window: %d %s", status, body)
 		}
 	}
-	if n := away.came.Load(); n > 0 {
+	if n := away.received.Load(); n > 0 {
 		t.Errorf("%d went to the other zone", n)
 	}
-	before := home.came.Load()
+	before := home.received.Load()
 	time.Sleep(1500 * time.Millisecond) // the window itself
 	for range 3 {
 		if status, _, _ := pay(t.Context(), r, "/record/1", "a", "5"); status != 502 {
 			t.Errorf("after the window: %d", status)
 		}
 	}
-	if home.came.Load() != before {
+	if home.received.Load() != before {
 		t.Error("it was sent after the window")
 	}
 	if status, _ := try("c", "away"); status != 503 {
@@ -207,6 +207,6 @@
 	}
 }
 
-// childFile names the operator's file of a daemon that this binary runs in place of its tests, childStep where it kills itself, and
-// childSize how large its files may grow.
-const childFile, childStep, childSize = "ORCHIDDRIFT_CHILD_FILE", "ORCHIDDRIFT_CHILD_STEP", "ORCHIDDRIFT_CHILD_SIZE"
+// childFileEnv names the operator's file of a daemon that this binary runs in place of its tests, childStepEnv where it kills itself, and
+// childSizeEnv how large its files may grow.
+const childFileEnv, childStepEnv, childSizeEnv = "ORCHIDDRIFT_CHILD_FILE", "ORCHIDDRIFT_CHILD_STEP", "ORCHIDDRIFT_CHILD_SIZE"
--- a/internal/daemon/locked_file_test.go
+++ b/internal/daemon/locked_file_test.go
@@ -30,11 +30,11 @@
 // Guards against a process that ends as it takes a killed one's place, since the system has not let go of that one's file: a slow disk
 // keeps it for seconds.
 func TestStartBehindADeadProcess(t *testing.T) {
-	p := newSlowPay(t)
+	p := newPaymentUpstream(t)
 	part, let := heldKeys(t)
 	time.AfterFunc(1500*time.Millisecond, let)
 	r := startFile(t, p.file("6s", "20s", part))
-	p.let <- "paid"
+	p.responses <- "paid"
 	if status, body, _ := pay(t.Context(), r, "/record/1", "k1", "5"); status != 200 || body != "paid" {
 		t.Errorf("%d %s", status, body)
 	}
@@ -50,7 +50,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- ServePlan(ctx, plan(t, newSlowPay(t).file("6s", "20s", part)), l, config.Sources{}, nil, nil)
+		ended <- ServePlan(ctx, plan(t, newPaymentUpstream(t).file("6s", "20s", part)), l, config.Sources{}, nil, nil)
 	}()
 	time.AfterFunc(200*time.Millisecond, stop)
 	select {
@@ -65,7 +65,7 @@
 
 // Guards against a reload that waits long for a file that another process holds: it changes nothing, and the process serves on.
 func TestReloadWithAHeldFile(t *testing.T) {
-	p := newSlowPay(t)
+	p := newPaymentUpstream(t)
 	part, _ := heldKeys(t)
 	r := startFile(t, p.file("6s", "20s", ""))
 	begun := time.Now()
@@ -75,7 +75,7 @@
 	if took := time.Since(begun); took > testutil.Timeout/2 {
 		t.Errorf("it waited for %v", took)
 	}
-	p.let <- "paid"
+	p.responses <- "paid"
 	if status, body, _ := pay(t.Context(), r, "/record/1", "k1", "5"); status != 200 || body != "paid" {
 		t.Errorf("%d %s", status, body)
 	}
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -69,7 +69,7 @@
 	case <-time.After(500 * time.Millisecond):
 	}
 	close(l.goOn)
-	for _, c := range []*dialed{held, queued} {
+	for _, c := range []*clientConn{held, queued} {
 		if resp, body, err := c.answer(); err != nil || resp.StatusCode != 200 || body != "whole" {
 			t.Errorf("%v %q, %v", resp, body, err)
 		}
@@ -80,7 +80,7 @@
 
 // Guards against services that nobody ends: a reload crosses the end of the process.
 func TestReloadAsItEnds(t *testing.T) {
-	address := newSlowPay(t).address
+	address := newPaymentUpstream(t).address
 	r := startFile(t, services(map[string]string{"a": address}, "/ -> a"))
 	r.stop()
 	<-r.ended
--- a/internal/daemon/sites_test.go
+++ b/internal/daemon/sites_test.go
@@ -96,13 +96,13 @@
 	return all
 }
 
-var effectWords = map[string]string{"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
+var semanticsByEffect = map[string]string{"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 
 // settings are those of a sidecar of the site, as the platform tells them.
 func (s *site) settings(sidecars int) map[string]any {
 	var classes []any
 	for _, c := range s.Class {
-		classes = append(classes, map[string]any{"Name": c.Name, "Semantics": effectWords[c.Effect], "KeyScope": c.Group, "DedupWindowMs": c.Window,
+		classes = append(classes, map[string]any{"Name": c.Name, "Semantics": semanticsByEffect[c.Effect], "KeyScope": c.Group, "DedupWindowMs": c.Window,
 			"AimMs": c.Aim, "DeadlineMs": c.Deadline, "Importance": c.Worth, "LateShare": c.Late})
 	}
 	var tenants []any
