--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -71,7 +71,7 @@
 // logRestartOnly logs the keys whose changes take effect at the next start.
 func (d *daemon) logRestartOnly(current, next *config.File) {
 	for _, change := range tomlfile.Diff(current, next) {
-		if change.Start {
+		if change.NeedsRestart {
 			d.log.Warn("reload: counts from the next start", "key", change.Key)
 		}
 	}
--- a/internal/tomlfile/write.go
+++ b/internal/tomlfile/write.go
@@ -204,8 +204,8 @@
 
 // Change is a key in which two decoded texts differ.
 type Change struct {
-	Key   string
-	Start bool // it counts from the next start
+	Key          string
+	NeedsRestart bool // it takes effect at the next start
 }
 
 // Diff lists the keys in which two values of one declaration differ. Tables of an array are told apart by their key
