--- a/internal/discovery/eureka/source_test.go
+++ b/internal/discovery/eureka/source_test.go
@@ -20,7 +20,7 @@
 }{
 	{"one application", func(d *Declaration, _ *fakes.EurekaOptions) { d.Applications = []string{"seats"} }},
 	{"xml", func(d *Declaration, _ *fakes.EurekaOptions) { d.Applications, d.Format = []string{"SEATS"}, "xml" }},
-	{"numbers as strings", func(d *Declaration, o *fakes.EurekaOptions) { d.Applications, o.Texts = []string{"SEATS"}, true }},
+	{"numbers as strings", func(d *Declaration, o *fakes.EurekaOptions) { d.Applications, o.NumbersAsText = []string{"SEATS"}, true }},
 	{"vip", func(d *Declaration, _ *fakes.EurekaOptions) { d.VirtualAddress = "seats" }},
 	{"deltas", func(d *Declaration, _ *fakes.EurekaOptions) { d.Applications, d.Delta = []string{"SEATS"}, true }},
 	{"deltas in xml, v2", func(d *Declaration, _ *fakes.EurekaOptions) {
@@ -222,7 +222,7 @@
 		t.Run(fmt.Sprint("self-preservation ", preserves), func(t *testing.T) {
 			var clockOffset atomic.Int64
 			now := func() time.Time { return time.Now().Add(time.Duration(clockOffset.Load())) }
-			e := base.Eureka(t, fakes.EurekaOptions{Preserves: preserves, Now: now})
+			e := base.Eureka(t, fakes.EurekaOptions{SelfPreservation: preserves, Now: now})
 			replica := base.Eureka(t, fakes.EurekaOptions{Now: now})
 			e.Replicate(replica)
 			for _, id := range []string{"a", "b"} {
--- a/internal/fakes/eureka.go
+++ b/internal/fakes/eureka.go
@@ -18,13 +18,13 @@
 
 // EurekaOptions are an Eureka's parameters.
 type EurekaOptions struct {
-	CacheFor  time.Duration    // answers are made anew only so often, as real servers do every 30 s; 0: always
-	KeepDelta time.Duration    // how long a change stands in /apps/delta; 0: three minutes
-	Preserves bool             // self-preservation: where more than 15% of the leases run out at once, none does
-	Texts     bool             // numbers in the JSON are texts
-	User      string           // where set, basic authentication with
-	Password  string           // this
-	Now       func() time.Time // nil: time.Now
+	CacheFor         time.Duration    // answers are made anew only so often, as real servers do every 30 s; 0: always
+	KeepDelta        time.Duration    // how long a change stands in /apps/delta; 0: three minutes
+	SelfPreservation bool             // self-preservation: where more than 15% of the leases run out at once, none does
+	NumbersAsText    bool             // numbers in the JSON are texts
+	User             string           // where set, basic authentication with
+	Password         string           // this
+	Now              func() time.Time // nil: time.Now
 }
 
 // Eureka is a registry: the server side of Eureka's REST operations, with leases, overrides, a queue of changes, an answer
--- a/internal/fakes/eureka_document.go
+++ b/internal/fakes/eureka_document.go
@@ -118,7 +118,7 @@
 	for _, a := range apps {
 		var instances []any
 		for _, i := range a.instances {
-			instances = append(instances, i.document(e.options.Texts))
+			instances = append(instances, i.document(e.options.NumbersAsText))
 		}
 		all = append(all, map[string]any{"name": a.name, "instance": xstreamList(instances)})
 	}
--- a/internal/fakes/eureka_registry.go
+++ b/internal/fakes/eureka_registry.go
@@ -121,7 +121,7 @@
 			}
 		}
 	}
-	if e.options.Preserves && len(out)*100 > 15*all {
+	if e.options.SelfPreservation && len(out)*100 > 15*all {
 		return
 	}
 	for _, old := range out {
--- a/internal/fakes/graphql.go
+++ b/internal/fakes/graphql.go
@@ -13,8 +13,8 @@
 
 // Codes of errors of a fake GraphQL node.
 const (
-	GraphQLUnrun  = "OVERLOADED"          // it has not run
-	GraphQLFailed = "SERVICE_UNAVAILABLE" // it has failed
+	GraphQLNotExecuted = "OVERLOADED"          // it has not run
+	GraphQLFailed      = "SERVICE_UNAVAILABLE" // it has failed
 )
 
 // ListenGraphQL makes the node serve GraphQL over HTTP at address, and returns where. It reads requests as a lenient server
@@ -33,7 +33,7 @@
 }
 
 func graphqlJob(req *http.Request, payload []byte) spoken {
-	s := spoken{headers: graphqlHeaders, unrunned: graphqlError("full", GraphQLUnrun), failed: graphqlError("failed", GraphQLFailed)}
+	s := spoken{headers: graphqlHeaders, unrunned: graphqlError("full", GraphQLNotExecuted), failed: graphqlError("failed", GraphQLFailed)}
 	refuse := func(message string) spoken {
 		s.refusal, s.failed = "400 Bad Request", graphqlError(message, "BAD_REQUEST")
 		return s
