--- a/internal/discovery/eureka/source_test.go
+++ b/internal/discovery/eureka/source_test.go
@@ -20,7 +20,9 @@
 }{
 	{"one application", func(d *Declaration, _ *fakes.EurekaOptions) { d.Applications = []string{"seats"} }},
 	{"xml", func(d *Declaration, _ *fakes.EurekaOptions) { d.Applications, d.Format = []string{"SEATS"}, "xml" }},
-	{"numbers as strings", func(d *Declaration, o *fakes.EurekaOptions) { d.Applications, o.NumbersAsText = []string{"SEATS"}, true }},
+	{"numbers as strings", func(d *Declaration, o *fakes.EurekaOptions) {
+		d.Applications, o.NumbersAsText = []string{"SEATS"}, true
+	}},
 	{"vip", func(d *Declaration, _ *fakes.EurekaOptions) { d.VirtualAddress = "seats" }},
 	{"deltas", func(d *Declaration, _ *fakes.EurekaOptions) { d.Applications, d.Delta = []string{"SEATS"}, true }},
 	{"deltas in xml, v2", func(d *Declaration, _ *fakes.EurekaOptions) {
