--- a/internal/loadgen/attempt.go
+++ b/internal/loadgen/attempt.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// attempt is the next attempt of a request: its first, or a retry that waits.
+// attempt is the next attempt of a request: its first, or a retry.
 type attempt struct {
-	request   ScheduledRequest // At is the time of this attempt
-	scheduled time.Duration    // time of the first attempt, from which latency counts
-	sent      int              // attempts sent before
-	backoff   time.Duration    // before this one
-	outcome   Outcome          // of the one before
+	request   ScheduledRequest // At is the time at which this attempt is due
+	scheduled time.Duration    // time at which the first attempt was due; latency counts from it
+	sent      int              // number of earlier attempts
+	backoff   time.Duration    // backoff before this attempt; 0 for the first
+	outcome   Outcome          // outcome of the previous attempt
 }
 
-// attemptHeap is a heap by the time at which attempts are due.
+// attemptHeap is a min-heap of attempts by the time at which they are due. It implements heap.Interface.
 type attemptHeap []attempt
 
 func (h attemptHeap) Len() int           { return len(h) }
@@ -29,10 +29,10 @@
 	return last
 }
 
-// idempotent reports whether a request of a class may be sent again after a fault.
+// idempotent reports whether requests of the class may be sent again after a fault. Only GET and HEAD requests may.
 func (c *Class) idempotent() bool { return c.Method == http.MethodGet || c.Method == http.MethodHead }
 
-// retryable reports whether an outcome allows a retry: after a refusal always, after a fault only for idempotent requests.
+// retryable reports whether an outcome allows a retry: a refusal always does, a fault only for idempotent requests.
 func retryable(outcome Outcome, idempotent bool) bool {
 	switch outcome {
 	case Refused:
@@ -43,14 +43,14 @@
 	return false
 }
 
-// serve makes one attempt, then settles the request or schedules a retry. Each worker calls it with a sender of its own.
-func (r *run) serve(s sender, x attempt) {
-	result := s.send(x.request, r.options.Timeout)
+// serve makes one attempt, then settles the request or schedules a retry. Each worker calls it with its own sender.
+func (r *run) serve(s sender, a attempt) {
+	result := s.send(a.request, r.options.Timeout)
 	now := time.Since(r.started)
-	x.sent++
-	class := &r.options.Classes[x.request.Class]
-	retry := x.sent <= r.options.Retries && retryable(result.outcome, class.idempotent())
-	retry = r.settle(x, result, now, retry)
+	a.sent++
+	class := &r.options.Classes[a.request.Class]
+	retry := a.sent <= r.options.Retries && retryable(result.outcome, class.idempotent())
+	retry = r.settle(a, result, now, retry)
 	r.idle.Add(1)
 	if left := r.unsettled.Add(-1); retry || left == 0 {
 		select {
@@ -60,27 +60,28 @@
 	}
 }
 
-// settle counts an attempt that ended at now. It schedules the retry if one is wanted and few enough wait, and reports whether it did.
-func (r *run) settle(x attempt, result attemptResult, now time.Duration, retry bool) bool {
+// settle counts an attempt that ended at now, and reports whether it scheduled a retry. It does so if retry is true and fewer than
+// MaxWaitingRetries requests wait for one. Otherwise the outcome of this attempt becomes the outcome of the request.
+func (r *run) settle(a attempt, result attemptResult, now time.Duration, retry bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	class := &r.classes[x.request.Class]
+	class := &r.classes[a.request.Class]
 	class.Attempts++
 	if retry && len(r.waiting) >= r.options.MaxWaitingRetries {
 		class.GivenUp++
 		retry = false
 	}
 	if retry {
-		x.outcome = result.outcome
-		x.backoff = max(r.options.RetryBackoff, 2*x.backoff)
-		x.request.At = now + max(x.backoff, result.retryAfter)
-		heap.Push(&r.waiting, x)
+		a.outcome = result.outcome
+		a.backoff = max(r.options.RetryBackoff, 2*a.backoff)
+		a.request.At = now + max(a.backoff, result.retryAfter)
+		heap.Push(&r.waiting, a)
 		return true
 	}
 	class.Outcomes[result.outcome]++
 	r.progress.Outcomes[result.outcome]++
 	if result.outcome == OK {
-		latency := now - x.scheduled
+		latency := now - a.scheduled
 		Record(class.Latency, latency)
 		Record(class.interval, latency)
 		Record(r.recent, latency)
--- a/internal/loadgen/dispatch.go
+++ b/internal/loadgen/dispatch.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// timerSlack is how late the runtime's timers may be; the rest of a wait is slept by sleepPrecisely.
+// timerSlack is how late the runtime's timers may fire. Timers are therefore set this much early, and sleepPrecisely sleeps
+// for the rest of a wait.
 const timerSlack = 1500 * time.Microsecond
 
-// connectionDelay is the delay above which a request that found all connections busy counts as delayed.
-const connectionDelay = time.Millisecond
+// delayedThreshold is the delay above which a request that found all connections busy counts as delayed.
+const delayedThreshold = time.Millisecond
 
-// sleepPrecisely sleeps in the kernel, whose delay is far below that of the runtime's timers. It may return early.
+// sleepPrecisely sleeps with nanosleep(2), which returns with far less delay than the runtime's timers. A signal may end the sleep early.
 func sleepPrecisely(d time.Duration) {
 	t := syscall.NsecToTimespec(d.Nanoseconds())
-	_ = syscall.Nanosleep(&t, nil) // an early return is noticed by the caller, which looks at the time again
+	_ = syscall.Nanosleep(&t, nil) // after an interrupted sleep the attempt is sent early, by timerSlack at most
 }
 
-// dispatcher hands due attempts to the workers. It is used by one goroutine.
+// dispatcher passes attempts to the workers when they are due. Only one goroutine uses it.
 type dispatcher struct {
 	*run
 	schedule     *Schedule
@@ -29,16 +30,17 @@
 	blockedUntil time.Duration // when the last attempt that waited for a connection was handed over
 }
 
-// dispatch hands out attempts at their times until all requests have ended; stopped: ctx ended first.
+// dispatch passes each attempt to a worker when it is due, until all requests have ended or ctx does. It reports whether ctx ended
+// first.
 func (r *run) dispatch(ctx context.Context, work chan<- attempt) (stopped bool) {
 	d := &dispatcher{run: r, schedule: NewSchedule(r.options), timer: time.NewTimer(time.Hour)}
 	defer d.timer.Stop()
 	d.next, d.more = d.schedule.Next()
 	for {
-		x, isRetry := d.earliest()
+		a, isRetry := d.earliest()
 		if !d.more && !isRetry {
 			if d.unsettled.Load() == 0 {
-				if d.noRetryWaits() { // the last request to end may have added one
+				if d.noWaitingRetries() { // the attempt that ended last may have added a retry
 					return false
 				}
 				continue
@@ -48,7 +50,7 @@
 			}
 			continue
 		}
-		if wait := x.request.At - time.Since(d.started); wait > 0 {
+		if wait := a.request.At - time.Since(d.started); wait > 0 {
 			due, ok := d.sleep(ctx, wait)
 			if !ok {
 				return true
@@ -57,14 +59,14 @@
 				continue
 			}
 		}
-		if !d.handOver(ctx, work, d.take(x, isRetry)) {
+		if !d.handOver(ctx, work, d.take(a, isRetry)) {
 			return true
 		}
 	}
 }
 
 // earliest returns the attempt that is due first, and whether it is a waiting retry.
-func (d *dispatcher) earliest() (x attempt, isRetry bool) {
+func (d *dispatcher) earliest() (a attempt, isRetry bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.waiting) > 0 && (!d.more || d.waiting[0].request.At < d.next.At) {
@@ -73,24 +75,25 @@
 	return attempt{request: d.next, scheduled: d.next.At}, false
 }
 
-// take removes the attempt that earliest returned. Of the retries it takes the first, which may be an earlier one by now.
-func (d *dispatcher) take(x attempt, isRetry bool) attempt {
+// take removes the attempt that earliest returned. If that is a retry, take removes the first one of the heap, since a worker may have added
+// one that is due earlier.
+func (d *dispatcher) take(a attempt, isRetry bool) attempt {
 	if !isRetry {
 		d.next, d.more = d.schedule.Next()
-		return x
+		return a
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return heap.Pop(&d.waiting).(attempt)
 }
 
-func (d *dispatcher) noRetryWaits() bool {
+func (d *dispatcher) noWaitingRetries() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.waiting) == 0
 }
 
-// waitForWake waits for a new retry or the end of the last request; false: ctx ended.
+// waitForWake waits for a new retry or the end of the last request. It returns false if ctx ends.
 func (d *dispatcher) waitForWake(ctx context.Context) bool {
 	select {
 	case <-d.wake:
@@ -100,8 +103,8 @@
 	}
 }
 
-// sleep waits for the next attempt. due: the time is over; otherwise a retry may have come before it, or the wait was too long for a
-// precise sleep. ok is false when ctx ended.
+// sleep waits for the next attempt. due means that the attempt can be sent now. Otherwise the caller looks for the earliest attempt again: a
+// retry that is due before this one may have been added, or a wait of timerSlack or less is left. ok is false if ctx ended.
 func (d *dispatcher) sleep(ctx context.Context, wait time.Duration) (due, ok bool) {
 	if wait <= timerSlack {
 		sleepPrecisely(wait)
@@ -117,31 +120,31 @@
 	return false, true
 }
 
-// handOver passes an attempt to a free worker, or waits for one; false: ctx ended before.
-func (d *dispatcher) handOver(ctx context.Context, work chan<- attempt, x attempt) bool {
+// handOver passes an attempt to an idle worker, and waits until there is one. It returns false if ctx ends first.
+func (d *dispatcher) handOver(ctx context.Context, work chan<- attempt, a attempt) bool {
 	d.unsettled.Add(1)
-	free := d.idle.Load() > 0
-	offered := time.Now()
+	hadIdle := d.idle.Load() > 0
+	waitStart := time.Now()
 	select {
-	case work <- x:
-		d.idle.Add(-1) // here, since the worker may run later than the next attempt is due
+	case work <- a:
+		d.idle.Add(-1) // not in the worker, which may start to run only after the next attempt is due
 	case <-ctx.Done():
 		d.unsettled.Add(-1)
 		return false
 	}
 	sent := time.Since(d.started)
-	if !free {
+	if !hadIdle {
 		d.blockedUntil = sent
-		d.blocked += time.Since(offered)
+		d.blocked += time.Since(waitStart)
 	}
-	if x.sent == 0 {
-		d.recordFirstAttempt(x.request, sent)
+	if a.sent == 0 {
+		d.recordFirstAttempt(a.request, sent)
 	}
 	return true
 }
 
-// recordFirstAttempt counts a request, and its delay against this process or against the lack of connections: what was due while the
-// dispatcher waited for a connection is late for that.
+// recordFirstAttempt counts a request and its delay. The delay of a request that was due while the dispatcher waited for a connection counts
+// as caused by busy connections, any other delay as caused by this process.
 func (d *dispatcher) recordFirstAttempt(request ScheduledRequest, sent time.Duration) {
 	delay := sent - request.At
 	d.mu.Lock()
@@ -150,7 +153,7 @@
 	d.progress.Requests++
 	if request.At >= d.blockedUntil {
 		Record(d.delay, delay)
-	} else if delay > connectionDelay {
+	} else if delay > delayedThreshold {
 		d.delayed++
 	}
 }
--- a/internal/loadgen/dispatch_test.go
+++ b/internal/loadgen/dispatch_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-// A connection counts as busy from the moment in which an attempt is handed to its worker, not from when the worker runs: on a busy machine
-// the next attempt would otherwise count as sent late by this tool, although it waits for the connection.
+// A connection counts as busy as soon as an attempt is handed to its worker, before the worker runs. Otherwise, on a busy machine, the delay
+// of the next attempt would count as caused by the load generator although the attempt waits for the connection.
 func TestConnectionIsBusyOnceAnAttemptIsHandedOver(t *testing.T) {
 	r := &run{}
 	r.idle.Store(1)
-	worker := make(chan attempt, 1) // it does not run yet
+	worker := make(chan attempt, 1) // no goroutine receives from it yet
 	d := &dispatcher{run: r}
 	if !d.handOver(t.Context(), worker, attempt{sent: 1}) {
-		t.Fatal("not handed over")
+		t.Fatal("handOver returned false although a worker was idle")
 	}
 	if n := r.idle.Load(); n != 0 {
-		t.Errorf("%d idle connections, want 0", n)
+		t.Errorf("%d idle connections after the attempt was handed over, want 0", n)
 	}
 }
--- a/internal/loadgen/grpc.go
+++ b/internal/loadgen/grpc.go
@@ -14,12 +14,13 @@
 	"google.golang.org/grpc/status"
 )
 
-// overGRPC is a sender of unary calls over a connection of its own.
-type overGRPC struct {
+// grpcSender sends unary gRPC calls over its own connection.
+type grpcSender struct {
 	conn    *grpc.ClientConn
 	classes []grpcClass
 }
 
+// grpcClass holds the parts of the calls of one class.
 type grpcClass struct {
 	method  string
 	body    template
@@ -27,64 +28,66 @@
 	values  []template
 }
 
-func newGRPC(address string, classes []Class) (*overGRPC, error) {
+func newGRPCSender(address string, classes []Class) (*grpcSender, error) {
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
 		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(rawCodec{})))
 	if err != nil {
 		return nil, err
 	}
-	g := &overGRPC{conn: conn}
-	for _, c := range classes {
-		k := grpcClass{method: c.Path, body: newTemplate(string(c.Body)), headers: c.Headers}
-		for _, x := range c.Headers {
-			k.values = append(k.values, newTemplate(x.Value))
+	g := &grpcSender{conn: conn}
+	for _, class := range classes {
+		prepared := grpcClass{method: class.Path, body: newTemplate(string(class.Body)), headers: class.Headers}
+		for _, header := range class.Headers {
+			prepared.values = append(prepared.values, newTemplate(header.Value))
 		}
-		g.classes = append(g.classes, k)
+		g.classes = append(g.classes, prepared)
 	}
 	return g, nil
 }
 
-func (g *overGRPC) close() { g.conn.Close() }
+func (g *grpcSender) close() { g.conn.Close() }
 
-func (g *overGRPC) send(d ScheduledRequest, timeout time.Duration) attemptResult {
-	c := &g.classes[d.Class]
+func (g *grpcSender) send(request ScheduledRequest, timeout time.Duration) attemptResult {
+	class := &g.classes[request.Class]
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	for i, x := range c.headers {
-		ctx = metadata.AppendToOutgoingContext(ctx, x.Name, string(c.values[i].appendTo(nil, d.Number)))
+	for i, header := range class.headers {
+		ctx = metadata.AppendToOutgoingContext(ctx, header.Name, string(class.values[i].appendTo(nil, request.Number)))
 	}
-	body, answer := raw(c.body.appendTo(nil, d.Number)), raw(nil)
-	return grpcResult(g.conn.Invoke(ctx, c.method, &body, &answer))
+	body, answer := rawMessage(class.body.appendTo(nil, request.Number)), rawMessage(nil)
+	return grpcResult(g.conn.Invoke(ctx, class.method, &body, &answer))
 }
 
+// grpcResult converts the error of a call into a result. UNAVAILABLE and RESOURCE_EXHAUSTED are refusals only with RetryInfo.
 func grpcResult(err error) attemptResult {
-	s := status.Convert(err)
-	var o attemptResult
-	asks := false
-	for _, x := range s.Details() {
-		if r, ok := x.(*errdetails.RetryInfo); ok {
-			o.retryAfter, asks = r.GetRetryDelay().AsDuration(), true
+	callStatus := status.Convert(err)
+	var result attemptResult
+	hasRetryInfo := false
+	for _, detail := range callStatus.Details() {
+		if retryInfo, ok := detail.(*errdetails.RetryInfo); ok {
+			result.retryAfter, hasRetryInfo = retryInfo.GetRetryDelay().AsDuration(), true
 		}
 	}
-	switch code := s.Code(); {
+	switch code := callStatus.Code(); {
 	case code == codes.OK:
-	case asks && (code == codes.Unavailable || code == codes.ResourceExhausted):
-		o.outcome = Refused
+	case hasRetryInfo && (code == codes.Unavailable || code == codes.ResourceExhausted):
+		result.outcome = Refused
 	case code == codes.DeadlineExceeded:
-		o.outcome = TimedOut
+		result.outcome = TimedOut
 	case code == codes.Unavailable:
-		o.outcome = Broken
+		result.outcome = Broken
 	case code == codes.Internal || code == codes.Unknown || code == codes.DataLoss || code == codes.Aborted || code == codes.Unimplemented:
-		o.outcome = Failed
+		result.outcome = Failed
 	default:
-		o.outcome = Rejected
+		result.outcome = Rejected
 	}
-	return o
+	return result
 }
 
-// raw is a message as its bytes.
-type raw []byte
+// rawMessage holds the bytes of a message.
+type rawMessage []byte
 
+// rawCodec sends and receives messages as bytes, under the content type of protobuf messages.
 type rawCodec struct{}
 
 var _ encoding.CodecV2 = rawCodec{}
@@ -92,10 +95,10 @@
 func (rawCodec) Name() string { return "proto" }
 
 func (rawCodec) Marshal(v any) (mem.BufferSlice, error) {
-	return mem.BufferSlice{mem.SliceBuffer(*v.(*raw))}, nil
+	return mem.BufferSlice{mem.SliceBuffer(*v.(*rawMessage))}, nil
 }
 
 func (rawCodec) Unmarshal(data mem.BufferSlice, v any) error {
-	*v.(*raw) = data.Materialize()
+	*v.(*rawMessage) = data.Materialize()
 	return nil
 }
--- a/internal/loadgen/histogram.go
+++ b/internal/loadgen/histogram.go
@@ -6,22 +6,22 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histograms are of microseconds, from 1 us to an hour, to three digits.
+// Histograms count microseconds, from 1 us to an hour, to three significant digits.
 const (
 	minMicros         = 1
 	maxMicros         = int64(time.Hour / time.Microsecond)
 	significantDigits = 3
 )
 
-// NewHistogram returns one for latencies; it is not safe for concurrent use.
+// NewHistogram returns an empty histogram for latencies. It is not safe for concurrent use.
 func NewHistogram() *hdr.Histogram { return hdr.New(minMicros, maxMicros, significantDigits) }
 
-// Record adds a latency. What is beyond an hour counts as that.
+// Record adds a latency. Values below 1 us or above an hour count as the nearest of these bounds.
 func Record(h *hdr.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // it is within the bounds
+	_ = h.RecordValue(min(max(d.Microseconds(), minMicros), maxMicros)) // the value is within the bounds
 }
 
-// Quantile is a latency that so many percent did not exceed; 0 where there are none.
+// Quantile returns the latency that the given percentage of the values does not exceed, or 0 if the histogram is empty.
 func Quantile(h *hdr.Histogram, percent float64) time.Duration {
 	if h.TotalCount() == 0 {
 		return 0
--- a/internal/loadgen/http1.go
+++ b/internal/loadgen/http1.go
@@ -19,32 +19,32 @@
 const (
 	OK       Outcome = iota
 	Refused          // 429, 503; UNAVAILABLE and RESOURCE_EXHAUSTED with RetryInfo
-	Rejected         // another 4xx: the request is wrong
-	Failed           // another 5xx
-	Broken           // the connection, or what came over it
+	Rejected         // any other 4xx: the request is invalid
+	Failed           // any other 5xx
+	Broken           // the connection failed, or the response was malformed
 	TimedOut
 	outcomeCount
 )
 
 var outcomeNames = [outcomeCount]string{"ok", "refused", "rejected", "failed", "broken", "timed out"}
 
-func (k Outcome) String() string { return outcomeNames[k] }
+func (o Outcome) String() string { return outcomeNames[o] }
 
 // attemptResult is the result of one attempt.
 type attemptResult struct {
 	outcome    Outcome
-	retryAfter time.Duration // the wait that the server asked for; 0: none
+	retryAfter time.Duration // time the server asked to wait before a retry; 0 if it named none
 }
 
-// sender sends one request at a time over a connection of its own, and reconnects after a fault.
+// sender sends one request at a time over its own connection, and reconnects after a fault.
 type sender interface {
 	send(d ScheduledRequest, timeout time.Duration) attemptResult
 	close()
 }
 
-// http1 is a sender of HTTP/1.1. Its requests are formatted before the run, but for their numbers. Of a response it parses only what is
-// needed to find its end and the time of a retry, which keeps the CPU time of a request low.
-type http1 struct {
+// http1Sender sends HTTP/1.1 requests. To keep the CPU time of a request low, it formats all but the numbers of the requests before the run,
+// and parses of a response only its status, its end and the time of a retry.
+type http1Sender struct {
 	address string
 	classes []httpClass
 	conn    net.Conn
@@ -53,60 +53,62 @@
 	body    []byte
 }
 
+// httpClass holds the formatted requests of one class.
 type httpClass struct {
 	head, body template
-	fixed      bool // the body's length is the same for all
-	bodyless   bool // HEAD
+	fixed      bool // all requests have the same body, which head contains
+	bodyless   bool // the responses have no body, as to HEAD
 	idempotent bool
 }
 
+// maxHeaderBytes is the largest accepted size of the headers of a response.
 const maxHeaderBytes = 64 << 10
 
-func newHTTP1(address string, classes []Class) *http1 {
-	h := &http1{address: address, r: bufio.NewReaderSize(nil, 16<<10)}
-	for _, c := range classes {
-		head := c.Method + " " + c.Path + " HTTP/1.1\r\n"
-		host := false
-		for _, x := range c.Headers {
-			head += x.Name + ": " + x.Value + "\r\n"
-			host = host || bytes.EqualFold([]byte(x.Name), []byte("host"))
+func newHTTP1Sender(address string, classes []Class) *http1Sender {
+	h := &http1Sender{address: address, r: bufio.NewReaderSize(nil, 16<<10)}
+	for _, class := range classes {
+		head := class.Method + " " + class.Path + " HTTP/1.1\r\n"
+		hasHost := false
+		for _, header := range class.Headers {
+			head += header.Name + ": " + header.Value + "\r\n"
+			hasHost = hasHost || bytes.EqualFold([]byte(header.Name), []byte("host"))
 		}
-		if !host {
+		if !hasHost {
 			head += "Host: " + address + "\r\n"
 		}
-		k := httpClass{body: newTemplate(string(c.Body)), bodyless: c.Method == "HEAD", idempotent: c.idempotent()}
-		if k.fixed = len(k.body) == 1; k.fixed {
-			if len(c.Body) > 0 || !k.idempotent {
-				head += "Content-Length: " + strconv.Itoa(len(c.Body)) + "\r\n"
+		prepared := httpClass{body: newTemplate(string(class.Body)), bodyless: class.Method == "HEAD", idempotent: class.idempotent()}
+		if prepared.fixed = len(prepared.body) == 1; prepared.fixed {
+			if len(class.Body) > 0 || !prepared.idempotent {
+				head += "Content-Length: " + strconv.Itoa(len(class.Body)) + "\r\n"
 			}
-			head += "\r\n" + string(c.Body)
+			head += "\r\n" + string(class.Body)
 		}
-		k.head = newTemplate(head)
-		h.classes = append(h.classes, k)
+		prepared.head = newTemplate(head)
+		h.classes = append(h.classes, prepared)
 	}
 	return h
 }
 
-func (h *http1) close() {
+func (h *http1Sender) close() {
 	if h.conn != nil {
 		h.conn.Close()
 		h.conn = nil
 	}
 }
 
-func (h *http1) send(d ScheduledRequest, timeout time.Duration) attemptResult {
-	c := &h.classes[d.Class]
+func (h *http1Sender) send(request ScheduledRequest, timeout time.Duration) attemptResult {
+	class := &h.classes[request.Class]
 	deadline := time.Now().Add(timeout)
-	used := h.conn != nil
-	result, started, err := h.attempt(c, d.Number, deadline)
-	if err != nil && used && !started && c.idempotent && time.Now().Before(deadline) { // the server may have closed the idle connection
+	reused := h.conn != nil
+	result, started, err := h.roundTrip(class, request.Number, deadline)
+	if err != nil && reused && !started && class.idempotent && time.Now().Before(deadline) { // the server may have closed the connection while it was idle
 		h.close()
-		result, _, err = h.attempt(c, d.Number, deadline)
+		result, _, err = h.roundTrip(class, request.Number, deadline)
 	}
 	if err != nil {
 		h.close()
-		var late net.Error
-		if errors.As(err, &late) && late.Timeout() {
+		var netErr net.Error
+		if errors.As(err, &netErr) && netErr.Timeout() {
 			return attemptResult{outcome: TimedOut}
 		}
 		return attemptResult{outcome: Broken}
@@ -114,8 +116,8 @@
 	return result
 }
 
-// attempt sends a request once and reads the response. started: its first line came.
-func (h *http1) attempt(c *httpClass, n uint64, deadline time.Time) (result attemptResult, started bool, err error) {
+// roundTrip sends a request once and reads the response. started reports whether the first line of the response arrived.
+func (h *http1Sender) roundTrip(class *httpClass, number uint64, deadline time.Time) (result attemptResult, started bool, err error) {
 	if h.conn == nil {
 		if h.conn, err = (&net.Dialer{Deadline: deadline}).Dial("tcp", h.address); err != nil {
 			h.conn = nil
@@ -126,9 +128,9 @@
 	if err := h.conn.SetDeadline(deadline); err != nil {
 		return result, false, err
 	}
-	h.buf = c.head.appendTo(h.buf[:0], n)
-	if !c.fixed {
-		h.body = c.body.appendTo(h.body[:0], n)
+	h.buf = class.head.appendTo(h.buf[:0], number)
+	if !class.fixed {
+		h.body = class.body.appendTo(h.body[:0], number)
 		h.buf = append(h.buf, "Content-Length: "...)
 		h.buf = strconv.AppendInt(h.buf, int64(len(h.body)), 10)
 		h.buf = append(h.buf, "\r\n\r\n"...)
@@ -137,13 +139,14 @@
 	if _, err := h.conn.Write(h.buf); err != nil {
 		return result, false, err
 	}
-	return h.response(c.bodyless)
+	return h.readResponse(class.bodyless)
 }
 
 var errMalformedResponse = errors.New("malformed response")
 
-// response reads the final response; interim ones before it are skipped. started: its first line came.
-func (h *http1) response(bodyless bool) (result attemptResult, started bool, err error) {
+// readResponse reads the final response and skips interim (1xx) ones before it. started reports whether the first line of a response
+// arrived.
+func (h *http1Sender) readResponse(bodyless bool) (result attemptResult, started bool, err error) {
 	for {
 		head, err := h.head(&started)
 		if err != nil {
@@ -158,7 +161,7 @@
 		switch {
 		case bodyless || head.status == http.StatusNoContent || head.status == http.StatusNotModified:
 		case head.chunked:
-			err = h.chunks()
+			err = h.discardChunks()
 		case head.length >= 0:
 			_, err = h.r.Discard(head.length)
 		default:
@@ -175,6 +178,7 @@
 	}
 }
 
+// httpOutcome returns the outcome that a status code stands for.
 func httpOutcome(status int) Outcome {
 	switch {
 	case status == 429 || status == 503:
@@ -187,20 +191,20 @@
 	return OK
 }
 
-// responseHead is what the status line and the headers say about the end of the response and about retries.
+// responseHead is what the status line and the headers of a response say about its status, its end and a retry.
 type responseHead struct {
 	status     int
-	length     int // Content-Length; -1: absent
+	length     int // Content-Length; -1 if absent
 	chunked    bool
 	closes     bool // the server closes the connection after the response
 	retryAfter time.Duration
 }
 
-// statusLineLength is the length of "HTTP/1.1 200", the least that a status line has.
+// statusLineLength is the length of "HTTP/1.1 200", the shortest valid status line.
 const statusLineLength = 12
 
-// head reads a status line and headers. It sets started once the first line is read.
-func (h *http1) head(started *bool) (responseHead, error) {
+// head reads a status line and headers. It sets started once it has read the first line.
+func (h *http1Sender) head(started *bool) (responseHead, error) {
 	head := responseHead{length: -1}
 	line, err := h.line()
 	if err != nil {
@@ -227,7 +231,7 @@
 	}
 }
 
-// addHeader takes over a header line if it is one that matters here.
+// addHeader stores the value of a header line that responseHead has a field for, and ignores other headers.
 func (h *responseHead) addHeader(line []byte) error {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok {
@@ -253,18 +257,20 @@
 	return nil
 }
 
-func (h *http1) line() ([]byte, error) {
+// line returns the next line without its end. It is valid until the next read.
+func (h *http1Sender) line() ([]byte, error) {
 	line, err := h.r.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, bufio.ErrBufferFull) {
-			err = fmt.Errorf("%w: a line over %d bytes", errMalformedResponse, h.r.Size())
+			err = fmt.Errorf("%w: a line is longer than %d bytes", errMalformedResponse, h.r.Size())
 		}
 		return nil, err
 	}
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
-func (h *http1) chunks() error {
+// discardChunks reads a chunked body and its trailers, and drops them.
+func (h *http1Sender) discardChunks() error {
 	for {
 		line, err := h.line()
 		if err != nil {
@@ -286,7 +292,7 @@
 		}
 	}
 	for {
-		line, err := h.line() // trailers
+		line, err := h.line() // a trailer, or the empty line that ends the body
 		if err != nil || len(line) == 0 {
 			return err
 		}
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -24,9 +24,10 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// options returns the options for a target and a rate. Without classes, requests are GET /.
 func options(target, rate string, classes ...string) Options {
 	o := Options{Target: target, Connections: 8, Timeout: 5 * time.Second, Seed: 1}
-	o.Phases, _ = ParsePhases(rate, time.Second) // the tests' own
+	o.Phases, _ = ParsePhases(rate, time.Second) // the tests pass valid rates only
 	if len(classes) == 0 {
 		classes = []string{"GET /"}
 	}
@@ -37,7 +38,9 @@
 	return o
 }
 
-func play(t *testing.T, ctx context.Context, o Options, w Observers) *Result {
+// runChecked runs a load, and checks that each request has one outcome, each OK outcome one latency, and that no request has too many
+// attempts.
+func runChecked(t *testing.T, ctx context.Context, o Options, w Observers) *Result {
 	t.Helper()
 	r, err := Run(ctx, o, w)
 	if err != nil {
@@ -49,49 +52,50 @@
 			sum += n
 		}
 		if sum != c.Requests || c.Latency.TotalCount() != c.Outcomes[OK] || c.Attempts > c.Requests*int64(1+o.Retries) {
-			t.Errorf("%s: %d asked, ends %v, %d tries, %d latencies", c.Name, c.Requests, c.Outcomes, c.Attempts, c.Latency.TotalCount())
+			t.Errorf("class %s: the counts do not add up: %d requests, outcomes %v, %d attempts, %d latencies", c.Name, c.Requests, c.Outcomes, c.Attempts, c.Latency.TotalCount())
 		}
 	}
 	return r
 }
 
-// A server that stalls for a second delays all requests scheduled in that second, not one for each connection.
+// A server that stalls for a second delays all requests that are scheduled in that second. A load generator that waits for responses would
+// record the delay only once for each connection (coordinated omission).
 func TestCoordinatedOmission(t *testing.T) {
 	var mu sync.Mutex
-	var begun time.Time
-	at := base.HTTP(t, nil, func(w http.ResponseWriter, _ *http.Request) {
-		mu.Lock() // one at a time, as in a process that is stopped
+	var firstRequest time.Time
+	address := base.HTTP(t, nil, func(w http.ResponseWriter, _ *http.Request) {
+		mu.Lock() // handles one request at a time, so that all of them wait for the one that stalls
 		defer mu.Unlock()
-		if begun.IsZero() {
-			begun = time.Now()
+		if firstRequest.IsZero() {
+			firstRequest = time.Now()
 		}
-		if since := time.Since(begun); since > 500*time.Millisecond && since < 1500*time.Millisecond {
+		if since := time.Since(firstRequest); since > 500*time.Millisecond && since < 1500*time.Millisecond {
 			time.Sleep(1500*time.Millisecond - since)
 		}
 	})
-	o := options("http://"+at, "200:2s")
+	o := options("http://"+address, "200:2s")
 	o.Steady = true
-	r := play(t, t.Context(), o, Observers{})
+	r := runChecked(t, t.Context(), o, Observers{})
 	all := r.Total()
 	if all.Requests != 399 || all.Outcomes[OK] != all.Requests {
-		t.Fatalf("%d asked, %v", all.Requests, all.Outcomes)
+		t.Fatalf("%d requests with outcomes %v, want 399, all OK", all.Requests, all.Outcomes)
 	}
-	// 200 of 400 came in that second, and waited for what was left of it.
+	// 200 of the 400 requests are scheduled in the second of the stall, and wait for the rest of it.
 	slow := int64(0)
-	for _, b := range all.Latency.Distribution() {
-		if b.From > (200 * time.Millisecond).Microseconds() {
-			slow += b.Count
+	for _, bar := range all.Latency.Distribution() {
+		if bar.From > (200 * time.Millisecond).Microseconds() {
+			slow += bar.Count
 		}
 	}
 	if slow < 150 || slow > 220 {
-		t.Errorf("%d requests took more than 200 ms, some 160 had to", slow)
+		t.Errorf("%d requests took more than 200 ms, want about 160", slow)
 	}
 	if r.DelayedByConnections < 100 || len(r.Limits()) == 0 || !strings.Contains(strings.Join(r.Limits(), " "), "connections busy") {
-		t.Errorf("%d found all busy; %v", r.DelayedByConnections, r.Limits())
+		t.Errorf("%d requests delayed by busy connections, want at least 100 and a limit that says so; limits %v", r.DelayedByConnections, r.Limits())
 	}
 }
 
-// A schedule keeps its rates, its shares and its order, and is the same for the same seed.
+// A schedule has the configured rates and shares, is ordered by time, and is the same for the same seed.
 func TestSchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Options{Steady: rapid.Bool().Draw(t, "steady"), Seed: rapid.Uint64().Draw(t, "seed")}
@@ -103,43 +107,43 @@
 			length += p.For
 		}
 		o.Classes = []Class{{Share: 3}, {Share: 1}}
-		a, b := NewSchedule(o), NewSchedule(o)
-		n, first, last := 0, 0, time.Duration(0)
+		schedule, sameSeed := NewSchedule(o), NewSchedule(o)
+		n, ofFirstClass, last := 0, 0, time.Duration(0)
 		for {
-			x, ok := a.Next()
-			y, okY := b.Next()
+			x, ok := schedule.Next()
+			y, okY := sameSeed.Next()
 			if x != y || ok != okY {
-				t.Fatalf("%+v, and with the same seed %+v", x, y)
+				t.Fatalf("two schedules with the same seed differ: %+v and %+v", x, y)
 			}
 			if !ok {
 				break
 			}
 			n++
 			if x.At < last || x.At >= length || x.Number != uint64(n) {
-				t.Fatalf("%+v after %v, of %v", x, last, length)
+				t.Fatalf("request %+v does not follow a request at %v: want ascending times below %v and consecutive numbers", x, last, length)
 			}
 			last = x.At
 			if x.Class == 0 {
-				first++
+				ofFirstClass++
 			}
 		}
 		if allowed := 5*math.Sqrt(want) + 2; math.Abs(float64(n)-want) > allowed || o.Steady && math.Abs(float64(n)-want) > 2 {
-			t.Fatalf("%d requests, %.0f are to come", n, want)
+			t.Fatalf("%d requests scheduled, want about %.0f", n, want)
 		}
-		if math.Abs(float64(first)-0.75*float64(n)) > 5*math.Sqrt(float64(n))/2+2 {
-			t.Fatalf("%d of %d are of a class that has three of four", first, n)
+		if math.Abs(float64(ofFirstClass)-0.75*float64(n)) > 5*math.Sqrt(float64(n))/2+2 {
+			t.Fatalf("%d of %d requests are of the class with a share of 3 in 4", ofFirstClass, n)
 		}
 	})
 }
 
-// scriptedServer answers each read with the same bytes.
+// scriptedServer is a TCP server that answers whatever it reads with the same bytes.
 type scriptedServer struct {
 	listener    net.Listener
 	connections atomic.Int64
 	handlers    sync.WaitGroup
 }
 
-// startScriptedServer listens on loopback; with keepOpen a connection stays open after an answer.
+// startScriptedServer listens on loopback. With keepOpen, connections stay open after an answer.
 func startScriptedServer(t *testing.T, answer string, keepOpen bool) *scriptedServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -180,60 +184,61 @@
 	}
 }
 
-// Each response has its outcome, and the next request is sent after it.
+// Each response has the expected outcome, and the next request reuses the connection only if the response allows it. Otherwise valid responses
+// would count as faults, or a request would be sent on a connection that the server closes.
 func TestAnswers(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
 	for _, c := range []struct {
 		name, answer string
 		want         Outcome
-		again        bool // over the same connection
+		again        bool // the next request uses the same connection
 	}{
-		{"length", head + "Content-Length: 3\r\n\r\nabc", OK, true},
-		{"chunks", head + "Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\nTrailer: 1\r\n\r\n", OK, true},
-		{"to the end", head + "\r\nabc", OK, false},
-		{"closes", head + "Connection: close\r\nContent-Length: 0\r\n\r\n", OK, false},
-		{"old", "HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n", OK, false},
-		{"no content", "HTTP/1.1 204 No Content\r\n\r\n", OK, true},
-		{"interim", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + head + "Content-Length: 0\r\n\r\n", OK, true},
+		{"body with a length", head + "Content-Length: 3\r\n\r\nabc", OK, true},
+		{"chunked body", head + "Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\nTrailer: 1\r\n\r\n", OK, true},
+		{"until the connection closes", head + "\r\nabc", OK, false},
+		{"Connection: close", head + "Connection: close\r\nContent-Length: 0\r\n\r\n", OK, false},
+		{"HTTP/1.0", "HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n", OK, false},
+		{"204 without a body", "HTTP/1.1 204 No Content\r\n\r\n", OK, true},
+		{"interim response first", "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + head + "Content-Length: 0\r\n\r\n", OK, true},
 		{"refused", "HTTP/1.1 503 S\r\nRetry-After: 7\r\nContent-Length: 0\r\n\r\n", Refused, true},
-		{"too many", "HTTP/1.1 429 T\r\nContent-Length: 0\r\n\r\n", Refused, true},
+		{"too many requests", "HTTP/1.1 429 T\r\nContent-Length: 0\r\n\r\n", Refused, true},
 		{"rejected", "HTTP/1.1 404 N\r\nContent-Length: 0\r\n\r\n", Rejected, true},
 		{"failed", "HTTP/1.1 502 B\r\nContent-Length: 0\r\n\r\n", Failed, true},
-		{"cut", head + "Content-Length: 9\r\n\r\nabc", Broken, false},
-		{"cut chunk", head + "Transfer-Encoding: chunked\r\n\r\n9\r\nabc", Broken, false},
-		{"bad chunk", head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", Broken, false},
-		{"long chunk", head + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", Broken, false},
-		{"two lengths", head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", Broken, false},
-		{"a length below 0", head + "Content-Length: -1\r\n\r\n", Broken, false},
-		{"no header", head + "nonsense\r\n\r\n", Broken, false},
-		{"no answer", "SSH-2.0-OpenSSH\r\n", Broken, false},
+		{"truncated body", head + "Content-Length: 9\r\n\r\nabc", Broken, false},
+		{"truncated chunk", head + "Transfer-Encoding: chunked\r\n\r\n9\r\nabc", Broken, false},
+		{"malformed chunk size", head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", Broken, false},
+		{"chunk longer than its size", head + "Transfer-Encoding: chunked\r\n\r\n1\r\nabc\r\n", Broken, false},
+		{"different lengths", head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nab", Broken, false},
+		{"negative length", head + "Content-Length: -1\r\n\r\n", Broken, false},
+		{"malformed header", head + "nonsense\r\n\r\n", Broken, false},
+		{"not HTTP", "SSH-2.0-OpenSSH\r\n", Broken, false},
 		{"a long line", head + "X: " + strings.Repeat("x", 20<<10), Broken, false},
 		{"a long head", head + strings.Repeat("X: "+strings.Repeat("x", 1000)+"\r\n", 70), Broken, false},
 		{"switches protocols", "HTTP/1.1 101 S\r\n\r\n", Broken, false},
-		{"nothing", "", Broken, false},
+		{"empty", "", Broken, false},
 	} {
 		server := startScriptedServer(t, c.answer, c.again)
-		h := newHTTP1(server.address(), options("", "1", "CALL /{n}").Classes)
+		h := newHTTP1Sender(server.address(), options("", "1", "CALL /{n}").Classes)
 		for range 2 {
-			if o := h.send(ScheduledRequest{Number: 1}, 5*time.Second); o.outcome != c.want || c.name == "refused" && o.retryAfter != 7*time.Second {
-				t.Errorf("%s: %+v", c.name, o)
+			if result := h.send(ScheduledRequest{Number: 1}, 5*time.Second); result.outcome != c.want || c.name == "refused" && result.retryAfter != 7*time.Second {
+				t.Errorf("response %q: unexpected result %+v", c.name, result)
 			}
 		}
 		if want := map[bool]int64{true: 1, false: 2}[c.again]; server.connections.Load() != want {
-			t.Errorf("%s: %d connections", c.name, server.connections.Load())
+			t.Errorf("response %q: %d connections for two requests", c.name, server.connections.Load())
 		}
 		h.close()
 		server.stop()
 	}
-	rapid.Check(t, func(t *rapid.T) { // any input ends the parser
+	rapid.Check(t, func(t *rapid.T) { // the parser returns on any input
 		noise := append([]byte(rapid.SampledFrom([]string{"", head, head + "Transfer-Encoding: chunked\r\n\r\n"}).Draw(t, "head")), rapid.SliceOf(rapid.Byte()).Draw(t, "noise")...)
-		h := newHTTP1("", nil)
+		h := newHTTP1Sender("", nil)
 		h.r.Reset(bytes.NewReader(noise))
-		_, _, _ = h.response(false)
+		_, _, _ = h.readResponse(false)
 	})
 }
 
-// loggedCounts returns the number of latencies in a log by class.
+// loggedCounts returns the number of latencies in a log for each class.
 func loggedCounts(t *testing.T, log io.Reader) map[string]int64 {
 	t.Helper()
 	logged := map[string]int64{}
@@ -251,116 +256,118 @@
 	return logged
 }
 
-// A rejected request is retried when the server allows, a failed one only if it is idempotent. The log has the counts of the result.
+// A refused request is always retried, a broken one only if it is idempotent: a server may have executed it. The log has as many latencies as
+// the result has requests with the outcome OK.
 func TestRetries(t *testing.T) {
-	var tries, posts atomic.Int64
+	var refusableAttempts, aborted atomic.Int64
 	seen := sync.Map{}
-	at := base.HTTP(t, nil, func(w http.ResponseWriter, q *http.Request) {
-		body, _ := io.ReadAll(q.Body)
-		key := q.Header.Get("X-Key") + string(body)
+	address := base.HTTP(t, nil, func(w http.ResponseWriter, request *http.Request) {
+		body, _ := io.ReadAll(request.Body)
+		key := request.Header.Get("X-Key") + string(body)
 		n, _ := seen.LoadOrStore(key, new(atomic.Int64))
 		first := n.(*atomic.Int64).Add(1) == 1
 		switch {
-		case strings.HasPrefix(q.URL.Path, "/refuses/"):
-			if tries.Add(1); first {
+		case strings.HasPrefix(request.URL.Path, "/refuses/"):
+			if refusableAttempts.Add(1); first {
 				w.Header().Set("Retry-After", "0")
 				w.WriteHeader(503)
 			}
-		case first && (q.URL.Path == "/breaks" || q.URL.Path == "/unsafe"):
-			posts.Add(1)
+		case first && (request.URL.Path == "/breaks" || request.URL.Path == "/unsafe"):
+			aborted.Add(1)
 			panic(http.ErrAbortHandler)
 		}
 	})
-	o := options("http://"+at, "150", "a=1:POST /refuses/{n}", "b=1:GET /breaks", "c=1:POST /unsafe")
+	o := options("http://"+address, "150", "a=1:POST /refuses/{n}", "b=1:GET /breaks", "c=1:POST /unsafe")
 	o.Retries, o.RetryBackoff = 2, 20*time.Millisecond
 	for i := range o.Classes {
 		o.Classes[i].Headers = []Header{{"X-Key", o.Classes[i].Name + "{n}"}}
 	}
 	o.Classes[0].Body = []byte("body {n}")
 	var log bytes.Buffer
-	r := play(t, t.Context(), o, Observers{Log: &log})
+	r := runChecked(t, t.Context(), o, Observers{Log: &log})
 	a, b, c := r.Classes[0], r.Classes[1], r.Classes[2]
-	if a.Requests < 20 || a.Outcomes[OK] != a.Requests || a.Attempts != 2*a.Requests || tries.Load() != a.Attempts || Quantile(a.Latency, 0) < 19*time.Millisecond {
-		t.Errorf("refused: %+v, %d at the server", a, tries.Load())
+	if a.Requests < 20 || a.Outcomes[OK] != a.Requests || a.Attempts != 2*a.Requests || refusableAttempts.Load() != a.Attempts || Quantile(a.Latency, 0) < 19*time.Millisecond {
+		t.Errorf("refused requests: %+v, %d attempts at the server; want two attempts for each, the last one OK", a, refusableAttempts.Load())
 	}
 	if b.Outcomes[OK] != b.Requests {
-		t.Errorf("broken and safe: %+v", b)
+		t.Errorf("GET requests whose first connection broke: %+v; want all OK", b)
 	}
 	if c.Outcomes[Broken] != c.Requests || c.Attempts != c.Requests {
-		t.Errorf("broken and unsafe: %+v", c)
+		t.Errorf("POST requests whose connection broke: %+v; want one attempt for each", c)
 	}
 	logged := loggedCounts(t, &log)
 	if logged["a"] != a.Outcomes[OK] || logged["b"] != b.Outcomes[OK] || logged["c"] != 0 {
-		t.Errorf("logged: %v, %v %v", logged, a.Outcomes, b.Outcomes)
+		t.Errorf("latencies in the log: %v; want as many as OK outcomes, %v and %v", logged, a.Outcomes, b.Outcomes)
 	}
 }
 
-// At most MaxWaitingRetries requests wait for a retry, and each request has one outcome in a run that is stopped.
+// At most MaxWaitingRetries requests wait for a retry: otherwise memory would grow as long as a server refuses. In a run that is stopped, each
+// request still has one outcome.
 func TestWaitingRetriesAreBounded(t *testing.T) {
-	at := base.HTTP(t, nil, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
-	o := options("http://"+at, "200:1m", "GET /never")
+	address := base.HTTP(t, nil, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
+	o := options("http://"+address, "200:1m", "GET /never")
 	o.Retries, o.MaxWaitingRetries, o.RetryBackoff = 50, 10, time.Minute
 	ctx, stop := context.WithCancel(t.Context())
-	most := 0
-	r := play(t, ctx, o, Observers{Progress: func(p Progress) { most = max(most, p.Waiting); stop() }})
-	if !r.Stopped || most != 10 || r.Classes[0].GivenUp < 50 || r.Classes[0].Outcomes[Refused] != r.Classes[0].Requests {
-		t.Errorf("%d waited at most; %+v", most, r.Classes[0])
+	maxWaiting := 0
+	r := runChecked(t, ctx, o, Observers{Progress: func(p Progress) { maxWaiting = max(maxWaiting, p.Waiting); stop() }})
+	if !r.Stopped || maxWaiting != 10 || r.Classes[0].GivenUp < 50 || r.Classes[0].Outcomes[Refused] != r.Classes[0].Requests {
+		t.Errorf("%d requests waited for a retry at the same time, want 10, with the others given up and all refused: %+v", maxWaiting, r.Classes[0])
 	}
 }
 
-// Calls over gRPC end as they are.
+// gRPC calls are counted by their status: OK, a client error, and no connection.
 func TestGRPC(t *testing.T) {
-	n := fakes.NewNode(fakes.NodeOptions{Name: "n", Cores: 8, Ledger: fakes.NewLedger(), Answer: func(fakes.Job) []byte { return nil }})
-	t.Cleanup(n.Close)
-	at, err := n.ListenGRPC("127.0.0.1:0")
+	node := fakes.NewNode(fakes.NodeOptions{Name: "n", Cores: 8, Ledger: fakes.NewLedger(), Answer: func(fakes.Job) []byte { return nil }})
+	t.Cleanup(node.Close)
+	address, err := node.ListenGRPC("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := options("grpc://"+at, "100", "ok=1:CALL /p.S/M", "bad=1:CALL /p.S/M")
+	o := options("grpc://"+address, "100", "ok=1:CALL /p.S/M", "bad=1:CALL /p.S/M")
 	o.Classes[1].Headers = []Header{{fakes.StatusKey, "3"}}
-	r := play(t, t.Context(), o, Observers{})
+	r := runChecked(t, t.Context(), o, Observers{})
 	if a, b := r.Classes[0], r.Classes[1]; a.Outcomes[OK] != a.Requests || b.Outcomes[Rejected] != b.Requests || a.Requests == 0 {
-		t.Errorf("%+v\n%+v", a, b)
+		t.Errorf("want all calls OK in the first class and rejected in the second:\n%+v\n%+v", a, b)
 	}
-	n.Close()
-	o = options("grpc://"+at, "50", "CALL /p.S/M")
-	if r := play(t, t.Context(), o, Observers{}); r.Classes[0].Outcomes[Broken] != r.Classes[0].Requests {
-		t.Errorf("without a server: %+v", r.Classes[0])
+	node.Close()
+	o = options("grpc://"+address, "50", "CALL /p.S/M")
+	if r := runChecked(t, t.Context(), o, Observers{}); r.Classes[0].Outcomes[Broken] != r.Classes[0].Requests {
+		t.Errorf("calls without a server: %+v; want all broken", r.Classes[0])
 	}
 }
 
 // The report names what limited the run: the load generator, the connections, or nothing but the server.
 func TestLimits(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		r    Result
-		own  time.Duration
-		want string
+		name      string
+		r         Result
+		sendDelay time.Duration
+		want      string
 	}{
-		{"the server", Result{Took: time.Second, CPU: time.Second, Cores: 2}, time.Millisecond, ""},
+		{"the server alone", Result{Took: time.Second, CPU: time.Second, Cores: 2}, time.Millisecond, ""},
 		{"cores", Result{Took: time.Second, CPU: 1900 * time.Millisecond, Cores: 2}, 0, "this tool used 95%"},
-		{"late", Result{Took: time.Second, Cores: 2}, 5 * time.Millisecond, "more than 5ms late"},
+		{"send delay", Result{Took: time.Second, Cores: 2}, 5 * time.Millisecond, "more than 5ms late"},
 		{"connections", Result{Took: time.Second, Cores: 2, DelayedByConnections: 5, Blocked: time.Second / 2}, 0, "all connections busy"},
-		{"handing out", Result{Took: time.Second, Cores: 2, DelayedByConnections: 5}, 0, "it was the limit"},
+		{"dispatching", Result{Took: time.Second, Cores: 2, DelayedByConnections: 5}, 0, "it was the limit"},
 	} {
 		c.r.SendDelay = NewHistogram()
-		Record(c.r.SendDelay, c.own)
+		Record(c.r.SendDelay, c.sendDelay)
 		c.r.Classes = []ClassResult{{Requests: 100, Latency: NewHistogram()}}
 		if got := strings.Join(c.r.Limits(), ";"); c.want == "" && got != "" || !strings.Contains(got, c.want) {
-			t.Errorf("%s: %q", c.name, got)
+			t.Errorf("run limited by %s: Limits returned %q", c.name, got)
 		}
 	}
 	var out strings.Builder
 	r := Result{Classes: []ClassResult{{Name: "a", Latency: NewHistogram()}, {Name: "b", Latency: NewHistogram()}}, SendDelay: NewHistogram()}
 	if err := r.Print(&out); err != nil || !strings.Contains(out.String(), "all") {
-		t.Errorf("%v\n%s", err, out.String())
+		t.Errorf("Print returned %v, and its output must have a line for all classes:\n%s", err, out.String())
 	}
 }
 
 // Invalid options and arguments are rejected with an error that names them.
 func TestCheck(t *testing.T) {
 	for _, c := range []struct {
-		what   string
+		want   string
 		change func(o *Options)
 	}{
 		{"target", func(o *Options) { o.Target = "ftp://127.0.0.1:1" }},
@@ -369,53 +376,53 @@
 		{"phases", func(o *Options) { o.Phases = nil }},
 		{"connections", func(o *Options) { o.Connections = 0 }},
 		{"classes", func(o *Options) { o.Classes = nil }},
-		{"called", func(o *Options) { o.Classes = append(o.Classes, o.Classes[0]) }},
-		{"time", func(o *Options) { o.Timeout = 0 }},
+		{"two classes have the name", func(o *Options) { o.Classes = append(o.Classes, o.Classes[0]) }},
+		{"timeout", func(o *Options) { o.Timeout = 0 }},
 		{"retries", func(o *Options) { o.Retries = -1 }},
 	} {
 		o := options("http://127.0.0.1:1", "1")
 		c.change(&o)
-		if err := o.Check(); err == nil || !strings.Contains(err.Error(), c.what) {
-			t.Errorf("%s: %v", c.what, err)
+		if err := o.Check(); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("invalid options: want an error that contains %q, got %v", c.want, err)
 		}
 	}
 	for _, text := range []string{"x", "-1", "1:", "1:-1s", "1:x", "1e9", "NaN"} {
 		if p, err := ParsePhases(text, time.Second); err == nil {
-			t.Errorf("rate %q: %v", text, p)
+			t.Errorf("invalid rate %q accepted as %v", text, p)
 		}
 	}
 	for _, text := range []string{"", "GET", "GET x", "a=0:GET /", "a=x:GET /", "GET /a b", "GET /\r\nX: y"} {
 		if c, err := ParseClass(text); err == nil {
-			t.Errorf("class %q: %+v", text, c)
+			t.Errorf("invalid class %q accepted as %+v", text, c)
 		}
 	}
 	for _, text := range []string{"", "x", ": y", "a b: c", "a: b\r\nc: d"} {
 		if h, err := ParseHeader(text); err == nil {
-			t.Errorf("header %q: %v", text, h)
+			t.Errorf("invalid header %q accepted as %v", text, h)
 		}
 	}
 	if c, err := ParseClass("search=3:GET /search?q=a=1:2"); err != nil || fmt.Sprint(c) != fmt.Sprint(Class{Name: "search", Share: 3, Method: "GET", Path: "/search?q=a=1:2"}) {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("class with = and : in its path: parsed as %+v, error %v", c, err)
 	}
 }
 
-// Quantiles are off by a thousandth at most, and what is beyond the bounds counts at them.
+// Quantiles are within a thousandth of the exact values, and values beyond the bounds count as the bounds.
 func TestQuantile(t *testing.T) {
 	h := NewHistogram()
 	if Quantile(h, 50) != 0 {
-		t.Errorf("of nothing: %v", Quantile(h, 50))
+		t.Errorf("quantile of an empty histogram: %v, want 0", Quantile(h, 50))
 	}
 	for i := range 1000 {
 		Record(h, time.Duration(i+1)*time.Millisecond)
 	}
 	for percent, want := range map[float64]float64{50: 500, 95: 950, 99: 990, 100: 1000} {
 		if got := Quantile(h, percent).Seconds() * 1000; math.Abs(got-want) > want/1000 {
-			t.Errorf("%v%%: %v ms, want %v", percent, got, want)
+			t.Errorf("%v%% quantile: %v ms, want %v", percent, got, want)
 		}
 	}
 	Record(h, -time.Second)
 	Record(h, 24*time.Hour)
 	if Quantile(h, 0) > time.Millisecond || Quantile(h, 100) < time.Hour-10*time.Second || h.TotalCount() != 1002 {
-		t.Errorf("%v to %v", Quantile(h, 0), Quantile(h, 100))
+		t.Errorf("values beyond the bounds: quantiles from %v to %v, want 1 us to 1 h", Quantile(h, 0), Quantile(h, 100))
 	}
 }
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -12,78 +12,79 @@
 	"time"
 )
 
-// Phase is a part of a run with a constant rate.
+// Phase is a part of a run with a constant mean rate.
 type Phase struct {
-	Rate float64 // requests a second
+	Rate float64 // requests per second
 	For  time.Duration
 }
 
-// ParsePhases reads "500:30s,1500:10s", or a rate alone, which lasts for rest.
-func ParsePhases(text string, rest time.Duration) ([]Phase, error) {
-	var all []Phase
+// ParsePhases parses phases such as "500:30s,1500:10s". A phase without a duration, such as "500", lasts for defaultDuration.
+func ParsePhases(text string, defaultDuration time.Duration) ([]Phase, error) {
+	var phases []Phase
 	for part := range strings.SplitSeq(text, ",") {
-		rate, length, given := strings.Cut(part, ":")
-		p := Phase{For: rest}
+		rate, duration, hasDuration := strings.Cut(part, ":")
+		p := Phase{For: defaultDuration}
 		var err error
 		if p.Rate, err = strconv.ParseFloat(rate, 64); err != nil || !(p.Rate >= 0 && p.Rate <= maxRate) {
-			return nil, fmt.Errorf("%q: a rate is a number from 0 to %d, as in 500 or 500:30s,1500:10s", part, int(maxRate))
+			return nil, fmt.Errorf("phase %q: the rate must be a number from 0 to %d, as in 500 or 500:30s,1500:10s", part, int(maxRate))
 		}
-		if given {
-			if p.For, err = time.ParseDuration(length); err != nil {
-				return nil, fmt.Errorf("%q: %w", part, err)
+		if hasDuration {
+			if p.For, err = time.ParseDuration(duration); err != nil {
+				return nil, fmt.Errorf("phase %q: %w", part, err)
 			}
 		}
 		if p.For <= 0 {
-			return nil, fmt.Errorf("%q: it has no length", part)
+			return nil, fmt.Errorf("phase %q: the duration must be above 0", part)
 		}
-		all = append(all, p)
+		phases = append(phases, p)
 	}
-	return all, nil
+	return phases, nil
 }
 
 // maxRate is the highest rate of a phase, in requests per second.
 const maxRate = 10_000_000
 
-// Class is a kind of request.
+// Class is a class of requests.
 type Class struct {
 	Name    string
 	Share   float64 // weight relative to the shares of the other classes
-	Method  string  // HTTP's, or gRPC's as /package.Service/Method
-	Path    string  // with {n} for the request's number
-	Body    []byte  // a gRPC message's bytes; with {n} too
+	Method  string  // HTTP method; CALL for gRPC
+	Path    string  // HTTP path, in which {n} stands for the request's number, or gRPC method as /package.Service/Method
+	Body    []byte  // HTTP body, or the bytes of a gRPC message; {n} stands for the request's number
 	Headers []Header
 }
 
-// Header is a header, or gRPC metadata. {n} in its value is the request's number.
+// Header is an HTTP header or an entry of gRPC metadata. {n} in its value stands for the request's number.
 type Header struct{ Name, Value string }
 
-// ParseClass reads "search=3:GET /search?q={n}", or without a name and a share "GET /search".
+// ParseClass parses a class such as "search=3:GET /search?q={n}". Name and share may be absent, as in "GET /search". A path alone stands for
+// GET.
 func ParseClass(text string) (Class, error) {
-	c := Class{Name: "request", Share: 1}
+	class := Class{Name: "request", Share: 1}
 	name, rest, named := strings.Cut(text, "=")
-	if share, what, ok := strings.Cut(rest, ":"); named && ok && !strings.ContainsAny(name, " /") {
-		x, err := strconv.ParseFloat(share, 64)
-		if err != nil || !(x > 0 && x < 1e9) {
-			return c, fmt.Errorf("%q: its share %q is not a number above 0", text, share)
+	if share, remainder, ok := strings.Cut(rest, ":"); named && ok && !strings.ContainsAny(name, " /") {
+		weight, err := strconv.ParseFloat(share, 64)
+		if err != nil || !(weight > 0 && weight < 1e9) {
+			return class, fmt.Errorf("class %q: the share %q must be a number above 0 and below 1e9", text, share)
 		}
-		c.Name, c.Share, text = name, x, what
+		class.Name, class.Share, text = name, weight, remainder
 	}
 	method, path, ok := strings.Cut(text, " ")
 	if !ok && strings.HasPrefix(text, "/") {
 		method, path = "GET", text
 	}
-	if c.Method, c.Path = method, strings.TrimSpace(path); !strings.HasPrefix(c.Path, "/") || c.Method == "" || strings.ContainsAny(c.Path, " \r\n") {
-		return c, fmt.Errorf("%q: a class is NAME=SHARE:METHOD /path, as in search=3:GET /search?q={n}", text)
+	if class.Method, class.Path = method, strings.TrimSpace(path); !strings.HasPrefix(class.Path, "/") || class.Method == "" || strings.ContainsAny(class.Path, " \r\n") {
+		return class, fmt.Errorf("class %q must have the form NAME=SHARE:METHOD /path, as in search=3:GET /search?q={n}", text)
 	}
-	return c, nil
+	return class, nil
 }
 
-// ParseHeader reads "Name: value".
+// ParseHeader parses a header of the form "Name: value".
 func ParseHeader(text string) (Header, error) {
 	name, value, ok := strings.Cut(text, ":")
 	h := Header{strings.TrimSpace(name), strings.TrimSpace(value)}
 	if !ok || h.Name == "" || strings.ContainsAny(h.Name+h.Value, "\r\n") || strings.ContainsAny(h.Name, " \t") {
-		return h, fmt.Errorf("%q: a header is Name: value", text)
+		return h, fmt.Errorf("header %q must have the form Name: value", text)
 	}
 	return h, nil
 }
@@ -93,41 +94,41 @@
 	Target            string // http://address or grpc://address
 	Phases            []Phase
 	Classes           []Class
-	Connections       int           // at most; a request that finds none free waits, and counts as delayed
-	Timeout           time.Duration // of an attempt
+	Connections       int           // maximum number of connections; a request that finds all of them busy waits
+	Timeout           time.Duration // timeout of an attempt
 	Steady            bool          // constant gaps between requests; otherwise exponential ones (a Poisson process)
-	Seed              uint64
-	Retries           int           // after the first attempt: of refused requests (429, 503, UNAVAILABLE with RetryInfo) and failed idempotent ones
-	RetryBackoff      time.Duration // before the first retry, if the server names no time; doubles with each
-	MaxWaitingRetries int           // at most; requests beyond are given up
+	Seed              uint64        // seed of the gaps and of the choice of classes
+	Retries           int           // maximum number of retries of a request, after refusals (see Refused) and, if it is idempotent, after faults
+	RetryBackoff      time.Duration // least wait before the first retry, doubled for each further one; a longer Retry-After replaces it
+	MaxWaitingRetries int           // maximum number of requests that wait for a retry; further ones are given up
 }
 
-// Check returns an error for options that cannot be run, and sets the defaults of absent ones.
+// Check returns an error for invalid options, and sets the defaults of absent ones.
 func (o *Options) Check() error {
 	u, err := url.Parse(o.Target)
 	if err != nil || u.Scheme != "http" && u.Scheme != "grpc" || u.Path != "" && u.Path != "/" || u.RawQuery != "" || u.User != nil {
-		return fmt.Errorf("%q: a target is http://ADDRESS:PORT or grpc://ADDRESS:PORT", o.Target)
+		return fmt.Errorf("target %q must have the form http://ADDRESS:PORT or grpc://ADDRESS:PORT", o.Target)
 	}
 	if _, _, err := net.SplitHostPort(u.Host); err != nil {
-		return fmt.Errorf("%q: %w", o.Target, err)
+		return fmt.Errorf("target %q: %w", o.Target, err)
 	}
 	switch {
 	case len(o.Phases) == 0 || len(o.Phases) > 1000:
-		return errors.New("from 1 to 1000 phases are needed")
+		return errors.New("the number of phases must be from 1 to 1000")
 	case !slices.ContainsFunc(o.Phases, func(p Phase) bool { return p.Rate > 0 }):
 		return errors.New("no phase has a rate above 0")
 	case o.Connections < 1 || o.Connections > 1<<16:
-		return fmt.Errorf("%d connections are not from 1 to %d", o.Connections, 1<<16)
+		return fmt.Errorf("%d connections requested; the number must be from 1 to %d", o.Connections, 1<<16)
 	case len(o.Classes) == 0 || len(o.Classes) > 32:
-		return errors.New("from 1 to 32 classes are needed")
+		return errors.New("the number of classes must be from 1 to 32")
 	case o.Timeout <= 0:
-		return errors.New("a try needs some time")
+		return errors.New("the timeout of an attempt must be above 0")
 	case o.Retries < 0 || o.Retries > 100:
-		return fmt.Errorf("%d retries are not from 0 to 100", o.Retries)
+		return fmt.Errorf("%d retries requested; the number must be from 0 to 100", o.Retries)
 	}
 	for i, c := range o.Classes {
-		if slices.ContainsFunc(o.Classes[:i], func(b Class) bool { return b.Name == c.Name }) {
-			return fmt.Errorf("two classes are called %q", c.Name)
+		if slices.ContainsFunc(o.Classes[:i], func(earlier Class) bool { return earlier.Name == c.Name }) {
+			return fmt.Errorf("two classes have the name %q", c.Name)
 		}
 	}
 	if o.RetryBackoff <= 0 {
@@ -139,11 +140,11 @@
 	return nil
 }
 
-// ScheduledRequest is a request that is to be sent.
+// ScheduledRequest is a request of a Schedule.
 type ScheduledRequest struct {
-	At     time.Duration // since the start of the run
-	Class  int
-	Number uint64 // from 1 on
+	At     time.Duration // time to send it, since the start of the run
+	Class  int           // index into Options.Classes
+	Number uint64        // counts the requests from 1
 }
 
 // Schedule computes the requests of a run one after another. The same phases, classes and seed give the same requests.
@@ -152,13 +153,13 @@
 	shares     []float64 // cumulative
 	steady     bool
 	rng        *rand.Rand
-	phase      int
-	phaseStart time.Duration
-	at         time.Duration
-	n          uint64
+	phase      int           // index of the current phase
+	phaseStart time.Duration // start of the current phase
+	at         time.Duration // time of the last request, or phaseStart if that is later
+	number     uint64        // number of the last request
 }
 
-// NewSchedule returns the schedule of options that Check has accepted.
+// NewSchedule returns the schedule for options that Check has accepted.
 func NewSchedule(o Options) *Schedule {
 	s := &Schedule{phases: o.Phases, steady: o.Steady, rng: rand.New(rand.NewPCG(o.Seed, 0x6c6f6164))}
 	sum := 0.0
@@ -169,21 +170,21 @@
 	return s
 }
 
-// Next returns the next request; false at the end.
+// Next returns the next request, or false after the last one.
 func (s *Schedule) Next() (ScheduledRequest, bool) {
-	for need := s.nextGap(); s.phase < len(s.phases); {
+	for meanGaps := s.nextGap(); s.phase < len(s.phases); {
 		p := s.phases[s.phase]
 		left := s.phaseStart + p.For - s.at
 		gap := time.Duration(0)
 		if p.Rate > 0 {
-			gap = time.Duration(need / p.Rate * float64(time.Second))
+			gap = time.Duration(meanGaps / p.Rate * float64(time.Second))
 		}
 		if p.Rate > 0 && gap < left {
 			s.at += gap
-			s.n++
-			return ScheduledRequest{At: s.at, Class: s.class(), Number: s.n}, true
+			s.number++
+			return ScheduledRequest{At: s.at, Class: s.drawClass(), Number: s.number}, true
 		}
-		need -= left.Seconds() * p.Rate // the rest of the gap passes at the next phase's rate
+		meanGaps -= left.Seconds() * p.Rate // the next phase covers the rest of the gap at its own rate
 		s.phaseStart += p.For
 		s.at = s.phaseStart
 		s.phase++
@@ -199,7 +200,8 @@
 	return s.rng.ExpFloat64()
 }
 
-func (s *Schedule) class() int {
+// drawClass returns the index of a random class, weighted by the shares.
+func (s *Schedule) drawClass() int {
 	if len(s.shares) == 1 {
 		return 0
 	}
@@ -208,15 +210,16 @@
 	return min(i, len(s.shares)-1)
 }
 
-// template is a text split at each {n}, the place of the request's number.
+// template is a text that is split at each {n}, which stands for the request's number.
 type template []string
 
 func newTemplate(text string) template { return strings.Split(text, "{n}") }
 
-func (t template) appendTo(b []byte, n uint64) []byte {
+// appendTo appends the text for the request with this number to b.
+func (t template) appendTo(b []byte, number uint64) []byte {
 	for i, part := range t {
 		if i > 0 {
-			b = strconv.AppendUint(b, n, 10)
+			b = strconv.AppendUint(b, number, 10)
 		}
 		b = append(b, part...)
 	}
--- a/internal/loadgen/progress.go
+++ b/internal/loadgen/progress.go
@@ -8,7 +8,7 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Progress is the state of a run after an interval. Its counts are of the interval.
+// Progress is the state of a run at the end of an interval. Requests, Outcomes and percentiles are those of the interval.
 type Progress struct {
 	At       time.Duration // since the start of the run
 	Requests int64
@@ -18,7 +18,8 @@
 	P50, P99 time.Duration
 }
 
-// reportIntervals reports each interval until ctx ends, which it does after all requests; the rest goes into the log only.
+// reportIntervals logs and reports each interval until ctx ends, which happens after the last request. It logs the last, shorter interval but
+// does not report it. log and report may be nil.
 func (r *run) reportIntervals(ctx context.Context, log *hdr.HistogramLogWriter, report func(Progress)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -28,7 +29,7 @@
 		case <-ticker.C:
 		case <-ctx.Done():
 		}
-		last := ctx.Err() != nil
+		isLast := ctx.Err() != nil
 		now := time.Now()
 		progress, histograms := r.takeInterval(from, now, log != nil)
 		from = now
@@ -37,7 +38,7 @@
 				return err
 			}
 		}
-		if last {
+		if isLast {
 			return nil
 		}
 		if report != nil {
@@ -46,7 +47,8 @@
 	}
 }
 
-// takeInterval returns the figures of the interval that ends now, with the classes' histograms if they are logged, and begins the next.
+// takeInterval returns the progress of the interval that ends now, and starts the next interval. If logged is set, it also returns a histogram
+// of the interval for each class.
 func (r *run) takeInterval(from, now time.Time, logged bool) (Progress, []*hdr.Histogram) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,7 +71,7 @@
 	return p, histograms
 }
 
-// newIntervalLog writes the head of an HdrHistogram log; nil if out is nil.
+// newIntervalLog starts an HdrHistogram log by writing its header to out. It returns nil if out is nil.
 func newIntervalLog(out io.Writer) (*hdr.HistogramLogWriter, error) {
 	if out == nil {
 		return nil, nil
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -11,84 +11,87 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
+// cores returns the number of cores that this process may use.
 func cores() int { return runtime.GOMAXPROCS(0) }
 
-// cpuTime is what this process has used.
+// cpuTime returns the CPU time that this process has used, or 0 if the kernel does not report it.
 func cpuTime() time.Duration {
-	var u syscall.Rusage
-	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+	var usage syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Total is all classes together, under no name.
+// Total returns the sum of all classes, under the name "all".
 func (r *Result) Total() ClassResult {
-	t := ClassResult{Name: "all", Latency: NewHistogram()}
+	total := ClassResult{Name: "all", Latency: NewHistogram()}
 	for _, c := range r.Classes {
-		t.Requests += c.Requests
-		t.Attempts += c.Attempts
-		t.GivenUp += c.GivenUp
+		total.Requests += c.Requests
+		total.Attempts += c.Attempts
+		total.GivenUp += c.GivenUp
 		for k, n := range c.Outcomes {
-			t.Outcomes[k] += n
+			total.Outcomes[k] += n
 		}
-		t.Latency.Merge(c.Latency)
+		total.Latency.Merge(c.Latency)
 	}
-	return t
+	return total
 }
 
-// What a run was limited by, beside the server.
+// Thresholds above which a run counts as limited by this process or by its connections.
 const (
-	maxSendDelay    = 2 * time.Millisecond // of this tool's own lateness, for 1 request in 100
-	maxCPUShare     = 0.85                 // of its cores
-	maxDelayedShare = 0.01                 // of requests that found no free connection
+	maxSendDelay    = 2 * time.Millisecond // 99th percentile of Result.SendDelay
+	maxCPUShare     = 0.85                 // CPU time of this process, as a fraction of that of its cores
+	maxDelayedShare = 0.01                 // fraction of the requests that were sent late because all connections were busy
 )
 
-// Limits says what a run was limited by that is not the server's speed; none: its figures are the server's.
-func (r *Result) Limits() (all []string) {
-	t := r.Total()
-	used := r.CPU.Seconds() / max(r.Took.Seconds(), 1e-9) / float64(max(r.Cores, 1))
-	own := Quantile(r.SendDelay, 99)
-	if used > maxCPUShare {
-		all = append(all, fmt.Sprintf("this tool used %.0f%% of its %d cores: it, not the server, was the limit", 100*used, r.Cores))
+// Limits describes what other than the speed of the server may have limited the run. If it returns nothing, the measured latencies are those
+// of the server.
+func (r *Result) Limits() (limits []string) {
+	total := r.Total()
+	cpuShare := r.CPU.Seconds() / max(r.Took.Seconds(), 1e-9) / float64(max(r.Cores, 1))
+	sendDelay := Quantile(r.SendDelay, 99)
+	if cpuShare > maxCPUShare {
+		limits = append(limits, fmt.Sprintf("this tool used %.0f%% of its %d cores: it, not the server, was the limit", 100*cpuShare, r.Cores))
 	}
-	if own > maxSendDelay {
-		all = append(all, fmt.Sprintf("this tool sent 1 request in 100 more than %v late by itself: latencies hold that much of its own", own.Round(100*time.Microsecond)))
+	if sendDelay > maxSendDelay {
+		limits = append(limits, fmt.Sprintf("this tool sent 1 request in 100 more than %v late by itself: latencies hold that much of its own", sendDelay.Round(100*time.Microsecond)))
 	}
-	switch busy := float64(r.DelayedByConnections) / float64(max(t.Requests, 1)); {
-	case busy > maxDelayedShare && r.Blocked < r.Took/5:
-		all = append(all, fmt.Sprintf("%.1f%% of the requests were sent late, mostly with a connection free: this tool can't send at that rate, it was the limit", 100*busy))
-	case busy > maxDelayedShare:
-		all = append(all, fmt.Sprintf("%.1f%% of the requests found all connections busy and were sent late: the server was too slow for the rate, or there are too few connections",
-			100*busy))
+	switch delayedShare := float64(r.DelayedByConnections) / float64(max(total.Requests, 1)); {
+	case delayedShare > maxDelayedShare && r.Blocked < r.Took/5:
+		limits = append(limits, fmt.Sprintf("%.1f%% of the requests were sent late, mostly with a connection free: this tool can't send at that rate, it was the limit", 100*delayedShare))
+	case delayedShare > maxDelayedShare:
+		limits = append(limits, fmt.Sprintf("%.1f%% of the requests found all connections busy and were sent late: the server was too slow for the rate, or there are too few connections",
+			100*delayedShare))
 	}
-	return all
+	return limits
 }
 
-var percents = []float64{50, 90, 99, 99.9, 100}
+// reportedPercentiles are the latency percentiles in tables and summaries.
+var reportedPercentiles = []float64{50, 90, 99, 99.9, 100}
 
-// Print writes tables of a run, and what limited it.
+// Print writes a table of the classes, the cost of the load generator itself, and what limited the run.
 func (r *Result) Print(out io.Writer) error {
-	t := r.Total()
-	fmt.Fprintf(out, "%s: %d requests in %v, %.0f a second; %d tries\n", r.Target, t.Requests, r.Took.Round(time.Millisecond),
-		float64(t.Requests)/max(r.Took.Seconds(), 1e-9), t.Attempts)
+	total := r.Total()
+	fmt.Fprintf(out, "%s: %d requests in %v, %.0f a second; %d tries\n", r.Target, total.Requests, r.Took.Round(time.Millisecond),
+		float64(total.Requests)/max(r.Took.Seconds(), 1e-9), total.Attempts)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "class\tasked\ttries")
-	for k := range outcomeCount {
-		fmt.Fprint(w, "\t", k)
+	for outcome := range outcomeCount {
+		fmt.Fprint(w, "\t", outcome)
 	}
 	fmt.Fprintln(w, "\tp50\tp90\tp99\tp99.9\tmost\t")
-	all := r.Classes
-	if len(all) > 1 {
-		all = append(append([]ClassResult(nil), all...), t)
+	classes := r.Classes
+	if len(classes) > 1 {
+		classes = append(append([]ClassResult(nil), classes...), total)
 	}
-	for _, c := range all {
+	for _, c := range classes {
 		fmt.Fprintf(w, "%s\t%d\t%d", c.Name, c.Requests, c.Attempts)
 		for _, n := range c.Outcomes {
 			fmt.Fprint(w, "\t", n)
 		}
-		for _, p := range percents {
-			fmt.Fprint(w, "\t", rounded(c.Latency, p))
+		for _, percentile := range reportedPercentiles {
+			fmt.Fprint(w, "\t", rounded(c.Latency, percentile))
 		}
 		fmt.Fprintln(w, "\t")
 	}
@@ -96,17 +99,18 @@
 		return err
 	}
 	fmt.Fprintln(out, "latency: from when a request was to be sent to its last answer, of those that ended ok")
-	if t.GivenUp > 0 {
-		fmt.Fprintf(out, "%d requests were given up without another try: too many waited for one\n", t.GivenUp)
+	if total.GivenUp > 0 {
+		fmt.Fprintf(out, "%d requests were given up without another try: too many waited for one\n", total.GivenUp)
 	}
 	_, err := fmt.Fprintf(out, "this tool: %v of CPU a try, %.2f of %d cores, late by itself p99 %v\n",
-		(r.CPU / time.Duration(max(t.Attempts, 1))).Round(100*time.Nanosecond), r.CPU.Seconds()/max(r.Took.Seconds(), 1e-9), r.Cores, rounded(r.SendDelay, 99))
-	for _, l := range r.Limits() {
-		_, err = fmt.Fprintln(out, "NOTE:", l)
+		(r.CPU / time.Duration(max(total.Attempts, 1))).Round(100*time.Nanosecond), r.CPU.Seconds()/max(r.Took.Seconds(), 1e-9), r.Cores, rounded(r.SendDelay, 99))
+	for _, limit := range r.Limits() {
+		_, err = fmt.Fprintln(out, "NOTE:", limit)
 	}
 	return err
 }
 
+// rounded returns a latency percentile, rounded for tables.
 func rounded(h *hdr.Histogram, percent float64) time.Duration {
 	d := Quantile(h, percent)
 	if d > 10*time.Millisecond {
@@ -115,26 +119,26 @@
 	return d.Round(10 * time.Microsecond)
 }
 
-// String is a line of progress.
+// String returns the progress as one line of text.
 func (p Progress) String() string {
 	line := fmt.Sprintf("%6.0fs  %6d sent  p50 %-9v p99 %-9v %d in flight", p.At.Seconds(), p.Requests, p.P50, p.P99, p.InFlight)
 	if p.Waiting > 0 {
-		line += fmt.Sprintf(", %d wait for another try", p.Waiting)
+		line += fmt.Sprintf(", %d waiting for a retry", p.Waiting)
 	}
-	for k := Refused; k < outcomeCount; k++ {
-		if p.Outcomes[k] > 0 {
-			line += fmt.Sprintf(", %d %s", p.Outcomes[k], k)
+	for outcome := Refused; outcome < outcomeCount; outcome++ {
+		if p.Outcomes[outcome] > 0 {
+			line += fmt.Sprintf(", %d %s", p.Outcomes[outcome], outcome)
 		}
 	}
 	return line
 }
 
-// Summary is a Result for machines. Times are in microseconds.
+// Summary is a Result for JSON output. The JSON names of times end in their unit.
 type Summary struct {
 	Target               string         `json:"target"`
 	Seconds              float64        `json:"seconds"`
 	Stopped              bool           `json:"stopped"`
-	Classes              []ClassSummary `json:"classes"` // "all" the last
+	Classes              []ClassSummary `json:"classes"` // the last one is the sum, "all"
 	DelayedByConnections int64          `json:"busy"`
 	SendDelayP99         int64          `json:"own_p99_us"`
 	CPUSeconds           float64        `json:"cpu_seconds"`
@@ -142,7 +146,7 @@
 	Limits               []string       `json:"limits"`
 }
 
-// ClassSummary is a class's part of it.
+// ClassSummary is the part of a Summary for one class.
 type ClassSummary struct {
 	Name     string           `json:"name"`
 	Requests int64            `json:"asked"`
@@ -152,19 +156,19 @@
 	Latency  map[string]int64 `json:"latency_us"`
 }
 
-// Summary sums it up.
+// Summary converts the result for JSON output.
 func (r *Result) Summary() Summary {
-	s := Summary{Target: r.Target, Seconds: r.Took.Seconds(), Stopped: r.Stopped, DelayedByConnections: r.DelayedByConnections, SendDelayP99: Quantile(r.SendDelay, 99).Microseconds(),
+	summary := Summary{Target: r.Target, Seconds: r.Took.Seconds(), Stopped: r.Stopped, DelayedByConnections: r.DelayedByConnections, SendDelayP99: Quantile(r.SendDelay, 99).Microseconds(),
 		CPUSeconds: r.CPU.Seconds(), Cores: r.Cores, Limits: r.Limits()}
 	for _, c := range append(append([]ClassResult(nil), r.Classes...), r.Total()) {
-		of := ClassSummary{Name: c.Name, Requests: c.Requests, Attempts: c.Attempts, GivenUp: c.GivenUp, Outcomes: map[string]int64{}, Latency: map[string]int64{}}
-		for k, n := range c.Outcomes {
-			of.Outcomes[Outcome(k).String()] = n
+		class := ClassSummary{Name: c.Name, Requests: c.Requests, Attempts: c.Attempts, GivenUp: c.GivenUp, Outcomes: map[string]int64{}, Latency: map[string]int64{}}
+		for outcome, n := range c.Outcomes {
+			class.Outcomes[Outcome(outcome).String()] = n
 		}
-		for _, p := range percents {
-			of.Latency[fmt.Sprintf("p%v", p)] = Quantile(c.Latency, p).Microseconds()
+		for _, percentile := range reportedPercentiles {
+			class.Latency[fmt.Sprintf("p%v", percentile)] = Quantile(c.Latency, percentile).Microseconds()
 		}
-		s.Classes = append(s.Classes, of)
+		summary.Classes = append(summary.Classes, class)
 	}
-	return s
+	return summary
 }
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -13,15 +13,15 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// ClassResult holds what became of the requests of one class.
+// ClassResult holds the counts and latencies of the requests of one class.
 type ClassResult struct {
 	Name     string
 	Requests int64
 	Outcomes [outcomeCount]int64 // requests by the outcome of their last attempt
 	Attempts int64               // attempts sent, retries included
-	GivenUp  int64               // requests whose retry was dropped because MaxWaitingRetries were waiting
+	GivenUp  int64               // requests whose retry was not sent, since MaxWaitingRetries were waiting or the run was stopped
 	Latency  *hdr.Histogram      // from the scheduled time to the last answer, of requests that ended OK
-	interval *hdr.Histogram      // the same since the last line of the log
+	interval *hdr.Histogram      // the same, of the current interval only
 }
 
 // Result is the outcome of a run.
@@ -39,10 +39,11 @@
 	Interval             time.Duration  // interval of the log
 }
 
+// run is the state that the dispatcher, the workers and the reporting goroutine share.
 type run struct {
 	options   Options
 	started   time.Time
-	idle      atomic.Int64 // connections that have nothing to send
+	idle      atomic.Int64 // connections without a request in flight
 	unsettled atomic.Int64 // requests in flight
 
 	mu       sync.Mutex
@@ -56,16 +57,16 @@
 	wake     chan struct{}  // signals the dispatcher that a retry was added or the last request ended
 }
 
-// Observers receive what a run reports while it goes on. Either may be absent.
+// Observers receive reports during a run. Either may be nil.
 type Observers struct {
-	Progress func(Progress) // called once an interval from the run's reporting goroutine
+	Progress func(Progress) // called once per interval, by the run's reporting goroutine
 	Log      io.Writer      // an HdrHistogram log with a line for each class and interval
 }
 
-// interval is the time between two progress reports.
+// interval is the time between two progress reports, and between two lines of a class in the log.
 const interval = time.Second
 
-// Run sends the scheduled requests until the schedule or ctx ends, and waits for those in flight.
+// Run sends the scheduled requests until the schedule or ctx ends, and waits for the requests in flight.
 func Run(ctx context.Context, o Options, observers Observers) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -87,8 +88,8 @@
 		r.idle.Add(1)
 		workers.Go(func() {
 			defer s.close()
-			for x := range work {
-				r.serve(s, x)
+			for a := range work {
+				r.serve(s, a)
 			}
 		})
 	}
@@ -105,20 +106,20 @@
 	result := r.result(stopped)
 	result.CPU = cpuTime() - cpuBefore
 	if logErr != nil {
-		return result, fmt.Errorf("the log: %w", logErr)
+		return result, fmt.Errorf("writing the latency log: %w", logErr)
 	}
 	return result, nil
 }
 
 func newRun(o Options) *run {
 	r := &run{options: o, delay: NewHistogram(), recent: NewHistogram(), wake: make(chan struct{}, 1)}
-	for _, c := range o.Classes {
-		r.classes = append(r.classes, ClassResult{Name: c.Name, Latency: NewHistogram(), interval: NewHistogram()})
+	for _, class := range o.Classes {
+		r.classes = append(r.classes, ClassResult{Name: class.Name, Latency: NewHistogram(), interval: NewHistogram()})
 	}
 	return r
 }
 
-// newSenders returns a sender for each connection; o has been checked.
+// newSenders returns a sender for each connection. Check must have accepted o.
 func newSenders(o Options) ([]sender, error) {
 	target, err := url.Parse(o.Target)
 	if err != nil {
@@ -127,10 +128,10 @@
 	senders := make([]sender, 0, o.Connections)
 	for range o.Connections {
 		if target.Scheme == "http" {
-			senders = append(senders, newHTTP1(target.Host, o.Classes))
+			senders = append(senders, newHTTP1Sender(target.Host, o.Classes))
 			continue
 		}
-		s, err := newGRPC(target.Host, o.Classes)
+		s, err := newGRPCSender(target.Host, o.Classes)
 		if err != nil {
 			return nil, err
 		}
@@ -141,13 +142,13 @@
 
 // giveUpWaiting settles the retries that still wait after the run was stopped, with the outcome of their last attempt.
 func (r *run) giveUpWaiting() {
-	for _, x := range r.waiting {
-		r.classes[x.request.Class].GivenUp++
-		r.classes[x.request.Class].Outcomes[x.outcome]++
+	for _, a := range r.waiting {
+		r.classes[a.request.Class].GivenUp++
+		r.classes[a.request.Class].Outcomes[a.outcome]++
 	}
 }
 
-// result collects the figures of a run that has ended, but for its CPU time.
+// result returns the figures of a run that has ended, except its CPU time.
 func (r *run) result(stopped bool) *Result {
 	result := &Result{Target: r.options.Target, Took: time.Since(r.started), Classes: r.classes, DelayedByConnections: r.delayed, Blocked: r.blocked,
 		SendDelay: r.delay, Cores: cores(), Stopped: stopped, Interval: interval}
