--- a/internal/demo/clients.go
+++ b/internal/demo/clients.go
@@ -42,19 +42,19 @@
 }
 
 func newDaemonClient(f *fleet, seed uint64) (*daemonClient, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	c := &config.Config{Name: "demo", Listen: l.Addr().String(), Discovery: f.discovery.Address(), Seed: seed,
+	configuration := &config.Config{Name: "demo", Listen: listener.Addr().String(), Discovery: f.discovery.Address(), Seed: seed,
 		CachedEndpoints: f.discovery.List(), Limits: config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		Settings: settings.Settings{Settings: balancerSettings(), ConnIdleTimeout: 15 * time.Second}}
 	ctx, cancel := context.WithCancel(context.Background())
-	d := &daemonClient{address: l.Addr().String(), stop: cancel, ended: make(chan error, 1), client: newClient()}
-	log.SetOutput(io.Discard) // the table shows the state instead
+	d := &daemonClient{address: listener.Addr().String(), stop: cancel, ended: make(chan error, 1), client: newHTTPClient()}
+	log.SetOutput(io.Discard) // log lines would disturb the table
 	started := make(chan struct{})
 	go func() {
-		d.ended <- daemon.Serve(ctx, c, l, "", nil, func(e *engine.Engine) {
+		d.ended <- daemon.Serve(ctx, configuration, listener, "", nil, func(e *engine.Engine) {
 			d.engine = e
 			close(started)
 		})
@@ -68,7 +68,7 @@
 	}
 }
 
-func newClient() *http.Client {
+func newHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, DisableCompression: true}}
 }
 
@@ -93,7 +93,7 @@
 	return <-d.ended
 }
 
-// sendHTTP sends a request and returns the status; http.StatusTooManyRequests if the node marked the request as not processed.
+// sendHTTP sends a request and returns the status code, or http.StatusTooManyRequests if the node marked the request as not processed.
 func sendHTTP(ctx context.Context, client *http.Client, address string, r request) (int, error) {
 	method := http.MethodPost
 	if r.class.idempotency == balancer.Idempotent {
@@ -122,7 +122,7 @@
 	return resp.StatusCode, nil
 }
 
-// grpcClient sends by a connection with the gRPC balancer.
+// grpcClient sends calls over a ClientConn that uses the gRPC balancer.
 type grpcClient struct {
 	plugin *grpcbalancer.Plugin
 	conn   *grpc.ClientConn
@@ -131,14 +131,14 @@
 const methodPrefix = "/booking.Seats/"
 
 func newGRPCClient(f *fleet, seed uint64) (*grpcClient, error) {
-	l := f.discovery.List()
-	o := grpcbalancer.Options{Settings: balancerSettings(), Seed: seed, Discovery: f.discovery.Address(), Version: *l.Index,
+	list := f.discovery.List()
+	o := grpcbalancer.Options{Settings: balancerSettings(), Seed: seed, Discovery: f.discovery.Address(), Version: *list.Index,
 		Methods: map[string]string{}}
-	for _, c := range classes {
-		o.Methods[methodPrefix+c.name] = c.name
+	for _, class := range classes {
+		o.Methods[methodPrefix+class.name] = class.name
 	}
-	for _, e := range l.Endpoints {
-		o.Endpoints = append(o.Endpoints, grpcbalancer.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, Type: e.MachineType})
+	for _, endpoint := range list.Endpoints {
+		o.Endpoints = append(o.Endpoints, grpcbalancer.Endpoint{Name: endpoint.Name, Address: endpoint.Address, Zone: endpoint.Zone, Type: endpoint.MachineType})
 	}
 	p, err := grpcbalancer.New(o)
 	if err != nil {
@@ -152,8 +152,8 @@
 	return &grpcClient{p, conn}, nil
 }
 
-func (p *grpcClient) do(ctx context.Context, r request) result {
-	err := sendGRPC(ctx, p.conn, r)
+func (g *grpcClient) do(ctx context.Context, r request) result {
+	err := sendGRPC(ctx, g.conn, r)
 	switch {
 	case err == nil:
 		return inTime
@@ -163,11 +163,11 @@
 	return failed
 }
 
-func (p *grpcClient) view() []balancer.UpstreamView { return p.plugin.Upstreams() }
+func (g *grpcClient) view() []balancer.UpstreamView { return g.plugin.Upstreams() }
 
-func (p *grpcClient) close() error {
-	err := p.conn.Close()
-	p.plugin.Close()
+func (g *grpcClient) close() error {
+	err := g.conn.Close()
+	g.plugin.Close()
 	return err
 }
 
@@ -180,41 +180,41 @@
 	return conn.Invoke(ctx, methodPrefix+r.class.name, wrapperspb.String(r.id), &wrapperspb.StringValue{})
 }
 
-// randomChoice picks ready nodes at random, as a client without a balancer would. It sees changes of the endpoint list at once.
+// randomChoice chooses ready nodes at random, as a client without a balancer would. It sees changes of the endpoint list at once.
 type randomChoice struct {
 	fleet *fleet
 	mu    sync.Mutex
 	rng   *rand.Rand
 }
 
-func (p *randomChoice) draw() (name, address string) {
-	listed := p.fleet.readyNodes()
-	names := make([]string, 0, len(listed))
-	for name := range listed {
+func (c *randomChoice) pick() (name, address string) {
+	addresses := c.fleet.readyNodes()
+	names := make([]string, 0, len(addresses))
+	for name := range addresses {
 		names = append(names, name)
 	}
 	if len(names) == 0 {
 		return "", ""
 	}
 	slices.Sort(names)
-	p.mu.Lock()
-	name = names[p.rng.IntN(len(names))]
-	p.mu.Unlock()
-	return name, listed[name]
+	c.mu.Lock()
+	name = names[c.rng.IntN(len(names))]
+	c.mu.Unlock()
+	return name, addresses[name]
 }
 
-// randomHTTP is plain random choice over HTTP with one attempt for each request.
+// randomHTTP is the random choice over HTTP, with one attempt for each request.
 type randomHTTP struct {
 	randomChoice
 	client *http.Client
 }
 
 func newRandomHTTP(f *fleet, seed uint64) *randomHTTP {
-	return &randomHTTP{randomChoice{fleet: f, rng: rand.New(rand.NewPCG(seed, 3))}, newClient()}
+	return &randomHTTP{randomChoice{fleet: f, rng: rand.New(rand.NewPCG(seed, 3))}, newHTTPClient()}
 }
 
 func (h *randomHTTP) do(ctx context.Context, r request) result {
-	_, address := h.draw()
+	_, address := h.pick()
 	status, err := sendHTTP(ctx, h.client, address, r)
 	switch {
 	case err != nil:
@@ -234,7 +234,7 @@
 	return nil
 }
 
-// randomGRPC is the same over gRPC, with a ClientConn for each node.
+// randomGRPC is the random choice over gRPC, with one attempt for each request and a ClientConn for each node.
 type randomGRPC struct {
 	randomChoice
 	connMu sync.Mutex
@@ -246,7 +246,7 @@
 }
 
 func (g *randomGRPC) do(ctx context.Context, r request) result {
-	name, address := g.draw()
+	name, address := g.pick()
 	g.connMu.Lock()
 	conn := g.conns[name]
 	if conn == nil {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -14,7 +14,7 @@
 type Options struct {
 	For   time.Duration // duration of the demo
 	Front string        // "daemon" or "grpc"
-	Rate  float64       // requests per second, for each of the two contenders
+	Rate  float64       // requests per second to each of the two contenders
 	Seed  uint64
 	Out   io.Writer
 	Live  bool // Out is a terminal: redraw one table instead of adding lines
@@ -67,62 +67,62 @@
 // Summary holds the results of both contenders.
 type Summary struct{ Ours, Random Count }
 
-// Run plays the demo and prints its progress and summary. The end of ctx ends it early, without an error.
+// Run runs the demo and prints its progress and summary. If ctx ends, the demo ends early, without an error.
 func Run(ctx context.Context, o Options) (Summary, error) {
 	if err := o.check(); err != nil {
 		return Summary{}, err
 	}
-	sides := map[string]*contender{}
+	contenders := map[string]*contender{}
 	for _, name := range []string{ourName, randomName} {
-		s, err := newContender(name, o)
+		c, err := newContender(name, o)
 		if err != nil {
-			return Summary{}, errors.Join(err, closeAll(sides))
+			return Summary{}, errors.Join(err, closeAll(contenders))
 		}
-		sides[name] = s
+		contenders[name] = c
 	}
-	begun := time.Now()
+	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, o.For)
 	defer cancel()
 	done := make(chan struct{})
-	for _, s := range sides {
+	for _, c := range contenders {
 		go func() {
-			s.play(ctx, begun)
+			c.runScript(ctx, started)
 			done <- struct{}{}
 		}()
 	}
-	printProgress(ctx, o, begun, sides[ourName], sides[randomName])
-	for range sides {
+	printProgress(ctx, o, started, contenders[ourName], contenders[randomName])
+	for range contenders {
 		<-done
 	}
-	sum := Summary{sides[ourName].load.total(), sides[randomName].load.total()}
-	err := closeAll(sides)
-	sum.Ours.Nodes, sum.Random.Nodes = sides[ourName].fleet.outcome(), sides[randomName].fleet.outcome()
+	summary := Summary{contenders[ourName].load.total(), contenders[randomName].load.total()}
+	err := closeAll(contenders)
+	summary.Ours.Nodes, summary.Random.Nodes = contenders[ourName].fleet.nodeCounts(), contenders[randomName].fleet.nodeCounts()
 	if err == nil {
-		err = sum.write(o.Out, o)
+		err = summary.write(o.Out, o)
 	}
-	return sum, err
+	return summary, err
 }
 
-func closeAll(sides map[string]*contender) error {
+func closeAll(contenders map[string]*contender) error {
 	var errs []error
-	for _, s := range sides {
-		errs = append(errs, s.close())
+	for _, c := range contenders {
+		errs = append(errs, c.close())
 	}
 	return errors.Join(errs...)
 }
 
-// The names of the contenders.
+// Names of the contenders in the output.
 const (
 	ourName    = "orchiddrift"
 	randomName = "random choice"
 )
 
-// contender is a load balancing strategy with a fleet and a load of its own.
+// contender is a load balancing strategy with its own fleet and load.
 type contender struct {
-	name  string
-	fleet *fleet
-	front balancedClient
-	load  *load
+	name   string
+	fleet  *fleet
+	client balancedClient
+	load   *load
 }
 
 func newContender(name string, o Options) (*contender, error) {
@@ -130,38 +130,38 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &contender{name: name, fleet: f}
+	c := &contender{name: name, fleet: f}
 	switch {
 	case name == randomName && o.Front == "daemon":
-		s.front = newRandomHTTP(f, o.Seed)
+		c.client = newRandomHTTP(f, o.Seed)
 	case name == randomName:
-		s.front = newRandomGRPC(f, o.Seed)
+		c.client = newRandomGRPC(f, o.Seed)
 	case o.Front == "daemon":
-		s.front, err = newDaemonClient(f, o.Seed)
+		c.client, err = newDaemonClient(f, o.Seed)
 	default:
-		s.front, err = newGRPCClient(f, o.Seed)
+		c.client, err = newGRPCClient(f, o.Seed)
 	}
 	if err != nil {
 		f.close()
 		return nil, err
 	}
-	s.load = newLoad(s.front, o)
-	return s, nil
+	c.load = newLoad(c.client, o)
+	return c, nil
 }
 
-// play runs the script beside the load until ctx ends, and waits for the requests in flight.
-func (s *contender) play(ctx context.Context, begun time.Time) {
-	script := make(chan struct{})
+// runScript runs the script and the load until ctx ends, and waits for the requests in flight.
+func (c *contender) runScript(ctx context.Context, started time.Time) {
+	scriptEnded := make(chan struct{})
 	go func() {
-		s.fleet.play(ctx, begun)
-		close(script)
+		c.fleet.runScript(ctx, started)
+		close(scriptEnded)
 	}()
-	s.load.run(ctx, begun)
-	<-script
+	c.load.run(ctx, started)
+	<-scriptEnded
 }
 
-func (s *contender) close() error {
-	err := s.front.close()
-	s.fleet.close()
+func (c *contender) close() error {
+	err := c.client.close()
+	c.fleet.close()
 	return err
 }
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -12,70 +12,71 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Both protocol adapters play the complete script, answer at least half of the requests in time and leave no goroutine behind. The comparison
-// with random choice depends on the machine and is not asserted.
+// Both fronts run the complete script, answer at least half of the requests in time and leave no goroutine behind. The comparison with random
+// choice depends on the machine and is not asserted.
 func TestDemo(t *testing.T) {
 	for _, front := range []string{"daemon", "grpc"} {
 		var out bytes.Buffer
-		sum, err := Run(t.Context(), Options{For: 3 * time.Second, Front: front, Rate: 100, Seed: 1, Out: &out})
+		summary, err := Run(t.Context(), Options{For: 3 * time.Second, Front: front, Rate: 100, Seed: 1, Out: &out})
 		if err != nil {
 			t.Fatal(err)
 		}
-		done := 0
-		for _, n := range sum.Ours.Results {
-			done += n
+		results := 0
+		for _, n := range summary.Ours.Results {
+			results += n
 		}
-		if sum.Ours.Requests < 100 || done != sum.Ours.Requests || sum.Ours.InTime() < 0.5 {
-			t.Errorf("%s: %+v", front, sum.Ours)
+		if summary.Ours.Requests < 100 || results != summary.Ours.Requests || summary.Ours.InTime() < 0.5 {
+			t.Errorf("front %s: want at least 100 requests, one result for each, and half of them in time; got %+v", front, summary.Ours)
 		}
 		replaced := 0
-		for name, n := range sum.Ours.Nodes {
+		for name, n := range summary.Ours.Nodes {
 			if strings.HasSuffix(name, ".new") {
 				replaced++
 			}
 			if n.Overloaded {
-				t.Errorf("%s: %s was pushed over", front, name)
+				t.Errorf("front %s: node %s was overloaded", front, name)
 			}
 		}
 		if replaced != fleetSize/2 {
-			t.Errorf("%s: %d nodes were replaced", front, replaced)
+			t.Errorf("front %s: %d nodes were replaced, want half of the fleet", front, replaced)
 		}
 		for _, want := range []string{"all is well", "Summary: " + front, "random choice", "p99"} {
 			if !strings.Contains(out.String(), want) {
-				t.Errorf("%s: no %q in\n%s", front, want, out.String())
+				t.Errorf("front %s: %q is missing in the output:\n%s", front, want, out.String())
 			}
 		}
 	}
 }
 
-// A cancelled demo ends soon, and the live table is drawn.
+// A demo ends soon after its context, long before its own duration, and draws the live table.
 func TestDemoEndsEarly(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 600*time.Millisecond)
 	defer cancel()
 	var out bytes.Buffer
-	begun := time.Now()
+	started := time.Now()
 	if _, err := Run(ctx, Options{For: time.Minute, Front: "daemon", Rate: 50, Seed: 1, Out: &out, Live: true}); err != nil {
 		t.Fatal(err)
 	}
-	if took := time.Since(begun); took > 20*time.Second {
-		t.Errorf("took %v", took)
+	if took := time.Since(started); took > 20*time.Second {
+		t.Errorf("a demo whose context ends after 600 ms took %v, want at most 20 s", took)
 	}
 	if !strings.Contains(out.String(), "node-0") || !strings.Contains(out.String(), "\x1b[") {
-		t.Errorf("drawn:\n%s", out.String())
+		t.Errorf("no live table in the output:\n%s", out.String())
 	}
 }
 
+// Options out of range are rejected with an error that names the option.
 func TestOptions(t *testing.T) {
-	good := Options{For: 3 * time.Second, Front: "daemon", Rate: 100}
+	valid := Options{For: 3 * time.Second, Front: "daemon", Rate: 100}
 	for want, change := range map[string]func(*Options){
 		"for":   func(o *Options) { o.For = time.Millisecond },
 		"front": func(o *Options) { o.Front = "smtp" },
 		"rate":  func(o *Options) { o.Rate = 1e9 },
 	} {
-		o := good
+		o := valid
 		change(&o)
 		if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
+			t.Errorf("invalid option %s: want an error that names it, got %v", want, err)
 		}
 	}
 }
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -19,17 +19,17 @@
 	slowStartWindow      = 4 * time.Second
 	overloadMultiple     = 3.0
 	overloadWindow       = 2 * time.Second
-	drainTime            = 800 * time.Millisecond // of a node that is replaced
-	cores                = 2
+	drainTime            = 800 * time.Millisecond // time from the draining of a replaced node to its end
+	cores                = 2                      // of each node
 )
 
-// machineTypes are the types of machines of a fleet that is partly renewed, by their speed relative to the standard one.
+// machineTypes are the machine types of the nodes, a mix of old and new hardware, with their speed relative to the standard one.
 var machineTypes = []struct {
 	name  string
 	speed float64
 }{{"new-fast", 1.6}, {"standard", 1}, {"old-slow", 0.6}}
 
-// The script, as fractions of the duration of the demo.
+// The faults and the deployment of the script. The numbers xFrom and xTo are fractions of the duration of the demo.
 const (
 	slowFrom, slowTo     = 0.15, 0.40
 	freezeFrom, freezeTo = 0.45, 0.65
@@ -40,13 +40,13 @@
 )
 
 // phase describes what the script does at a fraction of the duration.
-func phase(share float64) string {
+func phase(fraction float64) string {
 	switch {
-	case share >= slowFrom && share < slowTo:
+	case fraction >= slowFrom && fraction < slowTo:
 		return fmt.Sprintf("node-0 is %d times slower", slowFactor)
-	case share >= freezeFrom && share < freezeTo:
+	case fraction >= freezeFrom && fraction < freezeTo:
 		return fmt.Sprintf("node-1 and node-2 freeze for %v every %v", freezeFor, freezeEvery)
-	case share >= deployFrom && share < deployTo:
+	case fraction >= deployFrom && fraction < deployTo:
 		return "half of the nodes are replaced, one after another, by cold ones"
 	}
 	return "all is well"
@@ -80,15 +80,15 @@
 	return f, nil
 }
 
-// start starts the node at an index of the fleet and adds it to discovery. A zero since is a node of the initial fleet, which gets the faults
-// of the script.
+// start starts the node at an index of the fleet and adds it to discovery. since is the start of a replacement node; it is zero for the nodes
+// of the initial fleet, and only these get the faults of the script.
 func (f *fleet) start(index int, name string, since time.Time) error {
-	kind := machineTypes[index%len(machineTypes)]
-	n := fakes.NodeOptions{Name: name, Zone: "home", Type: kind.name, Cores: cores, ServiceRate: kind.speed, MaxQueue: 40,
+	machineType := machineTypes[index%len(machineTypes)]
+	n := fakes.NodeOptions{Name: name, Zone: "home", Type: machineType.name, Cores: cores, ServiceRate: machineType.speed, MaxQueue: 40,
 		Started: since, SlowStartMinCapacity: slowStartMinCapacity, SlowStartWindow: slowStartWindow, OverloadMultiple: overloadMultiple, OverloadWindow: overloadWindow,
 		Keys: f.keys, Seed: f.options.Seed + uint64(index), Ledger: f.ledger}
 	if since.IsZero() { // only the initial fleet gets faults
-		at := func(share float64) time.Duration { return time.Duration(share * float64(f.options.For)) }
+		at := func(fraction float64) time.Duration { return time.Duration(fraction * float64(f.options.For)) }
 		switch index {
 		case 0:
 			n.Faults = []fakes.Fault{{Kind: fakes.Slow, Factor: slowFactor, From: at(slowFrom), To: at(slowTo)}}
@@ -117,20 +117,21 @@
 	f.mu.Lock()
 	f.nodes = append(f.nodes, node)
 	f.mu.Unlock()
-	e := endpoints.Endpoint{Name: name, Address: address, Zone: "home", MachineType: kind.name, Status: endpoints.StatusReady}
+	endpoint := endpoints.Endpoint{Name: name, Address: address, Zone: "home", MachineType: machineType.name, Status: endpoints.StatusReady}
 	if !since.IsZero() {
-		e.StartedMs = float64(since.UnixMilli())
+		endpoint.StartedMs = float64(since.UnixMilli())
 	}
-	f.discovery.Set(e)
+	f.discovery.Set(endpoint)
 	return nil
 }
 
-// play replaces half of the fleet, one node after another, within the deployment phase of the script.
-func (f *fleet) play(ctx context.Context, begun time.Time) {
+// runScript replaces half of the fleet, one node after another, within the deployment phase of the script. The nodes have their faults from
+// their start.
+func (f *fleet) runScript(ctx context.Context, started time.Time) {
 	steps := fleetSize / 2
 	for i := range steps {
-		share := deployFrom + (deployTo-deployFrom)*float64(i)/float64(steps)
-		if !wait(ctx, time.Until(begun.Add(time.Duration(share*float64(f.options.For))))) {
+		fraction := deployFrom + (deployTo-deployFrom)*float64(i)/float64(steps)
+		if !wait(ctx, time.Until(started.Add(time.Duration(fraction*float64(f.options.For))))) {
 			return
 		}
 		index := fleetSize - 1 - i
@@ -138,7 +139,7 @@
 		old := f.nodes[index]
 		f.mu.Unlock()
 		if err := f.start(index, fmt.Sprintf("node-%d.new", index), time.Now()); err != nil {
-			return // no free port: the old node stays
+			return // no port is free: the remaining old nodes stay
 		}
 		f.discovery.Drain(old.Options().Name)
 		old.Drain()
@@ -149,6 +150,7 @@
 	}
 }
 
+// wait waits for d, or until ctx ends. It returns false if ctx ended first.
 func wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(max(d, 0))
 	defer timer.Stop()
@@ -171,17 +173,18 @@
 	return addresses
 }
 
-// outcome returns the counts of the nodes by name.
-func (f *fleet) outcome() map[string]fakes.NodeCount { return f.ledger.Nodes() }
+// nodeCounts returns the request counts of the nodes by name.
+func (f *fleet) nodeCounts() map[string]fakes.NodeCount { return f.ledger.Nodes() }
 
-func (f *fleet) all() []*fakes.Node {
+// allNodes returns all nodes, stopped ones included.
+func (f *fleet) allNodes() []*fakes.Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*fakes.Node(nil), f.nodes...)
 }
 
 func (f *fleet) close() {
-	for _, n := range f.all() {
+	for _, n := range f.allNodes() {
 		n.Close()
 	}
 	f.discovery.Close()
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	meanServiceTime = 22 * time.Millisecond // at a speed of 1
+	meanServiceTime = 22 * time.Millisecond // on a node with a speed of 1
 	maxInFlight     = 3000                  // requests in flight; further ones count as failed
 )
 
@@ -32,14 +32,14 @@
 
 var resultNames = [resultCount]string{"in time", "late", "refused", "failed"}
 
-// request is a request of a client.
+// request is a request of the load.
 type request struct {
 	id, key     string
 	class       *class
 	serviceTime time.Duration
 }
 
-// Count holds the results of a load.
+// Count holds the request counts and latencies of a load.
 type Count struct {
 	Requests      int
 	Results       [resultCount]int
@@ -52,26 +52,26 @@
 
 // load sends requests at a constant mean rate, independent of the answers (an open loop).
 type load struct {
-	front   balancedClient
+	client  balancedClient
 	options Options
 
 	mu        sync.Mutex
 	requests  int
-	latencies *hdr.Histogram
+	latencies *hdr.Histogram // of served requests
 	results   [resultCount]int
 	inFlight  int
 }
 
-func newLoad(f balancedClient, o Options) *load {
-	return &load{front: f, options: o, latencies: loadgen.NewHistogram()}
+func newLoad(c balancedClient, o Options) *load {
+	return &load{client: c, options: o, latencies: loadgen.NewHistogram()}
 }
 
 // run sends requests until ctx ends, then waits for the answers. The arrivals, classes and service times depend on the seed only, so that both
 // contenders get the same.
-func (l *load) run(ctx context.Context, begun time.Time) {
+func (l *load) run(ctx context.Context, started time.Time) {
 	rng := rand.New(rand.NewPCG(l.options.Seed, 2))
 	var wg sync.WaitGroup
-	at := begun
+	at := started
 	for n := 0; ; n++ {
 		at = at.Add(time.Duration(rng.ExpFloat64() / l.options.Rate * float64(time.Second)))
 		r := request{id: fmt.Sprintf("%016x", n+1), class: drawClass(rng), serviceTime: time.Duration(float64(meanServiceTime) * (0.4 + 0.6*rng.ExpFloat64()))}
@@ -81,14 +81,14 @@
 		}
 		l.mu.Lock()
 		l.requests++
-		full := l.inFlight >= maxInFlight
-		if full {
+		atLimit := l.inFlight >= maxInFlight
+		if atLimit {
 			l.results[failed]++
 		} else {
 			l.inFlight++
 		}
 		l.mu.Unlock()
-		if full {
+		if atLimit {
 			continue
 		}
 		wg.Go(func() { l.send(r) })
@@ -96,6 +96,7 @@
 	wg.Wait()
 }
 
+// drawClass returns a random class, weighted by the shares.
 func drawClass(rng *rand.Rand) *class {
 	x := rng.Float64()
 	for i := range classes {
@@ -109,18 +110,18 @@
 func (l *load) send(r request) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.class.deadline)
 	defer cancel()
-	begun := time.Now()
-	end := l.front.do(ctx, r)
-	took := time.Since(begun)
-	if end == inTime && took > r.class.latencyObjective {
-		end = late
+	started := time.Now()
+	outcome := l.client.do(ctx, r)
+	took := time.Since(started)
+	if outcome == inTime && took > r.class.latencyObjective {
+		outcome = late
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if end == inTime || end == late {
+	if outcome == inTime || outcome == late {
 		loadgen.Record(l.latencies, took)
 	}
-	l.results[end]++
+	l.results[outcome]++
 	l.inFlight--
 }
 
--- a/internal/demo/output.go
+++ b/internal/demo/output.go
@@ -16,62 +16,62 @@
 	lineInterval  = 2 * time.Second
 )
 
-// printProgress writes the state of both contenders until ctx ends: a table that is redrawn on a terminal, otherwise lines.
-func printProgress(ctx context.Context, o Options, begun time.Time, a, b *contender) {
-	every := lineInterval
+// printProgress writes the state of both contenders until ctx ends: with Options.Live as a table that is redrawn, otherwise as lines.
+func printProgress(ctx context.Context, o Options, started time.Time, ours, random *contender) {
+	interval := lineInterval
 	if o.Live {
-		every = tableInterval
+		interval = tableInterval
 	}
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	lines := 0
 	for {
-		now := time.Since(begun)
+		now := time.Since(started)
 		text := ""
 		if o.Live {
-			text = progressTable(o, now, a, b)
+			text = progressTable(o, now, ours, random)
 			if lines > 0 {
-				text = fmt.Sprintf("\x1b[%dA\x1b[J", lines) + text // up, and clear to the end
+				text = fmt.Sprintf("\x1b[%dA\x1b[J", lines) + text // moves the cursor up to the table and clears to the end of the screen
 			}
 			lines = strings.Count(text, "\n")
 		} else {
-			text = progressLine(o, now, a, b)
+			text = progressLine(o, now, ours, random)
 		}
 		if _, err := io.WriteString(o.Out, text); err != nil {
-			return // the reader has gone
+			return // the reader of the output is gone
 		}
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func progressLine(o Options, now time.Duration, a, b *contender) string {
+func progressLine(o Options, now time.Duration, ours, random *contender) string {
 	text := fmt.Sprintf("%5.1fs  %s;", now.Seconds(), phase(float64(now)/float64(o.For)))
-	for _, s := range []*contender{a, b} {
+	for _, s := range []*contender{ours, random} {
 		c := s.load.total()
 		text += fmt.Sprintf("  %s: %d asked, %.1f%% in time, p99 %v;", s.name, c.Requests, 100*c.InTime(), rounded(c.P99))
 	}
 	return strings.TrimSuffix(text, ";") + "\n"
 }
 
-func progressTable(o Options, now time.Duration, a, b *contender) string {
+func progressTable(o Options, now time.Duration, ours, random *contender) string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%5.1f of %v   %s front   %s\n\n", now.Seconds(), o.For, o.Front, phase(float64(now)/float64(o.For)))
 	w := tabwriter.NewWriter(&out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "node\tkind\tstate\tin hand\tserved\testimate\tload\t\trandom: in hand\tserved\t")
 	views := map[string]balancer.UpstreamView{}
-	for _, v := range a.front.view() {
+	for _, v := range ours.client.view() {
 		views[v.Name] = v
 	}
-	counts, others := a.fleet.outcome(), b.fleet.outcome()
-	beside := map[string]int{}
-	for _, n := range b.fleet.all() {
-		beside[n.Options().Name] = n.InFlight()
+	counts, randomCounts := ours.fleet.nodeCounts(), random.fleet.nodeCounts()
+	randomInFlight := map[string]int{}
+	for _, n := range random.fleet.allNodes() {
+		randomInFlight[n.Options().Name] = n.InFlight()
 	}
-	for _, n := range a.fleet.all() {
+	for _, n := range ours.fleet.allNodes() {
 		name := n.Options().Name
 		v, listed := views[name]
 		state := "gone"
@@ -85,20 +85,20 @@
 		case !n.Down():
 			state = "draining"
 		}
-		estimate, loaded := "-", "-"
+		estimate, loadText := "-", "-"
 		if listed {
-			estimate, loaded = rounded(v.Latency).String(), fmt.Sprintf("%.3f", v.Load)
+			estimate, loadText = rounded(v.Latency).String(), fmt.Sprintf("%.3f", v.Load)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t\t%d\t%d\t\n", name, n.Options().Type, state, n.InFlight(), counts[name].Executed,
-			estimate, loaded, beside[name], others[name].Executed)
+			estimate, loadText, randomInFlight[name], randomCounts[name].Executed)
 	}
-	w.Flush() // to a Builder: it can't fail
+	w.Flush() // writes to a Builder do not fail
 	out.WriteString("\n")
-	_ = Summary{a.load.total(), b.load.total()}.rows(&out)
+	_ = Summary{ours.load.total(), random.load.total()}.rows(&out)
 	return out.String()
 }
 
-// rows writes one row for each side.
+// rows writes a table with one row for each contender.
 func (s Summary) rows(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "\tasked\t")
@@ -125,23 +125,24 @@
 	if err := s.rows(out); err != nil {
 		return err
 	}
-	fell := 0
+	overloaded := 0
 	for _, n := range s.Ours.Nodes {
 		if n.Overloaded {
-			fell++
+			overloaded++
 		}
 	}
-	fellRandom := 0
+	overloadedRandom := 0
 	for _, n := range s.Random.Nodes {
 		if n.Overloaded {
-			fellRandom++
+			overloadedRandom++
 		}
 	}
 	_, err := fmt.Fprintf(out, "\nIn time: %.1f%% beside %.1f%%. Cold nodes pushed over: %d beside %d.\n", 100*s.Ours.InTime(),
-		100*s.Random.InTime(), fell, fellRandom)
+		100*s.Random.InTime(), overloaded, overloadedRandom)
 	return err
 }
 
+// rounded returns a duration that is rounded for tables.
 func rounded(d time.Duration) time.Duration {
 	if d < 10*time.Millisecond {
 		return d.Round(100 * time.Microsecond)
