--- a/internal/config/example.go
+++ b/internal/config/example.go
@@ -19,19 +19,19 @@
 	return err
 }
 
-const exampleHead = `# The operator's file of orchiddrift, with every key and its default. Lines that begin with a # and a key are to be
-# filled in; ## explains keys of tables that may stand there more than once. Durations are written "250ms", sizes
-# "32MiB". "orchiddrift check FILE" lists all mistakes; SIGHUP applies what can change under load.
+const exampleHead = `# The operator's file of orchiddrift, with every key and its default. Keys that are commented out with # have no
+# default or belong to tables that may occur several times, whose keys are explained after ##. Durations are written
+# "250ms", sizes "32MiB". "orchiddrift check FILE" lists all problems. SIGHUP reloads the file while requests are served.
 
 `
 
-// exampleService is the least that a file needs.
+// exampleService is the smallest usable file.
 const exampleService = `
-# To begin with, one service: all requests go there.
+# A minimal configuration: one service, to which all requests go.
 [[service]]
 name = "web"
 addresses = ["127.0.0.1:9001", "127.0.0.1:9002"]
 `
 
-// Show writes the effective file, without secrets.
+// Show writes the effective file, with defaults filled in and secrets left out.
 func (f *File) Show(w io.Writer) error { return tomlfile.Show(w, f) }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -26,74 +26,74 @@
 // Bounds of values in an operator's file.
 const (
 	maxCores  = 4096
-	maxWeight = 1e6 // of a service, beside the others' weights
+	maxWeight = 1e6 // of a service, relative to the other services
 )
 
 // File is the operator's file. Most of its parts are declared by the packages that they configure.
 type File struct {
-	Daemon      Daemon                     `toml:"daemon" doc:"The process. Beside the platform's file, that one's name, listen and seed win."`
-	Limits      FileLimits                 `toml:"limits" doc:"What the process may use. Beside the platform's file, that one's win."`
-	Shares      Shares                     `toml:"shares" doc:"How services share the limits."`
-	TLS         tlscredentials.ListenerTLS `toml:"tls" doc:"Encryption towards clients."`
+	Daemon      Daemon                     `toml:"daemon" doc:"Settings of the process. If there is also a platform's file, its name, listen and seed take precedence."`
+	Limits      FileLimits                 `toml:"limits" doc:"Resources that the process may use. If there is also a platform's file, its limits take precedence."`
+	Shares      Shares                     `toml:"shares" doc:"How the services share the limits."`
+	TLS         tlscredentials.ListenerTLS `toml:"tls" doc:"Encryption of clients' connections."`
 	Log         logging.Declaration        `toml:"log" doc:"The log."`
-	Membership  membership.Options         `toml:"membership" doc:"How several lists of one service are merged."`
-	Eureka      []eureka.Declaration       `toml:"eureka" doc:"An Eureka registry that lists upstreams of a service, beside that one's own list or alone."`
-	Platform    PlatformPart               `toml:"platform" doc:"Added to the platform's service, beside its file."`
-	Fleet       lease.Declaration          `toml:"fleet" doc:"The fleet of processes that this one belongs to, and the group of them that keeps its leases."`
-	Tasks       []task.Declaration         `toml:"task" reload:"start" doc:"Background work of the fleet: each due run is done by one of its processes."`
-	Admission   []admission.Options        `toml:"door" doc:"A queue before a service, fair between those who ask."`
-	Services    []Service                  `toml:"service" doc:"A service: upstreams that answer the same requests. There are as many as there are such tables."`
-	Idempotency []executor.Declaration     `toml:"repeats" doc:"A store of idempotency keys: a client's repeat of a keyed request gets the first one's end."`
-	GraphQL     []graphql.Options          `toml:"graphql" doc:"A GraphQL endpoint: its operations are told apart, classed and costed by what stands in them."`
-	Routes      []routes.Declaration       `toml:"route" doc:"A route: which requests go to which service, and as what. Absent, with one service and no [[graphql]]: all go there."`
+	Membership  membership.Options         `toml:"membership" doc:"How several endpoint lists of one service are merged."`
+	Eureka      []eureka.Declaration       `toml:"eureka" doc:"An Eureka registry that lists upstreams of a service, in addition to the service's own list or instead of it."`
+	Platform    PlatformPart               `toml:"platform" doc:"Further settings of the service that the platform's file describes."`
+	Fleet       lease.Declaration          `toml:"fleet" doc:"The fleet of processes that this process belongs to, and the group that keeps the record of its leases."`
+	Tasks       []task.Declaration         `toml:"task" reload:"start" doc:"Background work of the fleet. One of its processes executes each due run."`
+	Admission   []admission.Options        `toml:"door" doc:"An admission queue in front of a service. It is fair between the principals that requests come from."`
+	Services    []Service                  `toml:"service" doc:"A service: upstreams that answer the same requests. Each service has a table of its own."`
+	Idempotency []executor.Declaration     `toml:"repeats" doc:"A store of idempotency keys. A client that repeats a keyed request gets the result of the first one."`
+	GraphQL     []graphql.Options          `toml:"graphql" doc:"A GraphQL endpoint. The class and the cost of an operation follow from its content."`
+	Routes      []routes.Declaration       `toml:"route" doc:"A route: which requests go to which service, and with which class. If there is one service, no route and no [[graphql]], all requests go to that service."`
 }
 
 // Daemon is the part of the file on the process itself.
 type Daemon struct {
 	Name    string         `toml:"name" reload:"start" doc:"The process's name, for logs."`
-	Listen  string         `toml:"listen" default:"127.0.0.1:8080" reload:"start" doc:"Where clients connect: IP address and port."`
-	Control string         `toml:"control" reload:"start" sample:"\"127.0.0.1:8081\"" doc:"Where operators call: IP address and port. /ready, /metrics, /drain and /undrain answer there. Absent: nowhere."`
-	Seed    string         `toml:"seed" reload:"start" sample:"\"8c1f30d27a5be964\"" doc:"Where random numbers begin, 64 bits in hexadecimal: the same seed draws the same. Absent: a new one is drawn at each start and logged."`
-	Grace   units.Duration `toml:"grace" default:"0s" reload:"start" doc:"How long what is in hand may take after SIGTERM; 0s: as long as the longest deadline."`
+	Listen  string         `toml:"listen" default:"127.0.0.1:8080" reload:"start" doc:"The address for clients: IP address and port."`
+	Control string         `toml:"control" reload:"start" sample:"\"127.0.0.1:8081\"" doc:"The address for operators, which serves /ready, /metrics, /drain and /undrain: IP address and port. Absent: there is none."`
+	Seed    string         `toml:"seed" reload:"start" sample:"\"8c1f30d27a5be964\"" doc:"The seed of the random numbers, 64 bits in hexadecimal. The same seed yields the same numbers. Absent: a random seed is drawn at each start and logged."`
+	Grace   units.Duration `toml:"grace" default:"0s" reload:"start" doc:"How long requests in flight may take after SIGTERM. 0s: as long as the longest deadline."`
 }
 
 // FileLimits is the part of the file on the resources that the process may use.
 type FileLimits struct {
-	Cores       float64        `toml:"cores" reload:"start" doc:"Processor cores; 0: as many as there are."`
-	Memory      units.Size     `toml:"memory" default:"192MiB" reload:"start" doc:"The heap is held to three quarters of it; a 64th is what one answer may have."`
-	Descriptors int            `toml:"descriptors" default:"1024" reload:"start" doc:"File descriptors: 32 are kept aside, half of the rest is for clients' connections, half for upstreams'."`
-	HeadTimeout units.Duration `toml:"head_timeout" default:"2s" reload:"start" doc:"How long a client may take for a request's head, and for its handshake."`
-	BodyTimeout units.Duration `toml:"body_timeout" default:"5s" doc:"And for its body."`
+	Cores       float64        `toml:"cores" reload:"start" doc:"Number of processor cores. 0: all cores of the machine."`
+	Memory      units.Size     `toml:"memory" default:"192MiB" reload:"start" doc:"Memory of the process. The heap is limited to three quarters of it, and a single answer to a 64th of it."`
+	Descriptors int            `toml:"descriptors" default:"1024" reload:"start" doc:"Number of file descriptors. 32 are reserved. Half of the rest is for clients' connections, half for connections to upstreams."`
+	HeadTimeout units.Duration `toml:"head_timeout" default:"2s" reload:"start" doc:"How long a client may take to send the head of a request, and how long for a TLS handshake."`
+	BodyTimeout units.Duration `toml:"body_timeout" default:"5s" doc:"How long a client may take to send the body of a request."`
 }
 
 // Shares is the part of the file on how services share the limits.
 type Shares struct {
-	Guaranteed float64 `toml:"guaranteed" default:"0.5" doc:"The part of each limit (connections to upstreams, requests in hand, bytes in hand) that is set aside for the services by their share; the rest is for who comes first."`
+	Guaranteed float64 `toml:"guaranteed" default:"0.5" doc:"The fraction of each limit (connections to upstreams, requests in flight, bytes in flight) that is reserved for the services in proportion to their share. The rest is used in the order of arrival."`
 }
 
 // Service is one service. Its own endpoint list comes from one of Addresses, Endpoints, ListFile and Discovery; it needs none if a registry
 // lists its upstreams.
 type Service struct {
-	Name            string                     `toml:"name" sample:"\"seats\"" doc:"The service's name, which routes give."`
-	Addresses       []string                   `toml:"addresses" sample:"[\"127.0.0.1:9001\", \"127.0.0.1:9002\"]" doc:"The upstreams, where there is no more to say of them than IP address and port."`
-	Endpoints       []listfile.Entry           `toml:"endpoint" doc:"An upstream, with all that can be said of it."`
-	ListFile        string                     `toml:"list_file" sample:"\"/etc/orchiddrift/seats.json\"" doc:"A watched file of upstreams, JSON or TOML by its ending. A file that can't be used keeps the last good list."`
-	Discovery       string                     `toml:"discovery" sample:"\"127.0.0.1:8500\"" doc:"The platform's discovery: IP address and port."`
-	Push            bool                       `toml:"discovery_pushes" doc:"Lists are pushed to an agent at that address, so that asking costs nothing."`
-	SuccessStatuses []string                   `toml:"answers" default:"2xx, 3xx, 4xx" doc:"Statuses that are an upstream's answer, and passed on as they are. Any other is a failure. 429 and 503 never count."`
-	Weight          float64                    `toml:"share" default:"1" doc:"Its weight in what is set aside for services."`
-	TLS             tlscredentials.UpstreamTLS `toml:"tls" doc:"Encryption towards its upstreams."`
-	Prewarm         prewarm.Options            `toml:"warm" doc:"Connections that are open before requests need them."`
-	LoadProbe       loadprobe.Options          `toml:"probe" doc:"Asking upstreams for their load, where a process sends little."`
-	Subset          subset.Options             `toml:"subset" doc:"For many upstreams: a part of them is this process's own."`
+	Name            string                     `toml:"name" sample:"\"seats\"" doc:"The service's name, to which routes refer."`
+	Addresses       []string                   `toml:"addresses" sample:"[\"127.0.0.1:9001\", \"127.0.0.1:9002\"]" doc:"The upstreams, if their IP addresses and ports describe them sufficiently."`
+	Endpoints       []listfile.Entry           `toml:"endpoint" doc:"An upstream with all its attributes."`
+	ListFile        string                     `toml:"list_file" sample:"\"/etc/orchiddrift/seats.json\"" doc:"A file that lists the upstreams, in JSON or TOML according to its extension. The file is watched. While it can't be used, the last usable list stays in force."`
+	Discovery       string                     `toml:"discovery" sample:"\"127.0.0.1:8500\"" doc:"The address of the platform's discovery: IP address and port."`
+	Push            bool                       `toml:"discovery_pushes" doc:"Endpoint lists are pushed to an agent at the address in discovery, so that polling the agent costs nothing."`
+	SuccessStatuses []string                   `toml:"answers" default:"2xx, 3xx, 4xx" doc:"Statuses that count as an upstream's answer and are passed on unchanged. Any other status is a failure. 429 and 503 never count as answers."`
+	Weight          float64                    `toml:"share" default:"1" doc:"The service's weight in the distribution of the limits that are reserved for services."`
+	TLS             tlscredentials.UpstreamTLS `toml:"tls" doc:"Encryption of connections to the upstreams."`
+	Prewarm         prewarm.Options            `toml:"warm" doc:"Connections that are opened before requests need them."`
+	LoadProbe       loadprobe.Options          `toml:"probe" doc:"Probes that ask upstreams for their load while this process sends little traffic."`
+	Subset          subset.Options             `toml:"subset" doc:"For a service with many upstreams: the subset of them that this process uses."`
 	settings.Declaration
 }
 
-// PlatformPart is what the operator's file says of the platform's service.
+// PlatformPart is the part of the operator's file on the platform's service.
 type PlatformPart struct {
-	Prewarm   prewarm.Options   `toml:"warm" doc:"Connections that are open before requests need them."`
-	LoadProbe loadprobe.Options `toml:"probe" doc:"Asking upstreams for their load, where its settings allow probes."`
-	Subset    subset.Options    `toml:"subset" doc:"For many upstreams: a part of them is this process's own."`
+	Prewarm   prewarm.Options   `toml:"warm" doc:"Connections that are opened before requests need them."`
+	LoadProbe loadprobe.Options `toml:"probe" doc:"Probes that ask upstreams for their load, if the platform's settings allow probes."`
+	Subset    subset.Options    `toml:"subset" doc:"For a service with many upstreams: the subset of them that this process uses."`
 }
 
 // Check implements tomlfile.Checker.
@@ -116,30 +116,31 @@
 // Check implements tomlfile.Checker.
 func (l *FileLimits) Check(report func(key, format string, args ...any)) {
 	if !(l.Cores >= 0) || l.Cores > maxCores {
-		report("cores", "%v is not usable", l.Cores)
+		report("cores", "%v is not a usable number of cores", l.Cores)
 	}
 	if l.Memory < minMemoryMB*units.MiB {
-		report("memory", "%v is under %dMiB", l.Memory, minMemoryMB)
+		report("memory", "%v is less than the minimum of %dMiB", l.Memory, minMemoryMB)
 	}
 	if l.Descriptors < minSockets {
-		report("descriptors", "%d is under %d", l.Descriptors, minSockets)
+		report("descriptors", "%d is less than the minimum of %d", l.Descriptors, minSockets)
 	}
 	if l.HeadTimeout <= 0 || l.BodyTimeout <= 0 {
-		report("head_timeout", "a client needs some time, for the body too")
+		report("head_timeout", "head_timeout and body_timeout must be greater than 0s")
 	}
 }
 
 // Check implements tomlfile.Checker.
 func (s *Shares) Check(report func(key, format string, args ...any)) {
 	if !(s.Guaranteed >= 0 && s.Guaranteed <= 1) {
-		report("guaranteed", "%v is not a part, from 0 to 1", s.Guaranteed)
+		report("guaranteed", "%v is not a fraction between 0 and 1", s.Guaranteed)
 	}
 }
 
-// oneSourceNeeded is the message on a service with more or less than one list of its own. It needs none beside a registry.
-const oneSourceNeeded = "upstreams come from one of addresses, endpoint, list_file and discovery, beside any [[eureka]]; %d are given"
+// oneSourceNeeded is the message about a service whose own endpoint list has several sources, or has none although no registry lists its
+// upstreams.
+const oneSourceNeeded = "upstreams come from one of addresses, endpoint, list_file and discovery, besides any [[eureka]]; %d of them are given"
 
-// ownSources returns how many lists the service has beside those of registries; one at most is allowed.
+// ownSources returns the number of sources of the service's own endpoint list, registries excluded. At most one is allowed.
 func (s *Service) ownSources() int {
 	sources := 0
 	for _, given := range []bool{len(s.Addresses) > 0, len(s.Endpoints) > 0, s.ListFile != "", s.Discovery != ""} {
@@ -195,7 +196,7 @@
 	return entries
 }
 
-// cores returns the number of processor cores to use on a machine.
+// cores returns the number of processor cores to use on a machine: those configured, or else all.
 func (l *FileLimits) cores(machine Machine) float64 {
 	if l.Cores == 0 {
 		return float64(machine.Cores)
--- a/internal/config/file_graphql.go
+++ b/internal/config/file_graphql.go
@@ -12,13 +12,13 @@
 	"orchiddrift/internal/tomlfile"
 )
 
-// graphqlFiles are the texts of the files that a GraphQL endpoint names; empty: it names none.
+// graphqlFiles holds the contents of the files that a GraphQL endpoint names. A text is empty if no file is named.
 type graphqlFiles struct {
 	schema, known string
 }
 
-// addGraphQLEndpoints makes the GraphQL endpoints and their routes. Their files are read here: a schema that cannot be used is a mistake
-// of the configuration.
+// addGraphQLEndpoints adds the GraphQL endpoints and their routes to the plan. It reads their files, so that an unusable schema is reported
+// as a problem of the configuration.
 func (b *planBuilder) addGraphQLEndpoints() {
 	for i := range b.file.GraphQL {
 		at := fmt.Sprintf("graphql[%d]", i)
@@ -45,7 +45,7 @@
 		report("", "%v", err)
 		return
 	}
-	// An endpoint of an equal declaration has the same fingerprint, by which a reload keeps its statistics.
+	// Equal declarations have the same fingerprint, by which a reload recognizes an endpoint and keeps its statistics.
 	identity := fmt.Sprintf("%+v %+v %q", options, service.Settings.Classes, [2]string{files.schema, files.known})
 	fingerprint := fmt.Sprintf("%016x", xxhash.Sum64String(identity))
 	route, err := options.Route(service.Name, fingerprint, endpoint.MaxDeadline())
--- a/internal/config/file_plan.go
+++ b/internal/config/file_plan.go
@@ -17,9 +17,9 @@
 	"orchiddrift/internal/units"
 )
 
-// planBuilder makes the plan of an operator's file, one part of the file after another, and reports what is wrong between the parts.
-// What is wrong within a part is reported by that part's Check while the file is decoded. The order of the steps is the order in which
-// problems are found.
+// planBuilder makes the plan of an operator's file, one part of the file after another, and reports problems between the parts.
+// Problems within a part are reported by that part's Check while the file is decoded. The order of the steps is the order in which
+// problems are reported.
 type planBuilder struct {
 	file         *File
 	platform     *Plan // of the platform's file; nil: there is none
@@ -29,7 +29,7 @@
 	routes       []placedRoute
 }
 
-// buildPlan makes the plan of a file that stands beside the platform's, or alone if platform is nil. machine gives the defaults. The
+// buildPlan makes the plan of a file that stands beside the platform's, or alone if platform is nil. machine determines the defaults. The
 // plan is complete only if the document has no problems afterwards.
 func buildPlan(file *File, platform *Plan, machine Machine, document *tomlfile.Document) *Plan {
 	b := &planBuilder{file: file, platform: platform, document: document, serviceIndex: map[string]int{}}
@@ -55,7 +55,7 @@
 	return b.plan
 }
 
-// processPlan returns a plan of what the file says of the process, without services.
+// processPlan returns a plan with the file's settings of the process, without services.
 func (f *File) processPlan(machine Machine) *Plan {
 	return &Plan{
 		Name:    f.Daemon.Name,
@@ -76,7 +76,7 @@
 	}
 }
 
-// addPlatform takes over what the platform's file decides: the process, its limits and timeouts, and the first service with its routes.
+// addPlatform copies what the platform's file determines: the process, its limits and timeouts, and the first service with its routes.
 func (b *planBuilder) addPlatform() {
 	p, platform, part := b.plan, b.platform, &b.file.Platform
 	p.Name, p.Listen, p.Seed, p.Limits = platform.Name, platform.Listen, platform.Seed, platform.Limits
@@ -94,7 +94,7 @@
 	}
 }
 
-// setSeed takes the file's seed, or draws one.
+// setSeed sets the file's seed, or a random one if the file has none.
 func (b *planBuilder) setSeed() {
 	if b.file.Daemon.Seed != "" {
 		b.plan.Seed, _ = strconv.ParseUint(b.file.Daemon.Seed, 16, 64) // Daemon.Check reports the error
@@ -112,11 +112,11 @@
 	}
 }
 
-// ownListName is the name of a service's own list among its sources, which no registry may have.
+// ownListName is the name of a service's own endpoint list among its sources. No registry may have this name.
 const ownListName = "list"
 
-// addRegistries checks the registries against the services, gives the platform's service its own, and collects those in which the process
-// registers. addServices gives the other services theirs.
+// addRegistries checks the registries' references to services, adds the registries of the platform's service to it, and collects those in
+// which the process registers. addServices adds the registries of the other services.
 func (b *planBuilder) addRegistries() {
 	names := map[string]bool{}
 	perService := map[string]int{}
@@ -131,7 +131,7 @@
 		}
 		perService[registry.Service]++
 		if perService[registry.Service] == membership.MaxSources { // the service's own list is one of the sources
-			b.document.Report(at+".service", "%d registries of one service at most", membership.MaxSources-1)
+			b.document.Report(at+".service", "a service can have at most %d registries", membership.MaxSources-1)
 		}
 		if registry.Register.Application != "" {
 			b.plan.Registrations = append(b.plan.Registrations, registry)
@@ -156,7 +156,7 @@
 	for i := range tasks {
 		at := fmt.Sprintf("task[%d]", i)
 		if !b.file.Fleet.On() {
-			b.document.Report(at, "there is no [fleet] whose processes share it")
+			b.document.Report(at, "a task needs a [fleet] whose processes share it")
 		}
 		if slices.ContainsFunc(tasks[:i], func(other task.Declaration) bool { return other.Name == tasks[i].Name }) {
 			b.document.Report(at+".name", "%q is taken", tasks[i].Name)
@@ -185,7 +185,7 @@
 	}
 }
 
-// plan returns the plan of a declared service, without what other parts of the file add to it.
+// plan returns the plan of a declared service, without the additions from other parts of the file.
 func (s *Service) plan() ServicePlan {
 	statuses, err := httpheader.ParseStatuses(s.SuccessStatuses)
 	if err != nil { // reported by Check
@@ -210,8 +210,8 @@
 	return p
 }
 
-// service returns the service that a part of the file at a key names. If there is none it returns nil and reports that, unless no name is
-// given, which the part's own Check reports.
+// service returns the service that the part of the file at a key refers to by name. It reports an unknown name and returns nil. A missing
+// name is reported by the part's own Check.
 func (b *planBuilder) service(name, at string) *ServicePlan {
 	if i, ok := b.serviceIndex[name]; ok {
 		return &b.plan.Services[i]
@@ -222,7 +222,8 @@
 	return nil
 }
 
-// serviceOrOnly returns the service of a name, or the only one if no name is given. If there is none it returns nil and reports that.
+// serviceOrOnly returns the service of a name, or the only service if the name is empty. If there is no such service it reports a problem
+// and returns nil.
 func (b *planBuilder) serviceOrOnly(name string, report reporter) *ServicePlan {
 	if name == "" && len(b.plan.Services) == 1 {
 		name = b.plan.Services[0].Name
--- a/internal/config/file_queues.go
+++ b/internal/config/file_queues.go
@@ -8,14 +8,14 @@
 	"orchiddrift/internal/admission"
 )
 
-// The sources of a principal that need something of other parts of the file, or of the transport.
+// Sources of principals that depend on other parts of the file or on the transport.
 const (
 	principalTenant      = "tenant"
 	principalCertificate = "certificate"
 	principalAddress     = "address"
 )
 
-// addAdmissionQueues gives services their admission queues, and checks that principals can be told apart there.
+// addAdmissionQueues adds the services' admission queues, and checks that their requests have the principals' sources.
 func (b *planBuilder) addAdmissionQueues() {
 	for i := range b.file.Admission {
 		at, options := fmt.Sprintf("door[%d]", i), b.file.Admission[i]
@@ -24,7 +24,7 @@
 			continue
 		}
 		if service.Admission != nil {
-			b.document.Report(at+".service", "%q has two doors", options.Service)
+			b.document.Report(at+".service", "service %q has two admission queues", options.Service)
 		}
 		b.checkPrincipals(&options, service.Name, at)
 		if service.Settings.RetryAfterAllowed {
@@ -34,20 +34,20 @@
 	}
 }
 
-// checkPrincipals reports sources of principals that requests of a service do not have.
+// checkPrincipals reports sources of principals that the requests of a service do not have.
 func (b *planBuilder) checkPrincipals(options *admission.Options, service, at string) {
 	hasTenants := slices.ContainsFunc(b.routes, func(placed placedRoute) bool {
 		return placed.route.Service == service && !placed.route.Tenant.None()
 	})
 	if slices.Contains(options.PrincipalSources, principalTenant) && !hasTenants {
-		b.document.Report(at+".by", "no route of service %s says where a tenant stands", service)
+		b.document.Report(at+".by", "no route of service %s has a source for the tenant", service)
 	}
 	if slices.Contains(options.PrincipalSources, principalCertificate) && b.plan.TLS.ClientCA == "" {
-		b.document.Report(at+".by", "clients show no certificates: [tls] has no client_ca")
+		b.document.Report(at+".by", "clients present no certificates: [tls] has no client_ca")
 	}
 }
 
-// addIdempotencyStores gives services their stores of idempotency keys.
+// addIdempotencyStores adds the services' stores of idempotency keys.
 func (b *planBuilder) addIdempotencyStores() {
 	files := map[string]bool{}
 	for i := range b.file.Idempotency {
@@ -57,13 +57,13 @@
 			continue
 		}
 		if service.Idempotency != nil {
-			b.document.Report(at+".service", "%q has two stores of keys", declared.Service)
+			b.document.Report(at+".service", "service %q has two stores of idempotency keys", declared.Service)
 		}
 		if !slices.ContainsFunc(service.Settings.Classes, needsKey) {
 			b.document.Report(at+".service", "service %s has no keyed class", service.Name)
 		}
 		if declared.File != "" && files[declared.File] {
-			b.document.Report(at+".file", "%q is another store's", declared.File)
+			b.document.Report(at+".file", "%q is already the file of another store", declared.File)
 		}
 		files[declared.File] = true
 		service.Idempotency = &declared
--- a/internal/config/file_routes.go
+++ b/internal/config/file_routes.go
@@ -9,13 +9,13 @@
 	"orchiddrift/internal/settings"
 )
 
-// placedRoute is a route and the key at which it stands in the operator's file; empty: it is the platform's.
+// placedRoute is a route with the key of its declaration in the operator's file. The key is empty for a route of the platform.
 type placedRoute struct {
 	route *routes.Route
 	at    string
 }
 
-// reporter reports a mistake at a key, which is appended to that of the part at hand.
+// reporter reports a problem at a key, which is relative to the part of the file that is being checked.
 type reporter func(key, format string, args ...any)
 
 func (b *planBuilder) addRoutes(at string, added []*routes.Route) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// addDeclaredRoutes adds the routes of the file. A file of one service needs none.
+// addDeclaredRoutes adds the routes of the operator's file. If it has a single service and no routes, a catch-all route is added.
 func (b *planBuilder) addDeclaredRoutes() {
 	for i := range b.file.Routes {
 		at := fmt.Sprintf("route[%d]", i)
@@ -38,16 +38,16 @@
 	if len(b.plan.Services) == 1 && b.platform == nil { // the platform's service has its own routes
 		catchAll := routes.Declaration{Match: "/", Key: routes.Header(httpheader.IdempotencyKey), MaxBody: routes.MaxMaxBody}
 		b.addRoutes("route.match", b.makeRoutes(&catchAll, func(_, format string, args ...any) {
-			b.document.Report("route", format, args...) // no key of a table that does not stand in the file
+			b.document.Report("route", format, args...) // the route's own keys are not in the file
 		}))
 		return
 	}
 	if len(b.file.Services) > 0 {
-		b.document.Report("route", "there is none, and more than one service: [[route]]")
+		b.document.Report("route", "missing: at least one [[route]] is needed if there is more than one service")
 	}
 }
 
-// makeRoutes returns the routes of one declaration; none if the declaration has a mistake.
+// makeRoutes returns the routes of one declaration, or none if the declaration has a problem.
 func (b *planBuilder) makeRoutes(declared *routes.Declaration, report reporter) []*routes.Route {
 	service := b.serviceOrOnly(declared.Service, report)
 	if service == nil {
@@ -71,8 +71,8 @@
 	return []*routes.Route{route}
 }
 
-// setClass sets the class of a route by its name, or else the two classes that are chosen by the method. It reports whether the service has
-// them.
+// setClass sets the class of a route to the one of a name, or, if the name is empty, the two classes between which the method decides. It
+// returns whether the service has these classes.
 func setClass(route *routes.Route, name string, service *ServicePlan, report reporter) bool {
 	route.Class = service.class(name)
 	if route.Class != nil {
@@ -84,15 +84,15 @@
 	}
 	route.Read, route.Write = service.class(settings.ReadClass), service.class(settings.WriteClass)
 	if route.Read == nil || route.Write == nil {
-		report(".class", "missing: service %s has no classes %q and %q to go by the method", service.Name, settings.ReadClass,
+		report(".class", "missing: service %s has no classes %q and %q for the method to decide between", service.Name, settings.ReadClass,
 			settings.WriteClass)
 		return false
 	}
 	return true
 }
 
-// completeOnly reports whether a service's upstreams must answer with complete bodies: one of the statuses that answer range and
-// conditional requests is not a success.
+// completeOnly reports whether only complete answers of a service's upstreams can be successes. That is so if any of the statuses of
+// answers to range and conditional requests is a failure.
 func completeOnly(success *httpheader.Statuses) bool {
 	return !success.Has(http.StatusNotModified) || !success.Has(http.StatusPartialContent) || !success.Has(http.StatusPreconditionFailed)
 }
@@ -108,7 +108,7 @@
 	}
 }
 
-// buildRouteTable makes the table of all routes, and reports those that conflict.
+// buildRouteTable makes the table of all routes, and reports routes that conflict.
 func (b *planBuilder) buildRouteTable() {
 	var all []*routes.Route
 	for _, placed := range b.routes {
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -12,7 +12,7 @@
 	"orchiddrift/internal/tomlfile"
 )
 
-// uncommented returns the example with its commented keys in force, so that every table is present once.
+// uncommented returns the example with its commented-out keys uncommented, so that every table is present once.
 func uncommented(text string) string {
 	var out []string
 	for line := range strings.Lines(text) {
@@ -24,31 +24,31 @@
 	return strings.Join(out, "")
 }
 
-// The example decodes to the defaults and has every key, and what Show prints decodes to the same file again.
+// The example must decode to the defaults and have every key, and the output of Show must decode to the same file again.
 func TestExampleDecodesToDefaults(t *testing.T) {
 	if keys := tomlfile.Undocumented(File{}); len(keys) > 0 {
-		t.Errorf("undocumented: %v", keys)
+		t.Errorf("keys without a doc tag: %v", keys)
 	}
 	var text bytes.Buffer
 	if err := Example(&text); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ParseFile(text.Bytes()); err != nil {
-		t.Errorf("the example can't be used: %v", err)
+		t.Errorf("the example is not a usable file: %v", err)
 	}
 	var plain, example, again File
 	tomlfile.Decode([]byte(exampleService), &plain)
 	if bad := tomlfile.Decode(text.Bytes(), &example).Problems(); len(bad) > 0 || !reflect.DeepEqual(plain, example) {
-		t.Errorf("%v\n%+v\n%+v", bad, plain, example)
+		t.Errorf("the example does not decode to the defaults, problems %v\nwant %+v\ngot %+v", bad, plain, example)
 	}
 	var all File
 	for _, m := range tomlfile.Decode([]byte(uncommented(text.String())), &all).Problems() {
 		if strings.Contains(m.Reason, "no such key") || strings.Contains(m.Reason, "and not") {
-			t.Errorf("of the example's tables: %v", m)
+			t.Errorf("the uncommented example has an unknown key or a value of a wrong type: %v", m)
 		}
 	}
 	if len(all.Services) != 2 || len(all.Services[0].Classes) != 1 || len(all.Services[0].Endpoints) != 1 || len(all.Routes) != 1 {
-		t.Errorf("not every table stands in the example: %+v", all)
+		t.Errorf("the uncommented example lacks tables: %+v", all)
 	}
 	var shown bytes.Buffer
 	if err := all.Show(&shown); err != nil {
@@ -56,11 +56,11 @@
 	}
 	tomlfile.Decode(shown.Bytes(), &again)
 	if !reflect.DeepEqual(all, again) {
-		t.Errorf("shown\n%s\nis read as\n%+v, and was\n%+v", shown.String(), again, all)
+		t.Errorf("the output of Show\n%s\ndecodes to\n%+v\nwant\n%+v", shown.String(), again, all)
 	}
 }
 
-// Every mistake is reported, at its place, and nothing else. Each want is a line, a key and a part of the reason.
+// Every mistake must be reported at its position, without further problems. Each want is a line, a key and a part of the reason.
 func TestParseFileReportsMistakes(t *testing.T) {
 	const web = "[[service]]\nname = \"web\"\naddresses = [\"127.0.0.1:1\"]\n" // lines 1 to 3
 	for _, c := range []struct {
@@ -90,7 +90,7 @@
 		{web + "[[route]]\nmatch = \"/a/{x}\"\n[[route]]\nmatch = \"/{y}/b\"\n", []string{"7: route[1].match: conflicts with line 5: /{y}/b and /a/{x} both match some"}},
 		{web + "[[route]]\nmatch = \"/a\"\nservice = \"wbe\"\nkey = \"path:x\"\n[[route]]\nmatch = \"a\"\nclass = \"c\"\n",
 			[]string{`6: route[0].service: there is no service "wbe"`, `7: route[0].key: the pattern has no wildcard "x"`, "9: route[1].match: the path begins"}},
-		{web + "[[route]]\nmatch = \"POST /a\"\nclass = \"read\"\n", []string{`6: route[0].class: class read may be repeated, and POST is not safe`}},
+		{web + "[[route]]\nmatch = \"POST /a\"\nclass = \"read\"\n", []string{`6: route[0].class: class read may be repeated, but POST is not safe`}},
 		{web + "[[route]]\nmatch = \"/-/ready\"\n", []string{"5: route[0].match: /-/ is the daemon's own"}},
 		{web + "[[route]]\nset = \"platform\"\nmatch = \"/\"\nmax_body = \"1GiB\"\n", []string{"5: route[0].set", "7: route[0].max_body"}},
 		{web + "[[graphql]]\nmatch = \"POST /g\"\nquery = \"gone\"\n[graphql.limits]\ntokens = 0\n[[graphql]]\nmatch = \"/g\"\nservice = \"b\"\n[[graphql]]\nmatch = \"/-/g\"\nschema = \"/no/where\"\n",
@@ -98,12 +98,12 @@
 				`11: graphql[1].service: there is no service "b"`, "13: graphql[2].match: /-/ is the daemon's own", "14: graphql[2].schema: open /no/where"}},
 		{web + "[[graphql]]\nmatch = \"/g\"\n[[graphql]]\nmatch = \"/g\"\n", []string{"7: graphql[1].match: conflicts with line 5"}},
 		{"[daemon]\nname = \"x\"\n", []string{"service: there is none"}},
-		{web + "[[service]]\nname = \"b\"\naddresses = [\"127.0.0.1:2\"]\n", []string{"route: there is none, and more than one"}},
+		{web + "[[service]]\nname = \"b\"\naddresses = [\"127.0.0.1:2\"]\n", []string{"route: missing: at least one [[route]] is needed if there is more than one"}},
 	} {
 		_, err := ParseFile([]byte(c.text))
 		var bad Problems
 		if !errors.As(err, &bad) {
-			t.Errorf("%q is taken: %v", c.text, err)
+			t.Errorf("%q is accepted, or its error is not Problems: %v", c.text, err)
 			continue
 		}
 		for _, want := range c.want {
@@ -114,11 +114,11 @@
 				found = found || strings.Contains(text, want) || ok && strings.HasPrefix(text, line+":") && strings.Contains(text, rest)
 			}
 			if !found {
-				t.Errorf("%q: no %q among\n%v", c.text, want, []Problem(bad))
+				t.Errorf("%q: no problem %q among\n%v", c.text, want, []Problem(bad))
 			}
 		}
 		if len(bad) > len(c.want) {
-			t.Errorf("%q: more than %q:\n%v", c.text, c.want, []Problem(bad))
+			t.Errorf("%q: more problems than %q:\n%v", c.text, c.want, []Problem(bad))
 		}
 	}
 }
@@ -127,7 +127,7 @@
 	"limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":{"Discovery":"ask","TickMs":5,"Classes":[
 	{"Name":"search","Semantics":"retryable","AimMs":1000,"DeadlineMs":2000}]}}`
 
-// What the platform's file decides wins over the operator's file beside it.
+// If there are both files, the platform's name, listen address, seed and limits must take precedence over the operator's.
 func TestPlatformFileTakesPrecedence(t *testing.T) {
 	c, err := Parse([]byte(platformText))
 	if err != nil {
@@ -156,20 +156,20 @@
 	}
 	if p.Listen != c.Listen || p.Seed != 0x2a || p.Name != "n1" || p.Limits != c.Limits || p.HeadTimeout != 2*time.Second ||
 		p.Guaranteed != 0.25 || len(p.Services) != 2 || p.Services[0].Name != Platform || len(p.Table.Routes()) != 4 || len(p.Endpoints) != 1 {
-		t.Errorf("%+v", p)
+		t.Errorf("wrong plan of both files: %+v", p)
 	}
 	if _, err := ParseBeside(c, []byte("[[service]]\nname = \"web\"\naddresses = [\"127.0.0.1:1\"]\n[[route]]\nmatch = \"GET /search\"\nservice = \"web\"\n")); err == nil ||
 		!strings.Contains(err.Error(), "conflicts with the platform's rules") {
-		t.Errorf("a route in the platform's place: %v", err)
+		t.Errorf("a route that conflicts with the platform's: error %v", err)
 	}
 	alone := c.Plan()
 	if alone.Services[0].SuccessStatuses.Has(404) || !alone.Services[0].SuccessStatuses.Has(200) || alone.Grace != 2550*time.Millisecond ||
 		alone.BodyTimeout != 900*time.Millisecond {
-		t.Errorf("%+v", alone)
+		t.Errorf("wrong plan of the platform's file alone: %+v", alone)
 	}
 }
 
-// LoadPlan tells the two kinds of files apart, and takes only the combinations that make sense.
+// LoadPlan must distinguish the two kinds of files and reject unusable combinations, such as two operator's files, with errors of one line.
 func TestLoadPlan(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -182,20 +182,20 @@
 	file := write("/o.toml", "[[service]]\nname = \"web\"\naddresses = [\"127.0.0.1:1\"]\n")
 	for _, c := range []struct {
 		files    Sources
-		services int // 0: not taken
+		services int // 0: LoadPlan fails
 	}{{Sources{Config: platform}, 1}, {Sources{Config: file}, 1}, {Sources{Beside: file}, 1}, {Sources{Config: platform, Beside: file}, 0},
 		{Sources{Config: file, Beside: file}, 0}, {Sources{}, 0}, {Sources{Config: dir + "/missing"}, 0}, {Sources{Config: platform, Beside: dir + "/missing"}, 0}} {
 		p, err := LoadPlan(c.files)
 		if (err == nil) != (c.services > 0) || err == nil && len(p.Services) != c.services {
-			t.Errorf("%+v: %v", c.files, err)
+			t.Errorf("%+v: wrong plan, or error %v", c.files, err)
 		}
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("%+v: more than a line: %q", c.files, err)
+			t.Errorf("%+v: the error has more than one line: %q", c.files, err)
 		}
 	}
 }
 
-// FuzzFile decodes random texts: none panics, every problem is one line, and a file without problems is read again from what Show prints.
+// FuzzFile decodes random texts. None may panic, every problem must be one line, and the output of Show for a usable file must be usable.
 func FuzzFile(f *testing.F) {
 	f.Add("[[service]]\nname = \"web\"\naddresses = [\"127.0.0.1:1\"]\n[[route]]\nmatch = \"/a/{x}\"\n")
 	f.Add("a.b.c = {d = [1, {e = 2}]}\n[[a.b]]\n[x]\n[x.y]\n")
@@ -206,11 +206,11 @@
 		var bad Problems
 		if err != nil {
 			if !errors.As(err, &bad) || len(bad) == 0 {
-				t.Fatalf("%v", err)
+				t.Fatalf("the error is not Problems, or an empty list: %v", err)
 			}
 			for _, m := range bad {
 				if strings.Contains(m.Error(), "\n") {
-					t.Fatalf("%q", m.Error())
+					t.Fatalf("the problem has more than one line: %q", m.Error())
 				}
 			}
 			return
@@ -220,7 +220,7 @@
 			t.Fatal(err)
 		}
 		if _, err := ParseFile(shown.Bytes()); err != nil {
-			t.Fatalf("shown\n%s\nis not taken: %v", shown.String(), err)
+			t.Fatalf("the output of Show\n%s\nis rejected: %v", shown.String(), err)
 		}
 	})
 }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -14,11 +14,11 @@
 var errNoConfiguration = errors.New(`no configuration: name one with --config, or GW_CONFIG ("orchiddrift config example" prints one)`)
 
 // errTwoOperatorFiles says that both files named are operator's files.
-var errTwoOperatorFiles = errors.New("two operator's files: the one beside is for the platform's")
+var errTwoOperatorFiles = errors.New("both files are operator's files; two files are only used together if one of them is the platform's")
 
 // Sources names the files that a daemon reads.
 type Sources struct {
-	Config  string // the platform's JSON file or the operator's TOML file; their content tells which
+	Config  string // the platform's JSON file or the operator's TOML file; distinguished by their content
 	Beside  string // the operator's file beside the platform's; empty: none
 	Control string // address of the control listener if no file has one; empty: none
 }
@@ -75,7 +75,7 @@
 	return plan, inFile(sources.Beside, err)
 }
 
-// inFile says which file an error is about; nil: there is none.
+// inFile adds the path of the file that an error is about. It returns nil if there is no error.
 func inFile(path string, err error) error {
 	if err == nil {
 		return nil
@@ -83,7 +83,7 @@
 	return fmt.Errorf("configuration %s: %w", path, err)
 }
 
-// byteOrderMark may stand at the beginning of a text file.
+// byteOrderMark may precede the content of a text file.
 const byteOrderMark = "\xef\xbb\xbf"
 
 // IsPlatform reports whether a text is the platform's JSON, and not the operator's TOML. An empty text counts as the platform's.
@@ -99,7 +99,7 @@
 func ParseFileFor(machine Machine, text []byte) (*Plan, error) { return parseFile(nil, machine, text) }
 
 // ParseBeside reads an operator's file that stands beside the platform's. The platform's name, listen address, seed, limits and timeouts
-// win; its service, called Platform, comes first, under its own routes. Its error is Problems.
+// take precedence. Its service, called Platform, comes first, with its own routes. Its error is Problems.
 func ParseBeside(platform *Config, text []byte) (*Plan, error) {
 	return parseFile(platform.Plan(), ThisMachine(), text)
 }
--- a/internal/config/machine.go
+++ b/internal/config/machine.go
@@ -2,7 +2,8 @@
 
 import "runtime"
 
-// Machine is what the defaults of an operator's file depend on: equal files have equal plans on equal machines.
+// Machine holds the properties of a machine on which the defaults of an operator's file depend: equal files have equal plans on equal
+// machines.
 type Machine struct {
 	Cores int // processor cores that the process may use
 }
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -22,7 +22,7 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// Plan is what a daemon runs, whichever files it was made from: the platform's, the operator's, or both.
+// Plan is the complete configuration of a daemon, made from the platform's file, the operator's file, or both.
 type Plan struct {
 	Name, Listen  string
 	Control       string // address of the operators' control listener; empty: none
@@ -56,7 +56,7 @@
 	// The service's own endpoint list comes from Discovery or ListFile; if both are empty, it is InitialEndpoints.
 	Discovery        string
 	ListFile         string
-	InitialEndpoints *endpoints.List // the list to begin with; nil: none
+	InitialEndpoints *endpoints.List // the list at the start; nil: none
 
 	Admission   *admission.Options    // the queue before the service; nil: none
 	Idempotency *executor.Declaration // the store of its idempotency keys; nil: none
@@ -67,7 +67,7 @@
 	Unrouted bool // no route leads to the service
 }
 
-// Staleness returns how the endpoint list at Discovery is followed.
+// Staleness returns the options for following the endpoint list at Discovery.
 func (s *ServicePlan) Staleness() staleness.Options {
 	return staleness.Options{
 		Pushed:     !s.Settings.MustSubscribe,
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -26,20 +26,20 @@
 	GRPC            *GRPC // the plug-in's part; nil: none
 }
 
-// Limits is what the platform allows the process.
+// Limits is the resources that the platform allows the process to use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// The least that a process can run with.
+// The minimum limits of a process.
 const (
-	minSockets  = 64 // for clients and upstreams, beside the descriptors that every process needs
+	minSockets  = 64 // for clients and upstreams, in addition to the descriptors that every process needs
 	minMemoryMB = 16
 )
 
-// The platform's settings where they name none.
+// Defaults of the platform's settings.
 const (
 	defaultConnectTimeout  = time.Second
 	defaultConnIdleTimeout = 10 * time.Second
@@ -61,11 +61,11 @@
 	return c, inFile(path, err)
 }
 
-// Parse reads the platform's file and checks everything that a daemon relies on, the module's settings too, so that mistakes show at the
-// start and not under traffic. Its error is Problems.
+// Parse reads the platform's file and checks everything that a daemon relies on, including the balancer's settings, so that problems are
+// found at startup and not under traffic. Its error is Problems.
 func Parse(text []byte) (*Config, error) { return parse(text, false) }
 
-// platformFile is the platform's file as JSON. Its parts are decoded one by one, so that a mistake in one does not hide those in others.
+// platformFile is the platform's file as JSON. Its parts are decoded one by one, so that a problem in one does not hide those in others.
 // It is an alias without tags because the JSON decoder quotes the names of types and fields in its errors, which "check" prints.
 type platformFile = struct {
 	Name, Listen, Discovery string
@@ -77,7 +77,7 @@
 	GRPC                    json.RawMessage
 }
 
-// platformParser checks the parts of a platform's file and collects what is wrong with them.
+// platformParser checks the parts of a platform's file and collects their problems.
 type platformParser struct {
 	file     platformFile
 	config   *Config
@@ -102,7 +102,7 @@
 	p.parseKnownEndpoints()
 	p.parseSettings()
 	if plugin && p.config.Discovery == "" && !p.config.hasCachedEndpoints() {
-		p.report("discovery", errors.New("missing, and no upstream is known"))
+		p.report("discovery", errors.New("missing, and known lists no upstream"))
 	}
 	if len(p.problems) > 0 {
 		return nil, p.problems
@@ -136,13 +136,13 @@
 		return
 	}
 	if !(limits.Cores > 0) {
-		p.report("limits.cores", fmt.Errorf("%v is not above 0", limits.Cores))
+		p.report("limits.cores", fmt.Errorf("%v is not greater than 0", limits.Cores))
 	}
 	if limits.MemoryMB < minMemoryMB {
-		p.report("limits.memory_mb", fmt.Errorf("%v is under %d", limits.MemoryMB, minMemoryMB))
+		p.report("limits.memory_mb", fmt.Errorf("%v is less than the minimum of %d", limits.MemoryMB, minMemoryMB))
 	}
 	if limits.Sockets < minSockets {
-		p.report("limits.sockets", fmt.Errorf("%d is under %d", limits.Sockets, minSockets))
+		p.report("limits.sockets", fmt.Errorf("%d is less than the minimum of %d", limits.Sockets, minSockets))
 	}
 }
 
@@ -219,7 +219,7 @@
 // checkControl returns what is wrong with the address of the control listener.
 func checkControl(control, listen string) error {
 	if control == listen && !AnyPort(listen) {
-		return errors.New("clients connect there")
+		return errors.New("this is the address for clients")
 	}
 	return endpoints.CheckAddress(control)
 }
--- a/internal/config/platform_plan.go
+++ b/internal/config/platform_plan.go
@@ -10,20 +10,20 @@
 // Platform is the name of the service that the platform's file describes.
 const Platform = "platform"
 
-// What the platform's file has no settings for.
+// Values for which the platform's file has no settings.
 const (
 	platformHeadTimeout = 2 * time.Second        // for a client to send a request's head
 	platformBodyTimeout = 900 * time.Millisecond // and its body
-	platformMaxGrace    = 3 * time.Second        // of the longest deadline that is waited for after SIGTERM: SIGKILL may follow soon after
+	platformMaxGrace    = 3 * time.Second        // bound of the longest deadline in Grace: SIGKILL may follow soon after SIGTERM
 )
 
-// graceMargin is added to the longest deadline: requests in flight at SIGTERM fail that much after the last of them is due.
+// graceMargin is added to the longest deadline, so that requests in flight at SIGTERM fail only after the last of their deadlines.
 const graceMargin = 550 * time.Millisecond
 
 // Plan returns the plan of the platform's file alone.
 func (c *Config) Plan() *Plan {
 	table, conflicts := routes.New(routes.Platform(Platform, c.Settings.Classes))
-	if len(conflicts) > 0 { // two classes of one name: the settings' check finds that
+	if len(conflicts) > 0 { // two classes have the same name, which the check of the settings rejects
 		panic("config: the platform's routes conflict")
 	}
 	services := []ServicePlan{c.service()}
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -10,7 +10,7 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// A platform's file is read completely, and each kind of mistake in it is an error of one line.
+// Every part of the platform's file must be read, and each kind of mistake in it must be an error of one line.
 func TestParse(t *testing.T) {
 	good := fmt.Sprintf(`{"name":"n3","listen":"127.0.0.4:9000","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
 		"unknown":true,"limits":{"cores":0.5,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
@@ -21,7 +21,7 @@
 	}
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || *c.CachedEndpoints.Index != 41 ||
 		c.Settings.ConnIdleTimeout != 15*time.Second || c.Settings.ConnectTimeout != 2*time.Second {
-		t.Errorf("read as %+v", c)
+		t.Errorf("the file was parsed as %+v", c)
 	}
 	for name, change := range map[string][2]string{
 		"no JSON":    {`{"name"`, `{name`},
@@ -40,10 +40,10 @@
 	} {
 		text := strings.Replace(good, change[0], change[1], 1)
 		if text == good {
-			t.Fatalf("%s: nothing changed", name)
+			t.Fatalf("%s: the replacement changes nothing in the file", name)
 		}
 		if _, err := config.Parse([]byte(text)); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("mistake %s: got error %v, want one of a single line", name, err)
 		}
 	}
 }
--- a/internal/config/plugin.go
+++ b/internal/config/plugin.go
@@ -22,7 +22,7 @@
 	File    string            `json:"file"`    // an operator's file, for the registries of the service
 }
 
-// GRPCTLS is how the plug-in's connections are encrypted. All but Name are paths of files.
+// GRPCTLS configures the encryption of the plug-in's connections. All fields but Name are paths of files.
 type GRPCTLS struct {
 	CA          string `json:"ca"`
 	Name        string `json:"name"`
@@ -30,8 +30,8 @@
 	Key         string `json:"key"`
 }
 
-// ParsePlugin is Parse for the plug-in. It listens nowhere, has the limits of its process, and needs no discovery if its configuration
-// lists upstreams.
+// ParsePlugin is Parse for the plug-in. A plug-in has no listener, has the limits of its process, and needs no discovery if its
+// configuration lists upstreams.
 func ParsePlugin(text []byte) (*Config, error) { return parse(text, true) }
 
 // IsPluginConfig reports whether a configuration is the plug-in's: it has a grpc part and no listen address.
@@ -40,14 +40,14 @@
 	return json.Unmarshal(text, &file) == nil && len(file.GRPC) > 0 && len(file.Listen) == 0
 }
 
-// PluginFile is what a plug-in takes from an operator's file.
+// PluginFile is the part of an operator's file that a plug-in uses.
 type PluginFile struct {
 	Registries  []eureka.Declaration
 	Membership  membership.Options
 	Admission   *admission.Options    // nil: none
 	Idempotency *executor.Declaration // nil: none
 	Prewarm     prewarm.Options
-	Subset      subset.Options // of the [[service]] of that name, which needs no upstreams there
+	Subset      subset.Options // from the [[service]] of the same name, which need not list upstreams
 }
 
 // empty reports whether the file has nothing for the plug-in's service.
@@ -62,7 +62,7 @@
 	p := PluginFile{Registries: file.registriesOf(service), Membership: file.Membership}
 	for i, registry := range file.Eureka {
 		if registry.Service == service && registry.Register.Application != "" {
-			document.Report(fmt.Sprintf("eureka[%d].register", i), "a plug-in listens nowhere, and does not register")
+			document.Report(fmt.Sprintf("eureka[%d].register", i), "a plug-in has no listener and cannot register")
 		}
 	}
 	for i := range file.Admission {
@@ -82,16 +82,16 @@
 		}
 	}
 	if !document.Broken() && p.empty() {
-		document.Report("eureka", "nothing in it is for service %q: no [[eureka]], no [[door]], no [service.subset], no [service.warm], no [[repeats]]", service)
+		document.Report("eureka", "the file has nothing for service %q: no [[eureka]], no [[door]], no [service.subset], no [service.warm], no [[repeats]]", service)
 	}
 	return p, problemsOf(document)
 }
 
-// checkPluginPrincipals reports sources of principals that calls inside a client do not have.
+// checkPluginPrincipals reports sources of principals that gRPC calls inside a client do not have.
 func checkPluginPrincipals(sources []string, at string, document *tomlfile.Document) {
 	for _, source := range sources {
 		if source == principalAddress || source == principalCertificate {
-			document.Report(at, "a plug-in's callers have no %s: \"tenant\" and \"header:NAME\", of the metadata, tell them apart", source)
+			document.Report(at, "calls inside a client have no %s: use \"tenant\" or \"header:NAME\", which are read from the metadata", source)
 		}
 	}
 }
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -7,7 +7,7 @@
 	"orchiddrift/internal/tomlfile"
 )
 
-// Problem is one mistake in a configuration. Line and Column count from 1; they are 0 if the place is not known, as in the platform's file.
+// Problem is one mistake in a configuration. Line and Column count from 1; they are 0 if unknown, as in the platform's file.
 type Problem struct {
 	Key, Reason  string
 	Line, Column int
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("%d:%d: %s: %s", p.Line, p.Column, p.Key, p.Reason)
 }
 
-// Problems is everything that is wrong with a configuration. As an error it is one line, with the first problem and their number.
+// Problems is all mistakes in a configuration. As an error it is one line with the first problem and the number of the others.
 type Problems []Problem
 
 func (p Problems) Error() string {
@@ -36,7 +36,7 @@
 // oneLine returns an error's text as one line. The text may quote lines of the file.
 func oneLine(err error) string { return strings.Join(strings.Fields(err.Error()), " ") }
 
-// problemsOf returns the problems of an operator's file as an error; nil: there are none.
+// problemsOf returns the problems of an operator's file as an error, or nil if there are none.
 func problemsOf(document *tomlfile.Document) error {
 	mistakes := document.Problems()
 	if len(mistakes) == 0 {
--- a/internal/routes/bench_test.go
+++ b/internal/routes/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkDecide shows that the cost of a decision does not depend on the number of routes.
+// BenchmarkDecide measures a decision with 1 to 10,000 routes: its cost must not depend on their number.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{1, 100, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// BenchmarkNew shows that a table of many routes is checked quickly.
+// BenchmarkNew measures the check of a table of 10,000 routes for conflicts.
 func BenchmarkNew(b *testing.B) {
 	var all []*Route
 	for i := range 10_000 {
--- a/internal/routes/conflicts.go
+++ b/internal/routes/conflicts.go
@@ -5,25 +5,25 @@
 	"slices"
 )
 
-// Conflict is two patterns of which neither takes precedence, by their indices in the list that the table is made of.
+// Conflict is two patterns of which neither takes precedence, by their indices in the list that the table is made from.
 type Conflict struct{ First, Second int }
 
-// maxConflicts is how many conflicts are reported at most.
+// maxConflicts is the maximum number of conflicts that are reported.
 const maxConflicts = 100
 
-// position is a segment of the patterns with a host. text is empty but for literals.
+// position is the position of a segment in the patterns of a host. text is the segment's literal, and empty for wildcards.
 type position struct {
 	host, text string
 	index      int
 }
 
 // conflictIndex finds the patterns with which another may conflict. Two patterns can match the same path only if at each position they have
-// the same literal or one of them has a wildcard. So a pattern is compared only with those that can share its literal at the position where
-// they are fewest.
+// the same literal or one of them has a wildcard. A pattern is therefore compared only with those that can match one of its literals: the
+// literal for which these are fewest.
 type conflictIndex struct {
-	literals       map[position][]int // patterns with this literal there
-	wildcards      map[position][]int // with a wildcard for one segment, or the end, there
-	multiWildcards map[position][]int // whose remainder begins there
+	literals       map[position][]int // patterns with the literal at the position
+	wildcards      map[position][]int // patterns with a wildcard for one segment, or {$}, at the position
+	multiWildcards map[position][]int // patterns with a multi wildcard at the position
 	all            map[string][]int   // by host
 }
 
@@ -47,11 +47,11 @@
 	return found
 }
 
-// candidates returns, sorted, the patterns added before that may match a path of this one.
+// candidates returns the sorted indices of the patterns that may match a path of the given one, of those added so far.
 func (x *conflictIndex) candidates(pattern *Pattern) []int {
 	candidates := x.all[pattern.Host]
 	fewest := len(candidates)
-	var reaching [][]int // patterns whose remainder begins at the position or before
+	var reaching [][]int // patterns with a multi wildcard at the position or before it
 	for i, s := range pattern.segments {
 		reaching = append(reaching, x.multiWildcards[position{pattern.Host, "", i}])
 		if s.kind != literal {
@@ -85,7 +85,7 @@
 	x.all[pattern.Host] = append(x.all[pattern.Host], number)
 }
 
-// Describe says why two patterns conflict.
+// Describe returns the reason why two patterns conflict.
 func Describe(p, q *Pattern) string {
 	if p.compare(q) == equivalent {
 		return fmt.Sprintf("%s is for the same requests as %s", q, p)
--- a/internal/routes/decide_test.go
+++ b/internal/routes/decide_test.go
@@ -18,7 +18,7 @@
 	unsafe = balancer.Class{Name: "confirm", Idempotency: balancer.NonIdempotent, Deadline: 4 * time.Second}
 )
 
-// operatorTable returns a table as an operator's file may have it.
+// operatorTable returns a table with routes such as an operator may declare.
 func operatorTable(t testing.TB) *Table {
 	t.Helper()
 	route := func(text string, class *balancer.Class, with func(*Route)) *Route {
@@ -47,7 +47,7 @@
 	return table
 }
 
-// decideCases are requests and what they must be: a class, or the status of a rejection.
+// decideCases are requests with the expected class, or the status of the expected rejection.
 var decideCases = []struct{ method, host, target, headers, want string }{
 	{"GET", "x", "/anything", "", "search"},
 	{"HEAD", "x", "/anything", "", "search"},
@@ -59,12 +59,12 @@
 	{"CONNECT", "x", "/anything", "", "405"},
 	{"GET", "x", "/confirm", "", "confirm"},
 	{"GET", "x", "/%63onfirm", "", "confirm"},
-	{"GET", "x", "/%2563onfirm", "", "400"}, // for servers that decode twice
+	{"GET", "x", "/%2563onfirm", "", "400"}, // servers that decode twice read /confirm
 	{"GET", "x", "/confirm;v=1", "", "400"},
 	{"GET", "x", "/Confirm", "", "400"},
 	{"GET", "x", "/confirm/", "", "400"},
 	{"GET", "x", "/confirm//", "", "400"},
-	{"POST", "x", "/confirm/", "", "confirm"}, // as strict either way
+	{"POST", "x", "/confirm/", "", "confirm"}, // both readings have the same class
 	{"GET", "x", "/caf%C3%A9/", "", "confirm"},
 	{"GET", "x", "/CAF%C3%89/", "", "400"},
 	{"GET", "x", "/x/../confirm", "", "400"},
@@ -73,7 +73,7 @@
 	{"PUT", "x", "/query", "", "405"},
 	{"POST", "x", "/plain", "", "405"},
 	{"GET", "x", "/plain", "", "search"},
-	{"GET", "x", "/shops/7/record", "", "search"}, // by the first route: reading a record repeats nothing
+	{"GET", "x", "/shops/7/record", "", "search"}, // matches the first route, since GET does not write a record
 	{"POST", "x", "/shops/7/record", "", "400"},   // without a key
 	{"POST", "x", "/shops/7/record", "Idempotency-Key: k", "record"},
 	{"POST", "x", "/shops/7/record", "Idempotency-Key: k, l", "400"},
@@ -89,7 +89,8 @@
 	{"GET", "x", "/anything", "X-HTTP-Method-Override: POST", "400"},
 }
 
-// No request reaches a class that may be repeated if an upstream may read it as one of another class; methods that HTTP calls unsafe neither.
+// A request must not get an idempotent class if an upstream may read it as a request of a stricter class, or if HTTP defines its method as
+// unsafe. Otherwise it might be retried and run twice.
 func TestDecide(t *testing.T) {
 	table := operatorTable(t)
 	for _, c := range decideCases {
@@ -108,29 +109,30 @@
 				got = d.Class.Name
 			}
 			if got != c.want {
-				t.Errorf("%s, wanted %s (%+v)", got, c.want, rejection)
+				t.Errorf("decided on %s, want %s (rejection %+v)", got, c.want, rejection)
 			}
 		})
 	}
 }
 
+// The values of a route's sources must be read in their units, and a body above the limit or another method be rejected.
 func TestDecideReadsFields(t *testing.T) {
 	table := operatorTable(t)
 	d, bad := table.Decide(Request{Method: "POST", Target: "/shops/7/record", ContentLength: 9, Header: http.Header{
 		"Idempotency-Key": {"k"}, "X-Work": {"1500.5"}, "X-Wait": {"250m"}, "X-Id": {"i"}}})
 	if bad != nil || d.Tenant != "7" || d.IdempotencyKey != "k" || d.CostHint != 1500500 || d.Timeout != 250*time.Millisecond || d.ID != "i" {
-		t.Errorf("%+v, %+v", d, bad)
+		t.Errorf("wrong values from the route's sources: %+v, rejection %+v", d, bad)
 	}
 	if _, bad := table.Decide(Request{Method: "POST", Target: "/a", ContentLength: 1<<10 + 1}); bad == nil || bad.Status != 413 {
-		t.Errorf("a body over the route's limit: %+v", bad)
+		t.Errorf("a body above the route's limit: got rejection %+v, want status 413", bad)
 	}
 	if _, bad := table.Decide(Request{Method: "PUT", Target: "/plain"}); bad == nil || bad.Allow != "GET, HEAD, OPTIONS" {
-		t.Errorf("%+v", bad)
+		t.Errorf("PUT to a route for reads: got rejection %+v, want the allowed methods", bad)
 	}
 }
 
-// FuzzDecide compares Decide with the readers that there are: for every request that is accepted, each of them must find no route or one
-// whose class is no stricter.
+// FuzzDecide compares Decide with the ways in which servers read a path: for every accepted request, each of these readings must match no
+// route or one whose class is not stricter.
 func FuzzDecide(f *testing.F) {
 	for _, s := range []string{"/search/1", "/search/../confirm/1", "/a%2f..%2fb", "/a/%252e%252e/b", "/a/..;/b", "/a\\..\\b",
 		"/a/%c0%ae%c0%ae/b", "/a?b/../c", "/a/%2e;%2e/b", "/%61/b", "/a/%25%32%65%25%32%65/b", "/confirm;x", "/%2563onfirm",
@@ -151,7 +153,7 @@
 			}
 			raw, _, _ := strings.Cut(target, "?")
 			seen := []string{raw, path.Clean(raw), strings.ReplaceAll(raw, "\\", "/"), strings.ToLower(raw)}
-			for text, round := raw, 0; round < 2; round++ { // decoded once, and once more
+			for text, round := raw, 0; round < 2; round++ { // decoded once and twice
 				decoded, err := url.PathUnescape(text)
 				if err != nil {
 					break
@@ -162,12 +164,12 @@
 			}
 			for _, reading := range seen {
 				if !strings.HasPrefix(reading, "/") {
-					t.Fatalf("%q: may be read as %q", target, reading)
+					t.Fatalf("%q is accepted and may be read as %q, which does not begin with a slash", target, reading)
 				}
 				of, ok := table.tree.find("", lookup{method: "GET", path: reading})
 				if class := (*balancer.Class)(nil); ok {
 					if class = of.value.class("GET"); class != nil && lessStrict(d.Class, class) {
-						t.Errorf("%q: accepted as %s, and may be read as %q, %s", target, d.Class.Name, reading, class.Name)
+						t.Errorf("%q is accepted with class %s and may be read as %q with the stricter class %s", target, d.Class.Name, reading, class.Name)
 					}
 				}
 			}
--- a/internal/routes/declaration.go
+++ b/internal/routes/declaration.go
@@ -10,18 +10,18 @@
 
 // Declaration is one route in the operator's file.
 type Declaration struct {
-	Match    string            `toml:"match" sample:"\"GET /search/\"" doc:"Which requests: [METHOD ][HOST]/PATH, with {name} for one segment, {name...} for all that is left, a last slash for all that begins so, {$} for nothing behind a last slash. Of two that match, the more specific goes first."`
-	Headers  map[string]string `toml:"headers" sample:"{X-Version = \"2\"}" doc:"What these headers have to be, besides."`
-	Set      string            `toml:"set" oneof:"|platform" doc:"In place of match: the platform's own header rules, a route for each class of the service."`
-	Service  string            `toml:"service" sample:"\"seats\"" doc:"Where they go. Absent: the only service."`
-	Class    string            `toml:"class" sample:"\"search\"" doc:"What they are. Absent: \"read\" for GET, HEAD and OPTIONS, \"write\" for the rest."`
-	Repeats  []string          `toml:"repeats" sample:"[\"POST\"]" doc:"Methods that HTTP calls unsafe, and that all the same may be sent twice here: they may reach a class that is safe to repeat."`
-	Key      Source            `toml:"key" default:"header:Idempotency-Key" doc:"Where a keyed class's key stands: \"header:NAME\", \"path:WILDCARD\" or \"fixed:TEXT\"."`
-	Tenant   Source            `toml:"tenant" doc:"Where the tenant stands. A header is what a client says of itself."`
-	Cost     Source            `toml:"cost" doc:"Where the expected work stands, a number of microseconds."`
-	ID       Source            `toml:"id" doc:"Where the request's id stands; while it is in hand, another of the same id is answered 409. Absent: one is made."`
-	Deadline Source            `toml:"deadline" doc:"Where the time stands that the client waits: a number with m (milliseconds) or u (microseconds). Absent: the class's."`
-	MaxBody  units.Size        `toml:"max_body" default:"64KiB" doc:"What a body may have."`
+	Match    string            `toml:"match" sample:"\"GET /search/\"" doc:"The pattern of the requests: [METHOD ][HOST]/PATH. In the path {name} matches one segment, {name...} the remainder, a trailing slash every path that begins so, and {$} after a trailing slash the path without a remainder. If two patterns match, the more specific one takes precedence."`
+	Headers  map[string]string `toml:"headers" sample:"{X-Version = \"2\"}" doc:"Values that headers of the requests must have in addition."`
+	Set      string            `toml:"set" oneof:"|platform" doc:"Instead of match: the platform's own header rules, with a route for each class of the service."`
+	Service  string            `toml:"service" sample:"\"seats\"" doc:"The service that the requests go to. Absent: the only service."`
+	Class    string            `toml:"class" sample:"\"search\"" doc:"The class of the requests. Absent: \"read\" for GET, HEAD and OPTIONS, \"write\" for all other methods."`
+	Repeats  []string          `toml:"repeats" sample:"[\"POST\"]" doc:"Unsafe methods of HTTP whose requests may nevertheless be sent twice on this route. They are allowed on a route whose class is safe."`
+	Key      Source            `toml:"key" default:"header:Idempotency-Key" doc:"The source of the idempotency key of a keyed class: \"header:NAME\", \"path:WILDCARD\" or \"fixed:TEXT\"."`
+	Tenant   Source            `toml:"tenant" doc:"The source of the tenant's name. A header holds whatever the client claims."`
+	Cost     Source            `toml:"cost" doc:"The source of the expected work, a number of microseconds."`
+	ID       Source            `toml:"id" doc:"The source of the request's id. While a request is in flight, another one with the same id is answered with 409. Absent: an id is generated."`
+	Deadline Source            `toml:"deadline" doc:"The source of the time that the client waits: a number with the unit m (milliseconds) or u (microseconds). Absent: the deadline of the class."`
+	MaxBody  units.Size        `toml:"max_body" default:"64KiB" doc:"Maximum size of a request's body."`
 }
 
 // MaxMaxBody is the largest max_body.
@@ -30,11 +30,11 @@
 // Check implements tomlfile.Checker.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
 	if d.MaxBody > MaxMaxBody {
-		report("max_body", "%v is over %v", d.MaxBody, MaxMaxBody)
+		report("max_body", "%v is more than the maximum of %v", d.MaxBody, MaxMaxBody)
 	}
 	if d.Set != "" {
 		if d.Match != "" || len(d.Headers) > 0 || d.Class != "" || len(d.Repeats) > 0 {
-			report("set", "a set brings its own match, headers, class and repeats")
+			report("set", "a set has its own match, headers, class and repeats")
 		}
 		return
 	}
@@ -49,17 +49,17 @@
 	d.checkSources(p, report)
 	for _, method := range d.Repeats {
 		if method != strings.ToUpper(method) || !isToken(method) || method == http.MethodConnect || method == http.MethodTrace {
-			report("repeats", "%q is no method that can be repeated", method)
+			report("repeats", "%q is not a method that can be repeated", method)
 		}
 	}
 }
 
-// isReserved reports whether a pattern's path begins with /-/, which is the daemon's own.
+// isReserved reports whether a pattern's path begins with /-/, which is reserved for the daemon.
 func (p *Pattern) isReserved() bool {
 	return len(p.segments) > 0 && p.segments[0] == segment{text: "-", kind: literal}
 }
 
-// checkSources reports sources that read wildcards which the pattern does not have.
+// checkSources reports sources that read a wildcard which the pattern does not have.
 func (d *Declaration) checkSources(pattern *Pattern, report func(key, format string, args ...any)) {
 	for _, declared := range []struct {
 		key    string
--- a/internal/routes/headers.go
+++ b/internal/routes/headers.go
@@ -14,22 +14,22 @@
 var platformHeaders = []string{httpheader.RequestID, httpheader.Class, httpheader.Tenant, httpheader.Timeout, httpheader.Cost,
 	httpheader.Attributes, httpheader.RetryMarker, httpheader.IdempotencyKey}
 
-// overrideHeaders make some servers take a request for another than its request line says.
+// overrideHeaders make some servers use another method or path than that of the request line.
 var overrideHeaders = []string{"X-Http-Method-Override", "X-Http-Method", "X-Method-Override", "X-Original-Url",
 	"X-Rewrite-Url", "X-Original-Method"}
 
-// framingHeaders must not be spelled with underscores either.
+// framingHeaders must not be spelled with underscores, like the decisive headers.
 var framingHeaders = []string{"Content-Length", "Transfer-Encoding", "Host"}
 
-// preconditionHeaders and partialAnswerHeaders make an upstream answer with something other than the complete representation. Where that
-// counts as a failure, a client could have upstreams ejected with them: preconditions of requests that are not idempotent are rejected then,
-// and the other headers are not forwarded.
+// preconditionHeaders and partialAnswerHeaders make an upstream answer with something other than the complete representation. Where such
+// answers count as failures, a client could use these headers to have upstreams ejected. Requests that are not idempotent are therefore
+// rejected there if they have preconditions, and these headers are not forwarded with other requests.
 var (
 	preconditionHeaders  = []string{"If-Match", "If-Unmodified-Since"}
 	partialAnswerHeaders = []string{"Range", "If-Range", "If-None-Match", "If-Modified-Since"}
 )
 
-// checkHeaders returns what is wrong with a request's headers on any route; empty: nothing.
+// checkHeaders returns what is wrong with a request's headers regardless of its route, or an empty text.
 func (t *Table) checkHeaders(header http.Header) string {
 	for _, name := range t.decisiveHeaders {
 		if len(header[name]) > 1 { // readers differ in which one counts
@@ -52,7 +52,7 @@
 	return t.checkConnection(header)
 }
 
-// checkUnderscores finds headers that CGI and its successors cannot tell from decisive ones: they read X_Request_ID as X-Request-ID.
+// checkUnderscores finds headers that CGI and its successors cannot distinguish from decisive ones: they read X_Request_ID as X-Request-ID.
 func (t *Table) checkUnderscores(header http.Header) string {
 	for name := range header {
 		if !strings.Contains(name, "_") {
@@ -66,7 +66,7 @@
 	return ""
 }
 
-// checkConnection finds decisive headers among those that Connection lists: a proxy on the way removes these.
+// checkConnection finds decisive headers among those that Connection lists: a proxy on the way to the upstream removes them.
 func (t *Table) checkConnection(header http.Header) string {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
@@ -79,7 +79,7 @@
 	return ""
 }
 
-// isUsableKey reports whether every reader takes an idempotency key for exactly one key. A key in quotes is a string of RFC 8941.
+// isUsableKey reports whether every server reads an idempotency key as exactly one key. A key in quotes is a string of RFC 8941.
 func isUsableKey(key string) bool {
 	if len(key) >= 2 && key[0] == '"' {
 		return len(key) > 2 && strings.IndexByte(key[1:], '"') == len(key)-2
--- a/internal/routes/pattern.go
+++ b/internal/routes/pattern.go
@@ -9,8 +9,8 @@
 )
 
 // Pattern is the set of requests that a route is for. It is written like the patterns of net/http: [METHOD ][HOST]/PATH, where a segment
-// {name} matches any one segment, a last one {name...} or a last slash any remainder, and {$} at the end nothing behind its slash. Headers
-// adds the values that headers must have, in any case.
+// {name} matches any one segment, {name...} or a slash at the end any remainder, and {$} at the end only the end of the path. Headers are
+// further conditions: the values, regardless of case, that headers must have.
 type Pattern struct {
 	Method   string // empty: any
 	Host     string // empty: any; without a port, in lower case
@@ -21,7 +21,7 @@
 
 // segment is one segment of a pattern's path.
 type segment struct {
-	text string // the literal, or the wildcard's name; empty for a last slash
+	text string // the literal, or the wildcard's name; empty for a trailing slash
 	kind segmentKind
 }
 
@@ -31,7 +31,7 @@
 	literal       segmentKind = iota
 	wildcard                  // any one segment
 	multiWildcard             // any remainder, possibly empty; the last segment
-	exactSlash                // {$}: the path ends with the slash before; the last segment
+	exactSlash                // {$}: the path ends with the slash before it; the last segment
 )
 
 func (p *Pattern) String() string { return p.text }
@@ -66,10 +66,10 @@
 	maxSegments     = 64
 )
 
-// ParsePattern parses a pattern.
+// ParsePattern parses a pattern and its conditions on headers.
 func ParsePattern(text string, headers map[string]string) (*Pattern, error) {
 	if len(text) > maxPatternBytes {
-		return nil, fmt.Errorf("the pattern has %d bytes, %d at most", len(text), maxPatternBytes)
+		return nil, fmt.Errorf("the pattern has %d bytes; the limit is %d", len(text), maxPatternBytes)
 	}
 	p := &Pattern{text: text}
 	location, err := p.parseMethod(text)
@@ -96,10 +96,10 @@
 		return text, nil
 	}
 	if !isToken(method) {
-		return "", fmt.Errorf("%q is no method", method)
+		return "", fmt.Errorf("%q is not a method", method)
 	}
 	if method != strings.ToUpper(method) {
-		return "", fmt.Errorf("%q: methods are in capitals", method)
+		return "", fmt.Errorf("%q: methods are written in upper case", method)
 	}
 	p.Method = method
 	return strings.TrimLeft(location, " "), nil
@@ -113,7 +113,7 @@
 	}
 	p.Host = location[:slash]
 	if strings.ContainsAny(p.Host, " {}:") || p.Host != strings.ToLower(p.Host) {
-		return "", fmt.Errorf("%q is no host: small letters, without a port", p.Host)
+		return "", fmt.Errorf("%q is not a host in lower case without a port", p.Host)
 	}
 	return location[slash:], nil
 }
@@ -127,7 +127,7 @@
 	}
 	parts := strings.Split(path[1:], "/")
 	if len(parts) > maxSegments {
-		return fmt.Errorf("the pattern has %d segments, %d at most", len(parts), maxSegments)
+		return fmt.Errorf("the pattern has %d segments; the limit is %d", len(parts), maxSegments)
 	}
 	for i, part := range parts {
 		s, err := parseSegment(part, i == len(parts)-1)
@@ -135,7 +135,7 @@
 			return err
 		}
 		if s.kind != literal && s.text != "" && slices.Contains(p.Wildcards(), s.text) {
-			return fmt.Errorf("%s stands there twice", part)
+			return fmt.Errorf("%s occurs twice", part)
 		}
 		p.segments = append(p.segments, s)
 	}
@@ -167,7 +167,7 @@
 		}
 	}
 	if !isName(s.text) {
-		return segment{}, fmt.Errorf("%s: a wildcard's name has letters, digits and _", part)
+		return segment{}, fmt.Errorf("%s: a wildcard's name consists of letters, digits and _", part)
 	}
 	return s, nil
 }
@@ -176,10 +176,10 @@
 	p.Headers = make(map[string]string, len(headers))
 	for name, value := range headers {
 		if !isHeaderName(name) {
-			return fmt.Errorf("%q is no usable header's name", name)
+			return fmt.Errorf("%q is not a usable header name", name)
 		}
 		if value == "" || value != strings.TrimSpace(value) || hasControl(value) {
-			return fmt.Errorf("header %s: %q is no usable value", name, value)
+			return fmt.Errorf("header %s: %q is not a usable value", name, value)
 		}
 		p.Headers[http.CanonicalHeaderKey(name)] = value
 	}
@@ -200,5 +200,5 @@
 	})
 }
 
-// isHeaderName reports whether a text is the name of a header that every reader takes for the same one: CGI confuses _ with -.
+// isHeaderName reports whether a text is the name of a header that every server reads as the same one: CGI does not distinguish _ and -.
 func isHeaderName(s string) bool { return isToken(s) && !strings.Contains(s, "_") }
--- a/internal/routes/pattern_test.go
+++ b/internal/routes/pattern_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// Patterns that net/http rejects, or that servers may read differently, must be rejected, as must unusable conditions on headers.
 func TestParsePatternRejectsUnusable(t *testing.T) {
 	for _, text := range []string{"", "GET", "a", "get /a", "G,T /a", "A.example/a", "a.example:80/a", "/a//b", "/{x}/{x}",
 		"/a{x}", "/{x...}/b", "/{}", "/{x-y}", "/../a", "/a%20b", "/a?b", "/a b", "/a\\b", "/a#b",
@@ -15,7 +16,7 @@
 	}
 	for _, headers := range []map[string]string{{"": "a"}, {"X_A": "a"}, {"X A": "a"}, {"X-A": ""}, {"X-A": " a"}, {"X-A": "a\n"}} {
 		if _, err := ParsePattern("/a", headers); err == nil {
-			t.Errorf("%q is accepted", headers)
+			t.Errorf("the headers %q are accepted", headers)
 		}
 	}
 }
--- a/internal/routes/platform.go
+++ b/internal/routes/platform.go
@@ -11,7 +11,7 @@
 // PlatformBody is the largest body of a request by the platform's protocol, in bytes.
 const PlatformBody = 32 << 20
 
-// Platform returns the platform's rules as routes: the class is the path's first segment, its idempotency decides on the method, and the
+// Platform returns the platform's rules as routes: the class is the path's first segment, its idempotency determines the method, and the
 // headers must agree with both. A class whose name cannot be a segment of a path has no route.
 func Platform(service string, classes []balancer.Class) []*Route {
 	var routes []*Route
--- a/internal/routes/precedence_test.go
+++ b/internal/routes/precedence_test.go
@@ -21,7 +21,7 @@
 	return p
 }
 
-// The values drawn are few, so that patterns overlap.
+// Few values are drawn, so that patterns often overlap.
 var (
 	drawnMethods  = rapid.SampledFrom([]string{"", "GET ", "HEAD ", "POST "})
 	drawnHosts    = rapid.SampledFrom([]string{"", "", "a.example", "b.example"})
@@ -108,7 +108,7 @@
 	return best
 }
 
-// The tree finds the route that a search through all patterns finds.
+// The tree must find the same pattern as a linear search. Otherwise a request could get the class of a pattern without precedence.
 func TestTreeFindsSameAsLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var patterns []*Pattern
@@ -130,13 +130,13 @@
 			want := linearSearch(patterns, host, q)
 			found, ok := tree.find(host, q)
 			if ok != (want != nil) || ok && found.pattern != want {
-				t.Fatalf("%s %q%s %v among %v: found %v, wanted %v", q.method, host, q.path, q.header, patterns, found.pattern, want)
+				t.Fatalf("%s %q%s %v among %v: found %v, want %v", q.method, host, q.path, q.header, patterns, found.pattern, want)
 			}
 		}
 	})
 }
 
-// The same pairs conflict as in net/http, and the same pattern is found.
+// The same pairs of patterns must conflict as in net/http, and the same pattern must be found.
 func TestPrecedenceIsThatOfNetHTTP(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		mux := http.NewServeMux()
@@ -154,7 +154,7 @@
 				return false
 			}()
 			if ours := slices.ContainsFunc(patterns, p.conflicts); ours != panicked {
-				t.Fatalf("%q against %q: conflict %v, by net/http %v", text, texts, ours, panicked)
+				t.Fatalf("%q and %q: conflict %v, in net/http %v", text, texts, ours, panicked)
 			}
 			if panicked {
 				continue
@@ -162,13 +162,13 @@
 			texts, patterns = append(texts, text), append(patterns, p)
 		}
 		if got := conflicts(patterns); len(got) != 0 {
-			t.Fatalf("conflicts among those that have none: %v", got)
+			t.Fatalf("conflicts found among patterns without any: %v", got)
 		}
 		for range 10 {
 			host, q := drawRequest(t)
 			requested := q.path
 			if path.Clean(requested) != strings.TrimSuffix(requested, "/") && requested != "/" {
-				continue // net/http sends those elsewhere
+				continue // net/http redirects such paths
 			}
 			found := linearSearch(patterns, host, q)
 			h, text := mux.Handler(&http.Request{Method: q.method, Host: host, URL: &url.URL{Path: requested}, Header: q.header})
@@ -176,17 +176,17 @@
 			if found != nil {
 				want = found.String()
 			}
-			if fmt.Sprintf("%T", h) == "*http.redirectHandler" { // to the path with a slash
+			if fmt.Sprintf("%T", h) == "*http.redirectHandler" { // a redirect to the path with a slash
 				continue
 			}
 			if text != want {
-				t.Fatalf("%s %s%s among %q: %q, by net/http %q", q.method, host, requested, texts, want, text)
+				t.Fatalf("%s %s%s among %q: found %q, in net/http %q", q.method, host, requested, texts, want, text)
 			}
 		}
 	})
 }
 
-// The index finds the conflicts that a comparison of all pairs finds.
+// The index must find the same conflicts as a comparison of all pairs.
 func TestConflictsAreAllFound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var patterns []*Pattern
@@ -207,7 +207,7 @@
 			}
 		}
 		if got := conflicts(patterns); !slices.Equal(got, want) {
-			t.Fatalf("%v: %v, wanted %v", patterns, got, want)
+			t.Fatalf("patterns %v: found conflicts %v, want %v", patterns, got, want)
 		}
 	})
 }
@@ -225,7 +225,7 @@
 				continue
 			}
 			if _, err := ParsePattern(p.String(), nil); err != nil {
-				t.Fatalf("%q is not accepted again: %v", p, err)
+				t.Fatalf("the text of the parsed pattern %q is rejected: %v", p, err)
 			}
 			patterns = append(patterns, p)
 			tree.add(p, i)
@@ -237,7 +237,7 @@
 		q := lookup{method: "GET", path: path}
 		want := linearSearch(patterns, "a.example", q)
 		if found, ok := tree.find("a.example", q); ok != (want != nil) || ok && found.pattern != want {
-			t.Fatalf("%q among %v: found %v, wanted %v", target, patterns, found.pattern, want)
+			t.Fatalf("%q among %v: found %v, want %v", target, patterns, found.pattern, want)
 		}
 	})
 }
--- a/internal/routes/readings.go
+++ b/internal/routes/readings.go
@@ -9,17 +9,17 @@
 	"orchiddrift/balancer"
 )
 
-// maxReadings is how many readings of a path are compared at most.
+// maxReadings is the maximum number of readings of a path that are compared.
 const maxReadings = 16
 
-// hasOneReading reports whether all servers read a path in the same way, but for its last slash.
+// hasOneReading reports whether all servers read a path in the same way, apart from a trailing slash.
 func hasOneReading(path string) bool {
 	return !strings.ContainsAny(path, "%;") && !strings.Contains(path, "//") && !mayChangeCase(path)
 }
 
-// pathReadings returns the paths that some server may take a path for; the first is this program's, decoded once. targetPath has rejected
-// dot segments, encoded slashes and backslashes before. What remains are servers that do not decode or decode again, that remove parameters
-// after a semicolon, merge slashes, or ignore case. Those that ignore a last slash or expect one are left to toggleTrailingSlash.
+// pathReadings returns the paths as which servers may read a path. The first is this program's own reading, decoded once. targetPath has
+// already rejected dot segments, encoded slashes and backslashes. What remains are servers that do not decode or decode again, remove
+// parameters after a semicolon, merge slashes, or ignore case. toggleTrailingSlash covers servers that ignore or expect a trailing slash.
 func pathReadings(path string) []string {
 	readings := decodedReadings(path)
 	for _, transform := range []func(string) string{withoutParameters, mergeSlashes, strings.ToLower} {
@@ -33,7 +33,7 @@
 	return readings
 }
 
-// decodedReadings returns a path decoded once, as it is, and decoded again.
+// decodedReadings returns a path decoded once, unchanged, and decoded again.
 func decodedReadings(path string) []string {
 	readings := []string{path}
 	text := path
@@ -77,7 +77,7 @@
 	return path + "/"
 }
 
-// mayChangeCase reports whether a text has capital letters, or bytes of characters that may be.
+// mayChangeCase reports whether a text has upper-case letters, or bytes of other characters than ASCII, which may be upper case.
 func mayChangeCase(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c >= 'A' && c <= 'Z' || c >= utf8.RuneSelf {
--- a/internal/routes/rejection.go
+++ b/internal/routes/rejection.go
@@ -9,7 +9,7 @@
 )
 
 // Rejection is the answer to a request that is not forwarded. Status is a 4xx or 505, but never 429, which
-// would tell of overload.
+// would indicate overload.
 type Rejection struct {
 	Status int
 	Allow  string // of 405: the methods that are allowed
@@ -20,7 +20,7 @@
 	return &Rejection{Status: status, Text: fmt.Sprintf(format, args...)}
 }
 
-// rejectMethod rejects a request's method. found is the pattern that matched although its route is not for the method; nil: none did.
+// rejectMethod rejects a request because of its method. found is the pattern that matched although its route is not for the method, or nil.
 func rejectMethod(found *Pattern, methods []string) *Rejection {
 	allow := strings.Join(methods, ", ")
 	rejection := reject(http.StatusMethodNotAllowed, "this is asked for with %s", allow)
--- a/internal/routes/relation.go
+++ b/internal/routes/relation.go
@@ -63,7 +63,7 @@
 	return disjoint
 }
 
-// compareHeaders returns the relation between two sets of conditions. A condition more is more specific.
+// compareHeaders returns the relation between two sets of conditions. An additional condition makes a set more specific.
 func compareHeaders(a, b map[string]string) relation {
 	same := 0
 	for name, value := range a {
@@ -92,7 +92,7 @@
 			if len(a) == len(b) {
 				return r
 			}
-			return disjoint // neither ends with a multi wildcard, and one is longer
+			return disjoint // one is longer, and neither has a multi wildcard up to here
 		}
 		x, y := a[i], b[i]
 		switch {
@@ -110,7 +110,7 @@
 	}
 }
 
-// compareSegments compares two segments that are no multi wildcards.
+// compareSegments compares two segments that are not multi wildcards.
 func compareSegments(a, b segment) relation {
 	switch {
 	case a.kind == exactSlash || b.kind == exactSlash:
--- a/internal/routes/request_fields.go
+++ b/internal/routes/request_fields.go
@@ -12,7 +12,7 @@
 	"orchiddrift/internal/httpheader"
 )
 
-// readFields reads what the route's sources name, and checks it. path is the path as the route matched it.
+// readFields reads the values of the route's sources, and checks them. path is the path as the route matched it.
 func (t *Table) readFields(d *Decision, path string, request Request) *Rejection {
 	route := d.Route
 	get := func(source Source) string {
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// readKey reads the idempotency key. A class that needs a key gets exactly one; by the platform's rules no other class has any.
+// readKey reads the idempotency key. A class that needs a key must have exactly one; by the platform's rules no other class may have any.
 func (d *Decision) readKey(path string, header http.Header) *Rejection {
 	route := d.Route
 	key, given := route.Key.value(route.Pattern, path, header)
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// readTimeout sets how long the client waits: what it says, or empty, and the class's deadline at most.
+// readTimeout sets how long the client waits: the time in text, but at most the class's deadline. An empty text means the deadline.
 func (d *Decision) readTimeout(text string) *Rejection {
 	d.Timeout = d.Class.Deadline
 	if text == "" {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// readCost sets the expected work from a number of microseconds; empty: it is unknown.
+// readCost sets the expected work from a number of microseconds. It is unknown if the text is empty.
 func (d *Decision) readCost(text string) *Rejection {
 	if text == "" {
 		return nil
@@ -126,7 +126,7 @@
 	return time.Duration(timeout), nil
 }
 
-// Forward returns the headers that go to an upstream.
+// Forward returns the headers that are forwarded to an upstream.
 func (d *Decision) Forward(received http.Header) http.Header {
 	header := httpheader.EndToEnd(received)
 	delete(header, httpheader.Timeout)
--- a/internal/routes/route.go
+++ b/internal/routes/route.go
@@ -7,7 +7,7 @@
 	"orchiddrift/balancer"
 )
 
-// Route says what the requests that match a pattern are.
+// Route determines the service, the class and further properties of the requests that match a pattern.
 type Route struct {
 	Pattern *Pattern
 	Service string
@@ -22,15 +22,16 @@
 	Repeats []string
 	MaxBody int64 // bytes
 
-	// Endpoint names what decides on the requests' classes by their bodies, in place of the route; empty: the route does.
+	// Endpoint identifies the GraphQL endpoint that determines the class of a request by its body, instead of the route. If it is empty, the
+	// route determines the class.
 	Endpoint string
 
-	// What the platform's rules add, see Platform.
-	ClassHeader  string // header that repeats the class, if it is given
-	NeedID       bool   // a request without ID is rejected; otherwise one is made
+	// Fields of the platform's rules, see Platform.
+	ClassHeader  string // header that must name the same class if it is present
+	NeedID       bool   // a request without an id is rejected; otherwise an id is generated
 	StrictKey    bool   // a key on a class that needs none is rejected
 	GetOnly      bool   // GET does not include HEAD
-	CompleteOnly bool   // only complete answers are successes: headers that ask for others are not forwarded
+	CompleteOnly bool   // only complete answers are successes: headers that request others are not forwarded
 }
 
 // class returns the class of requests of a method; nil: the route is not for the method.
@@ -55,7 +56,7 @@
 var listedMethods = []string{http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPost, http.MethodPut, http.MethodPatch,
 	http.MethodDelete}
 
-// allowed returns the methods that the route is for, of listedMethods and Repeats.
+// allowed returns those of listedMethods and Repeats that the route is for.
 func (r *Route) allowed() []string {
 	var methods []string
 	for _, method := range slices.Concat(listedMethods, r.Repeats) {
@@ -72,5 +73,5 @@
 	if method == "" || r.class(method) != nil {
 		return ""
 	}
-	return "class " + r.Class.Name + " may be repeated, and " + method + " is not safe by HTTP: say repeats = [\"" + method + "\"] if it is"
+	return "class " + r.Class.Name + " may be repeated, but " + method + " is not safe by HTTP: set repeats = [\"" + method + "\"] if its requests may be repeated"
 }
--- a/internal/routes/source.go
+++ b/internal/routes/source.go
@@ -49,11 +49,11 @@
 	case !ok || !known:
 		return fmt.Errorf(`%q is none of "header:NAME", "path:WILDCARD", "fixed:TEXT" and ""`, text)
 	case kind == fromHeader && !isHeaderName(name):
-		return fmt.Errorf("%q is no usable header's name", name)
+		return fmt.Errorf("%q is not a usable header name", name)
 	case kind == fromPath && !isName(name):
-		return fmt.Errorf("%q is no wildcard's name", name)
+		return fmt.Errorf("%q is not a wildcard name", name)
 	case kind == fixedText && (name == "" || hasControl(name)):
-		return fmt.Errorf("%q is no usable text", name)
+		return fmt.Errorf("%q is not a usable text", name)
 	case kind == fromHeader:
 		name = http.CanonicalHeaderKey(name)
 	}
@@ -72,7 +72,7 @@
 	return ""
 }
 
-// value returns what the source has for a request, and whether it has anything. path is the path as the pattern matched it.
+// value returns the value that the source has for a request, and whether it has one. path is the path as the pattern matched it.
 func (s Source) value(pattern *Pattern, path string, header http.Header) (string, bool) {
 	switch s.kind {
 	case fromHeader:
@@ -89,7 +89,8 @@
 	return "", false
 }
 
-// wildcardValue returns what a wildcard matches in a path that the pattern matches. A multi wildcard must match at least one byte.
+// wildcardValue returns the part of a path that a wildcard of the pattern matches. The pattern must match the path, and a multi wildcard at
+// least one byte of it.
 func (p *Pattern) wildcardValue(name, path string) (string, bool) {
 	remainder := path
 	for _, s := range p.segments {
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -11,19 +11,19 @@
 	"orchiddrift/internal/httpheader"
 )
 
-// Request is a request's head. ContentLength is -1 for a body of unknown length.
+// Request is the head of a request. ContentLength is -1 for a body of unknown length.
 type Request struct {
 	Method, Host, Target string
 	Header               http.Header
 	ContentLength        int64
 }
 
-// Decision is what a request is.
+// Decision holds the route and the class of a request, and the values that the route's sources have for it.
 type Decision struct {
 	Route          *Route
 	Class          *balancer.Class
-	ID             string // empty: the caller makes one
-	IdempotencyKey string // of a class that needs one
+	ID             string // empty: the caller generates one
+	IdempotencyKey string // set only if the class needs one
 	Tenant         string
 	CostHint       time.Duration // expected work; 0: unknown
 	Timeout        time.Duration // how long the client waits, at most the class's deadline
@@ -35,15 +35,15 @@
 	routes   []*Route
 	hasHosts bool // some route has a host
 
-	decisiveHeaders    []string // headers that decide something: a request has each once at most, in one spelling
-	singleValueHeaders []string // those of them that must not hold a list
+	decisiveHeaders    []string // headers that influence decisions: a request may have each at most once, in one spelling
+	singleValueHeaders []string // those of decisiveHeaders that must not hold a list
 
-	// What the platform's rules add.
+	// Fields of the platform's rules.
 	classInPath bool            // the path's first segment names a class, without encoding
 	classes     map[string]bool // the classes that a ClassHeader may name
 }
 
-// New makes a table, or returns the pairs of routes that conflict.
+// New returns a table of routes, or else the pairs of routes that conflict.
 func New(routes []*Route) (*Table, []Conflict) {
 	patterns := make([]*Pattern, len(routes))
 	for i, route := range routes {
@@ -97,7 +97,7 @@
 // Routes returns the routes in the order given to New.
 func (t *Table) Routes() []*Route { return t.routes }
 
-// Decide returns what a request is, or its rejection.
+// Decide returns the decision on a request, or its rejection.
 func (t *Table) Decide(request Request) (Decision, *Rejection) {
 	path, err := targetPath(request.Target)
 	if err != nil {
@@ -116,7 +116,7 @@
 		host = normalizeHost(request.Host)
 	}
 	wanted := lookup{method: request.Method, path: path, header: request.Header}
-	var readings []string // none: but for its last slash the path has one reading
+	var readings []string // empty if all servers read the path in the same way, apart from a trailing slash
 	if !hasOneReading(path) {
 		readings = pathReadings(path)
 		wanted.path = readings[0]
@@ -152,8 +152,8 @@
 	return t.checkReading(class, host, wanted, found, toggleTrailingSlash(wanted.path), true)
 }
 
-// checkReading rejects a request if one other reading of its path has a stricter class. If the reading differs by the last slash only
-// (slashOnly), a more specific pattern for the path as sent holds: the operator distinguishes the two.
+// checkReading rejects a request if one other reading of its path has a stricter class. If the reading differs only by the trailing slash
+// (slashOnly), a more specific pattern for the path as sent decides, because the operator distinguishes the two paths.
 func (t *Table) checkReading(class *balancer.Class, host string, wanted lookup, found leaf[*Route], reading string, slashOnly bool) *Rejection {
 	sent := wanted.path
 	wanted.path = reading
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// rejectUnmatched returns why no route was found.
+// rejectUnmatched returns the rejection of a request that no route matches.
 func (t *Table) rejectUnmatched(host, path string, wanted lookup) *Rejection {
 	first, _ := cutSegment(wanted.path)
 	if t.classInPath {
@@ -187,7 +187,7 @@
 	return reject(http.StatusNotFound, "no route is for %s", path)
 }
 
-// checkClassName rejects a class that a header names if it is not the one of the path; empty: the header names none.
+// checkClassName rejects a request whose header names another class than its path. named is empty if there is no such header.
 func (t *Table) checkClassName(named, inPath string) *Rejection {
 	switch {
 	case named == "" || named == inPath:
--- a/internal/routes/target.go
+++ b/internal/routes/target.go
@@ -8,13 +8,13 @@
 	"unicode/utf8"
 )
 
-// maxDecodings is how often a target is decoded in search of what an upstream may read in it. A server behind a proxy of its own may decode
-// twice; the third round finds what is hidden from the second.
+// maxDecodings is how often a target is decoded to find the paths that an upstream may read in it. A server behind another proxy may decode
+// twice. The third round finds what the second has decoded to.
 const maxDecodings = 3
 
-// targetPath returns the path of a request target. It rejects every target that two readers may resolve to different paths: the class
+// targetPath returns the path of a request target. It rejects every target that two servers may resolve to different paths: the class
 // decides whether a request may be repeated, so it must be that of the path that any upstream reads (RFC 3986, sections 3.3 and 5.2.4).
-// Other readings are left for Table.Decide to compare.
+// Table.Decide compares the remaining readings.
 func targetPath(target string) (string, error) {
 	if !strings.HasPrefix(target, "/") || strings.HasPrefix(target, "//") {
 		return "", errors.New("the request target is not a path")
@@ -29,13 +29,13 @@
 	return path, nil
 }
 
-// checkUnambiguous returns why a path may be resolved in several ways, as it is or decoded up to maxDecodings times.
+// checkUnambiguous returns an error if servers may resolve a path in different ways, unchanged or decoded up to maxDecodings times.
 func checkUnambiguous(path string) error {
 	for round := range maxDecodings {
 		switch {
 		case strings.ContainsAny(path, "\\"): // some servers read it as a slash
 			return errors.New("the request target has a backslash")
-		case strings.Contains(path, "#"): // some servers cut a fragment off
+		case strings.Contains(path, "#"): // some servers remove a fragment
 			return errors.New("the request target has a #")
 		case hasControl(path):
 			return errors.New("the request target has a control character")
@@ -54,7 +54,7 @@
 		}
 		decoded, err := url.PathUnescape(path)
 		if err != nil {
-			if round > 0 { // the decoded text only looks like an encoding
+			if round > 0 { // only the text as received has to be a valid encoding
 				return nil
 			}
 			return fmt.Errorf("the request target: %w", err)
--- a/internal/routes/tree.go
+++ b/internal/routes/tree.go
@@ -9,8 +9,8 @@
 )
 
 // patternTree finds the pattern of a request. It is a tree by host and path segment with the patterns of a path at its nodes. A lookup is
-// usually one descent. Where a literal and a wildcard both lead on, it may have to come back, but visits no node twice: its cost depends on
-// the number of segments in the request, and not on the number of patterns.
+// usually one descent. Where both a literal and a wildcard match, it may backtrack, but it visits no node twice: its cost depends on the
+// number of segments in the request, and not on the number of patterns.
 type patternTree[T any] struct {
 	hosts map[string]*node[T] // "" for patterns without a host
 }
@@ -23,8 +23,8 @@
 	exact         []leaf[T]           // the path ends here
 }
 
-// leaf is one pattern and the value added with it. Those of one path are sorted: more headers first, then a method before any method, then
-// HEAD before GET.
+// leaf is one pattern and its value. The leaves of one path are sorted: patterns with more headers first, then patterns with a method
+// before those without, then HEAD before GET.
 type leaf[T any] struct {
 	pattern *Pattern
 	value   T
@@ -59,7 +59,7 @@
 	n.exact = insertLeaf(n.exact, added)
 }
 
-// child returns the node of a literal segment, which it makes if there is none.
+// child returns the node of a literal segment. It adds the node if there is none.
 func (n *node[T]) child(text string) *node[T] {
 	if n.children == nil {
 		n.children = map[string]*node[T]{}
@@ -78,7 +78,7 @@
 	return leaves
 }
 
-// lookup is the part of a request that patterns match, but for its host.
+// lookup is the part of a request that patterns match, without its host.
 type lookup struct {
 	method, path string
 	header       http.Header
@@ -153,7 +153,7 @@
 	return slices.Sorted(maps.Keys(methods))
 }
 
-// collectMethods adds the methods of all patterns that match but for the method. The node may be nil.
+// collectMethods adds the methods of all patterns that match the request apart from its method. The node may be nil.
 func (n *node[T]) collectMethods(wanted lookup, remainder string, into map[string]bool) {
 	if n == nil {
 		return
--- a/internal/settings/declaration.go
+++ b/internal/settings/declaration.go
@@ -9,49 +9,49 @@
 	"orchiddrift/internal/units"
 )
 
-// Declaration is the part of a service in the operator's file that the balancer decides by. It has the same content as the platform's
-// settings object; Settings converts it.
+// Declaration is the part of a service in the operator's file that configures the balancer. It corresponds to the platform's settings
+// object. Settings converts it.
 type Declaration struct {
-	Zone            string         `toml:"zone" doc:"Where this process stands, as in the list's entries."`
-	FleetSize       int            `toml:"sidecars" default:"1" doc:"How many processes share the upstreams: each takes care of a cold one by its part."`
-	MaxAttempts     int            `toml:"attempts" default:"3" doc:"How often a request is sent at most."`
-	HedgingAllowed  bool           `toml:"second_copies" default:"true" doc:"A late request may be sent a second time while the first is out, where its class allows a repeat."`
-	ConnectTimeout  units.Duration `toml:"connect_timeout" default:"1s" doc:"A connection that has not come up by then, handshake included, has failed."`
-	ConnIdleTimeout units.Duration `toml:"idle" default:"10s" doc:"Upstreams close connections that are idle for this long; they are retired before."`
-	MaxRetryAfter   units.Duration `toml:"retry_after" default:"1s" doc:"The longest time that a refused client is told to stay away; 0s: it is told nothing."`
-	CrossZonePrice  float64        `toml:"cross_zone_price" doc:"What sending one request to another zone costs, in points of service per hundred."`
-	OverQuotaWeight float64        `toml:"over_share_worth" default:"1" doc:"What a tenant's request beyond its share is worth, as a part."`
-	WeightPerWork   bool           `toml:"worth_by_work" doc:"Worth counts by unit of work, not by request."`
-	SlowStart       SlowStart      `toml:"cold" doc:"The care that an upstream gets that has just started."`
-	Classes         []Class        `toml:"class" doc:"The kinds of requests. Absent: \"read\" (safe) for GET, HEAD and OPTIONS, and \"write\" (unsafe) for the rest."`
-	Tenants         []Tenant       `toml:"tenant" doc:"Parties that share the service."`
+	Zone            string         `toml:"zone" doc:"The zone of this process, named as in the entries of the endpoint list."`
+	FleetSize       int            `toml:"sidecars" default:"1" doc:"Number of processes that share the upstreams. Each sends an upstream that is warming up only its part of what that upstream can take."`
+	MaxAttempts     int            `toml:"attempts" default:"3" doc:"Maximum number of attempts for one request."`
+	HedgingAllowed  bool           `toml:"second_copies" default:"true" doc:"Allows hedged requests: a late request may be sent a second time while the first attempt is in flight, if its class allows repeats."`
+	ConnectTimeout  units.Duration `toml:"connect_timeout" default:"1s" doc:"The timeout for opening a connection, TLS handshake included."`
+	ConnIdleTimeout units.Duration `toml:"idle" default:"10s" doc:"Upstreams close connections that have been idle for this long. This process closes them earlier."`
+	MaxRetryAfter   units.Duration `toml:"retry_after" default:"1s" doc:"The longest Retry-After that a rejected client gets. 0s: it gets none."`
+	CrossZonePrice  float64        `toml:"cross_zone_price" doc:"The price of sending requests to another zone: what one such attempt per request costs, in percentage points of service."`
+	OverQuotaWeight float64        `toml:"over_share_worth" default:"1" doc:"The factor, from 0 to 1, on the worth of requests beyond their tenant's share."`
+	WeightPerWork   bool           `toml:"worth_by_work" doc:"The worth of a class counts per unit of work instead of per request."`
+	SlowStart       SlowStart      `toml:"cold" doc:"Slow start: an upstream that has just started gets fewer requests until it is warm."`
+	Classes         []Class        `toml:"class" doc:"A class of requests. If there is none, the classes are \"read\" (safe) for GET, HEAD and OPTIONS, and \"write\" (unsafe) for all other methods."`
+	Tenants         []Tenant       `toml:"tenant" doc:"A tenant: one of the parties that share the service."`
 }
 
-// SlowStart is how upstreams that have just started are given less.
+// SlowStart limits the load of upstreams that have just started.
 type SlowStart struct {
-	MinCapacity      float64        `toml:"from" default:"1" doc:"The part of its capacity that it has at its start; 1: there is no such rule."`
-	Window           units.Duration `toml:"warm_up" default:"0s" doc:"After this long it has all of it."`
-	OverloadMultiple float64        `toml:"multiple" doc:"So many times of what it can do at that moment push it over; 0: nothing does,"`
-	OverloadWindow   units.Duration `toml:"over" default:"0s" doc:"when kept up for this long."`
+	MinCapacity      float64        `toml:"from" default:"1" doc:"The fraction of its capacity that an upstream has when it starts. 1: there is no slow start."`
+	Window           units.Duration `toml:"warm_up" default:"0s" doc:"How long an upstream takes from its start to its full capacity."`
+	OverloadMultiple float64        `toml:"multiple" doc:"The multiple of its present capacity that overloads an upstream if it lasts for the time set by over. 0: there is no such limit."`
+	OverloadWindow   units.Duration `toml:"over" default:"0s" doc:"How long the load set by multiple has to last to overload an upstream."`
 }
 
 // Class is one class of requests.
 type Class struct {
-	Name              string         `toml:"name" sample:"\"search\"" doc:"The class's name, which routes give."`
-	Idempotency       string         `toml:"effect" default:"unsafe" oneof:"safe|keyed|unsafe" doc:"safe: may run any number of times. keyed: bears a key by which upstreams drop repeats. unsafe: must not run twice."`
-	LatencyObjective  units.Duration `toml:"aim" default:"0s" sample:"\"800ms\"" doc:"Answers within it are worth all; 0s: the deadline."`
-	ObjectiveStretch  float64        `toml:"aim_stretch" doc:"The aim grows by this multiple of the request's own work."`
-	Deadline          units.Duration `toml:"deadline" default:"10s" doc:"How long a client waits over all of its tries."`
-	PriorityWeight    float64        `toml:"worth" default:"1" doc:"What an answer is worth beside those of other classes."`
-	LateValueFraction float64        `toml:"late_share" default:"0.5" doc:"The part of it that an answer after the aim is still worth."`
-	DedupScope        string         `toml:"group" default:"all" oneof:"all|zone|cell" doc:"Of a keyed class: the upstreams that share their memory of keys."`
-	DedupWindow       units.Duration `toml:"window" default:"0s" doc:"Of a keyed class: how long they keep it."`
+	Name              string         `toml:"name" sample:"\"search\"" doc:"The class's name, to which routes refer."`
+	Idempotency       string         `toml:"effect" default:"unsafe" oneof:"safe|keyed|unsafe" doc:"safe: a request may run any number of times. keyed: a request has an idempotency key, by which upstreams drop repeats. unsafe: a request must not run twice."`
+	LatencyObjective  units.Duration `toml:"aim" default:"0s" sample:"\"800ms\"" doc:"The latency objective. An answer within this time has its full worth. 0s: the deadline."`
+	ObjectiveStretch  float64        `toml:"aim_stretch" doc:"The latency objective grows by this multiple of the request's expected work."`
+	Deadline          units.Duration `toml:"deadline" default:"10s" doc:"How long a client waits for an answer, over all attempts."`
+	PriorityWeight    float64        `toml:"worth" default:"1" doc:"The priority weight: the value of an answer relative to those of other classes."`
+	LateValueFraction float64        `toml:"late_share" default:"0.5" doc:"The fraction of its worth that an answer has if it comes after the latency objective."`
+	DedupScope        string         `toml:"group" default:"all" oneof:"all|zone|cell" doc:"For a keyed class: the upstreams that share their record of keys."`
+	DedupWindow       units.Duration `toml:"window" default:"0s" doc:"For a keyed class: how long the upstreams remember a key."`
 }
 
 // Tenant is one of the tenants that share a service.
 type Tenant struct {
-	Name  string  `toml:"name" sample:"\"acme\"" doc:"The tenant's name, as requests bear it."`
-	Quota float64 `toml:"share" doc:"Its share of the service, as a part."`
+	Name  string  `toml:"name" sample:"\"acme\"" doc:"The tenant's name, as it appears in requests."`
+	Quota float64 `toml:"share" doc:"The tenant's share of the service, as a fraction."`
 }
 
 // ReadClass and WriteClass are the names of the classes of a service that declares none.
@@ -69,9 +69,9 @@
 }
 
 const (
-	declaredTick = 2 * time.Millisecond // granularity of time of the services of an operator's file
+	declaredTick = 2 * time.Millisecond // time granularity of the services in an operator's file
 	maxDeadline  = units.Duration(time.Hour)
-	maxCount     = 100_000 // of processes of a fleet, and of attempts
+	maxCount     = 100_000 // largest number of processes in a fleet, and of attempts
 )
 
 // The values of a class's effect in the operator's file.
@@ -96,22 +96,23 @@
 		report("deadline", "%v is not between 0s and 1h", c.Deadline)
 	}
 	if c.Idempotency == idempotencyKeyed && c.DedupWindow == 0 {
-		report("window", "a keyed class needs the time for which repeats are dropped")
+		report("window", "a keyed class needs the time for which upstreams remember keys")
 	}
 	if c.Idempotency != idempotencyKeyed && (c.DedupWindow != 0 || c.DedupScope != scopeAll) {
-		report("effect", "window and group belong to a keyed class")
+		report("effect", "window and group are only for keyed classes")
 	}
 	for key, v := range map[string]float64{"worth": c.PriorityWeight, "aim_stretch": c.ObjectiveStretch} {
 		if !(v >= 0) || math.IsInf(v, 0) {
-			report(key, "%v is not usable", v)
+			report(key, "%v is not a finite number of at least 0", v)
 		}
 	}
 	if !(c.LateValueFraction >= 0 && c.LateValueFraction <= 1) {
-		report("late_share", "%v is not a part, from 0 to 1", c.LateValueFraction)
+		report("late_share", "%v is not a fraction between 0 and 1", c.LateValueFraction)
 	}
 }
 
-// Check implements tomlfile.Checker. The balancer's own checks follow only if the declaration's find nothing: most would repeat them.
+// Check implements tomlfile.Checker. The balancer's own checks run only if those of the declaration find nothing, because most would report
+// the same problems.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
 	if d.checkValues(report) || d.hasUnknownIdempotency() {
 		return
@@ -131,24 +132,24 @@
 	}
 	for key, fraction := range map[string]float64{"cold.from": d.SlowStart.MinCapacity, "over_share_worth": d.OverQuotaWeight} {
 		if !(fraction >= 0 && fraction <= 1) {
-			add(key, "%v is not a part, from 0 to 1", fraction)
+			add(key, "%v is not a fraction between 0 and 1", fraction)
 		}
 	}
 	for key, n := range map[string]int{"sidecars": d.FleetSize, "attempts": d.MaxAttempts} {
 		if n < 1 || n > maxCount {
-			add(key, "%d is not usable", n)
+			add(key, "%d is less than 1 or too large", n)
 		}
 	}
 	if d.ConnIdleTimeout == 0 {
-		add("idle", "0s would retire every connection")
+		add("idle", "0s would close every connection at once")
 	}
 	if d.ConnectTimeout == 0 {
-		add("connect_timeout", "0s lets no connection come up")
+		add("connect_timeout", "0s leaves no time to open a connection")
 	}
 	return found
 }
 
-// hasUnknownIdempotency reports whether a class has a value that there is not, which decoding has reported.
+// hasUnknownIdempotency reports whether a class has an unknown idempotency. The decoder has reported it as a problem.
 func (d *Declaration) hasUnknownIdempotency() bool {
 	return slices.ContainsFunc(d.Classes, func(c Class) bool {
 		_, known := declaredIdempotency[c.Idempotency]
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -10,7 +10,7 @@
 )
 
 // object is the part of the platform's settings object that is used. Its tags map the platform's names to those of the balancer. The JSON
-// decoder quotes the name of the type in its errors.
+// decoder's errors contain the name of the type.
 type object struct {
 	FleetSize int `json:"Balancers"`
 	Classes   []struct {
@@ -57,7 +57,7 @@
 	Zone     string  `json:"Zone"`
 }
 
-// Words of the platform's object.
+// Values in the platform's object.
 const (
 	discoveryPolled = "ask"  // of Discovery
 	weightByWork    = "work" // of WorthBy
@@ -74,10 +74,10 @@
 	scopeCell = "cell"
 )
 
-// unknownValue stands for an idempotency or a scope that is not known. The balancer's check rejects it and names the field.
+// unknownValue stands for an unknown idempotency or scope. The balancer's check rejects it and names the field.
 const unknownValue = -1
 
-// Decode reads the platform's settings object. Keys that are not known here are ignored.
+// Decode reads the platform's settings object. Unknown keys are ignored.
 func Decode(raw []byte) (Settings, error) {
 	var o object
 	if err := json.Unmarshal(raw, &o); err != nil {
@@ -91,7 +91,7 @@
 	}, nil
 }
 
-// invalidDuration is what Milliseconds returns for a number that is no duration. No setting may be negative.
+// invalidDuration is the result of Milliseconds for a number that is not a duration. It is rejected because no setting may be negative.
 const invalidDuration time.Duration = -1
 
 // Milliseconds converts a number of milliseconds to a Duration of whole microseconds, the resolution of the platform's settings. A number
@@ -157,7 +157,7 @@
 	return unknownValue
 }
 
-// parseDedupScope returns the scope of a word; none is the same as all.
+// parseDedupScope returns the scope of a name. An empty name means all.
 func parseDedupScope(scope string) balancer.DedupScope {
 	switch scope {
 	case "", scopeAll:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,9 +1,8 @@
-// Package settings reads what the balancer of one service is configured with, in both forms that there are: the platform's settings
-// object, a JSON object under "settings" in a configuration file and in the simulator's first message, and a service's declaration in the
-// operator's file.
+// Package settings reads the configuration of one service's balancer in both of its forms: the platform's settings object, which is a JSON
+// object under "settings" in a configuration file and in the simulator's first message, and a service's declaration in the operator's file.
 //
 // object.go holds the platform's object, declaration.go the operator's. All protocol adapters and the simulator's adapter read settings
-// here and nowhere else. The package keeps no state; whether the values can be used is for balancer.Settings.Problems to say.
+// with this package. It keeps no state. balancer.Settings.Problems checks whether the values can be used.
 package settings
 
 import (
@@ -12,10 +11,10 @@
 	"orchiddrift/balancer"
 )
 
-// Settings is the balancer's settings and what only a process with real connections needs beside them.
+// Settings is the balancer's settings together with those that only a process with real connections needs.
 type Settings struct {
 	balancer.Settings
 	ConnIdleTimeout time.Duration // upstreams close connections that are idle for this long; 0: not given
-	DrainGrace      time.Duration // from the notification of a change until nothing may be sent against it; 0: not given
-	MaxPollAge      time.Duration // a polled list is valid for this long after the last poll, where no watch is connected; 0: not given
+	DrainGrace      time.Duration // time after the notification of a change by which requests must comply with it; 0: not given
+	MaxPollAge      time.Duration // how long a polled list is valid after the last poll if no watch is connected; 0: not given
 }
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -12,7 +12,7 @@
 	"sync"
 )
 
-// field is one key of a declaration.
+// field is one key of a declaration, as its tags describe it.
 type field struct {
 	index                     []int
 	name, doc, preset, sample string
@@ -20,7 +20,7 @@
 	start, secret, hasPreset  bool
 }
 
-// fields returns the keys of a declaration, in its order. The keys of an embedded struct count as its own.
+// fields returns the keys of a declaration in the order of its fields. The keys of an embedded struct are included.
 func fields(t reflect.Type) []field {
 	if out, ok := declarations.Load(t); ok {
 		return out.([]field)
@@ -40,7 +40,7 @@
 		name := tag.Get("toml")
 		if t.Field(i).Anonymous && name == "" {
 			for _, f := range fields(t.Field(i).Type) {
-				f.index = append([]int{i}, f.index...) // a slice of its own: the other is kept
+				f.index = append([]int{i}, f.index...) // a new slice, because the embedded type's fields are cached
 				out = append(out, f)
 			}
 			continue
@@ -72,7 +72,7 @@
 	return t.Kind() == reflect.Struct && !isText(t), false
 }
 
-// setDefaults sets the defaults of the tags. A default that its own field cannot hold is a mistake of the program, and panics.
+// setDefaults sets the defaults of the tags. It panics if a default is not a value of its field, which is a programming error.
 func setDefaults(v reflect.Value) {
 	for _, f := range fields(v.Type()) {
 		fv := v.FieldByIndex(f.index)
@@ -161,11 +161,11 @@
 		v.Set(reflect.MakeSlice(v.Type(), len(list), len(list)))
 		for i, item := range list {
 			setDefaults(v.Index(i))
-			of := fmt.Sprintf("%s[%d]", at, i)
+			itemPath := fmt.Sprintf("%s[%d]", at, i)
 			if tree, ok := item.(map[string]any); ok {
-				d.table(of, tree, v.Index(i))
+				d.table(itemPath, tree, v.Index(i))
 			} else {
-				d.Report(of, "is %s, and not a table", kind(item))
+				d.Report(itemPath, "is %s, and not a table", kind(item))
 			}
 		}
 	default:
@@ -174,7 +174,7 @@
 	}
 }
 
-// checkOneOf reports a string, or the strings of a list, that are none of the values of the oneof tag.
+// checkOneOf reports a string, or strings of a list, that are not among the values of the oneof tag.
 func (d *Document) checkOneOf(at string, f field, v reflect.Value) {
 	if f.oneof == nil {
 		return
@@ -192,7 +192,7 @@
 	}
 }
 
-// set stores a decoded value in a field that is no table.
+// set stores a decoded value in a field that is not a table.
 func set(v reflect.Value, raw any, report reporter) {
 	if isText(v.Type()) {
 		setText(v, raw, report)
@@ -238,7 +238,7 @@
 	}
 }
 
-// setInt stores an integer of 32 bits, and returns whether the value is an integer at all. So do the functions that follow for their types.
+// setInt stores an integer of 32 bits, and returns whether the value is an integer. The functions below do the same for their types.
 func setInt(v reflect.Value, raw any, report reporter) bool {
 	n, ok := raw.(int64)
 	if !ok {
@@ -297,7 +297,7 @@
 	return true
 }
 
-// wanted names the TOML type of a field.
+// wanted returns a description of the TOML type of a field.
 func wanted(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
@@ -334,10 +334,10 @@
 	return "a date or time"
 }
 
-// maxCompared is the length of keys, in bytes, up to which they are compared.
+// maxCompared is the maximum length of the texts that distance compares, in bytes.
 const maxCompared = 64
 
-// nearest names the declared key that an unknown one is closest to, if one is close.
+// nearest returns a text that names the declared key most similar to an unknown one. It is empty if none is similar.
 func nearest(key string, declared []field) string {
 	best, least := "", 1+len(key)/3
 	for _, f := range declared {
@@ -352,7 +352,7 @@
 }
 
 // distance returns the optimal string alignment distance of two texts: how many bytes have to be inserted, deleted, replaced or swapped with
-// the next one. It takes O(len(a) len(b)); longer texts than maxCompared count as entirely different.
+// the next one. It takes O(len(a) len(b)) steps. Texts longer than maxCompared count as entirely different.
 func distance(a, b string) int {
 	if len(a) > maxCompared || len(b) > maxCompared {
 		return len(a) + len(b)
--- a/internal/tomlfile/write.go
+++ b/internal/tomlfile/write.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	width = 110 // of the example's comments
-	// Hidden stands where a secret's value would.
+	commentWidth = 110 // maximum line length of the example's comments
+	// Hidden is shown in place of a secret's value.
 	Hidden = "(secret)"
 )
 
-// Example writes a declaration as a commented text with every key and its default. Keys whose default is empty, and
-// arrays of tables, stand there as comments; the text decodes to the defaults.
+// Example writes a declaration as a commented text with every key and its default. Keys with an empty default, and
+// arrays of tables, are commented out, so that the text decodes to the defaults.
 func Example(w io.Writer, declaration any) error {
 	out := &writer{}
 	out.example("", reflect.TypeOf(declaration), false)
@@ -26,7 +26,7 @@
 	return err
 }
 
-// Show writes a decoded declaration's effective text, without secrets.
+// Show writes a decoded declaration as TOML with all of its values, but without secrets.
 func Show(w io.Writer, declared any) error {
 	out := &writer{}
 	out.show("", reflect.Indirect(reflect.ValueOf(declared)))
@@ -34,7 +34,7 @@
 	return err
 }
 
-// Undocumented lists the keys of a declaration that lack their doc tag.
+// Undocumented returns the keys of a declaration that have no doc tag.
 func Undocumented(declaration any) []string {
 	var missing []string
 	var walk func(path string, t reflect.Type)
@@ -62,18 +62,18 @@
 	if commented {
 		line = "##"
 	}
-	begin := line
+	prefix := line
 	for word := range strings.FieldsSeq(text) {
-		if len(line)+1+len(word) > width {
+		if len(line)+1+len(word) > commentWidth {
 			fmt.Fprintln(w, line)
-			line = begin
+			line = prefix
 		}
 		line += " " + word
 	}
 	fmt.Fprintln(w, line)
 }
 
-// example writes a table's keys, then the tables within it, as TOML wants them.
+// example writes a table's keys, and after them the tables within it, in the order that TOML requires.
 func (w *writer) example(path string, t reflect.Type, commented bool) {
 	prefix := ""
 	if commented {
@@ -91,7 +91,7 @@
 			doc += " One of " + strings.Join(f.oneof, ", ") + "."
 		}
 		if f.start {
-			doc += " A change counts from the next start."
+			doc += " A change takes effect at the next start."
 		}
 		w.comment(doc, commented)
 		value := literal(v.FieldByIndex(f.index))
@@ -148,7 +148,7 @@
 	}
 }
 
-// literal is a simple value as TOML has it.
+// literal returns a value that is not a table in TOML syntax.
 func literal(v reflect.Value) string {
 	if m, ok := v.Interface().(encoding.TextMarshaler); ok {
 		text, err := m.MarshalText()
@@ -183,7 +183,7 @@
 	return fmt.Sprint(v.Interface())
 }
 
-// quote is a basic string of TOML.
+// quote returns a text as a basic string of TOML.
 func quote(s string) string {
 	var b strings.Builder
 	b.WriteByte('"')
@@ -205,11 +205,11 @@
 // Change is a key in which two decoded texts differ.
 type Change struct {
 	Key          string
-	NeedsRestart bool // it takes effect at the next start
+	NeedsRestart bool // the change takes effect at the next start
 }
 
-// Diff lists the keys in which two values of one declaration differ. Tables of an array are told apart by their key
-// "name", where they have one, else by their place.
+// Diff lists the keys in which two values of one declaration differ. The tables of an array are identified by their key
+// "name" if they have one, and by their index otherwise.
 func Diff(was, now any) []Change {
 	var out []Change
 	diff("", reflect.Indirect(reflect.ValueOf(was)), reflect.Indirect(reflect.ValueOf(now)), false, &out)
@@ -245,8 +245,8 @@
 	}
 	for i := range a.Len() {
 		key := name(a, i)
-		if of, ok := later[key]; ok {
-			diff(fmt.Sprintf("%s[%s]", at, key), a.Index(i), of, start, out)
+		if counterpart, ok := later[key]; ok {
+			diff(fmt.Sprintf("%s[%s]", at, key), a.Index(i), counterpart, start, out)
 		} else {
 			*out = append(*out, Change{fmt.Sprintf("%s[%s]", at, key), start})
 		}
