--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,19 +1,20 @@
-// Command measure prints tables that hold orchiddrift beside named peers, as medians of runs in turn:
+// Command measure prints tables that compare orchiddrift, or variants of it, with alternatives. The figures are medians of alternating runs:
 //
-//	go run ./cmd/measure daemon    # beside net/http/httputil.ReverseProxy
+//	go run ./cmd/measure daemon    # the daemon and net/http/httputil.ReverseProxy
 //	go run ./cmd/measure tls       # the same with encryption on both sides
 //	go run ./cmd/measure routes    # the daemon with 1, 100 and 10,000 routes
-//	go run ./cmd/measure eureka    # from a flip in a registry to the last request
-//	go run ./cmd/measure subset    # ways to choose a part of 5,000 upstreams, by assignment alone
-//	go run ./cmd/measure many      # daemons over 5,000 listeners, with and without subsets
-//	go run ./cmd/measure door      # queues at the door, limits, repeats and refusals, in virtual time
-//	go run ./cmd/measure counters  # 20 counters beside a script that floods, through the daemon on sockets
-//	go run ./cmd/measure fleet     # 10 to 200 sidecars before 5,000 nodes, in virtual time
-//	go run ./cmd/measure probes    # whether probes would help sidecars that send little, in virtual time
-//	go run ./cmd/measure graphql   # operations beside plain requests, in the daemon
-//	go run ./cmd/measure repeats   # keyed requests without a store of keys, in memory, on the disk
-//	go run ./cmd/measure size      # small requests beside large answers
-//	go run ./cmd/measure grpc      # beside grpc-go's round_robin, weighted_round_robin and least_request
+//	go run ./cmd/measure eureka    # time from a status change in a registry to the last request
+//	go run ./cmd/measure subset    # algorithms that choose subsets of 5,000 upstreams, by assignment alone
+//	go run ./cmd/measure many      # daemons with 5,000 upstreams, with and without subsets
+//	go run ./cmd/measure door      # admission queues, concurrency limits, client retries and rejections, in virtual time
+//	go run ./cmd/measure counters  # 20 tenants and a client that floods the daemon, over sockets
+//	go run ./cmd/measure fleet     # 10 to 200 sidecars with 5,000 nodes, in virtual time
+//	go run ./cmd/measure probes    # load probes of sidecars with little traffic, in virtual time
+//	go run ./cmd/measure graphql   # GraphQL operations and plain requests through the daemon
+//	go run ./cmd/measure repeats   # keyed requests without a store of keys and with stores in memory, on disk and shared
+//	go run ./cmd/measure size      # small requests with concurrent large answers
+//	go run ./cmd/measure load      # the load tool and a plain net/http client
+//	go run ./cmd/measure grpc      # the plug-in and grpc-go's round_robin, weighted_round_robin and least_request
 package main
 
 import (
@@ -26,8 +27,8 @@
 )
 
 type options struct {
-	Rounds int `default:"5" help:"Runs of each peer, in turn."`
-	Calls  int `default:"20000" help:"Calls of each run."`
+	Rounds int `default:"5" help:"Number of runs of each variant, in turn."`
+	Calls  int `default:"20000" help:"Number of calls in each run."`
 }
 
 func (o options) options() measure.Options {
@@ -72,7 +73,7 @@
 
 type fleetCmd struct {
 	options
-	Plot string `placeholder:"FILE" help:"Write connections a node over sidecars as SVG."`
+	Plot string `placeholder:"FILE" help:"The SVG file for a plot of connections per node by the number of sidecars."`
 }
 
 func (c fleetCmd) Run() error { return measure.Fleet(c.options.options(), c.Plot) }
@@ -98,7 +99,7 @@
 func (c grpcCmd) Run() error { return measure.GRPC(c.options.options()) }
 
 func main() {
-	if played, err := measure.RunChild(); played {
+	if isChild, err := measure.RunChild(); isChild {
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "measure:", err)
 			os.Exit(1)
@@ -106,21 +107,21 @@
 		return
 	}
 	var cli struct {
-		Daemon   daemonCmd   `cmd:"" help:"The daemon beside ReverseProxy."`
-		TLS      tlsCmd      `cmd:"" name:"tls" help:"The daemon beside ReverseProxy, with encryption on both sides."`
-		Size     sizeCmd     `cmd:"" help:"Small requests beside large answers, through the daemon and ReverseProxy."`
+		Daemon   daemonCmd   `cmd:"" help:"The daemon and ReverseProxy."`
+		TLS      tlsCmd      `cmd:"" name:"tls" help:"The daemon and ReverseProxy, with encryption on both sides."`
+		Size     sizeCmd     `cmd:"" help:"Small requests with concurrent large answers, through the daemon and ReverseProxy."`
 		Routes   routesCmd   `cmd:"" help:"The daemon with 1, 100 and 10,000 routes."`
-		Eureka   eurekaCmd   `cmd:"" help:"From a flip in an Eureka registry to the last request; memory with 5,000 instances."`
-		Subset   subsetCmd   `cmd:"" help:"Ways to choose a part of 5,000 upstreams."`
-		Many     manyCmd     `cmd:"" help:"Daemons over 5,000 listeners, with and without subsets."`
-		Door     doorCmd     `cmd:"" help:"Queues at the door, limits, repeats and refusals, in virtual time."`
-		Counters countersCmd `cmd:"" help:"Twenty counters beside a script that floods, through the daemon."`
-		Fleet    fleetCmd    `cmd:"" help:"Fleets of 10 to 200 sidecars before 5,000 nodes, in virtual time."`
-		Probes   probesCmd   `cmd:"" help:"Whether probes would help sidecars that send little."`
-		GraphQL  graphqlCmd  `cmd:"" name:"graphql" help:"GraphQL operations beside plain requests, and beside a random choice of nodes."`
-		Repeats  repeatsCmd  `cmd:"" help:"Keyed requests without a store of keys, with one in memory, on the disk and shared."`
-		Load     loadCmd     `cmd:"" help:"The load tool beside a plain net/http client, and its own lateness by rate."`
-		GRPC     grpcCmd     `cmd:"" name:"grpc" help:"The plug-in beside grpc-go's balancers."`
+		Eureka   eurekaCmd   `cmd:"" help:"Time from a status change in an Eureka registry to the last request; memory with 5,000 instances."`
+		Subset   subsetCmd   `cmd:"" help:"Algorithms that choose subsets of 5,000 upstreams."`
+		Many     manyCmd     `cmd:"" help:"Daemons with 5,000 upstreams, with and without subsets."`
+		Door     doorCmd     `cmd:"" help:"Admission queues, concurrency limits, client retries and rejections, in virtual time."`
+		Counters countersCmd `cmd:"" help:"Twenty tenants and a client that floods the daemon."`
+		Fleet    fleetCmd    `cmd:"" help:"Fleets of 10 to 200 sidecars with 5,000 nodes, in virtual time."`
+		Probes   probesCmd   `cmd:"" help:"Load probes of sidecars with little traffic."`
+		GraphQL  graphqlCmd  `cmd:"" name:"graphql" help:"GraphQL operations, compared with plain requests and with a random choice of nodes."`
+		Repeats  repeatsCmd  `cmd:"" help:"Keyed requests without a store of keys, and with stores in memory, on disk and shared."`
+		Load     loadCmd     `cmd:"" help:"The load tool and a plain net/http client, and the delays of its own requests by rate."`
+		GRPC     grpcCmd     `cmd:"" name:"grpc" help:"The plug-in and grpc-go's balancers."`
 	}
 	ctx := kong.Parse(&cli, kong.Name("measure"), kong.UsageOnError())
 	if err := ctx.Run(); err != nil {
--- a/cmd/orchiddrift/build_test.go
+++ b/cmd/orchiddrift/build_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// Guards against a daemon that `build` in the deploy file links statically: some installations load a library into the
-// process, which such a program can't take.
+// The build command of the deploy file must link the daemon dynamically: some installations preload a library into the
+// process, which is impossible with a static program.
 func TestBuildLinksDynamically(t *testing.T) {
 	if _, err := exec.LookPath("cc"); err != nil {
 		if _, err := exec.LookPath("gcc"); err != nil {
@@ -25,7 +25,7 @@
 	}
 	m := regexp.MustCompile(`(?m)^build = "(.*?)"`).FindSubmatch(deploy)
 	if m == nil {
-		t.Fatal("no build in the deploy file")
+		t.Fatal("deploy/balancer.toml has no build command")
 	}
 	program := filepath.Join(t.TempDir(), "orchiddrift")
 	build := strings.Replace(string(m[1]), "-o bin/ ./cmd/...", "-o "+program+" ./cmd/orchiddrift", 1)
@@ -41,9 +41,9 @@
 	defer f.Close()
 	libraries, err := f.ImportedLibraries()
 	if err != nil || !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.") }) {
-		t.Errorf("needs %v (%v), not the C library", libraries, err)
+		t.Errorf("the program imports %v (error %v), but not the C library", libraries, err)
 	}
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("no program interpreter: linked statically")
+		t.Error("the program has no interpreter, so it is linked statically")
 	}
 }
--- a/cmd/orchiddrift/check.go
+++ b/cmd/orchiddrift/check.go
@@ -12,17 +12,18 @@
 	"orchiddrift/internal/discovery/staleness"
 )
 
-// checkCmd reports whether a configuration can be used.
+// checkCmd checks a configuration and lists its problems.
 type checkCmd struct {
-	File   string `arg:"" type:"path" help:"The configuration to look at."`
-	Beside string `name:"platform" type:"path" help:"The platform's file that an operator's file stands beside."`
+	File   string `arg:"" type:"path" help:"The configuration to check."`
+	Beside string `name:"platform" type:"path" help:"The platform's file that the operator's file is used with."`
 }
 
 // Run is called by kong.
 func (c checkCmd) Run() error { return check(os.Stdout, config.ThisMachine(), c.File, c.Beside) }
 
-// check writes each mistake of a configuration as one line with its place, key and reason, or what the configuration turns on. platform is
-// the platform's file beside an operator's file, or empty; machine gives the defaults of an operator's file that stands alone.
+// check writes each mistake of a configuration as one line with its position, key and reason, or a description of a usable configuration.
+// platform is the platform's file that an operator's file is used with, or empty. machine determines the defaults of an operator's file that
+// is used alone.
 func check(w io.Writer, machine config.Machine, path, platform string) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return err
 }
 
-// checkFile is check for an operator's file.
+// checkFile is check for an operator's file, whose text is given.
 func checkFile(w io.Writer, machine config.Machine, path string, text []byte, platform string) error {
 	parse := func(text []byte) (*config.Plan, error) { return config.ParseFileFor(machine, text) }
 	if platform != "" {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// printMistakes writes the problems that an error holds, and returns an error with their number.
+// printMistakes writes the problems that an error consists of, and returns an error with their number. It returns other errors unchanged.
 func printMistakes(w io.Writer, path string, err error) error {
 	var problems config.Problems
 	if !errors.As(err, &problems) {
@@ -85,7 +86,7 @@
 	return fmt.Errorf("%s can't be used: %d mistake(s)", path, len(problems))
 }
 
-// describe writes what a plan turns on.
+// describe writes a description of a plan: its limits, services and routes.
 func describe(w io.Writer, path string, plan *config.Plan) {
 	fmt.Fprintf(w, "%s can be used: clients at %s", path, plan.Listen)
 	if plan.TLS.Enabled() {
@@ -107,7 +108,7 @@
 	}
 }
 
-// idempotencyNames are the names in the operator's file, by balancer.Idempotency.
+// idempotencyNames are the values of effect in the operator's file, indexed by balancer.Idempotency.
 var idempotencyNames = []string{"safe", "keyed", "unsafe"}
 
 func describeService(w io.Writer, s *config.ServicePlan) {
@@ -140,7 +141,7 @@
 	fmt.Fprintln(w)
 }
 
-// endpointSource names where a service's own endpoint list comes from.
+// endpointSource describes the source of a service's own endpoint list.
 func endpointSource(s *config.ServicePlan) string {
 	switch {
 	case s.Discovery != "":
--- a/cmd/orchiddrift/config.go
+++ b/cmd/orchiddrift/config.go
@@ -8,10 +8,10 @@
 	"orchiddrift/internal/config"
 )
 
-// configCmd prints the operator's file.
+// configCmd prints operator's files.
 type configCmd struct {
-	Example configExampleCmd `cmd:"" help:"Print an operator's file with every key, its default and what it means."`
-	Show    configShowCmd    `cmd:"" help:"Print what an operator's file comes to, defaults filled in and secrets left out."`
+	Example configExampleCmd `cmd:"" help:"Print an operator's file with every key, its default and its meaning."`
+	Show    configShowCmd    `cmd:"" help:"Print the effective operator's file, with defaults filled in and secrets left out."`
 }
 
 type configExampleCmd struct{}
@@ -21,7 +21,7 @@
 
 type configShowCmd struct {
 	File   string `arg:"" type:"path" help:"The operator's file."`
-	Beside string `name:"platform" type:"path" help:"The platform's file that it stands beside."`
+	Beside string `name:"platform" type:"path" help:"The platform's file that the operator's file is used with."`
 }
 
 // Run is called by kong.
@@ -35,7 +35,7 @@
 		return err
 	}
 	if p.File == nil {
-		return errors.New("this is the platform's file, and not an operator's")
+		return errors.New("the file is the platform's, and not an operator's")
 	}
 	if c.Beside != "" {
 		fmt.Printf("# beside the platform's file: listen %s, %v cores, %v MB, %d descriptors, service %q\n",
--- a/cmd/orchiddrift/demo.go
+++ b/cmd/orchiddrift/demo.go
@@ -12,13 +12,13 @@
 	"orchiddrift/internal/demo"
 )
 
-// demoCmd shows the main job with nothing to prepare.
+// demoCmd compares the balancer with a random choice on a fleet of fake nodes. It needs no preparation.
 type demoCmd struct {
-	For   time.Duration `default:"20s" help:"How long it plays."`
+	For   time.Duration `default:"20s" help:"How long the demonstration runs."`
 	Front string        `default:"daemon" enum:"daemon,grpc" help:"daemon: the sidecar, over HTTP; grpc: the plug-in."`
-	Rate  float64       `default:"240" help:"Requests a second, to each side."`
-	Seed  uint64        `default:"1" help:"Of the arrivals and all other chance."`
-	Plain bool          `help:"Lines instead of a live table, as where there is no terminal."`
+	Rate  float64       `default:"240" help:"Requests per second, for each of the two."`
+	Seed  uint64        `default:"1" help:"Seed of the arrivals and all other random events."`
+	Plain bool          `help:"Print lines instead of a live table, which is the default without a terminal."`
 }
 
 // Run is called by kong.
--- a/cmd/orchiddrift/golden_test.go
+++ b/cmd/orchiddrift/golden_test.go
@@ -10,7 +10,7 @@
 	"orchiddrift/internal/testing/golden"
 )
 
-// Operators' files keep their keys: the example names each with its default and what it means.
+// A key or default must not change unnoticed, because operators' files depend on them. The example has all keys and defaults.
 func TestConfigExampleGolden(t *testing.T) {
 	var out bytes.Buffer
 	if err := config.Example(&out); err != nil {
@@ -22,7 +22,7 @@
 // goldenMachine is the machine that the golden files were written for.
 var goldenMachine = config.Machine{Cores: 8}
 
-// What check and config show make of every file in deploy/ stays as it was.
+// The output of check and config show for the files in deploy/ must not change unnoticed, because scripts of operators may read it.
 func TestDeployedFilesGolden(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/*.example.*")
 	if err != nil || len(files) == 0 {
@@ -41,7 +41,7 @@
 			}
 			p, err := config.LoadPlan(config.Sources{Config: path})
 			if err != nil {
-				return // check has said so
+				return // the output of check has the error
 			}
 			var shown bytes.Buffer
 			if err := p.File.Show(&shown); err != nil {
--- a/cmd/orchiddrift/lab.go
+++ b/cmd/orchiddrift/lab.go
@@ -16,19 +16,18 @@
 )
 
 type labCmd struct {
-	Run     labRunCmd     `cmd:"" help:"Play an experiment's policies and seeds, in virtual time."`
-	Report  labReportCmd  `cmd:"" help:"Print what runs came to."`
-	Compare labCompareCmd `cmd:"" help:"Say what differs beyond chance between two files of results, and fail where it is worse than bounds allow."`
+	Run     labRunCmd     `cmd:"" help:"Simulate the policies of an experiment with each of its seeds, in virtual time."`
+	Report  labReportCmd  `cmd:"" help:"Print the results of runs."`
+	Compare labCompareCmd `cmd:"" help:"Print the differences between two files of results that exceed chance, and fail if a metric is worse than allowed."`
 }
 
 type labRunCmd struct {
-	File  string        `arg:"" type:"existingfile" help:"An experiment, as in lab/."`
-	Out   string        `help:"Where results go, a JSON line a run; runs that it has are not played again. Absent: the experiment's name, .jsonl."`
-	Cores int           `help:"Runs at once. Absent: as there are cores."`
-	Limit time.Duration `default:"10m" help:"For one run."`
+	File  string        `arg:"" type:"existingfile" help:"The file of an experiment, such as those in lab/."`
+	Out   string        `help:"The file for the results, with a JSON line per run. Runs that it already has are not repeated. Absent: the experiment's name with .jsonl."`
+	Cores int           `help:"Number of parallel runs. Absent: the number of cores."`
+	Limit time.Duration `default:"10m" help:"The time limit for one run."`
 }
 
-// Run is called by kong.
 // Run is called by kong.
 func (c *labRunCmd) Run() error {
 	e, err := experiment.LoadFile(c.File)
@@ -54,14 +53,14 @@
 	}}
 	if err := runner.Run(ctx, e, path); err != nil {
 		if errors.Is(err, context.Canceled) {
-			return fmt.Errorf("stopped; the same command goes on from what %s has", path)
+			return fmt.Errorf("interrupted; the same command continues with the runs that %s does not have", path)
 		}
 		return err
 	}
 	return printReport(path)
 }
 
-// printReport prints the table of a file of results. Runs that failed or broke a rule are an error.
+// printReport prints the table of a file of results. It returns an error if runs failed or violated an invariant.
 func printReport(path string) error {
 	head, lines, err := experiment.Read(path)
 	if err != nil {
@@ -71,16 +70,15 @@
 		return err
 	}
 	if t := experiment.Failures(lines); len(t) > 0 {
-		return fmt.Errorf("%d runs failed or broke a rule", len(t))
+		return fmt.Errorf("%d runs failed or violated an invariant", len(t))
 	}
 	return nil
 }
 
 type labReportCmd struct {
-	Results []string `arg:"" type:"existingfile" help:"Files of results."`
+	Results []string `arg:"" type:"existingfile" help:"Files with results."`
 }
 
-// Run is called by kong.
 // Run is called by kong.
 func (c *labReportCmd) Run() error {
 	var all error
@@ -91,12 +89,11 @@
 }
 
 type labCompareCmd struct {
-	Before string  `arg:"" type:"existingfile" help:"Results to hold against."`
-	After  string  `arg:"" type:"existingfile" help:"Results of the same experiment."`
-	Worse  float64 `default:"0.05" help:"The part by which a figure of ours may be worse."`
+	Before string  `arg:"" type:"existingfile" help:"The results to compare with."`
+	After  string  `arg:"" type:"existingfile" help:"The new results, of the same experiment."`
+	Worse  float64 `default:"0.05" help:"The fraction by which a metric of the balancer may be worse."`
 }
 
-// Run is called by kong.
 // Run is called by kong.
 func (c *labCompareCmd) Run() error {
 	a, before, err := experiment.Read(c.Before)
@@ -108,7 +105,7 @@
 		return err
 	}
 	if a.Hash != b.Hash {
-		return fmt.Errorf("%s and %s are of different experiments", c.Before, c.After)
+		return fmt.Errorf("%s and %s have results of different experiments", c.Before, c.After)
 	}
 	tooMuchWorse := 0
 	differences := experiment.Compare(before, after, a.Policies)
@@ -126,7 +123,7 @@
 		fmt.Println("nothing differs beyond chance")
 	}
 	if tooMuchWorse > 0 {
-		return fmt.Errorf("%d figures of %s are worse by more than %g", tooMuchWorse, experiment.BalancerPolicy, c.Worse)
+		return fmt.Errorf("%d metrics of %s are worse by a fraction of more than %g", tooMuchWorse, experiment.BalancerPolicy, c.Worse)
 	}
 	return nil
 }
--- a/cmd/orchiddrift/lease.go
+++ b/cmd/orchiddrift/lease.go
@@ -21,32 +21,32 @@
 	"orchiddrift/internal/task/runner"
 )
 
-// Exit codes of the lease commands, beside 1 for a wrong call and the exit code of the command that is run.
+// Exit codes of the lease commands, besides 1 for wrong arguments or a wrong file and the exit code of the command that is run.
 const (
 	exitUnreachable = 69 // no leader of the group answers
-	exitHeld        = 75 // another client holds the lease, or the record is full
-	exitLost        = 76 // the lease was lost while its command ran, or nobody holds the lease that was named
+	exitHeld        = 75 // another client holds the lease, or the group has reached its limit of leases
+	exitLost        = 76 // the lease was lost while its command ran, or nobody holds the named lease
 )
 
 const (
-	// infoTimeout is how long the members may take to answer.
+	// infoTimeout is how long the members may take to respond.
 	infoTimeout = 2 * time.Second
-	// marginsPerLease is how many margins a lease duration must have at least.
+	// marginsPerLease is the minimum ratio of the lease duration to the margin.
 	marginsPerLease = 4
-	// requestsPerLease is how often the lease is asked for within a lease duration while no reply comes.
+	// requestsPerLease is how many requests for the lease are sent within a lease duration while no reply arrives.
 	requestsPerLease = 5
-	// maxUnreachable is how many requests in a row may get no reply before a command that does not wait gives up.
+	// maxUnreachable is the number of successive requests without a reply after which a command that does not wait gives up.
 	maxUnreachable = 3
 )
 
 // leaseCmd is the command line of `orchiddrift lease`.
 type leaseCmd struct {
 	File   string         `name:"file" env:"ORCHIDDRIFT_FILE" required:"" type:"existingfile" help:"The operator's file, whose [fleet] names the group."`
-	Run    leaseRunCmd    `cmd:"" help:"Run a command while a lease is held. It is ended before the lease is."`
-	List   leaseListCmd   `cmd:"" help:"Print the leases that are held, and by whom."`
-	Show   leaseShowCmd   `cmd:"" help:"Print one lease, and the group's members."`
-	Tasks  leaseTasksCmd  `cmd:"" help:"Print the fleet's tasks, each with its latest run."`
-	Revoke leaseRevokeCmd `cmd:"" help:"Have the holder of a lease get no other term."`
+	Run    leaseRunCmd    `cmd:"" help:"Run a command while holding a lease. The command is ended before the lease expires."`
+	List   leaseListCmd   `cmd:"" help:"Print the held leases and their holders."`
+	Show   leaseShowCmd   `cmd:"" help:"Print one lease and the group's members."`
+	Tasks  leaseTasksCmd  `cmd:"" help:"Print the fleet's tasks with the latest run of each."`
+	Revoke leaseRevokeCmd `cmd:"" help:"Revoke a lease, so that its holder cannot renew it."`
 	Guard  leaseGuardCmd  `cmd:"" hidden:""`
 }
 
@@ -69,8 +69,8 @@
 	return raftgroup.NewClient(declaration.Name, raftgroup.DeclaredPeers(declaration))
 }
 
-// queryMembers returns what the leader reports, and what each member reports, nil for one that does not answer. Without a leader it returns an
-// error beside the members.
+// queryMembers returns the reports of the leader and of each member. The report of a member that does not answer is nil. Without a leader it
+// returns the members together with an error.
 func (c *leaseCmd) queryMembers() (leader *raftgroup.Info, members []*raftgroup.Info, err error) {
 	client, err := c.client()
 	if err != nil {
@@ -85,31 +85,31 @@
 			return info, members, nil
 		}
 	}
-	return nil, members, exit{exitUnreachable, errors.New("nobody leads the group: are most of its members up?")}
+	return nil, members, exit{exitUnreachable, errors.New("the group has no leader: are most of its members running?")}
 }
 
 // leaseRunCmd is `orchiddrift lease run`.
 type leaseRunCmd struct {
 	Name     string        `arg:"" help:"The lease."`
 	Argv     []string      `arg:"" passthrough:"" help:"The command and its arguments."`
-	Duration time.Duration `name:"term" default:"10s" help:"How long the lease outlasts a holder that nobody hears of."`
-	Margin   time.Duration `default:"1s" help:"What the command may take to end after SIGTERM; then it gets SIGKILL."`
-	Wait     bool          `help:"Wait in the queue while somebody else holds it."`
-	Again    bool          `help:"Where the lease was lost, wait for it and run the command anew."`
+	Duration time.Duration `name:"term" default:"10s" help:"How long the lease remains held after its holder stops responding."`
+	Margin   time.Duration `default:"1s" help:"How long the command may take to end after SIGTERM before it gets SIGKILL."`
+	Wait     bool          `help:"Wait in the queue while another client holds the lease."`
+	Again    bool          `help:"If the lease is lost, wait for it and run the command again."`
 }
 
 // Run implements the command.
 func (c *leaseRunCmd) Run(parent *leaseCmd) error {
 	argv := withoutSeparator(c.Argv)
 	if len(argv) == 0 {
-		return errors.New("no command")
+		return errors.New("no command is given")
 	}
 	declaration, err := config.LoadFleet(parent.File)
 	if err != nil {
 		return err
 	}
 	if c.Margin <= 0 || c.Duration < marginsPerLease*c.Margin {
-		return fmt.Errorf("a term of %v is under four times the margin, %v", c.Duration, c.Margin)
+		return fmt.Errorf("a term of %v is less than four times the margin of %v", c.Duration, c.Margin)
 	}
 	client, err := parent.client()
 	if err != nil {
@@ -142,11 +142,11 @@
 	return argv
 }
 
-// leasedCommand is the raftgroup.Work of `lease run`: a command, and what the process's exit code comes to.
+// leasedCommand is the raftgroup.Work of `lease run`: a command, and the failure that determines the exit code of the process.
 type leasedCommand struct {
 	raftgroup.Command
-	restart      bool   // the command is run again after the lease was lost
-	requestsLeft int    // that may get no reply before it gives up; 0: it never does
+	restart      bool   // run the command again after the lease was lost
+	requestsLeft int    // requests that may get no reply before it gives up; 0: it never gives up
 	stop         func() // makes RunWhileHeld release the lease and return
 
 	mu     sync.Mutex
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// finish ends the run; a code of 0 is no failure.
+// finish records a failure, unless the code is 0, and ends the run.
 func (c *leasedCommand) finish(code int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,7 +177,7 @@
 func (c *leasedCommand) exited(code int, reason lease.Reason) {
 	switch {
 	case reason == 0:
-		c.finish(code, fmt.Errorf("the command ended with %d", code))
+		c.finish(code, fmt.Errorf("the command ended with exit code %d", code))
 	case reason == lease.ReasonReleased || c.restart:
 	default:
 		c.finish(exitLost, errors.New("the lease was lost, and its command was ended"))
@@ -187,7 +187,7 @@
 // Rejected implements raftgroup.Work.
 func (c *leasedCommand) Rejected(reason lease.Reason) {
 	c.Command.Rejected(reason)
-	c.finish(exitHeld, errors.New("the lease is held elsewhere, or there is no room for it"))
+	c.finish(exitHeld, errors.New("the lease is held by another client, or the group has reached its limit of leases"))
 }
 
 // Unreachable implements raftgroup.Work.
@@ -202,7 +202,7 @@
 
 // leaseGuardCmd is `orchiddrift lease guard`, which `lease run` and tasks start: see raftgroup.Guard.
 type leaseGuardCmd struct {
-	Until  int64         `required:""` // by raftgroup.BootTime, in nanoseconds
+	Until  int64         `required:""` // in nanoseconds of raftgroup.BootTime
 	Margin time.Duration `required:""`
 	Argv   []string      `arg:"" passthrough:""`
 }
@@ -212,15 +212,15 @@
 
 // Run implements the command. It does not return.
 func (c *leaseGuardCmd) Run() error {
-	// The signals are for the lease's holder, which tells the guard what to do. They are caught and dropped: had the guard ignored them, its command
-	// would be started with them ignored.
+	// SIGINT and SIGTERM are meant for the lease's holder, which controls the guard. They are caught and dropped instead of ignored, because the
+	// command would inherit ignored signals.
 	signal.Notify(make(chan os.Signal, 1), os.Interrupt, syscall.SIGTERM)
 	syscall.CloseOnExec(guardStatusFD)
 	code, err := raftgroup.Guard(os.Stdin, os.NewFile(guardStatusFD, "status"), time.Duration(c.Until), c.Margin, withoutSeparator(c.Argv))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "orchiddrift: lease:", err)
 	}
-	if code < 0 { // killed by a signal, by the guard itself as a rule
+	if code < 0 { // killed by a signal, usually sent by the guard itself
 		const shellSignalBase = 128
 		code = shellSignalBase + int(syscall.SIGKILL)
 	}
@@ -261,10 +261,10 @@
 
 // leaseShowCmd is `orchiddrift lease show`.
 type leaseShowCmd struct {
-	Name string `arg:"" optional:"" help:"The lease. Absent: the group's members alone."`
+	Name string `arg:"" optional:"" help:"The lease. Absent: print only the group's members."`
 }
 
-// Run implements the command. The members are printed without a leader too.
+// Run implements the command. The members are printed even without a leader.
 func (c *leaseShowCmd) Run(parent *leaseCmd) error {
 	declaration, err := config.LoadFleet(parent.File)
 	if err != nil {
@@ -291,7 +291,7 @@
 	return err
 }
 
-// memberState says what a member reports of itself; nil: it does not answer.
+// memberState describes the state that a member reports. info is nil if the member does not answer.
 func memberState(info *raftgroup.Info) string {
 	switch {
 	case info == nil:
--- a/cmd/orchiddrift/lease_test.go
+++ b/cmd/orchiddrift/lease_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// A wrong [fleet] is one line and exit code 1; a group that does not answer has an exit code of its own.
+// Scripts depend on the exit codes of the lease commands: a wrong [fleet] must end with 1 and a single line, an unreachable group with a code of
+// its own.
 func TestLeaseCommands(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "orchiddrift")
 	if output, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
@@ -26,8 +27,8 @@
 		{"not a member", fleet + "member = \"b\"\nfile = \"x\"\n" + members, "list", `fleet.member: "b" is not one of members`, 1},
 		{"no file", fleet + "member = \"a\"\n" + members, "list", "fleet.file: missing", 1},
 		{"not loopback", fleet + "[[fleet.members]]\nname = \"a\"\naddress = \"10.0.0.1:1\"\n", "list", "is not a loopback IP address and port", 1},
-		{"a term under four margins", fleet + members, "run x --term 1s -- true", "is under four times the margin", 1},
-		{"list without a leader", fleet + members, "list", "nobody leads the group", exitUnreachable},
+		{"a term under four margins", fleet + members, "run x --term 1s -- true", "is less than four times the margin", 1},
+		{"list without a leader", fleet + members, "list", "the group has no leader", exitUnreachable},
 		{"revoke without a leader", fleet + members, "revoke x", "no member answers", exitUnreachable},
 		{"run without a leader", fleet + members, "run x --term 400ms --margin 100ms -- true", "no member answers", exitUnreachable},
 	} {
@@ -41,7 +42,7 @@
 			lines := strings.Split(strings.TrimSpace(string(output)), "\n")
 			code := cmd.ProcessState.ExitCode()
 			if last := lines[len(lines)-1]; code != c.code || !strings.Contains(last, c.want) || c.code == 1 && len(lines) != 1 {
-				t.Errorf("exit code %d\n%s", code, output)
+				t.Errorf("wrong exit code, number of lines or last line: exit code %d, output\n%s", code, output)
 			}
 		})
 	}
--- a/cmd/orchiddrift/load.go
+++ b/cmd/orchiddrift/load.go
@@ -16,26 +16,26 @@
 
 type loadCmd struct {
 	Target      string        `arg:"" help:"http://ADDRESS:PORT or grpc://ADDRESS:PORT."`
-	Rate        string        `default:"100" help:"Requests a second, or phases: 500:30s,1500:10s,500:30s."`
-	Duration    time.Duration `default:"10s" help:"How long a rate without a length of its own goes on."`
-	Class       []string      `sep:"none" default:"GET /" help:"NAME=SHARE:METHOD /path, more than once for a mix; {n} is the request's number. gRPC: CALL /package.Service/Method."`
-	Header      []string      `sep:"none" help:"Name: value, for all; metadata with gRPC. {n} is the request's number."`
-	Body        []string      `sep:"none" help:"TEXT or @FILE for all classes but GET and HEAD, or NAME=TEXT for one. With gRPC the message's bytes."`
-	Connections int           `default:"64" help:"Connections, and requests at once, at most."`
-	Timeout     time.Duration `default:"5s" help:"For a try."`
-	Retries     int           `help:"Tries after the first, where the server refuses, or a GET breaks."`
-	RetryWait   time.Duration `default:"100ms" help:"Before another try, where the server names no time; it doubles."`
-	Steady      bool          `help:"At even distances, in place of chance (Poisson)."`
-	Seed        uint64        `default:"1" help:"Of chance."`
-	Log         string        `help:"A file for the latencies of each second and class, in HdrHistogram's log format."`
+	Rate        string        `default:"100" help:"Requests per second, or phases: 500:30s,1500:10s,500:30s."`
+	Duration    time.Duration `default:"10s" help:"Duration of a rate that is given without one."`
+	Class       []string      `sep:"none" default:"GET /" help:"NAME=SHARE:METHOD /path, repeated for a mix; {n} is the request's number. gRPC: CALL /package.Service/Method."`
+	Header      []string      `sep:"none" help:"Name: value, for all requests; metadata with gRPC. {n} is the request's number."`
+	Body        []string      `sep:"none" help:"TEXT or @FILE for all classes except GET and HEAD, or NAME=TEXT for one class. With gRPC the bytes of the message."`
+	Connections int           `default:"64" help:"Maximum number of connections and of requests in flight."`
+	Timeout     time.Duration `default:"5s" help:"Timeout of one attempt."`
+	Retries     int           `help:"Maximum number of retries of a request that the server rejects, or of a GET whose connection fails."`
+	RetryWait   time.Duration `default:"100ms" help:"Wait before the first retry if the server names no time. It doubles with each retry."`
+	Steady      bool          `help:"Send at even intervals instead of random ones (Poisson)."`
+	Seed        uint64        `default:"1" help:"Seed of the random numbers."`
+	Log         string        `help:"A file for the latencies per second and class, in the log format of HdrHistogram."`
 	JSON        bool          `help:"Print the result as JSON."`
-	Quiet       bool          `help:"No progress."`
+	Quiet       bool          `help:"Print no progress."`
 }
 
 // Help is called by kong.
 func (loadCmd) Help() string {
-	return `Sends requests at a rate, whatever becomes of them. Latency counts from when a request was to be sent, so that what waits behind a server
-that stands still is counted too. The end says whether the server, the connections or this tool was the limit.
+	return `Sends requests at a given rate, regardless of the responses. Latency counts from the time at which a request was due, so that it includes the
+wait behind a stalled server. The result says whether the server, the connections or this tool was the limit.
 
   orchiddrift load http://127.0.0.1:8080 --rate 500 --duration 30s \
     --class "search=3:GET /search?q={n}" --class "record=1:POST /payments/{n}" --header "Idempotency-Key: k{n}" --body '{"amount":5}' --retries 2`
@@ -71,12 +71,13 @@
 	return o, o.Check()
 }
 
+// setBody sets the body of one class, or of all classes whose method allows one. text is NAME=TEXT, TEXT or @FILE.
 func setBody(classes []loadgen.Class, text string) error {
-	name, of, named := strings.Cut(text, "=")
+	name, value, named := strings.Cut(text, "=")
 	only := -1
 	for i := range classes {
 		if named && classes[i].Name == name {
-			only, text = i, of
+			only, text = i, value
 		}
 	}
 	body := []byte(text)
@@ -94,7 +95,6 @@
 	return nil
 }
 
-// Run is called by kong.
 // Run is called by kong.
 func (c *loadCmd) Run() error {
 	o, err := c.options()
@@ -103,18 +103,18 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	var w loadgen.Observers
+	var observers loadgen.Observers
 	if !c.Quiet {
-		w.Progress = func(p loadgen.Progress) { fmt.Fprintln(os.Stderr, p) }
+		observers.Progress = func(p loadgen.Progress) { fmt.Fprintln(os.Stderr, p) }
 	}
 	var file *os.File
 	if c.Log != "" {
 		if file, err = os.Create(c.Log); err != nil {
 			return err
 		}
-		w.Log = file
+		observers.Log = file
 	}
-	r, err := loadgen.Run(ctx, o, w)
+	r, err := loadgen.Run(ctx, o, observers)
 	if file != nil {
 		err = errors.Join(err, file.Close())
 	}
--- a/cmd/orchiddrift/main.go
+++ b/cmd/orchiddrift/main.go
@@ -1,5 +1,5 @@
 // Command orchiddrift balances a client's requests over upstreams. Without an argument it runs the sidecar daemon; "orchiddrift --help" lists
-// the other commands. Each command is a file of its own.
+// the other commands. Each command has its own file.
 package main
 
 import (
@@ -12,13 +12,13 @@
 
 // cli is the command line.
 type cli struct {
-	Serve   serveCmd   `cmd:"" default:"withargs" help:"Run the sidecar daemon, as the configuration tells (the default)."`
-	Check   checkCmd   `cmd:"" help:"Say whether a configuration can be used, and all that is wrong with it."`
-	Config  configCmd  `cmd:"" help:"Print an operator's file: an example, or what one comes to."`
-	Demo    demoCmd    `cmd:"" help:"Show the main job on a fleet of stand-in nodes, beside plain random choice."`
-	Lab     labCmd     `cmd:"" help:"Play experiments on a fleet in virtual time: policies beside each other, through faults."`
-	Lease   leaseCmd   `cmd:"" help:"Leases for tasks that one process of the fleet does at a time."`
-	Load    loadCmd    `cmd:"" help:"Send requests to an HTTP/1.1 or gRPC server at a rate, and tell how long they take."`
+	Serve   serveCmd   `cmd:"" default:"withargs" help:"Run the sidecar daemon with the given configuration (the default)."`
+	Check   checkCmd   `cmd:"" help:"Check whether a configuration can be used, and print all of its mistakes."`
+	Config  configCmd  `cmd:"" help:"Print an operator's file: an example, or the effective one."`
+	Demo    demoCmd    `cmd:"" help:"Compare the balancer with a random choice on a fleet of fake nodes."`
+	Lab     labCmd     `cmd:"" help:"Run experiments on a simulated fleet: compare policies under faults, in virtual time."`
+	Lease   leaseCmd   `cmd:"" help:"Leases for tasks that only one process of the fleet may do at a time."`
+	Load    loadCmd    `cmd:"" help:"Send requests to an HTTP/1.1 or gRPC server at a given rate, and report their latencies."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
--- a/cmd/orchiddrift/main_test.go
+++ b/cmd/orchiddrift/main_test.go
@@ -16,7 +16,7 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// TestMain runs the program itself where a test asks for it.
+// TestMain runs the program itself in the processes that a test starts with ORCHIDDRIFT_MAIN=1.
 func TestMain(m *testing.M) {
 	if os.Getenv("ORCHIDDRIFT_MAIN") == "1" {
 		main()
@@ -28,7 +28,7 @@
 const settings = `{"Discovery":"ask","TickMs":5,"Classes":[{"Name":"search","Semantics":"retryable",
 	"AimMs":1000,"DeadlineMs":2000}]}`
 
-// SIGTERM ends the program with 0, so that a planned restart does not look like a crash, and its address is free at once.
+// SIGTERM must end the program with exit code 0, so that a planned restart does not look like a crash, and its address must be free at once.
 func TestTermEndsWithZero(t *testing.T) {
 	address := base.FreeAddress(t)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -55,21 +55,21 @@
 				}
 			}
 			if time.Now().After(end) {
-				t.Fatalf("never ready: %v", err)
+				t.Fatalf("the daemon was not ready within 20 s: %v", err)
 			}
 		}
-		for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} { // SIGHUP ends nothing
+		for _, s := range []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} { // SIGHUP must not end the process
 			if err := cmd.Process.Signal(s); err != nil {
 				t.Fatal(err)
 			}
 		}
 		if err := cmd.Wait(); err != nil {
-			t.Errorf("SIGTERM ended it with %v", err)
+			t.Errorf("the daemon did not end with exit code 0 after SIGTERM: %v", err)
 		}
 	}
 }
 
-// A start with a malformed configuration fails with one line that says why.
+// A start with a malformed or missing configuration must fail with exit code 1 and one line with the reason.
 func TestMalformedConfigIsOneLineAndNonZero(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(bad, []byte(`{"name":"n1","listen":"nowhere"}`), 0o600); err != nil {
@@ -83,10 +83,10 @@
 		err := cmd.Run()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 1 {
-			t.Errorf("%q: ended with %v", path, err)
+			t.Errorf("configuration %q: the program ended with %v, want exit code 1", path, err)
 		}
 		if text := stderr.String(); !strings.HasPrefix(text, "orchiddrift: ") || strings.Count(text, "\n") != 1 {
-			t.Errorf("%q: said %q", path, text)
+			t.Errorf("configuration %q: standard error is %q, want one line", path, text)
 		}
 	}
 }
--- a/cmd/orchiddrift/newcomer_test.go
+++ b/cmd/orchiddrift/newcomer_test.go
@@ -17,10 +17,10 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// The operator's file of the README, but for its ports, balances over three servers that know nothing of this program, and a reload of it
-// with a bad file changes nothing.
+// The operator's file of the README, with other ports, must balance over three ordinary servers. A reload with a malformed file must change
+// nothing, and a reload with another server must use that server.
 func TestNewcomersFile(t *testing.T) {
-	text, address := newcomersFile(t)
+	text, address := readmeFile(t)
 	path := filepath.Join(t.TempDir(), "web.toml")
 	write := func(text string) {
 		t.Helper()
@@ -55,12 +55,12 @@
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("SIGTERM ended it with %v", err)
+		t.Errorf("the daemon did not end with exit code 0 after SIGTERM: %v", err)
 	}
 }
 
-// newcomersFile returns the README's operator's file with the addresses of servers that run, and the address where it listens.
-func newcomersFile(t *testing.T) (text, address string) {
+// readmeFile returns the README's operator's file with the addresses of running test servers, and the address at which the daemon listens.
+func readmeFile(t *testing.T) (text, address string) {
 	t.Helper()
 	readme, err := os.ReadFile("../../README.md")
 	if err != nil {
@@ -72,7 +72,7 @@
 	}
 	text = string(m[1])
 	if n := strings.Count(text, "\n"); n > 15 {
-		t.Errorf("%d lines, 15 at most", n)
+		t.Errorf("the README's operator's file has %d lines; the limit is 15", n)
 	}
 	address = base.FreeAddress(t)
 	text = strings.ReplaceAll(text, "127.0.0.1:8080", address)
@@ -81,7 +81,7 @@
 		t.Cleanup(s.Close)
 		port := fmt.Sprintf("127.0.0.1:900%d", i+1)
 		if !strings.Contains(text, port) {
-			t.Fatalf("no server at %s in\n%s", port, text)
+			t.Fatalf("the README's operator's file has no server at %s:\n%s", port, text)
 		}
 		text = strings.ReplaceAll(text, port, s.Listener.Addr().String())
 	}
@@ -92,7 +92,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) })
 }
 
-// awaitAnswers sends requests until the answers seen, counted by body, are those wanted. Each must have the status 200.
+// awaitAnswers sends requests until the answers seen, counted by body, are those wanted. Each answer must have status 200.
 func awaitAnswers(t *testing.T, address string, wanted func(seen map[string]int) bool) {
 	t.Helper()
 	seen := map[string]int{}
@@ -102,12 +102,12 @@
 			body, _ := io.ReadAll(resp.Body)
 			resp.Body.Close()
 			if resp.StatusCode != http.StatusOK {
-				t.Errorf("%s: %s", resp.Status, body)
+				t.Errorf("got status %s with body %s, want 200", resp.Status, body)
 			}
 			seen[string(body)]++
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%v, %v", seen, err)
+			t.Fatalf("the wanted answers did not come within 20 s: got %v, last error %v", seen, err)
 		}
 	}
 }
--- a/cmd/orchiddrift/version.go
+++ b/cmd/orchiddrift/version.go
@@ -9,7 +9,7 @@
 // version is the release that CHANGELOG.md describes.
 const version = "0.2.0-dev"
 
-// commitDigits is how much of the commit's hash is printed.
+// commitDigits is the number of digits of the commit's hash that are printed.
 const commitDigits = 12
 
 type versionCmd struct{}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter runs the decisions of package balancer on the simulator's wire: standard input to standard output.
+// Command simadapter connects package balancer to the simulator: it reads the simulator's messages from standard input and writes the
+// balancer's actions to standard output.
 package main
 
 import (
