--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -38,8 +38,8 @@
 	}
 	var plain, example, again File
 	tomlfile.Decode([]byte(exampleService), &plain)
-	if bad := tomlfile.Decode(text.Bytes(), &example).Problems(); len(bad) > 0 || !reflect.DeepEqual(plain, example) {
-		t.Errorf("the example does not decode to the defaults, problems %v\nwant %+v\ngot %+v", bad, plain, example)
+	if problems := tomlfile.Decode(text.Bytes(), &example).Problems(); len(problems) > 0 || !reflect.DeepEqual(plain, example) {
+		t.Errorf("the example does not decode to the defaults, problems %v\nwant %+v\ngot %+v", problems, plain, example)
 	}
 	var all File
 	for _, m := range tomlfile.Decode([]byte(uncommented(text.String())), &all).Problems() {
@@ -101,24 +101,24 @@
 		{web + "[[service]]\nname = \"b\"\naddresses = [\"127.0.0.1:2\"]\n", []string{"route: missing: at least one [[route]] is needed if there is more than one"}},
 	} {
 		_, err := ParseFile([]byte(c.text))
-		var bad Problems
-		if !errors.As(err, &bad) {
+		var problems Problems
+		if !errors.As(err, &problems) {
 			t.Errorf("%q is accepted, or its error is not Problems: %v", c.text, err)
 			continue
 		}
 		for _, want := range c.want {
 			line, rest, ok := strings.Cut(want, ": ")
 			found := false
-			for _, p := range bad {
+			for _, p := range problems {
 				text := p.Error()
 				found = found || strings.Contains(text, want) || ok && strings.HasPrefix(text, line+":") && strings.Contains(text, rest)
 			}
 			if !found {
-				t.Errorf("%q: no problem %q among\n%v", c.text, want, []Problem(bad))
+				t.Errorf("%q: no problem %q among\n%v", c.text, want, []Problem(problems))
 			}
 		}
-		if len(bad) > len(c.want) {
-			t.Errorf("%q: more problems than %q:\n%v", c.text, c.want, []Problem(bad))
+		if len(problems) > len(c.want) {
+			t.Errorf("%q: more problems than %q:\n%v", c.text, c.want, []Problem(problems))
 		}
 	}
 }
@@ -203,12 +203,12 @@
 	f.Add("route = [{match = \"/\"}, 3, [], {headers = {a = 1}}]\nservice = {name = \"a\"}\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		p, err := ParseFile([]byte(text))
-		var bad Problems
+		var problems Problems
 		if err != nil {
-			if !errors.As(err, &bad) || len(bad) == 0 {
+			if !errors.As(err, &problems) || len(problems) == 0 {
 				t.Fatalf("the error is not Problems, or an empty list: %v", err)
 			}
-			for _, m := range bad {
+			for _, m := range problems {
 				if strings.Contains(m.Error(), "\n") {
 					t.Fatalf("the problem has more than one line: %q", m.Error())
 				}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -26,7 +26,7 @@
 	GRPC            *GRPC // the plug-in's part; nil: none
 }
 
-// Limits is the resources that the platform allows the process to use.
+// Limits holds the limits that the platform sets on the resources of the process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
--- a/internal/routes/decide_test.go
+++ b/internal/routes/decide_test.go
@@ -29,7 +29,7 @@
 		}
 		return r
 	}
-	table, bad := New([]*Route{
+	table, conflicting := New([]*Route{
 		route("/", nil, nil),
 		route("/confirm", &unsafe, nil),
 		route("/query", &safe, func(r *Route) { r.Repeats = []string{"POST"} }),
@@ -41,8 +41,8 @@
 		route("shop.example/", &unsafe, nil),
 		route("/café/{$}", &unsafe, nil),
 	})
-	if bad != nil {
-		t.Fatal(bad)
+	if conflicting != nil {
+		t.Fatal(conflicting)
 	}
 	return table
 }
@@ -89,8 +89,8 @@
 	{"GET", "x", "/anything", "X-HTTP-Method-Override: POST", "400"},
 }
 
-// A request must not get an idempotent class if an upstream may read it as a request of a stricter class, or if HTTP defines its method as
-// unsafe. Otherwise it might be retried and run twice.
+// A request must not get an idempotent class if an upstream may read it as a request of a stricter class, or if its method is unsafe by HTTP
+// and not among the route's Repeats. Otherwise it might be retried and run twice.
 func TestDecide(t *testing.T) {
 	table := operatorTable(t)
 	for _, c := range decideCases {
@@ -118,16 +118,16 @@
 // The values of a route's sources must be read in their units, and a body above the limit or another method be rejected.
 func TestDecideReadsFields(t *testing.T) {
 	table := operatorTable(t)
-	d, bad := table.Decide(Request{Method: "POST", Target: "/shops/7/record", ContentLength: 9, Header: http.Header{
+	d, rejection := table.Decide(Request{Method: "POST", Target: "/shops/7/record", ContentLength: 9, Header: http.Header{
 		"Idempotency-Key": {"k"}, "X-Work": {"1500.5"}, "X-Wait": {"250m"}, "X-Id": {"i"}}})
-	if bad != nil || d.Tenant != "7" || d.IdempotencyKey != "k" || d.CostHint != 1500500 || d.Timeout != 250*time.Millisecond || d.ID != "i" {
-		t.Errorf("wrong values from the route's sources: %+v, rejection %+v", d, bad)
+	if rejection != nil || d.Tenant != "7" || d.IdempotencyKey != "k" || d.CostHint != 1500500 || d.Timeout != 250*time.Millisecond || d.ID != "i" {
+		t.Errorf("wrong values from the route's sources: %+v, rejection %+v", d, rejection)
 	}
-	if _, bad := table.Decide(Request{Method: "POST", Target: "/a", ContentLength: 1<<10 + 1}); bad == nil || bad.Status != 413 {
-		t.Errorf("a body above the route's limit: got rejection %+v, want status 413", bad)
+	if _, rejection := table.Decide(Request{Method: "POST", Target: "/a", ContentLength: 1<<10 + 1}); rejection == nil || rejection.Status != 413 {
+		t.Errorf("a body above the route's limit: got rejection %+v, want status 413", rejection)
 	}
-	if _, bad := table.Decide(Request{Method: "PUT", Target: "/plain"}); bad == nil || bad.Allow != "GET, HEAD, OPTIONS" {
-		t.Errorf("PUT to a route for reads: got rejection %+v, want the allowed methods", bad)
+	if _, rejection := table.Decide(Request{Method: "PUT", Target: "/plain"}); rejection == nil || rejection.Allow != "GET, HEAD, OPTIONS" {
+		t.Errorf("PUT to a route for reads: got rejection %+v, want the allowed methods", rejection)
 	}
 }
 
@@ -140,15 +140,15 @@
 		f.Add(s)
 	}
 	tables := []*Table{operatorTable(f)}
-	platform, bad := New(Platform("s", []balancer.Class{safe, keyed, unsafe}))
-	if bad != nil {
-		f.Fatal(bad)
+	platform, conflicting := New(Platform("s", []balancer.Class{safe, keyed, unsafe}))
+	if conflicting != nil {
+		f.Fatal(conflicting)
 	}
 	tables = append(tables, platform)
 	f.Fuzz(func(t *testing.T, target string) {
 		for _, table := range tables {
-			d, bad := table.Decide(Request{Method: "GET", Target: target, Header: http.Header{"X-Request-Id": {"1"}}})
-			if bad != nil {
+			d, rejection := table.Decide(Request{Method: "GET", Target: target, Header: http.Header{"X-Request-Id": {"1"}}})
+			if rejection != nil {
 				continue
 			}
 			raw, _, _ := strings.Cut(target, "?")
@@ -166,9 +166,9 @@
 				if !strings.HasPrefix(reading, "/") {
 					t.Fatalf("%q is accepted and may be read as %q, which does not begin with a slash", target, reading)
 				}
-				of, ok := table.tree.find("", lookup{method: "GET", path: reading})
+				found, ok := table.tree.find("", lookup{method: "GET", path: reading})
 				if class := (*balancer.Class)(nil); ok {
-					if class = of.value.class("GET"); class != nil && lessStrict(d.Class, class) {
+					if class = found.value.class("GET"); class != nil && lessStrict(d.Class, class) {
 						t.Errorf("%q is accepted with class %s and may be read as %q with the stricter class %s", target, d.Class.Name, reading, class.Name)
 					}
 				}
--- a/internal/routes/route.go
+++ b/internal/routes/route.go
@@ -18,7 +18,7 @@
 
 	Key, Tenant, Cost, ID, Deadline Source
 
-	// Repeats are methods that HTTP calls unsafe and that may all the same reach an idempotent class.
+	// Repeats are unsafe methods of HTTP that may nevertheless reach an idempotent class.
 	Repeats []string
 	MaxBody int64 // bytes
 
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -14,10 +14,10 @@
 
 // field is one key of a declaration, as its tags describe it.
 type field struct {
-	index                     []int
-	name, doc, preset, sample string
-	oneof                     []string
-	start, secret, hasPreset  bool
+	index                           []int
+	name, doc, preset, sample       string
+	oneof                           []string
+	needsRestart, secret, hasPreset bool
 }
 
 // fields returns the keys of a declaration in the order of its fields. The keys of an embedded struct are included.
@@ -49,7 +49,7 @@
 			continue
 		}
 		f := field{index: []int{i}, name: name, doc: tag.Get("doc"), sample: tag.Get("sample"),
-			start: tag.Get("reload") == "start", secret: tag.Get("secret") != ""}
+			needsRestart: tag.Get("reload") == "start", secret: tag.Get("secret") != ""}
 		f.preset, f.hasPreset = tag.Lookup("default")
 		if words := tag.Get("oneof"); words != "" {
 			f.oneof = strings.Split(words, "|")
--- a/internal/tomlfile/write.go
+++ b/internal/tomlfile/write.go
@@ -90,7 +90,7 @@
 		if f.oneof != nil {
 			doc += " One of " + strings.Join(f.oneof, ", ") + "."
 		}
-		if f.start {
+		if f.needsRestart {
 			doc += " A change takes effect at the next start."
 		}
 		w.comment(doc, commented)
@@ -216,21 +216,21 @@
 	return out
 }
 
-func diff(path string, a, b reflect.Value, start bool, out *[]Change) {
+func diff(path string, a, b reflect.Value, needsRestart bool, out *[]Change) {
 	for _, f := range fields(a.Type()) {
-		at, av, bv, fs := join(path, f.name), a.FieldByIndex(f.index), b.FieldByIndex(f.index), start || f.start
+		at, av, bv, restart := join(path, f.name), a.FieldByIndex(f.index), b.FieldByIndex(f.index), needsRestart || f.needsRestart
 		switch table, array := isTable(av.Type()); {
 		case table:
-			diff(at, av, bv, fs, out)
+			diff(at, av, bv, restart, out)
 		case array:
-			diffArray(at, av, bv, fs, out)
+			diffArray(at, av, bv, restart, out)
 		case !reflect.DeepEqual(av.Interface(), bv.Interface()):
-			*out = append(*out, Change{at, fs})
+			*out = append(*out, Change{at, restart})
 		}
 	}
 }
 
-func diffArray(at string, a, b reflect.Value, start bool, out *[]Change) {
+func diffArray(at string, a, b reflect.Value, needsRestart bool, out *[]Change) {
 	name := func(v reflect.Value, i int) string {
 		for _, f := range fields(v.Type().Elem()) {
 			if f.name == "name" && v.Index(i).FieldByIndex(f.index).Kind() == reflect.String {
@@ -246,13 +246,13 @@
 	for i := range a.Len() {
 		key := name(a, i)
 		if counterpart, ok := later[key]; ok {
-			diff(fmt.Sprintf("%s[%s]", at, key), a.Index(i), counterpart, start, out)
+			diff(fmt.Sprintf("%s[%s]", at, key), a.Index(i), counterpart, needsRestart, out)
 		} else {
-			*out = append(*out, Change{fmt.Sprintf("%s[%s]", at, key), start})
+			*out = append(*out, Change{fmt.Sprintf("%s[%s]", at, key), needsRestart})
 		}
 		delete(later, key)
 	}
 	for _, key := range slices.Sorted(maps.Keys(later)) {
-		*out = append(*out, Change{fmt.Sprintf("%s[%s]", at, key), start})
+		*out = append(*out, Change{fmt.Sprintf("%s[%s]", at, key), needsRestart})
 	}
 }
