--- a/internal/routes/bench_test.go
+++ b/internal/routes/bench_test.go
@@ -14,15 +14,15 @@
 			for i := range n {
 				all = append(all, &Route{Pattern: pattern(b, fmt.Sprintf("/svc%d/{id}/items/", i), nil), Class: &safe, MaxBody: 1})
 			}
-			table, conflicting := New(all)
-			if conflicting != nil {
-				b.Fatal(conflicting)
+			table, bad := New(all)
+			if bad != nil {
+				b.Fatal(bad)
 			}
 			q := Request{Method: "GET", Target: fmt.Sprintf("/svc%d/77/items/4", n/2), Header: http.Header{"X-A": {"b"}}}
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, rejection := table.Decide(q); rejection != nil {
-					b.Fatal(rejection)
+				if _, bad := table.Decide(q); bad != nil {
+					b.Fatal(bad)
 				}
 			}
 		})
--- a/internal/routes/decide_test.go
+++ b/internal/routes/decide_test.go
@@ -140,15 +140,15 @@
 		f.Add(s)
 	}
 	tables := []*Table{operatorTable(f)}
-	platform, conflicting := New(Platform("s", []balancer.Class{safe, keyed, unsafe}))
-	if conflicting != nil {
-		f.Fatal(conflicting)
+	platform, bad := New(Platform("s", []balancer.Class{safe, keyed, unsafe}))
+	if bad != nil {
+		f.Fatal(bad)
 	}
 	tables = append(tables, platform)
 	f.Fuzz(func(t *testing.T, target string) {
 		for _, table := range tables {
-			d, rejection := table.Decide(Request{Method: "GET", Target: target, Header: http.Header{"X-Request-Id": {"1"}}})
-			if rejection != nil {
+			d, bad := table.Decide(Request{Method: "GET", Target: target, Header: http.Header{"X-Request-Id": {"1"}}})
+			if bad != nil {
 				continue
 			}
 			raw, _, _ := strings.Cut(target, "?")
