--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -13,58 +13,60 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// Discovery is a fake of the platform's discovery service: it keeps a list and serves polls and watches. Entries
-// can be set, drained and removed; the service can fall silent, break its watches, go down and move.
+// Discovery is a fake of the platform's discovery service: it keeps an endpoint list and serves polls and watches. Entries
+// can be set, drained and removed. The service can stop answering, break its watches, go down and move to another address.
 type Discovery struct {
-	Heartbeat time.Duration // an empty line so often while nothing changes; absent: 200 ms. Set before Listen.
-	// Rate is how many calls it works through in a second, one after another; one that would wait for longer than Timeout is turned
-	// away at once. Absent: all are answered at once. Set before Listen.
+	// Heartbeat is the interval at which watches send an empty line; NewDiscovery sets 200 ms. Set before Listen.
+	Heartbeat time.Duration
+	// Rate is the number of calls per second that the service processes, one after another. It rejects a call at once if the call
+	// would wait for longer than Timeout. If Rate is 0, all calls are answered at once. Set before Listen.
 	Rate    float64
 	Timeout time.Duration
-	Indent  bool // lists are written on many lines. Set before Listen
-	// Wrote is called after each message with entries or a version was written, with the address that served it and the version that
-	// its reader has then. It must not call the Discovery. Set before Listen.
+	Indent  bool // writes lists as indented JSON over several lines; set before Listen
+	// Wrote is called after each list was written, with the address that served it and the version of the list, which its reader
+	// has from then on. It must not call the Discovery. Set before Listen.
 	Wrote func(address string, version int64)
 
 	mu             sync.Mutex
 	changed        *sync.Cond
 	index          int64
-	entries        map[string]versioned
+	entries        map[string]versionedEndpoint
 	silent         bool
 	down           bool
-	breaks         int // watches that began before this number end
-	muted          int // calls up to this number say nothing more
+	breaks         int // increased to end all open watches; a watch ends once it differs from its value at the watch's start
+	muted          int // calls with a number up to this one send nothing more
 	answerDelay    time.Duration
-	busyUntil      time.Time // when it has worked through all calls so far
-	rejections     int       // of the calls at each address, how many are turned away from now on
-	rejectionsLeft map[string]int
+	busyUntil      time.Time // when all calls so far are processed, with Rate
+	rejections     int       // number of calls to reject at each address, since RejectNext
+	rejectionsUsed map[string]int
 	calls          []time.Time
 	current        int // watches that are up to date
 	srv            *http.Server
-	joined         map[string]*http.Server // at further addresses
+	joined         map[string]*http.Server // servers at additional addresses
 	address        string
 	serving        sync.WaitGroup
 	closed         bool
-	firstNotified  map[string]time.Time // when a state was first written to a watch, by "name status"
+	firstNotified  map[string]time.Time // when a list with an entry's status was first written, by "name status"
 }
 
-type versioned struct {
-	e  endpoints.Endpoint
-	at int64
+// versionedEndpoint is an entry with the version of the list that last changed it.
+type versionedEndpoint struct {
+	endpoint endpoints.Endpoint
+	version  int64
 }
 
-// NewDiscovery returns one with these entries, at version 1; see Listen.
+// NewDiscovery returns a service with these entries, at version 1. It listens nowhere yet; see Listen.
 func NewDiscovery(entries ...endpoints.Endpoint) *Discovery {
-	d := &Discovery{index: 1, entries: map[string]versioned{}, joined: map[string]*http.Server{}, Heartbeat: 200 * time.Millisecond, firstNotified: map[string]time.Time{}}
+	d := &Discovery{index: 1, entries: map[string]versionedEndpoint{}, joined: map[string]*http.Server{}, Heartbeat: 200 * time.Millisecond, firstNotified: map[string]time.Time{}}
 	d.changed = sync.NewCond(&d.mu)
 	for _, e := range entries {
-		d.entries[e.Name] = versioned{e, 1}
+		d.entries[e.Name] = versionedEndpoint{e, 1}
 	}
 	return d
 }
 
-// Listen serves at address ("127.0.0.1:0": a free port) and returns where. Called again it moves there: the old
-// address takes no new connection, and its watches end.
+// Listen serves at address ("127.0.0.1:0": a free port) and returns the address. A further call moves the service: the old
+// address accepts no new connections, and its watches end.
 func (d *Discovery) Listen(address string) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -82,7 +84,7 @@
 	return d.Address(), nil
 }
 
-// Join serves at one more address, a free port, beside those that there are, until Close.
+// Join additionally serves at a free port, until Retire or Close, and returns the address.
 func (d *Discovery) Join() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -96,7 +98,7 @@
 	return l.Addr().String(), nil
 }
 
-// Retire ends serving at an address that Join returned: it takes no new connection, and those that are open are closed.
+// Retire stops serving at an address that Join returned: it accepts no new connections there and closes those that are open.
 func (d *Discovery) Retire(address string) {
 	d.mu.Lock()
 	srv := d.joined[address]
@@ -107,30 +109,30 @@
 	}
 }
 
-// RejectNext makes the next n calls at each address fail with 503 at once.
+// RejectNext makes the next n calls at each address fail with status 503 at once.
 func (d *Discovery) RejectNext(n int) {
-	d.change(func() { d.rejections, d.rejectionsLeft = n, map[string]int{} })
+	d.change(func() { d.rejections, d.rejectionsUsed = n, map[string]int{} })
 }
 
-// takeRejection reports whether a call at an address is rejected, and counts it against RejectNext.
+// takeRejection reports whether RejectNext applies to a call at an address, and counts the rejection.
 func (d *Discovery) takeRejection(address string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.rejectionsLeft == nil || d.rejectionsLeft[address] >= d.rejections {
+	if d.rejectionsUsed == nil || d.rejectionsUsed[address] >= d.rejections {
 		return false
 	}
-	d.rejectionsLeft[address]++
+	d.rejectionsUsed[address]++
 	return true
 }
 
-// Address is where it listens now.
+// Address returns the address at which the service listens, without those of Join.
 func (d *Discovery) Address() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.address
 }
 
-// Close ends it and waits.
+// Close stops the service at all addresses and waits until it no longer serves.
 func (d *Discovery) Close() {
 	d.mu.Lock()
 	servers := slices.Collect(maps.Values(d.joined))
@@ -146,65 +148,65 @@
 	d.serving.Wait()
 }
 
-// Set adds or changes entries, all at one moment.
+// Set adds or changes entries, all in one new version of the list.
 func (d *Discovery) Set(entries ...endpoints.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.index++
 	for _, e := range entries {
-		d.entries[e.Name] = versioned{e, d.index}
+		d.entries[e.Name] = versionedEndpoint{e, d.index}
 	}
 	d.changed.Broadcast()
 }
 
-// Drain says that upstreams want nothing new.
+// Drain sets the status of entries to terminating: these upstreams should receive no new requests.
 func (d *Discovery) Drain(names ...string) { d.status(endpoints.StatusTerminating, names...) }
 
-// Remove says that it is gone.
+// Remove sets the status of an entry to gone.
 func (d *Discovery) Remove(name string) { d.status(endpoints.StatusGone, name) }
 
 func (d *Discovery) status(status string, names ...string) {
 	d.mu.Lock()
 	entries := make([]endpoints.Endpoint, len(names))
 	for i, name := range names {
-		entries[i] = d.entries[name].e
+		entries[i] = d.entries[name].endpoint
 		entries[i].Name, entries[i].Status = name, status
 	}
 	d.mu.Unlock()
 	d.Set(entries...)
 }
 
-// Silence makes watches say nothing, without ending them; calls are not answered.
+// Silence switches on or off that watches send nothing, without ending, and that new calls wait for an answer.
 func (d *Discovery) Silence(on bool) { d.change(func() { d.silent = on }) }
 
-// Down turns calls away and ends watches.
+// Down switches an outage on or off: watches end, and calls are rejected with status 503.
 func (d *Discovery) Down(on bool) { d.change(func() { d.down = on; d.breaks++ }) }
 
-// Break ends the watches that there are.
+// Break ends all open watches.
 func (d *Discovery) Break() { d.change(func() { d.breaks++ }) }
 
-// Mute makes the calls and watches that are open now say nothing more, without ending them; later ones are answered.
+// Mute makes the calls and watches that are open now send nothing more, without ending them. Later calls are answered.
 func (d *Discovery) Mute() { d.change(func() { d.muted = len(d.calls) }) }
 
-// DelayAnswers has the answers to calls made from now on come so much later.
+// DelayAnswers delays the answers to calls made from now on.
 func (d *Discovery) DelayAnswers(by time.Duration) { d.change(func() { d.answerDelay = by }) }
 
-// Calls is when each call came, whatever became of it.
+// Calls returns the arrival time of each call, rejected calls included.
 func (d *Discovery) Calls() []time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.calls)
 }
 
-// Current is the number of watches that are up to date.
+// Current returns the number of watches whose clients have the present version.
 func (d *Discovery) Current() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.current
 }
 
-// turn is a call's number, and how long it has to wait; below 0: it is turned away.
-func (d *Discovery) turn() (int, time.Duration) {
+// schedule returns a call's number and how long it has to wait; a negative wait means that the call is rejected.
+func (d *Discovery) schedule() (int, time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -231,7 +233,7 @@
 	d.changed.Broadcast()
 }
 
-// FirstNotified is when a state of an upstream was first written to a watcher; false: not yet.
+// FirstNotified returns when a list with this status of an upstream was first written to a client, or false if none was yet.
 func (d *Discovery) FirstNotified(name, status string) (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -239,27 +241,27 @@
 	return at, ok
 }
 
-// Version is the list's.
+// Version returns the present version of the list.
 func (d *Discovery) Version() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.index
 }
 
-// List is the full list, as a configuration's known list.
+// List returns the full list, in the form that a configuration's known list has.
 func (d *Discovery) List() *endpoints.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.since(-1)
 }
 
-// since is what changed after a version; below 0 the full list. The caller holds mu.
+// since returns the changes after a version, or the full list if the version is negative. The caller holds mu.
 func (d *Discovery) since(from int64) *endpoints.List {
 	index := d.index
 	l := &endpoints.List{Index: &index, Snapshot: from < 0, Endpoints: []endpoints.Endpoint{}}
 	for _, v := range d.entries {
-		if v.at > from && (!l.Snapshot || v.e.Status != endpoints.StatusGone) {
-			l.Endpoints = append(l.Endpoints, v.e)
+		if v.version > from && (!l.Snapshot || v.endpoint.Status != endpoints.StatusGone) {
+			l.Endpoints = append(l.Endpoints, v.endpoint)
 		}
 	}
 	return l
@@ -271,7 +273,7 @@
 		http.NotFound(w, r)
 		return
 	}
-	call, wait := d.turn()
+	call, wait := d.schedule()
 	address := ""
 	if local, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr); ok {
 		address = local.String()
@@ -312,7 +314,8 @@
 	d.serveWatch(w, r, call, address)
 }
 
-// write sends a message; the caller holds mu, so that Told is never earlier than the write.
+// write sends a list and records when its entries were first notified. The caller holds mu throughout, so no caller of
+// FirstNotified sees a time before the write.
 func (d *Discovery) write(w http.ResponseWriter, address string, l *endpoints.List) error {
 	out := json.NewEncoder(w)
 	if d.Indent {
--- a/internal/fakes/discovery_watch.go
+++ b/internal/fakes/discovery_watch.go
@@ -10,11 +10,11 @@
 // watch is the state of one watch. The Discovery's mu guards it.
 type watch struct {
 	discovery  *Discovery
-	heartbeats int  // that came due
+	heartbeats int  // number of heartbeat intervals that have passed
 	upToDate   bool // counted in Discovery.current
 }
 
-// setUpToDate keeps Discovery.current. The caller holds mu.
+// setUpToDate sets upToDate and adjusts Discovery.current. The caller holds mu.
 func (s *watch) setUpToDate(upToDate bool) {
 	if upToDate == s.upToDate {
 		return
@@ -27,7 +27,7 @@
 	}
 }
 
-// countHeartbeats wakes the watch at each heartbeat, until done is closed.
+// countHeartbeats counts each heartbeat interval and wakes the watch, until done is closed.
 func (s *watch) countHeartbeats(ticks <-chan time.Time, done <-chan struct{}) {
 	d := s.discovery
 	for {
@@ -47,7 +47,7 @@
 func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request, call int, address string) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil || from > d.index {
-		from = -1 // the full list
+		from = -1 // requests the full list
 	}
 	breaks := d.breaks
 	ticker := time.NewTicker(d.Heartbeat)
--- a/internal/fakes/doc.go
+++ b/internal/fakes/doc.go
@@ -1,20 +1,20 @@
-// Package fakes holds fakes of the systems that orchiddrift meets in service, for tests, the demo and benchmarks. The
+// Package fakes holds fakes of the systems that orchiddrift talks to in production, for tests, the demo and benchmarks. The
 // daemon and the gRPC balancer never import it. All fakes listen on loopback only.
 //
-//   - Node fakes an upstream: cores, a queue, slow start with overload, and faults by time. It speaks the platform's
-//     HTTP/1.1, gRPC over HTTP/2 (RFC 9113) and GraphQL over HTTP, and records arrivals and executions in a Ledger. Service
-//     times are waited for, not computed: a Node uses no CPU for them.
-//   - Discovery fakes the platform's discovery service: a list with polls and watches, as the platform's pages describe them.
-//     It can fall silent, break watches, go down and move to another address. ScriptedDiscovery sends the lines of a script
-//     instead, also such as break the protocol.
-//   - Eureka fakes a Netflix Eureka server, after its published REST operations: leases, overrides, deltas with the
-//     hash code of the applications, a response cache, JSON and XML. Fakes can replicate
-//     writes to each other. There are no regions.
-//   - Etcd fakes one etcd server, after the published v3 API: KV, Lease, Watch and Auth. It has one member, no raft, no
-//     persistence and no nested transactions; revisions are kept up to a fixed number.
-//   - Raw sends and records bytes as a test wants them, for malformed traffic.
+//   - Node fakes an upstream: cores, a queue, slow start with overload, and scheduled faults. It speaks the platform's
+//     HTTP/1.1, gRPC over HTTP/2 (RFC 9113) and GraphQL over HTTP, and records arrivals and executions in a Ledger. A Node
+//     sleeps for the service time of a request and uses no CPU for it.
+//   - Discovery fakes the platform's discovery service: an endpoint list with polls and watches, as the platform documents
+//     them. It can stop answering, break watches, go down and move to another address. ScriptedDiscovery sends the lines of a
+//     script instead, which may violate the protocol.
+//   - Eureka fakes a Netflix Eureka server, according to its published REST operations: leases, overrides, deltas with the
+//     hash code of the applications, a response cache, JSON and XML. Several of them can replicate writes to each other.
+//     Regions are not supported.
+//   - Etcd fakes one etcd server, according to the published v3 API: KV, Lease, Watch and Auth. It has one member, no
+//     Raft, no persistence and no nested transactions, and keeps a fixed number of revisions.
+//   - Raw is an upstream that records requests and answers them with bytes that a test chooses, for malformed traffic.
 //   - CA issues certificates for TLS tests. Reservation keeps a loopback port from other processes.
 //
-// The fakes of protocols are written from what is published of them and share no code with orchiddrift's clients, so that
-// both cannot share a mistake.
+// The protocol fakes are written from the published specifications and share no code with orchiddrift's clients, so that a
+// mistake in a client is not repeated in the fake.
 package fakes
--- a/internal/fakes/etcd.go
+++ b/internal/fakes/etcd.go
@@ -15,65 +15,65 @@
 	"google.golang.org/grpc/metadata"
 )
 
-// EtcdFault is what happens to a write.
+// EtcdFault is the fault that a write meets.
 type EtcdFault int
 
 // The faults of a write.
 const (
 	EtcdFine   EtcdFault = iota
-	EtcdRefuse           // it is not done, and that is said: no leader
-	EtcdLose             // it is done, and the connection tells of an error
-	EtcdLate             // no answer comes, and it is done Late after
-	EtcdHang             // no answer comes, and it is not done
+	EtcdRefuse           // the write is not applied, and the answer says so: no leader
+	EtcdLose             // the write is applied, and the answer is an error of the connection
+	EtcdLate             // no answer; the write is applied EtcdOptions.Late after the client has given up
+	EtcdHang             // no answer; the write is not applied
 )
 
 // EtcdOptions are an Etcd's parameters.
 type EtcdOptions struct {
 	Fault    func() EtcdFault // of each Put, Txn and DeleteRange; nil: none
-	Late     time.Duration
-	TLS      *tls.Config // nil: plain
-	User     string      // where set, calls need the token that Authenticate gives for
-	Password string      // this
-	Delay    time.Duration
+	Late     time.Duration    // of EtcdLate
+	TLS      *tls.Config      // nil: connections are not encrypted
+	User     string           // if set, calls need the token that Authenticate returns for User and Password
+	Password string
+	Delay    time.Duration // added to each write
 }
 
-// Etcd is a store of keys that speaks etcd's v3 API, written from its published protocol: ranges of one key or more, transactions,
-// leases that run out, watches from a revision on. Its one server is a cluster's leader as its clients see it; what it holds
-// outlasts Stop. It keeps all revisions of its life, till Forget, of 100,000 at most.
+// Etcd is a key-value store that speaks etcd's v3 API, written from its published protocol: ranges of one or more keys,
+// transactions, leases that expire, and watches from a revision on. Clients see its one server as the leader of a cluster. Its
+// data survives Stop. It keeps the last 100,000 events at most, until CompactHistory.
 type Etcd struct {
 	options EtcdOptions
 
 	mu        sync.Mutex
-	address   *Reservation // from the first Start to Close
+	address   *Reservation // held from the first Start to Close
 	srv       *grpc.Server
 	kvs       map[string]*mvccpb.KeyValue
 	leases    map[int64]*etcdLease
 	revision  int64
 	compacted int64
 	nextLease int64
-	events    []*mvccpb.Event // by revision, from compacted on
+	events    []*mvccpb.Event // sorted by revision, from compacted on
 	changed   chan struct{}   // closed at the next event
 	writes    int
 	running   sync.WaitGroup
 }
 
 type etcdLease struct {
-	ttl  time.Duration
-	ends *time.Timer
-	keys map[string]bool
+	ttl         time.Duration
+	expireTimer *time.Timer
+	keys        map[string]bool
 }
 
 const (
-	etcdToken  = "stand-in"
-	etcdEvents = 100_000
+	etcdToken     = "stand-in"
+	maxEtcdEvents = 100_000
 )
 
-// NewEtcd returns one that does not listen yet.
+// NewEtcd returns a store that does not listen yet; see Start.
 func NewEtcd(o EtcdOptions) *Etcd {
 	return &Etcd{options: o, kvs: map[string]*mvccpb.KeyValue{}, leases: map[int64]*etcdLease{}, revision: 1, nextLease: 0x1000, changed: make(chan struct{})}
 }
 
-// Start listens, again where it did before, and returns where.
+// Start serves at a free loopback port and returns the address. After Stop it serves at the same address again.
 func (e *Etcd) Start() (string, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -88,11 +88,11 @@
 	if err != nil {
 		return "", err
 	}
-	options := []grpc.ServerOption{grpc.UnaryInterceptor(func(ctx context.Context, q any, _ *grpc.UnaryServerInfo, do grpc.UnaryHandler) (any, error) {
-		if _, opens := q.(*etcdserverpb.AuthenticateRequest); !opens && !e.authorized(ctx) {
+	options := []grpc.ServerOption{grpc.UnaryInterceptor(func(ctx context.Context, q any, _ *grpc.UnaryServerInfo, handler grpc.UnaryHandler) (any, error) {
+		if _, authenticates := q.(*etcdserverpb.AuthenticateRequest); !authenticates && !e.authorized(ctx) {
 			return nil, rpctypes.ErrGRPCInvalidAuthToken
 		}
-		return do(ctx, q)
+		return handler(ctx, q)
 	})}
 	if e.options.TLS != nil {
 		options = append(options, grpc.Creds(credentials.NewTLS(e.options.TLS)))
@@ -103,11 +103,11 @@
 	etcdserverpb.RegisterLeaseServer(srv, etcdLeases{Etcd: e})
 	etcdserverpb.RegisterWatchServer(srv, etcdWatches{Etcd: e})
 	etcdserverpb.RegisterAuthServer(srv, etcdAuth{Etcd: e})
-	e.running.Go(func() { _ = srv.Serve(l) }) // Stop ends it
+	e.running.Go(func() { _ = srv.Serve(l) }) // ends with Stop
 	return e.address.Address, nil
 }
 
-// Stop ends all connections, and listens no more.
+// Stop closes all connections and the listener, and waits until the server has ended.
 func (e *Etcd) Stop() {
 	e.mu.Lock()
 	srv := e.srv
@@ -116,32 +116,32 @@
 	e.running.Wait()
 }
 
-// Close is Stop for good.
+// Close stops the server for good and releases its address.
 func (e *Etcd) Close() {
 	e.Stop()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, l := range e.leases {
-		l.ends.Stop()
+		l.expireTimer.Stop()
 	}
 	e.address.Release()
 }
 
-// Keys is the number of keys.
+// Keys returns the number of keys.
 func (e *Etcd) Keys() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.kvs)
 }
 
-// Writes is the number of writes so far.
+// Writes returns the number of writes that were applied.
 func (e *Etcd) Writes() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.writes
 }
 
-// Expire ends all leases of at most ttl, as if their owners had been gone for so long.
+// Expire ends all leases whose time to live is at most ttl, as if their owners had not renewed them for that long.
 func (e *Etcd) Expire(ttl time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -152,7 +152,7 @@
 	}
 }
 
-// CompactHistory compacts: all revisions but the last are forgotten.
+// CompactHistory compacts the history: it discards all events, and watches can start only from the present revision on.
 func (e *Etcd) CompactHistory() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -169,13 +169,13 @@
 	return &etcdserverpb.ResponseHeader{ClusterId: 1, MemberId: 1, RaftTerm: 1, Revision: e.revision}
 }
 
-// expireLease ends a lease with its keys. mu is held.
+// expireLease ends a lease and deletes its keys. The caller holds mu.
 func (e *Etcd) expireLease(id int64) {
 	l := e.leases[id]
 	if l == nil {
 		return
 	}
-	l.ends.Stop()
+	l.expireTimer.Stop()
 	delete(e.leases, id)
 	if len(l.keys) > 0 {
 		e.revision++
--- a/internal/fakes/etcd_services.go
+++ b/internal/fakes/etcd_services.go
@@ -39,7 +39,7 @@
 	return r, err
 }
 
-// Txn does one branch. Its writes have one revision; a transaction in a transaction is not known here.
+// Txn applies the branch that the comparisons select. All its writes get one revision. Nested transactions are not supported.
 func (e etcdKV) Txn(ctx context.Context, q *etcdserverpb.TxnRequest) (*etcdserverpb.TxnResponse, error) {
 	r := &etcdserverpb.TxnResponse{Succeeded: true}
 	var leases []int64
@@ -63,17 +63,17 @@
 			}
 		}
 		for _, op := range ops {
-			of := &etcdserverpb.ResponseOp{}
+			response := &etcdserverpb.ResponseOp{}
 			switch {
 			case op.GetRequestRange() != nil:
-				of.Response = &etcdserverpb.ResponseOp_ResponseRange{ResponseRange: e.read(op.GetRequestRange())}
+				response.Response = &etcdserverpb.ResponseOp_ResponseRange{ResponseRange: e.read(op.GetRequestRange())}
 			case op.GetRequestPut() != nil:
 				e.put(op.GetRequestPut())
-				of.Response = &etcdserverpb.ResponseOp_ResponsePut{ResponsePut: &etcdserverpb.PutResponse{Header: e.header()}}
+				response.Response = &etcdserverpb.ResponseOp_ResponsePut{ResponsePut: &etcdserverpb.PutResponse{Header: e.header()}}
 			case op.GetRequestDeleteRange() != nil:
-				of.Response = &etcdserverpb.ResponseOp_ResponseDeleteRange{ResponseDeleteRange: e.deleteRange(op.GetRequestDeleteRange())}
+				response.Response = &etcdserverpb.ResponseOp_ResponseDeleteRange{ResponseDeleteRange: e.deleteRange(op.GetRequestDeleteRange())}
 			}
-			r.Responses = append(r.Responses, of)
+			r.Responses = append(r.Responses, response)
 		}
 		r.Header = e.header()
 	})
@@ -94,7 +94,7 @@
 		id = e.nextLease
 	}
 	ttl := time.Duration(max(1, q.TTL)) * time.Second
-	e.leases[id] = &etcdLease{ttl: ttl, keys: map[string]bool{}, ends: time.AfterFunc(ttl, func() {
+	e.leases[id] = &etcdLease{ttl: ttl, keys: map[string]bool{}, expireTimer: time.AfterFunc(ttl, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.Etcd.expireLease(id)
@@ -119,8 +119,8 @@
 			return err
 		}
 		e.mu.Lock()
-		r := &etcdserverpb.LeaseKeepAliveResponse{Header: e.header(), ID: q.ID} // TTL 0: there is none
-		if l := e.leases[q.ID]; l != nil && l.ends.Reset(l.ttl) {
+		r := &etcdserverpb.LeaseKeepAliveResponse{Header: e.header(), ID: q.ID} // TTL 0: there is no such lease
+		if l := e.leases[q.ID]; l != nil && l.expireTimer.Reset(l.ttl) {
 			r.TTL = int64(l.ttl / time.Second)
 		}
 		e.mu.Unlock()
@@ -137,28 +137,28 @@
 
 type etcdWatch struct {
 	q    *etcdserverpb.WatchCreateRequest
-	next int64 // revision
+	next int64 // the first revision whose events were not sent yet
 }
 
-// Watch serves a stream's watches one after another, whenever there are events.
+// Watch serves all watches of a stream in one goroutine: it sends their pending events and handles the client's requests in turn.
 func (e etcdWatches) Watch(stream etcdserverpb.Watch_WatchServer) error {
-	asked := make(chan *etcdserverpb.WatchRequest)
+	requests := make(chan *etcdserverpb.WatchRequest)
 	go func() {
-		defer close(asked)
+		defer close(requests)
 		for {
 			q, err := stream.Recv()
 			if err != nil {
 				return
 			}
 			select {
-			case asked <- q:
+			case requests <- q:
 			case <-stream.Context().Done():
 				return
 			}
 		}
 	}()
 	watches := map[int64]*etcdWatch{}
-	last := int64(-1)
+	lastID := int64(-1)
 	for {
 		e.mu.Lock()
 		changed := e.changed
@@ -171,15 +171,15 @@
 			}
 		}
 		select {
-		case q, ok := <-asked:
+		case q, ok := <-requests:
 			if !ok {
 				return nil
 			}
 			r := &etcdserverpb.WatchResponse{Header: header}
 			if c := q.GetCreateRequest(); c != nil {
-				last++
-				watches[last] = &etcdWatch{q: c, next: cmp.Or(c.StartRevision, header.Revision+1)}
-				r.WatchId, r.Created = last, true
+				lastID++
+				watches[lastID] = &etcdWatch{q: c, next: cmp.Or(c.StartRevision, header.Revision+1)}
+				r.WatchId, r.Created = lastID, true
 			} else if c := q.GetCancelRequest(); c != nil {
 				delete(watches, c.WatchId)
 				r.WatchId, r.Canceled = c.WatchId, true
@@ -194,8 +194,8 @@
 	}
 }
 
-// pendingResponses are the events that watches have not got yet. Watches from a compacted revision are cancelled and deleted. The
-// caller holds mu.
+// pendingResponses returns the events that the watches have not received yet. It cancels and deletes watches that start at a
+// compacted revision. The caller holds mu.
 func (e *Etcd) pendingResponses(watches map[int64]*etcdWatch) []*etcdserverpb.WatchResponse {
 	var out []*etcdserverpb.WatchResponse
 	for id, w := range watches {
@@ -207,7 +207,7 @@
 		r := &etcdserverpb.WatchResponse{Header: e.header(), WatchId: id}
 		first := sort.Search(len(e.events), func(i int) bool { return e.events[i].Kv.ModRevision >= w.next })
 		for _, event := range e.events[first:] {
-			if inRange(string(event.Kv.Key), w.q.Key, w.q.RangeEnd) && w.wants(event) {
+			if inRange(string(event.Kv.Key), w.q.Key, w.q.RangeEnd) && w.matches(event) {
 				r.Events = append(r.Events, event)
 			}
 		}
@@ -219,7 +219,7 @@
 	return out
 }
 
-func (w *etcdWatch) wants(event *mvccpb.Event) bool {
+func (w *etcdWatch) matches(event *mvccpb.Event) bool {
 	for _, f := range w.q.Filters {
 		if f == etcdserverpb.WatchCreateRequest_NOPUT && event.Type == mvccpb.Event_PUT ||
 			f == etcdserverpb.WatchCreateRequest_NODELETE && event.Type == mvccpb.Event_DELETE {
--- a/internal/fakes/etcd_store.go
+++ b/internal/fakes/etcd_store.go
@@ -13,11 +13,13 @@
 	"google.golang.org/grpc/status"
 )
 
-func inRange(key string, from, end []byte) bool {
+// inRange reports whether a key is in a range in the form of etcd's requests: an empty end means the key start alone,
+// a zero byte all keys from start on.
+func inRange(key string, start, end []byte) bool {
 	if len(end) == 0 {
-		return key == string(from)
+		return key == string(start)
 	}
-	return key >= string(from) && (bytes.Equal(end, []byte{0}) || key < string(end))
+	return key >= string(start) && (bytes.Equal(end, []byte{0}) || key < string(end))
 }
 
 func (e *Etcd) read(q *etcdserverpb.RangeRequest) *etcdserverpb.RangeResponse {
@@ -39,9 +41,9 @@
 
 func (e *Etcd) put(q *etcdserverpb.PutRequest) {
 	kv := &mvccpb.KeyValue{Key: q.Key, Value: q.Value, Lease: q.Lease, ModRevision: e.revision, CreateRevision: e.revision, Version: 1}
-	if was := e.kvs[string(q.Key)]; was != nil {
-		kv.CreateRevision, kv.Version = was.CreateRevision, was.Version+1
-		if l := e.leases[was.Lease]; l != nil {
+	if previous := e.kvs[string(q.Key)]; previous != nil {
+		kv.CreateRevision, kv.Version = previous.CreateRevision, previous.Version+1
+		if l := e.leases[previous.Lease]; l != nil {
 			delete(l.keys, string(q.Key))
 		}
 	}
@@ -93,8 +95,9 @@
 	return order != 0
 }
 
-// write makes a change, or has its fault.
-func (e *Etcd) write(ctx context.Context, leases []int64, do func()) error {
+// write applies a write after Delay, or has its fault. It fails if one of the leases that the write names does not
+// exist.
+func (e *Etcd) write(ctx context.Context, leases []int64, change func()) error {
 	if e.options.Delay > 0 {
 		time.Sleep(e.options.Delay)
 	}
@@ -111,14 +114,14 @@
 			}
 		}
 		e.writes++
-		do()
+		change()
 		return nil
 	}
 	switch fault {
 	case EtcdRefuse:
 		return rpctypes.ErrGRPCNoLeader
 	case EtcdLose:
-		_ = apply() // nobody hears of it
+		_ = apply() // the client is not told whether it succeeded
 		return status.Error(codes.Unavailable, "the connection is lost")
 	case EtcdLate, EtcdHang:
 		<-ctx.Done()
@@ -130,7 +133,7 @@
 	return apply()
 }
 
-// remove takes a key out, at the present revision.
+// remove deletes a key at the present revision. The caller holds mu.
 func (e *Etcd) remove(key string) {
 	if kv := e.kvs[key]; kv != nil {
 		delete(e.kvs, key)
@@ -141,10 +144,12 @@
 	}
 }
 
+// appendEvent adds an event and wakes the watches. At the limit it discards the older half of the events. The caller
+// holds mu.
 func (e *Etcd) appendEvent(event *mvccpb.Event) {
-	if len(e.events) == etcdEvents {
-		e.compacted = e.events[etcdEvents/2].Kv.ModRevision
-		e.events = append([]*mvccpb.Event(nil), e.events[etcdEvents/2:]...)
+	if len(e.events) == maxEtcdEvents {
+		e.compacted = e.events[maxEtcdEvents/2].Kv.ModRevision
+		e.events = append([]*mvccpb.Event(nil), e.events[maxEtcdEvents/2:]...)
 	}
 	e.events = append(e.events, event)
 	close(e.changed)
--- a/internal/fakes/eureka.go
+++ b/internal/fakes/eureka.go
@@ -16,20 +16,20 @@
 	"time"
 )
 
-// EurekaOptions are an Eureka's parameters.
+// EurekaOptions are the parameters of an Eureka.
 type EurekaOptions struct {
-	CacheFor         time.Duration    // answers are made anew only so often, as real servers do every 30 s; 0: always
-	KeepDelta        time.Duration    // how long a change stands in /apps/delta; 0: three minutes
-	SelfPreservation bool             // self-preservation: where more than 15% of the leases run out at once, none does
-	NumbersAsText    bool             // numbers in the JSON are texts
-	User             string           // where set, basic authentication with
-	Password         string           // this
+	CacheFor         time.Duration // how long an answer stays cached (30 s on real servers); 0: not at all
+	KeepDelta        time.Duration // how long /apps/delta lists a change; 0: three minutes
+	SelfPreservation bool          // if more than 15% of the leases have expired at once, keep them all
+	NumbersAsText    bool          // write numbers in JSON as strings
+	User             string        // if set, requests need basic authentication with User and Password
+	Password         string
 	Now              func() time.Time // nil: time.Now
 }
 
-// Eureka is a registry: the server side of Eureka's REST operations, with leases, overrides, a queue of changes, an answer
-// cache and scripted faults. Its documents and its sum are made from the published formats alone. Replicas are Eurekas
-// that Replicate to each other; without that they disagree.
+// Eureka is a registry: the server side of Eureka's REST operations, with leases, overrides, a queue of changes, a response
+// cache and scripted faults. Its documents and its hash code follow the published formats alone. Several Eurekas become
+// replicas of one registry through Replicate; without it they are independent.
 type Eureka struct {
 	Base string // http://address/eureka
 
@@ -37,7 +37,7 @@
 	srv     *http.Server
 	done    chan struct{}
 
-	bytes         atomic.Int64 // of answers' bodies
+	bytes         atomic.Int64 // total size of the response bodies
 	mu            sync.Mutex
 	apps          map[string]map[string]*EurekaInstance
 	queue         []eurekaChange
@@ -46,11 +46,11 @@
 	peers         []*Eureka
 	fault         func(path string) EurekaFault
 	calls         map[string]int
-	firstNotified map[int]time.Time // by version: when the first answer that has it began to be written
+	firstNotified map[int]time.Time // by version, when the first answer with it or a later one began to be written
 	lastNotified  int               // the last version sent to a client
 }
 
-// EurekaInstance is one registration.
+// EurekaInstance is the registration of one instance.
 type EurekaInstance struct {
 	App, ID, Host, IP, VIP string
 	Status, Overridden     string
@@ -66,7 +66,7 @@
 
 type eurekaChange struct {
 	at time.Time
-	i  EurekaInstance
+	i  EurekaInstance // after the change
 }
 
 type eurekaAnswer struct {
@@ -75,20 +75,20 @@
 	version int
 }
 
-// EurekaFault is what goes wrong with one answer.
+// EurekaFault is the fault of one answer.
 type EurekaFault int
 
 // The faults.
 const (
 	EurekaFine      EurekaFault = iota
-	EurekaDown                  // 503
-	EurekaCut                   // half of the answer, and a close
-	EurekaHTML                  // a proxy's page with 200
-	EurekaHangs                 // nothing, until the client leaves
-	EurekaWrongSum              // apps__hashcode of another registry
-	EurekaHuge                  // 20 MB of blanks within the document
-	EurekaNoDelta               // 403 for /apps/delta
-	EurekaLostDelta             // the delta is empty, its sum is right: changes were lost
+	EurekaDown                  // status 503
+	EurekaCut                   // the connection closes after half of the body
+	EurekaHTML                  // an HTML page of a proxy, with status 200
+	EurekaHangs                 // no answer until the client closes the connection
+	EurekaWrongSum              // the apps__hashcode of another registry
+	EurekaHuge                  // 20 MiB of spaces within the document
+	EurekaNoDelta               // status 403 for /apps/delta
+	EurekaLostDelta             // the delta is empty although its hash code is right: changes were lost
 )
 
 // NewEureka starts a registry at a free loopback port.
@@ -113,13 +113,13 @@
 	return e, nil
 }
 
-// Close ends it.
+// Close stops the registry and closes its connections.
 func (e *Eureka) Close() {
 	_ = e.srv.Close()
 	<-e.done
 }
 
-// Restart forgets everything, as a server does that starts anew.
+// Restart discards all registrations and changes, as a restart of a server does.
 func (e *Eureka) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -127,27 +127,28 @@
 	e.firstNotified, e.lastNotified = map[int]time.Time{}, 0
 }
 
-// Replicate has what is written here written to peers too.
+// Replicate makes later registrations, status changes and cancellations apply to peers too. Renewals are not replicated.
 func (e *Eureka) Replicate(peers ...*Eureka) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.peers = peers
 }
 
-// Fault sets what goes wrong with answers to GET from now on; nil: nothing.
+// Fault sets the function that chooses the fault of each answer to GET from now on; nil: no faults.
 func (e *Eureka) Fault(script func(path string) EurekaFault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault = script
 }
 
-// Calls is how often a method and path below the base were asked for.
-func (e *Eureka) Calls(what string) int {
+// Calls returns the number of requests with a method and a path below the base, written as "GET /apps".
+func (e *Eureka) Calls(methodAndPath string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.calls[what]
+	return e.calls[methodAndPath]
 }
 
+// ServeHTTP answers Eureka's REST operations below /eureka and /eureka/v2.
 func (e *Eureka) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	path, ok := strings.CutPrefix(r.URL.Path, "/eureka")
 	if path = strings.TrimSuffix(strings.TrimPrefix(path, "/v2"), "/"); !ok {
@@ -162,8 +163,8 @@
 	e.calls[r.Method+" "+path]++
 	e.mu.Unlock()
 	part := strings.Split(strings.TrimPrefix(path, "/"), "/")
-	known := func(there bool) {
-		if !there {
+	notFoundUnless := func(found bool) {
+		if !found {
 			w.WriteHeader(http.StatusNotFound)
 		}
 	}
@@ -179,19 +180,19 @@
 		e.Put(i)
 		w.WriteHeader(http.StatusNoContent)
 	case r.Method == http.MethodPut && len(part) == 3:
-		known(e.renew(part[1], part[2]))
+		notFoundUnless(e.renew(part[1], part[2]))
 	case r.Method == http.MethodPut && len(part) == 4 && part[3] == "status":
-		known(e.Override(part[1], part[2], r.URL.Query().Get("value")))
+		notFoundUnless(e.Override(part[1], part[2], r.URL.Query().Get("value")))
 	case r.Method == http.MethodDelete && len(part) == 4 && part[3] == "status":
-		known(e.Override(part[1], part[2], ""))
+		notFoundUnless(e.Override(part[1], part[2], ""))
 	case r.Method == http.MethodDelete && len(part) == 3:
-		known(e.Cancel(part[1], part[2]))
+		notFoundUnless(e.Cancel(part[1], part[2]))
 	default:
 		w.WriteHeader(http.StatusMethodNotAllowed)
 	}
 }
 
-// get answers a GET from the response cache or anew, with the scripted fault.
+// get answers a GET from the response cache or with a new document, with the scripted fault.
 func (e *Eureka) get(w http.ResponseWriter, r *http.Request, path string, part []string) {
 	e.mu.Lock()
 	fault := EurekaFine
@@ -252,26 +253,26 @@
 	_, _ = w.Write(body)
 }
 
-// compressed returns a body in gzip.
+// compressed returns a body compressed with gzip.
 func compressed(body []byte) []byte {
-	var packed bytes.Buffer
-	z := gzip.NewWriter(&packed)
-	_, _ = z.Write(body) // into memory: it cannot fail
-	_ = z.Close()
-	return packed.Bytes()
+	var buffer bytes.Buffer
+	zipper := gzip.NewWriter(&buffer)
+	_, _ = zipper.Write(body) // writes to memory do not fail
+	_ = zipper.Close()
+	return buffer.Bytes()
 }
 
-// Bytes is what the bodies of all answers came to.
+// Bytes returns the total size of all response bodies.
 func (e *Eureka) Bytes() int64 { return e.bytes.Load() }
 
-// Version counts the changes so far.
+// Version returns the number of changes so far.
 func (e *Eureka) Version() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.version
 }
 
-// FirstNotified is the time right before the first byte of the first answer with a version or a later one; zero: there was none.
+// FirstNotified returns the time right before the first answer with a version or a later one was written, or zero if none was.
 func (e *Eureka) FirstNotified(version int) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fakes/eureka_document.go
+++ b/internal/fakes/eureka_document.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// document makes the answer to a GET of a path; false if there is none. The caller holds mu.
+// document returns the answer to a GET of a path, or false if the path names nothing. The caller holds mu.
 func (e *Eureka) document(part []string, asXML bool, fault EurekaFault) ([]byte, bool) {
 	var instances []EurekaInstance
 	add := func(want func(*EurekaInstance) bool) {
@@ -66,7 +66,7 @@
 	instances []EurekaInstance
 }
 
-// hashCode is the apps__hashcode: the number of instances by status. The caller holds mu.
+// hashCode returns the apps__hashcode: the number of instances by status. The caller holds mu.
 func (e *Eureka) hashCode() string {
 	counts := map[string]int{}
 	for _, app := range e.apps {
@@ -81,7 +81,7 @@
 	return hash
 }
 
-// groupByApplication groups consecutive instances of one application, and keeps their order.
+// groupByApplication groups consecutive instances of the same application and keeps their order.
 func groupByApplication(instances []EurekaInstance) []eurekaApplication {
 	var apps []eurekaApplication
 	for _, i := range instances {
@@ -93,7 +93,7 @@
 	return apps
 }
 
-// xmlDocument is the document in XML. The caller holds mu.
+// xmlDocument returns the document in XML. The caller holds mu.
 func (e *Eureka) xmlDocument(root string, apps []eurekaApplication, hash string) []byte {
 	var b bytes.Buffer
 	if root == "applications" {
@@ -112,7 +112,7 @@
 	return b.Bytes()
 }
 
-// jsonDocument is the document in JSON, with lists as XStream writes them. The caller holds mu.
+// jsonDocument returns the document in JSON, with lists as XStream writes them. The caller holds mu.
 func (e *Eureka) jsonDocument(root string, apps []eurekaApplication, hash string) ([]byte, bool) {
 	var all []any
 	for _, a := range apps {
@@ -130,7 +130,7 @@
 	return text, err == nil
 }
 
-// xstreamList is a list as XStream writes it to JSON: null if empty, and the element itself if there is one.
+// xstreamList returns a list as XStream writes it to JSON: null if empty, and the bare element if there is only one.
 func xstreamList(list []any) any {
 	switch len(list) {
 	case 0:
@@ -141,9 +141,9 @@
 	return list
 }
 
-func (i *EurekaInstance) document(texts bool) map[string]any {
-	n := func(v int64) any {
-		if texts {
+func (i *EurekaInstance) document(numbersAsText bool) map[string]any {
+	number := func(v int64) any {
+		if numbersAsText {
 			return strconv.FormatInt(v, 10)
 		}
 		return v
@@ -156,12 +156,12 @@
 	return map[string]any{
 		"instanceId": i.ID, "hostName": i.Host, "app": i.App, "ipAddr": i.IP, "status": i.Status,
 		"overriddenStatus": i.Overridden, "vipAddress": i.VIP, "actionType": i.action, "countryId": 1,
-		"port":           map[string]any{"$": n(int64(i.Port)), "@enabled": onOff(!i.PortOff)},
-		"securePort":     map[string]any{"$": n(int64(i.SecurePort)), "@enabled": onOff(i.SecureOn)},
+		"port":           map[string]any{"$": number(int64(i.Port)), "@enabled": onOff(!i.PortOff)},
+		"securePort":     map[string]any{"$": number(int64(i.SecurePort)), "@enabled": onOff(i.SecureOn)},
 		"dataCenterInfo": map[string]any{"@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn"},
-		"leaseInfo": map[string]any{"renewalIntervalInSecs": 30, "durationInSecs": n(int64(i.Lease.Seconds())),
-			"registrationTimestamp": n(i.registered.UnixMilli()), "lastRenewalTimestamp": n(i.renewed.UnixMilli()),
-			"evictionTimestamp": 0, "serviceUpTimestamp": n(max(0, i.Up.UnixMilli()))},
+		"leaseInfo": map[string]any{"renewalIntervalInSecs": 30, "durationInSecs": number(int64(i.Lease.Seconds())),
+			"registrationTimestamp": number(i.registered.UnixMilli()), "lastRenewalTimestamp": number(i.renewed.UnixMilli()),
+			"evictionTimestamp": 0, "serviceUpTimestamp": number(max(0, i.Up.UnixMilli()))},
 		"metadata": metadata, "homePageUrl": "http://" + i.Host + "/", "isCoordinatingDiscoveryServer": "false",
 		"lastUpdatedTimestamp": strconv.FormatInt(i.renewed.UnixMilli(), 10),
 	}
@@ -182,12 +182,12 @@
 
 func escaped(text string) string {
 	var b strings.Builder
-	_ = xml.EscapeText(&b, []byte(text)) // into memory
+	_ = xml.EscapeText(&b, []byte(text)) // writes to memory do not fail
 	return b.String()
 }
 
-// readEurekaInstance reads what an instance registers with.
-func readEurekaInstance(from io.Reader) (EurekaInstance, error) {
+// readEurekaInstance decodes the JSON body of a registration, of 1 MiB at most.
+func readEurekaInstance(body io.Reader) (EurekaInstance, error) {
 	var in struct {
 		Instance struct {
 			InstanceID, HostName, App, IPAddr, VIPAddress, Status string
@@ -198,7 +198,7 @@
 			LeaseInfo struct{ DurationInSecs int }
 		}
 	}
-	if err := json.NewDecoder(io.LimitReader(from, 1<<20)).Decode(&in); err != nil {
+	if err := json.NewDecoder(io.LimitReader(body, 1<<20)).Decode(&in); err != nil {
 		return EurekaInstance{}, err
 	}
 	i := in.Instance
--- a/internal/fakes/eureka_registry.go
+++ b/internal/fakes/eureka_registry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Put registers an instance, or registers it anew.
+// Put registers an instance or replaces its registration, also at the peers.
 func (e *Eureka) Put(i EurekaInstance) {
 	for _, p := range e.register(i) {
 		p.register(i)
@@ -24,7 +24,7 @@
 	if i.Overridden == "" {
 		i.Overridden = "UNKNOWN"
 	}
-	if old := e.apps[i.App][i.ID]; old != nil && old.Overridden != "UNKNOWN" { // an override outlives a registration
+	if old := e.apps[i.App][i.ID]; old != nil && old.Overridden != "UNKNOWN" { // an override survives a new registration
 		i.Overridden, i.Status = old.Overridden, old.Overridden
 	}
 	if e.apps[i.App] == nil {
@@ -35,12 +35,13 @@
 	return e.peers
 }
 
-// SetStatus is what an instance says of itself.
+// SetStatus sets the status that an instance itself reports. It returns false if the instance is not registered.
 func (e *Eureka) SetStatus(app, id, status string) bool {
 	return e.change(app, id, func(i *EurekaInstance) { i.Status, i.action = status, "MODIFIED" })
 }
 
-// Override is an operator's word, until it is taken back with "".
+// Override sets an operator's status override, or removes it if status is empty. It returns false if the instance is
+// not registered.
 func (e *Eureka) Override(app, id, status string) bool {
 	return e.change(app, id, func(i *EurekaInstance) {
 		if i.action = "MODIFIED"; status == "" {
@@ -51,18 +52,18 @@
 	})
 }
 
-// Cancel ends a registration.
+// Cancel removes a registration. It returns false if there is none.
 func (e *Eureka) Cancel(app, id string) bool {
 	return e.change(app, id, func(i *EurekaInstance) { i.action = "DELETED" })
 }
 
-func (e *Eureka) change(app, id string, how func(*EurekaInstance)) bool {
-	there := false
+func (e *Eureka) change(app, id string, modify func(*EurekaInstance)) bool {
+	found := false
 	e.mu.Lock()
 	if old := e.apps[strings.ToUpper(app)][id]; old != nil {
-		there = true
+		found = true
 		i := *old
-		how(&i)
+		modify(&i)
 		e.store(&i)
 	}
 	peers := e.peers
@@ -71,12 +72,12 @@
 		p.mu.Lock()
 		if old := p.apps[strings.ToUpper(app)][id]; old != nil {
 			i := *old
-			how(&i)
+			modify(&i)
 			p.store(&i)
 		}
 		p.mu.Unlock()
 	}
-	return there
+	return found
 }
 
 func (e *Eureka) store(i *EurekaInstance) {
@@ -96,7 +97,7 @@
 	}
 }
 
-// renew tells whether the instance is known.
+// renew renews an instance's lease. It returns false if the instance is not registered.
 func (e *Eureka) renew(app, id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -107,24 +108,24 @@
 	return i != nil
 }
 
-// expire ends the leases that have run out.
+// expire removes old changes from the queue and instances whose leases have expired. The caller holds mu.
 func (e *Eureka) expire(now time.Time) {
 	for len(e.queue) > 0 && now.Sub(e.queue[0].at) > e.options.KeepDelta {
 		e.queue = e.queue[1:]
 	}
-	var out []*EurekaInstance
-	all := 0
+	var expired []*EurekaInstance
+	total := 0
 	for _, app := range e.apps {
 		for _, i := range app {
-			if all++; now.Sub(i.renewed) > i.Lease {
-				out = append(out, i)
+			if total++; now.Sub(i.renewed) > i.Lease {
+				expired = append(expired, i)
 			}
 		}
 	}
-	if e.options.SelfPreservation && len(out)*100 > 15*all {
+	if e.options.SelfPreservation && len(expired)*100 > 15*total {
 		return
 	}
-	for _, old := range out {
+	for _, old := range expired {
 		i := *old
 		i.action = "DELETED"
 		e.store(&i)
--- a/internal/fakes/fault.go
+++ b/internal/fakes/fault.go
@@ -2,41 +2,41 @@
 
 import "time"
 
-// FaultKind is what goes wrong.
+// FaultKind is the kind of a fault.
 type FaultKind int
 
-// The faults. Those that a transport can't show in its own way are said for it in brackets.
+// The kinds of faults. A transport without a form of its own for a fault shows the one in brackets.
 const (
-	Slow             FaultKind = iota // work takes Factor times as long
-	Freeze                            // nothing moves
-	Reject                            // full: turned away unseen, with the platform's mark
-	Fail                              // runs, then answers an error (500; INTERNAL)
-	FailNotExecuted                   // answers an error without a run and without the mark
-	ResetBefore                       // breaks the connection before it runs
-	ResetAfter                        // runs, then breaks the connection
-	LoseAnswer                        // runs, then says nothing
-	Hang                              // does not run, says nothing
-	Malformed                         // runs, then answers what can't be read
-	Truncate                          // runs, then breaks the connection within the answer
+	Slow             FaultKind = iota // requests take Factor times as long
+	Freeze                            // the node makes no progress on any request
+	Reject                            // rejects as if full, with the platform's mark that it was not processed
+	Fail                              // executes, then answers with an error (500; INTERNAL)
+	FailNotExecuted                   // answers with an error, without executing and without the mark
+	ResetBefore                       // resets the connection before executing
+	ResetAfter                        // executes, then resets the connection
+	LoseAnswer                        // executes, then never answers
+	Hang                              // neither executes nor answers
+	Malformed                         // executes, then answers with bytes that cannot be parsed
+	Truncate                          // executes, then resets the connection within the answer
 	RefuseStream                      // gRPC: REFUSED_STREAM [HTTP: Reject]
-	ErrorNotExecuted                  // GraphQL: an error whose code says that it did not run [Reject]
-	ErrorExecuted                     // GraphQL: runs, then answers an error without data [Fail]
-	GoAway                            // gRPC: GOAWAY below the stream; the connection takes no more [HTTP: Reject, closes]
+	ErrorNotExecuted                  // GraphQL: an error whose code says that it was not executed [Reject]
+	ErrorExecuted                     // GraphQL: executes, then answers with an error and no data [Fail]
+	GoAway                            // gRPC: GOAWAY that excludes the stream and all new ones [HTTP: Reject, closes]
 )
 
-// Fault is one line of a node's script. Times count from the node's start.
+// Fault is one scheduled fault of a node. Times count from the node's creation.
 type Fault struct {
 	Kind     FaultKind
-	From, To time.Duration // To 0: for ever
-	Every    time.Duration // within that it comes back this often,
-	For      time.Duration // and stays for this long; Every 0: all the time
-	Share    float64       // of the requests that it strikes; 0: all
+	From, To time.Duration // To 0: without end
+	Every    time.Duration // period at which it recurs between From and To; 0: it is active all the time
+	For      time.Duration // how long it is active in each period
+	Share    float64       // fraction of the requests that it affects; 0: all
 	Factor   float64       // of Slow
-	Class    string        // only this class; empty: all
+	Class    string        // only requests of this class; empty: all
 }
 
-// active tells whether the fault is on at t, and when that changes next; 0: never.
-func (f *Fault) active(t time.Duration) (on bool, change time.Duration) {
+// active reports whether the fault is active at t, and when that changes next; 0: never.
+func (f *Fault) active(t time.Duration) (isActive bool, change time.Duration) {
 	switch {
 	case t < f.From:
 		return false, f.From
@@ -46,7 +46,7 @@
 		return true, f.To
 	}
 	phase := (t - f.From) % f.Every
-	if on = phase < f.For; on {
+	if isActive = phase < f.For; isActive {
 		change = t - phase + f.For
 	} else {
 		change = t - phase + f.Every
@@ -54,5 +54,5 @@
 	if f.To > 0 {
 		change = min(change, f.To)
 	}
-	return on, change
+	return isActive, change
 }
--- a/internal/fakes/flipper.go
+++ b/internal/fakes/flipper.go
@@ -7,37 +7,38 @@
 	"time"
 )
 
-// Flipper flips instances of a registry between up and out of service at random, and holds what reaches them against what
-// the registry's clients had been notified of by then.
+// Flipper flips instances of a registry between up and out of service at random, and records requests that reach an
+// instance after the registry's clients were notified that it is out of service.
 type Flipper struct {
 	Eureka *Eureka
 	App    string
-	Within time.Duration // nothing new may come later than this after a client was notified
+	Within time.Duration // a request that arrives later than this after a client was notified is a violation
 
-	mu    sync.Mutex
-	nodes map[string]*flipped
-	late  []time.Duration // of each flip that anything came after: from the flip to the last that came
-	wrong []time.Duration // from the notification of a client to what came later than Within
-	flips int
+	mu           sync.Mutex
+	nodes        map[string]*flippedInstance
+	lastArrivals []time.Duration // for each flip that requests arrived after: from the flip to the last of them
+	violations   []time.Duration // from a client's notification to each request that arrived later than Within
+	flips        int
 }
 
-type flipped struct {
+// flippedInstance is the state of one instance since its last flip out of service.
+type flippedInstance struct {
 	out     bool
 	at      time.Time
-	version int
-	last    time.Duration // of what came after the flip
+	version int           // of the registry after the flip
+	last    time.Duration // from the flip to the last request that arrived after it
 }
 
-// NewFlipper returns one for instances that are up.
+// NewFlipper returns a Flipper for instances that are up.
 func NewFlipper(e *Eureka, app string, within time.Duration, ids ...string) *Flipper {
-	f := &Flipper{Eureka: e, App: app, Within: within, nodes: map[string]*flipped{}}
+	f := &Flipper{Eureka: e, App: app, Within: within, nodes: map[string]*flippedInstance{}}
 	for _, id := range ids {
-		f.nodes[id] = &flipped{}
+		f.nodes[id] = &flippedInstance{}
 	}
 	return f
 }
 
-// Flip flips one at random; no more than half of them are out of service.
+// Flip flips one instance at random, unless that would put more than half of them out of service.
 func (f *Flipper) Flip(rng *rand.Rand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -53,7 +54,7 @@
 	n := f.nodes[id]
 	f.flips++
 	if n.out {
-		f.note(n)
+		f.recordLastArrival(n)
 		n.out = false
 		f.Eureka.Override(f.App, id, "")
 		return
@@ -66,7 +67,7 @@
 	n.version = f.Eureka.Version()
 }
 
-// RecordArrival says that something new reached an instance just now.
+// RecordArrival records that a new request reached an instance just now.
 func (f *Flipper) RecordArrival(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,26 +77,26 @@
 	}
 	n.last = time.Since(n.at)
 	if notified := f.Eureka.FirstNotified(n.version); !notified.IsZero() && time.Since(notified) > f.Within {
-		f.wrong = append(f.wrong, time.Since(notified))
+		f.violations = append(f.violations, time.Since(notified))
 	}
 }
 
-func (f *Flipper) note(n *flipped) {
+func (f *Flipper) recordLastArrival(n *flippedInstance) {
 	if n.last > 0 {
-		f.late = append(f.late, n.last)
+		f.lastArrivals = append(f.lastArrivals, n.last)
 	}
 }
 
-// Result is the number of flips, from each flip out of service to the last that came after it, and what came later than
-// allowed.
-func (f *Flipper) Result() (flips int, last, wrong []time.Duration) {
+// Result returns the number of flips, the sorted times from each flip out of service to the last request that arrived after
+// it, and the time from notification to arrival of each violation.
+func (f *Flipper) Result() (flips int, last, violations []time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, n := range f.nodes {
 		if n.out {
-			f.note(n)
+			f.recordLastArrival(n)
 			n.last = 0
 		}
 	}
-	return f.flips, slices.Sorted(slices.Values(f.late)), f.wrong
+	return f.flips, slices.Sorted(slices.Values(f.lastArrivals)), f.violations
 }
--- a/internal/fakes/graphql.go
+++ b/internal/fakes/graphql.go
@@ -11,17 +11,17 @@
 	"github.com/vektah/gqlparser/v2/parser"
 )
 
-// Codes of errors of a fake GraphQL node.
+// Error codes of a node that serves GraphQL.
 const (
-	GraphQLNotExecuted = "OVERLOADED"          // it has not run
-	GraphQLFailed      = "SERVICE_UNAVAILABLE" // it has failed
+	GraphQLNotExecuted = "OVERLOADED"          // the operation was not executed
+	GraphQLFailed      = "SERVICE_UNAVAILABLE" // the operation failed
 )
 
-// ListenGraphQL makes the node serve GraphQL over HTTP at address, and returns where. It reads requests as a lenient server
-// does: with the standard library's decoder, which takes keys in other letters and the last of two, and runs the operation
-// that operationName selects. Each execution of a mutation is a run in the ledger, of the operation that the first argument
-// called id, key or requestId names, in an input too; queries by the request's id. The argument requestId is the key
-// by which repeats are dropped. An argument cost is the work, in microseconds. The class is "query" or "mutation".
+// ListenGraphQL makes the node serve GraphQL over HTTP at address, and returns the address. It reads requests as a lenient
+// server does: with the standard library's decoder, which ignores the case of keys and takes the last of duplicate keys. It
+// executes the operation that operationName selects. The ledger records executions under the value of an argument called
+// id, key or requestId, also within an input object, and else under the request's ID. The argument requestId is also the
+// idempotency key. The argument cost is the work in microseconds. The class is "query" or "mutation".
 func (n *Node) ListenGraphQL(address string) (string, error) {
 	return n.listen(address, func(c net.Conn) { n.serveHTTP(c, graphqlJob) })
 }
@@ -32,10 +32,10 @@
 	return []byte(`{"errors":[{"message":` + strconv.Quote(message) + `,"extensions":{"code":` + strconv.Quote(code) + `}}]}`)
 }
 
-func graphqlJob(req *http.Request, payload []byte) spoken {
-	s := spoken{headers: graphqlHeaders, unrunned: graphqlError("full", GraphQLNotExecuted), failed: graphqlError("failed", GraphQLFailed)}
-	refuse := func(message string) spoken {
-		s.refusal, s.failed = "400 Bad Request", graphqlError(message, "BAD_REQUEST")
+func graphqlJob(req *http.Request, payload []byte) parsedRequest {
+	s := parsedRequest{headers: graphqlHeaders, notExecutedBody: graphqlError("full", GraphQLNotExecuted), errorBody: graphqlError("failed", GraphQLFailed)}
+	badRequest := func(message string) parsedRequest {
+		s.errorStatus, s.errorBody = "400 Bad Request", graphqlError(message, "BAD_REQUEST")
 		return s
 	}
 	var r struct {
@@ -43,23 +43,23 @@
 		Variables            map[string]any
 	}
 	if err := json.Unmarshal(payload, &r); err != nil {
-		return refuse(err.Error())
+		return badRequest(err.Error())
 	}
 	doc, err := parser.ParseQuery(&ast.Source{Input: r.Query})
 	if err != nil {
-		return refuse(err.Error())
+		return badRequest(err.Error())
 	}
 	op := doc.Operations.ForName(r.OperationName)
 	if op == nil || len(op.SelectionSet) == 0 {
-		return refuse("no such operation")
+		return badRequest("no such operation")
 	}
 	s.job = Job{ID: req.Header.Get("X-Request-ID"), Class: string(op.Operation), Payload: payload}
 	var names []string
 	eachField(doc, op.SelectionSet, func(f *ast.Field) {
 		names = append(names, f.Alias)
 		for _, a := range f.Arguments {
-			value, _ := a.Value.Value(r.Variables) // what can't be read names nothing
-			s.job.argument(a.Name, value)
+			value, _ := a.Value.Value(r.Variables) // a value that cannot be evaluated is ignored
+			s.job.setArgument(a.Name, value)
 		}
 	})
 	s.answer = func(node []byte) []byte {
@@ -67,17 +67,18 @@
 		for _, name := range names {
 			data[name] = string(node)
 		}
-		body, _ := json.Marshal(map[string]any{"data": data}) // texts can be written
+		body, _ := json.Marshal(map[string]any{"data": data}) // a map of strings can always be encoded
 		return body
 	}
 	return s
 }
 
-func (j *Job) argument(name string, value any) {
+// setArgument takes a job's operation, key and work from an argument, and from the fields of an input object.
+func (j *Job) setArgument(name string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
 		for name, value := range v {
-			j.argument(name, value)
+			j.setArgument(name, value)
 		}
 	case string:
 		switch name {
@@ -97,7 +98,7 @@
 	}
 }
 
-// eachField visits the fields of a selection, fragments included.
+// eachField visits the fields of a selection set, including those of fragments.
 func eachField(doc *ast.QueryDocument, set ast.SelectionSet, visit func(*ast.Field)) {
 	for _, s := range set {
 		switch s := s.(type) {
--- a/internal/fakes/grpc.go
+++ b/internal/fakes/grpc.go
@@ -16,54 +16,54 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// Metadata keys by which a client tells a node what its answer is to be. Only fakes use them.
+// Metadata keys by which a client chooses the node's answer. Only fakes use them.
 const (
-	MessagesKey = "x-messages" // a server stream of so many messages
-	GapKey      = "x-gap-us"   // and so long between two of them, in microseconds
-	EchoKey     = "x-echo"     // answers each message of a client stream with itself, as it comes
+	MessagesKey = "x-messages" // number of messages of a server stream
+	GapKey      = "x-gap-us"   // pause between two of them, in microseconds
+	EchoKey     = "x-echo"     // if not empty, the node echoes each message of a client stream as it arrives
 	CostKey     = "x-cost"     // work in microseconds
-	StatusKey   = "x-status"   // runs, then answers this grpc-status: what the application says, not a fault
+	StatusKey   = "x-status"   // executes, then answers this grpc-status as an application's own error, not as a fault
 )
 
-// ListenGRPC makes the node serve gRPC over HTTP/2 without TLS at address, and returns where. It is written on the
-// frames, not with a server library: only so can a test say when a stream is refused, and what the wire proves.
-// Method paths are /service/Method; the class of a Job is the path without its first slash.
+// ListenGRPC makes the node serve gRPC over HTTP/2 at address, and returns the address. It handles the frames itself
+// instead of using a server library, so that a test can choose when a stream is refused and with which frames. Method
+// paths are /service/Method; the class of a Job is the path without its first slash.
 func (n *Node) ListenGRPC(address string) (string, error) { return n.listen(address, n.serveGRPC) }
 
-// ServeGRPC is ListenGRPC on a listener at hand, which need not be a socket's.
+// ServeGRPC is ListenGRPC with an existing listener, which need not belong to a socket.
 func (n *Node) ServeGRPC(l net.Listener) { n.accept(l, n.serveGRPC) }
 
-// h2conn is one connection. Frames are written under mu.
+// h2conn is one HTTP/2 connection. Frames are written with mu locked.
 type h2conn struct {
 	n   *Node
 	c   net.Conn
 	ctx context.Context
 
-	mu      sync.Mutex
-	room    *sync.Cond // of the windows
-	framer  *http2.Framer
-	head    bytes.Buffer
-	encoder *hpack.Encoder
-	window  int64 // what the connection may send
-	initial int64 // window of a new stream
-	streams map[uint32]*h2stream
-	highest uint32 // of the streams that were handed to the core, or what GOAWAY says
-	floor   uint32 // of those that the core did not refuse: no GOAWAY may be below it
-	going   bool   // GOAWAY was sent: nothing above highest is taken
-	ended   bool
+	mu               sync.Mutex
+	windowChanged    *sync.Cond // also signals the end of a stream or of the connection
+	framer           *http2.Framer
+	headerBlock      bytes.Buffer
+	encoder          *hpack.Encoder
+	window           int64 // bytes that the connection may send
+	initialWindow    int64 // window of a new stream
+	streams          map[uint32]*h2stream
+	lastStream       uint32 // highest ID of the streams that were started, or the last stream ID of the GOAWAY
+	highestProcessed uint32 // highest ID of the streams that were not refused: the last stream ID of a GOAWAY cannot be below it
+	goingAway        bool   // GOAWAY was sent: streams above lastStream are ignored
+	ended            bool
 }
 
 type h2stream struct {
-	id       uint32
-	path     string
-	meta     map[string]string
-	body     bytes.Buffer
-	messages chan []byte // of an echo stream, as they come
-	window   int64
-	ctx      context.Context
-	cancel   context.CancelFunc
-	headSent bool
-	ended    bool // trailers were sent
+	id          uint32
+	path        string
+	meta        map[string]string
+	body        bytes.Buffer
+	messages    chan []byte // of an echo stream, in order of arrival
+	window      int64
+	ctx         context.Context
+	cancel      context.CancelFunc
+	headersSent bool
+	ended       bool // trailers were sent
 }
 
 func (n *Node) serveGRPC(c net.Conn) {
@@ -73,10 +73,10 @@
 	}
 	ctx, cancel := context.WithCancel(n.ctx)
 	defer cancel()
-	h := &h2conn{n: n, c: c, ctx: ctx, framer: http2.NewFramer(c, c), window: 65535, initial: 65535,
+	h := &h2conn{n: n, c: c, ctx: ctx, framer: http2.NewFramer(c, c), window: 65535, initialWindow: 65535,
 		streams: map[uint32]*h2stream{}}
-	h.room = sync.NewCond(&h.mu)
-	h.encoder = hpack.NewEncoder(&h.head)
+	h.windowChanged = sync.NewCond(&h.mu)
+	h.encoder = hpack.NewEncoder(&h.headerBlock)
 	h.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
 	settings := []http2.Setting{{ID: http2.SettingInitialWindowSize, Val: 1 << 20}}
 	if n.options.MaxConcurrentStreams > 0 {
@@ -90,12 +90,12 @@
 	cancel()
 	h.mu.Lock()
 	h.ended = true
-	h.room.Broadcast()
+	h.windowChanged.Broadcast()
 	h.mu.Unlock()
 	serving.Wait()
 }
 
-// write writes a frame; what fails shows at the next read.
+// write writes a frame. It drops the error, because the next read fails as well.
 func (h *h2conn) write(frame func() error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -117,11 +117,11 @@
 		defer h.mu.Unlock()
 		if v, ok := f.Value(http2.SettingInitialWindowSize); ok {
 			for _, s := range h.streams {
-				s.window += int64(v) - h.initial
+				s.window += int64(v) - h.initialWindow
 			}
-			h.initial = int64(v)
+			h.initialWindow = int64(v)
 		}
-		h.room.Broadcast()
+		h.windowChanged.Broadcast()
 		return h.framer.WriteSettingsAck()
 	case *http2.PingFrame:
 		if !f.IsAck() {
@@ -135,7 +135,7 @@
 		} else if s := h.streams[f.StreamID]; s != nil {
 			s.window += int64(f.Increment)
 		}
-		h.room.Broadcast()
+		h.windowChanged.Broadcast()
 	case *http2.RSTStreamFrame:
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -143,20 +143,21 @@
 			s.cancel()
 		}
 	case *http2.MetaHeadersFrame:
-		h.open(f, serving)
+		h.openStream(f, serving)
 	case *http2.DataFrame:
-		h.data(f, serving)
+		h.handleData(f, serving)
 	}
 	return nil
 }
 
-func (h *h2conn) open(f *http2.MetaHeadersFrame, serving *sync.WaitGroup) {
+// openStream handles the header block of a new stream.
+func (h *h2conn) openStream(f *http2.MetaHeadersFrame, serving *sync.WaitGroup) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.going && f.StreamID > h.highest {
-		return // GOAWAY says so
+	if h.goingAway && f.StreamID > h.lastStream {
+		return // the GOAWAY tells the client that this stream is not processed
 	}
-	s := &h2stream{id: f.StreamID, meta: map[string]string{}, window: h.initial}
+	s := &h2stream{id: f.StreamID, meta: map[string]string{}, window: h.initialWindow}
 	s.ctx, s.cancel = context.WithCancel(h.ctx)
 	for _, field := range f.Fields {
 		if field.Name == ":path" {
@@ -164,7 +165,7 @@
 		}
 		s.meta[field.Name] = field.Value
 	}
-	if t, ok := timeout(s.meta["grpc-timeout"]); ok { // work stops when its time is up
+	if t, ok := parseTimeout(s.meta["grpc-timeout"]); ok { // the work stops when the client's timeout expires
 		s.ctx, s.cancel = context.WithTimeout(s.ctx, t)
 	}
 	h.streams[s.id] = s
@@ -177,26 +178,27 @@
 	}
 }
 
-// start hands a stream to the core. The caller holds mu.
+// start serves a stream in a goroutine of its own. The caller holds mu.
 func (h *h2conn) start(s *h2stream, serving *sync.WaitGroup) {
-	if h.going && s.id > h.highest { // its head came before the GOAWAY was sent, the rest after
+	if h.goingAway && s.id > h.lastStream { // its headers arrived before the GOAWAY was sent, the rest after
 		s.cancel()
 		delete(h.streams, s.id)
 		return
 	}
-	h.highest = max(h.highest, s.id)
+	h.lastStream = max(h.lastStream, s.id)
 	serving.Go(func() {
 		h.serve(s)
 		s.cancel()
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		delete(h.streams, s.id)
-		if h.going && len(h.streams) == 0 {
+		if h.goingAway && len(h.streams) == 0 {
 			h.c.Close()
 		}
 	})
 }
 
+// finishBody handles the end of a stream's request body. The caller holds mu.
 func (h *h2conn) finishBody(s *h2stream, serving *sync.WaitGroup) {
 	if s.messages != nil {
 		close(s.messages)
@@ -205,11 +207,12 @@
 	h.start(s, serving)
 }
 
-func (h *h2conn) data(f *http2.DataFrame, serving *sync.WaitGroup) {
+// handleData handles a DATA frame, and gives the client back the window that it used.
+func (h *h2conn) handleData(f *http2.DataFrame, serving *sync.WaitGroup) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if size := uint32(f.Length); size > 0 {
-		_ = h.framer.WriteWindowUpdate(0, size) // what fails shows at the next read
+		_ = h.framer.WriteWindowUpdate(0, size) // after an error the next read fails
 	}
 	s := h.streams[f.StreamID]
 	if s == nil || s.body.Len() > 8<<20 {
@@ -226,8 +229,8 @@
 		}
 		select {
 		case s.messages <- message:
-		default: // a client that does not read its echo
-			_ = h.framer.WriteRSTStream(s.id, http2.ErrCodeEnhanceYourCalm) // what fails shows at the next read
+		default: // the client does not read its echo
+			_ = h.framer.WriteRSTStream(s.id, http2.ErrCodeEnhanceYourCalm) // after an error the next read fails
 			s.cancel()
 		}
 	}
@@ -236,7 +239,7 @@
 	}
 }
 
-// serve works on a stream whose body is in, or on an echo stream.
+// serve serves a stream whose request body is complete, or an echo stream.
 func (h *h2conn) serve(s *h2stream) {
 	j := Job{ID: s.meta["x-request-id"], Class: s.path, Key: s.meta["idempotency-key"],
 		Op: s.meta[strings.ToLower(OperationHeader)]}
@@ -254,15 +257,15 @@
 	v := h.n.serve(s.ctx, j)
 	if v.kind != refuseStream && v.kind != goAway {
 		h.mu.Lock()
-		h.floor = max(h.floor, s.id)
+		h.highestProcessed = max(h.highestProcessed, s.id)
 		h.mu.Unlock()
 	}
 	switch v.kind {
 	case answer:
 		h.answer(s, v.body)
-		h.expire(s)
+		h.sendDeadlineExceeded(s)
 	case abandoned:
-		h.expire(s)
+		h.sendDeadlineExceeded(s)
 	case rejected, errorNotExecuted:
 		h.trailers(s, 14, "full", map[string]string{"x-not-processed": "1"}) // UNAVAILABLE
 	case serverError, errorExecuted:
@@ -282,12 +285,12 @@
 	}
 }
 
-// expire answers a stream whose time is up while it was worked on, as servers do.
-func (h *h2conn) expire(s *h2stream) {
+// sendDeadlineExceeded ends a stream whose timeout expired while it was served, as gRPC servers do.
+func (h *h2conn) sendDeadlineExceeded(s *h2stream) {
 	if errors.Is(s.ctx.Err(), context.DeadlineExceeded) {
 		h.trailers(s, 4, "time is up", nil) // DEADLINE_EXCEEDED
 	}
 }
 
-// String names the node for logs.
+// String returns the node's name and zone, for logs.
 func (n *Node) String() string { return fmt.Sprintf("node %s (%s)", n.options.Name, n.options.Zone) }
--- a/internal/fakes/grpc_answer.go
+++ b/internal/fakes/grpc_answer.go
@@ -12,7 +12,7 @@
 	"golang.org/x/net/http2/hpack"
 )
 
-// answer sends a unary answer, a server stream, or echoes a client stream.
+// answer sends a unary answer or a server stream, or echoes a client stream.
 func (h *h2conn) answer(s *h2stream, body []byte) {
 	if s.messages != nil {
 		h.headers(s)
@@ -52,44 +52,47 @@
 	h.trailers(s, 0, "", report)
 }
 
+// headers writes the response headers, unless they were sent already.
 func (h *h2conn) headers(s *h2stream) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.headersLocked(s)
 }
 
+// headersLocked is headers for a caller that holds mu.
 func (h *h2conn) headersLocked(s *h2stream) {
-	if s.headSent {
+	if s.headersSent {
 		return
 	}
-	s.headSent = true
-	h.fields(s, false, ":status", "200", "content-type", "application/grpc")
+	s.headersSent = true
+	h.writeHeaders(s, false, ":status", "200", "content-type", "application/grpc")
 }
 
-// fields writes a header block. The caller holds mu.
-func (h *h2conn) fields(s *h2stream, end bool, pairs ...string) {
-	h.head.Reset()
+// writeHeaders writes a header block of name-value pairs, or trailers if end is set. The caller holds mu.
+func (h *h2conn) writeHeaders(s *h2stream, end bool, pairs ...string) {
+	h.headerBlock.Reset()
 	for i := 0; i < len(pairs); i += 2 {
-		_ = h.encoder.WriteField(hpack.HeaderField{Name: pairs[i], Value: pairs[i+1]}) // a buffer takes everything
+		_ = h.encoder.WriteField(hpack.HeaderField{Name: pairs[i], Value: pairs[i+1]}) // writes to memory do not fail
 	}
-	_ = h.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: h.head.Bytes(), EndHeaders: true, EndStream: end})
+	_ = h.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: h.headerBlock.Bytes(), EndHeaders: true, EndStream: end})
 }
 
-// message writes one message, or with missing above 0 one that is that much shorter than it says.
+// message writes one message whose stated length is missing bytes too long; 0 writes a complete message. It returns
+// false if the stream or the connection has ended.
 func (h *h2conn) message(s *h2stream, m []byte, missing int) bool {
 	out := binary.BigEndian.AppendUint32([]byte{0}, uint32(len(m)+missing))
 	out = append(out, m...)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.headersLocked(s)
-	defer context.AfterFunc(s.ctx, func() { // wakes a writer whose stream was called off
+	defer context.AfterFunc(s.ctx, func() { // wakes the writer when its stream is cancelled
 		h.mu.Lock()
-		h.room.Broadcast()
+		h.windowChanged.Broadcast()
 		h.mu.Unlock()
 	})()
 	for len(out) > 0 {
 		for (h.window <= 0 || s.window <= 0) && !h.ended && s.ctx.Err() == nil {
-			h.room.Wait()
+			h.windowChanged.Wait()
 		}
 		if h.ended || s.ctx.Err() != nil {
 			return false
@@ -105,8 +108,8 @@
 	return true
 }
 
-// trailers ends a stream; alone where nothing was sent before.
-func (h *h2conn) trailers(s *h2stream, code int, text string, more map[string]string) {
+// trailers ends a stream with trailers, or with a response of trailers alone if nothing was sent before.
+func (h *h2conn) trailers(s *h2stream, code int, text string, additional map[string]string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if s.ended {
@@ -114,45 +117,46 @@
 	}
 	s.ended = true
 	pairs := []string{"grpc-status", strconv.Itoa(code), "grpc-message", text}
-	for name, value := range more {
+	for name, value := range additional {
 		pairs = append(pairs, name, value)
 	}
-	if !s.headSent {
+	if !s.headersSent {
 		pairs = append([]string{":status", "200", "content-type", "application/grpc"}, pairs...)
 	}
-	h.fields(s, true, pairs...)
+	h.writeHeaders(s, true, pairs...)
 }
 
-// refuse proves on the wire that the stream was not processed. GOAWAY may be sent only below streams of which none
-// was: where a later one is in work already, this one is refused by itself.
+// refuse tells the client with RST_STREAM or GOAWAY that the stream was not processed. A GOAWAY would cover all later
+// streams too: if one of them is in progress or was processed, refuse resets this stream, and the GOAWAY covers only
+// streams that are yet to come.
 func (h *h2conn) refuse(s *h2stream, goAway bool) {
 	h.n.options.Ledger.count(h.n.options.Name, func(c *NodeCount) { c.StreamsRefused++ })
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !goAway || h.highest > s.id || h.floor > s.id {
+	if !goAway || h.lastStream > s.id || h.highestProcessed > s.id {
 		_ = h.framer.WriteRSTStream(s.id, http2.ErrCodeRefusedStream)
 		if !goAway {
 			return
 		}
 	} else {
-		h.highest = h.floor
+		h.lastStream = h.highestProcessed
 		for id := range maps.Keys(h.streams) {
 			if id < s.id {
-				h.highest = max(h.highest, id)
+				h.lastStream = max(h.lastStream, id)
 			}
 		}
 	}
-	h.going = true
-	_ = h.framer.WriteGoAway(h.highest, http2.ErrCodeNo, []byte("going"))
+	h.goingAway = true
+	_ = h.framer.WriteGoAway(h.lastStream, http2.ErrCodeNo, []byte("going"))
 }
 
 func (h *h2conn) flushAndReset() {
-	time.Sleep(5 * time.Millisecond) // lets the part that was written go out ahead of the reset
+	time.Sleep(5 * time.Millisecond) // lets the bytes already written reach the client before the reset
 	reset(h.c)
 }
 
-// timeout reads a grpc-timeout.
-func timeout(text string) (time.Duration, bool) {
+// parseTimeout parses a grpc-timeout.
+func parseTimeout(text string) (time.Duration, bool) {
 	if text == "" {
 		return 0, false
 	}
@@ -166,7 +170,7 @@
 	return time.Duration(v) * unit, true
 }
 
-// takeMessage takes one length-prefixed message off a body.
+// takeMessage removes one length-prefixed message from a body. It returns false if the message is not complete yet.
 func takeMessage(b *bytes.Buffer) ([]byte, bool) {
 	head := b.Bytes()
 	if len(head) < 5 {
--- a/internal/fakes/http1.go
+++ b/internal/fakes/http1.go
@@ -12,39 +12,41 @@
 	"time"
 )
 
-// OperationHeader names the client's operation to a node, as a metadata key too. Only fakes use it.
+// OperationHeader is the header, and in lower case the gRPC metadata key, that carries Job.Op. Only fakes use it.
 const OperationHeader = "X-Operation"
 
-// ListenHTTP makes the node serve the platform's HTTP/1.1 at address ("127.0.0.1:0": a free port), and returns where.
+// ListenHTTP makes the node serve the platform's HTTP/1.1 at address ("127.0.0.1:0": a free port), and returns the
+// address.
 func (n *Node) ListenHTTP(address string) (string, error) {
 	return n.listen(address, func(c net.Conn) { n.serveHTTP(c, platformJob) })
 }
 
-// spoken is what a request is to the core, and the texts of its protocol. A refusal ends the request before the core.
-type spoken struct {
-	job              Job
-	refusal          string                   // a status line; empty: it is a request
-	answer           func(body []byte) []byte // nil: as it is
-	headers          string                   // of answers
-	unrunned, failed []byte                   // bodies of the protocol's own errors; nil: it has none
+// parsedRequest is a request as a Job, with the texts of its protocol. A request with an errorStatus is not executed.
+type parsedRequest struct {
+	job                        Job
+	errorStatus                string                   // status code and reason phrase; empty: the request is valid
+	answer                     func(body []byte) []byte // formats the body; nil: it is sent unchanged
+	headers                    string                   // of answers
+	notExecutedBody, errorBody []byte                   // of answers with the protocol's own errors; nil: it has none
 }
 
-// platformJob reads the platform's requests.
-func platformJob(req *http.Request, payload []byte) spoken {
+// platformJob returns the Job of a request in the platform's HTTP/1.1.
+func platformJob(req *http.Request, payload []byte) parsedRequest {
 	class, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
-	s := spoken{job: Job{ID: req.Header.Get("X-Request-ID"), Class: class, Key: req.Header.Get("Idempotency-Key"),
+	s := parsedRequest{job: Job{ID: req.Header.Get("X-Request-ID"), Class: class, Key: req.Header.Get("Idempotency-Key"),
 		Op: req.Header.Get(OperationHeader), Payload: payload}}
 	if us, err := strconv.ParseFloat(req.Header.Get("X-Cost"), 64); err == nil {
 		s.job.Work = time.Duration(us * float64(time.Microsecond))
 	}
 	if s.job.ID == "" {
-		s.refusal = "404 Not Found"
+		s.errorStatus = "404 Not Found"
 	}
 	return s
 }
 
-// serveHTTP serves one connection. What reads it runs beside what answers, so that a client that leaves is seen.
-func (n *Node) serveHTTP(c net.Conn, read func(*http.Request, []byte) spoken) {
+// serveHTTP serves one connection. One goroutine reads requests while another answers them, so that a client that closes
+// the connection is noticed at once.
+func (n *Node) serveHTTP(c net.Conn, parse func(*http.Request, []byte) parsedRequest) {
 	ctx, cancel := context.WithCancel(n.ctx)
 	defer cancel()
 	requests := make(chan *http.Request)
@@ -70,47 +72,47 @@
 		}
 	})
 	for req := range requests {
-		if !n.answerHTTP(ctx, c, req, read) {
+		if !n.answerHTTP(ctx, c, req, parse) {
 			break
 		}
 	}
-	c.Close() // ends the reader
+	c.Close() // ends the reading goroutine
 	for range requests {
 	}
 }
 
-// answerHTTP tells whether the connection goes on.
-func (n *Node) answerHTTP(ctx context.Context, c net.Conn, req *http.Request, read func(*http.Request, []byte) spoken) bool {
-	payload, _ := io.ReadAll(req.Body) // it is in memory
+// answerHTTP answers one request and reports whether the connection stays open.
+func (n *Node) answerHTTP(ctx context.Context, c net.Conn, req *http.Request, parse func(*http.Request, []byte) parsedRequest) bool {
+	payload, _ := io.ReadAll(req.Body) // reads from memory do not fail
 	if req.URL.Path == "/-/load" {
 		if n.waitWhileFrozen(ctx) != nil {
 			return false
 		}
-		return say(c, "200 OK", "", n.loadReport())
+		return writeResponse(c, "200 OK", "", n.loadReport())
 	}
-	s := read(req, payload)
-	if s.refusal != "" {
-		return say(c, s.refusal, s.headers, s.failed)
+	s := parse(req, payload)
+	if s.errorStatus != "" {
+		return writeResponse(c, s.errorStatus, s.headers, s.errorBody)
 	}
 	v := n.serve(ctx, s.job)
 	if s.answer != nil {
 		v.body = s.answer(v.body)
 	}
 	switch {
-	case v.kind == errorNotExecuted && s.unrunned != nil:
-		return say(c, "200 OK", s.headers, s.unrunned)
-	case v.kind == errorExecuted && s.failed != nil:
-		return say(c, "200 OK", s.headers, s.failed)
+	case v.kind == errorNotExecuted && s.notExecutedBody != nil:
+		return writeResponse(c, "200 OK", s.headers, s.notExecutedBody)
+	case v.kind == errorExecuted && s.errorBody != nil:
+		return writeResponse(c, "200 OK", s.headers, s.errorBody)
 	}
 	switch v.kind {
 	case answer:
-		return say(c, "200 OK", s.headers, v.body)
+		return writeResponse(c, "200 OK", s.headers, v.body)
 	case rejected, refuseStream, errorNotExecuted:
-		return say(c, "503 Service Unavailable", "X-Not-Processed: 1\r\n", nil)
+		return writeResponse(c, "503 Service Unavailable", "X-Not-Processed: 1\r\n", nil)
 	case goAway:
-		say(c, "503 Service Unavailable", "X-Not-Processed: 1\r\nConnection: close\r\n", nil)
+		writeResponse(c, "503 Service Unavailable", "X-Not-Processed: 1\r\nConnection: close\r\n", nil)
 	case serverError, errorExecuted:
-		return say(c, "500 Internal Server Error", "", nil)
+		return writeResponse(c, "500 Internal Server Error", "", nil)
 	case malformed:
 		_, _ = io.WriteString(c, "\x16\x03\x01 no HTTP\r\n\r\n")
 		<-ctx.Done()
@@ -123,7 +125,7 @@
 	return false
 }
 
-func say(c net.Conn, status, headers string, body []byte) bool {
+func writeResponse(c net.Conn, status, headers string, body []byte) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %s\r\n%sContent-Length: %d\r\n\r\n%s", status, headers, len(body), body)
 	return err == nil
 }
--- a/internal/fakes/keys.go
+++ b/internal/fakes/keys.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// IdempotencyKeys is how a group of nodes drops repeats of keyed requests: for Window after the first run, a repeat gets
-// that one's answer and does not run. It is safe for concurrent use; a nil one remembers nothing. It forgets what is
-// older than its window, looking through all at most twice a window.
+// IdempotencyKeys is the store by which a group of nodes deduplicates keyed requests: for a window after the first
+// execution, a request with the same key gets the stored answer and is not executed. It is safe for concurrent use; a
+// nil one stores nothing. It scans all keys for expired ones at most twice a window.
 type IdempotencyKeys struct {
 	window time.Duration
 
@@ -21,12 +21,12 @@
 	body []byte
 }
 
-// NewIdempotencyKeys returns an empty one.
+// NewIdempotencyKeys returns an empty store whose answers expire after window.
 func NewIdempotencyKeys(window time.Duration) *IdempotencyKeys {
 	return &IdempotencyKeys{window: window, keys: map[string]storedAnswer{}}
 }
 
-// recall gives a key's answer, if it is remembered.
+// recall returns the answer that is stored under a key, if there is one.
 func (m *IdempotencyKeys) recall(key string) ([]byte, bool) {
 	if m == nil || key == "" {
 		return nil, false
@@ -37,7 +37,7 @@
 	return k.body, ok && time.Since(k.at) <= m.window
 }
 
-// claim remembers a key's answer, or gives the one that is remembered.
+// claim stores an answer under a key. If an answer is stored there already, it returns that one and true.
 func (m *IdempotencyKeys) claim(key string, body []byte) ([]byte, bool) {
 	if m == nil || key == "" {
 		return nil, false
--- a/internal/fakes/ledger.go
+++ b/internal/fakes/ledger.go
@@ -7,53 +7,53 @@
 	"time"
 )
 
-// Ledger is what the nodes of a fleet did, kept in one place so that runs of one request on two nodes are seen. It
-// holds an entry for each operation that is not counted only, and is safe for concurrent use.
+// Ledger records what the nodes of a fleet did, in one place so that it shows executions of one request on two nodes.
+// It holds an entry for each operation, unless CountOnly is set, and is safe for concurrent use.
 type Ledger struct {
-	CountOnly bool // keep no operations, for long runs; set before use
+	CountOnly bool // keeps no operations, for long runs; set before use
 
 	mu    sync.Mutex
 	ops   map[string]*Operation
 	nodes map[string]*NodeCount
 }
 
-// Operation is what one request of a client did, over all nodes and all tries.
+// Operation is the record of one client operation, over all nodes and all attempts.
 type Operation struct {
-	ID         string // Job.Operation
+	ID         string // Job.Op, or Job.ID if that is empty
 	Class      string
 	Key        string
-	Executions []Execution // executions that began, oldest first
+	Executions []Execution // executions that started, oldest first
 }
 
-// Execution is one execution.
+// Execution is one execution that started on a node.
 type Execution struct {
 	Node  string
 	Group int
 	At    time.Time
 }
 
-// NodeCount is what one node saw.
+// NodeCount holds the counts of one node.
 type NodeCount struct {
 	Arrived        int           // complete requests, whatever their result
-	Executed       int           // executions that began
-	Rejected       int           // proved not to have run
-	Faults         int           // requests that a scripted fault struck; Slow and Freeze strike nobody in particular
-	StoredAnswers  int           // keyed requests answered from memory
-	Work           time.Duration // asked for by what arrived, on a yardstick core
-	MaxInFlight    int           // in hand at once
-	Overloaded     bool          // pushed over while cold
-	AfterDrain     int           // arrived after Node.Drain
-	LastAfterDrain time.Duration // the longest after it
-	Probes         int           // requests for its load
-	StreamsRefused int           // of them gRPC streams that were refused by the wire: REFUSED_STREAM, GOAWAY
+	Executed       int           // executions that started
+	Rejected       int           // requests that were provably not executed
+	Faults         int           // requests that a scheduled fault other than Slow and Freeze affected
+	StoredAnswers  int           // keyed requests answered with a stored answer
+	Work           time.Duration // sum over the requests that arrived, on a core with ServiceRate 1
+	MaxInFlight    int           // highest number of requests in flight at once
+	Overloaded     bool          // stopped from overload during slow start
+	AfterDrain     int           // requests that arrived after Node.Drain
+	LastAfterDrain time.Duration // from Node.Drain to the last of them
+	Probes         int           // requests for the load report
+	StreamsRefused int           // of Rejected, gRPC streams refused with REFUSED_STREAM or GOAWAY
 }
 
-// NewLedger returns an empty one.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger {
 	return &Ledger{ops: map[string]*Operation{}, nodes: map[string]*NodeCount{}}
 }
 
-// count changes a node's counts.
+// count applies a change to a node's counts.
 func (l *Ledger) count(node string, change func(*NodeCount)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,7 +65,7 @@
 	change(c)
 }
 
-// recordExecution notes an execution that begins.
+// recordExecution records that an execution starts.
 func (l *Ledger) recordExecution(n *Node, j Job) {
 	l.count(n.options.Name, func(c *NodeCount) { c.Executed++ })
 	if l.CountOnly {
@@ -81,7 +81,7 @@
 	op.Executions = append(op.Executions, Execution{n.options.Name, n.options.Group, time.Now()})
 }
 
-// Operation is what an operation did; no Runs if none began.
+// Operation returns the record of an operation, without Executions if none started.
 func (l *Ledger) Operation(id string) Operation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +93,7 @@
 	return Operation{ID: id}
 }
 
-// ExecutedTwice is the operations of a class that ran more than once, sorted by ID.
+// ExecutedTwice returns the IDs of the operations of a class that were executed more than once, sorted.
 func (l *Ledger) ExecutedTwice(class string) (ids []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,7 +106,7 @@
 	return ids
 }
 
-// Operations is how many operations of a class ran at least once.
+// Operations returns the number of operations of a class that were executed at least once.
 func (l *Ledger) Operations(class string) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -118,7 +118,7 @@
 	return n
 }
 
-// Nodes is the counts by node.
+// Nodes returns the counts by node name.
 func (l *Ledger) Nodes() map[string]NodeCount {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fakes/node.go
+++ b/internal/fakes/node.go
@@ -10,33 +10,34 @@
 	"time"
 )
 
-// NodeOptions are a node's parameters. The zero value is a warm node without service time, limits and faults.
+// NodeOptions are the parameters of a node. The zero value is a node with one core and a queue of 1000 requests, without
+// service time, slow start and faults.
 type NodeOptions struct {
 	Name, Zone, Type string
 	Group            int
-	TLS              *tls.Config // absent: connections are not encrypted
+	TLS              *tls.Config // nil: connections are not encrypted
 
-	Cores              int           // requests served at the same time; 0: 1
-	ServiceRate        float64       // service times are divided by it; 0: 1
-	MaxQueue           int           // requests that wait for a core; 0: 1000
+	Cores              int           // requests served at the same time; 0 means 1
+	ServiceRate        float64       // divides the service times; 0 means 1
+	MaxQueue           int           // requests that may wait for a core; 0 means 1000
 	DefaultServiceTime time.Duration // of a request without a cost
 
-	Started              time.Time     // begin of slow start; zero: it is warm
-	SlowStartMinCapacity float64       // fraction of its capacity at the start
-	SlowStartWindow      time.Duration // until full capacity
-	OverloadMultiple     float64       // it stops for good when it receives more than this many times its present capacity
-	OverloadWindow       time.Duration // over this window
+	Started              time.Time     // start of the slow start; zero: no slow start
+	SlowStartMinCapacity float64       // fraction of the full capacity at Started
+	SlowStartWindow      time.Duration // duration of the slow start, in which capacity grows linearly
+	OverloadMultiple     float64       // in slow start, the node goes down above this many times its capacity
+	OverloadWindow       time.Duration // window over which OverloadMultiple counts
 
 	Keys                 *IdempotencyKeys // shared by the nodes of a deduplication group; nil: none
 	Faults               []Fault
 	Seed                 uint64
-	Ledger               *Ledger            // nil: one of its own
-	Answer               func(j Job) []byte // the body; nil: the node's name
+	Ledger               *Ledger            // nil: a new one
+	Answer               func(j Job) []byte // returns the body of an answer; nil: the node's name
 	LoadReports          bool               // gRPC: send an ORCA load report with each answer
 	MaxConcurrentStreams int                // gRPC: SETTINGS_MAX_CONCURRENT_STREAMS; 0: not sent
 }
 
-// Job is a request as a node's core sees it.
+// Job is a request independent of its transport.
 type Job struct {
 	ID, Class, Key string
 	Op             string        // the client's operation, the same for all its retries; empty: ID
@@ -44,6 +45,7 @@
 	Payload        []byte
 }
 
+// operation returns the ID under which the ledger records the job.
 func (j *Job) operation() string {
 	if j.Op != "" {
 		return j.Op
@@ -51,7 +53,7 @@
 	return j.ID
 }
 
-// response is what a transport is to do with a request.
+// response tells a transport how to respond to a request.
 type response struct {
 	kind responseKind
 	body []byte
@@ -63,7 +65,7 @@
 	answer responseKind = iota
 	rejected
 	serverError
-	resetConnection // the connection
+	resetConnection
 	noAnswer
 	malformed
 	truncated
@@ -71,7 +73,7 @@
 	goAway
 	errorNotExecuted
 	errorExecuted
-	abandoned // the client has left
+	abandoned // the client has cancelled the request or closed the connection
 )
 
 // Node is a fake upstream. It is safe for concurrent use.
@@ -91,8 +93,8 @@
 	listeners       []net.Listener
 	conns           map[net.Conn]bool
 	down            bool
-	recentArrivals  []arrival // within OverloadWindow, while cold
-	recentAnswers   float64   // answers, forgotten over a second
+	recentArrivals  []arrival // within OverloadWindow, during slow start
+	recentAnswers   float64   // number of answers with exponential decay, time constant 1 s
 	recentAnswersAt time.Time
 }
 
@@ -115,7 +117,7 @@
 	if o.Ledger == nil {
 		o.Ledger = NewLedger()
 	}
-	o.Ledger.count(o.Name, func(*NodeCount) {}) // it is listed, also if nothing is ever sent to it
+	o.Ledger.count(o.Name, func(*NodeCount) {}) // lists the node even if it never receives a request
 	if o.Answer == nil {
 		o.Answer = func(Job) []byte { return []byte(o.Name) }
 	}
@@ -125,10 +127,10 @@
 	return n
 }
 
-// Options is what the node was made with.
+// Options returns the node's options with their defaults filled in.
 func (n *Node) Options() NodeOptions { return n.options }
 
-// Ledger is where the node writes.
+// Ledger returns the ledger in which the node records requests.
 func (n *Node) Ledger() *Ledger { return n.options.Ledger }
 
 // Drain makes the node reject new requests. It finishes those in flight.
@@ -140,7 +142,8 @@
 	}
 }
 
-// Kill ends the process that the node stands for: its connections break, new ones are refused. Its goroutines end.
+// Kill acts as the end of an upstream process: it resets all connections and closes the listeners. The node's goroutines
+// end soon afterwards.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	n.down = true
@@ -154,7 +157,7 @@
 	n.cancel()
 }
 
-// Close is Kill, and waits for the node's goroutines.
+// Close kills the node and waits until its goroutines have ended.
 func (n *Node) Close() {
 	n.Kill()
 	n.wg.Wait()
@@ -167,14 +170,14 @@
 	return n.down
 }
 
-// InFlight is how many requests it works on or has waiting.
+// InFlight returns the number of requests that are executing or waiting for a core.
 func (n *Node) InFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.inFlight
 }
 
-// loadReport is the node's report of it, and counts that it was asked for.
+// loadReport returns the node's load report, and counts the request for it.
 func (n *Node) loadReport() []byte {
 	n.options.Ledger.count(n.options.Name, func(c *NodeCount) { c.Probes++ })
 	n.mu.Lock()
@@ -182,7 +185,7 @@
 	return fmt.Appendf(nil, "TEXT inflight=%d, queue=%d", n.inFlight, max(0, n.inFlight-n.options.Cores))
 }
 
-// Capacity is the present fraction of full capacity.
+// Capacity returns the present fraction of the full capacity.
 func (n *Node) Capacity() float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -206,7 +209,7 @@
 	if j.Work == 0 {
 		j.Work = n.options.DefaultServiceTime
 	}
-	if overloaded := n.recordArrival(j); overloaded {
+	if stopped := n.recordArrival(j); stopped {
 		return response{kind: resetConnection}
 	}
 	if r, hit := n.faultResponse(j, faultsBeforeExecution, nil); hit {
@@ -252,7 +255,7 @@
 	response responseKind
 }
 
-// Faults in the order in which they are looked for; the first active one decides.
+// Faults in the order in which they are checked; the first active one decides the response.
 var (
 	faultsBeforeExecution = []faultEffect{
 		{RefuseStream, refuseStream},
@@ -284,7 +287,7 @@
 	return response{}, false
 }
 
-// respond returns a fault's response; noAnswer only once ctx has ended.
+// respond returns a fault's response. It returns noAnswer only after ctx has ended.
 func respond(ctx context.Context, r response) response {
 	if r.kind == noAnswer {
 		<-ctx.Done()
@@ -315,21 +318,22 @@
 	return response{}, true
 }
 
-// execute begins the execution: from here on it counts as run. A key is claimed in the same moment: a repeat that comes
-// while the first is at work is dropped like one that comes after it.
+// execute starts the execution of a job, which counts as executed from here on. It claims the idempotency key at once, so
+// that a repeated request during the execution is deduplicated like one after it.
 func (n *Node) execute(j Job) []byte {
 	body := n.options.Answer(j)
-	if kept, repeat := n.options.Keys.claim(j.Key, body); repeat {
+	if stored, repeated := n.options.Keys.claim(j.Key, body); repeated {
 		n.options.Ledger.count(n.options.Name, func(c *NodeCount) { c.StoredAnswers++ })
-		return kept
+		return stored
 	}
 	n.options.Ledger.recordExecution(n, j)
 	return body
 }
 
-// recordArrival counts a request, and tells whether it pushed a cold node over: more than OverloadMultiple times its present
-// capacity, over any window of OverloadWindow, with slack for two of the largest requests.
-func (n *Node) recordArrival(j Job) (fell bool) {
+// recordArrival counts a request and reports whether the node is down. The request stops a node in slow start if the work
+// that arrived within OverloadWindow exceeds OverloadMultiple times the present capacity by more than two of the largest
+// requests.
+func (n *Node) recordArrival(j Job) (stopped bool) {
 	now := time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -341,23 +345,23 @@
 			c.LastAfterDrain = max(c.LastAfterDrain, now.Sub(n.drainedAt))
 		}
 	})
-	present := n.capacity(now)
-	if present >= 1 || n.options.OverloadMultiple <= 0 || n.down {
+	presentCapacity := n.capacity(now)
+	if presentCapacity >= 1 || n.options.OverloadMultiple <= 0 || n.down {
 		n.recentArrivals = nil
 		return n.down
 	}
-	keep := n.recentArrivals[:0]
-	sum, largest := j.Work, j.Work
+	recent := n.recentArrivals[:0]
+	totalWork, largest := j.Work, j.Work
 	for _, a := range n.recentArrivals {
 		if now.Sub(a.at) < n.options.OverloadWindow {
-			keep = append(keep, a)
-			sum += a.work
+			recent = append(recent, a)
+			totalWork += a.work
 			largest = max(largest, a.work)
 		}
 	}
-	n.recentArrivals = append(keep, arrival{now, j.Work})
-	capacity := float64(n.options.Cores) * n.options.ServiceRate * present * float64(n.options.OverloadWindow)
-	if float64(sum) <= n.options.OverloadMultiple*capacity+2*float64(largest) {
+	n.recentArrivals = append(recent, arrival{now, j.Work})
+	capacity := float64(n.options.Cores) * n.options.ServiceRate * presentCapacity * float64(n.options.OverloadWindow)
+	if float64(totalWork) <= n.options.OverloadMultiple*capacity+2*float64(largest) {
 		return false
 	}
 	n.down = true
--- a/internal/fakes/node_accept.go
+++ b/internal/fakes/node_accept.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// listen accepts connections at address and returns it with its port.
 func (n *Node) listen(address string, serve func(net.Conn)) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -17,7 +18,7 @@
 	return l.Addr().String(), nil
 }
 
-// accept serves what comes on a listener, until the node goes down.
+// accept serves the connections of a listener until the listener closes. If the node is down, it resets them.
 func (n *Node) accept(l net.Listener, serve func(net.Conn)) {
 	n.mu.Lock()
 	n.listeners = append(n.listeners, l)
@@ -52,15 +53,15 @@
 	})
 }
 
-// reset ends a connection so that its peer sees it broken.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // only how the end looks depends on it
+		_ = t.SetLinger(0) // after an error the connection closes without a reset
 	}
 	c.Close()
 }
 
-// activeFault tells whether a fault of that kind is on and strikes a request of the class, and gives its Factor.
+// activeFault reports whether an active fault of the kind affects a request of the class, and returns its Factor.
 func (n *Node) activeFault(kind FaultKind, class string) (float64, bool) {
 	t := time.Since(n.createdAt)
 	for i := range n.options.Faults {
@@ -68,7 +69,7 @@
 		if f.Kind != kind || f.Class != "" && f.Class != class {
 			continue
 		}
-		if on, _ := f.active(t); !on {
+		if isActive, _ := f.active(t); !isActive {
 			continue
 		}
 		if f.Share > 0 {
@@ -84,31 +85,32 @@
 	return 0, false
 }
 
-// waitWhileFrozen waits until no freeze is on.
+// waitWhileFrozen waits until no Freeze fault is active.
 func (n *Node) waitWhileFrozen(ctx context.Context) error {
 	for {
-		frozen := time.Duration(-1)
+		frozenUntil := time.Duration(-1)
 		t := time.Since(n.createdAt)
 		for i := range n.options.Faults {
 			if f := &n.options.Faults[i]; f.Kind == Freeze {
-				if on, change := f.active(t); on {
-					frozen = change
+				if isActive, change := f.active(t); isActive {
+					frozenUntil = change
 				}
 			}
 		}
 		switch {
-		case frozen < 0:
+		case frozenUntil < 0:
 			return ctx.Err()
-		case frozen == 0: // for ever
+		case frozenUntil == 0: // the fault never ends
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		if err := sleep(ctx, frozen-t); err != nil {
+		if err := sleep(ctx, frozenUntil-t); err != nil {
 			return err
 		}
 	}
 }
 
+// sleep waits for d, or returns the error of ctx if that ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/fakes/orca.go
+++ b/internal/fakes/orca.go
@@ -8,20 +8,21 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// orcaTrailer is where gRPC clients look for a per-request load report.
+// orcaTrailer is the trailer in which gRPC clients expect a load report for the request.
 const orcaTrailer = "endpoint-load-metrics-bin"
 
-// orcaReport is an xds.data.orca.v3.OrcaLoadReport with cpu_utilization (field 1: requests in hand over cores) and
-// rps_fractional (field 6: answers over the last second or so), as a binary header's text.
+// orcaReport returns an xds.data.orca.v3.OrcaLoadReport with cpu_utilization (field 1: requests in flight per core,
+// at least 0.01) and rps_fractional (field 6: answers with a decay over about a second), in base64 as binary headers
+// have it.
 func (n *Node) orcaReport() string {
 	n.mu.Lock()
 	now := time.Now()
 	n.recentAnswers = n.recentAnswers*math.Exp(-now.Sub(n.recentAnswersAt).Seconds()) + 1
 	n.recentAnswersAt = now
-	rate, busy := n.recentAnswers, math.Max(0.01, float64(n.inFlight)/float64(n.options.Cores))
+	rate, utilization := n.recentAnswers, math.Max(0.01, float64(n.inFlight)/float64(n.options.Cores))
 	n.mu.Unlock()
 	report := protowire.AppendTag(nil, 1, protowire.Fixed64Type)
-	report = protowire.AppendFixed64(report, math.Float64bits(busy))
+	report = protowire.AppendFixed64(report, math.Float64bits(utilization))
 	report = protowire.AppendTag(report, 6, protowire.Fixed64Type)
 	report = protowire.AppendFixed64(report, math.Float64bits(rate))
 	return base64.RawStdEncoding.EncodeToString(report)
--- a/internal/fakes/raw.go
+++ b/internal/fakes/raw.go
@@ -10,20 +10,20 @@
 	"sync/atomic"
 )
 
-// Got is a request as a Raw read it.
+// Got is a request that a Raw received.
 type Got struct {
 	Method, Target string
 	Header         http.Header
 	Body           string
-	Conn           int // which connection brought it, from 1
+	Conn           int // number of the connection, from 1
 }
 
-// Raw is an HTTP/1.1 upstream that answers each request with whatever bytes a function writes: the fake of
-// peers that break the protocol. A Node is the one for peers that keep it.
+// Raw is an HTTP/1.1 upstream that answers each request with the bytes that a function writes. It fakes upstreams
+// that violate the protocol; a Node fakes those that follow it.
 type Raw struct {
 	Address string
-	Opened  atomic.Int32 // connections
-	Closed  atomic.Int32
+	Opened  atomic.Int32 // connections accepted
+	Closed  atomic.Int32 // connections closed
 
 	answer   func(w net.Conn, g Got) bool
 	listener net.Listener
@@ -34,7 +34,7 @@
 	got   []Got
 }
 
-// NewRaw starts one on loopback. Where answer returns false the connection ends with a reset.
+// NewRaw starts an upstream on loopback. If answer returns false, the connection ends with a reset.
 func NewRaw(answer func(w net.Conn, g Got) bool) (*Raw, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -80,20 +80,20 @@
 		u.got = append(u.got, g)
 		u.mu.Unlock()
 		if !u.answer(c, g) {
-			_ = c.(*net.TCPConn).SetLinger(0) // only how the end looks depends on it
+			_ = c.(*net.TCPConn).SetLinger(0) // after an error the connection closes without a reset
 			return
 		}
 	}
 }
 
-// Requests is what came so far.
+// Requests returns the requests received so far.
 func (u *Raw) Requests() []Got {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return append([]Got(nil), u.got...)
 }
 
-// Close ends its connections and waits for what serves them.
+// Close closes the listener and all connections, and waits until none is served any more.
 func (u *Raw) Close() {
 	u.listener.Close()
 	u.mu.Lock()
@@ -104,7 +104,7 @@
 	u.serving.Wait()
 }
 
-// Says answers every request with the same text.
+// Says returns a function for NewRaw that answers every request with text.
 func Says(text string) func(net.Conn, Got) bool {
 	return func(c net.Conn, _ Got) bool {
 		_, err := io.WriteString(c, text)
@@ -112,12 +112,12 @@
 	}
 }
 
-// OK200 is the text of a complete answer.
+// OK200 returns the text of a complete response with status 200.
 func OK200(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Silent holds every request until the client ends the connection.
+// Silent is a function for NewRaw that answers no request: it waits until the client closes the connection.
 func Silent(c net.Conn, _ Got) bool {
 	_, _ = c.Read(make([]byte, 1))
 	return true
--- a/internal/fakes/reserve.go
+++ b/internal/fakes/reserve.go
@@ -8,28 +8,29 @@
 	"syscall"
 )
 
-// Reservation keeps an address for whoever asks for it by number: the system hands its port to nobody who wants any free one, be it
-// to listen or to connect from. Without it the port of something that has ended, or is yet to start, may be another test's by then.
+// Reservation reserves an address for listeners that name its port: the kernel does not assign the port to a socket that asks for
+// any free one, be it to listen or to connect. Without a reservation another test may get the port of a server that has stopped or
+// has yet to start.
 type Reservation struct {
 	fd      int
 	Address string
 }
 
-// Reserve reserves a loopback address over IPv4 whose port is free ("127.0.0.1:0": any), until Release. Nothing listens there before somebody does.
+// Reserve reserves a free IPv4 address ("127.0.0.1:0": any free port) until Release. The reservation itself does not listen.
 func Reserve(address string) (*Reservation, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, err
 	}
 	if !at.Addr().Is4() {
-		return nil, fmt.Errorf("%s is not over IPv4", address)
+		return nil, fmt.Errorf("reserve %s: not an IPv4 address", address)
 	}
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, os.NewSyscallError("socket", err)
 	}
 	r := &Reservation{fd: fd}
-	// Bound and not listening, it is in nobody's way who sets this option too, as Go's listeners do.
+	// A socket that is bound but does not listen does not prevent listeners that set this option too, as Go's listeners do.
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		r.Release()
 		return nil, os.NewSyscallError("setsockopt", err)
@@ -47,10 +48,10 @@
 	return r, nil
 }
 
-// Release gives the address back. A second call does nothing.
+// Release ends the reservation. Further calls do nothing.
 func (r *Reservation) Release() {
 	if r.fd >= 0 {
-		_ = syscall.Close(r.fd) // nothing was written to it
+		_ = syscall.Close(r.fd) // nothing was written to the socket
 		r.fd = -1
 	}
 }
--- a/internal/fakes/reserve_test.go
+++ b/internal/fakes/reserve_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Guards against a reservation that is in the way of what it is for, or that gives the port away while nothing listens there.
+// TestReservation guards against a reservation that prevents listening at its address, or that itself listens there.
 func TestReservation(t *testing.T) {
 	r, err := Reserve("127.0.0.1:0")
 	if err != nil {
@@ -14,9 +14,9 @@
 	t.Cleanup(r.Release)
 	if c, err := net.Dial("tcp", r.Address); err == nil {
 		c.Close()
-		t.Error("something listens there")
+		t.Error("connected to the reserved address although nothing should listen there")
 	}
-	for range 3 { // it is listened at again and again, as by what is stopped and started
+	for range 3 { // listens repeatedly, as a server that is restarted does
 		l, err := net.Listen("tcp", r.Address)
 		if err != nil {
 			t.Fatal(err)
@@ -29,10 +29,10 @@
 		l.Close()
 	}
 	if _, err := Reserve("127.0.0.1"); err == nil {
-		t.Error("an address without a port is reserved")
+		t.Error("Reserve accepted an address without a port")
 	}
 	if _, err := Reserve("[::1]:0"); err == nil {
-		t.Error("an address over IPv6 is reserved")
+		t.Error("Reserve accepted an IPv6 address")
 	}
 	r.Release()
 	r.Release()
--- a/internal/fakes/script.go
+++ b/internal/fakes/script.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// ScriptedDiscovery serves whatever lines a script sends: the fake of a discovery service that breaks the protocol or
-// says a thing at a stated moment. A Discovery is the one that keeps a list.
+// ScriptedDiscovery serves the lines that a script sends. It fakes a discovery service that violates the protocol or
+// sends a line at a chosen moment; a Discovery fakes one that keeps an endpoint list.
 type ScriptedDiscovery struct {
 	Address string
 
@@ -18,11 +18,11 @@
 	stop  context.CancelFunc
 	ended chan struct{}
 
-	mu    sync.Mutex
-	froms []string
+	mu           sync.Mutex
+	fromVersions []string // of all calls
 }
 
-// NewScriptedDiscovery starts one on loopback. Each call runs script with its number, from 1.
+// NewScriptedDiscovery starts a service on loopback. Each call runs script with the call's number, from 1.
 func NewScriptedDiscovery(script func(n int, send func(string), done <-chan struct{})) (*ScriptedDiscovery, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,14 +33,14 @@
 	d.stop = cancel
 	d.srv = &http.Server{ReadHeaderTimeout: 20 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.mu.Lock()
-		d.froms = append(d.froms, r.URL.Query().Get("from"))
-		n := len(d.froms)
+		d.fromVersions = append(d.fromVersions, r.URL.Query().Get("from"))
+		n := len(d.fromVersions)
 		d.mu.Unlock()
 		ctx, end := context.WithCancel(r.Context())
 		defer end()
 		defer context.AfterFunc(stop, end)()
 		script(n, func(line string) {
-			_, _ = io.WriteString(w, line+"\n") // a watcher that left
+			_, _ = io.WriteString(w, line+"\n") // the client may have closed the connection
 			_ = http.NewResponseController(w).Flush()
 		}, ctx.Done())
 	})}
@@ -51,14 +51,14 @@
 	return d, nil
 }
 
-// Calls is the version that each call asked from; empty: the full list.
+// Calls returns the version from which each call requested changes; empty: the full list.
 func (d *ScriptedDiscovery) Calls() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]string(nil), d.froms...)
+	return append([]string(nil), d.fromVersions...)
 }
 
-// Close ends the calls.
+// Close ends all calls and stops the service.
 func (d *ScriptedDiscovery) Close() {
 	d.stop()
 	d.srv.Close()
--- a/internal/testing/golden/golden.go
+++ b/internal/testing/golden/golden.go
@@ -1,10 +1,11 @@
-// Package golden compares bytes with files that an earlier build wrote, so that a stored or exchanged form does not change unnoticed.
+// Package golden compares bytes with files that an earlier build wrote, so that a stored or exchanged format does not change
+// unnoticed.
 //
 // A missing file is written by a run with ORCHIDDRIFT_CREATE_GOLDEN=1, for example
 //
 //	ORCHIDDRIFT_CREATE_GOLDEN=1 go test -run Golden ./internal/handover
 //
-// A file that exists is never written again: a later build has to read it, and to write the same bytes.
+// An existing file is never overwritten: later builds have to read it, and to write the same bytes.
 package golden
 
 import (
@@ -16,7 +17,7 @@
 	"testing"
 )
 
-// CreateVariable is the environment variable that lets Match write missing files.
+// CreateVariable is the environment variable that, set to 1, lets Match and Read create missing files.
 const CreateVariable = "ORCHIDDRIFT_CREATE_GOLDEN"
 
 // Match fails the test unless got is the content of testdata/golden/name.
@@ -24,12 +25,12 @@
 	t.Helper()
 	want := Read(t, name, got)
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: this build writes other bytes\n--- the file\n%s\n--- this build\n%s", name, want, got)
+		t.Errorf("%s: this build writes different bytes\n--- golden file\n%s\n--- this build\n%s", name, want, got)
 	}
 }
 
-// Read returns the content of testdata/golden/name, which the decoder under test is to read. Where the file is missing and may be
-// created, it is created from initial.
+// Read returns the content of testdata/golden/name, which the decoder under test is to read. If the file is missing and
+// CreateVariable allows it, Read creates the file from initial.
 func Read(t testing.TB, name string, initial []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
--- a/internal/testing/testutil/base/base.go
+++ b/internal/testing/testutil/base/base.go
@@ -1,4 +1,5 @@
-// Package base is the part of testutil that does not import internal/config, so that tests of packages below it can use it: waiting on conditions, files, certificates and plain servers. Only tests import it.
+// Package base is the part of testutil that does not import internal/config, so that tests of packages that config imports can use it:
+// waiting for conditions, files, certificates and plain servers. Only tests import it.
 package base
 
 import (
@@ -18,17 +19,17 @@
 // Timeout is the timeout of waits that are expected to succeed.
 const Timeout = 20 * time.Second
 
-// Eventually waits for a condition.
-func Eventually(t testing.TB, what string, ok func() bool) {
+// Eventually waits until ok returns true, and fails the test after Timeout. The failure message names the condition.
+func Eventually(t testing.TB, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Timeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("condition not met in time: %s", condition)
 		}
 	}
 }
 
-// FreeAddress reserves an address on which nothing else listens until the end of the test.
+// FreeAddress reserves a loopback address until the end of the test, so that no other test gets its port.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	r, err := fakes.Reserve("127.0.0.1:0")
@@ -39,7 +40,7 @@
 	return r.Address
 }
 
-// Dial connects with a deadline of Timeout. The connection is closed at the end of the test.
+// Dial connects to address and sets a deadline of Timeout for reads and writes. The connection is closed at the end of the test.
 func Dial(t testing.TB, address string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -47,7 +48,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(Timeout)) // should it fail, reads show it
+	_ = c.SetDeadline(time.Now().Add(Timeout)) // after an error, reads fail too
 	return c
 }
 
@@ -71,7 +72,7 @@
 	return i
 }
 
-// Replace replaces a file atomically.
+// Replace writes a file atomically, over an existing one if there is one.
 func Replace(t testing.TB, path string, text []byte) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
@@ -96,7 +97,7 @@
 	return Serve(t, config, &http.Server{Handler: h})
 }
 
-// Serve is HTTP for a configured server.
+// Serve is HTTP with a server instead of a handler.
 func Serve(t testing.TB, config *tls.Config, srv *http.Server) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -120,7 +121,7 @@
 	return address
 }
 
-// ServerTLS returns the configuration of a server with an issued certificate.
+// ServerTLS returns the TLS configuration of an HTTP/1.1 server with the issued certificate.
 func ServerTLS(t testing.TB, i fakes.Issued) *tls.Config {
 	t.Helper()
 	pair, err := i.Pair()
@@ -130,7 +131,7 @@
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12, NextProtos: []string{"http/1.1"}}
 }
 
-// Eureka starts a fake Eureka registry.
+// Eureka starts a fake Eureka registry, which is closed at the end of the test.
 func Eureka(t testing.TB, o fakes.EurekaOptions) *fakes.Eureka {
 	t.Helper()
 	e, err := fakes.NewEureka(o)
@@ -141,14 +142,14 @@
 	return e
 }
 
-// Etcd starts a fake etcd and returns its address.
+// Etcd starts a fake etcd server, which is closed at the end of the test, and returns its address.
 func Etcd(t testing.TB, o fakes.EtcdOptions) (*fakes.Etcd, string) {
 	t.Helper()
 	e := fakes.NewEtcd(o)
-	at, err := e.Start()
+	address, err := e.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Close)
-	return e, at
+	return e, address
 }
--- a/internal/testing/testutil/testutil.go
+++ b/internal/testing/testutil/testutil.go
@@ -25,12 +25,12 @@
 const Timeout = base.Timeout
 
 // Eventually is base.Eventually.
-func Eventually(t testing.TB, what string, ok func() bool) {
+func Eventually(t testing.TB, condition string, ok func() bool) {
 	t.Helper()
-	base.Eventually(t, what, ok)
+	base.Eventually(t, condition, ok)
 }
 
-// Raw starts a fake upstream whose connections answer handles.
+// Raw starts a fake upstream that answers requests with the function answer.
 func Raw(t testing.TB, answer func(net.Conn, fakes.Got) bool) *fakes.Raw {
 	t.Helper()
 	u, err := fakes.NewRaw(answer)
@@ -41,7 +41,7 @@
 	return u
 }
 
-// Discovery starts a fake discovery that sends what script passes to send.
+// Discovery starts a fake discovery service that sends the lines that script passes to send.
 func Discovery(t testing.TB, script func(n int, send func(string), done <-chan struct{})) *fakes.ScriptedDiscovery {
 	t.Helper()
 	d, err := fakes.NewScriptedDiscovery(script)
@@ -52,7 +52,7 @@
 	return d
 }
 
-// Quiet starts a fake discovery without updates.
+// Quiet starts a fake discovery service that sends an empty list and then only heartbeats, every 200 ms.
 func Quiet(t testing.TB) *fakes.ScriptedDiscovery {
 	return Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send(`{"index":1,"snapshot":false,"endpoints":[]}`)
@@ -67,7 +67,7 @@
 	})
 }
 
-// Entry returns an endpoint of a list as JSON.
+// Entry returns an entry of an endpoint list as JSON.
 func Entry(name, address, status string) string {
 	return fmt.Sprintf(`{"name":%q,"address":%q,"zone":"a","type":"m","group":0,"status":%q,"weight":1,"since_ms":0}`,
 		name, address, status)
@@ -88,7 +88,7 @@
 	return l
 }
 
-// Settings are balancer settings with a class of each effect, as JSON.
+// Settings are balancer settings as JSON, with one class for each kind of Semantics.
 const Settings = `{"Balancers":1,"Zone":"a","Discovery":"ask","TickMs":5,"WorthBy":"work",
  "Classes":[
   {"Name":"search","Semantics":"retryable","AimMs":5000,"DeadlineMs":10000,"Importance":1,"LateShare":0.5},
@@ -98,14 +98,14 @@
   "SecondCopies":true,"SendCap":5},
  "Rules":{"ColdFrom":0.3,"FallMs":2000,"FallMultiple":3,"WarmUpMs":8800},"Tenants":[]}`
 
-// ConfigText returns a configuration with Settings as JSON.
+// ConfigText returns a configuration as JSON, with Settings and the known endpoints.
 func ConfigText(discovery string, known ...string) string {
 	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:9000","discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
 		discovery, List(1, true, known...), Settings)
 }
 
-// Config returns a parsed configuration with Settings.
+// Config returns the parsed form of ConfigText.
 func Config(t testing.TB, discovery string, known ...string) *config.Config {
 	t.Helper()
 	c, err := config.Parse([]byte(ConfigText(discovery, known...)))
@@ -117,7 +117,7 @@
 
 var lastID atomic.Int64
 
-// Request returns a valid request of a class of Settings with a new id.
+// Request returns a valid request of a class of Settings, with a new request ID.
 func Request(t testing.TB, address, class, body string) *http.Request {
 	t.Helper()
 	method := http.MethodPost
@@ -137,27 +137,28 @@
 	return req
 }
 
-// Logged collects the output of package log until the end of the test. The result returns it.
+// Logged collects the output of package log until the end of the test. The returned function returns the output so far.
 func Logged(t testing.TB) func() string {
 	t.Helper()
-	l := &lines{}
+	l := &logBuffer{}
 	log.SetOutput(l)
 	t.Cleanup(func() { log.SetOutput(os.Stderr) })
 	return l.String
 }
 
-type lines struct {
+// logBuffer is a buffer that is safe for concurrent use.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
