--- a/internal/fakes/node_accept.go
+++ b/internal/fakes/node_accept.go
@@ -53,7 +53,7 @@
 	})
 }
 
-// reset closes a connection with a TCP reset.
+// reset closes a connection, with a TCP reset if it is a plain TCP connection.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0) // after an error the connection closes without a reset
--- a/internal/fakes/node_test.go
+++ b/internal/fakes/node_test.go
@@ -17,7 +17,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // TestSlowStartNodeStopsOnOverload checks that a node in slow start stops for good when it receives more than the overload multiple, and that
-// less load, or the same load on a warm node, does not stop it.
+// less load, or the same load after slow start, does not stop it.
 func TestSlowStartNodeStopsOnOverload(t *testing.T) {
 	for name, c := range map[string]struct {
 		load      float64 // as a fraction of the full capacity
