--- a/internal/daemon/graphql_batch_test.go
+++ b/internal/daemon/graphql_batch_test.go
@@ -16,13 +16,13 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// A batch: its entries go by their own classes, its mutations in order and one at a time; a node that breaks off, drains or says
-// nothing costs the entry that it had and the mutations behind it, which are not sent, and no other.
+// Tests batches: each entry is forwarded by its own class, and mutations one at a time in the batch's order. A node that breaks the
+// connection, drains or does not answer fails the entry that it had; later mutations are not sent, and other entries are not affected.
 func TestGraphQLBatch(t *testing.T) {
 	var order []string
 	var mu sync.Mutex
-	out := 0
-	behave := func(string) string { return "" }
+	inFlight := 0 // mutations
+	faultOf := func(string) string { return "" }
 	upstream := base.HTTP(t, nil, func(w http.ResponseWriter, q *http.Request) {
 		text, _ := io.ReadAll(q.Body)
 		name := ""
@@ -32,10 +32,10 @@
 			}
 		}
 		mu.Lock()
-		how := behave(name)
+		fault := faultOf(name)
 		if order = append(order, name); name[0] == 'm' {
-			if out++; out > 1 {
-				t.Error("two mutations of a batch at once")
+			if inFlight++; inFlight > 1 {
+				t.Error("two mutations of a batch were in flight at the same time")
 			}
 		}
 		mu.Unlock()
@@ -43,10 +43,10 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if name[0] == 'm' {
-				out--
+				inFlight--
 			}
 		}()
-		switch how {
+		switch fault {
 		case "break":
 			panic(http.ErrAbortHandler)
 		case "away":
@@ -85,14 +85,14 @@
 		{"q0 q1", map[string]string{"q0": "large", "q1": "large"}, "ok ok", 200, ""},
 		{"q0 q1 m0", map[string]string{"q0": "large", "q1": "large", "m0": "large"}, "ok ok ANSWER_TOO_LARGE", 200, "m0"},
 	} {
-		// A mutation that was given up on ends at its upstream a moment after its batch is answered, and is none of the next one's.
+		// A mutation whose deadline passed ends at its upstream shortly after its batch is answered. It must not count for the next batch.
 		testutil.Eventually(t, "the last batch's mutations have ended at the upstream", func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			return out == 0
+			return inFlight == 0
 		})
 		mu.Lock()
-		order, behave = nil, func(n string) string { return c.faults[n] }
+		order, faultOf = nil, func(n string) string { return c.faults[n] }
 		mu.Unlock()
 		var parts []string
 		for _, n := range strings.Fields(c.names) {
@@ -100,17 +100,17 @@
 		}
 		status, _, body := r.post(t.Context(), "["+strings.Join(parts, ",")+"]")
 		got := resultCodes(t, body)
-		for i, n := range strings.Fields(c.names) { // whose order is the batch's
+		for i, n := range strings.Fields(c.names) { // answers are in the batch's order
 			if got[i] == "ok" && !strings.Contains(body, `"`+n+`"`) {
-				t.Errorf("%s: %s is not there: %s", c.names, n, body)
+				t.Errorf("%s: the data of %s is missing in the answer %s", c.names, n, body)
 			}
 		}
-		if c.faults["q1"] == "large" { // queries and mutations race, and the last one finds no room
+		if c.faults["q1"] == "large" { // queries and mutations run concurrently: the last answer exceeds the batch's size limit
 			slices.Sort(got)
 			slices.Reverse(got)
 		}
 		if s := strings.Join(got, " "); status != c.status || s != c.want {
-			t.Errorf("%s %v: %d %s, want %d %s", c.names, c.faults, status, s, c.status, c.want)
+			t.Errorf("%s with faults %v: got %d %s, want %d %s", c.names, c.faults, status, s, c.status, c.want)
 		}
 		mu.Lock()
 		var sent []string
@@ -120,23 +120,23 @@
 			}
 		}
 		if s := strings.Join(sent, " "); s != c.sent {
-			t.Errorf("%s %v: %s reached the node, want %s", c.names, c.faults, s, c.sent)
+			t.Errorf("%s with faults %v: the mutations %s reached the node, want %s", c.names, c.faults, s, c.sent)
 		}
 		mu.Unlock()
 	}
 }
 
-// A node that goes between two mutations of a batch gets no more of it.
+// Tests that a node that is removed while it executes a mutation of a batch gets no further mutations of that batch.
 func TestGraphQLNodeGoesMidBatch(t *testing.T) {
 	var r *graphqlRig
 	var addresses [2]string
 	var mu sync.Mutex
-	var got []int
+	var nodes []int // that got the mutations, in order
 	for i := range addresses {
 		addresses[i] = base.HTTP(t, nil, func(w http.ResponseWriter, _ *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
-			if got = append(got, i); len(got) == 1 { // it goes while it has the first
+			if nodes = append(nodes, i); len(nodes) == 1 { // removed while it executes the first mutation
 				if err := r.reload(t, fmt.Sprintf(graphqlFile, fmt.Sprintf("%q", addresses[1-i]), "5s")); err != nil {
 					t.Error(err)
 				}
@@ -148,32 +148,33 @@
 	r.fileRig = startFile(t, r.file)
 	status, _, body := r.post(t.Context(), "["+strings.Repeat(operationJSON("mutation{a}")+",", 4)+operationJSON("mutation{a}")+"]")
 	if s := strings.Join(resultCodes(t, body), " "); status != 200 || s != "ok ok ok ok ok" {
-		t.Errorf("%d %s", status, body)
+		t.Errorf("the batch was answered %d %s, want 200 and five entries with data", status, body)
 	}
-	if len(got) != 5 || slices.Contains(got[1:], got[0]) {
-		t.Errorf("the nodes that got them: %v", got)
+	if len(nodes) != 5 || slices.Contains(nodes[1:], nodes[0]) {
+		t.Errorf("the mutations went to the nodes %v, want five, none after the first at the removed node", nodes)
 	}
 }
 
-// A query whose client leaves while its second copy runs leaves nothing behind.
+// Guards against attempts that stay in flight after a client has disconnected while a hedged request runs: they would use up the
+// service's capacity, and the next request would fail.
 func TestGraphQLClientLeaves(t *testing.T) {
-	lost := fakes.NodeOptions{Cores: 4, DefaultServiceTime: time.Millisecond, Faults: []fakes.Fault{{Kind: fakes.LoseAnswer, Class: "query", From: 300 * time.Millisecond}}}
-	r := startGraphQL(t, "20s", lost, lost, lost)
-	leaves, leave := context.WithCancel(t.Context())
-	defer leave()
+	unresponsive := fakes.NodeOptions{Cores: 4, DefaultServiceTime: time.Millisecond, Faults: []fakes.Fault{{Kind: fakes.LoseAnswer, Class: "query", From: 300 * time.Millisecond}}}
+	r := startGraphQL(t, "20s", unresponsive, unresponsive, unresponsive)
+	clientContext, disconnect := context.WithCancel(t.Context())
+	defer disconnect()
 	var wg sync.WaitGroup
 	const clients = 8
 	for range clients {
 		wg.Go(func() {
-			for leaves.Err() == nil {
-				r.post(leaves, operationJSON("{seats}"))
+			for clientContext.Err() == nil {
+				r.post(clientContext, operationJSON("{seats}"))
 			}
 		})
 	}
-	testutil.Eventually(t, "copies run beside hanging queries", func() bool { return attemptsInFlight(r) > clients })
-	leave()
+	testutil.Eventually(t, "hedged requests run beside the unanswered queries", func() bool { return attemptsInFlight(r) > clients })
+	disconnect()
 	wg.Wait()
 	if status, _, body := r.post(t.Context(), operationJSON(`mutation{confirm(id:"a")}`)); status != 200 {
-		t.Errorf("%d %s", status, body)
+		t.Errorf("a mutation after the clients disconnected was answered %d %s, want 200", status, body)
 	}
 }
--- a/internal/daemon/graphql_retry_test.go
+++ b/internal/daemon/graphql_retry_test.go
@@ -14,7 +14,7 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// attemptsInFlight returns how many attempts are out.
+// attemptsInFlight returns the number of attempts that the service's endpoints have in flight.
 func attemptsInFlight(r *graphqlRig) (n int) {
 	for _, u := range r.d.routing.Load().services["seats"].engine.View() {
 		n += u.Pending
@@ -22,9 +22,8 @@
 	return n
 }
 
-// The proof by count: at least 10,000 injected failures of every kind, with clients that try again as they do in service: a
-// query after any failure, a mutation only where the answer says that it has not run. No mutation runs twice, and every
-// request has one answer.
+// Guards against a mutation that runs twice. Nodes inject at least 10,000 faults of every kind, and clients retry as in production: a
+// query after any failure, a mutation only where the answer says that it has not run. Every request has one answer.
 func TestGraphQLNothingRunsTwice(t *testing.T) {
 	var nodes []fakes.NodeOptions
 	for n := range 6 {
@@ -32,7 +31,7 @@
 		for k := fakes.Reject; k <= fakes.GoAway; k++ {
 			share := 0.04
 			if k == fakes.LoseAnswer || k == fakes.Hang {
-				share = 0.01 // each costs its caller the whole deadline
+				share = 0.01 // its client waits for the whole deadline
 			}
 			o.Faults = append(o.Faults, fakes.Fault{Kind: k, Share: share})
 		}
@@ -41,59 +40,59 @@
 	}
 	r := startGraphQL(t, "300ms", nodes...)
 	r.client.Transport.(*http.Transport).MaxIdleConnsPerHost = 128
-	failures := func() (sum int) {
+	countFaults := func() (sum int) {
 		for _, c := range r.ledger.Nodes() {
 			sum += c.Faults
 		}
 		return sum
 	}
-	var ended atomic.Bool
-	time.AfterFunc(150*time.Second, func() { ended.Store(true) })
-	var served, refused, failed, odd, queries, lost atomic.Int64
+	var timedOut atomic.Bool
+	time.AfterFunc(150*time.Second, func() { timedOut.Store(true) })
+	var succeeded, rejected, failed, unexpected, queries, unanswered atomic.Int64
 	var wg sync.WaitGroup
 	for worker := range 48 {
 		wg.Go(func() {
-			for n := 0; !ended.Load() && failures() < 10000; n++ {
+			for n := 0; !timedOut.Load() && countFaults() < 10000; n++ {
 				id := fmt.Sprintf("%d-%d", worker, n)
-				todo := []string{operationJSON(fmt.Sprintf(`{seats(near:%q)}`, id)), operationJSON(fmt.Sprintf(`mutation{confirm(id:"c%s")}`, id)),
+				pending := []string{operationJSON(fmt.Sprintf(`{seats(near:%q)}`, id)), operationJSON(fmt.Sprintf(`mutation{confirm(id:"c%s")}`, id)),
 					operationJSON(fmt.Sprintf(`mutation{record(requestId:"r%s")}`, id)), operationJSON(fmt.Sprintf(`mutation{confirm(id:"d%s")}`, id))}
 				batch := n%4 == 3
 				if !batch {
-					todo = todo[n%4 : n%4+1]
+					pending = pending[n%4 : n%4+1]
 				}
-				for try := 0; try < 4 && len(todo) > 0; try++ {
-					asked, body := todo, todo[0]
+				for attempt := 0; attempt < 4 && len(pending) > 0; attempt++ {
+					sent, body := pending, pending[0]
 					if batch {
-						body = "[" + strings.Join(todo, ",") + "]"
+						body = "[" + strings.Join(pending, ",") + "]"
 					}
 					status, _, text := r.post(context.Background(), body)
 					if status != 200 && status != 502 && status != 503 {
-						odd.Add(1)
+						unexpected.Add(1)
 						break
 					}
-					var left []string
+					var toRetry []string
 					for i, code := range resultCodes(t, text) {
-						query := strings.Contains(asked[i], "seats")
-						if query && try == 0 {
+						query := strings.Contains(sent[i], "seats")
+						if query && attempt == 0 {
 							queries.Add(1)
 						}
 						switch code {
 						case "ok":
-							served.Add(1)
+							succeeded.Add(1)
 						case "REFUSED", "NOT_SENT":
-							refused.Add(1)
-							left = append(left, asked[i])
+							rejected.Add(1)
+							toRetry = append(toRetry, sent[i])
 						default:
 							failed.Add(1)
 							if query {
-								left = append(left, asked[i])
+								toRetry = append(toRetry, sent[i])
 							}
 						}
-						if query && code != "ok" && try == 3 {
-							lost.Add(1)
+						if query && code != "ok" && attempt == 3 {
+							unanswered.Add(1)
 						}
 					}
-					todo = left
+					pending = toRetry
 				}
 			}
 		})
@@ -102,52 +101,52 @@
 	if twice := r.ledger.ExecutedTwice("mutation"); len(twice) > 0 {
 		t.Errorf("%d mutations ran twice: %v", len(twice), twice[:min(5, len(twice))])
 	}
-	if n := failures(); n < 10000 {
-		t.Errorf("only %d failures in the time", n)
+	if n := countFaults(); n < 10000 {
+		t.Errorf("%d faults were injected before the test's time limit, want 10000", n)
 	}
-	if odd.Load() > 0 {
-		t.Errorf("%d answers of another kind", odd.Load())
+	if unexpected.Load() > 0 {
+		t.Errorf("%d answers had an unexpected status", unexpected.Load())
 	}
-	if part := float64(lost.Load()) / float64(queries.Load()); part > 0.05 {
-		t.Errorf("%.3f of the queries have no answer after four tries", part)
+	if part := float64(unanswered.Load()) / float64(queries.Load()); part > 0.05 {
+		t.Errorf("a share of %.3f of the queries has no answer after four attempts, want at most 0.05", part)
 	}
-	t.Logf("%d faults; %d mutations ran; %d served, %d refused, %d failed; queries %d, lost %d", failures(), r.ledger.Operations("mutation"),
-		served.Load(), refused.Load(), failed.Load(), queries.Load(), lost.Load())
-	testutil.Eventually(t, "nothing is left in hand", func() bool { return r.d.routing.Load().services["seats"].engine.InFlight() == 0 })
+	t.Logf("%d faults; %d mutations ran; %d succeeded, %d rejected, %d failed; %d queries, %d unanswered", countFaults(), r.ledger.Operations("mutation"),
+		succeeded.Load(), rejected.Load(), failed.Load(), queries.Load(), unanswered.Load())
+	testutil.Eventually(t, "the engine has no request in flight", func() bool { return r.d.routing.Load().services["seats"].engine.InFlight() == 0 })
 }
 
-// Guards against a keyed operation that runs and is taken for one that was never sent: its attempts are made on behalf of its key, apart
-// from the request, and count as well. A reload takes its endpoint and the store away while a node has it, then that node dies: the
-// operation is not decided anew by the new file, which knows nothing of its key.
+// Guards against an operation with an idempotency key that may have run and is sent again: its attempts are made for the key, separately
+// from the client's request, and count as sent too. A reload removes the GraphQL endpoint and the key store while a node executes the
+// operation, then that node dies: the operation is not classified anew by the new configuration, which does not know its key.
 func TestGraphQLKeyedIsNotDecidedAnew(t *testing.T) {
 	busy := fakes.NodeOptions{DefaultServiceTime: time.Hour}
 	r := startGraphQL(t, "10s", busy, busy)
 	if err := r.reload(t, r.file+"[[repeats]]\nservice = \"seats\"\n"); err != nil {
 		t.Fatal(err)
 	}
-	arrived := func() (at []int) {
+	nodesReached := func() (reached []int) {
 		counts := r.ledger.Nodes()
 		for i := range r.nodes {
 			for range counts[fmt.Sprint("n", i)].Arrived {
-				at = append(at, i)
+				reached = append(reached, i)
 			}
 		}
-		return at
+		return reached
 	}
 	got := make(chan string, 1)
 	go func() {
 		status, _, body := r.post(context.Background(), operationJSON(`mutation{record(requestId:"k")}`))
 		got <- fmt.Sprint(status, " ", body)
 	}()
-	testutil.Eventually(t, "a node has it", func() bool { return len(arrived()) == 1 })
+	testutil.Eventually(t, "a node has the operation", func() bool { return len(nodesReached()) == 1 })
 	if err := r.reload(t, strings.Replace(r.file, `["SERVICE_UNAVAILABLE"]`, `["GONE"]`, 1)); err != nil {
 		t.Fatal(err)
 	}
-	r.nodes[arrived()[0]].Kill()
+	r.nodes[nodesReached()[0]].Kill()
 	if answer := <-got; strings.HasPrefix(answer, "200") || !strings.Contains(answer, `"mayHaveRun":true`) {
-		t.Errorf("the client is told %s", answer)
+		t.Errorf("the client got %s, want a failure with mayHaveRun", answer)
 	}
-	if at := arrived(); len(at) != 1 {
-		t.Errorf("it was sent to %v", at)
+	if reached := nodesReached(); len(reached) != 1 {
+		t.Errorf("the operation was sent to the nodes %v, want one node", reached)
 	}
 }
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -50,12 +50,12 @@
 key = "requestId"
 `
 
-// graphqlRig is a daemon with an endpoint before stand-in nodes.
+// graphqlRig is a daemon with a GraphQL endpoint in front of fake nodes.
 type graphqlRig struct {
 	*fileRig
 	nodes  []*fakes.Node
 	ledger *fakes.Ledger
-	file   string
+	file   string // the configuration that the daemon starts with
 }
 
 func startGraphQL(t *testing.T, deadline string, nodes ...fakes.NodeOptions) *graphqlRig {
@@ -78,7 +78,7 @@
 	return r
 }
 
-// post asks, and returns the status, the head and the body.
+// post sends a JSON body to the GraphQL endpoint, and returns the status, the headers and the body of the answer.
 func (r *graphqlRig) post(ctx context.Context, body string, headers ...string) (int, http.Header, string) {
 	return r.ask(ctx, "POST", "/graphql", body, append([]string{"Content-Type", "application/json"}, headers...)...)
 }
@@ -105,7 +105,7 @@
 
 func operationJSON(query string) string { return fmt.Sprintf(`{"query":%q}`, query) }
 
-// resultCodes returns the codes of an answer, or of each entry of a batch's; "ok" where there is data.
+// resultCodes returns the error code of an answer, or of each entry of a batch's answer. The code of an answer with data is "ok".
 func resultCodes(t *testing.T, body string) (out []string) {
 	t.Helper()
 	var list []json.RawMessage
@@ -129,7 +129,8 @@
 	return out
 }
 
-// The published protocol: methods, media types, statuses by them, persisted queries, and what is turned down.
+// Tests the GraphQL-over-HTTP protocol: methods, media types and the statuses that follow from them, persisted queries, and rejected
+// requests.
 func TestGraphQLOverHTTP(t *testing.T) {
 	r := startGraphQL(t, "10s", fakes.NodeOptions{})
 	hash := strings.Repeat("0", 64)
@@ -169,104 +170,105 @@
 		}
 		status, head, body := r.ask(t.Context(), c.method, c.target, c.body, h...)
 		if status != c.status {
-			t.Errorf("%s %s %.80s %v: %d %s, want %d", c.method, c.target, c.body, c.headers, status, body, c.status)
+			t.Errorf("%s %s with body %.80s and headers %v: got %d %s, want %d", c.method, c.target, c.body, c.headers, status, body, c.status)
 			continue
 		}
 		if c.code != "" {
 			if got := strings.Join(resultCodes(t, body), " "); got != c.code {
-				t.Errorf("%s %s %.80s: %s, want %s", c.method, c.target, c.body, got, c.code)
+				t.Errorf("%s %s with body %.80s: got the codes %s, want %s", c.method, c.target, c.body, got, c.code)
 			}
 		}
 		if status == 405 && head.Get("Allow") == "" {
-			t.Errorf("%s %s: no Allow", c.method, c.target)
+			t.Errorf("%s %s: the 405 answer has no Allow header", c.method, c.target)
 		}
 	}
 	if got := r.ledger.Operation("b").Executions; len(got) > 0 {
-		t.Error("a mutation ran by GET")
+		t.Error("a mutation that was sent by GET ran")
 	}
 }
 
-// A mutation that was sent and not answered in time: one answer at its deadline that says it may have run, and no second run.
-// One that is proved not to have run goes to another node, by whatever word, and a query goes to another after any failure.
+// Tests the answers to operations whose nodes fail. A mutation that was sent and not answered by its deadline gets one answer, which says
+// that it may have run, and is not run again. A mutation that is proved not to have run goes to another node, whatever the form of that
+// proof. A query goes to another node after any failure.
 func TestGraphQLOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
-		fault fakes.FaultKind
-		want  string // what a client of a mutation gets, where every node is struck
-		moves bool   // else it is answered by another
+		fault   fakes.FaultKind
+		want    string // the answer to a mutation if the only node has the fault
+		retried bool   // a mutation is retried at another node
 	}{
-		"says nothing":    {fakes.LoseAnswer, "502 UPSTREAM_FAILED", false},
-		"no JSON":         {fakes.Malformed, "502 UPSTREAM_FAILED", false},
+		"no answer":       {fakes.LoseAnswer, "502 UPSTREAM_FAILED", false},
+		"malformed JSON":  {fakes.Malformed, "502 UPSTREAM_FAILED", false},
 		"500":             {fakes.Fail, "502 UPSTREAM_FAILED", false},
-		"errors, failing": {fakes.ErrorExecuted, "502 SERVICE_UNAVAILABLE", false},
-		"errors, not run": {fakes.ErrorNotExecuted, "503 REFUSED", true},
-		"turned away":     {fakes.Reject, "503 REFUSED", true},
+		"failing code":    {fakes.ErrorExecuted, "502 SERVICE_UNAVAILABLE", false},
+		"not-run code":    {fakes.ErrorNotExecuted, "503 REFUSED", true},
+		"rejected":        {fakes.Reject, "503 REFUSED", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			of := func(class string) fakes.NodeOptions {
+			nodeWithFault := func(class string) fakes.NodeOptions {
 				return fakes.NodeOptions{Faults: []fakes.Fault{{Kind: c.fault, Class: class}}}
 			}
-			alone := startGraphQL(t, "700ms", of("mutation"))
-			begun := time.Now()
-			status, head, body := alone.post(t.Context(), operationJSON(`mutation{confirm(id:"x")}`))
-			if got := fmt.Sprint(status, " ", resultCodes(t, body)[0]); got != c.want || time.Since(begun) > 5*time.Second {
-				t.Errorf("%s after %v: %s, want %s", got, time.Since(begun), body, c.want)
+			oneNode := startGraphQL(t, "700ms", nodeWithFault("mutation"))
+			startedAt := time.Now()
+			status, header, body := oneNode.post(t.Context(), operationJSON(`mutation{confirm(id:"x")}`))
+			if got := fmt.Sprint(status, " ", resultCodes(t, body)[0]); got != c.want || time.Since(startedAt) > 5*time.Second {
+				t.Errorf("the mutation got %s after %v, with body %s, want %s within 5 s", got, time.Since(startedAt), body, c.want)
 			}
-			if status == 503 != (head.Get("Retry-After") != "") {
-				t.Errorf("%d with Retry-After %q", status, head.Get("Retry-After"))
+			if status == 503 != (header.Get("Retry-After") != "") {
+				t.Errorf("status %d has Retry-After %q, want Retry-After with 503 alone", status, header.Get("Retry-After"))
 			}
-			if runs := len(alone.ledger.Operation("x").Executions); (runs > 0) == c.moves || runs > 1 {
-				t.Errorf("%d runs", runs)
+			if runs := len(oneNode.ledger.Operation("x").Executions); (runs > 0) == c.retried || runs > 1 {
+				t.Errorf("the mutation ran %d times", runs)
 			}
-			if says := strings.Contains(body, `"mayHaveRun":true`); says != (c.want == "502 UPSTREAM_FAILED") {
-				t.Errorf("it says %s", body)
+			if mayHaveRun := strings.Contains(body, `"mayHaveRun":true`); mayHaveRun != (c.want == "502 UPSTREAM_FAILED") {
+				t.Errorf("mayHaveRun must be true exactly with 502 UPSTREAM_FAILED: got %s", body)
 			}
-			two := startGraphQL(t, "700ms", of(""), fakes.NodeOptions{})
-			missed := 0
+			twoNodes := startGraphQL(t, "700ms", nodeWithFault(""), fakes.NodeOptions{})
+			failedQueries := 0
 			for i := range 20 {
 				id := fmt.Sprint("m", i)
-				if status, _, _ := two.post(t.Context(), operationJSON(`{seats}`)); status != 200 {
-					missed++
+				if status, _, _ := twoNodes.post(t.Context(), operationJSON(`{seats}`)); status != 200 {
+					failedQueries++
 				}
-				if status, _, body := two.post(t.Context(), operationJSON(fmt.Sprintf(`mutation{confirm(id:%q)}`, id))); c.moves && status != 200 {
-					t.Errorf("mutation %d: %d %s", i, status, body)
+				if status, _, body := twoNodes.post(t.Context(), operationJSON(fmt.Sprintf(`mutation{confirm(id:%q)}`, id))); c.retried && status != 200 {
+					t.Errorf("mutation %d was answered %d %s, want 200 from the node without fault", i, status, body)
 				}
-				if runs := len(two.ledger.Operation(id).Executions); runs > 1 {
-					t.Errorf("%s: %d runs", id, runs)
+				if runs := len(twoNodes.ledger.Operation(id).Executions); runs > 1 {
+					t.Errorf("mutation %s ran %d times", id, runs)
 				}
 			}
-			if missed > 2 { // the first that meets silence may be refused: nothing is known yet of how long a query takes
-				t.Errorf("%d queries of 20 are not answered", missed)
+			if failedQueries > 2 { // the first query that gets no answer may fail: the usual latency of a query is not known yet
+				t.Errorf("%d of 20 queries failed, want at most 2", failedQueries)
 			}
 		})
 	}
 }
 
-// A reload that changes an endpoint's classes counts for what comes then, and a file that can't be used changes nothing; what
-// has been learnt stays where the endpoint does.
+// Tests that a reload applies an endpoint's new classes to later requests, that an unusable file changes nothing, and that an endpoint
+// whose settings stay the same keeps its state.
 func TestGraphQLReload(t *testing.T) {
 	r := startGraphQL(t, "10s", fakes.NodeOptions{})
-	ask := func() int {
+	queryStatus := func() int {
 		status, _, _ := r.post(t.Context(), operationJSON(`{seats}`))
 		return status
 	}
 	before := r.d.routing.Load()
-	if err := r.reload(t, r.file+"\n# the same\n"); err != nil || ask() != 200 {
+	if err := r.reload(t, r.file+"\n# the same\n"); err != nil || queryStatus() != 200 {
 		t.Fatal(err)
 	}
-	for print, e := range before.graphql {
-		if r.d.routing.Load().graphql[print] != e {
-			t.Error("an endpoint that stays is made anew")
+	for fingerprint, e := range before.graphql {
+		if r.d.routing.Load().graphql[fingerprint] != e {
+			t.Error("a reload without changes replaced an endpoint")
 		}
 	}
-	for bad, change := range map[string][2]string{"no class": {`query = "search"`, `query = "gone"`}, "no such file": {`persisted = "automatic"`, `schema = "/nowhere/s.graphql"`},
-		"known": {`persisted = "automatic"`, `persisted = "known"`}, "one path": {`match = "/graphql"`, `match = "/graphql/{x}"`}} {
-		if err := r.reload(t, strings.Replace(r.file, change[0], change[1], 1)); err == nil || ask() != 200 {
-			t.Errorf("%s: %v", bad, err)
+	for name, change := range map[string][2]string{"unknown class": {`query = "search"`, `query = "gone"`}, "missing schema file": {`persisted = "automatic"`, `schema = "/nowhere/s.graphql"`},
+		"known without a file": {`persisted = "automatic"`, `persisted = "known"`}, "wildcard in the path": {`match = "/graphql"`, `match = "/graphql/{x}"`}} {
+		if err := r.reload(t, strings.Replace(r.file, change[0], change[1], 1)); err == nil || queryStatus() != 200 {
+			t.Errorf("%s: the reload returned %v, want an error and requests still answered", name, err)
 		}
 	}
 	schema := base.File(t, "s.graphql", []byte("type Query { coach: String } type Mutation { record(requestId: String!): String }"))
-	if err := r.reload(t, strings.Replace(r.file, `persisted = "automatic"`, fmt.Sprintf("schema = %q", schema), 1)); err != nil || ask() != 400 {
-		t.Errorf("by its schema: %v, %d", err, ask())
+	if err := r.reload(t, strings.Replace(r.file, `persisted = "automatic"`, fmt.Sprintf("schema = %q", schema), 1)); err != nil || queryStatus() != 400 {
+		t.Errorf("with a schema that lacks the field: the reload returned %v, and the query was answered %d, want 400", err, queryStatus())
 	}
 }
