--- a/internal/daemon/graphql_batch_test.go
+++ b/internal/daemon/graphql_batch_test.go
@@ -17,7 +17,8 @@
 )
 
 // Tests batches: each entry is forwarded by its own class, and mutations one at a time in the batch's order. A node that breaks the
-// connection, drains or does not answer fails the entry that it had; later mutations are not sent, and other entries are not affected.
+// connection, does not answer in time or answers 401 fails the entry that it had. Later mutations are then not sent, and other entries are
+// not affected.
 func TestGraphQLBatch(t *testing.T) {
 	var order []string
 	var mu sync.Mutex
@@ -49,7 +50,7 @@
 		switch fault {
 		case "break":
 			panic(http.ErrAbortHandler)
-		case "away":
+		case "not processed":
 			w.Header().Set("X-Not-Processed", "1")
 			w.WriteHeader(503)
 		case "silent":
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -196,12 +196,12 @@
 		want    string // the answer to a mutation if the only node has the fault
 		retried bool   // a mutation is retried at another node
 	}{
-		"no answer":       {fakes.LoseAnswer, "502 UPSTREAM_FAILED", false},
-		"malformed JSON":  {fakes.Malformed, "502 UPSTREAM_FAILED", false},
-		"500":             {fakes.Fail, "502 UPSTREAM_FAILED", false},
-		"failing code":    {fakes.ErrorExecuted, "502 SERVICE_UNAVAILABLE", false},
-		"not-run code":    {fakes.ErrorNotExecuted, "503 REFUSED", true},
-		"rejected":        {fakes.Reject, "503 REFUSED", true},
+		"no answer":      {fakes.LoseAnswer, "502 UPSTREAM_FAILED", false},
+		"malformed JSON": {fakes.Malformed, "502 UPSTREAM_FAILED", false},
+		"500":            {fakes.Fail, "502 UPSTREAM_FAILED", false},
+		"failing code":   {fakes.ErrorExecuted, "502 SERVICE_UNAVAILABLE", false},
+		"not-run code":   {fakes.ErrorNotExecuted, "503 REFUSED", true},
+		"rejected":       {fakes.Reject, "503 REFUSED", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/daemon/idempotency_restart_test.go
+++ b/internal/daemon/idempotency_restart_test.go
@@ -26,8 +26,9 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Keys outlast the process where a file keeps them: an answer is replayed, what may have run is not sent again, whatever clocks say; a
-// file that is cut or broken ends the start with one line, and one that can't be written refuses what is keyed.
+// Tests that keys in a file outlive the process: after a restart a stored answer is replayed, and a payment that may have been executed is
+// not sent again, since the clock may have stood still while no process ran. A truncated or corrupt file fails the start with an error of
+// one line.
 func TestRepeatsOutlastTheProcess(t *testing.T) {
 	p := newPaymentUpstream(t)
 	path := filepath.Join(t.TempDir(), "keys.db")
@@ -37,40 +38,40 @@
 		p.responses <- "paid"
 		p.responses <- "break"
 		if status, _, _ := pay(t.Context(), r, "/record/1", "k1", "5"); status != 200 {
-			t.Errorf("%d", status)
+			t.Errorf("the first payment got %d, want 200", status)
 		}
 		if status, _, _ := pay(t.Context(), r, "/record/2", "k2", "5"); status != 502 {
-			t.Errorf("%d", status)
+			t.Errorf("a payment whose connection broke got %d, want 502", status)
 		}
 	})
 	t.Run("second", func(t *testing.T) {
 		before := p.received.Load()
 		r := startFile(t, file)
 		if status, body, _ := pay(t.Context(), r, "/record/1", "k1", "5"); status != 200 || body != "paid" {
-			t.Errorf("%d %s", status, body)
+			t.Errorf("the stored answer after the restart is %d %s, want 200 paid", status, body)
 		}
 		if status, _, _ := pay(t.Context(), r, "/record/2", "k2", "5"); status != 502 || p.received.Load() != before {
-			t.Errorf("what may have run: %d", status)
+			t.Errorf("a payment that may have been executed got %d after the restart, want 502 without another attempt", status)
 		}
 	})
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, text := range map[string][]byte{"cut": whole[:len(whole)/2], "a byte": whole[:1], "noise": []byte(strings.Repeat("noise", 10000)),
-		"broken": append(append([]byte{}, whole[:8192]...), make([]byte, len(whole)-8192)...)} {
-		bad := base.File(t, "keys.db", text)
-		if err := startError(t, p.file("6s", "20s", fmt.Sprintf("file = %q\n", bad))); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", name, err)
+	for name, text := range map[string][]byte{"half a file": complete[:len(complete)/2], "one byte": complete[:1], "text": []byte(strings.Repeat("noise", 10000)),
+		"zeros after 8 KiB": append(append([]byte{}, complete[:8192]...), make([]byte, len(complete)-8192)...)} {
+		corrupt := base.File(t, "keys.db", text)
+		if err := startError(t, p.file("6s", "20s", fmt.Sprintf("file = %q\n", corrupt))); err == nil || strings.Contains(err.Error(), "\n") {
+			t.Errorf("key file with %s: the start returned %v, want an error of one line", name, err)
 		}
 	}
 }
 
-// startError is what ends a daemon's start.
+// startError starts a daemon and returns the error with which it ends.
 func startError(t *testing.T, text string) error {
 	t.Helper()
-	ctx, stop := context.WithTimeout(t.Context(), testutil.Timeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(t.Context(), testutil.Timeout)
+	defer cancel()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -78,15 +79,16 @@
 	return ServePlan(ctx, plan(t, text), l, config.Sources{}, nil, nil)
 }
 
-// startPaymentNodes are six in two zones, whose memories are short and which fail in every way. It returns their part of the file. They remember
-// for twice the window that they promise: from the write on, what a node takes to come to a request is not the sidecar's.
+// startPaymentNodes starts six nodes in two zones, which inject faults of every kind and forget keys soon. It returns their ledger and their
+// part of the configuration file. A node remembers a key for twice the promised window: the sidecar counts the window from the write of a
+// request, and cannot know how long the node then takes to get to it.
 func startPaymentNodes(t *testing.T, window time.Duration) (*fakes.Ledger, string) {
 	ledger := fakes.NewLedger()
-	memories := map[string]*fakes.IdempotencyKeys{"a": fakes.NewIdempotencyKeys(2 * window), "b": fakes.NewIdempotencyKeys(2 * window)}
-	list := ""
+	keysOfZone := map[string]*fakes.IdempotencyKeys{"a": fakes.NewIdempotencyKeys(2 * window), "b": fakes.NewIdempotencyKeys(2 * window)}
+	endpoints := ""
 	for i := range 6 {
 		zone := []string{"a", "b"}[i%2]
-		o := fakes.NodeOptions{Name: fmt.Sprint("n", i), Zone: zone, Keys: memories[zone], Ledger: ledger, Cores: 16, Seed: uint64(i + 1)}
+		o := fakes.NodeOptions{Name: fmt.Sprint("n", i), Zone: zone, Keys: keysOfZone[zone], Ledger: ledger, Cores: 16, Seed: uint64(i + 1)}
 		for _, k := range []fakes.FaultKind{fakes.Reject, fakes.Fail, fakes.FailNotExecuted, fakes.ResetBefore, fakes.ResetAfter, fakes.LoseAnswer,
 			fakes.Hang, fakes.Malformed, fakes.Truncate} {
 			share := 0.05
@@ -101,49 +103,49 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		list += fmt.Sprintf("[[service.endpoint]]\nname = \"n%d\"\naddress = %q\nzone = %q\n", i, at, zone)
+		endpoints += fmt.Sprintf("[[service.endpoint]]\nname = \"n%d\"\naddress = %q\nzone = %q\n", i, at, zone)
 	}
-	return ledger, list
+	return ledger, endpoints
 }
 
-// The proof by count: payments whose clients try again after every failure, also long after the window and also by another request
-// in the same moment, before nodes in two zones whose memories are short. None is recorded twice, and each client gets one end.
+// Guards against a payment that is recorded twice. Clients retry payments after every failure, also after the deduplication window and with
+// two concurrent requests, at nodes in two zones that forget keys soon. Each request gets one answer.
 func TestRepeatsNothingRecordedTwice(t *testing.T) {
 	const window = 300 * time.Millisecond
-	ledger, list := startPaymentNodes(t, window)
-	r := startFile(t, fmt.Sprintf(idempotencyFile, list, window, "250ms")+"running = 4096\n")
+	ledger, endpoints := startPaymentNodes(t, window)
+	r := startFile(t, fmt.Sprintf(idempotencyFile, endpoints, window, "250ms")+"running = 4096\n")
 	r.client.Transport.(*http.Transport).MaxIdleConnsPerHost = 128
-	var tries, odd, served atomic.Int64
+	var requests, unexpected, succeeded atomic.Int64
 	var wg sync.WaitGroup
 	for worker := range 64 {
 		wg.Go(func() {
-			for n := 0; tries.Load() < 16000; n++ {
+			for n := 0; requests.Load() < 16000; n++ {
 				key := fmt.Sprintf("%d-%d", worker, n)
-				for try := range 6 {
-					copies := 1 + (n+try)%2
-					var one sync.WaitGroup
+				for attempt := range 6 {
+					concurrent := 1 + (n+attempt)%2
+					var attemptRequests sync.WaitGroup
 					var ok atomic.Bool
-					for range copies {
-						one.Go(func() {
-							tries.Add(1)
+					for range concurrent {
+						attemptRequests.Go(func() {
+							requests.Add(1)
 							switch status, _, _ := pay(context.Background(), r, "/record/"+key, key, "5"); status {
 							case 200:
 								ok.Store(true)
 							case 502, 503:
 							default:
-								odd.Add(1)
+								unexpected.Add(1)
 							}
 						})
 					}
-					one.Wait()
+					attemptRequests.Wait()
 					if ok.Load() {
-						served.Add(1)
+						succeeded.Add(1)
 						if n%3 > 0 {
 							break
 						}
 					}
-					if try == 3 && n%4 == 0 {
-						time.Sleep(2 * window) // a client that comes after it
+					if attempt == 3 && n%4 == 0 {
+						time.Sleep(2 * window) // a client that retries after the window
 					}
 				}
 			}
@@ -153,31 +155,31 @@
 	if twice := ledger.ExecutedTwice("record"); len(twice) > 0 {
 		t.Errorf("%d payments are recorded twice: %v", len(twice), twice[:min(5, len(twice))])
 	}
-	if odd.Load() > 0 {
-		t.Errorf("%d answers of another kind", odd.Load())
+	if unexpected.Load() > 0 {
+		t.Errorf("%d answers had an unexpected status", unexpected.Load())
 	}
-	k := r.d.routing.Load().services["pay"].executor.Load()
-	testutil.Eventually(t, "nothing runs", func() bool { _, _, running := k.Stats(); return running == 0 })
-	keys, bytes, _ := k.Stats()
-	t.Logf("%d tries, %d payments recorded, %d served; %d keys of %d bytes", tries.Load(), ledger.Operations("record"), served.Load(), keys, bytes)
+	keyExecutor := r.d.routing.Load().services["pay"].executor.Load()
+	testutil.Eventually(t, "no execution is running", func() bool { _, _, running := keyExecutor.Stats(); return running == 0 })
+	keys, bytes, _ := keyExecutor.Stats()
+	t.Logf("%d requests, %d payments recorded, %d succeeded; %d keys of %d bytes", requests.Load(), ledger.Operations("record"), succeeded.Load(), keys, bytes)
 }
 
-// TestRepeatsChild is a process of TestRepeatsKilled's, and else nothing.
+// TestRepeatsChild is the child process that startChild starts. It is skipped in an ordinary run of the tests.
 func TestRepeatsChild(t *testing.T) {
 	path := os.Getenv(childFileEnv)
 	if path == "" {
-		t.Skip("it is run by TestRepeatsKilled")
+		t.Skip("this test runs only as a child process of other tests")
 	}
 	executorStep = func(step string) {
 		if step == os.Getenv(childStepEnv) {
-			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // nothing comes after it
+			_ = syscall.Kill(os.Getpid(), syscall.SIGKILL) // ends the process without any clean-up
 			select {}
 		}
 	}
 	if size := os.Getenv(childSizeEnv); size != "" {
-		most, _ := strconv.ParseUint(size, 10, 64) // the test's own
-		signal.Ignore(syscall.SIGXFSZ)             // a write beyond is an error, as on a full disk
-		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: most, Max: most}); err != nil {
+		maxBytes, _ := strconv.ParseUint(size, 10, 64) // the test that starts the child sets a valid number
+		signal.Ignore(syscall.SIGXFSZ)                 // a write beyond the limit then returns an error, as on a full disk
+		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: maxBytes, Max: maxBytes}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -186,20 +188,20 @@
 	}
 }
 
-// startChild starts a daemon of its own process, and returns once it is ready. It kills itself at step, if there is one.
+// startChild starts a daemon in a child process, and returns once it is ready. The child kills itself at step, unless step is empty.
 func startChild(t *testing.T, r *fileRig, file, step string, env ...string) *exec.Cmd {
 	t.Helper()
 	c := exec.Command(os.Args[0], "-test.run=^TestRepeatsChild$")
 	c.Env = append(append(os.Environ(), childFileEnv+"="+file, childStepEnv+"="+step), env...)
-	var said bytes.Buffer
-	c.Stdout, c.Stderr = &said, &said
+	var output bytes.Buffer
+	c.Stdout, c.Stderr = &output, &output
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		_, _ = c.Process.Kill(), c.Wait() // it may have ended
 		if t.Failed() {
-			t.Logf("process %d said: %s", c.Process.Pid, said.Bytes())
+			t.Logf("output of child process %d: %s", c.Process.Pid, output.Bytes())
 		}
 	})
 	testutil.Eventually(t, "ready", func() bool {
@@ -213,8 +215,8 @@
 	return c
 }
 
-// A process that is killed at any point of a payment's way, and one that takes its place: the payment is recorded once at most, and
-// who comes again gets an end that is true: the one answer, or that it may have run.
+// Guards against a payment that is recorded twice because the process is killed at some step of its execution and another process takes
+// over. A retry gets the stored answer, or a failure that says that the payment may have been executed.
 func TestRepeatsKilled(t *testing.T) {
 	for _, step := range executor.Steps {
 		t.Run(step, func(t *testing.T) {
@@ -229,22 +231,22 @@
 				fmt.Sprintf("addresses = [%q]", upstream), "6s", "5s", filepath.Join(t.TempDir(), "keys.db")))
 			r := &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}}}
 			first := startChild(t, r, file, step)
-			status, told, _ := pay(t.Context(), r, "/record/1", "k", "5")
+			status, firstBody, _ := pay(t.Context(), r, "/record/1", "k", "5")
 			if err := first.Wait(); err == nil || first.ProcessState.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
-				t.Fatalf("it was not killed: %v", err)
+				t.Fatalf("the first process did not end by SIGKILL: %v", err)
 			}
 			startChild(t, r, file, "")
 			for range 3 {
-				again, body, _ := pay(t.Context(), r, "/record/1", "k", "5")
-				if again != 200 && again != 502 || again == 200 && body != "paid 1" || status == 200 && again == 200 && body != told {
-					t.Errorf("first %d %q, then %d %q", status, told, again, body)
+				retryStatus, body, _ := pay(t.Context(), r, "/record/1", "k", "5")
+				if retryStatus != 200 && retryStatus != 502 || retryStatus == 200 && body != "paid 1" || status == 200 && retryStatus == 200 && body != firstBody {
+					t.Errorf("the first request got %d %q, its retry got %d %q", status, firstBody, retryStatus, body)
 				}
-				if step == "arrived" && again != 200 {
-					t.Errorf("it was never on record, and gets %d", again)
+				if step == "arrived" && retryStatus != 200 {
+					t.Errorf("a payment that was not recorded before the kill got %d, want 200", retryStatus)
 				}
 			}
 			if n := runs.Load(); n > 1 {
-				t.Errorf("recorded %d times", n)
+				t.Errorf("the payment was executed %d times, want at most once", n)
 			}
 		})
 	}
--- a/internal/daemon/idempotency_shared_test.go
+++ b/internal/daemon/idempotency_shared_test.go
@@ -20,190 +20,192 @@
 
 const sharedStoreTable = "\n[repeats.shared]\nservers = [%q]\nsession = \"3s\"\ntimeout = \"300ms\"\n"
 
-// Two daemons share their keys: what one runs the other waits for, and gives the one answer, marked; another request under the key is a
-// conflict there too; while the store is away new keys are refused, or go on, and what is known here is still replayed.
+// Tests two daemons that share their keys in etcd. A request that one daemon executes is waited for by the other, which replays the same
+// answer with the replay header. A different request with the same key is a conflict at both. While etcd is down, new keys are rejected or
+// executed, as the configuration says, and answers that a daemon knows are still replayed.
 func TestRepeatsShared(t *testing.T) {
 	p := newPaymentUpstream(t)
-	e, at := base.Etcd(t, fakes.EtcdOptions{})
-	file := p.file("6s", "20s", fmt.Sprintf(sharedStoreTable, at))
+	etcd, etcdAddress := base.Etcd(t, fakes.EtcdOptions{})
+	file := p.file("6s", "20s", fmt.Sprintf(sharedStoreTable, etcdAddress))
 	a, b := startFile(t, file), startFile(t, strings.Replace(file, "timeout =", "error = \"go on\"\ntimeout =", 1))
-	ends := make(chan string, 10)
+	results := make(chan string, 10)
 	for i, r := range []*fileRig{a, b, b, a} {
 		go func() {
-			status, body, head := pay(t.Context(), r, "/record/1", "k1", "5")
-			ends <- fmt.Sprint(status, body, head.Get(replayedHeader))
+			status, body, header := pay(t.Context(), r, "/record/1", "k1", "5")
+			results <- fmt.Sprint(status, body, header.Get(replayedHeader))
 		}()
 		if i == 0 {
-			testutil.Eventually(t, "it runs", func() bool { return p.received.Load() == 1 })
+			testutil.Eventually(t, "the payment reaches the upstream", func() bool { return p.received.Load() == 1 })
 		}
 	}
 	if status, _, _ := pay(t.Context(), b, "/record/1", "k1", "6"); status != 422 {
-		t.Errorf("another body at the other one: %d", status)
+		t.Errorf("a different body with the same key at the other daemon got %d, want 422", status)
 	}
 	p.responses <- "paid"
 	got := map[string]int{}
 	for range 4 {
-		got[<-ends]++
+		got[<-results]++
 	}
 	if got["200paid"] != 1 || got["200paidtrue"] != 3 || p.received.Load() != 1 {
-		t.Errorf("%v of %d runs", got, p.received.Load())
+		t.Errorf("results %v of %d executions, want one execution and three replays", got, p.received.Load())
 	}
-	p.responses <- "break" // the last of its attempts: clocks are not trusted, and so the other one does not send it again
+	p.responses <- "break" // all five attempts fail; no bound on the clock skew is set, so the other daemon must not send the payment again
 	for range 4 {
 		p.responses <- "break"
 	}
 	if status, _, _ := pay(t.Context(), a, "/record/2", "k2", "5"); status != 502 {
-		t.Errorf("broken: %d", status)
+		t.Errorf("a payment whose connections broke got %d, want 502", status)
 	}
 	before := p.received.Load()
 	if status, _, _ := pay(t.Context(), b, "/record/2", "k2", "5"); status != 502 || p.received.Load() != before {
-		t.Errorf("at the other one: %d", status)
+		t.Errorf("its retry at the other daemon got %d, want 502 without another attempt", status)
 	}
 	for len(p.responses) > 0 {
 		<-p.responses
 	}
-	e.Stop()
-	p.responses <- "on"
+	etcd.Stop()
+	p.responses <- "executed"
 	for _, c := range []struct {
 		r    *fileRig
 		key  string
 		want string
-	}{{a, "k1", "200paid"}, {b, "k1", "200paid"}, {a, "k3", "503"}, {b, "k3", "200on"}} {
+	}{{a, "k1", "200paid"}, {b, "k1", "200paid"}, {a, "k3", "503"}, {b, "k3", "200executed"}} {
 		status, body, _ := pay(t.Context(), c.r, "/record/1", c.key, "5")
 		if got := fmt.Sprint(status, body); !strings.HasPrefix(got, c.want) {
-			t.Errorf("%s without a store: %s", c.key, got)
+			t.Errorf("key %s while etcd is down: got %s", c.key, got)
 		}
 	}
-	if _, err := e.Start(); err != nil {
+	if _, err := etcd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Eventually(t, "new keys run again", func() bool {
-		p.responses <- "back"
+	testutil.Eventually(t, "new keys are executed again", func() bool {
+		p.responses <- "paid"
 		status, _, _ := pay(t.Context(), a, "/record/1", "k4", "5")
 		return status == 200
 	})
 }
 
-// A daemon that drains hands each repeat that waits one answer: the first one's, wherever that runs.
+// Tests that a daemon that drains still answers the waiting repeats of a request with that request's answer, whether it or another daemon
+// executes the request.
 func TestRepeatsDrain(t *testing.T) {
-	for _, where := range []string{"here", "elsewhere"} {
-		t.Run(where, func(t *testing.T) {
+	for _, executedBy := range []string{"draining daemon", "another daemon"} {
+		t.Run(executedBy, func(t *testing.T) {
 			p := newPaymentUpstream(t)
-			_, at := base.Etcd(t, fakes.EtcdOptions{})
-			file := p.file("6s", "20s", fmt.Sprintf(sharedStoreTable, at))
-			a := startFile(t, file)
-			b := a
-			if where == "elsewhere" {
-				b = startFile(t, file)
-			}
-			ends := make(chan string, 10)
-			try := func(r *fileRig) {
+			_, etcdAddress := base.Etcd(t, fakes.EtcdOptions{})
+			file := p.file("6s", "20s", fmt.Sprintf(sharedStoreTable, etcdAddress))
+			executing := startFile(t, file)
+			draining := executing
+			if executedBy == "another daemon" {
+				draining = startFile(t, file)
+			}
+			results := make(chan string, 10)
+			sendPayment := func(r *fileRig) {
 				status, body, _ := pay(t.Context(), r, "/record/1", "k1", "5")
-				ends <- fmt.Sprint(status, body)
+				results <- fmt.Sprint(status, body)
 			}
-			go try(a)
-			testutil.Eventually(t, "it runs", func() bool { return p.received.Load() == 1 })
+			go sendPayment(executing)
+			testutil.Eventually(t, "the payment reaches the upstream", func() bool { return p.received.Load() == 1 })
 			for range 5 {
-				go try(b)
+				go sendPayment(draining)
 			}
-			testutil.Eventually(t, "its repeats are in hand", func() bool { return b.d.routing.Load().services["pay"].inFlight.Load() >= 5 })
-			b.stop()
+			testutil.Eventually(t, "the repeats are in flight", func() bool { return draining.d.routing.Load().services["pay"].inFlight.Load() >= 5 })
+			draining.stop()
 			time.AfterFunc(100*time.Millisecond, func() { p.responses <- "paid" })
 			for range 6 {
-				if got := <-ends; got != "200paid" {
-					t.Errorf("%s", got)
+				if got := <-results; got != "200paid" {
+					t.Errorf("got %s, want 200paid", got)
 				}
 			}
 			select {
-			case <-b.ended:
+			case <-draining.ended:
 			case <-time.After(testutil.Timeout):
-				t.Fatal("it does not end")
+				t.Fatal("the draining daemon does not end")
 			}
-			if b.err != nil || p.received.Load() != 1 {
-				t.Errorf("%v, %d runs", b.err, p.received.Load())
+			if draining.err != nil || p.received.Load() != 1 {
+				t.Errorf("the drained daemon ended with %v after %d executions, want nil after 1", draining.err, p.received.Load())
 			}
 		})
 	}
 }
 
-// The proof with kills: daemons of their own processes, killed at any moment and started again, one whose keys are in a file and two
-// that share them in a store that fails, before nodes that fail too. No payment is recorded twice.
+// Guards against a payment that is recorded twice when daemons are killed at any moment and restarted, at nodes that fail too: one daemon
+// with its keys in a file, and two that share them in an etcd that fails now and then.
 func TestRepeatsKilledNothingRecordedTwice(t *testing.T) {
 	const window = 400 * time.Millisecond
-	for name, n := range map[string]int{"file": 1, "shared": 2} {
+	for name, daemons := range map[string]int{"file": 1, "shared": 2} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ledger, list := startPaymentNodes(t, window)
-			rng := rand.New(rand.NewPCG(7, uint64(n)))
+			ledger, endpoints := startPaymentNodes(t, window)
+			rng := rand.New(rand.NewPCG(7, uint64(daemons)))
 			var mu sync.Mutex
-			e, at := base.Etcd(t, fakes.EtcdOptions{Late: 20 * time.Millisecond, Fault: func() fakes.EtcdFault {
+			etcd, etcdAddress := base.Etcd(t, fakes.EtcdOptions{Late: 20 * time.Millisecond, Fault: func() fakes.EtcdFault {
 				mu.Lock()
 				defer mu.Unlock()
 				return []fakes.EtcdFault{fakes.EtcdFine, fakes.EtcdRefuse, fakes.EtcdLose, fakes.EtcdLate}[max(0, rng.IntN(60)-56)]
 			}})
-			more := fmt.Sprintf("file = %q\n", filepath.Join(t.TempDir(), "keys.db"))
-			if n > 1 {
-				more = fmt.Sprintf(sharedStoreTable+"clock_skew = \"1ms\"\n", at)
+			keyStore := fmt.Sprintf("file = %q\n", filepath.Join(t.TempDir(), "keys.db"))
+			if daemons > 1 {
+				keyStore = fmt.Sprintf(sharedStoreTable+"clock_skew = \"1ms\"\n", etcdAddress)
 			}
-			rigs, files, children := make([]*fileRig, n), make([]string, n), make([]*exec.Cmd, n)
-			for i := range n {
+			rigs, files, children := make([]*fileRig, daemons), make([]string, daemons), make([]*exec.Cmd, daemons)
+			for i := range daemons {
 				address := base.FreeAddress(t)
 				files[i] = base.File(t, "o.toml", fmt.Appendf(nil, "[daemon]\nlisten = %q\n"+strings.TrimPrefix(idempotencyFile, "\n")+"running = 1024\n%s",
-					address, list, window, "250ms", more))
+					address, endpoints, window, "250ms", keyStore))
 				rigs[i] = &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}}
 				t.Cleanup(rigs[i].client.CloseIdleConnections)
 				children[i] = startChild(t, rigs[i], files[i], "")
 			}
-			const wanted = 5000
-			var tries, served, lost, odd atomic.Int64
+			const wantRequests = 5000
+			var requests, succeeded, unanswered, unexpected atomic.Int64
 			var wg sync.WaitGroup
 			for worker := range 16 {
 				wg.Go(func() {
-					for k := 0; tries.Load() < wanted; k++ {
+					for k := 0; requests.Load() < wantRequests; k++ {
 						key := fmt.Sprintf("%d-%d", worker/2, k) // two clients send each payment
-						for try := range 5 {
-							tries.Add(1)
-							switch status, _, _ := pay(context.Background(), rigs[(worker+try)%n], "/record/"+key, key, "5"); status {
+						for attempt := range 5 {
+							requests.Add(1)
+							switch status, _, _ := pay(context.Background(), rigs[(worker+attempt)%daemons], "/record/"+key, key, "5"); status {
 							case 200:
-								served.Add(1)
-							case 0: // its daemon was killed, or is not up yet
-								lost.Add(1)
+								succeeded.Add(1)
+							case 0: // its daemon was killed, or is not ready yet
+								unanswered.Add(1)
 								time.Sleep(20 * time.Millisecond)
 							case 502, 503:
 							default:
-								odd.Add(1)
+								unexpected.Add(1)
 							}
 						}
 					}
 				})
 			}
 			kills := 0
-			for ; tries.Load() < wanted; kills++ {
-				i := kills % n
-				from := tries.Load()
-				testutil.Eventually(t, "some are tried", func() bool { return tries.Load() > from+wanted/12 || tries.Load() >= wanted })
+			for ; requests.Load() < wantRequests; kills++ {
+				i := kills % daemons
+				before := requests.Load()
+				testutil.Eventually(t, "enough requests for the next kill", func() bool { return requests.Load() > before+wantRequests/12 || requests.Load() >= wantRequests })
 				_ = children[i].Process.Kill()
-				_ = children[i].Wait() // killed
+				_ = children[i].Wait() // returns an error, since the child was killed
 				children[i] = startChild(t, rigs[i], files[i], "")
 			}
 			wg.Wait()
 			if twice := ledger.ExecutedTwice("record"); len(twice) > 0 {
 				t.Errorf("%d payments are recorded twice: %v", len(twice), twice[:min(5, len(twice))])
 			}
-			if odd.Load() > 0 || served.Load() < wanted/4 {
-				t.Errorf("%d answers of another kind, %d served", odd.Load(), served.Load())
+			if unexpected.Load() > 0 || succeeded.Load() < wantRequests/4 {
+				t.Errorf("%d answers had an unexpected status, and %d requests succeeded, want none and at least a quarter", unexpected.Load(), succeeded.Load())
 			}
-			t.Logf("%d tries, %d payments recorded, %d served, %d without an answer, %d kills; %d writes in the store", tries.Load(), ledger.Operations("record"),
-				served.Load(), lost.Load(), kills, e.Writes())
+			t.Logf("%d requests, %d payments recorded, %d succeeded, %d without an answer, %d kills; %d writes in etcd", requests.Load(), ledger.Operations("record"),
+				succeeded.Load(), unanswered.Load(), kills, etcd.Writes())
 		})
 	}
 }
 
-// A disk that is full, for real: the file may not grow beyond 1 MiB. New keys are refused, or go on; those on record are known, also to
-// the process that comes after and has room again.
+// Tests a full disk: the key file cannot grow beyond 1 MiB. New keys are rejected or executed without a record, as the configuration says.
+// Recorded keys are still replayed, also by the next process, which has disk space again.
 func TestRepeatsDiskIsFull(t *testing.T) {
-	for _, how := range []string{"refuse", "go on"} {
-		t.Run(how, func(t *testing.T) {
+	for _, diskError := range []string{"refuse", "go on"} {
+		t.Run(diskError, func(t *testing.T) {
 			t.Parallel()
 			var runs atomic.Int64
 			upstream := base.HTTP(t, nil, func(w http.ResponseWriter, q *http.Request) {
@@ -212,41 +214,41 @@
 			})
 			address := base.FreeAddress(t)
 			file := base.File(t, "o.toml", fmt.Appendf(nil, "[daemon]\nlisten = %q\n"+strings.TrimPrefix(idempotencyFile, "\n")+"file = %q\ndisk_error = %q\n", address,
-				fmt.Sprintf("addresses = [%q]", upstream), "6s", "5s", filepath.Join(t.TempDir(), "keys.db"), how))
+				fmt.Sprintf("addresses = [%q]", upstream), "6s", "5s", filepath.Join(t.TempDir(), "keys.db"), diskError))
 			r := &fileRig{running: &running{address: address, client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}}}
 			c := startChild(t, r, file, "", childSizeEnv+"=1048576")
-			taken, refused := 0, 0
+			accepted, rejected := 0, 0
 			for n := range 300 {
 				switch status, _, _ := pay(t.Context(), r, "/record/1", fmt.Sprint(n), "5"); status {
 				case 200:
-					taken++
+					accepted++
 				case 503:
-					refused++
+					rejected++
 				default:
-					t.Fatalf("payment %d: %d", n, status)
+					t.Fatalf("payment %d got %d, want 200 or 503", n, status)
 				}
 			}
-			if how == "refuse" && (refused < 100 || taken < 30) || how != "refuse" && refused > 0 {
-				t.Errorf("%d taken, %d refused", taken, refused)
+			if diskError == "refuse" && (rejected < 100 || accepted < 30) || diskError != "refuse" && rejected > 0 {
+				t.Errorf("%d payments were accepted and %d rejected", accepted, rejected)
 			}
-			if runs.Load() != int64(taken) {
-				t.Errorf("%d runs of %d that were taken", runs.Load(), taken)
+			if runs.Load() != int64(accepted) {
+				t.Errorf("%d executions of %d accepted payments, want one each", runs.Load(), accepted)
 			}
-			known := func() {
+			checkReplays := func() {
 				t.Helper()
 				for n := range 20 {
 					if status, _, head := pay(t.Context(), r, "/record/1", fmt.Sprint(n), "5"); status != 200 || head.Get(replayedHeader) == "" {
-						t.Errorf("payment %d again: %d", n, status)
+						t.Errorf("the repeat of payment %d got %d, want a replay with 200", n, status)
 					}
 				}
 			}
-			known()
+			checkReplays()
 			_ = c.Process.Kill()
-			_ = c.Wait() // killed
+			_ = c.Wait() // returns an error, since the child was killed
 			startChild(t, r, file, "")
-			known()
+			checkReplays()
 			if status, _, _ := pay(t.Context(), r, "/record/1", "new", "5"); status != 200 {
-				t.Errorf("with room again: %d", status)
+				t.Errorf("a new key after disk space is free again got %d, want 200", status)
 			}
 		})
 	}
--- a/internal/daemon/idempotency_test.go
+++ b/internal/daemon/idempotency_test.go
@@ -45,14 +45,15 @@
 service = "pay"
 `
 
-// pay is a payment's try. It returns the status, and the body or a space and whether it is a replay.
+// pay sends a payment with an idempotency key, and returns the status, the body and the headers of the answer. If there is no answer, the
+// status is 0 and the body is the error.
 func pay(ctx context.Context, r *fileRig, path, key, body string) (int, string, http.Header) {
 	q, err := http.NewRequestWithContext(ctx, "POST", "http://"+r.address+path, strings.NewReader(body))
 	if err != nil {
 		return 0, err.Error(), nil
 	}
 	q.Header.Set("Idempotency-Key", key)
-	q.Header.Set(fakes.OperationHeader, key) // whose runs the ledger counts, over all tries
+	q.Header.Set(fakes.OperationHeader, key) // the ledger counts how often the operation was executed, over all attempts
 	resp, err := r.client.Do(q)
 	if err != nil {
 		return 0, err.Error(), nil
@@ -65,148 +66,150 @@
 	return resp.StatusCode, string(text), resp.Header
 }
 
-// paymentUpstream is an upstream that answers when it is let, and counts.
+// paymentUpstream is an upstream that counts the requests that it receives and answers each with the next of responses.
 type paymentUpstream struct {
 	address   string
 	received  atomic.Int64
-	responses chan string // "break", "lose", or what it answers
+	responses chan string // "break" (the connection), "not processed" (503 with that mark), or the body of a 200 answer
 }
 
 func newPaymentUpstream(t *testing.T) *paymentUpstream {
 	p := &paymentUpstream{responses: make(chan string, 100)}
-	end := make(chan struct{})
+	stopped := make(chan struct{})
 	p.address = base.HTTP(t, nil, func(w http.ResponseWriter, q *http.Request) {
 		_, _ = io.Copy(io.Discard, q.Body)
 		p.received.Add(1)
 		select {
-		case how := <-p.responses:
-			switch how {
+		case response := <-p.responses:
+			switch response {
 			case "break":
 				panic(http.ErrAbortHandler)
-			case "away":
+			case "not processed":
 				w.Header().Set("X-Not-Processed", "1")
 				w.WriteHeader(503)
 				return
 			}
-			_, _ = w.Write([]byte(how))
-		case <-end:
+			_, _ = w.Write([]byte(response))
+		case <-stopped:
 		}
 	})
-	t.Cleanup(func() { close(end) })
+	t.Cleanup(func() { close(stopped) })
 	return p
 }
 
-func (p *paymentUpstream) file(window, deadline, more string) string {
-	return fmt.Sprintf(idempotencyFile, fmt.Sprintf("addresses = [%q]", p.address), window, deadline) + more
+// file returns a configuration file with this upstream. idempotency is appended to its [[repeats]] table.
+func (p *paymentUpstream) file(window, deadline, idempotency string) string {
+	return fmt.Sprintf(idempotencyFile, fmt.Sprintf("addresses = [%q]", p.address), window, deadline) + idempotency
 }
 
-// Two copies in one instant are one run; its first client's leaving ends nothing; who comes later gets the kept answer; another
-// request under the key is a conflict; a full store refuses and knows what it knew, also after a reload that starts the service anew.
+// Tests idempotency keys: concurrent requests with one key are executed once, even if the first client disconnects, and later ones get the
+// stored answer. A different request with the same key is a conflict. A full store rejects new keys and keeps those that it has, also
+// across a reload that replaces the engine.
 func TestRepeats(t *testing.T) {
 	p := newPaymentUpstream(t)
 	file := p.file("6s", "20s", "entries = 2\ntenant_part = 1.0\nanswer = \"1KiB\"\n")
 	r := startFile(t, file)
-	type end struct {
+	type result struct {
 		status int
 		body   string
 	}
-	ends := make(chan end, 10)
-	leaves, leave := context.WithCancel(t.Context())
+	results := make(chan result, 10)
+	firstClient, disconnect := context.WithCancel(t.Context())
 	go func() {
-		status, body, _ := pay(leaves, r, "/record/1", "k1", "5")
-		ends <- end{status, body}
+		status, body, _ := pay(firstClient, r, "/record/1", "k1", "5")
+		results <- result{status, body}
 	}()
-	testutil.Eventually(t, "it runs", func() bool { return p.received.Load() == 1 })
+	testutil.Eventually(t, "the payment reaches the upstream", func() bool { return p.received.Load() == 1 })
 	for range 3 {
 		go func() {
 			status, body, _ := pay(t.Context(), r, "/record/1", "k1", "5")
-			ends <- end{status, body}
+			results <- result{status, body}
 		}()
 	}
-	leave()
-	if e := <-ends; e.status != 0 {
-		t.Errorf("who left got %v", e)
+	disconnect()
+	if got := <-results; got.status != 0 {
+		t.Errorf("the client that disconnected got %v", got)
 	}
 	if status, _, _ := pay(t.Context(), r, "/record/1", "k1", "6"); status != 422 {
-		t.Errorf("another body: %d", status)
+		t.Errorf("a different body with the same key was answered %d, want 422", status)
 	}
 	p.responses <- "paid"
 	for range 3 {
-		if e := <-ends; e != (end{200, "paid"}) {
-			t.Errorf("a repeat got %v", e)
+		if got := <-results; got != (result{200, "paid"}) {
+			t.Errorf("a concurrent repeat got %v, want 200 paid", got)
 		}
 	}
-	status, body, head := pay(t.Context(), r, "/record/1", "k1", "5")
-	if status != 200 || body != "paid" || head.Get("Idempotent-Replayed") != "true" || p.received.Load() != 1 {
-		t.Errorf("%d %s %v, %d runs", status, body, head, p.received.Load())
+	status, body, header := pay(t.Context(), r, "/record/1", "k1", "5")
+	if status != 200 || body != "paid" || header.Get("Idempotent-Replayed") != "true" || p.received.Load() != 1 {
+		t.Errorf("a later repeat got %d %s with headers %v after %d executions, want a replay of 200 paid", status, body, header, p.received.Load())
 	}
 	if status, _, _ := pay(t.Context(), r, "/record/2", "k1", "5"); status != 422 {
-		t.Errorf("another path: %d", status)
+		t.Errorf("a different path with the same key was answered %d, want 422", status)
 	}
 	p.responses <- strings.Repeat("x", 2000)
 	if status, body, _ := pay(t.Context(), r, "/record/2", "k2", "5"); status != 200 || len(body) != 2000 {
-		t.Errorf("a large answer: %d", status)
+		t.Errorf("a payment with an answer of 2000 bytes got %d, want 200 and the complete body", status)
 	}
 	if status, _, _ := pay(t.Context(), r, "/record/2", "k2", "5"); status != 409 {
-		t.Errorf("its repeat: %d", status)
+		t.Errorf("the repeat of a payment whose answer is too large to store got %d, want 409", status)
 	}
 	for range 2 {
-		status, _, head = pay(t.Context(), r, "/record/3", "k3", "5")
-		if status != 503 || head.Get("Retry-After") == "" || p.received.Load() != 2 {
-			t.Errorf("beyond the bound: %d, %d runs", status, p.received.Load())
+		status, _, header = pay(t.Context(), r, "/record/3", "k3", "5")
+		if status != 503 || header.Get("Retry-After") == "" || p.received.Load() != 2 {
+			t.Errorf("a new key in a full store got %d after %d executions, want 503 with Retry-After after 2", status, p.received.Load())
 		}
 		if err := r.reload(t, strings.Replace(file, "deadline = \"20s\"", "deadline = \"19s\"", 1)); err != nil { // a new engine
 			t.Fatal(err)
 		}
 	}
 	if status, body, _ := pay(t.Context(), r, "/record/1", "k1", "5"); status != 200 || body != "paid" {
-		t.Errorf("after the reload: %d %s", status, body)
+		t.Errorf("a stored key after the reload got %d %s, want 200 paid", status, body)
 	}
 }
 
-// What may have run is sent again within the window, to the nodes of its zone, and never after it; what is proved not to have run
-// is as new.
+// Tests retries of failed payments. One that may have been executed is sent again within the deduplication window, to endpoints of the
+// same zone, and never after the window. One that is proved not to have been executed is treated as new.
 func TestRepeatsAfterFailures(t *testing.T) {
-	home, away := newPaymentUpstream(t), newPaymentUpstream(t)
-	list := fmt.Sprintf("[[service.endpoint]]\nname = \"h\"\naddress = %q\nzone = \"a\"\n[[service.endpoint]]\nname = \"w\"\naddress = %q\nzone = \"b\"\n", home.address, away.address)
-	r := startFile(t, fmt.Sprintf(idempotencyFile, "attempts = 1\ncross_zone_price = 50.0\n"+list, "1500ms", "20s"))
-	try := func(key, how string) (int, string) {
-		home.responses <- how
+	homeZone, otherZone := newPaymentUpstream(t), newPaymentUpstream(t)
+	endpoints := fmt.Sprintf("[[service.endpoint]]\nname = \"h\"\naddress = %q\nzone = \"a\"\n[[service.endpoint]]\nname = \"w\"\naddress = %q\nzone = \"b\"\n", homeZone.address, otherZone.address)
+	r := startFile(t, fmt.Sprintf(idempotencyFile, "attempts = 1\ncross_zone_price = 50.0\n"+endpoints, "1500ms", "20s"))
+	payWithResponse := func(key, response string) (int, string) {
+		homeZone.responses <- response
 		status, body, _ := pay(t.Context(), r, "/record/1", key, "5")
 		return status, body
 	}
-	if status, _ := try("a", "break"); status != 502 {
-		t.Errorf("broken: %d", status)
+	if status, _ := payWithResponse("a", "break"); status != 502 {
+		t.Errorf("a payment whose connection broke got %d, want 502", status)
 	}
-	for i := range 5 { // to the zone where it may have run, whatever else is idle
-		if status, body := try(fmt.Sprint("b", i), "break"); status != 502 {
-			t.Errorf("broken: %d %s", status, body)
+	for i := range 5 { // retries go to the zone where the payment may have been executed, even if another zone is idle
+		if status, body := payWithResponse(fmt.Sprint("b", i), "break"); status != 502 {
+			t.Errorf("a payment whose connection broke got %d %s, want 502", status, body)
 		}
-		if status, body := try(fmt.Sprint("b", i), "paid"); status != 200 || body != "paid" {
-			t.Errorf("within the window: %d %s", status, body)
+		if status, body := payWithResponse(fmt.Sprint("b", i), "paid"); status != 200 || body != "paid" {
+			t.Errorf("its retry within the deduplication window got %d %s, want 200 paid", status, body)
 		}
 	}
-	if n := away.received.Load(); n > 0 {
-		t.Errorf("%d went to the other zone", n)
+	if n := otherZone.received.Load(); n > 0 {
+		t.Errorf("%d attempts went to the other zone", n)
 	}
-	before := home.received.Load()
-	time.Sleep(1500 * time.Millisecond) // the window itself
+	before := homeZone.received.Load()
+	time.Sleep(1500 * time.Millisecond) // the deduplication window
 	for range 3 {
 		if status, _, _ := pay(t.Context(), r, "/record/1", "a", "5"); status != 502 {
-			t.Errorf("after the window: %d", status)
+			t.Errorf("a retry after the deduplication window got %d, want 502", status)
 		}
 	}
-	if home.received.Load() != before {
-		t.Error("it was sent after the window")
+	if homeZone.received.Load() != before {
+		t.Error("a payment that may have been executed was sent again after the deduplication window")
 	}
-	if status, _ := try("c", "away"); status != 503 {
-		t.Errorf("turned away: %d", status)
+	if status, _ := payWithResponse("c", "not processed"); status != 503 {
+		t.Errorf("a payment that the upstream did not process got %d, want 503", status)
 	}
-	if status, body := try("c", "paid"); status != 200 || body != "paid" {
-		t.Errorf("as new: %d %s", status, body)
+	if status, body := payWithResponse("c", "paid"); status != 200 || body != "paid" {
+		t.Errorf("the retry of a payment that was not processed got %d %s, want 200 paid", status, body)
 	}
 }
 
-// childFileEnv names the operator's file of a daemon that this binary runs in place of its tests, childStepEnv where it kills itself, and
-// childSizeEnv how large its files may grow.
+// Environment variables of a daemon that this test binary runs as a child process: the path of its configuration file, the step of an
+// execution at which it kills itself, and the size in bytes to which its files may grow.
 const childFileEnv, childStepEnv, childSizeEnv = "ORCHIDDRIFT_CHILD_FILE", "ORCHIDDRIFT_CHILD_STEP", "ORCHIDDRIFT_CHILD_SIZE"
