--- a/internal/daemon/admission_test.go
+++ b/internal/daemon/admission_test.go
@@ -21,13 +21,13 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// admissionRig is a daemon with a door before one upstream, which answers a request when the test lets it.
+// admissionRig is a daemon with admission control in front of one upstream, which answers a request for each value in respond.
 type admissionRig struct {
 	*fileRig
 	received chan string // the path of each request that has reached the upstream
 	respond  chan bool
 	mu       sync.Mutex
-	results  map[string][]string // statuses by path
+	results  map[string][]string // by path: a status, with " after" appended if the answer has Retry-After, or "left" without an answer
 	wg       sync.WaitGroup
 }
 
@@ -56,44 +56,44 @@
 func startAdmission(t *testing.T, table string) *admissionRig {
 	t.Helper()
 	r := &admissionRig{received: make(chan string, 100), respond: make(chan bool, 100), results: map[string][]string{}}
-	done := make(chan struct{})
+	stopped := make(chan struct{})
 	upstream := base.HTTP(t, nil, func(w http.ResponseWriter, q *http.Request) {
-		at := q.URL.Path
-		if at == "/graphql" { // where all have one path
-			at = q.Header.Get("X-Tenant-Id")
+		path := q.URL.Path
+		if path == "/graphql" { // GraphQL requests share one path, so the tenant identifies them
+			path = q.Header.Get("X-Tenant-Id")
 		}
-		r.received <- at
+		r.received <- path
 		select {
 		case <-r.respond:
-		case <-done:
+		case <-stopped:
 		}
 		_, _ = w.Write([]byte(`{"data":{}}`))
 	})
 	r.fileRig = startFile(t, fmt.Sprintf(admissionFile, upstream)+table)
 	t.Cleanup(r.wg.Wait)
-	t.Cleanup(func() { close(done) })
+	t.Cleanup(func() { close(stopped) })
 	return r
 }
 
-// ask has a client of a tenant ask for a path.
-func (r *admissionRig) ask(ctx context.Context, tenant, path string) {
+// request starts a request of a tenant for a path, whose result is added to results.
+func (r *admissionRig) request(ctx context.Context, tenant, path string) {
 	r.wg.Go(func() {
 		q, err := http.NewRequestWithContext(ctx, "GET", "http://"+r.address+path, nil)
 		if err != nil {
 			return
 		}
 		q.Header.Set("X-Tenant-Id", tenant)
-		end := "left"
+		result := "left"
 		if resp, err := r.client.Do(q); err == nil {
-			end = strconv.Itoa(resp.StatusCode)
-			if after := resp.Header.Get("Retry-After"); after != "" {
-				end += " after"
+			result = strconv.Itoa(resp.StatusCode)
+			if retryAfter := resp.Header.Get("Retry-After"); retryAfter != "" {
+				result += " after"
 			}
 			resp.Body.Close()
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.results[path] = append(r.results[path], end)
+		r.results[path] = append(r.results[path], result)
 	})
 }
 
@@ -104,59 +104,61 @@
 }
 
 func (r *admissionRig) stats() admission.Stats {
-	k := r.d.routing.Load().services["seats"].admission.Load()
-	if k == nil {
+	queue := r.d.routing.Load().services["seats"].admission.Load()
+	if queue == nil {
 		return admission.Stats{}
 	}
-	return k.Stats()
+	return queue.Stats()
 }
 
-// holding waits until so many wait at the door.
+// waitQueued waits until n requests are in the admission queue.
 func (r *admissionRig) waitQueued(t *testing.T, n int) {
 	t.Helper()
-	testutil.Eventually(t, fmt.Sprint(n, " wait"), func() bool { return r.stats().Queued == n })
+	testutil.Eventually(t, fmt.Sprint(n, " requests are in the admission queue"), func() bool { return r.stats().Queued == n })
 }
 
+// nextReceived waits for the next request at the upstream, and returns its path, or its tenant if it is a GraphQL request.
 func (r *admissionRig) nextReceived(t *testing.T) string {
 	t.Helper()
 	select {
 	case path := <-r.received:
 		return path
 	case <-time.After(testutil.Timeout):
-		t.Fatal("nothing reaches the upstream")
+		t.Fatal("no further request reached the upstream in time")
 		return ""
 	}
 }
 
 const admissionTable = "[[door]]\nservice = \"seats\"\nlimit_least = 1\nlimit_most = 1\nwaiting = 6\n"
 
-// A quiet tenant's request goes before the flood's, whose newest is refused with a time to come back; who leaves is taken
-// out and never sent; weights count as a reload says, and a door that is taken away lets everybody on.
+// Tests the admission queue: a request of a tenant with little traffic is admitted before those of one that floods the service, whose
+// newest requests are rejected with Retry-After. A request whose client disconnects leaves the queue and is not sent. A reload changes
+// tenants' weights, and one that removes admission control admits all queued requests.
 func TestDoor(t *testing.T) {
 	r := startAdmission(t, admissionTable)
-	r.ask(t.Context(), "flood", "/flood/0")
-	if at := r.nextReceived(t); at != "/flood/0" {
-		t.Fatal(at)
+	r.request(t.Context(), "flood", "/flood/0")
+	if admitted := r.nextReceived(t); admitted != "/flood/0" {
+		t.Fatal(admitted)
 	}
 	for i := range 6 {
-		r.ask(t.Context(), "flood", fmt.Sprint("/flood/", i+1))
+		r.request(t.Context(), "flood", fmt.Sprint("/flood/", i+1))
 		r.waitQueued(t, i+1)
 	}
-	r.ask(t.Context(), "flood", "/flood/7")
-	testutil.Eventually(t, "the flood's newest is refused", func() bool { return slices.Equal(r.resultsOf("/flood/7"), []string{"503 after"}) })
-	r.ask(t.Context(), "quiet", "/quiet")
-	testutil.Eventually(t, "the flood's last gives way", func() bool { return slices.Equal(r.resultsOf("/flood/6"), []string{"503 after"}) })
+	r.request(t.Context(), "flood", "/flood/7")
+	testutil.Eventually(t, "the flood's newest request is rejected", func() bool { return slices.Equal(r.resultsOf("/flood/7"), []string{"503 after"}) })
+	r.request(t.Context(), "quiet", "/quiet")
+	testutil.Eventually(t, "the flood's last queued request gives way to the quiet tenant's", func() bool { return slices.Equal(r.resultsOf("/flood/6"), []string{"503 after"}) })
 	r.waitQueued(t, 6)
 	r.respond <- true
-	if at := r.nextReceived(t); at != "/quiet" {
-		t.Errorf("%s goes before the quiet one", at)
+	if admitted := r.nextReceived(t); admitted != "/quiet" {
+		t.Errorf("%s was admitted before the quiet tenant's request", admitted)
 	}
 	r.waitQueued(t, 5)
 
-	leaves, leave := context.WithCancel(t.Context())
-	r.ask(leaves, "quiet", "/leaves")
+	clientContext, disconnect := context.WithCancel(t.Context())
+	r.request(clientContext, "quiet", "/leaves")
 	r.waitQueued(t, 6)
-	leave()
+	disconnect()
 	r.waitQueued(t, 5)
 
 	text, err := os.ReadFile(r.path)
@@ -167,21 +169,21 @@
 	if err := r.reload(t, file+"[[door.weight]]\nname = \"flood\"\nweight = 0\n"); err != nil {
 		t.Fatal(err)
 	}
-	r.ask(t.Context(), "other", "/other/1")
+	r.request(t.Context(), "other", "/other/1")
 	r.waitQueued(t, 6)
 	r.respond <- true
-	if at := r.nextReceived(t); at != "/other/1" {
-		t.Errorf("%s goes before one that has a weight", at)
+	if admitted := r.nextReceived(t); admitted != "/other/1" {
+		t.Errorf("%s, of a tenant of weight 0, was admitted before a request of a tenant with a weight", admitted)
 	}
 	if err := r.reload(t, strings.Replace(file, "waiting = 6", "waiting = 0", 1)); err == nil {
-		t.Error("a door without room is taken")
+		t.Error("a reload accepted an admission queue of length 0")
 	}
 	if err := r.reload(t, strings.Replace(file, admissionTable, "", 1)); err != nil {
 		t.Fatal(err)
 	}
 	for range 5 {
-		if at := r.nextReceived(t); !strings.HasPrefix(at, "/flood/") {
-			t.Errorf("%s goes on", at)
+		if admitted := r.nextReceived(t); !strings.HasPrefix(admitted, "/flood/") {
+			t.Errorf("%s was forwarded after admission control was removed, want only the queued requests of the flood", admitted)
 		}
 	}
 	for range 6 {
@@ -192,35 +194,35 @@
 		testutil.Eventually(t, path, func() bool { return slices.Equal(r.resultsOf(path), []string{"200"}) })
 	}
 	select {
-	case at := <-r.received:
-		t.Errorf("%s was sent too", at)
+	case admitted := <-r.received:
+		t.Errorf("%s was forwarded in addition to the expected requests", admitted)
 	default:
 	}
 }
 
-// A batch is charged by its entries: it does not get past the door as one.
+// Tests that each entry of a GraphQL batch passes admission control as a request of its own.
 func TestDoorChargesBatches(t *testing.T) {
 	r := startAdmission(t, admissionTable+"[[graphql]]\nmatch = \"/graphql\"\n")
-	ask := func(tenant, body string) {
+	send := func(tenant, body string) {
 		r.wg.Go(func() {
-			q, _ := http.NewRequest("POST", "http://"+r.address+"/graphql", strings.NewReader(body)) // the URL can be read
+			q, _ := http.NewRequest("POST", "http://"+r.address+"/graphql", strings.NewReader(body)) // the URL is valid
 			q.Header.Set("X-Tenant-Id", tenant)
 			q.Header.Set("Content-Type", "application/json")
 			if resp, err := r.client.Do(q); err != nil || resp.StatusCode != 200 {
-				t.Errorf("%s: %v %v", tenant, resp, err)
+				t.Errorf("request of tenant %s: got %v and error %v, want 200", tenant, resp, err)
 			} else {
 				resp.Body.Close()
 			}
 		})
 	}
-	ask("flood", "["+strings.Repeat(operationJSON("{a}")+",", 5)+operationJSON("{b}")+"]")
+	send("flood", "["+strings.Repeat(operationJSON("{a}")+",", 5)+operationJSON("{b}")+"]")
 	r.nextReceived(t)
-	r.waitQueued(t, 3) // batch_parallel is 4
-	ask("quiet", operationJSON("{a}"))
+	r.waitQueued(t, 3) // batch_parallel is 4: one entry is at the upstream, three are queued
+	send("quiet", operationJSON("{a}"))
 	r.waitQueued(t, 4)
 	r.respond <- true
-	if at := r.nextReceived(t); at != "quiet" {
-		t.Errorf("%s goes before the quiet one", at)
+	if admitted := r.nextReceived(t); admitted != "quiet" {
+		t.Errorf("a request of tenant %s was admitted before the quiet tenant's", admitted)
 	}
 	for i := range 6 {
 		r.respond <- true
@@ -230,11 +232,11 @@
 	}
 }
 
-// At SIGTERM who waits goes on while there is time, and gets one answer when there is none.
+// Tests that after SIGTERM queued requests are still admitted during the drain period, and that those left at its end are answered too.
 func TestDoorDrains(t *testing.T) {
 	r := startAdmission(t, admissionTable)
 	for i := range 4 {
-		r.ask(context.Background(), "a", fmt.Sprint("/", i))
+		r.request(context.Background(), "a", fmt.Sprint("/", i))
 		if i == 0 {
 			r.nextReceived(t)
 		} else {
@@ -243,7 +245,7 @@
 	}
 	r.stop()
 	r.respond <- true
-	r.nextReceived(t) // one more goes on
+	r.nextReceived(t) // one more request is admitted
 	<-r.fileRig.ended
 	for i, want := range []string{"200", "502", "503", "503"} {
 		path := fmt.Sprint("/", i)
@@ -251,7 +253,7 @@
 	}
 }
 
-// A sender is known by its certificate's URI, DNS name or common name, in that order, and by its address.
+// Tests that a client is identified by its certificate's URI, else DNS name, else common name, and by its address.
 func TestWhoOf(t *testing.T) {
 	id, err := url.Parse("spiffe://rail/counter/7")
 	if err != nil {
@@ -259,20 +261,20 @@
 	}
 	named := x509.Certificate{Subject: pkix.Name{CommonName: "cn"}}
 	dns := x509.Certificate{Subject: pkix.Name{CommonName: "cn"}, DNSNames: []string{"counter.example.org"}}
-	both := dns
-	both.URIs = []*url.URL{id}
-	for _, tt := range []struct {
-		from *tls.ConnectionState
-		want string
-	}{{nil, ""}, {&tls.ConnectionState{}, ""}, {tlsStateOf(&named), "cn"}, {tlsStateOf(&dns), "counter.example.org"}, {tlsStateOf(&both), id.String()}} {
-		r := &http.Request{RemoteAddr: "192.0.2.9:4711", TLS: tt.from, Header: http.Header{"X-Shop": {"a"}}}
-		who := clientOf(r, "acme")
-		if who.Certificate() != tt.want || who.Peer().String() != "192.0.2.9" || who.Tenant != "acme" || who.Header("x-shop") != "a" {
-			t.Errorf("%q from %v, for %q", who.Certificate(), who.Peer(), tt.want)
+	withURI := dns
+	withURI.URIs = []*url.URL{id}
+	for _, c := range []struct {
+		connection *tls.ConnectionState
+		want       string
+	}{{nil, ""}, {&tls.ConnectionState{}, ""}, {tlsStateOf(&named), "cn"}, {tlsStateOf(&dns), "counter.example.org"}, {tlsStateOf(&withURI), id.String()}} {
+		r := &http.Request{RemoteAddr: "192.0.2.9:4711", TLS: c.connection, Header: http.Header{"X-Shop": {"a"}}}
+		client := clientOf(r, "acme")
+		if client.Certificate() != c.want || client.Peer().String() != "192.0.2.9" || client.Tenant != "acme" || client.Header("x-shop") != "a" {
+			t.Errorf("client has certificate name %q and address %v, want %q and 192.0.2.9", client.Certificate(), client.Peer(), c.want)
 		}
 	}
-	if who := clientOf(&http.Request{RemoteAddr: "@"}, ""); who.Peer().IsValid() {
-		t.Error("an address out of nothing")
+	if client := clientOf(&http.Request{RemoteAddr: "@"}, ""); client.Peer().IsValid() {
+		t.Error("a request without an IP address got a valid peer address")
 	}
 }
 
--- a/internal/daemon/connection_close_test.go
+++ b/internal/daemon/connection_close_test.go
@@ -17,15 +17,15 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// pausingListener gives connections whose server is held where a test says: between the read of a socket and what the server makes of
-// it, and as it begins to close.
+// pausingListener accepts connections on which a test can pause the server between the read of bytes from the socket and their processing,
+// and which report when the server begins to close them.
 type pausingListener struct {
 	net.Listener
-	pauseNextRead atomic.Bool   // the next read that brings bytes is held
-	paused        chan struct{} // gets something once it has brought them
-	resume        chan struct{} // closed: what is held goes on
-	watchNext     atomic.Bool   // the next connection that is accepted is watched
-	closing       chan struct{} // closed as the server shuts or closes the one that is watched
+	pauseNextRead atomic.Bool   // the next read that returns bytes is paused before it returns
+	paused        chan struct{} // receives a value once that read has its bytes
+	resume        chan struct{} // closed by the test: the paused read returns
+	watchNext     atomic.Bool   // the next accepted connection is watched
+	closing       chan struct{} // closed once the server has closed the watched connection, or its write side
 	once          sync.Once
 }
 
@@ -81,7 +81,7 @@
 	return c.TCPConn.Close()
 }
 
-// clientConn is a client of one connection.
+// clientConn is the client's end of one connection.
 type clientConn struct {
 	net.Conn
 	in *bufio.Reader
@@ -111,7 +111,7 @@
 	}
 }
 
-// answer reads one answer and its body.
+// answer reads one answer with its body.
 func (c *clientConn) answer() (*http.Response, string, error) {
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -121,8 +121,8 @@
 	return resp, string(body), err
 }
 
-// Guards against a request that is lost: it is read in the moment in which its idle connection is closed at a shutdown. It could
-// have no answer, so it is not sent on; its client finds the end of the connection alone, and sends it again elsewhere.
+// Guards against a request that runs although its client cannot get the answer: the server reads it at the moment when it closes the idle
+// connection at a shutdown. The request is not forwarded; its client sees only the end of the connection, and can retry elsewhere.
 func TestReadAsItsConnectionIsShut(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	l := newPausingListener(t)
@@ -133,25 +133,25 @@
 	c := dial(t, r.address, nil)
 	c.send(t, "confirm", "one")
 	if resp, _, err := c.answer(); err != nil || resp.StatusCode != 200 {
-		t.Fatalf("%v, %v", resp, err)
+		t.Fatalf("first request: got %v and error %v, want 200", resp, err)
 	}
 	l.pauseNextRead.Store(true)
 	c.send(t, "confirm", "two")
-	<-l.paused // its bytes are off the socket, and the server does not know of them
+	<-l.paused // the request has been read from the socket, but the server has not got it yet
 	r.stop()
 	<-l.closing
 	close(l.resume)
 	if resp, _, err := c.answer(); err == nil {
-		t.Errorf("answered %s on a connection that was shut", resp.Status)
+		t.Errorf("got %s on a connection that the server had closed", resp.Status)
 	}
 	c.Close()
 	<-r.ended
 	if got := s.Requests(); len(got) != 1 {
-		t.Errorf("%d requests were sent on, the last one's answer has no way", len(got))
+		t.Errorf("%d requests were forwarded, want only the one whose answer could be delivered", len(got))
 	}
 }
 
-// Guards against a request that is cut off at a shutdown: its first bytes came before its idle connection would have been closed.
+// Guards against a request that is cut off at a shutdown although its first bytes arrived before the server closed its idle connection.
 func TestBegunBeforeItsConnectionIsShut(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("whole")))
 	l := newPausingListener(t)
@@ -162,7 +162,7 @@
 	for _, c := range []*clientConn{other, c} {
 		c.send(t, "search", "")
 		if resp, _, err := c.answer(); err != nil || resp.Close {
-			t.Fatalf("%v, %v", resp, err)
+			t.Fatalf("first request: got %v and error %v, want an answer that keeps the connection open", resp, err)
 		}
 	}
 	var text strings.Builder
@@ -174,21 +174,21 @@
 	<-l.paused
 	close(l.resume)
 	r.stop()
-	if _, err := other.in.ReadByte(); !errors.Is(err, io.EOF) { // idle connections are being closed
-		t.Fatalf("an idle connection: %v", err)
+	if _, err := other.in.ReadByte(); !errors.Is(err, io.EOF) { // the server is closing idle connections
+		t.Fatalf("reading from an idle connection at a shutdown: got error %v, want EOF", err)
 	}
 	if _, err := io.WriteString(c, text.String()[20:]); err != nil {
 		t.Fatal(err)
 	}
 	resp, body, err := c.answer()
 	if err != nil || resp.StatusCode != 200 || body != "whole" || !resp.Close {
-		t.Errorf("%v %q, %v", resp, body, err)
+		t.Errorf("request begun before the shutdown: got %v with body %q and error %v, want 200 and Connection: close", resp, body, err)
 	}
 	<-r.ended
 }
 
-// Guards against an answer that a reset takes with it: bytes came behind its request that nobody reads any more, and a close over
-// them resets the connection while the client has yet to read.
+// Guards against an answer that is lost to a connection reset: more bytes arrive after the request, which the server does not read, and
+// closing a connection with unread bytes resets it before the client has read the answer.
 func TestLastAnswerOverUnreadBytes(t *testing.T) {
 	release := make(chan struct{})
 	body := strings.Repeat("answer ", 40<<10)
@@ -203,14 +203,14 @@
 	r.ready(t)
 	r.client.CloseIdleConnections()
 	l.watchNext.Store(true)
-	c := dial(t, r.address, func(fd uintptr) { // it takes little before it reads
+	c := dial(t, r.address, func(fd uintptr) { // a small receive buffer, so that most of the answer is not delivered before the client reads
 		_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10)
 	})
 	c.send(t, "confirm", "")
 	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
 	c.send(t, "confirm", strings.Repeat("behind ", 10<<10))
 	r.stop()
-	testutil.Eventually(t, "answers end their connections", func() bool {
+	testutil.Eventually(t, "answers close their connections", func() bool {
 		resp, err := r.client.Do(testutil.Request(t, r.address, "nothing", ""))
 		if err != nil {
 			return false
@@ -223,11 +223,11 @@
 	<-l.closing
 	resp, got, err := c.answer()
 	if err != nil || resp.StatusCode != 200 || got != body || !resp.Close {
-		t.Errorf("%d of %d bytes, %v", len(got), len(body), err)
+		t.Errorf("got %d of %d bytes of the answer, error %v", len(got), len(body), err)
 	}
 	c.Close()
 	<-r.ended
 	if n := len(s.Requests()); n != 1 {
-		t.Errorf("%d requests were sent on", n)
+		t.Errorf("%d requests were forwarded, want 1", n)
 	}
 }
