--- a/internal/daemon/body_test.go
+++ b/internal/daemon/body_test.go
@@ -25,8 +25,8 @@
 	"orchiddrift/internal/upstream"
 )
 
-// small is a configuration whose memory holds few bodies.
-func small(t *testing.T, entries ...string) *config.Config {
+// smallMemoryConfig returns a configuration whose memory limit leaves space for few bodies.
+func smallMemoryConfig(t *testing.T, entries ...string) *config.Config {
 	t.Helper()
 	c := testutil.Config(t, testutil.Quiet(t).Address, entries...)
 	c.Limits.MemoryMB = 32
@@ -39,7 +39,7 @@
 	return c, bufio.NewReader(c)
 }
 
-// pattern is n bytes that differ from place to place.
+// pattern returns n bytes whose values depend on their position.
 func pattern(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
@@ -48,15 +48,15 @@
 	return b
 }
 
-// Bodies of every size and framing reach the upstream as they were, and are answered. Guards against bodies that are cut, joined or
-// turned down, those that are kept whole and those that go on as they come.
+// Guards against bodies that are truncated, joined or rejected: bodies of every size and framing, buffered or streamed, reach the upstream
+// unchanged and are answered.
 func TestBodiesOfAnySize(t *testing.T) {
 	var got atomic.Pointer[fakes.Got]
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		got.Store(&g)
 		return fakes.Says(fakes.OK200("a"))(c, g)
 	})
-	r := start(t, small(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	r := start(t, smallMemoryConfig(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	for _, size := range []int{0, 1, 4095, 4096, 4097, alwaysBufferedBytes - 1, alwaysBufferedBytes, alwaysBufferedBytes + 1, 300 << 10, 1 << 20, 1<<20 + 1, 5 << 20} {
 		for _, framing := range []string{"length", "chunks"} {
 			body := pattern(size)
@@ -67,21 +67,21 @@
 			}
 			resp, text := r.do(t, req)
 			if resp.StatusCode != 200 || text != "a" {
-				t.Errorf("%d bytes by %s: %s %q", size, framing, resp.Status, text)
+				t.Errorf("a body of %d bytes, framed by %s, got %s with body %q, want 200 a", size, framing, resp.Status, text)
 				continue
 			}
 			if g := got.Load(); g.Body != string(body) {
-				t.Errorf("%d bytes by %s: the upstream got %d", size, framing, len(g.Body))
+				t.Errorf("a body of %d bytes, framed by %s, reached the upstream changed, with %d bytes", size, framing, len(g.Body))
 			}
 		}
 	}
 }
 
-// Guards against slow clients that are cut, and against ones that say nothing and are not: half of 64 kB a second is enough, in
-// whatever pieces, and less is not.
+// Tests the limit on clients' sending rate: a client at 64 kB/s, twice minClientRate, is served whatever the size of its pieces; one that
+// sends less than minClientRate gets 408.
 func TestSlowBodies(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("a")))
-	r := start(t, small(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	r := start(t, smallMemoryConfig(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	const size = 160 << 10
 	var clients sync.WaitGroup
 	defer clients.Wait()
@@ -90,8 +90,8 @@
 		every time.Duration
 		want  int
 	}{
-		"64 kB a second": {3277, 50 * time.Millisecond, 200}, "in drops": {328, 5 * time.Millisecond, 200}, "nothing": {0, time.Second, 408},
-		"a byte now and then": {1, 100 * time.Millisecond, 408},
+		"64 kB a second": {3277, 50 * time.Millisecond, 200}, "small pieces": {328, 5 * time.Millisecond, 200}, "nothing": {0, time.Second, 408},
+		"ten bytes a second": {1, 100 * time.Millisecond, 408},
 	} {
 		clients.Go(func() {
 			conn, in := dialRaw(t, r.address)
@@ -107,43 +107,43 @@
 			}()
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil {
-				t.Errorf("%s: %v", name, err)
+				t.Errorf("client that sends %s: no answer: %v", name, err)
 				return
 			}
 			if resp.StatusCode != c.want {
-				t.Errorf("%s: %s, want %d", name, resp.Status, c.want)
+				t.Errorf("client that sends %s: got %s, want %d", name, resp.Status, c.want)
 			}
 		})
 	}
 }
 
-// Guards against a process that falls over the memory that many large bodies and answers take at once: they go through it in pieces,
-// no faster than the slower side takes them.
+// Guards against a process that runs out of memory when many large bodies and answers are in flight: they are streamed in pieces, no
+// faster than the slower side reads them.
 func TestManyLargeOnesAtOnce(t *testing.T) {
 	const size, clients = 8 << 20, 12
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	part := make([]byte, 64<<10)
-	echo := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	chunk := make([]byte, 64<<10)
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n, err := io.Copy(io.Discard, r.Body)
 		if err != nil || n != size {
 			w.WriteHeader(500)
 			return
 		}
 		w.Header().Set("Content-Length", fmt.Sprint(size))
-		for range size / len(part) {
-			_, _ = w.Write(part)
+		for range size / len(chunk) {
+			_, _ = w.Write(chunk)
 		}
 	})}
-	go echo.Serve(l)
-	defer echo.Close()
-	r := start(t, small(t, testutil.Entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
-	var most atomic.Uint64 // bytes of live and not yet collected heap, the clients' and the upstream's included
+	go server.Serve(l)
+	defer server.Close()
+	r := start(t, smallMemoryConfig(t, testutil.Entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
+	var maxHeap atomic.Uint64 // bytes of live and not yet collected heap, including the clients' and the upstream's
 	stop := make(chan struct{})
-	var looking sync.WaitGroup
-	looking.Go(func() {
+	var sampler sync.WaitGroup
+	sampler.Go(func() {
 		for {
 			select {
 			case <-stop:
@@ -151,22 +151,22 @@
 			case <-time.After(5 * time.Millisecond):
 				var m runtime.MemStats
 				runtime.ReadMemStats(&m)
-				most.Store(max(most.Load(), m.HeapAlloc))
+				maxHeap.Store(max(maxHeap.Load(), m.HeapAlloc))
 			}
 		}
 	})
 	defer func() {
 		close(stop)
-		looking.Wait()
-		if n := most.Load(); n > clients*size/2 { // both ways at once it is twice clients*size
-			t.Errorf("%d MB of heap", n>>20)
+		sampler.Wait()
+		if n := maxHeap.Load(); n > clients*size/2 { // buffering requests and answers would take 2*clients*size
+			t.Errorf("the heap grew to %d MiB: bodies are not streamed", n>>20)
 		}
 	}()
-	var all sync.WaitGroup
+	var requests sync.WaitGroup
 	for range clients {
 		req := testutil.Request(t, r.address, "confirm", "")
 		req.Body, req.ContentLength = io.NopCloser(io.LimitReader(zeros{}, size)), size
-		all.Go(func() {
+		requests.Go(func() {
 			resp, err := r.client.Do(req)
 			if err != nil {
 				t.Error(err)
@@ -174,13 +174,14 @@
 			}
 			defer resp.Body.Close()
 			if n, err := io.Copy(io.Discard, resp.Body); err != nil || n != size || resp.StatusCode != 200 {
-				t.Errorf("%s, %d bytes, %v", resp.Status, n, err)
+				t.Errorf("got %s with %d bytes and error %v, want 200 with 8 MiB", resp.Status, n, err)
 			}
 		})
 	}
-	all.Wait()
+	requests.Wait()
 }
 
+// zeros is an endless reader of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(b []byte) (int, error) {
@@ -188,20 +189,20 @@
 	return len(b), nil
 }
 
-// Guards against a body that is sent again though it can't be had whole: one that went on as it came is sent once, and what is known of
-// it decides between a refusal and a failure.
+// Guards against a retry with an incomplete body: a body that is streamed is sent once. The answer is 503 if the request is known not to
+// have run, else 502.
 func TestAStreamedBodyIsSentOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		answer func(net.Conn, *bufio.Reader) // with the head read
+		answer func(net.Conn, *bufio.Reader) // called after the request's head is read
 		want   int
 	}{
-		"turned away at its beginning": {func(c net.Conn, in *bufio.Reader) {
+		"rejected after its beginning": {func(c net.Conn, in *bufio.Reader) {
 			_, _ = io.CopyN(io.Discard, in, 2*alwaysBufferedBytes)
 			_, _ = io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
 			time.Sleep(50 * time.Millisecond)
 		}, 503},
-		"broken off in the middle": {func(c net.Conn, in *bufio.Reader) { _, _ = io.CopyN(io.Discard, in, 2<<20) }, 503},
-		"broken off behind it":     {func(c net.Conn, in *bufio.Reader) { _, _ = io.CopyN(io.Discard, in, 8<<20) }, 502},
+		"connection closed within the body": {func(c net.Conn, in *bufio.Reader) { _, _ = io.CopyN(io.Discard, in, 2<<20) }, 503},
+		"connection closed after the body":  {func(c net.Conn, in *bufio.Reader) { _, _ = io.CopyN(io.Discard, in, 8<<20) }, 502},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -224,7 +225,7 @@
 					conn.Close()
 				}
 			}()
-			r := start(t, small(t, testutil.Entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
+			r := start(t, smallMemoryConfig(t, testutil.Entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
 			req := testutil.Request(t, r.address, "confirm", "")
 			req.Body, req.ContentLength = io.NopCloser(io.LimitReader(zeros{}, 8<<20)), 8<<20
 			resp, err := r.client.Do(req)
@@ -233,151 +234,153 @@
 			}
 			resp.Body.Close()
 			if resp.StatusCode != c.want {
-				t.Errorf("answered %s, want %d", resp.Status, c.want)
+				t.Errorf("got %s, want %d", resp.Status, c.want)
 			}
 			if n := heads.Load(); n != 1 {
-				t.Errorf("sent %d times", n)
+				t.Errorf("the request was sent %d times, want 1", n)
 			}
 		})
 	}
 }
 
-// Guards against an early answer that ends the client's sending for good: a body of which nothing was passed on yet is sent again, and
-// what comes of it later still comes. Breaking off the read made the second attempt look like a client that had left (400), or
-// cancelled the request (502).
+// Guards against an early rejection that interrupts the client's upload for good: a request of whose body nothing was streamed yet is sent
+// again, with the part of the body that arrives later. Interrupting the read made the second attempt fail as if the client had
+// disconnected (400), or canceled the request (502).
 func TestTurnedAwayBeforeTheRestCame(t *testing.T) {
 	for _, framing := range []string{"length", "chunks"} {
 		t.Run(framing, func(t *testing.T) {
 			const rest = 2 << 20
-			first := alwaysBufferedBytes // what is taken before an upstream is chosen
+			first := alwaysBufferedBytes // read before an upstream is chosen
 			if framing == "chunks" {
 				first = 1 << 20
 			}
-			var n atomic.Int32
-			again := make(chan struct{})
+			var attempts atomic.Int32
+			retried := make(chan struct{})
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			up := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if n.Add(1) == 1 {
+			server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				if attempts.Add(1) == 1 {
 					w.Header().Set("X-Not-Processed", "1")
 					w.Header().Set("Connection", "close")
 					w.WriteHeader(503)
 					return
 				}
-				close(again)
+				close(retried)
 				if size, err := io.Copy(io.Discard, r.Body); err != nil || size != int64(first+rest) {
-					t.Errorf("the upstream got %d bytes, %v", size, err)
+					t.Errorf("the second attempt reached the upstream with a body of %d bytes and error %v, want the complete body", size, err)
 				}
 			})}
-			go up.Serve(l)
-			defer up.Close()
-			r := start(t, small(t, testutil.Entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
+			go server.Serve(l)
+			defer server.Close()
+			r := start(t, smallMemoryConfig(t, testutil.Entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
 			conn, in := dialRaw(t, r.address)
 			defer conn.Close()
-			framed := fmt.Sprintf("Content-Length: %d", first+rest)
-			piece := func(b []byte) { _, _ = conn.Write(b) }
+			framingHeader := fmt.Sprintf("Content-Length: %d", first+rest)
+			writePiece := func(b []byte) { _, _ = conn.Write(b) }
 			if framing == "chunks" {
-				framed = "Transfer-Encoding: chunked"
-				piece = func(b []byte) { fmt.Fprintf(conn, "%x\r\n%s\r\n", len(b), b) }
+				framingHeader = "Transfer-Encoding: chunked"
+				writePiece = func(b []byte) { fmt.Fprintf(conn, "%x\r\n%s\r\n", len(b), b) }
 			}
-			fmt.Fprintf(conn, "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: again\r\nX-Timeout: 9000m\r\n%s\r\n\r\n", framed)
-			piece(pattern(first))
+			fmt.Fprintf(conn, "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: again\r\nX-Timeout: 9000m\r\n%s\r\n\r\n", framingHeader)
+			writePiece(pattern(first))
 			select {
-			case <-again:
+			case <-retried:
 			case <-time.After(testutil.Timeout):
-				t.Fatalf("sent %d times", n.Load())
+				t.Fatalf("no retry: the request was sent %d times, want 2", attempts.Load())
 			}
-			piece(pattern(rest))
+			writePiece(pattern(rest))
 			if framing == "chunks" {
 				_, _ = io.WriteString(conn, "0\r\n\r\n")
 			}
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 {
-				t.Errorf("%+v, %v", resp, err)
+				t.Errorf("got %+v and error %v, want 200", resp, err)
 			}
 		})
 	}
 }
 
-// A body that was kept whole is sent again, where its class allows that.
+// Tests that a request whose body is completely buffered is sent again after a rejection, with the same body.
 func TestAKeptBodyIsSentAgain(t *testing.T) {
 	body := string(pattern(200 << 10))
-	var n atomic.Int32
+	var attempts atomic.Int32
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		if g.Body != body {
-			t.Errorf("the upstream got %d bytes", len(g.Body))
+			t.Errorf("the upstream got a changed body, of %d bytes", len(g.Body))
 		}
-		if n.Add(1) == 1 {
+		if attempts.Add(1) == 1 {
 			return fakes.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")(c, g)
 		}
 		return fakes.Says(fakes.OK200("a"))(c, g)
 	})
-	r := start(t, small(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
-	if resp, _ := r.do(t, testutil.Request(t, r.address, "confirm", body)); resp.StatusCode != 200 || n.Load() != 2 {
-		t.Errorf("%s after %d sends", resp.Status, n.Load())
+	r := start(t, smallMemoryConfig(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	if resp, _ := r.do(t, testutil.Request(t, r.address, "confirm", body)); resp.StatusCode != 200 || attempts.Load() != 2 {
+		t.Errorf("got %s after %d attempts, want 200 after 2", resp.Status, attempts.Load())
 	}
 }
 
-// Guards against a request that hides in the body of one that is framed twice: neither is passed on.
+// Guards against request smuggling: a second request is hidden in the body of one that has both Content-Length and Transfer-Encoding.
+// Neither is forwarded.
 func TestFramedTwiceIsRefused(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("a")))
-	r := start(t, small(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	r := start(t, smallMemoryConfig(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	hidden := "POST /confirm/2 HTTP/1.1\r\nHost: s\r\nX-Request-ID: hidden\r\nContent-Length: 0\r\n\r\n"
 	conn, in := dialRaw(t, r.address)
 	fmt.Fprintf(conn, "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: shown\r\nContent-Length: %d\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n%s",
 		len(hidden)+5, hidden)
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil || resp.StatusCode != http.StatusLengthRequired || !resp.Close {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("got %+v and error %v, want 411 with Connection: close", resp, err)
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	if _, err := http.ReadResponse(in, nil); err == nil {
-		t.Error("the hidden one is answered")
+		t.Error("the hidden request was answered")
 	}
 	if n := len(s.Requests()); n != 0 {
-		t.Errorf("%d of them reached the upstream", n)
+		t.Errorf("%d of the two requests reached the upstream, want 0", n)
 	}
 }
 
-// A long answer that breaks off is cut before its client's eyes, and counts as failed.
+// Tests that the client's connection is closed within a streamed answer whose upstream connection breaks, and that the request counts as
+// failed.
 func TestALongAnswerThatBreaksIsCut(t *testing.T) {
 	s := testutil.Raw(t, func(c net.Conn, _ fakes.Got) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, pattern(400<<10))
 		return false
 	})
-	r, call := startWithControl(t, small(t, testutil.Entry("s", s.Address, "Ready")))
+	r, call := startWithControl(t, smallMemoryConfig(t, testutil.Entry("s", s.Address, "Ready")))
 	resp, err := r.client.Do(testutil.Request(t, r.address, "confirm", ""))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
 	if body, err := io.ReadAll(resp.Body); err == nil || !bytes.HasPrefix(pattern(400<<10), body) {
-		t.Errorf("%d bytes, %v", len(body), err)
+		t.Errorf("got %d bytes and error %v, want the answer's beginning and an error", len(body), err)
 	}
-	testutil.Eventually(t, "it has failed", func() bool { return readMetrics(t, call)["downstream_requests.confirm.failed"] == 1 })
+	testutil.Eventually(t, "the request counts as failed", func() bool { return readMetrics(t, call)["downstream_requests.confirm.failed"] == 1 })
 }
 
-// Guards against clients that wait for leave to send their body, for ever.
+// Guards against clients that send Expect: 100-continue and wait forever for 100 Continue before they send their body.
 func TestExpectContinue(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("a")))
-	r := start(t, small(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
+	r := start(t, smallMemoryConfig(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	conn, in := dialRaw(t, r.address)
 	_, _ = io.WriteString(conn, "POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: e\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != http.StatusContinue {
-		t.Fatalf("%+v, %v", resp, err)
+		t.Fatalf("before the body: got %+v and error %v, want 100 Continue", resp, err)
 	}
 	_, _ = io.WriteString(conn, "ab")
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("after the body: got %+v and error %v, want 200", resp, err)
 	}
 	if got := s.Requests(); len(got) != 1 || got[0].Body != "ab" || got[0].Header.Get("Expect") != "" {
-		t.Errorf("%+v", got)
+		t.Errorf("the upstream got %+v, want one request with the body and without Expect", got)
 	}
 }
 
-// Guards against a request that runs and is taken for one that was never sent, so that a reload that ends its route decides it anew: an attempt
-// counts from before its first byte until it is proved not to have run, and not only once it has ended.
+// Guards against a request that is in flight and taken for one that was never sent, so that a reload that removes its route routes it anew:
+// an attempt counts from before its first byte is sent until it is proved not to have run, and not only once it has ended.
 func TestAttemptsCountFromBeforeTheyBegin(t *testing.T) {
 	release := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
@@ -385,22 +388,22 @@
 		return fakes.Says(fakes.OK200("a"))(c, g)
 	})
 	pool := upstream.New(upstream.Options{ConnectTimeout: testutil.Timeout, IdleTimeout: time.Minute, MaxConnections: 2, MaxAnswerBytes: 1 << 20})
-	dir := endpoints.New(clock.New(), pool.CloseUpstream)
-	pool.SetRegistry(dir)
-	dir.Apply(testutil.EndpointList(t, 1, true, testutil.Entry("s", s.Address, "Ready"), testutil.Entry("nobody", base.FreeAddress(t), "Ready")))
+	registry := endpoints.New(clock.New(), pool.CloseUpstream)
+	pool.SetRegistry(registry)
+	registry.Apply(testutil.EndpointList(t, 1, true, testutil.Entry("s", s.Address, "Ready"), testutil.Entry("unreachable", base.FreeAddress(t), "Ready")))
 	defer pool.CloseUpstream("s")
-	x := &transport{pool: pool, request: upstream.NewRequest("POST", "/confirm/1", "s", nil, []byte("a"))}
-	over := make(chan balancer.Result, 1)
-	go func() { over <- x.attempt(t.Context(), engine.Attempt{Upstream: "s"}).Result }()
-	testutil.Eventually(t, "the upstream has it", func() bool { return len(s.Requests()) == 1 })
-	if n := x.started.Load(); n != 1 {
-		t.Errorf("%d attempts count while one is out", n)
+	tr := &transport{pool: pool, request: upstream.NewRequest("POST", "/confirm/1", "s", nil, []byte("a"))}
+	result := make(chan balancer.Result, 1)
+	go func() { result <- tr.attempt(t.Context(), engine.Attempt{Upstream: "s"}).Result }()
+	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
+	if n := tr.started.Load(); n != 1 {
+		t.Errorf("%d attempts count as started while one is in flight, want 1", n)
 	}
-	if r := x.attempt(t.Context(), engine.Attempt{Upstream: "nobody"}).Result; r != balancer.ConnectFailed || x.started.Load() != 1 {
-		t.Errorf("result %d, %d count after one that was not sent", r, x.started.Load())
+	if r := tr.attempt(t.Context(), engine.Attempt{Upstream: "unreachable"}).Result; r != balancer.ConnectFailed || tr.started.Load() != 1 {
+		t.Errorf("an attempt without connection has result %d, and %d attempts count as started, want ConnectFailed and 1", r, tr.started.Load())
 	}
 	close(release)
-	if r := <-over; r != balancer.OK || x.started.Load() != 1 {
-		t.Errorf("result %d, %d count at the end", r, x.started.Load())
+	if r := <-result; r != balancer.OK || tr.started.Load() != 1 {
+		t.Errorf("the answered attempt has result %d, and %d attempts count as started, want OK and 1", r, tr.started.Load())
 	}
 }
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -19,7 +19,7 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// Guards against answers that no upstream made, and refusals without the advice when to come back.
+// Guards against answers that differ from what the upstream sent.
 func TestServedUnchanged(t *testing.T) {
 	body := "\x00\xff answer\r\n"
 	s := testutil.Raw(t, fakes.Says("HTTP/1.1 200 OK\r\nContent-Type: application/x-seat\r\n"+
@@ -28,87 +28,87 @@
 	for _, class := range []string{"search", "record", "confirm"} {
 		resp, text := r.do(t, testutil.Request(t, r.address, class, ""))
 		if resp.StatusCode != 200 || text != body || resp.Header.Get("Content-Type") != "application/x-seat" {
-			t.Errorf("%s: %s %q", class, resp.Status, text)
+			t.Errorf("class %s: got %s with body %q, want 200, the upstream's body and its Content-Type", class, resp.Status, text)
 		}
-		// What tells how to read the body goes on, what belongs to the upstream's connection does not.
+		// End-to-end headers are forwarded, hop-by-hop headers are not.
 		if resp.Header.Get("Content-Encoding") != "x-seat" || resp.Header.Get("X-Hop") != "" {
-			t.Errorf("%s: headers %v", class, resp.Header)
+			t.Errorf("class %s: got headers %v, want Content-Encoding and not the hop-by-hop X-Hop", class, resp.Header)
 		}
 	}
 }
 
-// Guards against an unsafe request that runs twice, and against a refusal for one that may have run: it is
-// sent once, and its failure is told at once.
+// Guards against an unsafe request that runs twice, and against a 503 for one that may have run: it is sent
+// once, and its failure is answered without delay.
 func TestUnsafeThatMayHaveRunFailsAtOnce(t *testing.T) {
 	s := testutil.Raw(t, func(net.Conn, fakes.Got) bool { return false })
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
-	begun := time.Now()
+	startedAt := time.Now()
 	resp, _ := r.do(t, testutil.Request(t, r.address, "confirm", "seat 4"))
 	if resp.StatusCode != http.StatusBadGateway || resp.Header.Get("Retry-After") != "" {
-		t.Errorf("%s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
+		t.Errorf("got %s with Retry-After %q, want 502 without it", resp.Status, resp.Header.Get("Retry-After"))
 	}
-	if took := time.Since(begun); took > 4*time.Second { // it might have been held for 9
-		t.Errorf("told after %v", took)
+	if elapsed := time.Since(startedAt); elapsed > 4*time.Second { // the request's deadline is 9 s
+		t.Errorf("the failure was answered after %v", elapsed)
 	}
 	if n := len(s.Requests()); n != 1 {
-		t.Errorf("sent %d times", n)
+		t.Errorf("the request was sent %d times, want 1", n)
 	}
 }
 
-// Guards against failures where a refusal is safe: what was turned away never ran. The module's advice goes
-// to the client with its decimals.
+// Guards against a 502 where a 503 is safe, since a request that the upstream rejected never ran. Retry-After
+// reaches the client with its fraction of a second.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"))
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	resp, _ := r.do(t, testutil.Request(t, r.address, "confirm", "seat 4"))
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") != "1.5" {
-		t.Errorf("%s, Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
+		t.Errorf("got %s with Retry-After %q, want 503 with 1.5", resp.Status, resp.Header.Get("Retry-After"))
 	}
 	if n := len(s.Requests()); n != 5 {
-		t.Errorf("sent %d times, SendCap is 5", n)
+		t.Errorf("the request was sent %d times, want 5, which is SendCap", n)
 	}
 }
 
-// Guards against the library's answers and panics for what clients may send wrongly. None may be taken for a
-// refusal, and none reaches an upstream.
+// Guards against panics and net/http's own answers for malformed requests. No answer may look like a rejection
+// that a client would retry, and no malformed request may reach an upstream.
 func TestMalformedRequests(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	const id = "X-Request-ID: 9b1f03aa5c7e2d41\r\n"
 	for name, c := range map[string]struct{ head, want string }{
-		"no id":             {"GET /search/1 HTTP/1.1\r\nHost: s\r\n", "400"},
-		"two ids":           {"GET /search/1 HTTP/1.1\r\nHost: s\r\n" + id + id, "400"},
+		"no request id":     {"GET /search/1 HTTP/1.1\r\nHost: s\r\n", "400"},
+		"two request ids":   {"GET /search/1 HTTP/1.1\r\nHost: s\r\n" + id + id, "400"},
 		"unknown class":     {"GET /nothing/1 HTTP/1.1\r\nHost: s\r\n" + id, "404"},
-		"unknown in head":   {"GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Priority-Class: nothing\r\n" + id, "404"},
-		"two classes":       {"GET /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Priority-Class: search\r\n" + id, "400"},
+		"unknown in header": {"GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Priority-Class: nothing\r\n" + id, "404"},
+		"other in header":   {"GET /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Priority-Class: search\r\n" + id, "400"},
 		"dot segments":      {"GET /search/../confirm/1 HTTP/1.1\r\nHost: s\r\n" + id, "400"},
 		"encoded slashes":   {"GET /search%2f..%2f..%2fconfirm/1 HTTP/1.1\r\nHost: s\r\n" + id, "400"},
-		"classes repeated":  {"GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Priority-Class: search\r\nX-Priority-Class: confirm\r\n" + id, "400"},
-		"key taken off":     {"POST /record/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 0\r\nIdempotency-Key: k\r\nConnection: Idempotency-Key\r\n" + id, "400"},
+		"class repeated":    {"GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Priority-Class: search\r\nX-Priority-Class: confirm\r\n" + id, "400"},
+		"key hop-by-hop":    {"POST /record/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 0\r\nIdempotency-Key: k\r\nConnection: Idempotency-Key\r\n" + id, "400"},
 		"two hosts":         {"GET /search/1 HTTP/1.1\r\nHost: s\r\nHost: t\r\n" + id, "400"},
 		"unsafe by GET":     {"GET /confirm/1 HTTP/1.1\r\nHost: s\r\n" + id, "405"},
 		"method":            {"PUT /search/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 0\r\n" + id, "405"},
 		"options":           {"OPTIONS * HTTP/1.1\r\nHost: s\r\n" + id, "400"},
 		"absolute target":   {"GET http://h/search/1 HTTP/1.1\r\nHost: s\r\n" + id, "400"},
 		"no key":            {"POST /record/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 0\r\n" + id, "400"},
-		"key where none is": {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 0\r\nIdempotency-Key: k\r\n" + id, "400"},
+		"key not expected":  {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 0\r\nIdempotency-Key: k\r\n" + id, "400"},
 		"body of a GET":     {"GET /search/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 1\r\n" + id + "\r\nx", "400"},
-		"time-out":          {"GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Timeout: soon\r\n" + id, "400"},
-		"time-out's unit":   {"GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Timeout: 480\r\n" + id, "400"},
-		"negative":          {"GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Timeout: -480m\r\n" + id, "400"},
-		"no number":         {"GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Timeout: NaNm\r\n" + id, "400"},
+		"timeout":           {"GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Timeout: soon\r\n" + id, "400"},
+		"timeout's unit":    {"GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Timeout: 480\r\n" + id, "400"},
+		"negative timeout":  {"GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Timeout: -480m\r\n" + id, "400"},
+		"NaN timeout":       {"GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Timeout: NaNm\r\n" + id, "400"},
 		"cost":              {"GET /search/1 HTTP/1.1\r\nHost: s\r\nX-Cost: much\r\n" + id, "400"},
 		"body too large":    {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 33554433\r\n" + id, "413"},
 		"two framings":      {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n" + id + "\r\n0\r\n", "411"},
-		"other framings":    {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\nTransfer-Encoding: chunked, identity\r\n" + id, "501"},
-		"old framings":      {"POST /confirm/1 HTTP/1.0\r\nHost: s\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n" + id + "\r\n0\r\n\r\n", "505"},
+		"unknown framing":   {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\nTransfer-Encoding: chunked, identity\r\n" + id, "501"},
+		"chunked HTTP/1.0":  {"POST /confirm/1 HTTP/1.0\r\nHost: s\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n" + id + "\r\n0\r\n\r\n", "505"},
 		"two lengths":       {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\nContent-Length: 6\r\n" + id, "400"},
 		"signed length":     {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nContent-Length: +5\r\n" + id, "400"},
 		"negative length":   {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nContent-Length: -5\r\n" + id, "400"},
 		"huge length":       {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 99999999999999999999\r\n" + id, "400"},
 		"body not sent":     {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Timeout: 50m\r\nContent-Length: 9\r\n" + id, "408"},
 		"length":            {"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nContent-Length: many\r\n" + id, "400"},
-		"no HTTP":           {"\x00\x01\x02\r\n", "400"},
+		"not HTTP":          {"\x00\x01\x02\r\n", "400"},
 		"header too large":  {"GET /search/1 HTTP/1.1\r\nHost: s\r\n" + id + "X: " + strings.Repeat("x", 2*httpheader.MaxBytes) + "\r\n", "431"},
 	} {
 		conn, err := net.Dial("tcp", r.address)
@@ -119,34 +119,34 @@
 		_, _ = io.WriteString(conn, c.head+"\r\n")
 		line, err := bufio.NewReader(conn).ReadString('\n')
 		if err != nil || !strings.HasPrefix(line, "HTTP/1.") || !strings.HasPrefix(line[len("HTTP/1.1"):], " "+c.want) {
-			t.Errorf("%s: %q, %v; want %s", name, line, err, c.want)
+			t.Errorf("%s: got the status line %q and error %v, want %s", name, line, err, c.want)
 		}
 		conn.Close()
 	}
 	if n := len(s.Requests()); n != 0 {
-		t.Errorf("%d of them reached the upstream", n)
+		t.Errorf("%d malformed requests reached the upstream", n)
 	}
 	if resp, _ := r.do(t, testutil.Request(t, r.address, "search", "")); resp.StatusCode != 200 {
-		t.Errorf("afterwards: %s", resp.Status)
+		t.Errorf("a valid request after the malformed ones got %s, want 200", resp.Status)
 	}
 }
 
-// Guards against a connection that just ends where an answer is owed: also one whose time is up on arrival.
+// Guards against a connection that is closed without an answer when the request's deadline has passed on arrival.
 func TestExpiredOnArrivalIsAnswered(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	req := testutil.Request(t, r.address, "search", "")
 	req.Header.Set("X-Timeout", "0m")
 	if resp, _ := r.do(t, req); resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("answered %s", resp.Status)
+		t.Errorf("got %s, want 503", resp.Status)
 	}
 	if n := len(s.Requests()); n != 0 {
-		t.Errorf("sent %d times", n)
+		t.Errorf("an expired request was sent %d times, want 0", n)
 	}
 }
 
-// Guards against two answers to one request, and against a second request of an id that waits for ever:
-// the module ignores it.
+// Guards against two answers to one request, and against a second request with the same id that waits forever:
+// the balancer ignores a request whose id it already has.
 func TestDuplicateID(t *testing.T) {
 	release := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, _ fakes.Got) bool {
@@ -156,31 +156,31 @@
 	})
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	first := testutil.Request(t, r.address, "confirm", "")
-	end := r.doAsync(first)
+	firstResult := r.doAsync(first)
 	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
 	again := testutil.Request(t, r.address, "confirm", "")
 	again.Header.Set("X-Request-ID", first.Header.Get("X-Request-ID"))
 	if resp, _ := r.do(t, again); resp.StatusCode != http.StatusConflict {
-		t.Errorf("the second: %s", resp.Status)
+		t.Errorf("the second request with the id got %s, want 409", resp.Status)
 	}
 	close(release)
-	if got := <-end; got != "200 once" {
-		t.Errorf("the first: %s", got)
+	if got := <-firstResult; got != "200 once" {
+		t.Errorf("the first request with the id got %s, want 200 once", got)
 	}
 	if n := len(s.Requests()); n != 1 {
-		t.Errorf("sent %d times", n)
+		t.Errorf("%d requests were forwarded, want 1", n)
 	}
 }
 
-// Guards against work for clients that have left: what fails then is not sent again.
+// Guards against retries for clients that have disconnected: a request that fails then is not sent again.
 func TestClientGone(t *testing.T) {
-	left := make(chan struct{})
+	breakConnection := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, _ fakes.Got) bool {
-		<-left
+		<-breakConnection
 		return false
 	})
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -189,56 +189,56 @@
 		}
 	}()
 	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
-	leave()
+	disconnect()
 	<-ended
-	// The sidecar has seen the close once its own end of that connection is through with it: a later request on a new
-	// connection is answered, and the one that was left is never sent again.
+	// Gives the sidecar time to notice that the client closed its connection.
 	time.Sleep(50 * time.Millisecond)
-	close(left)
+	close(breakConnection)
 	r.stop()
 	<-r.ended
 	if n := len(s.Requests()); n != 1 {
-		t.Errorf("sent %d times", n)
+		t.Errorf("the request was sent %d times, want 1", n)
 	}
 }
 
-// Guards against clients that hold connections with nothing or half a request on them: the limits are the sidecar's,
-// however long they say that they would wait.
+// Guards against clients that occupy connections without sending a complete request: the sidecar's own time limits
+// apply, whatever X-Timeout they send.
 func TestSlowClientsAreEnded(t *testing.T) {
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", "127.0.0.1:1", "Ready")), "127.0.0.1:0")
-	ends := make(chan string, 3)
+	results := make(chan string, 3)
 	for _, text := range []string{"", "GET /search/1 HTTP/1.1\r\nHost:",
 		"POST /confirm/1 HTTP/1.1\r\nHost: s\r\nX-Request-ID: 1\r\nX-Timeout: 3600000m\r\nContent-Length: 9\r\n\r\nhalf"} {
 		go func() {
 			conn, err := net.Dial("tcp", r.address)
 			if err != nil {
-				ends <- err.Error()
+				results <- err.Error()
 				return
 			}
 			defer conn.Close()
-			begun := time.Now()
-			_ = conn.SetDeadline(begun.Add(testutil.Timeout))
+			startedAt := time.Now()
+			_ = conn.SetDeadline(startedAt.Add(testutil.Timeout))
 			_, _ = io.WriteString(conn, text)
 			if _, err := io.ReadAll(conn); err != nil {
-				ends <- err.Error()
-			} else if took := time.Since(begun); took > testutil.Timeout/2 {
-				ends <- fmt.Sprintf("%q: ended after %v", text, took)
+				results <- err.Error()
+			} else if elapsed := time.Since(startedAt); elapsed > testutil.Timeout/2 {
+				results <- fmt.Sprintf("a connection on which %q was sent was closed only after %v", text, elapsed)
 			} else {
-				ends <- ""
+				results <- ""
 			}
 		}()
 	}
 	for range 3 {
-		if end := <-ends; end != "" {
-			t.Error(end)
+		if failure := <-results; failure != "" {
+			t.Error(failure)
 		}
 	}
 	if p := testutil.Config(t, "127.0.0.1:1").Plan(); p.HeadTimeout+p.BodyTimeout >= 3*time.Second {
-		t.Error("an end is owed within 3 s")
+		t.Error("the timeouts for a request's head and body must be less than 3 s in total")
 	}
 }
 
-// Guards against clients that say nothing at the cost of those that ask: silent connections give way first.
+// Guards against connections without requests that displace those of active clients: at the limit of connections, the
+// sidecar closes connections that have had no request first.
 func TestSilentConnectionsGiveWayFirst(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	c := testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"))
@@ -251,21 +251,21 @@
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(testutil.Timeout))
 	in := bufio.NewReader(conn)
-	ask := func() {
+	sendRequest := func() {
 		t.Helper()
 		if err := testutil.Request(t, r.address, "search", "").Write(conn); err != nil {
 			t.Fatal(err)
 		}
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("answer %v, %v", resp, err)
+			t.Fatalf("request of the active client: got %v and error %v, want 200", resp, err)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
 	}
-	ask()
-	ended := make(chan struct{}, 8)
+	sendRequest()
+	closed := make(chan struct{}, 8)
 	for range 8 {
-		time.Sleep(510 * time.Millisecond) // those before have had their time
+		time.Sleep(510 * time.Millisecond) // earlier silent connections may then be closed
 		silent, err := net.Dial("tcp", r.address)
 		if err != nil {
 			t.Fatal(err)
@@ -273,21 +273,21 @@
 		defer silent.Close()
 		go func() {
 			_, _ = io.ReadAll(silent)
-			ended <- struct{}{}
+			closed <- struct{}{}
 		}()
 	}
 	for range 4 {
 		select {
-		case <-ended:
+		case <-closed:
 		case <-time.After(testutil.Timeout):
-			t.Fatal("no silent connection gave way")
+			t.Fatal("fewer than four silent connections were closed")
 		}
 	}
-	ask()
+	sendRequest()
 }
 
-// Guards against a connection that ends with no answer: a context that ends is no proof that the client left, a read
-// deadline that fires as the body ends does the same.
+// Guards against a connection that is closed without an answer: a canceled context does not prove that the client has
+// disconnected, since a read deadline that expires as the body ends cancels it too.
 func TestEndedContextIsAnswered(t *testing.T) {
 	c := testutil.Config(t, "127.0.0.1:1")
 	d := &daemon{plan: c.Plan(), log: logging.Discard(), background: t.Context()}
@@ -303,11 +303,11 @@
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, req)
 	if w.Code != http.StatusBadGateway || w.Header().Get("Connection") != "close" {
-		t.Errorf("answered %d, %v", w.Code, w.Header())
+		t.Errorf("got %d with headers %v, want 502 with Connection: close", w.Code, w.Header())
 	}
 }
 
-// Guards against too many descriptors: at the limit a connection between requests gives way to a new one.
+// Guards against running out of file descriptors: at the limit of connections, an idle one is closed for a new one.
 func TestClientConnectionLimit(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	c := testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"))
@@ -326,12 +326,12 @@
 		clients = append(clients, client)
 	}
 	if len(s.Requests()) != len(clients) {
-		t.Errorf("%d of %d were served", len(s.Requests()), len(clients))
+		t.Errorf("%d requests were forwarded, want %d", len(s.Requests()), len(clients))
 	}
 }
 
-// Guards against lost requests at a planned restart: after SIGTERM clients still come on new connections and
-// use old ones, and what was taken is finished. Then the address is free for the next process.
+// Guards against lost requests at a planned restart: after SIGTERM, requests on new and existing connections are still
+// answered, and those in flight are completed. Then the address is free for the next process.
 func TestStopFinishesWhatWasTaken(t *testing.T) {
 	release := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
@@ -343,47 +343,48 @@
 	})
 	d := testutil.Quiet(t)
 	r := start(t, testutil.Config(t, d.Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
-	taken := r.doAsync(testutil.Request(t, r.address, "confirm", ""))
+	inFlight := r.doAsync(testutil.Request(t, r.address, "confirm", ""))
 	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
 	r.stop()
-	fresh := &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{}}
-	testutil.Eventually(t, "answers end their connections", func() bool {
-		resp, err := fresh.Do(testutil.Request(t, r.address, "search", ""))
+	newClient := &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{}}
+	testutil.Eventually(t, "answers close their connections", func() bool {
+		resp, err := newClient.Do(testutil.Request(t, r.address, "search", ""))
 		if err != nil {
-			t.Fatalf("a new connection after SIGTERM: %v", err)
+			t.Fatalf("a request on a new connection after SIGTERM failed: %v", err)
 		}
 		defer resp.Body.Close()
 		if resp.StatusCode != 200 {
-			t.Fatalf("after SIGTERM: %s", resp.Status)
+			t.Fatalf("a request after SIGTERM got %s, want 200", resp.Status)
 		}
 		return resp.Close
 	})
 	close(release)
-	if got := <-taken; got != "200 done" {
-		t.Errorf("what was taken: %s", got)
+	if got := <-inFlight; got != "200 done" {
+		t.Errorf("the request in flight at SIGTERM got %s, want 200 done", got)
 	}
 	<-r.ended
 	if r.err != nil {
-		t.Errorf("ended with %v", r.err)
+		t.Errorf("the process ended with %v", r.err)
 	}
-	again := start(t, testutil.Config(t, d.Address, testutil.Entry("s", s.Address, "Ready")), r.address)
-	if resp, _ := again.do(t, testutil.Request(t, r.address, "search", "")); resp.StatusCode != 200 {
-		t.Errorf("after the restart: %s", resp.Status)
+	restarted := start(t, testutil.Config(t, d.Address, testutil.Entry("s", s.Address, "Ready")), r.address)
+	if resp, _ := restarted.do(t, testutil.Request(t, r.address, "search", "")); resp.StatusCode != 200 {
+		t.Errorf("a request after the restart got %s, want 200", resp.Status)
 	}
 }
 
-// Guards against requests that SIGKILL finds unanswered: what can't be finished by then is failed before.
+// Guards against requests that get no answer because SIGKILL ends the process: those that cannot be completed in time
+// are answered with a failure before.
 func TestStopFailsWhatCannotBeFinished(t *testing.T) {
 	s := testutil.Raw(t, fakes.Silent)
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
-	taken := r.doAsync(testutil.Request(t, r.address, "confirm", ""))
+	inFlight := r.doAsync(testutil.Request(t, r.address, "confirm", ""))
 	testutil.Eventually(t, "request at the upstream", func() bool { return len(s.Requests()) == 1 })
 	r.stop()
-	if got := <-taken; !strings.HasPrefix(got, "502 ") {
-		t.Errorf("answered %s", got)
+	if got := <-inFlight; !strings.HasPrefix(got, "502 ") {
+		t.Errorf("the request in flight at SIGTERM got %s, want 502", got)
 	}
 	<-r.ended
 	if r.err != nil {
-		t.Errorf("ended with %v", r.err)
+		t.Errorf("the process ended with %v", r.err)
 	}
 }
--- a/internal/daemon/sites_test.go
+++ b/internal/daemon/sites_test.go
@@ -18,7 +18,7 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// site is a deployment as deploy/sites describes it: the part that the settings of its sidecars tell.
+// site is a deployment described by a file of deploy/sites, with the fields that determine its sidecars' settings.
 type site struct {
 	Name string
 	Day  struct {
@@ -74,14 +74,14 @@
 	}
 }
 
-// sites are the deployments of deploy/sites, by their files' names.
+// sites returns the deployments of deploy/sites by file name.
 func sites(t *testing.T) map[string]site {
 	t.Helper()
 	files, err := filepath.Glob("../../deploy/sites/*.toml")
 	if err != nil || len(files) < 2 {
 		t.Fatalf("%v, %v", files, err)
 	}
-	all := map[string]site{}
+	byFile := map[string]site{}
 	for _, path := range files {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -91,14 +91,15 @@
 		if err := toml.Unmarshal(text, &s); err != nil {
 			t.Fatalf("%s: %v", path, err)
 		}
-		all[filepath.Base(path)] = s
+		byFile[filepath.Base(path)] = s
 	}
-	return all
+	return byFile
 }
 
+// semanticsByEffect maps a class's effect in the operator's file to its semantics in the platform's settings.
 var semanticsByEffect = map[string]string{"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
 
-// settings are those of a sidecar of the site, as the platform tells them.
+// settings returns the platform's settings for a sidecar of the site.
 func (s *site) settings(sidecars int) map[string]any {
 	var classes []any
 	for _, c := range s.Class {
@@ -118,6 +119,7 @@
 			"MustAskInMs": 9000, "DrainGraceMs": s.Rules.Grace}}
 }
 
+// config returns a sidecar's configuration as JSON.
 func (s *site) config(t *testing.T, settings map[string]any, discovery string, sockets int, known ...string) []byte {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": "127.0.0.1:9000", "discovery": discovery, "seed": "1f",
@@ -128,29 +130,29 @@
 	return text
 }
 
-// Guards against a program that holds for one deployment only. Each of deploy/sites starts a daemon by its settings, with few
-// descriptors; what may be repeated, how often, how long a request has and what a refusal says are each class's, as its settings say.
+// Guards against code that works for one deployment only. A daemon starts with the settings of each site and few file descriptors. Whether
+// and how often a request is retried, its deadline and the Retry-After of a rejection follow the settings of its class.
 func TestEachDeploymentsSettingsCount(t *testing.T) {
 	for file, s := range sites(t) {
 		t.Run(file, func(t *testing.T) {
-			u := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
+			upstream := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 				switch g.Header.Get("X-What") {
-				case "breaks":
+				case "break":
 					return false
-				case "away":
+				case "not processed":
 					return fakes.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")(c, g)
 				}
 				return fakes.Says(fakes.OK200(g.Target))(c, g)
 			})
-			zone := strings.Replace(testutil.Entry("s", u.Address, "Ready"), `"zone":"a"`, fmt.Sprintf(`"zone":%q`, s.Net.Zones[0]), 1)
-			c, err := config.Parse(s.config(t, s.settings(1), testutil.Quiet(t).Address, 96, zone))
+			endpoint := strings.Replace(testutil.Entry("s", upstream.Address, "Ready"), `"zone":"a"`, fmt.Sprintf(`"zone":%q`, s.Net.Zones[0]), 1)
+			c, err := config.Parse(s.config(t, s.settings(1), testutil.Quiet(t).Address, 96, endpoint))
 			if err != nil {
 				t.Fatal(err)
 			}
 			r := start(t, c, "127.0.0.1:0")
-			ask := func(class, effect, what string) (*http.Response, int) {
+			request := func(class, effect, fault string) (*http.Response, int) { // the answer, and the number of attempts
 				t.Helper()
-				before := len(u.Requests())
+				before := len(upstream.Requests())
 				req := testutil.Request(t, r.address, class, "")
 				req.Method = http.MethodPost
 				if effect == "safe" {
@@ -161,107 +163,107 @@
 				if effect == "keyed" {
 					req.Header.Set("Idempotency-Key", "k"+req.Header.Get("X-Request-ID"))
 				}
-				req.Header.Set("X-What", what)
+				req.Header.Set("X-What", fault)
 				resp, _ := r.do(t, req)
-				return resp, len(u.Requests()) - before
+				return resp, len(upstream.Requests()) - before
 			}
 			for _, class := range s.Class {
-				if resp, n := ask(class.Name, class.Effect, ""); resp.StatusCode != 200 || n != 1 {
-					t.Errorf("%s: %s after %d attempts", class.Name, resp.Status, n)
+				if resp, n := request(class.Name, class.Effect, ""); resp.StatusCode != 200 || n != 1 {
+					t.Errorf("class %s: got %s after %d attempts, want 200 after 1", class.Name, resp.Status, n)
 				}
-				got := u.Requests()[len(u.Requests())-1].Header.Get("X-Timeout")
+				got := upstream.Requests()[len(upstream.Requests())-1].Header.Get("X-Timeout")
 				var us int64
 				if _, err := fmt.Sscanf(got, "%du", &us); err != nil || float64(us) > class.Deadline*1000 || float64(us) < class.Deadline*1000/2 {
-					t.Errorf("%s: its upstream is told %s, its deadline is %v ms", class.Name, got, class.Deadline)
+					t.Errorf("class %s: the upstream got X-Timeout %s for a deadline of %v ms", class.Name, got, class.Deadline)
 				}
-				resp, n := ask(class.Name, class.Effect, "away")
+				resp, n := request(class.Name, class.Effect, "not processed")
 				if resp.StatusCode != 503 || n < 1 || n > s.Allow.MaxAttempts || (resp.Header.Get("Retry-After") != "") != s.Allow.RetryAfter {
-					t.Errorf("%s, turned away: %s, Retry-After %q, after %d attempts", class.Name, resp.Status, resp.Header.Get("Retry-After"), n)
+					t.Errorf("class %s, rejected by the upstream: got %s with Retry-After %q after %d attempts", class.Name, resp.Status, resp.Header.Get("Retry-After"), n)
 				}
-				if resp, n := ask(class.Name, class.Effect, "breaks"); class.Effect == "unsafe" && (n != 1 || resp.StatusCode != http.StatusBadGateway) ||
+				if resp, n := request(class.Name, class.Effect, "break"); class.Effect == "unsafe" && (n != 1 || resp.StatusCode != http.StatusBadGateway) ||
 					n > s.Allow.MaxAttempts {
-					t.Errorf("%s, broken off: %s after %d attempts", class.Name, resp.Status, n)
+					t.Errorf("class %s, connection broken by the upstream: got %s after %d attempts", class.Name, resp.Status, n)
 				}
 			}
-			if resp, n := ask("search", "safe", ""); resp.StatusCode != http.StatusNotFound || n != 0 { // another deployment's
-				t.Errorf("a class that it does not have: %s after %d attempts", resp.Status, n)
+			if resp, n := request("search", "safe", ""); resp.StatusCode != http.StatusNotFound || n != 0 { // a class of another deployment
+				t.Errorf("a class that the site does not have: got %s after %d attempts, want 404 after 0", resp.Status, n)
 			}
 		})
 	}
 }
 
-// Guards against settings of a deployment that can't be used and show only under traffic: each is one clear line that names it.
+// Guards against unusable settings that are noticed only under traffic: each is an error of one line when the configuration is parsed.
 func TestABadSettingOfADeploymentIsOneLine(t *testing.T) {
 	for file, s := range sites(t) {
-		for key, spoil := range map[string]func(o map[string]any){
+		for name, breakSettings := range map[string]func(o map[string]any){
 			"Semantics":    func(o map[string]any) { o["Classes"].([]any)[0].(map[string]any)["Semantics"] = "often\nand often" },
 			"KeyScope":     func(o map[string]any) { o["Classes"].([]any)[1].(map[string]any)["KeyScope"] = "planet" },
 			"Deadline":     func(o map[string]any) { o["Classes"].([]any)[0].(map[string]any)["DeadlineMs"] = -1 },
 			"Tick":         func(o map[string]any) { o["TickMs"] = -1 },
 			"ColdFrom":     func(o map[string]any) { o["Rules"].(map[string]any)["ColdFrom"] = 7 },
 			"MaxAttempts":  func(o map[string]any) { o["Limits"].(map[string]any)["SendCap"] = -1 },
-			"no object":    func(o map[string]any) { o["Zone"] = 4 },
+			"Zone":         func(o map[string]any) { o["Zone"] = 4 },
 			"ConnIdle":     func(o map[string]any) { o["Limits"].(map[string]any)["ConnIdleMs"] = -5 },
 			"FallMultiple": func(o map[string]any) { o["Rules"].(map[string]any)["FallMultiple"] = -2 },
 		} {
 			o := s.settings(1)
-			spoil(o)
+			breakSettings(o)
 			_, err := config.Parse(s.config(t, o, "127.0.0.1:1", 96))
 			if err == nil || strings.ContainsAny(err.Error(), "\r\n") {
-				t.Errorf("%s, %s: %v", file, key, err)
+				t.Errorf("%s with an invalid %s: got %v, want an error of one line", file, name, err)
 			}
 		}
 	}
 }
 
-// Guards against a class, a tenant, a zone or a kind of machine of a deployment that stands in the program or its deploy file: all of
-// them come from the settings alone.
+// Guards against classes, tenants, zones or machine types of a deployment that are hard-coded in the program or in deploy/balancer.toml: all
+// of them must come from the settings.
 func TestNoDeploymentStandsInTheProgram(t *testing.T) {
-	words := map[string]string{}
+	siteOfName := map[string]string{}
 	for file, s := range sites(t) {
 		for _, c := range s.Class {
-			words[c.Name] = file
+			siteOfName[c.Name] = file
 		}
 		for _, x := range s.Tenant {
-			words[x.Name] = file
+			siteOfName[x.Name] = file
 		}
 		for _, k := range s.Tier[0].Kind {
-			words[k.Name] = file
+			siteOfName[k.Name] = file
 		}
 		for _, z := range s.Net.Zones {
-			words[z] = file
+			siteOfName[z] = file
 		}
-		words[s.Name] = file
+		siteOfName[s.Name] = file
 	}
-	for _, known := range []string{"seat-search", "coach-map", "confirm-booking", "payment-record", "status-read", "history-read", "delivery-confirm", "pickup-register"} {
-		words[known] = "a customer's"
+	for _, class := range []string{"seat-search", "coach-map", "confirm-booking", "payment-record", "status-read", "history-read", "delivery-confirm", "pickup-register"} {
+		siteOfName[class] = "a customer's site"
 	}
 	quoted := regexp.MustCompile("[\"`]([a-z][a-z0-9-]*)[\"`]")
-	look := func(path string) {
+	checkFile := func(path string) {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, m := range quoted.FindAllStringSubmatch(string(text), -1) {
-			if of, is := words[m[1]]; is && strings.Contains(m[1], "-") {
-				t.Errorf("%s: %q of %s stands in it", path, m[1], of)
+			if owner, found := siteOfName[m[1]]; found && strings.Contains(m[1], "-") {
+				t.Errorf("%s hard-codes the name %q of %s", path, m[1], owner)
 			}
 		}
 	}
-	look("../../deploy/balancer.toml")
+	checkFile("../../deploy/balancer.toml")
 	err := filepath.WalkDir("../..", func(path string, d os.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
 		if d.IsDir() {
 			switch d.Name() {
-			case ".git", "bin", "journal", "demo", "measure": // what stands in for a deployment
+			case ".git", "bin", "journal", "demo", "measure": // the demo and the benchmarks define deployments of their own
 				return filepath.SkipDir
 			}
 			return nil
 		}
 		if strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") {
-			look(path)
+			checkFile(path)
 		}
 		return nil
 	})
