--- a/internal/daemon/admission_test.go
+++ b/internal/daemon/admission_test.go
@@ -24,13 +24,14 @@
 // admissionRig is a daemon with admission control in front of one upstream, which answers a request for each value in respond.
 type admissionRig struct {
 	*fileRig
-	received chan string // the path of each request that has reached the upstream
+	received chan string // the path of each request that reaches the upstream, or its tenant if it is a GraphQL request
 	respond  chan bool
 	mu       sync.Mutex
 	results  map[string][]string // by path: a status, with " after" appended if the answer has Retry-After, or "left" without an answer
 	wg       sync.WaitGroup
 }
 
+// admissionFile is a configuration file without admission control, for fmt.Sprintf with the upstream's address.
 const admissionFile = `
 [log]
 level = "error"
@@ -129,6 +130,7 @@
 	}
 }
 
+// admissionTable adds admission control with one request in flight and six in the queue.
 const admissionTable = "[[door]]\nservice = \"seats\"\nlimit_least = 1\nlimit_most = 1\nwaiting = 6\n"
 
 // Tests the admission queue: a request of a tenant with little traffic is admitted before those of one that floods the service, whose
--- a/internal/daemon/graphql_batch_test.go
+++ b/internal/daemon/graphql_batch_test.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// Guards against attempts that stay in flight after a client has disconnected while a hedged request runs: they would use up the
-// service's capacity, and the next request would fail.
+// Guards against queries whose clients disconnect while hedged requests run, and which leave something behind that makes a later request
+// fail.
 func TestGraphQLClientLeaves(t *testing.T) {
 	unresponsive := fakes.NodeOptions{Cores: 4, DefaultServiceTime: time.Millisecond, Faults: []fakes.Fault{{Kind: fakes.LoseAnswer, Class: "query", From: 300 * time.Millisecond}}}
 	r := startGraphQL(t, "20s", unresponsive, unresponsive, unresponsive)
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -15,6 +15,7 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
+// graphqlFile is a configuration file with a GraphQL endpoint, for fmt.Sprintf with the nodes' quoted addresses and the classes' deadline.
 const graphqlFile = `
 [log]
 level = "error"
@@ -80,10 +81,10 @@
 
 // post sends a JSON body to the GraphQL endpoint, and returns the status, the headers and the body of the answer.
 func (r *graphqlRig) post(ctx context.Context, body string, headers ...string) (int, http.Header, string) {
-	return r.ask(ctx, "POST", "/graphql", body, append([]string{"Content-Type", "application/json"}, headers...)...)
+	return r.request(ctx, "POST", "/graphql", body, append([]string{"Content-Type", "application/json"}, headers...)...)
 }
 
-func (r *graphqlRig) ask(ctx context.Context, method, target, body string, headers ...string) (int, http.Header, string) {
+func (r *graphqlRig) request(ctx context.Context, method, target, body string, headers ...string) (int, http.Header, string) {
 	q, err := http.NewRequestWithContext(ctx, method, "http://"+r.address+target, strings.NewReader(body))
 	if err != nil {
 		return 0, nil, err.Error()
@@ -103,6 +104,7 @@
 	return resp.StatusCode, resp.Header, string(text)
 }
 
+// operationJSON returns the JSON body of a request with the query.
 func operationJSON(query string) string { return fmt.Sprintf(`{"query":%q}`, query) }
 
 // resultCodes returns the error code of an answer, or of each entry of a batch's answer. The code of an answer with data is "ok".
@@ -168,7 +170,7 @@
 		if c.method != "GET" {
 			h = append([]string{"Content-Type", "application/json"}, h...)
 		}
-		status, head, body := r.ask(t.Context(), c.method, c.target, c.body, h...)
+		status, head, body := r.request(t.Context(), c.method, c.target, c.body, h...)
 		if status != c.status {
 			t.Errorf("%s %s with body %.80s and headers %v: got %d %s, want %d", c.method, c.target, c.body, c.headers, status, body, c.status)
 			continue
--- a/internal/daemon/idempotency_restart_test.go
+++ b/internal/daemon/idempotency_restart_test.go
@@ -79,7 +79,7 @@
 	return ServePlan(ctx, plan(t, text), l, config.Sources{}, nil, nil)
 }
 
-// startPaymentNodes starts six nodes in two zones, which inject faults of every kind and forget keys soon. It returns their ledger and their
+// startPaymentNodes starts six nodes in two zones, which inject faults of many kinds and forget keys soon. It returns their ledger and their
 // part of the configuration file. A node remembers a key for twice the promised window: the sidecar counts the window from the write of a
 // request, and cannot know how long the node then takes to get to it.
 func startPaymentNodes(t *testing.T, window time.Duration) (*fakes.Ledger, string) {
--- a/internal/daemon/idempotency_shared_test.go
+++ b/internal/daemon/idempotency_shared_test.go
@@ -18,6 +18,7 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
+// sharedStoreTable is appended to idempotencyFile to share keys in the etcd server with the given address.
 const sharedStoreTable = "\n[repeats.shared]\nservers = [%q]\nsession = \"3s\"\ntimeout = \"300ms\"\n"
 
 // Tests two daemons that share their keys in etcd. A request that one daemon executes is waited for by the other, which replays the same
--- a/internal/daemon/idempotency_test.go
+++ b/internal/daemon/idempotency_test.go
@@ -15,6 +15,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
+// idempotencyFile is a configuration file whose last table is [[repeats]], for fmt.Sprintf with the service's endpoints, the deduplication
+// window and the deadline of class record.
 const idempotencyFile = `
 [log]
 level = "error"
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -373,7 +373,7 @@
 }
 
 // Guards against requests that get no answer because SIGKILL ends the process: those that cannot be completed in time
-// are answered with a failure before.
+// are answered with a failure before the process is killed.
 func TestStopFailsWhatCannotBeFinished(t *testing.T) {
 	s := testutil.Raw(t, fakes.Silent)
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
