--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -239,8 +239,7 @@
 	if !c.metric.Open() {
 		c.metric = c.daemon.metrics.Start(routed.Class.Name)
 	}
-	c.daemon.log.Warn("bulkhead: request rejected", "service", routed.service.plan.Name,
-		"reason", "the share of "+resource+" in flight is used up")
+	c.daemon.log.Warn("bulkhead", "service", routed.service.plan.Name, "reason", "no more "+resource+" in hand")
 	c.w.Header().Set("Connection", "close")
 	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(rejectedReadTime))
 	c.writeText(c.w, http.StatusInternalServerError, "not done: the service has all that it may hold in hand")
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -182,7 +182,7 @@
 		link, err := offer.Next(d.upgrade.identity, clients, d.handoverState)
 		switch {
 		case errors.Is(err, handover.ErrNoSuccessor):
-			d.log.Warn("hand-over: failed", "reason", err)
+			d.log.Warn("hand-over", "reason", err)
 			d.unshareIfAlone()
 			continue
 		case err != nil:
--- a/internal/discovery/membership/removal.go
+++ b/internal/discovery/membership/removal.go
@@ -53,7 +53,7 @@
 	if remaining != 0 && !(missing > 1 && float64(missing) > m.options.MassRemovalFraction*float64(remaining+missing)) {
 		return false
 	}
-	m.note("source %s removed %d of %d upstreams at once: removals ignored for %v", s.name, missing, remaining+missing, m.options.MassRemovalHold.D())
+	m.note("source %s lacks %d of %d upstreams at once: not believed for %v", s.name, missing, remaining+missing, m.options.MassRemovalHold.D())
 	for _, x := range s.recentRemovals {
 		m.setState(x.record, Up)
 		m.doubt(x.record)
--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -83,7 +83,7 @@
 		_ = r.line.next.Handle(ctx, record)
 	}
 	if dropped > 0 {
-		record := slog.NewRecord(now, slog.LevelWarn, "lines dropped by the rate limit", 0)
+		record := slog.NewRecord(now, slog.LevelWarn, "lines left out", 0)
 		record.AddAttrs(slog.Int("lines", dropped))
 		_ = c.root.Handle(ctx, record)
 	}
