--- a/internal/measure/admission.go
+++ b/internal/measure/admission.go
@@ -17,7 +17,7 @@
 
 const (
 	admissionNodes       = 24
-	admissionServiceTime = 20 * time.Millisecond // so that the nodes do 1,200 such requests a second
+	admissionServiceTime = 20 * time.Millisecond // gives the nodes a capacity of 1,200 requests per second
 	tenantCount          = 20
 	admissionRunLength   = 30 * time.Second
 )
@@ -29,12 +29,13 @@
 		ConnectTimeout: time.Second, Tick: time.Millisecond}
 }
 
-// admissionVariant is a named admission control.
+// admissionVariant is an admission control with its name in the tables.
 type admissionVariant struct {
 	name string
 	make func(seed uint64) admissionsim.AdmissionControl
 }
 
+// newAdmissionQueue returns a constructor of package admission's queue, with one principal per tenant and the options that change sets.
 func newAdmissionQueue(change func(*admission.Options)) func(uint64) admissionsim.AdmissionControl {
 	return func(seed uint64) admissionsim.AdmissionControl {
 		o := admission.Default()
@@ -49,8 +50,8 @@
 // fixedLimit is the concurrency limit of the fixed variants: twice the number of nodes.
 const fixedLimit = 48
 
-// queueVariants are package admission and other queue disciplines. All but the first and the last have one fixed limit, so that only the
-// order differs.
+// queueVariants are package admission and other queue disciplines. All but the first and the last have the same fixed concurrency limit, so
+// that they differ only in the order of the requests.
 var queueVariants = []admissionVariant{
 	{"no door", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(1<<30), 1<<30)
@@ -74,7 +75,7 @@
 	{"door", newAdmissionQueue(nil)},
 }
 
-// limitVariants are package admission and other concurrency limits, all with one tenant.
+// limitVariants are package admission and other concurrency limits. They are compared under the load of a single tenant.
 var limitVariants = []admissionVariant{
 	{"fixed at 48", func(uint64) admissionsim.AdmissionControl {
 		return admissionsim.NewQueue(admissionsim.NewFIFO(), admissionsim.Fixed(fixedLimit), 256)
@@ -94,6 +95,7 @@
 	{"door", newAdmissionQueue(func(o *admission.Options) { o.PrincipalSources = []string{"tenant"} })},
 }
 
+// tenants returns n clients that each send rate requests per second.
 func tenants(n int, rate float64) (c []admissionsim.Client) {
 	for i := range n {
 		c = append(c, admissionsim.Client{Group: fmt.Sprintf("counter-%02d", i), Class: "search", MeanServiceTime: admissionServiceTime, Rate: rate, MaxAttempts: 3, HonorsRetryAfter: true})
@@ -117,55 +119,57 @@
 	return nil
 }
 
-// eachSeed plays a run for each seed from 1 to rounds on all cores, and returns the results in this order.
+// eachSeed plays a run for each seed from 1 to rounds, in parallel on all cores, and returns the results in the order of the seeds.
 func eachSeed(rounds int, play func(seed uint64) (*admissionsim.Result, error)) ([]*admissionsim.Result, error) {
-	out := make([]*admissionsim.Result, rounds)
+	results := make([]*admissionsim.Result, rounds)
 	var g errgroup.Group
 	g.SetLimit(runtime.NumCPU())
 	for i := range rounds {
 		g.Go(func() (err error) {
-			out[i], err = play(uint64(i + 1))
+			results[i], err = play(uint64(i + 1))
 			return err
 		})
 	}
-	return out, g.Wait()
+	return results, g.Wait()
 }
 
-func medianOf(results []*admissionsim.Result, of func(*admissionsim.Result) float64) float64 {
-	return medianBy(results, of)
+func medianOf(results []*admissionsim.Result, figure func(*admissionsim.Result) float64) float64 {
+	return medianBy(results, figure)
 }
 
-// medianBy returns the median of a figure.
-func medianBy[T any](of []T, figure func(T) float64) float64 {
-	x := make([]float64, len(of))
-	for i, v := range of {
-		x[i] = figure(v)
+// medianBy returns the median of a figure over all items.
+func medianBy[T any](items []T, figure func(T) float64) float64 {
+	values := make([]float64, len(items))
+	for i, v := range items {
+		values[i] = figure(v)
 	}
-	slices.Sort(x)
-	return x[len(x)/2]
+	slices.Sort(values)
+	return values[len(values)/2]
 }
 
 // fractionInTime returns the fraction of the requests of the first n clients that were answered within the objective.
 func fractionInTime(r *admissionsim.Result, n int) float64 {
-	in, first := 0, 0
+	inTime, first := 0, 0
 	for _, c := range r.Clients[:n] {
-		in, first = in+c.WithinObjective, first+c.FirstRequests
+		inTime, first = inTime+c.WithinObjective, first+c.FirstRequests
 	}
-	return float64(in) / float64(max(1, first))
+	return float64(inTime) / float64(max(1, first))
 }
 
-func answersInTime(r *admissionsim.Result, n int) (x []float64) {
+// answersInTime returns the number of answers within the objective for each of the first n clients.
+func answersInTime(r *admissionsim.Result, n int) (counts []float64) {
 	for _, c := range r.Clients[:n] {
-		x = append(x, float64(c.WithinObjective))
+		counts = append(counts, float64(c.WithinObjective))
 	}
-	return x
+	return counts
 }
 
-// printFairness compares the disciplines under a flooding client, and under equal demand above the capacity.
+// printFairness compares the queue disciplines while one client floods the nodes, and while all clients have the same demand, which exceeds
+// the capacity.
 func printFairness(out io.Writer, rounds int) error {
 	flood := append(tenants(tenantCount, 20), admissionsim.Client{Group: "script", Class: "search", MeanServiceTime: admissionServiceTime, ClosedLoops: 400,
 		Rate: 1200.0 / (tenantCount + 1) * 50, MaxAttempts: 3})
-	greedy := tenants(tenantCount, 120)
+	excessDemand := tenants(tenantCount, 120)
 	shops := tenants(tenantCount, 20)
 	for i := range 200 {
 		shops = append(shops, admissionsim.Client{Group: "shop", Flow: fmt.Sprint(i), Class: "search", MeanServiceTime: admissionServiceTime, Rate: 30, MaxAttempts: 3})
@@ -178,33 +182,34 @@
 	if err != nil {
 		return err
 	}
-	base := medianOf(alone, func(r *admissionsim.Result) float64 { return fractionInTime(r, tenantCount) })
-	for _, g := range queueVariants {
-		a, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
-			return admissionsim.Play(admissionRun(flood, nil, seed), g.make(seed))
+	fractionAlone := medianOf(alone, func(r *admissionsim.Result) float64 { return fractionInTime(r, tenantCount) })
+	for _, variant := range queueVariants {
+		flooded, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+			return admissionsim.Play(admissionRun(flood, nil, seed), variant.make(seed))
 		})
 		if err != nil {
 			return err
 		}
-		b, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
-			return admissionsim.Play(admissionRun(greedy, nil, seed), g.make(seed))
+		overloaded, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+			return admissionsim.Play(admissionRun(excessDemand, nil, seed), variant.make(seed))
 		})
 		if err != nil {
 			return err
 		}
-		in := medianOf(a, func(r *admissionsim.Result) float64 { return fractionInTime(r, tenantCount) })
-		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.0f\t%.0f\t%.3f\t%.0f\t%.3f\t%.3f\t\n", g.name, in, admissionsim.RelativeTo(in, base),
-			medianOf(a, func(r *admissionsim.Result) float64 { return float64(r.Clients[0].Quantile(0.99).Milliseconds()) }),
-			medianOf(a, func(r *admissionsim.Result) float64 {
+		inTime := medianOf(flooded, func(r *admissionsim.Result) float64 { return fractionInTime(r, tenantCount) })
+		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.0f\t%.0f\t%.3f\t%.0f\t%.3f\t%.3f\t\n", variant.name, inTime, admissionsim.RelativeTo(inTime, fractionAlone),
+			medianOf(flooded, func(r *admissionsim.Result) float64 { return float64(r.Clients[0].Quantile(0.99).Milliseconds()) }),
+			medianOf(flooded, func(r *admissionsim.Result) float64 {
 				return float64(r.Clients[tenantCount].WithinObjective+r.Clients[tenantCount].Late) / admissionRunLength.Seconds()
 			}),
-			medianOf(b, func(r *admissionsim.Result) float64 { return admissionsim.Jain(answersInTime(r, tenantCount)) }),
-			medianOf(b, func(r *admissionsim.Result) float64 { return goodput(r) }),
-			medianOf(b, reservationsKept), medianOf(b, func(r *admissionsim.Result) float64 { return r.Wasted }))
+			medianOf(overloaded, func(r *admissionsim.Result) float64 { return admissionsim.Jain(answersInTime(r, tenantCount)) }),
+			medianOf(overloaded, func(r *admissionsim.Result) float64 { return goodput(r) }),
+			medianOf(overloaded, reservationsKept), medianOf(overloaded, func(r *admissionsim.Result) float64 { return r.Wasted }))
 	}
 	return w.Flush()
 }
 
+// goodput returns the number of answers within the objective per second, over all clients.
 func goodput(r *admissionsim.Result) float64 {
 	n := 0
 	for _, c := range r.Clients {
@@ -213,6 +218,7 @@
 	return float64(n) / admissionRunLength.Seconds()
 }
 
+// reservationsKept returns the fraction of the retries at a reserved time that were served.
 func reservationsKept(r *admissionsim.Result) float64 {
 	returned, served := 0, 0
 	for _, c := range r.Clients {
@@ -221,7 +227,7 @@
 	return float64(served) / float64(max(1, returned))
 }
 
-// printCostHints prints whether a false cost hint pays: ten clients hint the true cost, one a tenth of it, one ten times as much.
+// printCostHints prints whether a client gains from a false cost hint: ten clients hint the true cost, one a tenth of it, and one ten times it.
 func printCostHints(out io.Writer, rounds int) error {
 	var clients []admissionsim.Client
 	for i := range 12 {
@@ -234,14 +240,14 @@
 		}
 		clients = append(clients, admissionsim.Client{Group: fmt.Sprint(i), Class: "search", MeanServiceTime: admissionServiceTime, Rate: 200, HintFactor: hint, MaxAttempts: 1})
 	}
-	all, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+	results, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
 		return admissionsim.Play(admissionRun(clients, nil, seed), newAdmissionQueue(nil)(seed))
 	})
 	if err != nil {
 		return err
 	}
-	share := func(i int) float64 {
-		return medianOf(all, func(r *admissionsim.Result) float64 {
+	relativeWork := func(i int) float64 {
+		return medianOf(results, func(r *admissionsim.Result) float64 {
 			honest := 0.0
 			for _, c := range r.Clients[2:] {
 				honest += c.ServiceTime.Seconds() / 10
@@ -249,38 +255,39 @@
 			return r.Clients[i].ServiceTime.Seconds() / honest
 		})
 	}
-	fmt.Fprintf(out, "work done for a client that hints a tenth: %.3f of an honest one's; that hints ten times: %.3f\n", share(0), share(1))
+	fmt.Fprintf(out, "work done for a client that hints a tenth: %.3f of an honest one's; that hints ten times: %.3f\n", relativeWork(0), relativeWork(1))
 	return nil
 }
 
-// printLimits compares the limits under low load, three times the capacity, and nodes that are eight times slower for ten seconds.
+// printLimits compares the concurrency limits at 0.7 of the capacity, at three times the capacity, and while the nodes are eight times slower
+// for ten seconds.
 func printLimits(out io.Writer, rounds int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "limit\tgoodput at 0.7\tat 3 times\tmean in hand\tp50 ms\tslower by 8, of what can be\tin hand\tback, of 3 times\ts to 0.9 of it\t")
-	load := func(rate float64) []admissionsim.Client {
+	clients := func(rate float64) []admissionsim.Client {
 		return []admissionsim.Client{{Group: "all", Class: "search", MeanServiceTime: admissionServiceTime, Rate: rate, MaxAttempts: 1}}
 	}
-	slow := func(t time.Duration) float64 {
+	slowdown := func(t time.Duration) float64 {
 		if t >= 10*time.Second && t < 20*time.Second {
 			return 8
 		}
 		return 1
 	}
-	for _, g := range limitVariants {
-		calm, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
-			return admissionsim.Play(admissionRun(load(840), nil, seed), g.make(seed))
+	for _, variant := range limitVariants {
+		lowLoad, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+			return admissionsim.Play(admissionRun(clients(840), nil, seed), variant.make(seed))
 		})
 		if err != nil {
 			return err
 		}
-		over, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
-			return admissionsim.Play(admissionRun(load(3600), nil, seed), g.make(seed))
+		overload, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+			return admissionsim.Play(admissionRun(clients(3600), nil, seed), variant.make(seed))
 		})
 		if err != nil {
 			return err
 		}
-		eight, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
-			return admissionsim.Play(admissionRun(load(3600), slow, seed), g.make(seed))
+		slowed, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+			return admissionsim.Play(admissionRun(clients(3600), slowdown, seed), variant.make(seed))
 		})
 		if err != nil {
 			return err
@@ -292,18 +299,18 @@
 			}
 			return sum / float64(to-from)
 		}
-		steady := medianOf(over, func(r *admissionsim.Result) float64 { return mean(r, 5, 30, r.Clients[0].WithinObjectiveByInterval) })
-		fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.0f\t%.2f\t%.0f\t\n", g.name, medianOf(calm, goodput), steady,
-			medianOf(over, func(r *admissionsim.Result) float64 { return mean(r, 5, 30, r.InFlightByInterval) }),
-			medianOf(over, func(r *admissionsim.Result) float64 { return float64(r.Clients[0].Quantile(0.5).Milliseconds()) }),
-			medianOf(eight, func(r *admissionsim.Result) float64 {
+		steady := medianOf(overload, func(r *admissionsim.Result) float64 { return mean(r, 5, 30, r.Clients[0].WithinObjectiveByInterval) })
+		fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.0f\t%.2f\t%.0f\t\n", variant.name, medianOf(lowLoad, goodput), steady,
+			medianOf(overload, func(r *admissionsim.Result) float64 { return mean(r, 5, 30, r.InFlightByInterval) }),
+			medianOf(overload, func(r *admissionsim.Result) float64 { return float64(r.Clients[0].Quantile(0.5).Milliseconds()) }),
+			medianOf(slowed, func(r *admissionsim.Result) float64 {
 				return mean(r, 12, 20, r.Clients[0].WithinObjectiveByInterval) / 150
 			}),
-			medianOf(eight, func(r *admissionsim.Result) float64 { return mean(r, 15, 20, r.InFlightByInterval) }),
-			medianOf(eight, func(r *admissionsim.Result) float64 {
+			medianOf(slowed, func(r *admissionsim.Result) float64 { return mean(r, 15, 20, r.InFlightByInterval) }),
+			medianOf(slowed, func(r *admissionsim.Result) float64 {
 				return mean(r, 21, 30, r.Clients[0].WithinObjectiveByInterval) / steady
 			}),
-			medianOf(eight, func(r *admissionsim.Result) float64 {
+			medianOf(slowed, func(r *admissionsim.Result) float64 {
 				for i, v := range r.Clients[0].WithinObjectiveByInterval[20:30] {
 					if v >= 0.9*steady {
 						return float64(i)
@@ -315,30 +322,30 @@
 	return w.Flush()
 }
 
-// printRetryStorm compares the recovery from a retry storm: three times the load for ten seconds, then 0.7 of the capacity again.
+// printRetryStorm compares the recovery from a retry storm: the load is three times the capacity for ten seconds, then 0.7 of it again.
 func printRetryStorm(out io.Writer, rounds int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "gate\tclients\tgoodput before\tin the storm\tafter\ts to 0.95 of before\ttries a request in the storm\tkept of promised\t")
-	for _, obeys := range []bool{false, true} {
+	for _, honorsRetryAfter := range []bool{false, true} {
 		clients := tenants(tenantCount, 42)
 		for i := range clients {
-			clients[i].HonorsRetryAfter, clients[i].MarksRetries, clients[i].MaxAttempts = obeys, true, 4
-			more := clients[i]
-			more.Rate, more.From, more.To = 138, 10*time.Second, 20*time.Second
-			clients = append(clients, more)
+			clients[i].HonorsRetryAfter, clients[i].MarksRetries, clients[i].MaxAttempts = honorsRetryAfter, true, 4
+			surge := clients[i]
+			surge.Rate, surge.From, surge.To = 138, 10*time.Second, 20*time.Second
+			clients = append(clients, surge)
 		}
 		behavior := "come back at once"
-		if obeys {
+		if honorsRetryAfter {
 			behavior = "come back when told"
 		}
-		for _, g := range []admissionVariant{queueVariants[0], queueVariants[1], queueVariants[len(queueVariants)-1]} {
-			all, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
-				return admissionsim.Play(admissionRun(clients, nil, seed), g.make(seed))
+		for _, variant := range []admissionVariant{queueVariants[0], queueVariants[1], queueVariants[len(queueVariants)-1]} {
+			results, err := eachSeed(rounds, func(seed uint64) (*admissionsim.Result, error) {
+				return admissionsim.Play(admissionRun(clients, nil, seed), variant.make(seed))
 			})
 			if err != nil {
 				return err
 			}
-			at := func(r *admissionsim.Result, from, to int) float64 {
+			goodputBetween := func(r *admissionsim.Result, from, to int) float64 {
 				sum := 0.0
 				for _, c := range r.Clients {
 					for _, v := range c.WithinObjectiveByInterval[from:to] {
@@ -347,25 +354,25 @@
 				}
 				return sum / float64(to-from)
 			}
-			before := medianOf(all, func(r *admissionsim.Result) float64 { return at(r, 2, 10) })
-			fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.3f\t\n", g.name, behavior, before,
-				medianOf(all, func(r *admissionsim.Result) float64 { return at(r, 11, 20) }),
-				medianOf(all, func(r *admissionsim.Result) float64 { return at(r, 22, 30) }),
-				medianOf(all, func(r *admissionsim.Result) float64 {
+			before := medianOf(results, func(r *admissionsim.Result) float64 { return goodputBetween(r, 2, 10) })
+			fmt.Fprintf(w, "%s\t%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.2f\t%.3f\t\n", variant.name, behavior, before,
+				medianOf(results, func(r *admissionsim.Result) float64 { return goodputBetween(r, 11, 20) }),
+				medianOf(results, func(r *admissionsim.Result) float64 { return goodputBetween(r, 22, 30) }),
+				medianOf(results, func(r *admissionsim.Result) float64 {
 					for i := 20; i < 30; i++ {
-						if at(r, i, i+1) >= 0.95*before {
+						if goodputBetween(r, i, i+1) >= 0.95*before {
 							return float64(i - 20)
 						}
 					}
 					return 10
 				}),
-				medianOf(all, func(r *admissionsim.Result) float64 {
-					asked, first := 0, 0
+				medianOf(results, func(r *admissionsim.Result) float64 {
+					attempts, first := 0, 0
 					for _, c := range r.Clients[tenantCount:] {
-						asked, first = asked+c.Attempts, first+c.FirstRequests
+						attempts, first = attempts+c.Attempts, first+c.FirstRequests
 					}
-					return float64(asked) / float64(max(1, first))
-				}), medianOf(all, reservationsKept))
+					return float64(attempts) / float64(max(1, first))
+				}), medianOf(results, reservationsKept))
 		}
 	}
 	return w.Flush()
--- a/internal/measure/childprocess.go
+++ b/internal/measure/childprocess.go
@@ -24,21 +24,21 @@
 
 // childRole tells a child process what to run. It is passed as JSON in childRoleVariable.
 type childRole struct {
-	Part      string        // "nodes", "daemon", "reverseproxy", "client"
+	Part      string        // one of the cases of RunChild
 	Nodes     int           `json:",omitempty"`
 	GRPC      bool          `json:",omitempty"`
 	Work      time.Duration `json:",omitempty"`
-	GC        int           `json:",omitempty"` // of a proxy, as GOGC
-	Slow      float64       `json:",omitempty"` // factor of the first node in ten; 0: none
+	GC        int           `json:",omitempty"` // GOGC of a proxy
+	Slow      float64       `json:",omitempty"` // factor by which every tenth node is slower; 0: no node is
 	Addresses []string      `json:",omitempty"`
 	Listen    string        `json:",omitempty"`
 	Policy    string        `json:",omitempty"`
 	Workers   int           `json:",omitempty"`
 	Calls     int           `json:",omitempty"`
 	Warm      int           `json:",omitempty"`
-	Dir       string        `json:",omitempty"` // of the keys, where connections are encrypted
-	Answer    string        `json:",omitempty"` // of nodes
-	Routes    int           `json:",omitempty"` // of a daemon by an operator's file
+	Dir       string        `json:",omitempty"` // file, folder or address that the part reads, such as the folder of the TLS keys
+	Answer    string        `json:",omitempty"` // response body of the nodes
+	Routes    int           `json:",omitempty"` // number of routes in the configuration of the daemon
 }
 
 // usage is the resource use of a process since its start.
@@ -48,8 +48,8 @@
 	Bytes   uint64
 }
 
-// RunChild runs the role that the environment names until standard input ends, and reports whether there is one. Programs that measure call
-// it first.
+// RunChild runs the role that the environment sets until standard input ends, and reports whether the environment sets one. A program that
+// starts child processes must call RunChild first.
 func RunChild() (bool, error) {
 	text := os.Getenv(childRoleVariable)
 	if text == "" {
@@ -89,10 +89,10 @@
 	case "client":
 		return true, r.runClient()
 	}
-	return true, fmt.Errorf("no part %q", r.Part)
+	return true, fmt.Errorf("unknown child role %q", r.Part)
 }
 
-// answerUsage writes ready, then answers each line on standard input with the usage so far until the input ends.
+// answerUsage writes ready to standard output, then answers each line on standard input with the usage so far, until the input ends.
 func answerUsage(ready any) error {
 	out := json.NewEncoder(os.Stdout)
 	if err := out.Encode(ready); err != nil {
@@ -107,31 +107,31 @@
 	return in.Err()
 }
 
-// serveDaemonFile is attend beside a daemon by an operator's file, within its memory limit, on a free port.
+// serveDaemonFile runs a daemon with the given configuration file and its memory limit on a free port, until standard input ends.
 func serveDaemonFile(text []byte) error {
-	p, err := config.ParseFile(text)
+	plan, err := config.ParseFile(text)
 	if err != nil {
 		return err
 	}
-	daemon.LimitMemory(p)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	daemon.LimitMemory(plan)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	return serveDaemon(p, l)
+	return serveDaemon(plan, listener)
 }
 
-// serveDaemon is attend beside a daemon.
-func serveDaemon(p *config.Plan, l net.Listener) error {
+// serveDaemon runs a daemon and answers requests for its usage, until standard input ends.
+func serveDaemon(plan *config.Plan, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- daemon.ServePlan(ctx, p, l, config.Sources{}, nil, nil) }()
-	err := answerUsage(l.Addr().String())
+	go func() { ended <- daemon.ServePlan(ctx, plan, listener, config.Sources{}, nil, nil) }()
+	err := answerUsage(listener.Addr().String())
 	cancel()
 	return errors.Join(err, <-ended)
 }
 
-// currentUsage returns the usage of this process; zero if the system does not report it.
+// currentUsage returns the usage of this process, or zero if the system does not report it.
 func currentUsage() usage {
 	var r syscall.Rusage
 	var m runtime.MemStats
@@ -149,7 +149,8 @@
 	out *json.Decoder
 }
 
-// startChild starts this program as a child process and decodes its first message, once it serves, into ready.
+// startChild starts this program as a child process, waits for its first message and decodes it into ready. Servers send it once they
+// accept connections.
 func startChild(r childRole, ready any) (*child, error) {
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -174,12 +175,12 @@
 		return nil, err
 	}
 	if err := c.out.Decode(ready); err != nil {
-		return nil, errors.Join(fmt.Errorf("%s: %w", r.Part, err), c.stop())
+		return nil, errors.Join(fmt.Errorf("child process %s did not report that it is ready: %w", r.Part, err), c.stop())
 	}
 	return c, nil
 }
 
-// used returns the usage so far.
+// used returns the usage of the child so far.
 func (c *child) used() (u usage, err error) {
 	if _, err = io.WriteString(c.in, "\n"); err == nil {
 		err = c.out.Decode(&u)
@@ -187,7 +188,7 @@
 	return u, err
 }
 
-// stop ends the standard input of the process and waits for its end.
+// stop closes the standard input of the child, which makes it exit, and waits for the exit.
 func (c *child) stop() error {
 	c.in.Close()
 	return c.cmd.Wait()
--- a/internal/measure/closedloop.go
+++ b/internal/measure/closedloop.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// closedLoop sends requests from some workers, each after the answer to its last, and returns the sorted latencies of calls requests. Before
-// them it sends warm requests that do not count, and calls between.
-func closedLoop(workers, warm, calls int, request func(worker, n int) error, between func() error) ([]time.Duration, error) {
+// closedLoop sends requests from several workers, each of which waits for an answer before its next request. It first sends warm requests,
+// which are not recorded, then calls afterWarmUp, and then sends calls requests and returns their sorted latencies.
+func closedLoop(workers, warm, calls int, request func(worker, n int) error, afterWarmUp func() error) ([]time.Duration, error) {
 	run := func(calls int, record bool) ([]time.Duration, error) {
 		var mu sync.Mutex
 		var latencies []time.Duration
@@ -16,7 +16,7 @@
 		var wg sync.WaitGroup
 		for w := range workers {
 			wg.Go(func() {
-				own := make([]time.Duration, 0, calls/workers+1)
+				workerLatencies := make([]time.Duration, 0, calls/workers+1)
 				for n := range calls / workers {
 					started := time.Now()
 					if err := request(w, n); err != nil {
@@ -25,12 +25,12 @@
 						mu.Unlock()
 						return
 					}
-					own = append(own, time.Since(started))
+					workerLatencies = append(workerLatencies, time.Since(started))
 				}
 				mu.Lock()
 				defer mu.Unlock()
 				if record {
-					latencies = append(latencies, own...)
+					latencies = append(latencies, workerLatencies...)
 				}
 			})
 		}
@@ -40,7 +40,7 @@
 	if _, err := run(warm, false); err != nil {
 		return nil, err
 	}
-	if err := between(); err != nil {
+	if err := afterWarmUp(); err != nil {
 		return nil, err
 	}
 	latencies, err := run(calls, true)
--- a/internal/measure/daemon.go
+++ b/internal/measure/daemon.go
@@ -11,12 +11,13 @@
 
 // Options are a measurement's parameters.
 type Options struct {
-	Rounds int // of each peer, in turn; the medians are printed
-	Calls  int // of each round
+	Rounds int // runs of each peer, which take turns; the medians are printed
+	Calls  int // requests in each round
 	Out    io.Writer
 }
 
-// Daemon prints the daemon beside ReverseProxy: 12 instant nodes, each proxy on one core, a closed loop of clients.
+// Daemon prints a comparison of the daemon and ReverseProxy, each on one core, with clients in a closed loop and 12 nodes that answer
+// immediately.
 func Daemon(o Options) error {
 	var addresses []string
 	nodes, err := startChild(childRole{Part: "nodes", Nodes: 12}, &addresses)
@@ -26,29 +27,31 @@
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "connections\tpeer\tCPU a request\tallocations\tp50\tp99\tCPU ratio\tp99 ratio\t")
 	for _, connections := range []int{1, 16, 64} {
-		all := map[string][]Figures{}
+		figuresByPeer := map[string][]Figures{}
 		for range o.Rounds {
-			for _, part := range []string{"reverseproxy", "daemon"} {
-				f, err := proxyRound(childRole{Part: part, Addresses: addresses}, connections, o.Calls)
+			for _, peer := range []string{"reverseproxy", "daemon"} {
+				f, err := proxyRound(childRole{Part: peer, Addresses: addresses}, connections, o.Calls)
 				if err != nil {
 					return errors.Join(err, nodes.stop())
 				}
-				all[part] = append(all[part], f)
+				figuresByPeer[peer] = append(figuresByPeer[peer], f)
 			}
 		}
-		base := median(all["reverseproxy"])
-		for _, part := range []string{"reverseproxy", "daemon"} {
-			printRow(w, fmt.Sprint(connections), part, median(all[part]), base)
+		base := median(figuresByPeer["reverseproxy"])
+		for _, peer := range []string{"reverseproxy", "daemon"} {
+			printRow(w, fmt.Sprint(connections), peer, median(figuresByPeer[peer]), base)
 		}
 	}
 	return errors.Join(w.Flush(), nodes.stop())
 }
 
+// printRow prints the figures of a peer and their ratios to those of the base.
 func printRow(w io.Writer, group, peer string, f, base Figures) {
 	fmt.Fprintf(w, "%s\t%s\t%v\t%.0f\t%v\t%v\t%.2f\t%.2f\t\n", group, peer, f.CPU.Round(100*time.Nanosecond), f.Mallocs,
 		f.P50.Round(time.Microsecond), f.P99.Round(time.Microsecond), float64(f.CPU)/float64(base.CPU), float64(f.P99)/float64(base.P99))
 }
 
+// proxyRound measures requests through a proxy process of the given role.
 func proxyRound(r childRole, connections, calls int) (Figures, error) {
 	var address string
 	r.Listen, r.GC = "127.0.0.1:0", 100
@@ -58,7 +61,7 @@
 	}
 	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: connections}}
 	defer client.CloseIdleConnections()
-	ask := func(worker, n int) error {
+	send := func(worker, n int) error {
 		req, err := http.NewRequest(http.MethodGet, "http://"+address+"/search/1", nil)
 		if err != nil {
 			return err
@@ -78,10 +81,10 @@
 		return nil
 	}
 	var before usage
-	took, err := closedLoop(connections, calls/5, calls, ask, func() (err error) {
+	latencies, err := closedLoop(connections, calls/5, calls, send, func() (err error) {
 		before, err = proxy.used()
 		return err
 	})
 	after, usedErr := proxy.used()
-	return figures(before, after, took), errors.Join(err, usedErr, proxy.stop())
+	return figures(before, after, latencies), errors.Join(err, usedErr, proxy.stop())
 }
--- a/internal/measure/daemon_bench_test.go
+++ b/internal/measure/daemon_bench_test.go
@@ -18,8 +18,8 @@
 	"orchiddrift/internal/settings"
 )
 
-// BenchmarkProxy measures a request through the daemon and through ReverseProxy in this process, the client's cost
-// included; nodes in a process of their own:
+// BenchmarkProxy measures a request through the daemon and through ReverseProxy in this process, including the cost of
+// the client. The nodes run in a process of their own:
 //
 //	go test -run '^$' -bench Proxy -benchmem -cpu 1 ./internal/measure
 func BenchmarkProxy(b *testing.B) {
@@ -85,7 +85,7 @@
 				b.Error(err)
 				return
 			}
-			_, _ = io.Copy(io.Discard, resp.Body) // a short answer from loopback
+			_, _ = io.Copy(io.Discard, resp.Body) // the body is a few bytes from loopback
 			resp.Body.Close()
 			if resp.StatusCode != http.StatusOK {
 				b.Error(resp.Status)
--- a/internal/measure/eureka.go
+++ b/internal/measure/eureka.go
@@ -22,8 +22,8 @@
 	"orchiddrift/internal/fakes"
 )
 
-// Eureka prints, by poll interval, the time from an instance's change to out of service until its last request, with random changes under load,
-// and the calls of the registry; then the memory and CPU time of a daemon with 5,000 instances.
+// Eureka prints, for several poll intervals, the time from an instance's change to out of service until its last request, under load and with
+// random changes, and the requests to the registry; then the memory and CPU time of a daemon with 5,000 instances.
 func Eureka(o Options) error {
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "poll\tflips\tseen\tp50\tp90\tp99\tmost\tover 250ms after told\tserved\trefused\trequests a second\tbytes a second\t")
@@ -38,8 +38,8 @@
 	return printEurekaMemory(o.Out)
 }
 
-// startFlipNodes are upstreams that report each request to came, registered by their names.
-func startFlipNodes(e *fakes.Eureka, n int, came func(name string)) (names []string, stop func(), err error) {
+// startFlipNodes starts n upstreams, registers them under their names, and calls onRequest for each request that they receive.
+func startFlipNodes(e *fakes.Eureka, n int, onRequest func(name string)) (names []string, stop func(), err error) {
 	var servers []*http.Server
 	stop = func() {
 		for _, s := range servers {
@@ -54,8 +54,8 @@
 		}
 		name := fmt.Sprint("n", i)
 		srv := &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			came(name)
-			_, _ = io.WriteString(w, "ok") // a client that left is no matter here
+			onRequest(name)
+			_, _ = io.WriteString(w, "ok") // an error means that the client has disconnected
 		})}
 		servers = append(servers, srv)
 		go func() { _ = srv.Serve(l) }() // ends with Close
@@ -97,7 +97,7 @@
 		return
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, resp.Body) // a short answer from loopback
+	_, _ = io.Copy(io.Discard, resp.Body) // the body is a few bytes from loopback
 	switch resp.StatusCode {
 	case http.StatusOK:
 		l.served.Add(1)
@@ -108,15 +108,15 @@
 	}
 }
 
-// stop waits for the requests in flight.
+// stop ends the load and waits for the requests in flight.
 func (l *flipLoad) stop() {
 	l.cancel()
 	l.clients.Wait()
 	l.client.CloseIdleConnections()
 }
 
-// printFlips prints a row: the time from a flip out of service to the last request, for a poll interval.
-func printFlips(w io.Writer, poll time.Duration, times int) error {
+// printFlips prints the row of a poll interval: the time from a flip out of service to the last request, and the requests to the registry.
+func printFlips(w io.Writer, poll time.Duration, flips int) error {
 	e, err := fakes.NewEureka(fakes.EurekaOptions{})
 	if err != nil {
 		return err
@@ -135,29 +135,29 @@
 	}
 	load := startFlipLoad(address)
 	rng := rand.New(rand.NewPCG(5, uint64(poll)))
-	begun, bytes := time.Now(), e.Bytes()
-	asked := e.Calls("GET /apps/SEATS")
+	started, bytes := time.Now(), e.Bytes()
+	pollsBefore := e.Calls("GET /apps/SEATS")
 	tick := time.NewTicker(poll / 20)
 	defer tick.Stop()
-	for range times {
+	for range flips {
 		<-tick.C
 		f.Flip(rng)
 	}
-	took := time.Since(begun).Seconds()
-	perSecond, bytesPerSecond := float64(e.Calls("GET /apps/SEATS")-asked)/took, float64(e.Bytes()-bytes)/took
+	seconds := time.Since(started).Seconds()
+	perSecond, bytesPerSecond := float64(e.Calls("GET /apps/SEATS")-pollsBefore)/seconds, float64(e.Bytes()-bytes)/seconds
 	load.stop()
-	n, last, wrong := f.Result()
-	if load.failed.Load() > 0 || len(last) == 0 {
-		err = fmt.Errorf("%d requests failed, %d flips seen", load.failed.Load(), len(last))
+	flipCount, delays, violations := f.Result()
+	if load.failed.Load() > 0 || len(delays) == 0 {
+		err = fmt.Errorf("%d requests failed, and %d flips out of service were followed by requests; want no failed requests and at least one such flip", load.failed.Load(), len(delays))
 	} else {
-		at := func(p float64) time.Duration { return last[int(p*float64(len(last)-1))].Round(time.Millisecond) }
-		fmt.Fprintf(w, "%v\t%d\t%d\t%v\t%v\t%v\t%v\t%d\t%d\t%d\t%.1f\t%.0f\t\n", poll, n, len(last), at(0.5), at(0.9), at(0.99), at(1), len(wrong),
+		quantile := func(p float64) time.Duration { return delays[int(p*float64(len(delays)-1))].Round(time.Millisecond) }
+		fmt.Fprintf(w, "%v\t%d\t%d\t%v\t%v\t%v\t%v\t%d\t%d\t%d\t%.1f\t%.0f\t\n", poll, flipCount, len(delays), quantile(0.5), quantile(0.9), quantile(0.99), quantile(1), len(violations),
 			load.served.Load(), load.rejected.Load(), perSecond, bytesPerSecond)
 	}
 	return errors.Join(err, stop())
 }
 
-func eurekaConfig(e string, poll time.Duration, memory string, delta bool) []byte {
+func eurekaConfig(registry string, poll time.Duration, memory string, delta bool) []byte {
 	return fmt.Appendf(nil, `
 [daemon]
 seed = "1"
@@ -175,44 +175,44 @@
 applications = ["SEATS"]
 poll = %q
 delta = %t
-`, memory, e, poll, delta)
+`, memory, registry, poll, delta)
 }
 
-// startEurekaDaemon starts one in this process whose upstreams are a registry's.
+// startEurekaDaemon starts a daemon in this process that discovers its upstreams from the registry, and waits until it is ready.
 func startEurekaDaemon(e *fakes.Eureka, poll time.Duration, memory string) (address string, stop func() error, err error) {
-	p, err := config.ParseFile(eurekaConfig(e.Base, poll, memory, false))
+	plan, err := config.ParseFile(eurekaConfig(e.Base, poll, memory, false))
 	if err != nil {
 		return "", nil, err
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- daemon.ServePlan(ctx, p, l, config.Sources{}, nil, nil) }()
+	go func() { ended <- daemon.ServePlan(ctx, plan, listener, config.Sources{}, nil, nil) }()
 	stop = func() error { cancel(); return <-ended }
-	address = l.Addr().String()
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+	address = listener.Addr().String()
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 		if resp, err := http.Get("http://" + address + "/-/ready"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
 				return address, stop, nil
 			}
 		}
-		if time.Now().After(end) {
-			return "", nil, errors.Join(errors.New("the daemon is not ready"), stop())
+		if time.Now().After(deadline) {
+			return "", nil, errors.Join(errors.New("the daemon was not ready within 10 s"), stop())
 		}
 	}
 }
 
-// serveEurekaDaemon is a daemon of its own process, whose registry Addresses name.
+// serveEurekaDaemon runs a daemon that discovers its upstreams from the registry at the first of the Addresses.
 func (r childRole) serveEurekaDaemon() error {
 	return serveDaemonFile(eurekaConfig(r.Addresses[0], 200*time.Millisecond, "48MiB", r.Policy == "delta"))
 }
 
-// printEurekaMemory prints the memory and CPU of a daemon process that follows 5,000 instances, whose document changes with
-// every poll.
+// printEurekaMemory prints the memory and CPU time of a daemon process that polls a registry of 5,000 instances, without
+// changes and with one changed instance per poll.
 func printEurekaMemory(out io.Writer) error {
 	e, err := fakes.NewEureka(fakes.EurekaOptions{KeepDelta: time.Second})
 	if err != nil {
@@ -226,13 +226,13 @@
 	for i := range 5000 {
 		put(i)
 	}
-	time.Sleep(time.Second) // until the changes are those of nodes that come and go, and not all that there is
+	time.Sleep(time.Second) // until the delta (KeepDelta) no longer lists the registrations above
 	fmt.Fprintln(out)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "5,000 instances\tpolls\tmost resident\tanonymous\tCPU a poll\t")
 	for _, c := range []struct {
 		name, policy, path string
-		changes            int // a poll
+		changes            int // per poll
 	}{{"the same each time", "", "GET /apps/SEATS", 0}, {"one changed each time", "", "GET /apps/SEATS", 1},
 		{"one changed each time, told as changes", "delta", "GET /apps/delta", 1}} {
 		name, path, changes := c.name, c.path, c.changes
@@ -241,19 +241,19 @@
 		if err != nil {
 			return err
 		}
-		wait := func(n int) {
+		waitForPolls := func(n int) {
 			for range n {
 				for range changes {
 					put(rand.IntN(5000))
 				}
-				for from := e.Calls(path); e.Calls(path) == from; time.Sleep(time.Millisecond) {
+				for callsBefore := e.Calls(path); e.Calls(path) == callsBefore; time.Sleep(time.Millisecond) {
 				}
 			}
 		}
-		wait(5)
+		waitForPolls(5)
 		before, err := c.used()
 		const polls = 20
-		wait(polls)
+		waitForPolls(polls)
 		after, usedErr := c.used()
 		peak, anonymous := c.memory()
 		if err := errors.Join(err, usedErr, c.stop()); err != nil {
@@ -264,7 +264,8 @@
 	return w.Flush()
 }
 
-// memory is the most that the child has had resident, and what is its own now, as the system says it.
+// memory returns the peak resident memory and the current anonymous memory of the child, as reported by the system, or question marks if
+// the system does not report them.
 func (c *child) memory() (peak, anonymous string) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(c.cmd.Process.Pid) + "/status")
 	if err != nil {
--- a/internal/measure/fairness.go
+++ b/internal/measure/fairness.go
@@ -20,19 +20,19 @@
 	"orchiddrift/internal/simulation/admissionsim"
 )
 
-// The load of Counters: nodes that do 400 requests a second, 20 counters that ask for 0.4 of it together, and a script that
-// asks for 50 times a 21st of it.
+// The load of TenantFairness: the nodes have a capacity of 400 requests per second, 20 tenants together send 0.4 of it, and
+// a flooding client sends 50 times its equal share, a 21st of the capacity.
 const (
 	fairnessNodes       = 8
 	fairnessServiceTime = 20 * time.Millisecond
-	tenantRate          = 8.0 // of a counter, a second
+	tenantRate          = 8.0 // requests per second of each tenant
 	fairnessObjective   = 400 * time.Millisecond
 	fairnessPeriod      = 12 * time.Second
 	floodRate           = 50 * 400.0 / 21
-	fairnessRetryAfter  = 3 * time.Second // the service's retry_after
+	fairnessRetryAfter  = 3 * time.Second // the retry_after setting of the service
 )
 
-// clientCounts are the answers that one kind of client got.
+// clientCounts counts the requests of one kind of client and their answers.
 type clientCounts struct {
 	mu            sync.Mutex
 	requests      int
@@ -40,10 +40,11 @@
 	returned      int // retries at the reserved time
 	returnsServed int
 	inTimeByName  map[string]int
-	latencies     []time.Duration // of all that were answered
+	latencies     []time.Duration // of the requests that were answered with status 200
 }
 
-func (t *clientCounts) note(name string, took time.Duration, ok bool) {
+// record counts a request. took is its latency, and ok tells whether it was answered with status 200.
+func (t *clientCounts) record(name string, took time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.requests++
@@ -56,8 +57,8 @@
 	}
 }
 
-// noteReturn counts a client that came back at its reserved time.
-func (t *clientCounts) noteReturn(served bool) {
+// recordReturn counts a client that retried at its reserved time.
+func (t *clientCounts) recordReturn(served bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.returned++
@@ -66,114 +67,120 @@
 	}
 }
 
-func (t *clientCounts) share() float64 { return float64(t.inTime) / float64(max(1, t.requests)) }
+// fractionInTime returns the fraction of the requests that were answered within fairnessObjective.
+func (t *clientCounts) fractionInTime() float64 {
+	return float64(t.inTime) / float64(max(1, t.requests))
+}
 
-// TenantFairness prints the answers that 20 tenants get beside a flooding script through a daemon process: with a fair admission queue, with
-// one queue for all clients, and without admission control, in turn.
+// TenantFairness prints the answers that 20 tenants get through a daemon process while a client floods it: with a fair admission queue, with
+// one queue for all clients, and without admission control. These variants take turns.
 func TenantFairness(o Options) error {
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "door\tcounters in time\tof alone\tp50 ms\tp99 ms\tscript's answers in time a second\tJain, 20 x 2.5 times their share\tcame when promised\tof them served\tmost resident\tCPU of a core\t")
 	var alone float64
 	for _, kind := range []string{"alone", "fair, alone", "none", "one queue", "fair"} {
-		var all []fairnessFigures
+		var rounds []fairnessFigures
 		for range min(3, o.Rounds) {
 			s, err := fairnessRound(kind)
 			if err != nil {
 				return err
 			}
-			all = append(all, s)
+			rounds = append(rounds, s)
 		}
-		pick := func(of func(fairnessFigures) float64) float64 { return medianBy(all, of) }
-		in := pick(func(s fairnessFigures) float64 { return s.in })
+		pick := func(of func(fairnessFigures) float64) float64 { return medianBy(rounds, of) }
+		tenantsInTime := pick(func(s fairnessFigures) float64 { return s.tenantsInTime })
 		if kind == "alone" {
-			alone = in
+			alone = tenantsInTime
 		}
-		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.1f\t%.1f\t%.0f\t%.3f\t%.0f\t%.3f\t%s\t%.2f\t\n", kind, in, admissionsim.RelativeTo(in, alone),
-			pick(func(s fairnessFigures) float64 { return s.p50 }), pick(func(s fairnessFigures) float64 { return s.p99 }), pick(func(s fairnessFigures) float64 { return s.script }),
+		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.1f\t%.1f\t%.0f\t%.3f\t%.0f\t%.3f\t%s\t%.2f\t\n", kind, tenantsInTime, admissionsim.RelativeTo(tenantsInTime, alone),
+			pick(func(s fairnessFigures) float64 { return s.p50 }), pick(func(s fairnessFigures) float64 { return s.p99 }), pick(func(s fairnessFigures) float64 { return s.floodAnswers }),
 			pick(func(s fairnessFigures) float64 { return s.jain }), pick(func(s fairnessFigures) float64 { return float64(s.returned) }),
-			pick(func(s fairnessFigures) float64 { return float64(s.returnsServed) / float64(max(1, s.returned)) }), all[len(all)-1].resident,
+			pick(func(s fairnessFigures) float64 { return float64(s.returnsServed) / float64(max(1, s.returned)) }), rounds[len(rounds)-1].resident,
 			pick(func(s fairnessFigures) float64 { return s.cpu }))
 	}
 	return w.Flush()
 }
 
+// fairnessFigures are the figures of a round. The latencies are in milliseconds, floodAnswers are the flooding client's answers in time per second,
+// and cpu is the fraction of a core that the daemon used.
 type fairnessFigures struct {
-	in, p50, p99, script, jain, cpu float64
-	returned, returnsServed         int
-	resident                        string
+	tenantsInTime, p50, p99, floodAnswers, jain, cpu float64
+	returned, returnsServed                          int
+	resident                                         string
 }
 
-func fairnessRound(kind string) (s fairnessFigures, err error) {
+// fairnessRound measures the daemon with the admission queue that kind names. A kind that contains "alone" has no flooding client.
+func fairnessRound(kind string) (result fairnessFigures, err error) {
 	dir, err := os.MkdirTemp("", "orchiddrift-measure-")
 	if err != nil {
-		return s, err
+		return result, err
 	}
 	defer os.RemoveAll(dir)
 	var addresses []string
 	nodes, err := startChild(childRole{Part: "floornodes", Nodes: fairnessNodes, Work: fairnessServiceTime}, &addresses)
 	if err != nil {
-		return s, err
+		return result, err
 	}
 	defer func() { err = errors.Join(err, nodes.stop()) }()
 	list := filepath.Join(dir, "list.json")
 	if err := writeList(list, addresses); err != nil {
-		return s, err
+		return result, err
 	}
 	var address string
-	d, err := startChild(childRole{Part: "floordaemon", Dir: list, Policy: kind}, &address)
+	proxy, err := startChild(childRole{Part: "floordaemon", Dir: list, Policy: kind}, &address)
 	if err != nil {
-		return s, err
+		return result, err
 	}
-	defer func() { err = errors.Join(err, d.stop()) }()
+	defer func() { err = errors.Join(err, proxy.stop()) }()
 	client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 600}}
 	defer client.CloseIdleConnections()
 
-	counters, script := &clientCounts{inTimeByName: map[string]int{}}, &clientCounts{inTimeByName: map[string]int{}}
-	before, err := d.used()
+	tenants, floodAnswers := &clientCounts{inTimeByName: map[string]int{}}, &clientCounts{inTimeByName: map[string]int{}}
+	before, err := proxy.used()
 	if err != nil {
-		return s, err
+		return result, err
 	}
 	target := fairnessTarget{client, address}
 	var flood *clientCounts
 	if !strings.Contains(kind, "alone") {
-		flood = script
+		flood = floodAnswers
 	}
-	target.play(tenantRate, counters, flood, false)
-	after, err := d.used()
+	target.applyLoad(tenantRate, tenants, flood, false)
+	after, err := proxy.used()
 	if err != nil {
-		return s, err
+		return result, err
 	}
-	equal := &clientCounts{inTimeByName: map[string]int{}}
-	target.play(excessTenantRate, equal, nil, true)
-	var each []float64
+	excess := &clientCounts{inTimeByName: map[string]int{}}
+	target.applyLoad(excessTenantRate, excess, nil, true)
+	var inTimeCounts []float64
 	for i := range tenantCount {
-		each = append(each, float64(equal.inTimeByName[fmt.Sprint("counter-", i)]))
+		inTimeCounts = append(inTimeCounts, float64(excess.inTimeByName[fmt.Sprint("counter-", i)]))
 	}
-	peak, _ := d.memory()
-	sorted := slices.Sorted(slices.Values(counters.latencies))
+	peak, _ := proxy.memory()
+	sorted := slices.Sorted(slices.Values(tenants.latencies))
 	ms := func(q float64) float64 { return sortedQuantile(sorted, q).Seconds() * 1e3 }
-	s = fairnessFigures{in: counters.share(), p50: ms(0.5), p99: ms(0.99), script: float64(script.inTime) / fairnessPeriod.Seconds(),
-		jain: admissionsim.Jain(each), returned: equal.returned, returnsServed: equal.returnsServed, resident: peak,
+	result = fairnessFigures{tenantsInTime: tenants.fractionInTime(), p50: ms(0.5), p99: ms(0.99), floodAnswers: float64(floodAnswers.inTime) / fairnessPeriod.Seconds(),
+		jain: admissionsim.Jain(inTimeCounts), returned: excess.returned, returnsServed: excess.returnsServed, resident: peak,
 		cpu: (after.CPU - before.CPU).Seconds() / fairnessPeriod.Seconds()}
-	return s, nil
+	return result, nil
 }
 
-// fairnessTarget is the daemon that clients send to.
+// fairnessTarget is the daemon to which the clients send their requests.
 type fairnessTarget struct {
 	client  *http.Client
 	address string
 }
 
-// excessTenantRate is the rate of each tenant, in requests per second, where all ask for 2.5 times their share.
+// excessTenantRate is the rate of each tenant, in requests per second, when each requests 2.5 times its equal share.
 const excessTenantRate = 50
 
-// play runs 20 tenants for fairnessPeriod, each at rate, and beside them a flooding script if flood is not nil.
-func (t fairnessTarget) play(rate float64, tenants, flood *clientCounts, obey bool) {
+// applyLoad runs 20 tenants for fairnessPeriod, each at rate, together with a flooding client if flood is not nil.
+func (t fairnessTarget) applyLoad(rate float64, tenants, flood *clientCounts, honorsRetryAfter bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), fairnessPeriod)
 	defer cancel()
 	var clients sync.WaitGroup
 	for i := range tenantCount {
-		c := openLoopClient{fairnessTarget: t, name: fmt.Sprint("counter-", i), rate: rate, seed: uint64(i), maxInFlight: 64, counts: tenants, obey: obey}
+		c := openLoopClient{fairnessTarget: t, name: fmt.Sprint("counter-", i), rate: rate, seed: uint64(i), maxInFlight: 64, counts: tenants, honorsRetryAfter: honorsRetryAfter}
 		clients.Go(func() { c.run(ctx) })
 	}
 	if flood != nil {
@@ -183,21 +190,21 @@
 	clients.Wait()
 }
 
-// openLoopClient sends requests at a rate, independent of the answers. A request that is due while maxInFlight are in flight counts as
-// sent and not answered. With obey it retries once, after the Retry-After of the answer.
+// openLoopClient sends requests at a rate that does not depend on the answers. A request that is due while maxInFlight are in flight counts as
+// sent and not answered. With honorsRetryAfter, the client retries a rejected request once, after the Retry-After of the answer.
 type openLoopClient struct {
 	fairnessTarget
-	name        string
-	rate        float64 // requests per second
-	seed        uint64
-	maxInFlight int
-	counts      *clientCounts
-	obey        bool
+	name             string
+	rate             float64 // requests per second
+	seed             uint64
+	maxInFlight      int
+	counts           *clientCounts
+	honorsRetryAfter bool
 }
 
 func (c openLoopClient) run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(c.seed, 4))
-	busy := make(chan struct{}, c.maxInFlight)
+	inFlight := make(chan struct{}, c.maxInFlight)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	next := time.Now()
@@ -208,26 +215,26 @@
 			return
 		case <-time.After(time.Until(next)):
 		}
-		intended := next
+		dueAt := next
 		select {
-		case busy <- struct{}{}:
+		case inFlight <- struct{}{}:
 		default:
-			c.counts.note(c.name, 0, false)
+			c.counts.record(c.name, 0, false)
 			continue
 		}
 		path := fmt.Sprint("/", c.name, "/", n)
 		wg.Go(func() {
-			defer func() { <-busy }()
-			c.request(ctx, path, intended)
+			defer func() { <-inFlight }()
+			c.request(ctx, path, dueAt)
 		})
 	}
 }
 
-// request sends a request that was due at intended, and the retry if there is one.
-func (c openLoopClient) request(ctx context.Context, path string, intended time.Time) {
+// request sends a request that was due at dueAt, and retries it if the client honors Retry-After.
+func (c openLoopClient) request(ctx context.Context, path string, dueAt time.Time) {
 	status, retryAfter := c.send(ctx, path, c.name)
-	c.counts.note(c.name, time.Since(intended), status == http.StatusOK)
-	if !c.obey || status != http.StatusServiceUnavailable || retryAfter <= 0 {
+	c.counts.record(c.name, time.Since(dueAt), status == http.StatusOK)
+	if !c.honorsRetryAfter || status != http.StatusServiceUnavailable || retryAfter <= 0 {
 		return
 	}
 	select {
@@ -236,11 +243,11 @@
 	case <-time.After(retryAfter):
 	}
 	if status, _ = c.send(ctx, path, c.name); ctx.Err() == nil && retryAfter <= fairnessRetryAfter*3/4 {
-		c.counts.noteReturn(status == http.StatusOK)
+		c.counts.recordReturn(status == http.StatusOK)
 	}
 }
 
-// send returns the status and the Retry-After of the answer; 0 and 0 where there was none.
+// send returns the status and the Retry-After of the answer, or zeros if there was no answer.
 func (t fairnessTarget) send(ctx context.Context, path, tenant string) (status int, retryAfter time.Duration) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.address+path, nil)
 	if err != nil {
@@ -252,12 +259,12 @@
 		return 0, 0
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, resp.Body) // the status is all that counts
+	_, _ = io.Copy(io.Discard, resp.Body) // only the status and the header matter
 	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	return resp.StatusCode, time.Duration(seconds * float64(time.Second))
 }
 
-// serveFairnessNodes are nodes that work on one request at a time.
+// serveFairnessNodes runs nodes that process one request at a time.
 func (r childRole) serveFairnessNodes() error {
 	var addresses []string
 	ledger := fakes.NewLedger()
@@ -274,7 +281,7 @@
 	return answerUsage(addresses)
 }
 
-// serveFairnessDaemon runs a daemon with the admission queue that Policy names.
+// serveFairnessDaemon runs a daemon with the admission queue that Policy names, or without one.
 func (r childRole) serveFairnessDaemon() error {
 	text := fmt.Appendf(nil, `
 [daemon]
--- a/internal/measure/figures.go
+++ b/internal/measure/figures.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sortedQuantile returns the p-quantile, p from 0 to 1, of sorted durations; 0 if there are none.
+// sortedQuantile returns the p-quantile, p from 0 to 1, of sorted durations, or 0 if there are none.
 func sortedQuantile(sorted []time.Duration, p float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -15,16 +15,16 @@
 
 // Figures are the cost of a request and the latencies of one peer in one run.
 type Figures struct {
-	CPU      time.Duration // a request
-	Mallocs  float64       // a request
+	CPU      time.Duration // per request
+	Mallocs  float64       // per request
 	P50, P99 time.Duration
 }
 
-// figures returns the figures of requests with the given sorted latencies, between two readings of the usage.
-func figures(before, after usage, took []time.Duration) Figures {
-	n := float64(max(1, len(took)))
+// figures returns the figures of requests with the given sorted latencies. The readings of the usage were taken before and after the requests.
+func figures(before, after usage, latencies []time.Duration) Figures {
+	n := float64(max(1, len(latencies)))
 	return Figures{time.Duration(float64(after.CPU-before.CPU) / n), float64(after.Mallocs-before.Mallocs) / n,
-		sortedQuantile(took, 0.5), sortedQuantile(took, 0.99)}
+		sortedQuantile(latencies, 0.5), sortedQuantile(latencies, 0.99)}
 }
 
 // median returns the median of each figure separately.
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -20,9 +20,10 @@
 const (
 	fleetNodes       = 5000
 	fleetRate        = 10_000.0
-	fleetServiceTime = 100 * time.Millisecond // so that nodes are busy for a fifth of the time
+	fleetServiceTime = 100 * time.Millisecond // keeps each node busy for a fifth of the time
 )
 
+// fleetRun returns a run of a fleet of sidecars with subsets at constant total traffic.
 func fleetRun(sidecars int) fleetsim.Run {
 	o := subset.Default()
 	o.Enabled, o.MaxSize, o.RemoteZoneFraction, o.ShrinkDelay = true, 4096, 0, units.Duration(5*time.Second)
@@ -39,7 +40,7 @@
 	run  fleetsim.Run
 }
 
-// fleetFaultRuns are fleets without subsets, and fleets whose nodes restart, shrink or get uneven traffic.
+// fleetFaultRuns returns runs of fleets without subsets, and of fleets with restarts of nodes, changes of the list size or uneven traffic.
 func fleetFaultRuns() (runs []namedFleetRun) {
 	add := func(name string, sidecars int, change func(*fleetsim.Run)) {
 		r := fleetRun(sidecars)
@@ -56,12 +57,12 @@
 	}
 	add("200, half restart in 10 s at half busy", 200, restart)
 	add("the same, modules not told of cold ones", 200, func(r *fleetsim.Run) { restart(r); r.HideStartTimes = true })
-	dear := func(r *fleetsim.Run) {
+	slowConnect := func(r *fleetsim.Run) {
 		r.ConnectDelay = 50 * time.Millisecond
 		r.RestartAt, r.RestartOver, r.RestartFraction, r.RestartDowntime = 20*time.Second, 10*time.Second, 0.5, 3*time.Second
 	}
-	add("200, half restart, a connection takes 50 ms", 200, dear)
-	add("the same, connections open ahead", 200, func(r *fleetsim.Run) { dear(r); r.Prewarming = prewarm.Default(); r.Prewarming.Enabled = true })
+	add("200, half restart, a connection takes 50 ms", 200, slowConnect)
+	add("the same, connections open ahead", 200, func(r *fleetsim.Run) { slowConnect(r); r.Prewarming = prewarm.Default(); r.Prewarming.Enabled = true })
 	add("200, the list shrinks to 50 and grows back", 200, func(r *fleetsim.Run) {
 		r.Rate = 100
 		r.ListSizes = []fleetsim.ListSize{{At: 15 * time.Second, Nodes: 50}, {At: 35 * time.Second, Nodes: fleetNodes}}
@@ -77,8 +78,8 @@
 	return runs
 }
 
-// Fleet prints the effect of fleets of 10 to 200 sidecars on 5,000 nodes at constant traffic in virtual time, then that of faults. plot names
-// a file for a chart of the connections; "": none.
+// Fleet prints the effect of fleets of 10 to 200 sidecars on 5,000 nodes at constant traffic, in virtual time, and then the effect of faults.
+// plot names a file for a chart of the connections; with "", Fleet writes no chart.
 func Fleet(o Options, plot string) error {
 	var runs []namedFleetRun
 	sizes := []int{10, 25, 50, 100, 200}
@@ -107,26 +108,26 @@
 	if err := w.Flush(); err != nil || plot == "" {
 		return err
 	}
-	open := make([]float64, len(sizes))
+	connections := make([]float64, len(sizes))
 	for i := range sizes {
-		open[i] = results[i].MeanConnectionsPerNode
+		connections[i] = results[i].MeanConnectionsPerNode
 	}
-	return os.WriteFile(plot, []byte(svgChart("connections a node, by sidecars (5,000 nodes, 10,000 requests a second)", sizes, open)), 0o644)
+	return os.WriteFile(plot, []byte(svgChart("connections a node, by sidecars (5,000 nodes, 10,000 requests a second)", sizes, connections)), 0o644)
 }
 
-// svgChart returns an SVG line chart of y over x with both axes from 0.
+// svgChart returns an SVG line chart of y over x. Both axes start at 0.
 func svgChart(title string, x []int, y []float64) string {
-	const width, height, left, low = 640.0, 320.0, 60.0, 40.0
-	most, last := 0.0, float64(x[len(x)-1])
+	const width, height, left, bottom = 640.0, 320.0, 60.0, 40.0
+	maxY, maxX := 0.0, float64(x[len(x)-1])
 	for _, v := range y {
-		most = max(most, v*1.2)
+		maxY = max(maxY, v*1.2)
 	}
-	px := func(v float64) float64 { return left + v/last*(width-left-20) }
-	py := func(v float64) float64 { return height - low - v/most*(height-low-40) }
+	px := func(v float64) float64 { return left + v/maxX*(width-left-20) }
+	py := func(v float64) float64 { return height - bottom - v/maxY*(height-bottom-40) }
 	var b strings.Builder
 	fmt.Fprintf(&b, "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"%.0f\" height=\"%.0f\" font-family=\"sans-serif\" font-size=\"12\">\n", width, height)
 	fmt.Fprintf(&b, "<rect width=\"100%%\" height=\"100%%\" fill=\"white\"/>\n<text x=\"%.0f\" y=\"20\">%s</text>\n", left, title)
-	fmt.Fprintf(&b, "<path d=\"M%.1f %.1f V%.1f H%.1f\" stroke=\"black\" fill=\"none\"/>\n", left, 40.0, py(0), px(last))
+	fmt.Fprintf(&b, "<path d=\"M%.1f %.1f V%.1f H%.1f\" stroke=\"black\" fill=\"none\"/>\n", left, 40.0, py(0), px(maxX))
 	var points []string
 	for i := range x {
 		points = append(points, fmt.Sprintf("%.1f,%.1f", px(float64(x[i])), py(y[i])))
--- a/internal/measure/graphql.go
+++ b/internal/measure/graphql.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// The operations of GraphQL: a seat search as a booking page sends it.
+// The GraphQL request of the measurements, its schema and its answer: a seat search of a booking page.
 const (
 	graphqlQuery  = `query SeatSearch($from:String!,$to:String!,$n:Int){seats(from:$from,to:$to,first:$n){id price coach{id name number}departs arrives train{id operator{name}}}}`
 	graphqlSchema = `directive @listSize(assumedSize: Int, slicingArguments: [String!], sizedFields: [String!], requireOneSlicingArgument: Boolean = true) on FIELD_DEFINITION
@@ -27,13 +27,14 @@
 	graphqlAnswer = `{"data":{"seats":[{"id":"1","price":12.5,"coach":{"id":"c1","name":"A","number":1},"departs":"08:00","arrives":"12:40","train":{"id":"t","operator":{"name":"o"}}}]}}`
 )
 
-// graphqlRequest makes a request to the n-th row's kind of traffic.
+// graphqlRequest returns a function that sends a request of a kind and checks the answer. address holds addresses separated by spaces, of
+// which each request uses a random one. The kinds are GET, POST, cold (each document is new) and warm (all documents are equal).
 func graphqlRequest(client *http.Client, address, kind string) func(worker, n int) error {
-	nodes := strings.Split(address, " ")
+	addresses := strings.Split(address, " ")
 	return func(worker, n int) error {
-		to := nodes[0]
-		if len(nodes) > 1 {
-			to = nodes[rand.New(rand.NewPCG(uint64(worker), uint64(n))).IntN(len(nodes))]
+		node := addresses[0]
+		if len(addresses) > 1 {
+			node = addresses[rand.New(rand.NewPCG(uint64(worker), uint64(n))).IntN(len(addresses))]
 		}
 		method, target, body := http.MethodPost, "/graphql", ""
 		switch kind {
@@ -47,7 +48,7 @@
 			}
 			body = fmt.Sprintf(`{"query":%q,"operationName":"SeatSearch","variables":{"from":"NBO","to":"MSA","n":%d}}`, graphqlQuery, 1+n%50)
 		}
-		req, err := http.NewRequest(method, "http://"+to+target, strings.NewReader(body))
+		req, err := http.NewRequest(method, "http://"+node+target, strings.NewReader(body))
 		if err != nil {
 			return err
 		}
@@ -62,16 +63,17 @@
 			return err
 		}
 		defer resp.Body.Close()
-		got, err := io.ReadAll(resp.Body)
-		if err == nil && (resp.StatusCode != http.StatusOK || string(got) != graphqlAnswer) {
-			err = fmt.Errorf("%s: %s %s", kind, resp.Status, got)
+		answer, err := io.ReadAll(resp.Body)
+		if err == nil && (resp.StatusCode != http.StatusOK || string(answer) != graphqlAnswer) {
+			err = fmt.Errorf("%s request answered %s with unexpected status or body: %s", kind, resp.Status, answer)
 		}
 		return err
 	}
 }
 
-// GraphQL prints what an operation costs the daemon beside the same work asked for by a plain GET and by a plain POST of the
-// same class and body, and how queries fare where one node in ten is eight times slower, beside a random choice of nodes.
+// GraphQL prints the cost of an operation for the daemon, compared with a plain GET and with a plain POST of the same class
+// and body. It then compares the latencies of the daemon and of a random choice of nodes where one node in ten is eight times
+// slower, and prints the costs of parsing documents.
 func GraphQL(o Options) error {
 	dir, err := os.MkdirTemp("", "orchiddrift-measure-")
 	if err != nil {
@@ -116,10 +118,10 @@
 	return printGraphQLDocuments(o.Out)
 }
 
-// graphqlConnections is the number of the clients' connections.
+// graphqlConnections is the number of connections of the clients.
 const graphqlConnections = 16
 
-// graphqlRound returns the cost of requests of a kind through a daemon process; dir holds its schema, "": none.
+// graphqlRound returns the cost of requests of a kind through a daemon process. dir holds its schema; with "", the daemon has none.
 func graphqlRound(addresses []string, kind, dir string, calls int) (f Figures, err error) {
 	var address string
 	proxy, err := startChild(childRole{Part: "graphqldaemon", Addresses: addresses, Dir: dir}, &address)
@@ -129,15 +131,15 @@
 	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: graphqlConnections}}
 	defer client.CloseIdleConnections()
 	var before usage
-	took, err := closedLoop(graphqlConnections, calls/5, calls, graphqlRequest(client, address, kind), func() (err error) {
+	latencies, err := closedLoop(graphqlConnections, calls/5, calls, graphqlRequest(client, address, kind), func() (err error) {
 		before, err = proxy.used()
 		return err
 	})
 	after, usedErr := proxy.used()
-	return figures(before, after, took), errors.Join(err, usedErr, proxy.stop())
+	return figures(before, after, latencies), errors.Join(err, usedErr, proxy.stop())
 }
 
-// printGraphQLSlowNode prints latencies through the daemon beside a random choice of nodes, where one node in ten is 8 times slower.
+// printGraphQLSlowNode prints the latencies of the daemon and of a random choice of nodes, where one node in ten is 8 times slower.
 func printGraphQLSlowNode(o Options) error {
 	var addresses []string
 	nodes, err := startChild(childRole{Part: "nodes", Nodes: 10, Work: 5 * time.Millisecond, Slow: 8, Answer: graphqlAnswer}, &addresses)
@@ -147,23 +149,23 @@
 	fmt.Fprintln(o.Out)
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "one node in ten 8 times slower\tp50\tp99\tp99 ratio\t")
-	var random, module []Figures
+	var random, throughDaemon []Figures
 	slowCalls := max(100, o.Calls/4)
 	for range o.Rounds {
 		client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 16}}
-		took, err := closedLoop(16, slowCalls/5, slowCalls, graphqlRequest(client, strings.Join(addresses, " "), "warm"), func() error { return nil })
+		latencies, err := closedLoop(16, slowCalls/5, slowCalls, graphqlRequest(client, strings.Join(addresses, " "), "warm"), func() error { return nil })
 		client.CloseIdleConnections()
 		if err != nil {
 			return errors.Join(err, nodes.stop())
 		}
-		random = append(random, figures(usage{}, usage{}, took))
+		random = append(random, figures(usage{}, usage{}, latencies))
 		f, err := graphqlRound(addresses, "warm", "", o.Calls)
 		if err != nil {
 			return errors.Join(err, nodes.stop())
 		}
-		module = append(module, f)
+		throughDaemon = append(throughDaemon, f)
 	}
-	r, m := median(random), median(module)
+	r, m := median(random), median(throughDaemon)
 	for _, x := range []struct {
 		name string
 		f    Figures
@@ -173,7 +175,7 @@
 	return errors.Join(w.Flush(), nodes.stop())
 }
 
-// serveGraphQLDaemon is a daemon with a route and an endpoint, which has a schema where Dir is given.
+// serveGraphQLDaemon runs a daemon with a plain route and a GraphQL endpoint, which has a schema if Dir is set.
 func (r childRole) serveGraphQLDaemon() error {
 	text := "[log]\nlevel = \"error\"\n[limits]\nmemory = \"64MiB\"\ndescriptors = 512\n[[service]]\nname = \"s\"\naddresses = ["
 	for _, a := range r.Addresses {
--- a/internal/measure/grpc.go
+++ b/internal/measure/grpc.go
@@ -23,7 +23,7 @@
 
 const plugin = "grpcbalancer"
 
-// policies are grpc-go's balancers by their service config, and the plug-in.
+// policies are the balancers of grpc-go with their service configs, and the plug-in, which needs none.
 var policies = []struct{ name, config string }{
 	{roundrobin.Name, `{"loadBalancingConfig":[{"round_robin":{}}]}`},
 	{weightedroundrobin.Name, `{"loadBalancingConfig":[{"weighted_round_robin":{"blackoutPeriod":"0.5s","weightUpdatePeriod":"0.5s"}}]}`},
@@ -31,9 +31,9 @@
 	{plugin, ""},
 }
 
-// GRPC prints the plug-in beside grpc-go's own balancers: ten nodes, each client a process on one core, a closed loop;
-// with healthy nodes and with one of ten 8 times slower. The nodes tell ORCA load reports, which weighted_round_robin
-// goes by.
+// GRPC prints a comparison of the plug-in and grpc-go's own balancers with ten nodes, which are healthy or of which one is
+// 8 times slower. Each client is a process on one core and sends in a closed loop. The nodes send ORCA load reports, which
+// weighted_round_robin uses.
 func GRPC(o Options) error {
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "nodes\tpeer\tCPU a call\tallocations\tp50\tp99\tCPU ratio\tp99 ratio\t")
@@ -53,7 +53,7 @@
 		if err != nil {
 			return err
 		}
-		all := map[string][]Figures{}
+		figuresByPolicy := map[string][]Figures{}
 		for range o.Rounds {
 			for _, p := range policies {
 				var f Figures
@@ -64,11 +64,11 @@
 				if err := client.stop(); err != nil {
 					return errors.Join(err, nodes.stop())
 				}
-				all[p.name] = append(all[p.name], f)
+				figuresByPolicy[p.name] = append(figuresByPolicy[p.name], f)
 			}
 		}
 		for _, p := range policies {
-			printRow(w, c.name, p.name, median(all[p.name]), median(all[roundrobin.Name]))
+			printRow(w, c.name, p.name, median(figuresByPolicy[p.name]), median(figuresByPolicy[roundrobin.Name]))
 		}
 		if err := nodes.stop(); err != nil {
 			return err
@@ -77,16 +77,16 @@
 	return w.Flush()
 }
 
-// runClient is the client's part: it makes its calls and prints its figures.
+// runClient runs the role of a gRPC client: it makes its calls and writes its figures to standard output.
 func (r childRole) runClient() error {
-	conn, end, err := r.dial()
+	conn, closeConn, err := r.dial()
 	if err != nil {
 		return err
 	}
-	defer end()
+	defer closeConn()
 	req := wrapperspb.String("seat 4")
 	var before usage
-	took, err := closedLoop(r.Workers, r.Warm, r.Calls, func(int, int) error {
+	latencies, err := closedLoop(r.Workers, r.Warm, r.Calls, func(int, int) error {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		defer cancel()
 		return conn.Invoke(ctx, "/booking.Seats/Search", req, &wrapperspb.StringValue{})
@@ -95,11 +95,12 @@
 		return nil
 	})
 	if err != nil {
-		return fmt.Errorf("%s: %w", r.Policy, err)
+		return fmt.Errorf("calls through %s: %w", r.Policy, err)
 	}
-	return json.NewEncoder(os.Stdout).Encode(figures(before, currentUsage(), took))
+	return json.NewEncoder(os.Stdout).Encode(figures(before, currentUsage(), latencies))
 }
 
+// dial returns a connection with the balancer that Policy names, and a function that closes both.
 func (r childRole) dial() (*grpc.ClientConn, func(), error) {
 	creds := grpc.WithTransportCredentials(insecure.NewCredentials())
 	if r.Policy == plugin {
--- a/internal/measure/grpc_bench_test.go
+++ b/internal/measure/grpc_bench_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestMain(m *testing.M) {
-	if played, err := RunChild(); played {
+	if isChild, err := RunChild(); isChild {
 		if err != nil {
 			os.Exit(1)
 		}
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-// BenchmarkClient measures a call through each policy, nodes in a process of their own:
+// BenchmarkClient measures a call through each policy. The nodes run in a process of their own:
 //
 //	go test -run '^$' -bench Client -benchmem -cpu 1 ./internal/measure
 func BenchmarkClient(b *testing.B) {
@@ -31,15 +31,15 @@
 	defer nodes.stop()
 	for _, p := range policies {
 		b.Run(p.name, func(b *testing.B) {
-			conn, end, err := childRole{Policy: p.name, Addresses: addresses}.dial()
+			conn, closeConn, err := childRole{Policy: p.name, Addresses: addresses}.dial()
 			if err != nil {
 				b.Fatal(err)
 			}
-			defer end()
+			defer closeConn()
 			req := wrapperspb.String("seat 4")
 			b.SetParallelism(16)
 			b.ReportAllocs()
-			begun := currentUsage()
+			before := currentUsage()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
 					ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
@@ -49,7 +49,7 @@
 					cancel()
 				}
 			})
-			b.ReportMetric(float64(currentUsage().CPU-begun.CPU)/float64(b.N), "cpu-ns/op")
+			b.ReportMetric(float64(currentUsage().CPU-before.CPU)/float64(b.N), "cpu-ns/op")
 		})
 	}
 }
--- a/internal/measure/idempotency.go
+++ b/internal/measure/idempotency.go
@@ -24,19 +24,20 @@
 	"orchiddrift/internal/units"
 )
 
-// Idempotency prints what a keyed request costs the daemon without a store of keys, with one in memory, on the disk and shared, then what such a file holds: bytes a key, and how soon it is read back.
+// Idempotency prints the cost of a keyed request for the daemon without a store of idempotency keys, and with stores in memory, on disk and
+// shared. It then prints the bytes per key of a store file and the time to read it back.
 func Idempotency(o Options) error {
 	var addresses []string
 	nodes, err := startChild(childRole{Part: "nodes", Nodes: 12}, &addresses)
 	if err != nil {
 		return err
 	}
-	dir, err := os.MkdirTemp(".", "measure-repeats-") // on the disk of the work tree: a temporary folder may be in memory
+	dir, err := os.MkdirTemp(".", "measure-repeats-") // on the disk of the working directory, because the system's temporary folder may be in memory
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	var etcd string // a fake, which syncs nothing to disk
+	var etcd string // address of a fake, which syncs nothing to disk
 	shared, err := startChild(childRole{Part: "etcd"}, &etcd)
 	if err != nil {
 		return errors.Join(err, nodes.stop())
@@ -49,11 +50,11 @@
 		rates := make([][]float64, len(kinds))
 		for round := range o.Rounds {
 			for i, k := range kinds {
-				at := filepath.Join(dir, fmt.Sprint(connections, "-", round, ".db"))
+				location := filepath.Join(dir, fmt.Sprint(connections, "-", round, ".db"))
 				if k.policy == "shared" {
-					at = etcd
+					location = etcd
 				}
-				f, rate, err := idempotencyRound(addresses, k.policy, at, connections, o.Calls)
+				f, rate, err := idempotencyRound(addresses, k.policy, location, connections, o.Calls)
 				if err != nil {
 					return errors.Join(err, nodes.stop(), shared.stop())
 				}
@@ -74,6 +75,7 @@
 	return printFullStore(o.Out, filepath.Join(dir, "full.db"))
 }
 
+// idempotencyRound measures keyed requests through a daemon process with the store that policy names. file is the file or address of the store.
 func idempotencyRound(addresses []string, policy, file string, connections, calls int) (f Figures, rate float64, err error) {
 	var address string
 	proxy, err := startChild(childRole{Part: "repeatsdaemon", Addresses: addresses, Policy: policy, Dir: file}, &address)
@@ -83,10 +85,10 @@
 	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: connections}}
 	defer client.CloseIdleConnections()
 	var before usage
-	var begun time.Time
+	var started time.Time
 	var mu sync.Mutex
 	n := 0
-	ask := func(worker, _ int) error {
+	send := func(worker, _ int) error {
 		mu.Lock()
 		n++
 		key := strconv.Itoa(n)
@@ -105,21 +107,21 @@
 			return err
 		}
 		if resp.StatusCode != http.StatusOK {
-			return fmt.Errorf("%s answered %s", policy, resp.Status)
+			return fmt.Errorf("daemon (idempotency store: %s) answered %s", policy, resp.Status)
 		}
 		return nil
 	}
-	took, err := closedLoop(connections, calls/5, calls, ask, func() (err error) {
+	latencies, err := closedLoop(connections, calls/5, calls, send, func() (err error) {
 		before, err = proxy.used()
-		begun = time.Now()
+		started = time.Now()
 		return err
 	})
-	rate = float64(len(took)) / time.Since(begun).Seconds()
+	rate = float64(len(latencies)) / time.Since(started).Seconds()
 	after, usedErr := proxy.used()
-	return figures(before, after, took), rate, errors.Join(err, usedErr, proxy.stop())
+	return figures(before, after, latencies), rate, errors.Join(err, usedErr, proxy.stop())
 }
 
-// serveIdempotencyDaemon is a daemon before a keyed class, with the store that Policy names.
+// serveIdempotencyDaemon runs a daemon with a keyed class and the store that Policy names.
 func (r childRole) serveIdempotencyDaemon() error {
 	text := "[log]\nlevel = \"error\"\n[limits]\nmemory = \"192MiB\"\ndescriptors = 1024\n[[service]]\nname = \"s\"\naddresses = ["
 	for _, a := range r.Addresses {
@@ -137,21 +139,21 @@
 	return serveDaemonFile([]byte(text))
 }
 
-// serveEtcd runs the fake of a shared store.
+// serveEtcd runs a fake etcd server as the shared store.
 func serveEtcd() error {
-	e := fakes.NewEtcd(fakes.EtcdOptions{})
-	at, err := e.Start()
+	etcd := fakes.NewEtcd(fakes.EtcdOptions{})
+	address, err := etcd.Start()
 	if err != nil {
 		return err
 	}
-	defer e.Close()
-	return answerUsage(at)
+	defer etcd.Close()
+	return answerUsage(address)
 }
 
-// printFullStore fills a file with a million keys, and reads it back.
+// printFullStore fills a store file with a million keys and reads it back, and prints the times and the bytes per key.
 func printFullStore(out io.Writer, path string) error {
 	const n = 1_000_000
-	log, err := boltstore.Open(context.Background(), path, boltfile.LockWait{Timeout: time.Second})
+	store, err := boltstore.Open(context.Background(), path, boltfile.LockWait{Timeout: time.Second})
 	if err != nil {
 		return err
 	}
@@ -160,13 +162,13 @@
 	for i := range n {
 		records = append(records, idempotency.Record{ID: idempotency.ID{Tenant: "shop", Class: "record", Key: fmt.Sprintf("%032x", i*7919)}, Answer: answer, UpdatedAt: time.Hour})
 	}
-	begun := time.Now()
-	err = errors.Join(log.PutAll(records, time.Hour), log.Close())
+	started := time.Now()
+	err = errors.Join(store.PutAll(records, time.Hour), store.Close())
 	records = nil
 	if err != nil {
 		return err
 	}
-	filled := time.Since(begun)
+	writeTime := time.Since(started)
 	info, err := os.Stat(path)
 	if err != nil {
 		return err
@@ -174,22 +176,22 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	begun = time.Now()
-	if log, err = boltstore.Open(context.Background(), path, boltfile.LockWait{Timeout: time.Second}); err != nil {
+	started = time.Now()
+	if store, err = boltstore.Open(context.Background(), path, boltfile.LockWait{Timeout: time.Second}); err != nil {
 		return err
 	}
 	options := idempotency.Default()
 	options.MaxKeys, options.MaxBytes, options.TenantFraction = 2*n, 2*units.GiB, 1
-	k, err := executor.New(executor.Options{Limits: options, DedupWindow: func(string) time.Duration { return 6 * time.Second }, Clock: clock.New(), Records: log})
+	keyExecutor, err := executor.New(executor.Options{Limits: options, DedupWindow: func(string) time.Duration { return 6 * time.Second }, Clock: clock.New(), Records: store})
 	if err != nil {
 		return err
 	}
-	took := time.Since(begun)
+	readTime := time.Since(started)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	keys, bytes, _ := k.Stats()
-	k.Close()
-	fmt.Fprintf(out, "\n%d keys: written in %v, %.0f bytes of the file a key, read back in %v; %.0f bytes of memory a key, %.0f counted\n", keys, filled.Round(time.Millisecond),
-		float64(info.Size())/n, took.Round(time.Millisecond), float64(after.HeapAlloc-before.HeapAlloc)/n, float64(bytes)/n)
+	keys, bytes, _ := keyExecutor.Stats()
+	keyExecutor.Close()
+	fmt.Fprintf(out, "\n%d keys: written in %v, %.0f bytes of the file a key, read back in %v; %.0f bytes of memory a key, %.0f counted\n", keys, writeTime.Round(time.Millisecond),
+		float64(info.Size())/n, readTime.Round(time.Millisecond), float64(after.HeapAlloc-before.HeapAlloc)/n, float64(bytes)/n)
 	return nil
 }
--- a/internal/measure/largefleet.go
+++ b/internal/measure/largefleet.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// connectionCounts are the connections and requests that the nodes counted.
+// connectionCounts are the connections and requests that the nodes counted. The JSON names are the names of the fields.
 type connectionCounts struct {
-	Open, MostOpen int // open connections of all nodes, and of the node with the most
-	Asked          int // nodes that got requests
+	Open, MostOpen int // open connections in total, and of the node with the most
+	Asked          int // nodes that received requests
 	Requests       int
 	MostRequests   int // of the node with the most
 }
 
-// LargeFleet prints the connections of some daemons of a fleet of 200 to 5,000 listeners, by the size of their subsets.
+// LargeFleet prints the connections that 4 daemons of a fleet of 200 open to 5,000 nodes, for several subset sizes.
 func LargeFleet(o Options) error {
 	dir, err := os.MkdirTemp("", "orchiddrift-measure-")
 	if err != nil {
@@ -32,25 +32,26 @@
 	defer os.RemoveAll(dir)
 	const nodes, running, fleet = 5000, 4, 200
 	var addresses []string
-	n, err := startChild(childRole{Part: "manynodes", Nodes: nodes}, &addresses)
+	nodeProcess, err := startChild(childRole{Part: "manynodes", Nodes: nodes}, &addresses)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = n.stop() }()
+	defer func() { _ = nodeProcess.stop() }()
 	list := filepath.Join(dir, "list.json")
 	if err := writeList(list, addresses[1:]); err != nil {
 		return err
 	}
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "subset\tdaemons of\tserved\trefused\tnodes asked\tconnections\ta node, most\trequests a node, most/mean\tmost resident\tanonymous\tCPU a request\t")
-	for _, least := range []int{0, 25, 100} {
-		if err := largeFleetRound(w, addresses[0], list, least, running, fleet, o.Calls); err != nil {
+	for _, minSize := range []int{0, 25, 100} {
+		if err := largeFleetRound(w, addresses[0], list, minSize, running, fleet, o.Calls); err != nil {
 			return err
 		}
 	}
 	return w.Flush()
 }
 
+// writeList writes an endpoint list file with the given addresses.
 func writeList(path string, addresses []string) error {
 	type entry struct {
 		Name    string `json:"name"`
@@ -69,14 +70,15 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// largeFleetTotals are the figures of the daemons of a round.
+// largeFleetTotals are the sums over the daemons of a round.
 type largeFleetTotals struct {
 	served, rejected int
 	cpu              time.Duration
-	peak, anonymous  string // memory of the first daemon
+	peak, anonymous  string // of the first daemon
 }
 
-// largeFleetRound sends requests to the daemons in turn, and prints a row while all still run. minSize 0: no subset.
+// largeFleetRound sends requests to each of the daemons in turn, and prints a row while all of them still run. With minSize 0, the daemons have
+// no subsets.
 func largeFleetRound(w io.Writer, control, list string, minSize, running, fleet, calls int) (err error) {
 	var children []*child
 	defer func() {
@@ -102,7 +104,7 @@
 			totals.peak, totals.anonymous = c.memory()
 		}
 	}
-	s, err := readConnectionCounts(control)
+	counts, err := readConnectionCounts(control)
 	if err != nil {
 		return err
 	}
@@ -111,22 +113,22 @@
 		name = "all 5,000"
 	}
 	requests := max(1, totals.served+totals.rejected)
-	fmt.Fprintf(w, "%s\t%d of %d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%s\t%s\t%v\t\n", name, running, fleet, totals.served, totals.rejected, s.Asked, s.Open, s.MostOpen,
-		float64(s.MostRequests)*float64(max(1, s.Asked))/float64(max(1, s.Requests)), totals.peak, totals.anonymous, (totals.cpu / time.Duration(requests)).Round(100*time.Nanosecond))
+	fmt.Fprintf(w, "%s\t%d of %d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%s\t%s\t%v\t\n", name, running, fleet, totals.served, totals.rejected, counts.Asked, counts.Open, counts.MostOpen,
+		float64(counts.MostRequests)*float64(max(1, counts.Asked))/float64(max(1, counts.Requests)), totals.peak, totals.anonymous, (totals.cpu / time.Duration(requests)).Round(100*time.Nanosecond))
 	return nil
 }
 
-// readConnectionCounts returns what the nodes counted since the last call.
-func readConnectionCounts(control string) (s connectionCounts, err error) {
+// readConnectionCounts returns the open connections of the nodes and their requests since the last call.
+func readConnectionCounts(control string) (counts connectionCounts, err error) {
 	resp, err := http.Get("http://" + control + "/")
 	if err != nil {
-		return s, err
+		return counts, err
 	}
 	defer resp.Body.Close()
-	return s, json.NewDecoder(resp.Body).Decode(&s)
+	return counts, json.NewDecoder(resp.Body).Decode(&counts)
 }
 
-// loadDaemon sends requests to a daemon and adds the answers and its CPU time.
+// loadDaemon sends requests to a daemon and adds its answers and its CPU time to the totals.
 func (t *largeFleetTotals) loadDaemon(c *child, address string, requests int) error {
 	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
 	defer client.CloseIdleConnections()
@@ -141,7 +143,7 @@
 			return err
 		}
 		defer resp.Body.Close()
-		_, _ = io.Copy(io.Discard, resp.Body) // a short answer from loopback
+		_, _ = io.Copy(io.Discard, resp.Body) // the body is a few bytes from loopback
 		mu.Lock()
 		defer mu.Unlock()
 		switch resp.StatusCode {
@@ -150,7 +152,7 @@
 		case http.StatusServiceUnavailable:
 			t.rejected++
 		default:
-			return fmt.Errorf("answered %s", resp.Status)
+			return fmt.Errorf("daemon answered %s, want 200 or 503", resp.Status)
 		}
 		return nil
 	}, func() error { return nil })
@@ -159,10 +161,10 @@
 	return errors.Join(err, usedErr)
 }
 
-// serveCountingNodes runs listeners in one process. The first address returns their counts since the last call.
+// serveCountingNodes runs all nodes in one process. The first address that it reports serves the connectionCounts and resets the requests.
 func (r childRole) serveCountingNodes() error {
 	var mu sync.Mutex
-	open, asked := map[string]int{}, map[string]int{}
+	open, requests := map[string]int{}, map[string]int{}
 	srv := &http.Server{ReadHeaderTimeout: 10 * time.Second, ErrorLog: log.New(io.Discard, "", 0),
 		ConnState: func(c net.Conn, s http.ConnState) {
 			mu.Lock()
@@ -175,33 +177,33 @@
 			}
 		},
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			at, _ := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
+			localAddress, _ := r.Context().Value(http.LocalAddrContextKey).(net.Addr)
 			mu.Lock()
-			asked[at.String()]++
+			requests[localAddress.String()]++
 			mu.Unlock()
-			_, _ = io.WriteString(w, "ok") // a client that left is no matter here
+			_, _ = io.WriteString(w, "ok") // an error means that the client has disconnected
 		})}
 	defer srv.Close()
 	control, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	tell := &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	countsServer := &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
 		var s connectionCounts
 		for _, n := range open {
 			s.Open, s.MostOpen = s.Open+n, max(s.MostOpen, n)
 		}
-		for _, n := range asked {
+		for _, n := range requests {
 			s.Requests, s.MostRequests = s.Requests+n, max(s.MostRequests, n)
 		}
-		s.Asked = len(asked)
-		clear(asked)
+		s.Asked = len(requests)
+		clear(requests)
 		_ = json.NewEncoder(w).Encode(s) // only the parent process calls it
 	})}
-	go func() { _ = tell.Serve(control) }() // ends with Close
-	defer tell.Close()
+	go func() { _ = countsServer.Serve(control) }() // ends with Close
+	defer countsServer.Close()
 	addresses := []string{control.Addr().String()}
 	for range r.Nodes {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -214,7 +216,8 @@
 	return answerUsage(addresses)
 }
 
-// serveSubsetDaemon runs the sidecar with index Calls of a fleet of Workers, with a subset of at least Nodes; 0: without.
+// serveSubsetDaemon runs the sidecar with index Calls of a fleet of Workers sidecars, with a subset of at least Nodes upstreams. If Nodes is
+// 0, it has no subset.
 func (r childRole) serveSubsetDaemon() error {
 	text := fmt.Appendf(nil, "[daemon]\nseed = \"%x\"\n[log]\nlevel = \"error\"\n[limits]\nmemory = \"32MiB\"\ndescriptors = 1024\n"+
 		"[[service]]\nname = \"many\"\nlist_file = %q\n", r.Calls+1, r.Dir)
--- a/internal/measure/largeresponses.go
+++ b/internal/measure/largeresponses.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	largeResponseBytes = 8 << 20 // bytes
-	largeClients       = 4       // that ask for one after another
+	largeResponseBytes = 8 << 20
+	largeClients       = 4 // each of which downloads one large response after another
 	smallClients       = 16
 )
 
-// LargeResponses prints what small requests take beside large answers through the same proxy: the daemon and ReverseProxy, each on one core.
+// LargeResponses prints the latencies of small requests, alone and while the same proxy transfers large responses. The proxies are the daemon
+// and ReverseProxy, each on one core.
 func LargeResponses(o Options) error {
 	var addresses []string
-	part := make([]byte, 64<<10)
+	chunk := make([]byte, 64<<10)
 	for range 4 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -30,12 +31,12 @@
 		}
 		srv := &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if !strings.HasSuffix(r.URL.Path, "/large") {
-				_, _ = io.WriteString(w, "ok") // a client that has left
+				_, _ = io.WriteString(w, "ok") // an error means that the client has disconnected
 				return
 			}
 			w.Header().Set("Content-Length", fmt.Sprint(largeResponseBytes))
-			for range largeResponseBytes / len(part) {
-				if _, err := w.Write(part); err != nil {
+			for range largeResponseBytes / len(chunk) {
+				if _, err := w.Write(chunk); err != nil {
 					return
 				}
 			}
@@ -68,7 +69,8 @@
 	return w.Flush()
 }
 
-// largeResponsesRound asks for small answers in a closed loop, beside clients that ask for large ones; rate is how many of those came a second.
+// largeResponsesRound sends requests for small responses in a closed loop, while as many clients as large says download large responses. rate
+// is the number of large responses per second.
 func largeResponsesRound(r childRole, large, calls int) (f Figures, rate float64, err error) {
 	var address string
 	r.Listen, r.GC = "127.0.0.1:0", 100
@@ -99,25 +101,25 @@
 	defer stop()
 	var downloads sync.WaitGroup
 	var mu sync.Mutex
-	var failed error
-	came, begun := 0, time.Now()
+	var downloadErr error
+	completed, started := 0, time.Now()
 	for n := range large {
 		downloads.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
 				err := get(ctx, "large", fmt.Sprintf("large-%d-%d", n, i))
 				mu.Lock()
-				if came++; err != nil && ctx.Err() == nil {
-					failed = errors.Join(failed, err)
+				if completed++; err != nil && ctx.Err() == nil {
+					downloadErr = errors.Join(downloadErr, err)
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	took, err := closedLoop(smallClients, calls/5, calls, func(worker, n int) error {
+	latencies, err := closedLoop(smallClients, calls/5, calls, func(worker, n int) error {
 		return get(context.Background(), "small", fmt.Sprintf("%d-%d", worker, n))
 	}, func() error { return nil })
-	rate = float64(came) / time.Since(begun).Seconds()
+	rate = float64(completed) / time.Since(started).Seconds()
 	stop()
 	downloads.Wait()
-	return figures(usage{}, usage{}, took), rate, errors.Join(err, failed, proxy.stop())
+	return figures(usage{}, usage{}, latencies), rate, errors.Join(err, downloadErr, proxy.stop())
 }
--- a/internal/measure/loadgen.go
+++ b/internal/measure/loadgen.go
@@ -17,8 +17,8 @@
 // loadConnections is the number of connections of both clients.
 const loadConnections = 64
 
-// Load prints the cost of a request for the load generator and for a plain net/http client before an instant server, as fast as their
-// connections allow; then the load generator's own delay and CPU time at rates below its ceiling.
+// Load prints the cost of a request for the load generator and for a plain net/http client, which send as fast as their connections allow to a
+// server that answers immediately; then the load generator's own delay and CPU time by the rate.
 func Load(o Options) error {
 	var address string
 	server, err := startChild(childRole{Part: "instant"}, &address)
@@ -33,14 +33,14 @@
 	return errors.Join(err, server.stop())
 }
 
-// runLoad sends about so many requests at a rate by the load generator; an answer other than OK is an error.
+// runLoad sends about calls requests at a rate with the load generator. It fails if any outcome is not OK.
 func runLoad(address string, rate float64, calls int) (*loadgen.Result, error) {
 	length := time.Duration(float64(calls) / rate * float64(time.Second))
 	r, err := loadgen.Run(context.Background(), loadgen.Options{Target: "http://" + address, Connections: loadConnections, Timeout: 5 * time.Second, Seed: 1,
 		Phases:  []loadgen.Phase{{Rate: rate, For: length}},
 		Classes: []loadgen.Class{{Name: "get", Share: 1, Method: http.MethodGet, Path: "/"}}}, loadgen.Observers{})
 	if err == nil && r.Total().Outcomes[loadgen.OK] != r.Total().Requests {
-		err = fmt.Errorf("%v of %d", r.Total().Outcomes, r.Total().Requests)
+		err = fmt.Errorf("load generator got outcomes %v for %d requests, want only OK", r.Total().Outcomes, r.Total().Requests)
 	}
 	return r, err
 }
@@ -64,7 +64,7 @@
 	return figures(before, currentUsage(), latencies), float64(len(latencies)) / time.Since(started).Seconds(), nil
 }
 
-// loadRound returns the same of the load generator, at a rate above what it reaches.
+// loadRound returns the cost of a request and the requests per second of the load generator, for a target rate that it cannot reach.
 func loadRound(address string, calls int) (f Figures, rate float64, err error) {
 	before := currentUsage()
 	r, err := runLoad(address, 1e6, calls)
@@ -74,6 +74,7 @@
 	return figures(before, currentUsage(), make([]time.Duration, r.Total().Attempts)), float64(r.Total().Requests) / r.Took.Seconds(), nil
 }
 
+// printLoadCost compares the load generator and a plain net/http client by CPU time and rate.
 func printLoadCost(w *tabwriter.Writer, o Options, address string) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: loadConnections}}
 	defer client.CloseIdleConnections()
@@ -90,14 +91,15 @@
 		}
 		load, loadRates = append(load, f), append(loadRates, rate)
 	}
-	same := func(x float64) float64 { return x }
-	a, b := median(plain), median(load)
+	identity := func(x float64) float64 { return x }
+	plainMedian, loadMedian := median(plain), median(load)
 	fmt.Fprintln(w, "client\tCPU a request\tallocations\trequests a second\tCPU ratio\t")
-	fmt.Fprintf(w, "net/http\t%v\t%.0f\t%.0f\t%.2f\t\n", a.CPU.Round(100*time.Nanosecond), a.Mallocs, medianBy(plainRates, same), 1.0)
-	fmt.Fprintf(w, "load\t%v\t%.0f\t%.0f\t%.2f\t\n", b.CPU.Round(100*time.Nanosecond), b.Mallocs, medianBy(loadRates, same), float64(b.CPU)/float64(a.CPU))
+	fmt.Fprintf(w, "net/http\t%v\t%.0f\t%.0f\t%.2f\t\n", plainMedian.CPU.Round(100*time.Nanosecond), plainMedian.Mallocs, medianBy(plainRates, identity), 1.0)
+	fmt.Fprintf(w, "load\t%v\t%.0f\t%.0f\t%.2f\t\n", loadMedian.CPU.Round(100*time.Nanosecond), loadMedian.Mallocs, medianBy(loadRates, identity), float64(loadMedian.CPU)/float64(plainMedian.CPU))
 	return w.Flush()
 }
 
+// printLoadDelay prints the CPU time, the send delay and the latencies of the load generator by the target rate.
 func printLoadDelay(w *tabwriter.Writer, address string) error {
 	fmt.Fprintln(w, "\nrate\tCPU a request\tlate by itself p99\tp50\tp99\tits word\t")
 	for _, rate := range []float64{100, 1000, 10_000, 50_000, 1_000_000} {
@@ -117,7 +119,7 @@
 	return w.Flush()
 }
 
-// serveInstant runs a server that answers at once.
+// serveInstant runs a server that answers immediately.
 func serveInstant() error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -128,6 +130,6 @@
 	go func() { ended <- srv.Serve(l) }()
 	err = answerUsage(l.Addr().String())
 	err = errors.Join(err, srv.Close())
-	<-ended // closed
+	<-ended // returns once the server is closed
 	return err
 }
--- a/internal/measure/servers.go
+++ b/internal/measure/servers.go
@@ -51,14 +51,14 @@
 	return answerUsage(addresses)
 }
 
-// balancerSettings are the settings of the daemon and of the gRPC balancer.
+// balancerSettings returns the settings that the daemon and the gRPC balancer share.
 func balancerSettings() balancer.Settings {
 	return balancer.Settings{Zone: "a", FleetSize: 1, Tick: 5 * time.Millisecond, MaxAttempts: 5, HedgingAllowed: true,
 		CancellationAllowed: true, RetryAfterAllowed: true, MaxRetryAfter: time.Second, ConnectTimeout: time.Second,
 		Classes: []balancer.Class{{Name: "search", Idempotency: balancer.Idempotent, LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, LateValueFraction: 0.5}}}
 }
 
-// serveProxy runs the daemon or ReverseProxy.
+// serveProxy runs the daemon or ReverseProxy, with TLS if Dir is set.
 func (r childRole) serveProxy() error {
 	debug.SetGCPercent(r.GC) // equal for both, so that more memory does not count as an advantage
 	l, err := net.Listen("tcp", r.Listen)
@@ -72,12 +72,12 @@
 		return r.serveTLSProxy(l)
 	}
 	if r.Part == "daemon" {
-		known := &endpoints.List{Index: new(int64), Snapshot: true}
+		list := &endpoints.List{Index: new(int64), Snapshot: true}
 		for i, address := range r.Addresses {
-			known.Endpoints = append(known.Endpoints, endpoints.Endpoint{Name: fmt.Sprint("n", i), Address: address, Zone: "a",
+			list.Endpoints = append(list.Endpoints, endpoints.Endpoint{Name: fmt.Sprint("n", i), Address: address, Zone: "a",
 				Status: endpoints.StatusReady})
 		}
-		c := &config.Config{Listen: r.Listen, Discovery: "127.0.0.1:1", Seed: 1, CachedEndpoints: known,
+		c := &config.Config{Listen: r.Listen, Discovery: "127.0.0.1:1", Seed: 1, CachedEndpoints: list,
 			Limits:   config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 			Settings: settings.Settings{Settings: balancerSettings(), ConnIdleTimeout: 30 * time.Second}}
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/measure/subset.go
+++ b/internal/measure/subset.go
@@ -16,21 +16,21 @@
 	"orchiddrift/internal/units"
 )
 
-// subsetAlgorithm chooses the upstreams of a sidecar.
+// subsetAlgorithm is an algorithm that chooses the upstreams of a sidecar.
 type subsetAlgorithm struct {
 	name string
 	pick func(nodes []string, sidecar, sidecars, size int) map[string]bool
 }
 
-func hashed(seed uint64, name string) uint64 {
+func hash(seed uint64, name string) uint64 {
 	return xxhash.Sum64(append(binary.LittleEndian.AppendUint64(nil, seed), name...))
 }
 
-// ordered returns the nodes sorted by a hash.
-func ordered(nodes []string, seed uint64) []string {
+// sortedByHash returns the nodes in the order of their hashes with the seed.
+func sortedByHash(nodes []string, seed uint64) []string {
 	keys := make(map[string]uint64, len(nodes))
 	for _, n := range nodes {
-		keys[n] = hashed(seed, n)
+		keys[n] = hash(seed, n)
 	}
 	sorted := slices.Clone(nodes)
 	slices.SortFunc(sorted, func(a, b string) int { return cmp.Or(cmp.Compare(keys[a], keys[b]), cmp.Compare(a, b)) })
@@ -45,12 +45,12 @@
 	return set
 }
 
-// daemonSubset chooses by package subset as the daemon does; known: with the index of the sidecar in its fleet.
-func daemonSubset(known bool) func(nodes []string, sidecar, sidecars, size int) map[string]bool {
+// daemonSubset returns an algorithm that uses package subset as the daemon does. With indexKnown, it uses the sidecar's index in its fleet.
+func daemonSubset(indexKnown bool) func(nodes []string, sidecar, sidecars, size int) map[string]bool {
 	return func(nodes []string, sidecar, sidecars, size int) map[string]bool {
 		o := subset.Default()
 		o.MinSize, o.MaxSize, o.ShrinkDelay = size, 1<<14, units.Duration(0)
-		if known {
+		if indexKnown {
 			o.FleetSize, o.Index = sidecars, sidecar
 		}
 		l := &endpoints.List{Snapshot: true}
@@ -76,7 +76,7 @@
 		}
 		return names
 	}},
-	// Site Reliability Engineering, chapter 20: the clients of a round share one shuffled list.
+	// From chapter 20 of Site Reliability Engineering: the sidecars of a round share one shuffled list.
 	{"rounds (SRE book)", func(nodes []string, sidecar, _, size int) map[string]bool {
 		groups := len(nodes) / size
 		rng := rand.New(rand.NewPCG(uint64(sidecar/groups), 2))
@@ -85,9 +85,9 @@
 		at := sidecar % groups * size
 		return setOf(list[at : at+size])
 	}},
-	// Twitter's deterministic aperture without its fractional weights, which a module of equal members has not.
+	// Twitter's deterministic aperture without its fractional weights, because the balancer gives all upstreams the same weight.
 	{"aperture, whole", func(nodes []string, sidecar, sidecars, size int) map[string]bool {
-		list := ordered(nodes, 0)
+		list := sortedByHash(nodes, 0)
 		from := sidecar * len(list) / sidecars
 		names := map[string]bool{}
 		for i := range size {
@@ -96,14 +96,14 @@
 		return names
 	}},
 	{"rendezvous", func(nodes []string, sidecar, _, size int) map[string]bool {
-		return setOf(ordered(nodes, uint64(sidecar)+1)[:size])
+		return setOf(sortedByHash(nodes, uint64(sidecar)+1)[:size])
 	}},
 	{"subset, index not known", daemonSubset(false)},
 	{"subset", daemonSubset(true)},
 }
 
-// Subset compares the algorithms by the number of sidecars at constant total traffic: the load and the sidecars of a node, and how many nodes of
-// a subset change when a node is replaced or a sidecar is added. Each sidecar sends evenly to its subset.
+// Subset compares the algorithms for several numbers of sidecars at constant total traffic. It prints the load and the sidecars of a node, and
+// how many nodes of a subset change when a node is replaced or a sidecar is added. Each sidecar sends evenly to its subset.
 func Subset(o Options) error {
 	const fleet = 5000
 	nodes := make([]string, fleet)
@@ -115,25 +115,25 @@
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "sidecars\tsize\tway\tmax/mean load\tunknown nodes\tsidecars a node, most\tits own, most\tmoved by one node, most\tmoved by one sidecar, mean\t")
 	for _, c := range []struct{ sidecars, size int }{{10, 500}, {53, 300}, {190, 70}, {200, 100}} {
-		for _, way := range subsetAlgorithms {
+		for _, algorithm := range subsetAlgorithms {
 			load, count := map[string]float64{}, map[string]int{}
-			mostOwn, moved, movedBySidecar := 0, 0, 0
-			for s := range c.sidecars {
-				mine := way.pick(nodes, s, c.sidecars, c.size)
-				mostOwn = max(mostOwn, len(mine))
-				for n := range mine {
-					load[n] += 1 / float64(len(mine))
+			maxSubsetSize, maxMoved, movedBySidecar := 0, 0, 0
+			for sidecar := range c.sidecars {
+				chosen := algorithm.pick(nodes, sidecar, c.sidecars, c.size)
+				maxSubsetSize = max(maxSubsetSize, len(chosen))
+				for n := range chosen {
+					load[n] += 1 / float64(len(chosen))
 					count[n]++
 				}
-				moved = max(moved, countMissing(way.pick(replaced, s, c.sidecars, c.size), mine))
-				movedBySidecar += countMissing(way.pick(nodes, s, c.sidecars+1, c.size), mine)
+				maxMoved = max(maxMoved, countMissing(algorithm.pick(replaced, sidecar, c.sidecars, c.size), chosen))
+				movedBySidecar += countMissing(algorithm.pick(nodes, sidecar, c.sidecars+1, c.size), chosen)
 			}
-			most, shared := 0.0, 0
+			maxLoad, maxSidecars := 0.0, 0
 			for n, v := range load {
-				most, shared = max(most, v), max(shared, count[n])
+				maxLoad, maxSidecars = max(maxLoad, v), max(maxSidecars, count[n])
 			}
-			fmt.Fprintf(w, "%d\t%d\t%s\t%.2f\t%d\t%d\t%d\t%d\t%.1f\t\n", c.sidecars, c.size, way.name, most*fleet/float64(c.sidecars),
-				fleet-len(load), shared, mostOwn, moved, float64(movedBySidecar)/float64(c.sidecars))
+			fmt.Fprintf(w, "%d\t%d\t%s\t%.2f\t%d\t%d\t%d\t%d\t%.1f\t\n", c.sidecars, c.size, algorithm.name, maxLoad*fleet/float64(c.sidecars),
+				fleet-len(load), maxSidecars, maxSubsetSize, maxMoved, float64(movedBySidecar)/float64(c.sidecars))
 		}
 	}
 	return w.Flush()
--- a/internal/measure/tls.go
+++ b/internal/measure/tls.go
@@ -21,8 +21,8 @@
 	"orchiddrift/internal/fakes"
 )
 
-// TLS prints the daemon beside ReverseProxy with the same certificates on both sides, and the same nodes: keep-alive
-// connections, then a new connection for each request.
+// TLS prints a comparison of the daemon and ReverseProxy with TLS on both sides, the same certificates and the same nodes:
+// with keep-alive connections, then with a new connection for each request.
 func TLS(o Options) (err error) {
 	dir, err := os.MkdirTemp("", "orchiddrift-measure-")
 	if err != nil {
@@ -41,15 +41,15 @@
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "connections\tpeer\tCPU a request\tallocations\tp50\tp99\tCPU ratio\tp99 ratio\trequests a second\tratio\t")
 	for _, c := range []struct {
-		name        string
-		connections int
-		fresh       bool
-		calls       int
+		name           string
+		connections    int
+		newConnections bool
+		calls          int
 	}{{"16 kept", 16, false, o.Calls}, {"64 kept", 64, false, o.Calls}, {"new each, by 16", 16, true, max(200, o.Calls/5)}} {
 		all, rates := map[string][]Figures{}, map[string][]float64{}
 		for range o.Rounds {
 			for _, part := range []string{"reverseproxy", "daemon"} {
-				f, rate, err := tlsRound(part, dir, addresses, c.connections, c.calls, c.fresh)
+				f, rate, err := tlsRound(part, dir, addresses, c.connections, c.calls, c.newConnections)
 				if err != nil {
 					return err
 				}
@@ -67,7 +67,7 @@
 	return w.Flush()
 }
 
-// Routes prints what a request costs the daemon where there are few routes, and many.
+// Routes prints the cost of a request for the daemon with 1, 100 and 10,000 routes.
 func Routes(o Options) error {
 	var addresses []string
 	nodes, err := startChild(childRole{Part: "nodes", Nodes: 12}, &addresses)
@@ -92,7 +92,7 @@
 	return errors.Join(w.Flush(), nodes.stop())
 }
 
-// writeCredentials puts an authority's certificates into a folder.
+// writeCredentials writes a CA certificate, and the keys and certificates that it issues for the proxy and the nodes, to dir.
 func writeCredentials(dir string) error {
 	ca, err := fakes.NewCA("measure")
 	if err != nil {
@@ -114,11 +114,13 @@
 	return nil
 }
 
+// certificate returns a server configuration with the named key pair.
 func (r childRole) certificate(name string) (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(filepath.Join(r.Dir, name+".crt"), filepath.Join(r.Dir, name+".key"))
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13, NextProtos: []string{"http/1.1"}}, err
 }
 
+// trustingConfig returns a client configuration that trusts the CA in dir.
 func trustingConfig(dir string) (*tls.Config, error) {
 	text, err := os.ReadFile(filepath.Join(dir, "ca.crt"))
 	roots := x509.NewCertPool()
@@ -126,7 +128,7 @@
 	return &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS13}, err
 }
 
-// serveTLSNodes are instant nodes.
+// serveTLSNodes runs nodes with TLS that answer immediately.
 func (r childRole) serveTLSNodes() error {
 	config, err := r.certificate("node")
 	if err != nil {
@@ -139,7 +141,7 @@
 			return err
 		}
 		srv := &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			_, _ = io.WriteString(w, "ok") // a client that left is no matter here
+			_, _ = io.WriteString(w, "ok") // an error means that the client has disconnected
 		})}
 		go func() { _ = srv.Serve(tls.NewListener(l, config)) }() // ends with Close
 		defer srv.Close()
@@ -148,8 +150,8 @@
 	return answerUsage(addresses)
 }
 
-// serveFileDaemon is the daemon by an operator's file, with encryption where there are keys.
-func (r childRole) serveFileDaemon(l net.Listener) error {
+// serveFileDaemon runs the daemon with a configuration file, with TLS if Dir is set and with Routes routes.
+func (r childRole) serveFileDaemon(listener net.Listener) error {
 	quoted := make([]string, len(r.Addresses))
 	for i, a := range r.Addresses {
 		quoted[i] = fmt.Sprintf("%q", a)
@@ -175,15 +177,15 @@
 		}
 		text = fmt.Appendf(text, "[[route]]\nmatch = %q\nservice = \"nodes\"\n", match)
 	}
-	p, err := config.ParseFile(text)
+	plan, err := config.ParseFile(text)
 	if err != nil {
 		return err
 	}
-	return serveDaemon(p, l)
+	return serveDaemon(plan, listener)
 }
 
-// serveTLSProxy is ReverseProxy.
-func (r childRole) serveTLSProxy(l net.Listener) error {
+// serveTLSProxy runs ReverseProxy with TLS on both sides.
+func (r childRole) serveTLSProxy(listener net.Listener) error {
 	front, err := r.certificate("front")
 	if err != nil {
 		return err
@@ -198,17 +200,18 @@
 	}
 	n := 0
 	srv := &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: &httputil.ReverseProxy{
-		Rewrite:   func(p *httputil.ProxyRequest) { n++; p.SetURL(targets[n%len(targets)]) }, // on one core
+		Rewrite:   func(p *httputil.ProxyRequest) { n++; p.SetURL(targets[n%len(targets)]) }, // needs no lock, because the process uses one core
 		Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true, TLSClientConfig: upstreams}}}
 	ended := make(chan error, 1)
-	go func() { ended <- srv.Serve(tls.NewListener(l, front)) }()
-	err = answerUsage(l.Addr().String())
+	go func() { ended <- srv.Serve(tls.NewListener(listener, front)) }()
+	err = answerUsage(listener.Addr().String())
 	srv.Close()
 	<-ended
 	return err
 }
 
-func tlsRound(part, dir string, addresses []string, connections, calls int, fresh bool) (f Figures, rate float64, err error) {
+// tlsRound measures requests over TLS through a proxy process; newConnections opens a connection for each request.
+func tlsRound(part, dir string, addresses []string, connections, calls int, newConnections bool) (f Figures, rate float64, err error) {
 	var address string
 	proxy, err := startChild(childRole{Part: part, Addresses: addresses, Listen: "127.0.0.1:0", GC: 100, Dir: dir}, &address)
 	if err != nil {
@@ -219,9 +222,9 @@
 		return f, 0, errors.Join(err, proxy.stop())
 	}
 	client := &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: connections,
-		TLSClientConfig: config, DisableKeepAlives: fresh}}
+		TLSClientConfig: config, DisableKeepAlives: newConnections}}
 	defer client.CloseIdleConnections()
-	ask := func(int, int) error {
+	send := func(int, int) error {
 		resp, err := client.Get("https://" + address + "/")
 		if err != nil {
 			return err
@@ -236,15 +239,15 @@
 		return nil
 	}
 	var before usage
-	var begun time.Time
-	took, err := closedLoop(connections, calls/5, calls, ask, func() (err error) {
+	var started time.Time
+	latencies, err := closedLoop(connections, calls/5, calls, send, func() (err error) {
 		before, err = proxy.used()
-		begun = time.Now()
+		started = time.Now()
 		return err
 	})
-	rate = float64(len(took)) / time.Since(begun).Seconds()
+	rate = float64(len(latencies)) / time.Since(started).Seconds()
 	after, usedErr := proxy.used()
-	return figures(before, after, took), rate, errors.Join(err, usedErr, proxy.stop())
+	return figures(before, after, latencies), rate, errors.Join(err, usedErr, proxy.stop())
 }
 
 func medianValue(values []float64) float64 {
