--- a/internal/testing/conformance/adapters_test.go
+++ b/internal/testing/conformance/adapters_test.go
@@ -1,5 +1,5 @@
-// Package conformance holds the fronts to one another: the same module behind the daemon's HTTP and inside a gRPC client, with the
-// same seed, list and script of faults, has to give the same answers and the same load on each node.
+// Package conformance compares the two protocol adapters: with the same seed, endpoint list and script of faults, the balancer behind the
+// daemon's HTTP and the balancer inside a gRPC client have to give the same answers and put the same load on each node.
 package conformance
 
 import (
@@ -34,35 +34,35 @@
 )
 
 func TestMain(m *testing.M) {
-	if child() {
+	if runAsChild() {
 		return
 	}
 	log.SetOutput(io.Discard)
 	goleak.VerifyTestMain(m)
 }
 
-// kind is a call's final answer, as its caller can tell it.
-type kind string
+// outcome is the result of a call as its caller sees it.
+type outcome string
 
 const (
-	served  kind = "served"
-	refused kind = "refused" // trying again is harmless
-	failed  kind = "failed"  // it may have run
+	served   outcome = "served"
+	rejected outcome = "rejected" // not executed: a retry is safe
+	failed   outcome = "failed"   // may have been executed
 )
 
-// spec is a call, in whatever front's form.
-type spec struct {
+// callSpec describes a call independently of the protocol. All retries of an operation have the same op, and each has an id of its own.
+type callSpec struct {
 	class, id, op, key string
 	cost               time.Duration
 }
 
-// front is a way to make calls.
-type front interface {
-	do(ctx context.Context, c spec) (kind, string) // and the node that answered
+// adapter makes calls through the daemon or through the gRPC plug-in.
+type adapter interface {
+	do(ctx context.Context, c callSpec) (outcome, string) // and the name of the node that served it, or the error of a failed call
 	close()
 }
 
-// classes of the suite: one of each effect.
+// suiteSettings returns settings with one class of each kind of idempotency.
 func suiteSettings(deadline time.Duration) balancer.Settings {
 	class := func(name string, e balancer.Idempotency) balancer.Class {
 		return balancer.Class{Name: name, LatencyObjective: deadline / 2, Deadline: deadline, LateValueFraction: 0.5, Idempotency: e,
@@ -75,7 +75,7 @@
 		OverloadWindow: 2 * time.Second, WeightPerWork: true}
 }
 
-// protocol is what the nodes speak.
+// protocol names the adapter under test, and thereby the protocol between it and the nodes.
 type protocol string
 
 const (
@@ -85,17 +85,17 @@
 
 var protocols = []protocol{overHTTP, overGRPC}
 
-// world is nodes, their ledger and a discovery that lists them.
-type world struct {
+// testEnvironment holds fake nodes, the ledger of their executions, and a fake discovery service for each protocol.
+type testEnvironment struct {
 	ledger    *fakes.Ledger
 	nodes     []*fakes.Node
-	keys      [2]*fakes.IdempotencyKeys     // of the two zones
-	discovery map[protocol]*fakes.Discovery // the same list, with addresses of that protocol
+	keys      [2]*fakes.IdempotencyKeys     // one store for each of the two zones
+	discovery map[protocol]*fakes.Discovery // the same endpoints, with their addresses for that protocol
 }
 
-func newWorld(t testing.TB, options ...fakes.NodeOptions) *world {
+func newTestEnvironment(t testing.TB, options ...fakes.NodeOptions) *testEnvironment {
 	t.Helper()
-	w := &world{ledger: fakes.NewLedger(), keys: [2]*fakes.IdempotencyKeys{fakes.NewIdempotencyKeys(time.Minute),
+	env := &testEnvironment{ledger: fakes.NewLedger(), keys: [2]*fakes.IdempotencyKeys{fakes.NewIdempotencyKeys(time.Minute),
 		fakes.NewIdempotencyKeys(time.Minute)}, discovery: map[protocol]*fakes.Discovery{}}
 	for _, p := range protocols {
 		d := fakes.NewDiscovery()
@@ -104,36 +104,36 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(d.Close)
-		w.discovery[p] = d
+		env.discovery[p] = d
 	}
 	for i, o := range options {
 		if o.Name == "" {
 			o.Name = fmt.Sprint("n", i)
 		}
-		w.add(t, o)
+		env.add(t, o)
 	}
-	return w
+	return env
 }
 
-// add starts a node and lists it.
-func (w *world) add(t testing.TB, o fakes.NodeOptions) *fakes.Node {
+// add starts a node and adds it to the endpoint lists.
+func (env *testEnvironment) add(t testing.TB, o fakes.NodeOptions) *fakes.Node {
 	t.Helper()
-	zone := len(w.nodes) % len(w.keys)
-	o.Ledger, o.Zone, o.Seed, o.Keys = w.ledger, string(rune('a'+zone)), uint64(len(w.nodes)+1), w.keys[zone]
+	zone := len(env.nodes) % len(env.keys)
+	o.Ledger, o.Zone, o.Seed, o.Keys = env.ledger, string(rune('a'+zone)), uint64(len(env.nodes)+1), env.keys[zone]
 	name := []byte(o.Name)
 	body, err := proto.Marshal(wrapperspb.String(o.Name))
 	if err != nil {
 		t.Fatal(err)
 	}
 	o.Answer = func(j fakes.Job) []byte {
-		if len(j.Class) > 0 && j.Class[0] == 'b' { // booking.Seats/...: gRPC's
+		if len(j.Class) > 0 && j.Class[0] == 'b' { // a gRPC method, booking.Seats/...
 			return body
 		}
 		return name
 	}
 	n := fakes.NewNode(o)
 	t.Cleanup(n.Close)
-	w.nodes = append(w.nodes, n)
+	env.nodes = append(env.nodes, n)
 	since := 0.0
 	if !o.Started.IsZero() {
 		since = float64(o.Started.UnixMilli())
@@ -143,36 +143,36 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.discovery[p].Set(endpoints.Endpoint{Name: o.Name, Address: address, Zone: o.Zone, MachineType: o.Type,
+		env.discovery[p].Set(endpoints.Endpoint{Name: o.Name, Address: address, Zone: o.Zone, MachineType: o.Type,
 			Status: endpoints.StatusReady, StartedMs: since})
 	}
 	return n
 }
 
-// drain tells both discoveries, and the node.
-func (w *world) drain(n *fakes.Node) {
-	for _, d := range w.discovery {
+// drain marks a node as draining in both discovery services and on the node itself.
+func (env *testEnvironment) drain(n *fakes.Node) {
+	for _, d := range env.discovery {
 		d.Drain(n.Options().Name)
 	}
 	n.Drain()
 }
 
-func (w *world) start(t testing.TB, p protocol, set balancer.Settings) front {
+func (env *testEnvironment) start(t testing.TB, p protocol, set balancer.Settings) adapter {
 	t.Helper()
 	if p == overHTTP {
-		return startDaemon(t, w.discovery[p], set)
+		return startDaemon(t, env.discovery[p], set)
 	}
-	return startPlugin(t, w.discovery[p], set)
+	return startPlugin(t, env.discovery[p], set)
 }
 
-type daemonFront struct {
+type daemonAdapter struct {
 	address string
 	client  *http.Client
 	stop    context.CancelFunc
 	ended   chan error
 }
 
-func startDaemon(t testing.TB, d *fakes.Discovery, set balancer.Settings) *daemonFront {
+func startDaemon(t testing.TB, d *fakes.Discovery, set balancer.Settings) *daemonAdapter {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -182,7 +182,7 @@
 		Limits:   config.Limits{Cores: 1, MemoryMB: 192, Sockets: 1024},
 		Settings: settings.Settings{Settings: set, ConnIdleTimeout: 15 * time.Second}}
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &daemonFront{address: l.Addr().String(), stop: cancel, ended: make(chan error, 1),
+	f := &daemonAdapter{address: l.Addr().String(), stop: cancel, ended: make(chan error, 1),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
 	go func() { f.ended <- daemon.Serve(ctx, c, l, "", nil, nil) }()
 	t.Cleanup(f.close)
@@ -197,7 +197,7 @@
 	return f
 }
 
-func (f *daemonFront) close() {
+func (f *daemonAdapter) close() {
 	f.client.CloseIdleConnections()
 	f.stop()
 	if err, ok := <-f.ended; ok {
@@ -209,11 +209,11 @@
 	f.client.CloseIdleConnections()
 }
 
-func (f *daemonFront) do(ctx context.Context, c spec) (kind, string) {
-	return askHTTP(ctx, f.client, f.address, c)
+func (f *daemonAdapter) do(ctx context.Context, c callSpec) (outcome, string) {
+	return callHTTP(ctx, f.client, f.address, c)
 }
 
-func askHTTP(ctx context.Context, client *http.Client, address string, c spec) (kind, string) {
+func callHTTP(ctx context.Context, client *http.Client, address string, c callSpec) (outcome, string) {
 	method := http.MethodPost
 	if c.class == "search" {
 		method = http.MethodGet
@@ -242,22 +242,22 @@
 	case resp.StatusCode == http.StatusOK:
 		return served, string(body)
 	case resp.StatusCode == http.StatusServiceUnavailable:
-		return refused, ""
+		return rejected, ""
 	}
 	return failed, resp.Status
 }
 
-type pluginFront struct {
+type pluginAdapter struct {
 	plugin *grpcbalancer.Plugin
 	conn   *grpc.ClientConn
 	once   sync.Once
 }
 
-// pluginMethods maps the suite's methods as a file would.
+// pluginMethods maps the gRPC methods of the suite to classes, as a configuration file does.
 var pluginMethods = map[string]string{"/booking.Seats/search": "search", "/booking.Seats/record": "record",
 	"/booking.Seats/confirm": "confirm"}
 
-func startPlugin(t testing.TB, d *fakes.Discovery, set balancer.Settings) *pluginFront {
+func startPlugin(t testing.TB, d *fakes.Discovery, set balancer.Settings) *pluginAdapter {
 	t.Helper()
 	l := d.List()
 	o := grpcbalancer.Options{Settings: set, Seed: 7, Discovery: d.Address(), Version: *l.Index, Methods: pluginMethods}
@@ -276,21 +276,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &pluginFront{plugin: p, conn: conn}
+	f := &pluginAdapter{plugin: p, conn: conn}
 	t.Cleanup(f.close)
 	return f
 }
 
-func (f *pluginFront) close() {
+func (f *pluginAdapter) close() {
 	f.once.Do(func() {
 		f.conn.Close()
 		f.plugin.Close()
 	})
 }
 
-func (f *pluginFront) do(ctx context.Context, c spec) (kind, string) { return askGRPC(ctx, f.conn, c) }
+func (f *pluginAdapter) do(ctx context.Context, c callSpec) (outcome, string) {
+	return callGRPC(ctx, f.conn, c)
+}
 
-func askGRPC(ctx context.Context, conn *grpc.ClientConn, c spec) (kind, string) {
+func callGRPC(ctx context.Context, conn *grpc.ClientConn, c callSpec) (outcome, string) {
 	ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.RequestIDKey, c.id, "x-operation", c.op)
 	if c.class == "record" {
 		ctx = metadata.AppendToOutgoingContext(ctx, grpcbalancer.IdempotencyKey, c.key)
@@ -304,9 +306,9 @@
 	case err == nil:
 		return served, reply.GetValue()
 	case !grpcbalancer.MayHaveRun(err):
-		return refused, ""
+		return rejected, ""
 	case status.Code(err) == codes.Unavailable:
-		return failed, "UNAVAILABLE for what may have run: " + err.Error()
+		return failed, "UNAVAILABLE for a call that may have been executed: " + err.Error()
 	}
 	return failed, err.Error()
 }
--- a/internal/testing/conformance/child_test.go
+++ b/internal/testing/conformance/child_test.go
@@ -27,8 +27,9 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// child runs this binary as a front in a process of its own, where a test asks for it: a real process, to be killed.
-func child() bool {
+// runAsChild reports whether a test started this process as a child, by setting SUITE_CONFIG. If so, it first runs the adapter that
+// SUITE_FRONT names until that is stopped, so that tests can kill and replace real processes.
+func runAsChild() bool {
 	path := os.Getenv("SUITE_CONFIG")
 	if path == "" {
 		return false
@@ -41,7 +42,7 @@
 		signal.Notify(reload, syscall.SIGHUP)
 		err = daemon.Run(ctx, config.Sources{Config: path, Control: os.Getenv("SUITE_CONTROL")}, reload)
 	} else {
-		err = callingProcess(path, os.Getenv("SUITE_PREFIX"))
+		err = callUntilKilled(path, os.Getenv("SUITE_PREFIX"))
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -50,8 +51,8 @@
 	return true
 }
 
-// callingProcess makes unsafe calls through the plug-in until it is killed, each operation once.
-func callingProcess(path, prefix string) error {
+// callUntilKilled makes non-idempotent calls through the plug-in until the process is killed, one call for each operation.
+func callUntilKilled(path, prefix string) error {
 	o, err := grpcbalancer.LoadOptions(path)
 	if err != nil {
 		return err
@@ -69,9 +70,9 @@
 	var wg sync.WaitGroup
 	for worker := range 8 {
 		wg.Go(func() {
-			for n := range 100000 { // the test kills it long before
+			for n := range 100000 { // the test kills the process long before the last call
 				op := fmt.Sprintf("%s-%d-%d", prefix, worker, n)
-				askGRPC(context.Background(), conn, spec{class: "confirm", id: op, op: op})
+				callGRPC(context.Background(), conn, callSpec{class: "confirm", id: op, op: op})
 			}
 		})
 	}
@@ -79,13 +80,13 @@
 	return nil
 }
 
-// configFile writes what a child is told.
-func configFile(t *testing.T, w *world, p protocol, listen string) string {
+// configFile writes a child process's configuration to a temporary file and returns its path.
+func configFile(t *testing.T, env *testEnvironment, p protocol, listen string) string {
 	t.Helper()
-	return writeConfig(t, filepath.Join(t.TempDir(), "config.json"), w.discovery[p], p, listen, w.discovery[p].List())
+	return writeConfig(t, filepath.Join(t.TempDir(), "config.json"), env.discovery[p], p, listen, env.discovery[p].List())
 }
 
-// writeConfig is configFile at a path, with the list that the child is to know from before.
+// writeConfig writes a child process's configuration to path, with list as the endpoint list that the child starts with.
 func writeConfig(t *testing.T, path string, d *fakes.Discovery, p protocol, listen string, list *endpoints.List) string {
 	t.Helper()
 	known, err := json.Marshal(list)
@@ -122,17 +123,17 @@
 	return cmd
 }
 
-// Guards against what a killed process leaves behind: whichever front it holds, the nodes see its calls end, nothing of it
-// runs twice, and its successor serves at once. The process is a real one, killed outright in the middle of calls,
-// three times over.
+// Guards against effects that outlast a killed process. Three times in a row, a real process gets SIGKILL while its calls are
+// in flight. Through either adapter, the nodes must see these calls end, no operation may be executed twice, and the next process
+// must serve at once.
 func TestKilledInTheMiddleOfCalls(t *testing.T) {
 	for _, p := range protocols {
 		t.Run(string(p), func(t *testing.T) {
 			node := fakes.NodeOptions{Cores: 8, DefaultServiceTime: 20 * time.Millisecond}
-			w := newWorld(t, node, node, node)
-			inHand := func() (n int) {
-				for _, n1 := range w.nodes {
-					n += n1.InFlight()
+			env := newTestEnvironment(t, node, node, node)
+			inFlight := func() (n int) {
+				for _, fakeNode := range env.nodes {
+					n += fakeNode.InFlight()
 				}
 				return n
 			}
@@ -141,9 +142,9 @@
 			if p == overGRPC {
 				class = "booking.Seats/confirm"
 			}
-			path := configFile(t, w, p, address)
+			path := configFile(t, env, p, address)
 			for round := range 3 {
-				before := w.ledger.Operations(class)
+				before := env.ledger.Operations(class)
 				cmd := startChild(t, p, path, fmt.Sprint(round))
 				var clients sync.WaitGroup
 				var stopped atomic.Bool
@@ -161,14 +162,14 @@
 						clients.Go(func() {
 							for n := 0; !stopped.Load(); n++ {
 								op := fmt.Sprintf("%d-%d-%d", round, worker, n)
-								// POST: net/http does not send it again by itself once any of it was written.
-								askHTTP(context.Background(), client, address, spec{class: "confirm", id: op, op: op})
+								// net/http does not retry a POST by itself once a part of it was written.
+								callHTTP(context.Background(), client, address, callSpec{class: "confirm", id: op, op: op})
 							}
 						})
 					}
 				}
-				testutil.Eventually(t, "calls run, and some are in the middle", func() bool {
-					return w.ledger.Operations(class) > before+60 && inHand() >= 4
+				testutil.Eventually(t, "more than 60 further operations were executed, and at least 4 calls are in flight", func() bool {
+					return env.ledger.Operations(class) > before+60 && inFlight() >= 4
 				})
 				if err := cmd.Process.Kill(); err != nil {
 					t.Fatal(err)
@@ -177,10 +178,10 @@
 				stopped.Store(true)
 				clients.Wait()
 				client.CloseIdleConnections()
-				testutil.Eventually(t, "the nodes see its calls end", func() bool { return inHand() == 0 })
+				testutil.Eventually(t, "the nodes have no call of the killed process in flight", func() bool { return inFlight() == 0 })
 			}
-			if twice := w.ledger.ExecutedTwice(class); len(twice) > 0 {
-				t.Errorf("ran twice: %v", twice)
+			if twice := env.ledger.ExecutedTwice(class); len(twice) > 0 {
+				t.Errorf("operations executed twice: %v", twice)
 			}
 		})
 	}
--- a/internal/testing/conformance/knownred_test.go
+++ b/internal/testing/conformance/knownred_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// The script that runs the tests goes on only over those that KNOWN-RED.txt lists, each with its command, what was seen
-// and its issue, and prints them; it fails for any other, and for a list that is not one.
+// Guards against a test script that hides failures: .ci/tests.sh may tolerate only failing tests that KNOWN-RED.txt lists with command,
+// seed, symptom and issue, and prints each of them. Any other failing test and any malformed list must fail the script.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("../../../.ci/tests.sh")
 	if err != nil {
@@ -35,8 +35,8 @@
 	)
 	for _, c := range []struct {
 		name, list string
-		ok         bool
-		says       string
+		wantPass   bool
+		wantOutput string
 	}{
 		{"no list", "", false, "not mended"},
 		{"blank", " \n\n", false, "not mended"},
@@ -61,8 +61,8 @@
 		cmd := exec.CommandContext(t.Context(), script)
 		cmd.Dir, cmd.Env = dir, append(os.Environ(), "GOFLAGS=-mod=mod", "GOWORK=off")
 		out, err := cmd.CombinedOutput()
-		if (err == nil) != c.ok || !strings.Contains(string(out), c.says) {
-			t.Errorf("%s: %v\n%s", c.name, err, out)
+		if (err == nil) != c.wantPass || !strings.Contains(string(out), c.wantOutput) {
+			t.Errorf("%s: tests.sh ended with error %v, or its output lacks the expected line:\n%s", c.name, err, out)
 		}
 	}
 }
--- a/internal/testing/conformance/racetests_test.go
+++ b/internal/testing/conformance/racetests_test.go
@@ -9,16 +9,17 @@
 	"testing"
 )
 
-// Each crossing of docs/design/moments.md has a test, and each test that it names is there.
+// Each row of the tables of race conditions in docs/design/moments.md, whose first column is headed "crossing", must name a test, and each
+// test that the page names must exist.
 func TestEveryCrossingHasItsTest(t *testing.T) {
-	there, declared := map[string]bool{}, regexp.MustCompile(`(?m)^func (Test\w+)\(`)
+	existing, declared := map[string]bool{}, regexp.MustCompile(`(?m)^func (Test\w+)\(`)
 	err := filepath.WalkDir("../../..", func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, "_test.go") {
 			return err
 		}
 		text, err := os.ReadFile(path)
 		for _, m := range declared.FindAllSubmatch(text, -1) {
-			there[string(m[1])] = true
+			existing[string(m[1])] = true
 		}
 		return err
 	})
@@ -29,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	named, rows := regexp.MustCompile(`\bTest[A-Z]\w+`), 0
+	testName, rows := regexp.MustCompile(`\bTest[A-Z]\w+`), 0
 	crossings := false
 	for n, line := range strings.Split(string(text), "\n") {
 		if !strings.HasPrefix(line, "|") {
@@ -40,19 +41,19 @@
 			crossings = true
 			continue
 		}
-		tests := named.FindAllString(line, -1)
+		tests := testName.FindAllString(line, -1)
 		for _, name := range tests {
-			if !there[name] {
-				t.Errorf("line %d: there is no %s", n+1, name)
+			if !existing[name] {
+				t.Errorf("docs/design/moments.md:%d: test %s does not exist", n+1, name)
 			}
 		}
 		if crossings && !strings.HasPrefix(line, "| ---") {
 			if rows++; len(tests) == 0 && !strings.Contains(line, "_test.go") && !strings.HasSuffix(line, "| the same |") && !strings.Contains(line, "the same, ") {
-				t.Errorf("line %d: a crossing without a test: %s", n+1, line)
+				t.Errorf("docs/design/moments.md:%d: race condition without a test: %s", n+1, line)
 			}
 		}
 	}
 	if rows < 30 {
-		t.Errorf("%d crossings", rows)
+		t.Errorf("docs/design/moments.md: found %d race conditions in its tables, want at least 30", rows)
 	}
 }
--- a/internal/testing/conformance/replace_test.go
+++ b/internal/testing/conformance/replace_test.go
@@ -22,8 +22,9 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// replaced is one sidecar whose process is replaced: real processes that share an address and a folder.
-type replaced struct {
+// sidecar starts the successive processes of one sidecar. They are real processes that share the clients' address, the configuration file
+// and the folder of the hand-over socket.
+type sidecar struct {
 	t              *testing.T
 	discovery      *fakes.Discovery
 	config, folder string
@@ -31,59 +32,59 @@
 	client         *http.Client
 }
 
-// process is one of them.
+// process is one process of a sidecar.
 type process struct {
 	*exec.Cmd
 	control string
-	over    chan struct{}
+	exited  chan struct{} // closed once the process has ended
 }
 
-func newReplaced(t *testing.T) *replaced {
-	r, _ := newReplacedWorld(t, fakes.NodeOptions{Cores: 8, DefaultServiceTime: 5 * time.Millisecond})
-	return r
+func newSidecar(t *testing.T) *sidecar {
+	s, _ := newSidecarWithNodes(t, fakes.NodeOptions{Cores: 8, DefaultServiceTime: 5 * time.Millisecond})
+	return s
 }
 
-// newReplacedWorld is newReplaced before nodes of that kind.
-func newReplacedWorld(t *testing.T, node fakes.NodeOptions) (*replaced, *world) {
-	w := newWorld(t, node, node, node)
+// newSidecarWithNodes returns a sidecar in front of three nodes with the given options.
+func newSidecarWithNodes(t *testing.T, node fakes.NodeOptions) (*sidecar, *testEnvironment) {
+	env := newTestEnvironment(t, node, node, node)
 	listen := base.FreeAddress(t)
-	return &replaced{t: t, discovery: w.discovery[overHTTP], config: configFile(t, w, overHTTP, listen), folder: t.TempDir(), listen: listen,
-		client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}}, w
+	return &sidecar{t: t, discovery: env.discovery[overHTTP], config: configFile(t, env, overHTTP, listen), folder: t.TempDir(), listen: listen,
+		client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}}, env
 }
 
-// start starts a process, and waits until it can serve.
-func (r *replaced) start() *process {
-	r.t.Helper()
-	p := r.begin()
-	testutil.Eventually(r.t, "it can serve, or has ended", func() bool {
+// start starts a process and waits until it is ready.
+func (s *sidecar) start() *process {
+	s.t.Helper()
+	p := s.launch()
+	testutil.Eventually(s.t, "the new process is ready or has ended", func() bool {
 		select {
-		case <-p.over:
+		case <-p.exited:
 			return true
 		default:
-			return r.call("GET", "http://"+p.control+"/ready") == 200
+			return s.call("GET", "http://"+p.control+"/ready") == 200
 		}
 	})
 	select {
-	case <-p.over:
-		r.t.Fatal("it ends as it starts")
+	case <-p.exited:
+		s.t.Fatal("the new process ended before it was ready")
 	default:
 	}
 	return p
 }
 
-func (r *replaced) wait(p *process) {
-	r.t.Helper()
-	testutil.Eventually(r.t, "it can serve", func() bool { return r.call("GET", "http://"+p.control+"/ready") == 200 })
+func (s *sidecar) waitUntilReady(p *process) {
+	s.t.Helper()
+	testutil.Eventually(s.t, "the process is ready", func() bool { return s.call("GET", "http://"+p.control+"/ready") == 200 })
 }
 
-// figure is one of a process's figures; -1: it can't be had.
-func (r *replaced) figure(p *process, name string) (n int) {
-	resp, err := r.client.Get("http://" + p.control + "/metrics")
+// metric returns a metric of a process, or -1 if it can't be read.
+func (s *sidecar) metric(p *process, name string) (n int) {
+	resp, err := s.client.Get("http://" + p.control + "/metrics")
 	if err != nil {
 		return -1
 	}
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(resp.Body) // cut, it lacks the line
+	text, _ := io.ReadAll(resp.Body) // a truncated text lacks the metric, which gives -1
 	for line := range strings.Lines(string(text)) {
 		if _, err := fmt.Sscanf(line, name+"=%d", &n); err == nil {
 			return n
@@ -92,32 +93,32 @@
 	return -1
 }
 
-// begin starts a process.
-func (r *replaced) begin() *process {
-	r.t.Helper()
-	p := &process{control: base.FreeAddress(r.t), over: make(chan struct{})}
+// launch starts a process without waiting until it is ready.
+func (s *sidecar) launch() *process {
+	s.t.Helper()
+	p := &process{control: base.FreeAddress(s.t), exited: make(chan struct{})}
 	p.Cmd = exec.Command(os.Args[0])
-	p.Env = append(os.Environ(), "SUITE_CONFIG="+r.config, "SUITE_FRONT="+string(overHTTP), "SUITE_CONTROL="+p.control, "TMPDIR="+r.folder)
+	p.Env = append(os.Environ(), "SUITE_CONFIG="+s.config, "SUITE_FRONT="+string(overHTTP), "SUITE_CONTROL="+p.control, "TMPDIR="+s.folder)
 	if err := p.Start(); err != nil {
-		r.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	go func() {
-		_ = p.Wait() // its state tells
-		close(p.over)
+		_ = p.Wait() // end reads the result from ProcessState
+		close(p.exited)
 	}()
-	r.t.Cleanup(func() {
-		_ = p.Process.Kill() // it may have ended
-		<-p.over
+	s.t.Cleanup(func() {
+		_ = p.Process.Kill() // fails if the process has ended
+		<-p.exited
 	})
 	return p
 }
 
-func (r *replaced) call(method, url string) int {
+func (s *sidecar) call(method, url string) int {
 	req, err := http.NewRequest(method, url, nil)
 	if err != nil {
-		r.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	resp, err := r.client.Do(req)
+	resp, err := s.client.Do(req)
 	if err != nil {
 		return 0
 	}
@@ -126,43 +127,44 @@
 	return resp.StatusCode
 }
 
-func (r *replaced) end(p *process) {
-	r.t.Helper()
+func (s *sidecar) end(p *process) {
+	s.t.Helper()
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
-		r.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	<-p.over
+	<-p.exited
 	if code := p.ProcessState.ExitCode(); code != 0 {
-		r.t.Errorf("it ended with %d", code)
+		s.t.Errorf("the process ended after SIGTERM with exit code %d, want 0", code)
 	}
 }
 
-// load sends requests until stopped, some clients on kept connections and some on new ones, and counts what was not served.
-func (r *replaced) load() (stop func() (served int64)) {
+// load sends requests until stop is called, from some clients on reused connections and from others on a new connection for each request.
+// Each request that is not served fails the test. stop returns the number of responses.
+func (s *sidecar) load() (stop func() (served int64)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
-	var served, unheard atomic.Int64
+	var served, unanswered atomic.Int64
 	for n := range 6 {
 		client := &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: n%2 == 0}}
 		clients.Go(func() {
 			defer client.CloseIdleConnections()
 			for ctx.Err() == nil {
-				resp, err := client.Do(testutil.Request(r.t, r.listen, "search", ""))
+				resp, err := client.Do(testutil.Request(s.t, s.listen, "search", ""))
 				if err != nil {
-					unheard.Add(1)
-					r.t.Error(err)
+					unanswered.Add(1)
+					s.t.Error(err)
 					continue
 				}
 				body, err := io.ReadAll(resp.Body)
 				resp.Body.Close()
 				if err != nil || resp.StatusCode != 200 {
-					r.t.Errorf("%s %q %v", resp.Status, body, err)
+					s.t.Errorf("request during the replacement: status %s, body %q, error %v, want status 200", resp.Status, body, err)
 				}
 				served.Add(1)
 			}
 		})
 	}
-	r.t.Cleanup(func() { // also where the test is given up
+	s.t.Cleanup(func() { // also if the test fails before it calls stop
 		cancel()
 		clients.Wait()
 	})
@@ -173,103 +175,106 @@
 	}
 }
 
-// Guards against requests that a replacement costs: under load, twice in a row, none is turned back unheard, none fails, and each old
-// process ends with 0.
+// Guards against requests that fail because the process is replaced. Two replacements in a row under load must reset no connection and fail
+// no request, and each old process must exit with 0.
 func TestReplacedUnderLoad(t *testing.T) {
-	r := newReplaced(t)
-	first := r.start()
-	stop := r.load()
-	second := r.start()
-	r.end(first)
-	third := r.start()
-	r.end(second)
+	s := newSidecar(t)
+	first := s.start()
+	stop := s.load()
+	second := s.start()
+	s.end(first)
+	third := s.start()
+	s.end(second)
 	if n := stop(); n == 0 {
-		t.Error("nothing was served meanwhile")
+		t.Error("no request was served during the replacement")
 	}
-	if r.call("GET", "http://"+third.control+"/ready") != 200 {
-		t.Error("the last one does not serve")
+	if s.call("GET", "http://"+third.control+"/ready") != 200 {
+		t.Error("the last process is not ready")
 	}
 }
 
-// A successor that dies, at whatever moment, costs the old process nothing: it serves on, and can be replaced by another one.
+// Guards against a successor whose death stops the old process. After its successor is killed, the old process must continue to serve, and
+// another successor must be able to replace it.
 func TestASuccessorThatDies(t *testing.T) {
-	r := newReplaced(t)
-	old := r.start()
-	second := r.start()
-	_ = second.Process.Kill() // with what it had taken: no load beside it
-	<-second.over
-	paths, err := filepath.Glob(filepath.Join(r.folder, "orchiddrift-*.sock"))
-	if err != nil || len(paths) != 1 {
-		t.Fatalf("%v, %v", paths, err)
-	}
-	testutil.Eventually(t, "the old one can be asked again", func() bool {
-		c, err := net.Dial("unix", paths[0])
+	s := newSidecar(t)
+	old := s.start()
+	second := s.start()
+	_ = second.Process.Kill() // its accepted connections end with it, so there is no load at this moment
+	<-second.exited
+	sockets, err := filepath.Glob(filepath.Join(s.folder, "orchiddrift-*.sock"))
+	if err != nil || len(sockets) != 1 {
+		t.Fatalf("hand-over sockets: %v, error %v, want one socket", sockets, err)
+	}
+	testutil.Eventually(t, "the old process accepts connections to its hand-over socket again", func() bool {
+		c, err := net.Dial("unix", sockets[0])
 		if err != nil {
 			return false
 		}
 		c.Close()
 		return true
 	})
-	stop := r.load()
-	if got := r.call("GET", "http://"+old.control+"/ready"); got != 200 {
-		t.Errorf("the old one: %d", got)
+	stop := s.load()
+	if got := s.call("GET", "http://"+old.control+"/ready"); got != 200 {
+		t.Errorf("old process after the death of its successor: /ready answered %d, want 200", got)
 	}
-	third := r.start()
-	r.end(old)
+	third := s.start()
+	s.end(old)
 	stop()
-	if got := r.call("GET", "http://"+third.control+"/ready"); got != 200 {
-		t.Errorf("the new one: %d", got)
+	if got := s.call("GET", "http://"+third.control+"/ready"); got != 200 {
+		t.Errorf("second successor: /ready answered %d, want 200", got)
 	}
 }
 
-// An old process that is killed leaves its path behind, and costs the next one nothing but what it knew. So does a path of something else.
+// Guards against a hand-over socket path that keeps the next process from serving: the path that a killed process leaves behind, and a regular
+// file at that path. The next process can't take over state, but must serve.
 func TestLeftovers(t *testing.T) {
-	r := newReplaced(t)
-	old := r.start()
+	s := newSidecar(t)
+	old := s.start()
 	_ = old.Process.Kill()
-	<-old.over
-	left, err := filepath.Glob(filepath.Join(r.folder, "orchiddrift-*.sock"))
-	if err != nil || len(left) != 1 {
-		t.Fatalf("%v, %v", left, err)
+	<-old.exited
+	sockets, err := filepath.Glob(filepath.Join(s.folder, "orchiddrift-*.sock"))
+	if err != nil || len(sockets) != 1 {
+		t.Fatalf("hand-over sockets after the kill: %v, error %v, want one socket", sockets, err)
 	}
-	second := r.start()
-	if got := r.call("GET", "http://"+r.listen+"/-/ready"); got != 200 {
-		t.Errorf("behind a dead one's path: %d", got)
+	second := s.start()
+	if got := s.call("GET", "http://"+s.listen+"/-/ready"); got != 200 {
+		t.Errorf("process started beside the socket of a killed one: /-/ready answered %d, want 200", got)
 	}
-	if err := os.Remove(left[0]); err != nil {
+	if err := os.Remove(sockets[0]); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(left[0], []byte("no socket"), 0o600); err != nil {
+	if err := os.WriteFile(sockets[0], []byte("no socket"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	stop := r.load() // beside the one that can't be asked any more
-	third := r.start()
+	stop := s.load() // the second process serves on; the third can't reach it through the path
+	third := s.start()
 	stop()
 	for _, p := range []*process{second, third} {
-		if got := r.call("GET", "http://"+p.control+"/ready"); got != 200 {
-			t.Errorf("%d", got)
+		if got := s.call("GET", "http://"+p.control+"/ready"); got != 200 {
+			t.Errorf("process beside a regular file at the socket path: /ready answered %d, want 200", got)
 		}
 	}
 }
 
-// A drain goes on in the process that comes, and either one's call ends it for both.
+// Guards against a drain that a replacement cancels. The successor must be draining from its start, and POST /undrain to either process must
+// end the drain of both.
 func TestReplacedWhileItDrains(t *testing.T) {
-	r := newReplaced(t)
-	old := r.start()
-	ready := func() int { return r.call("GET", "http://"+r.listen+"/-/ready") }
-	if r.call("POST", "http://"+old.control+"/drain") != 200 || ready() == 200 {
-		t.Fatal("it does not drain")
-	}
-	second := r.start()
-	for range 20 { // either one may be asked
+	s := newSidecar(t)
+	old := s.start()
+	ready := func() int { return s.call("GET", "http://"+s.listen+"/-/ready") }
+	if s.call("POST", "http://"+old.control+"/drain") != 200 || ready() == 200 {
+		t.Fatal("the process is ready after POST /drain")
+	}
+	second := s.start()
+	for range 20 { // each request reaches either process
 		if ready() == 200 {
-			t.Fatal("the drain is forgotten")
+			t.Fatal("a process is ready although the drain was not ended")
 		}
 	}
-	if r.call("POST", "http://"+second.control+"/undrain") != 200 {
-		t.Error("it does not take clients again")
+	if s.call("POST", "http://"+second.control+"/undrain") != 200 {
+		t.Error("POST /undrain to the successor failed")
 	}
-	testutil.Eventually(t, "both serve", func() bool {
+	testutil.Eventually(t, "both processes are ready", func() bool {
 		for range 20 {
 			if ready() != 200 {
 				return false
@@ -277,78 +282,79 @@
 		}
 		return true
 	})
-	r.end(old)
+	s.end(old)
 	if ready() != 200 {
-		t.Error("the one that is left does not serve")
+		t.Error("the remaining process is not ready")
 	}
-	if got := r.call("GET", "http://"+second.control+"/metrics"); got != 200 {
-		t.Errorf("figures: %d", got)
+	if got := s.call("GET", "http://"+second.control+"/metrics"); got != 200 {
+		t.Errorf("successor: /metrics answered %d, want 200", got)
 	}
 }
 
-// Guards against a successor that begins with an old list, and against requests that a new configuration costs while two processes
-// serve: discovery moves as the second one starts, both get the signal at once, and what the old address never said is heard by the new.
+// Guards against a successor that keeps an outdated endpoint list, and against requests that fail when a configuration is reloaded while two
+// processes serve. Discovery gets a new address while the second process starts, both processes get SIGHUP, and the second one must learn of a
+// drain that follows.
 func TestReplacedDuringAReload(t *testing.T) {
-	r := newReplaced(t)
-	old := r.start()
-	stop := r.load()
-	second := r.begin()
-	if _, err := r.discovery.Listen("127.0.0.1:0"); err != nil {
+	s := newSidecar(t)
+	old := s.start()
+	stop := s.load()
+	second := s.launch()
+	if _, err := s.discovery.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	writeConfig(t, r.config, r.discovery, overHTTP, r.listen, r.discovery.List())
+	writeConfig(t, s.config, s.discovery, overHTTP, s.listen, s.discovery.List())
 	_ = old.Process.Signal(syscall.SIGHUP)
-	r.wait(second)
-	_ = second.Process.Signal(syscall.SIGHUP) // before it is ready it would end it, as it does any program
-	r.end(old)
-	r.discovery.Drain("n0")
-	testutil.Eventually(t, "the drain is heard", func() bool { return r.figure(second, "members_unavailable") == 1 })
+	s.waitUntilReady(second)
+	_ = second.Process.Signal(syscall.SIGHUP) // a SIGHUP before this process is ready would end it
+	s.end(old)
+	s.discovery.Drain("n0")
+	testutil.Eventually(t, "the drain is known", func() bool { return s.metric(second, "members_unavailable") == 1 })
 	stop()
-	if n := r.figure(second, "members"); n != 3 {
-		t.Errorf("%d members", n)
+	if n := s.metric(second, "members"); n != 3 {
+		t.Errorf("the successor has %d members, want 3", n)
 	}
 }
 
-// Guards against a successor that needs discovery: while that is down it serves by the list that it got, also where its own
-// configuration knows none.
+// Guards against a successor that can't serve without discovery. While discovery is down, it must serve with the endpoint list that its
+// predecessor handed over, even if its own configuration lists no endpoint.
 func TestReplacedWhileDiscoveryIsDown(t *testing.T) {
-	r := newReplaced(t)
-	old := r.start()
-	r.discovery.Drain("n0")
-	testutil.Eventually(t, "the drain is heard", func() bool { return r.figure(old, "members_unavailable") == 1 })
-	r.discovery.Down(true)
+	s := newSidecar(t)
+	old := s.start()
+	s.discovery.Drain("n0")
+	testutil.Eventually(t, "the drain is known", func() bool { return s.metric(old, "members_unavailable") == 1 })
+	s.discovery.Down(true)
 	index := int64(0)
-	writeConfig(t, r.config, r.discovery, overHTTP, r.listen, &endpoints.List{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{}})
-	stop := r.load()
-	second := r.start()
-	r.end(old)
+	writeConfig(t, s.config, s.discovery, overHTTP, s.listen, &endpoints.List{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{}})
+	stop := s.load()
+	second := s.start()
+	s.end(old)
 	if n := stop(); n == 0 {
-		t.Error("nothing was served meanwhile")
+		t.Error("no request was served during the replacement")
 	}
-	if all, leaves := r.figure(second, "members"), r.figure(second, "members_unavailable"); all != 3 || leaves != 1 {
-		t.Errorf("%d members, %d of them drain", all, leaves)
+	if all, unavailable := s.metric(second, "members"), s.metric(second, "members_unavailable"); all != 3 || unavailable != 1 {
+		t.Errorf("the successor has %d members, %d of them unavailable; want 3 and 1", all, unavailable)
 	}
-	r.discovery.Down(false)
-	r.discovery.Drain("n1")
-	testutil.Eventually(t, "it is followed again", func() bool { return r.figure(second, "members_unavailable") == 2 })
+	s.discovery.Down(false)
+	s.discovery.Drain("n1")
+	testutil.Eventually(t, "the second drain is known after discovery has returned", func() bool { return s.metric(second, "members_unavailable") == 2 })
 }
 
-// Guards against a claim of "not run" that a replacement turns false: requests in hand stay with the old process, none of them is decided
-// by the new one, and what either says of them holds. Nodes break connections behind requests that they run, and turn others away.
+// Guards against a request that is executed twice, or rejected although it was executed, because its process was replaced. Requests in flight
+// stay with the old process, and the new one must not retry them. The nodes reset connections after executing some requests and reject others.
 func TestNothingRunsTwiceThroughReplacements(t *testing.T) {
-	r, w := newReplacedWorld(t, fakes.NodeOptions{Cores: 8, DefaultServiceTime: 5 * time.Millisecond, Faults: []fakes.Fault{
+	s, env := newSidecarWithNodes(t, fakes.NodeOptions{Cores: 8, DefaultServiceTime: 5 * time.Millisecond, Faults: []fakes.Fault{
 		{Kind: fakes.ResetAfter, Class: "confirm", Share: 0.1}, {Kind: fakes.Reject, Class: "confirm", Share: 0.1}}})
-	process := r.start()
+	process := s.start()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var clients sync.WaitGroup
-	var asked atomic.Int64
+	var answered atomic.Int64
 	for n := range 6 {
 		client := &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: n%2 == 0}}
 		clients.Go(func() {
 			defer client.CloseIdleConnections()
 			for ctx.Err() == nil {
-				req := testutil.Request(t, r.listen, "confirm", "")
+				req := testutil.Request(t, s.listen, "confirm", "")
 				resp, err := client.Do(req)
 				if err != nil {
 					t.Error(err)
@@ -356,24 +362,24 @@
 				}
 				_, _ = io.Copy(io.Discard, resp.Body)
 				resp.Body.Close()
-				asked.Add(1)
-				runs := len(w.ledger.Operation(req.Header.Get("X-Request-ID")).Executions)
+				answered.Add(1)
+				runs := len(env.ledger.Operation(req.Header.Get("X-Request-ID")).Executions)
 				if runs > 1 || resp.StatusCode == http.StatusServiceUnavailable && runs > 0 || resp.StatusCode == http.StatusOK && runs != 1 {
-					t.Errorf("%s after %d runs", resp.Status, runs)
+					t.Errorf("response %s, but the request was executed %d times", resp.Status, runs)
 				}
 			}
 		})
 	}
 	for range 3 {
-		before := asked.Load()
-		testutil.Eventually(t, "requests are in hand", func() bool { return asked.Load() > before+50 })
-		next := r.start()
-		r.end(process)
+		before := answered.Load()
+		testutil.Eventually(t, "more than 50 further requests were answered", func() bool { return answered.Load() > before+50 })
+		next := s.start()
+		s.end(process)
 		process = next
 	}
 	cancel()
 	clients.Wait()
-	if ids := w.ledger.ExecutedTwice("confirm"); len(ids) > 0 {
-		t.Errorf("run twice: %v", ids)
+	if ids := env.ledger.ExecutedTwice("confirm"); len(ids) > 0 {
+		t.Errorf("requests executed twice: %v", ids)
 	}
 }
--- a/internal/testing/conformance/suite_test.go
+++ b/internal/testing/conformance/suite_test.go
@@ -15,15 +15,16 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// load makes calls from so many workers, each pausing a moment between two, and counts answers by class and kind.
+// load describes the calls of concurrent workers. Each worker makes one call at a time and pauses after it.
 type load struct {
-	workers, calls int // calls of each worker
+	workers, calls int // calls: of each worker
 	pause          time.Duration
 	cost           time.Duration
 	classes        []string
 }
 
-func (l load) run(f front, prefix string) map[string]int {
+// run makes the calls and returns the number of answers by class and outcome, with keys such as "search served".
+func (l load) run(f adapter, prefix string) map[string]int {
 	counts := map[string]int{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -32,7 +33,7 @@
 			for i := range l.calls {
 				op := fmt.Sprintf("%s-%d-%d", prefix, w, i)
 				class := l.classes[(w+i)%len(l.classes)]
-				k, _ := f.do(context.Background(), spec{class: class, id: op, op: op, key: op, cost: l.cost})
+				k, _ := f.do(context.Background(), callSpec{class: class, id: op, op: op, key: op, cost: l.cost})
 				mu.Lock()
 				counts[class+" "+string(k)]++
 				mu.Unlock()
@@ -49,34 +50,34 @@
 // comparisonWorkers is the number of concurrent callers of a comparison.
 const comparisonWorkers = 8
 
-// comparison is a fleet on which both protocol adapters have to give the same answers and the same load.
+// comparison describes a set of nodes with which both protocol adapters have to give the same answers and put the same load on each node.
 type comparison struct {
 	name  string
 	nodes []fakes.NodeOptions
-	exact bool // the answers do not depend on random choices
-	calls int  // of each worker
-	// A broken connection ends one HTTP/1.1 request and every gRPC stream on it: where all nodes break them, what
-	// arrives differs, and only answers are compared.
+	exact bool // random choices don't affect the answers, which must be equal
+	calls int  // calls of each worker
+	// answersOnly leaves the load on the nodes out of the comparison. A reset connection ends one HTTP/1.1 request, but every gRPC stream on
+	// it. Where all nodes reset connections, the number of requests that arrive therefore differs between the adapters.
 	answersOnly bool
 }
 
-// compare plays a comparison up to three times, and fails for counts that differ in the same direction in each.
+// compare runs a comparison up to three times. The test fails if a count differs in the same direction in all three runs.
 func (c comparison) compare(t *testing.T) {
 	differences := countDifferences{}
 	for play := range 3 {
 		answers, nodes := c.play(t)
 		n := float64(comparisonWorkers * c.calls)
-		again := false
-		within := func(what string, a, b int) {
-			again = differences.add(t, play, what, n, a, b) || again
+		runAgain := false
+		compareCount := func(label string, a, b int) {
+			runAgain = differences.add(t, play, label, n, a, b) || runAgain
 		}
 		for _, class := range allClasses {
-			for _, k := range []kind{served, refused, failed} {
+			for _, k := range []outcome{served, rejected, failed} {
 				key := class + " " + string(k)
 				if a, b := answers[overHTTP][key], answers[overGRPC][key]; c.exact && a != b {
-					t.Errorf("%s: %d with the daemon, %d with the plug-in", key, a, b)
+					t.Errorf("%s: %d calls through the daemon, %d through the plug-in, want equal counts", key, a, b)
 				} else {
-					within(key, a, b)
+					compareCount(key, a, b)
 				}
 			}
 		}
@@ -86,66 +87,69 @@
 				break
 			}
 			name := fmt.Sprint("n", i)
-			within("requests at "+name, nodes[overHTTP][name].Arrived, nodes[overGRPC][name].Arrived)
+			compareCount("requests at "+name, nodes[overHTTP][name].Arrived, nodes[overGRPC][name].Arrived)
 		}
-		if !again {
+		if !runAgain {
 			return
 		}
 	}
-	for what, a := range differences {
+	for label, a := range differences {
 		if a[0] != 0 && a[0] == a[1] && a[1] == a[2] {
-			t.Errorf("%s: apart the same way in three plays of three", what)
+			t.Errorf("%s: the counts of daemon and plug-in differ in the same direction in three of three runs", label)
 		}
 	}
 }
 
-// play sends the load through both protocol adapters, and returns their answers and the counts of the nodes.
+// play sends the load through one adapter after the other and returns the answers and the counts of the nodes for each.
 func (c comparison) play(t *testing.T) (answers map[protocol]map[string]int, nodes map[protocol]map[string]fakes.NodeCount) {
 	t.Helper()
 	answers, nodes = map[protocol]map[string]int{}, map[protocol]map[string]fakes.NodeCount{}
 	for _, p := range protocols {
-		w := newWorld(t, c.nodes...)
-		f := w.start(t, p, suiteSettings(2*time.Second))
+		env := newTestEnvironment(t, c.nodes...)
+		f := env.start(t, p, suiteSettings(2*time.Second))
 		answers[p] = load{workers: comparisonWorkers, calls: c.calls, pause: time.Millisecond, classes: allClasses}.run(f, string(p))
 		f.close()
-		nodes[p] = w.ledger.Nodes()
-		if twice := w.ledger.ExecutedTwice("confirm"); len(twice) > 0 {
-			t.Errorf("%s: ran twice: %v", p, twice)
+		nodes[p] = env.ledger.Nodes()
+		if twice := env.ledger.ExecutedTwice("confirm"); len(twice) > 0 {
+			t.Errorf("%s: operations executed twice: %v", p, twice)
 		}
-		if twice := w.ledger.ExecutedTwice("booking.Seats/confirm"); len(twice) > 0 {
-			t.Errorf("%s: ran twice: %v", p, twice)
+		if twice := env.ledger.ExecutedTwice("booking.Seats/confirm"); len(twice) > 0 {
+			t.Errorf("%s: operations executed twice: %v", p, twice)
 		}
 	}
 	return answers, nodes
 }
 
-// countDifferences holds, by count, the sign of a difference beyond the allowed one in each play; 0: there was none.
+// countDifferences maps the name of a count to the sign of its difference in each run, or 0 for a difference within the tolerance.
 type countDifferences map[string]*[3]int
 
-// add compares a count of both adapters, of n requests each, and reports whether it can still fail in a further play.
-func (d countDifferences) add(t *testing.T, play int, what string, n float64, a, b int) bool {
+// add compares a count of both adapters, which sent n requests each. It reports whether the count differs and has differed in the same
+// direction in the run before, so that a further run can fail the test.
+func (d countDifferences) add(t *testing.T, play int, label string, n float64, a, b int) bool {
 	t.Helper()
 	p := float64(a+b) / 2 / n
 	allowed := 4*math.Sqrt(2*n*p*max(0, 1-p)) + 4
 	if math.Abs(float64(a-b)) <= allowed {
 		return false
 	}
-	t.Logf("play %d: %s: %d with the daemon, %d with the plug-in; %.0f apart are allowed", play, what, a, b, allowed)
-	if d[what] == nil {
-		d[what] = new([3]int)
+	t.Logf("run %d: %s: %d with the daemon, %d with the plug-in, allowed difference %.0f", play, label, a, b, allowed)
+	if d[label] == nil {
+		d[label] = new([3]int)
 	}
-	d[what][play] = cmp.Compare(a, b)
-	return play == 0 || d[what][play-1] == d[what][play]
+	d[label][play] = cmp.Compare(a, b)
+	return play == 0 || d[label][play-1] == d[label][play]
 }
 
-// TestSameAnswersSameLoad plays each script against both fronts, with the same seed and list. Two fronts can't draw the same
-// numbers, since sockets decide the order of events, so what has to agree is what the counts of two independent runs agree
-// to: for a node with share p of n requests the difference has a standard deviation of at most sqrt(2np(1-p)) if each
-// request draws for itself, and four of these are allowed. Requests don't quite: a moment in which the machine holds one
-// answer up is a peak in that node's estimate, and costs it its share until it decays. Such a moment hits any node of
-// either front, while fronts that differ do so in each play. So a count fails when it is apart the same way in three
-// plays of three; answers of a script that leaves no chance are to be equal in each.
-// docs/design/fronts.md derives it.
+// TestSameAnswersSameLoad runs each script of faults through both adapters, with the same seed and endpoint list.
+//
+// The adapters don't draw the same random numbers, since the order of events depends on their sockets. Their counts therefore only have to
+// agree as those of two independent runs do: for a node with share p of n requests, the standard deviation of the difference is at most
+// sqrt(2np(1-p)) if requests choose nodes independently, and four standard deviations are allowed.
+//
+// The choices are not quite independent: if the machine delays a single answer, that node's latency estimate rises, and it gets fewer requests
+// until the estimate has decayed. Such delays hit any node of either adapter, whereas a real difference shows in each run. A count therefore
+// fails only if it differs in the same direction in three of three runs. The answers of a script without random outcomes must be equal in each
+// run. docs/design/fronts.md derives these limits.
 func TestSameAnswersSameLoad(t *testing.T) {
 	node := func(faults ...fakes.Fault) fakes.NodeOptions {
 		return fakes.NodeOptions{Cores: 8, DefaultServiceTime: 2 * time.Millisecond, Faults: faults}
@@ -157,33 +161,34 @@
 		{"one slow", []fakes.NodeOptions{node(fault(fakes.Slow)), ok, ok, ok, ok}, true, 90, false},
 		{"one freezes", []fakes.NodeOptions{node(fakes.Fault{Kind: fakes.Freeze, Every: 400 * time.Millisecond,
 			For: 100 * time.Millisecond}), ok, ok, ok}, true, 90, false},
-		{"one turns away", []fakes.NodeOptions{node(fault(fakes.Reject)), ok, ok, ok}, true, 60, false},
-		{"one refuses at the wire", []fakes.NodeOptions{node(fault(fakes.RefuseStream)), ok, ok, ok}, true, 60, false},
+		{"one rejects", []fakes.NodeOptions{node(fault(fakes.Reject)), ok, ok, ok}, true, 60, false},
+		{"one refuses streams", []fakes.NodeOptions{node(fault(fakes.RefuseStream)), ok, ok, ok}, true, 60, false},
 		{"one sends GOAWAY", []fakes.NodeOptions{node(fault(fakes.GoAway)), ok, ok, ok}, true, 60, false},
-		{"all turn away", []fakes.NodeOptions{node(fault(fakes.Reject)), node(fault(fakes.Reject))}, true, 4, false},
-		{"all break before it runs", []fakes.NodeOptions{node(fault(fakes.ResetBefore)), node(fault(fakes.ResetBefore))}, false, 20, true},
-		{"one breaks after it ran", []fakes.NodeOptions{node(fault(fakes.ResetAfter)), ok, ok, ok}, false, 60, false},
+		{"all reject", []fakes.NodeOptions{node(fault(fakes.Reject)), node(fault(fakes.Reject))}, true, 4, false},
+		{"all reset before execution", []fakes.NodeOptions{node(fault(fakes.ResetBefore)), node(fault(fakes.ResetBefore))}, false, 20, true},
+		{"one resets after execution", []fakes.NodeOptions{node(fault(fakes.ResetAfter)), ok, ok, ok}, false, 60, false},
 		{"one answers errors", []fakes.NodeOptions{node(fault(fakes.Fail)), ok, ok, ok}, false, 60, false},
-		{"one can't be read", []fakes.NodeOptions{node(fault(fakes.Malformed)), ok, ok, ok}, false, 60, false},
-		{"one cuts its answers", []fakes.NodeOptions{node(fault(fakes.Truncate)), ok, ok, ok}, false, 60, false},
+		{"one answers malformed messages", []fakes.NodeOptions{node(fault(fakes.Malformed)), ok, ok, ok}, false, 60, false},
+		{"one truncates its answers", []fakes.NodeOptions{node(fault(fakes.Truncate)), ok, ok, ok}, false, 60, false},
 	} {
 		t.Run(c.name, func(t *testing.T) { c.compare(t) })
 	}
 }
 
-// A node in slow start withstands two balancers that do not know of each other: a plug-in and a daemon both send to the nodes when one of
-// them restarts. Both are configured for two balancers. The node must not become overloaded, and must get requests.
+// Guards against balancers whose shares add up to an overload of a node in slow start. A plug-in and a daemon, which know of each other only by
+// their configured fleet size of 2, send requests to the nodes while one node is replaced by a new one. The new node must get requests and
+// must not become overloaded.
 func TestRestartedNodeWithstandsBothAdapters(t *testing.T) {
 	node := fakes.NodeOptions{Cores: 4, SlowStartMinCapacity: 0.3, SlowStartWindow: 8800 * time.Millisecond, OverloadMultiple: 3, OverloadWindow: 2 * time.Second}
-	w := newWorld(t, node, node, node)
+	env := newTestEnvironment(t, node, node, node)
 	set := suiteSettings(2 * time.Second)
 	set.FleetSize = 2
-	fronts := []front{w.start(t, overHTTP, set), w.start(t, overGRPC, set)}
+	adapters := []adapter{env.start(t, overHTTP, set), env.start(t, overGRPC, set)}
 	stop := make(chan struct{})
-	var calls, good atomic.Int64
+	var calls, servedCalls atomic.Int64
 	var wg sync.WaitGroup
-	for i, f := range fronts {
-		for worker := range 10 { // 10 workers x 2 fronts, each 10 ms of work every 30 ms or so: half of three nodes
+	for i, f := range adapters {
+		for worker := range 10 { // 20 workers of both adapters, each with 10 ms of work in about 30 ms: half the capacity of three nodes
 			wg.Go(func() {
 				for n := 0; ; n++ {
 					select {
@@ -193,48 +198,48 @@
 					}
 					op := fmt.Sprintf("%d-%d-%d", i, worker, n)
 					calls.Add(1)
-					if k, _ := f.do(context.Background(), spec{class: "search", id: op, op: op, cost: 10 * time.Millisecond}); k == served {
-						good.Add(1)
+					if k, _ := f.do(context.Background(), callSpec{class: "search", id: op, op: op, cost: 10 * time.Millisecond}); k == served {
+						servedCalls.Add(1)
 					}
 				}
 			})
 		}
 	}
-	time.Sleep(500 * time.Millisecond) // traffic is known before the restart
+	time.Sleep(500 * time.Millisecond) // lets the balancers measure the request rate before the restart
 	restarted := node
 	restarted.Name, restarted.Started = "restarted", time.Now()
-	n := w.add(t, restarted)
-	w.nodes[0].Kill() // which it replaces
-	for _, d := range w.discovery {
+	n := env.add(t, restarted)
+	env.nodes[0].Kill() // the restarted node replaces this one
+	for _, d := range env.discovery {
 		d.Remove("n0")
 	}
 	time.Sleep(4 * time.Second)
 	close(stop)
 	wg.Wait()
-	count := w.ledger.Nodes()["restarted"]
+	count := env.ledger.Nodes()["restarted"]
 	if n.Down() || count.Overloaded {
 		t.Errorf("the restarted node was overloaded after %d requests", count.Arrived)
 	}
 	if count.Executed == 0 {
 		t.Error("the restarted node got no request")
 	}
-	if share := float64(good.Load()) / float64(calls.Load()); share < 0.9 {
-		t.Errorf("%d of %d served", good.Load(), calls.Load())
+	if share := float64(servedCalls.Load()) / float64(calls.Load()); share < 0.9 {
+		t.Errorf("%d of %d calls were served, want 90%%", servedCalls.Load(), calls.Load())
 	}
-	t.Logf("%d calls, %d served, %d at the restarted node", calls.Load(), good.Load(), count.Executed)
+	t.Logf("%d calls, %d served, %d at the restarted node", calls.Load(), servedCalls.Load(), count.Executed)
 }
 
-// A draining node finishes its requests, and gets no new ones later than 250 ms after the adapter was notified. Nodes drain and return under
-// load, with both adapters at once.
+// Guards against requests to draining nodes. Under load from both adapters at once, one node after another drains and a new one is added. Every
+// request must be served, and a node must get no new request later than 250 ms after its drain.
 func TestNothingNewAfterADrain(t *testing.T) {
 	node := fakes.NodeOptions{Cores: 32, DefaultServiceTime: 3 * time.Millisecond}
-	w := newWorld(t, node, node, node, node)
+	env := newTestEnvironment(t, node, node, node, node)
 	set := suiteSettings(2 * time.Second)
-	fronts := []front{w.start(t, overHTTP, set), w.start(t, overGRPC, set)}
+	adapters := []adapter{env.start(t, overHTTP, set), env.start(t, overGRPC, set)}
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
-	var bad atomic.Int64
-	for i, f := range fronts {
+	var notServed atomic.Int64
+	for i, f := range adapters {
 		for worker := range 16 {
 			wg.Go(func() {
 				for n := 0; ; n++ {
@@ -244,8 +249,8 @@
 					default:
 					}
 					op := fmt.Sprintf("%d-%d-%d", i, worker, n)
-					if k, _ := f.do(context.Background(), spec{class: allClasses[n%3], id: op, op: op, key: op}); k != served {
-						bad.Add(1)
+					if k, _ := f.do(context.Background(), callSpec{class: allClasses[n%3], id: op, op: op, key: op}); k != served {
+						notServed.Add(1)
 					}
 				}
 			})
@@ -254,78 +259,78 @@
 	drains := 0
 	for round := range 12 {
 		time.Sleep(150 * time.Millisecond)
-		w.drain(w.nodes[round])
+		env.drain(env.nodes[round])
 		drains++
-		w.add(t, fakes.NodeOptions{Name: fmt.Sprint("r", round), Cores: 32, DefaultServiceTime: 3 * time.Millisecond})
+		env.add(t, fakes.NodeOptions{Name: fmt.Sprint("r", round), Cores: 32, DefaultServiceTime: 3 * time.Millisecond})
 	}
 	time.Sleep(300 * time.Millisecond)
 	close(stop)
 	wg.Wait()
-	for name, c := range w.ledger.Nodes() {
+	for name, c := range env.ledger.Nodes() {
 		if c.LastAfterDrain > 250*time.Millisecond {
-			t.Errorf("%s: %d came after its drain, the last %v after it", name, c.AfterDrain, c.LastAfterDrain)
+			t.Errorf("%s: got %d requests after its drain, the last one after %v, want none after 250 ms", name, c.AfterDrain, c.LastAfterDrain)
 		}
 	}
-	if bad.Load() > 0 {
-		t.Errorf("%d requests were not served, though every drain left three nodes", bad.Load())
+	if notServed.Load() > 0 {
+		t.Errorf("%d requests were not served, although three nodes remained at each drain", notServed.Load())
 	}
 	for _, class := range []string{"confirm", "booking.Seats/confirm"} {
-		if twice := w.ledger.ExecutedTwice(class); len(twice) > 0 {
-			t.Errorf("ran twice: %v", twice)
+		if twice := env.ledger.ExecutedTwice(class); len(twice) > 0 {
+			t.Errorf("operations executed twice: %v", twice)
 		}
 	}
-	for p, d := range w.discovery {
+	for p, d := range env.discovery {
 		for i := range drains {
-			if _, ok := d.FirstNotified(w.nodes[i].Options().Name, endpoints.StatusTerminating); !ok {
-				t.Errorf("%s was never notified of drain %d", p, i)
+			if _, ok := d.FirstNotified(env.nodes[i].Options().Name, endpoints.StatusTerminating); !ok {
+				t.Errorf("the discovery service for the %s never sent the notification of drain %d", p, i)
 			}
 		}
 	}
 }
 
-// The endpoint list outlasts its watch: discovery breaks its watches, is down for a while, and then lists a node that replaces all others. Both
-// adapters keep serving, and find the new node.
+// Guards against an adapter that loses its endpoint list with the watch. Discovery ends its watches, is down for a while, and then lists one node
+// in place of all others. Both adapters must keep serving, and must find the new node.
 func TestDiscoveryFaults(t *testing.T) {
 	for _, p := range protocols {
 		t.Run(string(p), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t, fakes.NodeOptions{Cores: 8}, fakes.NodeOptions{Cores: 8})
-			f := w.start(t, p, suiteSettings(2*time.Second))
+			env := newTestEnvironment(t, fakes.NodeOptions{Cores: 8}, fakes.NodeOptions{Cores: 8})
+			f := env.start(t, p, suiteSettings(2*time.Second))
 			n := 0
-			ask := func() (kind, string) {
+			call := func() (outcome, string) {
 				n++
 				op := fmt.Sprint(n)
-				return f.do(context.Background(), spec{class: "confirm", id: op, op: op})
+				return f.do(context.Background(), callSpec{class: "confirm", id: op, op: op})
 			}
-			w.discovery[p].Break()
-			w.discovery[p].Down(true)
+			env.discovery[p].Break()
+			env.discovery[p].Down(true)
 			for range 20 {
-				if k, text := ask(); k != served {
-					t.Errorf("while discovery is down: %s %s", k, text)
+				if k, text := call(); k != served {
+					t.Errorf("call while discovery is down: %s, node or error %q, want served", k, text)
 				}
 			}
-			w.add(t, fakes.NodeOptions{Name: "new", Cores: 8})
-			for _, old := range w.nodes[:2] {
-				w.discovery[p].Remove(old.Options().Name)
+			env.add(t, fakes.NodeOptions{Name: "new", Cores: 8})
+			for _, old := range env.nodes[:2] {
+				env.discovery[p].Remove(old.Options().Name)
 			}
-			w.discovery[p].Down(false)
-			testutil.Eventually(t, "the new node serves", func() bool { _, name := ask(); return name == "new" })
+			env.discovery[p].Down(false)
+			testutil.Eventually(t, "a call is served by the new node", func() bool { _, name := call(); return name == "new" })
 			for range 20 {
-				if k, name := ask(); k != served || name != "new" {
-					t.Errorf("afterwards: %s %s", k, name)
+				if k, name := call(); k != served || name != "new" {
+					t.Errorf("call after discovery has returned: %s, node or error %q, want served by node new", k, name)
 				}
 			}
 		})
 	}
 }
 
-// allFaults returns the faults of the n-th node: every kind, at random.
+// allFaults returns the faults of the n-th node: request faults of all kinds at random, and regular freezes, shifted by node.
 func allFaults(n int) (f []fakes.Fault) {
 	for _, k := range []fakes.FaultKind{fakes.Reject, fakes.Fail, fakes.FailNotExecuted, fakes.ResetBefore,
 		fakes.ResetAfter, fakes.LoseAnswer, fakes.Hang, fakes.Malformed, fakes.Truncate, fakes.RefuseStream, fakes.GoAway} {
 		share := 0.04
 		if k == fakes.LoseAnswer || k == fakes.Hang {
-			share = 0.01 // each costs its caller the whole deadline
+			share = 0.01 // rare, since the caller waits until its deadline
 		}
 		f = append(f, fakes.Fault{Kind: k, Share: share})
 	}
@@ -333,18 +338,18 @@
 		Every: time.Second, For: 60 * time.Millisecond})
 }
 
-// answerCounts counts the answers of a client that retries.
+// answerCounts counts the answers to a client that retries.
 type answerCounts struct {
-	served, refused, failed atomic.Int64
-	unavailable             atomic.Int64 // whose text begins with the status of a refusal
+	served, rejected, failed atomic.Int64
+	unavailable              atomic.Int64 // failures whose text begins with UNAVAILABLE, the status of a rejection
 }
 
-// call makes a call with up to three retries: an idempotent request after any failure, others only after a refusal. Nothing says which
-// zone's memory holds a key, so that a keyed request is not retried after a failure either.
-func (a *answerCounts) call(f front, class, op string) {
-	for try := range 4 {
-		k, text := f.do(context.Background(), spec{class: class, id: fmt.Sprintf("%s-%d", op, try), op: op, key: op})
-		map[kind]*atomic.Int64{served: &a.served, refused: &a.refused, failed: &a.failed}[k].Add(1)
+// call makes a call and up to three retries. It retries an idempotent request after any failure, and others only after a rejection. A request
+// with an idempotency key isn't retried after a failure either, since the retry may reach the other zone, whose nodes don't know the key.
+func (a *answerCounts) call(f adapter, class, op string) {
+	for attempt := range 4 {
+		k, text := f.do(context.Background(), callSpec{class: class, id: fmt.Sprintf("%s-%d", op, attempt), op: op, key: op})
+		map[outcome]*atomic.Int64{served: &a.served, rejected: &a.rejected, failed: &a.failed}[k].Add(1)
 		if len(text) > 11 && text[:11] == "UNAVAILABLE" {
 			a.unavailable.Add(1)
 		}
@@ -354,10 +359,10 @@
 	}
 }
 
-// TestNothingRunsTwice is the proof by count: at least 10,000 injected failures of every kind in each front, with clients
-// that try again as they do in service: a safe request after any failure, all others only after a refusal. The nodes stand in two zones,
-// and those of a zone share their memory of keys. The ledger knows each execution by the client's operation. No unsafe
-// operation may run twice, no keyed one either, and every call has one answer.
+// TestNothingRunsTwice guards against retries that execute an operation twice. Each adapter sends calls until its nodes have injected 10,000
+// faults of all kinds. The clients retry as they do in production: an idempotent request after any failure, all others only after a rejection.
+// The nodes are in two zones, and those of a zone share their idempotency keys. The ledger records each execution by the client's operation. No
+// operation that is non-idempotent, or idempotent only with its key, may be executed twice.
 func TestNothingRunsTwice(t *testing.T) {
 	for _, p := range protocols {
 		t.Run(string(p), func(t *testing.T) {
@@ -366,13 +371,13 @@
 			for n := range 6 {
 				nodes = append(nodes, fakes.NodeOptions{Cores: 16, Faults: allFaults(n)})
 			}
-			w := newWorld(t, nodes...)
+			env := newTestEnvironment(t, nodes...)
 			set := suiteSettings(300 * time.Millisecond)
-			f := w.start(t, p, set)
+			f := env.start(t, p, set)
 			var counts answerCounts
 			var wg sync.WaitGroup
 			failures := func() (sum int) {
-				for _, c := range w.ledger.Nodes() {
+				for _, c := range env.ledger.Nodes() {
 					sum += c.Faults
 				}
 				return sum
@@ -394,21 +399,21 @@
 			if p == overGRPC {
 				prefix = "booking.Seats/"
 			}
-			if twice := w.ledger.ExecutedTwice(prefix + "confirm"); len(twice) > 0 {
-				t.Errorf("%d unsafe operations ran twice: %v", len(twice), twice[:min(5, len(twice))])
+			if twice := env.ledger.ExecutedTwice(prefix + "confirm"); len(twice) > 0 {
+				t.Errorf("%d non-idempotent operations were executed twice, the first ones: %v", len(twice), twice[:min(5, len(twice))])
 			}
-			if twice := w.ledger.ExecutedTwice(prefix + "record"); len(twice) > 0 {
-				t.Errorf("%d keyed operations ran twice: %v", len(twice), twice[:min(5, len(twice))])
+			if twice := env.ledger.ExecutedTwice(prefix + "record"); len(twice) > 0 {
+				t.Errorf("%d operations with an idempotency key were executed twice, the first ones: %v", len(twice), twice[:min(5, len(twice))])
 			}
 			if counts.unavailable.Load() > 0 {
-				t.Errorf("%d failures that may have run look like refusals", counts.unavailable.Load())
+				t.Errorf("%d failed calls that may have been executed have the status of a rejection, UNAVAILABLE", counts.unavailable.Load())
 			}
 			injected := failures()
 			if injected < 10000 {
-				t.Errorf("only %d failures in the time", injected)
+				t.Errorf("%d faults were injected within 150 s, want at least 10000", injected)
 			}
-			t.Logf("%d injected faults, %d unsafe operations ran; answers: %d served, %d refused, %d failed", injected,
-				w.ledger.Operations(prefix+"confirm"), counts.served.Load(), counts.refused.Load(), counts.failed.Load())
+			t.Logf("%d injected faults, %d non-idempotent operations executed; answers: %d served, %d rejected, %d failed", injected,
+				env.ledger.Operations(prefix+"confirm"), counts.served.Load(), counts.rejected.Load(), counts.failed.Load())
 		})
 	}
 }
