--- a/internal/testing/soak/connections.go
+++ b/internal/testing/soak/connections.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	keepingClients = 6                      // of each sidecar
-	meanRest       = 150 * time.Millisecond // of a keeping client between two requests
-	redialInterval = 5 * time.Millisecond   // after a connection that was refused
-	crowdIdleTime  = 2 * time.Second        // of a crowd's idle connections
+	keepAliveClientCount = 6                      // for each sidecar
+	meanThinkTime        = 150 * time.Millisecond // of a keep-alive client between two requests
+	redialInterval       = 5 * time.Millisecond   // after a refused connection
+	crowdIdleTime        = 2 * time.Second        // after which a crowd's idle connection is closed
 )
 
-// keepingClient sends one request at a time on a connection that it keeps until the sidecar ends it, and opens another one then.
-type keepingClient struct {
+// keepAliveClient sends one request at a time on a connection that it keeps until the sidecar closes it. Then it opens another one.
+type keepAliveClient struct {
 	*client
 	rng *rand.Rand
 }
 
-func newKeepingClient(c *client, number int) *keepingClient {
-	return &keepingClient{c, rand.New(rand.NewPCG(c.rng.Uint64(), uint64(number)))}
+func newKeepAliveClient(c *client, number int) *keepAliveClient {
+	return &keepAliveClient{c, rand.New(rand.NewPCG(c.rng.Uint64(), uint64(number)))}
 }
 
-func (k *keepingClient) run(ctx context.Context) {
+func (k *keepAliveClient) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		conn, err := net.DialTimeout("tcp", k.address, patienceOver)
+		conn, err := net.DialTimeout("tcp", k.address, clientTimeoutMargin)
 		if err != nil {
 			time.Sleep(redialInterval)
 			continue
@@ -42,34 +42,34 @@
 	}
 }
 
-// use sends requests on a connection until it ends.
-func (k *keepingClient) use(ctx context.Context, conn net.Conn) {
+// use sends requests on a connection until the connection ends.
+func (k *keepAliveClient) use(ctx context.Context, conn net.Conn) {
 	in := bufio.NewReader(conn)
 	for ctx.Err() == nil && !processes.ConnectionEnded(conn) {
 		if !k.exchange(conn, in) {
 			return
 		}
-		time.Sleep(time.Duration(k.rng.ExpFloat64() * float64(meanRest)))
+		time.Sleep(time.Duration(k.rng.ExpFloat64() * float64(meanThinkTime)))
 	}
 }
 
-// exchange sends a request, records its end, and reports whether the connection may be used again.
-func (k *keepingClient) exchange(conn net.Conn, in *bufio.Reader) (again bool) {
+// exchange sends one request, records its result, and reports whether the connection can be used again.
+func (k *keepAliveClient) exchange(conn net.Conn, in *bufio.Reader) (reusable bool) {
 	q := Request{ID: RequestID(fmt.Sprintf("%016x", requests.Add(1))), Sidecar: k.sidecar,
-		Deadline: between(k.rng, leastDeadline, k.deadline), Effect: []Effect{Safe, Keyed, Unsafe}[k.rng.IntN(3)]}
-	again = exchange(conn, in, &q, k.address, k.record)
+		Deadline: between(k.rng, minDeadline, k.deadline), Effect: []Effect{Safe, Keyed, Unsafe}[k.rng.IntN(3)]}
+	reusable = exchange(conn, in, &q, k.address, k.record)
 	k.record.do(func(r *Record) { r.Requests = append(r.Requests, q) })
-	return again
+	return reusable
 }
 
-// exchange sends a request on a connection and sets its end.
-func exchange(conn net.Conn, in *bufio.Reader, q *Request, address string, record *recorder) (again bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), q.Deadline+patienceOver)
+// exchange sends a request on a connection and sets its result in q. It reports whether the connection can be used again.
+func exchange(conn net.Conn, in *bufio.Reader, q *Request, address string, record *recorder) (reusable bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), q.Deadline+clientTimeoutMargin)
 	defer cancel()
-	_ = conn.SetDeadline(time.Now().Add(q.Deadline + patienceOver)) // an error shows in the write
+	_ = conn.SetDeadline(time.Now().Add(q.Deadline + clientTimeoutMargin)) // a failure also fails the write
 	request, err := newRequest(ctx, address, *q)
 	if err != nil {
-		panic(err) // of constants
+		panic(err) // unreachable: all parts of the URL are valid
 	}
 	defer func() {
 		q.Ended = record.now()
@@ -79,7 +79,7 @@
 	}()
 	err = request.Write(conn)
 	q.SentAt = record.now()
-	if err != nil { // the connection had ended before the last byte
+	if err != nil { // the sidecar did not get the complete request
 		q.Refused = true
 		return false
 	}
@@ -92,31 +92,32 @@
 		return false
 	}
 	if response.StatusCode == http.StatusOK && string(body) != string(q.ID) {
-		err = errForeign
+		err = errWrongRequest
 		return false
 	}
 	q.Status = response.StatusCode
 	return !response.Close
 }
 
-// crowd opens a step's connections to a sidecar, evenly over its time. Every second one sends a request, the others are idle.
+// crowd opens a step's connections to a sidecar, evenly distributed over the step's length. Every second connection sends a request, the others
+// stay idle.
 func (f *fleet) crowd(s *sidecar, step Step) {
 	interval := step.For / time.Duration(step.Count)
 	for n := range step.Count {
-		f.playing.Go(func() { f.crowdConnection(s, n%2 == 0) })
+		f.runningSteps.Go(func() { f.openCrowdConnection(s, n%2 == 0) })
 		time.Sleep(interval)
 	}
 }
 
-func (f *fleet) crowdConnection(s *sidecar, idle bool) {
-	conn, err := net.DialTimeout("tcp", s.address, patienceOver)
+func (f *fleet) openCrowdConnection(s *sidecar, idle bool) {
+	conn, err := net.DialTimeout("tcp", s.address, clientTimeoutMargin)
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	if idle {
-		_ = conn.SetDeadline(time.Now().Add(crowdIdleTime)) // an error shows in the read
-		_, _ = conn.Read(make([]byte, 1))                   // until the sidecar ends it
+		_ = conn.SetDeadline(time.Now().Add(crowdIdleTime)) // a failure also fails the read
+		_, _ = conn.Read(make([]byte, 1))                   // returns when the sidecar closes the connection
 		return
 	}
 	q := Request{ID: RequestID(fmt.Sprintf("%016x", requests.Add(1))), Sidecar: s.number, Deadline: f.script.Deadline, Effect: Unsafe}
--- a/internal/testing/soak/fleet.go
+++ b/internal/testing/soak/fleet.go
@@ -17,56 +17,57 @@
 	"orchiddrift/internal/testing/processes"
 )
 
-// fleet is what a script is played to.
+// fleet holds the sidecars, fake upstreams and fake discovery service on which a script runs.
 type fleet struct {
-	t         testing.TB
-	script    Script
-	rig       *processes.Rig
-	record    *recorder
-	discovery *fakes.Discovery
-	upstreams []*upstream
-	sidecars  []*sidecar
-	playing   sync.WaitGroup
+	t            testing.TB
+	script       Script
+	rig          *processes.Rig
+	record       *recorder
+	discovery    *fakes.Discovery
+	upstreams    []*upstream
+	sidecars     []*sidecar
+	runningSteps sync.WaitGroup
 
 	mu        sync.Mutex
-	addresses map[string]int // of discovery, by which sidecar asks there
+	addresses map[string]int // the sidecar that uses each address of discovery
 }
 
-// sidecar is a place for one process after another, at one address.
+// sidecar runs one process after another at the same address.
 type sidecar struct {
 	number  int
 	process *processes.Process
 	address string
 
-	mu       sync.Mutex // held while it is started, ended, or reloaded
-	lists    string     // the address of discovery in its configuration
-	life     int        // its place in the record
-	started  time.Time
-	reserved *fakes.Reservation
+	mu               sync.Mutex // held while the process is started, ended, paused or reloaded
+	discoveryAddress string     // in its configuration
+	runIndex         int        // index of its process in Record.Runs
+	started          time.Time
+	reservation      *fakes.Reservation
 }
 
 const (
-	settle      = 500 * time.Millisecond  // from the last request's end to the judgement
-	killSlack   = 700 * time.Millisecond  // SIGKILL comes so long behind SIGTERM and the longest deadline
-	firstSecond = time.Second             // in which no process gets SIGHUP
-	movedFor    = 1500 * time.Millisecond // an address of discovery's ends so long behind the reload that names another
-	readyLook   = 10 * time.Millisecond
+	settleTime         = 500 * time.Millisecond  // from the end of the load to the end of the processes
+	killMargin         = 700 * time.Millisecond  // from SIGTERM to SIGKILL, in addition to the longest deadline
+	minAgeForReload    = time.Second             // age from which a process gets SIGHUP for a reload
+	oldAddressLifetime = 1500 * time.Millisecond // of an address of discovery, after the reload that replaces it
+	readyPollInterval  = 10 * time.Millisecond
 
-	seriesInterval = 90 * time.Millisecond // between the signals of TerminateSeries
+	signalInterval = 90 * time.Millisecond // between the signals of TerminateSeries
 )
 
-// Play plays a script and returns what was seen. It fails the test only where the fleet cannot be set up.
+// Play runs a script and returns the observations. It fails the test only for errors of the test environment; violations of the rules are found by
+// CheckRules.
 func Play(t testing.TB, script Script) *Record {
 	t.Helper()
-	f := &fleet{t: t, script: script, rig: processes.New(t, script.Seed), record: &recorder{begun: time.Now()}, addresses: map[string]int{}}
+	f := &fleet{t: t, script: script, rig: processes.New(t, script.Seed), record: &recorder{started: time.Now()}, addresses: map[string]int{}}
 	f.record.Grace = script.Grace
 	f.setUp()
 	ctx, stop := context.WithCancel(context.Background())
 	var load sync.WaitGroup
 	for i, s := range f.sidecars {
 		c := newClient(i, s.address, script.Deadline, script.Seed, f.record)
-		for number := range keepingClients {
-			k := newKeepingClient(c, number)
+		for number := range keepAliveClientCount {
+			k := newKeepAliveClient(c, number)
 			load.Go(func() { k.run(ctx) })
 		}
 		load.Go(func() { c.run(ctx, script.Rate) })
@@ -74,9 +75,9 @@
 	f.play()
 	stop()
 	load.Wait()
-	f.playing.Wait()
-	time.Sleep(settle)
-	f.endLives()
+	f.runningSteps.Wait()
+	time.Sleep(settleTime)
+	f.endProcesses()
 	f.record.mu.Lock()
 	defer f.record.mu.Unlock()
 	return &f.record.Record
@@ -96,7 +97,7 @@
 	f.discovery = fakes.NewDiscovery(entries...)
 	f.discovery.Heartbeat = 2 * time.Second
 	f.discovery.Rate, f.discovery.Timeout = f.script.CallRate, f.script.CallLimit
-	f.discovery.Wrote = f.wrote
+	f.discovery.Wrote = f.recordWrite
 	if _, err := f.discovery.Listen("127.0.0.1:0"); err != nil {
 		f.t.Fatal(err)
 	}
@@ -111,8 +112,8 @@
 	}
 }
 
-// wrote notes what discovery has told a sidecar.
-func (f *fleet) wrote(address string, version int64) {
+// recordWrite records that discovery has sent a version of the endpoint list to a sidecar.
+func (f *fleet) recordWrite(address string, version int64) {
 	f.mu.Lock()
 	sidecar, ok := f.addresses[address]
 	f.mu.Unlock()
@@ -123,8 +124,8 @@
 	}
 }
 
-// join is an address of discovery's for one sidecar alone.
-func (f *fleet) join(sidecar int) string {
+// newDiscoveryAddress opens an address of discovery that only the given sidecar uses.
+func (f *fleet) newDiscoveryAddress(sidecar int) string {
 	address, err := f.discovery.Join()
 	if err != nil {
 		f.t.Fatal(err)
@@ -136,23 +137,23 @@
 }
 
 func (f *fleet) newSidecar(number int) *sidecar {
-	reserved, err := fakes.Reserve("127.0.0.1:0")
+	reservation, err := fakes.Reserve("127.0.0.1:0")
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.t.Cleanup(reserved.Release)
-	s := &sidecar{number: number, address: reserved.Address, lists: f.join(number), reserved: reserved}
+	f.t.Cleanup(reservation.Release)
+	s := &sidecar{number: number, address: reservation.Address, discoveryAddress: f.newDiscoveryAddress(number), reservation: reservation}
 	s.process = f.rig.Process(processes.Spec{Name: fmt.Sprintf("n%d", number), Ready: processes.Listening,
 		Args: []string{"serve", "--config", "config.json", "--file", "operators.toml"}})
 	return s
 }
 
-// files are a sidecar's, as they are now.
-func (f *fleet) files(s *sidecar) map[string]string {
+// configFiles returns the current contents of a sidecar's configuration files.
+func (f *fleet) configFiles(s *sidecar) map[string]string {
 	config := map[string]any{
-		"name": s.process.Name(), "listen": s.address, "discovery": s.lists, "seed": fmt.Sprintf("%x", f.script.Seed*100+uint64(s.number)),
+		"name": s.process.Name(), "listen": s.address, "discovery": s.discoveryAddress, "seed": fmt.Sprintf("%x", f.script.Seed*100+uint64(s.number)),
 		"limits": map[string]any{"cores": 1, "memory_mb": 96, "sockets": 1024},
-		"known":  f.known(), "settings": f.settings(),
+		"known":  f.initialList(), "settings": f.settings(),
 	}
 	text, err := json.Marshal(config)
 	if err != nil {
@@ -161,8 +162,8 @@
 	return map[string]string{"config.json": string(text), "operators.toml": "[log]\nformat = \"json\"\n"}
 }
 
-// known is the list as it was before anything changed.
-func (f *fleet) known() *endpoints.List {
+// initialList returns the endpoint list from before all changes.
+func (f *fleet) initialList() *endpoints.List {
 	version := int64(1)
 	l := &endpoints.List{Index: &version, Snapshot: true}
 	for _, u := range f.upstreams {
@@ -187,25 +188,25 @@
 	}
 }
 
-// start begins a life; the caller holds the sidecar's lock.
+// start starts a process of a sidecar and waits until it is ready. The caller holds the sidecar's lock.
 func (f *fleet) start(s *sidecar) {
 	f.record.do(func(r *Record) {
-		s.life = len(r.Runs)
+		s.runIndex = len(r.Runs)
 		r.Runs = append(r.Runs, ProcessRun{Sidecar: s.number, Span: Span{From: f.record.now()}})
 	})
 	s.started = time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), processes.Patience)
 	defer cancel()
-	if err := s.process.Start(ctx, f.files(s)); err != nil {
-		f.crashed(s, err.Error())
+	if err := s.process.Start(ctx, f.configFiles(s)); err != nil {
+		f.recordCrash(s, err.Error())
 		return
 	}
 	for ctx.Err() == nil {
 		if ready(s.address) {
-			f.record.do(func(r *Record) { r.Runs[s.life].Ready = f.record.now() })
+			f.record.do(func(r *Record) { r.Runs[s.runIndex].Ready = f.record.now() })
 			return
 		}
-		time.Sleep(readyLook)
+		time.Sleep(readyPollInterval)
 	}
 }
 
@@ -219,20 +220,21 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (f *fleet) crashed(s *sidecar, how string) {
-	f.record.do(func(r *Record) { r.Runs[s.life].Crashed = how })
+func (f *fleet) recordCrash(s *sidecar, how string) {
+	f.record.do(func(r *Record) { r.Runs[s.runIndex].Crashed = how })
 }
 
-// play does the script's steps at their times.
+// play starts each step of the script at its time.
 func (f *fleet) play() {
-	begun := time.Now()
+	started := time.Now()
 	for _, step := range f.script.Steps {
-		time.Sleep(time.Until(begun.Add(step.At)))
+		time.Sleep(time.Until(started.Add(step.At)))
 		f.step(step)
 	}
-	time.Sleep(time.Until(begun.Add(f.script.Length)))
+	time.Sleep(time.Until(started.Add(f.script.Length)))
 }
 
+// step starts a step. Steps that last continue in the background.
 func (f *fleet) step(step Step) {
 	f.rig.Note("script", string(step.Kind), step)
 	switch step.Kind {
@@ -245,15 +247,15 @@
 	case WatchesSilent:
 		f.discovery.Mute()
 	case Drain, Remove:
-		f.leave(f.upstreams[step.Target].name, step.Kind == Remove)
+		f.drainOrRemove(f.upstreams[step.Target].name, step.Kind == Remove)
 	case Reload:
-		f.playing.Go(func() { f.reload(f.sidecars[step.Target]) })
+		f.runningSteps.Go(func() { f.reload(f.sidecars[step.Target]) })
 	case Terminate, TerminateSeries, Kill:
-		f.playing.Go(func() { f.restart(f.sidecars[step.Target], step.Kind) })
+		f.runningSteps.Go(func() { f.restart(f.sidecars[step.Target], step.Kind) })
 	case Crowd:
-		f.playing.Go(func() { f.crowd(f.sidecars[step.Target], step) })
+		f.runningSteps.Go(func() { f.crowd(f.sidecars[step.Target], step) })
 	case Pause:
-		f.playing.Go(func() { f.pause(f.sidecars[step.Target], step.For) })
+		f.runningSteps.Go(func() { f.pause(f.sidecars[step.Target], step.For) })
 	case UpstreamHangs:
 		f.upstreams[step.Target].hang(step.For)
 	case UpstreamResets:
@@ -265,15 +267,15 @@
 	f.discovery.Down(true)
 	from := f.record.now()
 	f.record.do(func(r *Record) { r.Outages = append(r.Outages, Span{From: from, To: from + length}) })
-	f.playing.Go(func() {
+	f.runningSteps.Go(func() {
 		time.Sleep(length)
 		f.discovery.Down(false)
 		f.record.do(func(r *Record) { r.Outages[len(r.Outages)-1].To = f.record.now() })
 	})
 }
 
-func (f *fleet) leave(upstream string, gone bool) {
-	if gone {
+func (f *fleet) drainOrRemove(upstream string, remove bool) {
+	if remove {
 		f.discovery.Remove(upstream)
 	} else {
 		f.discovery.Drain(upstream)
@@ -285,20 +287,20 @@
 func (f *fleet) reload(s *sidecar) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	time.Sleep(time.Until(s.started.Add(firstSecond)))
-	before := s.lists
-	s.lists = f.join(s.number)
-	f.playing.Go(func() {
-		time.Sleep(movedFor)
+	time.Sleep(time.Until(s.started.Add(minAgeForReload)))
+	before := s.discoveryAddress
+	s.discoveryAddress = f.newDiscoveryAddress(s.number)
+	f.runningSteps.Go(func() {
+		time.Sleep(oldAddressLifetime)
 		f.discovery.Retire(before)
 	})
 	config := filepath.Join(s.process.Dir, "config.json")
-	if err := os.WriteFile(config, []byte(f.files(s)["config.json"]), 0o600); err != nil {
+	if err := os.WriteFile(config, []byte(f.configFiles(s)["config.json"]), 0o600); err != nil {
 		f.t.Error(err)
 		return
 	}
 	if err := s.process.Signal(syscall.SIGHUP); err != nil {
-		f.crashed(s, err.Error())
+		f.recordCrash(s, err.Error())
 	}
 }
 
@@ -309,20 +311,21 @@
 		return
 	}
 	f.start(s)
-	if kind == TerminateSeries { // and at once when it is ready
-		_ = s.process.Signal(syscall.SIGHUP) // a process that has ended is a finding of its own
+	if kind == TerminateSeries { // a reload right after the process is ready
+		_ = s.process.Signal(syscall.SIGHUP) // fails if the process has ended, which a later signal reports as a crash
 	}
 }
 
-// end ends a sidecar's process, with SIGKILL at once or as early as one may come after SIGTERM.
+// end ends a sidecar's process with SIGKILL, or with SIGTERM and, after the longest deadline and killMargin, SIGKILL. It returns false if the
+// process had already ended.
 func (f *fleet) end(s *sidecar, kind StepKind) bool {
 	kill := kind == Kill
 	now := f.record.now()
 	f.record.do(func(r *Record) {
 		if kill {
-			r.Runs[s.life].Killed = true
+			r.Runs[s.runIndex].Killed = true
 		} else {
-			r.Runs[s.life].Terminated = now
+			r.Runs[s.runIndex].Terminated = now
 		}
 	})
 	signal := syscall.SIGTERM
@@ -330,10 +333,10 @@
 		signal = syscall.SIGKILL
 	}
 	if err := s.process.Signal(signal); err != nil {
-		f.crashed(s, err.Error())
+		f.recordCrash(s, err.Error())
 		return false
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), f.script.Deadline+killSlack)
+	ctx, cancel := context.WithTimeout(context.Background(), f.script.Deadline+killMargin)
 	defer cancel()
 	var signaling sync.WaitGroup
 	if kind == TerminateSeries {
@@ -341,21 +344,21 @@
 	}
 	notEnded := s.process.Await(ctx)
 	cancel()
-	signaling.Wait() // the next process gets none of these signals
+	signaling.Wait() // so that the next process gets none of these signals
 	if notEnded != nil {
 		killed, stop := context.WithTimeout(context.Background(), processes.Patience)
 		defer stop()
 		_ = s.process.Kill(killed)
 	}
-	f.record.do(func(r *Record) { r.Runs[s.life].To = f.record.now() })
+	f.record.do(func(r *Record) { r.Runs[s.runIndex].To = f.record.now() })
 	return true
 }
 
-// signalUntilEnd sends SIGHUP and SIGTERM in turn to a process that ends.
+// signalUntilEnd sends SIGHUP and SIGTERM in turn to a process until it has ended.
 func (f *fleet) signalUntilEnd(ctx context.Context, s *sidecar) {
 	for n := 0; ctx.Err() == nil; n++ {
 		select {
-		case <-time.After(seriesInterval):
+		case <-time.After(signalInterval):
 		case <-ctx.Done():
 			return
 		}
@@ -365,7 +368,7 @@
 	}
 }
 
-// pause holds a process up, as a busy machine does.
+// pause stops a process with SIGSTOP for a time, as a busy machine delays it.
 func (f *fleet) pause(s *sidecar, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -376,8 +379,8 @@
 	_ = s.process.Signal(syscall.SIGCONT)
 }
 
-// endLives ends all processes, and notes those that have ended by themselves.
-func (f *fleet) endLives() {
+// endProcesses ends all processes, and records those that have ended by themselves as crashed.
+func (f *fleet) endProcesses() {
 	for _, s := range f.sidecars {
 		s.mu.Lock()
 		f.end(s, Terminate)
--- a/internal/testing/soak/load.go
+++ b/internal/testing/soak/load.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// client sends requests to one sidecar, each on a connection of its own, so that an end without an answer is the sidecar's.
+// client sends requests to one sidecar, each on its own connection. A request without a response is therefore a fault of the sidecar, and not a
+// race with the close of an idle connection.
 type client struct {
 	sidecar  int
 	address  string
@@ -26,10 +27,10 @@
 }
 
 const (
-	leastDeadline = 300 * time.Millisecond
-	leavesOneIn   = 12              // clients
-	patienceOver  = 3 * time.Second // behind its deadline a client still waits, to tell late from lost
-	leavesWithin  = 200 * time.Millisecond
+	minDeadline         = 300 * time.Millisecond
+	disconnectOneIn     = 12              // one in so many requests is abandoned by its client
+	clientTimeoutMargin = 3 * time.Second // time a client waits beyond its deadline, to tell a late answer from a lost one
+	maxDisconnectDelay  = 200 * time.Millisecond
 )
 
 var requests atomic.Uint64
@@ -39,7 +40,7 @@
 		http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// run sends so many requests a second until ctx ends, and waits for the last one's end.
+// run sends requests with random pauses, rate per second on average, until ctx ends. Then it waits for all of them to end.
 func (c *client) run(ctx context.Context, rate float64) {
 	defer c.sending.Wait()
 	for {
@@ -49,19 +50,20 @@
 		case <-ctx.Done():
 			return
 		}
-		q := Request{ID: RequestID(fmt.Sprintf("%016x", requests.Add(1))), Sidecar: c.sidecar, Deadline: between(c.rng, leastDeadline, c.deadline),
+		q := Request{ID: RequestID(fmt.Sprintf("%016x", requests.Add(1))), Sidecar: c.sidecar, Deadline: between(c.rng, minDeadline, c.deadline),
 			Effect: []Effect{Safe, Safe, Keyed, Unsafe}[c.rng.IntN(4)]}
-		leave := time.Duration(0)
-		if c.rng.IntN(leavesOneIn) == 0 {
-			leave = between(c.rng, 5*time.Millisecond, leavesWithin)
+		disconnectAfter := time.Duration(0)
+		if c.rng.IntN(disconnectOneIn) == 0 {
+			disconnectAfter = between(c.rng, 5*time.Millisecond, maxDisconnectDelay)
 		}
-		c.sending.Go(func() { c.send(q, leave) })
+		c.sending.Go(func() { c.send(q, disconnectAfter) })
 	}
 }
 
-// send sends one and records its end. Its client leaves after so long, where that is not 0.
-func (c *client) send(q Request, leave time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), q.Deadline+patienceOver)
+// send sends a request and records its result. If disconnectAfter is not 0, the client closes the connection that long after the request was
+// written.
+func (c *client) send(q Request, disconnectAfter time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), q.Deadline+clientTimeoutMargin)
 	defer cancel()
 	written := make(chan struct{}, 1)
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{WroteRequest: func(info httptrace.WroteRequestInfo) {
@@ -71,7 +73,7 @@
 	}})
 	req, err := newRequest(ctx, c.address, q)
 	if err != nil {
-		panic(err) // of constants
+		panic(err) // unreachable: all parts of the URL are valid
 	}
 	ended := make(chan struct{})
 	go func() {
@@ -85,9 +87,9 @@
 		q.SentAt = c.record.now()
 		q.Refused = err != nil
 	}
-	if leave > 0 {
+	if disconnectAfter > 0 {
 		select {
-		case <-time.After(leave):
+		case <-time.After(disconnectAfter):
 			q.DisconnectedAt = c.record.now()
 			cancel()
 		case <-ended:
@@ -101,9 +103,9 @@
 	c.record.do(func(r *Record) { r.Requests = append(r.Requests, q) })
 }
 
-var errForeign = errors.New("an answer to another request")
+var errWrongRequest = errors.New("response body is not the ID of the request")
 
-// status is that of a whole answer.
+// status sends a request and returns the status of its response. It returns an error if the response is incomplete or belongs to another request.
 func (c *client) status(req *http.Request) (int, error) {
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -115,7 +117,7 @@
 		return 0, err
 	}
 	if resp.StatusCode == http.StatusOK && string(body) != req.Header.Get("X-Request-ID") {
-		return 0, errForeign
+		return 0, errWrongRequest
 	}
 	return resp.StatusCode, nil
 }
--- a/internal/testing/soak/record.go
+++ b/internal/testing/soak/record.go
@@ -15,7 +15,7 @@
 	Unsafe Effect = "unsafe"
 )
 
-// RequestID identifies a request of a client.
+// RequestID identifies a client's request.
 type RequestID string
 
 // Request is a request as its client recorded it. All times are since the start of the load.
@@ -23,13 +23,13 @@
 	ID             RequestID
 	Sidecar        int
 	Effect         Effect
-	SentAt         time.Duration `json:"Begun"` // not before its last byte was written
-	Deadline       time.Duration // of the client
+	SentAt         time.Duration `json:"Begun"` // after its last byte was written
+	Deadline       time.Duration // of the client, from SentAt
 	DisconnectedAt time.Duration `json:"LeftAt"` // time at which the client closed its connection; 0: it did not
-	Status         int           // of the answer; 0: none came
+	Status         int           // of the response; 0: there was none
 	Ended          time.Duration
-	Refused        bool   // the connection was refused
-	Failure        string // why there is no answer
+	Refused        bool   // the sidecar did not get the request: the connection was refused or closed
+	Failure        string // why there is no response
 }
 
 // Attempt is a request as an upstream saw it.
@@ -37,11 +37,11 @@
 	Request  RequestID
 	Upstream string
 	At       time.Duration
-	Timeout  time.Duration `json:"Told"`   // as the sidecar announced it
+	Timeout  time.Duration `json:"Told"`   // announced by the sidecar
 	Rejected bool          `json:"Turned"` // rejected without execution
 }
 
-// Change is the listing of an upstream as draining or removed.
+// Change is a change of the endpoint list that drains or removes an upstream.
 type Change struct {
 	Upstream string
 	Version  int64
@@ -62,13 +62,13 @@
 type ProcessRun struct {
 	Sidecar int
 	Span
-	Ready      time.Duration // 0: never
+	Ready      time.Duration // 0: it never was
 	Terminated time.Duration // when it got SIGTERM; 0: it did not
 	Killed     bool          // by SIGKILL
-	Crashed    string        // its exit status, if the script did not end it
+	Crashed    string        // error or exit status, if the process failed to start or ended by itself
 }
 
-// Record holds all observations of a play.
+// Record holds all observations of a run of a script.
 type Record struct {
 	Grace    time.Duration
 	Requests []Request
@@ -81,12 +81,12 @@
 
 // recorder collects a Record. It is safe for concurrent use.
 type recorder struct {
-	begun time.Time
-	mu    sync.Mutex
+	started time.Time
+	mu      sync.Mutex
 	Record
 }
 
-func (r *recorder) now() time.Duration { return time.Since(r.begun) }
+func (r *recorder) now() time.Duration { return time.Since(r.started) }
 
 func (r *recorder) do(change func(*Record)) {
 	r.mu.Lock()
--- a/internal/testing/soak/rulechecker.go
+++ b/internal/testing/soak/rulechecker.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Rule is a rule of the operators.
+// Rule names a rule of the operators.
 type Rule string
 
 // The rules.
 const (
-	RuleDrain        Rule = "drain"     // no attempt at a draining upstream after the grace since its sidecar was notified
-	RuleLost         Rule = "lost"      // each accepted request gets its answer
-	RuleDuplicate    Rule = "duplicate" // an unsafe request runs once
-	RuleRefusal      Rule = "refusal"   // a refusal of an unsafe request means that it has not run
+	RuleDrain        Rule = "drain"     // no attempt reaches a draining upstream later than Grace after its sidecar was notified
+	RuleLost         Rule = "lost"      // each accepted request gets its response in time
+	RuleDuplicate    Rule = "duplicate" // a non-idempotent request is executed at most once
+	RuleRefusal      Rule = "refusal"   // a rejected non-idempotent request has not been executed
 	RuleDisconnected Rule = "gone"      // no attempt begins after its client has disconnected
-	RuleDeadline     Rule = "deadline"  // no attempt has a longer timeout than its client has left
+	RuleDeadline     Rule = "deadline"  // no attempt's timeout exceeds the time until its client's deadline
 	RuleCrash        Rule = "crash"     // no process ends by itself
 	RuleReady        Rule = "ready"     // a restarted process is ready in time
 )
 
-// The tolerances of the rules and of the observations on a busy machine.
+// The tolerances of the rules, and of observations on a busy machine.
 const (
-	notifyTimeout   = 6 * time.Second // from a change to its notification while discovery can be reached
+	notifyTimeout   = 6 * time.Second // from a change to its notification while discovery is up
 	drainSlack      = 50 * time.Millisecond
-	pauseSlack      = maxPause // a pause between reading a clock and writing
+	pauseSlack      = maxPause // a sidecar can be paused between reading the clock and sending the attempt
 	answerSlack     = 500 * time.Millisecond
 	disconnectSlack = 100 * time.Millisecond
 	deadlineSlack   = 150 * time.Millisecond
-	readyWithin     = 10 * time.Second
+	readyTimeout    = 10 * time.Second
 	machineSlack    = 250 * time.Millisecond
 )
 
@@ -50,18 +50,18 @@
 
 // CheckRules checks a Record against the rules and returns the violations in order of time.
 func CheckRules(r *Record) []Finding {
-	j := ruleChecker{Record: r, requests: map[RequestID]*Request{}, attempts: map[RequestID][]Attempt{}}
+	c := ruleChecker{Record: r, requests: map[RequestID]*Request{}, attempts: map[RequestID][]Attempt{}}
 	for i := range r.Requests {
-		j.requests[r.Requests[i].ID] = &r.Requests[i]
+		c.requests[r.Requests[i].ID] = &r.Requests[i]
 	}
 	for _, a := range r.Attempts {
-		j.attempts[a.Request] = append(j.attempts[a.Request], a)
+		c.attempts[a.Request] = append(c.attempts[a.Request], a)
 	}
-	j.checkAttempts()
-	j.checkRequests()
-	j.checkRuns()
-	slices.SortStableFunc(j.findings, func(a, b Finding) int { return cmp.Compare(a.At, b.At) })
-	return j.findings
+	c.checkAttempts()
+	c.checkRequests()
+	c.checkRuns()
+	slices.SortStableFunc(c.findings, func(a, b Finding) int { return cmp.Compare(a.At, b.At) })
+	return c.findings
 }
 
 type ruleChecker struct {
@@ -71,60 +71,61 @@
 	findings []Finding
 }
 
-func (j *ruleChecker) report(f Finding, format string, args ...any) {
+func (c *ruleChecker) report(f Finding, format string, args ...any) {
 	f.Why = fmt.Sprintf(format, args...)
-	j.findings = append(j.findings, f)
+	c.findings = append(c.findings, f)
 }
 
-func (j *ruleChecker) checkAttempts() {
-	for _, a := range j.Attempts {
-		q := j.requests[a.Request]
+func (c *ruleChecker) checkAttempts() {
+	for _, a := range c.Attempts {
+		q := c.requests[a.Request]
 		if q == nil {
-			j.report(Finding{Rule: RuleDuplicate, At: a.At, Upstream: a.Upstream, Request: a.Request}, "no client sent it")
+			c.report(Finding{Rule: RuleDuplicate, At: a.At, Upstream: a.Upstream, Request: a.Request}, "an upstream got a request that no client sent")
 			continue
 		}
-		at := Finding{At: a.At, Request: a.Request, Sidecar: q.Sidecar, Upstream: a.Upstream}
-		if late := a.At - j.drainKnownAt(a.Upstream, q.Sidecar, a.At); late > j.Grace+drainSlack+pauseSlack+machineSlack {
-			at.Rule = RuleDrain
-			j.report(at, "%v after its drain was told", late)
+		finding := Finding{At: a.At, Request: a.Request, Sidecar: q.Sidecar, Upstream: a.Upstream}
+		if late := a.At - c.drainKnownAt(a.Upstream, q.Sidecar, a.At); late > c.Grace+drainSlack+pauseSlack+machineSlack {
+			finding.Rule = RuleDrain
+			c.report(finding, "the attempt began %v after the sidecar was notified of the drain", late)
 		}
 		if q.DisconnectedAt > 0 && a.At > q.DisconnectedAt+disconnectSlack+pauseSlack+machineSlack {
-			at.Rule = RuleDisconnected
-			j.report(at, "begun %v after its client had gone", a.At-q.DisconnectedAt)
+			finding.Rule = RuleDisconnected
+			c.report(finding, "the attempt began %v after the client had disconnected", a.At-q.DisconnectedAt)
 		}
 		if left := q.SentAt + q.Deadline - a.At; a.Timeout > left+deadlineSlack+machineSlack {
-			at.Rule = RuleDeadline
-			j.report(at, "told %v, and its client has %v left", a.Timeout, left)
+			finding.Rule = RuleDeadline
+			c.report(finding, "the attempt announced a timeout of %v, but the client had %v left", a.Timeout, left)
 		}
 	}
 }
 
-// drainKnownAt returns when a sidecar was notified, before then, that an upstream drains or is removed; a time far ahead if it was not.
-func (j *ruleChecker) drainKnownAt(upstream string, sidecar int, then time.Duration) time.Duration {
-	told := time.Duration(1<<62 - 1)
-	i := slices.IndexFunc(j.Changes, func(c Change) bool { return c.Upstream == upstream })
-	if i < 0 || j.Changes[i].At > then {
-		return told
+// drainKnownAt returns when the sidecar's process that ran at the time then knew that an upstream drains or is removed. It returns a time in the
+// far future if the upstream had not changed by then, or if no process had been started.
+func (c *ruleChecker) drainKnownAt(upstream string, sidecar int, then time.Duration) time.Duration {
+	knownAt := time.Duration(1<<62 - 1)
+	i := slices.IndexFunc(c.Changes, func(candidate Change) bool { return candidate.Upstream == upstream })
+	if i < 0 || c.Changes[i].At > then {
+		return knownAt
 	}
-	change := j.Changes[i]
-	life := j.runAt(sidecar, then)
-	if life == nil {
-		return told
+	change := c.Changes[i]
+	run := c.runAt(sidecar, then)
+	if run == nil {
+		return knownAt
 	}
-	told = j.knownWithoutWrite(max(change.At, life.From))
-	for _, w := range j.Writes {
-		if w.Sidecar == sidecar && w.Version >= change.Version && w.At >= life.From {
-			told = min(told, w.At)
+	knownAt = c.notificationDeadline(max(change.At, run.From))
+	for _, w := range c.Writes {
+		if w.Sidecar == sidecar && w.Version >= change.Version && w.At >= run.From {
+			knownAt = min(knownAt, w.At)
 		}
 	}
-	return told
+	return knownAt
 }
 
-// knownWithoutWrite returns by when a sidecar has to know a change that was not written to it: notifyTimeout after the change, during
-// which discovery could be reached throughout.
-func (j *ruleChecker) knownWithoutWrite(at time.Duration) time.Duration {
+// notificationDeadline returns the time by which a sidecar must know a change even if no write to it was recorded: notifyTimeout after the change,
+// or after the end of an outage of discovery within that time.
+func (c *ruleChecker) notificationDeadline(at time.Duration) time.Duration {
 	due := at + notifyTimeout
-	for _, outage := range j.Outages { // in order of time
+	for _, outage := range c.Outages { // in order of time
 		if outage.From < due && outage.To > at {
 			due = outage.To + notifyTimeout
 		}
@@ -132,58 +133,59 @@
 	return due
 }
 
-// runAt returns the last process of a sidecar that was started by a time; nil if there is none.
-func (j *ruleChecker) runAt(sidecar int, at time.Duration) *ProcessRun {
-	for i := range slices.Backward(j.Runs) {
-		if l := &j.Runs[i]; l.Sidecar == sidecar && l.From <= at {
-			return l
+// runAt returns the last process of a sidecar that was started at or before a time, or nil if there is none.
+func (c *ruleChecker) runAt(sidecar int, at time.Duration) *ProcessRun {
+	for i := range slices.Backward(c.Runs) {
+		if run := &c.Runs[i]; run.Sidecar == sidecar && run.From <= at {
+			return run
 		}
 	}
 	return nil
 }
 
-func (j *ruleChecker) checkRequests() {
-	for i := range j.Requests {
-		q := &j.Requests[i]
-		at := Finding{At: q.SentAt, Request: q.ID, Sidecar: q.Sidecar}
-		ran := j.executions(q.ID)
+func (c *ruleChecker) checkRequests() {
+	for i := range c.Requests {
+		q := &c.Requests[i]
+		finding := Finding{At: q.SentAt, Request: q.ID, Sidecar: q.Sidecar}
+		ran := c.executions(q.ID)
 		if q.Effect == Unsafe && ran > 1 {
-			at.Rule = RuleDuplicate
-			j.report(at, "it ran %d times", ran)
+			finding.Rule = RuleDuplicate
+			c.report(finding, "the non-idempotent request was executed %d times", ran)
 		}
 		if q.Effect == Unsafe && ran > 0 && (q.Status == 503 || q.Status == 429) {
-			at.Rule = RuleRefusal
-			j.report(at, "refused with %d, and it ran", q.Status)
+			finding.Rule = RuleRefusal
+			c.report(finding, "the request was rejected with status %d, but was executed", q.Status)
 		}
-		j.checkAnswer(q, at)
+		c.checkAnswer(q, finding)
 	}
 }
 
-// checkAnswer checks that a request got its answer in time. Clients that disconnected or whose process was killed need not get one.
-func (j *ruleChecker) checkAnswer(q *Request, at Finding) {
-	if q.DisconnectedAt > 0 || q.Refused || j.killed(q) {
+// checkAnswer checks that a request got its response in time. It passes over requests whose client disconnected, whose connection was refused, or
+// whose process was killed.
+func (c *ruleChecker) checkAnswer(q *Request, finding Finding) {
+	if q.DisconnectedAt > 0 || q.Refused || c.hitByKill(q) {
 		return
 	}
-	at.Rule = RuleLost
+	finding.Rule = RuleLost
 	took := q.Ended - q.SentAt
 	switch {
 	case q.Status == 0:
-		j.report(at, "no answer after %v: %s", took, q.Failure)
+		c.report(finding, "no response after %v: %s", took, q.Failure)
 	case took > q.Deadline+answerSlack+pauseSlack+machineSlack:
-		j.report(at, "answered after %v of %v", took, q.Deadline)
+		c.report(finding, "the response took %v, with a deadline of %v", took, q.Deadline)
 	}
 }
 
-func (j *ruleChecker) killed(q *Request) bool {
-	return slices.ContainsFunc(j.Runs, func(l ProcessRun) bool {
-		return l.Sidecar == q.Sidecar && l.Killed && q.SentAt <= l.To+machineSlack && q.Ended >= l.To-machineSlack
+func (c *ruleChecker) hitByKill(q *Request) bool {
+	return slices.ContainsFunc(c.Runs, func(run ProcessRun) bool {
+		return run.Sidecar == q.Sidecar && run.Killed && q.SentAt <= run.To+machineSlack && q.Ended >= run.To-machineSlack
 	})
 }
 
 // executions returns the number of attempts of a request that may have been executed.
-func (j *ruleChecker) executions(id RequestID) int {
+func (c *ruleChecker) executions(id RequestID) int {
 	n := 0
-	for _, a := range j.attempts[id] {
+	for _, a := range c.attempts[id] {
 		if !a.Rejected {
 			n++
 		}
@@ -191,16 +193,16 @@
 	return n
 }
 
-func (j *ruleChecker) checkRuns() {
-	for _, l := range j.Runs {
-		at := Finding{At: l.To, Sidecar: l.Sidecar}
-		if l.Crashed != "" {
-			at.Rule = RuleCrash
-			j.report(at, "its process ended: %s", l.Crashed)
+func (c *ruleChecker) checkRuns() {
+	for _, run := range c.Runs {
+		finding := Finding{At: run.To, Sidecar: run.Sidecar}
+		if run.Crashed != "" {
+			finding.Rule = RuleCrash
+			c.report(finding, "the process crashed: %s", run.Crashed)
 		}
-		if begun := l.From; begun > 0 && (l.Ready == 0 || l.Ready > begun+readyWithin) {
-			at.Rule, at.At = RuleReady, begun
-			j.report(at, "its process was not ready in %v", readyWithin)
+		if started := run.From; started > 0 && (run.Ready == 0 || run.Ready > started+readyTimeout) {
+			finding.Rule, finding.At = RuleReady, started
+			c.report(finding, "the process was not ready within %v", readyTimeout)
 		}
 	}
 }
--- a/internal/testing/soak/rulechecker_test.go
+++ b/internal/testing/soak/rulechecker_test.go
@@ -11,7 +11,7 @@
 	s  = time.Second
 )
 
-// healthy is a record without a finding: one sidecar, a drain that is written to it, one request of each effect.
+// healthy returns a record that breaks no rule: one sidecar, a drain of which it was notified, and one non-idempotent request.
 func healthy() *Record {
 	return &Record{Grace: 250 * ms,
 		Runs:     []ProcessRun{{Sidecar: 0, Span: Span{From: 0, To: 30 * s}, Ready: 100 * ms, Terminated: 29 * s}},
@@ -23,7 +23,7 @@
 	}
 }
 
-// Guards against a referee that cannot fail: each rule is broken once in an otherwise healthy record.
+// Guards against a rule checker that finds no violation. Cases break each rule in an otherwise healthy record; others change it within the rules.
 func TestEachRuleIsJudged(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -31,43 +31,43 @@
 		want []Rule
 	}{
 		{"healthy", func(*Record) {}, nil},
-		{"after a drain was written", func(r *Record) { r.Attempts[0].Upstream = "u0" }, []Rule{RuleDrain}},
-		{"within the grace of one that was written", func(r *Record) {
+		{"attempt after the grace of a drain", func(r *Record) { r.Attempts[0].Upstream = "u0" }, []Rule{RuleDrain}},
+		{"attempt within the grace of a drain", func(r *Record) {
 			r.Attempts[0].Upstream, r.Writes[1].At = "u0", 10*s-200*ms
 		}, nil},
-		{"after a drain that was written to nobody", func(r *Record) {
+		{"attempt after the notification deadline of a drain without a write", func(r *Record) {
 			r.Attempts[0].Upstream, r.Writes = "u0", nil
-			r.Changes[0].At = 3 * s // told 6 s behind the outage
+			r.Changes[0].At = 3 * s // must be known 6 s after the end of the outage
 			r.Attempts[0].At, r.Attempts[0].Timeout = 10*s+900*ms, 0
 		}, []Rule{RuleDrain}},
-		{"before one that was written to nobody is told", func(r *Record) { r.Attempts[0].Upstream, r.Writes = "u0", nil }, nil},
-		{"a new process that was told nothing", func(r *Record) {
+		{"attempt before the notification deadline of a drain without a write", func(r *Record) { r.Attempts[0].Upstream, r.Writes = "u0", nil }, nil},
+		{"new process without a notification", func(r *Record) {
 			r.Attempts[0].Upstream = "u0"
 			r.Runs[0].To = 9 * s
 			r.Runs = append(r.Runs, ProcessRun{Sidecar: 0, Span: Span{From: 9500 * ms}, Ready: 9600 * ms})
 		}, nil},
-		{"an unsafe request that runs twice", func(r *Record) {
+		{"non-idempotent request executed twice", func(r *Record) {
 			r.Attempts = append(r.Attempts, Attempt{Request: "1", Upstream: "u2", At: 10*s + 5*ms, Timeout: s})
 		}, []Rule{RuleDuplicate}},
-		{"one that was turned away first", func(r *Record) {
+		{"non-idempotent request executed once and rejected once", func(r *Record) {
 			r.Attempts = append(r.Attempts, Attempt{Request: "1", Upstream: "u2", At: 10*s + 5*ms, Timeout: s, Rejected: true})
 		}, nil},
-		{"a request that nobody sent", func(r *Record) { r.Attempts[0].Request = "2" }, []Rule{RuleDuplicate}},
-		{"refused, and it ran", func(r *Record) { r.Requests[0].Status = 503 }, []Rule{RuleRefusal}},
-		{"failed, and it ran", func(r *Record) { r.Requests[0].Status = 502 }, nil},
-		{"no answer", func(r *Record) { r.Requests[0].Status, r.Requests[0].Failure = 0, "EOF" }, []Rule{RuleLost}},
-		{"an answer too late", func(r *Record) { r.Requests[0].Ended = 13 * s }, []Rule{RuleLost}},
-		{"no answer of a killed process", func(r *Record) {
+		{"attempt without a request", func(r *Record) { r.Attempts[0].Request = "2" }, []Rule{RuleDuplicate}},
+		{"rejected, but executed", func(r *Record) { r.Requests[0].Status = 503 }, []Rule{RuleRefusal}},
+		{"failed and executed", func(r *Record) { r.Requests[0].Status = 502 }, nil},
+		{"no response", func(r *Record) { r.Requests[0].Status, r.Requests[0].Failure = 0, "EOF" }, []Rule{RuleLost}},
+		{"response too late", func(r *Record) { r.Requests[0].Ended = 13 * s }, []Rule{RuleLost}},
+		{"no response from a killed process", func(r *Record) {
 			r.Requests[0].Status, r.Runs[0].Killed, r.Runs[0].To = 0, true, 10*s+10*ms
 		}, nil},
-		{"no connection", func(r *Record) { r.Requests[0].Status, r.Requests[0].Refused, r.Attempts = 0, true, nil }, nil},
-		{"for a client that has gone", func(r *Record) {
+		{"connection refused", func(r *Record) { r.Requests[0].Status, r.Requests[0].Refused, r.Attempts = 0, true, nil }, nil},
+		{"attempt after the client disconnected", func(r *Record) {
 			r.Requests[0].DisconnectedAt = 10*s + 100*ms
 			r.Attempts = append(r.Attempts, Attempt{Request: "1", Upstream: "u2", At: 10*s + 700*ms, Rejected: true})
 		}, []Rule{RuleDisconnected}},
-		{"more time than its client has", func(r *Record) { r.Attempts[0].Timeout = 2 * s }, []Rule{RuleDeadline}},
-		{"a process that ends", func(r *Record) { r.Runs[0].Crashed = "exit status 2" }, []Rule{RuleCrash}},
-		{"a process that is never ready", func(r *Record) {
+		{"timeout longer than the client's remaining time", func(r *Record) { r.Attempts[0].Timeout = 2 * s }, []Rule{RuleDeadline}},
+		{"process that crashes", func(r *Record) { r.Runs[0].Crashed = "exit status 2" }, []Rule{RuleCrash}},
+		{"process that is never ready", func(r *Record) {
 			r.Runs = append(r.Runs, ProcessRun{Sidecar: 1, Span: Span{From: 5 * s}})
 		}, []Rule{RuleReady}},
 	} {
@@ -78,31 +78,32 @@
 			got = append(got, f.Rule)
 		}
 		if !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, want %v: %v", c.name, got, c.want, CheckRules(r))
+			t.Errorf("%s: rules broken: %v, want %v; findings: %v", c.name, got, c.want, CheckRules(r))
 		}
 	}
 }
 
-// Guards against a seed that does not say what is played, and against steps that nobody can judge.
+// Guards against a seed that gives different scripts, and against steps that the rule checker can't check: steps outside the script's time, too
+// many draining upstreams, and pauses beyond the tolerance.
 func TestDraw(t *testing.T) {
 	for seed := range uint64(500) {
 		a, b := Draw(seed, 25*s), Draw(seed, 25*s)
 		if !slices.Equal(a.Steps, b.Steps) {
-			t.Fatalf("seed %d: two scripts", seed)
+			t.Fatalf("seed %d: two calls of Draw returned different steps", seed)
 		}
-		left := map[int]bool{}
+		draining := map[int]bool{}
 		for _, step := range a.Steps {
 			if step.At < 0 || step.At > a.Length-quietEnd {
-				t.Errorf("seed %d: %s at %v of %v", seed, step.Kind, step.At, a.Length)
+				t.Errorf("seed %d: step %s begins at %v of %v, outside the time in which steps may begin", seed, step.Kind, step.At, a.Length)
 			}
 			if step.Kind == Drain || step.Kind == Remove {
-				if left[step.Target] || len(left) >= a.Upstreams/drainDivisor {
-					t.Errorf("seed %d: upstream %d leaves, %d before it", seed, step.Target, len(left))
+				if draining[step.Target] || len(draining) >= a.Upstreams/drainDivisor {
+					t.Errorf("seed %d: upstream %d drains or is removed again, or after too many others (%d)", seed, step.Target, len(draining))
 				}
-				left[step.Target] = true
+				draining[step.Target] = true
 			}
 			if step.Kind == Pause && step.For > maxPause {
-				t.Errorf("seed %d: held up for %v", seed, step.For)
+				t.Errorf("seed %d: a sidecar is paused for %v, longer than maxPause", seed, step.For)
 			}
 		}
 	}
--- a/internal/testing/soak/script.go
+++ b/internal/testing/soak/script.go
@@ -7,56 +7,56 @@
 	"time"
 )
 
-// StepKind is the kind of a step.
+// StepKind is the kind of a step. Its value stands in reports.
 type StepKind string
 
-// The kinds of steps. Those that last end after Step.For.
+// The kinds of steps. The effect of a kind with a duration ends after Step.For.
 const (
-	DiscoveryDown    StepKind = "discovery down"    // calls fail and watches end
-	DiscoveryRefuses StepKind = "discovery refuses" // the first calls at each address are rejected
-	WatchesReset     StepKind = "watches reset"
-	WatchesSilent    StepKind = "watches silent"      // open calls and watches get no more bytes
-	Drain            StepKind = "drain"               // an upstream is listed as draining; it serves on
+	DiscoveryDown    StepKind = "discovery down"      // calls fail and watches end
+	DiscoveryRefuses StepKind = "discovery refuses"   // discovery rejects the next Count calls at each address
+	WatchesReset     StepKind = "watches reset"       // discovery closes all watches
+	WatchesSilent    StepKind = "watches silent"      // open calls and watches stay open but get no more bytes
+	Drain            StepKind = "drain"               // an upstream is listed as draining but continues to serve
 	Remove           StepKind = "remove"              // an upstream is removed from the list
-	Reload           StepKind = "reload"              // a sidecar's configuration names another address of discovery
-	Terminate        StepKind = "terminate"           // SIGTERM, and a new start once the process has ended
-	Kill             StepKind = "kill"                // SIGKILL and a new start
-	TerminateSeries  StepKind = "terminate in series" // the same, with SIGHUP and SIGTERM again and again until it ends
-	Crowd            StepKind = "crowd"               // Count connections to a sidecar within For; every second one stays idle
-	Pause            StepKind = "pause"               // SIGSTOP, and SIGCONT
-	UpstreamHangs    StepKind = "upstream hangs"
-	UpstreamResets   StepKind = "upstream resets" // connections close under requests that have begun
+	Reload           StepKind = "reload"              // a sidecar's configuration gets another address of discovery, then SIGHUP
+	Terminate        StepKind = "terminate"           // SIGTERM, and a new process once the old one has ended
+	Kill             StepKind = "kill"                // SIGKILL, and a new process
+	TerminateSeries  StepKind = "terminate in series" // as Terminate, with SIGHUP and SIGTERM in turn until the process has ended
+	Crowd            StepKind = "crowd"               // Count connections to a sidecar are opened within For; every second one stays idle
+	Pause            StepKind = "pause"               // SIGSTOP, and SIGCONT after For
+	UpstreamHangs    StepKind = "upstream hangs"      // an upstream does not answer requests that arrive within For
+	UpstreamResets   StepKind = "upstream resets"     // an upstream closes the connections of requests that arrive within For
 )
 
 // Step is one fault or change.
 type Step struct {
-	At     time.Duration // since the load began
+	At     time.Duration // from the start of the load
 	Kind   StepKind
-	Target int           // a sidecar or an upstream, where the kind has one
-	For    time.Duration // how long it lasts
-	Count  int           // of DiscoveryRefuses: calls; of Crowd: connections
+	Target int           // number of the sidecar or upstream, if the kind has one
+	For    time.Duration // duration, if the kind has one
+	Count  int           // number of calls for DiscoveryRefuses, of connections for Crowd
 }
 
-// Script holds the settings and steps of a seed.
+// Script holds the settings and steps that Draw derives from a seed.
 type Script struct {
 	Seed      uint64
 	Sidecars  int
 	Upstreams int
 	Length    time.Duration
-	Grace     time.Duration // for requests to an upstream that drains
-	Deadline  time.Duration // the longest of a request
-	CallRate  float64       // calls that discovery answers per second
-	CallLimit time.Duration // a call that would wait longer is rejected
-	Rate      float64       // requests a second of each sidecar
+	Grace     time.Duration // time in which a draining upstream may still get requests
+	Deadline  time.Duration // longest deadline of a request
+	CallRate  float64       // rate limit of discovery, calls per second
+	CallLimit time.Duration // discovery rejects a call that would wait longer for the rate limit
+	Rate      float64       // requests per second to each sidecar
 	Steps     []Step
 }
 
 const (
 	maxPause     = 150 * time.Millisecond // longest pause of a sidecar
-	quietEnd     = 9 * time.Second        // at the end of a script no step begins, so that late requests are seen
+	quietEnd     = 9 * time.Second        // at the end of a script, without new steps, so that late requests are observed
 	quietBegin   = time.Second
 	minLength    = quietBegin + quietEnd + time.Second
-	drainDivisor = 3 // of the upstreams one in so many drains or goes at most
+	drainDivisor = 3 // at most one in so many upstreams drains or is removed
 	maxRefusals  = 6
 
 	minCrowd    = 100 // connections
@@ -64,13 +64,13 @@
 	crowdLength = time.Second
 )
 
-// Draw returns the script of a seed with a total length.
+// Draw returns the script of a seed. Its length is at least minLength.
 func Draw(seed uint64, length time.Duration) Script {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	s := Script{Seed: seed, Length: max(length, minLength), Sidecars: 3 + rng.IntN(4), Upstreams: 6 + rng.IntN(7), Rate: 15,
 		Grace: between(rng, 100*time.Millisecond, 400*time.Millisecond), Deadline: between(rng, 600*time.Millisecond, 3*time.Second),
 		CallLimit: time.Second}
-	s.CallRate = float64(s.Sidecars) / (1 + 1.2*rng.Float64()) // each has a call in 1 to 2.2 s
+	s.CallRate = float64(s.Sidecars) / (1 + 1.2*rng.Float64()) // one call per sidecar in 1 to 2.2 s
 	d := drawer{script: &s, rng: rng, last: s.Length - quietEnd, restarts: map[int]time.Duration{}}
 	d.outage()
 	for range int(d.last/time.Second) * 2 / 3 {
@@ -80,20 +80,20 @@
 	return s
 }
 
-// drawer adds steps to a script.
+// drawer draws the steps of a script.
 type drawer struct {
 	script   *Script
 	rng      *rand.Rand
-	last     time.Duration         // no step begins later
-	draining int                   // upstreams that drain or are gone
-	restarts map[int]time.Duration // until when a sidecar is held to be starting
+	last     time.Duration         // latest time at which a step may begin
+	draining int                   // upstreams that drain or are removed by a step
+	restarts map[int]time.Duration // time of a sidecar's last added restart
 }
 
 func (d *drawer) add(s Step) { d.script.Steps = append(d.script.Steps, s) }
 
 func (d *drawer) moment() time.Duration { return between(d.rng, quietBegin, d.last) }
 
-// outage adds an outage of discovery, with drains, rejections and reloads after its end.
+// outage adds an outage of discovery and, after its end, rejected calls, a drain or removal, and reloads of all sidecars.
 func (d *drawer) outage() {
 	length := between(d.rng, time.Second, max(2*time.Second, min(9*time.Second, d.last/2)))
 	at := between(d.rng, quietBegin, max(quietBegin+time.Millisecond, d.last-length))
@@ -108,7 +108,7 @@
 	}
 }
 
-// reloads adds a series of reloads of a sidecar.
+// reloads adds one to four reloads of a sidecar.
 func (d *drawer) reloads(sidecar int, at time.Duration) {
 	for range 1 + d.rng.IntN(4) {
 		if at < d.last {
@@ -126,7 +126,7 @@
 	if d.rng.IntN(3) == 0 {
 		kind = Remove
 	}
-	d.add(Step{At: at, Kind: kind, Target: d.draining}) // each upstream once
+	d.add(Step{At: at, Kind: kind, Target: d.draining}) // each upstream is the target at most once
 	d.draining++
 }
 
@@ -156,7 +156,7 @@
 	}
 }
 
-// restart ends a sidecar's process, each once at a time.
+// restart adds a restart of a sidecar, unless another restart of it is less than 6 s away.
 func (d *drawer) restart(sidecar int, at time.Duration) {
 	const busy = 6 * time.Second
 	if last, ok := d.restarts[sidecar]; ok && at < last+busy && at > last-busy {
@@ -164,21 +164,22 @@
 	}
 	d.restarts[sidecar] = at
 	kind := []StepKind{Terminate, TerminateSeries, Kill}[d.rng.IntN(3)]
-	if kind != Kill && d.rng.IntN(2) == 0 { // connections come until nothing more is accepted
+	if kind != Kill && d.rng.IntN(2) == 0 { // new connections arrive until the process no longer accepts them
 		d.add(Step{At: at, Kind: Crowd, Target: sidecar, For: crowdLength, Count: minCrowd + d.rng.IntN(maxCrowd-minCrowd)})
 	}
 	d.add(Step{At: at, Kind: kind, Target: sidecar})
-	if d.rng.IntN(2) == 0 { // its requests in flight hang
+	if d.rng.IntN(2) == 0 { // requests in flight hang when the process ends
 		d.add(Step{At: max(0, at-between(d.rng, 0, 300*time.Millisecond)), Kind: UpstreamHangs, Target: d.remainingUpstream(),
 			For: between(d.rng, 500*time.Millisecond, 4*time.Second)})
 	}
 }
 
-// remainingUpstream returns an upstream that never drains.
+// remainingUpstream returns an upstream that no step drains or removes.
 func (d *drawer) remainingUpstream() int {
 	return d.script.Upstreams - 1 - d.rng.IntN(d.script.Upstreams/2)
 }
 
+// between returns a random duration from least up to, but not including, most; it returns least if most is not longer.
 func between(rng *rand.Rand, least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -13,18 +13,21 @@
 )
 
 var (
-	seeds    = flag.Int("seeds", 2, "how many seeds are played")
-	start    = flag.Uint64("seed", 1, "the first seed")
-	length   = flag.Duration("for", 25*time.Second, "how long each is played")
-	reportTo = flag.String("report", "", "a directory for the script, the record and the findings of each seed that breaks a rule")
+	seeds    = flag.Int("seeds", 2, "number of seeds to run")
+	start    = flag.Uint64("seed", 1, "first seed")
+	length   = flag.Duration("for", 25*time.Second, "length of the script of each seed")
+	reportTo = flag.String("report", "", "directory to which the script, record and findings of each seed with a finding are written")
 )
 
 func TestMain(m *testing.M) { os.Exit(processes.Main(m)) }
 
-// The soak: go test ./internal/testing/soak -run Soak -v -timeout 2h -parallel 4 -seeds 50 -report DIR. A seed fails if there are findings.
+// TestSoak runs the script of each seed and checks the record against the rules. A seed fails if it has findings, or if fewer than half of its
+// requests were served. A longer run:
+//
+//	go test ./internal/testing/soak -run Soak -v -timeout 2h -parallel 4 -seeds 50 -report DIR
 func TestSoak(t *testing.T) {
 	if testing.Short() {
-		t.Skip("takes a minute")
+		t.Skip("the soak test takes a minute")
 	}
 	for seed := *start; seed < *start+uint64(*seeds); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -43,14 +46,16 @@
 				report(t, script, record, findings)
 			}
 			if len(record.Requests) == 0 || served(record)*2 < len(record.Requests) {
-				t.Errorf("%d of %d requests were served", served(record), len(record.Requests))
+				t.Errorf("%d of %d requests were served, want at least half", served(record), len(record.Requests))
 			}
 		})
 	}
 }
 
+// maxFindings limits the findings that are printed for a seed.
 const maxFindings = 20
 
+// served returns the number of requests that were answered with status 200.
 func served(r *Record) int {
 	n := 0
 	for _, q := range r.Requests {
@@ -61,6 +66,7 @@
 	return n
 }
 
+// report writes the script, record and findings of a seed to a JSON file.
 func report(t *testing.T, script Script, record *Record, findings []Finding) {
 	t.Helper()
 	text, err := json.MarshalIndent(map[string]any{"script": script, "findings": findings, "record": record}, "", " ")
--- a/internal/testing/soak/upstream.go
+++ b/internal/testing/soak/upstream.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// upstream is a fake that answers each request with its id and records its arrival.
+// upstream is a fake upstream. It records the arrival of each request and answers with the request's ID.
 type upstream struct {
 	name    string
 	address string
@@ -20,15 +20,15 @@
 
 	mu      sync.Mutex
 	rng     *rand.Rand
-	hangs   time.Time // requests that arrive until then are not answered
-	resets  time.Time // connections of requests that arrive until then are reset
+	hangs   time.Time // requests that arrive before this time are not answered
+	resets  time.Time // connections of requests that arrive before this time are closed without a response
 	release chan struct{}
 }
 
 const (
 	minServiceTime     = 2 * time.Millisecond
 	maxServiceTime     = 40 * time.Millisecond
-	longOneIn          = 8 // requests, whose work is up to maxLongServiceTime
+	longOneIn          = 8 // one in so many requests takes up to maxLongServiceTime
 	maxLongServiceTime = 500 * time.Millisecond
 )
 
@@ -39,7 +39,7 @@
 	}
 	u := &upstream{name: name, address: l.Addr().String(), record: record, rng: rand.New(rand.NewPCG(seed, 0x7570)), release: make(chan struct{})}
 	u.server = &http.Server{Handler: u, ReadHeaderTimeout: 10 * time.Second}
-	go func() { _ = u.server.Serve(l) }() // ends with close
+	go func() { _ = u.server.Serve(l) }() // returns when close closes the server
 	return u, nil
 }
 
@@ -60,7 +60,7 @@
 	u.resets = time.Now().Add(d)
 }
 
-// behavior draws the service time of a request, and returns the faults of now.
+// behavior draws the service time of a request and returns which faults are active now.
 func (u *upstream) behavior() (work time.Duration, hangs, resets bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -82,9 +82,9 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	told := timeout(r.Header.Get("X-Timeout"))
+	announced := parseTimeout(r.Header.Get("X-Timeout"))
 	u.record.do(func(record *Record) {
-		record.Attempts = append(record.Attempts, Attempt{Request: id, Upstream: u.name, At: u.record.now(), Timeout: told})
+		record.Attempts = append(record.Attempts, Attempt{Request: id, Upstream: u.name, At: u.record.now(), Timeout: announced})
 	})
 	work, hangs, resets := u.behavior()
 	var done <-chan time.Time
@@ -104,8 +104,8 @@
 	_, _ = io.WriteString(w, string(id))
 }
 
-// timeout parses the value of X-Timeout; 0 if it is malformed.
-func timeout(text string) time.Duration {
+// parseTimeout parses a value of X-Timeout, such as 250m for 250 ms or 250u for 250 µs. It returns 0 for a malformed value.
+func parseTimeout(text string) time.Duration {
 	unit := time.Millisecond
 	if strings.HasSuffix(text, "u") {
 		unit = time.Microsecond
