--- a/internal/testing/repository/doc.go
+++ b/internal/testing/repository/doc.go
@@ -1,3 +1,3 @@
-// Package repository checks the repository as a whole: which package may import which, what a decision package may use, and that no
-// page names a path or a package that is not there. It holds tests only.
+// Package repository checks the repository as a whole: which packages may import which, what decision packages may use, and that the paths
+// and packages that pages and comments name exist. It contains only tests.
 package repository
--- a/internal/testing/repository/docs_test.go
+++ b/internal/testing/repository/docs_test.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// pathInText is what a page or a comment writes for a folder or file of this repository.
+// pathInText matches the path of a folder or file of this repository in a page or comment.
 var pathInText = regexp.MustCompile(`\b(?:internal|cmd|balancer|grpcbalancer|orchidgrpc|docs|deploy|lab)/[A-Za-z0-9_][A-Za-z0-9_./-]*`)
 
-// goodPath tells whether a path from a text is there; a trailing full stop, or ".Name" of an identifier, is not a part of it.
-func goodPath(path string) bool {
+// pathExists reports whether a path from a text exists. It ignores trailing punctuation and the ".Name" of an identifier.
+func pathExists(path string) bool {
 	path = strings.TrimRight(path, "./-")
 	for {
 		if _, err := os.Stat(filepath.Join(root, path)); !errors.Is(err, fs.ErrNotExist) {
@@ -28,24 +28,25 @@
 	}
 }
 
-// checkPaths reports the paths of a text that are not there.
+// checkPaths fails the test for each path in a text that does not exist.
 func checkPaths(t *testing.T, name, text string) {
 	t.Helper()
 	for number, line := range strings.Split(text, "\n") {
 		for _, at := range pathInText.FindAllStringIndex(line, -1) {
-			if at[0] > 0 && strings.ContainsAny(line[at[0]-1:at[0]], "/.-:_") { // a part of a longer path, of a URL or of another name
+			if at[0] > 0 && strings.ContainsAny(line[at[0]-1:at[0]], "/.-:_") { // the match is a part of a longer path, URL or name
 				if !strings.HasPrefix(line[max(0, at[0]-2):], "./") {
 					continue
 				}
 			}
-			if path := line[at[0]:at[1]]; !goodPath(path) {
-				t.Errorf("%s:%d: %s is not there", name, number+1, path)
+			if path := line[at[0]:at[1]]; !pathExists(path) {
+				t.Errorf("%s:%d: path %s does not exist", name, number+1, path)
 			}
 		}
 	}
 }
 
-// No page names a folder, file or package that is not there; the changelog, whose entries tell of releases before, may.
+// Guards against pages that name folders, files or packages that were renamed or removed. The changelog may name them, since its entries describe
+// earlier releases.
 func TestPagesNameWhatIsThere(t *testing.T) {
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -69,7 +70,7 @@
 	}
 }
 
-// No comment names a folder, file or package that is not there.
+// Guards against comments that name folders, files or packages that were renamed or removed.
 func TestCommentsNameWhatIsThere(t *testing.T) {
 	files, _ := sources(t)
 	for _, file := range files {
@@ -78,7 +79,7 @@
 			t.Fatal(err)
 		}
 		lines := strings.Split(string(text), "\n")
-		for i, line := range lines { // what stands before a comment is dropped, so that line numbers stay
+		for i, line := range lines { // keeps only the comment of each line, so that line numbers stay correct
 			_, lines[i], _ = strings.Cut(line, "//")
 		}
 		checkPaths(t, file.path, strings.Join(lines, "\n"))
--- a/internal/testing/repository/imports_test.go
+++ b/internal/testing/repository/imports_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// decisionPackages decide and do nothing else: events and times go in, actions come out. They are the same in service, in a test and in a
-// simulation.
+// decisionPackages contain deterministic decisions only: they take events and times and return actions. The same code therefore runs in
+// production, in tests and in simulations.
 var decisionPackages = []string{
 	"balancer",
 	"internal/admission",
@@ -24,13 +24,13 @@
 	"internal/upstream/prewarm",
 }
 
-// forbiddenImports are packages of the standard library by which a decision would do I/O or run beside its caller.
+// forbiddenImports are packages of the standard library with which a decision package could do I/O or run concurrently with its caller.
 var forbiddenImports = []string{"context", "io", "net", "net/http", "os", "os/exec", "sync", "sync/atomic", "syscall"}
 
-// clockFunctions of package time read the clock or wait.
+// clockFunctions are the functions of package time that read the clock or wait.
 var clockFunctions = []string{"After", "AfterFunc", "NewTicker", "NewTimer", "Now", "Since", "Sleep", "Tick", "Until"}
 
-// A decision package does no I/O, reads no clock and starts no goroutine.
+// Guards against decision packages whose results are not reproducible: they must not do I/O, read the clock or start goroutines.
 func TestDecisionPackagesArePure(t *testing.T) {
 	files, fileset := sources(t)
 	seen := map[string]bool{}
@@ -41,16 +41,16 @@
 		seen[file.folder] = true
 		for _, imported := range file.imports {
 			if slices.Contains(forbiddenImports, imported) {
-				t.Errorf("%s imports %s", file.path, imported)
+				t.Errorf("%s imports %s, which decision packages must not import", file.path, imported)
 			}
 		}
 		ast.Inspect(file.syntax, func(node ast.Node) bool {
 			switch node := node.(type) {
 			case *ast.GoStmt:
-				t.Errorf("%s starts a goroutine", fileset.Position(node.Pos()))
+				t.Errorf("%s: decision package starts a goroutine", fileset.Position(node.Pos()))
 			case *ast.SelectorExpr:
 				if of, ok := node.X.(*ast.Ident); ok && of.Name == "time" && slices.Contains(clockFunctions, node.Sel.Name) {
-					t.Errorf("%s uses time.%s", fileset.Position(node.Pos()), node.Sel.Name)
+					t.Errorf("%s: decision package uses time.%s", fileset.Position(node.Pos()), node.Sel.Name)
 				}
 			}
 			return true
@@ -58,12 +58,13 @@
 	}
 	for _, folder := range decisionPackages {
 		if !seen[folder] {
-			t.Errorf("no package %s", folder)
+			t.Errorf("decision package %s has no source files", folder)
 		}
 	}
 }
 
-// layers are the packages from the lowest up, by their folders or what these begin with. A package imports its own layer and those below.
+// layers are the layers of packages, from the lowest up. A folder includes the folders below it, unless these are listed themselves. A package may
+// import packages of its own layer and of lower ones.
 var layers = []struct {
 	name    string
 	folders []string
@@ -85,7 +86,7 @@
 	{"programs", []string{"cmd"}},
 }
 
-// layerOf returns the layer whose folder is the longest beginning of a package's, or -1.
+// layerOf returns the index of a package's layer, or -1. The layer is the one that lists the package's folder, or its closest parent.
 func layerOf(folder string) int {
 	layer, longest := -1, -1
 	for i, l := range layers {
@@ -98,13 +99,13 @@
 	return layer
 }
 
-// Imports point down: no package knows one of a layer above its own.
+// Guards against imports of packages in a higher layer.
 func TestImportsPointDown(t *testing.T) {
 	files, _ := sources(t)
 	for _, file := range files {
 		own := layerOf(file.folder)
 		if own < 0 {
-			t.Errorf("%s is in no layer", file.folder)
+			t.Errorf("package %s is not listed in layers", file.folder)
 			continue
 		}
 		for _, imported := range file.imports {
@@ -113,7 +114,7 @@
 				continue
 			}
 			if layer := layerOf(folder); layer > own {
-				t.Errorf("%s (%s) imports %s (%s)", file.path, layers[own].name, folder, layers[layer].name)
+				t.Errorf("%s (layer: %s) imports %s of a higher layer (%s)", file.path, layers[own].name, folder, layers[layer].name)
 			}
 		}
 	}
--- a/internal/testing/repository/picture_test.go
+++ b/internal/testing/repository/picture_test.go
@@ -12,16 +12,17 @@
 
 const (
 	architecturePage = "docs/ARCHITECTURE.md"
-	pictureBegin     = "<!-- picture: begin -->\n"
-	pictureEnd       = "<!-- picture: end -->\n"
-	// drawVariable is the environment variable that lets the test write the picture into the page:
+	graphBegin       = "<!-- picture: begin -->\n"
+	graphEnd         = "<!-- picture: end -->\n"
+	// drawVariable is the environment variable with which the test writes the graph into the page:
 	//
 	//	ORCHIDDRIFT_DRAW=1 go test -run Picture ./internal/testing/repository
 	drawVariable = "ORCHIDDRIFT_DRAW"
 )
 
-// family is the folder by which the picture shows a package: a family's own, without the packages below.
-func family(folder string) string {
+// packageGroup returns the name of the node that represents a package in the graph: the folder below internal, for all packages in that folder,
+// or the whole path outside internal.
+func packageGroup(folder string) string {
 	parts := strings.Split(folder, "/")
 	if parts[0] != "internal" {
 		return folder
@@ -29,45 +30,45 @@
 	return parts[1]
 }
 
-// picture draws which family imports which as a Mermaid graph, the layers from the top down. Helpers of the lowest layer are left out, since
-// nearly all packages use them.
-func picture(files []sourceFile) string {
-	members := make([]map[string]bool, len(layers))
-	for i := range members {
-		members[i] = map[string]bool{}
+// drawGraph returns the imports between package groups as a Mermaid graph, with the highest layer first. It omits the lowest layer, whose helpers
+// nearly all packages import.
+func drawGraph(files []sourceFile) string {
+	groupsOfLayer := make([]map[string]bool, len(layers))
+	for i := range groupsOfLayer {
+		groupsOfLayer[i] = map[string]bool{}
 	}
-	layerOfFamily := map[string]int{}
+	layerOfGroup := map[string]int{}
 	for _, file := range files {
-		name := family(file.folder)
-		layerOfFamily[name] = max(layerOfFamily[name], layerOf(file.folder))
+		name := packageGroup(file.folder)
+		layerOfGroup[name] = max(layerOfGroup[name], layerOf(file.folder))
 	}
 	edges := map[string]bool{}
 	for _, file := range files {
-		from := family(file.folder)
-		if layerOfFamily[from] == 0 {
+		from := packageGroup(file.folder)
+		if layerOfGroup[from] == 0 {
 			continue
 		}
-		members[layerOfFamily[from]][from] = true
+		groupsOfLayer[layerOfGroup[from]][from] = true
 		for _, imported := range file.imports {
 			folder, ok := strings.CutPrefix(imported, module+"/")
 			if !ok {
 				continue
 			}
-			to := family(folder)
-			if to != from && layerOfFamily[to] != 0 {
-				edges[fmt.Sprintf("  %s --> %s\n", node(from), node(to))] = true
+			to := packageGroup(folder)
+			if to != from && layerOfGroup[to] != 0 {
+				edges[fmt.Sprintf("  %s --> %s\n", nodeID(from), nodeID(to))] = true
 			}
 		}
 	}
 	var out strings.Builder
 	out.WriteString("```mermaid\ngraph TD\n")
 	for i := len(layers) - 1; i > 0; i-- {
-		if len(members[i]) == 0 {
+		if len(groupsOfLayer[i]) == 0 {
 			continue
 		}
 		fmt.Fprintf(&out, "  subgraph layer%d[\"%s\"]\n", i, layers[i].name)
-		for _, name := range slices.Sorted(maps.Keys(members[i])) {
-			fmt.Fprintf(&out, "    %s[\"%s\"]\n", node(name), name)
+		for _, name := range slices.Sorted(maps.Keys(groupsOfLayer[i])) {
+			fmt.Fprintf(&out, "    %s[\"%s\"]\n", nodeID(name), name)
 		}
 		out.WriteString("  end\n")
 	}
@@ -78,10 +79,10 @@
 	return out.String()
 }
 
-// node is a family's name as Mermaid takes it.
-func node(name string) string { return strings.ReplaceAll(name, "/", "_") }
+// nodeID returns the Mermaid node ID of a package group.
+func nodeID(name string) string { return strings.ReplaceAll(name, "/", "_") }
 
-// The picture of the architecture page is the one that the imports draw.
+// Guards against an outdated graph on the architecture page: it must equal the graph that is drawn from the imports.
 func TestArchitecturePictureFollowsTheImports(t *testing.T) {
 	files, _ := sources(t)
 	path := filepath.Join(root, architecturePage)
@@ -89,19 +90,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, rest, found := strings.Cut(string(text), pictureBegin)
-	drawn, after, ended := strings.Cut(rest, pictureEnd)
+	before, rest, found := strings.Cut(string(text), graphBegin)
+	drawn, after, ended := strings.Cut(rest, graphEnd)
 	if !found || !ended {
-		t.Fatalf("%s has no place for the picture", architecturePage)
+		t.Fatalf("%s lacks the begin or end marker of the import graph", architecturePage)
 	}
-	want := picture(files)
+	want := drawGraph(files)
 	if drawn == want {
 		return
 	}
 	if os.Getenv(drawVariable) != "1" {
-		t.Fatalf("the picture is not the imports': %s=1 go test -run Picture ./internal/testing/repository draws it\n%s", drawVariable, want)
+		t.Fatalf("the graph on the architecture page differs from the imports; update it with %s=1 go test -run Picture ./internal/testing/repository\n%s", drawVariable, want)
 	}
-	if err := os.WriteFile(path, []byte(before+pictureBegin+want+pictureEnd+after), 0o644); err != nil {
+	if err := os.WriteFile(path, []byte(before+graphBegin+want+graphEnd+after), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/testing/repository/source_test.go
+++ b/internal/testing/repository/source_test.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	root   = "../../.." // of the repository
+	root   = "../../.." // of the repository, relative to this package
 	module = "orchiddrift"
 )
 
-// sourceFile is a file of Go code outside the tests.
+// sourceFile is a parsed Go file that is not a test file.
 type sourceFile struct {
-	path    string // from the root
-	folder  string // its package's, from the root
+	path    string // relative to root
+	folder  string // folder of the file, relative to root
 	syntax  *ast.File
 	imports []string
 }
 
-// sources parses all Go files but the tests.
+// sources parses all Go files of the repository other than test files.
 func sources(t *testing.T) (files []sourceFile, fileset *token.FileSet) {
 	t.Helper()
 	fileset = token.NewFileSet()
