--- a/internal/daemon/client_gone_test.go
+++ b/internal/daemon/client_gone_test.go
@@ -17,107 +17,107 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// startLooking starts a daemon that need not be ready, and gives its engine.
-func startLooking(t *testing.T, discovery string, known ...string) (*running, *engine.Engine) {
+// startWithEngine starts a sidecar without waiting until it is ready, and returns it with its engine.
+func startWithEngine(t *testing.T, discovery string, known ...string) (*running, *engine.Engine) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	up := make(chan *engine.Engine, 1)
-	r := startOn(t, testutil.Config(t, discovery, known...), l, func(e *engine.Engine) { up <- e })
-	return r, <-up
+	started := make(chan *engine.Engine, 1)
+	r := startOn(t, testutil.Config(t, discovery, known...), l, func(e *engine.Engine) { started <- e })
+	return r, <-started
 }
 
-// withheld is a discovery that is well and has no list before tell is closed: then it lists upstream s at an address.
-func withheld(t *testing.T, address string) (d *fakes.ScriptedDiscovery, tell chan struct{}) {
+// discoveryWithDelayedList starts a fake discovery that works but has no list until sendList is closed. Then it lists upstream s at address.
+func discoveryWithDelayedList(t *testing.T, address string) (d *fakes.ScriptedDiscovery, sendList chan struct{}) {
 	t.Helper()
-	tell = make(chan struct{})
+	sendList = make(chan struct{})
 	return testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send("")
 		select {
-		case <-tell:
+		case <-sendList:
 			send(testutil.List(1, true, testutil.Entry("s", address, "Ready")))
 		case <-done:
 		}
 		<-done
-	}), tell
+	}), sendList
 }
 
-// pending is how many attempts are out.
-func pending(e *engine.Engine) (n int) {
+// pendingAttempts returns the number of attempts in flight.
+func pendingAttempts(e *engine.Engine) (n int) {
 	for _, u := range e.View() {
 		n += u.Pending
 	}
 	return n
 }
 
-// Guards against requests that are sent for a client that has gone while they waited for the first list, with other requests behind
-// them on the connection: those hide its end from whoever reads it.
+// Guards against requests that are forwarded although their client disconnected while they waited for the first endpoint list. Requests
+// that are pipelined after them on the connection hide its end from a reader.
 func TestClientGoneBehindItsNextRequest(t *testing.T) {
-	for _, behind := range []int{1, 100} { // within one read of the library, and far more
-		t.Run(fmt.Sprint(behind), func(t *testing.T) {
+	for _, pipelined := range []int{1, 100} { // as much as net/http reads at once, and far more
+		t.Run(fmt.Sprint(pipelined), func(t *testing.T) {
 			s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
-			d, tell := withheld(t, s.Address)
-			r, e := startLooking(t, d.Address)
+			d, sendList := discoveryWithDelayedList(t, s.Address)
+			r, e := startWithEngine(t, d.Address)
 			c := dial(t, r.address, nil)
 			c.send(t, "confirm", "")
-			testutil.Eventually(t, "the request waits for the list", func() bool { return e.InFlight() == 1 })
-			for range behind {
+			testutil.Eventually(t, "the request waits for the endpoint list", func() bool { return e.InFlight() == 1 })
+			for range pipelined {
 				c.send(t, "confirm", "")
 			}
 			c.Close()
-			close(tell)
+			close(sendList)
 			other := dial(t, r.address, nil)
 			other.send(t, "search", "")
 			if resp, _, err := other.answer(); err != nil || resp.StatusCode != 200 {
-				t.Fatalf("%v, %v", resp, err)
+				t.Fatalf("request of another client: got %v, error %v; want status 200", resp, err)
 			}
 			other.Close()
 			r.stop()
 			<-r.ended
 			for _, got := range s.Requests() {
 				if got.Method == http.MethodPost {
-					t.Errorf("sent for a client that had gone: %s", got.Header.Get("X-Request-Id"))
+					t.Errorf("request %s was forwarded although its client had disconnected", got.Header.Get("X-Request-Id"))
 				}
 			}
 		})
 	}
 }
 
-// seen waits until nothing is in hand, or long enough for any fault to show: a connection that has not come up is not tried again by the
-// system before a second has passed.
-func seen(e *engine.Engine) {
+// awaitIdle waits until no request is in flight, for 500 ms at most, after which a fault has shown. The system does not retry a connection
+// that was not established within that time: it waits for a second.
+func awaitIdle(e *engine.Engine) {
 	for end := time.Now().Add(500 * time.Millisecond); e.InFlight() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// Guards against the same while the connection to the upstream comes up late.
+// Guards against requests that are forwarded although their client disconnected while the upstream connection was being established.
 func TestClientGoneWhileAConnectionComesUp(t *testing.T) {
 	late := base.NewLateUpstream(t)
-	r, e := startLooking(t, testutil.Quiet(t).Address, testutil.Entry("s", late.Address, "Ready"))
+	r, e := startWithEngine(t, testutil.Quiet(t).Address, testutil.Entry("s", late.Address, "Ready"))
 	c := dial(t, r.address, nil)
 	c.send(t, "confirm", "")
-	testutil.Eventually(t, "the attempt waits for its connection", func() bool { return pending(e) == 1 })
+	testutil.Eventually(t, "the attempt waits for its upstream connection", func() bool { return pendingAttempts(e) == 1 })
 	c.Close()
-	seen(e)
+	awaitIdle(e)
 	late.StartAccepting()
 	other := dial(t, r.address, nil)
 	other.send(t, "search", "")
 	if resp, _, err := other.answer(); err != nil || resp.StatusCode != 200 {
-		t.Fatalf("%v, %v", resp, err)
+		t.Fatalf("request of another client: got %v, error %v; want status 200", resp, err)
 	}
 	other.Close()
 	r.stop()
 	<-r.ended
 	if n := late.RequestCount(); n != 1 {
-		t.Errorf("%d requests came, 1 was wanted", n)
+		t.Errorf("%d requests reached the upstream, want only the one whose client stayed connected", n)
 	}
 }
 
-// Guards against the same for a keyed request that others may wait for: it goes on for them, and once all have gone nothing of it
-// begins. It proves not to have run, so that whoever comes again has it run.
+// Guards against the same for a request with an idempotency key, for whose answer several clients may wait: it continues for the remaining
+// clients, and is not forwarded once all have disconnected. It then counts as not executed, so that a later retry is executed.
 func TestKeyedClientsGoneWhileAConnectionComesUp(t *testing.T) {
 	late := base.NewLateUpstream(t)
 	r := startFile(t, fmt.Sprintf(idempotencyFile, fmt.Sprintf("addresses = [%q]\nconnect_timeout = \"10s\"", late.Address), "6s", "20s"))
@@ -131,63 +131,63 @@
 			status, _, _ := pay(ctx, r, "/record/1", "k", "")
 			ended <- status
 		}()
-		testutil.Eventually(t, "the attempt waits for its connection", func() bool { return pending(e) == 1 })
+		testutil.Eventually(t, "the attempt waits for its upstream connection", func() bool { return pendingAttempts(e) == 1 })
 	}
-	testutil.Eventually(t, "the second one waits too", func() bool { return r.d.lifecycle.connections.Count() == 2 })
+	testutil.Eventually(t, "the second client is connected", func() bool { return r.d.lifecycle.connections.Count() == 2 })
 	leave[0]()
 	<-ended
-	if pending(e) != 1 {
-		t.Error("it does not go on for the second one")
+	if pendingAttempts(e) != 1 {
+		t.Error("the attempt ended with its first client, although a second one waits for the answer")
 	}
 	leave[1]()
 	<-ended
-	seen(e)
+	awaitIdle(e)
 	late.StartAccepting()
 	if status, body, header := pay(t.Context(), r, "/record/1", "k", ""); status != 200 || header.Get(replayedHeader) != "" {
-		t.Errorf("who comes again: %d %q", status, body)
+		t.Errorf("retry after all clients disconnected: got %d %q, want 200 and no replayed answer", status, body)
 	}
 	r.client.CloseIdleConnections()
 	r.stop()
-	<-r.ended // and what was in hand has ended
+	<-r.ended // the requests in flight have ended too
 	if n := late.RequestCount(); n != 1 {
-		t.Errorf("%d requests came, 1 was wanted", n)
+		t.Errorf("%d requests reached the upstream, want only the one whose client stayed connected", n)
 	}
 }
 
-// Guards against the same in a burst: many clients wait for the first list, and all have gone when it comes.
+// Guards against the same in a burst: many clients wait for the first endpoint list, and all have disconnected when it arrives.
 func TestManyClientsGoneAtOnce(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
-	d, tell := withheld(t, s.Address)
-	r, e := startLooking(t, d.Address)
+	d, sendList := discoveryWithDelayedList(t, s.Address)
+	r, e := startWithEngine(t, d.Address)
 	var all []*clientConn
 	for n := range 60 {
 		c := dial(t, r.address, nil)
 		c.send(t, []string{"search", "confirm", "record"}[n%3], strings.Repeat("x", n%3*100))
 		all = append(all, c)
 	}
-	testutil.Eventually(t, "all wait for the list", func() bool { return e.InFlight() == len(all) })
+	testutil.Eventually(t, "all requests wait for the endpoint list", func() bool { return e.InFlight() == len(all) })
 	for n, c := range all {
-		if n%2 == 0 { // closed, or reset
+		if n%2 == 0 { // half of the connections are reset, the others closed
 			_ = c.Conn.(*net.TCPConn).SetLinger(0)
 		}
 		c.Close()
 	}
-	testutil.Eventually(t, "their ends have come", func() bool { return e.InFlight() == 0 })
-	close(tell)
+	testutil.Eventually(t, "the sidecar has noticed that all clients disconnected", func() bool { return e.InFlight() == 0 })
+	close(sendList)
 	other := dial(t, r.address, nil)
 	other.send(t, "search", "")
 	if resp, _, err := other.answer(); err != nil || resp.StatusCode != 200 {
-		t.Fatalf("%v, %v", resp, err)
+		t.Fatalf("request of another client: got %v, error %v; want status 200", resp, err)
 	}
 	other.Close()
 	r.stop()
 	<-r.ended
 	if n := len(s.Requests()); n != 1 {
-		t.Errorf("%d were sent for clients that had gone", n-1)
+		t.Errorf("%d requests were forwarded for clients that had disconnected, want 0", n-1)
 	}
 }
 
-// Guards against the same behind GraphQL: a mutation, a query and a batch of both wait for a connection.
+// Guards against the same with GraphQL: a mutation, a query and a batch of two queries wait for an upstream connection.
 func TestGraphQLClientsGoneWhileAConnectionComesUp(t *testing.T) {
 	late := base.NewLateUpstream(t)
 	r := startFile(t, fmt.Sprintf(strings.Replace(graphqlFile, "name = \"seats\"", "name = \"seats\"\nconnect_timeout = \"10s\"", 1), strconv.Quote(late.Address), "20s"))
@@ -198,24 +198,24 @@
 	for _, body := range []string{operationJSON(`mutation{confirm(id:"a")}`), operationJSON("{seats}"), "[" + operationJSON("{seats}") + "," + operationJSON(`{coach}`) + "]"} {
 		clients.Go(func() { rig.post(ctx, body) })
 	}
-	testutil.Eventually(t, "all wait for their connections", func() bool { return e.InFlight() >= 3 })
+	testutil.Eventually(t, "all operations wait for their upstream connections", func() bool { return e.InFlight() >= 3 })
 	leave()
 	clients.Wait()
-	seen(e)
+	awaitIdle(e)
 	late.StartAccepting()
 	if status, _, _ := rig.post(t.Context(), operationJSON(`mutation{confirm(id:"b")}`)); status == 0 {
-		t.Error("no answer to a later one")
+		t.Error("a mutation sent after the clients disconnected got no answer")
 	}
 	r.client.CloseIdleConnections()
 	r.stop()
-	<-r.ended // and what was in hand has ended
+	<-r.ended // the requests in flight have ended too
 	if n := late.RequestCount(); n != 1 {
-		t.Errorf("%d requests came, 1 was wanted", n)
+		t.Errorf("%d requests reached the upstream, want only the one whose client stayed connected", n)
 	}
 }
 
-// Guards against clients that send and go, again and again, to an upstream that hangs: their connections and their attempts give way to
-// those who wait, on both sides.
+// Guards against clients that repeatedly send a request to an upstream that hangs and disconnect: their client connections and upstream
+// attempts must not use up the limits, so that other clients are served.
 func TestGoneClientsGiveWay(t *testing.T) {
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		if strings.HasPrefix(g.Target, "/confirm") {
@@ -240,7 +240,7 @@
 			c.send(t, "confirm", "")
 			all = append(all, c)
 		}
-		testutil.Eventually(t, "they are at the upstream", func() bool {
+		testutil.Eventually(t, "all requests of the round reach the upstream", func() bool {
 			n := 0
 			for _, g := range s.Requests() {
 				if strings.HasPrefix(g.Target, "/confirm") {
@@ -252,14 +252,14 @@
 		for _, c := range all {
 			c.Close()
 		}
-		live := dial(t, r.address, nil)
-		live.send(t, "search", "")
-		if resp, body, err := live.answer(); err != nil || resp.StatusCode != 200 || body != "whole" {
-			t.Errorf("%v %q, %v", resp, body, err)
+		waiting := dial(t, r.address, nil)
+		waiting.send(t, "search", "")
+		if resp, body, err := waiting.answer(); err != nil || resp.StatusCode != 200 || body != "whole" {
+			t.Errorf("request of a client that stays connected: got %v %q, error %v; want 200 and body whole", resp, body, err)
 		}
-		live.Close()
+		waiting.Close()
 	}
-	if took := time.Since(begun); took > 8*time.Second { // those that have gone would have waited for 9 s
-		t.Errorf("one that waits was served after %v", took)
+	if took := time.Since(begun); took > 8*time.Second { // the requests of the disconnected clients have a timeout of 9 s
+		t.Errorf("all rounds took %v, want at most 8s", took)
 	}
 }
--- a/internal/daemon/control_test.go
+++ b/internal/daemon/control_test.go
@@ -17,7 +17,7 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// startWithControl starts a sidecar that operators can call.
+// startWithControl starts a sidecar with an operators' address, and returns it with a function that sends a request to that address.
 func startWithControl(t *testing.T, c *config.Config) (*running, func(method, path string) (int, string)) {
 	t.Helper()
 	c.Control = base.FreeAddress(t)
@@ -42,26 +42,26 @@
 	}
 }
 
-// readMetrics reads the figures into a map.
+// readMetrics returns the values of GET /metrics by name.
 func readMetrics(t *testing.T, call func(method, path string) (int, string)) map[string]int {
 	t.Helper()
 	status, text := call("GET", "/metrics")
 	if status != 200 {
-		t.Fatalf("figures: %d", status)
+		t.Fatalf("GET /metrics: got status %d, want 200", status)
 	}
-	of := map[string]int{}
+	values := map[string]int{}
 	for line := range strings.Lines(text) {
 		var n int
 		name, value, _ := strings.Cut(strings.TrimSpace(line), "=")
 		if _, err := fmt.Sscan(value, &n); err != nil {
-			t.Fatalf("%q: %v", line, err)
+			t.Fatalf("metrics line %q has no number as value: %v", line, err)
 		}
-		of[name] = n
+		values[name] = n
 	}
-	return of
+	return values
 }
 
-// Guards against calls that are taken on the clients' address, and against a wrong path or method that does something.
+// Guards against operators' requests that are accepted on the clients' address, and against a wrong path or method that has an effect.
 func TestOperatorsCalls(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("a")))
 	r, call := startWithControl(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")))
@@ -72,7 +72,7 @@
 		{"GET", "/undrain", 405}, {"PUT", "/drain", 405}, {"GET", "/", 404}, {"POST", "/drain/", 404}, {"GET", "/-/ready", 404},
 		{"POST", "/undrain", 200}} {
 		if got, text := call(c.method, c.path); got != c.want {
-			t.Errorf("%s %s: %d %q, want %d", c.method, c.path, got, text, c.want)
+			t.Errorf("%s %s on the operators' address: got %d %q, want %d", c.method, c.path, got, text, c.want)
 		}
 	}
 	for _, path := range []string{"/drain", "/-/drain"} {
@@ -82,16 +82,16 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode < 400 {
-			t.Errorf("clients may drain by %s", path)
+			t.Errorf("POST %s on the clients' address succeeded, want an error status", path)
 		}
 	}
 	if resp, err := r.client.Get("http://" + r.address + "/-/ready"); err != nil || resp.StatusCode != 200 {
-		t.Errorf("it drains: %v", err)
+		t.Errorf("the sidecar is not ready after invalid requests to drain it: error %v", err)
 	}
 }
 
-// Guards against figures that differ from what happened: served, refused, failed and abandoned requests, attempts that were written
-// whole and those that never were, and requests that are not taken at all.
+// Guards against metrics that differ from what happened: completed, rejected, failed and pending requests, attempts that were written
+// completely and others, and requests for an unknown class, which are not counted.
 func TestFiguresAreWhatHappened(t *testing.T) {
 	hold := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, got fakes.Got) bool {
@@ -107,62 +107,62 @@
 	})
 	r, call := startWithControl(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"),
 		testutil.Entry("t", "127.0.0.1:1", "Terminating")))
-	f := readMetrics(t, call)
+	metrics := readMetrics(t, call)
 	for _, class := range []string{"search", "record", "confirm"} {
 		for _, end := range []string{"completed", "rejected", "failed"} {
-			if n, has := f["downstream_requests."+class+"."+end]; !has || n != 0 {
-				t.Errorf("%s %s at the start: %d, %v", class, end, n, has)
+			if n, has := metrics["downstream_requests."+class+"."+end]; !has || n != 0 {
+				t.Errorf("downstream_requests of class %s, %s, at the start: got %d, present: %v; want 0, present", class, end, n, has)
 			}
 		}
 	}
-	if f["members"] != 2 || f["members_unavailable"] != 1 {
-		t.Errorf("members %d, unavailable %d", f["members"], f["members_unavailable"])
+	if metrics["members"] != 2 || metrics["members_unavailable"] != 1 {
+		t.Errorf("got members %d, members_unavailable %d; want 2 and 1", metrics["members"], metrics["members_unavailable"])
 	}
-	ask := func(class, path string) int {
+	request := func(class, path string) int {
 		req := testutil.Request(t, r.address, class, "")
 		req.URL.Path = "/" + class + path
 		resp, _ := r.do(t, req)
 		return resp.StatusCode
 	}
 	for range 3 {
-		if got := ask("search", "/1"); got != 200 {
-			t.Fatalf("answered %d", got)
+		if got := request("search", "/1"); got != 200 {
+			t.Fatalf("GET /search/1: got status %d, want 200", got)
 		}
 	}
-	if got := ask("confirm", "/full"); got != 503 { // five attempts, all written
-		t.Fatalf("answered %d", got)
+	if got := request("confirm", "/full"); got != 503 { // five attempts, all written
+		t.Fatalf("request that every attempt rejects: got status %d, want 503", got)
 	}
-	if got := ask("confirm", "/break"); got != 502 {
-		t.Fatalf("answered %d", got)
+	if got := request("confirm", "/break"); got != 502 {
+		t.Fatalf("request whose connection the upstream breaks: got status %d, want 502", got)
 	}
-	if got := ask("nothing", "/1"); got != 404 { // not taken
-		t.Fatalf("answered %d", got)
+	if got := request("nothing", "/1"); got != 404 { // not counted
+		t.Fatalf("request for an unknown class: got status %d, want 404", got)
 	}
 	req := testutil.Request(t, r.address, "record", "")
 	req.URL.Path = "/record/hold"
 	later := r.doAsync(req)
-	testutil.Eventually(t, "one is pending", func() bool { return readMetrics(t, call)["pending"] == 1 })
+	testutil.Eventually(t, "one request is pending", func() bool { return readMetrics(t, call)["pending"] == 1 })
 	close(hold)
 	if got := <-later; !strings.HasPrefix(got, "200") {
-		t.Fatalf("answered %s", got)
+		t.Fatalf("held request: got %s, want status 200", got)
 	}
-	testutil.Eventually(t, "none is pending", func() bool { return readMetrics(t, call)["pending"] == 0 })
-	f = readMetrics(t, call)
+	testutil.Eventually(t, "no request is pending", func() bool { return readMetrics(t, call)["pending"] == 0 })
+	metrics = readMetrics(t, call)
 	for name, want := range map[string]int{"downstream_requests.search.completed": 3, "downstream_requests.search.failed": 0,
 		"downstream_requests.confirm.rejected": 1, "downstream_requests.confirm.failed": 1, "downstream_requests.confirm.completed": 0,
 		"downstream_requests.record.completed": 1, "upstream_requests": 3 + 5 + 1 + 1} {
-		if f[name] != want {
-			t.Errorf("%s: %d, want %d", name, f[name], want)
+		if metrics[name] != want {
+			t.Errorf("metric %s: got %d, want %d", name, metrics[name], want)
 		}
 	}
-	if n := len(s.Requests()); n != f["upstream_requests"] {
-		t.Errorf("the upstream has seen %d, counted are %d", n, f["upstream_requests"])
+	if n := len(s.Requests()); n != metrics["upstream_requests"] {
+		t.Errorf("the upstream received %d requests, but the metric upstream_requests is %d", n, metrics["upstream_requests"])
 	}
 }
 
-// A drain: the front is told at once, no request is lost, a connection that is never left to rest ends with its next answer, one that
-// is in the middle of a request gets its answer, and one that idles is closed once new ones have ceased. All are gone within 4 s, and
-// the process serves again as soon as it is told to.
+// Guards against a drain that loses requests or keeps connections open: the readiness check fails at once, a busy connection ends with its
+// next answer, one with a request in flight gets its answer, and an idle one is closed once new connections have ceased. All are closed
+// within 4 s, and the process serves again after an undrain.
 func TestDrainAndUndrain(t *testing.T) {
 	hold := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, got fakes.Got) bool {
@@ -189,7 +189,7 @@
 		return client{c, in}
 	}
 	n := 0
-	ask := func(c client, path string) {
+	send := func(c client, path string) {
 		n++
 		fmt.Fprintf(c, "GET /search/%s HTTP/1.1\r\nHost: s\r\nX-Request-ID: d%d\r\nX-Timeout: 9000m\r\n\r\n", path, n)
 	}
@@ -203,58 +203,58 @@
 	}
 	busy, idle, held := dial(), dial(), dial()
 	for _, c := range []client{busy, idle} {
-		ask(c, "1")
-		if got, last, err := answer(c); err != nil || got != 200 || last {
-			t.Fatalf("%d %v %v", got, last, err)
+		send(c, "1")
+		if got, closes, err := answer(c); err != nil || got != 200 || closes {
+			t.Fatalf("before the drain: got status %d, connection closes: %v, error %v; want 200 on a connection that stays open", got, closes, err)
 		}
 	}
-	ask(held, "hold")
-	testutil.Eventually(t, "it is held", func() bool { return readMetrics(t, call)["pending"] == 1 })
+	send(held, "hold")
+	testutil.Eventually(t, "the upstream holds the request", func() bool { return readMetrics(t, call)["pending"] == 1 })
 	begun := time.Now()
 	if status, _ := call("POST", "/drain"); status != 200 {
-		t.Fatalf("drain: %d", status)
+		t.Fatalf("POST /drain: got status %d, want 200", status)
 	}
 	if got := ready(); got == 200 {
-		t.Error("it is still ready")
+		t.Error("the readiness check still succeeds during the drain")
 	}
 	if status, text := call("GET", "/ready"); status != 200 {
-		t.Errorf("a process that drains can serve: %d %s", status, text)
+		t.Errorf("GET /ready during the drain, while an upstream is ready: got %d %s, want 200", status, text)
 	}
-	ask(busy, "2")
-	if got, last, err := answer(busy); err != nil || got != 200 || !last {
-		t.Errorf("its next answer: %d, the last %v, %v", got, last, err)
+	send(busy, "2")
+	if got, closes, err := answer(busy); err != nil || got != 200 || !closes {
+		t.Errorf("next request on a busy connection: got status %d, connection closes: %v, error %v; want 200 and a close", got, closes, err)
 	}
 	fresh := dial()
-	ask(fresh, "3")
-	if got, last, err := answer(fresh); err != nil || got != 200 || !last {
-		t.Errorf("on a new connection: %d, the last %v, %v", got, last, err)
+	send(fresh, "3")
+	if got, closes, err := answer(fresh); err != nil || got != 200 || !closes {
+		t.Errorf("request on a new connection: got status %d, connection closes: %v, error %v; want 200 and a close", got, closes, err)
 	}
 	if status, _ := call("POST", "/drain"); status != 200 {
-		t.Errorf("a second time: %d", status)
+		t.Errorf("second POST /drain: got status %d, want 200", status)
 	}
 	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle one: %v", err)
+		t.Errorf("read from the idle connection: got %v, want EOF", err)
 	}
 	if took := time.Since(begun); took > 4*time.Second {
-		t.Errorf("idle ones are closed after %v", took)
+		t.Errorf("the idle connection was closed after %v, want at most 4s", took)
 	}
 	close(hold)
-	if got, last, err := answer(held); err != nil || got != 200 || !last {
-		t.Errorf("the one that was held: %d, the last %v, %v", got, last, err)
+	if got, closes, err := answer(held); err != nil || got != 200 || !closes {
+		t.Errorf("request in flight at the drain: got status %d, connection closes: %v, error %v; want 200 and a close", got, closes, err)
 	}
 	if status, _ := call("POST", "/undrain"); status != 200 || ready() != 200 {
-		t.Errorf("undrain: %d, ready %d", status, ready())
+		t.Errorf("POST /undrain: got status %d, then readiness status %d, want 200 for both", status, ready())
 	}
 	c := dial()
 	for range 2 {
-		ask(c, "4")
-		if got, last, err := answer(c); err != nil || got != 200 || last {
-			t.Errorf("afterwards: %d, the last %v, %v", got, last, err)
+		send(c, "4")
+		if got, closes, err := answer(c); err != nil || got != 200 || closes {
+			t.Errorf("after the undrain: got status %d, connection closes: %v, error %v; want 200 on a connection that stays open", got, closes, err)
 		}
 	}
 }
 
-// A stop within a drain goes on to its end, and no undrain takes it back.
+// Guards against a stop during a drain that does not complete, or that an undrain reverts.
 func TestStopWithinADrain(t *testing.T) {
 	hold := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, got fakes.Got) bool {
@@ -262,17 +262,17 @@
 		return fakes.Says(fakes.OK200("a"))(c, got)
 	})
 	r, call := startWithControl(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")))
-	later := r.doAsync(testutil.Request(t, r.address, "search", ""))
-	testutil.Eventually(t, "it is held", func() bool { return readMetrics(t, call)["pending"] == 1 })
+	response := r.doAsync(testutil.Request(t, r.address, "search", ""))
+	testutil.Eventually(t, "the upstream holds the request", func() bool { return readMetrics(t, call)["pending"] == 1 })
 	call("POST", "/drain")
 	r.stop()
-	testutil.Eventually(t, "it stops", func() bool { status, _ := call("GET", "/ready"); return status == 503 })
+	testutil.Eventually(t, "the process is stopping", func() bool { status, _ := call("GET", "/ready"); return status == 503 })
 	if status, text := call("POST", "/undrain"); status != 503 || !strings.Contains(text, "stopping") {
-		t.Errorf("undrain: %d %q", status, text)
+		t.Errorf("POST /undrain while the process stops: got %d %q, want 503 and a text that says that it is stopping", status, text)
 	}
 	close(hold)
-	if got := <-later; !strings.HasPrefix(got, "200") {
-		t.Errorf("answered %s", got)
+	if got := <-response; !strings.HasPrefix(got, "200") {
+		t.Errorf("held request: got %s, want status 200", got)
 	}
 	<-r.ended
 	if r.err != nil {
--- a/internal/daemon/eureka_test.go
+++ b/internal/daemon/eureka_test.go
@@ -21,15 +21,16 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// nodes are upstreams that answer with their name, by name.
+// nodes are the addresses, by name, of upstreams that answer with their name.
 type nodes map[string]string
 
-func startNodes(t testing.TB, came func(name string), names ...string) nodes {
+// startNodes starts nodes. They call onRequest for each request if it is not nil.
+func startNodes(t testing.TB, onRequest func(name string), names ...string) nodes {
 	n := nodes{}
 	for _, name := range names {
 		n[name] = base.HTTP(t, nil, func(w http.ResponseWriter, _ *http.Request) {
-			if came != nil {
-				came(name)
+			if onRequest != nil {
+				onRequest(name)
 			}
 			_, _ = w.Write([]byte(name))
 		})
@@ -37,7 +38,7 @@
 	return n
 }
 
-// instance is a node as it registers.
+// instance returns a node's registration.
 func (n nodes) instance(t testing.TB, id, name, status string) fakes.EurekaInstance {
 	t.Helper()
 	host, port, err := net.SplitHostPort(n[name])
@@ -48,10 +49,10 @@
 	return fakes.EurekaInstance{App: "SEATS", ID: id, Host: host, IP: host, Port: number, Status: status}
 }
 
-// eurekaFile is a service with a list of its own in the file, and registries by name.
-func eurekaFile(own []string, registries map[string]*fakes.Eureka, more string) string {
+// eurekaFile returns an operator's file with a service that has the endpoints own ("name@address status") and registries by name.
+func eurekaFile(own []string, registries map[string]*fakes.Eureka, settings string) string {
 	var b strings.Builder
-	b.WriteString("[log]\nlevel = \"error\"\n" + more + "[[service]]\nname = \"seats\"\n")
+	b.WriteString("[log]\nlevel = \"error\"\n" + settings + "[[service]]\nname = \"seats\"\n")
 	for _, entry := range own {
 		name, rest, _ := strings.Cut(entry, "@")
 		address, status, _ := strings.Cut(rest, " ")
@@ -63,14 +64,14 @@
 	return b.String()
 }
 
-// answers waits until exactly these nodes take requests, and holds that what is asked is answered by one of them. Which of
-// them the module picks is its own matter.
-func (r *fileRig) answers(t *testing.T, n nodes, names ...string) {
+// requireServedBy waits until the service's instances are exactly the named nodes, and checks that requests are answered by any
+// of them.
+func (r *fileRig) requireServedBy(t *testing.T, n nodes, names ...string) {
 	t.Helper()
 	testutil.Eventually(t, "requests go to "+strings.Join(names, " "), func() bool {
-		places := r.d.routing.Load().services["seats"].registry.Instances()
+		instances := r.d.routing.Load().services["seats"].registry.Instances()
 		there := map[string]bool{}
-		for _, at := range places {
+		for _, at := range instances {
 			there[at.Address] = true
 		}
 		for _, name := range names {
@@ -78,17 +79,17 @@
 				return false
 			}
 		}
-		return len(places) == len(names)
+		return len(instances) == len(names)
 	})
 	for range 20 {
-		if status, body := r.get("GET", "/", ""); status != 200 || !slices.Contains(names, body) {
-			t.Errorf("%d %s, and not by one of %v", status, body, names)
+		if status, body := r.request("GET", "/", ""); status != 200 || !slices.Contains(names, body) {
+			t.Errorf("got %d %s, want 200 from one of %v", status, body, names)
 		}
 	}
 }
 
-// Guards against two stories about one node of which the harmless one is believed, against nodes that a registry's own
-// troubles take away, and against sources that can't be changed under load.
+// Guards against a node that receives requests although one of two sources reports it as unavailable, against nodes that are
+// removed because a registry fails, and against reloads that do not change the sources.
 func TestTwoStories(t *testing.T) {
 	n := startNodes(t, nil, "a", "b", "c")
 	e, other := base.Eureka(t, fakes.EurekaOptions{}), base.Eureka(t, fakes.EurekaOptions{})
@@ -96,92 +97,92 @@
 		x.Put(n.instance(t, "host:a", "a", "UP"))
 		x.Put(n.instance(t, "host:c", "c", "UP"))
 	}
-	both := map[string]*fakes.Eureka{"eureka": e}
-	at := func(name, status string) string { return name + "@" + n[name] + " " + status }
-	r := startFile(t, eurekaFile([]string{at("a", "Ready"), at("b", "Ready")}, both, ""))
-	r.answers(t, n, "a", "b", "c")
+	registries := map[string]*fakes.Eureka{"eureka": e}
+	entry := func(name, status string) string { return name + "@" + n[name] + " " + status }
+	r := startFile(t, eurekaFile([]string{entry("a", "Ready"), entry("b", "Ready")}, registries, ""))
+	r.requireServedBy(t, n, "a", "b", "c")
 
-	// Draining in the old list, up in the registry; and the reverse.
-	if err := r.reload(t, eurekaFile([]string{at("a", "Terminating"), at("b", "Ready")}, both, "")); err != nil {
+	// The node drains in the file's list and is up in the registry; then the reverse.
+	if err := r.reload(t, eurekaFile([]string{entry("a", "Terminating"), entry("b", "Ready")}, registries, "")); err != nil {
 		t.Fatal(err)
 	}
-	r.answers(t, n, "b", "c")
-	if err := r.reload(t, eurekaFile([]string{at("a", "Ready"), at("b", "Ready")}, both, "")); err != nil {
+	r.requireServedBy(t, n, "b", "c")
+	if err := r.reload(t, eurekaFile([]string{entry("a", "Ready"), entry("b", "Ready")}, registries, "")); err != nil {
 		t.Fatal(err)
 	}
-	r.answers(t, n, "a", "b", "c")
+	r.requireServedBy(t, n, "a", "b", "c")
 	e.Override("SEATS", "host:a", "OUT_OF_SERVICE")
-	r.answers(t, n, "b", "c")
+	r.requireServedBy(t, n, "b", "c")
 	e.Override("SEATS", "host:a", "")
-	r.answers(t, n, "a", "b", "c")
+	r.requireServedBy(t, n, "a", "b", "c")
 
-	// Two replicas that disagree, as two registries: the word against counts.
-	both["other"] = other
+	// Two replicas, configured as two registries, disagree: the less available status applies.
+	registries["other"] = other
 	other.SetStatus("SEATS", "host:c", "DOWN")
-	if err := r.reload(t, eurekaFile([]string{at("a", "Ready"), at("b", "Ready")}, both, "")); err != nil {
+	if err := r.reload(t, eurekaFile([]string{entry("a", "Ready"), entry("b", "Ready")}, registries, "")); err != nil {
 		t.Fatal(err)
 	}
-	r.answers(t, n, "a", "b")
-	delete(both, "other")
-	if err := r.reload(t, eurekaFile([]string{at("a", "Ready"), at("b", "Ready")}, both, "")); err != nil {
+	r.requireServedBy(t, n, "a", "b")
+	delete(registries, "other")
+	if err := r.reload(t, eurekaFile([]string{entry("a", "Ready"), entry("b", "Ready")}, registries, "")); err != nil {
 		t.Fatal(err)
 	}
-	r.answers(t, n, "a", "b", "c")
+	r.requireServedBy(t, n, "a", "b", "c")
 
-	// It starts anew, empty, and then cannot be had at all: nothing is lost.
+	// The registry restarts empty, and is then unreachable: the service keeps its nodes.
 	e.Restart()
 	calls := e.Calls("GET /apps/SEATS")
-	testutil.Eventually(t, "it is seen", func() bool { return e.Calls("GET /apps/SEATS") > calls+2 })
-	r.answers(t, n, "a", "b", "c")
+	testutil.Eventually(t, "the restarted registry is polled", func() bool { return e.Calls("GET /apps/SEATS") > calls+2 })
+	r.requireServedBy(t, n, "a", "b", "c")
 	e.Fault(func(string) fakes.EurekaFault { return fakes.EurekaDown })
 	calls = e.Calls("GET /apps/SEATS")
-	testutil.Eventually(t, "it is asked", func() bool { return e.Calls("GET /apps/SEATS") > calls+2 })
-	r.answers(t, n, "a", "b", "c")
+	testutil.Eventually(t, "the unreachable registry is polled", func() bool { return e.Calls("GET /apps/SEATS") > calls+2 })
+	r.requireServedBy(t, n, "a", "b", "c")
 	e.Fault(nil)
 
-	// Registered anew under another id at the old address: one node, and its drain counts.
+	// A second registration under another ID at the same address is the same node, so that its drain applies.
 	e.Put(n.instance(t, "host:a", "a", "UP"))
 	e.Put(n.instance(t, "host:c", "c", "UP"))
 	e.Put(n.instance(t, "host:c:2", "c", "OUT_OF_SERVICE"))
-	r.answers(t, n, "a", "b")
+	r.requireServedBy(t, n, "a", "b")
 
-	// The file's own list goes, and the registry is all that there is; then it is moved to another one.
+	// The file's own list is removed, so that the registry is the only source. Then another registry replaces it.
 	e.Cancel("SEATS", "host:c:2")
-	r.answers(t, n, "a", "b", "c")
-	if err := r.reload(t, eurekaFile(nil, both, "")); err != nil {
+	r.requireServedBy(t, n, "a", "b", "c")
+	if err := r.reload(t, eurekaFile(nil, registries, "")); err != nil {
 		t.Fatal(err)
 	}
-	r.answers(t, n, "a", "c")
-	both["eureka"] = other
+	r.requireServedBy(t, n, "a", "c")
+	registries["eureka"] = other
 	other.SetStatus("SEATS", "host:c", "UP")
 	other.SetStatus("SEATS", "host:a", "STARTING")
-	if err := r.reload(t, eurekaFile(nil, both, "")); err != nil {
+	if err := r.reload(t, eurekaFile(nil, registries, "")); err != nil {
 		t.Fatal(err)
 	}
-	r.answers(t, n, "c")
+	r.requireServedBy(t, n, "c")
 }
 
-// Guards against the platform's list that counts for less beside a registry: what drains there drains, its loss reaches the
-// module, and the registry's own nodes serve beside it.
+// Guards against a platform's list that is ignored if a registry is configured too: nodes that drain in the platform's list are
+// removed, a lost list is requested again, and the registry's other nodes receive requests too.
 func TestRegistryBesideThePlatform(t *testing.T) {
 	n := startNodes(t, nil, "a", "b", "c")
 	e := base.Eureka(t, fakes.EurekaOptions{})
 	e.Put(n.instance(t, "host:a", "a", "UP"))
 	e.Put(n.instance(t, "host:c", "c", "UP"))
 	drain := make(chan struct{})
-	var told, again atomic.Bool
+	var drainSent, watchRepeated atomic.Bool
 	d := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send("")
-		if told.Load() { // it was lost
-			again.Store(true)
+		if drainSent.Load() { // the first watch has ended
+			watchRepeated.Store(true)
 			<-done
 			return
 		}
-		for { // a watch that a slow machine took for lost comes here anew
+		for { // a slow machine may time the watch out, and it then starts again here
 			select {
 			case <-drain:
 				send(testutil.List(2, false, testutil.Entry("a", n["a"], "Terminating")))
-				told.Store(true)
+				drainSent.Store(true)
 				return
 			case <-done:
 				return
@@ -195,9 +196,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	started, _ := startPlan(t, p)
-	s := started.routing.Load().services[config.Platform]
-	takes := func(want ...string) func() bool {
+	daemon, _ := startPlan(t, p)
+	s := daemon.routing.Load().services[config.Platform]
+	servedBy := func(want ...string) func() bool {
 		return func() bool {
 			got := []string{}
 			for name, address := range n {
@@ -211,16 +212,16 @@
 			return slices.Equal(got, want)
 		}
 	}
-	testutil.Eventually(t, "all three", takes("a", "b", "c"))
+	testutil.Eventually(t, "a, b and c are active", servedBy("a", "b", "c"))
 	close(drain)
-	testutil.Eventually(t, "a drains", takes("b", "c"))
-	testutil.Eventually(t, "the lost list is asked for again", again.Load)
-	if !takes("b", "c")() {
-		t.Errorf("the loss changed the list: %v", s.registry.Instances())
+	testutil.Eventually(t, "a drains and is removed", servedBy("b", "c"))
+	testutil.Eventually(t, "the list is watched again after the watch has ended", watchRepeated.Load)
+	if !servedBy("b", "c")() {
+		t.Errorf("the end of the watch changed the instances: %v", s.registry.Instances())
 	}
 }
 
-// Guards against sources that come, go and move under load at the cost of what is served.
+// Guards against requests that fail when sources are added, removed or replaced under load.
 func TestSourcesChangeUnderLoad(t *testing.T) {
 	n := startNodes(t, nil, "a", "b")
 	e, other := base.Eureka(t, fakes.EurekaOptions{}), base.Eureka(t, fakes.EurekaOptions{})
@@ -231,31 +232,31 @@
 	r := startFile(t, eurekaFile(own, nil, ""))
 	ctx, stop := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
-	var asked atomic.Int64
+	var requests atomic.Int64
 	for range 4 {
 		clients.Go(func() {
 			for ctx.Err() == nil {
-				if status, body := r.get("GET", "/", ""); status != 200 {
-					t.Errorf("%d %s", status, body)
+				if status, body := r.request("GET", "/", ""); status != 200 {
+					t.Errorf("request while sources change: got %d %s, want 200", status, body)
 				}
-				asked.Add(1)
+				requests.Add(1)
 			}
 		})
 	}
 	for i := range 60 {
 		registries := []map[string]*fakes.Eureka{nil, {"eureka": e}, {"eureka": other}, {"eureka": e, "other": other}}[i%4]
-		before := asked.Load()
+		before := requests.Load()
 		if err := r.reload(t, eurekaFile(own[:1+i/4%2], registries, "")); err != nil {
 			t.Fatal(err)
 		}
-		testutil.Eventually(t, "requests beside it", func() bool { return asked.Load() >= before+12 })
+		testutil.Eventually(t, "12 requests have been answered since the reload", func() bool { return requests.Load() >= before+12 })
 	}
 	stop()
 	clients.Wait()
 }
 
-// Guards against requests that reach a node later than 250 ms after the sidecar was told that it is out of service, with
-// many flips at random under load. The node counts what comes; the registry knows when it told.
+// Guards against requests that reach a node later than 250 ms after the sidecar was notified that the node is out of service,
+// with many random changes of status under load. The nodes count requests; the registry knows when it notified the sidecar.
 func TestNothingNewAfterAFlip(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f"}
 	var f *fakes.Flipper
@@ -266,20 +267,20 @@
 	}
 	f = fakes.NewFlipper(e, "SEATS", endpoints.DrainGrace, names...)
 	r := startFile(t, eurekaFile(nil, map[string]*fakes.Eureka{"eureka": e}, "[membership]\nflaps = 0\n"))
-	r.answers(t, n, names...)
+	r.requireServedBy(t, n, names...)
 	ctx, stop := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
-	var served, refused atomic.Int64 // a request that flips stop at each of its attempts is refused
+	var served, rejected atomic.Int64 // requests whose attempts were all stopped by changes of status
 	for range 6 {
 		clients.Go(func() {
 			for ctx.Err() == nil {
-				switch status, body := r.get("GET", "/", ""); status {
+				switch status, body := r.request("GET", "/", ""); status {
 				case 200:
 					served.Add(1)
 				case 503:
-					refused.Add(1)
+					rejected.Add(1)
 				default:
-					t.Errorf("%d %s", status, body)
+					t.Errorf("request while nodes change status: got %d %s, want 200 or 503", status, body)
 				}
 			}
 		})
@@ -293,26 +294,26 @@
 	}
 	stop()
 	clients.Wait()
-	flips, last, wrong := f.Result()
-	if len(wrong) > 0 || 1000*refused.Load() > served.Load() || served.Load() < 1000 || len(last) < 50 {
-		t.Errorf("%d flips, %d served, %d refused, %d came late: %v; %d flips seen", flips, served.Load(), refused.Load(), len(wrong), wrong, len(last))
+	flips, lastArrivals, lateArrivals := f.Result()
+	if len(lateArrivals) > 0 || 1000*rejected.Load() > served.Load() || served.Load() < 1000 || len(lastArrivals) < 50 {
+		t.Errorf("%d status changes, %d requests served, %d rejected (want at most 1 per 1000), %d arrived too late: %v; requests arrived after %d changes, want at least 50", flips, served.Load(), rejected.Load(), len(lateArrivals), lateArrivals, len(lastArrivals))
 	}
 }
 
-// askedSource is a source that counts what it is asked.
-type askedSource struct{ asks atomic.Int64 }
+// refreshCounter is a source that counts calls of Refresh.
+type refreshCounter struct{ refreshes atomic.Int64 }
 
-func (a *askedSource) Refresh()                                  { a.asks.Add(1) }
-func (a *askedSource) Run(ctx context.Context, _ endpoints.Sink) { <-ctx.Done() }
+func (a *refreshCounter) Refresh()                                  { a.refreshes.Add(1) }
+func (a *refreshCounter) Run(ctx context.Context, _ endpoints.Sink) { <-ctx.Done() }
 
-// Guards against a module whose wish for the list is lost, for good, because it came before there was a source to ask.
+// Guards against an engine's request for the list that is lost because it came before the service had a source.
 func TestListIsAskedForEarly(t *testing.T) {
-	s, source := &service{}, &askedSource{}
+	s, source := &service{}, &refreshCounter{}
 	s.requestRefresh()
-	testutil.Eventually(t, "the wish is noted", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.refreshWanted })
+	testutil.Eventually(t, "the request for the list is recorded", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.refreshWanted })
 	s.follow(source)
 	defer s.follow(nil)
-	testutil.Eventually(t, "it is asked", func() bool { return source.asks.Load() == 1 })
+	testutil.Eventually(t, "the source has received the early request", func() bool { return source.refreshes.Load() == 1 })
 	s.requestRefresh()
-	testutil.Eventually(t, "and again", func() bool { return source.asks.Load() == 2 })
+	testutil.Eventually(t, "the source has received a second request", func() bool { return source.refreshes.Load() == 2 })
 }
--- a/internal/daemon/file_harness_test.go
+++ b/internal/daemon/file_harness_test.go
@@ -14,14 +14,14 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// fileRig is a daemon by an operator's file that a test rewrites.
+// fileRig is a daemon with an operator's file that a test may replace.
 type fileRig struct {
 	*running
 	d    *daemon
 	path string
 }
 
-// plan reads an operator's file.
+// plan parses an operator's file.
 func plan(t testing.TB, text string) *config.Plan {
 	t.Helper()
 	p, err := config.ParseFile([]byte(text))
@@ -31,7 +31,7 @@
 	return p
 }
 
-// startFile starts a daemon, whose reloads the test itself calls.
+// startFile starts a daemon with an operator's file. The test calls reload itself.
 func startFile(t testing.TB, text string) *fileRig {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,9 +42,9 @@
 		ended: make(chan struct{}), client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}}
 	ctx, cancel := context.WithCancel(context.Background())
 	r.stop = cancel
-	p, up := plan(t, text), make(chan *daemon, 1)
+	p, started := plan(t, text), make(chan *daemon, 1)
 	go func() {
-		r.err = serve(ctx, p, l, nil, config.Sources{Config: r.path}, nil, func(d *daemon) { up <- d })
+		r.err = serve(ctx, p, l, nil, config.Sources{Config: r.path}, nil, func(d *daemon) { started <- d })
 		close(r.ended)
 	}()
 	t.Cleanup(func() {
@@ -56,14 +56,14 @@
 		}
 	})
 	select {
-	case r.d = <-up:
+	case r.d = <-started:
 	case <-r.ended:
 		t.Fatal(r.err)
 	}
 	return r
 }
 
-// startPlan starts a daemon by a plan, and ends it with the test.
+// startPlan starts a daemon with a plan, and ends it at the end of the test.
 func startPlan(t *testing.T, p *config.Plan) (d *daemon, address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -71,25 +71,26 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	over, up := make(chan error, 1), make(chan *daemon, 1)
-	go func() { over <- serve(ctx, p, l, nil, config.Sources{}, nil, func(d *daemon) { up <- d }) }()
+	served, started := make(chan error, 1), make(chan *daemon, 1)
+	go func() { served <- serve(ctx, p, l, nil, config.Sources{}, nil, func(d *daemon) { started <- d }) }()
 	t.Cleanup(func() {
 		stop()
-		if err := <-over; err != nil {
+		if err := <-served; err != nil {
 			t.Error(err)
 		}
 	})
-	return <-up, l.Addr().String()
+	return <-started, l.Addr().String()
 }
 
+// reload replaces the operator's file and reloads it.
 func (r *fileRig) reload(t testing.TB, text string) error {
 	t.Helper()
 	base.Replace(t, r.path, []byte(text))
 	return r.d.reload(config.Sources{Config: r.path})
 }
 
-// get asks, and returns status and body.
-func (r *fileRig) get(method, path string, body string) (int, string) {
+// request sends a request, and returns the status and the body, or 0 and the error.
+func (r *fileRig) request(method, path string, body string) (int, string) {
 	req, err := http.NewRequest(method, "http://"+r.address+path, strings.NewReader(body))
 	if err != nil {
 		return 0, err.Error()
@@ -106,11 +107,12 @@
 	return resp.StatusCode, string(text)
 }
 
-func says(text string) http.HandlerFunc {
+// respondWith returns a handler that answers with text.
+func respondWith(text string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
 
-// services is a file of services at addresses, by name, with one route a line "pattern service".
+// services returns an operator's file with services, whose addresses are given by name, and routes of the form "pattern -> service".
 func services(addresses map[string]string, routes ...string) string {
 	var b strings.Builder
 	b.WriteString("[log]\nlevel = \"error\"\n")
@@ -124,10 +126,10 @@
 	return b.String()
 }
 
-// looked waits until a list file has been looked at twice more.
-func looked(t testing.TB, r *fileRig) {
+// awaitListPolls waits until the list file of service a has been polled twice more.
+func awaitListPolls(t testing.TB, r *fileRig) {
 	t.Helper()
 	s := r.d.routing.Load().services["a"]
 	from := s.source.(interface{ Polls() int64 }).Polls()
-	testutil.Eventually(t, "the file is looked at", func() bool { return s.source.(interface{ Polls() int64 }).Polls() > from+1 })
+	testutil.Eventually(t, "the list file is polled twice", func() bool { return s.source.(interface{ Polls() int64 }).Polls() > from+1 })
 }
--- a/internal/daemon/file_test.go
+++ b/internal/daemon/file_test.go
@@ -19,8 +19,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Guards against answers that are not the upstream's: with an operator's file its statuses are passed on, with and
-// without bodies, and the client's ways of asking for a part.
+// Guards against answers that differ from the upstream's: with an operator's file its statuses are passed on, with and
+// without bodies, and so are the client's conditional requests.
 func TestAnswersPassOn(t *testing.T) {
 	upstream := base.HTTP(t, nil, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -48,39 +48,39 @@
 		body         string
 	}{{"GET", "/", 200, "whole"}, {"HEAD", "/", 200, ""}, {"GET", "/empty", 204, ""}, {"GET", "/missing", 404, "no such thing\n"},
 		{"POST", "/broken", 502, "failed\n"}, {"POST", "/full", 502, "failed\n"}, {"GET", "/same", 200, ""}} {
-		if status, body := r.get(c.method, c.path, ""); status != c.status || body != c.body {
-			t.Errorf("%s %s: %d %q", c.method, c.path, status, body)
+		if status, body := r.request(c.method, c.path, ""); status != c.status || body != c.body {
+			t.Errorf("%s %s: got unexpected answer %d %q", c.method, c.path, status, body)
 		}
 	}
 	req, _ := http.NewRequest("GET", "http://"+r.address+"/same", nil)
 	req.Header.Set("If-None-Match", `"1"`)
 	if resp, _ := r.do(t, req); resp.StatusCode != http.StatusNotModified {
-		t.Errorf("a conditional request: %s", resp.Status)
+		t.Errorf("conditional request: got %s, want 304", resp.Status)
 	}
 	req, _ = http.NewRequest("GET", "http://"+r.address+"/", nil)
 	if resp, _ := r.do(t, req); resp.Header.Get("X-Saw") == "" || resp.ContentLength != 5 {
-		t.Errorf("no id was made: %v", resp.Header)
+		t.Errorf("the upstream received no generated request ID, or the Content-Length is not 5: got headers %v", resp.Header)
 	}
 	req, _ = http.NewRequest("HEAD", "http://"+r.address+"/", nil)
 	if resp, _ := r.do(t, req); resp.ContentLength != 5 {
-		t.Errorf("HEAD tells a length of %d", resp.ContentLength)
+		t.Errorf("HEAD: got Content-Length %d, want 5", resp.ContentLength)
 	}
 }
 
-// Guards against reloads that lose requests or leave an old route sending: a thousand under load, half of them with files
-// that can't be used. What is asked for after a reload has returned goes by it or by a later one.
+// Guards against reloads that lose requests or leave an old route in use: a thousand under load, half of them with invalid
+// files. A request that is sent after a reload has returned is routed by that reload's file or a later one.
 func TestThousandReloadsUnderLoad(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	addresses := map[string]string{}
 	for _, name := range names {
-		addresses[name] = base.HTTP(t, nil, says(name))
+		addresses[name] = base.HTTP(t, nil, respondWith(name))
 	}
-	at := func(n int) string { return services(addresses, "/ -> "+names[n%3], "/same/ -> a") }
-	r := startFile(t, at(0))
+	file := func(n int) string { return services(addresses, "/ -> "+names[n%3], "/same/ -> a") }
+	r := startFile(t, file(0))
 	var begun, ended atomic.Int64 // reloads that have begun, and that have returned
 	ctx, stop := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
-	var asked atomic.Int64
+	var requests atomic.Int64
 	for range 8 {
 		clients.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
@@ -91,87 +91,87 @@
 				} else if n%3 == 2 {
 					path = "/same/x"
 				}
-				status, body := r.get(method, path, "")
+				status, body := r.request(method, path, "")
 				to := begun.Load()
-				asked.Add(1)
+				requests.Add(1)
 				good := path == "/same/x" && body == "a"
 				for k := from; path == "/x" && k <= to; k++ {
 					good = good || body == names[k%3]
 				}
 				if status != 200 || !good {
-					t.Errorf("%s %s between reloads %d and %d: %d %q", method, path, from, to, status, body)
+					t.Errorf("%s %s between reloads %d and %d: got %d %q, want 200 by one of these reloads' routes", method, path, from, to, status, body)
 				}
 			}
 		})
 	}
-	bad := []string{"", "[[service]]", "[daemon]\nlisten = 7", services(addresses, "/ -> d"), at(1) + "[[route]]\nmatch = \"/same/\"\nservice = \"a\"\n",
-		strings.Replace(at(1), "addresses", "list_file = \"/nonexistent.json\"\n#", 1)}
+	bad := []string{"", "[[service]]", "[daemon]\nlisten = 7", services(addresses, "/ -> d"), file(1) + "[[route]]\nmatch = \"/same/\"\nservice = \"a\"\n",
+		strings.Replace(file(1), "addresses", "list_file = \"/nonexistent.json\"\n#", 1)}
 	for n := range 500 {
 		if err := r.reload(t, bad[n%len(bad)]); err == nil {
-			t.Fatalf("taken: %s", bad[n%len(bad)])
+			t.Fatalf("invalid file was accepted: %s", bad[n%len(bad)])
 		}
 		begun.Store(int64(n + 1))
-		if err := r.reload(t, at(n+1)); err != nil {
+		if err := r.reload(t, file(n+1)); err != nil {
 			t.Fatal(err)
 		}
 		ended.Store(int64(n + 1))
 	}
 	stop()
 	clients.Wait()
-	if asked.Load() < 500 {
-		t.Errorf("only %d requests beside the reloads", asked.Load())
+	if requests.Load() < 500 {
+		t.Errorf("only %d requests were sent during the reloads, want at least 500", requests.Load())
 	}
 	for _, s := range r.d.routing.Load().services {
-		testutil.Eventually(t, "nothing is left in hand", func() bool {
+		testutil.Eventually(t, "no request is in flight", func() bool {
 			return r.d.shared.inFlight.Used(s.name) == 0 && s.engine.InFlight() == 0
 		})
 	}
 }
 
-// Guards against reloads that replace or end a service, or all of its upstreams, at the cost of what it serves: its settings
-// change, its list becomes another one, and a service beside it comes and goes, under load.
+// Guards against requests that fail when reloads replace or end a service or all of its upstreams under load: its settings and its
+// list change, and another service is added and removed.
 func TestServicesReplacedUnderLoad(t *testing.T) {
-	addresses := map[string]string{"a": base.HTTP(t, nil, says("a")), "b": base.HTTP(t, nil, says("a")), "other": base.HTTP(t, nil, says("a"))}
-	at := func(n int) string {
+	addresses := map[string]string{"a": base.HTTP(t, nil, respondWith("a")), "b": base.HTTP(t, nil, respondWith("a")), "other": base.HTTP(t, nil, respondWith("a"))}
+	file := func(n int) string {
 		attempts := strings.Replace(services(map[string]string{"a": addresses[[]string{"a", "other"}[n%2]]}, "/ -> a"), "addresses", fmt.Sprintf("attempts = %d\naddresses", 2+n/4%2), 1)
 		if n%3 == 0 {
 			return attempts
 		}
 		return attempts + strings.TrimPrefix(services(map[string]string{"b": addresses["b"]}, "/b/ -> b"), "[log]\nlevel = \"error\"\n")
 	}
-	r := startFile(t, at(0))
+	r := startFile(t, file(0))
 	ctx, stop := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
-	var asked atomic.Int64
+	var requests atomic.Int64
 	for i := range 8 {
 		clients.Go(func() {
 			for ctx.Err() == nil {
-				asked.Add(1)
-				if status, body := r.get([]string{"GET", "POST"}[i%2], []string{"/x", "/b/x"}[i/2%2], ""); status != 200 || body != "a" {
-					t.Errorf("%d %q", status, body)
+				requests.Add(1)
+				if status, body := r.request([]string{"GET", "POST"}[i%2], []string{"/x", "/b/x"}[i/2%2], ""); status != 200 || body != "a" {
+					t.Errorf("request during the reloads: got %d %q, want 200 a", status, body)
 				}
 			}
 		})
 	}
 	for n := range 150 {
-		// Two attempts may be stopped by two reloads: then a request has had all that it may have.
-		before := asked.Load()
-		testutil.Eventually(t, "each client has asked", func() bool { return asked.Load() >= before+24 })
-		if err := r.reload(t, at(n+1)); err != nil {
+		// Each reload may stop an attempt. Two reloads in quick succession would use up a request's two attempts.
+		before := requests.Load()
+		testutil.Eventually(t, "24 more requests have been sent", func() bool { return requests.Load() >= before+24 })
+		if err := r.reload(t, file(n+1)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	stop()
 	clients.Wait()
-	testutil.Eventually(t, "nothing is left in hand", func() bool { return r.d.shared.inFlight.Used("a") == 0 })
+	testutil.Eventually(t, "no request is in flight", func() bool { return r.d.shared.inFlight.Used("a") == 0 })
 }
 
-// Guards against a key that a reload passes over in silence: what counts from the next start is named and stays, and tls
-// is not switched.
+// Guards against settings that a reload ignores without a log line: settings that need a restart are logged and keep their values,
+// and a reload cannot enable TLS.
 func TestReloadNamesWhatCountsFromTheNextStart(t *testing.T) {
-	text := services(map[string]string{"a": base.HTTP(t, nil, says("a"))})
-	said := ""
-	d := &daemon{plan: plan(t, text), background: t.Context(), log: logging.NewFunc(func(line string) { said += line + "\n" })}
+	text := services(map[string]string{"a": base.HTTP(t, nil, respondWith("a"))})
+	logged := ""
+	d := &daemon{plan: plan(t, text), background: t.Context(), log: logging.NewFunc(func(line string) { logged += line + "\n" })}
 	if err := errors.Join(d.newSharedResources(64), d.apply(d.plan)); err != nil {
 		t.Fatal(err)
 	}
@@ -185,25 +185,24 @@
 		t.Fatal(err)
 	}
 	for _, key := range []string{"daemon.listen", "daemon.grace", "limits.descriptors"} {
-		if !strings.Contains(said, "key="+key+"\n") {
-			t.Errorf("%s is not named in\n%s", key, said)
+		if !strings.Contains(logged, "key="+key+"\n") {
+			t.Errorf("setting %s, which needs a restart, is not in the log:\n%s", key, logged)
 		}
 	}
-	if strings.Contains(said, "body_timeout") || d.plan.Limits != limits || d.routing.Load().bodyTimeout != 7*time.Second {
-		t.Errorf("limits %+v, body time-out %v, said\n%s", d.plan.Limits, d.routing.Load().bodyTimeout, said)
+	if strings.Contains(logged, "body_timeout") || d.plan.Limits != limits || d.routing.Load().bodyTimeout != 7*time.Second {
+		t.Errorf("after the reload: limits %+v, want unchanged; body timeout %v, want 7s and not in the log:\n%s", d.plan.Limits, d.routing.Load().bodyTimeout, logged)
 	}
 	if err := reload("[tls]\ncertificate = \"/c\"\nkey = \"/k\"\n" + text); err == nil || !strings.Contains(err.Error(), "needs a restart") {
-		t.Errorf("tls is switched on: %v", err)
+		t.Errorf("reload that enables TLS: got error %v, want one that says that it needs a restart", err)
 	}
 }
 
-// Guards against a request that goes on by a route that is gone: its attempt that is out may answer, and a further one
-// is not sent.
+// Guards against retries by a route that was removed: an attempt in flight may still answer, but no further attempt is sent.
 func TestRouteRemovedWithRequestsInHand(t *testing.T) {
-	var seen atomic.Int64
+	var received atomic.Int64
 	release := make(chan struct{})
 	held := base.HTTP(t, nil, func(w http.ResponseWriter, r *http.Request) {
-		seen.Add(1)
+		received.Add(1)
 		<-release
 		if r.URL.Path == "/old/turned-away" {
 			w.Header().Set("X-Not-Processed", "1")
@@ -212,7 +211,7 @@
 		}
 		_, _ = io.WriteString(w, "held")
 	})
-	addresses := map[string]string{"a": held, "b": base.HTTP(t, nil, says("b"))}
+	addresses := map[string]string{"a": held, "b": base.HTTP(t, nil, respondWith("b"))}
 	r := startFile(t, services(addresses, "/ -> b", "/old/ -> a"))
 	type answer struct {
 		status int
@@ -221,29 +220,29 @@
 	answers := make(chan answer, 2)
 	for _, path := range []string{"/old/turned-away", "/old/answered"} {
 		go func() {
-			status, body := r.get("GET", path, "")
+			status, body := r.request("GET", path, "")
 			answers <- answer{status, body}
 		}()
 	}
-	testutil.Eventually(t, "both are out", func() bool { return seen.Load() == 2 })
+	testutil.Eventually(t, "both requests reach the upstream", func() bool { return received.Load() == 2 })
 	if err := r.reload(t, services(addresses, "/ -> b")); err != nil {
 		t.Fatal(err)
 	}
 	close(release)
 	got := map[answer]bool{<-answers: true, <-answers: true}
 	if !got[answer{200, "held"}] || !got[answer{503, "refused: not done, trying again is harmless\n"}] {
-		t.Errorf("%v", got)
+		t.Errorf("requests in flight when their route was removed: got %v, want 200 held and a 503 rejection", got)
 	}
-	if seen.Load() != 2 {
-		t.Errorf("%d attempts by the old route", seen.Load())
+	if received.Load() != 2 {
+		t.Errorf("%d attempts reached the upstream of the removed route, want 2", received.Load())
 	}
-	if status, body := r.get("GET", "/old/answered", ""); status != 200 || body != "b" {
-		t.Errorf("after the reload: %d %q", status, body)
+	if status, body := r.request("GET", "/old/answered", ""); status != 200 || body != "b" {
+		t.Errorf("request after the reload: got %d %q, want 200 b", status, body)
 	}
 }
 
-// Guards against a service in trouble that takes what another needs: all of one's nodes hang under many clients, and
-// every request of the other is served meanwhile.
+// Guards against a faulty service that uses up the capacity of another: all upstreams of one service hang under many clients, and
+// every request to the other service is served.
 func TestHungServiceLeavesTheOtherAlone(t *testing.T) {
 	release := make(chan struct{})
 	hung := base.HTTP(t, nil, func(_ http.ResponseWriter, r *http.Request) {
@@ -252,7 +251,7 @@
 		case <-r.Context().Done():
 		}
 	})
-	text := "[limits]\ndescriptors = 160\n" + services(map[string]string{"a": hung, "b": base.HTTP(t, nil, says("b"))},
+	text := "[limits]\ndescriptors = 160\n" + services(map[string]string{"a": hung, "b": base.HTTP(t, nil, respondWith("b"))},
 		"/a/ -> a", "/b/ -> b")
 	r := startFile(t, text)
 	ctx, stop := context.WithCancel(t.Context())
@@ -262,9 +261,9 @@
 		close(release)
 		clients.Wait()
 	}()
-	var crowded atomic.Int64
-	// Over the 56 that may be in hand at once, and below the 64 connections of clients: beyond those the daemon closes idle
-	// ones, and a request that crosses that is its client's to send again.
+	var overloaded atomic.Int64
+	// More than the 56 requests that may be in flight at once, and fewer than the 64 client connections: beyond those the daemon
+	// closes idle connections, and a client must retry a request that it sends on a connection being closed.
 	for range 58 {
 		clients.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}}
@@ -273,7 +272,7 @@
 				req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+r.address+"/a/x", nil)
 				if resp, err := client.Do(req); err == nil {
 					if resp.StatusCode == http.StatusInternalServerError {
-						crowded.Add(1)
+						overloaded.Add(1)
 					}
 					resp.Body.Close()
 				}
@@ -284,40 +283,40 @@
 			}
 		})
 	}
-	testutil.Eventually(t, "the hung one has all that it may", func() bool { return crowded.Load() > 50 })
+	testutil.Eventually(t, "more than 50 requests to the hung service have been rejected", func() bool { return overloaded.Load() > 50 })
 	for n := range 300 {
-		if status, body := r.get("GET", "/b/x", ""); status != 200 || body != "b" {
-			t.Fatalf("request %d beside the hung service: %d %q", n, status, body)
+		if status, body := r.request("GET", "/b/x", ""); status != 200 || body != "b" {
+			t.Fatalf("request %d to the service beside the hung one: got %d %q, want 200 b", n, status, body)
 		}
 	}
 	s := r.d.routing.Load().services["a"]
-	if used := r.d.shared.inFlight.Used(s.name); used > 42 { // 64-8 = 56: 14 its own, 28 common
-		t.Errorf("the hung service holds %d", used)
+	if used := r.d.shared.inFlight.Used(s.name); used > 42 { // of 64-8 = 56: 14 reserved for it, 28 shared
+		t.Errorf("the hung service has %d requests in flight, want at most 42", used)
 	}
 }
 
-// Guards against a watched list that takes the good one with it: emptied, cut in half, replaced by a directory.
+// Guards against an invalid list file that replaces the last valid list: emptied, truncated, or replaced by a directory.
 func TestListFileKeepsTheLastGoodList(t *testing.T) {
-	addresses := [2]string{base.HTTP(t, nil, says("one")), base.HTTP(t, nil, says("two"))}
+	addresses := [2]string{base.HTTP(t, nil, respondWith("one")), base.HTTP(t, nil, respondWith("two"))}
 	entry := func(i int) string { return fmt.Sprintf(`{"name":"n%d","address":%q}`, i, addresses[i]) }
 	whole := `{"count":1,"endpoints":[` + entry(0) + `]}`
 	list := base.File(t, "list.json", []byte(whole))
 	r := startFile(t, fmt.Sprintf("[log]\nlevel = \"error\"\n[[service]]\nname = \"a\"\nlist_file = %q\n", list))
 	served := func() string {
-		_, body := r.get("GET", "/", "")
+		_, body := r.request("GET", "/", "")
 		return body
 	}
-	dir := r.d.routing.Load().services["a"].registry
+	instances := r.d.routing.Load().services["a"].registry
 	if got := served(); got != "one" {
-		t.Fatalf("served by %q", got)
+		t.Fatalf("valid list file: served by %q, want one", got)
 	}
-	for name, text := range map[string]string{"emptied": "", "half": whole[:len(whole)/2], "no list": "{}", "none": `{"endpoints":[]}`,
-		"miscounted": `{"count":2,"endpoints":[` + entry(0) + `]}`, "twice": `{"endpoints":[` + entry(0) + "," + entry(0) + `]}`,
-		"more behind": whole + whole, "unknown key": `{"endpoint":[]}`} {
+	for name, text := range map[string]string{"emptied": "", "truncated": whole[:len(whole)/2], "no list": "{}", "no endpoint": `{"endpoints":[]}`,
+		"wrong count": `{"count":2,"endpoints":[` + entry(0) + `]}`, "duplicate endpoint": `{"endpoints":[` + entry(0) + "," + entry(0) + `]}`,
+		"trailing data": whole + whole, "unknown key": `{"endpoint":[]}`} {
 		base.Replace(t, list, []byte(text))
-		looked(t, r)
-		if got := served(); got != "one" || dir.ReadyCount() != 1 {
-			t.Errorf("%s: served by %q", name, got)
+		awaitListPolls(t, r)
+		if got := served(); got != "one" || instances.ReadyCount() != 1 {
+			t.Errorf("invalid list file (%s): served by %q, want one, or the service has not exactly 1 ready upstream", name, got)
 		}
 	}
 	if err := os.Remove(list); err != nil {
@@ -326,16 +325,16 @@
 	if err := os.Mkdir(list, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	looked(t, r)
+	awaitListPolls(t, r)
 	if got := served(); got != "one" {
-		t.Errorf("a directory in its place: served by %q", got)
+		t.Errorf("list file replaced by a directory: served by %q, want one", got)
 	}
 	if err := os.Remove(list); err != nil {
 		t.Fatal(err)
 	}
 	base.Replace(t, list, []byte(`{"endpoints":[`+entry(1)+`,{"name":"n0","status":"Terminating"}]}`))
-	testutil.Eventually(t, "the new list", func() bool { _, on := dir.Instance("n1"); return on && dir.ReadyCount() == 1 })
+	testutil.Eventually(t, "the new list is in use", func() bool { _, on := instances.Instance("n1"); return on && instances.ReadyCount() == 1 })
 	if got := served(); got != "two" {
-		t.Errorf("served by %q", got)
+		t.Errorf("new valid list file: served by %q, want two", got)
 	}
 }
--- a/internal/daemon/load_probing_test.go
+++ b/internal/daemon/load_probing_test.go
@@ -11,8 +11,8 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// A sidecar that sends little asks before each request, goes to who is idle and not to who is busy with others' requests, waits
-// for no one who says nothing, and asks nobody where nothing is set or much is sent.
+// Guards against a sidecar with little traffic that sends no load probes, or sends requests to an upstream that does not answer
+// them, and against probes while the sidecar's own requests reach each upstream often enough. Invalid settings are rejected.
 func TestProbes(t *testing.T) {
 	ledger := fakes.NewLedger()
 	var addresses []string
@@ -31,47 +31,47 @@
 	}
 	file := "[log]\nlevel = \"error\"\n[[service]]\nname = \"s\"\naddresses = [" + strings.Join(addresses, ", ") + "]\n"
 	probe := "[service.probe]\non = true\neach = 6\nshare = 6.0\nheard = \"%s\"\npatience = \"%s\"\n"
-	sent := func() (probes int, to map[string]int) {
-		to = map[string]int{}
+	sent := func() (probes int, arrived map[string]int) {
+		arrived = map[string]int{}
 		for name, c := range ledger.Nodes() {
 			probes += c.Probes
-			to[name] = c.Arrived
+			arrived[name] = c.Arrived
 		}
-		return probes, to
+		return probes, arrived
 	}
-	ask := func(r *fileRig, n int, want int) {
+	send := func(r *fileRig, n int, want int) {
 		t.Helper()
 		for i := range n {
 			q := testutil.Request(t, r.address, "search", "")
 			q.Header.Del("X-Priority-Class")
 			if resp, body := r.do(t, q); resp.StatusCode != want {
-				t.Fatalf("%d: %s %s", i, resp.Status, body)
+				t.Fatalf("request %d got an unexpected status: %s, body %s", i, resp.Status, body)
 			}
 		}
 	}
 	r := startFile(t, file+fmt.Sprintf(probe, "0s", "50ms"))
 	before, _ := sent()
-	ask(r, 30, 200)
-	probes, to := sent()
-	if probes-before < 5 || to["n5"] > 0 {
-		t.Errorf("%d probes; the one that is frozen got %d of %v", probes-before, to["n5"], to)
+	send(r, 30, 200)
+	probes, arrived := sent()
+	if probes-before < 5 || arrived["n5"] > 0 {
+		t.Errorf("%d probes, want at least 5; the frozen upstream received %d requests, want 0; requests by upstream: %v", probes-before, arrived["n5"], arrived)
 	}
-	calm := strings.Replace(file, ", "+addresses[5], "", 1)
-	if err := r.reload(t, calm+fmt.Sprintf(probe, "1h", "50ms")); err != nil {
+	withoutFrozen := strings.Replace(file, ", "+addresses[5], "", 1)
+	if err := r.reload(t, withoutFrozen+fmt.Sprintf(probe, "1h", "50ms")); err != nil {
 		t.Fatal(err)
 	}
 	before, _ = sent()
-	ask(r, 5, 200)
+	send(r, 5, 200)
 	if probes, _ := sent(); probes > before {
-		t.Errorf("%d probes where each is heard often", probes-before)
+		t.Errorf("%d probes were sent although the sample interval of 1h had not passed, want 0", probes-before)
 	}
 	for _, bad := range []string{"each = 1", "path = \"load\"", "patience = \"0s\""} {
 		if _, err := config.ParseFile([]byte(file + "[service.probe]\n" + bad + "\n")); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("invalid probe setting %q was accepted", bad)
 		}
 	}
 	if _, err := config.ParseBeside(testutil.Config(t, "127.0.0.1:1"), []byte("[platform.probe]\non = true\n")); err == nil ||
 		!strings.Contains(err.Error(), "allow no probes") {
-		t.Errorf("probes that the platform does not allow: %v", err)
+		t.Errorf("probes are on although the platform's rules allow no probes: got error %v", err)
 	}
 }
--- a/internal/daemon/locked_file_test.go
+++ b/internal/daemon/locked_file_test.go
@@ -14,9 +14,9 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// heldKeys is the part of a file that names a store of keys, which this test holds until let is called, as the system does for a process
-// that was killed.
-func heldKeys(t *testing.T) (part string, let func()) {
+// lockedKeyStore returns the settings of an idempotency key store whose file stays locked until unlock is called. The system keeps such a
+// lock for some time after a process was killed.
+func lockedKeyStore(t *testing.T) (settings string, unlock func()) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "keys.db")
 	db, err := bbolt.Open(path, 0o600, nil)
@@ -27,22 +27,22 @@
 	return fmt.Sprintf("file = %q\n", path), func() { db.Close() }
 }
 
-// Guards against a process that ends as it takes a killed one's place, since the system has not let go of that one's file: a slow disk
-// keeps it for seconds.
+// Guards against a start that fails because the file is still locked for a predecessor that was killed: with a slow disk the system
+// releases the lock seconds later.
 func TestStartBehindADeadProcess(t *testing.T) {
 	p := newPaymentUpstream(t)
-	part, let := heldKeys(t)
-	time.AfterFunc(1500*time.Millisecond, let)
-	r := startFile(t, p.file("6s", "20s", part))
+	settings, unlock := lockedKeyStore(t)
+	time.AfterFunc(1500*time.Millisecond, unlock)
+	r := startFile(t, p.file("6s", "20s", settings))
 	p.responses <- "paid"
 	if status, body, _ := pay(t.Context(), r, "/record/1", "k1", "5"); status != 200 || body != "paid" {
-		t.Errorf("%d %s", status, body)
+		t.Errorf("payment: got %d %s, want 200 paid", status, body)
 	}
 }
 
-// Guards against a process that can't be ended while it waits for a file, or whose end then counts as a crash.
+// Guards against a process that does not stop while it waits for a locked file, or that then ends with an error.
 func TestStopBehindADeadProcess(t *testing.T) {
-	part, _ := heldKeys(t)
+	settings, _ := lockedKeyStore(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- ServePlan(ctx, plan(t, newPaymentUpstream(t).file("6s", "20s", part)), l, config.Sources{}, nil, nil)
+		ended <- ServePlan(ctx, plan(t, newPaymentUpstream(t).file("6s", "20s", settings)), l, config.Sources{}, nil, nil)
 	}()
 	time.AfterFunc(200*time.Millisecond, stop)
 	select {
@@ -59,24 +59,25 @@
 			t.Error(err)
 		}
 	case <-time.After(testutil.Timeout / 2):
-		t.Error("it does not end")
+		t.Error("the process did not end after its context was cancelled while it waited for a locked file")
 	}
 }
 
-// Guards against a reload that waits long for a file that another process holds: it changes nothing, and the process serves on.
+// Guards against a reload that waits long for a file that another process has locked: the reload changes nothing, and the process
+// continues to serve.
 func TestReloadWithAHeldFile(t *testing.T) {
 	p := newPaymentUpstream(t)
-	part, _ := heldKeys(t)
+	settings, _ := lockedKeyStore(t)
 	r := startFile(t, p.file("6s", "20s", ""))
-	begun := time.Now()
-	if err := r.reload(t, p.file("6s", "20s", part)); err != nil {
+	start := time.Now()
+	if err := r.reload(t, p.file("6s", "20s", settings)); err != nil {
 		t.Log(err)
 	}
-	if took := time.Since(begun); took > testutil.Timeout/2 {
-		t.Errorf("it waited for %v", took)
+	if took := time.Since(start); took > testutil.Timeout/2 {
+		t.Errorf("the reload waited for the locked file for %v, want at most half of the test timeout", took)
 	}
 	p.responses <- "paid"
 	if status, body, _ := pay(t.Context(), r, "/record/1", "k1", "5"); status != 200 || body != "paid" {
-		t.Errorf("%d %s", status, body)
+		t.Errorf("payment: got %d %s, want 200 paid", status, body)
 	}
 }
--- a/internal/daemon/pipeline_test.go
+++ b/internal/daemon/pipeline_test.go
@@ -19,14 +19,14 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Guards against bytes that are lost, doubled or mixed up where requests come behind the one in hand, which is read ahead of the server:
-// many at once, in pieces of any size, also more than is read ahead, each is answered once and in order, and bodies arrive as sent.
+// Guards against bytes that are lost, duplicated or reordered when a client pipelines requests, which are read ahead of the server:
+// many at once, in segments of any size, and more than is read ahead. Each is answered once and in order, and its body arrives unchanged.
 func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	var mu sync.Mutex
-	got := map[string]string{}
+	bodyByID := map[string]string{}
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		mu.Lock()
-		got[g.Header.Get("X-Request-Id")] = g.Body
+		bodyByID[g.Header.Get("X-Request-Id")] = g.Body
 		mu.Unlock()
 		return fakes.Says(fakes.OK200(g.Header.Get("X-Request-Id")))(c, g)
 	})
@@ -60,11 +60,11 @@
 		for i, id := range ids {
 			resp, body, err := c.answer()
 			if err != nil || resp.StatusCode != 200 || body != id {
-				t.Fatalf("seed %d: the answer to %d: %v %q, %v", seed, i, resp, body, err)
+				t.Fatalf("seed %d: response to request %d: got %v, body %q, error %v; want status 200 and the request's ID as body", seed, i, resp, body, err)
 			}
 			mu.Lock()
-			if got[id] != bodies[i] {
-				t.Errorf("seed %d: the body of %d arrived otherwise", seed, i)
+			if bodyByID[id] != bodies[i] {
+				t.Errorf("seed %d: the body of request %d differs from the one that was sent", seed, i)
 			}
 			mu.Unlock()
 		}
@@ -72,45 +72,45 @@
 	}
 }
 
-// The same behind TLS, and a client there that goes behind its next request.
+// Guards against the same errors over TLS, and against requests that are sent for a client that disconnected after pipelining them.
 func TestPipelinedBehindTLS(t *testing.T) {
-	e := startEncrypted(t, "node7.example")
-	e.slow.Store(int64(5 * time.Millisecond))
+	e := startTLSRig(t, "node7.example")
+	e.delay.Store(int64(5 * time.Millisecond))
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(e.ca.PEM)
-	over := func() (*tls.Conn, *bufio.Reader) {
+	dialTLS := func() (*tls.Conn, *bufio.Reader) {
 		c := tls.Client(base.Dial(t, e.address), &tls.Config{RootCAs: roots, ServerName: "127.0.0.1"})
 		return c, bufio.NewReader(c)
 	}
-	c, in := over()
-	const many = 100
-	for n := range many {
+	c, in := dialTLS()
+	const pipelined = 100
+	for n := range pipelined {
 		if _, err := fmt.Fprintf(c, "GET /%d HTTP/1.1\r\nHost: s\r\n\r\n", n); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for n := range many {
+	for n := range pipelined {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("the answer to %d: %v, %v", n, resp, err)
+			t.Fatalf("response to pipelined request %d: got %v, error %v; want status 200", n, resp, err)
 		}
 		if body, err := io.ReadAll(resp.Body); err != nil || string(body) != "encrypted" {
-			t.Fatalf("the answer to %d: %q, %v", n, body, err)
+			t.Fatalf("response to pipelined request %d: got body %q, error %v; want encrypted", n, body, err)
 		}
 	}
 	c.Close()
-	asked := e.asked.Load()
-	e.slow.Store(int64(300 * time.Millisecond))
-	c, _ = over()
+	requests := e.requests.Load()
+	e.delay.Store(int64(300 * time.Millisecond))
+	c, _ = dialTLS()
 	for range 40 {
 		_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost: s\r\n\r\n")
 	}
-	testutil.Eventually(t, "the first is at the upstream", func() bool { return e.asked.Load() > asked })
+	testutil.Eventually(t, "the first request reaches the upstream", func() bool { return e.requests.Load() > requests })
 	c.Close()
 	e.client.CloseIdleConnections()
 	e.stop()
 	<-e.ended
-	if n := e.asked.Load() - asked; n > 2 { // the first, and a second copy of it
-		t.Errorf("%d were sent, for a client that had gone as the first was", n)
+	if n := e.requests.Load() - requests; n > 2 { // the first request and a hedged request for it
+		t.Errorf("%d requests reached the upstream for a client that disconnected during its first, want at most 2", n)
 	}
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -16,20 +16,20 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// Guards against a reload that loses the list or follows two: a new address is asked for the whole list at once,
-// since its versions are its own, and the old watch ends. A malformed file and a repeated signal change nothing.
+// Guards against a reload that loses the endpoint list or follows two discovery services: a new address is asked for the complete list at
+// once, since list versions are specific to an address, and the old watch ends. A malformed file and a repeated signal change nothing.
 func TestReload(t *testing.T) {
-	said := testutil.Logged(t)
-	ended := make(chan struct{})
+	logged := testutil.Logged(t)
+	firstWatchEnded := make(chan struct{})
 	first := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send(testutil.List(40, false))
 		<-done
-		close(ended)
+		close(firstWatchEnded)
 	})
-	s, moved := testutil.Raw(t, fakes.Says(fakes.OK200("old"))), testutil.Raw(t, fakes.Says(fakes.OK200("new")))
+	s, replacement := testutil.Raw(t, fakes.Says(fakes.OK200("old"))), testutil.Raw(t, fakes.Says(fakes.OK200("new")))
 	second := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
 		if n == 1 {
-			send(testutil.List(3, true, testutil.Entry("m", moved.Address, "Ready")))
+			send(testutil.List(3, true, testutil.Entry("m", replacement.Address, "Ready")))
 			return
 		}
 		send("")
@@ -48,40 +48,40 @@
 	}
 	hup := make(chan os.Signal)
 	ctx, cancel := context.WithCancel(t.Context())
-	over := make(chan error, 1)
-	go func() { over <- Serve(ctx, c, l, path, hup, nil) }()
+	served := make(chan error, 1)
+	go func() { served <- Serve(ctx, c, l, path, hup, nil) }()
 	r := &running{address: l.Addr().String(), client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{DisableKeepAlives: true}}}
-	testutil.Eventually(t, "the first watch", func() bool { return slices.Equal(first.Calls(), []string{"1"}) })
+	testutil.Eventually(t, "the first discovery service is watched from version 1", func() bool { return slices.Equal(first.Calls(), []string{"1"}) })
 
 	write(`{"name":`)
 	hup <- syscall.SIGHUP
-	testutil.Eventually(t, "the malformed file is reported", func() bool {
-		return strings.Contains(said(), "the old configuration stays")
+	testutil.Eventually(t, "the log reports the malformed file", func() bool {
+		return strings.Contains(logged(), "the old configuration stays")
 	})
 	write(testutil.ConfigText(second.Address))
 	hup <- syscall.SIGHUP
 	select {
-	case <-ended:
+	case <-firstWatchEnded:
 	case <-time.After(testutil.Timeout):
-		t.Fatal("the old watch goes on")
+		t.Fatal("the watch of the old discovery address did not end after the reload")
 	}
-	testutil.Eventually(t, "the whole list, then a watch from its version", func() bool {
+	testutil.Eventually(t, "the new discovery service is asked for the complete list, then watched from version 3", func() bool {
 		return slices.Equal(second.Calls(), []string{"", "3"})
 	})
 	if resp, body := r.do(t, testutil.Request(t, r.address, "search", "")); resp.StatusCode != 200 || body != "new" {
-		t.Errorf("after the reload: %s %q", resp.Status, body)
+		t.Errorf("after the reload: got %s %q, want 200 and body new", resp.Status, body)
 	}
 	for range 3 {
 		hup <- syscall.SIGHUP
 	}
 	cancel()
-	if err := <-over; err != nil {
+	if err := <-served; err != nil {
 		t.Error(err)
 	}
 	if len(first.Calls()) != 1 || len(second.Calls()) != 2 {
-		t.Errorf("watches %v and %v", first.Calls(), second.Calls())
+		t.Errorf("discovery calls: old address %v, want 1; new address %v, want 2", first.Calls(), second.Calls())
 	}
-	if n := strings.Count(said(), "the old configuration stays"); n != 1 {
-		t.Errorf("the malformed file took %d lines", n)
+	if n := strings.Count(logged(), "the old configuration stays"); n != 1 {
+		t.Errorf("the malformed file was logged %d times, want 1", n)
 	}
 }
--- a/internal/daemon/rig_test.go
+++ b/internal/daemon/rig_test.go
@@ -13,15 +13,16 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// running is a whole sidecar in this process.
+// running is a complete sidecar within the test process.
 type running struct {
 	address string
-	stop    context.CancelFunc // as SIGTERM
+	stop    context.CancelFunc // has the effect of SIGTERM
 	ended   chan struct{}
 	err     error
 	client  *http.Client
 }
 
+// start starts a sidecar on the address listen, and waits until it is ready.
 func start(t *testing.T, c *config.Config, listen string) *running {
 	t.Helper()
 	l, err := net.Listen("tcp", listen)
@@ -33,7 +34,7 @@
 	return r
 }
 
-// startOn is start on a listener at hand, and does not wait until it is ready; look is Serve's.
+// startOn starts a sidecar on an open listener, and does not wait until it is ready. Serve calls look with the engine if look is not nil.
 func startOn(t *testing.T, c *config.Config, l net.Listener, look func(*engine.Engine)) *running {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -51,10 +52,10 @@
 	return r
 }
 
-// ready waits until clients are wanted.
+// ready waits until the sidecar is ready for clients.
 func (r *running) ready(t *testing.T) {
 	t.Helper()
-	testutil.Eventually(t, "ready", func() bool {
+	testutil.Eventually(t, "the sidecar is ready", func() bool {
 		resp, err := r.client.Get("http://" + r.address + "/-/ready")
 		if err != nil {
 			return false
@@ -64,6 +65,7 @@
 	})
 }
 
+// do sends a request, and returns the response and its body.
 func (r *running) do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
 	resp, err := r.client.Do(req)
--- a/internal/daemon/scale_test.go
+++ b/internal/daemon/scale_test.go
@@ -15,7 +15,7 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// manyServices is a file of so many, with a route each and one upstream that nobody asks.
+// manyServices returns a file with n services, each with a route and one upstream, which receives no requests.
 func manyServices(n int) string {
 	var b strings.Builder
 	b.WriteString("[limits]\ndescriptors = 4096\n")
@@ -25,7 +25,7 @@
 	return b.String()
 }
 
-// BenchmarkService tells what a service takes: heap and goroutines.
+// BenchmarkService measures the heap bytes and goroutines of a service.
 //
 //	go test -run '^$' -bench Service -benchtime 1x ./internal/daemon
 func BenchmarkService(b *testing.B) {
@@ -51,8 +51,8 @@
 	}
 }
 
-// BenchmarkReload is a whole reload of a service with 5,000 endpoints, a tenth of them replaced each time; and of 10,000
-// routes.
+// BenchmarkReload measures a complete reload: of a service with 5,000 endpoints, a tenth of which are replaced each time, and
+// of 10,000 routes.
 func BenchmarkReload(b *testing.B) {
 	endpoints := func(turn int) string {
 		var b strings.Builder
@@ -97,7 +97,7 @@
 	}
 }
 
-// BenchmarkBesideHung is a service's p99 with and without another one whose nodes hang under 40 clients, in turn.
+// BenchmarkBesideHung compares the p99 latency of a service with and without a second service that hangs and has 40 clients.
 //
 //	go test -run '^$' -bench BesideHung -benchtime 5x ./internal/daemon
 func BenchmarkBesideHung(b *testing.B) {
@@ -109,19 +109,19 @@
 		case <-r.Context().Done():
 		}
 	})
-	text := services(map[string]string{"a": hung, "b": base.HTTP(b, nil, says("b"))}, "/a/ -> a", "/b/ -> b")
+	text := services(map[string]string{"a": hung, "b": base.HTTP(b, nil, respondWith("b"))}, "/a/ -> a", "/b/ -> b")
 	r := startFile(b, "[limits]\ndescriptors = 160\n"+text)
 	p99 := func() time.Duration {
-		var took []time.Duration
+		var latencies []time.Duration
 		for range 1000 {
 			begun := time.Now()
-			if status, _ := r.get("GET", "/b/x", ""); status != 200 {
-				b.Fatalf("status %d", status)
+			if status, _ := r.request("GET", "/b/x", ""); status != 200 {
+				b.Fatalf("request to the service that responds: got status %d, want 200", status)
 			}
-			took = append(took, time.Since(begun))
+			latencies = append(latencies, time.Since(begun))
 		}
-		slices.Sort(took)
-		return took[990]
+		slices.Sort(latencies)
+		return latencies[990]
 	}
 	var ratios []float64
 	p99()
@@ -137,16 +137,16 @@
 						return
 					default:
 					}
-					if status, _ := r.get("POST", "/a/x", ""); status == 500 {
+					if status, _ := r.request("POST", "/a/x", ""); status == 500 {
 						time.Sleep(100 * time.Millisecond)
 					}
 				}
 			})
 		}
 		s := r.d.routing.Load().services["a"]
-		base.Eventually(b, "the hung one has its requests in hand", func() bool { return r.d.shared.inFlight.Used(s.name) >= 40 })
-		beside := p99()
-		ratios = append(ratios, float64(beside)/float64(alone))
+		base.Eventually(b, "the hung service has 40 requests in flight", func() bool { return r.d.shared.inFlight.Used(s.name) >= 40 })
+		besideHung := p99()
+		ratios = append(ratios, float64(besideHung)/float64(alone))
 		close(stop)
 		s.engine.Abort()
 		clients.Wait()
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -18,67 +18,67 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// acceptingListener holds a connection between the system's accept and what the server makes of it.
-type acceptingListener struct {
+// pausingAcceptListener can pause between the system's accept of a connection and the return to the server.
+type pausingAcceptListener struct {
 	*net.TCPListener
-	holds    atomic.Bool
-	accepted chan struct{}
-	goOn     chan struct{}
+	pauseNext atomic.Bool
+	accepted  chan struct{}
+	resume    chan struct{}
 }
 
-func (l *acceptingListener) Accept() (net.Conn, error) {
+func (l *pausingAcceptListener) Accept() (net.Conn, error) {
 	c, err := l.TCPListener.Accept()
-	if err == nil && l.holds.CompareAndSwap(true, false) {
+	if err == nil && l.pauseNext.CompareAndSwap(true, false) {
 		l.accepted <- struct{}{}
-		<-l.goOn
+		<-l.resume
 	}
 	return c, err
 }
 
-// Guards against a connection that is lost between its accept and its first read: nothing else is open at the shutdown, which then
-// would be over; and against one that waits in the queue as the listener closes.
+// Guards against a connection that is lost because the shutdown finishes between its accept and its first read, when no other connection
+// is open, and against one that is lost because it waits in the accept queue when the listener closes.
 func TestAcceptedAsTheListenerCloses(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("whole")))
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &acceptingListener{TCPListener: tcp.(*net.TCPListener), accepted: make(chan struct{}), goOn: make(chan struct{})}
+	l := &pausingAcceptListener{TCPListener: tcp.(*net.TCPListener), accepted: make(chan struct{}), resume: make(chan struct{})}
 	r := startOn(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), l, nil)
 	r.ready(t)
-	other := dial(t, r.address, nil)
-	other.send(t, "search", "")
-	if resp, _, err := other.answer(); err != nil || resp.StatusCode != 200 {
-		t.Fatalf("%v, %v", resp, err)
+	idle := dial(t, r.address, nil)
+	idle.send(t, "search", "")
+	if resp, _, err := idle.answer(); err != nil || resp.StatusCode != 200 {
+		t.Fatalf("request before the shutdown: got %v, error %v; want status 200", resp, err)
 	}
 	r.client.CloseIdleConnections()
-	l.holds.Store(true)
-	held := dial(t, r.address, nil)
-	held.send(t, "confirm", "")
+	l.pauseNext.Store(true)
+	paused := dial(t, r.address, nil)
+	paused.send(t, "confirm", "")
 	<-l.accepted
-	queued := dial(t, r.address, nil) // it stays in the queue: there is one that accepts
+	queued := dial(t, r.address, nil) // stays in the queue, since the only accepting goroutine is paused
 	queued.send(t, "confirm", "")
 	r.stop()
-	if _, err := other.in.ReadByte(); !errors.Is(err, io.EOF) { // idle connections are being closed
-		t.Fatalf("an idle connection: %v", err)
+	if _, err := idle.in.ReadByte(); !errors.Is(err, io.EOF) { // idle connections are being closed
+		t.Fatalf("read from an idle connection during the shutdown: got %v, want EOF", err)
 	}
-	other.Close()
-	// The listener is closed 0.15 s later; whether that has come is not for this test to see.
+	idle.Close()
+	// The listener is closed 0.15 s later. The test cannot observe that, so it waits for longer.
 	select {
 	case <-r.ended:
 	case <-time.After(500 * time.Millisecond):
 	}
-	close(l.goOn)
-	for _, c := range []*clientConn{held, queued} {
+	close(l.resume)
+	for _, c := range []*clientConn{paused, queued} {
 		if resp, body, err := c.answer(); err != nil || resp.StatusCode != 200 || body != "whole" {
-			t.Errorf("%v %q, %v", resp, body, err)
+			t.Errorf("connection accepted or queued before the listener closed: got %v %q, error %v; want 200 and body whole", resp, body, err)
 		}
 		c.Close()
 	}
 	<-r.ended
 }
 
-// Guards against services that nobody ends: a reload crosses the end of the process.
+// Guards against services that are never closed because a reload starts them while the process ends.
 func TestReloadAsItEnds(t *testing.T) {
 	address := newPaymentUpstream(t).address
 	r := startFile(t, services(map[string]string{"a": address}, "/ -> a"))
@@ -86,14 +86,14 @@
 	<-r.ended
 	before := r.d.routing.Load()
 	if err := r.reload(t, services(map[string]string{"a": address, "b": address}, "/ -> b")); err == nil || !strings.Contains(err.Error(), "ending") {
-		t.Errorf("a reload of a process that has ended: %v", err)
+		t.Errorf("reload of a process that has ended: got error %v, want one that says that it is ending", err)
 	}
 	if r.d.routing.Load() != before {
-		t.Error("it has other services")
+		t.Error("the reload of a process that has ended replaced its services")
 	}
 }
 
-// Guards against a request that is sent on when what is unanswered has been failed: SIGKILL comes next.
+// Guards against a request that is forwarded after the unanswered requests were aborted at the end of the grace period: SIGKILL may follow.
 func TestNothingIsSentAfterTheEnd(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	c := testutil.Config(t, "127.0.0.1:1", testutil.Entry("s", s.Address, "Ready"))
@@ -103,56 +103,56 @@
 	}
 	defer d.endServices()
 	srv := &server{daemon: d, ids: newRequestIDs(1), lifecycleDriver: newLifecycleDriver(d.shared.clock, 0, nil)}
-	ask := func() *httptest.ResponseRecorder {
+	request := func() *httptest.ResponseRecorder {
 		req := httptest.NewRequest(http.MethodGet, "/search/1", nil)
 		req.Header.Set("X-Request-ID", "1")
 		w := httptest.NewRecorder()
 		srv.ServeHTTP(w, req)
 		return w
 	}
-	if w := ask(); w.Code != 200 {
-		t.Fatalf("before: %d", w.Code)
+	if w := request(); w.Code != 200 {
+		t.Fatalf("request before the abort: got status %d, want 200", w.Code)
 	}
 	srv.aborted.Store(true)
-	if w := ask(); w.Code != http.StatusInternalServerError || w.Header().Get("Connection") != "close" {
-		t.Errorf("answered %d, %v", w.Code, w.Header())
+	if w := request(); w.Code != http.StatusInternalServerError || w.Header().Get("Connection") != "close" {
+		t.Errorf("request after the abort: got status %d, headers %v; want 500 and Connection: close", w.Code, w.Header())
 	}
 	if n := len(s.Requests()); n != 1 {
-		t.Errorf("%d were sent on", n)
+		t.Errorf("%d requests were forwarded, want only the one before the abort", n)
 	}
 }
 
-// Guards against requests that are lost as a process is ended before it has had a list: the list that comes is used, and where none
-// comes they are answered before SIGKILL.
+// Guards against requests that are lost when a process is stopped before it has received an endpoint list: a list that arrives is used, and
+// without one the requests are answered before SIGKILL.
 func TestStopBeforeTheFirstList(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("whole")))
-	for _, comes := range []bool{true, false} {
-		d, tell := withheld(t, s.Address)
-		r, e := startLooking(t, d.Address)
+	for _, listArrives := range []bool{true, false} {
+		d, sendList := discoveryWithDelayedList(t, s.Address)
+		r, e := startWithEngine(t, d.Address)
 		c := dial(t, r.address, nil)
 		c.send(t, "search", "")
-		testutil.Eventually(t, "the request waits for the list", func() bool { return e.InFlight() == 1 })
+		testutil.Eventually(t, "the request waits for the endpoint list", func() bool { return e.InFlight() == 1 })
 		r.stop()
-		if comes {
-			close(tell)
+		if listArrives {
+			close(sendList)
 		}
 		resp, body, err := c.answer()
 		switch {
 		case err != nil:
-			t.Errorf("list %v: %v", comes, err)
-		case comes && (resp.StatusCode != 200 || body != "whole"), !comes && resp.StatusCode < 500:
-			t.Errorf("list %v: %s %q", comes, resp.Status, body)
+			t.Errorf("endpoint list arrives: %v; reading the answer failed: %v", listArrives, err)
+		case listArrives && (resp.StatusCode != 200 || body != "whole"), !listArrives && resp.StatusCode < 500:
+			t.Errorf("endpoint list arrives: %v; got %s %q, want 200 and body whole with a list, an error without", listArrives, resp.Status, body)
 		}
 		c.Close()
 		<-r.ended
 		if r.err != nil {
-			t.Errorf("list %v: %v", comes, r.err)
+			t.Errorf("endpoint list arrives: %v; reading the answer failed: %v", listArrives, r.err)
 		}
 	}
 }
 
-// Guards against requests that run and have no answer, while clients send on every connection for as long as it stays open: each
-// client's last one is answered, or was never sent on.
+// Guards against requests that are executed but not answered when clients send on every connection until it is closed: the last request
+// of each client is answered, or was never forwarded.
 func TestClientsThatSendUntilTheirConnectionEnds(t *testing.T) {
 	var ran sync.Map
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
@@ -176,31 +176,31 @@
 					resp, body, failed = c.answer()
 				}
 				if failed != nil {
-					if _, is := ran.Load(id); is {
-						t.Errorf("it ran, and its client has no answer: %v", failed)
+					if _, ran2 := ran.Load(id); ran2 {
+						t.Errorf("a request was executed upstream, but its client got no answer: %v", failed)
 					}
 					return
 				}
 				if resp.StatusCode != 200 || body != id {
-					t.Errorf("%s %q", resp.Status, body)
+					t.Errorf("got %s, body %q; want 200 and the request's ID", resp.Status, body)
 				}
 				served.Add(1)
 				if resp.Close {
 					return
 				}
-				// Some rest, each for another time, so that a close finds requests at each of their steps.
+				// Each client pauses for a different time, so that connections are closed at every stage of a request.
 				time.Sleep(time.Duration(n*n) * time.Millisecond)
 			}
 		})
 	}
-	testutil.Eventually(t, "all have been served", func() bool { return served.Load() > 100 })
+	testutil.Eventually(t, "more than 100 requests have been answered", func() bool { return served.Load() > 100 })
 	r.stop()
 	clients.Wait()
 	<-r.ended
 }
 
-// Guards against idle clients that fill the descriptors while discovery is down: the next list, the upstreams and the operators'
-// address are still reached, those that have rested for longest give way, and no more than one for each that comes.
+// Guards against idle clients that use up the file descriptors while discovery is down: the sidecar still reaches the next list and the
+// upstreams, and serves the operators' address. The connections that were idle longest are closed, only one for each new one.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("whole")))
 	d := fakes.NewDiscovery()
@@ -211,8 +211,8 @@
 	}
 	t.Cleanup(d.Close)
 	c := testutil.Config(t, address)
-	const most, clients = 20, 90
-	c.Limits.Sockets, c.Control = reservedDescriptors+2*most, base.FreeAddress(t)
+	const maxClients, clients = 20, 90
+	c.Limits.Sockets, c.Control = reservedDescriptors+2*maxClients, base.FreeAddress(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -226,15 +226,15 @@
 			ended.Add(1)
 		}()
 	}
-	testutil.Eventually(t, "no more are open than there may be", func() bool { return ended.Load() >= clients-most })
+	testutil.Eventually(t, "the connections over the limit are closed", func() bool { return ended.Load() >= clients-maxClients })
 	d.Set(testutil.EndpointList(t, 2, true, testutil.Entry("s", s.Address, "Ready")).Endpoints...)
 	d.Down(false)
-	asks := dial(t, r.address, nil)
-	asks.send(t, "search", "")
-	if resp, body, err := asks.answer(); err != nil || resp.StatusCode != 200 || body != "whole" {
-		t.Errorf("%v %q, %v", resp, body, err)
+	requester := dial(t, r.address, nil)
+	requester.send(t, "search", "")
+	if resp, body, err := requester.answer(); err != nil || resp.StatusCode != 200 || body != "whole" {
+		t.Errorf("request while idle connections are at the limit: got %v %q, error %v; want 200 and body whole", resp, body, err)
 	}
-	testutil.Eventually(t, "the operators' address says that it can serve", func() bool {
+	testutil.Eventually(t, "the operators' address reports that the process is ready", func() bool {
 		resp, err := r.client.Get("http://" + c.Control + "/ready")
 		if err != nil {
 			return false
@@ -242,7 +242,7 @@
 		defer resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	})
-	if n := ended.Load(); n > clients+1-most {
-		t.Errorf("%d idle connections gave way to one that asked, %d were one for each", n, clients+1-most)
+	if n := ended.Load(); n > clients+1-maxClients {
+		t.Errorf("%d idle connections were closed in total, want at most %d, one for each new connection", n, clients+1-maxClients)
 	}
 }
--- a/internal/daemon/subset_test.go
+++ b/internal/daemon/subset_test.go
@@ -17,22 +17,22 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Guards against upstreams that no sidecar knows, connections to upstreams that are not a sidecar's own, and a list whose
-// changes do not reach its own ones: four daemons over forty nodes.
+// Guards against upstreams that are in no sidecar's subset, requests to upstreams outside of a sidecar's subset, and list
+// changes that do not reach the subsets, with four daemons and forty upstreams.
 func TestSubsetsOfFourDaemons(t *testing.T) {
 	const sidecars, nodes = 4, 40
 	var mu sync.Mutex
-	by := map[string]map[string]bool{} // by node: who sent to it
+	sendersOf := map[string]map[string]bool{} // by upstream: the sidecars that sent requests to it
 	addresses := make([]string, nodes)
 	for i := range nodes {
 		addresses[i] = base.HTTP(t, nil, func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
 			at := fmt.Sprint("n", i)
-			if by[at] == nil {
-				by[at] = map[string]bool{}
+			if sendersOf[at] == nil {
+				sendersOf[at] = map[string]bool{}
 			}
-			by[at][r.Header.Get("X-Sidecar")] = true
+			sendersOf[at][r.Header.Get("X-Sidecar")] = true
 			fmt.Fprint(w, at)
 		})
 	}
@@ -49,17 +49,17 @@
 		rigs[i] = startFile(t, fmt.Sprintf("[daemon]\nname = \"s%d\"\n[log]\nlevel = \"error\"\n[[service]]\nname = \"seats\"\nlist_file = %q\n"+
 			"[service.subset]\non = true\nsidecars = %d\nindex = %d\nleast = 8\nmost = 16\naway = 0.0\n", i, path, sidecars, i))
 	}
-	places := func(r *fileRig) []string {
+	subsetOf := func(r *fileRig) []string {
 		return slices.Sorted(maps.Keys(r.d.routing.Load().services["seats"].registry.Instances()))
 	}
-	shared := map[string]int{}
+	knownBy := map[string]int{}
 	for i, r := range rigs {
-		own := places(r)
-		if len(own) < 8 || len(own) > 16 {
-			t.Errorf("sidecar %d has %d of its own", i, len(own))
+		subset := subsetOf(r)
+		if len(subset) < 8 || len(subset) > 16 {
+			t.Errorf("sidecar %d has a subset of %d upstreams, want from 8 to 16", i, len(subset))
 		}
-		for _, name := range own {
-			shared[name]++
+		for _, name := range subset {
+			knownBy[name]++
 		}
 		for range 100 {
 			req, _ := http.NewRequest(http.MethodGet, "http://"+r.address+"/", nil)
@@ -72,57 +72,57 @@
 		}
 	}
 	mu.Lock()
-	for name, senders := range by {
+	for name, senders := range sendersOf {
 		for s := range senders {
-			if !slices.Contains(places(rigs[s[0]-'0']), name) {
-				t.Errorf("sidecar %s sends to %s, which is not its own", s, name)
+			if !slices.Contains(subsetOf(rigs[s[0]-'0']), name) {
+				t.Errorf("sidecar %s sent a request to %s, which is not in its subset", s, name)
 			}
 		}
 	}
 	mu.Unlock()
-	if len(shared) != nodes || slices.Max(slices.Collect(maps.Values(shared))) > 1 {
-		t.Errorf("%d nodes are known, by as many: %v", len(shared), shared)
+	if len(knownBy) != nodes || slices.Max(slices.Collect(maps.Values(knownBy))) > 1 {
+		t.Errorf("%d upstreams are in a subset, want all 40, each in one; number of subsets by upstream: %v", len(knownBy), knownBy)
 	}
-	before := places(rigs[0])
+	before := subsetOf(rigs[0])
 	base.Replace(t, path, list(func(i int) string {
 		return map[bool]string{true: "Terminating", false: "Ready"}[fmt.Sprint("n", i) == before[0]]
 	}))
 	for _, r := range rigs {
-		testutil.Eventually(t, "the drain of one", func() bool {
+		testutil.Eventually(t, "the list without the draining upstream arrives", func() bool {
 			_, listed := r.d.routing.Load().services["seats"].subsetSink.Size()
-			return listed == nodes && !slices.Contains(places(r), before[0])
+			return listed == nodes && !slices.Contains(subsetOf(r), before[0])
 		})
 	}
-	moved := 0
-	for _, name := range places(rigs[0]) {
+	added := 0
+	for _, name := range subsetOf(rigs[0]) {
 		if !slices.Contains(before, name) {
-			moved++
+			added++
 		}
 	}
-	if now := places(rigs[0]); moved > 3 || len(now) < 8 {
-		t.Errorf("%d moved: %v, before %v", moved, now, before)
+	if now := subsetOf(rigs[0]); added > 3 || len(now) < 8 {
+		t.Errorf("%d upstreams joined the subset after one drained, want at most 3, and at least 8 in the subset: %v, before %v", added, now, before)
 	}
 }
 
-// The platform's own service has a part of its list as its own where the operator's file beside its one says so.
+// Guards against a subset of the platform's service that is ignored when the operator's file beside the platform's configuration sets it.
 func TestSubsetOfThePlatform(t *testing.T) {
 	var known []string
 	for i := range 30 {
 		name := fmt.Sprint("n", i)
-		known = append(known, testutil.Entry(name, base.HTTP(t, nil, says(name)), "Ready"))
+		known = append(known, testutil.Entry(name, base.HTTP(t, nil, respondWith(name)), "Ready"))
 	}
 	c := testutil.Config(t, testutil.Quiet(t).Address, known...)
 	if _, err := config.ParseFile([]byte("[[service]]\nname = \"a\"\naddresses = [\"127.0.0.1:1\"]\n[platform.subset]\non = true\n")); err == nil {
-		t.Error("taken without a platform")
+		t.Error("platform.subset was accepted without a platform configuration")
 	}
 	p, err := config.ParseBeside(c, []byte("[log]\nlevel = \"error\"\n[platform.subset]\non = true\nleast = 5\nmost = 5\naway = 0.0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	d, address := startPlan(t, p)
-	own := slices.Sorted(maps.Keys(d.routing.Load().services[config.Platform].registry.Instances()))
-	if len(own) != 5 {
-		t.Fatalf("its own are %v", own)
+	subset := slices.Sorted(maps.Keys(d.routing.Load().services[config.Platform].registry.Instances()))
+	if len(subset) != 5 {
+		t.Fatalf("the subset is %v, want 5 upstreams", subset)
 	}
 	for range 50 {
 		resp, err := http.DefaultClient.Do(testutil.Request(t, address, "search", ""))
@@ -131,18 +131,19 @@
 		}
 		body, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
-		if err != nil || !slices.Contains(own, string(body)) {
-			t.Fatalf("%s %q, %v; its own are %v", resp.Status, body, err, own)
+		if err != nil || !slices.Contains(subset, string(body)) {
+			t.Fatalf("got %s %q, error %v; want an answer from the subset %v", resp.Status, body, err, subset)
 		}
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// A service's upstreams have a connection each before any request where the operator's file says so, and the platform's too.
+// Guards against services without warm connections: where the operator's file enables them, also for the platform's service, each
+// upstream has a connection before the first request.
 func TestWarmServices(t *testing.T) {
 	var addresses, known []string
-	var made [4]atomic.Int64
-	for i := range made {
+	var accepted [4]atomic.Int64
+	for i := range accepted {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -154,7 +155,7 @@
 				if err != nil {
 					return
 				}
-				made[i].Add(1)
+				accepted[i].Add(1)
 				t.Cleanup(func() { c.Close() })
 			}
 		}()
@@ -163,8 +164,8 @@
 	}
 	all := func(n int64) func() bool {
 		return func() bool {
-			for i := range made {
-				if made[i].Load() != n {
+			for i := range accepted {
+				if accepted[i].Load() != n {
 					return false
 				}
 			}
@@ -173,16 +174,16 @@
 	}
 	startFile(t, fmt.Sprintf("[log]\nlevel = \"error\"\n[[service]]\nname = \"a\"\naddresses = [%q, %q, %q, %q]\n[service.warm]\non = true\nspread = \"10ms\"\n",
 		addresses[0], addresses[1], addresses[2], addresses[3]))
-	testutil.Eventually(t, "one connection each", all(1))
+	testutil.Eventually(t, "each upstream has one connection", all(1))
 	p, err := config.ParseBeside(testutil.Config(t, testutil.Quiet(t).Address, known...), []byte("[log]\nlevel = \"error\"\n[platform.warm]\non = true\nspread = \"10ms\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	startPlan(t, p)
-	testutil.Eventually(t, "and of the platform's", all(2))
+	testutil.Eventually(t, "each upstream has a second connection, from the platform's service", all(2))
 	for _, bad := range []string{"rate = 0", "each = 0", "part = 2.0"} {
 		if _, err := config.ParseFile([]byte("[[service]]\nname = \"a\"\naddresses = [\"127.0.0.1:1\"]\n[service.warm]\n" + bad + "\n")); err == nil {
-			t.Errorf("%q is taken", bad)
+			t.Errorf("invalid warm-up setting %q was accepted", bad)
 		}
 	}
 }
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -22,43 +22,44 @@
 	"orchiddrift/internal/upstream"
 )
 
-// encrypted is a daemon with TLS on both sides, one upstream, and the files that a test replaces.
-type encrypted struct {
+// tlsRig is a daemon with TLS to clients and to its one upstream. The test may replace the certificate files.
+type tlsRig struct {
 	*fileRig
-	ca       *fakes.CA
-	dir      string
-	upstream atomic.Pointer[tls.Config]
-	seen     atomic.Int64 // handshakes that the upstream has begun
-	slow     atomic.Int64 // how long it takes to answer, in nanoseconds
-	asked    atomic.Int64 // requests that have reached it
+	ca          *fakes.CA
+	dir         string
+	upstreamTLS atomic.Pointer[tls.Config]
+	handshakes  atomic.Int64 // begun by the upstream
+	delay       atomic.Int64 // of the upstream's answers, in nanoseconds
+	requests    atomic.Int64 // that have reached the upstream
 }
 
-func (e *encrypted) write(t testing.TB, name string, text []byte) {
+func (e *tlsRig) write(t testing.TB, name string, text []byte) {
 	base.Replace(t, filepath.Join(e.dir, name), text)
 }
 
-// pair replaces a certificate and its key, one after the other.
-func (e *encrypted) pair(t testing.TB, name string, of fakes.Issued) {
+// replaceCertificate replaces a certificate and its key, one after the other.
+func (e *tlsRig) replaceCertificate(t testing.TB, name string, of fakes.Issued) {
 	e.write(t, name+".crt", of.Certificate)
 	e.write(t, name+".key", of.Key)
 }
 
-func startEncrypted(t *testing.T, identity string) *encrypted {
+// startTLSRig starts a tlsRig whose upstream must prove identity by its certificate; empty: the host of its address.
+func startTLSRig(t *testing.T, identity string) *tlsRig {
 	t.Helper()
-	e := &encrypted{ca: base.CA(t, "one"), dir: t.TempDir()}
+	e := &tlsRig{ca: base.CA(t, "one"), dir: t.TempDir()}
 	e.write(t, "ca.crt", e.ca.PEM)
-	e.pair(t, "front", base.Issue(t, e.ca, "127.0.0.1"))
-	e.pair(t, "client", base.Issue(t, e.ca, "sidecar.example"))
+	e.replaceCertificate(t, "front", base.Issue(t, e.ca, "127.0.0.1"))
+	e.replaceCertificate(t, "client", base.Issue(t, e.ca, "sidecar.example"))
 	node := base.ServerTLS(t, base.Issue(t, e.ca, "127.0.0.1", "node7.example"))
 	node.ClientAuth, node.ClientCAs = tls.RequireAndVerifyClientCert, x509.NewCertPool()
 	node.ClientCAs.AppendCertsFromPEM(e.ca.PEM)
-	e.upstream.Store(node)
+	e.upstreamTLS.Store(node)
 	address := base.HTTP(t, &tls.Config{GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		e.seen.Add(1)
-		return e.upstream.Load(), nil
+		e.handshakes.Add(1)
+		return e.upstreamTLS.Load(), nil
 	}}, func(w http.ResponseWriter, _ *http.Request) {
-		e.asked.Add(1)
-		time.Sleep(time.Duration(e.slow.Load()))
+		e.requests.Add(1)
+		time.Sleep(time.Duration(e.delay.Load()))
 		_, _ = io.WriteString(w, "encrypted")
 	})
 	e.fileRig = startFile(t, fmt.Sprintf(`
@@ -87,7 +88,8 @@
 	return e
 }
 
-func (e *encrypted) ask(path string) (int, string) {
+// get sends a GET request, and returns the status and the body, or 0 and the error.
+func (e *tlsRig) get(path string) (int, string) {
 	resp, err := e.client.Get("https://" + e.address + path)
 	if err != nil {
 		return 0, err.Error()
@@ -98,13 +100,13 @@
 	return resp.StatusCode, string(body[:n])
 }
 
-// Guards against certificates that are taken over at the cost of what runs: replaced every 100 ms, first the certificate,
-// then the key, on both sides, beside clients that make connection after connection.
+// Guards against failed requests while certificates are replaced: on both sides every 100 ms, first the certificate, then the
+// key, while clients open new connections.
 func TestCertificatesReplacedUnderLoad(t *testing.T) {
-	e := startEncrypted(t, "node7.example")
+	e := startTLSRig(t, "node7.example")
 	stop := make(chan struct{})
 	var clients sync.WaitGroup
-	var asked atomic.Int64
+	var requests atomic.Int64
 	for range 4 {
 		clients.Go(func() {
 			for n := 0; ; n++ {
@@ -113,171 +115,171 @@
 					return
 				default:
 				}
-				if status, body := e.ask("/"); status != 200 || body != "encrypted" {
-					t.Errorf("%d %q", status, body)
+				if status, body := e.get("/"); status != 200 || body != "encrypted" {
+					t.Errorf("request while certificates are replaced: got %d %q, want 200 encrypted", status, body)
 					return
 				}
-				if asked.Add(1); n%5 == 0 {
+				if requests.Add(1); n%5 == 0 {
 					e.client.CloseIdleConnections()
 				}
 			}
 		})
 	}
-	shown := map[string]bool{}
+	serials := map[string]bool{}
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(e.ca.PEM)
 	for range 15 {
-		e.pair(t, "front", base.Issue(t, e.ca, "127.0.0.1"))
-		e.pair(t, "client", base.Issue(t, e.ca, "sidecar.example"))
-		time.Sleep(100 * time.Millisecond) // the pace that is asked for, and not a wait
+		e.replaceCertificate(t, "front", base.Issue(t, e.ca, "127.0.0.1"))
+		e.replaceCertificate(t, "client", base.Issue(t, e.ca, "sidecar.example"))
+		time.Sleep(100 * time.Millisecond) // the interval of the replacements, not a wait for a condition
 		conn, err := tls.Dial("tcp", e.address, &tls.Config{RootCAs: roots})
 		if err != nil {
 			t.Fatal(err)
 		}
-		shown[conn.ConnectionState().PeerCertificates[0].SerialNumber.String()] = true
+		serials[conn.ConnectionState().PeerCertificates[0].SerialNumber.String()] = true
 		conn.Close()
 	}
 	close(stop)
 	clients.Wait()
-	if asked.Load() < 50 || len(shown) < 3 {
-		t.Errorf("%d requests, %d certificates shown", asked.Load(), len(shown))
+	if requests.Load() < 50 || len(serials) < 3 {
+		t.Errorf("got %d requests and %d different certificates, want at least 50 and 3", requests.Load(), len(serials))
 	}
 }
 
-// Guards against an upstream taken for another one, and against handshakes that count as anything but a connection that
-// never came up: an unsafe request may then be refused, and nothing has run.
+// Guards against requests to an upstream with the wrong identity, and against failed handshakes that do not count as connections
+// that were never established: nothing was executed, so that an unsafe request is rejected as not processed.
 func TestWrongNodeGetsNothing(t *testing.T) {
-	e := startEncrypted(t, "node8.example") // node7 took over the address
+	e := startTLSRig(t, "node8.example") // node7 took over the address
 	resp, err := e.client.Post("https://"+e.address+"/", "text/plain", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	resp.Body.Close()
-	if resp.StatusCode != http.StatusServiceUnavailable || e.seen.Load() == 0 {
-		t.Errorf("%s after %d handshakes", resp.Status, e.seen.Load())
+	if resp.StatusCode != http.StatusServiceUnavailable || e.handshakes.Load() == 0 {
+		t.Errorf("got %s after %d handshakes, want 503 after at least one", resp.Status, e.handshakes.Load())
 	}
 }
 
-// Guards against connections that outlive the authority they were made under: they are closed once idle, and what comes
-// under the new one goes on.
+// Guards against connections that outlive the certificate authority by which they were verified: they are closed once idle, and
+// requests succeed under the new authority.
 func TestAuthorityRotates(t *testing.T) {
-	e := startEncrypted(t, "")
-	ask := func() string {
-		status, body := e.ask("/")
+	e := startTLSRig(t, "")
+	get := func() string {
+		status, body := e.get("/")
 		return fmt.Sprint(status, " ", body)
 	}
-	if got := ask(); got != "200 encrypted" {
+	if got := get(); got != "200 encrypted" {
 		t.Fatal(got)
 	}
 	s := e.d.routing.Load().services["a"]
 	next := base.CA(t, "two")
 	e.write(t, "ca.crt", append(append([]byte{}, e.ca.PEM...), next.PEM...))
 	before := s.credentials.Current().Generation
-	testutil.Eventually(t, "both authorities", func() bool { return s.credentials.Current().Generation > before })
-	if got := ask(); got != "200 encrypted" {
-		t.Errorf("by overlap: %s", got)
+	testutil.Eventually(t, "the service trusts both authorities", func() bool { return s.credentials.Current().Generation > before })
+	if got := get(); got != "200 encrypted" {
+		t.Errorf("while both authorities are trusted: got %s, want 200 encrypted", got)
 	}
-	seen := e.seen.Load()
+	handshakes := e.handshakes.Load()
 	e.write(t, "ca.crt", next.PEM)
-	testutil.Eventually(t, "the new authority", func() bool { return s.credentials.Current().Generation > before+1 })
-	testutil.Eventually(t, "the old connection is closed", func() bool { return e.d.shared.connectionSlots.Used(s.name) == 0 })
-	if got := ask(); got != "503 refused: not done, trying again is harmless" && got != "503 refused: not done, trying again is harmless\n" {
-		t.Errorf("under a withdrawn authority: %s", got)
+	testutil.Eventually(t, "the service trusts only the new authority", func() bool { return s.credentials.Current().Generation > before+1 })
+	testutil.Eventually(t, "the connection verified by the old authority is closed", func() bool { return e.d.shared.connectionSlots.Used(s.name) == 0 })
+	if got := get(); got != "503 refused: not done, trying again is harmless" && got != "503 refused: not done, trying again is harmless\n" {
+		t.Errorf("upstream certificate of a withdrawn authority: got %s, want 503", got)
 	}
-	if e.seen.Load() == seen {
-		t.Error("no handshake was tried")
+	if e.handshakes.Load() == handshakes {
+		t.Error("no handshake was attempted with the upstream certificate of the withdrawn authority")
 	}
-	moved := base.ServerTLS(t, base.Issue(t, next, "127.0.0.1"))
-	e.upstream.Store(moved)
-	testutil.Eventually(t, "served under the new authority", func() bool { return ask() == "200 encrypted" })
+	reissued := base.ServerTLS(t, base.Issue(t, next, "127.0.0.1"))
+	e.upstreamTLS.Store(reissued)
+	testutil.Eventually(t, "requests succeed under the new authority", func() bool { return get() == "200 encrypted" })
 }
 
-// Guards against a handshake for each attempt that is called off: an encrypted connection whose answer comes in a moment
-// carries the next request, one whose answer does not is closed. The attempt has its end at once either way.
+// Guards against a new handshake after each cancelled attempt: a TLS connection whose answer arrives shortly after the
+// cancellation is reused, any other is closed. The attempt ends at once in both cases.
 func TestCalledOffAttemptKeepsItsConnection(t *testing.T) {
-	e := startEncrypted(t, "")
+	e := startTLSRig(t, "")
 	s := e.d.routing.Load().services["a"]
 	name := ""
 	for name = range s.registry.Instances() {
 	}
 	for _, c := range []struct {
-		slow time.Duration
-		kept int64
+		delay time.Duration
+		open  int64
 	}{{4 * time.Millisecond, 1}, {500 * time.Millisecond, 0}} {
-		e.slow.Store(int64(c.slow))
+		e.delay.Store(int64(c.delay))
 		ctx, cancel := context.WithCancel(t.Context())
-		before, done := e.asked.Load(), make(chan upstream.Response, 1)
+		before, done := e.requests.Load(), make(chan upstream.Response, 1)
 		go func() {
 			done <- s.pool.Attempt(ctx, name, upstream.NewRequest("GET", "/", "a", http.Header{}, nil), time.Time{})
 		}()
-		testutil.Eventually(t, "it is out", func() bool { return e.asked.Load() > before })
+		testutil.Eventually(t, "the attempt reaches the upstream", func() bool { return e.requests.Load() > before })
 		cancel()
 		begun := time.Now()
-		if rep := <-done; rep.Result != balancer.Cancelled && rep.Result != balancer.OK || time.Since(begun) > c.slow/2+200*time.Millisecond {
-			t.Errorf("%v: result %d after %v", c.slow, rep.Result, time.Since(begun))
+		if response := <-done; response.Result != balancer.Cancelled && response.Result != balancer.OK || time.Since(begun) > c.delay/2+200*time.Millisecond {
+			t.Errorf("upstream that answers after %v: cancelled attempt ended with result %d after %v, want cancelled or OK at once", c.delay, response.Result, time.Since(begun))
 		}
-		testutil.Eventually(t, "it is kept, or closed", func() bool { return e.d.shared.connectionSlots.Used(s.name) == c.kept })
-		if c.kept == 1 {
-			testutil.Eventually(t, "it carries the next", func() bool {
-				rep := s.pool.Attempt(t.Context(), name, upstream.NewRequest("GET", "/", "a", http.Header{}, nil), time.Time{})
-				s.pool.Free(rep)
-				return rep.Result == balancer.OK && string(rep.Body) == "encrypted"
+		testutil.Eventually(t, "the connection is kept if its answer arrived shortly after the cancellation, and closed otherwise", func() bool { return e.d.shared.connectionSlots.Used(s.name) == c.open })
+		if c.open == 1 {
+			testutil.Eventually(t, "the next attempt succeeds", func() bool {
+				response := s.pool.Attempt(t.Context(), name, upstream.NewRequest("GET", "/", "a", http.Header{}, nil), time.Time{})
+				s.pool.Free(response)
+				return response.Result == balancer.OK && string(response.Body) == "encrypted"
 			})
 		}
 	}
 }
 
-// Guards against clients' handshakes that stall, with no request's time running: the connection ends by the head's time-out.
+// Guards against clients' handshakes that stall before any request timeout applies: the connection is closed after head_timeout.
 func TestClientHandshakeThatStalls(t *testing.T) {
-	e := startEncrypted(t, "")
+	e := startTLSRig(t, "")
 	conn, err := net.Dial("tcp", e.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	_ = conn.SetDeadline(time.Now().Add(testutil.Timeout))
-	_, _ = conn.Write([]byte{0x16, 0x03, 0x01, 0x02, 0x00}) // a record's head, and no more
+	_, _ = conn.Write([]byte{0x16, 0x03, 0x01, 0x02, 0x00}) // the header of a TLS record, without its content
 	begun := time.Now()
 	_, err = conn.Read(make([]byte, 1))
 	if took := time.Since(begun); err == nil || took > testutil.Timeout/2 {
-		t.Errorf("%v after %v", err, took)
+		t.Errorf("read from a connection whose handshake stalls: got error %v after %v, want one within half of the test timeout", err, took)
 	}
-	if status, body := e.ask("/"); status != 200 || body != "encrypted" {
-		t.Errorf("%d %q beside it", status, body)
+	if status, body := e.get("/"); status != 200 || body != "encrypted" {
+		t.Errorf("request beside the stalled handshake: got %d %q, want 200 encrypted", status, body)
 	}
 }
 
-// Guards against bodies in chunks that are turned down because they came encrypted, and against a request that hides behind two
-// framings there; who does not encrypt is told so.
+// Guards against chunked bodies that are rejected because they arrive over TLS, and against request smuggling over TLS by two
+// conflicting framings. A client that does not use TLS gets status 400.
 func TestFramingBehindTLS(t *testing.T) {
-	e := startEncrypted(t, "node7.example")
-	resp, err := e.client.Post("https://"+e.address+"/", "", io.LimitReader(zeros{}, 300<<10)) // in chunks: its length isn't known
+	e := startTLSRig(t, "node7.example")
+	resp, err := e.client.Post("https://"+e.address+"/", "", io.LimitReader(zeros{}, 300<<10)) // chunked, since its length is not known
 	if err != nil {
 		t.Fatal(err)
 	}
-	if resp.Body.Close(); resp.StatusCode != 200 || e.asked.Load() != 1 {
-		t.Errorf("in chunks: %s, %d reached the upstream", resp.Status, e.asked.Load())
+	if resp.Body.Close(); resp.StatusCode != 200 || e.requests.Load() != 1 {
+		t.Errorf("chunked body: got %s, and %d requests reached the upstream; want 200 and 1", resp.Status, e.requests.Load())
 	}
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(e.ca.PEM)
 	for name, c := range map[string]struct {
-		over func(net.Conn) net.Conn
+		wrap func(net.Conn) net.Conn
 		want int
 	}{
 		"two framings": {func(c net.Conn) net.Conn {
 			return tls.Client(c, &tls.Config{RootCAs: roots, ServerName: "127.0.0.1"})
 		}, http.StatusLengthRequired},
-		"plain": {func(c net.Conn) net.Conn { return c }, http.StatusBadRequest},
+		"no TLS": {func(c net.Conn) net.Conn { return c }, http.StatusBadRequest},
 	} {
-		conn := c.over(base.Dial(t, e.address))
+		conn := c.wrap(base.Dial(t, e.address))
 		_, _ = io.WriteString(conn, "POST / HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != c.want {
-			t.Errorf("%s: %+v, %v", name, resp, err)
+			t.Errorf("%s: got %+v, error %v, want another status", name, resp, err)
 		}
 		conn.Close()
 	}
-	if n := e.asked.Load(); n != 1 {
-		t.Errorf("%d reached the upstream", n)
+	if n := e.requests.Load(); n != 1 {
+		t.Errorf("%d requests reached the upstream, want only the chunked one", n)
 	}
 }
