--- a/internal/daemon/client_gone_test.go
+++ b/internal/daemon/client_gone_test.go
@@ -55,7 +55,7 @@
 // Guards against requests that are forwarded although their client disconnected while they waited for the first endpoint list. Requests
 // that are pipelined after them on the connection hide its end from a reader.
 func TestClientGoneBehindItsNextRequest(t *testing.T) {
-	for _, pipelined := range []int{1, 100} { // as much as net/http reads at once, and far more
+	for _, pipelined := range []int{1, 100} { // what fits into one read of net/http, and far more
 		t.Run(fmt.Sprint(pipelined), func(t *testing.T) {
 			s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 			d, sendList := discoveryWithDelayedList(t, s.Address)
@@ -85,8 +85,8 @@
 	}
 }
 
-// awaitIdle waits until no request is in flight, for 500 ms at most, after which a fault has shown. The system does not retry a connection
-// that was not established within that time: it waits for a second.
+// awaitIdle waits until no request is in flight, for 500 ms at most. By then a fault has shown, and the system has not yet retried a
+// connection that was not established, which it does after a second.
 func awaitIdle(e *engine.Engine) {
 	for end := time.Now().Add(500 * time.Millisecond); e.InFlight() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
--- a/internal/daemon/control_test.go
+++ b/internal/daemon/control_test.go
@@ -109,9 +109,9 @@
 		testutil.Entry("t", "127.0.0.1:1", "Terminating")))
 	metrics := readMetrics(t, call)
 	for _, class := range []string{"search", "record", "confirm"} {
-		for _, end := range []string{"completed", "rejected", "failed"} {
-			if n, has := metrics["downstream_requests."+class+"."+end]; !has || n != 0 {
-				t.Errorf("downstream_requests of class %s, %s, at the start: got %d, present: %v; want 0, present", class, end, n, has)
+		for _, outcome := range []string{"completed", "rejected", "failed"} {
+			if n, present := metrics["downstream_requests."+class+"."+outcome]; !present || n != 0 {
+				t.Errorf("downstream_requests of class %s, %s, at the start: got %d, present: %v; want 0, present", class, outcome, n, present)
 			}
 		}
 	}
@@ -140,10 +140,10 @@
 	}
 	req := testutil.Request(t, r.address, "record", "")
 	req.URL.Path = "/record/hold"
-	later := r.doAsync(req)
+	response := r.doAsync(req)
 	testutil.Eventually(t, "one request is pending", func() bool { return readMetrics(t, call)["pending"] == 1 })
 	close(hold)
-	if got := <-later; !strings.HasPrefix(got, "200") {
+	if got := <-response; !strings.HasPrefix(got, "200") {
 		t.Fatalf("held request: got %s, want status 200", got)
 	}
 	testutil.Eventually(t, "no request is pending", func() bool { return readMetrics(t, call)["pending"] == 0 })
--- a/internal/daemon/eureka_test.go
+++ b/internal/daemon/eureka_test.go
@@ -68,14 +68,14 @@
 // of them.
 func (r *fileRig) requireServedBy(t *testing.T, n nodes, names ...string) {
 	t.Helper()
-	testutil.Eventually(t, "requests go to "+strings.Join(names, " "), func() bool {
+	testutil.Eventually(t, "the service's instances are "+strings.Join(names, " "), func() bool {
 		instances := r.d.routing.Load().services["seats"].registry.Instances()
-		there := map[string]bool{}
+		active := map[string]bool{}
 		for _, at := range instances {
-			there[at.Address] = true
+			active[at.Address] = true
 		}
 		for _, name := range names {
-			if !there[n[name]] {
+			if !active[n[name]] {
 				return false
 			}
 		}
@@ -93,9 +93,9 @@
 func TestTwoStories(t *testing.T) {
 	n := startNodes(t, nil, "a", "b", "c")
 	e, other := base.Eureka(t, fakes.EurekaOptions{}), base.Eureka(t, fakes.EurekaOptions{})
-	for _, x := range []*fakes.Eureka{e, other} {
-		x.Put(n.instance(t, "host:a", "a", "UP"))
-		x.Put(n.instance(t, "host:c", "c", "UP"))
+	for _, registry := range []*fakes.Eureka{e, other} {
+		registry.Put(n.instance(t, "host:a", "a", "UP"))
+		registry.Put(n.instance(t, "host:c", "c", "UP"))
 	}
 	registries := map[string]*fakes.Eureka{"eureka": e}
 	entry := func(name, status string) string { return name + "@" + n[name] + " " + status }
@@ -196,8 +196,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	daemon, _ := startPlan(t, p)
-	s := daemon.routing.Load().services[config.Platform]
+	sidecar, _ := startPlan(t, p)
+	s := sidecar.routing.Load().services[config.Platform]
 	servedBy := func(want ...string) func() bool {
 		return func() bool {
 			got := []string{}
@@ -225,8 +225,8 @@
 func TestSourcesChangeUnderLoad(t *testing.T) {
 	n := startNodes(t, nil, "a", "b")
 	e, other := base.Eureka(t, fakes.EurekaOptions{}), base.Eureka(t, fakes.EurekaOptions{})
-	for _, x := range []*fakes.Eureka{e, other} {
-		x.Put(n.instance(t, "host:a", "a", "UP"))
+	for _, registry := range []*fakes.Eureka{e, other} {
+		registry.Put(n.instance(t, "host:a", "a", "UP"))
 	}
 	own := []string{"a@" + n["a"] + " Ready", "b@" + n["b"] + " Ready"}
 	r := startFile(t, eurekaFile(own, nil, ""))
--- a/internal/daemon/file_harness_test.go
+++ b/internal/daemon/file_harness_test.go
@@ -31,7 +31,7 @@
 	return p
 }
 
-// startFile starts a daemon with an operator's file. The test calls reload itself.
+// startFile starts a daemon with an operator's file, which is reloaded only if the test calls reload.
 func startFile(t testing.TB, text string) *fileRig {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/daemon/file_test.go
+++ b/internal/daemon/file_test.go
@@ -99,7 +99,7 @@
 					good = good || body == names[k%3]
 				}
 				if status != 200 || !good {
-					t.Errorf("%s %s between reloads %d and %d: got %d %q, want 200 by one of these reloads' routes", method, path, from, to, status, body)
+					t.Errorf("%s %s between reloads %d and %d: got %d %q, want 200 from the service of one of these reloads' routes", method, path, from, to, status, body)
 				}
 			}
 		})
@@ -204,7 +204,7 @@
 	held := base.HTTP(t, nil, func(w http.ResponseWriter, r *http.Request) {
 		received.Add(1)
 		<-release
-		if r.URL.Path == "/old/turned-away" {
+		if r.URL.Path == "/old/rejected" {
 			w.Header().Set("X-Not-Processed", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -218,7 +218,7 @@
 		body   string
 	}
 	answers := make(chan answer, 2)
-	for _, path := range []string{"/old/turned-away", "/old/answered"} {
+	for _, path := range []string{"/old/rejected", "/old/answered"} {
 		go func() {
 			status, body := r.request("GET", path, "")
 			answers <- answer{status, body}
--- a/internal/daemon/load_probing_test.go
+++ b/internal/daemon/load_probing_test.go
@@ -63,7 +63,7 @@
 	before, _ = sent()
 	send(r, 5, 200)
 	if probes, _ := sent(); probes > before {
-		t.Errorf("%d probes were sent although the sample interval of 1h had not passed, want 0", probes-before)
+		t.Errorf("%d probes were sent although requests reach each upstream more often than the sample interval of 1h, want 0", probes-before)
 	}
 	for _, bad := range []string{"each = 1", "path = \"load\"", "patience = \"0s\""} {
 		if _, err := config.ParseFile([]byte(file + "[service.probe]\n" + bad + "\n")); err == nil {
--- a/internal/daemon/rig_test.go
+++ b/internal/daemon/rig_test.go
@@ -17,8 +17,8 @@
 type running struct {
 	address string
 	stop    context.CancelFunc // has the effect of SIGTERM
-	ended   chan struct{}
-	err     error
+	ended   chan struct{}      // closed once the process has ended
+	err     error              // with which it ended; set before ended is closed
 	client  *http.Client
 }
 
@@ -34,14 +34,14 @@
 	return r
 }
 
-// startOn starts a sidecar on an open listener, and does not wait until it is ready. Serve calls look with the engine if look is not nil.
-func startOn(t *testing.T, c *config.Config, l net.Listener, look func(*engine.Engine)) *running {
+// startOn starts a sidecar on an open listener, and does not wait until it is ready. Serve calls observe with the engine if observe is not nil.
+func startOn(t *testing.T, c *config.Config, l net.Listener, observe func(*engine.Engine)) *running {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	r := &running{address: l.Addr().String(), stop: cancel, ended: make(chan struct{}),
 		client: &http.Client{Timeout: testutil.Timeout, Transport: &http.Transport{}}}
 	go func() {
-		r.err = Serve(ctx, c, l, "", nil, look)
+		r.err = Serve(ctx, c, l, "", nil, observe)
 		close(r.ended)
 	}()
 	t.Cleanup(func() {
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -146,7 +146,7 @@
 		c.Close()
 		<-r.ended
 		if r.err != nil {
-			t.Errorf("endpoint list arrives: %v; reading the answer failed: %v", listArrives, r.err)
+			t.Errorf("endpoint list arrives: %v; the process ended with error %v", listArrives, r.err)
 		}
 	}
 }
@@ -154,9 +154,9 @@
 // Guards against requests that are executed but not answered when clients send on every connection until it is closed: the last request
 // of each client is answered, or was never forwarded.
 func TestClientsThatSendUntilTheirConnectionEnds(t *testing.T) {
-	var ran sync.Map
+	var executed sync.Map
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
-		ran.Store(g.Header.Get("X-Request-Id"), true)
+		executed.Store(g.Header.Get("X-Request-Id"), true)
 		return fakes.Says(fakes.OK200(g.Header.Get("X-Request-Id")))(c, g)
 	})
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
@@ -176,7 +176,7 @@
 					resp, body, failed = c.answer()
 				}
 				if failed != nil {
-					if _, ran2 := ran.Load(id); ran2 {
+					if _, wasExecuted := executed.Load(id); wasExecuted {
 						t.Errorf("a request was executed upstream, but its client got no answer: %v", failed)
 					}
 					return
--- a/internal/daemon/subset_test.go
+++ b/internal/daemon/subset_test.go
@@ -162,7 +162,7 @@
 		addresses = append(addresses, l.Addr().String())
 		known = append(known, testutil.Entry(fmt.Sprint("n", i), l.Addr().String(), "Ready"))
 	}
-	all := func(n int64) func() bool {
+	eachAccepted := func(n int64) func() bool {
 		return func() bool {
 			for i := range accepted {
 				if accepted[i].Load() != n {
@@ -174,13 +174,13 @@
 	}
 	startFile(t, fmt.Sprintf("[log]\nlevel = \"error\"\n[[service]]\nname = \"a\"\naddresses = [%q, %q, %q, %q]\n[service.warm]\non = true\nspread = \"10ms\"\n",
 		addresses[0], addresses[1], addresses[2], addresses[3]))
-	testutil.Eventually(t, "each upstream has one connection", all(1))
+	testutil.Eventually(t, "each upstream has one connection", eachAccepted(1))
 	p, err := config.ParseBeside(testutil.Config(t, testutil.Quiet(t).Address, known...), []byte("[log]\nlevel = \"error\"\n[platform.warm]\non = true\nspread = \"10ms\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	startPlan(t, p)
-	testutil.Eventually(t, "each upstream has a second connection, from the platform's service", all(2))
+	testutil.Eventually(t, "each upstream has a second connection, from the platform's service", eachAccepted(2))
 	for _, bad := range []string{"rate = 0", "each = 0", "part = 2.0"} {
 		if _, err := config.ParseFile([]byte("[[service]]\nname = \"a\"\naddresses = [\"127.0.0.1:1\"]\n[service.warm]\n" + bad + "\n")); err == nil {
 			t.Errorf("invalid warm-up setting %q was accepted", bad)
