--- a/internal/daemon/client_gone_test.go
+++ b/internal/daemon/client_gone_test.go
@@ -195,7 +195,8 @@
 	ctx, leave := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
 	rig := &graphqlRig{fileRig: r}
-	for _, body := range []string{operationJSON(`mutation{confirm(id:"a")}`), operationJSON("{seats}"), "[" + operationJSON("{seats}") + "," + operationJSON(`{coach}`) + "]"} {
+	for _, body := range []string{operationJSON(`mutation{confirm(id:"a")}`), operationJSON("{seats}"),
+		"[" + operationJSON("{seats}") + "," + operationJSON(`{coach}`) + "]"} {
 		clients.Go(func() { rig.post(ctx, body) })
 	}
 	testutil.Eventually(t, "all operations wait for their upstream connections", func() bool { return e.InFlight() >= 3 })
--- a/internal/daemon/eureka_test.go
+++ b/internal/daemon/eureka_test.go
@@ -296,7 +296,8 @@
 	clients.Wait()
 	flips, lastArrivals, lateArrivals := f.Result()
 	if len(lateArrivals) > 0 || 1000*rejected.Load() > served.Load() || served.Load() < 1000 || len(lastArrivals) < 50 {
-		t.Errorf("%d status changes, %d requests served, %d rejected (want at most 1 per 1000), %d arrived too late: %v; requests arrived after %d changes, want at least 50", flips, served.Load(), rejected.Load(), len(lateArrivals), lateArrivals, len(lastArrivals))
+		t.Errorf("%d status changes, %d served, %d rejected (limit 1 in 1000), %d arrived too late: %v; arrivals after %d changes, want 50",
+			flips, served.Load(), rejected.Load(), len(lateArrivals), lateArrivals, len(lastArrivals))
 	}
 }
 
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -216,9 +216,12 @@
 		cancel()
 		begun := time.Now()
 		if response := <-done; response.Result != balancer.Cancelled && response.Result != balancer.OK || time.Since(begun) > c.delay/2+200*time.Millisecond {
-			t.Errorf("upstream that answers after %v: cancelled attempt ended with result %d after %v, want cancelled or OK at once", c.delay, response.Result, time.Since(begun))
+			t.Errorf("upstream that answers after %v: cancelled attempt ended with result %d after %v, want cancelled or OK at once",
+				c.delay, response.Result, time.Since(begun))
 		}
-		testutil.Eventually(t, "the connection is kept if its answer arrived shortly after the cancellation, and closed otherwise", func() bool { return e.d.shared.connectionSlots.Used(s.name) == c.open })
+		testutil.Eventually(t, "the connection is kept if its answer arrived shortly after the cancellation, and closed otherwise", func() bool {
+			return e.d.shared.connectionSlots.Used(s.name) == c.open
+		})
 		if c.open == 1 {
 			testutil.Eventually(t, "the next attempt succeeds", func() bool {
 				response := s.pool.Attempt(t.Context(), name, upstream.NewRequest("GET", "/", "a", http.Header{}, nil), time.Time{})
