--- a/internal/daemon/client_gone_test.go
+++ b/internal/daemon/client_gone_test.go
@@ -222,7 +222,7 @@
 		if strings.HasPrefix(g.Target, "/confirm") {
 			return fakes.Silent(c, g)
 		}
-		return fakes.Says(fakes.OK200("whole"))(c, g)
+		return fakes.Says(fakes.OK200("complete"))(c, g)
 	})
 	c := testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"))
 	c.Limits.Sockets = reservedDescriptors + 2*4
@@ -255,8 +255,8 @@
 		}
 		waiting := dial(t, r.address, nil)
 		waiting.send(t, "search", "")
-		if resp, body, err := waiting.answer(); err != nil || resp.StatusCode != 200 || body != "whole" {
-			t.Errorf("request of a client that stays connected: got %v %q, error %v; want 200 and body whole", resp, body, err)
+		if resp, body, err := waiting.answer(); err != nil || resp.StatusCode != 200 || body != "complete" {
+			t.Errorf("request of a client that stays connected: got %v %q, error %v; want 200 and body complete", resp, body, err)
 		}
 		waiting.Close()
 	}
--- a/internal/daemon/file_test.go
+++ b/internal/daemon/file_test.go
@@ -299,8 +299,8 @@
 func TestListFileKeepsTheLastGoodList(t *testing.T) {
 	addresses := [2]string{base.HTTP(t, nil, respondWith("one")), base.HTTP(t, nil, respondWith("two"))}
 	entry := func(i int) string { return fmt.Sprintf(`{"name":"n%d","address":%q}`, i, addresses[i]) }
-	whole := `{"count":1,"endpoints":[` + entry(0) + `]}`
-	list := base.File(t, "list.json", []byte(whole))
+	valid := `{"count":1,"endpoints":[` + entry(0) + `]}`
+	list := base.File(t, "list.json", []byte(valid))
 	r := startFile(t, fmt.Sprintf("[log]\nlevel = \"error\"\n[[service]]\nname = \"a\"\nlist_file = %q\n", list))
 	served := func() string {
 		_, body := r.request("GET", "/", "")
@@ -310,9 +310,9 @@
 	if got := served(); got != "one" {
 		t.Fatalf("valid list file: served by %q, want one", got)
 	}
-	for name, text := range map[string]string{"emptied": "", "truncated": whole[:len(whole)/2], "no list": "{}", "no endpoint": `{"endpoints":[]}`,
+	for name, text := range map[string]string{"emptied": "", "truncated": valid[:len(valid)/2], "no list": "{}", "no endpoint": `{"endpoints":[]}`,
 		"wrong count": `{"count":2,"endpoints":[` + entry(0) + `]}`, "duplicate endpoint": `{"endpoints":[` + entry(0) + "," + entry(0) + `]}`,
-		"trailing data": whole + whole, "unknown key": `{"endpoint":[]}`} {
+		"trailing data": valid + valid, "unknown key": `{"endpoint":[]}`} {
 		base.Replace(t, list, []byte(text))
 		awaitListPolls(t, r)
 		if got := served(); got != "one" || instances.ReadyCount() != 1 {
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -38,7 +38,7 @@
 // Guards against a connection that is lost because the shutdown finishes between its accept and its first read, when no other connection
 // is open, and against one that is lost because it waits in the accept queue when the listener closes.
 func TestAcceptedAsTheListenerCloses(t *testing.T) {
-	s := testutil.Raw(t, fakes.Says(fakes.OK200("whole")))
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("complete")))
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -70,8 +70,8 @@
 	}
 	close(l.resume)
 	for _, c := range []*clientConn{paused, queued} {
-		if resp, body, err := c.answer(); err != nil || resp.StatusCode != 200 || body != "whole" {
-			t.Errorf("connection accepted or queued before the listener closed: got %v %q, error %v; want 200 and body whole", resp, body, err)
+		if resp, body, err := c.answer(); err != nil || resp.StatusCode != 200 || body != "complete" {
+			t.Errorf("connection accepted or queued before the listener closed: got %v %q, error %v; want 200 and body complete", resp, body, err)
 		}
 		c.Close()
 	}
@@ -125,7 +125,7 @@
 // Guards against requests that are lost when a process is stopped before it has received an endpoint list: a list that arrives is used, and
 // without one the requests are answered before SIGKILL.
 func TestStopBeforeTheFirstList(t *testing.T) {
-	s := testutil.Raw(t, fakes.Says(fakes.OK200("whole")))
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("complete")))
 	for _, listArrives := range []bool{true, false} {
 		d, sendList := discoveryWithDelayedList(t, s.Address)
 		r, e := startWithEngine(t, d.Address)
@@ -140,8 +140,8 @@
 		switch {
 		case err != nil:
 			t.Errorf("endpoint list arrives: %v; reading the answer failed: %v", listArrives, err)
-		case listArrives && (resp.StatusCode != 200 || body != "whole"), !listArrives && resp.StatusCode < 500:
-			t.Errorf("endpoint list arrives: %v; got %s %q, want 200 and body whole with a list, an error without", listArrives, resp.Status, body)
+		case listArrives && (resp.StatusCode != 200 || body != "complete"), !listArrives && resp.StatusCode < 500:
+			t.Errorf("endpoint list arrives: %v; got %s %q, want 200 and body complete with a list, an error without", listArrives, resp.Status, body)
 		}
 		c.Close()
 		<-r.ended
@@ -202,7 +202,7 @@
 // Guards against idle clients that use up the file descriptors while discovery is down: the sidecar still reaches the next list and the
 // upstreams, and serves the operators' address. The connections that were idle longest are closed, only one for each new one.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
-	s := testutil.Raw(t, fakes.Says(fakes.OK200("whole")))
+	s := testutil.Raw(t, fakes.Says(fakes.OK200("complete")))
 	d := fakes.NewDiscovery()
 	d.Down(true)
 	address, err := d.Listen("127.0.0.1:0")
@@ -231,8 +231,8 @@
 	d.Down(false)
 	requester := dial(t, r.address, nil)
 	requester.send(t, "search", "")
-	if resp, body, err := requester.answer(); err != nil || resp.StatusCode != 200 || body != "whole" {
-		t.Errorf("request while idle connections are at the limit: got %v %q, error %v; want 200 and body whole", resp, body, err)
+	if resp, body, err := requester.answer(); err != nil || resp.StatusCode != 200 || body != "complete" {
+		t.Errorf("request while idle connections are at the limit: got %v %q, error %v; want 200 and body complete", resp, body, err)
 	}
 	testutil.Eventually(t, "the operators' address reports that the process is ready", func() bool {
 		resp, err := r.client.Get("http://" + c.Control + "/ready")
