--- a/internal/testing/processes/discoveryoverload_test.go
+++ b/internal/testing/processes/discoveryoverload_test.go
@@ -86,7 +86,7 @@
 	}
 	text := configuration(p.Name(), i+1, sidecars, address, false)
 	listen := fmt.Sprintf("listen = %q", p.Address())
-	control := fmt.Sprintf("control = %q", p.Operators())
+	control := fmt.Sprintf("control = %q", p.ControlAddress())
 	text = strings.Replace(text, `listen = "127.0.0.1:0"`, listen, 1) // listeners stay as they are in a reload
 	text = strings.Replace(text, `control = "127.0.0.1:0"`, control, 1)
 	if err := os.WriteFile(filepath.Join(p.Dir, "web.toml"), []byte(text), 0o600); err != nil {
--- a/internal/testing/processes/rig.go
+++ b/internal/testing/processes/rig.go
@@ -38,8 +38,8 @@
 	return path, nil
 })
 
-// Built returns the path of the program, which is built once. Main removes it.
-func Built() (string, error) { return built() }
+// ProgramPath returns the path of the program, which is built once. Main removes it.
+func ProgramPath() (string, error) { return built() }
 
 // Main runs the tests of a package and removes the program after them.
 func Main(m *testing.M) int {
@@ -161,8 +161,8 @@
 // Address returns the address for the clients of a daemon's current process; "" before it listens.
 func (p *Process) Address() string { return p.logged("clients") }
 
-// Operators returns the control address of a daemon's current process; "" before it listens.
-func (p *Process) Operators() string { return p.logged("operators") }
+// ControlAddress returns the control address of a daemon's current process; "" before it listens.
+func (p *Process) ControlAddress() string { return p.logged("operators") }
 
 // logged returns a field of the line by which the current process reported that it listens.
 func (p *Process) logged(key string) string {
