--- a/internal/testing/processes/connection.go
+++ b/internal/testing/processes/connection.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// ConnectionEnded reports whether the server has ended a connection on which no response is awaited: its end, or the TLS alert before it,
-// waits to be read. A client that keeps connections looks before it sends another request.
+// ConnectionEnded reports whether the server has closed an idle connection: an end of file, a reset or the TLS alert that precedes the
+// close is ready to be read. A client with persistent connections calls it before it sends another request on one.
 func ConnectionEnded(socket net.Conn) (ended bool) {
 	tcp, ok := socket.(*net.TCPConn)
 	if !ok {
--- a/internal/testing/processes/drain_test.go
+++ b/internal/testing/processes/drain_test.go
@@ -18,20 +18,20 @@
 	"orchiddrift/internal/fakes"
 )
 
-// watched is a fleet of daemons that follow one discovery, with upstreams that record the arrival times of requests.
-type watched struct {
-	disco   *fakes.Discovery
-	daemons []*Process
-	names   []string // of the upstreams
-	mu      sync.Mutex
-	came    map[string][]time.Time // by upstream that drains: when requests came
-	served  atomic.Int64
-	failed  atomic.Int64
-	stop    chan struct{}
-	driving sync.WaitGroup
+// loadedFleet is a fleet of daemons that watch one discovery and receive requests, with upstreams that record when requests arrive.
+type loadedFleet struct {
+	discovery *fakes.Discovery
+	daemons   []*Process
+	names     []string // of the upstreams
+	mu        sync.Mutex
+	arrivals  map[string][]time.Time // arrival times of requests by upstream
+	served    atomic.Int64
+	failed    atomic.Int64
+	stop      chan struct{}
+	clients   sync.WaitGroup
 }
 
-// configuration returns the file of a daemon with one service whose discovery is at address.
+// configuration returns the configuration file of a daemon with one service, whose discovery is at address.
 func configuration(name string, seed, sidecars int, address string, pushed bool) string {
 	return fmt.Sprintf(`[daemon]
 name = %q
@@ -51,10 +51,10 @@
 `, name, seed, address, pushed, sidecars)
 }
 
-// watch starts daemons and upstreams, and sends rate requests per second to each daemon.
-func watch(t *testing.T, r *Rig, sidecars, upstreams int, pushed bool, disco *fakes.Discovery, rate float64) *watched {
+// startFleet starts daemons and upstreams, and sends rate requests per second to each daemon.
+func startFleet(t *testing.T, r *Rig, sidecars, upstreams int, pushed bool, discovery *fakes.Discovery, rate float64) *loadedFleet {
 	t.Helper()
-	f := &watched{disco: disco, came: map[string][]time.Time{}, stop: make(chan struct{})}
+	f := &loadedFleet{discovery: discovery, arrivals: map[string][]time.Time{}, stop: make(chan struct{})}
 	var entries []endpoints.Endpoint
 	for i := range upstreams {
 		name := fmt.Sprintf("u%d", i)
@@ -65,7 +65,7 @@
 		s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			now := time.Now()
 			f.mu.Lock()
-			f.came[name] = append(f.came[name], now)
+			f.arrivals[name] = append(f.arrivals[name], now)
 			f.mu.Unlock()
 			_, _ = io.WriteString(w, name)
 		})}
@@ -74,13 +74,13 @@
 		f.names = append(f.names, name)
 		entries = append(entries, endpoints.Endpoint{Name: name, Address: l.Addr().String(), Zone: "a", MachineType: "m", Status: endpoints.StatusReady})
 	}
-	disco.Heartbeat = 2 * time.Second // the protocol's
-	address, err := disco.Listen("127.0.0.1:0")
+	discovery.Heartbeat = 2 * time.Second // as in the discovery protocol
+	address, err := discovery.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(disco.Close)
-	disco.Set(entries...)
+	t.Cleanup(discovery.Close)
+	discovery.Set(entries...)
 	for i := range sidecars {
 		name := fmt.Sprintf("n%d", i)
 		f.daemons = append(f.daemons, r.Process(Spec{Name: name, Args: []string{"--config", "web.toml"}, Ready: Listening,
@@ -89,22 +89,22 @@
 	if err := r.StartAll(within(t, Patience), f.daemons...); err != nil {
 		t.Fatal(err)
 	}
-	f.current(t, Patience)
+	f.awaitCurrentList(t, Patience)
 	for i, p := range f.daemons {
 		address := p.Address()
-		f.driving.Go(func() { f.drive(address, time.Duration(float64(time.Second)/rate), i, sidecars) })
+		f.clients.Go(func() { f.sendRequests(address, time.Duration(float64(time.Second)/rate), i, sidecars) })
 	}
 	t.Cleanup(func() {
 		close(f.stop)
-		f.driving.Wait()
+		f.clients.Wait()
 	})
 	return f
 }
 
-func (f *watched) drive(address string, every time.Duration, i, of int) {
+func (f *loadedFleet) sendRequests(address string, every time.Duration, i, sidecars int) {
 	c := http.Client{Timeout: Patience, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer c.CloseIdleConnections()
-	wait := time.NewTimer(every * time.Duration(i) / time.Duration(of)) // spread over the fleet
+	wait := time.NewTimer(every * time.Duration(i) / time.Duration(sidecars)) // spreads the requests of the fleet over the interval
 	defer wait.Stop()
 	for {
 		select {
@@ -128,24 +128,25 @@
 	}
 }
 
-// current waits until each daemon has a watch that has been told all, and returns when that was.
-func (f *watched) current(t *testing.T, patience time.Duration) time.Time {
+// awaitCurrentList waits until each daemon has a watch that has received the current endpoint list, and returns the time of that.
+func (f *loadedFleet) awaitCurrentList(t *testing.T, timeout time.Duration) time.Time {
 	t.Helper()
-	for end := time.Now().Add(patience); f.disco.Current() < len(f.daemons); {
+	for end := time.Now().Add(timeout); f.discovery.Current() < len(f.daemons); {
 		if time.Now().After(end) {
-			t.Fatalf("%d of %d daemons have the list", f.disco.Current(), len(f.daemons))
+			t.Fatalf("only %d of %d daemons have the current endpoint list", f.discovery.Current(), len(f.daemons))
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 	return time.Now()
 }
 
-// late is the last request that came to one of those after a moment, counted from it, and how many came later than grace.
-func (f *watched) late(drained []string, due time.Time, grace time.Duration) (worst time.Duration, n int) {
+// lateRequests returns the longest time after due at which a request arrived at a drained upstream, and the number of requests that arrived
+// more than grace after due.
+func (f *loadedFleet) lateRequests(drained []string, due time.Time, grace time.Duration) (worst time.Duration, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, name := range drained {
-		for _, at := range f.came[name] {
+		for _, at := range f.arrivals[name] {
 			if after := at.Sub(due); after > 0 {
 				worst = max(worst, after)
 				if after > grace {
@@ -157,47 +158,49 @@
 	return worst, n
 }
 
-// settled waits until a time.
-func settled(until time.Time) { time.Sleep(time.Until(until)) }
+// sleepUntil sleeps until the given time.
+func sleepUntil(until time.Time) { time.Sleep(time.Until(until)) }
 
-// How much later than the daemons have to know of a drain a request may arrive: the grace of the rule, and the delay of a busy machine.
+// A request may arrive at a draining upstream until the sum of these after the time by which all daemons have to know of the drain: drainGrace
+// is what the rule on draining allows, schedulingSlack the delay of a busy machine.
 const (
-	ruleGrace = 250 * time.Millisecond
-	readSlack = 250 * time.Millisecond
+	drainGrace      = 250 * time.Millisecond
+	schedulingSlack = 250 * time.Millisecond
 )
 
-// drainUnseen drains upstreams while the daemons cannot learn of it at once, and returns when it did so and by when the daemons have to know.
-func drainUnseen(disco *fakes.Discovery, how string, sidecars int, drained []string) (drainedAt, due time.Time) {
+// drainDuringOutage drains upstreams while the daemons cannot learn of it at once. It returns the time of the drain, and the time by which all
+// daemons have to know of it.
+func drainDuringOutage(discovery *fakes.Discovery, how string, sidecars int, drained []string) (drainedAt, due time.Time) {
 	switch how {
 	case "pushed":
-		disco.Down(true)
-		settled(time.Now().Add(3100 * time.Millisecond))
-		disco.Drain(drained...)
+		discovery.Down(true)
+		sleepUntil(time.Now().Add(3100 * time.Millisecond))
+		discovery.Drain(drained...)
 		drainedAt = time.Now()
-		disco.Down(false)
+		discovery.Down(false)
 		due = time.Now()
 	case "down":
-		disco.Down(true)
-		settled(time.Now().Add(10 * time.Second)) // until the backoff has reached its maximum
-		disco.Drain(drained...)
+		discovery.Down(true)
+		sleepUntil(time.Now().Add(10 * time.Second)) // until the backoff of the daemons has reached its maximum
+		discovery.Drain(drained...)
 		drainedAt = time.Now()
-		disco.Down(false)
+		discovery.Down(false)
 		due = time.Now().Add(6 * time.Second)
 	default:
-		disco.DelayAnswers(900 * time.Millisecond)
-		disco.Break()
-		settled(time.Now().Add(1600*time.Millisecond + time.Duration(sidecars)*3*time.Millisecond)) // each calls again after 0.5 to 1.5 s, or 2.6 s
-		disco.DelayAnswers(0)
-		disco.Mute()
+		discovery.DelayAnswers(900 * time.Millisecond)
+		discovery.Break()
+		sleepUntil(time.Now().Add(1600*time.Millisecond + time.Duration(sidecars)*3*time.Millisecond)) // each daemon calls again after 0.5 to 1.5 s, or 2.6 s
+		discovery.DelayAnswers(0)
+		discovery.Mute()
 		due = time.Now().Add(6 * time.Second)
-		settled(time.Now().Add(600 * time.Millisecond))
-		disco.Drain(drained...)
+		sleepUntil(time.Now().Add(600 * time.Millisecond))
+		discovery.Drain(drained...)
 		drainedAt = time.Now()
 	}
 	return drainedAt, due
 }
 
-// maxInOneSecond returns the highest number of calls within a second.
+// maxInOneSecond returns the highest number of calls within any second.
 func maxInOneSecond(calls []time.Time) int {
 	most := 0
 	for i := range calls {
@@ -210,10 +213,11 @@
 	return most
 }
 
-// No request goes to a draining upstream after the daemons have to know of the drain. A quarter of the upstreams drain while the endpoint list
-// cannot be read. Asked: all watches are reset, and the calls that follow fall silent before their answer; the daemons have to know 6 s later.
-// Down: all calls fail for 10 s; the daemons have to know 6 s after discovery returns. Pushed: the agent breaks all watches and takes no calls
-// for a while; the daemons have to know as soon as it returns.
+// Guards against requests to draining upstreams after the time by which all daemons have to know of the drain. A quarter of the upstreams drain
+// while the daemons cannot read the endpoint list. In the case "asked" all watches end, and the calls that follow stay open without an answer;
+// the daemons have to know of the drain 6 s after discovery stops answering them. In the case "down" all calls fail for 10 s; the daemons have
+// to know 6 s after discovery returns. In the case "pushed" discovery is an agent that pushes changes: it ends all watches and rejects all
+// calls for a while, and the daemons have to know as soon as it returns.
 func TestNothingGoesToUpstreamsAnnouncedAsLeaving(t *testing.T) {
 	sidecars, upstreams, rate := 4, 8, 20.0
 	if *fleet {
@@ -225,69 +229,69 @@
 		t.Run(how, func(t *testing.T) {
 			pushed := how == "pushed"
 			r := New(t, 1)
-			disco := fakes.NewDiscovery()
-			if *fleet && !pushed { // it takes all calls in 2 s, and none that would wait for more than 1 s
-				disco.Rate, disco.Timeout = float64(sidecars)/2, time.Second
+			discovery := fakes.NewDiscovery()
+			if *fleet && !pushed { // discovery needs 2 s for a call of each sidecar, and rejects calls that would wait for more than 1 s
+				discovery.Rate, discovery.Timeout = float64(sidecars)/2, time.Second
 			}
-			f := watch(t, r, sidecars, upstreams, pushed, disco, rate)
-			begun := len(disco.Calls())
+			f := startFleet(t, r, sidecars, upstreams, pushed, discovery, rate)
+			begun := len(discovery.Calls())
 			drained := f.names[:upstreams/4]
-			drainedAt, due := drainUnseen(disco, how, sidecars, drained)
-			all := f.current(t, 30*time.Second)
-			settled(due.Add(time.Second))
-			worst, n := f.late(drained, due, ruleGrace+readSlack)
-			calls := disco.Calls()[begun:]
+			drainedAt, due := drainDuringOutage(discovery, how, sidecars, drained)
+			all := f.awaitCurrentList(t, 30*time.Second)
+			sleepUntil(due.Add(time.Second))
+			worst, n := f.lateRequests(drained, due, drainGrace+schedulingSlack)
+			calls := discovery.Calls()[begun:]
 			record := map[string]any{"sidecars": sidecars, "upstreams": upstreams, "how": how, "late": n, "worst_ms": worst.Milliseconds(),
 				"all_have_the_news_ms": all.Sub(drainedAt).Milliseconds(), "due_ms": due.Sub(drainedAt).Milliseconds(), "calls": len(calls), "calls_in_a_second": maxInOneSecond(calls),
 				"served": f.served.Load(), "failed": f.failed.Load()}
 			line, _ := json.Marshal(record)
 			t.Logf("%s", line)
 			if n > 0 {
-				t.Errorf("%d requests went to upstreams announced as leaving, the last %v after that counted as told", n, worst)
+				t.Errorf("%d requests went to draining upstreams, the last one %v after all daemons had to know of the drain", n, worst)
 			}
 			if f.served.Load() == 0 || f.failed.Load() > f.served.Load()/100 {
-				t.Errorf("%d served, %d not", f.served.Load(), f.failed.Load())
+				t.Errorf("%d requests succeeded and %d failed: too few successes or too many failures", f.served.Load(), f.failed.Load())
 			}
 		})
 	}
 }
 
-// A daemon follows lists of up to 1,024 upstreams, indented or not, within the memory and descriptors of its configuration. Its resident
-// memory, threads and descriptors are logged.
+// Guards against a daemon that exceeds the memory or descriptor limit of its configuration, or fails requests, with endpoint lists of up to
+// 1,024 upstreams, indented or not. The test logs its resident memory, threads and descriptors.
 func TestListsOfAnySize(t *testing.T) {
 	for _, n := range []int{10, 100, 300, 1024} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			r := New(t, 1)
-			disco := fakes.NewDiscovery()
-			disco.Indent = n == 1024
+			discovery := fakes.NewDiscovery()
+			discovery.Indent = n == 1024
 			begun := time.Now()
-			f := watch(t, r, 1, n, false, disco, 200)
+			f := startFleet(t, r, 1, n, false, discovery, 200)
 			up := time.Since(begun)
 			for end := time.Now().Add(Patience); f.served.Load() < 200 && time.Now().Before(end); {
 				time.Sleep(5 * time.Millisecond)
 			}
-			pid := f.daemons[0].current().cmd.Process.Pid
+			pid := f.daemons[0].currentRun().cmd.Process.Pid
 			status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 			if err != nil {
-				t.Skip("no /proc here")
+				t.Skip("the system has no /proc")
 			}
 			open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 			if err != nil {
 				t.Fatal(err)
 			}
-			held := map[string]int{}
+			procStatus := map[string]int{}
 			for _, line := range strings.Split(string(status), "\n") {
 				if f := strings.Fields(line); len(f) > 1 {
-					held[f[0]], _ = strconv.Atoi(f[1])
+					procStatus[f[0]], _ = strconv.Atoi(f[1])
 				}
 			}
-			t.Logf("%d upstreams: ready and told all in %v, %d MB, %d threads, %d descriptors", n, up.Round(time.Millisecond), held["VmRSS:"]>>10,
-				held["Threads:"], len(open))
-			if held["VmHWM:"]>>10 > 64 || len(open) > 512 {
-				t.Errorf("at most %d MB and %d descriptors: its file says 64 and 512", held["VmHWM:"]>>10, len(open))
+			t.Logf("%d upstreams: ready with the complete list after %v, %d MB resident, %d threads, %d descriptors", n, up.Round(time.Millisecond), procStatus["VmRSS:"]>>10,
+				procStatus["Threads:"], len(open))
+			if procStatus["VmHWM:"]>>10 > 64 || len(open) > 512 {
+				t.Errorf("daemon used up to %d MB and %d descriptors, its limits are 64 MB and 512", procStatus["VmHWM:"]>>10, len(open))
 			}
 			if f.failed.Load() > 0 {
-				t.Errorf("%d served, %d not", f.served.Load(), f.failed.Load())
+				t.Errorf("%d requests succeeded and %d failed: too few successes or too many failures", f.served.Load(), f.failed.Load())
 			}
 		})
 	}
--- a/internal/testing/processes/history.go
+++ b/internal/testing/processes/history.go
@@ -11,48 +11,50 @@
 
 // Kinds of events.
 const (
-	Did    = "did"   // an action of the rig on a process or link
-	Logged = "told"  // a line of a process, in Data if it is JSON
+	Did    = "did"   // the rig acted on a process or link
+	Logged = "told"  // a process logged a line; Data holds it if it is JSON
 	Ended  = "ended" // a process ended
-	Noted  = "noted" // a note of the test or its rule checker
+	Noted  = "noted" // the test or its rule checker recorded a note
 )
 
 // Event is one line of a history.
 type Event struct {
-	At   time.Duration   `json:"at"` // since the history began, by a clock that does not jump
+	At   time.Duration   `json:"at"` // monotonic time since the start of the history
 	Kind string          `json:"kind"`
-	Who  string          `json:"who"`            // a process, a link, or whoever notes
-	Run  int             `json:"life,omitempty"` // the process's, from 1: each start is one
+	Who  string          `json:"who"`            // the process or link, or the author of a note
+	Run  int             `json:"life,omitempty"` // the number of the process's run; its first start is run 1
 	What string          `json:"what"`
 	Data json.RawMessage `json:"data,omitempty"`
 }
 
-// mostEvents is how many a History holds. Beyond it they are only written: about 200 MB at 200 bytes each.
-const mostEvents = 1 << 20
+// maxEvents limits the events that a History holds in memory: about 200 MB at 200 bytes each. Later events
+// are only written to its writer.
+const maxEvents = 1 << 20
 
 // History is an ordered log of events. It is safe for concurrent use.
 type History struct {
-	mu    sync.Mutex
-	begun time.Time
-	out   io.Writer // JSON Lines; nil: nowhere
-	all   []Event
-	more  chan struct{} // closed with the next event
-	err   error
+	mu     sync.Mutex
+	start  time.Time
+	out    io.Writer // receives the events as JSON Lines; may be nil
+	events []Event
+	added  chan struct{} // closed when the next event is added
+	err    error         // of the first failed write
 }
 
-// NewHistory returns an empty history that is also written to out if that is not nil.
+// NewHistory returns an empty history. Its events are also written to out, unless out is nil.
 func NewHistory(out io.Writer) *History {
-	return &History{begun: time.Now(), out: out, more: make(chan struct{})}
+	return &History{start: time.Now(), out: out, added: make(chan struct{})}
 }
 
 // Now returns the time since the start of the history.
-func (h *History) Now() time.Duration { return time.Since(h.begun) }
+func (h *History) Now() time.Duration { return time.Since(h.start) }
 
-// Add appends an event with the current time. Times do not decrease.
+// Add sets the time of an event to the current time, appends the event and returns it. Times never
+// decrease.
 func (h *History) Add(e Event) Event {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	e.At = time.Since(h.begun)
+	e.At = time.Since(h.start)
 	if h.out != nil && h.err == nil {
 		line, err := json.Marshal(e)
 		if err == nil {
@@ -60,46 +62,48 @@
 		}
 		h.err = err
 	}
-	if len(h.all) < mostEvents {
-		h.all = append(h.all, e)
+	if len(h.events) < maxEvents {
+		h.events = append(h.events, e)
 	}
-	close(h.more)
-	h.more = make(chan struct{})
+	close(h.added)
+	h.added = make(chan struct{})
 	return e
 }
 
-// Events returns the events from an index on. The caller must not change them.
+// Events returns the events that start at index from. The caller must not change them.
 func (h *History) Events(from int) []Event {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.all[min(from, len(h.all)):len(h.all):len(h.all)]
+	return h.events[min(from, len(h.events)):len(h.events):len(h.events)]
 }
 
-// Err returns the error that ended the writing to out; nil if there was none.
+// Err returns the error of the first failed write, after which nothing more is written, or nil if no write
+// failed.
 func (h *History) Err() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.err
 }
 
-var errFull = errors.New("the history is full")
+var errFull = errors.New("the history is full: later events are not kept in memory")
 
-// Wait waits for a matching event from an index on, and returns it with the index after it.
+// Wait waits for the first matching event at index from or later. It returns the event and the index after
+// it.
 func (h *History) Wait(ctx context.Context, from int, match func(Event) bool) (Event, int, error) {
 	for {
 		h.mu.Lock()
-		all, more := h.all, h.more
+		events, added := h.events, h.added
 		h.mu.Unlock()
-		for ; from < len(all); from++ {
-			if match(all[from]) {
-				return all[from], from + 1, nil
+		for ; from < len(events); from++ {
+			if match(events[from]) {
+				return events[from], from + 1, nil
 			}
 		}
-		if len(all) == mostEvents {
+		if len(events) == maxEvents {
 			return Event{}, from, errFull
 		}
 		select {
-		case <-more:
+		case <-added:
 		case <-ctx.Done():
 			return Event{}, from, context.Cause(ctx)
 		}
--- a/internal/testing/processes/link.go
+++ b/internal/testing/processes/link.go
@@ -10,55 +10,57 @@
 
 // Fault is a fault of a link in one direction. The zero Fault forwards bytes at once.
 type Fault struct {
-	Drop   bool          `json:"drop,omitempty"`   // hold all bytes until the fault ends, as if TCP retransmitted them then
-	Delay  time.Duration `json:"delay,omitempty"`  // added to each piece; the order stays
-	Jitter time.Duration `json:"jitter,omitempty"` // random addition of up to this
+	Drop   bool          `json:"drop,omitempty"`   // hold all bytes back until the fault ends, as if TCP retransmitted them then
+	Delay  time.Duration `json:"delay,omitempty"`  // added to each chunk; the order of the bytes stays
+	Jitter time.Duration `json:"jitter,omitempty"` // maximum of the random delay that is added to Delay
 }
 
 // The directions of a link.
 const (
-	Out  = 0 // from the side that connects
-	Back = 1 // to the side that connects
-	ways = 2
+	Out        = 0 // from the process that opens the connection
+	Back       = 1 // to the process that opens the connection
+	directions = 2
 )
 
-// pieceSize bounds what is carried at once, and piecesHeld the pieces that one connection holds one way: 1 MiB.
+// A link reads at most chunkSize bytes at once, and buffers at most chunksBuffered chunks for each direction of a connection: 1 MiB.
 const (
-	pieceSize  = 16 << 10
-	piecesHeld = 64
+	chunkSize      = 16 << 10
+	chunksBuffered = 64
 )
 
 // Link is a TCP proxy from one process to another that injects faults. It is safe for concurrent use.
 type Link struct {
-	name   string // from>to
-	from   string
-	to     string
-	rig    *Rig
-	target func() string // current address of the other side; "": none
-	listen net.Listener
-	done   sync.WaitGroup
+	name    string // "from>to"
+	from    string
+	to      string
+	rig     *Rig
+	target  func() string // returns the current address of the process to; "" if it has none
+	listen  net.Listener
+	running sync.WaitGroup
 
 	mu      sync.Mutex
 	rng     *rand.Rand
-	faults  [ways]Fault
-	changed chan struct{} // closed as faults change
-	cut     [ways]int     // bytes until the connection that carries them is cut in the middle of what it carries; below 0: never
-	conns   map[*carried]bool
-	closed  bool
+	faults  [directions]Fault
+	changed chan struct{} // closed when faults change
+	// Bytes left to forward before the connection that carries the next byte is reset; negative: no reset.
+	cutAfter [directions]int
+	conns    map[*linkConn]bool
+	closed   bool
 }
 
-// carried is one connection.
-type carried struct {
-	from net.Conn
-	hung chan struct{} // closed: no more bytes go in either direction
-	hang sync.Once
-	over chan struct{}
+// linkConn is one connection that a link forwards.
+type linkConn struct {
+	from     net.Conn
+	hung     chan struct{} // closed when the connection hangs: no more bytes are forwarded in either direction
+	hangOnce sync.Once
+	ended    chan struct{}
 
-	mu sync.Mutex // of to, and of the closing of over
+	mu sync.Mutex // guards to and the closing of ended
 	to net.Conn
 }
 
-// Link returns a new link from a process to the address that target returns at each connection. Its own address does not change.
+// Link returns a new link between two processes. It calls target for the destination's address at each new connection; the link's own
+// address does not change.
 func (r *Rig) Link(from, to string, target func() string) (*Link, error) {
 	listen, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -66,17 +68,17 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := &Link{name: from + ">" + to, from: from, to: to, rig: r, target: target, listen: listen, changed: make(chan struct{}), cut: [ways]int{-1, -1},
-		conns: map[*carried]bool{}, rng: rand.New(rand.NewPCG(r.seed, uint64(len(r.links))))}
+	l := &Link{name: from + ">" + to, from: from, to: to, rig: r, target: target, listen: listen, changed: make(chan struct{}), cutAfter: [directions]int{-1, -1},
+		conns: map[*linkConn]bool{}, rng: rand.New(rand.NewPCG(r.seed, uint64(len(r.links))))}
 	r.links[l.name] = l
-	l.done.Go(l.accept)
+	l.running.Go(l.accept)
 	return l, nil
 }
 
-// Name is "from>to".
+// Name returns "from>to".
 func (l *Link) Name() string { return l.name }
 
-// Address is where the process at its beginning connects.
+// Address returns the address to which the first process of the link connects in order to reach the second one.
 func (l *Link) Address() string { return l.listen.Addr().String() }
 
 func (l *Link) accept() {
@@ -85,62 +87,64 @@
 		if err != nil {
 			return
 		}
-		l.done.Go(func() { l.carry(c) })
+		l.running.Go(func() { l.serve(c) })
 	}
 }
 
-// carry connects to the target and forwards in both directions until either side ends. It does not connect while the direction out is dropped.
-func (l *Link) carry(from net.Conn) {
-	x := &carried{from: from, hung: make(chan struct{}), over: make(chan struct{})}
-	if !l.admit(x) {
-		x.end(true)
+// serve connects to the target and forwards in both directions until the connection ends. It does not connect while the link drops the
+// direction Out.
+func (l *Link) serve(from net.Conn) {
+	conn := &linkConn{from: from, hung: make(chan struct{}), ended: make(chan struct{})}
+	if !l.register(conn) {
+		conn.end(true)
 		return
 	}
-	defer l.release(x)
-	if !l.clear(x, Out) {
+	defer l.unregister(conn)
+	if !l.waitWhileDropped(conn, Out) {
 		return
 	}
 	to, err := net.Dial("tcp", l.target())
-	if err != nil { // refused there is refused here
-		x.end(true)
+	if err != nil { // the process that connects sees a reset in place of the failed connect
+		conn.end(true)
 		return
 	}
-	if !x.connected(to) {
+	if !conn.setDestination(to) {
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { l.pass(x, from, to, Out) })
-	both.Go(func() { l.pass(x, to, from, Back) })
-	both.Wait()
+	var forwarding sync.WaitGroup
+	forwarding.Go(func() { l.forward(conn, from, to, Out) })
+	forwarding.Go(func() { l.forward(conn, to, from, Back) })
+	forwarding.Wait()
 }
 
-func (l *Link) admit(x *carried) bool {
+func (l *Link) register(conn *linkConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.closed {
-		l.conns[x] = true
+		l.conns[conn] = true
 	}
 	return !l.closed
 }
 
-func (l *Link) release(x *carried) {
-	x.end(false)
+func (l *Link) unregister(conn *linkConn) {
+	conn.end(false)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.conns, x)
+	delete(l.conns, conn)
 }
 
-// clear waits until a direction is not dropped; false: the connection has ended.
-func (l *Link) clear(x *carried, way int) bool {
+// waitWhileDropped waits until the link does not drop a direction. It returns false if the connection has ended. If the connection hangs, it
+// waits until the connection ends.
+func (l *Link) waitWhileDropped(conn *linkConn, direction int) bool {
 	for {
 		l.mu.Lock()
-		drop, changed := l.faults[way].Drop, l.changed
+		drop, changed := l.faults[direction].Drop, l.changed
 		l.mu.Unlock()
 		select {
-		case <-x.over:
+		case <-conn.ended:
 			return false
-		case <-x.hung:
-			<-x.over
+		case <-conn.hung:
+			<-conn.ended
 			return false
 		default:
 		}
@@ -149,33 +153,34 @@
 		}
 		select {
 		case <-changed:
-		case <-x.over:
-		case <-x.hung:
+		case <-conn.ended:
+		case <-conn.hung:
 		}
 	}
 }
 
-type piece struct {
+// chunk is a piece of a byte stream that a link has read and not yet forwarded.
+type chunk struct {
 	b   []byte
-	due time.Time
+	due time.Time // forwarded at this time at the earliest
 }
 
-// pass forwards one direction until its end or that of the connection.
-func (l *Link) pass(x *carried, from, to net.Conn, way int) {
-	pieces := make(chan piece, piecesHeld)
+// forward forwards the bytes of one direction until the sender closes that direction or the connection ends.
+func (l *Link) forward(conn *linkConn, from, to net.Conn, direction int) {
+	chunks := make(chan chunk, chunksBuffered)
 	var reading sync.WaitGroup
 	reading.Go(func() {
-		defer close(pieces)
-		for last := (time.Time{}); ; {
-			b := make([]byte, pieceSize)
+		defer close(chunks)
+		for lastDue := (time.Time{}); ; {
+			b := make([]byte, chunkSize)
 			n, err := from.Read(b)
 			if n > 0 {
-				if due := time.Now().Add(l.lag(way)); due.After(last) {
-					last = due
+				if due := time.Now().Add(l.drawDelay(direction)); due.After(lastDue) {
+					lastDue = due
 				}
 				select {
-				case pieces <- piece{b[:n], last}:
-				case <-x.over:
+				case chunks <- chunk{b[:n], lastDue}:
+				case <-conn.ended:
 					return
 				}
 			}
@@ -183,81 +188,82 @@
 				return
 			}
 			if err != nil {
-				x.end(true)
+				conn.end(true)
 				return
 			}
 		}
 	})
 	defer reading.Wait()
-	for p := range pieces {
-		if wait := time.Until(p.due); wait > 0 {
+	for next := range chunks {
+		if wait := time.Until(next.due); wait > 0 {
 			select {
 			case <-time.After(wait):
-			case <-x.over:
+			case <-conn.ended:
 				return
 			}
 		}
-		if !l.clear(x, way) {
+		if !l.waitWhileDropped(conn, direction) {
 			return
 		}
-		most, cut := l.most(way, len(p.b))
-		if _, err := to.Write(p.b[:most]); err != nil {
-			x.end(true)
+		allowed, cut := l.bytesBeforeCut(direction, len(next.b))
+		if _, err := to.Write(next.b[:allowed]); err != nil {
+			conn.end(true)
 			return
 		}
 		if cut {
-			l.rig.did(l.name, 0, "cut in a message", map[string]int{"way": way})
-			x.end(true)
+			l.rig.recordAction(l.name, 0, "cut in a message", map[string]int{"way": direction})
+			conn.end(true)
 			return
 		}
 	}
-	if !l.clear(x, way) { // the end is held back too
+	if !l.waitWhileDropped(conn, direction) { // the end of the stream is held back too
 		return
 	}
-	if half, ok := to.(*net.TCPConn); ok {
-		_ = half.CloseWrite() // it may be closed
+	if tcp, ok := to.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite() // fails if the connection is closed already
 	}
 }
 
-func (l *Link) lag(way int) time.Duration {
+// drawDelay returns the delay of a chunk in a direction, with random jitter.
+func (l *Link) drawDelay(direction int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	f := l.faults[way]
+	f := l.faults[direction]
 	if f.Jitter > 0 {
 		return f.Delay + time.Duration(l.rng.Int64N(int64(f.Jitter)))
 	}
 	return f.Delay
 }
 
-// most returns the number of bytes of a piece to forward, and whether the connection is cut after them.
-func (l *Link) most(way, n int) (int, bool) {
+// bytesBeforeCut returns how many of the n bytes of a chunk to forward, and whether to reset the connection after them.
+func (l *Link) bytesBeforeCut(direction, n int) (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	left := l.cut[way]
+	remaining := l.cutAfter[direction]
 	switch {
-	case left < 0:
+	case remaining < 0:
 		return n, false
-	case left < n:
-		l.cut[way] = -1
-		return left, true
+	case remaining < n:
+		l.cutAfter[direction] = -1
+		return remaining, true
 	}
-	l.cut[way] -= n
+	l.cutAfter[direction] -= n
 	return n, false
 }
 
-// end closes the connection on both sides; with a reset if abrupt.
-func (x *carried) end(abrupt bool) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// end closes the connection on both sides, with a TCP reset if abrupt is set.
+func (conn *linkConn) end(abrupt bool) {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
 	select {
-	case <-x.over:
+	case <-conn.ended:
 		return
 	default:
 	}
-	close(x.over)
-	for _, c := range []net.Conn{x.from, x.to} {
+	close(conn.ended)
+	for _, c := range []net.Conn{conn.from, conn.to} {
 		if t, ok := c.(*net.TCPConn); ok && abrupt {
-			_ = t.SetLinger(0) // it may be closed
+			_ = t.SetLinger(0) // fails if the connection is closed already
 		}
 		if c != nil {
 			c.Close()
@@ -265,63 +271,66 @@
 	}
 }
 
-// connected sets the other side; false: the connection has ended already.
-func (x *carried) connected(to net.Conn) bool {
-	x.mu.Lock()
-	defer x.mu.Unlock()
+// setDestination sets the connection to the target. If the linkConn has ended already, it closes the connection to the target and returns
+// false.
+func (conn *linkConn) setDestination(to net.Conn) bool {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
 	select {
-	case <-x.over:
+	case <-conn.ended:
 		to.Close()
 		return false
 	default:
 	}
-	x.to = to
+	conn.to = to
 	return true
 }
 
-// Set sets the faults of both directions, until Heal or another Set.
+// Set sets the faults of both directions, until the next Heal or Set.
 func (l *Link) Set(out, back Fault) {
 	l.mu.Lock()
-	l.faults = [ways]Fault{out, back}
+	l.faults = [directions]Fault{out, back}
 	close(l.changed)
 	l.changed = make(chan struct{})
 	l.mu.Unlock()
-	l.rig.did(l.name, 0, "set", map[string]Fault{"out": out, "back": back})
+	l.rig.recordAction(l.name, 0, "set", map[string]Fault{"out": out, "back": back})
 }
 
-// Heal ends the faults of Set and Cut. Connections that hang stay so.
+// Heal ends the faults of Set and Cut. Hung connections remain hung.
 func (l *Link) Heal() {
 	l.mu.Lock()
-	l.cut = [ways]int{-1, -1}
+	l.cutAfter = [directions]int{-1, -1}
 	l.mu.Unlock()
 	l.Set(Fault{}, Fault{})
 }
 
-// Cut resets the connection that would carry the byte after the next n of a direction, in the middle of a message.
-func (l *Link) Cut(way, n int) {
+// Cut forwards the next n bytes of a direction, over all connections. Then it resets the connection on which the following byte arrives, so
+// that the connection may end in the middle of a message.
+func (l *Link) Cut(direction, n int) {
 	l.mu.Lock()
-	l.cut[way] = n
+	l.cutAfter[direction] = n
 	l.mu.Unlock()
-	l.rig.did(l.name, 0, "cut", map[string]int{"way": way, "after": n})
+	l.rig.recordAction(l.name, 0, "cut", map[string]int{"way": direction, "after": n})
 }
 
-// Hang stops all open connections in both directions for ever, as if the other side had vanished. Later connections are not affected.
+// Hang stops forwarding on all open connections in both directions without closing them, as if the other machine had lost its network.
+// Later connections are not affected.
 func (l *Link) Hang() {
-	n := l.each(func(x *carried) { x.hang.Do(func() { close(x.hung) }) })
-	l.rig.did(l.name, 0, "hang", map[string]int{"connections": n})
+	n := l.forEachConn(func(conn *linkConn) { conn.hangOnce.Do(func() { close(conn.hung) }) })
+	l.rig.recordAction(l.name, 0, "hang", map[string]int{"connections": n})
 }
 
 // Reset resets all open connections.
 func (l *Link) Reset() {
-	n := l.each(func(x *carried) { x.end(true) })
-	l.rig.did(l.name, 0, "reset", map[string]int{"connections": n})
+	n := l.forEachConn(func(conn *linkConn) { conn.end(true) })
+	l.rig.recordAction(l.name, 0, "reset", map[string]int{"connections": n})
 }
 
-func (l *Link) each(do func(*carried)) int {
+func (l *Link) forEachConn(do func(*linkConn)) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for x := range l.conns {
-		do(x)
+	for conn := range l.conns {
+		do(conn)
 	}
 	return len(l.conns)
 }
@@ -331,6 +340,6 @@
 	l.closed = true
 	l.mu.Unlock()
 	l.listen.Close()
-	l.each(func(x *carried) { x.end(true) })
-	l.done.Wait()
+	l.forEachConn(func(conn *linkConn) { conn.end(true) })
+	l.running.Wait()
 }
--- a/internal/testing/processes/process.go
+++ b/internal/testing/processes/process.go
@@ -16,42 +16,42 @@
 	"syscall"
 )
 
-// Spec holds the parameters of a process.
+// Spec describes a process.
 type Spec struct {
 	Name  string
-	Args  []string          // of the program
-	Env   []string          // beside the rig's own
-	Files map[string]string // by name, written to the process's directory before each start
-	Ready func(Event) bool  // matches the line that a process logs once it serves; nil: it is ready when it runs
+	Args  []string          // arguments of the program
+	Env   []string          // added to the rig's environment and to TMPDIR
+	Files map[string]string // text by file name; written to the process's directory before each start
+	Ready func(Event) bool  // matches the line that the process logs once it serves; if nil, the process is ready as soon as it runs
 }
 
 // processRun is one run of a Process.
 type processRun struct {
-	number int
-	cmd    *exec.Cmd
-	over   chan struct{} // closed after its end, when all its lines are in the history
-	from   int           // length of the history at its start
+	number       int
+	cmd          *exec.Cmd
+	done         chan struct{} // closed after the end of the run, when the history has all its log lines
+	historyStart int           // length of the history when the run started
 }
 
 // Process is a program that a Rig starts, possibly several times in the same directory. It is safe for concurrent use.
 type Process struct {
 	rig  *Rig
 	spec Spec
-	Dir  string // its working directory and, where nothing else is said, TMPDIR
+	Dir  string // working directory, and TMPDIR unless Spec.Env sets another one
 
-	mu   sync.Mutex
-	runs int
-	now  *processRun // nil: none has begun
-	all  []*processRun
+	mu      sync.Mutex
+	runs    int
+	current *processRun // the latest run; nil before the first one
+	allRuns []*processRun
 }
 
 // Name returns the name of the Spec.
 func (p *Process) Name() string { return p.spec.Name }
 
-var errRuns = errors.New("it runs")
+var errRunning = errors.New("the process is running")
 
-// Start starts the process in its directory as the last run left it, and waits until it is ready. files replace those of the Spec if they are
-// not nil.
+// Start starts the process in its directory, which is as the last run left it, and waits until the process is ready. If files is not nil, it
+// replaces Spec.Files.
 func (p *Process) Start(ctx context.Context, files map[string]string) error {
 	if err := p.Launch(files); err != nil {
 		return err
@@ -59,12 +59,12 @@
 	return p.AwaitReady(ctx)
 }
 
-// Launch starts the process without waiting.
+// Launch starts the process like Start, but does not wait until it is ready.
 func (p *Process) Launch(files map[string]string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.now != nil && !p.now.ended() {
-		return fmt.Errorf("%s: %w", p.spec.Name, errRuns)
+	if p.current != nil && !p.current.ended() {
+		return fmt.Errorf("%s: %w", p.spec.Name, errRunning)
 	}
 	return p.launchLocked(files)
 }
@@ -89,44 +89,44 @@
 	cmd := exec.Command(p.rig.program, p.spec.Args...)
 	cmd.Dir, cmd.Stdout, cmd.Stderr = p.Dir, write, write
 	cmd.Env = append(append(os.Environ(), "TMPDIR="+p.Dir), p.spec.Env...)
-	// A group of its own, so that what it has started can be ended too; and the kernel ends it with the rig.
+	// The process group allows the rig to kill the children of the process too. With Pdeathsig the kernel kills the process if the rig dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	p.runs++
-	l := &processRun{number: p.runs, cmd: cmd, over: make(chan struct{}), from: len(p.rig.History.Events(0))}
-	if err := start(cmd); err != nil {
+	run := &processRun{number: p.runs, cmd: cmd, done: make(chan struct{}), historyStart: len(p.rig.History.Events(0))}
+	if err := startOnStarterThread(cmd); err != nil {
 		return errors.Join(fmt.Errorf("%s: %w", p.spec.Name, err), read.Close())
 	}
-	p.now, p.all = l, append(p.all, l)
-	p.rig.did(p.spec.Name, l.number, "start", nil)
+	p.current, p.allRuns = run, append(p.allRuns, run)
+	p.rig.recordAction(p.spec.Name, run.number, "start", nil)
 	lines := make(chan struct{})
 	go func() {
 		defer close(lines)
 		defer read.Close()
-		p.readLines(l, read)
+		p.readLines(run, read)
 	}()
 	go func() {
-		defer close(l.over)
+		defer close(run.done)
 		_ = cmd.Wait()
-		// What it has started may hold the pipe: that ends with it.
+		// Children of the process may still have the pipe open: they are killed too, because readLines ends only when the pipe is closed.
 		_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
 		<-lines
-		p.rig.History.Add(Event{Kind: Ended, Who: p.spec.Name, Run: l.number, What: cmd.ProcessState.String()})
+		p.rig.History.Add(Event{Kind: Ended, Who: p.spec.Name, Run: run.number, What: cmd.ProcessState.String()})
 	}()
 	return nil
 }
 
-// readLines adds the lines of a run to the history.
-func (p *Process) readLines(l *processRun, from io.Reader) {
+// readLines adds the lines that a run writes to the history.
+func (p *Process) readLines(run *processRun, from io.Reader) {
 	in := bufio.NewReaderSize(from, 64<<10)
 	for {
 		line, err := in.ReadSlice('\n')
 		if text := bytes.TrimSpace(line); len(text) > 0 {
-			e := Event{Kind: Logged, Who: p.spec.Name, Run: l.number}
-			var said struct {
+			e := Event{Kind: Logged, Who: p.spec.Name, Run: run.number}
+			var logLine struct {
 				Msg string `json:"msg"`
 			}
-			if json.Unmarshal(text, &said) == nil {
-				e.What, e.Data = said.Msg, bytes.Clone(text)
+			if json.Unmarshal(text, &logLine) == nil {
+				e.What, e.Data = logLine.Msg, bytes.Clone(text)
 			} else {
 				e.What = string(text)
 			}
@@ -138,40 +138,40 @@
 	}
 }
 
-func (l *processRun) ended() bool {
+func (run *processRun) ended() bool {
 	select {
-	case <-l.over:
+	case <-run.done:
 		return true
 	default:
 		return false
 	}
 }
 
-func (p *Process) current() *processRun {
+func (p *Process) currentRun() *processRun {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.now
+	return p.current
 }
 
-var errNone = errors.New("it does not run")
+var errNotRunning = errors.New("the process is not running")
 
 // AwaitReady waits until the current run is ready.
 func (p *Process) AwaitReady(ctx context.Context) error {
-	l := p.current()
-	if l == nil {
-		return errNone
+	run := p.currentRun()
+	if run == nil {
+		return errNotRunning
 	}
 	if p.spec.Ready == nil {
 		return nil
 	}
 	var ended bool
-	_, _, err := p.rig.History.Wait(ctx, l.from, func(e Event) bool {
-		mine := e.Who == p.spec.Name && e.Run == l.number
-		ended = mine && e.Kind == Ended
-		return ended || mine && e.Kind == Logged && p.spec.Ready(e)
+	_, _, err := p.rig.History.Wait(ctx, run.historyStart, func(e Event) bool {
+		ofThisRun := e.Who == p.spec.Name && e.Run == run.number
+		ended = ofThisRun && e.Kind == Ended
+		return ended || ofThisRun && e.Kind == Logged && p.spec.Ready(e)
 	})
 	if err == nil && ended {
-		err = errNone
+		err = errNotRunning
 	}
 	if err != nil {
 		return fmt.Errorf("%s is not ready: %w", p.spec.Name, err)
@@ -181,15 +181,15 @@
 
 // Signal sends a signal to the current run.
 func (p *Process) Signal(s syscall.Signal) error {
-	l := p.current()
-	if l == nil || l.ended() {
-		return fmt.Errorf("%s: %w", p.spec.Name, errNone)
+	run := p.currentRun()
+	if run == nil || run.ended() {
+		return fmt.Errorf("%s: %w", p.spec.Name, errNotRunning)
 	}
-	p.rig.did(p.spec.Name, l.number, s.String(), nil)
-	return l.cmd.Process.Signal(s)
+	p.rig.recordAction(p.spec.Name, run.number, s.String(), nil)
+	return run.cmd.Process.Signal(s)
 }
 
-// Kill ends the current run and its children by SIGKILL, and waits for the end.
+// Kill sends SIGKILL to the current run, and waits until the run and its children have ended.
 func (p *Process) Kill(ctx context.Context) error {
 	if err := p.Signal(syscall.SIGKILL); err != nil {
 		return err
@@ -199,32 +199,32 @@
 
 // Await waits for the end of the current run.
 func (p *Process) Await(ctx context.Context) error {
-	l := p.current()
-	if l == nil {
+	run := p.currentRun()
+	if run == nil {
 		return nil
 	}
 	select {
-	case <-l.over:
+	case <-run.done:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("%s goes on: %w", p.spec.Name, context.Cause(ctx))
+		return fmt.Errorf("%s has not ended: %w", p.spec.Name, context.Cause(ctx))
 	}
 }
 
 // Forget removes the directory of a process that does not run, as if it had lost its disk.
 func (p *Process) Forget() error {
-	if l := p.current(); l != nil && !l.ended() {
-		return fmt.Errorf("%s: %w", p.spec.Name, errRuns)
+	if run := p.currentRun(); run != nil && !run.ended() {
+		return fmt.Errorf("%s: %w", p.spec.Name, errRunning)
 	}
-	p.rig.did(p.spec.Name, 0, "lose the disk", nil)
+	p.rig.recordAction(p.spec.Name, 0, "lose the disk", nil)
 	return os.RemoveAll(p.Dir)
 }
 
-// Replace starts another run in the same directory beside the current one. Once it is ready, Replace sends SIGTERM to the old run and waits
-// for its end.
+// Replace starts another run in the same directory while the current one continues. Once the new run is ready, Replace sends SIGTERM to the
+// old run and waits for its end.
 func (p *Process) Replace(ctx context.Context, files map[string]string) error {
 	p.mu.Lock()
-	old := p.now
+	old := p.current
 	err := p.launchLocked(files)
 	p.mu.Unlock()
 	if err == nil {
@@ -233,12 +233,12 @@
 	if err != nil || old == nil || old.ended() {
 		return err
 	}
-	p.rig.did(p.spec.Name, old.number, syscall.SIGTERM.String(), nil)
+	p.rig.recordAction(p.spec.Name, old.number, syscall.SIGTERM.String(), nil)
 	if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
 	select {
-	case <-old.over:
+	case <-old.done:
 		return nil
 	case <-ctx.Done():
 		return context.Cause(ctx)
@@ -248,25 +248,25 @@
 // end kills all runs, paused ones included.
 func (p *Process) end() {
 	p.mu.Lock()
-	all := p.all
+	allRuns := p.allRuns
 	p.mu.Unlock()
-	for _, l := range all {
-		if !l.ended() {
-			_ = l.cmd.Process.Kill() // it may have ended meanwhile
+	for _, run := range allRuns {
+		if !run.ended() {
+			_ = run.cmd.Process.Kill() // fails if the run has ended meanwhile
 		}
 	}
-	for _, l := range all {
-		<-l.over
+	for _, run := range allRuns {
+		<-run.done
 	}
 }
 
 // Resident returns the resident memory of the current run in bytes; 0 if there is none.
 func (p *Process) Resident() int64 {
-	l := p.current()
-	if l == nil || l.ended() {
+	run := p.currentRun()
+	if run == nil || run.ended() {
 		return 0
 	}
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", l.cmd.Process.Pid))
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", run.cmd.Process.Pid))
 	if err != nil {
 		return 0
 	}
@@ -277,46 +277,46 @@
 	return resident * int64(os.Getpagesize())
 }
 
-// starts are carried out by one thread that lasts as long as the rig's process: the kernel ends a child that asked for that with the
-// thread that started it, and Go ends threads as it likes.
-var starts = sync.OnceValue(func() chan<- func() {
+// starterThread runs functions on one thread that lasts as long as the process that runs the rig. The kernel kills a child with Pdeathsig
+// when the thread that started it ends, and the Go runtime may end other threads at any time.
+var starterThread = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
 		runtime.LockOSThread()
-		for f := range work {
-			f()
+		for start := range work {
+			start()
 		}
 	}()
 	return work
 })
 
-func start(cmd *exec.Cmd) error {
+func startOnStarterThread(cmd *exec.Cmd) error {
 	err := make(chan error, 1)
-	starts() <- func() { err <- cmd.Start() }
+	starterThread() <- func() { err <- cmd.Start() }
 	return <-err
 }
 
-// Children returns the pids of the processes that the current run has started.
-func (p *Process) Children() (out []int) {
-	l := p.current()
-	if l == nil || l.ended() {
+// Children returns the pids of the child processes of the current run.
+func (p *Process) Children() (pids []int) {
+	run := p.currentRun()
+	if run == nil || run.ended() {
 		return nil
 	}
-	all, _ := filepath.Glob("/proc/[0-9]*/stat") // a fixed pattern
-	for _, path := range all {
+	paths, _ := filepath.Glob("/proc/[0-9]*/stat") // the pattern is constant and valid
+	for _, path := range paths {
 		text, err := os.ReadFile(path)
-		if err != nil { // it has ended
+		if err != nil { // the process has ended
 			continue
 		}
 		var pid, parent int
 		var state string
-		_, rest, _ := bytes.Cut(text, []byte(") ")) // behind its name, which may hold anything
-		if _, err := fmt.Sscan(string(rest), &state, &parent); err != nil || parent != l.cmd.Process.Pid {
+		_, rest, _ := bytes.Cut(text, []byte(") ")) // the fields follow the name, which may contain spaces
+		if _, err := fmt.Sscan(string(rest), &state, &parent); err != nil || parent != run.cmd.Process.Pid {
 			continue
 		}
 		if _, err := fmt.Sscan(string(text), &pid); err == nil {
-			out = append(out, pid)
+			pids = append(pids, pid)
 		}
 	}
-	return out
+	return pids
 }
--- a/internal/testing/processes/processes_test.go
+++ b/internal/testing/processes/processes_test.go
@@ -30,8 +30,8 @@
 
 var fleet = flag.Bool("fleet", false, "start hundreds of processes")
 
-// daemons are sidecars before one upstream, with an address of each.
-func daemons(r *Rig, n int, upstream string) []*Process {
+// newDaemons adds n daemons that forward to one upstream. Each listens on an address of its own.
+func newDaemons(r *Rig, n int, upstream string) []*Process {
 	var all []*Process
 	for i := range n {
 		name := fmt.Sprintf("n%d", i)
@@ -48,7 +48,8 @@
 	return ctx
 }
 
-func answering(t *testing.T) string {
+// startUpstream starts an HTTP server that answers every request with "a", and returns its address.
+func startUpstream(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -59,8 +60,8 @@
 	return l.Addr().String()
 }
 
-// ready calls the readiness endpoint of a daemon.
-func ready(p *Process, wait time.Duration) error {
+// probeReady calls the readiness endpoint of a daemon. It returns an error if no response arrives within wait.
+func probeReady(p *Process, wait time.Duration) error {
 	c := http.Client{Timeout: wait, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Get("http://" + p.Address() + "/-/ready")
 	if err != nil {
@@ -69,37 +70,37 @@
 	return resp.Body.Close()
 }
 
-// checkPause pauses a daemon, and checks that it answers only after it goes on.
+// checkPause stops a daemon with SIGSTOP, and checks that it answers only after SIGCONT.
 func checkPause(t *testing.T, p *Process) {
 	t.Helper()
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(Patience); ready(p, 50*time.Millisecond) == nil; { // a busy machine stops it a little later
+	for end := time.Now().Add(Patience); probeReady(p, 50*time.Millisecond) == nil; { // a busy machine may stop the process a little later
 		if time.Now().After(end) {
-			t.Fatal("it answers while it is stopped")
+			t.Fatal("daemon still answers readiness calls after SIGSTOP")
 		}
 	}
 	if err := p.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	if err := ready(p, Patience); err != nil {
+	if err := probeReady(p, Patience); err != nil {
 		t.Error(err)
 	}
 }
 
-// actions returns what was done to a process, and its ends, each with the number of the run.
+// actions returns the rig's actions on a process and the ends of its runs, each with the number of the run.
 func actions(r *Rig, process string) []string {
-	var story []string
+	var events []string
 	for _, e := range r.History.Events(0) {
 		if e.Who == process && (e.Kind == Did || e.Kind == Ended) {
-			story = append(story, fmt.Sprint(e.Run, " ", e.What))
+			events = append(events, fmt.Sprint(e.Run, " ", e.What))
 		}
 	}
-	return story
+	return events
 }
 
-// checkDisk ends and starts a process: kept is still in its directory after a kill, and gone after Forget.
+// checkDisk ends and starts a process twice. It checks that the file kept still exists after a kill, and does not exist after Forget.
 func checkDisk(t *testing.T, ctx context.Context, p *Process, kept string) {
 	t.Helper()
 	for i, end := range []func() error{func() error { return p.Kill(ctx) },
@@ -116,12 +117,12 @@
 			t.Fatal(err)
 		}
 		if _, err := os.Stat(kept); (err == nil) != (i == 0) {
-			t.Errorf("run %d: %v", i, err)
+			t.Errorf("end %d (0 is a kill, 1 is Forget): stat of the kept file: %v", i, err)
 		}
 	}
 }
 
-// Each action on a process has its effect and is in the history; runs are numbered, and no process outlives its test.
+// Each action on a process has its effect and is recorded in the history. The runs are numbered, and no process outlives its test.
 func TestLives(t *testing.T) {
 	r := New(t, 1)
 	link, err := r.Link("n0", "up", func() string { return "" })
@@ -129,18 +130,18 @@
 		t.Fatal(err)
 	}
 	ctx := within(t, Patience)
-	p := daemons(r, 1, link.Address())[0]
+	p := newDaemons(r, 1, link.Address())[0]
 	if err := p.Start(ctx, nil); err != nil {
 		t.Fatal(err)
 	}
 	first := p.Address()
-	if err := p.Launch(nil); !errors.Is(err, errRuns) {
-		t.Errorf("a second start: %v", err)
+	if err := p.Launch(nil); !errors.Is(err, errRunning) {
+		t.Errorf("second start of a running process: got error %v, want errRunning", err)
 	}
-	if err := p.Forget(); !errors.Is(err, errRuns) {
-		t.Errorf("its disk is lost while it runs: %v", err)
+	if err := p.Forget(); !errors.Is(err, errRunning) {
+		t.Errorf("Forget of a running process: got error %v, want errRunning", err)
 	}
-	if err := ready(p, Patience); err != nil {
+	if err := probeReady(p, Patience); err != nil {
 		t.Error(err)
 	}
 	checkPause(t, p)
@@ -152,26 +153,26 @@
 		t.Fatal(err)
 	}
 	if p.Address() != first {
-		t.Errorf("the successor listens at %s, not at %s", p.Address(), first)
+		t.Errorf("the successor listens at %s, want %s", p.Address(), first)
 	}
 	checkDisk(t, ctx, p, kept)
-	pid := p.current().cmd.Process.Pid
-	if err := p.Signal(syscall.SIGSTOP); err != nil { // the rig ends it all the same
+	pid := p.currentRun().cmd.Process.Pid
+	if err := p.Signal(syscall.SIGSTOP); err != nil { // Close has to kill a stopped process too
 		t.Fatal(err)
 	}
 	r.Close()
 	if err := syscall.Kill(pid, 0); err != syscall.ESRCH {
-		t.Errorf("it is still there: %v", err)
+		t.Errorf("process still exists after Close: %v", err)
 	}
-	story := actions(r, "n0")
+	events := actions(r, "n0")
 	want := []string{"1 start", "1 stopped (signal)", "1 continued", "2 start", "1 terminated", "1 exit status 0", "2 killed", "2 signal: killed",
 		"3 start", "3 terminated", "3 exit status 0", "0 lose the disk", "4 start", "4 stopped (signal)", "4 signal: killed"}
-	if !reflect.DeepEqual(story, want) {
-		t.Errorf("%q", story)
+	if !reflect.DeepEqual(events, want) {
+		t.Errorf("unexpected actions on the process: %q", events)
 	}
 }
 
-// echoAll sends back what comes over each connection, until the listener is closed.
+// echoAll sends all bytes back on each connection, until the listener is closed.
 func echoAll(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -182,7 +183,7 @@
 	}
 }
 
-// echo sends ten bytes and returns what comes back within wait.
+// echo sends ten bytes and returns the bytes that come back within wait.
 func echo(c net.Conn, wait time.Duration) (string, error) {
 	if _, err := io.WriteString(c, "0123456789"); err != nil {
 		return "", err
@@ -193,7 +194,7 @@
 	return string(b[:n]), err
 }
 
-// checkHangAndReset checks that both affect the connections that are open, and no later ones.
+// checkHangAndReset checks that Hang and Reset affect the connections that are open, and that Hang does not affect later ones.
 func checkHangAndReset(t *testing.T, link *Link, dial func() net.Conn) {
 	t.Helper()
 	hung, other := dial(), dial()
@@ -205,18 +206,18 @@
 	link.Hang()
 	link.Heal()
 	if _, err := echo(hung, 30*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("hung: %v", err)
+		t.Errorf("echo over a hung connection: got error %v, want a timeout", err)
 	}
 	if _, err := echo(dial(), Patience); err != nil {
-		t.Errorf("a newcomer: %v", err)
+		t.Errorf("echo over a connection opened after Hang: %v", err)
 	}
 	link.Reset()
 	if _, err := other.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("reset: %v", err)
+		t.Errorf("read from a reset connection: got error %v, want ECONNRESET", err)
 	}
 }
 
-// Each fault of a link has its effect on the bytes that come through.
+// Each fault of a link has its effect on the bytes that the link forwards.
 func TestLinks(t *testing.T) {
 	r := New(t, 2)
 	far, err := net.Listen("tcp", "127.0.0.1:0")
@@ -244,23 +245,23 @@
 	for name, f := range map[string][2]Fault{"both": {{Drop: true}, {Drop: true}}, "out": {{Drop: true}, {}}, "back": {{}, {Drop: true}}} {
 		link.Set(f[0], f[1])
 		if got, err := echo(c, 30*time.Millisecond); !errors.Is(err, os.ErrDeadlineExceeded) || got != "" {
-			t.Errorf("dropped %s: %q %v", name, got, err)
+			t.Errorf("echo while the link drops %s: got %q and error %v, want nothing and a timeout", name, got, err)
 		}
 		link.Heal()
 		_ = c.SetReadDeadline(time.Now().Add(Patience))
-		if _, err := io.ReadFull(c, make([]byte, 10)); err != nil { // as TCP sends it again
-			t.Errorf("healed %s: %v", name, err)
+		if _, err := io.ReadFull(c, make([]byte, 10)); err != nil { // the link forwards the held bytes, as TCP would retransmit them
+			t.Errorf("reading the held bytes after the link dropped %s and healed: %v", name, err)
 		}
 	}
 	link.Set(Fault{Delay: 30 * time.Millisecond}, Fault{Delay: 20 * time.Millisecond, Jitter: time.Millisecond})
 	begun := time.Now()
 	if _, err := echo(c, Patience); err != nil || time.Since(begun) < 50*time.Millisecond {
-		t.Errorf("delayed: %v after %v", err, time.Since(begun))
+		t.Errorf("echo over a delayed link: error %v after %v, want no error after at least 50 ms", err, time.Since(begun))
 	}
 	link.Heal()
 	link.Cut(Back, 4)
 	if got, err := echo(c, Patience); got != "0123" || err == nil {
-		t.Errorf("cut in a message: %q %v", got, err)
+		t.Errorf("echo over a link cut after 4 bytes: got %q and error %v, want 0123 and an error", got, err)
 	}
 	link.Heal()
 	checkHangAndReset(t, link, dial)
@@ -268,18 +269,19 @@
 	_, _ = io.WriteString(half, "half")
 	_ = half.(*net.TCPConn).CloseWrite()
 	if b, err := io.ReadAll(half); string(b) != "half" || err != nil {
-		t.Errorf("half closed: %q %v", b, err)
+		t.Errorf("reading after the client closed its direction: got %q and error %v, want half and no error", b, err)
 	}
 	far.Close()
-	if c, err := net.Dial("tcp", link.Address()); err == nil { // else the reset came before the connection was looked at
+	if c, err := net.Dial("tcp", link.Address()); err == nil { // an error means that the reset arrived before Dial returned
 		defer c.Close()
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			t.Error("nobody is there, and a byte comes")
+			t.Error("read a byte over a link whose target does not listen")
 		}
 	}
 }
 
-// The same seed draws the same script; no process or link has two faults at once, no more are down than may be, and all ends in time.
+// Draw returns the same script for the same seed. No process or link has two faults at once, at most Mix.Down processes are down, and all
+// faults end before Mix.Length.
 func TestDraw(t *testing.T) {
 	m := Mix{Processes: []string{"a", "b", "c", "d", "e"}, Links: []string{"a>b", "b>a"}, Length: 30 * time.Second, Every: 100 * time.Millisecond,
 		Shortest: 50 * time.Millisecond, Longest: 2 * time.Second, Down: 2,
@@ -288,12 +290,12 @@
 	for seed := range uint64(50) {
 		script := Draw(seed, m)
 		if !reflect.DeepEqual(script, Draw(seed, m)) {
-			t.Fatalf("seed %d: two scripts", seed)
+			t.Fatalf("seed %d: two calls of Draw returned different scripts", seed)
 		}
 		for i, s := range script {
 			seen[s.Do]++
 			if s.At+s.For >= m.Length {
-				t.Errorf("%+v ends late", s)
+				t.Errorf("step %+v ends after Mix.Length", s)
 			}
 			down := 0
 			for _, before := range script[:i] {
@@ -301,40 +303,40 @@
 					continue
 				}
 				if s.Who != "" && before.Who == s.Who {
-					t.Errorf("%+v during %+v", s, before)
+					t.Errorf("step %+v begins during step %+v on the same target", s, before)
 				}
 				if len(before.Who) == 1 {
 					down++
 				}
 			}
 			if len(s.Who) == 1 && down >= m.Down {
-				t.Errorf("%d are down before %+v", down, s)
+				t.Errorf("%d processes are down already at the start of step %+v", down, s)
 			}
 		}
 	}
 	for d := range m.Weights {
 		if seen[d] == 0 {
-			t.Errorf("%s is never drawn", d)
+			t.Errorf("no script has a step of kind %s", d)
 		}
 	}
 }
 
-// A script is played at its times, with all back at its end.
+// Play runs all steps of a script. After it all processes run and answer, and all links forward.
 func TestPlay(t *testing.T) {
 	r := New(t, 3)
-	up := answering(t)
+	up := startUpstream(t)
 	link, err := r.Link("n0", "up", func() string { return up })
 	if err != nil {
 		t.Fatal(err)
 	}
-	all := daemons(r, 2, link.Address())
+	all := newDaemons(r, 2, link.Address())
 	if err := r.StartAll(within(t, Patience), all...); err != nil {
 		t.Fatal(err)
 	}
 	script := Draw(4, Mix{Processes: []string{"n0", "n1"}, Links: []string{"n0>up"}, Length: 1500 * time.Millisecond, Every: 100 * time.Millisecond,
 		Shortest: 20 * time.Millisecond, Longest: 300 * time.Millisecond, Down: 1, Weights: map[StepKind]float64{Kill: 1, Pause: 2, DropBoth: 1, Hang: 1, CutOut: 1}})
 	if len(script) < 4 {
-		t.Fatalf("%d steps", len(script))
+		t.Fatalf("the script has %d steps, want at least 4", len(script))
 	}
 	if err := r.Play(within(t, Patience), script); err != nil {
 		t.Fatal(err)
@@ -347,15 +349,15 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode != 200 {
-			t.Errorf("%s: %s", p.Name(), resp.Status)
+			t.Errorf("%s answered %s after the script, want 200", p.Name(), resp.Status)
 		}
 	}
 	if err := r.Play(t.Context(), []Step{{Do: Kill, Who: "nobody"}}); err == nil || !strings.Contains(err.Error(), "no such process") {
-		t.Errorf("%v", err)
+		t.Errorf("Play with an unknown process: got error %v, want no such process", err)
 	}
 }
 
-// A history is written as JSON Lines, in the order in which it is kept.
+// A history writes its events as JSON Lines, in the order in which it holds them.
 func TestHistory(t *testing.T) {
 	var text strings.Builder
 	h := NewHistory(&text)
@@ -371,23 +373,24 @@
 		read = append(read, e)
 	}
 	if !reflect.DeepEqual(read, h.Events(0)) {
-		t.Errorf("%+v\n%+v", read, h.Events(0))
+		t.Errorf("events read from the written lines: %+v\nevents in memory: %+v", read, h.Events(0))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, at, err := h.Wait(ctx, 0, func(e Event) bool { return e.What == "3" }); err == nil || at != 3 {
-		t.Errorf("%d %v", at, err)
+		t.Errorf("Wait with a canceled context: got index %d and error %v, want index 3 and an error", at, err)
 	}
 }
 
-// How long processes take to come up, and what they hold: 5 in under a second, 300 in under 30 s (go test -run ComeUp -v -fleet).
+// Measures how long processes take to start, and their resident memory. 5 processes should start in less than a second; 300 have to start in
+// less than 30 s (go test -run ComeUp -v -fleet).
 func TestComeUp(t *testing.T) {
-	for n, most := range map[int]time.Duration{5: time.Second, 300: 30 * time.Second} {
+	for n, limit := range map[int]time.Duration{5: time.Second, 300: 30 * time.Second} {
 		if n > 5 && !*fleet {
 			continue
 		}
 		r := New(t, 5)
-		all := daemons(r, n, answering(t))
+		all := newDaemons(r, n, startUpstream(t))
 		begun := time.Now()
 		if err := r.StartAll(within(t, 4*Patience), all...); err != nil {
 			t.Fatal(err)
@@ -398,8 +401,8 @@
 			resident += p.Resident()
 		}
 		t.Logf("%d processes in %v, %d MB resident each", n, took.Round(time.Millisecond), resident/int64(n)>>20)
-		if took > most && n > 5 { // five on a machine that is busy with other tests are no measure
-			t.Errorf("%d processes took %v", n, took)
+		if took > limit && n > 5 { // the time of five processes says little while other tests run on the machine
+			t.Errorf("%d processes took %v to start", n, took)
 		}
 		r.Close()
 	}
--- a/internal/testing/processes/restart_test.go
+++ b/internal/testing/processes/restart_test.go
@@ -14,23 +14,23 @@
 	"orchiddrift/internal/fakes"
 )
 
-// Guards against a process that ends by a signal as it ends by itself, or loses what it has: SIGTERM and SIGHUP come on and on, with a
-// request in hand, from the first one until it has ended, which is with 0.
+// Guards against a process that dies of a signal during its graceful shutdown, or drops the request in flight. The process receives SIGTERM and
+// SIGHUP in turn until it has ended, and has to end with exit code 0.
 func TestSignalsUntilItEnds(t *testing.T) {
 	r := New(t, 1)
-	came, release := make(chan struct{}, 1), make(chan struct{})
+	arrived, release := make(chan struct{}, 1), make(chan struct{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		came <- struct{}{}
+		arrived <- struct{}{}
 		<-release
 	})}
 	go s.Serve(l)
 	t.Cleanup(func() { s.Close() })
 	for round := range 6 {
-		p := daemons(r, 1, l.Addr().String())[0]
+		p := newDaemons(r, 1, l.Addr().String())[0]
 		if err := p.Start(within(t, Patience), nil); err != nil {
 			t.Fatal(err)
 		}
@@ -46,7 +46,7 @@
 			}
 			answer <- err
 		}()
-		<-came
+		<-arrived
 		for n := 0; ; n++ {
 			if err := p.Signal([]syscall.Signal{syscall.SIGTERM, syscall.SIGHUP}[n%2]); err != nil {
 				break
@@ -56,20 +56,20 @@
 			}
 		}
 		if err := <-answer; err != nil {
-			t.Errorf("round %d: what was in hand: %v", round, err)
+			t.Errorf("round %d: the request in flight failed: %v", round, err)
 		}
 		if err := p.Await(within(t, Patience)); err != nil {
 			t.Fatal(err)
 		}
-		if state := p.current().cmd.ProcessState; state.ExitCode() != 0 {
-			t.Errorf("round %d: it ended with %v", round, state)
+		if state := p.currentRun().cmd.ProcessState; state.ExitCode() != 0 {
+			t.Errorf("round %d: the process ended with %v, want exit code 0", round, state)
 		}
 	}
 }
 
-// Guards against a fleet that does not come back: all are killed and start at one moment, know no list, and find a discovery that takes
-// half of them in a second and turns away what would wait for longer than one, or that refuses all for some seconds, or is slow. Nine in
-// ten are ready within 10 s and all within 30 s.
+// Guards against a fleet that does not become ready after a common restart. All daemons are killed and started at the same moment, without an
+// endpoint list. Discovery serves only half of them per second and rejects calls that would wait for longer than one second; in the other cases
+// it also rejects all calls for some seconds, or answers slowly. Nine in ten daemons have to be ready within 10 s, and all within 30 s.
 func TestReadyAfterARestart(t *testing.T) {
 	sidecars, upstreams := 6, 6
 	if *fleet {
@@ -78,9 +78,9 @@
 	for _, how := range []string{"crowded", "refuses for 4 s", "slow"} {
 		t.Run(how, func(t *testing.T) {
 			r := New(t, 1)
-			disco := fakes.NewDiscovery()
-			disco.Rate, disco.Timeout = float64(sidecars)/2, time.Second
-			f := watch(t, r, sidecars, upstreams, false, disco, 0.1)
+			discovery := fakes.NewDiscovery()
+			discovery.Rate, discovery.Timeout = float64(sidecars)/2, time.Second
+			f := startFleet(t, r, sidecars, upstreams, false, discovery, 0.1)
 			var killing sync.WaitGroup
 			for _, p := range f.daemons {
 				killing.Go(func() {
@@ -92,12 +92,12 @@
 			killing.Wait()
 			switch how {
 			case "refuses for 4 s":
-				disco.Down(true)
-				time.AfterFunc(4*time.Second, func() { disco.Down(false) })
+				discovery.Down(true)
+				time.AfterFunc(4*time.Second, func() { discovery.Down(false) })
 			case "slow":
-				disco.DelayAnswers(900 * time.Millisecond)
+				discovery.DelayAnswers(900 * time.Millisecond)
 			}
-			before := len(disco.Calls())
+			before := len(discovery.Calls())
 			took := make([]time.Duration, len(f.daemons))
 			var starting sync.WaitGroup
 			for i, p := range f.daemons {
@@ -121,10 +121,10 @@
 			}
 			starting.Wait()
 			slices.Sort(took)
-			nine, all := took[len(took)*9/10], took[len(took)-1]
-			t.Logf("%d sidecars: nine in ten ready after %v, all after %v, %d calls", sidecars, nine.Round(time.Millisecond), all.Round(time.Millisecond), len(disco.Calls())-before)
-			if nine > 10*time.Second || all >= 30*time.Second {
-				t.Errorf("nine in ten were ready after %v, all after %v", nine, all)
+			p90, all := took[len(took)*9/10], took[len(took)-1]
+			t.Logf("%d sidecars: nine in ten ready after %v, all after %v, %d calls", sidecars, p90.Round(time.Millisecond), all.Round(time.Millisecond), len(discovery.Calls())-before)
+			if p90 > 10*time.Second || all >= 30*time.Second {
+				t.Errorf("nine in ten sidecars were ready after %v and all after %v, want at most 10 s and less than 30 s", p90, all)
 			}
 		})
 	}
--- a/internal/testing/processes/rig.go
+++ b/internal/testing/processes/rig.go
@@ -25,8 +25,8 @@
 	links     map[string]*Link
 }
 
-// built builds the program once for a test binary and returns its path.
-var built = sync.OnceValues(func() (string, error) {
+// buildProgram builds the program at its first call, and returns its path.
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "orchiddrift-rig")
 	if err != nil {
 		return "", err
@@ -38,35 +38,37 @@
 	return path, nil
 })
 
-// ProgramPath returns the path of the program, which is built once. Main removes it.
-func ProgramPath() (string, error) { return built() }
+// ProgramPath returns the path of the program, which it builds if that has not been done yet. Main removes the program.
+func ProgramPath() (string, error) { return buildProgram() }
 
-// Main runs the tests of a package and removes the program after them.
+// Main runs the tests of a package, and removes the program after them if it was built.
 func Main(m *testing.M) int {
 	code := m.Run()
-	if path, err := builtIfAny(); err == nil && path != "" {
+	if path, err := programIfBuilt(); err == nil && path != "" {
 		_ = os.RemoveAll(filepath.Dir(path))
 	}
 	return code
 }
 
-var asked sync.Once
+// buildRequested is done as soon as New has asked for the program, or programIfBuilt has found that no test did.
+var buildRequested sync.Once
 
-func builtIfAny() (string, error) {
-	none := false
-	asked.Do(func() { none = true })
-	if none {
+// programIfBuilt returns the path of the program, or "" if no test has built it.
+func programIfBuilt() (string, error) {
+	notBuilt := false
+	buildRequested.Do(func() { notBuilt = true })
+	if notBuilt {
 		return "", nil
 	}
-	return built()
+	return buildProgram()
 }
 
 // New returns a rig that is closed at the end of the test. Its history is written to a file in the directory of the test, and its last
 // events are logged if the test fails.
 func New(t testing.TB, seed uint64) *Rig {
 	t.Helper()
-	asked.Do(func() {})
-	program, err := built()
+	buildRequested.Do(func() {})
+	program, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,13 +82,13 @@
 	t.Cleanup(func() {
 		r.Close()
 		if err := r.History.Err(); err != nil {
-			t.Errorf("the history: %v", err)
+			t.Errorf("writing the history: %v", err)
 		}
 		out.Close()
 		if t.Failed() {
-			t.Logf("seed %d; the last of %d events:", seed, len(r.History.Events(0)))
-			all := r.History.Events(0)
-			for _, e := range all[max(0, len(all)-200):] {
+			t.Logf("seed %d; the last events, at most 200 of %d:", seed, len(r.History.Events(0)))
+			events := r.History.Events(0)
+			for _, e := range events[max(0, len(events)-200):] {
 				line, _ := json.Marshal(e)
 				t.Logf("%s", line)
 			}
@@ -95,7 +97,7 @@
 	return r
 }
 
-// Process adds a process, which does not run yet.
+// Process adds a process to the rig without starting it.
 func (r *Rig) Process(s Spec) *Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,26 +121,26 @@
 	return nil
 }
 
-// Close ends all processes and links.
+// Close kills all processes and closes all links.
 func (r *Rig) Close() {
 	r.mu.Lock()
 	processes, links := r.processes, r.links
 	r.mu.Unlock()
-	var all sync.WaitGroup
+	var ending sync.WaitGroup
 	for _, p := range processes {
-		all.Go(p.end)
+		ending.Go(p.end)
 	}
 	for _, l := range links {
 		l.close()
 	}
-	all.Wait()
+	ending.Wait()
 }
 
-// did records an action of the rig.
-func (r *Rig) did(who string, run int, what string, detail any) {
+// recordAction records an action of the rig.
+func (r *Rig) recordAction(who string, run int, what string, detail any) {
 	e := Event{Kind: Did, Who: who, Run: run, What: what}
 	if detail != nil {
-		e.Data, _ = json.Marshal(detail) // of plain values
+		e.Data, _ = json.Marshal(detail) // cannot fail: the callers pass plain values
 	}
 	r.History.Add(e)
 }
@@ -158,20 +160,20 @@
 // Listening is the Spec.Ready of the daemon: it matches the line that reports its addresses.
 func Listening(e Event) bool { return e.What == "listening" }
 
-// Address returns the address for the clients of a daemon's current process; "" before it listens.
-func (p *Process) Address() string { return p.logged("clients") }
+// Address returns the address at which a daemon's current run serves clients; "" before it listens.
+func (p *Process) Address() string { return p.listeningField("clients") }
 
-// ControlAddress returns the control address of a daemon's current process; "" before it listens.
-func (p *Process) ControlAddress() string { return p.logged("operators") }
+// ControlAddress returns the control address of a daemon's current run; "" before it listens.
+func (p *Process) ControlAddress() string { return p.listeningField("operators") }
 
-// logged returns a field of the line by which the current process reported that it listens.
-func (p *Process) logged(key string) string {
-	l := p.current()
-	if l == nil {
+// listeningField returns a field of the line with which the current run logged that it listens; "" before that line.
+func (p *Process) listeningField(key string) string {
+	run := p.currentRun()
+	if run == nil {
 		return ""
 	}
-	for _, e := range p.rig.History.Events(l.from) {
-		if e.Who == p.spec.Name && e.Run == l.number && e.Kind == Logged && Listening(e) {
+	for _, e := range p.rig.History.Events(run.historyStart) {
+		if e.Who == p.spec.Name && e.Run == run.number && e.Kind == Logged && Listening(e) {
 			var fields map[string]any
 			if json.Unmarshal(e.Data, &fields) == nil {
 				value, _ := fields[key].(string)
--- a/internal/testing/processes/script.go
+++ b/internal/testing/processes/script.go
@@ -12,74 +12,74 @@
 // StepKind is the kind of a step.
 type StepKind string
 
-// The kinds of steps. Those that have an end last for Step.For.
+// The kinds of steps. Faults of a limited time last for Step.For.
 const (
-	Kill      StepKind = "kill"         // SIGKILL; started again after For with its disk
-	KillBare  StepKind = "kill-bare"    // the same, with an empty directory
-	Pause     StepKind = "pause"        // SIGSTOP, and SIGCONT after For
-	Terminate StepKind = "terminate"    // SIGTERM; started again after For once it has ended
-	Replace   StepKind = "replace"      // a new process beside it, then SIGTERM
-	DropBoth  StepKind = "drop"         // a link, both ways
-	DropOut   StepKind = "drop-out"     // one way
-	DropBack  StepKind = "drop-back"    // the other way
-	Slow      StepKind = "slow"         // a link, by Lag and up to Lag more each way
-	Hang      StepKind = "hang"         // all connections, for ever
-	Reset     StepKind = "reset"        // all connections
-	CutOut    StepKind = "cut"          // in the middle of a message, after Bytes
-	Part      StepKind = "part"         // all links between Group and the others, both ways
-	PartOne   StepKind = "part-one-way" // all links from Group to the others, and back over links of the others
+	Kill      StepKind = "kill"         // SIGKILL to a process, which starts again after For with its directory
+	KillBare  StepKind = "kill-bare"    // as Kill, but the process starts again with an empty directory
+	Pause     StepKind = "pause"        // SIGSTOP to a process, and SIGCONT after For
+	Terminate StepKind = "terminate"    // SIGTERM to a process, which starts again after For and after its end
+	Replace   StepKind = "replace"      // starts a new run of a process, then sends SIGTERM to the old run
+	DropBoth  StepKind = "drop"         // a link drops both directions
+	DropOut   StepKind = "drop-out"     // a link drops the direction Out
+	DropBack  StepKind = "drop-back"    // a link drops the direction Back
+	Slow      StepKind = "slow"         // a link delays each direction by Lag and up to Lag more
+	Hang      StepKind = "hang"         // all open connections of a link hang until they are reset after For
+	Reset     StepKind = "reset"        // all open connections of a link are reset
+	CutOut    StepKind = "cut"          // a link resets a connection after Bytes more bytes in the direction Out
+	Part      StepKind = "part"         // links between Group and the other processes drop both directions
+	PartOne   StepKind = "part-one-way" // links between Group and the other processes drop the bytes that Group sends
 )
 
-// Step is a fault or restart at a time.
+// Step is a fault, or a restart of a process, at a given time of a script.
 type Step struct {
 	At    time.Duration `json:"at"`
 	Do    StepKind      `json:"do"`
-	Who   string        `json:"who,omitempty"` // a process or a link
+	Who   string        `json:"who,omitempty"` // the process or link that the step affects
 	Group []string      `json:"group,omitempty"`
 	For   time.Duration `json:"for,omitempty"`
 	Lag   time.Duration `json:"lag,omitempty"`
 	Bytes int           `json:"bytes,omitempty"`
 }
 
-// Mix holds the parameters by which Draw makes a script.
+// Mix holds the parameters with which Draw generates a script.
 type Mix struct {
 	Processes, Links []string
-	Length           time.Duration        // all steps have ended by then
-	Every            time.Duration        // a step begins, on average
-	Shortest         time.Duration        // a fault
-	Longest          time.Duration        // a fault
+	Length           time.Duration        // length of the script; all faults end before it
+	Every            time.Duration        // mean time between the starts of steps
+	Shortest         time.Duration        // minimum length of a fault
+	Longest          time.Duration        // maximum length of a fault
 	Weights          map[StepKind]float64 // relative frequencies of the kinds
-	Down             int                  // maximum of processes that are down or stopped at the same time
+	Down             int                  // maximum number of processes that are down or stopped at the same time
 }
 
-// Draw returns the script of a seed: the same seed and Mix give the same one. A process or link gets no second fault before its first has
-// ended.
+// Draw returns a random script: the same seed and Mix give the same script. A process or link gets no second fault before its first one
+// has ended.
 func Draw(seed uint64, m Mix) []Step {
-	d := drawer{mix: m, rng: rand.New(rand.NewPCG(seed, 0x70726f6373)), busyUntil: map[string]time.Duration{}}
+	g := scriptGenerator{mix: m, rng: rand.New(rand.NewPCG(seed, 0x70726f6373)), busyUntil: map[string]time.Duration{}}
 	for kind, weight := range m.Weights {
-		d.kinds, d.totalWeight = append(d.kinds, kind), d.totalWeight+weight
+		g.kinds, g.totalWeight = append(g.kinds, kind), g.totalWeight+weight
 	}
-	slices.Sort(d.kinds) // map iteration order is random
+	slices.Sort(g.kinds) // map iteration order is random
 	var steps []Step
-	for at := time.Duration(0); d.totalWeight > 0; {
-		at += time.Duration(d.rng.ExpFloat64() * float64(m.Every))
-		s := Step{At: at, For: m.Shortest + time.Duration(d.rng.Float64()*float64(m.Longest-m.Shortest))}
+	for at := time.Duration(0); g.totalWeight > 0; {
+		at += time.Duration(g.rng.ExpFloat64() * float64(m.Every))
+		s := Step{At: at, For: m.Shortest + time.Duration(g.rng.Float64()*float64(m.Longest-m.Shortest))}
 		if at+s.For >= m.Length {
 			break
 		}
-		s.Do = d.kind()
-		if d.complete(&s) {
+		s.Do = g.kind()
+		if g.complete(&s) {
 			steps = append(steps, s)
 		}
 	}
 	return steps
 }
 
-// partitions is the key of the one partition at a time in drawer.busyUntil.
+// partitions is the key of partitions in scriptGenerator.busyUntil: only one lasts at a time.
 const partitions = "parts"
 
-// drawer draws the steps of a script one after another.
-type drawer struct {
+// scriptGenerator draws the steps of a script one after another.
+type scriptGenerator struct {
 	mix         Mix
 	rng         *rand.Rand
 	kinds       []StepKind // sorted
@@ -87,103 +87,104 @@
 	busyUntil   map[string]time.Duration // end of the last fault by process or link
 }
 
-// kind draws a kind by the weights.
-func (d *drawer) kind() (kind StepKind) {
-	x := d.rng.Float64() * d.totalWeight
-	for _, kind = range d.kinds {
-		if x < d.mix.Weights[kind] {
+// kind draws the kind of a step according to Mix.Weights.
+func (g *scriptGenerator) kind() (kind StepKind) {
+	x := g.rng.Float64() * g.totalWeight
+	for _, kind = range g.kinds {
+		if x < g.mix.Weights[kind] {
 			break
 		}
-		x -= d.mix.Weights[kind]
+		x -= g.mix.Weights[kind]
 	}
 	return kind
 }
 
-// complete draws the target and the parameters of a step; false: it cannot take place at its time.
-func (d *drawer) complete(s *Step) bool {
+// complete draws the target and the parameters of a step. It returns false if the step is not possible at its time.
+func (g *scriptGenerator) complete(s *Step) bool {
 	switch s.Do {
 	case Kill, KillBare, Pause, Terminate, Replace:
-		return d.down(s.At) < d.mix.Down && d.target(s, d.mix.Processes)
+		return g.down(s.At) < g.mix.Down && g.target(s, g.mix.Processes)
 	case Part, PartOne:
-		return d.partition(s)
+		return g.partition(s)
 	}
-	if !d.target(s, d.mix.Links) {
+	if !g.target(s, g.mix.Links) {
 		return false
 	}
 	switch s.Do {
 	case Slow:
-		s.Lag = time.Duration(d.rng.Float64() * float64(s.For) / 4)
+		s.Lag = time.Duration(g.rng.Float64() * float64(s.For) / 4)
 	case CutOut:
-		s.Bytes = d.rng.IntN(2000)
+		s.Bytes = g.rng.IntN(2000)
 	}
 	return true
 }
 
-// down returns the number of processes that have a fault at a time.
-func (d *drawer) down(at time.Duration) (n int) {
-	for _, p := range d.mix.Processes {
-		if d.busyUntil[p] > at {
+// down returns the number of processes that have a fault at the given time.
+func (g *scriptGenerator) down(at time.Duration) (n int) {
+	for _, p := range g.mix.Processes {
+		if g.busyUntil[p] > at {
 			n++
 		}
 	}
 	return n
 }
 
-// partition draws the group of a partition; false: another partition lasts.
-func (d *drawer) partition(s *Step) bool {
-	group := slices.Clone(d.mix.Processes)
-	d.rng.Shuffle(len(group), func(i, j int) { group[i], group[j] = group[j], group[i] })
-	s.Group = group[:1+d.rng.IntN(max(1, len(group)/2))]
+// partition draws the group of a partition. It returns false if an earlier partition has not ended.
+func (g *scriptGenerator) partition(s *Step) bool {
+	group := slices.Clone(g.mix.Processes)
+	g.rng.Shuffle(len(group), func(i, j int) { group[i], group[j] = group[j], group[i] })
+	s.Group = group[:1+g.rng.IntN(max(1, len(group)/2))]
 	slices.Sort(s.Group)
-	return d.reserve(partitions, s)
+	return g.reserve(partitions, s)
 }
 
-// target draws the process or link of a step; false: there is none, or it has a fault.
-func (d *drawer) target(s *Step, names []string) bool {
+// target draws the process or link of a step. It returns false if names is empty, or the drawn one has a fault already.
+func (g *scriptGenerator) target(s *Step, names []string) bool {
 	if len(names) == 0 {
 		return false
 	}
-	s.Who = names[d.rng.IntN(len(names))]
-	return d.reserve(s.Who, s)
+	s.Who = names[g.rng.IntN(len(names))]
+	return g.reserve(s.Who, s)
 }
 
-// reserve marks a target as busy for the length of a step; false: it is busy already.
-func (d *drawer) reserve(name string, s *Step) bool {
-	if d.busyUntil[name] > s.At {
+// reserve marks a target as busy for the length of a step. It returns false if the target is busy already.
+func (g *scriptGenerator) reserve(name string, s *Step) bool {
+	if g.busyUntil[name] > s.At {
 		return false
 	}
-	d.busyUntil[name] = s.At + s.For
+	g.busyUntil[name] = s.At + s.For
 	return true
 }
 
-// Play runs the steps of a script at their times, and returns after the end of all: all processes run again and all links are healed.
+// Play runs the steps of a script at their times. It returns after the last one has ended; all processes run and all links are healed
+// then.
 func (r *Rig) Play(ctx context.Context, script []Step) error {
-	type due struct {
+	type action struct {
 		at   time.Duration
 		what string
 		do   func() error
 	}
-	var all []due
+	var actions []action
 	for _, s := range script {
 		begin, end, err := r.stepActions(ctx, s)
 		if err != nil {
 			return err
 		}
-		all = append(all, due{s.At, string(s.Do) + " " + s.Who, begin})
+		actions = append(actions, action{s.At, string(s.Do) + " " + s.Who, begin})
 		if end != nil {
-			all = append(all, due{s.At + s.For, "end of " + string(s.Do) + " " + s.Who, end})
+			actions = append(actions, action{s.At + s.For, "end of " + string(s.Do) + " " + s.Who, end})
 		}
 	}
-	slices.SortStableFunc(all, func(a, b due) int { return int(a.at - b.at) })
+	slices.SortStableFunc(actions, func(a, b action) int { return int(a.at - b.at) })
 	begun := time.Now()
-	for _, d := range all {
+	for _, next := range actions {
 		select {
-		case <-time.After(d.at - time.Since(begun)):
+		case <-time.After(next.at - time.Since(begun)):
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
-		if err := d.do(); err != nil {
-			return fmt.Errorf("%s: %w", d.what, err)
+		if err := next.do(); err != nil {
+			return fmt.Errorf("%s: %w", next.what, err)
 		}
 	}
 	return nil
@@ -205,20 +206,20 @@
 			return nil, nil, fmt.Errorf("%s %q: no such link", s.Do, s.Who)
 		}
 	}
-	again := func() error { return p.Start(ctx, nil) }
+	restart := func() error { return p.Start(ctx, nil) }
 	set := func(out, back Fault) func() error {
 		return func() error { l.Set(out, back); return nil }
 	}
 	heal := func() error { l.Heal(); return nil }
 	switch s.Do {
 	case Kill:
-		return func() error { return p.Kill(ctx) }, again, nil
+		return func() error { return p.Kill(ctx) }, restart, nil
 	case KillBare:
 		return func() error { return p.Kill(ctx) }, func() error {
 			if err := p.Forget(); err != nil {
 				return err
 			}
-			return again()
+			return restart()
 		}, nil
 	case Pause:
 		return func() error { return p.Signal(syscall.SIGSTOP) }, func() error { return p.Signal(syscall.SIGCONT) }, nil
@@ -227,7 +228,7 @@
 			if err := p.Await(ctx); err != nil {
 				return err
 			}
-			return again()
+			return restart()
 		}, nil
 	case Replace:
 		return func() error { return p.Replace(ctx, nil) }, nil, nil
@@ -247,28 +248,29 @@
 	case CutOut:
 		return func() error { l.Cut(Out, s.Bytes); return nil }, heal, nil
 	case Part, PartOne:
-		return func() error { r.part(s.Group, s.Do == PartOne, true); return nil },
-			func() error { r.part(s.Group, s.Do == PartOne, false); return nil }, nil
+		return func() error { r.setPartition(s.Group, s.Do == PartOne, true); return nil },
+			func() error { r.setPartition(s.Group, s.Do == PartOne, false); return nil }, nil
 	}
-	return nil, nil, fmt.Errorf("no such kind: %q", s.Do)
+	return nil, nil, fmt.Errorf("unknown kind of step: %q", s.Do)
 }
 
-// part begins or ends a partition between a group of processes and the others. With oneWay only what the group sends is lost.
-func (r *Rig) part(group []string, oneWay, on bool) {
+// setPartition starts or ends a partition between a group of processes and the others. If oneWay is set, only bytes that the group sends
+// are dropped.
+func (r *Rig) setPartition(group []string, oneWay, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range r.links {
-		out, back := slices.Contains(group, l.from), slices.Contains(group, l.to)
-		if out == back {
+		fromGroup, toGroup := slices.Contains(group, l.from), slices.Contains(group, l.to)
+		if fromGroup == toGroup {
 			continue
 		}
-		lost := Fault{Drop: on}
+		drop := Fault{Drop: on}
 		if !oneWay {
-			l.Set(lost, lost)
-		} else if out {
-			l.Set(lost, Fault{})
+			l.Set(drop, drop)
+		} else if fromGroup {
+			l.Set(drop, Fault{})
 		} else {
-			l.Set(Fault{}, lost)
+			l.Set(Fault{}, drop)
 		}
 	}
 }
--- a/internal/testing/processes/shutdown_test.go
+++ b/internal/testing/processes/shutdown_test.go
@@ -24,48 +24,48 @@
 )
 
 var (
-	shutdowns       = flag.Int("shutdowns", 1, "how many shutdowns of each kind are played under clients that keep connecting")
-	shutdownClients = flag.Int("shutdown-clients", 60, "how many clients keep connecting during a shutdown")
+	shutdowns       = flag.Int("shutdowns", 1, "number of shutdowns of each kind, under clients that keep connecting")
+	shutdownClients = flag.Int("shutdown-clients", 60, "number of clients that keep connecting during a shutdown")
 )
 
 const (
-	// redialInterval is the wait of a client whose connection was refused.
+	// redialInterval is the time that a client waits after a refused connect.
 	redialInterval = time.Millisecond
-	// loadBeforeSignal is how many requests are answered before the first signal.
+	// loadBeforeSignal is the number of requests that have to be answered before the first signal.
 	loadBeforeSignal = 400
-	// maxShutdownTime is the longest time from SIGTERM to the exit with upstreams that answer in 50 ms.
+	// maxShutdownTime is the longest allowed time from SIGTERM to the exit with upstreams that answer within 50 ms.
 	maxShutdownTime = 1900 * time.Millisecond
 )
 
-// lostRequest is a request that was written completely, and whose connection ended without a response.
+// lostRequest is a request that was written completely, but whose connection ended without a response.
 type lostRequest struct {
-	first bool // of its connection
+	first bool // the request is the first one of its connection
 	dial  time.Time
 	sent  time.Time
 	err   error
 }
 
-// crowd is a number of clients that send one request at a time on a kept connection, and open another one when it ends.
-type crowd struct {
-	address string
-	secure  *tls.Config // nil: not encrypted
-	class   string
-	seed    uint64
-	stop    chan struct{}
-	running sync.WaitGroup
+// clientPool is a set of clients that send one request at a time over a persistent connection, and open another connection when it ends.
+type clientPool struct {
+	address   string
+	tlsConfig *tls.Config // nil: the connections are not encrypted
+	class     string
+	seed      uint64
+	stop      chan struct{}
+	running   sync.WaitGroup
 
 	mu       sync.Mutex
 	statuses map[int]int
 	lost     []lostRequest
-	refused  int // connects
-	unsent   int // requests whose connection had ended before they were written
+	refused  int // refused connects
+	unsent   int // requests whose connection ended before they were written
 }
 
-func newCrowd(address, class string, secure *tls.Config, seed uint64) *crowd {
-	return &crowd{address: address, class: class, secure: secure, seed: seed, stop: make(chan struct{}), statuses: map[int]int{}}
+func newClientPool(address, class string, tlsConfig *tls.Config, seed uint64) *clientPool {
+	return &clientPool{address: address, class: class, tlsConfig: tlsConfig, seed: seed, stop: make(chan struct{}), statuses: map[int]int{}}
 }
 
-func (c *crowd) start(clients int) {
+func (c *clientPool) start(clients int) {
 	for i := range clients {
 		rng := rand.New(rand.NewPCG(c.seed, uint64(i)))
 		c.running.Go(func() {
@@ -76,7 +76,7 @@
 	}
 }
 
-func (c *crowd) stopped() bool {
+func (c *clientPool) stopped() bool {
 	select {
 	case <-c.stop:
 		return true
@@ -85,13 +85,13 @@
 	}
 }
 
-func (c *crowd) count(add func()) {
+func (c *clientPool) count(add func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	add()
 }
 
-func (c *crowd) answered() (n int) {
+func (c *clientPool) answered() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, count := range c.statuses {
@@ -100,8 +100,8 @@
 	return n
 }
 
-// connect opens a connection, and sends requests on it until it ends.
-func (c *crowd) connect(client int, rng *rand.Rand) {
+// connect opens a connection, and sends requests over it until it ends.
+func (c *clientPool) connect(client int, rng *rand.Rand) {
 	dialed := time.Now()
 	socket, err := net.DialTimeout("tcp", c.address, Patience)
 	if err != nil {
@@ -111,9 +111,9 @@
 	}
 	defer socket.Close()
 	conn := socket
-	_ = conn.SetDeadline(time.Now().Add(Patience)) // should it fail, reads show it
-	if c.secure != nil {
-		conn = tls.Client(conn, c.secure)
+	_ = conn.SetDeadline(time.Now().Add(Patience)) // if this fails, the reads fail too
+	if c.tlsConfig != nil {
+		conn = tls.Client(conn, c.tlsConfig)
 	}
 	in := bufio.NewReader(conn)
 	for n := 0; !c.stopped() && (n == 0 || !ConnectionEnded(socket)); n++ {
@@ -121,7 +121,7 @@
 			c.class, client, rng.Uint64(), c.class)
 		sent := time.Now()
 		if _, err := io.WriteString(conn, request); err != nil {
-			c.unwritten(n, dialed, sent, err)
+			c.countUnwritten(n, dialed, sent, err)
 			return
 		}
 		response, err := http.ReadResponse(in, nil)
@@ -139,8 +139,9 @@
 	}
 }
 
-// unwritten counts a request that could not be written. The first one of an encrypted connection includes the handshake.
-func (c *crowd) unwritten(n int, dialed, sent time.Time, err error) {
+// countUnwritten counts a request that could not be written. The first request of a connection also counts as lost: for an encrypted
+// connection, writing it includes the handshake.
+func (c *clientPool) countUnwritten(n int, dialed, sent time.Time, err error) {
 	c.count(func() {
 		c.unsent++
 		if n == 0 {
@@ -149,12 +150,12 @@
 	})
 }
 
-// end stops the clients, and returns the requests without a response as lines that tell their times since a signal.
-func (c *crowd) end(signaled time.Time) (lost []string) {
+// stopAndReport stops the clients. It returns a line for each request without a response, with its times since a signal.
+func (c *clientPool) stopAndReport(signaled time.Time) (lost []string) {
 	close(c.stop)
 	c.running.Wait()
 	for _, l := range c.lost {
-		lost = append(lost, fmt.Sprintf("first of its connection: %v, connected %v and sent %v after the signal: %v", l.first,
+		lost = append(lost, fmt.Sprintf("first request of its connection: %v, connected %v and sent %v after the signal: %v", l.first,
 			l.dial.Sub(signaled).Round(time.Millisecond), l.sent.Sub(signaled).Round(time.Millisecond), l.err))
 	}
 	return lost
@@ -177,19 +178,19 @@
 	return addresses
 }
 
-// shutdownFile is the operator's file of a daemon before upstreams, with tables in tls.
+// shutdownFile returns the configuration file of a daemon that forwards to upstreams, with additional TOML tables.
 func shutdownFile(listen string, upstreams []string, tables string) string {
 	return fmt.Sprintf("[daemon]\nname = \"s\"\nlisten = %q\ncontrol = \"127.0.0.1:0\"\nseed = \"5\"\n[limits]\nmemory = \"192MiB\"\ndescriptors = 8192\n"+
 		"[log]\nformat = \"json\"\n%s[[service]]\nname = \"web\"\naddresses = [\"%s\"]\n", listen, tables, strings.Join(upstreams, `", "`))
 }
 
-// shutdownKind is a way in which a process is ended.
+// shutdownKind describes a way to end a process.
 type shutdownKind struct {
-	name     string
-	signals  []syscall.Signal // one after the other, 20 ms apart, the first SIGTERM counts
-	badFile  bool             // the configuration is unusable at the signals
-	platform bool             // the platform's form of configuration
-	tls      bool
+	name        string
+	signals     []syscall.Signal // sent 20 ms apart; the shutdown is timed from the first SIGTERM
+	invalidFile bool             // the configuration file is invalid when the signals are sent
+	platform    bool             // uses the platform's configuration format
+	tls         bool
 }
 
 var shutdownKinds = []shutdownKind{
@@ -197,41 +198,41 @@
 	{name: "TERM, platform's form", signals: []syscall.Signal{syscall.SIGTERM}, platform: true},
 	{name: "TERM, TLS", signals: []syscall.Signal{syscall.SIGTERM}, tls: true},
 	{name: "HUP and TERM in series", signals: []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGHUP}},
-	{name: "a bad file and a second TERM", signals: []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM}, badFile: true},
+	{name: "a bad file and a second TERM", signals: []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM}, invalidFile: true},
 }
 
 // signalInterval is the time between two signals of a shutdownKind.
 const signalInterval = 20 * time.Millisecond
 
-// TestShutdownAnswersNewConnections guards against connections that a process accepts as it ends, and closes without a response to their
-// first request. A long run: -shutdowns 30 -shutdown-clients 1000.
+// TestShutdownAnswersNewConnections guards against connections that a process accepts during its shutdown, and closes without a response to
+// their first request. Flags for a long run: -shutdowns 30 -shutdown-clients 1000.
 func TestShutdownAnswersNewConnections(t *testing.T) {
 	for _, kind := range shutdownKinds {
 		t.Run(kind.name, func(t *testing.T) {
 			upstreams := slowUpstreams(t)
 			for round := range *shutdowns {
-				playShutdown(t, kind, upstreams, uint64(round+1))
+				testShutdown(t, kind, upstreams, uint64(round+1))
 			}
 		})
 	}
 }
 
-// playShutdown ends one process under a crowd.
-func playShutdown(t *testing.T, kind shutdownKind, upstreams []string, seed uint64) {
+// testShutdown ends one process under the load of a clientPool, and checks that no request is lost.
+func testShutdown(t *testing.T, kind shutdownKind, upstreams []string, seed uint64) {
 	r := New(t, seed)
 	reserved, err := fakes.Reserve("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer reserved.Release()
-	p, secure := shutdownProcess(t, r, kind, reserved.Address, upstreams)
+	p, tlsConfig := shutdownProcess(t, r, kind, reserved.Address, upstreams)
 	if err := p.Start(within(t, Patience), nil); err != nil {
 		t.Fatal(err)
 	}
-	clients := newCrowd(reserved.Address, "confirm", secure, seed)
+	clients := newClientPool(reserved.Address, "confirm", tlsConfig, seed)
 	clients.start(*shutdownClients)
 	base.Eventually(t, "requests are answered", func() bool { return clients.answered() > loadBeforeSignal })
-	if kind.badFile {
+	if kind.invalidFile {
 		for name := range p.spec.Files {
 			base.Replace(t, filepath.Join(p.Dir, name), []byte("{"))
 		}
@@ -250,42 +251,42 @@
 		t.Fatal(err)
 	}
 	took := time.Since(signaled)
-	lost := clients.end(signaled)
+	lost := clients.stopAndReport(signaled)
 	t.Logf("seed %d: %d clients, ended after %v, statuses %v, %d connects refused, %d requests not written, %d without a response", seed,
 		*shutdownClients, took.Round(time.Millisecond), clients.statuses, clients.refused, clients.unsent, len(lost))
 	for _, line := range lost[:min(len(lost), 8)] {
-		t.Errorf("lost: %s", line)
+		t.Errorf("request without a response: %s", line)
 	}
-	if code := p.current().cmd.ProcessState.ExitCode(); code != 0 {
-		t.Errorf("it ended with %d", code)
+	if code := p.currentRun().cmd.ProcessState.ExitCode(); code != 0 {
+		t.Errorf("the process ended with exit code %d, want 0", code)
 	}
 	if took > maxShutdownTime {
-		t.Errorf("it ended after %v", took)
+		t.Errorf("the process ended only %v after SIGTERM", took)
 	}
 }
 
-// replacementKind is a way in which a process is replaced.
+// replacementKind describes a way to replace a process.
 type replacementKind struct {
 	name   string
-	early  bool // it is ended as soon as the successor has its listening socket
-	beside bool // the successor can't ask for the listening socket, and opens one of its own at the same address
+	early  bool // the old process gets SIGTERM as soon as the successor has its listening socket
+	beside bool // the successor cannot obtain the listening socket, and opens another one at the same address
 }
 
-// TestReplacementUnderCrowd guards against connections that are lost while a successor takes over: the two processes share a listening
-// socket, so that what one does to it holds for both, or have one each.
+// TestReplacementUnderCrowd guards against connections that are lost while a successor takes over. The two processes either share a listening
+// socket, so that changes that one makes to it affect both, or have one each.
 func TestReplacementUnderCrowd(t *testing.T) {
 	for _, kind := range []replacementKind{{name: "late"}, {name: "early", early: true}, {name: "beside", beside: true}} {
 		t.Run(kind.name, func(t *testing.T) {
 			upstreams := slowUpstreams(t)
 			for round := range *shutdowns {
-				playReplacement(t, kind, upstreams, uint64(round+1))
+				testReplacement(t, kind, upstreams, uint64(round+1))
 			}
 		})
 	}
 }
 
-// playReplacement replaces a process under a crowd, and checks that every connect succeeds and every request has its response.
-func playReplacement(t *testing.T, kind replacementKind, upstreams []string, seed uint64) {
+// testReplacement replaces a process under the load of a clientPool, and checks that every connect succeeds and every request has its response.
+func testReplacement(t *testing.T, kind replacementKind, upstreams []string, seed uint64) {
 	r := New(t, seed)
 	reserved, err := fakes.Reserve("127.0.0.1:0")
 	if err != nil {
@@ -299,7 +300,7 @@
 	if err := p.Start(within(t, Patience), nil); err != nil {
 		t.Fatal(err)
 	}
-	clients := newCrowd(reserved.Address, "confirm", nil, seed)
+	clients := newClientPool(reserved.Address, "confirm", nil, seed)
 	clients.start(*shutdownClients)
 	base.Eventually(t, "requests are answered", func() bool { return clients.answered() > loadBeforeSignal })
 	if kind.early {
@@ -309,28 +310,28 @@
 	}
 	before := clients.answered()
 	base.Eventually(t, "the successor answers", func() bool { return clients.answered() > before+loadBeforeSignal })
-	lost := clients.end(time.Now())
+	lost := clients.stopAndReport(time.Now())
 	t.Logf("seed %d: %d clients, statuses %v, %d connects refused, %d without a response", seed, *shutdownClients, clients.statuses,
 		clients.refused, len(lost))
 	for _, line := range lost[:min(len(lost), 8)] {
-		t.Errorf("lost: %s", line)
+		t.Errorf("request without a response: %s", line)
 	}
 	if clients.refused > 0 {
-		t.Errorf("%d connects were refused", clients.refused)
+		t.Errorf("%d connects were refused during the replacement, want 0", clients.refused)
 	}
 }
 
-// replaceEarly ends a process as soon as its successor has the listening socket.
+// replaceEarly starts a successor, and ends the old process as soon as the successor has the listening socket.
 func replaceEarly(t *testing.T, r *Rig, p *Process) {
 	t.Helper()
-	old := p.current()
+	old := p.currentRun()
 	p.mu.Lock()
 	err := p.launchLocked(nil)
 	p.mu.Unlock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := r.History.Wait(within(t, Patience), old.from, func(e Event) bool {
+	if _, _, err := r.History.Wait(within(t, Patience), old.historyStart, func(e Event) bool {
 		return e.What == "hand-over: a successor has the clients' socket"
 	}); err != nil {
 		t.Fatal(err)
@@ -339,13 +340,13 @@
 		t.Fatal(err)
 	}
 	select {
-	case <-old.over:
+	case <-old.done:
 	case <-within(t, Patience).Done():
-		t.Fatal("the process before the successor goes on")
+		t.Fatal("the old process did not end after SIGTERM")
 	}
 }
 
-// shutdownProcess makes the process of a shutdown, and the TLS configuration of its clients.
+// shutdownProcess returns a process for a kind of shutdown, and the TLS configuration of its clients.
 func shutdownProcess(t *testing.T, r *Rig, kind shutdownKind, listen string, upstreams []string) (*Process, *tls.Config) {
 	t.Helper()
 	spec := Spec{Name: "s", Ready: Listening, Args: []string{"--config", "web.toml"}}
@@ -374,27 +375,27 @@
 	}
 }
 
-// TestRefusedOnceNothingIsAccepted guards against connects that succeed, or hang, while nothing more is accepted.
+// TestRefusedOnceNothingIsAccepted guards against connects that succeed or hang after a process has stopped accepting connections.
 func TestRefusedOnceNothingIsAccepted(t *testing.T) {
 	r := New(t, 1)
-	came, release := make(chan struct{}), make(chan struct{})
+	arrived, release := make(chan struct{}), make(chan struct{})
 	upstream := base.HTTP(t, nil, func(http.ResponseWriter, *http.Request) {
-		close(came)
+		close(arrived)
 		<-release
 	})
-	p := daemons(r, 1, upstream)[0]
+	p := newDaemons(r, 1, upstream)[0]
 	if err := p.Start(within(t, Patience), nil); err != nil {
 		t.Fatal(err)
 	}
-	held := make(chan error, 1)
-	go func() { // keeps the process until the end of the test
+	inFlight := make(chan error, 1)
+	go func() { // this request in flight keeps the process alive until the end of the test
 		response, err := http.Post("http://"+p.Address()+"/a", "text/plain", strings.NewReader("x"))
 		if err == nil {
 			response.Body.Close()
 		}
-		held <- err
+		inFlight <- err
 	}()
-	<-came
+	<-arrived
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -412,12 +413,12 @@
 			conn.Close()
 		}
 		if !errors.Is(err, syscall.ECONNREFUSED) || time.Since(begun) > time.Second/2 {
-			t.Fatalf("a connect: %v after %v", err, time.Since(begun))
+			t.Fatalf("connect after the process stopped accepting: got error %v after %v, want ECONNREFUSED within 500 ms", err, time.Since(begun))
 		}
 	}
 	close(release)
-	if err := <-held; err != nil {
-		t.Errorf("the request in flight: %v", err)
+	if err := <-inFlight; err != nil {
+		t.Errorf("the request in flight failed: %v", err)
 	}
 	if err := p.Await(within(t, Patience)); err != nil {
 		t.Error(err)
