--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -28,7 +28,7 @@
 	Cell       int    // with Send: cell of Upstream
 	Attempt    int
 	Timeout    time.Duration
-	SendBy     time.Duration // with Send: clock time; an attempt whose last byte is not written by then is NotSent; 0: no limit
+	SendBy     time.Duration // with Send: clock time by which the last byte must be written, else NotSent; 0 if there is no limit
 	RetryAfter time.Duration
 	FireAt     time.Duration // clock time
 	Text       string
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -27,7 +27,7 @@
 	requests  map[string]*request
 
 	timers        timerHeap
-	timerArmedFor time.Duration // clock time of the earliest SetTimer outstanding; 0: none
+	timerArmedFor time.Duration // clock time of the earliest outstanding SetTimer; 0 if none is outstanding
 	subscription  subscription
 
 	meanObjective float64 // mean latency objective over the classes, in seconds
@@ -50,15 +50,15 @@
 // subscription is the state of the subscription to the endpoint list.
 type subscription struct {
 	connected bool
-	pending   bool // requested; neither an update nor a failure has arrived
+	pending   bool // the list has been requested, and neither an update nor a failure has arrived
 	failures  int  // failed subscriptions in a row
 }
 
-// latencyStatistics are the latencies over all upstreams, in seconds. A normalized latency is divided by the
-// work expected of its request, relative to the mean request.
+// latencyStatistics holds latencies over all upstreams, in seconds. A normalized latency is a latency divided
+// by the cost of its request: its expected work relative to the mean request.
 type latencyStatistics struct {
 	mean           float64 // not normalized
-	meanCostHint   float64 // mean cost hint, in seconds of work; 0: no request has had one
+	meanCostHint   float64 // mean cost hint, in seconds of work; 0 before the first hint
 	normalizedMean float64
 	byMachineType  map[string]*float64 // normalized means
 	median         quantileEstimate    // of the normalized latency
@@ -75,12 +75,12 @@
 
 // sheddingState is the learnt state of load shedding.
 type sheddingState struct {
-	queueingLimit    float64                 // mean share of its latency objective that a request may wait
-	objectiveUse     float64                 // moving mean of latency / latency objective over attempts
+	queueingLimit    float64                 // mean share of their latency objective that requests may wait
+	objectiveUse     float64                 // moving mean, over attempts, of latency / latency objective
 	objectiveUseAt   time.Duration           // clock time of the latest sample in objectiveUse
 	recentPriorities [priorityWindow]float64 // ring buffer of the arrivals' priorities
-	priorityCount    int                     // arrivals so far; modulo priorityWindow, the next one's index
-	lastRejectionAt  time.Duration           // clock time of the latest rejection for load; 0: shedding has ended
+	priorityCount    int                     // arrivals so far; modulo priorityWindow, the next arrival's index
+	lastRejectionAt  time.Duration           // clock time of the latest rejection for load; 0 if no load is shed
 }
 
 // Before the first answers, the mean latency and the latency beyond which an attempt is late are assumed to
@@ -93,7 +93,7 @@
 // randomStream selects the sequence of random draws together with the seed.
 const randomStream = 0x9e3779b97f4a7c15
 
-// medianQuantile is the quantile that the median follows.
+// medianQuantile is the probability of the median as a quantile.
 const medianQuantile = 0.5
 
 // New returns a Balancer without endpoints, or a Problem that names the first setting that can't be used.
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -51,7 +51,7 @@
 		}
 	}
 	u.active, u.zone, u.cell, u.zoneState = true, e.Zone, e.Cell, b.zoneStateFor(e.Zone)
-	if z := u.zoneState; z.consecutiveEjections > 0 && e.StartedAt > z.firstFailureAt { // a restart ends it
+	if z := u.zoneState; z.consecutiveEjections > 0 && e.StartedAt > z.firstFailureAt { // a restart ends the ejection
 		z.consecutiveEjections, z.ejectedUntil, z.failedUpstreams = 0, 0, 0
 	}
 }
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -48,6 +48,6 @@
 	r.updateEndpoints(IncrementalUpdate, Endpoint{Name: "u0", Zone: "a", StartedAt: r.now - time.Second})
 	u := r.balancer.upstreams["u0"]
 	if u.latency.value > 1 || u.outlier.ejectedUntil != 0 || !u.slowStart.active || len(r.balancer.shuffled) != 2 {
-		t.Errorf("state of the earlier process after a restart: %+v", u)
+		t.Errorf("upstream has state of its earlier process after a restart: %+v", u)
 	}
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -19,10 +19,10 @@
 // Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	Name, Zone  string
-	MachineType string // empty: all machines are taken to be alike
+	MachineType string // upstreams of one type, or without a type, are assumed to be equally fast
 	Cell        int
 	State       EndpointState
-	StartedAt   time.Duration // clock time of the endpoint's latest start; 0: long ago
+	StartedAt   time.Duration // clock time of the endpoint's latest start; 0 if that was long ago
 }
 
 // UpdateKind says what the Endpoints of an EndpointUpdate are.
@@ -46,8 +46,8 @@
 type Request struct {
 	ID, Class, Tenant string
 	Deadline          time.Duration    // clock time
-	CostHint          time.Duration    // expected work; 0: unknown
-	EarlierAttempts   []EarlierAttempt // of requests with the same idempotency key
+	CostHint          time.Duration    // expected work; 0 if unknown
+	EarlierAttempts   []EarlierAttempt // attempts of earlier requests with the same idempotency key
 	StreamedBody      bool             // the body is forwarded as it arrives: see UploadDone and Outcome.BodyConsumed
 }
 
@@ -113,7 +113,7 @@
 	Result   Result
 	Elapsed  time.Duration
 	InFlight int           // with OK: requests at the upstream, queued ones included
-	Latency  time.Duration // with OK: latency of the upstream's recent requests; 0: not reported
+	Latency  time.Duration // with OK: latency of the upstream's recent requests; 0 if it is not reported
 }
 
 // PeerMessage is a message from another sidecar. It is ignored.
--- a/balancer/hedging.go
+++ b/balancer/hedging.go
@@ -9,8 +9,8 @@
 	// capacity that first attempts need.
 	hedgingMaxPressure = 0.7
 
-	// hedgingMinSuccessRatio is the least success ratio at which hedging pays: the share of hedged requests
-	// that answer first and in time.
+	// hedgingMinSuccessRatio is the least hedging success ratio at which hedging pays. The ratio is the share of
+	// hedged requests that answer first and in time.
 	hedgingMinSuccessRatio = 0.3
 
 	// hedgingTrialProbability is the share of late attempts that are hedged although hedging does not pay, to
@@ -25,10 +25,10 @@
 	return durationFromSeconds(b.latency.median.value * r.cost)
 }
 
-// lateAttemptDelay returns the time after which an attempt is late: the late quantile for the request's
-// cost, doubled for each attempt in flight beyond the first. Without hedging, a late attempt is cancelled
-// and loses its place in the upstream's queue, so it is given at least the time left, less the median
-// latency that another attempt needs.
+// lateAttemptDelay returns the time after which an attempt is late: the late quantile for the request's cost,
+// doubled for each attempt in flight beyond the first. Without hedging, a late attempt is cancelled and loses
+// its place in the upstream's queue. The delay is then at least the time left, less the median latency that
+// another attempt needs.
 func (b *Balancer) lateAttemptDelay(r *request) time.Duration {
 	doublings := max(r.inFlight-1, 0)
 	delay := durationFromSeconds(b.latency.late.value * r.cost * float64(int(1)<<doublings))
@@ -62,10 +62,10 @@
 	}
 }
 
-// hedgingPays reports whether to hedge a late attempt that was sent to u at sentAt. It does where the
-// upstream looks hung: no answer since then, and more than one attempt unanswered or its zone ejected.
-// Otherwise a late request is mostly an expensive one, and hedging it costs as much again: it is hedged
-// only if its cost is known from a hint and hedging has paid recently.
+// hedgingPays reports whether to hedge a late attempt that was sent to u at sentAt. Hedging pays if u looks
+// hung: u has not answered since sentAt, and has another unanswered attempt or its zone is ejected. Otherwise
+// the request is probably late because it is costly, and hedging would cost as much again: it pays only if a
+// hint states the cost and hedging has paid recently.
 func (b *Balancer) hedgingPays(r *request, u *upstream, sentAt time.Duration) bool {
 	stuck := len(u.inFlight) >= hungUpstreamAttempts || u.zoneState.consecutiveEjections > 0
 	hung := u.lastAnswerAt <= sentAt && stuck
@@ -78,8 +78,8 @@
 	return !(b.hedgingSuccessRatio < hedgingMinSuccessRatio && b.random.Float64() > hedgingTrialProbability)
 }
 
-// recordHedgingResult updates the success ratio when winner gave the final answer while another attempt was
-// in flight. A success is a winner other than the first attempt that answered within the latency objective.
+// recordHedgingResult updates the success ratio when winner gives the final answer while another attempt is
+// in flight. Hedging succeeded if winner is a hedge and answered within the latency objective.
 func (b *Balancer) recordHedgingResult(winner *attempt) {
 	success := 0.0
 	if winner.number > 0 && b.now < winner.request.timing.objectiveAt {
--- a/balancer/hedging_test.go
+++ b/balancer/hedging_test.go
@@ -67,7 +67,7 @@
 			hedges += len(ofKind(r.advance(5*ms), Send))
 		}
 		if hedges > 0 != c.hedged {
-			t.Errorf("%s: %d hedged requests with %d requests waiting, load pressure %.2f",
+			t.Errorf("%s: %d hedged requests, want some only far below the limit; %d requests waiting, load pressure %.2f",
 				c.name, hedges, c.waiting, r.balancer.loadPressure())
 		}
 	}
@@ -131,7 +131,7 @@
 		hedges := w.attempts() - w.requests
 		pays := w.balancer.hedgingSuccessRatio > hedgingMinSuccessRatio
 		if pauses != pays || !pauses && hedges > w.requests/20 {
-			t.Errorf("upstreams pause: %v; %d hedged requests for %d requests, hedging success ratio %.2f",
+			t.Errorf("hedging should pay exactly if upstreams pause: %v; %d hedged requests for %d requests, hedging success ratio %.2f",
 				pauses, hedges, w.requests, w.balancer.hedgingSuccessRatio)
 		}
 	}
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -51,14 +51,15 @@
 	meanSampleWeight        = 0.02 // weight of one sample in the means of classes and of all requests
 	machineTypeSampleWeight = 0.05 // weight of one sample in a machine type's mean, which gets fewer samples
 
-	// errorPenaltyObjectives is the least latency that an error answer counts as, in mean latency objectives:
-	// a fast error must not make its upstream look fast.
+	// errorPenaltyObjectives is the least latency, in mean latency objectives, that an error answer counts with,
+	// so that fast errors do not make an upstream look fast.
 	errorPenaltyObjectives = 1.0
 )
 
 // observeLatency updates the latency estimates with an attempt that ended with result after elapsed. Samples
-// are normalized by the request's cost, so that a costly request does not make its upstream look slow. The
-// elapsed time of an attempt without an answer is a lower bound: it counts only above what is known.
+// are normalized by the request's cost, so that a costly request does not make its upstream look slow. A
+// cancelled or timed-out attempt took at least elapsed: it can only raise the quantiles, and a cancelled
+// attempt can only raise the upstream's estimate.
 func (b *Balancer) observeLatency(a *attempt, result Result, elapsed time.Duration) {
 	latency := elapsed.Seconds()
 	normalized := latency / a.request.cost
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -9,6 +9,7 @@
 
 func almostEqual(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
+// A sample above the decayed estimate must replace the estimate, and any other sample must be averaged in.
 // With a decay of 1 s the weight is 1/2 after 693.147... ms.
 func TestPeakEWMA(t *testing.T) {
 	const decay = time.Second
--- a/balancer/load_report.go
+++ b/balancer/load_report.go
@@ -36,8 +36,8 @@
 }
 
 // pickByLoadReport returns the least loaded of the available upstreams with a fresh load report, for a first
-// attempt. An upstream in another zone has the cross-zone cost, in seconds, added to its load. It returns
-// nil if there are not at least two upstreams to compare: the random choice is better informed then.
+// attempt. An upstream in another zone has the cross-zone cost, in seconds, added to its load. It returns nil
+// if fewer than loadReportChoices upstreams qualify: a random choice is better informed then.
 func (b *Balancer) pickByLoadReport(r *request) *upstream {
 	if len(b.reportingUpstreams) == 0 || len(r.attempts) > 0 {
 		return nil
--- a/balancer/load_report_test.go
+++ b/balancer/load_report_test.go
@@ -56,7 +56,7 @@
 				want = withoutReports.wantSend(withoutReports.request("a", "c", time.Second))
 			}
 			if got := r.wantSend(r.request("a", "c", time.Second)); got != want {
-				t.Errorf("sent to %s, want %s", got, want)
+				t.Errorf("first attempt was sent to %s, want %s", got, want)
 			}
 		})
 	}
--- a/balancer/load_shedding.go
+++ b/balancer/load_shedding.go
@@ -85,8 +85,9 @@
 	return priority
 }
 
-// overQuota counts a tenant's request, and reports whether it is over the tenant's quota. If the tenant uses
-// more than its quota, a random part of its requests is over it: the part by which the use exceeds the quota.
+// overQuota counts a request of a tenant, given by its index, and reports whether the request is over the
+// tenant's quota. If the tenant exceeds its quota, a random part of its requests, as large as the excess, is
+// over.
 func (b *Balancer) overQuota(tenant int) bool {
 	own := &b.tenantRates[tenant]
 	own.add(1, b.now)
@@ -118,8 +119,8 @@
 // second. Requests that have only just arrived weigh less, so that a burst is admitted.
 //
 // The pressure is 0 while fewer requests wait than this sidecar's share of the upstreams, which is their
-// number divided by FleetSize. With less than pressureWaitingMin waiting, the served rate is too noisy, and
-// the pressure follows from recent attempts.
+// number divided by FleetSize. While fewer than pressureWaitingMin requests wait, the served rate is too
+// noisy, and objectiveUsePressure gives the pressure.
 func (b *Balancer) loadPressure() float64 {
 	w := &b.waiting
 	count := float64(w.count)
@@ -136,7 +137,7 @@
 }
 
 const (
-	objectiveUseWeight = 0.04 // weight of one attempt in the objective use
+	objectiveUseWeight = 0.04 // weight of one attempt in the objective use; see observeObjectiveUse
 
 	// objectiveUseMemory is the time constant with which the objective use decays while there are no
 	// attempts, so that rejecting all requests can't go on for ever.
@@ -148,12 +149,12 @@
 	objectiveUseSlope = 0.5  // factor on the pressure above 1, as the objective use is uncertain
 
 	// objectiveUsePressureMax limits the pressure from the objective use: a fifth of the requests is still
-	// admitted, and shows when the overload ends.
+	// admitted, and their answers show when the overload ends.
 	objectiveUsePressureMax = 1.4
 )
 
-// observeObjectiveUse feeds an attempt's latency, in seconds, into the objective use: the moving share of
-// their latency objective that attempts take. A rejection by the upstream counts as objectiveUseMax. The
+// observeObjectiveUse feeds an attempt's latency, in seconds, into the objective use: the moving mean, over
+// attempts, of latency / latency objective. A rejection by the upstream counts as objectiveUseMax. The
 // latency of a cancelled attempt is a lower bound, and counts only if it raises the objective use.
 func (b *Balancer) observeObjectiveUse(r *request, result Result, latency float64) {
 	s := &b.shedding
@@ -168,9 +169,9 @@
 	s.objectiveUseAt = b.now
 }
 
-// objectiveUsePressure returns the load pressure that follows from the objective use of recent attempts.
-// The objective use shows an overload later than the waiting requests do, so the pressure rises in
-// proportion instead of in a step.
+// objectiveUsePressure returns the load pressure that the objective use of recent attempts indicates. The
+// objective use shows an overload later than the number of waiting requests does. The pressure therefore
+// rises gradually with it, so that requests are shed in proportion to the overload.
 func (b *Balancer) objectiveUsePressure() float64 {
 	s := &b.shedding
 	faded := s.objectiveUse * math.Exp(-float64(b.now-s.objectiveUseAt)/float64(objectiveUseMemory))
@@ -209,13 +210,13 @@
 	}
 }
 
-// retryAfterParts: a client that can retry in time gets a Retry-After of the time left until its latency
-// objective divided by this.
+// retryAfterParts divides the time left until the latency objective: a client that can retry in time gets the
+// quotient as its Retry-After.
 const retryAfterParts = 2
 
-// retryAfter returns the Retry-After of a rejection; 0: none. It is the longest that is allowed, to keep
-// the client away. If that ends before the client's deadline and late answers have a value, the client
-// would return late and still cause work: it is told to retry in time instead.
+// retryAfter returns the Retry-After of a rejection, or 0 if the client gets none. It is the longest allowed,
+// to keep the client away. If the longest ends before the client's deadline and late answers have a value,
+// the client would return late and still cause work: it is told to retry within its objective instead.
 func (b *Balancer) retryAfter(r *request) time.Duration {
 	if !b.settings.RetryAfterAllowed {
 		return 0
--- a/balancer/load_shedding_test.go
+++ b/balancer/load_shedding_test.go
@@ -214,8 +214,9 @@
 	}
 }
 
-// A rejected client gets the longest Retry-After that is allowed. Where that ends before its deadline and a
-// late answer has a value, it gets one that lets it retry in time.
+// A rejected client gets the longest Retry-After that is allowed. If that ends before the client's deadline
+// and a late answer has a value, the client gets a shorter one, with which it can retry within its latency
+// objective.
 func TestRetryAfterOfRejection(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -19,10 +19,10 @@
 	return crossZoneCost >= b.latency.normalizedMean*crossZoneMinShare
 }
 
-// pickZone compares one candidate of this sidecar's zone with one of another zone, each found by the power
-// of two choices. Where crossing costs, the local one is taken unless its load exceeds the remote one's by
-// more than the cross-zone cost, in seconds. If the candidate set covers all upstreams, every local one is
-// compared before a request crosses: a failure may have raised both estimates in a random pair.
+// pickZone compares one candidate of this sidecar's zone with one of the other zones, each found by the power
+// of two choices. If crossing zones costs, it takes the local candidate unless its load exceeds the remote
+// load by more than the cross-zone cost, in seconds. If the candidate set covers all upstreams, it compares
+// every local upstream first, as a failure may have raised both estimates of a random pair.
 func (b *Balancer) pickZone(local, remote []*upstream) *upstream {
 	crossZoneCost := b.crossZoneCost()
 	if len(local) == 0 || len(remote) == 0 || !b.prefersLocal(crossZoneCost) {
@@ -43,7 +43,7 @@
 	return localChoice
 }
 
-// delayNextTrial keeps an ejected zone from getting another trial before until, the time by which the attempt
+// delayNextTrial gives an ejected zone no further trial before the clock time until, by which the attempt
 // just sent should have an answer.
 func (z *zoneState) delayNextTrial(until time.Duration) {
 	if z.consecutiveEjections > 0 {
@@ -67,14 +67,14 @@
 	// outage.
 	zoneOutageUpstreams = 3
 
-	// zoneEjectionParts: a zone is ejected for an upstream's ejection time divided by this.
+	// zoneEjectionParts divides an upstream's ejection time: a zone is ejected for the quotient.
 	zoneEjectionParts = 2
 )
 
-// recordZoneFailure notes that attempt a at u ended without an answer, and ejects the zone when that shows
-// an outage: zoneOutageUpstreams failed, none of them answered what was sent since the zone's latest answer,
-// and another zone did answer. An ejected zone gets one trial at a time, after a time that doubles. Ejecting
-// the zone as a whole saves the attempts that it would cost to eject each of its upstreams.
+// recordZoneFailure notes that attempt a at u ended without an answer, and ejects the zone if that shows an
+// outage: zoneOutageUpstreams have failed since the zone's latest answer, and another zone has answered
+// since. An ejected zone gets one trial at a time, after a time that doubles. Ejecting the zone as a whole
+// saves the attempts that it would cost to eject each of its upstreams.
 func (b *Balancer) recordZoneFailure(u *upstream, a *attempt) {
 	z := u.zoneState
 	if a.sentAt <= z.lastAnswerAt || z.consecutiveEjections > 0 && a.sentAt <= z.ejectedAt {
@@ -101,7 +101,7 @@
 	b.expireAttempts(z)
 }
 
-// expireAttempts makes the attempts in flight at a zone late now, so that their requests go to other zones.
+// expireAttempts treats the attempts in flight at a zone as late now, so that other zones get their requests.
 func (b *Balancer) expireAttempts(z *zoneState) {
 	for _, u := range b.shuffled {
 		for _, a := range u.inFlight {
@@ -114,7 +114,7 @@
 }
 
 // otherZoneAnswered reports whether another zone has answered since z began to fail. If none has, the fault
-// may be this sidecar's own network.
+// may lie in this sidecar's own network.
 func (b *Balancer) otherZoneAnswered(z *zoneState) bool {
 	for _, u := range b.shuffled {
 		other := u.zoneState
--- a/balancer/outlier_detection.go
+++ b/balancer/outlier_detection.go
@@ -12,7 +12,7 @@
 	// their trials at once.
 	ejectionJitterMin    = 0.75
 	ejectionJitterMax    = 1.25
-	maxConsecutiveErrors = 3    // error answers in a row that eject; two ServerErrors do so by their ratio
+	maxConsecutiveErrors = 3    // error answers in a row that eject; two ServerErrors eject by their ratio
 	errorRatioWeight     = 0.25 // weight of one answer in the error ratio
 
 	// errorRatioEject is the error ratio above which an upstream is ejected: a second error within about four
@@ -25,7 +25,7 @@
 	silenceObjectives      = 3.0
 	failuresBeforeEjection = 2 // failures in a row that eject: one connection may break by chance
 
-	// fastConnectParts: a connect that fails within ConnectTimeout divided by this counts as refused.
+	// fastConnectParts divides ConnectTimeout: a connect that fails sooner than the quotient counts as refused.
 	fastConnectParts = 2
 )
 
@@ -42,8 +42,8 @@
 }
 
 // updateOutlierState processes an attempt that ended with result after elapsed. It ejects an upstream that
-// refuses or breaks connections, answers with errors, or does not answer: failures that end at once would
-// make it look fast.
+// refuses or breaks connections, answers with errors, or does not answer: an upstream that fails quickly
+// would otherwise look fast and get more requests.
 func (b *Balancer) updateOutlierState(a *attempt, result Result, elapsed time.Duration) {
 	switch result {
 	case ServerError, Malformed:
--- a/balancer/request_state.go
+++ b/balancer/request_state.go
@@ -9,9 +9,9 @@
 	upstream    *upstream
 	zone        string // zone of the upstream at the time of sending; a later endpoint list may give another
 	cell        int
-	sentAt      time.Duration // clock time; with a streamed body: when its last byte was sent
+	sentAt      time.Duration // clock time; with a streamed body, the time at which its last byte was sent
 	inFlight    bool          // its Outcome has not been reported yet
-	mayHaveRun  bool          // it is not certain that the upstream never executed it
+	mayHaveRun  bool          // the upstream may have executed it
 	streaming   bool          // its response has begun, or its request body is still being sent
 	passThrough bool          // streaming, and the upstream does not work on it: bytes are only forwarded
 }
@@ -20,9 +20,9 @@
 type request struct {
 	id              string
 	class           *class
-	tenantIndex     int     // index in Settings.Tenants; -1: not a tenant of that list
+	tenantIndex     int     // index in Settings.Tenants; -1 if the tenant is not listed there
 	cost            float64 // expected work, relative to the mean request
-	hasCostHint     bool    // the client gave a cost hint: a late attempt is not merely one of unknown high cost
+	hasCostHint     bool    // the client gave a cost hint, so that high cost alone does not explain a late attempt
 	staleRetry      bool    // a client's retry that arrived after the latency objective of its first attempt
 	earlierAttempts []EarlierAttempt
 	timing          requestTiming
@@ -45,7 +45,7 @@
 	giveUpAt           time.Duration // the balancer ends the request itself at this time
 	deadline           time.Duration // the client's deadline
 	attemptLateAt      time.Duration // from then on the latest attempt is late
-	objectiveExtension time.Duration // a duration: by how much the cost hint extends the latency objective
+	objectiveExtension time.Duration // a duration, by which the cost hint extends the latency objective
 }
 
 func (b *Balancer) newAttempt(r *request, u *upstream) *attempt {
@@ -61,7 +61,7 @@
 	}
 }
 
-// attemptInFlight returns attempt number of request id, or nil if it is not in flight.
+// attemptInFlight returns an attempt by its request's ID and its number, or nil if it is not in flight.
 func (b *Balancer) attemptInFlight(id string, number int) *attempt {
 	r := b.requests[id]
 	if r == nil || number < 0 || number >= len(r.attempts) || !r.attempts[number].inFlight {
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -67,10 +67,9 @@
 	return r
 }
 
-// giveUpAt returns the clock time at which the balancer ends a request that has no answer: shortly before
-// its deadline or, if that is earlier and late answers of its class have no value, shortly before
-// valuableUntil, as going on would only load the upstreams. The time of a streamed body begins when its
-// last byte is sent: until then only the deadline counts.
+// giveUpAt returns the clock time at which the balancer ends a request that has no answer: shortly before its
+// deadline or, if that is earlier and late answers of its class have no value, shortly before valuableUntil,
+// as going on would only load the upstreams. While a streamed body is being sent, only the deadline counts.
 func (b *Balancer) giveUpAt(r *request, valuableUntil time.Duration) time.Duration {
 	at := r.timing.deadline - giveUpMarginTicks*b.settings.Tick
 	if r.class.LateValueFraction == 0 && !r.uploading {
@@ -164,7 +163,8 @@
 	b.dispatch(r)
 }
 
-// rejectOrFail ends a request without an answer from an upstream: with Reject if mayReject, else with Fail.
+// rejectOrFail ends a request without an answer from an upstream: with Reject if mayReject allows it,
+// otherwise with Fail.
 func (b *Balancer) rejectOrFail(r *request) {
 	if r.finished {
 		return
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -112,8 +112,8 @@
 	return since + r.class.DedupWindow - dedupMarginTicks*b.settings.Tick
 }
 
-// retrySendBy returns the clock time by which the next attempt's last byte has to be sent; 0: no limit. The
-// limit keeps a retry that waits for a connection from arriving after the deduplication window.
+// retrySendBy returns the clock time by which the next attempt's last byte has to be sent, or 0 if there is
+// no limit. The limit keeps a retry that waits for a connection from arriving after the deduplication window.
 func (b *Balancer) retrySendBy(r *request) time.Duration {
 	since, mayHaveRun := r.firstPossibleExecution()
 	if !mayHaveRun || r.class.Idempotency != IdempotentWithKey {
@@ -143,11 +143,11 @@
 	timeLeftToleranceTicks = 2
 )
 
-// firstAttemptTime returns the clock time at which a client first sent the request that arrives now; that is
-// now if the request is taken for a first attempt. A client's retry is recognized by its time left until
-// deadline. Most first attempts of a class have the same time left, while a retry's ends with all the
-// client's retries, one class Deadline after the first attempt. The usual time left is learnt by majority
-// vote.
+// firstAttemptTime returns the clock time at which the client first sent the request that arrives now, or now
+// if the request seems to be a first attempt. Most first attempts of a class arrive with the same time left
+// until their deadline, which is learnt by majority vote. A request with another time left is taken for a
+// retry. A client's retries all end one class Deadline after its first attempt, which gives that attempt's
+// time.
 func (c *class) firstAttemptTime(now, deadline, tick time.Duration) time.Duration {
 	left := deadline - now
 	if (left - c.usualTimeLeft).Abs() <= timeLeftToleranceTicks*tick {
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -166,7 +166,7 @@
 	for _, c := range []struct {
 		name    string
 		earlier []EarlierAttempt
-		want    string // zones that the request may be sent to; "": none
+		want    string // zones that the request may be sent to; "" if it may not be sent
 		fails   bool   // the request gets its final answer at once
 	}{
 		{"no earlier attempt", nil, "ab", false},
@@ -192,7 +192,7 @@
 			want[string(zone)] = true
 		}
 		if !maps.Equal(got, want) {
-			t.Errorf("%s: sent to %v, want %v", c.name, got, want)
+			t.Errorf("%s: request was sent to %v, want %v", c.name, got, want)
 		}
 	}
 }
@@ -256,13 +256,13 @@
 		r.wantSend(r.request(fmt.Sprint(i), "c", time.Second))
 	}
 	if r.balancer.retryTokens != 20*retryTokensPerRequest {
-		t.Errorf("retry budget is %.2f tokens after twenty first attempts", r.balancer.retryTokens)
+		t.Errorf("retry budget is %.2f tokens after twenty first attempts, want 20 times retryTokensPerRequest", r.balancer.retryTokens)
 	}
 	r.now += 150 * ms // no attempt is answered: every request is rejected from now on
 	for i := range 100 {
 		r.wantFinal(r.request(fmt.Sprint("late", i), "c", time.Second), Reject)
 	}
 	if r.balancer.retryTokens != 20*retryTokensPerRequest {
-		t.Errorf("retry budget changed to %.2f tokens after a hundred rejected requests", r.balancer.retryTokens)
+		t.Errorf("retry budget changed to %.2f tokens after a hundred rejected requests, want no change", r.balancer.retryTokens)
 	}
 }
--- a/balancer/scripted_fleet_test.go
+++ b/balancer/scripted_fleet_test.go
@@ -11,7 +11,7 @@
 // scriptedFleet sends requests to a Balancer and answers its attempts as the function reply says.
 type scriptedFleet struct {
 	*harness
-	reply        func(u string) (Result, time.Duration) // result at u, and the time until it; negative: never
+	reply        func(u string) (Result, time.Duration) // result of an attempt at u and the time until it; a negative time means no answer
 	inFlight     []scriptedAttempt
 	attemptsAt   map[string]int // by upstream
 	finalAnswers map[ActionKind]int
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// A class is enough as settings: a request is sent, and nothing more happens once it is answered.
+// Settings with nothing but a class must be enough: a request is sent, and after its answer the
+// Balancer takes no further action.
 func TestMinimalSettings(t *testing.T) {
 	r := newHarness(t, Settings{Classes: []Class{{Name: "c", Deadline: time.Second}}})
 	r.addUpstreams(1)
--- a/balancer/settings_validation.go
+++ b/balancer/settings_validation.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// Problem is a setting that can't be used. Key is the setting's name on the platform's pages.
+// Problem is a setting that can't be used. Key is the setting's name in the platform's documentation.
 type Problem struct{ Key, Reason string }
 
 func (p Problem) Error() string { return "setting " + p.Key + ": " + p.Reason }
 
-// Problems names every setting that can't be used, in a fixed order. New accepts settings without any.
+// Problems names every setting that can't be used, in a fixed order. New accepts settings without Problems.
 func (s Settings) Problems() []Problem { return s.normalize() }
 
 // normalize fills in the defaults of absent settings and returns a Problem for each setting that can't be
@@ -108,7 +108,7 @@
 // isFraction reports whether x is between 0 and 1. It is false for NaN.
 func isFraction(x float64) bool { return x >= 0 && x <= 1 }
 
-// unusableField returns the first field that can't be used, by its name on the platform's pages, or "".
+// unusableField returns the first field that can't be used, by its documented name, or "" if all can be used.
 func (c *Class) unusableField() string {
 	switch {
 	case c.LatencyObjective <= 0:
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -13,16 +13,17 @@
 	// capacity relative to the mean.
 	slowStartCapacityRatioMax = 1.6
 
-	// slowStartBurstParts: the bucket holds the tokens of OverloadWindow divided by this, and at least one.
+	// slowStartBurstParts divides OverloadWindow: a bucket holds at most that time's tokens, and at least one.
 	slowStartBurstParts = 10
 
-	// slowStartLapseParts: a token that is unused for OverloadWindow divided by this lapses, if the bucket
-	// gets less than one token in that time.
+	// slowStartLapseParts divides OverloadWindow: an unused token lapses after that time, if the bucket gets
+	// less than one token in it.
 	slowStartLapseParts = 2
 )
 
-// beginSlowStart limits an upstream that started at u.startedAt, within SlowStartWindow. The bucket begins
-// with a random fraction of a token, so that the sidecars' first requests do not arrive together.
+// beginSlowStart gives u a token bucket, which limits its attempts until SlowStartWindow after its start. The
+// bucket begins with a random fraction of a token, so that the sidecars' first requests do not arrive
+// together.
 func (b *Balancer) beginSlowStart(u *upstream) {
 	u.slowStart = slowStartState{
 		active:     true,
@@ -52,11 +53,11 @@
 // send takes as many tokens as the attempt's cost, at least one, so the bucket may fall below 0. Outside
 // slow start, every attempt is allowed.
 //
-// Tokens a second: the offered rate, in mean requests a second, divided by the candidate set's size, times
-// the present capacity; with OverloadMultiple also times slowStartOverloadFraction, OverloadMultiple and the
-// speed of the machine type. As every sidecar keeps to its share, the sum stays below the load that overloads
-// the upstream. Only upstreams in the candidate set get attempts: otherwise, with many upstreams starting,
-// every sidecar would send to each of them.
+// The refill rate is the offered rate, in mean requests a second, divided by the candidate set's size and
+// multiplied by the present capacity; with OverloadMultiple also by slowStartOverloadFraction,
+// OverloadMultiple and the relative speed of the machine type. As every sidecar keeps to its share, their sum
+// stays below the load that overloads the upstream. Only upstreams in the candidate set get attempts:
+// otherwise, with many upstreams starting, every sidecar would send to each of them.
 func (b *Balancer) slowStartAllows(u *upstream) bool {
 	share := b.slowStartCapacity(u)
 	if !u.slowStart.active {
--- a/balancer/slow_start_scenario_test.go
+++ b/balancer/slow_start_scenario_test.go
@@ -64,7 +64,7 @@
 
 	endpoints []Endpoint
 	sidecars  []*Balancer
-	timers    []time.Duration // by sidecar; 0: none
+	timers    []time.Duration // by sidecar: when its timer is due; 0 if it has none
 	weights   []float64       // by sidecar: share of the traffic
 	outcomes  outcomeHeap
 	attempts  [][]time.Duration // by starting upstream: the times of its attempts
@@ -205,8 +205,8 @@
 	}
 }
 
-// send schedules the outcome of an attempt. The upstreams that do not start are heavily loaded: a starting upstream would
-// answer each request faster.
+// send schedules the outcome of an attempt. The upstreams that do not start are heavily loaded, so a starting upstream
+// answers each request faster.
 func (r *slowStartRun) send(sidecar int, a Action) {
 	var u int
 	_, _ = fmt.Sscanf(a.Upstream, "u%d", &u)
--- a/balancer/slow_start_test.go
+++ b/balancer/slow_start_test.go
@@ -35,8 +35,8 @@
 	runSecond()
 	for i := range 9 {
 		u := "u" + string(rune('0'+i))
-		// The mean is 20 per second. In this second the capacity is 0.2 to 0.28 of that, and three times the
-		// capacity overloads the upstream.
+		// The mean is 20 requests per second for each upstream. In this second the capacity is 0.2 to 0.28 of that, and
+		// three times the capacity overloads the upstream.
 		if n[u] > 13 {
 			t.Errorf("%d requests to starting %s in its first second, want at most 13", n[u], u)
 		}
@@ -68,7 +68,8 @@
 	clear(w.attemptsAt)
 	w.run(4*time.Second, 20)
 	starting := w.attemptsAt["u4"] + w.attemptsAt["u5"] + w.attemptsAt["u6"] + w.attemptsAt["u7"]
-	// The mean is 2.5 per second, of which each may get 0.8 x 3 x 0.2 to 0.52: 34 in all.
+	// The mean is 2.5 requests per second for each upstream. A starting upstream may get 0.8 x 3 x (0.2 to 0.52) of
+	// that: the four get 34 requests in all.
 	if starting < 20 || starting > 40 {
 		t.Errorf("%d requests to four starting upstreams in 4 s, want 20 to 40", starting)
 	}
@@ -93,8 +94,8 @@
 		}
 		ended += len(finalAnswers(acts))
 	}
-	// 200 per second are due to 4 starting upstreams, each with 0.2 to 0.36 of its capacity: 0.8 of three times that
-	// is 112 per second.
+	// The 4 starting upstreams share 200 requests per second. Each has 0.2 to 0.36 of its capacity: 0.8 of three times
+	// that is 112 requests per second in all.
 	if sent > 224 || sent < 80 || ended == 0 {
 		t.Errorf("%d requests sent, want 80 to 224; %d rejected or failed, want some", sent, ended)
 	}
@@ -118,7 +119,7 @@
 		r.outcome(string(rune('a'+i)), 0, OK, 20*ms)
 	}
 	if u.slowStart.active || u.outlier.consecutiveEjections != 0 {
-		t.Errorf("still ejected or in slow start after its return: %+v", u)
+		t.Errorf("upstream is still ejected or in slow start after its return: %+v", u)
 	}
 }
 
@@ -182,9 +183,9 @@
 	return attempts
 }
 
-// Many sidecars with little traffic and most upstreams in slow start: the sidecars together stay below the load that
-// overloads a starting upstream, and still use it. Its capacity grows from 0.2 to 1 within 10 s; three times the
-// capacity for 2 s overloads it.
+// Many sidecars with little traffic must together stay below the load that overloads a starting upstream while most
+// upstreams are in slow start, and must still use it. The capacity of a starting upstream grows from 0.2 to 1 within 10
+// s; three times the capacity for 2 s overloads it.
 func TestManyLowTrafficSidecarsInSlowStart(t *testing.T) {
 	const sidecars, upstreams, starting = 400, 40, 36
 	const mean = float64(sidecars) * 2 / upstreams // requests per second for each upstream, below its capacity
--- a/balancer/slow_start_tokens.go
+++ b/balancer/slow_start_tokens.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// refill adds the tokens for the time since the latest refill, at a rate of perSecond.
+// refill adds perSecond tokens for each second since the latest refill. window is Settings.OverloadWindow.
 //
-// The buckets of all sidecars must not be full at once after a lull in the traffic: with many sidecars, one
-// token each adds up to a multiple of the load that overloads an upstream within a window. Tokens of a bucket
-// with a low refill rate therefore lapse if they are not used in time, and the next token arrives as late as
-// if the lapsed one had been used. So at any moment only a few of the sidecars hold a token.
+// After a lull in the traffic, the buckets of all sidecars must not be full at once: with many sidecars, one
+// token in each bucket adds up to several times the load that overloads the upstream within the window. In a
+// bucket with a low refill rate, an unused token therefore lapses, and the next token arrives as late as if
+// the lapsed token had been used. So only a few of the sidecars hold a token at any moment.
 func (s *slowStartState) refill(now time.Duration, perSecond float64, window time.Duration) {
 	s.tokens += perSecond * (now - s.refilledAt).Seconds()
 	s.refilledAt = now
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -25,7 +25,7 @@
 
 // UpstreamSnapshot holds what a Balancer has learnt of one upstream.
 type UpstreamSnapshot struct {
-	Uptime              time.Duration `json:"CameUp"`   // 0: the upstream started long ago
+	Uptime              time.Duration `json:"CameUp"`   // 0 if the upstream started long ago
 	Estimate            float64       `json:"Estimate"` // normalized latency, seconds
 	Age                 time.Duration `json:"Age"`      // of Estimate
 	ErrorRatio          float64       `json:"Wrong"`
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -25,8 +25,8 @@
 // rate is an exponentially weighted rate of events.
 type rate struct {
 	memory    time.Duration // time constant
-	sum       float64       // exponentially weighted amount of events
-	updatedAt time.Duration // clock time to which sum is weighted
+	sum       float64       // amount of events, exponentially weighted by age
+	updatedAt time.Duration // clock time of the latest update of sum
 	startedAt time.Duration // clock time of the first event
 	started   bool
 }
--- a/balancer/streaming_test.go
+++ b/balancer/streaming_test.go
@@ -102,7 +102,8 @@
 	return r
 }
 
-// An answer that is only forwarded is no load of its upstream; one that the upstream still works on is.
+// An answer that is only forwarded must not count as load of its upstream, and an answer that the upstream
+// still works on must count.
 func TestPassThroughIsNoLoad(t *testing.T) {
 	for _, passThrough := range []bool{true, false} {
 		s := testSettings()
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -11,7 +11,7 @@
 	rejectsFor     time.Duration // how long the registry rejects every call; after that it accepts one per second
 	endpoints      []Endpoint
 	sidecars       []*Balancer
-	timers         []time.Duration // by sidecar; 0: none
+	timers         []time.Duration // by sidecar: when its timer is due; 0 if it has none
 	calls          []int           // sidecars that wait for the reply to a call
 	callsInSecond  []int
 	lastAcceptedIn time.Duration // second since startedAt in which the latest call was accepted
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -12,11 +12,11 @@
 const (
 	timerGiveUp        timerKind = iota // ends the request without an answer
 	timerAttemptLate                    // treats the request's latest attempt as late
-	timerRetryDispatch                  // dispatches a request again for which no upstream was available
+	timerRetryDispatch                  // dispatches again a request for which no upstream was available
 	timerSubscribe                      // subscribes to the endpoint list again
 )
 
-// timer is an entry of the heap. Timers are never stopped: one that no longer applies does nothing.
+// timer is an entry of the heap. Timers are never stopped: a timer that no longer applies does nothing.
 type timer struct {
 	at       time.Duration // clock time
 	sequence int           // order among timers of the same time
@@ -24,7 +24,7 @@
 	request  *request // nil for timerSubscribe
 }
 
-// timerHeap holds all timers behind the one timer that the driver keeps.
+// timerHeap holds all timers, the earliest first. The driver keeps only one timer, for the earliest of them.
 type timerHeap struct {
 	timers        []timer
 	sequence      int
@@ -100,7 +100,8 @@
 	}
 }
 
-// armTimer asks the driver for a TimerFired at the earliest timer, unless one as early is outstanding.
+// armTimer asks the driver for a TimerFired when the earliest timer is due, unless a SetTimer for that time
+// or an earlier one is outstanding.
 func (b *Balancer) armTimer() {
 	if len(b.timers.timers) == 0 {
 		return
--- a/balancer/upstream.go
+++ b/balancer/upstream.go
@@ -13,7 +13,7 @@
 	zone      string
 	cell      int
 	active    bool          // the endpoint list shows it as Active: it may get attempts
-	startedAt time.Duration // clock time of its start as the endpoint list gives it; 0: long ago
+	startedAt time.Duration // clock time of its start according to the endpoint list; 0 if it started long ago
 	zoneState *zoneState
 
 	machineTypeLatency *float64 // mean normalized latency, in seconds, shared by its machine type's upstreams
@@ -34,7 +34,7 @@
 	firstFailureSentAt   time.Duration // clock time at which the first of these attempts was sent
 	consecutiveErrors    int           // error answers in a row
 	errorRatio           float64       // moving average of the share of error answers, 0 to 1
-	consecutiveEjections int           // ejections since its latest return; 0: not ejected
+	consecutiveEjections int           // ejections since its latest return; 0 while it is not ejected
 	ejectedUntil         time.Duration // clock time before which it gets no attempt
 	countedInEpoch       int           // zoneState.failureEpoch in which it was last counted as failed
 }
@@ -49,18 +49,18 @@
 
 // loadReport is the load that an upstream reported in its latest answer to a load probe.
 type loadReport struct {
-	receivedAt time.Duration // clock time; 0: there is no report
+	receivedAt time.Duration // clock time; 0 if there is no report
 	inFlight   int           // requests at the upstream, plus attempts that this sidecar has sent since
-	latency    time.Duration // latency of the upstream's recent requests; 0: not reported
+	latency    time.Duration // latency of the upstream's recent requests; 0 if it is not reported
 }
 
 // zoneState is the state of outage detection for a zone.
 type zoneState struct {
 	lastAnswerAt         time.Duration // clock time of the latest answer from one of its upstreams
-	failureEpoch         int           // number of the period since that answer, from 1
+	failureEpoch         int           // number of the period that began with that answer, from 1
 	failedUpstreams      int           // upstreams that failed in this period
 	firstFailureAt       time.Duration // clock time of the first of these failures
-	consecutiveEjections int           // ejections since the latest answer; 0: not ejected
+	consecutiveEjections int           // ejections since the latest answer; 0 while it is not ejected
 	ejectedAt            time.Duration // clock time of the latest ejection
 	ejectedUntil         time.Duration // clock time before which its upstreams get no attempt
 }
--- a/balancer/view.go
+++ b/balancer/view.go
@@ -8,7 +8,7 @@
 	Latency           time.Duration // of a mean request, as used in Load
 	Pending           int           // attempts without an answer, and streams that the upstream works on
 	Load              float64       // Latency x (Pending + 1), in seconds
-	EjectedFor        time.Duration // remaining ejection time; 0: over, or not ejected
+	EjectedFor        time.Duration // remaining ejection time; 0 if the ejection is over or there is none
 	TrialOnly         bool          // ejected: it gets at most one attempt at a time, as a trial
 	SlowStartCapacity float64       // the least share of its full capacity that it has by now, 0 to 1
 }
