--- a/internal/engine/answer.go
+++ b/internal/engine/answer.go
@@ -22,7 +22,7 @@
 // Answer is the final answer to a call.
 type Answer struct {
 	Kind       AnswerKind
-	RetryAfter time.Duration // if Rejected: how long to wait before a retry; 0: no advice
+	RetryAfter time.Duration // if Rejected: how long to wait before a retry; 0 if there is no advice
 	Value      any           // if Served: AttemptResult.Value of the successful attempt
 	Attempts   int           // number of attempts started before the answer
 
@@ -32,8 +32,8 @@
 	attempt *attempt
 }
 
-// EndStream reports how a streamed answer (see AttemptResult.Streaming) ended. Only the first call has an effect; for
-// an answer that is not streamed no call has. It may be called from any goroutine.
+// EndStream reports how a streamed answer (see AttemptResult.Streaming) ended. Only the first call has an effect. For
+// an answer that is not streamed, EndStream has no effect. It may be called from any goroutine.
 func (a Answer) EndStream(result balancer.Result) {
 	if a.attempt == nil {
 		return
--- a/internal/engine/attempt.go
+++ b/internal/engine/attempt.go
@@ -12,7 +12,7 @@
 type Transport interface {
 	// RoundTrip sends the request to the upstream once, waits for the result, and returns soon after ctx has ended;
 	// context.Cause tells a timeout from a cancellation. It may be called concurrently, and may still run after Do has
-	// returned: a hedged request that lost is being cancelled.
+	// returned, while a hedged request that lost is being cancelled.
 	RoundTrip(ctx context.Context, a Attempt) AttemptResult
 }
 
@@ -145,7 +145,7 @@
 		if p := recover(); p != nil {
 			result = AttemptResult{Result: balancer.Reset}
 			if e.log != nil {
-				e.log.Error("attempt panicked", "class", call.request.Class, "upstream", a.info.Upstream, "attempt", a.info.Number,
+				e.log.Error("transport panicked during an attempt", "class", call.request.Class, "upstream", a.info.Upstream, "attempt", a.info.Number,
 					"reason", fmt.Sprint(p))
 			}
 		}
@@ -157,9 +157,9 @@
 	return result
 }
 
-// endAttempt reports the outcome of an attempt to the balancer. It ignores the results of an attempt that has ended.
-// The first successful attempt provides the call's final answer, even after the caller's context has ended. e.mu must
-// be held.
+// endAttempt reports the outcome of an attempt to the balancer. It ignores the result of an attempt that has already
+// ended. The first successful attempt provides the call's final answer, even after the caller's context has ended. e.mu
+// must be held.
 func (e *Engine) endAttempt(call *callState, a *attempt, result AttemptResult) {
 	if a.ended {
 		return
@@ -192,9 +192,10 @@
 	e.removeIfComplete(call)
 }
 
-// beginStream answers a call with the streamed answer that an attempt has begun, and reports whether it did. It does
-// not if the call is closed, or if the attempt's context ended just as the answer began: the connection is being closed
-// then, and the answer would be truncated. In these cases the attempt ends with the returned result. e.mu must be held.
+// beginStream answers a call with the streamed answer that an attempt has begun, and reports whether the call was
+// answered. The call is not answered if it is closed, or if the attempt's context ended just as the answer began: the
+// connection is being closed then, and the answer would be truncated. In these cases the attempt ends with the returned
+// result. e.mu must be held.
 func (e *Engine) beginStream(call *callState, a *attempt, result AttemptResult, expired bool) (AttemptResult, bool) {
 	switch {
 	case call.closed:
--- a/internal/engine/call.go
+++ b/internal/engine/call.go
@@ -13,7 +13,7 @@
 	Class           string
 	Tenant          string
 	Deadline        time.Duration // time on the engine's clock at which the caller stops waiting
-	CostHint        time.Duration // expected work; 0: unknown
+	CostHint        time.Duration // expected work; 0 if unknown
 	EarlierAttempts []balancer.EarlierAttempt
 
 	// StreamedBody means that the body is forwarded as it arrives. Deadline then bounds the upload, and
@@ -115,8 +115,8 @@
 	e.endAttempt(call, a, result)
 }
 
-// waitForWake blocks the goroutine that called Do until there is an attempt for it to carry out or the call is closed.
-// e.mu must be held; it is released during the wait and held again on return.
+// waitForWake blocks the goroutine that called Do until it has an attempt to carry out or the call is closed. e.mu must
+// be held; it is released during the wait and held again on return.
 func (e *Engine) waitForWake(call *callState) {
 	if call.wake == nil {
 		call.wake = make(chan struct{}, 1)
@@ -168,8 +168,8 @@
 	call.wakeCaller()
 }
 
-// answerCall sets a call's final answer, unless it has one. It ignores a nil call: the balancer's decision was about a
-// call that is no longer in flight. e.mu must be held.
+// answerCall sets a call's final answer, unless it has one. It ignores a nil call, which means that the balancer
+// decided about a call that is no longer in flight. e.mu must be held.
 func (e *Engine) answerCall(call *callState, answer Answer) {
 	if call == nil || call.answered {
 		return
@@ -193,6 +193,6 @@
 	}
 	select {
 	case c.wake <- struct{}{}:
-	default: // it has been woken already
+	default: // the goroutine has been woken already
 	}
 }
--- a/internal/engine/doc.go
+++ b/internal/engine/doc.go
@@ -11,9 +11,10 @@
 // called Do for a request, the one that carried out an attempt for the attempt's outcome, a timer's for TimerFired.
 //
 // The goroutine that called Do also carries out the call's attempts, one after another, so that a call with one attempt
-// needs no other goroutine. An attempt gets a goroutine of its own when the caller's is busy (a hedged request), and
-// always when Settings.CancellationAllowed is false: the caller's goroutine could not be interrupted when an attempt on
-// another goroutine succeeds. docs/design/engine.md compares this with a goroutine that owns the balancer.
+// needs no other goroutine. An attempt gets a goroutine of its own when the caller's goroutine is busy (a hedged
+// request), and always when Settings.CancellationAllowed is false: the caller's goroutine could not be interrupted when
+// an attempt on another goroutine succeeds. docs/design/engine.md compares this with a goroutine that owns the
+// balancer.
 //
 // # Locks
 //
@@ -45,8 +46,8 @@
 // # Proof that nothing was sent
 //
 // balancer.NotSent states that no byte of an attempt can have reached its upstream, so that any call may be sent again.
-// The engine itself reports it in one place, for an attempt that it never passed to the Transport (Engine.closeCall).
-// Every other NotSent comes from the Transport.
+// The engine itself reports NotSent in one place, for an attempt that it never passed to the Transport
+// (Engine.closeCall). Every other NotSent comes from the Transport.
 //
 // # Panics
 //
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -73,7 +73,7 @@
 			t.Errorf("Do returned %+v after %v, want Failed as soon as Abort is called after 1 s", a, time.Since(start))
 		}
 		if n := e.InFlight(); n != 0 {
-			t.Errorf("%d calls are still in flight", n)
+			t.Errorf("%d calls are still in flight after Abort and the end of the attempt, want 0", n)
 		}
 	})
 }
@@ -154,7 +154,7 @@
 			}
 			wg.Wait()
 			if n := e.InFlight(); n != 0 {
-				t.Errorf("%d calls are still in flight", n)
+				t.Errorf("%d calls are still in flight after all attempts have ended, want 0", n)
 			}
 		}
 		if hedgesWon.Load() == 0 {
@@ -184,7 +184,7 @@
 				t.Errorf("the attempt was cancelled when its caller disconnected: %v, want %v", ended, cancels)
 			}
 			if n := e.InFlight(); n != 0 {
-				t.Errorf("%d calls are still in flight", n)
+				t.Errorf("%d calls are still in flight after the caller has disconnected, want 0", n)
 			}
 		})
 	}
@@ -241,7 +241,7 @@
 		t.Errorf("Do returned %+v after %d sends and logged %q, want Failed after 1 and a log line with the panic", a, sends, logged)
 	}
 	if n := e.InFlight(); n != 0 {
-		t.Errorf("%d calls are still in flight", n)
+		t.Errorf("%d calls are still in flight after the panic, want 0", n)
 	}
 }
 
@@ -319,7 +319,7 @@
 	}
 	wg.Wait()
 	if n := e.InFlight(); n != 0 {
-		t.Errorf("%d calls are still in flight", n)
+		t.Errorf("%d calls are still in flight after all have been answered, want 0", n)
 	}
 	if answersByKind[Served].Load() == 0 || answersByKind[Duplicate].Load() != 0 {
 		t.Errorf("numbers of Served, Rejected, Failed and Duplicate answers: %v, want some Served and no Duplicate", []int32{answersByKind[0].Load(), answersByKind[1].Load(), answersByKind[2].Load(), answersByKind[3].Load()})
