--- a/internal/admission/calendar.go
+++ b/internal/admission/calendar.go
@@ -9,7 +9,7 @@
 	minCalendarStep  = 10 * time.Millisecond
 	maxCalendarSteps = 1024 // a longer calendar has longer steps
 	minStepCapacity  = 1e-6 // reservations per step; it bounds how many steps one reservation takes
-	maxRunDivisor    = 4    // one reservation takes at most one step more than all steps divided by this
+	maxRunDivisor    = 4    // divides the number of steps: one reservation takes at most one step more than the quotient
 )
 
 // calendar counts the reservations in each time step from now to its end, so that no step has more reservations than
@@ -48,7 +48,7 @@
 	if stepCapacity < 1 {
 		needed = int(min(1/max(stepCapacity, minStepCapacity), float64(len(c.counts)/maxRunDivisor))) + 1
 	}
-	maxCount := uint32(max(0, stepCapacity-1)) // of a step that can take another reservation
+	maxCount := uint32(max(0, stepCapacity-1)) // largest count of a step that can take another reservation
 	size, run := int64(len(c.counts)), 0
 	for step := max(c.firstStep, int64(earliest/c.step)); step < c.firstStep+size && c.start(step+1) <= latest; step++ {
 		if count := c.counts[step%size]; needed > 1 && count > 0 || count > maxCount {
--- a/internal/admission/controller/acquire.go
+++ b/internal/admission/controller/acquire.go
@@ -49,8 +49,8 @@
 }
 
 // Acquire blocks until a request is admitted or rejected, or ctx has ended. It fills in the Group and Flow of the
-// arrival from the client. The client of a rejected request should come back after retryAfter; 0: it gets no
-// Retry-After.
+// arrival from the client. The client of a rejected request should come back after retryAfter, or gets no
+// Retry-After if retryAfter is 0.
 func (c *Controller) Acquire(ctx context.Context, client admission.Client, a admission.Arrival) (p Permit, v Verdict, retryAfter time.Duration) {
 	c.mu.Lock()
 	if c.bypassed {
@@ -60,7 +60,7 @@
 	a.Group, a.Flow = c.principalSources.Names(client)
 	ticket, actions := c.queue.Arrive(c.clock.Now(), a, c.actionBuffer[:0])
 	for _, action := range actions {
-		if action.Ticket == ticket { // decided at once
+		if action.Ticket == ticket { // the queue decided at once
 			c.execute(actions)
 			c.unlock()
 			return c.verdictOf(action)
@@ -78,7 +78,7 @@
 	if c.cancel(ticket) {
 		return Permit{}, ClientLeft, 0
 	}
-	return c.verdictOf(<-waiter) // decided just before cancel: the caller finds its client gone
+	return c.verdictOf(<-waiter) // the queue decided just before cancel; the caller will find that its client is gone
 }
 
 // cancel withdraws a waiting request, and reports whether it was still waiting.
--- a/internal/admission/controller/controller.go
+++ b/internal/admission/controller/controller.go
@@ -38,7 +38,7 @@
 type Options struct {
 	Queue          admission.Options // must have passed Check
 	Classes        []balancer.Class
-	Seed           uint64 // of the queue's random numbers
+	Seed           uint64 // seeds the queue's random numbers
 	Clock          clock.Clock
 	SendRetryAfter bool         // rejected clients get a Retry-After
 	Log            *slog.Logger // nil: nothing is logged
@@ -118,7 +118,7 @@
 	return c.queue.Stats()
 }
 
-// wake runs when the timer fires.
+// wake wakes the queue. It is the function that the timer calls.
 func (c *Controller) wake() {
 	c.mu.Lock()
 	defer c.unlock()
--- a/internal/admission/cost.go
+++ b/internal/admission/cost.go
@@ -26,7 +26,7 @@
 	meanCost      float64
 	meanDeviation float64 // mean absolute deviation from meanCost
 	longTermCost  float64 // mean over minutes, updated by the limiter; 0: unknown
-	meanHint      float64 // mean of the hints that requests carried; 0: there has been none
+	meanHint      float64 // mean of the hints that requests carried; 0 before the first hint
 }
 
 // estimateCost returns the estimated cost of a request, in seconds: its class's mean, scaled by its hint over the mean
--- a/internal/admission/dispatch.go
+++ b/internal/admission/dispatch.go
@@ -111,8 +111,9 @@
 	return actions
 }
 
-// nextEntry returns the request to admit next. It alternates between the reserved lane and the fair order, so that
-// reservations made before the upstreams slowed down cannot block all other requests.
+// nextEntry returns the request to admit next. It alternates between the reserved lane, which holds the requests that
+// came back at their reserved time, and the order of fair queueing. So reservations made before the upstreams slowed
+// down cannot block all other requests.
 func (q *Queue) nextEntry() *entry {
 	if first := q.reservedLane.nextReserved; first != &q.reservedLane && !q.lastFromReservedLane {
 		q.lastFromReservedLane = true
@@ -122,7 +123,7 @@
 	return q.groupLevel.next().group.flowLevel.next().flow.lists[0].first
 }
 
-// forgetSettled removes the indebted members of a level whose finish tags virtual time has reached.
+// forgetSettled removes each indebted member of a level once virtual time has reached the member's finish tag.
 func (q *Queue) forgetSettled(l *level) {
 	for _, s := range l.schedulers() {
 		for s != nil && s.indebted.Len() > 0 && !s.isAhead(s.indebted.First()) {
--- a/internal/admission/entry.go
+++ b/internal/admission/entry.go
@@ -33,7 +33,7 @@
 
 	prev, next                 *entry // in its entryList
 	prevReserved, nextReserved *entry // in Queue.reservedLane
-	timeoutIndex               int    // in Queue.timeouts; -1: not in it
+	timeoutIndex               int    // in Queue.timeouts; -1 if the entry is not in it
 }
 
 func (e *entry) ticket() Ticket { return Ticket(e.generation)<<32 | Ticket(e.index) }
--- a/internal/admission/entry_list.go
+++ b/internal/admission/entry_list.go
@@ -35,7 +35,7 @@
 	list.last = e
 }
 
-// remove removes a request from its list, and the list from the flow if it is empty then.
+// remove removes a request from its list, and removes the list from the flow if the list is then empty.
 func (f *flow) remove(e *entry) {
 	for i := range f.lists {
 		list := &f.lists[i]
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -9,12 +9,12 @@
 type Arrival struct {
 	Group, Flow string // see PrincipalSources.Names
 	Class       string
-	CostHint    time.Duration // cost that the client states; 0: none
+	CostHint    time.Duration // cost that the client states; 0 if it states none
 	ArrivedAt   time.Duration // start of the time that its latency objective limits
 	Deadline    time.Duration // when its client stops waiting
 	Bytes       int64         // size of its body, which stays in memory while it waits
 	Retry       bool          // marked as a retry by its client
-	Fingerprint uint64        // of the request, equal for its retries; 0: unknown
+	Fingerprint uint64        // of the request, equal for its retries; 0 if unknown
 }
 
 // ActionKind is the kind of an Action.
--- a/internal/admission/eviction.go
+++ b/internal/admission/eviction.go
@@ -1,8 +1,8 @@
 package admission
 
-// makeSpace evicts queued requests until an arriving request fits into the queue, and reports whether it fits. It does
-// not fit if selectVictim selects the request itself, at first or after some evictions. A request that can be admitted
-// at once needs no space.
+// makeSpace evicts queued requests until an arriving request fits into the queue, and reports whether it fits. The
+// arriving request does not fit if selectVictim selects it, at first or after some evictions. A request that can be
+// admitted at once needs no space.
 func (q *Queue) makeSpace(e *entry, actions []Action) (_ []Action, fits bool) {
 	maxBytes := int64(q.options.MaxQueuedBytes)
 	full := q.queued >= q.options.MaxQueued || q.queuedBytes+e.bytes > maxBytes
@@ -53,10 +53,12 @@
 	return e
 }
 
-// newestOfLowestPriority returns the queued request of a flow that is evicted first.
+// newestOfLowestPriority returns the newest of a flow's queued requests with the lowest priority weight. The flow's
+// next eviction is that of this request.
 func (f *flow) newestOfLowestPriority() *entry { return f.lists[len(f.lists)-1].last }
 
-// load returns the sum of a member's fractions of the bounds on requests and bytes, divided by its weight.
+// load returns a member's share of the bound on requests plus its share of the bound on bytes, divided by the member's
+// weight.
 func (q *Queue) load(m *member) float64 { return q.loadWith(m, 0, 0) }
 
 // loadWith returns the load that a member would have with further requests and bytes.
--- a/internal/admission/fair_queueing.go
+++ b/internal/admission/fair_queueing.go
@@ -11,7 +11,7 @@
 	readyOrder uint64  // orders equal start tags: the member that has waited longest goes first
 
 	readyIndex    int // in sfqScheduler.ready; -1: nothing is queued
-	indebtedIndex int // in sfqScheduler.indebted; -1: not in it
+	indebtedIndex int // in sfqScheduler.indebted; -1 if the member is not in it
 	loadIndex     int // in level.byLoad; -1: nothing is queued
 
 	queued      int
--- a/internal/admission/harness_test.go
+++ b/internal/admission/harness_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// apply records actions. Each request must be queued when it is admitted or rejected, and is so only once.
+// apply records actions. Each request must be queued when it is admitted or rejected, which may happen only once.
 func (h *harness) apply(actions []Action) error {
 	for _, action := range actions {
 		if h.state[action.Ticket] != entryQueued {
@@ -158,13 +158,13 @@
 	o, stats := &h.queue.options, h.queue.Stats()
 	switch {
 	case stats.Queued != queued || stats.InFlight != inFlight || stats.QueuedBytes != bytes:
-		return fmt.Errorf("stats are %+v, but %d are queued with %d bytes, and %d in flight", stats, queued, bytes, inFlight)
+		return fmt.Errorf("stats are %+v, but the harness counts %d queued requests with %d bytes and %d requests in flight", stats, queued, bytes, inFlight)
 	case stats.Queued > o.MaxQueued || stats.QueuedBytes > int64(o.MaxQueuedBytes) || stats.Principals > o.MaxPrincipals || stats.Reservations > o.MaxReservations:
 		return fmt.Errorf("stats exceed a bound of the options: %+v", stats)
 	case stats.Queued > 0 && stats.InFlight < stats.Limit:
-		return fmt.Errorf("%d requests are queued while only %d of %d are in flight", stats.Queued, stats.InFlight, stats.Limit)
+		return fmt.Errorf("%d requests are queued although only %d are in flight, below the limit of %d", stats.Queued, stats.InFlight, stats.Limit)
 	case stats.Limit < o.MinLimit || stats.Limit > o.MaxLimit:
-		return fmt.Errorf("limit %d is outside the bounds of the options", stats.Limit)
+		return fmt.Errorf("concurrency limit %d is outside MinLimit and MaxLimit of the options", stats.Limit)
 	}
 	return nil
 }
@@ -191,14 +191,14 @@
 		}
 	}
 	if queued != g.queued || inFlight != g.inFlight || active != g.flowLevel.activeMembers || (g.queued > 0) != (g.readyIndex >= 0) {
-		return 0, fmt.Errorf("the flows have %d requests queued, %d in flight, and %d of them are active, unlike the group: %+v",
+		return 0, fmt.Errorf("the flows have %d requests queued and %d in flight, and %d flows are active, but the group's counts differ: %+v",
 			queued, inFlight, active, g.member)
 	}
 	if bytes != g.queuedBytes || math.Abs(backlog-g.backlog) > backlogTolerance {
-		return 0, fmt.Errorf("the flows hold %d bytes and a backlog of %v s, unlike the group: %+v", bytes, backlog, g.member)
+		return 0, fmt.Errorf("the queued requests of the flows have %d bytes and a backlog of %v s, but the group's sums differ: %+v", bytes, backlog, g.member)
 	}
 	if !g.active() && len(g.flows) == 0 && len(g.sharedFlow.reservations) == 0 && !q.groupLevel.schedulerOf(&g.member).isAhead(&g.member) {
-		return 0, fmt.Errorf("the group is known without requests, flows, reservations or debt")
+		return 0, fmt.Errorf("the group is still stored although it has no requests, flows, reservations or debt")
 	}
 	return reservations, nil
 }
@@ -212,19 +212,19 @@
 	for _, list := range f.lists {
 		for e := list.first; e != nil; e = e.next {
 			if e.flow != f || e.state != entryQueued || e.next == nil && list.last != e {
-				return fmt.Errorf("a request in a list has a wrong flow, state or link")
+				return fmt.Errorf("a request in the flow's lists belongs to another flow, is not queued, or is linked wrongly")
 			}
 			n, bytes, backlog = n+1, bytes+e.bytes, backlog+e.estimatedCost
 		}
 	}
 	if bytes != f.queuedBytes || math.Abs(backlog-f.backlog) > backlogTolerance {
-		return fmt.Errorf("the lists hold %d bytes and a backlog of %v s, unlike the flow: %+v", bytes, backlog, f.member)
+		return fmt.Errorf("the requests in the flow's lists have %d bytes and a backlog of %v s, but the flow's sums differ: %+v", bytes, backlog, f.member)
 	}
 	if n != f.queued || (f.queued > 0) != (f.readyIndex >= 0) || (f.queued > 0) != (f.loadIndex >= 0) || len(f.reservations) > maxFlowReservations {
-		return fmt.Errorf("%d requests in the lists, or its reservations, do not agree with its counts and positions: %+v", n, f.member)
+		return fmt.Errorf("the flow's lists hold %d requests, but its count or its place in a priority queue does not match, or it has too many reservations: %+v", n, f.member)
 	}
 	if (len(f.reservations) > 0) != (f.expiryIndex >= 0) || math.IsNaN(f.finishTag) || f.readyIndex >= 0 && f.indebtedIndex >= 0 {
-		return fmt.Errorf("wrong position for its reservations, invalid finish tag, or both ready and indebted: %+v", f)
+		return fmt.Errorf("the flow has a wrong place in the queue of reservation expiries or an invalid finish tag, or is both ready and indebted: %+v", f)
 	}
 	return nil
 }
--- a/internal/admission/level.go
+++ b/internal/admission/level.go
@@ -5,7 +5,7 @@
 // level holds the members that share one capacity: all groups, or the flows of one group.
 type level struct {
 	weighted      sfqScheduler
-	bestEffort    *sfqScheduler // members of weight 0, which get the capacity that others leave; nil: there has been no such member
+	bestEffort    *sfqScheduler // members of weight 0, which get the capacity that others leave; nil until there is such a member
 	activeWeight  float64       // sum over active members
 	activeMembers int
 	byLoad        priorityqueue.Queue[*member] // members with queued requests, the highest load first
@@ -63,7 +63,8 @@
 	l.activeWeight += m.weight
 }
 
-// deactivate undoes activate. The busy period ends when no member is active any more.
+// deactivate removes a member from those that share the capacity. The busy period ends when no member is active
+// any more.
 func (l *level) deactivate(m *member) {
 	l.activeMembers--
 	l.activeWeight -= m.weight
--- a/internal/admission/memory_test.go
+++ b/internal/admission/memory_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Bounds on memory that the package comment states.
+// These are the bounds on the memory of a Queue that the package comment states.
 const (
 	principalBytes = 700 // of each known principal
 	fixedBytes     = 1 << 20
@@ -53,7 +53,7 @@
 			t.Errorf("%d bytes are used for %d principals, want at most %d", used, stats.Principals, limit)
 		}
 		if stats.Principals < min(n, o.MaxPrincipals)-1 {
-			t.Errorf("only %d principals are known", stats.Principals)
+			t.Errorf("only %d principals are known, want nearly all that sent a request, up to MaxPrincipals", stats.Principals)
 		}
 		runtime.KeepAlive(q)
 	}
--- a/internal/admission/principal.go
+++ b/internal/admission/principal.go
@@ -15,9 +15,9 @@
 // and Header), but not a certificate. It can forge an address only as far as its network allows.
 type Client struct {
 	Tenant      string
-	Header      func(name string) string // nil: no headers
-	Certificate func() string            // name in the client's certificate; empty: it presented none. Nil: clients cannot present one
-	Peer        func() netip.Addr        // nil: unknown
+	Header      func(name string) string // nil if there are no headers
+	Certificate func() string            // returns the name in the client's certificate, or "" if it presented none; nil if clients cannot present one
+	Peer        func() netip.Addr        // nil if the address is unknown
 }
 
 // PrincipalSources are the source that names a request's group and, if there are two, the one that names its flow.
@@ -25,7 +25,7 @@
 
 type source struct {
 	kind   sourceKind
-	header string // of fromHeader, in canonical form
+	header string // name of the header of a fromHeader source, in canonical form
 }
 
 // sourceKind is a kind of source, in the spelling of Options.PrincipalSources.
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -194,7 +194,7 @@
 		return len(h.arriveMany(t, 100, withoutTimeLimit(Arrival{Group: group, Retry: true})))
 	}
 	if n := retries("a"); n != 1 {
-		t.Errorf("%d retries are queued after no first request, want 1", n)
+		t.Errorf("%d retries are queued before any first request, want 1", n)
 	}
 	h.arriveMany(t, 100, withoutTimeLimit(Arrival{Group: "a"}))
 	if n := retries("a"); n != groupRetryBurst {
--- a/internal/admission/registry.go
+++ b/internal/admission/registry.go
@@ -27,7 +27,7 @@
 	reservations []reservation // by time, the earliest first
 	reservedCost float64       // sum over its reservations, s
 	nextExpiry   time.Duration // when the first reservation expires
-	expiryIndex  int           // in Queue.reservationExpiries; -1: not in it
+	expiryIndex  int           // in Queue.reservationExpiries; -1 if the flow is not in it
 }
 
 const (
--- a/internal/admission/reservation.go
+++ b/internal/admission/reservation.go
@@ -3,14 +3,14 @@
 import "time"
 
 const (
-	reservableFraction  = 0.5  // of the service rate is for clients that come back; the rest is for first requests
-	reservationHorizon  = 0.75 // of the maximum Retry-After; later times are not reserved
+	reservableFraction  = 0.5  // share of the service rate for clients that come back; the rest is for first requests
+	reservationHorizon  = 0.75 // share of the maximum Retry-After within which times are reserved
 	maxFlowReservations = 256  // per flow
 
 	earlyTolerance = 10 * time.Millisecond // how much earlier than its reserved time a client may come
 	minGrace       = 250 * time.Millisecond
 	maxGrace       = 2 * time.Second
-	graceFraction  = 0.25 // of the Retry-After; how much later than its reserved time a client may come
+	graceFraction  = 0.25 // how much later than its reserved time a client may come, as a share of its Retry-After
 
 	smallReservationSlice = 8 // reservations; slices of up to this capacity are never shrunk
 	maxReservationSlack   = 4 // ratio of capacity to length above which a larger slice is shrunk
@@ -65,15 +65,17 @@
 	return false
 }
 
-// reserve returns after which time a rejected request is to come back, and whether that time is reserved. Reserved
-// times lie within reservationHorizon of the maximum Retry-After; the others are spread at random over the rest of it.
+// reserve returns the time after which the client of a rejected request should come back, and whether that time is
+// reserved. Reserved times lie within reservationHorizon of the maximum Retry-After. Times that are not reserved are spread
+// at random over the rest of the maximum.
 func (q *Queue) reserve(e *entry) (retryAfter time.Duration, reserved bool) {
 	f := e.flow
 	longest := q.options.maxRetryAfter()
 	horizon := time.Duration(reservationHorizon * float64(longest))
 	if rate := q.serviceRate(f); rate > 0 && len(f.reservations) < maxFlowReservations && q.reservations < q.options.MaxReservations {
 		cost := max(minCost, e.class.meanCost)
-		// The flow's reservations get reservableFraction of its rate, and all reservations that fraction of the total rate.
+		// A flow's reservations get reservableFraction of the flow's rate. All reservations together get the same fraction
+		// of the total rate.
 		wait := min((q.costAhead(f)+(f.reservedCost+cost)/reservableFraction)/rate, longest.Seconds())
 		earliest := q.now + max(earlyTolerance, seconds(wait))
 		stepCapacity := q.limiter.limit / q.costUnderLoad() * reservableFraction * q.calendar.step.Seconds()
--- a/internal/admission/reservation_test.go
+++ b/internal/admission/reservation_test.go
@@ -13,7 +13,7 @@
 type returningClient struct {
 	at    time.Duration
 	group string
-	early bool // before its reserved time
+	early bool // it comes back before its reserved time
 }
 
 // returnHarness is a harness whose rejected clients come back. It counts how their requests end.
@@ -50,13 +50,14 @@
 	}
 }
 
-// returningClients lists the clients whose requests were rejected, by the time of their return. A quarter return early.
+// returningClients returns the clients whose requests were rejected, in the order in which they come back. A quarter of
+// them come back early.
 func (h *returnHarness) returningClients(rng *rand.Rand) (clients []returningClient) {
 	for _, ticket := range slices.Sorted(maps.Keys(h.retryAfter)) {
 		retryAfter := h.retryAfter[ticket]
 		early := rng.IntN(4) == 0
 		if retryAfter < 50*time.Millisecond {
-			early = false // half of it may be within earlyTolerance
+			early = false // half of a shorter Retry-After may be within earlyTolerance
 		}
 		client := returningClient{at: h.now + retryAfter, group: h.groups[ticket], early: early}
 		if early {
--- a/internal/admission/retry_budget.go
+++ b/internal/admission/retry_budget.go
@@ -1,10 +1,10 @@
 package admission
 
 // retryBudget bounds client retries to a fraction of first requests: a token bucket that first requests fill. It is the
-// retry budget of Finagle and of the SRE book (chapter 22), applied by the receiver of the requests. Each group has
-// one, so that its own first requests pay for its retries. All groups together have another one, whose capacity is
-// large enough that a few groups cannot exhaust it for the others. A retry beyond the budget is rejected like any other
-// request; at a reserved time it needs no token.
+// retry budget of Finagle and of the SRE book (chapter 22), applied by the receiver of the requests. Each group has a
+// budget, so that its own first requests pay for its retries. All groups together have another one, whose capacity is
+// large enough that a few groups cannot exhaust it for the others. A retry beyond the budget is rejected in the same
+// way as any other request. A retry at its reserved time needs no token.
 type retryBudget struct {
 	tokens   float64 // each admits one retry
 	capacity float64
