--- a/internal/bulkhead/bulkhead.go
+++ b/internal/bulkhead/bulkhead.go
@@ -34,7 +34,7 @@
 	services   map[string]*usage
 }
 
-// usage holds what one service is guaranteed and uses.
+// usage holds the guarantee of one service and the capacity that it uses.
 type usage struct {
 	guaranteed int64
 	used       int64
@@ -44,7 +44,8 @@
 // common returns how much of the common capacity a service uses.
 func (u *usage) common() int64 { return max(0, u.used-u.guaranteed) }
 
-// New returns a Limiter. The fraction guaranteed of its limit, from 0 to 1, is guaranteed to the services.
+// New returns a Limiter with the given limit. The parameter guaranteed is the fraction of the limit, from 0 to 1, that is guaranteed to the
+// services.
 func New(limit int64, guaranteed float64, shares []Share) (*Limiter, error) {
 	l := &Limiter{limit: limit, services: map[string]*usage{}}
 	return l, l.Set(guaranteed, shares)
@@ -126,7 +127,7 @@
 	return n
 }
 
-// TryAcquire acquires n for a service, or nothing, and reports whether it did. A service without a share gets nothing.
+// TryAcquire acquires n units of the limit for a service, or none, and reports whether it did. A service without a share gets none.
 func (l *Limiter) TryAcquire(name string, n int64) bool {
 	u := l.services[name]
 	if u == nil || n < 0 || u.removed {
@@ -142,7 +143,7 @@
 	return true
 }
 
-// Release releases n that a service has acquired. It panics if the service uses less than n, which is a programming error.
+// Release releases n units that a service has acquired. It panics if the service uses less than n, which is a programming error.
 func (l *Limiter) Release(name string, n int64) {
 	u := l.services[name]
 	if u == nil || n < 0 || n > u.used {
@@ -156,7 +157,7 @@
 	}
 }
 
-// Guaranteed returns how much a service is guaranteed; 0 for a service without a share.
+// Guaranteed returns how much a service is guaranteed. It returns 0 for a service without a share.
 func (l *Limiter) Guaranteed(name string) int64 {
 	if u := l.services[name]; u != nil {
 		return u.guaranteed
--- a/internal/bulkhead/semaphore.go
+++ b/internal/bulkhead/semaphore.go
@@ -27,7 +27,7 @@
 	return &Semaphore{limiter: limiter, reclaim: map[string]func() bool{}}, err
 }
 
-// Set is Limiter.Set. It also grants waiting calls of Acquire.
+// Set calls Limiter.Set, and then grants the waiting calls of Acquire that have become possible.
 func (s *Semaphore) Set(guaranteed float64, shares []Share) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,7 +36,7 @@
 	return err
 }
 
-// Resize is Limiter.Resize. It also grants waiting calls of Acquire.
+// Resize calls Limiter.Resize, and then grants the waiting calls of Acquire that have become possible.
 func (s *Semaphore) Resize(limit int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +45,7 @@
 	return err
 }
 
-// Total is Limiter.Total.
+// Total calls Limiter.Total.
 func (s *Semaphore) Total() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,14 +65,15 @@
 	s.reclaim[service] = reclaim
 }
 
-// TryAcquire is Limiter.TryAcquire.
+// TryAcquire calls Limiter.TryAcquire. It does not wait.
 func (s *Semaphore) TryAcquire(service string, n int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.limiter.TryAcquire(service, n)
 }
 
-// Acquire acquires n for a service, and waits until that is possible. If ctx ends first, Acquire returns ctx's error.
+// Acquire acquires n units for a service, and waits until they are available. If ctx ends first, Acquire acquires nothing and returns ctx's
+// error.
 func (s *Semaphore) Acquire(ctx context.Context, service string, n int64) error {
 	s.mu.Lock()
 	if s.limiter.TryAcquire(service, n) {
@@ -104,7 +105,7 @@
 	return ctx.Err()
 }
 
-// reclaimersLocked returns the reclaim functions to call when a service waits, in the order of the calls. s.mu must be held.
+// reclaimersLocked returns the reclaim functions to call when a service waits, in the order in which to call them. s.mu must be held.
 func (s *Semaphore) reclaimersLocked(service string) (candidates []func() bool) {
 	if own := s.reclaim[service]; own != nil {
 		candidates = append(candidates, own)
@@ -117,7 +118,7 @@
 	return candidates
 }
 
-// Release is Limiter.Release. It also grants waiting calls of Acquire.
+// Release calls Limiter.Release, and then grants the waiting calls of Acquire that have become possible.
 func (s *Semaphore) Release(service string, n int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,8 +126,8 @@
 	s.grantLocked()
 }
 
-// grantLocked acquires for all waiters that may acquire, in order of arrival. A waiter that may not blocks only later waiters of the same
-// service. s.mu must be held.
+// grantLocked acquires capacity for all waiters that may have it, in order of arrival. A waiter that has to wait longer blocks only later
+// waiters of the same service. s.mu must be held.
 func (s *Semaphore) grantLocked() {
 	if len(s.waiters) == 0 {
 		return
@@ -142,7 +143,7 @@
 	})
 }
 
-// Used is Limiter.Used.
+// Used calls Limiter.Used.
 func (s *Semaphore) Used(service string) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -8,8 +8,8 @@
 // 0. A start time of 0 means that the upstream started long ago.
 const Start = time.Hour
 
-// Clock counts the time since it was created, plus Start. It follows time.Now, and so the time of a testing/synctest bubble. It is
-// immutable and safe for concurrent use.
+// Clock counts the time since it was created, plus Start. It is based on time.Now, and therefore on the fake time inside a testing/synctest
+// bubble. It is immutable and safe for concurrent use.
 type Clock struct{ start time.Time }
 
 // New returns a Clock whose time is Start.
@@ -21,13 +21,13 @@
 // At converts a result of time.Now to the clock's time.
 func (c Clock) At(t time.Time) time.Duration { return Start + t.Sub(c.start) }
 
-// FromUnixMs converts the time at which an upstream started, in milliseconds since 1970, to the clock's time. The result is not after now;
-// it is 0 if ms is 0 or the start lies before the clock's time 0.
+// FromUnixMs converts ms, the time at which an upstream started in milliseconds since 1970, to the clock's time. The result is never later
+// than the current time. It is 0 if ms is 0 or if the upstream started before the clock's time 0.
 //
 // The wall clock may have been stepped since the Clock was created, on this machine or on the one that reports the start. So the start is
-// converted by the wall clock at the Clock's creation and by that of now, and the later result counts: a result that is too late only
-// reduces the upstream's traffic for a while, but one that is too early may overload an upstream that has not warmed up yet. A result after
-// now comes from a wrong wall clock and does not count.
+// converted twice, by the wall clock at the Clock's creation and by the present wall clock, and the later result counts: a result that is
+// too late only reduces the upstream's traffic for a while, but one that is too early may overload an upstream that has not warmed up yet.
+// A result later than the current time comes from a wrong wall clock and does not count.
 func (c Clock) FromUnixMs(ms float64) time.Duration {
 	if !(ms > 0) {
 		return 0
@@ -39,8 +39,8 @@
 // maxUnixMs bounds the times that are converted, in milliseconds since 1970, so that the conversion to an integer cannot overflow.
 const maxUnixMs = 1e15
 
-// startTime converts a start at a time of the wall clock to the time of a Clock. The wall clock showed created when the Clock was created,
-// and shows now after the time elapsed.
+// startTime converts at, a start by the wall clock, to the time of a Clock. The wall clock showed the time created when the Clock was
+// created, and shows the time now when the Clock has run for the duration elapsed.
 func startTime(at, created, now time.Time, elapsed time.Duration) time.Duration {
 	present := Start + elapsed
 	byCreated := Start + at.Sub(created)
@@ -54,6 +54,6 @@
 	return max(0, byCreated, byNow)
 }
 
-// minStep is the smallest difference between the two conversions that counts as a step of the wall clock; less comes from its
-// synchronization.
+// minStep is the smallest difference between the two conversions that counts as a step of the wall clock. Smaller differences come from
+// clock synchronization.
 const minStep = 250 * time.Millisecond
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// When the wall clock was stepped, the converted start is never earlier than the actual one, and later by the step at most. The step may
-// have happened on this machine alone or on all machines.
+// When the wall clock was stepped, the converted start is never earlier than the actual one, and later by at most the size of the step. The
+// step may have happened on this machine alone or on all machines.
 func TestFromUnixMsAcrossWallClockSteps(t *testing.T) {
 	created := time.Date(2026, 12, 2, 9, 0, 0, 0, time.UTC)
 	const elapsed = 10 * time.Minute
--- a/internal/priorityqueue/queue.go
+++ b/internal/priorityqueue/queue.go
@@ -9,8 +9,8 @@
 	index   func(T) *int
 }
 
-// New returns a Queue. index returns where an item keeps its index in the queue, which is -1 while the item is in no
-// queue. With a nil index items can only be pushed and popped.
+// New returns a Queue. The function index returns a pointer to the field in which an item stores its index in the queue.
+// The field is -1 while the item is in no queue. If index is nil, items can only be pushed and popped.
 func New[T any](index func(T) *int) Queue[T] { return Queue[T]{index: index} }
 
 // entry is an item with its position in the order.
--- a/internal/priorityqueue/queue_test.go
+++ b/internal/priorityqueue/queue_test.go
@@ -9,8 +9,8 @@
 
 type item struct{ key, id, index int }
 
-// In any sequence of calls, Pop returns the item that comes first in the order, and each item's index is that of its
-// entry.
+// After any sequence of calls, Pop must return the item with the lowest key and tie, and the index that an item
+// stores must be the index of its entry in the heap.
 func TestQueueMatchesSortedSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(func(x *item) *int { return &x.index })
@@ -37,13 +37,13 @@
 				if x.index != -1 || slices.ContainsFunc(model, func(other *item) bool {
 					return other.key < x.key || other.key == x.key && other.id < x.id
 				}) {
-					t.Fatalf("Pop returned %v, which does not come first in the order or still has an index", x)
+					t.Fatalf("Pop returned item %v, which does not have the lowest key and tie or whose index is not -1", x)
 				}
 			}
 			seen := 0
 			q.All(func(x *item) {
 				if seen++; q.entries[x.index].item != x {
-					t.Fatalf("item %v is not at its index", x)
+					t.Fatalf("item %v stores the index of another item's entry", x)
 				}
 			})
 			if seen != len(model) || q.Len() != len(model) {
