--- a/internal/filewatch/filewatch.go
+++ b/internal/filewatch/filewatch.go
@@ -15,8 +15,8 @@
 // DefaultInterval is the polling interval of files for which no interval is configured.
 const DefaultInterval = 100 * time.Millisecond
 
-// timestampGranularity is the longest interval in which a file system may give two writes the same modification time. A file modified
-// within it is read again even if its metadata are unchanged.
+// timestampGranularity is the longest interval in which a file system may give two writes the same modification time. A file that was
+// modified less than this interval ago is read again even if its metadata are unchanged.
 const timestampGranularity = 2 * time.Second
 
 // Content is the content of a file, or the error of reading it.
@@ -43,7 +43,7 @@
 	info     os.FileInfo
 }
 
-// equal reports whether both are of the same file, size and modification time.
+// equal reports whether both belong to the same file and have the same size and modification time.
 func (m metadata) equal(other metadata) bool {
 	return m.size == other.size && m.modified.Equal(other.modified) && os.SameFile(m.info, other.info)
 }
--- a/internal/filewatch/filewatch_test.go
+++ b/internal/filewatch/filewatch_test.go
@@ -70,7 +70,7 @@
 		step.change()
 		c, changed := r.Read()
 		if changed != step.changed || string(c.Text) != step.text || (c.Err != nil) != (step.changed && step.text == "") {
-			t.Errorf("file %s: Read returned content %q, error %v, changed %v", step.name, c.Text, c.Err, changed)
+			t.Errorf("file %s: Read returned content %q, error %v and changed %v, which is not the expected result", step.name, c.Text, c.Err, changed)
 		}
 	}
 }
--- a/internal/logging/func.go
+++ b/internal/logging/func.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// NewFunc returns a logger that passes each line to write as msg=... key=value, without time, level and a final newline. If write is nil,
-// it returns Discard.
+// NewFunc returns a logger that passes each line to write as msg=... key=value, without the time, the level and a final newline. If write
+// is nil, it returns Discard.
 func NewFunc(write func(line string)) *slog.Logger {
 	if write == nil {
 		return Discard()
@@ -24,7 +24,7 @@
 	return attr
 }
 
-// lineWriter is an io.Writer for a slog.Handler, which calls Write once per line.
+// lineWriter implements io.Writer by a function that receives one line. It relies on slog handlers, which call Write once per line.
 type lineWriter func(line string)
 
 // Write implements io.Writer.
--- a/internal/logging/limiter.go
+++ b/internal/logging/limiter.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// repeatWindow is the time after a line was written for which equal lines are counted instead of written.
+	// repeatWindow is how long after a line was written its repeats are counted instead of written.
 	repeatWindow = 10 * time.Second
 	// maxCountedLines is the maximum number of different lines whose repeats are counted at a time. Repeats of any other line are written,
 	// within the rate limit.
@@ -27,7 +27,7 @@
 	repeats int       // since the line was written
 }
 
-// repeatedLine is a line that is written once for all its repeats.
+// repeatedLine is a line that is written once in place of all its repeats within a window.
 type repeatedLine[L any] struct {
 	line    L
 	repeats int
--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// flushInterval is how often counted lines are checked for the end of their window.
+// flushInterval is the interval at which Run writes the counts of lines whose window has ended.
 const flushInterval = time.Second
 
 // Logger is a rate-limited log. It is safe for concurrent use.
@@ -21,7 +21,8 @@
 	core *core
 }
 
-// New returns a Logger that writes to w, one line per call of Write. Lines that were counted are only written while Run runs.
+// New returns a Logger that calls w.Write once for each line. Repeats and the number of dropped lines are written only while Run is
+// running.
 func New(w io.Writer, d Declaration) *Logger {
 	c := &core{limiter: newLimiter[pendingLine](d.PerSecond)}
 	c.level.Set(d.level())
@@ -41,7 +42,8 @@
 	l.core.limiter.setRate(d.PerSecond)
 }
 
-// Run writes counted lines at the end of their window until ctx ends, and then all remaining ones.
+// Run writes each repeated line, with the number of its repeats, at the end of its window. When ctx ends, Run writes all remaining ones
+// and returns.
 func (l *Logger) Run(ctx context.Context) {
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
@@ -71,7 +73,8 @@
 	record slog.Record
 }
 
-// flush writes the lines that the limiter has counted. Errors are ignored: there is no other place to report them.
+// flush writes the repeated lines and the number of dropped lines that the limiter has counted. It ignores write errors, because there
+// is no other place to report them.
 func (c *core) flush(now time.Time, all bool) {
 	c.mu.Lock()
 	repeated, dropped := c.limiter.flush(now, all)
--- a/internal/logging/logger_test.go
+++ b/internal/logging/logger_test.go
@@ -87,7 +87,7 @@
 				flush(false)
 			}
 			if len(l.counted) > maxCountedLines {
-				t.Fatalf("repeats of %d lines are counted at a time, want at most maxCountedLines", len(l.counted))
+				t.Fatalf("the limiter counts the repeats of %d different lines at a time, want at most maxCountedLines", len(l.counted))
 			}
 		}
 		flush(true)
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -62,8 +62,8 @@
 	r.classes.Store(&next)
 }
 
-// Request is a request that was counted as started and that Finish counts as finished. The zero Request counts nothing. It is not safe for
-// concurrent use.
+// Request stands for a request that Start has counted as started. Finish counts it as finished. The zero Request counts nothing. A Request
+// is not safe for concurrent use.
 type Request struct{ counters *classCounters }
 
 // Start counts a request of a class as started. It adds an unknown class; the number of classes is bounded, since they all come from the
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestConservationAtEveryRead checks that in each reading, while requests start and finish, every started request is finished or pending,
-// no count decreases and none is negative.
+// TestConservationAtEveryRead checks, while requests start and finish, that in each reading every started request is either finished or
+// pending, and that no count is negative or decreases.
 func TestConservationAtEveryRead(t *testing.T) {
 	r := New("a", "b")
 	var clients sync.WaitGroup
@@ -43,7 +43,8 @@
 	}
 }
 
-// checkConservation checks one reading, and that its counts are not below those of the reading before.
+// checkConservation checks that the finished and pending requests of each class in a reading add up to its started requests, and that no
+// count is below that of the reading before.
 func checkConservation(t *testing.T, before, reading Reading) {
 	t.Helper()
 	pending := int64(0)
@@ -91,14 +92,14 @@
 config_reload_errors=1
 `
 	if got := reading.Text(); got != want {
-		t.Errorf("unexpected text of a reading:\n%s", got)
+		t.Errorf("text of the reading is not the expected one:\n%s", got)
 	}
 	if strings.Count(New("x").Read().Text(), "\n") != 9 {
 		t.Error("a class does not have all metrics before its first request")
 	}
 }
 
-// BenchmarkRead measures reading after a million requests, which takes as long as before the first one.
+// BenchmarkRead measures Read after a million requests. Its duration does not depend on the number of requests.
 func BenchmarkRead(b *testing.B) {
 	r := New("a", "b", "c", "d")
 	for range 1_000_000 {
