--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -13,7 +13,7 @@
 	t        *testing.T
 	balancer *Balancer
 	now      time.Duration
-	actions  []Action // of the latest event
+	actions  []Action // actions of the latest event
 	logs     []string
 }
 
--- a/balancer/hedging_test.go
+++ b/balancer/hedging_test.go
@@ -44,7 +44,7 @@
 func TestNoHedgingNearQueueingLimit(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		waiting int // the limit is 26: 0.65 of the objective of 200 ms at 200 answers a second
+		waiting int // the limit is 26 waiting requests: 0.65 of the objective of 200 ms at 200 answers a second
 		hedged  bool
 	}{
 		{"far below the limit", 15, true},
@@ -122,7 +122,7 @@
 				return OK, 300*ms - phase + 20*ms
 			}
 			if !pauses && w.now%(4*time.Second) < 400*ms {
-				return OK, 150 * ms // at all upstreams: the hedged request takes as long
+				return OK, 150 * ms // all upstreams are slow, so that the hedged request takes as long
 			}
 			return OK, 20 * ms
 		})
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -24,7 +24,7 @@
 	deadline     time.Duration
 	attempts     []*observedAttempt
 	answers      int
-	answered     bool // by an Outcome or by the Balancer
+	answered     bool // an Outcome or the Balancer gave the final answer
 	disconnected bool
 }
 
--- a/balancer/latency_test.go
+++ b/balancer/latency_test.go
@@ -46,9 +46,9 @@
 		want    float64
 	}{
 		{OK, 80 * ms, 0.080},
-		{ServerError, 10 * ms, 0.200}, // penalty: one mean objective
+		{ServerError, 10 * ms, 0.200}, // the penalty is one mean objective
 		{Rejected, 1 * ms, 0.200},
-		{ServerError, 300 * ms, 0.300}, // longer than the penalty
+		{ServerError, 300 * ms, 0.300}, // the time is longer than the penalty
 		{Timeout, 150 * ms, 0.150},
 		{Reset, 90 * ms, 0.090},
 		{ConnectFailed, 70 * ms, 0.070},
--- a/balancer/load_shedding_test.go
+++ b/balancer/load_shedding_test.go
@@ -19,7 +19,7 @@
 	w.addUpstreams(4)
 	w.run(5*time.Second, 200)
 	if w.finalAnswers[Reject] > 10 {
-		t.Errorf("%d requests rejected without an overload", w.finalAnswers[Reject])
+		t.Errorf("%d requests rejected without an overload, want at most 10", w.finalAnswers[Reject])
 	}
 	latency = 250 * ms
 	w.run(2*time.Second, 200)
@@ -81,7 +81,7 @@
 			low[q.tenantIndex]++
 		}
 	}
-	if low[1] != 0 || low[0] < 300 || low[0] > 500 { // (0.9-0.5)/0.9 of 900
+	if low[1] != 0 || low[0] < 300 || low[0] > 500 { // about (0.9-0.5)/0.9 of the 900 requests of tenant big are over its quota
 		t.Errorf("requests with lowered priority by tenant index: %v, want 300 to 500 of the first and none of the second", low)
 	}
 }
@@ -158,7 +158,7 @@
 	} {
 		r := newHarness(t, testSettings())
 		r.addUpstreams(4)
-		for i := range c.answered { // over 2 s
+		for i := range c.answered { // the answers are spread over 2 s
 			r.balancer.servedRate.add(1, r.now+2*time.Second*time.Duration(i)/time.Duration(c.answered))
 		}
 		r.now += 2 * time.Second
@@ -179,7 +179,7 @@
 func TestFewWaitingRequestsAreNoOverload(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(10)
-	for i := range 60 { // three at once every second, each answered in half its latency objective
+	for i := range 60 { // three requests at once every second, each answered in half its latency objective
 		for j := range 3 {
 			r.wantSend(r.request(fmt.Sprint(i, "-", j), "c", time.Second))
 			r.advance(25 * ms)
@@ -250,7 +250,7 @@
 func TestLowTrafficSidecarShedsInProportion(t *testing.T) {
 	for _, c := range []struct {
 		name                     string
-		answerTime               float64 // of an answer, as a share of the latency objective
+		answerTime               float64 // time until each answer, as a share of the latency objective
 		answers                  int
 		minRejected, maxRejected float64 // bounds of the share of the low-priority requests that is rejected
 		maxHighRejected          float64 // largest share of the high-priority requests that is rejected
@@ -266,7 +266,7 @@
 		r := newHarness(t, s)
 		r.addUpstreams(60)
 		r.balancer.shedding.objectiveUse = 0.2
-		for i := range priorityWindow { // half of them have the higher priority
+		for i := range priorityWindow { // half of the recent arrivals have the higher priority
 			r.balancer.shedding.recentPriorities[i] = float64(1 + i%2*2)
 		}
 		r.balancer.shedding.priorityCount = priorityWindow
@@ -274,7 +274,7 @@
 			r.balancer.shedding.objectiveUse += objectiveUseWeight * (c.answerTime - r.balancer.shedding.objectiveUse)
 			r.balancer.shedding.objectiveUseAt = r.now
 		}
-		for i := range 5 { // waiting requests, five times as many as is usual at ten requests a second
+		for i := range 5 { // five times as many requests wait as is usual at ten requests a second
 			r.balancer.setWaiting(&request{id: fmt.Sprint(i), timing: requestTiming{startedAt: r.now - 60*ms, objectiveAt: r.now + 140*ms}}, true)
 		}
 		const requests = 200
@@ -290,7 +290,7 @@
 			r.balancer.shedding.objectiveUseAt = r.now
 		}
 		if share := float64(rejected["c"]) / requests; share < c.minRejected || share > c.maxRejected || float64(rejected["high"]) > c.maxHighRejected*requests {
-			t.Errorf("%s: share %.2f of the low-priority requests rejected, and %d of %d of the high-priority ones",
+			t.Errorf("%s: wrong number of rejections: share %.2f of the low-priority requests, and %d of %d high-priority ones",
 				c.name, share, rejected["high"], requests)
 		}
 	}
--- a/balancer/locality_test.go
+++ b/balancer/locality_test.go
@@ -93,7 +93,7 @@
 		outage = true
 		clear(w.attemptsAt)
 		w.run(10*time.Second, 10)
-		if n := w.attemptsInZone("c"); n > 20 || n < 4 { // 3 that show the outage, those in flight then, trials
+		if n := w.attemptsInZone("c"); n > 20 || n < 4 { // 3 attempts that show the outage, the attempts in flight then, and trials
 			t.Errorf("%s: %d attempts in 10 s at an ejected zone of 12 upstreams, want 4 to 20", name, n)
 		}
 		if !w.logged("zone c is silent") {
--- a/balancer/outlier_detection_test.go
+++ b/balancer/outlier_detection_test.go
@@ -12,7 +12,7 @@
 func TestLowTrafficSidecarWithFaultyUpstreams(t *testing.T) {
 	g := rand.New(rand.NewPCG(5, 7))
 	answer := func() time.Duration { return time.Duration(5+g.IntN(40)) * ms }
-	faulty := func(u string, n int) bool { // the first n of the 60
+	faulty := func(u string, n int) bool { // only the first n of the 60 upstreams are faulty
 		var i int
 		if _, err := fmt.Sscanf(u[1:], "%d", &i); err != nil {
 			t.Fatal(err)
@@ -23,8 +23,8 @@
 		name     string
 		faulty   int // number of faulty upstreams
 		reply    func(u string) (Result, time.Duration)
-		attempts float64 // most attempts at faulty upstreams, as a share of the requests
-		served   float64 // least share of the requests that is served
+		attempts float64 // largest number of attempts at faulty upstreams, as a share of the requests
+		served   float64 // smallest share of the requests that is served
 	}{
 		{"twenty answer four of five with errors", 20, func(u string) (Result, time.Duration) {
 			if faulty(u, 20) && g.Float64() < 0.8 {
@@ -145,7 +145,7 @@
 		t.Errorf("%d attempts at an upstream that answers only errors, want at most 40", w.attemptsAt["u0"])
 	}
 	broken = false
-	w.run(15*time.Second, 250) // ejected for up to 10 s, and two good answers
+	w.run(15*time.Second, 250) // long enough for an ejection of up to 10 s and two good answers
 	if w.attemptsAt["u0"] < 200 || !w.logged("return u0") {
 		t.Errorf("upstream has not returned: %d attempts, want at least 200; log %q", w.attemptsAt["u0"], w.logs)
 	}
--- a/balancer/picker_test.go
+++ b/balancer/picker_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Load is latency x (pending + 1), and the age of a hung attempt is a lower bound of the latency.
+// Load must be latency x (pending + 1), where the latency is at least the age of the oldest unanswered attempt.
 func TestLoadIsLatencyTimesPending(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(1)
@@ -37,11 +37,11 @@
 	got := ""
 	for i, want := range []string{"u0", "u0", "u1", "u0", "u0", "u1"} { // loads 20/50, 40/50, 60/50, 60/100, 80/100, 100/100
 		if i == 5 {
-			break // a tie
+			break // the loads are equal, so either upstream may be picked
 		}
 		got = r.wantSend(r.request(string(rune('a'+i)), "c", time.Second))
 		if got != want {
-			t.Fatalf("pick %d: sent to %s, want %s", i, got, want)
+			t.Fatalf("pick %d: request was sent to %s, want %s", i, got, want)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 			sidecarsUsing[u]++
 		}
 	}
-	for i := range fleet { // about 24 each
+	for i := range fleet { // each upstream is used by about 24 sidecars
 		if n := sidecarsUsing[fmt.Sprint("u", i)]; n < 8 || n > 50 {
 			t.Errorf("u%d is used by %d of %d sidecars, want 8 to 50", i, n, sidecars)
 		}
--- a/balancer/requests_test.go
+++ b/balancer/requests_test.go
@@ -24,7 +24,7 @@
 
 func TestRequestWithoutUpstreamIsRejectedInTime(t *testing.T) {
 	r := newHarness(t, testSettings())
-	r.wantNothing(r.request("1", "c", 100*ms)) // no upstream at all: the request waits
+	r.wantNothing(r.request("1", "c", 100*ms)) // there is no upstream, so the request waits
 	r.wantFinal(r.advance(95*ms), Reject)
 }
 
--- a/balancer/scripted_fleet_test.go
+++ b/balancer/scripted_fleet_test.go
@@ -13,7 +13,7 @@
 	*harness
 	reply        func(u string) (Result, time.Duration) // result of an attempt at u and the time until it; a negative time means no answer
 	inFlight     []scriptedAttempt
-	attemptsAt   map[string]int // by upstream
+	attemptsAt   map[string]int // number of attempts by upstream
 	finalAnswers map[ActionKind]int
 	succeeded    int
 	requests     int
--- a/balancer/slow_start_scenario_test.go
+++ b/balancer/slow_start_scenario_test.go
@@ -14,25 +14,25 @@
 // slowStartScenario describes a fleet of sidecars without shared state. Some of its upstreams start at the same time, and
 // all sidecars learn of the start at once.
 type slowStartScenario struct {
-	processes, upstreams int                               // processes: the sidecars
-	starting             int                               // upstreams that start
+	processes, upstreams int                               // processes is the number of sidecars
+	starting             int                               // number of upstreams that start
 	capacity             float64                           // mean requests that an upstream can serve in a second
 	load                 float64                           // offered load, as a share of the capacity of all upstreams
-	traffic              func(since time.Duration) float64 // factor on the mean traffic since the start; nil: 1
-	restarts             bool                              // some sidecars restart during the slow start
+	traffic              func(since time.Duration) float64 // factor on the mean traffic since the start; 1 if nil
+	restarts             bool                              // whether some sidecars restart during the slow start
 	errorRatio           float64                           // share of attempts that end with an error and are retried
-	hasCostHints         bool                              // requests have cost hints, from a quarter to four times the mean
+	hasCostHints         bool                              // whether requests have cost hints, from a quarter to four times the mean
 
 	// Slow start settings; if absent, those of testSettings apply.
 	overloadMultiple, minCapacity   float64
 	overloadWindow, slowStartWindow time.Duration
 }
 
-// slowStartResult is the load that the starting upstreams got.
+// slowStartResult describes the load that the starting upstreams got.
 type slowStartResult struct {
-	highestLoad  float64 // most requests in a window, as a multiple of the allowed number
-	overloaded   int     // upstreams that got more requests than allowed in some window
-	usedCapacity float64 // used share of their capacity during the slow start
+	highestLoad  float64 // largest number of requests in a window, as a multiple of the allowed number
+	overloaded   int     // number of upstreams that got more requests than allowed in some window
+	usedCapacity float64 // share of the upstreams' capacity that was used during the slow start
 }
 
 type pendingOutcome struct {
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -97,7 +97,7 @@
 		t.Logf("%d sidecars: %d calls in the first 10 s, up to %d per second after that, %d are subscribed after %v",
 			sidecars, early, highest, r.subscribed, r.now-r.startedAt)
 		if early > 5*sidecars || highest > sidecars/4+4 {
-			t.Errorf("%d sidecars: too many calls, %d in the first 10 s or %d in a later second", sidecars, early, highest)
+			t.Errorf("%d sidecars made too many calls: %d in the first 10 s or %d in a later second", sidecars, early, highest)
 		}
 		if r.subscribed < sidecars {
 			t.Errorf("%d of %d sidecars are subscribed after %v", r.subscribed, sidecars, length)
