--- a/internal/admission/calendar.go
+++ b/internal/admission/calendar.go
@@ -7,8 +7,8 @@
 
 const (
 	minCalendarStep  = 10 * time.Millisecond
-	maxCalendarSteps = 1024 // a longer calendar has longer steps
-	minStepCapacity  = 1e-6 // reservations per step; it bounds how many steps one reservation takes
+	maxCalendarSteps = 1024 // maximum number of steps; a longer calendar has longer steps
+	minStepCapacity  = 1e-6 // least capacity of a step, in reservations; it bounds how many steps one reservation takes
 	maxRunDivisor    = 4    // divides the number of steps: one reservation takes at most one step more than the quotient
 )
 
--- a/internal/admission/concurrency_limit.go
+++ b/internal/admission/concurrency_limit.go
@@ -23,22 +23,22 @@
 type limiter struct {
 	limit        float64
 	min, max     float64
-	baseTime     float64 // s; 0: unknown
-	longTermTime float64 // mean of all requests over minutes, s; 0: unknown
+	baseTime     float64 // time in flight of requests that do not wait for each other, s; 0 if unknown
+	longTermTime float64 // mean of all requests over minutes, s; 0 if unknown
 
 	// State of the present round.
 	roundStart time.Duration
 	samples    int
-	rejected   int     // samples that the balancer rejected
-	timeSum    float64 // times in flight of the other samples, scaled by addTime, s
-	saturated  bool    // a request had to wait for the limit
-	halfUsed   bool    // more than half of the limit was in flight
+	rejected   int     // requests that the balancer rejected
+	timeSum    float64 // sum of the other requests' times in flight, scaled by addTime, s
+	saturated  bool    // whether a request had to wait for the limit
+	halfUsed   bool    // whether more than half of the limit was in flight
 
 	phase           limiterPhase
 	decreases       int           // consecutive rounds in which the limit was decreased
 	limitBefore     float64       // the limit before the decreases or the base probe
 	meanBefore      float64       // the mean time in flight at limitBefore, s
-	lastBaseProbe   time.Duration // when the base time was last tested; 0: no request has ended yet
+	lastBaseProbe   time.Duration // when the base time was last tested; 0 before the first request has ended
 	slowdownFoundAt time.Duration // when upstreams were last found to be slower
 }
 
@@ -57,17 +57,17 @@
 	maxRoundSamples  = 512
 
 	// Ratios of the mean time in flight to the base time.
-	fasterRatio = 0.8 // below: the base time is too high
-	growRatio   = 1.7 // below: the limit grows
-	shrinkRatio = 2.6 // above: the limit shrinks
+	fasterRatio = 0.8 // below this ratio the base time is too high
+	growRatio   = 1.7 // below this ratio the limit grows
+	shrinkRatio = 2.6 // above this ratio the limit shrinks
 
 	// Factors of the limit.
 	growFactor   = 1.15 // per round
 	shrinkFactor = 0.85 // per round
 	probeFactor  = 2    // divisor of the limit in a base probe
 
-	maxRejectedFraction  = 0.05 // of a round's samples; the limit shrinks above it
-	minElasticity        = 0.4  // the time in flight follows the limit by at least this power, unless the upstreams are slower
+	maxRejectedFraction  = 0.05 // fraction of a round's requests above which the limit shrinks
+	minElasticity        = 0.4  // least power of the limit that the time in flight follows, unless the upstreams are slower
 	decreasesBeforeCheck = 5    // rounds; the first ones still measure requests that began before the decrease
 
 	baseProbeInterval   = 30 * time.Second
--- a/internal/admission/controller/controller.go
+++ b/internal/admission/controller/controller.go
@@ -24,9 +24,9 @@
 	waiters          map[admission.Ticket]chan admission.Action
 	actionBuffer     []admission.Action
 	timer            *time.Timer   // wakes the queue
-	timerAt          time.Duration // when the timer fires; 0: it is not set
+	timerAt          time.Duration // when the timer fires; 0 if it is not set
 
-	rejections    int           // since the last log line on the end of rejections
+	rejections    int           // number of rejections since the last log line on the end of rejections
 	lastRejection time.Duration // when the last rejection was
 	logLines      []logLine     // written by unlock
 }
@@ -41,7 +41,7 @@
 	Seed           uint64 // seeds the queue's random numbers
 	Clock          clock.Clock
 	SendRetryAfter bool         // rejected clients get a Retry-After
-	Log            *slog.Logger // nil: nothing is logged
+	Log            *slog.Logger // if it is nil, nothing is logged
 }
 
 // New returns a Controller, or an error that names an invalid principal source. Close stops the controller.
--- a/internal/admission/controller/controller_test.go
+++ b/internal/admission/controller/controller_test.go
@@ -85,7 +85,7 @@
 			t.Errorf("second result is %+v, want Rejected with a Retry-After for client short after 250 to 300 ms", r)
 		}
 		held[0].Done(admission.Completed)
-		held[0].Done(admission.Completed) // counts once
+		held[0].Done(admission.Completed) // has no effect: Done counts once
 		r := <-results
 		if r.client != "waits" || r.verdict != Admitted {
 			t.Errorf("third result is %+v, want Admitted for client waits", r)
--- a/internal/admission/cost.go
+++ b/internal/admission/cost.go
@@ -10,14 +10,14 @@
 // A request's cost is the time that it is in flight, in seconds. It is estimated before the request is dispatched, and
 // the difference is charged after it has ended (sfqScheduler.correctCost).
 const (
-	initialCost     = 0.02  // s: mean of a class before its first completed request
-	minCost         = 1e-6  // s: no request is free
-	maxHintFactor   = 8.0   // an estimate is within this factor of its class's mean, both ways
+	initialCost     = 0.02  // mean cost of a class before its first completed request, s
+	minCost         = 1e-6  // least cost of a request, since no request is free, s
+	maxHintFactor   = 8.0   // an estimate is at most this factor above or below its class's mean
 	costSmoothing   = 0.05  // weight of one request in the means
 	hintSmoothing   = 0.05  // weight of one hint in the mean hint and in a group's hint accuracy
 	minHintAccuracy = 0.125 // bounds of one observed accuracy
 	maxHintAccuracy = 8.0
-	boundDeviations = 2 // mean deviations above the mean, in costBound
+	boundDeviations = 2 // number of mean deviations above the mean that costBound adds
 )
 
 // classStats is a class of requests with the observed statistics of their costs, in seconds.
@@ -25,7 +25,7 @@
 	balancer.Class
 	meanCost      float64
 	meanDeviation float64 // mean absolute deviation from meanCost
-	longTermCost  float64 // mean over minutes, updated by the limiter; 0: unknown
+	longTermCost  float64 // mean over minutes, updated by the limiter; 0 if unknown
 	meanHint      float64 // mean of the hints that requests carried; 0 before the first hint
 }
 
--- a/internal/admission/entry.go
+++ b/internal/admission/entry.go
@@ -20,8 +20,8 @@
 	class             *classStats
 
 	costHint       time.Duration
-	estimatedCost  float64 // s
-	priorityWeight float64 // that of its class, lowered once the latency objective has passed
+	estimatedCost  float64 // in seconds
+	priorityWeight float64 // its class's priority weight, lowered once the latency objective has passed
 	bytes          int64
 	fingerprint    uint64
 
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -10,7 +10,7 @@
 	Group, Flow string // see PrincipalSources.Names
 	Class       string
 	CostHint    time.Duration // cost that the client states; 0 if it states none
-	ArrivedAt   time.Duration // start of the time that its latency objective limits
+	ArrivedAt   time.Duration // when the time that its latency objective limits began
 	Deadline    time.Duration // when its client stops waiting
 	Bytes       int64         // size of its body, which stays in memory while it waits
 	Retry       bool          // marked as a retry by its client
--- a/internal/admission/fair_queueing.go
+++ b/internal/admission/fair_queueing.go
@@ -5,23 +5,23 @@
 // member takes part in the fair queueing of one level: a group among all groups, or a flow among the flows of its
 // group. Tags are in virtual time, which is cost (seconds in flight) divided by weight.
 type member struct {
-	weight     float64 // 0: best effort
+	weight     float64 // 0 for a best-effort member
 	startTag   float64 // of its next request
 	finishTag  float64 // of the request that it dispatched last
 	readyOrder uint64  // orders equal start tags: the member that has waited longest goes first
 
-	readyIndex    int // in sfqScheduler.ready; -1: nothing is queued
+	readyIndex    int // in sfqScheduler.ready; -1 if nothing is queued
 	indebtedIndex int // in sfqScheduler.indebted; -1 if the member is not in it
-	loadIndex     int // in level.byLoad; -1: nothing is queued
+	loadIndex     int // in level.byLoad; -1 if nothing is queued
 
 	queued      int
 	inFlight    int
 	queuedBytes int64
 	backlog     float64 // estimated cost of its queued requests, s
-	arriving    bool    // Arrive is deciding on a request of it, and it must not be forgotten
+	arriving    bool    // Arrive is deciding on a request of this member, which must not be forgotten
 
 	group *group
-	flow  *flow // nil: the member is the group itself
+	flow  *flow // nil if the member is the group itself
 }
 
 func newMember(g *group, f *flow, weight float64) member {
--- a/internal/admission/model_test.go
+++ b/internal/admission/model_test.go
@@ -144,9 +144,9 @@
 	*harness
 	principal map[Ticket]int
 	running   []runningRequest
-	started   int // number of harness.admitted that are in running or have ended
+	started   int // number of requests in harness.admitted that are in running or have ended
 	cost      []float64
-	maxCost   float64 // s
+	maxCost   float64 // largest actual cost of a request, s
 }
 
 type runningRequest struct {
--- a/internal/admission/options.go
+++ b/internal/admission/options.go
@@ -27,7 +27,7 @@
 	RetryHeader      string     `toml:"repeat_header" default:"X-Retried" doc:"The header by which clients mark their retries, with any value but 0."`
 
 	// MaxRetryAfter is the longest Retry-After of a rejected client: the service's retry_after setting.
-	// 0: DefaultMaxRetryAfter.
+	// If it is 0, DefaultMaxRetryAfter applies.
 	MaxRetryAfter time.Duration
 }
 
--- a/internal/admission/principal_test.go
+++ b/internal/admission/principal_test.go
@@ -33,7 +33,7 @@
 			tt.group = group
 		}
 		if group != tt.group || flow != tt.flow {
-			t.Errorf("sources %s: got group %q and flow %q", tt.sources, group, flow)
+			t.Errorf("sources %s: Names returned the wrong principals, group %q and flow %q", tt.sources, group, flow)
 		}
 	}
 	for _, bad := range []string{"", "tenant tenant", "tenant address certificate", "header:", "header:a b", "name", "tenant:x"} {
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -107,7 +107,7 @@
 	}
 	class.observeHint(a.CostHint)
 	f := q.flowFor(a.Group, a.Flow)
-	f.arriving, f.group.arriving = true, true // keeps both known if their last queued request is evicted
+	f.arriving, f.group.arriving = true, true // the flow and group stay known even if their last queued request is evicted
 	e := q.entryFor(&a, class, f)
 	if q.redeemReservation(f, a.Fingerprint) {
 		e.reserved = true
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -27,8 +27,8 @@
 		name     string
 		queued   []Arrival
 		arrives  Arrival
-		victim   int   // index in queued; -1: the request that arrives
-		maxBytes int64 // 0: the default
+		victim   int   // index in queued; -1 if it is the request that arrives
+		maxBytes int64 // 0 means the default
 	}{
 		{name: "the newest of a flood", queued: slices.Concat([]Arrival{a}, repeated(9, f)), arrives: Arrival{Group: "b"}, victim: 9},
 		{name: "the flood's next request", queued: slices.Concat([]Arrival{a}, repeated(9, f)), arrives: f, victim: -1},
@@ -59,7 +59,7 @@
 			for i, ticket := range append(tickets, last) {
 				isVictim := i == tt.victim || tt.victim < 0 && i == len(tickets)
 				if evicted := h.state[ticket] != entryQueued; evicted != isVictim {
-					t.Errorf("request %d: evicted is %v, want the opposite", i, evicted)
+					t.Errorf("request %d is evicted: %v, want the opposite", i, evicted)
 				}
 			}
 		})
@@ -81,7 +81,7 @@
 	}
 	h.arriveMany(t, 2, Arrival{Group: "busy"})
 	flood := h.arriveMany(t, 40, Arrival{Group: "flood"})
-	if n := len(flood); n < 7 || n > 24 { // 400 ms at half of a limit of two
+	if n := len(flood); n < 7 || n > 24 { // as many as can be served in 400 ms at half of a limit of two
 		t.Errorf("%d requests of the flood are queued, want 7 to 24", n)
 	}
 	quiet := h.arriveMany(t, 1, Arrival{Group: "quiet"})
@@ -90,7 +90,7 @@
 	}
 	next, ok := h.queue.Next()
 	if !ok || next > h.now+400*time.Millisecond {
-		t.Errorf("the next timeout is in %v, want at most 400 ms", next-h.now)
+		t.Errorf("the next timeout of a queued request is in %v, want at most 400 ms", next-h.now)
 	}
 	h.now += 100 * time.Millisecond
 	pay := h.arriveMany(t, 1, Arrival{Group: "pay", Class: "pay", Deadline: h.now + 2*time.Second})
@@ -164,7 +164,7 @@
 		h.arriveMany(t, 1, withoutTimeLimit(Arrival{Group: fmt.Sprint("name", i), Flow: fmt.Sprint(i)}))
 	}
 	if g := h.queue.groups["known"]; g == nil || g.queued != 1 {
-		t.Error("the known group was forgotten")
+		t.Error("the known group was removed during the flood, or its request is no longer queued")
 	}
 	for _, ticket := range known {
 		if h.state[ticket] != entryQueued {
@@ -198,14 +198,14 @@
 	}
 	h.arriveMany(t, 100, withoutTimeLimit(Arrival{Group: "a"}))
 	if n := retries("a"); n != groupRetryBurst {
-		t.Errorf("%d retries are queued after 100 first requests, want the burst of a group", n)
+		t.Errorf("%d retries are queued after 100 first requests, want groupRetryBurst", n)
 	}
 	h.arriveMany(t, 50, withoutTimeLimit(Arrival{Group: "b"}))
-	for i := range 100 { // groups without first requests do not use up the tokens of others
+	for i := range 100 { // groups without first requests must not use up the tokens of others
 		retries(fmt.Sprint("name", i))
 	}
 	if n := retries("b"); n != groupRetryBurst {
-		t.Errorf("%d retries of another group are queued after its 50 first requests, want the burst of a group", n)
+		t.Errorf("%d retries of another group are queued after its 50 first requests, want groupRetryBurst", n)
 	}
 }
 
--- a/internal/admission/registry.go
+++ b/internal/admission/registry.go
@@ -13,10 +13,10 @@
 	flowLevel    level
 	flows        map[string]*flow
 	sharedFlow   flow    // for requests without a second source, and for flows beyond the bound
-	hintAccuracy float64 // ratio of its requests' costs to their hints; 1: the hints are exact
+	hintAccuracy float64 // ratio of its requests' costs to their hints; 1 if the hints are exact
 	retryBudget  retryBudget
 	overflow     bool // it is one of the overflow groups
-	forgotten    bool // removed from Queue.groups, and possibly kept for reuse
+	forgotten    bool // it was removed from Queue.groups, and may be kept for reuse
 }
 
 // flow is a principal that the second of Options.PrincipalSources names, within its group.
@@ -31,10 +31,10 @@
 }
 
 const (
-	overflowGroups   = 16     // groups that share the requests of principals beyond Options.MaxPrincipals
-	groupFlowDivisor = 16     // a group may have MaxPrincipals divided by this as flows
-	overflowPrefix   = "\x00" // of the names of overflow groups; no principal's name begins with it
-	maxSpares        = 64     // groups, and flows, that are kept for reuse
+	overflowGroups   = 16     // number of groups that share the requests of principals beyond Options.MaxPrincipals
+	groupFlowDivisor = 16     // a group may have as many flows as MaxPrincipals divided by this
+	overflowPrefix   = "\x00" // prefix of the names of overflow groups; no principal's name begins with it
+	maxSpares        = 64     // maximum number of groups, and also of flows, that are kept for reuse
 )
 
 // flowFor returns the flow of a request, and creates its group and flow if they are not known. Beyond the bounds, the
--- a/internal/admission/reservation.go
+++ b/internal/admission/reservation.go
@@ -5,22 +5,22 @@
 const (
 	reservableFraction  = 0.5  // share of the service rate for clients that come back; the rest is for first requests
 	reservationHorizon  = 0.75 // share of the maximum Retry-After within which times are reserved
-	maxFlowReservations = 256  // per flow
+	maxFlowReservations = 256  // maximum number of reservations of one flow
 
 	earlyTolerance = 10 * time.Millisecond // how much earlier than its reserved time a client may come
 	minGrace       = 250 * time.Millisecond
 	maxGrace       = 2 * time.Second
 	graceFraction  = 0.25 // how much later than its reserved time a client may come, as a share of its Retry-After
 
-	smallReservationSlice = 8 // reservations; slices of up to this capacity are never shrunk
+	smallReservationSlice = 8 // number of reservations; slices of up to this capacity are never shrunk
 	maxReservationSlack   = 4 // ratio of capacity to length above which a larger slice is shrunk
 )
 
 // reservation is a time at which a rejected request of a flow may come back.
 type reservation struct {
 	at, until   time.Duration
-	cost        float64 // estimated, s
-	fingerprint uint64  // of the rejected request
+	cost        float64 // estimated cost of the request, s
+	fingerprint uint64  // fingerprint of the rejected request
 }
 
 // addReservation inserts a reservation in order of time.
--- a/internal/admission/reservation_test.go
+++ b/internal/admission/reservation_test.go
@@ -115,7 +115,7 @@
 		mustSucceed(t, h.wake())
 	}
 	if served := float64(h.servedOnTime) / float64(h.onTime); served < 0.95 {
-		t.Errorf("of %d clients that came at their reserved time %d were served, want at least 0.95 of them", h.onTime, h.servedOnTime)
+		t.Errorf("of %d clients that came at their reserved time, %d were served, want at least 95 percent", h.onTime, h.servedOnTime)
 	}
 	if h.early < 20 || h.redeemedEarly > 0 {
 		t.Errorf("%d clients came early, want at least 20, and %d of them redeemed their reservation, want none", h.early, h.redeemedEarly)
