--- a/internal/bulkhead/bulkhead_test.go
+++ b/internal/bulkhead/bulkhead_test.go
@@ -131,23 +131,24 @@
 	})
 }
 
-// Guards against calls of Acquire that wait forever or behind a waiter of another service. Released capacity goes to
-// the waiters that may acquire it, in order of arrival, and a waiting call reclaims idle common capacity.
+// TestSemaphoreWaits guards against calls of Acquire that wait forever or behind a waiter of another service. Released
+// capacity must go to the waiters that may acquire it, in order of arrival, and a waiting call must reclaim idle common
+// capacity.
 func TestSemaphoreWaits(t *testing.T) {
 	s, err := NewSemaphore(4, 0.5, []Share{{"a", 1}, {"b", 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 3 { // its guarantee of 1, and the common capacity of 2
+	for range 3 { // the guarantee of 1 and the common capacity of 2
 		if !s.TryAcquire("a", 1) {
-			t.Fatal("a could not acquire its guarantee and the common capacity")
+			t.Fatal("service a could not acquire its guarantee and the common capacity")
 		}
 	}
 	if s.TryAcquire("a", 1) {
-		t.Fatal("a acquired what is guaranteed to b")
+		t.Fatal("service a acquired capacity that is guaranteed to service b")
 	}
 	if !s.TryAcquire("b", 1) {
-		t.Fatal("b could not acquire its guarantee")
+		t.Fatal("service b could not acquire its guarantee")
 	}
 	reclaimCalls := make(chan string, 4)
 	reclaimer := func(name string, idle bool) func() bool {
--- a/internal/bulkhead/semaphore.go
+++ b/internal/bulkhead/semaphore.go
@@ -97,7 +97,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-w.acquired: // acquired at the same moment as ctx ended
+	case <-w.acquired: // the capacity was acquired just as ctx ended
 		return nil
 	default:
 	}
--- a/internal/engine/stream_test.go
+++ b/internal/engine/stream_test.go
@@ -22,7 +22,7 @@
 		if a.Kind != Served || a.Value != "first" || e.InFlight() != 1 {
 			t.Fatalf("Do returned %+v with %d calls in flight, want the streamed answer and 1 call in flight", a, e.InFlight())
 		}
-		time.Sleep(time.Minute) // far beyond any deadline
+		time.Sleep(time.Minute) // longer than any deadline
 		if streamCtx.Err() != nil {
 			t.Errorf("the stream's context ended before EndStream: %v", context.Cause(streamCtx))
 		}
--- a/internal/logging/limiter.go
+++ b/internal/logging/limiter.go
@@ -22,9 +22,9 @@
 
 // countedLine is a line that was written, within its window.
 type countedLine[L any] struct {
-	latest  L         // the latest repeat
+	latest  L         // latest repeat of the line
 	until   time.Time // end of the window
-	repeats int       // since the line was written
+	repeats int       // number of repeats since the line was written
 }
 
 // repeatedLine is a line that is written once in place of all its repeats within a window.
--- a/internal/logging/logger_test.go
+++ b/internal/logging/logger_test.go
@@ -92,7 +92,7 @@
 		}
 		flush(true)
 		if written+counted != lines {
-			t.Fatalf("of %d lines, %d were written and %d counted, want a sum of all lines", lines, written, counted)
+			t.Fatalf("of %d lines, %d were written and %d were counted, want each line to be written or counted", lines, written, counted)
 		}
 		if limit := float64(perSecond)*(now.Sub(start).Seconds()+1) + 1; float64(written) > limit {
 			t.Fatalf("%d lines written in %v, which exceeds the rate limit", written, now.Sub(start))
@@ -106,6 +106,6 @@
 	NewFunc(func(line string) { got = append(got, line) }).With("service", "a").Error("boom", "upstream", "n 1")
 	NewFunc(nil).Error("nowhere")
 	if want := `msg=boom service=a upstream="n 1"`; len(got) != 1 || got[0] != want {
-		t.Errorf("got %q, want %q", got, want)
+		t.Errorf("the function given to NewFunc got lines %q, want %q", got, want)
 	}
 }
--- a/internal/metrics/reading.go
+++ b/internal/metrics/reading.go
@@ -26,7 +26,7 @@
 	ListAge         int64
 	Overdue         int64 // lists past their staleness deadline
 	ListCalls       int64 // polls and watches of the lists
-	ListCallsFailed int64 // of ListCalls: rejected, failed, or canceled by the discovery server
+	ListCallsFailed int64 // those of ListCalls that were rejected, failed, or canceled by the discovery server
 }
 
 // Estimates of the length of a reading's text, for its initial capacity.
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -18,7 +18,7 @@
 	Completed   Outcome = iota // answered
 	Rejected                   // not executed: a retry is safe
 	Failed                     // anything else
-	outcomesEnd                // the number of outcomes
+	outcomesEnd                // number of outcomes
 )
 
 // outcomeNames are the parts of metric names that stand for the outcomes.
