--- a/balancer/hedging_test.go
+++ b/balancer/hedging_test.go
@@ -44,7 +44,7 @@
 func TestNoHedgingNearQueueingLimit(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		waiting int // the limit is 26: 0.65 of the objective of 200 ms at 200 answers a second
+		waiting int // the limit is 26 waiting requests: 0.65 of the objective of 200 ms at 200 answers a second
 		hedged  bool
 	}{
 		{"far below the limit", 15, true},
@@ -67,7 +67,7 @@
 			hedges += len(ofKind(r.advance(5*ms), Send))
 		}
 		if hedges > 0 != c.hedged {
-			t.Errorf("%s: %d hedged requests with %d requests waiting, load pressure %.2f",
+			t.Errorf("%s: %d hedged requests, want some only far below the limit; %d requests waiting, load pressure %.2f",
 				c.name, hedges, c.waiting, r.balancer.loadPressure())
 		}
 	}
@@ -122,7 +122,7 @@
 				return OK, 300*ms - phase + 20*ms
 			}
 			if !pauses && w.now%(4*time.Second) < 400*ms {
-				return OK, 150 * ms // at all upstreams: the hedged request takes as long
+				return OK, 150 * ms // all upstreams are slow, so that the hedged request takes as long
 			}
 			return OK, 20 * ms
 		})
@@ -131,7 +131,7 @@
 		hedges := w.attempts() - w.requests
 		pays := w.balancer.hedgingSuccessRatio > hedgingMinSuccessRatio
 		if pauses != pays || !pauses && hedges > w.requests/20 {
-			t.Errorf("upstreams pause: %v; %d hedged requests for %d requests, hedging success ratio %.2f",
+			t.Errorf("hedging should pay exactly if upstreams pause: %v; %d hedged requests for %d requests, hedging success ratio %.2f",
 				pauses, hedges, w.requests, w.balancer.hedgingSuccessRatio)
 		}
 	}
--- a/balancer/load_report_test.go
+++ b/balancer/load_report_test.go
@@ -56,14 +56,14 @@
 				want = withoutReports.wantSend(withoutReports.request("a", "c", time.Second))
 			}
 			if got := r.wantSend(r.request("a", "c", time.Second)); got != want {
-				t.Errorf("sent to %s, want %s", got, want)
+				t.Errorf("first attempt was sent to %s, want %s", got, want)
 			}
 		})
 	}
 }
 
-// Attempts sent after a load report add to its requests in flight. The number of stored reports is
-// bounded.
+// Attempts that are sent after a load report must be added to the requests in flight of the report. The number of
+// stored reports must be bounded.
 func TestAttemptsAfterLoadReportsCount(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(40)
--- a/balancer/subscription_test.go
+++ b/balancer/subscription_test.go
@@ -11,7 +11,7 @@
 	rejectsFor     time.Duration // how long the registry rejects every call; after that it accepts one per second
 	endpoints      []Endpoint
 	sidecars       []*Balancer
-	timers         []time.Duration // by sidecar; 0: none
+	timers         []time.Duration // by sidecar: when its timer is due; 0 if it has none
 	calls          []int           // sidecars that wait for the reply to a call
 	callsInSecond  []int
 	lastAcceptedIn time.Duration // second since startedAt in which the latest call was accepted
@@ -97,7 +97,7 @@
 		t.Logf("%d sidecars: %d calls in the first 10 s, up to %d per second after that, %d are subscribed after %v",
 			sidecars, early, highest, r.subscribed, r.now-r.startedAt)
 		if early > 5*sidecars || highest > sidecars/4+4 {
-			t.Errorf("%d sidecars: too many calls, %d in the first 10 s or %d in a later second", sidecars, early, highest)
+			t.Errorf("%d sidecars made too many calls: %d in the first 10 s or %d in a later second", sidecars, early, highest)
 		}
 		if r.subscribed < sidecars {
 			t.Errorf("%d of %d sidecars are subscribed after %v", r.subscribed, sidecars, length)
--- a/internal/admission/entry.go
+++ b/internal/admission/entry.go
@@ -20,8 +20,8 @@
 	class             *classStats
 
 	costHint       time.Duration
-	estimatedCost  float64 // s
-	priorityWeight float64 // that of its class, lowered once the latency objective has passed
+	estimatedCost  float64 // in seconds
+	priorityWeight float64 // its class's priority weight, lowered once the latency objective has passed
 	bytes          int64
 	fingerprint    uint64
 
@@ -33,7 +33,7 @@
 
 	prev, next                 *entry // in its entryList
 	prevReserved, nextReserved *entry // in Queue.reservedLane
-	timeoutIndex               int    // in Queue.timeouts; -1: not in it
+	timeoutIndex               int    // in Queue.timeouts; -1 if the entry is not in it
 }
 
 func (e *entry) ticket() Ticket { return Ticket(e.generation)<<32 | Ticket(e.index) }
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -18,7 +18,7 @@
 	Completed   Outcome = iota // answered
 	Rejected                   // not executed: a retry is safe
 	Failed                     // anything else
-	outcomesEnd                // the number of outcomes
+	outcomesEnd                // number of outcomes
 )
 
 // outcomeNames are the parts of metric names that stand for the outcomes.
@@ -62,8 +62,8 @@
 	r.classes.Store(&next)
 }
 
-// Request is a request that was counted as started and that Finish counts as finished. The zero Request counts nothing. It is not safe for
-// concurrent use.
+// Request stands for a request that Start has counted as started. Finish counts it as finished. The zero Request counts nothing. A Request
+// is not safe for concurrent use.
 type Request struct{ counters *classCounters }
 
 // Start counts a request of a class as started. It adds an unknown class; the number of classes is bounded, since they all come from the
