--- a/internal/lease/declaration.go
+++ b/internal/lease/declaration.go
@@ -10,7 +10,7 @@
 // The bounds that Declaration.Check enforces.
 const (
 	maxNameBytes  = 200                  // largest length of a lease's or a client's name, in bytes
-	minTick       = 5 * time.Millisecond // raft heartbeat interval
+	minTick       = 5 * time.Millisecond // shortest raft heartbeat interval
 	maxTick       = 10 * time.Second
 	maxDrift      = 0.2       // largest relative error of a clock's rate
 	maxMaxTasks   = 1000      // largest MaxTasks
@@ -47,7 +47,7 @@
 	Address string `toml:"address" sample:"\"127.0.0.1:7001\"" doc:"The IP address and port at which this process reaches the member."`
 }
 
-// On reports whether there is a fleet.
+// On reports whether the configuration file declares a fleet. A fleet must have a name.
 func (d *Declaration) On() bool { return d.Name != "" }
 
 // Limits returns the limits of the Table.
@@ -70,7 +70,7 @@
 	if d.MinDuration <= 0 || d.MaxDuration < d.MinDuration {
 		report("shortest", "lease durations from %v to %v: the shortest must be positive and no longer than the longest", d.MinDuration, d.MaxDuration)
 	}
-	if !(d.Drift >= 0 && d.Drift <= maxDrift) { // false for NaN too
+	if !(d.Drift >= 0 && d.Drift <= maxDrift) { // written so that NaN is reported too
 		report("drift", "%v is not from 0 to %v", d.Drift, maxDrift)
 	}
 	if d.MaxTasks < 0 || d.MaxTasks > maxMaxTasks {
--- a/internal/lease/expirations.go
+++ b/internal/lease/expirations.go
@@ -39,8 +39,8 @@
 	return x
 }
 
-// Applied updates the timers after the table has applied a request with this outcome, and returns the reply for the request's client. A repeated
-// Acquire of a holder whose expiry was proposed is answered with NotHeld.
+// Applied updates the timers after the table has applied a request. reply and granted are the results of Table.Apply. Applied returns the reply for
+// the request's client: NotHeld if a holder repeats its Acquire after its expiry was proposed, and otherwise reply.
 func (x *Expirations) Applied(now time.Duration, request Request, reply Reply, granted *Entry) Reply {
 	entry := x.table.entries[request.Name]
 	switch {
@@ -77,9 +77,9 @@
 	return entry.GrantedReply(request)
 }
 
-// AnswerRepeated answers a repeated Acquire, which changes nothing in the record and need not be proposed: that of a waiter, whose timer
-// restarts, or that of a holder that has not received its grant. ok is false if the request has to be proposed. The caller must have confirmed
-// its leadership as for Renew.
+// AnswerRepeated answers an Acquire that its client sent before. Such a request changes nothing in the record and need not be proposed. The wait or
+// the grant of the client is extended, and a holder gets its grant once more because the earlier reply may have been lost. ok is false if the request
+// has to be proposed. The caller must have confirmed its leadership as for Renew.
 func (x *Expirations) AnswerRepeated(now time.Duration, request Request) (reply Reply, ok bool) {
 	entry := x.table.entries[request.Name]
 	if request.Kind != Acquire || entry == nil {
@@ -116,7 +116,7 @@
 	return requests
 }
 
-// Next returns the earliest time at which Expired may return requests; false if there is no timer.
+// Next returns the earliest time at which Expired may return requests. It returns false if there is no timer.
 func (x *Expirations) Next() (time.Duration, bool) {
 	if len(x.queue) == 0 {
 		return 0, false
@@ -124,7 +124,7 @@
 	return x.queue[0].deadline, true
 }
 
-// Remaining returns how long the grant of a name still lasts; 0 if the name is free.
+// Remaining returns how long the grant of a name still lasts. It returns 0 if the name is free.
 func (x *Expirations) Remaining(now time.Duration, name string) time.Duration {
 	if timer := x.timers[timerKey(name, "")]; timer != nil {
 		return max(0, timer.deadline-now)
@@ -132,12 +132,12 @@
 	return 0
 }
 
-// restartHolder starts the timer of a name's grant.
+// restartHolder starts or restarts the timer of a name's grant.
 func (x *Expirations) restartHolder(now time.Duration, entry *Entry) {
 	x.restart(now, expiryTimer{name: entry.Name, token: entry.Token}, entry.Duration)
 }
 
-// restartWaiter starts the timer of a wait.
+// restartWaiter starts or restarts the timer of a wait.
 func (x *Expirations) restartWaiter(now time.Duration, name string, waiter Waiter) {
 	x.restart(now, expiryTimer{name: name, client: waiter.Client, sequence: waiter.Sequence}, waiter.Duration)
 }
--- a/internal/lease/expirations_test.go
+++ b/internal/lease/expirations_test.go
@@ -17,7 +17,7 @@
 		h.want(acquire("b", 1), Waiting, "a", 1)
 	}
 	h.want(acquire("c", 1), Waiting, "a", 1)
-	h.advance(10500 * time.Millisecond) // longer than the duration, but not by the drift
+	h.advance(10500 * time.Millisecond) // longer than the duration, but shorter than the duration plus the drift
 	h.want(acquire("b", 1), Waiting, "a", 1)
 	h.advance(time.Second)
 	h.want(acquire("b", 1), Granted, "b", 2) // c was removed: b repeated its request, c did not
@@ -29,7 +29,7 @@
 	h.want(acquire("c", 1), Waiting, "b", 2)
 	h.advance(5 * time.Second)
 	h.want(acquire("c", 1), Granted, "c", 3)
-	h.expirations = NewExpirations(h.now+5*time.Second, h.table, testDrift) // those of a new leader
+	h.expirations = NewExpirations(h.now+5*time.Second, h.table, testDrift) // the Expirations of a new leader
 	h.advance(15 * time.Second)
 	h.want(Request{Kind: Renew, Client: "c", Token: 3}, Granted, "c", 3)
 	h.advance(time.Minute)
--- a/internal/lease/fingerprint_test.go
+++ b/internal/lease/fingerprint_test.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// encoder encodes a world's state as bytes. Worlds that will behave alike have the same encoding: times are relative to now.
+// encoder encodes the state of a world (see world_test.go) as bytes. It encodes times relative to the current time, so that two worlds that differ
+// only in their absolute times have the same encoding.
 type encoder struct{ bytes []byte }
 
 func (e *encoder) numbers(values ...int64) {
@@ -59,7 +60,7 @@
 	}
 	e.text(entry.Holder)
 	e.numbers(int64(entry.Sequence), int64(entry.Token), flags, int64(len(entry.Waiters)))
-	grant := Waiter{} // the key of its timer has an empty client
+	grant := Waiter{} // the timer of the grant has a key with an empty client
 	for _, waiter := range append([]Waiter{grant}, entry.Waiters...) {
 		e.text(waiter.Client)
 		e.numbers(int64(waiter.Sequence))
--- a/internal/lease/harness_test.go
+++ b/internal/lease/harness_test.go
@@ -58,7 +58,8 @@
 	}
 }
 
-// want applies a request and checks its status, and that holder then holds testName with token. An empty holder means that testName is free.
+// want applies a request and checks the status of the reply. It then checks that the client holder holds the lease testName with token or, if holder
+// is empty, that the lease is free.
 func (h *harness) want(request Request, status Status, holder string, token Token) {
 	h.t.Helper()
 	reply := h.apply(request)
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -17,7 +17,7 @@
 	Wait          bool          // join the waiter queue if the lease is held
 	Drift         float64       // largest relative error of a process's clock rate
 	Margin        time.Duration // longest time that the work takes to end after ActionStopWork
-	RetryInterval time.Duration // between two sends while no reply comes, and after a rejection
+	RetryInterval time.Duration // time after which a request that got no reply or was rejected is sent again
 }
 
 // Action is an instruction to the driver of a Holder.
@@ -63,8 +63,8 @@
 	stopping                     // the work must stop, and WorkStopped has not been called yet
 )
 
-// Holder is the client's side of one lease. Its driver passes it the time of a clock that keeps running while the machine is suspended, and
-// carries out the actions that it returns. It is not safe for concurrent use.
+// Holder is the client's side of one lease. Its driver passes it the time of a clock that keeps running while the machine is suspended, and carries
+// out the actions that the Holder returns. A Holder is not safe for concurrent use.
 //
 //	          Acquire                 Granted
 //	idle ───────────────▶ acquiring ───────────▶ holding
@@ -73,28 +73,28 @@
 //	 │                           │ still wanted     ▼
 //	 └────── WorkStopped ────────┴────────────── stopping
 //
-// The lease is released only after the work has stopped. A grant that arrives when it is not wanted any more is released at once.
+// The lease is released only after the work has stopped. A grant that arrives when the Holder does not want the lease any more is released at once.
 type Holder struct {
 	options    HolderOptions
 	state      holderState
 	wanted     bool
-	transferTo string // the client that is to hold the lease next; empty: the first waiter
-	sequence   uint64 // of this acquisition
-	sendNumber uint64 // of the last request sent
-	token      Token  // of the grant that is held or was held last
+	transferTo string // the client that is to hold the lease next; if empty, the first waiter
+	sequence   uint64 // number of the current acquisition
+	sendNumber uint64 // number of the last request that was sent
+	token      Token  // fencing token of the current or last grant
 
-	validUntil  time.Duration            // the work may go on until then
-	nextSend    time.Duration            // the Acquire is repeated, or the grant renewed, then
-	grantSentAt time.Duration            // when the request that confirmed the grant last was sent
-	sentAt      map[uint64]time.Duration // when each request of this acquisition was sent, by send number
+	validUntil  time.Duration            // time until which the work may go on
+	nextSend    time.Duration            // time at which the Acquire is repeated or the grant is renewed
+	grantSentAt time.Duration            // time at which the last request that the group granted was sent
+	sentAt      map[uint64]time.Duration // time at which each request of this acquisition was sent, by send number
 }
 
-// NewHolder returns a Holder that does not want the lease yet.
+// NewHolder returns a Holder that requests the lease once Acquire is called.
 func NewHolder(options HolderOptions) *Holder {
 	return &Holder{options: options, sentAt: map[uint64]time.Duration{}}
 }
 
-// Acquire makes the Holder want the lease until Release.
+// Acquire makes the Holder request the lease. Until Release is called, the Holder keeps the lease and acquires it again if it is lost.
 func (h *Holder) Acquire(now time.Duration) []Action {
 	if h.wanted {
 		return nil
@@ -106,8 +106,8 @@
 	return h.startAcquire(now)
 }
 
-// Release makes the Holder release the lease, to the client transferTo or, if transferTo is empty, to the first waiter. If the work is in
-// progress it has to stop first.
+// Release makes the Holder release the lease after its work has stopped. The next holder is the client transferTo or, if transferTo is empty, the
+// first waiter.
 func (h *Holder) Release(_ time.Duration, transferTo string) []Action {
 	h.wanted, h.transferTo = false, transferTo
 	switch h.state {
@@ -120,7 +120,8 @@
 	return nil
 }
 
-// WorkStopped is to be called when the work has ended after ActionStopWork. The lease is released, and acquired again if it is still wanted.
+// WorkStopped releases the lease, and acquires it again if the Holder still wants it. The driver calls WorkStopped when the work has ended after
+// ActionStopWork.
 func (h *Holder) WorkStopped(now time.Duration) []Action {
 	if h.state != stopping {
 		return nil
@@ -191,7 +192,7 @@
 	return nil // a grant that arrived too late to be of use: the next send requests it again
 }
 
-// extend sets the end of the grant, which counts from sent, when the granted request was sent.
+// extend sets the end of the grant and the time of the next renewal. sent is the time at which the granted request was sent.
 func (h *Holder) extend(sent, validUntil, duration time.Duration) {
 	h.validUntil, h.grantSentAt = validUntil, sent
 	h.nextSend = sent + duration/renewalsPerLease
@@ -211,7 +212,7 @@
 	return []Action{{Kind: ActionReportRejection, Reason: reason}}
 }
 
-// Tick does what is due at now: it ends an expired grant, renews the grant or repeats an Acquire. It is to be called at the time that Next
+// Tick does what is due at now: it ends an expired grant, renews the grant or repeats an Acquire. The driver calls Tick at the time that Next
 // returns.
 func (h *Holder) Tick(now time.Duration) []Action {
 	switch {
@@ -225,7 +226,7 @@
 	return nil
 }
 
-// Next returns the time of the next Tick; false if none is needed before another event.
+// Next returns the time of the next Tick. It returns false if no Tick is needed before the next call of another method.
 func (h *Holder) Next() (time.Duration, bool) {
 	switch h.state {
 	case holding:
--- a/internal/lease/holder_test.go
+++ b/internal/lease/holder_test.go
@@ -59,7 +59,7 @@
 		t.Errorf("request when the renewal is due: %+v, want a Renew of token 4", renewal)
 	}
 	if h.HandleReply(8*time.Second, replyTo(first, NotHeld, 0)) != nil {
-		t.Error("a NotHeld reply to a request from before the grant stopped the work")
+		t.Error("a NotHeld reply to the request sent at 1 s stopped the work, although the request sent at 3 s was granted")
 	}
 	if action := onlyAction(t, h.Tick(11*time.Second)); action.Kind != ActionStopWork || action.Reason != ReasonExpired {
 		t.Errorf("action at the end of the grant: %+v, want to stop work because it expired", action)
@@ -72,8 +72,8 @@
 	}
 }
 
-// Guards against grants that stay held though nobody uses them: the lease is released once the work has stopped, and then acquired again. A
-// grant of an earlier acquisition, or one that arrives after Release, is released at once.
+// Guards against grants that last although nobody uses them: the lease is released once the work has stopped, and then acquired again. A grant of an
+// earlier acquisition, or one that arrives after Release, is released at once.
 func TestHolderReleasesUnwantedGrants(t *testing.T) {
 	h := newTestHolder()
 	_, repeated := holdLease(t, h)
--- a/internal/lease/model_test.go
+++ b/internal/lease/model_test.go
@@ -19,7 +19,7 @@
 
 const notRecovered = "a name is not held again after all faults have ended"
 
-// path is a world with the last step that led to it and the path before that step.
+// path is a sequence of steps of the model: a world, the last step that led to this world, and the path before that step.
 type path struct {
 	world    *world
 	step     string
@@ -36,8 +36,8 @@
 	return trace
 }
 
-// search visits each state within the bounds once, depth first, up to limit states. It returns the number of visited states, the trace to a
-// violation (nil if there is none), and whether it has visited all states.
+// search visits each state within the bounds once, depth first, up to limit states. It returns the number of visited states, the trace to a violation
+// (or nil if it found no violation), and whether it has visited all states.
 func search(bounds searchBounds, limit int) (states int, trace []string, exhaustive bool) {
 	seed := maphash.MakeSeed()
 	var encoded []byte
@@ -66,7 +66,7 @@
 			step.apply(next)
 			stack = append(stack, &path{next, step.name, current})
 		}
-		current.world = nil // the paths that continue it need only its step
+		current.world = nil // the paths that continue this path need only its step
 	}
 	return len(seen), nil, true
 }
@@ -88,15 +88,15 @@
 			if trace != nil {
 				t.Errorf("violation found after %d states, by these steps:\n%s", states, strings.Join(trace, "\n"))
 			}
-			t.Logf("visited %d states; these are all states: %v", states, exhaustive)
+			t.Logf("visited %d states; these are all states within the bounds: %v", states, exhaustive)
 		})
 	}
 }
 
-// faultOdds sets the probability of a fault: where both are possible, one step in faultOdds is a fault, on average.
+// faultOdds sets the probability of a fault: where both faults and other steps are possible, one step in faultOdds is a fault on average.
 const faultOdds = 12
 
-// walk takes steps that draw chooses, and returns the trace to a violation, nil if there is none.
+// walk takes steps that draw chooses, and returns the trace to a violation, or nil if it met no violation.
 func walk(bounds *searchBounds, draw func(label string, n int) int, steps int) (trace []string) {
 	w := newWorld(bounds)
 	for range steps {
@@ -128,7 +128,8 @@
 	return nil
 }
 
-// Extends TestModel by longer, random walks, with more steps and faults and three holders of two names. rapid shrinks the walk to a violation.
+// Extends TestModel by random walks that have more steps and faults, and three processes that each try to hold two names. rapid shrinks the walk to a
+// violation.
 func TestModelAtRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.SampledFrom([]time.Duration{3, 4, 5})
@@ -161,7 +162,7 @@
 			for seed := c.firstSeed; seed < c.firstSeed+walks; seed++ {
 				rng := rand.New(rand.NewPCG(seed, 1))
 				if trace := walk(&bounds, func(_ string, n int) int { return rng.IntN(n) }, 80); trace != nil {
-					t.Logf("walk %d: %d steps", seed, len(trace))
+					t.Logf("walk %d found a violation after %d steps", seed, len(trace))
 					return
 				}
 			}
--- a/internal/lease/notes.go
+++ b/internal/lease/notes.go
@@ -5,7 +5,7 @@
 // MaxNoteBytes is the largest length of a note, in bytes. The Table keeps at most Limits.MaxNames notes.
 const MaxNoteBytes = 512
 
-// applyNote writes or reads the note of a name, for the holder of the current token alone. Requests are applied in the order of the log, so a
+// applyNote writes or reads the note of a name. Only the holder of the current token may do so. Requests are applied in the order of the log, so a
 // holder that was replaced is rejected even if its own clock says that its grant is still valid.
 func (t *Table) applyNote(request Request, entry *Entry) Reply {
 	if !entry.isHeldBy(request.Client, request.Token) {
@@ -28,7 +28,7 @@
 	return reply
 }
 
-// Notes returns a copy of all notes, by the name of their lease.
+// Notes returns a copy of all notes, keyed by the name of their lease.
 func (t *Table) Notes() map[string]string { return maps.Clone(t.notes) }
 
 // RestoreNotes replaces all notes by those of a snapshot.
--- a/internal/lease/notes_test.go
+++ b/internal/lease/notes_test.go
@@ -32,21 +32,21 @@
 		{"the first holder is still refused", apply(WriteNote, "a", first, "late"), NotHeld, ""},
 	} {
 		if c.reply.Status != c.want || c.reply.Value != c.value {
-			t.Errorf("%s: wrong reply %+v", c.name, c.reply)
+			t.Errorf("%s: wrong status or value in the reply %+v", c.name, c.reply)
 		}
 	}
 	restored := NewTable(table.limits)
 	restored.Restore(table.LastToken(), table.List())
 	restored.RestoreNotes(table.Notes())
 	if reply, _ := restored.Apply(Request{Kind: ReadNote, Name: "n", Client: "b", Token: table.LastToken()}); reply.Value != "one" {
-		t.Errorf("reading the note from a restored Table: %+v, want the value one", reply)
+		t.Errorf("reading the note from a restored Table: got the reply %+v, want one with the note's text \"one\"", reply)
 	}
 	for _, name := range []string{"o", "p"} {
 		table.Apply(Request{Kind: Release, Name: "n", Client: "b", Token: table.LastToken()})
 		reply, _ := table.Apply(Request{Kind: Acquire, Name: name, Client: "c", Sequence: 9, Duration: time.Second})
 		reply, _ = table.Apply(Request{Kind: WriteNote, Name: name, Client: "c", Token: reply.Token, Value: "x"})
 		if want := map[string]Status{"o": Done, "p": TableFull}[name]; reply.Status != want {
-			t.Errorf("writing the note of %s, beside one other note: wrong reply %+v", name, reply)
+			t.Errorf("writing the note of lease %s while one other note is stored: wrong status in the reply %+v", name, reply)
 		}
 	}
 	if reply := apply(WriteNote, "b", table.LastToken(), ""); reply.Status == Done {
--- a/internal/lease/raftgroup/bootstrap.go
+++ b/internal/lease/raftgroup/bootstrap.go
@@ -19,7 +19,7 @@
 //   - Otherwise the process has lost its file or joins an existing group. It asks the leader to add it as a new member, in place of the
 //     member of the same name.
 //
-// It returns when the member can take part, or with ctx's error.
+// bootstrap returns nil when the member can take part in the group, or ctx's error if ctx ends first.
 func (m *Member) bootstrap(ctx context.Context) error {
 	if m.storage.bootstrapped {
 		return nil
@@ -71,14 +71,14 @@
 		if info.IsLeader {
 			// The next Info call shows whether the leader has added this process.
 			_, err := callMember[empty](ctx, m, peer, methodJoin, joinCall{m.header()})
-			m.options.Log.Info("fleet: asked to join the group", "leader", peer.Name, "answer", err)
+			m.options.Log.Info("fleet: asked the leader to add this process to the group", "leader", peer.Name, "answer", err)
 		}
 		found.newMembers[info.ID] = peer.Name
 	}
 	return found
 }
 
-// formGroup writes the first snapshot of a new group. Every member writes the same one.
+// formGroup writes the first snapshot of a new group. Every member writes the same snapshot.
 func (m *Member) formGroup(members map[uint64]string) error {
 	data, err := json.Marshal(snapshotData{Version: protocolVersion, Members: members})
 	if err != nil {
--- a/internal/lease/raftgroup/client.go
+++ b/internal/lease/raftgroup/client.go
@@ -43,8 +43,8 @@
 	return err
 }
 
-// Request implements Requester. It first asks the member that answered the last request. A member that does not lead answers with the name of
-// the leader, if it knows one: the leader is asked next, otherwise the next member of the list.
+// Request implements Requester. It first asks the member that answered the last request. A member that does not lead answers with the leader's name
+// if it knows that name. Request then asks the leader, or otherwise the next member in the list.
 func (c *Client) Request(ctx context.Context, request lease.Request, longPoll, timeout time.Duration) (lease.Reply, error) {
 	var lastErr error = ErrNoLeader
 	member := c.firstMember()
@@ -63,7 +63,7 @@
 		member = c.nextMember(member, answer.Leader)
 	}
 	c.setFirstMember(member)
-	return lease.Reply{}, fmt.Errorf("no member answers for the group: %w", lastErr)
+	return lease.Reply{}, fmt.Errorf("lease request: no member answers for the raft group: %w", lastErr)
 }
 
 // requestFrom sends the request to one member.
@@ -73,7 +73,8 @@
 	return call[requestAnswer](ctx, c.conns[member], methodAsk, requestCall{c.header(), request, longPoll})
 }
 
-// nextMember returns the index of the member to ask after another one: the leader that it named, or the next member in the list.
+// nextMember returns the index of the member to ask after a member that gave no reply: the leader that this member named, or the next member in the
+// list.
 func (c *Client) nextMember(member int, leader string) int {
 	for i, peer := range c.peers {
 		if peer.Name == leader && i != member {
--- a/internal/lease/raftgroup/command.go
+++ b/internal/lease/raftgroup/command.go
@@ -44,7 +44,7 @@
 	mu         sync.Mutex
 	run        *commandRun // the current run; nil if no command was started
 	token      lease.Token
-	until      time.Duration // the end of the grant by BootTime
+	until      time.Duration // time by BootTime at which the grant ends
 	stopReason lease.Reason  // the reason given to Stop; 0 if Stop was not called
 }
 
@@ -92,7 +92,7 @@
 		return ended
 	}
 	c.controlLocked(controlEnd)
-	time.AfterFunc(c.Margin, func() { c.kill(run) }) // for a guard that was stopped by a signal
+	time.AfterFunc(c.Margin, func() { c.kill(run) }) // ends the command also if a signal has stopped the guard
 	return run.ended
 }
 
@@ -106,7 +106,7 @@
 // Unreachable implements Work.
 func (c *Command) Unreachable(err error) { c.Log(err.Error()) }
 
-// launchLocked starts the guard, which starts the command. c.mu is held.
+// launchLocked starts the guard, which starts the command. The caller holds c.mu.
 func (c *Command) launchLocked() error {
 	statusReader, statusWriter, err := os.Pipe()
 	if err != nil {
@@ -198,8 +198,8 @@
 	_ = run.guard.Process.Kill()
 }
 
-// controlLocked writes a control line to the guard. A write error is ignored: it means that the guard has ended. The write does not block,
-// because the pipe's buffer is larger than all lines of a run. c.mu is held.
+// controlLocked writes a control line to the guard. A write error is ignored: it means that the guard has ended. The write does not block, because
+// the pipe's buffer is larger than all lines of a run. The caller holds c.mu.
 func (c *Command) controlLocked(line string) {
 	if c.run != nil {
 		_, _ = io.WriteString(c.run.control, line+"\n")
--- a/internal/lease/raftgroup/doc.go
+++ b/internal/lease/raftgroup/doc.go
@@ -3,7 +3,7 @@
 //
 // # A member
 //
-// Member is one process of the group. The goroutine of Run owns all of its state and handles one event at a time (run.go). gRPC handlers and
+// Member is one process of the group. The goroutine of Run owns all state of the Member and handles one event at a time (run.go). gRPC handlers and
 // the senders of raft messages run on their own goroutines and communicate with that goroutine through channels.
 //
 //	member.go       Options, Member, New, Run
--- a/internal/lease/raftgroup/fleet_test.go
+++ b/internal/lease/raftgroup/fleet_test.go
@@ -70,7 +70,8 @@
 
 const fleetSection = "[log]\nformat = \"json\"\n[fleet]\nname = \"f\"\ntick = \"20ms\"\nshortest = \"100ms\"\n"
 
-// membersSection returns the configuration that lists the members, each at the address of a new link from the process from.
+// membersSection returns the configuration that lists the members. It creates a new link from the named process to each member, whose address is that
+// of the link.
 func (f *fleet) membersSection(from string, members []string) string {
 	var section strings.Builder
 	for _, to := range members {
@@ -84,7 +85,8 @@
 	return section.String()
 }
 
-// listenAddress returns the address at which a member's latest process listens for the group; empty if it has not logged one.
+// listenAddress returns the address at which a member's latest process listens for the group, or an empty text if the process has not logged an
+// address.
 func listenAddress(rig *processes.Rig, member string) (address string) {
 	for _, e := range rig.History.Events(0) {
 		if e.Who == member && e.What == "fleet: listening" {
@@ -146,7 +148,7 @@
 }
 
 // violations describes each line that follows a line with a higher token, and each token that two clients used. Either means that two clients held
-// the lease at the same time, or that one wrote after its grant had ended.
+// the lease at the same time, or that a client wrote after its grant had ended.
 func violations(lines []sinkLine) (found []string) {
 	highest := sinkLine{}
 	for i, line := range lines {
@@ -184,8 +186,8 @@
 	}
 }
 
-// awaitLinesAfter waits for expiry, by which every earlier grant has expired, and then for one more line. It expects no particular number of
-// lines, because that depends on the machine's speed.
+// awaitLinesAfter waits for the duration expiry, after which every earlier grant has expired, and then for one more line. It expects no particular
+// number of lines, because that depends on the machine's speed.
 func (f *fleet) awaitLinesAfter(what string, expiry time.Duration) {
 	f.t.Helper()
 	start := time.Now()
--- a/internal/lease/raftgroup/golden_test.go
+++ b/internal/lease/raftgroup/golden_test.go
@@ -155,18 +155,18 @@
 	}
 	defer old.close()
 	if old.id != storageID || !old.bootstrapped {
-		t.Errorf("the earlier release's file has id %d and bootstrapped %t", old.id, old.bootstrapped)
+		t.Errorf("the earlier release's file has id %d and bootstrapped %t, want id 77 and true", old.id, old.bootstrapped)
 	}
 	state, conf, err := old.memory.InitialState()
 	if err != nil || !proto.Equal(state, hard) || !reflect.DeepEqual(conf.Voters, []uint64{77}) {
-		t.Errorf("the earlier release's file has hard state %v and conf state %v, error %v", state, conf, err)
+		t.Errorf("the earlier release's file was read with hard state %v, conf state %v and error %v, want those that were written", state, conf, err)
 	}
 	got, err := old.memory.Entries(2, 4, 1<<20)
 	if err != nil || len(got) != 2 || string(got[0].Data) != "first" || string(got[1].Data) != "second" {
-		t.Errorf("the earlier release's file has log entries %v, error %v", got, err)
+		t.Errorf("the earlier release's file was read with log entries %v and error %v, want the entries first and second", got, err)
 	}
 	snapshot, err := old.memory.Snapshot()
 	if err != nil || string(snapshot.GetData()) != "record" {
-		t.Errorf("the earlier release's file has snapshot %v, error %v", snapshot, err)
+		t.Errorf("the earlier release's file was read with snapshot %v and error %v, want a snapshot with the data record", snapshot, err)
 	}
 }
--- a/internal/lease/raftgroup/group_test.go
+++ b/internal/lease/raftgroup/group_test.go
@@ -27,7 +27,7 @@
 
 	mu        sync.Mutex
 	addresses map[string]string // listening address of each member, by name
-	stops     map[string]func() // stop a member and wait for its end, by name
+	stops     map[string]func() // functions that stop a member and wait for its end, by the member's name
 }
 
 func newTestGroup(t *testing.T, seed uint64) *testGroup {
@@ -43,7 +43,7 @@
 	return g
 }
 
-// peers returns the members, each at the address of a new link from the member or client from.
+// peers returns the members as the named member or client reaches them: each at the address of a new network link.
 func (g *testGroup) peers(from string) (peers []Peer) {
 	for _, to := range g.names {
 		link, err := g.rig.Link(from, to, func() string {
@@ -67,7 +67,7 @@
 	}
 }
 
-// start starts the member name, which reaches the others at the addresses of peers.
+// start starts the member with this name. It reaches the other members at the addresses in peers.
 func (g *testGroup) start(name string, peers []Peer) {
 	member, err := New(context.Background(), Options{Fleet: "f", Name: name, Peers: peers, File: filepath.Join(g.dir, name), Limits: testLimits, Drift: 0.01, Tick: testTick})
 	if err != nil {
--- a/internal/lease/raftgroup/guard.go
+++ b/internal/lease/raftgroup/guard.go
@@ -21,19 +21,20 @@
 	statusExpired = "late"   // the grant expired: the guard ends the command, or did not start it
 )
 
-// The guard compares the clock with the end of the grant this often. A single timer would not notice that the machine slept.
+// The guard compares the clock with the end of the grant guardChecksPerMargin times within a margin, but not more often than once in
+// minGuardCheckInterval. A single timer would not notice that the machine slept.
 const (
 	guardChecksPerMargin  = 8
 	minGuardCheckInterval = 5 * time.Millisecond
 )
 
-// exitCodeNotStarted is the guard's exit code for a command that could not be started. Shells use the same one.
+// exitCodeNotStarted is the guard's exit code for a command that could not be started. Shells use the same code.
 const exitCodeNotStarted = 127
 
 var errGrantExpired = errors.New("the lease's grant expired before its command was started")
 
-// Guard runs a command for as long as its grant lasts, and returns the command's exit code. The grant ends at until by BootTime. Lines read from
-// control extend the grant or end the command. When the grant expires, on controlEnd, or at the end of control, the command's process group gets
+// Guard runs a command for as long as its grant lasts, and returns the command's exit code. The grant ends when BootTime reaches until. Lines read
+// from control extend the grant or end the command. When the grant expires, on controlEnd, or at the end of control, the command's process group gets
 // SIGTERM, and SIGKILL a margin later.
 func Guard(control io.Reader, status io.WriteCloser, until, margin time.Duration, argv []string) (int, error) {
 	if BootTime() >= until { // the guard started too late, as on a busy machine; the grant may have been extended meanwhile
@@ -47,7 +48,7 @@
 		return exitCodeNotStarted, err
 	}
 	defer status.Close()
-	_, _ = fmt.Fprintln(status, cmd.Process.Pid) // if its reader has ended, control ends too
+	_, _ = fmt.Fprintln(status, cmd.Process.Pid) // an error is ignored: if the reader of status has ended, control ends too
 	g := &guard{cmd: cmd, status: status, until: until, margin: margin, exited: make(chan struct{}), extensions: make(chan time.Duration), end: make(chan struct{})}
 	go func() {
 		defer close(g.exited)
--- a/internal/lease/raftgroup/guard_test.go
+++ b/internal/lease/raftgroup/guard_test.go
@@ -33,7 +33,7 @@
 func TestCommandAfterALateGuard(t *testing.T) {
 	for _, held := range []bool{false, true} {
 		ended := make(chan lease.Reason, 1)
-		// The first guard reports that the grant has expired; the second one runs the command.
+		// The first guard reports that the grant has expired; the second guard runs the command.
 		mark := t.TempDir() + "/mark"
 		guard := "if [ -e " + mark + " ]; then echo 1 >&3; exit 0; fi; touch " + mark + "; sleep 0.2; printf '0\\nlate\\n' >&3; exit 1"
 		c := &Command{Guard: []string{"sh", "-c", guard}, Argv: []string{"true"}, Margin: time.Second, Log: func(string) {},
--- a/internal/lease/raftgroup/holder_driver.go
+++ b/internal/lease/raftgroup/holder_driver.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	maxUnreadReplies   = 16 // replies, and likewise errors, that the driver has not read yet
-	maxTrackedReleases = 9  // requests that end a lease or a wait, whose answers the driver awaits before it returns
+	maxUnreadReplies   = 16 // largest number of replies, and of errors, that the driver has not read yet
+	maxTrackedReleases = 9  // largest number of requests that end a lease or a wait and whose answers the driver awaits before it returns
 	longPollTenths     = 9  // tenths of the retry interval for which a waiter's reply may be delayed; the waiter repeats its request soon after
 )
 
--- a/internal/lease/raftgroup/lease_model_test.go
+++ b/internal/lease/raftgroup/lease_model_test.go
@@ -49,7 +49,7 @@
 	return s.holder == request.Client && s.token == request.Token
 }
 
-// afterNoReply returns the states that may follow a request without a reply, which may or may not have been applied.
+// afterNoReply returns the states that may follow a request without a reply. Such a request may or may not have been applied.
 func (s leaseState) afterNoReply(request lease.Request) (next []any) {
 	next = append(next, s)
 	switch {
@@ -104,7 +104,7 @@
 			history = append(history, porcupine.Operation{Input: c.operations[i], Output: c.operations[i+1], Call: int64(2 * i), Return: int64(2*i + 1)})
 		}
 		if got := porcupine.CheckOperationsTimeout(leaseModel.ToModel(), history, processes.Patience); got != c.want {
-			t.Errorf("history %q is judged %s", name, got)
+			t.Errorf("history %q: the linearizability check returned %s, which is not the expected result", name, got)
 		}
 	}
 }
--- a/internal/lease/raftgroup/linearizability_test.go
+++ b/internal/lease/raftgroup/linearizability_test.go
@@ -17,7 +17,7 @@
 	linearizableSeed     = 8
 	linearizableClients  = 5
 	linearizableRequests = 60 // requests of each client
-	// minGrants is how many grants a history must have for its check to be meaningful.
+	// minGrants is the smallest number of grants in a history for which its check is meaningful.
 	minGrants = 20
 )
 
--- a/internal/lease/raftgroup/member.go
+++ b/internal/lease/raftgroup/member.go
@@ -30,10 +30,10 @@
 	maxUncommittedBytes = 16 << 20            // size of the proposals that are not committed yet
 )
 
-// minKeepaliveInterval is the shortest interval between the keepalive pings of a client.
+// minKeepaliveInterval is the shortest interval between the keepalive pings of a client that a member accepts.
 const minKeepaliveInterval = time.Second
 
-// electionTicks is how many ticks a leader may be silent before it is replaced. A call between members may take as long.
+// electionTicks is the number of ticks for which a leader may be silent before it is replaced. A call between members times out after as many ticks.
 const electionTicks = 10
 
 // Peer is a member of the group as the configuration file lists it.
--- a/internal/lease/raftgroup/messages.go
+++ b/internal/lease/raftgroup/messages.go
@@ -27,14 +27,14 @@
 type requestCall struct {
 	callHeader
 	Request lease.Request `json:"ask"`
-	// LongPoll is how long the member may delay the reply while its status would be lease.Waiting.
+	// LongPoll is the longest time for which the member may delay a reply with the status lease.Waiting.
 	LongPoll time.Duration `json:"hold,omitempty"`
 }
 
 // requestAnswer answers a requestCall.
 type requestAnswer struct {
 	Reply  lease.Reply `json:"reply"`
-	Leader string      `json:"leader,omitempty"` // the member to ask instead, if Reply has no status
+	Leader string      `json:"leader,omitempty"` // name of the member to ask instead, if Reply has no status
 }
 
 // joinCall asks the leader to make the caller a member.
@@ -46,7 +46,7 @@
 type empty struct{}
 
 // Info is a member's report of itself, the group and the lease table. Members, Leases and Notes are as of the last log entry that the member has
-// applied; only the leader's are current.
+// applied. Only the leader's report is current.
 type Info struct {
 	ID           uint64            `json:"id"` // raft id
 	Name         string            `json:"name"`
--- a/internal/lease/raftgroup/processes_test.go
+++ b/internal/lease/raftgroup/processes_test.go
@@ -18,9 +18,9 @@
 
 var faultDuration = flag.Duration("for", 6*time.Second, "how long TestNoTwoAct injects faults")
 
-// At most one client may act as the holder of a lease, whatever faults occur. Three members and three clients are killed, and stopped for longer
-// and shorter than a lease duration; their links are cut in one and in both directions, delayed and hung. No line may follow one with a higher
-// token, and lines must appear again after the last fault.
+// At most one client may act as the holder of a lease, whatever faults occur. Three members and three clients are killed, and stopped for longer and
+// shorter than a lease duration; their links are cut in one and in both directions, delayed and hung. In the sink, no line may follow a line with a
+// higher token, and lines must appear again after the last fault.
 func TestNoTwoAct(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -92,7 +92,7 @@
 			return e.Who == p.Name() && e.At >= start && strings.Contains(string(e.Data), text)
 		}
 	}
-	for _, event := range []func(e processes.Event) bool{logged(damaged, "takes no part in the group any more"), logged(lost, "fleet: asked to join the group")} {
+	for _, event := range []func(e processes.Event) bool{logged(damaged, "takes no part in the group any more"), logged(lost, "fleet: asked the leader to add this process to the group")} {
 		if _, _, err := f.rig.History.Wait(testContext(t), 0, event); err != nil {
 			t.Error(err)
 		}
@@ -115,8 +115,9 @@
 	f.checkSink(f.sink)
 }
 
-// Two commands run at once if a holder and its guard are both stopped: their command goes on while the next holder's command runs. The unfenced
-// sink must show violations then, which proves that violations finds them, and the check of fencing tokens must keep the fenced sink without any.
+// Two commands run at once if a holder and its guard are both stopped: their command goes on while the next holder's command runs. The unfenced sink
+// must then have violations, which proves that the function violations detects them. The fenced sink, whose writers check fencing tokens, must have
+// none.
 func TestWhatIsLeft(t *testing.T) {
 	f := newFleet(t, 5, 3, 2, time.Second, 200*time.Millisecond)
 	f.startAll()
@@ -128,7 +129,7 @@
 	if err := errors.Join(holder.Signal(syscall.SIGSTOP), syscall.Kill(guards[0], syscall.SIGSTOP)); err != nil {
 		t.Fatal(err)
 	}
-	defer syscall.Kill(guards[0], syscall.SIGCONT) // so that it can end
+	defer syscall.Kill(guards[0], syscall.SIGCONT) // so that the guard can end
 	f.awaitSink("violations by the commands of both holders", func(lines []sinkLine) bool { return len(violations(lines)) > 10 })
 	f.checkSink(f.fencedSink)
 }
--- a/internal/lease/raftgroup/proposals.go
+++ b/internal/lease/raftgroup/proposals.go
@@ -19,8 +19,8 @@
 // is applied only if its entry has that term, because a new leader restarts all timers.
 const anyLeaderTerm = 0
 
-// A proposal's ID has the time in nanoseconds in its upper bits and the number of pending proposals in its lower bits. The time keeps the ID apart
-// from those of earlier incarnations of the member.
+// A proposal's ID has the time in nanoseconds in its upper bits and the number of pending proposals in its lower bits. The time makes the ID
+// different from all IDs of earlier incarnations of the member.
 const (
 	proposalTimeShift = 16
 	proposalCountMask = 1<<proposalTimeShift - 1
--- a/internal/lease/raftgroup/reads.go
+++ b/internal/lease/raftgroup/reads.go
@@ -8,15 +8,15 @@
 	"orchiddrift/internal/lease"
 )
 
-// readQueue holds the requests that a leader answers from its own state. Before it answers one, a majority must have confirmed, after the request
-// arrived, that it still leads, and it must have applied the log up to the read index of that confirmation. Otherwise a deposed leader could
-// extend a grant although its successor has granted the lease to another client. One read index is requested at a time, for all requests that
-// arrived before.
+// readQueue holds the requests that a leader answers from its own state. Before the leader answers a request, a majority must have confirmed, after
+// the request arrived, that the leader still leads, and the leader must have applied the log up to the read index of that confirmation. Otherwise a
+// deposed leader could extend a grant although its successor has granted the lease to another client. One read index is requested at a time, for all
+// requests that arrived before it was requested.
 type readQueue struct {
 	waiting    []*pendingRequest // requests that arrived after the last read index was requested
 	confirming []*pendingRequest // requests for which the last read index was requested
 	lastID     uint64            // id of the last read index that was requested
-	readIndex  uint64            // log index that must be applied before confirming is answered; 0 if it is not confirmed yet
+	readIndex  uint64            // log index that must be applied before the requests in confirming are answered; 0 until a majority has confirmed it
 }
 
 // isFull reports whether the queue takes no more requests.
--- a/internal/lease/raftgroup/rejoin_test.go
+++ b/internal/lease/raftgroup/rejoin_test.go
@@ -13,7 +13,7 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// leaderInfo returns the leader's Info; nil if no member leads.
+// leaderInfo returns the leader's Info, or nil if no member leads.
 func leaderInfo(t *testing.T, client *Client) *Info {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -56,7 +56,7 @@
 	}
 	testutil.Eventually(t, "a grant", func() bool { return acquire(1) })
 	lost, oldID := g.loseFile(client)
-	for _, link := range g.links { // messages to the lost member are dropped, but its own are delivered
+	for _, link := range g.links { // messages to the lost member are dropped, but messages from it are delivered
 		if strings.HasSuffix(link.Name(), ">"+lost) {
 			link.Set(processes.Fault{Drop: true}, processes.Fault{})
 		}
--- a/internal/lease/raftgroup/requests.go
+++ b/internal/lease/raftgroup/requests.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// request answers a client's request. While the reply's status would be lease.Waiting, the answer is delayed for at most longPoll. It implements
-// the Ask method of the service.
+// request answers a client's request. If the client has to wait for a lease, the answer is delayed until the lease is granted, but for at most
+// longPoll. It implements the Ask method of the service.
 func (m *Member) request(ctx context.Context, request lease.Request, longPoll time.Duration) (requestAnswer, error) {
 	pending := newPendingRequest(request)
 	if longPoll > 0 {
@@ -90,8 +90,8 @@
 	m.delayed[key] = pending
 }
 
-// answerGranted answers the delayed request of a waiter to which a lease was granted. The grant's duration counts from when the waiter sent that
-// request, which was earlier.
+// answerGranted answers the delayed request of a waiter to which a lease was granted. The grant's duration counts from when the waiter sent the
+// delayed request.
 func (m *Member) answerGranted(entry *lease.Entry) {
 	key := delayedKey(entry.Name, entry.Holder)
 	if pending := m.delayed[key]; pending != nil && pending.request.Sequence == entry.Sequence {
@@ -100,7 +100,7 @@
 	}
 }
 
-// answerDelayed answers the waiters whose replies were delayed until their delayUntil.
+// answerDelayed answers the delayed requests whose delayUntil has passed.
 func (m *Member) answerDelayed(now time.Duration) {
 	for key, pending := range m.delayed {
 		if now < pending.delayUntil {
--- a/internal/lease/raftgroup/run.go
+++ b/internal/lease/raftgroup/run.go
@@ -9,7 +9,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// loop runs the raft node. It handles one event at a time, and returns when ctx ends or the storage fails, with that error.
+// loop runs the raft node and handles one event at a time. It returns ctx's error when ctx ends, or the error of a failed operation of the storage.
 func (m *Member) loop(ctx context.Context) error {
 	if err := m.startNode(); err != nil {
 		return err
--- a/internal/lease/raftgroup/service.go
+++ b/internal/lease/raftgroup/service.go
@@ -95,7 +95,7 @@
 	return callHeader{Version: protocolVersion, Fleet: m.options.Fleet, From: m.storage.id, Name: m.options.Name}
 }
 
-// checkHeader rejects a call of another version or fleet. It logs at most one rejection in rejectionLogInterval.
+// checkHeader rejects a call of another protocol version or fleet. It logs at most one rejection in rejectionLogInterval.
 func (m *Member) checkHeader(h callHeader) error {
 	var err error
 	switch {
--- a/internal/lease/raftgroup/snapshots.go
+++ b/internal/lease/raftgroup/snapshots.go
@@ -9,13 +9,13 @@
 	"orchiddrift/internal/lease"
 )
 
-// snapshotInterval is how many entries the log grows by before a snapshot is written and the log is compacted.
+// snapshotInterval is the number of entries by which the log grows before a snapshot is written and the log is compacted.
 const snapshotInterval = 2000
 
 // snapshotData is the data of a raft snapshot: the lease table and the group's members.
 type snapshotData struct {
 	Version   int               `json:"version"`
-	LastToken lease.Token       `json:"last"` // the next fencing token is higher; see package lease on fencing tokens
+	LastToken lease.Token       `json:"last"` // the last fencing token that was issued; the next token must be higher (see package lease)
 	Entries   []lease.Entry     `json:"entries"`
 	Notes     map[string]string `json:"notes,omitempty"`
 	Members   map[uint64]string `json:"peers"` // names by raft id
--- a/internal/lease/raftgroup/storage.go
+++ b/internal/lease/raftgroup/storage.go
@@ -17,7 +17,7 @@
 	"orchiddrift/internal/boltfile"
 )
 
-// snapshotCatchUpEntries is how many entries before a snapshot stay in the log, so that a slow follower can catch up without a snapshot.
+// snapshotCatchUpEntries is the number of entries before a snapshot that stay in the log, so that a slow follower can catch up without a snapshot.
 const snapshotCatchUpEntries = 200
 
 // The buckets of a member's file, and the keys of stateBucket. The keys of logBucket are log indexes, 8 bytes, big-endian.
@@ -34,7 +34,8 @@
 // storage keeps a member's raft log, hard state and snapshot in a bbolt file, with a copy in memory that raft reads. It is not safe for concurrent
 // use.
 //
-// The arguments of save are on disk when it returns: a member that crashes after it has sent a vote or acknowledged an entry must not forget it.
+// The arguments of save are on disk when save returns, because a member that crashes after it has sent a vote or acknowledged an entry must not
+// forget it.
 type storage struct {
 	db           *bbolt.DB
 	memory       *raft.MemoryStorage
@@ -105,7 +106,7 @@
 		return nil
 	}
 	var id [8]byte
-	if _, err := rand.Read(id[:]); err != nil { // not from the configured seed, with which a restarted process would draw the same id again
+	if _, err := rand.Read(id[:]); err != nil { // the id must not depend on the configured seed, from which a restarted process would draw the same id again
 		return err
 	}
 	id[len(id)-1] |= 1 // raft does not allow the id 0
@@ -235,7 +236,8 @@
 // logKey returns the key of a log entry.
 func logKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// putEntries writes entries to the log. They replace all entries from the index of the first one on, which an earlier leader had sent.
+// putEntries writes entries to the log. They replace all stored entries from the index of the first new entry on, because an earlier leader sent
+// those.
 func putEntries(log *bbolt.Bucket, entries []*pb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -270,8 +272,8 @@
 	return bucket.Put(key, data)
 }
 
-// recoverStorageFault turns a panic or a memory fault in use into an error, so that a damaged file ends only the member and not its process. bbolt
-// panics on some damaged pages, and a read of a mapped page beyond the end of a truncated file is a memory fault.
+// recoverStorageFault calls use and turns a panic or a memory fault in it into an error, so that a damaged file ends only the member and not its
+// process. bbolt panics on some damaged pages, and a read of a mapped page beyond the end of a truncated file is a memory fault.
 func recoverStorageFault(use func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
--- a/internal/lease/raftgroup/storage_test.go
+++ b/internal/lease/raftgroup/storage_test.go
@@ -36,7 +36,7 @@
 	s := open()
 	id := s.id
 	if s.bootstrapped || id == 0 {
-		t.Errorf("a new file has bootstrapped %v and id %d, want false and an id", s.bootstrapped, id)
+		t.Errorf("a new file has bootstrapped %v and id %d, want false and an id other than 0", s.bootstrapped, id)
 	}
 	data, err := json.Marshal(snapshotData{Version: protocolVersion, Members: map[uint64]string{id: "a"}})
 	if err != nil {
@@ -56,7 +56,7 @@
 	hard, conf, err := s.memory.InitialState()
 	check(err)
 	if s.id != id || !s.bootstrapped || hard.GetTerm() != 3 || hard.GetVote() != id || len(conf.GetVoters()) != 1 {
-		t.Errorf("the reopened file has id %d, bootstrapped %v, hard state %v, conf state %v", s.id, s.bootstrapped, hard, conf)
+		t.Errorf("the reopened file has id %d, bootstrapped %v, hard state %v, conf state %v; want the values that were saved", s.id, s.bootstrapped, hard, conf)
 	}
 	last, _ := s.memory.LastIndex()
 	term, _ := s.memory.Term(5)
--- a/internal/lease/raftgroup/transport.go
+++ b/internal/lease/raftgroup/transport.go
@@ -50,7 +50,7 @@
 }
 
 // sendMessage queues a raft message for the member that is to receive it. The messages of a queue are sent in order. If the queue is full, the
-// message is dropped; raft sends what is still needed again.
+// message is dropped, and raft sends it again if it is still needed.
 func (m *Member) sendMessage(ctx context.Context, message *pb.Message) {
 	to := message.GetTo()
 	queue := m.senders[to]
@@ -89,7 +89,8 @@
 
 func isSnapshot(message *pb.Message) bool { return message.GetType() == pb.MsgSnap }
 
-// sendMessages sends the messages of a queue to one member until ctx ends. It reports failures, and every outcome of a snapshot, to the loop.
+// sendMessages sends the messages of a queue to one member until ctx ends. It reports every failure, and the outcome of every message with a
+// snapshot, to the loop.
 func (m *Member) sendMessages(ctx context.Context, conn *grpc.ClientConn, queue <-chan *pb.Message) {
 	for {
 		select {
--- a/internal/lease/raftgroup/work.go
+++ b/internal/lease/raftgroup/work.go
@@ -13,8 +13,8 @@
 
 // Requester sends requests to the group that replicates the lease table. Client implements it.
 type Requester interface {
-	// Request returns the group's reply. A member may delay the reply for longPoll while its status would be lease.Waiting. A call to one member
-	// takes at most longPoll plus timeout.
+	// Request returns the group's reply. A member may delay a reply with the status lease.Waiting for at most longPoll. A call to one member takes at
+	// most longPoll plus timeout.
 	Request(ctx context.Context, request lease.Request, longPoll, timeout time.Duration) (lease.Reply, error)
 }
 
@@ -33,10 +33,10 @@
 	Unreachable(err error)
 }
 
-// maxHostNameLength is the number of characters of the host's name that a client id contains at most.
+// maxHostNameLength is the largest number of characters of the host's name in a client id.
 const maxHostNameLength = 64
 
-// NewClientID returns a client id for one incarnation of a process. Its random part makes it different from every other one.
+// NewClientID returns a client id for one incarnation of a process. Its random part makes it different from every other client id.
 func NewClientID() string {
 	var random [8]byte
 	_, _ = rand.Read(random[:]) // crypto/rand.Read never returns an error
--- a/internal/lease/steps_test.go
+++ b/internal/lease/steps_test.go
@@ -6,7 +6,7 @@
 type modelStep struct {
 	name  string
 	fault bool
-	apply func(w *world) // applied to the world whose steps it is one of, or to a copy of it
+	apply func(w *world) // carries out the step in the world that lists it, or in a copy of that world
 }
 
 // stepList collects the steps that are possible in a world.
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -9,9 +9,9 @@
 
 // Limits bound a Table. An entry takes about 400 bytes and a waiter about 150, beside the names themselves.
 type Limits struct {
-	MaxNames     int           // names that are held at once; also the number of stored notes
-	MaxWaiters   int           // waiters for one name
-	MaxNameBytes int           // length of a lease's or a client's name
+	MaxNames     int           // largest number of names held at once, and of stored notes
+	MaxWaiters   int           // largest number of waiters for one name
+	MaxNameBytes int           // largest length of a lease's or a client's name, in bytes
 	MinDuration  time.Duration // shortest lease duration; a shorter request gets this one
 	MaxDuration  time.Duration // longest lease duration; a longer request gets this one
 }
@@ -59,8 +59,8 @@
 	return &Table{limits: limits, entries: map[string]*Entry{}, notes: map[string]string{}}
 }
 
-// Apply applies a request from the log and returns its reply. granted is the entry that was granted to a new holder, nil if there is none. Renew
-// changes nothing in the record and is answered by Expirations.Renew.
+// Apply applies a request from the log and returns its reply. granted is the entry of a lease that was granted to a new holder, or nil if the request
+// led to no grant. A Renew changes nothing in the record; Expirations.Renew answers it.
 func (t *Table) Apply(request Request) (reply Reply, granted *Entry) {
 	entry := t.entries[request.Name]
 	switch request.Kind {
@@ -118,8 +118,8 @@
 	return t.reacquire(request, entry, client)
 }
 
-// reacquire handles an Acquire of the holder with a new sequence, which means that it does not use its grant: it goes to the end of the waiter
-// queue.
+// reacquire handles an Acquire that the holder sent with a new sequence. The new sequence means that the holder does not use its grant, so the client
+// goes to the end of the waiter queue.
 func (t *Table) reacquire(request Request, entry *Entry, client Waiter) (Reply, *Entry) {
 	if len(entry.Waiters) == 0 {
 		t.grant(entry, client)
@@ -149,7 +149,7 @@
 	return request.Reply(Done), entry
 }
 
-// applyRevoke marks a grant as revoked: the one with the request's token, or the current one if the request has no token.
+// applyRevoke marks the current grant as revoked. If the request has a token, the grant must have the same token.
 func applyRevoke(request Request, entry *Entry) Reply {
 	if entry == nil || request.Token != 0 && entry.Token != request.Token {
 		return request.Reply(NotHeld)
@@ -202,12 +202,12 @@
 
 func (t *Table) validName(name string) bool { return name != "" && len(name) <= t.limits.MaxNameBytes }
 
-// isHeldBy reports whether a client holds the name with this token. A nil Entry is a free name.
+// isHeldBy reports whether a client holds the name with this token. The entry of a free name is nil.
 func (e *Entry) isHeldBy(client string, token Token) bool {
 	return e != nil && e.Token == token && e.Holder == client
 }
 
-// waiterIndex returns a client's index in the waiter queue, -1 if the client is not there.
+// waiterIndex returns a client's index in the waiter queue, or -1 if the client is not waiting.
 func (e *Entry) waiterIndex(client string) int {
 	return slices.IndexFunc(e.Waiters, func(w Waiter) bool { return w.Client == client })
 }
@@ -226,7 +226,7 @@
 	return reply
 }
 
-// Entry returns the entry of a name, nil if the name is free. The caller must not change it.
+// Entry returns the entry of a name, or nil if the name is free. The caller must not change the entry.
 func (t *Table) Entry(name string) *Entry { return t.entries[name] }
 
 // LastToken returns the last token that was issued.
--- a/internal/lease/table_test.go
+++ b/internal/lease/table_test.go
@@ -55,7 +55,7 @@
 	h := newHarness(t)
 	for i, want := range []Status{Granted, Granted, TableFull} {
 		if reply := h.apply(Request{Kind: Acquire, Name: fmt.Sprint("n", i), Client: "a", Sequence: 1}); reply.Status != want {
-			t.Errorf("acquiring name number %d: wrong reply %+v", i, reply)
+			t.Errorf("acquiring name number %d: wrong status in the reply %+v", i, reply)
 		}
 	}
 	if reply := h.apply(Request{Kind: Release, Name: "n0", Client: "a", Token: 1}); reply.Status != Done {
@@ -64,7 +64,7 @@
 	for duration, want := range map[time.Duration]time.Duration{1: time.Second, time.Hour: time.Minute} {
 		reply := h.apply(Request{Kind: Acquire, Name: "n2", Client: "a", Sequence: 1, Duration: duration})
 		if reply.Status != Granted || reply.Duration != want {
-			t.Errorf("acquiring for a duration of %v: wrong reply %+v", duration, reply)
+			t.Errorf("acquiring for a duration of %v: wrong status or duration in the reply %+v", duration, reply)
 		}
 		h.apply(Request{Kind: Release, Name: "n2", Client: "a", Token: reply.Token})
 	}
@@ -74,6 +74,6 @@
 	restored := NewTable(testLimits)
 	restored.Restore(h.table.LastToken(), h.table.List())
 	if !reflect.DeepEqual(restored, h.table) {
-		t.Errorf("table %+v was restored as %+v", h.table, restored)
+		t.Errorf("table %+v was restored from its snapshot as %+v, want the same table", h.table, restored)
 	}
 }
--- a/internal/lease/timer_queue.go
+++ b/internal/lease/timer_queue.go
@@ -4,13 +4,13 @@
 
 // expiryTimer is the timer of a grant or of a wait.
 type expiryTimer struct {
-	name     string // of the lease
+	name     string // name of the lease
 	client   string // the waiter; empty if the timer is that of the grant
-	sequence uint64 // of the waiter's acquisition
-	token    Token  // of the grant
+	sequence uint64 // number of the waiter's acquisition
+	token    Token  // fencing token of the grant
 	deadline time.Duration
 	proposed bool // the request that ends the grant or wait was proposed
-	index    int  // in the timerQueue
+	index    int  // position in the timerQueue
 }
 
 // timerKey identifies a timer: there is one for each grant (client is empty) and one for each waiter.
--- a/internal/lease/world_test.go
+++ b/internal/lease/world_test.go
@@ -25,7 +25,8 @@
 
 var modelNames, modelClients = []string{"l0", "l1"}, []string{"c0", "c1", "c2"}
 
-// omittedRule is a rule that the model leaves out, to check that the search finds the violation. If it is empty no rule is left out.
+// omittedRule is a rule of the lease that the model does not follow, so that a test can check that the search finds the resulting violation. If it is
+// empty, the model follows all rules.
 type omittedRule string
 
 const (
@@ -38,11 +39,11 @@
 // searchBounds bound the states that the searches visit.
 type searchBounds struct {
 	holders, names int
-	rates          []time.Duration // of the holders' clocks, in units per quantum
-	leaderRate     time.Duration   // of the leader's clock, in units per quantum
+	rates          []time.Duration // rates of the holders' clocks, in units per quantum
+	leaderRate     time.Duration   // rate of the leader's clock, in units per quantum
 	quanta         int
 	inTransit      int    // messages in transit at once
-	acquisitions   uint64 // of each holder
+	acquisitions   uint64 // largest number of acquisitions of each holder
 	faults         int    // total number of lost or duplicated messages, releases, transfers and changes of the leader
 	omitted        omittedRule
 }
@@ -51,21 +52,21 @@
 type message struct {
 	request Request
 	reply   Reply
-	to      int // index of a holder, or toRecord for the record
+	to      int // index of a holder, or toRecord for the record of leases
 }
 
 const toRecord = -1
 
-// world is a state of the model.
+// world is one state of the model: the record of leases with its leader, the holders, their clocks and the messages in transit.
 type world struct {
 	bounds       *searchBounds
-	clocks       []time.Duration // of the holders' processes
+	clocks       []time.Duration // time by the clock of each holder's process
 	leaderClock  time.Duration
 	quanta       int
 	faults       int
 	table        *Table
 	expirations  *Expirations
-	holders      []*Holder // by process, then by name
+	holders      []*Holder // ordered by process, then by name
 	acquisitions []uint64  // by holder
 	inTransit    []message
 	proposals    []Request // not applied yet
@@ -137,7 +138,7 @@
 	}
 }
 
-// transmit sends a message. It is lost if there are too many messages in transit.
+// transmit sends a message. The message is lost if too many messages are in transit.
 func (w *world) transmit(m message) {
 	if len(w.inTransit) < w.bounds.inTransit {
 		w.inTransit = append(w.inTransit, m)
@@ -216,7 +217,7 @@
 	heap.Init(&w.expirations.queue)
 }
 
-// violation describes a violation of the safety property: two holders that may act on one name. It is empty if there is none.
+// violation describes a violation of the safety property: two holders that may act on one name. It returns an empty text if there is no violation.
 func (w *world) violation() string {
 	for n := range w.bounds.names {
 		var holders []int
@@ -226,7 +227,7 @@
 			}
 		}
 		if len(holders) > 1 {
-			return fmt.Sprintf("processes %v hold one name at the same time", holders)
+			return fmt.Sprintf("processes %v hold the same name at the same time", holders)
 		}
 	}
 	return ""
