--- a/internal/task/decide.go
+++ b/internal/task/decide.go
@@ -15,13 +15,13 @@
 // Rules determine when the runs of one task start and how often a run is attempted.
 type Rules struct {
 	Schedule Schedule
-	// AtLeastOnce starts a run again if its process was lost, up to MaxAttempts starts in all. Without it a run is started at most once, and is
-	// recorded as lost if its process was lost.
+	// If AtLeastOnce is true, a run whose process was lost is started again, up to MaxAttempts starts in all. Otherwise a run is started at most
+	// once, and is recorded as lost if its process was lost.
 	AtLeastOnce bool
 	MaxAttempts int
-	// MaxDelay is how long after its due time a run may start. A run that has not started by then is missed.
+	// MaxDelay is the longest time after its due time at which a run may start. A run that has not started by then is missed.
 	MaxDelay time.Duration
-	// RunMissed starts the latest of the missed runs late. Without it missed runs are skipped.
+	// If RunMissed is true, the latest of the missed runs is started late. Otherwise all missed runs are skipped.
 	RunMissed bool
 }
 
@@ -38,14 +38,16 @@
 // Step is the next action of the process that holds a task's lease.
 type Step struct {
 	Kind   StepKind
-	At     time.Time // of Wait: when the next run is due; zero: never
-	Record Record    // of WriteRecord and StartRun: the record to store
+	At     time.Time // for Wait: when the next run is due, or the zero time if no run is due any more
+	Record Record    // for WriteRecord and StartRun: the record to store
 }
 
-// maxMissedRuns bounds how many missed runs one decision passes over to find the latest one. The next decision continues from there.
+// maxMissedRuns is the largest number of missed runs through which one decision searches for the latest of them. The next decision continues from
+// there.
 const maxMissedRuns = 10_000
 
-// Decide returns the next step of the process by, which holds the task's lease under token. last is the stored record, nil if there is none.
+// Decide returns the next step of the process that holds the task's lease under token. by is the name of that process. last is the stored record, or
+// nil if no record is stored.
 func (r *Rules) Decide(now time.Time, last *Record, token lease.Token, by string) Step {
 	if last == nil { // the task is new: its first run is due after now
 		return Step{Kind: WriteRecord, Record: Record{Due: now, Phase: Skipped, Token: token, By: by}}
@@ -79,7 +81,7 @@
 	return Step{Kind: WriteRecord, Record: run}
 }
 
-// latestDue returns the latest due time up to now. due is the earliest one.
+// latestDue returns the latest due time up to now. The search begins at the due time due.
 func (r *Rules) latestDue(now, due time.Time) time.Time {
 	for range maxMissedRuns {
 		later := r.Schedule.Next(due)
--- a/internal/task/decide_test.go
+++ b/internal/task/decide_test.go
@@ -33,7 +33,7 @@
 	return "no step"
 }
 
-// Checks which step each stored record leads to, and that the record a step stores can be decoded and fits in a note.
+// Checks which step each stored record leads to, and that the record that a step stores can be decoded and fits in a note.
 func TestDecide(t *testing.T) {
 	const token, process = 7, "me"
 	ended := &Record{Due: start, Phase: Ended, Token: 1}
@@ -79,16 +79,16 @@
 	}
 }
 
-// Guards against a stored note that is not a record being taken for one.
+// Guards against decoding a note that does not contain a valid record as if it did.
 func TestDecodeRecordRejects(t *testing.T) {
 	for _, note := range []string{"{", `{"phase":"gone"}`, "null"} {
 		if _, err := DecodeRecord(note); err == nil {
-			t.Errorf("%s is decoded without an error", note)
+			t.Errorf("note %s is decoded without an error, want an error", note)
 		}
 	}
 }
 
-// omittedRule is a rule that fleetRuns breaks, to show that its check detects that. Empty: no rule is broken.
+// omittedRule is a rule that fleetRuns breaks, so that a test can show that fleetRuns.check detects the violation. If it is empty, no rule is broken.
 type omittedRule string
 
 const (
@@ -102,7 +102,7 @@
 	omitted     omittedRule
 	rules       *Rules
 	note        string
-	completed   map[time.Time]int // number of ends of each run, by due time
+	completed   map[time.Time]int // number of times each run ended, by due time
 	interrupted map[time.Time]int // number of times the run's process was lost, by due time
 }
 
@@ -129,7 +129,7 @@
 func (f *fleetRuns) playHolder(now time.Time, token lease.Token) error {
 	for steps := 0; ; steps++ {
 		if steps > 3 {
-			return errors.New("the process still decides after four steps")
+			return errors.New("the process has not finished deciding after four steps")
 		}
 		last, err := DecodeRecord(f.note)
 		if err != nil {
@@ -140,7 +140,7 @@
 			return nil
 		}
 		if last != nil && step.Record.Due.Before(last.Due) {
-			return fmt.Errorf("the run due at %v follows the one due at %v", step.Record.Due, last.Due)
+			return fmt.Errorf("the run due at %v was decided after the run due at %v, want runs in the order of their due times", step.Record.Due, last.Due)
 		}
 		if step.Kind == WriteRecord || f.omitted != recordBeforeRun {
 			f.note = step.Record.Encode()
@@ -185,7 +185,8 @@
 	return nil
 }
 
-// Checks that at-most-once and at-least-once hold while processes are lost at any step, and that the check detects each broken rule.
+// Checks that the delivery guarantees at-most-once and at-least-once hold while processes are lost at any step, and that fleetRuns.check detects each
+// broken rule.
 func TestRunsKeepTheirPromise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if err := playRuns(rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1)), ""); err != nil {
@@ -198,7 +199,7 @@
 			found = found || playRuns(rand.New(rand.NewPCG(seed, 1)), omitted) != nil
 		}
 		if !found {
-			t.Errorf("broken rule not detected: %s", omitted)
+			t.Errorf("the check reported no violation although the simulation broke this rule: %s", omitted)
 		}
 	}
 }
--- a/internal/task/golden_test.go
+++ b/internal/task/golden_test.go
@@ -9,8 +9,8 @@
 	"orchiddrift/internal/testing/golden"
 )
 
-// A task's record is encoded as by earlier releases, and records that they encoded are decoded. Otherwise a fleet that runs two releases at once
-// could not read its own records.
+// A task's record must be encoded in the same way as by earlier releases, and records from earlier releases must be decoded. Otherwise a fleet that
+// runs two releases at once could not read its own records.
 func TestRecordGolden(t *testing.T) {
 	due := time.Date(2026, 12, 3, 4, 30, 0, 0, time.UTC)
 	var want []Record
--- a/internal/task/record.go
+++ b/internal/task/record.go
@@ -14,19 +14,19 @@
 // The phases of a run.
 const (
 	Begun   Phase = "begun"
-	Ended   Phase = "ended"   // it ended by itself or by its timeout; Record.ExitCode tells which
-	Lost    Phase = "lost"    // its process was lost before the run ended
-	Skipped Phase = "skipped" // no process could start it in time
+	Ended   Phase = "ended"   // the run ended by itself or by its timeout
+	Lost    Phase = "lost"    // the process of the run was lost before the run ended
+	Skipped Phase = "skipped" // no process started the run in time
 )
 
 // Record describes a task's latest run. It is stored with the task's lease.
 type Record struct {
 	Due      time.Time   `json:"due"`
 	Phase    Phase       `json:"phase"`
-	Token    lease.Token `json:"token"`           // of the grant under which the run was started
+	Token    lease.Token `json:"token"`           // fencing token of the grant under which the run was started
 	By       string      `json:"by,omitempty"`    // the process that started the run
-	Attempts int         `json:"tries,omitempty"` // how often the run was started
-	ExitCode int         `json:"code,omitempty"`  // of the command, or 1 for a call that failed
+	Attempts int         `json:"tries,omitempty"` // number of times that the run was started
+	ExitCode int         `json:"code,omitempty"`  // exit code of the command, or 1 for a call that failed
 }
 
 // Encode returns the record as it is stored in the note of the task's lease.
@@ -38,7 +38,7 @@
 	return string(text)
 }
 
-// DecodeRecord decodes a note. It returns nil for an empty one: the task has never run.
+// DecodeRecord decodes a note. It returns nil for an empty note, which means that the task has never run.
 func DecodeRecord(note string) (*Record, error) {
 	if note == "" {
 		return nil, nil
--- a/internal/task/runner/claim.go
+++ b/internal/task/runner/claim.go
@@ -14,7 +14,7 @@
 
 var (
 	// errLeaseLost is returned if the lease group replies that this claim does not hold the lease any more.
-	errLeaseLost = errors.New("the lease is lost")
+	errLeaseLost = errors.New("the task's lease was lost")
 	// errNoCapacity is returned if the lease table is too full for a task's note.
 	errNoCapacity = errors.New("the lease table is full: the task's note was not stored")
 )
@@ -22,8 +22,8 @@
 // reasonTimeout is the reason for stopping a run that exceeded its timeout. Such a run counts as ended. Package lease does not use this value.
 const reasonTimeout lease.Reason = 100
 
-// claim is one attempt to acquire a task's lease and to do what is due. It is the raftgroup.Work that is done while the lease is held. cancel ends
-// the attempt, and the lease is released.
+// claim is one attempt to acquire a task's lease and to start the run that is due. It implements raftgroup.Work, whose methods are called while the
+// lease is held. cancel ends the attempt, and then the lease is released.
 //
 //	the lease is granted ──────────────────▶ decide
 //	decide ── nothing is due ──────────────▶ the attempt ends
@@ -35,16 +35,16 @@
 	runner *runner
 	task   *declaredTask
 	client string
-	ctx    context.Context // of the attempt
+	ctx    context.Context // context of the attempt
 	cancel context.CancelFunc
 
 	mu        sync.Mutex
-	token     lease.Token   // 0: the lease has not been granted yet
+	token     lease.Token   // fencing token of the grant; 0 until the lease is granted
 	until     time.Duration // when the grant expires
 	stopped   bool          // no run may start any more
-	execution execution     // of the run; nil: none has started
-	nextDue   *time.Time    // when the task is due next; nil: unknown; zero: never
-	err       error         // why the attempt failed; nil: it did not, or another process holds the lease
+	execution execution     // execution of the run; nil until a run has started
+	nextDue   *time.Time    // when the task is due next; nil if this is unknown, the zero time if the task is not due any more
+	err       error         // why the attempt failed; nil if it has not failed, or if another process holds the lease
 }
 
 var _ raftgroup.Work = (*claim)(nil)
@@ -66,7 +66,7 @@
 	}
 }
 
-// Stop implements raftgroup.Work. An attempt that has lost the lease does not acquire it again.
+// Stop implements raftgroup.Work. It ends the attempt, which does not acquire the lease again.
 func (c *claim) Stop(reason lease.Reason) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +95,7 @@
 	}
 }
 
-// result returns when the task is due next, nil if that is unknown, and why the attempt failed.
+// result returns when the task is due next, which is nil if this is unknown, and the error with which the attempt failed.
 func (c *claim) result() (nextDue *time.Time, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,8 +151,8 @@
 	}
 }
 
-// request reads or writes the task's note under the token and returns the note that is stored then. It retries until the lease group replies or the
-// attempt ends.
+// request reads or writes the task's note under the token, and returns the note that is stored afterwards. It retries until the lease group replies
+// or the attempt ends.
 func (c *claim) request(token lease.Token, kind lease.RequestKind, value string) (string, error) {
 	request := lease.Request{Kind: kind, Name: c.task.leaseName(), Client: c.client, Token: token, Value: value}
 	for {
@@ -190,14 +190,15 @@
 	c.runner.started(name)
 	log.Info("task: run started", "task", name, "due", formatDue(record), "token", uint64(token), "try", record.Attempts)
 	timeout = time.AfterFunc(limit, func() {
-		log.Warn("task: run exceeded its limit", "task", name, "limit", limit)
+		log.Warn("task: run stopped because it exceeded its time limit", "task", name, "limit", limit)
 		run.stop(reasonTimeout)
 	})
 	run.start(token, c.until)
 	return true
 }
 
-// runEnded stores the end of a run before its lease is released. The record of an interrupted run stays begun: the next holder decides on it.
+// runEnded stores the end of a run before its lease is released. The record of an interrupted run stays in phase begun, and the next holder of the
+// lease decides on that run.
 func (c *claim) runEnded(token lease.Token, record task.Record, code int, reason lease.Reason) {
 	interrupted := reason != 0 && reason != reasonTimeout
 	c.runner.options.Log.Info("task: run ended", "task", c.task.name(), "due", formatDue(record), "token", uint64(token), "code", code, "cut", interrupted)
@@ -213,7 +214,7 @@
 func (c *claim) storeEnd(token lease.Token, record task.Record) {
 	defer c.cancel()
 	if _, err := c.request(token, lease.WriteNote, record.Encode()); err != nil {
-		c.setError(fmt.Errorf("store the end of the run: %w", err))
+		c.setError(fmt.Errorf("storing the record of the run's end: %w", err))
 		return
 	}
 	if step := c.task.rules.Decide(c.runner.options.Now(), &record, token, c.runner.options.Name); step.Kind == task.Wait {
--- a/internal/task/runner/execution.go
+++ b/internal/task/runner/execution.go
@@ -26,12 +26,12 @@
 // exitCodeCallFailed is the exit code recorded for a call that failed or got a status of 300 or above.
 const exitCodeCallFailed = 1
 
-// execution executes a run: a command or a call.
+// execution executes a run, which is a command or an HTTP call.
 type execution interface {
 	start(token lease.Token, until time.Duration)
-	// extend moves the expiry of the run's grant.
+	// extend sets a later end of the run's grant.
 	extend(until time.Duration)
-	// stop ends the run. The channel is closed once the run has ended.
+	// stop ends the run. The returned channel is closed once the run has ended.
 	stop(reason lease.Reason) <-chan struct{}
 }
 
@@ -64,8 +64,8 @@
 func (e *commandExecution) extend(until time.Duration)               { e.command.Extend(until) }
 func (e *commandExecution) stop(reason lease.Reason) <-chan struct{} { return e.command.Stop(reason) }
 
-// callExecution makes a call through the daemon. stop cancels the call, but the upstream may go on processing it: only the fencing token protects
-// against its effects.
+// callExecution makes a call through the daemon. stop cancels the call, but the upstream may go on processing it. Only a check of the fencing token
+// protects against the effects of that processing.
 type callExecution struct {
 	method, url    string
 	idempotencyKey string
--- a/internal/task/runner/processes_test.go
+++ b/internal/task/runner/processes_test.go
@@ -23,7 +23,7 @@
 	return counts
 }
 
-// countRepeats returns how many runs began, and how often one began again.
+// countRepeats returns the number of runs that began, and the number of times that a run began again.
 func countRepeats(lines []sinkLine) (runs, repeats int) {
 	begins := map[string]int{}
 	for _, line := range lines {
@@ -66,14 +66,15 @@
 			t.Logf("%d fault steps, %d runs, %d repeated", len(script), runs, repeats)
 			first := slices.IndexFunc(lines, func(l sinkLine) bool { return l.isOf(atMostOnce) })
 			if len(violations(append(lines, lines[first]))) == 0 {
-				t.Error("the check does not detect a run that begins twice")
+				t.Error("violations did not report an at-most-once run that begins twice")
 			}
 		})
 	}
 }
 
-// Checks that runs spread over the processes, that the others take over the runs of a process that shuts down, and that a run whose process was killed
-// is repeated. The test logs how long that takes, which is within two lease durations.
+// Checks that runs spread over the processes, that the others take over the runs of a process that shuts down, and that a run whose process was
+// killed is repeated. The test logs the time from the kill to the end of the repeated run. This time is normally below two lease durations, which the
+// test does not check.
 func TestRunsMoveAway(t *testing.T) {
 	f := newFleet(t, 3)
 	f.eventually("runs by all members", func(lines []sinkLine) bool {
@@ -104,7 +105,7 @@
 		if p.Name() != interrupted.process {
 			continue
 		}
-		if err := errors.Join(p.Kill(testContext(t)), p.Start(testContext(t), nil)); err != nil { // restarted, since two of three members make a majority
+		if err := errors.Join(p.Kill(testContext(t)), p.Start(testContext(t), nil)); err != nil { // restarted, because without it only one of three members is running, which is no majority
 			t.Fatal(err)
 		}
 	}
--- a/internal/task/runner/runner.go
+++ b/internal/task/runner/runner.go
@@ -2,8 +2,8 @@
 // the task's lease, stores the run's record before the run starts and after it ends, and executes the run. A run is a command under a guard process,
 // or a call through the daemon.
 //
-// Goroutines: the one that calls Run polls the Scheduler. Each claim of a task has one that runs raftgroup.RunWhileHeld, and others while it reads
-// and stores records. Run waits for all of them.
+// The goroutine that calls Run polls the Scheduler. Each claim of a task has a goroutine that runs raftgroup.RunWhileHeld, and further goroutines
+// while it reads and stores records. Run waits for all of these goroutines.
 package runner
 
 import (
@@ -24,23 +24,23 @@
 // Intervals of a process. Runs are due once a second at most, and usually by the minute.
 const (
 	claimSpread        = 300 * time.Millisecond // see task.SchedulerOptions.Spread
-	maxRecheckInterval = 15 * time.Second       // see task.SchedulerOptions.RecheckInterval; half of the shortest lease duration if that is less
+	maxRecheckInterval = 15 * time.Second       // see task.SchedulerOptions.RecheckInterval; the interval is shorter if half of the shortest lease duration is shorter
 	pollInterval       = 100 * time.Millisecond // between two polls of the Scheduler and of Options.Draining
 )
 
-// Intervals, as the number of them in a lease duration.
+// Numbers of intervals in a lease duration.
 const (
 	rechecksPerLease = 2  // requests for a lease that another process holds
-	requestsPerLease = 5  // retries of a lease request without a reply; also the timeout of a request
+	requestsPerLease = 5  // retries of a lease request without a reply; a request times out after one such interval
 	recordsPerLease  = 20 // retries of reading or storing the record without a reply
 )
 
-// seedStream separates the Scheduler's random numbers from those of other users of the same seed. It spells task in ASCII.
+// seedStream separates the Scheduler's random numbers from those of other users of the same seed. Its bytes are the word task in ASCII.
 const seedStream = 0x7461736b
 
 // Options are Run's parameters.
 type Options struct {
-	Name          string // of the process
+	Name          string // name of the process
 	Tasks         []task.Declaration
 	Leases        raftgroup.Requester
 	Drift         float64       // largest relative error of a process's clock rate
@@ -48,7 +48,7 @@
 	ListenAddress func() string // address of the daemon's listener, for calls
 	MaxRuns       int           // maximum number of runs at once
 	Seed          uint64
-	Draining      func() bool // reports whether the process is draining; it starts no run then
+	Draining      func() bool // reports whether the process is draining; a draining process starts no run
 	Now           func() time.Time
 	Log           *slog.Logger
 }
@@ -135,7 +135,7 @@
 		Drift: r.options.Drift, Margin: t.declaration.Margin.D(), RetryInterval: t.leaseDuration() / requestsPerLease}, c)
 	nextDue, err := c.result()
 	if err != nil {
-		r.options.Log.Warn("task: attempt failed", "task", t.name(), "reason", err)
+		r.options.Log.Warn("task: failed to acquire the task's lease or to carry out its run", "task", t.name(), "reason", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/task/scheduler.go
+++ b/internal/task/scheduler.go
@@ -10,8 +10,8 @@
 // SchedulerOptions are a Scheduler's parameters.
 type SchedulerOptions struct {
 	MaxRuns         int           // maximum number of tasks claimed at once
-	Spread          time.Duration // a claim is delayed at random by up to Spread after the due time, and by Spread more for each run in this process
-	RecheckInterval time.Duration // mean time until the lease of a task that another process holds is requested again: that process may be lost
+	Spread          time.Duration // largest random delay of a claim after the due time; the delay grows by Spread for each run in this process
+	RecheckInterval time.Duration // mean time after which a lease that another process holds is requested again, because that process may be lost
 }
 
 // Scheduler decides when this process tries to acquire the lease of each task. It is not safe for concurrent use.
@@ -33,7 +33,7 @@
 type scheduledTask struct {
 	name        string
 	priority    int
-	nextAttempt time.Time // zero: never
+	nextAttempt time.Time // the zero time if the task is never to be claimed
 	claimed     bool
 	running     bool
 }
@@ -49,7 +49,7 @@
 	slices.SortStableFunc(s.tasks, func(a, b *scheduledTask) int { return cmp.Compare(b.priority, a.priority) })
 }
 
-// SetDraining says whether the process is draining. While it is, Due returns no tasks.
+// SetDraining sets whether the process is draining. While the process is draining, Due returns no tasks.
 func (s *Scheduler) SetDraining(on bool) { s.draining = on }
 
 // Due claims and returns the tasks whose leases are to be acquired now.
@@ -122,7 +122,7 @@
 // isPending reports whether a task is to be claimed at its nextAttempt.
 func (t *scheduledTask) isPending() bool { return !t.claimed && !t.nextAttempt.IsZero() }
 
-// findClaimed returns the task if it is claimed, nil otherwise.
+// findClaimed returns the task if it is claimed, or nil otherwise.
 func (s *Scheduler) findClaimed(name string) *scheduledTask {
 	for _, t := range s.tasks {
 		if t.name == name && t.claimed {
--- a/internal/task/scheduler_test.go
+++ b/internal/task/scheduler_test.go
@@ -29,7 +29,7 @@
 	s.Started("high")
 	s.Waiting("middle", now.Add(time.Minute))
 	if names := fmt.Sprint(s.Due(now)); names != "[low]" {
-		t.Errorf("after one claim has ended, claims %s, want [low]", names)
+		t.Errorf("after one claim has ended, the process claims %s, want [low]", names)
 	}
 	s.HeldElsewhere(now, "low")
 	next, ok := s.Next()
@@ -41,6 +41,6 @@
 		s.Waiting("high", now) // has no effect: the task is not claimed any more
 	}
 	if names := fmt.Sprint(s.Due(now.Add(time.Hour))); names != "[middle low]" {
-		t.Errorf("one hour later, claims %s, want [middle low]", names)
+		t.Errorf("one hour later, the process claims %s, want [middle low]", names)
 	}
 }
