--- a/internal/handover/frame.go
+++ b/internal/handover/frame.go
@@ -76,7 +76,7 @@
 	case len(payload) < int(length):
 		return 0, nil, io.ErrUnexpectedEOF
 	case crc32.Checksum(payload, castagnoli) != binary.BigEndian.Uint32(header[checksumOffset:]):
-		return 0, nil, fmt.Errorf("%w: wrong payload checksum", ErrProtocol)
+		return 0, nil, fmt.Errorf("%w: the payload does not match the checksum in the header", ErrProtocol)
 	}
 	return kind, payload, nil
 }
--- a/internal/handover/frame_test.go
+++ b/internal/handover/frame_test.go
@@ -29,7 +29,7 @@
 		at := rapid.IntRange(0, len(changed)-1).Draw(t, "at")
 		changed[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
 		k, got, err := Read(bytes.NewReader(changed))
-		if err == nil && (at != kindOffset || k == kind || !bytes.Equal(got, payload)) { // another valid kind is read; its receiver checks it
+		if err == nil && (at != kindOffset || k == kind || !bytes.Equal(got, payload)) { // the changed kind may be another valid kind, which Read accepts and the receiver of the message checks
 			t.Fatalf("a message with a changed bit in byte %d was read as kind %v, want an error", at, k)
 		}
 	})
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -27,7 +27,8 @@
 	return filepath.Join(folder, fmt.Sprintf("orchiddrift-%016x.sock", xxhash.Sum64String(own.Name+"\x00"+own.Listen)))
 }
 
-// Link is the connection between a process and its successor. Its Send methods are safe for concurrent use; Next has one caller.
+// Link is the connection between a process and its successor. Its Send methods are safe for concurrent use. Only one goroutine may call
+// Next.
 type Link struct{ conn *net.UnixConn }
 
 // Send sends a message without payload.
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -56,8 +56,8 @@
 }
 
 // TestQueuedConnectionsSurvive guards against connections that are reset in an upgrade: those in the accept queue of the old process are
-// accepted by the successor, which has the same socket. For comparison it logs how many are accepted if both processes have their own
-// socket with SO_REUSEPORT.
+// accepted by the successor, which has the same socket. For comparison the test logs how many connections are answered if each process has
+// its own socket with SO_REUSEPORT.
 func TestQueuedConnectionsSurvive(t *testing.T) {
 	path, own := filepath.Join(t.TempDir(), "a.sock"), Identity{"n1", "127.0.0.1:0"}
 	clientListener, links := startOffer(t, path, own)
@@ -152,8 +152,8 @@
 }
 
 // TestOfferSurvivesStrangers guards against an offer that passes the socket to other sidecars or to clients that do not follow the
-// protocol, or that fails because of them. It takes over the path of a process that has ended, rejects such clients, and then checks the
-// messages between the predecessor and a successor until the successor ends.
+// protocol, or that fails because of them. The offer takes over the path of a process that has ended and must reject such clients. Then the
+// test checks the messages between the predecessor and a successor until the successor ends.
 func TestOfferSurvivesStrangers(t *testing.T) {
 	path, own := filepath.Join(t.TempDir(), "left.sock"), Identity{"n1", "127.0.0.1:9"}
 	ended, err := Listen(path)
@@ -225,7 +225,7 @@
 				conn.Close()
 			}()
 			if _, _, _, err := Request(path, own); err == nil {
-				t.Error("the request succeeded, want an error")
+				t.Error("the successor accepted the hand-over of a broken predecessor, want an error")
 			}
 		})
 	}
--- a/internal/handover/offer.go
+++ b/internal/handover/offer.go
@@ -33,12 +33,12 @@
 		return nil, fmt.Errorf("the path %s is too long for a Unix socket", path)
 	}
 	temporary := fmt.Sprintf("%s.%d", path[:len(path)-len(socketSuffix)], os.Getpid()%temporaryPathNumbers)
-	_ = os.Remove(temporary) // left by a process with the same number that crashed
+	_ = os.Remove(temporary) // left by a crashed process that used the same number
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	listener.SetUnlinkOnClose(false) // by then the path may belong to a successor
+	listener.SetUnlinkOnClose(false) // when the listener is closed, the path may belong to a successor
 	if err := errors.Join(os.Chmod(temporary, socketFileMode), os.Rename(temporary, path)); err != nil {
 		listener.Close()
 		_ = os.Remove(temporary)
@@ -57,13 +57,13 @@
 	link := &Link{conn}
 	if err := link.welcome(own, clientListener, state); err != nil {
 		link.Close()
-		return nil, fmt.Errorf("%w: %w", ErrNoSuccessor, err)
+		return nil, fmt.Errorf("%w: the hand-over to the connected process failed: %w", ErrNoSuccessor, err)
 	}
 	return link, nil
 }
 
-// Close ends the offer. It does not remove the socket's path, which may belong to a successor by then; otherwise connections to
-// it are refused.
+// Close ends the offer. It does not remove the socket's path, which may belong to a successor by then. If the path still belongs to this
+// process, connections to it are refused.
 func (o *Offer) Close() error { return o.listener.Close() }
 
 // welcome receives Hello and sends Welcome, within stepTimeout.
--- a/internal/handover/request.go
+++ b/internal/handover/request.go
@@ -66,8 +66,8 @@
 	return state, listener, l.conn.SetReadDeadline(time.Time{})
 }
 
-// maxReceivedDescriptors is the number of descriptors that one read can receive. The protocol passes one; the kernel closes any beyond the
-// limit.
+// maxReceivedDescriptors is the number of descriptors that one read can receive. The protocol passes one descriptor. The kernel closes the
+// descriptors beyond the limit.
 const maxReceivedDescriptors = 4
 
 // descriptorSize is the size of a descriptor in a control message, in bytes.
@@ -108,7 +108,7 @@
 	syscall.CloseOnExec(r.descriptors[0])
 	f := os.NewFile(uintptr(r.descriptors[0]), "clients")
 	r.descriptors = nil
-	defer f.Close() // FileListener duplicates it
+	defer f.Close() // FileListener duplicates the descriptor
 	return net.FileListener(f)
 }
 
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -25,7 +25,7 @@
 
 // Service is the state of one service.
 type Service struct {
-	Discovery string             `json:"discovery,omitempty"` // the address that List came from; a successor with another address ignores List
+	Discovery string             `json:"discovery,omitempty"` // address of the discovery service that List came from; a successor with another address ignores List
 	List      *endpoints.List    `json:"list,omitempty"`
 	Snapshot  *balancer.Snapshot `json:"learnt,omitempty"`
 }
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -21,8 +21,8 @@
 const (
 	Serving  State = iota
 	Draining       // not ready: clients are asked to disconnect; may return to Serving
-	Replaced       // a successor serves: completes its requests, then ends
-	Stopping       // no successor: accepts connections for acceptPeriod, completes its requests, then ends
+	Replaced       // a successor serves; this process completes its requests, then ends
+	Stopping       // no successor serves; this process accepts connections for acceptPeriod, completes its requests, then ends
 )
 
 // String returns the state's name, as it is logged and reported at the control address.
@@ -38,7 +38,8 @@
 	drainClosePeriod = 600 * time.Millisecond
 	// drainCloseAllPeriod is the time from the start of Draining after which connections idle for shortIdle are closed.
 	drainCloseAllPeriod = 2500 * time.Millisecond
-	// replacedCloseAllLead is how long before the end of the grace period Replaced begins to close connections idle for shortIdle.
+	// replacedCloseAllLead is the time before the end of the grace period at which a process in state Replaced begins to close connections
+	// that have been idle for shortIdle.
 	replacedCloseAllLead = 400 * time.Millisecond
 
 	longIdle  = time.Second
@@ -55,9 +56,9 @@
 
 // Machine is the state machine of one process. It is not safe for concurrent use. All times are on the caller's clock.
 type Machine struct {
-	gracePeriod time.Duration // from Replaced or Stopping to Abort
+	gracePeriod time.Duration // time from the start of Replaced or Stopping until unanswered requests are failed
 	state       State
-	since       time.Duration // start of state
+	since       time.Duration // start of the current state
 }
 
 // New returns a Machine in state Serving. Unanswered requests are failed a grace period after Stop.
@@ -132,7 +133,8 @@
 }
 
 // closeGradually returns the results of IdleTimeout for a process whose clients can connect to another one. age is the time since the state
-// began. First only connections that have been idle for longIdle are closed, and after closeAllPeriod those idle for shortIdle.
+// began. At first only connections that have been idle for longIdle are closed, and after closeAllPeriod also connections that have been
+// idle for shortIdle.
 func closeGradually(age, closeAllPeriod time.Duration) (idle, next time.Duration, closing bool) {
 	switch {
 	case age < drainClosePeriod:
--- a/internal/lifecycle/machine_test.go
+++ b/internal/lifecycle/machine_test.go
@@ -17,8 +17,8 @@
 	"replaced": func(m *Machine, now time.Duration) bool { m.Stop(now, true); return true },
 }
 
-// TestEveryPairOfEvents checks the state after each pair of events: Stopping and Replaced are final, a second event of the same kind does
-// not restart the periods of the state, and Undrain reverts Drain.
+// TestEveryPairOfEvents checks the state after each pair of events. Stopping and Replaced must be final, a second event of the same kind
+// must not restart the times that count from the start of the state, and Undrain must return a draining process to Serving.
 func TestEveryPairOfEvents(t *testing.T) {
 	type want struct {
 		state    State
@@ -43,7 +43,7 @@
 					w.state, w.accepted)
 			}
 			if first == second && m.since != time.Second && first != "undrain" {
-				t.Errorf("a second %s restarted the periods of the state", first)
+				t.Errorf("a second %s event restarted the times that count from the start of the state", first)
 			}
 		}
 	}
@@ -87,15 +87,15 @@
 		}
 		_, abort := m.Abort(now)
 		if m.Ready() != c.ready || m.CloseAfterAnswer() != c.closeAfterAnswer || m.Accepts(now) != c.accepts || idle != c.idle || abort != c.abort {
-			t.Errorf("%s and %v later: ready %v, close after answer %v, accepts %v, idle timeout %v, abort %v", c.event, c.age, m.Ready(),
+			t.Errorf("wrong outputs after event %s and %v later: ready %v, close after answer %v, accepts %v, idle timeout %v, abort %v", c.event, c.age, m.Ready(),
 				m.CloseAfterAnswer(), m.Accepts(now), idle, abort)
 		}
 	}
 }
 
 // TestAnySequenceOfEvents checks that Stopping and Replaced are final and abort at the end of the grace period; that a draining process
-// closes all unused connections within 4 s; and that IdleTimeout asks for its next call in the future, and not later than its result
-// changes.
+// closes all unused connections within 4 s; and that the next call that IdleTimeout asks for is in the future, and not later than the next
+// change of its result.
 func TestAnySequenceOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, now := New(testGracePeriod), time.Duration(0)
@@ -125,13 +125,13 @@
 		t.Fatalf("%v: IdleTimeout is to be called again in %v, want a positive time", m.State(), next)
 	}
 	if before, _, _ := m.IdleTimeout(now + next - 1); before != idle {
-		t.Fatalf("%v at %v: the idle timeout changes before its next call in %v", m.State(), now-m.since, next)
+		t.Fatalf("%v at %v: the idle timeout changes before the next call of IdleTimeout, which is due in %v", m.State(), now-m.since, next)
 	}
 	if m.State() == Draining && now-m.since >= 3*time.Second && (!closing || idle > shortIdle) {
 		t.Fatalf("%v after %v: idle connections are not closed", m.State(), now-m.since)
 	}
 	if left, abort := m.Abort(now); m.Ending() && abort != (now-m.since >= testGracePeriod) || !abort && left > testGracePeriod {
-		t.Fatalf("%v after the start of the state: abort %v, time left %v", now-m.since, abort, left)
+		t.Fatalf("wrong result of Abort %v after the start of the state: abort %v, time left %v", now-m.since, abort, left)
 	}
 	return next
 }
