--- a/grpcbalancer/admission_test.go
+++ b/grpcbalancer/admission_test.go
@@ -30,13 +30,13 @@
 	if id := <-arrived; id != "0" {
 		t.Fatal(id)
 	}
-	for i := range 8 { // three of them wait, and five are rejected
+	for i := range 8 { // three of the calls wait, and five are rejected
 		calls.start(t.Context(), "flood", fmt.Sprint("f", i))
 	}
 	calls.awaitCount(t, 5)
 	calls.checkAllRejected(t, 5)
 	calls.start(t.Context(), "quiet", "q")
-	calls.awaitCount(t, 6) // a waiting call of the flood is rejected in its place
+	calls.awaitCount(t, 6) // a waiting call of the flood is rejected to make room for the call q
 	ctx, leave := context.WithCancel(t.Context())
 	calls.start(ctx, "leaves", "l")
 	calls.awaitCount(t, 7)
@@ -132,7 +132,7 @@
 	}
 }
 
-// retryDelay returns the delay in an error's RetryInfo; 0 if it has none.
+// retryDelay returns the delay in an error's RetryInfo, or 0 if the error has no RetryInfo.
 func retryDelay(err error) time.Duration {
 	for _, detail := range status.Convert(err).Details() {
 		if info, ok := detail.(*errdetails.RetryInfo); ok {
--- a/grpcbalancer/attempt.go
+++ b/grpcbalancer/attempt.go
@@ -21,8 +21,8 @@
 	plugin   *Plugin
 	upstream string
 	instance endpoints.Instance
-	sendBy   time.Time               // picks fail from this time on; zero: no limit
-	caller   context.Context         // the callers' context; picks fail once it has ended
+	sendBy   time.Time               // time from which picks fail; the zero time if there is no limit
+	caller   context.Context         // context of the callers; picks fail once it has ended
 	cancel   context.CancelCauseFunc // ends the RPC
 
 	mu           sync.Mutex
--- a/grpcbalancer/call.go
+++ b/grpcbalancer/call.go
@@ -22,8 +22,8 @@
 	requestIDWords      = 1 // 64-bit random words in a generated request id
 	idempotencyKeyWords = 2 // 64-bit random words in a generated idempotency key
 
-	// deadlineTicks is the tolerance for a call's deadline, in ticks of the engine: a call that ends within so many ticks before its
-	// deadline counts as past it, because the engine ends calls on its ticks.
+	// deadlineTicks is the tolerance for a call's deadline, in ticks of the engine: a call that ends less than this number of ticks before
+	// its deadline counts as past its deadline, because the engine ends calls on its ticks.
 	deadlineTicks = 4
 )
 
@@ -63,7 +63,7 @@
 			Deadline: p.engine.Clock().Now() + class.Deadline,
 		},
 	}
-	if p.admission != nil { // before a key is generated: a client's retry would get another one
+	if p.admission != nil { // computed before a key is generated, because the client's retry would get another generated key
 		c.fingerprint = xxhash.Sum64String(method + "\x00" + firstValue(md, IdempotencyKey))
 	}
 	if c.ID == "" {
@@ -80,7 +80,7 @@
 	return ctx, c
 }
 
-// costHint returns the expected work that the caller states in CostKey; 0 if it is absent, malformed or out of range.
+// costHint returns the expected work that the caller states in CostKey. It returns 0 if the value is absent, malformed or out of range.
 func costHint(md metadata.MD) time.Duration {
 	micros, err := strconv.ParseFloat(firstValue(md, CostKey), 64)
 	if err == nil && micros > 0 && micros < maxCostHint.Seconds()*microsPerSecond {
--- a/grpcbalancer/cancellation_test.go
+++ b/grpcbalancer/cancellation_test.go
@@ -91,7 +91,7 @@
 		testutil.Eventually(t, "the calls are in flight", func() bool { return plugin.InHand() == callers || method == record && plugin.InHand() == 1 })
 		leave()
 		calls.Wait()
-		// If calls stay in flight for longer, they are sent after release, and the check of the executed calls fails.
+		// If calls are still in flight after this wait, they are sent after release, and the check of the executed calls fails.
 		for end := time.Now().Add(500 * time.Millisecond); plugin.InHand() > 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
--- a/grpcbalancer/credentials_test.go
+++ b/grpcbalancer/credentials_test.go
@@ -54,7 +54,7 @@
 		f, conn, _ := newEncryptedFleet(t, ca, identity, nil, "node.example")
 		_, err := invoke(t.Context(), conn, confirm)
 		if status.Code(err) != want || err != nil && grpcbalancer.MayHaveRun(err) {
-			t.Errorf("identity %q: the call has the wrong status, or may have run in spite of a failed handshake: %v", identity, err)
+			t.Errorf("identity %q: the call ended with the wrong status, or with an error that says it may have run although the handshake failed: %v", identity, err)
 		}
 		if n := f.ledger.Nodes()["node.example"].Executed; (n > 0) != (want == codes.OK) {
 			t.Errorf("identity %q: %d calls ran on the node, want one exactly if the certificate has the identity", identity, n)
--- a/grpcbalancer/determinism_test.go
+++ b/grpcbalancer/determinism_test.go
@@ -83,6 +83,6 @@
 		}
 	}
 	if first == other {
-		t.Error("another seed gave the same trace")
+		t.Error("two runs with different seeds gave the same trace")
 	}
 }
--- a/grpcbalancer/idempotency.go
+++ b/grpcbalancer/idempotency.go
@@ -30,8 +30,8 @@
 }
 
 // invokeOnce answers a call with the result of the first call that has its key, and sends the call if it is the first. It blocks until the
-// result is known or ctx ends. The attempts run in the executor's goroutine, because other callers may still wait for the result when this
-// one has left. Headers and trailers are not stored, so the caller's output options receive none.
+// result is known or ctx ends. The attempts run in the executor's goroutine, because other callers may still wait for the result when the
+// caller of invokeOnce has left. Headers and trailers are not stored, so the caller's output options receive none.
 func (u *unaryCall) invokeOnce(ctx context.Context, key string) error {
 	request, ok := u.req.(proto.Message)
 	reply, replyOK := u.reply.(proto.Message)
--- a/grpcbalancer/idempotency_test.go
+++ b/grpcbalancer/idempotency_test.go
@@ -17,9 +17,9 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// A repeated call with the caller's idempotency key gets the answer of the first call: while the first call runs, after it has ended, and
-// also if its caller has left. A different request with the same key is rejected as a conflict, and calls without a caller's key are all
-// sent. Two Plugins that share a store behave like one.
+// A repeated call with the caller's idempotency key gets the answer of the first call. This holds while the first call runs, after it has
+// ended, and also if the first caller has left. A different request with the same key is rejected as a conflict, and calls without a
+// caller's key are all sent. Two Plugins that share a store behave like one.
 func TestRepeatedIdempotencyKey(t *testing.T) {
 	t.Run("one plug-in", func(t *testing.T) { testRepeatedIdempotencyKey(t, newKeyedCalls(t, 1, "")) })
 	t.Run("two plug-ins with a shared store", func(t *testing.T) {
@@ -52,7 +52,7 @@
 		t.Errorf("different request with the same key: got %v, want INVALID_ARGUMENT", err)
 	}
 	if len(calls.arrived) > 0 {
-		t.Error("a repeated call was sent to a node")
+		t.Error("a call with an idempotency key that was used before was sent to a node, want only the first call sent")
 	}
 	calls.start(t.Context(), "")
 	calls.start(t.Context(), "")
@@ -65,7 +65,8 @@
 	}
 }
 
-// keyedCalls makes calls of one class, in turn on several ClientConns, to two nodes that answer one request for each value of release.
+// keyedCalls makes calls of one class with an idempotency key, in turn on several ClientConns. The two nodes answer one request for each
+// value that is sent to release.
 type keyedCalls struct {
 	conns   []*grpc.ClientConn
 	started int
--- a/grpcbalancer/message.go
+++ b/grpcbalancer/message.go
@@ -10,7 +10,7 @@
 // messageType creates messages of the same type as a caller's message. It is determined before the call begins, because one attempt may
 // write to the caller's message while another attempt needs a new message.
 type messageType struct {
-	proto protoreflect.MessageType // nil: not a protobuf message
+	proto protoreflect.MessageType // nil if the message is not a protobuf message
 	plain reflect.Type             // the type that the message points to, if proto is nil
 }
 
--- a/grpcbalancer/methods_test.go
+++ b/grpcbalancer/methods_test.go
@@ -13,7 +13,7 @@
 	for _, c := range []struct {
 		method  string
 		mapping map[string]string
-		classes []balancer.Class // nil: the classes of settings
+		classes []balancer.Class // if nil, the classes of settings
 		retried bool
 	}{
 		{search, nil, nil, true},
--- a/grpcbalancer/options.go
+++ b/grpcbalancer/options.go
@@ -11,10 +11,10 @@
 
 // Options are a Plugin's parameters. At least one of Discovery, Endpoints and a File with registries must be set.
 type Options struct {
-	Service   string            // name of the service in targets and in the calls' authority; empty: "service"
+	Service   string            // name of the service in targets and in the calls' authority; if empty, "service"
 	Settings  balancer.Settings // the daemon's settings, which LoadOptions reads from the same file format
 	Seed      uint64            // seed of all random numbers; use a new one for each start
-	Discovery string            // address of the platform's discovery service; empty: Endpoints is the list
+	Discovery string            // address of the platform's discovery service; if empty, Endpoints is the list
 	Endpoints []Endpoint        // the endpoint list as last known
 	Version   int64             // Discovery's version of Endpoints
 
@@ -22,11 +22,11 @@
 	// the idempotency_level of its proto: NO_SIDE_EFFECTS selects the first idempotent class, IDEMPOTENT the first class that is idempotent
 	// with an idempotency key. All other methods are non-idempotent: they are retried only if it is proved that they did not run.
 	Methods map[string]string
-	// Answers are the status codes that count as the application's answer and not as a failure of the upstream; nil: those that concern the
-	// request (INVALID_ARGUMENT, NOT_FOUND, ...; not UNAVAILABLE, INTERNAL, UNKNOWN and the like).
+	// Answers are the status codes that count as the application's answer and not as a failure of the upstream. If it is nil, they are the
+	// codes that concern the request (INVALID_ARGUMENT, NOT_FOUND, ...; not UNAVAILABLE, INTERNAL, UNKNOWN and the like).
 	Answers []codes.Code
-	Files   *protoregistry.Files // where idempotency levels are looked up; nil: protoregistry.GlobalFiles
-	Log     func(string)         // receives each log line; nil: log lines are dropped
+	Files   *protoregistry.Files // where idempotency levels are looked up; if nil, protoregistry.GlobalFiles
+	Log     func(string)         // receives each log line; if nil, log lines are dropped
 	// File is the path of an operator's file in the daemon's format. The Plugin uses these sections of its service:
 	//   - [[eureka]]: registries that list upstreams, alone or merged with Discovery or Endpoints as [membership] configures
 	//   - [[door]]: admission control that is fair between tenants or clients, which are identified by metadata
@@ -34,7 +34,7 @@
 	//   - [service.warm]: connections are opened before calls need them, once a ClientConn has been used
 	//   - [[repeats]]: a repeat of a unary call with the caller's idempotency key gets the answer of the first call
 	File string
-	// TLS configures encrypted connections, and DialOptions then include the credentials; nil: the caller adds credentials.
+	// TLS configures encrypted connections, and DialOptions then include the credentials. If TLS is nil, the caller adds credentials.
 	TLS *TLS
 }
 
@@ -45,8 +45,8 @@
 	Zone    string
 	Type    string    // machine type
 	Group   int       // number of the upstream's cell
-	Since   time.Time // time of the upstream's last start; zero: long ago
-	// Identity is the DNS name or URI that the upstream's certificate must have; empty: TLS.Name.
+	Since   time.Time // time of the upstream's last start; the zero time means that it was long ago
+	// Identity is the DNS name or URI that the upstream's certificate must have. If it is empty, TLS.Name applies.
 	Identity string
 }
 
@@ -73,7 +73,7 @@
 	reconnectMultiplier = 1.6
 	reconnectJitter     = 0.2
 
-	maxSubConns = 4096 // maximum SubConns of a ClientConn, as assumed by prewarming, which uses a configured share of them
+	maxSubConns = 4096 // number of SubConns of a ClientConn of which prewarming may open a configured share
 )
 
 // Labels that are combined with Options.Seed to get independent random numbers. They must not change, since a seed would then lead to other
--- a/grpcbalancer/outcome.go
+++ b/grpcbalancer/outcome.go
@@ -17,7 +17,7 @@
 	streamNotProcessed bool       // HTTP/2 proves that the upstream did not process the stream: REFUSED_STREAM, or GOAWAY with a lower id
 	markedNotProcessed bool       // the trailers state that the request did not run (notProcessedKey)
 	code               codes.Code // the RPC's status
-	contextCause       error      // cause of the end of the attempt's context; nil: it has not ended, or the connect timer ended it
+	contextCause       error      // cause of the end of the attempt's context; nil if the context has not ended or the connect timer ended it
 }
 
 // result classifies the attempt for the engine. applicationCodes are the codes that count as answered (Options.Answers). Only
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -46,15 +46,15 @@
 
 	registry       *endpoints.Registry
 	registrySink   *discovery.RegistrySink
-	subsetSink     *discovery.SubsetSink   // passes a subset of each list to registrySink; nil: all upstreams are used
+	subsetSink     *discovery.SubsetSink   // passes a subset of each list to registrySink; nil if all upstreams are used
 	sink           endpoints.Sink          // receives the lists of the sources: subsetSink, or registrySink if that is nil
-	mergedSource   *discovery.MergedSource // nil: there is at most one source
+	mergedSource   *discovery.MergedSource // merges several sources; nil if there is at most one
 	listFromCaller bool                    // the list is given with SetEndpoints, not by Discovery
 
-	credentials *transportCredentials  // nil: the caller adds credentials
-	admission   *controller.Controller // nil: calls do not queue
-	executor    *executor.Executor     // nil: repeated idempotency keys are not recognised
-	prewarming  *prewarming            // nil: connections are made as calls need them
+	credentials *transportCredentials  // nil if the caller adds credentials
+	admission   *controller.Controller // nil if calls do not queue
+	executor    *executor.Executor     // nil if repeated idempotency keys are not recognised
+	prewarming  *prewarming            // nil if connections are made only when calls need them
 
 	stop       context.CancelFunc // ends the background goroutines
 	background sync.WaitGroup
@@ -129,7 +129,8 @@
 	return checked, nil
 }
 
-// readPluginFile reads the sections of the operator's file that concern the Plugin; empty if there is no file.
+// readPluginFile reads the sections of the operator's file that concern the Plugin. It returns an empty PluginFile if Options.File is not
+// set.
 func readPluginFile(o Options) (config.PluginFile, error) {
 	if o.File == "" {
 		return config.PluginFile{}, nil
--- a/grpcbalancer/prewarm.go
+++ b/grpcbalancer/prewarm.go
@@ -14,7 +14,7 @@
 const prewarmInterval = 100 * time.Millisecond
 
 // prewarming opens connections before calls need them, as package prewarm decides. Each ClientConn has a SubConn of its own to an upstream;
-// the prewarmer sees them as one connection, which is open when all of them are.
+// the prewarmer treats these SubConns as one connection, which is open when all of them are open.
 type prewarming struct {
 	// Used by the goroutine of runPrewarming alone.
 	prewarmer  *prewarm.Prewarmer
@@ -38,7 +38,7 @@
 	w.used[name] = true
 }
 
-// takeUsed returns the upstreams used since the last call.
+// takeUsed returns the names of the upstreams that attempts were sent to since the previous call of takeUsed.
 func (w *prewarming) takeUsed() map[string]bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,7 +57,7 @@
 			return
 		case <-ticker.C:
 		}
-		if balancers := p.currentBalancers(); len(balancers) > 0 { // there is none before a ClientConn has been used
+		if balancers := p.currentBalancers(); len(balancers) > 0 { // no balancer exists before a ClientConn has been used
 			p.prewarmStep(balancers)
 		}
 	}
--- a/grpcbalancer/sources.go
+++ b/grpcbalancer/sources.go
@@ -13,7 +13,7 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// primarySourceName is the name of the source with the list of Discovery or SetEndpoints among the merged sources.
+// primarySourceName names, among the merged sources, the source whose list comes from Discovery or SetEndpoints.
 const primarySourceName = "list"
 
 // openSource returns the source of the endpoint list and the initial list. The source is nil if the list is given with SetEndpoints alone.
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// endpointList returns a snapshot of the given version. It fails on a name that is empty or occurs twice, and on an invalid address.
+// endpointList returns a snapshot of the given version. It returns an error if a name is empty or occurs twice, or if an address is
+// invalid.
 func endpointList(list []Endpoint, version int64) (*endpoints.List, error) {
 	l := &endpoints.List{Index: &version, Snapshot: true}
 	names := map[string]bool{}
--- a/grpcbalancer/stream.go
+++ b/grpcbalancer/stream.go
@@ -53,8 +53,8 @@
 	endOnce             sync.Once
 }
 
-// start has the engine open the stream. Only the first call does so, and blocks until the stream meets the condition wait or has failed;
-// later calls return the same error.
+// start has the engine open the stream. Only the first call of start opens the stream, and blocks until the stream meets the condition wait
+// or has failed. Later calls return the same error.
 func (s *clientStream) start(wait openCondition) error {
 	s.startOnce.Do(func() {
 		defer s.started.Store(true)
@@ -132,10 +132,10 @@
 	if err == nil && s.desc.ServerStreams {
 		return nil
 	}
-	return s.end(err) // nil for the one response of a client stream
+	return s.end(err) // err is nil for the only response of a client stream
 }
 
-// end classifies the end of an open stream, reports it, and returns the error for the caller: nil and io.EOF stay as they are.
+// end classifies the end of an open stream, reports it, and returns the error for the caller, which is err itself if err is nil or io.EOF.
 func (s *clientStream) end(err error) error {
 	if s.ctx.Err() != nil && err != nil && err != io.EOF {
 		s.reportEnd(balancer.Cancelled, s.ctx.Err())
@@ -203,7 +203,7 @@
 // openCondition is the condition under which the stream of an attempt counts as open, and the attempt as served. The zero value waits for
 // neither header nor message.
 type openCondition struct {
-	firstMessageType *messageType // type of the first response message, which is waited for; nil: no wait for a message
+	firstMessageType *messageType // type of the first response message, which is waited for; nil if no message is waited for
 	header           bool         // wait for the header, if firstMessageType is nil
 }
 
--- a/grpcbalancer/stream_test.go
+++ b/grpcbalancer/stream_test.go
@@ -102,7 +102,7 @@
 	conn, plugin := f.dial(t, nil)
 	got, err := receiveAll(openServerStream(t, t.Context(), conn, search, 10, time.Millisecond))
 	if err == nil || len(got) == 0 || len(got) >= 10 || !grpcbalancer.MayHaveRun(err) || status.Code(err) == codes.Unavailable {
-		t.Errorf("stream that broke after its first message: got messages %v and error %v", got, err)
+		t.Errorf("stream that broke after its first message: got messages %v and error %v, want 1 to 9 messages and an error, other than UNAVAILABLE, of a call that may have run", got, err)
 	}
 	if n := f.ledger.Nodes(); n["n0"].Arrived+n["n1"].Arrived != 1 {
 		t.Errorf("the stream was not sent exactly once; requests by node: %+v", n)
@@ -194,7 +194,7 @@
 	testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 }
 
-// A client stream that breaks when it is open is not retried, even if its class is idempotent: messages were sent on it.
+// A client stream that breaks after it was opened is not retried, even if its class is idempotent, because messages were sent on it.
 func TestClientStreamIsNeverRetried(t *testing.T) {
 	f := newFleet(t, withFault(fakes.ResetAfter), withFault(fakes.ResetAfter))
 	conn, plugin := f.dial(t, nil)
--- a/grpcbalancer/subset_test.go
+++ b/grpcbalancer/subset_test.go
@@ -41,7 +41,7 @@
 	second := callNodes()
 	for name := range second {
 		if first[name] {
-			t.Errorf("node %s gets calls although it is no longer listed", name)
+			t.Errorf("node %s got calls although the endpoint list does not contain it any more", name)
 		}
 	}
 	if len(second) < 2 || len(second) > 4 {
--- a/grpcbalancer/unary_test.go
+++ b/grpcbalancer/unary_test.go
@@ -63,7 +63,7 @@
 				arrived += n.Arrived
 			}
 			if runs := len(f.ledger.Operation("op-non-idempotent").Executions); arrived != c.nonIdempotentAttempts || runs != c.nonIdempotentRuns {
-				t.Errorf("non-idempotent call: arrived %d times and ran %d times", arrived, runs)
+				t.Errorf("non-idempotent call: the number of arrivals, %d, or of runs, %d, is not the expected one", arrived, runs)
 			}
 			if _, err = invoke(t.Context(), conn, search); err == nil {
 				t.Error("idempotent call: served although every node has the fault")
@@ -73,7 +73,7 @@
 				after += n.Arrived
 			}
 			if after-arrived < c.minIdempotentAttempts {
-				t.Errorf("idempotent call: sent only %d times, error %v", after-arrived, err)
+				t.Errorf("idempotent call: sent only %d times, fewer than the test expects, with error %v", after-arrived, err)
 			}
 			testutil.Eventually(t, "no call is in flight", func() bool { return plugin.InHand() == 0 })
 		})
@@ -266,7 +266,7 @@
 		keys[op.Key] = op.ID
 	}
 	if len(keys) == 0 {
-		t.Error("no call ran")
+		t.Error("none of the 20 calls ran on a node, so there were no idempotency keys to compare")
 	}
 }
 
