--- a/internal/task/scheduler.go
+++ b/internal/task/scheduler.go
@@ -10,7 +10,7 @@
 // SchedulerOptions are a Scheduler's parameters.
 type SchedulerOptions struct {
 	MaxRuns         int           // maximum number of tasks claimed at once
-	Spread          time.Duration // largest random delay of a claim after the due time; the delay grows by Spread for each run in this process
+	Spread          time.Duration // a claim is delayed after its due time by a random time below Spread, plus Spread for each run in this process
 	RecheckInterval time.Duration // mean time after which a lease that another process holds is requested again, because that process may be lost
 }
 
