--- a/grpcbalancer/attempt.go
+++ b/grpcbalancer/attempt.go
@@ -14,7 +14,7 @@
 
 // attempt is one attempt of a call, to the upstream that the engine decided on. It is also the context of the attempt's RPC, in which the
 // picker finds it with attemptFromContext. The goroutine that runs the RPC creates and finishes the attempt; in between, the picker,
-// streamDone and the connect timer record its evidence.
+// streamDone and the connect timer record what happens to the RPC.
 type attempt struct {
 	context.Context // the engine's context of the attempt
 
--- a/grpcbalancer/config.go
+++ b/grpcbalancer/config.go
@@ -43,7 +43,7 @@
 	if err != nil && !errors.As(err, &problems) {
 		return Options{}, nil, err
 	}
-	if c == nil { // the file was rejected; the section that can still be read is checked
+	if c == nil { // the file was rejected; the section "grpc" is checked if it can be read
 		c = parseSections(text)
 	}
 	if c.GRPC == nil {
--- a/grpcbalancer/credentials.go
+++ b/grpcbalancer/credentials.go
@@ -23,7 +23,7 @@
 	CA          string // PEM file of the certificate authorities that must have signed the upstreams' certificates
 	Name        string // DNS name or URI that the certificate of an Endpoint without Identity must have; if empty, the Endpoint's address
 	Certificate string // PEM file of the client certificate presented to upstreams; if empty, none is presented
-	Key         string // PEM file of its private key
+	Key         string // PEM file of the client certificate's private key
 }
 
 const (
--- a/grpcbalancer/options.go
+++ b/grpcbalancer/options.go
@@ -16,7 +16,7 @@
 	Seed      uint64            // seed of all random numbers; use a new one for each start
 	Discovery string            // address of the platform's discovery service; if empty, Endpoints is the list
 	Endpoints []Endpoint        // the endpoint list as last known
-	Version   int64             // Discovery's version of Endpoints
+	Version   int64             // version that Discovery gave to the list in Endpoints
 
 	// Methods maps "/package.Service/Method" and "/package.Service/*" to classes of Settings. A method that is not mapped is classified by
 	// the idempotency_level of its proto: NO_SIDE_EFFECTS selects the first idempotent class, IDEMPOTENT the first class that is idempotent
@@ -53,7 +53,7 @@
 // Metadata keys of a call, which are sent with each attempt. Values that the caller sets stay as they are.
 const (
 	RequestIDKey   = "x-request-id"    // id of the call, the same for all its attempts; generated if the caller sets none
-	IdempotencyKey = "idempotency-key" // for classes that are idempotent with a key; generated if the caller sets none
+	IdempotencyKey = "idempotency-key" // key of a call whose class is idempotent with a key; generated if the caller sets none
 	TenantKey      = "x-tenant-id"     // tenant of the call; never generated
 	CostKey        = "x-cost"          // expected work in microseconds; never generated
 )
--- a/grpcbalancer/plugin.go
+++ b/grpcbalancer/plugin.go
@@ -41,8 +41,8 @@
 	methods          *methods
 	applicationCodes map[codes.Code]bool // status codes that count as answered
 	connectTimeout   time.Duration
-	tick             time.Duration // of the engine
-	callCount        atomic.Int64  // calls so far
+	tick             time.Duration // tick interval of the engine
+	callCount        atomic.Int64  // number of calls so far
 
 	registry       *endpoints.Registry
 	registrySink   *discovery.RegistrySink
--- a/grpcbalancer/stream.go
+++ b/grpcbalancer/stream.go
@@ -35,7 +35,7 @@
 // clientStream implements grpc.ClientStream for the caller. As grpc-go allows, one goroutine may send while another one receives.
 type clientStream struct {
 	*call
-	ctx                         context.Context // the caller's, with the metadata that newCall added
+	ctx                         context.Context // the caller's context, with the metadata that newCall added
 	desc                        *grpc.StreamDesc
 	cc                          *grpc.ClientConn
 	streamer                    grpc.Streamer
@@ -44,7 +44,7 @@
 	request any // the only request message of a server stream
 
 	startOnce sync.Once
-	started   atomic.Bool // start has ended: result or startErr is set and no longer changes
+	started   atomic.Bool // start has set result or startErr, which no longer change
 	result    *streamResult
 	startErr  error
 	answer    engine.Answer
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -163,7 +163,7 @@
 	ended.Close()
 	_, links := startOffer(t, path, own)
 	if _, _, _, err := Request(path, Identity{"n2", own.Listen}); err == nil {
-		t.Error("a process with the identity of another sidecar received the socket")
+		t.Error("a process with the identity of another sidecar received the socket, want an error")
 	}
 	for _, input := range []string{"", "GET / HTTP/1.1\r\n\r\n", string(Append(nil, Ready, nil)), string(Append(nil, Hello, []byte("{}")))} {
 		conn, err := net.Dial("unix", path)
--- a/internal/lease/declaration.go
+++ b/internal/lease/declaration.go
@@ -37,7 +37,7 @@
 	MaxDuration units.Duration      `toml:"longest" default:"5m" reload:"start" doc:"The longest duration of a lease. A request for a longer one gets this duration."`
 	Drift       float64             `toml:"drift" default:"0.01" reload:"start" doc:"The largest relative error of the clock rate of any process, as a fraction."`
 	MaxNames    int                 `toml:"names" default:"10000" reload:"start" doc:"The largest number of leases held at once. A request for another name is then rejected."`
-	MaxTasks    int                 `toml:"tasks" default:"2" reload:"start" doc:"The largest number of [[task]] runs that this process executes at once. 0: none."`
+	MaxTasks    int                 `toml:"tasks" default:"2" reload:"start" doc:"The largest number of [[task]] runs that this process executes at once. If it is 0, this process executes none."`
 	MaxWaiters  int                 `toml:"waiters" default:"1000" reload:"start" doc:"The largest number of processes that wait for one lease."`
 }
 
--- a/internal/lease/raftgroup/messages.go
+++ b/internal/lease/raftgroup/messages.go
@@ -31,7 +31,7 @@
 	LongPoll time.Duration `json:"hold,omitempty"`
 }
 
-// requestAnswer answers a requestCall.
+// requestAnswer answers a requestCall. It has either a reply, or the name of the leader if the member does not lead.
 type requestAnswer struct {
 	Reply  lease.Reply `json:"reply"`
 	Leader string      `json:"leader,omitempty"` // name of the member to ask instead, if Reply has no status
--- a/internal/task/declaration.go
+++ b/internal/task/declaration.go
@@ -35,7 +35,7 @@
 	Delivery      string         `toml:"promise" default:"at-most-once" reload:"start" doc:"With at-most-once a run whose process was lost is not started again; with at-least-once it is."`
 	MaxAttempts   int            `toml:"tries" default:"5" reload:"start" doc:"Maximum number of starts of one run with at-least-once."`
 	MaxDelay      units.Duration `toml:"late" default:"1m" reload:"start" doc:"A run that has not started this long after its due time is missed."`
-	OnMissed      string         `toml:"missed" default:"skip" reload:"start" doc:"With skip missed runs are left out; with latest the latest of them is started."`
+	OnMissed      string         `toml:"missed" default:"skip" reload:"start" doc:"With skip, missed runs are left out. With latest, the latest missed run is started."`
 	Timeout       units.Duration `toml:"limit" default:"10m" reload:"start" doc:"A run is stopped after this long. A run that becomes due meanwhile waits, and is missed after the time set by late."`
 	Priority      int            `toml:"priority" reload:"start" doc:"If a process has no capacity for all due tasks, those of higher priority start first."`
 	LeaseDuration units.Duration `toml:"term" default:"10s" reload:"start" doc:"How long the task's lease remains held after its process stops responding."`
--- a/internal/task/runner/processes_test.go
+++ b/internal/task/runner/processes_test.go
@@ -12,7 +12,7 @@
 	"orchiddrift/internal/testing/processes"
 )
 
-var faultDuration = flag.Duration("for", 8*time.Second, "how long faults go on in TestRunsThroughFaults")
+var faultDuration = flag.Duration("for", 8*time.Second, "how long TestRunsThroughFaults injects faults")
 
 // countLines counts the lines of each task.
 func countLines(lines []sinkLine) map[string]int {
