--- a/grpcbalancer/drain_test.go
+++ b/grpcbalancer/drain_test.go
@@ -48,7 +48,7 @@
 	f := newFleet(t, fakes.NodeOptions{DefaultServiceTime: 500 * time.Millisecond, MaxConcurrentStreams: 1}, fakes.NodeOptions{})
 	conn, plugin := f.dial(t, func(o *grpcbalancer.Options) { o.Endpoints = f.endpoints[:1] })
 	ended := make(chan string, 4)
-	for range 4 { // one is in flight, the others wait in grpc-go
+	for range 4 { // one call is in flight at n0, and the others wait in grpc-go
 		go func() {
 			name, err := invoke(context.Background(), conn, confirm)
 			ended <- fmt.Sprint(name, err)
--- a/grpcbalancer/sources_test.go
+++ b/grpcbalancer/sources_test.go
@@ -38,7 +38,7 @@
 
 	served := flipUnderLoad(t, conn, flipper, 500)
 	if flips, last, wrong := flipper.Result(); len(wrong) > 0 || len(last) < 20 || served < 500 {
-		t.Errorf("%d flips, %d calls served, %d flips with calls after them; calls later than the drain grace: %v", flips, served, len(last), wrong)
+		t.Errorf("after %d status changes: %d calls served (want 500 or more), %d status changes with calls after them (want 20 or more), calls later than the drain grace: %v (want none)", flips, served, len(last), wrong)
 	}
 
 	for _, name := range names {
@@ -110,8 +110,8 @@
 	return answered
 }
 
-// flipUnderLoad flips the nodes' status in the registry while four callers make calls, and returns how many calls were served. Calls may be
-// rejected, but must not fail.
+// flipUnderLoad changes the nodes' status in the registry while four callers make calls, and returns the number of calls that were served.
+// Calls may be rejected, but must not fail.
 func flipUnderLoad(t *testing.T, conn *grpc.ClientConn, flipper *fakes.Flipper, flips int) int64 {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/lease/raftgroup/messages.go
+++ b/internal/lease/raftgroup/messages.go
@@ -31,7 +31,8 @@
 	LongPoll time.Duration `json:"hold,omitempty"`
 }
 
-// requestAnswer answers a requestCall. It has either a reply, or the name of the leader if the member does not lead.
+// requestAnswer answers a requestCall. It has either a reply or, if the member cannot give one, the name of the leader if the member knows
+// it.
 type requestAnswer struct {
 	Reply  lease.Reply `json:"reply"`
 	Leader string      `json:"leader,omitempty"` // name of the member to ask instead, if Reply has no status
