--- a/grpcbalancer/attempt.go
+++ b/grpcbalancer/attempt.go
@@ -14,15 +14,15 @@
 
 // attempt is one attempt of a call, to the upstream that the engine decided on. It is also the context of the attempt's RPC, in which the
 // picker finds it with attemptFromContext. The goroutine that runs the RPC creates and finishes the attempt; in between, the picker,
-// streamDone and the connect timer record its evidence.
+// streamDone and the connect timer record what happens to the RPC.
 type attempt struct {
 	context.Context // the engine's context of the attempt
 
 	plugin   *Plugin
 	upstream string
 	instance endpoints.Instance
-	sendBy   time.Time               // picks fail from this time on; zero: no limit
-	caller   context.Context         // the callers' context; picks fail once it has ended
+	sendBy   time.Time               // time from which picks fail; the zero time if there is no limit
+	caller   context.Context         // context of the callers; picks fail once it has ended
 	cancel   context.CancelCauseFunc // ends the RPC
 
 	mu           sync.Mutex
