--- a/internal/boltfile/boltfile.go
+++ b/internal/boltfile/boltfile.go
@@ -15,13 +15,13 @@
 
 // LockWait configures how long Open waits for a file that another process has locked.
 type LockWait struct {
-	Timeout   time.Duration              // longest wait; 0 or less: wait until the context ends
+	Timeout   time.Duration              // longest wait; if it is 0 or less, Open waits until the context ends
 	OnWaiting func(waited time.Duration) // if not nil, called at once and then every notifyInterval, with the time waited so far
 }
 
 const (
-	retryInterval  = 20 * time.Millisecond // between two attempts to lock the file
-	notifyInterval = time.Second           // between two calls of LockWait.OnWaiting
+	retryInterval  = 20 * time.Millisecond // time between two attempts to lock the file
+	notifyInterval = time.Second           // time between two calls of LockWait.OnWaiting
 
 	// singleAttemptTimeout makes bbolt try only once to lock the file. With a timeout of zero, bbolt would wait forever.
 	singleAttemptTimeout = time.Nanosecond
@@ -29,7 +29,7 @@
 	fileMode os.FileMode = 0o600 // owner only: the files hold clients' idempotency keys and answers
 )
 
-// ErrLocked is returned when another process holds the lock for longer than LockWait.Timeout.
+// ErrLocked is the error of Open if another process holds the lock for longer than LockWait.Timeout.
 var ErrLocked = errors.New("another process holds the file")
 
 // Open opens a file, or creates it. It returns ErrLocked if the file stays locked, or the error of ctx if ctx ends first.
--- a/internal/endpoints/list.go
+++ b/internal/endpoints/list.go
@@ -17,15 +17,15 @@
 
 // Endpoint is one entry of a List.
 type Endpoint struct {
-	Name        string  `json:"name"` // the same in every sidecar
+	Name        string  `json:"name"` // identifies the upstream and is the same in every sidecar
 	Address     string  `json:"address"`
 	Zone        string  `json:"zone"`
 	MachineType string  `json:"type"`
 	Cell        int     `json:"group"`
 	Status      string  `json:"status"`
-	StartedMs   float64 `json:"since_ms"` // when the endpoint last started, Unix time in milliseconds; 0: long ago
-	// TLSIdentity is the name that the endpoint's certificate must have for TLS connections: a DNS name or a URI. If it is empty, the
-	// service's name applies. Lists of the platform's discovery service do not set it.
+	StartedMs   float64 `json:"since_ms"` // when the endpoint last started, Unix time in milliseconds; 0 counts as long ago
+	// TLSIdentity is the DNS name or URI that the endpoint's certificate must contain. If it is empty, the certificate must contain the
+	// service's name. Lists of the platform's discovery service do not set it.
 	TLSIdentity string `json:"identity,omitempty"`
 }
 
@@ -37,11 +37,11 @@
 )
 
 var (
-	errNoIndex            = errors.New("the list's index is missing")
-	errIncompleteEndpoint = errors.New("an endpoint's name or status is missing")
+	errNoIndex            = errors.New("endpoint list has no index")
+	errIncompleteEndpoint = errors.New("endpoint list has an entry without name or status")
 )
 
-// ParseList parses a message. It rejects an incomplete message, which would otherwise replace a valid list.
+// ParseList parses a message of a discovery service. It rejects an incomplete message, which would otherwise replace a valid list.
 func ParseList(text []byte) (*List, error) {
 	l := &List{}
 	if err := json.Unmarshal(text, l); err != nil {
--- a/internal/endpoints/registry.go
+++ b/internal/endpoints/registry.go
@@ -26,7 +26,7 @@
 // Instance is one incarnation of an upstream. Connections to an earlier incarnation cannot be reused.
 type Instance struct {
 	Address     string
-	StartedMs   float64 // Unix time in milliseconds; 0: long ago
+	StartedMs   float64 // Unix time in milliseconds; 0 counts as long ago
 	TLSIdentity string
 }
 
@@ -35,10 +35,10 @@
 	return xxhash.Sum64String(i.Address+"\x00"+i.TLSIdentity) ^ uint64(i.StartedMs)
 }
 
-// startTime is when an instance started, as the list gives it and on the Registry's clock.
+// startTime is the time at which an instance started.
 type startTime struct {
-	listedMs float64
-	at       time.Duration
+	listedMs float64       // Unix time in milliseconds, as in the list
+	at       time.Duration // the same time on the Registry's clock
 }
 
 // New returns an empty Registry. The Registry calls onInstanceEnd, outside its lock, with the name of each endpoint whose instance changed,
@@ -149,7 +149,7 @@
 	return instance, ok
 }
 
-// Ready reports whether an endpoint accepts requests and is still that instance.
+// Ready reports whether an endpoint accepts requests and instance is still its present instance.
 func (r *Registry) Ready(name string, instance Instance) bool {
 	now, ok := r.Instance(name)
 	return ok && now == instance
--- a/internal/endpoints/registry_test.go
+++ b/internal/endpoints/registry_test.go
@@ -8,13 +8,13 @@
 	"orchiddrift/internal/clock"
 )
 
-// Guards against a start time that is converted again when a later list repeats it: the result changes when the wall clock was stepped in
-// between, and the balancer discards its statistics of an endpoint whose start time changes.
+// TestStartTimeIsConvertedOnce checks that a start time keeps its converted value when a later list repeats it. A second conversion would
+// give another value after a step of the wall clock, and the balancer discards the statistics of an endpoint whose start time changes.
 func TestStartTimeIsConvertedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		registry := New(clock.New(), nil)
 		version := int64(1)
-		startedMs := float64(time.Now().Add(time.Hour).UnixMilli()) // in the future: a second conversion would give a later time
+		startedMs := float64(time.Now().Add(time.Hour).UnixMilli()) // in the future, so that a second conversion would give a later time
 		apply := func(snapshot bool, startedMs float64, status string) time.Duration {
 			l := &List{Index: &version, Snapshot: snapshot, Endpoints: []Endpoint{{Name: "a", Address: "127.0.0.2:1", StartedMs: startedMs, Status: status}}}
 			return registry.Apply(l).Endpoints[0].StartedAt
@@ -32,7 +32,7 @@
 			{"ready again", false, StatusReady},
 		} {
 			if got := apply(c.snapshot, startedMs, c.status); got != first {
-				t.Errorf("after %s: the endpoint started at %v, want %v", c.name, got, first)
+				t.Errorf("after %s: the endpoint's start time is %v, want the unchanged %v", c.name, got, first)
 			}
 		}
 		if next := apply(false, startedMs+5000, StatusReady); next == first {
--- a/internal/endpoints/source.go
+++ b/internal/endpoints/source.go
@@ -12,15 +12,15 @@
 type Source interface {
 	// Run follows the list until ctx is done and reports to sink. It is called at most once.
 	Run(ctx context.Context, sink Sink)
-	// Refresh requests the list again. It is called after the balancer was notified that the list is lost, and does not block.
+	// Refresh requests the list again and does not block. It is called after the balancer was notified that the list is lost.
 	Refresh()
 }
 
 // Sink receives the reports of a Source, which calls it from one goroutine at a time. The methods must not block for long, since a
 // blocked call delays the notification of the next draining endpoint.
 type Sink interface {
-	// Update applies a snapshot or an incremental change. Once it has returned, no request is sent to an
-	// instance that the list no longer has as ready.
+	// Update applies a snapshot or an incremental change. After Update has returned, requests are sent only
+	// to instances that the list reports as ready.
 	Update(*List)
 	// Current reports that the source is healthy and that the list has not changed since the last version.
 	Current()
