--- a/internal/discovery/calls.go
+++ b/internal/discovery/calls.go
@@ -15,7 +15,7 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// errEnded is the error of a watch whose response body ended without an error.
+// errEnded is the error of a watch that the discovery service ended by closing the response body.
 var errEnded = errors.New("discovery ended it")
 
 // initialMessageBuffer is the initial buffer size of a watch in bytes. The buffer grows up to maxMessageBytes.
@@ -24,18 +24,18 @@
 // listServer is an address that serves the list. Versions from different addresses cannot be compared.
 type listServer struct {
 	address string
-	version int64 // of the list that was last received from the address
-	isNew   bool  // no list was received from the address yet
+	version int64 // version of the list that was last received from the address
+	isNew   bool  // no list has been received from the address yet
 }
 
-// listCall is a call that has not ended. Only the call's goroutine uses its fields, except cancel.
+// listCall is a call to the discovery service that has not ended. Only the call's goroutine uses its fields, except cancel.
 type listCall struct {
 	id       staleness.CallID
 	request  staleness.Request
 	server   *listServer
 	cancel   context.CancelCauseFunc
 	openedAt time.Time
-	version  int64 // of the list after the last message of the call
+	version  int64 // version of the list after the last message of the call
 	answered bool  // the call has received a message
 }
 
@@ -87,8 +87,8 @@
 		"next", max(0, w.machine.Next()-now).Round(time.Millisecond))
 }
 
-// Of consecutive failures, the first warnedFailures are logged as warnings, and after these one in warningInterval. The others are logged
-// at debug level.
+// The first warnedFailures of consecutive failures are logged as warnings. After them, every warningInterval-th failure is logged as a
+// warning and the others at debug level.
 const (
 	warnedFailures  = 8
 	warningInterval = 16
@@ -101,7 +101,7 @@
 	return slog.LevelDebug
 }
 
-// receive sends the request of a call and handles its messages until the call ends. It returns nil for a poll that received its answer.
+// receive sends the request of a call and handles the messages until the call ends. It returns nil if the call is a poll that was answered.
 func (w *Watcher) receive(ctx context.Context, c *listCall) error {
 	url := fmt.Sprintf("http://%s/api/targets", c.server.address)
 	if c.request == staleness.FetchList {
@@ -162,8 +162,8 @@
 	return response.Body, nil
 }
 
-// handle applies a message of a call, unless the call was closed in the meantime. An empty message is a heartbeat. A malformed message is
-// an error that ends the call: the last valid list stays in use, and the next call continues from its version.
+// handle applies a message of a call, unless the call was closed in the meantime. An empty message is a heartbeat. For a malformed message
+// it returns an error, which ends the call. The last valid list then stays in use, and the next call continues from that list's version.
 func (w *Watcher) handle(ctx context.Context, c *listCall, message []byte) error {
 	var list *endpoints.List
 	if len(message) > 0 {
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// logFirstAnswer logs the first message of a call and ignores later ones; the caller holds mu.
+// logFirstAnswer logs the first message of a call and ignores later messages. The caller holds mu.
 func (w *Watcher) logFirstAnswer(c *listCall, hasList bool) {
 	if c.answered {
 		return
@@ -224,16 +224,16 @@
 		w.sink.Update(l)
 	case c.version == server.version:
 		return fmt.Errorf("malformed list: changes have version %d, which is older than the known version %d", version, c.version)
-	default: // older than the list that another call delivered: it could make a draining upstream ready again
+	default: // the list is older than one that another call delivered, and could make a draining upstream ready again
 		w.log.Info("older list passed over", "call", c.id, "request", c.request.String(), "version", version, "known", server.version)
 	}
 	c.version = version
 	return nil
 }
 
-// applyWithdrawals applies only the draining and removed endpoints of a superseded call's list, since the list of the present address may
-// be newer. It reports whether endpoints may have been withdrawn, in which case the present address must be polled again. The caller holds
-// mu.
+// applyWithdrawals applies a list of a superseded call, which is a call to an earlier address. It applies only the draining and removed
+// endpoints, since the list of the present address may be newer. It reports whether endpoints may have been withdrawn, in which case the
+// present address must be polled again. The caller holds mu.
 func (w *Watcher) applyWithdrawals(l *endpoints.List) bool {
 	var withdrawn []endpoints.Endpoint
 	for _, e := range l.Endpoints {
--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -11,18 +11,18 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// Messages of the scripted discovery services, and the longest time from the silence of a watch until the Watcher must notice a drain.
+// Messages of the scripted discovery services, and the time after a watch falls silent within which the Watcher must notice a drain.
 var (
 	drainMessage      = testutil.List(7, false, testutil.Entry("a", "127.0.0.2:1", "Terminating")) + "\n"
 	noChange          = testutil.List(6, false) + "\n"
 	notificationLimit = 6*time.Second + 200*time.Millisecond // the notification deadline and most of the drain grace of 250 ms
 )
 
-// silenceCases are ways in which a watch falls silent. Each scripted discovery service reports that endpoint a is draining.
+// silenceCases are ways in which a watch falls silent. In each case a later call reports that endpoint a is draining.
 var silenceCases = []struct {
 	name     string
 	options  staleness.Options
-	silentAt time.Duration // when the watch falls silent, from the start
+	silentAt time.Duration // time from the start until the watch falls silent
 	script   callScript
 }{
 	{"before the first byte, after a failed call", staleness.Options{FleetSize: 6}, 500 * time.Millisecond,
@@ -84,8 +84,8 @@
 		}},
 }
 
-// Guards against a drain that is noticed too late because the watch that should report it is silent. A missed change counts as notified 6 s
-// after the watch fell silent, and requests may be sent to the endpoint for 250 ms more.
+// TestChangeIsNoticedInTimeAfterSilence guards against a drain that is noticed too late because the watch that should report it is silent.
+// The balancer must be notified of a missed change within 6 s after the watch fell silent, plus most of the drain grace of 250 ms.
 func TestChangeIsNoticedInTimeAfterSilence(t *testing.T) {
 	for _, c := range silenceCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// Guards against a draining endpoint that becomes ready again because the Watcher reads a list after the drain that the server wrote before
-// it.
+// TestOlderAnswerDoesNotBringEndpointBack guards against a draining endpoint that becomes ready again. This would happen if the Watcher
+// applied a list that the server wrote before the drain but that arrives after it.
 func TestOlderAnswerDoesNotBringEndpointBack(t *testing.T) {
 	runVirtual(t, staleness.Options{}, func(n int, _ time.Duration, r *http.Request, send func(string)) {
 		switch n {
@@ -128,8 +128,8 @@
 	})
 }
 
-// Guards against a wrong age of the list, against repeated or missing log lines about a stale list, and against a snapshot that is not
-// applied because its version is lower than the known one.
+// TestAgeAndStalenessAreReported guards against a wrong age of the list, against repeated or missing log lines about a stale list, and
+// against a snapshot that is not applied because its version is lower than the known version.
 func TestAgeAndStalenessAreReported(t *testing.T) {
 	runVirtual(t, staleness.Options{}, func(n int, after time.Duration, r *http.Request, send func(string)) {
 		switch {
@@ -152,7 +152,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		if age, stale := w.Age(); age > 100*time.Millisecond || stale || w.isReady("a") {
-			t.Errorf("after the new snapshot: age %v, stale %v, a ready %v; want at most 100ms, false, false", age, stale, w.isReady("a"))
+			t.Errorf("after the new snapshot: age %v, stale %v, endpoint a ready %v; want at most 100ms, false, false", age, stale, w.isReady("a"))
 		}
 		log := w.log.String()
 		for _, line := range []string{"the list may be too old", "the list is current again"} {
@@ -163,9 +163,9 @@
 	})
 }
 
-// Guards against a drain that is lost in a redirect: the watch at the earlier address delivers it after the Watcher read a list of the new
-// address that does not have it yet. The drain must be applied and the list of the new address fetched again. Ready endpoints from the
-// earlier address must not be applied any more.
+// TestDrainFromSupersededWatchAfterNewList guards against a drain that is lost in a redirect. The watch at the earlier address reports the
+// drain after the Watcher has read a list of the new address that does not contain the drain yet. The drain must be applied, and the list
+// of the new address must be fetched again. Ready endpoints from the earlier address must not be applied any more.
 func TestDrainFromSupersededWatchAfterNewList(t *testing.T) {
 	const before, after = "127.0.0.1:1", "127.0.0.1:2"
 	a, b := testutil.Entry("a", "127.0.0.2:1", "Ready"), testutil.Entry("b", "127.0.0.2:2", "Ready")
@@ -197,11 +197,11 @@
 			t.Errorf("the drain was noticed after %v, want at most 4.01s", took)
 		}
 		if !w.isReady("b") || w.isReady("c") {
-			t.Errorf("b ready %v, c ready %v; want true, false: only the drain may be applied", w.isReady("b"), w.isReady("c"))
+			t.Errorf("endpoint b ready %v, endpoint c ready %v; want true, false, since only the drain may be applied", w.isReady("b"), w.isReady("c"))
 		}
 		time.Sleep(5 * time.Second)
 		if lists.Load() != 2 || w.openCalls() != 1 || w.isReady("a") || !w.isReady("b") {
-			t.Errorf("%d lists fetched, %d calls open, a ready %v, b ready %v; want 2, 1, false, true", lists.Load(), w.openCalls(), w.isReady("a"), w.isReady("b"))
+			t.Errorf("%d lists fetched, %d calls open, endpoint a ready %v, endpoint b ready %v; want 2, 1, false, true", lists.Load(), w.openCalls(), w.isReady("a"), w.isReady("b"))
 		}
 	})
 }
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -20,7 +20,7 @@
 // Only RegistrySink writes to a service's endpoints.Registry, one list after another: Update applies lists while the service runs, and
 // Apply applies the initial list. All other code only reads the registry.
 //
-// The package owns connections, timers, goroutines and the last received state of a list. The decisions are made in packages staleness,
-// membership and subset. The package may import these, endpoints, filewatch and the balancer's types, but not the engine or a protocol
-// adapter.
+// Package discovery handles connections, timers and goroutines, and stores the last received list. Packages staleness, membership and
+// subset make the decisions. Package discovery may import these three, endpoints, filewatch and the balancer's types, but not the engine or
+// a protocol adapter.
 package discovery
--- a/internal/discovery/filesource.go
+++ b/internal/discovery/filesource.go
@@ -22,7 +22,7 @@
 	reader   *filewatch.Reader
 	interval time.Duration
 	log      *slog.Logger
-	version  int64 // lists read so far
+	version  int64 // number of valid lists read so far
 	polls    atomic.Int64
 }
 
@@ -57,7 +57,7 @@
 	})
 }
 
-// poll reports the file's list to sink if the file has changed.
+// poll reports the file's list to sink if the file has changed, or reports that the list is lost if the file can't be read or is invalid.
 func (s *FileSource) poll(sink Sink) {
 	content, changed := s.reader.Read()
 	if !changed {
--- a/internal/discovery/membership/bench_test.go
+++ b/internal/discovery/membership/bench_test.go
@@ -10,7 +10,7 @@
 
 const benchmarkEntries = 5000 // per source; there are two sources
 
-// BenchmarkMerge measures the first lists of two sources, a snapshot that equals the one before, and a change of one entry.
+// BenchmarkMerge measures three inputs: the first lists of two sources, a snapshot that equals the previous one, and a change of one entry.
 //
 //	go test -run '^$' -bench Merge -benchmem ./internal/discovery/membership
 func BenchmarkMerge(b *testing.B) {
--- a/internal/discovery/membership/describe.go
+++ b/internal/discovery/membership/describe.go
@@ -7,8 +7,8 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// describe returns the address and the properties of an upstream. They come from the first effective record. Later records supply the
-// properties that it lacks, a later start time, and the address if theirs is preferred.
+// describe returns the address and the properties of an upstream. They come from the first effective record that is not removed. Later
+// records supply properties that the first record lacks, a later start time, or a preferred address.
 func (m *Merge) describe(effective []*record) endpoints.Endpoint {
 	listed := slices.DeleteFunc(slices.Clone(effective), func(r *record) bool { return r.state == Removed })
 	if len(listed) == 0 {
@@ -33,8 +33,8 @@
 	return e
 }
 
-// hasPreferredAddress reports whether the address of record a is preferred to that of b, where both have the same name. An address that
-// no other name has taken is preferred, then that of the later start time, then the one that was listed last.
+// hasPreferredAddress reports whether the address of record a is preferred to that of record b. An address at which no other name is listed
+// is preferred, then the address of the record with the later start time, then the address that was listed last.
 func (m *Merge) hasPreferredAddress(a, b *record) bool {
 	return cmp.Or(cmp.Compare(m.addressTaken(b), m.addressTaken(a)), cmp.Compare(a.endpoint.StartedMs, b.endpoint.StartedMs),
 		cmp.Compare(a.sequence, b.sequence)) > 0
--- a/internal/discovery/membership/flapping.go
+++ b/internal/discovery/membership/flapping.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	maxFlapsCounted = 64 // how many times of no longer being ready are remembered for an upstream
-	heldBackDivisor = 4  // at most one in heldBackDivisor upstreams is held back
+	maxFlapsCounted = 64 // maximum number of entries in upstream.lostReady
+	heldBackDivisor = 4  // at most one of every heldBackDivisor upstreams is held back
 )
 
-// holdBackIfFlapping holds back an upstream that comes up, if it has stopped being ready at least MaxFlaps times within FlapWindow. The
-// hold ends FlapHold after the last of these times. No more than a quarter of the upstreams are held back, and never the only one. The
-// result is the reason for the upstream's status.
+// holdBackIfFlapping holds back an upstream that comes up, if the upstream has stopped being ready at least MaxFlaps times within
+// FlapWindow. The hold ends FlapHold after the upstream last stopped being ready. At most a quarter of the upstreams are held back, or one
+// if fewer than four are ready, and the only ready upstream is never held back. It returns the reason for the upstream's status.
 func (m *Merge) holdBackIfFlapping(u *upstream, reason string) string {
 	holdIsOver := u.heldBack && !u.heldUntil.IsZero() && !u.heldUntil.After(m.now)
 	if m.options.MaxFlaps == 0 || u.readyCounted || holdIsOver {
@@ -39,7 +39,7 @@
 	return m.heldCount > 0 && heldBackDivisor*(m.heldCount+1) > m.readyCount+m.heldCount || m.readyCount == 0
 }
 
-// countReady updates the number of ready upstreams for u, and remembers the time at which u stops being ready.
+// countReady counts u in or out of readyCount, and stores the time at which u stops being ready.
 func (m *Merge) countReady(u *upstream, isReady bool) {
 	if u.readyCounted == isReady {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// countHeld updates the number of upstreams that are held back for u.
+// countHeld counts u in or out of heldCount, the number of upstreams that are held back.
 func (m *Merge) countHeld(u *upstream) {
 	switch {
 	case u.heldBack && !u.heldCounted:
--- a/internal/discovery/membership/group.go
+++ b/internal/discovery/membership/group.go
@@ -42,8 +42,8 @@
 	return changes
 }
 
-// affectedRecords returns the dirty records and all records that were, or will be, merged with one of them, sorted by rank and name. It
-// marks the returned records as dirty and their upstreams as touched.
+// affectedRecords returns the dirty records and all records that were, or will be, merged with a dirty record. The result is sorted by
+// source rank and endpoint name. affectedRecords marks the returned records as dirty and their upstreams as touched.
 func (m *Merge) affectedRecords() []*record {
 	affected := make([]*record, 0, len(m.dirty))
 	for r := range m.dirty {
@@ -86,8 +86,8 @@
 	return group
 }
 
-// visitNeighbours calls visit for the other records that directly belong to the same upstream as r. These are the records with the same
-// name, and those with the same address unless a source lists the two names at different addresses.
+// visitNeighbours calls visit for each other record with the name of r, and for each record with the address of r. A record with the same
+// address is omitted if a source lists the two names at different addresses, since they then belong to different upstreams.
 func (m *Merge) visitNeighbours(r *record, visit func(*record)) {
 	for _, other := range m.recordsByName[r.endpoint.Name] {
 		if other != r {
@@ -115,8 +115,8 @@
 	return false
 }
 
-// mergeGroup merges the records of one upstream. It returns the upstream, which is nil if it was never listed and is not listed now, and
-// the change of the merged list, which is nil if there is none.
+// mergeGroup merges the records of one upstream and returns the upstream and the change of the merged list. The upstream is nil if it was
+// never listed and is not listed now. The change is nil if the merged list does not change.
 func (m *Merge) mergeGroup(group []*record) (*upstream, *Change) {
 	effective := effectiveRecords(group)
 	if len(effective) == 0 {
@@ -148,8 +148,8 @@
 	return u, m.publish(u, e, reason)
 }
 
-// effectiveRecords returns the records of a group that determine the result, sorted by rank. For each source and address this is the
-// record of the latest instance.
+// effectiveRecords returns the records of a group that determine the result, sorted by source rank. For each source and address only the
+// record of the latest instance is effective. Withdrawn records are never effective.
 func effectiveRecords(group []*record) []*record {
 	effective := make([]*record, 0, MaxSources)
 	for _, r := range group {
@@ -191,7 +191,8 @@
 }
 
 // isOfReplacedInstance reports whether a record that is draining, out of service, down or removed describes an instance that has been
-// replaced. This is so if another name is up at its address that started more than StartTimeTolerance after the record got its state.
+// replaced. An instance has been replaced if another name is up at the same address, and the instance of that name started more than
+// StartTimeTolerance after the record got its state.
 func (m *Merge) isOfReplacedInstance(r *record, effective []*record) bool {
 	if r.state == Up || r.state == Starting || r.state == Unknown {
 		return false
--- a/internal/discovery/membership/harness_test.go
+++ b/internal/discovery/membership/harness_test.go
@@ -15,10 +15,10 @@
 	removed  = endpoints.StatusGone
 )
 
-// epochMs is the time at which the harness begins, in milliseconds. The start times of its endpoints are relative to it.
+// epochMs is the time at which a test begins, as Unix time in milliseconds. The start times of its endpoints are relative to epochMs.
 const epochMs = 1e12
 
-// harness drives a Merge and keeps a copy of the merged list that it builds from the returned changes alone.
+// harness passes inputs to a Merge, and builds a copy of the merged list only from the changes that the Merge returns.
 type harness struct {
 	t interface {
 		Helper()
@@ -47,7 +47,7 @@
 	h.notes = append(h.notes, o.Notes...)
 	for _, c := range o.Changes {
 		if c.Reason == "" {
-			h.t.Errorf("change of %s to %s has no reason", c.Name, c.Status)
+			h.t.Errorf("change of upstream %s to status %s has no reason", c.Name, c.Status)
 		}
 		if c.Status == endpoints.StatusGone {
 			delete(h.list, c.Name)
@@ -110,7 +110,7 @@
 func (h *harness) wantCounts(step string, wantReady, wantDraining int) {
 	h.t.Helper()
 	if gotReady, gotDraining := h.count(ready), h.count(draining); gotReady != wantReady || gotDraining != wantDraining {
-		h.t.Errorf("%s: %d ready and %d draining, want %d and %d; notes %q", step, gotReady, gotDraining, wantReady, wantDraining, h.notes)
+		h.t.Errorf("%s: %d upstreams ready and %d draining, want %d and %d; notes %q", step, gotReady, gotDraining, wantReady, wantDraining, h.notes)
 	}
 }
 
@@ -123,7 +123,8 @@
 	return n
 }
 
-// entry returns an endpoint with the given name, last byte of its address and status. Its start, if given, is in minutes after epochMs.
+// entry returns an endpoint with a name, an address in 10.0.0.0/24 and a status. startMinutes, if given, is its start in minutes after
+// epochMs.
 func entry(name string, address int, status string, startMinutes ...int) endpoints.Endpoint {
 	e := endpoints.Endpoint{Name: name, Address: fmt.Sprintf("10.0.0.%d", address), Status: status}
 	if len(startMinutes) > 0 {
--- a/internal/discovery/membership/history_test.go
+++ b/internal/discovery/membership/history_test.go
@@ -20,8 +20,9 @@
 	})
 )
 
-// Random sequences of inputs must keep three properties: the returned changes add up to the merged list, no upstream is ready that a
-// source reports as draining, out of service or down under the same name, and no entry leaks once all sources are removed.
+// TestAnyHistory passes random inputs to a Merge and checks three properties. The returned changes add up to the merged list. An upstream
+// is not ready while a source reports it as draining, out of service or down under the same name. No entry remains after all sources were
+// removed.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Default()
@@ -39,7 +40,7 @@
 		}
 		h.advance(time.Hour)
 		if n := h.entriesHeld(); n != 0 || h.readyCount != 0 || h.heldCount != 0 {
-			t.Fatalf("all sources are removed, but %d entries, %d ready and %d held back remain", n, h.readyCount, h.heldCount)
+			t.Fatalf("after all sources were removed, %d table entries, %d ready and %d held-back upstreams remain", n, h.readyCount, h.heldCount)
 		}
 	})
 }
@@ -83,8 +84,8 @@
 	}
 }
 
-// isReplaced reports whether a record under another name at the same address may count in place of r: one of the same source, of a later
-// start, or that is up.
+// isReplaced reports whether a record under another name at the same address may count in place of r. Such a record belongs to the same
+// source, has a later start time, or is up.
 func (h *harness) isReplaced(r *record) bool {
 	return slices.ContainsFunc(h.recordsByAddress[r.endpoint.Address], func(o *record) bool {
 		return o != r && o.endpoint.Name != r.endpoint.Name &&
--- a/internal/discovery/membership/identity_test.go
+++ b/internal/discovery/membership/identity_test.go
@@ -33,7 +33,7 @@
 		h.change("eureka", entry("i1", 1, removed), entry("i2", 1, ready, 88))
 		h.want("a new instance starts at the address", "n1@1 Ready")
 		if e := h.List()[0]; e.StartedMs != epochMs+88*60_000 {
-			h.t.Errorf("start time is %v, want that of the new instance", e.StartedMs)
+			h.t.Errorf("start time of the upstream is %v, want the start time of the new instance", e.StartedMs)
 		}
 	}},
 	{"an instance that changes its address in one source first", func(h *harness) {
@@ -70,8 +70,8 @@
 	}},
 }
 
-// Entries of one upstream must be merged, entries of different upstreams must not, and the end of an instance must not affect the next
-// instance at its address.
+// TestIdentity checks that entries of one upstream are merged, that entries of different upstreams are not merged, and that the end of an
+// instance does not affect the next instance at its address.
 func TestIdentity(t *testing.T) {
 	for _, c := range identityCases {
 		t.Run(c.name, func(t *testing.T) { c.steps(newHarness(t, Default(), "list", "eureka")) })
--- a/internal/discovery/membership/merge.go
+++ b/internal/discovery/membership/merge.go
@@ -12,8 +12,8 @@
 // The limits of a Merge.
 const (
 	MaxSources = 8
-	MaxEntries = 20_000 // per source; further entries are left out, and a note gives their number
-	maxNotes   = 16     // per input; further notes are only counted
+	MaxEntries = 20_000 // maximum per source; further entries are ignored, and a note gives their number
+	maxNotes   = 16     // maximum per input; further notes are only counted
 )
 
 // Change is a change of the merged list. Its status is one of those of package endpoints.
@@ -32,14 +32,14 @@
 type Merge struct {
 	options  Options
 	now      time.Time
-	sequence uint64 // number of the last change of a record
+	sequence uint64 // number of record changes so far
 
 	sources       []*source // by rank: the properties of an upstream come from the first source that lists it
 	sourcesByName map[string]*source
 
 	recordsByName    map[string][]*record
 	recordsByAddress map[string][]*record
-	dirty            map[*record]bool // to be merged again
+	dirty            map[*record]bool // records that must be merged again
 
 	upstreams  map[string]*upstream // by name; removed upstreams are remembered for FlapWindow
 	touched    map[*upstream]bool   // upstreams that a dirty record was merged into
@@ -48,7 +48,7 @@
 
 	timers       timerHeap
 	notes        []string
-	omittedNotes int // beyond maxNotes
+	omittedNotes int // number of notes beyond maxNotes, which are not stored
 }
 
 // New returns a Merge without sources.
@@ -83,10 +83,11 @@
 	return nil
 }
 
-// Configure replaces the options. They apply to an upstream when it is merged the next time.
+// Configure replaces the options. The new options apply to an upstream when its records are merged the next time.
 func (m *Merge) Configure(o Options) { m.options = o }
 
-// RemoveSource removes a source. Upstreams that only this source listed are removed immediately, because an operator asked for it.
+// RemoveSource removes a source that an operator has removed from the configuration. Upstreams that only this source listed are removed
+// immediately.
 func (m *Merge) RemoveSource(now time.Time, name string) Output {
 	s := m.begin(now, name)
 	if s == nil {
@@ -165,7 +166,7 @@
 	return m.end()
 }
 
-// Tick advances the time. It is to be called at the time that Next returns, and may be called at any time.
+// Tick advances the time. The caller must call Tick at the time that Next returns, and may call it at any other time.
 func (m *Merge) Tick(now time.Time) Output {
 	m.begin(now, "")
 	return m.end()
@@ -191,7 +192,7 @@
 	return list
 }
 
-// begin starts an input. It advances the time, fires the timers that are due, and returns the source of that name, or nil.
+// begin starts an input. It advances the time, fires the timers that are due, and returns the source called name, or nil if there is none.
 func (m *Merge) begin(now time.Time, name string) *source {
 	if now.After(m.now) {
 		m.now = now
--- a/internal/discovery/membership/record.go
+++ b/internal/discovery/membership/record.go
@@ -16,15 +16,15 @@
 	sequence   uint64    // Merge.sequence at the last change
 	doubted    bool      // removed in a mass removal that is not applied yet; the state is still Up
 	withdrawn  bool      // the source is aged, and no other source lists the endpoint
-	holdUntil  time.Time // end of RemovalHold for a removed record, of MassRemovalHold for a doubted one
-	timerAt    time.Time // zero: no timer is set
-	forgotten  bool      // no longer part of the Merge
+	holdUntil  time.Time // end of RemovalHold for a removed record, end of MassRemovalHold for a doubted record
+	timerAt    time.Time // when the record's timer fires; zero if no timer is set
+	forgotten  bool      // the record is no longer part of the Merge
 
-	upstream *upstream // the upstream that it is merged into; nil: none
+	upstream *upstream // the upstream that the record is merged into, or nil
 	previous *upstream // the value of upstream before the current merge
 }
 
-// setRecord stores what a source reports of an endpoint that it lists. r is nil if the source has no record of the endpoint yet.
+// setRecord stores the listed entry e of a source and its state in the record r. r is nil if the source has no record of the endpoint yet.
 func (m *Merge) setRecord(s *source, r *record, e *endpoints.Endpoint, state State) {
 	if r != nil && !r.doubted && !r.withdrawn && r.state == state && r.endpoint == *e {
 		return
@@ -49,7 +49,7 @@
 	r := &record{source: s, endpoint: *e, state: Absent}
 	s.records[e.Name] = r
 	m.index(r)
-	if u := m.upstreams[e.Name]; u != nil { // an instance that kept this name may have to give it up now
+	if u := m.upstreams[e.Name]; u != nil { // an upstream that kept this name (see upstreamFor) may have to be renamed
 		for other := range u.records {
 			m.dirty[other] = true
 		}
--- a/internal/discovery/membership/removal.go
+++ b/internal/discovery/membership/removal.go
@@ -14,9 +14,9 @@
 // applyRemovals applies the removal of endpoints that a source no longer lists.
 //
 // If all of the source's endpoints, or more than MassRemovalFraction of them within MassRemovalWindow, are removed, these removals are
-// doubted for MassRemovalHold: a registry that has just started, or that is cut off from its instances, lists few of them. A listed
-// status, such as draining, is never doubted. If another source has removed the endpoint too, the doubt has no effect and it is removed
-// immediately.
+// doubted for MassRemovalHold. The reason is that a registry that has just started, or that is cut off from its instances, lists few of
+// them. A listed status, such as draining, is never doubted. If another source has removed an endpoint too, the doubt has no effect, and
+// the endpoint is removed immediately.
 func (m *Merge) applyRemovals(s *source, removed []*record) {
 	s.recentRemovals = slices.DeleteFunc(s.recentRemovals, func(x removal) bool {
 		return m.now.Sub(x.at) > m.options.MassRemovalWindow.D() || x.record.forgotten || x.record.state != Removed
@@ -36,8 +36,8 @@
 	}
 }
 
-// isMassRemoval reports whether the records in removed, together with the recent removals and the doubted records, are all of the
-// source's endpoints or more than MassRemovalFraction of them. If so, it marks the recent removals as doubted, too.
+// isMassRemoval reports whether the removed records, the recent removals and the doubted records together are all of the source's
+// endpoints or more than MassRemovalFraction of them. In that case isMassRemoval also marks the recent removals as doubted.
 func (m *Merge) isMassRemoval(s *source, removed []*record) bool {
 	lost := 0
 	for _, r := range removed {
@@ -62,7 +62,7 @@
 	return true
 }
 
-// doubt keeps a record that its source has removed for MassRemovalHold.
+// doubt delays the removal of a record by MassRemovalHold.
 func (m *Merge) doubt(r *record) {
 	r.doubted = true
 	r.source.doubtedCount++
@@ -79,7 +79,7 @@
 	}
 }
 
-// removeRecord marks a record as removed. For RemovalHold this outweighs another source's report that the endpoint is up.
+// removeRecord marks a record as removed. For RemovalHold the removal outweighs another source's report that the endpoint is up.
 func (m *Merge) removeRecord(r *record) {
 	m.endDoubt(r)
 	m.sequence++
--- a/internal/discovery/membership/source.go
+++ b/internal/discovery/membership/source.go
@@ -16,14 +16,14 @@
 // source is one source of endpoint lists.
 type source struct {
 	name           string
-	rank           int
+	rank           int                // index in Merge.sources
 	records        map[string]*record // by endpoint name
-	upCount        int                // records that are up, including doubted ones
-	doubtedCount   int                // records that are doubted
+	upCount        int                // number of records that are up, including doubted records
+	doubtedCount   int                // number of doubted records
 	recentRemovals []removal          // removals within MassRemovalWindow
-	leftOut        int                // entries of the last list that exceeded MaxEntries
-	lostAt         time.Time          // zero: the source is healthy
-	upWhenLost     int                // upCount at lostAt
+	leftOut        int                // number of entries of the last list beyond MaxEntries
+	lostAt         time.Time          // when the source was lost; zero while it is healthy
+	upWhenLost     int                // value of upCount at lostAt
 }
 
 func (s *source) isLost() bool { return !s.lostAt.IsZero() }
@@ -35,7 +35,7 @@
 	m.setSourceTimer(m.now.Add(m.options.SilentSourceHold.D()), s)
 }
 
-// recoverSource marks a source as healthy again. Records that were withdrawn since its loss count again.
+// recoverSource marks a source as healthy again. Its records that were withdrawn since its loss count again.
 func (m *Merge) recoverSource(s *source) {
 	if !s.isLost() {
 		return
@@ -51,14 +51,15 @@
 	}
 }
 
-// isAged reports whether a source has been lost for SilentSourceHold. Its reports then count only if no other source reports the
-// upstream.
+// isAged reports whether a source has been lost for SilentSourceHold or longer. A report of an aged source counts only if no other source
+// reports the upstream.
 func (m *Merge) isAged(s *source) bool {
 	return s.isLost() && m.now.Sub(s.lostAt) >= m.options.SilentSourceHold.D()
 }
 
-// onSourceTimer handles the timer of a lost source. It withdraws the next step of the endpoints that only this source lists, provided
-// that another source is healthy and has an endpoint that is up. So the loss of sources alone never empties the merged list.
+// onSourceTimer handles the timer of a lost source. It withdraws the next endpoints that only this source lists, about one agingSteps-th
+// of the list at a time. It withdraws none unless another source is healthy and reports an endpoint as up, so that the loss of sources
+// alone never empties the merged list.
 func (m *Merge) onSourceTimer(s *source) {
 	if m.sourcesByName[s.name] != s || !s.isLost() {
 		return
@@ -77,8 +78,8 @@
 	}
 }
 
-// withdraw withdraws up to count records of endpoints that only this source lists, in the order of the names, and reports whether more
-// are left. Records that other sources have too are merged again, now that this source is aged.
+// withdraw withdraws up to count records of endpoints that only this source lists, in the order of the names, and reports whether more of
+// these records are left. Endpoints that other sources list too are merged again, since the state of an aged source counts less.
 func (m *Merge) withdraw(s *source, count int) (more bool) {
 	for _, name := range slices.Sorted(maps.Keys(s.records)) {
 		r := s.records[name]
--- a/internal/discovery/membership/state_test.go
+++ b/internal/discovery/membership/state_test.go
@@ -36,8 +36,8 @@
 	return columns, rows
 }
 
-// mergedState returns the result of merging the states of two sources: "none", "ready" or "ends" (draining). With wasReady each source
-// reports the upstream as up first.
+// mergedState merges the states of two sources and returns "none" (not listed), "ready" or "ends" (draining). If wasReady is set, each
+// source first reports the upstream as up.
 func mergedState(t *testing.T, sources [2]string, first, second string, wasReady bool) string {
 	t.Helper()
 	o := Default()
@@ -59,8 +59,8 @@
 	return map[string]string{"": "none", "n@1 " + ready: "ready", "n@1 " + draining: "ends"}[h.listText()]
 }
 
-// The merged state of each pair of states must be that of the design note's table, in either order of the sources, and whether or not the
-// upstream was ready before.
+// TestEveryPairOfStates checks that the merged state of each pair of states is the one in the design note's table, in either order of the
+// sources, and whether or not the upstream was ready before.
 func TestEveryPairOfStates(t *testing.T) {
 	cells := 0
 	columns, rows := stateTable(t)
--- a/internal/discovery/membership/time_test.go
+++ b/internal/discovery/membership/time_test.go
@@ -114,7 +114,8 @@
 	return len(m.recordsByName) + len(m.recordsByAddress) + len(m.upstreams) + len(m.timers)
 }
 
-// The loss of a source, a registry that restarts empty, and flapping upstreams must neither empty the merged list nor delay a drain.
+// TestRulesByTime checks that the loss of a source, a registry that restarts empty, and flapping upstreams neither empty the merged list
+// nor delay a drain.
 func TestRulesByTime(t *testing.T) {
 	for _, c := range timeCases {
 		t.Run(c.name, func(t *testing.T) { c.steps(newHarness(t, Default(), "list", "eureka")) })
--- a/internal/discovery/membership/timer.go
+++ b/internal/discovery/membership/timer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// timer is a timer of one source, record or upstream; the other two fields are nil.
+// timer is a timer of one source, record or upstream. The two fields that do not apply are nil.
 type timer struct {
 	at       time.Time
 	source   *source
@@ -35,8 +35,8 @@
 	heap.Push(&m.timers, timer{at: at, source: s})
 }
 
-// setRecordTimer sets a record's timer, unless an earlier one is set. When the earlier one fires, onRecordTimer sets the timer again if
-// the record is not due yet.
+// setRecordTimer sets a record's timer, unless the timer is already set to an earlier time. When the earlier timer fires, onRecordTimer
+// sets the timer again if the record is not due yet.
 func (m *Merge) setRecordTimer(at time.Time, r *record) {
 	if setIfEarlier(at, &r.timerAt) {
 		heap.Push(&m.timers, timer{at: at, record: r})
--- a/internal/discovery/membership/upstream.go
+++ b/internal/discovery/membership/upstream.go
@@ -10,18 +10,18 @@
 // upstream is an entry of the merged list. A removed upstream is remembered for FlapWindow.
 type upstream struct {
 	name     string
-	endpoint endpoints.Endpoint // as returned last
-	records  map[*record]bool   // the records that it is merged from
-	listed   bool               // whether it is in the merged list, ready or draining
+	endpoint endpoints.Endpoint // the entry of the merged list as last returned in a Change
+	records  map[*record]bool   // the records that are merged into this upstream
+	listed   bool               // the upstream is in the merged list, ready or draining
 	removed  time.Time          // time of the last removal from the merged list
-	timerAt  time.Time          // zero: no timer is set
+	timerAt  time.Time          // when the upstream's timer fires; zero if no timer is set
 
-	readyCounted bool // whether Merge.readyCount includes it
+	readyCounted bool // Merge.readyCount includes the upstream
 
-	lostReady   []time.Time // when it stopped being ready: within FlapWindow, at most maxFlapsCounted times
-	heldUntil   time.Time   // because of flapping it is not ready before this time
-	heldBack    bool        // it would be ready if heldUntil had passed
-	heldCounted bool        // whether Merge.heldCount includes it
+	lostReady   []time.Time // times within FlapWindow at which the upstream stopped being ready, at most maxFlapsCounted
+	heldUntil   time.Time   // a flapping upstream is not ready before this time
+	heldBack    bool        // the upstream is not ready only because heldUntil has not passed
+	heldCounted bool        // Merge.heldCount includes the upstream
 }
 
 // newUpstream adds an upstream that is not listed yet to m.
@@ -31,9 +31,9 @@
 	return u
 }
 
-// upstreamFor returns the upstream that a group of records is merged into, or nil if there is none yet. If the source that gave an
-// instance its name no longer lists it, the instance keeps the name as long as no other group uses it, so that its connections and
-// statistics are not lost.
+// upstreamFor returns the upstream that a group of records is merged into, or nil if there is none yet. If the source that gave an instance
+// its name no longer lists the instance, the instance keeps the name as long as no other group uses the name. Otherwise the connections and
+// statistics of the instance would be lost.
 func (m *Merge) upstreamFor(group, effective []*record, e *endpoints.Endpoint) *upstream {
 	if u := m.upstreams[nameFor(effective)]; u != nil {
 		return u
--- a/internal/discovery/mergedsource.go
+++ b/internal/discovery/mergedsource.go
@@ -17,8 +17,8 @@
 // NamedSource is one source of a MergedSource, with its name and rank.
 type NamedSource struct {
 	Name    string          // for the log
-	Source  Source          // nil: MergedSource.Update provides the lists
-	Initial *endpoints.List // list to start with; nil: none
+	Source  Source          // if nil, the lists come from MergedSource.Update
+	Initial *endpoints.List // list to start with, or nil
 	Primary bool            // ranked first; only a primary source's Current and Lost reports are forwarded to the sink
 }
 
@@ -31,11 +31,11 @@
 	mu      sync.Mutex // held from an input of the merge until its output was reported to the sink
 	merge   *membership.Merge
 	sink    Sink            // nil before Attach or Run
-	pending *endpoints.List // to be reported once there is a sink
-	version int64           // of the merged list
+	pending *endpoints.List // list to report as soon as there is a sink, or nil
+	version int64           // version of the merged list
 	timer   *time.Timer     // calls tick when merge.Next is due
 	sources map[string]*followedSource
-	ctx     context.Context // of Run; nil before Run
+	ctx     context.Context // context of Run; nil before Run
 	stopped bool
 	running sync.WaitGroup
 }
@@ -62,7 +62,7 @@
 	return m, nil
 }
 
-// Load returns the merged list of the initial lists. The list is not reported to the sink as well.
+// Load returns the list merged from the initial lists. Run does not report this list to the sink again.
 func (m *MergedSource) Load() *endpoints.List {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// Update merges a list for the source of the given name. It is for sources without a Source, such as the entries of the operator's file.
+// Update merges a list for the source of the given name. It is used if NamedSource.Source is nil, as for the entries in the operator's file.
 func (m *MergedSource) Update(name string, l *endpoints.List) {
 	(&sourceSink{merged: m, name: name}).Update(l)
 }
@@ -222,7 +222,7 @@
 	m.setTimer()
 }
 
-// report reports changes to the sink. Before there is a sink, it stores the complete list for it. The caller holds mu.
+// report reports changes to the sink. If there is no sink yet, report stores the complete list for it. The caller holds mu.
 func (m *MergedSource) report(changes []membership.Change) {
 	if m.sink == nil {
 		m.pending = m.snapshot()
--- a/internal/discovery/mergedsource_test.go
+++ b/internal/discovery/mergedsource_test.go
@@ -19,7 +19,7 @@
 // scriptedSource is a Source whose reports the test makes, through its sink.
 type scriptedSource struct {
 	running   chan struct{} // closed by Run
-	sink      Sink          // of Run
+	sink      Sink          // the sink that was passed to Run
 	refreshes int
 }
 
@@ -96,8 +96,8 @@
 	}
 }
 
-// Guards against endpoints that the merged list loses when the Eureka registry is unreachable for long, removes all its endpoints at once,
-// or is replaced or removed, and against due changes that no timer reports.
+// TestMergedSourceThroughOutage guards against endpoints that disappear from the merged list when the Eureka registry is unreachable for a
+// long time, removes all its endpoints at once, or is replaced or removed. It also guards against due changes that no timer reports.
 func TestMergedSourceThroughOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := startMerged(t)
@@ -111,7 +111,7 @@
 		h.primary.sink.Lost(errors.New("broken"), false)
 		synctest.Wait()
 		if h.primary.refreshes != 1 || next.refreshes != 0 || h.failures != 1 {
-			t.Errorf("%d refreshes of the primary source, %d of the other, %d failures reported; want 1, 0, 1", h.primary.refreshes, next.refreshes, h.failures)
+			t.Errorf("%d refreshes of the primary source, %d of the Eureka source, %d failures reported; want 1, 0, 1", h.primary.refreshes, next.refreshes, h.failures)
 		}
 		h.Update("list", snapshotOf("n5 Ready"))
 		h.wantReady(t, "list of the primary source updated by Update", "n4", "n5")
--- a/internal/discovery/messages.go
+++ b/internal/discovery/messages.go
@@ -5,19 +5,19 @@
 	"errors"
 )
 
-// maxMessageBytes is the maximum size of one message. It is enough for 20,000 upstreams of 800 bytes each.
+// maxMessageBytes is the maximum size of one message. It is large enough for a list of 20,000 upstreams with 800 bytes each.
 const maxMessageBytes = 16 << 20
 
 var (
-	errNotAnObject = errors.New("malformed list: not a JSON object")
-	errTruncated   = errors.New("malformed list: truncated message")
+	errNotAnObject = errors.New("malformed list: the message is not a JSON object")
+	errTruncated   = errors.New("malformed list: the message is truncated")
 )
 
 // messageSplitter splits the body of a watch into messages. A message is a JSON object, on any number of lines, or an empty line, which
 // is a heartbeat. The splitter only finds the beginning and the end of objects and does not validate them.
 //
-// An empty line within an object means that the rest of the object is missing: JSON encoders do not write empty lines, and without the
-// check the next message would be read as part of the truncated one.
+// An empty line within an object means that the rest of the object is missing, since JSON encoders do not write empty lines. Without this
+// check, the next message would be read as part of the truncated message.
 type messageSplitter struct {
 	offset         int // number of scanned bytes of the current message
 	depth          int // number of open braces and brackets
@@ -86,14 +86,15 @@
 	}
 }
 
-// endHeartbeat returns the heartbeat whose empty line ends at the current offset.
+// endHeartbeat returns the empty token of a heartbeat, whose empty line ends at the current offset.
 func (s *messageSplitter) endHeartbeat(data []byte) (advance int, token []byte, err error) {
 	end := s.offset + 1
 	*s = messageSplitter{}
 	return end, data[:0], nil
 }
 
-// endObject returns the object that ends at the current offset. It also consumes the line end that follows, which is not a heartbeat.
+// endObject returns the object that ends at the current offset. It also consumes the line end after the object, so that the line end is
+// not taken for a heartbeat.
 func (s *messageSplitter) endObject(data []byte) (advance int, token []byte, err error) {
 	end := s.offset + 1
 	*s = messageSplitter{}
--- a/internal/discovery/messages_test.go
+++ b/internal/discovery/messages_test.go
@@ -25,8 +25,8 @@
 	return messages, scanner.Err()
 }
 
-// Guards against messages that are split in the wrong place because they have several lines, arrive byte by byte, or have braces and line
-// ends in their strings, and against truncated or malformed messages that are not reported at once.
+// TestMessageSplitter guards against messages that are split in the wrong place because they have several lines, arrive byte by byte, or
+// have braces and line ends in their strings. Truncated and malformed messages must be reported at once.
 func TestMessageSplitter(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -50,7 +50,7 @@
 				t.Errorf("got messages %q and error %v, want %q and %v", got, err, c.want, c.err)
 			}
 			got, err = splitMessages(iotest.OneByteReader(strings.NewReader(c.text)))
-			got, want := withoutHeartbeats(got), withoutHeartbeats(c.want) // a line end that arrives separately is a heartbeat
+			got, want := withoutHeartbeats(got), withoutHeartbeats(c.want) // a line end that arrives separately counts as a heartbeat
 			if fmt.Sprintf("%q", got) != fmt.Sprintf("%q", want) || err != c.err {
 				t.Errorf("byte by byte: got messages %q and error %v, want %q and %v", got, err, want, c.err)
 			}
@@ -62,7 +62,7 @@
 	return slices.DeleteFunc(slices.Clone(messages), func(m string) bool { return m == "" })
 }
 
-// Guards against a long message that is split or rejected: 1,024 long entries, indented, that arrive byte by byte.
+// TestMessageSplitterOnLongList checks that a message of 1,024 long, indented entries that arrives byte by byte is not split or rejected.
 func TestMessageSplitterOnLongList(t *testing.T) {
 	const entryCount = 1024
 	var entries []string
--- a/internal/discovery/registrysink.go
+++ b/internal/discovery/registrysink.go
@@ -19,7 +19,7 @@
 	registry *endpoints.Registry
 	report   func(balancer.EndpointUpdate)
 
-	updating sync.Mutex // held from the update of the registry until the balancer has the update too
+	updating sync.Mutex // locked from the update of the registry until the balancer has received the update
 
 	mu   sync.Mutex
 	list receivedList
@@ -39,8 +39,9 @@
 	s.report(s.Apply(l))
 }
 
-// WaitForUpdates waits until the balancer has all updates that the registry has. The engine calls it before it reports to the balancer
-// an attempt that the registry stopped: otherwise the balancer would choose by the previous list, which has the removed endpoints.
+// WaitForUpdates waits until the balancer has received all updates that the registry has. If the registry stopped an attempt, the engine
+// calls WaitForUpdates before it reports the attempt to the balancer. Otherwise the balancer would choose the next endpoint from the
+// previous list, which still has the removed endpoints.
 func (s *RegistrySink) WaitForUpdates() {
 	s.updating.Lock()
 	defer s.updating.Unlock()
@@ -58,7 +59,8 @@
 // Current reports to the balancer that the list is current.
 func (s *RegistrySink) Current() { s.report(balancer.EndpointUpdate{Kind: balancer.IncrementalUpdate}) }
 
-// Lost reports to the balancer that the list is lost if the source does not retry by itself, so that the balancer requests a refresh.
+// Lost reports to the balancer that the list is lost, so that the balancer requests a refresh. It does nothing if the source retries by
+// itself.
 func (s *RegistrySink) Lost(_ error, retries bool) {
 	if !retries {
 		s.report(balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
@@ -72,7 +74,8 @@
 	return s.list.snapshot()
 }
 
-// receivedList is a list as last received: a snapshot with the later changes applied. It has an entry for each ready or draining endpoint.
+// receivedList is the latest known list: the last snapshot with the later changes applied. It has an entry for each ready or draining
+// endpoint.
 type receivedList struct {
 	version int64
 	entries map[string]endpoints.Endpoint
--- a/internal/discovery/subset/choose.go
+++ b/internal/discovery/subset/choose.go
@@ -10,7 +10,7 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// choose picks the members again and returns the changes of the subset; nil: no change.
+// choose picks the members again and returns the changes of the subset, or nil if nothing changes.
 func (s *Subset) choose(now time.Time) *endpoints.List {
 	s.next = time.Time{}
 	picked := s.pickMembers(now)
@@ -38,8 +38,8 @@
 	return &endpoints.List{Endpoints: changes}
 }
 
-// pickMembers returns the names of the members. RemoteZoneFraction of the size is in other zones. Where the sidecar's zone or the other
-// zones have too few endpoints, more are picked from the other side.
+// pickMembers returns the names of the members. The fraction RemoteZoneFraction of them is picked from other zones. If the sidecar's zone
+// has too few endpoints, more are picked from the other zones, and vice versa.
 func (s *Subset) pickMembers(now time.Time) map[string]bool {
 	remote := int(math.Ceil(float64(s.size) * s.options.RemoteZoneFraction))
 	local := s.size - remote
@@ -56,9 +56,9 @@
 	return picked
 }
 
-// pickFrom picks this sidecar's share of a ring. Where more than half of the share is warming up, warm endpoints from further along the
-// ring are borrowed, half as many as the share at most. When many endpoints restart at once, the warm ones thus carry the load, and the
-// others get the requests that the balancer's slow start allows.
+// pickFrom picks this sidecar's share of a ring: the endpoints that the ring assigns to the sidecar. If more than half of the share is
+// warming up, pickFrom borrows warm endpoints from further along the ring, at most half as many as the share has. When many endpoints
+// restart at once, the warm endpoints thus carry the load, and the others get only the requests that the balancer's slow start allows.
 func (s *Subset) pickFrom(now time.Time, r *ring, want int, picked map[string]bool) {
 	names, shareSize := r.share(s.options.Index, s.options.FleetSize, want, want)
 	shareSize = min(shareSize, max(0, s.maxSize-len(picked)))
@@ -84,8 +84,8 @@
 	}
 }
 
-// keepWarmMembers keeps warm members while more than half of the picked endpoints are warming up: after the number of endpoints has grown
-// many times over at once, the ring has hardly any warm endpoint to borrow.
+// keepWarmMembers keeps warm members that were not picked again, while more than half of the picked endpoints are warming up. This matters
+// after the number of endpoints has grown several times over at once, since the ring then has hardly any warm endpoint to borrow.
 func (s *Subset) keepWarmMembers(now time.Time, picked map[string]bool) {
 	warm := 0
 	for name := range picked {
@@ -116,9 +116,9 @@
 	return warmAt, startedMs > 0 && warmAt.After(now)
 }
 
-// release advances the removal of a member that was not picked, and returns the member's change if there is one. The member drains for
-// RemovedGrace and is then removed. A member that the list marks as draining drains as long as it is listed, and a member that is no
-// longer listed is removed at once.
+// release advances the removal of a member that was not picked, and returns the member's new entry and whether it changed. The member
+// drains for RemovedGrace and is then removed. A member that the list marks as draining drains as long as it is listed, and a member that
+// is no longer listed is removed at once.
 func (s *Subset) release(now time.Time, name string) (change endpoints.Endpoint, changed bool) {
 	previous := s.members[name]
 	e, isListed := s.listed[name]
--- a/internal/discovery/subset/ring.go
+++ b/internal/discovery/subset/ring.go
@@ -7,11 +7,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxInsertions is how many added positions are inserted one by one. If there are more, the whole ring is sorted once instead.
+// maxInsertions is the largest number of added positions that are inserted one by one. If more were added, the whole ring is sorted instead.
 const maxInsertions = 32
 
-// ring holds the ready endpoints of the sidecar's zone, or of all other zones, in an order that follows from their names alone and is
-// therefore the same in every sidecar.
+// ring holds the ready endpoints of the sidecar's zone, or of all other zones. Their order depends only on their names and is therefore
+// the same in every sidecar.
 type ring struct {
 	sorted      []position
 	added       []position // not yet in sorted
@@ -38,7 +38,7 @@
 	return len(r.sorted)
 }
 
-// add adds an endpoint that is not on the ring. Like remove, it costs a binary search and a move of memory.
+// add adds an endpoint that is not on the ring. Like remove, add costs a binary search and a memory copy.
 func (r *ring) add(name string) { r.added = append(r.added, positionOf(name)) }
 
 // mergeAdded moves the added positions to their places in sorted.
@@ -63,16 +63,16 @@
 	}
 }
 
-// share returns a sidecar's endpoints in order of preference. The first shareSize of them are its share: at least want, as far as the
-// ring has that many. Up to extra endpoints follow that the sidecar may borrow.
+// share returns a sidecar's endpoints in order of preference. The first shareSize endpoints are the sidecar's share, which has at least
+// the wanted number of endpoints if the ring is large enough. They are followed by endpoints that the sidecar may borrow, extra at most.
 //
-// With a known index, n endpoints and m sidecars, the ring is cut at the bounds b(j) = floor(j n / m), and sidecar i has the endpoints
-// from b(i) to b(i+c), with c = ceil(want m / n). Each endpoint lies between two neighbouring bounds and is in the share of exactly c
-// sidecars, for any n and m. Adding or removing an endpoint moves a bound by one at most; adding a sidecar moves it by n/m at most, which
-// is a c-th of a share.
+// If the index is known, the ring of n endpoints is cut at the bounds b(j) = floor(j n / m), where m is the number of sidecars. Sidecar i
+// has the endpoints from b(i) to b(i+c), with c = ceil(want m / n). Each endpoint lies between two neighbouring bounds and is in the share
+// of exactly c sidecars, for any n and m. Adding or removing an endpoint moves a bound by at most one position. Adding a sidecar moves a
+// bound by at most n/m positions, which is a c-th of a share.
 //
-// Without an index a sidecar has the endpoints whose hash combined with the sidecar's is lowest (rendezvous hashing). The number of
-// sidecars that use an endpoint is then binomially distributed.
+// If the index is not known, the sidecar has the endpoints for which the combined hash of endpoint and sidecar is lowest (rendezvous
+// hashing). The number of sidecars that use an endpoint is then binomially distributed.
 func (r *ring) share(index, fleetSize, want, extra int) (names []string, shareSize int) {
 	n := r.size()
 	switch {
@@ -98,7 +98,7 @@
 	return names
 }
 
-// rendezvous returns the count endpoints whose hash combined with the sidecar's is lowest.
+// rendezvous returns the count endpoints for which the combined hash of endpoint and sidecar is lowest.
 func (r *ring) rendezvous(count int) []string {
 	order := make([]position, len(r.sorted))
 	for i, p := range r.sorted {
--- a/internal/discovery/subset/size.go
+++ b/internal/discovery/subset/size.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// connectionsPerMember is how many connections each member may have on average. The size is at most the maximum number of connections
-	// divided by it.
+	// connectionsPerMember is the average number of connections that each member may have. The size is at most the maximum number of
+	// connections divided by connectionsPerMember.
 	connectionsPerMember = 5
-	// startupPeriod is how long after the first list the subset grows without GrowDelay, since the request rate was not known before.
+	// startupPeriod begins with the first list. During it the subset grows without GrowDelay, since the request rate was unknown before.
 	startupPeriod = 10 * time.Second
 )
 
@@ -19,11 +19,11 @@
 	return max(1, min(o.MaxSize, maxConnections/connectionsPerMember))
 }
 
-// Rate updates the request rate and returns the changes of the subset; nil: no change.
+// Rate updates the request rate and returns the changes of the subset, or nil if nothing changes.
 //
-// The size is MinSize, doubled while it is below the number of requests within SampleInterval, so that each member is used about once in
-// SampleInterval and sidecars with similar rates have the same size. The subset grows once the rate has called for a larger size during
-// GrowDelay, and shrinks after ShrinkDelay. During startupPeriod it grows at once.
+// The size is MinSize, doubled until it is at least the number of requests within SampleInterval. Each member is thus used about once in
+// SampleInterval, and sidecars with similar request rates have the same size. The subset grows after the rate has called for a larger size
+// for GrowDelay, and shrinks after the rate has called for a smaller size for ShrinkDelay. During startupPeriod it grows at once.
 func (s *Subset) Rate(now time.Time, requestsPerSecond float64) *endpoints.List {
 	wanted := s.sizeFor(requestsPerSecond)
 	if wanted == s.size {
--- a/internal/discovery/subset/subset.go
+++ b/internal/discovery/subset/subset.go
@@ -21,17 +21,17 @@
 	local     *ring                         // ready endpoints of the sidecar's zone
 	remote    *ring                         // ready endpoints of other zones
 	members   map[string]endpoints.Endpoint // as last returned, by name
-	releasing map[string]time.Time          // members that drain since they are no longer picked: when each is removed
+	releasing map[string]time.Time          // time at which a member that is no longer picked will be removed, by name
 
 	size        int       // number of members to pick
 	wantedSize  int       // the size that the latest request rate calls for
 	wantedSince time.Time // when wantedSize began to differ from size in this direction
 	firstListAt time.Time
-	next        time.Time // when Tick is due; zero: time alone changes nothing
+	next        time.Time // when Tick is due; zero if no change is due at any time
 }
 
 // New returns a Subset without endpoints for a sidecar in a zone. sidecarName distinguishes sidecars whose index is not known.
-// maxConnections is the bound on the connections to all members together.
+// maxConnections is the maximum number of connections to all members together.
 func New(o Options, sidecarName, zone string, maxConnections int) *Subset {
 	hash := xxhash.Sum64String(sidecarName)
 	limit := maxSize(o, maxConnections)
@@ -50,7 +50,7 @@
 	}
 }
 
-// Update applies a snapshot or a change of the endpoint list and returns the changes of the subset; nil: no change.
+// Update applies a snapshot or a change of the endpoint list and returns the changes of the subset, or nil if nothing changes.
 func (s *Subset) Update(now time.Time, l *endpoints.List) *endpoints.List {
 	if s.firstListAt.IsZero() {
 		s.firstListAt = now
@@ -105,8 +105,8 @@
 	return s.remote
 }
 
-// Tick returns the changes of the subset that are due; nil: no change. It must be called at the time that Next returns, and may be
-// called at any other time.
+// Tick returns the changes of the subset that are due, or nil if there are none. The caller must call Tick at the time that Next returns,
+// and may call it at any other time.
 func (s *Subset) Tick(now time.Time) *endpoints.List {
 	if s.next.IsZero() || now.Before(s.next) {
 		return nil
@@ -114,10 +114,10 @@
 	return s.choose(now)
 }
 
-// Next returns when Tick is due; zero: time changes nothing.
+// Next returns the time at which Tick is due, or the zero time if no change is due at any time.
 func (s *Subset) Next() time.Time { return s.next }
 
-// scheduleTick makes Tick due at a time, or earlier.
+// scheduleTick makes Tick due at the given time, unless Tick is already due earlier.
 func (s *Subset) scheduleTick(at time.Time) {
 	if s.next.IsZero() || at.Before(s.next) {
 		s.next = at
--- a/internal/discovery/subset/subset_test.go
+++ b/internal/discovery/subset/subset_test.go
@@ -41,7 +41,7 @@
 	return l
 }
 
-// newFleet returns the subsets of all sidecars of a zone. All of them have the same list.
+// newFleet returns the subsets of all sidecars of a zone. All sidecars have the same endpoint list.
 func newFleet(t testing.TB, sidecars, count, size int, indexKnown bool) []*Subset {
 	t.Helper()
 	fleet, list := make([]*Subset, sidecars), snapshot(count)
@@ -123,7 +123,7 @@
 				t.Errorf("%d endpoints are members of a subset, highest load is %.2f times the mean; want all endpoints and at most 1.3", len(load), highest/mean)
 			}
 			if each := float64(members) / float64(c.endpoints); each > 1.5*float64(c.size*c.sidecars)/float64(c.endpoints)+1 {
-				t.Errorf("%.1f sidecars use each endpoint on average, more than allowed", each)
+				t.Errorf("%.1f sidecars use each endpoint on average, more than 1.5 times the expected number plus 1", each)
 			}
 		})
 	}
@@ -155,7 +155,7 @@
 	for _, c := range []struct{ inA, inB, wantA, wantB int }{{100, 100, 9, 3}, {1, 100, 1, 11}, {0, 100, 0, 12}, {100, 0, 12, 0}, {100, 1, 11, 1}, {3, 2, 3, 2}} {
 		s := newZonedSubset(zonedSnapshot(c.inA, c.inB, 0))
 		if a, b := readyIn(s, "a"), readyIn(s, "b"); a < c.wantA || b < c.wantB || a+b > 2*(c.wantA+c.wantB)+2 {
-			t.Errorf("%+v: %d members in zone a and %d in zone b, too few or too many", c, a, b)
+			t.Errorf("case %+v: subset has %d members in zone a and %d in zone b, too few or too many", c, a, b)
 		}
 	}
 }
@@ -287,7 +287,7 @@
 	}
 }
 
-// check fails the test unless the ready members are as listed and their number is right.
+// check fails the test unless each ready member is reported as the list has it, and the number of ready members fits the size.
 func (r *reportedList) check(t *rapid.T, s *Subset) {
 	ready, readyMembers := 0, 0
 	for _, e := range r.listed {
@@ -308,7 +308,7 @@
 	}
 }
 
-// TestAnyHistory checks that after any sequence of lists, changes, request rates and times the returned changes add up to members that
+// TestAnyHistory checks that, after any sequence of lists, changes, request rates and times, the returned changes add up to members that
 // are listed.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/discovery/subsetsink.go
+++ b/internal/discovery/subsetsink.go
@@ -38,7 +38,7 @@
 	return sink
 }
 
-// Load applies the initial list and returns this process's subset of it. The subset is not forwarded as well.
+// Load applies the initial list and returns this process's subset of it. Load does not forward the subset to the RegistrySink.
 func (s *SubsetSink) Load(l *endpoints.List) *endpoints.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/discovery/virtual_test.go
+++ b/internal/discovery/virtual_test.go
@@ -19,7 +19,7 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// pipeNetwork is a network without sockets, so that a test can run in virtual time.
+// pipeNetwork connects clients and servers with net.Pipe instead of sockets, so that a test can run in virtual time.
 type pipeNetwork struct {
 	conns chan net.Conn
 	close func()
@@ -107,7 +107,7 @@
 	)
 	start := time.Now()
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		served.Add(1) // while served.Go still counts Serve, so that the counter cannot reach 0 before
+		served.Add(1) // the counter is above 0 here, since the goroutine of Serve has not ended
 		defer served.Done()
 		mu.Lock()
 		calls++
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -31,35 +31,35 @@
 // WatcherOptions are the parameters of a Watcher.
 type WatcherOptions struct {
 	Address        string
-	Index          int64 // version of the list that is already known
+	Index          int64 // version of the list that the service starts with
 	ConnectTimeout time.Duration
 	Staleness      staleness.Options
 	Seed           uint64       // seed of the jitter
-	Log            *slog.Logger // nil: nothing is logged
+	Log            *slog.Logger // if nil, nothing is logged
 }
 
 // Watcher is a Source that follows the list of the platform's discovery service over HTTP. Package staleness decides when a call is opened
-// and closed. The Watcher executes each call in its own goroutine, and on its own connection so that the HTTP client does not retry.
+// and closed. The Watcher executes each call in its own goroutine. Each call has its own connection, so that the HTTP client does not retry.
 //
 // Its methods are safe for concurrent use.
 type Watcher struct {
 	log              *slog.Logger
 	client           *http.Client
-	startedAt        time.Time   // time 0 on the state machine's clock
-	refreshRequested atomic.Bool // the next message is reported to the sink, even a heartbeat
+	startedAt        time.Time   // start of Run, which is time 0 on the state machine's clock
+	refreshRequested atomic.Bool // the next message must be reported to the sink, even if it is a heartbeat
 	running          sync.WaitGroup
 
 	mu        sync.Mutex
 	machine   *staleness.Machine
-	sink      Sink // of Run; nil while Run is not running. The sink must not call methods of the Watcher except Refresh
+	sink      Sink // nil while Run is not running. The sink must not call methods of the Watcher except Refresh
 	timer     *time.Timer
-	ctx       context.Context // of Run
+	ctx       context.Context // context of Run
 	calls     map[staleness.CallID]*listCall
-	server    *listServer // that is followed at present
+	server    *listServer // server of the present address
 	opened    int64       // number of opened calls
 	failed    int64       // number of calls that ended by themselves, other than answered polls
-	connected bool        // Sink.Lost was not called since a watch was last connected
-	stale     bool        // the log says that the list may be too old
+	connected bool        // false from a call of Sink.Lost until a watch is connected again
+	stale     bool        // a log line has reported that the list may be too old
 }
 
 var _ Source = (*Watcher)(nil)
@@ -129,8 +129,8 @@
 	return now - w.machine.CurrentAt(), now >= w.machine.Deadline()
 }
 
-// Calls returns how many calls were opened, and how many of these ended without the Watcher closing them: because the server rejected the
-// call or ended the watch, or because of an error.
+// Calls returns how many calls were opened, and how many of these calls failed. A call fails if the server rejects it or ends the watch,
+// or if an error ends it.
 func (w *Watcher) Calls() (opened, failed int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -19,7 +19,7 @@
 type runningWatcher struct {
 	*Watcher
 	registry *endpoints.Registry
-	updates  chan balancer.EndpointUpdate // that the balancer received
+	updates  chan balancer.EndpointUpdate // updates that were passed to the balancer
 }
 
 // startWatcher starts a Watcher whose initial list has version 1 and the known endpoints.
@@ -53,7 +53,7 @@
 	}
 }
 
-// Guards against incremental changes that do not apply to the known list, and against a snapshot that does not replace it.
+// TestWatchAppliesChangesAndSnapshots checks that incremental changes are applied to the known list, and that a snapshot replaces the list.
 func TestWatchAppliesChangesAndSnapshots(t *testing.T) {
 	d := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send(testutil.List(5, false, testutil.Entry("b", "127.0.0.2:2", "Ready"), testutil.Entry("a", "127.0.0.2:1", "Terminating")))
@@ -80,7 +80,8 @@
 	}
 }
 
-// Guards against a malformed message that replaces the last valid list. The next watch must continue from the version of that list.
+// TestMalformedMessageKeepsLastGoodList checks that a malformed message does not replace the last valid list, and that the next watch
+// continues from the version of the last valid list.
 func TestMalformedMessageKeepsLastGoodList(t *testing.T) {
 	for name, malformed := range map[string]string{
 		"not JSON":   `{"index":}`,
@@ -102,7 +103,7 @@
 			})
 			w := startWatcher(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
 			if u := w.nextUpdate(t); u.Kind != balancer.IncrementalUpdate {
-				t.Errorf("update before the malformed message is %+v, want an incremental one", u)
+				t.Errorf("update before the malformed message is %+v, want an incremental update", u)
 			}
 			testutil.Eventually(t, "the watch is opened again after the malformed message", func() bool { return len(d.Calls()) == 2 })
 			if versions := d.Calls(); versions[1] != "7" {
@@ -115,7 +116,8 @@
 	}
 }
 
-// Guards against a first heartbeat that does not report the known list as current, and against later heartbeats that report it again.
+// TestHeartbeatReportsCurrentList checks that the first heartbeat reports the known list as current, and that later heartbeats report
+// nothing.
 func TestHeartbeatReportsCurrentList(t *testing.T) {
 	d := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
 		send("")
@@ -137,7 +139,7 @@
 	}
 }
 
-// Guards against a watch that is not opened again after it ended, or is opened from a version before the last received one.
+// TestEndedWatchIsReopenedFromLastVersion checks that a watch that ended is opened again, from the last received version.
 func TestEndedWatchIsReopenedFromLastVersion(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		d := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
@@ -149,7 +151,7 @@
 		w := startWatcher(t, d.Address, pushed)
 		for range 2 {
 			if u := w.nextUpdate(t); u.Kind != balancer.IncrementalUpdate {
-				t.Errorf("update is %+v, want an incremental one", u)
+				t.Errorf("update from a watch is %+v, want an incremental update", u)
 			}
 		}
 		if versions := d.Calls(); !slices.Equal(versions, []string{"1", "7"}) {
@@ -158,8 +160,8 @@
 	}
 }
 
-// Guards against a redirect after which the Watcher does not fetch the complete list of the new address, does not retry failed polls, or
-// does not watch the list afterwards. After Refresh the next heartbeat must be reported to the balancer.
+// TestRedirectFetchesListAndRetries checks that, after a redirect, the Watcher fetches the complete list of the new address, retries failed
+// polls, and watches the list afterwards. After Refresh the next heartbeat must be reported to the balancer.
 func TestRedirectFetchesListAndRetries(t *testing.T) {
 	d := testutil.Discovery(t, func(n int, send func(string), done <-chan struct{}) {
 		if n == 3 {
@@ -186,8 +188,8 @@
 	}
 }
 
-// Guards against a drain that is lost during a redirect: changes from the watch at the earlier address must be applied until the new
-// address has answered, and the watch must be closed afterwards.
+// TestSupersededWatchIsFollowedAfterRedirect guards against a drain that is lost during a redirect. Changes from the watch at the earlier
+// address must be applied until the new address has answered. After that the watch must be closed.
 func TestSupersededWatchIsFollowedAfterRedirect(t *testing.T) {
 	redirected := make(chan struct{})
 	before := testutil.Discovery(t, func(_ int, send func(string), done <-chan struct{}) {
@@ -211,7 +213,7 @@
 	w.Redirect(after.Address)
 	close(redirected)
 	if w.nextUpdate(t); w.isReady("a") || !w.isReady("b") {
-		t.Error("the drain from the earlier address was not applied, or b is not ready any more")
+		t.Error("the drain of endpoint a from the earlier address was not applied, or endpoint b is not ready any more")
 	}
 	close(answer)
 	if u := w.nextUpdate(t); u.Kind != balancer.FullUpdate || w.isReady("b") || !w.isReady("c") {
@@ -223,7 +225,8 @@
 	})
 }
 
-// Guards against a log that fills with warnings during a long outage: of many consecutive failures, at most 40 may be warnings.
+// TestConsecutiveFailuresAreLoggedSparingly guards against a log that fills with warnings during a long outage. At most 40 of 400
+// consecutive failures may be logged as warnings.
 func TestConsecutiveFailuresAreLoggedSparingly(t *testing.T) {
 	const failuresInMinute = 400
 	warned := 0
