--- a/internal/discovery/eureka/cache.go
+++ b/internal/discovery/eureka/cache.go
@@ -13,14 +13,14 @@
 // no I/O.
 type instanceCache struct {
 	mapping      Mapping
-	applications map[string]bool // wanted applications, in upper case; empty: all
+	applications map[string]bool // wanted applications, in upper case; if empty, all are wanted
 	instances    map[string]cachedInstance
-	statusCounts map[string]int                // number of instances by status, for hash
-	unusable     int                           // wanted instances without a usable address
-	reported     map[string]endpoints.Endpoint // by name, as returned by changes
+	statusCounts map[string]int                // number of instances with each status, for hash
+	unusable     int                           // number of wanted instances without a usable address
+	reported     map[string]endpoints.Endpoint // the endpoints as last returned by changes, by name
 }
 
-// cachedInstance is an instance in the cache. Of an instance of an unwanted application only the status is used, for hash.
+// cachedInstance is an instance in the cache. If its application is unwanted, only its status is used, to compute the hash.
 type cachedInstance struct {
 	status   string
 	isWanted bool
@@ -41,8 +41,8 @@
 	c.instances, c.statusCounts, c.unusable = map[string]cachedInstance{}, map[string]int{}, 0
 }
 
-// put stores an instance of a full document, or applies an instance of a delta. Its error is always nil, so that it can be used as a
-// document's visit function.
+// put stores an instance of a full document, or applies an instance of a delta. It always returns nil; it has an error result so that it
+// can be used as a document's visit function.
 func (c *instanceCache) put(i *instance) error {
 	key := strings.ToUpper(i.application) + "\x00" + i.key()
 	c.remove(key)
@@ -85,8 +85,8 @@
 	return b.String()
 }
 
-// changes returns the endpoints that changed since the last call, or all endpoints if snapshot is set. If partial is set the cache may
-// lack instances, so endpoints that are missing from it are not reported as gone.
+// changes returns the endpoints that changed since the last call, or all endpoints if snapshot is set. partial says that the cache may lack
+// instances. In that case, endpoints that are missing from the cache are not reported as gone.
 func (c *instanceCache) changes(snapshot, partial bool) *endpoints.List {
 	l := &endpoints.List{Snapshot: snapshot}
 	present := make(map[string]bool, len(c.reported))
--- a/internal/discovery/eureka/client.go
+++ b/internal/discovery/eureka/client.go
@@ -19,28 +19,28 @@
 
 const (
 	maxReusedBufferBytes = 1 << 20  // a larger response buffer is not reused
-	maxDrainedBytes      = 64 << 10 // read at most of a response body so that its connection can be reused
+	maxDrainedBytes      = 64 << 10 // longest response body that is read to its end so that the connection can be reused
 )
 
 var (
-	// errUnchanged is returned if a response equals the one that was decoded last.
+	// errUnchanged is returned if a response equals the response that was decoded last.
 	errUnchanged        = errors.New("response unchanged")
 	errResponseTooLarge = errors.New("response is larger than max_answer")
 )
 
-// client calls the servers of one registry. It makes one call at a time, and tries the server that answered last first.
+// client calls the servers of one registry. It makes one call at a time, and first tries the server that answered most recently.
 type client struct {
 	servers          []string // base URLs, without a trailing slash
 	http             *http.Client
-	timeout          time.Duration // of a complete call to one server
+	timeout          time.Duration // timeout of a complete call to one server
 	maxResponseBytes int64         // limit for the response as received and for its uncompressed content
-	accept           string        // media type requested
-	user             string        // for basic authentication; empty: none
+	accept           string        // requested media type
+	user             string        // user name for basic authentication; if empty, none is sent
 	password         func() string
 
 	current     atomic.Int64   // index of the server that answered last
 	received    bytes.Buffer   // body of the last response, before decompression
-	lastDecoded responseDigest // digest of the response that was decoded last; zero: none
+	lastDecoded responseDigest // digest of the response that was decoded last, or the zero value
 
 	requests, bytes atomic.Int64 // requests sent so far, and bytes of responses received, before decompression
 }
@@ -86,8 +86,8 @@
 	return errors.Join(failures...)
 }
 
-// get decodes a document from the first server that answers. It calls reset before each attempt, and returns errUnchanged if the document
-// equals the one that was decoded last.
+// get decodes a document from the first server that answers. It calls reset before each attempt, and returns errUnchanged if the response
+// equals the response that was decoded last.
 func (c *client) get(ctx context.Context, path string, d *document, reset func()) error {
 	return c.tryServers(ctx, func(server string) error {
 		reset()
@@ -99,8 +99,8 @@
 	})
 }
 
-// getFrom decodes a document from one server. Most responses equal the previous one, since servers answer from a cache. These are not
-// decoded again.
+// getFrom decodes a document from one server. Most responses equal the previous response, since servers answer from a cache. Such a
+// response is not decoded again.
 func (c *client) getFrom(ctx context.Context, server, path string, d *document) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// send sends one request. The URL is left out of its error, since it may contain a password.
+// send sends one request. Its error does not contain the URL, since the URL may contain a password.
 func (c *client) send(ctx context.Context, method, target, body string) (*http.Response, error) {
 	var content io.Reader
 	if body != "" {
@@ -193,7 +193,7 @@
 	return "server with an invalid URL"
 }
 
-// boundedReader returns an error at its limit, so that a truncated response is not taken for a complete one.
+// boundedReader returns an error at its limit, so that a truncated response is not taken for a complete response.
 type boundedReader struct {
 	io.Reader
 	remaining int64
--- a/internal/discovery/eureka/declaration.go
+++ b/internal/discovery/eureka/declaration.go
@@ -59,7 +59,7 @@
 	Metadata    map[string]string `toml:"metadata" doc:"Further metadata of the instance."`
 }
 
-// Check reports what is invalid in a declaration. It implements tomlfile.Checker.
+// Check reports each invalid value of a declaration. It implements tomlfile.Checker.
 func (d *Declaration) Check(report func(key, format string, args ...any)) {
 	if d.Service == "" {
 		report("service", "missing")
@@ -140,7 +140,7 @@
 	return allApplicationsPath
 }
 
-// Describe returns what is polled and how often, for `orchiddrift check`.
+// Describe returns the polled path and the poll rate as text, for `orchiddrift check`.
 func (d *Declaration) Describe() string {
 	return fmt.Sprintf("eureka %s: %s, %.3g requests a second", d.Name, d.path(), 1/d.Poll.D().Seconds())
 }
--- a/internal/discovery/eureka/document.go
+++ b/internal/discovery/eureka/document.go
@@ -18,17 +18,17 @@
 const MaxInstances = 20_000
 
 var (
-	errNoApplications   = errors.New("the document has no applications")
-	errTrailingContent  = errors.New("trailing content after the document")
-	errUnnamedInstance  = errors.New("the document has an instance without id and host name")
-	errTooManyInstances = fmt.Errorf("the document has more than %d instances", MaxInstances)
+	errNoApplications   = errors.New("the registry's response has no applications")
+	errTrailingContent  = errors.New("the registry's response has content after its end")
+	errUnnamedInstance  = errors.New("the registry's response has an instance without id and host name")
+	errTooManyInstances = fmt.Errorf("the registry's response has more than %d instances", MaxInstances)
 )
 
 // document decodes a response of a registry. It passes the instances to visit one by one, so that the decoded instances of a large
-// document need not be in memory together. If decode fails, the instances visited so far must be discarded.
+// document need not be in memory at the same time. If decode fails, the caller must discard the instances visited so far.
 type document struct {
-	hash      string // apps__hashcode; empty: the document has none
-	instances int    // number visited so far
+	hash      string // apps__hashcode, the registry's checksum; empty if the document has none
+	instances int    // number of instances visited so far
 	visit     func(*instance) error
 }
 
@@ -45,7 +45,7 @@
 	case strings.HasSuffix(kind, "/xml"), strings.HasSuffix(kind, "+xml"):
 		return d.decodeXML(from)
 	}
-	return fmt.Errorf("the response has media type %q, which is neither JSON nor XML", kind)
+	return fmt.Errorf("the registry's response has media type %q, which is neither JSON nor XML", kind)
 }
 
 // add passes an instance to visit, after checking its key and the number of instances.
--- a/internal/discovery/eureka/document_test.go
+++ b/internal/discovery/eureka/document_test.go
@@ -12,7 +12,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Documents that deviate in known ways must decode to the endpoint given here, "none" for no endpoint, or "" for a decoding error.
+// TestDecodeDeviations checks documents that deviate from the usual form in ways that registries are known for. The wanted result of each
+// document is its endpoint, "none" if it has no usable endpoint, or "" if it must be rejected.
 func TestDecodeDeviations(t *testing.T) {
 	jsonInstance := func(port, more string) string {
 		return `{"applications":{"application":[{"name":"A","instance":[{"instanceId":"i","ipAddr":"127.0.0.2","status":"UP","port":` + port + more + `}]}]}}`
@@ -71,7 +72,7 @@
 	}
 }
 
-// FuzzDecode checks that no document makes a decoder panic or yields an unusable endpoint, and that a truncated JSON document is
+// FuzzDecode checks that no document makes a decoder panic or results in an unusable endpoint, and that a truncated JSON document is
 // rejected.
 func FuzzDecode(f *testing.F) {
 	for _, asXML := range []bool{true, false} {
--- a/internal/discovery/eureka/harness_test.go
+++ b/internal/discovery/eureka/harness_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// recordingSink is a Sink that records the list and the number of losses. It also records log lines.
+// recordingSink is a Sink that records the list and the number of Lost reports. It also records log lines.
 type recordingSink struct {
 	mu       sync.Mutex
 	list     map[string]endpoints.Endpoint
@@ -96,7 +96,7 @@
 	return n
 }
 
-// testDeclaration returns a declaration of servers that are polled every 5 ms.
+// testDeclaration returns a declaration of a registry with the given servers, which is polled every 5 ms.
 func testDeclaration(servers ...*fakes.Eureka) Declaration {
 	d := Declaration{Service: "s", Name: "eureka", Poll: units.Duration(5 * time.Millisecond), Timeout: units.Duration(300 * time.Millisecond),
 		Backoff: units.Duration(20 * time.Millisecond), MaxAnswer: 16 * units.MiB, ZoneKey: "zone", TypeKey: "type", GroupKey: "group"}
--- a/internal/discovery/eureka/instance.go
+++ b/internal/discovery/eureka/instance.go
@@ -18,10 +18,10 @@
 	statusUnknown      = "UNKNOWN"
 )
 
-// actionDeleted is the action of a delta that removes an instance; the others add or change it.
+// actionDeleted is the action in a delta that removes an instance. Any other action adds or changes the instance.
 const actionDeleted = "DELETED"
 
-// endpointStatus maps the status of an instance to that of its endpoint. Other statuses become StatusUnknown.
+// endpointStatus maps the status of an instance to the status of its endpoint. A status that is not in the map becomes StatusUnknown.
 var endpointStatus = map[string]string{
 	statusUp:           endpoints.StatusReady,
 	statusDown:         membership.StatusDown,
@@ -41,9 +41,9 @@
 	securePort     port
 	metadata       map[string]string
 	dataCenterZone string
-	upMs           int64  // when it came up, in Unix milliseconds; 0: unknown
-	registeredMs   int64  // when it registered, in Unix milliseconds; 0: unknown
-	action         string // in a delta: ADDED, MODIFIED, DELETED
+	upMs           int64  // when the instance came up, in Unix milliseconds; 0 if unknown
+	registeredMs   int64  // when the instance registered, in Unix milliseconds; 0 if unknown
+	action         string // ADDED, MODIFIED or DELETED; set in a delta only
 }
 
 type port struct {
@@ -51,8 +51,8 @@
 	isEnabled bool
 }
 
-// key returns the identifier of the instance within its application. This is the id, or the host in documents of old versions without
-// ids.
+// key returns the identifier of the instance within its application. This is the id, or the host if the registry is an old version whose
+// documents have no ids.
 func (i *instance) key() string {
 	if i.id != "" {
 		return i.id
@@ -60,8 +60,8 @@
 	return i.host
 }
 
-// effectiveStatus returns the status that applies to the instance. An operator's override that takes the instance out of service takes
-// precedence over the reported status, as it will on the registry's other replicas.
+// effectiveStatus returns the status that applies to the instance. If an operator has overridden the status to out of service or down, the
+// override takes precedence over the status that this replica reports, since the other replicas will report it too.
 func (i *instance) effectiveStatus() string {
 	switch i.overridden {
 	case statusOutOfService, statusDown:
@@ -75,11 +75,11 @@
 // Mapping describes how an instance is converted to an endpoint.
 type Mapping struct {
 	Secure      bool   // use the secure port
-	ZoneKey     string // metadata key, like the other keys
+	ZoneKey     string // metadata key of the zone; the other keys are metadata keys too
 	TypeKey     string
 	GroupKey    string
 	IdentityKey string
-	WithApp     bool // prefix names with the application, since there may be several
+	WithApp     bool // prefix names with the application; set if there may be several applications
 }
 
 // endpoint converts an instance to an endpoint. It returns false if the instance has no key or no usable address.
--- a/internal/discovery/eureka/json.go
+++ b/internal/discovery/eureka/json.go
@@ -6,8 +6,8 @@
 	"io"
 )
 
-// The JSON documents are in the form to which XStream converts XML: a list of one element is a single object, an empty list may be null
-// or absent, numbers and booleans may be strings, and {"$":8080,"@enabled":"true"} is an element with an attribute.
+// The JSON documents have the form to which XStream converts XML. A list of one element is a single object, and an empty list may be null
+// or absent. Numbers and booleans may be strings. {"$":8080,"@enabled":"true"} is an element with an attribute.
 
 func (d *document) decodeJSON(from io.Reader) error {
 	r := jsonReader{json.NewDecoder(from)}
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// applications reads the fields of the object applications. Its opening brace has been read.
+// applications reads the fields of the JSON object "applications", whose opening brace has been read.
 func (d *document) applications(r jsonReader) error {
 	return r.fields(func(key string) (err error) {
 		switch key {
@@ -88,7 +88,7 @@
 // jsonReader reads JSON token by token.
 type jsonReader struct{ *json.Decoder }
 
-// object reads an object. It calls field for each key, and field reads the value.
+// object reads an object. It calls field for each key, and field must read the key's value.
 func (r jsonReader) object(field func(key string) error) error {
 	if err := r.openObject(); err != nil {
 		return err
@@ -103,12 +103,12 @@
 		return err
 	}
 	if t != json.Delim('{') {
-		return fmt.Errorf("document has %v where an object is expected", t)
+		return fmt.Errorf("the registry's response has %v where a JSON object is expected", t)
 	}
 	return nil
 }
 
-// fields calls field for each key of an object whose opening brace has been read. field reads the value.
+// fields calls field for each key of an object whose opening brace has been read. field must read the key's value.
 func (r jsonReader) fields(field func(key string) error) error {
 	for r.More() {
 		t, err := r.Token()
@@ -124,8 +124,8 @@
 	return err
 }
 
-// openList reads the opening bracket of a list, the opening brace of a single object in place of a list, or null or an empty string in
-// place of an empty list.
+// openList reads the opening bracket of a list. In place of a list it accepts the opening brace of a single object. In place of an empty
+// list it accepts null or an empty string.
 func (r jsonReader) openList() (isList, isObject bool, err error) {
 	t, err := r.Token()
 	switch {
@@ -136,7 +136,7 @@
 	case t == json.Delim('{'):
 		return false, true, nil
 	case t != json.Delim('['):
-		return false, false, fmt.Errorf("document has %v where a list is expected", t)
+		return false, false, fmt.Errorf("the registry's response has %v where a JSON list is expected", t)
 	}
 	return true, false, nil
 }
@@ -147,8 +147,8 @@
 	return err
 }
 
-// objects calls read for each object of a list, or for a single object in place of a list. The opening brace has been read when read is
-// called.
+// objects calls read for each object of a list, or for a single object in place of a list. Before each call of read it reads the object's
+// opening brace.
 func (r jsonReader) objects(read func() error) error {
 	isList, isObject, err := r.openList()
 	switch {
--- a/internal/discovery/eureka/jsonvalue.go
+++ b/internal/discovery/eureka/jsonvalue.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// jsonInstance is an instance in JSON. The decoder ignores the case of field names, so that overriddenstatus is read, too.
+// jsonInstance is an instance in JSON. The decoder ignores the case of field names, so that it also reads overriddenstatus.
 type jsonInstance struct {
 	App              jsonText  `json:"app"`
 	InstanceID       jsonText  `json:"instanceId"`
@@ -71,7 +71,8 @@
 	return nil
 }
 
-// jsonTexts is an object with jsonText values. It leaves out empty values and attributes. It is empty if the value is not an object.
+// jsonTexts contains the fields of an object with jsonText values, without empty values and attributes. It is empty if the JSON value is
+// not an object.
 type jsonTexts map[string]string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// lenient is an object, or the zero value if the JSON value is not an object.
+// lenient decodes an object. Any other JSON value results in the zero value instead of an error.
 type lenient[T any] struct{ value T }
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -103,7 +104,7 @@
 	return json.Unmarshal(b, &l.value)
 }
 
-// jsonPort is a number, or an element with the attribute enabled.
+// jsonPort is a port number, or an element with the port number and the attribute "enabled".
 type jsonPort port
 
 // UnmarshalJSON implements json.Unmarshaler.
--- a/internal/discovery/eureka/lease.go
+++ b/internal/discovery/eureka/lease.go
@@ -3,14 +3,15 @@
 import "time"
 
 const (
-	initialLeaseBackoff = 250 * time.Millisecond // after the first failure; it doubles up to the renewal interval
+	initialLeaseBackoff = 250 * time.Millisecond // backoff after the first failure; it doubles up to the renewal interval
 
-	// A renewal is due after nine to ten tenths of the interval, so that many instances do not renew at the same time.
+	// A renewal is due after a random time from nine tenths of the renewal interval to the whole interval, so that many instances do not
+	// renew at the same time.
 	renewalEarliestTenths = 9
 	tenths                = 10
 )
 
-// leaseCall is a kind of call to the registry for a lease.
+// leaseCall is the kind of a call to the registry.
 type leaseCall int
 
 const (
@@ -30,18 +31,18 @@
 	outcomeFailed
 )
 
-// lease decides which calls this process's instance makes to the registry, and when. The calls are to register, to renew the lease, to
-// set the status out of service while the process drains, and to cancel the lease at its end. lease does no I/O and reads no clock. The
-// caller has to report the outcome of a call by done before it calls next again.
+// lease decides which calls this process makes to the registry, and when. The calls register the process's instance, renew its lease, set
+// its status to out of service while the process drains, and cancel the lease when the process ends. lease does no I/O and reads no clock.
+// The caller must report the outcome of a call to done before it calls next again.
 type lease struct {
 	renewInterval    time.Duration
 	registered       bool
-	draining         bool // the instance has to be out of service
+	draining         bool // the status has to be out of service
 	outOfServiceSent bool
 	ending           bool          // the lease has to be cancelled
 	ended            bool          // no further calls are made
 	dueAt            time.Time     // when the next call is due
-	backoff          time.Duration // after the next failure
+	backoff          time.Duration // backoff after the next failure
 }
 
 func newLease(now time.Time, renewInterval time.Duration) *lease {
@@ -62,8 +63,8 @@
 	}
 }
 
-// next returns the call that is due now. If none is due it returns callNone and the time of the next call, which is zero if there are no
-// further calls.
+// next returns the call that is due now. If no call is due, next returns callNone and the time at which the next call is due. That time is
+// zero if no further calls follow.
 func (l *lease) next(now time.Time) (leaseCall, time.Time) {
 	switch {
 	case l.ended || l.ending && !l.registered:
@@ -81,8 +82,8 @@
 	return callRenew, l.dueAt
 }
 
-// done records the outcome of a call. jitter, from 0 to 1, delays the next call. A failed call is retried after a backoff that doubles. A
-// cancellation is not retried, since the lease expires by itself.
+// done records the outcome of a call. jitter, from 0 to 1, determines when the next call is due within its range. A failed call is retried
+// after a backoff, which doubles with each failure. A failed cancellation is not retried, since the lease expires by itself.
 func (l *lease) done(now time.Time, call leaseCall, outcome leaseOutcome, jitter float64) {
 	if outcome == outcomeFailed && call != callCancel {
 		l.dueAt = now.Add(l.backoff/2 + time.Duration(jitter*float64(l.backoff/2)))
--- a/internal/discovery/eureka/lease_test.go
+++ b/internal/discovery/eureka/lease_test.go
@@ -11,8 +11,8 @@
 type leaseModel struct {
 	lease           *lease
 	now             time.Time
-	lastCall        time.Time // with any outcome
-	callsAtOnce     int       // calls since time last passed
+	lastCall        time.Time // time of the last call, with any outcome
+	callsAtOnce     int       // number of calls since the time was last advanced
 	knownToRegistry bool
 	draining        bool
 	ending          bool
@@ -24,7 +24,8 @@
 	maxCallsAtOnce    = 6
 )
 
-// For any outcomes of its calls a lease must be renewed in time, be cancelled at most once, and not make an endless series of calls.
+// TestLease checks that, for any outcomes of its calls, a lease is renewed in time and cancelled at most once, and does not make an endless
+// series of calls.
 func TestLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.UnixMilli(1e12)
@@ -46,10 +47,10 @@
 	})
 }
 
-// pass advances the time to the next call, or makes the process drain or end before it.
+// pass advances the time to the next call, or makes the process drain or end before the next call.
 func (w *leaseModel) pass(t *rapid.T, dueAt time.Time) {
 	if dueAt.After(w.lastCall.Add(leaseTestInterval)) {
-		t.Fatalf("last call was at %v, and the next one is due at %v, later than one renewal interval", w.lastCall, dueAt)
+		t.Fatalf("the last lease call was at %v, and the next is due at %v, more than one renewal interval later", w.lastCall, dueAt)
 	}
 	switch step := rapid.IntRange(0, 20).Draw(t, "step"); step {
 	case 0:
@@ -71,7 +72,7 @@
 func (w *leaseModel) makeCall(t *rapid.T, call leaseCall) {
 	w.lastCall = w.now
 	if w.callsAtOnce++; w.callsAtOnce > maxCallsAtOnce {
-		t.Fatalf("%d calls without time passing in between", w.callsAtOnce)
+		t.Fatalf("lease made %d calls at the same time, more than maxCallsAtOnce", w.callsAtOnce)
 	}
 	outcome := rapid.SampledFrom([]leaseOutcome{outcomeDone, outcomeDone, outcomeFailed}).Draw(t, "outcome")
 	if outcome == outcomeDone && call != callRegister && !w.knownToRegistry {
@@ -81,9 +82,9 @@
 	case call == callCancel:
 		w.cancellations++
 	case w.ending:
-		t.Fatalf("call of kind %d after the process has ended", call)
+		t.Fatalf("lease made a call of kind %d after the process has ended", call)
 	case call == callOutOfService && !w.draining:
-		t.Fatal("status set out of service though the process does not drain")
+		t.Fatal("lease set the status to out of service although the process does not drain")
 	case outcome == outcomeDone:
 		w.knownToRegistry = true
 	}
--- a/internal/discovery/eureka/pollstate_test.go
+++ b/internal/discovery/eureka/pollstate_test.go
@@ -11,18 +11,18 @@
 // notificationDeadline is the time within which a change must be noticed once the registry has it and can be reached.
 const notificationDeadline = 6 * time.Second
 
-// Wrong default options would notice a change too late after an outage. A poll that just missed the registry's return, two more that
-// fail, and the one that succeeds must fit into the notification deadline.
+// TestPollsAfterOutageMeetDeadline guards against default options with which a change is noticed too late after an outage. A poll that
+// began just before the end of the outage, two more failed polls, and a successful poll must fit into the notification deadline.
 func TestPollsAfterOutageMeetDeadline(t *testing.T) {
 	interval, timeout, maxBackoff := defaultOf(t, "Poll"), defaultOf(t, "Timeout"), defaultOf(t, "Backoff")
 	p := pollState{failures: 100}
-	sum := timeout // of the poll that just missed the registry's return
+	sum := timeout // timeout of the poll that began just before the end of the outage
 	for range 3 {
 		sum += p.wait(interval, maxBackoff, 1)
 		p.failures++
 	}
 	if sum += timeout; sum > notificationDeadline {
-		t.Errorf("the third poll after the registry's return is answered after %v, later than the notification deadline", sum)
+		t.Errorf("the third poll after the end of the outage is answered after %v, later than the notification deadline", sum)
 	}
 }
 
--- a/internal/discovery/eureka/registration.go
+++ b/internal/discovery/eureka/registration.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	deregisterTimeout      = 500 * time.Millisecond // how long deregistering may delay the end of the process
+	deregisterTimeout      = 500 * time.Millisecond // longest time by which deregistering delays the end of the process
 	leaseDurationIntervals = 3                      // a lease expires after this number of renewal intervals
 	unusedSecurePort       = 443
 	registrationStream     = 0x7265676973746572 // selects the random number stream of the seed
@@ -29,7 +29,7 @@
 type Registration struct {
 	declaration Declaration
 	client      *client
-	credentials *tlscredentials.Store // nil: no TLS configured
+	credentials *tlscredentials.Store // nil if no TLS is configured
 	log         *slog.Logger
 	rng         *rand.Rand
 	application string
@@ -39,7 +39,7 @@
 	drain       chan struct{}
 }
 
-// NewRegistration returns the registration of the process with that name and listen address. It does not register before Run is called.
+// NewRegistration returns the registration of the process with the given name and listen address. Run registers the process.
 func NewRegistration(d Declaration, name, listen string, connectTimeout time.Duration, seed uint64, log *slog.Logger) (*Registration, error) {
 	r := &Registration{
 		declaration: d,
@@ -61,7 +61,7 @@
 	return r, err
 }
 
-// Drain notifies the registry that the process wants no new requests. It does not block.
+// Drain makes Run set the instance's status to out of service, since the process wants no new requests. It does not block.
 func (r *Registration) Drain() {
 	select {
 	case r.drain <- struct{}{}:
@@ -69,7 +69,7 @@
 	}
 }
 
-// Run registers the process, renews the lease, and cancels it when ctx ends.
+// Run registers the process, renews the lease, and cancels the lease when ctx ends.
 func (r *Registration) Run(ctx context.Context) {
 	defer r.client.http.CloseIdleConnections()
 	cleanupCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
@@ -98,7 +98,7 @@
 	}
 }
 
-// makeDueCalls makes the calls that are due, and returns the time at which the next one is due. It returns false if ctx has ended.
+// makeDueCalls makes the calls that are due, and returns the time at which the next call is due. It returns false if ctx has ended.
 func (r *Registration) makeDueCalls(ctx context.Context, l *lease) (dueAt time.Time, ok bool) {
 	for {
 		call, dueAt := l.next(time.Now())
@@ -112,7 +112,7 @@
 	}
 }
 
-// cancel makes the remaining calls of a lease that ends.
+// cancel makes the last call of an ending lease, which cancels the lease if the process is registered.
 func (r *Registration) cancel(ctx context.Context, l *lease) {
 	ctx, stop := context.WithTimeout(ctx, deregisterTimeout)
 	defer stop()
--- a/internal/discovery/eureka/registration_test.go
+++ b/internal/discovery/eureka/registration_test.go
@@ -10,8 +10,8 @@
 	"orchiddrift/internal/units"
 )
 
-// A process must be listed in the registry, also after the registry has restarted. It must be out of service while it drains, and no
-// longer be listed after its end.
+// TestRegistration checks that a process is listed in the registry, also after the registry has restarted, that its status is out of
+// service while it drains, and that it is not listed any more after its end.
 func TestRegistration(t *testing.T) {
 	e := base.Eureka(t, fakes.EurekaOptions{})
 	d := testDeclaration(e)
--- a/internal/discovery/eureka/source.go
+++ b/internal/discovery/eureka/source.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	maxLoggedReasons = 4              // different failures of one outage that are logged
+	maxLoggedReasons = 4              // maximum number of different failures that are logged in one outage
 	sourceStream     = 0x657572656b61 // selects the random number stream of the seed
 )
 
@@ -24,18 +24,18 @@
 type Source struct {
 	declaration Declaration
 	client      *client
-	credentials *tlscredentials.Store // nil: no TLS configured
+	credentials *tlscredentials.Store // nil if no TLS is configured
 	log         *slog.Logger
 	rng         *rand.Rand
 	polls       atomic.Int64
 
-	// The goroutine in Run owns the fields below.
+	// Only the goroutine that runs Run uses the fields below.
 	cache            *instanceCache
 	state            pollState
 	partial          bool     // the cache may lack instances
 	snapshotReported bool     // the sink has received the complete list
 	loggedReasons    []string // failures logged in the present outage, at most maxLoggedReasons
-	loggedUnusable   int      // number of instances without a usable address that was logged last
+	loggedUnusable   int      // last logged number of instances without a usable address
 }
 
 var _ endpoints.Source = (*Source)(nil)
@@ -59,7 +59,7 @@
 // Refresh does nothing, since the registry is polled at short intervals.
 func (s *Source) Refresh() {}
 
-// Polls returns the number of polls whose result has been reported to the sink.
+// Polls returns the number of polls whose results have been reported to the sink.
 func (s *Source) Polls() int64 { return s.polls.Load() }
 
 // Traffic returns the number of requests sent so far, and the bytes of their responses before decompression.
@@ -95,7 +95,7 @@
 	}
 }
 
-// report passes the result of a poll to the sink. The first result that is not partial is reported as a snapshot, later ones as changes.
+// report passes the result of a poll to the sink. The first complete result is reported as a snapshot, all other results as changes.
 func (s *Source) report(sink endpoints.Sink, partial bool, err error) {
 	if err != nil {
 		s.state.failures++
@@ -144,7 +144,7 @@
 }
 
 // poll updates the cache. partial reports that the cache may lack instances, because the response does not match its own checksum. The
-// instances in such a response are used, but missing ones are not taken for removed.
+// instances in such a response are used, but instances that are missing from it are not treated as removed.
 func (s *Source) poll(ctx context.Context) (partial bool, err error) {
 	if !s.state.useDelta() {
 		return s.pollFull(ctx)
@@ -178,7 +178,7 @@
 		d.reset()
 	})
 	if errors.Is(err, errUnchanged) {
-		return true, nil // this delta matched when it was applied, else a full poll would have followed
+		return true, nil // the delta matched when it was applied; otherwise a full poll would have followed
 	}
 	if err != nil {
 		return false, err
--- a/internal/discovery/eureka/source_test.go
+++ b/internal/discovery/eureka/source_test.go
@@ -13,7 +13,8 @@
 	"orchiddrift/internal/units"
 )
 
-// pollCases are the ways of polling and the forms of the registry's responses. Servers[0] is appended to the base address.
+// pollCases are the ways of polling and the forms of the registry's responses. A path that configure sets in Servers[0] is appended to the
+// base address of the test's registry.
 var pollCases = []struct {
 	name      string
 	configure func(*Declaration, *fakes.EurekaOptions)
@@ -37,7 +38,8 @@
 	}},
 }
 
-// With each way of polling a Source must report changes of status, overrides, starts and ends of instances.
+// TestSourceFollowsRegistry checks that, with each way of polling, a Source reports changes of status, overrides, starts and ends of
+// instances.
 func TestSourceFollowsRegistry(t *testing.T) {
 	for _, c := range pollCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -65,7 +67,7 @@
 	}
 }
 
-// checkEndpoint checks all properties of the endpoint a.
+// checkEndpoint checks all properties of endpoint a.
 func checkEndpoint(t *testing.T, sink *recordingSink, isSecure bool) {
 	t.Helper()
 	port := 81
@@ -99,7 +101,8 @@
 	sink.waitFor(t, "a is back", "a Ready")
 }
 
-// A bad response must not change the list, must be logged only once, and must not stop the Source from polling.
+// TestBadAnswersKeepLastGoodList checks that bad responses do not change the list, are logged only once, and do not stop the Source from
+// polling.
 func TestBadAnswersKeepLastGoodList(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		for name, fault := range map[string]fakes.EurekaFault{"down": fakes.EurekaDown, "cut": fakes.EurekaCut, "html": fakes.EurekaHTML,
@@ -119,10 +122,10 @@
 				base.Eventually(t, "four losses are reported", func() bool { return sink.lossCount() >= 4 })
 				e.Cancel("SEATS", "b")
 				if got := sink.listText(); got != "a Ready, b Ready" {
-					t.Errorf("list is %q after bad responses, want the last good one", got)
+					t.Errorf("list is %q after bad responses, want the last good list", got)
 				}
-				if n := sink.logCount("the last good list stays"); n != 1 && !(delta && n <= 2) { // one for the delta, one for the full poll
-					t.Errorf("the failure was logged %d times: %q", n, sink.logLines)
+				if n := sink.logCount("the last good list stays"); n != 1 && !(delta && n <= 2) { // one line for the delta, one for the full poll
+					t.Errorf("the failed polls were logged %d times, want once per kind of poll: %q", n, sink.logLines)
 				}
 				e.Fault(nil)
 				sink.waitFor(t, "a change during the outage", "a Ready")
@@ -132,7 +135,7 @@
 	}
 }
 
-// Failures that alternate must be logged once per outage, not with every poll.
+// TestAlternatingFailuresAreLoggedOnce checks that failures that alternate are logged once per outage, not with every poll.
 func TestAlternatingFailuresAreLoggedOnce(t *testing.T) {
 	sink := &recordingSink{}
 	s := &Source{log: logging.NewFunc(sink.log)}
@@ -142,12 +145,12 @@
 		}
 		s.logRecovery()
 		if failures, recoveries := sink.logCount("stays"), sink.logCount("again"); failures != outage*maxLoggedReasons || recoveries != outage {
-			t.Errorf("outage %d: %d failures and %d recoveries logged", outage, failures, recoveries)
+			t.Errorf("after outage %d: %d failures and %d recoveries logged, want maxLoggedReasons failures and one recovery per outage", outage, failures, recoveries)
 		}
 	}
 }
 
-// startDelta runs a Source that polls deltas. It returns its last server, which like the others has instance a.
+// startDelta runs a Source that polls deltas. Each of its servers lists instance a. It returns the last server and the Source's sink.
 func startDelta(t *testing.T, others ...*fakes.Eureka) (*fakes.Eureka, *recordingSink) {
 	t.Helper()
 	e := base.Eureka(t, fakes.EurekaOptions{})
@@ -169,8 +172,8 @@
 	sink.waitFor(t, "list of the full poll", "a Ready, b Ready")
 }
 
-// If checksums never match, the Source must stop polling deltas. It must use the instances in a response, and not take missing ones for
-// removed.
+// TestChecksumThatNeverMatches checks that the Source stops polling deltas if checksums never match. The Source must use the instances in a
+// response, and must not treat missing instances as removed.
 func TestChecksumThatNeverMatches(t *testing.T) {
 	e, sink := startDelta(t)
 	e.Put(testInstance("SEATS", "b", 82, "UP"))
@@ -218,7 +221,8 @@
 	sink.waitFor(t, "instance registered again", "a Ready")
 }
 
-// Instances whose leases expire must be reported as gone, unless the registry preserves them. A replica that is cut off keeps its list.
+// TestLeasesAndReplicas checks that instances whose leases expired are reported as gone, unless the registry preserves them, and that a
+// replica that is cut off keeps its list.
 func TestLeasesAndReplicas(t *testing.T) {
 	for _, preserves := range []bool{false, true} {
 		t.Run(fmt.Sprint("self-preservation ", preserves), func(t *testing.T) {
@@ -241,7 +245,7 @@
 			e.SetStatus("SEATS", "a", "DOWN")
 			sink.waitFor(t, "one replica has the change", "a Down, b Ready")
 			if got := replicaSink.listText(); got != "a Ready, b Ready" {
-				t.Errorf("list of the replica that is cut off is %q, want it unchanged", got)
+				t.Errorf("list of the replica that is cut off is %q, want the unchanged list", got)
 			}
 			clockOffset.Store(int64(2 * time.Minute))
 			if !preserves {
@@ -251,7 +255,7 @@
 			calls := e.Calls("GET /apps/SEATS")
 			base.Eventually(t, "polls", func() bool { return e.Calls("GET /apps/SEATS") > calls+3 })
 			if got := sink.listText(); got != "a Down, b Ready" {
-				t.Errorf("list is %q in spite of self-preservation, want it unchanged", got)
+				t.Errorf("list is %q despite the registry's self-preservation, want the unchanged list", got)
 			}
 		})
 	}
--- a/internal/discovery/eureka/transport.go
+++ b/internal/discovery/eureka/transport.go
@@ -18,8 +18,8 @@
 	defaultConnectTimeout  = time.Second
 	idleConnectionTimeout  = 90 * time.Second
 	maxResponseHeaderBytes = 16 << 10
-	maxIdleConnections     = 1 // per server; the client makes one call at a time
-	maxConnections         = 2 // per server
+	maxIdleConnections     = 1 // maximum per server; the client makes one call at a time
+	maxConnections         = 2 // maximum per server
 )
 
 // newClient returns a client of the declared servers, and the credentials for https servers, which are nil if no TLS is configured.
--- a/internal/discovery/eureka/xml.go
+++ b/internal/discovery/eureka/xml.go
@@ -15,7 +15,7 @@
 	IP               string  `xml:"ipAddr"`
 	Status           string  `xml:"status"`
 	Overridden       string  `xml:"overriddenstatus"`
-	OverriddenStatus string  `xml:"overriddenStatus"` // spelling of other versions
+	OverriddenStatus string  `xml:"overriddenStatus"` // spelling in other versions of Eureka
 	Action           string  `xml:"actionType"`
 	Port             xmlPort `xml:"port"`
 	SecurePort       xmlPort `xml:"securePort"`
@@ -120,11 +120,11 @@
 	}
 }
 
-// startElement reads an element. Of an element that contains instances it reads only the start tag.
+// startElement reads an element. If the element contains instances, startElement reads only its start tag.
 func (r *xmlReader) startElement(t xml.StartElement) (err error) {
 	name := t.Name.Local
 	if r.depth == 0 && name != "applications" && name != "application" {
-		return fmt.Errorf("document has <%s> where applications are expected", name)
+		return fmt.Errorf("the registry's response has <%s> where <applications> or <application> is expected", name)
 	}
 	switch name {
 	case "applications", "application":
--- a/internal/discovery/listfile/listfile.go
+++ b/internal/discovery/listfile/listfile.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// endpoint converts the entry to an endpoint of a list. A malformed start time, which Check reports, counts as long ago.
+// endpoint converts the entry to an endpoint of a list. A malformed start time counts as long ago; Check reports it as an error.
 func (e *Entry) endpoint() endpoints.Endpoint {
 	out := endpoints.Endpoint{Name: e.Name, Address: e.Address, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell, Status: e.Status,
 		TLSIdentity: e.TLSIdentity}
@@ -155,8 +155,8 @@
 	return f, problems, nil
 }
 
-// Validate returns an error if the list is empty or too long, or lists a name twice. An operator who wants no
-// requests to be sent marks all upstreams Terminating instead of emptying the list.
+// Validate returns an error if the list is empty or too long, or contains a name twice. To stop all requests, an operator
+// marks all upstreams as Terminating instead of emptying the list.
 func Validate(entries []Entry) error {
 	switch {
 	case len(entries) == 0:
--- a/internal/discovery/listfile/listfile_test.go
+++ b/internal/discovery/listfile/listfile_test.go
@@ -8,7 +8,7 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// Guards against a file that Parse reads in the wrong format, and against an entry that lacks the default of an absent key.
+// TestParse checks that Parse selects JSON or TOML by the file extension, and that absent keys get their defaults.
 func TestParse(t *testing.T) {
 	want := []Entry{
 		{Name: "n1", Address: "127.0.0.2:1", Zone: "z", Status: endpoints.StatusReady, StartedAt: "2026-12-01T06:00:00Z"},
@@ -25,17 +25,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, err := Parse(c.name, []byte(c.text))
 			if err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
-				t.Fatalf("parsed entries %+v, error %v", got, err)
+				t.Fatalf("Parse returned entries %+v and error %v, want the two entries of the list file", got, err)
 			}
 			l := ListOf(7, got)
 			if *l.Index != 7 || !l.Snapshot || len(l.Endpoints) != 2 || l.Endpoints[0].StartedMs != 1_796_104_800_000 {
-				t.Errorf("ListOf returned %+v; want version 7, a snapshot, 2 endpoints and the start time of the first one", l)
+				t.Errorf("ListOf returned %+v; want a snapshot of version 7 with 2 endpoints and the start time of endpoint n1", l)
 			}
 		})
 	}
 }
 
-// Guards against an incomplete or malformed file that replaces a valid list. The error must say what is wrong with the file.
+// TestParseRejects checks that Parse rejects incomplete and malformed files, which would otherwise replace a valid list. The error must say
+// what is wrong with the file.
 func TestParseRejects(t *testing.T) {
 	const ready = `{"name": "n1", "address": "127.0.0.2:1"}`
 	for _, c := range []struct{ name, file, text, want string }{
@@ -53,7 +54,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if entries, err := Parse(c.file, []byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("parsed entries %v, error %v; want an error with %q", entries, err, c.want)
+				t.Errorf("Parse returned entries %v and error %v; want an error that contains %q", entries, err, c.want)
 			}
 		})
 	}
--- a/internal/discovery/staleness/baseline_test.go
+++ b/internal/discovery/staleness/baseline_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// baseline is a policy without a deadline: fixed timeouts for silence and the first byte, and a backoff that grows by failures alone.
-// The tests require that it misses deadlines, which shows that the simulated world detects a policy that does.
+// baseline is a policy that ignores the deadline. It has fixed timeouts for silence and the first byte, and its backoff depends only on the
+// number of failures. The tests require that baseline misses deadlines, which shows that the simulation detects missed deadlines.
 type baseline struct {
 	rng           *rand.Rand
 	pushed        bool
--- a/internal/discovery/staleness/call.go
+++ b/internal/discovery/staleness/call.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// CallID identifies a call of one Machine. The first call has ID 1, and each further call the next number.
+// CallID identifies a call of one Machine. The first call has ID 1, and each further call has the next number.
 type CallID uint64
 
-// ActionKind is what the driver does for an Action.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
 // The kinds of actions.
 const (
 	OpenCall  ActionKind = iota // open a call
-	CloseCall                   // close a call; messages that it delivers from now on are ignored
+	CloseCall                   // close a call and ignore its further messages
 )
 
-// Request is what a call asks the discovery service for.
+// Request is the kind of data that a call requests from the discovery service.
 type Request int
 
 // The requests of list calls.
 const (
-	WatchChanges Request = iota // a stream of changes since the known version
-	FetchList                   // the complete list; the answer ends the call
+	WatchChanges Request = iota // request a stream of changes since the known version
+	FetchList                   // request the complete list; the answer ends the call
 )
 
 func (r Request) String() string {
@@ -33,7 +33,7 @@
 	return "watch"
 }
 
-// Action is an operation on a call that the driver carries out.
+// Action is an operation on a call. The driver, which is the code that uses a Machine, carries it out.
 type Action struct {
 	Kind    ActionKind
 	Call    CallID
@@ -47,13 +47,13 @@
 	openedAt  time.Duration
 	connected bool // the call is a watch that has delivered its first message
 
-	firstByteTimeout time.Duration // from openedAt to the first byte
+	firstByteTimeout time.Duration // longest time from openedAt to the first byte
 	lastActive       time.Duration // when the call last delivered a message
-	silenceSpread    time.Duration // added to silenceTimeout
-	closeAt          time.Duration // of a superseded call: when it is closed at the latest
+	silenceSpread    time.Duration // random time that is added to silenceTimeout
+	closeAt          time.Duration // when the call is closed at the latest, set for superseded calls only
 }
 
-// timeoutAt returns when the call times out if it delivers no further message.
+// timeoutAt returns the time at which the call times out unless it delivers a message before.
 func (c *call) timeoutAt() time.Duration {
 	if c.connected {
 		return c.lastActive + silenceTimeout + c.silenceSpread
@@ -66,7 +66,7 @@
 	return c.connected && now < c.timeoutAt()
 }
 
-// callSet holds open calls, the oldest first.
+// callSet holds open calls, ordered from oldest to youngest.
 type callSet []call
 
 // find returns the index of a call, or a negative number.
@@ -79,12 +79,12 @@
 	return slices.ContainsFunc(s, func(c call) bool { return c.healthy(now) })
 }
 
-// remove drops call i, which has ended by itself.
+// remove removes call i, which has ended by itself, from the set.
 func (s *callSet) remove(i int) {
 	*s = slices.Delete(*s, i, i+1)
 }
 
-// close drops call i and returns the action that closes it.
+// close removes call i from the set and returns the action that closes the call.
 func (s *callSet) close(i int) Action {
 	id := (*s)[i].id
 	s.remove(i)
--- a/internal/discovery/staleness/deadline_test.go
+++ b/internal/discovery/staleness/deadline_test.go
@@ -12,11 +12,12 @@
 
 const (
 	worldEnd          = 160 * second
-	maxNoticeDelay    = drainGrace - 50*ms // after the deadline; the remaining 50 ms are for the network
-	minBaselineMisses = 3                  // the baseline policy must miss the deadline in at least this many cases
+	maxNoticeDelay    = drainGrace - 50*ms // longest delay after the deadline; the remaining 50 ms are for the network
+	minBaselineMisses = 3                  // smallest number of cases in which the baseline policy must miss the deadline
 )
 
-// faultCases are the faults that the protocol names. The list changes so often that changes fall into every phase of a fault.
+// faultCases are the faults for which the platform's protocol defines a deadline. In the tests the list changes so often that changes fall
+// into every phase of a fault.
 var faultCases = []struct {
 	name   string
 	pushed bool
@@ -44,13 +45,13 @@
 	{"pushed: down, then reset", true, []fault{{7 * second, downFault, 20 * second}, {27050 * ms, resetFault, 0}}},
 }
 
-// TestChangesMeetDeadline checks that no fault delays the notice of a change beyond its deadline. The baseline policy must miss some of
-// the deadlines, which shows that the check can fail.
+// TestChangesMeetDeadline checks that, despite any fault, each change is noticed by its deadline. The baseline policy must miss some of the
+// deadlines, which shows that the check can fail.
 func TestChangesMeetDeadline(t *testing.T) {
 	var missed atomic.Int32
 	t.Cleanup(func() {
 		if n := missed.Load(); n < minBaselineMisses {
-			t.Errorf("the baseline policy misses the deadline in %d cases, want at least %d", n, minBaselineMisses)
+			t.Errorf("the baseline policy misses the notification deadline in %d cases, want at least %d", n, minBaselineMisses)
 		}
 	})
 	for _, c := range faultCases {
@@ -67,7 +68,7 @@
 					worst[name] = max(worst[name], w.worst)
 				}
 			}
-			t.Logf("latest change noticed %v after its deadline; with the baseline policy %v", worst["machine"], worst["baseline"])
+			t.Logf("longest delay of a change after its deadline: %v with Machine, %v with the baseline policy", worst["machine"], worst["baseline"])
 			if worst["machine"] > maxNoticeDelay {
 				t.Errorf("a change was noticed %v after its deadline, later than allowed", worst["machine"])
 			}
@@ -78,7 +79,7 @@
 	}
 }
 
-// TestPushedListKeepsShortGrace guards against backoffs of a pushed list that are longer than a short DrainGrace.
+// TestPushedListKeepsShortGrace guards against backoffs that exceed DrainGrace if the list is pushed and DrainGrace is short.
 func TestPushedListKeepsShortGrace(t *testing.T) {
 	for _, grace := range []time.Duration{80 * ms, 120 * ms, 200 * ms, 400 * ms} {
 		worst := time.Duration(0)
@@ -97,8 +98,8 @@
 	}
 }
 
-// TestChangesMeetDeadlineInRandomFaultOrders checks the deadline under random sequences of faults. No policy can fetch a list while all
-// calls fail until the deadline, so there is at most one silence or one outage at a time, and calls are delayed by 1 s at most.
+// TestChangesMeetDeadlineInRandomFaultOrders checks the deadline under random sequences of faults. No policy can meet the deadline if all
+// calls fail until then. The sequences therefore have at most one silence or outage at a time, and delay calls by at most 1 s.
 func TestChangesMeetDeadlineInRandomFaultOrders(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -146,8 +147,8 @@
 	return faults
 }
 
-// TestCallRateIsBounded guards against sidecars that flood discovery with calls: one call is opened while there is no fault, few calls are
-// opened while discovery is down, and at most maxOpenCalls are open at a time.
+// TestCallRateIsBounded guards against sidecars that flood the discovery service with calls. Without a fault only one call may be opened,
+// during an outage only few calls, and at most maxOpenCalls may be open at a time.
 func TestCallRateIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
@@ -178,8 +179,8 @@
 	}
 }
 
-// TestFirstBackoffAfterWatchEnds checks that a small fleet opens its calls soon after its watches ended, and that a large fleet spreads
-// its calls.
+// TestFirstBackoffAfterWatchEnds checks that a small fleet opens its next calls soon after its watches ended, and that a large fleet
+// spreads its next calls over a longer time.
 func TestFirstBackoffAfterWatchEnds(t *testing.T) {
 	for sidecars, longest := range map[int]time.Duration{0: 600 * ms, 1: 600 * ms, 6: 600 * ms, 50: 600 * ms, 100: 750 * ms, 300: 2250 * ms} {
 		for seed := range uint64(100) {
@@ -223,6 +224,6 @@
 		}
 	}
 	if got := fmt.Sprint(m.CallActive(7*second, 1)); got != "[]" || m.Accepts(1) {
-		t.Errorf("a message of a call that ended is accepted, or causes actions: %v", got)
+		t.Errorf("a message of call 1, which has ended, is accepted or causes the actions %v", got)
 	}
 }
--- a/internal/discovery/staleness/doc.go
+++ b/internal/discovery/staleness/doc.go
@@ -2,14 +2,15 @@
 // notification deadline.
 //
 // A Machine decides when a call is opened and closed, how long to wait after a failed call, and from when on the list counts as stale.
-// discovery.Watcher drives it: it reports what happened to each call and carries out the returned actions. The Machine holds all of
-// the state: the open calls, the deadline and a few counters. The package has no I/O, no clock and no goroutine, and imports only the
-// standard library.
+// discovery.Watcher is its driver: the Watcher reports what happened to each call and carries out the returned actions. The Machine stores
+// the whole state: the open calls, the deadline and a few counters. The package has no I/O, no clock and no goroutine, and imports only
+// the standard library.
 //
 // # Calls
 //
-// A call is either a poll (FetchList: the answer is the complete list and ends the call) or a watch (WatchChanges: a stream of changes,
-// with heartbeats while nothing changes). The list is current as long as a watch delivers messages. The states of a call:
+// A call is either a poll or a watch. The answer to a poll (FetchList) is the complete list and ends the call. A watch (WatchChanges)
+// delivers a stream of changes, with heartbeats while nothing changes. The list is current as long as a watch delivers messages. The
+// states of a call are:
 //
 //	            first message (watch)
 //	waiting --------------------------> connected --+
@@ -25,17 +26,17 @@
 // Only complete messages count: the first byte timeout runs until the first complete message, and part of a message does not show
 // that the call is alive.
 //
-// A call that timed out stays open beside its successor, since it may still be queued at a server that handles its calls one after
-// another. It is closed once a newer call has delivered a message.
+// A call that timed out stays open beside its successor, since a server that handles its calls one after another may still have the call
+// in its queue. The call is closed when a newer call has delivered a message.
 //
 // # Deadline
 //
-// When a call ends or times out, a change may have been missed. The platform counts such a change as notified at one deadline,
-// Machine.Deadline. All timeouts and backoffs are derived from the time that remains until the deadline: timing.go has the constants
-// and their sums, schedule.go the formulas.
+// When a call ends or times out, a change may have been missed. The platform assumes that the sidecar knows of such a change from the
+// notification deadline on, which Machine.Deadline returns. All timeouts and backoffs are derived from the time that remains until the
+// deadline. timing.go contains the constants and their sums, and schedule.go contains the formulas.
 //
 // # Redirects
 //
-// After Redirect the list's version at the new address is unknown: the complete list is fetched first, then watched. The calls to
-// earlier addresses are superseded, and stay open until the watch at the new address delivers a message; see redirect.go.
+// After Redirect the list's version at the new address is unknown. The complete list is therefore fetched first, and then watched. The
+// calls to earlier addresses are superseded, and stay open until the watch at the new address delivers a message; see redirect.go.
 package staleness
--- a/internal/discovery/staleness/fleet_queue_test.go
+++ b/internal/discovery/staleness/fleet_queue_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestLongQueueAfterWatchReset guards against a fleet that spends the server's time on calls which the sidecars then close. The server
-// resets all watches, lets a call queue for 3 s, and needs 8 to 12 s to answer one call of each sidecar. All sidecars must notice a
-// change after that time within the deadline.
+// TestLongQueueAfterWatchReset guards against sidecars that close calls which are still queued, so that the server spends its time on calls
+// that nobody waits for. The server resets all watches, lets a call queue for at most 3 s, and needs 8 to 12 s to answer one call of each
+// sidecar. All sidecars must notice a change, made 11.8 s after the start, within the notification deadline.
 func TestLongQueueAfterWatchReset(t *testing.T) {
 	const (
 		runs    = 100
--- a/internal/discovery/staleness/fleet_test.go
+++ b/internal/discovery/staleness/fleet_test.go
@@ -12,18 +12,18 @@
 // fleetScenario describes a fleet of Machines that share one discovery service, and what happens to the fleet.
 type fleetScenario struct {
 	sidecars     int
-	serviceTime  time.Duration // that discovery needs for a call
-	queueLimit   time.Duration // the longest that a call may queue
+	serviceTime  time.Duration // time that the discovery service needs to answer a call
+	queueLimit   time.Duration // longest time that a call may wait in the queue
 	outageBegins time.Duration
 	outageEnds   time.Duration
 	changedAt    time.Duration     // when the list changes
-	redirects    [][]time.Duration // when each sidecar is redirected
+	redirects    [][]time.Duration // times at which each sidecar is redirected
 	lossRate     float64           // fraction of answers and watch events that are lost; the call ends instead
 }
 
 type fleetEvent struct {
 	at    time.Duration
-	order int // order in which events were scheduled; decides between equal times
+	order int // sequence number of the event; events at the same time run in this order
 	run   func()
 }
 
@@ -50,7 +50,7 @@
 type fleetSidecar struct {
 	machine   *Machine
 	calls     map[CallID]*fleetCall
-	noticedAt time.Duration // when the sidecar first had the change; -1: not yet
+	noticedAt time.Duration // when the sidecar received the change, or -1 if it has not received the change yet
 	timer     int           // number of the current timer; earlier timers are ignored
 	opened    int           // number of calls opened
 }
@@ -60,8 +60,8 @@
 	return slices.Sorted(maps.Keys(s.calls))
 }
 
-// fleet simulates sidecars and their discovery service in virtual time. Discovery serves calls one after another and rejects a call at
-// once that would queue for too long. A call that the sidecar has closed keeps its place in the queue. After a redirect the old address
+// fleet simulates sidecars and their discovery service in virtual time. The service serves calls one after another, and immediately rejects
+// a call that would queue for too long. A call that the sidecar has closed keeps its place in the queue. After a redirect the old address
 // ends its calls with a delay.
 type fleet struct {
 	scenario fleetScenario
@@ -69,17 +69,17 @@
 	now      time.Duration
 	events   fleetEvents
 	order    int
-	idleAt   time.Duration // when discovery's queue is empty
+	idleAt   time.Duration // when the queue of the discovery service becomes empty
 	sidecars []*fleetSidecar
 }
 
 const (
-	fleetOneWayDelay        = 3 * ms // between a sidecar and discovery
+	fleetOneWayDelay        = 3 * ms // network delay between a sidecar and the discovery service
 	fleetStartInterval      = ms
-	fleetOldAddressLifetime = 1500 * ms // from a redirect until the old address ends its calls
+	fleetOldAddressLifetime = 1500 * ms // time from a redirect until the old address ends its calls
 )
 
-// simulateFleet runs a scenario until a time and returns the fleet as it is then.
+// simulateFleet runs a scenario until the given time and returns the final state of the fleet.
 func simulateFleet(scenario fleetScenario, seed uint64, until time.Duration) *fleet {
 	f := &fleet{scenario: scenario, rng: rand.New(rand.NewPCG(seed, 7))}
 	for i := range scenario.sidecars {
@@ -134,7 +134,7 @@
 	}
 }
 
-// enqueue sends a call to discovery, which queues or rejects it.
+// enqueue sends a call to the discovery service, which queues or rejects the call.
 func (f *fleet) enqueue(s *fleetSidecar, id CallID, call *fleetCall) {
 	f.schedule(f.now+fleetOneWayDelay, func() {
 		servedAt := max(f.idleAt, f.now)
@@ -182,7 +182,7 @@
 	})
 }
 
-// notifyWatches sends the change to all watches; a lost change ends its watch instead.
+// notifyWatches sends the change to all watches. If the change is lost for a watch, the watch ends instead.
 func (f *fleet) notifyWatches() {
 	for _, s := range f.sidecars {
 		for _, id := range s.openCalls() {
@@ -221,7 +221,8 @@
 	f.carryOut(s, s.machine.Redirect(f.now))
 }
 
-// latestNotice returns how long after the change the last sidecar noticed it. A sidecar that has not noticed it counts as until.
+// latestNotice returns the time from the change until the last sidecar noticed it. A sidecar that has not noticed the change counts as if
+// it had noticed the change at the time until.
 func (f *fleet) latestNotice(until time.Duration) time.Duration {
 	latest := time.Duration(0)
 	for _, s := range f.sidecars {
@@ -243,7 +244,7 @@
 	return calls
 }
 
-// redirectsInSeries redirects each sidecar four times within 1.6 s; the first redirects of the sidecars are interval apart.
+// redirectsInSeries returns four redirects within 1.6 s for each sidecar. The interval separates the first redirects of two sidecars.
 func redirectsInSeries(sidecars int, from, interval time.Duration) [][]time.Duration {
 	var all [][]time.Duration
 	for i := range sidecars {
@@ -253,20 +254,20 @@
 	return all
 }
 
-// TestCrowdedFleetMeetsDeadline guards against sidecars with a current list that take places in discovery's queue from sidecars without
-// one. Discovery was down, then needs 1.5 or 2 s to answer one call of each sidecar, and rejects calls that would queue for longer than
-// 1 s. The list changes, each sidecar is redirected four times, and one answer in seven is lost.
+// TestCrowdedFleetMeetsDeadline guards against sidecars with a current list that take places in the discovery service's queue from sidecars
+// without a current list. After an outage the service needs 1.5 or 2 s to answer one call of each sidecar, and rejects calls that would
+// queue for longer than 1 s. The list changes, each sidecar is redirected four times, and 15 % of the answers are lost.
 func TestCrowdedFleetMeetsDeadline(t *testing.T) {
 	const (
 		runs = 200
 		end  = 60 * second
 	)
 	for _, load := range []struct {
-		fleetServiceTime time.Duration // that discovery needs for one call of each sidecar
+		fleetServiceTime time.Duration // time that the discovery service needs to answer one call of each sidecar
 		maxLate          int
 	}{
 		{1500 * ms, 0},
-		{2 * second, runs / 100}, // where two consecutive answers are lost
+		{2 * second, runs / 100}, // a run is late if two consecutive answers are lost
 	} {
 		for _, sidecars := range []int{6, 12, 30, 80} {
 			lateRuns, worst, calls := 0, time.Duration(0), 0
@@ -282,10 +283,10 @@
 				worst = max(worst, latest)
 				calls += f.opened()
 			}
-			t.Logf("%d sidecars, %v for one call of each: %d of %d runs late, change noticed after %v at most, %.1f calls per sidecar", sidecars, load.fleetServiceTime,
+			t.Logf("%d sidecars, %v service time for one call of each: %d of %d runs late, change noticed after %v at most, %.1f calls per sidecar", sidecars, load.fleetServiceTime,
 				lateRuns, runs, worst, float64(calls)/runs/float64(sidecars))
 			if lateRuns > load.maxLate {
-				t.Errorf("%d sidecars, %v for one call of each: a sidecar misses the notification deadline in %d of %d runs, which is too many", sidecars, load.fleetServiceTime, lateRuns, runs)
+				t.Errorf("%d sidecars, %v service time for one call of each: a sidecar misses the notification deadline in %d of %d runs, which is too many", sidecars, load.fleetServiceTime, lateRuns, runs)
 			}
 		}
 	}
--- a/internal/discovery/staleness/machine.go
+++ b/internal/discovery/staleness/machine.go
@@ -10,18 +10,18 @@
 
 // Machine schedules the calls for one list. It is not safe for concurrent use. All times are on one monotonic clock of the driver.
 //
-// At most maxOpenCalls calls are open at the current address, and maxSupersededCalls at earlier addresses.
+// At most maxOpenCalls calls to the current address and maxSupersededCalls calls to earlier addresses are open.
 type Machine struct {
 	options Options
 	rng     *rand.Rand
 	started bool
 
-	calls        callSet // to the current address
-	superseded   callSet // to earlier addresses; see Redirect
+	calls        callSet // open calls to the current address
+	superseded   callSet // open calls to earlier addresses; see Redirect
 	lastID       CallID
 	lastOpenedAt time.Duration
-	nextCallAt   time.Duration // no call is opened before this time; 0: no backoff applies
-	needList     bool          // the next call fetches the list: the version at the current address is unknown
+	nextCallAt   time.Duration // no call is opened before this time; 0 if no backoff applies
+	needList     bool          // the next call must fetch the list, since the version at the current address is unknown
 	watchDelayed bool          // the list was fetched, and the watch that follows is opened at nextCallAt
 
 	everCurrent   bool          // a call has delivered a message since the start
@@ -29,10 +29,10 @@
 	deadline      time.Duration // when the list becomes stale
 	mayHaveMissed bool          // a change may have been missed, and deadline is its notification deadline
 
-	consecutiveFailures int // calls that ended since a call last delivered a message
-	consecutiveTimeouts int // calls in a row that were replaced before their first byte
+	consecutiveFailures int // number of calls that ended since a call last delivered a message
+	consecutiveTimeouts int // number of consecutive calls that were replaced before their first byte
 
-	redirects      int // in the current series
+	redirects      int // number of redirects in the current series
 	lastRedirectAt time.Duration
 }
 
@@ -69,10 +69,10 @@
 	c.connected, c.lastActive = true, now
 	m.markCurrent(now)
 	actions := m.superseded.closeAll()
-	return append(actions, m.calls.closeOldest(i)...) // the older calls cannot deliver anything that this call lacks
+	return append(actions, m.calls.closeOldest(i)...) // the older calls cannot deliver a change that this call does not deliver
 }
 
-// listFetched handles the answer to poll i, which ends the call, and opens the watch that follows, or delays it where the server is
+// listFetched handles the answer to poll i, which ends the call. It opens the watch that follows, or delays the watch if the server is
 // overloaded.
 func (m *Machine) listFetched(now time.Duration, i int) []Action {
 	fetchDuration := now - m.calls[i].openedAt
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// callTimedOut sets the deadline for a change that may have been missed since call c last delivered a message, or was opened.
+// callTimedOut sets the deadline for a change that may have been missed since call c last delivered a message, or since it was opened.
 func (m *Machine) callTimedOut(now time.Duration, c *call) {
 	m.mayHaveMissed = true
 	if m.options.Pushed {
@@ -152,7 +152,7 @@
 	return actions
 }
 
-// replaceTimedOut opens a call beside the youngest one, which timed out. It closes the oldest call where maxOpenCalls are open.
+// replaceTimedOut opens a call beside the youngest call, which timed out. If maxOpenCalls are open, it closes the oldest call first.
 func (m *Machine) replaceTimedOut(now time.Duration) []Action {
 	if !m.calls[len(m.calls)-1].connected {
 		m.consecutiveTimeouts++
@@ -164,7 +164,7 @@
 	return append(actions, m.openCall(now)...)
 }
 
-// timeoutAt returns when the youngest call at the current address times out.
+// timeoutAt returns the time at which the youngest call to the current address times out.
 func (m *Machine) timeoutAt() time.Duration {
 	if len(m.calls) == 0 {
 		return never
@@ -172,7 +172,7 @@
 	return m.calls[len(m.calls)-1].timeoutAt()
 }
 
-// Next returns when Tick is due.
+// Next returns the time at which Tick is due.
 func (m *Machine) Next() time.Duration {
 	next := m.timeoutAt()
 	switch {
@@ -186,10 +186,10 @@
 	return min(next, m.nextExpiry())
 }
 
-// Deadline returns when a change that may have been missed counts as notified. From then on the list is stale.
+// Deadline returns the notification deadline of a change that may have been missed. From that time on the list is stale.
 func (m *Machine) Deadline() time.Duration { return m.deadline }
 
-// CurrentAt returns when the list was last known to be current.
+// CurrentAt returns the time at which the list was last known to be current.
 func (m *Machine) CurrentAt() time.Duration { return m.currentAt }
 
 // Failures returns how many calls have ended since a call last delivered a message.
@@ -198,7 +198,7 @@
 // Connected reports whether a watch is healthy, or the list was fetched and the watch that follows is delayed.
 func (m *Machine) Connected(now time.Duration) bool { return m.anyHealthy(now) || m.watchDelayed }
 
-// Accepts reports whether messages of a call are to be used: the call is open, at the current or an earlier address.
+// Accepts reports whether a call is open, at the current or an earlier address, so that its messages must be handled.
 func (m *Machine) Accepts(id CallID) bool { return m.calls.find(id) >= 0 || m.superseded.find(id) >= 0 }
 
 // anyHealthy reports whether a watch at any address is healthy.
@@ -206,7 +206,7 @@
 	return m.calls.anyHealthy(now) || m.superseded.anyHealthy(now)
 }
 
-// openCall opens a call at the current address: a poll if the list is needed, otherwise a watch.
+// openCall opens a call to the current address. The call is a poll if needList is set, and otherwise a watch.
 func (m *Machine) openCall(now time.Duration) []Action {
 	m.lastID++
 	m.lastOpenedAt, m.watchDelayed = now, false
--- a/internal/discovery/staleness/options.go
+++ b/internal/discovery/staleness/options.go
@@ -7,10 +7,10 @@
 
 // Options are the parameters of a Machine.
 type Options struct {
-	Pushed     bool          // the list is pushed to a local agent: calls are cheap, and a change counts as notified when the agent has it
-	MaxPollAge time.Duration // how long a polled list is valid without a watch; 0: 10 s
+	Pushed     bool          // a local agent receives the list. Calls to it are cheap, and a change counts as notified when the agent has it
+	MaxPollAge time.Duration // how long a polled list is valid without a watch; 0 means 10 s
 	FleetSize  int           // number of sidecars that follow the same list
-	DrainGrace time.Duration // how long requests may be sent after a change counts as notified; 0: 250 ms, the longest that is used
+	DrainGrace time.Duration // how long requests may be sent after a change counts as notified; 0, or more than 250 ms, means 250 ms
 }
 
 // Describe returns the timeouts that apply to a list as text, for `orchiddrift check`.
@@ -30,7 +30,7 @@
 	return defaultMaxPollAge
 }
 
-// grace returns DrainGrace for a pushed list: maxPushedGrace at most, and maxPushedGrace where DrainGrace is 0.
+// grace returns the drain grace for a pushed list. It is DrainGrace, but at most maxPushedGrace, or maxPushedGrace if DrainGrace is 0.
 func (o *Options) grace() time.Duration {
 	if o.DrainGrace > 0 {
 		return min(o.DrainGrace, maxPushedGrace)
@@ -42,7 +42,7 @@
 	return o.grace() * time.Duration(percent) / 100
 }
 
-// perSidecar returns each multiplied by the fleet size, of which maxCountedSidecars count at most.
+// perSidecar multiplies a duration by the fleet size. A fleet of more than maxCountedSidecars counts as maxCountedSidecars.
 func (o *Options) perSidecar(each time.Duration) time.Duration {
 	return time.Duration(min(o.FleetSize, maxCountedSidecars)) * each
 }
@@ -52,7 +52,7 @@
 	return min(max(minStalePollInterval, o.perSidecar(stalePollIntervalPerSidecar)), maxBackoff)
 }
 
-// backoffLimit returns the longest backoff before its jitter. With the jitter it is shorter than MaxPollAge.
+// backoffLimit returns the longest backoff without its jitter. With the jitter a backoff is still shorter than MaxPollAge.
 func (o *Options) backoffLimit() time.Duration {
 	return min(maxBackoff, o.maxPollAge()*maxPollAgeNumerator/maxPollAgeDenominator)
 }
--- a/internal/discovery/staleness/redirect.go
+++ b/internal/discovery/staleness/redirect.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Redirect reports that the list is served at another address from now on. The list is fetched there at once. In a series of redirects
-// the fetch is delayed, so that not every redirect takes a place in the server's queue.
+// Redirect reports that the list is served at another address from now on. The list is fetched from that address at once. In a series of
+// redirects the fetch is delayed, so that not every redirect takes a place in the server's queue.
 //
-// The calls to earlier addresses are superseded. They stay open until the watch at the new address delivers a message, and for
-// redirectDeadline at most, so that no change is lost between two addresses and no place in a server's queue is given up. Until the new
-// address has answered, their messages are newer than the list in use. After that discovery.Watcher applies only the draining and the
-// removed endpoints in them.
+// The calls to earlier addresses are superseded. They stay open until the watch at the new address delivers a message, but at most for
+// redirectDeadline, so that no change is lost between two addresses and no place in a server's queue is given up. Until the new address has
+// answered, the messages of superseded calls are newer than the list in use. After that, discovery.Watcher applies only the draining and
+// removed endpoints in these messages.
 func (m *Machine) Redirect(now time.Duration) []Action {
 	if !m.started {
 		return nil
@@ -36,8 +36,8 @@
 	return append(actions, m.openCall(now)...)
 }
 
-// supersedeCalls moves the open calls to the superseded ones. While there are more than maxSupersededCalls it closes the oldest that is
-// not healthy, or else the oldest.
+// supersedeCalls moves the open calls to the superseded calls. While there are more than maxSupersededCalls superseded calls, it closes
+// the oldest call that is not healthy, or the oldest call if all are healthy.
 func (m *Machine) supersedeCalls(now time.Duration) []Action {
 	for _, c := range m.calls {
 		c.closeAt = now + redirectDeadline
@@ -52,8 +52,8 @@
 	return actions
 }
 
-// supersededActive handles a message of superseded call i. The message keeps the list current until the list of the new address has been
-// fetched. From then on the age of that list counts.
+// supersededActive handles a message of superseded call i. Until the list of the new address has been fetched, the message shows that the
+// list is current. After that, only messages from the new address show this.
 func (m *Machine) supersededActive(now time.Duration, i int) {
 	c := &m.superseded[i]
 	c.connected, c.lastActive = c.request == WatchChanges, now
@@ -68,7 +68,7 @@
 	}
 }
 
-// Recheck reports that a superseded call has delivered a change which the list of the current address may lack. The list is fetched
+// Recheck reports that a superseded call has delivered a change that the list of the current address may lack. The list is fetched
 // again, unless a watch at the current address is healthy.
 func (m *Machine) Recheck(now time.Duration) []Action {
 	if m.needList || m.calls.anyHealthy(now) {
@@ -78,7 +78,7 @@
 	return append(m.calls.closeAll(), m.openCall(now)...)
 }
 
-// closeExpired closes the superseded calls whose closeAt has come.
+// closeExpired closes the superseded calls whose closeAt has been reached.
 func (m *Machine) closeExpired(now time.Duration) []Action {
 	var actions []Action
 	for now >= m.nextExpiry() {
@@ -87,7 +87,7 @@
 	return actions
 }
 
-// nextExpiry returns when the oldest superseded call is closed.
+// nextExpiry returns the time at which the oldest superseded call must be closed.
 func (m *Machine) nextExpiry() time.Duration {
 	if len(m.superseded) == 0 {
 		return never
--- a/internal/discovery/staleness/redirect_test.go
+++ b/internal/discovery/staleness/redirect_test.go
@@ -27,29 +27,29 @@
 		do   func(m *Machine) [][]Action
 		want [][]Action
 	}{
-		{"a watch, until the new address's watch delivers", func(m *Machine) [][]Action {
+		{"a watch stays open until the watch at the new address delivers a message", func(m *Machine) [][]Action {
 			m.CallActive(0, 1)
 			return [][]Action{m.Redirect(second), m.CallActive(1100*ms, 1), m.CallActive(1100*ms, 2), m.CallActive(1200*ms, 1), m.CallActive(1300*ms, 3)}
 		}, [][]Action{{openAction(2, FetchList)}, nil, {openAction(3, WatchChanges)}, nil, {closeAction(1)}}},
-		{"a fetch, until its answer", func(m *Machine) [][]Action {
+		{"a fetch stays open until its answer", func(m *Machine) [][]Action {
 			m.CallEnded(0, 1)
 			return [][]Action{m.Redirect(second), m.Redirect(4 * second), m.CallActive(4100*ms, 2), m.CallActive(4100*ms, 2), m.CallActive(4200*ms, 3)}
 		}, [][]Action{{openAction(2, FetchList)}, {openAction(3, FetchList)}, nil, nil, {openAction(4, WatchChanges)}}},
-		{"until the redirect deadline", func(m *Machine) [][]Action {
+		{"a watch is closed at the redirect deadline", func(m *Machine) [][]Action {
 			m.CallActive(0, 1)
 			first := m.Redirect(second)
 			m.CallEnded(1100*ms, 2)
 			m.nextCallAt = never
 			return [][]Action{first, m.Tick(second + redirectDeadline - ms), m.Tick(second + redirectDeadline)}
 		}, [][]Action{{openAction(2, FetchList)}, nil, {closeAction(1)}}},
-		{"all of them in a series of redirects", func(m *Machine) [][]Action {
+		{"all calls stay open in a series of redirects", func(m *Machine) [][]Action {
 			m.CallActive(0, 1)
 			return [][]Action{m.Redirect(second), m.Redirect(1300 * ms), m.Redirect(1700 * ms), m.CallActive(1800*ms, 1), m.CallActive(1900*ms, 2)}
 		}, [][]Action{{openAction(2, FetchList)}, nil, nil, nil, nil}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := fmt.Sprint(c.do(startedMachine(1))); got != fmt.Sprint(c.want) {
-				t.Errorf("actions %s, want %v", got, c.want)
+				t.Errorf("actions of the Machine are %s, want %v", got, c.want)
 			}
 		})
 	}
@@ -77,14 +77,14 @@
 				failCalls(now, m.Tick(now))
 			}
 			if longestGap > redirectSeriesGap+interval {
-				t.Fatalf("redirects %v apart: no call was opened for %v, longer than allowed", interval, longestGap)
+				t.Fatalf("redirects %v apart: no call was opened for %v, longer than redirectSeriesGap plus the interval", interval, longestGap)
 			}
 		}
 	}
 }
 
-// TestHealthySupersededWatchDoesNotCloseNewCall guards against a healthy watch at an earlier address that has a call to the new address
-// closed while the call waits for its first byte.
+// TestHealthySupersededWatchDoesNotCloseNewCall guards against a call to the new address that is closed before its first byte, because a
+// watch at an earlier address is still healthy.
 func TestHealthySupersededWatchDoesNotCloseNewCall(t *testing.T) {
 	m := startedMachine(1)
 	m.CallActive(0, 1)
@@ -110,7 +110,7 @@
 			fetchedAt := second + fetchDuration
 			m.CallActive(fetchedAt, 2)
 			if connectedAt := max(m.Next(), fetchedAt) + fetchDuration + fetchDuration/2; connectedAt > fetchedAt+notificationDeadline {
-				t.Errorf("a fetch that took %v: the watch is connected %v after it, past the notification deadline", fetchDuration, connectedAt-fetchedAt)
+				t.Errorf("after a fetch that took %v the watch is connected only %v later, past the notification deadline", fetchDuration, connectedAt-fetchedAt)
 				break
 			}
 		}
@@ -118,7 +118,7 @@
 }
 
 // TestSupersededWatchGoesOnAfterFetch checks that the watch at the earlier address stays open after the list was fetched, until the new
-// watch delivers a message. A change that it delivers meanwhile causes the list to be fetched again at once.
+// watch delivers a message. If the earlier watch delivers a change meanwhile, the list must be fetched again at once.
 func TestSupersededWatchGoesOnAfterFetch(t *testing.T) {
 	m := startedMachine(1)
 	m.CallActive(0, 1)
@@ -144,7 +144,7 @@
 func TestRedirectKeepsWaitingCalls(t *testing.T) {
 	m := startedMachine(1)
 	m.CallEnded(0, 1)
-	m.Redirect(second) // call 2 is silent, and a second call is opened beside it
+	m.Redirect(second) // opens call 2, which stays silent, so that Tick opens a second call
 	var secondCall CallID
 	for now := second; secondCall == 0; now += 100 * ms {
 		for _, a := range m.Tick(now) {
@@ -177,8 +177,8 @@
 }
 
 // TestRejectedCallBesideSilentOneIsRetriedSoon guards against a long wait after a rejected call while a silent call is still open. The
-// list is stale, the silent call timed out, and the call opened beside it was rejected: the next call follows as soon as after any
-// rejection.
+// list is stale, the silent call timed out, and the server rejected the call that was opened beside the silent call. The next call must be
+// opened within 2*minStalePollInterval.
 func TestRejectedCallBesideSilentOneIsRetriedSoon(t *testing.T) {
 	for seed := range uint64(50) {
 		m := startedMachine(seed)
@@ -192,7 +192,7 @@
 		}
 		m.CallEnded(now, actions[0].Call)
 		if wait := m.Next() - now; wait > 2*minStalePollInterval {
-			t.Fatalf("the next call is opened %v after a rejected one, later than allowed", wait)
+			t.Fatalf("the next call is opened %v after a rejected call, later than 2*minStalePollInterval", wait)
 		}
 	}
 }
--- a/internal/discovery/staleness/world_test.go
+++ b/internal/discovery/staleness/world_test.go
@@ -20,8 +20,8 @@
 	ms     = time.Millisecond
 	second = time.Second
 
-	drainGrace           = 250 * ms   // Options.DrainGrace
-	callDelay            = 5 * ms     // from opening a call to its first byte
+	drainGrace           = 250 * ms   // default of Options.DrainGrace
+	callDelay            = 5 * ms     // time from opening a call to its first byte without a fault
 	missedChangeDeadline = 6 * second // the protocol's deadline after a watch fell silent or discovery became reachable again
 )
 
@@ -33,17 +33,17 @@
 const (
 	silentFault    faultKind = iota // open calls fall silent
 	resetFault                      // open calls end
-	downFault                       // open calls end and new ones fail; a pushed list's agent accepts calls and has nothing to deliver
-	refuseFault                     // new calls fail; a pushed list's open calls end
+	downFault                       // open calls end and new calls fail; if the list is pushed, calls stay open without messages
+	refuseFault                     // new calls fail; if the list is pushed, open calls end too
 	slowFault                       // the first byte of calls opened within slowPeriod is delayed
-	partitionFault                  // open calls fall silent, and new ones fail after 1 s
+	partitionFault                  // open calls fall silent, and new calls fail after 1 s
 )
 
 // fault is one fault of a list.
 type fault struct {
 	at       time.Duration
 	kind     faultKind
-	duration time.Duration // for down, refuse and partition: how long the fault lasts; for slow: the delay of the first byte
+	duration time.Duration // length of downFault, refuseFault and partitionFault; delay of the first byte for slowFault
 }
 
 const (
@@ -53,28 +53,28 @@
 )
 
 // world simulates, in virtual time, one discovery service and one sidecar that follows its list. Independently of the policy it computes
-// when each change counts as notified by the platform's protocol:
+// the notification deadline of each change by the platform's protocol:
 //
-//   - a change that is sent to a healthy watch: at once;
-//   - a change that a silent call misses: missedChangeDeadline after the call fell silent;
-//   - a change without an open call: after defaultMaxPollAge, for which the list is valid;
-//   - a change of a pushed list: at once, except with a silent call.
+//   - A change that is sent to a healthy watch counts as notified at once.
+//   - A change that a silent call misses counts as notified missedChangeDeadline after the call fell silent.
+//   - A change while no call is open counts as notified after defaultMaxPollAge, the time for which the list is valid.
+//   - A change of a pushed list counts as notified at once, unless the open call is silent.
 type world struct {
 	policy  policy
 	pushed  bool
 	faults  []fault
-	changes []time.Duration // when each change is made; change i is version i+1
+	changes []time.Duration // times of the changes; change i creates version i+1
 
 	now    time.Duration
 	events []worldEvent
 	calls  map[CallID]*worldCall
 
 	knownVersion   int           // latest version that the sidecar has
-	silentSince    time.Duration // when the call that delivered the list fell silent; -1: it is not silent
-	disconnectedAt time.Duration // when the last watch ended, or the last call failed; -1: a watch is connected
-	listValidFor   time.Duration // how long the list is valid from disconnectedAt on
+	silentSince    time.Duration // when the call that delivered the list fell silent, or -1 if it is not silent
+	disconnectedAt time.Duration // when the last watch ended or the last call failed, or -1 while a watch is connected
+	listValidFor   time.Duration // how long the list is valid after disconnectedAt
 	noticedAt      []time.Duration
-	deadlines      []time.Duration // when each change counts as notified; -1: not known yet
+	deadlines      []time.Duration // notification deadline of each change, or -1 if it is not known yet
 
 	opened       int // number of calls opened
 	perSecond    map[time.Duration]int
@@ -98,7 +98,7 @@
 	w.events = append(w.events, worldEvent{at, run})
 }
 
-// activeFault returns the fault of a kind that is active at time t.
+// activeFault returns the fault of the given kind that is active at time t, or false if there is none.
 func (w *world) activeFault(t time.Duration, kind faultKind) (fault, bool) {
 	for _, f := range w.faults {
 		if f.kind == kind && t >= f.at && t < f.at+f.duration {
@@ -149,7 +149,8 @@
 	}
 }
 
-// answer delivers a call's first message. While discovery is down, the agent of a pushed list has no message until discovery is back.
+// answer delivers a call's first message. While the discovery service is down, a call for a pushed list gets its message after the outage,
+// and any other call ends.
 func (w *world) answer(id CallID) {
 	c := w.calls[id]
 	if f, down := w.activeFault(w.now, downFault); down {
@@ -197,7 +198,7 @@
 	})
 }
 
-// end ends a call. failed reports whether the call failed; otherwise discovery reset it.
+// end ends a call. failed is true if the call failed, and false if the discovery service reset it.
 func (w *world) end(id CallID, failed bool) {
 	if w.calls[id] == nil {
 		return
@@ -226,7 +227,7 @@
 	return slices.Sorted(maps.Keys(w.calls))
 }
 
-// reachableFrom returns the earliest time from t on at which discovery is up and reachable, so that a call is answered.
+// reachableFrom returns the earliest time, not before t, at which the discovery service is up and reachable.
 func (w *world) reachableFrom(t time.Duration) time.Duration {
 	for range len(w.faults) + 1 {
 		for _, f := range w.faults {
@@ -238,8 +239,8 @@
 	return t
 }
 
-// updateDeadlines sets when each change that has not been noticed yet counts as notified. Whatever the settings allow after calls that
-// failed, were refused or were closed, this is at most missedChangeDeadline after discovery has the change and is reachable.
+// updateDeadlines sets the deadline of each change that has not been noticed yet. The deadline is at most missedChangeDeadline after the
+// discovery service has the change and is reachable, even where the list would be valid for longer.
 func (w *world) updateDeadlines() {
 	if w.anyHealthy() {
 		return
@@ -255,7 +256,7 @@
 	}
 }
 
-// deadlineOf returns when a change made at changedAt counts as notified, as far as the state of the calls determines it; -1: it does not.
+// deadlineOf returns the time at which a change made at changedAt counts as notified, or -1 if the state of the calls does not determine it.
 func (w *world) deadlineOf(changedAt time.Duration) time.Duration {
 	outage, down := w.activeFault(changedAt, downFault)
 	if f, agentDown := w.activeFault(changedAt, refuseFault); agentDown && w.pushed { // the agent itself is down
@@ -264,7 +265,7 @@
 	switch {
 	case w.silentSince >= 0:
 		deadline := w.silentSince + missedChangeDeadline
-		for _, f := range w.faults { // discovery was not reachable
+		for _, f := range w.faults { // a partition, during which the service is not reachable, postpones the deadline
 			if f.kind == partitionFault && f.at <= deadline && f.at+f.duration > w.silentSince {
 				deadline = max(deadline, f.at+f.duration+missedChangeDeadline)
 			}
@@ -304,7 +305,7 @@
 	}
 }
 
-// scheduleFault schedules the effects of a fault: on the open calls when it begins, and on a pushed list when it ends.
+// scheduleFault schedules the effect of a fault on the open calls when the fault begins, and on a pushed list when the fault ends.
 func (w *world) scheduleFault(f fault) {
 	switch f.kind {
 	case silentFault, partitionFault:
@@ -366,7 +367,7 @@
 	}
 }
 
-// firstEvent returns the index of the earliest event up to a time, or -1 if there is none.
+// firstEvent returns the index of the earliest event that is not after the given time, or -1 if there is none.
 func (w *world) firstEvent(until time.Duration) int {
 	first := -1
 	for i, e := range w.events {
