--- a/internal/discovery/membership/flapping.go
+++ b/internal/discovery/membership/flapping.go
@@ -7,12 +7,12 @@
 
 const (
 	maxFlapsCounted = 64 // maximum number of entries in upstream.lostReady
-	heldBackDivisor = 4  // at most one of every heldBackDivisor upstreams is held back
+	heldBackDivisor = 4  // at most one in heldBackDivisor upstreams is held back, but see tooManyHeld
 )
 
 // holdBackIfFlapping holds back an upstream that comes up, if the upstream has stopped being ready at least MaxFlaps times within
-// FlapWindow. The hold ends FlapHold after the upstream last stopped being ready. At most a quarter of the upstreams are held back, or one
-// if fewer than four are ready, and the only ready upstream is never held back. It returns the reason for the upstream's status.
+// FlapWindow. The hold ends FlapHold after the upstream last stopped being ready. At most a quarter of the upstreams are held back, but one
+// may always be held back while another upstream is ready. holdBackIfFlapping returns the reason for the upstream's status.
 func (m *Merge) holdBackIfFlapping(u *upstream, reason string) string {
 	holdIsOver := u.heldBack && !u.heldUntil.IsZero() && !u.heldUntil.After(m.now)
 	if m.options.MaxFlaps == 0 || u.readyCounted || holdIsOver {
--- a/internal/idempotency/boltstore/integrity.go
+++ b/internal/idempotency/boltstore/integrity.go
@@ -9,20 +9,20 @@
 )
 
 // The layout of a bbolt meta page, as offsets in bytes from the start of the page. Integers are in the machine's byte order, which is
-// little-endian on all supported platforms. A file begins with two meta pages; a page is as long as a memory page of the operating system.
+// little-endian on all supported platforms. A file begins with two meta pages. A page has the size of a memory page of the operating system.
 const (
 	metaMagicOffset     = 16 // uint32, after the page header
 	metaPageSizeOffset  = 24 // uint32, in bytes
-	metaPageCountOffset = 56 // uint64, the lowest page ID that is not in use
-	metaPageEnd         = 80 // after the transaction ID and the checksum
+	metaPageCountOffset = 56 // uint64, number of pages that the file must contain
+	metaPageEnd         = 80 // end of the meta data, after the transaction ID and the checksum
 
 	metaMagic          = 0xED0CDAED
-	largestPageSize    = 16384 // bytes; the largest page of the supported operating systems
+	largestPageSize    = 16384 // largest page size of the supported operating systems, in bytes
 	metaPagesBytesRead = 2 * largestPageSize
 )
 
-// checkComplete returns an error if a file is shorter than its meta pages state, or is not a bbolt file. bbolt maps files into memory, so
-// reading past the end of a truncated file would crash the process. A missing or empty file is not an error.
+// checkComplete returns an error if a file is shorter than the size that its meta pages state, or is not a bbolt file. bbolt maps files
+// into memory, so reading past the end of a truncated file would crash the process. A missing or empty file is not an error.
 func checkComplete(path string) error {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// expectedSize returns the file size in bytes that the meta pages in head, the start of the file, require. It returns -1 if head contains
-// no meta page.
+// expectedSize returns the minimum file size, in bytes, according to the meta pages. head is the start of the file. expectedSize returns -1
+// if head contains no meta page.
 func expectedSize(head []byte) int64 {
 	size := int64(-1)
 	for _, page := range []int{0, os.Getpagesize()} {
@@ -59,8 +59,8 @@
 	return size
 }
 
-// recoverPageFault makes a page fault, which a corrupt file may cause, panic instead of ending the process. It returns a function to defer
-// that stores a panic in *err.
+// recoverPageFault makes a page fault cause a panic instead of ending the process, since a corrupt file may cause page faults. The caller
+// must defer the returned function, which recovers from the panic and stores it as an error in *err.
 func recoverPageFault(path string, err *error) func() {
 	previous := debug.SetPanicOnFault(true)
 	return func() {
--- a/internal/idempotency/boltstore/store.go
+++ b/internal/idempotency/boltstore/store.go
@@ -2,8 +2,8 @@
 // calls from several goroutines. A record is synced to the disk when Put returns; concurrent Puts share a sync. docs/design/repeats.md
 // compares bbolt with a custom log file.
 //
-// The file has two buckets. "keys" maps tenant, class and key, separated by zero bytes, to the encoded record. "meta" holds under "now" the
-// clock of the process that wrote last, in nanoseconds, as 8 bytes big-endian.
+// The file has two buckets. "keys" maps tenant, class and key, separated by zero bytes, to the encoded record. "meta" contains, under the
+// key "now", the latest clock reading of the processes that wrote to the file, in nanoseconds, as 8 bytes big-endian.
 package boltstore
 
 import (
@@ -30,13 +30,14 @@
 )
 
 const (
-	maxBatchDelay   = 2 * time.Millisecond // how long a Put waits for others to share its sync
-	maxBatchRecords = 50_000               // most records in a transaction of PutAll
-	clockBytes      = 8                    // length of the stored clock
+	maxBatchDelay   = 2 * time.Millisecond // how long a Put waits for other Puts that share its sync
+	maxBatchRecords = 50_000               // maximum number of records in a transaction of PutAll
+	clockBytes      = 8                    // length of the stored clock in bytes
 )
 
-// Open opens a file, or creates it; wait configures how long to wait for another process's lock. If the file is truncated, corrupt or
-// from another program, Open returns an error and leaves it unchanged, since it may hold keys whose requests must not be executed again.
+// Open opens a file, or creates it. wait configures how long to wait if another process has locked the file. If the file is truncated,
+// corrupt or from another program, Open returns an error and leaves the file unchanged, since the file may contain keys whose requests must
+// not be executed again.
 func Open(ctx context.Context, path string, wait boltfile.LockWait) (s *Store, err error) {
 	defer recoverPageFault(path, &err)()
 	if err := checkComplete(path); err != nil {
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// Load calls do for each record, and passes as now the last time that the previous process's clock is known to have reached.
+// Load calls do for each record. The argument now is the last known time of the previous process's clock.
 func (s *Store) Load(do func(now time.Duration, record idempotency.Record) error) (err error) {
 	defer recoverPageFault(s.db.Path(), &err)()
 	err = s.db.View(func(tx *bbolt.Tx) error {
@@ -84,7 +85,8 @@
 	return nil
 }
 
-// Put writes record, if it is not nil, deletes expired records and advances the stored clock to now. It returns once this is durable.
+// Put writes record, if it is not nil, deletes the expired records and advances the stored clock to now. It returns when these changes are
+// durable.
 func (s *Store) Put(record *idempotency.Record, expired []idempotency.ID, now time.Duration) error {
 	var value []byte
 	if record != nil {
--- a/internal/idempotency/boltstore/store_test.go
+++ b/internal/idempotency/boltstore/store_test.go
@@ -14,7 +14,8 @@
 	"orchiddrift/internal/idempotency/recordcodec"
 )
 
-// TestRecordsSurviveReopen checks that, after any sequence of Puts, reopening the file loads all records except those deleted as expired.
+// TestRecordsSurviveReopen checks that, after any sequence of Puts, a reopened file has all records except those that were deleted as
+// expired.
 func TestRecordsSurviveReopen(t *testing.T) {
 	files := 0
 	dir := t.TempDir()
@@ -86,7 +87,7 @@
 	return r
 }
 
-// TestNoiseInPlaceOfRecord checks that decoding arbitrary bytes, as a corrupt file may contain, never panics.
+// TestNoiseInPlaceOfRecord checks that decoding never panics, whatever bytes a corrupt file contains.
 func TestNoiseInPlaceOfRecord(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		_, _ = recordcodec.DecodeShared(rapid.SliceOf(rapid.Byte()).Draw(t, "noise"))
--- a/internal/idempotency/decision.go
+++ b/internal/idempotency/decision.go
@@ -21,7 +21,7 @@
 	SentAt time.Duration // on the Store's clock, unless the type that holds the attempt says otherwise
 }
 
-// Answer is an answer that is stored for replay. It must not be modified.
+// Answer is the answer to a request, stored for replay. It must not be modified.
 type Answer struct {
 	Status int
 	Header map[string][]string
@@ -30,8 +30,8 @@
 
 // Estimated memory that an answer's header takes in addition to its names and values, in bytes.
 const (
-	headerNameOverheadBytes  = 64 // per name: its map slot and its slice
-	headerValueOverheadBytes = 16 // per value: its string header
+	headerNameOverheadBytes  = 64 // map entry and slice of each name
+	headerValueOverheadBytes = 16 // string header of each value
 )
 
 // bytes returns the estimated memory that the answer takes.
@@ -56,7 +56,7 @@
 	Replay                         // return the stored Answer
 	Conflict                       // the key was used for a different request
 	Reject                         // do not execute the request; a retry after RetryAfter is safe
-	Fail                           // an earlier attempt may have been executed, and upstreams may no longer deduplicate another one
+	Fail                           // do not execute the request: an earlier attempt may have been executed and may no longer be deduplicated
 	AnswerNotStored                // an earlier request was answered, but its answer was too large to store
 )
 
@@ -74,6 +74,6 @@
 // The outcomes.
 const (
 	Answered    Outcome = iota
-	NotExecuted         // certainly not executed: the key is forgotten, unless an earlier attempt may have been executed
+	NotExecuted         // the request was certainly not executed; its key is forgotten unless an earlier attempt may have been executed
 	MayHaveRun          // the request may have been executed
 )
--- a/internal/idempotency/etcdstore/attempts.go
+++ b/internal/idempotency/etcdstore/attempts.go
@@ -7,13 +7,13 @@
 	"orchiddrift/internal/idempotency"
 )
 
-// agedAttempts are attempts whose SentAt is their age at the time measuredAt.
+// agedAttempts holds attempts whose SentAt is the attempt's age at the time measuredAt.
 type agedAttempts struct {
 	attempts   []idempotency.Attempt
 	measuredAt time.Time
 }
 
-// ages returns the attempts with their current ages as SentAt.
+// ages returns copies of the attempts whose SentAt is the attempt's current age.
 func (a agedAttempts) ages() []idempotency.Attempt {
 	aged := slices.Clone(a.attempts)
 	for i := range aged {
@@ -22,7 +22,7 @@
 	return aged
 }
 
-// wallTimes returns the attempts with SentAt as wall-clock time since the Unix epoch, the form stored in records.
+// wallTimes returns copies of the attempts whose SentAt is the wall-clock time since the Unix epoch, the form that records store.
 func (a agedAttempts) wallTimes() []idempotency.Attempt {
 	timed := a.ages()
 	now := sinceEpoch(time.Now())
@@ -32,5 +32,5 @@
 	return timed
 }
 
-// sinceEpoch returns a wall-clock time in the form stored in records.
+// sinceEpoch returns a wall-clock time as a duration since the Unix epoch.
 func sinceEpoch(t time.Time) time.Duration { return time.Duration(t.UnixNano()) }
--- a/internal/idempotency/etcdstore/claim.go
+++ b/internal/idempotency/etcdstore/claim.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// recordPollInterval is the longest time that a request waits for a watch event of another process's record before it reads the record
-	// again.
+	// recordPollInterval is the longest time for which a claim waits for a watch event of another process's record. After that it reads the
+	// record again.
 	recordPollInterval = time.Second
-	// watchBackoff is the pause after the server canceled a watch.
+	// watchBackoff is the pause before the record is read again after the server canceled a watch.
 	watchBackoff = 100 * time.Millisecond
 )
 
@@ -26,14 +26,14 @@
 type Claim struct {
 	idempotency.Decision
 	name     string
-	revision int64 // etcd revision of the claim's record; 0: unknown
+	revision int64 // etcd revision of the claim's record, or 0 if it is unknown
 }
 
-// Claim claims a request, or returns another verdict on it. While another process runs the request, Claim waits; at the deadline of ctx it
-// returns the verdict Fail. It fills in request.Process and request.MaxClockSkew.
+// Claim claims a request, or returns another verdict on it. While another process runs the request, Claim waits. If ctx ends before the
+// other process finishes, Claim returns the verdict Fail. Claim sets request.Process and request.MaxClockSkew itself.
 //
-// Claim calls confirmKey once the key is known to belong to this request and not to a different one with the same key, since it may wait
-// for a long time after that. An error means that the request is not claimed, in most cases because etcd is unavailable.
+// Before it waits, Claim calls confirmKey, since the key is then known to belong to this request and not to a different request with the
+// same key. An error means that the request is not claimed, in most cases because etcd is unavailable.
 func (s *Store) Claim(ctx context.Context, request idempotency.SharedRequest, confirmKey func()) (Claim, error) {
 	if err := s.settlePending(ctx, request.ID); err != nil {
 		return Claim{}, err
@@ -54,17 +54,17 @@
 type claimer struct {
 	store      *Store
 	request    idempotency.SharedRequest
-	key        string // in etcd
+	key        string // etcd key of the record
 	confirmKey func()
 	own        agedAttempts // earlier attempts known to this process
 
-	// The next transaction writes a record with these earlier attempts if the present record has this revision.
+	// The next transaction writes a record with the attempts in earlier if the present record has the given revision.
 	earlier  agedAttempts
-	revision int64               // 0: no record may exist
-	replaced *idempotency.Record // the record of that revision; nil: none
+	revision int64               // 0 if no record may exist
+	replaced *idempotency.Record // the record of that revision, or nil
 }
 
-// expectNoRecord makes the next transaction create the record.
+// expectNoRecord makes the next transaction create the record, on the condition that no record exists.
 func (c *claimer) expectNoRecord() { c.earlier, c.revision, c.replaced = c.own, 0, nil }
 
 // try runs one transaction. It returns true if the claim is decided, and false if another transaction is needed.
@@ -80,7 +80,7 @@
 	switch {
 	case errors.Is(err, rpctypes.ErrLeaseNotFound):
 		return Claim{}, false, nil
-	case err != nil: // the transaction may have been committed, or may still be committed later
+	case err != nil: // the transaction may have been committed, or may be committed later
 		s.addSettlement(&settlement{
 			id:             c.request.ID,
 			claim:          name,
@@ -94,7 +94,7 @@
 	}
 	records := response.Responses[0].GetResponseRange().Kvs
 	if len(records) == 0 {
-		if c.revision == 0 { // no record exists, so the failed condition is that the session lives
+		if c.revision == 0 { // the transaction expected no record, so it failed because the session has ended
 			s.dropSession(current.lease)
 		}
 		c.expectNoRecord()
@@ -129,7 +129,8 @@
 	return Claim{Decision: decision, name: name, revision: revision}
 }
 
-// resolve decides on a request whose key has the record kv, read at the given revision of etcd. Its results are those of try.
+// resolve decides on a request whose key has the record kv, which was read at the given revision of etcd. Its results have the same meaning
+// as the results of try.
 func (c *claimer) resolve(ctx context.Context, current session, name string, kv *mvccpb.KeyValue, revision int64) (Claim, bool, error) {
 	s := c.store
 	record, err := recordcodec.DecodeShared(kv.Value)
@@ -175,8 +176,8 @@
 	return idempotency.ClaimName(process, strconv.FormatUint(s.claims, 36))
 }
 
-// waitForChange waits until a record may have changed since the given revision, or its owner's session may have ended, and returns true. It
-// returns false if ctx ends or the Store is closed.
+// waitForChange returns true when a record may have changed at the given revision or later, or when its owner's session may have ended. It
+// returns false if ctx ends or the Store is closed before.
 func (s *Store) waitForChange(ctx context.Context, current session, recordKey, ownerKey string, revision int64) bool {
 	ctx, cancel := context.WithCancel(clientv3.WithRequireLeader(ctx))
 	defer cancel()
@@ -202,7 +203,8 @@
 	return ctx.Err() == nil && s.ctx.Err() == nil
 }
 
-// Lookup returns the decision from the stored answer of a request that this process must not execute, or Fail if no answer is stored.
+// Lookup looks for the stored answer to a request that this process must not execute. It returns the decision that follows from the answer,
+// or Fail if no answer is stored.
 func (s *Store) Lookup(ctx context.Context, request idempotency.SharedRequest) (idempotency.Decision, error) {
 	fail := idempotency.Decision{Verdict: idempotency.Fail}
 	current, err := s.ensureSession(ctx)
--- a/internal/idempotency/etcdstore/claim_test.go
+++ b/internal/idempotency/etcdstore/claim_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// openStore returns the Store of one process, closed when the test ends.
+// openStore returns the Store of one process. The Store is closed when the test ends.
 func openStore(t *testing.T, address string, change func(*Options)) *Store {
 	t.Helper()
 	o := Options{Declaration: Declaration{Servers: []string{address}, Prefix: "p/", Timeout: units.Duration(300 * time.Millisecond),
@@ -48,7 +48,7 @@
 	defer cancel()
 	c, err := s.Claim(ctx, request, func() {})
 	if err != nil || c.Verdict != want {
-		t.Fatalf("Claim of %v returned %+v and error %v, not the expected verdict", request.ID, c, err)
+		t.Fatalf("Claim of %v returned %+v and error %v, want the verdict that the test expects and no error", request.ID, c, err)
 	}
 	return c
 }
@@ -61,9 +61,9 @@
 	return &idempotency.Record{ID: request.ID, Fingerprint: request.Fingerprint, Outcome: idempotency.MayHaveRun, Attempts: attempts}
 }
 
-// TestClaimOfAnotherProcess checks that a process waits for a request that another process runs, and makes the right decision for each
-// outcome: the request was answered, was not executed, or may have been executed, or its process ended. A different request with the same
-// key must be a conflict in the other process too.
+// TestClaimOfAnotherProcess checks that a process waits for a request that another process runs, and that it makes the right decision in
+// each case: the request was answered, was not executed, or may have been executed, or the other process ended. A different request with
+// the same key must be a conflict at the second process.
 func TestClaimOfAnotherProcess(t *testing.T) {
 	etcd, address := base.Etcd(t, fakes.EtcdOptions{})
 	first := openStore(t, address, nil)
@@ -75,8 +75,8 @@
 	for _, c := range []struct {
 		name  string
 		end   func(Claim, idempotency.SharedRequest)
-		want  idempotency.Verdict // at the second process
-		again idempotency.Verdict // at the first process after the second one's claim; Wait: the second process runs the request
+		want  idempotency.Verdict // verdict of the second process's claim
+		again idempotency.Verdict // verdict of the first process's next claim; Wait means that the second process runs the request
 	}{
 		{"answered", settle(func(r idempotency.SharedRequest) *idempotency.Record { return answeredRecord(r, "paid") }), idempotency.Replay, idempotency.Replay},
 		{"not executed", settle(func(idempotency.SharedRequest) *idempotency.Record { return nil }), idempotency.Execute, idempotency.Wait},
@@ -116,7 +116,7 @@
 	}
 }
 
-// claimWhileRunning claims a request that another process runs. It checks that the claim waits, then calls end.
+// claimWhileRunning claims a request that another process runs. It checks that the claim waits, calls end, and returns the claim.
 func claimWhileRunning(t *testing.T, s *Store, request idempotency.SharedRequest, want idempotency.Verdict, end func()) Claim {
 	t.Helper()
 	claims := make(chan Claim, 1)
@@ -130,12 +130,12 @@
 	return <-claims
 }
 
-// checkSkewedAttempt checks that a claim has one earlier attempt, whose age is the 2 s at its settlement plus a clock skew of 1 s.
+// checkSkewedAttempt checks that a claim has one earlier attempt, whose age is its age of 2 s at the settlement plus the clock skew of 1 s.
 func checkSkewedAttempt(t *testing.T, claim Claim) {
 	t.Helper()
 	got := claim.EarlierAttempts
 	if len(got) != 1 || got[0].Zone != "z" || got[0].Cell != 2 || got[0].SentAt < 3*time.Second || got[0].SentAt > 4*time.Second {
-		t.Errorf("earlier attempts: %+v, want one with an age from 3 s to 4 s, clock skew included", got)
+		t.Errorf("earlier attempts of the claim: %+v, want one attempt with an age from 3 s to 4 s, clock skew included", got)
 	}
 }
 
@@ -150,7 +150,7 @@
 	request.EarlierAttempts = []idempotency.Attempt{{Zone: "z", SentAt: time.Second}}
 	c := mustClaim(t, first, request, idempotency.Execute)
 	if len(c.EarlierAttempts) != 1 || c.EarlierAttempts[0].SentAt < time.Second {
-		t.Errorf("earlier attempts: %+v, want one that is at least 1 s old", c.EarlierAttempts)
+		t.Errorf("earlier attempts of the claim: %+v, want one attempt that is at least 1 s old", c.EarlierAttempts)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 	defer cancel()
--- a/internal/idempotency/etcdstore/doc.go
+++ b/internal/idempotency/etcdstore/doc.go
@@ -1,6 +1,6 @@
 // Package etcdstore lets several processes of a service share their idempotency keys through etcd's v3 API. A request is claimed in etcd
-// before its first byte is sent, and its outcome is written there for repeated requests that arrive at another process. Package executor
-// calls it; idempotency.SharedRequest.Resolve decides what a record means. docs/design/repeats.md discusses the protocol.
+// before its first byte is sent. Its outcome is written to etcd for repeated requests that arrive at another process. Package executor calls
+// etcdstore, and idempotency.SharedRequest.Resolve decides on a request from its key's record. docs/design/repeats.md discusses the protocol.
 //
 // The keys in etcd, below Declaration.Prefix and the service's name:
 //
@@ -8,10 +8,10 @@
 //	key/HASH        the record of an idempotency key; HASH is a SHA-256 of tenant, class and key
 //
 // A claim is a transaction that creates a key's record, or replaces exactly the record that was read, if the claiming process's session
-// lives. Another process never takes over a record that says running, even if its owner has ended, so a process that resumes after a
-// suspension needs no fencing.
+// lives. A process never takes over another process's record in state running, even if the other process has ended. A process that resumes
+// after a suspension therefore needs no fencing.
 //
-// The state of a claim:
+// A claim has these states:
 //
 //	                 transaction failed, may be committed           record restored or deleted
 //	claiming -----------------------------------------> withdrawing ----------------------------> done
--- a/internal/idempotency/etcdstore/proof_test.go
+++ b/internal/idempotency/etcdstore/proof_test.go
@@ -16,7 +16,8 @@
 	"orchiddrift/internal/units"
 )
 
-// fakeUpstream is an upstream that executes payments. It drops repeated payments within its window and counts the executions of each key.
+// fakeUpstream is an upstream that executes payments. It drops repeated payments within its deduplication window and counts the executions
+// of each key.
 type fakeUpstream struct {
 	window time.Duration
 
@@ -25,7 +26,7 @@
 	executed map[string]int
 }
 
-// pay handles an attempt. If windowPassed returns true at the time of the write, the attempt is not sent, as in the balancer.
+// pay sends an attempt to the upstream. If windowPassed returns true just before that, the attempt is not sent, as in the balancer.
 func (u *fakeUpstream) pay(key string, windowPassed func() bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -49,7 +50,7 @@
 
 	mu      sync.Mutex
 	rng     *rand.Rand
-	answers map[string]string // by key
+	answers map[string]string // answers of executed payments, by key
 
 	requests, replays, uncertain atomic.Int64
 }
@@ -90,7 +91,8 @@
 	return r.rng.Float64() < p
 }
 
-// pay sends one client's payment request to a process. It returns true if the process could claim the payment and did not run out of time.
+// pay sends one client's payment request to a process. It returns true if the process claimed the payment and handled it before the
+// deduplication window of the earlier attempts ended.
 func (r *paymentRig) pay(process int, key, body string) bool {
 	r.requests.Add(1)
 	s := r.processes[process].Load()
@@ -107,7 +109,7 @@
 		r.checkReplay(key, string(claim.Answer.Body))
 		return false
 	case claim.Verdict != idempotency.Execute:
-		r.t.Errorf("payment %s: unexpected verdict of the claim %+v", key, claim)
+		r.t.Errorf("payment %s: Claim returned %+v, want the verdict Execute, Replay or Fail", key, claim)
 		return false
 	}
 	return r.execute(process, s, request, claim, body)
@@ -132,7 +134,8 @@
 	r.answers[key] = body
 }
 
-// execute executes a claimed payment, with random faults of the upstream and of the process. It returns false if it ran out of time.
+// execute executes a claimed payment, with random faults of the upstream and of the process. It returns false if the deduplication window of
+// an earlier attempt ended before the payment was sent.
 func (r *paymentRig) execute(process int, s *Store, request idempotency.SharedRequest, claim Claim, body string) bool {
 	started := time.Now()
 	windowPassed := func() bool {
@@ -175,7 +178,7 @@
 }
 
 // TestNothingExecutedTwice runs processes that crash, an etcd with many kinds of faults, and an upstream with a short deduplication window.
-// It guards against executing a payment twice, and against a process that returns another answer than the known one.
+// It guards against payments that are executed twice, and against a replay that differs from the recorded answer.
 func TestNothingExecutedTwice(t *testing.T) {
 	r := newPaymentRig(t, 250*time.Millisecond)
 	var workers sync.WaitGroup
@@ -194,7 +197,7 @@
 	workers.Wait()
 	for key, n := range r.upstream.executed {
 		if n > 1 {
-			t.Errorf("payment %s was executed %d times", key, n)
+			t.Errorf("payment %s was executed %d times, want at most once", key, n)
 		}
 	}
 	if r.replays.Load() < 300 || len(r.upstream.executed) < 300 {
--- a/internal/idempotency/etcdstore/session.go
+++ b/internal/idempotency/etcdstore/session.go
@@ -15,18 +15,18 @@
 
 // session is a connection to etcd with its leases.
 type session struct {
-	client      *clientv3.Client // nil: not connected yet
-	lease       clientv3.LeaseID // of the owner key, kept alive; 0: none
-	recordLease clientv3.LeaseID // attached to the records that are written now; 0: none
-	process     string           // the name of the process's first session
+	client      *clientv3.Client // nil until the client has been created
+	lease       clientv3.LeaseID // lease of the owner key, which is kept alive; 0 if there is none
+	recordLease clientv3.LeaseID // lease that is attached to newly written records; 0 if there is none
+	process     string           // the process's name, which is the name of its first session
 }
 
-// Records are attached to a few leases instead of one each. All records that a process writes within Retention/recordLeaseSlots share a
-// lease, which expires Retention after the end of that period.
+// All records that a process writes within a period of Retention/recordLeaseSlots share one lease, so that few leases are needed. The lease
+// expires no earlier than Retention after the end of that period.
 const (
 	recordLeaseSlots = 8
-	// lateCommitTimeout is the longest time for which a server may still commit a transaction after its client gave up on it. A record's
-	// lease lasts that much longer, and a failed claim is withdrawn if it is committed within that time.
+	// lateCommitTimeout is the longest time after which a server may still commit a transaction that its client has given up. A record's
+	// lease lasts longer by this time, and a failed claim is withdrawn if it is committed within this time.
 	lateCommitTimeout = 10 * time.Second
 )
 
@@ -39,7 +39,7 @@
 	return current, complete && time.Since(s.recordLeaseSince) < s.options.Retention/recordLeaseSlots
 }
 
-// ensureSession returns a complete session, connecting and granting leases where needed. Concurrent calls share one attempt.
+// ensureSession returns a complete session. It connects and grants leases if needed. Concurrent calls share one attempt.
 func (s *Store) ensureSession(ctx context.Context) (session, error) {
 	if current, ok := s.currentSession(); ok {
 		return current, nil
@@ -146,7 +146,7 @@
 	}
 }
 
-// grantSessionLease starts a session: a lease that is kept alive, with the owner key attached to it.
+// grantSessionLease starts a session, which consists of a lease that is kept alive and the owner key that is attached to the lease.
 func (s *Store) grantSessionLease(ctx context.Context, client *clientv3.Client) error {
 	grant, err := client.Grant(ctx, int64(s.options.Session.D()/time.Second))
 	if err != nil {
@@ -173,7 +173,8 @@
 	return nil
 }
 
-// grantRecordLease grants the lease for the records that are written from now on. The lease outlasts the last of them by Retention.
+// grantRecordLease grants the lease for the records that are written from now on. The lease expires no earlier than Retention after the
+// last of these records is written.
 func (s *Store) grantRecordLease(ctx context.Context, client *clientv3.Client) error {
 	granted := time.Now()
 	ttl := int64((s.options.Retention+s.options.Retention/recordLeaseSlots)/time.Second) + int64(lateCommitTimeout/time.Second)
@@ -187,7 +188,7 @@
 	return nil
 }
 
-// dropSession discards a session whose lease has expired, if it is still the current one. The next ensureSession starts another.
+// dropSession discards a session whose lease has expired, if it is still the current session. The next ensureSession starts a new session.
 func (s *Store) dropSession(lease clientv3.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/idempotency/etcdstore/settlement.go
+++ b/internal/idempotency/etcdstore/settlement.go
@@ -15,22 +15,22 @@
 // settleRetryInterval is the pause between two attempts to write a settlement.
 const settleRetryInterval = time.Second
 
-// settlement is the outcome of a claim that is yet to be written to etcd, or the withdrawal of a claim whose transaction failed but may
+// settlement is a write to etcd that ends a claim. It writes the outcome of the claim, or withdraws a claim whose transaction failed but may
 // have been committed.
 type settlement struct {
 	id             idempotency.ID
 	claim          string
-	record         *idempotency.Record // record to write, with wall-clock times; nil: the claim's record is deleted
-	withdrawal     bool                // record is the one that the claim replaced
-	mayCommitUntil time.Time           // set for a withdrawal: the claim may still be committed until then
+	record         *idempotency.Record // record to write, with wall-clock times; if nil, the claim's record is deleted
+	withdrawal     bool                // the claim is withdrawn, and record is the record that the claim replaced
+	mayCommitUntil time.Time           // until when the claim may still be committed; set for a withdrawal only
 
-	lock     chan struct{} // of capacity 1: held by the goroutine that writes the settlement; guards the fields below
-	revision int64         // etcd revision of the claim's record; 0: unknown
+	lock     chan struct{} // mutex, as a channel of capacity 1, for the goroutine that writes the settlement; guards the fields below
+	revision int64         // etcd revision of the claim's record, or 0 if it is unknown
 	done     bool
 }
 
-// Settle ends a claim with a record, or with nil if the request was not executed. SentAt of the record's attempts is their age. Settle
-// returns at once: the record is written in the background, and the next Claim of the key waits for the write.
+// Settle ends a claim with a record, or with nil if the request was not executed. SentAt of each attempt in the record is the attempt's
+// age. Settle returns at once. The record is written in the background, and the next Claim of the key waits until it is written.
 func (s *Store) Settle(claim Claim, id idempotency.ID, record *idempotency.Record) {
 	if claim.name == "" {
 		return
@@ -44,8 +44,8 @@
 	s.addSettlement(p)
 }
 
-// addSettlement starts writing a settlement. It does nothing once the Store is closed, or for a withdrawal beyond MaxPending: the record
-// then stays running, and its request is not executed again.
+// addSettlement starts writing a settlement. It does nothing if the Store is closed, or if the settlement is a withdrawal and MaxPending
+// settlements are pending. The record then stays in state running, and its request is not executed again.
 func (s *Store) addSettlement(p *settlement) {
 	p.lock = make(chan struct{}, 1)
 	s.mu.Lock()
@@ -97,7 +97,7 @@
 	return err
 }
 
-// settle tries to write a settlement once. It returns true if nothing is left to do.
+// settle tries to write a settlement once. It returns true if the settlement is written or no longer needed.
 func (s *Store) settle(ctx context.Context, p *settlement) (done bool, err error) {
 	select {
 	case p.lock <- struct{}{}:
@@ -120,7 +120,8 @@
 	return done, err
 }
 
-// writeSettlement replaces or deletes the record of a claim, unless another claim has replaced it. Its results are those of settle.
+// writeSettlement replaces or deletes the record of a claim, unless another claim has replaced the record. Its results have the same
+// meaning as the results of settle.
 func (s *Store) writeSettlement(ctx context.Context, p *settlement) (done bool, err error) {
 	revisionKnown := p.revision != 0
 	for range maxTransactionAttempts {
@@ -147,8 +148,9 @@
 	return false, errContended
 }
 
-// findClaim reads the revision of a claim's record. needed reports whether the settlement must be written at that revision. If not, done is
-// false while the claim may still be committed. A settlement with a record to write that finds no record creates it, at revision 0.
+// findClaim reads the revision of a claim's record into p.revision. needed reports whether the settlement must be written over that
+// revision. If it need not be written, done is false while the claim may still be committed, and true after that. If no record exists, a
+// settlement that writes an outcome creates the record, and p.revision is 0.
 func (s *Store) findClaim(ctx context.Context, current session, p *settlement) (needed, done bool, err error) {
 	response, err := s.get(ctx, current, s.recordKey(p.id))
 	if err != nil {
@@ -165,14 +167,14 @@
 	if err != nil {
 		return false, true, s.trackAvailability(err)
 	}
-	if record.Claim != p.claim { // another claim has replaced this one, or this one was never committed
+	if record.Claim != p.claim { // another claim has replaced this claim, or this claim was never committed
 		return false, p.commitImpossible(), nil
 	}
 	p.revision = response.Kvs[0].ModRevision
 	return true, false, nil
 }
 
-// commitImpossible reports whether a claim that has not been committed can't be committed any more.
+// commitImpossible reports whether it is too late for a claim to be committed if it has not been committed yet.
 func (p *settlement) commitImpossible() bool { return time.Now().After(p.mayCommitUntil) }
 
 // commitSettlement runs the transaction of a settlement.
--- a/internal/idempotency/etcdstore/store.go
+++ b/internal/idempotency/etcdstore/store.go
@@ -22,29 +22,29 @@
 // Options are a Store's parameters.
 type Options struct {
 	Declaration               // must have passed Check
-	Service     string        // services do not share keys
-	Retention   time.Duration // how long a record is kept after it was written, at least
-	MaxPending  int           // number of pending settlements beyond which claims of unknown result are not withdrawn; their keys stay running
+	Service     string        // name of the service; services do not share keys
+	Retention   time.Duration // minimum time for which a record is stored after it was written
+	MaxPending  int           // maximum number of pending settlements; beyond it, failed claims are not withdrawn and stay running
 	Log         *slog.Logger
 }
 
 const (
-	// maxTransactionAttempts bounds the transactions of one claim or settlement.
+	// maxTransactionAttempts is the maximum number of transactions for one claim or settlement.
 	maxTransactionAttempts = 32
-	// maxConcurrentSettlements is how many settlements are written to etcd at the same time in the background.
+	// maxConcurrentSettlements is the maximum number of settlements that are written to etcd at the same time in the background.
 	maxConcurrentSettlements = 64
 	// closePollInterval is how often Close checks whether settlements are still pending.
 	closePollInterval = time.Millisecond
 )
 
-// errContended is returned after maxTransactionAttempts, when the record changed between each read and the transaction that followed.
+// errContended is the error after maxTransactionAttempts transactions that failed because the record had changed since it was read.
 var errContended = errors.New("the record in etcd changed before every transaction")
 
 // Store is a connection to the shared store. It is safe for concurrent use.
 type Store struct {
 	options     Options
 	prefix      string
-	credentials *tlscredentials.Store // nil: no TLS
+	credentials *tlscredentials.Store // nil if TLS is not used
 	ctx         context.Context       // canceled by Abort or Close
 	cancel      context.CancelFunc
 	connecting  singleflight.Group
@@ -59,7 +59,7 @@
 	unavailable      bool // the last request to etcd failed
 }
 
-// New returns a Store. It connects in the background; until then Claim fails.
+// New returns a Store, which connects to etcd in the background. A Claim before that waits for the connection, and fails if connecting fails.
 func New(options Options) (*Store, error) {
 	s := &Store{
 		options:  options,
@@ -79,7 +79,7 @@
 	if s.credentials != nil {
 		s.running.Go(func() { s.credentials.Run(s.ctx) })
 	}
-	// Connecting here saves the first request the wait. If connecting fails, the first request returns the error.
+	// Connecting in the background saves the first request from waiting. If connecting fails, the first request connects again.
 	s.running.Go(func() { _, _ = s.ensureSession(s.ctx) })
 	return s, nil
 }
@@ -94,10 +94,10 @@
 	return s.prefix + "key/" + hex.EncodeToString(h.Sum(nil))
 }
 
-// leaseName returns the name of the session of a lease.
+// leaseName returns the name of the session that has the given lease.
 func leaseName(id clientv3.LeaseID) string { return strconv.FormatInt(int64(id), 16) }
 
-// get reads a key, within Declaration.Timeout.
+// get reads a key. It takes at most Declaration.Timeout.
 func (s *Store) get(ctx context.Context, current session, key string) (*clientv3.GetResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Timeout.D())
 	defer cancel()
@@ -105,7 +105,8 @@
 	return response, s.trackAvailability(err)
 }
 
-// commit runs a transaction, within Declaration.Timeout. After rpctypes.ErrLeaseNotFound the next ensureSession starts a new session.
+// commit runs a transaction. It takes at most Declaration.Timeout. If it returns rpctypes.ErrLeaseNotFound, the next ensureSession starts a
+// new session.
 func (s *Store) commit(ctx context.Context, current session, conditions []clientv3.Cmp, then, otherwise clientv3.Op) (*clientv3.TxnResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.Timeout.D())
 	defer cancel()
@@ -117,7 +118,7 @@
 	return response, s.trackAvailability(err)
 }
 
-// trackAvailability logs when the result of a request shows that etcd has become unavailable or available again. It returns err.
+// trackAvailability logs that etcd has become unavailable or available again, as shown by the result of a request. It returns err.
 func (s *Store) trackAvailability(err error) error {
 	if s.ctx.Err() != nil {
 		return err
@@ -150,8 +151,8 @@
 	s.cancel()
 }
 
-// Close writes pending settlements, for at most Declaration.Timeout, and ends the session, so that other processes need not wait for its
-// lease to expire. Other processes then treat requests whose claims are still running as possibly executed.
+// Close waits until pending settlements are written, for at most Declaration.Timeout, and ends the session, so that other processes need
+// not wait for the session's lease to expire. Other processes then treat requests whose records are still running as possibly executed.
 func (s *Store) Close() {
 	deadline := time.Now().Add(s.options.Timeout.D())
 	for s.pendingSettlements() > 0 && time.Now().Before(deadline) && s.ctx.Err() == nil {
--- a/internal/idempotency/etcdstore/store_test.go
+++ b/internal/idempotency/etcdstore/store_test.go
@@ -11,15 +11,15 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// TestStoreUnavailable checks that nothing is claimed while etcd is unavailable, that settlements are written once it is available again,
-// and that a failed claim does not block its key forever, even if its transaction is committed late.
+// TestStoreUnavailable checks that no request is claimed while etcd is unavailable, that settlements are written when etcd is available
+// again, and that a failed claim does not block its key forever, even if the claim's transaction is committed late.
 func TestStoreUnavailable(t *testing.T) {
 	var fault atomic.Int32
 	etcd, address := base.Etcd(t, fakes.EtcdOptions{Fault: func() fakes.EtcdFault { return fakes.EtcdFault(fault.Load()) }, Late: 200 * time.Millisecond})
 	first, second := openStore(t, address, nil), openStore(t, address, nil)
 	answered := testRequest("answered")
 	answeredClaim := mustClaim(t, first, answered, idempotency.Execute)
-	mustClaim(t, second, testRequest("session"), idempotency.Execute) // starts its session
+	mustClaim(t, second, testRequest("session"), idempotency.Execute) // starts the second process's session
 	notExecuted := testRequest("not executed")
 	notExecutedClaim := mustClaim(t, first, notExecuted, idempotency.Execute)
 	faults := []fakes.EtcdFault{fakes.EtcdRefuse, fakes.EtcdLose, fakes.EtcdLate, fakes.EtcdHang}
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestConnections checks that connections are encrypted and authenticated, that nothing is claimed if either fails, and that a new session
-// with new leases is started after the leases were lost.
+// TestConnections checks that connections are encrypted and authenticated, that no request is claimed if encryption or authentication fails,
+// and that a new session with new leases is started after the leases were lost.
 func TestConnections(t *testing.T) {
 	ca, otherCA := base.CA(t, "etcd"), base.CA(t, "other")
 	etcd, address := base.Etcd(t, fakes.EtcdOptions{User: "pay", Password: "secret", TLS: base.ServerTLS(t, base.Issue(t, ca, "127.0.0.1"))})
--- a/internal/idempotency/executor/declaration.go
+++ b/internal/idempotency/executor/declaration.go
@@ -18,7 +18,7 @@
 	Shared etcdstore.Declaration `toml:"shared" reload:"start" doc:"An etcd through which all sidecars of the service share their keys."`
 }
 
-// maxSharedAnswerBytes is the largest answer that a shared store accepts: etcd accepts requests of at most 1.5 MiB.
+// maxSharedAnswerBytes is the upper bound of MaxAnswerBytes with a shared store, since etcd accepts requests of at most 1.5 MiB.
 const maxSharedAnswerBytes = units.MiB
 
 // Check implements tomlfile.Checker.
@@ -32,12 +32,12 @@
 	}
 }
 
-// dedupWindowMarginTicks is the number of scheduler ticks by which a deduplication window is shortened: a decision and the send that
+// dedupWindowMarginTicks is the number of scheduler ticks by which a deduplication window is shortened, since a decision and the send that
 // follows it take at most one tick each.
 const dedupWindowMarginTicks = 2
 
-// DedupWindows returns a function that reports how long upstreams drop repeated attempts of a class, less the time from a decision to the
-// send that follows it.
+// DedupWindows returns a function that returns the deduplication window of a class: how long upstreams drop repeated attempts, less the time
+// from a decision to the send that follows it.
 func DedupWindows(settings *balancer.Settings) func(class string) time.Duration {
 	windows := map[string]time.Duration{}
 	for _, class := range settings.Classes {
@@ -50,8 +50,8 @@
 // of a killed process for seconds. The timeout leaves a third of the 30 s within which a start must succeed or fail.
 const StartLockTimeout = 20 * time.Second
 
-// Open returns the Executor of a service, with the file or the shared store of its declaration. It fills in the corresponding fields of
-// options. It waits up to lockTimeout, or until ctx ends, for a file that another process has locked.
+// Open returns the Executor of a service, with the file or the shared store of its declaration. Open sets the corresponding fields of
+// options. If another process has locked the file, Open waits up to lockTimeout, or until ctx ends.
 func Open(ctx context.Context, d Declaration, service string, settings *balancer.Settings, lockTimeout time.Duration, options Options) (*Executor, error) {
 	options.Limits, options.DedupWindow = d.Options, DedupWindows(settings)
 	switch {
--- a/internal/idempotency/executor/execution.go
+++ b/internal/idempotency/executor/execution.go
@@ -9,8 +9,8 @@
 	"orchiddrift/internal/idempotency/etcdstore"
 )
 
-// ProceedOnError is a value of the settings disk_error and error: requests are executed without a record or a claim while the store is
-// unavailable.
+// ProceedOnError is a value of the settings disk_error and error. With it, requests are executed without a record or a claim while the store
+// is unavailable.
 const ProceedOnError = "go on"
 
 // storeErrorRetryAfter is the RetryAfter of requests that are rejected because their record or claim can't be written.
@@ -18,11 +18,11 @@
 
 // execution is a running request. Its outcome may be read once done is closed.
 type execution struct {
-	wanted  context.Context // canceled once no client waits for the outcome
+	wanted  context.Context // canceled when no client waits for the outcome any more
 	cancel  context.CancelFunc
-	waiters int // clients that wait for the outcome; guarded by Executor.mu
+	waiters int // number of clients that wait for the outcome; guarded by Executor.mu
 
-	// keyConfirmed is closed once the key is known to belong to this request in the shared store too; nil without a shared store.
+	// keyConfirmed is closed once the key is known to belong to this request in the shared store too. It is nil without a shared store.
 	keyConfirmed chan struct{}
 	confirmKey   func() // closes keyConfirmed; may be called repeatedly
 
@@ -55,8 +55,8 @@
 	}
 }
 
-// execute records, claims and runs a request, and passes its outcome to all waiting clients. The outcome is recorded after that: if the
-// process ends in between, the record still says running, and a repeated request is not executed.
+// execute records, claims and runs a request, and passes its outcome to all waiting clients. Only then is the outcome written to the
+// RecordStore. If the process ends before that, the record still has the state running, and a repeated request is not executed.
 func (e *Executor) execute(ctx context.Context, request idempotency.SharedRequest, x *execution, run RunFunc) {
 	e.step(StepArrived)
 	claim, err := e.prepare(ctx, request, x)
@@ -87,7 +87,7 @@
 	e.running.Add(1)
 	go func() { // the client does not wait for the disk
 		defer e.running.Done()
-		_ = e.writeRecord(request.ID) // logged by writeRecord; the older record says running, which prevents another execution
+		_ = e.writeRecord(request.ID) // writeRecord logs an error; the older record, in state running, then prevents another execution
 		e.step(StepStored)
 	}()
 }
@@ -106,8 +106,8 @@
 }
 
 // claim claims a request in the shared store. It stops at the deadline of ctx, but not when the client disconnects. The times of the
-// claim's attempts are on the durable clock. With an error, or without a shared store, it returns a claim with the verdict Execute that
-// Settle ignores.
+// claim's attempts are on the durable clock (see Executor.now). If there is an error or no shared store, the returned claim has the verdict
+// Execute, and Settle ignores it.
 func (e *Executor) claim(ctx context.Context, request idempotency.SharedRequest, confirmKey func()) (etcdstore.Claim, error) {
 	local := etcdstore.Claim{Decision: idempotency.Decision{Verdict: idempotency.Execute, EarlierAttempts: request.EarlierAttempts}}
 	if e.options.Shared == nil {
@@ -161,7 +161,7 @@
 	e.options.Shared.Settle(claim, id, &record)
 }
 
-// swapAgesAndTimes returns a copy of attempts in which SentAt is the age at now instead of the time, or the time instead of the age.
+// swapAgesAndTimes returns a copy of attempts with their ages at the time now in place of their times in SentAt, or the reverse.
 func swapAgesAndTimes(now time.Duration, attempts []idempotency.Attempt) []idempotency.Attempt {
 	swapped := append([]idempotency.Attempt(nil), attempts...)
 	for i := range swapped {
@@ -191,7 +191,7 @@
 	if err != nil {
 		e.options.Log.Error("repeats: writing a record failed", "reason", err)
 		e.mu.Lock()
-		e.expired = append(e.expired, expired...) // for the next Put to delete
+		e.expired = append(e.expired, expired...) // the next Put deletes them
 		e.mu.Unlock()
 	}
 	return err
--- a/internal/idempotency/executor/executor.go
+++ b/internal/idempotency/executor/executor.go
@@ -15,17 +15,17 @@
 // AttemptRecorder receives the attempts of an execution.
 type AttemptRecorder interface {
 	AttemptStarted(attempt idempotency.Attempt)     // called before the attempt's first byte is sent
-	AttemptNotExecuted(attempt idempotency.Attempt) // the attempt is proved not to have been executed
+	AttemptNotExecuted(attempt idempotency.Attempt) // called when the attempt is proved not to have been executed
 }
 
 // RunFunc executes a request and returns its outcome. It must not stop when the client that started it disconnects, since other clients may
-// wait for the outcome, but it must finish by itself. wanted is canceled once no client waits. earlier are the attempts that may have been
-// executed and against which the request must be deduplicated. RunFunc must report its own attempts to recorder.
+// wait for the outcome, but it must finish by itself. wanted is canceled when no client waits any more. earlier contains the attempts that
+// may have been executed and against which upstreams must deduplicate the request. RunFunc must report its own attempts to recorder.
 type RunFunc func(wanted context.Context, earlier []idempotency.Attempt, recorder AttemptRecorder) Outcome
 
-// Outcome is how an execution ended, as its clients see it.
+// Outcome is the outcome of an execution for its clients.
 type Outcome struct {
-	Verdict    idempotency.Verdict // from a RunFunc: Replay, Reject or Fail
+	Verdict    idempotency.Verdict // Replay, Reject or Fail if a RunFunc returned the Outcome
 	Answer     *idempotency.Answer // set for Replay
 	RetryAfter time.Duration       // set for Reject
 }
@@ -44,14 +44,14 @@
 	Clock                clock.Clock
 	Log                  *slog.Logger
 	OwnGoroutine         bool        // executions have their own goroutines, so that Do can return when its client disconnects
-	Records              RecordStore // nil: records do not outlive the process
-	Shared               SharedStore // nil: keys are not shared with other processes
+	Records              RecordStore // if nil, records do not outlive the process
+	Shared               SharedStore // if nil, keys are not shared with other processes
 	ProceedOnSharedError bool        // execute new keys without a claim while Shared is not available
 	// Step, if not nil, is called when an execution reaches one of Steps. Tests use it to end the process at that step.
 	Step func(step string)
 }
 
-// The steps of an execution; the package comment says what a crash after each of them means.
+// The steps of an execution. The package comment explains the effect of a crash after each step.
 const (
 	StepArrived  = "arrived"
 	StepRecorded = "recorded"
@@ -66,14 +66,15 @@
 
 // RecordStore stores records durably.
 type RecordStore interface {
-	// Load calls do for each record, and passes as now the last time that the previous process's clock is known to have reached.
+	// Load calls do for each record. The argument now is the last known time of the previous process's clock.
 	Load(do func(now time.Duration, record idempotency.Record) error) error
-	// Put writes record, if it is not nil, and deletes expired records. It returns once both are durable.
+	// Put writes record, if it is not nil, and deletes the expired records. It returns when both changes are durable.
 	Put(record *idempotency.Record, expired []idempotency.ID, now time.Duration) error
 	Close() error
 }
 
-// SharedStore is a store of keys that several processes share, implemented by etcdstore.Store. SentAt of each attempt is its age.
+// SharedStore is a store of keys that several processes share, implemented by etcdstore.Store. In the arguments and results of its methods,
+// SentAt of each attempt is the attempt's age.
 type SharedStore interface {
 	Claim(ctx context.Context, request idempotency.SharedRequest, confirmKey func()) (etcdstore.Claim, error)
 	Lookup(ctx context.Context, request idempotency.SharedRequest) (idempotency.Decision, error)
@@ -85,7 +86,7 @@
 // Executor runs the requests with idempotency keys of one service. It is safe for concurrent use.
 type Executor struct {
 	options     Options
-	clockOffset time.Duration // the durable clock minus Options.Clock; see now
+	clockOffset time.Duration // difference between the durable clock (see now) and Options.Clock
 	running     sync.WaitGroup
 
 	mu          sync.Mutex
@@ -114,7 +115,7 @@
 		return e.store.Load(now, record)
 	})
 	if err != nil {
-		_ = options.Records.Close() // the error of Load is the cause
+		_ = options.Records.Close() // the error of Load is more relevant than an error of Close
 		return nil, err
 	}
 	return e, nil
@@ -132,8 +133,9 @@
 	e.dedupWindow = dedupWindow
 }
 
-// Do returns the outcome of a request with an idempotency key. It executes the request with run, waits for a running one, or returns the
-// stored answer. If ctx ends while Do waits for an execution, Do returns the verdict Fail at a deadline, and ClientLeft otherwise.
+// Do returns the outcome of a request with an idempotency key. It executes the request with run, waits for a running request with the same
+// key, or returns the stored answer. If the deadline of ctx passes while Do waits for an execution, Do returns the verdict Fail. If ctx is
+// canceled, Do returns ClientLeft.
 func (e *Executor) Do(ctx context.Context, id idempotency.ID, fingerprint idempotency.Fingerprint, run RunFunc) Result {
 	for {
 		result, keyConfirmed := e.tryDo(ctx, id, fingerprint, run)
@@ -156,7 +158,7 @@
 	}
 	d := a.decision
 	request := idempotency.SharedRequest{ID: id, Fingerprint: fingerprint, EarlierAttempts: d.EarlierAttempts, DedupWindow: a.dedupWindow}
-	if d.Verdict == idempotency.Fail && e.options.Shared != nil { // another process may have the answer by now
+	if d.Verdict == idempotency.Fail && e.options.Shared != nil { // another process may have stored the answer by now
 		if shared, err := e.options.Shared.Lookup(ctx, request); err == nil {
 			d = shared
 		}
@@ -190,7 +192,7 @@
 	keyConfirmed <-chan struct{}
 }
 
-// arrive gets a decision from the Store. It registers a new execution for Execute, or a waiting client for Wait.
+// arrive gets a decision from the Store. For Execute it registers a new execution, and for Wait it registers a waiting client.
 func (e *Executor) arrive(id idempotency.ID, fingerprint idempotency.Fingerprint) arrival {
 	now := e.now()
 	e.mu.Lock()
@@ -220,7 +222,7 @@
 	return a
 }
 
-// wait waits for an execution until ctx ends. executes says whether the execution was started for this client.
+// wait waits for the outcome of an execution until ctx ends. executes is true if the execution was started for this client.
 func (e *Executor) wait(ctx context.Context, id idempotency.ID, x *execution, executes bool) Result {
 	select {
 	case <-x.done:
@@ -241,7 +243,7 @@
 	return Result{ClientLeft: true}
 }
 
-// leave records that a client no longer waits for an execution.
+// leave records that a client no longer waits for an execution. If no client waits any more, it cancels the execution's context.
 func (e *Executor) leave(x *execution) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -253,7 +255,7 @@
 // rejectionLogInterval is the shortest time between two log lines on rejected requests.
 const rejectionLogInterval = 10 * time.Second
 
-// rejectionLog counts rejected requests between log lines.
+// rejectionLog counts the rejected requests since the last log line about them.
 type rejectionLog struct {
 	count    int
 	loggedAt time.Duration
@@ -277,7 +279,7 @@
 	return e.store.Len(), e.store.Bytes(), e.store.Running()
 }
 
-// Abort makes executions stop waiting for other processes. It is called before the process exits without a graceful shutdown.
+// Abort makes executions stop waiting for the shared store. It is called before the process exits without a graceful shutdown.
 func (e *Executor) Abort() {
 	if e.options.Shared != nil {
 		e.options.Shared.Abort()
--- a/internal/idempotency/executor/executor_test.go
+++ b/internal/idempotency/executor/executor_test.go
@@ -96,7 +96,7 @@
 	}
 	for range 3 {
 		if got := do(2); got != want {
-			t.Errorf("verdict %v for a new key while the disk is full, which DiskError does not allow", got)
+			t.Errorf("verdict %v for a new key while the disk is full, want the verdict that DiskError requires", got)
 		}
 	}
 	if got := do(1); got != idempotency.Replay {
@@ -109,12 +109,12 @@
 	do(4)
 	synctest.Wait()
 	if _, found := disk.records[testID(1)]; found || len(disk.records) == 0 {
-		t.Errorf("records on the disk: %v; want some, but not that of the expired key 1", disk.records)
+		t.Errorf("records on the disk: %v; want at least one record, but not the record of the expired key 1", disk.records)
 	}
 	e.Close()
 	restarted := newTestExecutor(t, disk, nil)
 	if r := restarted.Do(t.Context(), testID(4), idempotency.Fingerprint{}, nil); r.Verdict != idempotency.Replay || string(r.Answer.Body) != "paid" {
-		t.Errorf("answered key after a restart: %+v, want Replay of its answer", r)
+		t.Errorf("result for an answered key after a restart: %+v, want Replay of its answer", r)
 	}
 	restarted.Close()
 }
@@ -143,23 +143,23 @@
 		}
 		leave()
 		if r := <-results; !r.ClientLeft {
-			t.Errorf("client whose context was canceled: %+v, want ClientLeft", r)
+			t.Errorf("result for a client whose context was canceled: %+v, want ClientLeft", r)
 		}
 		if r := <-results; r.Verdict != idempotency.Fail || r.ClientLeft {
-			t.Errorf("client at its deadline: %+v, want Fail", r)
+			t.Errorf("result for a client at its deadline: %+v, want Fail", r)
 		}
 		outcome <- Outcome{Verdict: idempotency.Reject, RetryAfter: time.Second}
 		for range 4 {
 			if r := <-results; r.Verdict != idempotency.Reject || r.RetryAfter != time.Second {
-				t.Errorf("client that waited for the outcome: %+v, want Reject with RetryAfter 1s", r)
+				t.Errorf("result for a client that waited for the outcome: %+v, want Reject with RetryAfter 1s", r)
 			}
 		}
 		if keys, bytes, running := e.Stats(); keys+bytes+running != 0 {
-			t.Errorf("%d keys of %d bytes remain, %d requests running; want none", keys, bytes, running)
+			t.Errorf("%d keys of %d bytes remain and %d requests run after all clients got their results; want none", keys, bytes, running)
 		}
 		e.Close()
 		if r := e.Do(t.Context(), testID(2), idempotency.Fingerprint{}, nil); r.Verdict != idempotency.Reject {
-			t.Errorf("request after Close: %+v, want Reject", r)
+			t.Errorf("result for a request after Close: %+v, want Reject", r)
 		}
 	})
 }
--- a/internal/idempotency/options.go
+++ b/internal/idempotency/options.go
@@ -25,7 +25,7 @@
 	minRetention       = time.Second
 	maxRetention       = 30 * 24 * time.Hour
 	maxKeysLimit       = 1 << 24 // keys
-	maxConcurrentLimit = 1 << 16 // requests that run at once, or that wait for one key
+	maxConcurrentLimit = 1 << 16 // requests that run at the same time, or that wait for one key
 )
 
 // Default returns the options that apply where the configuration file sets none.
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -6,24 +6,24 @@
 )
 
 // Record is the durable form of a key's entry. A record with Running set belongs to a request that had not finished when the record was
-// written. If its process has ended, any upstream may have executed the request, so the request is never executed again.
+// written. If the process that wrote it has ended, an upstream may have executed the request, so the request is never executed again.
 type Record struct {
 	ID              ID
 	Fingerprint     Fingerprint
 	Running         bool
-	Outcome         Outcome // Answered or MayHaveRun, unless Running
+	Outcome         Outcome // Answered or MayHaveRun; not used while Running is set
 	Answer          *Answer // set for Answered; nil if the answer was too large to store
 	Attempts        []Attempt
 	AttemptsUnknown bool          // Attempts is incomplete, so the request is never executed again
 	UpdatedAt       time.Duration // when the record was written
 }
 
-// ErrStoreFull is returned by Load when a record does not fit because the limits are lower than when it was written.
+// ErrStoreFull is the error of Load if a record does not fit. This happens if the limits were higher when the record was written.
 var ErrStoreFull = errors.New("repeats: the stored records exceed the configured entries or bytes")
 
-// Load adds a record that an earlier process wrote. now is the last time that process's clock is known to have reached; records past their
-// retention are skipped. Requests that may have been executed are not executed again, since the deduplication windows of the upstreams
-// continued while no process ran.
+// Load adds a record that an earlier process wrote. now is the last known time of that process's clock. Records past their retention are
+// skipped. Requests that may have been executed are not executed again, since the upstreams' deduplication windows may have ended while no
+// process ran.
 func (s *Store) Load(now time.Duration, r Record) error {
 	size := entryOverheadBytes + r.ID.bytes() + len(r.Attempts)*attemptBytes
 	if r.Answer != nil {
--- a/internal/idempotency/recordcodec/codec.go
+++ b/internal/idempotency/recordcodec/codec.go
@@ -1,7 +1,7 @@
 // Package recordcodec encodes idempotency records as protobuf messages, for a file or a store that several processes share, and decodes
-// them. It is pure: no I/O and no state.
+// them. It does no I/O and has no state.
 //
-// Decoding skips unknown fields, so that later versions can add fields. The schema:
+// Decoding skips unknown fields, so that later versions can add fields. The schema is:
 //
 //	message Record {
 //	  bytes  tenant = 1;
@@ -14,8 +14,8 @@
 //	  Answer answer = 8;
 //	  repeated Attempt attempts = 9;
 //	  sint64 attempts_unknown = 10;  // 1, or absent
-//	  bytes  owner = 11;             // of shared records, as is claim
-//	  bytes  claim = 12;
+//	  bytes  owner = 11;             // in shared records only
+//	  bytes  claim = 12;             // in shared records only
 //	}
 //	message Answer  { sint64 status = 1; bytes body = 2; repeated Header headers = 3; }
 //	message Header  { bytes name = 1; bytes value = 2; }
@@ -28,7 +28,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// ErrMalformed is returned for bytes that are not an encoded record.
+// ErrMalformed is the error for bytes that are not an encoded record.
 var ErrMalformed = errors.New("malformed idempotency record")
 
 // The fields of a Record.
--- a/internal/idempotency/recordcodec/decode.go
+++ b/internal/idempotency/recordcodec/decode.go
@@ -10,8 +10,8 @@
 	"orchiddrift/internal/idempotency"
 )
 
-// Decode decodes a record, which does not alias b. previous is a record decoded before, or an empty one. The result shares equal tenant and
-// class strings with previous, to save memory.
+// Decode decodes a record. The result does not alias b. previous is a record that was decoded before, or an empty record. To save memory,
+// the result shares equal tenant and class strings with previous.
 func Decode(b []byte, previous *idempotency.Record) (idempotency.Record, error) {
 	var r idempotency.Record
 	err := forEachField(b, func(f field) error { return decodeRecordField(f, &r, previous) })
@@ -24,7 +24,7 @@
 	return r, nil
 }
 
-// DecodeShared decodes a record of a store that several processes share. It does not alias b.
+// DecodeShared decodes a record of a store that several processes share. The result does not alias b.
 func DecodeShared(b []byte) (idempotency.SharedRecord, error) {
 	var r idempotency.SharedRecord
 	var err error
@@ -133,8 +133,8 @@
 	return string(text)
 }
 
-// field is a field of a message. bytes is the value of a field of wire type bytes, and integer that of a varint in zigzag encoding. Both
-// are zero for other wire types.
+// field is a field of a message. bytes is the value of a field of wire type bytes, and integer is the value of a varint in zigzag encoding.
+// Both are zero for other wire types.
 type field struct {
 	number  protowire.Number
 	bytes   []byte // aliases the message
--- a/internal/idempotency/recordcodec/encode.go
+++ b/internal/idempotency/recordcodec/encode.go
@@ -6,7 +6,7 @@
 	"orchiddrift/internal/idempotency"
 )
 
-// typicalRecordBytes is the initial capacity of an encoded record; most records are smaller.
+// typicalRecordBytes is the initial capacity for an encoded record, in bytes. Most records are smaller.
 const typicalRecordBytes = 256
 
 // Encode encodes a record.
--- a/internal/idempotency/recordcodec/golden_test.go
+++ b/internal/idempotency/recordcodec/golden_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestRecordsGolden checks that records for a file and for a shared store are encoded byte for byte as in the previous release, and that
-// bytes written by that release can be decoded.
+// records written by the previous release can be decoded.
 func TestRecordsGolden(t *testing.T) {
 	id := idempotency.ID{Tenant: "agents", Class: "payment", Key: "k-1"}
 	fingerprint := idempotency.Fingerprint{1, 2, 3, 15: 16}
@@ -43,7 +43,7 @@
 		}
 		got, err := Decode(plain, &idempotency.Record{})
 		if err != nil || !reflect.DeepEqual(got, r.record) {
-			t.Errorf("record %s is decoded as %+v, %v; want %+v", r.name, got, err, r.record)
+			t.Errorf("record %s is decoded as %+v with error %v, want %+v", r.name, got, err, r.record)
 		}
 		encoded, err := hex.DecodeString(lines[4*i+3])
 		if err != nil {
@@ -51,7 +51,7 @@
 		}
 		shared, err := DecodeShared(encoded)
 		if want := (idempotency.SharedRecord{Record: r.record, Owner: "694d", Claim: "694d/1"}); err != nil || !reflect.DeepEqual(shared, want) {
-			t.Errorf("shared record %s is decoded as %+v, %v; want %+v", r.name, shared, err, want)
+			t.Errorf("shared record %s is decoded as %+v with error %v, want %+v", r.name, shared, err, want)
 		}
 	}
 }
--- a/internal/idempotency/shared_record.go
+++ b/internal/idempotency/shared_record.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// SharedRecord is a Record in a store that several processes share. SentAt of its attempts is the time since the Unix epoch on the wall
-// clock of the process that wrote the record. UpdatedAt is not used.
+// SharedRecord is a Record in a store that several processes share. The SentAt times of its attempts are durations since the Unix epoch on
+// the wall clock of the process that wrote the record. UpdatedAt is not used.
 type SharedRecord struct {
 	Record
 	Owner string // session of the process that wrote the record last; a Running request runs only while that session lives
@@ -22,18 +22,19 @@
 	ID              ID
 	Fingerprint     Fingerprint
 	Process         string
-	EarlierAttempts []Attempt     // the attempts known to this process; SentAt is their age
+	EarlierAttempts []Attempt     // the attempts known to this process, with their ages as SentAt
 	DedupWindow     time.Duration // how long upstreams drop repeated attempts
-	MaxClockSkew    time.Duration // upper bound on the difference between two processes' wall clocks plus a message's delay; 0: unknown
+	MaxClockSkew    time.Duration // upper bound on the difference between two wall clocks plus a message's delay; 0 if unknown
 }
 
-// Resolve decides on a request whose key already has a record. ownerAlive reports whether the session of the record's owner lives; wall is
-// the wall-clock time since the Unix epoch. Execute means that the request may replace exactly this record with its own claim; SentAt in
-// EarlierAttempts is then an upper bound on the attempt's age.
+// Resolve decides on a request whose key already has a record. ownerAlive reports whether the session of the record's owner lives, and wall
+// is the wall-clock time since the Unix epoch. Execute means that the request may replace exactly this record with its own claim. SentAt of
+// each attempt in EarlierAttempts is then an upper bound on the attempt's age.
 //
-// Resolve returns Wait for a request that another process runs. If that process's session has ended, any upstream may have executed the
-// request, which is never executed again. A request of uncertain outcome is executed again only if the ages of its attempts are known: by
-// the process that sent all of them, or by another process if MaxClockSkew bounds the difference between their clocks.
+// Resolve returns Wait for a request that another process runs. If that process's session has ended, an upstream may have executed the
+// request, which is therefore never executed again. A request of uncertain outcome is executed again only if the ages of its attempts are
+// known. The process that sent all of the attempts knows their ages; another process knows them if MaxClockSkew bounds the difference
+// between the clocks.
 func (r *SharedRequest) Resolve(record *SharedRecord, ownerAlive bool, wall time.Duration) Decision {
 	own := strings.HasPrefix(record.Claim, ClaimName(r.Process, ""))
 	finished := !record.Running && record.Outcome == Answered
@@ -46,7 +47,7 @@
 		return Decision{Verdict: AnswerNotStored}
 	case finished:
 		return Decision{Verdict: Replay, Answer: record.Answer}
-	case own && r.knowsAll(record.Attempts): // no other process has claimed the key since
+	case own && r.knowsAll(record.Attempts): // no other process has claimed the key in the meantime
 		return Decision{Verdict: Execute, EarlierAttempts: r.EarlierAttempts}
 	case record.Running || record.AttemptsUnknown || r.MaxClockSkew <= 0 || len(record.Attempts) == 0:
 		return Decision{Verdict: Fail}
@@ -54,8 +55,8 @@
 	return r.resolveByWallClock(record.Attempts, wall)
 }
 
-// resolveByWallClock decides on a request whose attempts were sent by other processes, from their wall-clock times. A time in the
-// future counts as now; each age is increased by MaxClockSkew, so that it is an upper bound.
+// resolveByWallClock decides on a request whose attempts were sent by other processes, from the attempts' wall-clock times. A time in the
+// future counts as the present time. Each age is increased by MaxClockSkew, so that it is an upper bound.
 func (r *SharedRequest) resolveByWallClock(attempts []Attempt, wall time.Duration) Decision {
 	aged := make([]Attempt, len(attempts))
 	for i, attempt := range attempts {
@@ -68,8 +69,8 @@
 	return Decision{Verdict: Execute, EarlierAttempts: aged}
 }
 
-// knowsAll reports whether this process knows all attempts of a record. The two lists' times are on different clocks, so knowsAll compares
-// the zones and cells of the attempts, and their number.
+// knowsAll reports whether this process knows all attempts of a record. The attempts of the record and of the request have times on
+// different clocks, so knowsAll compares the zones and cells of the attempts, and their number.
 func (r *SharedRequest) knowsAll(attempts []Attempt) bool {
 	for _, attempt := range attempts {
 		known := slices.ContainsFunc(r.EarlierAttempts, func(own Attempt) bool {
--- a/internal/idempotency/shared_record_test.go
+++ b/internal/idempotency/shared_record_test.go
@@ -22,7 +22,7 @@
 	for _, c := range []struct {
 		name       string
 		record     Record
-		own        bool // the record's claim is this process's
+		own        bool // this process wrote the record
 		ownerAlive bool
 		skew       time.Duration
 		earlier    []Attempt
@@ -31,12 +31,12 @@
 	}{
 		{"running", Record{Running: true}, false, true, time.Second, nil, Wait, nil},
 		{"running, its process ended", Record{Running: true}, false, false, time.Second, nil, Fail, nil},
-		{"running again, its process ended", Record{Running: true, Attempts: sentAgo(time.Second)}, false, false, time.Second, sameZone, Fail, nil},
+		{"running with an earlier attempt, its process ended", Record{Running: true, Attempts: sentAgo(time.Second)}, false, false, time.Second, sameZone, Fail, nil},
 		{"answered", Record{Answer: answer}, false, false, 0, nil, Replay, nil},
 		{"answered, too large", Record{}, false, false, 0, nil, AnswerNotStored, nil},
 		{"answered here", Record{Answer: answer}, true, true, 0, sameZone, Replay, nil},
 		{"uncertain", Record{Outcome: MayHaveRun, Attempts: sentAgo(2*time.Second, time.Second)}, false, false, time.Second, nil, Execute, []time.Duration{3 * time.Second, 2 * time.Second}},
-		{"uncertain, known here in part", Record{Outcome: MayHaveRun, Attempts: sentAgo(2*time.Second, time.Second)}, false, false, time.Second, sameZone, Execute, []time.Duration{3 * time.Second, 2 * time.Second}},
+		{"uncertain, one of two attempts known here", Record{Outcome: MayHaveRun, Attempts: sentAgo(2*time.Second, time.Second)}, false, false, time.Second, sameZone, Execute, []time.Duration{3 * time.Second, 2 * time.Second}},
 		{"uncertain, clock skew unknown", Record{Outcome: MayHaveRun, Attempts: sentAgo(time.Second)}, false, false, 0, nil, Fail, nil},
 		{"uncertain, one attempt too old", Record{Outcome: MayHaveRun, Attempts: sentAgo(time.Second, 5*time.Second)}, false, false, time.Second, nil, Fail, nil},
 		{"uncertain, writer's clock ahead", Record{Outcome: MayHaveRun, Attempts: sentAgo(-time.Hour)}, false, false, time.Second, nil, Execute, []time.Duration{time.Second}},
@@ -60,7 +60,7 @@
 				ages = append(ages, attempt.SentAt)
 			}
 			if d.Verdict != c.want || !slices.Equal(ages, c.wantAges) || d.Verdict == Replay && d.Answer != answer {
-				t.Errorf("Resolve returned %+v, which is not this case's verdict, answer or ages", d)
+				t.Errorf("Resolve returned %+v, which has not the verdict, answer or attempt ages of this case", d)
 			}
 			checkConflicts(t, request, record, c.ownerAlive, wall)
 		})
@@ -88,13 +88,13 @@
 	before := s.Bytes()
 	s.AdoptAttempts(id, []Attempt{{Zone: "a"}, {Zone: "a", SentAt: time.Second}})
 	if s.Bytes() != before+2*attemptBytes {
-		t.Errorf("Store takes %d bytes after adopting two attempts, %d before", s.Bytes(), before)
+		t.Errorf("Store takes %d bytes after adopting two attempts and %d before, want a difference of two attempts", s.Bytes(), before)
 	}
 	if outcome := s.Finish(2*time.Second, id, NotExecuted, nil); outcome != MayHaveRun {
 		t.Errorf("request with adopted attempts finished as %v, want MayHaveRun", outcome)
 	}
 	if d := s.Arrive(3*time.Second, id, Fingerprint{}); d.Verdict != Execute || len(d.EarlierAttempts) != 2 {
-		t.Errorf("repeated request: %+v, want Execute with the two adopted attempts", d)
+		t.Errorf("decision on the repeated request: %+v, want Execute with the two adopted attempts", d)
 	}
 	s.AdoptAttempts(id, nil)
 	if s.Bytes() != before || s.Finish(4*time.Second, id, NotExecuted, nil) != NotExecuted || s.Len() != 0 {
--- a/internal/idempotency/store.go
+++ b/internal/idempotency/store.go
@@ -8,8 +8,8 @@
 
 // Sizes with which the Store estimates its memory, in bytes, and the bound on remembered attempts.
 const (
-	entryOverheadBytes = 700 // one entry without its ID, attempts and answer
-	attemptBytes       = 40  // one attempt
+	entryOverheadBytes = 700 // size of one entry without its ID, attempts and answer
+	attemptBytes       = 40  // size of one attempt
 	maxAttempts        = 16  // attempts remembered per key; a request with more attempts is never executed again
 )
 
@@ -25,7 +25,7 @@
 	uncertain
 )
 
-// entry holds what the Store knows of a key.
+// entry is the Store's information about one key.
 type entry struct {
 	id              ID
 	fingerprint     Fingerprint
@@ -33,10 +33,10 @@
 	answer          *Answer   // set in state answered; nil if the answer was too large to store
 	attempts        []Attempt // attempts that may have been executed
 	attemptsUnknown bool      // attempts is incomplete, so the request is never executed again
-	waiting         int       // number of requests that wait for the running one
+	waiting         int       // number of requests that wait for the running request
 	bytes           int       // estimated memory
 	expiresAt       time.Duration
-	queueIndex      int // in Store.expiry; -1 while the entry is running
+	queueIndex      int // index in Store.expiry, or -1 while the entry is running
 }
 
 // tenantUsage is the number of one tenant's keys and their estimated memory in bytes.
@@ -54,7 +54,7 @@
 	tenants        map[string]*tenantUsage
 }
 
-// New returns an empty Store. dedupWindow returns how long after the oldest attempt upstreams drop repeated attempts of a class.
+// New returns an empty Store. dedupWindow returns how long upstreams drop repeated attempts of a class, counted from the oldest attempt.
 func New(options Options, dedupWindow func(class string) time.Duration) *Store {
 	return &Store{
 		options:     options,
@@ -113,7 +113,7 @@
 	case id.bytes() > maxIDBytes:
 		return Decision{Verdict: Conflict} // no retry would succeed
 	case full && s.expiry.Len() > 0:
-		// If only the tenant's quota is exhausted, the tenant's own first key may expire later than this.
+		// If only the tenant's quota is exhausted, the first of the tenant's own keys may expire later than RetryAfter says.
 		return Decision{Verdict: Reject, RetryAfter: max(minRetryAfter, s.expiry.First().expiresAt-now)}
 	case full || s.running >= s.options.MaxRunning:
 		return Decision{Verdict: Reject, RetryAfter: minRetryAfter}
@@ -188,7 +188,7 @@
 	}
 }
 
-// AdoptAttempts replaces a running request's earlier attempts with those in a shared store, which include the earlier ones.
+// AdoptAttempts replaces the attempts of a running request with the attempts in a shared store, which include the replaced attempts.
 func (s *Store) AdoptAttempts(id ID, attempts []Attempt) {
 	e := s.entries[id]
 	if e == nil || e.state != running {
@@ -235,7 +235,7 @@
 		float64(s.tenants[tenant].bytes+size) <= s.options.TenantFraction*float64(s.options.MaxBytes)
 }
 
-// StopWaiting records that the client of a request with the verdict Wait has disconnected before the running request finished.
+// StopWaiting records that a waiting request (one that got the verdict Wait) has ended before the running request finished.
 func (s *Store) StopWaiting(id ID) {
 	if e := s.entries[id]; e != nil && e.waiting > 0 {
 		e.waiting--
@@ -271,7 +271,7 @@
 	s.tenants[e.id.Tenant].bytes += bytes
 }
 
-// scheduleExpiry sets when an entry that is not running expires, given the time of its last event.
+// scheduleExpiry sets the expiry time of an entry that is not running, from the time of the entry's last event.
 func (s *Store) scheduleExpiry(e *entry, lastEvent time.Duration) {
 	s.expirySequence++
 	e.expiresAt = lastEvent + s.options.Retention.D()
--- a/internal/idempotency/store_test.go
+++ b/internal/idempotency/store_test.go
@@ -65,18 +65,18 @@
 		m.checkUnknown(d)
 	case key.fingerprint != fingerprint:
 		if d.Verdict != Conflict {
-			m.t.Fatalf("different request with a known key: %+v, want Conflict", d)
+			m.t.Fatalf("decision on a different request with a known key: %+v, want Conflict", d)
 		}
 	case key.running:
 		if d.Verdict != Wait && !(d.Verdict == Reject && key.waiting >= m.options.MaxWaiting) {
-			m.t.Fatalf("repeated request while the first one runs: %+v, want Wait, or Reject beyond MaxWaiting", d)
+			m.t.Fatalf("decision on a repeated request while the first request runs: %+v, want Wait, or Reject beyond MaxWaiting", d)
 		}
 		if d.Verdict == Wait {
 			key.waiting++
 		}
 	case key.answer != nil:
 		if d.Verdict != Replay && d.Verdict != AnswerNotStored || d.Verdict == Replay && d.Answer != key.answer {
-			m.t.Fatalf("repeated request after the answer: %+v, want Replay of that answer or AnswerNotStored", d)
+			m.t.Fatalf("decision on a repeated request after the answer: %+v, want Replay of that answer or AnswerNotStored", d)
 		}
 	default:
 		m.checkUncertain(key, d)
@@ -96,7 +96,7 @@
 
 func (m *reference) checkUnknown(d Decision) {
 	if d.Verdict != Execute && d.Verdict != Reject || d.Verdict == Execute && len(d.EarlierAttempts) > 0 {
-		m.t.Fatalf("request with a new key: %+v, want Execute without earlier attempts, or Reject", d)
+		m.t.Fatalf("decision on a request with a new key: %+v, want Execute without earlier attempts, or Reject", d)
 	}
 	if d.Verdict == Reject && d.RetryAfter <= 0 {
 		m.t.Fatal("request with a new key was rejected without RetryAfter")
@@ -110,12 +110,12 @@
 	}
 	if m.now-oldest >= testDedupWindow("") {
 		if d.Verdict != Fail {
-			m.t.Fatalf("oldest attempt sent at %v, now %v, which is outside the window: %+v, want Fail", oldest, m.now, d)
+			m.t.Fatalf("oldest attempt sent at %v, now %v, after the deduplication window: decision %+v, want Fail", oldest, m.now, d)
 		}
 		return
 	}
 	if d.Verdict != Reject && !(d.Verdict == Execute && fmt.Sprint(d.EarlierAttempts) == fmt.Sprint(key.attempts)) {
-		m.t.Fatalf("repeated request within the window: %+v, want Reject, or Execute with the attempts %v", d, key.attempts)
+		m.t.Fatalf("decision on a repeated request within the deduplication window: %+v, want Reject, or Execute with the attempts %v", d, key.attempts)
 	}
 }
 
@@ -155,11 +155,12 @@
 func (m *reference) checkLimits() {
 	s, maxBytes := m.store, m.options.MaxBytes.Bytes()+m.options.MaxRunning*maxAttempts*attemptBytes
 	if s.Len() != len(m.keys) || s.Len() > m.options.MaxKeys || s.Running() != m.runningKeys() || s.Bytes() > maxBytes {
-		m.t.Fatalf("Store has %d keys (model: %d), %d running (model: %d), %d bytes: not as the model, or over a limit", s.Len(), len(m.keys), s.Running(), m.runningKeys(), s.Bytes())
+		m.t.Fatalf("Store has %d keys (model: %d), %d running (model: %d), %d bytes; it differs from the model or exceeds a limit", s.Len(), len(m.keys), s.Running(), m.runningKeys(), s.Bytes())
 	}
 }
 
-// checkReload loads all records into a new Store. It must replay the same answers and must not execute requests that were running.
+// checkReload loads all records into a new Store. The new Store must replay the same answers and must not execute requests that were
+// running.
 func (m *reference) checkReload() {
 	reloaded := New(m.options, testDedupWindow)
 	for id, key := range m.keys {
@@ -170,7 +171,7 @@
 		d := reloaded.Arrive(m.now, id, key.fingerprint)
 		switch {
 		case key.running && d.Verdict != Fail, !key.running && key.answer != nil && d.Verdict != Replay && d.Verdict != AnswerNotStored:
-			m.t.Fatalf("after a restart: wrong decision %+v for the key %+v", d, key)
+			m.t.Fatalf("after a restart: decision %+v for the key %+v; want Fail for a running key, Replay or AnswerNotStored for an answered key", d, key)
 		}
 		if d.Verdict == Execute {
 			reloaded.Finish(m.now, id, MayHaveRun, nil)
@@ -224,7 +225,7 @@
 			executed["flood"]++
 			s.Finish(time.Hour, ID{"flood", "c", fmt.Sprint(i)}, Answered, &Answer{Status: 200})
 		} else if d.Verdict != Reject || d.RetryAfter != o.Retention.D() {
-			t.Errorf("key beyond the tenant's quota: %+v, want Reject until the first key expires", d)
+			t.Errorf("decision on a key beyond the tenant's quota: %+v, want Reject with RetryAfter until the first key expires", d)
 		}
 	}
 	for i := range 3 {
@@ -233,18 +234,18 @@
 		}
 	}
 	if executed["flood"] != 6 || executed["quiet"] != 3 {
-		t.Errorf("requests executed per tenant: %v, want 6 of flood and 3 of quiet", executed)
+		t.Errorf("requests executed per tenant: %v, want 6 of tenant flood and 3 of tenant quiet", executed)
 	}
 	for i := range executed["flood"] {
 		if d := arrive("flood", i); d.Verdict != Replay {
-			t.Errorf("answered key %d in a full store: %+v, want Replay", i, d)
+			t.Errorf("decision on the answered key %d in a full store: %+v, want Replay", i, d)
 		}
 	}
 	if expired := s.Expire(time.Hour + o.Retention.D()); len(expired) != 6 || s.Running() != 3 {
 		t.Errorf("expired keys: %v, running requests: %d; want 6 expired and 3 running", expired, s.Running())
 	}
 	if d := s.Arrive(time.Hour, ID{Key: strings.Repeat("x", maxIDBytes+1)}, Fingerprint{}); d.Verdict != Conflict {
-		t.Errorf("key of %d bytes, over the limit: %+v, want Conflict", maxIDBytes+1, d)
+		t.Errorf("decision on a key of %d bytes, over the limit: %+v, want Conflict", maxIDBytes+1, d)
 	}
 }
 
@@ -254,7 +255,7 @@
 	window := testDedupWindow("")
 	for _, c := range []struct {
 		name string
-		age  time.Duration // of the oldest attempt
+		age  time.Duration // age of the oldest attempt
 		want Verdict
 	}{
 		{"well before the window closes", time.Second, Execute},
@@ -269,7 +270,7 @@
 			s.AttemptStarted(id, Attempt{Zone: "b", SentAt: time.Second})
 			s.Finish(time.Second, id, MayHaveRun, nil)
 			if d := s.Arrive(c.age, id, Fingerprint{}); d.Verdict != c.want || d.Verdict == Execute && len(d.EarlierAttempts) != 2 {
-				t.Errorf("repeated request: %+v, want this case's verdict, and both attempts with Execute", d)
+				t.Errorf("decision on the repeated request: %+v, not the verdict of this case, or Execute without both attempts", d)
 			}
 		})
 	}
