--- a/internal/discovery/deadline_test.go
+++ b/internal/discovery/deadline_test.go
@@ -91,7 +91,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			runVirtual(t, c.options, c.script, func(t *testing.T, w *virtualWatcher) {
 				if took := w.waitForDrain(t); took > c.silentAt+notificationLimit {
-					t.Errorf("the drain was noticed %v after the watch fell silent, which is too late", took-c.silentAt)
+					t.Errorf("the drain was noticed %v after the watch fell silent, later than notificationLimit", took-c.silentAt)
 				}
 			})
 		})
@@ -118,12 +118,12 @@
 		w.waitForDrain(t)
 		for !w.isReady("b") {
 			if w.isReady("a") {
-				t.Fatalf("draining endpoint a was ready again %v after the start", time.Since(w.startedAt))
+				t.Fatalf("draining endpoint a became ready again %v after the start", time.Since(w.startedAt))
 			}
 			time.Sleep(time.Millisecond)
 		}
 		if w.isReady("a") {
-			t.Error("draining endpoint a was ready again after the change of endpoint b")
+			t.Error("draining endpoint a became ready again with the change of endpoint b")
 		}
 	})
 }
--- a/internal/discovery/eureka/registration.go
+++ b/internal/discovery/eureka/registration.go
@@ -125,7 +125,7 @@
 	}
 }
 
-// makeCall makes one call and reports its outcome to the lease.
+// makeCall makes one call to the registry and reports the call's outcome to the lease.
 func (r *Registration) makeCall(ctx context.Context, l *lease, call leaseCall) {
 	err := r.send(ctx, call)
 	outcome := outcomeDone
--- a/internal/discovery/membership/harness_test.go
+++ b/internal/discovery/membership/harness_test.go
@@ -133,7 +133,7 @@
 	return e
 }
 
-// fleet returns count endpoints n00, n01, ... with one status.
+// fleet returns count endpoints named n00, n01, ..., all with the given status.
 func fleet(count int, status string) (all []endpoints.Endpoint) {
 	for i := range count {
 		all = append(all, entry(fmt.Sprintf("n%02d", i), i, status, 1))
--- a/internal/discovery/membership/history_test.go
+++ b/internal/discovery/membership/history_test.go
@@ -75,7 +75,7 @@
 		for _, r := range h.recordsByName[u.name] {
 			wantsDrain := r.state == Draining || r.state == OutOfService || r.state == Down
 			if wantsDrain && r.endpoint.Address == u.endpoint.Address && !h.isAged(r.source) && u.records[r] && !h.isReplaced(r) {
-				t.Fatalf("%s is ready although source %s reports it as %v", u.name, r.source.name, r.state)
+				t.Fatalf("upstream %s is ready although source %s reports the upstream as %v", u.name, r.source.name, r.state)
 			}
 		}
 	}
--- a/internal/discovery/membership/merge.go
+++ b/internal/discovery/membership/merge.go
@@ -16,7 +16,7 @@
 	maxNotes   = 16     // maximum per input; further notes are only counted
 )
 
-// Change is a change of the merged list. Its status is one of those of package endpoints.
+// Change is a change of the merged list. Its Status is one of the statuses that package endpoints defines.
 type Change struct {
 	endpoints.Endpoint
 	Reason string
--- a/internal/discovery/membership/record.go
+++ b/internal/discovery/membership/record.go
@@ -7,7 +7,7 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// record is what one source reports of one endpoint.
+// record is the latest report of one source about one endpoint.
 type record struct {
 	source     *source
 	endpoint   endpoints.Endpoint // as the source listed it
--- a/internal/discovery/membership/time_test.go
+++ b/internal/discovery/membership/time_test.go
@@ -109,7 +109,7 @@
 	}},
 }
 
-// entriesHeld returns the number of entries in all tables except those of the sources.
+// entriesHeld returns the number of entries in all tables of the Merge except the tables of its sources.
 func (m *Merge) entriesHeld() int {
 	return len(m.recordsByName) + len(m.recordsByAddress) + len(m.upstreams) + len(m.timers)
 }
--- a/internal/discovery/mergedsource.go
+++ b/internal/discovery/mergedsource.go
@@ -49,7 +49,7 @@
 	ended  chan struct{}
 }
 
-// NewMergedSource returns a MergedSource that follows sources. They are ranked in the given order, with primary ones first.
+// NewMergedSource returns a MergedSource that follows sources. It ranks the sources in the given order, but primary sources first.
 func NewMergedSource(o membership.Options, log *slog.Logger, sources ...NamedSource) (*MergedSource, error) {
 	m := &MergedSource{log: cmp.Or(log, slog.New(slog.DiscardHandler)), merge: membership.New(o), now: time.Now, sources: map[string]*followedSource{}}
 	m.timer = time.AfterFunc(time.Hour, m.tick)
@@ -105,7 +105,7 @@
 	m.publish(m.merge.RemoveSource(m.now(), name))
 }
 
-// Replace replaces the source of the given name. The previous source's last list stays in use until the new source reports one.
+// Replace replaces the source of the given name. The previous source's last list stays in use until the new source reports a list.
 func (m *MergedSource) Replace(name string, source Source) {
 	f := m.stop(name)
 	if f == nil {
@@ -276,8 +276,8 @@
 	primary bool
 }
 
-// Update merges a snapshot or an incremental change. For a primary source it also reports to the sink that the list is current, even if the
-// merged list does not change.
+// Update merges a snapshot or an incremental change. If the source is primary, Update also reports to the sink that the list is current,
+// even if the merged list does not change.
 func (s *sourceSink) Update(l *endpoints.List) {
 	m := s.merged
 	m.mu.Lock()
--- a/internal/discovery/mergedsource_test.go
+++ b/internal/discovery/mergedsource_test.go
@@ -123,7 +123,8 @@
 	})
 }
 
-// outageOfRegistry keeps the Eureka registry lost for longer than SilentSourceHold, after which its endpoints are withdrawn one at a time.
+// outageOfRegistry reports the Eureka registry as lost for longer than SilentSourceHold. The registry's endpoints must stay until then, and
+// be withdrawn one at a time afterwards.
 func outageOfRegistry(t *testing.T, h *mergedHarness) {
 	t.Helper()
 	for range 60 { // ten minutes
--- a/internal/discovery/messages_test.go
+++ b/internal/discovery/messages_test.go
@@ -78,6 +78,6 @@
 		t.Fatalf("got %d messages and error %v, want 1 message", len(messages), err)
 	}
 	if l, err := endpoints.ParseList([]byte(messages[0])); err != nil || len(l.Endpoints) != entryCount {
-		t.Errorf("the message has a wrong number of endpoints, or parsing it failed with error %v", err)
+		t.Errorf("the message could not be parsed (error %v), or its number of endpoints is not entryCount", err)
 	}
 }
--- a/internal/discovery/registrysink.go
+++ b/internal/discovery/registrysink.go
@@ -51,7 +51,7 @@
 // its initial list.
 func (s *RegistrySink) Apply(l *endpoints.List) balancer.EndpointUpdate {
 	s.mu.Lock()
-	defer s.mu.Unlock() // after registry.Apply, so that both apply lists in the same order
+	defer s.mu.Unlock() // s.list and the registry must apply lists in the same order
 	s.list.apply(l)
 	return s.registry.Apply(l)
 }
--- a/internal/discovery/staleness/deadline_test.go
+++ b/internal/discovery/staleness/deadline_test.go
@@ -70,7 +70,7 @@
 			}
 			t.Logf("longest delay of a change after its deadline: %v with Machine, %v with the baseline policy", worst["machine"], worst["baseline"])
 			if worst["machine"] > maxNoticeDelay {
-				t.Errorf("a change was noticed %v after its deadline, later than allowed", worst["machine"])
+				t.Errorf("a change was noticed %v after its deadline, later than maxNoticeDelay", worst["machine"])
 			}
 			if worst["baseline"] > drainGrace {
 				missed.Add(1)
@@ -112,7 +112,7 @@
 			pushed: pushed, faults: faults, changes: changesEvery(151*ms, worldEnd-40*second)}
 		w.run(worldEnd)
 		if w.worst > maxNoticeDelay {
-			t.Fatalf("a change was noticed %v after its deadline, later than allowed; faults: %v", w.worst, faults)
+			t.Fatalf("a change was noticed %v after its deadline, later than maxNoticeDelay; faults: %v", w.worst, faults)
 		}
 	})
 }
--- a/internal/discovery/staleness/fleet_test.go
+++ b/internal/discovery/staleness/fleet_test.go
@@ -286,7 +286,7 @@
 			t.Logf("%d sidecars, %v service time for one call of each: %d of %d runs late, change noticed after %v at most, %.1f calls per sidecar", sidecars, load.fleetServiceTime,
 				lateRuns, runs, worst, float64(calls)/runs/float64(sidecars))
 			if lateRuns > load.maxLate {
-				t.Errorf("%d sidecars, %v service time for one call of each: a sidecar misses the notification deadline in %d of %d runs, which is too many", sidecars, load.fleetServiceTime, lateRuns, runs)
+				t.Errorf("%d sidecars, %v service time for one call of each: a sidecar misses the notification deadline in %d of %d runs, more than maxLate", sidecars, load.fleetServiceTime, lateRuns, runs)
 			}
 		}
 	}
--- a/internal/discovery/staleness/machine.go
+++ b/internal/discovery/staleness/machine.go
@@ -144,7 +144,7 @@
 		if !m.mayHaveMissed {
 			m.callTimedOut(now, &m.calls[youngest])
 		}
-		if now < m.nextCallAt { // a call opened beside this one ended, and its backoff applies
+		if now < m.nextCallAt { // another call has ended, and the backoff after it still applies
 			break
 		}
 		actions = append(actions, m.replaceTimedOut(now)...)
--- a/internal/discovery/staleness/redirect_test.go
+++ b/internal/discovery/staleness/redirect_test.go
@@ -170,7 +170,7 @@
 	for _, at := range []time.Duration{10 * second, 10300 * ms, 10700 * ms, 11600 * ms} {
 		actions := m.Redirect(at)
 		if len(actions) != 1 || actions[0].Kind != OpenCall || actions[0].Request != FetchList {
-			t.Fatalf("redirect at %v: actions %v, want a fetch to be opened at once", at, actions)
+			t.Fatalf("redirect at %v of a stale list: actions %v, want one call that fetches the list at once", at, actions)
 		}
 		m.CallEnded(at+ms, actions[0].Call)
 	}
--- a/internal/discovery/staleness/world_test.go
+++ b/internal/discovery/staleness/world_test.go
@@ -169,7 +169,7 @@
 	w.scheduleHeartbeat(id)
 }
 
-// deliver sends, on one call, all changes that the sidecar lacks.
+// deliver delivers all changes that the sidecar lacks, over the given call.
 func (w *world) deliver(id CallID) {
 	c := w.calls[id]
 	if c == nil || !c.healthy() {
--- a/internal/discovery/subset/subset_test.go
+++ b/internal/discovery/subset/subset_test.go
@@ -145,7 +145,7 @@
 			mostMoved = max(mostMoved, moved)
 		}
 		if mostMoved > 3 {
-			t.Errorf("index known: %v: one replaced endpoint changed %d members of a sidecar, want at most 3", indexKnown, mostMoved)
+			t.Errorf("index known: %v: the replacement of one endpoint changed %d members of a sidecar, want at most 3", indexKnown, mostMoved)
 		}
 	}
 }
@@ -175,15 +175,15 @@
 		requestRate(2, 1)
 	}
 	if n := len(readyMembers(s)); n != before {
-		t.Errorf("%d members after short bursts, want %d as before", n, before)
+		t.Errorf("subset has %d members after short bursts, want %d as before the bursts", n, before)
 	}
 	requestRate(4, 1000)
 	if n := len(readyMembers(s)); n <= 2*before || n > s.options.MaxSize {
-		t.Errorf("%d members with 1000 requests a second, too few or more than MaxSize", n)
+		t.Errorf("subset has %d members at 1000 requests a second, want more than twice the initial number and at most MaxSize", n)
 	}
 	requestRate(60, 1.0/60)
 	if n := len(readyMembers(s)); n > 2*before || n < s.options.MinSize {
-		t.Errorf("%d members with one request a minute, too many or fewer than MinSize", n)
+		t.Errorf("subset has %d members at one request a minute, want at least MinSize and at most twice the initial number", n)
 	}
 	if len(New(s.options, "x", "a", 25).members) != 0 {
 		t.Error("a new subset has members before its first list")
@@ -207,10 +207,10 @@
 	}
 	s.Tick(s.Next())
 	if !maps.Equal(readyMembers(s), before) {
-		t.Errorf("%d ready members once all are warm again, not the same %d as before", len(readyMembers(s)), len(before))
+		t.Errorf("subset has %d ready members after all are warm again, want the same %d members as before the restarts", len(readyMembers(s)), len(before))
 	}
 	if s.Tick(s.Next()); len(s.members) != len(before) {
-		t.Errorf("%d members once the borrowed endpoints are removed, want %d as before", len(s.members), len(before))
+		t.Errorf("subset has %d members after the borrowed endpoints are removed, want %d as before the restarts", len(s.members), len(before))
 	}
 }
 
@@ -240,7 +240,7 @@
 	s.Update(start, zonedSnapshot(100, 100, 0))
 	s.Rate(start, 1e6)
 	if n := len(readyMembers(s)); n == 0 || n > 5 {
-		t.Errorf("%d members with at most 25 connections, want 1 to 5", n)
+		t.Errorf("subset has %d members with at most 25 connections, want 1 to 5 members", n)
 	}
 }
 
@@ -300,11 +300,11 @@
 			continue
 		}
 		if readyMembers++; r.listed[name] != e {
-			t.Fatalf("%s is reported as %+v and listed as %+v", name, e, r.listed[name])
+			t.Fatalf("ready member %s is reported as %+v, but the list has it as %+v", name, e, r.listed[name])
 		}
 	}
 	if readyMembers > s.options.MaxSize || readyMembers < min(ready, 1) || ready <= s.size && readyMembers < min(ready, s.size) {
-		t.Fatalf("%d of %d ready endpoints are reported as ready members; the size is %d", readyMembers, ready, s.size)
+		t.Fatalf("%d of %d ready endpoints are reported as ready members, which does not fit the size %d or exceeds MaxSize", readyMembers, ready, s.size)
 	}
 }
 
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -65,18 +65,18 @@
 	u := w.nextUpdate(t)
 	if u.Kind != balancer.IncrementalUpdate || len(u.Endpoints) != 2 || u.Endpoints[0].State != balancer.Active ||
 		u.Endpoints[1].State != balancer.Draining || u.Endpoints[0].MachineType != "m" || u.Endpoints[0].Zone != "a" {
-		t.Errorf("wrong update for the incremental changes: %+v", u)
+		t.Errorf("update for the incremental changes is %+v, want b active in zone a with machine type m, and a draining", u)
 	}
 	if u = w.nextUpdate(t); u.Kind != balancer.FullUpdate || len(u.Endpoints) != 1 {
-		t.Errorf("wrong update for the snapshot: %+v", u)
+		t.Errorf("update for the snapshot is %+v, want a full update with one endpoint", u)
 	}
 	for name, want := range map[string]bool{"a": false, "b": false, "c": true} {
 		if got := w.isReady(name); got != want {
-			t.Errorf("endpoint %s has the wrong state after the snapshot: ready %v", name, got)
+			t.Errorf("endpoint %s: ready is %v after the snapshot; want only endpoint c to be ready", name, got)
 		}
 	}
 	if versions := d.Calls(); !slices.Equal(versions, []string{"1"}) {
-		t.Errorf("watches were opened from versions %v, want one from version 1", versions)
+		t.Errorf("watches were opened from versions %v, want only one watch from version 1", versions)
 	}
 }
 
@@ -128,11 +128,11 @@
 	w := startWatcher(t, d.Address, false, testutil.Entry("a", "127.0.0.2:1", "Ready"))
 	for range 2 { // the first heartbeat and the change
 		if u := w.nextUpdate(t); u.Kind != balancer.IncrementalUpdate || len(u.Endpoints) != 0 {
-			t.Errorf("update is %+v, want an incremental one without endpoints", u)
+			t.Errorf("update after a heartbeat or an empty change is %+v, want an incremental update without endpoints", u)
 		}
 	}
 	if len(w.updates) != 0 {
-		t.Errorf("unexpected third update %+v", <-w.updates)
+		t.Errorf("the second heartbeat caused a third update %+v, want two updates", <-w.updates)
 	}
 	if !w.isReady("a") {
 		t.Error("endpoint a of the known list is not ready any more")
@@ -179,12 +179,12 @@
 	w := startWatcher(t, "127.0.0.1:1", false)
 	w.Redirect(d.Address)
 	if u := w.nextUpdate(t); u.Kind != balancer.FullUpdate {
-		t.Errorf("update after the redirect is %+v, want a full one", u)
+		t.Errorf("update after the redirect is %+v, want a full update", u)
 	}
 	testutil.Eventually(t, "a watch is opened after the list was fetched", func() bool { return len(d.Calls()) == 4 })
 	w.Refresh()
 	if u := w.nextUpdate(t); u.Kind != balancer.IncrementalUpdate || len(u.Endpoints) != 0 {
-		t.Errorf("update after Refresh is %+v, want an incremental one without endpoints", u)
+		t.Errorf("update after Refresh is %+v, want an incremental update without endpoints", u)
 	}
 }
 
@@ -236,6 +236,6 @@
 		}
 	}
 	if failureLevel(1) != slog.LevelWarn || warned > 40 {
-		t.Errorf("%d of %d consecutive failures are logged as warnings, want the first one and at most 40", warned, failuresInMinute)
+		t.Errorf("%d of %d consecutive failures are logged as warnings, want the first failure and at most 40 in total", warned, failuresInMinute)
 	}
 }
--- a/internal/endpoints/registry.go
+++ b/internal/endpoints/registry.go
@@ -11,8 +11,8 @@
 	"orchiddrift/internal/clock"
 )
 
-// Registry holds the listed endpoints, with an instance for each ready one. The package comment says who may write to it. It is safe for
-// concurrent use.
+// Registry holds the listed endpoints, with an Instance for each ready endpoint. The package comment says who may write to a Registry. It is
+// safe for concurrent use.
 type Registry struct {
 	clock         clock.Clock
 	onInstanceEnd func(name string)
--- a/internal/endpoints/registry_test.go
+++ b/internal/endpoints/registry_test.go
@@ -36,7 +36,7 @@
 			}
 		}
 		if next := apply(false, startedMs+5000, StatusReady); next == first {
-			t.Error("a new instance has the start time of the previous one")
+			t.Error("an endpoint listed with a new start time still has the start time of its previous instance")
 		}
 	})
 }
--- a/internal/endpoints/source.go
+++ b/internal/endpoints/source.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// DrainGrace is how long requests may still be sent to an endpoint after a Source was notified that the endpoint is draining.
+// DrainGrace is the time for which requests may still be sent to an endpoint after a Source was notified that the endpoint is draining.
 const DrainGrace = 250 * time.Millisecond
 
 // Source follows one endpoint list, such as that of a discovery service or a file.
--- a/internal/idempotency/etcdstore/proof_test.go
+++ b/internal/idempotency/etcdstore/proof_test.go
@@ -201,7 +201,7 @@
 		}
 	}
 	if r.replays.Load() < 300 || len(r.upstream.executed) < 300 {
-		t.Errorf("too few events for the test to be conclusive: %d replays, %d payments executed; want 300 of each", r.replays.Load(), len(r.upstream.executed))
+		t.Errorf("too few events for the test to be conclusive: %d replays, %d payments executed; want at least 300 of each", r.replays.Load(), len(r.upstream.executed))
 	}
 	t.Logf("%d requests, %d payments executed, %d replays, %d uncertain outcomes", r.requests.Load(), len(r.upstream.executed), r.replays.Load(), r.uncertain.Load())
 }
--- a/internal/idempotency/etcdstore/store_test.go
+++ b/internal/idempotency/etcdstore/store_test.go
@@ -79,7 +79,7 @@
 		}
 	}
 	for i := range 3 {
-		etcd.Expire(time.Hour) // all leases, including those of records
+		etcd.Expire(time.Hour) // expires all leases, including the leases of records
 		mustClaim(t, s, testRequest(i), idempotency.Execute)
 	}
 }
--- a/internal/idempotency/executor/executor.go
+++ b/internal/idempotency/executor/executor.go
@@ -150,7 +150,8 @@
 	}
 }
 
-// tryDo is one attempt at Do. It returns a channel instead of a Result if the decision must be made again once that channel is closed.
+// tryDo makes one attempt at Do. If the decision must be made again later, it returns a channel, which is closed at that time, instead of a
+// Result.
 func (e *Executor) tryDo(ctx context.Context, id idempotency.ID, fingerprint idempotency.Fingerprint, run RunFunc) (Result, <-chan struct{}) {
 	a := e.arrive(id, fingerprint)
 	if a.keyConfirmed != nil {
@@ -187,8 +188,8 @@
 	decision    idempotency.Decision
 	dedupWindow time.Duration
 	execution   *execution // set for Execute and Wait
-	// keyConfirmed is not nil if a different request with the same key runs in this process and it is not yet known whether the key belongs
-	// to that request in the shared store too. The decision must be made again once the channel is closed.
+	// keyConfirmed is not nil if a different request with the same key runs in this process, and the shared store has not yet confirmed that
+	// the key belongs to the running request. The decision must be made again once the channel is closed.
 	keyConfirmed <-chan struct{}
 }
 
--- a/internal/idempotency/executor/executor_test.go
+++ b/internal/idempotency/executor/executor_test.go
@@ -164,8 +164,8 @@
 	})
 }
 
-// TestManyKeys checks, at 100,000 distinct keys a minute, that the number of known keys follows the retention, stays within the limits, and
-// that no request is rejected while there is capacity.
+// TestManyKeys sends 100,000 distinct keys a minute. It checks that the number of known keys follows the retention and stays within the
+// limits, and that no request is rejected while there is capacity.
 func TestManyKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestExecutor(t, nil, func(o *idempotency.Options) { o.Retention = units.Duration(5 * time.Second) })
--- a/internal/idempotency/shared_record_test.go
+++ b/internal/idempotency/shared_record_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// checkConflicts checks that a request conflicts with a record of another fingerprint and one of another key.
+// checkConflicts checks that a request conflicts with a record that has another fingerprint, and with a record that has another key.
 func checkConflicts(t *testing.T, request SharedRequest, record SharedRecord, ownerAlive bool, wall time.Duration) {
 	t.Helper()
 	otherFingerprint, otherKey := record, record
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestAdoptAttempts checks that adopted attempts replace the known ones and count as attempts that may have been executed.
+// TestAdoptAttempts checks that adopted attempts replace the known attempts, and count as attempts that may have been executed.
 func TestAdoptAttempts(t *testing.T) {
 	s := New(testOptions(), testDedupWindow)
 	id := ID{"t", "c", "k"}
