--- a/internal/discovery/subset/subset_test.go
+++ b/internal/discovery/subset/subset_test.go
@@ -41,7 +41,7 @@
 	return l
 }
 
-// newFleet returns the subsets of all sidecars of a zone. All of them have the same list.
+// newFleet returns the subsets of all sidecars of a zone. All sidecars have the same endpoint list.
 func newFleet(t testing.TB, sidecars, count, size int, indexKnown bool) []*Subset {
 	t.Helper()
 	fleet, list := make([]*Subset, sidecars), snapshot(count)
@@ -123,7 +123,7 @@
 				t.Errorf("%d endpoints are members of a subset, highest load is %.2f times the mean; want all endpoints and at most 1.3", len(load), highest/mean)
 			}
 			if each := float64(members) / float64(c.endpoints); each > 1.5*float64(c.size*c.sidecars)/float64(c.endpoints)+1 {
-				t.Errorf("%.1f sidecars use each endpoint on average, more than allowed", each)
+				t.Errorf("%.1f sidecars use each endpoint on average, more than 1.5 times the expected number plus 1", each)
 			}
 		})
 	}
@@ -145,7 +145,7 @@
 			mostMoved = max(mostMoved, moved)
 		}
 		if mostMoved > 3 {
-			t.Errorf("index known: %v: one replaced endpoint changed %d members of a sidecar, want at most 3", indexKnown, mostMoved)
+			t.Errorf("index known: %v: the replacement of one endpoint changed %d members of a sidecar, want at most 3", indexKnown, mostMoved)
 		}
 	}
 }
@@ -155,7 +155,7 @@
 	for _, c := range []struct{ inA, inB, wantA, wantB int }{{100, 100, 9, 3}, {1, 100, 1, 11}, {0, 100, 0, 12}, {100, 0, 12, 0}, {100, 1, 11, 1}, {3, 2, 3, 2}} {
 		s := newZonedSubset(zonedSnapshot(c.inA, c.inB, 0))
 		if a, b := readyIn(s, "a"), readyIn(s, "b"); a < c.wantA || b < c.wantB || a+b > 2*(c.wantA+c.wantB)+2 {
-			t.Errorf("%+v: %d members in zone a and %d in zone b, too few or too many", c, a, b)
+			t.Errorf("case %+v: subset has %d members in zone a and %d in zone b, too few or too many", c, a, b)
 		}
 	}
 }
@@ -175,15 +175,15 @@
 		requestRate(2, 1)
 	}
 	if n := len(readyMembers(s)); n != before {
-		t.Errorf("%d members after short bursts, want %d as before", n, before)
+		t.Errorf("subset has %d members after short bursts, want %d as before the bursts", n, before)
 	}
 	requestRate(4, 1000)
 	if n := len(readyMembers(s)); n <= 2*before || n > s.options.MaxSize {
-		t.Errorf("%d members with 1000 requests a second, too few or more than MaxSize", n)
+		t.Errorf("subset has %d members at 1000 requests a second, want more than twice the initial number and at most MaxSize", n)
 	}
 	requestRate(60, 1.0/60)
 	if n := len(readyMembers(s)); n > 2*before || n < s.options.MinSize {
-		t.Errorf("%d members with one request a minute, too many or fewer than MinSize", n)
+		t.Errorf("subset has %d members at one request a minute, want at least MinSize and at most twice the initial number", n)
 	}
 	if len(New(s.options, "x", "a", 25).members) != 0 {
 		t.Error("a new subset has members before its first list")
@@ -207,10 +207,10 @@
 	}
 	s.Tick(s.Next())
 	if !maps.Equal(readyMembers(s), before) {
-		t.Errorf("%d ready members once all are warm again, not the same %d as before", len(readyMembers(s)), len(before))
+		t.Errorf("subset has %d ready members after all are warm again, want the same %d members as before the restarts", len(readyMembers(s)), len(before))
 	}
 	if s.Tick(s.Next()); len(s.members) != len(before) {
-		t.Errorf("%d members once the borrowed endpoints are removed, want %d as before", len(s.members), len(before))
+		t.Errorf("subset has %d members after the borrowed endpoints are removed, want %d as before the restarts", len(s.members), len(before))
 	}
 }
 
@@ -240,7 +240,7 @@
 	s.Update(start, zonedSnapshot(100, 100, 0))
 	s.Rate(start, 1e6)
 	if n := len(readyMembers(s)); n == 0 || n > 5 {
-		t.Errorf("%d members with at most 25 connections, want 1 to 5", n)
+		t.Errorf("subset has %d members with at most 25 connections, want 1 to 5 members", n)
 	}
 }
 
@@ -287,7 +287,7 @@
 	}
 }
 
-// check fails the test unless the ready members are as listed and their number is right.
+// check fails the test unless each ready member is reported as the list has it, and the number of ready members fits the size.
 func (r *reportedList) check(t *rapid.T, s *Subset) {
 	ready, readyMembers := 0, 0
 	for _, e := range r.listed {
@@ -300,15 +300,15 @@
 			continue
 		}
 		if readyMembers++; r.listed[name] != e {
-			t.Fatalf("%s is reported as %+v and listed as %+v", name, e, r.listed[name])
+			t.Fatalf("ready member %s is reported as %+v, but the list has it as %+v", name, e, r.listed[name])
 		}
 	}
 	if readyMembers > s.options.MaxSize || readyMembers < min(ready, 1) || ready <= s.size && readyMembers < min(ready, s.size) {
-		t.Fatalf("%d of %d ready endpoints are reported as ready members; the size is %d", readyMembers, ready, s.size)
+		t.Fatalf("%d of %d ready endpoints are reported as ready members, which does not fit the size %d or exceeds MaxSize", readyMembers, ready, s.size)
 	}
 }
 
-// TestAnyHistory checks that after any sequence of lists, changes, request rates and times the returned changes add up to members that
+// TestAnyHistory checks that, after any sequence of lists, changes, request rates and times, the returned changes add up to members that
 // are listed.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
