--- a/internal/daemon/accept_test.go
+++ b/internal/daemon/accept_test.go
@@ -12,7 +12,7 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// failingListener accepts and closes connections, and returns err, until the time set by fail.
+// failingListener closes each connection that it accepts and returns err instead, until the time that is set by fail.
 type failingListener struct {
 	*net.TCPListener
 	mu       sync.Mutex
@@ -45,13 +45,13 @@
 	return c, err
 }
 
-// acceptErrors are the errors documented in accept(2), except those of an invalid call.
+// acceptErrors are the errors that accept(2) documents, except those that only an invalid call returns.
 var acceptErrors = []syscall.Errno{syscall.EAGAIN, syscall.ECONNABORTED, syscall.EHOSTDOWN, syscall.EHOSTUNREACH, syscall.EINTR, syscall.EMFILE,
 	syscall.ENETDOWN, syscall.ENETUNREACH, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENONET, syscall.ENOPROTOOPT,
 	syscall.EOPNOTSUPP, syscall.EPERM, syscall.EPROTO, syscall.ETIMEDOUT}
 
-// Guards against a process that ends, or accepts nothing for longer than a deadline, because accept(2) failed: net/http ends a server on
-// ENOBUFS, ENOMEM, EPROTO, ENETUNREACH or EHOSTUNREACH, and waits for up to 1 s after EMFILE.
+// Guards against a process that ends, or accepts no connections for longer than a request's deadline, because accept(2) failed: net/http
+// alone ends a server on ENOBUFS, ENOMEM, EPROTO, ENETUNREACH or EHOSTUNREACH, and waits for up to 1 s after EMFILE.
 func TestAcceptFails(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("ok")))
 	discovery := testutil.Quiet(t)
@@ -63,7 +63,7 @@
 	r := startOn(t, testutil.Config(t, discovery.Address, testutil.Entry("s", s.Address, "Ready")), listener, nil)
 	for _, errno := range acceptErrors {
 		listener.fail(errno, time.Now().Add(time.Hour))
-		for range 8 { // consecutive failures; the client loses each connection
+		for range 8 { // the listener closes each of these connections
 			if c, err := net.Dial("tcp", r.address); err == nil {
 				c.Close()
 			}
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -13,8 +13,8 @@
 	"orchiddrift/internal/server/downstream"
 )
 
-// awaitAdmission waits until the service's admission queue, if there is one, admits the request. rejected is the final answer to a request
-// that is not admitted; nothing of such a request was sent.
+// awaitAdmission waits until the service's admission queue admits the request. Without a queue it returns at once. rejected is the final
+// answer to a request that is not admitted, of which nothing was sent to an upstream; it is nil if the request is admitted.
 func (s *server) awaitAdmission(r *http.Request, service *service, req *downstream.Request, startedAt time.Duration,
 	bodyBytes int) (permit controller.Permit, rejected *engine.Answer) {
 	queue := service.admission.Load()
@@ -40,7 +40,7 @@
 	return permit, nil
 }
 
-// fingerprint identifies a request by method, target and idempotency key, which are the same in a client's retry.
+// fingerprint identifies a request by its method, target and idempotency key, which a client's retry repeats.
 func fingerprint(req *downstream.Request) uint64 {
 	var h xxhash.Digest
 	h.Reset()
@@ -63,7 +63,7 @@
 
 func peerAddress(r *http.Request) netip.Addr {
 	address, err := netip.ParseAddrPort(r.RemoteAddr)
-	if err != nil { // cannot happen: net/http sets RemoteAddr
+	if err != nil { // cannot happen: net/http sets RemoteAddr to a valid address
 		return netip.Addr{}
 	}
 	return address.Addr()
--- a/internal/daemon/admission_test.go
+++ b/internal/daemon/admission_test.go
@@ -21,13 +21,14 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// admissionRig is a daemon with admission control in front of one upstream, which answers a request for each value in respond.
+// admissionRig is a daemon with admission control and one upstream. The upstream answers one request for each value that it receives from
+// respond.
 type admissionRig struct {
 	*fileRig
-	received chan string // the path of each request that reaches the upstream, or its tenant if it is a GraphQL request
+	received chan string // receives the path of each request at the upstream, or its tenant if it is a GraphQL request
 	respond  chan bool
 	mu       sync.Mutex
-	results  map[string][]string // by path: a status, with " after" appended if the answer has Retry-After, or "left" without an answer
+	results  map[string][]string // by path: the status, with " after" appended if the answer has Retry-After, or "left" if there was no answer
 	wg       sync.WaitGroup
 }
 
@@ -76,7 +77,7 @@
 	return r
 }
 
-// request starts a request of a tenant for a path, whose result is added to results.
+// request starts a request of a tenant for a path. Its result is added to results.
 func (r *admissionRig) request(ctx context.Context, tenant, path string) {
 	r.wg.Go(func() {
 		q, err := http.NewRequestWithContext(ctx, "GET", "http://"+r.address+path, nil)
@@ -133,9 +134,9 @@
 // admissionTable adds admission control with one request in flight and six in the queue.
 const admissionTable = "[[door]]\nservice = \"seats\"\nlimit_least = 1\nlimit_most = 1\nwaiting = 6\n"
 
-// Tests the admission queue: a request of a tenant with little traffic is admitted before those of one that floods the service, whose
-// newest requests are rejected with Retry-After. A request whose client disconnects leaves the queue and is not sent. A reload changes
-// tenants' weights, and one that removes admission control admits all queued requests.
+// Tests the admission queue. A request of a tenant with little traffic is admitted before the requests of a tenant that floods the service.
+// If the queue is full, the flooding tenant's newest requests are rejected with Retry-After. A request whose client disconnects leaves the
+// queue and is not forwarded. A reload can change tenants' weights, and a reload that removes admission control admits all queued requests.
 func TestDoor(t *testing.T) {
 	r := startAdmission(t, admissionTable)
 	r.request(t.Context(), "flood", "/flood/0")
@@ -149,7 +150,7 @@
 	r.request(t.Context(), "flood", "/flood/7")
 	testutil.Eventually(t, "the flood's newest request is rejected", func() bool { return slices.Equal(r.resultsOf("/flood/7"), []string{"503 after"}) })
 	r.request(t.Context(), "quiet", "/quiet")
-	testutil.Eventually(t, "the flood's last queued request gives way to the quiet tenant's", func() bool { return slices.Equal(r.resultsOf("/flood/6"), []string{"503 after"}) })
+	testutil.Eventually(t, "the flood's last queued request is rejected in favour of the quiet tenant's", func() bool { return slices.Equal(r.resultsOf("/flood/6"), []string{"503 after"}) })
 	r.waitQueued(t, 6)
 	r.respond <- true
 	if admitted := r.nextReceived(t); admitted != "/quiet" {
@@ -175,7 +176,7 @@
 	r.waitQueued(t, 6)
 	r.respond <- true
 	if admitted := r.nextReceived(t); admitted != "/other/1" {
-		t.Errorf("%s, of a tenant of weight 0, was admitted before a request of a tenant with a weight", admitted)
+		t.Errorf("%s, of a tenant of weight 0, was admitted before /other/1, of a tenant with a weight", admitted)
 	}
 	if err := r.reload(t, strings.Replace(file, "waiting = 6", "waiting = 0", 1)); err == nil {
 		t.Error("a reload accepted an admission queue of length 0")
@@ -202,7 +203,7 @@
 	}
 }
 
-// Tests that each entry of a GraphQL batch passes admission control as a request of its own.
+// Tests that admission control admits each entry of a GraphQL batch as a separate request.
 func TestDoorChargesBatches(t *testing.T) {
 	r := startAdmission(t, admissionTable+"[[graphql]]\nmatch = \"/graphql\"\n")
 	send := func(tenant, body string) {
@@ -234,7 +235,8 @@
 	}
 }
 
-// Tests that after SIGTERM queued requests are still admitted during the drain period, and that those left at its end are answered too.
+// Tests that queued requests are still admitted during the grace period after SIGTERM, and that the requests that are left at its end are
+// answered too.
 func TestDoorDrains(t *testing.T) {
 	r := startAdmission(t, admissionTable)
 	for i := range 4 {
@@ -247,7 +249,7 @@
 	}
 	r.stop()
 	r.respond <- true
-	r.nextReceived(t) // one more request is admitted
+	r.nextReceived(t) // the next queued request is admitted
 	<-r.fileRig.ended
 	for i, want := range []string{"200", "502", "503", "503"} {
 		path := fmt.Sprint("/", i)
@@ -255,7 +257,7 @@
 	}
 }
 
-// Tests that a client is identified by its certificate's URI, else DNS name, else common name, and by its address.
+// Tests that a client is described by its address and by the name in its certificate: the URI, else the DNS name, else the common name.
 func TestWhoOf(t *testing.T) {
 	id, err := url.Parse("spiffe://rail/counter/7")
 	if err != nil {
@@ -272,7 +274,8 @@
 		r := &http.Request{RemoteAddr: "192.0.2.9:4711", TLS: c.connection, Header: http.Header{"X-Shop": {"a"}}}
 		client := clientOf(r, "acme")
 		if client.Certificate() != c.want || client.Peer().String() != "192.0.2.9" || client.Tenant != "acme" || client.Header("x-shop") != "a" {
-			t.Errorf("client has certificate name %q and address %v, want %q and 192.0.2.9", client.Certificate(), client.Peer(), c.want)
+			t.Errorf("client has certificate name %q and address %v, want %q and 192.0.2.9, or its tenant or X-Shop header is wrong",
+				client.Certificate(), client.Peer(), c.want)
 		}
 	}
 	if client := clientOf(&http.Request{RemoteAddr: "@"}, ""); client.Peer().IsValid() {
--- a/internal/daemon/body.go
+++ b/internal/daemon/body.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// alwaysBufferedBytes of each body are read before the request is forwarded, whatever other bodies take.
+	// alwaysBufferedBytes is how many bytes of each body are read before the request is forwarded, whatever memory other bodies take.
 	alwaysBufferedBytes = 64 << 10
-	// Longer bodies are buffered in a spool of 1/spoolMemoryFraction of the memory limit. A body that need not be complete is streamed once
-	// it takes more than 1/maxSpoolFraction of the spool.
+	// The bytes of longer bodies beyond alwaysBufferedBytes share a spool, whose size is 1/spoolMemoryFraction of the memory limit. A body
+	// that need not be complete before it is forwarded is streamed if it is longer than 1/maxSpoolFraction of the spool, or the spool is full.
 	spoolMemoryFraction = 8
 	maxSpoolFraction    = 4
 	// minClientRate is the lowest rate at which a client may send its body, in bytes per second.
 	minClientRate = 32 << 10
-	// uploadSlack is added to the deadline of a streamed request, beyond the time that its body may take.
+	// uploadSlack is added to the deadline of a streamed request, in addition to the time that its body may take.
 	uploadSlack = time.Minute
 	// Sizes of the first buffer of a body, in bytes.
 	minBodyBuffer = 512
@@ -35,15 +35,15 @@
 
 var errBodyTooLarge = errors.New("the body is too large")
 
-// clientBody reads a client's body, which has to arrive at minClientRate or faster. Reads use up timeLeft, and each byte that arrives extends
-// it; time between reads does not count.
+// clientBody reads a client's body, which has to arrive at minClientRate or faster. The time that reads take is subtracted from timeLeft,
+// and each byte that arrives extends timeLeft. The time between reads does not count.
 type clientBody struct {
 	body        io.Reader
 	controller  *http.ResponseController
 	timeLeft    time.Duration
-	bytesLeft   int64       // may still arrive; below 0, the body is too large
+	bytesLeft   int64       // bytes that may still arrive; if negative, the body is too large
 	failure     error       // why the body cannot be read completely
-	started     bool        // a read has begun; net/http writes 100 Continue, if it is due, in the first one
+	started     bool        // a read has begun; in the first read net/http writes 100 Continue if the client expects it
 	onRead      func(n int) // called after each read
 	interruptAt atomic.Pointer[time.Time]
 }
@@ -60,7 +60,7 @@
 		b.started = true
 		_ = b.controller.SetWriteDeadline(deadline)
 	}
-	if at := b.interruptAt.Load(); at != nil && at.Before(deadline) { // checked after the deadline is set, which may replace interruptBy's
+	if at := b.interruptAt.Load(); at != nil && at.Before(deadline) { // restores the deadline of interruptBy, which may just have been replaced
 		_ = b.controller.SetReadDeadline(*at)
 	}
 	n, err := b.body.Read(p)
@@ -76,13 +76,13 @@
 	return n, err
 }
 
-// interruptBy makes reads fail at time t at the latest, including one in progress.
+// interruptBy makes reads, including a read in progress, fail at time t at the latest.
 func (b *clientBody) interruptBy(t time.Time) {
 	b.interruptAt.Store(&t)
 	_ = b.controller.SetReadDeadline(t) // see Read
 }
 
-// interrupt makes reads fail at once, including one in progress.
+// interrupt makes reads, including a read in progress, fail at once.
 func (b *clientBody) interrupt() { b.interruptBy(expiredDeadline) }
 
 // bodyRejection returns the answer to a request whose body could not be read.
@@ -96,9 +96,9 @@
 	return &downstream.Rejection{Status: http.StatusBadRequest, Text: fmt.Sprintf("reading the body: %v", err)}
 }
 
-// readBody reads the request's body. Of a body that would take too much memory it reads the beginning, and leaves the rest to be streamed;
-// if complete is set, it rejects a body for which the spool has no space. Memory is allocated as the body arrives, since some clients send
-// no more than the head.
+// readBody reads the request's body. If the body would take too much memory, readBody reads its beginning and leaves the rest to be
+// streamed; if complete is true, it rejects the request instead once the spool has no space left. Memory is allocated as the body arrives,
+// since some clients send only the head of a request.
 func (c *clientRequest) readBody(req *downstream.Request, timeout time.Duration, complete bool) *downstream.Rejection {
 	length := c.r.ContentLength
 	if length == 0 {
@@ -137,7 +137,8 @@
 	return c.growBody(length)
 }
 
-// growBody doubles the buffer, up to length, the length of the body (-1: unknown). It returns false if the spool is full.
+// growBody doubles the buffer, but not beyond length, which is the length of the body, or -1 if that is unknown. It returns false if the
+// spool is full.
 func (c *clientRequest) growBody(length int64) bool {
 	size := int64(cap(c.body))
 	grown := 2 * size
--- a/internal/daemon/body_test.go
+++ b/internal/daemon/body_test.go
@@ -48,8 +48,8 @@
 	return b
 }
 
-// Guards against bodies that are truncated, joined or rejected: bodies of every size and framing, buffered or streamed, reach the upstream
-// unchanged and are answered.
+// Guards against bodies that are truncated, joined or rejected. Bodies of various sizes and of both framings, buffered or streamed, must
+// reach the upstream unchanged.
 func TestBodiesOfAnySize(t *testing.T) {
 	var got atomic.Pointer[fakes.Got]
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
@@ -77,8 +77,8 @@
 	}
 }
 
-// Tests the limit on clients' sending rate: a client at 64 kB/s, twice minClientRate, is served whatever the size of its pieces; one that
-// sends less than minClientRate gets 408.
+// Tests the lowest rate at which clients may send. A client that sends 64 kB/s, which is twice minClientRate, is served whatever the size
+// of its pieces. A client that sends less than minClientRate gets 408.
 func TestSlowBodies(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("a")))
 	r := start(t, smallMemoryConfig(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
@@ -117,8 +117,8 @@
 	}
 }
 
-// Guards against a process that runs out of memory when many large bodies and answers are in flight: they are streamed in pieces, no
-// faster than the slower side reads them.
+// Guards against a process that runs out of memory when many large bodies and answers are in flight. Bodies and answers must be streamed in
+// pieces, and no faster than the receiver reads them.
 func TestManyLargeOnesAtOnce(t *testing.T) {
 	const size, clients = 8 << 20, 12
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -140,7 +140,7 @@
 	go server.Serve(l)
 	defer server.Close()
 	r := start(t, smallMemoryConfig(t, testutil.Entry("s", l.Addr().String(), "Ready")), "127.0.0.1:0")
-	var maxHeap atomic.Uint64 // bytes of live and not yet collected heap, including the clients' and the upstream's
+	var maxHeap atomic.Uint64 // largest heap in bytes, including garbage, and including the clients and the upstream in this test process
 	stop := make(chan struct{})
 	var sampler sync.WaitGroup
 	sampler.Go(func() {
@@ -159,7 +159,7 @@
 		close(stop)
 		sampler.Wait()
 		if n := maxHeap.Load(); n > clients*size/2 { // buffering requests and answers would take 2*clients*size
-			t.Errorf("the heap grew to %d MiB: bodies are not streamed", n>>20)
+			t.Errorf("the heap grew to %d MiB, want at most 48: bodies are not streamed", n>>20)
 		}
 	}()
 	var requests sync.WaitGroup
@@ -189,8 +189,8 @@
 	return len(b), nil
 }
 
-// Guards against a retry with an incomplete body: a body that is streamed is sent once. The answer is 503 if the request is known not to
-// have run, else 502.
+// Guards against a retry with an incomplete body: a request whose body is streamed is sent only once. The answer is 503 if the request is
+// known not to have run, else 502.
 func TestAStreamedBodyIsSentOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer func(net.Conn, *bufio.Reader) // called after the request's head is read
@@ -234,7 +234,7 @@
 			}
 			resp.Body.Close()
 			if resp.StatusCode != c.want {
-				t.Errorf("got %s, want %d", resp.Status, c.want)
+				t.Errorf("streamed request that failed: got %s, want %d", resp.Status, c.want)
 			}
 			if n := heads.Load(); n != 1 {
 				t.Errorf("the request was sent %d times, want 1", n)
@@ -243,9 +243,9 @@
 	}
 }
 
-// Guards against an early rejection that interrupts the client's upload for good: a request of whose body nothing was streamed yet is sent
-// again, with the part of the body that arrives later. Interrupting the read made the second attempt fail as if the client had
-// disconnected (400), or canceled the request (502).
+// Guards against an early rejection that ends the client's upload although the request can be retried. A request that is rejected before
+// anything of its body was streamed is sent again, with the part of the body that arrives later. Interrupting the read of that part made
+// the second attempt fail as if the client had disconnected (400), or canceled the request (502).
 func TestTurnedAwayBeforeTheRestCame(t *testing.T) {
 	for _, framing := range []string{"length", "chunks"} {
 		t.Run(framing, func(t *testing.T) {
@@ -288,14 +288,14 @@
 			select {
 			case <-retried:
 			case <-time.After(testutil.Timeout):
-				t.Fatalf("no retry: the request was sent %d times, want 2", attempts.Load())
+				t.Fatalf("the rejected request was not retried: it was sent %d times, want 2", attempts.Load())
 			}
 			writePiece(pattern(rest))
 			if framing == "chunks" {
 				_, _ = io.WriteString(conn, "0\r\n\r\n")
 			}
 			if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 {
-				t.Errorf("got %+v and error %v, want 200", resp, err)
+				t.Errorf("request that was rejected before its body had arrived: got %+v and error %v, want 200 from its second attempt", resp, err)
 			}
 		})
 	}
@@ -316,12 +316,12 @@
 	})
 	r := start(t, smallMemoryConfig(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	if resp, _ := r.do(t, testutil.Request(t, r.address, "confirm", body)); resp.StatusCode != 200 || attempts.Load() != 2 {
-		t.Errorf("got %s after %d attempts, want 200 after 2", resp.Status, attempts.Load())
+		t.Errorf("request with a buffered body, rejected once: got %s after %d attempts, want 200 after 2", resp.Status, attempts.Load())
 	}
 }
 
-// Guards against request smuggling: a second request is hidden in the body of one that has both Content-Length and Transfer-Encoding.
-// Neither is forwarded.
+// Guards against request smuggling: a request has both Content-Length and Transfer-Encoding, and its body hides a second request. Neither
+// of the two is forwarded.
 func TestFramedTwiceIsRefused(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("a")))
 	r := start(t, smallMemoryConfig(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
@@ -331,7 +331,7 @@
 		len(hidden)+5, hidden)
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil || resp.StatusCode != http.StatusLengthRequired || !resp.Close {
-		t.Errorf("got %+v and error %v, want 411 with Connection: close", resp, err)
+		t.Errorf("request with two framings: got %+v and error %v, want 411 with Connection: close", resp, err)
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	if _, err := http.ReadResponse(in, nil); err == nil {
@@ -342,8 +342,8 @@
 	}
 }
 
-// Tests that the client's connection is closed within a streamed answer whose upstream connection breaks, and that the request counts as
-// failed.
+// Tests that, if the upstream connection breaks in the middle of a streamed answer, the sidecar closes the client's connection and counts
+// the request as failed.
 func TestALongAnswerThatBreaksIsCut(t *testing.T) {
 	s := testutil.Raw(t, func(c net.Conn, _ fakes.Got) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 1<<20, pattern(400<<10))
@@ -356,12 +356,12 @@
 	}
 	defer resp.Body.Close()
 	if body, err := io.ReadAll(resp.Body); err == nil || !bytes.HasPrefix(pattern(400<<10), body) {
-		t.Errorf("got %d bytes and error %v, want the answer's beginning and an error", len(body), err)
+		t.Errorf("read of an answer that broke off: got %d bytes and error %v, want the answer's beginning and an error", len(body), err)
 	}
 	testutil.Eventually(t, "the request counts as failed", func() bool { return readMetrics(t, call)["downstream_requests.confirm.failed"] == 1 })
 }
 
-// Guards against clients that send Expect: 100-continue and wait forever for 100 Continue before they send their body.
+// Guards against a sidecar that does not send 100 Continue to a client that expects it, so that the client waits forever with its body.
 func TestExpectContinue(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("a")))
 	r := start(t, smallMemoryConfig(t, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
@@ -379,8 +379,8 @@
 	}
 }
 
-// Guards against a request that is in flight and taken for one that was never sent, so that a reload that removes its route routes it anew:
-// an attempt counts from before its first byte is sent until it is proved not to have run, and not only once it has ended.
+// Guards against a request that is routed again by a reload although an attempt for it is in flight. An attempt counts as started from
+// before its first byte is sent, and not only once it has ended. It stops counting only if nothing of it was sent.
 func TestAttemptsCountFromBeforeTheyBegin(t *testing.T) {
 	release := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
--- a/internal/daemon/client_gone_test.go
+++ b/internal/daemon/client_gone_test.go
@@ -29,7 +29,8 @@
 	return r, <-started
 }
 
-// discoveryWithDelayedList starts a fake discovery that works but has no list until sendList is closed. Then it lists upstream s at address.
+// discoveryWithDelayedList starts a fake discovery service that answers, but sends no list until sendList is closed. Its list then has
+// upstream s at address.
 func discoveryWithDelayedList(t *testing.T, address string) (d *fakes.ScriptedDiscovery, sendList chan struct{}) {
 	t.Helper()
 	sendList = make(chan struct{})
@@ -52,10 +53,10 @@
 	return n
 }
 
-// Guards against requests that are forwarded although their client disconnected while they waited for the first endpoint list. Requests
-// that are pipelined after them on the connection hide its end from a reader.
+// Guards against requests that are forwarded although their client disconnected while they waited for the first endpoint list. The client
+// has pipelined further requests, behind which a reader of the connection does not notice that the connection has ended.
 func TestClientGoneBehindItsNextRequest(t *testing.T) {
-	for _, pipelined := range []int{1, 100} { // what fits into one read of net/http, and far more
+	for _, pipelined := range []int{1, 100} { // 1 request fits into one read of net/http, 100 requests do not
 		t.Run(fmt.Sprint(pipelined), func(t *testing.T) {
 			s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 			d, sendList := discoveryWithDelayedList(t, s.Address)
@@ -85,8 +86,8 @@
 	}
 }
 
-// awaitIdle waits until no request is in flight, for 500 ms at most. By then a fault has shown, and the system has not yet retried a
-// connection that was not established, which it does after a second.
+// awaitIdle waits until no request is in flight, but at most 500 ms. A request that does not end in this time would be forwarded. The
+// operating system retries a connection that was not established only after 1 s.
 func awaitIdle(e *engine.Engine) {
 	for end := time.Now().Add(500 * time.Millisecond); e.InFlight() > 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
@@ -116,8 +117,9 @@
 	}
 }
 
-// Guards against the same for a request with an idempotency key, for whose answer several clients may wait: it continues for the remaining
-// clients, and is not forwarded once all have disconnected. It then counts as not executed, so that a later retry is executed.
+// Guards against a request with an idempotency key that is forwarded although all of its clients disconnected while the upstream connection
+// was being established. Several clients may wait for its answer, and the request continues as long as one of them does. Once all have
+// disconnected the request counts as not executed, so that a later retry is executed.
 func TestKeyedClientsGoneWhileAConnectionComesUp(t *testing.T) {
 	late := base.NewLateUpstream(t)
 	r := startFile(t, fmt.Sprintf(idempotencyFile, fmt.Sprintf("addresses = [%q]\nconnect_timeout = \"10s\"", late.Address), "6s", "20s"))
@@ -154,7 +156,8 @@
 	}
 }
 
-// Guards against the same in a burst: many clients wait for the first endpoint list, and all have disconnected when it arrives.
+// Guards against requests that are forwarded although their clients disconnected in a burst: many clients wait for the first endpoint list,
+// and all of them have disconnected when the list arrives.
 func TestManyClientsGoneAtOnce(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	d, sendList := discoveryWithDelayedList(t, s.Address)
@@ -187,7 +190,8 @@
 	}
 }
 
-// Guards against the same with GraphQL: a mutation, a query and a batch of two queries wait for an upstream connection.
+// Guards against GraphQL operations that are forwarded although their clients disconnected while the upstream connection was being
+// established. A mutation, a query and a batch of two queries wait for that connection.
 func TestGraphQLClientsGoneWhileAConnectionComesUp(t *testing.T) {
 	late := base.NewLateUpstream(t)
 	r := startFile(t, fmt.Sprintf(strings.Replace(graphqlFile, "name = \"seats\"", "name = \"seats\"\nconnect_timeout = \"10s\"", 1), strconv.Quote(late.Address), "20s"))
@@ -215,8 +219,8 @@
 	}
 }
 
-// Guards against clients that repeatedly send a request to an upstream that hangs and disconnect: their client connections and upstream
-// attempts must not use up the limits, so that other clients are served.
+// Guards against requests that are not served because disconnected clients use up the limits. In each round, several clients send requests
+// to an upstream that hangs, and disconnect. A client that sends a request afterwards must be served.
 func TestGoneClientsGiveWay(t *testing.T) {
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
 		if strings.HasPrefix(g.Target, "/confirm") {
@@ -260,7 +264,7 @@
 		}
 		waiting.Close()
 	}
-	if took := time.Since(begun); took > 8*time.Second { // the requests of the disconnected clients have a timeout of 9 s
+	if took := time.Since(begun); took > 8*time.Second { // the disconnected clients' requests would time out after 9 s
 		t.Errorf("all rounds took %v, want at most 8s", took)
 	}
 }
--- a/internal/daemon/connection_close_test.go
+++ b/internal/daemon/connection_close_test.go
@@ -17,13 +17,13 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// pausingListener accepts connections on which a test can pause the server between the read of bytes from the socket and their processing,
-// and which report when the server begins to close them.
+// pausingListener accepts connections on which a test can pause the server after it has read bytes from the socket and before it processes
+// them. A watched connection also reports when the server has begun to close it.
 type pausingListener struct {
 	net.Listener
 	pauseNextRead atomic.Bool   // the next read that returns bytes is paused before it returns
-	paused        chan struct{} // receives a value once that read has its bytes
-	resume        chan struct{} // closed by the test: the paused read returns
+	paused        chan struct{} // receives a value once the paused read has its bytes
+	resume        chan struct{} // the test closes this channel, and the paused read returns
 	watchNext     atomic.Bool   // the next accepted connection is watched
 	closing       chan struct{} // closed once the server has closed the watched connection, or its write side
 	once          sync.Once
@@ -111,7 +111,7 @@
 	}
 }
 
-// answer reads one answer with its body.
+// answer reads the next answer and its body.
 func (c *clientConn) answer() (*http.Response, string, error) {
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
@@ -121,8 +121,9 @@
 	return resp, string(body), err
 }
 
-// Guards against a request that runs although its client cannot get the answer: the server reads it at the moment when it closes the idle
-// connection at a shutdown. The request is not forwarded; its client sees only the end of the connection, and can retry elsewhere.
+// Guards against a request that runs although its client cannot get the answer: at a shutdown, the server reads the request at the moment
+// at which it closes the idle connection. The request is not forwarded. Its client sees only the end of the connection, and can retry
+// elsewhere.
 func TestReadAsItsConnectionIsShut(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	l := newPausingListener(t)
@@ -137,12 +138,12 @@
 	}
 	l.pauseNextRead.Store(true)
 	c.send(t, "confirm", "two")
-	<-l.paused // the request has been read from the socket, but the server has not got it yet
+	<-l.paused // the request has been read from the socket, but not passed to the server yet
 	r.stop()
 	<-l.closing
 	close(l.resume)
 	if resp, _, err := c.answer(); err == nil {
-		t.Errorf("got %s on a connection that the server had closed", resp.Status)
+		t.Errorf("second request: got %s on a connection that the server had closed, want no answer", resp.Status)
 	}
 	c.Close()
 	<-r.ended
@@ -151,7 +152,7 @@
 	}
 }
 
-// Guards against a request that is cut off at a shutdown although its first bytes arrived before the server closed its idle connection.
+// Guards against a request that is cut off at a shutdown although its first bytes arrived before the server closed idle connections.
 func TestBegunBeforeItsConnectionIsShut(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("whole")))
 	l := newPausingListener(t)
@@ -187,8 +188,8 @@
 	<-r.ended
 }
 
-// Guards against an answer that is lost to a connection reset: more bytes arrive after the request, which the server does not read, and
-// closing a connection with unread bytes resets it before the client has read the answer.
+// Guards against an answer that is lost because the connection is reset: after the request, further bytes arrive that the server does not
+// read. Closing a connection with unread bytes resets it, so that the client cannot read the rest of the answer.
 func TestLastAnswerOverUnreadBytes(t *testing.T) {
 	release := make(chan struct{})
 	body := strings.Repeat("answer ", 40<<10)
@@ -223,7 +224,7 @@
 	<-l.closing
 	resp, got, err := c.answer()
 	if err != nil || resp.StatusCode != 200 || got != body || !resp.Close {
-		t.Errorf("got %d of %d bytes of the answer, error %v", len(got), len(body), err)
+		t.Errorf("last answer on the connection: got %d of %d bytes and error %v, want the complete answer with 200 and Connection: close", len(got), len(body), err)
 	}
 	c.Close()
 	<-r.ended
--- a/internal/daemon/control_test.go
+++ b/internal/daemon/control_test.go
@@ -61,7 +61,8 @@
 	return values
 }
 
-// Guards against operators' requests that are accepted on the clients' address, and against a wrong path or method that has an effect.
+// Guards against operators' requests that are accepted on the clients' address, and against requests with a wrong path or method that are
+// accepted on the operators' address.
 func TestOperatorsCalls(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("a")))
 	r, call := startWithControl(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")))
@@ -90,8 +91,8 @@
 	}
 }
 
-// Guards against metrics that differ from what happened: completed, rejected, failed and pending requests, attempts that were written
-// completely and others, and requests for an unknown class, which are not counted.
+// Guards against wrong metrics of completed, rejected, failed and pending requests, and of attempts. A request for an unknown class is not
+// counted.
 func TestFiguresAreWhatHappened(t *testing.T) {
 	hold := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, got fakes.Got) bool {
@@ -160,9 +161,9 @@
 	}
 }
 
-// Guards against a drain that loses requests or keeps connections open: the readiness check fails at once, a busy connection ends with its
-// next answer, one with a request in flight gets its answer, and an idle one is closed once new connections have ceased. All are closed
-// within 4 s, and the process serves again after an undrain.
+// Guards against a drain that loses requests or keeps connections open. The readiness check fails at once. A connection with further
+// requests ends with the next answer, a request in flight is answered, and an idle connection is closed once clients open no new
+// connections, within 4 s. After an undrain the process serves as before.
 func TestDrainAndUndrain(t *testing.T) {
 	hold := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, got fakes.Got) bool {
@@ -222,12 +223,12 @@
 	}
 	send(busy, "2")
 	if got, closes, err := answer(busy); err != nil || got != 200 || !closes {
-		t.Errorf("next request on a busy connection: got status %d, connection closes: %v, error %v; want 200 and a close", got, closes, err)
+		t.Errorf("next request on a busy connection: got status %d, connection closes: %v, error %v; want 200 and Connection: close", got, closes, err)
 	}
 	fresh := dial()
 	send(fresh, "3")
 	if got, closes, err := answer(fresh); err != nil || got != 200 || !closes {
-		t.Errorf("request on a new connection: got status %d, connection closes: %v, error %v; want 200 and a close", got, closes, err)
+		t.Errorf("request on a new connection: got status %d, connection closes: %v, error %v; want 200 and Connection: close", got, closes, err)
 	}
 	if status, _ := call("POST", "/drain"); status != 200 {
 		t.Errorf("second POST /drain: got status %d, want 200", status)
@@ -236,11 +237,11 @@
 		t.Errorf("read from the idle connection: got %v, want EOF", err)
 	}
 	if took := time.Since(begun); took > 4*time.Second {
-		t.Errorf("the idle connection was closed after %v, want at most 4s", took)
+		t.Errorf("the idle connection was closed %v after the drain began, want at most 4s", took)
 	}
 	close(hold)
 	if got, closes, err := answer(held); err != nil || got != 200 || !closes {
-		t.Errorf("request in flight at the drain: got status %d, connection closes: %v, error %v; want 200 and a close", got, closes, err)
+		t.Errorf("request in flight at the drain: got status %d, connection closes: %v, error %v; want 200 and Connection: close", got, closes, err)
 	}
 	if status, _ := call("POST", "/undrain"); status != 200 || ready() != 200 {
 		t.Errorf("POST /undrain: got status %d, then readiness status %d, want 200 for both", status, ready())
@@ -254,7 +255,7 @@
 	}
 }
 
-// Guards against a stop during a drain that does not complete, or that an undrain reverts.
+// Guards against a process that does not end when it is stopped during a drain, and against an undrain that reverts the stop.
 func TestStopWithinADrain(t *testing.T) {
 	hold := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, got fakes.Got) bool {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -33,7 +33,7 @@
 	clientIdleTimeout = 30 * time.Second
 	// fileLockTimeout is how long a reload, or a successor whose predecessor runs, waits for a file that another process has locked.
 	fileLockTimeout = time.Second
-	// finalWriteTimeout is how long a process that ends waits until its last answers are written.
+	// finalWriteTimeout is how long a process that ends waits for its last answers to be written.
 	finalWriteTimeout = 100 * time.Millisecond
 )
 
@@ -42,7 +42,7 @@
 	plan      *config.Plan // the running plan; settings that need a restart have the values of the start
 	limits    config.Limits
 	listener  net.Listener
-	logger    *logging.Logger // nil: the default logger of the process is used
+	logger    *logging.Logger // nil if log is the default logger of the process
 	log       *slog.Logger
 	shared    *sharedResources
 	routing   atomic.Pointer[routing]
@@ -50,21 +50,21 @@
 	lifecycle *lifecycleDriver
 	upgrade   *upgrade
 
-	credentials     atomic.Pointer[tlscredentials.Store] // of the clients' listener; nil: TLS is off
+	credentials     atomic.Pointer[tlscredentials.Store] // of the clients' listener; nil if TLS is off
 	tlsConfig       atomic.Pointer[tls.Config]
 	stopCredentials context.CancelFunc
 
 	background      context.Context // of backgroundTasks; ends with the daemon
 	backgroundTasks sync.WaitGroup
 
-	reloadMu         sync.Mutex // guards plan, retiringServices, the shares and ended
-	ended            bool       // no further plan is applied
+	reloadMu         sync.Mutex // guards plan, retiringServices, ended and the services' shares of the limits (see setShares)
+	ended            bool       // if true, no further plan is applied
 	retiringServices map[*service]bool
 	retirements      sync.WaitGroup // waits until the retiring services are closed
 }
 
-// Run serves as the configuration files say until ctx ends, then finishes the requests that it has accepted. Each signal on reload makes
-// it read the files again, see followReloads.
+// Run serves according to the configuration files until ctx ends, and then finishes the requests that it has accepted. At each signal on
+// the channel reload it reads the files again, see followReloads.
 func Run(ctx context.Context, files config.Sources, reload <-chan os.Signal) error {
 	p, err := config.LoadPlan(files)
 	if err != nil {
@@ -84,14 +84,14 @@
 	return serve(ctx, p, listener, received, files, reload, func(*daemon) {})
 }
 
-// Serve is ServePlan for the platform's configuration c. Reloads read it from the file at path.
+// Serve is ServePlan for the platform's configuration c. A reload reads the configuration from the file at path.
 func Serve(ctx context.Context, c *config.Config, listener net.Listener, path string, reload <-chan os.Signal,
 	observe func(*engine.Engine)) error {
 	return ServePlan(ctx, c.Plan(), listener, config.Sources{Config: path}, reload, observe)
 }
 
-// ServePlan is Run for a plan that has been loaded and a listener that is open. It closes the listener. If observe is not nil, it is called
-// with the first service's engine before the first request.
+// ServePlan is Run for a plan that has been loaded and a listener that is open. It closes the listener. If observe is not nil, ServePlan
+// calls it with the first service's engine before the first request.
 func ServePlan(ctx context.Context, p *config.Plan, listener net.Listener, files config.Sources, reload <-chan os.Signal,
 	observe func(*engine.Engine)) error {
 	return serve(ctx, p, listener, nil, files, reload, func(d *daemon) {
@@ -101,8 +101,8 @@
 	})
 }
 
-// serve runs a daemon until the process ends. received is the hand-over from a predecessor; nil: there is none. started is called once the
-// services have been started.
+// serve runs a daemon until the process ends. received is the hand-over from a predecessor, or nil if there is no predecessor. serve calls
+// started once the services have been started.
 func serve(ctx context.Context, p *config.Plan, listener net.Listener, received *receivedHandover, files config.Sources,
 	reload <-chan os.Signal, started func(*daemon)) error {
 	defer listener.Close()
@@ -158,8 +158,8 @@
 	}
 }
 
-// startServices applies the first plan. A process without a predecessor waits long for locked files, unless ctx ends. With a predecessor
-// that would not help: the predecessor keeps its files locked for as long as it runs.
+// startServices applies the first plan. Without a predecessor it waits for locked files for up to executor.StartLockTimeout, or until ctx
+// ends. With a predecessor it waits for fileLockTimeout only, since the predecessor keeps its files locked for as long as it runs.
 func (d *daemon) startServices(ctx context.Context, hasPredecessor bool) error {
 	if !hasPredecessor {
 		d.shared.filesCtx, d.shared.fileLockTimeout = ctx, executor.StartLockTimeout
@@ -234,12 +234,12 @@
 	d.lifecycle.stop(d.upgrade.hasSuccessor())
 	<-finished
 	d.lifecycle.awaitConnections(finalWriteTimeout)
-	_ = server.Close() // an error says that its listener has been closed before
+	_ = server.Close() // returns an error if the listener has been closed before
 	return nil
 }
 
-// abort ends the unanswered requests when the grace period is over: those in an admission queue are rejected (503), those in flight fail
-// (502).
+// abort ends the unanswered requests when the grace period is over: requests in an admission queue are rejected (503), and requests in
+// flight fail (502).
 func (d *daemon) abort() {
 	d.shared.abortExecutors()
 	for _, s := range d.routing.Load().services {
@@ -247,8 +247,8 @@
 	}
 }
 
-// endServices closes all services. It waits for a reload in progress, and prevents further ones: the services that they start would never
-// be closed.
+// endServices closes all services. It waits for a reload in progress and prevents further reloads, since the services that a later reload
+// starts would never be closed.
 func (d *daemon) endServices() {
 	d.reloadMu.Lock()
 	d.ended = true
--- a/internal/daemon/eureka_test.go
+++ b/internal/daemon/eureka_test.go
@@ -21,10 +21,10 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// nodes are the addresses, by name, of upstreams that answer with their name.
+// nodes has the addresses of upstreams by the upstreams' names. Each upstream answers requests with its name.
 type nodes map[string]string
 
-// startNodes starts nodes. They call onRequest for each request if it is not nil.
+// startNodes starts an upstream for each name. If onRequest is not nil, the upstreams call it for each request.
 func startNodes(t testing.TB, onRequest func(name string), names ...string) nodes {
 	n := nodes{}
 	for _, name := range names {
@@ -38,7 +38,7 @@
 	return n
 }
 
-// instance returns a node's registration.
+// instance returns the registration that a node has in a registry.
 func (n nodes) instance(t testing.TB, id, name, status string) fakes.EurekaInstance {
 	t.Helper()
 	host, port, err := net.SplitHostPort(n[name])
@@ -49,7 +49,8 @@
 	return fakes.EurekaInstance{App: "SEATS", ID: id, Host: host, IP: host, Port: number, Status: status}
 }
 
-// eurekaFile returns an operator's file with a service that has the endpoints own ("name@address status") and registries by name.
+// eurekaFile returns an operator's file with one service. own lists the service's own endpoints in the form "name@address status", and
+// registries has its registries by name.
 func eurekaFile(own []string, registries map[string]*fakes.Eureka, settings string) string {
 	var b strings.Builder
 	b.WriteString("[log]\nlevel = \"error\"\n" + settings + "[[service]]\nname = \"seats\"\n")
@@ -64,8 +65,8 @@
 	return b.String()
 }
 
-// requireServedBy waits until the service's instances are exactly the named nodes, and checks that requests are answered by any
-// of them.
+// requireServedBy waits until the service's instances are exactly the named nodes, and checks that one of these nodes answers each
+// request.
 func (r *fileRig) requireServedBy(t *testing.T, n nodes, names ...string) {
 	t.Helper()
 	testutil.Eventually(t, "the service's instances are "+strings.Join(names, " "), func() bool {
@@ -83,13 +84,13 @@
 	})
 	for range 20 {
 		if status, body := r.request("GET", "/", ""); status != 200 || !slices.Contains(names, body) {
-			t.Errorf("got %d %s, want 200 from one of %v", status, body, names)
+			t.Errorf("GET request: got %d %s, want 200 from one of the nodes %v", status, body, names)
 		}
 	}
 }
 
-// Guards against a node that receives requests although one of two sources reports it as unavailable, against nodes that are
-// removed because a registry fails, and against reloads that do not change the sources.
+// Guards against a node that receives requests although one of two sources reports the node as unavailable, against nodes that are
+// removed because a registry fails, and against reloads that do not change a service's sources.
 func TestTwoStories(t *testing.T) {
 	n := startNodes(t, nil, "a", "b", "c")
 	e, other := base.Eureka(t, fakes.EurekaOptions{}), base.Eureka(t, fakes.EurekaOptions{})
@@ -102,7 +103,7 @@
 	r := startFile(t, eurekaFile([]string{entry("a", "Ready"), entry("b", "Ready")}, registries, ""))
 	r.requireServedBy(t, n, "a", "b", "c")
 
-	// The node drains in the file's list and is up in the registry; then the reverse.
+	// Node a drains in the file's list and is up in the registry. Then node a is ready in the file's list and out of service in the registry.
 	if err := r.reload(t, eurekaFile([]string{entry("a", "Terminating"), entry("b", "Ready")}, registries, "")); err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +141,7 @@
 	r.requireServedBy(t, n, "a", "b", "c")
 	e.Fault(nil)
 
-	// A second registration under another ID at the same address is the same node, so that its drain applies.
+	// A second registration at the same address under another ID is the same node, so that its status OUT_OF_SERVICE applies to the node.
 	e.Put(n.instance(t, "host:a", "a", "UP"))
 	e.Put(n.instance(t, "host:c", "c", "UP"))
 	e.Put(n.instance(t, "host:c:2", "c", "OUT_OF_SERVICE"))
@@ -162,8 +163,8 @@
 	r.requireServedBy(t, n, "c")
 }
 
-// Guards against a platform's list that is ignored if a registry is configured too: nodes that drain in the platform's list are
-// removed, a lost list is requested again, and the registry's other nodes receive requests too.
+// Guards against a platform's list that is ignored if a registry is configured too. Nodes that drain in the platform's list are
+// removed, the list is requested again when its watch ends, and the nodes that only the registry has are used too.
 func TestRegistryBesideThePlatform(t *testing.T) {
 	n := startNodes(t, nil, "a", "b", "c")
 	e := base.Eureka(t, fakes.EurekaOptions{})
@@ -178,7 +179,7 @@
 			<-done
 			return
 		}
-		for { // a slow machine may time the watch out, and it then starts again here
+		for { // on a slow machine the watch may time out; the sidecar then starts another watch, which also runs this loop
 			select {
 			case <-drain:
 				send(testutil.List(2, false, testutil.Entry("a", n["a"], "Terminating")))
@@ -270,7 +271,7 @@
 	r.requireServedBy(t, n, names...)
 	ctx, stop := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
-	var served, rejected atomic.Int64 // requests whose attempts were all stopped by changes of status
+	var served, rejected atomic.Int64 // a request is rejected if changes of status have stopped all of its attempts
 	for range 6 {
 		clients.Go(func() {
 			for ctx.Err() == nil {
@@ -296,18 +297,18 @@
 	clients.Wait()
 	flips, lastArrivals, lateArrivals := f.Result()
 	if len(lateArrivals) > 0 || 1000*rejected.Load() > served.Load() || served.Load() < 1000 || len(lastArrivals) < 50 {
-		t.Errorf("%d status changes, %d served, %d rejected (limit 1 in 1000), %d arrived too late: %v; arrivals after %d changes, want 50",
+		t.Errorf("%d status changes: %d requests served (want at least 1000), %d rejected (want at most 1 in 1000 served), %d arrived too late (want 0): %v; %d status changes were followed by a request (want at least 50)",
 			flips, served.Load(), rejected.Load(), len(lateArrivals), lateArrivals, len(lastArrivals))
 	}
 }
 
-// refreshCounter is a source that counts calls of Refresh.
+// refreshCounter is a source that counts the calls of its method Refresh.
 type refreshCounter struct{ refreshes atomic.Int64 }
 
 func (a *refreshCounter) Refresh()                                  { a.refreshes.Add(1) }
 func (a *refreshCounter) Run(ctx context.Context, _ endpoints.Sink) { <-ctx.Done() }
 
-// Guards against an engine's request for the list that is lost because it came before the service had a source.
+// Guards against the loss of an engine's request for the list that is made before the service has a source.
 func TestListIsAskedForEarly(t *testing.T) {
 	s, source := &service{}, &refreshCounter{}
 	s.requestRefresh()
--- a/internal/daemon/file_harness_test.go
+++ b/internal/daemon/file_harness_test.go
@@ -14,7 +14,7 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// fileRig is a daemon with an operator's file that a test may replace.
+// fileRig is a daemon with an operator's file, which a test may replace.
 type fileRig struct {
 	*running
 	d    *daemon
@@ -31,7 +31,7 @@
 	return p
 }
 
-// startFile starts a daemon with an operator's file, which is reloaded only if the test calls reload.
+// startFile starts a daemon whose operator's file has the given text. The daemon reads the file again only if the test calls reload.
 func startFile(t testing.TB, text string) *fileRig {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,7 +63,7 @@
 	return r
 }
 
-// startPlan starts a daemon with a plan, and ends it at the end of the test.
+// startPlan starts a daemon with a plan. The daemon ends at the end of the test.
 func startPlan(t *testing.T, p *config.Plan) (d *daemon, address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -82,14 +82,14 @@
 	return <-started, l.Addr().String()
 }
 
-// reload replaces the operator's file and reloads it.
+// reload replaces the operator's file, and makes the daemon read it again.
 func (r *fileRig) reload(t testing.TB, text string) error {
 	t.Helper()
 	base.Replace(t, r.path, []byte(text))
 	return r.d.reload(config.Sources{Config: r.path})
 }
 
-// request sends a request, and returns the status and the body, or 0 and the error.
+// request sends a request, and returns the status and the body of the answer, or 0 and the error's text if there is no answer.
 func (r *fileRig) request(method, path string, body string) (int, string) {
 	req, err := http.NewRequest(method, "http://"+r.address+path, strings.NewReader(body))
 	if err != nil {
@@ -112,7 +112,8 @@
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) }
 }
 
-// services returns an operator's file with services, whose addresses are given by name, and routes of the form "pattern -> service".
+// services returns an operator's file with services and routes. addresses has each service's address by the service's name, and each
+// route has the form "pattern -> service".
 func services(addresses map[string]string, routes ...string) string {
 	var b strings.Builder
 	b.WriteString("[log]\nlevel = \"error\"\n")
--- a/internal/daemon/file_test.go
+++ b/internal/daemon/file_test.go
@@ -19,8 +19,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Guards against answers that differ from the upstream's: with an operator's file its statuses are passed on, with and
-// without bodies, and so are the client's conditional requests.
+// Guards against answers that differ from the upstream's. With an operator's file, statuses such as 204, 304 and 404 are
+// forwarded, and so are answers without a body and the client's conditional requests. A 500 or 429 to a POST becomes a 502.
 func TestAnswersPassOn(t *testing.T) {
 	upstream := base.HTTP(t, nil, func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -49,7 +49,7 @@
 	}{{"GET", "/", 200, "whole"}, {"HEAD", "/", 200, ""}, {"GET", "/empty", 204, ""}, {"GET", "/missing", 404, "no such thing\n"},
 		{"POST", "/broken", 502, "failed\n"}, {"POST", "/full", 502, "failed\n"}, {"GET", "/same", 200, ""}} {
 		if status, body := r.request(c.method, c.path, ""); status != c.status || body != c.body {
-			t.Errorf("%s %s: got unexpected answer %d %q", c.method, c.path, status, body)
+			t.Errorf("%s %s: the answer has not the expected status and body: %d %q", c.method, c.path, status, body)
 		}
 	}
 	req, _ := http.NewRequest("GET", "http://"+r.address+"/same", nil)
@@ -67,8 +67,8 @@
 	}
 }
 
-// Guards against reloads that lose requests or leave an old route in use: a thousand under load, half of them with invalid
-// files. A request that is sent after a reload has returned is routed by that reload's file or a later one.
+// Guards against reloads that lose requests or leave an old route in use. A thousand reloads run under load, half of them with
+// an invalid file. A request that is sent after a reload has returned is routed by that reload's file or a later file.
 func TestThousandReloadsUnderLoad(t *testing.T) {
 	names := []string{"a", "b", "c"}
 	addresses := map[string]string{}
@@ -77,7 +77,7 @@
 	}
 	file := func(n int) string { return services(addresses, "/ -> "+names[n%3], "/same/ -> a") }
 	r := startFile(t, file(0))
-	var begun, ended atomic.Int64 // reloads that have begun, and that have returned
+	var begun, ended atomic.Int64 // number of reloads that have begun, and number of reloads that have returned
 	ctx, stop := context.WithCancel(t.Context())
 	var clients sync.WaitGroup
 	var requests atomic.Int64
@@ -108,7 +108,7 @@
 		strings.Replace(file(1), "addresses", "list_file = \"/nonexistent.json\"\n#", 1)}
 	for n := range 500 {
 		if err := r.reload(t, bad[n%len(bad)]); err == nil {
-			t.Fatalf("invalid file was accepted: %s", bad[n%len(bad)])
+			t.Fatalf("a reload accepted the invalid file %s", bad[n%len(bad)])
 		}
 		begun.Store(int64(n + 1))
 		if err := r.reload(t, file(n+1)); err != nil {
@@ -128,8 +128,8 @@
 	}
 }
 
-// Guards against requests that fail when reloads replace or end a service or all of its upstreams under load: its settings and its
-// list change, and another service is added and removed.
+// Guards against requests that fail when reloads under load replace a service, remove a service, or replace all upstreams of a
+// service. The settings and the list of one service change, and another service is added and removed.
 func TestServicesReplacedUnderLoad(t *testing.T) {
 	addresses := map[string]string{"a": base.HTTP(t, nil, respondWith("a")), "b": base.HTTP(t, nil, respondWith("a")), "other": base.HTTP(t, nil, respondWith("a"))}
 	file := func(n int) string {
@@ -166,8 +166,8 @@
 	testutil.Eventually(t, "no request is in flight", func() bool { return r.d.shared.inFlight.Used("a") == 0 })
 }
 
-// Guards against settings that a reload ignores without a log line: settings that need a restart are logged and keep their values,
-// and a reload cannot enable TLS.
+// Guards against settings that a reload ignores without a log line. Settings that need a restart are logged and keep their values,
+// and a reload that would enable TLS fails.
 func TestReloadNamesWhatCountsFromTheNextStart(t *testing.T) {
 	text := services(map[string]string{"a": base.HTTP(t, nil, respondWith("a"))})
 	logged := ""
@@ -186,18 +186,19 @@
 	}
 	for _, key := range []string{"daemon.listen", "daemon.grace", "limits.descriptors"} {
 		if !strings.Contains(logged, "key="+key+"\n") {
-			t.Errorf("setting %s, which needs a restart, is not in the log:\n%s", key, logged)
+			t.Errorf("the log does not report that setting %s needs a restart:\n%s", key, logged)
 		}
 	}
 	if strings.Contains(logged, "body_timeout") || d.plan.Limits != limits || d.routing.Load().bodyTimeout != 7*time.Second {
 		t.Errorf("after the reload: limits %+v, want unchanged; body timeout %v, want 7s and not in the log:\n%s", d.plan.Limits, d.routing.Load().bodyTimeout, logged)
 	}
 	if err := reload("[tls]\ncertificate = \"/c\"\nkey = \"/k\"\n" + text); err == nil || !strings.Contains(err.Error(), "needs a restart") {
-		t.Errorf("reload that enables TLS: got error %v, want one that says that it needs a restart", err)
+		t.Errorf("reload that enables TLS: got error %v, want an error with the text \"needs a restart\"", err)
 	}
 }
 
-// Guards against retries by a route that was removed: an attempt in flight may still answer, but no further attempt is sent.
+// Guards against retries by a route that a reload has removed. An attempt that is in flight may still answer, but no further
+// attempt is sent.
 func TestRouteRemovedWithRequestsInHand(t *testing.T) {
 	var received atomic.Int64
 	release := make(chan struct{})
@@ -241,8 +242,8 @@
 	}
 }
 
-// Guards against a faulty service that uses up the capacity of another: all upstreams of one service hang under many clients, and
-// every request to the other service is served.
+// Guards against a faulty service that uses up the capacity of another service. All upstreams of one service hang under many
+// clients, and every request to the other service must be served.
 func TestHungServiceLeavesTheOtherAlone(t *testing.T) {
 	release := make(chan struct{})
 	hung := base.HTTP(t, nil, func(_ http.ResponseWriter, r *http.Request) {
@@ -262,8 +263,8 @@
 		clients.Wait()
 	}()
 	var overloaded atomic.Int64
-	// More than the 56 requests that may be in flight at once, and fewer than the 64 client connections: beyond those the daemon
-	// closes idle connections, and a client must retry a request that it sends on a connection being closed.
+	// The clients are more than the 56 requests that may be in flight at once, and fewer than the 64 client connections that may be
+	// open: beyond that limit the daemon closes idle connections, and a client must retry a request on a connection being closed.
 	for range 58 {
 		clients.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}}
@@ -290,12 +291,13 @@
 		}
 	}
 	s := r.d.routing.Load().services["a"]
-	if used := r.d.shared.inFlight.Used(s.name); used > 42 { // of 64-8 = 56: 14 reserved for it, 28 shared
+	if used := r.d.shared.inFlight.Used(s.name); used > 42 { // of 64-8 = 56 slots, each service has 14 reserved, and 28 are common
 		t.Errorf("the hung service has %d requests in flight, want at most 42", used)
 	}
 }
 
-// Guards against an invalid list file that replaces the last valid list: emptied, truncated, or replaced by a directory.
+// Guards against an invalid list file that replaces the last valid list. The file is, for example, emptied, truncated, or replaced by a
+// directory.
 func TestListFileKeepsTheLastGoodList(t *testing.T) {
 	addresses := [2]string{base.HTTP(t, nil, respondWith("one")), base.HTTP(t, nil, respondWith("two"))}
 	entry := func(i int) string { return fmt.Sprintf(`{"name":"n%d","address":%q}`, i, addresses[i]) }
@@ -316,7 +318,7 @@
 		base.Replace(t, list, []byte(text))
 		awaitListPolls(t, r)
 		if got := served(); got != "one" || instances.ReadyCount() != 1 {
-			t.Errorf("invalid list file (%s): served by %q, want one, or the service has not exactly 1 ready upstream", name, got)
+			t.Errorf("invalid list file (%s): served by %q, want upstream one, which must be the only ready upstream", name, got)
 		}
 	}
 	if err := os.Remove(list); err != nil {
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -20,7 +20,7 @@
 // taskStream separates the random numbers of tasks from those that other parts derive from the same seed.
 const taskStream = "tasks"
 
-// runTasks starts the runner of the fleet's tasks, if the operator's file lets this process run any. Requests never wait for it.
+// runTasks starts the runner of the fleet's tasks, if the operator's file lets this process run tasks. Requests never wait for the runner.
 func (d *daemon) runTasks(ctx context.Context, p *config.Plan, file string) error {
 	if p.File == nil || len(p.File.Tasks) == 0 || p.File.Fleet.MaxTasks == 0 {
 		return nil
@@ -28,7 +28,7 @@
 	fleet := &p.File.Fleet
 	executable, err := os.Executable()
 	if err != nil {
-		return fmt.Errorf("tasks: finding the executable of this process: %w", err)
+		return fmt.Errorf("tasks: determining the path of this process's executable: %w", err)
 	}
 	leases, err := raftgroup.NewClient(fleet.Name, raftgroup.DeclaredPeers(fleet))
 	if err != nil {
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// joinFleet starts this process's member of the fleet's raft group, if the operator's file declares one. A later failure, such as that of a
-// corrupt file, ends the member alone: requests are served all the same, and none waits for it.
+// joinFleet starts this process's member of the fleet's raft group, if the operator's file declares a member. If the member fails later,
+// for example because its file is corrupt, the process continues to serve requests without the member. Requests never wait for the member.
 func (d *daemon) joinFleet(ctx context.Context, p *config.Plan) error {
 	if p.File == nil || p.File.Fleet.Member == "" {
 		return nil
@@ -65,7 +65,7 @@
 	fleet := &p.File.Fleet
 	listener, err := net.Listen("tcp", memberAddress(fleet))
 	if err != nil {
-		return fmt.Errorf("listening for the fleet: %w", err)
+		return fmt.Errorf("fleet: listening for the members of the raft group: %w", err)
 	}
 	d.backgroundTasks.Go(func() {
 		if err := d.runFleetMember(ctx, fleet, listener); err != nil {
@@ -76,7 +76,8 @@
 	return nil
 }
 
-// memberAddress returns the address on which this process listens for its group: its listen setting, or else its address in the group.
+// memberAddress returns the address on which this process listens for the other members of its raft group: the listen setting of the fleet
+// or, if that is empty, the address that the list of members has for this process.
 func memberAddress(fleet *lease.Declaration) string {
 	address := fleet.Listen
 	for _, m := range fleet.Members {
--- a/internal/daemon/graphql.go
+++ b/internal/daemon/graphql.go
@@ -13,8 +13,8 @@
 	"orchiddrift/internal/server/downstream"
 )
 
-// graphqlCall is a request to a GraphQL endpoint: one operation, or a batch of them. Each operation is a request of its own to admission and
-// the balancer.
+// graphqlCall is a request to a GraphQL endpoint, with one operation or a batch of operations. Admission and the balancer handle each
+// operation as a separate request.
 type graphqlCall struct {
 	*server
 	w            http.ResponseWriter
@@ -27,11 +27,11 @@
 	gate         *routeGate
 	startedAt    time.Duration
 	media        string             // media type of the answer
-	entries      int                // operations in the request
+	entries      int                // number of operations in the request
 	entryMetrics *[]metrics.Request // kept if the request is routed again
 }
 
-// serve answers the request, unless the route was removed before anything was sent. reroute is true then, and the request has to be routed
+// serve answers the request. If the route was removed before anything was sent, serve returns true instead: the request has to be routed
 // again.
 func (c *graphqlCall) serve(body []byte) (reroute bool) {
 	parsed, problem := c.readOperations(body)
@@ -68,7 +68,7 @@
 func (c *graphqlCall) decide(parsed *graphql.Request) (operations []*operation, problems []*graphql.Problem) {
 	c.entries = len(parsed.Params)
 	header := c.r.Header
-	if parsed.Batch { // the headers of a batch belong to none of its operations alone
+	if parsed.Batch { // a header such as an idempotency key cannot be attributed to one operation of the batch
 		header = nil
 	}
 	if len(*c.entryMetrics) != c.entries {
@@ -143,7 +143,7 @@
 	if o.answer.Kind == engine.Rejected {
 		setRetryAfter(c.w.Header(), o.answer.RetryAfter)
 	}
-	if o.answer.Kind == engine.ClientGone { // a client that is still connected learns that the connection ends
+	if o.answer.Kind == engine.ClientGone { // announces the end of the connection, in case the client is still connected
 		c.w.Header().Set("Connection", "close")
 	}
 	c.writeBody(failure.status, failure.body)
--- a/internal/daemon/graphql_batch.go
+++ b/internal/daemon/graphql_batch.go
@@ -14,13 +14,13 @@
 type batchResult struct {
 	outcomes   []graphql.EntryOutcome
 	bodies     [][]byte
-	notSent    int // operations of which nothing was sent, since the route was removed
-	started    int // attempts that may have sent something
+	notSent    int // number of operations of which nothing was sent, since the route was removed
+	started    int // number of attempts that may have sent something
 	retryAfter time.Duration
-	bytesLeft  int // that further answers may take
+	bytesLeft  int // bytes that further answers may take
 }
 
-// batch answers the operations in one array, in their order. For reroute, see serve.
+// batch answers the operations in one array, in the request's order. For the result reroute, see serve.
 func (c *graphqlCall) batch(operations []*operation, problems []*graphql.Problem) (reroute bool) {
 	parallel, release := c.acquireParallel(len(operations))
 	defer release()
@@ -43,7 +43,8 @@
 	return false
 }
 
-// operationKinds returns the kinds by which a batch is ordered. An operation that could not be parsed counts as a mutation.
+// operationKinds returns the operations' kinds, which determine their order of execution. An operation that could not be parsed counts as a
+// mutation.
 func operationKinds(operations []*operation, problems []*graphql.Problem) []graphql.OperationKind {
 	kinds := make([]graphql.OperationKind, len(operations))
 	for i, o := range operations {
@@ -92,7 +93,8 @@
 	}
 }
 
-// entry returns the outcome of an operation and its element of the answer, which is an error once the answers together are too large.
+// entry returns the outcome of an operation and its element of the batch's answer. The element is an error if it would make the answer
+// larger than the limit.
 func (r *batchResult) entry(o *operation) (graphql.EntryOutcome, []byte) {
 	if o.answer.Kind != engine.Served {
 		failure := o.failure()
@@ -133,8 +135,8 @@
 	return append(out, ']')
 }
 
-// acquireParallel reserves capacity for operations that run concurrently. The request itself holds one slot of the bulkhead; further slots
-// are taken as far as they are free.
+// acquireParallel reserves capacity for operations that run concurrently. The request itself holds one slot of the limit of requests in
+// flight; acquireParallel takes further slots as far as they are free.
 func (c *graphqlCall) acquireParallel(operations int) (parallel int, release func()) {
 	parallel = 1
 	limit := c.daemon.shared.inFlight
--- a/internal/daemon/graphql_batch_test.go
+++ b/internal/daemon/graphql_batch_test.go
@@ -16,9 +16,9 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Tests batches: each entry is forwarded by its own class, and mutations one at a time in the batch's order. A node that breaks the
-// connection, does not answer in time or answers 401 fails the entry that it had. Later mutations are then not sent, and other entries are
-// not affected.
+// Tests batches. Each entry is forwarded according to its class, and mutations are forwarded one at a time in the batch's order. If a node
+// breaks the connection, does not answer in time or answers 401, the entry that was sent to it fails. Mutations after a broken connection
+// or a timeout are not sent. Other entries are not affected.
 func TestGraphQLBatch(t *testing.T) {
 	var order []string
 	var mu sync.Mutex
@@ -86,7 +86,7 @@
 		{"q0 q1", map[string]string{"q0": "large", "q1": "large"}, "ok ok", 200, ""},
 		{"q0 q1 m0", map[string]string{"q0": "large", "q1": "large", "m0": "large"}, "ok ok ANSWER_TOO_LARGE", 200, "m0"},
 	} {
-		// A mutation whose deadline passed ends at its upstream shortly after its batch is answered. It must not count for the next batch.
+		// A mutation that timed out ends at its upstream shortly after its batch has been answered. It must not count for the next batch.
 		testutil.Eventually(t, "the last batch's mutations have ended at the upstream", func() bool {
 			mu.Lock()
 			defer mu.Unlock()
@@ -106,7 +106,7 @@
 				t.Errorf("%s: the data of %s is missing in the answer %s", c.names, n, body)
 			}
 		}
-		if c.faults["q1"] == "large" { // queries and mutations run concurrently: the last answer exceeds the batch's size limit
+		if c.faults["q1"] == "large" { // the entries run concurrently: whichever answer is last exceeds the batch's size limit
 			slices.Sort(got)
 			slices.Reverse(got)
 		}
@@ -121,7 +121,7 @@
 			}
 		}
 		if s := strings.Join(sent, " "); s != c.sent {
-			t.Errorf("%s with faults %v: the mutations %s reached the node, want %s", c.names, c.faults, s, c.sent)
+			t.Errorf("%s with faults %v: the mutations that reached the node are [%s], want [%s]", c.names, c.faults, s, c.sent)
 		}
 		mu.Unlock()
 	}
@@ -132,12 +132,12 @@
 	var r *graphqlRig
 	var addresses [2]string
 	var mu sync.Mutex
-	var nodes []int // that got the mutations, in order
+	var nodes []int // the nodes that received the mutations, in order
 	for i := range addresses {
 		addresses[i] = base.HTTP(t, nil, func(w http.ResponseWriter, _ *http.Request) {
 			mu.Lock()
 			defer mu.Unlock()
-			if nodes = append(nodes, i); len(nodes) == 1 { // removed while it executes the first mutation
+			if nodes = append(nodes, i); len(nodes) == 1 { // the node is removed while it executes the first mutation
 				if err := r.reload(t, fmt.Sprintf(graphqlFile, fmt.Sprintf("%q", addresses[1-i]), "5s")); err != nil {
 					t.Error(err)
 				}
@@ -152,12 +152,11 @@
 		t.Errorf("the batch was answered %d %s, want 200 and five entries with data", status, body)
 	}
 	if len(nodes) != 5 || slices.Contains(nodes[1:], nodes[0]) {
-		t.Errorf("the mutations went to the nodes %v, want five, none after the first at the removed node", nodes)
+		t.Errorf("the mutations were sent to the nodes %v, want five mutations, and only the first at the removed node", nodes)
 	}
 }
 
-// Guards against queries whose clients disconnect while hedged requests run, and which leave something behind that makes a later request
-// fail.
+// Guards against a later request that fails because of queries whose clients disconnected while hedged requests were in flight.
 func TestGraphQLClientLeaves(t *testing.T) {
 	unresponsive := fakes.NodeOptions{Cores: 4, DefaultServiceTime: time.Millisecond, Faults: []fakes.Fault{{Kind: fakes.LoseAnswer, Class: "query", From: 300 * time.Millisecond}}}
 	r := startGraphQL(t, "20s", unresponsive, unresponsive, unresponsive)
--- a/internal/daemon/graphql_operation.go
+++ b/internal/daemon/graphql_operation.go
@@ -30,12 +30,12 @@
 	id       string
 	decision graphql.Decision
 	answer   engine.Answer
-	conflict int  // HTTP status if the idempotency key conflicts; 0: it does not
+	conflict int  // HTTP status of the answer if the idempotency key conflicts, else 0
 	notSent  bool // nothing was sent, since the route was removed
 	metric   *metrics.Request
 
 	failedMu       sync.Mutex
-	failedResponse *upstream.Response // of the latest attempt, if the upstream reported a failure in it
+	failedResponse *upstream.Response // response of the latest attempt, if the upstream reported a failure in it
 }
 
 // run waits until the operation is admitted, and has an upstream answer it.
@@ -57,7 +57,7 @@
 	}
 	call := engine.Call{ID: o.id, Class: req.Class.Name, Tenant: req.Tenant, CostHint: req.CostHint, Deadline: c.startedAt + req.Timeout}
 	if keyExecutor := c.service.executorFor(d.Class, d.Key); keyExecutor != nil {
-		o.started.Add(1) // attempts for the key, also by other requests, are counted elsewhere: one may have been sent
+		o.started.Add(1) // the executor's attempts for the key, also by other requests, are not counted here: one may have been sent
 		o.answer, o.conflict = answerFor(c.service.executeOnce(c.r.Context(), keyedRequest{executor: keyExecutor, call: call, key: d.Key,
 			method: req.Method, target: req.Target, body: d.Body, newTransport: o.newTransport}))
 		permit.Done(controller.OutcomeOf(o.answer))
@@ -69,7 +69,8 @@
 	o.checkNotSent()
 }
 
-// newTransport creates the transport of an operation with an idempotency key. It does not depend on the client, which may disconnect.
+// newTransport creates the transport of an operation with an idempotency key. The transport does not depend on the client, which may
+// disconnect.
 func (o *operation) newTransport() (engine.Transport, func()) {
 	detached := &operation{transport: transport{pool: o.pool, request: o.request}, call: o.call, decision: o.decision}
 	return detached, detached.release
@@ -84,7 +85,7 @@
 	}
 }
 
-// upstreamRequest returns the operation as it is sent to an upstream: a POST of this operation alone.
+// upstreamRequest returns the request that is sent to an upstream: a POST request with this operation alone.
 func (o *operation) upstreamRequest() downstream.Request {
 	c, d := o.call, &o.decision
 	req := c.req
@@ -107,7 +108,7 @@
 	if c.r.Method == http.MethodGet {
 		req.Target, _, _ = strings.Cut(req.Target, "?")
 	}
-	if c.service.admission.Load() != nil { // the queue finds reservations by the fingerprint, and all operations have the same path
+	if c.service.admission.Load() != nil { // the queue's fingerprint has to differ between operations, which all have the same path
 		req.IdempotencyKey = strconv.FormatUint(xxhash.Sum64(d.Body), 16)
 	}
 	return req
--- a/internal/daemon/graphql_retry_test.go
+++ b/internal/daemon/graphql_retry_test.go
@@ -14,7 +14,7 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// attemptsInFlight returns the number of attempts that the service's endpoints have in flight.
+// attemptsInFlight returns the number of attempts that are in flight at the service's endpoints.
 func attemptsInFlight(r *graphqlRig) (n int) {
 	for _, u := range r.d.routing.Load().services["seats"].engine.View() {
 		n += u.Pending
@@ -22,8 +22,9 @@
 	return n
 }
 
-// Guards against a mutation that runs twice. Nodes inject at least 10,000 faults of every kind, and clients retry as in production: a
-// query after any failure, a mutation only where the answer says that it has not run. Every request has one answer.
+// Guards against a mutation that runs twice. The nodes inject at least 10,000 faults in total, of every kind. Clients retry as in
+// production: a query after any failure, a mutation only if the answer says that it has not run. Every request must be
+// answered.
 func TestGraphQLNothingRunsTwice(t *testing.T) {
 	var nodes []fakes.NodeOptions
 	for n := range 6 {
@@ -31,7 +32,7 @@
 		for k := fakes.Reject; k <= fakes.GoAway; k++ {
 			share := 0.04
 			if k == fakes.LoseAnswer || k == fakes.Hang {
-				share = 0.01 // its client waits for the whole deadline
+				share = 0.01 // rarer than other faults, since the client waits until the deadline
 			}
 			o.Faults = append(o.Faults, fakes.Fault{Kind: k, Share: share})
 		}
@@ -108,16 +109,16 @@
 		t.Errorf("%d answers had an unexpected status", unexpected.Load())
 	}
 	if part := float64(unanswered.Load()) / float64(queries.Load()); part > 0.05 {
-		t.Errorf("a share of %.3f of the queries has no answer after four attempts, want at most 0.05", part)
+		t.Errorf("a fraction of %.3f of the queries failed in all four attempts, want at most 0.05", part)
 	}
 	t.Logf("%d faults; %d mutations ran; %d succeeded, %d rejected, %d failed; %d queries, %d unanswered", countFaults(), r.ledger.Operations("mutation"),
 		succeeded.Load(), rejected.Load(), failed.Load(), queries.Load(), unanswered.Load())
 	testutil.Eventually(t, "the engine has no request in flight", func() bool { return r.d.routing.Load().services["seats"].engine.InFlight() == 0 })
 }
 
-// Guards against an operation with an idempotency key that may have run and is sent again: its attempts are made for the key, separately
-// from the client's request, and count as sent too. A reload removes the GraphQL endpoint and the key store while a node executes the
-// operation, then that node dies: the operation is not classified anew by the new configuration, which does not know its key.
+// Guards against an operation with an idempotency key that may have run and is sent again. The attempts for such an operation are separate
+// from the client's request, but must count as sent. While a node executes the operation, a reload changes the GraphQL endpoint and removes
+// the key store, and then the node dies. The operation must not be routed again by the new configuration, which does not know its key.
 func TestGraphQLKeyedIsNotDecidedAnew(t *testing.T) {
 	busy := fakes.NodeOptions{DefaultServiceTime: time.Hour}
 	r := startGraphQL(t, "10s", busy, busy)
--- a/internal/daemon/graphql_test.go
+++ b/internal/daemon/graphql_test.go
@@ -15,7 +15,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// graphqlFile is a configuration file with a GraphQL endpoint, for fmt.Sprintf with the nodes' quoted addresses and the classes' deadline.
+// graphqlFile is a configuration file with a GraphQL endpoint. It is a format for fmt.Sprintf, whose arguments are the nodes' quoted
+// addresses and the classes' deadline.
 const graphqlFile = `
 [log]
 level = "error"
@@ -131,8 +132,7 @@
 	return out
 }
 
-// Tests the GraphQL-over-HTTP protocol: methods, media types and the statuses that follow from them, persisted queries, and rejected
-// requests.
+// Tests the GraphQL-over-HTTP protocol: methods, media types, the statuses that depend on them, persisted queries, and rejected requests.
 func TestGraphQLOverHTTP(t *testing.T) {
 	r := startGraphQL(t, "10s", fakes.NodeOptions{})
 	hash := strings.Repeat("0", 64)
@@ -189,9 +189,9 @@
 	}
 }
 
-// Tests the answers to operations whose nodes fail. A mutation that was sent and not answered by its deadline gets one answer, which says
-// that it may have run, and is not run again. A mutation that is proved not to have run goes to another node, whatever the form of that
-// proof. A query goes to another node after any failure.
+// Tests the answers to operations whose nodes fail. If a mutation was sent and has no usable answer by its deadline, the answer to the
+// client says that the mutation may have run, and the mutation is not sent again. If a node proves in any form that a mutation has not run,
+// the mutation is sent to another node. A query is sent to another node after any failure.
 func TestGraphQLOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		fault   fakes.FaultKind
@@ -220,10 +220,10 @@
 				t.Errorf("status %d has Retry-After %q, want Retry-After with 503 alone", status, header.Get("Retry-After"))
 			}
 			if runs := len(oneNode.ledger.Operation("x").Executions); (runs > 0) == c.retried || runs > 1 {
-				t.Errorf("the mutation ran %d times", runs)
+				t.Errorf("the mutation ran %d times, want at most 1, and 0 if its node proves that it has not run", runs)
 			}
 			if mayHaveRun := strings.Contains(body, `"mayHaveRun":true`); mayHaveRun != (c.want == "502 UPSTREAM_FAILED") {
-				t.Errorf("mayHaveRun must be true exactly with 502 UPSTREAM_FAILED: got %s", body)
+				t.Errorf("mayHaveRun must be true for 502 UPSTREAM_FAILED and for no other answer: got %s", body)
 			}
 			twoNodes := startGraphQL(t, "700ms", nodeWithFault(""), fakes.NodeOptions{})
 			failedQueries := 0
@@ -236,18 +236,18 @@
 					t.Errorf("mutation %d was answered %d %s, want 200 from the node without fault", i, status, body)
 				}
 				if runs := len(twoNodes.ledger.Operation(id).Executions); runs > 1 {
-					t.Errorf("mutation %s ran %d times", id, runs)
+					t.Errorf("mutation %s ran %d times, want at most 1", id, runs)
 				}
 			}
-			if failedQueries > 2 { // the first query that gets no answer may fail: the usual latency of a query is not known yet
+			if failedQueries > 2 { // a first query without an answer may fail, since the usual latency of queries is not known yet
 				t.Errorf("%d of 20 queries failed, want at most 2", failedQueries)
 			}
 		})
 	}
 }
 
-// Tests that a reload applies an endpoint's new classes to later requests, that an unusable file changes nothing, and that an endpoint
-// whose settings stay the same keeps its state.
+// Tests that a reload applies an endpoint's new settings to later requests, that a reload with an unusable file changes nothing, and that
+// an endpoint whose settings stay the same keeps its state.
 func TestGraphQLReload(t *testing.T) {
 	r := startGraphQL(t, "10s", fakes.NodeOptions{})
 	queryStatus := func() int {
@@ -271,6 +271,6 @@
 	}
 	schema := base.File(t, "s.graphql", []byte("type Query { coach: String } type Mutation { record(requestId: String!): String }"))
 	if err := r.reload(t, strings.Replace(r.file, `persisted = "automatic"`, fmt.Sprintf("schema = %q", schema), 1)); err != nil || queryStatus() != 400 {
-		t.Errorf("with a schema that lacks the field: the reload returned %v, and the query was answered %d, want 400", err, queryStatus())
+		t.Errorf("with a schema that lacks the field: the reload returned %v and the query got %d, want no error and 400", err, queryStatus())
 	}
 }
--- a/internal/daemon/idempotency.go
+++ b/internal/daemon/idempotency.go
@@ -16,14 +16,15 @@
 	"orchiddrift/internal/upstream"
 )
 
-// replayedHeader marks an answer that was stored for an earlier request of the same key.
+// replayedHeader marks an answer that was stored for an earlier request with the same key.
 const replayedHeader = "Idempotent-Replayed"
 
-// executorStep is set by tests: see executor.Options.Step.
+// executorStep becomes executor.Options.Step. Only tests set it.
 var executorStep func(step string)
 
-// openExecutor returns the executor of a service's idempotency keys, and opens it if there is none. It outlives the service, so that the
-// keys survive a reload that replaces the service, or removes it for a while.
+// openExecutor returns the executor for a service's idempotency keys, and opens it if that has not been done before. It returns nil if the
+// plan has no settings for idempotency keys. An executor outlives its service, so that the keys survive a reload that replaces the service,
+// or removes it for a while.
 func (sh *sharedResources) openExecutor(plan config.ServicePlan) (*executor.Executor, error) {
 	if plan.Idempotency == nil {
 		return nil, nil
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// executorFor returns the executor for a request with the key; nil: retries of the request are not recognised.
+// executorFor returns the executor for a request with the key. It returns nil if the sidecar does not recognise retries of the request.
 func (s *service) executorFor(class *balancer.Class, key string) *executor.Executor {
 	if class.Idempotency != balancer.IdempotentWithKey || key == "" {
 		return nil
@@ -87,7 +88,7 @@
 	engine.Transport
 	service    *service
 	recorder   executor.AttemptRecorder
-	mayHaveRun *atomic.Int64 // attempts that may have been executed
+	mayHaveRun *atomic.Int64 // number of attempts that may have been executed
 }
 
 // RoundTrip implements engine.Transport.
@@ -128,8 +129,8 @@
 	return f
 }
 
-// executeOnce returns the outcome of the first request with the key. If the request itself is the first, it runs independently of its
-// client, which may disconnect while other clients wait for the outcome.
+// executeOnce returns the outcome of the first request with the key. If this request is the first, it runs independently of its client,
+// which may disconnect while other clients wait for the outcome.
 func (s *service) executeOnce(ctx context.Context, request keyedRequest) executor.Result {
 	ctx, cancel := context.WithTimeout(ctx, request.call.Deadline-s.shared.clock.Now())
 	defer cancel()
@@ -139,7 +140,8 @@
 		})
 }
 
-// execute runs a request with a key. interest ends once no client waits for it; earlier has the attempts with its key that may have run.
+// execute runs a request with a key. The context interest ends once no client waits for the request. earlier has the previous attempts with
+// the key that may have been executed.
 func (s *service) execute(request keyedRequest, interest context.Context, earlier []idempotency.Attempt,
 	recorder executor.AttemptRecorder) executor.Outcome {
 	transport, release := request.newTransport()
@@ -158,7 +160,7 @@
 			Answer: &idempotency.Answer{Status: response.Status, Header: response.Header, Body: response.Body}}
 	case engine.Rejected, engine.Duplicate, engine.EngineClosed:
 		return executor.Outcome{Verdict: idempotency.Reject, RetryAfter: answer.RetryAfter}
-	case engine.ClientGone: // no client waits any more
+	case engine.ClientGone: // no client waits for the answer any more
 		if mayHaveRun.Load() == 0 && len(earlier) == 0 {
 			return executor.Outcome{Verdict: idempotency.Reject}
 		}
@@ -166,8 +168,8 @@
 	return executor.Outcome{Verdict: idempotency.Fail}
 }
 
-// answerFor translates a Result into an answer of the engine. conflict is the HTTP status if the key conflicts with the request; 0: it does
-// not.
+// answerFor translates a Result into an answer of the engine. conflict is the HTTP status of the answer if the key conflicts with the
+// request, and 0 if there is no conflict.
 func answerFor(r executor.Result) (answer engine.Answer, conflict int) {
 	switch {
 	case r.ClientLeft:
@@ -184,7 +186,7 @@
 	return engine.Answer{Kind: engine.Failed}, 0
 }
 
-// storedResponse returns the answer of a Result. It has replayedHeader if this request was not executed itself.
+// storedResponse returns the answer of a Result. The answer has replayedHeader if it was stored for an earlier request.
 func storedResponse(r executor.Result) *upstream.Response {
 	response := &upstream.Response{Status: r.Answer.Status, Header: r.Answer.Header, Body: r.Answer.Body}
 	if r.Executed {
--- a/internal/daemon/idempotency_restart_test.go
+++ b/internal/daemon/idempotency_restart_test.go
@@ -26,9 +26,9 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Tests that keys in a file outlive the process: after a restart a stored answer is replayed, and a payment that may have been executed is
-// not sent again, since the clock may have stood still while no process ran. A truncated or corrupt file fails the start with an error of
-// one line.
+// Tests that keys in a file outlive the process. After a restart, a stored answer is replayed. A payment that may have been executed is not
+// sent again: the sidecar cannot measure how much time has passed while no process ran. A start with a truncated or corrupt file fails with
+// an error of one line.
 func TestRepeatsOutlastTheProcess(t *testing.T) {
 	p := newPaymentUpstream(t)
 	path := filepath.Join(t.TempDir(), "keys.db")
@@ -48,7 +48,7 @@
 		before := p.received.Load()
 		r := startFile(t, file)
 		if status, body, _ := pay(t.Context(), r, "/record/1", "k1", "5"); status != 200 || body != "paid" {
-			t.Errorf("the stored answer after the restart is %d %s, want 200 paid", status, body)
+			t.Errorf("repeat of a payment with a stored answer after the restart: got %d %s, want 200 paid", status, body)
 		}
 		if status, _, _ := pay(t.Context(), r, "/record/2", "k2", "5"); status != 502 || p.received.Load() != before {
 			t.Errorf("a payment that may have been executed got %d after the restart, want 502 without another attempt", status)
@@ -62,7 +62,7 @@
 		"zeros after 8 KiB": append(append([]byte{}, complete[:8192]...), make([]byte, len(complete)-8192)...)} {
 		corrupt := base.File(t, "keys.db", text)
 		if err := startError(t, p.file("6s", "20s", fmt.Sprintf("file = %q\n", corrupt))); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("key file with %s: the start returned %v, want an error of one line", name, err)
+			t.Errorf("start with a corrupt key file (%s): got %v, want an error of one line", name, err)
 		}
 	}
 }
@@ -79,9 +79,9 @@
 	return ServePlan(ctx, plan(t, text), l, config.Sources{}, nil, nil)
 }
 
-// startPaymentNodes starts six nodes in two zones, which inject faults of many kinds and forget keys soon. It returns their ledger and their
-// part of the configuration file. A node remembers a key for twice the promised window: the sidecar counts the window from the write of a
-// request, and cannot know how long the node then takes to get to it.
+// startPaymentNodes starts six nodes in two zones, which inject faults of many kinds and forget keys soon. It returns their ledger and
+// their part of the configuration file. A node remembers a key for twice the promised window: the sidecar counts the window from the write
+// of a request, and cannot know how long the node then takes to get to it.
 func startPaymentNodes(t *testing.T, window time.Duration) (*fakes.Ledger, string) {
 	ledger := fakes.NewLedger()
 	keysOfZone := map[string]*fakes.IdempotencyKeys{"a": fakes.NewIdempotencyKeys(2 * window), "b": fakes.NewIdempotencyKeys(2 * window)}
@@ -108,8 +108,8 @@
 	return ledger, endpoints
 }
 
-// Guards against a payment that is recorded twice. Clients retry payments after every failure, also after the deduplication window and with
-// two concurrent requests, at nodes in two zones that forget keys soon. Each request gets one answer.
+// Guards against a payment that is recorded twice. Clients retry payments after every failure, also after the deduplication window, and
+// with two concurrent requests. The nodes are in two zones and forget keys soon. Each request must be answered.
 func TestRepeatsNothingRecordedTwice(t *testing.T) {
 	const window = 300 * time.Millisecond
 	ledger, endpoints := startPaymentNodes(t, window)
@@ -199,12 +199,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_, _ = c.Process.Kill(), c.Wait() // it may have ended
+		_, _ = c.Process.Kill(), c.Wait() // an error means that the child process has already ended
 		if t.Failed() {
 			t.Logf("output of child process %d: %s", c.Process.Pid, output.Bytes())
 		}
 	})
-	testutil.Eventually(t, "ready", func() bool {
+	testutil.Eventually(t, "the child process is ready", func() bool {
 		resp, err := r.client.Get("http://" + r.address + "/-/ready")
 		if err != nil {
 			return false
@@ -215,8 +215,8 @@
 	return c
 }
 
-// Guards against a payment that is recorded twice because the process is killed at some step of its execution and another process takes
-// over. A retry gets the stored answer, or a failure that says that the payment may have been executed.
+// Guards against a payment that is recorded twice because the process is killed at some step of the payment's execution and another process
+// takes over. A retry gets the stored answer, or status 502 if the payment may have been executed.
 func TestRepeatsKilled(t *testing.T) {
 	for _, step := range executor.Steps {
 		t.Run(step, func(t *testing.T) {
@@ -239,10 +239,11 @@
 			for range 3 {
 				retryStatus, body, _ := pay(t.Context(), r, "/record/1", "k", "5")
 				if retryStatus != 200 && retryStatus != 502 || retryStatus == 200 && body != "paid 1" || status == 200 && retryStatus == 200 && body != firstBody {
-					t.Errorf("the first request got %d %q, its retry got %d %q", status, firstBody, retryStatus, body)
+					t.Errorf("the first request got %d %q, its retry got %d %q; want the retry to get 502, or 200 with the first answer", status, firstBody,
+						retryStatus, body)
 				}
 				if step == "arrived" && retryStatus != 200 {
-					t.Errorf("a payment that was not recorded before the kill got %d, want 200", retryStatus)
+					t.Errorf("retry of a payment of which nothing was stored before the kill: got %d, want 200", retryStatus)
 				}
 			}
 			if n := runs.Load(); n > 1 {
--- a/internal/daemon/idempotency_shared_test.go
+++ b/internal/daemon/idempotency_shared_test.go
@@ -18,12 +18,13 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// sharedStoreTable is appended to idempotencyFile to share keys in the etcd server with the given address.
+// sharedStoreTable is appended to idempotencyFile, so that daemons share their keys in an etcd server. It is a format for fmt.Sprintf with
+// the server's address.
 const sharedStoreTable = "\n[repeats.shared]\nservers = [%q]\nsession = \"3s\"\ntimeout = \"300ms\"\n"
 
-// Tests two daemons that share their keys in etcd. A request that one daemon executes is waited for by the other, which replays the same
-// answer with the replay header. A different request with the same key is a conflict at both. While etcd is down, new keys are rejected or
-// executed, as the configuration says, and answers that a daemon knows are still replayed.
+// Tests two daemons that share their keys in etcd. If one daemon executes a request, the other daemon waits for the outcome and replays the
+// answer with the replay header. A different request with the same key is a conflict at the other daemon. While etcd is down, a daemon
+// rejects or executes new keys, depending on its configuration, and still replays answers that it knows.
 func TestRepeatsShared(t *testing.T) {
 	p := newPaymentUpstream(t)
 	etcd, etcdAddress := base.Etcd(t, fakes.EtcdOptions{})
@@ -48,9 +49,9 @@
 		got[<-results]++
 	}
 	if got["200paid"] != 1 || got["200paidtrue"] != 3 || p.received.Load() != 1 {
-		t.Errorf("results %v of %d executions, want one execution and three replays", got, p.received.Load())
+		t.Errorf("four requests with one key got the results %v after %d executions, want one execution and three replays", got, p.received.Load())
 	}
-	p.responses <- "break" // all five attempts fail; no bound on the clock skew is set, so the other daemon must not send the payment again
+	p.responses <- "break" // all five attempts fail; without a bound on the clock skew, the other daemon must not send the payment again
 	for range 4 {
 		p.responses <- "break"
 	}
@@ -59,7 +60,7 @@
 	}
 	before := p.received.Load()
 	if status, _, _ := pay(t.Context(), b, "/record/2", "k2", "5"); status != 502 || p.received.Load() != before {
-		t.Errorf("its retry at the other daemon got %d, want 502 without another attempt", status)
+		t.Errorf("the retry at the other daemon of a payment whose connections broke got %d, want 502 without another attempt", status)
 	}
 	for len(p.responses) > 0 {
 		<-p.responses
@@ -73,7 +74,7 @@
 	}{{a, "k1", "200paid"}, {b, "k1", "200paid"}, {a, "k3", "503"}, {b, "k3", "200executed"}} {
 		status, body, _ := pay(t.Context(), c.r, "/record/1", c.key, "5")
 		if got := fmt.Sprint(status, body); !strings.HasPrefix(got, c.want) {
-			t.Errorf("key %s while etcd is down: got %s", c.key, got)
+			t.Errorf("payment with key %s while etcd is down: got the unexpected answer %s", c.key, got)
 		}
 	}
 	if _, err := etcd.Start(); err != nil {
@@ -86,8 +87,8 @@
 	})
 }
 
-// Tests that a daemon that drains still answers the waiting repeats of a request with that request's answer, whether it or another daemon
-// executes the request.
+// Tests that a daemon that is stopped still answers repeats of a request that wait for the request's outcome, whether this daemon or
+// another daemon executes the request.
 func TestRepeatsDrain(t *testing.T) {
 	for _, executedBy := range []string{"draining daemon", "another daemon"} {
 		t.Run(executedBy, func(t *testing.T) {
@@ -114,23 +115,23 @@
 			time.AfterFunc(100*time.Millisecond, func() { p.responses <- "paid" })
 			for range 6 {
 				if got := <-results; got != "200paid" {
-					t.Errorf("got %s, want 200paid", got)
+					t.Errorf("request or waiting repeat: got %s, want 200paid", got)
 				}
 			}
 			select {
 			case <-draining.ended:
 			case <-time.After(testutil.Timeout):
-				t.Fatal("the draining daemon does not end")
+				t.Fatal("the draining daemon did not end after all requests were answered")
 			}
 			if draining.err != nil || p.received.Load() != 1 {
-				t.Errorf("the drained daemon ended with %v after %d executions, want nil after 1", draining.err, p.received.Load())
+				t.Errorf("the drained daemon ended with error %v after %d executions, want no error and 1 execution", draining.err, p.received.Load())
 			}
 		})
 	}
 }
 
-// Guards against a payment that is recorded twice when daemons are killed at any moment and restarted, at nodes that fail too: one daemon
-// with its keys in a file, and two that share them in an etcd that fails now and then.
+// Guards against a payment that is recorded twice when daemons are killed at any moment and restarted, while the nodes fail too. The test
+// runs with one daemon that has its keys in a file, and with two daemons that share their keys in an etcd server that sometimes fails.
 func TestRepeatsKilledNothingRecordedTwice(t *testing.T) {
 	const window = 400 * time.Millisecond
 	for name, daemons := range map[string]int{"file": 1, "shared": 2} {
@@ -169,7 +170,7 @@
 							switch status, _, _ := pay(context.Background(), rigs[(worker+attempt)%daemons], "/record/"+key, key, "5"); status {
 							case 200:
 								succeeded.Add(1)
-							case 0: // its daemon was killed, or is not ready yet
+							case 0: // the daemon was killed, or is not ready yet
 								unanswered.Add(1)
 								time.Sleep(20 * time.Millisecond)
 							case 502, 503:
@@ -194,7 +195,7 @@
 				t.Errorf("%d payments are recorded twice: %v", len(twice), twice[:min(5, len(twice))])
 			}
 			if unexpected.Load() > 0 || succeeded.Load() < wantRequests/4 {
-				t.Errorf("%d answers had an unexpected status, and %d requests succeeded, want none and at least a quarter", unexpected.Load(), succeeded.Load())
+				t.Errorf("%d answers had an unexpected status (want 0), and %d requests succeeded (want at least a quarter)", unexpected.Load(), succeeded.Load())
 			}
 			t.Logf("%d requests, %d payments recorded, %d succeeded, %d without an answer, %d kills; %d writes in etcd", requests.Load(), ledger.Operations("record"),
 				succeeded.Load(), unanswered.Load(), kills, etcd.Writes())
@@ -202,8 +203,8 @@
 	}
 }
 
-// Tests a full disk: the key file cannot grow beyond 1 MiB. New keys are rejected or executed without a record, as the configuration says.
-// Recorded keys are still replayed, also by the next process, which has disk space again.
+// Tests a full disk: the key file cannot grow beyond 1 MiB. Depending on the configuration, new keys are rejected or executed without a
+// record. Recorded keys are still replayed, also by the next process, which has disk space again.
 func TestRepeatsDiskIsFull(t *testing.T) {
 	for _, diskError := range []string{"refuse", "go on"} {
 		t.Run(diskError, func(t *testing.T) {
@@ -230,7 +231,7 @@
 				}
 			}
 			if diskError == "refuse" && (rejected < 100 || accepted < 30) || diskError != "refuse" && rejected > 0 {
-				t.Errorf("%d payments were accepted and %d rejected", accepted, rejected)
+				t.Errorf("%d payments were accepted and %d rejected; with disk_error refuse want at least 30 and 100, else 0 rejected", accepted, rejected)
 			}
 			if runs.Load() != int64(accepted) {
 				t.Errorf("%d executions of %d accepted payments, want one each", runs.Load(), accepted)
--- a/internal/daemon/idempotency_test.go
+++ b/internal/daemon/idempotency_test.go
@@ -15,8 +15,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// idempotencyFile is a configuration file whose last table is [[repeats]], for fmt.Sprintf with the service's endpoints, the deduplication
-// window and the deadline of class record.
+// idempotencyFile is a configuration file whose last table is [[repeats]]. It is a format for fmt.Sprintf, whose arguments are the
+// service's endpoints, and the deduplication window and the deadline of class record.
 const idempotencyFile = `
 [log]
 level = "error"
@@ -68,11 +68,11 @@
 	return resp.StatusCode, string(text), resp.Header
 }
 
-// paymentUpstream is an upstream that counts the requests that it receives and answers each with the next of responses.
+// paymentUpstream is an upstream that counts the requests that it receives, and answers each request with the next value from responses.
 type paymentUpstream struct {
 	address   string
 	received  atomic.Int64
-	responses chan string // "break" (the connection), "not processed" (503 with that mark), or the body of a 200 answer
+	responses chan string // "break" breaks the connection, "not processed" is a 503 with X-Not-Processed, any other value a 200's body
 }
 
 func newPaymentUpstream(t *testing.T) *paymentUpstream {
@@ -104,8 +104,8 @@
 	return fmt.Sprintf(idempotencyFile, fmt.Sprintf("addresses = [%q]", p.address), window, deadline) + idempotency
 }
 
-// Tests idempotency keys: concurrent requests with one key are executed once, even if the first client disconnects, and later ones get the
-// stored answer. A different request with the same key is a conflict. A full store rejects new keys and keeps those that it has, also
+// Tests idempotency keys. Concurrent requests with one key are executed once, even if the first client disconnects, and later requests get
+// the stored answer. A different request with the same key is a conflict. A full store rejects new keys and keeps its stored keys, also
 // across a reload that replaces the engine.
 func TestRepeats(t *testing.T) {
 	p := newPaymentUpstream(t)
@@ -130,7 +130,7 @@
 	}
 	disconnect()
 	if got := <-results; got.status != 0 {
-		t.Errorf("the client that disconnected got %v", got)
+		t.Errorf("the client that disconnected got the answer %v, want none", got)
 	}
 	if status, _, _ := pay(t.Context(), r, "/record/1", "k1", "6"); status != 422 {
 		t.Errorf("a different body with the same key was answered %d, want 422", status)
@@ -150,7 +150,7 @@
 	}
 	p.responses <- strings.Repeat("x", 2000)
 	if status, body, _ := pay(t.Context(), r, "/record/2", "k2", "5"); status != 200 || len(body) != 2000 {
-		t.Errorf("a payment with an answer of 2000 bytes got %d, want 200 and the complete body", status)
+		t.Errorf("a payment with an answer of 2000 bytes got status %d, or not the complete body; want 200 and 2000 bytes", status)
 	}
 	if status, _, _ := pay(t.Context(), r, "/record/2", "k2", "5"); status != 409 {
 		t.Errorf("the repeat of a payment whose answer is too large to store got %d, want 409", status)
@@ -165,12 +165,12 @@
 		}
 	}
 	if status, body, _ := pay(t.Context(), r, "/record/1", "k1", "5"); status != 200 || body != "paid" {
-		t.Errorf("a stored key after the reload got %d %s, want 200 paid", status, body)
+		t.Errorf("repeat of a payment with a stored answer after the reload: got %d %s, want 200 paid", status, body)
 	}
 }
 
-// Tests retries of failed payments. One that may have been executed is sent again within the deduplication window, to endpoints of the
-// same zone, and never after the window. One that is proved not to have been executed is treated as new.
+// Tests retries of failed payments. A payment that may have been executed is sent again only within the deduplication window, and only to
+// endpoints of the same zone. A payment that is known not to have been executed is treated as new.
 func TestRepeatsAfterFailures(t *testing.T) {
 	homeZone, otherZone := newPaymentUpstream(t), newPaymentUpstream(t)
 	endpoints := fmt.Sprintf("[[service.endpoint]]\nname = \"h\"\naddress = %q\nzone = \"a\"\n[[service.endpoint]]\nname = \"w\"\naddress = %q\nzone = \"b\"\n", homeZone.address, otherZone.address)
@@ -188,11 +188,11 @@
 			t.Errorf("a payment whose connection broke got %d %s, want 502", status, body)
 		}
 		if status, body := payWithResponse(fmt.Sprint("b", i), "paid"); status != 200 || body != "paid" {
-			t.Errorf("its retry within the deduplication window got %d %s, want 200 paid", status, body)
+			t.Errorf("the retry of a broken payment within the deduplication window got %d %s, want 200 paid", status, body)
 		}
 	}
 	if n := otherZone.received.Load(); n > 0 {
-		t.Errorf("%d attempts went to the other zone", n)
+		t.Errorf("%d attempts for payments that may have been executed were sent to the other zone, want 0", n)
 	}
 	before := homeZone.received.Load()
 	time.Sleep(1500 * time.Millisecond) // the deduplication window
@@ -212,6 +212,6 @@
 	}
 }
 
-// Environment variables of a daemon that this test binary runs as a child process: the path of its configuration file, the step of an
-// execution at which it kills itself, and the size in bytes to which its files may grow.
+// The environment variables of a daemon that runs as a child process of this test binary: the path of the daemon's configuration file, the
+// step of an execution at which the daemon kills itself, and the size in bytes to which its files may grow.
 const childFileEnv, childStepEnv, childSizeEnv = "ORCHIDDRIFT_CHILD_FILE", "ORCHIDDRIFT_CHILD_STEP", "ORCHIDDRIFT_CHILD_SIZE"
--- a/internal/daemon/lifecycle.go
+++ b/internal/daemon/lifecycle.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// drainPollInterval is how often it is checked whether all clients' connections have ended, once no new ones are accepted.
+	// drainPollInterval is how often the driver checks whether all clients' connections have ended, once new connections are not accepted.
 	drainPollInterval = 10 * time.Millisecond
 	// idleInterval is how long run waits if nothing is due.
 	idleInterval = time.Hour
 )
 
-// lifecycleDriver carries out what a lifecycle.Machine decides: it closes connections of clients, and its run ends once the process may end.
-// It is safe for concurrent use.
+// lifecycleDriver carries out the decisions of a lifecycle.Machine: it closes connections of clients, and its method run returns once the
+// process may end. It is safe for concurrent use.
 type lifecycleDriver struct {
 	clock       clock.Clock
 	connections *downstream.Connections
@@ -27,11 +27,11 @@
 	ready            atomic.Bool // new clients should connect to this address
 	closeAfterAnswer atomic.Bool // each answer is the last of its connection
 	stopping         atomic.Bool // the process is ending
-	aborted          atomic.Bool // the unanswered requests have failed, and no more are sent upstream
+	aborted          atomic.Bool // the unanswered requests have failed, and nothing is sent to upstreams any more
 
 	mu           sync.Mutex
 	machine      *lifecycle.Machine
-	abandoned    bool          // run returns at once
+	abandoned    bool          // if true, run returns at once
 	stateChanged chan struct{} // wakes run; buffers one signal
 }
 
@@ -59,7 +59,7 @@
 func (l *lifecycleDriver) drain() bool   { return l.change((*lifecycle.Machine).Drain) }
 func (l *lifecycleDriver) undrain() bool { return l.change((*lifecycle.Machine).Undrain) }
 
-// stop begins the end of the process; successor says that another process serves in its place.
+// stop begins the end of the process. successor is true if another process serves in its place.
 func (l *lifecycleDriver) stop(successor bool) {
 	l.change(func(m *lifecycle.Machine, now time.Duration) bool {
 		m.Stop(now, successor)
@@ -81,7 +81,8 @@
 	return l.machine.State()
 }
 
-// awaitConnections waits until the last answers are written and their connections closed, for timeout at most, and closes the rest.
+// awaitConnections waits until the last answers have been written and their connections closed, but not longer than timeout. It then closes
+// the remaining connections.
 func (l *lifecycleDriver) awaitConnections(timeout time.Duration) {
 	for deadline := time.Now().Add(timeout); !l.connections.Drained() && time.Now().Before(deadline); {
 		time.Sleep(drainPollInterval)
@@ -89,16 +90,16 @@
 	l.connections.CloseAll()
 }
 
-// lifecycleStep is what the machine requires at one moment.
+// lifecycleStep holds the machine's decisions at one moment.
 type lifecycleStep struct {
 	closeIdle   bool          // close connections that have been idle for idleTimeout
 	idleTimeout time.Duration // see closeIdle
-	recheckIn   time.Duration // until the next step; 0: at the machine's next change of state
+	recheckIn   time.Duration // time until the next step; 0 if that waits for the machine's next change of state
 	accepts     bool          // new connections are accepted
 	ending      bool
 	abandoned   bool
-	abort       bool          // fail the unanswered requests
-	untilAbort  time.Duration // set if the process is ending
+	abort       bool          // fail the unanswered requests now
+	untilAbort  time.Duration // time until abort; only set if the process is ending
 }
 
 func (l *lifecycleDriver) step() lifecycleStep {
@@ -124,7 +125,7 @@
 		}
 		if accepting && !s.accepts {
 			accepting = false
-			l.connections.Close() // an error says that it has been closed before
+			l.connections.Close() // returns an error if the listener has been closed before
 		}
 		if s.closeIdle {
 			l.connections.CloseIdle(s.idleTimeout)
@@ -145,7 +146,7 @@
 	}
 }
 
-// wait returns how long nothing is due.
+// wait returns the time until the next step is due.
 func (s *lifecycleStep) wait(accepting bool) time.Duration {
 	recheckIn := s.recheckIn
 	switch {
--- a/internal/daemon/load_probing.go
+++ b/internal/daemon/load_probing.go
@@ -11,12 +11,12 @@
 	"orchiddrift/internal/upstream/loadprobe"
 )
 
-// memberSyncInterval is how often the prober's members are synchronized with the registry. An upstream that has been removed is not probed
-// in between, since the pool checks the registry at each write.
+// memberSyncInterval is how often the prober's members are synchronized with the registry. An upstream that is removed in between gets no
+// probes, since the pool checks the registry at each write.
 const memberSyncInterval = 250 * time.Millisecond
 
-// loadProbing probes upstreams of a service for their load as package loadprobe decides, and reports the answers to the engine. It is safe
-// for concurrent use. The methods of a nil loadProbing do nothing.
+// loadProbing sends load probes to the upstreams that package loadprobe selects, and reports the answers to the engine. It is safe for
+// concurrent use. beforeRequest and close do nothing if the loadProbing is nil.
 type loadProbing struct {
 	service *service
 	options loadprobe.Options
@@ -26,15 +26,16 @@
 	members  map[string]bool
 	syncedAt time.Duration
 	closed   bool
-	inFlight sync.WaitGroup // probes
+	inFlight sync.WaitGroup // counts the probes in flight
 }
 
 func newLoadProbing(s *service, o loadprobe.Options, rng *rand.Rand) *loadProbing {
 	return &loadProbing{service: s, options: o, prober: loadprobe.New(o, rng), members: map[string]bool{}, syncedAt: -memberSyncInterval}
 }
 
-// beforeRequest sends the probes that are due before a request. It waits for one or two probes until they have an answer or time out; of
-// more, it does not wait for the last, so that one upstream that hangs delays no request. Later answers are reported too.
+// beforeRequest sends the probes that are due before a request. It waits until one or two probes have been answered or have timed out. If
+// more are due, it does not wait for the slowest, so that a single upstream that hangs does not delay the request. An answer that arrives
+// later is reported too.
 func (p *loadProbing) beforeRequest(ctx context.Context) {
 	if p == nil {
 		return
@@ -44,7 +45,7 @@
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.options.Timeout.D())
-	end := cancel // called by the last of the probes
+	end := cancel // the probe that ends last calls it
 	answered := make(chan struct{}, len(names))
 	var remaining atomic.Int64
 	remaining.Store(int64(len(names)))
@@ -58,7 +59,7 @@
 			answered <- struct{}{}
 		}()
 	}
-	for range max(len(names)-1, min(2, len(names))) { // each ends with ctx at the latest
+	for range max(len(names)-1, min(2, len(names))) { // each probe ends with ctx at the latest
 		<-answered
 	}
 }
--- a/internal/daemon/load_probing_test.go
+++ b/internal/daemon/load_probing_test.go
@@ -11,8 +11,9 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// Guards against a sidecar with little traffic that sends no load probes, or sends requests to an upstream that does not answer
-// them, and against probes while the sidecar's own requests reach each upstream often enough. Invalid settings are rejected.
+// Guards against a sidecar with little traffic that sends no load probes, or that sends requests to an upstream that does not answer
+// probes. Also guards against probes although the sidecar's own requests reach each upstream often enough. Invalid settings are
+// rejected.
 func TestProbes(t *testing.T) {
 	ledger := fakes.NewLedger()
 	var addresses []string
@@ -45,7 +46,7 @@
 			q := testutil.Request(t, r.address, "search", "")
 			q.Header.Del("X-Priority-Class")
 			if resp, body := r.do(t, q); resp.StatusCode != want {
-				t.Fatalf("request %d got an unexpected status: %s, body %s", i, resp.Status, body)
+				t.Fatalf("request %d did not get the expected status: got %s with body %s", i, resp.Status, body)
 			}
 		}
 	}
--- a/internal/daemon/locked_file_test.go
+++ b/internal/daemon/locked_file_test.go
@@ -14,8 +14,8 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// lockedKeyStore returns the settings of an idempotency key store whose file stays locked until unlock is called. The system keeps such a
-// lock for some time after a process was killed.
+// lockedKeyStore returns the settings of an idempotency key store whose file stays locked until unlock is called. The operating system
+// keeps such a lock for some time after the process that holds it was killed.
 func lockedKeyStore(t *testing.T) (settings string, unlock func()) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "keys.db")
@@ -27,8 +27,8 @@
 	return fmt.Sprintf("file = %q\n", path), func() { db.Close() }
 }
 
-// Guards against a start that fails because the file is still locked for a predecessor that was killed: with a slow disk the system
-// releases the lock seconds later.
+// Guards against a start that fails because a predecessor that was killed still has the file locked. With a slow disk, the operating system
+// may release the lock only seconds after the kill.
 func TestStartBehindADeadProcess(t *testing.T) {
 	p := newPaymentUpstream(t)
 	settings, unlock := lockedKeyStore(t)
@@ -40,7 +40,7 @@
 	}
 }
 
-// Guards against a process that does not stop while it waits for a locked file, or that then ends with an error.
+// Guards against a process that cannot be stopped while it waits for a locked file, or that ends with an error when it is stopped then.
 func TestStopBehindADeadProcess(t *testing.T) {
 	settings, _ := lockedKeyStore(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,8 +63,8 @@
 	}
 }
 
-// Guards against a reload that waits long for a file that another process has locked: the reload changes nothing, and the process
-// continues to serve.
+// Guards against a reload that blocks for long because another process has locked a file of the new configuration. The reload gives up
+// soon, and the process continues to serve.
 func TestReloadWithAHeldFile(t *testing.T) {
 	p := newPaymentUpstream(t)
 	settings, _ := lockedKeyStore(t)
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -5,8 +5,8 @@
 	"orchiddrift/internal/metrics"
 )
 
-// readMetrics reads all metrics. Members counts the upstreams of all services; Unavailable counts those that the balancer avoids and those
-// that are draining.
+// readMetrics reads all metrics. Members counts the upstreams of all services. Unavailable counts the upstreams that are draining and those
+// to which the balancer sends trial requests only.
 func (d *daemon) readMetrics() metrics.Reading {
 	reading := d.metrics.Read()
 	for _, s := range d.routing.Load().services {
@@ -15,7 +15,7 @@
 	return reading
 }
 
-// addTo adds the figures of a service's upstreams and endpoint list to a reading.
+// addTo adds the metrics of a service's upstreams and endpoint list to a reading. ListAge is the age of the oldest list.
 func (s *service) addTo(reading *metrics.Reading) {
 	draining := int64(s.registry.DrainingCount())
 	upstreams := s.engine.View()
@@ -40,7 +40,7 @@
 	reading.ListCallsFailed += failed
 }
 
-// metricOutcome returns the outcome as which a final answer is counted.
+// metricOutcome returns the outcome that the metrics count for a final answer.
 func metricOutcome(kind engine.AnswerKind) metrics.Outcome {
 	switch kind {
 	case engine.Served:
--- a/internal/daemon/pipeline_test.go
+++ b/internal/daemon/pipeline_test.go
@@ -19,8 +19,9 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Guards against bytes that are lost, duplicated or reordered when a client pipelines requests, which are read ahead of the server:
-// many at once, in segments of any size, and more than is read ahead. Each is answered once and in order, and its body arrives unchanged.
+// Guards against bytes that are lost, duplicated or reordered when a client pipelines requests, which the sidecar reads ahead of net/http.
+// The client sends many requests at once, in segments of any size, and more than the sidecar reads ahead. Each request must be answered
+// once and in order, and its body must reach the upstream unchanged.
 func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	var mu sync.Mutex
 	bodyByID := map[string]string{}
@@ -64,7 +65,7 @@
 			}
 			mu.Lock()
 			if bodyByID[id] != bodies[i] {
-				t.Errorf("seed %d: the body of request %d differs from the one that was sent", seed, i)
+				t.Errorf("seed %d: the body of request %d reached the upstream changed", seed, i)
 			}
 			mu.Unlock()
 		}
@@ -72,7 +73,8 @@
 	}
 }
 
-// Guards against the same errors over TLS, and against requests that are sent for a client that disconnected after pipelining them.
+// Guards against pipelined requests over TLS whose answers are lost or reordered, and against requests that are forwarded although the
+// client that pipelined them has disconnected.
 func TestPipelinedBehindTLS(t *testing.T) {
 	e := startTLSRig(t, "node7.example")
 	e.delay.Store(int64(5 * time.Millisecond))
@@ -111,6 +113,6 @@
 	e.stop()
 	<-e.ended
 	if n := e.requests.Load() - requests; n > 2 { // the first request and a hedged request for it
-		t.Errorf("%d requests reached the upstream for a client that disconnected during its first, want at most 2", n)
+		t.Errorf("%d requests reached the upstream for a client that disconnected during its first request, want at most 2", n)
 	}
 }
--- a/internal/daemon/registrations.go
+++ b/internal/daemon/registrations.go
@@ -12,7 +12,7 @@
 // registrationConnectTimeout is the connect timeout towards registries in which the process registers itself.
 const registrationConnectTimeout = time.Second
 
-// registrations register the process in service registries.
+// registrations holds the process's registrations in service registries.
 type registrations struct {
 	all  []*eureka.Registration
 	stop context.CancelFunc
@@ -37,14 +37,14 @@
 	return r, nil
 }
 
-// drain notifies the registries that the process wants no new requests.
+// drain notifies the registries that the process should get no new requests.
 func (r *registrations) drain() {
 	for _, registration := range r.all {
 		registration.Drain()
 	}
 }
 
-// stopAll withdraws the registrations and waits until that is done.
+// stopAll withdraws the registrations and returns once they are withdrawn.
 func (r *registrations) stopAll() {
 	r.stop()
 	r.done.Wait()
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -14,16 +14,16 @@
 	"orchiddrift/internal/tomlfile"
 )
 
-// retireSlack is how long a retired service may take beyond the longest deadline of its requests.
+// retireSlack is how long a retired service may take to close, in addition to the longest deadline of its requests.
 const retireSlack = time.Second
 
 var (
-	errEnding        = errors.New("no further configuration is applied: the process is ending")
-	errRestartNeeded = errors.New("a change between the platform's file and the operator's, or of tls between on and off, needs a restart")
+	errEnding        = errors.New("configuration not applied: the process is ending")
+	errRestartNeeded = errors.New("changing between the platform's file and the operator's file, or switching tls on or off, needs a restart")
 )
 
-// followReloads reads the files again at each signal on reload. All changes that need no restart are applied together; if a file is invalid
-// or a change is impossible, nothing changes. It blocks until ctx ends.
+// followReloads reads the files again at each signal on the channel reload, until ctx ends. It applies all changes that need no restart
+// together. If a file is invalid or a change is impossible, it applies none of them.
 func (d *daemon) followReloads(ctx context.Context, files config.Sources, reload <-chan os.Signal) {
 	for {
 		select {
@@ -39,8 +39,8 @@
 	}
 }
 
-// reload applies the files' present content. Once it returns, no request is sent any more by a route, or to a service, that the files have
-// removed or changed.
+// reload reads the files and applies their content. Once it has returned, no request is sent by a route, or to a service, that the files
+// have removed or changed.
 func (d *daemon) reload(files config.Sources) error {
 	next, err := config.LoadPlan(files)
 	if err != nil {
@@ -51,7 +51,7 @@
 		d.logRestartOnly(current.File, next.File)
 	}
 	if current.File == nil && next.File == nil {
-		d.log.Info("reload: the platform's file has been read", "discovery", next.Services[0].Discovery)
+		d.log.Info("reload: read the platform's file", "discovery", next.Services[0].Discovery)
 		d.keepPlatformSettings(current, next)
 	}
 	if (current.File == nil) != (next.File == nil) || current.TLS.Enabled() != next.TLS.Enabled() {
@@ -77,13 +77,13 @@
 	}
 }
 
-// keepPlatformSettings keeps the running values of what the platform's file can change by a restart only: everything but discovery.
+// keepPlatformSettings keeps the running values of the settings in the platform's file that change at a restart only: all but discovery.
 func (d *daemon) keepPlatformSettings(current, next *config.Plan) {
 	sameProcess := next.Name == current.Name && next.Listen == current.Listen && next.Limits == current.Limits
 	if sameProcess && reflect.DeepEqual(next.Services[0].Settings, current.Services[0].Settings) {
 		return
 	}
-	d.log.Warn("reload: a change of name, listen, limits or settings counts from the next start")
+	d.log.Warn("reload: changes of name, listen, limits and settings take effect at the next start")
 	next.Services[0].Settings, next.Table = current.Services[0].Settings, current.Table
 }
 
@@ -98,9 +98,9 @@
 type planChange struct {
 	daemon         *daemon
 	next           *config.Plan
-	current        *routing            // nil: the first plan
-	services       map[string]*service // of the next plan, by name
-	started        []*service          // for the next plan
+	current        *routing            // nil for the first plan
+	services       map[string]*service // the services of the next plan, by name
+	started        []*service          // the services that were started for the next plan
 	updates        []func()            // changes to services that stay
 	useCredentials func()              // makes the listener use its next credentials
 }
@@ -163,7 +163,7 @@
 		if s.plan.ListFile == plan.ListFile || plan.Discovery == "" { // the next list cannot be opened
 			return false, err
 		}
-		return false, nil // a new service can open it
+		return false, nil // a new service can open the next list
 	}
 	c.services[plan.Name] = s
 	if update != nil {
@@ -175,16 +175,16 @@
 
 // reconfigure changes the admission and the idempotency store of a service that stays.
 func (d *daemon) reconfigure(s *service, plan config.ServicePlan) {
-	if err := s.setAdmission(plan); err != nil { // cannot happen: the check of the file has tried it
-		d.log.Error("reload: the admission settings stay", "service", plan.Name, "reason", err)
+	if err := s.setAdmission(plan); err != nil { // cannot happen: the check of the file has validated the settings
+		d.log.Error("reload: applying the admission settings failed; the old ones stay", "service", plan.Name, "reason", err)
 	}
 	if err := s.setExecutor(plan); err != nil {
-		d.log.Error("reload: the idempotency settings stay", "service", plan.Name, "reason", err)
+		d.log.Error("reload: applying the idempotency settings failed; the old ones stay", "service", plan.Name, "reason", err)
 	}
 	s.plan.Admission, s.plan.Idempotency = plan.Admission, plan.Idempotency
 }
 
-// servicesOfBoth returns the services of the next plan and those that it removes, which serve until the routing is replaced.
+// servicesOfBoth returns the services of the next plan, and the services that this plan removes, which serve until the routing is replaced.
 func (c *planChange) servicesOfBoth() []config.ServicePlan {
 	both := slices.Clone(c.next.Services)
 	if c.current == nil {
@@ -198,7 +198,7 @@
 	return both
 }
 
-// undo closes the services that prepare has started, and restores the shares.
+// undo closes the services that prepare has started, and restores the running services' shares of the limits.
 func (c *planChange) undo() {
 	for _, s := range c.started {
 		s.close()
@@ -206,13 +206,13 @@
 	if c.current == nil {
 		return
 	}
-	_ = c.daemon.setShares(c.daemon.plan.Guaranteed, c.daemon.plan.Services) // cannot fail: they have been set before
+	_ = c.daemon.setShares(c.daemon.plan.Guaranteed, c.daemon.plan.Services) // cannot fail: these shares have been set before
 	for _, s := range c.current.services {
 		s.pool.EvictOnContention()
 	}
 }
 
-// commit makes the next plan the running one, and retires the services that the plan does not have.
+// commit makes the next plan the running one, and retires the services that are not part of it.
 func (c *planChange) commit() {
 	d := c.daemon
 	for _, plan := range c.next.Services {
@@ -237,7 +237,8 @@
 	d.plan = c.next
 }
 
-// retireService closes a removed service once its requests in flight have ended. It keeps its share until then. The caller holds d.reloadMu.
+// retireService closes a removed service once its requests in flight have ended. Until then the service keeps its share of the limits. The
+// caller holds d.reloadMu.
 func (d *daemon) retireService(s *service) {
 	if d.retiringServices == nil {
 		d.retiringServices = map[*service]bool{}
@@ -265,7 +266,8 @@
 	return longest
 }
 
-// prepareCredentials opens the credentials of the clients' listener, if its TLS settings have changed. use makes the listener use them.
+// prepareCredentials opens the credentials of the clients' listener, if the listener's TLS settings have changed. The returned function
+// makes the listener use them.
 func (d *daemon) prepareCredentials(p *config.Plan) (use func(), err error) {
 	if !p.TLS.Enabled() || d.credentials.Load() != nil && reflect.DeepEqual(p.TLS, d.plan.TLS) {
 		return func() {}, nil
@@ -273,7 +275,7 @@
 	files := tlscredentials.Files{Certificate: p.TLS.Certificate, Key: p.TLS.Key, CA: p.TLS.ClientCA}
 	store, err := tlscredentials.Open(files, p.TLS.WarnBefore.D(), d.log)
 	if err != nil {
-		return nil, fmt.Errorf("tls of the clients' listener: %w", err)
+		return nil, fmt.Errorf("opening the tls credentials of the clients' listener: %w", err)
 	}
 	return func() {
 		if d.stopCredentials != nil {
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -16,8 +16,9 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// Guards against a reload that loses the endpoint list or follows two discovery services: a new address is asked for the complete list at
-// once, since list versions are specific to an address, and the old watch ends. A malformed file and a repeated signal change nothing.
+// Guards against a reload that loses the endpoint list or follows two discovery services. If the discovery address changes, the sidecar at
+// once requests the complete list from the new address, since list versions of the old address mean nothing there, and ends the old watch.
+// A malformed file and a repeated signal change nothing.
 func TestReload(t *testing.T) {
 	logged := testutil.Logged(t)
 	firstWatchEnded := make(chan struct{})
@@ -65,7 +66,7 @@
 	case <-time.After(testutil.Timeout):
 		t.Fatal("the watch of the old discovery address did not end after the reload")
 	}
-	testutil.Eventually(t, "the new discovery service is asked for the complete list, then watched from version 3", func() bool {
+	testutil.Eventually(t, "the complete list is requested from the new discovery service, which is then watched from version 3", func() bool {
 		return slices.Equal(second.Calls(), []string{"", "3"})
 	})
 	if resp, body := r.do(t, testutil.Request(t, r.address, "search", "")); resp.StatusCode != 200 || body != "new" {
@@ -79,7 +80,7 @@
 		t.Error(err)
 	}
 	if len(first.Calls()) != 1 || len(second.Calls()) != 2 {
-		t.Errorf("discovery calls: old address %v, want 1; new address %v, want 2", first.Calls(), second.Calls())
+		t.Errorf("list versions in the calls of the old discovery address: %v, want 1 call; of the new address: %v, want 2 calls", first.Calls(), second.Calls())
 	}
 	if n := strings.Count(logged(), "the old configuration stays"); n != 1 {
 		t.Errorf("the malformed file was logged %d times, want 1", n)
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -20,18 +20,18 @@
 	*server
 	w         http.ResponseWriter
 	r         *http.Request
-	cancel    context.CancelFunc // ends r's context: the client has disconnected
-	startedAt time.Duration      // when its last byte arrived; until then, when its head arrived
+	cancel    context.CancelFunc // ends r's context once the client has disconnected
+	startedAt time.Duration      // when the request's head arrived; set again once its body, or the body's beginning, has been read
 
 	bodyRead    bool   // the body, or its beginning, has been read
 	body        []byte // the part of the body that has been read
 	bodyStreams bool   // the rest of the body is streamed
 	bodyReader  *clientBody
-	spooled     int64 // bytes of the body spool that body takes
+	spooled     int64 // bytes of the body spool that the body takes
 
 	metric       metrics.Request
-	entryMetrics []metrics.Request // of a GraphQL request's operations
-	truncated    bool              // the answer broke off; its connection is reset, so that the client notices
+	entryMetrics []metrics.Request // metrics of a GraphQL request's operations
+	truncated    bool              // the answer broke off; the connection is reset, so that the client notices
 }
 
 // routedRequest is a request with the routing that was applied to it, and the service that it was routed to.
@@ -41,8 +41,8 @@
 	service  *service
 	gate     *routeGate
 	id       string
-	endpoint *graphql.Endpoint  // nil: not a GraphQL request
-	executor *executor.Executor // nil: the request has no idempotency key, or its service stores none
+	endpoint *graphql.Endpoint  // nil if this is not a GraphQL request
+	executor *executor.Executor // nil if the request has no idempotency key, or its service stores no keys
 }
 
 // serve answers the request. If a reload retires its route or service before anything was sent, the request is routed again.
@@ -55,7 +55,7 @@
 			return
 		}
 		service := routing.services[request.Route.Service]
-		if !service.acquire() { // a reload has just retired it, and has replaced the routing
+		if !service.acquire() { // a reload has just retired the service, and has replaced the routing
 			continue
 		}
 		routed := &routedRequest{Request: request, routing: routing, service: service, gate: routing.gates[request.Route]}
@@ -67,7 +67,7 @@
 	}
 }
 
-// serveRouted has the service answer the request, unless reroute is true: the request has to be routed again then.
+// serveRouted has the service answer the request. If reroute is true, the request has not been answered and has to be routed again.
 func (c *clientRequest) serveRouted(routed *routedRequest) (reroute bool) {
 	releaseCapacity, ok, reroute := c.acquireCapacity(routed)
 	if !ok {
@@ -90,8 +90,8 @@
 	return c.forward(routed)
 }
 
-// acquireCapacity reserves the request's part of the service's limits for as long as it is in flight. If ok is false, the request has been
-// rejected or, if reroute is true, has to be routed again.
+// acquireCapacity reserves capacity for the request within the service's limits until release is called. If ok is false, no capacity was
+// free: the request has been rejected, or has to be routed again if reroute is true.
 func (c *clientRequest) acquireCapacity(routed *routedRequest) (release func(), ok, reroute bool) {
 	shared, name := c.daemon.shared, routed.service.name
 	if shared.inFlight == nil {
@@ -101,7 +101,7 @@
 		return nil, false, c.rejectOverloaded(routed, "requests")
 	}
 	bytes := min(c.r.ContentLength, alwaysBufferedBytes)
-	if bytes < 0 { // unknown
+	if bytes < 0 { // the length is unknown
 		bytes = alwaysBufferedBytes
 	}
 	if bytes > 0 && !shared.bodyBytes.TryAcquire(name, bytes) {
@@ -117,7 +117,8 @@
 	}, true, false
 }
 
-// receiveBody reads the body, or its beginning, unless that was done before the request was routed again.
+// receiveBody reads the body, or its beginning if the rest is streamed. It does nothing if the request is routed again, since the body has
+// been read before.
 func (c *clientRequest) receiveBody(routed *routedRequest) *downstream.Rejection {
 	if c.bodyRead {
 		return nil
@@ -134,7 +135,7 @@
 	return nil
 }
 
-// assignID gives the request an ID if it has none, and forwards the ID to the upstream unless the header has another one.
+// assignID generates an ID for a request that has none, and adds it to the request's header unless the client has sent a request ID there.
 func (c *clientRequest) assignID(routed *routedRequest) {
 	routed.id = routed.ID
 	if routed.id != "" {
@@ -171,7 +172,7 @@
 	permit, rejected := c.awaitAdmission(c.r, routed.service, &routed.Request, c.startedAt, len(c.body))
 	if rejected != nil {
 		if rejected.Kind == engine.Rejected && routed.gate.closed.Load() && !c.stopping.Load() {
-			return true // its new route may have capacity
+			return true // the request's new route may have capacity
 		}
 		c.answerEarly(*rejected, out.Upload)
 		return false
@@ -195,7 +196,7 @@
 	return false
 }
 
-// forwardOnce forwards a request with an idempotency key, unless another one with the key has been answered or is in flight.
+// forwardOnce forwards a request with an idempotency key, unless another request with the same key has been answered or is in flight.
 func (c *clientRequest) forwardOnce(routed *routedRequest, call engine.Call, out *upstream.Request, permit controller.Permit) {
 	out.CompleteOnly = true // the answer is stored for retries
 	newTransport := func() (engine.Transport, func()) {
@@ -223,7 +224,7 @@
 	return false
 }
 
-// closeIfGone announces the end of the connection if the client counts as disconnected, in case it is still there.
+// closeIfGone announces the end of the connection if the client counts as disconnected, in case the client is still connected.
 func (c *clientRequest) closeIfGone(answer engine.Answer) {
 	if answer.Kind == engine.ClientGone {
 		c.w.Header().Set("Connection", "close")
@@ -231,7 +232,7 @@
 }
 
 // rejectOverloaded rejects a request whose service has reached its share of the limits. The balancer has not seen the request, and does not
-// count it as rejected. If a reload has just changed the services, it returns true instead: the request has to be routed again.
+// count it as rejected. If a reload has just replaced the routing, rejectOverloaded only returns true: the request has to be routed again.
 func (c *clientRequest) rejectOverloaded(routed *routedRequest, resource string) (reroute bool) {
 	if c.daemon.routing.Load() != routed.routing {
 		return true
@@ -239,15 +240,16 @@
 	if !c.metric.Open() {
 		c.metric = c.daemon.metrics.Start(routed.Class.Name)
 	}
-	c.daemon.log.Warn("bulkhead", "service", routed.service.plan.Name, "reason", "no more "+resource+" in hand")
+	c.daemon.log.Warn("bulkhead", "service", routed.service.plan.Name, "reason", "the service's share is used up: "+resource+" in flight")
 	c.w.Header().Set("Connection", "close")
 	_ = http.NewResponseController(c.w).SetReadDeadline(time.Now().Add(rejectedReadTime))
 	c.writeText(c.w, http.StatusInternalServerError, "not done: the service has all that it may hold in hand")
 	return false
 }
 
-// answerEarly gives the final answer to a request that was not served, and whose body may not have arrived completely; upload is nil if it
-// has. What the client still sends is read for a while, so that a reset of the connection does not destroy the answer.
+// answerEarly gives the final answer to a request that was not served, and whose body may not have arrived completely. upload is nil if the
+// body has arrived completely. Otherwise the rest of the body is read for up to rejectedReadTime, since the client would lose the answer if
+// the connection were reset with unread bytes.
 func (c *clientRequest) answerEarly(answer engine.Answer, upload *upstream.Upload) {
 	switch {
 	case upload == nil:
--- a/internal/daemon/resources.go
+++ b/internal/daemon/resources.go
@@ -29,33 +29,33 @@
 	maxGCPercent = 400
 	// An answer may take at most 1/maxAnswerFraction of the memory limit, since many are in flight at once.
 	maxAnswerFraction = 64
-	// All bodies in flight together may take 1/bodyBytesFraction of the memory limit, if services share the process.
+	// With an operator's file, all bodies in flight together may take 1/bodyBytesFraction of the memory limit.
 	bodyBytesFraction = 4
-	// Requests in flight are limited to the number of clients' connections less 1/idleConnectionFraction of it.
+	// The limit of requests in flight is smaller than the limit of clients' connections by 1/idleConnectionFraction of the latter.
 	idleConnectionFraction = 8
 )
 
 const bytesPerMB = 1 << 20
 
-// sharedResources holds what the services of a daemon share.
+// sharedResources holds the resources and limits that the services of a daemon share.
 type sharedResources struct {
 	clock           clock.Clock
 	log             *slog.Logger
 	connectionSlots *bulkhead.Semaphore // connections to upstreams
-	inFlight        *bulkhead.Semaphore // requests; nil: limited by the clients' connections alone
-	bodyBytes       *bulkhead.Semaphore // bytes of request and response bodies; nil: not limited
+	inFlight        *bulkhead.Semaphore // requests in flight; nil if only the number of clients' connections limits them
+	bodyBytes       *bulkhead.Semaphore // bytes of request and response bodies; nil if they are not limited
 	bodySpool       *semaphore.Weighted // bytes of request bodies beyond alwaysBufferedBytes
 	spoolSize       int64
 	maxAnswerBytes  int
 	seed            uint64
-	name            string // of the process
-	connections     int    // to upstreams, at most
+	name            string // name of the process
+	connections     int    // largest number of connections to upstreams
 	yielder         yielding.Yielder
 
 	executorsMu sync.Mutex
-	executors   map[string]*executor.Executor // by service; they outlive their services
+	executors   map[string]*executor.Executor // by the service's name; an executor outlives its service
 
-	// Limits of the wait for files that another process has locked. They change before the first reload only.
+	// filesCtx and fileLockTimeout limit the wait for a file that another process has locked. They do not change after the process's start.
 	filesCtx        context.Context
 	fileLockTimeout time.Duration
 }
@@ -99,8 +99,9 @@
 	return err
 }
 
-// setShares sets the services' shares of all shared limits. A service that replaces another one of the same name uses the same share. The
-// caller holds d.reloadMu, or the daemon has not started.
+// setShares divides the limits of upstream connections, requests in flight and body bytes among the services: the fraction guaranteed of
+// each limit is reserved for the services by weight, and all services compete for the rest. A service that replaces another service of the
+// same name uses the same share. The caller holds d.reloadMu, or the daemon has not started.
 func (d *daemon) setShares(guaranteed float64, services []config.ServicePlan) error {
 	var shares []bulkhead.Share
 	named := map[string]bool{}
@@ -113,7 +114,7 @@
 	for _, s := range services {
 		add(s)
 	}
-	for s := range d.retiringServices { // they still need connections and memory for answers
+	for s := range d.retiringServices { // these services still need connections, and memory for answers
 		add(s.plan)
 	}
 	for _, limit := range []*bulkhead.Semaphore{d.shared.connectionSlots, d.shared.inFlight, d.shared.bodyBytes} {
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// connectionLimit returns how many connections to clients may be open, and as many to upstreams.
+// connectionLimit returns the largest number of connections to clients, which is also the largest number of connections to upstreams.
 func connectionLimit(l config.Limits) int { return max(1, (l.Sockets-reservedDescriptors)/2) }
 
 // LimitMemory makes the garbage collector keep to the plan's memory limit.
@@ -136,8 +137,8 @@
 	debug.SetGCPercent(GCPercent(p.Limits.MemoryMB))
 }
 
-// GCPercent returns how far the heap may grow over the live heap, in percent, for a memory limit in MB. The live heap is a few MB whatever
-// the limit, so that with more memory the collector can run less often.
+// GCPercent returns by how many percent the heap may exceed the live heap before the garbage collector runs, for a memory limit in MB. The
+// live heap is a few MB whatever the limit is, so that with more memory the collector can run less often.
 func GCPercent(memoryMB float64) int {
 	return int(min(maxGCPercent, max(100, 100*memoryMB/gcBaseMB)))
 }
--- a/internal/daemon/response.go
+++ b/internal/daemon/response.go
@@ -16,13 +16,14 @@
 )
 
 const (
-	// writeTimeout is how long a client may take for its answer.
+	// writeTimeout is how long writing a complete answer to a client may take.
 	writeTimeout = 5 * time.Second
-	// passThroughTimeout is how long a client may read nothing of an answer that is forwarded as it arrives.
+	// passThroughTimeout is how long writing one chunk to a client may take, if the answer is forwarded as it arrives.
 	passThroughTimeout = 10 * time.Second
-	// rejectedReadTime is how long the rest of a rejected request is read, so that a reset does not destroy the answer.
+	// rejectedReadTime is how long the rest of a rejected request is read: closing a connection with unread bytes resets it, and the client
+	// would lose the answer.
 	rejectedReadTime = 900 * time.Millisecond
-	// passThroughBuffer is the largest chunk of an answer that is forwarded as it arrives, in bytes.
+	// passThroughBuffer is the size in bytes of the largest chunk of an answer that is forwarded as it arrives.
 	passThroughBuffer = 32 << 10
 )
 
@@ -47,7 +48,7 @@
 	}
 }
 
-// setRetryAfter sets Retry-After in seconds, with decimals, unless retryAfter is 0.
+// setRetryAfter sets Retry-After in seconds, with a decimal fraction if needed, unless retryAfter is 0.
 func setRetryAfter(header http.Header, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
@@ -75,17 +76,17 @@
 	// Setting a deadline cannot fail on a server's connection; if it did, the write would fail too.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	s.prepareHeader(w.Header())
-	switch { // an answer to HEAD, or without a body, keeps the upstream's Content-Length
+	switch { // an empty body, such as the answer to HEAD, keeps the upstream's Content-Length
 	case status == http.StatusNoContent || status == http.StatusNotModified:
 		w.Header().Del("Content-Length")
 	case len(body) > 0 || w.Header().Get("Content-Length") == "":
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a client that does not take its answer has disconnected
+	_, _ = w.Write(body) // an error means that the client has disconnected or does not read
 }
 
-// prepareHeader announces the end of the connection if the process drains or ends, and keeps net/http from guessing a content type.
+// prepareHeader announces the end of the connection if the process is draining or ending, and keeps net/http from guessing a content type.
 func (s *server) prepareHeader(header http.Header) {
 	if s.closeAfterAnswer.Load() {
 		header.Set("Connection", "close")
--- a/internal/daemon/rig_test.go
+++ b/internal/daemon/rig_test.go
@@ -18,7 +18,7 @@
 	address string
 	stop    context.CancelFunc // has the effect of SIGTERM
 	ended   chan struct{}      // closed once the process has ended
-	err     error              // with which it ended; set before ended is closed
+	err     error              // the error with which the process ended; set before ended is closed
 	client  *http.Client
 }
 
@@ -34,7 +34,8 @@
 	return r
 }
 
-// startOn starts a sidecar on an open listener, and does not wait until it is ready. Serve calls observe with the engine if observe is not nil.
+// startOn starts a sidecar on an open listener, and does not wait until it is ready. Serve calls observe with the engine if observe is not
+// nil.
 func startOn(t *testing.T, c *config.Config, l net.Listener, observe func(*engine.Engine)) *running {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// gateDrainTimeout is how long closeGates waits for requests that are being written. Those that take longer have been written in part
+	// gateDrainTimeout is how long closeGates waits for requests that are being written. Part of a request that takes longer was written
 	// before the gates closed.
 	gateDrainTimeout = 250 * time.Millisecond
-	// gatePollInterval is how often closeGates checks for such requests.
+	// gatePollInterval is how often closeGates checks whether requests are still being written.
 	gatePollInterval = 100 * time.Microsecond
 )
 
@@ -30,7 +30,7 @@
 	services    map[string]*service
 	gates       map[*routes.Route]*routeGate
 	graphql     map[string]*graphql.Endpoint // by Route.Endpoint
-	bodyTimeout time.Duration                // that a client may take for a request's body
+	bodyTimeout time.Duration                // time that a client may take for a request's body
 }
 
 var (
@@ -38,11 +38,11 @@
 	_ upstream.Gate = (*clientGate)(nil)
 )
 
-// routeGate decides whether requests of a route may still be sent. A reload that removes or changes a route closes its gate: nothing is sent
-// by that route once the reload has returned. It is safe for concurrent use.
+// routeGate decides whether requests of a route may still be sent. A reload that removes or changes a route closes the route's gate, and
+// nothing is sent by that route once the reload has returned. A routeGate is safe for concurrent use.
 type routeGate struct {
 	closed  atomic.Bool
-	writing atomic.Int64 // attempts whose request is being written
+	writing atomic.Int64 // number of attempts whose request is being written
 }
 
 // Enter implements upstream.Gate.
@@ -66,8 +66,9 @@
 	clientGone atomic.Bool
 }
 
-// Enter implements upstream.Gate. It checks the client's connection, whose reader does not see its end behind a pipelined request. Only the
-// first check that finds the client gone returns false: later attempts serve other clients that wait for the same answer.
+// Enter implements upstream.Gate. It checks whether the client's connection has ended, since the reader of the connection does not notice
+// that behind a pipelined request. Only the first check that finds the client gone returns false: later attempts serve other clients that
+// wait for the same answer.
 func (g *clientGate) Enter() bool {
 	if !g.clientGone.Load() && downstream.ClientGone(g.ctx) {
 		g.clientGone.Store(true)
@@ -90,15 +91,15 @@
 	}
 }
 
-// next returns the routing for a table and its services. An unchanged route to a service that stays keeps its gate; closing has the gates of
-// all other routes of r, which is nil for the first routing.
+// next returns the routing for a table and its services. An unchanged route to a service that stays keeps its gate. closing has the gates
+// of all other routes of r. r is nil if the result is the first routing.
 func (r *routing) next(table *routes.Table, services map[string]*service, endpoints map[string]*graphql.Endpoint,
 	bodyTimeout time.Duration) (n *routing, closing []*routeGate) {
 	n = &routing{checker: downstream.NewChecker(table), table: table, services: services, bodyTimeout: bodyTimeout,
 		gates: make(map[*routes.Route]*routeGate, len(table.Routes())), graphql: maps.Clone(endpoints)}
 	previous := map[string]*routes.Route{}
 	if r != nil {
-		for fingerprint := range n.graphql { // endpoints that stay keep what they have cached
+		for fingerprint := range n.graphql { // endpoints that stay keep their caches
 			if r.graphql[fingerprint] != nil {
 				n.graphql[fingerprint] = r.graphql[fingerprint]
 			}
--- a/internal/daemon/scale_test.go
+++ b/internal/daemon/scale_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// BenchmarkReload measures a complete reload: of a service with 5,000 endpoints, a tenth of which are replaced each time, and
-// of 10,000 routes.
+// BenchmarkReload measures a complete reload of a service with 5,000 endpoints, a tenth of which are replaced each time, and a complete
+// reload of 10,000 routes, all of which are replaced each time.
 func BenchmarkReload(b *testing.B) {
 	endpoints := func(turn int) string {
 		var b strings.Builder
@@ -97,7 +97,8 @@
 	}
 }
 
-// BenchmarkBesideHung compares the p99 latency of a service with and without a second service that hangs and has 40 clients.
+// BenchmarkBesideHung measures the p99 latency of a service beside a second service that hangs and has 40 clients, as a ratio of its p99
+// latency without that load.
 //
 //	go test -run '^$' -bench BesideHung -benchtime 5x ./internal/daemon
 func BenchmarkBesideHung(b *testing.B) {
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -25,7 +25,7 @@
 
 // ServeHTTP answers one request, on net/http's goroutine of its connection.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !downstream.StartRequest(r.Context()) { // it arrived while its connection was being closed: its client sends it again
+	if !downstream.StartRequest(r.Context()) { // the request arrived while its connection was being closed; the client can retry it
 		panic(http.ErrAbortHandler)
 	}
 	if s.aborted.Load() {
@@ -60,7 +60,7 @@
 	}
 }
 
-// finishMetrics counts the requests that have no outcome yet as failed.
+// finishMetrics counts the request, or each of its GraphQL operations, as failed if it has no outcome yet.
 func (c *clientRequest) finishMetrics() {
 	c.metric.Finish(metrics.Failed)
 	for i := range c.entryMetrics {
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -37,40 +37,40 @@
 	}
 }
 
-// Guards against an unsafe request that runs twice, and against a 503 for one that may have run: it is sent
-// once, and its failure is answered without delay.
+// Guards against an unsafe request that runs twice, and against a 503 for an unsafe request that may have run. Such
+// a request is sent once, and its failure is answered with 502 without delay.
 func TestUnsafeThatMayHaveRunFailsAtOnce(t *testing.T) {
 	s := testutil.Raw(t, func(net.Conn, fakes.Got) bool { return false })
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	startedAt := time.Now()
 	resp, _ := r.do(t, testutil.Request(t, r.address, "confirm", "seat 4"))
 	if resp.StatusCode != http.StatusBadGateway || resp.Header.Get("Retry-After") != "" {
-		t.Errorf("got %s with Retry-After %q, want 502 without it", resp.Status, resp.Header.Get("Retry-After"))
+		t.Errorf("unsafe request that may have run: got %s with Retry-After %q, want 502 without Retry-After", resp.Status, resp.Header.Get("Retry-After"))
 	}
 	if elapsed := time.Since(startedAt); elapsed > 4*time.Second { // the request's deadline is 9 s
-		t.Errorf("the failure was answered after %v", elapsed)
+		t.Errorf("the failure was answered after %v, want at most 4s", elapsed)
 	}
 	if n := len(s.Requests()); n != 1 {
 		t.Errorf("the request was sent %d times, want 1", n)
 	}
 }
 
-// Guards against a 502 where a 503 is safe, since a request that the upstream rejected never ran. Retry-After
-// reaches the client with its fraction of a second.
+// Guards against a 502 for a request that the upstream rejected. The request has not run, so that 503, which invites a
+// retry, is safe. Retry-After reaches the client with its fraction of a second.
 func TestRefusalCarriesRetryAfter(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says("HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"))
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	resp, _ := r.do(t, testutil.Request(t, r.address, "confirm", "seat 4"))
 	if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") != "1.5" {
-		t.Errorf("got %s with Retry-After %q, want 503 with 1.5", resp.Status, resp.Header.Get("Retry-After"))
+		t.Errorf("request that the upstream rejected: got %s with Retry-After %q, want 503 with 1.5", resp.Status, resp.Header.Get("Retry-After"))
 	}
 	if n := len(s.Requests()); n != 5 {
 		t.Errorf("the request was sent %d times, want 5, which is SendCap", n)
 	}
 }
 
-// Guards against panics and net/http's own answers for malformed requests. No answer may look like a rejection
-// that a client would retry, and no malformed request may reach an upstream.
+// Guards against panics at malformed requests, and against wrong statuses, with which a client might retry such a request.
+// No malformed request may reach an upstream.
 func TestMalformedRequests(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
@@ -124,29 +124,29 @@
 		conn.Close()
 	}
 	if n := len(s.Requests()); n != 0 {
-		t.Errorf("%d malformed requests reached the upstream", n)
+		t.Errorf("%d malformed requests reached the upstream, want 0", n)
 	}
 	if resp, _ := r.do(t, testutil.Request(t, r.address, "search", "")); resp.StatusCode != 200 {
 		t.Errorf("a valid request after the malformed ones got %s, want 200", resp.Status)
 	}
 }
 
-// Guards against a connection that is closed without an answer when the request's deadline has passed on arrival.
+// Guards against a request that gets no answer because its deadline has already passed when it arrives.
 func TestExpiredOnArrivalIsAnswered(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
 	req := testutil.Request(t, r.address, "search", "")
 	req.Header.Set("X-Timeout", "0m")
 	if resp, _ := r.do(t, req); resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("got %s, want 503", resp.Status)
+		t.Errorf("request whose deadline has passed: got %s, want 503", resp.Status)
 	}
 	if n := len(s.Requests()); n != 0 {
 		t.Errorf("an expired request was sent %d times, want 0", n)
 	}
 }
 
-// Guards against two answers to one request, and against a second request with the same id that waits forever:
-// the balancer ignores a request whose id it already has.
+// Guards against two answers to one request, and against a second request with the same ID that waits forever, since
+// the balancer ignores a request whose ID is already in use.
 func TestDuplicateID(t *testing.T) {
 	release := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, _ fakes.Got) bool {
@@ -172,7 +172,7 @@
 	}
 }
 
-// Guards against retries for clients that have disconnected: a request that fails then is not sent again.
+// Guards against retries for clients that have disconnected. A request that fails after that must not be sent again.
 func TestClientGone(t *testing.T) {
 	breakConnection := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, _ fakes.Got) bool {
@@ -201,8 +201,8 @@
 	}
 }
 
-// Guards against clients that occupy connections without sending a complete request: the sidecar's own time limits
-// apply, whatever X-Timeout they send.
+// Guards against clients that occupy connections without sending a complete request. The sidecar's own time limits
+// apply, whatever X-Timeout a client sends.
 func TestSlowClientsAreEnded(t *testing.T) {
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", "127.0.0.1:1", "Ready")), "127.0.0.1:0")
 	results := make(chan string, 3)
@@ -237,8 +237,8 @@
 	}
 }
 
-// Guards against connections without requests that displace those of active clients: at the limit of connections, the
-// sidecar closes connections that have had no request first.
+// Guards against connections without requests that displace the connections of active clients. At the limit of
+// connections, the sidecar first closes connections that have had no request.
 func TestSilentConnectionsGiveWayFirst(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	c := testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"))
@@ -265,7 +265,7 @@
 	sendRequest()
 	closed := make(chan struct{}, 8)
 	for range 8 {
-		time.Sleep(510 * time.Millisecond) // earlier silent connections may then be closed
+		time.Sleep(510 * time.Millisecond) // after this time the sidecar may close the earlier silent connections
 		silent, err := net.Dial("tcp", r.address)
 		if err != nil {
 			t.Fatal(err)
@@ -286,8 +286,8 @@
 	sendRequest()
 }
 
-// Guards against a connection that is closed without an answer: a canceled context does not prove that the client has
-// disconnected, since a read deadline that expires as the body ends cancels it too.
+// Guards against a connection that is closed without an answer. A canceled context does not prove that the client has
+// disconnected: net/http also cancels the context if a read deadline expires as the body ends.
 func TestEndedContextIsAnswered(t *testing.T) {
 	c := testutil.Config(t, "127.0.0.1:1")
 	d := &daemon{plan: c.Plan(), log: logging.Discard(), background: t.Context()}
@@ -303,11 +303,12 @@
 	w := httptest.NewRecorder()
 	s.ServeHTTP(w, req)
 	if w.Code != http.StatusBadGateway || w.Header().Get("Connection") != "close" {
-		t.Errorf("got %d with headers %v, want 502 with Connection: close", w.Code, w.Header())
+		t.Errorf("request with a canceled context: got %d with headers %v, want 502 with Connection: close", w.Code, w.Header())
 	}
 }
 
-// Guards against running out of file descriptors: at the limit of connections, an idle one is closed for a new one.
+// Guards against running out of file descriptors. At the limit of connections, the sidecar closes an idle connection for a
+// new one.
 func TestClientConnectionLimit(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	c := testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready"))
@@ -330,8 +331,8 @@
 	}
 }
 
-// Guards against lost requests at a planned restart: after SIGTERM, requests on new and existing connections are still
-// answered, and those in flight are completed. Then the address is free for the next process.
+// Guards against lost requests at a planned restart. After SIGTERM, requests on new and existing connections are
+// still answered, and requests in flight are completed. Once the process has ended, the next process can use the address.
 func TestStopFinishesWhatWasTaken(t *testing.T) {
 	release := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
@@ -364,7 +365,7 @@
 	}
 	<-r.ended
 	if r.err != nil {
-		t.Errorf("the process ended with %v", r.err)
+		t.Errorf("the process ended with error %v, want none", r.err)
 	}
 	restarted := start(t, testutil.Config(t, d.Address, testutil.Entry("s", s.Address, "Ready")), r.address)
 	if resp, _ := restarted.do(t, testutil.Request(t, r.address, "search", "")); resp.StatusCode != 200 {
@@ -372,8 +373,8 @@
 	}
 }
 
-// Guards against requests that get no answer because SIGKILL ends the process: those that cannot be completed in time
-// are answered with a failure before the process is killed.
+// Guards against requests that get no answer because SIGKILL ends the process. Requests that cannot be completed in time
+// are answered with 502 before that.
 func TestStopFailsWhatCannotBeFinished(t *testing.T) {
 	s := testutil.Raw(t, fakes.Silent)
 	r := start(t, testutil.Config(t, testutil.Quiet(t).Address, testutil.Entry("s", s.Address, "Ready")), "127.0.0.1:0")
@@ -385,6 +386,6 @@
 	}
 	<-r.ended
 	if r.err != nil {
-		t.Errorf("the process ended with %v", r.err)
+		t.Errorf("the process ended with error %v, want none", r.err)
 	}
 }
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -30,30 +30,30 @@
 type service struct {
 	plan         config.ServicePlan
 	shared       *sharedResources
-	name         string // of its shares of the limits; a service that replaces another has the same name
+	name         string // name of its shares of the limits; a service that replaces another service has the same name
 	engine       *engine.Engine
 	pool         *upstream.Pool
 	registry     *endpoints.Registry
 	registrySink *discovery.RegistrySink
-	subsetSink   *discovery.SubsetSink // passes its subset on to registrySink; nil: all upstreams are used
+	subsetSink   *discovery.SubsetSink // passes a subset of the list on to registrySink; nil if all upstreams are used
 	requestCount atomic.Int64          // number of requests so far
-	loadProbing  *loadProbing          // nil: no upstream is probed
-	credentials  *tlscredentials.Store // nil: connections are not encrypted
+	loadProbing  *loadProbing          // nil if no upstream is probed
+	credentials  *tlscredentials.Store // nil if connections are not encrypted
 	executor     atomic.Pointer[executor.Executor]
-	admission    atomic.Pointer[controller.Controller] // nil: requests are not queued
+	admission    atomic.Pointer[controller.Controller] // nil if requests are not queued
 
 	stop    context.CancelFunc // ends the goroutines that startBackground starts
 	running sync.WaitGroup
 
 	mu            sync.Mutex // guards source, refreshWanted, stopSource and sourceDone
 	source        discovery.Source
-	refreshWanted bool // the engine has requested the list before there was a source
+	refreshWanted bool // the engine has requested the list before the service had a source
 	stopSource    context.CancelFunc
 	sourceDone    chan struct{}
 
 	inFlight atomic.Int64
 	retired  atomic.Bool
-	released chan struct{} // receives when inFlight may have become 0 after retired
+	released chan struct{} // receives a value when the last request in flight of a retired service may have ended
 }
 
 // Names of the streams of random numbers that are derived from the process's seed. Each is followed by the service's name.
@@ -64,7 +64,8 @@
 	listStream      = "list/"
 )
 
-// startService starts a service whose shares have been set. last is the last list of an earlier service; nil: there is none.
+// startService starts a service whose shares of the limits have been set. last is the last list of an earlier service, or nil if there is
+// no such list.
 func startService(plan config.ServicePlan, sh *sharedResources, last *endpoints.List) (*service, error) {
 	s := &service{plan: plan, shared: sh, name: plan.Name, released: make(chan struct{}, 1)}
 	log := sh.log
@@ -169,7 +170,8 @@
 	}
 }
 
-// setAdmission applies a plan's options for admission. Changed options keep the queue; without options all waiting requests are admitted.
+// setAdmission applies a plan's options for admission. If options change, the queue stays; if the plan has none, all queued requests are
+// admitted.
 func (s *service) setAdmission(plan config.ServicePlan) error {
 	current := s.admission.Load()
 	if plan.Admission == nil {
@@ -180,7 +182,7 @@
 		return nil
 	}
 	options := *plan.Admission
-	// The queue has to reject before the bulkhead, which does not distinguish tenants.
+	// The queue has to reach its limit before the bulkhead reaches its own, since the bulkhead does not distinguish tenants.
 	requests := max(1, (s.shared.connections-s.shared.connections/idleConnectionFraction)/2)
 	options.MaxQueued, options.MaxLimit = min(options.MaxQueued, requests), min(options.MaxLimit, requests)
 	options.MinLimit = min(options.MinLimit, options.MaxLimit)
--- a/internal/daemon/service_source.go
+++ b/internal/daemon/service_source.go
@@ -17,14 +17,14 @@
 	"orchiddrift/internal/filewatch"
 )
 
-// ownList is the name of a service's own list in a merged source.
+// ownList is the name of a service's own list, as opposed to those of its registries, in a merged source.
 const ownList = "list"
 
 // errNewServiceNeeded says that a running service cannot change to another kind of list.
 var errNewServiceNeeded = errors.New("a change to another kind of endpoint list needs a new service")
 
-// openSource opens the source of a plan's endpoint list, and returns the first list. A nil source says that the plan contains the complete
-// list. If the plan has registries, the source merges their lists with the service's own.
+// openSource opens the source of a plan's endpoint list, and returns the first list. It returns a nil source if the plan itself contains
+// the complete list. If the plan has registries, the source merges their lists with the service's own list.
 func (s *service) openSource(plan config.ServicePlan, last *endpoints.List, log *slog.Logger) (*endpoints.List, discovery.Source, error) {
 	list, own, err := s.openOwnSource(plan, last, log)
 	if err != nil || len(plan.Registries) == 0 {
@@ -52,7 +52,7 @@
 	return eureka.New(r, plan.Settings.ConnectTimeout, s.shared.seed^xxhash.Sum64String(r.Name), log)
 }
 
-// openOwnSource is openSource for the service's own list, without those of registries.
+// openOwnSource is openSource for the service's own list, without the lists of registries.
 func (s *service) openOwnSource(plan config.ServicePlan, last *endpoints.List, log *slog.Logger) (*endpoints.List, discovery.Source, error) {
 	switch {
 	case plan.Discovery != "":
@@ -74,7 +74,7 @@
 	return plan.InitialEndpoints, nil, nil
 }
 
-// follow replaces the source that the service follows; nil: it follows none.
+// follow replaces the source that the service follows. If source is nil, the service follows no source.
 func (s *service) follow(source discovery.Source) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,7 @@
 	if source == nil {
 		return
 	}
-	if s.refreshWanted { // a new engine requests the list before there is a source
+	if s.refreshWanted { // a new engine requests the list before its service has a source
 		s.refreshWanted = false
 		source.Refresh()
 	}
@@ -108,7 +108,7 @@
 	return s.registrySink
 }
 
-// watcher returns the watcher of the service's list at discovery; nil: the list does not come from discovery.
+// watcher returns the watcher of the service's list at discovery. It returns nil if the list does not come from discovery.
 func (s *service) watcher() *discovery.Watcher {
 	s.mu.Lock()
 	source := s.source
@@ -120,7 +120,7 @@
 	return watcher
 }
 
-// requestRefresh requests the list from the source. The engine calls it, so it must not block; follow may hold the lock for a moment.
+// requestRefresh requests the list from the source. It must not block, since the engine calls it, and follow may hold s.mu for a moment.
 func (s *service) requestRefresh() {
 	go func() {
 		s.mu.Lock()
@@ -140,8 +140,8 @@
 	return s.registrySink.Last()
 }
 
-// prepareSourceChange prepares the service to follow the list of another plan; the returned function makes the change and cannot fail. It is
-// nil if the lists are the same. The error is errNewServiceNeeded if the list is of another kind.
+// prepareSourceChange prepares the service to follow the list of another plan. The returned function makes the change and cannot fail; it
+// is nil if the list stays the same. The error is errNewServiceNeeded if the new list is of another kind.
 func (s *service) prepareSourceChange(plan config.ServicePlan) (change func(), err error) {
 	before := &s.plan
 	sameOwn := sameOwnList(before, &plan)
@@ -164,7 +164,7 @@
 		return nil, errNewServiceNeeded
 	}
 	var last *endpoints.List
-	if plan.Discovery != "" { // registries are added to the list of discovery
+	if plan.Discovery != "" { // the plan adds registries to the list of discovery
 		last = s.lastList()
 	}
 	list, source, err := s.openSource(plan, last, s.shared.log)
@@ -194,7 +194,8 @@
 	return plan.Discovery != "" || plan.ListFile != "" || plan.InitialEndpoints != nil
 }
 
-// mergedSourceChange collects the steps that change a merged source. Removals come last, so that no upstream is missing in between.
+// mergedSourceChange collects the steps that change a merged source. Removals come last, so that no upstream that stays listed is missing
+// in between.
 type mergedSourceChange struct {
 	service  *service
 	merged   *discovery.MergedSource
@@ -203,7 +204,8 @@
 	removals []func()
 }
 
-// prepareMergedSourceChange is prepareSourceChange for a merged source that stays in use, even if only the list of discovery remains in it.
+// prepareMergedSourceChange is prepareSourceChange for a merged source. The source stays in use even if only the list of discovery remains
+// in it.
 func (s *service) prepareMergedSourceChange(merged *discovery.MergedSource, plan config.ServicePlan, sameOwn bool) (func(), error) {
 	m := &mergedSourceChange{service: s, merged: merged, plan: plan}
 	m.steps = append(m.steps, func() { merged.Configure(plan.Membership) })
@@ -259,7 +261,7 @@
 	return nil
 }
 
-// changeRegistries replaces, adds and removes registries. It leaves unchanged ones alone.
+// changeRegistries replaces, adds and removes registries. It leaves registries alone that do not change.
 func (m *mergedSourceChange) changeRegistries() error {
 	before := m.service.plan.Registries
 	for _, r := range before {
@@ -288,7 +290,7 @@
 	return slices.ContainsFunc(registries, func(r eureka.Declaration) bool { return r.Name == name })
 }
 
-// sameRegistry reports whether a registry is followed in the same way. How the process registers itself does not matter.
+// sameRegistry reports whether two declarations follow a registry in the same way. They may differ in how the process registers itself.
 func sameRegistry(a, b eureka.Declaration) bool {
 	a.Register, b.Register = eureka.Register{}, eureka.Register{}
 	return reflect.DeepEqual(a, b)
--- a/internal/daemon/shutdown_test.go
+++ b/internal/daemon/shutdown_test.go
@@ -18,7 +18,7 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// pausingAcceptListener can pause between the system's accept of a connection and the return to the server.
+// pausingAcceptListener can pause after the operating system has accepted a connection and before the server gets the connection.
 type pausingAcceptListener struct {
 	*net.TCPListener
 	pauseNext atomic.Bool
@@ -35,8 +35,8 @@
 	return c, err
 }
 
-// Guards against a connection that is lost because the shutdown finishes between its accept and its first read, when no other connection
-// is open, and against one that is lost because it waits in the accept queue when the listener closes.
+// Guards against a connection that is lost because the shutdown finishes after the connection was accepted and before its first read, when
+// no other connection is open. Also guards against a connection that is lost because it waits in the accept queue when the listener closes.
 func TestAcceptedAsTheListenerCloses(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("complete")))
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,7 +63,7 @@
 		t.Fatalf("read from an idle connection during the shutdown: got %v, want EOF", err)
 	}
 	idle.Close()
-	// The listener is closed 0.15 s later. The test cannot observe that, so it waits for longer.
+	// The listener is closed 0.15 s later. The test cannot observe that moment, so it waits longer than that.
 	select {
 	case <-r.ended:
 	case <-time.After(500 * time.Millisecond):
@@ -78,7 +78,7 @@
 	<-r.ended
 }
 
-// Guards against services that are never closed because a reload starts them while the process ends.
+// Guards against services that are never closed because a reload starts them after the process has closed its services.
 func TestReloadAsItEnds(t *testing.T) {
 	address := newPaymentUpstream(t).address
 	r := startFile(t, services(map[string]string{"a": address}, "/ -> a"))
@@ -86,14 +86,15 @@
 	<-r.ended
 	before := r.d.routing.Load()
 	if err := r.reload(t, services(map[string]string{"a": address, "b": address}, "/ -> b")); err == nil || !strings.Contains(err.Error(), "ending") {
-		t.Errorf("reload of a process that has ended: got error %v, want one that says that it is ending", err)
+		t.Errorf("reload of a process that has ended: got error %v, want an error with the text \"ending\"", err)
 	}
 	if r.d.routing.Load() != before {
 		t.Error("the reload of a process that has ended replaced its services")
 	}
 }
 
-// Guards against a request that is forwarded after the unanswered requests were aborted at the end of the grace period: SIGKILL may follow.
+// Guards against a request that is forwarded after the unanswered requests were aborted at the end of the grace period: SIGKILL may end the
+// process before the answer arrives.
 func TestNothingIsSentAfterTheEnd(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	c := testutil.Config(t, "127.0.0.1:1", testutil.Entry("s", s.Address, "Ready"))
@@ -122,8 +123,8 @@
 	}
 }
 
-// Guards against requests that are lost when a process is stopped before it has received an endpoint list: a list that arrives is used, and
-// without one the requests are answered before SIGKILL.
+// Guards against requests that are lost when a process is stopped before it has received an endpoint list. If a list arrives during the
+// grace period, the requests are served. Otherwise they are answered with an error at the end of the grace period.
 func TestStopBeforeTheFirstList(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("complete")))
 	for _, listArrives := range []bool{true, false} {
@@ -141,7 +142,7 @@
 		case err != nil:
 			t.Errorf("endpoint list arrives: %v; reading the answer failed: %v", listArrives, err)
 		case listArrives && (resp.StatusCode != 200 || body != "complete"), !listArrives && resp.StatusCode < 500:
-			t.Errorf("endpoint list arrives: %v; got %s %q, want 200 and body complete with a list, an error without", listArrives, resp.Status, body)
+			t.Errorf("endpoint list arrives: %v; got %s %q, want 200 and body complete with a list, an error status without", listArrives, resp.Status, body)
 		}
 		c.Close()
 		<-r.ended
@@ -151,8 +152,8 @@
 	}
 }
 
-// Guards against requests that are executed but not answered when clients send on every connection until it is closed: the last request
-// of each client is answered, or was never forwarded.
+// Guards against requests that are executed but not answered when clients send requests on each connection until the connection is closed.
+// The last request of each client must be answered, or never have been forwarded.
 func TestClientsThatSendUntilTheirConnectionEnds(t *testing.T) {
 	var executed sync.Map
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
@@ -182,13 +183,13 @@
 					return
 				}
 				if resp.StatusCode != 200 || body != id {
-					t.Errorf("got %s, body %q; want 200 and the request's ID", resp.Status, body)
+					t.Errorf("request during the shutdown: got %s, body %q; want 200 and the request's ID as body", resp.Status, body)
 				}
 				served.Add(1)
 				if resp.Close {
 					return
 				}
-				// Each client pauses for a different time, so that connections are closed at every stage of a request.
+				// Each client pauses for a different time, so that the shutdown meets connections at every stage of a request.
 				time.Sleep(time.Duration(n*n) * time.Millisecond)
 			}
 		})
@@ -199,8 +200,8 @@
 	<-r.ended
 }
 
-// Guards against idle clients that use up the file descriptors while discovery is down: the sidecar still reaches the next list and the
-// upstreams, and serves the operators' address. The connections that were idle longest are closed, only one for each new one.
+// Guards against idle clients that use up the file descriptors while discovery is down. The sidecar must still receive the next list,
+// connect to upstreams, and serve the operators' address. At the limit it closes at most one idle connection for each new connection.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("complete")))
 	d := fakes.NewDiscovery()
--- a/internal/daemon/sites_test.go
+++ b/internal/daemon/sites_test.go
@@ -130,8 +130,8 @@
 	return text
 }
 
-// Guards against code that works for one deployment only. A daemon starts with the settings of each site and few file descriptors. Whether
-// and how often a request is retried, its deadline and the Retry-After of a rejection follow the settings of its class.
+// Guards against code that works for one deployment only. For each site, a daemon starts with the site's settings and few file descriptors.
+// Whether and how often a request is retried, its deadline and the Retry-After of a rejection follow the settings of its class.
 func TestEachDeploymentsSettingsCount(t *testing.T) {
 	for file, s := range sites(t) {
 		t.Run(file, func(t *testing.T) {
@@ -174,15 +174,17 @@
 				got := upstream.Requests()[len(upstream.Requests())-1].Header.Get("X-Timeout")
 				var us int64
 				if _, err := fmt.Sscanf(got, "%du", &us); err != nil || float64(us) > class.Deadline*1000 || float64(us) < class.Deadline*1000/2 {
-					t.Errorf("class %s: the upstream got X-Timeout %s for a deadline of %v ms", class.Name, got, class.Deadline)
+					t.Errorf("class %s: the upstream got X-Timeout %s for a deadline of %v ms, want a value in us from half of the deadline up to the deadline", class.Name, got, class.Deadline)
 				}
 				resp, n := request(class.Name, class.Effect, "not processed")
 				if resp.StatusCode != 503 || n < 1 || n > s.Allow.MaxAttempts || (resp.Header.Get("Retry-After") != "") != s.Allow.RetryAfter {
-					t.Errorf("class %s, rejected by the upstream: got %s with Retry-After %q after %d attempts", class.Name, resp.Status, resp.Header.Get("Retry-After"), n)
+					t.Errorf("class %s, rejected by the upstream: got %s with Retry-After %q after %d attempts, want 503, and Retry-After and attempts as the site allows",
+						class.Name, resp.Status, resp.Header.Get("Retry-After"), n)
 				}
 				if resp, n := request(class.Name, class.Effect, "break"); class.Effect == "unsafe" && (n != 1 || resp.StatusCode != http.StatusBadGateway) ||
 					n > s.Allow.MaxAttempts {
-					t.Errorf("class %s, connection broken by the upstream: got %s after %d attempts", class.Name, resp.Status, n)
+					t.Errorf("class %s, connection broken by the upstream: got %s after %d attempts, want 502 after 1 for an unsafe class, else attempts as the site allows",
+						class.Name, resp.Status, n)
 				}
 			}
 			if resp, n := request("search", "safe", ""); resp.StatusCode != http.StatusNotFound || n != 0 { // a class of another deployment
@@ -192,7 +194,8 @@
 	}
 }
 
-// Guards against unusable settings that are noticed only under traffic: each is an error of one line when the configuration is parsed.
+// Guards against invalid settings that are noticed only under traffic. Each invalid setting must cause an error of one line when the
+// configuration is parsed.
 func TestABadSettingOfADeploymentIsOneLine(t *testing.T) {
 	for file, s := range sites(t) {
 		for name, breakSettings := range map[string]func(o map[string]any){
@@ -210,14 +213,14 @@
 			breakSettings(o)
 			_, err := config.Parse(s.config(t, o, "127.0.0.1:1", 96))
 			if err == nil || strings.ContainsAny(err.Error(), "\r\n") {
-				t.Errorf("%s with an invalid %s: got %v, want an error of one line", file, name, err)
+				t.Errorf("configuration of %s with an invalid %s: got error %v, want an error of one line", file, name, err)
 			}
 		}
 	}
 }
 
-// Guards against classes, tenants, zones or machine types of a deployment that are hard-coded in the program or in deploy/balancer.toml: all
-// of them must come from the settings.
+// Guards against names of a deployment's classes, tenants, zones or machine types that are hard-coded in the program or in
+// deploy/balancer.toml. All of these names must come from the settings.
 func TestNoDeploymentStandsInTheProgram(t *testing.T) {
 	siteOfName := map[string]string{}
 	for file, s := range sites(t) {
--- a/internal/daemon/subset_test.go
+++ b/internal/daemon/subset_test.go
@@ -17,12 +17,12 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Guards against upstreams that are in no sidecar's subset, requests to upstreams outside of a sidecar's subset, and list
-// changes that do not reach the subsets, with four daemons and forty upstreams.
+// Guards against upstreams that are in no sidecar's subset, against requests to upstreams outside of a sidecar's subset, and
+// against list changes that do not reach the subsets. The test runs four daemons and forty upstreams.
 func TestSubsetsOfFourDaemons(t *testing.T) {
 	const sidecars, nodes = 4, 40
 	var mu sync.Mutex
-	sendersOf := map[string]map[string]bool{} // by upstream: the sidecars that sent requests to it
+	sendersOf := map[string]map[string]bool{} // by upstream: the sidecars that sent requests to the upstream
 	addresses := make([]string, nodes)
 	for i := range nodes {
 		addresses[i] = base.HTTP(t, nil, func(w http.ResponseWriter, r *http.Request) {
@@ -81,7 +81,7 @@
 	}
 	mu.Unlock()
 	if len(knownBy) != nodes || slices.Max(slices.Collect(maps.Values(knownBy))) > 1 {
-		t.Errorf("%d upstreams are in a subset, want all 40, each in one; number of subsets by upstream: %v", len(knownBy), knownBy)
+		t.Errorf("%d upstreams are in a subset, want all 40 upstreams, each in one subset; number of subsets by upstream: %v", len(knownBy), knownBy)
 	}
 	before := subsetOf(rigs[0])
 	base.Replace(t, path, list(func(i int) string {
@@ -100,11 +100,12 @@
 		}
 	}
 	if now := subsetOf(rigs[0]); added > 3 || len(now) < 8 {
-		t.Errorf("%d upstreams joined the subset after one drained, want at most 3, and at least 8 in the subset: %v, before %v", added, now, before)
+		t.Errorf("%d upstreams joined the subset after one upstream drained, want at most 3; the subset is %v, want at least 8 upstreams; it was %v", added, now, before)
 	}
 }
 
-// Guards against a subset of the platform's service that is ignored when the operator's file beside the platform's configuration sets it.
+// Guards against a daemon that ignores [platform.subset], with which an operator's file beside the platform's configuration sets the subset
+// of the platform's service.
 func TestSubsetOfThePlatform(t *testing.T) {
 	var known []string
 	for i := range 30 {
@@ -132,14 +133,14 @@
 		body, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if err != nil || !slices.Contains(subset, string(body)) {
-			t.Fatalf("got %s %q, error %v; want an answer from the subset %v", resp.Status, body, err, subset)
+			t.Fatalf("request to the platform's service: got %s %q, error %v; want an answer from the subset %v", resp.Status, body, err, subset)
 		}
 	}
 	http.DefaultClient.CloseIdleConnections()
 }
 
-// Guards against services without warm connections: where the operator's file enables them, also for the platform's service, each
-// upstream has a connection before the first request.
+// Guards against services without warm connections. If the operator's file enables warm connections for a service, or for the platform's
+// service, each upstream has a connection before the first request.
 func TestWarmServices(t *testing.T) {
 	var addresses, known []string
 	var accepted [4]atomic.Int64
--- a/internal/daemon/tls_test.go
+++ b/internal/daemon/tls_test.go
@@ -22,28 +22,29 @@
 	"orchiddrift/internal/upstream"
 )
 
-// tlsRig is a daemon with TLS to clients and to its one upstream. The test may replace the certificate files.
+// tlsRig is a daemon that uses TLS to clients and to its one upstream. The test may replace the certificate files.
 type tlsRig struct {
 	*fileRig
 	ca          *fakes.CA
 	dir         string
 	upstreamTLS atomic.Pointer[tls.Config]
-	handshakes  atomic.Int64 // begun by the upstream
-	delay       atomic.Int64 // of the upstream's answers, in nanoseconds
-	requests    atomic.Int64 // that have reached the upstream
+	handshakes  atomic.Int64 // number of handshakes that have begun at the upstream
+	delay       atomic.Int64 // delay of the upstream's answers in nanoseconds
+	requests    atomic.Int64 // number of requests that have reached the upstream
 }
 
 func (e *tlsRig) write(t testing.TB, name string, text []byte) {
 	base.Replace(t, filepath.Join(e.dir, name), text)
 }
 
-// replaceCertificate replaces a certificate and its key, one after the other.
+// replaceCertificate replaces the files of a certificate and its key, one after the other.
 func (e *tlsRig) replaceCertificate(t testing.TB, name string, of fakes.Issued) {
 	e.write(t, name+".crt", of.Certificate)
 	e.write(t, name+".key", of.Key)
 }
 
-// startTLSRig starts a tlsRig whose upstream must prove identity by its certificate; empty: the host of its address.
+// startTLSRig starts a tlsRig. The upstream's certificate must be valid for the name identity, or for the host of the upstream's
+// address if identity is empty.
 func startTLSRig(t *testing.T, identity string) *tlsRig {
 	t.Helper()
 	e := &tlsRig{ca: base.CA(t, "one"), dir: t.TempDir()}
@@ -100,8 +101,8 @@
 	return resp.StatusCode, string(body[:n])
 }
 
-// Guards against failed requests while certificates are replaced: on both sides every 100 ms, first the certificate, then the
-// key, while clients open new connections.
+// Guards against failed requests while certificates are replaced. The clients' listener and the connections to the upstream get a
+// new certificate every 100 ms, first the certificate and then its key, while clients open new connections.
 func TestCertificatesReplacedUnderLoad(t *testing.T) {
 	e := startTLSRig(t, "node7.example")
 	stop := make(chan struct{})
@@ -147,7 +148,7 @@
 }
 
 // Guards against requests to an upstream with the wrong identity, and against failed handshakes that do not count as connections
-// that were never established: nothing was executed, so that an unsafe request is rejected as not processed.
+// that were never established. Nothing was sent on such a connection, so that even an unsafe request gets 503.
 func TestWrongNodeGetsNothing(t *testing.T) {
 	e := startTLSRig(t, "node8.example") // node7 took over the address
 	resp, err := e.client.Post("https://"+e.address+"/", "text/plain", nil)
@@ -156,12 +157,12 @@
 	}
 	resp.Body.Close()
 	if resp.StatusCode != http.StatusServiceUnavailable || e.handshakes.Load() == 0 {
-		t.Errorf("got %s after %d handshakes, want 503 after at least one", resp.Status, e.handshakes.Load())
+		t.Errorf("request to an upstream with the wrong identity: got %s after %d handshakes, want 503 after at least one", resp.Status, e.handshakes.Load())
 	}
 }
 
-// Guards against connections that outlive the certificate authority by which they were verified: they are closed once idle, and
-// requests succeed under the new authority.
+// Guards against connections that stay open after the certificate authority that verified them was withdrawn. Such connections are
+// closed once idle, and requests succeed under the new authority.
 func TestAuthorityRotates(t *testing.T) {
 	e := startTLSRig(t, "")
 	get := func() string {
@@ -194,8 +195,8 @@
 	testutil.Eventually(t, "requests succeed under the new authority", func() bool { return get() == "200 encrypted" })
 }
 
-// Guards against a new handshake after each cancelled attempt: a TLS connection whose answer arrives shortly after the
-// cancellation is reused, any other is closed. The attempt ends at once in both cases.
+// Guards against a new handshake after each cancelled attempt. If the answer arrives shortly after the cancellation, the TLS
+// connection is reused, otherwise it is closed. The attempt ends at once in both cases.
 func TestCalledOffAttemptKeepsItsConnection(t *testing.T) {
 	e := startTLSRig(t, "")
 	s := e.d.routing.Load().services["a"]
@@ -232,7 +233,8 @@
 	}
 }
 
-// Guards against clients' handshakes that stall before any request timeout applies: the connection is closed after head_timeout.
+// Guards against clients' handshakes that stall, to which no timeout of a request applies yet. The connection must be closed after
+// head_timeout.
 func TestClientHandshakeThatStalls(t *testing.T) {
 	e := startTLSRig(t, "")
 	conn, err := net.Dial("tcp", e.address)
@@ -245,7 +247,7 @@
 	begun := time.Now()
 	_, err = conn.Read(make([]byte, 1))
 	if took := time.Since(begun); err == nil || took > testutil.Timeout/2 {
-		t.Errorf("read from a connection whose handshake stalls: got error %v after %v, want one within half of the test timeout", err, took)
+		t.Errorf("read from a connection whose handshake stalls: got error %v after %v, want an error within half of the test timeout", err, took)
 	}
 	if status, body := e.get("/"); status != 200 || body != "encrypted" {
 		t.Errorf("request beside the stalled handshake: got %d %q, want 200 encrypted", status, body)
@@ -253,7 +255,7 @@
 }
 
 // Guards against chunked bodies that are rejected because they arrive over TLS, and against request smuggling over TLS by two
-// conflicting framings. A client that does not use TLS gets status 400.
+// conflicting framings of a body. A client that does not use TLS gets status 400.
 func TestFramingBehindTLS(t *testing.T) {
 	e := startTLSRig(t, "node7.example")
 	resp, err := e.client.Post("https://"+e.address+"/", "", io.LimitReader(zeros{}, 300<<10)) // chunked, since its length is not known
@@ -278,7 +280,7 @@
 		_, _ = io.WriteString(conn, "POST / HTTP/1.1\r\nHost: s\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != c.want {
-			t.Errorf("%s: got %+v, error %v, want another status", name, resp, err)
+			t.Errorf("%s: did not get the expected status: response %+v, error %v", name, resp, err)
 		}
 		conn.Close()
 	}
--- a/internal/daemon/transport.go
+++ b/internal/daemon/transport.go
@@ -17,11 +17,11 @@
 	pool    *upstream.Pool
 	request *upstream.Request
 	engine  *engine.Engine // set if the request has an Upload
-	started atomic.Int32   // attempts that may have sent something, those in flight included
+	started atomic.Int32   // number of attempts that may have sent something, including attempts in flight
 
 	mu        sync.Mutex
-	released  bool                // the request has its answer
-	responses []upstream.Response // of its attempts, freed by release
+	released  bool                // the request has been answered
+	responses []upstream.Response // the attempts' responses, which release frees
 }
 
 // RoundTrip implements engine.Transport.
@@ -38,8 +38,8 @@
 		BodyConsumed: response.BodyConsumed}
 }
 
-// attempt sends the request once. It counts itself in started before it can send anything, and only takes that back if it has sent nothing:
-// a count of 0 with another attempt in flight would make a request that may have been sent look like one that was not.
+// attempt sends the request once. It increments started before it can send anything, and decrements it only if nothing was sent: if started
+// were 0 while an attempt is in flight, a request that may have been sent would be taken for one of which nothing was sent.
 func (t *transport) attempt(ctx context.Context, a engine.Attempt) upstream.Response {
 	t.started.Add(1)
 	options := upstream.AttemptOptions{Deadline: a.Deadline, SendBy: a.SendBy, Caller: a.Caller, Cancel: a.Cancel}
