--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -23,7 +23,8 @@
 	readyPollInterval = 20 * time.Millisecond
 	// establishedTimeout is how long a successor waits until its predecessor acknowledges that the successor serves.
 	establishedTimeout = 500 * time.Millisecond
-	// minConnections to clients, and as many to upstreams, may be open in a process with a successor, whatever the limits leave.
+	// minConnections is how many connections to clients, and how many to upstreams, a process with a successor may have open even if the
+	// limits leave fewer.
 	minConnections = 4
 	// descriptorReportInterval is how often a predecessor reports how many descriptors it holds.
 	descriptorReportInterval = 100 * time.Millisecond
@@ -37,12 +38,12 @@
 	identity handover.Identity
 
 	mu             sync.Mutex
-	predecessor    *handover.Link // nil: none is running
-	successor      *handover.Link
-	successorReady bool // the successor serves
+	predecessor    *handover.Link // nil if no predecessor is running
+	successor      *handover.Link // nil if no successor is running
+	successorReady bool           // the successor serves
 	offer          *handover.Offer
 
-	established atomic.Bool // the predecessor knows that this process serves, or there is none: the predecessor may be stopped
+	established atomic.Bool // the predecessor knows that this process serves, so that it may be stopped, or there is no predecessor
 }
 
 // receivedHandover is what a process received from its predecessor.
@@ -51,10 +52,10 @@
 	link  *handover.Link
 }
 
-// takeOver requests the listening socket and the state of a running process of this sidecar. If there is none it returns nil, nil, nil, and
-// the caller opens the address itself.
+// takeOver requests the listening socket and the state of a running process of this sidecar. If no such process runs, it returns nil, nil,
+// nil, and the caller opens the address itself.
 func takeOver(p *config.Plan, folder string) (net.Listener, *receivedHandover, error) {
-	if p.Control == "" { // without this address, operators cannot tell when this process serves
+	if p.Control == "" { // without a control address, operators cannot find out when this process serves
 		return nil, nil, nil
 	}
 	identity := handover.Identity{Name: p.Name, Listen: p.Listen}
@@ -68,7 +69,7 @@
 	if listener.Addr().String() != p.Listen && !config.AnyPort(p.Listen) {
 		return nil, nil, errors.Join(errOtherAddress, listener.Close(), link.Close())
 	}
-	_ = acceptor.AllowConnects(listener) // on a system without support for this, the predecessor has not rejected any
+	_ = acceptor.AllowConnects(listener) // if the system does not support this, the predecessor has not rejected connections either
 	for i := range p.Services {
 		useHandedOverList(&p.Services[i], state.Services[p.Services[i].Name])
 	}
@@ -89,7 +90,7 @@
 	return b == nil || b.Index == nil || *a.Index >= *b.Index
 }
 
-// restore gives the engines the snapshots of the predecessor's engines, and drains if the predecessor does.
+// restore gives the engines the snapshots of the predecessor's engines, and starts a drain if the predecessor is draining.
 func (d *daemon) restore(received *receivedHandover) {
 	for name, s := range d.routing.Load().services {
 		if handedOver := received.state.Services[name]; handedOver.Snapshot != nil {
@@ -103,7 +104,7 @@
 
 // handoverState returns the state that a successor receives with the clients' socket.
 func (d *daemon) handoverState() handover.State {
-	d.lifecycle.connections.SetShared(true) // before the successor has the socket
+	d.lifecycle.connections.SetShared(true) // has to be set before the successor has the socket
 	state := handover.State{Identity: d.upgrade.identity, Draining: d.lifecycle.state() == lifecycle.Draining,
 		Descriptors: d.descriptorsHeld(), Services: map[string]handover.Service{}}
 	for name, s := range d.routing.Load().services {
@@ -230,7 +231,8 @@
 	u.predecessor = link
 }
 
-// markReady records that a successor serves, and reports whether it is the current one and this is its first such message.
+// markReady records that a successor serves. It returns true if link leads to the current successor and this is the successor's first Ready
+// message.
 func (u *upgrade) markReady(link *handover.Link) (first bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -272,7 +274,7 @@
 	d.forgetPeer(link)
 }
 
-// forgetPeer records that the other process has ended. A process that is alone uses all of the limits, and accepts connections.
+// forgetPeer records that the other process has ended. If this process is then alone, it uses the complete limits and accepts connections.
 func (d *daemon) forgetPeer(link *handover.Link) {
 	u := d.upgrade
 	u.mu.Lock()
@@ -295,7 +297,7 @@
 	}
 }
 
-// unshareIfAlone records, after a hand-over that failed, that the clients' socket is not shared unless another process has it.
+// unshareIfAlone records after a failed hand-over that the clients' socket is not shared, unless another process has it.
 func (d *daemon) unshareIfAlone() {
 	u := d.upgrade
 	u.mu.Lock()
@@ -312,7 +314,7 @@
 	u.mu.Unlock()
 	for _, link := range links {
 		if link != nil {
-			_ = link.Send(message) // a process that has ended needs no message
+			_ = link.Send(message) // on an error the other process has ended, and needs no message
 		}
 	}
 }
@@ -331,7 +333,7 @@
 	LimitMemory(&config.Plan{Limits: limits})
 }
 
-// limitConnections limits a successor's connections to what the limit on sockets leaves besides the descriptors that its predecessor holds.
+// limitConnections limits a successor's connections to the part of the limit on sockets that its predecessor's descriptors do not use.
 func (d *daemon) limitConnections(predecessorDescriptors int) {
 	limits := d.limits
 	limits.Sockets -= predecessorDescriptors
@@ -339,14 +341,14 @@
 	d.resize(connections, connections)
 }
 
-// descriptorsHeld returns how many descriptors the process holds, including those that it may open at any time.
+// descriptorsHeld returns how many file descriptors the process holds, including descriptors that it may open at any time.
 func (d *daemon) descriptorsHeld() int {
 	clients := max(minConnections, d.lifecycle.connections.Count())
 	upstreams := max(minConnections, int(d.shared.connectionSlots.Total()))
 	return reservedDescriptors + clients + upstreams
 }
 
-// reportDescriptors reports to a successor how many descriptors this process holds, as it closes them, until the link ends.
+// reportDescriptors repeatedly reports to a successor how many descriptors this process still holds, until the link ends.
 func (d *daemon) reportDescriptors(link *handover.Link) {
 	ticker := time.NewTicker(descriptorReportInterval)
 	defer ticker.Stop()
@@ -358,8 +360,8 @@
 	}
 }
 
-// freezeUpstreamConnections limits the upstream connections of a process with a successor to those that are open. It returns false if the
-// successor has ended: this process then uses all of the limits again.
+// freezeUpstreamConnections limits the upstream connections of a process with a successor to the number that is open now. It returns false
+// if no successor serves any more, so that this process uses the complete limits again.
 func (d *daemon) freezeUpstreamConnections() bool {
 	d.upgrade.mu.Lock()
 	defer d.upgrade.mu.Unlock()
@@ -373,8 +375,8 @@
 // resize sets how many connections to clients and upstreams may be open.
 func (d *daemon) resize(clients, upstreams int) {
 	d.lifecycle.connections.Resize(clients)
-	if err := d.shared.connectionSlots.Resize(int64(upstreams)); err != nil { // fewer than there are services: nothing changes
-		d.log.Warn("hand-over: the limit of connections to upstreams stays", "reason", err)
+	if err := d.shared.connectionSlots.Resize(int64(upstreams)); err != nil { // the limit is smaller than the number of services
+		d.log.Warn("hand-over: changing the limit of connections to upstreams failed; the old limit stays", "reason", err)
 	}
 }
 
