--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -10,13 +10,16 @@
 
 // AttemptOptions bound one attempt.
 type AttemptOptions struct {
-	// Deadline is passed to the upstream as the time that is left; zero: no deadline is passed.
+	// Deadline is passed to the upstream as the time that is left. If it is zero, no deadline is passed.
 	Deadline time.Time
-	// SendBy is the time before which the last byte has to be written; a later attempt is not sent. Zero: there is no limit.
+	// SendBy is the time by which the last byte must be written; an attempt that cannot meet it is not sent. If it is zero, there is no
+	// limit.
 	SendBy time.Time
-	// Caller ends once nobody waits for the response: an attempt that has not begun by then is not sent. nil: the caller never leaves.
+	// Caller ends once nobody waits for the response; an attempt that has not begun by then is not sent. If it is nil, the caller never
+	// leaves.
 	Caller context.Context
-	// Cancel ends an attempt that has begun and whose caller is gone, if another request waits for a connection; nil: the attempt runs on.
+	// Cancel cancels an attempt that has begun if its caller is gone and another request waits for a connection. If it is nil, the attempt
+	// runs on.
 	Cancel context.CancelCauseFunc
 
 	ended bool // the attempt has ended; guarded by Pool.mu
@@ -28,13 +31,13 @@
 // pastSendBy reports whether the last byte can no longer be written in time.
 func (o *AttemptOptions) pastSendBy() bool { return !o.SendBy.IsZero() && !time.Now().Before(o.SendBy) }
 
-// Attempt sends a request to an upstream once and blocks until the attempt has ended; the end of ctx ends it. deadline is passed to the
-// upstream; zero: no deadline is passed.
+// Attempt sends a request to an upstream once and blocks until the attempt has ended; ending ctx cancels the attempt. deadline is
+// passed to the upstream, unless it is zero.
 func (p *Pool) Attempt(ctx context.Context, name string, r *Request, deadline time.Time) Response {
 	return p.AttemptWithOptions(ctx, name, r, AttemptOptions{Deadline: deadline})
 }
 
-// AttemptWithOptions is Attempt with the bounds that options set. It blocks until the attempt has ended.
+// AttemptWithOptions does the same as Attempt, within the bounds that options set.
 func (p *Pool) AttemptWithOptions(ctx context.Context, name string, r *Request, options AttemptOptions) Response {
 	instance, ok := p.registry.Instance(name)
 	if !ok {
@@ -57,18 +60,18 @@
 		case connectionOwned:
 		}
 		if reused && response.Result == balancer.ConnectFailed && !response.BodyConsumed {
-			continue // the upstream closed an idle connection as the request was written, which says nothing about the upstream
+			continue // the upstream closed an idle connection as the request was written, which is not a failure of the upstream
 		}
 		return response
 	}
 }
 
-// connectionFailure is the result of an attempt that got no connection: nothing was sent.
+// connectionFailure returns the result of an attempt that got no connection, and so sent nothing.
 func connectionFailure(ctx context.Context, options *AttemptOptions, err error) balancer.Result {
 	switch {
 	case options.callerGone():
 		return balancer.NotSent
-	case errors.Is(err, errSaturated): // says nothing about the upstream
+	case errors.Is(err, errSaturated): // a lack of local resources is not a failure of the upstream
 		return balancer.NotSent
 	case ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		return balancer.Cancelled
--- a/internal/upstream/body_pump.go
+++ b/internal/upstream/body_pump.go
@@ -65,8 +65,8 @@
 	return true
 }
 
-// next waits for a piece until stop is closed. The piece belongs to the caller until its next call. next is called by one goroutine at a
-// time. again says that the caller has consumed the previous piece.
+// next waits for a piece of the body, and returns errUploadStopped if stop is closed first. The caller may use the piece until it calls
+// next again. Only one goroutine at a time may call next. again says that the caller has consumed the previous piece.
 func (p *bodyPump) next(from io.Reader, again bool, stop <-chan struct{}) ([]byte, error) {
 	p.startOnce.Do(func() { go p.run(from) })
 	if again {
@@ -91,12 +91,12 @@
 	}
 }
 
-// drain reads and discards the rest, until the body ends or cannot be read.
+// drain reads and discards the rest of the body, until the body ends or a read fails.
 func (p *bodyPump) drain() {
 	p.startOnce.Do(p.skip)
 	for {
 		select {
-		case p.consumed <- struct{}{}: // for a piece that an attempt has received and not confirmed
+		case p.consumed <- struct{}{}: // for a piece that an attempt has received without confirming that it was consumed
 		case <-p.pieces:
 		case <-p.done:
 			return
@@ -104,7 +104,7 @@
 	}
 }
 
-// end ends the pump and returns once no read is in progress; interrupt makes a pending read return.
+// end ends the pump and returns once no read is in progress. It calls interrupt, unless nil, to make a pending read return.
 func (p *bodyPump) end(interrupt func()) {
 	p.startOnce.Do(p.skip)
 	p.endOnce.Do(func() { close(p.ending) })
--- a/internal/upstream/body_pump_test.go
+++ b/internal/upstream/body_pump_test.go
@@ -8,8 +8,9 @@
 	"testing/synctest"
 )
 
-// Guards against lost, repeated or reordered pieces: those that one attempt has not taken go to the next. Guards also against a client that
-// stays blocked in its write, since Drain has to read the rest, and against an End that waits for a silent source.
+// Guards against pieces of a body that are lost, repeated or reordered: the pieces that one attempt has not read go to the next attempt.
+// Guards also against a client that stays blocked in its write because Drain does not read the rest, and against an End that waits for a
+// client that sends nothing.
 func TestPump(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		from, to := io.Pipe()
@@ -54,7 +55,7 @@
 	})
 }
 
-// Guards against attempts that do not get the end of an empty body, and against reads of a body that no attempt has requested.
+// Guards against an attempt that does not see the end of an empty body, and against reading a body that no attempt has requested.
 func TestPumpEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		upload := &Upload{Body: bytes.NewReader(nil), pump: newBodyPump()}
--- a/internal/upstream/caller_test.go
+++ b/internal/upstream/caller_test.go
@@ -49,7 +49,7 @@
 	late.StartAccepting()
 	close(release)
 	if got := <-first; got != balancer.OK {
-		t.Errorf("request that had begun: result %v", got)
+		t.Errorf("request that had begun before the caller left: result %v, want OK", got)
 	}
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -60,7 +60,7 @@
 		t.Errorf("attempt whose caller had left before it began: result %v, want not sent", got)
 	}
 	if got := connecting.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}).Result; got != balancer.OK {
-		t.Errorf("later request: result %v", got)
+		t.Errorf("request after the cancelled ones: result %v, want OK", got)
 	}
 	if n, m := len(s.Requests()), late.RequestCount(); n != 1 || m != 1 {
 		t.Errorf("upstreams received %d and %d requests, want 1 and 1", n, m)
--- a/internal/upstream/cancellation.go
+++ b/internal/upstream/cancellation.go
@@ -8,17 +8,17 @@
 )
 
 // After a cancelled attempt an encrypted connection stays open for a short time so that it can be used again: a new handshake costs both
-// sides more than a short response that nobody waits for. A connection without encryption is closed at once.
+// sides more than reading a short response that nobody waits for. A connection without encryption is closed at once.
 const (
 	cancelledResponseTimeout  = 20 * time.Millisecond // for the response to a cancelled attempt
-	maxCancelledResponseBytes = 64 << 10              // bytes of its body
+	maxCancelledResponseBytes = 64 << 10              // bytes of the body of that response
 )
 
 // expiredDeadline is a deadline in the past: it makes a pending read or write return at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// interruptOnDone interrupts reads of a connection when ctx ends. The returned function ends this watch, and reports whether the
-// connection can still be read.
+// interruptOnDone interrupts reads of a connection when ctx ends. The returned function stops this, and reports whether the connection
+// can still be read.
 func interruptOnDone(ctx context.Context, conn *pooledConn) (detach func() bool) {
 	var interrupted chan struct{} // closed once interruptRead has returned
 	if conn.tlsConn != nil {
--- a/internal/upstream/connect_timeout.go
+++ b/internal/upstream/connect_timeout.go
@@ -8,21 +8,22 @@
 const (
 	// connectTimesKept is the number of recent connects whose durations are kept.
 	connectTimesKept = 64
-	// connectTimesNeeded is the number of recorded connects from which on the timeout is derived from them.
+	// connectTimesNeeded is the minimum number of recorded connects. With fewer, the configured timeout applies.
 	connectTimesNeeded = 8
-	// connectTimeoutFactor times the duration of the slowest recent connect is the timeout of the next one.
+	// connectTimeoutFactor is the ratio of the connect timeout to the duration of the slowest recent connect.
 	connectTimeoutFactor = 10
-	// minConnectTimeout leaves time for short pauses of either machine.
+	// minConnectTimeout is the shortest timeout, so that a short pause of either machine does not fail a connect.
 	minConnectTimeout = 40 * time.Millisecond
 )
 
-// connectTimes derives the connect timeout from the durations of recent connects. A lost SYN is retransmitted after a second (RFC 6298),
-// while a reachable instance answers within a few round trips: waiting longer only delays a request that could go to another instance. A
-// retry there is safe, since nothing can have run on a connection that was never made. It is safe for concurrent use.
+// connectTimes derives the connect timeout from the durations of recent connects. A reachable instance answers within a few round trips,
+// while a lost SYN is retransmitted only after a second (RFC 6298): waiting longer only delays a request that could go to another
+// instance. The request can safely be retried there, since it cannot have run on a connection that was never made. connectTimes is safe
+// for concurrent use.
 type connectTimes struct {
 	mu     sync.Mutex
 	recent [connectTimesKept]time.Duration // ring buffer
-	count  int                             // connects recorded in all
+	count  int                             // connects recorded since the start
 }
 
 // record adds the duration of a connect.
@@ -33,7 +34,7 @@
 	c.count++
 }
 
-// timeout returns how long the next connect may take, at most configured.
+// timeout returns the timeout of the next connect, which is at most configured.
 func (c *connectTimes) timeout(configured time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/connect_timeout_test.go
+++ b/internal/upstream/connect_timeout_test.go
@@ -37,8 +37,9 @@
 	}
 }
 
-// Guards against a request that waits for the whole configured timeout for an upstream that accepts no connections, such as one on a failed
-// machine: the timeout depends on how long connects usually take. The upstream's accept queue is full, so that the kernel drops SYN segments.
+// Guards against a request that waits for the whole configured timeout for an upstream that does not answer connects, as on a failed
+// machine. The timeout has to follow the durations of recent connects. The test fills the upstream's accept queue, so that the kernel drops
+// SYN segments.
 func TestConnectToALostMachine(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -14,8 +14,8 @@
 
 // TLSClient encrypts connections. tlscredentials.Client implements it.
 type TLSClient interface {
-	// Handshake performs the TLS handshake on a new connection to an instance and verifies that the peer is that instance. The end of
-	// ctx ends it.
+	// Handshake performs the TLS handshake on a new connection to an instance and verifies that the peer is that instance. It is cancelled
+	// when ctx ends.
 	Handshake(ctx context.Context, conn net.Conn, instance endpoints.Instance) (*tls.Conn, error)
 	// StillTrusted reports whether a connection that was made earlier would also be accepted now.
 	StillTrusted(conn *tls.Conn, instance endpoints.Instance) bool
@@ -24,11 +24,11 @@
 // pooledConn is one connection to an instance of an upstream. Nothing reads from it between exchanges, so that isIdle can detect unexpected
 // bytes.
 type pooledConn struct {
-	net.Conn                  // requests are written to it: the socket, or tlsConn
-	rawSocket syscall.RawConn // of the socket
-	tlsConn   *tls.Conn       // nil: the connection is not encrypted
-	tlsSocket *countingConn   // the socket below tlsConn
-	name      string          // of the upstream
+	net.Conn                  // carries the requests: the socket, or tlsConn if the connection is encrypted
+	rawSocket syscall.RawConn // gives access to the socket's file descriptor
+	tlsConn   *tls.Conn       // nil if the connection is not encrypted
+	tlsSocket *countingConn   // the socket that tlsConn uses
+	name      string          // name of the upstream
 	instance  endpoints.Instance
 	idleSince time.Time
 	prewarmed bool // opened ahead of use, and has not carried a request yet
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -10,11 +10,11 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// handshakeGrace is how long a TLS connection may still be established after its attempt was cancelled: most of its cost has been paid by
-// then, and later requests can use the connection.
+// handshakeGrace is how long the setup of a TLS connection may go on after its attempt was cancelled. Most of the cost of the setup has
+// been paid by then, and later requests can use the connection.
 const handshakeGrace = 100 * time.Millisecond
 
-// errSaturated says that no connection slot, file descriptor or port became free in time. It says nothing about the upstream.
+// errSaturated reports that no connection slot, file descriptor or port became free in time. This is not a failure of the upstream.
 var errSaturated = errors.New("no connection slot, file descriptor or port became free in time")
 
 // connection returns an idle connection to an upstream, or a new one. It waits for a connection slot until ctx or caller ends; caller may
@@ -67,8 +67,8 @@
 	err  error
 }
 
-// connectTLS is connect for an encrypted connection. If ctx ends first, the dial may go on for handshakeGrace, and its connection goes to
-// the pool.
+// connectTLS does the same as connect for an encrypted connection. If ctx ends first, the setup may go on for handshakeGrace, and the
+// connection then goes to the pool.
 func (p *Pool) connectTLS(ctx context.Context, name string, instance endpoints.Instance) (*pooledConn, error) {
 	detached, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	done := make(chan dialResult, 1)
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -41,7 +41,7 @@
 		dials := failDials(pool, 3, c.call, c.errno)
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 		if response := pool.Attempt(ctx, "s", testRequest("GET", ""), time.Time{}); response.Result != balancer.OK || dials.Load() != 4 {
-			t.Errorf("first three %s calls fail with %v: result %v after %d dials, want 4 dials", c.call, c.errno, response.Result, dials.Load())
+			t.Errorf("first three %s calls fail with %v: result %v after %d dials, want OK after 4 dials", c.call, c.errno, response.Result, dials.Load())
 		}
 		cancel()
 
@@ -55,8 +55,8 @@
 	}
 }
 
-// Guards against failures of the upstream or the network that are treated as failures of this machine: they count as failures of the upstream,
-// and the dial is not repeated.
+// Guards against failures of the upstream or the network that are treated as failures of this machine. Such a failure has to count against
+// the upstream, and the dial must not be repeated.
 func TestConnectsThatFailElsewhere(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("ok")))
 	for _, errno := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ETIMEDOUT,
@@ -64,7 +64,7 @@
 		pool := testPool(t, 8, testutil.Entry("s", s.Address, "Ready"))
 		dials := failDials(pool, 1, "connect", errno)
 		if response := pool.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); response.Result != balancer.ConnectFailed || dials.Load() != 1 {
-			t.Errorf("connect fails with %v: result %v after %d dials, want 1 dial", errno, response.Result, dials.Load())
+			t.Errorf("connect fails with %v: result %v after %d dials, want a failed connect after 1 dial", errno, response.Result, dials.Load())
 		}
 	}
 }
--- a/internal/upstream/eviction.go
+++ b/internal/upstream/eviction.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// evict closes the connection that evictLocked selects, and reports whether there was one. It is called when all slots are in use and a
+// evict closes the connection that evictLocked selects, and reports whether it closed one. It is called when all slots are in use and a
 // request waits for one.
 func (p *Pool) evict() bool {
 	p.mu.Lock()
@@ -13,8 +13,8 @@
 	return p.evictLocked()
 }
 
-// evictLocked closes one connection, in this order of preference: one that was opened ahead and never used, the one that has been idle for
-// longest, or one whose request nobody waits for. p.mu is held.
+// evictLocked closes one connection. In order of preference this is a connection that was opened ahead and never used, the connection that
+// has been idle longest, or a connection whose request nobody waits for. p.mu is held.
 func (p *Pool) evictLocked() bool {
 	var candidate *pooledConn
 	for _, idle := range p.idle {
@@ -43,8 +43,8 @@
 	return a.idleSince.Before(b.idleSince)
 }
 
-// watchCaller makes an attempt a candidate for eviction once its caller is gone. The returned function is called when the attempt has ended,
-// and ends the watch.
+// watchCaller makes an attempt a candidate for eviction once its caller is gone. The returned function ends the watch, and has to be called
+// when the attempt has ended.
 func (p *Pool) watchCaller(attempt *AttemptOptions) (end func()) {
 	stop := context.AfterFunc(attempt.Caller, func() {
 		p.mu.Lock()
@@ -58,7 +58,7 @@
 		}
 	})
 	return func() {
-		if stop() { // the caller has not gone
+		if stop() { // the caller still waits
 			return
 		}
 		p.mu.Lock()
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -21,7 +21,7 @@
 	connectionOwned               // the Response's Remainder or drainCancelled owns the connection
 )
 
-// requestBuffers hold the bytes that one write sends: a request's head and body.
+// requestBuffers holds buffers from which the head and the body of a request are sent in one write.
 var requestBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
 // exchange is one request on one connection. Nothing else reads or writes the connection meanwhile, so that the numbers of bytes written
@@ -33,11 +33,11 @@
 	request *Request
 	options AttemptOptions
 	reader  *responseReader
-	upload  *uploadWriter // nil: the whole request is written before the response is read
-	detach  func() bool   // stops ctx from interrupting reads; false: the connection is closed
+	upload  *uploadWriter // nil if the whole request is written before the response is read
+	detach  func() bool   // stops ctx from interrupting reads; returns false if the connection is closed
 }
 
-// exchange writes a request and reads its response. The second result says what happens to the connection.
+// exchange writes a request and reads its response. after says what happens to the connection.
 func (p *Pool) exchange(ctx context.Context, conn *pooledConn, r *Request, options AttemptOptions) (response Response, after connectionUse) {
 	x := &exchange{pool: p, ctx: ctx, conn: conn, request: r, options: options, detach: interruptOnDone(ctx, conn)}
 	defer func() {
@@ -79,8 +79,8 @@
 	return after
 }
 
-// enter enters the request's Gate after the checks that an attempt has to pass right before its write: since the balancer chose the
-// upstream, the attempt may have waited for its connection. If it may not be written, the second result says what happens to the
+// enter repeats the checks of an attempt right before its write, because the attempt may have waited for its connection since the
+// balancer chose the upstream. If the checks pass, it enters the request's Gate. If mayWrite is false, unwritten says what happens to the
 // connection.
 func (x *exchange) enter() (mayWrite bool, unwritten connectionUse) {
 	if !x.pool.registry.Ready(x.conn.name, x.conn.instance) { // draining or removed meanwhile
@@ -146,8 +146,8 @@
 	return x.request.Upload != nil && x.request.Upload.Consumed()
 }
 
-// endUpload ends the writing of a streamed body once the response's head has arrived or could not be read. If ended is true, the request
-// was not written completely, and the attempt has ended with early.
+// endUpload ends the upload of a streamed body once the response's head has arrived or could not be read. If ended is true, the request
+// was not written completely, and the attempt has ended with the Response early.
 func (x *exchange) endUpload(message *http.Response, err error) (early Response, ended bool) {
 	successful := err == nil && x.pool.successStatuses.Has(message.StatusCode)
 	var complete bool
@@ -176,8 +176,8 @@
 	return early, true
 }
 
-// readBody reads the body of a response, or its first part if the rest is passed through. It does not close the body, since closing would
-// first read the rest of it.
+// readBody reads the body of a response, or only its first part if the rest is passed through. It does not close the body, because
+// closing it would first read the rest.
 func (x *exchange) readBody(message *http.Response) (response Response, after connectionUse) {
 	status := message.StatusCode
 	successful := x.pool.successStatuses.Has(status)
@@ -193,7 +193,7 @@
 		return x.passThrough(message)
 	case final && delimited && message.ContentLength <= int64(x.pool.maxAnswerBytes):
 		var available bool
-		if reserved, available = x.pool.reserveBody(message); !available { // the limit is this process's own, and says nothing about the upstream
+		if reserved, available = x.pool.reserveBody(message); !available { // exceeding this process's own limit is not a failure of the upstream
 			return Response{Result: balancer.Cancelled}, closeConnection
 		}
 		defer func() {
@@ -215,7 +215,7 @@
 	switch {
 	case rejectedUnprocessed(message, nil):
 		return Response{Result: balancer.Rejected}, after
-	case successful && !complete: // the end of the body is unknown or it is too large: no part of it is served
+	case successful && !complete: // the body is too large or its end is unknown: no part of it is served
 		return Response{Result: balancer.Malformed}, closeConnection
 	case successful:
 		return Response{Result: balancer.OK, Status: status, Header: forwardedHeader(message), Body: body, ReservedBytes: reserved}, after
@@ -254,7 +254,8 @@
 	return response, closeConnection
 }
 
-// failure returns the Response of an attempt that ended early: with the result that the end of its context gives, or else otherwise.
+// failure returns the Response of an attempt that ended early. If the attempt's context has ended, the result follows from the cause; if
+// not, the result is otherwise.
 func (x *exchange) failure(otherwise balancer.Result) Response {
 	switch {
 	case errors.Is(context.Cause(x.ctx), context.DeadlineExceeded):
--- a/internal/upstream/load_probe.go
+++ b/internal/upstream/load_probe.go
@@ -19,8 +19,8 @@
 	maxReportedLatency  = time.Hour
 )
 
-// Probe requests an upstream's load at path, until ctx ends. It does not compete with requests for a connection slot: if any of them waits
-// for one, no probe is sent. No probe is sent to an upstream that is draining.
+// Probe requests the load of an upstream at path, until ctx ends. Requests take precedence: no probe is sent while a request waits for a
+// connection slot. No probe is sent to an upstream that is draining.
 func (p *Pool) Probe(ctx context.Context, name, path string) balancer.ProbeResult {
 	result := balancer.ProbeResult{Upstream: name, Result: balancer.NotSent}
 	instance, ok := p.registry.Instance(name)
@@ -41,9 +41,9 @@
 	return result
 }
 
-// parseLoadReport parses a load report in the format of X-Server-Load, "TEXT inflight=7, queue=2, util=0.61", which may also contain
-// latency_ms, in milliseconds. inflight or queue is required, as a number of requests; the larger of both counts. Unknown items are ignored.
-// It reports whether the report is valid.
+// parseLoadReport parses a load report in the format of X-Server-Load, such as "TEXT inflight=7, queue=2, util=0.61", which may also
+// contain latency_ms, in milliseconds. A report needs inflight or queue, which are numbers of requests; the larger of the two is used.
+// Unknown items are ignored. parseLoadReport returns false if the report is not valid.
 func parseLoadReport(result *balancer.ProbeResult, report []byte) bool {
 	report = bytes.TrimSpace(report)
 	report = bytes.TrimPrefix(report, []byte("TEXT "))
--- a/internal/upstream/loadprobe/loadprobe.go
+++ b/internal/upstream/loadprobe/loadprobe.go
@@ -41,12 +41,12 @@
 	maxPerRequest = 16
 	// maxAnswerAge is the age up to which the balancer uses an answer.
 	maxAnswerAge = 50 * time.Millisecond
-	// burstsPerSecond divides Options.Rate: the quotient is the number of probes that may be sent at once.
+	// burstsPerSecond is the ratio of Options.Rate to the number of probes that may be sent at once.
 	burstsPerSecond = 10
 	// savedRequests is the number of requests whose unused probes may accumulate.
 	savedRequests = 4
-	// drawsPerUpstream times Options.UpstreamsPerRequest bounds the random draws per request. A draw of an upstream whose load is known, or
-	// that is being probed, costs no probe.
+	// drawsPerUpstream is the maximum number of random draws per request for each of Options.UpstreamsPerRequest. Drawing an upstream whose
+	// load is known, or that is being probed, costs no probe.
 	drawsPerUpstream = 2
 	// rateWindow is the time over which requests are counted for the request rate.
 	rateWindow = 5 * time.Second
@@ -79,7 +79,7 @@
 	options       Options
 	rng           *rand.Rand
 	members       map[string]*member
-	names         []string      // of the members, in no particular order
+	names         []string      // names of the members, in no particular order
 	requestTokens float64       // probes that Options.ProbesPerRequest allows now
 	rateTokens    float64       // probes that Options.Rate allows now
 	refilledAt    time.Duration // when rateTokens were last added
@@ -90,7 +90,7 @@
 
 // member is an upstream that may be probed.
 type member struct {
-	index      int           // in names
+	index      int           // position in Prober.names
 	answeredAt time.Duration // when its latest probe ended
 	answered   bool          // its latest probe got an answer
 	probing    bool          // a probe is in flight
@@ -133,8 +133,9 @@
 // Len returns the number of members.
 func (p *Prober) Len() int { return len(p.names) }
 
-// Targets is called for each request before the request is balanced. It returns the upstreams to probe now. The caller calls Answered for
-// each of them that is still a member, with or without an answer. If Targets returns none, the request does not wait.
+// Targets is called for each request before the request is balanced. It returns the upstreams to probe now. When a probe ends, with or
+// without an answer, the caller calls Answered if the upstream is still a member. If Targets returns no upstream, the request does not
+// wait.
 func (p *Prober) Targets(now time.Duration) (names []string) {
 	p.countRequest(now)
 	sampledByTraffic := float64(len(p.names)) < p.requestRate*p.options.SampleInterval.D().Seconds()
--- a/internal/upstream/loadprobe/loadprobe_test.go
+++ b/internal/upstream/loadprobe/loadprobe_test.go
@@ -11,8 +11,8 @@
 	"orchiddrift/internal/units"
 )
 
-// Guards, over random histories, against more than ProbesPerRequest probes per request or Rate per second; against probes to an upstream that is
-// no member, has a probe in flight or answered within MaxAge; and against a Prober that holds more than its members.
+// Guards, over random histories, against more probes than ProbesPerRequest or Rate allows, against probes to an upstream that is not a
+// member, has a probe in flight or answered within MaxAge, and against a Prober that keeps state for upstreams that are no longer members.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Default()
@@ -68,8 +68,8 @@
 	})
 }
 
-// Guards against probes by a process whose own requests reach each upstream often enough, and against missing probes by one that sends little.
-// Guards also against invalid options that Check accepts.
+// Guards against probes by a process whose own requests reach each upstream often enough, against a process that sends little traffic and
+// does not probe, and against invalid options that Check accepts.
 func TestWhoAsks(t *testing.T) {
 	for _, c := range []struct {
 		members, perSecond int
@@ -92,7 +92,7 @@
 			}
 		}
 		if (probes > 0) != c.want {
-			t.Errorf("%d members, %d requests per second: got %d probes", c.members, c.perSecond, probes)
+			t.Errorf("%d members, %d requests per second: unexpected number of probes, %d", c.members, c.perSecond, probes)
 		}
 	}
 	for _, change := range []func(*Options){func(o *Options) { o.UpstreamsPerRequest = 1 }, func(o *Options) { o.ProbesPerRequest = 0 }, func(o *Options) { o.Rate = 0 },
--- a/internal/upstream/not_sent_proof_test.go
+++ b/internal/upstream/not_sent_proof_test.go
@@ -24,8 +24,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// framings are the ways in which a request's body is sent. size is the number of bytes that the request holds from the start, rest the number
-// that arrives while it is sent.
+// framings are the ways in which a request's body is sent. size is the number of bytes of the body that the request holds from the start,
+// and rest is the number of bytes that arrive while the request is sent.
 var framings = map[string]struct {
 	size, rest int
 	chunked    bool
@@ -46,8 +46,8 @@
 	return NewUpload("POST", "/confirm/1", "s", header, make([]byte, f.size), upload)
 }
 
-// cuttingServer counts the complete requests that it receives, and closes connections as cut says: unread is the number of bytes of the body
-// that it does not read, responds says whether it responds to a complete request.
+// cuttingServer counts the complete requests that it receives, and closes each connection as the results of cut say: unread is the number
+// of bytes of the body that the server leaves unread, and responds says whether it responds to a complete request.
 type cuttingServer struct {
 	address string
 	cut     func(id string) (unread int64, responds bool)
@@ -82,7 +82,7 @@
 func (server *cuttingServer) serve(c net.Conn) {
 	defer c.Close()
 	for in := bufio.NewReader(c); ; {
-		_ = c.SetDeadline(time.Now().Add(10 * testutil.Timeout)) // an error shows in the read; a busy machine may need long
+		_ = c.SetDeadline(time.Now().Add(10 * testutil.Timeout)) // the read reports an error; a busy machine may need a long time
 		r, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -137,9 +137,9 @@
 
 var errInjectedWrite = errors.New("injected write failure")
 
-// Guards against an attempt that is reported as not executed although the upstream has executed it: if the upstream executes the request and
-// closes the connection before the writer continues, a decision after the write comes too late, and the client is told that a retry is safe
-// (seen as a 503 for an 8 MB POST). The decision has to depend on the bytes whose write has begun.
+// Guards against an attempt that is reported as not executed although the upstream has executed it, so that the client is told that a retry
+// is safe (seen as a 503 for an 8 MB POST). The upstream may execute the request and close the connection before the writer continues. A
+// decision that is made after the write therefore comes too late: it has to depend on the bytes whose write has begun.
 func TestWhatMayHaveRunIsNeverCalledUnrun(t *testing.T) {
 	serverTLS := base.ServerTLS(t, base.Issue(t, base.CA(t, "test"), "127.0.0.1"))
 	for _, tlsConfig := range []*tls.Config{nil, serverTLS} {
@@ -152,7 +152,8 @@
 			}{
 				"the writer pauses after the last byte": {0, func(s *interceptedConn, last bool, p []byte, to net.Conn) (int, error) {
 					n, err := to.Write(p)
-					// No pause for a short request, whose write ends before the response is read, nor below the TLS record layer.
+					// A short request gets no pause, since its write ends before the response is read, and neither does a write below the TLS record
+					// layer.
 					if last && f.size != 100 && tlsConfig == nil {
 						<-s.stopped
 					}
@@ -229,7 +230,7 @@
 						testutil.Eventually(t, "the upstream ran the request", func() bool { return server.executions("x") == c.ran })
 					}
 					if may := response.Result != balancer.ConnectFailed && response.Result != balancer.NotSent; may != c.may && c.unread == 0 || response.Result == balancer.OK || reusable {
-						t.Errorf("result %d, connection reusable: %v, upstream ran the request %d times", response.Result, reusable, server.executions("x"))
+						t.Errorf("result %d, connection reusable: %v, upstream ran the request %d times, which differs from the expected outcome", response.Result, reusable, server.executions("x"))
 					}
 				})
 			}
@@ -237,8 +238,8 @@
 	}
 }
 
-// Guards against wrong conclusions from a response that arrives before the request has been written completely: only a response that says
-// that the request was not begun proves it.
+// Guards against wrong conclusions from a response that arrives before the request has been written completely. Only a response that says
+// that the request was not begun proves that the request did not run.
 func TestEarlyAnswersProveNothing(t *testing.T) {
 	for answer, want := range map[string]balancer.Result{
 		"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n": balancer.ServerError,
@@ -270,16 +271,16 @@
 		pool := testPool(t, 1, testutil.Entry("s", l.Addr().String(), "Ready"))
 		response := pool.Attempt(t.Context(), "s", NewRequest("POST", "/confirm/1", "s", nil, make([]byte, 32<<20)), time.Time{})
 		if response.Result != want {
-			t.Errorf("%q: result %d, want %d", answer, response.Result, want)
+			t.Errorf("early response %q: result %d, want %d", answer, response.Result, want)
 		}
 	}
 }
 
 var requests = flag.Int("requests", 3000, "how many requests TestCutsUnderLoad sends")
 
-// Guards against a request that ran and is reported as not executed, and against one that runs twice. Sends thousands of non-idempotent requests
-// of all framings, half of them encrypted, while all cores are busy and connections break after the last byte, one byte before it or in the
-// middle.
+// Guards against a request that ran and is reported as not executed, and against a request that runs twice. The test sends thousands of
+// non-idempotent requests of all framings, half of them encrypted, while all cores are busy and connections break after the last byte, one
+// byte before it or in the middle.
 func TestCutsUnderLoad(t *testing.T) {
 	var names []string
 	for name := range framings {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// idleTimeoutFraction of the time after which upstreams close idle connections is the idle timeout of the pool.
+	// idleTimeoutFraction is the ratio of the pool's idle timeout to the time after which upstreams close idle connections.
 	idleTimeoutFraction = 0.6
-	// sweepFraction of the upstreams' idle timeout is the interval at which idle connections are checked.
+	// sweepFraction is the ratio of the interval at which idle connections are checked to the time after which upstreams close them.
 	sweepFraction = 0.1
 	// defaultRestTime is how long a connection is not used after a response: unexpected bytes that an upstream sends after a response may
 	// arrive somewhat later, and would be read as the response to the next request.
@@ -25,23 +25,23 @@
 
 // Options are the parameters of a Pool.
 type Options struct {
-	Registry       *endpoints.Registry // nil: the owner calls SetRegistry
+	Registry       *endpoints.Registry // if nil, the owner calls SetRegistry
 	ConnectTimeout time.Duration       // for a new connection and its TLS handshake
 	IdleTimeout    time.Duration       // time after which upstreams close idle connections
-	MaxConnections int                 // open at once; ignored if ConnectionSlots is set
-	MaxAnswerBytes int                 // of a response body that is read completely
+	MaxConnections int                 // maximum number of open connections; ignored if ConnectionSlots is set
+	MaxAnswerBytes int                 // maximum size of a response body that is read completely
 
-	// ConnectionSlots bound the open connections of all services; nil: MaxConnections bounds those of this one.
+	// ConnectionSlots bounds the open connections of all services. If it is nil, MaxConnections bounds those of this service.
 	ConnectionSlots *bulkhead.Semaphore
 	// Service is the name under which this pool holds ConnectionSlots and AnswerBytes.
 	Service string
-	// AnswerBytes bound the bytes of response bodies in memory, over all services; nil: they are not bounded.
+	// AnswerBytes bounds the bytes of response bodies in memory, over all services. If it is nil, they are not bounded.
 	AnswerBytes *bulkhead.Semaphore
-	// SuccessStatuses are the response statuses that count as success; nil: 200 alone.
+	// SuccessStatuses are the response statuses that count as success. If it is nil, only 200 does.
 	SuccessStatuses *httpheader.Statuses
-	// TLS encrypts connections; nil: they are not encrypted.
+	// TLS encrypts connections. If it is nil, they are not encrypted.
 	TLS TLSClient
-	// Prewarmer decides which connections Prewarm opens ahead of use; nil: Prewarm opens none.
+	// Prewarmer decides which connections Prewarm opens ahead of use. If it is nil, Prewarm opens none.
 	Prewarmer *prewarm.Prewarmer
 }
 
@@ -60,10 +60,10 @@
 	tlsClient       TLSClient
 	connectTimes    connectTimes
 	dialTCP         func(ctx context.Context, address string) (net.Conn, error)
-	prewarming      *prewarming // nil: no connection is opened ahead
+	prewarming      *prewarming // nil if no connection is opened ahead of use
 
 	mu        sync.Mutex
-	idle      map[string][]*pooledConn // by upstream, the one idle for longest first
+	idle      map[string][]*pooledConn // by upstream, the connection that has been idle longest comes first
 	abandoned map[*AttemptOptions]bool // attempts under way whose callers are gone
 	closed    bool
 }
@@ -106,12 +106,12 @@
 	return p
 }
 
-// EvictOnContention registers this pool as the one that closes idle connections of its service when another service waits for a slot. It
-// replaces an earlier pool of the same service name.
+// EvictOnContention registers this pool to close idle connections of its service when another service waits for a slot. It replaces an
+// earlier pool of the same service.
 func (p *Pool) EvictOnContention() { p.connectionSlots.OnContention(p.service, p.evict) }
 
 // Close closes all idle connections; those in use are closed when their exchanges end. Before the call the owner empties the Registry or
-// closes the Gates of its requests, so that nothing is sent after it.
+// closes the Gates of its requests, so that no request is sent after the call.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +147,7 @@
 	now := time.Now()
 	for i := len(idle) - 1; i >= 0; i-- {
 		conn := idle[i]
-		rested := now.Sub(conn.idleSince) >= p.restTime || conn.prewarmed // a prewarmed connection has had no response whose late bytes could follow
+		rested := now.Sub(conn.idleSince) >= p.restTime || conn.prewarmed // a prewarmed connection has carried no response after which late bytes could arrive
 		if !rested {
 			continue
 		}
@@ -180,7 +180,7 @@
 	p.connectionSlots.Release(p.service, 1)
 }
 
-// trusted reports whether the connection would still be accepted: the authority that signed its certificate may have been removed.
+// trusted reports whether the connection would still be accepted now: the authority that signed its certificate may have been removed.
 func (p *Pool) trusted(conn *pooledConn) bool {
 	return conn.tlsConn == nil || p.tlsClient.StillTrusted(conn.tlsConn, conn.instance)
 }
@@ -205,8 +205,8 @@
 	delete(p.idle, name)
 }
 
-// Sweep closes idle connections until ctx ends: those that upstreams are about to close, and those that were closed, are no longer trusted
-// or have received bytes. It blocks; the owner runs it on its own goroutine.
+// Sweep closes idle connections until ctx ends: connections that upstreams are about to close or have closed, that are no longer trusted,
+// or that have received bytes. It blocks; the owner runs it on its own goroutine.
 func (p *Pool) Sweep(ctx context.Context) {
 	ticker := time.NewTicker(p.sweepInterval)
 	defer ticker.Stop()
--- a/internal/upstream/prewarm/prewarm.go
+++ b/internal/upstream/prewarm/prewarm.go
@@ -56,14 +56,14 @@
 	minBackoff          = 500 * time.Millisecond
 	maxBackoff          = 30 * time.Second
 	maxBackoffDoublings = 10
-	// burstSeconds times Options.Rate is the number of connections that may be opened at once.
+	// burstSeconds is the ratio of the number of connections that may be opened at once to Options.Rate.
 	burstSeconds = 0.1
 )
 
 // Prewarmer is the state machine. It holds one entry for each member. It is not safe for concurrent use.
 type Prewarmer struct {
 	options    Options
-	maxOpen    int // number of open connections from which on none is opened ahead of use
+	maxOpen    int // once this many connections are open, none is opened ahead of use
 	rng        *rand.Rand
 	members    map[string]*member
 	due        priorityqueue.Queue[*member]
@@ -78,7 +78,7 @@
 	process     uint64        // number of the upstream's incarnation
 	heapIndex   int           // position in Prewarmer.due
 	dueAt       time.Duration // when Tick checks it next
-	usedAt      time.Duration // time of its latest request; 0: none
+	usedAt      time.Duration // time of its latest request; 0 if it has had none
 	neverOpened bool          // no connection to it has been open yet
 	opening     int           // connects in progress
 	failures    int           // consecutive failed connects
@@ -136,8 +136,8 @@
 	}
 }
 
-// Tick returns the members to open a connection to now; the caller calls Connected for each of them. open returns the number of open
-// connections of a member, total is the number of all open connections.
+// Tick returns the members to which the caller opens a connection now; the caller then calls Connected for each of them. open returns the
+// number of open connections of a member, total is the number of all open connections.
 func (p *Prewarmer) Tick(now time.Duration, open func(name string) int, total int) (names []string) {
 	p.refill(now)
 	for p.due.Len() > 0 && p.due.First().dueAt <= now {
--- a/internal/upstream/prewarm/prewarm_test.go
+++ b/internal/upstream/prewarm/prewarm_test.go
@@ -12,7 +12,7 @@
 	"orchiddrift/internal/units"
 )
 
-// historyConnections is the maximum number of connections in the histories. A quarter of them may be opened ahead of use.
+// historyConnections is the maximum number of connections in the random histories. A quarter of them may be opened ahead of use.
 const historyConnections = 40
 
 // connecting is a pending connect: the upstream and its incarnation.
@@ -196,14 +196,14 @@
 		again += len(prewarmer.Tick(now, func(name string) int { return open[name] }, 0))
 	}
 	if again != 1 {
-		t.Errorf("%d of 200 members get another connection, want only the one that was used", again)
+		t.Errorf("%d of 200 members get another connection, want only the member that was used", again)
 	}
 	if at, ok := prewarmer.Next(now); !ok || at < now {
-		t.Errorf("Next returned %v, %v, want a time that is not past", at, ok)
+		t.Errorf("Next returned %v, %v, want a time that has not passed", at, ok)
 	}
 }
 
-// Guards against different results for the same seed, which members processed in map order would cause.
+// Guards against different results for the same seed, which processing the members in map order would cause.
 func TestSameSeedSameTimes(t *testing.T) {
 	run := func() (order []string) {
 		prewarmer := New(Default(), 1000, rand.New(rand.NewPCG(1, 2)))
--- a/internal/upstream/prewarming.go
+++ b/internal/upstream/prewarming.go
@@ -10,10 +10,10 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// prewarmInterval is the interval at which Prewarm reads the endpoint registry and the upstreams used since.
+// prewarmInterval is the interval at which Prewarm reads the endpoint registry, and the upstreams used since the previous reading.
 const prewarmInterval = 100 * time.Millisecond
 
-// prewarming counts the connections of a pool that opens some ahead of use. count and markUsed do nothing on a nil prewarming.
+// prewarming counts the connections of a pool that opens connections ahead of use. count and markUsed do nothing on a nil prewarming.
 type prewarming struct {
 	prewarmer *prewarm.Prewarmer // used by Prewarm's goroutine alone
 
@@ -45,7 +45,7 @@
 	w.used[name] = true
 }
 
-// snapshot returns the open connections by upstream and in all, and the upstreams used since the last snapshot.
+// snapshot returns the open connections, by upstream and in total, and the upstreams used since the last snapshot.
 func (w *prewarming) snapshot() (open map[string]int, total int, used map[string]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/upstream/prewarming_test.go
+++ b/internal/upstream/prewarming_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// Guards against a first request that has to wait for a connection: each upstream gets one before any request, as does a later one, and an
-// unreachable upstream delays none of the others. Connections opened ahead of use stay within their fraction of the limit, so that requests
-// are not short of connections.
+// Guards against a first request that has to wait for a connection: each upstream, including one that is added later, has to get a
+// connection before any request. An unreachable upstream must not delay the others. Connections opened ahead of use have to stay within
+// their fraction of the limit, so that requests are not short of connections.
 func TestKeepWarm(t *testing.T) {
 	counter := &connectionCounter{connections: map[string]int{}}
 	var entries, names []string
@@ -103,7 +103,7 @@
 	testutil.Eventually(t, "both late upstreams have a connection after another upstream has left", func() bool { return counter.connectedOnce("late", "later")() })
 }
 
-// Guards against the eviction of a used connection while one that was opened ahead and never used is open.
+// Guards against the eviction of a used connection while a connection that was opened ahead and never used is open.
 func TestUnusedGoFirst(t *testing.T) {
 	counter := &connectionCounter{connections: map[string]int{}}
 	pool := testPool(t, 2, testutil.Entry("a", counter.start(t, "a"), "Ready"), testutil.Entry("b", counter.start(t, "b"), "Ready"), testutil.Entry("c", counter.start(t, "c"), "Ready"))
--- a/internal/upstream/remainder.go
+++ b/internal/upstream/remainder.go
@@ -19,19 +19,19 @@
 	maxBufferedBodyBytes = 64 << 10
 	// MaxPassThroughBytes is the longest response body that is passed through; a response with a longer one counts as malformed.
 	MaxPassThroughBytes = 64 << 20
-	// firstPartBytes is the most that is read of a longer body of known length before it is forwarded.
+	// firstPartBytes is the maximum number of bytes of a longer body of known length that are read before it is forwarded.
 	firstPartBytes = 16 << 10
 )
 
-// readIdleTimeout is how long an upstream may send no byte of a body that is being forwarded.
+// readIdleTimeout is the longest time for which an upstream may send no byte of a body that is being forwarded.
 const readIdleTimeout = 10 * time.Second
 
-// ErrTruncated says that a response ended before it was complete.
+// ErrTruncated reports that a response ended before it was complete.
 var ErrTruncated = errors.New("upstream response truncated")
 
-// Remainder is the rest of a body that is forwarded as it arrives. It is used by one goroutine; End may be called from any.
+// Remainder is the rest of a body that is forwarded as it arrives. One goroutine uses it, but any goroutine may call End.
 type Remainder struct {
-	Length int64 // length of the complete body in bytes; -1: unknown
+	Length int64 // length of the complete body in bytes; -1 if unknown
 
 	pool       *Pool
 	conn       *pooledConn
@@ -42,7 +42,7 @@
 	closeAfter bool        // the connection cannot be reused after this response
 	complete   bool        // all of the body has been read
 
-	err   error // of the last Read
+	err   error // error of the latest Read
 	ended atomic.Bool
 }
 
@@ -107,8 +107,8 @@
 	}
 }
 
-// readFirstPart reads the beginning of a body that is forwarded as it arrives: one longer than maxBufferedBodyBytes, or of unknown
-// length. A nil Remainder says that first is the complete body.
+// readFirstPart reads the beginning of a body that is forwarded as it arrives, because the body is longer than maxBufferedBodyBytes or of
+// unknown length. If remainder is nil, first is the complete body.
 func (x *exchange) readFirstPart(message *http.Response) (first []byte, remainder *Remainder, err error) {
 	if message.ContentLength >= 0 {
 		x.reader.limit.remaining = int(message.ContentLength) + x.reader.Size()
--- a/internal/upstream/remainder_test.go
+++ b/internal/upstream/remainder_test.go
@@ -15,7 +15,7 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// patternedBody returns n bytes in which misplaced parts show.
+// patternedBody returns n bytes of a pattern that reveals misplaced parts.
 func patternedBody(n int) string {
 	b := make([]byte, n)
 	for i := range b {
@@ -33,8 +33,8 @@
 	return string(response.Body) + string(rest), err
 }
 
-// Guards against long responses that are held back, truncated or rejected as malformed. In each framing exactly the body has to arrive, and
-// the connection is reused if its state is known.
+// Guards against long responses that are withheld, truncated or rejected as malformed. With each framing exactly the body has to arrive,
+// and the connection has to be reused if its state is known.
 func TestLongAnswers(t *testing.T) {
 	body := patternedBody(3 << 20)
 	chunks := func() string {
@@ -84,7 +84,7 @@
 	}
 }
 
-// Guards against a response that breaks off in the middle and counts as complete, in each framing.
+// Guards against a response that breaks off in the middle and counts as complete, with each framing of the body.
 func TestLongAnswersThatBreak(t *testing.T) {
 	part := patternedBody(300 << 10)
 	for name, c := range map[string]struct {
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -15,26 +15,26 @@
 	head   []byte // request line and headers, without the timeout header of an attempt
 	body   []byte
 	isHead bool // the method is HEAD: the response has no body
-	// Upload is the part of the body that follows the field body; nil: body is the complete body.
+	// Upload is the part of the body that follows the field body. If it is nil, body is the complete body.
 	Upload *Upload
-	// Gate is entered before the first byte of each attempt is written; nil: attempts are always allowed.
+	// Gate is entered before the first byte of each attempt is written. If it is nil, attempts are always allowed.
 	Gate Gate
-	// Written is called once the last byte of an attempt has been written; nil: it is not called.
+	// Written, unless nil, is called once the last byte of an attempt has been written.
 	Written func()
 	// CompleteOnly requests that each response is read completely, up to Options.MaxAnswerBytes. Otherwise the rest of a long response's
 	// body is read from Response.Remainder.
 	CompleteOnly bool
 }
 
-// Gate allows attempts to begin while it is open. After closing it, its owner can wait for the writes that have entered.
+// Gate allows attempts to begin while it is open. Its owner can close it, and then wait for the writes that have entered it.
 type Gate interface {
-	// Enter returns false if the gate is closed; nothing may be written then.
+	// Enter returns false if the gate is closed. In that case nothing may be written.
 	Enter() bool
 	// Leave is called after a successful Enter, once the first bytes have been written or their write has failed.
 	Leave()
 }
 
-// rewrittenHeaders are not copied from the client's request: they are written from the parameters of the new one, or left out.
+// rewrittenHeaders are not copied from the client's request: the new request has its own values for them, or leaves them out.
 var rewrittenHeaders = []string{"Host", "Content-Length", "Transfer-Encoding", "Trailer", "Expect", httpheader.Timeout}
 
 // NewRequest returns a request that keeps method, target and body byte for byte. The caller passes the end-to-end headers only
@@ -89,8 +89,8 @@
 	return append(head, "\r\n"...)
 }
 
-// appendTo appends the bytes of the request for an attempt with the given deadline (zero: no deadline is sent). It leaves out a body that
-// is written while the response is read.
+// appendTo appends the bytes of the request for an attempt with the given deadline; if the deadline is zero, it is not sent. A body that
+// is written while the response is read is left out.
 func (r *Request) appendTo(out []byte, deadline time.Time) []byte {
 	out = append(out, r.head...)
 	if !deadline.IsZero() {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -6,15 +6,15 @@
 	"orchiddrift/balancer"
 )
 
-// Response is the outcome of an attempt. The fields after Result are set for balancer.OK only, except BodyConsumed.
+// Response is the outcome of an attempt. The fields after Result, except BodyConsumed, are set only if Result is balancer.OK.
 type Response struct {
 	Result balancer.Result
 	Status int
 	Header http.Header
 	Body   []byte
-	// ReservedBytes are reserved of Options.AnswerBytes; the owner of the Response releases them with Pool.Free.
+	// ReservedBytes is the number of bytes reserved from Options.AnswerBytes. The owner of the Response releases them with Pool.Free.
 	ReservedBytes int64
-	// Remainder is the part of the body that follows Body; its owner calls End. nil: Body is complete.
+	// Remainder is the part of the body that follows Body; its owner calls End. If it is nil, Body is complete.
 	Remainder *Remainder
 	// BodyConsumed reports that the request's body cannot be sent again.
 	BodyConsumed bool
@@ -27,8 +27,8 @@
 	}
 }
 
-// reserveBody reserves the bytes of a response's body: its length, or the most that it may have if the length is unknown. It returns
-// false if they are not available.
+// reserveBody reserves the bytes of a response's body: its length, or the maximum length if the length is unknown. It returns false
+// if these bytes are not available.
 func (p *Pool) reserveBody(message *http.Response) (reserved int64, ok bool) {
 	length := message.ContentLength
 	if length < 0 {
--- a/internal/upstream/response_reader.go
+++ b/internal/upstream/response_reader.go
@@ -25,7 +25,7 @@
 	limit limitedReader
 }
 
-// limitedReader reads at most remaining bytes of a connection.
+// limitedReader reads from a connection, but no more bytes than its field remaining allows.
 type limitedReader struct {
 	source    io.Reader
 	remaining int
@@ -61,7 +61,7 @@
 
 // head reads the final response up to its body.
 func (r *responseReader) head(request *Request) (*http.Response, error) {
-	var parsedFor *http.Request // nil: a GET
+	var parsedFor *http.Request // nil stands for a GET
 	if request.isHead {
 		parsedFor = headRequest
 	}
@@ -89,11 +89,11 @@
 	return body, err
 }
 
-// withChunkOverhead returns the maximum size on the connection of a body with so many bytes: chunked encoding adds a size line to each chunk.
+// withChunkOverhead returns the maximum size on the connection of a body of the given size, including the size lines of chunked encoding.
 func withChunkOverhead(bytes int) int { return bytes + bytes/4 }
 
-// failure returns the result of an attempt whose response could not be read completely: the request may have run. It is Malformed if the
-// connection has not failed, since an upstream that sends an unreadable response is alive.
+// failure returns the result of an attempt whose response could not be read completely, and whose request may have run. The result is
+// Malformed if the connection has not failed, since an upstream that sends an unreadable response is alive.
 func (r *responseReader) failure() balancer.Result {
 	if r.limit.broken {
 		return balancer.Reset
--- a/internal/upstream/send_by_test.go
+++ b/internal/upstream/send_by_test.go
@@ -13,8 +13,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// Guards against a retry that is sent after its deadline, when its deduplication scope has forgotten the key. The retry waits for the pool's
-// only connection until the deadline. Its result must say nothing about the upstream.
+// Guards against a retry that is sent after its deadline, when the upstreams that share idempotency keys have forgotten its key. The retry
+// waits for the pool's only connection until the deadline. Its result must not count as a failure of the upstream.
 func TestSendByWhileWaitingForAConnection(t *testing.T) {
 	release := make(chan struct{})
 	s := testutil.Raw(t, func(c net.Conn, g fakes.Got) bool {
@@ -35,21 +35,22 @@
 	time.Sleep(time.Until(sendBy.Add(time.Millisecond)))
 	close(release)
 	if got := <-first; got != balancer.OK {
-		t.Errorf("first request: result %v", got)
+		t.Errorf("first request: result %v, want OK", got)
 	}
 	if got := <-retry; got != balancer.NotSent {
 		t.Errorf("retry after its deadline: result %v, want not sent", got)
 	}
 	inTime := AttemptOptions{SendBy: time.Now().Add(time.Minute)}
 	if got := pool.AttemptWithOptions(t.Context(), "s", testRequest("POST", "in time"), inTime).Result; got != balancer.OK {
-		t.Errorf("retry before its deadline: result %v", got)
+		t.Errorf("retry before its deadline: result %v, want OK", got)
 	}
 	if n := len(s.Requests()); n != 2 {
 		t.Errorf("the upstream received %d requests, want 2", n)
 	}
 }
 
-// Guards against the same failure if the upstream does not read a body that exceeds the socket buffers before the deadline.
+// Guards against a retry that is sent completely only after its deadline, because the upstream does not read a body larger than the socket
+// buffers in time.
 func TestSendByWhileTheBodyIsRead(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -78,7 +79,7 @@
 	<-drained
 }
 
-// Guards against the same failure if the connection is established after the deadline.
+// Guards against a retry that is sent after its deadline because its connection is established only then.
 func TestSendByWhileConnecting(t *testing.T) {
 	late := base.NewLateUpstream(t)
 	pool := testPool(t, 1, testutil.Entry("s", late.Address, "Ready"))
@@ -94,6 +95,6 @@
 		t.Errorf("retry whose connection was established after its deadline: result %v, want not sent", got)
 	}
 	if got := pool.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}).Result; got != balancer.OK || late.RequestCount() != 1 {
-		t.Errorf("later request: result %v; the upstream received %d requests, want 1", got, late.RequestCount())
+		t.Errorf("later request: result %v, want OK; the upstream received %d requests, want 1", got, late.RequestCount())
 	}
 }
--- a/internal/upstream/tls_test.go
+++ b/internal/upstream/tls_test.go
@@ -25,8 +25,8 @@
 
 func (insecureTLS) StillTrusted(*tls.Conn, endpoints.Instance) bool { return true }
 
-// Guards against a new handshake after every cancelled request: a connection that is being established when the request is cancelled, or
-// whose response has arrived by then, carries the next request. A handshake that takes too long releases its connection slot.
+// Guards against a new handshake after every cancelled request. The next request has to use a connection that was being established at
+// the cancellation, or whose response had arrived by then. A handshake that takes too long has to release its connection slot.
 func TestCalledOffConnectionsCarryTheNext(t *testing.T) {
 	var handshakes atomic.Int64
 	hold, started := make(chan struct{}), make(chan struct{}, 8)
@@ -70,7 +70,7 @@
 	}
 	pool.putIdle(c)
 	if response := pool.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); response.Result != balancer.OK || handshakes.Load() != 2 {
-		t.Errorf("result %d after %d handshakes, want 2 handshakes", response.Result, handshakes.Load())
+		t.Errorf("result %d after %d handshakes, want OK after 2 handshakes", response.Result, handshakes.Load())
 	}
 	late, cancel := context.WithDeadline(t.Context(), time.Unix(1, 0))
 	defer cancel()
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// uploadPieceBytes is the most that is read of a body before it is written.
+	// uploadPieceBytes is the maximum number of bytes of a body that are read before they are written.
 	uploadPieceBytes = 32 << 10
 	// chunkOverheadBytes is the maximum size of the size line and the line ends of a chunk.
 	chunkOverheadBytes = 32
-	// writeIdleTimeout is how long an upstream may accept no byte of a body.
+	// writeIdleTimeout is the longest time for which an upstream may accept no byte of a body.
 	writeIdleTimeout = readIdleTimeout
 	// lastChunk ends a chunked body. Its first line, lastChunkSize, tells the upstream that the body is complete.
 	lastChunk     = "0\r\n\r\n"
@@ -25,15 +25,15 @@
 
 var errUploadStopped = errors.New("the upload was stopped")
 
-// Upload is the part of a request's body that is forwarded as it arrives, after Request.body. It can be read once: an attempt that ends
-// before it has taken any byte of it leaves all of it to the next attempt. Its owner calls End.
+// Upload is the part of a request's body that is forwarded as it arrives, after Request.body. It can be read only once: an attempt that
+// ends before it has read any byte of Body leaves all of it to the next attempt. The owner of the Upload calls End.
 type Upload struct {
 	Body    io.Reader
-	Length  int64         // length of the complete body in bytes; -1: unknown, the body is forwarded in chunks
+	Length  int64         // length of the complete body in bytes; if -1, the length is unknown and the body is forwarded in chunks
 	Timeout time.Duration // how long the client waits for a response after the last byte of its body
 	// Interrupt makes a pending Read of Body return. End calls it.
 	Interrupt func()
-	// Done is called once the last byte has been written; nil: it is not called.
+	// Done, unless nil, is called once the last byte has been written.
 	Done func()
 
 	pump    *bodyPump
@@ -41,8 +41,8 @@
 	broken  atomic.Bool // the client aborted the body: no attempt can send a complete request
 }
 
-// Drain reads and discards the rest of the body, until it ends or Body fails, so that a client that is still writing can read an early
-// response. No attempt may be made after it.
+// Drain reads and discards the rest of the body, until the body ends or a read fails, so that a client that is still writing can read a
+// response that arrives early. No attempt may be made after Drain.
 func (u *Upload) Drain() { u.pump.drain() }
 
 // End ends the reading of Body: once it returns, Body is no longer read. It may be called more than once.
@@ -57,12 +57,12 @@
 // streamsBody reports whether the body is written while the response is read.
 func (r *Request) streamsBody() bool { return r.Upload != nil || len(r.body) > maxBufferedBodyBytes }
 
-// uploadWriter writes a long body on its own goroutine while the response is read: an upstream may reject a request before it has read all
-// of it, and then reads no more. Its owner calls stop or wait before it uses the connection for anything else.
+// uploadWriter writes a long body on its own goroutine while the response is read, because an upstream may reject a request before it has
+// read the whole body, and then read no more. Its owner calls stop or wait before it uses the connection for anything else.
 type uploadWriter struct {
 	conn     *pooledConn
 	request  *Request
-	sendBy   time.Time     // time before which the last byte is written; zero: no limit
+	sendBy   time.Time     // time before which the last byte is written; no limit if zero
 	done     chan struct{} // closed once the goroutine has ended
 	complete atomic.Bool   // the last byte may have left this process: see writePiece
 	stopped  atomic.Bool
@@ -101,7 +101,7 @@
 	}
 }
 
-// lastByteIn returns the end argument of writePiece: last says whether piece ends with the last byte of the request.
+// lastByteIn returns the argument end for writePiece. last says whether piece ends with the last byte of the request.
 func lastByteIn(piece []byte, last bool) int {
 	if last {
 		return len(piece)
@@ -109,10 +109,10 @@
 	return 0
 }
 
-// writePiece writes a part of the request. end is the number of its bytes after which the upstream knows that the request is complete;
-// 0: more follows. The request counts as complete as soon as the write of that byte begins, since an upstream can run the request, respond
-// and close the connection before the write returns here. This is undone only if the count that the write returns shows that the system
-// did not accept the byte.
+// writePiece writes a part of the request. end is the number of bytes of piece after which the upstream knows that the request is complete,
+// or 0 if more pieces follow. The request counts as complete as soon as the write of that byte begins, since an upstream can run the
+// request, respond and close the connection before the write returns here. It counts as incomplete again only if the count that the write
+// returns shows that the system did not accept the byte.
 func (w *uploadWriter) writePiece(piece []byte, end int) error {
 	for len(piece) > 0 { // progress extends the deadline
 		deadline := time.Now().Add(writeIdleTimeout)
@@ -162,7 +162,7 @@
 func (w *uploadWriter) forwardUpload(upload *Upload, framer *bodyFramer) error {
 	for again := false; ; again = true {
 		piece, err := upload.pump.next(upload.Body, again, w.stopping)
-		if w.complete.Load() { // all bytes are written: this read was only for the end of the source
+		if w.complete.Load() { // all bytes are written: this read only awaited the end of the source
 			return nil
 		}
 		if err == nil {
@@ -188,7 +188,7 @@
 	writer    *uploadWriter
 	chunked   bool
 	remaining int64  // bytes still to be written of a body with a known length
-	chunk     []byte // buffer
+	chunk     []byte // buffer for a chunk
 }
 
 func (f *bodyFramer) write(piece []byte) error {
@@ -226,8 +226,8 @@
 	return w.complete.Load()
 }
 
-// notSentResponse returns the Response of an attempt whose last byte was never written and that got no byte of a response: the upstream has
-// not begun the request. If the client aborted the body, the result says nothing about the upstream.
+// notSentResponse returns the Response of an attempt whose last byte was never written and that received no byte of a response: the
+// upstream has not begun the request. If the client aborted the body, the result does not count as a failure of the upstream.
 func (r *Request) notSentResponse(result balancer.Result) Response {
 	if r.Upload == nil {
 		return Response{Result: result}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -100,7 +100,7 @@
 			req.CompleteOnly = strings.Contains(c.name, "too large")
 			response := pool.Attempt(ctx, "s", req, time.Time{})
 			if response.Result != c.want {
-				t.Errorf("result %d, want %d", response.Result, c.want)
+				t.Errorf("attempt ended with result %d, want %d", response.Result, c.want)
 			}
 			if response.Remainder != nil {
 				response.Remainder.End()
@@ -113,7 +113,7 @@
 	t.Run("connection refused", func(t *testing.T) {
 		pool := testPool(t, 4, testutil.Entry("s", refused, "Ready"))
 		if response := pool.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); response.Result != balancer.ConnectFailed {
-			t.Errorf("result %d, want a failed connect", response.Result)
+			t.Errorf("attempt ended with result %d, want a failed connect", response.Result)
 		}
 	})
 }
@@ -135,7 +135,7 @@
 			cancel()
 		}
 		if response := <-ended; response.Result != want {
-			t.Errorf("result %d, want %d", response.Result, want)
+			t.Errorf("attempt ended with result %d, want %d", response.Result, want)
 		}
 		cancel()
 		testutil.Eventually(t, "the upstream sees the connection closed", func() bool { return s.Closed.Load() == 1 })
@@ -228,7 +228,7 @@
 	send := func(want balancer.Result) {
 		t.Helper()
 		if response := pool.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); response.Result != want {
-			t.Fatalf("result %d, want %d", response.Result, want)
+			t.Fatalf("request ended with result %d, want %d", response.Result, want)
 		}
 	}
 	send(balancer.OK)
@@ -298,11 +298,11 @@
 	pool := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
 	for _, want := range []balancer.Result{balancer.OK, balancer.Reset} {
 		if response := pool.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); response.Result != want {
-			t.Errorf("result %d, want %d", response.Result, want)
+			t.Errorf("request ended with result %d, want %d", response.Result, want)
 		}
 	}
 	if got := s.Requests(); len(got) != 2 || got[1].Conn != 1 {
-		t.Errorf("%d requests, the last on connection %d", len(got), got[len(got)-1].Conn)
+		t.Errorf("the upstream received %d requests, the last on connection %d, which is not as expected", len(got), got[len(got)-1].Conn)
 	}
 }
 
@@ -338,21 +338,21 @@
 				t.Errorf("bytes %q after the response, late: %v: second request has result %d and body %q, want the second response", extra, late, response.Result, response.Body)
 			}
 			if got := s.Requests(); len(got) != 2 || got[1].Conn != 2 {
-				t.Errorf("%d requests, the last on connection %d", len(got), got[len(got)-1].Conn)
+				t.Errorf("the upstream received %d requests, the last on connection %d, which is not as expected", len(got), got[len(got)-1].Conn)
 			}
 		}
 	}
 }
 
-// Guards against the same failure if the bytes arrive slightly later: a connection is not reused before its rest time
-// has passed.
+// Guards against responses to the wrong request if unexpected bytes arrive slightly after a response: a connection must
+// not be reused before its rest time has passed.
 func TestConnectionsRest(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("")))
 	pool := testPool(t, 4, testutil.Entry("s", s.Address, "Ready"))
 	pool.restTime = time.Hour
 	for range 2 {
 		if response := pool.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{}); response.Result != balancer.OK {
-			t.Fatalf("result %d", response.Result)
+			t.Fatalf("request failed with result %d, want OK", response.Result)
 		}
 	}
 	if n := s.Opened.Load(); n != 2 {
@@ -360,13 +360,14 @@
 	}
 }
 
-// Guards against too many open connections: at the limit, the connection idle for longest is closed. If all are in use,
-// an attempt waits for one, and ends as not sent if none becomes free: this says nothing about its upstream.
+// Guards against too many open connections: at the limit, the connection that has been idle longest is closed. If all
+// are in use, an attempt waits for one. It ends as not sent if none becomes free, which is not a failure of its
+// upstream.
 func TestConnectionLimit(t *testing.T) {
 	a, b := testutil.Raw(t, fakes.Says(fakes.OK200(""))), testutil.Raw(t, fakes.Silent)
 	pool := testPool(t, 1, testutil.Entry("a", a.Address, "Ready"), testutil.Entry("b", b.Address, "Ready"))
 	if response := pool.Attempt(t.Context(), "a", testRequest("GET", ""), time.Time{}); response.Result != balancer.OK {
-		t.Fatalf("result %d", response.Result)
+		t.Fatalf("request failed with result %d, want OK", response.Result)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	busy, waiting := make(chan Response, 1), make(chan Response, 1)
--- a/internal/upstream/write_count.go
+++ b/internal/upstream/write_count.go
@@ -5,12 +5,11 @@
 	"sync/atomic"
 )
 
-// Only the number of bytes that the operating system has accepted can prove that an upstream did not receive a complete request. Nothing that
-// happens later can: the upstream may run the request before the write returns.
+// Only the number of bytes that the operating system has accepted can prove that an upstream did not receive a complete request. Later
+// events prove nothing, because the upstream may run the request before the write returns.
 
-// send writes b and returns how many of its bytes may have left this process. Bytes that the system has accepted count despite an error. On an
-// encrypted connection the count of crypto/tls leaves out a record whose write failed; that record may have left this process unless the
-// socket accepted only a part of it.
+// send writes b and returns the number of its bytes that may have left this process. Bytes that the system has accepted count even if the
+// write fails. crypto/tls does not count a record whose write failed; send counts it, unless the socket accepted only a part of it.
 func (c *pooledConn) send(b []byte) (sent int, err error) {
 	if c.tlsConn == nil {
 		return c.Write(b)
@@ -23,8 +22,8 @@
 	return n, err
 }
 
-// countingConn is a socket that records whether its last write was accepted completely. crypto/tls writes from more than one goroutine: a
-// write by another goroutine can make a request count as possibly sent, which is the safe direction.
+// countingConn is a socket that records whether its last write was accepted completely. crypto/tls writes from more than one goroutine, so
+// a write by another goroutine can make a request count as possibly sent, which is safe.
 type countingConn struct {
 	net.Conn
 	wroteAll atomic.Bool
