--- a/internal/server/acceptor/acceptor.go
+++ b/internal/server/acceptor/acceptor.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Backoff after a failed accept. It doubles with each failure, from minBackoff to maxBackoff.
+// minBackoff and maxBackoff bound the wait after a failed accept, which doubles with each failure.
 const (
 	minBackoff = time.Millisecond
 	maxBackoff = 32 * time.Millisecond
@@ -22,7 +22,7 @@
 	net.Listener
 	log      *slog.Logger
 	failures atomic.Int64
-	backoff  time.Duration // after the latest failure; 0: the latest accept did not fail
+	backoff  time.Duration // wait after the latest failed accept; 0 if the latest accept succeeded
 	deadline atomic.Pointer[time.Time]
 	queue    drainState
 }
@@ -35,8 +35,8 @@
 	return &Listener{Listener: l, log: log}
 }
 
-// Accept waits for the next connection, and retries if accept(2) fails. The only errors that it returns are net.ErrClosed, also once the
-// listener is drained, and os.ErrDeadlineExceeded.
+// Accept waits for the next connection, and retries if accept(2) fails. It returns only two errors: net.ErrClosed once the listener is
+// closed or drained, and os.ErrDeadlineExceeded.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -57,7 +57,8 @@
 	}
 }
 
-// deadlinePassed reports whether the deadline has passed. An accept that fails for another reason does not report it.
+// deadlinePassed reports whether the listener's deadline has passed. The error of an accept that fails for another reason does not show
+// this.
 func (l *Listener) deadlinePassed() bool {
 	deadline := l.deadline.Load()
 	return deadline != nil && !time.Now().Before(*deadline)
--- a/internal/server/acceptor/acceptor_test.go
+++ b/internal/server/acceptor/acceptor_test.go
@@ -57,7 +57,7 @@
 	for _, want := range []error{net.ErrClosed, os.ErrDeadlineExceeded} {
 		underlying := &failingListener{until: time.Now().Add(time.Hour), err: &net.OpError{Op: "accept", Err: want}}
 		if _, err := New(underlying, slog.New(slog.DiscardHandler)).Accept(); !errors.Is(err, want) || underlying.attempts != 1 {
-			t.Errorf("Accept returned %v after %d attempts, want %v after one", err, underlying.attempts, want)
+			t.Errorf("Accept returned %v after %d attempts, want %v after 1 attempt", err, underlying.attempts, want)
 		}
 	}
 }
--- a/internal/server/acceptor/drain.go
+++ b/internal/server/acceptor/drain.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// A draining listener accepts the connections in the system's accept queue until none has arrived for queueQuiet. New connects are rejected
-// meanwhile. If the system cannot reject them, the drain ends after maxOpenDrain, since clients may connect more often than once in
-// queueQuiet.
+// A draining listener accepts the connections in the system's accept queue until no connection has arrived for queueQuiet. Meanwhile the
+// system rejects new connects. If it cannot reject them, clients may connect more often than once in queueQuiet, so the drain ends after
+// maxOpenDrain.
 const (
 	queueQuiet   = 5 * time.Millisecond
 	maxOpenDrain = 100 * time.Millisecond
-	// MaxDrain is how long a drain takes at most if the caller of Accept waits before it accepts the next connection.
+	// MaxDrain is the maximum duration of a drain whose caller of Accept waits before it accepts the next connection.
 	MaxDrain = time.Second
 )
 
@@ -21,7 +21,7 @@
 type drainState struct {
 	mu       sync.Mutex
 	draining bool
-	until    time.Time // from then on one last wait may begin
+	until    time.Time // time after which only one more wait may begin
 	lastWait bool      // the last wait has begun
 	quiet    bool      // no connection has been accepted since the latest wait began
 }
@@ -32,7 +32,7 @@
 	d.quiet = false
 }
 
-// waitAgain reports whether Accept has to wait for the queue once more. The first call returns true, however late it comes.
+// waitAgain reports whether Accept has to wait for the queue once more. The first call always returns true, even after the time in until.
 func (d *drainState) waitAgain() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -63,8 +63,8 @@
 	return l.SetDeadline(time.Now()) // interrupts Accept
 }
 
-// deadlineExceeded is called by Accept at its deadline. It returns nil if Accept has to wait for the queue of a draining listener.
-// The deadline that Drain sets only interrupts the wait for new connections: it may have passed before Accept was called.
+// deadlineExceeded handles the deadline of Accept. It returns nil if the listener is draining and Accept has to wait for its queue. The
+// deadline that Drain sets only interrupts the wait for new connections, and may have passed before Accept was called.
 func (l *Listener) deadlineExceeded() error {
 	if !l.queue.isDraining() {
 		return os.ErrDeadlineExceeded
--- a/internal/server/acceptor/queue.go
+++ b/internal/server/acceptor/queue.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Constants of the socket filter, which sees a segment from its TCP header on. The byte at tcpFlagsOffset has the flags. A segment with SYN
-// and without ACK begins a connection.
+// The socket filter sees a segment from its TCP header on, whose byte at tcpFlagsOffset has the flags. A segment with SYN and without ACK
+// begins a connection.
 const (
 	tcpFlagsOffset = 13
 	tcpSyn         = 0x02
@@ -40,7 +40,7 @@
 	})
 }
 
-// AllowConnects reverts RejectConnects, also if another process that has or had the socket open called it.
+// AllowConnects reverts RejectConnects, even if RejectConnects was called by another process that has or had the socket open.
 func (l *Listener) AllowConnects() error { return AllowConnects(l.Listener) }
 
 // AllowConnects does the same as Listener.AllowConnects, for a listener that was received from another process.
--- a/internal/server/control/call.go
+++ b/internal/server/control/call.go
@@ -93,7 +93,8 @@
 
 var tooLarge = Answer{Status: http.StatusRequestEntityTooLarge, Body: "the body is too large"}
 
-// headEnd returns the index after the empty line that ends the head, or -1 if there is none. Like net/http it accepts bare line feeds.
+// headEnd returns the index after the empty line that ends the head, or -1 if there is no such line. Like net/http it accepts line feeds
+// without carriage returns.
 func headEnd(b []byte) int {
 	for i := 0; ; {
 		n := bytes.IndexByte(b[i:], '\n')
--- a/internal/server/control/control_test.go
+++ b/internal/server/control/control_test.go
@@ -53,8 +53,8 @@
 
 const get = "GET /ready HTTP/1.1\r\nHost: s\r\n\r\n"
 
-// Checks the result for each prefix of valid calls. Guards against calls that are accepted before they are complete, and against valid
-// calls that are rejected or never complete.
+// Parses each prefix of valid calls. Guards against calls that are accepted before they are complete, and against valid calls that are
+// rejected or never complete.
 func TestReadOfEveryBeginning(t *testing.T) {
 	for name, text := range map[string]string{
 		"plain":    get,
@@ -101,8 +101,8 @@
 	}
 }
 
-// Guards against an answer that has to wait for callers that hold a connection and send nothing, half a call, or single bytes at intervals:
-// each such connection has a time-out, and the number of descriptors stays bounded.
+// Guards against an answer that waits for other callers that hold a connection and send nothing, half a call, or single bytes at intervals.
+// Each such connection has to time out, and the number of descriptors has to stay bounded.
 func TestAnswersBesideHundredsOfHolders(t *testing.T) {
 	_, address := startServer(t, answerYes)
 	stop := make(chan struct{})
@@ -140,8 +140,8 @@
 	}
 }
 
-// Guards against a number of waiting connections that grows with the callers: at most MaxWaiting connections wait, and beyond that the one
-// that has waited longest is closed.
+// Guards against a number of waiting connections that grows with the callers: at most MaxWaiting connections wait, and one more closes the
+// connection that has waited longest.
 func TestTheOldestGivesWay(t *testing.T) {
 	s, address := startServer(t, answerYes)
 	oldest := base.Dial(t, address)
@@ -221,9 +221,9 @@
 		fullCall, fullState, _ := ParseCall(b)
 		switch {
 		case prefixState == Complete && (fullState != Complete || fullCall != prefixCall):
-			t.Errorf("%q is complete, and with more bytes its state is %v or it is another call", b[:cut], fullState)
+			t.Errorf("%q is a complete call, but followed by more bytes it has state %v or is another call", b[:cut], fullState)
 		case prefixState == Invalid && fullState != Invalid:
-			t.Errorf("%q is invalid (status %d), and with more bytes its state is %v", b[:cut], bad.Status, fullState)
+			t.Errorf("%q is invalid (status %d), but followed by more bytes it has state %v", b[:cut], bad.Status, fullState)
 		case prefixState == Invalid && (bad.Status < 400 || bad.Status > 505 || bad.Body == ""):
 			t.Errorf("%q gets the answer %+v, which has no error status or no body", b[:cut], bad)
 		}
--- a/internal/server/downstream/checker.go
+++ b/internal/server/downstream/checker.go
@@ -40,8 +40,8 @@
 	return NewChecker(t)
 }
 
-// Check accepts or rejects a request by its head. The body is still unread: it may have r.ContentLength bytes, or, if that is -1, as many as
-// its route allows. unambiguous says that a chunked body is known to be framed in no other way.
+// Check accepts or rejects a request by its head. The body is still unread. Its length is r.ContentLength; if that is -1, the length is
+// unknown and may be as large as the route allows. unambiguous says that a chunked body is known to be framed in no other way.
 func (c *Checker) Check(r *http.Request, unambiguous bool) (Request, *Rejection) {
 	// A body that is framed in two ways may hide a request. If a head has both framings, net/http reports only the chunked one.
 	if len(r.TransferEncoding) > 0 && !unambiguous {
--- a/internal/server/downstream/checker_test.go
+++ b/internal/server/downstream/checker_test.go
@@ -144,7 +144,8 @@
 	}
 }
 
-// Guards against a paused listener that accepts a connection or closes open ones, and against one that stays paused.
+// Guards against a paused listener that accepts a connection or closes open ones, and against a listener that accepts no
+// connections after its pause.
 func TestPausedConnsLeaveTheQueueAlone(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/server/downstream/close_test.go
+++ b/internal/server/downstream/close_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestCloseAcceptsTheQueue guards against a reset of connections in the accept queue when the listener closes, also if they have to wait
+// TestCloseAcceptsTheQueue guards against a reset of connections in the accept queue when the listener closes, even if they have to wait
 // for capacity.
 func TestCloseAcceptsTheQueue(t *testing.T) {
 	l := plainListener(t)
--- a/internal/server/downstream/connection.go
+++ b/internal/server/downstream/connection.go
@@ -39,8 +39,8 @@
 // conn is a connection of a client.
 type conn struct {
 	net.Conn                 // requests are read from it, and responses written to it
-	socket   net.Conn        // the same, or the TCP connection below TLS
-	raw      syscall.RawConn // of socket; nil: not available
+	socket   net.Conn        // the TCP connection: Conn, or the connection below TLS
+	raw      syscall.RawConn // gives access to the socket's file descriptor; nil if not available
 
 	framing   framing.Detector // used by the reader; net/http has one reader at a time
 	ambiguous atomic.Bool      // see framing.Detector.Ambiguous
@@ -49,11 +49,11 @@
 	pipelined    atomic.Bool // bytes arrived after the request in flight, which has been read completely
 	clientGone   atomic.Bool // a read reported the end of the client's stream or a reset
 	closed       atomic.Bool
-	onClientGone atomic.Pointer[func()] // of the request in flight, if it has been read completely; nil: there is none
+	onClientGone atomic.Pointer[func()] // is called if the client disconnects; nil unless a request that has been read completely is in flight
 
 	mu              sync.Mutex // guards the following fields
 	readDeadline    time.Time  // as set by the server
-	shutDeadline    time.Time  // of a connection that was shut: nothing is read after it
+	shutDeadline    time.Time  // set once the connection was shut; nothing is read after it
 	readAheadBuffer *readAheadBuffer
 }
 
@@ -69,8 +69,8 @@
 
 func (c *conn) currentPhase() int32 { return c.phase.Load() }
 
-// tryActivate records that a request arrives or is processed. It returns false if the connection was shut before. The request is not
-// processed then: its client sees the connection end without a response, which tells it that the request was not read.
+// tryActivate records that a request arrives or is processed. It returns false if the connection was shut before, in which case the request
+// is not processed: the connection ends without a response, which tells the client that its request was not read.
 func (c *conn) tryActivate() bool {
 	return c.phase.CompareAndSwap(phaseIdle, phaseActive) || c.phase.Load() == phaseActive
 }
@@ -159,8 +159,8 @@
 	}
 }
 
-// closeIdle half-closes an idle connection. The server reads on, and closes the connection once the client does or lingerTimeout is over.
-// If there are unread bytes closeIdle does nothing, since they belong to a request.
+// closeIdle half-closes an idle connection. The server reads on, and closes the connection once the client has closed it or lingerTimeout
+// has passed. If there are unread bytes closeIdle does nothing, since they belong to a request.
 func (c *conn) closeIdle() {
 	if !c.hasUnreadBytes() && c.phase.CompareAndSwap(phaseIdle, phaseShut) {
 		c.shutWrite()
@@ -184,8 +184,8 @@
 	c.socket.Close()
 }
 
-// Close implements net.Conn with a lingering close. The server calls it once it neither reads nor writes any more. A second call closes at
-// once.
+// Close implements net.Conn with a lingering close. The server calls it once it neither reads nor writes any more. A second call closes the
+// connection without lingering.
 func (c *conn) Close() error {
 	if c.closed.Swap(true) {
 		return c.socket.Close()
@@ -218,8 +218,8 @@
 	return unread
 }
 
-// checkClientGone reports whether the client has disconnected. After pipelined bytes it polls the socket, since more of them may precede
-// the end of the connection than are read ahead.
+// checkClientGone reports whether the client has disconnected. After pipelined bytes it polls the socket, since the end of the connection
+// may come after more of them than can be read ahead.
 func (c *conn) checkClientGone() bool {
 	if c.clientGone.Load() || !c.pipelined.Load() || c.raw == nil {
 		return c.clientGone.Load()
--- a/internal/server/downstream/connections.go
+++ b/internal/server/downstream/connections.go
@@ -10,34 +10,34 @@
 const (
 	// requestGap is how long a client may take between two requests on a connection before the connection counts as unused.
 	requestGap = 2 * time.Second
-	// firstRequestTime is how long the client of a new connection may take to send its first request before other connections are
-	// preferred.
+	// firstRequestTime is how long the client of a new connection may take to send its first request before the connection is evicted in
+	// preference to others.
 	firstRequestTime = 500 * time.Millisecond
 )
 
-// Connections is the listener for clients. It bounds the number of their connections: a connection beyond the limit evicts the one that is
-// needed least. If all are in use, one connection beyond the limit is accepted, and no further one until there is capacity. A connection
-// counts from its accept until its socket is closed. Connections is safe for concurrent use.
+// Connections is the listener for clients. It bounds the number of their connections: a connection beyond the limit evicts the connection
+// that is needed least. If all connections are in use, one beyond the limit is accepted, and no further one until there is capacity. A
+// connection counts from the time it is accepted until its socket is closed. Connections is safe for concurrent use.
 type Connections struct {
 	net.Listener
-	tls *TLS // nil: connections are not encrypted
+	tls *TLS // nil if connections are not encrypted
 
 	mu         sync.Mutex
 	changed    *sync.Cond // signals changes of the following fields
-	limit      int        // of connections
+	limit      int        // maximum number of connections
 	paused     bool       // new connections are left to another process that has the listener's socket too
 	shared     bool       // another process has the listener's socket too
 	closed     bool
 	stopped    bool      // nothing more is accepted
-	drainUntil time.Time // of a closed listener: until when connections in its queue wait for capacity
+	drainUntil time.Time // time until which connections in the queue of a closed listener wait for capacity
 	conns      map[*conn]*connInfo
 	closing    int   // connections whose sockets are closed and that the server has not ended yet
-	newest     *conn // accepted last: not evicted until it is older than firstRequestTime or has had a request
+	newest     *conn // the connection accepted last, which is not evicted until it is older than firstRequestTime or has had a request
 }
 
 // connInfo is the state that Connections keeps for a connection.
 type connInfo struct {
-	idleSince    time.Time // the end of its latest request, or its accept
+	idleSince    time.Time // the end of its latest request, or the time when it was accepted
 	hasRequested bool
 	closing      bool
 }
@@ -76,8 +76,8 @@
 // openLocked returns the number of connections that hold a file descriptor. c.mu is held.
 func (c *Connections) openLocked() int { return len(c.conns) - c.closing }
 
-// awaitCapacity waits until another connection may be accepted. It returns false if the listener was closed and there was no capacity for
-// the connections in its queue until drainUntil.
+// awaitCapacity waits until another connection may be accepted. It returns false if the listener was closed, and until drainUntil there
+// was no capacity for the connections in its queue.
 func (c *Connections) awaitCapacity() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,7 +93,7 @@
 	return true
 }
 
-// evictionRank orders connections for eviction: the highest rank goes first, rankNeeded never.
+// evictionRank orders connections for eviction: connections with the highest rank are evicted first, and those with rankNeeded never.
 type evictionRank int
 
 const (
@@ -106,8 +106,9 @@
 	rankClientGone                  // the client has disconnected and waits for no response
 )
 
-// evictionRank returns the rank of a connection. A connection that never had a request is evicted before one that had, since clients that
-// open hundreds of connections and send nothing must not displace those that send requests. except is not evicted while it is new.
+// evictionRank returns the rank of a connection. A connection that never had a request ranks above one that had, so that clients that open
+// hundreds of connections and send nothing do not displace clients that send requests. The connection except is not evicted while it is
+// new.
 func (i *connInfo) evictionRank(client, except *conn, now time.Time) evictionRank {
 	idleTime := now.Sub(i.idleSince)
 	isNew := !i.hasRequested && idleTime < firstRequestTime
@@ -130,7 +131,7 @@
 	return rankNeverRequested
 }
 
-// evictLocked closes the connection that is needed least, and reports whether there was one. Of several connections of the same rank it
+// evictLocked closes the connection that is needed least, and reports whether it closed one. Of several connections of the same rank it
 // closes the one that has been idle longest. c.mu is held.
 func (c *Connections) evictLocked(except *conn) bool {
 	now := time.Now()
@@ -154,7 +155,7 @@
 	}
 }
 
-// Resize changes the limit of connections. Those that are open stay, even beyond it.
+// Resize changes the limit of connections. Connections that are open stay, even beyond the new limit.
 func (c *Connections) Resize(limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +163,7 @@
 	c.changed.Broadcast()
 }
 
-// Pause leaves new connections to another process that has the listener's socket too. With false they are accepted here again.
+// Pause with true leaves new connections to another process that has the listener's socket too. Pause with false accepts them here again.
 func (c *Connections) Pause(paused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/server/downstream/context.go
+++ b/internal/server/downstream/context.go
@@ -8,7 +8,7 @@
 // connKey is the key of the connection in a request's context.
 type connKey struct{}
 
-// connOf returns the conn of a connection that the server holds, nil if the connection is not of this package.
+// connOf returns the conn of a connection that the server holds, or nil if the connection is not of this package.
 func connOf(c net.Conn) *conn {
 	switch c := c.(type) {
 	case *conn:
--- a/internal/server/downstream/read_ahead.go
+++ b/internal/server/downstream/read_ahead.go
@@ -8,16 +8,17 @@
 
 // Bounds of reading ahead, in bytes. Memory is allocated as bytes arrive.
 const (
-	maxReadAhead  = 32 << 10 // of one connection
-	readAheadStep = 4 << 10  // of one read
+	maxReadAhead  = 32 << 10 // maximum for one connection
+	readAheadStep = 4 << 10  // maximum for one read
 )
 
-// readAheadBuffer holds bytes that arrive after the request in flight, for the server's later reads. The server itself reads one byte after a
-// request and no more before the response. So it would not detect that a client disconnects after it has sent pipelined requests.
+// readAheadBuffer holds bytes that arrive after the request in flight, for the server's later reads. The server itself reads only one byte
+// after a request before it has sent the response. Without reading ahead it would not detect that a client disconnects after it has sent
+// pipelined requests.
 type readAheadBuffer struct {
 	done   chan struct{} // closed once reading ahead has stopped; the other fields may be used then
 	unread []byte
-	err    error // of the connection
+	err    error // error of the connection
 }
 
 // startReadAhead begins to read ahead on a goroutine of its own.
@@ -61,7 +62,7 @@
 	}
 }
 
-// readNext reads for the server. It returns the bytes that were read ahead first.
+// readNext reads for the server. It returns the bytes that were read ahead before it reads from the connection.
 func (c *conn) readNext(p []byte) (int, error) {
 	n, err := c.readBuffered(p)
 	if n > 0 || err != nil {
--- a/internal/server/framing/framing.go
+++ b/internal/server/framing/framing.go
@@ -33,24 +33,24 @@
 	transferEncoding = []byte("Transfer-Encoding")
 )
 
-// Detector follows one connection. The zero value is at the beginning of a connection. It is not safe for concurrent use.
+// Detector follows the requests on one connection. The zero value follows a new connection. Detector is not safe for concurrent use.
 type Detector struct {
 	state     state
-	remaining int64 // bytes of the body or chunk
+	remaining int64 // bytes of the body or chunk that are still to come
 
 	line        [maxLineBytes]byte
 	lineLength  int
-	lineTooLong bool // the line has more bytes than are kept
+	lineTooLong bool // the line has more than maxLineBytes bytes
 
-	requestLineSeen bool // of the current head
+	requestLineSeen bool // the current head's request line has been read
 	hasLength       bool
 	contentLength   int64
 	chunked         bool
 	ambiguous       bool
 }
 
-// Ambiguous reports whether a request head so far framed its body in two ways, or the requests can no longer be followed. A chunked
-// request must not be trusted then.
+// Ambiguous reports whether a request head so far framed its body in two ways, or the requests can no longer be followed. In both cases
+// a chunked request must not be trusted.
 func (d *Detector) Ambiguous() bool { return d.ambiguous || d.state == unknown }
 
 // Feed processes the next bytes of the connection.
@@ -137,7 +137,7 @@
 // headLine handles a line of a head.
 func (d *Detector) headLine(line []byte, tooLong bool) {
 	switch {
-	case !d.requestLineSeen: // net/http accepts no empty line before it
+	case !d.requestLineSeen: // net/http accepts no empty line before the request line
 		d.requestLineSeen = true
 	case len(line) == 0 && !tooLong:
 		d.endHead()
@@ -161,13 +161,13 @@
 	name, value, _ := bytes.Cut(line, []byte{':'})
 	value = bytes.TrimSpace(value)
 	switch {
-	case line[0] == ' ' || line[0] == '\t': // it continues the previous line, which may be a framing header
+	case line[0] == ' ' || line[0] == '\t': // the line continues the previous line, which may be a framing header
 		d.ambiguous = d.ambiguous || d.hasLength || d.chunked
 	case bytes.EqualFold(name, contentLength):
 		n, err := strconv.ParseUint(string(value), 10, maxLengthBits)
 		d.hasLength, d.contentLength = true, int64(n)
 		if err != nil || tooLong {
-			d.state = unknown // net/http rejects it
+			d.state = unknown // net/http rejects such a line
 		}
 	case bytes.EqualFold(name, transferEncoding):
 		d.chunked = true
--- a/internal/server/framing/framing_test.go
+++ b/internal/server/framing/framing_test.go
@@ -15,8 +15,8 @@
 	get     = "GET /a HTTP/1.1\r\nHost: s\r\n\r\n"
 )
 
-// Checks the result for a connection whose bytes arrive in pieces of several sizes. Guards against a request hidden in the body of one that
-// is framed in two ways, wherever that one is on the connection, and against reading the contents of a body as a head.
+// Feeds connections to a Detector in pieces of several sizes. Guards against a request that is hidden in the body of a request framed in
+// two ways, wherever on the connection that request is, and against reading the contents of a body as a head.
 func TestTwice(t *testing.T) {
 	both := "POST /a HTTP/1.1\r\nHost: s\r\ncontent-length : 5\r\nContent-Length: 5\r\nTRANSFER-ENCODING: chunked\r\n\r\n0\r\n\r\n"
 	for name, c := range map[string]struct {
@@ -74,11 +74,12 @@
 			if len(r.TransferEncoding) == 0 || detector.Ambiguous() {
 				continue
 			}
-			// The head must not contain a Content-Length. net/http deletes it from such a head, so the bytes are searched for it.
+			// The head must not contain a Content-Length. net/http deletes this header from a head with both framings, so the test searches the
+			// bytes.
 			if i := bytes.Index(b, []byte("\r\n\r\n")); bytes.Count(b, []byte("HTTP/1.")) == 1 && i > 0 {
 				for line := range bytes.SplitSeq(b[:i], []byte("\r\n")) {
 					if name, _, ok := bytes.Cut(line, []byte{':'}); ok && bytes.EqualFold(name, []byte("Content-Length")) {
-						t.Errorf("net/http accepts %q, which has both framings and is not reported as ambiguous", b)
+						t.Errorf("net/http accepts %q, whose head has both framings, but the Detector does not report it as ambiguous", b)
 					}
 				}
 			}
