--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -89,7 +89,7 @@
 		{web + "[service.tls]\nname = \"a\"\n", []string{"4: service[0].tls: there is no ca"}},
 		{web + "[[route]]\nmatch = \"/a/{x}\"\n[[route]]\nmatch = \"/{y}/b\"\n", []string{"7: route[1].match: conflicts with line 5: /{y}/b and /a/{x} both match some"}},
 		{web + "[[route]]\nmatch = \"/a\"\nservice = \"wbe\"\nkey = \"path:x\"\n[[route]]\nmatch = \"a\"\nclass = \"c\"\n",
-			[]string{`6: route[0].service: there is no service "wbe"`, `7: route[0].key: the pattern has no wildcard "x"`, "9: route[1].match: the path begins"}},
+			[]string{`6: route[0].service: there is no service "wbe"`, `7: route[0].key: the pattern has no wildcard "x"`, "9: route[1].match: the path must begin"}},
 		{web + "[[route]]\nmatch = \"POST /a\"\nclass = \"read\"\n", []string{`6: route[0].class: class read may be repeated, but POST is not safe`}},
 		{web + "[[route]]\nmatch = \"/-/ready\"\n", []string{"5: route[0].match: /-/ is the daemon's own"}},
 		{web + "[[route]]\nset = \"platform\"\nmatch = \"/\"\nmax_body = \"1GiB\"\n", []string{"5: route[0].set", "7: route[0].max_body"}},
--- a/internal/graphql/answer.go
+++ b/internal/graphql/answer.go
@@ -10,16 +10,17 @@
 	Served         Classification = iota // an answer for the client, which may report errors in the client's request
 	UpstreamFailed                       // the upstream reports a failure of its own; the operation may have run
 	NotExecuted                          // the upstream reports that it has not run the operation
-	Malformed                            // not a GraphQL answer; the operation may have run
+	Malformed                            // the answer is not a GraphQL answer; the operation may have run
 )
 
-// Classify classifies an answer whose HTTP status is one that the service serves. encoded: it has a content encoding.
+// Classify classifies an answer whose HTTP status is one that the service serves. encoded says that the answer has a content
+// encoding.
 //
-// An answer with errors and without data is classified by its error codes. If it always were a failure, as an HTTP 500 is,
-// one client's faulty operation, retried on one upstream after another, would eject them all. If it never were, an upstream
-// whose own back end is down would get requests for as long as it answers fastest. Only the codes that the operator names
-// count: the specification defines none, and INTERNAL_SERVER_ERROR, which most servers return for any exception, is as
-// often caused by the operation as by the upstream. An answer with data is served whatever errors it has.
+// An answer with errors and without data is classified by its error codes. If every such answer counted as a failure, as an
+// HTTP 500 does, one client's faulty operation, retried on one upstream after another, would eject them all. If none did, an
+// upstream whose own back end is down would get requests for as long as it answers fastest. Only the codes that the operator
+// lists count as failures: the specification defines none, and INTERNAL_SERVER_ERROR, which most servers return for any
+// exception, is as often caused by the operation as by the upstream. An answer with data is served whatever errors it has.
 //
 // With a 2xx status the body has to be a GraphQL answer. With any other status that the service serves, the body may be
 // anything: a proxy before the upstream answers 401 or 413 in a format of its own.
@@ -50,7 +51,7 @@
 	return Served
 }
 
-// IsAnswer reports whether a body is a GraphQL answer. Only then may it be an entry of the answer to a batch.
+// IsAnswer reports whether a body is a GraphQL answer. Only a GraphQL answer may be an entry of the answer to a batch.
 func IsAnswer(body []byte) bool {
 	_, ok := readAnswer(body)
 	return ok
@@ -120,7 +121,8 @@
 	return a, (data || errors) && r.atEnd(body)
 }
 
-// readError reads an error and returns its code, empty if it has none; false: it is not an error of the specification's form.
+// readError reads an error and returns its code, which is empty if the error has none. It returns false if the error does not
+// have the specification's form.
 func readError(r *reader) (code string, ok bool) {
 	_, _ = r.ReadToken() // the opening brace, peeked by the caller
 	hasMessage := false
--- a/internal/graphql/answer_test.go
+++ b/internal/graphql/answer_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Guards against answers that are classified as failures of the upstream although none of their error codes is configured as one, and against
-// texts that are taken for GraphQL answers although they are malformed.
+// Guards against answers that are classified as failures of the upstream although none of their error codes is configured as a failure, and
+// against malformed texts that are classified as GraphQL answers.
 func TestClassify(t *testing.T) {
 	e := endpoint(t, "", func(o *Options) { o.FailingCodes, o.NotRunCodes = []string{"GONE"}, []string{"FULL"} })
 	coded := func(codes ...string) string {
--- a/internal/graphql/batch.go
+++ b/internal/graphql/batch.go
@@ -9,7 +9,7 @@
 const (
 	Answered   EntryOutcome = iota // an upstream answered, with or without errors
 	NotRun                         // rejected before any part of it ran
-	MayHaveRun                     // no answer: it may have run, or may still be running
+	MayHaveRun                     // no answer arrived: the entry may have run, or may still be running
 )
 
 // Batch decides which entries of a batch are sent, and when. It is a state machine without a clock: Next is called at the
@@ -18,9 +18,9 @@
 // effects of another. Mutations have an order because the specification requires it within one operation, and clients
 // expect it of a list.
 //
-// A mutation with an uncertain outcome may still be running, and one that did not run leaves a gap in the order. The mutations
-// after either are not sent, so that a client that sends them again gets the order that it asked for. A rejected entry leaves a
-// gap if it is a mutation or its kind is not known.
+// A mutation with an uncertain outcome may still be running, and a mutation that did not run leaves a gap in the order. The
+// mutations after either are not sent, so that a client that sends them again gets the order that it asked for. A rejected entry
+// leaves a gap if it is a mutation or its kind is not known.
 type Batch struct {
 	kinds            []OperationKind
 	state            []entryState
--- a/internal/graphql/cost.go
+++ b/internal/graphql/cost.go
@@ -29,7 +29,7 @@
 	sizedFields   []string     // fields of the selection that the size applies to instead
 	name          string
 	children      []*costNode
-	spread        *costNode // the fragment; nil: the node is a field
+	spread        *costNode // the fragment; nil if the node is a field
 }
 
 // maxCost bounds costs, weights and list sizes.
@@ -49,7 +49,8 @@
 	return sum
 }
 
-// nodeCost returns the cost of a node. size is that of the field above, and applies to the fields in sizedFields.
+// nodeCost returns the cost of a node. size is the list size of the field above the node, and applies to the fields in
+// sizedFields.
 func (e *costEstimator) nodeCost(n *costNode, sizedFields []string, size float64) float64 {
 	if n.spread != nil {
 		if len(sizedFields) > 0 { // the fragment's cost depends on the size here, so it is not memoized
@@ -86,7 +87,7 @@
 	return min(maxCost, n.weight+listSize*e.sum(n.children, nil, 1))
 }
 
-// number returns the numeric value of an argument, from 0 to maxCost; false: it has none.
+// number returns the numeric value of an argument, from 0 to maxCost. It returns false if the argument has none.
 func (e *costEstimator) number(v *ast.Value) (float64, bool) {
 	raw := v.Raw
 	if v.Kind == ast.Variable {
--- a/internal/graphql/decide.go
+++ b/internal/graphql/decide.go
@@ -19,18 +19,19 @@
 	Class    *Class
 	Key      string        // idempotency key; empty unless the class is keyed
 	Cost     float64       // static estimate, in units of field weight
-	CostHint time.Duration // expected duration by earlier operations of this kind; 0: unknown
+	CostHint time.Duration // expected duration, from earlier operations of this kind; 0 if unknown
 	Body     []byte        // body of the POST to the upstream
-	Name     string        // of the operation, as chosen by the client
+	Name     string        // the operation's name, as chosen by the client
 
 	signature string
 }
 
-// valueOf is the JSON values of an operation's variables, by name.
+// valueOf holds the JSON values of an operation's variables, by name.
 type valueOf = map[string]jsontext.Value
 
-// Decide classifies an operation, or returns the problem for which it is rejected. get: the request's method is GET, which is for queries
-// only. header is the request's, in which keys are looked up; it is nil for an entry of a batch, since the headers belong to all entries.
+// Decide classifies an operation, or returns the problem for which the operation is rejected. get says that the request's method is GET,
+// which is for queries only. header has the request's headers, in which keys are looked up. It is nil for an entry of a batch, since the
+// headers belong to all entries.
 func (e *Endpoint) Decide(p *Params, get bool, header http.Header) (Decision, *Problem) {
 	text, trusted, problem := e.resolveText(p)
 	if problem != nil {
@@ -94,7 +95,7 @@
 		field := &op.roots[i]
 		rule := e.fieldRules[typ+"."+field.name]
 		switch {
-		case field.name == "__typename" && len(op.roots) > 1: // it has no effect
+		case field.name == "__typename" && len(op.roots) > 1: // this field has no effect
 		case rule == nil:
 			candidates = append(candidates, e.classes[kind])
 		case rule.key == "":
--- a/internal/graphql/decide_test.go
+++ b/internal/graphql/decide_test.go
@@ -51,8 +51,8 @@
 	return o
 }
 
-// endpoint creates an Endpoint with the options of options, after change. With persisted = "known", change sets KnownFile to the text of
-// the file in place of its path.
+// endpoint creates an Endpoint with the options that the function options returns, after change has edited them. With persisted = "known",
+// change sets KnownFile to the text of the file instead of its path.
 func endpoint(t testing.TB, schema string, change func(*Options)) *Endpoint {
 	t.Helper()
 	o := options()
@@ -87,7 +87,7 @@
 	return d, d.Class.Name
 }
 
-// requestBody returns the JSON body for a query. more are further members of the object.
+// requestBody returns the JSON body for a query. more holds further members of the body's object.
 func requestBody(query string, more ...string) string {
 	return fmt.Sprintf(`{"query":%q%s}`, query, strings.Join(append([]string{""}, more...), ","))
 }
--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -33,7 +33,7 @@
 type operation struct {
 	name                string
 	kind                ast.Operation
-	roots               []rootField // also those in fragments and under @skip or @include, which may depend on variables
+	roots               []rootField // including those in fragments and under @skip or @include, which may depend on variables
 	signature           string      // kind and root fields; durations are recorded by signature
 	costTree            []*costNode
 	fixedCost           float64 // the cost; costUnknown if it depends on variables
--- a/internal/graphql/durations.go
+++ b/internal/graphql/durations.go
@@ -56,7 +56,7 @@
 // maxDurationEstimate bounds the expected duration of an operation.
 const maxDurationEstimate = time.Hour
 
-// estimate returns the expected duration of an operation; 0: too few samples.
+// estimate returns the expected duration of an operation, or 0 if there are too few samples.
 func (d *durationEstimates) estimate(kind string, cost float64) time.Duration {
 	r, ok := d.kinds.Get(kind)
 	if !ok || r.samples < minSamples {
--- a/internal/graphql/endpoint.go
+++ b/internal/graphql/endpoint.go
@@ -21,12 +21,12 @@
 // durations of operations by maxOperationKinds.
 type Endpoint struct {
 	options          Options
-	schema           *ast.Schema // nil: the endpoint has no schema
+	schema           *ast.Schema // nil if the endpoint has no schema
 	classes          [2]*Class   // default classes by OperationKind
 	fieldRules       map[string]*fieldRule
 	operationClasses map[string]*Class
 	weights          map[string]float64
-	knownTexts       map[string]string // by hash or id; nil: any operation is accepted
+	knownTexts       map[string]string // by hash or id; nil if any operation is accepted
 	knownInFull      map[string]bool   // the texts of the known operations
 	documents        *lru[*document]
 	persistedTexts   *lru[string]
--- a/internal/graphql/key.go
+++ b/internal/graphql/key.go
@@ -7,8 +7,8 @@
 	"github.com/vektah/gqlparser/v2/ast"
 )
 
-// scalar returns the string or number at a dotted path in a JSON value, as an idempotency key; false: there is none of 1 to
-// maxKey bytes.
+// scalar returns the string or number at a dotted path in a JSON value, as an idempotency key. It returns false if there is
+// none, or if it does not have 1 to maxKey bytes.
 func scalar(v jsontext.Value, path string) (string, bool) {
 	for path != "" {
 		var part string
@@ -29,8 +29,8 @@
 	return "", false
 }
 
-// keyOf returns the idempotency key in an argument of a root field; false: it has none. path is the argument's name and, after
-// dots, parts of an input. The key is a string, a number or an enum value of 1 to maxKey bytes.
+// keyOf returns the idempotency key in an argument of a root field, or false if there is none. path is the argument's name,
+// after which dots select parts of an input. The key is a string, a number or an enum value of 1 to maxKey bytes.
 func (r *rootField) keyOf(path string, vars func() valueOf, defs ast.VariableDefinitionList) (string, bool) {
 	first, rest, _ := strings.Cut(path, ".")
 	a := r.args.ForName(first)
--- a/internal/graphql/media.go
+++ b/internal/graphql/media.go
@@ -5,8 +5,9 @@
 	"strings"
 )
 
-// NegotiateMedia returns the answer's media type for an Accept header; false: the client accepts neither type. Without a header
-// it is MediaResponse, as the specification says since 2025. MediaResponse is also chosen if both types have the same quality.
+// NegotiateMedia returns the answer's media type for an Accept header, or false if the client accepts neither type. Without a
+// header the type is MediaResponse, as the specification says since 2025. MediaResponse is also chosen if both types have the
+// same quality.
 func NegotiateMedia(accept []string) (string, bool) {
 	if len(accept) == 0 {
 		return MediaResponse, true
--- a/internal/graphql/parameters.go
+++ b/internal/graphql/parameters.go
@@ -10,10 +10,10 @@
 // spelling, and all text is UTF-8.
 type Params struct {
 	Query      string
-	Operation  string         // operationName; empty: the document's only operation
-	Variables  jsontext.Value // a JSON object; nil: none
-	Extensions jsontext.Value // a JSON object, without persistedQuery; nil: none
-	Hash       string         // SHA-256 of the text, in hexadecimal, or id of a known operation; empty: none
+	Operation  string         // operationName; empty for the document's only operation
+	Variables  jsontext.Value // a JSON object; nil if absent
+	Extensions jsontext.Value // a JSON object, without persistedQuery; nil if absent
+	Hash       string         // SHA-256 of the text, in hexadecimal, or id of a known operation; empty if absent
 	BadHash    bool           // persistedQuery has an unknown version or no hash
 }
 
--- a/internal/graphql/persisted.go
+++ b/internal/graphql/persisted.go
@@ -9,7 +9,7 @@
 	"github.com/go-json-experiment/json"
 )
 
-// resolveText returns the text of the requested document. trusted: it is a known operation.
+// resolveText returns the text of the requested document. trusted says that the document is a known operation.
 func (e *Endpoint) resolveText(p *Params) (text string, trusted bool, problem *Problem) {
 	switch {
 	case p.BadHash:
@@ -51,7 +51,7 @@
 }
 
 // knownOperations parses a file of known operations: an object from hash to text, or a manifest whose operations have an
-// id and a body. An id that is a SHA-256 has to be that of its text; other ids are not checked.
+// id and a body. An id that is a SHA-256 has to be the SHA-256 of the operation's text; other ids are not checked.
 func knownOperations(text string) (map[string]string, error) {
 	var manifest struct {
 		Operations []struct {
--- a/internal/graphql/problem.go
+++ b/internal/graphql/problem.go
@@ -62,7 +62,7 @@
 // FailureDetails are further extensions of the error of an operation that has no answer.
 type FailureDetails struct {
 	MayHaveRun bool
-	RetryAfter time.Duration // 0: not given
+	RetryAfter time.Duration // 0 if not given
 }
 
 // ErrorBody returns the body of an answer with one error. details may be nil.
--- a/internal/graphql/reader.go
+++ b/internal/graphql/reader.go
@@ -29,7 +29,8 @@
 	readers.Put(r)
 }
 
-// nextName reads an object's next key; false: the object ends or is malformed, which the next read reports.
+// nextName reads an object's next key. It returns false if the object ends or is malformed; the next read reports a malformed
+// object.
 func (r *reader) nextName(scratch []byte) ([]byte, bool) {
 	if r.PeekKind() != '"' {
 		return nil, false
--- a/internal/graphql/request.go
+++ b/internal/graphql/request.go
@@ -14,7 +14,7 @@
 type Request struct {
 	Batch    bool
 	Params   []Params
-	Problems []*Problem // why an entry of a batch cannot be read; nil: it can
+	Problems []*Problem // why an entry of a batch cannot be read; nil if it can
 }
 
 // ParseBody reads the body of a POST. The returned Problem concerns the whole request.
--- a/internal/graphql/request_test.go
+++ b/internal/graphql/request_test.go
@@ -49,17 +49,18 @@
 			t.Errorf("body %.120q: got %s, want %s", body, got, want)
 		}
 		if took := time.Since(begun); took > 500*time.Millisecond { // 5 ms on an idle machine, by cmd/measure
-			t.Errorf("body %.60q took %v to decide", body, took)
+			t.Errorf("body %.60q took %v to decide, want at most 500 ms", body, took)
 		}
 	}
-	// The forwarded body has one form, whatever form the client sent.
+	// The forwarded body must have one form, whatever form the client sent.
 	d, _ := decide(e, `{"extensions":{"a":[1, 2],"persistedQuery":{"version":1,"sha256Hash":"`+hash+`"}},"variables":{"v":"\u0041"},"qu\u0065ry":"{seats}"}`)
 	if got, want := string(d.Body), `{"query":"{seats}","variables":{"v":"\u0041"},"extensions":{"a":[1, 2]}}`; got != want {
 		t.Errorf("forwarded body is %s, want %s", got, want)
 	}
 }
 
-// Guards against a mutation by GET, and against a parameter that occurs twice, of which upstreams may use either.
+// Guards against a mutation by GET that is accepted, and against a parameter that occurs twice and is accepted although upstreams may
+// use either value.
 func TestParseURLQuery(t *testing.T) {
 	e := endpoint(t, "", nil)
 	for raw, want := range map[string]string{
@@ -88,7 +89,7 @@
 	}
 	for raw, want := range map[string]bool{"": true, "a=1": true, "query=x": false, "QUERY=x": false, "extensions": false, "a;b": false} {
 		if HasNoParameters(raw) != want {
-			t.Errorf("HasNoParameters(%q) is %v", raw, !want)
+			t.Errorf("HasNoParameters(%q) is %v, want the opposite", raw, !want)
 		}
 	}
 }
@@ -103,13 +104,13 @@
 			list = []string{accept}
 		}
 		if got, ok := NegotiateMedia(list); got != want || ok != (want != "") {
-			t.Errorf("NegotiateMedia of Accept %q is %q", accept, got)
+			t.Errorf("NegotiateMedia for Accept %q returned %q, which is not the expected media type or result", accept, got)
 		}
 	}
 	for kind, want := range map[string]bool{"application/json": true, "application/JSON; charset=UTF-8": true, `application/json;charset="utf-8"`: true,
 		"application/json;charset=utf-16": false, "text/plain": false, "": false, "application/jsonp": false} {
 		if IsJSON(kind) != want {
-			t.Errorf("IsJSON(%q) is %v", kind, !want)
+			t.Errorf("IsJSON(%q) is %v, want the opposite", kind, !want)
 		}
 	}
 }
--- a/internal/routes/bench_test.go
+++ b/internal/routes/bench_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// BenchmarkDecide measures a decision with 1 to 10,000 routes: its cost must not depend on their number.
+// BenchmarkDecide measures a decision with 1 to 10,000 routes. The cost of a decision must not depend on
+// their number.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{1, 100, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/routes/conflicts.go
+++ b/internal/routes/conflicts.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Conflict is two patterns of which neither takes precedence, by their indices in the list that the table is made from.
+// Conflict is a pair of patterns of which neither takes precedence. First and Second are their indices in the list that the table is made
+// from.
 type Conflict struct{ First, Second int }
 
 // maxConflicts is the maximum number of conflicts that are reported.
@@ -17,9 +18,9 @@
 	index      int
 }
 
-// conflictIndex finds the patterns with which another may conflict. Two patterns can match the same path only if at each position they have
-// the same literal or one of them has a wildcard. A pattern is therefore compared only with those that can match one of its literals: the
-// literal for which these are fewest.
+// conflictIndex finds the patterns that may conflict with a given pattern. Two patterns can match the same path only if, at each position,
+// they have the same literal or one of them has a wildcard. A pattern is therefore compared only with the patterns that can match one of
+// its literals; of its literals, the one that the fewest patterns can match is used.
 type conflictIndex struct {
 	literals       map[position][]int // patterns with the literal at the position
 	wildcards      map[position][]int // patterns with a wildcard for one segment, or {$}, at the position
@@ -47,7 +48,7 @@
 	return found
 }
 
-// candidates returns the sorted indices of the patterns that may match a path of the given one, of those added so far.
+// candidates returns the sorted indices of the patterns, among those added so far, that may match a path of the given pattern.
 func (x *conflictIndex) candidates(pattern *Pattern) []int {
 	candidates := x.all[pattern.Host]
 	fewest := len(candidates)
--- a/internal/routes/decide_test.go
+++ b/internal/routes/decide_test.go
@@ -74,7 +74,7 @@
 	{"POST", "x", "/plain", "", "405"},
 	{"GET", "x", "/plain", "", "search"},
 	{"GET", "x", "/shops/7/record", "", "search"}, // matches the first route, since GET does not write a record
-	{"POST", "x", "/shops/7/record", "", "400"},   // without a key
+	{"POST", "x", "/shops/7/record", "", "400"},   // the request has no key
 	{"POST", "x", "/shops/7/record", "Idempotency-Key: k", "record"},
 	{"POST", "x", "/shops/7/record", "Idempotency-Key: k, l", "400"},
 	{"POST", "x", "/shops/7/record", "Idempotency-Key: k|Idempotency-Key: k", "400"},
@@ -124,7 +124,7 @@
 		t.Errorf("wrong values from the route's sources: %+v, rejection %+v", d, rejection)
 	}
 	if _, rejection := table.Decide(Request{Method: "POST", Target: "/a", ContentLength: 1<<10 + 1}); rejection == nil || rejection.Status != 413 {
-		t.Errorf("a body above the route's limit: got rejection %+v, want status 413", rejection)
+		t.Errorf("request with a body above the route's limit: got rejection %+v, want status 413", rejection)
 	}
 	if _, rejection := table.Decide(Request{Method: "PUT", Target: "/plain"}); rejection == nil || rejection.Allow != "GET, HEAD, OPTIONS" {
 		t.Errorf("PUT to a route for reads: got rejection %+v, want the allowed methods", rejection)
--- a/internal/routes/doc.go
+++ b/internal/routes/doc.go
@@ -1,12 +1,13 @@
-// Package routes decides from a request's method, host, target and headers which service it goes to, and its class, idempotency key, tenant,
-// cost, id, deadline and largest body. It does no I/O; a Table is immutable, and a reload makes a new one.
+// Package routes determines the service, class, idempotency key, tenant, cost, id, deadline and largest body of a request from its method,
+// host, target and headers. It does no I/O. A Table is immutable; a reload makes a new one.
 //
-// Patterns are those of net/http, with its order of precedence: of two that match, the one that matches a subset of the other's requests
-// comes first, and one with a host before one without. If neither holds the two conflict, and New reports them.
+// Patterns and their precedence are those of net/http. Of two patterns that match, a pattern that matches only a subset of the other's
+// requests takes precedence, and a pattern with a host takes precedence over one without. If neither rule applies, the two patterns
+// conflict, and New reports them.
 //
-// An upstream may read a request differently from this package. So every check follows one rule: the class, the key and the id that are
-// acted on must be those that any upstream would read. A request that two readers may understand in two ways is rejected, or accepted only
-// if the class decided on is at least as strict as that of any other reading.
+// An upstream may read a request differently from this package. The class, the key and the id that this package determines must therefore
+// be those that any upstream would read. A request that can be read in two ways is rejected, or accepted only if its class is at least as
+// strict as that of every other reading.
 //
 // table.go decides on a request: target.go and headers.go check its head, readings.go lists other readings of its path, tree.go finds its
 // route, request_fields.go reads the values of the route's sources. pattern.go parses patterns, relation.go compares them and conflicts.go
--- a/internal/routes/headers.go
+++ b/internal/routes/headers.go
@@ -9,8 +9,8 @@
 	"orchiddrift/internal/httpheader"
 )
 
-// platformHeaders are the headers of the platform's protocol. A request may have each once at most, in one spelling only, whether or not a
-// route reads it: an upstream may.
+// platformHeaders are the headers of the platform's protocol. A request may have each once at most, in one spelling only, even if no route
+// reads it, because an upstream may read it.
 var platformHeaders = []string{httpheader.RequestID, httpheader.Class, httpheader.Tenant, httpheader.Timeout, httpheader.Cost,
 	httpheader.Attributes, httpheader.RetryMarker, httpheader.IdempotencyKey}
 
@@ -21,9 +21,9 @@
 // framingHeaders must not be spelled with underscores, like the decisive headers.
 var framingHeaders = []string{"Content-Length", "Transfer-Encoding", "Host"}
 
-// preconditionHeaders and partialAnswerHeaders make an upstream answer with something other than the complete representation. Where such
-// answers count as failures, a client could use these headers to have upstreams ejected. Requests that are not idempotent are therefore
-// rejected there if they have preconditions, and these headers are not forwarded with other requests.
+// preconditionHeaders and partialAnswerHeaders ask an upstream for an answer other than the complete representation. If such answers count
+// as failures, a client could use these headers to have upstreams ejected. In that case, requests that are not idempotent are rejected if
+// they have preconditions, and other requests are forwarded without these headers.
 var (
 	preconditionHeaders  = []string{"If-Match", "If-Unmodified-Since"}
 	partialAnswerHeaders = []string{"Range", "If-Range", "If-None-Match", "If-Modified-Since"}
--- a/internal/routes/pattern.go
+++ b/internal/routes/pattern.go
@@ -12,8 +12,8 @@
 // {name} matches any one segment, {name...} or a slash at the end any remainder, and {$} at the end only the end of the path. Headers are
 // further conditions: the values, regardless of case, that headers must have.
 type Pattern struct {
-	Method   string // empty: any
-	Host     string // empty: any; without a port, in lower case
+	Method   string // empty for any method
+	Host     string // empty for any host; in lower case, without a port
 	Headers  map[string]string
 	segments []segment
 	text     string
@@ -109,7 +109,7 @@
 func (p *Pattern) parseHost(location string) (path string, err error) {
 	slash := strings.IndexByte(location, '/')
 	if slash < 0 {
-		return "", errors.New("the path begins with a slash: [METHOD ][HOST]/PATH")
+		return "", errors.New("the path must begin with a slash: [METHOD ][HOST]/PATH")
 	}
 	p.Host = location[:slash]
 	if strings.ContainsAny(p.Host, " {}:") || p.Host != strings.ToLower(p.Host) {
@@ -123,7 +123,7 @@
 		return err
 	}
 	if strings.ContainsAny(path, "%? ") {
-		return errors.New("a pattern's path is written decoded, without %, ? and spaces")
+		return errors.New("a pattern's path must be decoded, and must not contain %, ? or spaces")
 	}
 	parts := strings.Split(path[1:], "/")
 	if len(parts) > maxSegments {
@@ -135,7 +135,7 @@
 			return err
 		}
 		if s.kind != literal && s.text != "" && slices.Contains(p.Wildcards(), s.text) {
-			return fmt.Errorf("%s occurs twice", part)
+			return fmt.Errorf("wildcard %s occurs twice in the pattern", part)
 		}
 		p.segments = append(p.segments, s)
 	}
@@ -153,7 +153,7 @@
 	case part[0] == '{' && part[len(part)-1] == '}':
 		return parseWildcard(part, isLast)
 	case strings.ContainsAny(part, "{}"):
-		return segment{}, fmt.Errorf("%s: a wildcard is a whole segment", part)
+		return segment{}, fmt.Errorf("%s: a wildcard must be a whole segment", part)
 	}
 	return segment{text: part}, nil
 }
@@ -163,11 +163,11 @@
 	if name, ok := strings.CutSuffix(s.text, "..."); ok {
 		s = segment{kind: multiWildcard, text: name}
 		if !isLast {
-			return segment{}, fmt.Errorf("%s is not the last segment", part)
+			return segment{}, fmt.Errorf("wildcard %s must be the last segment", part)
 		}
 	}
 	if !isName(s.text) {
-		return segment{}, fmt.Errorf("%s: a wildcard's name consists of letters, digits and _", part)
+		return segment{}, fmt.Errorf("%s: a wildcard's name must consist of letters, digits and _", part)
 	}
 	return s, nil
 }
@@ -176,10 +176,10 @@
 	p.Headers = make(map[string]string, len(headers))
 	for name, value := range headers {
 		if !isHeaderName(name) {
-			return fmt.Errorf("%q is not a usable header name", name)
+			return fmt.Errorf("condition on headers: %q is not a valid header name", name)
 		}
 		if value == "" || value != strings.TrimSpace(value) || hasControl(value) {
-			return fmt.Errorf("header %s: %q is not a usable value", name, value)
+			return fmt.Errorf("header %s: the condition's value %q must not be empty, have spaces around it or contain control characters", name, value)
 		}
 		p.Headers[http.CanonicalHeaderKey(name)] = value
 	}
--- a/internal/routes/platform.go
+++ b/internal/routes/platform.go
@@ -11,8 +11,8 @@
 // PlatformBody is the largest body of a request by the platform's protocol, in bytes.
 const PlatformBody = 32 << 20
 
-// Platform returns the platform's rules as routes: the class is the path's first segment, its idempotency determines the method, and the
-// headers must agree with both. A class whose name cannot be a segment of a path has no route.
+// Platform returns the platform's rules as routes. The first segment of a request's path is the name of its class, the idempotency of
+// the class determines the method, and the headers must agree with both. A class whose name cannot be a segment of a path has no route.
 func Platform(service string, classes []balancer.Class) []*Route {
 	var routes []*Route
 	for i := range classes {
--- a/internal/routes/precedence_test.go
+++ b/internal/routes/precedence_test.go
@@ -21,7 +21,7 @@
 	return p
 }
 
-// Few values are drawn, so that patterns often overlap.
+// The generators draw from few values, so that patterns often overlap.
 var (
 	drawnMethods  = rapid.SampledFrom([]string{"", "GET ", "HEAD ", "POST "})
 	drawnHosts    = rapid.SampledFrom([]string{"", "", "a.example", "b.example"})
--- a/internal/routes/readings.go
+++ b/internal/routes/readings.go
@@ -17,9 +17,10 @@
 	return !strings.ContainsAny(path, "%;") && !strings.Contains(path, "//") && !mayChangeCase(path)
 }
 
-// pathReadings returns the paths as which servers may read a path. The first is this program's own reading, decoded once. targetPath has
-// already rejected dot segments, encoded slashes and backslashes. What remains are servers that do not decode or decode again, remove
-// parameters after a semicolon, merge slashes, or ignore case. toggleTrailingSlash covers servers that ignore or expect a trailing slash.
+// pathReadings returns the paths as which servers may read a path. The first one is the path decoded once, as this program reads it.
+// targetPath has already rejected dot segments, encoded slashes and backslashes. The other readings are those of servers that do not
+// decode or decode again, remove parameters after a semicolon, merge slashes, or ignore case. toggleTrailingSlash covers servers that
+// ignore or expect a trailing slash.
 func pathReadings(path string) []string {
 	readings := decodedReadings(path)
 	for _, transform := range []func(string) string{withoutParameters, mergeSlashes, strings.ToLower} {
@@ -77,7 +78,7 @@
 	return path + "/"
 }
 
-// mayChangeCase reports whether a text has upper-case letters, or bytes of other characters than ASCII, which may be upper case.
+// mayChangeCase reports whether a text has upper-case letters, or bytes of non-ASCII characters, which may be upper case.
 func mayChangeCase(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c >= 'A' && c <= 'Z' || c >= utf8.RuneSelf {
--- a/internal/routes/rejection.go
+++ b/internal/routes/rejection.go
@@ -12,7 +12,7 @@
 // would indicate overload.
 type Rejection struct {
 	Status int
-	Allow  string // of 405: the methods that are allowed
+	Allow  string // with status 405, the methods that are allowed
 	Text   string // one line
 }
 
--- a/internal/routes/relation.go
+++ b/internal/routes/relation.go
@@ -38,7 +38,8 @@
 	return combineRelations(combineRelations(r, compareMethods(p.Method, q.Method)), compareHeaders(p.Headers, q.Headers))
 }
 
-// conflicts reports whether a request may match both patterns without one taking precedence. One with a host precedes one without.
+// conflicts reports whether a request may match both patterns without one taking precedence. A pattern with a host takes precedence over
+// one without.
 func (p *Pattern) conflicts(q *Pattern) bool {
 	if p.Host != q.Host {
 		return false
@@ -92,7 +93,7 @@
 			if len(a) == len(b) {
 				return r
 			}
-			return disjoint // one is longer, and neither has a multi wildcard up to here
+			return disjoint // one path is longer, and neither has a multi wildcard up to here
 		}
 		x, y := a[i], b[i]
 		switch {
--- a/internal/routes/request_fields.go
+++ b/internal/routes/request_fields.go
@@ -50,7 +50,8 @@
 	return nil
 }
 
-// readKey reads the idempotency key. A class that needs a key must have exactly one; by the platform's rules no other class may have any.
+// readKey reads the idempotency key. A request of a class that needs a key must have exactly one. By the platform's rules a request of
+// any other class must have none.
 func (d *Decision) readKey(path string, header http.Header) *Rejection {
 	route := d.Route
 	key, given := route.Key.value(route.Pattern, path, header)
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// checkPreconditions rejects preconditions of a request that is not idempotent, where only complete answers count as success.
+// checkPreconditions rejects a request that has preconditions and is not idempotent, if only complete answers count as success.
 func (d *Decision) checkPreconditions(header http.Header) *Rejection {
 	if !d.Route.CompleteOnly || d.Class.Idempotency == balancer.Idempotent {
 		return nil
@@ -80,7 +81,8 @@
 	return nil
 }
 
-// readTimeout sets how long the client waits: the time in text, but at most the class's deadline. An empty text means the deadline.
+// readTimeout sets how long the client waits: the duration in text, but at most the class's deadline. If text is empty, it is the
+// deadline.
 func (d *Decision) readTimeout(text string) *Rejection {
 	d.Timeout = d.Class.Deadline
 	if text == "" {
@@ -94,7 +96,7 @@
 	return nil
 }
 
-// readCost sets the expected work from a number of microseconds. It is unknown if the text is empty.
+// readCost sets the expected work from a number of microseconds. If text is empty, the expected work is unknown.
 func (d *Decision) readCost(text string) *Rejection {
 	if text == "" {
 		return nil
--- a/internal/routes/route.go
+++ b/internal/routes/route.go
@@ -12,13 +12,14 @@
 	Pattern *Pattern
 	Service string
 
-	// Class is the class of the requests; nil: the method decides, Read for GET, HEAD and OPTIONS and Write for all others.
+	// Class is the class of the requests. If it is nil, the method decides: requests with GET, HEAD or OPTIONS have the class Read, all
+	// others Write.
 	Class       *balancer.Class
 	Read, Write *balancer.Class
 
 	Key, Tenant, Cost, ID, Deadline Source
 
-	// Repeats are unsafe methods of HTTP that may nevertheless reach an idempotent class.
+	// Repeats are unsafe methods of HTTP that the route accepts although its class is idempotent.
 	Repeats []string
 	MaxBody int64 // bytes
 
@@ -31,10 +32,10 @@
 	NeedID       bool   // a request without an id is rejected; otherwise an id is generated
 	StrictKey    bool   // a key on a class that needs none is rejected
 	GetOnly      bool   // GET does not include HEAD
-	CompleteOnly bool   // only complete answers are successes: headers that request others are not forwarded
+	CompleteOnly bool   // only complete answers are successes: headers that request other answers are not forwarded
 }
 
-// class returns the class of requests of a method; nil: the route is not for the method.
+// class returns the class of requests with a method, or nil if the route is not for the method.
 func (r *Route) class(method string) *balancer.Class {
 	reads := method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 	switch {
@@ -56,7 +57,7 @@
 var listedMethods = []string{http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodPost, http.MethodPut, http.MethodPatch,
 	http.MethodDelete}
 
-// allowed returns those of listedMethods and Repeats that the route is for.
+// allowed returns the methods among listedMethods and Repeats that the route accepts.
 func (r *Route) allowed() []string {
 	var methods []string
 	for _, method := range slices.Concat(listedMethods, r.Repeats) {
@@ -67,7 +68,8 @@
 	return methods
 }
 
-// Unreachable returns why the route's class cannot be reached by the one method that its pattern is for; empty: it can.
+// Unreachable returns the reason why requests with the one method of the route's pattern cannot have the route's class. It returns an
+// empty text if they can, or if the pattern is for any method.
 func (r *Route) Unreachable() string {
 	method := r.Pattern.Method
 	if method == "" || r.class(method) != nil {
--- a/internal/routes/source.go
+++ b/internal/routes/source.go
@@ -49,11 +49,11 @@
 	case !ok || !known:
 		return fmt.Errorf(`%q is none of "header:NAME", "path:WILDCARD", "fixed:TEXT" and ""`, text)
 	case kind == fromHeader && !isHeaderName(name):
-		return fmt.Errorf("%q is not a usable header name", name)
+		return fmt.Errorf("%q is not a valid header name", name)
 	case kind == fromPath && !isName(name):
-		return fmt.Errorf("%q is not a wildcard name", name)
+		return fmt.Errorf("%q is not a valid wildcard name", name)
 	case kind == fixedText && (name == "" || hasControl(name)):
-		return fmt.Errorf("%q is not a usable text", name)
+		return fmt.Errorf("%q is not a valid fixed text: it is empty or has control characters", name)
 	case kind == fromHeader:
 		name = http.CanonicalHeaderKey(name)
 	}
@@ -61,10 +61,10 @@
 	return nil
 }
 
-// None reports whether there is no source.
+// None reports whether the source is the zero value, which reads nothing.
 func (s Source) None() bool { return s.kind == noSource }
 
-// header returns the name of the header that the source reads; empty: it reads none.
+// header returns the name of the header that the source reads, or an empty text if the source does not read a header.
 func (s Source) header() string {
 	if s.kind == fromHeader {
 		return s.name
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -22,10 +22,10 @@
 type Decision struct {
 	Route          *Route
 	Class          *balancer.Class
-	ID             string // empty: the caller generates one
+	ID             string // empty if the caller has to generate an id
 	IdempotencyKey string // set only if the class needs one
 	Tenant         string
-	CostHint       time.Duration // expected work; 0: unknown
+	CostHint       time.Duration // expected work; 0 if unknown
 	Timeout        time.Duration // how long the client waits, at most the class's deadline
 }
 
@@ -43,7 +43,7 @@
 	classes     map[string]bool // the classes that a ClassHeader may name
 }
 
-// New returns a table of routes, or else the pairs of routes that conflict.
+// New returns a table of the routes. If some routes conflict, it returns the pairs of conflicting routes instead.
 func New(routes []*Route) (*Table, []Conflict) {
 	patterns := make([]*Pattern, len(routes))
 	for i, route := range routes {
--- a/internal/routes/target.go
+++ b/internal/routes/target.go
@@ -8,8 +8,8 @@
 	"unicode/utf8"
 )
 
-// maxDecodings is how often a target is decoded to find the paths that an upstream may read in it. A server behind another proxy may decode
-// twice. The third round checks what the second decoding reveals.
+// maxDecodings is the maximum number of times that a target is decoded to find the paths that an upstream may read in it. A server behind
+// another proxy may decode twice. The third round checks what the second decoding reveals.
 const maxDecodings = 3
 
 // targetPath returns the path of a request target. It rejects every target that two servers may resolve to different paths: the class
--- a/internal/routes/tree.go
+++ b/internal/routes/tree.go
@@ -84,7 +84,7 @@
 	header       http.Header
 }
 
-// find returns the most specific pattern that matches: one with the request's host, or else one without a host.
+// find returns the most specific pattern that matches. Patterns with the request's host take precedence over patterns without a host.
 func (t *patternTree[T]) find(host string, wanted lookup) (found leaf[T], ok bool) {
 	if host != "" {
 		if n := t.hosts[host]; n != nil {
--- a/internal/server/acceptor/drain.go
+++ b/internal/server/acceptor/drain.go
@@ -13,7 +13,8 @@
 const (
 	queueQuiet   = 5 * time.Millisecond
 	maxOpenDrain = 100 * time.Millisecond
-	// MaxDrain is the maximum duration of a drain whose caller of Accept waits before it accepts the next connection.
+	// MaxDrain is the maximum duration of a drain. A drain takes that long only if the caller of Accept waits before it accepts the next
+	// connection.
 	MaxDrain = time.Second
 )
 
--- a/internal/tlscredentials/client.go
+++ b/internal/tlscredentials/client.go
@@ -23,7 +23,7 @@
 // Client encrypts connections to upstreams. It implements upstream.TLSClient and is safe for concurrent use.
 type Client struct {
 	store    *Store
-	identity string // expected in certificates if the endpoint names none; "": the endpoint's address
+	identity string // expected in certificates if the endpoint has no identity; if empty, the endpoint's address is expected
 	base     *tls.Config
 	sessions tls.ClientSessionCache
 
@@ -37,8 +37,8 @@
 	c.base = &tls.Config{
 		MinVersion: version(d.MinVersion),
 		NextProtos: []string{alpnHTTP1},
-		// crypto/tls cannot verify URIs, or use CA certificates that change. The VerifyConnection that Config sets does both, at each
-		// handshake and resumption.
+		// crypto/tls cannot verify URIs, or use CA certificates that change. Config sets VerifyConnection to a function that does both, at
+		// each handshake and resumption.
 		InsecureSkipVerify: true,
 	}
 	if d.Certificate != "" {
@@ -85,7 +85,8 @@
 	s.ClientSessionCache.Put(s.prefix+key, state)
 }
 
-// expectedIdentity returns the identity that an upstream's certificate must have; "": its address.
+// expectedIdentity returns the identity that an upstream's certificate must have. It is empty if the certificate must have the
+// upstream's address.
 func (c *Client) expectedIdentity(at endpoints.Instance) string {
 	if at.TLSIdentity != "" {
 		return at.TLSIdentity
--- a/internal/tlscredentials/server.go
+++ b/internal/tlscredentials/server.go
@@ -27,7 +27,8 @@
 	if config.ClientAuth = tls.RequireAnyClientCert; d.Clients == clientsWanted {
 		config.ClientAuth = tls.RequestClientCert
 	}
-	// The CA certificates may have changed between a handshake and its resumption. This function verifies both.
+	// This function verifies the client's certificate at each handshake and each resumption, because the CA certificates may have changed in
+	// between.
 	config.VerifyConnection = func(state tls.ConnectionState) error {
 		if len(state.PeerCertificates) == 0 {
 			if d.Clients == clientsRequired {
--- a/internal/tlscredentials/store.go
+++ b/internal/tlscredentials/store.go
@@ -32,9 +32,9 @@
 
 // Material is an immutable snapshot of a Store's credentials.
 type Material struct {
-	Pair       *tls.Certificate // nil: none
-	CA         *x509.CertPool   // nil: none
-	Generation int64            // of CA: increases with each change
+	Pair       *tls.Certificate // nil if there is none
+	CA         *x509.CertPool   // nil if there is none
+	Generation int64            // increases with each change of CA
 }
 
 // Store holds the credentials of a set of files. It is safe for concurrent use.
--- a/internal/tlscredentials/store_test.go
+++ b/internal/tlscredentials/store_test.go
@@ -119,7 +119,7 @@
 		}
 	}
 	if r.countLogged("what is in use stays") < len(cases) {
-		t.Errorf("not every invalid file was logged: %q", r.lines)
+		t.Errorf("some invalid file was not logged; the log is %q", r.lines)
 	}
 	if r.countLogged("PRIVATE") > 0 {
 		t.Errorf("a private key was logged: %q", r.lines)
