--- a/cmd/orchiddrift/check.go
+++ b/cmd/orchiddrift/check.go
@@ -53,7 +53,7 @@
 	return err
 }
 
-// checkFile is check for an operator's file, whose text is given.
+// checkFile does the same as check for an operator's file, whose text is given.
 func checkFile(w io.Writer, machine config.Machine, path string, text []byte, platform string) error {
 	parse := func(text []byte) (*config.Plan, error) { return config.ParseFileFor(machine, text) }
 	if platform != "" {
--- a/cmd/orchiddrift/check_test.go
+++ b/cmd/orchiddrift/check_test.go
@@ -25,7 +25,7 @@
 	out, err := checkText(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1f",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"settings":` + settings + `}`)
 	if err != nil || !strings.Contains(out, "can be used: 1 classes") {
-		t.Errorf("a usable configuration: printed %q, error %v", out, err)
+		t.Errorf("check of a usable configuration: printed %q, error %v", out, err)
 	}
 	out, err = checkText(`{"listen":"nowhere","seed":7,"limits":{"cores":0,"memory_mb":1,"sockets":"many"},"known":{},
 		"settings":{"TickMs":-1,"Classes":[{"Name":"a","Semantics":"brittle","DeadlineMs":1},{"Name":"a","DeadlineMs":1e300}]}}`)
@@ -42,9 +42,9 @@
 		t.Errorf("got %d lines, want at least 7:\n%s", n, out)
 	}
 	if out, err := checkText(`{"listen":`); err == nil || strings.Count(out, "\n") != 1 {
-		t.Errorf("a truncated file: printed %q, want one line and an error; error %v", out, err)
+		t.Errorf("check of a truncated file: printed %q, want one line and an error; error %v", out, err)
 	}
 	if err := check(&bytes.Buffer{}, config.ThisMachine(), filepath.Join(t.TempDir(), "missing"), ""); err == nil {
-		t.Error("a missing file is accepted")
+		t.Error("check accepts a file that does not exist")
 	}
 }
--- a/cmd/orchiddrift/lease.go
+++ b/cmd/orchiddrift/lease.go
@@ -102,7 +102,7 @@
 func (c *leaseRunCmd) Run(parent *leaseCmd) error {
 	argv := withoutSeparator(c.Argv)
 	if len(argv) == 0 {
-		return errors.New("no command is given")
+		return errors.New("lease run: no command to run is given")
 	}
 	declaration, err := config.LoadFleet(parent.File)
 	if err != nil {
@@ -146,14 +146,14 @@
 type leasedCommand struct {
 	raftgroup.Command
 	restart      bool   // run the command again after the lease was lost
-	requestsLeft int    // requests that may get no reply before it gives up; 0: it never gives up
+	requestsLeft int    // number of requests without a reply after which the command line gives up; 0 if it never gives up
 	stop         func() // makes RunWhileHeld release the lease and return
 
 	mu     sync.Mutex
 	failed exit // the first failure
 }
 
-// result returns the first failure; nil if there was none.
+// result returns the first failure, or nil if there was none.
 func (c *leasedCommand) result() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,7 +173,7 @@
 	c.stop()
 }
 
-// exited handles the end of the command; reason is 0 if it ended by itself.
+// exited handles the end of the command. reason is 0 if the command ended by itself.
 func (c *leasedCommand) exited(code int, reason lease.Reason) {
 	switch {
 	case reason == 0:
@@ -272,7 +272,7 @@
 	}
 	leader, members, err := parent.queryMembers()
 	for i, member := range declaration.Members {
-		if members == nil { // there is no client
+		if members == nil { // the client could not be created
 			break
 		}
 		fmt.Printf("member %s at %s: %s\n", member.Name, member.Address, memberState(members[i]))
@@ -286,7 +286,7 @@
 		return entry.Name == c.Name
 	})
 	if err == nil && !found {
-		return exit{exitLost, fmt.Errorf("nobody holds %q", c.Name)}
+		return exit{exitLost, fmt.Errorf("nobody holds the lease %q", c.Name)}
 	}
 	return err
 }
@@ -350,7 +350,7 @@
 	case err != nil:
 		return exit{exitUnreachable, err}
 	case reply.Status != lease.Done:
-		return exit{exitLost, fmt.Errorf("nobody holds %q", c.Name)}
+		return exit{exitLost, fmt.Errorf("cannot revoke the lease: nobody holds %q", c.Name)}
 	}
 	fmt.Printf("%s is revoked from %s: it goes to the next when that one has stopped, or its term is over\n", c.Name, reply.Holder)
 	return nil
--- a/cmd/orchiddrift/lease_test.go
+++ b/cmd/orchiddrift/lease_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Scripts depend on the exit codes of the lease commands: a wrong [fleet] must end with 1 and a single line, an unreachable group with a code of
-// its own.
+// Scripts depend on the exit codes of the lease commands. A command with a wrong [fleet] must end with exit code 1 and print a single line.
+// A command that does not reach the group must end with exitUnreachable.
 func TestLeaseCommands(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "orchiddrift")
 	if output, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
--- a/cmd/orchiddrift/newcomer_test.go
+++ b/cmd/orchiddrift/newcomer_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// readmeFile returns the README's operator's file with the addresses of running test servers, and the address at which the daemon listens.
+// readmeFile returns the operator's file in the README, with its addresses replaced by free ones and those of running test servers, and the
+// address at which the daemon listens.
 func readmeFile(t *testing.T) (text, address string) {
 	t.Helper()
 	readme, err := os.ReadFile("../../README.md")
@@ -107,7 +108,7 @@
 			seen[string(body)]++
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the wanted answers did not come within 20 s: got %v, last error %v", seen, err)
+			t.Fatalf("the servers did not give the wanted answers within 20 s: number of answers by body %v, last error %v", seen, err)
 		}
 	}
 }
--- a/internal/config/example.go
+++ b/internal/config/example.go
@@ -7,7 +7,8 @@
 	"orchiddrift/internal/tomlfile"
 )
 
-// Example writes a commented operator's file with every key and its default, and one service, so that it can be used as it is.
+// Example writes a commented operator's file with every key, its default and one service. The daemon can use the file
+// unchanged.
 func Example(w io.Writer) error {
 	if _, err := fmt.Fprint(w, exampleHead); err != nil {
 		return err
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -116,7 +116,7 @@
 // Check implements tomlfile.Checker.
 func (l *FileLimits) Check(report func(key, format string, args ...any)) {
 	if !(l.Cores >= 0) || l.Cores > maxCores {
-		report("cores", "%v is not a usable number of cores", l.Cores)
+		report("cores", "%v is negative, too large or not a number of cores", l.Cores)
 	}
 	if l.Memory < minMemoryMB*units.MiB {
 		report("memory", "%v is less than the minimum of %dMiB", l.Memory, minMemoryMB)
@@ -136,8 +136,8 @@
 	}
 }
 
-// oneSourceNeeded is the message about a service whose own endpoint list has several sources, or has none although no registry lists its
-// upstreams.
+// oneSourceNeeded is the message about a service whose own endpoint list has several sources. It also applies to a service whose list has
+// no source, if no registry lists its upstreams either.
 const oneSourceNeeded = "upstreams come from one of addresses, endpoint, list_file and discovery, besides any [[eureka]]; %d of them are given"
 
 // ownSources returns the number of sources of the service's own endpoint list, registries excluded. At most one is allowed.
@@ -180,7 +180,7 @@
 		report("answers", "%v", err)
 	}
 	if !(s.Weight > 0) || s.Weight > maxWeight {
-		report("share", "%v is not a usable weight", s.Weight)
+		report("share", "%v is not a weight greater than 0 and at most 1000000", s.Weight)
 	}
 }
 
@@ -196,7 +196,7 @@
 	return entries
 }
 
-// cores returns the number of processor cores to use on a machine: those configured, or else all.
+// cores returns the number of processor cores to use on a machine: the configured number, or all cores if none is configured.
 func (l *FileLimits) cores(machine Machine) float64 {
 	if l.Cores == 0 {
 		return float64(machine.Cores)
--- a/internal/config/file_graphql.go
+++ b/internal/config/file_graphql.go
@@ -45,7 +45,7 @@
 		report("", "%v", err)
 		return
 	}
-	// Equal declarations have the same fingerprint, by which a reload recognizes an endpoint and keeps its statistics.
+	// Equal declarations have the same fingerprint. By the fingerprint a reload recognizes an endpoint, and keeps its statistics.
 	identity := fmt.Sprintf("%+v %+v %q", options, service.Settings.Classes, [2]string{files.schema, files.known})
 	fingerprint := fmt.Sprintf("%016x", xxhash.Sum64String(identity))
 	route, err := options.Route(service.Name, fingerprint, endpoint.MaxDeadline())
@@ -60,7 +60,7 @@
 	b.addRoutes(at+".match", []*routes.Route{route})
 }
 
-// readGraphQLFiles reads the files of an endpoint. It reports each that cannot be read.
+// readGraphQLFiles reads the files of an endpoint. It reports each file that cannot be read.
 func readGraphQLFiles(options *graphql.Options, report reporter) (files graphqlFiles, ok bool) {
 	ok = true
 	read := func(key, path string) string {
--- a/internal/config/file_plan.go
+++ b/internal/config/file_plan.go
@@ -17,20 +17,20 @@
 	"orchiddrift/internal/units"
 )
 
-// planBuilder makes the plan of an operator's file, one part of the file after another, and reports problems between the parts.
-// Problems within a part are reported by that part's Check while the file is decoded. The order of the steps is the order in which
+// planBuilder makes the plan of an operator's file, one part of the file after another, and reports problems between the parts. Problems
+// within a part are reported by the Check method of that part while the file is decoded. The order of the steps is the order in which
 // problems are reported.
 type planBuilder struct {
 	file         *File
-	platform     *Plan // of the platform's file; nil: there is none
+	platform     *Plan // plan of the platform's file; nil if there is none
 	document     *tomlfile.Document
 	plan         *Plan
-	serviceIndex map[string]int // index of a service in plan.Services by its name
+	serviceIndex map[string]int // index in plan.Services, by the service's name
 	routes       []placedRoute
 }
 
-// buildPlan makes the plan of a file that stands beside the platform's, or alone if platform is nil. machine determines the defaults. The
-// plan is complete only if the document has no problems afterwards.
+// buildPlan makes the plan of an operator's file that is used beside the platform's, or alone if platform is nil. The defaults depend on
+// machine. The plan is complete only if the document has no problems afterwards.
 func buildPlan(file *File, platform *Plan, machine Machine, document *tomlfile.Document) *Plan {
 	b := &planBuilder{file: file, platform: platform, document: document, serviceIndex: map[string]int{}}
 	b.plan = file.processPlan(machine)
@@ -55,7 +55,7 @@
 	return b.plan
 }
 
-// processPlan returns a plan with the file's settings of the process, without services.
+// processPlan returns a plan with the file's settings for the process, without services.
 func (f *File) processPlan(machine Machine) *Plan {
 	return &Plan{
 		Name:    f.Daemon.Name,
@@ -76,7 +76,8 @@
 	}
 }
 
-// addPlatform copies what the platform's file determines: the process, its limits and timeouts, and the first service with its routes.
+// addPlatform copies what the platform's file determines: the settings of the process, its limits and timeouts, and the first service
+// with its routes.
 func (b *planBuilder) addPlatform() {
 	p, platform, part := b.plan, b.platform, &b.file.Platform
 	p.Name, p.Listen, p.Seed, p.Limits = platform.Name, platform.Listen, platform.Seed, platform.Limits
@@ -115,8 +116,8 @@
 // ownListName is the name of a service's own endpoint list among its sources. No registry may have this name.
 const ownListName = "list"
 
-// addRegistries checks the registries' references to services, adds the registries of the platform's service to it, and collects those in
-// which the process registers. addServices adds the registries of the other services.
+// addRegistries checks that the registries refer to known services, adds the registries of the platform's service to that service, and
+// collects the registries in which the process registers itself. addServices adds the registries of the other services.
 func (b *planBuilder) addRegistries() {
 	names := map[string]bool{}
 	perService := map[string]int{}
@@ -210,8 +211,8 @@
 	return p
 }
 
-// service returns the service that the part of the file at a key refers to by name. It reports an unknown name and returns nil. A missing
-// name is reported by the part's own Check.
+// service returns the service to which the part of the file at the key at refers by name. If there is no such service it reports the name
+// and returns nil. A missing name is reported by the part's own Check.
 func (b *planBuilder) service(name, at string) *ServicePlan {
 	if i, ok := b.serviceIndex[name]; ok {
 		return &b.plan.Services[i]
@@ -222,8 +223,8 @@
 	return nil
 }
 
-// serviceOrOnly returns the service of a name, or the only service if the name is empty. If there is no such service it reports a problem
-// and returns nil.
+// serviceOrOnly returns the service with a given name, or the only service if the name is empty. If there is no such service it reports a
+// problem and returns nil.
 func (b *planBuilder) serviceOrOnly(name string, report reporter) *ServicePlan {
 	if name == "" && len(b.plan.Services) == 1 {
 		name = b.plan.Services[0].Name
--- a/internal/config/file_queues.go
+++ b/internal/config/file_queues.go
@@ -8,14 +8,15 @@
 	"orchiddrift/internal/admission"
 )
 
-// Sources of principals that depend on other parts of the file or on the transport.
+// These sources of principals need something from other parts of the file or from the transport.
 const (
 	principalTenant      = "tenant"
 	principalCertificate = "certificate"
 	principalAddress     = "address"
 )
 
-// addAdmissionQueues adds the services' admission queues, and checks that their requests have the principals' sources.
+// addAdmissionQueues adds the services' admission queues, and checks that each source of principals exists in the
+// service's requests.
 func (b *planBuilder) addAdmissionQueues() {
 	for i := range b.file.Admission {
 		at, options := fmt.Sprintf("door[%d]", i), b.file.Admission[i]
@@ -34,7 +35,7 @@
 	}
 }
 
-// checkPrincipals reports sources of principals that the requests of a service do not have.
+// checkPrincipals reports the sources of principals in the options that the requests of a service cannot have.
 func (b *planBuilder) checkPrincipals(options *admission.Options, service, at string) {
 	hasTenants := slices.ContainsFunc(b.routes, func(placed placedRoute) bool {
 		return placed.route.Service == service && !placed.route.Tenant.None()
--- a/internal/config/file_routes.go
+++ b/internal/config/file_routes.go
@@ -38,7 +38,7 @@
 	if len(b.plan.Services) == 1 && b.platform == nil { // the platform's service has its own routes
 		catchAll := routes.Declaration{Match: "/", Key: routes.Header(httpheader.IdempotencyKey), MaxBody: routes.MaxMaxBody}
 		b.addRoutes("route.match", b.makeRoutes(&catchAll, func(_, format string, args ...any) {
-			b.document.Report("route", format, args...) // the route's own keys are not in the file
+			b.document.Report("route", format, args...) // the added route has no keys in the file
 		}))
 		return
 	}
@@ -71,8 +71,8 @@
 	return []*routes.Route{route}
 }
 
-// setClass sets the class of a route to the one of a name, or, if the name is empty, the two classes between which the method decides. It
-// returns whether the service has these classes.
+// setClass sets the class of a route to the class with the given name. If the name is empty, it sets the two classes between which the
+// method decides. It reports whether the service has these classes.
 func setClass(route *routes.Route, name string, service *ServicePlan, report reporter) bool {
 	route.Class = service.class(name)
 	if route.Class != nil {
@@ -91,8 +91,8 @@
 	return true
 }
 
-// completeOnly reports whether only complete answers of a service's upstreams can be successes. That is so if any of the statuses of
-// answers to range and conditional requests is a failure.
+// completeOnly reports whether only complete answers of a service's upstreams count as success. This is the case if any status of the
+// answers to range and conditional requests counts as a failure.
 func completeOnly(success *httpheader.Statuses) bool {
 	return !success.Has(http.StatusNotModified) || !success.Has(http.StatusPartialContent) || !success.Has(http.StatusPreconditionFailed)
 }
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -39,7 +39,7 @@
 	var plain, example, again File
 	tomlfile.Decode([]byte(exampleService), &plain)
 	if problems := tomlfile.Decode(text.Bytes(), &example).Problems(); len(problems) > 0 || !reflect.DeepEqual(plain, example) {
-		t.Errorf("the example does not decode to the defaults, problems %v\nwant %+v\ngot %+v", problems, plain, example)
+		t.Errorf("the example does not decode to the defaults; problems %v\nwant %+v\ngot %+v", problems, plain, example)
 	}
 	var all File
 	for _, m := range tomlfile.Decode([]byte(uncommented(text.String())), &all).Problems() {
@@ -60,7 +60,8 @@
 	}
 }
 
-// Every mistake must be reported at its position, without further problems. Each want is a line, a key and a part of the reason.
+// Every mistake must be reported at its position, without further problems. Each text in want has the line, the key and a part of the
+// reason.
 func TestParseFileReportsMistakes(t *testing.T) {
 	const web = "[[service]]\nname = \"web\"\naddresses = [\"127.0.0.1:1\"]\n" // lines 1 to 3
 	for _, c := range []struct {
@@ -103,7 +104,7 @@
 		_, err := ParseFile([]byte(c.text))
 		var problems Problems
 		if !errors.As(err, &problems) {
-			t.Errorf("%q is accepted, or its error is not Problems: %v", c.text, err)
+			t.Errorf("file %q is accepted, or its error is not of the type Problems: %v", c.text, err)
 			continue
 		}
 		for _, want := range c.want {
@@ -114,11 +115,11 @@
 				found = found || strings.Contains(text, want) || ok && strings.HasPrefix(text, line+":") && strings.Contains(text, rest)
 			}
 			if !found {
-				t.Errorf("%q: no problem %q among\n%v", c.text, want, []Problem(problems))
+				t.Errorf("file %q: no problem %q among\n%v", c.text, want, []Problem(problems))
 			}
 		}
 		if len(problems) > len(c.want) {
-			t.Errorf("%q: more problems than %q:\n%v", c.text, c.want, []Problem(problems))
+			t.Errorf("file %q: more problems than %q:\n%v", c.text, c.want, []Problem(problems))
 		}
 	}
 }
@@ -187,10 +188,10 @@
 		{Sources{Config: file, Beside: file}, 0}, {Sources{}, 0}, {Sources{Config: dir + "/missing"}, 0}, {Sources{Config: platform, Beside: dir + "/missing"}, 0}} {
 		p, err := LoadPlan(c.files)
 		if (err == nil) != (c.services > 0) || err == nil && len(p.Services) != c.services {
-			t.Errorf("%+v: wrong plan, or error %v", c.files, err)
+			t.Errorf("files %+v: LoadPlan returned a wrong plan, or the error %v", c.files, err)
 		}
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("%+v: the error has more than one line: %q", c.files, err)
+			t.Errorf("files %+v: the error has more than one line: %q", c.files, err)
 		}
 	}
 }
@@ -206,7 +207,7 @@
 		var problems Problems
 		if err != nil {
 			if !errors.As(err, &problems) || len(problems) == 0 {
-				t.Fatalf("the error is not Problems, or an empty list: %v", err)
+				t.Fatalf("the error is not of the type Problems, or is an empty list: %v", err)
 			}
 			for _, m := range problems {
 				if strings.Contains(m.Error(), "\n") {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -10,17 +10,17 @@
 	"orchiddrift/internal/tomlfile"
 )
 
-// errNoConfiguration says that no file is named.
+// errNoConfiguration reports that neither the command line nor the environment names a configuration file.
 var errNoConfiguration = errors.New(`no configuration: name one with --config, or GW_CONFIG ("orchiddrift config example" prints one)`)
 
-// errTwoOperatorFiles says that both files named are operator's files.
+// errTwoOperatorFiles reports that both files named are operator's files.
 var errTwoOperatorFiles = errors.New("both files are operator's files; two files are only used together if one of them is the platform's")
 
 // Sources names the files that a daemon reads.
 type Sources struct {
 	Config  string // the platform's JSON file or the operator's TOML file; distinguished by their content
-	Beside  string // the operator's file beside the platform's; empty: none
-	Control string // address of the control listener if no file has one; empty: none
+	Beside  string // the operator's file beside the platform's; empty if there is none
+	Control string // address of the control listener if no file has one; empty if there is none
 }
 
 // LoadPlan reads the files. An error about their content wraps Problems.
@@ -36,7 +36,7 @@
 	return plan, nil
 }
 
-// loadFiles is LoadPlan without the control address of the command line.
+// loadFiles does the same as LoadPlan, but ignores the control address in sources.
 func loadFiles(sources Sources) (*Plan, error) {
 	switch {
 	case sources.Config == "" && sources.Beside == "":
@@ -92,14 +92,15 @@
 	return len(text) == 0 || text[0] == '{'
 }
 
-// ParseFile reads an operator's file that stands alone. Its error is Problems.
+// ParseFile reads an operator's file that is used alone. Its error is of the type Problems.
 func ParseFile(text []byte) (*Plan, error) { return ParseFileFor(ThisMachine(), text) }
 
-// ParseFileFor is ParseFile for a machine other than the one that the process runs on.
+// ParseFileFor does the same as ParseFile for another machine than the one on which the process runs.
 func ParseFileFor(machine Machine, text []byte) (*Plan, error) { return parseFile(nil, machine, text) }
 
-// ParseBeside reads an operator's file that stands beside the platform's. The platform's name, listen address, seed, limits and timeouts
-// take precedence. Its service, called Platform, comes first, with its own routes. Its error is Problems.
+// ParseBeside reads an operator's file that is used beside the platform's. The platform's name, listen address, seed, limits and
+// timeouts take precedence. The platform's service, whose name is the constant Platform, comes first, with its own routes. The error is
+// of the type Problems.
 func ParseBeside(platform *Config, text []byte) (*Plan, error) {
 	return parseFile(platform.Plan(), ThisMachine(), text)
 }
@@ -133,5 +134,5 @@
 	return &file.Fleet, nil
 }
 
-// errNoFleet says that an operator's file configures no fleet.
+// errNoFleet reports that an operator's file configures no fleet.
 var errNoFleet = errors.New("fleet.name: missing")
--- a/internal/config/plan.go
+++ b/internal/config/plan.go
@@ -25,7 +25,7 @@
 // Plan is the complete configuration of a daemon, made from the platform's file, the operator's file, or both.
 type Plan struct {
 	Name, Listen  string
-	Control       string // address of the operators' control listener; empty: none
+	Control       string // address of the operators' control listener; empty if there is none
 	Seed          uint64
 	SeedDrawn     bool // no file has a seed, and a random one was drawn
 	Limits        Limits
@@ -39,7 +39,7 @@
 	TLS           tlscredentials.ListenerTLS
 	Log           logging.Declaration
 	Registrations []eureka.Declaration // registries in which the process registers itself
-	File          *File                // the operator's file; nil: there is none
+	File          *File                // the operator's file; nil if there is none
 }
 
 // ServicePlan is one service of a plan.
@@ -56,13 +56,13 @@
 	// The service's own endpoint list comes from Discovery or ListFile; if both are empty, it is InitialEndpoints.
 	Discovery        string
 	ListFile         string
-	InitialEndpoints *endpoints.List // the list at the start; nil: none
+	InitialEndpoints *endpoints.List // the list at the start; nil if there is none
 
-	Admission   *admission.Options    // the queue before the service; nil: none
-	Idempotency *executor.Declaration // the store of its idempotency keys; nil: none
+	Admission   *admission.Options    // the queue before the service; nil if there is none
+	Idempotency *executor.Declaration // the store of its idempotency keys; nil if there is none
 
 	Registries []eureka.Declaration // merged with the service's own list, or its only source
-	Membership membership.Options   // how they are merged
+	Membership membership.Options   // how the lists of the registries are merged
 
 	Unrouted bool // no route leads to the service
 }
@@ -83,7 +83,7 @@
 		reflect.DeepEqual(s.TLS, o.TLS) && s.Subset == o.Subset && s.Prewarm == o.Prewarm && s.LoadProbe == o.LoadProbe
 }
 
-// class returns the service's class of a name; nil: there is none.
+// class returns the service's class with the given name, or nil if there is none.
 func (s *ServicePlan) class(name string) *balancer.Class {
 	for i := range s.Settings.Classes {
 		if s.Settings.Classes[i].Name == name {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -17,13 +17,13 @@
 type Config struct {
 	Name            string
 	Listen          string // address of the clients' listener
-	Control         string // address of the operators' control listener; empty: none
+	Control         string // address of the operators' control listener; empty if there is none
 	Discovery       string
 	Seed            uint64
 	Limits          Limits
-	CachedEndpoints *endpoints.List // the endpoint list as last received; nil: none
+	CachedEndpoints *endpoints.List // the endpoint list as last received; nil if there is none
 	Settings        settings.Settings
-	GRPC            *GRPC // the plug-in's part; nil: none
+	GRPC            *GRPC // settings of the plug-in for gRPC clients; nil if there are none
 }
 
 // Limits holds the limits that the platform sets on the resources of the process.
@@ -45,7 +45,7 @@
 	defaultConnIdleTimeout = 10 * time.Second
 )
 
-// errNoPath says that the environment names no platform's file.
+// errNoPath reports that GW_CONFIG, which names the platform's file, is not set.
 var errNoPath = errors.New("GW_CONFIG is not set")
 
 // Load reads the platform's file at path. An error about its content wraps Problems.
@@ -62,11 +62,11 @@
 }
 
 // Parse reads the platform's file and checks everything that a daemon relies on, including the balancer's settings, so that problems are
-// found at startup and not under traffic. Its error is Problems.
+// found at startup and not under traffic. Its error is of the type Problems.
 func Parse(text []byte) (*Config, error) { return parse(text, false) }
 
-// platformFile is the platform's file as JSON. Its parts are decoded one by one, so that a problem in one does not hide those in others.
-// It is an alias without tags because the JSON decoder quotes the names of types and fields in its errors, which "check" prints.
+// platformFile is the platform's file as JSON. Its parts are decoded one by one, so that a problem in one part does not hide problems in
+// others. It is an alias without tags because the JSON decoder quotes the names of types and fields in its errors, which "check" prints.
 type platformFile = struct {
 	Name, Listen, Discovery string
 	Control                 string
--- a/internal/config/platform_plan.go
+++ b/internal/config/platform_plan.go
@@ -13,8 +13,8 @@
 // Values for which the platform's file has no settings.
 const (
 	platformHeadTimeout = 2 * time.Second        // for a client to send a request's head
-	platformBodyTimeout = 900 * time.Millisecond // and its body
-	platformMaxGrace    = 3 * time.Second        // bound of the longest deadline in Grace: SIGKILL may follow soon after SIGTERM
+	platformBodyTimeout = 900 * time.Millisecond // for a client to send a request's body
+	platformMaxGrace    = 3 * time.Second        // upper bound of the longest deadline in Grace, because SIGKILL may follow soon after SIGTERM
 )
 
 // graceMargin is added to the longest deadline, so that requests in flight at SIGTERM fail only after the last of their deadlines.
--- a/internal/config/plugin.go
+++ b/internal/config/plugin.go
@@ -18,7 +18,7 @@
 	Service string            `json:"service"` // the service's name in targets
 	Methods map[string]string `json:"methods"` // full method name, or /package.Service/*, to class
 	Answers []string          `json:"answers"` // status codes that are answers of the application, such as NOT_FOUND
-	TLS     *GRPCTLS          `json:"tls"`     // nil: the program supplies the credentials
+	TLS     *GRPCTLS          `json:"tls"`     // nil if the program supplies the credentials
 	File    string            `json:"file"`    // an operator's file, for the registries of the service
 }
 
@@ -30,8 +30,8 @@
 	Key         string `json:"key"`
 }
 
-// ParsePlugin is Parse for the plug-in. A plug-in has no listener, has the limits of its process, and needs no discovery if its
-// configuration lists upstreams.
+// ParsePlugin does the same as Parse for the plug-in. A plug-in has no listener, has the limits of its process, and needs no
+// discovery if its configuration lists upstreams.
 func ParsePlugin(text []byte) (*Config, error) { return parse(text, true) }
 
 // IsPluginConfig reports whether a configuration is the plug-in's: it has a grpc part and no listen address.
@@ -44,8 +44,8 @@
 type PluginFile struct {
 	Registries  []eureka.Declaration
 	Membership  membership.Options
-	Admission   *admission.Options    // nil: none
-	Idempotency *executor.Declaration // nil: none
+	Admission   *admission.Options    // nil if there is none
+	Idempotency *executor.Declaration // nil if there is none
 	Prewarm     prewarm.Options
 	Subset      subset.Options // from the [[service]] of the same name, which need not list upstreams
 }
@@ -55,7 +55,7 @@
 	return len(p.Registries) == 0 && p.Admission == nil && p.Idempotency == nil && !p.Subset.Enabled && !p.Prewarm.Enabled
 }
 
-// ParsePluginFile reads an operator's file for a plug-in's service. Its error is Problems.
+// ParsePluginFile reads an operator's file for a plug-in's service. Its error is of the type Problems.
 func ParsePluginFile(text []byte, service string) (PluginFile, error) {
 	file := &File{}
 	document := tomlfile.Decode(text, file)
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("%d:%d: %s: %s", p.Line, p.Column, p.Key, p.Reason)
 }
 
-// Problems lists all mistakes in a configuration. As an error it is one line with the first problem and the number of the others.
+// Problems lists all mistakes in a configuration. Its error text is one line with the first problem and the number of the others.
 type Problems []Problem
 
 func (p Problems) Error() string {
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -59,15 +59,15 @@
 
 // Values in the platform's object.
 const (
-	discoveryPolled = "ask"  // of Discovery
-	weightByWork    = "work" // of WorthBy
+	discoveryPolled = "ask"  // value of Discovery
+	weightByWork    = "work" // value of WorthBy
 
 	semanticsRetryable = "retryable"
 	semanticsDedup     = "dedup"
 	semanticsFragile   = "fragile"
 )
 
-// The scopes of deduplication, in the platform's object and in the operator's file.
+// These are the scopes of deduplication, in the platform's object and in the operator's file.
 const (
 	scopeAll  = "all"
 	scopeZone = "zone"
@@ -94,8 +94,8 @@
 // invalidDuration is the result of Milliseconds for a number that is not a duration. It is rejected because no setting may be negative.
 const invalidDuration time.Duration = -1
 
-// Milliseconds converts a number of milliseconds to a Duration of whole microseconds, the resolution of the platform's settings. A number
-// that is NaN or too large becomes negative, which the checks of settings reject.
+// Milliseconds converts a number of milliseconds to a Duration, rounded to whole microseconds, the resolution of the platform's settings.
+// For a number that is NaN or too large it returns invalidDuration, which the checks of settings reject.
 func Milliseconds(ms float64) time.Duration {
 	const microsecondsPerMillisecond = 1000
 	if us := math.Round(ms * microsecondsPerMillisecond); math.Abs(us) < math.MaxInt64/float64(time.Microsecond) {
@@ -157,7 +157,7 @@
 	return unknownValue
 }
 
-// parseDedupScope returns the scope of a name. An empty name means all.
+// parseDedupScope returns the scope with the given name. An empty name means ScopeAll.
 func parseDedupScope(scope string) balancer.DedupScope {
 	switch scope {
 	case "", scopeAll:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,7 +14,7 @@
 // Settings is the balancer's settings together with those that only a process with real connections needs.
 type Settings struct {
 	balancer.Settings
-	ConnIdleTimeout time.Duration // upstreams close connections that are idle for this long; 0: not given
-	DrainGrace      time.Duration // time after the notification of a change by which requests must comply with it; 0: not given
-	MaxPollAge      time.Duration // how long a polled list is valid after the last poll if no watch is connected; 0: not given
+	ConnIdleTimeout time.Duration // upstreams close connections that are idle for this long; 0 if not given
+	DrainGrace      time.Duration // time after the notification of a change by which requests must comply with it; 0 if not given
+	MaxPollAge      time.Duration // how long a polled list is valid after the last poll if no watch is connected; 0 if not given
 }
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -12,7 +12,7 @@
 	"sync"
 )
 
-// field is one key of a declaration, as its tags describe it.
+// field describes one key of a declaration, by the tags of its struct field.
 type field struct {
 	index                           []int
 	name, doc, preset, sample       string
@@ -174,7 +174,7 @@
 	}
 }
 
-// checkOneOf reports a string, or strings of a list, that are not among the values of the oneof tag.
+// checkOneOf reports a string, or strings of a list, that are not among the values in the oneof tag.
 func (d *Document) checkOneOf(at string, f field, v reflect.Value) {
 	if f.oneof == nil {
 		return
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -66,8 +66,8 @@
 // MaxBytes is the largest text that is decoded.
 const MaxBytes = 8 << 20
 
-// Decode fills the declaration that into points to, with defaults for keys that the text does not have. The Document
-// has the problems in the text. Values without problems are set even if others have some.
+// Decode fills the declaration that into points to, with defaults for keys that the text does not have. The Document has the problems
+// in the text. Valid values are set even if other values have problems.
 func Decode(text []byte, into any) *Document {
 	d := &Document{text: text, at: map[string]int{}, seen: map[Problem]bool{}}
 	v := reflect.ValueOf(into).Elem()
@@ -105,14 +105,15 @@
 	}
 }
 
-// Line returns the line of a key, or else of the nearest enclosing table, or 0 if there is none.
+// Line returns the line of a key. If the key is not in the text, it returns the line of the nearest enclosing table, or 0 if there is
+// none.
 func (d *Document) Line(path string) int {
 	line, _ := d.position(path)
 	return line
 }
 
-// position returns the position of a key, or else of the nearest enclosing table, or 0, 0. It scans the text, and is
-// therefore only called for keys that are reported.
+// position returns the position of a key. If the key is not in the text, it returns the position of the nearest enclosing table, or 0,
+// 0 if there is none. It scans the text, and is therefore only called for keys that are reported.
 func (d *Document) position(path string) (line, column int) {
 	for {
 		if at, ok := d.at[path]; ok {
