--- a/cmd/orchiddrift/build_test.go
+++ b/cmd/orchiddrift/build_test.go
@@ -32,7 +32,7 @@
 	sh := exec.Command("sh", "-ec", build)
 	sh.Dir = "../.."
 	if out, err := sh.CombinedOutput(); err != nil {
-		t.Fatalf("%s: %v\n%s", build, err, out)
+		t.Fatalf("build command %s failed: %v\n%s", build, err, out)
 	}
 	f, err := elf.Open(program)
 	if err != nil {
--- a/cmd/orchiddrift/check_test.go
+++ b/cmd/orchiddrift/check_test.go
@@ -39,7 +39,7 @@
 		}
 	}
 	if n := strings.Count(out, "\n"); n < 7 {
-		t.Errorf("got %d lines, want at least 7:\n%s", n, out)
+		t.Errorf("check printed %d lines, want at least 7:\n%s", n, out)
 	}
 	if out, err := checkText(`{"listen":`); err == nil || strings.Count(out, "\n") != 1 {
 		t.Errorf("check of a truncated file: printed %q, want one line and an error; error %v", out, err)
--- a/cmd/orchiddrift/lease_test.go
+++ b/cmd/orchiddrift/lease_test.go
@@ -13,7 +13,7 @@
 func TestLeaseCommands(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "orchiddrift")
 	if output, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, output)
+		t.Fatalf("go build failed: %v\n%s", err, output)
 	}
 	const members = "[[fleet.members]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n"
 	const fleet = "[fleet]\nname = \"f\"\n"
--- a/internal/config/file_plan.go
+++ b/internal/config/file_plan.go
@@ -124,7 +124,7 @@
 	for i, registry := range b.file.Eureka {
 		at := fmt.Sprintf("eureka[%d]", i)
 		if names[registry.Name] || registry.Name == ownListName {
-			b.document.Report(at+".name", "%q is taken", registry.Name)
+			b.document.Report(at+".name", "the name %q is already used", registry.Name)
 		}
 		names[registry.Name] = true
 		if registry.Service != "" && !b.declaresService(registry.Service) {
@@ -160,7 +160,7 @@
 			b.document.Report(at, "a task needs a [fleet] whose processes share it")
 		}
 		if slices.ContainsFunc(tasks[:i], func(other task.Declaration) bool { return other.Name == tasks[i].Name }) {
-			b.document.Report(at+".name", "%q is taken", tasks[i].Name)
+			b.document.Report(at+".name", "the name %q is already used", tasks[i].Name)
 		}
 	}
 }
@@ -170,7 +170,7 @@
 		declared := &b.file.Services[i]
 		at := fmt.Sprintf("service[%d]", i)
 		if _, taken := b.serviceIndex[declared.Name]; taken && declared.Name != "" {
-			b.document.Report(at+".name", "%q is taken", declared.Name)
+			b.document.Report(at+".name", "the name %q is already used", declared.Name)
 			continue
 		}
 		service := declared.plan()
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -27,7 +27,7 @@
 // The example must decode to the defaults and have every key, and the output of Show must decode to the same file again.
 func TestExampleDecodesToDefaults(t *testing.T) {
 	if keys := tomlfile.Undocumented(File{}); len(keys) > 0 {
-		t.Errorf("keys without a doc tag: %v", keys)
+		t.Errorf("declared keys have no doc tag: %v", keys)
 	}
 	var text bytes.Buffer
 	if err := Example(&text); err != nil {
@@ -81,7 +81,7 @@
 		{"[tls]\ncertificate = \"/c\"\nclients = \"wanted\"\n" + web, []string{"2: tls.certificate: is set without a key", "3: tls.clients: there is no client_ca"}},
 		{web + "list_file = \"/l\"\nidle = \"0s\"\nanswers = [\"2xx\", \"503\"]\nshare = 0\n",
 			[]string{"1: service[0]: upstreams come from one of", "5: service[0].idle", "6: service[0].answers: 503 says", "7: service[0].share"}},
-		{web + web, []string{`5: service[1].name: "web" is taken`}},
+		{web + web, []string{`5: service[1].name: the name "web" is already used`}},
 		{"[[service]]\nname = \"web\"\naddresses = [\"127.0.0.1:1\", \"127.0.0.1:1\"]\n", []string{"listed twice"}},
 		{"[[service]]\nname = \"web\"\n[[service.endpoint]]\naddress = \"node:1\"\nsince = \"today\"\n",
 			[]string{"4: service[0].endpoint[0].address", "5: service[0].endpoint[0].since"}},
@@ -92,11 +92,11 @@
 		{web + "[[route]]\nmatch = \"/a\"\nservice = \"wbe\"\nkey = \"path:x\"\n[[route]]\nmatch = \"a\"\nclass = \"c\"\n",
 			[]string{`6: route[0].service: there is no service "wbe"`, `7: route[0].key: the pattern has no wildcard "x"`, "9: route[1].match: the path must begin"}},
 		{web + "[[route]]\nmatch = \"POST /a\"\nclass = \"read\"\n", []string{`6: route[0].class: class read may be repeated, but POST is not safe`}},
-		{web + "[[route]]\nmatch = \"/-/ready\"\n", []string{"5: route[0].match: /-/ is the daemon's own"}},
+		{web + "[[route]]\nmatch = \"/-/ready\"\n", []string{"5: route[0].match: paths that begin with /-/ are reserved for the daemon"}},
 		{web + "[[route]]\nset = \"platform\"\nmatch = \"/\"\nmax_body = \"1GiB\"\n", []string{"5: route[0].set", "7: route[0].max_body"}},
 		{web + "[[graphql]]\nmatch = \"POST /g\"\nquery = \"gone\"\n[graphql.limits]\ntokens = 0\n[[graphql]]\nmatch = \"/g\"\nservice = \"b\"\n[[graphql]]\nmatch = \"/-/g\"\nschema = \"/no/where\"\n",
 			[]string{"5: graphql[0].match: an endpoint is one path", `4: graphql[0]: query: the service has no class "gone"`, "8: graphql[0].limits.tokens",
-				`11: graphql[1].service: there is no service "b"`, "13: graphql[2].match: /-/ is the daemon's own", "14: graphql[2].schema: open /no/where"}},
+				`11: graphql[1].service: there is no service "b"`, "13: graphql[2].match: paths that begin with /-/ are reserved for the daemon", "14: graphql[2].schema: open /no/where"}},
 		{web + "[[graphql]]\nmatch = \"/g\"\n[[graphql]]\nmatch = \"/g\"\n", []string{"7: graphql[1].match: conflicts with line 5"}},
 		{"[daemon]\nname = \"x\"\n", []string{"service: there is none"}},
 		{web + "[[service]]\nname = \"b\"\naddresses = [\"127.0.0.1:2\"]\n", []string{"route: missing: at least one [[route]] is needed if there is more than one"}},
@@ -157,7 +157,7 @@
 	}
 	if p.Listen != c.Listen || p.Seed != 0x2a || p.Name != "n1" || p.Limits != c.Limits || p.HeadTimeout != 2*time.Second ||
 		p.Guaranteed != 0.25 || len(p.Services) != 2 || p.Services[0].Name != Platform || len(p.Table.Routes()) != 4 || len(p.Endpoints) != 1 {
-		t.Errorf("wrong plan of both files: %+v", p)
+		t.Errorf("ParseBeside made a wrong plan of both files: %+v", p)
 	}
 	if _, err := ParseBeside(c, []byte("[[service]]\nname = \"web\"\naddresses = [\"127.0.0.1:1\"]\n[[route]]\nmatch = \"GET /search\"\nservice = \"web\"\n")); err == nil ||
 		!strings.Contains(err.Error(), "conflicts with the platform's rules") {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -190,7 +190,7 @@
 		p.report("settings."+problem.Key, errors.New(problem.Reason))
 	}
 	if decoded.ConnIdleTimeout < 0 {
-		p.report("settings.ConnIdle", errors.New("negative"))
+		p.report("settings.ConnIdle", errors.New("must not be negative"))
 	}
 }
 
--- a/internal/config/platform_test.go
+++ b/internal/config/platform_test.go
@@ -21,7 +21,7 @@
 	}
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 1024 || *c.CachedEndpoints.Index != 41 ||
 		c.Settings.ConnIdleTimeout != 15*time.Second || c.Settings.ConnectTimeout != 2*time.Second {
-		t.Errorf("the file was parsed as %+v", c)
+		t.Errorf("Parse returned %+v, which differs from the file", c)
 	}
 	for name, change := range map[string][2]string{
 		"no JSON":    {`{"name"`, `{name`},
--- a/internal/graphql/batch_test.go
+++ b/internal/graphql/batch_test.go
@@ -112,7 +112,7 @@
 	}{{[]EntryOutcome{Answered, MayHaveRun}, noProblems, 200}, {[]EntryOutcome{NotRun, NotRun}, noProblems, 503},
 		{[]EntryOutcome{NotRun, MayHaveRun}, noProblems, 502}, {[]EntryOutcome{NotRun, NotRun}, oneProblem, 200}} {
 		if got := BatchStatus(c.outcomes, c.problems); got != c.want {
-			t.Errorf("BatchStatus of outcomes %v is %d", c.outcomes, got)
+			t.Errorf("BatchStatus of outcomes %v is %d, which is not the expected status", c.outcomes, got)
 		}
 	}
 }
--- a/internal/graphql/decide_test.go
+++ b/internal/graphql/decide_test.go
@@ -63,7 +63,9 @@
 	if o.PersistedQueries == "known" {
 		known, o.KnownFile = o.KnownFile, "known.json"
 	}
-	o.Check(func(key, format string, args ...any) { t.Fatalf("%s: "+format, append([]any{key}, args...)...) })
+	o.Check(func(key, format string, args ...any) {
+		t.Fatalf("invalid option %s: "+format, append([]any{key}, args...)...)
+	})
 	e, err := New(o, func(n string) *Class { return classes[n] }, schema, known)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/graphql/options.go
+++ b/internal/graphql/options.go
@@ -83,7 +83,7 @@
 	} else if p.Method != "" || len(p.Wildcards()) > 0 || strings.HasSuffix(o.Match, "/") {
 		report("match", "an endpoint is one path, without a method, a wildcard or a slash at the end")
 	} else if strings.HasPrefix(strings.TrimPrefix(o.Match, p.Host), "/-/") {
-		report("match", "/-/ is the daemon's own")
+		report("match", "paths that begin with /-/ are reserved for the daemon")
 	}
 	if o.MaxBody > maxMaxBody {
 		report("max_body", "%v is above the maximum of %v", o.MaxBody, maxMaxBody)
--- a/internal/routes/declaration.go
+++ b/internal/routes/declaration.go
@@ -34,7 +34,7 @@
 	}
 	if d.Set != "" {
 		if d.Match != "" || len(d.Headers) > 0 || d.Class != "" || len(d.Repeats) > 0 {
-			report("set", "a set has its own match, headers, class and repeats")
+			report("set", "a route with set must not have match, headers, class or repeats")
 		}
 		return
 	}
@@ -44,12 +44,12 @@
 		return
 	}
 	if p.isReserved() {
-		report("match", "/-/ is the daemon's own")
+		report("match", "paths that begin with /-/ are reserved for the daemon")
 	}
 	d.checkSources(p, report)
 	for _, method := range d.Repeats {
 		if method != strings.ToUpper(method) || !isToken(method) || method == http.MethodConnect || method == http.MethodTrace {
-			report("repeats", "%q is not a method that can be repeated", method)
+			report("repeats", "%q is not an HTTP method in upper case, or is CONNECT or TRACE", method)
 		}
 	}
 }
--- a/internal/routes/pattern_test.go
+++ b/internal/routes/pattern_test.go
@@ -11,12 +11,12 @@
 		"/a{x}", "/{x...}/b", "/{}", "/{x-y}", "/../a", "/a%20b", "/a?b", "/a b", "/a\\b", "/a#b",
 		"/" + strings.Repeat("a/", 100), "/" + strings.Repeat("a", 3000)} {
 		if p, err := ParsePattern(text, nil); err == nil {
-			t.Errorf("%q is accepted: %+v", text, p)
+			t.Errorf("ParsePattern accepts the unusable pattern %q: %+v", text, p)
 		}
 	}
 	for _, headers := range []map[string]string{{"": "a"}, {"X_A": "a"}, {"X A": "a"}, {"X-A": ""}, {"X-A": " a"}, {"X-A": "a\n"}} {
 		if _, err := ParsePattern("/a", headers); err == nil {
-			t.Errorf("the headers %q are accepted", headers)
+			t.Errorf("ParsePattern accepts the unusable headers %q", headers)
 		}
 	}
 }
--- a/internal/routes/precedence_test.go
+++ b/internal/routes/precedence_test.go
@@ -16,7 +16,7 @@
 	t.Helper()
 	p, err := ParsePattern(text, headers)
 	if err != nil {
-		t.Fatalf("%q: %v", text, err)
+		t.Fatalf("the pattern %q cannot be parsed: %v", text, err)
 	}
 	return p
 }
@@ -117,7 +117,7 @@
 			text, headers := drawPattern(t, true)
 			p, err := ParsePattern(text, headers)
 			if err != nil {
-				t.Fatalf("%q: %v", text, err)
+				t.Fatalf("the pattern %q cannot be parsed: %v", text, err)
 			}
 			if slices.ContainsFunc(patterns, p.conflicts) {
 				continue
@@ -146,7 +146,7 @@
 			text, _ := drawPattern(t, false)
 			p, err := ParsePattern(text, nil)
 			if err != nil {
-				t.Fatalf("%q: %v", text, err)
+				t.Fatalf("the pattern %q cannot be parsed: %v", text, err)
 			}
 			panicked := func() (did bool) {
 				defer func() { did = recover() != nil }()
@@ -194,7 +194,7 @@
 			text, headers := drawPattern(t, true)
 			p, err := ParsePattern(text, headers)
 			if err != nil {
-				t.Fatalf("%q: %v", text, err)
+				t.Fatalf("the pattern %q cannot be parsed: %v", text, err)
 			}
 			patterns = append(patterns, p)
 		}
@@ -237,7 +237,7 @@
 		q := lookup{method: "GET", path: path}
 		want := linearSearch(patterns, "a.example", q)
 		if found, ok := tree.find("a.example", q); ok != (want != nil) || ok && found.pattern != want {
-			t.Fatalf("%q among %v: found %v, want %v", target, patterns, found.pattern, want)
+			t.Fatalf("path %q among patterns %v: found %v, want %v", target, patterns, found.pattern, want)
 		}
 	})
 }
--- a/internal/server/acceptor/queue_test.go
+++ b/internal/server/acceptor/queue_test.go
@@ -57,6 +57,6 @@
 		t.Fatal(err)
 	}
 	if err := connect(); err != nil {
-		t.Errorf("connecting after AllowConnects: %v", err)
+		t.Errorf("connecting after AllowConnects failed: %v", err)
 	}
 }
--- a/internal/server/control/control_test.go
+++ b/internal/server/control/control_test.go
@@ -131,7 +131,7 @@
 			own := base.Dial(t, address)
 			_, _ = io.WriteString(own, get)
 			if got := readStatus(t, own); got != 200 {
-				t.Errorf("got status %d, want 200", got)
+				t.Errorf("a call beside open connections got status %d, want 200", got)
 			}
 			if took := time.Since(begun); took > time.Second {
 				t.Errorf("with %d incomplete calls open an answer took %v, want at most 1 s", i, took)
--- a/internal/server/downstream/checker_test.go
+++ b/internal/server/downstream/checker_test.go
@@ -28,7 +28,7 @@
 	text := strings.Join(lines, "\r\n") + "\r\nHost: s\r\n\r\n"
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
-		t.Fatalf("%q: %v", text, err)
+		t.Fatalf("the request %q cannot be parsed: %v", text, err)
 	}
 	return r
 }
@@ -140,7 +140,7 @@
 		req.Class.Idempotency != balancer.IdempotentWithKey || req.Timeout != 4*time.Second || req.CostHint != 1500500 || req.Method != "POST" ||
 		req.Host != "s" || req.Header.Get("X-Hop") != "" || req.Header.Get(httpheader.Timeout) != "" ||
 		req.Header.Get(httpheader.IdempotencyKey) == "" {
-		t.Errorf("wrong field in the request %+v", req)
+		t.Errorf("Check returned a request with a wrong field: %+v", req)
 	}
 }
 
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -258,7 +258,7 @@
 		return true
 	case float64:
 		if math.IsNaN(n) || math.IsInf(n, 0) {
-			report("%v is not usable", n)
+			report("%v is not a finite number", n)
 		}
 		v.SetFloat(n)
 		return true
--- a/internal/upstream/loadprobe/loadprobe_test.go
+++ b/internal/upstream/loadprobe/loadprobe_test.go
@@ -100,7 +100,7 @@
 		o, problems := Default(), 0
 		change(&o)
 		if o.Check(func(string, string, ...any) { problems++ }); problems == 0 {
-			t.Errorf("Check accepts invalid options %+v", o)
+			t.Errorf("Check reports no problem in the invalid options %+v", o)
 		}
 	}
 }
--- a/internal/upstream/not_sent_proof_test.go
+++ b/internal/upstream/not_sent_proof_test.go
@@ -338,9 +338,9 @@
 					case reportedNotExecuted && server.executions(id) > 0:
 						t.Errorf("%s ran, but is reported as not executed (result %d)", id, response.Result)
 					case server.executions(id) > 1:
-						t.Errorf("%s ran %d times, want at most once", id, server.executions(id))
+						t.Errorf("request %s ran %d times, want at most once", id, server.executions(id))
 					case runs && responds && response.Result != balancer.OK:
-						t.Errorf("%s was answered, but has result %d", id, response.Result)
+						t.Errorf("request %s was answered, but has result %d, want OK", id, response.Result)
 					case !runs && reportedNotExecuted:
 						notExecuted.Add(1)
 					case !runs:
--- a/internal/upstream/prewarming_test.go
+++ b/internal/upstream/prewarming_test.go
@@ -87,7 +87,7 @@
 	for _, name := range names {
 		response := pool.Attempt(ctx, name, NewRequest(http.MethodGet, "/", "x", nil, nil), time.Now().Add(testutil.Timeout))
 		if response.Result != balancer.OK || string(response.Body) != name {
-			t.Errorf("request to %s: result %v, body %q", name, response.Result, response.Body)
+			t.Errorf("request to %s: result %v, body %q, want OK with the upstream's name as the body", name, response.Result, response.Body)
 		}
 	}
 	if !counter.connectedOnce(names...)() {
@@ -110,7 +110,7 @@
 	request := func(name string) {
 		t.Helper()
 		if response := pool.Attempt(t.Context(), name, NewRequest(http.MethodGet, "/", "x", nil, nil), time.Time{}); response.Result != balancer.OK {
-			t.Fatalf("request to %s: result %v", name, response.Result)
+			t.Fatalf("request to %s: result %v, want OK", name, response.Result)
 		}
 	}
 	request("a")
--- a/internal/upstream/remainder_test.go
+++ b/internal/upstream/remainder_test.go
@@ -78,7 +78,7 @@
 			response.Remainder.End()
 			response.Remainder.End() // a second call has no effect
 			if n := pool.IdleCount(); n != c.idle {
-				t.Errorf("%d idle connections, want %d", n, c.idle)
+				t.Errorf("the pool has %d idle connections, want %d", n, c.idle)
 			}
 		})
 	}
@@ -111,7 +111,7 @@
 			response := pool.Attempt(t.Context(), "s", testRequest("GET", ""), time.Time{})
 			if response.Result != balancer.OK { // the response broke off before any of it was passed on
 				if response.Result != c.want {
-					t.Errorf("result %d, want %d", response.Result, c.want)
+					t.Errorf("attempt ended with result %d, want %d", response.Result, c.want)
 				}
 				return
 			}
