--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -52,14 +52,14 @@
 type Daemon struct {
 	Name    string         `toml:"name" reload:"start" doc:"The process's name, for logs."`
 	Listen  string         `toml:"listen" default:"127.0.0.1:8080" reload:"start" doc:"The address for clients: IP address and port."`
-	Control string         `toml:"control" reload:"start" sample:"\"127.0.0.1:8081\"" doc:"The address for operators, which serves /ready, /metrics, /drain and /undrain: IP address and port. Absent: there is none."`
-	Seed    string         `toml:"seed" reload:"start" sample:"\"8c1f30d27a5be964\"" doc:"The seed of the random numbers, 64 bits in hexadecimal. The same seed yields the same numbers. Absent: a random seed is drawn at each start and logged."`
-	Grace   units.Duration `toml:"grace" default:"0s" reload:"start" doc:"How long requests in flight may take after SIGTERM. 0s: as long as the longest deadline."`
+	Control string         `toml:"control" reload:"start" sample:"\"127.0.0.1:8081\"" doc:"The address for operators, which serves /ready, /metrics, /drain and /undrain: IP address and port. If it is absent, the process has no such address."`
+	Seed    string         `toml:"seed" reload:"start" sample:"\"8c1f30d27a5be964\"" doc:"The seed of the random numbers, 64 bits in hexadecimal. The same seed yields the same numbers. If it is absent, a random seed is drawn at each start and logged."`
+	Grace   units.Duration `toml:"grace" default:"0s" reload:"start" doc:"How long requests in flight may take after SIGTERM. With 0s they may take as long as the longest deadline."`
 }
 
 // FileLimits is the part of the file on the resources that the process may use.
 type FileLimits struct {
-	Cores       float64        `toml:"cores" reload:"start" doc:"Number of processor cores. 0: all cores of the machine."`
+	Cores       float64        `toml:"cores" reload:"start" doc:"Number of processor cores. With 0 the process uses all cores of the machine."`
 	Memory      units.Size     `toml:"memory" default:"192MiB" reload:"start" doc:"Memory of the process. The heap is limited to three quarters of it, and a single answer to a 64th of it."`
 	Descriptors int            `toml:"descriptors" default:"1024" reload:"start" doc:"Number of file descriptors. 32 are reserved. Half of the rest is for clients' connections, half for connections to upstreams."`
 	HeadTimeout units.Duration `toml:"head_timeout" default:"2s" reload:"start" doc:"How long a client may take to send the head of a request, and how long for a TLS handshake."`
--- a/internal/graphql/limits.go
+++ b/internal/graphql/limits.go
@@ -143,9 +143,9 @@
 	Roots      int        `toml:"root_fields" default:"20" doc:"Root fields of an operation."`
 	Aliases    int        `toml:"aliases" default:"50" doc:"Aliases of a document."`
 	Directives int        `toml:"directives" default:"50" doc:"Directives of a document."`
-	Batch      int        `toml:"batch" default:"10" doc:"Entries of a batch; 1: batches are rejected."`
+	Batch      int        `toml:"batch" default:"10" doc:"Entries of a batch. With 1, batches are rejected."`
 	Variables  units.Size `toml:"variables" default:"32KiB" doc:"Size of the variables of an operation, as JSON."`
-	Cost       float64    `toml:"cost" doc:"Estimated cost of an operation; 0: no limit."`
+	Cost       float64    `toml:"cost" doc:"Estimated cost of an operation. With 0 there is no limit."`
 	Answers    units.Size `toml:"batch_answers" default:"1MiB" doc:"Size of the answers of a batch together."`
 }
 
--- a/internal/graphql/options.go
+++ b/internal/graphql/options.go
@@ -16,10 +16,10 @@
 // Options is the configuration of one endpoint in the operator's file.
 type Options struct {
 	Match            string        `toml:"match" sample:"\"/graphql\"" doc:"The endpoint's address, [HOST]/PATH, without a method. It takes POST, and GET for queries."`
-	Service          string        `toml:"service" sample:"\"seats\"" doc:"The service whose upstreams answer. Absent: the only service."`
+	Service          string        `toml:"service" sample:"\"seats\"" doc:"The service whose upstreams answer. If it is absent, those of the only service do."`
 	Query            string        `toml:"query" default:"read" doc:"The class of queries whose root fields have no class of their own."`
 	Mutation         string        `toml:"mutation" default:"write" doc:"The class of mutations whose root fields have no class of their own."`
-	SchemaFile       string        `toml:"schema" sample:"\"/etc/orchiddrift/seats.graphql\"" doc:"The schema's file, in the GraphQL schema language: operations are validated against it before anything is sent. Absent: operations are told apart by their kind and the names of their root fields."`
+	SchemaFile       string        `toml:"schema" sample:"\"/etc/orchiddrift/seats.graphql\"" doc:"The schema's file, in the GraphQL schema language: operations are validated against it before anything is sent. If it is absent, operations are distinguished by their kind and the names of their root fields."`
 	Fields           []Field       `toml:"field" doc:"The class, key and weight of a field."`
 	Operations       []Operation   `toml:"operation" doc:"The class of operations with a given name. The client chooses the name, so the class applies only if it is at least as strict as that of the root fields, or if the operation is a known one."`
 	PersistedQueries string        `toml:"persisted" default:"off" oneof:"off|automatic|known" doc:"automatic: a client may send the SHA-256 of a query in place of its text, once a client has sent both. known: only the operations of the file in known are accepted, by hash or by full text."`
--- a/internal/routes/declaration.go
+++ b/internal/routes/declaration.go
@@ -13,14 +13,14 @@
 	Match    string            `toml:"match" sample:"\"GET /search/\"" doc:"The pattern of the requests: [METHOD ][HOST]/PATH. In the path {name} matches one segment, {name...} the remainder, a trailing slash every path that begins so, and {$} after a trailing slash the path without a remainder. If two patterns match, the more specific one takes precedence."`
 	Headers  map[string]string `toml:"headers" sample:"{X-Version = \"2\"}" doc:"Values that headers of the requests must have in addition."`
 	Set      string            `toml:"set" oneof:"|platform" doc:"Instead of match: the platform's own header rules, with a route for each class of the service."`
-	Service  string            `toml:"service" sample:"\"seats\"" doc:"The service that the requests go to. Absent: the only service."`
-	Class    string            `toml:"class" sample:"\"search\"" doc:"The class of the requests. Absent: \"read\" for GET, HEAD and OPTIONS, \"write\" for all other methods."`
+	Service  string            `toml:"service" sample:"\"seats\"" doc:"The service that the requests go to. If it is absent, they go to the only service."`
+	Class    string            `toml:"class" sample:"\"search\"" doc:"The class of the requests. If it is absent: \"read\" for GET, HEAD and OPTIONS, \"write\" for all other methods."`
 	Repeats  []string          `toml:"repeats" sample:"[\"POST\"]" doc:"Unsafe methods of HTTP whose requests may nevertheless be sent twice on this route. They are allowed on a route whose class is safe."`
 	Key      Source            `toml:"key" default:"header:Idempotency-Key" doc:"The source of the idempotency key of a keyed class: \"header:NAME\", \"path:WILDCARD\" or \"fixed:TEXT\"."`
 	Tenant   Source            `toml:"tenant" doc:"The source of the tenant's name. A header holds whatever the client claims."`
 	Cost     Source            `toml:"cost" doc:"The source of the expected work, a number of microseconds."`
-	ID       Source            `toml:"id" doc:"The source of the request's id. While a request is in flight, another one with the same id is answered with 409. Absent: an id is generated."`
-	Deadline Source            `toml:"deadline" doc:"The source of the time that the client waits: a number with the unit m (milliseconds) or u (microseconds). Absent: the deadline of the class."`
+	ID       Source            `toml:"id" doc:"The source of the request's id. While a request is in flight, another one with the same id is answered with 409. If it is absent, an id is generated."`
+	Deadline Source            `toml:"deadline" doc:"The source of the time that the client waits: a number with the unit m (milliseconds) or u (microseconds). If it is absent, the deadline of the class applies."`
 	MaxBody  units.Size        `toml:"max_body" default:"64KiB" doc:"Maximum size of a request's body."`
 }
 
--- a/internal/settings/declaration.go
+++ b/internal/settings/declaration.go
@@ -18,7 +18,7 @@
 	HedgingAllowed  bool           `toml:"second_copies" default:"true" doc:"Allows hedged requests: a late request may be sent a second time while the first attempt is in flight, if its class allows repeats."`
 	ConnectTimeout  units.Duration `toml:"connect_timeout" default:"1s" doc:"The timeout for opening a connection, TLS handshake included."`
 	ConnIdleTimeout units.Duration `toml:"idle" default:"10s" doc:"Upstreams close connections that have been idle for this long. This process closes them earlier."`
-	MaxRetryAfter   units.Duration `toml:"retry_after" default:"1s" doc:"The longest Retry-After that a rejected client gets. 0s: it gets none."`
+	MaxRetryAfter   units.Duration `toml:"retry_after" default:"1s" doc:"The longest Retry-After that a rejected client gets. With 0s it gets none."`
 	CrossZonePrice  float64        `toml:"cross_zone_price" doc:"The price of sending requests to another zone: what one such attempt per request costs, in percentage points of service."`
 	OverQuotaWeight float64        `toml:"over_share_worth" default:"1" doc:"The factor, from 0 to 1, on the worth of requests beyond their tenant's share."`
 	WeightPerWork   bool           `toml:"worth_by_work" doc:"The worth of a class counts per unit of work instead of per request."`
@@ -29,9 +29,9 @@
 
 // SlowStart limits the load of upstreams that have just started.
 type SlowStart struct {
-	MinCapacity      float64        `toml:"from" default:"1" doc:"The fraction of its capacity that an upstream has when it starts. 1: there is no slow start."`
+	MinCapacity      float64        `toml:"from" default:"1" doc:"The fraction of its capacity that an upstream has when it starts. With 1 there is no slow start."`
 	Window           units.Duration `toml:"warm_up" default:"0s" doc:"How long an upstream takes from its start to its full capacity."`
-	OverloadMultiple float64        `toml:"multiple" doc:"The multiple of its present capacity that overloads an upstream if it lasts for the time set by over. 0: there is no such limit."`
+	OverloadMultiple float64        `toml:"multiple" doc:"The multiple of its present capacity that overloads an upstream if it lasts for the time set by over. With 0 there is no such limit."`
 	OverloadWindow   units.Duration `toml:"over" default:"0s" doc:"How long the load set by multiple has to last to overload an upstream."`
 }
 
@@ -39,7 +39,7 @@
 type Class struct {
 	Name              string         `toml:"name" sample:"\"search\"" doc:"The class's name, to which routes refer."`
 	Idempotency       string         `toml:"effect" default:"unsafe" oneof:"safe|keyed|unsafe" doc:"safe: a request may run any number of times. keyed: a request has an idempotency key, by which upstreams drop repeats. unsafe: a request must not run twice."`
-	LatencyObjective  units.Duration `toml:"aim" default:"0s" sample:"\"800ms\"" doc:"The latency objective. An answer within this time has its full worth. 0s: the deadline."`
+	LatencyObjective  units.Duration `toml:"aim" default:"0s" sample:"\"800ms\"" doc:"The latency objective. An answer within this time has its full worth. With 0s the class's deadline is the objective."`
 	ObjectiveStretch  float64        `toml:"aim_stretch" doc:"The latency objective grows by this multiple of the request's expected work."`
 	Deadline          units.Duration `toml:"deadline" default:"10s" doc:"How long a client waits for an answer, over all attempts."`
 	PriorityWeight    float64        `toml:"worth" default:"1" doc:"The priority weight: the value of an answer relative to those of other classes."`
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -147,7 +147,7 @@
 	now := time.Now()
 	for i := len(idle) - 1; i >= 0; i-- {
 		conn := idle[i]
-		rested := now.Sub(conn.idleSince) >= p.restTime || conn.prewarmed // a prewarmed connection has carried no response after which late bytes could arrive
+		rested := now.Sub(conn.idleSince) >= p.restTime || conn.prewarmed // no late bytes can follow on a connection without a response
 		if !rested {
 			continue
 		}
