--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,7 +1,7 @@
 // Command measure prints tables that compare orchiddrift, or variants of it, with alternatives. The figures are medians of alternating runs:
 //
 //	go run ./cmd/measure daemon    # the daemon and net/http/httputil.ReverseProxy
-//	go run ./cmd/measure tls       # the same with encryption on both sides
+//	go run ./cmd/measure tls       # the daemon and ReverseProxy, with encryption on both sides
 //	go run ./cmd/measure routes    # the daemon with 1, 100 and 10,000 routes
 //	go run ./cmd/measure eureka    # time from a status change in a registry to the last request
 //	go run ./cmd/measure subset    # algorithms that choose subsets of 5,000 upstreams, by assignment alone
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -26,7 +26,7 @@
 // Bounds of values in an operator's file.
 const (
 	maxCores  = 4096
-	maxWeight = 1e6 // of a service, relative to the other services
+	maxWeight = 1e6 // largest weight of a service, relative to the other services
 )
 
 // File is the operator's file. Most of its parts are declared by the packages that they configure.
@@ -71,8 +71,8 @@
 	Guaranteed float64 `toml:"guaranteed" default:"0.5" doc:"The fraction of each limit (connections to upstreams, requests in flight, bytes in flight) that is reserved for the services in proportion to their share. The rest is used in the order of arrival."`
 }
 
-// Service is one service. Its own endpoint list comes from one of Addresses, Endpoints, ListFile and Discovery; it needs none if a registry
-// lists its upstreams.
+// Service is one service. Its own endpoint list comes from one of Addresses, Endpoints, ListFile and Discovery. It needs none of them if a
+// registry lists its upstreams.
 type Service struct {
 	Name            string                     `toml:"name" sample:"\"seats\"" doc:"The service's name, to which routes refer."`
 	Addresses       []string                   `toml:"addresses" sample:"[\"127.0.0.1:9001\", \"127.0.0.1:9002\"]" doc:"The upstreams, if their IP addresses and ports describe them sufficiently."`
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -196,7 +196,7 @@
 	}
 }
 
-// FuzzFile decodes random texts. None may panic, every problem must be one line, and the output of Show for a usable file must be usable.
+// FuzzFile decodes random texts. No text may cause a panic, every problem must be one line, and the output of Show for a usable file must be usable.
 func FuzzFile(f *testing.F) {
 	f.Add("[[service]]\nname = \"web\"\naddresses = [\"127.0.0.1:1\"]\n[[route]]\nmatch = \"/a/{x}\"\n")
 	f.Add("a.b.c = {d = [1, {e = 2}]}\n[[a.b]]\n[x]\n[x.y]\n")
--- a/internal/graphql/answer.go
+++ b/internal/graphql/answer.go
@@ -65,8 +65,8 @@
 }
 
 // readAnswer reads an answer in the form of the specification: an object with data, errors or both, each at most once, where
-// errors is a non-empty list of objects with a message. It reads every byte: a truncated text or one with more than one JSON
-// value is not an answer.
+// errors is a non-empty list of objects with a message. It reads every byte: a truncated text, or a text with more than one
+// JSON value, is not an answer.
 func readAnswer(body []byte) (a answerContent, ok bool) {
 	r := newReader(body)
 	defer r.release()
--- a/internal/graphql/batch.go
+++ b/internal/graphql/batch.go
@@ -12,11 +12,11 @@
 	MayHaveRun                     // no answer arrived: the entry may have run, or may still be running
 )
 
-// Batch decides which entries of a batch are sent, and when. It is a state machine without a clock: Next is called at the
-// start and after each Done. A bounded number of entries is in flight at once. Mutations are sent one at a time in their
-// order, and queries alongside them: each entry is a request of its own, and no specification requires that one sees the
-// effects of another. Mutations have an order because the specification requires it within one operation, and clients
-// expect it of a list.
+// Batch decides which entries of a batch are sent, and when. It is a state machine without a clock: Next is called at the start and
+// after each Done. A bounded number of entries is in flight at once. Mutations are sent one at a time in their order. Queries are
+// sent alongside them, because each entry is a request of its own, and no specification requires that an entry sees the effects of
+// another entry. Mutations have an order because the specification requires it within one operation, and clients expect it of a
+// list.
 //
 // A mutation with an uncertain outcome may still be running, and a mutation that did not run leaves a gap in the order. The
 // mutations after either are not sent, so that a client that sends them again gets the order that it asked for. A rejected entry
@@ -52,7 +52,7 @@
 	return b
 }
 
-// finish ends an entry. A mutation that has not succeeded stops those after it.
+// finish ends an entry. A mutation that has not succeeded stops the mutations after it.
 func (b *Batch) finish(i int, succeeded bool) {
 	b.unfinished--
 	if b.state[i] = ended; b.kinds[i] == Mutation && !succeeded {
--- a/internal/graphql/cost.go
+++ b/internal/graphql/cost.go
@@ -12,13 +12,14 @@
 //
 //	cost(field) = weight(field) + size(field) x sum of cost(selected)
 //
-// The weight is that of the operator's file, else @cost(weight) of the field or its type, else 1 for a field with a
-// selection and 0 for one without. The size is 1, except for lists. With @listSize, the size of a list is the largest of
-// its slicingArguments that the operation gives, else its assumedSize. Without @listSize, the arguments that the
-// operator's file names take the place of slicingArguments. Without any of these, the size is the file's assumed size.
-// sizedFields moves the size from a field to those fields of its selection that it names. This is the type cost of the
-// IBM specification with field weights added; input weights are not counted. The cost of a fragment is computed once for
-// each request, so that fragments that spread each other many times do not multiply the work.
+// The weight is set by the operator's file, or else by @cost(weight) of the field or its type. Without either it is 1
+// for a field with a selection and 0 for any other field. The size is 1, except for lists. With @listSize, the size of a
+// list is the largest of its slicingArguments that the operation gives, or else its assumedSize. Without @listSize, the
+// arguments that the operator's file names take the place of slicingArguments. Without any of these, the size is the
+// file's assumed size. sizedFields moves the size from a field to the fields of its selection that sizedFields names.
+// This is the type cost of the IBM specification with field weights added; input weights are not counted. The cost of a
+// fragment is computed once for each request, so that fragments that spread each other many times do not multiply the
+// work.
 
 // costNode is a field or a fragment spread. The nodes are built once for each document.
 type costNode struct {
--- a/internal/graphql/decide.go
+++ b/internal/graphql/decide.go
@@ -135,8 +135,9 @@
 	e.durations.add(d.signature, d.Cost, took)
 }
 
-// strictest returns the class with the strictest Idempotency. Among equals it returns the one with the lowest PriorityWeight,
-// so that a client gains no priority by adding a field, and then the one with the longest deadline.
+// strictest returns the class with the strictest Idempotency. Among equally strict classes it returns the class with the lowest
+// PriorityWeight, so that a client gains no priority by adding a field. If the weights are equal as well, it returns the class with the
+// longest deadline.
 func strictest(classes []*Class) *Class {
 	return slices.MinFunc(classes, func(a, b *Class) int {
 		return cmp.Or(-cmp.Compare(a.Idempotency, b.Idempotency), cmp.Compare(a.PriorityWeight, b.PriorityWeight), -cmp.Compare(a.Deadline, b.Deadline))
--- a/internal/graphql/document.go
+++ b/internal/graphql/document.go
@@ -131,8 +131,8 @@
 	bytesPerTextByte = 100
 )
 
-// validation has all validation rules of the specification but one: the rule that fields of one name can be merged concerns
-// only the shape of the answer and is the most expensive one, so that check is left to the upstream.
+// validation has all validation rules of the specification but one. The rule that fields of one name can be merged concerns only the
+// shape of the answer and is the most expensive rule, so its check is left to the upstream.
 //
 // Errors contain no suggestions: the search for similar names takes milliseconds for a document with many wrong names.
 var validation = func() *rules.Rules {
--- a/internal/graphql/reference_test.go
+++ b/internal/graphql/reference_test.go
@@ -46,7 +46,7 @@
 	return balancer.IdempotentWithKey, nil
 }
 
-// rootNames returns the names of the root fields of a selection, also of those in fragments.
+// rootNames returns the names of the root fields of a selection, including those in fragments.
 func rootNames(doc *ast.QueryDocument, set ast.SelectionSet, depth int) (names []string) {
 	if depth > 100 {
 		return nil
--- a/internal/graphql/request.go
+++ b/internal/graphql/request.go
@@ -19,10 +19,10 @@
 
 // ParseBody reads the body of a POST. The returned Problem concerns the whole request.
 //
-// It rejects everything that an upstream might read in another way than the sidecar: duplicate keys, also where one is
-// escaped; a known key with other upper- and lower-case letters (encoding/json accepts it); text that is not UTF-8; a byte
-// order mark; more than one JSON value. It also rejects keys that the specification does not define, since some servers
-// run the operation that such a key names.
+// It rejects everything that an upstream might read in another way than the sidecar: duplicate keys, even if one of them
+// is escaped; a known key with other upper- and lower-case letters (encoding/json accepts it); text that is not UTF-8; a
+// byte order mark; more than one JSON value. It also rejects keys that the specification does not define, since some
+// servers run the operation that such a key names.
 func ParseBody(body []byte, l *Limits) (request Request, problem *Problem) {
 	if bytes.HasPrefix(body, []byte("\xef\xbb\xbf")) {
 		return request, malformed("the body begins with a byte order mark")
@@ -153,7 +153,7 @@
 	return Request{Params: []Params{p}, Problems: []*Problem{nil}}, nil
 }
 
-// HasNoParameters reports whether the URL of a POST has no GraphQL parameters. Some upstreams prefer those to the body.
+// HasNoParameters reports whether the URL of a POST has no GraphQL parameters. Some upstreams use such parameters instead of the body.
 func HasNoParameters(raw string) bool {
 	values, err := url.ParseQuery(raw)
 	if err != nil {
--- a/internal/routes/conflicts.go
+++ b/internal/routes/conflicts.go
@@ -20,7 +20,7 @@
 
 // conflictIndex finds the patterns that may conflict with a given pattern. Two patterns can match the same path only if, at each position,
 // they have the same literal or one of them has a wildcard. A pattern is therefore compared only with the patterns that can match one of
-// its literals; of its literals, the one that the fewest patterns can match is used.
+// its literals: the literal for which these patterns are fewest.
 type conflictIndex struct {
 	literals       map[position][]int // patterns with the literal at the position
 	wildcards      map[position][]int // patterns with a wildcard for one segment, or {$}, at the position
--- a/internal/routes/decide_test.go
+++ b/internal/routes/decide_test.go
@@ -132,7 +132,7 @@
 }
 
 // FuzzDecide compares Decide with the ways in which servers read a path: for every accepted request, each of these readings must match no
-// route or one whose class is not stricter.
+// route, or a route whose class is not stricter.
 func FuzzDecide(f *testing.F) {
 	for _, s := range []string{"/search/1", "/search/../confirm/1", "/a%2f..%2fb", "/a/%252e%252e/b", "/a/..;/b", "/a\\..\\b",
 		"/a/%c0%ae%c0%ae/b", "/a?b/../c", "/a/%2e;%2e/b", "/%61/b", "/a/%25%32%65%25%32%65/b", "/confirm;x", "/%2563onfirm",
--- a/internal/routes/headers.go
+++ b/internal/routes/headers.go
@@ -52,7 +52,7 @@
 	return t.checkConnection(header)
 }
 
-// checkUnderscores finds headers that CGI and its successors cannot distinguish from decisive ones: they read X_Request_ID as X-Request-ID.
+// checkUnderscores finds headers that CGI and its successors cannot distinguish from decisive headers: they read X_Request_ID as X-Request-ID.
 func (t *Table) checkUnderscores(header http.Header) string {
 	for name := range header {
 		if !strings.Contains(name, "_") {
@@ -66,7 +66,7 @@
 	return ""
 }
 
-// checkConnection finds decisive headers among those that Connection lists: a proxy on the way to the upstream removes them.
+// checkConnection finds decisive headers that the Connection header lists: a proxy on the way to the upstream removes them.
 func (t *Table) checkConnection(header http.Header) string {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/routes/pattern.go
+++ b/internal/routes/pattern.go
@@ -200,5 +200,6 @@
 	})
 }
 
-// isHeaderName reports whether a text is the name of a header that every server reads as the same one: CGI does not distinguish _ and -.
+// isHeaderName reports whether a text is the name of a header that every server reads in the same way. It must not contain _, because CGI
+// does not distinguish _ and -.
 func isHeaderName(s string) bool { return isToken(s) && !strings.Contains(s, "_") }
--- a/internal/routes/relation.go
+++ b/internal/routes/relation.go
@@ -12,11 +12,11 @@
 	equivalent   relation = iota
 	moreSpecific          // the first set is a subset of the second
 	moreGeneral           // the second set is a subset of the first
-	overlapping           // each has requests that the other lacks, and some are in both
+	overlapping           // each set has requests that the other lacks, and some requests are in both
 	disjoint
 )
 
-// combineRelations returns the relation between two products of sets, from those between their factors.
+// combineRelations returns the relation between two products of sets, from the relations between their factors.
 func combineRelations(a, b relation) relation {
 	switch {
 	case a == disjoint || b == disjoint:
--- a/internal/routes/source.go
+++ b/internal/routes/source.go
@@ -89,8 +89,8 @@
 	return "", false
 }
 
-// wildcardValue returns the part of a path that a wildcard of the pattern matches. The pattern must match the path, and a multi wildcard at
-// least one byte of it.
+// wildcardValue returns the part of a path that a wildcard of the pattern matches. The pattern must match the path. wildcardValue returns
+// false if the wildcard is a multi wildcard that matches no byte.
 func (p *Pattern) wildcardValue(name, path string) (string, bool) {
 	remainder := path
 	for _, s := range p.segments {
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -36,7 +36,7 @@
 	hasHosts bool // some route has a host
 
 	decisiveHeaders    []string // headers that influence decisions: a request may have each at most once, in one spelling
-	singleValueHeaders []string // those of decisiveHeaders that must not hold a list
+	singleValueHeaders []string // the decisive headers that must not hold a list
 
 	// Fields of the platform's rules.
 	classInPath bool            // the path's first segment names a class, without encoding
@@ -152,7 +152,7 @@
 	return t.checkReading(class, host, wanted, found, toggleTrailingSlash(wanted.path), true)
 }
 
-// checkReading rejects a request if one other reading of its path has a stricter class. If the reading differs only by the trailing slash
+// checkReading rejects a request if another reading of its path has a stricter class. If the reading differs only by the trailing slash
 // (slashOnly), a more specific pattern for the path as sent decides, because the operator distinguishes the two paths.
 func (t *Table) checkReading(class *balancer.Class, host string, wanted lookup, found leaf[*Route], reading string, slashOnly bool) *Rejection {
 	sent := wanted.path
--- a/internal/server/control/call.go
+++ b/internal/server/control/call.go
@@ -74,7 +74,7 @@
 	body := io.LimitReader(from, max(r.ContentLength, 0))
 	chunked := len(r.TransferEncoding) > 0
 	if chunked {
-		body = httputil.NewChunkedReader(from) // reads up to the last chunk; net/http's Body does not tell a complete trailer from a missing one
+		body = httputil.NewChunkedReader(from) // reads up to the last chunk; net/http's Body does not distinguish a complete trailer from a missing one
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(body, MaxBody+1))
 	rest, _ := from.Peek(from.Buffered()) // cannot fail for bytes that are buffered
--- a/internal/server/control/server.go
+++ b/internal/server/control/server.go
@@ -85,7 +85,8 @@
 	s.closeWaiting()
 }
 
-// closeWaiting closes the connections that wait for the rest of their calls, and has handle close those that would wait from now on.
+// closeWaiting closes the connections that wait for the rest of their calls, and makes handle close connections that would wait from now
+// on.
 func (s *Server) closeWaiting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,7 +210,7 @@
 	}
 }
 
-// forget closes a connection and removes it from those that wait.
+// forget closes a connection and removes it from the waiting connections.
 func (s *Server) forget(c *net.TCPConn) {
 	c.Close()
 	s.mu.Lock()
--- a/internal/server/downstream/connections.go
+++ b/internal/server/downstream/connections.go
@@ -64,7 +64,7 @@
 	client := newConn(accepted)
 	c.conns[client] = &connInfo{idleSince: time.Now()}
 	c.newest = client
-	if c.openLocked() > c.limit { // no connection is evicted before another one needs its place
+	if c.openLocked() > c.limit { // a connection is evicted only once another one needs its place
 		c.evictLocked(client)
 	}
 	if c.tls != nil {
--- a/internal/tlscredentials/store.go
+++ b/internal/tlscredentials/store.go
@@ -99,8 +99,8 @@
 	s.warnOfExpiry()
 }
 
-// reloadPair replaces the certificate and its key if they have changed and are valid. The two files are replaced one after the other: until
-// they match, the old pair stays in use.
+// reloadPair replaces the certificate and its key if they have changed and are valid. Since the two files are replaced one after the other,
+// the old pair stays in use until the new files match.
 func (s *Store) reloadPair() error {
 	if s.certificateFile == nil {
 		return nil
@@ -162,7 +162,7 @@
 	return &pair, nil
 }
 
-// reloadCA replaces the CA certificates if their file has changed and contains at least one.
+// reloadCA replaces the CA certificates if their file has changed and contains at least one certificate.
 func (s *Store) reloadCA() error {
 	if s.caFile == nil {
 		return nil
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -12,10 +12,10 @@
 //	reload:"start"   a change takes effect at the next start; absent: a reload applies it
 //	secret:"yes"     the value is never shown
 //
-// Field types are string, bool, int, float64, types that implement encoding.TextUnmarshaler, slices of those,
-// map[string]string, structs (tables) and slices of structs (arrays of tables). Once a declaration is decoded, its
-// Check is called if it implements Checker. A declaration that embeds another and has its own Check has to call that of
-// the embedded one. The keys of an embedded struct are keys of the struct around it.
+// Field types are string, bool, int, float64, types that implement encoding.TextUnmarshaler, slices of those, map[string]string,
+// structs (tables) and slices of structs (arrays of tables). Once a declaration is decoded, its Check is called if it implements
+// Checker. A declaration that embeds another one and has its own Check has to call the Check of the embedded declaration. The keys of
+// an embedded struct are keys of the struct around it.
 package tomlfile
 
 import (
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -110,8 +110,8 @@
 // earlier pool of the same service.
 func (p *Pool) EvictOnContention() { p.connectionSlots.OnContention(p.service, p.evict) }
 
-// Close closes all idle connections; those in use are closed when their exchanges end. Before the call the owner empties the Registry or
-// closes the Gates of its requests, so that no request is sent after the call.
+// Close closes all idle connections. Connections in use are closed when their exchanges end. Before the call the owner empties the
+// Registry or closes the Gates of its requests, so that no request is sent after the call.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,7 +195,7 @@
 	return n
 }
 
-// CloseUpstream closes an upstream's idle connections; those in use are closed when their exchanges end.
+// CloseUpstream closes an upstream's idle connections. Connections in use are closed when their exchanges end.
 func (p *Pool) CloseUpstream(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/prewarm/prewarm_test.go
+++ b/internal/upstream/prewarm/prewarm_test.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestAnyHistory guards, over random histories, against connects beyond a bound: Rate per second, MaxFraction of all connections,
-// ConnectionsPerUpstream of one member, none to a removed member, and none to a failing one within its backoff. It also guards against
-// members that stay without connections: in the end each member that is used has all its connections if the limits allow it.
+// TestAnyHistory guards, over random histories, against more connects than Rate, MaxFraction or ConnectionsPerUpstream allows, against
+// connects to a removed member, and against connects to a failing member within its backoff. It also guards against members that stay
+// without connections: in the end each member that is used has all its connections if the limits allow it.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
--- a/internal/upstream/remainder.go
+++ b/internal/upstream/remainder.go
@@ -17,7 +17,7 @@
 	// maxBufferedBodyBytes is the longest response body that is read completely before any of it is forwarded. A longer request body is
 	// written while the response is read.
 	maxBufferedBodyBytes = 64 << 10
-	// MaxPassThroughBytes is the longest response body that is passed through; a response with a longer one counts as malformed.
+	// MaxPassThroughBytes is the longest response body that is passed through; a response with a longer body counts as malformed.
 	MaxPassThroughBytes = 64 << 20
 	// firstPartBytes is the maximum number of bytes of a longer body of known length that are read before it is forwarded.
 	firstPartBytes = 16 << 10
