--- a/cmd/orchiddrift/newcomer_test.go
+++ b/cmd/orchiddrift/newcomer_test.go
@@ -59,7 +59,8 @@
 	}
 }
 
-// readmeFile returns the README's operator's file with the addresses of running test servers, and the address at which the daemon listens.
+// readmeFile returns the operator's file in the README, with its addresses replaced by free ones and those of running test servers, and the
+// address at which the daemon listens.
 func readmeFile(t *testing.T) (text, address string) {
 	t.Helper()
 	readme, err := os.ReadFile("../../README.md")
@@ -92,7 +93,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) })
 }
 
-// awaitAnswers sends requests until the answers seen, counted by body, are those wanted. Each answer must have status 200.
+// awaitAnswers sends requests until wanted accepts the answers seen, counted by body. Each answer must have status 200.
 func awaitAnswers(t *testing.T, address string, wanted func(seen map[string]int) bool) {
 	t.Helper()
 	seen := map[string]int{}
@@ -107,7 +108,7 @@
 			seen[string(body)]++
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the wanted answers did not come within 20 s: got %v, last error %v", seen, err)
+			t.Fatalf("the servers did not give the wanted answers within 20 s: number of answers by body %v, last error %v", seen, err)
 		}
 	}
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -26,7 +26,7 @@
 // Bounds of values in an operator's file.
 const (
 	maxCores  = 4096
-	maxWeight = 1e6 // of a service, relative to the other services
+	maxWeight = 1e6 // largest weight of a service, relative to the other services
 )
 
 // File is the operator's file. Most of its parts are declared by the packages that they configure.
@@ -52,14 +52,14 @@
 type Daemon struct {
 	Name    string         `toml:"name" reload:"start" doc:"The process's name, for logs."`
 	Listen  string         `toml:"listen" default:"127.0.0.1:8080" reload:"start" doc:"The address for clients: IP address and port."`
-	Control string         `toml:"control" reload:"start" sample:"\"127.0.0.1:8081\"" doc:"The address for operators, which serves /ready, /metrics, /drain and /undrain: IP address and port. Absent: there is none."`
-	Seed    string         `toml:"seed" reload:"start" sample:"\"8c1f30d27a5be964\"" doc:"The seed of the random numbers, 64 bits in hexadecimal. The same seed yields the same numbers. Absent: a random seed is drawn at each start and logged."`
-	Grace   units.Duration `toml:"grace" default:"0s" reload:"start" doc:"How long requests in flight may take after SIGTERM. 0s: as long as the longest deadline."`
+	Control string         `toml:"control" reload:"start" sample:"\"127.0.0.1:8081\"" doc:"The address for operators, which serves /ready, /metrics, /drain and /undrain: IP address and port. If it is absent, the process has no such address."`
+	Seed    string         `toml:"seed" reload:"start" sample:"\"8c1f30d27a5be964\"" doc:"The seed of the random numbers, 64 bits in hexadecimal. The same seed yields the same numbers. If it is absent, a random seed is drawn at each start and logged."`
+	Grace   units.Duration `toml:"grace" default:"0s" reload:"start" doc:"How long requests in flight may take after SIGTERM. With 0s they may take as long as the longest deadline."`
 }
 
 // FileLimits is the part of the file on the resources that the process may use.
 type FileLimits struct {
-	Cores       float64        `toml:"cores" reload:"start" doc:"Number of processor cores. 0: all cores of the machine."`
+	Cores       float64        `toml:"cores" reload:"start" doc:"Number of processor cores. With 0 the process uses all cores of the machine."`
 	Memory      units.Size     `toml:"memory" default:"192MiB" reload:"start" doc:"Memory of the process. The heap is limited to three quarters of it, and a single answer to a 64th of it."`
 	Descriptors int            `toml:"descriptors" default:"1024" reload:"start" doc:"Number of file descriptors. 32 are reserved. Half of the rest is for clients' connections, half for connections to upstreams."`
 	HeadTimeout units.Duration `toml:"head_timeout" default:"2s" reload:"start" doc:"How long a client may take to send the head of a request, and how long for a TLS handshake."`
@@ -71,8 +71,8 @@
 	Guaranteed float64 `toml:"guaranteed" default:"0.5" doc:"The fraction of each limit (connections to upstreams, requests in flight, bytes in flight) that is reserved for the services in proportion to their share. The rest is used in the order of arrival."`
 }
 
-// Service is one service. Its own endpoint list comes from one of Addresses, Endpoints, ListFile and Discovery; it needs none if a registry
-// lists its upstreams.
+// Service is one service. Its own endpoint list comes from one of Addresses, Endpoints, ListFile and Discovery. It needs none of them if a
+// registry lists its upstreams.
 type Service struct {
 	Name            string                     `toml:"name" sample:"\"seats\"" doc:"The service's name, to which routes refer."`
 	Addresses       []string                   `toml:"addresses" sample:"[\"127.0.0.1:9001\", \"127.0.0.1:9002\"]" doc:"The upstreams, if their IP addresses and ports describe them sufficiently."`
@@ -116,7 +116,7 @@
 // Check implements tomlfile.Checker.
 func (l *FileLimits) Check(report func(key, format string, args ...any)) {
 	if !(l.Cores >= 0) || l.Cores > maxCores {
-		report("cores", "%v is not a usable number of cores", l.Cores)
+		report("cores", "%v is negative, too large or not a number of cores", l.Cores)
 	}
 	if l.Memory < minMemoryMB*units.MiB {
 		report("memory", "%v is less than the minimum of %dMiB", l.Memory, minMemoryMB)
@@ -136,8 +136,8 @@
 	}
 }
 
-// oneSourceNeeded is the message about a service whose own endpoint list has several sources, or has none although no registry lists its
-// upstreams.
+// oneSourceNeeded is the message about a service whose own endpoint list has several sources. It also applies to a service whose list has
+// no source, if no registry lists its upstreams either.
 const oneSourceNeeded = "upstreams come from one of addresses, endpoint, list_file and discovery, besides any [[eureka]]; %d of them are given"
 
 // ownSources returns the number of sources of the service's own endpoint list, registries excluded. At most one is allowed.
@@ -180,7 +180,7 @@
 		report("answers", "%v", err)
 	}
 	if !(s.Weight > 0) || s.Weight > maxWeight {
-		report("share", "%v is not a usable weight", s.Weight)
+		report("share", "%v is not a weight greater than 0 and at most 1000000", s.Weight)
 	}
 }
 
@@ -196,7 +196,7 @@
 	return entries
 }
 
-// cores returns the number of processor cores to use on a machine: those configured, or else all.
+// cores returns the number of processor cores to use on a machine: the configured number, or all cores if none is configured.
 func (l *FileLimits) cores(machine Machine) float64 {
 	if l.Cores == 0 {
 		return float64(machine.Cores)
--- a/internal/graphql/decide_test.go
+++ b/internal/graphql/decide_test.go
@@ -51,8 +51,8 @@
 	return o
 }
 
-// endpoint creates an Endpoint with the options of options, after change. With persisted = "known", change sets KnownFile to the text of
-// the file in place of its path.
+// endpoint creates an Endpoint with the options that the function options returns, after change has edited them. With persisted = "known",
+// change sets KnownFile to the text of the file instead of its path.
 func endpoint(t testing.TB, schema string, change func(*Options)) *Endpoint {
 	t.Helper()
 	o := options()
@@ -63,7 +63,9 @@
 	if o.PersistedQueries == "known" {
 		known, o.KnownFile = o.KnownFile, "known.json"
 	}
-	o.Check(func(key, format string, args ...any) { t.Fatalf("%s: "+format, append([]any{key}, args...)...) })
+	o.Check(func(key, format string, args ...any) {
+		t.Fatalf("invalid option %s: "+format, append([]any{key}, args...)...)
+	})
 	e, err := New(o, func(n string) *Class { return classes[n] }, schema, known)
 	if err != nil {
 		t.Fatal(err)
@@ -87,7 +89,7 @@
 	return d, d.Class.Name
 }
 
-// requestBody returns the JSON body for a query. more are further members of the object.
+// requestBody returns the JSON body for a query. more holds further members of the body's object.
 func requestBody(query string, more ...string) string {
 	return fmt.Sprintf(`{"query":%q%s}`, query, strings.Join(append([]string{""}, more...), ","))
 }
--- a/internal/routes/headers.go
+++ b/internal/routes/headers.go
@@ -9,8 +9,8 @@
 	"orchiddrift/internal/httpheader"
 )
 
-// platformHeaders are the headers of the platform's protocol. A request may have each once at most, in one spelling only, whether or not a
-// route reads it: an upstream may.
+// platformHeaders are the headers of the platform's protocol. A request may have each once at most, in one spelling only, even if no route
+// reads it, because an upstream may read it.
 var platformHeaders = []string{httpheader.RequestID, httpheader.Class, httpheader.Tenant, httpheader.Timeout, httpheader.Cost,
 	httpheader.Attributes, httpheader.RetryMarker, httpheader.IdempotencyKey}
 
@@ -21,9 +21,9 @@
 // framingHeaders must not be spelled with underscores, like the decisive headers.
 var framingHeaders = []string{"Content-Length", "Transfer-Encoding", "Host"}
 
-// preconditionHeaders and partialAnswerHeaders make an upstream answer with something other than the complete representation. Where such
-// answers count as failures, a client could use these headers to have upstreams ejected. Requests that are not idempotent are therefore
-// rejected there if they have preconditions, and these headers are not forwarded with other requests.
+// preconditionHeaders and partialAnswerHeaders ask an upstream for an answer other than the complete representation. If such answers count
+// as failures, a client could use these headers to have upstreams ejected. In that case, requests that are not idempotent are rejected if
+// they have preconditions, and other requests are forwarded without these headers.
 var (
 	preconditionHeaders  = []string{"If-Match", "If-Unmodified-Since"}
 	partialAnswerHeaders = []string{"Range", "If-Range", "If-None-Match", "If-Modified-Since"}
@@ -52,7 +52,7 @@
 	return t.checkConnection(header)
 }
 
-// checkUnderscores finds headers that CGI and its successors cannot distinguish from decisive ones: they read X_Request_ID as X-Request-ID.
+// checkUnderscores finds headers that CGI and its successors cannot distinguish from decisive headers: they read X_Request_ID as X-Request-ID.
 func (t *Table) checkUnderscores(header http.Header) string {
 	for name := range header {
 		if !strings.Contains(name, "_") {
@@ -66,7 +66,7 @@
 	return ""
 }
 
-// checkConnection finds decisive headers among those that Connection lists: a proxy on the way to the upstream removes them.
+// checkConnection finds decisive headers that the Connection header lists: a proxy on the way to the upstream removes them.
 func (t *Table) checkConnection(header http.Header) string {
 	for _, list := range header["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/internal/routes/source.go
+++ b/internal/routes/source.go
@@ -49,11 +49,11 @@
 	case !ok || !known:
 		return fmt.Errorf(`%q is none of "header:NAME", "path:WILDCARD", "fixed:TEXT" and ""`, text)
 	case kind == fromHeader && !isHeaderName(name):
-		return fmt.Errorf("%q is not a usable header name", name)
+		return fmt.Errorf("%q is not a valid header name", name)
 	case kind == fromPath && !isName(name):
-		return fmt.Errorf("%q is not a wildcard name", name)
+		return fmt.Errorf("%q is not a valid wildcard name", name)
 	case kind == fixedText && (name == "" || hasControl(name)):
-		return fmt.Errorf("%q is not a usable text", name)
+		return fmt.Errorf("%q is not a valid fixed text: it is empty or has control characters", name)
 	case kind == fromHeader:
 		name = http.CanonicalHeaderKey(name)
 	}
@@ -61,10 +61,10 @@
 	return nil
 }
 
-// None reports whether there is no source.
+// None reports whether the source is the zero value, which reads nothing.
 func (s Source) None() bool { return s.kind == noSource }
 
-// header returns the name of the header that the source reads; empty: it reads none.
+// header returns the name of the header that the source reads, or an empty text if the source does not read a header.
 func (s Source) header() string {
 	if s.kind == fromHeader {
 		return s.name
@@ -89,8 +89,8 @@
 	return "", false
 }
 
-// wildcardValue returns the part of a path that a wildcard of the pattern matches. The pattern must match the path, and a multi wildcard at
-// least one byte of it.
+// wildcardValue returns the part of a path that a wildcard of the pattern matches. The pattern must match the path. wildcardValue returns
+// false if the wildcard is a multi wildcard that matches no byte.
 func (p *Pattern) wildcardValue(name, path string) (string, bool) {
 	remainder := path
 	for _, s := range p.segments {
--- a/internal/routes/table.go
+++ b/internal/routes/table.go
@@ -22,10 +22,10 @@
 type Decision struct {
 	Route          *Route
 	Class          *balancer.Class
-	ID             string // empty: the caller generates one
+	ID             string // empty if the caller has to generate an id
 	IdempotencyKey string // set only if the class needs one
 	Tenant         string
-	CostHint       time.Duration // expected work; 0: unknown
+	CostHint       time.Duration // expected work; 0 if unknown
 	Timeout        time.Duration // how long the client waits, at most the class's deadline
 }
 
@@ -36,14 +36,14 @@
 	hasHosts bool // some route has a host
 
 	decisiveHeaders    []string // headers that influence decisions: a request may have each at most once, in one spelling
-	singleValueHeaders []string // those of decisiveHeaders that must not hold a list
+	singleValueHeaders []string // the decisive headers that must not hold a list
 
 	// Fields of the platform's rules.
 	classInPath bool            // the path's first segment names a class, without encoding
 	classes     map[string]bool // the classes that a ClassHeader may name
 }
 
-// New returns a table of routes, or else the pairs of routes that conflict.
+// New returns a table of the routes. If some routes conflict, it returns the pairs of conflicting routes instead.
 func New(routes []*Route) (*Table, []Conflict) {
 	patterns := make([]*Pattern, len(routes))
 	for i, route := range routes {
@@ -152,7 +152,7 @@
 	return t.checkReading(class, host, wanted, found, toggleTrailingSlash(wanted.path), true)
 }
 
-// checkReading rejects a request if one other reading of its path has a stricter class. If the reading differs only by the trailing slash
+// checkReading rejects a request if another reading of its path has a stricter class. If the reading differs only by the trailing slash
 // (slashOnly), a more specific pattern for the path as sent decides, because the operator distinguishes the two paths.
 func (t *Table) checkReading(class *balancer.Class, host string, wanted lookup, found leaf[*Route], reading string, slashOnly bool) *Rejection {
 	sent := wanted.path
--- a/internal/server/control/call.go
+++ b/internal/server/control/call.go
@@ -74,7 +74,7 @@
 	body := io.LimitReader(from, max(r.ContentLength, 0))
 	chunked := len(r.TransferEncoding) > 0
 	if chunked {
-		body = httputil.NewChunkedReader(from) // reads up to the last chunk; net/http's Body does not tell a complete trailer from a missing one
+		body = httputil.NewChunkedReader(from) // reads up to the last chunk; net/http's Body does not distinguish a complete trailer from a missing one
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(body, MaxBody+1))
 	rest, _ := from.Peek(from.Buffered()) // cannot fail for bytes that are buffered
@@ -93,7 +93,8 @@
 
 var tooLarge = Answer{Status: http.StatusRequestEntityTooLarge, Body: "the body is too large"}
 
-// headEnd returns the index after the empty line that ends the head, or -1 if there is none. Like net/http it accepts bare line feeds.
+// headEnd returns the index after the empty line that ends the head, or -1 if there is no such line. Like net/http it accepts line feeds
+// without carriage returns.
 func headEnd(b []byte) int {
 	for i := 0; ; {
 		n := bytes.IndexByte(b[i:], '\n')
--- a/internal/server/downstream/checker_test.go
+++ b/internal/server/downstream/checker_test.go
@@ -28,7 +28,7 @@
 	text := strings.Join(lines, "\r\n") + "\r\nHost: s\r\n\r\n"
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(text)))
 	if err != nil {
-		t.Fatalf("%q: %v", text, err)
+		t.Fatalf("the request %q cannot be parsed: %v", text, err)
 	}
 	return r
 }
@@ -140,11 +140,12 @@
 		req.Class.Idempotency != balancer.IdempotentWithKey || req.Timeout != 4*time.Second || req.CostHint != 1500500 || req.Method != "POST" ||
 		req.Host != "s" || req.Header.Get("X-Hop") != "" || req.Header.Get(httpheader.Timeout) != "" ||
 		req.Header.Get(httpheader.IdempotencyKey) == "" {
-		t.Errorf("wrong field in the request %+v", req)
+		t.Errorf("Check returned a request with a wrong field: %+v", req)
 	}
 }
 
-// Guards against a paused listener that accepts a connection or closes open ones, and against one that stays paused.
+// Guards against a paused listener that accepts a connection or closes open ones, and against a listener that accepts no
+// connections after its pause.
 func TestPausedConnsLeaveTheQueueAlone(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/tlscredentials/store.go
+++ b/internal/tlscredentials/store.go
@@ -32,9 +32,9 @@
 
 // Material is an immutable snapshot of a Store's credentials.
 type Material struct {
-	Pair       *tls.Certificate // nil: none
-	CA         *x509.CertPool   // nil: none
-	Generation int64            // of CA: increases with each change
+	Pair       *tls.Certificate // nil if there is none
+	CA         *x509.CertPool   // nil if there is none
+	Generation int64            // increases with each change of CA
 }
 
 // Store holds the credentials of a set of files. It is safe for concurrent use.
@@ -99,8 +99,8 @@
 	s.warnOfExpiry()
 }
 
-// reloadPair replaces the certificate and its key if they have changed and are valid. The two files are replaced one after the other: until
-// they match, the old pair stays in use.
+// reloadPair replaces the certificate and its key if they have changed and are valid. Since the two files are replaced one after the other,
+// the old pair stays in use until the new files match.
 func (s *Store) reloadPair() error {
 	if s.certificateFile == nil {
 		return nil
@@ -162,7 +162,7 @@
 	return &pair, nil
 }
 
-// reloadCA replaces the CA certificates if their file has changed and contains at least one.
+// reloadCA replaces the CA certificates if their file has changed and contains at least one certificate.
 func (s *Store) reloadCA() error {
 	if s.caFile == nil {
 		return nil
--- a/internal/upstream/prewarm/prewarm_test.go
+++ b/internal/upstream/prewarm/prewarm_test.go
@@ -12,7 +12,7 @@
 	"orchiddrift/internal/units"
 )
 
-// historyConnections is the maximum number of connections in the histories. A quarter of them may be opened ahead of use.
+// historyConnections is the maximum number of connections in the random histories. A quarter of them may be opened ahead of use.
 const historyConnections = 40
 
 // connecting is a pending connect: the upstream and its incarnation.
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestAnyHistory guards, over random histories, against connects beyond a bound: Rate per second, MaxFraction of all connections,
-// ConnectionsPerUpstream of one member, none to a removed member, and none to a failing one within its backoff. It also guards against
-// members that stay without connections: in the end each member that is used has all its connections if the limits allow it.
+// TestAnyHistory guards, over random histories, against more connects than Rate, MaxFraction or ConnectionsPerUpstream allows, against
+// connects to a removed member, and against connects to a failing member within its backoff. It also guards against members that stay
+// without connections: in the end each member that is used has all its connections if the limits allow it.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
@@ -196,14 +196,14 @@
 		again += len(prewarmer.Tick(now, func(name string) int { return open[name] }, 0))
 	}
 	if again != 1 {
-		t.Errorf("%d of 200 members get another connection, want only the one that was used", again)
+		t.Errorf("%d of 200 members get another connection, want only the member that was used", again)
 	}
 	if at, ok := prewarmer.Next(now); !ok || at < now {
-		t.Errorf("Next returned %v, %v, want a time that is not past", at, ok)
+		t.Errorf("Next returned %v, %v, want a time that has not passed", at, ok)
 	}
 }
 
-// Guards against different results for the same seed, which members processed in map order would cause.
+// Guards against different results for the same seed, which processing the members in map order would cause.
 func TestSameSeedSameTimes(t *testing.T) {
 	run := func() (order []string) {
 		prewarmer := New(Default(), 1000, rand.New(rand.NewPCG(1, 2)))
