--- a/internal/fakes/ca.go
+++ b/internal/fakes/ca.go
@@ -25,7 +25,8 @@
 
 var serial atomic.Int64
 
-// NewCA creates a certificate authority with a new key; name is its common name. Its certificate is valid for a day.
+// NewCA creates a certificate authority with a new key. The argument name is its common name. Its certificate is
+// valid for one day.
 func NewCA(name string) (*CA, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -16,15 +16,15 @@
 // Discovery is a fake of the platform's discovery service: it keeps an endpoint list and serves polls and watches. Entries
 // can be set, drained and removed. The service can stop answering, break its watches, go down and move to another address.
 type Discovery struct {
-	// Heartbeat is the interval at which watches send an empty line; NewDiscovery sets 200 ms. Set before Listen.
+	// Heartbeat is the interval at which watches send an empty line. NewDiscovery sets it to 200 ms. Set it before Listen.
 	Heartbeat time.Duration
-	// Rate is the number of calls per second that the service processes, one after another. It rejects a call at once if the call
-	// would wait for longer than Timeout. If Rate is 0, all calls are answered at once. Set before Listen.
+	// Rate is the number of calls per second that the service processes, one after another. The service rejects a call at once if
+	// the call would wait for longer than Timeout. If Rate is 0, the service answers all calls at once. Set both before Listen.
 	Rate    float64
 	Timeout time.Duration
 	Indent  bool // writes lists as indented JSON over several lines; set before Listen
-	// Wrote is called after each list was written, with the address that served it and the version of the list, which its reader
-	// has from then on. It must not call the Discovery. Set before Listen.
+	// Wrote is called after each write of a list, with the address that served the list and the version that the reader now has.
+	// It must not call methods of the Discovery. Set it before Listen.
 	Wrote func(address string, version int64)
 
 	mu             sync.Mutex
@@ -34,19 +34,19 @@
 	silent         bool
 	down           bool
 	breaks         int // increased to end all open watches; a watch ends once it differs from its value at the watch's start
-	muted          int // calls with a number up to this one send nothing more
+	muted          int // calls whose number is at most muted receive nothing more
 	answerDelay    time.Duration
-	busyUntil      time.Time // when all calls so far are processed, with Rate
-	rejections     int       // number of calls to reject at each address, since RejectNext
+	busyUntil      time.Time // time at which all calls so far are processed, if Rate is set
+	rejections     int       // number of calls to reject at each address, set by RejectNext
 	rejectionsUsed map[string]int
 	calls          []time.Time
-	current        int // watches that are up to date
+	current        int // number of watches that have received the current version
 	srv            *http.Server
 	joined         map[string]*http.Server // servers at additional addresses
 	address        string
 	serving        sync.WaitGroup
 	closed         bool
-	firstNotified  map[string]time.Time // when a list with an entry's status was first written, by "name status"
+	firstNotified  map[string]time.Time // time at which a status of an entry was first written to a client, by "name status"
 }
 
 // versionedEndpoint is an entry with the version of the list that last changed it.
@@ -55,7 +55,7 @@
 	version  int64
 }
 
-// NewDiscovery returns a service with these entries, at version 1. It listens nowhere yet; see Listen.
+// NewDiscovery returns a service with the given entries, at version 1. It does not listen until Listen is called.
 func NewDiscovery(entries ...endpoints.Endpoint) *Discovery {
 	d := &Discovery{index: 1, entries: map[string]versionedEndpoint{}, joined: map[string]*http.Server{}, Heartbeat: 200 * time.Millisecond, firstNotified: map[string]time.Time{}}
 	d.changed = sync.NewCond(&d.mu)
@@ -65,8 +65,8 @@
 	return d
 }
 
-// Listen serves at address ("127.0.0.1:0": a free port) and returns the address. A further call moves the service: the old
-// address accepts no new connections, and its watches end.
+// Listen serves at address and returns the address. "127.0.0.1:0" stands for a free port. A further call moves the service:
+// the old address accepts no new connections, and its watches end.
 func (d *Discovery) Listen(address string) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return d.Address(), nil
 }
 
-// Join additionally serves at a free port, until Retire or Close, and returns the address.
+// Join serves at a free port in addition to the other addresses, until Retire or Close, and returns the new address.
 func (d *Discovery) Join() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -98,7 +98,7 @@
 	return l.Addr().String(), nil
 }
 
-// Retire stops serving at an address that Join returned: it accepts no new connections there and closes those that are open.
+// Retire stops serving at an address that Join returned: it closes the listener and all connections of that address.
 func (d *Discovery) Retire(address string) {
 	d.mu.Lock()
 	srv := d.joined[address]
@@ -125,14 +125,14 @@
 	return true
 }
 
-// Address returns the address at which the service listens, without those of Join.
+// Address returns the address at which Listen serves. Addresses that Join added are not included.
 func (d *Discovery) Address() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.address
 }
 
-// Close stops the service at all addresses and waits until it no longer serves.
+// Close stops the service at all addresses and waits until the servers have ended.
 func (d *Discovery) Close() {
 	d.mu.Lock()
 	servers := slices.Collect(maps.Values(d.joined))
@@ -148,7 +148,7 @@
 	d.serving.Wait()
 }
 
-// Set adds or changes entries, all in one new version of the list.
+// Set adds or changes entries, all of them in one new version of the list.
 func (d *Discovery) Set(entries ...endpoints.Endpoint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -176,10 +176,10 @@
 	d.Set(entries...)
 }
 
-// Silence switches on or off that watches send nothing, without ending, and that new calls wait for an answer.
+// Silence turns silence on or off. While it is on, watches stay open but send nothing, and new calls wait for an answer.
 func (d *Discovery) Silence(on bool) { d.change(func() { d.silent = on }) }
 
-// Down switches an outage on or off: watches end, and calls are rejected with status 503.
+// Down turns an outage on or off. During an outage all watches are ended and all calls are rejected with status 503.
 func (d *Discovery) Down(on bool) { d.change(func() { d.down = on; d.breaks++ }) }
 
 // Break ends all open watches.
@@ -233,7 +233,8 @@
 	d.changed.Broadcast()
 }
 
-// FirstNotified returns when a list with this status of an upstream was first written to a client, or false if none was yet.
+// FirstNotified returns the time at which a list with this status of an upstream was first written to a client. It returns
+// false if no such list was written yet.
 func (d *Discovery) FirstNotified(name, status string) (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -248,7 +249,7 @@
 	return d.index
 }
 
-// List returns the full list, in the form that a configuration's known list has.
+// List returns the full list in the format of the known list in a configuration.
 func (d *Discovery) List() *endpoints.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -314,8 +315,8 @@
 	d.serveWatch(w, r, call, address)
 }
 
-// write sends a list and records when its entries were first notified. The caller holds mu throughout, so no caller of
-// FirstNotified sees a time before the write.
+// write sends a list and records when the status of each entry was first written. The caller holds mu throughout, so
+// FirstNotified never returns a time before the list was written.
 func (d *Discovery) write(w http.ResponseWriter, address string, l *endpoints.List) error {
 	out := json.NewEncoder(w)
 	if d.Indent {
--- a/internal/fakes/etcd.go
+++ b/internal/fakes/etcd.go
@@ -15,23 +15,23 @@
 	"google.golang.org/grpc/metadata"
 )
 
-// EtcdFault is the fault that a write meets.
+// EtcdFault is a fault that affects a write.
 type EtcdFault int
 
 // The faults of a write.
 const (
 	EtcdFine   EtcdFault = iota
-	EtcdRefuse           // the write is not applied, and the answer says so: no leader
-	EtcdLose             // the write is applied, and the answer is an error of the connection
-	EtcdLate             // no answer; the write is applied EtcdOptions.Late after the client has given up
-	EtcdHang             // no answer; the write is not applied
+	EtcdRefuse           // the write is not applied, and the answer is an error: there is no leader
+	EtcdLose             // the write is applied, and the client gets a connection error
+	EtcdLate             // there is no answer; the write is applied after EtcdOptions.Late, when the client has given up
+	EtcdHang             // there is no answer, and the write is not applied
 )
 
 // EtcdOptions are an Etcd's parameters.
 type EtcdOptions struct {
-	Fault    func() EtcdFault // of each Put, Txn and DeleteRange; nil: none
-	Late     time.Duration    // of EtcdLate
-	TLS      *tls.Config      // nil: connections are not encrypted
+	Fault    func() EtcdFault // returns the fault of a Put, Txn or DeleteRange; if nil, there are no faults
+	Late     time.Duration    // delay until a write with the fault EtcdLate is applied
+	TLS      *tls.Config      // if nil, connections are not encrypted
 	User     string           // if set, calls need the token that Authenticate returns for User and Password
 	Password string
 	Delay    time.Duration // added to each write
@@ -44,15 +44,15 @@
 	options EtcdOptions
 
 	mu        sync.Mutex
-	address   *Reservation // held from the first Start to Close
+	address   *Reservation // reserved from the first Start to Close
 	srv       *grpc.Server
 	kvs       map[string]*mvccpb.KeyValue
 	leases    map[int64]*etcdLease
 	revision  int64
 	compacted int64
 	nextLease int64
-	events    []*mvccpb.Event // sorted by revision, from compacted on
-	changed   chan struct{}   // closed at the next event
+	events    []*mvccpb.Event // in the order of their revisions, starting after compacted
+	changed   chan struct{}   // closed when the next event is added
 	writes    int
 	running   sync.WaitGroup
 }
@@ -68,12 +68,12 @@
 	maxEtcdEvents = 100_000
 )
 
-// NewEtcd returns a store that does not listen yet; see Start.
+// NewEtcd returns a store that does not listen until Start is called.
 func NewEtcd(o EtcdOptions) *Etcd {
 	return &Etcd{options: o, kvs: map[string]*mvccpb.KeyValue{}, leases: map[int64]*etcdLease{}, revision: 1, nextLease: 0x1000, changed: make(chan struct{})}
 }
 
-// Start serves at a free loopback port and returns the address. After Stop it serves at the same address again.
+// Start serves at a free loopback port and returns the address. A Start after Stop serves at the same address.
 func (e *Etcd) Start() (string, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fakes/etcd_services.go
+++ b/internal/fakes/etcd_services.go
@@ -119,7 +119,7 @@
 			return err
 		}
 		e.mu.Lock()
-		r := &etcdserverpb.LeaseKeepAliveResponse{Header: e.header(), ID: q.ID} // TTL 0: there is no such lease
+		r := &etcdserverpb.LeaseKeepAliveResponse{Header: e.header(), ID: q.ID} // a TTL of 0 tells the client that the lease does not exist
 		if l := e.leases[q.ID]; l != nil && l.expireTimer.Reset(l.ttl) {
 			r.TTL = int64(l.ttl / time.Second)
 		}
@@ -137,7 +137,7 @@
 
 type etcdWatch struct {
 	q    *etcdserverpb.WatchCreateRequest
-	next int64 // the first revision whose events were not sent yet
+	next int64 // first revision whose events have not been sent yet
 }
 
 // Watch serves all watches of a stream in one goroutine: it sends their pending events and handles the client's requests in turn.
--- a/internal/fakes/etcd_store.go
+++ b/internal/fakes/etcd_store.go
@@ -13,8 +13,8 @@
 	"google.golang.org/grpc/status"
 )
 
-// inRange reports whether a key is in a range in the form of etcd's requests: an empty end means the key start alone,
-// a zero byte all keys from start on.
+// inRange reports whether a key is in a range of an etcd request. An empty end selects only the key start; an end of
+// one zero byte selects all keys from start on.
 func inRange(key string, start, end []byte) bool {
 	if len(end) == 0 {
 		return key == string(start)
@@ -95,7 +95,7 @@
 	return order != 0
 }
 
-// write applies a write after Delay, or has its fault. It fails if one of the leases that the write names does not
+// write applies a write after Delay, or applies the scripted fault to it. It fails if one of the leases does not
 // exist.
 func (e *Etcd) write(ctx context.Context, leases []int64, change func()) error {
 	if e.options.Delay > 0 {
--- a/internal/fakes/eureka.go
+++ b/internal/fakes/eureka.go
@@ -16,22 +16,22 @@
 	"time"
 )
 
-// EurekaOptions are the parameters of an Eureka.
+// EurekaOptions are the parameters of a Eureka.
 type EurekaOptions struct {
-	CacheFor         time.Duration // how long an answer stays cached (30 s on real servers); 0: not at all
-	KeepDelta        time.Duration // how long /apps/delta lists a change; 0: three minutes
-	SelfPreservation bool          // if more than 15% of the leases have expired at once, keep them all
-	NumbersAsText    bool          // write numbers in JSON as strings
+	CacheFor         time.Duration // time for which an answer stays cached (30 s on real servers); 0 disables the cache
+	KeepDelta        time.Duration // time for which /apps/delta lists a change; 0 means three minutes
+	SelfPreservation bool          // if more than 15% of the leases expire at once, all of them are kept
+	NumbersAsText    bool          // numbers in JSON are written as strings
 	User             string        // if set, requests need basic authentication with User and Password
 	Password         string
-	Now              func() time.Time // nil: time.Now
+	Now              func() time.Time // returns the current time; if nil, time.Now is used
 }
 
 // Eureka is a registry: the server side of Eureka's REST operations, with leases, overrides, a queue of changes, a response
 // cache and scripted faults. Its documents and its hash code follow the published formats alone. Several Eurekas become
 // replicas of one registry through Replicate; without it they are independent.
 type Eureka struct {
-	Base string // http://address/eureka
+	Base string // base URL: http://address/eureka
 
 	options EurekaOptions
 	srv     *http.Server
@@ -46,8 +46,8 @@
 	peers         []*Eureka
 	fault         func(path string) EurekaFault
 	calls         map[string]int
-	firstNotified map[int]time.Time // by version, when the first answer with it or a later one began to be written
-	lastNotified  int               // the last version sent to a client
+	firstNotified map[int]time.Time // by version: time right before the first answer with this version or a later one was written
+	lastNotified  int               // highest version that was sent to a client
 }
 
 // EurekaInstance is the registration of one instance.
@@ -57,7 +57,7 @@
 	Port, SecurePort       int
 	PortOff, SecureOn      bool
 	Metadata               map[string]string
-	Up                     time.Time // serviceUpTimestamp
+	Up                     time.Time // value of serviceUpTimestamp
 	Lease                  time.Duration
 
 	registered, renewed time.Time
@@ -66,7 +66,7 @@
 
 type eurekaChange struct {
 	at time.Time
-	i  EurekaInstance // after the change
+	i  EurekaInstance // registration after the change
 }
 
 type eurekaAnswer struct {
@@ -75,20 +75,20 @@
 	version int
 }
 
-// EurekaFault is the fault of one answer.
+// EurekaFault is a fault of one answer.
 type EurekaFault int
 
 // The faults.
 const (
 	EurekaFine      EurekaFault = iota
-	EurekaDown                  // status 503
+	EurekaDown                  // the answer has status 503
 	EurekaCut                   // the connection closes after half of the body
-	EurekaHTML                  // an HTML page of a proxy, with status 200
-	EurekaHangs                 // no answer until the client closes the connection
-	EurekaWrongSum              // the apps__hashcode of another registry
-	EurekaHuge                  // 20 MiB of spaces within the document
-	EurekaNoDelta               // status 403 for /apps/delta
-	EurekaLostDelta             // the delta is empty although its hash code is right: changes were lost
+	EurekaHTML                  // the answer is an HTML page, as of a proxy, with status 200
+	EurekaHangs                 // there is no answer until the client closes the connection
+	EurekaWrongSum              // the apps__hashcode does not match the listed instances
+	EurekaHuge                  // the document contains 20 MiB of spaces
+	EurekaNoDelta               // /apps/delta answers with status 403
+	EurekaLostDelta             // the delta lists no changes although its hash code is right, as if changes were lost
 )
 
 // NewEureka starts a registry at a free loopback port.
@@ -134,14 +134,14 @@
 	e.peers = peers
 }
 
-// Fault sets the function that chooses the fault of each answer to GET from now on; nil: no faults.
+// Fault sets the function that chooses the fault of each later answer to a GET request. A nil function means no faults.
 func (e *Eureka) Fault(script func(path string) EurekaFault) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.fault = script
 }
 
-// Calls returns the number of requests with a method and a path below the base, written as "GET /apps".
+// Calls returns the number of requests with a given method and path. The path is relative to the base URL, as in "GET /apps".
 func (e *Eureka) Calls(methodAndPath string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -192,7 +192,7 @@
 	}
 }
 
-// get answers a GET from the response cache or with a new document, with the scripted fault.
+// get answers a GET request from the response cache or with a new document, and applies the scripted fault.
 func (e *Eureka) get(w http.ResponseWriter, r *http.Request, path string, part []string) {
 	e.mu.Lock()
 	fault := EurekaFine
@@ -272,7 +272,8 @@
 	return e.version
 }
 
-// FirstNotified returns the time right before the first answer with a version or a later one was written, or zero if none was.
+// FirstNotified returns the time right before the first answer with this version or a later one was written. It returns the
+// zero time if there was no such answer.
 func (e *Eureka) FirstNotified(version int) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fakes/eureka_document.go
+++ b/internal/fakes/eureka_document.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// document returns the answer to a GET of a path, or false if the path names nothing. The caller holds mu.
+// document returns the answer to a GET request for a path. It returns false if the path does not exist. The caller
+// holds mu.
 func (e *Eureka) document(part []string, asXML bool, fault EurekaFault) ([]byte, bool) {
 	var instances []EurekaInstance
 	add := func(want func(*EurekaInstance) bool) {
@@ -66,7 +67,8 @@
 	instances []EurekaInstance
 }
 
-// hashCode returns the apps__hashcode: the number of instances by status. The caller holds mu.
+// hashCode returns the value of apps__hashcode, which consists of the number of instances with each status. The
+// caller holds mu.
 func (e *Eureka) hashCode() string {
 	counts := map[string]int{}
 	for _, app := range e.apps {
@@ -130,7 +132,8 @@
 	return text, err == nil
 }
 
-// xstreamList returns a list as XStream writes it to JSON: null if empty, and the bare element if there is only one.
+// xstreamList returns a list in the form in which XStream writes it to JSON: null for an empty list, and the element
+// itself for a list of one.
 func xstreamList(list []any) any {
 	switch len(list) {
 	case 0:
@@ -186,7 +189,7 @@
 	return b.String()
 }
 
-// readEurekaInstance decodes the JSON body of a registration, of 1 MiB at most.
+// readEurekaInstance decodes the JSON body of a registration. It reads at most 1 MiB.
 func readEurekaInstance(body io.Reader) (EurekaInstance, error) {
 	var in struct {
 		Instance struct {
--- a/internal/fakes/eureka_registry.go
+++ b/internal/fakes/eureka_registry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Put registers an instance or replaces its registration, also at the peers.
+// Put registers an instance or replaces its registration. It does the same at the peers.
 func (e *Eureka) Put(i EurekaInstance) {
 	for _, p := range e.register(i) {
 		p.register(i)
@@ -52,7 +52,7 @@
 	})
 }
 
-// Cancel removes a registration. It returns false if there is none.
+// Cancel removes a registration. It returns false if the instance is not registered.
 func (e *Eureka) Cancel(app, id string) bool {
 	return e.change(app, id, func(i *EurekaInstance) { i.action = "DELETED" })
 }
@@ -108,7 +108,7 @@
 	return i != nil
 }
 
-// expire removes old changes from the queue and instances whose leases have expired. The caller holds mu.
+// expire removes outdated changes from the queue, and instances whose leases have expired. The caller holds mu.
 func (e *Eureka) expire(now time.Time) {
 	for len(e.queue) > 0 && now.Sub(e.queue[0].at) > e.options.KeepDelta {
 		e.queue = e.queue[1:]
--- a/internal/fakes/flipper.go
+++ b/internal/fakes/flipper.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Flipper flips instances of a registry between up and out of service at random, and records requests that reach an
-// instance after the registry's clients were notified that it is out of service.
+// Flipper changes instances of a registry between up and out of service at random. It records requests that reach an
+// instance after clients of the registry were notified that the instance is out of service.
 type Flipper struct {
 	Eureka *Eureka
 	App    string
-	Within time.Duration // a request that arrives later than this after a client was notified is a violation
+	Within time.Duration // a request that arrives later than this after the notification of a client is a violation
 
 	mu           sync.Mutex
 	nodes        map[string]*flippedInstance
-	lastArrivals []time.Duration // for each flip that requests arrived after: from the flip to the last of them
-	violations   []time.Duration // from a client's notification to each request that arrived later than Within
+	lastArrivals []time.Duration // for each flip that was followed by requests: time from the flip to the last of these requests
+	violations   []time.Duration // for each violation: time from the notification of a client to the arrival of the request
 	flips        int
 }
 
@@ -25,8 +25,8 @@
 type flippedInstance struct {
 	out     bool
 	at      time.Time
-	version int           // of the registry after the flip
-	last    time.Duration // from the flip to the last request that arrived after it
+	version int           // version of the registry after the flip
+	last    time.Duration // time from the flip to the last request that arrived after it
 }
 
 // NewFlipper returns a Flipper for instances that are up.
@@ -87,8 +87,8 @@
 	}
 }
 
-// Result returns the number of flips, the sorted times from each flip out of service to the last request that arrived after
-// it, and the time from notification to arrival of each violation.
+// Result returns the number of flips, the sorted times from each flip out of service to the last request that followed it,
+// and the time from notification to arrival of each violation.
 func (f *Flipper) Result() (flips int, last, violations []time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fakes/graphql.go
+++ b/internal/fakes/graphql.go
@@ -19,9 +19,11 @@
 
 // ListenGraphQL makes the node serve GraphQL over HTTP at address, and returns the address. It reads requests as a lenient
 // server does: with the standard library's decoder, which ignores the case of keys and takes the last of duplicate keys. It
-// executes the operation that operationName selects. The ledger records executions under the value of an argument called
-// id, key or requestId, also within an input object, and else under the request's ID. The argument requestId is also the
-// idempotency key. The argument cost is the work in microseconds. The class is "query" or "mutation".
+// executes the operation that operationName selects.
+//
+// The ledger records an execution under the value of an argument called id, key or requestId, which may be a field of an
+// input object, or else under the ID of the request. The argument requestId is also the idempotency key. The argument cost
+// is the work in microseconds. The class is "query" or "mutation".
 func (n *Node) ListenGraphQL(address string) (string, error) {
 	return n.listen(address, func(c net.Conn) { n.serveHTTP(c, graphqlJob) })
 }
@@ -73,7 +75,7 @@
 	return s
 }
 
-// setArgument takes a job's operation, key and work from an argument, and from the fields of an input object.
+// setArgument sets a job's operation, key or work from an argument of these names, or from the fields of an input object.
 func (j *Job) setArgument(name string, value any) {
 	switch v := value.(type) {
 	case map[string]any:
--- a/internal/fakes/grpc.go
+++ b/internal/fakes/grpc.go
@@ -18,11 +18,11 @@
 
 // Metadata keys by which a client chooses the node's answer. Only fakes use them.
 const (
-	MessagesKey = "x-messages" // number of messages of a server stream
-	GapKey      = "x-gap-us"   // pause between two of them, in microseconds
+	MessagesKey = "x-messages" // number of messages in a server stream
+	GapKey      = "x-gap-us"   // pause between two messages of a server stream, in microseconds
 	EchoKey     = "x-echo"     // if not empty, the node echoes each message of a client stream as it arrives
 	CostKey     = "x-cost"     // work in microseconds
-	StatusKey   = "x-status"   // executes, then answers this grpc-status as an application's own error, not as a fault
+	StatusKey   = "x-status"   // if set, the node executes the call and then answers with this grpc-status, as an error of the application and not a fault
 )
 
 // ListenGRPC makes the node serve gRPC over HTTP/2 at address, and returns the address. It handles the frames itself
@@ -40,16 +40,16 @@
 	ctx context.Context
 
 	mu               sync.Mutex
-	windowChanged    *sync.Cond // also signals the end of a stream or of the connection
+	windowChanged    *sync.Cond // also signals that a stream or the connection has ended
 	framer           *http2.Framer
 	headerBlock      bytes.Buffer
 	encoder          *hpack.Encoder
-	window           int64 // bytes that the connection may send
+	window           int64 // number of bytes that the connection may send
 	initialWindow    int64 // window of a new stream
 	streams          map[uint32]*h2stream
 	lastStream       uint32 // highest ID of the streams that were started, or the last stream ID of the GOAWAY
-	highestProcessed uint32 // highest ID of the streams that were not refused: the last stream ID of a GOAWAY cannot be below it
-	goingAway        bool   // GOAWAY was sent: streams above lastStream are ignored
+	highestProcessed uint32 // highest ID of the streams that were not refused; the last stream ID of a GOAWAY cannot be lower
+	goingAway        bool   // a GOAWAY was sent, and streams with IDs above lastStream are ignored
 	ended            bool
 }
 
@@ -95,7 +95,7 @@
 	serving.Wait()
 }
 
-// write writes a frame. It drops the error, because the next read fails as well.
+// write writes a frame. It ignores the error, because after an error the next read fails too.
 func (h *h2conn) write(frame func() error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -180,7 +180,7 @@
 
 // start serves a stream in a goroutine of its own. The caller holds mu.
 func (h *h2conn) start(s *h2stream, serving *sync.WaitGroup) {
-	if h.goingAway && s.id > h.lastStream { // its headers arrived before the GOAWAY was sent, the rest after
+	if h.goingAway && s.id > h.lastStream { // the stream's headers arrived before the GOAWAY was sent, and the rest of its request afterwards
 		s.cancel()
 		delete(h.streams, s.id)
 		return
@@ -207,7 +207,7 @@
 	h.start(s, serving)
 }
 
-// handleData handles a DATA frame, and gives the client back the window that it used.
+// handleData handles a DATA frame, and returns the used flow-control window to the client.
 func (h *h2conn) handleData(f *http2.DataFrame, serving *sync.WaitGroup) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -229,7 +229,7 @@
 		}
 		select {
 		case s.messages <- message:
-		default: // the client does not read its echo
+		default: // the client does not read the echoed messages
 			_ = h.framer.WriteRSTStream(s.id, http2.ErrCodeEnhanceYourCalm) // after an error the next read fails
 			s.cancel()
 		}
--- a/internal/fakes/grpc_answer.go
+++ b/internal/fakes/grpc_answer.go
@@ -52,7 +52,7 @@
 	h.trailers(s, 0, "", report)
 }
 
-// headers writes the response headers, unless they were sent already.
+// headers writes the response headers if they have not been sent yet.
 func (h *h2conn) headers(s *h2stream) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -77,8 +77,8 @@
 	_ = h.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: h.headerBlock.Bytes(), EndHeaders: true, EndStream: end})
 }
 
-// message writes one message whose stated length is missing bytes too long; 0 writes a complete message. It returns
-// false if the stream or the connection has ended.
+// message writes one message of a stream. The length in its prefix exceeds the length of the data by missing bytes,
+// so a value above 0 makes the message incomplete. It returns false if the stream or the connection has ended.
 func (h *h2conn) message(s *h2stream, m []byte, missing int) bool {
 	out := binary.BigEndian.AppendUint32([]byte{0}, uint32(len(m)+missing))
 	out = append(out, m...)
@@ -108,7 +108,8 @@
 	return true
 }
 
-// trailers ends a stream with trailers, or with a response of trailers alone if nothing was sent before.
+// trailers ends a stream with trailers. If no headers were sent before, it sends a response that consists only of
+// trailers.
 func (h *h2conn) trailers(s *h2stream, code int, text string, additional map[string]string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -126,9 +127,9 @@
 	h.writeHeaders(s, true, pairs...)
 }
 
-// refuse tells the client with RST_STREAM or GOAWAY that the stream was not processed. A GOAWAY would cover all later
-// streams too: if one of them is in progress or was processed, refuse resets this stream, and the GOAWAY covers only
-// streams that are yet to come.
+// refuse tells the client with RST_STREAM or GOAWAY that the stream was not processed. A GOAWAY covers all streams
+// with higher IDs too. If one of these is in progress or was processed, refuse resets only this stream, and the
+// GOAWAY covers only streams that do not exist yet.
 func (h *h2conn) refuse(s *h2stream, goAway bool) {
 	h.n.options.Ledger.count(h.n.options.Name, func(c *NodeCount) { c.StreamsRefused++ })
 	h.mu.Lock()
--- a/internal/fakes/http1.go
+++ b/internal/fakes/http1.go
@@ -12,25 +12,27 @@
 	"time"
 )
 
-// OperationHeader is the header, and in lower case the gRPC metadata key, that carries Job.Op. Only fakes use it.
+// OperationHeader is the header that carries Job.Op. In gRPC the metadata key is the same name in lower case. Only fakes
+// use it.
 const OperationHeader = "X-Operation"
 
-// ListenHTTP makes the node serve the platform's HTTP/1.1 at address ("127.0.0.1:0": a free port), and returns the
-// address.
+// ListenHTTP makes the node serve HTTP/1.1 in the form of the platform at address, and returns the address.
+// "127.0.0.1:0" stands for a free port.
 func (n *Node) ListenHTTP(address string) (string, error) {
 	return n.listen(address, func(c net.Conn) { n.serveHTTP(c, platformJob) })
 }
 
-// parsedRequest is a request as a Job, with the texts of its protocol. A request with an errorStatus is not executed.
+// parsedRequest holds a request as a Job, and the texts with which its protocol answers. A request with an errorStatus
+// is not executed.
 type parsedRequest struct {
 	job                        Job
-	errorStatus                string                   // status code and reason phrase; empty: the request is valid
-	answer                     func(body []byte) []byte // formats the body; nil: it is sent unchanged
-	headers                    string                   // of answers
-	notExecutedBody, errorBody []byte                   // of answers with the protocol's own errors; nil: it has none
+	errorStatus                string                   // status code and reason phrase; empty for a valid request
+	answer                     func(body []byte) []byte // formats the body of the answer; if nil, the body is sent unchanged
+	headers                    string                   // header lines of the answers
+	notExecutedBody, errorBody []byte                   // bodies of answers that report an error in the protocol's own form; nil if the protocol has no such form
 }
 
-// platformJob returns the Job of a request in the platform's HTTP/1.1.
+// platformJob converts a request in the HTTP/1.1 form of the platform to a Job.
 func platformJob(req *http.Request, payload []byte) parsedRequest {
 	class, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
 	s := parsedRequest{job: Job{ID: req.Header.Get("X-Request-ID"), Class: class, Key: req.Header.Get("Idempotency-Key"),
@@ -44,8 +46,8 @@
 	return s
 }
 
-// serveHTTP serves one connection. One goroutine reads requests while another answers them, so that a client that closes
-// the connection is noticed at once.
+// serveHTTP serves one connection. One goroutine reads requests while another answers them, so that the node notices at
+// once when the client closes the connection.
 func (n *Node) serveHTTP(c net.Conn, parse func(*http.Request, []byte) parsedRequest) {
 	ctx, cancel := context.WithCancel(n.ctx)
 	defer cancel()
--- a/internal/fakes/keys.go
+++ b/internal/fakes/keys.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// IdempotencyKeys is the store by which a group of nodes deduplicates keyed requests: for a window after the first
-// execution, a request with the same key gets the stored answer and is not executed. It is safe for concurrent use; a
-// nil one stores nothing. It scans all keys for expired ones at most twice a window.
+// IdempotencyKeys is the store with which a group of nodes deduplicates requests that have an idempotency key. For a
+// window after the first execution, a request with the same key gets the stored answer and is not executed. The store
+// is safe for concurrent use. A nil store stores nothing. It scans all keys for expired ones at most twice per
+// window.
 type IdempotencyKeys struct {
 	window time.Duration
 
@@ -26,7 +27,7 @@
 	return &IdempotencyKeys{window: window, keys: map[string]storedAnswer{}}
 }
 
-// recall returns the answer that is stored under a key, if there is one.
+// recall returns the answer that is stored under a key, or false if there is none.
 func (m *IdempotencyKeys) recall(key string) ([]byte, bool) {
 	if m == nil || key == "" {
 		return nil, false
@@ -37,7 +38,7 @@
 	return k.body, ok && time.Since(k.at) <= m.window
 }
 
-// claim stores an answer under a key. If an answer is stored there already, it returns that one and true.
+// claim stores an answer under a key. If the key has a stored answer already, claim returns that answer and true.
 func (m *IdempotencyKeys) claim(key string, body []byte) ([]byte, bool) {
 	if m == nil || key == "" {
 		return nil, false
--- a/internal/fakes/ledger.go
+++ b/internal/fakes/ledger.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Ledger records what the nodes of a fleet did, in one place so that it shows executions of one request on two nodes.
-// It holds an entry for each operation, unless CountOnly is set, and is safe for concurrent use.
+// Ledger records what all nodes of a fleet did, so that it shows when two nodes executed the same request. It holds
+// an entry for each operation unless CountOnly is set. It is safe for concurrent use.
 type Ledger struct {
-	CountOnly bool // keeps no operations, for long runs; set before use
+	CountOnly bool // the ledger keeps counts but no operations, for long runs; set before use
 
 	mu    sync.Mutex
 	ops   map[string]*Operation
@@ -19,7 +19,7 @@
 
 // Operation is the record of one client operation, over all nodes and all attempts.
 type Operation struct {
-	ID         string // Job.Op, or Job.ID if that is empty
+	ID         string // Job.Op, or Job.ID if Job.Op is empty
 	Class      string
 	Key        string
 	Executions []Execution // executions that started, oldest first
@@ -34,18 +34,18 @@
 
 // NodeCount holds the counts of one node.
 type NodeCount struct {
-	Arrived        int           // complete requests, whatever their result
+	Arrived        int           // complete requests that arrived, whatever their result
 	Executed       int           // executions that started
 	Rejected       int           // requests that were provably not executed
 	Faults         int           // requests that a scheduled fault other than Slow and Freeze affected
 	StoredAnswers  int           // keyed requests answered with a stored answer
-	Work           time.Duration // sum over the requests that arrived, on a core with ServiceRate 1
+	Work           time.Duration // sum of the service times of the requests that arrived, on a core with ServiceRate 1
 	MaxInFlight    int           // highest number of requests in flight at once
-	Overloaded     bool          // stopped from overload during slow start
+	Overloaded     bool          // the node was stopped by overload during slow start
 	AfterDrain     int           // requests that arrived after Node.Drain
-	LastAfterDrain time.Duration // from Node.Drain to the last of them
-	Probes         int           // requests for the load report
-	StreamsRefused int           // of Rejected, gRPC streams refused with REFUSED_STREAM or GOAWAY
+	LastAfterDrain time.Duration // time from Node.Drain to the last request that arrived after it
+	Probes         int           // requests for the node's load report
+	StreamsRefused int           // gRPC streams refused with REFUSED_STREAM or GOAWAY, which Rejected includes
 }
 
 // NewLedger returns an empty ledger.
@@ -81,7 +81,7 @@
 	op.Executions = append(op.Executions, Execution{n.options.Name, n.options.Group, time.Now()})
 }
 
-// Operation returns the record of an operation, without Executions if none started.
+// Operation returns the record of an operation. Its Executions are empty if no execution started.
 func (l *Ledger) Operation(id string) Operation {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fakes/node.go
+++ b/internal/fakes/node.go
@@ -10,38 +10,38 @@
 	"time"
 )
 
-// NodeOptions are the parameters of a node. The zero value is a node with one core and a queue of 1000 requests, without
-// service time, slow start and faults.
+// NodeOptions are the parameters of a node. The zero value describes a node with one core, a queue of 1000 requests and a
+// service time of 0, without slow start and faults.
 type NodeOptions struct {
 	Name, Zone, Type string
 	Group            int
-	TLS              *tls.Config // nil: connections are not encrypted
+	TLS              *tls.Config // if nil, connections are not encrypted
 
-	Cores              int           // requests served at the same time; 0 means 1
+	Cores              int           // number of requests that are served at the same time; 0 means 1
 	ServiceRate        float64       // divides the service times; 0 means 1
-	MaxQueue           int           // requests that may wait for a core; 0 means 1000
-	DefaultServiceTime time.Duration // of a request without a cost
+	MaxQueue           int           // number of requests that may wait for a core; 0 means 1000
+	DefaultServiceTime time.Duration // service time of a request that states no cost
 
-	Started              time.Time     // start of the slow start; zero: no slow start
-	SlowStartMinCapacity float64       // fraction of the full capacity at Started
+	Started              time.Time     // start of the slow start; the zero time means no slow start
+	SlowStartMinCapacity float64       // fraction of the full capacity at the start of the slow start
 	SlowStartWindow      time.Duration // duration of the slow start, in which capacity grows linearly
-	OverloadMultiple     float64       // in slow start, the node goes down above this many times its capacity
-	OverloadWindow       time.Duration // window over which OverloadMultiple counts
+	OverloadMultiple     float64       // in slow start, the node stops when the load exceeds this multiple of its capacity
+	OverloadWindow       time.Duration // time window over which the load is compared with OverloadMultiple
 
-	Keys                 *IdempotencyKeys // shared by the nodes of a deduplication group; nil: none
+	Keys                 *IdempotencyKeys // store shared by the nodes of a deduplication group; if nil, keys are ignored
 	Faults               []Fault
 	Seed                 uint64
-	Ledger               *Ledger            // nil: a new one
-	Answer               func(j Job) []byte // returns the body of an answer; nil: the node's name
-	LoadReports          bool               // gRPC: send an ORCA load report with each answer
-	MaxConcurrentStreams int                // gRPC: SETTINGS_MAX_CONCURRENT_STREAMS; 0: not sent
+	Ledger               *Ledger            // if nil, the node creates its own ledger
+	Answer               func(j Job) []byte // returns the body of an answer; if nil, the body is the node's name
+	LoadReports          bool               // gRPC: the node sends an ORCA load report with each answer
+	MaxConcurrentStreams int                // gRPC: value of SETTINGS_MAX_CONCURRENT_STREAMS; 0 means that the setting is not sent
 }
 
-// Job is a request independent of its transport.
+// Job is a request in a form that does not depend on its protocol.
 type Job struct {
 	ID, Class, Key string
-	Op             string        // the client's operation, the same for all its retries; empty: ID
-	Work           time.Duration // service time at ServiceRate 1; 0: the node's default
+	Op             string        // operation of the client, which is the same for all its retries; if empty, ID is used
+	Work           time.Duration // service time on a node with ServiceRate 1; 0 means the default of the node
 	Payload        []byte
 }
 
@@ -93,8 +93,8 @@
 	listeners       []net.Listener
 	conns           map[net.Conn]bool
 	down            bool
-	recentArrivals  []arrival // within OverloadWindow, during slow start
-	recentAnswers   float64   // number of answers with exponential decay, time constant 1 s
+	recentArrivals  []arrival // arrivals within OverloadWindow, recorded during slow start
+	recentAnswers   float64   // number of answers, decaying exponentially with a time constant of 1 s
 	recentAnswersAt time.Time
 }
 
@@ -103,7 +103,7 @@
 	work time.Duration
 }
 
-// NewNode returns a node that listens nowhere yet; see ListenHTTP and ListenGRPC.
+// NewNode returns a node that does not listen until ListenHTTP, ListenGRPC or ListenGraphQL is called.
 func NewNode(o NodeOptions) *Node {
 	if o.Cores == 0 {
 		o.Cores = 1
@@ -133,7 +133,7 @@
 // Ledger returns the ledger in which the node records requests.
 func (n *Node) Ledger() *Ledger { return n.options.Ledger }
 
-// Drain makes the node reject new requests. It finishes those in flight.
+// Drain makes the node reject new requests. Requests in flight are finished.
 func (n *Node) Drain() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -142,8 +142,8 @@
 	}
 }
 
-// Kill acts as the end of an upstream process: it resets all connections and closes the listeners. The node's goroutines
-// end soon afterwards.
+// Kill simulates the sudden end of an upstream process: it resets all connections and closes the listeners. The node's
+// goroutines end soon afterwards.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	n.down = true
@@ -200,8 +200,8 @@
 	return min(1, n.options.SlowStartMinCapacity+(1-n.options.SlowStartMinCapacity)*max(0, age))
 }
 
-// serve handles a complete request, whatever its transport: it waits for a core and for the service time, and returns how the
-// transport has to respond. It stops when ctx ends.
+// serve handles a complete request of any protocol: it waits for a core, then for the service time, and returns how the
+// protocol has to respond. It stops when ctx ends.
 func (n *Node) serve(ctx context.Context, j Job) response {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -249,7 +249,7 @@
 	return response{answer, body}
 }
 
-// faultEffect is how a node responds while a fault is active.
+// faultEffect is the response of a node while a fault is active.
 type faultEffect struct {
 	fault    FaultKind
 	response responseKind
@@ -276,7 +276,7 @@
 	}
 )
 
-// faultResponse returns the response of the first active fault, if there is one, and counts it.
+// faultResponse returns the response of the first active fault and counts the fault. hit is false if no fault is active.
 func (n *Node) faultResponse(j Job, effects []faultEffect, body []byte) (r response, hit bool) {
 	for _, effect := range effects {
 		if _, hit := n.activeFault(effect.fault, j.Class); hit {
@@ -287,7 +287,7 @@
 	return response{}, false
 }
 
-// respond returns a fault's response. It returns noAnswer only after ctx has ended.
+// respond returns the response of a fault. If the response is noAnswer, it returns only after ctx has ended.
 func respond(ctx context.Context, r response) response {
 	if r.kind == noAnswer {
 		<-ctx.Done()
@@ -295,8 +295,8 @@
 	return r
 }
 
-// admit counts a request as in flight. If the node is full or draining, or has the answer stored under the request's
-// idempotency key, it returns the response instead.
+// admit counts a request as in flight. It returns a response instead if the node is full or draining, or if an answer is
+// stored under the idempotency key of the request.
 func (n *Node) admit(j Job) (r response, admitted bool) {
 	n.mu.Lock()
 	full := !n.drainedAt.IsZero() || n.inFlight >= n.options.Cores+n.options.MaxQueue
@@ -318,8 +318,8 @@
 	return response{}, true
 }
 
-// execute starts the execution of a job, which counts as executed from here on. It claims the idempotency key at once, so
-// that a repeated request during the execution is deduplicated like one after it.
+// execute starts the execution of a job, which counts as executed from then on. It claims the idempotency key at once, so
+// that a repeated request is deduplicated during the execution as well as after it.
 func (n *Node) execute(j Job) []byte {
 	body := n.options.Answer(j)
 	if stored, repeated := n.options.Keys.claim(j.Key, body); repeated {
@@ -330,9 +330,9 @@
 	return body
 }
 
-// recordArrival counts a request and reports whether the node is down. The request stops a node in slow start if the work
-// that arrived within OverloadWindow exceeds OverloadMultiple times the present capacity by more than two of the largest
-// requests.
+// recordArrival counts a request and reports whether the node is down. During slow start it stops the node if the work that
+// arrived within OverloadWindow is too much: more than OverloadMultiple times the current capacity, plus twice the work of
+// the largest request.
 func (n *Node) recordArrival(j Job) (stopped bool) {
 	now := time.Now()
 	n.mu.Lock()
--- a/internal/fakes/node_accept.go
+++ b/internal/fakes/node_accept.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// listen accepts connections at address and returns it with its port.
+// listen accepts connections at address. It returns the address with the actual port.
 func (n *Node) listen(address string, serve func(net.Conn)) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -61,7 +61,8 @@
 	c.Close()
 }
 
-// activeFault reports whether an active fault of the kind affects a request of the class, and returns its Factor.
+// activeFault reports whether an active fault of the given kind affects a request of the class, and returns the
+// Factor of that fault.
 func (n *Node) activeFault(kind FaultKind, class string) (float64, bool) {
 	t := time.Since(n.createdAt)
 	for i := range n.options.Faults {
@@ -110,7 +111,7 @@
 	}
 }
 
-// sleep waits for d, or returns the error of ctx if that ends first.
+// sleep waits for d. If ctx ends first, it returns the error of ctx.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/fakes/node_test.go
+++ b/internal/fakes/node_test.go
@@ -16,8 +16,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// TestSlowStartNodeStopsOnOverload checks that a node in slow start stops for good when it receives more than the overload multiple, and that
-// less load, or the same load after slow start, does not stop it.
+// TestSlowStartNodeStopsOnOverload checks that a node in slow start stops for good when it receives more than the overload multiple. It also
+// checks that less load, or the same load after slow start, does not stop it.
 func TestSlowStartNodeStopsOnOverload(t *testing.T) {
 	for name, c := range map[string]struct {
 		load      float64 // as a fraction of the full capacity
@@ -44,14 +44,14 @@
 			}
 			wg.Wait()
 			if n.Down() != c.wantDown || n.Ledger().Nodes()["n"].Overloaded != c.wantDown {
-				t.Errorf("%s: node down is %v, and it or Overloaded in the ledger is not as wanted", name, n.Down())
+				t.Errorf("%s: node down is %v; this state or Overloaded in the ledger is wrong", name, n.Down())
 			}
 		})
 	}
 }
 
-// TestServiceTimeAndCapacity checks how ServiceRate, slow start, a Slow fault and a Freeze fault change the service time, that cores and the
-// queue limit the requests in flight, and that a request ends when its client cancels it.
+// TestServiceTimeAndCapacity checks how ServiceRate, slow start, a Slow fault and a Freeze fault change the service time. It also checks that
+// the cores and the queue limit the requests in flight, and that a request ends when its client cancels it.
 func TestServiceTimeAndCapacity(t *testing.T) {
 	const work = 100 * time.Millisecond
 	serviceTime := func(t *testing.T, o NodeOptions, before time.Duration) time.Duration {
@@ -101,7 +101,8 @@
 	})
 }
 
-// TestLedgerCountsExecutionsByKey checks that the ledger records repeated executions on two nodes, and none for a stored answer.
+// TestLedgerCountsExecutionsByKey checks that the ledger records repeated executions on two nodes, and that it records no execution for a
+// stored answer.
 func TestLedgerCountsExecutionsByKey(t *testing.T) {
 	ledger, keys := NewLedger(), NewIdempotencyKeys(time.Minute)
 	a := NewNode(NodeOptions{Name: "a", Ledger: ledger, Keys: keys})
@@ -113,10 +114,10 @@
 		n.serve(t.Context(), Job{ID: "k", Class: "keyed", Key: "key"})
 	}
 	if twice := ledger.ExecutedTwice("unsafe"); len(twice) != 1 || len(ledger.Operation("u").Executions) != 3 {
-		t.Errorf("executed more than once: %v, want one operation with 3 executions; got %+v", twice, ledger.Operation("u"))
+		t.Errorf("operations executed more than once: %v, want only u; record of u: %+v, want 3 executions", twice, ledger.Operation("u"))
 	}
 	if twice := ledger.ExecutedTwice("keyed"); len(twice) != 0 || ledger.Nodes()["a"].StoredAnswers+ledger.Nodes()["b"].StoredAnswers != 2 {
-		t.Errorf("executed more than once: %v, want none and 2 stored answers; got counts %+v", twice, ledger.Nodes())
+		t.Errorf("operations executed more than once: %v, want none; counts of the nodes: %+v, want 2 stored answers in total", twice, ledger.Nodes())
 	}
 }
 
@@ -166,7 +167,7 @@
 		t.Errorf("second line of the watch is %q, want a heartbeat (error %v)", lines.Text(), lines.Err())
 	}
 	if _, ok := d.FirstNotified("a", "Terminating"); !ok {
-		t.Error("FirstNotified does not know the status that the watch received")
+		t.Error("FirstNotified returned false for a status that the watch has received")
 	}
 	checkSilence(t, d, lines)
 	d.Break()
@@ -180,7 +181,7 @@
 	}
 	d.Down(false)
 	if second, err := d.Listen("127.0.0.1:0"); err != nil || second == first {
-		t.Errorf("move from %s to %s, error %v; want another address", first, second, err)
+		t.Errorf("discovery moved from %s to %s with error %v, want a different address and no error", first, second, err)
 	}
 	if resp, err := client.Get("http://" + first + "/api/targets"); err == nil {
 		resp.Body.Close()
--- a/internal/fakes/orca.go
+++ b/internal/fakes/orca.go
@@ -11,9 +11,9 @@
 // orcaTrailer is the trailer in which gRPC clients expect a load report for the request.
 const orcaTrailer = "endpoint-load-metrics-bin"
 
-// orcaReport returns an xds.data.orca.v3.OrcaLoadReport with cpu_utilization (field 1: requests in flight per core,
-// at least 0.01) and rps_fractional (field 6: answers with a decay over about a second), in base64 as binary headers
-// have it.
+// orcaReport returns an xds.data.orca.v3.OrcaLoadReport with two fields: cpu_utilization (field 1) holds the
+// requests in flight per core, at least 0.01, and rps_fractional (field 6) holds the number of recent answers, which
+// decays over about a second. The report is encoded in base64, as gRPC encodes binary headers.
 func (n *Node) orcaReport() string {
 	n.mu.Lock()
 	now := time.Now()
--- a/internal/fakes/raw.go
+++ b/internal/fakes/raw.go
@@ -15,11 +15,11 @@
 	Method, Target string
 	Header         http.Header
 	Body           string
-	Conn           int // number of the connection, from 1
+	Conn           int // number of the connection, counted from 1
 }
 
 // Raw is an HTTP/1.1 upstream that answers each request with the bytes that a function writes. It fakes upstreams
-// that violate the protocol; a Node fakes those that follow it.
+// that violate the protocol, whereas a Node follows the protocol.
 type Raw struct {
 	Address string
 	Opened  atomic.Int32 // connections accepted
@@ -34,7 +34,7 @@
 	got   []Got
 }
 
-// NewRaw starts an upstream on loopback. If answer returns false, the connection ends with a reset.
+// NewRaw starts an upstream on loopback. If answer returns false, the upstream resets the connection.
 func NewRaw(answer func(w net.Conn, g Got) bool) (*Raw, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -93,7 +93,7 @@
 	return append([]Got(nil), u.got...)
 }
 
-// Close closes the listener and all connections, and waits until none is served any more.
+// Close closes the listener and all connections, and waits until no connection is served any more.
 func (u *Raw) Close() {
 	u.listener.Close()
 	u.mu.Lock()
--- a/internal/fakes/reserve.go
+++ b/internal/fakes/reserve.go
@@ -8,15 +8,16 @@
 	"syscall"
 )
 
-// Reservation reserves an address for listeners that name its port: the kernel does not assign the port to a socket that asks for
-// any free one, be it to listen or to connect. Without a reservation another test may get the port of a server that has stopped or
-// has yet to start.
+// Reservation reserves an address, so that the kernel does not assign its port to a socket that listens or connects with any free
+// port. Listeners that name the port can still use it. Without a reservation, another test may get the port of a server that has
+// stopped or has not started yet.
 type Reservation struct {
 	fd      int
 	Address string
 }
 
-// Reserve reserves a free IPv4 address ("127.0.0.1:0": any free port) until Release. The reservation itself does not listen.
+// Reserve reserves a free IPv4 address until Release. "127.0.0.1:0" stands for any free port. The reservation itself does not
+// listen.
 func Reserve(address string) (*Reservation, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -30,7 +31,7 @@
 		return nil, os.NewSyscallError("socket", err)
 	}
 	r := &Reservation{fd: fd}
-	// A socket that is bound but does not listen does not prevent listeners that set this option too, as Go's listeners do.
+	// A socket that is bound but does not listen does not block listeners that also set SO_REUSEADDR, as Go's listeners do.
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		r.Release()
 		return nil, os.NewSyscallError("setsockopt", err)
--- a/internal/fakes/reserve_test.go
+++ b/internal/fakes/reserve_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestReservation guards against a reservation that prevents listening at its address, or that itself listens there.
+// TestReservation guards against a reservation that prevents other sockets from listening at its address, or that
+// itself listens there.
 func TestReservation(t *testing.T) {
 	r, err := Reserve("127.0.0.1:0")
 	if err != nil {
--- a/internal/fakes/script.go
+++ b/internal/fakes/script.go
@@ -10,7 +10,7 @@
 )
 
 // ScriptedDiscovery serves the lines that a script sends. It fakes a discovery service that violates the protocol or
-// sends a line at a chosen moment; a Discovery fakes one that keeps an endpoint list.
+// sends a line at a chosen moment, whereas a Discovery keeps an endpoint list.
 type ScriptedDiscovery struct {
 	Address string
 
@@ -19,7 +19,7 @@
 	ended chan struct{}
 
 	mu           sync.Mutex
-	fromVersions []string // of all calls
+	fromVersions []string // version that each call requested changes from
 }
 
 // NewScriptedDiscovery starts a service on loopback. Each call runs script with the call's number, from 1.
@@ -51,7 +51,8 @@
 	return d, nil
 }
 
-// Calls returns the version from which each call requested changes; empty: the full list.
+// Calls returns, for each call, the version from which it requested changes. An empty version requests the full
+// list.
 func (d *ScriptedDiscovery) Calls() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
