--- a/internal/fakes/etcd.go
+++ b/internal/fakes/etcd.go
@@ -51,7 +51,7 @@
 	revision  int64
 	compacted int64
 	nextLease int64
-	events    []*mvccpb.Event // in the order of their revisions, starting after compacted
+	events    []*mvccpb.Event // in the order of their revisions; older ones than revision compacted are discarded
 	changed   chan struct{}   // closed when the next event is added
 	writes    int
 	running   sync.WaitGroup
--- a/internal/testing/conformance/adapters_test.go
+++ b/internal/testing/conformance/adapters_test.go
@@ -1,5 +1,5 @@
-// Package conformance compares the two protocol adapters: with the same seed, endpoint list and script of faults, the balancer behind the
-// daemon's HTTP and the balancer inside a gRPC client have to give the same answers and put the same load on each node.
+// Package conformance compares the two protocol adapters: the balancer behind the daemon's HTTP, and the balancer inside a gRPC client.
+// With the same seed, endpoint list and script of faults, both have to give the same answers and put the same load on each node.
 package conformance
 
 import (
@@ -46,11 +46,12 @@
 
 const (
 	served   outcome = "served"
-	rejected outcome = "rejected" // not executed: a retry is safe
-	failed   outcome = "failed"   // may have been executed
+	rejected outcome = "rejected" // the call was not executed, so a retry is safe
+	failed   outcome = "failed"   // the call may have been executed
 )
 
-// callSpec describes a call independently of the protocol. All retries of an operation have the same op, and each has an id of its own.
+// callSpec describes a call independently of the protocol. All attempts of an operation have the same op, and each attempt has its own
+// id.
 type callSpec struct {
 	class, id, op, key string
 	cost               time.Duration
@@ -58,11 +59,11 @@
 
 // adapter makes calls through the daemon or through the gRPC plug-in.
 type adapter interface {
-	do(ctx context.Context, c callSpec) (outcome, string) // and the name of the node that served it, or the error of a failed call
+	do(ctx context.Context, c callSpec) (outcome, string) // returns the outcome, and the name of the node that served the call or the error of a failed call
 	close()
 }
 
-// suiteSettings returns settings with one class of each kind of idempotency.
+// suiteSettings returns settings with one class for each kind of idempotency.
 func suiteSettings(deadline time.Duration) balancer.Settings {
 	class := func(name string, e balancer.Idempotency) balancer.Class {
 		return balancer.Class{Name: name, LatencyObjective: deadline / 2, Deadline: deadline, LateValueFraction: 0.5, Idempotency: e,
@@ -75,7 +76,7 @@
 		OverloadWindow: 2 * time.Second, WeightPerWork: true}
 }
 
-// protocol names the adapter under test, and thereby the protocol between it and the nodes.
+// protocol names the adapter under test. The adapter determines the protocol between itself and the nodes.
 type protocol string
 
 const (
@@ -90,7 +91,7 @@
 	ledger    *fakes.Ledger
 	nodes     []*fakes.Node
 	keys      [2]*fakes.IdempotencyKeys     // one store for each of the two zones
-	discovery map[protocol]*fakes.Discovery // the same endpoints, with their addresses for that protocol
+	discovery map[protocol]*fakes.Discovery // one service for each protocol, with the addresses that the nodes have for it
 }
 
 func newTestEnvironment(t testing.TB, options ...fakes.NodeOptions) *testEnvironment {
@@ -126,7 +127,7 @@
 		t.Fatal(err)
 	}
 	o.Answer = func(j fakes.Job) []byte {
-		if len(j.Class) > 0 && j.Class[0] == 'b' { // a gRPC method, booking.Seats/...
+		if len(j.Class) > 0 && j.Class[0] == 'b' { // the class is a gRPC method, booking.Seats/...
 			return body
 		}
 		return name
--- a/internal/testing/conformance/child_test.go
+++ b/internal/testing/conformance/child_test.go
@@ -27,8 +27,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// runAsChild reports whether a test started this process as a child, by setting SUITE_CONFIG. If so, it first runs the adapter that
-// SUITE_FRONT names until that is stopped, so that tests can kill and replace real processes.
+// runAsChild reports whether a test started this process as a child, which the test does by setting SUITE_CONFIG. In a child it
+// runs the adapter that SUITE_FRONT names until the adapter is stopped. Children let tests kill and replace real processes.
 func runAsChild() bool {
 	path := os.Getenv("SUITE_CONFIG")
 	if path == "" {
@@ -80,13 +80,13 @@
 	return nil
 }
 
-// configFile writes a child process's configuration to a temporary file and returns its path.
+// configFile writes a child process's configuration to a temporary file and returns the path of the file.
 func configFile(t *testing.T, env *testEnvironment, p protocol, listen string) string {
 	t.Helper()
 	return writeConfig(t, filepath.Join(t.TempDir(), "config.json"), env.discovery[p], p, listen, env.discovery[p].List())
 }
 
-// writeConfig writes a child process's configuration to path, with list as the endpoint list that the child starts with.
+// writeConfig writes a child process's configuration to path. The child starts with list as its endpoint list.
 func writeConfig(t *testing.T, path string, d *fakes.Discovery, p protocol, listen string, list *endpoints.List) string {
 	t.Helper()
 	known, err := json.Marshal(list)
@@ -123,9 +123,9 @@
 	return cmd
 }
 
-// Guards against effects that outlast a killed process. Three times in a row, a real process gets SIGKILL while its calls are
-// in flight. Through either adapter, the nodes must see these calls end, no operation may be executed twice, and the next process
-// must serve at once.
+// Guards against effects that outlast a killed process. A real process gets SIGKILL while its calls are in flight, three times in a
+// row. With either adapter the nodes must see these calls end, no operation may be executed twice, and the next process must serve
+// at once.
 func TestKilledInTheMiddleOfCalls(t *testing.T) {
 	for _, p := range protocols {
 		t.Run(string(p), func(t *testing.T) {
@@ -174,14 +174,14 @@
 				if err := cmd.Process.Kill(); err != nil {
 					t.Fatal(err)
 				}
-				_ = cmd.Wait() // killed
+				_ = cmd.Wait() // returns an error because the process was killed
 				stopped.Store(true)
 				clients.Wait()
 				client.CloseIdleConnections()
 				testutil.Eventually(t, "the nodes have no call of the killed process in flight", func() bool { return inFlight() == 0 })
 			}
 			if twice := env.ledger.ExecutedTwice(class); len(twice) > 0 {
-				t.Errorf("operations executed twice: %v", twice)
+				t.Errorf("operations were executed twice although their process was killed: %v", twice)
 			}
 		})
 	}
--- a/internal/testing/conformance/knownred_test.go
+++ b/internal/testing/conformance/knownred_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Guards against a test script that hides failures: .ci/tests.sh may tolerate only failing tests that KNOWN-RED.txt lists with command,
-// seed, symptom and issue, and prints each of them. Any other failing test and any malformed list must fail the script.
+// Guards against a test script that hides failures. .ci/tests.sh may tolerate only failing tests that KNOWN-RED.txt lists with command,
+// seed, symptom and issue, and it must print each of them. Any other failing test, and any malformed list, must make the script fail.
 func TestKnownRed(t *testing.T) {
 	script, err := filepath.Abs("../../../.ci/tests.sh")
 	if err != nil {
@@ -62,7 +62,7 @@
 		cmd.Dir, cmd.Env = dir, append(os.Environ(), "GOFLAGS=-mod=mod", "GOWORK=off")
 		out, err := cmd.CombinedOutput()
 		if (err == nil) != c.wantPass || !strings.Contains(string(out), c.wantOutput) {
-			t.Errorf("%s: tests.sh ended with error %v, or its output lacks the expected line:\n%s", c.name, err, out)
+			t.Errorf("%s: tests.sh ended with error %v, which is unexpected, or its output lacks the expected line:\n%s", c.name, err, out)
 		}
 	}
 }
--- a/internal/testing/conformance/racetests_test.go
+++ b/internal/testing/conformance/racetests_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Each row of the tables of race conditions in docs/design/moments.md, whose first column is headed "crossing", must name a test, and each
-// test that the page names must exist.
+// Guards against race conditions without a test. In docs/design/moments.md, each row of a table whose first column is headed "crossing"
+// describes a race condition and must name its test. Each test that the page names must exist.
 func TestEveryCrossingHasItsTest(t *testing.T) {
 	existing, declared := map[string]bool{}, regexp.MustCompile(`(?m)^func (Test\w+)\(`)
 	err := filepath.WalkDir("../../..", func(path string, _ fs.DirEntry, err error) error {
--- a/internal/testing/conformance/replace_test.go
+++ b/internal/testing/conformance/replace_test.go
@@ -22,8 +22,8 @@
 	"orchiddrift/internal/testing/testutil/base"
 )
 
-// sidecar starts the successive processes of one sidecar. They are real processes that share the clients' address, the configuration file
-// and the folder of the hand-over socket.
+// sidecar starts the processes of one sidecar, one after another. They are real processes that share the address for clients, the
+// configuration file and the folder of the hand-over socket.
 type sidecar struct {
 	t              *testing.T
 	discovery      *fakes.Discovery
@@ -36,7 +36,7 @@
 type process struct {
 	*exec.Cmd
 	control string
-	exited  chan struct{} // closed once the process has ended
+	exited  chan struct{} // closed when the process has ended
 }
 
 func newSidecar(t *testing.T) *sidecar {
@@ -77,14 +77,14 @@
 	testutil.Eventually(s.t, "the process is ready", func() bool { return s.call("GET", "http://"+p.control+"/ready") == 200 })
 }
 
-// metric returns a metric of a process, or -1 if it can't be read.
+// metric returns a metric of a process, or -1 if the metric cannot be read.
 func (s *sidecar) metric(p *process, name string) (n int) {
 	resp, err := s.client.Get("http://" + p.control + "/metrics")
 	if err != nil {
 		return -1
 	}
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(resp.Body) // a truncated text lacks the metric, which gives -1
+	text, _ := io.ReadAll(resp.Body) // if the text is truncated, the metric is not found and the result is -1
 	for line := range strings.Lines(string(text)) {
 		if _, err := fmt.Sscanf(line, name+"=%d", &n); err == nil {
 			return n
@@ -103,11 +103,11 @@
 		s.t.Fatal(err)
 	}
 	go func() {
-		_ = p.Wait() // end reads the result from ProcessState
+		_ = p.Wait() // end reads the result from ProcessState instead
 		close(p.exited)
 	}()
 	s.t.Cleanup(func() {
-		_ = p.Process.Kill() // fails if the process has ended
+		_ = p.Process.Kill() // fails if the process has ended already
 		<-p.exited
 	})
 	return p
@@ -138,8 +138,8 @@
 	}
 }
 
-// load sends requests until stop is called, from some clients on reused connections and from others on a new connection for each request.
-// Each request that is not served fails the test. stop returns the number of responses.
+// load sends requests until stop is called. Some clients reuse their connections, and others open a new connection for each request. Each
+// request that is not served fails the test. stop returns the number of responses.
 func (s *sidecar) load() (stop func() (served int64)) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
@@ -158,13 +158,13 @@
 				body, err := io.ReadAll(resp.Body)
 				resp.Body.Close()
 				if err != nil || resp.StatusCode != 200 {
-					s.t.Errorf("request during the replacement: status %s, body %q, error %v, want status 200", resp.Status, body, err)
+					s.t.Errorf("request during the replacement failed: status %s, body %q, error %v; want status 200", resp.Status, body, err)
 				}
 				served.Add(1)
 			}
 		})
 	}
-	s.t.Cleanup(func() { // also if the test fails before it calls stop
+	s.t.Cleanup(func() { // stops the load too if the test fails before it calls stop
 		cancel()
 		clients.Wait()
 	})
@@ -175,8 +175,8 @@
 	}
 }
 
-// Guards against requests that fail because the process is replaced. Two replacements in a row under load must reset no connection and fail
-// no request, and each old process must exit with 0.
+// Guards against requests that fail because their process is replaced. Two replacements in a row under load must not reset a connection or
+// fail a request, and each old process must exit with code 0.
 func TestReplacedUnderLoad(t *testing.T) {
 	s := newSidecar(t)
 	first := s.start()
@@ -193,13 +193,13 @@
 	}
 }
 
-// Guards against a successor whose death stops the old process. After its successor is killed, the old process must continue to serve, and
-// another successor must be able to replace it.
+// Guards against a successor that takes the old process down with it. After the successor was killed, the old process must continue to serve,
+// and another successor must be able to replace it.
 func TestASuccessorThatDies(t *testing.T) {
 	s := newSidecar(t)
 	old := s.start()
 	second := s.start()
-	_ = second.Process.Kill() // its accepted connections end with it, so there is no load at this moment
+	_ = second.Process.Kill() // there is no load at this moment, because accepted connections of the successor end with it
 	<-second.exited
 	sockets, err := filepath.Glob(filepath.Join(s.folder, "orchiddrift-*.sock"))
 	if err != nil || len(sockets) != 1 {
@@ -225,8 +225,8 @@
 	}
 }
 
-// Guards against a hand-over socket path that keeps the next process from serving: the path that a killed process leaves behind, and a regular
-// file at that path. The next process can't take over state, but must serve.
+// Guards against a hand-over socket path that keeps the next process from serving. In the first case a killed process left its socket behind,
+// and in the second a regular file has the path. The next process cannot take over state, but must serve.
 func TestLeftovers(t *testing.T) {
 	s := newSidecar(t)
 	old := s.start()
@@ -246,7 +246,7 @@
 	if err := os.WriteFile(sockets[0], []byte("no socket"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	stop := s.load() // the second process serves on; the third can't reach it through the path
+	stop := s.load() // the second process continues to serve; the third cannot reach it through the path
 	third := s.start()
 	stop()
 	for _, p := range []*process{second, third} {
@@ -256,7 +256,7 @@
 	}
 }
 
-// Guards against a drain that a replacement cancels. The successor must be draining from its start, and POST /undrain to either process must
+// Guards against a replacement that cancels a drain. The successor must be draining from its start, and POST /undrain to either process must
 // end the drain of both.
 func TestReplacedWhileItDrains(t *testing.T) {
 	s := newSidecar(t)
@@ -266,9 +266,9 @@
 		t.Fatal("the process is ready after POST /drain")
 	}
 	second := s.start()
-	for range 20 { // each request reaches either process
+	for range 20 { // either process may get each request
 		if ready() == 200 {
-			t.Fatal("a process is ready although the drain was not ended")
+			t.Fatal("a process is ready although POST /undrain has not ended the drain")
 		}
 	}
 	if s.call("POST", "http://"+second.control+"/undrain") != 200 {
@@ -284,16 +284,16 @@
 	})
 	s.end(old)
 	if ready() != 200 {
-		t.Error("the remaining process is not ready")
+		t.Error("the remaining process is not ready after the drain ended")
 	}
 	if got := s.call("GET", "http://"+second.control+"/metrics"); got != 200 {
 		t.Errorf("successor: /metrics answered %d, want 200", got)
 	}
 }
 
-// Guards against a successor that keeps an outdated endpoint list, and against requests that fail when a configuration is reloaded while two
-// processes serve. Discovery gets a new address while the second process starts, both processes get SIGHUP, and the second one must learn of a
-// drain that follows.
+// Guards against a successor that keeps an outdated endpoint list, and against requests that fail, when a configuration is reloaded while two
+// processes serve. Discovery gets a new address while the second process starts, and both processes get SIGHUP. The second process must learn
+// of a drain that follows.
 func TestReplacedDuringAReload(t *testing.T) {
 	s := newSidecar(t)
 	old := s.start()
@@ -305,23 +305,23 @@
 	writeConfig(t, s.config, s.discovery, overHTTP, s.listen, s.discovery.List())
 	_ = old.Process.Signal(syscall.SIGHUP)
 	s.waitUntilReady(second)
-	_ = second.Process.Signal(syscall.SIGHUP) // a SIGHUP before this process is ready would end it
+	_ = second.Process.Signal(syscall.SIGHUP) // sent only now because a SIGHUP before the process is ready would end it
 	s.end(old)
 	s.discovery.Drain("n0")
-	testutil.Eventually(t, "the drain is known", func() bool { return s.metric(second, "members_unavailable") == 1 })
+	testutil.Eventually(t, "the successor knows of the drain", func() bool { return s.metric(second, "members_unavailable") == 1 })
 	stop()
 	if n := s.metric(second, "members"); n != 3 {
 		t.Errorf("the successor has %d members, want 3", n)
 	}
 }
 
-// Guards against a successor that can't serve without discovery. While discovery is down, it must serve with the endpoint list that its
-// predecessor handed over, even if its own configuration lists no endpoint.
+// Guards against a successor that cannot serve without discovery. While discovery is down, the successor must serve with the endpoint list
+// that its predecessor handed over, even if its own configuration lists no endpoint.
 func TestReplacedWhileDiscoveryIsDown(t *testing.T) {
 	s := newSidecar(t)
 	old := s.start()
 	s.discovery.Drain("n0")
-	testutil.Eventually(t, "the drain is known", func() bool { return s.metric(old, "members_unavailable") == 1 })
+	testutil.Eventually(t, "the old process knows of the drain", func() bool { return s.metric(old, "members_unavailable") == 1 })
 	s.discovery.Down(true)
 	index := int64(0)
 	writeConfig(t, s.config, s.discovery, overHTTP, s.listen, &endpoints.List{Index: &index, Snapshot: true, Endpoints: []endpoints.Endpoint{}})
@@ -336,11 +336,11 @@
 	}
 	s.discovery.Down(false)
 	s.discovery.Drain("n1")
-	testutil.Eventually(t, "the second drain is known after discovery has returned", func() bool { return s.metric(second, "members_unavailable") == 2 })
+	testutil.Eventually(t, "the successor knows the second drain after discovery is up again", func() bool { return s.metric(second, "members_unavailable") == 2 })
 }
 
-// Guards against a request that is executed twice, or rejected although it was executed, because its process was replaced. Requests in flight
-// stay with the old process, and the new one must not retry them. The nodes reset connections after executing some requests and reject others.
+// Guards against a replacement that makes a request run twice, or that rejects a request that was executed. Requests in flight stay with the
+// old process, and the new process must not retry them. The nodes reset connections after they have executed some requests, and reject others.
 func TestNothingRunsTwiceThroughReplacements(t *testing.T) {
 	s, env := newSidecarWithNodes(t, fakes.NodeOptions{Cores: 8, DefaultServiceTime: 5 * time.Millisecond, Faults: []fakes.Fault{
 		{Kind: fakes.ResetAfter, Class: "confirm", Share: 0.1}, {Kind: fakes.Reject, Class: "confirm", Share: 0.1}}})
@@ -380,6 +380,6 @@
 	cancel()
 	clients.Wait()
 	if ids := env.ledger.ExecutedTwice("confirm"); len(ids) > 0 {
-		t.Errorf("requests executed twice: %v", ids)
+		t.Errorf("requests were executed twice during the replacements: %v", ids)
 	}
 }
--- a/internal/testing/conformance/suite_test.go
+++ b/internal/testing/conformance/suite_test.go
@@ -17,13 +17,13 @@
 
 // load describes the calls of concurrent workers. Each worker makes one call at a time and pauses after it.
 type load struct {
-	workers, calls int // calls: of each worker
+	workers, calls int // calls is the number of calls of each worker
 	pause          time.Duration
 	cost           time.Duration
 	classes        []string
 }
 
-// run makes the calls and returns the number of answers by class and outcome, with keys such as "search served".
+// run makes the calls. It returns the number of answers by class and outcome, with keys such as "search served".
 func (l load) run(f adapter, prefix string) map[string]int {
 	counts := map[string]int{}
 	var mu sync.Mutex
@@ -54,10 +54,10 @@
 type comparison struct {
 	name  string
 	nodes []fakes.NodeOptions
-	exact bool // random choices don't affect the answers, which must be equal
-	calls int  // calls of each worker
-	// answersOnly leaves the load on the nodes out of the comparison. A reset connection ends one HTTP/1.1 request, but every gRPC stream on
-	// it. Where all nodes reset connections, the number of requests that arrive therefore differs between the adapters.
+	exact bool // the answers must be equal, because random choices do not affect them
+	calls int  // number of calls of each worker
+	// answersOnly excludes the load on the nodes from the comparison. A reset connection ends one HTTP/1.1 request, but every gRPC stream on that
+	// connection. If all nodes reset connections, the number of requests that arrive therefore differs between the adapters.
 	answersOnly bool
 }
 
@@ -81,7 +81,7 @@
 				}
 			}
 		}
-		t.Logf("answers %v", answers)
+		t.Logf("answers by adapter, class and outcome: %v", answers)
 		for i := range c.nodes {
 			if c.answersOnly {
 				break
@@ -95,12 +95,12 @@
 	}
 	for label, a := range differences {
 		if a[0] != 0 && a[0] == a[1] && a[1] == a[2] {
-			t.Errorf("%s: the counts of daemon and plug-in differ in the same direction in three of three runs", label)
+			t.Errorf("%s: the counts of daemon and plug-in differ in the same direction in all three runs", label)
 		}
 	}
 }
 
-// play sends the load through one adapter after the other and returns the answers and the counts of the nodes for each.
+// play sends the load through one adapter after the other. For each adapter it returns the answers and the counts of the nodes.
 func (c comparison) play(t *testing.T) (answers map[protocol]map[string]int, nodes map[protocol]map[string]fakes.NodeCount) {
 	t.Helper()
 	answers, nodes = map[protocol]map[string]int{}, map[protocol]map[string]fakes.NodeCount{}
@@ -111,20 +111,21 @@
 		f.close()
 		nodes[p] = env.ledger.Nodes()
 		if twice := env.ledger.ExecutedTwice("confirm"); len(twice) > 0 {
-			t.Errorf("%s: operations executed twice: %v", p, twice)
+			t.Errorf("%s: HTTP operations were executed twice: %v", p, twice)
 		}
 		if twice := env.ledger.ExecutedTwice("booking.Seats/confirm"); len(twice) > 0 {
-			t.Errorf("%s: operations executed twice: %v", p, twice)
+			t.Errorf("%s: gRPC operations were executed twice: %v", p, twice)
 		}
 	}
 	return answers, nodes
 }
 
-// countDifferences maps the name of a count to the sign of its difference in each run, or 0 for a difference within the tolerance.
+// countDifferences maps the name of a count to the sign of its difference in each of the three runs. The sign is 0 if the difference is within
+// the tolerance.
 type countDifferences map[string]*[3]int
 
-// add compares a count of both adapters, which sent n requests each. It reports whether the count differs and has differed in the same
-// direction in the run before, so that a further run can fail the test.
+// add compares a count of both adapters, each of which sent n requests. It reports whether a further run is necessary: the count differs, and it
+// differed in the same direction in the previous run, if there was one.
 func (d countDifferences) add(t *testing.T, play int, label string, n float64, a, b int) bool {
 	t.Helper()
 	p := float64(a+b) / 2 / n
@@ -142,14 +143,14 @@
 
 // TestSameAnswersSameLoad runs each script of faults through both adapters, with the same seed and endpoint list.
 //
-// The adapters don't draw the same random numbers, since the order of events depends on their sockets. Their counts therefore only have to
-// agree as those of two independent runs do: for a node with share p of n requests, the standard deviation of the difference is at most
-// sqrt(2np(1-p)) if requests choose nodes independently, and four standard deviations are allowed.
+// The adapters do not draw the same random numbers, because the order of events depends on their sockets. Their counts therefore only have to
+// agree as those of two independent runs do. For a node that gets a fraction p of n requests, the standard deviation of the difference is at most
+// sqrt(2np(1-p)) if requests choose nodes independently. The test allows four standard deviations.
 //
-// The choices are not quite independent: if the machine delays a single answer, that node's latency estimate rises, and it gets fewer requests
-// until the estimate has decayed. Such delays hit any node of either adapter, whereas a real difference shows in each run. A count therefore
-// fails only if it differs in the same direction in three of three runs. The answers of a script without random outcomes must be equal in each
-// run. docs/design/fronts.md derives these limits.
+// The choices are not quite independent: if the machine delays a single answer, the latency estimate of its node rises, and the node gets fewer
+// requests until the estimate has decayed. Such delays affect any node of either adapter at random, whereas a real difference shows in each run.
+// A count therefore fails the test only if it differs in the same direction in all three runs. The answers of a script without random outcomes
+// must be equal in each run. docs/design/fronts.md derives these limits.
 func TestSameAnswersSameLoad(t *testing.T) {
 	node := func(faults ...fakes.Fault) fakes.NodeOptions {
 		return fakes.NodeOptions{Cores: 8, DefaultServiceTime: 2 * time.Millisecond, Faults: faults}
@@ -175,9 +176,9 @@
 	}
 }
 
-// Guards against balancers whose shares add up to an overload of a node in slow start. A plug-in and a daemon, which know of each other only by
-// their configured fleet size of 2, send requests to the nodes while one node is replaced by a new one. The new node must get requests and
-// must not become overloaded.
+// Guards against balancers that together overload a node in slow start. A plug-in and a daemon know of each other only through their configured
+// fleet size of 2. Both send requests to the same nodes while one node is replaced by a new one. The new node must get requests and must not
+// become overloaded.
 func TestRestartedNodeWithstandsBothAdapters(t *testing.T) {
 	node := fakes.NodeOptions{Cores: 4, SlowStartMinCapacity: 0.3, SlowStartWindow: 8800 * time.Millisecond, OverloadMultiple: 3, OverloadWindow: 2 * time.Second}
 	env := newTestEnvironment(t, node, node, node)
@@ -188,7 +189,7 @@
 	var calls, servedCalls atomic.Int64
 	var wg sync.WaitGroup
 	for i, f := range adapters {
-		for worker := range 10 { // 20 workers of both adapters, each with 10 ms of work in about 30 ms: half the capacity of three nodes
+		for worker := range 10 { // the 20 workers of both adapters send 10 ms of work each in about 30 ms, which is half the capacity of three nodes
 			wg.Go(func() {
 				for n := 0; ; n++ {
 					select {
@@ -205,11 +206,11 @@
 			})
 		}
 	}
-	time.Sleep(500 * time.Millisecond) // lets the balancers measure the request rate before the restart
+	time.Sleep(500 * time.Millisecond) // the balancers measure the request rate before the restart
 	restarted := node
 	restarted.Name, restarted.Started = "restarted", time.Now()
 	n := env.add(t, restarted)
-	env.nodes[0].Kill() // the restarted node replaces this one
+	env.nodes[0].Kill() // this is the node that the restarted one replaces
 	for _, d := range env.discovery {
 		d.Remove("n0")
 	}
@@ -224,13 +225,13 @@
 		t.Error("the restarted node got no request")
 	}
 	if share := float64(servedCalls.Load()) / float64(calls.Load()); share < 0.9 {
-		t.Errorf("%d of %d calls were served, want 90%%", servedCalls.Load(), calls.Load())
+		t.Errorf("%d of %d calls were served, want at least 90%%", servedCalls.Load(), calls.Load())
 	}
-	t.Logf("%d calls, %d served, %d at the restarted node", calls.Load(), servedCalls.Load(), count.Executed)
+	t.Logf("%d calls, %d served, %d executed by the restarted node", calls.Load(), servedCalls.Load(), count.Executed)
 }
 
-// Guards against requests to draining nodes. Under load from both adapters at once, one node after another drains and a new one is added. Every
-// request must be served, and a node must get no new request later than 250 ms after its drain.
+// Guards against requests to draining nodes. Both adapters send requests at the same time while one node after another drains and new ones are
+// added. Every request must be served, and a node must get no new request later than 250 ms after the start of its drain.
 func TestNothingNewAfterADrain(t *testing.T) {
 	node := fakes.NodeOptions{Cores: 32, DefaultServiceTime: 3 * time.Millisecond}
 	env := newTestEnvironment(t, node, node, node, node)
@@ -268,7 +269,7 @@
 	wg.Wait()
 	for name, c := range env.ledger.Nodes() {
 		if c.LastAfterDrain > 250*time.Millisecond {
-			t.Errorf("%s: got %d requests after its drain, the last one after %v, want none after 250 ms", name, c.AfterDrain, c.LastAfterDrain)
+			t.Errorf("node %s got %d requests after its drain began, the last one after %v; want none later than 250 ms", name, c.AfterDrain, c.LastAfterDrain)
 		}
 	}
 	if notServed.Load() > 0 {
@@ -276,20 +277,20 @@
 	}
 	for _, class := range []string{"confirm", "booking.Seats/confirm"} {
 		if twice := env.ledger.ExecutedTwice(class); len(twice) > 0 {
-			t.Errorf("operations executed twice: %v", twice)
+			t.Errorf("non-idempotent operations were executed twice: %v", twice)
 		}
 	}
 	for p, d := range env.discovery {
 		for i := range drains {
 			if _, ok := d.FirstNotified(env.nodes[i].Options().Name, endpoints.StatusTerminating); !ok {
-				t.Errorf("the discovery service for the %s never sent the notification of drain %d", p, i)
+				t.Errorf("the discovery service for the %s never notified its client of drain %d", p, i)
 			}
 		}
 	}
 }
 
-// Guards against an adapter that loses its endpoint list with the watch. Discovery ends its watches, is down for a while, and then lists one node
-// in place of all others. Both adapters must keep serving, and must find the new node.
+// Guards against an adapter that loses its endpoint list when a watch ends. Discovery ends its watches, is down for a while, and then lists one
+// new node in place of all others. Both adapters must continue to serve and must find the new node.
 func TestDiscoveryFaults(t *testing.T) {
 	for _, p := range protocols {
 		t.Run(string(p), func(t *testing.T) {
@@ -306,7 +307,7 @@
 			env.discovery[p].Down(true)
 			for range 20 {
 				if k, text := call(); k != served {
-					t.Errorf("call while discovery is down: %s, node or error %q, want served", k, text)
+					t.Errorf("call while discovery is down ended as %s with node or error %q, want served", k, text)
 				}
 			}
 			env.add(t, fakes.NodeOptions{Name: "new", Cores: 8})
@@ -317,20 +318,21 @@
 			testutil.Eventually(t, "a call is served by the new node", func() bool { _, name := call(); return name == "new" })
 			for range 20 {
 				if k, name := call(); k != served || name != "new" {
-					t.Errorf("call after discovery has returned: %s, node or error %q, want served by node new", k, name)
+					t.Errorf("call after discovery was up again ended as %s with node or error %q, want served by node new", k, name)
 				}
 			}
 		})
 	}
 }
 
-// allFaults returns the faults of the n-th node: request faults of all kinds at random, and regular freezes, shifted by node.
+// allFaults returns the faults of the n-th node: faults of all kinds that affect requests at random, and regular freezes at times that differ
+// between nodes.
 func allFaults(n int) (f []fakes.Fault) {
 	for _, k := range []fakes.FaultKind{fakes.Reject, fakes.Fail, fakes.FailNotExecuted, fakes.ResetBefore,
 		fakes.ResetAfter, fakes.LoseAnswer, fakes.Hang, fakes.Malformed, fakes.Truncate, fakes.RefuseStream, fakes.GoAway} {
 		share := 0.04
 		if k == fakes.LoseAnswer || k == fakes.Hang {
-			share = 0.01 // rare, since the caller waits until its deadline
+			share = 0.01 // these faults are rare because the caller waits until its deadline
 		}
 		f = append(f, fakes.Fault{Kind: k, Share: share})
 	}
@@ -338,14 +340,14 @@
 		Every: time.Second, For: 60 * time.Millisecond})
 }
 
-// answerCounts counts the answers to a client that retries.
+// answerCounts counts the answers that a client gets, and makes the client's retries.
 type answerCounts struct {
 	served, rejected, failed atomic.Int64
-	unavailable              atomic.Int64 // failures whose text begins with UNAVAILABLE, the status of a rejection
+	unavailable              atomic.Int64 // number of failures whose text begins with UNAVAILABLE, which is the status of a rejection
 }
 
-// call makes a call and up to three retries. It retries an idempotent request after any failure, and others only after a rejection. A request
-// with an idempotency key isn't retried after a failure either, since the retry may reach the other zone, whose nodes don't know the key.
+// call makes a call and up to three retries. It retries an idempotent request after any failure, and all other requests only after a rejection.
+// This includes requests with an idempotency key, because a retry may reach the other zone, whose nodes do not know the key.
 func (a *answerCounts) call(f adapter, class, op string) {
 	for attempt := range 4 {
 		k, text := f.do(context.Background(), callSpec{class: class, id: fmt.Sprintf("%s-%d", op, attempt), op: op, key: op})
@@ -359,10 +361,10 @@
 	}
 }
 
-// TestNothingRunsTwice guards against retries that execute an operation twice. Each adapter sends calls until its nodes have injected 10,000
-// faults of all kinds. The clients retry as they do in production: an idempotent request after any failure, all others only after a rejection.
-// The nodes are in two zones, and those of a zone share their idempotency keys. The ledger records each execution by the client's operation. No
-// operation that is non-idempotent, or idempotent only with its key, may be executed twice.
+// TestNothingRunsTwice guards against retries that execute an operation twice. Calls are sent through each adapter until its nodes have injected
+// 10,000 faults of all kinds. The clients retry as clients do in production: an idempotent request after any failure, and all others only after a
+// rejection. The nodes are in two zones, and the nodes of a zone share their idempotency keys. The ledger records each execution under the
+// client's operation. No operation may be executed twice unless its class is idempotent without a key.
 func TestNothingRunsTwice(t *testing.T) {
 	for _, p := range protocols {
 		t.Run(string(p), func(t *testing.T) {
@@ -406,7 +408,7 @@
 				t.Errorf("%d operations with an idempotency key were executed twice, the first ones: %v", len(twice), twice[:min(5, len(twice))])
 			}
 			if counts.unavailable.Load() > 0 {
-				t.Errorf("%d failed calls that may have been executed have the status of a rejection, UNAVAILABLE", counts.unavailable.Load())
+				t.Errorf("%d calls that may have been executed failed with UNAVAILABLE, the status of a rejection", counts.unavailable.Load())
 			}
 			injected := failures()
 			if injected < 10000 {
--- a/internal/testing/golden/golden.go
+++ b/internal/testing/golden/golden.go
@@ -17,7 +17,7 @@
 	"testing"
 )
 
-// CreateVariable is the environment variable that, set to 1, lets Match and Read create missing files.
+// CreateVariable is an environment variable. If it is set to 1, Match and Read create missing files.
 const CreateVariable = "ORCHIDDRIFT_CREATE_GOLDEN"
 
 // Match fails the test unless got is the content of testdata/golden/name.
@@ -29,8 +29,8 @@
 	}
 }
 
-// Read returns the content of testdata/golden/name, which the decoder under test is to read. If the file is missing and
-// CreateVariable allows it, Read creates the file from initial.
+// Read returns the content of testdata/golden/name, for a decoder under test. If the file is missing and CreateVariable is
+// set to 1, Read writes initial to the file and returns it.
 func Read(t testing.TB, name string, initial []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
--- a/internal/testing/processes/drain_test.go
+++ b/internal/testing/processes/drain_test.go
@@ -22,7 +22,7 @@
 type loadedFleet struct {
 	discovery *fakes.Discovery
 	daemons   []*Process
-	names     []string // of the upstreams
+	names     []string // names of the upstreams
 	mu        sync.Mutex
 	arrivals  map[string][]time.Time // arrival times of requests by upstream
 	served    atomic.Int64
@@ -31,7 +31,8 @@
 	clients   sync.WaitGroup
 }
 
-// configuration returns the configuration file of a daemon with one service, whose discovery is at address.
+// configuration returns the configuration file of a daemon with one service. address is the address of the service's discovery, and pushed is
+// its setting discovery_pushes.
 func configuration(name string, seed, sidecars int, address string, pushed bool) string {
 	return fmt.Sprintf(`[daemon]
 name = %q
@@ -128,7 +129,8 @@
 	}
 }
 
-// awaitCurrentList waits until each daemon has a watch that has received the current endpoint list, and returns the time of that.
+// awaitCurrentList waits until each daemon has a watch that has received the current endpoint list, and returns the time at which this was the
+// case.
 func (f *loadedFleet) awaitCurrentList(t *testing.T, timeout time.Duration) time.Time {
 	t.Helper()
 	for end := time.Now().Add(timeout); f.discovery.Current() < len(f.daemons); {
@@ -140,8 +142,8 @@
 	return time.Now()
 }
 
-// lateRequests returns the longest time after due at which a request arrived at a drained upstream, and the number of requests that arrived
-// more than grace after due.
+// lateRequests returns two values: the longest time after due at which a request arrived at a drained upstream, and the number of requests that
+// arrived more than grace after due.
 func (f *loadedFleet) lateRequests(drained []string, due time.Time, grace time.Duration) (worst time.Duration, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -161,14 +163,14 @@
 // sleepUntil sleeps until the given time.
 func sleepUntil(until time.Time) { time.Sleep(time.Until(until)) }
 
-// A request may arrive at a draining upstream until the sum of these after the time by which all daemons have to know of the drain: drainGrace
-// is what the rule on draining allows, schedulingSlack the delay of a busy machine.
+// Limits on the time between the moment at which all daemons have to know of a drain and the last request to the draining upstream. The limit
+// is the sum of both: drainGrace is the time that the rule on draining allows, and schedulingSlack allows for delays on a busy machine.
 const (
 	drainGrace      = 250 * time.Millisecond
 	schedulingSlack = 250 * time.Millisecond
 )
 
-// drainDuringOutage drains upstreams while the daemons cannot learn of it at once. It returns the time of the drain, and the time by which all
+// drainDuringOutage drains upstreams while the daemons cannot learn of it at once. It returns the time of the drain, and the time at which all
 // daemons have to know of it.
 func drainDuringOutage(discovery *fakes.Discovery, how string, sidecars int, drained []string) (drainedAt, due time.Time) {
 	switch how {
@@ -181,7 +183,7 @@
 		due = time.Now()
 	case "down":
 		discovery.Down(true)
-		sleepUntil(time.Now().Add(10 * time.Second)) // until the backoff of the daemons has reached its maximum
+		sleepUntil(time.Now().Add(10 * time.Second)) // by then the backoff of the daemons has reached its maximum
 		discovery.Drain(drained...)
 		drainedAt = time.Now()
 		discovery.Down(false)
@@ -189,7 +191,7 @@
 	default:
 		discovery.DelayAnswers(900 * time.Millisecond)
 		discovery.Break()
-		sleepUntil(time.Now().Add(1600*time.Millisecond + time.Duration(sidecars)*3*time.Millisecond)) // each daemon calls again after 0.5 to 1.5 s, or 2.6 s
+		sleepUntil(time.Now().Add(1600*time.Millisecond + time.Duration(sidecars)*3*time.Millisecond)) // each daemon calls again after 0.5 to 1.5 s, or after 2.6 s
 		discovery.DelayAnswers(0)
 		discovery.Mute()
 		due = time.Now().Add(6 * time.Second)
@@ -213,11 +215,13 @@
 	return most
 }
 
-// Guards against requests to draining upstreams after the time by which all daemons have to know of the drain. A quarter of the upstreams drain
-// while the daemons cannot read the endpoint list. In the case "asked" all watches end, and the calls that follow stay open without an answer;
-// the daemons have to know of the drain 6 s after discovery stops answering them. In the case "down" all calls fail for 10 s; the daemons have
-// to know 6 s after discovery returns. In the case "pushed" discovery is an agent that pushes changes: it ends all watches and rejects all
-// calls for a while, and the daemons have to know as soon as it returns.
+// Guards against requests to draining upstreams after the time at which all daemons have to know of the drain. A quarter of the upstreams drain
+// while the daemons cannot read the endpoint list.
+//
+// In the case "asked" all watches end, and the calls that follow stay open without an answer. The daemons have to know of the drain 6 s after
+// discovery stops answering. In the case "down" all calls fail for 10 s, and the daemons have to know 6 s after discovery is up again. In the
+// case "pushed" discovery is an agent that pushes changes. It ends all watches and rejects all calls for a while, and the daemons have to know
+// of the drain as soon as the agent is up again.
 func TestNothingGoesToUpstreamsAnnouncedAsLeaving(t *testing.T) {
 	sidecars, upstreams, rate := 4, 8, 20.0
 	if *fleet {
@@ -230,7 +234,7 @@
 			pushed := how == "pushed"
 			r := New(t, 1)
 			discovery := fakes.NewDiscovery()
-			if *fleet && !pushed { // discovery needs 2 s for a call of each sidecar, and rejects calls that would wait for more than 1 s
+			if *fleet && !pushed { // at this rate discovery needs 2 s for one call of each sidecar; it rejects calls that would wait for more than 1 s
 				discovery.Rate, discovery.Timeout = float64(sidecars)/2, time.Second
 			}
 			f := startFleet(t, r, sidecars, upstreams, pushed, discovery, rate)
@@ -250,14 +254,14 @@
 				t.Errorf("%d requests went to draining upstreams, the last one %v after all daemons had to know of the drain", n, worst)
 			}
 			if f.served.Load() == 0 || f.failed.Load() > f.served.Load()/100 {
-				t.Errorf("%d requests succeeded and %d failed: too few successes or too many failures", f.served.Load(), f.failed.Load())
+				t.Errorf("%d requests succeeded and %d failed: want at least one success and at most one failure per 100 successes", f.served.Load(), f.failed.Load())
 			}
 		})
 	}
 }
 
-// Guards against a daemon that exceeds the memory or descriptor limit of its configuration, or fails requests, with endpoint lists of up to
-// 1,024 upstreams, indented or not. The test logs its resident memory, threads and descriptors.
+// Guards against a daemon that exceeds the memory or descriptor limit of its configuration, or fails requests, when its endpoint list has up to
+// 1,024 upstreams, indented or not. The test logs the daemon's resident memory, threads and descriptors.
 func TestListsOfAnySize(t *testing.T) {
 	for _, n := range []int{10, 100, 300, 1024} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -285,13 +289,13 @@
 					procStatus[f[0]], _ = strconv.Atoi(f[1])
 				}
 			}
-			t.Logf("%d upstreams: ready with the complete list after %v, %d MB resident, %d threads, %d descriptors", n, up.Round(time.Millisecond), procStatus["VmRSS:"]>>10,
+			t.Logf("%d upstreams: daemon has the complete list after %v, %d MB resident, %d threads, %d descriptors", n, up.Round(time.Millisecond), procStatus["VmRSS:"]>>10,
 				procStatus["Threads:"], len(open))
 			if procStatus["VmHWM:"]>>10 > 64 || len(open) > 512 {
 				t.Errorf("daemon used up to %d MB and %d descriptors, its limits are 64 MB and 512", procStatus["VmHWM:"]>>10, len(open))
 			}
 			if f.failed.Load() > 0 {
-				t.Errorf("%d requests succeeded and %d failed: too few successes or too many failures", f.served.Load(), f.failed.Load())
+				t.Errorf("%d requests succeeded and %d failed, want no failures", f.served.Load(), f.failed.Load())
 			}
 		})
 	}
--- a/internal/testing/processes/history.go
+++ b/internal/testing/processes/history.go
@@ -12,33 +12,33 @@
 // Kinds of events.
 const (
 	Did    = "did"   // the rig acted on a process or link
-	Logged = "told"  // a process logged a line; Data holds it if it is JSON
+	Logged = "told"  // a process logged a line, which Data holds if the line is JSON
 	Ended  = "ended" // a process ended
 	Noted  = "noted" // the test or its rule checker recorded a note
 )
 
 // Event is one line of a history.
 type Event struct {
-	At   time.Duration   `json:"at"` // monotonic time since the start of the history
+	At   time.Duration   `json:"at"` // time since the start of the history, from a monotonic clock
 	Kind string          `json:"kind"`
-	Who  string          `json:"who"`            // the process or link, or the author of a note
-	Run  int             `json:"life,omitempty"` // the number of the process's run; its first start is run 1
+	Who  string          `json:"who"`            // the process or link, or the author of the note
+	Run  int             `json:"life,omitempty"` // number of the process's run, counted from 1
 	What string          `json:"what"`
 	Data json.RawMessage `json:"data,omitempty"`
 }
 
-// maxEvents limits the events that a History holds in memory: about 200 MB at 200 bytes each. Later events
-// are only written to its writer.
+// maxEvents limits the events that a History holds in memory. At 200 bytes each they take about 200 MB.
+// Later events are only written to the writer of the History.
 const maxEvents = 1 << 20
 
 // History is an ordered log of events. It is safe for concurrent use.
 type History struct {
 	mu     sync.Mutex
 	start  time.Time
-	out    io.Writer // receives the events as JSON Lines; may be nil
+	out    io.Writer // receives the events as JSON Lines; nothing is written if it is nil
 	events []Event
 	added  chan struct{} // closed when the next event is added
-	err    error         // of the first failed write
+	err    error         // error of the first failed write
 }
 
 // NewHistory returns an empty history. Its events are also written to out, unless out is nil.
@@ -77,18 +77,18 @@
 	return h.events[min(from, len(h.events)):len(h.events):len(h.events)]
 }
 
-// Err returns the error of the first failed write, after which nothing more is written, or nil if no write
-// failed.
+// Err returns the error of the first failed write, or nil if no write failed. After a failed write the
+// History writes no further events.
 func (h *History) Err() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.err
 }
 
-var errFull = errors.New("the history is full: later events are not kept in memory")
+var errFull = errors.New("the history is full, and later events are not in memory")
 
-// Wait waits for the first matching event at index from or later. It returns the event and the index after
-// it.
+// Wait waits for the first matching event whose index is at least from. It returns the event and the next
+// index.
 func (h *History) Wait(ctx context.Context, from int, match func(Event) bool) (Event, int, error) {
 	for {
 		h.mu.Lock()
--- a/internal/testing/processes/link.go
+++ b/internal/testing/processes/link.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Fault is a fault of a link in one direction. The zero Fault forwards bytes at once.
+// Fault is a fault of a link in one direction. With the zero Fault the link forwards bytes at once.
 type Fault struct {
-	Drop   bool          `json:"drop,omitempty"`   // hold all bytes back until the fault ends, as if TCP retransmitted them then
-	Delay  time.Duration `json:"delay,omitempty"`  // added to each chunk; the order of the bytes stays
+	Drop   bool          `json:"drop,omitempty"`   // hold all bytes back until the fault ends, as TCP retransmits lost bytes
+	Delay  time.Duration `json:"delay,omitempty"`  // time added to each chunk; the order of the bytes does not change
 	Jitter time.Duration `json:"jitter,omitempty"` // maximum of the random delay that is added to Delay
 }
 
-// The directions of a link.
+// The directions of a link. A link is named after the process that opens its connections and the process that accepts them.
 const (
-	Out        = 0 // from the process that opens the connection
-	Back       = 1 // to the process that opens the connection
+	Out        = 0 // bytes that the connecting process sends
+	Back       = 1 // bytes that the connecting process receives
 	directions = 2
 )
 
@@ -34,15 +34,16 @@
 	from    string
 	to      string
 	rig     *Rig
-	target  func() string // returns the current address of the process to; "" if it has none
+	target  func() string // returns the current address of the destination, or "" if the destination has none
 	listen  net.Listener
 	running sync.WaitGroup
 
 	mu      sync.Mutex
 	rng     *rand.Rand
 	faults  [directions]Fault
-	changed chan struct{} // closed when faults change
-	// Bytes left to forward before the connection that carries the next byte is reset; negative: no reset.
+	changed chan struct{} // closed when the faults change
+	// cutAfter holds the number of bytes of each direction that are still forwarded before a connection is reset. It is negative if no reset is
+	// due.
 	cutAfter [directions]int
 	conns    map[*linkConn]bool
 	closed   bool
@@ -51,16 +52,16 @@
 // linkConn is one connection that a link forwards.
 type linkConn struct {
 	from     net.Conn
-	hung     chan struct{} // closed when the connection hangs: no more bytes are forwarded in either direction
+	hung     chan struct{} // closed when the connection hangs and no more bytes are forwarded in either direction
 	hangOnce sync.Once
 	ended    chan struct{}
 
-	mu sync.Mutex // guards to and the closing of ended
+	mu sync.Mutex // guards the field to, and the closing of ended
 	to net.Conn
 }
 
-// Link returns a new link between two processes. It calls target for the destination's address at each new connection; the link's own
-// address does not change.
+// Link returns a new link between two processes. For each new connection it calls target, which returns the address of the destination. The
+// link's own address does not change.
 func (r *Rig) Link(from, to string, target func() string) (*Link, error) {
 	listen, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,10 +76,10 @@
 	return l, nil
 }
 
-// Name returns "from>to".
+// Name returns the name of the link in the form "from>to".
 func (l *Link) Name() string { return l.name }
 
-// Address returns the address to which the first process of the link connects in order to reach the second one.
+// Address returns the address of the link. The first process connects to it in order to reach the second one.
 func (l *Link) Address() string { return l.listen.Addr().String() }
 
 func (l *Link) accept() {
@@ -91,8 +92,8 @@
 	}
 }
 
-// serve connects to the target and forwards in both directions until the connection ends. It does not connect while the link drops the
-// direction Out.
+// serve connects to the target and forwards bytes in both directions until the connection ends. While the link drops the direction Out,
+// serve does not connect.
 func (l *Link) serve(from net.Conn) {
 	conn := &linkConn{from: from, hung: make(chan struct{}), ended: make(chan struct{})}
 	if !l.register(conn) {
@@ -104,7 +105,7 @@
 		return
 	}
 	to, err := net.Dial("tcp", l.target())
-	if err != nil { // the process that connects sees a reset in place of the failed connect
+	if err != nil { // the connecting process sees a reset, because its own connect has succeeded already
 		conn.end(true)
 		return
 	}
@@ -133,7 +134,7 @@
 	delete(l.conns, conn)
 }
 
-// waitWhileDropped waits until the link does not drop a direction. It returns false if the connection has ended. If the connection hangs, it
+// waitWhileDropped waits until the link no longer drops a direction. It returns false if the connection ends. If the connection hangs, it
 // waits until the connection ends.
 func (l *Link) waitWhileDropped(conn *linkConn, direction int) bool {
 	for {
@@ -162,7 +163,7 @@
 // chunk is a piece of a byte stream that a link has read and not yet forwarded.
 type chunk struct {
 	b   []byte
-	due time.Time // forwarded at this time at the earliest
+	due time.Time // earliest time at which the chunk is forwarded
 }
 
 // forward forwards the bytes of one direction until the sender closes that direction or the connection ends.
@@ -216,7 +217,7 @@
 			return
 		}
 	}
-	if !l.waitWhileDropped(conn, direction) { // the end of the stream is held back too
+	if !l.waitWhileDropped(conn, direction) { // the end of the stream is held back like bytes
 		return
 	}
 	if tcp, ok := to.(*net.TCPConn); ok {
@@ -224,7 +225,7 @@
 	}
 }
 
-// drawDelay returns the delay of a chunk in a direction, with random jitter.
+// drawDelay returns the delay of a chunk in a direction. The delay includes random jitter.
 func (l *Link) drawDelay(direction int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -235,7 +236,8 @@
 	return f.Delay
 }
 
-// bytesBeforeCut returns how many of the n bytes of a chunk to forward, and whether to reset the connection after them.
+// bytesBeforeCut returns the number of bytes to forward of a chunk of n bytes. It also reports whether the connection is to be reset after
+// them.
 func (l *Link) bytesBeforeCut(direction, n int) (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -271,7 +273,7 @@
 	}
 }
 
-// setDestination sets the connection to the target. If the linkConn has ended already, it closes the connection to the target and returns
+// setDestination stores the connection to the target. If the linkConn has ended already, setDestination closes that connection and returns
 // false.
 func (conn *linkConn) setDestination(to net.Conn) bool {
 	conn.mu.Lock()
@@ -286,7 +288,7 @@
 	return true
 }
 
-// Set sets the faults of both directions, until the next Heal or Set.
+// Set sets the faults of both directions. They last until the next Heal or Set.
 func (l *Link) Set(out, back Fault) {
 	l.mu.Lock()
 	l.faults = [directions]Fault{out, back}
@@ -304,8 +306,8 @@
 	l.Set(Fault{}, Fault{})
 }
 
-// Cut forwards the next n bytes of a direction, over all connections. Then it resets the connection on which the following byte arrives, so
-// that the connection may end in the middle of a message.
+// Cut forwards the next n bytes of a direction, counted over all connections. The connection on which the following byte arrives is then
+// reset, so that it may end in the middle of a message.
 func (l *Link) Cut(direction, n int) {
 	l.mu.Lock()
 	l.cutAfter[direction] = n
@@ -313,8 +315,8 @@
 	l.rig.recordAction(l.name, 0, "cut", map[string]int{"way": direction, "after": n})
 }
 
-// Hang stops forwarding on all open connections in both directions without closing them, as if the other machine had lost its network.
-// Later connections are not affected.
+// Hang stops forwarding in both directions on all open connections without closing them, as if the other machine had lost its network.
+// Connections that are opened later are not affected.
 func (l *Link) Hang() {
 	n := l.forEachConn(func(conn *linkConn) { conn.hangOnce.Do(func() { close(conn.hung) }) })
 	l.rig.recordAction(l.name, 0, "hang", map[string]int{"connections": n})
--- a/internal/testing/processes/process.go
+++ b/internal/testing/processes/process.go
@@ -16,42 +16,42 @@
 	"syscall"
 )
 
-// Spec describes a process.
+// Spec describes a program that a Rig runs as a Process.
 type Spec struct {
 	Name  string
-	Args  []string          // arguments of the program
-	Env   []string          // added to the rig's environment and to TMPDIR
-	Files map[string]string // text by file name; written to the process's directory before each start
-	Ready func(Event) bool  // matches the line that the process logs once it serves; if nil, the process is ready as soon as it runs
+	Args  []string          // command line arguments
+	Env   []string          // environment variables in addition to TMPDIR and those of the rig's own environment
+	Files map[string]string // contents by file name, written to the process's directory before each start
+	Ready func(Event) bool  // matches the log line that shows that the process serves; if nil, the process counts as ready once it runs
 }
 
 // processRun is one run of a Process.
 type processRun struct {
 	number       int
 	cmd          *exec.Cmd
-	done         chan struct{} // closed after the end of the run, when the history has all its log lines
-	historyStart int           // length of the history when the run started
+	done         chan struct{} // closed after the run has ended and the history has all of its log lines
+	historyStart int           // number of events in the history when the run started
 }
 
 // Process is a program that a Rig starts, possibly several times in the same directory. It is safe for concurrent use.
 type Process struct {
 	rig  *Rig
 	spec Spec
-	Dir  string // working directory, and TMPDIR unless Spec.Env sets another one
+	Dir  string // working directory, which is also TMPDIR unless Spec.Env sets another one
 
 	mu      sync.Mutex
 	runs    int
-	current *processRun // the latest run; nil before the first one
+	current *processRun // latest run, or nil before the first one
 	allRuns []*processRun
 }
 
-// Name returns the name of the Spec.
+// Name returns the name in the process's Spec.
 func (p *Process) Name() string { return p.spec.Name }
 
 var errRunning = errors.New("the process is running")
 
-// Start starts the process in its directory, which is as the last run left it, and waits until the process is ready. If files is not nil, it
-// replaces Spec.Files.
+// Start starts the process in its directory and waits until the process is ready. Files of earlier runs stay in the directory. If files is
+// not nil, it replaces Spec.Files.
 func (p *Process) Start(ctx context.Context, files map[string]string) error {
 	if err := p.Launch(files); err != nil {
 		return err
@@ -89,7 +89,8 @@
 	cmd := exec.Command(p.rig.program, p.spec.Args...)
 	cmd.Dir, cmd.Stdout, cmd.Stderr = p.Dir, write, write
 	cmd.Env = append(append(os.Environ(), "TMPDIR="+p.Dir), p.spec.Env...)
-	// The process group allows the rig to kill the children of the process too. With Pdeathsig the kernel kills the process if the rig dies.
+	// The process group allows the rig to kill the children of the process too. Because of Pdeathsig the kernel kills the process if the rig
+	// dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	p.runs++
 	run := &processRun{number: p.runs, cmd: cmd, done: make(chan struct{}), historyStart: len(p.rig.History.Events(0))}
@@ -107,7 +108,7 @@
 	go func() {
 		defer close(run.done)
 		_ = cmd.Wait()
-		// Children of the process may still have the pipe open: they are killed too, because readLines ends only when the pipe is closed.
+		// Children of the process may still have the pipe open. They are killed too, because readLines ends only when the pipe is closed.
 		_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
 		<-lines
 		p.rig.History.Add(Event{Kind: Ended, Who: p.spec.Name, Run: run.number, What: cmd.ProcessState.String()})
@@ -115,7 +116,7 @@
 	return nil
 }
 
-// readLines adds the lines that a run writes to the history.
+// readLines adds the lines that a run logs to the history.
 func (p *Process) readLines(run *processRun, from io.Reader) {
 	in := bufio.NewReaderSize(from, 64<<10)
 	for {
@@ -211,7 +212,7 @@
 	}
 }
 
-// Forget removes the directory of a process that does not run, as if it had lost its disk.
+// Forget removes the directory of a process, as if the process had lost its disk. The process must not be running.
 func (p *Process) Forget() error {
 	if run := p.currentRun(); run != nil && !run.ended() {
 		return fmt.Errorf("%s: %w", p.spec.Name, errRunning)
@@ -260,7 +261,7 @@
 	}
 }
 
-// Resident returns the resident memory of the current run in bytes; 0 if there is none.
+// Resident returns the resident memory of the current run in bytes, or 0 if the process is not running.
 func (p *Process) Resident() int64 {
 	run := p.currentRun()
 	if run == nil || run.ended() {
@@ -277,8 +278,8 @@
 	return resident * int64(os.Getpagesize())
 }
 
-// starterThread runs functions on one thread that lasts as long as the process that runs the rig. The kernel kills a child with Pdeathsig
-// when the thread that started it ends, and the Go runtime may end other threads at any time.
+// starterThread runs functions on one thread that lasts as long as the process that runs the rig. This is necessary because the kernel kills
+// a child with Pdeathsig when the thread that started the child ends, and the Go runtime may end other threads at any time.
 var starterThread = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
@@ -305,7 +306,7 @@
 	paths, _ := filepath.Glob("/proc/[0-9]*/stat") // the pattern is constant and valid
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
-		if err != nil { // the process has ended
+		if err != nil { // the process has ended since the directory was listed
 			continue
 		}
 		var pid, parent int
--- a/internal/testing/processes/processes_test.go
+++ b/internal/testing/processes/processes_test.go
@@ -28,9 +28,9 @@
 	os.Exit(code)
 }
 
-var fleet = flag.Bool("fleet", false, "start hundreds of processes")
+var fleet = flag.Bool("fleet", false, "run the tests with hundreds of processes")
 
-// newDaemons adds n daemons that forward to one upstream. Each listens on an address of its own.
+// newDaemons adds n daemons that forward to one upstream. Each daemon has its own address.
 func newDaemons(r *Rig, n int, upstream string) []*Process {
 	var all []*Process
 	for i := range n {
@@ -76,7 +76,7 @@
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(Patience); probeReady(p, 50*time.Millisecond) == nil; { // a busy machine may stop the process a little later
+	for end := time.Now().Add(Patience); probeReady(p, 50*time.Millisecond) == nil; { // on a busy machine the signal may take effect a little later
 		if time.Now().After(end) {
 			t.Fatal("daemon still answers readiness calls after SIGSTOP")
 		}
@@ -89,7 +89,7 @@
 	}
 }
 
-// actions returns the rig's actions on a process and the ends of its runs, each with the number of the run.
+// actions returns the rig's actions on a process and the ends of the process's runs, each with the number of the run.
 func actions(r *Rig, process string) []string {
 	var events []string
 	for _, e := range r.History.Events(0) {
@@ -100,7 +100,8 @@
 	return events
 }
 
-// checkDisk ends and starts a process twice. It checks that the file kept still exists after a kill, and does not exist after Forget.
+// checkDisk ends and starts a process twice: first with a kill, then with SIGTERM and Forget. It checks that the file kept still exists after
+// the kill, and does not exist after Forget.
 func checkDisk(t *testing.T, ctx context.Context, p *Process, kept string) {
 	t.Helper()
 	for i, end := range []func() error{func() error { return p.Kill(ctx) },
@@ -117,12 +118,13 @@
 			t.Fatal(err)
 		}
 		if _, err := os.Stat(kept); (err == nil) != (i == 0) {
-			t.Errorf("end %d (0 is a kill, 1 is Forget): stat of the kept file: %v", i, err)
+			t.Errorf("restart %d (0 follows a kill, 1 follows Forget): unexpected result of stat for the kept file: %v", i, err)
 		}
 	}
 }
 
-// Each action on a process has its effect and is recorded in the history. The runs are numbered, and no process outlives its test.
+// TestLives checks that each action on a process has its effect and is recorded in the history, that runs are numbered, and that no process
+// outlives its test.
 func TestLives(t *testing.T) {
 	r := New(t, 1)
 	link, err := r.Link("n0", "up", func() string { return "" })
@@ -168,7 +170,7 @@
 	want := []string{"1 start", "1 stopped (signal)", "1 continued", "2 start", "1 terminated", "1 exit status 0", "2 killed", "2 signal: killed",
 		"3 start", "3 terminated", "3 exit status 0", "0 lose the disk", "4 start", "4 stopped (signal)", "4 signal: killed"}
 	if !reflect.DeepEqual(events, want) {
-		t.Errorf("unexpected actions on the process: %q", events)
+		t.Errorf("recorded actions on the process differ from the expected ones: %q", events)
 	}
 }
 
@@ -183,7 +185,7 @@
 	}
 }
 
-// echo sends ten bytes and returns the bytes that come back within wait.
+// echo sends ten bytes and returns the bytes that are echoed within wait.
 func echo(c net.Conn, wait time.Duration) (string, error) {
 	if _, err := io.WriteString(c, "0123456789"); err != nil {
 		return "", err
@@ -217,7 +219,7 @@
 	}
 }
 
-// Each fault of a link has its effect on the bytes that the link forwards.
+// TestLinks checks that each fault of a link has its effect on the bytes that the link forwards.
 func TestLinks(t *testing.T) {
 	r := New(t, 2)
 	far, err := net.Listen("tcp", "127.0.0.1:0")
@@ -249,8 +251,8 @@
 		}
 		link.Heal()
 		_ = c.SetReadDeadline(time.Now().Add(Patience))
-		if _, err := io.ReadFull(c, make([]byte, 10)); err != nil { // the link forwards the held bytes, as TCP would retransmit them
-			t.Errorf("reading the held bytes after the link dropped %s and healed: %v", name, err)
+		if _, err := io.ReadFull(c, make([]byte, 10)); err != nil { // the link now forwards the held bytes, as TCP would retransmit them
+			t.Errorf("reading the bytes that the link held back while it dropped %s: %v", name, err)
 		}
 	}
 	link.Set(Fault{Delay: 30 * time.Millisecond}, Fault{Delay: 20 * time.Millisecond, Jitter: time.Millisecond})
@@ -280,8 +282,8 @@
 	}
 }
 
-// Draw returns the same script for the same seed. No process or link has two faults at once, at most Mix.Down processes are down, and all
-// faults end before Mix.Length.
+// TestDraw checks that Draw returns the same script for the same seed. It also checks that no process or link has two faults at the same
+// time, that at most Mix.Down processes are down, and that all faults end before Mix.Length.
 func TestDraw(t *testing.T) {
 	m := Mix{Processes: []string{"a", "b", "c", "d", "e"}, Links: []string{"a>b", "b>a"}, Length: 30 * time.Second, Every: 100 * time.Millisecond,
 		Shortest: 50 * time.Millisecond, Longest: 2 * time.Second, Down: 2,
@@ -295,7 +297,7 @@
 		for i, s := range script {
 			seen[s.Do]++
 			if s.At+s.For >= m.Length {
-				t.Errorf("step %+v ends after Mix.Length", s)
+				t.Errorf("drawn step %+v ends after Mix.Length", s)
 			}
 			down := 0
 			for _, before := range script[:i] {
@@ -310,7 +312,7 @@
 				}
 			}
 			if len(s.Who) == 1 && down >= m.Down {
-				t.Errorf("%d processes are down already at the start of step %+v", down, s)
+				t.Errorf("%d processes, which is the maximum or more, are down already at the start of step %+v", down, s)
 			}
 		}
 	}
@@ -321,7 +323,7 @@
 	}
 }
 
-// Play runs all steps of a script. After it all processes run and answer, and all links forward.
+// TestPlay checks that Play runs all steps of a script. Afterwards all processes have to run and answer, and all links have to forward.
 func TestPlay(t *testing.T) {
 	r := New(t, 3)
 	up := startUpstream(t)
@@ -357,7 +359,7 @@
 	}
 }
 
-// A history writes its events as JSON Lines, in the order in which it holds them.
+// TestHistory checks that a history writes its events as JSON Lines, in the order in which it holds them in memory.
 func TestHistory(t *testing.T) {
 	var text strings.Builder
 	h := NewHistory(&text)
@@ -373,7 +375,7 @@
 		read = append(read, e)
 	}
 	if !reflect.DeepEqual(read, h.Events(0)) {
-		t.Errorf("events read from the written lines: %+v\nevents in memory: %+v", read, h.Events(0))
+		t.Errorf("written events differ from those in memory: read %+v\nin memory %+v", read, h.Events(0))
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -382,8 +384,8 @@
 	}
 }
 
-// Measures how long processes take to start, and their resident memory. 5 processes should start in less than a second; 300 have to start in
-// less than 30 s (go test -run ComeUp -v -fleet).
+// TestComeUp measures the time that processes take to start, and their resident memory. 5 processes should start in less than a second, and
+// 300 have to start in less than 30 s (go test -run ComeUp -v -fleet).
 func TestComeUp(t *testing.T) {
 	for n, limit := range map[int]time.Duration{5: time.Second, 300: 30 * time.Second} {
 		if n > 5 && !*fleet {
@@ -401,8 +403,8 @@
 			resident += p.Resident()
 		}
 		t.Logf("%d processes in %v, %d MB resident each", n, took.Round(time.Millisecond), resident/int64(n)>>20)
-		if took > limit && n > 5 { // the time of five processes says little while other tests run on the machine
-			t.Errorf("%d processes took %v to start", n, took)
+		if took > limit && n > 5 { // the time of five processes is not checked, because other tests run on the machine at the same time
+			t.Errorf("%d processes took %v to start, longer than the limit", n, took)
 		}
 		r.Close()
 	}
--- a/internal/testing/processes/restart_test.go
+++ b/internal/testing/processes/restart_test.go
@@ -14,8 +14,8 @@
 	"orchiddrift/internal/fakes"
 )
 
-// Guards against a process that dies of a signal during its graceful shutdown, or drops the request in flight. The process receives SIGTERM and
-// SIGHUP in turn until it has ended, and has to end with exit code 0.
+// Guards against a process that dies of a signal during its graceful shutdown, or drops the request in flight. The test sends SIGTERM and
+// SIGHUP in turn until the process has ended, which has to be with exit code 0.
 func TestSignalsUntilItEnds(t *testing.T) {
 	r := New(t, 1)
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
@@ -67,9 +67,10 @@
 	}
 }
 
-// Guards against a fleet that does not become ready after a common restart. All daemons are killed and started at the same moment, without an
-// endpoint list. Discovery serves only half of them per second and rejects calls that would wait for longer than one second; in the other cases
-// it also rejects all calls for some seconds, or answers slowly. Nine in ten daemons have to be ready within 10 s, and all within 30 s.
+// Guards against a fleet that does not become ready after all of its daemons restart at once. All daemons are killed and started at the same
+// moment, without an endpoint list. Discovery serves only half of them per second, and rejects calls that would wait for longer than one
+// second. In the second case it also rejects all calls for 4 s, and in the third it answers slowly. Nine in ten daemons have to be ready within
+// 10 s, and all within 30 s.
 func TestReadyAfterARestart(t *testing.T) {
 	sidecars, upstreams := 6, 6
 	if *fleet {
@@ -122,7 +123,7 @@
 			starting.Wait()
 			slices.Sort(took)
 			p90, all := took[len(took)*9/10], took[len(took)-1]
-			t.Logf("%d sidecars: nine in ten ready after %v, all after %v, %d calls", sidecars, p90.Round(time.Millisecond), all.Round(time.Millisecond), len(discovery.Calls())-before)
+			t.Logf("%d sidecars: nine in ten were ready after %v, all after %v, with %d calls to discovery", sidecars, p90.Round(time.Millisecond), all.Round(time.Millisecond), len(discovery.Calls())-before)
 			if p90 > 10*time.Second || all >= 30*time.Second {
 				t.Errorf("nine in ten sidecars were ready after %v and all after %v, want at most 10 s and less than 30 s", p90, all)
 			}
--- a/internal/testing/processes/rig.go
+++ b/internal/testing/processes/rig.go
@@ -25,7 +25,7 @@
 	links     map[string]*Link
 }
 
-// buildProgram builds the program at its first call, and returns its path.
+// buildProgram builds the program when it is first called, and returns the path of the program.
 var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "orchiddrift-rig")
 	if err != nil {
@@ -38,10 +38,10 @@
 	return path, nil
 })
 
-// ProgramPath returns the path of the program, which it builds if that has not been done yet. Main removes the program.
+// ProgramPath returns the path of the program. It builds the program if this has not been done yet. Main removes it.
 func ProgramPath() (string, error) { return buildProgram() }
 
-// Main runs the tests of a package, and removes the program after them if it was built.
+// Main runs the tests of a package. Afterwards it removes the program if a test has built it.
 func Main(m *testing.M) int {
 	code := m.Run()
 	if path, err := programIfBuilt(); err == nil && path != "" {
@@ -50,7 +50,8 @@
 	return code
 }
 
-// buildRequested is done as soon as New has asked for the program, or programIfBuilt has found that no test did.
+// buildRequested runs one function: either that of New, which is about to use the program, or that of programIfBuilt, which thereby
+// finds that no test has used it.
 var buildRequested sync.Once
 
 // programIfBuilt returns the path of the program, or "" if no test has built it.
@@ -63,8 +64,8 @@
 	return buildProgram()
 }
 
-// New returns a rig that is closed at the end of the test. Its history is written to a file in the directory of the test, and its last
-// events are logged if the test fails.
+// New returns a rig that is closed at the end of the test. The history of the rig is written to a file in the directory of the test.
+// If the test fails, the last events of the history are logged.
 func New(t testing.TB, seed uint64) *Rig {
 	t.Helper()
 	buildRequested.Do(func() {})
@@ -140,7 +141,7 @@
 func (r *Rig) recordAction(who string, run int, what string, detail any) {
 	e := Event{Kind: Did, Who: who, Run: run, What: what}
 	if detail != nil {
-		e.Data, _ = json.Marshal(detail) // cannot fail: the callers pass plain values
+		e.Data, _ = json.Marshal(detail) // cannot fail, because the callers pass plain values
 	}
 	r.History.Add(e)
 }
@@ -154,19 +155,19 @@
 	r.History.Add(e)
 }
 
-// Patience is the timeout of waits that are expected to succeed.
+// Patience is the timeout of waits that should always succeed.
 const Patience = 30 * time.Second
 
-// Listening is the Spec.Ready of the daemon: it matches the line that reports its addresses.
+// Listening is a function for Spec.Ready: it matches the line in which a daemon logs its addresses.
 func Listening(e Event) bool { return e.What == "listening" }
 
-// Address returns the address at which a daemon's current run serves clients; "" before it listens.
+// Address returns the address at which a daemon's current run serves clients, or "" if the run does not listen yet.
 func (p *Process) Address() string { return p.listeningField("clients") }
 
-// ControlAddress returns the control address of a daemon's current run; "" before it listens.
+// ControlAddress returns the control address of a daemon's current run, or "" if the run does not listen yet.
 func (p *Process) ControlAddress() string { return p.listeningField("operators") }
 
-// listeningField returns a field of the line with which the current run logged that it listens; "" before that line.
+// listeningField returns a field of the line in which the current run logged that it listens, or "" if there is no such line yet.
 func (p *Process) listeningField(key string) string {
 	run := p.currentRun()
 	if run == nil {
--- a/internal/testing/processes/script.go
+++ b/internal/testing/processes/script.go
@@ -12,20 +12,20 @@
 // StepKind is the kind of a step.
 type StepKind string
 
-// The kinds of steps. Faults of a limited time last for Step.For.
+// The kinds of steps. A fault with a duration ends after Step.For.
 const (
-	Kill      StepKind = "kill"         // SIGKILL to a process, which starts again after For with its directory
-	KillBare  StepKind = "kill-bare"    // as Kill, but the process starts again with an empty directory
+	Kill      StepKind = "kill"         // SIGKILL to a process, which starts again after For in the same directory
+	KillBare  StepKind = "kill-bare"    // as Kill, but the directory is emptied before the process starts again
 	Pause     StepKind = "pause"        // SIGSTOP to a process, and SIGCONT after For
-	Terminate StepKind = "terminate"    // SIGTERM to a process, which starts again after For and after its end
+	Terminate StepKind = "terminate"    // SIGTERM to a process, which starts again once For has passed and the old run has ended
 	Replace   StepKind = "replace"      // starts a new run of a process, then sends SIGTERM to the old run
 	DropBoth  StepKind = "drop"         // a link drops both directions
 	DropOut   StepKind = "drop-out"     // a link drops the direction Out
 	DropBack  StepKind = "drop-back"    // a link drops the direction Back
-	Slow      StepKind = "slow"         // a link delays each direction by Lag and up to Lag more
+	Slow      StepKind = "slow"         // a link delays each direction by Lag, plus a random time of up to Lag
 	Hang      StepKind = "hang"         // all open connections of a link hang until they are reset after For
 	Reset     StepKind = "reset"        // all open connections of a link are reset
-	CutOut    StepKind = "cut"          // a link resets a connection after Bytes more bytes in the direction Out
+	CutOut    StepKind = "cut"          // a link resets a connection after it has forwarded Bytes more bytes in the direction Out
 	Part      StepKind = "part"         // links between Group and the other processes drop both directions
 	PartOne   StepKind = "part-one-way" // links between Group and the other processes drop the bytes that Group sends
 )
@@ -44,7 +44,7 @@
 // Mix holds the parameters with which Draw generates a script.
 type Mix struct {
 	Processes, Links []string
-	Length           time.Duration        // length of the script; all faults end before it
+	Length           time.Duration        // length of the script, before whose end all faults end
 	Every            time.Duration        // mean time between the starts of steps
 	Shortest         time.Duration        // minimum length of a fault
 	Longest          time.Duration        // maximum length of a fault
@@ -52,14 +52,13 @@
 	Down             int                  // maximum number of processes that are down or stopped at the same time
 }
 
-// Draw returns a random script: the same seed and Mix give the same script. A process or link gets no second fault before its first one
-// has ended.
+// Draw returns a random script. The same seed and Mix give the same script. A process or link never has two faults at the same time.
 func Draw(seed uint64, m Mix) []Step {
 	g := scriptGenerator{mix: m, rng: rand.New(rand.NewPCG(seed, 0x70726f6373)), busyUntil: map[string]time.Duration{}}
 	for kind, weight := range m.Weights {
 		g.kinds, g.totalWeight = append(g.kinds, kind), g.totalWeight+weight
 	}
-	slices.Sort(g.kinds) // map iteration order is random
+	slices.Sort(g.kinds) // the order in which a map is iterated is random
 	var steps []Step
 	for at := time.Duration(0); g.totalWeight > 0; {
 		at += time.Duration(g.rng.ExpFloat64() * float64(m.Every))
@@ -75,7 +74,7 @@
 	return steps
 }
 
-// partitions is the key of partitions in scriptGenerator.busyUntil: only one lasts at a time.
+// partitions is the key for partitions in scriptGenerator.busyUntil. Only one partition lasts at a time.
 const partitions = "parts"
 
 // scriptGenerator draws the steps of a script one after another.
@@ -84,7 +83,7 @@
 	rng         *rand.Rand
 	kinds       []StepKind // sorted
 	totalWeight float64
-	busyUntil   map[string]time.Duration // end of the last fault by process or link
+	busyUntil   map[string]time.Duration // end of the last fault of each process or link
 }
 
 // kind draws the kind of a step according to Mix.Weights.
@@ -99,7 +98,7 @@
 	return kind
 }
 
-// complete draws the target and the parameters of a step. It returns false if the step is not possible at its time.
+// complete draws the target and the parameters of a step. It returns false if no such step can begin at its time.
 func (g *scriptGenerator) complete(s *Step) bool {
 	switch s.Do {
 	case Kill, KillBare, Pause, Terminate, Replace:
@@ -119,7 +118,7 @@
 	return true
 }
 
-// down returns the number of processes that have a fault at the given time.
+// down returns the number of processes that have a fault at a given time.
 func (g *scriptGenerator) down(at time.Duration) (n int) {
 	for _, p := range g.mix.Processes {
 		if g.busyUntil[p] > at {
@@ -129,7 +128,7 @@
 	return n
 }
 
-// partition draws the group of a partition. It returns false if an earlier partition has not ended.
+// partition draws the group of processes of a partition. It returns false if an earlier partition has not ended.
 func (g *scriptGenerator) partition(s *Step) bool {
 	group := slices.Clone(g.mix.Processes)
 	g.rng.Shuffle(len(group), func(i, j int) { group[i], group[j] = group[j], group[i] })
@@ -138,7 +137,7 @@
 	return g.reserve(partitions, s)
 }
 
-// target draws the process or link of a step. It returns false if names is empty, or the drawn one has a fault already.
+// target draws the process or link of a step. It returns false if names is empty, or if the drawn process or link has a fault already.
 func (g *scriptGenerator) target(s *Step, names []string) bool {
 	if len(names) == 0 {
 		return false
@@ -156,8 +155,8 @@
 	return true
 }
 
-// Play runs the steps of a script at their times. It returns after the last one has ended; all processes run and all links are healed
-// then.
+// Play runs the steps of a script at their times. It returns after the last step has ended, when all processes run and all links are
+// healed.
 func (r *Rig) Play(ctx context.Context, script []Step) error {
 	type action struct {
 		at   time.Duration
@@ -190,7 +189,7 @@
 	return nil
 }
 
-// stepActions returns the actions of a step at its start and at its end; end is nil if there is none.
+// stepActions returns the actions of a step at its start and at its end. The function end is nil if there is nothing to do at the end.
 func (r *Rig) stepActions(ctx context.Context, s Step) (begin, end func() error, err error) {
 	r.mu.Lock()
 	p, l := r.processes[s.Who], r.links[s.Who]
@@ -198,12 +197,12 @@
 	switch s.Do {
 	case Kill, KillBare, Pause, Terminate, Replace:
 		if p == nil {
-			return nil, nil, fmt.Errorf("%s %q: no such process", s.Do, s.Who)
+			return nil, nil, fmt.Errorf("step %s %q: no such process", s.Do, s.Who)
 		}
 	case Part, PartOne:
 	default:
 		if l == nil {
-			return nil, nil, fmt.Errorf("%s %q: no such link", s.Do, s.Who)
+			return nil, nil, fmt.Errorf("step %s %q: no such link", s.Do, s.Who)
 		}
 	}
 	restart := func() error { return p.Start(ctx, nil) }
@@ -251,11 +250,11 @@
 		return func() error { r.setPartition(s.Group, s.Do == PartOne, true); return nil },
 			func() error { r.setPartition(s.Group, s.Do == PartOne, false); return nil }, nil
 	}
-	return nil, nil, fmt.Errorf("unknown kind of step: %q", s.Do)
+	return nil, nil, fmt.Errorf("script has a step of the unknown kind %q", s.Do)
 }
 
-// setPartition starts or ends a partition between a group of processes and the others. If oneWay is set, only bytes that the group sends
-// are dropped.
+// setPartition starts or ends a partition between a group of processes and all others. If oneWay is set, the links drop only the bytes
+// that the group sends.
 func (r *Rig) setPartition(group []string, oneWay, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testing/processes/shutdown_test.go
+++ b/internal/testing/processes/shutdown_test.go
@@ -24,31 +24,32 @@
 )
 
 var (
-	shutdowns       = flag.Int("shutdowns", 1, "number of shutdowns of each kind, under clients that keep connecting")
+	shutdowns       = flag.Int("shutdowns", 1, "number of shutdowns of each kind, while clients keep connecting")
 	shutdownClients = flag.Int("shutdown-clients", 60, "number of clients that keep connecting during a shutdown")
 )
 
 const (
-	// redialInterval is the time that a client waits after a refused connect.
+	// redialInterval is the time for which a client waits after a refused connection.
 	redialInterval = time.Millisecond
-	// loadBeforeSignal is the number of requests that have to be answered before the first signal.
+	// loadBeforeSignal is the number of answered requests after which the first signal is sent.
 	loadBeforeSignal = 400
-	// maxShutdownTime is the longest allowed time from SIGTERM to the exit with upstreams that answer within 50 ms.
+	// maxShutdownTime is the longest allowed time from SIGTERM to the exit. The upstreams answer within 50 ms.
 	maxShutdownTime = 1900 * time.Millisecond
 )
 
 // lostRequest is a request that was written completely, but whose connection ended without a response.
 type lostRequest struct {
-	first bool // the request is the first one of its connection
+	first bool // the request was the first one on its connection
 	dial  time.Time
 	sent  time.Time
 	err   error
 }
 
-// clientPool is a set of clients that send one request at a time over a persistent connection, and open another connection when it ends.
+// clientPool is a set of clients. Each client sends one request at a time over a persistent connection, and opens another connection when that
+// one ends.
 type clientPool struct {
 	address   string
-	tlsConfig *tls.Config // nil: the connections are not encrypted
+	tlsConfig *tls.Config // if nil, the connections are not encrypted
 	class     string
 	seed      uint64
 	stop      chan struct{}
@@ -57,8 +58,8 @@
 	mu       sync.Mutex
 	statuses map[int]int
 	lost     []lostRequest
-	refused  int // refused connects
-	unsent   int // requests whose connection ended before they were written
+	refused  int // number of refused connections
+	unsent   int // number of requests whose connection ended before they were written
 }
 
 func newClientPool(address, class string, tlsConfig *tls.Config, seed uint64) *clientPool {
@@ -100,7 +101,7 @@
 	return n
 }
 
-// connect opens a connection, and sends requests over it until it ends.
+// connect opens a connection and sends requests over it until the connection ends.
 func (c *clientPool) connect(client int, rng *rand.Rand) {
 	dialed := time.Now()
 	socket, err := net.DialTimeout("tcp", c.address, Patience)
@@ -111,7 +112,7 @@
 	}
 	defer socket.Close()
 	conn := socket
-	_ = conn.SetDeadline(time.Now().Add(Patience)) // if this fails, the reads fail too
+	_ = conn.SetDeadline(time.Now().Add(Patience)) // if this fails, later reads fail too
 	if c.tlsConfig != nil {
 		conn = tls.Client(conn, c.tlsConfig)
 	}
@@ -139,8 +140,8 @@
 	}
 }
 
-// countUnwritten counts a request that could not be written. The first request of a connection also counts as lost: for an encrypted
-// connection, writing it includes the handshake.
+// countUnwritten counts a request that could not be written. If it was the first request of its connection, it also counts as lost, because on
+// an encrypted connection the first write includes the TLS handshake.
 func (c *clientPool) countUnwritten(n int, dialed, sent time.Time, err error) {
 	c.count(func() {
 		c.unsent++
@@ -150,7 +151,7 @@
 	})
 }
 
-// stopAndReport stops the clients. It returns a line for each request without a response, with its times since a signal.
+// stopAndReport stops the clients. It returns a line for each request without a response, with times relative to a signal.
 func (c *clientPool) stopAndReport(signaled time.Time) (lost []string) {
 	close(c.stop)
 	c.running.Wait()
@@ -178,18 +179,18 @@
 	return addresses
 }
 
-// shutdownFile returns the configuration file of a daemon that forwards to upstreams, with additional TOML tables.
+// shutdownFile returns the configuration file of a daemon that forwards to the given upstreams. tables holds additional TOML tables.
 func shutdownFile(listen string, upstreams []string, tables string) string {
 	return fmt.Sprintf("[daemon]\nname = \"s\"\nlisten = %q\ncontrol = \"127.0.0.1:0\"\nseed = \"5\"\n[limits]\nmemory = \"192MiB\"\ndescriptors = 8192\n"+
 		"[log]\nformat = \"json\"\n%s[[service]]\nname = \"web\"\naddresses = [\"%s\"]\n", listen, tables, strings.Join(upstreams, `", "`))
 }
 
-// shutdownKind describes a way to end a process.
+// shutdownKind describes one way in which a test ends a process.
 type shutdownKind struct {
 	name        string
-	signals     []syscall.Signal // sent 20 ms apart; the shutdown is timed from the first SIGTERM
+	signals     []syscall.Signal // signals to send at intervals of signalInterval; the shutdown time counts from the first SIGTERM
 	invalidFile bool             // the configuration file is invalid when the signals are sent
-	platform    bool             // uses the platform's configuration format
+	platform    bool             // the process uses the platform's configuration format
 	tls         bool
 }
 
@@ -204,8 +205,8 @@
 // signalInterval is the time between two signals of a shutdownKind.
 const signalInterval = 20 * time.Millisecond
 
-// TestShutdownAnswersNewConnections guards against connections that a process accepts during its shutdown, and closes without a response to
-// their first request. Flags for a long run: -shutdowns 30 -shutdown-clients 1000.
+// TestShutdownAnswersNewConnections guards against a process that accepts connections during its shutdown and closes them without a response to
+// their first request. Flags for a long run are -shutdowns 30 -shutdown-clients 1000.
 func TestShutdownAnswersNewConnections(t *testing.T) {
 	for _, kind := range shutdownKinds {
 		t.Run(kind.name, func(t *testing.T) {
@@ -252,7 +253,7 @@
 	}
 	took := time.Since(signaled)
 	lost := clients.stopAndReport(signaled)
-	t.Logf("seed %d: %d clients, ended after %v, statuses %v, %d connects refused, %d requests not written, %d without a response", seed,
+	t.Logf("seed %d: %d clients, process ended after %v, responses by status %v, %d connections refused, %d requests not written, %d without a response", seed,
 		*shutdownClients, took.Round(time.Millisecond), clients.statuses, clients.refused, clients.unsent, len(lost))
 	for _, line := range lost[:min(len(lost), 8)] {
 		t.Errorf("request without a response: %s", line)
@@ -261,19 +262,19 @@
 		t.Errorf("the process ended with exit code %d, want 0", code)
 	}
 	if took > maxShutdownTime {
-		t.Errorf("the process ended only %v after SIGTERM", took)
+		t.Errorf("the process ended %v after SIGTERM, later than maxShutdownTime allows", took)
 	}
 }
 
-// replacementKind describes a way to replace a process.
+// replacementKind describes one way in which a test replaces a process.
 type replacementKind struct {
 	name   string
-	early  bool // the old process gets SIGTERM as soon as the successor has its listening socket
-	beside bool // the successor cannot obtain the listening socket, and opens another one at the same address
+	early  bool // the old process gets SIGTERM as soon as its successor has the listening socket
+	beside bool // the successor cannot obtain the listening socket, and opens its own at the same address
 }
 
-// TestReplacementUnderCrowd guards against connections that are lost while a successor takes over. The two processes either share a listening
-// socket, so that changes that one makes to it affect both, or have one each.
+// TestReplacementUnderCrowd guards against connections that are lost while a successor takes over. The two processes either share one listening
+// socket, so that a change by one of them affects the other, or have one socket each.
 func TestReplacementUnderCrowd(t *testing.T) {
 	for _, kind := range []replacementKind{{name: "late"}, {name: "early", early: true}, {name: "beside", beside: true}} {
 		t.Run(kind.name, func(t *testing.T) {
@@ -285,7 +286,8 @@
 	}
 }
 
-// testReplacement replaces a process under the load of a clientPool, and checks that every connect succeeds and every request has its response.
+// testReplacement replaces a process under the load of a clientPool. It checks that no connection is refused and that each request gets a
+// response.
 func testReplacement(t *testing.T, kind replacementKind, upstreams []string, seed uint64) {
 	r := New(t, seed)
 	reserved, err := fakes.Reserve("127.0.0.1:0")
@@ -311,13 +313,13 @@
 	before := clients.answered()
 	base.Eventually(t, "the successor answers", func() bool { return clients.answered() > before+loadBeforeSignal })
 	lost := clients.stopAndReport(time.Now())
-	t.Logf("seed %d: %d clients, statuses %v, %d connects refused, %d without a response", seed, *shutdownClients, clients.statuses,
+	t.Logf("seed %d: %d clients, responses by status %v, %d connections refused, %d requests without a response", seed, *shutdownClients, clients.statuses,
 		clients.refused, len(lost))
 	for _, line := range lost[:min(len(lost), 8)] {
 		t.Errorf("request without a response: %s", line)
 	}
 	if clients.refused > 0 {
-		t.Errorf("%d connects were refused during the replacement, want 0", clients.refused)
+		t.Errorf("%d connections were refused during the replacement, want 0", clients.refused)
 	}
 }
 
@@ -342,11 +344,11 @@
 	select {
 	case <-old.done:
 	case <-within(t, Patience).Done():
-		t.Fatal("the old process did not end after SIGTERM")
+		t.Fatal("the old process did not end after SIGTERM although its successor has the listening socket")
 	}
 }
 
-// shutdownProcess returns a process for a kind of shutdown, and the TLS configuration of its clients.
+// shutdownProcess returns a process for a kind of shutdown, and the TLS configuration that its clients use.
 func shutdownProcess(t *testing.T, r *Rig, kind shutdownKind, listen string, upstreams []string) (*Process, *tls.Config) {
 	t.Helper()
 	spec := Spec{Name: "s", Ready: Listening, Args: []string{"--config", "web.toml"}}
@@ -375,7 +377,7 @@
 	}
 }
 
-// TestRefusedOnceNothingIsAccepted guards against connects that succeed or hang after a process has stopped accepting connections.
+// TestRefusedOnceNothingIsAccepted guards against connection attempts that succeed or hang after a process has stopped accepting connections.
 func TestRefusedOnceNothingIsAccepted(t *testing.T) {
 	r := New(t, 1)
 	arrived, release := make(chan struct{}), make(chan struct{})
@@ -388,7 +390,7 @@
 		t.Fatal(err)
 	}
 	inFlight := make(chan error, 1)
-	go func() { // this request in flight keeps the process alive until the end of the test
+	go func() { // this request stays in flight and keeps the process alive until the end of the test
 		response, err := http.Post("http://"+p.Address()+"/a", "text/plain", strings.NewReader("x"))
 		if err == nil {
 			response.Body.Close()
@@ -399,7 +401,7 @@
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	base.Eventually(t, "a connect is refused", func() bool {
+	base.Eventually(t, "a connection attempt is refused", func() bool {
 		conn, err := net.DialTimeout("tcp", p.Address(), Patience)
 		if err == nil {
 			conn.Close()
@@ -413,7 +415,7 @@
 			conn.Close()
 		}
 		if !errors.Is(err, syscall.ECONNREFUSED) || time.Since(begun) > time.Second/2 {
-			t.Fatalf("connect after the process stopped accepting: got error %v after %v, want ECONNREFUSED within 500 ms", err, time.Since(begun))
+			t.Fatalf("connection attempt after the process stopped accepting: got error %v after %v, want ECONNREFUSED within 500 ms", err, time.Since(begun))
 		}
 	}
 	close(release)
--- a/internal/testing/repository/docs_test.go
+++ b/internal/testing/repository/docs_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	for number, line := range strings.Split(text, "\n") {
 		for _, at := range pathInText.FindAllStringIndex(line, -1) {
-			if at[0] > 0 && strings.ContainsAny(line[at[0]-1:at[0]], "/.-:_") { // the match is a part of a longer path, URL or name
+			if at[0] > 0 && strings.ContainsAny(line[at[0]-1:at[0]], "/.-:_") { // the match is part of a longer path, URL or name
 				if !strings.HasPrefix(line[max(0, at[0]-2):], "./") {
 					continue
 				}
--- a/internal/testing/repository/imports_test.go
+++ b/internal/testing/repository/imports_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// decisionPackages contain deterministic decisions only: they take events and times and return actions. The same code therefore runs in
-// production, in tests and in simulations.
+// decisionPackages are the packages that contain deterministic decisions only. They take events and times and return actions, so that the same
+// code runs in production, in tests and in simulations.
 var decisionPackages = []string{
 	"balancer",
 	"internal/admission",
@@ -50,7 +50,7 @@
 				t.Errorf("%s: decision package starts a goroutine", fileset.Position(node.Pos()))
 			case *ast.SelectorExpr:
 				if of, ok := node.X.(*ast.Ident); ok && of.Name == "time" && slices.Contains(clockFunctions, node.Sel.Name) {
-					t.Errorf("%s: decision package uses time.%s", fileset.Position(node.Pos()), node.Sel.Name)
+					t.Errorf("%s: decision package uses time.%s, which reads the clock or waits", fileset.Position(node.Pos()), node.Sel.Name)
 				}
 			}
 			return true
@@ -63,8 +63,8 @@
 	}
 }
 
-// layers are the layers of packages, from the lowest up. A folder includes the folders below it, unless these are listed themselves. A package may
-// import packages of its own layer and of lower ones.
+// layers lists the layers of packages, from the lowest to the highest. A folder includes the folders below it, unless they are listed separately.
+// A package may import packages of its own layer and of lower layers.
 var layers = []struct {
 	name    string
 	folders []string
@@ -86,7 +86,8 @@
 	{"programs", []string{"cmd"}},
 }
 
-// layerOf returns the index of a package's layer, or -1. The layer is the one that lists the package's folder, or its closest parent.
+// layerOf returns the index of a package's layer, or -1 if no layer contains the package. If several layers match, the one with the longest listed
+// folder counts.
 func layerOf(folder string) int {
 	layer, longest := -1, -1
 	for i, l := range layers {
@@ -99,7 +100,7 @@
 	return layer
 }
 
-// Guards against imports of packages in a higher layer.
+// Guards against packages that import a package of a higher layer.
 func TestImportsPointDown(t *testing.T) {
 	files, _ := sources(t)
 	for _, file := range files {
--- a/internal/testing/repository/picture_test.go
+++ b/internal/testing/repository/picture_test.go
@@ -20,8 +20,8 @@
 	drawVariable = "ORCHIDDRIFT_DRAW"
 )
 
-// packageGroup returns the name of the node that represents a package in the graph: the folder below internal, for all packages in that folder,
-// or the whole path outside internal.
+// packageGroup returns the name of the node that represents a package in the graph. All packages below a folder in internal form one group with
+// the name of that folder. Outside internal, each package is its own group with its whole path as the name.
 func packageGroup(folder string) string {
 	parts := strings.Split(folder, "/")
 	if parts[0] != "internal" {
@@ -30,8 +30,8 @@
 	return parts[1]
 }
 
-// drawGraph returns the imports between package groups as a Mermaid graph, with the highest layer first. It omits the lowest layer, whose helpers
-// nearly all packages import.
+// drawGraph returns the imports between package groups as a Mermaid graph, with the highest layer first. It omits the lowest layer, because
+// nearly all packages import its helpers.
 func drawGraph(files []sourceFile) string {
 	groupsOfLayer := make([]map[string]bool, len(layers))
 	for i := range groupsOfLayer {
@@ -82,7 +82,7 @@
 // nodeID returns the Mermaid node ID of a package group.
 func nodeID(name string) string { return strings.ReplaceAll(name, "/", "_") }
 
-// Guards against an outdated graph on the architecture page: it must equal the graph that is drawn from the imports.
+// Guards against an outdated import graph on the architecture page: the graph must equal the one that drawGraph returns.
 func TestArchitecturePictureFollowsTheImports(t *testing.T) {
 	files, _ := sources(t)
 	path := filepath.Join(root, architecturePage)
--- a/internal/testing/repository/source_test.go
+++ b/internal/testing/repository/source_test.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	root   = "../../.." // of the repository, relative to this package
+	root   = "../../.." // root of the repository, relative to this package
 	module = "orchiddrift"
 )
 
 // sourceFile is a parsed Go file that is not a test file.
 type sourceFile struct {
-	path    string // relative to root
+	path    string // path of the file, relative to root
 	folder  string // folder of the file, relative to root
 	syntax  *ast.File
 	imports []string
--- a/internal/testing/soak/connections.go
+++ b/internal/testing/soak/connections.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	keepAliveClientCount = 6                      // for each sidecar
-	meanThinkTime        = 150 * time.Millisecond // of a keep-alive client between two requests
-	redialInterval       = 5 * time.Millisecond   // after a refused connection
-	crowdIdleTime        = 2 * time.Second        // after which a crowd's idle connection is closed
+	keepAliveClientCount = 6                      // number of keep-alive clients of each sidecar
+	meanThinkTime        = 150 * time.Millisecond // mean pause of a keep-alive client between two requests
+	redialInterval       = 5 * time.Millisecond   // pause after a refused connection
+	crowdIdleTime        = 2 * time.Second        // time after which an idle connection of a crowd is closed
 )
 
-// keepAliveClient sends one request at a time on a connection that it keeps until the sidecar closes it. Then it opens another one.
+// keepAliveClient sends one request at a time over a connection until the sidecar closes the connection. Then it opens another connection.
 type keepAliveClient struct {
 	*client
 	rng *rand.Rand
@@ -42,7 +42,7 @@
 	}
 }
 
-// use sends requests on a connection until the connection ends.
+// use sends requests over a connection until the connection ends.
 func (k *keepAliveClient) use(ctx context.Context, conn net.Conn) {
 	in := bufio.NewReader(conn)
 	for ctx.Err() == nil && !processes.ConnectionEnded(conn) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// exchange sends one request, records its result, and reports whether the connection can be used again.
+// exchange sends one request, records its result, and reports whether the connection can be used for another request.
 func (k *keepAliveClient) exchange(conn net.Conn, in *bufio.Reader) (reusable bool) {
 	q := Request{ID: RequestID(fmt.Sprintf("%016x", requests.Add(1))), Sidecar: k.sidecar,
 		Deadline: between(k.rng, minDeadline, k.deadline), Effect: []Effect{Safe, Keyed, Unsafe}[k.rng.IntN(3)]}
@@ -62,14 +62,14 @@
 	return reusable
 }
 
-// exchange sends a request on a connection and sets its result in q. It reports whether the connection can be used again.
+// exchange sends a request over a connection and sets its result in q. It reports whether the connection can be used for another request.
 func exchange(conn net.Conn, in *bufio.Reader, q *Request, address string, record *recorder) (reusable bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), q.Deadline+clientTimeoutMargin)
 	defer cancel()
-	_ = conn.SetDeadline(time.Now().Add(q.Deadline + clientTimeoutMargin)) // a failure also fails the write
+	_ = conn.SetDeadline(time.Now().Add(q.Deadline + clientTimeoutMargin)) // if this fails, the write fails too
 	request, err := newRequest(ctx, address, *q)
 	if err != nil {
-		panic(err) // unreachable: all parts of the URL are valid
+		panic(err) // unreachable, because all parts of the URL are valid
 	}
 	defer func() {
 		q.Ended = record.now()
@@ -99,8 +99,8 @@
 	return !response.Close
 }
 
-// crowd opens a step's connections to a sidecar, evenly distributed over the step's length. Every second connection sends a request, the others
-// stay idle.
+// crowd opens the connections of a step to a sidecar, evenly distributed over the step's length. Every second connection sends a request, and
+// the others stay idle.
 func (f *fleet) crowd(s *sidecar, step Step) {
 	interval := step.For / time.Duration(step.Count)
 	for n := range step.Count {
@@ -116,7 +116,7 @@
 	}
 	defer conn.Close()
 	if idle {
-		_ = conn.SetDeadline(time.Now().Add(crowdIdleTime)) // a failure also fails the read
+		_ = conn.SetDeadline(time.Now().Add(crowdIdleTime)) // if this fails, the read fails too
 		_, _ = conn.Read(make([]byte, 1))                   // returns when the sidecar closes the connection
 		return
 	}
--- a/internal/testing/soak/fleet.go
+++ b/internal/testing/soak/fleet.go
@@ -29,7 +29,7 @@
 	runningSteps sync.WaitGroup
 
 	mu        sync.Mutex
-	addresses map[string]int // the sidecar that uses each address of discovery
+	addresses map[string]int // number of the sidecar that uses an address of discovery
 }
 
 // sidecar runs one process after another at the same address.
@@ -38,24 +38,24 @@
 	process *processes.Process
 	address string
 
-	mu               sync.Mutex // held while the process is started, ended, paused or reloaded
-	discoveryAddress string     // in its configuration
-	runIndex         int        // index of its process in Record.Runs
+	mu               sync.Mutex // locked while the process is started, ended, paused or reloaded
+	discoveryAddress string     // address of discovery in the sidecar's configuration
+	runIndex         int        // index of the current process in Record.Runs
 	started          time.Time
 	reservation      *fakes.Reservation
 }
 
 const (
-	settleTime         = 500 * time.Millisecond  // from the end of the load to the end of the processes
-	killMargin         = 700 * time.Millisecond  // from SIGTERM to SIGKILL, in addition to the longest deadline
-	minAgeForReload    = time.Second             // age from which a process gets SIGHUP for a reload
-	oldAddressLifetime = 1500 * time.Millisecond // of an address of discovery, after the reload that replaces it
+	settleTime         = 500 * time.Millisecond  // time from the end of the load to the end of the processes
+	killMargin         = 700 * time.Millisecond  // time from SIGTERM to SIGKILL, in addition to the longest deadline
+	minAgeForReload    = time.Second             // minimum age of a process that gets SIGHUP for a reload
+	oldAddressLifetime = 1500 * time.Millisecond // time for which an address of discovery stays open after the reload that replaces it
 	readyPollInterval  = 10 * time.Millisecond
 
-	signalInterval = 90 * time.Millisecond // between the signals of TerminateSeries
+	signalInterval = 90 * time.Millisecond // interval of the signals of TerminateSeries
 )
 
-// Play runs a script and returns the observations. It fails the test only for errors of the test environment; violations of the rules are found by
+// Play runs a script and returns the observations. It fails the test only for errors of the test environment. Violations of the rules are found by
 // CheckRules.
 func Play(t testing.TB, script Script) *Record {
 	t.Helper()
@@ -162,7 +162,7 @@
 	return map[string]string{"config.json": string(text), "operators.toml": "[log]\nformat = \"json\"\n"}
 }
 
-// initialList returns the endpoint list from before all changes.
+// initialList returns the endpoint list as it was before all changes.
 func (f *fleet) initialList() *endpoints.List {
 	version := int64(1)
 	l := &endpoints.List{Index: &version, Snapshot: true}
@@ -234,7 +234,7 @@
 	time.Sleep(time.Until(started.Add(f.script.Length)))
 }
 
-// step starts a step. Steps that last continue in the background.
+// step starts a step. Steps with a duration continue in the background.
 func (f *fleet) step(step Step) {
 	f.rig.Note("script", string(step.Kind), step)
 	switch step.Kind {
@@ -311,13 +311,13 @@
 		return
 	}
 	f.start(s)
-	if kind == TerminateSeries { // a reload right after the process is ready
+	if kind == TerminateSeries { // the process reloads its configuration as soon as it is ready
 		_ = s.process.Signal(syscall.SIGHUP) // fails if the process has ended, which a later signal reports as a crash
 	}
 }
 
-// end ends a sidecar's process with SIGKILL, or with SIGTERM and, after the longest deadline and killMargin, SIGKILL. It returns false if the
-// process had already ended.
+// end ends a sidecar's process. It sends SIGKILL for the kind Kill. For other kinds it sends SIGTERM, and SIGKILL if the process has not ended
+// after the longest deadline plus killMargin. It returns false if the process had already ended.
 func (f *fleet) end(s *sidecar, kind StepKind) bool {
 	kill := kind == Kill
 	now := f.record.now()
@@ -344,7 +344,7 @@
 	}
 	notEnded := s.process.Await(ctx)
 	cancel()
-	signaling.Wait() // so that the next process gets none of these signals
+	signaling.Wait() // the next process must not get these signals
 	if notEnded != nil {
 		killed, stop := context.WithTimeout(context.Background(), processes.Patience)
 		defer stop()
@@ -368,7 +368,7 @@
 	}
 }
 
-// pause stops a process with SIGSTOP for a time, as a busy machine delays it.
+// pause stops a process with SIGSTOP for the duration d, to simulate the delays of a busy machine.
 func (f *fleet) pause(s *sidecar, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -379,7 +379,7 @@
 	_ = s.process.Signal(syscall.SIGCONT)
 }
 
-// endProcesses ends all processes, and records those that have ended by themselves as crashed.
+// endProcesses ends all processes. It records processes that had already ended as crashed.
 func (f *fleet) endProcesses() {
 	for _, s := range f.sidecars {
 		s.mu.Lock()
--- a/internal/testing/soak/load.go
+++ b/internal/testing/soak/load.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// client sends requests to one sidecar, each on its own connection. A request without a response is therefore a fault of the sidecar, and not a
-// race with the close of an idle connection.
+// client sends requests to one sidecar, each over its own connection. A request without a response is therefore a fault of the sidecar, and not
+// the result of an idle connection that the sidecar closes at the same moment.
 type client struct {
 	sidecar  int
 	address  string
@@ -28,8 +28,8 @@
 
 const (
 	minDeadline         = 300 * time.Millisecond
-	disconnectOneIn     = 12              // one in so many requests is abandoned by its client
-	clientTimeoutMargin = 3 * time.Second // time a client waits beyond its deadline, to tell a late answer from a lost one
+	disconnectOneIn     = 12              // on average, the client disconnects early from one in this many requests
+	clientTimeoutMargin = 3 * time.Second // time for which a client waits beyond its deadline, to tell a late answer from a lost one
 	maxDisconnectDelay  = 200 * time.Millisecond
 )
 
@@ -40,7 +40,7 @@
 		http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// run sends requests with random pauses, rate per second on average, until ctx ends. Then it waits for all of them to end.
+// run sends requests with random pauses until ctx ends, rate requests per second on average. Then it waits for all requests to end.
 func (c *client) run(ctx context.Context, rate float64) {
 	defer c.sending.Wait()
 	for {
@@ -60,8 +60,8 @@
 	}
 }
 
-// send sends a request and records its result. If disconnectAfter is not 0, the client closes the connection that long after the request was
-// written.
+// send sends a request and records its result. If disconnectAfter is not 0, the client closes the connection at this time after it has written
+// the request.
 func (c *client) send(q Request, disconnectAfter time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), q.Deadline+clientTimeoutMargin)
 	defer cancel()
@@ -73,7 +73,7 @@
 	}})
 	req, err := newRequest(ctx, c.address, q)
 	if err != nil {
-		panic(err) // unreachable: all parts of the URL are valid
+		panic(err) // unreachable, because all parts of the URL are valid
 	}
 	ended := make(chan struct{})
 	go func() {
--- a/internal/testing/soak/record.go
+++ b/internal/testing/soak/record.go
@@ -8,7 +8,7 @@
 // Effect says whether a request of a class may be retried.
 type Effect string
 
-// The effects.
+// The effects. They tell which retries are allowed.
 const (
 	Safe   Effect = "safe"
 	Keyed  Effect = "keyed"
@@ -23,13 +23,13 @@
 	ID             RequestID
 	Sidecar        int
 	Effect         Effect
-	SentAt         time.Duration `json:"Begun"` // after its last byte was written
-	Deadline       time.Duration // of the client, from SentAt
-	DisconnectedAt time.Duration `json:"LeftAt"` // time at which the client closed its connection; 0: it did not
-	Status         int           // of the response; 0: there was none
+	SentAt         time.Duration `json:"Begun"` // time at which the last byte was written
+	Deadline       time.Duration // deadline of the client, counted from SentAt
+	DisconnectedAt time.Duration `json:"LeftAt"` // time at which the client closed its connection; 0 if it did not
+	Status         int           // status of the response; 0 if there was none
 	Ended          time.Duration
-	Refused        bool   // the sidecar did not get the request: the connection was refused or closed
-	Failure        string // why there is no response
+	Refused        bool   // the sidecar did not get the request, because the connection was refused or closed
+	Failure        string // reason for which there is no response
 }
 
 // Attempt is a request as an upstream saw it.
@@ -37,8 +37,8 @@
 	Request  RequestID
 	Upstream string
 	At       time.Duration
-	Timeout  time.Duration `json:"Told"`   // announced by the sidecar
-	Rejected bool          `json:"Turned"` // rejected without execution
+	Timeout  time.Duration `json:"Told"`   // timeout that the sidecar announced
+	Rejected bool          `json:"Turned"` // the upstream rejected the request without executing it
 }
 
 // Change is a change of the endpoint list that drains or removes an upstream.
@@ -48,10 +48,10 @@
 	At       time.Duration
 }
 
-// Write is a message of discovery to a sidecar.
+// Write records that discovery sent a version of the endpoint list to a sidecar.
 type Write struct {
 	Sidecar int
-	Version int64 // of the endpoint list
+	Version int64 // version of the endpoint list
 	At      time.Duration
 }
 
@@ -62,10 +62,10 @@
 type ProcessRun struct {
 	Sidecar int
 	Span
-	Ready      time.Duration // 0: it never was
-	Terminated time.Duration // when it got SIGTERM; 0: it did not
-	Killed     bool          // by SIGKILL
-	Crashed    string        // error or exit status, if the process failed to start or ended by itself
+	Ready      time.Duration // time at which the process was ready; 0 if it never was
+	Terminated time.Duration // time at which the process got SIGTERM; 0 if it did not
+	Killed     bool          // the process got SIGKILL
+	Crashed    string        // error or exit status of a process that failed to start or ended by itself; otherwise empty
 }
 
 // Record holds all observations of a run of a script.
@@ -75,7 +75,7 @@
 	Attempts []Attempt
 	Changes  []Change
 	Writes   []Write
-	Outages  []Span       // of discovery
+	Outages  []Span       // times at which discovery was down
 	Runs     []ProcessRun `json:"Lives"`
 }
 
--- a/internal/testing/soak/rulechecker.go
+++ b/internal/testing/soak/rulechecker.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Rule names a rule of the operators.
+// Rule names a rule that operators expect the program to keep.
 type Rule string
 
 // The rules.
 const (
-	RuleDrain        Rule = "drain"     // no attempt reaches a draining upstream later than Grace after its sidecar was notified
+	RuleDrain        Rule = "drain"     // no attempt reaches a draining upstream later than Grace after the sidecar was notified of the drain
 	RuleLost         Rule = "lost"      // each accepted request gets its response in time
 	RuleDuplicate    Rule = "duplicate" // a non-idempotent request is executed at most once
 	RuleRefusal      Rule = "refusal"   // a rejected non-idempotent request has not been executed
@@ -22,9 +22,9 @@
 	RuleReady        Rule = "ready"     // a restarted process is ready in time
 )
 
-// The tolerances of the rules, and of observations on a busy machine.
+// The tolerances of the rules, and the allowances for delays on a busy machine.
 const (
-	notifyTimeout   = 6 * time.Second // from a change to its notification while discovery is up
+	notifyTimeout   = 6 * time.Second // longest time from a change to its notification while discovery is up
 	drainSlack      = 50 * time.Millisecond
 	pauseSlack      = maxPause // a sidecar can be paused between reading the clock and sending the attempt
 	answerSlack     = 500 * time.Millisecond
@@ -99,8 +99,8 @@
 	}
 }
 
-// drainKnownAt returns when the sidecar's process that ran at the time then knew that an upstream drains or is removed. It returns a time in the
-// far future if the upstream had not changed by then, or if no process had been started.
+// drainKnownAt returns the time at which a sidecar knew that an upstream drains or is removed. It considers the process of the sidecar that ran at
+// the time then. If the upstream had not changed by then, or no process had been started, it returns a time in the far future.
 func (c *ruleChecker) drainKnownAt(upstream string, sidecar int, then time.Duration) time.Duration {
 	knownAt := time.Duration(1<<62 - 1)
 	i := slices.IndexFunc(c.Changes, func(candidate Change) bool { return candidate.Upstream == upstream })
@@ -121,8 +121,8 @@
 	return knownAt
 }
 
-// notificationDeadline returns the time by which a sidecar must know a change even if no write to it was recorded: notifyTimeout after the change,
-// or after the end of an outage of discovery within that time.
+// notificationDeadline returns the time by which a sidecar must know a change even if no write to it was recorded. This is notifyTimeout after the
+// change, or notifyTimeout after the end of an outage of discovery that begins before this time.
 func (c *ruleChecker) notificationDeadline(at time.Duration) time.Duration {
 	due := at + notifyTimeout
 	for _, outage := range c.Outages { // in order of time
@@ -160,7 +160,7 @@
 	}
 }
 
-// checkAnswer checks that a request got its response in time. It passes over requests whose client disconnected, whose connection was refused, or
+// checkAnswer checks that a request got its response in time. It ignores requests whose client disconnected, whose connection was refused, or
 // whose process was killed.
 func (c *ruleChecker) checkAnswer(q *Request, finding Finding) {
 	if q.DisconnectedAt > 0 || q.Refused || c.hitByKill(q) {
@@ -170,7 +170,7 @@
 	took := q.Ended - q.SentAt
 	switch {
 	case q.Status == 0:
-		c.report(finding, "no response after %v: %s", took, q.Failure)
+		c.report(finding, "the client got no response within %v: %s", took, q.Failure)
 	case took > q.Deadline+answerSlack+pauseSlack+machineSlack:
 		c.report(finding, "the response took %v, with a deadline of %v", took, q.Deadline)
 	}
@@ -182,7 +182,7 @@
 	})
 }
 
-// executions returns the number of attempts of a request that may have been executed.
+// executions returns the number of attempts of a request that an upstream may have executed.
 func (c *ruleChecker) executions(id RequestID) int {
 	n := 0
 	for _, a := range c.attempts[id] {
--- a/internal/testing/soak/rulechecker_test.go
+++ b/internal/testing/soak/rulechecker_test.go
@@ -11,7 +11,8 @@
 	s  = time.Second
 )
 
-// healthy returns a record that breaks no rule: one sidecar, a drain of which it was notified, and one non-idempotent request.
+// healthy returns a record that breaks no rule. It contains one sidecar, a drain of which the sidecar was notified, and one non-idempotent
+// request.
 func healthy() *Record {
 	return &Record{Grace: 250 * ms,
 		Runs:     []ProcessRun{{Sidecar: 0, Span: Span{From: 0, To: 30 * s}, Ready: 100 * ms, Terminated: 29 * s}},
@@ -23,7 +24,8 @@
 	}
 }
 
-// Guards against a rule checker that finds no violation. Cases break each rule in an otherwise healthy record; others change it within the rules.
+// Guards against a rule checker that misses violations. Some cases break a rule in an otherwise healthy record, and must give its violation.
+// Others change the record within the rules, and must give none.
 func TestEachRuleIsJudged(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -37,7 +39,7 @@
 		}, nil},
 		{"attempt after the notification deadline of a drain without a write", func(r *Record) {
 			r.Attempts[0].Upstream, r.Writes = "u0", nil
-			r.Changes[0].At = 3 * s // must be known 6 s after the end of the outage
+			r.Changes[0].At = 3 * s // the sidecar must know of the drain 6 s after the end of the outage
 			r.Attempts[0].At, r.Attempts[0].Timeout = 10*s+900*ms, 0
 		}, []Rule{RuleDrain}},
 		{"attempt before the notification deadline of a drain without a write", func(r *Record) { r.Attempts[0].Upstream, r.Writes = "u0", nil }, nil},
@@ -83,7 +85,7 @@
 	}
 }
 
-// Guards against a seed that gives different scripts, and against steps that the rule checker can't check: steps outside the script's time, too
+// Guards against a seed that gives different scripts, and against steps that the rule checker cannot check: steps outside the script's time, too
 // many draining upstreams, and pauses beyond the tolerance.
 func TestDraw(t *testing.T) {
 	for seed := range uint64(500) {
@@ -98,7 +100,7 @@
 			}
 			if step.Kind == Drain || step.Kind == Remove {
 				if draining[step.Target] || len(draining) >= a.Upstreams/drainDivisor {
-					t.Errorf("seed %d: upstream %d drains or is removed again, or after too many others (%d)", seed, step.Target, len(draining))
+					t.Errorf("seed %d: upstream %d drains or is removed a second time, or %d other upstreams already do, which is the maximum", seed, step.Target, len(draining))
 				}
 				draining[step.Target] = true
 			}
--- a/internal/testing/soak/script.go
+++ b/internal/testing/soak/script.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// StepKind is the kind of a step. Its value stands in reports.
+// StepKind is the kind of a step. Reports contain its value.
 type StepKind string
 
 // The kinds of steps. The effect of a kind with a duration ends after Step.For.
@@ -19,10 +19,10 @@
 	Drain            StepKind = "drain"               // an upstream is listed as draining but continues to serve
 	Remove           StepKind = "remove"              // an upstream is removed from the list
 	Reload           StepKind = "reload"              // a sidecar's configuration gets another address of discovery, then SIGHUP
-	Terminate        StepKind = "terminate"           // SIGTERM, and a new process once the old one has ended
-	Kill             StepKind = "kill"                // SIGKILL, and a new process
+	Terminate        StepKind = "terminate"           // SIGTERM, and a new process after the old one has ended
+	Kill             StepKind = "kill"                // SIGKILL, and a new process after it
 	TerminateSeries  StepKind = "terminate in series" // as Terminate, with SIGHUP and SIGTERM in turn until the process has ended
-	Crowd            StepKind = "crowd"               // Count connections to a sidecar are opened within For; every second one stays idle
+	Crowd            StepKind = "crowd"               // Count connections to a sidecar are opened within For, of which every second one stays idle
 	Pause            StepKind = "pause"               // SIGSTOP, and SIGCONT after For
 	UpstreamHangs    StepKind = "upstream hangs"      // an upstream does not answer requests that arrive within For
 	UpstreamResets   StepKind = "upstream resets"     // an upstream closes the connections of requests that arrive within For
@@ -30,11 +30,11 @@
 
 // Step is one fault or change.
 type Step struct {
-	At     time.Duration // from the start of the load
+	At     time.Duration // time since the start of the load
 	Kind   StepKind
-	Target int           // number of the sidecar or upstream, if the kind has one
-	For    time.Duration // duration, if the kind has one
-	Count  int           // number of calls for DiscoveryRefuses, of connections for Crowd
+	Target int           // number of the sidecar or upstream, for kinds that affect one
+	For    time.Duration // duration, for kinds that have one
+	Count  int           // number of calls of DiscoveryRefuses, or of connections of Crowd
 }
 
 // Script holds the settings and steps that Draw derives from a seed.
@@ -43,34 +43,34 @@
 	Sidecars  int
 	Upstreams int
 	Length    time.Duration
-	Grace     time.Duration // time in which a draining upstream may still get requests
+	Grace     time.Duration // time for which a draining upstream may still get requests
 	Deadline  time.Duration // longest deadline of a request
-	CallRate  float64       // rate limit of discovery, calls per second
-	CallLimit time.Duration // discovery rejects a call that would wait longer for the rate limit
+	CallRate  float64       // rate limit of discovery in calls per second
+	CallLimit time.Duration // discovery rejects a call that the rate limit would delay for longer than this
 	Rate      float64       // requests per second to each sidecar
 	Steps     []Step
 }
 
 const (
 	maxPause     = 150 * time.Millisecond // longest pause of a sidecar
-	quietEnd     = 9 * time.Second        // at the end of a script, without new steps, so that late requests are observed
+	quietEnd     = 9 * time.Second        // time at the end of a script in which no step begins, so that late requests are observed
 	quietBegin   = time.Second
 	minLength    = quietBegin + quietEnd + time.Second
-	drainDivisor = 3 // at most one in so many upstreams drains or is removed
+	drainDivisor = 3 // at most one upstream in drainDivisor drains or is removed
 	maxRefusals  = 6
 
-	minCrowd    = 100 // connections
+	minCrowd    = 100 // minimum number of connections in a Crowd
 	maxCrowd    = 300
 	crowdLength = time.Second
 )
 
-// Draw returns the script of a seed. Its length is at least minLength.
+// Draw returns the script for a seed. The script has the given length, or minLength if that is longer.
 func Draw(seed uint64, length time.Duration) Script {
 	rng := rand.New(rand.NewPCG(seed, 0x736f616b))
 	s := Script{Seed: seed, Length: max(length, minLength), Sidecars: 3 + rng.IntN(4), Upstreams: 6 + rng.IntN(7), Rate: 15,
 		Grace: between(rng, 100*time.Millisecond, 400*time.Millisecond), Deadline: between(rng, 600*time.Millisecond, 3*time.Second),
 		CallLimit: time.Second}
-	s.CallRate = float64(s.Sidecars) / (1 + 1.2*rng.Float64()) // one call per sidecar in 1 to 2.2 s
+	s.CallRate = float64(s.Sidecars) / (1 + 1.2*rng.Float64()) // discovery needs 1 to 2.2 s for one call of each sidecar
 	d := drawer{script: &s, rng: rng, last: s.Length - quietEnd, restarts: map[int]time.Duration{}}
 	d.outage()
 	for range int(d.last/time.Second) * 2 / 3 {
@@ -85,8 +85,8 @@
 	script   *Script
 	rng      *rand.Rand
 	last     time.Duration         // latest time at which a step may begin
-	draining int                   // upstreams that drain or are removed by a step
-	restarts map[int]time.Duration // time of a sidecar's last added restart
+	draining int                   // number of upstreams that drain or are removed by a step
+	restarts map[int]time.Duration // time of the last restart that was added, by sidecar
 }
 
 func (d *drawer) add(s Step) { d.script.Steps = append(d.script.Steps, s) }
@@ -126,7 +126,7 @@
 	if d.rng.IntN(3) == 0 {
 		kind = Remove
 	}
-	d.add(Step{At: at, Kind: kind, Target: d.draining}) // each upstream is the target at most once
+	d.add(Step{At: at, Kind: kind, Target: d.draining}) // each upstream is a target at most once
 	d.draining++
 }
 
@@ -164,11 +164,11 @@
 	}
 	d.restarts[sidecar] = at
 	kind := []StepKind{Terminate, TerminateSeries, Kill}[d.rng.IntN(3)]
-	if kind != Kill && d.rng.IntN(2) == 0 { // new connections arrive until the process no longer accepts them
+	if kind != Kill && d.rng.IntN(2) == 0 { // new connections arrive until the process stops accepting them
 		d.add(Step{At: at, Kind: Crowd, Target: sidecar, For: crowdLength, Count: minCrowd + d.rng.IntN(maxCrowd-minCrowd)})
 	}
 	d.add(Step{At: at, Kind: kind, Target: sidecar})
-	if d.rng.IntN(2) == 0 { // requests in flight hang when the process ends
+	if d.rng.IntN(2) == 0 { // requests hang in flight when the process ends
 		d.add(Step{At: max(0, at-between(d.rng, 0, 300*time.Millisecond)), Kind: UpstreamHangs, Target: d.remainingUpstream(),
 			For: between(d.rng, 500*time.Millisecond, 4*time.Second)})
 	}
@@ -179,7 +179,7 @@
 	return d.script.Upstreams - 1 - d.rng.IntN(d.script.Upstreams/2)
 }
 
-// between returns a random duration from least up to, but not including, most; it returns least if most is not longer.
+// between returns a random duration that is at least least and below most. It returns least if most is not longer.
 func between(rng *rand.Rand, least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
--- a/internal/testing/soak/soak_test.go
+++ b/internal/testing/soak/soak_test.go
@@ -16,13 +16,13 @@
 	seeds    = flag.Int("seeds", 2, "number of seeds to run")
 	start    = flag.Uint64("seed", 1, "first seed")
 	length   = flag.Duration("for", 25*time.Second, "length of the script of each seed")
-	reportTo = flag.String("report", "", "directory to which the script, record and findings of each seed with a finding are written")
+	reportTo = flag.String("report", "", "directory for the script, record and findings of each seed with a finding")
 )
 
 func TestMain(m *testing.M) { os.Exit(processes.Main(m)) }
 
 // TestSoak runs the script of each seed and checks the record against the rules. A seed fails if it has findings, or if fewer than half of its
-// requests were served. A longer run:
+// requests were served. This command starts a longer run:
 //
 //	go test ./internal/testing/soak -run Soak -v -timeout 2h -parallel 4 -seeds 50 -report DIR
 func TestSoak(t *testing.T) {
--- a/internal/testing/soak/upstream.go
+++ b/internal/testing/soak/upstream.go
@@ -28,7 +28,7 @@
 const (
 	minServiceTime     = 2 * time.Millisecond
 	maxServiceTime     = 40 * time.Millisecond
-	longOneIn          = 8 // one in so many requests takes up to maxLongServiceTime
+	longOneIn          = 8 // on average, one in this many requests takes up to maxLongServiceTime
 	maxLongServiceTime = 500 * time.Millisecond
 )
 
@@ -39,7 +39,7 @@
 	}
 	u := &upstream{name: name, address: l.Addr().String(), record: record, rng: rand.New(rand.NewPCG(seed, 0x7570)), release: make(chan struct{})}
 	u.server = &http.Server{Handler: u, ReadHeaderTimeout: 10 * time.Second}
-	go func() { _ = u.server.Serve(l) }() // returns when close closes the server
+	go func() { _ = u.server.Serve(l) }() // returns when the method close closes the server
 	return u, nil
 }
 
@@ -60,7 +60,7 @@
 	u.resets = time.Now().Add(d)
 }
 
-// behavior draws the service time of a request and returns which faults are active now.
+// behavior draws the service time of a request, and returns the faults that are active now.
 func (u *upstream) behavior() (work time.Duration, hangs, resets bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -75,10 +75,10 @@
 // ServeHTTP implements http.Handler.
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return // incomplete request
+		return // the request is incomplete
 	}
 	id := RequestID(r.Header.Get("X-Request-ID"))
-	if id == "" { // a probe
+	if id == "" { // a request without an ID is a probe
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
@@ -104,7 +104,7 @@
 	_, _ = io.WriteString(w, string(id))
 }
 
-// parseTimeout parses a value of X-Timeout, such as 250m for 250 ms or 250u for 250 µs. It returns 0 for a malformed value.
+// parseTimeout parses a value of X-Timeout, such as 250m for 250 ms or 250u for 250 us. It returns 0 for a malformed value.
 func parseTimeout(text string) time.Duration {
 	unit := time.Millisecond
 	if strings.HasSuffix(text, "u") {
--- a/internal/testing/testutil/base/base.go
+++ b/internal/testing/testutil/base/base.go
@@ -1,5 +1,5 @@
-// Package base is the part of testutil that does not import internal/config, so that tests of packages that config imports can use it:
-// waiting for conditions, files, certificates and plain servers. Only tests import it.
+// Package base is the part of testutil that does not import internal/config. Tests of packages that config imports can therefore use
+// it. It provides waiting for conditions, files, certificates and plain servers. Only tests import it.
 package base
 
 import (
@@ -16,10 +16,10 @@
 	"orchiddrift/internal/fakes"
 )
 
-// Timeout is the timeout of waits that are expected to succeed.
+// Timeout is the timeout of waits that should always succeed.
 const Timeout = 20 * time.Second
 
-// Eventually waits until ok returns true, and fails the test after Timeout. The failure message names the condition.
+// Eventually waits until ok returns true. After Timeout it fails the test with a message that contains condition.
 func Eventually(t testing.TB, condition string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Timeout); !ok(); time.Sleep(2 * time.Millisecond) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// FreeAddress reserves a loopback address until the end of the test, so that no other test gets its port.
+// FreeAddress reserves a free loopback address until the end of the test, so that no other test gets its port.
 func FreeAddress(t testing.TB) string {
 	t.Helper()
 	r, err := fakes.Reserve("127.0.0.1:0")
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(Timeout)) // after an error, reads fail too
+	_ = c.SetDeadline(time.Now().Add(Timeout)) // after an error, later reads fail too
 	return c
 }
 
@@ -72,7 +72,7 @@
 	return i
 }
 
-// Replace writes a file atomically, over an existing one if there is one.
+// Replace writes a file atomically. It replaces an existing file.
 func Replace(t testing.TB, path string, text []byte) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
@@ -83,7 +83,7 @@
 	}
 }
 
-// File writes a file into a new directory of the test and returns its path.
+// File writes a file into a new temporary directory of the test and returns the path of the file.
 func File(t testing.TB, name string, text []byte) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -91,13 +91,13 @@
 	return path
 }
 
-// HTTP serves a handler on a free port, with TLS if config is not nil, and returns the address.
+// HTTP serves a handler on a free port and returns the address. It uses TLS if config is not nil.
 func HTTP(t testing.TB, config *tls.Config, h http.HandlerFunc) string {
 	t.Helper()
 	return Serve(t, config, &http.Server{Handler: h})
 }
 
-// Serve is HTTP with a server instead of a handler.
+// Serve does the same as HTTP for a server instead of a handler.
 func Serve(t testing.TB, config *tls.Config, srv *http.Server) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/testing/testutil/base/late.go
+++ b/internal/testing/testutil/base/late.go
@@ -12,8 +12,9 @@
 	"time"
 )
 
-// LateUpstream is an upstream that accepts no connection before StartAccepting: its accept queue is full, so the kernel drops SYN
-// segments and clients retransmit them (RFC 6298: after one second). Afterwards it answers each request with 200 and an empty body.
+// LateUpstream is an upstream that accepts no connection before StartAccepting. Until then its accept queue is full, so the kernel
+// drops SYN segments and clients retransmit them (after one second, according to RFC 6298). Afterwards it answers each request with
+// status 200 and an empty body.
 type LateUpstream struct {
 	Address string
 
@@ -48,7 +49,7 @@
 	}
 	t.Cleanup(l.close)
 	l.Address = l.listener.Addr().String()
-	for range 16 { // until a connection attempt times out because the accept queue is full
+	for range 16 { // ends when a connection attempt times out because the accept queue is full
 		c, err := net.DialTimeout("tcp", l.Address, 200*time.Millisecond)
 		if err != nil {
 			return l
--- a/internal/testing/testutil/testutil.go
+++ b/internal/testing/testutil/testutil.go
@@ -41,7 +41,7 @@
 	return u
 }
 
-// Discovery starts a fake discovery service that sends the lines that script passes to send.
+// Discovery starts a fake discovery service that sends each line that script passes to the function send.
 func Discovery(t testing.TB, script func(n int, send func(string), done <-chan struct{})) *fakes.ScriptedDiscovery {
 	t.Helper()
 	d, err := fakes.NewScriptedDiscovery(script)
@@ -88,7 +88,7 @@
 	return l
 }
 
-// Settings are balancer settings as JSON, with one class for each kind of Semantics.
+// Settings are balancer settings as JSON. They contain one class for each kind of Semantics.
 const Settings = `{"Balancers":1,"Zone":"a","Discovery":"ask","TickMs":5,"WorthBy":"work",
  "Classes":[
   {"Name":"search","Semantics":"retryable","AimMs":5000,"DeadlineMs":10000,"Importance":1,"LateShare":0.5},
@@ -98,14 +98,14 @@
   "SecondCopies":true,"SendCap":5},
  "Rules":{"ColdFrom":0.3,"FallMs":2000,"FallMultiple":3,"WarmUpMs":8800},"Tenants":[]}`
 
-// ConfigText returns a configuration as JSON, with Settings and the known endpoints.
+// ConfigText returns a configuration as JSON, with Settings and the given known endpoints.
 func ConfigText(discovery string, known ...string) string {
 	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:9000","discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":%s,"settings":%s}`,
 		discovery, List(1, true, known...), Settings)
 }
 
-// Config returns the parsed form of ConfigText.
+// Config returns the parsed configuration of ConfigText.
 func Config(t testing.TB, discovery string, known ...string) *config.Config {
 	t.Helper()
 	c, err := config.Parse([]byte(ConfigText(discovery, known...)))
@@ -117,7 +117,7 @@
 
 var lastID atomic.Int64
 
-// Request returns a valid request of a class of Settings, with a new request ID.
+// Request returns a valid request of a class in Settings, with a new request ID.
 func Request(t testing.TB, address, class, body string) *http.Request {
 	t.Helper()
 	method := http.MethodPost
