--- a/internal/simulation/admissionsim/admission.go
+++ b/internal/simulation/admissionsim/admission.go
@@ -5,7 +5,8 @@
 	"orchiddrift/internal/admission"
 )
 
-// execute carries out the actions of the admission control and schedules its next Wake call.
+// execute carries out the actions of the admission control, and schedules the next call of its
+// method Wake.
 func (s *simulation) execute(actions []admission.Action) {
 	for _, action := range actions {
 		a := s.byTicket[action.Ticket]
@@ -26,7 +27,7 @@
 	}
 	s.controlWakeAt = at
 	s.At(at, func() {
-		if s.controlWakeAt == at { // no other Wake call has been scheduled since
+		if s.controlWakeAt == at { // no other call of Wake has been scheduled since
 			s.controlWakeAt = 0
 			s.execute(s.control.Wake(s.Now(), nil))
 		}
--- a/internal/simulation/admissionsim/disciplines.go
+++ b/internal/simulation/admissionsim/disciplines.go
@@ -8,9 +8,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-const initialCost = 0.02 // s: a principal's or discipline's mean cost before any request has ended
+const initialCost = 0.02 // seconds; assumed mean cost of a principal or discipline before any of its requests has ended
 
-// rejectWhenFull is tail drop: it rejects what arrives at a full queue.
+// rejectWhenFull implements tail drop: if the queue is full, the arriving request is rejected.
 func rejectWhenFull(arriving *queuedRequest, queued, maxQueued int) *queuedRequest {
 	if queued >= maxQueued {
 		return arriving
@@ -18,10 +18,10 @@
 	return nil
 }
 
-// fifo is one queue for all principals, in the order of arrival.
+// fifo is one queue for all principals. It serves requests in the order of arrival.
 type fifo struct{ queue []*queuedRequest }
 
-// NewFIFO returns one queue in the order of arrival.
+// NewFIFO returns a single queue that serves requests in the order of arrival.
 func NewFIFO() discipline { return &fifo{} }
 
 func (f *fifo) evict(arriving *queuedRequest, queued, maxQueued int) *queuedRequest {
@@ -41,9 +41,9 @@
 	return r
 }
 
-// codel is one queue under CoDel (K. Nichols, V. Jacobson, 2012; for requests as in Facebook's wangle and B. Maurer's
-// "Fail at Scale") with adaptive LIFO: once the queue has not been empty for an interval, the newest request is dequeued
-// first, and requests that have waited longer than the target are dropped.
+// codel is a single queue under CoDel (K. Nichols, V. Jacobson, 2012) with adaptive LIFO. It treats requests as in
+// Facebook's wangle and B. Maurer's "Fail at Scale": once the queue has not been empty for an interval, the newest request
+// is dequeued first, and requests that have waited longer than the target are rejected.
 type codel struct {
 	queue     []*queuedRequest
 	lastEmpty time.Duration
@@ -51,7 +51,7 @@
 	interval  time.Duration
 }
 
-// NewCoDel returns CoDel with the customary target of 5 ms and interval of 100 ms.
+// NewCoDel returns CoDel with the usual target of 5 ms and interval of 100 ms.
 func NewCoDel() discipline {
 	return &codel{target: 5 * time.Millisecond, interval: 100 * time.Millisecond}
 }
@@ -76,7 +76,7 @@
 	}
 	if now-oldest.arrivedAt > c.target && len(c.queue) > 1 {
 		c.setQueue(now, c.queue[1:])
-		oldest.arrival.Deadline = 0 // so that Queue rejects it
+		oldest.arrival.Deadline = 0 // makes Queue reject the request
 		return oldest
 	}
 	newest := c.queue[len(c.queue)-1]
@@ -91,27 +91,27 @@
 	}
 }
 
-// drr is deficit round robin (M. Shreedhar, G. Varghese, 1995) by principal. The estimated cost of a request is a
-// moving average of the costs of its principal's earlier requests.
+// drr is deficit round robin (M. Shreedhar, G. Varghese, 1995) between principals. It estimates the cost of a request as a
+// moving average of the costs of earlier requests of the same principal.
 type drr struct {
-	quantum float64 // s
+	quantum float64 // seconds
 	flows   map[string]*drrFlow
-	active  []*drrFlow // flows with queued requests, in the order of their turns
+	active  []*drrFlow // flows with queued requests, in the order in which they are served next
 }
 
 type drrFlow struct {
 	queue    []*queuedRequest
-	deficit  float64 // s
-	meanCost float64 // s
+	deficit  float64 // seconds
+	meanCost float64 // seconds
 }
 
 const (
-	drrQuantum       = 0.02 // s
+	drrQuantum       = 0.02 // seconds
 	drrCostSmoothing = 0.1  // weight of one request in a flow's mean cost
-	drrMaxRounds     = 1024 // bounds the search for a flow with a sufficient deficit
+	drrMaxRounds     = 1024 // limits the search for a flow with a sufficient deficit
 )
 
-// NewDRR returns deficit round robin with a quantum of 20 ms of time in flight.
+// NewDRR returns deficit round robin. Its quantum is 20 ms, because the cost of a request is its time in flight.
 func NewDRR() discipline { return &drr{quantum: drrQuantum, flows: map[string]*drrFlow{}} }
 
 func (d *drr) enqueue(r *queuedRequest) {
@@ -139,7 +139,7 @@
 			longest = f
 		}
 	}
-	if len(longest.queue) <= 1 { // emptying the flow would require its removal from active
+	if len(longest.queue) <= 1 { // the flow must not become empty, because it would have to be removed from active
 		return arriving
 	}
 	newest := longest.queue[len(longest.queue)-1]
@@ -171,14 +171,15 @@
 	f.meanCost += (cost - f.meanCost) * drrCostSmoothing
 }
 
-// shuffleSharded is Kubernetes' API priority and fairness (KEP-1040) at one priority level. The hash of a
-// principal's name selects its hand, a few of the shards. A request joins the shortest shard of the hand, and the shard with
-// the lowest finish tag is dispatched next. With a hand of one this is stochastic fair queueing (P. McKenney, 1990).
+// shuffleSharded is Kubernetes' API priority and fairness (KEP-1040) with one priority level. The queue is divided into
+// shards. The hash of a principal's name selects a few shards, the hand of the principal. A request joins the shortest shard
+// of the hand, and the shard with the lowest finish tag is served next. With a hand of one shard this is stochastic fair
+// queueing (P. McKenney, 1990).
 type shuffleSharded struct {
 	shards      []shard
 	handSize    int
 	virtualTime float64
-	meanCost    float64 // s
+	meanCost    float64 // seconds
 }
 
 type shard struct {
@@ -188,10 +189,10 @@
 
 const (
 	shardCostSmoothing = 0.05 // weight of one request in the mean cost
-	shardCapacity      = 3    // multiple of an equal share of maxQueued that a shard may hold: most shards are empty
+	shardCapacity      = 3    // maximum length of a shard as a multiple of maxQueued per shard; it is above 1 because most shards are empty
 )
 
-// NewShuffleSharded returns shuffle sharding over a number of shards, with hands of handSize shards.
+// NewShuffleSharded returns shuffle sharding with the given number of shards. Each hand has handSize shards.
 func NewShuffleSharded(shards, handSize int) discipline {
 	return &shuffleSharded{shards: make([]shard, shards), handSize: handSize, meanCost: initialCost}
 }
@@ -204,7 +205,7 @@
 	return nil
 }
 
-// shardFor returns the index of the shortest shard in the hand of a request's principal.
+// shardFor returns the index of the shortest shard in the hand of the request's principal.
 func (s *shuffleSharded) shardFor(r *queuedRequest) int {
 	rng := rand.New(rand.NewPCG(xxhash.Sum64String(r.principal()), 1))
 	shortest, length := 0, math.MaxInt
--- a/internal/simulation/admissionsim/limits.go
+++ b/internal/simulation/admissionsim/limits.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Fixed is a Limit that does not change.
+// Fixed is a Limit with a constant value.
 type Fixed int
 
 // Current implements Limit.
@@ -21,7 +21,7 @@
 	maxLimit     = 1024
 )
 
-// adaptiveLimit is a limit that changes between minLimit and maxLimit.
+// adaptiveLimit is a limit that varies between minLimit and maxLimit.
 type adaptiveLimit struct{ limit float64 }
 
 // Current implements Limit.
@@ -37,7 +37,7 @@
 // minWindowSamples is the minimum number of requests in a window.
 const minWindowSamples = 32
 
-// window collects latency samples until it has a minimum duration and a minimum number of samples.
+// window collects latency samples until it covers a minimum duration and has a minimum number of samples.
 type window struct {
 	start, latencySum    time.Duration
 	samples, maxInFlight int
@@ -45,8 +45,8 @@
 
 // windowStats holds the statistics of a complete window.
 type windowStats struct {
-	meanLatency float64 // s
-	rate        float64 // requests ended per second
+	meanLatency float64 // seconds
+	rate        float64 // number of requests that ended per second
 	maxInFlight int
 }
 
@@ -70,8 +70,8 @@
 	return stats, true
 }
 
-// AIMD is additive increase, multiplicative decrease: the limit grows by one request for each limit's worth of timely
-// answers, and shrinks by 2% for each rejection and each answer later than MaxLatency.
+// AIMD is additive increase, multiplicative decrease. The limit grows by one request each time as many answers as the
+// limit arrive in time, and shrinks by 2% for each rejection and for each answer later than MaxLatency.
 type AIMD struct {
 	MaxLatency time.Duration
 	adaptiveLimit
@@ -89,24 +89,25 @@
 }
 
 // Gradient is Gradient2 with a WindowedLimit from Netflix's library concurrency-limits. It multiplies the limit by the
-// ratio of the long-term mean latency to the mean latency of a window, and adds space for a queue.
+// ratio of the long-term mean latency to the mean latency of a window, and adds a number of requests that may wait in a
+// queue.
 type Gradient struct {
 	adaptiveLimit
 	window
-	longTermLatency float64 // s; 0: unknown
+	longTermLatency float64 // seconds; 0 if unknown
 }
 
 // Observe implements Limit.
 func (l *Gradient) Observe(now, latency time.Duration, inFlight int, _ bool) {
 	const (
 		minDuration = 100 * time.Millisecond
-		longWindow  = 600  // windows in the long-term mean
-		driftRatio  = 2    // a long-term mean above this multiple of the window's mean decays
-		driftDecay  = 0.95 // per window
-		tolerance   = 1.5  // of latency over the long-term mean
+		longWindow  = 600  // number of windows over which the long-term mean is taken
+		driftRatio  = 2    // a long-term mean above this multiple of a window's mean decays
+		driftDecay  = 0.95 // factor by which the long-term mean decays per window
+		tolerance   = 1.5  // ratio of a window's latency to the long-term mean up to which the limit does not shrink
 		minGradient = 0.5
-		queueSize   = 4   // requests
-		smoothing   = 0.2 // weight of the new limit
+		queueSize   = 4   // number of requests added to the limit
+		smoothing   = 0.2 // weight of the new limit in the average of the old and the new one
 		minLatency  = 1e-9
 	)
 	stats, ended := l.add(now, latency, inFlight, minDuration)
@@ -128,21 +129,21 @@
 	l.setLimit(l.limit*(1-smoothing) + next*smoothing)
 }
 
-// RateDelay applies the model of BBR to requests: the limit is the highest recent rate of answers times the lowest recent
-// mean latency times a gain.
+// RateDelay applies the model of BBR to requests. The limit is the product of the highest recent rate of answers, the
+// lowest recent mean latency and a gain.
 type RateDelay struct {
 	adaptiveLimit
 	window
-	rates  []float64 // of the last windows, answers per second
-	delays []float64 // of the last windows, mean latencies in seconds
+	rates  []float64 // answers per second in the last windows
+	delays []float64 // mean latencies of the last windows in seconds
 }
 
 // Observe implements Limit.
 func (l *RateDelay) Observe(now, latency time.Duration, inFlight int, rejected bool) {
 	const (
 		minDuration  = 100 * time.Millisecond
-		delayWindows = 50 // the lowest mean latency of this many windows is used
-		rateWindows  = 10 // the highest rate of this many windows is used
+		delayWindows = 50 // number of windows whose lowest mean latency is used
+		rateWindows  = 10 // number of windows whose highest rate is used
 		gain         = 1.25
 	)
 	if rejected {
@@ -160,19 +161,19 @@
 	l.setLimit(gain * slices.Max(recent) * slices.Min(l.delays))
 }
 
-// Vegas applies the rule of TCP Vegas to requests, once per window: it estimates how many requests are waiting from the
-// lowest mean latency ever observed.
+// Vegas applies the rule of TCP Vegas to requests, once per window. It estimates the number of waiting requests from the
+// current mean latency and the lowest mean latency observed so far.
 type Vegas struct {
 	adaptiveLimit
 	window
-	baseLatency float64 // s; 0: unknown
+	baseLatency float64 // seconds; 0 if unknown
 }
 
 // Observe implements Limit.
 func (l *Vegas) Observe(now, latency time.Duration, inFlight int, _ bool) {
 	const (
 		minDuration = 50 * time.Millisecond
-		minUsage    = 0.8 // the limit grows only if more than this fraction of it was used
+		minUsage    = 0.8 // the limit grows only if more than this fraction of it is used
 		growth      = 1.15
 		decrease    = 0.85
 	)
@@ -184,7 +185,7 @@
 		l.baseLatency = stats.meanLatency
 	}
 	waiting := l.limit * (1 - l.baseLatency/stats.meanLatency)
-	alpha := 3*math.Log10(l.limit) + l.limit/4 // the thresholds of Vegas, in requests
+	alpha := 3*math.Log10(l.limit) + l.limit/4 // the thresholds of Vegas, in waiting requests
 	beta := 6*math.Log10(l.limit) + l.limit/2
 	switch {
 	case waiting > beta:
--- a/internal/simulation/admissionsim/queue.go
+++ b/internal/simulation/admissionsim/queue.go
@@ -10,38 +10,38 @@
 type Limit interface {
 	// Current returns the limit in requests.
 	Current() int
-	// Observe reports a request that has ended: its latency, the number of requests in flight including it, and whether the
-	// balancer rejected it.
+	// Observe reports a request that has ended: its latency, the number of requests in flight including this one, and
+	// whether the balancer rejected the request.
 	Observe(now, latency time.Duration, inFlight int, rejected bool)
 }
 
 // discipline orders the requests that a Queue holds.
 type discipline interface {
 	enqueue(r *queuedRequest)
-	// dequeue removes and returns the next request, or nil if there is none.
+	// dequeue removes and returns the next request. It returns nil if the queue is empty.
 	dequeue(now time.Duration) *queuedRequest
 	// observeCost reports the cost, in seconds, of an admitted request that has ended.
 	observeCost(r *queuedRequest, cost float64)
 	// evict makes space for an arriving request. It removes and returns the request to reject, which may be the arriving
-	// one; nil: there is space.
+	// request. It returns nil if there is space.
 	evict(arriving *queuedRequest, queued, maxQueued int) *queuedRequest
 }
 
-// queuedRequest is a request in a Queue, from its arrival until its answer.
+// queuedRequest is a request in a Queue. It exists from the arrival of the request until its answer.
 type queuedRequest struct {
 	ticket      admission.Ticket
 	arrival     admission.Arrival
 	arrivedAt   time.Duration
 	admittedAt  time.Duration
-	shard       int     // of shuffleSharded
-	chargedCost float64 // of shuffleSharded, s
+	shard       int     // index of the shard, used by shuffleSharded
+	chargedCost float64 // seconds charged to the shard, used by shuffleSharded
 }
 
 // principal returns the name of a request's principal.
 func (r *queuedRequest) principal() string { return r.arrival.Group + "\x00" + r.arrival.Flow }
 
-// Queue is an AdmissionControl made of a discipline and a limit. If it is full, it rejects the request that
-// its discipline chooses. It also rejects requests that have waited until their deadline. It sends no Retry-After.
+// Queue is an AdmissionControl that consists of a discipline and a limit. If it is full, it rejects the request that its
+// discipline chooses. It also rejects requests that have waited until their deadline. It sends no Retry-After.
 type Queue struct {
 	discipline discipline
 	limit      Limit
@@ -75,7 +75,7 @@
 	return r.ticket, q.dispatch(now, actions)
 }
 
-// dispatch admits waiting requests up to the limit, and rejects those past their deadline.
+// dispatch admits waiting requests up to the limit, and rejects waiting requests whose deadline has passed.
 func (q *Queue) dispatch(now time.Duration, actions []admission.Action) []admission.Action {
 	for q.queued > 0 && q.inFlight < q.limit.Current() {
 		r := q.discipline.dequeue(now)
@@ -114,5 +114,5 @@
 	return q.dispatch(now, actions)
 }
 
-// Next implements AdmissionControl. A Queue needs no Wake call.
+// Next implements AdmissionControl. It returns false, because a Queue needs no calls of Wake.
 func (q *Queue) Next() (time.Duration, bool) { return 0, false }
--- a/internal/simulation/admissionsim/simulation.go
+++ b/internal/simulation/admissionsim/simulation.go
@@ -22,36 +22,36 @@
 type Client struct {
 	Group, Flow      string
 	Class            string
-	MeanServiceTime  time.Duration // of its requests, drawn from an exponential distribution
-	HintFactor       float64       // the cost hint over the service time; 0: no hints
-	Rate             float64       // first requests per second, as a Poisson process; 0: none
-	ClosedLoops      int           // in addition to Rate: loops that send a request once the previous one is answered
-	ThinkTime        time.Duration // of a closed loop after an answer
-	MaxAttempts      int           // of one request; 0: 1
-	HonorsRetryAfter bool          // it retries after the Retry-After time, and not at once
-	MarksRetries     bool          // its retries are marked as retries
-	From, To         time.Duration // when it sends, since the start; To 0: until the end
-	FlowPerRequest   bool          // each attempt has a flow of its own, in place of Flow
+	MeanServiceTime  time.Duration // mean of the exponentially distributed service time of the client's requests
+	HintFactor       float64       // ratio of the cost hint to the service time; 0 means that the client sends no hints
+	Rate             float64       // rate of a Poisson process of first requests per second; 0 means none
+	ClosedLoops      int           // number of loops, in addition to Rate, that send a request once the previous one is answered
+	ThinkTime        time.Duration // pause of a closed loop after an answer
+	MaxAttempts      int           // maximum number of attempts of a request; 0 means 1
+	HonorsRetryAfter bool          // the client retries after the Retry-After time, and not at once
+	MarksRetries     bool          // the client marks its retries as retries
+	From, To         time.Duration // the client sends between these times since the start; if To is 0, until the end
+	FlowPerRequest   bool          // each attempt has its own flow in place of Flow
 }
 
-// Run is a run's parameters.
+// Run holds the parameters of a run.
 type Run struct {
 	Nodes        int
-	Slowdown     func(t time.Duration) float64 // factor on all service times, by the time since the start; nil: 1
-	MaxNodeQueue int                           // maximum number of requests that wait at a node; 0: 1000
+	Slowdown     func(t time.Duration) float64 // returns the factor of all service times at a time since the start; nil means 1
+	MaxNodeQueue int                           // maximum number of requests that wait at a node; 0 means 1000
 	Classes      []balancer.Class
-	Settings     balancer.Settings // its Classes are replaced by those above
+	Settings     balancer.Settings // settings of the balancer, in which Classes above replaces the field Classes
 	Clients      []Client
 	Length       time.Duration
 	Seed         uint64
-	Interval     time.Duration // of the time series in the results; 0: 1 s
+	Interval     time.Duration // length of an interval in the results; 0 means 1 s
 }
 
 const (
 	defaultMaxNodeQueue = 1000 // requests
 	defaultInterval     = time.Second
-	samplingPeriod      = 10 * time.Millisecond  // of the number in flight
-	networkDelay        = 300 * time.Microsecond // from a node back to the sidecar
+	samplingPeriod      = 10 * time.Millisecond  // period at which the number of requests in flight is sampled
+	networkDelay        = 300 * time.Microsecond // delay of an answer from a node to the sidecar
 	origin              = virtualtime.Origin
 	trafficStream       = 7 // selects the clients' stream of random numbers
 )
@@ -66,20 +66,21 @@
 	nodes    map[string]*node
 	result   Result
 
-	inFlight        map[string]*clientAttempt // admitted, by ID
+	inFlight        map[string]*clientAttempt // admitted attempts by ID
 	byTicket        map[admission.Ticket]*clientAttempt
 	inFlightCount   int
 	lastID          int
 	lastFingerprint uint64
-	controlWakeAt   time.Duration // when the next Wake call is scheduled; 0: none is
+	controlWakeAt   time.Duration // time of the next scheduled call of Wake; 0 if none is scheduled
 	balancerTimerAt time.Duration
 	actionBuffer    []admission.Action
 
-	serviceTime time.Duration // of all nodes
+	serviceTime time.Duration // total service time of all nodes
 	wastedTime  time.Duration // the part of serviceTime that was spent on late answers and on attempts that had already ended
 }
 
-// Play simulates a run with an admission control. The error names an invalid balancer setting.
+// Play simulates a run with an admission control. It returns an error if a balancer setting is
+// invalid.
 func Play(r Run, control AdmissionControl) (*Result, error) {
 	if r.MaxNodeQueue == 0 {
 		r.MaxNodeQueue = defaultMaxNodeQueue
@@ -128,7 +129,7 @@
 	s.handleEvent(balancer.EndpointUpdate{Kind: balancer.FullUpdate, Endpoints: list})
 }
 
-// sampleInFlight schedules samples of the number of requests in flight throughout the run.
+// sampleInFlight schedules the samples of the number of requests in flight for the whole run.
 func (s *simulation) sampleInFlight() {
 	samplesPerInterval := float64(s.run.Interval / samplingPeriod)
 	for t := time.Duration(0); t < s.run.Length; t += samplingPeriod {
@@ -143,7 +144,7 @@
 	return min(len(s.result.InFlightByInterval)-1, int((s.Now()-origin)/s.run.Interval))
 }
 
-// class returns a client's class, or the first class if the client's is unknown.
+// class returns a client's class. If the client names an unknown class, it returns the first class.
 func (s *simulation) class(c *Client) *balancer.Class {
 	for i := range s.run.Classes {
 		if s.run.Classes[i].Name == c.Class {
--- a/internal/simulation/admissionsim/simulation_test.go
+++ b/internal/simulation/admissionsim/simulation_test.go
@@ -64,8 +64,8 @@
 }
 
 // TestQuietClientsBesideFlood guards against one client that starves the others by its rate, its flows, its retries or wrong
-// cost hints. The quiet clients get at least 0.98 of the answers within the latency objective that they get alone. Behind a
-// FIFO queue they get less, which shows that the flood is strong enough.
+// cost hints. Beside this client the others have to get at least 0.98 of the answers within the latency objective that they
+// get without it. With a FIFO queue they get far less, which shows that the flood is strong enough.
 func TestQuietClientsBesideFlood(t *testing.T) {
 	const n = 20
 	flood := Client{Group: "script", Class: "search", MeanServiceTime: meanServiceTime, Rate: 50 * capacity / (n + 1), ClosedLoops: 200, MaxAttempts: 3}
@@ -76,7 +76,7 @@
 	}
 	alone := shareWithinObjective(play(t, 10, quietClients(n, 20), nil, newAdmissionQueue(nil)).Clients[:n])
 	if alone < 0.97 {
-		t.Fatalf("quiet clients alone got %.3f of their answers within the objective, want at least 0.97", alone)
+		t.Fatalf("quiet clients alone got a fraction of %.3f of their answers within the objective, want at least 0.97", alone)
 	}
 	for name, client := range map[string]Client{
 		"one flow":                      flood,
@@ -89,18 +89,18 @@
 		t.Run(name, func(t *testing.T) {
 			result := play(t, 10, append(quietClients(n, 20), client), nil, newAdmissionQueue(nil))
 			if got := shareWithinObjective(result.Clients[:n]); got < 0.98*alone {
-				t.Errorf("quiet clients got %.3f of their answers within the objective beside the flood, %.3f alone; want at least 0.98 of that", got, alone)
+				t.Errorf("quiet clients got a fraction of %.3f of their answers within the objective beside the flood, and %.3f alone; want at least 0.98 of the latter", got, alone)
 			}
 		})
 	}
 	fifo := play(t, 10, append(quietClients(n, 20), flood), nil, NewQueue(NewFIFO(), Fixed(2*nodeCount), 256))
 	if got := shareWithinObjective(fifo.Clients[:n]); got > 0.5 {
-		t.Errorf("behind a FIFO queue the quiet clients got %.3f of their answers within the objective, want at most 0.5: the flood is too weak", got)
+		t.Errorf("behind a FIFO queue the quiet clients got a fraction of %.3f of their answers within the objective, want at most 0.5; the flood is too weak", got)
 	}
 }
 
-// TestFairShares checks that clients with equal demand above capacity get equal shares, that the shares follow a weight that
-// changes under load, and that retries at their reserved time are served.
+// TestFairShares checks that clients with equal demand above the capacity get equal shares, and that retries at their
+// reserved time are served. It also checks that the shares follow a weight that changes under load.
 func TestFairShares(t *testing.T) {
 	const n = 10
 	r := play(t, 10, quietClients(n, 240), nil, newAdmissionQueue(nil))
@@ -114,7 +114,7 @@
 		t.Errorf("Jain's fairness index is %.3f for answers by client %v, want at least 0.98", index, got)
 	}
 	if returns < 1000 || float64(served) < 0.9*float64(returns) {
-		t.Errorf("%d of %d retries at their reserved time were served, want at least 1000 retries and 0.9 of them served", served, returns)
+		t.Errorf("%d of %d retries at their reserved time were served, want at least 1000 retries, of which at least 0.9 are served", served, returns)
 	}
 	r = play(t, 10, quietClients(n, 240), nil, &reweighedQueue{Queue: newAdmissionQueue(nil), at: origin + 5*time.Second})
 	ratio := func(from, to int) float64 {
@@ -131,11 +131,11 @@
 		return first / others
 	}
 	if before, after := ratio(1, 5), ratio(6, 10); before < 0.9 || before > 1.1 || after < 1.7 || after > 2.3 {
-		t.Errorf("a client got %.2f times the answers of another before its weight was doubled, %.2f times after; want about 1 and 2", before, after)
+		t.Errorf("the first client got %.2f times the answers of another client before its weight was doubled and %.2f times afterwards, want about 1 and 2", before, after)
 	}
 }
 
-// reweighedQueue doubles the first client's weight at the first arrival after a time.
+// reweighedQueue doubles the first client's weight when the first request arrives after the time at.
 type reweighedQueue struct {
 	*admission.Queue
 	at   time.Duration
@@ -153,7 +153,7 @@
 }
 
 // TestUpstreamsSlowDownEightfold guards against a concurrency limit that collapses while all nodes are eight times slower.
-// The remaining capacity is used, and the former goodput is back within two seconds.
+// The remaining capacity has to be used, and goodput has to recover within two seconds after the slowdown.
 func TestUpstreamsSlowDownEightfold(t *testing.T) {
 	slowdown := func(at time.Duration) float64 {
 		if at >= 8*time.Second && at < 16*time.Second {
@@ -163,17 +163,18 @@
 	}
 	r := play(t, 24, quietClients(10, 240), slowdown, newAdmissionQueue(nil))
 	before, during, after := r.goodput(3, 8), r.goodput(11, 16), r.goodput(18, 24)
-	if inFlight := r.InFlightByInterval[6]; inFlight < nodeCount || inFlight > 5*nodeCount { // the limit finds the base latency although the run starts under load
-		t.Errorf("%.0f requests in flight before the slowdown, want one to five for each of 24 nodes", inFlight)
+	if inFlight := r.InFlightByInterval[6]; inFlight < nodeCount || inFlight > 5*nodeCount { // the limit has found the base latency although the run started under load
+		t.Errorf("%.0f requests in flight before the slowdown, want one to five per node for 24 nodes", inFlight)
 	}
 	t.Logf("goodput per second: %.0f before the slowdown, %.0f during it, %.0f from two seconds after it", before, during, after)
 	if before < 850 || during < 0.3*capacity/8 || after < 0.9*before {
-		t.Errorf("goodput per second: %.0f before the slowdown, %.0f during it, %.0f from two seconds after it; want at least 850, 45 and 0.9 of the first", before, during, after)
+		t.Errorf("goodput per second: %.0f before the slowdown, %.0f during it, %.0f from two seconds after it; want at least 850, 45 and 0.9 of the value before", before, during, after)
 	}
 }
 
-// TestRetryStorm guards against clients that keep a service overloaded by retrying at once, with marked retries. The former
-// goodput is back within a second after the storm, and a retry budget lowers the ratio of admitted retries to first attempts.
+// TestRetryStorm guards against clients that keep a service overloaded by retrying at once. The clients mark their retries.
+// Goodput has to recover within a second after the storm, and a retry budget has to lower the ratio of admitted retries to
+// admitted first attempts.
 func TestRetryStorm(t *testing.T) {
 	clients := quietClients(20, 42)
 	for i := range clients {
@@ -185,7 +186,7 @@
 	retriesAdmitted := func(budget float64) float64 {
 		r := play(t, 18, clients, nil, newAdmissionQueue(func(o *admission.Options) { o.RetryRatio = budget }))
 		if before, during, after := r.goodput(1, 5), r.goodput(6, 12), r.goodput(13, 18); during < before || after < 0.95*before {
-			t.Errorf("goodput per second: %.0f before the storm, %.0f in it, %.0f from a second after it; want no loss in it and at least 0.95 of the first after it", before, during, after)
+			t.Errorf("goodput per second: %.0f before the storm, %.0f during it, %.0f from one second after it; want at least the value before during the storm, and 0.95 of it afterwards", before, during, after)
 		}
 		first, retries := 0, 0
 		for _, c := range r.Clients {
@@ -194,12 +195,12 @@
 		return float64(retries) / float64(first)
 	}
 	if with, without := retriesAdmitted(0.05), retriesAdmitted(100); with > 0.8*without {
-		t.Errorf("admitted retries per admitted first attempt: %.3f with a budget of 0.05, %.3f without one; want at most 0.8 of that", with, without)
+		t.Errorf("admitted retries per admitted first attempt: %.3f with a retry budget of 0.05, %.3f without; want at most 0.8 of the latter", with, without)
 	}
 }
 
-// TestReturnsAreSpread guards against a burst of retries: a thousand clients that are rejected in one moment and honor
-// Retry-After come back spread over time, and are served.
+// TestReturnsAreSpread guards against a burst of retries. A thousand clients are rejected at the same moment and honor
+// Retry-After. Their retries have to be spread over time and served.
 func TestReturnsAreSpread(t *testing.T) {
 	clients := []Client{{Group: "quiet", Class: "search", MeanServiceTime: meanServiceTime, Rate: 500}}
 	for i := range 1000 {
@@ -212,6 +213,6 @@
 		first, returns, served = first+c.FirstRequests, returns+c.ReservedReturns, served+c.ReservedServed
 	}
 	if first < 1000 || returns < first/3 || float64(served) < 0.9*float64(returns) {
-		t.Errorf("of %d requests in one moment %d were retried at their reserved time and %d of these were served; want a third and 0.9 of them", first, returns, served)
+		t.Errorf("of %d requests at the same moment %d were retried at their reserved time, and %d of these retries were served; want at least 1000 requests, a third of them retried and 0.9 of the retries served", first, returns, served)
 	}
 }
--- a/internal/simulation/admissionsim/traffic.go
+++ b/internal/simulation/admissionsim/traffic.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	requestBytes     = 512                   // of a request's body
-	loopStartSpread  = time.Millisecond      // within which closed loops start at random
-	loopDelay        = time.Millisecond      // of a closed loop after an answer, in addition to its think time
-	minRetryDelay    = time.Millisecond      // of a client that retries at once
+	requestBytes     = 512                   // size of a request's body
+	loopStartSpread  = time.Millisecond      // closed loops start at random within this time
+	loopDelay        = time.Millisecond      // pause of a closed loop after an answer, in addition to its think time
+	minRetryDelay    = time.Millisecond      // delay of a client that retries at once
 	retryDelaySpread = 20 * time.Millisecond // maximum random addition to minRetryDelay
 	returnSpread     = 5 * time.Millisecond  // maximum random addition to Retry-After
 )
@@ -22,17 +22,17 @@
 	client      int // index in Run.Clients
 	closedLoop  bool
 	serviceTime time.Duration
-	firstSentAt time.Duration // when the first attempt was sent
-	sentAt      time.Duration // when this attempt was sent
+	firstSentAt time.Duration // time at which the first attempt of the request was sent
+	sentAt      time.Duration // time at which this attempt was sent
 	deadline    time.Duration
-	number      int // from 1
+	number      int // number of the attempt within the request, from 1
 	fingerprint uint64
 	ticket      admission.Ticket
 
 	answered          bool
 	attempts          []*upstreamAttempt
-	honoredRetryAfter bool // it was sent after waiting for Retry-After
-	reserved          bool // capacity was reserved for it at that time
+	honoredRetryAfter bool // the attempt was sent after waiting for Retry-After
+	reserved          bool // capacity was reserved for the attempt at the time that Retry-After named
 }
 
 // sends reports whether a client sends new requests now.
@@ -74,14 +74,14 @@
 	s.send(&clientAttempt{client: i, closedLoop: closedLoop, serviceTime: serviceTime, firstSentAt: s.Now(), number: 1, fingerprint: s.lastFingerprint})
 }
 
-// continueLoop sends the next request of a closed loop after its think time.
+// continueLoop sends the next request of a closed loop after the think time.
 func (s *simulation) continueLoop(a *clientAttempt) {
 	if a.closedLoop {
 		s.At(s.Now()+loopDelay+s.run.Clients[a.client].ThinkTime, func() { s.sendRequest(a.client, true) })
 	}
 }
 
-// send passes an attempt to the admission control.
+// send passes an attempt of a client to the admission control.
 func (s *simulation) send(a *clientAttempt) {
 	c := &s.run.Clients[a.client]
 	s.result.Clients[a.client].Attempts++
--- a/internal/simulation/admissionsim/upstreams.go
+++ b/internal/simulation/admissionsim/upstreams.go
@@ -14,7 +14,7 @@
 	busy  bool
 }
 
-// upstreamAttempt is one attempt of the balancer to have a node serve an admitted attempt of a client.
+// upstreamAttempt is one attempt of the balancer at a node, for an admitted attempt of a client.
 type upstreamAttempt struct {
 	request   *clientAttempt
 	number    int
@@ -66,8 +66,8 @@
 	s.serveNext(n)
 }
 
-// serveNext starts the next attempt in the queue of an idle node. It skips attempts that have ended: their connections are
-// closed.
+// serveNext starts the next attempt in the queue if the node is idle. It skips attempts that have ended, because their
+// connections are closed.
 func (s *simulation) serveNext(n *node) {
 	for !n.busy && len(n.queue) > 0 {
 		a := n.queue[0]
@@ -100,7 +100,7 @@
 	}
 }
 
-// endAttempt reports an attempt's outcome to the balancer. Outcomes after the first one are ignored.
+// endAttempt reports the outcome of an attempt to the balancer. It ignores all outcomes of an attempt but the first.
 func (s *simulation) endAttempt(a *upstreamAttempt, result balancer.Result) {
 	if a.ended {
 		return
@@ -113,7 +113,8 @@
 	s.handleEvent(balancer.Outcome{ID: request.id, Attempt: a.number, Result: result, Elapsed: s.Now() - a.startedAt, Final: request.answered})
 }
 
-// answer gives a request its final answer: OK, Rejected, or any other result for a failure.
+// answer gives a request its final answer. result is OK for a served request, Rejected for a rejected request, and any
+// other value for a failed request.
 func (s *simulation) answer(id string, result balancer.Result, retryAfter time.Duration) {
 	a := s.inFlight[id]
 	if a == nil || a.answered {
--- a/internal/simulation/experiment/compare.go
+++ b/internal/simulation/experiment/compare.go
@@ -1,12 +1,12 @@
 package experiment
 
-// Difference is a statistically significant change of a policy's metric between two sets of results: the confidence interval of the
-// difference of the medians does not contain 0.
+// Difference is a statistically significant change of a policy's metric between two sets of results. Significant means that the
+// confidence interval of the difference of the medians does not contain 0.
 type Difference struct {
 	Policy, Metric string
 	Before, After  float64
-	Low, High      float64 // of After - Before
-	Regression     float64 // fraction of Before by which After is worse; negative: better
+	Low, High      float64 // confidence interval of After - Before
+	Regression     float64 // fraction of Before by which After is worse; it is negative if After is better
 }
 
 // Compare returns the statistically significant differences between two sets of results of the same experiment.
--- a/internal/simulation/experiment/experiment.go
+++ b/internal/simulation/experiment/experiment.go
@@ -10,7 +10,7 @@
 	"orchiddrift/internal/units"
 )
 
-// The policy names of the real balancer: with all features, and without hedged requests.
+// The policy names that stand for the real balancer: with all features, and without hedged requests.
 const (
 	BalancerPolicy  = "ours"
 	NoHedgingPolicy = "ours, no second copies"
@@ -101,7 +101,7 @@
 	Factor   float64        `toml:"factor" default:"5.0" doc:"Factor on the service times, for slow."`
 }
 
-// LoadFile reads and validates an experiment file. An invalid file gives a *Problems error.
+// LoadFile reads and validates an experiment file. It returns a *Problems error if the file is invalid.
 func LoadFile(path string) (*Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return Parse(path, text)
 }
 
-// Parse parses and validates the text of an experiment file. Errors contain name as the file's name.
+// Parse parses and validates the text of an experiment file. Errors name the file as name.
 func Parse(name string, text []byte) (*Experiment, error) {
 	e := &Experiment{}
 	doc := tomlfile.Decode(text, e)
--- a/internal/simulation/experiment/experiment_test.go
+++ b/internal/simulation/experiment/experiment_test.go
@@ -49,9 +49,9 @@
 	return results
 }
 
-// TestResultsAreEqualToTheByte guards against results that depend on the order in which workers finish, or on an interruption: one
-// worker, four workers, and a run that is interrupted in the middle of a line and resumed give byte-identical files. Results of another
-// experiment or version are not appended to.
+// TestResultsAreEqualToTheByte guards against results that depend on the order in which workers finish, or on an interruption. Three
+// runs have to give byte-identical files: with one worker, with four workers, and with an interruption in the middle of a line and a
+// resumption. Results of another experiment or version must not be appended to.
 func TestResultsAreEqualToTheByte(t *testing.T) {
 	e := parse(t, smallExperiment+"[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"3s\"\npart = 0.5\n[[fault]]\nkind = \"cut\"\nat = \"5s\"\nfor = \"1s\"\nzone = 1\n")
 	dir := t.TempDir()
@@ -73,9 +73,9 @@
 	}
 	partial, err := os.ReadFile(resumed)
 	if err != nil || len(partial) == len(want) {
-		t.Fatalf("the interrupted run wrote a complete results file, or none: %v", err)
+		t.Fatalf("the interrupted run wrote a complete results file, or no results file: %v", err)
 	}
-	if err := os.WriteFile(resumed, partial[:len(partial)-30], 0o600); err != nil { // in the middle of a line
+	if err := os.WriteFile(resumed, partial[:len(partial)-30], 0o600); err != nil { // cuts the file in the middle of a line
 		t.Fatal(err)
 	}
 	runExperiment(t, e, Runner{Workers: 2}, resumed)
@@ -85,14 +85,14 @@
 		}
 	}
 	if err := (Runner{}).Run(t.Context(), parse(t, smallExperiment), oneWorker); !errors.Is(err, ErrMismatch) {
-		t.Errorf("running another experiment into the same file: got error %v, want ErrMismatch", err)
+		t.Errorf("running another experiment with the same results file: got error %v, want ErrMismatch", err)
 	}
 	if err := (Runner{Version: "2"}).Run(t.Context(), e, oneWorker); !errors.Is(err, ErrMismatch) {
-		t.Errorf("running another version into the same file: got error %v, want ErrMismatch", err)
+		t.Errorf("running another version with the same results file: got error %v, want ErrMismatch", err)
 	}
 }
 
-// faultyPolicy wraps another policy. By its behavior it panics, hangs, or picks from all nodes that were ever listed.
+// faultyPolicy wraps another policy. Its behavior is to panic, to hang, or to pick from all nodes that were ever listed.
 type faultyPolicy struct {
 	fleetsim.Policy
 	behavior   string
@@ -122,8 +122,8 @@
 	return p.Policy.Pick(now)
 }
 
-// TestFailuresNameMisbehavingPolicies checks that a policy that panics, hangs or sends to draining nodes is reported, and that the runs
-// of the other policies continue.
+// TestFailuresNameMisbehavingPolicies checks that a policy that panics, hangs or sends to draining nodes is reported, and that other
+// policies still run.
 func TestFailuresNameMisbehavingPolicies(t *testing.T) {
 	release, newRandom := make(chan struct{}), fleetsim.Policies["random"]
 	for _, misbehavior := range []string{"panics", "hangs", "strays"} {
@@ -151,8 +151,9 @@
 	}
 }
 
-// TestEachFaultLowersServedOperations guards against faults without an effect: each kind lowers the number of operations that a random
-// policy serves, without a violation. The balancer serves most operations during a deployment, and clients' retries add requests.
+// TestEachFaultLowersServedOperations guards against faults without an effect. Each kind of fault has to lower the number of operations
+// that a random policy serves, without breaking an invariant. The balancer has to serve most operations during a deployment, and
+// clients' retries have to add requests.
 func TestEachFaultLowersServedOperations(t *testing.T) {
 	play := func(policy, fault string) *fleetsim.Result {
 		t.Helper()
@@ -168,20 +169,20 @@
 	for kind, minDrop := range map[string]float64{"slow": 0.01, "freeze": 0.02, "errors": 0.01, "turn away": 0.005, "crash": 0.005, "cut": 0.02} {
 		result := play("random", "[[fault]]\nkind = \""+kind+"\"\nat = \"2s\"\nfor = \"4s\"\npart = 0.34\nfactor = 20.0\n")
 		if float64(unserved(result)-unserved(withoutFault)) < minDrop*float64(result.Operations) {
-			t.Errorf("fault %s: %d of %d operations were not served, %d without a fault; the fault has too little effect", kind, unserved(result), result.Operations, unserved(withoutFault))
+			t.Errorf("fault %s has too little effect: %d of %d operations were not served, and %d were not served without a fault", kind, unserved(result), result.Operations, unserved(withoutFault))
 		}
 	}
 	if result := play("ours", "[[fault]]\nkind = \"deploy\"\nat = \"1s\"\nfor = \"4s\"\npart = 0.25\n"); fraction(result.OperationsServed, result.Operations) < 0.97 || result.NodesOverloaded > 0 {
-		t.Errorf("deploy: served %d of %d operations, %d nodes were overloaded; want at least 0.97 of them and no overloaded node", result.OperationsServed, result.Operations, result.NodesOverloaded)
+		t.Errorf("deploy: %d of %d operations were served and %d nodes were overloaded; want at least 0.97 of the operations and no overloaded node", result.OperationsServed, result.Operations, result.NodesOverloaded)
 	}
 	overload := "[[load.step]]\nat = \"2s\"\nbusy = 3.0\n[[load.step]]\nat = \"4s\"\nbusy = 0.2\n"
 	withoutRetries, withRetries := play("ours", overload), play("ours", overload+"[clients]\ntries = 3\n")
 	if withoutRetries.Requests != withoutRetries.Operations || withRetries.Requests <= withRetries.Operations || withRetries.Operations < 3*withoutFault.Operations/2 {
-		t.Errorf("overload: %d requests for %d operations without retries, %d for %d with retries; %d operations at normal load", withoutRetries.Requests, withoutRetries.Operations, withRetries.Requests, withRetries.Operations, withoutFault.Operations)
+		t.Errorf("overload: %d requests for %d operations without retries, %d for %d with retries, and %d operations at normal load; want more requests with retries", withoutRetries.Requests, withoutRetries.Operations, withRetries.Requests, withRetries.Operations, withoutFault.Operations)
 	}
 }
 
-// TestLibraryExperimentsHaveNoFailures runs every experiment in lab/ with the balancer.
+// TestLibraryExperimentsHaveNoFailures checks that the balancer runs every experiment in lab/ without a failure.
 func TestLibraryExperimentsHaveNoFailures(t *testing.T) {
 	files, err := filepath.Glob("../../../lab/*.toml")
 	if err != nil || len(files) < 10 {
@@ -203,8 +204,8 @@
 	}
 }
 
-// TestParseRejectsInvalidFiles checks that each invalid experiment file gives an error that names the problem, and that a file without
-// results gives an error.
+// TestParseRejectsInvalidFiles checks that each invalid experiment file gives an error that names the problem, and that reading a file
+// without results fails.
 func TestParseRejectsInvalidFiles(t *testing.T) {
 	for text, want := range map[string]string{
 		"length = \"1s\"\n":                                                          "name",
@@ -224,7 +225,7 @@
 		smallExperiment + "[clients]\nwait = \"-1s\"\n":                              "not a duration",
 	} {
 		if _, err := Parse("x.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("Parse of %q: got error %v, which does not name the problem", text, err)
+			t.Errorf("Parse of %q: got error %v, want an error that names the problem", text, err)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "r")
@@ -238,8 +239,8 @@
 	}
 }
 
-// TestCompareFindsDifferencesBeyondChance checks that Compare reports only statistically significant differences, with their direction,
-// and that Summarize and DegradedTime compute the expected values.
+// TestCompareFindsDifferencesBeyondChance checks that Compare reports only statistically significant differences, with their direction.
+// It also checks the values that Summarize and DegradedTime compute.
 func TestCompareFindsDifferencesBeyondChance(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	resultsWith := func(p99, spread float64) (all []RunResult) {
@@ -252,11 +253,11 @@
 	for _, c := range []struct{ before, after, spread, worse float64 }{{200, 200, 10, 0}, {200, 201, 10, 0}, {200, 250, 10, 0.25}, {200, 150, 10, -0.25}} {
 		all := Compare(resultsWith(c.before, c.spread), resultsWith(c.after, c.spread), []string{BalancerPolicy})
 		if c.worse == 0 && len(all) > 0 || c.worse != 0 && (len(all) != 1 || all[0].Metric != "p99" || all[0].Regression < c.worse-0.1 || all[0].Regression > c.worse+0.1) {
-			t.Errorf("medians of p99 %+v: got differences %+v", c, all)
+			t.Errorf("p99 medians %+v: Compare returned the unexpected differences %+v", c, all)
 		}
 	}
 	if summary := Summarize([]float64{1, 2, 3, 4, 100}); summary.Median != 3 || summary.Low < 1 || summary.Low > 3 || summary.High < 3 || summary.High > 100 {
-		t.Errorf("summary of 1, 2, 3, 4, 100: got %+v", summary)
+		t.Errorf("unexpected summary of the values 1, 2, 3, 4, 100: %+v", summary)
 	}
 	points := []fleetsim.Point{{At: 0, Operations: 10, OperationsServed: 10}, {At: time.Second, Operations: 10, OperationsServed: 9}, {At: 2 * time.Second, Operations: 10, OperationsServed: 8},
 		{At: 3 * time.Second, Operations: 10, OperationsServed: 10}, {At: 4 * time.Second}}
--- a/internal/simulation/experiment/fleet_run.go
+++ b/internal/simulation/experiment/fleet_run.go
@@ -12,24 +12,24 @@
 	"orchiddrift/internal/units"
 )
 
-// Parameters of every run that an experiment file cannot set.
+// Parameters that are the same in every run and cannot be set in an experiment file.
 const (
-	maxAttempts              = 3 // of a request, under every policy
+	maxAttempts              = 3 // maximum attempts of a request, for every policy
 	maxRetryAfter            = 5 * time.Second
 	connectTimeout           = 500 * time.Millisecond
 	balancerTick             = 5 * time.Millisecond
 	overloadWindow           = 2 * time.Second
-	lateValueFraction        = 0.5                    // value of an answer after the latency objective, relative to one within it
-	defaultLatencyObjective  = 400 * time.Millisecond // of the class of a file without classes
-	defaultDeadline          = 2 * time.Second        // of that class
+	lateValueFraction        = 0.5                    // value of an answer after the latency objective, relative to an answer within it
+	defaultLatencyObjective  = 400 * time.Millisecond // latency objective of the only class if a file declares no classes
+	defaultDeadline          = 2 * time.Second        // deadline of that class
 	effectSafe, effectUnsafe = "safe", "unsafe"       // values of Class.Effect
 )
 
-// fleetRun returns the parameters of a policy's run with a seed.
+// fleetRun returns the parameters of a run of a policy with a seed.
 func (e *Experiment) fleetRun(policy string, seed int) (fleetsim.Run, error) {
 	baseUtilization := e.Load.Utilization
 	if baseUtilization == 0 {
-		baseUtilization = 1 // avoids dividing the steps by 0
+		baseUtilization = 1 // avoids a division of the load steps by 0
 	}
 	run := fleetsim.Run{
 		Sidecars:        e.Fleet.Sidecars,
@@ -70,7 +70,7 @@
 	return run, nil
 }
 
-// balancerSettings returns the balancers' settings, without the classes.
+// balancerSettings returns the settings of the balancers, without the classes.
 func (e *Experiment) balancerSettings(policy string) balancer.Settings {
 	return balancer.Settings{
 		MaxAttempts:          maxAttempts,
@@ -88,7 +88,7 @@
 	}
 }
 
-// classes returns the classes and the fraction of the traffic that each of them has.
+// classes returns the classes, and the fraction of the traffic of each class.
 func (e *Experiment) classes() (classes []balancer.Class, fractions []float64) {
 	declared := e.Classes
 	if len(declared) == 0 {
@@ -114,7 +114,7 @@
 	return classes, fractions
 }
 
-// discovery returns the discovery service; nil if the experiment has none.
+// discovery returns the discovery service, or nil if the experiment has none.
 func (e *Experiment) discovery() *fleetsim.Discovery {
 	d := e.Discovery
 	if d.TimeForAllCalls <= 0 {
@@ -144,12 +144,14 @@
 	return faults
 }
 
-// warmCapacity returns the rate that all nodes together can serve when warm, in requests per second.
+// warmCapacity returns the rate that all nodes together can serve when none is in slow start, in requests
+// per second.
 func (e *Experiment) warmCapacity() float64 {
 	return float64(e.Fleet.Nodes) / e.Fleet.MeanServiceTime.D().Seconds()
 }
 
-// PolicyNames returns the policies that the experiment compares: all policies if the file names none.
+// PolicyNames returns the policies that the experiment compares. If the file names none, it returns all
+// policies.
 func (e *Experiment) PolicyNames() []string {
 	if len(e.Policies) > 0 {
 		return e.Policies
--- a/internal/simulation/experiment/metrics.go
+++ b/internal/simulation/experiment/metrics.go
@@ -11,13 +11,13 @@
 // Metric is a number computed from the result of a run, for tables and comparisons.
 type Metric struct {
 	Name      string
-	Direction int // 1: higher is better; -1: lower is better
+	Direction int // 1 if higher values are better, -1 if lower values are better
 	Value     func(r *fleetsim.Result) float64
-	Digits    int // after the decimal point, in tables
+	Digits    int // number of digits after the decimal point in tables
 }
 
-// Metrics lists all metrics in the order of the table's columns. Latencies are in milliseconds, "fell" is a number of nodes, "not well" is in
-// seconds, and the others are per operation of the clients.
+// Metrics lists all metrics in the order of the table's columns. Latencies are in milliseconds, "fell" is the number of overloaded nodes, "not well" is
+// in seconds, and the other metrics are per operation of the clients.
 var Metrics = []Metric{
 	{"served", 1, func(r *fleetsim.Result) float64 { return fraction(r.OperationsServed, r.Operations) }, 4},
 	{"p50", -1, func(r *fleetsim.Result) float64 { return milliseconds(r.P50) }, 1},
@@ -45,8 +45,8 @@
 // healthyFraction is the lowest ratio of operations served to operations begun in an interval at which a fleet counts as healthy.
 const healthyFraction = 0.95
 
-// DegradedTime returns the total length of the intervals in which less than healthyFraction of the operations was served: the duration
-// of a fault and of its after-effects. The last interval does not count, because points do not tell when it ends.
+// DegradedTime returns the total length of the intervals in which a fraction of the operations below healthyFraction was served. It measures the
+// duration of a fault and of its after-effects. The last interval does not count, because points do not tell when it ends.
 func DegradedTime(points []fleetsim.Point) (sum time.Duration) {
 	for i := range points {
 		p := &points[i]
@@ -61,7 +61,7 @@
 type Summary struct{ Median, Low, High float64 }
 
 const (
-	resamples       = 2000 // per confidence interval
+	resamples       = 2000 // number of resamples for a confidence interval
 	confidence      = 0.95
 	bootstrapSeed   = 1979
 	bootstrapStream = 95
@@ -95,7 +95,7 @@
 	return statistics[int(tail*resamples)], statistics[int((1-tail)*resamples)-1]
 }
 
-// Summarize returns the summary of the values, of which there must be at least one.
+// Summarize returns the summary of values, which must not be empty.
 func Summarize(values []float64) Summary {
 	low, high := bootstrap(func(draw func([]float64) []float64) float64 { return median(draw(values)) })
 	return Summary{median(values), low, high}
--- a/internal/simulation/experiment/report.go
+++ b/internal/simulation/experiment/report.go
@@ -21,7 +21,7 @@
 }
 
 // Report writes a table of each policy's medians over the seeds with their confidence intervals, followed by the failures. A star marks
-// a value that no other policy improves on by a statistically significant margin.
+// a value if no other policy has a better value by a statistically significant margin.
 func Report(out io.Writer, head Header, runs []RunResult) error {
 	fmt.Fprintf(out, "%s (%d of %d runs)\n", head.Experiment, len(runs), len(head.Policies)*head.Seeds)
 	if head.Question != "" {
--- a/internal/simulation/experiment/results.go
+++ b/internal/simulation/experiment/results.go
@@ -15,7 +15,7 @@
 type Header struct {
 	Experiment string   `json:"experiment"`
 	Question   string   `json:"question,omitempty"`
-	Hash       string   `json:"hash"` // of the experiment file
+	Hash       string   `json:"hash"` // hash of the experiment file
 	Version    string   `json:"version"`
 	Policies   []string `json:"policies"`
 	Seeds      int      `json:"seeds"`
@@ -25,14 +25,16 @@
 type RunResult struct {
 	Policy string           `json:"policy"`
 	Seed   int              `json:"seed"`
-	Error  string           `json:"error,omitempty"` // why the run failed; empty if it did not
+	Error  string           `json:"error,omitempty"` // reason of a failed run; empty if the run succeeded
 	Result *fleetsim.Result `json:"result,omitempty"`
 }
 
-// ErrMismatch means that a results file belongs to another experiment, another version of it or another version of the program.
+// ErrMismatch is returned if a results file belongs to a different experiment, or to a different version of the experiment or of the
+// program.
 var ErrMismatch = errors.New("the results are of another experiment, or of another version of it or of this program")
 
-// readProgress returns the number of runs in a results file and the size of its complete lines in bytes. Both are 0 if there is no file.
+// readProgress returns the number of runs in a results file, and the total size of its complete lines in bytes. Both are 0 if the file
+// does not exist.
 func readProgress(path string, head Header) (done int, size int64, err error) {
 	f, err := os.Open(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -46,7 +48,7 @@
 	for first := true; ; first = false {
 		line, err := in.ReadBytes('\n')
 		if errors.Is(err, io.EOF) {
-			return done, size, nil // an incomplete line, from an interrupted write, does not count
+			return done, size, nil // an incomplete last line, left by an interrupted write, does not count
 		}
 		if err != nil {
 			return 0, 0, err
@@ -66,7 +68,7 @@
 	}
 }
 
-// Read reads a results file. On an error it also returns the results before the faulty line.
+// Read reads a results file. If a line is faulty, it returns an error together with the results before this line.
 func Read(path string) (head Header, runs []RunResult, err error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/simulation/experiment/runner.go
+++ b/internal/simulation/experiment/runner.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// Runner executes an experiment's runs.
+// Runner executes the runs of an experiment.
 type Runner struct {
-	Workers  int                                   // number of concurrent runs; below 1: 1
-	Timeout  time.Duration                         // wall-clock limit of a run; a run that exceeds it is reported as failed; 0: none
-	Version  string                                // of the program, for the header of the results
+	Workers  int                                   // number of concurrent runs; values below 1 mean 1
+	Timeout  time.Duration                         // wall-clock limit after which a run is reported as failed; 0 means no limit
+	Version  string                                // version of the program, written to the header of the results
 	OnResult func(done, all int, result RunResult) // called in the order of the runs, after each result was written; may be nil
 }
 
@@ -22,13 +22,13 @@
 type job struct {
 	policy string
 	seed   int
-	result chan RunResult // of capacity 1
+	result chan RunResult // has a capacity of 1
 }
 
-// Run executes all runs whose results are not in the file at path yet, and appends one line per run, in the order of
-// policies and seeds whatever the number of workers. The same experiment and version give the same bytes, also if Run was
-// interrupted and resumed. Run returns early when ctx is done; the lines written so far stay. If the file belongs to
-// another experiment or version, the error is ErrMismatch.
+// Run executes all runs whose results are not in the file at path yet, and appends one line per run. The lines are in the
+// order of policies and seeds, whatever the number of workers. The same experiment and version give the same bytes, even
+// if Run was interrupted and resumed. Run returns early when ctx ends, and the lines written so far stay in the file. If
+// the file belongs to another experiment or version, Run returns ErrMismatch.
 func (r Runner) Run(ctx context.Context, e *Experiment, path string) error {
 	header := Header{
 		Experiment: e.Name,
@@ -81,7 +81,7 @@
 	return f.Sync()
 }
 
-// openResults opens a results file for appending after its first size bytes; an incomplete line behind them is truncated.
+// openResults opens a results file for appending after its first size bytes. It truncates an incomplete line after them.
 func openResults(path string, size int64) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return f, nil
 }
 
-// startWorkers starts goroutines that execute jobs, in order, until ctx is done.
+// startWorkers starts goroutines that execute the jobs in order until ctx ends.
 func (r Runner) startWorkers(ctx context.Context, workers *sync.WaitGroup, e *Experiment, jobs []job) {
 	next := make(chan job)
 	for range max(1, r.Workers) {
@@ -120,8 +120,8 @@
 	})
 }
 
-// executeRun executes one run. A run that exceeds Timeout cannot be stopped: its goroutine continues, and its result is
-// discarded.
+// executeRun executes one run. A run that exceeds Timeout cannot be stopped: its goroutine continues, and executeRun
+// discards its result.
 func (r Runner) executeRun(e *Experiment, policy string, seed int) RunResult {
 	failed := RunResult{Policy: policy, Seed: seed}
 	run, err := e.fleetRun(policy, seed)
--- a/internal/simulation/experiment/validate.go
+++ b/internal/simulation/experiment/validate.go
@@ -9,7 +9,7 @@
 	"orchiddrift/internal/tomlfile"
 )
 
-// Problems is the error for an invalid experiment file. It holds every problem with its line.
+// Problems is the error for an invalid experiment file. It holds every problem with the line where it occurs.
 type Problems struct {
 	Name string
 	List []tomlfile.Problem
@@ -21,9 +21,9 @@
 const (
 	maxNodes    = 5000
 	maxSidecars = 2000
-	maxRequests = 100_000_000 // of a run
+	maxRequests = 100_000_000 // maximum number of requests in a run
 	maxSeeds    = 1000
-	maxPoints   = 10_000 // intervals of a run
+	maxPoints   = 10_000 // maximum number of intervals in a run
 )
 
 // validate reports every invalid value of the experiment to doc.
@@ -42,7 +42,7 @@
 	e.validateFaults(doc)
 }
 
-// reportOutside reports a value that is NaN or outside [lowest, highest].
+// reportOutside reports a value that is NaN or outside the range from lowest to highest.
 func reportOutside(doc *tomlfile.Document, key string, value, lowest, highest float64) {
 	if !(value >= lowest && value <= highest) {
 		doc.Report(key, "%v is not from %v to %v", value, lowest, highest)
@@ -64,7 +64,8 @@
 	reportOutside(doc, "clients.tries", float64(e.Clients.MaxRetries), 0, 100)
 }
 
-// validateTimes reports invalid lengths and intervals. It returns false if one is too short for the checks that follow.
+// validateTimes reports invalid lengths and intervals. It returns false if a time is too short for the checks that
+// follow.
 func (e *Experiment) validateTimes(doc *tomlfile.Document) bool {
 	if e.Fleet.MeanServiceTime.D() < time.Microsecond || e.Length.D() < time.Second || e.Interval.D() < time.Millisecond || e.Clients.InitialBackoff <= 0 {
 		doc.Report("", "length (1s), series (1ms), fleet.work (1us) and clients.wait need some time")
