--- a/internal/fakes/etcd.go
+++ b/internal/fakes/etcd.go
@@ -23,7 +23,7 @@
 	EtcdFine   EtcdFault = iota
 	EtcdRefuse           // the write is not applied, and the answer is an error: there is no leader
 	EtcdLose             // the write is applied, and the client gets a connection error
-	EtcdLate             // there is no answer; the write is applied after EtcdOptions.Late, when the client has given up
+	EtcdLate             // there is no answer; the client gives up, and the write is applied EtcdOptions.Late later
 	EtcdHang             // there is no answer, and the write is not applied
 )
 
--- a/internal/simulation/fleetsim/discovery.go
+++ b/internal/simulation/fleetsim/discovery.go
@@ -6,21 +6,21 @@
 	"orchiddrift/balancer"
 )
 
-// Discovery is a discovery service of fixed capacity. Each sidecar calls it for the list and then watches for changes. The
-// service answers calls in turn; a call that would wait longer than Timeout is rejected at once.
+// Discovery is a discovery service with a limited capacity. Each sidecar calls it for the list and then watches for changes. The
+// service answers calls one after another, and rejects a call at once if the call would wait longer than Timeout.
 type Discovery struct {
-	LinesPerSecond float64 // capacity; a change costs one line for each watching sidecar
-	LinesPerCall   int     // cost of a call, in addition to one line for each node
+	LinesPerSecond float64 // capacity in lines; a change costs one line for each watching sidecar
+	LinesPerCall   int     // cost of a call in lines, in addition to one line for each node
 	Timeout        time.Duration
-	DownAt         time.Duration // since the start; watches end and calls are rejected
-	DownFor        time.Duration // 0: it is never down
+	DownAt         time.Duration // time since the start at which all watches end and calls begin to be rejected
+	DownFor        time.Duration // duration of the outage; 0 means that there is no outage
 }
 
-// Kill is a fault of sidecars: a fraction of them is killed at the same moment and restarts at once with the cached list. Their pending
-// requests fail.
+// Kill is a fault of sidecars. A fraction of the sidecars is killed at the same moment, and restarts at once with the cached list.
+// Pending requests of these sidecars fail.
 const Kill FaultKind = "kill"
 
-// down reports whether the service is down at a time since the start.
+// down reports whether the service is down at the time since the start of the run.
 func (d *Discovery) down(since time.Duration) bool {
 	return d.DownFor > 0 && since >= d.DownAt && since < d.DownAt+d.DownFor
 }
@@ -41,7 +41,7 @@
 	})
 }
 
-// subscribe calls the discovery service for a sidecar. The answer is the full list, and a watch for changes begins with it.
+// subscribe calls the discovery service for a sidecar. The answer is the full list, after which the sidecar watches for changes.
 func (s *simulation) subscribe(sc *sidecar) {
 	d := s.run.Discovery
 	if d == nil {
@@ -66,7 +66,7 @@
 	s.chargeDiscovery(d.LinesPerCall + len(s.nodes))
 	s.At(s.discoveryBusyUntil, func() {
 		switch {
-		case sc.incarnation != incarnation: // the sidecar was killed
+		case sc.incarnation != incarnation: // the sidecar was killed in the meantime
 		case d.down(s.Since()):
 			s.discoveryFailed(sc)
 		default:
@@ -77,11 +77,11 @@
 	})
 }
 
-// policyPollInterval is the mean time until a sidecar with a Policy calls again after a failure. Jitter varies it by up to half.
+// policyPollInterval is the mean time after which a sidecar with a Policy calls again after a failure. Jitter changes it by up to half.
 const policyPollInterval = 2 * time.Second
 
-// discoveryFailed notifies a sidecar that its call failed or its watch ended. The balancer decides when to call again; a sidecar with a
-// Policy calls again after about policyPollInterval.
+// discoveryFailed notifies a sidecar that its call has failed or its watch has ended. The balancer decides when to call again. A
+// sidecar with a Policy calls again after about policyPollInterval.
 func (s *simulation) discoveryFailed(sc *sidecar) {
 	if sc.policy == nil {
 		s.handleEvent(sc, balancer.EndpointUpdate{Kind: balancer.UpdateFailed})
@@ -95,7 +95,7 @@
 	})
 }
 
-// chargeDiscovery adds a number of lines to the work of the discovery service.
+// chargeDiscovery adds a number of lines to the pending work of the discovery service.
 func (s *simulation) chargeDiscovery(lines int) {
 	cost := time.Duration(float64(lines) / s.run.Discovery.LinesPerSecond * float64(time.Second))
 	s.discoveryBusyUntil = max(s.discoveryBusyUntil, s.Now()) + cost
--- a/internal/simulation/fleetsim/endpoint_list.go
+++ b/internal/simulation/fleetsim/endpoint_list.go
@@ -18,7 +18,8 @@
 	return e
 }
 
-// deliverList delivers a full list or changes of it to a sidecar, through the sidecar's subset if it has one.
+// deliverList delivers a list to a sidecar, either a full list or changes of it. If the sidecar has a subset, only what concerns
+// the subset is passed on.
 func (s *simulation) deliverList(sc *sidecar, list *endpoints.List, kind balancer.UpdateKind) {
 	s.cacheList(sc, list)
 	if sc.subset != nil {
@@ -32,7 +33,8 @@
 	s.updateEndpoints(sc, list, kind)
 }
 
-// updateEndpoints passes changes that concern the subset to the sidecar's balancer, policy, prewarmer and prober. list may be nil.
+// updateEndpoints passes a list to the sidecar's balancer or policy, and to its prewarmer and prober. list may be nil, which means
+// that there are no changes.
 func (s *simulation) updateEndpoints(sc *sidecar, list *endpoints.List, kind balancer.UpdateKind) {
 	if list == nil {
 		return
@@ -65,7 +67,7 @@
 	return endpoint
 }
 
-// updateEndpoint updates the state of one endpoint in a sidecar, except in its balancer or policy.
+// updateEndpoint updates what a sidecar knows about one endpoint, except in its balancer or policy.
 func (s *simulation) updateEndpoint(sc *sidecar, e endpoints.Endpoint, active bool) {
 	sc.inactive[e.Name] = !active
 	if sc.prewarmer != nil {
@@ -86,24 +88,24 @@
 			sc.activeUpstreams = append(sc.activeUpstreams, e.Name)
 		}
 	}
-	if !active { // connections in use are closed as their attempts end
+	if !active { // connections in use are closed when their attempts end
 		s.closeIdle(sc, s.byName[e.Name])
 	}
 }
 
-// announceStatus notifies all sidecars of a node's status, each after a delay of its own.
+// announceStatus notifies all sidecars of a node's status, each of them after a separate random delay.
 func (s *simulation) announceStatus(n *node, status string) {
 	e := s.endpoint(n, status)
 	n.listed = status == endpoints.StatusReady
 	for _, sc := range s.sidecars {
 		if s.run.Discovery != nil {
 			if !sc.watching {
-				continue // the sidecar gets the full list when its call is answered
+				continue // the sidecar will get the full list as the answer to its call
 			}
 			s.chargeDiscovery(1)
 		}
 		if sc.pendingUpdates = append(sc.pendingUpdates, e); len(sc.pendingUpdates) > 1 {
-			continue // delivered together with the updates that wait already
+			continue // delivered together with the updates that are already pending
 		}
 		s.After(time.Duration(s.rng.Int64N(int64(maxListDelay))), func() {
 			updates := sc.pendingUpdates
@@ -127,7 +129,7 @@
 	return list
 }
 
-// cacheList updates the list that a sidecar starts with after it was killed.
+// cacheList updates the list with which a sidecar starts after it was killed.
 func (s *simulation) cacheList(sc *sidecar, list *endpoints.List) {
 	if s.run.Discovery == nil {
 		return
--- a/internal/simulation/fleetsim/faults.go
+++ b/internal/simulation/fleetsim/faults.go
@@ -7,19 +7,19 @@
 	"orchiddrift/internal/endpoints"
 )
 
-// FaultKind is a kind of fault. Experiment files contain its values.
+// FaultKind is a kind of fault. Its values appear in experiment files.
 type FaultKind string
 
 // The kinds of faults.
 const (
 	Slow       FaultKind = "slow"      // service times are multiplied by Factor
-	Freeze     FaultKind = "freeze"    // nothing is served or answered
-	Errors     FaultKind = "errors"    // every attempt fails at once, after it was executed
-	Reject     FaultKind = "turn away" // every attempt is rejected at once, without execution
-	Crash      FaultKind = "crash"     // the process dies and later restarts in slow start; the endpoint list changes after crashDetectionDelay
+	Freeze     FaultKind = "freeze"    // the node serves and answers nothing
+	Errors     FaultKind = "errors"    // every attempt fails at once after it was executed
+	Reject     FaultKind = "turn away" // every attempt is rejected at once without being executed
+	Crash      FaultKind = "crash"     // the process dies, and later restarts in slow start; the endpoint list changes after crashDetectionDelay
 	Deploy     FaultKind = "deploy"    // nodes are drained one after another and restart in slow start
 	Partition  FaultKind = "cut"       // a zone and the other zones cannot reach each other
-	ZoneOutage FaultKind = "lost"      // like Crash, but of the machines of a zone: connections get no response at all
+	ZoneOutage FaultKind = "lost"      // like Crash for all machines of a zone, but connections get no response at all
 )
 
 // FaultKinds lists all kinds of faults.
@@ -28,14 +28,14 @@
 // Fault is a fault that affects some nodes or sidecars for a time.
 type Fault struct {
 	Kind     FaultKind
-	At       time.Duration // since the start
-	Duration time.Duration // Deploy: over which the drains are spread; Crash: until the restart
-	Fraction float64       // of the nodes, or for Kill of the sidecars, selected at random; unused if Zonal
-	Zone     int           // index, if Zonal
-	Factor   float64       // of Slow
+	At       time.Duration // time since the start
+	Duration time.Duration // duration of the fault; for Deploy the time over which the drains are spread, for Crash the time until the restart
+	Fraction float64       // fraction of the nodes, or for Kill of the sidecars, selected at random; not used by zonal kinds
+	Zone     int           // index of the zone, for zonal kinds
+	Factor   float64       // factor of Slow
 }
 
-// Zonal reports whether a kind affects the nodes of one zone rather than a fraction of all nodes.
+// Zonal reports whether faults of a kind affect the nodes of one zone. Faults of other kinds affect a fraction of all nodes or sidecars.
 func (k FaultKind) Zonal() bool { return k == Partition || k == ZoneOutage }
 
 // scheduleFaults schedules the start and end of each of the run's faults.
@@ -66,7 +66,7 @@
 	}
 }
 
-// affectedNodes returns the nodes of the fault's zone if it is Zonal, else a random fraction of all nodes.
+// affectedNodes returns the nodes that a fault affects: those of its zone if its kind is zonal, or else a random fraction of all nodes.
 func (s *simulation) affectedNodes(f Fault) []*node {
 	var affected []*node
 	if f.Kind.Zonal() {
@@ -83,7 +83,7 @@
 	return affected
 }
 
-// fault returns the node's fault of a kind that is in effect, or nil if there is none.
+// fault returns the fault of a kind that currently affects the node, or nil if there is none.
 func (n *node) fault(kind FaultKind) *Fault {
 	for _, f := range n.faults {
 		if f.Kind == kind {
@@ -94,6 +94,7 @@
 }
 
 // crashNode stops a node without draining it, and starts it again after a downtime. The endpoint list changes after crashDetectionDelay.
+// If silent is set, connections to the node get no response.
 func (s *simulation) crashNode(n *node, downtime time.Duration, silent bool) {
 	if !n.up {
 		return
@@ -121,7 +122,7 @@
 	})
 }
 
-// scheduleRestarts selects a random RestartFraction of the nodes, which drain, stop and restart in slow start.
+// scheduleRestarts selects a random RestartFraction of the nodes. These nodes drain, stop and restart in slow start.
 func (s *simulation) scheduleRestarts() {
 	if s.run.RestartAt == 0 {
 		return
@@ -143,7 +144,7 @@
 	}
 }
 
-// resize drains and stops all nodes from index size on, and starts those below it that are down.
+// resize changes the number of nodes. It drains and stops the nodes from index size on, and starts the nodes below size that are down.
 func (s *simulation) resize(size int) {
 	for i, n := range s.nodes {
 		switch {
--- a/internal/simulation/fleetsim/fleet_sizes_test.go
+++ b/internal/simulation/fleetsim/fleet_sizes_test.go
@@ -8,7 +8,7 @@
 	"orchiddrift/internal/upstream/loadprobe"
 )
 
-// lowTrafficRun returns a run with 60 nodes in four zones, whose sidecars have little traffic each and use all nodes.
+// lowTrafficRun returns a run with 60 nodes in four zones. Each sidecar has little traffic and uses all nodes.
 func lowTrafficRun(sidecars int) Run {
 	r := testRun(sidecars, 60)
 	r.Subset.Enabled, r.Zones, r.MeanServiceTime, r.Rate = false, 4, 25*time.Millisecond, 1200
@@ -17,17 +17,18 @@
 	return r
 }
 
-// TestFaultsWithFewAndManySidecars guards against sidecars that together overload nodes or the discovery service, because each of them reacts to
-// a fault on its own. With 10, 80 and 320 sidecars no node in slow start is overloaded, no invariant is broken and most requests are served.
+// TestFaultsWithFewAndManySidecars guards against sidecars that together overload nodes or the discovery service, because each sidecar reacts to a
+// fault independently. With 10, 80 and 320 sidecars no node in slow start may be overloaded, no invariant may be broken, and most requests have to be
+// served.
 func TestFaultsWithFewAndManySidecars(t *testing.T) {
 	for _, c := range []struct {
 		name         string
-		served       float64 // minimum fraction of the requests
+		served       float64 // minimum fraction of the requests that are served
 		configure    func(r *Run)
-		withinLimits func(got *Result, sidecars int) bool // the fault's own limits; nil: none
+		withinLimits func(got *Result, sidecars int) bool // checks limits that apply only to this fault; nil if there are none
 	}{
-		// Each sidecar has to detect the lost zone by a few failed attempts, and not by some for each node. If sidecars detected
-		// the failure of each node separately, 457, 1,090 and 1,456 connects would fail with 10, 80 and 320 sidecars.
+		// Each sidecar has to detect the outage of the zone by a few failed attempts in total. If each sidecar detected the failure of each node
+		// separately, 457, 1,090 and 1,456 connection attempts would fail with 10, 80 and 320 sidecars.
 		{"a zone of 15 nodes is down for 8 s", 0.9, func(r *Run) {
 			r.Faults = []Fault{{Kind: ZoneOutage, Zone: 1, At: 10 * time.Second, Duration: 8 * time.Second}}
 		}, func(got *Result, sidecars int) bool {
@@ -37,9 +38,9 @@
 			r.Faults = []Fault{{Kind: Slow, Fraction: 0.1, Factor: 4, At: 5 * time.Second, Duration: 20 * time.Second},
 				{Kind: Deploy, Fraction: 0.6, At: 10 * time.Second, Duration: 7 * time.Second}}
 		}, nil},
-		// The discovery service takes 8 s to answer one call from each sidecar, rejects calls that would wait longer than 1 s, and is
-		// down for 5 s. Restarted sidecars serve from their cached list and call a few times each, and all have the full list soon
-		// after the service can answer.
+		// The discovery service needs 8 s to answer one call from each sidecar, rejects calls that would wait longer than 1 s, and is down for 5 s.
+		// Restarted sidecars have to serve with their cached list and call only a few times each. All of them have to get the full list soon after the
+		// service can answer.
 		{"90% of the sidecars are killed at once", 0.95, func(r *Run) {
 			r.Length = 60 * time.Second
 			r.Discovery = &Discovery{LinesPerCall: 30, LinesPerSecond: float64(r.Sidecars*(60+30)) / 8, Timeout: time.Second, DownAt: 25 * time.Second, DownFor: 5 * time.Second}
@@ -56,18 +57,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("%s, %d sidecars: %d failed connects, %d list calls, %d of them rejected, at most %d in a second, last full list at %v, served %d of %d requests", c.name, sidecars,
+			t.Logf("%s, %d sidecars: %d connection attempts failed; %d list calls, %d of them rejected, at most %d in a second; last full list at %v; served %d of %d requests", c.name, sidecars,
 				got.ConnectFailures, got.ListCalls, got.ListCallsRejected, got.MaxListCallsPerSecond, got.LastFullListAt, got.Served, got.Requests)
 			if got.NodesOverloaded > 0 || got.Violations > 0 || float64(got.Served) < c.served*float64(got.Requests) || c.withinLimits != nil && !c.withinLimits(got, sidecars) {
-				t.Errorf("%s, %d sidecars: the result is outside its limits: %+v", c.name, sidecars, got)
+				t.Errorf("%s, %d sidecars: a count is outside the limits of this test: %+v", c.name, sidecars, got)
 			}
 		}
 	}
 }
 
 // TestLowTrafficSidecarsKilledAtOnce guards against bursts when 90% of 8, 24 or 48 sidecars are killed at the same moment while the discovery service
-// cannot serve all calls. The same limits on probes and connections per request and on calls per sidecar hold for all sizes, and no node
-// gets more new connections in a second than there are sidecars.
+// cannot serve all calls. The same limits on probes and connections per request and on calls per sidecar apply to all sizes. No node may get more new
+// connections in a second than there are sidecars.
 func TestLowTrafficSidecarsKilledAtOnce(t *testing.T) {
 	for _, sidecars := range []int{8, 24, 48} {
 		r := lowTrafficRun(sidecars)
@@ -85,7 +86,7 @@
 		t.Logf("%d sidecars: %.2f probes and %.3f connections per request, %.1f list calls per sidecar (%d calls rejected), at most %.2f connections per sidecar to one node in a second, last full list at %v, served %d of %d requests",
 			sidecars, probes, connections, calls, got.ListCallsRejected, connectionBurst, got.LastFullListAt, got.Served, got.Requests)
 		if probes > float64(r.LoadProbes.UpstreamsPerRequest) || connections > 0.25 || calls > 10 || connectionBurst > 1 || got.ListCallsRejected == 0 || got.NodesOverloaded > 0 || got.Violations > 0 || float64(got.Served) < 0.95*requests {
-			t.Errorf("%d sidecars: the result is outside its limits: %+v", sidecars, got)
+			t.Errorf("%d sidecars: a count is outside the limits of this test: %+v", sidecars, got)
 		}
 	}
 }
--- a/internal/simulation/fleetsim/fleetsim_test.go
+++ b/internal/simulation/fleetsim/fleetsim_test.go
@@ -11,7 +11,7 @@
 	"orchiddrift/internal/upstream/prewarm"
 )
 
-// testRun returns a run at a tenth of the nodes' capacity, with subsets and slow start.
+// testRun returns a run with a load of a tenth of the nodes' capacity, with subsets and slow start.
 func testRun(sidecars, nodes int) Run {
 	options := subset.Default()
 	options.Enabled, options.MinSize, options.MaxSize, options.RemoteZoneFraction, options.ShrinkDelay = true, 8, 4096, 0, units.Duration(2*time.Second)
@@ -42,24 +42,25 @@
 	}
 }
 
-// TestSubsetKeepsConnectionsPerNodeFlat checks that at the same traffic ten times the sidecars open at most 1.5 times the connections per
-// node, that every node is used and that the load is even. Without subsets and with random choice the number of connections grows.
+// TestSubsetKeepsConnectionsPerNodeFlat checks that ten times the sidecars open at most 1.5 times the connections per node at the same
+// traffic, that every node is used, and that the load is even. With a random choice among all nodes instead of subsets, the number of
+// connections has to grow.
 func TestSubsetKeepsConnectionsPerNodeFlat(t *testing.T) {
 	few, many := play(t, testRun(4, 200)), play(t, testRun(40, 200))
 	randomChoice := testRun(40, 200)
 	randomChoice.Subset.Enabled, randomChoice.SyncProbes = false, &SyncProbes{PerRequest: 1}
 	if withoutSubsets := play(t, randomChoice); many.MeanConnectionsPerNode > 1.5*few.MeanConnectionsPerNode || withoutSubsets.MeanConnectionsPerNode < 3*many.MeanConnectionsPerNode {
-		t.Errorf("mean connections per node: %.2f with 4 sidecars, %.2f with 40, %.2f with 40 that choose at random among all nodes", few.MeanConnectionsPerNode, many.MeanConnectionsPerNode, withoutSubsets.MeanConnectionsPerNode)
+		t.Errorf("mean connections per node: %.2f with 4 sidecars, %.2f with 40, and %.2f with 40 that choose at random among all nodes; want at most 1.5 times as many with 40 sidecars as with 4, and at least 3 times as many with random choice as with 40", few.MeanConnectionsPerNode, many.MeanConnectionsPerNode, withoutSubsets.MeanConnectionsPerNode)
 	}
 	for _, r := range []*Result{few, many} {
 		if r.NodesUsed != 200 || r.LoadSpread > 2 {
-			t.Errorf("%d nodes were used, want 200; the load spread is %.2f, want at most 2", r.NodesUsed, r.LoadSpread)
+			t.Errorf("%d nodes were used, want 200; the load of the most loaded node is %.2f times the mean, want at most 2", r.NodesUsed, r.LoadSpread)
 		}
 	}
 }
 
-// TestRestartOfHalfTheNodesOverloadsNone guards against balancers that overload nodes in slow start, when half of the nodes restart within two
-// seconds at half load. Some nodes are overloaded if the balancers do not know start times, which shows that the load is high enough.
+// TestRestartOfHalfTheNodesOverloadsNone guards against balancers that overload nodes in slow start. Half of the nodes restart within two
+// seconds at half load. If the balancers do not know start times, some nodes have to be overloaded, which shows that the load is high enough.
 func TestRestartOfHalfTheNodesOverloadsNone(t *testing.T) {
 	r := testRun(20, 200)
 	r.Rate *= 5
@@ -67,16 +68,16 @@
 	r.RestartAt, r.RestartOver, r.RestartFraction, r.RestartDowntime = 8*time.Second, 2*time.Second, 0.5, 2*time.Second
 	got, err := Play(r)
 	if err != nil || got.NodesOverloaded > 0 {
-		t.Errorf("error %v, or nodes were overloaded during slow start: %+v", err, got)
+		t.Errorf("Play returned error %v, or nodes were overloaded during slow start: %+v", err, got)
 	}
 	r.HideStartTimes = true
 	if withoutStartTimes, err := Play(r); err != nil || withoutStartTimes.NodesOverloaded == 0 || withoutStartTimes.Served > got.Served {
-		t.Errorf("error %v, or no harm although balancers did not know start times: %+v", err, withoutStartTimes)
+		t.Errorf("Play returned error %v, or no node was overloaded although the balancers did not know start times: %+v", err, withoutStartTimes)
 	}
 }
 
-// TestShrinkingListAndUnevenTraffic checks that few requests fail when the list shrinks to a fortieth and later grows back at one moment with
-// nodes in slow start, and when one sidecar has a thousand times the traffic of each other.
+// TestShrinkingListAndUnevenTraffic checks that few requests fail in two cases. In the first the list shrinks to a fortieth, and later grows
+// back at once with nodes in slow start. In the second one sidecar has a thousand times the traffic of each other sidecar.
 func TestShrinkingListAndUnevenTraffic(t *testing.T) {
 	r := testRun(100, 2000)
 	r.Rate, r.Length = 100, 45*time.Second
@@ -96,8 +97,8 @@
 	}
 }
 
-// TestPrewarmingSparesConnectDelays checks that with prewarming at most half as many requests wait for a connection, also while half of the
-// nodes restart, with about the same number of connections per node and without bursts of new connections.
+// TestPrewarmingSparesConnectDelays checks the effect of prewarming while half of the nodes restart. At most half as many requests may wait
+// for a connection, with about the same number of connections per node and without bursts of new connections.
 func TestPrewarmingSparesConnectDelays(t *testing.T) {
 	r := testRun(40, 200)
 	r.ConnectDelay = 50 * time.Millisecond
@@ -107,7 +108,7 @@
 	r.Prewarming.Enabled = true
 	got := play(t, r)
 	if 2*got.RequestsDelayedByConnect > withoutPrewarming.RequestsDelayedByConnect || got.MeanConnectionsPerNode > 1.5*withoutPrewarming.MeanConnectionsPerNode+1 || got.MaxConnectionsOpenedPerSecond > withoutPrewarming.MaxConnectionsOpenedPerSecond+2 {
-		t.Errorf("%d of %d requests waited for a connection with prewarming, %d without; connections per node %.2f with it and %.2f without; at most %d and %d opened to one node in a second", got.RequestsDelayedByConnect, got.Requests,
+		t.Errorf("prewarming has too little effect or too high a cost: %d of %d requests waited for a connection with it, %d without; mean connections per node %.2f with it, %.2f without; at most %d connections opened to one node in a second with it, %d without", got.RequestsDelayedByConnect, got.Requests,
 			withoutPrewarming.RequestsDelayedByConnect, got.MeanConnectionsPerNode, withoutPrewarming.MeanConnectionsPerNode, got.MaxConnectionsOpenedPerSecond, withoutPrewarming.MaxConnectionsOpenedPerSecond)
 	}
 }
--- a/internal/simulation/fleetsim/invariants.go
+++ b/internal/simulation/fleetsim/invariants.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	crashDetectionDelay = 5 * time.Second // from a crash until the endpoint list changes
-	answerGrace         = time.Second     // after a request's deadline, within which it must get its answer
-	maxViolationTexts   = 20              // in a Result
+	crashDetectionDelay = 5 * time.Second // time from a crash until the endpoint list changes
+	answerGrace         = time.Second     // time after a request's deadline within which it must be answered
+	maxViolationTexts   = 20              // maximum number of texts in a Result
 )
 
 // recordViolation records that an invariant was broken.
@@ -20,7 +20,8 @@
 	}
 }
 
-// checkUnanswered records a violation for each request without an answer answerGrace after its deadline.
+// checkUnanswered records a violation for each request that is still without an answer answerGrace after
+// its deadline.
 func (s *simulation) checkUnanswered() {
 	for _, sc := range s.sidecars {
 		for _, req := range sc.pending {
@@ -31,7 +32,8 @@
 	}
 }
 
-// recordExecution counts a request's execution. A second one of a non-idempotent request is a violation.
+// recordExecution counts an execution of a request. A second execution of a non-idempotent request is a
+// violation.
 func (s *simulation) recordExecution(a *attempt) {
 	req := a.request
 	req.executions++
--- a/internal/simulation/fleetsim/load_probes.go
+++ b/internal/simulation/fleetsim/load_probes.go
@@ -6,7 +6,8 @@
 	"orchiddrift/balancer"
 )
 
-// probeLoad probes nodes and waits until all have answered or timed out. It then passes the answers to the balancer and calls done.
+// probeLoad probes nodes and waits until each node has answered or timed out. It then passes the answers to the balancer and calls
+// done.
 func (s *simulation) probeLoad(sc *sidecar, names []string, done func()) {
 	wait := networkRoundTrip
 	for _, name := range names {
--- a/internal/simulation/fleetsim/network.go
+++ b/internal/simulation/fleetsim/network.go
@@ -8,7 +8,7 @@
 
 // connectionPool holds a sidecar's connections to one node.
 type connectionPool struct {
-	idleSince []time.Duration // of each idle connection, the newest last
+	idleSince []time.Duration // time since which each idle connection is idle, the latest last
 	inUse     int
 }
 
@@ -24,17 +24,17 @@
 type attempt struct {
 	request           *request
 	sidecar           *sidecar
-	incarnation       int // of the sidecar
-	number            int // within the request, from 0
+	incarnation       int // incarnation of the sidecar when the attempt was sent
+	number            int // number of the attempt within the request, from 0
 	node              *node
 	sentAt            time.Duration
-	arrivedAt         time.Duration // at the node's queue
-	inFlightAtArrival int           // at the node
+	arrivedAt         time.Duration // time of arrival at the node's queue
+	inFlightAtArrival int           // number in flight at the node when the attempt arrived
 	hasConnection     bool
 	ended             bool
 }
 
-// pool returns the pool of connections to a node, and creates it if there is none.
+// pool returns the sidecar's pool of connections to a node. It creates the pool if it does not exist.
 func (c *sidecar) pool(n *node) *connectionPool {
 	pool := c.pools[n]
 	if pool == nil {
@@ -44,7 +44,7 @@
 	return pool
 }
 
-// sendAttempt sends an attempt, on an idle connection or a new one.
+// sendAttempt sends an attempt over an idle connection, or over a new one if no connection is idle.
 func (s *simulation) sendAttempt(sc *sidecar, action balancer.Action) {
 	req := sc.pending[action.ID]
 	if req == nil {
@@ -86,8 +86,8 @@
 	s.After(delay+networkRoundTrip/2, func() { s.attemptArrived(a) })
 }
 
-// connectFailed ends an attempt whose node is down: after a round trip if the node's machine refuses connections, else after
-// ConnectTimeout.
+// connectFailed ends an attempt whose node is down. If the node's machine refuses connections, the attempt ends after a round trip,
+// otherwise after ConnectTimeout.
 func (s *simulation) connectFailed(a *attempt) {
 	delay := networkRoundTrip
 	if a.node.silent {
@@ -97,7 +97,8 @@
 	s.After(delay, func() { s.attemptEnded(a, balancer.ConnectFailed) })
 }
 
-// attemptEnded passes an attempt's first result to its sidecar, and returns the attempt's connection to the pool or closes it.
+// attemptEnded passes the first result of an attempt to its sidecar and ignores later ones. It returns the attempt's connection to
+// the pool or closes it.
 func (s *simulation) attemptEnded(a *attempt, result balancer.Result) {
 	if a.ended || a.incarnation != a.sidecar.incarnation {
 		return
@@ -130,7 +131,7 @@
 	s.handleEvent(sc, balancer.Outcome{ID: req.id, Attempt: a.number, Result: result, Elapsed: s.Now() - a.sentAt, Final: req.done})
 }
 
-// respondAfter delivers an answer to a sidecar after a delay, unless a partition separates them by then.
+// respondAfter delivers an answer to a sidecar after a delay, unless a partition separates the node from the sidecar at that time.
 func (s *simulation) respondAfter(d time.Duration, a *attempt, result balancer.Result) {
 	s.After(d, func() {
 		if !a.sidecar.partitionedFrom(a.node) {
@@ -144,7 +145,7 @@
 	return c.zone != n.zone && (n.fault(Partition) != nil || c.zoneNode.fault(Partition) != nil)
 }
 
-// connectionOpened counts a connection that is being opened.
+// connectionOpened counts a new connection from a sidecar to a node.
 func (s *simulation) connectionOpened(sc *sidecar, n *node) {
 	sc.openConnections++
 	sc.maxOpenConnections = max(sc.maxOpenConnections, sc.openConnections)
@@ -158,14 +159,14 @@
 	s.result.MaxConnectionsOpenedPerSecond = max(s.result.MaxConnectionsOpenedPerSecond, n.newConnections)
 }
 
-// connectionsClosed counts connections that are closed.
+// connectionsClosed subtracts closed connections from the numbers of open connections.
 func (s *simulation) connectionsClosed(sc *sidecar, n *node, count int) {
 	sc.openConnections -= count
 	n.openConnections -= count
 }
 
-// sweepSidecar closes connections past the idle timeout, and updates the subset for the current request rate and time. It runs every
-// sweepPeriod.
+// sweepSidecar closes connections that have reached the idle timeout, and updates the subset according to the current request rate
+// and time. It runs every sweepPeriod.
 func (s *simulation) sweepSidecar(sc *sidecar) {
 	for n, pool := range sc.pools {
 		expired := 0
--- a/internal/simulation/fleetsim/node.go
+++ b/internal/simulation/fleetsim/node.go
@@ -8,7 +8,7 @@
 	"orchiddrift/internal/simulation/virtualtime"
 )
 
-// minFreezeRecheck is the minimum time between two checks whether a node is still frozen.
+// minFreezeRecheck is the minimum time until a frozen node is checked again.
 const minFreezeRecheck = time.Millisecond
 
 // node is a modelled upstream with one core and a queue.
@@ -16,41 +16,42 @@
 	name        string
 	index       int
 	zone        string
-	speed       float64 // multiplies its service rate
+	speed       float64 // factor of the node's service rate
 	up          bool
-	listed      bool          // in the endpoint list, as ready
-	silent      bool          // its machine is down: connections get no response at all
-	restarted   bool          // at least once in the run
-	overloaded  bool          // it stopped for good because of overload
-	startedAt   time.Duration // 0: before the run
-	incarnation int           // number of stops
-	faults      []*Fault      // in effect
+	listed      bool          // the endpoint list contains the node as ready
+	silent      bool          // the machine is down, so connections get no response at all
+	restarted   bool          // the node was restarted at least once in the run
+	overloaded  bool          // the node stopped for good because of overload
+	startedAt   time.Duration // time of the last start; 0 means before the run
+	incarnation int           // number of times that the node has stopped
+	faults      []*Fault      // faults that affect the node now
 
 	queue     []*attempt
 	busy      bool
 	running   *attempt
-	probeWork time.Duration // cost of probes, added to the next attempt's service time
+	probeWork time.Duration // CPU time of probes, which is added to the next attempt's service time
 
-	recentWork      float64       // service time of recent arrivals, decaying over OverloadWindow, s
+	recentWork      float64       // service time of recent arrivals in seconds, decaying over OverloadWindow
 	recentWorkAt    time.Duration // when recentWork was last updated
-	overloadedSince time.Duration // 0: the recent work is within bounds
+	overloadedSince time.Duration // time since which the recent work is above its bound; 0 if it is not
 
-	attempts            int           // received
-	servedTime          time.Duration // of completed attempts, on a warm node
-	meanLatency         float64       // exponentially weighted, s
+	attempts            int           // number of attempts received
+	servedTime          time.Duration // service time that the completed attempts need at full capacity
+	meanLatency         float64       // exponentially weighted mean in seconds
 	openConnections     int
 	maxOpenConnections  int
-	newConnections      int // since newConnectionsSince
+	newConnections      int // number of connections opened since newConnectionsSince
 	newConnectionsSince time.Duration
 
 	lastReport          LoadReport
-	reportSince         time.Duration // start of the report's current interval
+	reportSince         time.Duration // start of the current interval of the load report
 	busyInReport        time.Duration
 	answersInReport     int
-	latenciesByInFlight []latencyRing // by the number in flight at arrival; nil: none recorded
+	latenciesByInFlight []latencyRing // latencies by the number in flight at the attempt's arrival; nil if none are recorded
 }
 
-// capacity returns a node's current capacity as a fraction of a warm node's. It grows linearly over SlowStartWindow.
+// capacity returns a node's current capacity as a fraction of its full capacity. During slow start it grows linearly over
+// SlowStartWindow.
 func (s *simulation) capacity(n *node) float64 {
 	settings := &s.run.Settings
 	age := s.Now() - n.startedAt
@@ -60,7 +61,8 @@
 	return settings.SlowStartMinCapacity + (1-settings.SlowStartMinCapacity)*float64(age)/float64(settings.SlowStartWindow)
 }
 
-// attemptArrived handles an attempt that reaches its node: the node queues it, or answers it according to its state and faults.
+// attemptArrived handles an attempt that reaches its node. Depending on its state and faults, the node queues the attempt or
+// answers it at once.
 func (s *simulation) attemptArrived(a *attempt) {
 	n := a.node
 	if a.ended || a.sidecar.partitionedFrom(n) {
@@ -92,8 +94,8 @@
 	s.serveQueue(n)
 }
 
-// recordOverload counts an arrival at a node in slow start. The node stops for good once the work that arrives has exceeded
-// OverloadMultiple times its capacity throughout OverloadWindow.
+// recordOverload counts an arrival at a node in slow start. The node stops for good once the arriving work has exceeded
+// OverloadMultiple times the capacity for the whole of OverloadWindow.
 func (s *simulation) recordOverload(n *node, serviceTime time.Duration) {
 	settings := &s.run.Settings
 	if settings.OverloadMultiple == 0 || settings.OverloadWindow == 0 || s.capacity(n) >= 1 {
@@ -138,8 +140,8 @@
 	}
 }
 
-// serviceEnded answers an attempt that was served, and continues with the queue. While the node is frozen, serviceEnded reschedules
-// itself. It does nothing if the node has stopped since, which a changed incarnation shows.
+// serviceEnded answers an attempt that was served, and continues with the queue. While the node is frozen, it reschedules itself.
+// If incarnation differs from that of the node, the node has stopped in the meantime and serviceEnded does nothing.
 func (s *simulation) serviceEnded(n *node, a *attempt, duration time.Duration, incarnation int) {
 	if n.incarnation != incarnation {
 		return
@@ -161,7 +163,7 @@
 	s.serveQueue(n)
 }
 
-// stopNode ends a node's process. Its attempts are reset, unless its machine is silent; its connections close.
+// stopNode ends a node's process and closes its connections. The node's attempts are reset, unless its machine is silent.
 func (s *simulation) stopNode(n *node) {
 	n.up, n.busy = false, false
 	n.incarnation++
@@ -171,7 +173,7 @@
 	}
 	n.queue, n.running = nil, nil
 	if n.silent {
-		lost = nil // the attempts time out
+		lost = nil // these attempts end by their timeouts
 	}
 	for _, a := range lost {
 		s.After(networkRoundTrip/2, func() { s.attemptEnded(a, balancer.Reset) })
@@ -181,7 +183,7 @@
 	}
 }
 
-// startNode starts a node again, in slow start. An overloaded node stays down.
+// startNode starts a node again in slow start. A node that stopped because of overload stays down.
 func (s *simulation) startNode(n *node) {
 	if n.up || n.overloaded {
 		return
--- a/internal/simulation/fleetsim/node_report.go
+++ b/internal/simulation/fleetsim/node_report.go
@@ -13,7 +13,8 @@
 	n.answersInReport++
 }
 
-// latencyRing holds the latest latencies of attempts that arrived at the same number in flight.
+// latencyRing is a ring buffer of the latest latencies of a node. All of its attempts found the same number of attempts in flight at the
+// node when they arrived.
 type latencyRing struct {
 	last  [latencyRingSize]time.Duration
 	count int
@@ -21,10 +22,10 @@
 
 const (
 	latencyRingSize  = 8
-	latencyRingCount = 64 // rings of a node; higher numbers in flight share the last ring
+	latencyRingCount = 64 // number of rings of a node; all higher numbers in flight use the last ring
 )
 
-// recordLatency records the latency of an attempt by the number in flight at its arrival.
+// recordLatency records the latency of an attempt. inFlight is the number in flight at the node when the attempt arrived.
 func (n *node) recordLatency(inFlight int, latency time.Duration) {
 	if n.latenciesByInFlight == nil {
 		n.latenciesByInFlight = make([]latencyRing, latencyRingCount)
@@ -34,8 +35,8 @@
 	r.count++
 }
 
-// expectedLatency returns the latency that a Prequal server reports: the median of the last latencies at the current number in flight, or at
-// the nearest number with recorded latencies; 0 if there are none.
+// expectedLatency returns the latency that a Prequal server reports: the median of the latest latencies at the current number in flight. If
+// none are recorded for this number, it uses the nearest number with latencies. It returns 0 if there are no latencies at all.
 func (n *node) expectedLatency() time.Duration {
 	current := min(n.inFlight(), latencyRingCount-1)
 	for distance := range len(n.latenciesByInFlight) {
@@ -50,7 +51,7 @@
 	return 0
 }
 
-// rollReport starts a new interval of the load report once a second.
+// rollReport starts a new interval of the load report if the current one has lasted a second.
 func (n *node) rollReport(now time.Duration) {
 	if elapsed := now - n.reportSince; elapsed >= time.Second {
 		n.lastReport.Utilization, n.lastReport.Rate = min(1, n.busyInReport.Seconds()/elapsed.Seconds()), float64(n.answersInReport)/elapsed.Seconds()
--- a/internal/simulation/fleetsim/policies.go
+++ b/internal/simulation/fleetsim/policies.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// upstreamSet holds the names of the active nodes. It implements all methods of Policy except Pick, and policies embed it.
+// upstreamSet holds the names of the active nodes. Policies embed it: it implements all methods of Policy except Pick.
 type upstreamSet struct {
 	rng   *rand.Rand
 	names []string
@@ -35,7 +35,7 @@
 
 func (p *random) Pick(time.Duration) string { return p.randomName() }
 
-// roundRobin picks one node after another, from a random start.
+// roundRobin picks the nodes in turn.
 type roundRobin struct {
 	upstreamSet
 	next int
@@ -49,7 +49,7 @@
 	return p.names[p.next%len(p.names)]
 }
 
-// leastPending counts the attempts in flight by node, for policies to embed.
+// leastPending counts the attempts in flight at each node. Policies embed it.
 type leastPending struct {
 	upstreamSet
 	inFlight map[string]int
@@ -63,7 +63,8 @@
 	}
 }
 
-// leastOfTwo picks the one with fewer attempts in flight of two random nodes (M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001).
+// leastOfTwo picks two random nodes and chooses the one with fewer attempts in flight (M. Mitzenmacher, "The Power of Two Choices in Randomized Load
+// Balancing", 2001).
 type leastOfTwo struct{ leastPending }
 
 func (p *leastOfTwo) Pick(time.Duration) string {
@@ -74,15 +75,15 @@
 	return a
 }
 
-// peakEWMA is Finagle's policy: of two random nodes the one with the lower peak-sensitive EWMA of the latency times (in flight + 1). It
-// neither penalizes nor ejects failing nodes: fast failures look like low latency.
+// peakEWMA is Finagle's policy. It picks two random nodes and chooses the one with the lower product of two factors: a peak-sensitive EWMA of the latency, and
+// the number in flight plus one. It neither penalizes nor ejects failing nodes, whose fast failures look like low latency.
 type peakEWMA struct {
 	leastPending
 	costs map[string]*ewma
 }
 
 type ewma struct {
-	cost      float64 // s
+	cost      float64 // seconds
 	updatedAt time.Duration
 }
 
@@ -94,7 +95,7 @@
 		if p.inFlight[name] == 0 {
 			return 0
 		}
-		return math.MaxFloat32 // unknown latency with an attempt in flight: avoided, as in Finagle
+		return math.MaxFloat32 // the latency is unknown while the first attempts are in flight, so the node is avoided, as in Finagle
 	}
 	decay := math.Exp(-float64(now-e.updatedAt) / float64(peakDecay))
 	return e.cost * decay * float64(p.inFlight[name]+1)
--- a/internal/simulation/fleetsim/policy.go
+++ b/internal/simulation/fleetsim/policy.go
@@ -10,19 +10,19 @@
 // LoadReport is the load report that a node sends with each answer.
 type LoadReport struct {
 	InFlight    int
-	Utilization float64 // of its core, over the last second
-	Rate        float64 // answers per second, over the last second
+	Utilization float64 // utilization of the node's core in the last second
+	Rate        float64 // answers per second in the last second
 }
 
-// Policy chooses nodes in place of the balancer, for comparison with it. The simulation itself retries, by the same rule for all policies
-// (Run.MaxAttempts). A Policy belongs to one sidecar and is called only from the simulation's goroutine.
+// Policy chooses nodes in place of the balancer, so that both can be compared. The simulation retries for policies, by the same rule for
+// all of them (Run.MaxAttempts). A Policy belongs to one sidecar and is called only from the simulation's goroutine.
 type Policy interface {
 	SetUpstreams(names []string)                   // replaces the set of active nodes
-	Pick(now time.Duration) string                 // returns "" if there is no node
-	Sent(now time.Duration, name string)           // an attempt is sent to the picked node
-	Done(now time.Duration, result AttemptResult)  // exactly once for each Sent
-	ProbeTargets() []string                        // nodes to probe after a pick; nil: none
-	ProbeAnswered(now time.Duration, r ProbeReply) // at most once for each probe
+	Pick(now time.Duration) string                 // returns the chosen node, or "" if there is no node
+	Sent(now time.Duration, name string)           // reports that an attempt is sent to the chosen node
+	Done(now time.Duration, result AttemptResult)  // reports the result of an attempt, exactly once for each call of Sent
+	ProbeTargets() []string                        // returns the nodes to probe after a call of Pick, or nil for none
+	ProbeAnswered(now time.Duration, r ProbeReply) // reports the answer to a probe, at most once for each probe
 }
 
 // AttemptResult is the result of an attempt.
@@ -30,17 +30,17 @@
 	Name    string
 	Latency time.Duration
 	Result  balancer.Result
-	Report  LoadReport // if Result is balancer.OK
+	Report  LoadReport // set if Result is balancer.OK
 }
 
 // ProbeReply is a node's answer to a probe.
 type ProbeReply struct {
 	Name    string
-	Latency time.Duration // expected at the current number in flight
+	Latency time.Duration // latency that the node expects at its current number in flight
 	Report  LoadReport
 }
 
-// Policies maps the names that experiments use to constructors of policies. A constructor takes the sidecar's source of random numbers.
+// Policies maps the names of policies in experiments to constructors. A constructor takes the sidecar's source of random numbers.
 var Policies = map[string]func(rng *rand.Rand) Policy{
 	"random":               func(rng *rand.Rand) Policy { return &random{upstreamSet{rng: rng}} },
 	"round robin":          func(rng *rand.Rand) Policy { return &roundRobin{upstreamSet{rng: rng}, rng.IntN(1 << 20)} },
@@ -52,8 +52,8 @@
 	"prequal": func(rng *rand.Rand) Policy { return &prequal{upstreamSet: upstreamSet{rng: rng}} },
 }
 
-// pickUpstream sends a request's next attempt to the node that the sidecar's Policy picks, and then probes the nodes that the Policy
-// wants probed.
+// pickUpstream sends the next attempt of a request to the node that the sidecar's Policy picks. It then probes the nodes that the Policy
+// returns from ProbeTargets.
 func (s *simulation) pickUpstream(sc *sidecar, req *request) {
 	name := sc.policy.Pick(s.Now())
 	if name == "" || s.byName[name] == nil {
@@ -77,8 +77,8 @@
 	}
 }
 
-// policyAttemptEnded passes the result of an attempt to a Policy. It retries if the attempt was not executed or the request is
-// idempotent.
+// policyAttemptEnded passes the result of an attempt to a Policy. It retries the request if the attempt was not executed or the request
+// is idempotent.
 func (s *simulation) policyAttemptEnded(sc *sidecar, req *request, a *attempt, result balancer.Result) {
 	outcome := AttemptResult{Name: a.node.name, Latency: s.Now() - a.sentAt, Result: result}
 	if result == balancer.OK {
--- a/internal/simulation/fleetsim/policy_prequal.go
+++ b/internal/simulation/fleetsim/policy_prequal.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// prequal implements the asynchronous mode of Prequal (B. Wydrowski et al., "Load is not what you should balance: Introducing Prequal", NSDI 2024):
-// each request probes three random nodes for the number in flight and the latency. At most 16 answers are kept, for a second. The pick is
-// the node with the lowest latency that is not hot, or if all are hot the one with the fewest in flight. The worst and the oldest answer
-// are removed in turn.
+// prequal implements the asynchronous mode of Prequal (B. Wydrowski et al., "Load is not what you should balance: Introducing Prequal", NSDI 2024).
+// Each request probes three random nodes for their number in flight and their latency. At most 16 answers are kept, for one second each. A node is
+// hot if its number in flight is above a quantile of recent answers. The policy picks the node with the lowest latency among those that are not
+// hot. If all are hot, it picks the node with the fewest attempts in flight. After each pick, it removes the worst or the oldest answer in turn.
 type prequal struct {
 	upstreamSet
 	pool            []pooledReply
-	inFlightSeen    []int // numbers in flight in the last answers
-	removeWorstNext bool  // the worst answer is removed next, else the oldest
+	inFlightSeen    []int // numbers in flight in the latest answers
+	removeWorstNext bool  // the next removal is that of the worst answer, otherwise of the oldest
 }
 
 type pooledReply struct {
@@ -27,7 +27,7 @@
 	prequalProbes   = 3
 	prequalPoolSize = 16
 	prequalMaxAge   = time.Second
-	prequalMaxUses  = 2 // about the result of the paper's formula for this pool size and number of probes
+	prequalMaxUses  = 2 // close to the result of the paper's formula for this pool size and number of probes
 )
 
 func (p *prequal) SetUpstreams(names []string) {
@@ -56,8 +56,8 @@
 	p.pool = append(p.pool, pooledReply{reply, now, 0})
 }
 
-// compare returns a function that orders answers by the hot-cold rule, the best first. hot is the number in flight above which a node is
-// hot.
+// compare returns a function that orders answers by the hot-cold rule, with the best answer first. A node is hot if its number in flight is above
+// the argument hot.
 func (p *prequal) compare(hot int) func(a, b pooledReply) int {
 	return func(a, b pooledReply) int {
 		hotA, hotB := a.Report.InFlight > hot, b.Report.InFlight > hot
@@ -93,7 +93,7 @@
 	}
 	name := p.pool[best].Name
 	p.pool[best].uses++
-	p.pool[best].Report.InFlight++ // counts the request itself
+	p.pool[best].Report.InFlight++ // includes the request itself
 	if p.removeWorstNext = !p.removeWorstNext; p.removeWorstNext {
 		worst := 0
 		for i := range p.pool {
@@ -103,7 +103,7 @@
 		}
 		p.pool = slices.Delete(p.pool, worst, worst+1)
 	} else {
-		p.pool = p.pool[1:] // the oldest
+		p.pool = p.pool[1:] // removes the oldest answer
 	}
 	return name
 }
--- a/internal/simulation/fleetsim/policy_weighted.go
+++ b/internal/simulation/fleetsim/policy_weighted.go
@@ -10,7 +10,9 @@
 )
 
 // weightedRoundRobin is gRPC's weighted_round_robin (proposal A58). A node's weight is its reported rate divided by its reported utilization,
-// to which errors add a penalty. Weights are updated each second; a node without a weight gets the mean. Picks go to the earliest deadline.
+// to which a penalty for errors is added. Weights are updated each second, and a node without a weight counts with the mean weight. Each node
+// has a deadline, which a pick advances by an amount inversely proportional to the node's weight. The node with the earliest deadline is
+// picked.
 type weightedRoundRobin struct {
 	upstreamSet
 	weights    map[string]*weight
@@ -26,14 +28,14 @@
 
 const (
 	weightUpdatePeriod = time.Second
-	errorPenalty       = 1.0 // added to the utilization of a node whose attempts all fail
+	errorPenalty       = 1.0 // amount added to the utilization of a node if all of its attempts fail
 )
 
 func (p *weightedRoundRobin) SetUpstreams(names []string) {
 	p.upstreamSet.SetUpstreams(names)
 	old := p.weights
 	p.weights = map[string]*weight{}
-	earliest := math.Inf(1) // new nodes start at the earliest deadline, so that they do not catch up on earlier picks
+	earliest := math.Inf(1) // new nodes start near the earliest deadline, so that they are not picked for missed turns
 	for _, w := range old {
 		earliest = min(earliest, w.nextDeadline)
 	}
--- a/internal/simulation/fleetsim/prewarming.go
+++ b/internal/simulation/fleetsim/prewarming.go
@@ -1,6 +1,6 @@
 package fleetsim
 
-// prewarmConnections opens the connections that a sidecar's prewarmer asks for, as upstream.Pool.Prewarm does.
+// prewarmConnections opens the connections that a sidecar's prewarmer requests, as upstream.Pool.Prewarm does.
 func (s *simulation) prewarmConnections(sc *sidecar) {
 	sc.prewarmer.SetMembers(s.Now(), sc.prewarmMembers)
 	countConnections := func(name string) int {
--- a/internal/simulation/fleetsim/probes.go
+++ b/internal/simulation/fleetsim/probes.go
@@ -7,21 +7,22 @@
 	"orchiddrift/balancer"
 )
 
-// SyncProbes is Prequal's synchronous mode, for comparison with the balancer: each request first probes a few random nodes of the
-// sidecar for the number in flight and the latency, and goes to the best by Prequal's hot-cold rule (B. Wydrowski et al., "Load is not what
-// you should balance: Introducing Prequal", NSDI 2024). Requests are not retried.
+// SyncProbes is Prequal's synchronous mode (B. Wydrowski et al., "Load is not what you should balance: Introducing Prequal", NSDI 2024),
+// for comparison with the balancer. Each request first probes a few random nodes of the sidecar for their number in flight and their
+// latency. The request then goes to the best of them by Prequal's hot-cold rule. Requests are not retried.
 type SyncProbes struct {
-	PerRequest  int           // nodes probed for a request
-	ServiceTime time.Duration // CPU time that a probe costs a node
+	PerRequest  int           // number of nodes that are probed for a request
+	ServiceTime time.Duration // CPU time that a probe costs its node
 }
 
 const (
 	hotQuantile      = 0.84 // a node whose number in flight is above this quantile of recent probe answers is hot
-	hotWindow        = 128  // number of recent probe answers
+	hotWindow        = 128  // number of recent probe answers that count
 	latencySmoothing = 0.1  // weight of an attempt in a node's mean latency
 )
 
-// pickByProbes probes nodes and sends the request's only attempt to the best one, or to a random node if none answers.
+// pickByProbes probes nodes and sends the only attempt of the request to the best node. If no node answers, it sends the attempt to a
+// random node.
 func (s *simulation) pickByProbes(sc *sidecar, req *request) {
 	if len(sc.activeUpstreams) == 0 {
 		s.finishRequest(sc, req.id, &s.result.Rejected, 0)
@@ -54,7 +55,7 @@
 	})
 }
 
-// hotThreshold returns the number in flight above which a node is hot.
+// hotThreshold returns the number in flight above which a node counts as hot.
 func (c *sidecar) hotThreshold() int {
 	if len(c.probedInFlight) == 0 {
 		return 0
--- a/internal/simulation/fleetsim/run.go
+++ b/internal/simulation/fleetsim/run.go
@@ -13,59 +13,61 @@
 // Run holds the parameters of a run.
 type Run struct {
 	Sidecars, Nodes int
-	Zones           int                 // nodes and sidecars are assigned to zones in turn; 0: 1
-	Rate            float64             // requests per second, of all sidecars together
-	TrafficWeight   func(i int) float64 // a sidecar's weight in Rate; nil: equal weights
-	MeanServiceTime time.Duration       // of a request on a warm node, drawn from an exponential distribution
+	Zones           int                 // number of zones, to which nodes and sidecars are assigned in turn; 0 means 1
+	Rate            float64             // requests per second of all sidecars together
+	TrafficWeight   func(i int) float64 // returns a sidecar's weight in Rate; nil means equal weights
+	MeanServiceTime time.Duration       // mean of the exponentially distributed service time of a request, on a node that is not in slow start
 	Length          time.Duration
 	Seed            uint64
 	Settings        balancer.Settings
 	Clients         Clients
-	CostHints       bool          // the balancers know each request's service time
-	ClassFractions  []float64     // of the traffic, by index of Settings.Classes; empty: the first class only
-	RateSteps       []RateStep    // changes of Rate, in order of time
-	Interval        time.Duration // of Result.Points; 0: no points
+	CostHints       bool          // the balancers know the service time of each request
+	ClassFractions  []float64     // fractions of the traffic by index of Settings.Classes; if empty, all traffic is of the first class
+	RateSteps       []RateStep    // changes of Rate in order of time
+	Interval        time.Duration // length of the intervals of Result.Points; 0 means that there are no points
 
-	Subset         subset.Options  // FleetSize and Index are filled in if IndexKnown; not Enabled: every sidecar uses all nodes
+	Subset         subset.Options  // options of the subsets; if not Enabled, every sidecar uses all nodes; FleetSize and Index are filled in if IndexKnown is set
 	IndexKnown     bool            // each sidecar knows its index and the number of sidecars
-	IdleTimeout    time.Duration   // of connections; 0: 30 s
-	ConnectDelay   time.Duration   // that opening a connection adds
-	Prewarming     prewarm.Options // not Enabled: connections are opened when a request needs them
-	MaxConnections int             // of a sidecar; limits the size of its subset; 0: 496
+	IdleTimeout    time.Duration   // idle timeout of connections; 0 means 30 s
+	ConnectDelay   time.Duration   // delay of opening a connection
+	Prewarming     prewarm.Options // options of prewarming; if not Enabled, connections are opened when a request needs them
+	MaxConnections int             // limit of a sidecar's connections, which limits the size of its subset; 0 means 496
 
-	NodeSpeed        func(i int) float64 // multiplies a node's service rate; nil: 1
-	HideStartTimes   bool                // the balancers know neither the nodes' start times nor the slow start settings
+	NodeSpeed        func(i int) float64 // returns the factor of a node's service rate; nil means 1
+	HideStartTimes   bool                // the balancers know neither the start times of nodes nor the slow start settings
 	LoadProbes       loadprobe.Options   // probes whose answers go to the balancer
 	HideProbeLatency bool                // answers of load probes contain no latency
-	SyncProbes       *SyncProbes         // if not nil, probes choose nodes in place of the balancer
+	SyncProbes       *SyncProbes         // if not nil, probes choose the nodes in place of the balancer
 
-	Policy      func(rng *rand.Rand) Policy // creates each sidecar's policy, which chooses nodes in place of the balancer; nil: the balancer chooses
-	MaxAttempts int                         // of a Policy's request, if retrying it is safe
+	Policy      func(rng *rand.Rand) Policy // creates the policy of a sidecar, which chooses nodes in place of the balancer; if nil, the balancer chooses
+	MaxAttempts int                         // maximum number of attempts of a request that a Policy sends and that may be retried
 
 	Faults          []Fault
-	RestartAt       time.Duration // when the restarts of RestartFraction of the nodes begin; 0: no restarts
-	RestartOver     time.Duration // the restarts are spread over this time
-	RestartFraction float64       // of the nodes
-	RestartDowntime time.Duration // from a node's stop to its start
-	Discovery       *Discovery    // nil: list changes reach every sidecar without a call
+	RestartAt       time.Duration // time at which the restarts of RestartFraction of the nodes begin; 0 means that there are none
+	RestartOver     time.Duration // time over which the restarts are spread
+	RestartFraction float64       // fraction of the nodes that restart
+	RestartDowntime time.Duration // time from a node's stop to its start
+	Discovery       *Discovery    // if nil, changes of the list reach every sidecar without a call
 	ListSizes       []ListSize    // changes of the number of listed nodes
 }
 
-// ListSize is the number of listed nodes from a time on. The nodes with the highest indices are removed first.
+// ListSize sets the number of listed nodes from a given time on. The nodes with the highest indices are
+// removed first.
 type ListSize struct {
-	At    time.Duration // since the start
+	At    time.Duration // time since the start
 	Nodes int
 }
 
-// RateStep is a rate from a time on.
+// RateStep sets the request rate from a given time on.
 type RateStep struct {
-	At       time.Duration // since the start
-	Multiple float64       // of Run.Rate
+	At       time.Duration // time since the start
+	Multiple float64       // factor of Run.Rate
 }
 
-// Clients is how clients retry requests that were rejected, or that failed and are idempotent.
+// Clients describes how clients retry. They retry requests that were rejected, and idempotent requests that
+// failed.
 type Clients struct {
 	MaxRetries      int
-	InitialBackoff  time.Duration // before the first retry; it doubles with each further one
-	HonorRetryAfter bool          // they wait at least as long as Retry-After says
+	InitialBackoff  time.Duration // pause before the first retry, doubled for each further retry
+	HonorRetryAfter bool          // clients wait at least for the time that Retry-After states
 }
--- a/internal/simulation/fleetsim/sampling.go
+++ b/internal/simulation/fleetsim/sampling.go
@@ -6,7 +6,8 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// sampleOpenConnections samples the nodes' open connections every sweepPeriod during the second half of the run.
+// sampleOpenConnections samples the number of open connections of the nodes every sweepPeriod during the second half of
+// the run.
 func (s *simulation) sampleOpenConnections() {
 	s.After(sweepPeriod, func() {
 		if s.Since() > s.run.Length/2 {
@@ -19,7 +20,7 @@
 	})
 }
 
-// currentPoint returns the Point of the current interval, and completes the Point before it when a new interval begins.
+// currentPoint returns the Point of the current interval. When a new interval begins, it completes the previous Point.
 func (s *simulation) currentPoint() *Point {
 	if s.run.Interval == 0 {
 		return &s.discardedPoint
--- a/internal/simulation/fleetsim/sidecar.go
+++ b/internal/simulation/fleetsim/sidecar.go
@@ -17,32 +17,32 @@
 type sidecar struct {
 	index       int
 	zone        string
-	zoneNode    *node // a node of its zone: a partition of the zone is a fault of all its nodes
+	zoneNode    *node // a node in the sidecar's zone; a partition of the zone is a fault of all its nodes, so this node shows it
 	settings    balancer.Settings
 	balancer    *balancer.Balancer
-	policy      Policy // nil: the balancer chooses
+	policy      Policy // if nil, the balancer chooses nodes
 	rng         *rand.Rand
 	incarnation int                 // number of restarts
-	timerAt     time.Duration       // of the balancer; 0: none is set
-	pending     map[string]*request // without an answer, by ID
+	timerAt     time.Duration       // time of the balancer's timer; 0 if none is set
+	pending     map[string]*request // requests without an answer, by ID
 
-	subset          *subset.Subset       // nil: it uses all nodes
-	inactive        map[string]bool      // nodes it knows to be draining or removed
-	activeUpstreams []string             // maintained for policies and SyncProbes only
-	pendingUpdates  []endpoints.Endpoint // list changes that have not reached it yet
-	watching        bool                 // the discovery service sends it changes
-	cachedList      []endpoints.Endpoint // the last list from the discovery service
+	subset          *subset.Subset       // if nil, the sidecar uses all nodes
+	inactive        map[string]bool      // nodes that the sidecar knows to be draining or removed
+	activeUpstreams []string             // names of the active nodes; set for policies and SyncProbes only
+	pendingUpdates  []endpoints.Endpoint // list changes that have not reached the sidecar yet
+	watching        bool                 // the discovery service sends changes to the sidecar
+	cachedList      []endpoints.Endpoint // last list from the discovery service
 
 	pools              map[*node]*connectionPool
 	openConnections    int
 	maxOpenConnections int
 	requestsSinceSweep int
-	requestRate        float64 // requests per second, smoothed
+	requestRate        float64 // smoothed requests per second
 
-	prewarmer      *prewarm.Prewarmer // nil: none
-	prewarmMembers map[string]uint64  // incarnations of active nodes, as the prewarmer takes them
-	prober         *loadprobe.Prober  // nil: none
-	probedInFlight []int              // numbers in flight in the last SyncProbes answers, the newest last
+	prewarmer      *prewarm.Prewarmer // if nil, the sidecar has no prewarming
+	prewarmMembers map[string]uint64  // incarnations of the active nodes, in the form that the prewarmer takes
+	prober         *loadprobe.Prober  // if nil, the sidecar sends no load probes
+	probedInFlight []int              // numbers in flight in the latest SyncProbes answers, the newest last
 }
 
 // addSidecar creates a sidecar and delivers its first list.
@@ -93,7 +93,7 @@
 		return
 	}
 	options := s.run.Subset
-	options.Index = -1 // unknown
+	options.Index = -1 // the index is unknown
 	if s.run.IndexKnown {
 		options.FleetSize, options.Index = s.run.Sidecars, sc.index
 	}
@@ -131,7 +131,7 @@
 	}
 }
 
-// finishRequest gives a request its final answer. counter points to the count of that kind of answer in s.result.
+// finishRequest gives a request its final answer. counter points to the field of s.result that counts answers of this kind.
 func (s *simulation) finishRequest(sc *sidecar, id string, counter *int, retryAfter time.Duration) {
 	if req := sc.pending[id]; req != nil && !req.done {
 		req.done = true
@@ -152,7 +152,7 @@
 	})
 }
 
-// restartSidecar kills a sidecar's process and starts it again with the cached list and no other state. Pending requests fail.
+// restartSidecar kills a sidecar's process and starts a new one with the cached list and no other state. Pending requests fail.
 func (s *simulation) restartSidecar(sc *sidecar) {
 	sc.incarnation++
 	sc.watching, sc.timerAt = false, 0
@@ -169,14 +169,14 @@
 	clear(sc.inactive)
 	b, err := balancer.New(sc.settings, s.run.Seed<<16+uint64(sc.index)+uint64(sc.incarnation)<<40)
 	if err != nil {
-		panic(err) // the same settings were accepted before
+		panic(err) // cannot happen, because the same settings were accepted before
 	}
 	sc.balancer = b
 	if sc.policy != nil {
 		sc.policy = s.run.Policy(sc.rng)
 	}
 	s.deliverFirstList(sc)
-	for _, req := range failed { // after the restart: retries go to the new process
+	for _, req := range failed { // done after the restart, so that retries go to the new process
 		if !req.done {
 			req.done = true
 			s.result.Failed++
@@ -185,8 +185,8 @@
 	}
 }
 
-// deliverFirstList gives a sidecar's new process its first list. Where the run has a discovery service this is a cached list, after a
-// restart the last list of the previous process; otherwise it is the full list.
+// deliverFirstList gives a new process of a sidecar its first list. Without a discovery service, it is the full list. With a
+// discovery service it counts as a cached list, and after a restart it is the last list of the previous process.
 func (s *simulation) deliverFirstList(sc *sidecar) {
 	kind, list := balancer.FullUpdate, s.currentList()
 	if s.run.Discovery != nil {
--- a/internal/simulation/fleetsim/simulation.go
+++ b/internal/simulation/fleetsim/simulation.go
@@ -13,39 +13,40 @@
 	*virtualtime.Time
 	run             Run
 	rng             *rand.Rand
-	wallClockOrigin time.Time // the wall clock's time at virtualtime.Origin
+	wallClockOrigin time.Time // wall-clock time of virtualtime.Origin
 	nodes           []*node
 	byName          map[string]*node
 	sidecars        []*sidecar
 	result          Result
-	lastID          int             // of the latest request
-	latencies       []time.Duration // of served requests
-	discardedPoint  Point           // takes the counts if Run.Interval is 0
+	lastID          int             // ID of the latest request
+	latencies       []time.Duration // latencies of the served requests
+	discardedPoint  Point           // receives the counts if Run.Interval is 0
 
 	openConnectionSum     float64
 	openConnectionSamples int
 
-	discoveryBusyUntil time.Duration // when the discovery service will have finished its accepted work
-	callCountSecond    time.Duration // the second that callsInSecond counts, since the start
+	discoveryBusyUntil time.Duration // time at which the discovery service will have finished its accepted work
+	callCountSecond    time.Duration // second since the start to which callsInSecond refers
 	callsInSecond      int
 }
 
 const (
-	networkRoundTrip      = 300 * time.Microsecond // between a sidecar and a node
+	networkRoundTrip      = 300 * time.Microsecond // round-trip time between a sidecar and a node
 	maxListDelay          = 200 * time.Millisecond // maximum time from a change of the list until a sidecar receives it
-	drainTime             = time.Second            // from the notification of the last sidecar until a draining node stops
-	sweepPeriod           = time.Second            // between a sidecar's checks for idle connections
+	drainTime             = time.Second            // time from the latest possible notification of a sidecar until a draining node stops
+	sweepPeriod           = time.Second            // interval of a sidecar's checks for idle connections
 	rateSmoothing         = 0.1                    // weight of the last sweep in a sidecar's request rate, as in discovery.SubsetSink
 	maxNodeQueue          = 1000                   // maximum number of requests that wait at a node
-	prewarmPeriod         = 100 * time.Millisecond // of a prewarmer's ticks
-	probeServiceTime      = 200 * time.Microsecond // CPU time that a load probe costs a node
+	prewarmPeriod         = 100 * time.Millisecond // interval of a prewarmer's ticks
+	probeServiceTime      = 200 * time.Microsecond // CPU time that a load probe costs its node
 	defaultZones          = 1
 	defaultIdleTimeout    = 30 * time.Second
 	defaultMaxConnections = 496
-	wallClockOriginMs     = 1_800_000_000_000 // Unix time of virtualtime.Origin, in ms
+	wallClockOriginMs     = 1_800_000_000_000 // Unix time of virtualtime.Origin in milliseconds
 )
 
-// Streams of random numbers, all from Run.Seed. A sidecar's streams are its index plus an offset.
+// Streams of random numbers, which are all derived from Run.Seed. The stream of a sidecar is its
+// index plus an offset.
 const (
 	fleetStream         = 11
 	prewarmStreamOffset = 1 << 32
@@ -53,7 +54,7 @@
 	policyStreamOffset  = 3 << 32
 )
 
-// Play simulates a run. The error names an invalid balancer setting.
+// Play simulates a run. It returns an error if a balancer setting is invalid.
 func Play(r Run) (*Result, error) {
 	if r.Zones == 0 {
 		r.Zones = defaultZones
@@ -89,7 +90,7 @@
 	return &s.result, nil
 }
 
-// addNodes creates the nodes, all of them warm and listed.
+// addNodes creates the nodes. All of them are listed and have their full capacity.
 func (s *simulation) addNodes() {
 	for i := range s.run.Nodes {
 		n := &node{name: fmt.Sprintf("node-%05d", i), index: i, zone: s.zone(i), up: true, listed: true, speed: 1}
@@ -124,10 +125,10 @@
 	return nil
 }
 
-// zone returns the zone of the node or sidecar with an index.
+// zone returns the zone of the node or sidecar with the given index.
 func (s *simulation) zone(index int) string { return fmt.Sprint("z", index%s.run.Zones) }
 
-// wallTime returns the wall clock's time for a time of the run.
+// wallTime converts a time of the run to wall-clock time.
 func (s *simulation) wallTime(t time.Duration) time.Time {
 	return s.wallClockOrigin.Add(t - virtualtime.Origin)
 }
--- a/internal/simulation/fleetsim/traffic.go
+++ b/internal/simulation/fleetsim/traffic.go
@@ -21,17 +21,17 @@
 
 // operation is what a client wants: one request and its retries.
 type operation struct {
-	class       int // index in Settings.Classes
+	class       int // index of the operation's class in Settings.Classes
 	serviceTime time.Duration
 	startedAt   time.Duration
 	retries     int
-	backoff     time.Duration // before the last retry
+	backoff     time.Duration // pause before the last retry
 }
 
-// minRateMultiple limits the time between arrivals: while the rate is 0, no operation begins, but the rate is checked again.
+// minRateMultiple limits the time between arrivals. While the rate is 0, no operation begins, but the rate has to be checked regularly.
 const minRateMultiple = 0.01
 
-// startTraffic schedules operations at a sidecar as a Poisson process. rate is in operations per second.
+// startTraffic schedules operations at a sidecar as a Poisson process with the given rate in operations per second.
 func (s *simulation) startTraffic(sc *sidecar, rate float64) {
 	var beginNext func()
 	beginNext = func() {
@@ -60,7 +60,8 @@
 	s.sendRequest(sc, op)
 }
 
-// sendRequest sends an operation's next request to a sidecar, which chooses a node by its policy, by synchronous probes or by its balancer.
+// sendRequest sends the next request of an operation to a sidecar. The sidecar chooses a node by its policy, by synchronous probes or by
+// its balancer.
 func (s *simulation) sendRequest(sc *sidecar, op *operation) {
 	s.lastID++
 	class := &s.run.Settings.Classes[op.class]
@@ -106,8 +107,8 @@
 	return multiple
 }
 
-// requestEnded gives a client its request's final answer; the client may retry. counter points to the count of that kind of answer in
-// s.result.
+// requestEnded gives a client the final answer of a request, after which the client may retry. counter points to the field of s.result that
+// counts answers of this kind.
 func (s *simulation) requestEnded(sc *sidecar, req *request, counter *int, retryAfter time.Duration) {
 	op := req.operation
 	point := s.currentPoint()
@@ -118,7 +119,7 @@
 		s.result.OperationsServed++
 		latency := s.Now() - op.startedAt
 		if point.latencies != nil {
-			_ = point.latencies.RecordValue(max(1, latency.Microseconds())) // always within the histogram's bounds
+			_ = point.latencies.RecordValue(max(1, latency.Microseconds())) // the value is within the histogram's bounds
 		}
 		return
 	case &s.result.Rejected:
@@ -139,7 +140,7 @@
 	s.After(delay, func() { s.sendRequest(sc, op) })
 }
 
-// costHint returns the cost hint that the balancer gets with a request; 0 means none.
+// costHint returns the cost hint that the balancer gets with a request. It returns 0 if the balancer gets no hint.
 func (s *simulation) costHint(req *request) time.Duration {
 	if s.run.CostHints {
 		return req.serviceTime
--- a/internal/simulation/virtualtime/time_test.go
+++ b/internal/simulation/virtualtime/time_test.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// TestEventsRunInOrder checks that events run in the order of their times, then of scheduling, that an event scheduled for
-// the past runs at the current time, and that an event beyond the end of Run waits for the next Run.
+// TestEventsRunInOrder checks that events run in the order of their times, and then of their scheduling. It also checks
+// that an event scheduled for the past runs at the current time, and that an event beyond the end of Run waits for the
+// next Run.
 func TestEventsRunInOrder(t *testing.T) {
 	clock := New()
 	var ran []string
 	event := func(name string, at time.Duration) func() {
 		return func() {
 			if clock.Since() != at {
-				t.Errorf("%s ran at %v, want %v", name, clock.Since(), at)
+				t.Errorf("event %s ran at %v, want %v", name, clock.Since(), at)
 			}
 			ran = append(ran, name)
 		}
@@ -29,13 +30,13 @@
 	clock.At(Origin+3*time.Second+1, event("beyond", 3*time.Second+1))
 	clock.Run(3 * time.Second)
 	if want := []string{"first", "past", "second", "beside second", "after second"}; !slices.Equal(ran, want) {
-		t.Errorf("ran %q, want %q", ran, want)
+		t.Errorf("events ran in the order %q, want %q", ran, want)
 	}
 	if clock.Since() != 3*time.Second {
 		t.Errorf("the first Run ended at %v, want 3s", clock.Since())
 	}
 	clock.Run(4 * time.Second)
 	if ran[len(ran)-1] != "beyond" || clock.Now() != Origin+4*time.Second {
-		t.Errorf("the second Run ran %q last and ended at %v, want \"beyond\" and 4s", ran[len(ran)-1], clock.Since())
+		t.Errorf("the last event of the second Run was %q and it ended at %v, want \"beyond\" and 4s", ran[len(ran)-1], clock.Since())
 	}
 }
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -1,6 +1,7 @@
-// Package simwire translates between the simulator's protocol of JSON lines and package balancer. It makes no decisions.
+// Package simwire translates between the simulator's protocol, which consists of JSON lines, and package balancer. It makes no
+// decisions.
 //
-// Each line from the simulator is a batch of events for numbered instances of the balancer, and each reply line holds the
+// Each line from the simulator is a batch of events for numbered instances of the balancer. Each reply line holds the
 // resulting actions.
 package simwire
 
@@ -15,7 +16,7 @@
 	"orchiddrift/internal/settings"
 )
 
-// timerID identifies the only timer that an instance has.
+// timerID identifies the only timer of an instance.
 const timerID = "w"
 
 // batch is one line from the simulator: events that happen at the same time.
@@ -24,7 +25,7 @@
 	Events []json.RawMessage `json:"in"`
 }
 
-// event is one event of any verb that the adapter knows. Each verb uses some of the fields.
+// event is an event with any verb that the adapter knows. Each verb uses only some of the fields.
 type event struct {
 	Verb       string          `json:"verb"`
 	Instance   int             `json:"I"`
@@ -58,7 +59,7 @@
 	StartedAtMs float64 `json:"CameUpMs"`
 }
 
-// action is one action of any verb in a reply. Each verb uses some of the fields.
+// action is an action with any verb in a reply. Each verb uses only some of the fields.
 type action struct {
 	Verb         string  `json:"verb"`
 	Instance     int     `json:"I"`
@@ -76,15 +77,15 @@
 // hintValid is the bit of event.Flags that marks CostHintMs as valid.
 const hintValid = 1
 
-// adapter holds the balancer instances and the endpoint lists, both by the numbers that the simulator gives them.
+// adapter holds the balancer instances and the endpoint lists. The simulator assigns the numbers by which both are identified.
 type adapter struct {
 	instances map[int]*balancer.Balancer
 	lists     map[int][]balancer.Endpoint
 	actions   []balancer.Action
 }
 
-// Serve reads batches from in and writes a reply to each of them to out, until in ends. Its error names the line that could
-// not be handled.
+// Serve reads batches from in and writes a reply to each batch to out, until in ends. If it cannot handle a line, it returns
+// an error that contains the number of the line.
 func Serve(in io.Reader, out io.Writer) error {
 	reader, writer := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
 	a := &adapter{instances: map[int]*balancer.Balancer{}, lists: map[int][]balancer.Endpoint{}}
@@ -94,7 +95,7 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("line %d: %w", line, err)
+			return fmt.Errorf("line %d: reading the batch: %w", line, err)
 		}
 		reply, err := a.batch(text)
 		if err != nil {
@@ -109,7 +110,8 @@
 	}
 }
 
-// readLine returns the next line, and io.EOF only if no bytes are left: the last line may lack its line end.
+// readLine returns the next line. The last line may lack a newline character, so readLine returns io.EOF only if no bytes are
+// left.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	text, err := r.ReadBytes('\n')
 	if err == io.EOF && len(text) > 0 {
@@ -175,8 +177,8 @@
 	return a.decide(instance, now, e.Instance, translated, reply), nil
 }
 
-// decide has a balancer handle one event and appends the resulting actions to reply. A panic becomes a BailOut action with
-// the panic's text.
+// decide passes one event to a balancer and appends the resulting actions to reply. If the balancer panics, it appends a
+// BailOut action with the text of the panic instead.
 func (a *adapter) decide(b *balancer.Balancer, now time.Duration, instance int, e balancer.Event, reply []action) (out []action) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -190,7 +192,8 @@
 	return reply
 }
 
-// translate converts an event for the balancer. It returns nil for unknown verbs and unknown kinds of list updates.
+// translate converts an event to an event of the balancer. It returns nil for unknown verbs and for unknown kinds of list
+// updates.
 func (a *adapter) translate(e *event) balancer.Event {
 	switch e.Verb {
 	case "Topology":
@@ -250,8 +253,8 @@
 	panic(fmt.Sprintf("no wire form for action kind %d", a.Kind))
 }
 
-// result converts the simulator's completion code. An unknown code counts as a server error, because the attempt may have been
-// executed.
+// result converts a completion code of the simulator. An unknown code counts as a server error, because the attempt may have
+// been executed.
 func result(code int) balancer.Result {
 	switch code {
 	case 200:
@@ -279,7 +282,7 @@
 	for i, e := range entries {
 		state, known := states[e.State]
 		if !known {
-			state = balancer.Removed // not in the list any more, or in an unknown state
+			state = balancer.Removed // the endpoint is no longer in the list, or its state is unknown
 		}
 		list[i] = balancer.Endpoint{Name: e.Upstream, Zone: e.Zone, Cell: e.Cell, MachineType: e.MachineType,
 			State: state, StartedAt: duration(e.StartedAtMs)}
@@ -287,7 +290,7 @@
 	return list
 }
 
-// seed converts any integer of 64 bits, signed or unsigned, to the balancer's seed.
+// seed converts any signed or unsigned 64-bit integer to a seed of the balancer.
 func seed(n json.Number) uint64 {
 	var u uint64
 	if _, err := fmt.Sscan(n.String(), &u); err == nil {
@@ -297,10 +300,10 @@
 	return uint64(i)
 }
 
-// duration converts the simulator's milliseconds, with the precision of microseconds that the settings have.
+// duration converts milliseconds of the simulator to a duration, rounded to microseconds like the settings.
 func duration(ms float64) time.Duration { return settings.Milliseconds(ms) }
 
-// millis converts a duration to the simulator's milliseconds, with a precision of microseconds.
+// millis converts a duration to milliseconds of the simulator, with a precision of microseconds.
 func millis(d time.Duration) float64 {
 	return float64(d/time.Microsecond) / 1000
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -28,7 +28,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// s2 is draining, so s1 is the only choice. The request of an unknown class is rejected. The other events lead to timers at most.
+	// Endpoint s2 is draining, so the first request goes to s1. The request of an unknown class is rejected. All other events cause
+	// no actions except timers.
 	want := []string{
 		`{"outbox":[]}`,
 		`{"outbox":[]}`,
@@ -47,8 +48,8 @@
 	}
 }
 
-// TestBadInputNamesItsLine checks that each invalid input gives an error that names the problem, and that the last line may
-// lack its line end.
+// TestBadInputNamesItsLine checks that each invalid input gives an error that names the problem. It also checks that the last line
+// may lack a newline character.
 func TestBadInputNamesItsLine(t *testing.T) {
 	for in, want := range map[string]string{
 		"{\"TsMs\":1,\"in\":[]}\nnonsense\n":                                "line 2: not a JSON batch of events",
@@ -60,16 +61,16 @@
 		"{\"TsMs\":1,\"in\":[{\"verb\":\"PowerOn\",\"I\":0,\"Env\":{\"Classes\":[{\"Name\":\"a\",\"Semantics\":\"odd\",\"AimMs\":1,\"DeadlineMs\":1}]}}]}\n": "Effect",
 	} {
 		if _, err := serve(t, in); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("input %s: got error %v, want one with %q", in, err, want)
+			t.Errorf("input %s: got error %v, want an error that contains %q", in, err, want)
 		}
 	}
 	if _, err := serve(t, "{\"TsMs\":1,\"in\":[]}"); err != nil {
-		t.Errorf("a last line without its line end gave the error %v", err)
+		t.Errorf("a last line without a newline character gave the error %v, want none", err)
 	}
 }
 
-// TestPanicBecomesBailOut checks that a panic in the balancer becomes a BailOut action with its text, and that the actions before
-// it stay.
+// TestPanicBecomesBailOut checks that a panic in the balancer becomes a BailOut action with the text of the panic. Actions before
+// the panic must not be lost.
 func TestPanicBecomesBailOut(t *testing.T) {
 	a := &adapter{}
 	got := a.decide(nil, 0, 3, balancer.TimerFired{}, []action{{Verb: "Emit"}})
@@ -112,7 +113,7 @@
 	}
 	update := a.translate(&event{Verb: "Topology", Scope: "FULL", List: 3}).(balancer.EndpointUpdate)
 	if update.Kind != balancer.FullUpdate || len(update.Endpoints) != 1 {
-		t.Errorf("the full list became %+v", update)
+		t.Errorf("the full list became %+v, want a full update with one endpoint", update)
 	}
 	for code, want := range map[int]balancer.Result{200: balancer.OK, 502: balancer.ServerError, 429: balancer.Rejected,
 		408: balancer.Timeout, 521: balancer.ConnectFailed, 520: balancer.Reset, 444: balancer.Cancelled, 409: balancer.NotSent,
@@ -147,11 +148,12 @@
 		t.Fatalf("got replies %q and error %v, want two replies", got, err)
 	}
 	if !strings.Contains(got[0], `"Upstream":"s1"`) || strings.Contains(got[1], `"Try"`) {
-		t.Errorf("the first instance sent no attempt, or the second one knew the list of the first: %q", got)
+		t.Errorf("the first instance sent no attempt, or the second instance sent one with the list of the first: %q", got)
 	}
 }
 
-// TestUnknownStateIsNotActive guards against requests to an endpoint in an unknown state: it counts as removed.
+// TestUnknownStateIsNotActive guards against requests to an endpoint in an unknown state. Such an endpoint has to count as
+// removed.
 func TestUnknownStateIsNotActive(t *testing.T) {
 	for word, want := range map[string]balancer.EndpointState{"active": balancer.Active, "leaving": balancer.Draining,
 		"left": balancer.Removed, "resting": balancer.Removed} {
