--- a/internal/demo/clients.go
+++ b/internal/demo/clients.go
@@ -25,14 +25,15 @@
 	"orchiddrift/internal/settings"
 )
 
-// balancedClient sends requests through a load balancing strategy. do returns inTime for every request that was served, however late.
+// balancedClient sends requests through a load balancing strategy. The method do returns inTime for every request that was served,
+// even if it was served late.
 type balancedClient interface {
 	do(ctx context.Context, r request) result
-	view() []balancer.UpstreamView // nil without estimates
+	view() []balancer.UpstreamView // returns nil if the strategy has no estimates
 	close() error
 }
 
-// daemonClient runs the sidecar daemon in this process and sends to its listener.
+// daemonClient runs the sidecar daemon in this process, and sends requests to the daemon's listener.
 type daemonClient struct {
 	address string
 	client  *http.Client
@@ -93,7 +94,8 @@
 	return <-d.ended
 }
 
-// sendHTTP sends a request and returns the status code, or http.StatusTooManyRequests if the node marked the request as not processed.
+// sendHTTP sends a request and returns the status code. If the node marked the request as not processed, it returns
+// http.StatusTooManyRequests.
 func sendHTTP(ctx context.Context, client *http.Client, address string, r request) (int, error) {
 	method := http.MethodPost
 	if r.class.idempotency == balancer.Idempotent {
@@ -122,7 +124,7 @@
 	return resp.StatusCode, nil
 }
 
-// grpcClient sends calls over a ClientConn that uses the gRPC balancer.
+// grpcClient sends calls over a ClientConn with the gRPC balancer.
 type grpcClient struct {
 	plugin *grpcbalancer.Plugin
 	conn   *grpc.ClientConn
@@ -180,7 +182,7 @@
 	return conn.Invoke(ctx, methodPrefix+r.class.name, wrapperspb.String(r.id), &wrapperspb.StringValue{})
 }
 
-// randomChoice chooses ready nodes at random, as a client without a balancer would. It sees changes of the endpoint list at once.
+// randomChoice chooses ready nodes at random, as a client without a balancer does. It notices changes of the endpoint list at once.
 type randomChoice struct {
 	fleet *fleet
 	mu    sync.Mutex
@@ -203,7 +205,7 @@
 	return name, addresses[name]
 }
 
-// randomHTTP is the random choice over HTTP, with one attempt for each request.
+// randomHTTP sends HTTP requests to randomly chosen nodes. It makes one attempt for each request.
 type randomHTTP struct {
 	randomChoice
 	client *http.Client
@@ -234,7 +236,7 @@
 	return nil
 }
 
-// randomGRPC is the random choice over gRPC, with one attempt for each request and a ClientConn for each node.
+// randomGRPC sends gRPC calls to randomly chosen nodes. It makes one attempt for each request, and has a ClientConn for each node.
 type randomGRPC struct {
 	randomChoice
 	connMu sync.Mutex
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -13,11 +13,11 @@
 // Options are the parameters of a demo.
 type Options struct {
 	For   time.Duration // duration of the demo
-	Front string        // "daemon" or "grpc"
-	Rate  float64       // requests per second to each of the two contenders
+	Front string        // client side of the demo: "daemon" or "grpc"
+	Rate  float64       // requests per second to each of the two contenders, which are the balancer and random choice
 	Seed  uint64
 	Out   io.Writer
-	Live  bool // Out is a terminal: redraw one table instead of adding lines
+	Live  bool // Out is a terminal, on which one table is redrawn; otherwise lines are added
 }
 
 const (
@@ -64,7 +64,7 @@
 	return s
 }
 
-// Summary holds the results of both contenders.
+// Summary holds the results of the balancer (Ours) and of random choice.
 type Summary struct{ Ours, Random Count }
 
 // Run runs the demo and prints its progress and summary. If ctx ends, the demo ends early, without an error.
@@ -117,7 +117,7 @@
 	randomName = "random choice"
 )
 
-// contender is a load balancing strategy with its own fleet and load.
+// contender is one of the two load balancing strategies, with its own fleet and load.
 type contender struct {
 	name   string
 	fleet  *fleet
@@ -149,7 +149,7 @@
 	return c, nil
 }
 
-// runScript runs the script and the load until ctx ends, and waits for the requests in flight.
+// runScript runs the script and the load until ctx ends. It then waits for the requests in flight.
 func (c *contender) runScript(ctx context.Context, started time.Time) {
 	scriptEnded := make(chan struct{})
 	go func() {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -12,8 +12,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// Both fronts run the complete script, answer at least half of the requests in time and leave no goroutine behind. The comparison with random
-// choice depends on the machine and is not asserted.
+// TestDemo checks the demo of the daemon and of the gRPC balancer. Each has to run the complete script, answer at least half of the requests
+// in time and leave no goroutine behind. The test does not compare the balancer with random choice, because the result depends on the
+// machine.
 func TestDemo(t *testing.T) {
 	for _, front := range []string{"daemon", "grpc"} {
 		var out bytes.Buffer
@@ -26,7 +27,7 @@
 			results += n
 		}
 		if summary.Ours.Requests < 100 || results != summary.Ours.Requests || summary.Ours.InTime() < 0.5 {
-			t.Errorf("front %s: want at least 100 requests, one result for each, and half of them in time; got %+v", front, summary.Ours)
+			t.Errorf("front %s: want at least 100 requests, one result for each request, and half of the requests served in time; got %+v", front, summary.Ours)
 		}
 		replaced := 0
 		for name, n := range summary.Ours.Nodes {
@@ -38,7 +39,7 @@
 			}
 		}
 		if replaced != fleetSize/2 {
-			t.Errorf("front %s: %d nodes were replaced, want half of the fleet", front, replaced)
+			t.Errorf("front %s: %d nodes were replaced, want half of the nodes of the fleet", front, replaced)
 		}
 		for _, want := range []string{"all is well", "Summary: " + front, "random choice", "p99"} {
 			if !strings.Contains(out.String(), want) {
@@ -48,7 +49,7 @@
 	}
 }
 
-// A demo ends soon after its context, long before its own duration, and draws the live table.
+// TestDemoEndsEarly checks that a demo ends soon after its context, long before its configured duration, and that it draws the live table.
 func TestDemoEndsEarly(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 600*time.Millisecond)
 	defer cancel()
@@ -61,11 +62,11 @@
 		t.Errorf("a demo whose context ends after 600 ms took %v, want at most 20 s", took)
 	}
 	if !strings.Contains(out.String(), "node-0") || !strings.Contains(out.String(), "\x1b[") {
-		t.Errorf("no live table in the output:\n%s", out.String())
+		t.Errorf("the output contains no live table:\n%s", out.String())
 	}
 }
 
-// Options out of range are rejected with an error that names the option.
+// TestOptions checks that options out of range are rejected with an error that names the option.
 func TestOptions(t *testing.T) {
 	valid := Options{For: 3 * time.Second, Front: "daemon", Rate: 100}
 	for want, change := range map[string]func(*Options){
@@ -76,7 +77,7 @@
 		o := valid
 		change(&o)
 		if _, err := Run(t.Context(), o); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("invalid option %s: want an error that names it, got %v", want, err)
+			t.Errorf("invalid option %s: want an error that names the option, got %v", want, err)
 		}
 	}
 }
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -14,22 +14,23 @@
 )
 
 const (
-	fleetSize            = 8 // nodes
+	fleetSize            = 8 // number of nodes
 	slowStartMinCapacity = 0.3
 	slowStartWindow      = 4 * time.Second
 	overloadMultiple     = 3.0
 	overloadWindow       = 2 * time.Second
-	drainTime            = 800 * time.Millisecond // time from the draining of a replaced node to its end
-	cores                = 2                      // of each node
+	drainTime            = 800 * time.Millisecond // time from the start of a node's drain to its end
+	cores                = 2                      // number of cores of each node
 )
 
-// machineTypes are the machine types of the nodes, a mix of old and new hardware, with their speed relative to the standard one.
+// machineTypes are the machine types of the nodes, with their speed relative to the standard type. They represent a mix of old and new
+// hardware.
 var machineTypes = []struct {
 	name  string
 	speed float64
 }{{"new-fast", 1.6}, {"standard", 1}, {"old-slow", 0.6}}
 
-// The faults and the deployment of the script. The numbers xFrom and xTo are fractions of the duration of the demo.
+// The faults and the deployment of the script. Constants whose names end in From and To are fractions of the duration of the demo.
 const (
 	slowFrom, slowTo     = 0.15, 0.40
 	freezeFrom, freezeTo = 0.45, 0.65
@@ -39,7 +40,7 @@
 	freezeFor            = 300 * time.Millisecond
 )
 
-// phase describes what the script does at a fraction of the duration.
+// phase describes what the script does at a point of the demo. fraction is the part of the duration that has passed.
 func phase(fraction float64) string {
 	switch {
 	case fraction >= slowFrom && fraction < slowTo:
@@ -61,7 +62,7 @@
 	discovery *fakes.Discovery
 
 	mu    sync.Mutex
-	nodes []*fakes.Node // in the order of their start, stopped ones included
+	nodes []*fakes.Node // all nodes in the order of their start, including stopped nodes
 }
 
 func newFleet(o Options) (*fleet, error) {
@@ -80,14 +81,14 @@
 	return f, nil
 }
 
-// start starts the node at an index of the fleet and adds it to discovery. since is the start of a replacement node; it is zero for the nodes
-// of the initial fleet, and only these get the faults of the script.
+// start starts a node at an index of the fleet and adds the node to discovery. For a replacement node, since is the time of its start. For a
+// node of the initial fleet, since is zero, and only such nodes get the faults of the script.
 func (f *fleet) start(index int, name string, since time.Time) error {
 	machineType := machineTypes[index%len(machineTypes)]
 	n := fakes.NodeOptions{Name: name, Zone: "home", Type: machineType.name, Cores: cores, ServiceRate: machineType.speed, MaxQueue: 40,
 		Started: since, SlowStartMinCapacity: slowStartMinCapacity, SlowStartWindow: slowStartWindow, OverloadMultiple: overloadMultiple, OverloadWindow: overloadWindow,
 		Keys: f.keys, Seed: f.options.Seed + uint64(index), Ledger: f.ledger}
-	if since.IsZero() { // only the initial fleet gets faults
+	if since.IsZero() { // only nodes of the initial fleet get faults
 		at := func(fraction float64) time.Duration { return time.Duration(fraction * float64(f.options.For)) }
 		switch index {
 		case 0:
@@ -125,8 +126,8 @@
 	return nil
 }
 
-// runScript replaces half of the fleet, one node after another, within the deployment phase of the script. The nodes have their faults from
-// their start.
+// runScript replaces half of the fleet, one node after another, during the deployment phase of the script. The faults of the script need no
+// action here, because nodes get them when they start.
 func (f *fleet) runScript(ctx context.Context, started time.Time) {
 	steps := fleetSize / 2
 	for i := range steps {
@@ -139,7 +140,7 @@
 		old := f.nodes[index]
 		f.mu.Unlock()
 		if err := f.start(index, fmt.Sprintf("node-%d.new", index), time.Now()); err != nil {
-			return // no port is free: the remaining old nodes stay
+			return // no port is free, so the remaining old nodes stay
 		}
 		f.discovery.Drain(old.Options().Name)
 		old.Drain()
@@ -150,7 +151,7 @@
 	}
 }
 
-// wait waits for d, or until ctx ends. It returns false if ctx ended first.
+// wait waits for d. It returns false if ctx ends first.
 func wait(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(max(d, 0))
 	defer timer.Stop()
@@ -176,7 +177,7 @@
 // nodeCounts returns the request counts of the nodes by name.
 func (f *fleet) nodeCounts() map[string]fakes.NodeCount { return f.ledger.Nodes() }
 
-// allNodes returns all nodes, stopped ones included.
+// allNodes returns all nodes, including stopped nodes.
 func (f *fleet) allNodes() []*fakes.Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	meanServiceTime = 22 * time.Millisecond // on a node with a speed of 1
-	maxInFlight     = 3000                  // requests in flight; further ones count as failed
+	meanServiceTime = 22 * time.Millisecond // mean service time on a node with a speed of 1
+	maxInFlight     = 3000                  // maximum number of requests in flight; further requests count as failed
 )
 
-// result is the outcome of a request for its client.
+// result is the outcome of a request as its client sees it.
 type result int
 
 const (
@@ -43,21 +43,21 @@
 type Count struct {
 	Requests      int
 	Results       [resultCount]int
-	P50, P95, P99 time.Duration // of served requests
+	P50, P95, P99 time.Duration // latencies of served requests
 	Nodes         map[string]fakes.NodeCount
 }
 
 // InTime returns the fraction of the requests that were served within their latency objective.
 func (c Count) InTime() float64 { return float64(c.Results[inTime]) / math.Max(1, float64(c.Requests)) }
 
-// load sends requests at a constant mean rate, independent of the answers (an open loop).
+// load sends requests at a constant mean rate that does not depend on the answers (an open loop).
 type load struct {
 	client  balancedClient
 	options Options
 
 	mu        sync.Mutex
 	requests  int
-	latencies *hdr.Histogram // of served requests
+	latencies *hdr.Histogram // latencies of served requests
 	results   [resultCount]int
 	inFlight  int
 }
@@ -66,8 +66,8 @@
 	return &load{client: c, options: o, latencies: loadgen.NewHistogram()}
 }
 
-// run sends requests until ctx ends, then waits for the answers. The arrivals, classes and service times depend on the seed only, so that both
-// contenders get the same.
+// run sends requests until ctx ends, then waits for the answers. The arrivals, classes and service times depend only on the seed, so they are
+// the same for both contenders.
 func (l *load) run(ctx context.Context, started time.Time) {
 	rng := rand.New(rand.NewPCG(l.options.Seed, 2))
 	var wg sync.WaitGroup
--- a/internal/demo/output.go
+++ b/internal/demo/output.go
@@ -16,7 +16,8 @@
 	lineInterval  = 2 * time.Second
 )
 
-// printProgress writes the state of both contenders until ctx ends: with Options.Live as a table that is redrawn, otherwise as lines.
+// printProgress writes the state of both contenders until ctx ends. If Options.Live is set, it redraws one table. Otherwise it writes
+// lines.
 func printProgress(ctx context.Context, o Options, started time.Time, ours, random *contender) {
 	interval := lineInterval
 	if o.Live {
@@ -31,14 +32,14 @@
 		if o.Live {
 			text = progressTable(o, now, ours, random)
 			if lines > 0 {
-				text = fmt.Sprintf("\x1b[%dA\x1b[J", lines) + text // moves the cursor up to the table and clears to the end of the screen
+				text = fmt.Sprintf("\x1b[%dA\x1b[J", lines) + text // moves the cursor up to the start of the table, and clears the rest of the screen
 			}
 			lines = strings.Count(text, "\n")
 		} else {
 			text = progressLine(o, now, ours, random)
 		}
 		if _, err := io.WriteString(o.Out, text); err != nil {
-			return // the reader of the output is gone
+			return // the output has been closed by its reader
 		}
 		select {
 		case <-ticker.C:
@@ -98,7 +99,7 @@
 	return out.String()
 }
 
-// rows writes a table with one row for each contender.
+// rows writes a table with a row for each contender.
 func (s Summary) rows(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(w, "\tasked\t")
@@ -119,7 +120,7 @@
 	return w.Flush()
 }
 
-// write prints the closing summary.
+// write prints the summary at the end of the demo.
 func (s Summary) write(out io.Writer, o Options) error {
 	fmt.Fprintf(out, "\nSummary: %s front and plain random choice, the same script, arrivals and seed, side by side for %v.\n\n", o.Front, o.For)
 	if err := s.rows(out); err != nil {
@@ -142,7 +143,7 @@
 	return err
 }
 
-// rounded returns a duration that is rounded for tables.
+// rounded returns a duration rounded for tables.
 func rounded(d time.Duration) time.Duration {
 	if d < 10*time.Millisecond {
 		return d.Round(100 * time.Microsecond)
--- a/internal/loadgen/attempt.go
+++ b/internal/loadgen/attempt.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// attempt is the next attempt of a request: its first, or a retry.
+// attempt is the next attempt of a request: the first attempt or a retry.
 type attempt struct {
-	request   ScheduledRequest // At is the time at which this attempt is due
-	scheduled time.Duration    // time at which the first attempt was due; latency counts from it
+	request   ScheduledRequest // the request; its field At is the time at which this attempt is due
+	scheduled time.Duration    // time at which the first attempt was due, from which latency counts
 	sent      int              // number of earlier attempts
-	backoff   time.Duration    // backoff before this attempt; 0 for the first
+	backoff   time.Duration    // pause before this attempt; 0 for the first attempt
 	outcome   Outcome          // outcome of the previous attempt
 }
 
-// attemptHeap is a min-heap of attempts by the time at which they are due. It implements heap.Interface.
+// attemptHeap is a min-heap of attempts, ordered by the time at which they are due. It implements heap.Interface.
 type attemptHeap []attempt
 
 func (h attemptHeap) Len() int           { return len(h) }
@@ -29,10 +29,11 @@
 	return last
 }
 
-// idempotent reports whether requests of the class may be sent again after a fault. Only GET and HEAD requests may.
+// idempotent reports whether requests of the class may be sent again after a fault. This is the case only for GET and HEAD
+// requests.
 func (c *Class) idempotent() bool { return c.Method == http.MethodGet || c.Method == http.MethodHead }
 
-// retryable reports whether an outcome allows a retry: a refusal always does, a fault only for idempotent requests.
+// retryable reports whether an outcome allows a retry. A refusal always allows it, and a fault only for idempotent requests.
 func retryable(outcome Outcome, idempotent bool) bool {
 	switch outcome {
 	case Refused:
@@ -43,7 +44,7 @@
 	return false
 }
 
-// serve makes one attempt, then settles the request or schedules a retry. Each worker calls it with its own sender.
+// serve makes one attempt. It then settles the request or schedules a retry. Each worker calls serve with its own sender.
 func (r *run) serve(s sender, a attempt) {
 	result := s.send(a.request, r.options.Timeout)
 	now := time.Since(r.started)
@@ -60,8 +61,9 @@
 	}
 }
 
-// settle counts an attempt that ended at now, and reports whether it scheduled a retry. It does so if retry is true and fewer than
-// MaxWaitingRetries requests wait for one. Otherwise the outcome of this attempt becomes the outcome of the request.
+// settle counts an attempt that ended at the time now, and reports whether it scheduled a retry. It schedules a retry if the
+// argument retry is true and fewer than MaxWaitingRetries requests wait for a retry. Otherwise the outcome of this attempt becomes
+// the outcome of the request.
 func (r *run) settle(a attempt, result attemptResult, now time.Duration, retry bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/loadgen/dispatch.go
+++ b/internal/loadgen/dispatch.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// timerSlack is how late the runtime's timers may fire. Timers are therefore set this much early, and sleepPrecisely sleeps
-// for the rest of a wait.
+// timerSlack is the time by which the runtime's timers may fire late. Timers are therefore set to fire earlier by this time, and
+// sleepPrecisely sleeps for the rest of a wait.
 const timerSlack = 1500 * time.Microsecond
 
-// delayedThreshold is the delay above which a request that found all connections busy counts as delayed.
+// delayedThreshold is the delay above which a request counts as delayed if it found all connections busy.
 const delayedThreshold = time.Millisecond
 
 // sleepPrecisely sleeps with nanosleep(2), which returns with far less delay than the runtime's timers. A signal may end the sleep early.
 func sleepPrecisely(d time.Duration) {
 	t := syscall.NsecToTimespec(d.Nanoseconds())
-	_ = syscall.Nanosleep(&t, nil) // after an interrupted sleep the attempt is sent early, by timerSlack at most
+	_ = syscall.Nanosleep(&t, nil) // if a signal ends the sleep, the attempt is sent early by at most timerSlack
 }
 
 // dispatcher passes attempts to the workers when they are due. Only one goroutine uses it.
@@ -25,13 +25,13 @@
 	*run
 	schedule     *Schedule
 	next         ScheduledRequest
-	more         bool // next is valid
+	more         bool // next is valid, because the schedule has not ended
 	timer        *time.Timer
-	blockedUntil time.Duration // when the last attempt that waited for a connection was handed over
+	blockedUntil time.Duration // time at which the last attempt that had to wait for a connection was handed over
 }
 
-// dispatch passes each attempt to a worker when it is due, until all requests have ended or ctx does. It reports whether ctx ended
-// first.
+// dispatch passes each attempt to a worker when the attempt is due. It returns when all requests have ended, or when ctx ends. It reports
+// whether ctx ended first.
 func (r *run) dispatch(ctx context.Context, work chan<- attempt) (stopped bool) {
 	d := &dispatcher{run: r, schedule: NewSchedule(r.options), timer: time.NewTimer(time.Hour)}
 	defer d.timer.Stop()
@@ -40,7 +40,7 @@
 		a, isRetry := d.earliest()
 		if !d.more && !isRetry {
 			if d.unsettled.Load() == 0 {
-				if d.noWaitingRetries() { // the attempt that ended last may have added a retry
+				if d.noWaitingRetries() { // the last attempt may have added a retry before it ended
 					return false
 				}
 				continue
@@ -65,7 +65,7 @@
 	}
 }
 
-// earliest returns the attempt that is due first, and whether it is a waiting retry.
+// earliest returns the attempt that is due first, and reports whether this is a waiting retry.
 func (d *dispatcher) earliest() (a attempt, isRetry bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,8 +75,8 @@
 	return attempt{request: d.next, scheduled: d.next.At}, false
 }
 
-// take removes the attempt that earliest returned. If that is a retry, take removes the first one of the heap, since a worker may have added
-// one that is due earlier.
+// take removes the attempt a that earliest returned from the schedule or the heap, and returns the attempt to send. For a retry, this is the
+// first attempt of the heap. It may differ from a, because a worker may have added a retry that is due earlier in the meantime.
 func (d *dispatcher) take(a attempt, isRetry bool) attempt {
 	if !isRetry {
 		d.next, d.more = d.schedule.Next()
@@ -93,7 +93,7 @@
 	return len(d.waiting) == 0
 }
 
-// waitForWake waits for a new retry or the end of the last request. It returns false if ctx ends.
+// waitForWake waits until a retry is added or the last request ends. It returns false if ctx ends first.
 func (d *dispatcher) waitForWake(ctx context.Context) bool {
 	select {
 	case <-d.wake:
@@ -103,8 +103,9 @@
 	}
 }
 
-// sleep waits for the next attempt. due means that the attempt can be sent now. Otherwise the caller looks for the earliest attempt again: a
-// retry that is due before this one may have been added, or a wait of timerSlack or less is left. ok is false if ctx ended.
+// sleep waits for the next attempt. It returns due if the attempt can be sent now. If due is false, the caller has to call earliest again,
+// because a retry that is due earlier may have been added, or because a wait of at most timerSlack is left. It returns ok as false if ctx
+// has ended.
 func (d *dispatcher) sleep(ctx context.Context, wait time.Duration) (due, ok bool) {
 	if wait <= timerSlack {
 		sleepPrecisely(wait)
@@ -120,14 +121,14 @@
 	return false, true
 }
 
-// handOver passes an attempt to an idle worker, and waits until there is one. It returns false if ctx ends first.
+// handOver passes an attempt to an idle worker, and waits until a worker is idle. It returns false if ctx ends first.
 func (d *dispatcher) handOver(ctx context.Context, work chan<- attempt, a attempt) bool {
 	d.unsettled.Add(1)
 	hadIdle := d.idle.Load() > 0
 	waitStart := time.Now()
 	select {
 	case work <- a:
-		d.idle.Add(-1) // not in the worker, which may start to run only after the next attempt is due
+		d.idle.Add(-1) // counted here and not in the worker, which may start to run only after the next attempt is due
 	case <-ctx.Done():
 		d.unsettled.Add(-1)
 		return false
@@ -143,8 +144,8 @@
 	return true
 }
 
-// recordFirstAttempt counts a request and its delay. The delay of a request that was due while the dispatcher waited for a connection counts
-// as caused by busy connections, any other delay as caused by this process.
+// recordFirstAttempt counts a request and its delay. If the request became due while the dispatcher waited for a connection, its delay
+// counts as caused by busy connections. Any other delay counts as caused by this process.
 func (d *dispatcher) recordFirstAttempt(request ScheduledRequest, sent time.Duration) {
 	delay := sent - request.At
 	d.mu.Lock()
--- a/internal/loadgen/grpc.go
+++ b/internal/loadgen/grpc.go
@@ -20,7 +20,7 @@
 	classes []grpcClass
 }
 
-// grpcClass holds the parts of the calls of one class.
+// grpcClass holds what the calls of one class have in common.
 type grpcClass struct {
 	method  string
 	body    template
@@ -58,7 +58,8 @@
 	return grpcResult(g.conn.Invoke(ctx, class.method, &body, &answer))
 }
 
-// grpcResult converts the error of a call into a result. UNAVAILABLE and RESOURCE_EXHAUSTED are refusals only with RetryInfo.
+// grpcResult converts the error of a call to a result. The codes UNAVAILABLE and RESOURCE_EXHAUSTED are refusals only if the
+// error has RetryInfo.
 func grpcResult(err error) attemptResult {
 	callStatus := status.Convert(err)
 	var result attemptResult
@@ -87,7 +88,7 @@
 // rawMessage holds the bytes of a message.
 type rawMessage []byte
 
-// rawCodec sends and receives messages as bytes, under the content type of protobuf messages.
+// rawCodec sends and receives messages as bytes. It uses the content type of protobuf messages.
 type rawCodec struct{}
 
 var _ encoding.CodecV2 = rawCodec{}
--- a/internal/loadgen/http1.go
+++ b/internal/loadgen/http1.go
@@ -12,15 +12,15 @@
 	"time"
 )
 
-// Outcome is how an attempt ended.
+// Outcome is the way in which an attempt ended.
 type Outcome int
 
 // The outcomes of an attempt.
 const (
 	OK       Outcome = iota
-	Refused          // 429, 503; UNAVAILABLE and RESOURCE_EXHAUSTED with RetryInfo
-	Rejected         // any other 4xx: the request is invalid
-	Failed           // any other 5xx
+	Refused          // HTTP status 429 or 503; gRPC status UNAVAILABLE or RESOURCE_EXHAUSTED with RetryInfo
+	Rejected         // any other 4xx status, which means that the request is invalid
+	Failed           // any other 5xx status
 	Broken           // the connection failed, or the response was malformed
 	TimedOut
 	outcomeCount
@@ -33,17 +33,17 @@
 // attemptResult is the result of one attempt.
 type attemptResult struct {
 	outcome    Outcome
-	retryAfter time.Duration // time the server asked to wait before a retry; 0 if it named none
+	retryAfter time.Duration // time for which the server asked to wait before a retry; 0 if it named no time
 }
 
-// sender sends one request at a time over its own connection, and reconnects after a fault.
+// sender sends one request at a time over its own connection. It reconnects after a fault.
 type sender interface {
 	send(d ScheduledRequest, timeout time.Duration) attemptResult
 	close()
 }
 
-// http1Sender sends HTTP/1.1 requests. To keep the CPU time of a request low, it formats all but the numbers of the requests before the run,
-// and parses of a response only its status, its end and the time of a retry.
+// http1Sender sends HTTP/1.1 requests. To keep the CPU time per request low, it formats requests before the run, except for their numbers.
+// Of a response it parses only the status, the end and the time of a retry.
 type http1Sender struct {
 	address string
 	classes []httpClass
@@ -56,12 +56,12 @@
 // httpClass holds the formatted requests of one class.
 type httpClass struct {
 	head, body template
-	fixed      bool // all requests have the same body, which head contains
-	bodyless   bool // the responses have no body, as to HEAD
+	fixed      bool // all requests have the same body, which is part of head
+	bodyless   bool // responses have no body, as for the method HEAD
 	idempotent bool
 }
 
-// maxHeaderBytes is the largest accepted size of the headers of a response.
+// maxHeaderBytes is the maximum accepted size of the headers of a response.
 const maxHeaderBytes = 64 << 10
 
 func newHTTP1Sender(address string, classes []Class) *http1Sender {
@@ -116,7 +116,7 @@
 	return result
 }
 
-// roundTrip sends a request once and reads the response. started reports whether the first line of the response arrived.
+// roundTrip sends a request once and reads the response. The result started reports whether the first line of the response arrived.
 func (h *http1Sender) roundTrip(class *httpClass, number uint64, deadline time.Time) (result attemptResult, started bool, err error) {
 	if h.conn == nil {
 		if h.conn, err = (&net.Dialer{Deadline: deadline}).Dial("tcp", h.address); err != nil {
@@ -144,7 +144,7 @@
 
 var errMalformedResponse = errors.New("malformed response")
 
-// readResponse reads the final response and skips interim (1xx) ones before it. started reports whether the first line of a response
+// readResponse reads the final response. It skips interim (1xx) responses. The result started reports whether the first line of a response
 // arrived.
 func (h *http1Sender) readResponse(bodyless bool) (result attemptResult, started bool, err error) {
 	for {
@@ -178,7 +178,7 @@
 	}
 }
 
-// httpOutcome returns the outcome that a status code stands for.
+// httpOutcome returns the outcome for a status code.
 func httpOutcome(status int) Outcome {
 	switch {
 	case status == 429 || status == 503:
@@ -191,19 +191,19 @@
 	return OK
 }
 
-// responseHead is what the status line and the headers of a response say about its status, its end and a retry.
+// responseHead holds what the status line and the headers of a response say about its status, its end and a retry.
 type responseHead struct {
 	status     int
-	length     int // Content-Length; -1 if absent
+	length     int // value of Content-Length, or -1 if the header is absent
 	chunked    bool
 	closes     bool // the server closes the connection after the response
 	retryAfter time.Duration
 }
 
-// statusLineLength is the length of "HTTP/1.1 200", the shortest valid status line.
+// statusLineLength is the length of the shortest valid status line, such as "HTTP/1.1 200".
 const statusLineLength = 12
 
-// head reads a status line and headers. It sets started once it has read the first line.
+// head reads a status line and headers. It sets *started to true once it has read the status line.
 func (h *http1Sender) head(started *bool) (responseHead, error) {
 	head := responseHead{length: -1}
 	line, err := h.line()
@@ -231,7 +231,7 @@
 	}
 }
 
-// addHeader stores the value of a header line that responseHead has a field for, and ignores other headers.
+// addHeader stores the value of a header line if responseHead has a field for the header. It ignores all other headers.
 func (h *responseHead) addHeader(line []byte) error {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok {
@@ -257,7 +257,7 @@
 	return nil
 }
 
-// line returns the next line without its end. It is valid until the next read.
+// line returns the next line without its line end. The line is valid until the next read.
 func (h *http1Sender) line() ([]byte, error) {
 	line, err := h.r.ReadSlice('\n')
 	if err != nil {
@@ -269,7 +269,7 @@
 	return bytes.TrimRight(line, "\r\n"), nil
 }
 
-// discardChunks reads a chunked body and its trailers, and drops them.
+// discardChunks reads and discards a chunked body and its trailers.
 func (h *http1Sender) discardChunks() error {
 	for {
 		line, err := h.line()
@@ -292,7 +292,7 @@
 		}
 	}
 	for {
-		line, err := h.line() // a trailer, or the empty line that ends the body
+		line, err := h.line() // the line is a trailer, or the empty line that ends the body
 		if err != nil || len(line) == 0 {
 			return err
 		}
--- a/internal/loadgen/load_test.go
+++ b/internal/loadgen/load_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// options returns the options for a target and a rate. Without classes, requests are GET /.
+// options returns options with the given target and rate. If no classes are given, the requests are GET /.
 func options(target, rate string, classes ...string) Options {
 	o := Options{Target: target, Connections: 8, Timeout: 5 * time.Second, Seed: 1}
 	o.Phases, _ = ParsePhases(rate, time.Second) // the tests pass valid rates only
@@ -38,7 +38,7 @@
 	return o
 }
 
-// runChecked runs a load, and checks that each request has one outcome, each OK outcome one latency, and that no request has too many
+// runChecked runs a load. It checks that each request has one outcome, that each OK outcome has one latency, and that no request has too many
 // attempts.
 func runChecked(t *testing.T, ctx context.Context, o Options, w Observers) *Result {
 	t.Helper()
@@ -58,13 +58,13 @@
 	return r
 }
 
-// A server that stalls for a second delays all requests that are scheduled in that second. A load generator that waits for responses would
-// record the delay only once for each connection (coordinated omission).
+// Guards against coordinated omission. A server that stalls for a second delays all requests that are scheduled in this second. A load
+// generator that waits for responses would record the delay only once for each connection.
 func TestCoordinatedOmission(t *testing.T) {
 	var mu sync.Mutex
 	var firstRequest time.Time
 	address := base.HTTP(t, nil, func(w http.ResponseWriter, _ *http.Request) {
-		mu.Lock() // handles one request at a time, so that all of them wait for the one that stalls
+		mu.Lock() // the server handles one request at a time, so that all requests wait for the stalled one
 		defer mu.Unlock()
 		if firstRequest.IsZero() {
 			firstRequest = time.Now()
@@ -80,7 +80,7 @@
 	if all.Requests != 399 || all.Outcomes[OK] != all.Requests {
 		t.Fatalf("%d requests with outcomes %v, want 399, all OK", all.Requests, all.Outcomes)
 	}
-	// 200 of the 400 requests are scheduled in the second of the stall, and wait for the rest of it.
+	// The schedule has 200 requests in the second of the stall, and each of them waits for the rest of this second.
 	slow := int64(0)
 	for _, bar := range all.Latency.Distribution() {
 		if bar.From > (200 * time.Millisecond).Microseconds() {
@@ -91,11 +91,11 @@
 		t.Errorf("%d requests took more than 200 ms, want about 160", slow)
 	}
 	if r.DelayedByConnections < 100 || len(r.Limits()) == 0 || !strings.Contains(strings.Join(r.Limits(), " "), "connections busy") {
-		t.Errorf("%d requests delayed by busy connections, want at least 100 and a limit that says so; limits %v", r.DelayedByConnections, r.Limits())
+		t.Errorf("%d requests were delayed by busy connections, want at least 100 and a limit that names the connections; limits %v", r.DelayedByConnections, r.Limits())
 	}
 }
 
-// A schedule has the configured rates and shares, is ordered by time, and is the same for the same seed.
+// TestSchedule checks that a schedule has the configured rates and shares, is ordered by time, and is the same for the same seed.
 func TestSchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := Options{Steady: rapid.Bool().Draw(t, "steady"), Seed: rapid.Uint64().Draw(t, "seed")}
@@ -131,19 +131,19 @@
 			t.Fatalf("%d requests scheduled, want about %.0f", n, want)
 		}
 		if math.Abs(float64(ofFirstClass)-0.75*float64(n)) > 5*math.Sqrt(float64(n))/2+2 {
-			t.Fatalf("%d of %d requests are of the class with a share of 3 in 4", ofFirstClass, n)
+			t.Fatalf("%d of %d requests are of the class with a share of 3 in 4, which is too far from the share", ofFirstClass, n)
 		}
 	})
 }
 
-// scriptedServer is a TCP server that answers whatever it reads with the same bytes.
+// scriptedServer is a TCP server that answers everything that it reads with the same bytes.
 type scriptedServer struct {
 	listener    net.Listener
 	connections atomic.Int64
 	handlers    sync.WaitGroup
 }
 
-// startScriptedServer listens on loopback. With keepOpen, connections stay open after an answer.
+// startScriptedServer starts a scriptedServer on loopback. If keepOpen is set, connections stay open after an answer.
 func startScriptedServer(t *testing.T, answer string, keepOpen bool) *scriptedServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -184,14 +184,14 @@
 	}
 }
 
-// Each response has the expected outcome, and the next request reuses the connection only if the response allows it. Otherwise valid responses
-// would count as faults, or a request would be sent on a connection that the server closes.
+// TestAnswers checks that each response gives the expected outcome, and that the next request reuses the connection only if the response
+// allows it. Otherwise valid responses would count as faults, or a request would be sent on a connection that the server closes.
 func TestAnswers(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n"
 	for _, c := range []struct {
 		name, answer string
 		want         Outcome
-		again        bool // the next request uses the same connection
+		again        bool // the next request has to use the same connection
 	}{
 		{"body with a length", head + "Content-Length: 3\r\n\r\nabc", OK, true},
 		{"chunked body", head + "Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0\r\nTrailer: 1\r\n\r\n", OK, true},
@@ -221,16 +221,16 @@
 		h := newHTTP1Sender(server.address(), options("", "1", "CALL /{n}").Classes)
 		for range 2 {
 			if result := h.send(ScheduledRequest{Number: 1}, 5*time.Second); result.outcome != c.want || c.name == "refused" && result.retryAfter != 7*time.Second {
-				t.Errorf("response %q: unexpected result %+v", c.name, result)
+				t.Errorf("response %q: got the unexpected result %+v", c.name, result)
 			}
 		}
 		if want := map[bool]int64{true: 1, false: 2}[c.again]; server.connections.Load() != want {
-			t.Errorf("response %q: %d connections for two requests", c.name, server.connections.Load())
+			t.Errorf("response %q: two requests used %d connections, which is wrong for this response", c.name, server.connections.Load())
 		}
 		h.close()
 		server.stop()
 	}
-	rapid.Check(t, func(t *rapid.T) { // the parser returns on any input
+	rapid.Check(t, func(t *rapid.T) { // the parser has to return on any input
 		noise := append([]byte(rapid.SampledFrom([]string{"", head, head + "Transfer-Encoding: chunked\r\n\r\n"}).Draw(t, "head")), rapid.SliceOf(rapid.Byte()).Draw(t, "noise")...)
 		h := newHTTP1Sender("", nil)
 		h.r.Reset(bytes.NewReader(noise))
@@ -238,7 +238,7 @@
 	})
 }
 
-// loggedCounts returns the number of latencies in a log for each class.
+// loggedCounts returns the number of latencies in a log by class.
 func loggedCounts(t *testing.T, log io.Reader) map[string]int64 {
 	t.Helper()
 	logged := map[string]int64{}
@@ -256,8 +256,8 @@
 	return logged
 }
 
-// A refused request is always retried, a broken one only if it is idempotent: a server may have executed it. The log has as many latencies as
-// the result has requests with the outcome OK.
+// TestRetries checks that a refused request is always retried, and a request with a broken connection only if the request is idempotent,
+// because the server may have executed it. It also checks that the log has as many latencies as the result has requests with the outcome OK.
 func TestRetries(t *testing.T) {
 	var refusableAttempts, aborted atomic.Int64
 	seen := sync.Map{}
@@ -287,22 +287,22 @@
 	r := runChecked(t, t.Context(), o, Observers{Log: &log})
 	a, b, c := r.Classes[0], r.Classes[1], r.Classes[2]
 	if a.Requests < 20 || a.Outcomes[OK] != a.Requests || a.Attempts != 2*a.Requests || refusableAttempts.Load() != a.Attempts || Quantile(a.Latency, 0) < 19*time.Millisecond {
-		t.Errorf("refused requests: %+v, %d attempts at the server; want two attempts for each, the last one OK", a, refusableAttempts.Load())
+		t.Errorf("refused requests: %+v, %d attempts at the server; want two attempts for each request, the last one with outcome OK", a, refusableAttempts.Load())
 	}
 	if b.Outcomes[OK] != b.Requests {
 		t.Errorf("GET requests whose first connection broke: %+v; want all OK", b)
 	}
 	if c.Outcomes[Broken] != c.Requests || c.Attempts != c.Requests {
-		t.Errorf("POST requests whose connection broke: %+v; want one attempt for each", c)
+		t.Errorf("POST requests whose connection broke: %+v; want one attempt for each request", c)
 	}
 	logged := loggedCounts(t, &log)
 	if logged["a"] != a.Outcomes[OK] || logged["b"] != b.Outcomes[OK] || logged["c"] != 0 {
-		t.Errorf("latencies in the log: %v; want as many as OK outcomes, %v and %v", logged, a.Outcomes, b.Outcomes)
+		t.Errorf("latencies in the log: %v; want as many as there are OK outcomes in %v and %v", logged, a.Outcomes, b.Outcomes)
 	}
 }
 
-// At most MaxWaitingRetries requests wait for a retry: otherwise memory would grow as long as a server refuses. In a run that is stopped, each
-// request still has one outcome.
+// Guards against memory use that grows as long as a server refuses requests. At most MaxWaitingRetries requests may wait for a retry. In a run
+// that is stopped, each request still has to have one outcome.
 func TestWaitingRetriesAreBounded(t *testing.T) {
 	address := base.HTTP(t, nil, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
 	o := options("http://"+address, "200:1m", "GET /never")
@@ -311,11 +311,11 @@
 	maxWaiting := 0
 	r := runChecked(t, ctx, o, Observers{Progress: func(p Progress) { maxWaiting = max(maxWaiting, p.Waiting); stop() }})
 	if !r.Stopped || maxWaiting != 10 || r.Classes[0].GivenUp < 50 || r.Classes[0].Outcomes[Refused] != r.Classes[0].Requests {
-		t.Errorf("%d requests waited for a retry at the same time, want 10, with the others given up and all refused: %+v", maxWaiting, r.Classes[0])
+		t.Errorf("%d requests waited for a retry at the same time, want 10, with the others given up and all outcomes refused: %+v", maxWaiting, r.Classes[0])
 	}
 }
 
-// gRPC calls are counted by their status: OK, a client error, and no connection.
+// TestGRPC checks that gRPC calls are counted by their status: OK, a client error, and a failed connection.
 func TestGRPC(t *testing.T) {
 	node := fakes.NewNode(fakes.NodeOptions{Name: "n", Cores: 8, Ledger: fakes.NewLedger(), Answer: func(fakes.Job) []byte { return nil }})
 	t.Cleanup(node.Close)
@@ -327,7 +327,7 @@
 	o.Classes[1].Headers = []Header{{fakes.StatusKey, "3"}}
 	r := runChecked(t, t.Context(), o, Observers{})
 	if a, b := r.Classes[0], r.Classes[1]; a.Outcomes[OK] != a.Requests || b.Outcomes[Rejected] != b.Requests || a.Requests == 0 {
-		t.Errorf("want all calls OK in the first class and rejected in the second:\n%+v\n%+v", a, b)
+		t.Errorf("not all calls were OK in the first class and rejected in the second:\n%+v\n%+v", a, b)
 	}
 	node.Close()
 	o = options("grpc://"+address, "50", "CALL /p.S/M")
@@ -336,7 +336,7 @@
 	}
 }
 
-// The report names what limited the run: the load generator, the connections, or nothing but the server.
+// TestLimits checks that the report names what limited the run: the load generator, the connections, or only the server.
 func TestLimits(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -354,7 +354,7 @@
 		Record(c.r.SendDelay, c.sendDelay)
 		c.r.Classes = []ClassResult{{Requests: 100, Latency: NewHistogram()}}
 		if got := strings.Join(c.r.Limits(), ";"); c.want == "" && got != "" || !strings.Contains(got, c.want) {
-			t.Errorf("run limited by %s: Limits returned %q", c.name, got)
+			t.Errorf("run limited by %s: Limits returned the wrong text %q", c.name, got)
 		}
 	}
 	var out strings.Builder
@@ -364,7 +364,7 @@
 	}
 }
 
-// Invalid options and arguments are rejected with an error that names them.
+// TestCheck checks that invalid options and arguments are rejected with an error that names them.
 func TestCheck(t *testing.T) {
 	for _, c := range []struct {
 		want   string
@@ -406,7 +406,7 @@
 	}
 }
 
-// Quantiles are within a thousandth of the exact values, and values beyond the bounds count as the bounds.
+// TestQuantile checks that quantiles are within a thousandth of the exact values, and that values beyond the bounds count as the bounds.
 func TestQuantile(t *testing.T) {
 	h := NewHistogram()
 	if Quantile(h, 50) != 0 {
@@ -417,7 +417,7 @@
 	}
 	for percent, want := range map[float64]float64{50: 500, 95: 950, 99: 990, 100: 1000} {
 		if got := Quantile(h, percent).Seconds() * 1000; math.Abs(got-want) > want/1000 {
-			t.Errorf("%v%% quantile: %v ms, want %v", percent, got, want)
+			t.Errorf("%v%% quantile: got %v ms, want %v within a thousandth", percent, got, want)
 		}
 	}
 	Record(h, -time.Second)
--- a/internal/loadgen/plan.go
+++ b/internal/loadgen/plan.go
@@ -47,9 +47,9 @@
 // Class is a class of requests.
 type Class struct {
 	Name    string
-	Share   float64 // weight relative to the shares of the other classes
-	Method  string  // HTTP method; CALL for gRPC
-	Path    string  // HTTP path, in which {n} stands for the request's number, or gRPC method as /package.Service/Method
+	Share   float64 // weight of the class relative to the shares of the other classes
+	Method  string  // HTTP method, or CALL for gRPC
+	Path    string  // HTTP path, or gRPC method as in /package.Service/Method; {n} in an HTTP path stands for the request's number
 	Body    []byte  // HTTP body, or the bytes of a gRPC message; {n} stands for the request's number
 	Headers []Header
 }
@@ -57,8 +57,8 @@
 // Header is an HTTP header or an entry of gRPC metadata. {n} in its value stands for the request's number.
 type Header struct{ Name, Value string }
 
-// ParseClass parses a class such as "search=3:GET /search?q={n}". Name and share may be absent, as in "GET /search". A path alone stands for
-// GET.
+// ParseClass parses a class such as "search=3:GET /search?q={n}". Name and share are optional, as in "GET /search". A path without a method
+// means GET.
 func ParseClass(text string) (Class, error) {
 	class := Class{Name: "request", Share: 1}
 	name, rest, named := strings.Cut(text, "=")
@@ -89,21 +89,21 @@
 	return h, nil
 }
 
-// Options are a run's parameters.
+// Options are the parameters of a run.
 type Options struct {
-	Target            string // http://address or grpc://address
+	Target            string // address of the server, as http://address or grpc://address
 	Phases            []Phase
 	Classes           []Class
-	Connections       int           // maximum number of connections; a request that finds all of them busy waits
+	Connections       int           // maximum number of connections; if all of them are busy, a request waits
 	Timeout           time.Duration // timeout of an attempt
-	Steady            bool          // constant gaps between requests; otherwise exponential ones (a Poisson process)
+	Steady            bool          // the gaps between requests are constant; otherwise they are exponentially distributed (a Poisson process)
 	Seed              uint64        // seed of the gaps and of the choice of classes
-	Retries           int           // maximum number of retries of a request, after refusals (see Refused) and, if it is idempotent, after faults
-	RetryBackoff      time.Duration // least wait before the first retry, doubled for each further one; a longer Retry-After replaces it
-	MaxWaitingRetries int           // maximum number of requests that wait for a retry; further ones are given up
+	Retries           int           // maximum number of retries of a request after refusals (see Refused), and if the request is idempotent also after faults
+	RetryBackoff      time.Duration // minimum pause before the first retry, doubled for each further retry; a longer Retry-After replaces it
+	MaxWaitingRetries int           // maximum number of requests that wait for a retry at the same time; further requests are not retried
 }
 
-// Check returns an error for invalid options, and sets the defaults of absent ones.
+// Check returns an error if an option is invalid, and sets the defaults of options that are not set.
 func (o *Options) Check() error {
 	u, err := url.Parse(o.Target)
 	if err != nil || u.Scheme != "http" && u.Scheme != "grpc" || u.Path != "" && u.Path != "/" || u.RawQuery != "" || u.User != nil {
@@ -142,7 +142,7 @@
 
 // ScheduledRequest is a request of a Schedule.
 type ScheduledRequest struct {
-	At     time.Duration // time to send it, since the start of the run
+	At     time.Duration // time since the start of the run at which the request is due
 	Class  int           // index into Options.Classes
 	Number uint64        // counts the requests from 1
 }
@@ -150,7 +150,7 @@
 // Schedule computes the requests of a run one after another. The same phases, classes and seed give the same requests.
 type Schedule struct {
 	phases     []Phase
-	shares     []float64 // cumulative
+	shares     []float64 // cumulative shares of the classes
 	steady     bool
 	rng        *rand.Rand
 	phase      int           // index of the current phase
@@ -159,7 +159,7 @@
 	number     uint64        // number of the last request
 }
 
-// NewSchedule returns the schedule for options that Check has accepted.
+// NewSchedule returns the schedule for options that were accepted by Check.
 func NewSchedule(o Options) *Schedule {
 	s := &Schedule{phases: o.Phases, steady: o.Steady, rng: rand.New(rand.NewPCG(o.Seed, 0x6c6f6164))}
 	sum := 0.0
@@ -170,7 +170,7 @@
 	return s
 }
 
-// Next returns the next request, or false after the last one.
+// Next returns the next request. It returns false after the last request.
 func (s *Schedule) Next() (ScheduledRequest, bool) {
 	for meanGaps := s.nextGap(); s.phase < len(s.phases); {
 		p := s.phases[s.phase]
@@ -192,7 +192,7 @@
 	return ScheduledRequest{}, false
 }
 
-// nextGap returns the gap to the next request in units of the mean gap.
+// nextGap returns the time until the next request as a multiple of the mean gap.
 func (s *Schedule) nextGap() float64 {
 	if s.steady {
 		return 1
@@ -210,12 +210,12 @@
 	return min(i, len(s.shares)-1)
 }
 
-// template is a text that is split at each {n}, which stands for the request's number.
+// template is a text split at each {n}. The number of the request is inserted at the splits.
 type template []string
 
 func newTemplate(text string) template { return strings.Split(text, "{n}") }
 
-// appendTo appends the text for the request with this number to b.
+// appendTo appends the text for the request with the given number to b.
 func (t template) appendTo(b []byte, number uint64) []byte {
 	for i, part := range t {
 		if i > 0 {
--- a/internal/loadgen/progress.go
+++ b/internal/loadgen/progress.go
@@ -8,18 +8,18 @@
 	hdr "github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Progress is the state of a run at the end of an interval. Requests, Outcomes and percentiles are those of the interval.
+// Progress is the state of a run at the end of an interval. Requests, Outcomes and the percentiles cover only this interval.
 type Progress struct {
-	At       time.Duration // since the start of the run
+	At       time.Duration // time since the start of the run
 	Requests int64
 	Outcomes [outcomeCount]int64
 	InFlight int
-	Waiting  int // retries that are not due yet
+	Waiting  int // number of retries that are not due yet
 	P50, P99 time.Duration
 }
 
-// reportIntervals logs and reports each interval until ctx ends, which happens after the last request. It logs the last, shorter interval but
-// does not report it. log and report may be nil.
+// reportIntervals logs and reports each interval until ctx ends, which happens after the last request. The last interval may be shorter. It is
+// logged but not reported. log and report may be nil.
 func (r *run) reportIntervals(ctx context.Context, log *hdr.HistogramLogWriter, report func(Progress)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -71,7 +71,7 @@
 	return p, histograms
 }
 
-// newIntervalLog starts an HdrHistogram log by writing its header to out. It returns nil if out is nil.
+// newIntervalLog starts an HdrHistogram log by writing the log's header to out. It returns nil if out is nil.
 func newIntervalLog(out io.Writer) (*hdr.HistogramLogWriter, error) {
 	if out == nil {
 		return nil, nil
--- a/internal/loadgen/report.go
+++ b/internal/loadgen/report.go
@@ -23,7 +23,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Total returns the sum of all classes, under the name "all".
+// Total returns the sum of all classes as a class with the name "all".
 func (r *Result) Total() ClassResult {
 	total := ClassResult{Name: "all", Latency: NewHistogram()}
 	for _, c := range r.Classes {
@@ -40,13 +40,13 @@
 
 // Thresholds above which a run counts as limited by this process or by its connections.
 const (
-	maxSendDelay    = 2 * time.Millisecond // 99th percentile of Result.SendDelay
-	maxCPUShare     = 0.85                 // CPU time of this process, as a fraction of that of its cores
-	maxDelayedShare = 0.01                 // fraction of the requests that were sent late because all connections were busy
+	maxSendDelay    = 2 * time.Millisecond // limit of the 99th percentile of Result.SendDelay
+	maxCPUShare     = 0.85                 // limit of the CPU time of this process, as a fraction of the time of its cores
+	maxDelayedShare = 0.01                 // limit of the fraction of requests that were sent late because all connections were busy
 )
 
-// Limits describes what other than the speed of the server may have limited the run. If it returns nothing, the measured latencies are those
-// of the server.
+// Limits describes everything other than the speed of the server that may have limited the run. If it returns nothing, the measured
+// latencies are those of the server.
 func (r *Result) Limits() (limits []string) {
 	total := r.Total()
 	cpuShare := r.CPU.Seconds() / max(r.Took.Seconds(), 1e-9) / float64(max(r.Cores, 1))
@@ -70,7 +70,7 @@
 // reportedPercentiles are the latency percentiles in tables and summaries.
 var reportedPercentiles = []float64{50, 90, 99, 99.9, 100}
 
-// Print writes a table of the classes, the cost of the load generator itself, and what limited the run.
+// Print writes a table of the classes, the cost of the load generator itself, and a note for each limit of the run.
 func (r *Result) Print(out io.Writer) error {
 	total := r.Total()
 	fmt.Fprintf(out, "%s: %d requests in %v, %.0f a second; %d tries\n", r.Target, total.Requests, r.Took.Round(time.Millisecond),
@@ -110,7 +110,7 @@
 	return err
 }
 
-// rounded returns a latency percentile, rounded for tables.
+// rounded returns a percentile of the latencies, rounded for tables.
 func rounded(h *hdr.Histogram, percent float64) time.Duration {
 	d := Quantile(h, percent)
 	if d > 10*time.Millisecond {
@@ -133,12 +133,12 @@
 	return line
 }
 
-// Summary is a Result for JSON output. The JSON names of times end in their unit.
+// Summary is a Result in the form of JSON output. JSON names of times end in the unit of the time.
 type Summary struct {
 	Target               string         `json:"target"`
 	Seconds              float64        `json:"seconds"`
 	Stopped              bool           `json:"stopped"`
-	Classes              []ClassSummary `json:"classes"` // the last one is the sum, "all"
+	Classes              []ClassSummary `json:"classes"` // the last class is the sum of all classes and is called "all"
 	DelayedByConnections int64          `json:"busy"`
 	SendDelayP99         int64          `json:"own_p99_us"`
 	CPUSeconds           float64        `json:"cpu_seconds"`
@@ -156,7 +156,7 @@
 	Latency  map[string]int64 `json:"latency_us"`
 }
 
-// Summary converts the result for JSON output.
+// Summary converts the result to the form of JSON output.
 func (r *Result) Summary() Summary {
 	summary := Summary{Target: r.Target, Seconds: r.Took.Seconds(), Stopped: r.Stopped, DelayedByConnections: r.DelayedByConnections, SendDelayP99: Quantile(r.SendDelay, 99).Microseconds(),
 		CPUSeconds: r.CPU.Seconds(), Cores: r.Cores, Limits: r.Limits()}
--- a/internal/loadgen/run.go
+++ b/internal/loadgen/run.go
@@ -17,34 +17,34 @@
 type ClassResult struct {
 	Name     string
 	Requests int64
-	Outcomes [outcomeCount]int64 // requests by the outcome of their last attempt
-	Attempts int64               // attempts sent, retries included
-	GivenUp  int64               // requests whose retry was not sent, since MaxWaitingRetries were waiting or the run was stopped
-	Latency  *hdr.Histogram      // from the scheduled time to the last answer, of requests that ended OK
-	interval *hdr.Histogram      // the same, of the current interval only
+	Outcomes [outcomeCount]int64 // number of requests by the outcome of their last attempt
+	Attempts int64               // number of attempts, including retries
+	GivenUp  int64               // number of requests that were not retried because MaxWaitingRetries requests waited already or the run was stopped
+	Latency  *hdr.Histogram      // latencies of requests with the outcome OK, from the scheduled time to the last answer
+	interval *hdr.Histogram      // latencies as above, but of the current interval only
 }
 
 // Result is the outcome of a run.
 type Result struct {
 	Target               string
-	Planned              time.Duration // sum of the phases
-	Took                 time.Duration // until the last answer
+	Planned              time.Duration // sum of the durations of the phases
+	Took                 time.Duration // time until the last answer
 	Classes              []ClassResult
-	DelayedByConnections int64          // first attempts sent over a millisecond late because all connections were busy
-	Blocked              time.Duration  // time in which a due request had to wait for a connection
-	SendDelay            *hdr.Histogram // delay between the scheduled and the actual sending while a connection was free
-	CPU                  time.Duration  // CPU time of this process
-	Cores                int            // cores that this process may use
+	DelayedByConnections int64          // number of first attempts that were sent over a millisecond late because all connections were busy
+	Blocked              time.Duration  // total time for which a due request had to wait for a connection
+	SendDelay            *hdr.Histogram // delay between the scheduled and the actual time of sending, for requests that found a free connection
+	CPU                  time.Duration  // CPU time that this process used
+	Cores                int            // number of cores that this process may use
 	Stopped              bool           // the run was stopped before its end
-	Interval             time.Duration  // interval of the log
+	Interval             time.Duration  // length of an interval of the log
 }
 
 // run is the state that the dispatcher, the workers and the reporting goroutine share.
 type run struct {
 	options   Options
 	started   time.Time
-	idle      atomic.Int64 // connections without a request in flight
-	unsettled atomic.Int64 // requests in flight
+	idle      atomic.Int64 // number of connections without a request in flight
+	unsettled atomic.Int64 // number of requests in flight
 
 	mu       sync.Mutex
 	classes  []ClassResult
@@ -54,19 +54,19 @@
 	blocked  time.Duration  // see Result.Blocked; only the dispatcher writes it
 	progress Progress       // of the current interval
 	recent   *hdr.Histogram // latencies of the current interval
-	wake     chan struct{}  // signals the dispatcher that a retry was added or the last request ended
+	wake     chan struct{}  // signals the dispatcher that a retry was added or that the last request has ended
 }
 
-// Observers receive reports during a run. Either may be nil.
+// Observers receive reports during a run. Both fields may be nil.
 type Observers struct {
-	Progress func(Progress) // called once per interval, by the run's reporting goroutine
-	Log      io.Writer      // an HdrHistogram log with a line for each class and interval
+	Progress func(Progress) // called once per interval by the goroutine of the run that writes reports
+	Log      io.Writer      // receives an HdrHistogram log, which has a line for each class and interval
 }
 
-// interval is the time between two progress reports, and between two lines of a class in the log.
+// interval is the time between two progress reports, and between two lines of the same class in the log.
 const interval = time.Second
 
-// Run sends the scheduled requests until the schedule or ctx ends, and waits for the requests in flight.
+// Run sends the scheduled requests until the schedule ends or ctx ends. It then waits for the requests in flight.
 func Run(ctx context.Context, o Options, observers Observers) (*Result, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 	return r
 }
 
-// newSenders returns a sender for each connection. Check must have accepted o.
+// newSenders returns a sender for each connection. Check must have accepted the options.
 func newSenders(o Options) ([]sender, error) {
 	target, err := url.Parse(o.Target)
 	if err != nil {
@@ -140,7 +140,8 @@
 	return senders, nil
 }
 
-// giveUpWaiting settles the retries that still wait after the run was stopped, with the outcome of their last attempt.
+// giveUpWaiting settles the retries that still wait after a run was stopped. Their outcome is that of their last
+// attempt.
 func (r *run) giveUpWaiting() {
 	for _, a := range r.waiting {
 		r.classes[a.request.Class].GivenUp++
@@ -148,7 +149,7 @@
 	}
 }
 
-// result returns the figures of a run that has ended, except its CPU time.
+// result returns the figures of a run that has ended. The CPU time is not included.
 func (r *run) result(stopped bool) *Result {
 	result := &Result{Target: r.options.Target, Took: time.Since(r.started), Classes: r.classes, DelayedByConnections: r.delayed, Blocked: r.blocked,
 		SendDelay: r.delay, Cores: cores(), Stopped: stopped, Interval: interval}
--- a/internal/measure/admission.go
+++ b/internal/measure/admission.go
@@ -17,7 +17,7 @@
 
 const (
 	admissionNodes       = 24
-	admissionServiceTime = 20 * time.Millisecond // gives the nodes a capacity of 1,200 requests per second
+	admissionServiceTime = 20 * time.Millisecond // with this service time the nodes have a capacity of 1,200 requests per second
 	tenantCount          = 20
 	admissionRunLength   = 30 * time.Second
 )
@@ -29,13 +29,13 @@
 		ConnectTimeout: time.Second, Tick: time.Millisecond}
 }
 
-// admissionVariant is an admission control with its name in the tables.
+// admissionVariant is an admission control that is compared, with its name in the tables.
 type admissionVariant struct {
 	name string
 	make func(seed uint64) admissionsim.AdmissionControl
 }
 
-// newAdmissionQueue returns a constructor of package admission's queue, with one principal per tenant and the options that change sets.
+// newAdmissionQueue returns a constructor of an admission.Queue in which each tenant is one principal. change modifies the default options.
 func newAdmissionQueue(change func(*admission.Options)) func(uint64) admissionsim.AdmissionControl {
 	return func(seed uint64) admissionsim.AdmissionControl {
 		o := admission.Default()
@@ -47,10 +47,10 @@
 	}
 }
 
-// fixedLimit is the concurrency limit of the fixed variants: twice the number of nodes.
+// fixedLimit is the concurrency limit of the variants with a fixed limit. It is twice the number of nodes.
 const fixedLimit = 48
 
-// queueVariants are package admission and other queue disciplines. All but the first and the last have the same fixed concurrency limit, so
+// queueVariants are package admission and other queue disciplines. All except the first and the last have the same fixed concurrency limit, so
 // that they differ only in the order of the requests.
 var queueVariants = []admissionVariant{
 	{"no door", func(uint64) admissionsim.AdmissionControl {
@@ -108,7 +108,8 @@
 		Length: admissionRunLength, Seed: seed}
 }
 
-// Admission prints comparisons of queue disciplines, cost hints, concurrency limits and client retries, in virtual time.
+// Admission prints comparisons of queue disciplines, cost hints, concurrency limits and client retries. All of them are simulated in virtual
+// time.
 func Admission(o Options) error {
 	for _, part := range []func(io.Writer, int) error{printFairness, printCostHints, printLimits, printRetryStorm} {
 		if err := part(o.Out, o.Rounds); err != nil {
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// eachSeed plays a run for each seed from 1 to rounds, in parallel on all cores, and returns the results in the order of the seeds.
+// eachSeed plays a run for each seed from 1 to rounds. The runs are parallel on all cores. It returns the results in the order of the seeds.
 func eachSeed(rounds int, play func(seed uint64) (*admissionsim.Result, error)) ([]*admissionsim.Result, error) {
 	results := make([]*admissionsim.Result, rounds)
 	var g errgroup.Group
@@ -137,7 +138,7 @@
 	return medianBy(results, figure)
 }
 
-// medianBy returns the median of a figure over all items.
+// medianBy returns the median over all items of the value that figure returns.
 func medianBy[T any](items []T, figure func(T) float64) float64 {
 	values := make([]float64, len(items))
 	for i, v := range items {
@@ -147,7 +148,7 @@
 	return values[len(values)/2]
 }
 
-// fractionInTime returns the fraction of the requests of the first n clients that were answered within the objective.
+// fractionInTime returns the fraction of the first n clients' requests that were answered within the latency objective.
 func fractionInTime(r *admissionsim.Result, n int) float64 {
 	inTime, first := 0, 0
 	for _, c := range r.Clients[:n] {
@@ -156,7 +157,7 @@
 	return float64(inTime) / float64(max(1, first))
 }
 
-// answersInTime returns the number of answers within the objective for each of the first n clients.
+// answersInTime returns the number of answers within the latency objective, for each of the first n clients.
 func answersInTime(r *admissionsim.Result, n int) (counts []float64) {
 	for _, c := range r.Clients[:n] {
 		counts = append(counts, float64(c.WithinObjective))
@@ -164,8 +165,8 @@
 	return counts
 }
 
-// printFairness compares the queue disciplines while one client floods the nodes, and while all clients have the same demand, which exceeds
-// the capacity.
+// printFairness compares the queue disciplines in two situations: one client floods the nodes, or all clients have the same demand and together
+// exceed the capacity.
 func printFairness(out io.Writer, rounds int) error {
 	flood := append(tenants(tenantCount, 20), admissionsim.Client{Group: "script", Class: "search", MeanServiceTime: admissionServiceTime, ClosedLoops: 400,
 		Rate: 1200.0 / (tenantCount + 1) * 50, MaxAttempts: 3})
@@ -209,7 +210,7 @@
 	return w.Flush()
 }
 
-// goodput returns the number of answers within the objective per second, over all clients.
+// goodput returns the number of answers within the latency objective per second, over all clients.
 func goodput(r *admissionsim.Result) float64 {
 	n := 0
 	for _, c := range r.Clients {
@@ -227,7 +228,8 @@
 	return float64(served) / float64(max(1, returned))
 }
 
-// printCostHints prints whether a client gains from a false cost hint: ten clients hint the true cost, one a tenth of it, and one ten times it.
+// printCostHints shows whether a client gains from a false cost hint. Ten clients hint the true cost, one client hints a tenth of the cost, and
+// one client hints ten times the cost.
 func printCostHints(out io.Writer, rounds int) error {
 	var clients []admissionsim.Client
 	for i := range 12 {
@@ -259,8 +261,8 @@
 	return nil
 }
 
-// printLimits compares the concurrency limits at 0.7 of the capacity, at three times the capacity, and while the nodes are eight times slower
-// for ten seconds.
+// printLimits compares the concurrency limits in three situations: at 0.7 of the capacity, at three times the capacity, and while the nodes are
+// eight times slower for ten seconds.
 func printLimits(out io.Writer, rounds int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "limit\tgoodput at 0.7\tat 3 times\tmean in hand\tp50 ms\tslower by 8, of what can be\tin hand\tback, of 3 times\ts to 0.9 of it\t")
@@ -322,7 +324,8 @@
 	return w.Flush()
 }
 
-// printRetryStorm compares the recovery from a retry storm: the load is three times the capacity for ten seconds, then 0.7 of it again.
+// printRetryStorm compares the recovery after a retry storm. In the storm the load is three times the capacity for ten seconds, and before and
+// after it 0.7 of the capacity.
 func printRetryStorm(out io.Writer, rounds int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "gate\tclients\tgoodput before\tin the storm\tafter\ts to 0.95 of before\ttries a request in the storm\tkept of promised\t")
--- a/internal/measure/childprocess.go
+++ b/internal/measure/childprocess.go
@@ -19,24 +19,24 @@
 	"orchiddrift/internal/daemon"
 )
 
-// childRoleVariable is the environment variable that makes the program run as a child process.
+// childRoleVariable is an environment variable that makes the program run as a child process.
 const childRoleVariable = "ORCHIDDRIFT_MEASURE"
 
 // childRole tells a child process what to run. It is passed as JSON in childRoleVariable.
 type childRole struct {
-	Part      string        // one of the cases of RunChild
+	Part      string        // name of the role, as in the cases of RunChild
 	Nodes     int           `json:",omitempty"`
 	GRPC      bool          `json:",omitempty"`
 	Work      time.Duration `json:",omitempty"`
-	GC        int           `json:",omitempty"` // GOGC of a proxy
-	Slow      float64       `json:",omitempty"` // factor by which every tenth node is slower; 0: no node is
+	GC        int           `json:",omitempty"` // value of GOGC for a proxy
+	Slow      float64       `json:",omitempty"` // factor by which every tenth node is slower; 0 means that no node is slower
 	Addresses []string      `json:",omitempty"`
 	Listen    string        `json:",omitempty"`
 	Policy    string        `json:",omitempty"`
 	Workers   int           `json:",omitempty"`
 	Calls     int           `json:",omitempty"`
 	Warm      int           `json:",omitempty"`
-	Dir       string        `json:",omitempty"` // file, folder or address that the part reads, such as the folder of the TLS keys
+	Dir       string        `json:",omitempty"` // file, folder or address that the role needs, such as the folder of the TLS keys
 	Answer    string        `json:",omitempty"` // response body of the nodes
 	Routes    int           `json:",omitempty"` // number of routes in the configuration of the daemon
 }
@@ -48,8 +48,8 @@
 	Bytes   uint64
 }
 
-// RunChild runs the role that the environment sets until standard input ends, and reports whether the environment sets one. A program that
-// starts child processes must call RunChild first.
+// RunChild runs the role that childRoleVariable contains until standard input ends. It returns false if the variable is not set. A program
+// that starts child processes must call RunChild first.
 func RunChild() (bool, error) {
 	text := os.Getenv(childRoleVariable)
 	if text == "" {
@@ -92,7 +92,7 @@
 	return true, fmt.Errorf("unknown child role %q", r.Part)
 }
 
-// answerUsage writes ready to standard output, then answers each line on standard input with the usage so far, until the input ends.
+// answerUsage writes ready to standard output. It then answers each line on standard input with the usage so far, until the input ends.
 func answerUsage(ready any) error {
 	out := json.NewEncoder(os.Stdout)
 	if err := out.Encode(ready); err != nil {
@@ -107,7 +107,8 @@
 	return in.Err()
 }
 
-// serveDaemonFile runs a daemon with the given configuration file and its memory limit on a free port, until standard input ends.
+// serveDaemonFile runs a daemon on a free port until standard input ends. text is the daemon's configuration file, whose memory limit
+// applies.
 func serveDaemonFile(text []byte) error {
 	plan, err := config.ParseFile(text)
 	if err != nil {
@@ -121,7 +122,7 @@
 	return serveDaemon(plan, listener)
 }
 
-// serveDaemon runs a daemon and answers requests for its usage, until standard input ends.
+// serveDaemon runs a daemon, and answers requests for its resource usage, until standard input ends.
 func serveDaemon(plan *config.Plan, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -131,7 +132,7 @@
 	return errors.Join(err, <-ended)
 }
 
-// currentUsage returns the usage of this process, or zero if the system does not report it.
+// currentUsage returns the resource usage of this process. It returns a zero usage if the system does not report it.
 func currentUsage() usage {
 	var r syscall.Rusage
 	var m runtime.MemStats
@@ -149,8 +150,8 @@
 	out *json.Decoder
 }
 
-// startChild starts this program as a child process, waits for its first message and decodes it into ready. Servers send it once they
-// accept connections.
+// startChild starts this program as a child process, waits for the first message of the child and decodes it into ready. Servers send this
+// message when they accept connections.
 func startChild(r childRole, ready any) (*child, error) {
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -180,7 +181,7 @@
 	return c, nil
 }
 
-// used returns the usage of the child so far.
+// used returns the resource usage of the child so far.
 func (c *child) used() (u usage, err error) {
 	if _, err = io.WriteString(c.in, "\n"); err == nil {
 		err = c.out.Decode(&u)
@@ -188,7 +189,7 @@
 	return u, err
 }
 
-// stop closes the standard input of the child, which makes it exit, and waits for the exit.
+// stop closes the standard input of the child, which makes the child exit, and waits for its exit.
 func (c *child) stop() error {
 	c.in.Close()
 	return c.cmd.Wait()
--- a/internal/measure/closedloop.go
+++ b/internal/measure/closedloop.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// closedLoop sends requests from several workers, each of which waits for an answer before its next request. It first sends warm requests,
-// which are not recorded, then calls afterWarmUp, and then sends calls requests and returns their sorted latencies.
+// closedLoop sends requests from several workers. Each worker waits for an answer before it sends its next request. The first requests,
+// whose number is warm, are not recorded. closedLoop then calls afterWarmUp, sends further requests, whose number is calls, and returns
+// their sorted latencies.
 func closedLoop(workers, warm, calls int, request func(worker, n int) error, afterWarmUp func() error) ([]time.Duration, error) {
 	run := func(calls int, record bool) ([]time.Duration, error) {
 		var mu sync.Mutex
--- a/internal/measure/daemon.go
+++ b/internal/measure/daemon.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Options are a measurement's parameters.
+// Options are the parameters of a measurement.
 type Options struct {
-	Rounds int // runs of each peer, which take turns; the medians are printed
-	Calls  int // requests in each round
+	Rounds int // number of runs of each peer; the peers take turns, and the medians of their runs are printed
+	Calls  int // number of requests in each round
 	Out    io.Writer
 }
 
-// Daemon prints a comparison of the daemon and ReverseProxy, each on one core, with clients in a closed loop and 12 nodes that answer
+// Daemon prints a comparison of the daemon and ReverseProxy, each on one core. The clients send in a closed loop, and 12 nodes answer
 // immediately.
 func Daemon(o Options) error {
 	var addresses []string
@@ -45,13 +45,13 @@
 	return errors.Join(w.Flush(), nodes.stop())
 }
 
-// printRow prints the figures of a peer and their ratios to those of the base.
+// printRow prints the figures f of a peer, and the ratios of these figures to those of base.
 func printRow(w io.Writer, group, peer string, f, base Figures) {
 	fmt.Fprintf(w, "%s\t%s\t%v\t%.0f\t%v\t%v\t%.2f\t%.2f\t\n", group, peer, f.CPU.Round(100*time.Nanosecond), f.Mallocs,
 		f.P50.Round(time.Microsecond), f.P99.Round(time.Microsecond), float64(f.CPU)/float64(base.CPU), float64(f.P99)/float64(base.P99))
 }
 
-// proxyRound measures requests through a proxy process of the given role.
+// proxyRound measures requests through a proxy process with the given role.
 func proxyRound(r childRole, connections, calls int) (Figures, error) {
 	var address string
 	r.Listen, r.GC = "127.0.0.1:0", 100
--- a/internal/measure/eureka.go
+++ b/internal/measure/eureka.go
@@ -22,8 +22,9 @@
 	"orchiddrift/internal/fakes"
 )
 
-// Eureka prints, for several poll intervals, the time from an instance's change to out of service until its last request, under load and with
-// random changes, and the requests to the registry; then the memory and CPU time of a daemon with 5,000 instances.
+// Eureka prints two measurements of Eureka discovery. The first one changes instances at random under load. For several poll intervals it
+// prints the time from an instance's change to out of service until its last request, and the number of requests to the registry. The second
+// one prints the memory and CPU time of a daemon with 5,000 instances.
 func Eureka(o Options) error {
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "poll\tflips\tseen\tp50\tp90\tp99\tmost\tover 250ms after told\tserved\trefused\trequests a second\tbytes a second\t")
@@ -38,7 +39,8 @@
 	return printEurekaMemory(o.Out)
 }
 
-// startFlipNodes starts n upstreams, registers them under their names, and calls onRequest for each request that they receive.
+// startFlipNodes starts n upstreams and registers them. It calls onRequest with the name of the upstream for each request that an upstream
+// receives.
 func startFlipNodes(e *fakes.Eureka, n int, onRequest func(name string)) (names []string, stop func(), err error) {
 	var servers []*http.Server
 	stop = func() {
@@ -66,7 +68,7 @@
 	return names, stop, nil
 }
 
-// flipLoad sends requests from some clients in closed loops, and counts the answers.
+// flipLoad sends requests from several clients in closed loops, and counts the answers.
 type flipLoad struct {
 	client                   *http.Client
 	cancel                   context.CancelFunc
@@ -115,7 +117,7 @@
 	l.client.CloseIdleConnections()
 }
 
-// printFlips prints the row of a poll interval: the time from a flip out of service to the last request, and the requests to the registry.
+// printFlips prints the row of one poll interval: the times from a flip out of service to the last request, and the requests to the registry.
 func printFlips(w io.Writer, poll time.Duration, flips int) error {
 	e, err := fakes.NewEureka(fakes.EurekaOptions{})
 	if err != nil {
@@ -178,7 +180,8 @@
 `, memory, registry, poll, delta)
 }
 
-// startEurekaDaemon starts a daemon in this process that discovers its upstreams from the registry, and waits until it is ready.
+// startEurekaDaemon starts a daemon in this process and waits until the daemon is ready. The daemon discovers its upstreams from the
+// registry.
 func startEurekaDaemon(e *fakes.Eureka, poll time.Duration, memory string) (address string, stop func() error, err error) {
 	plan, err := config.ParseFile(eurekaConfig(e.Base, poll, memory, false))
 	if err != nil {
@@ -206,13 +209,13 @@
 	}
 }
 
-// serveEurekaDaemon runs a daemon that discovers its upstreams from the registry at the first of the Addresses.
+// serveEurekaDaemon runs a daemon that discovers its upstreams from a registry. The address of the registry is the first of the Addresses.
 func (r childRole) serveEurekaDaemon() error {
 	return serveDaemonFile(eurekaConfig(r.Addresses[0], 200*time.Millisecond, "48MiB", r.Policy == "delta"))
 }
 
-// printEurekaMemory prints the memory and CPU time of a daemon process that polls a registry of 5,000 instances, without
-// changes and with one changed instance per poll.
+// printEurekaMemory prints the memory and CPU time of a daemon process that polls a registry of 5,000 instances. In some of the cases one
+// instance changes per poll, in the others none.
 func printEurekaMemory(out io.Writer) error {
 	e, err := fakes.NewEureka(fakes.EurekaOptions{KeepDelta: time.Second})
 	if err != nil {
@@ -226,13 +229,13 @@
 	for i := range 5000 {
 		put(i)
 	}
-	time.Sleep(time.Second) // until the delta (KeepDelta) no longer lists the registrations above
+	time.Sleep(time.Second) // after this time the delta no longer lists the registrations above (see KeepDelta)
 	fmt.Fprintln(out)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "5,000 instances\tpolls\tmost resident\tanonymous\tCPU a poll\t")
 	for _, c := range []struct {
 		name, policy, path string
-		changes            int // per poll
+		changes            int // number of changed instances per poll
 	}{{"the same each time", "", "GET /apps/SEATS", 0}, {"one changed each time", "", "GET /apps/SEATS", 1},
 		{"one changed each time, told as changes", "delta", "GET /apps/delta", 1}} {
 		name, path, changes := c.name, c.path, c.changes
@@ -264,8 +267,8 @@
 	return w.Flush()
 }
 
-// memory returns the peak resident memory and the current anonymous memory of the child, as reported by the system, or question marks if
-// the system does not report them.
+// memory returns the peak resident memory and the current anonymous memory of the child. If the system does not report them, it returns
+// question marks.
 func (c *child) memory() (peak, anonymous string) {
 	text, err := os.ReadFile("/proc/" + strconv.Itoa(c.cmd.Process.Pid) + "/status")
 	if err != nil {
--- a/internal/measure/fairness.go
+++ b/internal/measure/fairness.go
@@ -20,8 +20,8 @@
 	"orchiddrift/internal/simulation/admissionsim"
 )
 
-// The load of TenantFairness: the nodes have a capacity of 400 requests per second, 20 tenants together send 0.4 of it, and
-// a flooding client sends 50 times its equal share, a 21st of the capacity.
+// The load of TenantFairness. The nodes have a capacity of 400 requests per second. The 20 tenants together send 0.4 of the capacity. A flooding
+// client sends 50 times its equal share, which is a 21st of the capacity.
 const (
 	fairnessNodes       = 8
 	fairnessServiceTime = 20 * time.Millisecond
@@ -29,21 +29,21 @@
 	fairnessObjective   = 400 * time.Millisecond
 	fairnessPeriod      = 12 * time.Second
 	floodRate           = 50 * 400.0 / 21
-	fairnessRetryAfter  = 3 * time.Second // the retry_after setting of the service
+	fairnessRetryAfter  = 3 * time.Second // value of the service's setting retry_after
 )
 
-// clientCounts counts the requests of one kind of client and their answers.
+// clientCounts counts the requests of the clients of one kind, and the answers to these requests.
 type clientCounts struct {
 	mu            sync.Mutex
 	requests      int
-	inTime        int // answered within fairnessObjective
-	returned      int // retries at the reserved time
+	inTime        int // number of requests answered within fairnessObjective
+	returned      int // number of retries at the reserved time
 	returnsServed int
 	inTimeByName  map[string]int
-	latencies     []time.Duration // of the requests that were answered with status 200
+	latencies     []time.Duration // latencies of the requests that were answered with status 200
 }
 
-// record counts a request. took is its latency, and ok tells whether it was answered with status 200.
+// record counts a request. took is its latency, and ok reports whether it was answered with status 200.
 func (t *clientCounts) record(name string, took time.Duration, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,8 +72,8 @@
 	return float64(t.inTime) / float64(max(1, t.requests))
 }
 
-// TenantFairness prints the answers that 20 tenants get through a daemon process while a client floods it: with a fair admission queue, with
-// one queue for all clients, and without admission control. These variants take turns.
+// TenantFairness prints the answers that 20 tenants get through a daemon process while a client floods the daemon. It compares three variants,
+// which take turns: a fair admission queue, one queue for all clients, and no admission control.
 func TenantFairness(o Options) error {
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "door\tcounters in time\tof alone\tp50 ms\tp99 ms\tscript's answers in time a second\tJain, 20 x 2.5 times their share\tcame when promised\tof them served\tmost resident\tCPU of a core\t")
@@ -101,15 +101,15 @@
 	return w.Flush()
 }
 
-// fairnessFigures are the figures of a round. The latencies are in milliseconds, floodAnswers are the flooding client's answers in time per second,
-// and cpu is the fraction of a core that the daemon used.
+// fairnessFigures are the figures of a round. The latencies are in milliseconds. floodAnswers is the number of the flooding client's answers in
+// time per second. cpu is the fraction of a core that the daemon used.
 type fairnessFigures struct {
 	tenantsInTime, p50, p99, floodAnswers, jain, cpu float64
 	returned, returnsServed                          int
 	resident                                         string
 }
 
-// fairnessRound measures the daemon with the admission queue that kind names. A kind that contains "alone" has no flooding client.
+// fairnessRound measures the daemon with the admission queue that kind names. If kind contains "alone", there is no flooding client.
 func fairnessRound(kind string) (result fairnessFigures, err error) {
 	dir, err := os.MkdirTemp("", "orchiddrift-measure-")
 	if err != nil {
@@ -165,16 +165,16 @@
 	return result, nil
 }
 
-// fairnessTarget is the daemon to which the clients send their requests.
+// fairnessTarget is the daemon to which the clients send requests.
 type fairnessTarget struct {
 	client  *http.Client
 	address string
 }
 
-// excessTenantRate is the rate of each tenant, in requests per second, when each requests 2.5 times its equal share.
+// excessTenantRate is the rate of each tenant, in requests per second, when each tenant requests 2.5 times its equal share.
 const excessTenantRate = 50
 
-// applyLoad runs 20 tenants for fairnessPeriod, each at rate, together with a flooding client if flood is not nil.
+// applyLoad runs 20 tenants for fairnessPeriod, each of them at the given rate. If flood is not nil, a flooding client runs at the same time.
 func (t fairnessTarget) applyLoad(rate float64, tenants, flood *clientCounts, honorsRetryAfter bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), fairnessPeriod)
 	defer cancel()
@@ -190,8 +190,9 @@
 	clients.Wait()
 }
 
-// openLoopClient sends requests at a rate that does not depend on the answers. A request that is due while maxInFlight are in flight counts as
-// sent and not answered. With honorsRetryAfter, the client retries a rejected request once, after the Retry-After of the answer.
+// openLoopClient sends requests at a rate that does not depend on the answers. If maxInFlight requests are in flight when a request is due, this
+// request counts as sent and not answered. If honorsRetryAfter is set, the client retries a rejected request once, after the Retry-After of the
+// answer.
 type openLoopClient struct {
 	fairnessTarget
 	name             string
@@ -230,7 +231,7 @@
 	}
 }
 
-// request sends a request that was due at dueAt, and retries it if the client honors Retry-After.
+// request sends a request that was due at dueAt. It retries the request if the client honors Retry-After.
 func (c openLoopClient) request(ctx context.Context, path string, dueAt time.Time) {
 	status, retryAfter := c.send(ctx, path, c.name)
 	c.counts.record(c.name, time.Since(dueAt), status == http.StatusOK)
@@ -247,7 +248,7 @@
 	}
 }
 
-// send returns the status and the Retry-After of the answer, or zeros if there was no answer.
+// send returns the status and the Retry-After of the answer. Both are 0 if there was no answer.
 func (t fairnessTarget) send(ctx context.Context, path, tenant string) (status int, retryAfter time.Duration) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.address+path, nil)
 	if err != nil {
@@ -259,7 +260,7 @@
 		return 0, 0
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, resp.Body) // only the status and the header matter
+	_, _ = io.Copy(io.Discard, resp.Body) // only the status and the header are needed
 	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	return resp.StatusCode, time.Duration(seconds * float64(time.Second))
 }
@@ -281,7 +282,7 @@
 	return answerUsage(addresses)
 }
 
-// serveFairnessDaemon runs a daemon with the admission queue that Policy names, or without one.
+// serveFairnessDaemon runs a daemon with the admission queue that Policy names, or without an admission queue.
 func (r childRole) serveFairnessDaemon() error {
 	text := fmt.Appendf(nil, `
 [daemon]
--- a/internal/measure/figures.go
+++ b/internal/measure/figures.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// sortedQuantile returns the p-quantile, p from 0 to 1, of sorted durations, or 0 if there are none.
+// sortedQuantile returns the p-quantile of sorted durations, where p is from 0 to 1. It returns 0 if there are no durations.
 func sortedQuantile(sorted []time.Duration, p float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
@@ -13,21 +13,22 @@
 	return sorted[min(len(sorted)-1, int(p*float64(len(sorted))))]
 }
 
-// Figures are the cost of a request and the latencies of one peer in one run.
+// Figures are the cost per request and the latencies of one peer in one run.
 type Figures struct {
-	CPU      time.Duration // per request
-	Mallocs  float64       // per request
+	CPU      time.Duration // CPU time per request
+	Mallocs  float64       // allocations per request
 	P50, P99 time.Duration
 }
 
-// figures returns the figures of requests with the given sorted latencies. The readings of the usage were taken before and after the requests.
+// figures returns the figures of requests with the given sorted latencies. before and after are the resource usage before and after these
+// requests.
 func figures(before, after usage, latencies []time.Duration) Figures {
 	n := float64(max(1, len(latencies)))
 	return Figures{time.Duration(float64(after.CPU-before.CPU) / n), float64(after.Mallocs-before.Mallocs) / n,
 		sortedQuantile(latencies, 0.5), sortedQuantile(latencies, 0.99)}
 }
 
-// median returns the median of each figure separately.
+// median returns Figures in which each figure is the median of this figure over all runs.
 func median(all []Figures) Figures {
 	pick := func(of func(Figures) float64) float64 {
 		values := make([]float64, 0, len(all))
--- a/internal/measure/fleet.go
+++ b/internal/measure/fleet.go
@@ -23,7 +23,7 @@
 	fleetServiceTime = 100 * time.Millisecond // keeps each node busy for a fifth of the time
 )
 
-// fleetRun returns a run of a fleet of sidecars with subsets at constant total traffic.
+// fleetRun returns a run of a fleet of sidecars with subsets. The total traffic is the same for all numbers of sidecars.
 func fleetRun(sidecars int) fleetsim.Run {
 	o := subset.Default()
 	o.Enabled, o.MaxSize, o.RemoteZoneFraction, o.ShrinkDelay = true, 4096, 0, units.Duration(5*time.Second)
@@ -34,7 +34,7 @@
 			Classes: []balancer.Class{{Name: "search", LatencyObjective: time.Second, Deadline: 3 * time.Second, PriorityWeight: 1, LateValueFraction: 0.3}}}}
 }
 
-// namedFleetRun is a simulated run with its name in the table.
+// namedFleetRun is a simulated run and its name in the table.
 type namedFleetRun struct {
 	name string
 	run  fleetsim.Run
@@ -78,8 +78,8 @@
 	return runs
 }
 
-// Fleet prints the effect of fleets of 10 to 200 sidecars on 5,000 nodes at constant traffic, in virtual time, and then the effect of faults.
-// plot names a file for a chart of the connections; with "", Fleet writes no chart.
+// Fleet prints how fleets of 10 to 200 sidecars load 5,000 nodes at constant total traffic in virtual time, and then the effect of faults.
+// plot names the file of a chart of the connections. If plot is empty, Fleet writes no chart.
 func Fleet(o Options, plot string) error {
 	var runs []namedFleetRun
 	sizes := []int{10, 25, 50, 100, 200}
--- a/internal/measure/graphql.go
+++ b/internal/measure/graphql.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// The GraphQL request of the measurements, its schema and its answer: a seat search of a booking page.
+// The GraphQL request of the measurements, its schema and its answer. The request is a seat search of a booking page.
 const (
 	graphqlQuery  = `query SeatSearch($from:String!,$to:String!,$n:Int){seats(from:$from,to:$to,first:$n){id price coach{id name number}departs arrives train{id operator{name}}}}`
 	graphqlSchema = `directive @listSize(assumedSize: Int, slicingArguments: [String!], sizedFields: [String!], requireOneSlicingArgument: Boolean = true) on FIELD_DEFINITION
@@ -27,8 +27,8 @@
 	graphqlAnswer = `{"data":{"seats":[{"id":"1","price":12.5,"coach":{"id":"c1","name":"A","number":1},"departs":"08:00","arrives":"12:40","train":{"id":"t","operator":{"name":"o"}}}]}}`
 )
 
-// graphqlRequest returns a function that sends a request of a kind and checks the answer. address holds addresses separated by spaces, of
-// which each request uses a random one. The kinds are GET, POST, cold (each document is new) and warm (all documents are equal).
+// graphqlRequest returns a function that sends a request of a kind and checks the answer. address contains addresses separated by spaces,
+// of which each request uses a random one. The kinds are GET, POST, cold (each document is new) and warm (all documents are the same).
 func graphqlRequest(client *http.Client, address, kind string) func(worker, n int) error {
 	addresses := strings.Split(address, " ")
 	return func(worker, n int) error {
@@ -71,9 +71,9 @@
 	}
 }
 
-// GraphQL prints the cost of an operation for the daemon, compared with a plain GET and with a plain POST of the same class
-// and body. It then compares the latencies of the daemon and of a random choice of nodes where one node in ten is eight times
-// slower, and prints the costs of parsing documents.
+// GraphQL prints the cost of an operation for the daemon, compared with a plain GET, and with a plain POST of the same class and body. It
+// then compares the latencies of the daemon with those of a random choice of nodes, where one node in ten is eight times slower. Finally
+// it prints the costs of parsing documents.
 func GraphQL(o Options) error {
 	dir, err := os.MkdirTemp("", "orchiddrift-measure-")
 	if err != nil {
@@ -121,7 +121,8 @@
 // graphqlConnections is the number of connections of the clients.
 const graphqlConnections = 16
 
-// graphqlRound returns the cost of requests of a kind through a daemon process. dir holds its schema; with "", the daemon has none.
+// graphqlRound returns the cost of requests of a kind through a daemon process. dir is the folder of its schema. If dir is empty, the
+// daemon has no schema.
 func graphqlRound(addresses []string, kind, dir string, calls int) (f Figures, err error) {
 	var address string
 	proxy, err := startChild(childRole{Part: "graphqldaemon", Addresses: addresses, Dir: dir}, &address)
--- a/internal/measure/graphql_documents.go
+++ b/internal/measure/graphql_documents.go
@@ -10,8 +10,8 @@
 	"orchiddrift/internal/graphql"
 )
 
-// printGraphQLDocuments prints the cost of a GraphQL request from its body to the decision to forward or to reject it: for small
-// and typical documents, cached and new, and for documents that are made to be expensive.
+// printGraphQLDocuments prints the cost of a GraphQL request from its body to the decision to forward or reject it. It measures
+// small and typical documents, both cached and new, and documents that are designed to be expensive.
 func printGraphQLDocuments(out io.Writer) error {
 	requestBody := func(query string) string { return fmt.Sprintf(`{"query":%q}`, query) }
 	doubled := "{...F0}"
--- a/internal/measure/grpc.go
+++ b/internal/measure/grpc.go
@@ -23,7 +23,7 @@
 
 const plugin = "grpcbalancer"
 
-// policies are the balancers of grpc-go with their service configs, and the plug-in, which needs none.
+// policies are the balancers of grpc-go with their service configs, and the plug-in, which needs no service config.
 var policies = []struct{ name, config string }{
 	{roundrobin.Name, `{"loadBalancingConfig":[{"round_robin":{}}]}`},
 	{weightedroundrobin.Name, `{"loadBalancingConfig":[{"weighted_round_robin":{"blackoutPeriod":"0.5s","weightUpdatePeriod":"0.5s"}}]}`},
@@ -31,9 +31,9 @@
 	{plugin, ""},
 }
 
-// GRPC prints a comparison of the plug-in and grpc-go's own balancers with ten nodes, which are healthy or of which one is
-// 8 times slower. Each client is a process on one core and sends in a closed loop. The nodes send ORCA load reports, which
-// weighted_round_robin uses.
+// GRPC prints a comparison of the plug-in with grpc-go's own balancers. It uses ten nodes, which are all healthy or of
+// which one is 8 times slower. Each client is a process on one core and sends in a closed loop. The nodes send ORCA load
+// reports, which weighted_round_robin uses.
 func GRPC(o Options) error {
 	w := tabwriter.NewWriter(o.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "nodes\tpeer\tCPU a call\tallocations\tp50\tp99\tCPU ratio\tp99 ratio\t")
@@ -77,7 +77,7 @@
 	return w.Flush()
 }
 
-// runClient runs the role of a gRPC client: it makes its calls and writes its figures to standard output.
+// runClient runs the role of a gRPC client. It makes its calls, and writes its figures to standard output.
 func (r childRole) runClient() error {
 	conn, closeConn, err := r.dial()
 	if err != nil {
@@ -100,7 +100,7 @@
 	return json.NewEncoder(os.Stdout).Encode(figures(before, currentUsage(), latencies))
 }
 
-// dial returns a connection with the balancer that Policy names, and a function that closes both.
+// dial returns a connection with the balancer that Policy names, and a function that closes both of them.
 func (r childRole) dial() (*grpc.ClientConn, func(), error) {
 	creds := grpc.WithTransportCredentials(insecure.NewCredentials())
 	if r.Policy == plugin {
--- a/internal/measure/idempotency.go
+++ b/internal/measure/idempotency.go
@@ -24,8 +24,8 @@
 	"orchiddrift/internal/units"
 )
 
-// Idempotency prints the cost of a keyed request for the daemon without a store of idempotency keys, and with stores in memory, on disk and
-// shared. It then prints the bytes per key of a store file and the time to read it back.
+// Idempotency prints the cost of a request with an idempotency key for the daemon, without a store of keys and with stores in memory, on disk
+// and shared. It then prints the size of a store file per key, and the time to read the file back.
 func Idempotency(o Options) error {
 	var addresses []string
 	nodes, err := startChild(childRole{Part: "nodes", Nodes: 12}, &addresses)
@@ -37,7 +37,7 @@
 		return err
 	}
 	defer os.RemoveAll(dir)
-	var etcd string // address of a fake, which syncs nothing to disk
+	var etcd string // address of a fake etcd server, which syncs nothing to disk
 	shared, err := startChild(childRole{Part: "etcd"}, &etcd)
 	if err != nil {
 		return errors.Join(err, nodes.stop())
@@ -75,7 +75,8 @@
 	return printFullStore(o.Out, filepath.Join(dir, "full.db"))
 }
 
-// idempotencyRound measures keyed requests through a daemon process with the store that policy names. file is the file or address of the store.
+// idempotencyRound measures requests with idempotency keys through a daemon process. policy names the daemon's store, and file is the file or
+// address of the store.
 func idempotencyRound(addresses []string, policy, file string, connections, calls int) (f Figures, rate float64, err error) {
 	var address string
 	proxy, err := startChild(childRole{Part: "repeatsdaemon", Addresses: addresses, Policy: policy, Dir: file}, &address)
@@ -121,7 +122,7 @@
 	return figures(before, after, latencies), rate, errors.Join(err, usedErr, proxy.stop())
 }
 
-// serveIdempotencyDaemon runs a daemon with a keyed class and the store that Policy names.
+// serveIdempotencyDaemon runs a daemon with a class whose requests have idempotency keys. Policy names the daemon's store.
 func (r childRole) serveIdempotencyDaemon() error {
 	text := "[log]\nlevel = \"error\"\n[limits]\nmemory = \"192MiB\"\ndescriptors = 1024\n[[service]]\nname = \"s\"\naddresses = ["
 	for _, a := range r.Addresses {
@@ -139,7 +140,7 @@
 	return serveDaemonFile([]byte(text))
 }
 
-// serveEtcd runs a fake etcd server as the shared store.
+// serveEtcd runs a fake etcd server, which daemons use as the shared store.
 func serveEtcd() error {
 	etcd := fakes.NewEtcd(fakes.EtcdOptions{})
 	address, err := etcd.Start()
@@ -150,7 +151,7 @@
 	return answerUsage(address)
 }
 
-// printFullStore fills a store file with a million keys and reads it back, and prints the times and the bytes per key.
+// printFullStore fills a store file with a million keys and reads the file back. It prints the times and the bytes per key.
 func printFullStore(out io.Writer, path string) error {
 	const n = 1_000_000
 	store, err := boltstore.Open(context.Background(), path, boltfile.LockWait{Timeout: time.Second})
--- a/internal/measure/largefleet.go
+++ b/internal/measure/largefleet.go
@@ -15,12 +15,12 @@
 	"time"
 )
 
-// connectionCounts are the connections and requests that the nodes counted. The JSON names are the names of the fields.
+// connectionCounts are the numbers of connections and requests that the nodes counted. The JSON names are the names of the fields.
 type connectionCounts struct {
-	Open, MostOpen int // open connections in total, and of the node with the most
-	Asked          int // nodes that received requests
+	Open, MostOpen int // numbers of open connections: in total, and of the node with the most connections
+	Asked          int // number of nodes that received requests
 	Requests       int
-	MostRequests   int // of the node with the most
+	MostRequests   int // number of requests of the node with the most requests
 }
 
 // LargeFleet prints the connections that 4 daemons of a fleet of 200 open to 5,000 nodes, for several subset sizes.
@@ -70,15 +70,15 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// largeFleetTotals are the sums over the daemons of a round.
+// largeFleetTotals holds the sums over all daemons of a round.
 type largeFleetTotals struct {
 	served, rejected int
 	cpu              time.Duration
-	peak, anonymous  string // of the first daemon
+	peak, anonymous  string // memory of the first daemon
 }
 
-// largeFleetRound sends requests to each of the daemons in turn, and prints a row while all of them still run. With minSize 0, the daemons have
-// no subsets.
+// largeFleetRound sends requests to each of the daemons in turn, and prints a row while all of them are still running. If minSize is 0, the
+// daemons have no subsets.
 func largeFleetRound(w io.Writer, control, list string, minSize, running, fleet, calls int) (err error) {
 	var children []*child
 	defer func() {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// readConnectionCounts returns the open connections of the nodes and their requests since the last call.
+// readConnectionCounts returns the number of open connections of the nodes, and the number of their requests since the previous call.
 func readConnectionCounts(control string) (counts connectionCounts, err error) {
 	resp, err := http.Get("http://" + control + "/")
 	if err != nil {
@@ -161,7 +161,8 @@
 	return errors.Join(err, usedErr)
 }
 
-// serveCountingNodes runs all nodes in one process. The first address that it reports serves the connectionCounts and resets the requests.
+// serveCountingNodes runs all nodes in one process. The first address that it reports is not a node: it serves the connectionCounts and resets
+// the request counts.
 func (r childRole) serveCountingNodes() error {
 	var mu sync.Mutex
 	open, requests := map[string]int{}, map[string]int{}
@@ -200,7 +201,7 @@
 		}
 		s.Asked = len(requests)
 		clear(requests)
-		_ = json.NewEncoder(w).Encode(s) // only the parent process calls it
+		_ = json.NewEncoder(w).Encode(s) // an error does not matter, because only the parent process calls this address
 	})}
 	go func() { _ = countsServer.Serve(control) }() // ends with Close
 	defer countsServer.Close()
@@ -216,8 +217,8 @@
 	return answerUsage(addresses)
 }
 
-// serveSubsetDaemon runs the sidecar with index Calls of a fleet of Workers sidecars, with a subset of at least Nodes upstreams. If Nodes is
-// 0, it has no subset.
+// serveSubsetDaemon runs the sidecar with index Calls of a fleet of Workers sidecars. Its subset has at least Nodes upstreams. If Nodes is 0,
+// it has no subset.
 func (r childRole) serveSubsetDaemon() error {
 	text := fmt.Appendf(nil, "[daemon]\nseed = \"%x\"\n[log]\nlevel = \"error\"\n[limits]\nmemory = \"32MiB\"\ndescriptors = 1024\n"+
 		"[[service]]\nname = \"many\"\nlist_file = %q\n", r.Calls+1, r.Dir)
--- a/internal/measure/largeresponses.go
+++ b/internal/measure/largeresponses.go
@@ -15,12 +15,12 @@
 
 const (
 	largeResponseBytes = 8 << 20
-	largeClients       = 4 // each of which downloads one large response after another
+	largeClients       = 4 // number of clients that download one large response after another
 	smallClients       = 16
 )
 
-// LargeResponses prints the latencies of small requests, alone and while the same proxy transfers large responses. The proxies are the daemon
-// and ReverseProxy, each on one core.
+// LargeResponses prints the latencies of small requests, first alone and then while the same proxy transfers large responses. It compares the
+// daemon and ReverseProxy, each on one core.
 func LargeResponses(o Options) error {
 	var addresses []string
 	chunk := make([]byte, 64<<10)
@@ -69,8 +69,8 @@
 	return w.Flush()
 }
 
-// largeResponsesRound sends requests for small responses in a closed loop, while as many clients as large says download large responses. rate
-// is the number of large responses per second.
+// largeResponsesRound sends requests for small responses in a closed loop. At the same time other clients, whose number is large, download
+// large responses. rate is the number of large responses per second.
 func largeResponsesRound(r childRole, large, calls int) (f Figures, rate float64, err error) {
 	var address string
 	r.Listen, r.GC = "127.0.0.1:0", 100
--- a/internal/measure/loadgen.go
+++ b/internal/measure/loadgen.go
@@ -14,11 +14,12 @@
 	"orchiddrift/internal/loadgen"
 )
 
-// loadConnections is the number of connections of both clients.
+// loadConnections is the number of connections of each of the two clients.
 const loadConnections = 64
 
-// Load prints the cost of a request for the load generator and for a plain net/http client, which send as fast as their connections allow to a
-// server that answers immediately; then the load generator's own delay and CPU time by the rate.
+// Load prints two measurements of the load generator. The first one compares its cost per request with that of a plain net/http client. Both
+// send as fast as their connections allow to a server that answers immediately. The second one shows the load generator's own delay and CPU
+// time for several rates.
 func Load(o Options) error {
 	var address string
 	server, err := startChild(childRole{Part: "instant"}, &address)
@@ -33,7 +34,7 @@
 	return errors.Join(err, server.stop())
 }
 
-// runLoad sends about calls requests at a rate with the load generator. It fails if any outcome is not OK.
+// runLoad sends about as many requests as calls states, at the given rate, with the load generator. It fails if any outcome is not OK.
 func runLoad(address string, rate float64, calls int) (*loadgen.Result, error) {
 	length := time.Duration(float64(calls) / rate * float64(time.Second))
 	r, err := loadgen.Run(context.Background(), loadgen.Options{Target: "http://" + address, Connections: loadConnections, Timeout: 5 * time.Second, Seed: 1,
@@ -45,7 +46,7 @@
 	return r, err
 }
 
-// plainClientRound returns the cost of a request and the requests per second of a net/http client.
+// plainClientRound returns the cost per request and the requests per second of a net/http client.
 func plainClientRound(client *http.Client, address string, calls int) (f Figures, rate float64, err error) {
 	var before usage
 	var started time.Time
@@ -64,7 +65,8 @@
 	return figures(before, currentUsage(), latencies), float64(len(latencies)) / time.Since(started).Seconds(), nil
 }
 
-// loadRound returns the cost of a request and the requests per second of the load generator, for a target rate that it cannot reach.
+// loadRound returns the cost per request and the requests per second of the load generator. The target rate is higher than the load generator
+// can reach.
 func loadRound(address string, calls int) (f Figures, rate float64, err error) {
 	before := currentUsage()
 	r, err := runLoad(address, 1e6, calls)
@@ -74,7 +76,7 @@
 	return figures(before, currentUsage(), make([]time.Duration, r.Total().Attempts)), float64(r.Total().Requests) / r.Took.Seconds(), nil
 }
 
-// printLoadCost compares the load generator and a plain net/http client by CPU time and rate.
+// printLoadCost compares the CPU time and the rate of the load generator with those of a plain net/http client.
 func printLoadCost(w *tabwriter.Writer, o Options, address string) error {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: loadConnections}}
 	defer client.CloseIdleConnections()
@@ -99,7 +101,7 @@
 	return w.Flush()
 }
 
-// printLoadDelay prints the CPU time, the send delay and the latencies of the load generator by the target rate.
+// printLoadDelay prints the CPU time, the send delay and the latencies of the load generator for several target rates.
 func printLoadDelay(w *tabwriter.Writer, address string) error {
 	fmt.Fprintln(w, "\nrate\tCPU a request\tlate by itself p99\tp50\tp99\tits word\t")
 	for _, rate := range []float64{100, 1000, 10_000, 50_000, 1_000_000} {
@@ -130,6 +132,6 @@
 	go func() { ended <- srv.Serve(l) }()
 	err = answerUsage(l.Addr().String())
 	err = errors.Join(err, srv.Close())
-	<-ended // returns once the server is closed
+	<-ended // returns when the server is closed
 	return err
 }
--- a/internal/measure/loadprobes.go
+++ b/internal/measure/loadprobes.go
@@ -12,7 +12,7 @@
 	"orchiddrift/internal/upstream/loadprobe"
 )
 
-// LoadProbes prints whether load probes help sidecars with little traffic, for several utilizations of the nodes. The fleet has 200 sidecars and
+// LoadProbes shows whether load probes help sidecars with little traffic, for several utilizations of the nodes. The fleet has 200 sidecars and
 // 1,000 nodes, a tenth of which are five times slower.
 func LoadProbes(o Options) error {
 	const sidecars, nodes = 200, 1000
@@ -22,7 +22,7 @@
 		utilization float64
 		name        string
 		syncProbes  *fleetsim.SyncProbes
-		asyncProbes int // per request
+		asyncProbes int // number of load probes per request
 		hideLatency bool
 		result      *fleetsim.Result
 	}
@@ -68,7 +68,7 @@
 	return printProbeScale(o)
 }
 
-// printProbeScale prints the probes per node for 10 to 400 sidecars at constant traffic.
+// printProbeScale prints the number of probes per node for 10 to 400 sidecars at constant total traffic.
 func printProbeScale(o Options) error {
 	sizes := []int{10, 25, 50, 100, 200, 400}
 	results := make([]*fleetsim.Result, len(sizes))
--- a/internal/measure/repeated.go
+++ b/internal/measure/repeated.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// repeatDuration is the time for which measureRepeated repeats the call.
+// repeatDuration is the time for which measureRepeated repeats a call.
 const repeatDuration = time.Second
 
-// measureRepeated calls do for repeatDuration, and returns the time in nanoseconds, the allocated bytes and the allocations per call.
-// Nothing else may run at the same time, because the figures include the whole process.
+// measureRepeated calls the function do repeatedly for repeatDuration. It returns the time in nanoseconds, the allocated bytes and
+// the allocations per call. No other work may run at the same time, because the figures are those of the whole process.
 func measureRepeated(do func()) (ns, bytes, allocations uint64) {
-	do() // excludes one-time allocations
+	do() // this first call excludes one-time allocations from the figures
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
--- a/internal/measure/servers.go
+++ b/internal/measure/servers.go
@@ -31,7 +31,7 @@
 			o.Faults = []fakes.Fault{{Kind: fakes.Slow, Factor: r.Slow}}
 		}
 		if r.GRPC {
-			o.Answer = func(fakes.Job) []byte { return []byte{10, 2, 'o', 'k'} } // a StringValue
+			o.Answer = func(fakes.Job) []byte { return []byte{10, 2, 'o', 'k'} } // the bytes are an encoded StringValue
 		}
 		if r.Answer != "" {
 			o.Answer = func(fakes.Job) []byte { return []byte(r.Answer) }
@@ -58,9 +58,9 @@
 		Classes: []balancer.Class{{Name: "search", Idempotency: balancer.Idempotent, LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, LateValueFraction: 0.5}}}
 }
 
-// serveProxy runs the daemon or ReverseProxy, with TLS if Dir is set.
+// serveProxy runs the daemon or ReverseProxy. It uses TLS if Dir is set.
 func (r childRole) serveProxy() error {
-	debug.SetGCPercent(r.GC) // equal for both, so that more memory does not count as an advantage
+	debug.SetGCPercent(r.GC) // the value is the same for both proxies, so that more memory is no advantage
 	l, err := net.Listen("tcp", r.Listen)
 	if err != nil {
 		return err
--- a/internal/measure/subset.go
+++ b/internal/measure/subset.go
@@ -16,7 +16,7 @@
 	"orchiddrift/internal/units"
 )
 
-// subsetAlgorithm is an algorithm that chooses the upstreams of a sidecar.
+// subsetAlgorithm is an algorithm that selects the upstreams of a sidecar.
 type subsetAlgorithm struct {
 	name string
 	pick func(nodes []string, sidecar, sidecars, size int) map[string]bool
@@ -26,7 +26,7 @@
 	return xxhash.Sum64(append(binary.LittleEndian.AppendUint64(nil, seed), name...))
 }
 
-// sortedByHash returns the nodes in the order of their hashes with the seed.
+// sortedByHash returns the nodes sorted by their hashes with the seed.
 func sortedByHash(nodes []string, seed uint64) []string {
 	keys := make(map[string]uint64, len(nodes))
 	for _, n := range nodes {
@@ -45,7 +45,8 @@
 	return set
 }
 
-// daemonSubset returns an algorithm that uses package subset as the daemon does. With indexKnown, it uses the sidecar's index in its fleet.
+// daemonSubset returns an algorithm that uses package subset as the daemon does. If indexKnown is set, package subset gets the index of the
+// sidecar in its fleet.
 func daemonSubset(indexKnown bool) func(nodes []string, sidecar, sidecars, size int) map[string]bool {
 	return func(nodes []string, sidecar, sidecars, size int) map[string]bool {
 		o := subset.Default()
@@ -76,7 +77,7 @@
 		}
 		return names
 	}},
-	// From chapter 20 of Site Reliability Engineering: the sidecars of a round share one shuffled list.
+	// This algorithm is from chapter 20 of Site Reliability Engineering. The sidecars of a round share one shuffled list.
 	{"rounds (SRE book)", func(nodes []string, sidecar, _, size int) map[string]bool {
 		groups := len(nodes) / size
 		rng := rand.New(rand.NewPCG(uint64(sidecar/groups), 2))
@@ -85,7 +86,7 @@
 		at := sidecar % groups * size
 		return setOf(list[at : at+size])
 	}},
-	// Twitter's deterministic aperture without its fractional weights, because the balancer gives all upstreams the same weight.
+	// This is Twitter's deterministic aperture without fractional weights, because the balancer gives all upstreams the same weight.
 	{"aperture, whole", func(nodes []string, sidecar, sidecars, size int) map[string]bool {
 		list := sortedByHash(nodes, 0)
 		from := sidecar * len(list) / sidecars
@@ -102,8 +103,9 @@
 	{"subset", daemonSubset(true)},
 }
 
-// Subset compares the algorithms for several numbers of sidecars at constant total traffic. It prints the load and the sidecars of a node, and
-// how many nodes of a subset change when a node is replaced or a sidecar is added. Each sidecar sends evenly to its subset.
+// Subset compares the algorithms for several numbers of sidecars at constant total traffic. It prints the load and the number of sidecars of a
+// node, and how many nodes of a subset change when a node is replaced or a sidecar is added. Each sidecar distributes its requests evenly over
+// its subset.
 func Subset(o Options) error {
 	const fleet = 5000
 	nodes := make([]string, fleet)
--- a/internal/measure/tls.go
+++ b/internal/measure/tls.go
@@ -21,8 +21,8 @@
 	"orchiddrift/internal/fakes"
 )
 
-// TLS prints a comparison of the daemon and ReverseProxy with TLS on both sides, the same certificates and the same nodes:
-// with keep-alive connections, then with a new connection for each request.
+// TLS prints a comparison of the daemon and ReverseProxy with TLS on both sides. Both use the same certificates and the same
+// nodes. The first rows are for keep-alive connections, and the last ones for a new connection for each request.
 func TLS(o Options) (err error) {
 	dir, err := os.MkdirTemp("", "orchiddrift-measure-")
 	if err != nil {
@@ -67,7 +67,7 @@
 	return w.Flush()
 }
 
-// Routes prints the cost of a request for the daemon with 1, 100 and 10,000 routes.
+// Routes prints the cost per request for the daemon with 1, 100 and 10,000 routes.
 func Routes(o Options) error {
 	var addresses []string
 	nodes, err := startChild(childRole{Part: "nodes", Nodes: 12}, &addresses)
@@ -92,7 +92,8 @@
 	return errors.Join(w.Flush(), nodes.stop())
 }
 
-// writeCredentials writes a CA certificate, and the keys and certificates that it issues for the proxy and the nodes, to dir.
+// writeCredentials creates a certificate authority. It writes the authority's certificate, and the keys and certificates of
+// the proxy and the nodes, to dir.
 func writeCredentials(dir string) error {
 	ca, err := fakes.NewCA("measure")
 	if err != nil {
@@ -120,7 +121,7 @@
 	return &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS13, NextProtos: []string{"http/1.1"}}, err
 }
 
-// trustingConfig returns a client configuration that trusts the CA in dir.
+// trustingConfig returns a client configuration that trusts the certificate authority in dir.
 func trustingConfig(dir string) (*tls.Config, error) {
 	text, err := os.ReadFile(filepath.Join(dir, "ca.crt"))
 	roots := x509.NewCertPool()
@@ -128,7 +129,7 @@
 	return &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS13}, err
 }
 
-// serveTLSNodes runs nodes with TLS that answer immediately.
+// serveTLSNodes runs nodes that use TLS and answer immediately.
 func (r childRole) serveTLSNodes() error {
 	config, err := r.certificate("node")
 	if err != nil {
@@ -150,7 +151,7 @@
 	return answerUsage(addresses)
 }
 
-// serveFileDaemon runs the daemon with a configuration file, with TLS if Dir is set and with Routes routes.
+// serveFileDaemon runs the daemon with a configuration file that has Routes routes. It uses TLS if Dir is set.
 func (r childRole) serveFileDaemon(listener net.Listener) error {
 	quoted := make([]string, len(r.Addresses))
 	for i, a := range r.Addresses {
@@ -210,7 +211,7 @@
 	return err
 }
 
-// tlsRound measures requests over TLS through a proxy process; newConnections opens a connection for each request.
+// tlsRound measures requests over TLS through a proxy process. If newConnections is set, each request opens a new connection.
 func tlsRound(part, dir string, addresses []string, connections, calls int, newConnections bool) (f Figures, rate float64, err error) {
 	var address string
 	proxy, err := startChild(childRole{Part: part, Addresses: addresses, Listen: "127.0.0.1:0", GC: 100, Dir: dir}, &address)
