--- a/internal/fakes/flipper.go
+++ b/internal/fakes/flipper.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// Result returns the number of flips, the sorted times from each flip out of service to the last request that followed it,
-// and the time from notification to arrival of each violation.
+// Result returns the number of calls of Flip, the sorted times from each flip out of service to the last request that
+// followed it, and the time from notification to arrival of each violation.
 func (f *Flipper) Result() (flips int, last, violations []time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/fakes/keys.go
+++ b/internal/fakes/keys.go
@@ -6,9 +6,9 @@
 )
 
 // IdempotencyKeys is the store with which a group of nodes deduplicates requests that have an idempotency key. For a
-// window after the first execution, a request with the same key gets the stored answer and is not executed. The store
-// is safe for concurrent use. A nil store stores nothing. It scans all keys for expired ones at most twice per
-// window.
+// window after the first execution, a request with the same key gets the stored answer and is not executed. Expired
+// keys are removed at most twice per window. The store is safe for concurrent use. A nil *IdempotencyKeys stores
+// nothing.
 type IdempotencyKeys struct {
 	window time.Duration
 
--- a/internal/fakes/node_accept.go
+++ b/internal/fakes/node_accept.go
@@ -12,7 +12,7 @@
 func (n *Node) listen(address string, serve func(net.Conn)) (string, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return "", fmt.Errorf("node %s: %w", n.options.Name, err)
+		return "", fmt.Errorf("node %s: listening: %w", n.options.Name, err)
 	}
 	n.accept(l, serve)
 	return l.Addr().String(), nil
--- a/internal/simulation/experiment/results.go
+++ b/internal/simulation/experiment/results.go
@@ -31,7 +31,7 @@
 
 // ErrMismatch is returned if a results file belongs to a different experiment, or to a different version of the experiment or of the
 // program.
-var ErrMismatch = errors.New("the results are of another experiment, or of another version of it or of this program")
+var ErrMismatch = errors.New("the results belong to another experiment, or to another version of the experiment or of this program")
 
 // readProgress returns the number of runs in a results file, and the total size of its complete lines in bytes. Both are 0 if the file
 // does not exist.
--- a/internal/testing/conformance/child_test.go
+++ b/internal/testing/conformance/child_test.go
@@ -162,7 +162,7 @@
 						clients.Go(func() {
 							for n := 0; !stopped.Load(); n++ {
 								op := fmt.Sprintf("%d-%d-%d", round, worker, n)
-								// net/http does not retry a POST by itself once a part of it was written.
+								// net/http does not retry a POST request on its own after a part of the request was written.
 								callHTTP(context.Background(), client, address, callSpec{class: "confirm", id: op, op: op})
 							}
 						})
--- a/internal/testing/processes/process.go
+++ b/internal/testing/processes/process.go
@@ -20,7 +20,7 @@
 type Spec struct {
 	Name  string
 	Args  []string          // command line arguments
-	Env   []string          // environment variables in addition to TMPDIR and those of the rig's own environment
+	Env   []string          // environment variables, in addition to TMPDIR and the variables of the rig's process
 	Files map[string]string // contents by file name, written to the process's directory before each start
 	Ready func(Event) bool  // matches the log line that shows that the process serves; if nil, the process counts as ready once it runs
 }
@@ -64,7 +64,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.current != nil && !p.current.ended() {
-		return fmt.Errorf("%s: %w", p.spec.Name, errRunning)
+		return fmt.Errorf("starting %s: %w", p.spec.Name, errRunning)
 	}
 	return p.launchLocked(files)
 }
@@ -95,7 +95,7 @@
 	p.runs++
 	run := &processRun{number: p.runs, cmd: cmd, done: make(chan struct{}), historyStart: len(p.rig.History.Events(0))}
 	if err := startOnStarterThread(cmd); err != nil {
-		return errors.Join(fmt.Errorf("%s: %w", p.spec.Name, err), read.Close())
+		return errors.Join(fmt.Errorf("starting %s: %w", p.spec.Name, err), read.Close())
 	}
 	p.current, p.allRuns = run, append(p.allRuns, run)
 	p.rig.recordAction(p.spec.Name, run.number, "start", nil)
@@ -184,7 +184,7 @@
 func (p *Process) Signal(s syscall.Signal) error {
 	run := p.currentRun()
 	if run == nil || run.ended() {
-		return fmt.Errorf("%s: %w", p.spec.Name, errNotRunning)
+		return fmt.Errorf("signaling %s: %w", p.spec.Name, errNotRunning)
 	}
 	p.rig.recordAction(p.spec.Name, run.number, s.String(), nil)
 	return run.cmd.Process.Signal(s)
@@ -215,7 +215,7 @@
 // Forget removes the directory of a process, as if the process had lost its disk. The process must not be running.
 func (p *Process) Forget() error {
 	if run := p.currentRun(); run != nil && !run.ended() {
-		return fmt.Errorf("%s: %w", p.spec.Name, errRunning)
+		return fmt.Errorf("removing the directory of %s: %w", p.spec.Name, errRunning)
 	}
 	p.rig.recordAction(p.spec.Name, 0, "lose the disk", nil)
 	return os.RemoveAll(p.Dir)
@@ -246,7 +246,7 @@
 	}
 }
 
-// end kills all runs, paused ones included.
+// end kills all runs, including stopped runs.
 func (p *Process) end() {
 	p.mu.Lock()
 	allRuns := p.allRuns
--- a/internal/testing/processes/restart_test.go
+++ b/internal/testing/processes/restart_test.go
@@ -41,7 +41,7 @@
 			if err == nil {
 				resp.Body.Close()
 				if resp.StatusCode != http.StatusOK {
-					err = fmt.Errorf("answered %s", resp.Status)
+					err = fmt.Errorf("the daemon answered %s", resp.Status)
 				}
 			}
 			answer <- err
--- a/internal/testing/processes/script.go
+++ b/internal/testing/processes/script.go
@@ -44,7 +44,7 @@
 // Mix holds the parameters with which Draw generates a script.
 type Mix struct {
 	Processes, Links []string
-	Length           time.Duration        // length of the script, before whose end all faults end
+	Length           time.Duration        // length of the script; all faults end before the script ends
 	Every            time.Duration        // mean time between the starts of steps
 	Shortest         time.Duration        // minimum length of a fault
 	Longest          time.Duration        // maximum length of a fault
