--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -133,8 +133,8 @@
 	return b, nil
 }
 
-// Handle processes an event that happened at now, a clock time, and appends the resulting actions to
-// actions. A clock time before the latest one counts as the latest one.
+// Handle processes an event and appends the resulting actions to actions. The parameter now is the clock time
+// of the event. A clock time before the latest one counts as the latest one.
 func (b *Balancer) Handle(now time.Duration, e Event, actions []Action) []Action {
 	b.now = max(now, b.now)
 	b.actions = actions
--- a/balancer/latency.go
+++ b/balancer/latency.go
@@ -12,7 +12,7 @@
 	updatedAt time.Duration // clock time
 }
 
-// weight returns the weight that the value still has at now, 0 to 1.
+// weight returns the weight that the value still has at the current time, 0 to 1.
 func (e *peakEWMA) weight(now, decay time.Duration) float64 {
 	return math.Exp(-float64(now-e.updatedAt) / float64(decay))
 }
--- a/balancer/load_shedding.go
+++ b/balancer/load_shedding.go
@@ -31,8 +31,8 @@
 	return admitted
 }
 
-// priorityRank returns the share of recent arrivals whose priority is below the given one; ties are broken
-// at random. It then adds the priority to the recent arrivals. known is false if there were none.
+// priorityRank returns the share of recent arrivals whose priority is below the given one; ties are broken at
+// random. It then adds the priority to the recent arrivals. The result known is false if there were none.
 func (b *Balancer) priorityRank(priority float64) (rank float64, known bool) {
 	s := &b.shedding
 	size := min(s.priorityCount, priorityWindow)
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -43,8 +43,8 @@
 	return localChoice
 }
 
-// delayNextTrial gives an ejected zone no further trial before the clock time until, by which the attempt
-// just sent should have an answer.
+// delayNextTrial delays the next trial of an ejected zone. The parameter until is the earliest clock time of
+// that trial: by then, the attempt just sent should have an answer.
 func (z *zoneState) delayNextTrial(until time.Duration) {
 	if z.consecutiveEjections > 0 {
 		z.ejectedUntil = max(z.ejectedUntil, until)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -106,8 +106,8 @@
 // dedupMarginTicks, in ticks, is how long before the end of its deduplication window a retry has to be sent.
 const dedupMarginTicks = 2
 
-// latestRetryTime returns the clock time by which a retry of a request with an idempotency key has to be
-// sent, when the first execution may have begun at since.
+// latestRetryTime returns the clock time by which a retry of a request with an idempotency key must be sent.
+// The parameter since is the time at which the first execution may have begun.
 func (b *Balancer) latestRetryTime(r *request, since time.Duration) time.Duration {
 	return since + r.class.DedupWindow - dedupMarginTicks*b.settings.Tick
 }
--- a/balancer/slow_start.go
+++ b/balancer/slow_start.go
@@ -13,11 +13,11 @@
 	// capacity relative to the mean.
 	slowStartCapacityRatioMax = 1.6
 
-	// slowStartBurstParts divides OverloadWindow: a bucket holds at most that time's tokens, and at least one.
+	// slowStartBurstParts divides the refill per OverloadWindow. A bucket's size is the quotient, at least 1.
 	slowStartBurstParts = 10
 
-	// slowStartLapseParts divides OverloadWindow: an unused token lapses after that time, if the bucket gets
-	// less than one token in it.
+	// slowStartLapseParts divides OverloadWindow: an unused token lapses after the quotient, if the bucket gets
+	// less than one token in that time.
 	slowStartLapseParts = 2
 )
 
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -77,7 +77,7 @@
 		u.EjectedFor >= 0 && u.EjectedFor <= snapshotEjectionFactor*ejectionMax
 }
 
-// Snapshot returns what the Balancer has learnt by now, a clock time.
+// Snapshot returns the Balancer's statistics. The parameter now is the clock time of the snapshot.
 func (b *Balancer) Snapshot(now time.Duration) *Snapshot {
 	s := &Snapshot{
 		Upstreams:             make(map[string]UpstreamSnapshot, len(b.shuffled)),
@@ -120,10 +120,10 @@
 	return s
 }
 
-// Restore loads a valid snapshot of the predecessor process at now, a clock time. It may be called only on
-// a Balancer that has handled nothing but an endpoint list. Entries of upstreams that are not listed, or
-// that have restarted since the snapshot, are ignored. The slow start of an upstream begins with a new
-// random part of a token.
+// Restore loads a valid snapshot of the predecessor process. The parameter now is the current clock time.
+// Restore may be called only on a Balancer that has handled nothing but an endpoint list. Upstreams that are
+// not listed or have restarted since the snapshot are ignored. A snapshot holds no token buckets: an upstream
+// in slow start keeps the bucket that this Balancer created.
 func (b *Balancer) Restore(now time.Duration, s *Snapshot) {
 	restoreMean(&b.latency.mean, s.MeanLatency)
 	restoreMean(&b.latency.normalizedMean, s.MeanNormalizedLatency)
--- a/balancer/timers.go
+++ b/balancer/timers.go
@@ -53,7 +53,7 @@
 	timersPruneGrowth   = 2   // factor on the length after the latest pruning
 )
 
-// schedule sets a timer of kind for r at the clock time at.
+// schedule sets a timer of the given kind for r. The parameter at is the clock time at which it is due.
 func (b *Balancer) schedule(at time.Duration, kind timerKind, r *request) {
 	h := &b.timers
 	if n := len(h.timers); n > timersPruneMin && n > timersPerRequestMax*len(b.requests) && n >= h.nextPruneSize {
--- a/cmd/orchiddrift/newcomer_test.go
+++ b/cmd/orchiddrift/newcomer_test.go
@@ -93,7 +93,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) })
 }
 
-// awaitAnswers sends requests until wanted accepts the answers seen, counted by body. Each answer must have status 200.
+// awaitAnswers sends requests until the function wanted accepts the numbers of answers by body. Each answer must have status 200.
 func awaitAnswers(t *testing.T, address string, wanted func(seen map[string]int) bool) {
 	t.Helper()
 	seen := map[string]int{}
--- a/grpcbalancer/call_options.go
+++ b/grpcbalancer/call_options.go
@@ -34,8 +34,8 @@
 	return plain, outputOptions
 }
 
-// options returns the call options of an attempt: the options in plain and, in place of each of the caller's output options, an option that
-// writes to out. It leaves out OnFinish functions, because writeTo calls them.
+// options returns the call options of an attempt. The caller's plain options stay as they are. Each output option is replaced by one that
+// writes to out, except OnFinish functions: they are left out, because writeTo calls them.
 func (out *callOutputs) options(plain, outputOptions []grpc.CallOption) []grpc.CallOption {
 	if len(outputOptions) == 0 {
 		return plain
--- a/grpcbalancer/message.go
+++ b/grpcbalancer/message.go
@@ -30,7 +30,7 @@
 	return reflect.New(t.plain).Interface()
 }
 
-// copyMessage overwrites to with from, a message of the same type.
+// copyMessage overwrites one message with another of the same type. The parameter to is the destination, and from is the source.
 func copyMessage(to, from any) {
 	if t, ok := to.(proto.Message); ok {
 		proto.Reset(t)
--- a/grpcbalancer/status.go
+++ b/grpcbalancer/status.go
@@ -37,8 +37,9 @@
 	return true
 }
 
-// answerError returns the error that the caller gets for a final answer of another kind than engine.Served. last is the status of the last
-// attempt that ended without an answer, or nil if no attempt ended so. pastDeadline means that the call's deadline has passed.
+// answerError returns the error that the caller gets for a final answer of another kind than engine.Served. The parameter last is the
+// status of the last attempt that ended without an answer, or nil if no attempt ended so. pastDeadline means that the call's deadline has
+// passed.
 func answerError(ctx context.Context, answer engine.Answer, last *status.Status, pastDeadline bool) error {
 	switch answer.Kind {
 	case engine.ClientGone:
--- a/grpcbalancer/stream.go
+++ b/grpcbalancer/stream.go
@@ -53,8 +53,8 @@
 	endOnce             sync.Once
 }
 
-// start has the engine open the stream. Only the first call of start opens the stream, and blocks until the stream meets the condition wait
-// or has failed. Later calls return the same error.
+// start has the engine open the stream. Only the first call of start opens the stream, and blocks until the stream meets a condition or has
+// failed. The parameter wait is that condition. Later calls return the same error.
 func (s *clientStream) start(wait openCondition) error {
 	s.startOnce.Do(func() {
 		defer s.started.Store(true)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -39,8 +39,9 @@
 // maxUnixMs bounds the times that are converted, in milliseconds since 1970, so that the conversion to an integer cannot overflow.
 const maxUnixMs = 1e15
 
-// startTime converts at, a start by the wall clock, to the time of a Clock. The wall clock showed the time created when the Clock was
-// created, and shows the time now when the Clock has run for the duration elapsed.
+// startTime converts the time of a start from the wall clock to a Clock. The parameter at is the start by the wall clock. The parameter
+// created is the wall clock's time at which the Clock was created, now is the wall clock's current time, and elapsed is the duration for
+// which the Clock has run by then.
 func startTime(at, created, now time.Time, elapsed time.Duration) time.Duration {
 	present := Start + elapsed
 	byCreated := Start + at.Sub(created)
--- a/internal/config/file_plan.go
+++ b/internal/config/file_plan.go
@@ -211,8 +211,8 @@
 	return p
 }
 
-// service returns the service to which the part of the file at the key at refers by name. If there is no such service it reports the name
-// and returns nil. A missing name is reported by the part's own Check.
+// service returns the service to which a part of the file refers by name. The parameter at is the key of that part. If there is no such
+// service, the method reports the name and returns nil. A missing name is reported by the part's own Check.
 func (b *planBuilder) service(name, at string) *ServicePlan {
 	if i, ok := b.serviceIndex[name]; ok {
 		return &b.plan.Services[i]
--- a/internal/daemon/eureka_test.go
+++ b/internal/daemon/eureka_test.go
@@ -49,8 +49,8 @@
 	return fakes.EurekaInstance{App: "SEATS", ID: id, Host: host, IP: host, Port: number, Status: status}
 }
 
-// eurekaFile returns an operator's file with one service. own lists the service's own endpoints in the form "name@address status", and
-// registries has its registries by name.
+// eurekaFile returns an operator's file with one service. The parameter own lists the service's own endpoints in the form
+// "name@address status", and registries has its registries by name.
 func eurekaFile(own []string, registries map[string]*fakes.Eureka, settings string) string {
 	var b strings.Builder
 	b.WriteString("[log]\nlevel = \"error\"\n" + settings + "[[service]]\nname = \"seats\"\n")
--- a/internal/daemon/load_probing_test.go
+++ b/internal/daemon/load_probing_test.go
@@ -12,8 +12,8 @@
 )
 
 // Guards against a sidecar with little traffic that sends no load probes, or that sends requests to an upstream that does not answer
-// probes. Also guards against probes although the sidecar's own requests reach each upstream often enough. Invalid settings are
-// rejected.
+// probes. Also guards against a sidecar that sends probes even though its own requests reach each upstream often enough, and against
+// a configuration with invalid probe settings that is accepted.
 func TestProbes(t *testing.T) {
 	ledger := fakes.NewLedger()
 	var addresses []string
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -67,8 +67,8 @@
 }
 
 // Enter implements upstream.Gate. It checks whether the client's connection has ended, since the reader of the connection does not notice
-// that behind a pipelined request. Only the first check that finds the client gone returns false: later attempts serve other clients that
-// wait for the same answer.
+// its end while a pipelined request is waiting. Only the first check that finds the client gone returns false: later attempts serve other
+// clients that wait for the same answer.
 func (g *clientGate) Enter() bool {
 	if !g.clientGone.Load() && downstream.ClientGone(g.ctx) {
 		g.clientGone.Store(true)
--- a/internal/daemon/service.go
+++ b/internal/daemon/service.go
@@ -64,8 +64,8 @@
 	listStream      = "list/"
 )
 
-// startService starts a service whose shares of the limits have been set. last is the last list of an earlier service, or nil if there is
-// no such list.
+// startService starts a service whose shares of the limits have been set. The parameter last is the last list of an earlier service, or
+// nil if there is no such list.
 func startService(plan config.ServicePlan, sh *sharedResources, last *endpoints.List) (*service, error) {
 	s := &service{plan: plan, shared: sh, name: plan.Name, released: make(chan struct{}, 1)}
 	log := sh.log
--- a/internal/discovery/membership/merge.go
+++ b/internal/discovery/membership/merge.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// AddSource adds a source with an empty list. It is ranked behind the other sources, or before them if first is set.
+// AddSource adds a source with an empty list. It is ranked behind the other sources, or before them if the parameter first is set.
 func (m *Merge) AddSource(name string, first bool) error {
 	if m.sourcesByName[name] != nil {
 		return fmt.Errorf("adding source: name %q is already in use", name)
--- a/internal/discovery/membership/timer.go
+++ b/internal/discovery/membership/timer.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// setIfEarlier sets *timerAt to at if no timer is set or at is earlier, and reports whether it did.
+// setIfEarlier sets the timer timerAt to the time at if no timer is set or that time is earlier, and reports whether it did.
 func setIfEarlier(at time.Time, timerAt *time.Time) bool {
 	if !timerAt.IsZero() && !at.Before(*timerAt) {
 		return false
--- a/internal/discovery/staleness/fleet_test.go
+++ b/internal/discovery/staleness/fleet_test.go
@@ -221,8 +221,8 @@
 	f.carryOut(s, s.machine.Redirect(f.now))
 }
 
-// latestNotice returns the time from the change until the last sidecar noticed it. A sidecar that has not noticed the change counts as if
-// it had noticed the change at the time until.
+// latestNotice returns the time from the change until the last sidecar noticed it. The parameter until is the end of the simulation: a
+// sidecar that has not noticed the change counts as if it had noticed the change then.
 func (f *fleet) latestNotice(until time.Duration) time.Duration {
 	latest := time.Duration(0)
 	for _, s := range f.sidecars {
--- a/internal/discovery/staleness/world_test.go
+++ b/internal/discovery/staleness/world_test.go
@@ -283,7 +283,7 @@
 	return -1
 }
 
-// run simulates the world until end, and sets worst.
+// run simulates the world and sets worst. The parameter end is the time at which the simulation ends.
 func (w *world) run(end time.Duration) {
 	w.calls, w.perSecond = map[CallID]*worldCall{}, map[time.Duration]int{}
 	w.silentSince, w.disconnectedAt = -1, -1
@@ -340,7 +340,7 @@
 	}
 }
 
-// play runs the events, the changes of the list and the policy's timer in order of time until end.
+// play runs the events, the changes of the list and the policy's timer in order of time. The parameter end is the time at which play stops.
 func (w *world) play(end time.Duration) {
 	for nextChange := 0; w.now < end; {
 		next := w.policy.Next()
--- a/internal/discovery/subset/ring.go
+++ b/internal/discovery/subset/ring.go
@@ -38,7 +38,8 @@
 	return len(r.sorted)
 }
 
-// add adds an endpoint that is not on the ring. Like remove, add costs a binary search and a memory copy.
+// add adds an endpoint that is not on the ring. mergeAdded inserts it later, which costs a binary search and a memory copy, or sorts the
+// ring once if many endpoints were added.
 func (r *ring) add(name string) { r.added = append(r.added, positionOf(name)) }
 
 // mergeAdded moves the added positions to their places in sorted.
@@ -89,7 +90,8 @@
 	return r.arc(begin, min(n, shareSize+extra)), shareSize
 }
 
-// arc returns count consecutive endpoints from begin on, and continues at the start of the ring after its end.
+// arc returns consecutive endpoints, and continues at the start of the ring after its end. The parameter begin is the index of the first
+// endpoint, and count is the number of endpoints.
 func (r *ring) arc(begin, count int) []string {
 	names := make([]string, count)
 	for i := range names {
--- a/internal/fakes/etcd_store.go
+++ b/internal/fakes/etcd_store.go
@@ -13,8 +13,9 @@
 	"google.golang.org/grpc/status"
 )
 
-// inRange reports whether a key is in a range of an etcd request. The range begins with start and ends before end. An
-// empty end selects only the key start, and an end of one zero byte selects all keys from start on.
+// inRange reports whether a key is in a range of an etcd request. The parameter start is the first key of the range,
+// and end is the first key after it. An empty end selects only the key start, and an end of one zero byte selects all
+// keys from start on.
 func inRange(key string, start, end []byte) bool {
 	if len(end) == 0 {
 		return key == string(start)
--- a/internal/fakes/grpc_answer.go
+++ b/internal/fakes/grpc_answer.go
@@ -77,8 +77,9 @@
 	_ = h.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: h.headerBlock.Bytes(), EndHeaders: true, EndStream: end})
 }
 
-// message writes one message of a stream. The length in its prefix exceeds the length of the data by missing bytes,
-// so a value above 0 makes the message incomplete. It returns false if the stream or the connection has ended.
+// message writes one message of a stream. The parameter missing is the number of bytes by which the length in the
+// prefix exceeds the length of the data: a value above 0 makes the message incomplete. message returns false if the
+// stream or the connection has ended.
 func (h *h2conn) message(s *h2stream, m []byte, missing int) bool {
 	out := binary.BigEndian.AppendUint32([]byte{0}, uint32(len(m)+missing))
 	out = append(out, m...)
--- a/internal/graphql/decide_test.go
+++ b/internal/graphql/decide_test.go
@@ -89,7 +89,7 @@
 	return d, d.Class.Name
 }
 
-// requestBody returns the JSON body for a query. more holds further members of the body's object.
+// requestBody returns the JSON body for a query. The parameter more holds further members of the body's object.
 func requestBody(query string, more ...string) string {
 	return fmt.Sprintf(`{"query":%q%s}`, query, strings.Join(append([]string{""}, more...), ","))
 }
--- a/internal/graphql/endpoint.go
+++ b/internal/graphql/endpoint.go
@@ -40,8 +40,9 @@
 	key   string // for a keyed class: the argument or header that holds the key
 }
 
-// New creates an Endpoint. class returns the service's class with a given name, or nil. schema and known are the contents of the files in
-// the options, empty if no file is configured. The error describes the first mistake in the files or the options.
+// New creates an Endpoint. The parameter class returns the service's class with a given name, or nil. The parameters schema and known are
+// the contents of the files in the options, empty if no file is configured. The error describes the first mistake in the files or the
+// options.
 func New(options Options, class func(string) *Class, schema, known string) (*Endpoint, error) {
 	e := &Endpoint{
 		options:          options,
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -47,8 +47,8 @@
 	return err
 }
 
-// Next waits for the next message. held is the number in a DescriptorsHeld message. Any error means that the other process has ended or
-// does not follow the protocol.
+// Next waits for the next message. The result held is the number in a DescriptorsHeld message. Any error means that the other process
+// has ended or does not follow the protocol.
 func (l *Link) Next() (kind MessageKind, held int, err error) {
 	kind, payload, err := Read(l.conn)
 	switch {
--- a/internal/idempotency/boltstore/store.go
+++ b/internal/idempotency/boltstore/store.go
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// Put writes record, if it is not nil, deletes the expired records and advances the stored clock to now. It returns when these changes are
-// durable.
+// Put writes record, if it is not nil, deletes the expired records and advances the stored clock. The parameter now is the clock's new
+// time. Put returns when these changes are durable.
 func (s *Store) Put(record *idempotency.Record, expired []idempotency.ID, now time.Duration) error {
 	var value []byte
 	if record != nil {
@@ -111,7 +111,8 @@
 	})
 }
 
-// PutAll writes many records in order, with one sync for every maxBatchRecords records, and sets the stored clock to now.
+// PutAll writes many records in order, with one sync for every maxBatchRecords records, and sets the stored clock. The parameter now is the
+// clock's new time.
 func (s *Store) PutAll(records []idempotency.Record, now time.Duration) error {
 	for len(records) > 0 {
 		batch := records[:min(maxBatchRecords, len(records))]
--- a/internal/idempotency/executor/executor.go
+++ b/internal/idempotency/executor/executor.go
@@ -19,8 +19,9 @@
 }
 
 // RunFunc executes a request and returns its outcome. It must not stop when the client that started it disconnects, since other clients may
-// wait for the outcome, but it must finish by itself. wanted is canceled when no client waits any more. earlier contains the attempts that
-// may have been executed and against which upstreams must deduplicate the request. RunFunc must report its own attempts to recorder.
+// wait for the outcome, but it must finish by itself. The parameter wanted is canceled when no client waits any more, and earlier contains
+// the attempts that may have been executed and against which upstreams must deduplicate the request. RunFunc must report its own attempts
+// to recorder.
 type RunFunc func(wanted context.Context, earlier []idempotency.Attempt, recorder AttemptRecorder) Outcome
 
 // Outcome is the outcome of an execution for its clients.
--- a/internal/idempotency/record.go
+++ b/internal/idempotency/record.go
@@ -21,9 +21,9 @@
 // ErrStoreFull is the error of Load if a record does not fit. This happens if the limits were higher when the record was written.
 var ErrStoreFull = errors.New("repeats: the stored records exceed the configured entries or bytes")
 
-// Load adds a record that an earlier process wrote. now is the last known time of that process's clock. Records past their retention are
-// skipped. Requests that may have been executed are not executed again, since the upstreams' deduplication windows may have ended while no
-// process ran.
+// Load adds a record that an earlier process wrote. The parameter now is the last known time of that process's clock. Records past their
+// retention are skipped. Requests that may have been executed are not executed again, since the upstreams' deduplication windows may have
+// ended while no process ran.
 func (s *Store) Load(now time.Duration, r Record) error {
 	size := entryOverheadBytes + r.ID.bytes() + len(r.Attempts)*attemptBytes
 	if r.Answer != nil {
--- a/internal/lease/expirations.go
+++ b/internal/lease/expirations.go
@@ -26,8 +26,8 @@
 	queue  timerQueue // the same timers, by deadline
 }
 
-// NewExpirations returns the Expirations of a leader that begins to lead at now: the timer of each grant and of each wait in the table starts
-// anew. drift is the largest relative error of a process's clock rate.
+// NewExpirations returns the Expirations of a new leader: the timer of each grant and of each wait in the table starts anew. The parameter now is the
+// time at which the leader begins to lead, and drift is the largest relative error of a process's clock rate.
 func NewExpirations(now time.Duration, table *Table, drift float64) *Expirations {
 	x := &Expirations{table: table, drift: drift, timers: map[string]*expiryTimer{}}
 	for _, entry := range table.entries {
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -174,7 +174,7 @@
 	return []Action{h.releaseOf(reply.Sequence, reply.Token)}
 }
 
-// handleGrant starts the work, or extends the time until which it may go on. sent is when the granted request was sent.
+// handleGrant starts the work, or extends the time until which it may go on. The parameter sent is the time at which the granted request was sent.
 func (h *Holder) handleGrant(now, sent time.Duration, reply Reply) []Action {
 	validUntil := sent + reply.Duration - time.Duration(float64(reply.Duration)*h.options.Drift) - h.options.Margin
 	switch {
@@ -192,7 +192,7 @@
 	return nil // a grant that arrived too late to be of use: the next send requests it again
 }
 
-// extend sets the end of the grant and the time of the next renewal. sent is the time at which the granted request was sent.
+// extend sets the end of the grant and the time of the next renewal. The parameter sent is the time at which the granted request was sent.
 func (h *Holder) extend(sent, validUntil, duration time.Duration) {
 	h.validUntil, h.grantSentAt = validUntil, sent
 	h.nextSend = sent + duration/renewalsPerLease
@@ -212,8 +212,8 @@
 	return []Action{{Kind: ActionReportRejection, Reason: reason}}
 }
 
-// Tick does what is due at now: it ends an expired grant, renews the grant or repeats an Acquire. The driver calls Tick at the time that Next
-// returns.
+// Tick ends an expired grant, renews the grant or repeats an Acquire, if this is due. The driver calls Tick at the time that Next returns. The
+// parameter now is the current time.
 func (h *Holder) Tick(now time.Duration) []Action {
 	switch {
 	case h.state == holding && now >= h.validUntil:
@@ -237,7 +237,8 @@
 	return 0, false
 }
 
-// Held reports whether the work may go on at now, under which token, and until when.
+// Held reports whether the work may go on. If so, Held also returns the grant's token and the time until which the work may go on. The parameter
+// now is the current time.
 func (h *Holder) Held(now time.Duration) (token Token, until time.Duration, ok bool) {
 	if h.state != holding || now >= h.validUntil {
 		return 0, 0, false
--- a/internal/lease/raftgroup/fleet_test.go
+++ b/internal/lease/raftgroup/fleet_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// awaitSink waits until ok accepts the lines of the sink. what describes the condition.
+// awaitSink waits until ok accepts the lines of the sink. The parameter what describes the condition.
 func (f *fleet) awaitSink(what string, ok func(lines []sinkLine) bool) {
 	f.t.Helper()
 	for end := time.Now().Add(processes.Patience); ; time.Sleep(5 * time.Millisecond) {
--- a/internal/lease/raftgroup/guard.go
+++ b/internal/lease/raftgroup/guard.go
@@ -33,9 +33,9 @@
 
 var errGrantExpired = errors.New("the lease's grant expired before its command was started")
 
-// Guard runs a command for as long as its grant lasts, and returns the command's exit code. The grant ends when BootTime reaches until. Lines read
-// from control extend the grant or end the command. When the grant expires, on controlEnd, or at the end of control, the command's process group gets
-// SIGTERM, and SIGKILL a margin later.
+// Guard runs a command for as long as its grant lasts, and returns the command's exit code. The parameter until is the BootTime at which the grant
+// ends. Lines read from control extend the grant or end the command. When the grant expires, on controlEnd, or at the end of control, the command's
+// process group gets SIGTERM, and SIGKILL a margin later.
 func Guard(control io.Reader, status io.WriteCloser, until, margin time.Duration, argv []string) (int, error) {
 	if BootTime() >= until { // the guard started too late, as on a busy machine; the grant may have been extended meanwhile
 		_, _ = fmt.Fprintf(status, "0\n%s\n", statusExpired)
--- a/internal/lease/raftgroup/service.go
+++ b/internal/lease/raftgroup/service.go
@@ -118,7 +118,7 @@
 	last time.Time
 }
 
-// allow reports whether a rejection may be logged at now.
+// allow reports whether a rejection may be logged at the current time.
 func (l *rejectionLog) allow(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/lease/raftgroup/storage.go
+++ b/internal/lease/raftgroup/storage.go
@@ -253,7 +253,7 @@
 	return nil
 }
 
-// deleteEntries deletes the log entries with an index of at least from and less than to.
+// deleteEntries deletes a range of log entries. The parameter from is the first index of the range, and to is the first index after it.
 func deleteEntries(log *bbolt.Bucket, from, to uint64) error {
 	cursor := log.Cursor()
 	for key, _ := cursor.Seek(logKey(from)); key != nil && binary.BigEndian.Uint64(key) < to; key, _ = cursor.Seek(logKey(from)) {
--- a/internal/lease/raftgroup/work.go
+++ b/internal/lease/raftgroup/work.go
@@ -21,7 +21,8 @@
 // Work is the work that RunWhileHeld runs while a lease is held. RunWhileHeld calls its methods from one goroutine, and they must not block. Times
 // are by BootTime.
 type Work interface {
-	// Start starts the work under a fencing token. The work must have ended by until, unless Extend sets a later time.
+	// Start starts the work under a fencing token. The parameter until is the time by which the work must have ended, unless Extend sets a later
+	// time.
 	Start(token lease.Token, until time.Duration)
 	// Extend sets a later end of the grant.
 	Extend(until time.Duration)
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// IdleTimeout returns the idle time from which connections are closed now, and the time next until IdleTimeout is to be called again. If
-// closing is false no connection is closed now; if next is 0 too, no call is needed before the next change of state.
+// IdleTimeout returns the idle time from which connections are closed now, and the time until IdleTimeout is to be called again. If the
+// result closing is false, no connection is closed now; if the result next is 0 too, no call is needed before the next change of state.
 func (m *Machine) IdleTimeout(now time.Duration) (idle, next time.Duration, closing bool) {
 	age := now - m.since
 	switch m.state {
--- a/internal/measure/closedloop.go
+++ b/internal/measure/closedloop.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// closedLoop sends requests from several workers. Each worker waits for an answer before it sends its next request. The first requests,
-// whose number is warm, are not recorded. closedLoop then calls afterWarmUp, sends further requests, whose number is calls, and returns
-// their sorted latencies.
+// closedLoop sends requests from several workers. Each worker waits for an answer before it sends its next request. closedLoop sends
+// warm-up requests, calls afterWarmUp, sends the measured requests and returns the sorted latencies of the latter. The parameter warm
+// is the number of warm-up requests, and calls is the number of measured requests. Both are rounded down to a multiple of workers.
 func closedLoop(workers, warm, calls int, request func(worker, n int) error, afterWarmUp func() error) ([]time.Duration, error) {
 	run := func(calls int, record bool) ([]time.Duration, error) {
 		var mu sync.Mutex
--- a/internal/measure/largeresponses.go
+++ b/internal/measure/largeresponses.go
@@ -69,8 +69,9 @@
 	return w.Flush()
 }
 
-// largeResponsesRound sends requests for small responses in a closed loop. At the same time other clients, whose number is large, download
-// large responses. rate is the number of large responses per second.
+// largeResponsesRound sends requests for small responses in a closed loop, while other clients download large responses. The parameter large
+// is the number of these other clients, and calls is the number of measured requests for small responses. The result rate is the number of
+// large responses per second.
 func largeResponsesRound(r childRole, large, calls int) (f Figures, rate float64, err error) {
 	var address string
 	r.Listen, r.GC = "127.0.0.1:0", 100
--- a/internal/measure/loadgen.go
+++ b/internal/measure/loadgen.go
@@ -34,7 +34,8 @@
 	return errors.Join(err, server.stop())
 }
 
-// runLoad sends about as many requests as calls states, at the given rate, with the load generator. It fails if any outcome is not OK.
+// runLoad sends requests at the given rate with the load generator. The parameter calls is their approximate number. runLoad fails if any
+// outcome is not OK.
 func runLoad(address string, rate float64, calls int) (*loadgen.Result, error) {
 	length := time.Duration(float64(calls) / rate * float64(time.Second))
 	r, err := loadgen.Run(context.Background(), loadgen.Options{Target: "http://" + address, Connections: loadConnections, Timeout: 5 * time.Second, Seed: 1,
--- a/internal/metrics/registry_test.go
+++ b/internal/metrics/registry_test.go
@@ -44,7 +44,7 @@
 }
 
 // checkConservation checks that the finished and pending requests of each class in a reading add up to its started requests, and that no
-// count is below that of the reading before.
+// count is below its value in an earlier reading, which is the parameter before.
 func checkConservation(t *testing.T, before, reading Reading) {
 	t.Helper()
 	pending := int64(0)
--- a/internal/routes/headers.go
+++ b/internal/routes/headers.go
@@ -52,7 +52,8 @@
 	return t.checkConnection(header)
 }
 
-// checkUnderscores finds headers that CGI and its successors cannot distinguish from decisive headers: they read X_Request_ID as X-Request-ID.
+// checkUnderscores finds headers that CGI and its successors cannot distinguish from decisive headers: servers that use CGI or a successor
+// read X_Request_ID as X-Request-ID.
 func (t *Table) checkUnderscores(header http.Header) string {
 	for name := range header {
 		if !strings.Contains(name, "_") {
--- a/internal/server/acceptor/drain.go
+++ b/internal/server/acceptor/drain.go
@@ -33,7 +33,8 @@
 	d.quiet = false
 }
 
-// waitAgain reports whether Accept has to wait for the queue once more. The first call always returns true, even after the time in until.
+// waitAgain reports whether Accept has to wait for the queue once more. The first call always returns true, even if it comes after
+// d.until.
 func (d *drainState) waitAgain() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/server/downstream/connections.go
+++ b/internal/server/downstream/connections.go
@@ -107,8 +107,8 @@
 )
 
 // evictionRank returns the rank of a connection. A connection that never had a request ranks above one that had, so that clients that open
-// hundreds of connections and send nothing do not displace clients that send requests. The connection except is not evicted while it is
-// new.
+// hundreds of connections and send nothing do not displace clients that send requests. The parameter except is a connection that is not
+// evicted while it is new.
 func (i *connInfo) evictionRank(client, except *conn, now time.Time) evictionRank {
 	idleTime := now.Sub(i.idleSince)
 	isNew := !i.hasRequested && idleTime < firstRequestTime
--- a/internal/server/yielding/yielding.go
+++ b/internal/server/yielding/yielding.go
@@ -25,7 +25,8 @@
 	yieldUntil atomic.Int64 // end of that pause, on the caller's clock
 }
 
-// Transferred records n bytes transferred at now, and returns how long the caller has to pause.
+// Transferred records that n bytes were transferred, and returns how long the caller has to pause. The parameter now is the time of the
+// transfer on the caller's clock.
 func (y *Yielder) Transferred(now time.Duration, n int) time.Duration {
 	total := y.sinceYield.Add(int64(n))
 	if total >= BytesPerYield && y.sinceYield.CompareAndSwap(total, 0) {
--- a/internal/simulation/fleetsim/discovery.go
+++ b/internal/simulation/fleetsim/discovery.go
@@ -20,7 +20,7 @@
 // Pending requests of these sidecars fail.
 const Kill FaultKind = "kill"
 
-// down reports whether the service is down at the time since the start of the run.
+// down reports whether the service is down. The parameter since is the time that has passed since the start of the run.
 func (d *Discovery) down(since time.Duration) bool {
 	return d.DownFor > 0 && since >= d.DownAt && since < d.DownAt+d.DownFor
 }
--- a/internal/simulation/virtualtime/time.go
+++ b/internal/simulation/virtualtime/time.go
@@ -28,13 +28,14 @@
 // Since returns the time since Origin.
 func (t *Time) Since() time.Duration { return t.now - Origin }
 
-// At schedules the function do for the time at. A time in the past counts as the current time.
+// At schedules the function do. The parameter at is the time at which do is called; a time in the past counts as the
+// current time.
 func (t *Time) At(at time.Duration, do func()) {
 	t.seq++
 	t.events.Push(do, float64(max(at, t.now)), t.seq)
 }
 
-// After schedules the function do for the time d from now.
+// After schedules the function do. The parameter d is the delay from the current time.
 func (t *Time) After(d time.Duration, do func()) { t.At(t.now+d, do) }
 
 // Run runs all events up to the time length after Origin, including events that other events schedule. It leaves the clock
--- a/internal/task/decide.go
+++ b/internal/task/decide.go
@@ -46,8 +46,8 @@
 // there.
 const maxMissedRuns = 10_000
 
-// Decide returns the next step of the process that holds the task's lease under token. by is the name of that process. last is the stored record, or
-// nil if no record is stored.
+// Decide returns the next step of the process that holds the task's lease under token. The parameter by is the name of that process, and last is the
+// stored record, or nil if no record is stored.
 func (r *Rules) Decide(now time.Time, last *Record, token lease.Token, by string) Step {
 	if last == nil { // the task is new: its first run is due after now
 		return Step{Kind: WriteRecord, Record: Record{Due: now, Phase: Skipped, Token: token, By: by}}
@@ -81,7 +81,8 @@
 	return Step{Kind: WriteRecord, Record: run}
 }
 
-// latestDue returns the latest due time up to now. The search begins at the due time due.
+// latestDue returns the latest due time that has been reached. The parameter now is the current time, and due is the due time at which the search
+// begins.
 func (r *Rules) latestDue(now, due time.Time) time.Time {
 	for range maxMissedRuns {
 		later := r.Schedule.Next(due)
--- a/internal/task/runner/fleet_test.go
+++ b/internal/task/runner/fleet_test.go
@@ -119,7 +119,7 @@
 	return lines
 }
 
-// eventually waits until ok accepts the lines of the sink. what describes the awaited lines.
+// eventually waits until ok accepts the lines of the sink. The parameter what describes the awaited lines.
 func (f *fleet) eventually(what string, ok func(lines []sinkLine) bool) {
 	f.t.Helper()
 	for end := time.Now().Add(2 * processes.Patience); !ok(f.readSink()); time.Sleep(5 * time.Millisecond) {
--- a/internal/task/scheduler.go
+++ b/internal/task/scheduler.go
@@ -89,7 +89,8 @@
 	}
 }
 
-// Waiting ends the claim of a task that is not due before at. If at is zero, the task is never due again.
+// Waiting ends the claim of a task that is not due yet. The parameter at is the time before which the task is not due. If it is zero, the
+// task is never due again.
 func (s *Scheduler) Waiting(name string, at time.Time) {
 	if t := s.unclaim(name); t != nil {
 		if t.nextAttempt = at; !at.IsZero() {
--- a/internal/testing/processes/discoveryoverload_test.go
+++ b/internal/testing/processes/discoveryoverload_test.go
@@ -15,10 +15,10 @@
 
 // Guards against requests to draining servers because a sidecar with an overdue endpoint list polls discovery too rarely.
 //
-// The failure was seen with six sidecars. Requests still went to a draining server 0.31 s after all sidecars had to know of the drain.
-// Discovery was down for 13 s. Some seconds after it was up again, servers began to drain, and each sidecar was reloaded four times in
-// 1.6 s, each time to another discovery address. Discovery was up, but rejected most of these calls at once. One sidecar was rejected
-// at every call until 8.9 s after the drain.
+// The failure was seen with six sidecars. Requests still went to a draining server 0.31 s after the time by which every sidecar should
+// have learned of the drain. Discovery was down for 13 s. Some seconds after it was up again, servers began to drain, and each sidecar was
+// reloaded four times in 1.6 s, each time to another discovery address. Discovery was up, but rejected most of the sidecars' list calls at
+// once. It rejected every list call of one sidecar until 8.9 s after the drain.
 //
 // The cause was that the wait between list calls was shortened only before the list's deadline. After the deadline it was the longest
 // possible wait, so that the sidecar with the oldest list called least often. This is the log of that sidecar, whose list was 18 s old:
@@ -30,8 +30,8 @@
 //	92.943 watch ended reason="discovery answered 503 Service Unavailable"
 //	94.982 watch ended reason="discovery answered 503 Service Unavailable"
 //
-// The drain began at 88.86 s, so all sidecars had to know of it at 94.86 s. In this time sidecars whose list was 1 to 3 s old called every
-// 0.2 to 0.4 s.
+// The drain began at 88.86 s, so every sidecar should have learned of it by 94.86 s. In this time, sidecars whose list was 1 to 3 s old
+// called every 0.2 to 0.4 s.
 //
 // In this test each discovery address rejects its first calls, so that each sidecar gets the same number of rejections whatever the
 // others do.
--- a/internal/testing/processes/drain_test.go
+++ b/internal/testing/processes/drain_test.go
@@ -142,8 +142,8 @@
 	return time.Now()
 }
 
-// lateRequests returns two values: the longest time after due at which a request arrived at a drained upstream, and the number of requests that
-// arrived more than grace after due.
+// lateRequests returns how long after a deadline the last request arrived at a drained upstream, and the number of requests that arrived at
+// drained upstreams more than a grace period after the deadline. The parameter due is the deadline, and grace is the grace period.
 func (f *loadedFleet) lateRequests(drained []string, due time.Time, grace time.Duration) (worst time.Duration, n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -170,8 +170,8 @@
 	schedulingSlack = 250 * time.Millisecond
 )
 
-// drainDuringOutage drains upstreams while the daemons cannot learn of it at once. It returns the time of the drain, and the time at which all
-// daemons have to know of it.
+// drainDuringOutage drains upstreams while the daemons cannot learn of the drain at once. It returns the time of the drain, and the time by
+// which all daemons must have learned of it.
 func drainDuringOutage(discovery *fakes.Discovery, how string, sidecars int, drained []string) (drainedAt, due time.Time) {
 	switch how {
 	case "pushed":
--- a/internal/testing/processes/history.go
+++ b/internal/testing/processes/history.go
@@ -70,7 +70,8 @@
 	return e
 }
 
-// Events returns the events that start at index from. The caller must not change them.
+// Events returns the events from an index on. The parameter from is that index. The caller must not
+// change them.
 func (h *History) Events(from int) []Event {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -87,8 +88,8 @@
 
 var errFull = errors.New("the history is full, and later events are not in memory")
 
-// Wait waits for the first matching event whose index is at least from. It returns the event and the next
-// index.
+// Wait waits for the first matching event. The parameter from is the index at which the search begins.
+// Wait returns the event and the next index.
 func (h *History) Wait(ctx context.Context, from int, match func(Event) bool) (Event, int, error) {
 	for {
 		h.mu.Lock()
--- a/internal/testing/processes/processes_test.go
+++ b/internal/testing/processes/processes_test.go
@@ -60,7 +60,8 @@
 	return l.Addr().String()
 }
 
-// probeReady calls the readiness endpoint of a daemon. It returns an error if no response arrives within wait.
+// probeReady calls the readiness endpoint of a daemon. The parameter wait is the time after which it returns an error if no response has
+// arrived.
 func probeReady(p *Process, wait time.Duration) error {
 	c := http.Client{Timeout: wait, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Get("http://" + p.Address() + "/-/ready")
@@ -100,8 +101,8 @@
 	return events
 }
 
-// checkDisk ends and starts a process twice: first with a kill, then with SIGTERM and Forget. It checks that the file kept still exists after
-// the kill, and does not exist after Forget.
+// checkDisk ends and starts a process twice: first with a kill, then with SIGTERM and Forget. The parameter kept is a file of the process:
+// checkDisk checks that it still exists after the kill, and does not exist after Forget.
 func checkDisk(t *testing.T, ctx context.Context, p *Process, kept string) {
 	t.Helper()
 	for i, end := range []func() error{func() error { return p.Kill(ctx) },
@@ -185,7 +186,7 @@
 	}
 }
 
-// echo sends ten bytes and returns the bytes that are echoed within wait.
+// echo sends ten bytes and returns the bytes that are echoed. The parameter wait is the timeout.
 func echo(c net.Conn, wait time.Duration) (string, error) {
 	if _, err := io.WriteString(c, "0123456789"); err != nil {
 		return "", err
--- a/internal/testing/soak/rulechecker.go
+++ b/internal/testing/soak/rulechecker.go
@@ -99,8 +99,9 @@
 	}
 }
 
-// drainKnownAt returns the time at which a sidecar knew that an upstream drains or is removed. It considers the process of the sidecar that ran at
-// the time then. If the upstream had not changed by then, or no process had been started, it returns a time in the far future.
+// drainKnownAt returns the time at which a sidecar knew that an upstream drains or is removed. The parameter then is the time for which the check
+// is made: drainKnownAt considers the process of the sidecar that ran at that time. If the upstream had not changed by that time, or no process
+// had been started, drainKnownAt returns a time in the far future.
 func (c *ruleChecker) drainKnownAt(upstream string, sidecar int, then time.Duration) time.Duration {
 	knownAt := time.Duration(1<<62 - 1)
 	i := slices.IndexFunc(c.Changes, func(candidate Change) bool { return candidate.Upstream == upstream })
--- a/internal/testing/soak/script.go
+++ b/internal/testing/soak/script.go
@@ -179,7 +179,8 @@
 	return d.script.Upstreams - 1 - d.rng.IntN(d.script.Upstreams/2)
 }
 
-// between returns a random duration that is at least least and below most. It returns least if most is not longer.
+// between returns a random duration. The parameter least is the shortest duration, and most is the exclusive upper bound.
+// If most is not longer than least, between returns least.
 func between(rng *rand.Rand, least, most time.Duration) time.Duration {
 	if most <= least {
 		return least
--- a/internal/upstream/body_pump.go
+++ b/internal/upstream/body_pump.go
@@ -66,7 +66,7 @@
 }
 
 // next waits for a piece of the body, and returns errUploadStopped if stop is closed first. The caller may use the piece until it calls
-// next again. Only one goroutine at a time may call next. again says that the caller has consumed the previous piece.
+// next again. Only one goroutine at a time may call next. The parameter again says that the caller has consumed the previous piece.
 func (p *bodyPump) next(from io.Reader, again bool, stop <-chan struct{}) ([]byte, error) {
 	p.startOnce.Do(func() { go p.run(from) })
 	if again {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -37,7 +37,7 @@
 	detach  func() bool   // stops ctx from interrupting reads; returns false if the connection is closed
 }
 
-// exchange writes a request and reads its response. after says what happens to the connection.
+// exchange writes a request and reads its response. The result after says what happens to the connection.
 func (p *Pool) exchange(ctx context.Context, conn *pooledConn, r *Request, options AttemptOptions) (response Response, after connectionUse) {
 	x := &exchange{pool: p, ctx: ctx, conn: conn, request: r, options: options, detach: interruptOnDone(ctx, conn)}
 	defer func() {
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -61,7 +61,7 @@
 	return &Request{head: head, body: body, isHead: method == http.MethodHead}
 }
 
-// NewUpload is NewRequest for a body that is forwarded as it arrives; first is the part that has arrived already.
+// NewUpload is NewRequest for a body that is forwarded as it arrives. The parameter first is the part that has arrived already.
 func NewUpload(method, target, host string, header http.Header, first []byte, rest *Upload) *Request {
 	r := NewRequest(method, target, host, header, nil)
 	if method != http.MethodGet { // NewRequest has written a length of zero
--- a/internal/upstream/upload.go
+++ b/internal/upstream/upload.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// lastByteIn returns the argument end for writePiece. last says whether piece ends with the last byte of the request.
+// lastByteIn returns the argument end for writePiece. The parameter last says whether piece ends with the last byte of the request.
 func lastByteIn(piece []byte, last bool) int {
 	if last {
 		return len(piece)
@@ -109,10 +109,10 @@
 	return 0
 }
 
-// writePiece writes a part of the request. end is the number of bytes of piece after which the upstream knows that the request is complete,
-// or 0 if more pieces follow. The request counts as complete as soon as the write of that byte begins, since an upstream can run the
-// request, respond and close the connection before the write returns here. It counts as incomplete again only if the count that the write
-// returns shows that the system did not accept the byte.
+// writePiece writes a part of the request. The parameter end is the number of bytes of piece after which the upstream knows that the request
+// is complete, or 0 if more pieces follow. The request counts as complete as soon as the write of that byte begins, since an upstream can
+// run the request, respond and close the connection before the write returns here. It counts as incomplete again only if the count that the
+// write returns shows that the system did not accept the byte.
 func (w *uploadWriter) writePiece(piece []byte, end int) error {
 	for len(piece) > 0 { // progress extends the deadline
 		deadline := time.Now().Add(writeIdleTimeout)
