--- a/balancer/load_report_test.go
+++ b/balancer/load_report_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Attempts that are sent after a load report must be added to the requests in flight of the report. The number of
-// stored reports must be bounded.
+// Attempts that are sent after a load report must be added to the number of requests in flight that the report
+// states. The number of stored reports must be bounded.
 func TestAttemptsAfterLoadReportsCount(t *testing.T) {
 	r := newHarness(t, testSettings())
 	r.addUpstreams(40)
--- a/balancer/locality.go
+++ b/balancer/locality.go
@@ -101,7 +101,7 @@
 	b.expireAttempts(z)
 }
 
-// expireAttempts treats the attempts in flight at a zone as late now, so that other zones get their requests.
+// expireAttempts makes a zone's idempotent attempts late now, so that other zones get their requests.
 func (b *Balancer) expireAttempts(z *zoneState) {
 	for _, u := range b.shuffled {
 		for _, a := range u.inFlight {
--- a/balancer/outlier_detection.go
+++ b/balancer/outlier_detection.go
@@ -93,8 +93,9 @@
 	b.recordZoneAnswer(u)
 }
 
-// recordFailure ejects an upstream that fails without an answer: after two failures in a row if connections
-// are refused or reset or it has not answered for long, and after any failed trial.
+// recordFailure counts an attempt that ended without an answer. It ejects the upstream after two consecutive
+// failures, if the connection was refused or reset, or if the first of the failed attempts was sent long ago.
+// Once an ejection time has passed, any failure before the upstream returns ejects it again.
 func (b *Balancer) recordFailure(a *attempt, result Result, elapsed time.Duration) {
 	u := a.upstream
 	if b.merelySlow(a, result, elapsed) {
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -236,7 +236,7 @@
 	}
 }
 
-// Failed connects are retried without regard to the retry budget, and must not use up the tokens that
+// Failed connection attempts are retried without regard to the retry budget, and must not use up the tokens that
 // hedging needs later.
 func TestFailedConnectsDoNotOverdrawRetryBudget(t *testing.T) {
 	w := newScriptedFleet(t, testSettings(), func(u string) (Result, time.Duration) { return ConnectFailed, 0 })
--- a/balancer/stats.go
+++ b/balancer/stats.go
@@ -45,8 +45,8 @@
 	r.updatedAt = now
 }
 
-// perSecond returns the rate at now. While the rate is younger than its memory, the time before its first
-// event is left out of the mean.
+// perSecond returns the mean rate at now. The mean covers only the time since the first event, so that it is
+// not too low for a rate that has just started.
 func (r *rate) perSecond(now time.Duration) float64 {
 	age := max(now-r.startedAt, r.memory/rateMinAgeParts)
 	sum := r.sum * math.Exp(-float64(now-r.updatedAt)/float64(r.memory))
--- a/grpcbalancer/idempotency.go
+++ b/grpcbalancer/idempotency.go
@@ -120,8 +120,8 @@
 	return u.finalError(ctx, engine.Answer{Kind: engine.Failed})
 }
 
-// storedOutcome returns an answer in its stored form: the encoded message, or the application's status. An answer that cannot be encoded
-// counts as failed, since the call has run.
+// storedOutcome returns an answer in its stored form: the encoded message, or the application's status. If the reply cannot be
+// encoded, the verdict is idempotency.Fail: the call has run, so a repeat must not run it again, and there is no answer to return.
 func storedOutcome(result *unaryResult) executor.Outcome {
 	if result.err != nil {
 		s := status.Convert(result.err)
--- a/internal/admission/controller/acquire.go
+++ b/internal/admission/controller/acquire.go
@@ -11,7 +11,7 @@
 // Verdict is the result of Acquire for a request.
 type Verdict int
 
-// The verdicts.
+// The verdicts of Acquire.
 const (
 	Admitted   Verdict = iota // Permit.Done must be called when the request has ended
 	Rejected                  // the request was not executed, so a retry is safe
--- a/internal/admission/events.go
+++ b/internal/admission/events.go
@@ -54,7 +54,7 @@
 // Outcome is how an admitted request ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes of an admitted request.
 const (
 	Completed          Outcome = iota // answered by an upstream, successfully or not, or timed out
 	RejectedByBalancer                // rejected by the balancer, because the upstreams are overloaded
--- a/internal/admission/registry.go
+++ b/internal/admission/registry.go
@@ -119,8 +119,8 @@
 	*f = flow{member: newMember(g, f, 1), name: name, lists: f.lists[:0], reservations: f.reservations[:0], expiryIndex: -1}
 }
 
-// forgetFlow removes a flow that has no requests and no reservations, and then its group if that is unused too. An
-// indebted flow is removed later, by forgetSettled.
+// forgetFlow removes a flow that has no requests and no reservations, and then its group if that is unused too. A flow
+// whose finish tag is ahead of virtual time is removed later, by forgetSettled.
 func (q *Queue) forgetFlow(f *flow) {
 	g := f.group
 	if f.active() || f.arriving || len(f.reservations) > 0 {
@@ -141,7 +141,8 @@
 	q.forgetGroup(g)
 }
 
-// forgetGroup removes a group that has no requests, flows or reservations and is not indebted.
+// forgetGroup removes a group that has no requests, flows or reservations and whose finish tag is not ahead of virtual
+// time.
 func (q *Queue) forgetGroup(g *group) {
 	if g.active() || g.arriving || g.forgotten {
 		return
--- a/internal/bulkhead/semaphore.go
+++ b/internal/bulkhead/semaphore.go
@@ -52,9 +52,9 @@
 	return s.limiter.Total()
 }
 
-// OnContention sets the reclaim function of a service; nil removes it. The function releases one unit that the service has acquired and
-// does not need, and reports whether it did. When an Acquire has to wait, it calls reclaim functions without the lock until one of them has
-// released a unit: first that of the waiting service, then those of the services that use common capacity.
+// OnContention sets the reclaim function of a service, or removes it if reclaim is nil. The function releases one unit that the service has
+// acquired and does not need, and reports whether it did. When an Acquire has to wait, it calls reclaim functions without the lock until one
+// of them has released a unit: first the function of the waiting service, then the functions of the services that use common capacity.
 func (s *Semaphore) OnContention(service string, reclaim func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -102,7 +102,7 @@
 	p.parseKnownEndpoints()
 	p.parseSettings()
 	if plugin && p.config.Discovery == "" && !p.config.hasCachedEndpoints() {
-		p.report("discovery", errors.New("missing, and known lists no upstream"))
+		p.report("discovery", errors.New("missing, and the key \"known\" lists no upstream"))
 	}
 	if len(p.problems) > 0 {
 		return nil, p.problems
@@ -219,7 +219,7 @@
 // checkControl returns what is wrong with the address of the control listener.
 func checkControl(control, listen string) error {
 	if control == listen && !AnyPort(listen) {
-		return errors.New("this is the address for clients")
+		return errors.New("must differ from listen, the address for clients")
 	}
 	return endpoints.CheckAddress(control)
 }
--- a/internal/daemon/accept_test.go
+++ b/internal/daemon/accept_test.go
@@ -12,7 +12,8 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// failingListener closes each connection that it accepts and returns err instead, until the time that is set by fail.
+// failingListener is a listener whose Accept fails with err until the time in its field until: Accept closes each connection that arrives
+// before that time. The method fail sets both fields.
 type failingListener struct {
 	*net.TCPListener
 	mu       sync.Mutex
--- a/internal/daemon/body_test.go
+++ b/internal/daemon/body_test.go
@@ -335,7 +335,7 @@
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	if _, err := http.ReadResponse(in, nil); err == nil {
-		t.Error("the hidden request was answered")
+		t.Error("the second request, hidden in the body of the first, was answered")
 	}
 	if n := len(s.Requests()); n != 0 {
 		t.Errorf("%d of the two requests reached the upstream, want 0", n)
--- a/internal/daemon/request.go
+++ b/internal/daemon/request.go
@@ -224,7 +224,8 @@
 	return false
 }
 
-// closeIfGone announces the end of the connection if the client counts as disconnected, in case the client is still connected.
+// closeIfGone sets "Connection: close" on the answer if the engine reports that the client has disconnected. If the client is still connected
+// nevertheless, it learns that the connection ends.
 func (c *clientRequest) closeIfGone(answer engine.Answer) {
 	if answer.Kind == engine.ClientGone {
 		c.w.Header().Set("Connection", "close")
--- a/internal/daemon/routing.go
+++ b/internal/daemon/routing.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// gateDrainTimeout is how long closeGates waits for requests that are being written. Part of a request that takes longer was written
-	// before the gates closed.
+	// gateDrainTimeout is how long closeGates waits for attempts that are being written. A write that takes longer began before the
+	// gates closed, and closeGates does not wait for it.
 	gateDrainTimeout = 250 * time.Millisecond
 	// gatePollInterval is how often closeGates checks whether requests are still being written.
 	gatePollInterval = 100 * time.Microsecond
--- a/internal/daemon/service_source.go
+++ b/internal/daemon/service_source.go
@@ -21,7 +21,7 @@
 const ownList = "list"
 
 // errNewServiceNeeded says that a running service cannot change to another kind of list.
-var errNewServiceNeeded = errors.New("a change to another kind of endpoint list needs a new service")
+var errNewServiceNeeded = errors.New("a running service cannot change to another kind of endpoint list")
 
 // openSource opens the source of a plan's endpoint list, and returns the first list. It returns a nil source if the plan itself contains
 // the complete list. If the plan has registries, the source merges their lists with the service's own list.
--- a/internal/daemon/upgrade.go
+++ b/internal/daemon/upgrade.go
@@ -76,7 +76,8 @@
 	return listener, &receivedHandover{state, link}, nil
 }
 
-// useHandedOverList makes the predecessor's list the first one, if both processes use the same discovery address and the list is not older.
+// useHandedOverList makes the predecessor's list the initial endpoint list of the service, if both processes use the same discovery address
+// and the predecessor's list is not older.
 func useHandedOverList(plan *config.ServicePlan, from handover.Service) {
 	if from.List == nil || plan.Discovery == "" || from.Discovery != plan.Discovery {
 		return
--- a/internal/discovery/eureka/lease.go
+++ b/internal/discovery/eureka/lease.go
@@ -49,14 +49,14 @@
 	return &lease{renewInterval: renewInterval, dueAt: now, backoff: min(initialLeaseBackoff, renewInterval)}
 }
 
-// drain makes the call that sets the status out of service due now.
+// drain schedules the call that sets the status to out of service for now.
 func (l *lease) drain(now time.Time) {
 	if !l.draining {
 		l.draining, l.dueAt = true, now
 	}
 }
 
-// end makes the call that cancels the lease due now.
+// end schedules the call that cancels the lease for now.
 func (l *lease) end(now time.Time) {
 	if !l.ending {
 		l.ending, l.dueAt = true, now
--- a/internal/discovery/membership/merge.go
+++ b/internal/discovery/membership/merge.go
@@ -192,7 +192,8 @@
 	return list
 }
 
-// begin starts an input. It advances the time, fires the timers that are due, and returns the source called name, or nil if there is none.
+// begin is called first by each method that handles an input. It advances the time, fires the timers that are due, and
+// returns the source called name, or nil if there is none.
 func (m *Merge) begin(now time.Time, name string) *source {
 	if now.After(m.now) {
 		m.now = now
--- a/internal/discovery/staleness/schedule.go
+++ b/internal/discovery/staleness/schedule.go
@@ -41,7 +41,8 @@
 //   - After the second and each further failure, the backoff is a third of the remaining time, within bounds.
 //   - After the first failure, the backoff is the initial backoff, which grows with the fleet.
 //
-// Calls for a pushed list are cheap for the local agent. Their backoff doubles, and stays shorter than the drain grace.
+// If Options.Pushed is set, a local agent serves the calls, which are cheap for it. The backoff then depends only on the drain grace and the
+// number of consecutive failures: it doubles, and stays shorter than the drain grace.
 func (m *Machine) backoff(now time.Duration) time.Duration {
 	if m.options.Pushed {
 		initial := m.options.gracePercent(pushedInitialBackoffPercent)
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -113,7 +113,7 @@
 	if address == w.server.address {
 		return
 	}
-	w.log.Debug("list address changed", "from", w.server.address, "to", address, "age", w.age())
+	w.log.Debug("address of the endpoint list changed", "from", w.server.address, "to", address, "age", w.age())
 	w.server = &listServer{address: address, isNew: true}
 	w.carryOut(w.machine.Redirect(w.now()))
 }
--- a/internal/graphql/batch.go
+++ b/internal/graphql/batch.go
@@ -5,7 +5,7 @@
 // EntryOutcome is the outcome of an entry of a batch.
 type EntryOutcome int
 
-// The outcomes.
+// The outcomes of an entry.
 const (
 	Answered   EntryOutcome = iota // an upstream answered, with or without errors
 	NotRun                         // rejected before any part of it ran
--- a/internal/graphql/key.go
+++ b/internal/graphql/key.go
@@ -30,7 +30,8 @@
 }
 
 // keyOf returns the idempotency key in an argument of a root field, or false if there is none. path is the argument's name,
-// after which dots select parts of an input. The key is a string, a number or an enum value of 1 to maxKey bytes.
+// optionally followed by names of input fields, separated by dots, as in input.key. The key is a string, a number or an enum
+// value of 1 to maxKey bytes.
 func (r *rootField) keyOf(path string, vars func() valueOf, defs ast.VariableDefinitionList) (string, bool) {
 	first, rest, _ := strings.Cut(path, ".")
 	a := r.args.ForName(first)
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -79,7 +79,7 @@
 	next.Close()
 	t.Logf("with SO_REUSEPORT instead of a passed socket, %d of %d queued connections are answered", n, queuedConnections)
 	if link := <-links; link.Close() != nil {
-		t.Error("closing the predecessor's link failed")
+		t.Error("closing the predecessor's link returned an error")
 	}
 }
 
--- a/internal/idempotency/decision.go
+++ b/internal/idempotency/decision.go
@@ -49,7 +49,7 @@
 // Verdict says how an arriving request is handled.
 type Verdict int
 
-// The verdicts.
+// The verdicts on an arriving request.
 const (
 	Execute         Verdict = iota // execute the request, deduplicated against EarlierAttempts; call Store.Finish when it ends
 	Wait                           // wait for the running request of the key; call Store.StopWaiting if the client disconnects first
@@ -71,7 +71,7 @@
 // Outcome is how an executed request ended. Records store its numeric values.
 type Outcome int
 
-// The outcomes.
+// The outcomes of an executed request.
 const (
 	Answered    Outcome = iota
 	NotExecuted         // the request was certainly not executed; its key is forgotten unless an earlier attempt may have been executed
--- a/internal/idempotency/executor/executor.go
+++ b/internal/idempotency/executor/executor.go
@@ -268,8 +268,8 @@
 	if r.count++; r.count > 1 && now-r.loggedAt < rejectionLogInterval {
 		return
 	}
-	e.options.Log.Warn("repeats: requests with idempotency keys are rejected", "refused", r.count, "keys", e.store.Len(),
-		"bytes", e.store.Bytes(), "running", e.store.Running())
+	e.options.Log.Warn("repeats: requests with idempotency keys are rejected: the store is full, or too many requests run or wait",
+		"refused", r.count, "keys", e.store.Len(), "bytes", e.store.Bytes(), "running", e.store.Running())
 	r.count, r.loggedAt = 1, now
 }
 
--- a/internal/lease/raftgroup/linearizability_test.go
+++ b/internal/lease/raftgroup/linearizability_test.go
@@ -119,7 +119,7 @@
 	}
 	t.Logf("%d requests, %d granted, %d without a reply", len(recorder.history), granted, unknown)
 	if granted < minGrants {
-		t.Error("too few requests were granted to check the history")
+		t.Error("fewer than minGrants requests were granted, too few for a meaningful check of the history")
 	}
 	if result := porcupine.CheckOperationsTimeout(leaseModel.ToModel(), recorder.history, processes.Patience); result == porcupine.Illegal {
 		t.Error("the history is not linearizable: no order of the requests on one lease table explains the replies")
--- a/internal/lease/raftgroup/storage.go
+++ b/internal/lease/raftgroup/storage.go
@@ -278,7 +278,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("%w, or the code that uses it has a bug: %v", ErrCorrupted, p)
+			err = fmt.Errorf("%w, or the code that uses the file has a bug: panic: %v", ErrCorrupted, p)
 		}
 	}()
 	return use()
--- a/internal/lifecycle/machine.go
+++ b/internal/lifecycle/machine.go
@@ -17,7 +17,7 @@
 // State is the state of a process.
 type State int
 
-// The states.
+// The states of a process.
 const (
 	Serving  State = iota
 	Draining       // not ready: clients are asked to disconnect; may return to Serving
@@ -38,8 +38,8 @@
 	drainClosePeriod = 600 * time.Millisecond
 	// drainCloseAllPeriod is the time from the start of Draining after which connections idle for shortIdle are closed.
 	drainCloseAllPeriod = 2500 * time.Millisecond
-	// replacedCloseAllLead is the time before the end of the grace period at which a process in state Replaced begins to close connections
-	// that have been idle for shortIdle.
+	// replacedCloseAllLead is the time that is left of the grace period when a process in state Replaced begins to close connections that
+	// have been idle for shortIdle.
 	replacedCloseAllLead = 400 * time.Millisecond
 
 	longIdle  = time.Second
--- a/internal/loadgen/attempt.go
+++ b/internal/loadgen/attempt.go
@@ -33,7 +33,8 @@
 // requests.
 func (c *Class) idempotent() bool { return c.Method == http.MethodGet || c.Method == http.MethodHead }
 
-// retryable reports whether an outcome allows a retry. A refusal always allows it, and a fault only for idempotent requests.
+// retryable reports whether a request may be retried after an outcome. Every request may be retried after Refused, and an
+// idempotent request also after Broken, TimedOut or Failed.
 func retryable(outcome Outcome, idempotent bool) bool {
 	switch outcome {
 	case Refused:
--- a/internal/measure/grpc.go
+++ b/internal/measure/grpc.go
@@ -100,7 +100,8 @@
 	return json.NewEncoder(os.Stdout).Encode(figures(before, currentUsage(), latencies))
 }
 
-// dial returns a connection with the balancer that Policy names, and a function that closes both of them.
+// dial returns a connection whose balancer is the one that Policy names, and a function that closes the connection and, if
+// there is one, the Plugin.
 func (r childRole) dial() (*grpc.ClientConn, func(), error) {
 	creds := grpc.WithTransportCredentials(insecure.NewCredentials())
 	if r.Policy == plugin {
--- a/internal/metrics/registry.go
+++ b/internal/metrics/registry.go
@@ -13,7 +13,7 @@
 // Outcome says how a request finished.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a request.
 const (
 	Completed   Outcome = iota // answered
 	Rejected                   // not executed: a retry is safe
--- a/internal/routes/target.go
+++ b/internal/routes/target.go
@@ -9,7 +9,7 @@
 )
 
 // maxDecodings is the maximum number of times that a target is decoded to find the paths that an upstream may read in it. A server behind
-// another proxy may decode twice. The third round checks what the second decoding reveals.
+// another proxy may decode twice. The third round checks the path that results from the second decoding.
 const maxDecodings = 3
 
 // targetPath returns the path of a request target. It rejects every target that two servers may resolve to different paths: the class
--- a/internal/server/downstream/close.go
+++ b/internal/server/downstream/close.go
@@ -46,14 +46,15 @@
 }
 
 // SetShared says whether another process has the listener's socket open too. While it has, closing the socket here resets no connections,
-// and Close does not reject connects. Once the socket is no longer shared, connects that the other process rejected are allowed again.
+// and Close does not reject new connections. Once the socket is no longer shared, new connections, which the other process rejected, are
+// allowed again.
 func (c *Connections) SetShared(shared bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	wasShared := c.shared
 	c.shared = shared
 	if l, ok := c.Listener.(drainer); ok && wasShared && !shared && !c.closed {
-		_ = l.AllowConnects() // if the system does not support it, no connects are rejected
+		_ = l.AllowConnects() // if the system does not support it, no connections are rejected
 	}
 }
 
--- a/internal/server/yielding/yielding_test.go
+++ b/internal/server/yielding/yielding_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Checks that all transfers pause until the same time, once per BytesPerYield bytes of all transfers together, that no transfer pauses
-// longer, and that none pauses before that many bytes.
+// Checks that a pause begins once all transfers together have transferred BytesPerYield bytes, and not earlier, and that all transfers
+// pause until the same time.
 func TestAllRestTogether(t *testing.T) {
 	var yielder Yielder
 	now, pieces := time.Hour, 0
--- a/internal/simulation/admissionsim/simulation_test.go
+++ b/internal/simulation/admissionsim/simulation_test.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// reweighedQueue doubles the first client's weight when the first request arrives after the time at.
+// reweighedQueue doubles the first client's weight when a request first arrives at or after the time in its field at.
 type reweighedQueue struct {
 	*admission.Queue
 	at   time.Duration
--- a/internal/simwire/wire.go
+++ b/internal/simwire/wire.go
@@ -59,7 +59,7 @@
 	StartedAtMs float64 `json:"CameUpMs"`
 }
 
-// action is an action with any verb in a reply. Each verb uses only some of the fields.
+// action is the JSON form of an action in a reply. It has the fields of all verbs; each verb uses only some of them.
 type action struct {
 	Verb         string  `json:"verb"`
 	Instance     int     `json:"I"`
--- a/internal/task/runner/execution.go
+++ b/internal/task/runner/execution.go
@@ -19,7 +19,8 @@
 	DueVariable = "ORCHIDDRIFT_TASK_DUE"
 	// TokenHeader is the request header that carries the fencing token of a call.
 	TokenHeader = "X-Lease-Token"
-	// idempotencyKeyHeader is the request header that identifies the run of a call. Its value is the same in each attempt.
+	// idempotencyKeyHeader is the request header that identifies the run of a task that an HTTP call executes. Its value is the same in
+	// each attempt of that run.
 	idempotencyKeyHeader = "Idempotency-Key"
 )
 
--- a/internal/testing/processes/connection.go
+++ b/internal/testing/processes/connection.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// ConnectionEnded reports whether the server has closed an idle connection. It does so if an end of file, a reset or the TLS alert
-// that precedes a close can be read from socket. A client with persistent connections calls it before it sends another request on such
+// ConnectionEnded reports whether the server has closed an idle connection. It returns true if an end of file, a reset or the TLS
+// alert that precedes a close can be read from socket. A client with persistent connections calls it before it sends another request on such
 // a connection.
 func ConnectionEnded(socket net.Conn) (ended bool) {
 	tcp, ok := socket.(*net.TCPConn)
--- a/internal/testing/processes/process.go
+++ b/internal/testing/processes/process.go
@@ -48,7 +48,7 @@
 // Name returns the name in the process's Spec.
 func (p *Process) Name() string { return p.spec.Name }
 
-var errRunning = errors.New("the process is running")
+var errRunning = errors.New("the process is already running")
 
 // Start starts the process in its directory and waits until the process is ready. Files of earlier runs stay in the directory. If files is
 // not nil, it replaces Spec.Files.
--- a/internal/testing/soak/load.go
+++ b/internal/testing/soak/load.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// send sends a request and records its result. If disconnectAfter is not 0, the client closes the connection at this time after it has written
-// the request.
+// send sends a request and records its result. If disconnectAfter is not 0, the client disconnects when that much time has passed since
+// the request was written.
 func (c *client) send(q Request, disconnectAfter time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), q.Deadline+clientTimeoutMargin)
 	defer cancel()
--- a/internal/testing/soak/rulechecker.go
+++ b/internal/testing/soak/rulechecker.go
@@ -100,15 +100,15 @@
 }
 
 // drainKnownAt returns the time at which a sidecar knew that an upstream drains or is removed. It considers the process of the sidecar that ran at
-// the time then. If the upstream had not changed by then, or no process had been started, it returns a time in the far future.
-func (c *ruleChecker) drainKnownAt(upstream string, sidecar int, then time.Duration) time.Duration {
+// the time at. If the upstream had not changed by that time, or no process had been started, it returns a time in the far future.
+func (c *ruleChecker) drainKnownAt(upstream string, sidecar int, at time.Duration) time.Duration {
 	knownAt := time.Duration(1<<62 - 1)
 	i := slices.IndexFunc(c.Changes, func(candidate Change) bool { return candidate.Upstream == upstream })
-	if i < 0 || c.Changes[i].At > then {
+	if i < 0 || c.Changes[i].At > at {
 		return knownAt
 	}
 	change := c.Changes[i]
-	run := c.runAt(sidecar, then)
+	run := c.runAt(sidecar, at)
 	if run == nil {
 		return knownAt
 	}
--- a/internal/tlscredentials/client_test.go
+++ b/internal/tlscredentials/client_test.go
@@ -158,7 +158,7 @@
 	newConn := mustConnect(newServer)
 	mustConnect(oldServer)
 	if !client.StillTrusted(oldConn, oldServer) || !client.StillTrusted(newConn, newServer) {
-		t.Error("a connection is not trusted although both CAs are")
+		t.Error("a connection under the old or the new CA is not trusted, although the file contains both CAs")
 	}
 	base.Replace(t, r.files.CA, newCA.PEM)
 	r.Reload()
--- a/internal/upstream/connect_timeout_test.go
+++ b/internal/upstream/connect_timeout_test.go
@@ -12,7 +12,7 @@
 	"orchiddrift/internal/testing/testutil"
 )
 
-// Guards against a connect timeout that ignores how long recent connects took, or exceeds the configured timeout.
+// Guards against a connect timeout that ignores how long it took to open recent connections, or exceeds the configured timeout.
 func TestConnectPatience(t *testing.T) {
 	const configured = 250 * time.Millisecond
 	for _, c := range []struct {
@@ -37,9 +37,9 @@
 	}
 }
 
-// Guards against a request that waits for the whole configured timeout for an upstream that does not answer connects, as on a failed
-// machine. The timeout has to follow the durations of recent connects. The test fills the upstream's accept queue, so that the kernel drops
-// SYN segments.
+// Guards against a request that waits for the whole configured timeout when its upstream does not respond to connection attempts, as on a
+// failed machine. The connect timeout has to follow recent connect durations. The test fills the upstream's accept
+// queue, so that the kernel drops SYN segments.
 func TestConnectToALostMachine(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -116,7 +116,7 @@
 	return conn, nil
 }
 
-// dialSocket opens a TCP connection within the timeout that connectTimes derives from recent connects. It retries with backoff if this
+// dialSocket opens a TCP connection within the timeout that connectTimes derives from recent connect durations. It retries with backoff if this
 // machine lacked resources.
 func (p *Pool) dialSocket(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.connectTimes.timeout(p.connectTimeout))
--- a/internal/upstream/dial_test.go
+++ b/internal/upstream/dial_test.go
@@ -27,7 +27,8 @@
 	return dials
 }
 
-// Guards against a healthy upstream that is ejected after two failed connects although this machine lacks descriptors, memory or ports.
+// Guards against a healthy upstream that is ejected after two failed connection attempts although this machine lacks descriptors,
+// memory or ports.
 func TestConnectsThatThisMachineFails(t *testing.T) {
 	s := testutil.Raw(t, fakes.Says(fakes.OK200("ok")))
 	for _, c := range []struct {
--- a/internal/upstream/loadprobe/loadprobe.go
+++ b/internal/upstream/loadprobe/loadprobe.go
@@ -45,7 +45,7 @@
 	burstsPerSecond = 10
 	// savedRequests is the number of requests whose unused probes may accumulate.
 	savedRequests = 4
-	// drawsPerUpstream is the maximum number of random draws per request for each of Options.UpstreamsPerRequest. Drawing an upstream whose
+	// A request draws at most drawsPerUpstream * Options.UpstreamsPerRequest random upstreams. Drawing an upstream whose
 	// load is known, or that is being probed, costs no probe.
 	drawsPerUpstream = 2
 	// rateWindow is the time over which requests are counted for the request rate.
--- a/internal/upstream/loadprobe/loadprobe_test.go
+++ b/internal/upstream/loadprobe/loadprobe_test.go
@@ -68,8 +68,8 @@
 	})
 }
 
-// Guards against probes by a process whose own requests reach each upstream often enough, against a process that sends little traffic and
-// does not probe, and against invalid options that Check accepts.
+// Checks that a process sends probes if and only if its own requests reach each upstream too rarely, and that Check rejects invalid
+// options.
 func TestWhoAsks(t *testing.T) {
 	for _, c := range []struct {
 		members, perSecond int
--- a/internal/upstream/local_errors.go
+++ b/internal/upstream/local_errors.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Bounds of the backoff after a connect that failed for lack of resources on this machine. The backoff doubles with each failure.
+// Bounds of the backoff after a connection attempt that failed for lack of resources on this machine. The backoff doubles with each failure.
 const (
 	minDialBackoff = 2 * time.Millisecond
 	maxDialBackoff = 32 * time.Millisecond
--- a/internal/upstream/prewarm/prewarm.go
+++ b/internal/upstream/prewarm/prewarm.go
@@ -1,13 +1,13 @@
 // Package prewarm decides which connections to upstreams are opened before a request needs them, and how fast, so that the first request to
 // a new upstream does not wait for a connection, and a fleet that restarts does not open all its connections at once. The package is a
-// state machine without I/O or a clock: its inputs are members, uses and results of connects, its output is the names of upstreams to
-// connect to. upstream.Pool.Prewarm drives it. Its random numbers come from its caller.
+// state machine without I/O or a clock: its inputs are members, uses and results of connection attempts, its output is the names of
+// upstreams to connect to. upstream.Pool.Prewarm drives it. Its random numbers come from its caller.
 //
 // A new member gets its first connection at a random time within Options.Spread. After that, connections to a member are opened while it was
 // used within Options.IdleAfter and has fewer than Options.ConnectionsPerUpstream connections. Three bounds hold: Options.Rate per second,
-// Options.MaxFraction of the maximum number of connections, and a backoff that doubles up to maxBackoff for a member whose connects fail.
-// So an upstream that is in the subsets of M sidecars gets at most M x ConnectionsPerUpstream connections ahead of use, spread over
-// Options.Spread when it starts.
+// Options.MaxFraction of the maximum number of connections, and a backoff that doubles up to maxBackoff for a member that cannot be
+// connected to. So an upstream that is in the subsets of M sidecars gets at most M x ConnectionsPerUpstream connections ahead of use, spread
+// over Options.Spread when it starts.
 package prewarm
 
 import (
@@ -80,8 +80,8 @@
 	dueAt       time.Duration // when Tick checks it next
 	usedAt      time.Duration // time of its latest request; 0 if it has had none
 	neverOpened bool          // no connection to it has been open yet
-	opening     int           // connects in progress
-	failures    int           // consecutive failed connects
+	opening     int           // connection attempts in progress
+	failures    int           // consecutive failed connection attempts
 }
 
 // New returns a Prewarmer for a pool of at most maxConnections.
@@ -178,7 +178,7 @@
 	return open+m.opening < p.options.ConnectionsPerUpstream
 }
 
-// Connected records the result of a connect that Tick requested: ok says whether the connection is open.
+// Connected records the result of a connection attempt that Tick requested: ok says whether the connection is open.
 func (p *Prewarmer) Connected(now time.Duration, name string, process uint64, ok bool) {
 	m := p.members[name]
 	if m == nil || m.process != process || m.opening == 0 {
--- a/internal/upstream/prewarm/prewarm_test.go
+++ b/internal/upstream/prewarm/prewarm_test.go
@@ -30,7 +30,7 @@
 	processes uint64            // the latest incarnation of any member
 	open      map[string]int
 	opening   map[string]int
-	pending   []connecting // connects in progress, in the order in which they end
+	pending   []connecting // connection attempts in progress, in the order in which they end
 	started   []time.Duration
 	failedAt  map[string]time.Duration
 }
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestAnyHistory guards, over random histories, against more connects than Rate, MaxFraction or ConnectionsPerUpstream allows, against
-// connects to a removed member, and against connects to a failing member within its backoff. It also guards against members that stay
-// without connections: in the end each member that is used has all its connections if the limits allow it.
+// TestAnyHistory guards, over random histories, against more connection attempts than Rate, MaxFraction or ConnectionsPerUpstream
+// allows, against attempts to connect to a removed member, or to a failing member within its backoff. It also guards against members that
+// stay without connections: in the end each member that is used has all its connections if the limits allow it.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "n") }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -28,7 +28,8 @@
 
 // Gate allows attempts to begin while it is open. Its owner can close it, and then wait for the writes that have entered it.
 type Gate interface {
-	// Enter returns false if the gate is closed. In that case nothing may be written.
+	// Enter is called before the first byte of an attempt is written. If it returns false, the gate is closed and the attempt must not be
+	// written.
 	Enter() bool
 	// Leave is called after a successful Enter, once the first bytes have been written or their write has failed.
 	Leave()
